--- a/dispatch/explain.go
+++ b/dispatch/explain.go
@@ -8,7 +8,7 @@
 )
 
 // Count is how many workers one reason keeps from running a task.
-type Count struct {
+type ReasonCount struct {
 	Reason  Reason
 	Workers int
 	// Example is one of them.
@@ -18,23 +18,23 @@
 // Explain counts the workers of the step's service by what keeps them from
 // running one more task of s now, the most frequent reason first. Workers that
 // could are counted under the empty reason.
-func Explain(now time.Duration, s *Step, workers []Worker, limits Limits) []Count {
+func Explain(now time.Duration, s *Step, workers []Worker, limits Limits) []ReasonCount {
 	p := &planner{now: now, limits: limits}
-	var counts []Count
+	var counts []ReasonCount
 	for i := range workers {
 		w := &workers[i]
 		if w.Service != s.Service {
 			continue
 		}
 		reason := p.obstacle(s, w)
-		at := slices.IndexFunc(counts, func(c Count) bool { return c.Reason == reason })
+		at := slices.IndexFunc(counts, func(c ReasonCount) bool { return c.Reason == reason })
 		if at < 0 {
 			at = len(counts)
-			counts = append(counts, Count{Reason: reason, Example: w.ID})
+			counts = append(counts, ReasonCount{Reason: reason, Example: w.ID})
 		}
 		counts[at].Workers++
 	}
-	slices.SortStableFunc(counts, func(a, b Count) int { return cmp.Compare(b.Workers, a.Workers) })
+	slices.SortStableFunc(counts, func(a, b ReasonCount) int { return cmp.Compare(b.Workers, a.Workers) })
 	return counts
 }
 
@@ -46,17 +46,17 @@
 	permit, known := s.Permits[w.ID]
 	switch {
 	case s.NeedsPermit && !known:
-		return ReasonUnasked
+		return ReasonNotQueried
 	case s.NeedsPermit && !permit.Granted:
-		return ReasonDenied
+		return ReasonWorkerRefused
 	case s.Spec.MaxPerWorker > 0 && s.Placed[w.ID] >= s.Spec.MaxPerWorker:
-		return ReasonAffinity
+		return ReasonMaxPerWorker
 	case s.Copy && slices.Contains(slices.Collect(maps.Values(s.Avoid)), w.ID):
-		return ReasonBeside
-	case copies(s, w) == 0:
-		return ReasonFull
-	case !p.usable(s, w):
-		return ReasonTicket
+		return ReasonRunPresent
+	case fitCount(s, w) == 0:
+		return ReasonWorkerFull
+	case !p.mayStartOn(s, w):
+		return ReasonTicketExpired
 	}
 	return ""
 }
--- a/dispatch/gang_test.go
+++ b/dispatch/gang_test.go
@@ -11,19 +11,19 @@
 // adviser answers the questions of a plan; which workers it permits is fixed.
 type adviser struct {
 	permitted map[string]bool
-	asked     int
+	queries   int
 }
 
-// drawAdviser draws a share of the workers to be permitted, again until tasks of the
+// randomAdviser draws a share of the workers to be permitted, again until tasks of the
 // step fit there.
-func drawAdviser(random *rand.Rand, share float64, s *Step, pool []Worker, tasks int) *adviser {
+func randomAdviser(random *rand.Rand, share float64, s *Step, pool []Worker, tasks int) *adviser {
 	for {
 		a := &adviser{permitted: map[string]bool{}}
 		room := 0
 		for i := range pool {
 			if random.Float64() < share {
 				a.permitted[pool[i].ID] = true
-				room += copies(s, &pool[i])
+				room += fitCount(s, &pool[i])
 			}
 		}
 		if room >= tasks {
@@ -33,9 +33,9 @@
 }
 
 func (a *adviser) answer(s *Step, plan Plan) {
-	for _, question := range plan.Asks {
-		a.asked++
-		for _, worker := range question.Workers {
+	for _, query := range plan.Queries {
+		a.queries++
+		for _, worker := range query.Workers {
 			if _, known := s.Permits[worker]; known {
 				continue
 			}
@@ -48,7 +48,7 @@
 // 30 to 60 tasks is permitted on a quarter of the workers. It asked about 60 of them
 // at a time, 0.9 s each, and about no more once the 15 permitted ones seemed to come
 // free soon: one in five gangs came too late with a quarter of the pool free.
-func TestALargeGangLearnsOfEnoughWorkersAtOnce(t *testing.T) {
+func TestLargeGangQueriesEnoughWorkersInParallel(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		for _, tasks := range []int{30, 60} {
@@ -59,15 +59,15 @@
 				}
 			}
 			gang := step("a", tasks, 4)
-			gang.Spec.Gang, gang.NeedsPermit, gang.Permits, gang.GrantShare = true, true, map[string]Permit{}, 0.25
-			a := drawAdviser(random, 0.25, &gang, workers(free...), tasks)
-			bounds := Limits{AskWorkers: 30, GangAskWorkers: 60, Asks: 40, TicketMargin: 100 * time.Millisecond}
+			gang.Spec.Gang, gang.NeedsPermit, gang.Permits, gang.GrantRate = true, true, map[string]Permit{}, 0.25
+			a := randomAdviser(random, 0.25, &gang, workers(free...), tasks)
+			bounds := Limits{WorkersPerQuery: 30, WorkersPerGangQuery: 60, Queries: 40, TicketMargin: 100 * time.Millisecond}
 			rounds := 0
 			for ; rounds < 4; rounds++ {
 				list := workers(free...)
 				for i := range list {
 					// What runs there seems to end soon, and doesn't.
-					list[i].Releases = []Release{{At: 300 * time.Millisecond, Room: cores(16 - free[i])}}
+					list[i].Releases = []Release{{At: 300 * time.Millisecond, Resources: cores(16 - free[i])}}
 				}
 				plan := Decide(0, []Step{gang}, list, bounds)
 				if len(plan.Starts) == tasks {
@@ -76,16 +76,16 @@
 				a.answer(&gang, plan)
 			}
 			must.LessEq(t, 2, rounds, must.Sprintf("seed %d, %d tasks", seed, tasks))
-			must.LessEq(t, 2*gangParts, a.asked)
+			must.LessEq(t, 2*maxGangQueries, a.queries)
 		}
 	}
 }
 
 // Where one question covers all workers, a gang puts one.
-func TestASmallPoolIsAskedAboutOnce(t *testing.T) {
+func TestGangInSmallPoolSendsOneQuery(t *testing.T) {
 	gang := step("a", 20, 4)
-	gang.Spec.Gang, gang.NeedsPermit, gang.GrantShare = true, true, 0.25
-	plan := Decide(0, []Step{gang}, workers(make([]int64, 48)...), Limits{GangAskWorkers: 60, Asks: 9})
-	must.SliceLen(t, 1, plan.Asks)
-	must.SliceLen(t, 48, plan.Asks[0].Workers)
+	gang.Spec.Gang, gang.NeedsPermit, gang.GrantRate = true, true, 0.25
+	plan := Decide(0, []Step{gang}, workers(make([]int64, 48)...), Limits{WorkersPerGangQuery: 60, Queries: 9})
+	must.SliceLen(t, 1, plan.Queries)
+	must.SliceLen(t, 48, plan.Queries[0].Workers)
 }
--- a/dispatch/load_test.go
+++ b/dispatch/load_test.go
@@ -18,11 +18,11 @@
 	ms := time.Millisecond
 	return []*replayKind{
 		{name: "recalc", worth: 12.9, rate: 3.81 * load, steps: 1.2, width: 20, widthCV: 0.8, maxWidth: 120, cores: 18, coresCV: 0.4, maxCores: 30, gb: 67, gbCV: 0.5, maxGB: 130,
-			work: 6200 * ms, workCV: 0.5, objective: 1000 * ms, stretch: 2.2, priority: 1, gang: 1, checkpointing: 0.5, decide: 702 * ms, each: 10 * ms, valid: 2000 * ms, permitted: 0.3, failing: 0.05},
+			work: 6200 * ms, workCV: 0.5, objective: 1000 * ms, stretch: 2.2, priority: 1, gangShare: 1, checkpointingShare: 0.5, baseLatency: 702 * ms, perWorkerLatency: 10 * ms, ticketValidity: 2000 * ms, grantedShare: 0.3, failingShare: 0.05},
 		{name: "build", worth: 3.9, rate: 7.9 * load, steps: 1.5, width: 25, widthCV: 0.8, maxWidth: 150, cores: 6.9, coresCV: 0.45, maxCores: 21, gb: 14, gbCV: 0.6, maxGB: 43,
-			work: 3400 * ms, workCV: 0.5, objective: 3000 * ms, stretch: 4, priority: 2, checkpointing: 0.8, decide: 156 * ms, each: 2340 * time.Microsecond, valid: 2000 * ms, permitted: 0.45, failing: 0.05},
+			work: 3400 * ms, workCV: 0.5, objective: 3000 * ms, stretch: 4, priority: 2, checkpointingShare: 0.8, baseLatency: 156 * ms, perWorkerLatency: 2340 * time.Microsecond, ticketValidity: 2000 * ms, grantedShare: 0.45, failingShare: 0.05},
 		{name: "lookup", worth: 0.391, rate: 110 * load, steps: 1, width: 3.2, widthCV: 0.8, maxWidth: 19, cores: 9.9, coresCV: 0.45, maxCores: 30, gb: 37, gbCV: 0.6, maxGB: 110,
-			work: 800 * ms, workCV: 0.5, objective: 250 * ms, stretch: 1.5, gang: 0.3, decide: 11700 * time.Microsecond, each: 169 * time.Microsecond, valid: 2000 * ms, permitted: 0.7, failing: 0.05},
+			work: 800 * ms, workCV: 0.5, objective: 250 * ms, stretch: 1.5, gangShare: 0.3, baseLatency: 11700 * time.Microsecond, perWorkerLatency: 169 * time.Microsecond, ticketValidity: 2000 * ms, grantedShare: 0.7, failingShare: 0.05},
 	}
 }
 
@@ -38,8 +38,8 @@
 			r.decision = 50 * time.Millisecond
 			r.play(40*time.Second, 0)
 			steps, gangs := r.waiting()
-			free, asked := r.freeSum/float64(r.decided), r.asked
-			r.play(40*time.Second, restAfterTraffic)
+			free, asked := r.freeSum/float64(r.decisions), r.queries
+			r.play(40*time.Second, drainTime)
 			stepsLeft, gangsLeft := r.waiting()
 			var owed, got float64
 			worst, line := 1.0, ""
@@ -51,7 +51,7 @@
 					float64(k.inTime)/float64(len(k.all)), float64(k.late)/float64(len(k.all)), shares)
 			}
 			t.Logf("%sworth %.3f worst %.3f free %.3f waiting %d gangs %d, 14 s later %d %d, free %.2f | asked %d %d preempted %d longest decision %v",
-				line, got/owed, worst, free, steps, gangs, stepsLeft, gangsLeft, r.freeShare(), asked, r.asked-asked, r.preempted, r.longest)
+				line, got/owed, worst, free, steps, gangs, stepsLeft, gangsLeft, r.freeShare(), asked, r.queries-asked, r.preemptions, r.longestDecision)
 		})
 	}
 }
@@ -61,7 +61,7 @@
 // ("event=load free_milli_cpu=11918650 steps=39 tasks=1176 gangs=39"). The first twelve keep
 // room from all others by ends that don't come when they are expected, and those behind
 // them may not renew their tickets.
-func TestGangsDoNotWaitWhileThereIsRoomTwiceOver(t *testing.T) {
+func TestGangsStartWhenTwiceTheirRoomIsFree(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -69,33 +69,33 @@
 			r.decision = 50 * time.Millisecond
 			r.play(30*time.Second, 0)
 			longest := time.Duration(0)
-			for r.now < 30*time.Second+restAfterTraffic {
+			for r.now < 30*time.Second+drainTime {
 				r.decide()
 				r.advance()
-				longest = max(longest, r.couldRun())
+				longest = max(longest, r.longestIdleWait())
 			}
-			must.LessEq(t, mayStandIdle, longest)
+			must.LessEq(t, maxIdleWait, longest)
 		})
 	}
 }
 
 const (
-	// restAfterTraffic is how long after the last job callers expect all that can run to
-	// run, mayStandIdle how long a job may have nothing running beside room for twice its
+	// drainTime is how long after the last job callers expect all that can run to
+	// run, maxIdleWait how long a job may have nothing running beside room for twice its
 	// tasks.
-	restAfterTraffic = 14 * time.Second
-	mayStandIdle     = 3 * time.Second
+	drainTime   = 14 * time.Second
+	maxIdleWait = 3 * time.Second
 )
 
 // Hundreds of steps wait behind others that fit nowhere. Each has its turn every two
 // seconds, asks for its tickets, and has its next turn when they have ended: none of 600
 // starts within a minute on an empty pool, and 19,200 questions are put.
-func TestStepsBehindTheBoundStartBeforeTheirTicketsEnd(t *testing.T) {
+func TestStepsBeyondBoundStartBeforeTicketsExpire(t *testing.T) {
 	for _, behind := range []int{40, 600, 900} {
 		kind := &replayKind{name: "behind", priority: 1, steps: 1, width: 1, maxWidth: 1, cores: 1, maxCores: 1, gb: 1, maxGB: 1, work: time.Second,
-			decide: 195 * time.Millisecond, valid: 1500 * time.Millisecond, permitted: 0.25, stretch: 1}
+			baseLatency: 195 * time.Millisecond, ticketValidity: 1500 * time.Millisecond, grantedShare: 0.25, stretch: 1}
 		huge := &replayKind{name: "ahead", steps: 1, width: 1, maxWidth: 1, cores: 65, maxCores: 65, gb: 1, maxGB: 1, work: time.Second,
-			decide: 195 * time.Millisecond, valid: 1500 * time.Millisecond, permitted: 0.25, stretch: 1, objective: time.Hour}
+			baseLatency: 195 * time.Millisecond, ticketValidity: 1500 * time.Millisecond, grantedShare: 0.25, stretch: 1, objective: time.Hour}
 		r := newReplay(1, 350, 1000, kind, huge)
 		r.limits.Steps = 128
 		for range 96 {
@@ -108,6 +108,6 @@
 			r.decide()
 			r.advance()
 		}
-		must.SliceLen(t, 96, r.jobs, must.Sprintf("%d behind: %d questions", behind, r.asked))
+		must.SliceLen(t, 96, r.jobs, must.Sprintf("%d behind: %d questions", behind, r.queries))
 	}
 }
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -19,23 +19,23 @@
 	// that isn't in it has to be counted anew.
 	headroom map[string]workflow.Resources
 	// unkept is the same if no room were kept for others.
-	unkept map[string]workflow.Resources
+	unreservedHeadroom map[string]workflow.Resources
 	// keeps says that room is kept for others at all.
-	keeps bool
+	hasReservations bool
 	// unticketed says that the step that was looked at last has room on a permitted
 	// worker whose ticket has ended.
-	unticketed bool
+	fitsWithoutTicket bool
 	// reserved counts the gangs of a pool that room is kept for.
-	reserved map[string]int
+	reservedGangs map[string]int
 	// stopping are the runs that the plan stops.
 	stopping map[workflow.TaskKey]bool
 	// yielding is the least urgent priority of a pool's runs that may be stopped.
-	yielding map[string]int
-	// unasked are the steps that wait for a question, in order; keptAsks of the questions, of
-	// which keptLong may be long, are kept back for them.
-	unasked            []unasked
-	keptAsks, keptLong int
-	plan               Plan
+	preemptiblePriority map[string]int
+	// unasked are the steps that wait for a question, in order; reservedQueries of the questions, of
+	// which reservedLongQueries may be long, are kept back for them.
+	queryWaiters                         []queryWaiter
+	reservedQueries, reservedLongQueries int
+	plan                                 Plan
 }
 
 // Decide plans starts and questions for steps on workers. Steps are taken in
@@ -44,11 +44,11 @@
 func Decide(now time.Duration, steps []Step, workers []Worker, limits Limits) Plan {
 	p := &planner{
 		now: now, limits: limits, byService: map[string][]*Worker{}, byID: make(map[string]*Worker, len(workers)), headroom: map[string]workflow.Resources{},
-		unkept: map[string]workflow.Resources{}, stopping: map[workflow.TaskKey]bool{}, reserved: map[string]int{}, yielding: map[string]int{},
+		unreservedHeadroom: map[string]workflow.Resources{}, stopping: map[workflow.TaskKey]bool{}, reservedGangs: map[string]int{}, preemptiblePriority: map[string]int{},
 	}
-	for rank, w := range byID(workers) {
+	for rank, w := range sortedByID(workers) {
 		w.rank = rank
-		p.noteYielding(w)
+		p.recordPreemptible(w)
 		p.byService[w.Service] = append(p.byService[w.Service], w)
 		p.byID[w.ID] = w
 	}
@@ -58,22 +58,22 @@
 	}
 	slices.SortFunc(order, compareSteps)
 	p.plan.Waiting = make([]Waiting, 0, len(steps))
-	chosen := p.inTurn(order)
-	p.keptAsks, p.keptLong = p.forTurns(p.limits.Asks), p.forTurns(p.limits.LongAsks)
-	p.limits.Asks -= p.keptAsks
-	p.limits.LongAsks -= p.keptLong
+	chosen := p.selectSteps(order)
+	p.reservedQueries, p.reservedLongQueries = p.roundRobinPart(p.limits.Queries), p.roundRobinPart(p.limits.LongQueries)
+	p.limits.Queries -= p.reservedQueries
+	p.limits.LongQueries -= p.reservedLongQueries
 	for _, s := range chosen {
-		p.step(s)
+		p.planStep(s)
 	}
-	p.limits.Asks += p.keptAsks
-	p.limits.LongAsks += p.keptLong
-	p.keptAsks, p.keptLong = 0, 0
-	p.askInTurn()
+	p.limits.Queries += p.reservedQueries
+	p.limits.LongQueries += p.reservedLongQueries
+	p.reservedQueries, p.reservedLongQueries = 0, 0
+	p.queryRoundRobin()
 	return p.plan
 }
 
-// byID returns workers in the order of their IDs.
-func byID(workers []Worker) []*Worker {
+// sortedByID returns workers in the order of their IDs.
+func sortedByID(workers []Worker) []*Worker {
 	order := make([]*Worker, len(workers))
 	for i := range workers {
 		order[i] = &workers[i]
@@ -82,29 +82,29 @@
 	return order
 }
 
-// turnShare is the part of a bounded decision that goes to steps in turn, as a
+// roundRobinDivisor is the part of a bounded decision that goes to steps in turn, as a
 // divisor of the bound.
-const turnShare = 4
+const roundRobinDivisor = 4
 
-// inTurn returns the steps that the decision may go into. Where there are more
+// selectSteps returns the steps that the decision may go into. Where there are more
 // than its bound, the most urgent ones take most of it, and those behind them the
 // rest in turn, so that none waits for ever behind others that can't start.
 //
 // Load that it answers: a queue of thousands of steps after an outage. A decision
 // that goes into all of them takes longer than tickets hold: nothing starts, and the
 // queue grows on.
-func (p *planner) inTurn(order []*Step) []*Step {
+func (p *planner) selectSteps(order []*Step) []*Step {
 	bound := p.limits.Steps
 	if bound <= 0 || len(order) <= bound {
 		return order
 	}
-	urgent := bound - bound/turnShare
-	p.plan.Next = order[urgent]
-	chosen := slices.Concat(order[:urgent], p.turns(order[urgent:], bound-urgent))
-	p.plan.Behind = waitingSteps(order)
+	urgentSteps := bound - bound/roundRobinDivisor
+	p.plan.FirstSkipped = order[urgentSteps]
+	chosen := slices.Concat(order[:urgentSteps], p.roundRobin(order[urgentSteps:], bound-urgentSteps))
+	p.plan.BeyondBound = countWaiting(order)
 	for _, s := range chosen {
 		if !s.Copy {
-			p.plan.Behind--
+			p.plan.BeyondBound--
 		}
 	}
 	return chosen
@@ -118,29 +118,29 @@
 // asks, and has its next one when its tickets of 1.5 s have ended, so that hardly any starts
 // on an empty pool. With a place for those that hold tickets an answer is used by the next
 // decision.
-func (p *planner) turns(rest []*Step, n int) []*Step {
-	var ticketed, fresh, others []*Step
+func (p *planner) roundRobin(rest []*Step, n int) []*Step {
+	var ticketed, unqueried, others []*Step
 	for _, s := range rest {
 		switch {
 		case p.holdsTickets(s):
 			ticketed = append(ticketed, s)
-		case s.Asking:
+		case s.AwaitsAnswer:
 		case s.NeedsPermit && len(s.Permits) == 0:
-			fresh = append(fresh, s)
+			unqueried = append(unqueried, s)
 		default:
 			others = append(others, s)
 		}
 	}
-	slices.SortStableFunc(ticketed, func(a, b *Step) int { return cmp.Compare(a.TicketsEnd, b.TicketsEnd) })
+	slices.SortStableFunc(ticketed, func(a, b *Step) int { return cmp.Compare(a.TicketsExpire, b.TicketsExpire) })
 	chosen := slices.Clip(ticketed[:min(n/2, len(ticketed))])
-	chosen = append(chosen, takeFrom(fresh, n/4*p.limits.Turn, n-n/4-len(chosen))...)
+	chosen = append(chosen, takeCircular(unqueried, n/4*p.limits.Round, n-n/4-len(chosen))...)
 	// A quarter of the places is the others' at least, so a turn that moves on by as many
 	// passes none of them by.
-	return append(chosen, takeFrom(others, (n-n/2-n/4)*p.limits.Turn, n-len(chosen))...)
+	return append(chosen, takeCircular(others, (n-n/2-n/4)*p.limits.Round, n-len(chosen))...)
 }
 
-// takeFrom returns up to n of the steps from the first one on, in a circle.
-func takeFrom(steps []*Step, first, n int) []*Step {
+// takeCircular returns up to n of the steps from the first one on, in a circle.
+func takeCircular(steps []*Step, first, n int) []*Step {
 	var chosen []*Step
 	for i := range min(n, len(steps)) {
 		chosen = append(chosen, steps[(first+i)%len(steps)])
@@ -148,10 +148,10 @@
 	return chosen
 }
 
-// waitingSteps counts the steps of an order but for the copies at its end, whose tasks
+// countWaiting counts the steps of an order but for the copies at its end, whose tasks
 // run.
-func waitingSteps(order []*Step) int {
-	n, _ := slices.BinarySearchFunc(order, true, func(s *Step, duplicate bool) int { return compareBools(s.Copy, duplicate) })
+func countWaiting(order []*Step) int {
+	n, _ := slices.BinarySearchFunc(order, true, func(s *Step, isCopy bool) int { return compareBools(s.Copy, isCopy) })
 	return n
 }
 
@@ -159,7 +159,7 @@
 func Before(a, b *Step) bool { return compareSteps(a, b) < 0 }
 
 func compareSteps(a, b *Step) int {
-	return cmp.Or(compareBools(a.Copy, b.Copy), cmp.Compare(a.Late, b.Late), cmp.Compare(a.Priority, b.Priority),
+	return cmp.Or(compareBools(a.Copy, b.Copy), cmp.Compare(a.Lateness, b.Lateness), cmp.Compare(a.Priority, b.Priority),
 		cmp.Compare(a.Due, b.Due), workflow.CompareSteps(a.Key, b.Key))
 }
 
@@ -175,9 +175,9 @@
 	}
 }
 
-func (p *planner) step(s *Step) {
-	if p.hopeless(s) {
-		p.wait(s, len(s.Pending), p.reasonPassedOver(s, len(s.Pending)))
+func (p *planner) planStep(s *Step) {
+	if p.unschedulable(s) {
+		p.addWaiting(s, len(s.Pending), p.skipReason(s, len(s.Pending)))
 		return
 	}
 	var left int
@@ -189,44 +189,44 @@
 	if left == 0 {
 		return
 	}
-	if p.mustWait(s) || p.mayAskLater(s) {
-		p.unasked = append(p.unasked, unasked{s, left, p.reasonPassedOver(s, left)})
+	if p.blocked(s) || p.needsReservedLongQuery(s) {
+		p.queryWaiters = append(p.queryWaiters, queryWaiter{s, left, p.skipReason(s, left)})
 		return
 	}
-	p.seek(s, left)
+	p.prepareRest(s, left)
 }
 
 // seek sees to what the tasks of s that are left need before they can start.
-func (p *planner) seek(s *Step, left int) {
+func (p *planner) prepareRest(s *Step, left int) {
 	suitable := filter(p.byService[s.Service], s)
 	if len(suitable) == 0 {
-		p.wait(s, left, ReasonNoWorker)
+		p.addWaiting(s, left, ReasonNoWorker)
 		return
 	}
-	put := len(p.plan.Asks)
-	reason := p.seekPermits(s, suitable, left)
-	if reason == ReasonPermit && !s.Asking && len(p.plan.Asks) == put {
-		reason = ReasonLane
+	queriesBefore := len(p.plan.Queries)
+	reason := p.preparePermits(s, suitable, left)
+	if reason == ReasonAwaitsAdviser && !s.AwaitsAnswer && len(p.plan.Queries) == queriesBefore {
+		reason = ReasonNoConnection
 	}
-	p.wait(s, left, reason)
+	p.addWaiting(s, left, reason)
 }
 
-// mustWait reports whether nothing more can be done for s in this decision: it has
+// blocked reports whether nothing more can be done for s in this decision: it has
 // to ask, no question may be put now, and no room is kept for it.
 //
 // Load that it answers: a queue that grows while all questions are under way, or all
 // the long ones that gangs put. Going through hundreds of workers for each step that
 // can't ask takes the time in which others would start, and the queue grows on.
-func (p *planner) mustWait(s *Step) bool {
-	keepsRoom := s.Spec.Gang && (p.reserved[s.Service] < keptGangs && len(s.Permits) > 0 || len(s.Renewing) > 0 || p.holdsTickets(s))
-	return s.NeedsPermit && !p.mayAsk(s, 1) && !keepsRoom
+func (p *planner) blocked(s *Step) bool {
+	mayReserve := s.Spec.Gang && (p.reservedGangs[s.Service] < maxReservedGangs && len(s.Permits) > 0 || len(s.Renewing) > 0 || p.holdsTickets(s))
+	return s.NeedsPermit && !p.mayQuery(s, 1) && !mayReserve
 }
 
 // candidates returns the workers on which a task of s would be accepted and fits now.
 func (p *planner) candidates(s *Step) []*Worker {
 	var list []*Worker
 	add := func(w *Worker) {
-		if suits(s, w) && copies(s, w) > 0 {
+		if eligible(s, w) && fitCount(s, w) > 0 {
 			list = append(list, w)
 		}
 	}
@@ -236,14 +236,14 @@
 		}
 		return list
 	}
-	p.unticketed = false
+	p.fitsWithoutTicket = false
 	for id, permit := range s.Permits {
 		switch {
 		case p.valid(permit):
 			add(p.byID[id])
-		case permit.Granted && !p.unticketed:
+		case permit.Granted && !p.fitsWithoutTicket:
 			w := p.byID[id]
-			p.unticketed = suits(s, w) && copies(s, w) > 0
+			p.fitsWithoutTicket = eligible(s, w) && fitCount(s, w) > 0
 		}
 	}
 	return list
@@ -253,12 +253,12 @@
 // for one of its tasks, and nothing is to be asked ahead of room. On a full
 // cluster that is nearly every step: with 500 queued steps and 48 workers a
 // decision takes a fifth of the time.
-func (p *planner) hopeless(s *Step) bool {
-	asks := s.NeedsPermit && len(s.Permits) == 0 && p.limits.Asks+p.keptAsks > 0
-	if asks || s.Spec.Gang && p.reserved[s.Service] < keptGangs {
+func (p *planner) unschedulable(s *Step) bool {
+	mayQueryFirst := s.NeedsPermit && len(s.Permits) == 0 && p.limits.Queries+p.reservedQueries > 0
+	if mayQueryFirst || s.Spec.Gang && p.reservedGangs[s.Service] < maxReservedGangs {
 		return false
 	}
-	return !s.Spec.Room().Fits(p.headroomOf(s.Service))
+	return !s.Spec.Demand().Fits(p.headroomOf(s.Service))
 }
 
 func (p *planner) headroomOf(service string) workflow.Resources {
@@ -273,18 +273,18 @@
 	return headroom
 }
 
-// reasonUnpermitted says why a step has no permitted worker, empty when it has or
+// permitReason says why a step has no permitted worker, empty when it has or
 // needs none.
-func (p *planner) reasonUnpermitted(s *Step) Reason {
+func (p *planner) permitReason(s *Step) Reason {
 	switch {
-	case !slices.ContainsFunc(p.byService[s.Service], func(w *Worker) bool { return suits(s, w) }):
+	case !slices.ContainsFunc(p.byService[s.Service], func(w *Worker) bool { return eligible(s, w) }):
 		return ReasonNoWorker
-	case s.Asking:
-		return ReasonPermit
+	case s.AwaitsAnswer:
+		return ReasonAwaitsAdviser
 	case s.NeedsPermit && len(s.Permits) == 0:
-		return ReasonLane
+		return ReasonNoConnection
 	case s.NeedsPermit && !anyGranted(s.Permits):
-		return ReasonRefused
+		return ReasonAllRefused
 	}
 	return ""
 }
@@ -298,7 +298,7 @@
 	return false
 }
 
-func (p *planner) wait(s *Step, tasks int, reason Reason) {
+func (p *planner) addWaiting(s *Step, tasks int, reason Reason) {
 	if s.Copy {
 		// Its tasks run; only a second chance waits.
 		return
@@ -307,28 +307,28 @@
 }
 
 // usable reports whether a start of s on w would be accepted now.
-func (p *planner) usable(s *Step, w *Worker) bool {
+func (p *planner) mayStartOn(s *Step, w *Worker) bool {
 	return !s.NeedsPermit || p.valid(s.Permits[w.ID])
 }
 
 // valid reports whether a permit holds until a start has reached the worker.
 func (p *planner) valid(permit Permit) bool {
-	return permit.Granted && p.inTime(permit.Expires)
+	return permit.Granted && p.outlastsStart(permit.Expires)
 }
 
 // holdsTickets reports whether one of the tickets of s may be valid.
-func (p *planner) holdsTickets(s *Step) bool { return p.inTime(s.TicketsEnd) }
+func (p *planner) holdsTickets(s *Step) bool { return p.outlastsStart(s.TicketsExpire) }
 
-// inTime reports whether a ticket that ends then holds until a start has reached the
+// outlastsStart reports whether a ticket that ends then holds until a start has reached the
 // worker.
-func (p *planner) inTime(end time.Duration) bool { return end >= p.now+p.limits.TicketMargin }
+func (p *planner) outlastsStart(end time.Duration) bool { return end >= p.now+p.limits.TicketMargin }
 
 // copies returns how many further tasks of s fit on w.
-func copies(s *Step, w *Worker) int { return copiesIn(s, w, w.Free) }
+func fitCount(s *Step, w *Worker) int { return fitCountIn(s, w, w.Free) }
 
-// copiesIn returns how many further tasks of s fit into room of w.
-func copiesIn(s *Step, w *Worker, room workflow.Resources) int {
-	n := s.Spec.Room().Copies(room)
+// fitCountIn returns how many further tasks of s fit into room of w.
+func fitCountIn(s *Step, w *Worker, room workflow.Resources) int {
+	n := s.Spec.Demand().FitCount(room)
 	if s.Spec.MaxPerWorker > 0 {
 		n = min(n, s.Spec.MaxPerWorker-s.Placed[w.ID])
 	}
@@ -340,11 +340,11 @@
 func (p *planner) startTasks(s *Step) int {
 	candidates := p.candidates(s)
 	for i, index := range s.Pending {
-		order := prefer
+		order := comparePreference
 		if s.Suspects[index] {
-			order = preferFewRuns
+			order = compareRunCount
 		}
-		w := best(s, candidates, order, func(w *Worker) bool { return copies(s, w) > 0 && w.ID != s.Avoid[index] })
+		w := best(s, candidates, order, func(w *Worker) bool { return fitCount(s, w) > 0 && w.ID != s.Avoid[index] })
 		if w == nil {
 			return len(s.Pending) - i
 		}
@@ -355,7 +355,7 @@
 
 // startGang starts all tasks or none and returns how many are left.
 func (p *planner) startGang(s *Step) int {
-	if !s.Spec.Room().Fits(p.headroomOf(s.Service)) {
+	if !s.Spec.Demand().Fits(p.headroomOf(s.Service)) {
 		return len(s.Pending)
 	}
 	chosen := gangWorkers(s, p.candidates(s), len(s.Pending))
@@ -382,7 +382,7 @@
 func greedy(s *Step, usable []*Worker, n int) []*Worker {
 	var chosen []*Worker
 	for w := range byRoom(s, usable) {
-		for range min(copies(s, w), n-len(chosen)) {
+		for range min(fitCount(s, w), n-len(chosen)) {
 			chosen = append(chosen, w)
 		}
 		if len(chosen) == n {
@@ -412,13 +412,13 @@
 }
 
 func (p *planner) start(s *Step, index int, w *Worker) {
-	p.takeRoom(w, s.Spec.Room())
-	w.started++
+	p.takeRoom(w, s.Spec.Demand())
+	w.plannedStarts++
 	if s.Suspects[index] {
 		// Nothing else is begun beside it until it has shown itself.
 		p.takeRoom(w, w.Free)
 	}
-	delete(p.unkept, w.Service)
+	delete(p.unreservedHeadroom, w.Service)
 	w.Serving = w.Serving || s.Spec.LatencyObjectiveMS > 0
 	if s.Spec.UsesSpare {
 		w.SpareRuns++
@@ -444,13 +444,13 @@
 
 // reserve keeps room for n tasks of s away from the steps after it.
 func (p *planner) reserve(s *Step, workers []*Worker, n int) {
-	if p.limits.Without.Reservation {
+	if p.limits.Disabled.Reservation {
 		return
 	}
-	room := s.Spec.Room()
+	room := s.Spec.Demand()
 	for _, w := range workers {
-		take := min(copies(s, w), n)
-		p.keepRoom(w, room.Times(int64(take)))
+		take := min(fitCount(s, w), n)
+		p.reserveRoom(w, room.Times(int64(take)))
 		n -= take
 	}
 }
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -27,7 +27,7 @@
 	s := Step{
 		Key:  workflow.StepKey{Job: job},
 		Spec: &workflow.Step{Count: count, Need: cores(need)}, Service: "s",
-		AskTime: func(int) time.Duration { return 500 * time.Millisecond },
+		AnswerTime: func(int) time.Duration { return 500 * time.Millisecond },
 	}
 	for i := range count {
 		s.Pending = append(s.Pending, i)
@@ -35,7 +35,7 @@
 	return s
 }
 
-var limits = Limits{AskWorkers: 4, GangAskWorkers: 8, Asks: 8, TicketMargin: 100 * time.Millisecond}
+var limits = Limits{WorkersPerQuery: 4, WorkersPerGangQuery: 8, Queries: 8, TicketMargin: 100 * time.Millisecond}
 
 // started lists JOB/INDEX@WORKER of each start.
 func started(p Plan) []string {
@@ -62,7 +62,7 @@
 			with(step("a", 1, 4), func(s *Step) { s.Priority = 1 }), step("b", 1, 4),
 		}, workers: workers(4), want: []string{"b/0@w0"}, reason: ReasonNoRoom},
 		{name: "late work last", steps: []Step{
-			with(step("a", 1, 4), func(s *Step) { s.Late = 1 }), with(step("b", 1, 4), func(s *Step) { s.Priority = 2 }),
+			with(step("a", 1, 4), func(s *Step) { s.Lateness = 1 }), with(step("b", 1, 4), func(s *Step) { s.Priority = 2 }),
 		}, workers: workers(4), want: []string{"b/0@w0"}, reason: ReasonNoRoom},
 		{name: "a gang whole", steps: []Step{gang(step("a", 3, 4))}, workers: workers(8, 4), want: []string{"a/0@w0", "a/1@w0", "a/2@w1"}},
 		{name: "a gang not in part", steps: []Step{gang(step("a", 3, 4))}, workers: workers(8), reason: ReasonNoRoom},
@@ -82,7 +82,7 @@
 		}, workers: workers(16, 3), want: []string{"a/0@w0"}},
 		{name: "a copy only in room that nothing else takes", steps: []Step{
 			with(step("a", 1, 4), func(s *Step) { s.Copy = true }),
-			with(step("b", 1, 4), func(s *Step) { s.Priority, s.Late = 9, 2 }),
+			with(step("b", 1, 4), func(s *Step) { s.Priority, s.Lateness = 9, 2 }),
 		}, workers: workers(4), want: []string{"b/0@w0"}},
 		{name: "spare processors cost none", steps: []Step{with(step("a", 1, 9), func(s *Step) { s.Spec.UsesSpare = true })},
 			workers: workers(0), want: []string{"a/0@w0"}},
@@ -142,17 +142,17 @@
 			plan := Decide(0, []Step{c.step}, c.workers, limits)
 			must.Eq(t, c.want, started(plan))
 			if c.ask == nil {
-				must.SliceEmpty(t, plan.Asks)
+				must.SliceEmpty(t, plan.Queries)
 				return
 			}
-			must.SliceLen(t, 1, plan.Asks)
-			must.Eq(t, c.ask, plan.Asks[0].Workers)
-			must.Eq(t, c.renewal, plan.Asks[0].Renewal)
+			must.SliceLen(t, 1, plan.Queries)
+			must.Eq(t, c.ask, plan.Queries[0].Workers)
+			must.Eq(t, c.renewal, plan.Queries[0].Renewal)
 		})
 	}
 }
 
-func TestExplainCountsTheWorkersByWhatKeepsThem(t *testing.T) {
+func TestExplainCountsWorkersByReason(t *testing.T) {
 	list := workers(0, 0, 9, 9, 9, 9, 9)
 	list[2].Labels = nil
 	list[6].Service = "t"
@@ -163,20 +163,20 @@
 		"w0": {Granted: true}, "w1": {Granted: true}, "w3": {Granted: true}, "w4": {}, "w2": {Granted: true},
 	})
 	s.Spec.Label = "gpu"
-	must.Eq(t, []Count{
-		{ReasonFull, 2, "w0"}, {ReasonLabel, 1, "w2"}, {ReasonTicket, 1, "w3"}, {ReasonDenied, 1, "w4"}, {ReasonUnasked, 1, "w5"},
+	must.Eq(t, []ReasonCount{
+		{ReasonWorkerFull, 2, "w0"}, {ReasonLabel, 1, "w2"}, {ReasonTicketExpired, 1, "w3"}, {ReasonWorkerRefused, 1, "w4"}, {ReasonNotQueried, 1, "w5"},
 	}, Explain(0, &s, list, limits))
 	s.NeedsPermit = false
-	must.Eq(t, Count{"", 3, "w3"}, Explain(0, &s, list, limits)[0])
+	must.Eq(t, ReasonCount{"", 3, "w3"}, Explain(0, &s, list, limits)[0])
 }
 
 // What a user sees: an all-or-nothing job waits for ever beside small ones.
 // Order: the gang needs two workers; one is free, the other is soon; small
 // tasks arrive all the time and take each piece of room.
 // Cause: room for a gang wasn't kept while it came together.
-func TestRoomIsKeptForAWaitingGang(t *testing.T) {
+func TestRoomIsReservedForWaitingGang(t *testing.T) {
 	list := workers(4, 0)
-	list[1].Releases = []Release{{At: time.Second, Room: cores(4)}}
+	list[1].Releases = []Release{{At: time.Second, Resources: cores(4)}}
 	gang := step("gang", 2, 4)
 	gang.Spec.Gang = true
 	batch := step("small", 4, 1)
@@ -188,13 +188,13 @@
 // Order: a gang's last piece of room comes free in a second; its tickets have
 // ended; the adviser takes half a second to give new ones.
 // Cause: tickets were asked for only once there was room.
-func TestTicketsOfAGangAreThereWhenItFits(t *testing.T) {
+func TestGangTicketsAreRenewedBeforeItFits(t *testing.T) {
 	gang := needsPermit(step("gang", 2, 4), map[string]Permit{"w0": {Granted: true}, "w1": {Granted: true}})
 	gang.Spec.Gang = true
 	asks := func(now time.Duration) int {
 		list := workers(4, 0)
-		list[1].Releases = []Release{{At: time.Second, Room: cores(4)}}
-		return len(Decide(now, []Step{gang}, list, limits).Asks)
+		list[1].Releases = []Release{{At: time.Second, Resources: cores(4)}}
+		return len(Decide(now, []Step{gang}, list, limits).Queries)
 	}
 	must.Eq(t, 0, asks(0))
 	must.Eq(t, 1, asks(500*time.Millisecond))
@@ -204,32 +204,32 @@
 // Order: a new leader's first question names the two workers that have answered
 // it; one is permitted; it is big enough, and never empty.
 // Cause: a gang asked again only when its permitted workers were too small.
-func TestAGangAsksAboutIdleWorkersWhenItsOwnStayBusy(t *testing.T) {
+func TestGangQueriesIdleWorkersWhilePermittedOnesStayBusy(t *testing.T) {
 	gang := func() Step {
 		s := needsPermit(step("gang", 2, 4), map[string]Permit{"w0": {Granted: true}})
-		s.Spec.Gang, s.Late = true, 2
+		s.Spec.Gang, s.Lateness = true, 2
 		return s
 	}
 	busy := workers(0, 16, 0)
-	busy[0].Releases = []Release{{At: time.Minute, Room: cores(16)}}
-	asks := Decide(0, []Step{gang()}, busy, limits).Asks
+	busy[0].Releases = []Release{{At: time.Minute, Resources: cores(16)}}
+	asks := Decide(0, []Step{gang()}, busy, limits).Queries
 	must.SliceLen(t, 1, asks)
 	must.Eq(t, []string{"w1", "w2"}, asks[0].Workers)
 	full := workers(0, 0, 0)
-	full[0].Releases = []Release{{At: time.Minute, Room: cores(16)}}
-	must.SliceEmpty(t, Decide(0, []Step{gang()}, full, limits).Asks, must.Sprint("nobody has room"))
+	full[0].Releases = []Release{{At: time.Minute, Resources: cores(16)}}
+	must.SliceEmpty(t, Decide(0, []Step{gang()}, full, limits).Queries, must.Sprint("nobody has room"))
 	soon := workers(0, 16, 0)
-	soon[0].Releases = []Release{{At: preemptWait, Room: cores(16)}}
+	soon[0].Releases = []Release{{At: minPreemptWait, Resources: cores(16)}}
 	plan := Decide(0, []Step{gang()}, soon, limits)
-	must.SliceLen(t, 1, plan.Asks)
-	must.True(t, plan.Asks[0].Renewal, must.Sprint("it fits before long"))
+	must.SliceLen(t, 1, plan.Queries)
+	must.True(t, plan.Queries[0].Renewal, must.Sprint("it fits before long"))
 }
 
 // What a user sees: a gang waits on though runs were stopped for it.
 // Order: room for a gang comes free bit by bit; small urgent tasks come meanwhile
 // and fit there best; another worker has room for them too.
 // Cause: they were placed as if nobody waited.
-func TestSmallTasksLeaveTheWorkersOfAGangAlone(t *testing.T) {
+func TestSmallTasksAvoidEarmarkedWorkers(t *testing.T) {
 	list := workers(3, 9)
 	must.Eq(t, []string{"a/0@w0"}, started(Decide(0, []Step{step("a", 1, 2)}, list, limits)))
 	list = workers(3, 9)
@@ -238,7 +238,7 @@
 	gang := step("gang", 2, 4)
 	gang.Spec.Gang = true
 	list = workers(4, 0, 0)
-	list[2].Releases = []Release{{At: time.Second, Room: cores(4)}}
+	list[2].Releases = []Release{{At: time.Second, Resources: cores(4)}}
 	must.Eq(t, []string{"w0", "w2"}, Decide(0, []Step{gang}, list, limits).Earmarks)
 	list[2].Releases[0].At += time.Millisecond
 	must.SliceEmpty(t, Decide(0, []Step{gang}, list, limits).Earmarks, must.Sprint("too far off"))
@@ -249,12 +249,12 @@
 // Order: a gang needs three tasks' worth; one fits; two workers are full of runs
 // with checkpoints, one of them ends by itself at once.
 // Cause: nothing was stopped for it.
-func TestRunsWithCheckpointsGiveWayToAGang(t *testing.T) {
+func TestGangPreemptsRunsWithCheckpoints(t *testing.T) {
 	full := func(change func(*Release)) []Worker {
 		list := workers(4, 0, 0)
 		for i := range list[1:] {
 			for k := range 4 {
-				r := Release{At: 9 * time.Second, Room: cores(4), Priority: 2, Yields: true,
+				r := Release{At: 9 * time.Second, Resources: cores(4), Priority: 2, Preemptible: true,
 					Task: workflow.TaskKey{StepKey: workflow.StepKey{Job: fmt.Sprint("v", i+1)}, Index: k}}
 				change(&r)
 				list[i+1].Releases = append(list[i+1].Releases, r)
@@ -271,26 +271,26 @@
 	same, asIs := func(*Release) {}, func(*Step) {}
 	stopped := func(s Step, list []Worker) []string {
 		var got []string
-		for _, v := range Decide(0, []Step{s}, list, limits).Preempts {
-			got = append(got, fmt.Sprintf("%s/%d@%s for %s", v.Task.Job, v.Task.Index, v.Worker, v.For.Job))
+		for _, v := range Decide(0, []Step{s}, list, limits).Preemptions {
+			got = append(got, fmt.Sprintf("%s/%d@%s for %s", v.Task.Job, v.Task.Index, v.Worker, v.Preemptor.Job))
 		}
 		return got
 	}
 	must.Eq(t, []string{"v1/0@w1 for gang", "v1/1@w1 for gang"}, stopped(gang(asIs), full(same)))
-	must.SliceEmpty(t, stopped(gang(asIs), full(func(r *Release) { r.Yields = false })), must.Sprint("without checkpoints"))
+	must.SliceEmpty(t, stopped(gang(asIs), full(func(r *Release) { r.Preemptible = false })), must.Sprint("without checkpoints"))
 	must.SliceEmpty(t, stopped(gang(asIs), full(func(r *Release) { r.Priority = 1 })), must.Sprint("as urgent"))
-	must.SliceEmpty(t, stopped(gang(asIs), full(func(r *Release) { r.At = preemptWait })), must.Sprint("ending soon"))
-	must.SliceEmpty(t, stopped(gang(func(s *Step) { s.Late = 1 }), full(same)), must.Sprint("late anyway"))
+	must.SliceEmpty(t, stopped(gang(asIs), full(func(r *Release) { r.At = minPreemptWait })), must.Sprint("ending soon"))
+	must.SliceEmpty(t, stopped(gang(func(s *Step) { s.Lateness = 1 }), full(same)), must.Sprint("late anyway"))
 	must.SliceEmpty(t, stopped(gang(func(s *Step) { s.Pending = append(s.Pending, 3, 4, 5, 6, 7, 8, 9) }), full(same)), must.Sprint("not enough"))
 	must.Eq(t, []string{"v1/0@w1 for gang", "v2/0@w2 for gang"}, stopped(gang(func(s *Step) { s.Spec.MaxPerWorker = 1 }), full(same)))
 
 	ended := Permit{Granted: true}
 	plan := Decide(0, []Step{needsPermit(gang(asIs), map[string]Permit{"w0": ended, "w1": ended, "w2": {}})}, full(same), limits)
-	must.SliceEmpty(t, plan.Preempts, must.Sprint("its tickets would have ended"))
-	must.Eq(t, []string{"w0", "w1"}, plan.Asks[0].Workers)
+	must.SliceEmpty(t, plan.Preemptions, must.Sprint("its tickets would have ended"))
+	must.Eq(t, []string{"w0", "w1"}, plan.Queries[0].Workers)
 	valid := Permit{Granted: true, Expires: time.Second}
 	plan = Decide(0, []Step{needsPermit(gang(asIs), map[string]Permit{"w0": valid, "w1": valid, "w2": {}})}, full(same), limits)
-	must.SliceLen(t, 2, plan.Preempts)
+	must.SliceLen(t, 2, plan.Preemptions)
 }
 
 // BenchmarkFullCluster measures a decision in which nothing fits.
@@ -308,7 +308,7 @@
 // Order: thousands of steps are queued; one decision goes into all of them, each with
 // questions about hundreds of workers; the tickets end before the next decision.
 // Cause: a decision had no bound.
-func TestADecisionIsBounded(t *testing.T) {
+func TestDecisionConsidersBoundedNumberOfSteps(t *testing.T) {
 	bounded := limits
 	bounded.Steps = 8
 	var steps []Step
@@ -319,11 +319,11 @@
 	}
 	seen := map[string]bool{}
 	for turn := range 100 {
-		bounded.Turn = turn
+		bounded.Round = turn
 		plan := Decide(0, steps, workers(4), bounded)
 		must.Eq(t, []string{"j00/0@w0"}, started(plan), must.Sprint("the most urgent one first"))
 		must.SliceLen(t, bounded.Steps-1, plan.Waiting)
-		must.Eq(t, len(steps)-bounded.Steps, plan.Behind)
+		must.Eq(t, len(steps)-bounded.Steps, plan.BeyondBound)
 		for _, w := range plan.Waiting {
 			seen[w.Step.Job] = true
 		}
@@ -334,13 +334,13 @@
 // What a user sees: decisions take seconds while the adviser is busy.
 // Order: no question may be put; hundreds of steps have to ask.
 // Cause: each was held against all workers, only to find that it has to wait.
-func TestAStepThatCannotAskIsPassedOver(t *testing.T) {
+func TestStepThatCannotQueryIsSkipped(t *testing.T) {
 	none := limits
-	none.Asks = 0
+	none.Queries = 0
 	s := needsPermit(step("a", 1, 2), nil)
 	plan := Decide(0, []Step{s}, workers(9), none)
-	must.SliceEmpty(t, plan.Asks)
-	must.Eq(t, ReasonLane, plan.Waiting[0].Reason)
+	must.SliceEmpty(t, plan.Queries)
+	must.Eq(t, ReasonNoConnection, plan.Waiting[0].Reason)
 	valid := needsPermit(step("b", 1, 2), map[string]Permit{"w0": {Granted: true, Expires: time.Second}})
 	must.Eq(t, []string{"b/0@w0"}, started(Decide(0, []Step{s, valid}, workers(9), none)))
 }
@@ -350,16 +350,16 @@
 // Order: it is permitted on a few workers, nearly all full; one has room for a task, whose
 // ticket has ended; others that it knows nothing of are empty.
 // Cause: it asked for that one ticket, and again when the next task ended there.
-func TestAStepWithRoomForAFewTasksAlsoLearnsOfOthers(t *testing.T) {
+func TestStepWithTooLittlePermittedRoomQueriesMoreWorkers(t *testing.T) {
 	s := step("wide", 10, 4)
 	s.NeedsPermit = true
 	s.Permits = map[string]Permit{"w0": {Granted: true}, "w1": {Granted: true}, "w2": {Granted: true}}
 	plan := Decide(time.Second, []Step{s}, workers(4, 0, 0, 16, 16, 16), limits)
-	must.Len(t, 1, plan.Asks)
-	must.Eq(t, []string{"w0", "w3", "w4", "w5"}, plan.Asks[0].Workers)
-	must.False(t, plan.Asks[0].Renewal)
+	must.Len(t, 1, plan.Queries)
+	must.Eq(t, []string{"w0", "w3", "w4", "w5"}, plan.Queries[0].Workers)
+	must.False(t, plan.Queries[0].Renewal)
 
 	s.Pending = s.Pending[:1]
 	plan = Decide(time.Second, []Step{s}, workers(4, 0, 0, 16, 16, 16), limits)
-	must.Eq(t, []string{"w0"}, plan.Asks[0].Workers, must.Sprint("what it knows of will do"))
+	must.Eq(t, []string{"w0"}, plan.Queries[0].Workers, must.Sprint("what it knows of will do"))
 }
--- a/dispatch/preempt.go
+++ b/dispatch/preempt.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// preemptWait is how long a step waits for ends at least before less urgent runs
+	// minPreemptWait is how long a step waits for ends at least before less urgent runs
 	// are stopped for it: a stop takes a fraction of a second itself.
-	preemptWait = 600 * time.Millisecond
+	minPreemptWait = 600 * time.Millisecond
 	// StopTime is how long it takes from a decision until the room of a run that is
 	// stopped has come free: the worker's own time, the commit of the end, the call.
 	StopTime = 300 * time.Millisecond
-	// nearEnd is the time before its expected end from which on a run isn't stopped
+	// minRemaining is the time before its expected end from which on a run isn't stopped
 	// any more.
-	nearEnd = 400 * time.Millisecond
+	minRemaining = 400 * time.Millisecond
 )
 
 // Preempt is a run that is stopped to make room for a more urgent step. It goes
 // on elsewhere from its checkpoint.
-type Preempt struct {
+type Preemption struct {
 	Task   workflow.TaskKey
 	Worker string
 	// For is the step that gets the room.
-	For workflow.StepKey
+	Preemptor workflow.StepKey
 }
 
 // victims is one more task's worth of room on a worker, and what has to be stopped
 // for it.
-type victims struct {
+type victimSet struct {
 	worker *Worker
 	runs   []*Release
 	// cost is the room that the runs take, in thousandths of a core; unticketed
@@ -46,26 +46,26 @@
 // What it is for: a gang needs room on several workers at once and waits for
 // many ends, while tasks that could go on later from a checkpoint hold the room.
 // Their work isn't lost, so stopping them costs little.
-func (p *planner) preemption(s *Step, workers []*Worker, n int) []victims {
+func (p *planner) findVictims(s *Step, workers []*Worker, n int) []victimSet {
 	type candidate struct {
-		scratch Worker
-		worker  *Worker
-		yields  []*Release
-		next    *victims
+		scratch     Worker
+		worker      *Worker
+		preemptible []*Release
+		next        *victimSet
 	}
 	var candidates []*candidate
 	for _, w := range workers {
-		c := &candidate{scratch: *w, worker: w, yields: p.yields(s, w)}
-		c.scratch.Free = c.scratch.Free.Plus(p.comingFree(w))
+		c := &candidate{scratch: *w, worker: w, preemptible: p.preemptible(s, w)}
+		c.scratch.Free = c.scratch.Free.Plus(p.stoppingResources(w))
 		candidates = append(candidates, c)
 	}
-	var chosen []victims
+	var chosen []victimSet
 	placed := map[string]int{}
 	for len(chosen) < n {
 		var best *candidate
 		for _, c := range candidates {
 			if c.next == nil {
-				c.next = p.oneMore(s, c.worker, &c.scratch, &c.yields, placed[c.worker.ID])
+				c.next = p.fitOneMore(s, c.worker, &c.scratch, &c.preemptible, placed[c.worker.ID])
 			}
 			if c.next != nil && (best == nil || compareVictims(c.next, best.next) < 0) {
 				best = c
@@ -81,67 +81,67 @@
 	return chosen
 }
 
-func compareVictims(a, b *victims) int {
+func compareVictims(a, b *victimSet) int {
 	return cmp.Or(compareBools(a.unticketed, b.unticketed), cmp.Compare(a.cost, b.cost),
 		cmp.Compare(a.worker.Penalty, b.worker.Penalty), cmp.Compare(a.worker.ID, b.worker.ID))
 }
 
-// comingFree is the room on w of runs that are being stopped.
+// stoppingResources is the room on w of runs that are being stopped.
 //
 // Failure guarded against: a stop takes a third of a second, and each decision until then
 // would stop further runs for the same gang, twelve instead of two.
-func (p *planner) comingFree(w *Worker) (room workflow.Resources) {
+func (p *planner) stoppingResources(w *Worker) (room workflow.Resources) {
 	for i := range w.Releases {
 		if w.Releases[i].Stopping {
-			room = room.Plus(w.Releases[i].Room)
+			room = room.Plus(w.Releases[i].Resources)
 		}
 	}
 	return room
 }
 
 // yields returns the runs on w that give way to s, the smallest first.
-func (p *planner) yields(s *Step, w *Worker) []*Release {
+func (p *planner) preemptible(s *Step, w *Worker) []*Release {
 	var list []*Release
 	for i := range w.Releases {
 		r := &w.Releases[i]
-		if r.Yields && r.Priority > s.Priority && r.At > p.now+nearEnd && !p.stopping[r.Task] {
+		if r.Preemptible && r.Priority > s.Priority && r.At > p.now+minRemaining && !p.stopping[r.Task] {
 			list = append(list, r)
 		}
 	}
 	slices.SortFunc(list, func(a, b *Release) int {
-		return cmp.Or(cmp.Compare(a.Room.MilliCPU, b.Room.MilliCPU), workflow.CompareTasks(a.Task, b.Task))
+		return cmp.Or(cmp.Compare(a.Resources.MilliCPU, b.Resources.MilliCPU), workflow.CompareTasks(a.Task, b.Task))
 	})
 	return list
 }
 
-// oneMore takes room for one more task of s out of scratch and yields, and says
+// fitOneMore takes room for one more task of s out of scratch and yields, and says
 // what it costs; nil when there is none.
-func (p *planner) oneMore(s *Step, w, scratch *Worker, yields *[]*Release, placed int) *victims {
-	v := &victims{worker: w, unticketed: !p.usable(s, w)}
+func (p *planner) fitOneMore(s *Step, w, scratch *Worker, preemptible *[]*Release, placed int) *victimSet {
+	v := &victimSet{worker: w, unticketed: !p.mayStartOn(s, w)}
 	if s.Spec.MaxPerWorker > 0 && s.Placed[w.ID]+placed >= s.Spec.MaxPerWorker {
 		return nil
 	}
-	room := s.Spec.Room()
+	room := s.Spec.Demand()
 	for !room.Fits(scratch.Free) {
-		if len(*yields) == 0 {
+		if len(*preemptible) == 0 {
 			return nil
 		}
-		run := (*yields)[0]
-		*yields = (*yields)[1:]
-		scratch.Free = scratch.Free.Plus(run.Room)
+		run := (*preemptible)[0]
+		*preemptible = (*preemptible)[1:]
+		scratch.Free = scratch.Free.Plus(run.Resources)
 		v.runs = append(v.runs, run)
-		v.cost += run.Room.MilliCPU
+		v.cost += run.Resources.MilliCPU
 	}
 	scratch.Free = scratch.Free.Minus(room)
 	return v
 }
 
-// noteYielding remembers whether the pool has runs that could be stopped, so that
+// recordPreemptible remembers whether the pool has runs that could be stopped, so that
 // nothing is searched where it has none.
-func (p *planner) noteYielding(w *Worker) {
+func (p *planner) recordPreemptible(w *Worker) {
 	for i := range w.Releases {
-		if r := &w.Releases[i]; r.Yields {
-			p.yielding[w.Service] = max(p.yielding[w.Service], r.Priority)
+		if r := &w.Releases[i]; r.Preemptible {
+			p.preemptiblePriority[w.Service] = max(p.preemptiblePriority[w.Service], r.Priority)
 		}
 	}
 }
@@ -150,31 +150,31 @@
 // keeps the room that they leave. It asks for tickets first where they would not
 // last until then. It reports whether it has taken care of the gang.
 func (p *planner) preemptForGang(s *Step, granted []*Worker, n int) bool {
-	if p.limits.Without.Preemption || s.Late > 0 || s.Asking || p.yielding[s.Service] <= s.Priority {
+	if p.limits.Disabled.Preemption || s.Lateness > 0 || s.AwaitsAnswer || p.preemptiblePriority[s.Service] <= s.Priority {
 		return false
 	}
-	chosen := p.preemption(s, granted, n)
+	chosen := p.findVictims(s, granted, n)
 	if chosen == nil {
 		return false
 	}
 	var workers []*Worker
 	ticketed := true
 	for i := range chosen {
-		p.keepRoom(chosen[i].worker, s.Spec.Room())
-		ticketed = ticketed && !chosen[i].unticketed && p.lasts(s, chosen[i].worker)
+		p.reserveRoom(chosen[i].worker, s.Spec.Demand())
+		ticketed = ticketed && !chosen[i].unticketed && p.ticketOutlastsStops(s, chosen[i].worker)
 		if !slices.Contains(workers, chosen[i].worker) {
 			workers = append(workers, chosen[i].worker)
 		}
 	}
 	p.earmark(workers)
 	if !ticketed {
-		p.askInParts(s, workers, true)
+		p.queryInParts(s, workers, true)
 		return true
 	}
 	for i := range chosen {
 		for _, run := range chosen[i].runs {
 			p.stopping[run.Task] = true
-			p.plan.Preempts = append(p.plan.Preempts, Preempt{Task: run.Task, Worker: chosen[i].worker.ID, For: s.Key})
+			p.plan.Preemptions = append(p.plan.Preemptions, Preemption{Task: run.Task, Worker: chosen[i].worker.ID, Preemptor: s.Key})
 		}
 	}
 	return true
@@ -184,7 +184,7 @@
 // small urgent tasks take each piece of room as it comes free, and the gang waits
 // on though runs were stopped for it.
 func (p *planner) earmark(workers []*Worker) {
-	if p.limits.Without.Earmarks {
+	if p.limits.Disabled.Earmarks {
 		return
 	}
 	for _, w := range workers {
@@ -193,6 +193,6 @@
 }
 
 // lasts reports whether a ticket holds until room has come free by stops.
-func (p *planner) lasts(s *Step, w *Worker) bool {
+func (p *planner) ticketOutlastsStops(s *Step, w *Worker) bool {
 	return !s.NeedsPermit || s.Permits[w.ID].Expires >= p.now+StopTime+p.limits.TicketMargin
 }
--- a/dispatch/reason.go
+++ b/dispatch/reason.go
@@ -2,38 +2,38 @@
 
 import "github.com/bilberryferry/bilberryferry/workflow"
 
-// keepRoom keeps room of a worker for a step that can't start yet.
-func (p *planner) keepRoom(w *Worker, room workflow.Resources) {
-	p.keeps = true
-	w.Kept = w.Kept.Plus(room)
+// reserveRoom keeps room of a worker for a step that can't start yet.
+func (p *planner) reserveRoom(w *Worker, room workflow.Resources) {
+	p.hasReservations = true
+	w.Reserved = w.Reserved.Plus(room)
 	p.takeRoom(w, room)
 }
 
-// heldBy says what keeps a step off its permitted workers: room for the n tasks left
+// roomReason says what keeps a step off its permitted workers: room for the n tasks left
 // of a gang, or for one task of another step.
-func heldBy(s *Step, permitted []*Worker, n int) Reason {
+func roomReason(s *Step, permitted []*Worker, n int) Reason {
 	if !s.Spec.Gang {
 		n = 1
 	}
-	if holds(s, permitted, n, copiesWithKept) {
-		return ReasonKept
+	if fitsOn(s, permitted, n, fitCountWithReserved) {
+		return ReasonReserved
 	}
 	return ReasonNoRoom
 }
 
-// heldBehind is heldBy for a gang that can't ask now.
-func heldBehind(s *Step, permitted []*Worker, n int) Reason {
-	if holds(s, permitted, n, copies) {
-		return ReasonTickets
+// unreservedGangReason is roomReason for a gang that can't ask now.
+func unreservedGangReason(s *Step, permitted []*Worker, n int) Reason {
+	if fitsOn(s, permitted, n, fitCount) {
+		return ReasonTicketsExpired
 	}
-	if holds(s, permitted, n, copiesWithKept) {
-		return ReasonKept
+	if fitsOn(s, permitted, n, fitCountWithReserved) {
+		return ReasonReserved
 	}
-	return ReasonGangs
+	return ReasonGangCannotQuery
 }
 
 // holds reports whether n tasks of s fit on workers, by what each of them holds.
-func holds(s *Step, workers []*Worker, n int, held func(*Step, *Worker) int) bool {
+func fitsOn(s *Step, workers []*Worker, n int, held func(*Step, *Worker) int) bool {
 	for _, w := range workers {
 		n -= held(s, w)
 		if n <= 0 {
@@ -43,22 +43,22 @@
 	return false
 }
 
-// copiesWithKept returns how many further tasks of s would fit on w if no room were
+// fitCountWithReserved returns how many further tasks of s would fit on w if no room were
 // kept there.
-func copiesWithKept(s *Step, w *Worker) int {
-	return copiesIn(s, w, w.Free.Plus(w.Kept))
+func fitCountWithReserved(s *Step, w *Worker) int {
+	return fitCountIn(s, w, w.Free.Plus(w.Reserved))
 }
 
 // Pieces counts the free pieces of the size of a task of s that a plan has left on the
 // workers of its pool, those that it keeps for steps included; permitted are those on
 // workers that s is known to be permitted on.
-func Pieces(s *Step, workers []Worker) (all, permitted int) {
+func FitCounts(s *Step, workers []Worker) (all, permitted int) {
 	for i := range workers {
 		w := &workers[i]
-		if !suits(s, w) {
+		if !eligible(s, w) {
 			continue
 		}
-		n := min(copiesWithKept(s, w), len(s.Pending))
+		n := min(fitCountWithReserved(s, w), len(s.Pending))
 		all += n
 		if !s.NeedsPermit || s.Permits[w.ID].Granted {
 			permitted += n
@@ -74,63 +74,63 @@
 	}
 	var list []*Worker
 	for id, permit := range s.Permits {
-		if w := p.byID[id]; permit.Granted && suits(s, w) {
+		if w := p.byID[id]; permit.Granted && eligible(s, w) {
 			list = append(list, w)
 		}
 	}
 	return list
 }
 
-// fitsUnkept reports whether a worker might have room for a task of s if no room were
+// fitsUnreserved reports whether a worker might have room for a task of s if no room were
 // kept there.
-func (p *planner) fitsUnkept(s *Step) bool {
-	return p.keeps && s.Spec.Room().Fits(p.unkeptHeadroomOf(s.Service))
+func (p *planner) fitsUnreserved(s *Step) bool {
+	return p.hasReservations && s.Spec.Demand().Fits(p.unreservedHeadroomOf(s.Service))
 }
 
-// unkeptHeadroomOf is the headroom of a pool if no room were kept there.
-func (p *planner) unkeptHeadroomOf(service string) workflow.Resources {
-	headroom, counted := p.unkept[service]
+// unreservedHeadroomOf is the headroom of a pool if no room were kept there.
+func (p *planner) unreservedHeadroomOf(service string) workflow.Resources {
+	headroom, counted := p.unreservedHeadroom[service]
 	if counted {
 		return headroom
 	}
 	for _, w := range p.byService[service] {
-		headroom = headroom.Max(w.Free.Plus(w.Kept))
+		headroom = headroom.Max(w.Free.Plus(w.Reserved))
 	}
-	p.unkept[service] = headroom
+	p.unreservedHeadroom[service] = headroom
 	return headroom
 }
 
-// reasonPassedOver says what a step waits for that the decision doesn't go into: no
+// skipReason says what a step waits for that the decision doesn't go into: no
 // worker has room for one of its tasks, or it can't ask now. On a full cluster that is
 // nearly every step: few workers are looked at again.
-func (p *planner) reasonPassedOver(s *Step, left int) Reason {
-	reason := p.reasonUnpermitted(s)
-	fits := s.Spec.Room().Fits(p.headroomOf(s.Service))
+func (p *planner) skipReason(s *Step, left int) Reason {
+	reason := p.permitReason(s)
+	fits := s.Spec.Demand().Fits(p.headroomOf(s.Service))
 	switch {
 	case reason != "":
 		return reason
-	case !fits && !p.fitsUnkept(s):
+	case !fits && !p.fitsUnreserved(s):
 		return ReasonNoRoom
 	case s.Spec.Gang:
-		return heldBehind(s, p.permitted(s), left)
+		return unreservedGangReason(s, p.permitted(s), left)
 	case !fits:
-		return ReasonKept
-	case p.unticketed:
-		return ReasonLane
-	case p.keptFrom(s):
-		return ReasonKept
+		return ReasonReserved
+	case p.fitsWithoutTicket:
+		return ReasonNoConnection
+	case p.fitsPermittedUnreserved(s):
+		return ReasonReserved
 	}
 	return ReasonNoRoom
 }
 
-// keptFrom reports whether a task of s, which needs permits, would fit on a permitted
+// fitsPermittedUnreserved reports whether a task of s, which needs permits, would fit on a permitted
 // worker if no room were kept there.
-func (p *planner) keptFrom(s *Step) bool {
-	if !p.keeps {
+func (p *planner) fitsPermittedUnreserved(s *Step) bool {
+	if !p.hasReservations {
 		return false
 	}
 	for id, permit := range s.Permits {
-		if w := p.byID[id]; permit.Granted && suits(s, w) && copiesWithKept(s, w) > 0 {
+		if w := p.byID[id]; permit.Granted && eligible(s, w) && fitCountWithReserved(s, w) > 0 {
 			return true
 		}
 	}
--- a/dispatch/reason_test.go
+++ b/dispatch/reason_test.go
@@ -26,11 +26,11 @@
 	return s
 }
 
-// gangsBefore are as many gangs as room is kept for, each of which needs two tasks of
+// gangsAhead are as many gangs as room is kept for, each of which needs two tasks of
 // four cores.
-func gangsBefore(permits map[string]Permit) []Step {
+func gangsAhead(permits map[string]Permit) []Step {
 	var list []Step
-	for i := range keptGangs {
+	for i := range maxReservedGangs {
 		s := waitingGang(fmt.Sprintf("before%02d", i), 2, 4, permits)
 		s.Priority = -1
 		list = append(list, s)
@@ -38,23 +38,23 @@
 	return list
 }
 
-func TestWhatHoldsAStepIsTold(t *testing.T) {
+func TestWaitingReasons(t *testing.T) {
 	valid := Permit{Granted: true, Expires: time.Hour}
-	ended := Permit{Granted: true}
-	mute := limits
-	mute.Asks = 0
+	expired := Permit{Granted: true}
+	noQueries := limits
+	noQueries.Queries = 0
 	both := map[string]Permit{"w0": valid, "w1": valid}
-	late := map[string]Permit{"w0": ended, "w1": ended}
+	allExpired := map[string]Permit{"w0": expired, "w1": expired}
 	first := waitingGang("first", 3, 4, nil)
 	first.Priority = -1
 	soon := func(list []Worker) []Worker {
 		for i := range list {
-			list[i].Releases = []Release{{At: time.Second, Room: cores(16)}}
+			list[i].Releases = []Release{{At: time.Second, Resources: cores(16)}}
 		}
 		return list
 	}
-	asking := waitingGang("a", 2, 4, late)
-	asking.Asking = true
+	asking := waitingGang("a", 2, 4, allExpired)
+	asking.AwaitsAnswer = true
 	for _, c := range []struct {
 		name    string
 		steps   []Step
@@ -65,22 +65,22 @@
 		{"no room for a task", []Step{step("a", 1, 4)}, workers(3, 2), limits, ReasonNoRoom},
 		{"no room for a gang", []Step{waitingGang("a", 3, 4, both)}, workers(4, 4), limits, ReasonNoRoom},
 		{"room for a gang in pieces that are too small", []Step{waitingGang("a", 2, 4, nil)}, workers(3, 3, 3), limits, ReasonNoRoom},
-		{"a task, and the room is kept", []Step{first, step("a", 1, 4)}, soon(workers(4, 4)), limits, ReasonKept},
-		{"a gang, and the room is kept", []Step{first, waitingGang("a", 2, 4, both)}, soon(workers(4, 4)), limits, ReasonKept},
-		{"a gang behind others that doesn't fit", append(gangsBefore(both), waitingGang("a", 9, 4, late)), soon(workers(4, 0)), limits, ReasonGangs},
-		{"a gang behind others that would fit into what is kept", append(gangsBefore(both), waitingGang("a", 1, 4, late)), soon(workers(4, 0)), limits, ReasonKept},
-		{"a gang behind others that fits without tickets", append(gangsBefore(map[string]Permit{"w2": valid}), waitingGang("a", 2, 4, late)),
-			workers(4, 4, 0), limits, ReasonPermit},
-		{"the same while no question may be put", append(gangsBefore(map[string]Permit{"w2": valid}), waitingGang("a", 2, 4, late)),
-			workers(4, 4, 0), mute, ReasonLane},
-		{"a gang behind others and what is kept", append(gangsBefore(map[string]Permit{"w0": valid}), waitingGang("a", 3, 4, late)),
-			soon(workers(4, 9)), limits, ReasonKept},
-		{"no lane to ask about a task", []Step{needsPermit(step("a", 1, 4), nil)}, workers(9), mute, ReasonLane},
-		{"no lane to renew a task's ticket", []Step{needsPermit(step("a", 1, 4), late)}, workers(9), mute, ReasonLane},
-		{"no lane for a gang", []Step{waitingGang("a", 2, 4, late)}, workers(4, 4), mute, ReasonLane},
-		{"a question is put", []Step{waitingGang("a", 2, 4, late)}, workers(4, 4), limits, ReasonPermit},
-		{"a question is under way", []Step{asking}, workers(4, 4), mute, ReasonPermit},
-		{"refused", []Step{needsPermit(step("a", 1, 4), map[string]Permit{"w0": {}})}, workers(9), limits, ReasonRefused},
+		{"a task, and the room is kept", []Step{first, step("a", 1, 4)}, soon(workers(4, 4)), limits, ReasonReserved},
+		{"a gang, and the room is kept", []Step{first, waitingGang("a", 2, 4, both)}, soon(workers(4, 4)), limits, ReasonReserved},
+		{"a gang behind others that doesn't fit", append(gangsAhead(both), waitingGang("a", 9, 4, allExpired)), soon(workers(4, 0)), limits, ReasonGangCannotQuery},
+		{"a gang behind others that would fit into what is kept", append(gangsAhead(both), waitingGang("a", 1, 4, allExpired)), soon(workers(4, 0)), limits, ReasonReserved},
+		{"a gang behind others that fits without tickets", append(gangsAhead(map[string]Permit{"w2": valid}), waitingGang("a", 2, 4, allExpired)),
+			workers(4, 4, 0), limits, ReasonAwaitsAdviser},
+		{"the same while no question may be put", append(gangsAhead(map[string]Permit{"w2": valid}), waitingGang("a", 2, 4, allExpired)),
+			workers(4, 4, 0), noQueries, ReasonNoConnection},
+		{"a gang behind others and what is kept", append(gangsAhead(map[string]Permit{"w0": valid}), waitingGang("a", 3, 4, allExpired)),
+			soon(workers(4, 9)), limits, ReasonReserved},
+		{"no lane to ask about a task", []Step{needsPermit(step("a", 1, 4), nil)}, workers(9), noQueries, ReasonNoConnection},
+		{"no lane to renew a task's ticket", []Step{needsPermit(step("a", 1, 4), allExpired)}, workers(9), noQueries, ReasonNoConnection},
+		{"no lane for a gang", []Step{waitingGang("a", 2, 4, allExpired)}, workers(4, 4), noQueries, ReasonNoConnection},
+		{"a question is put", []Step{waitingGang("a", 2, 4, allExpired)}, workers(4, 4), limits, ReasonAwaitsAdviser},
+		{"a question is under way", []Step{asking}, workers(4, 4), noQueries, ReasonAwaitsAdviser},
+		{"refused", []Step{needsPermit(step("a", 1, 4), map[string]Permit{"w0": {}})}, workers(9), limits, ReasonAllRefused},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			must.Eq(t, c.want, reasons(Decide(0, c.steps, c.workers, c.limits))["a"])
@@ -88,46 +88,46 @@
 	}
 }
 
-func TestRunsThatGiveWayAreTold(t *testing.T) {
+func TestPreemptionReason(t *testing.T) {
 	list := workers(0)
 	for range 4 {
-		list[0].Releases = append(list[0].Releases, Release{At: 9 * time.Second, Room: cores(4), Priority: 2, Yields: true})
+		list[0].Releases = append(list[0].Releases, Release{At: 9 * time.Second, Resources: cores(4), Priority: 2, Preemptible: true})
 	}
 	for _, permits := range []map[string]Permit{nil, {"w0": {Granted: true, Expires: time.Hour}}} {
 		plan := Decide(0, []Step{waitingGang("a", 2, 4, permits)}, []Worker{list[0]}, limits)
-		must.SliceLen(t, 2, plan.Preempts)
-		must.Eq(t, ReasonYielding, reasons(plan)["a"])
+		must.SliceLen(t, 2, plan.Preemptions)
+		must.Eq(t, ReasonPreempting, reasons(plan)["a"])
 	}
 }
 
 // The room that a plan keeps is told apart from what it starts.
-func TestKeptRoomIsToldFromTakenRoom(t *testing.T) {
+func TestReservedRoomIsSeparateFromFreeRoom(t *testing.T) {
 	list := workers(8, 4)
 	Decide(0, []Step{step("a", 1, 4), waitingGang("gang", 3, 4, nil)}, list, limits)
-	must.Eq(t, int64(0), list[0].Kept.MilliCPU)
-	list[0].Releases = []Release{{At: time.Second, Room: cores(4)}}
+	must.Eq(t, int64(0), list[0].Reserved.MilliCPU)
+	list[0].Releases = []Release{{At: time.Second, Resources: cores(4)}}
 	list = soonFree(workers(8, 4))
 	plan := Decide(0, []Step{step("a", 1, 4), waitingGang("gang", 3, 4, nil)}, list, limits)
 	must.Eq(t, []string{"a/0@w1"}, started(plan))
-	must.Eq(t, int64(12_000), list[0].Kept.MilliCPU+list[1].Kept.MilliCPU)
-	must.Eq(t, int64(8_000), list[0].Free.MilliCPU+list[0].Kept.MilliCPU)
-	must.Eq(t, int64(0), list[1].Free.MilliCPU+list[1].Kept.MilliCPU)
+	must.Eq(t, int64(12_000), list[0].Reserved.MilliCPU+list[1].Reserved.MilliCPU)
+	must.Eq(t, int64(8_000), list[0].Free.MilliCPU+list[0].Reserved.MilliCPU)
+	must.Eq(t, int64(0), list[1].Free.MilliCPU+list[1].Reserved.MilliCPU)
 }
 
 // soonFree lets four cores come free soon on each worker.
 func soonFree(list []Worker) []Worker {
 	for i := range list {
-		list[i].Releases = []Release{{At: time.Second, Room: cores(4)}}
+		list[i].Releases = []Release{{At: time.Second, Resources: cores(4)}}
 	}
 	return list
 }
 
-func TestCopiesAreNotCountedBehind(t *testing.T) {
+func TestCopiesAreNotCountedBeyondBound(t *testing.T) {
 	bounded := limits
 	bounded.Steps = 2
 	duplicate := step("copy", 1, 4)
 	duplicate.Copy = true
 	plan := Decide(0, []Step{step("a", 1, 4), step("b", 1, 4), step("c", 1, 4), step("d", 1, 4), duplicate}, workers(4), bounded)
-	must.Eq(t, 2, plan.Behind)
-	must.Eq(t, 0, Decide(0, []Step{step("a", 1, 4)}, workers(4), bounded).Behind)
+	must.Eq(t, 2, plan.BeyondBound)
+	must.Eq(t, 0, Decide(0, []Step{step("a", 1, 4)}, workers(4), bounded).BeyondBound)
 }
--- a/dispatch/replay_jobs_test.go
+++ b/dispatch/replay_jobs_test.go
@@ -30,13 +30,13 @@
 	worth float64
 	// gang, checkpointing, permitted and failing are shares: of the steps, of the steps,
 	// of the workers, of the runs.
-	gang, checkpointing, permitted, failing float64
+	gangShare, checkpointingShare, grantedShare, failingShare float64
 	// decide and each are what a question takes, and takes more for each worker.
-	decide, each, valid time.Duration
+	baseLatency, perWorkerLatency, ticketValidity time.Duration
 
-	// grantShare is the moving mean of what the adviser permits.
-	grantShare, grantSamples float64
-	// all are the jobs that have come; inTime and late count those that ended so.
+	// grantRate is the moving mean of what the adviser permits.
+	grantRate, grantSamples float64
+	// all are the jobs that have come; outlastsStart and late count those that ended so.
 	all          []*replayJob
 	inTime, late int
 }
@@ -55,20 +55,20 @@
 	// saved is the share of a task's work that a stopped run has left.
 	saved map[workflow.TaskKey]float64
 	// What is known of the present step's permits.
-	permits    map[string]Permit
-	asking     int
-	asked      time.Duration
-	renewing   []string
-	ticketsEnd time.Duration
+	permits        map[string]Permit
+	pendingQueries int
+	lastQuery      time.Duration
+	renewing       []string
+	ticketsExpire  time.Duration
 	// ended is when it ended, got the share of its worth that it earned.
-	ended time.Duration
-	got   float64
+	ended       time.Duration
+	earnedShare float64
 	// roomSince is since when the step could have started twice over, -1 for not.
 	roomSince time.Duration
 }
 
 // around draws a positive figure with a mean and a coefficient of variation.
-func (r *replay) around(mean, cv, most float64) float64 {
+func (r *replay) logNormal(mean, cv, most float64) float64 {
 	sigma := math.Sqrt(math.Log(1 + cv*cv))
 	x := mean * math.Exp(sigma*r.random.NormFloat64()-sigma*sigma/2)
 	return min(x, most)
@@ -76,16 +76,16 @@
 
 // submit hands a job of the kind in.
 func (r *replay) submit(k *replayKind) *replayJob {
-	j := &replayJob{kind: k, id: fmt.Sprintf("%s%06d", k.name, len(k.all)), begin: r.now, asked: r.now, saved: map[workflow.TaskKey]float64{},
+	j := &replayJob{kind: k, id: fmt.Sprintf("%s%06d", k.name, len(k.all)), begin: r.now, lastQuery: r.now, saved: map[workflow.TaskKey]float64{},
 		permits: map[string]Permit{}, roomSince: -1}
 	chain := time.Duration(0)
-	for range max(1, int(math.Round(r.around(k.steps, 0.4, 3*k.steps)))) {
-		count := max(1, int(math.Round(r.around(k.width, k.widthCV, k.maxWidth))))
-		work := time.Duration(r.around(float64(k.work), k.workCV, 2.5*float64(k.work)))
+	for range max(1, int(math.Round(r.logNormal(k.steps, 0.4, 3*k.steps)))) {
+		count := max(1, int(math.Round(r.logNormal(k.width, k.widthCV, k.maxWidth))))
+		work := time.Duration(r.logNormal(float64(k.work), k.workCV, 2.5*float64(k.work)))
 		spec := &workflow.Step{
 			Count: count, EstimateMS: int64(float64(work.Milliseconds()) * (0.5 + r.random.Float64())),
-			Need: workflow.Resources{MilliCPU: int64(1000 * r.around(k.cores, k.coresCV, k.maxCores)), MemoryMB: int64(1024 * r.around(k.gb, k.gbCV, k.maxGB))},
-			Gang: r.random.Float64() < k.gang, Checkpointing: r.random.Float64() < k.checkpointing,
+			Need: workflow.Resources{MilliCPU: int64(1000 * r.logNormal(k.cores, k.coresCV, k.maxCores)), MemoryMB: int64(1024 * r.logNormal(k.gb, k.gbCV, k.maxGB))},
+			Gang: r.random.Float64() < k.gangShare, Checkpointing: r.random.Float64() < k.checkpointingShare,
 		}
 		indexes := make([]int, count)
 		for i := range indexes {
@@ -96,7 +96,7 @@
 	}
 	j.objective = time.Duration(k.stretch*float64(chain)) + k.objective
 	r.jobs = append(r.jobs, j)
-	r.noteFresh(j)
+	r.markChanged(j)
 	k.all = append(k.all, j)
 	return j
 }
@@ -114,7 +114,7 @@
 }
 
 // area is the work of the job, in thousandths of a core and nanoseconds.
-func (j *replayJob) area() float64 {
+func (j *replayJob) coreTime() float64 {
 	a := 0.0
 	for i, s := range j.specs {
 		a += float64(s.Count) * float64(s.Need.MilliCPU) * float64(j.works[i])
@@ -126,16 +126,16 @@
 // that all, the largest tenth and the fifth below it got. A larger job is worth more.
 func (k *replayKind) earned() (owed, got float64, shares [3]float64) {
 	all, n := k.all, len(k.all)
-	slices.SortFunc(all, func(a, b *replayJob) int { return cmp.Compare(b.area(), a.area()) })
+	slices.SortFunc(all, func(a, b *replayJob) int { return cmp.Compare(b.coreTime(), a.coreTime()) })
 	mean := 0.0
 	for _, j := range all {
-		mean += j.area() / float64(n)
+		mean += j.coreTime() / float64(n)
 	}
 	sum := func(jobs []*replayJob) (owed, got float64) {
 		for _, j := range jobs {
-			worth := k.worth * min(4, 0.3+0.7*j.area()/mean)
+			worth := k.worth * min(4, 0.3+0.7*j.coreTime()/mean)
 			owed += worth
-			got += worth * j.got
+			got += worth * j.earnedShare
 		}
 		return owed, got
 	}
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -21,27 +21,27 @@
 	// decision is the time between two decisions.
 	decision time.Duration
 	limits   Limits
-	turn     int
+	round    int
 	workers  []Worker
 	kinds    []*replayKind
 	jobs     []*replayJob
 	runs     map[workflow.TaskKey]*replayRun
 	// lanes are when each lane to the adviser will be free.
-	lanes     []time.Duration
-	answers   []replayAnswer
-	earmarked map[string]bool
+	connections []time.Duration
+	answers     []replayAnswer
+	earmarked   map[string]bool
 	// left is what the last whole decision left over of the workers' room, next the first
 	// step that it had no place for, and fresh are the jobs for which something has come
-	// up since; see playFresh.
-	left  []Worker
-	next  *Step
-	fresh map[string]bool
+	// up since; see playIncremental.
+	remaining    []Worker
+	firstSkipped *Step
+	changed      map[string]bool
 
 	// Figures: questions, stops and decisions, the longest decision, and the sum of the
 	// shares of cores that were free after each.
-	asked, preempted, decided int
-	longest                   time.Duration
-	freeSum                   float64
+	queries, preemptions, decisions int
+	longestDecision                 time.Duration
+	freeSum                         float64
 }
 
 // replayRun is a run that is alive.
@@ -50,24 +50,24 @@
 	task   workflow.TaskKey
 	worker int
 	// end is when it ends, expected what its estimate says, whole how long it takes.
-	begin, end, expected, whole time.Duration
-	fails, stops                bool
+	begin, end, expected, duration time.Duration
+	fails, stops                   bool
 }
 
 // replayAnswer is an answer of the adviser that is under way.
 type replayAnswer struct {
-	at  time.Duration
-	job *replayJob
-	key workflow.StepKey
-	ask Ask
+	at    time.Duration
+	job   *replayJob
+	key   workflow.StepKey
+	query Query
 }
 
 // newReplay returns a pool of n workers with 64 cores and 256 GB each, without load.
-func newReplay(seed uint64, n, lanes int, kinds ...*replayKind) *replay {
+func newReplay(seed uint64, n, connections int, kinds ...*replayKind) *replay {
 	r := &replay{
-		random: rand.New(rand.NewPCG(seed, 7)), kinds: kinds, lanes: make([]time.Duration, lanes),
+		random: rand.New(rand.NewPCG(seed, 7)), kinds: kinds, connections: make([]time.Duration, connections),
 		runs: map[workflow.TaskKey]*replayRun{}, decision: 100 * time.Millisecond,
-		limits: Limits{AskWorkers: 30, GangAskWorkers: 100, Steps: 128, TicketMargin: 150 * time.Millisecond, LongAsk: 150 * time.Millisecond},
+		limits: Limits{WorkersPerQuery: 30, WorkersPerGangQuery: 100, Steps: 128, TicketMargin: 150 * time.Millisecond, LongQueryTime: 150 * time.Millisecond},
 	}
 	for i := range n {
 		capacity := workflow.Resources{MilliCPU: 64_000, MemoryMB: 262_144}
@@ -94,15 +94,15 @@
 	k, spec := j.kind, j.specs[j.step]
 	s := Step{
 		Key: workflow.StepKey{Job: j.id, Step: j.step}, Spec: spec, Service: "s", Priority: k.priority, Due: j.begin + j.objective,
-		Pending: slices.Clone(j.pending[j.step]), NeedsPermit: true, Permits: j.permits, TicketsEnd: j.ticketsEnd, GrantShare: k.grantShare,
-		Asking: j.asking > 0, Renewing: j.renewing, Asked: j.asked,
-		AskTime: func(n int) time.Duration { return k.decide + time.Duration(n)*k.each },
+		Pending: slices.Clone(j.pending[j.step]), NeedsPermit: true, Permits: j.permits, TicketsExpire: j.ticketsExpire, GrantRate: k.grantRate,
+		AwaitsAnswer: j.pendingQueries > 0, Renewing: j.renewing, LastQuery: j.lastQuery,
+		AnswerTime: func(n int) time.Duration { return k.baseLatency + time.Duration(n)*k.perWorkerLatency },
 	}
 	switch age := r.now - j.begin; {
 	case age > 3*j.objective:
-		s.Late = 2
+		s.Lateness = 2
 	case age+time.Duration(0.6*float64(spec.EstimateMS)*1e6) > j.objective:
-		s.Late = 1
+		s.Lateness = 1
 	}
 	return s, true
 }
@@ -118,67 +118,67 @@
 		}
 	}
 	limits := r.limits
-	limits.Asks, limits.LongAsks = r.freeLanes()
-	r.turn++
-	limits.Turn = r.turn
+	limits.Queries, limits.LongQueries = r.freeConnections()
+	r.round++
+	limits.Round = r.round
 	begun := time.Now()
-	r.left, r.fresh = r.view(), map[string]bool{}
-	plan := Decide(r.now, steps, r.left, limits)
-	r.next = plan.Next
-	r.noteEarmarks(plan.Earmarks)
-	r.longest = max(r.longest, time.Since(begun))
-	r.decided++
-	r.preempted += len(plan.Preempts)
-	for _, p := range plan.Preempts {
+	r.remaining, r.changed = r.view(), map[string]bool{}
+	plan := Decide(r.now, steps, r.remaining, limits)
+	r.firstSkipped = plan.FirstSkipped
+	r.recordEarmarks(plan.Earmarks)
+	r.longestDecision = max(r.longestDecision, time.Since(begun))
+	r.decisions++
+	r.preemptions += len(plan.Preemptions)
+	for _, p := range plan.Preemptions {
 		if run := r.runs[p.Task]; run != nil && !run.stops {
 			run.stops = true
 			run.end = min(run.end, r.now+StopTime)
 		}
 	}
-	r.carryOut(&plan, jobs)
+	r.apply(&plan, jobs)
 }
 
-// carryOut puts the questions of a plan and starts what it starts.
-func (r *replay) carryOut(plan *Plan, jobs map[workflow.StepKey]*replayJob) {
-	for _, a := range plan.Asks {
-		r.ask(jobs[a.Step], a)
+// apply puts the questions of a plan and starts what it starts.
+func (r *replay) apply(plan *Plan, jobs map[workflow.StepKey]*replayJob) {
+	for _, a := range plan.Queries {
+		r.query(jobs[a.Step], a)
 	}
 	for _, s := range plan.Starts {
 		r.start(jobs[s.Task.StepKey], s)
 	}
 }
 
-// decideFresh makes a decision about the fresh jobs alone, with the room that the last
+// decideIncremental makes a decision about the fresh jobs alone, with the room that the last
 // whole one left over. Those that don't go before all that it had no place for wait.
-func (r *replay) decideFresh() {
+func (r *replay) decideIncremental() {
 	var steps []Step
 	jobs := map[workflow.StepKey]*replayJob{}
 	for _, j := range r.jobs {
 		s, ok := r.step(j)
-		if !ok || !r.fresh[j.id] || r.next != nil && !Before(&s, r.next) {
+		if !ok || !r.changed[j.id] || r.firstSkipped != nil && !Before(&s, r.firstSkipped) {
 			continue
 		}
 		steps = append(steps, s)
 		jobs[s.Key] = j
 	}
-	r.fresh = map[string]bool{}
+	r.changed = map[string]bool{}
 	limits := r.limits
-	limits.Asks, limits.LongAsks = r.freeLanes()
-	limits.Without.Preemption = true
-	plan := Decide(r.now, steps, r.left, limits)
-	r.carryOut(&plan, jobs)
+	limits.Queries, limits.LongQueries = r.freeConnections()
+	limits.Disabled.Preemption = true
+	plan := Decide(r.now, steps, r.remaining, limits)
+	r.apply(&plan, jobs)
 }
 
-// playFresh lets jobs come until a time, with decisions about fresh jobs every tick
+// playIncremental lets jobs come until a time, with decisions about fresh jobs every tick
 // between whole ones.
-func (r *replay) playFresh(until, tick time.Duration) {
+func (r *replay) playIncremental(until, tick time.Duration) {
 	whole := r.decision
 	defer func() { r.decision = whole }()
 	r.decision = tick
 	for next := r.now; r.now < until; r.advance() {
 		r.arrive(tick)
 		if r.now < next {
-			r.decideFresh()
+			r.decideIncremental()
 			continue
 		}
 		r.decide()
@@ -186,7 +186,7 @@
 	}
 }
 
-func (r *replay) noteEarmarks(workers []string) {
+func (r *replay) recordEarmarks(workers []string) {
 	r.earmarked = map[string]bool{}
 	for _, id := range workers {
 		r.earmarked[id] = true
@@ -197,12 +197,12 @@
 func (r *replay) view() []Worker {
 	view := slices.Clone(r.workers)
 	for i := range view {
-		view[i].Unplanned, view[i].Releases, view[i].Earmarked = view[i].Free, nil, r.earmarked[view[i].ID]
+		view[i].FreeBeforePlan, view[i].Releases, view[i].Earmarked = view[i].Free, nil, r.earmarked[view[i].ID]
 	}
 	for _, run := range r.runs {
 		spec := run.job.specs[run.task.Step]
-		release := Release{At: max(run.expected, r.now+run.whole/10), Room: spec.Room(), Task: run.task, Priority: run.job.kind.priority,
-			Yields: spec.Checkpointing && !spec.Gang && !run.stops}
+		release := Release{At: max(run.expected, r.now+run.duration/10), Resources: spec.Demand(), Task: run.task, Priority: run.job.kind.priority,
+			Preemptible: spec.Checkpointing && !spec.Gang && !run.stops}
 		if run.stops {
 			release.At, release.Stopping = r.now+StopTime/2, true
 		}
@@ -216,65 +216,65 @@
 	return view
 }
 
-// freeLanes returns how many questions may be put now, and how many of them may be long.
-func (r *replay) freeLanes() (all, long int) {
-	for i, until := range r.lanes {
+// freeConnections returns how many questions may be put now, and how many of them may be long.
+func (r *replay) freeConnections() (all, long int) {
+	for i, until := range r.connections {
 		if until >= r.now+time.Second {
 			continue
 		}
 		all++
-		if i >= len(r.lanes)/shortLanes {
+		if i >= len(r.connections)/shortQueryDivisor {
 			long++
 		}
 	}
 	return all, long
 }
 
-// shortLanes is the part of the lanes that long questions leave to short ones, as a
+// shortQueryDivisor is the part of the lanes that long questions leave to short ones, as a
 // divisor.
-const shortLanes = 6
+const shortQueryDivisor = 6
 
 // ask puts a question on the lane that is free first.
-func (r *replay) ask(j *replayJob, a Ask) {
-	r.asked++
-	length := j.kind.decide + time.Duration(len(a.Workers))*j.kind.each
-	lanes := r.lanes
+func (r *replay) query(j *replayJob, a Query) {
+	r.queries++
+	length := j.kind.baseLatency + time.Duration(len(a.Workers))*j.kind.perWorkerLatency
+	usable := r.connections
 	if length > 150*time.Millisecond {
-		lanes = lanes[len(lanes)/shortLanes:]
+		usable = usable[len(usable)/shortQueryDivisor:]
 	}
 	first := 0
-	for i := range lanes {
-		if lanes[i] < lanes[first] {
+	for i := range usable {
+		if usable[i] < usable[first] {
 			first = i
 		}
 	}
-	lanes[first] = max(lanes[first], r.now) + length
-	j.asking++
-	j.asked = r.now
+	usable[first] = max(usable[first], r.now) + length
+	j.pendingQueries++
+	j.lastQuery = r.now
 	if a.Renewal {
 		j.renewing = a.Workers
 	}
-	r.answers = append(r.answers, replayAnswer{at: lanes[first] + 5*time.Millisecond, job: j, key: a.Step, ask: a})
+	r.answers = append(r.answers, replayAnswer{at: usable[first] + 5*time.Millisecond, job: j, key: a.Step, query: a})
 }
 
-// takeIn takes in an answer of the adviser.
-func (r *replay) takeIn(a replayAnswer) {
+// applyAnswer takes in an answer of the adviser.
+func (r *replay) applyAnswer(a replayAnswer) {
 	j, k := a.job, a.job.kind
 	if j.ended > 0 || j.step != a.key.Step {
 		return
 	}
-	j.asking--
-	r.noteFresh(j)
+	j.pendingQueries--
+	r.markChanged(j)
 	j.renewing = nil
 	known := maps.Clone(j.permits)
 	unknown, granted := 0, 0
-	for _, w := range a.ask.Workers {
+	for _, w := range a.query.Workers {
 		_, knownBefore := j.permits[w]
-		ok := r.permits(a.key, w, k.permitted)
+		ok := r.permits(a.key, w, k.grantedShare)
 		if ok {
-			j.ticketsEnd = a.at + k.valid
+			j.ticketsExpire = a.at + k.ticketValidity
 		}
-		known[w] = Permit{Granted: ok, Ticket: "t", Expires: a.at + k.valid}
+		known[w] = Permit{Granted: ok, Ticket: "t", Expires: a.at + k.ticketValidity}
 		if !knownBefore {
 			unknown++
 			if ok {
@@ -284,15 +284,15 @@
 	}
 	if unknown > 0 {
 		k.grantSamples++
-		k.grantShare += max(0.05, 1/k.grantSamples) * (float64(granted)/float64(unknown) - k.grantShare)
+		k.grantRate += max(0.05, 1/k.grantSamples) * (float64(granted)/float64(unknown) - k.grantRate)
 	}
 	j.permits = known
 }
 
-// noteFresh takes in that something has come up for a job.
-func (r *replay) noteFresh(j *replayJob) {
-	if r.fresh != nil {
-		r.fresh[j.id] = true
+// markChanged takes in that something has come up for a job.
+func (r *replay) markChanged(j *replayJob) {
+	if r.changed != nil {
+		r.changed[j.id] = true
 	}
 }
 
@@ -300,25 +300,25 @@
 func (r *replay) start(j *replayJob, s Start) {
 	spec, whole := j.specs[s.Task.Step], j.works[s.Task.Step]
 	w := slices.IndexFunc(r.workers, func(w Worker) bool { return w.ID == s.Worker })
-	r.workers[w].Free = r.workers[w].Free.Minus(spec.Room())
+	r.workers[w].Free = r.workers[w].Free.Minus(spec.Demand())
 	rest := 1 - j.saved[s.Task]
 	took := time.Duration(rest * float64(whole) * []float64{1, 1, 1.3}[w%3])
-	run := &replayRun{job: j, task: s.Task, worker: w, begin: r.now, end: r.now + took, whole: took,
+	run := &replayRun{job: j, task: s.Task, worker: w, begin: r.now, end: r.now + took, duration: took,
 		expected: r.now + time.Duration(rest*float64(spec.EstimateMS)*1e6)}
-	if !spec.Gang && r.random.Float64() < j.kind.failing {
+	if !spec.Gang && r.random.Float64() < j.kind.failingShare {
 		run.fails, run.end = true, r.now+time.Duration(r.random.Float64()*float64(took))
 	}
 	r.runs[s.Task] = run
 	j.pending[s.Task.Step] = slices.DeleteFunc(j.pending[s.Task.Step], func(i int) bool { return i == s.Task.Index })
 	if spec.Gang && len(j.pending[s.Task.Step]) == 0 {
-		r.tie(j, s.Task.StepKey)
+		r.alignGangEnds(j, s.Task.StepKey)
 	}
 }
 
 // tie lets the members of a gang end together, with the slowest.
-func (r *replay) tie(j *replayJob, key workflow.StepKey) {
+func (r *replay) alignGangEnds(j *replayJob, key workflow.StepKey) {
 	end := time.Duration(0)
-	fails := r.random.Float64() < j.kind.failing
+	fails := r.random.Float64() < j.kind.failingShare
 	members := make([]*replayRun, j.specs[key.Step].Count)
 	for i := range members {
 		members[i] = r.runs[workflow.TaskKey{StepKey: key, Index: i}]
@@ -336,10 +336,10 @@
 func (r *replay) end(run *replayRun) {
 	j, step := run.job, run.task.Step
 	delete(r.runs, run.task)
-	r.workers[run.worker].Free = r.workers[run.worker].Free.Plus(j.specs[step].Room())
-	if run.fails || run.stops && run.end < run.begin+run.whole {
+	r.workers[run.worker].Free = r.workers[run.worker].Free.Plus(j.specs[step].Demand())
+	if run.fails || run.stops && run.end < run.begin+run.duration {
 		if run.stops {
-			j.saved[run.task] += (1 - j.saved[run.task]) * float64(run.end-run.begin) / float64(run.whole)
+			j.saved[run.task] += (1 - j.saved[run.task]) * float64(run.end-run.begin) / float64(run.duration)
 		}
 		j.pending[step] = append(j.pending[step], run.task.Index)
 		return
@@ -349,7 +349,7 @@
 		return
 	}
 	j.step++
-	j.permits, j.asking, j.renewing, j.ticketsEnd, j.asked = map[string]Permit{}, 0, nil, 0, r.now
+	j.permits, j.pendingQueries, j.renewing, j.ticketsExpire, j.lastQuery = map[string]Permit{}, 0, nil, 0, r.now
 	if j.step < len(j.specs) {
 		return
 	}
@@ -357,10 +357,10 @@
 	switch age := r.now - j.begin; {
 	case age <= j.objective:
 		j.kind.inTime++
-		j.got = 1
+		j.earnedShare = 1
 	case age <= 3*j.objective:
 		j.kind.late++
-		j.got = 0.2
+		j.earnedShare = 0.2
 	}
 }
 
@@ -371,17 +371,17 @@
 		if a.at > r.now {
 			return false
 		}
-		r.takeIn(a)
+		r.applyAnswer(a)
 		return true
 	})
-	var over []*replayRun
+	var ended []*replayRun
 	for _, run := range r.runs {
 		if run.end <= r.now {
-			over = append(over, run)
+			ended = append(ended, run)
 		}
 	}
-	slices.SortFunc(over, func(a, b *replayRun) int { return workflow.CompareTasks(a.task, b.task) })
-	for _, run := range over {
+	slices.SortFunc(ended, func(a, b *replayRun) int { return workflow.CompareTasks(a.task, b.task) })
+	for _, run := range ended {
 		r.end(run)
 	}
 	r.jobs = slices.DeleteFunc(r.jobs, func(j *replayJob) bool { return j.ended > 0 })
@@ -422,15 +422,15 @@
 	return steps, gangs
 }
 
-// couldRun notes since when each job of which nothing runs would find room for twice its
+// longestIdleWait notes since when each job of which nothing runs would find room for twice its
 // tasks on permitted workers, beside all jobs before it that would, and returns the longest
 // such time.
-func (r *replay) couldRun() time.Duration {
+func (r *replay) longestIdleWait() time.Duration {
 	longest := time.Duration(0)
 	free := slices.Clone(r.workers)
 	for _, j := range r.jobs {
 		s, waits := r.step(j)
-		if !waits || len(s.Pending) < s.Spec.Count || !r.takeTwice(&s, j, free) {
+		if !waits || len(s.Pending) < s.Spec.Count || !r.takeTwiceTheRoom(&s, j, free) {
 			j.roomSince = -1
 			continue
 		}
@@ -442,23 +442,23 @@
 	return longest
 }
 
-// takeTwice takes room for twice the step's tasks on workers that the adviser permits,
+// takeTwiceTheRoom takes room for twice the step's tasks on workers that the adviser permits,
 // asked or not, and reports whether there is as much.
-func (r *replay) takeTwice(s *Step, j *replayJob, free []Worker) bool {
+func (r *replay) takeTwiceTheRoom(s *Step, j *replayJob, free []Worker) bool {
 	var chosen []*Worker
 	left := 2 * len(s.Pending)
 	for i := range free {
 		w := &free[i]
-		if left > 0 && r.permits(s.Key, w.ID, j.kind.permitted) && copies(s, w) > 0 {
+		if left > 0 && r.permits(s.Key, w.ID, j.kind.grantedShare) && fitCount(s, w) > 0 {
 			chosen = append(chosen, w)
-			left -= copies(s, w)
+			left -= fitCount(s, w)
 		}
 	}
 	if left > 0 {
 		return false
 	}
 	for _, w := range chosen {
-		w.Free = w.Free.Minus(s.Spec.Room().Times(int64(copies(s, w))))
+		w.Free = w.Free.Minus(s.Spec.Demand().Times(int64(fitCount(s, w))))
 	}
 	return true
 }
--- a/dispatch/select.go
+++ b/dispatch/select.go
@@ -14,7 +14,7 @@
 }{
 	{ReasonLabel, hasLabel},
 	{ReasonSize, bigEnough},
-	{ReasonSharing, compatible},
+	{ReasonSpareShare, enoughSpareShare},
 }
 
 // filter returns the workers that could run tasks of s if they were empty.
@@ -30,7 +30,7 @@
 
 // suits reports whether w, nil for a worker that isn't there, is of the pool of s and
 // could run its tasks if it were empty.
-func suits(s *Step, w *Worker) bool {
+func eligible(s *Step, w *Worker) bool {
 	return w != nil && w.Service == s.Service && rejection(s, w) == ""
 }
 
@@ -48,22 +48,22 @@
 	return s.Spec.Label == "" || slices.Contains(w.Labels, s.Spec.Label)
 }
 
-func bigEnough(s *Step, w *Worker) bool { return s.Spec.Room().Fits(w.Capacity) }
+func bigEnough(s *Step, w *Worker) bool { return s.Spec.Demand().Fits(w.Capacity) }
 
-// leastSpareShare is the share, in percent, below which a worker's serving tasks
+// minSpareShare is the share, in percent, below which a worker's serving tasks
 // leave too little to begin another task on spare processors there.
-const leastSpareShare = 10
+const minSpareShare = 10
 
 // compatible keeps tasks that use spare processors off workers whose serving tasks
 // leave next to nothing.
-func compatible(s *Step, w *Worker) bool {
-	return !s.Spec.UsesSpare || !w.Serving || w.SpareShare >= leastSpareShare
+func enoughSpareShare(s *Step, w *Worker) bool {
+	return !s.Spec.UsesSpare || !w.Serving || w.SpareShare >= minSpareShare
 }
 
 // crowding is how much a task of s and what runs on w disturb each other: tasks
 // with a latency objective and tasks that use spare processors are kept apart
 // while there is room elsewhere, and the latter among themselves.
-func crowding(s *Step, w *Worker) int {
+func interference(s *Step, w *Worker) int {
 	switch {
 	case s.Spec.UsesSpare && w.Serving:
 		return 1 + w.SpareRuns
@@ -87,23 +87,23 @@
 // prefer orders workers by how well they suit one task of s: sound ones first, then
 // those near the data, then those that no gang is about to fill, then the one that
 // is left with the least room, which keeps whole workers free for gangs.
-func prefer(s *Step, a, b *Worker) int {
+func comparePreference(s *Step, a, b *Worker) int {
 	room := cmp.Compare(a.Free.MilliCPU, b.Free.MilliCPU)
 	if s.Spec.UsesSpare {
 		// What others leave is what such a task gets.
 		room = -room
 	}
 	return cmp.Or(cmp.Compare(a.Penalty, b.Penalty), cmp.Compare(distance(s, a), distance(s, b)),
-		cmp.Compare(crowding(s, a), crowding(s, b)), compareBools(a.Earmarked, b.Earmarked), room, a.rank-b.rank)
+		cmp.Compare(interference(s, a), interference(s, b)), compareBools(a.Earmarked, b.Earmarked), room, a.rank-b.rank)
 }
 
-// preferFewRuns puts workers first whose crash would take the fewest runs along.
-func preferFewRuns(s *Step, a, b *Worker) int {
-	return cmp.Or(cmp.Compare(a.runs(), b.runs()), prefer(s, a, b))
+// compareRunCount puts workers first whose crash would take the fewest runs along.
+func compareRunCount(s *Step, a, b *Worker) int {
+	return cmp.Or(cmp.Compare(a.runCount(), b.runCount()), comparePreference(s, a, b))
 }
 
 // runs counts the runs on w, and those that the plan begins there.
-func (w *Worker) runs() int { return len(w.Releases) + w.started }
+func (w *Worker) runCount() int { return len(w.Releases) + w.plannedStarts }
 
 // distance is 0 near the data of s, 1 elsewhere.
 func distance(s *Step, w *Worker) int {
@@ -114,21 +114,21 @@
 }
 
 // ranked is a worker with what it is ordered by.
-type ranked struct {
-	worker           *Worker
-	copies, distance int
+type rankedWorker struct {
+	worker             *Worker
+	fitCount, distance int
 }
 
 // compareRoom puts sound workers first, then those near the data, then those with most
 // room.
-func compareRoom(a, b *ranked) int {
+func compareRoom(a, b *rankedWorker) int {
 	switch {
 	case a.worker.Penalty != b.worker.Penalty:
 		return a.worker.Penalty - b.worker.Penalty
 	case a.distance != b.distance:
 		return a.distance - b.distance
-	case a.copies != b.copies:
-		return b.copies - a.copies
+	case a.fitCount != b.fitCount:
+		return b.fitCount - a.fitCount
 	case a.worker.Free.MilliCPU != b.worker.Free.MilliCPU:
 		return cmp.Compare(b.worker.Free.MilliCPU, a.worker.Free.MilliCPU)
 	}
@@ -143,7 +143,7 @@
 func byRoom(s *Step, workers []*Worker) iter.Seq[*Worker] {
 	order := make(roomHeap, len(workers))
 	for i, w := range workers {
-		order[i] = ranked{w, copies(s, w), distance(s, w)}
+		order[i] = rankedWorker{w, fitCount(s, w), distance(s, w)}
 	}
 	return func(yield func(*Worker) bool) {
 		heap.Init(&order)
@@ -157,14 +157,14 @@
 }
 
 // roomHeap is a heap whose first worker is the next by room.
-type roomHeap []ranked
+type roomHeap []rankedWorker
 
 func (h roomHeap) Len() int           { return len(h) }
 func (h roomHeap) Less(i, j int) bool { return compareRoom(&h[i], &h[j]) < 0 }
 func (h roomHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push is part of heap.Interface.
-func (h *roomHeap) Push(x any) { *h = append(*h, x.(ranked)) }
+func (h *roomHeap) Push(x any) { *h = append(*h, x.(rankedWorker)) }
 
 // Pop drops the last entry; its value is of no use to anybody.
 func (h *roomHeap) Pop() any {
--- a/dispatch/stops_test.go
+++ b/dispatch/stops_test.go
@@ -10,13 +10,13 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// yieldingPool holds n workers of 16 cores, each full with four runs that give way.
-func yieldingPool(n int) []Worker {
+// preemptiblePool holds n workers of 16 cores, each full with four runs that give way.
+func preemptiblePool(n int) []Worker {
 	list := workers(make([]int64, n)...)
 	for i := range list {
 		for k := range 4 {
 			task := workflow.TaskKey{StepKey: workflow.StepKey{Job: fmt.Sprint("b", i)}, Index: k}
-			list[i].Releases = append(list[i].Releases, Release{At: 9 * time.Second, Room: cores(4), Priority: 2, Yields: true, Task: task})
+			list[i].Releases = append(list[i].Releases, Release{At: 9 * time.Second, Resources: cores(4), Priority: 2, Preemptible: true, Task: task})
 		}
 	}
 	return list
@@ -32,12 +32,12 @@
 }
 
 // stop notes in the pool that runs are being stopped.
-func stop(pool []Worker, preempts []Preempt) {
+func markStopping(pool []Worker, preempts []Preemption) {
 	for _, p := range preempts {
 		for i := range pool {
 			for k := range pool[i].Releases {
 				if r := &pool[i].Releases[k]; r.Task == p.Task {
-					r.Yields, r.Stopping, r.At = false, true, StopTime
+					r.Preemptible, r.Stopping, r.At = false, true, StopTime
 				}
 			}
 		}
@@ -46,22 +46,22 @@
 
 // Users' batch runs are stopped by the dozen for one gang of three tasks: until the first
 // stops had come through, each decision made others.
-func TestStopsUnderWayCountForTheirGang(t *testing.T) {
-	pool := yieldingPool(6)
+func TestStoppingRunsCountForTheirGang(t *testing.T) {
+	pool := preemptiblePool(6)
 	gang := waitingGang("gang", 3, 4, permittedOn(pool))
 	gang.Priority = 1
 	stops := 0
 	for d := range 6 {
 		plan := Decide(time.Duration(d)*50*time.Millisecond, []Step{gang}, append([]Worker{}, pool...), limits)
-		stop(pool, plan.Preempts)
-		stops += len(plan.Preempts)
+		markStopping(pool, plan.Preemptions)
+		stops += len(plan.Preemptions)
 	}
 	must.Eq(t, 3, stops)
 }
 
 // A run that gives way to two gangs was stopped, and counted, twice.
-func TestARunIsStoppedOnceInAPlan(t *testing.T) {
-	pool := yieldingPool(3)
+func TestRunIsPreemptedOncePerPlan(t *testing.T) {
+	pool := preemptiblePool(3)
 	var steps []Step
 	for i := range 5 {
 		s := waitingGang(fmt.Sprint("gang", i), 3, 4, permittedOn(pool))
@@ -69,7 +69,7 @@
 		steps = append(steps, s)
 	}
 	seen := map[workflow.TaskKey]bool{}
-	for _, p := range Decide(0, steps, pool, limits).Preempts {
+	for _, p := range Decide(0, steps, pool, limits).Preemptions {
 		must.False(t, seen[p.Task])
 		seen[p.Task] = true
 	}
@@ -78,7 +78,7 @@
 
 // Hundreds of steps wait behind others that can't start, many with tickets that are of no
 // use: the others had their turn in steps that passed most of them by for good.
-func TestTurnsReachAllSteps(t *testing.T) {
+func TestRoundRobinReachesAllSteps(t *testing.T) {
 	for _, ticketed := range []int{0, 16, 24, 31, 200} {
 		seen := map[string]bool{}
 		for turn := range 200 {
@@ -86,13 +86,13 @@
 			for i := range ticketed + 96 {
 				s := step(fmt.Sprintf("s%03d", i), 1, 4)
 				if i < ticketed {
-					s.TicketsEnd = time.Hour
+					s.TicketsExpire = time.Hour
 				}
 				order = append(order, &s)
 			}
-			p := &planner{now: time.Minute, limits: Limits{Turn: turn, TicketMargin: limits.TicketMargin}}
-			for _, s := range p.turns(order, 32) {
-				if s.TicketsEnd == 0 {
+			p := &planner{now: time.Minute, limits: Limits{Round: turn, TicketMargin: limits.TicketMargin}}
+			for _, s := range p.roundRobin(order, 32) {
+				if s.TicketsExpire == 0 {
 					seen[s.Key.Job] = true
 				}
 			}
@@ -103,23 +103,23 @@
 
 // A gang's question is planned though no lane takes long ones: it was dropped, room was
 // kept for the gang all the same, and the short questions behind it weren't put.
-func TestALongQuestionNeedsALaneForLongOnes(t *testing.T) {
+func TestLongQueryNeedsLongQueryBudget(t *testing.T) {
 	bound := limits
-	bound.Asks, bound.LongAsks, bound.LongAsk = 1, 0, 150*time.Millisecond
+	bound.Queries, bound.LongQueries, bound.LongQueryTime = 1, 0, 150*time.Millisecond
 	ended := map[string]Permit{"w0": {Granted: true}, "w1": {Granted: true}}
 	gang := waitingGang("gang", 4, 4, ended)
 	short := needsPermit(step("short", 1, 4), nil)
 	short.Priority = 1
-	short.AskTime = func(int) time.Duration { return 20 * time.Millisecond }
+	short.AnswerTime = func(int) time.Duration { return 20 * time.Millisecond }
 	plan := Decide(0, []Step{gang, short}, workers(8, 8), bound)
-	must.SliceLen(t, 1, plan.Asks)
-	must.Eq(t, "short", plan.Asks[0].Step.Job)
-	must.Eq(t, ReasonLane, reasons(plan)["gang"])
+	must.SliceLen(t, 1, plan.Queries)
+	must.Eq(t, "short", plan.Queries[0].Step.Job)
+	must.Eq(t, ReasonNoConnection, reasons(plan)["gang"])
 }
 
 // The room that a gang waits for goes to small tasks: a gang before it that no worker may
 // run held the one place for which room is kept.
-func TestAGangThatKeepsNothingTakesNoPlace(t *testing.T) {
+func TestGangThatCannotReserveLeavesReservationToNext(t *testing.T) {
 	valid := Permit{Granted: true, Expires: time.Hour}
 	refused := waitingGang("refused", 9, 16, map[string]Permit{"w0": {}, "w1": {}, "w2": valid})
 	refused.Priority = -1
--- a/dispatch/suspect_test.go
+++ b/dispatch/suspect_test.go
@@ -7,7 +7,7 @@
 )
 
 // Guards against a task that crashes its workers and takes with it what was placed beside it.
-func TestATaskThatWorkersCrashedUnderIsBegunAlone(t *testing.T) {
+func TestCrashSuspectStartsAlone(t *testing.T) {
 	pool := workers(4, 16)
 	pool[0].Releases = []Release{{}}
 	s := step("a", 2, 1)
--- a/dispatch/turns_test.go
+++ b/dispatch/turns_test.go
@@ -11,18 +11,18 @@
 	"github.com/shoenig/test/must"
 )
 
-// longQuestions is a kind of small jobs whose questions take over a second.
-func longQuestions(name string, priority int, permitted float64) *replayKind {
+// slowQueryKind is a kind of small jobs whose questions take over a second.
+func slowQueryKind(name string, priority int, permitted float64) *replayKind {
 	return &replayKind{
 		name: name, priority: priority, steps: 1, width: 1, maxWidth: 1, cores: 4, maxCores: 4, gb: 4, maxGB: 4, work: 2 * time.Second,
-		decide: 800 * time.Millisecond, each: 10 * time.Millisecond, valid: 1500 * time.Millisecond, permitted: permitted,
+		baseLatency: 800 * time.Millisecond, perWorkerLatency: 10 * time.Millisecond, ticketValidity: 1500 * time.Millisecond, grantedShare: permitted,
 		stretch: 2, objective: time.Hour,
 	}
 }
 
-// untilAllBegin plays until each job of the kind has begun or a minute has passed, beside
+// waitUntilAllStart plays until each job of the kind has begun or a minute has passed, beside
 // what comes in, and returns how long the last of them has waited.
-func untilAllBegin(r *replay, k *replayKind) time.Duration {
+func waitUntilAllStart(r *replay, k *replayKind) time.Duration {
 	begun := r.now
 	for r.now < begun+time.Minute {
 		waits := slices.ContainsFunc(k.all, func(j *replayJob) bool { return j.step == 0 && len(j.pending[0]) == j.specs[0].Count })
@@ -36,10 +36,10 @@
 	return r.now - begun
 }
 
-// othersBehind lets ten jobs, permitted on a quarter of an empty pool, come 10 s after urgent
+// waitBehindRefused lets ten jobs, permitted on a quarter of an empty pool, come 10 s after urgent
 // ones that no worker is permitted for, and returns how long the last of them waits.
-func othersBehind(pool, ahead int) time.Duration {
-	refused, others := longQuestions("refused", 0, 0), longQuestions("others", 1, 0.25)
+func waitBehindRefused(pool, ahead int) time.Duration {
+	refused, others := slowQueryKind("refused", 0, 0), slowQueryKind("others", 1, 0.25)
 	r := newReplay(1, pool, 44, refused, others)
 	for range ahead {
 		r.submit(refused)
@@ -48,17 +48,17 @@
 	for range 10 {
 		r.submit(others)
 	}
-	return untilAllBegin(r, others)
+	return waitUntilAllStart(r, others)
 }
 
 // Urgent steps that no worker is permitted for ask about 30 workers after the other, and
 // their questions take every lane: others wait behind them on an empty pool, the longer
 // the more workers there are.
-func TestUrgentStepsThatAreRefusedLeaveOthersQuestions(t *testing.T) {
+func TestRefusedUrgentStepsLeaveQueriesToOthers(t *testing.T) {
 	for _, pool := range []int{350, 1100, 3000} {
 		t.Run(fmt.Sprint(pool), func(t *testing.T) {
 			t.Parallel()
-			must.LessEq(t, mayStandIdle, othersBehind(pool, 90))
+			must.LessEq(t, maxIdleWait, waitBehindRefused(pool, 90))
 		})
 	}
 }
@@ -68,19 +68,19 @@
 	for _, pool := range []int{350, 1100, 3000} {
 		t.Run(fmt.Sprint(pool), func(t *testing.T) {
 			t.Parallel()
-			must.LessEq(t, mayStandIdle, othersBehind(pool, 300))
+			must.LessEq(t, maxIdleWait, waitBehindRefused(pool, 300))
 		})
 	}
 }
 
 // Steps that always want to ask leave others a third of the questions, one question
 // a decision or many.
-func TestAPartOfTheQuestionsGoesToStepsInTurn(t *testing.T) {
+func TestRoundRobinStepsGetTheirShareOfQueries(t *testing.T) {
 	for _, asks := range []int{1, 2, 5} {
-		put := 0
+		sent := 0
 		for turn := range 60 {
 			bounded := limits
-			bounded.Asks, bounded.Turn = asks, turn
+			bounded.Queries, bounded.Round = asks, turn
 			steps := []Step{}
 			for i := range 20 {
 				urgent := needsPermit(step(fmt.Sprintf("urgent%02d", i), 1, 2), map[string]Permit{"w0": {}})
@@ -89,49 +89,49 @@
 				steps = append(steps, urgent, other)
 			}
 			plan := Decide(0, steps, workers(9, 9), bounded)
-			must.SliceLen(t, asks, plan.Asks, must.Sprint("none is left unused"))
+			must.SliceLen(t, asks, plan.Queries, must.Sprint("none is left unused"))
 			must.SliceLen(t, len(steps), plan.Waiting)
-			for _, a := range plan.Asks {
+			for _, a := range plan.Queries {
 				if strings.HasPrefix(a.Step.Job, "other") {
-					put++
+					sent++
 				}
 			}
 		}
-		must.Eq(t, 60*asks/askShare, put)
+		must.Eq(t, 60*asks/roundRobinQueryDivisor, sent)
 	}
 }
 
 // Guards against questions that nobody puts: no worker has room, and what is kept back for
 // steps in turn counted as not to be had.
-func TestAllQuestionsArePutAheadOfRoom(t *testing.T) {
+func TestAllQueriesAreSentOnFullPool(t *testing.T) {
 	for _, asks := range []int{1, 2, 5} {
-		for turn := range askShare {
+		for turn := range roundRobinQueryDivisor {
 			bounded := limits
-			bounded.Asks, bounded.Turn = asks, turn
+			bounded.Queries, bounded.Round = asks, turn
 			var steps []Step
 			for i := range 20 {
 				steps = append(steps, needsPermit(step(fmt.Sprintf("s%02d", i), 1, 4), nil))
 			}
-			must.SliceLen(t, asks, Decide(0, steps, workers(1, 1), bounded).Asks)
+			must.SliceLen(t, asks, Decide(0, steps, workers(1, 1), bounded).Queries)
 		}
 	}
 }
 
 // Guards against long questions that nobody puts: what is kept back of them for steps in
 // turn wasn't offered to those that might ask about a few workers, but need many.
-func TestAllLongQuestionsArePut(t *testing.T) {
-	for turn := range askShare {
+func TestAllLongQueriesAreSent(t *testing.T) {
+	for turn := range roundRobinQueryDivisor {
 		bounded := limits
-		bounded.Asks, bounded.LongAsks, bounded.LongAsk, bounded.Turn = 8, 1, 150*time.Millisecond, turn
+		bounded.Queries, bounded.LongQueries, bounded.LongQueryTime, bounded.Round = 8, 1, 150*time.Millisecond, turn
 		var steps []Step
 		for i := range 20 {
 			s := needsPermit(step(fmt.Sprintf("s%02d", i), 1, 4), nil)
-			s.AskTime = func(n int) time.Duration { return time.Duration(50+40*n) * time.Millisecond }
+			s.AnswerTime = func(n int) time.Duration { return time.Duration(50+40*n) * time.Millisecond }
 			steps = append(steps, s)
 		}
 		long := 0
-		for _, a := range Decide(0, steps, workers(9, 9, 9, 9, 9, 9, 9, 9), bounded).Asks {
-			if len(a.Workers) == limits.AskWorkers {
+		for _, a := range Decide(0, steps, workers(9, 9, 9, 9, 9, 9, 9, 9), bounded).Queries {
+			if len(a.Workers) == limits.WorkersPerQuery {
 				long++
 			}
 		}
@@ -140,31 +140,31 @@
 }
 
 // What urgent steps have no use for goes to others, and the other way round.
-func TestQuestionsThatOnePartHasNoUseForGoToTheOther(t *testing.T) {
+func TestUnusedQueryShareGoesToOtherSteps(t *testing.T) {
 	for _, priority := range []int{0, 1} {
 		bounded := limits
-		bounded.Asks = 6
+		bounded.Queries = 6
 		var steps []Step
 		for i := range 6 {
 			s := needsPermit(step(fmt.Sprint("a", i), 1, 2), nil)
 			s.Priority = priority
 			steps = append(steps, s)
 		}
-		must.SliceLen(t, 6, Decide(0, steps, workers(9), bounded).Asks)
+		must.SliceLen(t, 6, Decide(0, steps, workers(9), bounded).Queries)
 	}
 }
 
 // A job that is late goes after all others; while urgent ones that are refused keep
 // coming it learns of no worker.
-func TestALateJobLearnsOfWorkersBesideUrgentOnesThatAreRefused(t *testing.T) {
-	refused, late := longQuestions("refused", 0, 0), longQuestions("late", 1, 0.25)
+func TestLateJobQueriesBesideRefusedUrgentJobs(t *testing.T) {
+	refused, late := slowQueryKind("refused", 0, 0), slowQueryKind("late", 1, 0.25)
 	late.objective, refused.rate = 0, 5
 	r := newReplay(1, 1100, 44, refused, late)
 	r.play(30*time.Second, 0)
 	for range 5 {
 		r.submit(late).begin = -time.Minute
 	}
-	must.LessEq(t, mayStandIdle, untilAllBegin(r, late))
+	must.LessEq(t, maxIdleWait, waitUntilAllStart(r, late))
 }
 
 // A step that one worker in a hundred is permitted for asks about 30 after the other: the
@@ -175,48 +175,48 @@
 			t.Parallel()
 			longest := time.Duration(0)
 			for seed := range uint64(20) {
-				rare := longQuestions(fmt.Sprint("rare", seed), 0, 0.01)
+				rare := slowQueryKind(fmt.Sprint("rare", seed), 0, 0.01)
 				r := newReplay(seed, pool, 44, rare)
 				r.submit(rare)
-				longest = max(longest, untilAllBegin(r, rare))
+				longest = max(longest, waitUntilAllStart(r, rare))
 			}
-			must.LessEq(t, mayStandIdle, longest)
+			must.LessEq(t, maxIdleWait, longest)
 		})
 	}
 }
 
 // A step that every worker asked about refuses needs a question more for each 30 of them,
 // one after the other: with ten times the workers it waits ten times as long.
-func TestAStepThatIsRefusedAsksAboutMoreAtOnce(t *testing.T) {
+func TestRefusedStepDoublesQueriedWorkers(t *testing.T) {
 	pool := workers(make([]int64, 640)...)
 	for i := range pool {
 		pool[i].Free = cores(9)
 	}
 	s := needsPermit(step("a", 1, 2), map[string]Permit{})
 	bounded := limits
-	bounded.Asks = len(pool)
+	bounded.Queries = len(pool)
 	rounds := 0
 	for len(s.Permits) < len(pool) {
 		plan := Decide(0, []Step{s}, slices.Clone(pool), bounded)
-		must.Positive(t, len(plan.Asks))
+		must.Positive(t, len(plan.Queries))
 		rounds++
-		for _, a := range plan.Asks {
-			must.LessEq(t, bounded.AskWorkers, len(a.Workers))
+		for _, a := range plan.Queries {
+			must.LessEq(t, bounded.WorkersPerQuery, len(a.Workers))
 			for _, w := range a.Workers {
 				must.MapNotContainsKey(t, s.Permits, w, must.Sprint("asked about twice"))
 				s.Permits[w] = Permit{}
 			}
 		}
 	}
-	must.LessEq(t, 1+bits.Len(uint(len(pool)/bounded.AskWorkers)), rounds)
+	must.LessEq(t, 1+bits.Len(uint(len(pool)/bounded.WorkersPerQuery)), rounds)
 }
 
 // wideGangs is a kind of gangs, permitted on a quarter of the workers, whose questions
 // about a hundred of them take 1.7 s.
 func wideGangs(width, cores float64) *replayKind {
 	return &replayKind{
-		name: "gang", priority: 1, gang: 1, steps: 1, width: width, maxWidth: width, cores: cores, maxCores: cores, gb: 16, maxGB: 16,
-		work: 6 * time.Second, decide: 700 * time.Millisecond, each: 10 * time.Millisecond, valid: 1500 * time.Millisecond, permitted: 0.25,
+		name: "gang", priority: 1, gangShare: 1, steps: 1, width: width, maxWidth: width, cores: cores, maxCores: cores, gb: 16, maxGB: 16,
+		work: 6 * time.Second, baseLatency: 700 * time.Millisecond, perWorkerLatency: 10 * time.Millisecond, ticketValidity: 1500 * time.Millisecond, grantedShare: 0.25,
 		stretch: 2, objective: time.Hour,
 	}
 }
@@ -230,37 +230,37 @@
 	for range 30 {
 		r.submit(gangs)
 	}
-	must.LessEq(t, mayStandIdle, untilAllBegin(r, gangs))
+	must.LessEq(t, maxIdleWait, waitUntilAllStart(r, gangs))
 }
 
 // A gang that just doesn't fit keeps the free room of nearly all workers that it is
 // permitted on for as long as a long run lasts. Small jobs that may run there as well
 // don't wait for it, since they learn of others.
-func TestSmallJobsDoNotWaitForTheRoomOfAGang(t *testing.T) {
-	long := longQuestions("long", 0, 1)
+func TestSmallJobsStartBesideReservedGangRoom(t *testing.T) {
+	long := slowQueryKind("long", 0, 1)
 	long.width, long.maxWidth, long.cores, long.maxCores, long.work = 130, 130, 60, 60, 2*time.Minute
-	gang, small := wideGangs(60, 60), longQuestions("small", 2, 0.25)
+	gang, small := wideGangs(60, 60), slowQueryKind("small", 2, 0.25)
 	r := newReplay(0, 350, 44, long, gang, small)
 	r.decision = 50 * time.Millisecond
 	r.submit(long)
 	r.play(5*time.Second, 0)
 	r.submit(gang)
 	r.play(10*time.Second, 0)
-	must.Greater(t, 50*60_000, r.kept(gang.all[0]))
+	must.Greater(t, 50*60_000, r.reservedCPU(gang.all[0]))
 	for range 40 {
 		r.submit(small)
 	}
-	must.LessEq(t, mayStandIdle, untilAllBegin(r, small))
+	must.LessEq(t, maxIdleWait, waitUntilAllStart(r, small))
 	must.SliceLen(t, 60, gang.all[0].pending[0], must.Sprint("the gang waits on"))
 }
 
 // kept is the room that a decision keeps for a job, in thousandths of a core.
-func (r *replay) kept(j *replayJob) (room int64) {
+func (r *replay) reservedCPU(j *replayJob) (room int64) {
 	s, _ := r.step(j)
 	list := r.view()
 	Decide(r.now, []Step{s}, list, r.limits)
 	for i := range list {
-		room += list[i].Kept.MilliCPU
+		room += list[i].Reserved.MilliCPU
 	}
 	return room
 }
--- a/dispatch/without.go
+++ b/dispatch/without.go
@@ -2,7 +2,7 @@
 
 // Without names the mechanisms of deciding that are switched off. The zero value has
 // all of them on; each is there to be measured by what is lost without it.
-type Without struct {
+type Disabled struct {
 	// Copies: second runs of tasks whose first one is out of reach, still or slow.
 	Copies bool `toml:"copies"`
 	// Preemption: stops of less urgent runs with checkpoints for a gang.
@@ -17,8 +17,8 @@
 	Health bool `toml:"health"`
 	// Lateness: what can't be in time any more goes after what still can.
 	Lateness bool `toml:"lateness"`
-	// SecondStarts: a start is sent again beside one that is overdue.
-	SecondStarts bool `toml:"second_starts"`
+	// ResentStarts: a start is sent again beside one that is overdue.
+	ResentStarts bool `toml:"second_starts"`
 	// ShortLooks: looks are held shorter while calls get lost.
 	ShortLooks bool `toml:"short_looks"`
 }
--- a/internal/apiserver/apiserver.go
+++ b/internal/apiserver/apiserver.go
@@ -68,7 +68,7 @@
 	return fault.ToTwirp(err)
 }
 
-func place(queue, id string) control.Place { return control.Place{Queue: queue, ID: id} }
+func place(queue, id string) control.JobAddress { return control.JobAddress{Queue: queue, ID: id} }
 
 func checkRef(queue, id string) error {
 	switch {
@@ -89,7 +89,7 @@
 	if err := checkRef(r.GetQueue(), r.GetId()); err != nil {
 		return control.SubmitReply{}, err
 	}
-	call := &control.SubmitCall{Place: place(r.GetQueue(), r.GetId()), Payload: r.GetPayload(), Schedule: workflow.Schedule{
+	call := &control.SubmitCall{Address: place(r.GetQueue(), r.GetId()), Payload: r.GetPayload(), Schedule: workflow.Schedule{
 		FirstAtMS: r.GetRepeat().GetFirstUnixMs(), EveryMS: r.GetRepeat().GetEveryMs(), Times: int(r.GetRepeat().GetTimes()),
 	}}
 	for _, step := range r.GetSteps() {
@@ -121,7 +121,7 @@
 func (s *server) CancelWorkflow(ctx context.Context, r *apiv1.WorkflowRef) (*apiv1.CancelWorkflowResponse, error) {
 	err := checkRef(r.GetQueue(), r.GetId())
 	if err == nil {
-		err = s.operations.Cancel(ctx, &control.CancelCall{Place: place(r.GetQueue(), r.GetId())})
+		err = s.operations.Cancel(ctx, &control.CancelCall{Address: place(r.GetQueue(), r.GetId())})
 	}
 	return &apiv1.CancelWorkflowResponse{}, s.answer("cancel", r.GetQueue(), r.GetId(), err)
 }
@@ -140,7 +140,7 @@
 	if err := checkRef(r.GetQueue(), r.GetId()); err != nil {
 		return control.ExplainReply{}, err
 	}
-	return s.operations.Explain(ctx, &control.ExplainCall{Place: place(r.GetQueue(), r.GetId())})
+	return s.operations.Explain(ctx, &control.ExplainCall{Address: place(r.GetQueue(), r.GetId())})
 }
 
 func statusToAPI(reply *control.ExplainReply) *apiv1.WorkflowStatus {
@@ -182,7 +182,7 @@
 	if r.GetQueue() == "" {
 		return nil, s.answer("queue", "", "", fault.Field("queue", "missing"))
 	}
-	reply, err := s.operations.State(ctx, &control.StateCall{Place: place(r.GetQueue(), "")})
+	reply, err := s.operations.State(ctx, &control.StateCall{Address: place(r.GetQueue(), "")})
 	return &apiv1.QueueStatus{Waiting: int32(reply.Waiting)}, s.answer("queue", r.GetQueue(), "", err)
 }
 
--- a/internal/apiserver/apiserver_test.go
+++ b/internal/apiserver/apiserver_test.go
@@ -38,16 +38,16 @@
 func (f *fakeLeader) Cancel(context.Context, *control.CancelCall) error { return f.err }
 
 func (f *fakeLeader) Explain(_ context.Context, r *control.ExplainCall) (control.ExplainReply, error) {
-	key := workflow.StepKey{Job: r.Place.ID, Step: 1}
+	key := workflow.StepKey{Job: r.Address.ID, Step: 1}
 	return control.ExplainReply{
-		Queue: r.Place.Queue, ID: r.Place.ID, Phase: workflow.PhaseActive,
+		Queue: r.Address.Queue, ID: r.Address.ID, Phase: workflow.PhaseActive,
 		Steps: []control.StepProgress{{
 			Key: key, Tasks: 4, Done: 1, Running: 2, Failures: 3,
 			Crashes: []control.TaskCrashes{{Task: 2, Workers: []string{"w1", "w2"}, GivenUp: true}},
 		}},
 		Waiting: []control.StepExplanation{{
 			Key: key, Tasks: 1, Reason: dispatch.ReasonNoRoom, Permitted: 5, Refused: 6, Unknown: 7,
-			Workers: []dispatch.Count{{Reason: dispatch.ReasonFull, Workers: 5, Example: "w1"}},
+			Workers: []dispatch.ReasonCount{{Reason: dispatch.ReasonWorkerFull, Workers: 5, Example: "w1"}},
 		}},
 	}, f.err
 }
@@ -97,7 +97,7 @@
 	must.NoError(t, err)
 	must.True(t, answer.GetKnown())
 	must.Eq(t, &control.SubmitCall{
-		Place: control.Place{Queue: "q", ID: "a"}, Payload: "p", Schedule: workflow.Schedule{FirstAtMS: 5, EveryMS: 6, Times: 2},
+		Address: control.JobAddress{Queue: "q", ID: "a"}, Payload: "p", Schedule: workflow.Schedule{FirstAtMS: 5, EveryMS: 6, Times: 2},
 		Steps: []workflow.Step{{Count: 1, EstimateMS: 9}, {
 			Count: 2, Need: workflow.Resources{MilliCPU: 500, MemoryMB: 64, Accelerators: 1}, EstimateMS: 10, DependsOn: []int{0}, Gang: true,
 			SameRack: true, Label: "l", DataRack: "r", MaxPerWorker: 3, Speculative: true, LongRunning: true, Checkpointing: true,
--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -27,7 +27,7 @@
 	DataCentre string
 	// TakeHeard returns the heartbeats that this instance took and that the leader
 	// hasn't been told of.
-	TakeHeard func() []control.HeardWorker
+	TakeHeard func() []control.BufferedHeartbeat
 	Counters  control.Counters
 }
 
--- a/internal/carrier/carrier_test.go
+++ b/internal/carrier/carrier_test.go
@@ -27,7 +27,7 @@
 		must.Eq(t, workerClockMS, clock)
 		must.Eq(t, []control.StartOrder{order}, c.workers["carrier-0"].starts)
 
-		report, err := c.spread.Look(t.Context(), control.Target{Worker: "w"}, control.LookOrder{Seen: 41})
+		report, err := c.spread.Poll(t.Context(), control.Target{Worker: "w"}, control.PollOrder{Seen: 41})
 		must.NoError(t, err)
 		must.Eq(t, 42, report.Ended[0].Position)
 		must.Eq(t, workflow.OutcomeDone, report.Ended[0].Outcome)
@@ -50,8 +50,8 @@
 func TestANewLeadersFirstOrderGoesThroughTheCarrierThatHasAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
-		c.carriers["carrier-0"].cfg.TakeHeard = func() []control.HeardWorker { return []control.HeardWorker{{Worker: "w"}} }
-		c.spread.cfg.Heard = func([]control.HeardWorker) { time.Sleep(way) }
+		c.carriers["carrier-0"].cfg.TakeHeard = func() []control.BufferedHeartbeat { return []control.BufferedHeartbeat{{Worker: "w"}} }
+		c.spread.cfg.Heard = func([]control.BufferedHeartbeat) { time.Sleep(way) }
 		c.lead(5)
 		must.Eq(t, 1, c.startMany(1))
 		must.Eq(t, 1, c.workers["carrier-0"].started())
@@ -279,7 +279,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(t.Context(), 10*membersPause)
 			defer cancel()
-			_, _ = c.spread.Look(ctx, control.Target{Worker: "w"}, control.LookOrder{})
+			_, _ = c.spread.Poll(ctx, control.Target{Worker: "w"}, control.PollOrder{})
 		}()
 		c.setMembers("leader")
 		c.setMembers("leader", "carrier-0")
--- a/internal/carrier/fake_test.go
+++ b/internal/carrier/fake_test.go
@@ -52,7 +52,7 @@
 	}
 	c.spread = NewSpread(Config{
 		Own: "leader", Members: c.present, Transport: c,
-		Direct: c.workers["leader"], Heard: func([]control.HeardWorker) {}, Logger: log.NewNopLogger(), Counters: noCounters{},
+		Direct: c.workers["leader"], Heard: func([]control.BufferedHeartbeat) {}, Logger: log.NewNopLogger(), Counters: noCounters{},
 	})
 	return c
 }
@@ -81,7 +81,7 @@
 func newTestCarrier(workers control.Workers, dataCentre string) *Carrier {
 	return NewCarrier(CarrierConfig{
 		Workers: workers, DataCentre: dataCentre, Counters: noCounters{},
-		TakeHeard: func() []control.HeardWorker { return nil },
+		TakeHeard: func() []control.BufferedHeartbeat { return nil },
 	})
 }
 
@@ -220,7 +220,7 @@
 }
 
 // Look answers at once with one end.
-func (w *fakeWorkers) Look(_ context.Context, _ control.Target, order control.LookOrder) (control.Report, error) {
+func (w *fakeWorkers) Poll(_ context.Context, _ control.Target, order control.PollOrder) (control.Report, error) {
 	time.Sleep(way + w.holdLooks)
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/carrier/link_test.go
+++ b/internal/carrier/link_test.go
@@ -31,7 +31,7 @@
 	address, stop := realCarrier(t, workers)
 	spread := NewSpread(Config{
 		Own: "own", Members: func() []string { return []string{"own", address} }, Transport: link.NewClient(100),
-		Direct: own, Heard: func([]control.HeardWorker) {}, Logger: log.NewNopLogger(), Counters: noCounters{},
+		Direct: own, Heard: func([]control.BufferedHeartbeat) {}, Logger: log.NewNopLogger(), Counters: noCounters{},
 	})
 	spread.Lead(t.Context(), 3)
 	to := control.Target{Worker: "w", Address: "a"}
--- a/internal/carrier/messages.go
+++ b/internal/carrier/messages.go
@@ -38,7 +38,7 @@
 	Start    *control.StartOrder    `cbor:"3,keyasint,omitempty"`
 	Stop     *control.StopOrder     `cbor:"4,keyasint,omitempty"`
 	Throttle *control.ThrottleOrder `cbor:"5,keyasint,omitempty"`
-	Look     *control.LookOrder     `cbor:"6,keyasint,omitempty"`
+	Look     *control.PollOrder     `cbor:"6,keyasint,omitempty"`
 	// Within is how long the carrier may wait for the worker's answer.
 	Within time.Duration `cbor:"7,keyasint"`
 }
@@ -54,7 +54,7 @@
 		outcome.ClockMS, err = workers.Throttle(ctx, o.To, *o.Throttle)
 	case o.Look != nil:
 		var report control.Report
-		report, err = workers.Look(ctx, o.To, *o.Look)
+		report, err = workers.Poll(ctx, o.To, *o.Look)
 		outcome.Report = &report
 	}
 	return outcome, err
@@ -95,7 +95,7 @@
 	// that were handed to it before.
 	Epoch uint64 `cbor:"5,keyasint"`
 	// Heard are the heartbeats that the carrier's instance took.
-	Heard []control.HeardWorker `cbor:"6,keyasint,omitempty"`
+	Heard []control.BufferedHeartbeat `cbor:"6,keyasint,omitempty"`
 }
 
 // Outcome is what became of an order.
--- a/internal/carrier/spread.go
+++ b/internal/carrier/spread.go
@@ -37,7 +37,7 @@
 	// Direct calls workers from here.
 	Direct control.Workers
 	// Heard takes in the heartbeats that other instances took.
-	Heard    func([]control.HeardWorker)
+	Heard    func([]control.BufferedHeartbeat)
 	Logger   log.Logger
 	Counters control.Counters
 }
@@ -191,7 +191,7 @@
 }
 
 // Look asks for a worker's lists.
-func (s *Spread) Look(ctx context.Context, to control.Target, order control.LookOrder) (control.Report, error) {
+func (s *Spread) Poll(ctx context.Context, to control.Target, order control.PollOrder) (control.Report, error) {
 	outcome, err := s.send(ctx, &Order{To: to, Look: &order})
 	switch {
 	case err != nil:
--- a/internal/cell/decide.go
+++ b/internal/cell/decide.go
@@ -91,7 +91,7 @@
 	}
 	t.nextOverdue = now.Add(overdueCheck)
 	var overdue []string
-	c.machine.View(func(s *state.State) { overdue = s.Overdue(now.UnixMilli()) })
+	c.machine.View(func(s *state.State) { overdue = s.OverdueJobs(now.UnixMilli()) })
 	for _, id := range overdue {
 		refuse := &state.Refuse{Job: id, Kind: fault.DeadlineUnreachable, Detail: "the deadline has passed"}
 		if _, err := c.propose(ctx, &state.Command{Refuse: refuse}); err != nil {
@@ -122,7 +122,7 @@
 	t.leases.Expired(c.monotonic())
 	c.machine.View(func(s *state.State) {
 		for id, w := range s.Workers {
-			if !w.Down && t.leases.Over(id, w.Incarnation) {
+			if !w.Down && t.leases.Fenced(id, w.Incarnation) {
 				over = append(over, &state.WorkerDown{ID: id, Incarnation: w.Incarnation})
 			}
 		}
@@ -171,7 +171,7 @@
 		for _, start := range starts {
 			item := state.StartItem{Job: start.Job, Worker: start.Worker}
 			if j := s.Jobs[start.Job]; j != nil && start.Need != j.Spec.Need {
-				item.Raised = &start.Need
+				item.RaisedNeed = &start.Need
 			}
 			items = append(items, item)
 		}
--- a/internal/cell/handover.go
+++ b/internal/cell/handover.go
@@ -99,7 +99,7 @@
 func (c *Cell) settleOffers(ctx context.Context, t *tenure) bool {
 	byTaker := make(map[string][]*state.Job)
 	for _, j := range c.openOffers() {
-		byTaker[j.HandedTo] = append(byTaker[j.HandedTo], j)
+		byTaker[j.HandoverDataCentre] = append(byTaker[j.HandoverDataCentre], j)
 	}
 	var failed atomic.Bool
 	var offers sync.WaitGroup
@@ -135,19 +135,19 @@
 		FromDataCentre: c.base.Instance.DataCentre, Job: j.ID, Customer: j.Customer,
 		Spec: wire.SpecToAPI(j.Spec, ""), SubmittedUnixMs: j.Submitted, Withdraw: j.Kind == fault.Cancelled,
 	}
-	answer, err := c.offer(ctx, j.HandedTo, request)
+	answer, err := c.offer(ctx, j.HandoverDataCentre, request)
 	if err != nil {
-		t.setAway(j.HandedTo, c.now().Add(awayFor))
+		t.setAway(j.HandoverDataCentre, c.now().Add(awayFor))
 		return err
 	}
-	offered := &state.Offered{Job: j.ID, To: j.HandedTo, Accepted: answer.Accepted, Withdrawn: request.Withdraw}
+	offered := &state.RecordHandoverAnswer{Job: j.ID, To: j.HandoverDataCentre, Accepted: answer.Accepted, Withdrawn: request.Withdraw}
 	if !answer.Accepted && !request.Withdraw {
 		offered.Kind, _ = fault.Parse(answer.ReasonKind)
 		offered.Detail = answer.Reason
 		request.Probe = true
-		offered.Next = c.findTaker(ctx, t, request, append(slices.Clone(j.Tried), j.HandedTo))
+		offered.Next = c.findTaker(ctx, t, request, append(slices.Clone(j.RefusedBy), j.HandoverDataCentre))
 	}
-	_, err = c.propose(ctx, &state.Command{Offered: offered})
+	_, err = c.propose(ctx, &state.Command{RecordHandoverAnswer: offered})
 	return err
 }
 
@@ -185,7 +185,7 @@
 	if r.Probe {
 		return offerAnswer(!take.Refused, take.Kind, take.Detail), nil
 	}
-	if _, err := p.propose(ctx, &state.Command{TakeOver: take}); err != nil {
+	if _, err := p.propose(ctx, &state.Command{AnswerHandoverOffer: take}); err != nil {
 		return nil, err
 	}
 	t.poke()
@@ -211,8 +211,8 @@
 }
 
 // judgeOffer says what the answer to an offer is, and books what it needs.
-func (p *peerServer) judgeOffer(t *tenure, r *apiv1.OfferRequest) (take *state.TakeOver, release func()) {
-	take = &state.TakeOver{Job: r.Job, Customer: r.Customer, From: r.FromDataCentre, Submitted: r.SubmittedUnixMs}
+func (p *peerServer) judgeOffer(t *tenure, r *apiv1.OfferRequest) (take *state.AnswerHandoverOffer, release func()) {
+	take = &state.AnswerHandoverOffer{Job: r.Job, Customer: r.Customer, From: r.FromDataCentre, Submitted: r.SubmittedUnixMs}
 	spec, err := wire.CheckSpec(r.Spec, p.base.Settings.Limits, p.now())
 	if err != nil {
 		// The deadline may have passed while the offer was under way.
@@ -233,9 +233,9 @@
 
 // answered returns the committed answer to an offer.
 func (c *Cell) answered(job string) (*apiv1.OfferResponse, bool) {
-	var record state.OfferRecord
+	var record state.HandoverAnswerRecord
 	var ok bool
-	c.machine.View(func(s *state.State) { record, ok = s.Offers[job] })
+	c.machine.View(func(s *state.State) { record, ok = s.HandoverAnswers[job] })
 	return offerAnswer(record.Accepted, record.Kind, record.Detail), ok
 }
 
--- a/internal/cell/log.go
+++ b/internal/cell/log.go
@@ -33,7 +33,7 @@
 // propose writes one command to the log of the data centre.
 func (c *Cell) propose(ctx context.Context, command *state.Command) (state.Result, error) {
 	stamp := c.base.Clock.Now(c.now())
-	command.Now, command.Logical, command.By = stamp.Wall, stamp.Logical, c.base.Instance.ID+"/cell"
+	command.Now, command.Logical, command.Proposer = stamp.Wall, stamp.Logical, c.base.Instance.ID+"/cell"
 	command.Term = c.log.Status().Term
 	data, err := command.Encode()
 	if err != nil {
--- a/internal/cell/machine.go
+++ b/internal/cell/machine.go
@@ -52,7 +52,7 @@
 	c := m.state.TakeChanges()
 	stamp := hlc.Stamp{Wall: command.Now, Logical: command.Logical}
 	for _, e := range c.Events {
-		m.events.RecordAt(stamp, command.By, e.Kind, e.Detail, e.Subjects...)
+		m.events.RecordAt(stamp, command.Proposer, e.Kind, e.Detail, e.Subjects...)
 	}
 	if !m.collect {
 		return
@@ -65,7 +65,7 @@
 	into.Unplaced = append(into.Unplaced, c.Unplaced...)
 	into.Stops = append(into.Stops, c.Stops...)
 	into.Samples = append(into.Samples, c.Samples...)
-	into.Tries = append(into.Tries, c.Tries...)
+	into.AttemptResults = append(into.AttemptResults, c.AttemptResults...)
 	into.Quota = into.Quota || c.Quota
 	for id := range c.Queues {
 		into.Queues[id] = struct{}{}
--- a/internal/cell/operations.go
+++ b/internal/cell/operations.go
@@ -38,7 +38,7 @@
 	response := &apiv1.WorkersResponse{}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	aside := t.cluster.SetAside()
+	aside := t.cluster.Quarantined()
 	c.machine.View(func(s *state.State) {
 		for id := range s.Workers {
 			response.Workers = append(response.Workers, c.workerInfo(s, t, id, aside))
@@ -54,7 +54,7 @@
 	return &apiv1.WorkerInfo{
 		Id: id, Rack: w.Rack, DataCentre: c.base.Instance.DataCentre, Capacity: wire.ResourcesToAPI(w.Capacity),
 		Used: wire.ResourcesToAPI(w.Used), Draining: w.Draining, SetAside: slices.Contains(aside, id),
-		Connected: !w.Down && t.leases.Live(id, c.monotonic()), Tasks: int32(len(s.OnWorker(id))),
+		Connected: !w.Down && t.leases.Live(id, c.monotonic()), Tasks: int32(len(s.AttemptsOnWorker(id))),
 	}
 }
 
--- a/internal/cell/outbox.go
+++ b/internal/cell/outbox.go
@@ -69,7 +69,7 @@
 	}
 	box = newOutbox(t.term, incarnation)
 	t.outboxes[worker] = box
-	for _, ref := range s.OnWorker(worker) {
+	for _, ref := range s.AttemptsOnWorker(worker) {
 		task := s.Jobs[ref.Job].Tasks[ref.Task]
 		if task.Incarnation != incarnation {
 			continue
@@ -107,7 +107,7 @@
 	}
 	return &apiv1.Command{Body: &apiv1.Command_Start{Start: &apiv1.StartTask{
 		Attempt:           wire.RefToAPI(ref),
-		Need:              wire.ResourcesToAPI(j.Held(int(ref.Task))),
+		Need:              wire.ResourcesToAPI(j.HeldResources(int(ref.Task))),
 		Payload:           j.Spec.Payload,
 		DeclaredRuntimeMs: j.Spec.Runtime.Milliseconds(),
 		DeadlineUnixMs:    j.Spec.Deadline,
--- a/internal/cell/quota.go
+++ b/internal/cell/quota.go
@@ -39,7 +39,7 @@
 		return quota.Config{}, err
 	}
 	config := quota.Config{
-		Version: version, Generation: parsed.Quota.Generation, Founders: parsed.Quota.DataCentres,
+		Version: version, Generation: parsed.Quota.Generation, InitialOwners: parsed.Quota.DataCentres,
 		Limits: make(map[string]placement.Resources),
 	}
 	for _, customer := range parsed.Customers {
@@ -61,10 +61,10 @@
 	if err != nil {
 		return err
 	}
-	if len(before.Founders) == 0 && len(next.Founders) == 0 {
+	if len(before.InitialOwners) == 0 && len(next.InitialOwners) == 0 {
 		return nil
 	}
-	if len(before.Founders) == 0 {
+	if len(before.InitialOwners) == 0 {
 		before.Version = 0
 	}
 	if err := before.Check(next); err != nil {
@@ -118,8 +118,8 @@
 }
 
 // planAsks notes the demand of each customer and plans whom to ask.
-func (c *Cell) planAsks(t *tenure) []quota.Ask {
-	var asks []quota.Ask
+func (c *Cell) planAsks(t *tenure) []quota.TransferRequest {
+	var asks []quota.TransferRequest
 	t.planning.Lock()
 	defer t.planning.Unlock()
 	c.machine.View(func(s *state.State) {
@@ -128,14 +128,14 @@
 		}
 		demand := s.Demand()
 		t.planner.Tick()
-		var lacking []quota.Want
+		var lacking []quota.Demand
 		for customer, need := range demand {
 			if lack, some := lacks(need, s.Allotment(customer)); some {
-				lacking = append(lacking, quota.Want{Customer: customer, Need: lack})
+				lacking = append(lacking, quota.Demand{Customer: customer, Amount: lack})
 			}
 		}
-		slices.SortFunc(lacking, func(a, b quota.Want) int { return strings.Compare(a.Customer, b.Customer) })
-		asks = t.planner.Ask(s.Quota(), lacking)
+		slices.SortFunc(lacking, func(a, b quota.Demand) int { return strings.Compare(a.Customer, b.Customer) })
+		asks = t.planner.Requests(s.Quota(), lacking)
 	})
 	return asks
 }
@@ -163,29 +163,29 @@
 }
 
 // askFor sends one ask, commits what comes back, and acknowledges it.
-func (c *Cell) askFor(ctx context.Context, t *tenure, ask quota.Ask) {
+func (c *Cell) askFor(ctx context.Context, t *tenure, ask quota.TransferRequest) {
 	reply, err := c.sendAsk(ctx, ask)
 	if err != nil {
 		return
 	}
 	t.planning.Lock()
-	t.planner.Heard(reply)
+	t.planner.Observe(reply)
 	t.planning.Unlock()
 	if reply.Transfer.Sequence == 0 {
 		return
 	}
 	result, err := c.propose(ctx, &state.Command{Quota: &state.Quota{Take: &reply.Transfer}})
-	if err != nil || result.Err != nil && !errors.Is(result.Err, quota.ErrRepeat) {
+	if err != nil || result.Err != nil && !errors.Is(result.Err, quota.ErrDuplicate) {
 		return
 	}
 	t.poke()
-	var acknowledgement quota.Ask
-	c.machine.View(func(s *state.State) { acknowledgement = s.Quota().Ask(ask.To) })
+	var acknowledgement quota.TransferRequest
+	c.machine.View(func(s *state.State) { acknowledgement = s.Quota().Request(ask.To) })
 	// A lost acknowledgement is made up for by the next ask.
 	_, _ = c.sendAsk(ctx, acknowledgement)
 }
 
-func (c *Cell) sendAsk(ctx context.Context, ask quota.Ask) (quota.Reply, error) {
+func (c *Cell) sendAsk(ctx context.Context, ask quota.TransferRequest) (quota.Reply, error) {
 	var reply quota.Reply
 	message, err := cbor.Marshal(ask)
 	if err != nil {
@@ -218,7 +218,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var ask quota.Ask
+	var ask quota.TransferRequest
 	if r.FormatVersion != quotaFormat {
 		return nil, fault.Field("format_version", "%d, this program speaks %d", r.FormatVersion, quotaFormat)
 	}
@@ -237,12 +237,12 @@
 }
 
 // settleAsk commits what an ask acknowledges and what it is given.
-func (p *peerServer) settleAsk(ctx context.Context, t *tenure, ask quota.Ask) error {
+func (p *peerServer) settleAsk(ctx context.Context, t *tenure, ask quota.TransferRequest) error {
 	step := &state.Quota{Forget: &ask}
-	if len(ask.Wants) > 0 {
-		var answer quota.Answer
+	if len(ask.Demands) > 0 {
+		var answer quota.DebitCommand
 		t.planning.Lock()
-		p.machine.View(func(s *state.State) { answer = t.planner.Answer(ask, needOf(s)) })
+		p.machine.View(func(s *state.State) { answer = t.planner.DebitCommand(ask, needOf(s)) })
 		t.planning.Unlock()
 		step = &state.Quota{Give: &answer}
 	}
--- a/internal/cell/scheduler.go
+++ b/internal/cell/scheduler.go
@@ -73,7 +73,7 @@
 }
 
 func (c *Cell) recall(request state.Request) (first state.Result, ok bool) {
-	c.machine.View(func(s *state.State) { first, ok = s.Recall(request) })
+	c.machine.View(func(s *state.State) { first, ok = s.FirstAnswer(request) })
 	return first, ok
 }
 
@@ -85,19 +85,19 @@
 		return release
 	}
 	if spec.DataCentre == "" {
-		submit.HandTo = c.findTaker(ctx, t, &apiv1.OfferRequest{
+		submit.HandoverTo = c.findTaker(ctx, t, &apiv1.OfferRequest{
 			FromDataCentre: c.base.Instance.DataCentre, Customer: submit.Customer, Spec: spec, Probe: true,
 			SubmittedUnixMs: c.now().UnixMilli(),
 		}, nil)
 	}
-	if submit.HandTo != "" {
+	if submit.HandoverTo != "" {
 		return release
 	}
 	c.stats.Refusals.Add(1)
 	submit.Refused = true
 	submit.Kind = kindOf(verdict.Reason)
 	submit.Detail = verdict.Detail
-	submit.Retry = verdict.RetryAfter
+	submit.RetryAfter = verdict.RetryAfter
 	return release
 }
 
@@ -112,7 +112,7 @@
 // before the others are committed, all are admitted on the same free capacity,
 // and accepted work misses its deadline. A booked job waits in the queue under an
 // id of its own, held back, until its proposal is decided.
-func (c *Cell) judge(t *tenure, customer string, spec state.Spec, now time.Time) (verdict placement.Verdict, release func()) {
+func (c *Cell) judge(t *tenure, customer string, spec state.Spec, now time.Time) (verdict placement.AdmissionDecision, release func()) {
 	job := placement.Job{
 		ID: bookingPrefix + strconv.FormatUint(t.bookings.Add(1), 10), Customer: customer, Name: spec.Name,
 		Policy: spec.Policy, Tasks: spec.Tasks, Need: spec.Need, Runtime: spec.Runtime, Submitted: now,
@@ -173,13 +173,13 @@
 }
 
 func (c *Cell) submission(j *state.Job) (*apiv1.SubmitResponse, error) {
-	if j.State.Ended() && len(j.Tried) > 0 && j.Kind != fault.Cancelled {
+	if j.State.Ended() && len(j.RefusedBy) > 0 && j.Kind != fault.Cancelled {
 		return nil, fault.New(j.Kind, "%s", j.Reason)
 	}
 	home := c.base.Instance.DataCentre
 	stateNow := apiv1.JobState(j.State)
 	if j.HandoverDone {
-		home = j.HandedTo
+		home = j.HandoverDataCentre
 		stateNow = apiv1.JobState_JOB_STATE_QUEUED
 	}
 	return &apiv1.SubmitResponse{Id: j.ID, DataCentre: home, State: stateNow}, nil
@@ -249,7 +249,7 @@
 	var err error
 	c.machine.View(func(s *state.State) {
 		var jobs []*state.Job
-		jobs, err = s.Select(cancel)
+		jobs, err = s.SelectForCancel(cancel)
 		for _, j := range jobs {
 			response.Ids = append(response.Ids, j.ID)
 		}
@@ -376,7 +376,7 @@
 	if j == nil || !sees(caller, j) {
 		return nil, fault.New(fault.NotFound, "no job %q", r.Id)
 	}
-	if queued, _ := j.Queued(); queued.Tasks == 0 || j.State.Ended() {
+	if queued, _ := j.PlacementJob(); queued.Tasks == 0 || j.State.Ended() {
 		return &apiv1.ExplainResponse{Summary: endSummary(j)}, nil
 	}
 	t.mu.Lock()
--- a/internal/cell/tenure.go
+++ b/internal/cell/tenure.go
@@ -116,9 +116,9 @@
 			owned = append(owned, w.ID)
 		}
 	}
-	t.leases.Own(now, owned)
+	t.leases.TakeOver(now, owned)
 	for _, w := range s.Workers {
-		t.leases.Expect(w.ID, w.Incarnation)
+		t.leases.RecordIncarnation(w.ID, w.Incarnation)
 	}
 }
 
@@ -147,7 +147,7 @@
 	}
 	live := t.leases.Live(w.ID, now)
 	t.cluster.SetWorker(placement.Worker{
-		ID: w.ID, Rack: w.Rack, Capacity: w.Capacity, Draining: w.Draining, Live: live, Awaited: !live,
+		ID: w.ID, Rack: w.Rack, Capacity: w.Capacity, Draining: w.Draining, Live: live, AwaitingRenewal: !live,
 	})
 }
 
@@ -157,7 +157,7 @@
 		t.cluster.Dequeue(id)
 		return
 	}
-	queued, waits := j.Queued()
+	queued, waits := j.PlacementJob()
 	if !waits {
 		t.cluster.Dequeue(id)
 		return
@@ -193,16 +193,16 @@
 	for _, sample := range changes.Samples {
 		t.cluster.Learn(sample)
 	}
-	for _, try := range changes.Tries {
+	for _, try := range changes.AttemptResults {
 		t.learnTry(try, c.now())
 	}
 	for _, stop := range changes.Stops {
-		t.cluster.Stopping(stop.Ref.Job, int(stop.Ref.Task))
+		t.cluster.MarkStopping(stop.Ref.Job, int(stop.Ref.Task))
 		t.send(stop.Worker, stop.Incarnation, stopCommand(stop.Ref))
 	}
 }
 
-func (t *tenure) learnTry(try state.Try, now time.Time) {
+func (t *tenure) learnTry(try state.AttemptResult, now time.Time) {
 	if try.Failed {
 		t.cluster.ReportFailure(try.Worker, try.Job, now)
 		return
--- a/internal/control/account.go
+++ b/internal/control/account.go
@@ -7,9 +7,9 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// claimAfter is how long a run may be unaccounted for before the leader has it stopped: a
+// orphanTimeout is how long a run may be unaccounted for before the leader has it stopped: a
 // worker's list that shows its end may be late by a held look's way and a commit.
-const claimAfter = time.Second
+const orphanTimeout = time.Second
 
 // runCounts are the runs that count as alive, and those of them whose end nothing at hand
 // would tell.
@@ -21,7 +21,7 @@
 
 // countRuns goes over all runs that may be alive and notes which are unaccounted for.
 // t.mu is held.
-func (t *tenure) countRuns(s *workflow.State, now time.Time) {
+func (t *leaderTerm) countRuns(s *workflow.State, now time.Time) {
 	for _, session := range t.sessions {
 		session.dropStaleOrders(s)
 	}
@@ -34,7 +34,7 @@
 			if session != nil && session.accountsFor(run, now) {
 				continue
 			}
-			since, known := t.unaccounted[run]
+			since, known := t.unaccountedSince[run]
 			if !known {
 				since = now
 			}
@@ -43,14 +43,14 @@
 			counts.longest = max(counts.longest, now.Sub(since))
 		}
 	}
-	t.unaccounted, t.runCounts = unaccounted, counts
+	t.unaccountedSince, t.runCounts = unaccounted, counts
 }
 
 // accountsFor reports whether something that is bound to come will tell the end of a run:
 // the answer to a start, a list that shows the run, a stop that is repeated, the first
 // whole list of a worker for a run that an earlier leader ordered, or the end of the
 // lease of a worker that doesn't answer. t.mu is held.
-func (s *session) accountsFor(run workflow.Run, now time.Time) bool {
+func (s *workerSession) accountsFor(run workflow.Run, now time.Time) bool {
 	if !s.ready {
 		return true
 	}
@@ -59,56 +59,56 @@
 		return s.inherited[run.Task] == run.Number
 	}
 	switch {
-	case o.endKnown, o.sending, o.unanswered && o.abandoned:
+	case o.endKnown, o.startInProgress, o.unanswered && o.abandoned:
 		return true
-	case !o.claimed && now.Sub(o.stopSent) < 2*stopAgain:
+	case !o.orphaned && now.Sub(o.stopSent) < 2*stopRetryInterval:
 		return true
-	case s.listsSent.Before(o.settledAt), s.listsSent.Before(o.stopAcked):
+	case s.fullReportSentAt.Before(o.startCallsEndedAt), s.fullReportSentAt.Before(o.stopAcked):
 		// No list that was asked for since the start, or the stop, was answered has come in
 		// yet.
 		return true
 	}
-	return !o.listedSent.Before(s.listsSent)
+	return !o.listedByPollSentAt.Before(s.fullReportSentAt)
 }
 
-// isUnclaimed reports whether a run has been unaccounted for so long that its end has to be
+// isOrphaned reports whether a run has been unaccounted for so long that its end has to be
 // made sure of. t.mu is held.
 //
 // Failure guarded against: whatever was to tell the end of a run didn't come, and it counts
 // as alive for as long as the leader leads: its task never runs again, though nothing waits
 // and room is free. A stop that is repeated until the worker has acknowledged it, and the
 // whole lists after that, settle any run, without regard to how it got lost.
-func (t *tenure) isUnclaimed(run workflow.Run, now time.Time) bool {
-	since, unaccounted := t.unaccounted[run]
-	return unaccounted && now.Sub(since) >= claimAfter
+func (t *leaderTerm) isOrphaned(run workflow.Run, now time.Time) bool {
+	since, unaccounted := t.unaccountedSince[run]
+	return unaccounted && now.Sub(since) >= orphanTimeout
 }
 
 // adoptWorkers begins to look after workers that nobody looks after though runs of theirs
 // may be alive. Those that don't answer lose them when their lease has ended. t.mu is held.
-func (t *tenure) adoptWorkers(s *workflow.State, now time.Time) {
-	for run := range t.unaccounted {
+func (t *leaderTerm) adoptWorkers(s *workflow.State, now time.Time) {
+	for run := range t.unaccountedSince {
 		state := s.Workers[run.Worker]
-		if t.sessions[run.Worker] != nil || state == nil || !t.isUnclaimed(run, now) {
+		if t.sessions[run.Worker] != nil || state == nil || !t.isOrphaned(run, now) {
 			continue
 		}
-		t.noteClaimed(run, now)
+		t.noteOrphan(run, now)
 		session := t.addSession(state.Worker, nil)
-		t.noteOutlived(session, s)
+		t.linkToSuccessor(session, s)
 		// Starts of this tenure may have prolonged its lease until now.
-		session.leaseEnd = now.Add(lapsesWithin(t.lease))
-		t.goTask(session.run)
+		session.leaseEnd = now.Add(leaseUpperBound(t.lease))
+		t.spawn(session.run)
 	}
 	// The worker's first lists tell whether they are alive.
-	maps.DeleteFunc(t.unaccounted, func(run workflow.Run, _ time.Time) bool {
+	maps.DeleteFunc(t.unaccountedSince, func(run workflow.Run, _ time.Time) bool {
 		return t.sessions[run.Worker] != nil && !t.sessions[run.Worker].ready
 	})
 }
 
-// noteClaimed tells that a run was found that nothing would have ended. t.mu is held.
-func (t *tenure) noteClaimed(run workflow.Run, now time.Time) {
+// noteOrphan tells that a run was found that nothing would have ended. t.mu is held.
+func (t *leaderTerm) noteOrphan(run workflow.Run, now time.Time) {
 	t.c.cfg.Counters.Add("runs_claimed", 1)
 	t.logger.Log("event", "run_claimed", "task", run.Task, "run", run.Number, "worker", run.Worker,
-		"unaccounted_ms", now.Sub(t.unaccounted[run]).Milliseconds(), "looked_after", t.sessions[run.Worker] != nil)
+		"unaccounted_ms", now.Sub(t.unaccountedSince[run]).Milliseconds(), "looked_after", t.sessions[run.Worker] != nil)
 }
 
 // dropStaleOrders forgets orders whose runs the log no longer has. t.mu is held.
@@ -116,9 +116,9 @@
 // Failure guarded against: a run is lost with its worker's lease right between the commit of
 // its start and the making of its order. The order has no answer ever, and the worker is
 // given nothing when it is back.
-func (s *session) dropStaleOrders(state *workflow.State) {
+func (s *workerSession) dropStaleOrders(state *workflow.State) {
 	runs := state.Runs[s.worker.ID]
-	maps.DeleteFunc(s.orders, func(task workflow.TaskKey, o *order) bool {
-		return !o.sending && runs[task].Number != o.run.Number
+	maps.DeleteFunc(s.orders, func(task workflow.TaskKey, o *runOrder) bool {
+		return !o.startInProgress && runs[task].Number != o.run.Number
 	})
 }
--- a/internal/control/admit.go
+++ b/internal/control/admit.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// mostQueued is how many steps may be queued when a further job is accepted: as
+	// maxQueuedSteps is how many steps may be queued when a further job is accepted: as
 	// many as eight decisions go into, and more than bursts of twice the usual load bring.
-	mostQueued = 8 * planSteps
-	// queuedRetry is when a caller is told to come back that was refused for the
+	maxQueuedSteps = 8 * maxPlannedSteps
+	// queueFullRetryAfter is when a caller is told to come back that was refused for the
 	// queue's sake: late enough for the queue to be drained, soon enough for a caller
 	// that waits for 3 s in all.
-	queuedRetry = 2 * time.Second
+	queueFullRetryAfter = 2 * time.Second
 )
 
-// noteQueue takes in how many steps a decision found.
-func (t *tenure) noteQueue(v *view) {
+// setQueueLength takes in how many steps a decision found.
+func (t *leaderTerm) setQueueLength(v *planInput) {
 	queued := 0
 	for i := range v.steps {
 		if !v.steps[i].Copy {
@@ -27,20 +27,20 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.queued = queued
+	t.incompleteSteps = queued
 }
 
-// handIn notes that a job is being committed, until done is called.
-func (t *tenure) handIn(job string) (done func()) {
+// beginSubmission notes that a job is being committed, until done is called.
+func (t *leaderTerm) beginSubmission(job string) (done func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.handedIn[job]++
+	t.pendingSubmits[job]++
 	return func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.handedIn[job]--
-		if t.handedIn[job] == 0 {
-			delete(t.handedIn, job)
+		t.pendingSubmits[job]--
+		if t.pendingSubmits[job] == 0 {
+			delete(t.pendingSubmits, job)
 		}
 	}
 }
@@ -56,11 +56,11 @@
 // a burst. Each job that is accepted then makes decisions longer and all others
 // later, and with 8500 queued steps nothing was served for the rest of the day. A
 // caller that is refused knows at once and may come back.
-func (t *tenure) admit(id string) error {
+func (t *leaderTerm) admit(id string) error {
 	t.mu.Lock()
-	queued, beingCommitted := t.queued, t.handedIn[id] > 0
+	queued, beingCommitted := t.incompleteSteps, t.pendingSubmits[id] > 0
 	t.mu.Unlock()
-	if queued < mostQueued || beingCommitted {
+	if queued < maxQueuedSteps || beingCommitted {
 		return nil
 	}
 	// What was being committed a moment ago is known by now.
@@ -70,5 +70,5 @@
 		return nil
 	}
 	t.c.cfg.Counters.Add("jobs_refused_queue", 1)
-	return fault.Retry(fault.Overloaded, queuedRetry, "%d steps are queued", queued)
+	return fault.Retry(fault.Overloaded, queueFullRetryAfter, "%d steps are queued", queued)
 }
--- a/internal/control/admit_test.go
+++ b/internal/control/admit_test.go
@@ -14,14 +14,14 @@
 // Order: thousands of steps are queued; each further job makes decisions longer; what
 // is accepted can't be in time any more.
 // Cause: every job was accepted, however long the queue.
-func TestANewJobIsRefusedAtOnceWhileTheQueueIsTooLong(t *testing.T) {
-	ten := loadedTenure(t, load{workers: 1})
+func TestAdmitRefusesNewJobWhenQueueIsFull(t *testing.T) {
+	ten := loadedTerm(t, benchmarkLoad{workers: 1})
 	_, err := ten.propose(submission("a"))
 	must.NoError(t, err)
-	ten.queued = mostQueued
+	ten.incompleteSteps = maxQueuedSteps
 	refused := ten.admit("b")
 	must.Eq(t, fault.Overloaded, fault.KindOf(refused))
-	must.Eq(t, queuedRetry, fault.From(refused).RetryAfter)
+	must.Eq(t, queueFullRetryAfter, fault.From(refused).RetryAfter)
 	must.NoError(t, ten.admit("a"), must.Sprint("a known job is answered as such"))
 	ten.c.state.read(func(s *workflow.State) { must.MapNotContainsKey(t, s.Jobs, "b") })
 	ten.decide()
@@ -32,26 +32,26 @@
 // Order: a call's commit takes long; the caller calls again, at another entry; the
 // queue has become too long meanwhile; the first commit succeeds.
 // Cause: only jobs that were committed counted as known.
-func TestAJobThatIsBeingCommittedIsNotRefused(t *testing.T) {
-	w := newWorld(t, nil)
-	ten, err := w.c.leading(context.Background())
+func TestAdmitAcceptsJobWhoseCommitIsInFlight(t *testing.T) {
+	w := newTestCluster(t, nil)
+	ten, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	call := func() error {
 		_, err := w.c.Submit(context.Background(), &SubmitCall{
-			Place: Place{Host: "h", Path: "/q/a"}, Payload: "payload", Steps: []workflow.Step{oneTask},
+			Address: JobAddress{Host: "h", Path: "/q/a"}, Payload: "payload", Steps: []workflow.Step{oneTask},
 		})
 		return err
 	}
 	again := make(chan error, 1)
 	first := true
 	w.log.mu.Lock()
-	w.log.begun = func(c workflow.Command) {
+	w.log.beforeApply = func(c workflow.Command) {
 		if c.Submit == nil || !first {
 			return
 		}
 		first = false
 		ten.mu.Lock()
-		ten.queued = mostQueued
+		ten.incompleteSteps = maxQueuedSteps
 		ten.mu.Unlock()
 		again <- call()
 	}
@@ -60,5 +60,5 @@
 	must.NoError(t, <-again)
 	ten.mu.Lock()
 	defer ten.mu.Unlock()
-	must.MapEmpty(t, ten.handedIn)
+	must.MapEmpty(t, ten.pendingSubmits)
 }
--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -14,9 +14,9 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// passOnEvery is how often a heartbeat that says nothing new goes on to the leader,
-// which would give a worker up after forgetWorker.
-const passOnEvery = 3 * time.Second
+// forwardInterval is how often a heartbeat that says nothing new goes on to the leader,
+// which would give a worker up after silentWorkerTimeout.
+const forwardInterval = 3 * time.Second
 
 // AnnounceKnown takes in a heartbeat on an instance that doesn't lead, and reports
 // whether that will do: the log has the worker as it announces itself, and a
@@ -26,7 +26,7 @@
 // hardly any of them says anything new.
 func (c *Controller) AnnounceKnown(r *Announcement) (AnnouncementReply, bool) {
 	r.Worker.Sequence = r.Sequence
-	if c.beats != nil || r.Worker.Draining || c.news(&r.Worker) {
+	if c.heartbeats != nil || r.Worker.Draining || c.needsCommit(&r.Worker) {
 		return AnnouncementReply{}, false
 	}
 	status := c.log.Status()
@@ -34,25 +34,25 @@
 		return AnnouncementReply{}, false
 	}
 	now := time.Now()
-	if !c.heardHere.note(r.Worker.ID, now) && !c.passedOn.recently(r.Worker.ID, now) {
+	if !c.heartbeatBuffer.buffer(r.Worker.ID, now) && !c.passedOn.recentlyForwarded(r.Worker.ID, now) {
 		return AnnouncementReply{}, false
 	}
 	return AnnouncementReply{HeartbeatAddress: c.cfg.Public}, true
 }
 
-// passedOn is when heartbeats of each worker last went on to a leader that doesn't ask
+// forwardedHeartbeats is when heartbeats of each worker last went on to a leader that doesn't ask
 // for them.
-type passedOn struct {
+type forwardedHeartbeats struct {
 	mu   sync.Mutex
-	told toldTimes
+	told forwardTimes
 }
 
 // recently reports whether a heartbeat of the worker went on lately; else this one
 // is noted as doing so.
-func (p *passedOn) recently(worker string, now time.Time) bool {
+func (p *forwardedHeartbeats) recentlyForwarded(worker string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.told.lately(worker, now) {
+	if p.told.isRecent(worker, now) {
 		return true
 	}
 	p.told.note(worker, now)
@@ -62,7 +62,7 @@
 // heartbeatAddress is where a worker sends its next heartbeats: to the leader where
 // it gets its orders with the answers, else to any other instance.
 func (c *Controller) heartbeatAddress(worker string) string {
-	if c.beats != nil {
+	if c.heartbeats != nil {
 		return c.cfg.Public
 	}
 	members := slices.DeleteFunc(c.cfg.Members(), func(address string) bool { return address == c.cfg.Address })
@@ -85,22 +85,22 @@
 func (c *Controller) Announce(ctx context.Context, r *Announcement) (AnnouncementReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	t, err := c.leading(ctx)
+	t, err := c.currentLeaderTerm(ctx)
 	if err != nil {
 		return AnnouncementReply{}, err
 	}
 	r.Worker.Sequence = r.Sequence
-	if c.news(&r.Worker) {
+	if c.needsCommit(&r.Worker) {
 		if _, err := c.propose(ctx, &workflow.Command{Worker: &r.Worker}); err != nil {
 			return AnnouncementReply{}, err
 		}
 		t.logger.Log("event", "worker", "worker", r.Worker.ID, "address", r.Worker.Address,
-			"draining", r.Worker.Draining, "capacity", describe(r.Worker.Capacity), "sequence", r.Sequence, "labels", strings.Join(r.Worker.Labels, ","))
+			"draining", r.Worker.Draining, "capacity", formatResources(r.Worker.Capacity), "sequence", r.Sequence, "labels", strings.Join(r.Worker.Labels, ","))
 	}
-	t.heard(&r.Worker, r.Remaining)
+	t.noteHeartbeat(&r.Worker, r.Remaining)
 	reply := AnnouncementReply{HeartbeatAddress: c.heartbeatAddress(r.Worker.ID)}
-	if c.beats != nil && r.Report != nil && t.looksAfter(r.Worker.ID) {
-		orders := c.beats.take(ctx, r.Worker.ID, t.fence, *r.Report)
+	if c.heartbeats != nil && r.Report != nil && t.monitors(r.Worker.ID) {
+		orders := c.heartbeats.exchange(ctx, r.Worker.ID, t.fence, *r.Report)
 		reply.Orders = &orders
 	}
 	return reply, nil
@@ -110,11 +110,11 @@
 // An incarnation that is over stays over, and one that drains doesn't come back:
 // such a heartbeat was delayed on its way, as was one with a lower sequence, or of a life
 // before the latest one.
-func (c *Controller) news(w *workflow.Worker) (isNew bool) {
+func (c *Controller) needsCommit(w *workflow.Worker) (isNew bool) {
 	c.state.read(func(s *workflow.State) {
 		known := s.Workers[w.ID]
 		switch {
-		case s.Outlived(w):
+		case s.Superseded(w):
 		case known == nil:
 			isNew = true
 		case known.Gone || known.Draining || w.Sequence < known.Sequence:
@@ -128,11 +128,11 @@
 // Leave takes note that an incarnation says that it ends. It counts as ended once
 // a look shows it.
 func (c *Controller) Leave(ctx context.Context, r *LeaveCall) (Empty, error) {
-	t, err := c.leading(ctx)
+	t, err := c.currentLeaderTerm(ctx)
 	if err != nil {
 		return Empty{}, err
 	}
 	t.logger.Log("event", "worker_left", "worker", r.Worker)
-	t.probe(t.latestLife(r.Worker, r.Name))
+	t.noteLeaving(t.latestIncarnation(r.Worker, r.Name))
 	return Empty{}, nil
 }
--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// beatHold is how long the answer to a heartbeat waits for an order, so that one
+	// heartbeatHold is how long the answer to a heartbeat waits for an order, so that one
 	// that comes up goes out at once.
-	beatHold = 100 * time.Millisecond
-	// beatAgain is when a worker is asked for its next heartbeat: with the hold, an
+	heartbeatHold = 100 * time.Millisecond
+	// heartbeatInterval is when a worker is asked for its next heartbeat: with the hold, an
 	// end is seen after 75 ms on average.
-	beatAgain = 50 * time.Millisecond
-	// beatTimeout is how long a worker waits for the answer to a heartbeat.
-	beatTimeout = time.Second
-	// promptBeat is the longest time from an answer to the next heartbeat of a
+	heartbeatInterval = 50 * time.Millisecond
+	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
+	heartbeatTimeout = time.Second
+	// promptHeartbeatMax is the longest time from an answer to the next heartbeat of a
 	// worker that has taken it: one that hasn't waits for the whole timeout.
-	promptBeat = beatTimeout - beatHold
+	promptHeartbeatMax = heartbeatTimeout - heartbeatHold
 	// confirmations is how many prompt heartbeats in a row show that what the
 	// answers before them carried has arrived. One may come from a connection that
 	// broke before the answer was through.
-	confirmations = 2
+	requiredConfirmations = 2
 )
 
-// BeatOrders is what the answer to a heartbeat carries for a worker that isn't
+// HeartbeatOrders is what the answer to a heartbeat carries for a worker that isn't
 // called.
-type BeatOrders struct {
+type HeartbeatOrders struct {
 	// Lease is how long what runs there may go on from the arrival of the answer.
 	Lease time.Duration `cbor:"1,keyasint,omitempty"`
 	// Seen is the last end that needn't be listed any more.
@@ -40,7 +40,7 @@
 	Starts []StartOrder   `cbor:"4,keyasint,omitempty"`
 	Stops  []workflow.Run `cbor:"5,keyasint,omitempty"`
 	// Again is when the next heartbeat is due.
-	Again time.Duration `cbor:"6,keyasint"`
+	NextIn time.Duration `cbor:"6,keyasint"`
 }
 
 // errUnconfirmed says that no heartbeat has shown an order's effect in time.
@@ -48,78 +48,78 @@
 
 // beats gives orders in the answers to heartbeats. It is the other way to speak
 // to workers, for deployments whose workers call and aren't called.
-type beats struct {
+type heartbeatTransport struct {
 	// throttler is used for the one order that isn't carried by heartbeats.
-	throttler Workers
+	direct Workers
 
-	mu    sync.Mutex
-	boxes map[string]*beatBox
+	mu        sync.Mutex
+	mailboxes map[string]*mailbox
 }
 
-func newBeats(throttler Workers) *beats {
-	return &beats{throttler: throttler, boxes: map[string]*beatBox{}}
+func newHeartbeatTransport(throttler Workers) *heartbeatTransport {
+	return &heartbeatTransport{direct: throttler, mailboxes: map[string]*mailbox{}}
 }
 
-// beatBox holds what one worker is to be told, and what it said last.
-type beatBox struct {
-	look LookOrder
+// mailbox holds what one worker is to be told, and what it said last.
+type mailbox struct {
+	poll PollOrder
 	// starts and stops are repeated until a heartbeat shows that they arrived.
-	starts map[workflow.TaskKey]*beatOrder
-	stops  map[workflow.Run]*beatOrder
+	starts map[workflow.TaskKey]*heartbeatOrder
+	stops  map[workflow.Run]*heartbeatOrder
 	// answeredAt is when the last answer was sent, confirmed counts the prompt
 	// heartbeats since an answer first carried the fence.
 	answeredAt time.Time
 	fence      uint64
 	confirmed  int
 	// ordered is closed when an order comes up, heard at a heartbeat.
-	ordered, heard chan struct{}
-	report         Report
+	orderAdded, heartbeatReceived chan struct{}
+	report                        Report
 }
 
-// beatOrder is an order on its way.
-type beatOrder struct {
+// heartbeatOrder is an order on its way.
+type heartbeatOrder struct {
 	start StartOrder
 	// carried says that an answer had it, confirmed counts the prompt heartbeats
 	// since then.
-	carried   bool
+	sent      bool
 	confirmed int
 	// arrived is closed when it has.
-	arrived chan struct{}
+	delivered chan struct{}
 }
 
-func (b *beats) box(worker string) *beatBox {
-	box := b.boxes[worker]
+func (b *heartbeatTransport) mailboxOf(worker string) *mailbox {
+	box := b.mailboxes[worker]
 	if box == nil {
-		box = &beatBox{
-			starts: map[workflow.TaskKey]*beatOrder{}, stops: map[workflow.Run]*beatOrder{},
-			ordered: make(chan struct{}), heard: make(chan struct{}),
+		box = &mailbox{
+			starts: map[workflow.TaskKey]*heartbeatOrder{}, stops: map[workflow.Run]*heartbeatOrder{},
+			orderAdded: make(chan struct{}), heartbeatReceived: make(chan struct{}),
 		}
-		b.boxes[worker] = box
+		b.mailboxes[worker] = box
 	}
 	return box
 }
 
 // forget drops what is held for workers other than those that are there.
-func (b *beats) forget(there func(worker string) bool) {
+func (b *heartbeatTransport) forget(there func(worker string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for worker := range b.boxes {
+	for worker := range b.mailboxes {
 		if !there(worker) {
-			delete(b.boxes, worker)
+			delete(b.mailboxes, worker)
 		}
 	}
 }
 
 // take takes a heartbeat's lists in and returns what its answer carries.
-func (b *beats) take(ctx context.Context, worker string, fence uint64, report Report) BeatOrders {
+func (b *heartbeatTransport) exchange(ctx context.Context, worker string, fence uint64, report Report) HeartbeatOrders {
 	b.mu.Lock()
-	box := b.box(worker)
-	box.hear(report, time.Now())
+	box := b.mailboxOf(worker)
+	box.noteHeartbeat(report, time.Now())
 	idle := len(box.starts) == 0 && len(box.stops) == 0
-	ordered := box.ordered
+	ordered := box.orderAdded
 	b.mu.Unlock()
 	if idle {
-		hold, cancel := context.WithTimeout(ctx, beatHold)
+		hold, cancel := context.WithTimeout(ctx, heartbeatHold)
 		defer cancel()
 		select {
 		case <-ordered:
@@ -128,68 +128,68 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return box.answer(fence, report, time.Now())
+	return box.makeAnswer(fence, report, time.Now())
 }
 
 // hear takes in a heartbeat. Lists that don't show a run say nothing of a start
 // on its way; that a stop or the fence has arrived is shown by the heartbeats
 // that follow the answer promptly.
-func (box *beatBox) hear(report Report, now time.Time) {
-	prompt := !box.answeredAt.IsZero() && now.Sub(box.answeredAt) < promptBeat
+func (box *mailbox) noteHeartbeat(report Report, now time.Time) {
+	prompt := !box.answeredAt.IsZero() && now.Sub(box.answeredAt) < promptHeartbeatMax
 	if prompt && box.fence > 0 {
 		box.confirmed++
 	} else {
 		box.confirmed = 0
 	}
 	for _, r := range report.Running {
-		box.startArrived(r.Task, r.Number)
+		box.noteStartDelivered(r.Task, r.Number)
 	}
 	for _, e := range report.Ended {
-		box.startArrived(e.Task, e.Number)
+		box.noteStartDelivered(e.Task, e.Number)
 	}
 	for run, stop := range box.stops {
-		if !stop.carried || !prompt {
+		if !stop.sent || !prompt {
 			stop.confirmed = 0
 			continue
 		}
 		stop.confirmed++
-		if stop.confirmed >= confirmations {
+		if stop.confirmed >= requiredConfirmations {
 			delete(box.stops, run)
-			close(stop.arrived)
+			close(stop.delivered)
 		}
 	}
 	box.report = report
-	close(box.heard)
-	box.heard = make(chan struct{})
+	close(box.heartbeatReceived)
+	box.heartbeatReceived = make(chan struct{})
 }
 
-func (box *beatBox) startArrived(task workflow.TaskKey, number int) {
+func (box *mailbox) noteStartDelivered(task workflow.TaskKey, number int) {
 	start := box.starts[task]
 	if start != nil && number >= start.start.Run.Number {
 		delete(box.starts, task)
-		close(start.arrived)
+		close(start.delivered)
 	}
 }
 
 // answer makes up an answer. The lease that a look wants ends at a time on the
 // worker's clock; the worker counts from the arrival, at latest when it would
 // have given the answer up.
-func (box *beatBox) answer(fence uint64, report Report, now time.Time) BeatOrders {
+func (box *mailbox) makeAnswer(fence uint64, report Report, now time.Time) HeartbeatOrders {
 	if box.fence != fence {
 		box.fence, box.confirmed = fence, 0
 	}
 	box.answeredAt = now
-	orders := BeatOrders{Fence: fence, Seen: box.look.Seen, Again: beatAgain}
-	if box.look.LeaseEndMS > 0 {
-		left := time.Duration(box.look.LeaseEndMS-report.ClockMS)*time.Millisecond - beatTimeout
+	orders := HeartbeatOrders{Fence: fence, Seen: box.poll.Seen, NextIn: heartbeatInterval}
+	if box.poll.LeaseEndMS > 0 {
+		left := time.Duration(box.poll.LeaseEndMS-report.ClockMS)*time.Millisecond - heartbeatTimeout
 		orders.Lease = max(left, 0)
 	}
 	for _, start := range box.starts {
-		start.carried = true
+		start.sent = true
 		orders.Starts = append(orders.Starts, start.start)
 	}
 	for run, stop := range box.stops {
-		stop.carried = true
+		stop.sent = true
 		orders.Stops = append(orders.Stops, run)
 	}
 	return orders
@@ -197,12 +197,12 @@
 
 // Look returns the lists of the next heartbeat that comes once the worker has
 // taken this leader's fence: it refuses older orders from then on.
-func (b *beats) Look(ctx context.Context, to Target, order LookOrder) (Report, error) {
+func (b *heartbeatTransport) Poll(ctx context.Context, to Target, order PollOrder) (Report, error) {
 	for {
 		b.mu.Lock()
-		box := b.box(to.Worker)
-		box.look = order
-		heard := box.heard
+		box := b.mailboxOf(to.Worker)
+		box.poll = order
+		heard := box.heartbeatReceived
 		b.mu.Unlock()
 		select {
 		case <-ctx.Done():
@@ -210,7 +210,7 @@
 		case <-heard:
 		}
 		b.mu.Lock()
-		report, sure := box.report, box.fence == order.Fence && box.confirmed >= confirmations
+		report, sure := box.report, box.fence == order.Fence && box.confirmed >= requiredConfirmations
 		b.mu.Unlock()
 		if sure {
 			return report, nil
@@ -218,34 +218,34 @@
 	}
 }
 
-// noClock stands for the worker's clock in answers that heartbeats confirm: what
+// clockUnknown stands for the worker's clock in answers that heartbeats confirm: what
 // those show of it comes with the lists.
-const noClock = 0
+const clockUnknown = 0
 
 // Start returns once a heartbeat lists the run.
-func (b *beats) Start(ctx context.Context, to Target, order StartOrder) (int64, error) {
-	return noClock, deliver(ctx, b, to, order.Run.Task, &beatOrder{start: order},
-		func(box *beatBox) map[workflow.TaskKey]*beatOrder { return box.starts })
+func (b *heartbeatTransport) Start(ctx context.Context, to Target, order StartOrder) (int64, error) {
+	return clockUnknown, deliver(ctx, b, to, order.Run.Task, &heartbeatOrder{start: order},
+		func(box *mailbox) map[workflow.TaskKey]*heartbeatOrder { return box.starts })
 }
 
 // Stop returns once heartbeats show that the order has arrived.
-func (b *beats) Stop(ctx context.Context, to Target, order StopOrder) (int64, error) {
-	return noClock, deliver(ctx, b, to, order.Run, &beatOrder{},
-		func(box *beatBox) map[workflow.Run]*beatOrder { return box.stops })
+func (b *heartbeatTransport) Stop(ctx context.Context, to Target, order StopOrder) (int64, error) {
+	return clockUnknown, deliver(ctx, b, to, order.Run, &heartbeatOrder{},
+		func(box *mailbox) map[workflow.Run]*heartbeatOrder { return box.stops })
 }
 
 // deliver repeats an order under a key of one of a worker's lists until a
 // heartbeat shows that it arrived. One that nobody waits for any more is dropped,
 // unless a newer one has taken its place.
-func deliver[Key comparable](ctx context.Context, b *beats, to Target, key Key, order *beatOrder,
-	list func(*beatBox) map[Key]*beatOrder) error {
-	order.arrived = make(chan struct{})
+func deliver[Key comparable](ctx context.Context, b *heartbeatTransport, to Target, key Key, order *heartbeatOrder,
+	list func(*mailbox) map[Key]*heartbeatOrder) error {
+	order.delivered = make(chan struct{})
 	b.mu.Lock()
-	box := b.box(to.Worker)
+	box := b.mailboxOf(to.Worker)
 	list(box)[key] = order
 	box.wake()
 	b.mu.Unlock()
-	if wait.Closed(ctx, order.arrived) {
+	if wait.Closed(ctx, order.delivered) {
 		return nil
 	}
 	b.mu.Lock()
@@ -257,12 +257,12 @@
 }
 
 // Throttle calls the worker: heartbeats don't carry this order.
-func (b *beats) Throttle(ctx context.Context, to Target, order ThrottleOrder) (int64, error) {
-	return b.throttler.Throttle(ctx, to, order)
+func (b *heartbeatTransport) Throttle(ctx context.Context, to Target, order ThrottleOrder) (int64, error) {
+	return b.direct.Throttle(ctx, to, order)
 }
 
 // wake lets a heartbeat that is held be answered.
-func (box *beatBox) wake() {
-	close(box.ordered)
-	box.ordered = make(chan struct{})
+func (box *mailbox) wake() {
+	close(box.orderAdded)
+	box.orderAdded = make(chan struct{})
 }
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -16,14 +16,14 @@
 
 // load is the size of a benchmark. unasked says that the adviser couldn't be
 // asked yet about the queued steps.
-type load struct {
+type benchmarkLoad struct {
 	workers, queued, runs int
-	unasked               bool
+	noPermits             bool
 }
 
-// loadedTenure is a tenure with busy workers and queued steps, a fifth of them
+// loadedTerm is a tenure with busy workers and queued steps, a fifth of them
 // gangs, all permitted on a third of the workers.
-func loadedTenure(b testing.TB, size load) *tenure {
+func loadedTerm(b testing.TB, size benchmarkLoad) *leaderTerm {
 	queued := size.queued
 	machine := NewStateMachine()
 	l := &fakeLog{state: machine}
@@ -45,7 +45,7 @@
 		apply(&workflow.Command{Worker: &w})
 	}
 	policy := workflow.Policy{Service: "s", MaxAttempts: 3, Stretch: 2, ObjectiveMS: 1000,
-		Advice: &workflow.AdvicePolicy{DecideMS: 10, EachMS: 1, ValidMS: 2000}}
+		Advice: &workflow.AdvicePolicy{BaseMS: 10, PerWorkerMS: 1, TicketValidityMS: 2000}}
 	for i := range queued {
 		step := workflow.Step{Count: 6, Need: workflow.Resources{MilliCPU: 18_000, MemoryMB: 20_000}, EstimateMS: 6000, Gang: i%5 == 0}
 		apply(&workflow.Command{Submit: &workflow.Submission{
@@ -63,15 +63,15 @@
 	apply(&workflow.Command{Start: runs})
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
-	t := newTenure(ctx, cancel, c, 7)
+	t := newLeaderTerm(ctx, cancel, c, 7)
 	for _, s := range t.sessions {
 		s.ready, s.answeredAt = true, time.Now().Add(time.Hour)
 	}
 	for _, run := range runs {
-		t.sessions[run.Worker].orders[run.Task] = &order{run: run, startedAt: time.Now(), listed: true, share: wholeShare}
+		t.sessions[run.Worker].orders[run.Task] = &runOrder{run: run, startedAt: time.Now(), listed: true, share: fullShare}
 	}
 	for i := range queued {
-		if size.unasked {
+		if size.noPermits {
 			break
 		}
 		p := t.permitsOf(workflow.StepKey{Job: fmt.Sprint("j", i)})
@@ -84,17 +84,17 @@
 
 // BenchmarkDecide measures one decision, its 99th percentile too.
 func BenchmarkDecide(b *testing.B) {
-	for _, size := range []load{
+	for _, size := range []benchmarkLoad{
 		{48, 50, 144, false}, {48, 500, 144, false}, {350, 50, 1800, false}, {350, 3000, 1800, false}, {350, 3000, 1800, true},
 		{1100, 50, 5500, false}, {1100, 10_000, 5500, true},
 	} {
-		b.Run(fmt.Sprintf("%dworkers/%dsteps/unasked=%v", size.workers, size.queued, size.unasked), func(b *testing.B) {
-			t := loadedTenure(b, size)
+		b.Run(fmt.Sprintf("%dworkers/%dsteps/unasked=%v", size.workers, size.queued, size.noPermits), func(b *testing.B) {
+			t := loadedTerm(b, size)
 			now := time.Now()
 			took := hdrhistogram.New(1, int64(time.Second), 3)
 			for b.Loop() {
 				begun := time.Now()
-				v := t.snapshot(now)
+				v := t.gatherPlanInput(now)
 				dispatch.Decide(now.Sub(t.started), v.steps, v.workers, planLimits)
 				must.NoError(b, took.RecordValue(int64(time.Since(begun))))
 			}
@@ -113,9 +113,9 @@
 }
 
 func decideMixedLoad(b *testing.B, workers int) {
-	t := loadedTenure(b, load{workers: workers, queued: 0, runs: 5 * workers})
+	t := loadedTerm(b, benchmarkLoad{workers: workers, queued: 0, runs: 5 * workers})
 	policy := workflow.Policy{Service: "s", MaxAttempts: 3, Stretch: 2, ObjectiveMS: 1000, Priority: 1,
-		Advice: &workflow.AdvicePolicy{DecideMS: 450, EachMS: 6, ValidMS: 1500}}
+		Advice: &workflow.AdvicePolicy{BaseMS: 450, PerWorkerMS: 6, TicketValidityMS: 1500}}
 	submit := func(id string, count int, gang bool) {
 		step := workflow.Step{Count: count, Need: workflow.Resources{MilliCPU: 18_000, MemoryMB: 20_000}, EstimateMS: 4000, Gang: gang}
 		command := &workflow.Command{Submit: &workflow.Submission{ID: id, Queue: "q", Steps: []workflow.Step{step}, Policy: policy}}
@@ -134,10 +134,10 @@
 		submit(fmt.Sprint("new", i), 3, false)
 	}
 	limits := planLimits
-	limits.Asks = 30
+	limits.Queries = 30
 	for b.Loop() {
 		now := time.Now()
-		v := t.snapshot(now)
+		v := t.gatherPlanInput(now)
 		dispatch.Decide(now.Sub(t.started), v.steps, v.workers, limits)
 	}
 }
--- a/internal/control/calls.go
+++ b/internal/control/calls.go
@@ -9,7 +9,7 @@
 
 // Place is where a caller's request was sent: a host and a path, or the name of
 // a queue and the ID of a job.
-type Place struct {
+type JobAddress struct {
 	Host  string `cbor:"1,keyasint,omitempty"`
 	Path  string `cbor:"2,keyasint,omitempty"`
 	Queue string `cbor:"3,keyasint,omitempty"`
@@ -18,7 +18,7 @@
 
 // SubmitCall hands a job in. The queue and the job's ID follow from Place.
 type SubmitCall struct {
-	Place    Place             `cbor:"1,keyasint"`
+	Address  JobAddress        `cbor:"1,keyasint"`
 	Payload  string            `cbor:"2,keyasint"`
 	Steps    []workflow.Step   `cbor:"3,keyasint"`
 	Schedule workflow.Schedule `cbor:"4,keyasint"`
@@ -31,7 +31,7 @@
 
 // StateCall asks for a job, or for a queue when the path names no job.
 type StateCall struct {
-	Place Place `cbor:"1,keyasint"`
+	Address JobAddress `cbor:"1,keyasint"`
 }
 
 // StateReply is how far a job has come, or how many jobs of a queue wait.
@@ -43,7 +43,7 @@
 
 // EndedCall asks an instance that needn't lead whether a job has ended.
 type EndedCall struct {
-	Place Place `cbor:"1,keyasint"`
+	Address JobAddress `cbor:"1,keyasint"`
 	// Version is the highest of the configuration that the asking instance has
 	// answered by. One that has an older one doesn't answer: a caller must not see a
 	// version that was dropped again.
@@ -59,7 +59,7 @@
 
 // CancelCall cancels a job.
 type CancelCall struct {
-	Place Place `cbor:"1,keyasint"`
+	Address JobAddress `cbor:"1,keyasint"`
 }
 
 // Empty is a reply without content.
@@ -82,7 +82,7 @@
 	// HeartbeatAddress is the control address for the worker's next heartbeats.
 	HeartbeatAddress string `cbor:"1,keyasint,omitempty"`
 	// Orders are nil where workers are called.
-	Orders *BeatOrders `cbor:"2,keyasint,omitempty"`
+	Orders *HeartbeatOrders `cbor:"2,keyasint,omitempty"`
 }
 
 // LeaveCall says that an incarnation ends.
@@ -121,7 +121,7 @@
 
 // ExplainCall asks what a job waits for.
 type ExplainCall struct {
-	Place Place `cbor:"1,keyasint"`
+	Address JobAddress `cbor:"1,keyasint"`
 }
 
 // ExplainReply is how far each step of a job is, and what keeps the ready ones
@@ -160,7 +160,7 @@
 	Tasks  int             `cbor:"2,keyasint"`
 	Reason dispatch.Reason `cbor:"3,keyasint"`
 	// Workers counts the service's workers by what keeps each from a task.
-	Workers []dispatch.Count `cbor:"4,keyasint"`
+	Workers []dispatch.ReasonCount `cbor:"4,keyasint"`
 	// Permitted, Refused and Unknown count workers by the adviser's word.
 	Permitted int `cbor:"5,keyasint"`
 	Refused   int `cbor:"6,keyasint"`
--- a/internal/control/capacity_test.go
+++ b/internal/control/capacity_test.go
@@ -12,27 +12,27 @@
 )
 
 // announceCapacity sends a heartbeat of worker w1 that says how many cores it has.
-func (w *world) announceCapacity(sequence uint64, cores int64) {
+func (w *testCluster) announceCapacity(sequence uint64, cores int64) {
 	announced := worker("w1")
 	announced.Capacity.MilliCPU = 1000 * cores
 	_, err := w.c.Announce(context.Background(), &Announcement{Worker: announced, Sequence: sequence})
 	must.NoError(w.t, err)
 }
 
-// oneCoreJobs hands in jobs of one task of a core each.
-func (w *world) oneCoreJobs(name string, n int) {
+// submitOneCoreJobs hands in jobs of one task of a core each.
+func (w *testCluster) submitOneCoreJobs(name string, n int) {
 	for i := range n {
 		w.submit(fmt.Sprint(name, i), oneTask)
 	}
 }
 
-// shrunkWorld is a leader with worker w1, which had ten cores, runs two tasks of a core each
+// clusterWithReducedCapacity is a leader with worker w1, which had ten cores, runs two tasks of a core each
 // and has four cores now.
-func shrunkWorld(t *testing.T) *world {
-	w := newWorld(t, nil)
+func clusterWithReducedCapacity(t *testing.T) *testCluster {
+	w := newTestCluster(t, nil)
 	w.workers.add("w1")
 	w.announceCapacity(1, 10)
-	w.oneCoreJobs("a", 2)
+	w.submitOneCoreJobs("a", 2)
 	w.eventually("two tasks run", func() bool { return w.started("w1") == 2 })
 	w.announceCapacity(2, 4)
 	return w
@@ -40,44 +40,44 @@
 
 // Guards against a worker that is brought over its capacity (LIMIT): it had more when it
 // announced itself.
-func TestAWorkerThatHasShrunkIsGivenWhatFits(t *testing.T) {
-	w := shrunkWorld(t)
-	w.oneCoreJobs("b", 5)
+func TestWorkerWithReducedCapacityIsNotOvercommitted(t *testing.T) {
+	w := clusterWithReducedCapacity(t)
+	w.submitOneCoreJobs("b", 5)
 	w.eventually("two more tasks run", func() bool { return w.started("w1") >= 4 })
-	time.Sleep(5 * planPause)
+	time.Sleep(5 * planInterval)
 	must.Eq(t, 4, w.started("w1"))
 }
 
 // Guards against room that is never used again: a worker that had shrunk has grown.
-func TestAWorkerThatGrowsAgainIsUsed(t *testing.T) {
-	w := shrunkWorld(t)
-	w.oneCoreJobs("b", 5)
+func TestWorkerWithRestoredCapacityIsUsed(t *testing.T) {
+	w := clusterWithReducedCapacity(t)
+	w.submitOneCoreJobs("b", 5)
 	w.announceCapacity(3, 10)
 	w.eventually("all tasks run", func() bool { return w.started("w1") == 7 })
 }
 
 // Guards against a worker that is brought over its capacity (LIMIT): a heartbeat from before
 // it shrank was delayed on its way.
-func TestALateHeartbeatDoesNotBringCapacityBack(t *testing.T) {
-	w := shrunkWorld(t)
+func TestStaleHeartbeatDoesNotRestoreCapacity(t *testing.T) {
+	w := clusterWithReducedCapacity(t)
 	w.announceCapacity(1, 10)
-	w.oneCoreJobs("b", 5)
+	w.submitOneCoreJobs("b", 5)
 	w.eventually("two more tasks run", func() bool { return w.started("w1") >= 4 })
-	time.Sleep(5 * planPause)
+	time.Sleep(5 * planInterval)
 	must.Eq(t, 4, w.started("w1"))
 }
 
 // Guards against a worker that is brought over its capacity (LIMIT): it shrinks while starts
 // that were decided on before are being committed.
-func TestStartsThatAreCommittedAfterAWorkerHasShrunkAreLeftOut(t *testing.T) {
-	w := newWorld(t, nil)
+func TestStartsCommittedAfterCapacityReductionAreDropped(t *testing.T) {
+	w := newTestCluster(t, nil)
 	w.workers.add("w1")
 	w.announceCapacity(1, 10)
 	shrunk := worker("w1")
 	shrunk.Capacity.MilliCPU = 2000
 	shrunk.Sequence = 2
 	w.log.mu.Lock()
-	w.log.begun = func(c workflow.Command) {
+	w.log.beforeApply = func(c workflow.Command) {
 		if len(c.Start) > 0 {
 			w.commit(&workflow.Command{Worker: &shrunk})
 		}
@@ -85,6 +85,6 @@
 	w.log.mu.Unlock()
 	w.submit("a", workflow.Step{Count: 8, Need: oneTask.Need, EstimateMS: 50})
 	w.eventually("two tasks run", func() bool { return w.started("w1") >= 2 })
-	time.Sleep(5 * planPause)
+	time.Sleep(5 * planInterval)
 	must.Eq(t, 2, w.started("w1"))
 }
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -19,15 +19,15 @@
 
 // Bounds are the deployment's times that the leader derives its own from.
 type Bounds struct {
-	// LeaseMax is the longest lease that a worker grants.
-	LeaseMax time.Duration
+	// MaxLease is the longest lease that a worker grants.
+	MaxLease time.Duration
 	// Shown is how long an ended job is shown at least.
-	Shown time.Duration
-	// HolderPause is how long after another instance's last order for a machine
+	EndedJobRetention time.Duration
+	// MachineHandoverDelay is how long after another instance's last order for a machine
 	// this one may give its first.
-	HolderPause time.Duration
+	MachineHandoverDelay time.Duration
 	// Maintenance is how long a machine is down for its maintenance.
-	Maintenance time.Duration
+	MaintenanceDuration time.Duration
 }
 
 // Config is the fixed part of a Controller.
@@ -37,11 +37,11 @@
 	Address, Public string
 	Bounds          Bounds
 	// Without names mechanisms that are switched off.
-	Without dispatch.Without
-	Workers Workers
+	Disabled dispatch.Disabled
+	Workers  Workers
 	// Lead is told of each tenure before it looks at any worker; what it begins ends
 	// with ctx. It may be nil.
-	Lead func(ctx context.Context, term uint64)
+	OnElected func(ctx context.Context, term uint64)
 	// OrdersByHeartbeat says that workers get their orders with the answers to their
 	// heartbeats and aren't called.
 	OrdersByHeartbeat bool
@@ -72,21 +72,21 @@
 	state *StateMachine
 	log   node.Log
 	// beats is nil where workers are called.
-	beats    *beats
-	passedOn passedOn
-	// heardHere are the heartbeats that this instance takes for the leader.
-	heardHere heardLog
+	heartbeats *heartbeatTransport
+	passedOn   forwardedHeartbeats
+	// heartbeatBuffer are the heartbeats that this instance takes for the leader.
+	heartbeatBuffer heartbeatBuffer
 
-	mu     sync.Mutex
-	tenure *tenure
+	mu         sync.Mutex
+	leaderTerm *leaderTerm
 }
 
 // New returns a controller over a log whose state machine is state.
 func New(cfg Config, state *StateMachine, replicated node.Log) *Controller {
 	c := &Controller{cfg: cfg, state: state, log: replicated}
 	if cfg.OrdersByHeartbeat {
-		c.beats = newBeats(cfg.Workers)
-		c.cfg.Workers = c.beats
+		c.heartbeats = newHeartbeatTransport(cfg.Workers)
+		c.cfg.Workers = c.heartbeats
 	}
 	return c
 }
@@ -97,49 +97,49 @@
 		changed := c.log.Changed()
 		status := c.log.Status()
 		if status.CanDecide {
-			c.lead(ctx, status.Term)
+			c.runLeaderTerm(ctx, status.Term)
 			continue
 		}
-		waitForChange(ctx, changed)
+		waitForStatusChange(ctx, changed)
 	}
 	return nil
 }
 
-// idlePause bounds how late a change of CanDecide is noticed.
-const idlePause = 200 * time.Millisecond
+// statusPollInterval bounds how late a change of CanDecide is noticed.
+const statusPollInterval = 200 * time.Millisecond
 
-// waitForChange waits until the log's status may have changed. CanDecide also
+// waitForStatusChange waits until the log's status may have changed. CanDecide also
 // ends by the passing of time alone, which closes no channel.
-func waitForChange(ctx context.Context, changed <-chan struct{}) {
-	ctx, cancel := context.WithTimeout(ctx, idlePause)
+func waitForStatusChange(ctx context.Context, changed <-chan struct{}) {
+	ctx, cancel := context.WithTimeout(ctx, statusPollInterval)
 	defer cancel()
 	wait.Closed(ctx, changed)
 }
 
 // lead runs one tenure until the leadership ends.
-func (c *Controller) lead(ctx context.Context, term uint64) {
+func (c *Controller) runLeaderTerm(ctx context.Context, term uint64) {
 	tenureCtx, end := context.WithCancel(ctx)
 	defer end()
 	if err := c.log.Barrier(tenureCtx); err != nil {
 		_ = c.cfg.Logger.Log("event", "tenure", "outcome", "not begun", "term", term, "err", err)
-		wait.For(ctx, idlePause)
+		wait.For(ctx, statusPollInterval)
 		return
 	}
-	if c.cfg.Lead != nil {
-		c.cfg.Lead(tenureCtx, term)
+	if c.cfg.OnElected != nil {
+		c.cfg.OnElected(tenureCtx, term)
 	}
-	t := newTenure(tenureCtx, end, c, term)
+	t := newLeaderTerm(tenureCtx, end, c, term)
 	workers := len(t.sessions)
-	c.setTenure(t)
+	c.setLeaderTerm(t)
 	_ = c.cfg.Logger.Log("event", "tenure", "outcome", "begun", "term", term, "workers", workers)
-	go c.watch(tenureCtx, term, end)
+	go c.endOnLeadershipLoss(tenureCtx, term, end)
 	t.run()
-	c.setTenure(nil)
+	c.setLeaderTerm(nil)
 	_ = c.cfg.Logger.Log("event", "tenure", "outcome", "ended", "term", term)
 }
 
 // watch ends the tenure when the leadership does.
-func (c *Controller) watch(ctx context.Context, term uint64, end func()) {
+func (c *Controller) endOnLeadershipLoss(ctx context.Context, term uint64, end func()) {
 	defer end()
 	for ctx.Err() == nil {
 		changed := c.log.Changed()
@@ -147,19 +147,19 @@
 		if status.Term != term || status.Role != replica.Leader {
 			return
 		}
-		waitForChange(ctx, changed)
+		waitForStatusChange(ctx, changed)
 	}
 }
 
-func (c *Controller) setTenure(t *tenure) {
+func (c *Controller) setLeaderTerm(t *leaderTerm) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tenure = t
+	c.leaderTerm = t
 	if t == nil {
-		c.state.onApply(func() {})
+		c.state.setOnApply(func() {})
 		return
 	}
-	c.state.onApply(t.kick)
+	c.state.setOnApply(t.wake)
 }
 
 // leading returns the tenure in which this member may decide now.
@@ -168,9 +168,9 @@
 // and nothing shows that the member still leads. Refused as by a member that
 // doesn't, all calls of that time went round all members. A barrier waits until
 // the log has told; without the lead it fails at once.
-func (c *Controller) leading(ctx context.Context) (*tenure, error) {
+func (c *Controller) currentLeaderTerm(ctx context.Context) (*leaderTerm, error) {
 	c.mu.Lock()
-	t := c.tenure
+	t := c.leaderTerm
 	c.mu.Unlock()
 	if t == nil {
 		return nil, link.NotLeader(c.cfg.Leader())
--- a/internal/control/copies_test.go
+++ b/internal/control/copies_test.go
@@ -15,52 +15,52 @@
 // Order: its task starts; the worker is cut off; another worker is idle; the copy
 // there ends; the first worker comes back.
 // Cause: the second run waited for proof that the first one is over.
-func TestATaskWithCopiesNeedNotWaitForTheLease(t *testing.T) {
-	w := newWorld(t, nil)
+func TestSpeculativeTaskIsCopiedBeforeLeaseExpires(t *testing.T) {
+	w := newTestCluster(t, nil)
 	w.workers.add("w1")
 	w.announce("w1")
 	step := oneTask
 	step.Speculative, step.Count = true, 2
 	w.submit("a", step)
 	w.eventually("the tasks start", func() bool { return w.started("w1") == 2 })
-	ten, err := w.c.leading(context.Background())
+	ten, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	ten.mu.Lock()
 	ten.sessions["w1"].leaseEnd = time.Now().Add(time.Hour)
 	ten.mu.Unlock()
-	w.with("w1", func(f *fakeWorker) { f.cut = true })
+	w.withWorker("w1", func(f *fakeWorker) { f.answersLost = true })
 	w.workers.add("w2")
 	w.announce("w2")
 	w.eventually("the copies run", func() bool { return w.started("w2") == 2 })
-	w.with("w2", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
-	w.with("w1", func(f *fakeWorker) { f.cut = false })
+	w.withWorker("w2", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
+	w.withWorker("w1", func(f *fakeWorker) { f.answersLost = false })
 	w.eventually("the run beside the copy that ended is stopped", func() bool {
 		stopped := 0
-		w.with("w1", func(f *fakeWorker) { stopped = f.stopped[task("a", 0)] })
+		w.withWorker("w1", func(f *fakeWorker) { stopped = f.stopped[task("a", 0)] })
 		return stopped == 1
 	})
 	must.Eq(t, workflow.PhaseActive, w.phase("a"))
-	w.with("w1", func(f *fakeWorker) { must.MapContainsKey(t, f.running, task("a", 1)) })
+	w.withWorker("w1", func(f *fakeWorker) { must.MapContainsKey(t, f.running, task("a", 1)) })
 }
 
 // What a user sees: a task begins again after it was done.
 // Order: a copy's start is being committed; the other run's end is; the start is
 // sent.
 // Cause: only the job's end was looked at.
-func TestNoCopyIsSentOfATaskThatIsDone(t *testing.T) {
-	w := newWorld(t, nil)
+func TestCopyOfDoneTaskIsNotSent(t *testing.T) {
+	w := newTestCluster(t, nil)
 	w.workers.add("w1")
 	w.announce("w1")
 	step := oneTask
 	step.Count, step.Speculative = 2, true
 	w.submit("a", step)
 	w.eventually("the tasks start", func() bool { return w.started("w1") == 2 })
-	ten, err := w.c.leading(context.Background())
+	ten, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	copied := workflow.Run{Task: task("a", 0), Number: 2, Worker: "w2"}
 	o, _, _ := ten.newOrder(copied, "")
 	must.NotNil(t, o)
-	w.with("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
+	w.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
 	w.eventually("it is done", func() bool {
 		done := false
 		w.c.state.read(func(s *workflow.State) { done = s.Task(task("a", 0)).Done })
@@ -74,23 +74,23 @@
 // Order: a task of the step stands still and is worth a copy; another one waits to
 // start; one decision places both on the same idle worker.
 // Cause: the step and the copies of its tasks were counted apart.
-func TestACopyAndATaskOfItsStepAreCountedTogether(t *testing.T) {
-	w := newWorld(t, nil)
+func TestMaxPerWorkerCountsCopiesAndPendingTasks(t *testing.T) {
+	w := newTestCluster(t, nil)
 	w.workers.add("w1")
 	w.announce("w1")
 	step := oneTask
 	step.Count, step.Speculative, step.MaxPerWorker = 2, true, 1
 	w.submit("a", step)
 	w.eventually("a task starts", func() bool { return w.started("w1") == 1 })
-	ten, err := w.c.leading(context.Background())
+	ten, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	key := task("a", 0).StepKey
-	v := &view{placed: map[workflow.StepKey]map[string]int{}, copies: map[workflow.TaskKey]copyOf{task("a", 0): {worker: "w1"}}}
+	v := &planInput{runsPerWorker: map[workflow.StepKey]map[string]int{}, copyCandidates: map[workflow.TaskKey]copyCandidate{task("a", 0): {worker: "w1"}}}
 	ten.mu.Lock()
 	defer ten.mu.Unlock()
 	w.c.state.read(func(s *workflow.State) {
 		ten.gatherSteps(v, s, s.Jobs["a"], time.Now())
-		ten.gatherCopies(v, s, time.Now())
+		ten.addCopySteps(v, s, time.Now())
 	})
 	must.SliceLen(t, 2, v.steps)
 	v.steps[0].Placed["w2"]++
@@ -105,12 +105,12 @@
 // Order: a worker reports an end; the next look at it begins after a pause and is held
 // for its whole time; the last answer is older than a held look takes.
 // Cause: the time since the last answer counted, not that since the look was sent.
-func TestAWorkerWhoseLookBeganLateIsNotOutOfReach(t *testing.T) {
+func TestWorkerIsUnresponsiveOnlyAfterPollDeadline(t *testing.T) {
 	now := time.Now()
-	s := &session{t: &tenure{started: now.Add(-time.Hour)}, answeredAt: now.Add(-copySilence - longestLookPause)}
+	s := &workerSession{t: &leaderTerm{started: now.Add(-time.Hour)}, answeredAt: now.Add(-copySilenceTimeout - maxPollPauseAfterEnds)}
 	run, step := workflow.Run{Task: task("a", 0)}, oneTask
-	s.lookDue = now.Add(time.Millisecond)
+	s.pollDue = now.Add(time.Millisecond)
 	must.Eq(t, copyNone, s.copyCauseOf(run, &step, now))
-	s.lookDue = now.Add(-time.Millisecond)
-	must.Eq(t, copySilent, s.copyCauseOf(run, &step, now))
+	s.pollDue = now.Add(-time.Millisecond)
+	must.Eq(t, copyUnresponsive, s.copyCauseOf(run, &step, now))
 }
--- a/internal/control/crash.go
+++ b/internal/control/crash.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// strongAge is how old a run is at most, by its worker's last answer, for the worker's
+	// strongSuspicionMaxAge is how old a run is at most, by its worker's last answer, for the worker's
 	// crash to speak strongly against it.
-	strongAge = time.Second
-	// settledAge is how old a run of a task that lasts must be for its worker's crash not to
+	strongSuspicionMaxAge = time.Second
+	// noSuspicionMinAge is how old a run of a task that lasts must be for its worker's crash not to
 	// be held against it.
-	settledAge = 10 * time.Second
+	noSuspicionMinAge = 10 * time.Second
 	// probation is how long a worker must have answered under a run of a suspect task
 	// before it is given anything else.
-	probation = 500 * time.Millisecond
+	probationPeriod = 500 * time.Millisecond
 )
 
 // crashed reports whether a worker that is gone has crashed: it neither announced its end
 // nor was its machine to go down.
-func (s *session) crashed() bool {
+func (s *workerSession) hasCrashed() bool {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
 	return !s.leaving && !s.worker.Draining && !s.t.machines.isCordoned(s.worker.ID)
@@ -30,7 +30,7 @@
 
 // suspicion is how much speaks for a run having crashed its worker, if the worker has
 // crashed. t.mu is held.
-func (s *session) suspicion(run workflow.Run) workflow.Suspicion {
+func (s *workerSession) suspicion(run workflow.Run) workflow.Suspicion {
 	o := s.orders[run.Task]
 	if o == nil || o.run.Number != run.Number {
 		// An earlier leader ordered it.
@@ -39,9 +39,9 @@
 	age := s.aliveFor(o)
 	inherited := o.startedAt.IsZero() && o.listed
 	switch {
-	case !o.mayHaveBegun(), o.lasts && age > settledAge:
+	case !o.mayHaveBegun(), o.longRunning && age > noSuspicionMinAge:
 		return workflow.SuspicionNone
-	case inherited, !o.stopSent.IsZero(), age > strongAge:
+	case inherited, !o.stopSent.IsZero(), age > strongSuspicionMaxAge:
 		return workflow.SuspicionWeak
 	}
 	return workflow.SuspicionStrong
@@ -49,7 +49,7 @@
 
 // aliveFor is how long the worker is known to have answered under a run, 0 where no answer
 // has shown the run. t.mu is held.
-func (s *session) aliveFor(o *order) time.Duration {
+func (s *workerSession) aliveFor(o *runOrder) time.Duration {
 	since := o.startedAt
 	if since.IsZero() {
 		since = o.firstAt
@@ -57,11 +57,11 @@
 	if since.IsZero() {
 		return 0
 	}
-	return max(s.lastAnswer().Sub(since), 0)
+	return max(s.lastAnswerAt().Sub(since), 0)
 }
 
-// lastAnswer is when the worker last answered a call of any kind. t.mu is held.
-func (s *session) lastAnswer() time.Time {
+// lastAnswerAt is when the worker last answered a call of any kind. t.mu is held.
+func (s *workerSession) lastAnswerAt() time.Time {
 	if s.clockAt.After(s.answeredAt) {
 		return s.clockAt
 	}
@@ -69,7 +69,7 @@
 }
 
 // mayHaveBegun reports whether the worker may have been told to begin the run.
-func (o *order) mayHaveBegun() bool {
+func (o *runOrder) mayHaveBegun() bool {
 	return !o.startedAt.IsZero() || o.listed || o.unanswered || !o.sentAt.IsZero()
 }
 
@@ -78,18 +78,18 @@
 //
 // Failure guarded against: a task that crashes its workers takes with it what was placed
 // beside it.
-func (s *session) onProbation() bool {
+func (s *workerSession) onProbation() bool {
 	for _, o := range s.orders {
-		if o.suspect && (o.startedAt.IsZero() || s.lastAnswer().Sub(o.startedAt) < probation) {
+		if o.crashSuspect && (o.startedAt.IsZero() || s.lastAnswerAt().Sub(o.startedAt) < probationPeriod) {
 			return true
 		}
 	}
 	return false
 }
 
-// logLost says of each run that ends with its worker how old it was when the worker last
+// logLostRuns says of each run that ends with its worker how old it was when the worker last
 // answered: the same task again and again, young each time, is one that crashes its workers.
-func (s *session) logLost(ends []workflow.RunEnd, why string) {
+func (s *workerSession) logLostRuns(ends []workflow.RunEnd, why string) {
 	t := s.t
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -108,27 +108,27 @@
 
 // missing returns the runs that ended with the worker's lease and may yet turn out to have
 // ended with a crash. t.mu may be held.
-func (s *session) missing() (ends []workflow.RunEnd) {
+func (s *workerSession) possiblyCrashedRuns() (ends []workflow.RunEnd) {
 	s.t.c.state.read(func(state *workflow.State) {
 		if worker := state.Workers[s.worker.ID]; worker != nil {
-			ends = slices.Clone(worker.Missing)
+			ends = slices.Clone(worker.Unresolved)
 		}
 	})
 	return ends
 }
 
 // commitReturned commits that the worker answers again, so that it hasn't crashed.
-func (s *session) commitReturned() {
-	s.t.commitSurely(&workflow.Command{Ends: &workflow.WorkerEnds{Worker: s.worker.ID, Returned: true}})
+func (s *workerSession) commitReturned() {
+	s.t.commitWithRetry(&workflow.Command{Ends: &workflow.RunEnds{Worker: s.worker.ID, Returned: true}})
 }
 
-// noteCrasher tells of a job that was given up for a task that crashed its workers. t.mu is
+// logCrashingTask tells of a job that was given up for a task that crashed its workers. t.mu is
 // held.
-func (t *tenure) noteCrasher(s *workflow.State, job *workflow.Job) {
-	if job.Crasher == nil {
+func (t *leaderTerm) logCrashingTask(s *workflow.State, job *workflow.Job) {
+	if job.CrashingTask == nil {
 		return
 	}
 	t.c.cfg.Counters.Add("jobs_failed_crashes", 1)
-	t.logger.Log("event", "job_given_up", "job", job.ID, "task", *job.Crasher,
-		"cause", "the task's workers crashed", "workers", strings.Join(s.Task(*job.Crasher).CrashedOn, ","))
+	t.logger.Log("event", "job_given_up", "job", job.ID, "task", *job.CrashingTask,
+		"cause", "the task's workers crashed", "workers", strings.Join(s.Task(*job.CrashingTask).CrashedOn, ","))
 }
--- a/internal/control/explain.go
+++ b/internal/control/explain.go
@@ -15,7 +15,7 @@
 func (c *Controller) Explain(ctx context.Context, r *ExplainCall) (ExplainReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	t, queue, id, err := c.addressed(ctx, r.Place)
+	t, queue, id, err := c.resolveOnLeader(ctx, r.Address)
 	if err != nil {
 		return ExplainReply{}, err
 	}
@@ -65,15 +65,15 @@
 		}
 		task := workflow.TaskKey{StepKey: key, Index: i}
 		crashes = append(crashes, TaskCrashes{
-			Task: i, Workers: slices.Clone(state.Tasks[i].CrashedOn), GivenUp: job.Crasher != nil && *job.Crasher == task,
+			Task: i, Workers: slices.Clone(state.Tasks[i].CrashedOn), GivenUp: job.CrashingTask != nil && *job.CrashingTask == task,
 		})
 	}
 	return crashes
 }
 
 // explain explains the ready steps of a job that have tasks left to start.
-func (t *tenure) explain(id string, now time.Time) []StepExplanation {
-	v := t.snapshot(now)
+func (t *leaderTerm) explain(id string, now time.Time) []StepExplanation {
+	v := t.gatherPlanInput(now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []StepExplanation
@@ -82,8 +82,8 @@
 		if step.Key.Job != id || step.Copy {
 			continue
 		}
-		e := StepExplanation{Key: step.Key, Tasks: len(step.Pending), Reason: t.reasonOf(step.Key)}
-		e.Workers = append(t.obstacles(step.Service, now), dispatch.Explain(now.Sub(t.started), step, v.workers, planLimits)...)
+		e := StepExplanation{Key: step.Key, Tasks: len(step.Pending), Reason: t.waitingReason(step.Key)}
+		e.Workers = append(t.unschedulableWorkers(step.Service, now), dispatch.Explain(now.Sub(t.started), step, v.workers, planLimits)...)
 		for _, permit := range step.Permits {
 			if permit.Granted {
 				e.Permitted++
@@ -104,9 +104,9 @@
 
 // obstacles counts the workers of a service that get nothing new, by why. t.mu is
 // held.
-func (t *tenure) obstacles(service string, now time.Time) []dispatch.Count {
-	counts := map[dispatch.Reason]*dispatch.Count{}
-	suspects := t.suspects(now)
+func (t *leaderTerm) unschedulableWorkers(service string, now time.Time) []dispatch.ReasonCount {
+	counts := map[dispatch.Reason]*dispatch.ReasonCount{}
+	suspects := t.suspectedDataCentres(now)
 	runs := map[string]int{}
 	t.c.state.read(func(s *workflow.State) {
 		for id := range t.sessions {
@@ -114,19 +114,19 @@
 		}
 	})
 	for id, session := range t.sessions {
-		reason := session.obstacle(now, suspects, runs[id])
+		reason := session.unschedulableReason(now, suspects, runs[id])
 		if reason == "" || service != anyService && session.worker.Service != service {
 			continue
 		}
 		if counts[reason] == nil {
-			counts[reason] = &dispatch.Count{Reason: reason, Example: id}
+			counts[reason] = &dispatch.ReasonCount{Reason: reason, Example: id}
 		}
 		counts[reason].Workers++
 	}
-	var list []dispatch.Count
+	var list []dispatch.ReasonCount
 	for _, count := range counts {
 		list = append(list, *count)
 	}
-	slices.SortFunc(list, func(a, b dispatch.Count) int { return cmp.Compare(a.Reason, b.Reason) })
+	slices.SortFunc(list, func(a, b dispatch.ReasonCount) int { return cmp.Compare(a.Reason, b.Reason) })
 	return list
 }
