--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -23,39 +23,39 @@
 	mu    sync.Mutex
 	index uint64
 	// applied is called after each command, outside the lock.
-	applied func(workflow.Command)
+	afterApply func(workflow.Command)
 	// begun is called before each command, outside the lock.
-	begun func(workflow.Command)
-	// heldUntil is when the log's goroutine goes on after it was held up.
-	heldUntil time.Time
+	beforeApply func(workflow.Command)
+	// delayedUntil is when the log's goroutine goes on after it was held up.
+	delayedUntil time.Time
 	// refuse are the errors of the next commands that end runs.
-	refuse []error
+	endErrors []error
 }
 
 // hold lets nothing show for a time that the member leads.
-func (l *fakeLog) hold(d time.Duration) {
+func (l *fakeLog) delayStatus(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.heldUntil = time.Now().Add(d)
+	l.delayedUntil = time.Now().Add(d)
 }
 
-func (l *fakeLog) held() time.Duration {
+func (l *fakeLog) remainingDelay() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return time.Until(l.heldUntil)
+	return time.Until(l.delayedUntil)
 }
 
 func (l *fakeLog) Propose(_ context.Context, data []byte) (any, error) {
-	if err := l.announce(data); err != nil {
+	if err := l.callBeforeApply(data); err != nil {
 		return nil, err
 	}
-	if err := l.refusal(data); err != nil {
+	if err := l.nextEndError(data); err != nil {
 		return nil, err
 	}
 	l.mu.Lock()
 	l.index++
 	value := l.state.Apply(l.index, data)
-	hook := l.applied
+	hook := l.afterApply
 	l.mu.Unlock()
 	if hook != nil {
 		command, err := workflow.Decode(data)
@@ -67,33 +67,33 @@
 	return value, nil
 }
 
-// refuseEnds lets the next commands that end runs fail.
-func (l *fakeLog) refuseEnds(errs ...error) {
+// failEnds lets the next commands that end runs fail.
+func (l *fakeLog) failEnds(errs ...error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.refuse = errs
+	l.endErrors = errs
 }
 
 // refusal is the error of a command, which is taken off.
-func (l *fakeLog) refusal(data []byte) error {
+func (l *fakeLog) nextEndError(data []byte) error {
 	command, err := workflow.Decode(data)
 	if err != nil || command.Ends == nil {
 		return err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.refuse) == 0 {
+	if len(l.endErrors) == 0 {
 		return nil
 	}
-	err = l.refuse[0]
-	l.refuse = l.refuse[1:]
+	err = l.endErrors[0]
+	l.endErrors = l.endErrors[1:]
 	return err
 }
 
 // announce calls begun.
-func (l *fakeLog) announce(data []byte) error {
+func (l *fakeLog) callBeforeApply(data []byte) error {
 	l.mu.Lock()
-	hook := l.begun
+	hook := l.beforeApply
 	l.mu.Unlock()
 	if hook == nil {
 		return nil
@@ -106,12 +106,12 @@
 }
 
 func (l *fakeLog) Barrier(ctx context.Context) error {
-	wait.For(ctx, max(l.held(), 0))
+	wait.For(ctx, max(l.remainingDelay(), 0))
 	return ctx.Err()
 }
 
 func (l *fakeLog) Status() replica.Status {
-	return replica.Status{Role: replica.Leader, Term: 7, CanDecide: l.held() <= 0}
+	return replica.Status{Role: replica.Leader, Term: 7, CanDecide: l.remainingDelay() <= 0}
 }
 
 func (l *fakeLog) Changed() <-chan struct{} { return make(chan struct{}) }
@@ -127,12 +127,12 @@
 	// stopped is the highest run stopped or ended of each task.
 	stopped map[workflow.TaskKey]int
 	// cut says that calls arrive and their answers are lost.
-	cut bool
+	answersLost bool
 	// delay holds starts back: they get no answer and are kept in late.
-	delay bool
-	late  []StartOrder
+	delayStarts   bool
+	delayedStarts []StartOrder
 	// refuse answers the next start after a late one with this reason.
-	refuse Refusal
+	refuseNextStart Refusal
 	// starts are the orders that were carried out.
 	starts []StartOrder
 	// shares are the shares that runs were throttled to.
@@ -142,33 +142,33 @@
 	// partial says that the lists aren't whole.
 	partial bool
 	// deaf is how many stops get lost.
-	deaf int
+	lostStops int
 	// replaced says that another incarnation answers.
-	replaced bool
+	superseded bool
 	// hang is how many starts get no answer until their caller gives up; they aren't
 	// carried out.
-	hang int
+	hangingStarts int
 	// misdirected is how many starts are answered as by another incarnation.
 	misdirected int
-	// refuseLate is how many starts are refused, each after slowRefusal.
-	refuseLate int
+	// slowRefusals is how many starts are refused, each after slowRefusalDelay.
+	slowRefusals int
 	// next is the worker's next life, which answers in its place: it carries orders out, and
 	// its lists show which life they are of.
-	next *fakeWorker
+	successor *fakeWorker
 	// looks are the looks that were answered.
-	looks []LookOrder
+	looks []PollOrder
 }
 
 // present is the life that orders reach.
-func (w *fakeWorker) present() *fakeWorker {
-	for w.next != nil {
-		w = w.next
+func (w *fakeWorker) current() *fakeWorker {
+	for w.successor != nil {
+		w = w.successor
 	}
 	return w
 }
 
-// slowRefusal is longer than an order may be without an answer before it is sent again.
-const slowRefusal = callTimeout / 2
+// slowRefusalDelay is longer than an order may be without an answer before it is sent again.
+const slowRefusalDelay = callTimeout / 2
 
 // fakeWorkers serves all workers.
 type fakeWorkers struct {
@@ -185,68 +185,68 @@
 }
 
 func (f *fakeWorkers) Start(ctx context.Context, to Target, order StartOrder) (int64, error) {
-	if f.hangs(to.Worker) {
+	if f.takeHang(to.Worker) {
 		<-ctx.Done()
 		return 0, errNoAnswer
 	}
-	if f.refusesLate(ctx, to.Worker) {
+	if f.refusesSlowly(ctx, to.Worker) {
 		return 0, &RefusedError{RefusedTicket}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w := f.all[to.Worker].present()
-	if w.replaced || w.misdirected > 0 {
+	w := f.all[to.Worker].current()
+	if w.superseded || w.misdirected > 0 {
 		w.misdirected--
 		return 0, ErrOtherIncarnation
 	}
-	if w.delay {
-		w.late = append(w.late, order)
-		w.delay = w.refuse == ""
+	if w.delayStarts {
+		w.delayedStarts = append(w.delayedStarts, order)
+		w.delayStarts = w.refuseNextStart == ""
 		return 0, errNoAnswer
 	}
-	if reason := w.refuse; reason != "" {
-		w.refuse = ""
+	if reason := w.refuseNextStart; reason != "" {
+		w.refuseNextStart = ""
 		return 0, &RefusedError{reason}
 	}
 	if err := w.begin(order); err != nil {
 		return 0, err
 	}
-	if w.cut {
+	if w.answersLost {
 		return 0, errNoAnswer
 	}
 	return 1000, nil
 }
 
-func (f *fakeWorkers) hangs(worker string) bool {
+func (f *fakeWorkers) takeHang(worker string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.all[worker]
-	if w.hang == 0 {
+	if w.hangingStarts == 0 {
 		return false
 	}
-	w.hang--
+	w.hangingStarts--
 	return true
 }
 
-// refusesLate waits and reports whether this start is refused then.
-func (f *fakeWorkers) refusesLate(ctx context.Context, worker string) bool {
+// refusesSlowly waits and reports whether this start is refused then.
+func (f *fakeWorkers) refusesSlowly(ctx context.Context, worker string) bool {
 	f.mu.Lock()
 	w := f.all[worker]
-	late := w.refuseLate > 0
+	late := w.slowRefusals > 0
 	if late {
-		w.refuseLate--
+		w.slowRefusals--
 	}
 	f.mu.Unlock()
-	return late && wait.For(ctx, slowRefusal)
+	return late && wait.For(ctx, slowRefusalDelay)
 }
 
 func (w *fakeWorker) begin(order StartOrder) error {
 	if order.Fence < w.fence {
-		return &RefusedError{RefusedFence}
+		return &RefusedError{RefusedStaleFence}
 	}
 	w.fence = order.Fence
 	if order.Run.Number <= w.stopped[order.Run.Task] {
-		return &RefusedError{RefusedOld}
+		return &RefusedError{RefusedStaleRun}
 	}
 	if w.running[order.Run.Task].Number == order.Run.Number {
 		return nil
@@ -259,16 +259,16 @@
 func (f *fakeWorkers) Stop(_ context.Context, to Target, order StopOrder) (int64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w := f.all[to.Worker].present()
-	if w.deaf > 0 {
-		w.deaf--
+	w := f.all[to.Worker].current()
+	if w.lostStops > 0 {
+		w.lostStops--
 		return 0, errNoAnswer
 	}
 	w.stopped[order.Run.Task] = max(w.stopped[order.Run.Task], order.Run.Number)
 	if running, ok := w.running[order.Run.Task]; ok && running.Number == order.Run.Number {
 		w.finish(order.Run.Task, workflow.OutcomeStopped)
 	}
-	if w.cut {
+	if w.answersLost {
 		return 0, errNoAnswer
 	}
 	return 1000, nil
@@ -291,15 +291,15 @@
 	return 1000, nil
 }
 
-// fakeHold is how long a look is held at most in tests.
-const fakeHold = 5 * time.Millisecond
+// fakePollHold is how long a look is held at most in tests.
+const fakePollHold = 5 * time.Millisecond
 
-func (f *fakeWorkers) Look(ctx context.Context, to Target, order LookOrder) (Report, error) {
-	wait.For(ctx, fakeHold)
+func (f *fakeWorkers) Poll(ctx context.Context, to Target, order PollOrder) (Report, error) {
+	wait.For(ctx, fakePollHold)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w := f.all[to.Worker].present()
-	if w.replaced {
+	w := f.all[to.Worker].current()
+	if w.superseded {
 		return Report{}, ErrOtherIncarnation
 	}
 	w.fence = max(w.fence, order.Fence)
@@ -310,7 +310,7 @@
 	if order.LeaseEndMS > 0 {
 		w.leases = append(w.leases, order.LeaseEndMS)
 	}
-	if w.cut {
+	if w.answersLost {
 		return Report{}, errNoAnswer
 	}
 	report := Report{ClockMS: 1000, Partial: w.partial}
@@ -348,18 +348,18 @@
 func (noCounters) Observe(string, time.Duration) {}
 
 // world is one controller that leads, with its fakes.
-type world struct {
+type testCluster struct {
 	t       *testing.T
 	log     *fakeLog
 	workers *fakeWorkers
 	c       *Controller
 }
 
-// newWorld starts a controller once prepare has filled the log.
-func newWorld(t *testing.T, prepare func(w *world)) *world {
+// newTestCluster starts a controller once prepare has filled the log.
+func newTestCluster(t *testing.T, prepare func(w *testCluster)) *testCluster {
 	machine := NewStateMachine()
-	w := &world{t: t, log: &fakeLog{state: machine}, workers: &fakeWorkers{all: map[string]*fakeWorker{}}}
-	bounds := Bounds{LeaseMax: 700 * time.Millisecond, Shown: time.Minute}
+	w := &testCluster{t: t, log: &fakeLog{state: machine}, workers: &fakeWorkers{all: map[string]*fakeWorker{}}}
+	bounds := Bounds{MaxLease: 700 * time.Millisecond, EndedJobRetention: time.Minute}
 	w.c = New(Config{
 		Address: "own", Bounds: bounds, Workers: w.workers, Adviser: w.workers, Client: link.NewClient(100),
 		Logger: log.NewLogfmtLogger(testWriter{t}), Counters: noCounters{},
@@ -378,13 +378,13 @@
 		must.NoError(t, w.c.Run(ctx))
 	}()
 	t.Cleanup(func() { cancel(); <-done })
-	w.eventually("a tenure begins", func() bool { _, err := w.c.leading(context.Background()); return err == nil })
+	w.eventually("a tenure begins", func() bool { _, err := w.c.currentLeaderTerm(context.Background()); return err == nil })
 	return w
 }
 
-// startedWorld is a leader that has started the one task of job a on worker w1.
-func startedWorld(t *testing.T) *world {
-	w := newWorld(t, nil)
+// clusterWithStartedTask is a leader that has started the one task of job a on worker w1.
+func clusterWithStartedTask(t *testing.T) *testCluster {
+	w := newTestCluster(t, nil)
 	w.workers.add("w1")
 	w.announce("w1")
 	w.submit("a", oneTask)
@@ -392,7 +392,7 @@
 	return w
 }
 
-func (w *world) commit(c *workflow.Command) {
+func (w *testCluster) commit(c *workflow.Command) {
 	data, err := c.Encode()
 	must.NoError(w.t, err)
 	_, err = w.log.Propose(context.Background(), data)
@@ -406,20 +406,20 @@
 }
 
 // announce sends a heartbeat of a worker.
-func (w *world) announce(id string) {
+func (w *testCluster) announce(id string) {
 	_, err := w.c.Announce(context.Background(), &Announcement{Worker: worker(id)})
 	must.NoError(w.t, err)
 }
 
 // submit hands in a job of one step.
-func (w *world) submit(id string, step workflow.Step) {
+func (w *testCluster) submit(id string, step workflow.Step) {
 	_, err := w.c.Submit(context.Background(), &SubmitCall{
-		Place: Place{Host: "h", Path: "/q/" + id}, Payload: "payload", Steps: []workflow.Step{step},
+		Address: JobAddress{Host: "h", Path: "/q/" + id}, Payload: "payload", Steps: []workflow.Step{step},
 	})
 	must.NoError(w.t, err)
 }
 
-func (w *world) eventually(what string, ok func() bool) {
+func (w *testCluster) eventually(what string, ok func() bool) {
 	w.t.Helper()
 	for range 2000 {
 		if ok() {
@@ -431,18 +431,18 @@
 }
 
 // with looks at a worker under the lock.
-func (w *world) with(id string, f func(*fakeWorker)) {
+func (w *testCluster) withWorker(id string, f func(*fakeWorker)) {
 	w.workers.mu.Lock()
 	defer w.workers.mu.Unlock()
 	f(w.workers.all[id])
 }
 
-func (w *world) started(id string) (n int) {
-	w.with(id, func(f *fakeWorker) { n = len(f.starts) })
+func (w *testCluster) started(id string) (n int) {
+	w.withWorker(id, func(f *fakeWorker) { n = len(f.starts) })
 	return n
 }
 
-func (w *world) phase(id string) workflow.Phase {
+func (w *testCluster) phase(id string) workflow.Phase {
 	phase, _ := w.c.phase(id, "h/q/")
 	return phase
 }
--- a/internal/control/fresh_test.go
+++ b/internal/control/fresh_test.go
@@ -14,12 +14,12 @@
 // Order: a whole decision has taken long, and the planner rests in proportion; a job
 // comes, its permits are to be asked for, then it is to be started.
 // Cause: each of the two steps waited for the next whole decision.
-func TestAFreshJobDoesNotWaitForTheNextWholeDecision(t *testing.T) {
-	ten := loadedTenure(t, load{workers: 8})
+func TestChangedJobStartsBeforeNextFullPass(t *testing.T) {
+	ten := loadedTerm(t, benchmarkLoad{workers: 8})
 	ten.decide()
-	go ten.rest(time.Minute)
+	go ten.planChangedJobs(time.Minute)
 	command := submission("a")
-	command.Submit.Policy.Advice = &workflow.AdvicePolicy{DecideMS: 1, EachMS: 0.1, ValidMS: 2000}
+	command.Submit.Policy.Advice = &workflow.AdvicePolicy{BaseMS: 1, PerWorkerMS: 0.1, TicketValidityMS: 2000}
 	_, err := ten.propose(command)
 	must.NoError(t, err)
 	ten.noteAccepted("a", time.Now())
@@ -38,11 +38,11 @@
 // Order: more steps wait than a decision goes into; a job comes.
 // Cause guarded against: the newest job would be offered room before those that no
 // decision has come to yet.
-func TestAFreshJobWaitsItsTurnBehindABacklog(t *testing.T) {
-	ten := &tenure{kicked: make(chan struct{}, 1), backlog: true, leftAt: time.Now(), fresh: map[string]bool{"a": true}}
-	ten.decideFresh(time.Now())
-	must.MapLen(t, 1, ten.fresh)
-	must.Eq(t, 1, len(ten.kicked), must.Sprint("a whole decision is asked for"))
+func TestIncrementalPassYieldsToBacklog(t *testing.T) {
+	ten := &leaderTerm{wakePlanner: make(chan struct{}, 1), backlog: true, leftoverAt: time.Now(), changedJobs: map[string]bool{"a": true}}
+	ten.decideIncrementally(time.Now())
+	must.MapLen(t, 1, ten.changedJobs)
+	must.Eq(t, 1, len(ten.wakePlanner), must.Sprint("a whole decision is asked for"))
 }
 
 // What a user sees: after a burst urgent jobs are late for the rest of the day, beside a
@@ -50,10 +50,10 @@
 // Order: more steps wait than a decision goes into; an urgent job comes.
 // Cause: it waited for one whole decision to ask for its permits and for another one to
 // start, and so did each one after it.
-func TestAnUrgentFreshJobDoesNotWaitBehindABacklog(t *testing.T) {
+func TestUrgentChangedJobStartsDespiteBacklog(t *testing.T) {
 	ten := backloggedTenure(t)
-	go ten.rest(time.Minute)
-	handInAsked(t, ten, "a", 1_000)
+	go ten.planChangedJobs(time.Minute)
+	submitAdvised(t, ten, "a", 1_000)
 	for range 1000 {
 		if runsOf(ten, "a") == 1 {
 			return
@@ -67,30 +67,30 @@
 // Order: more steps wait than a decision goes into; a job comes that is less urgent than
 // some that it had no place for.
 // Cause guarded against: the job would be offered room before those.
-func TestALessUrgentFreshJobWaitsBehindABacklog(t *testing.T) {
+func TestLessUrgentChangedJobWaitsBehindBacklog(t *testing.T) {
 	ten := backloggedTenure(t)
-	handInAsked(t, ten, "a", 1_000_000)
-	ten.decideFresh(time.Now())
-	must.Eq(t, 0, ten.permitsOf(workflow.StepKey{Job: "a"}).asking)
+	submitAdvised(t, ten, "a", 1_000_000)
+	ten.decideIncrementally(time.Now())
+	must.Eq(t, 0, ten.permitsOf(workflow.StepKey{Job: "a"}).inFlight)
 	must.Eq(t, 0, runsOf(ten, "a"))
-	must.Eq(t, 1, len(ten.kicked), must.Sprint("a whole decision is asked for"))
+	must.Eq(t, 1, len(ten.wakePlanner), must.Sprint("a whole decision is asked for"))
 }
 
 // backloggedTenure has decided once about more steps than one decision goes into.
-func backloggedTenure(t *testing.T) *tenure {
-	ten := loadedTenure(t, load{workers: 8, queued: planSteps + 50})
+func backloggedTenure(t *testing.T) *leaderTerm {
+	ten := loadedTerm(t, benchmarkLoad{workers: 8, queued: maxPlannedSteps + 50})
 	ten.decide()
 	must.True(t, ten.backlog)
-	for len(ten.kicked) > 0 {
-		<-ten.kicked
+	for len(ten.wakePlanner) > 0 {
+		<-ten.wakePlanner
 	}
 	return ten
 }
 
-// handInAsked hands in a job that needs permits and has an objective.
-func handInAsked(t *testing.T, ten *tenure, id string, objectiveMS int64) {
+// submitAdvised hands in a job that needs permits and has an objective.
+func submitAdvised(t *testing.T, ten *leaderTerm, id string, objectiveMS int64) {
 	command := submission(id)
-	command.Submit.Policy.Advice = &workflow.AdvicePolicy{DecideMS: 1, EachMS: 0.1, ValidMS: 2000}
+	command.Submit.Policy.Advice = &workflow.AdvicePolicy{BaseMS: 1, PerWorkerMS: 0.1, TicketValidityMS: 2000}
 	command.Submit.Policy.ObjectiveMS = objectiveMS
 	_, err := ten.propose(command)
 	must.NoError(t, err)
@@ -98,7 +98,7 @@
 }
 
 // runsOf counts the runs of a job's first task.
-func runsOf(ten *tenure, id string) (runs int) {
+func runsOf(ten *leaderTerm, id string) (runs int) {
 	ten.c.state.read(func(s *workflow.State) { runs = s.Task(task(id, 0)).Runs })
 	return runs
 }
@@ -106,13 +106,13 @@
 // What a user sees: a leader that is behind falls further behind.
 // Order: answers to its calls are read late, as its processor is full.
 // Cause: it looked at each worker again as soon as before.
-func TestLooksAreRarerWhileAnswersTakeLong(t *testing.T) {
-	s := &session{t: &tenure{}}
-	must.Eq(t, lookPause, s.pauseAfterEnds())
+func TestPollIntervalGrowsWithAnswerTime(t *testing.T) {
+	s := &workerSession{t: &leaderTerm{}}
+	must.Eq(t, pollPauseAfterEnds, s.pauseAfterEnds())
 	s.t.answerTime = 20 * time.Millisecond
 	must.Eq(t, 160*time.Millisecond, s.pauseAfterEnds())
 	s.t.answerTime = time.Second
-	must.Eq(t, longestLookPause, s.pauseAfterEnds())
+	must.Eq(t, maxPollPauseAfterEnds, s.pauseAfterEnds())
 }
 
 // What a user sees: urgent tasks have ended, and their callers are told a quarter of a
@@ -120,10 +120,10 @@
 // Order: workers are called through another instance, and each answer takes 20 ms, the
 // quickest as well.
 // Cause: the length of the way was taken for a delay of the leader's.
-func TestALongWayToWorkersIsNoDelay(t *testing.T) {
-	ten := &tenure{}
+func TestConstantLatencyToWorkersKeepsPollInterval(t *testing.T) {
+	ten := &leaderTerm{}
 	for range 200 {
 		ten.noteAnswerTime(20 * time.Millisecond)
 	}
-	must.Eq(t, lookPause, (&session{t: ten}).pauseAfterEnds())
+	must.Eq(t, pollPauseAfterEnds, (&workerSession{t: ten}).pauseAfterEnds())
 }
--- a/internal/control/guard_test.go
+++ b/internal/control/guard_test.go
@@ -14,8 +14,8 @@
 // What a user sees: a task is started on a worker that is about to leave.
 // Order: a worker says that it drains; a job comes; an older heartbeat arrives
 // late and says that it doesn't.
-func TestADrainingWorkerGetsNothingNew(t *testing.T) {
-	w := newWorld(t, nil)
+func TestDrainingWorkerGetsNoNewTask(t *testing.T) {
+	w := newTestCluster(t, nil)
 	w.workers.add("w1")
 	w.announce("w1")
 	draining := worker("w1")
@@ -34,8 +34,8 @@
 
 // What a user sees: one bad machine fails job after job.
 // Order: a worker fails whatever it is given, another one is sound.
-func TestAWorkerThatFailsEverythingIsSetAside(t *testing.T) {
-	w := newWorld(t, nil)
+func TestWorkerThatFailsAllRunsIsQuarantined(t *testing.T) {
+	w := newTestCluster(t, nil)
 	w.workers.add("w1")
 	w.announce("w1")
 	for _, job := range []string{"a", "b", "c"} {
@@ -43,7 +43,7 @@
 		w.eventually("the task starts", func() bool { return w.started("w1") >= 1 })
 		w.eventually("it fails", func() bool {
 			failed := false
-			w.with("w1", func(f *fakeWorker) {
+			w.withWorker("w1", func(f *fakeWorker) {
 				if _, ok := f.running[task(job, 0)]; ok {
 					f.finish(task(job, 0), workflow.OutcomeFailed)
 					failed = true
@@ -56,7 +56,7 @@
 	w.announce("w2")
 	onSound := func(job string) bool {
 		found := false
-		w.with("w2", func(f *fakeWorker) { found = f.running[task(job, 0)].Number > 0 })
+		w.withWorker("w2", func(f *fakeWorker) { found = f.running[task(job, 0)].Number > 0 })
 		return found
 	}
 	w.eventually("the third job runs on the sound worker", func() bool { return onSound("c") })
@@ -68,22 +68,22 @@
 // Order: a start is committed and sent; the worker doesn't answer, and carries
 // the order out later or never.
 // Cause: a job counted as begun from the commit of its start on.
-func TestAJobWaitsUntilAWorkerHasBegunIt(t *testing.T) {
-	w := newWorld(t, nil)
-	w.workers.add("w1").delay = true
+func TestJobCountsAsWaitingUntilWorkerStartsIt(t *testing.T) {
+	w := newTestCluster(t, nil)
+	w.workers.add("w1").delayStarts = true
 	w.announce("w1")
 	w.submit("a", oneTask)
 	w.eventually("the start is sent", func() bool {
 		late := 0
-		w.with("w1", func(f *fakeWorker) { late = len(f.late) })
+		w.withWorker("w1", func(f *fakeWorker) { late = len(f.delayedStarts) })
 		return late > 0
 	})
-	reply, err := w.c.State(context.Background(), &StateCall{Place: Place{Host: "h", Path: "/q/"}})
+	reply, err := w.c.State(context.Background(), &StateCall{Address: JobAddress{Host: "h", Path: "/q/"}})
 	must.NoError(t, err)
 	must.Eq(t, 1, reply.Waiting)
-	w.with("w1", func(f *fakeWorker) { f.delay = false })
+	w.withWorker("w1", func(f *fakeWorker) { f.delayStarts = false })
 	w.eventually("nobody waits", func() bool {
-		reply, err := w.c.State(context.Background(), &StateCall{Place: Place{Host: "h", Path: "/q/"}})
+		reply, err := w.c.State(context.Background(), &StateCall{Address: JobAddress{Host: "h", Path: "/q/"}})
 		return err == nil && reply.Waiting == 0
 	})
 }
@@ -92,60 +92,60 @@
 // Order: a leader's machine is suspended; another leader takes over and waits
 // for a lease that it knows; the first one wakes and prolongs it.
 // Cause: the steady clock doesn't count the time of a suspension.
-func TestATenureEndsWhenTheMachineWasSuspended(t *testing.T) {
+func TestLeaderTermEndsAfterMachineSuspend(t *testing.T) {
 	ended := false
-	w := newWorld(t, nil)
-	ten := newTenure(context.Background(), func() { ended = true }, w.c, 7)
-	s := ten.addSession(worker("w1"), nil)
+	w := newTestCluster(t, nil)
+	term := newLeaderTerm(context.Background(), func() { ended = true }, w.c, 7)
+	s := term.addSession(worker("w1"), nil)
 	w.workers.add("w1")
-	_, err := s.look(time.Now())
+	_, err := s.poll(time.Now())
 	must.NoError(t, err)
 	must.False(t, ended)
-	ten.sleepTime = func() (time.Duration, error) { return ten.sleptBefore + 2*time.Second, nil }
-	_, _ = s.look(time.Now())
+	term.suspendedTime = func() (time.Duration, error) { return term.suspendedBefore + 2*time.Second, nil }
+	_, _ = s.poll(time.Now())
 	must.True(t, ended)
 }
 
 // What a user sees: the leader is killed for its memory on a long day.
 // Order: jobs come and end, each with what the adviser said of 48 workers.
 // Cause: what was known of ended jobs was kept for as long as the tenure.
-func TestNothingIsKeptOfJobsThatEndedLongAgo(t *testing.T) {
-	w := startedWorld(t)
-	ten, err := w.c.leading(context.Background())
+func TestStateOfEndedJobsIsReleased(t *testing.T) {
+	w := clusterWithStartedTask(t)
+	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
-	ten.mu.Lock()
-	ten.permitsOf(workflow.StepKey{Job: "a"})
-	ten.mu.Unlock()
-	must.SliceEmpty(t, ten.forget(time.Now()))
-	must.MapLen(t, 1, ten.permits)
-	w.with("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
+	term.mu.Lock()
+	term.permitsOf(workflow.StepKey{Job: "a"})
+	term.mu.Unlock()
+	must.SliceEmpty(t, term.forget(time.Now()))
+	must.MapLen(t, 1, term.permits)
+	w.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
 	w.eventually("the job is done", func() bool { return w.phase("a") == workflow.PhaseDone })
-	must.SliceEmpty(t, ten.forget(time.Now()))
-	must.MapEmpty(t, ten.permits)
-	must.Eq(t, []string{"a"}, ten.forget(time.Now().Add(time.Hour)))
-	must.MapEmpty(t, ten.accepted)
+	must.SliceEmpty(t, term.forget(time.Now()))
+	must.MapEmpty(t, term.permits)
+	must.Eq(t, []string{"a"}, term.forget(time.Now().Add(time.Hour)))
+	must.MapEmpty(t, term.acceptedAt)
 }
 
 // What a user sees: a worker is given more than it has.
 // Order: starts are being committed; a second decision is made meanwhile.
 // Cause: the room of starts under way wasn't counted.
-func TestStartsUnderWayTakeTheirRoom(t *testing.T) {
-	w := newWorld(t, nil)
+func TestProposedStartsReserveCapacity(t *testing.T) {
+	w := newTestCluster(t, nil)
 	w.workers.add("w1")
 	w.announce("w1")
-	ten, err := w.c.leading(context.Background())
+	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	w.eventually("the worker is ready", func() bool {
-		return len(ten.snapshot(time.Now()).workers) == 1
+		return len(term.gatherPlanInput(time.Now()).workers) == 1
 	})
 	w.commit(&workflow.Command{Submit: &workflow.Submission{
 		ID: "b", Queue: "h/q/", Steps: []workflow.Step{{Count: 2, Need: workflow.Resources{MilliCPU: 8000}, Label: "none"}},
 		Policy: workflow.Policy{Service: "s"},
 	}})
-	ten.mu.Lock()
-	ten.proposed[task("b", 0)] = "w1"
-	ten.mu.Unlock()
-	v := ten.snapshot(time.Now())
+	term.mu.Lock()
+	term.proposedStarts[task("b", 0)] = "w1"
+	term.mu.Unlock()
+	v := term.gatherPlanInput(time.Now())
 	must.Eq(t, int64(2000), v.workers[0].Free.MilliCPU)
 	must.Eq(t, []int{1}, v.steps[0].Pending)
 }
@@ -154,12 +154,12 @@
 // leader.
 // Order: a leader begins; a worker hasn't answered it yet; a job comes.
 // Cause: what runs there isn't known before the worker's first answer.
-func TestAWorkerThatHasNotAnsweredGetsNothing(t *testing.T) {
+func TestUnconfirmedWorkerGetsNoTask(t *testing.T) {
 	now := time.Now()
-	s := &session{t: &tenure{}, answeredAt: now}
-	must.Eq(t, reasonSilent, s.obstacle(now, nil, 0))
+	s := &workerSession{t: &leaderTerm{}, answeredAt: now}
+	must.Eq(t, reasonSilent, s.unschedulableReason(now, nil, 0))
 	s.ready = true
-	must.Eq(t, "", s.obstacle(now, nil, 0))
+	must.Eq(t, "", s.unschedulableReason(now, nil, 0))
 }
 
 // What a user sees: calls are refused by an instance that leads, and all instances
@@ -167,10 +167,10 @@
 // Order: the log's goroutine is held up for a tenth of a second; nothing shows
 // meanwhile that the member still leads; it does.
 // Cause: what wasn't shown to lead was taken for not leading.
-func TestALeaderThatIsHeldUpAnswersOnceItsLogDoes(t *testing.T) {
-	w := newWorld(t, nil)
+func TestLeaderWaitsForDelayedLogInsteadOfRefusing(t *testing.T) {
+	w := newTestCluster(t, nil)
 	w.workers.add("w1")
-	w.log.hold(100 * time.Millisecond)
+	w.log.delayStatus(100 * time.Millisecond)
 	_, err := w.c.Announce(context.Background(), &Announcement{Worker: worker("w1")})
 	must.NoError(t, err)
 }
@@ -190,8 +190,8 @@
 // Order: a tenure is shared with the calls; the line that it has begun counts its
 // workers; a worker's first heartbeat comes meanwhile.
 // Cause: they were counted without the tenure's lock. The race detector says so.
-func TestATenureIsNotReadWithoutItsLockOnceItIsShared(t *testing.T) {
-	w := newWorld(t, func(w *world) { w.c.cfg.Logger = slowLogger{} })
+func TestSharedLeaderTermIsReadUnderLock(t *testing.T) {
+	w := newTestCluster(t, func(w *testCluster) { w.c.cfg.Logger = slowLogger{} })
 	w.workers.add("w1")
 	w.announce("w1")
 }
--- a/internal/control/health_test.go
+++ b/internal/control/health_test.go
@@ -12,13 +12,13 @@
 // What a user sees: jobs vanish into one worker that looks healthy.
 // Order: a worker's tasks stand still; it answers every look; it is given more.
 // Cause: only silence and failures counted against a worker.
-func TestAWorkerWhoseRunsStandStillGetsNothingNew(t *testing.T) {
-	w := startedWorld(t)
-	time.Sleep(stillAfter + 200*time.Millisecond)
+func TestStalledWorkerGetsNoNewTask(t *testing.T) {
+	w := clusterWithStartedTask(t)
+	time.Sleep(stallTimeout + 200*time.Millisecond)
 	w.submit("b", oneTask)
 	time.Sleep(100 * time.Millisecond)
 	must.Eq(t, 1, w.started("w1"))
-	w.with("w1", func(f *fakeWorker) {
+	w.withWorker("w1", func(f *fakeWorker) {
 		f.running[task("a", 0)] = Running{Task: task("a", 0), Number: 1, Percent: 50}
 	})
 	w.eventually("the worker is used again when it goes on", func() bool { return w.started("w1") == 2 })
@@ -26,21 +26,21 @@
 
 // What a user sees: a task hangs for as long as its worker does.
 // Order: a task stands still for seconds; another worker has room.
-func TestATaskThatStandsStillIsMoved(t *testing.T) {
-	w := startedWorld(t)
+func TestStalledTaskIsRestartedElsewhere(t *testing.T) {
+	w := clusterWithStartedTask(t)
 	w.workers.add("w2")
 	w.announce("w2")
 	w.eventually("it runs elsewhere", func() bool { return w.started("w2") == 1 })
-	w.with("w1", func(f *fakeWorker) { must.MapEmpty(t, f.running) })
+	w.withWorker("w1", func(f *fakeWorker) { must.MapEmpty(t, f.running) })
 }
 
-func TestSlowWorkersAreFoundByComparison(t *testing.T) {
+func TestSlowWorkerIsDetectedByComparison(t *testing.T) {
 	now := time.Now()
-	ten := &tenure{logger: nopLogger{}}
-	slow := &session{t: ten, orders: map[workflow.TaskKey]*order{}}
-	sound := &session{t: ten, orders: map[workflow.TaskKey]*order{}}
-	run := func(s *session, took time.Duration) {
-		s.orders[task("j", 0)] = &order{run: workflow.Run{Number: 1}, startedAt: now.Add(-took), estimate: time.Second}
+	term := &leaderTerm{logger: nopLogger{}}
+	slow := &workerSession{t: term, orders: map[workflow.TaskKey]*runOrder{}}
+	sound := &workerSession{t: term, orders: map[workflow.TaskKey]*runOrder{}}
+	run := func(s *workerSession, took time.Duration) {
+		s.orders[task("j", 0)] = &runOrder{run: workflow.Run{Number: 1}, startedAt: now.Add(-took), estimate: time.Second}
 		s.noteHealth(workflow.RunEnd{Task: task("j", 0), Number: 1, Outcome: workflow.OutcomeDone}, now)
 	}
 	for range 20 {
@@ -48,14 +48,14 @@
 	}
 	run(slow, 8*time.Second)
 	run(slow, 8*time.Second)
-	must.False(t, slow.slow(), must.Sprint("two runs may be chance"))
+	must.False(t, slow.isSlow(), must.Sprint("two runs may be chance"))
 	run(slow, 8*time.Second)
-	must.True(t, slow.slow())
-	must.False(t, sound.slow())
+	must.True(t, slow.isSlow())
+	must.False(t, sound.isSlow())
 	for range 10 {
 		run(slow, time.Second)
 	}
-	must.False(t, slow.slow())
+	must.False(t, slow.isSlow())
 }
 
 type nopLogger struct{}
--- a/internal/control/load_test.go
+++ b/internal/control/load_test.go
@@ -20,19 +20,19 @@
 func (g gauges) Set(name string, n int64)    { g[name] = n }
 func (gauges) Observe(string, time.Duration) {}
 
-// watchedTenure is a tenure of which a test reads the lines and the gauges.
-func watchedTenure() (*tenure, *bytes.Buffer, gauges) {
+// observedTenure is a tenure of which a test reads the lines and the gauges.
+func observedTenure() (*leaderTerm, *bytes.Buffer, gauges) {
 	lines, counters := &bytes.Buffer{}, gauges{}
-	t := &tenure{
+	t := &leaderTerm{
 		c:      New(Config{Counters: counters, Logger: log.NewNopLogger()}, NewStateMachine(), nil),
 		logger: log.NewLogfmtLogger(lines),
 	}
 	return t, lines, counters
 }
 
-// waitingStepOf is a step of which all tasks wait, each of which needs 4 cores and
+// pendingStep is a step of which all tasks wait, each of which needs 4 cores and
 // 8000 MB.
-func waitingStepOf(job string, tasks int, gang bool) dispatch.Step {
+func pendingStep(job string, tasks int, gang bool) dispatch.Step {
 	s := dispatch.Step{
 		Key: workflow.StepKey{Job: job}, Service: "s",
 		Spec: &workflow.Step{Count: tasks, Gang: gang, Need: workflow.Resources{MilliCPU: 4000, MemoryMB: 8000}},
@@ -43,34 +43,34 @@
 	return s
 }
 
-// cutUp are three workers with 3, 9 and 6 cores free, the last one with too little
+// fragmentedWorkers are three workers with 3, 9 and 6 cores free, the last one with too little
 // memory for a second task.
-func cutUp() []dispatch.Worker {
+func fragmentedWorkers() []dispatch.Worker {
 	var list []dispatch.Worker
 	for i, free := range []workflow.Resources{{MilliCPU: 3000, MemoryMB: 50_000}, {MilliCPU: 9000, MemoryMB: 50_000, Accelerators: 1}, {MilliCPU: 6000, MemoryMB: 9000}} {
 		list = append(list, dispatch.Worker{
 			Worker: workflow.Worker{ID: fmt.Sprint("w", i), Service: "s", Capacity: workflow.Resources{MilliCPU: 16_000, MemoryMB: 64_000, Accelerators: 2}},
-			Free:   free, Unplanned: free,
+			Free:   free, FreeBeforePlan: free,
 		})
 	}
 	return list
 }
 
-func TestTheLoadTellsHowTheRoomIsCutUpAndWhatWaits(t *testing.T) {
-	ten, lines, counters := watchedTenure()
+func TestLoadReportShowsFragmentationAndWaitingSteps(t *testing.T) {
+	ten, lines, counters := observedTenure()
 	now := time.Now()
-	small, large := waitingStepOf("small", 2, true), waitingStepOf("large", 9, true)
+	small, large := pendingStep("small", 2, true), pendingStep("large", 9, true)
 	large.NeedsPermit, large.Permits = true, map[string]dispatch.Permit{"w2": {Granted: true}, "w1": {}}
-	v := &view{steps: []dispatch.Step{small, large, waitingStepOf("behind", 1, false)}, workers: cutUp()}
-	v.workers[1].Free, v.workers[1].Kept = workflow.Resources{MilliCPU: 1000, MemoryMB: 34_000, Accelerators: 1}, workflow.Resources{MilliCPU: 8000, MemoryMB: 16_000}
-	plan := &dispatch.Plan{Behind: 1, Waiting: []dispatch.Waiting{
-		{Step: large.Key, Tasks: 9, Reason: dispatch.ReasonGangs}, {Step: small.Key, Tasks: 2, Reason: dispatch.ReasonNoRoom},
+	v := &planInput{steps: []dispatch.Step{small, large, pendingStep("behind", 1, false)}, workers: fragmentedWorkers()}
+	v.workers[1].Free, v.workers[1].Reserved = workflow.Resources{MilliCPU: 1000, MemoryMB: 34_000, Accelerators: 1}, workflow.Resources{MilliCPU: 8000, MemoryMB: 16_000}
+	plan := &dispatch.Plan{BeyondBound: 1, Waiting: []dispatch.Waiting{
+		{Step: large.Key, Tasks: 9, Reason: dispatch.ReasonGangCannotQuery}, {Step: small.Key, Tasks: 2, Reason: dispatch.ReasonNoRoom},
 	}}
-	ten.noteWaiting(&dispatch.Plan{Behind: 2, Waiting: plan.Waiting[:1]}, now)
+	ten.updateWaiting(&dispatch.Plan{BeyondBound: 2, Waiting: plan.Waiting[:1]}, now)
 	now = now.Add(3 * time.Second)
-	ten.noteWaiting(plan, now)
+	ten.updateWaiting(plan, now)
 	lines.Reset()
-	ten.noteLoad(v, plan, now)
+	ten.reportLoad(v, plan, now)
 	for _, want := range []string{
 		"milli_cpu=48000 free_milli_cpu=18000 memory_mb=192000 free_memory_mb=109000 accelerators=6 free_accelerators=1",
 		"kept_milli_cpu=8000 kept_memory_mb=16000 largest_free=9000/50000/1",
@@ -88,44 +88,44 @@
 		must.Eq(t, want, counters[name], must.Sprint(name))
 	}
 	lines.Reset()
-	ten.noteLoad(v, plan, now.Add(loadEvery/2))
+	ten.reportLoad(v, plan, now.Add(loadLogInterval/2))
 	must.Eq(t, "", lines.String(), must.Sprint("once a second"))
 }
 
-func TestTheLoadOfAnEmptyQueue(t *testing.T) {
-	ten, lines, counters := watchedTenure()
+func TestLoadReportOfEmptyQueue(t *testing.T) {
+	ten, lines, counters := observedTenure()
 	counters["oldest_waiting_ms"], counters["waiting_room"] = 5, 5
-	ten.noteWaiting(&dispatch.Plan{}, time.Now())
-	ten.noteLoad(&view{workers: cutUp()}, &dispatch.Plan{}, time.Now())
+	ten.updateWaiting(&dispatch.Plan{}, time.Now())
+	ten.reportLoad(&planInput{workers: fragmentedWorkers()}, &dispatch.Plan{}, time.Now())
 	must.StrContains(t, lines.String(), "waiting=0 behind=0 waiting_by= waiting_gangs=0 kept_back=")
 	must.Eq(t, int64(0), counters["oldest_waiting_ms"])
 	must.Eq(t, int64(0), counters["waiting_room"])
 }
 
-func TestAStepThatNoDecisionGoesIntoIsTold(t *testing.T) {
-	ten, lines, _ := watchedTenure()
+func TestBacklogStepsAreLoggedUntilConsidered(t *testing.T) {
+	ten, lines, _ := observedTenure()
 	now := time.Now()
-	v := &view{}
-	for i := range 3 * turnLines {
-		v.steps = append(v.steps, waitingStepOf(fmt.Sprint("j", i), 1, false))
+	v := &planInput{}
+	for i := range 3 * maxBacklogLogLines {
+		v.steps = append(v.steps, pendingStep(fmt.Sprint("j", i), 1, false))
 	}
-	plan := &dispatch.Plan{Behind: len(v.steps), Starts: []dispatch.Start{{Task: workflow.TaskKey{StepKey: v.steps[0].Key}}}}
-	ten.noteWaiting(plan, now)
-	ten.noteLoad(v, plan, now)
-	must.Eq(t, turnLines, bytes.Count(lines.Bytes(), []byte(`reason="behind the steps that one decision goes into"`))-1,
+	plan := &dispatch.Plan{BeyondBound: len(v.steps), Starts: []dispatch.Start{{Task: workflow.TaskKey{StepKey: v.steps[0].Key}}}}
+	ten.updateWaiting(plan, now)
+	ten.reportLoad(v, plan, now)
+	must.Eq(t, maxBacklogLogLines, bytes.Count(lines.Bytes(), []byte(`reason="behind the steps that one decision goes into"`))-1,
 		must.Sprint("one line is the load's"))
-	must.Eq(t, dispatch.ReasonTurn, ten.reasonOf(v.steps[5].Key))
+	must.Eq(t, dispatch.ReasonBeyondBound, ten.waitingReason(v.steps[5].Key))
 	must.MapLen(t, len(v.steps)-1, ten.waiting, must.Sprint("what has started doesn't wait"))
 	v.steps = v.steps[:2]
-	ten.noteLoad(v, &dispatch.Plan{Behind: 1}, now.Add(2*loadEvery))
+	ten.reportLoad(v, &dispatch.Plan{BeyondBound: 1}, now.Add(2*loadLogInterval))
 	must.MapLen(t, 2, ten.waiting)
-	ten.noteWaiting(&dispatch.Plan{}, now)
+	ten.updateWaiting(&dispatch.Plan{}, now)
 	must.MapLen(t, 0, ten.waiting)
-	must.Eq(t, "", ten.reasonOf(v.steps[1].Key))
+	must.Eq(t, "", ten.waitingReason(v.steps[1].Key))
 }
 
-func TestAWaitingStepSaysForHowLongItWaitedForWhat(t *testing.T) {
-	ten, lines, _ := watchedTenure()
+func TestWaitingLogShowsEarlierReasons(t *testing.T) {
+	ten, lines, _ := observedTenure()
 	begin := time.Now()
 	at := func(after time.Duration, reason dispatch.Reason, started bool) string {
 		lines.Reset()
@@ -133,15 +133,15 @@
 		if started {
 			plan.Starts = []dispatch.Start{{Task: workflow.TaskKey{StepKey: workflow.StepKey{Job: "a"}}}}
 		}
-		ten.noteWaiting(plan, begin.Add(after))
+		ten.updateWaiting(plan, begin.Add(after))
 		return lines.String()
 	}
 	must.StrContains(t, at(0, dispatch.ReasonNoRoom, false), "waited_ms=0 earlier=\n")
-	must.Eq(t, "", at(100*time.Millisecond, dispatch.ReasonKept, false), must.Sprint("a line was written just now"))
-	must.Eq(t, "", at(900*time.Millisecond, dispatch.ReasonPermit, false))
-	must.Eq(t, "", at(1100*time.Millisecond, dispatch.ReasonPermit, false), must.Sprint("each question is logged"))
-	must.StrContains(t, at(1500*time.Millisecond, dispatch.ReasonKept, false), "waited_ms=1500 "+
+	must.Eq(t, "", at(100*time.Millisecond, dispatch.ReasonReserved, false), must.Sprint("a line was written just now"))
+	must.Eq(t, "", at(900*time.Millisecond, dispatch.ReasonAwaitsAdviser, false))
+	must.Eq(t, "", at(1100*time.Millisecond, dispatch.ReasonAwaitsAdviser, false), must.Sprint("each question is logged"))
+	must.StrContains(t, at(1500*time.Millisecond, dispatch.ReasonReserved, false), "waited_ms=1500 "+
 		`earlier="100 ms: no room on a worker that may run the step; 800 ms: the room that would do is kept for steps before it; 600 ms: waiting for the adviser"`)
-	must.Eq(t, "", at(3*time.Second, dispatch.ReasonKept, true), must.Sprint("nothing new"))
-	must.StrContains(t, at(4*time.Second, dispatch.ReasonKept, false), "waited_ms=1000 earlier=\n", must.Sprint("from its last start"))
+	must.Eq(t, "", at(3*time.Second, dispatch.ReasonReserved, true), must.Sprint("nothing new"))
+	must.StrContains(t, at(4*time.Second, dispatch.ReasonReserved, false), "waited_ms=1000 earlier=\n", must.Sprint("from its last start"))
 }
--- a/internal/control/looks.go
+++ b/internal/control/looks.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	// losingFor is how long after a call without an answer, from a worker that answers
+	// lossWindow is how long after a call without an answer, from a worker that answers
 	// others, looks are held shorter.
-	losingFor = 5 * time.Second
-	// shortWait is how long they are held then, and shortSlack what is allowed for
+	lossWindow = 5 * time.Second
+	// lossyPollHold is how long they are held then, and lossyPollSlack what is allowed for
 	// their way: the end of a run is noticed that much later at most.
-	shortWait  = 250 * time.Millisecond
-	shortSlack = 200 * time.Millisecond
-	// shortLooks bounds the looks a second at all workers while they are held shorter:
+	lossyPollHold  = 250 * time.Millisecond
+	lossyPollSlack = 200 * time.Millisecond
+	// maxLossyPolls bounds the looks a second at all workers while they are held shorter:
 	// a look takes some 0.3 ms of the leader.
-	shortLooks = 200
-	// answerFactor times as long as answers take of late, an answer is overdue, and as
+	maxLossyPolls = 200
+	// overdueFactor times as long as answers take of late, an answer is overdue, and as
 	// many times their delay the next look waits after a report of ends.
-	answerFactor = 8
-	// answerWeight is that of the latest answer in their moving mean.
-	answerWeight = 0.05
+	overdueFactor = 8
+	// answerTimeWeight is that of the latest answer in their moving mean.
+	answerTimeWeight = 0.05
 )
 
 // losing reports whether calls have got lost lately that workers in reach should have
@@ -26,50 +26,50 @@
 // Load that it answers: one call in twenty gets no answer. A look that is held for
 // 1.5 s hides the ends of its worker for 2 s when its answer is lost, with four looks
 // a second and worker for two fifths of the time.
-func (t *tenure) losing(now time.Time) bool {
-	return now.Sub(t.lostAt) < losingFor && !t.without.ShortLooks
+func (t *leaderTerm) losingCalls(now time.Time) bool {
+	return now.Sub(t.callLostAt) < lossWindow && !t.disabled.ShortLooks
 }
 
-// noteLost takes in that a call got no answer. From a worker that has answered since the
+// noteLostCall takes in that a call got no answer. From a worker that has answered since the
 // call was sent it has got lost. t.mu is held.
-func (s *session) noteLost(sent, now time.Time) {
-	s.doubted = true
+func (s *workerSession) noteLostCall(sent, now time.Time) {
+	s.incarnationUnconfirmed = true
 	if !s.answeredAt.After(sent) && !s.clockAt.After(sent) {
 		return
 	}
-	if !s.t.losing(now) {
+	if !s.t.losingCalls(now) {
 		s.t.logger.Log("event", "calls_lost", "worker", s.worker.ID, "sent_ms_ago", now.Sub(sent).Milliseconds())
 	}
-	s.t.lostAt = now
+	s.t.callLostAt = now
 }
 
-// lookTimes returns how long a look is held, and how much longer its answer may
+// pollTimes returns how long a look is held, and how much longer its answer may
 // take. t.mu is held.
-func (s *session) lookTimes(now time.Time) (hold, slack time.Duration) {
-	hold, slack = lookWait, callTimeout
-	if s.t.losing(now) {
-		fewest := time.Duration(len(s.t.sessions)) * time.Second / shortLooks
-		hold = min(max(shortWait, fewest), lookWait)
-		slack = s.t.asAnswersTake(shortSlack, callTimeout)
+func (s *workerSession) pollTimes(now time.Time) (hold, slack time.Duration) {
+	hold, slack = pollHold, callTimeout
+	if s.t.losingCalls(now) {
+		fewest := time.Duration(len(s.t.sessions)) * time.Second / maxLossyPolls
+		hold = min(max(lossyPollHold, fewest), pollHold)
+		slack = s.t.scaledAnswerTime(lossyPollSlack, callTimeout)
 	}
-	if s.still() {
-		hold = min(hold, stillWait)
+	if s.isStalled() {
+		hold = min(hold, stalledPollHold)
 	}
-	if s.throttle.watched() {
-		hold = min(hold, throttleWait)
+	if s.throttle.active() {
+		hold = min(hold, throttledPollWait)
 	}
-	if s.settles() {
+	if s.pollSettlesStop() {
 		hold = 0
 	}
-	if len(s.earlier) > 0 {
-		hold = min(hold, earlierWait)
+	if len(s.predecessors) > 0 {
+		hold = min(hold, supersededPollHold)
 	}
 	return hold, slack
 }
 
 // settles reports whether the next lists settle a run: its stop was acknowledged, and no
 // list has shown it, so that none of its ends will end a held look. t.mu is held.
-func (s *session) settles() bool {
+func (s *workerSession) pollSettlesStop() bool {
 	for _, o := range s.orders {
 		if !o.stopAcked.IsZero() && !o.listed {
 			return true
@@ -78,9 +78,9 @@
 	return false
 }
 
-// longestLookPause is the most that a look waits after a report of ends: a worker has
+// maxPollPauseAfterEnds is the most that a look waits after a report of ends: a worker has
 // some three a second.
-const longestLookPause = 300 * time.Millisecond
+const maxPollPauseAfterEnds = 300 * time.Millisecond
 
 // pauseAfterEnds is the time between a report of ends and the next look: longer where
 // answers come later of late than the quickest did, so that more ends share a look.
@@ -88,30 +88,30 @@
 // Load that it answers: the leader has more to do than its processor can, which shows
 // in answers that it reads late. Half of its calls are looks, and each end that is
 // seen at once brings it another decision and commit.
-func (s *session) pauseAfterEnds() time.Duration {
+func (s *workerSession) pauseAfterEnds() time.Duration {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
 	// The quickest answer shows the way alone, which is longer through another instance.
-	delay := s.t.answerTime - s.t.quickest
-	return manyTimes(delay, lookPause, longestLookPause)
+	delay := s.t.answerTime - s.t.minAnswerTime
+	return boundedMultiple(delay, pollPauseAfterEnds, maxPollPauseAfterEnds)
 }
 
-// asAnswersTake is a time that grows with how long answers take of late, between
+// scaledAnswerTime is a time that grows with how long answers take of late, between
 // bounds. t.mu is held.
-func (t *tenure) asAnswersTake(least, most time.Duration) time.Duration {
-	return manyTimes(t.answerTime, least, most)
+func (t *leaderTerm) scaledAnswerTime(least, most time.Duration) time.Duration {
+	return boundedMultiple(t.answerTime, least, most)
 }
 
-// manyTimes is answerFactor times as long as answers take, between bounds.
-func manyTimes(took, least, most time.Duration) time.Duration {
-	return min(max(least, answerFactor*took), most)
+// boundedMultiple is overdueFactor times as long as answers take, between bounds.
+func boundedMultiple(took, least, most time.Duration) time.Duration {
+	return min(max(least, overdueFactor*took), most)
 }
 
 // noteAnswerTime takes in how long a start took to be answered. t.mu is held.
-func (t *tenure) noteAnswerTime(took time.Duration) {
-	t.answerTime += time.Duration(answerWeight * float64(took-t.answerTime))
-	if t.quickest == 0 || took < t.quickest {
-		t.quickest = took
+func (t *leaderTerm) noteAnswerTime(took time.Duration) {
+	t.answerTime += time.Duration(answerTimeWeight * float64(took-t.answerTime))
+	if t.minAnswerTime == 0 || took < t.minAnswerTime {
+		t.minAnswerTime = took
 	}
 }
 
@@ -121,8 +121,8 @@
 // Failure guarded against: the leader has more to do than it can, and sees answers
 // late. Taken for lost, each order is sent again and its worker given nothing, which
 // makes more to do.
-func (t *tenure) overdueAfter() time.Duration {
-	return t.asAnswersTake(promptAnswer, callTimeout/2)
+func (t *leaderTerm) overdueAfter() time.Duration {
+	return t.scaledAnswerTime(minOverdueTime, callTimeout/2)
 }
 
 // unheard reports whether a look has gone without an answer for longer than it may be
@@ -130,7 +130,7 @@
 //
 // Failure guarded against: the time since the last answer counts, and a look that began
 // late, after a report of ends, makes a sound worker seem out of reach.
-func (s *session) unheard(now time.Time) bool {
-	silent := now.Sub(s.answeredAt) > copySilence && now.Sub(s.t.started) > copySilence
-	return silent && now.After(s.lookDue)
+func (s *workerSession) isUnresponsive(now time.Time) bool {
+	silent := now.Sub(s.answeredAt) > copySilenceTimeout && now.Sub(s.t.started) > copySilenceTimeout
+	return silent && now.After(s.pollDue)
 }
--- a/internal/control/machines.go
+++ b/internal/control/machines.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// machinesPause is the time between two decisions on waves and moves.
-	machinesPause = 250 * time.Millisecond
-	// listEvery is the time between two readings of the list of machines while
+	// machineLoopInterval is the time between two decisions on waves and moves.
+	machineLoopInterval = 250 * time.Millisecond
+	// machineListInterval is the time between two readings of the list of machines while
 	// there is something to decide. The deployment allows some tens of calls a second.
-	listEvery = 750 * time.Millisecond
-	// listStale is the age from which on the list is too old to act on.
-	listStale = 3 * time.Second
+	machineListInterval = 750 * time.Millisecond
+	// maxMachineListAge is the age from which on the list is too old to act on.
+	maxMachineListAge = 3 * time.Second
 	// machineCallTimeout bounds a call to the list of machines, which may be slow.
 	machineCallTimeout = 2 * time.Second
 )
 
 // cordoned is a worker that is given nothing new because its machine goes down.
-type cordoned struct {
+type cordonState struct {
 	since time.Time
 	// stop says that its runs are to be stopped.
 	stop bool
@@ -34,26 +34,26 @@
 // but for those of the loop.
 type machines struct {
 	// cordoned holds the cordoned workers, by incarnation.
-	cordoned map[string]*cordoned
+	cordoned map[string]*cordonState
 	// ordering are the machines with an order under way.
-	ordering map[string]bool
-	// begunAt is when this tenure learnt that a machine's maintenance has begun.
-	begunAt map[string]time.Time
-	// waveBegun is when this tenure accepted a wave.
-	waveBegun map[int64]time.Time
+	ordersInFlight map[string]bool
+	// maintenanceBegunAt is when this tenure learnt that a machine's maintenance has begun.
+	maintenanceBegunAt map[string]time.Time
+	// waveAcceptedAt is when this tenure accepted a wave.
+	waveAcceptedAt map[int64]time.Time
 
 	// list is the deployment's as it was read at listedAt; both belong to the loop.
 	list     map[string]ListedMachine
 	listedAt time.Time
 	// lost says that the last reading failed, unreadable counts the entries of it that
 	// named no machine to use.
-	lost       bool
+	listFailed bool
 	unreadable int
 }
 
 func newMachines() *machines {
 	return &machines{
-		cordoned: map[string]*cordoned{}, ordering: map[string]bool{}, begunAt: map[string]time.Time{}, waveBegun: map[int64]time.Time{},
+		cordoned: map[string]*cordonState{}, ordersInFlight: map[string]bool{}, maintenanceBegunAt: map[string]time.Time{}, waveAcceptedAt: map[int64]time.Time{},
 	}
 }
 
@@ -61,40 +61,40 @@
 func (m *machines) isCordoned(worker string) bool { return m != nil && m.cordoned[worker] != nil }
 
 // machineLoop works on waves and moves until the tenure ends.
-func (t *tenure) machineLoop() {
-	for wait.For(t.ctx, machinesPause) {
+func (t *leaderTerm) machineLoop() {
+	for wait.For(t.ctx, machineLoopInterval) {
 		waves, services := t.openWaves(), t.services()
-		kept := map[string]bool{}
+		keepCordoned := map[string]bool{}
 		if len(waves) > 0 || len(services) > 0 {
 			t.decideMachines(func(now time.Time) {
-				t.workOn(waves, kept, now)
+				t.processWaves(waves, keepCordoned, now)
 				if len(services) > 0 {
-					t.moveMachines(services, kept, now)
+					t.moveMachines(services, keepCordoned, now)
 				}
 			})
 		}
-		t.uncordonOthers(kept)
+		t.uncordonOthers(keepCordoned)
 	}
 }
 
 // decideMachines calls decide with a list that is new enough.
-func (t *tenure) decideMachines(decide func(now time.Time)) {
+func (t *leaderTerm) decideMachines(decide func(now time.Time)) {
 	now := time.Now()
-	if now.Sub(t.machines.listedAt) > listEvery {
+	if now.Sub(t.machines.listedAt) > machineListInterval {
 		t.readMachines(now)
 	}
-	if now.Sub(t.machines.listedAt) < listStale {
-		t.machines.nameLives(t.c.state)
+	if now.Sub(t.machines.listedAt) < maxMachineListAge {
+		t.machines.setLatestIncarnations(t.c.state)
 		decide(now)
 	}
 }
 
-// nameLives takes for the worker on each machine its latest life, since the list names
+// setLatestIncarnations takes for the worker on each machine its latest life, since the list names
 // workers only, and is some time old.
-func (m *machines) nameLives(state *StateMachine) {
+func (m *machines) setLatestIncarnations(state *StateMachine) {
 	state.read(func(s *workflow.State) {
 		for id, listed := range m.list {
-			if newest := s.Newest(listed.Name); newest != nil {
+			if newest := s.NewestIncarnation(listed.Name); newest != nil {
 				listed.Worker = newest.ID
 				m.list[id] = listed
 			}
@@ -103,11 +103,11 @@
 }
 
 // readMachines reads the whole list. What it doesn't hold has left for good.
-func (t *tenure) readMachines(now time.Time) {
+func (t *leaderTerm) readMachines(now time.Time) {
 	m := t.machines
 	list, err := t.listMachines()
-	if lost := err != nil; lost != m.lost {
-		m.lost = lost
+	if lost := err != nil; lost != m.listFailed {
+		m.listFailed = lost
 		t.logger.Log("event", "machine_list", "lost", lost, "err", err)
 	}
 	if err == nil {
@@ -115,7 +115,7 @@
 	}
 }
 
-func (t *tenure) listMachines() (map[string]ListedMachine, error) {
+func (t *leaderTerm) listMachines() (map[string]ListedMachine, error) {
 	ctx, cancel := context.WithTimeout(t.ctx, machineCallTimeout)
 	defer cancel()
 	list := map[string]ListedMachine{}
@@ -131,19 +131,19 @@
 		}
 		unreadable += answer.Unreadable
 		if answer.Next == "" {
-			t.keepUnread(list, unreadable)
+			t.keepUnreadable(list, unreadable)
 			return list, nil
 		}
 		page = answer.Next
 	}
 }
 
-// keepUnread keeps what was known of machines that a list doesn't hold, when entries
+// keepUnreadable keeps what was known of machines that a list doesn't hold, when entries
 // of it couldn't be read: theirs may be among them.
 //
 // Failure guarded against: one entry is damaged, its machine counts as gone for good,
 // and a wave is said to be done without it.
-func (t *tenure) keepUnread(list map[string]ListedMachine, unreadable int) {
+func (t *leaderTerm) keepUnreadable(list map[string]ListedMachine, unreadable int) {
 	if unreadable != t.machines.unreadable {
 		t.machines.unreadable = unreadable
 		t.logger.Log("event", "machine_list", "unreadable", unreadable, "read", len(list))
@@ -159,36 +159,36 @@
 }
 
 // cordon gives a worker nothing new, and reports whether that is a change.
-func (t *tenure) cordon(worker string, now time.Time) bool {
+func (t *leaderTerm) cordon(worker string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.machines.cordoned[worker] != nil {
 		return false
 	}
-	t.machines.cordoned[worker] = &cordoned{since: now}
+	t.machines.cordoned[worker] = &cordonState{since: now}
 	return true
 }
 
-// stopAll lets the runs of a worker be stopped, and reports whether that is a
+// stopRunsOn lets the runs of a worker be stopped, and reports whether that is a
 // change.
-func (t *tenure) stopAll(worker string) bool {
+func (t *leaderTerm) stopRunsOn(worker string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.machines.cordoned[worker]
-	if e == nil || e.stop {
+	state := t.machines.cordoned[worker]
+	if state == nil || state.stop {
 		return false
 	}
-	e.stop = true
-	t.kick()
+	state.stop = true
+	t.wake()
 	return true
 }
 
 // uncordonOthers gives work again to all workers but those kept.
-func (t *tenure) uncordonOthers(kept map[string]bool) {
+func (t *leaderTerm) uncordonOthers(keepCordoned map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for worker := range t.machines.cordoned {
-		if !kept[worker] {
+		if !keepCordoned[worker] {
 			delete(t.machines.cordoned, worker)
 		}
 	}
@@ -197,18 +197,18 @@
 // beginOrder reports whether an order for a machine may be given now, and notes
 // that one is under way. A machine that another instance may have given orders
 // for a moment ago waits.
-func (t *tenure) beginOrder(machine string) bool {
+func (t *leaderTerm) beginOrder(machine string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.machines.ordering[machine] || time.Since(t.started) < t.c.cfg.Bounds.HolderPause {
+	if t.machines.ordersInFlight[machine] || time.Since(t.started) < t.c.cfg.Bounds.MachineHandoverDelay {
 		return false
 	}
-	t.machines.ordering[machine] = true
+	t.machines.ordersInFlight[machine] = true
 	return true
 }
 
 // callMachine makes one call that orders something of a machine.
-func (t *tenure) callMachine(machine string, call func(context.Context, MachineOrder) error) error {
+func (t *leaderTerm) callMachine(machine string, call func(context.Context, MachineOrder) error) error {
 	ctx, cancel := context.WithTimeout(t.ctx, machineCallTimeout)
 	defer cancel()
 	err := call(ctx, MachineOrder{Machine: machine, Holder: t.c.cfg.Instance, Fence: t.fence})
@@ -216,15 +216,15 @@
 	return err
 }
 
-func (t *tenure) endOrder(machine string) {
+func (t *leaderTerm) endOrder(machine string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.machines.ordering, machine)
+	delete(t.machines.ordersInFlight, machine)
 }
 
-// giveWay ends the tenure when an order was refused for a later leader's sake.
-func (t *tenure) giveWay(refused *RefusedError) {
-	if refused != nil && refused.Reason == RefusedFence {
+// stepDownIfFenced ends the tenure when an order was refused for a later leader's sake.
+func (t *leaderTerm) stepDownIfFenced(refused *RefusedError) {
+	if refused != nil && refused.Reason == RefusedStaleFence {
 		t.logger.Log("event", "tenure", "outcome", "given up", "cause", "a machine has orders of a later leader")
 		t.end()
 	}
--- a/internal/control/maintenance.go
+++ b/internal/control/maintenance.go
@@ -11,16 +11,16 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-func (t *tenure) noteWave(id int64) {
+func (t *leaderTerm) recordWaveAccepted(id int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.machines.waveBegun[id].IsZero() {
-		t.machines.waveBegun[id] = time.Now()
+	if t.machines.waveAcceptedAt[id].IsZero() {
+		t.machines.waveAcceptedAt[id] = time.Now()
 	}
 }
 
 // openWaves returns copies of the waves that aren't done.
-func (t *tenure) openWaves() []workflow.WaveState {
+func (t *leaderTerm) openWaves() []workflow.WaveState {
 	var open []workflow.WaveState
 	t.c.state.read(func(s *workflow.State) {
 		for _, wave := range s.Waves {
@@ -32,50 +32,50 @@
 	return open
 }
 
-// workOn decides on each wave and carries the decisions out. kept gets the workers
+// processWaves decides on each wave and carries the decisions out. kept gets the workers
 // that are given nothing new.
-func (t *tenure) workOn(waves []workflow.WaveState, kept map[string]bool, now time.Time) {
+func (t *leaderTerm) processWaves(waves []workflow.WaveState, keepCordoned map[string]bool, now time.Time) {
 	for _, wave := range waves {
-		view := t.waveMachines(&wave, kept, now)
+		view := t.waveMachines(&wave, keepCordoned, now)
 		plan := maintenance.Decide(t.waveView(&wave, now), view.machines)
 		for _, id := range plan.Cordon {
 			worker := t.machines.list[id].Worker
-			kept[worker] = true
+			keepCordoned[worker] = true
 			if t.cordon(worker, now) {
 				t.logMaintenance(wave.ID, id, worker, "cordoned")
 			}
 		}
 		for _, id := range plan.Stop {
-			if worker := t.machines.list[id].Worker; t.stopAll(worker) {
+			if worker := t.machines.list[id].Worker; t.stopRunsOn(worker) {
 				t.logMaintenance(wave.ID, id, worker, "runs stopped")
 			}
 		}
 		for _, id := range plan.Order {
 			t.orderMaintenance(wave.ID, t.machines.list[id])
 		}
-		for _, m := range view.again {
+		for _, m := range view.resend {
 			t.orderMaintenance(wave.ID, m)
 		}
-		t.dropLeft(&wave)
+		t.dropRemovedMachines(&wave)
 	}
 }
 
-func (t *tenure) logMaintenance(wave int64, machine, worker, outcome string) {
+func (t *leaderTerm) logMaintenance(wave int64, machine, worker, outcome string) {
 	t.logger.Log("event", "maintenance", "wave", wave, "machine", machine, "worker", worker, "outcome", outcome)
 }
 
 // waveView is how much time a wave has left. A leader that didn't accept it goes
 // by the time of day, which may be off by some seconds.
-func (t *tenure) waveView(w *workflow.WaveState, now time.Time) maintenance.Wave {
+func (t *leaderTerm) waveView(w *workflow.WaveState, now time.Time) maintenance.Wave {
 	t.mu.Lock()
-	begun, known := t.machines.waveBegun[w.ID]
+	acceptedAt, known := t.machines.waveAcceptedAt[w.ID]
 	t.mu.Unlock()
 	duration := time.Duration(w.DurationMS) * time.Millisecond
-	passed := now.Sub(begun)
+	passed := now.Sub(acceptedAt)
 	if !known {
 		passed = min(max(time.Duration(now.UnixMilli()-w.AcceptedAtMS)*time.Millisecond, 0), duration)
 	}
-	return maintenance.Wave{Remaining: duration - passed, Length: t.c.cfg.Bounds.Maintenance, MaxDown: w.MaxDown}
+	return maintenance.Wave{Remaining: duration - passed, Length: t.c.cfg.Bounds.MaintenanceDuration, MaxDown: w.MaxDown}
 }
 
 // waveMachines are the machines of a wave whose maintenance isn't over.
@@ -83,33 +83,33 @@
 	machines []maintenance.Machine
 	// again are those whose order got no answer. It is repeated, also an order of
 	// an earlier leader: it succeeds when it has been carried out.
-	again []ListedMachine
+	resend []ListedMachine
 }
 
 // waveMachines views the machines of a wave, and adds to kept the workers that
 // are given nothing new.
-func (t *tenure) waveMachines(w *workflow.WaveState, kept map[string]bool, now time.Time) waveMachines {
+func (t *leaderTerm) waveMachines(w *workflow.WaveState, keepCordoned map[string]bool, now time.Time) waveMachines {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var view waveMachines
 	t.c.state.read(func(s *workflow.State) {
 		for _, id := range w.Machines {
-			listed, there := t.machines.list[id]
-			done := w.Maintenances[id]
+			listed, exists := t.machines.list[id]
+			recorded := w.Maintenances[id]
 			switch {
-			case !there || done.Stage == workflow.MaintenanceMoot, done.Stage == workflow.MaintenanceBegun && t.isBack(listed, done, now):
-			case done.Stage != 0:
+			case !exists || recorded.Stage == workflow.MaintenanceNotNeeded, recorded.Stage == workflow.MaintenanceBegun && t.backFromMaintenance(listed, recorded, now):
+			case recorded.Stage != 0:
 				// An order without an answer may be carried out at any time.
 				view.machines = append(view.machines, maintenance.Machine{ID: id, Down: true})
-				kept[done.Worker] = true
-				if done.Stage == workflow.MaintenanceOrdered {
-					view.again = append(view.again, ListedMachine{ID: id, Worker: done.Worker})
+				keepCordoned[recorded.Worker] = true
+				if recorded.Stage == workflow.MaintenanceOrdered {
+					view.resend = append(view.resend, ListedMachine{ID: id, Worker: recorded.Worker})
 				}
 			default:
 				m := t.maintenanceMachine(s, listed, now)
 				view.machines = append(view.machines, m)
 				if m.Chosen {
-					kept[listed.Worker] = true
+					keepCordoned[listed.Worker] = true
 				}
 			}
 		}
@@ -117,26 +117,26 @@
 	return view
 }
 
-// isBack reports whether a machine has come back from its maintenance: the time of one
+// backFromMaintenance reports whether a machine has come back from its maintenance: the time of one
 // has passed since it began, and another incarnation lives on the machine. The
 // list may lag, so that it is up isn't enough; and the worker may have restarted
 // before the order was carried out, so that another one is shown isn't either.
 // t.mu is held.
-func (t *tenure) isBack(m ListedMachine, done workflow.Maintenance, now time.Time) bool {
-	begun, known := t.machines.begunAt[m.ID]
+func (t *leaderTerm) backFromMaintenance(m ListedMachine, recorded workflow.Maintenance, now time.Time) bool {
+	begunAt, known := t.machines.maintenanceBegunAt[m.ID]
 	if !known {
-		begun = t.started
+		begunAt = t.started
 	}
-	return now.Sub(begun) >= t.c.cfg.Bounds.Maintenance && m.State == MachineUp && m.Worker != "" && m.Worker != done.Worker
+	return now.Sub(begunAt) >= t.c.cfg.Bounds.MaintenanceDuration && m.State == MachineUp && m.Worker != "" && m.Worker != recorded.Worker
 }
 
 // maintenanceMachine is the view of a machine that hasn't been ordered down. t.mu is held.
-func (t *tenure) maintenanceMachine(s *workflow.State, listed ListedMachine, now time.Time) maintenance.Machine {
+func (t *leaderTerm) maintenanceMachine(s *workflow.State, listed ListedMachine, now time.Time) maintenance.Machine {
 	m := maintenance.Machine{ID: listed.ID, Up: listed.State == MachineUp}
 	runs := s.Runs[listed.Worker]
 	m.Empty = len(runs) == 0
-	if e := t.machines.cordoned[listed.Worker]; e != nil {
-		m.Chosen, m.ChosenFor = true, now.Sub(e.since)
+	if state := t.machines.cordoned[listed.Worker]; state != nil {
+		m.Chosen, m.ChosenFor = true, now.Sub(state.since)
 	}
 	session := t.sessions[listed.Worker]
 	for task, run := range runs {
@@ -152,20 +152,20 @@
 }
 
 // orderMaintenance commits that a machine goes down and then orders it.
-func (t *tenure) orderMaintenance(wave int64, m ListedMachine) {
+func (t *leaderTerm) orderMaintenance(wave int64, m ListedMachine) {
 	if !t.beginOrder(m.ID) {
 		return
 	}
 	listAge := time.Since(t.machines.listedAt)
-	t.goTask(func() {
+	t.spawn(func() {
 		defer t.endOrder(m.ID)
 		t.sendMaintenance(wave, m, listAge)
-		wait.For(t.ctx, retryPause)
+		wait.For(t.ctx, retryInterval)
 	})
 }
 
-func (t *tenure) sendMaintenance(wave int64, m ListedMachine, listAge time.Duration) {
-	if t.noteMaintenance(wave, m, workflow.MaintenanceOrdered) != nil {
+func (t *leaderTerm) sendMaintenance(wave int64, m ListedMachine, listAge time.Duration) {
+	if t.commitMaintenance(wave, m, workflow.MaintenanceOrdered) != nil {
 		return
 	}
 	err := t.callMachine(m.ID, func(ctx context.Context, order MachineOrder) error {
@@ -177,32 +177,32 @@
 	switch {
 	case err == nil:
 		t.mu.Lock()
-		t.machines.begunAt[m.ID] = time.Now()
+		t.machines.maintenanceBegunAt[m.ID] = time.Now()
 		t.mu.Unlock()
-		if t.noteMaintenance(wave, m, workflow.MaintenanceBegun) == nil {
-			t.probe(m.Worker)
+		if t.commitMaintenance(wave, m, workflow.MaintenanceBegun) == nil {
+			t.noteLeaving(m.Worker)
 		}
 	case !errors.As(err, &refused):
 	case refused.Reason == RefusedWave || refused.Reason == RefusedInvalid:
-		_ = t.noteMaintenance(wave, m, workflow.MaintenanceMoot)
+		_ = t.commitMaintenance(wave, m, workflow.MaintenanceNotNeeded)
 	default:
-		t.giveWay(refused)
+		t.stepDownIfFenced(refused)
 	}
 }
 
-func (t *tenure) noteMaintenance(wave int64, m ListedMachine, stage workflow.MaintenanceStage) error {
+func (t *leaderTerm) commitMaintenance(wave int64, m ListedMachine, stage workflow.MaintenanceStage) error {
 	_, err := t.propose(&workflow.Command{Maintenance: &workflow.Maintenance{Wave: wave, Machine: m.ID, Stage: stage, Worker: m.Worker}})
 	return err
 }
 
-// dropLeft settles the machines of a wave that have left the deployment: the list
+// dropRemovedMachines settles the machines of a wave that have left the deployment: the list
 // was read whole and doesn't hold them.
-func (t *tenure) dropLeft(w *workflow.WaveState) {
+func (t *leaderTerm) dropRemovedMachines(w *workflow.WaveState) {
 	for _, id := range w.Machines {
-		_, there := t.machines.list[id]
-		if !there && w.Maintenances[id].Stage < workflow.MaintenanceBegun {
+		_, exists := t.machines.list[id]
+		if !exists && w.Maintenances[id].Stage < workflow.MaintenanceBegun {
 			t.logMaintenance(w.ID, id, "", "left")
-			_ = t.noteMaintenance(w.ID, ListedMachine{ID: id}, workflow.MaintenanceMoot)
+			_ = t.commitMaintenance(w.ID, ListedMachine{ID: id}, workflow.MaintenanceNotNeeded)
 		}
 	}
 }
--- a/internal/control/maintenance_test.go
+++ b/internal/control/maintenance_test.go
@@ -16,29 +16,29 @@
 // fakeMachines is a deployment whose machines go down for maintenance and come back
 // with another incarnation of their worker.
 type fakeMachines struct {
-	world *world
+	world *testCluster
 	// length is how long a machine is down, lag how long the list shows it as before.
-	length, lag time.Duration
-	// slow is how long a call takes; calls and mostCalls count those under way for
+	downtime, listDelay time.Duration
+	// slow is how long a call takes; calls and maxInFlight count those under way for
 	// one machine.
-	slow      time.Duration
-	calls     map[string]int
-	mostCalls int
+	callDuration time.Duration
+	inFlight     map[string]int
+	maxInFlight  int
 
 	mu   sync.Mutex
 	list map[string]*ListedMachine
 	// lives counts the incarnations of a machine's worker.
-	lives map[string]int
-	// down and mostDown count machines that are down.
-	down, mostDown int
-	fences         []uint64
-	moves          []string
+	incarnations map[string]int
+	// down and maxDown count machines that are down.
+	down, maxDown int
+	fences        []uint64
+	moves         []string
 	// silent orders are carried out without an answer.
-	silent bool
+	loseAnswer bool
 }
 
 func newFakeMachines(ids ...string) *fakeMachines {
-	f := &fakeMachines{length: 30 * time.Millisecond, list: map[string]*ListedMachine{}, lives: map[string]int{}, calls: map[string]int{}}
+	f := &fakeMachines{downtime: 30 * time.Millisecond, list: map[string]*ListedMachine{}, incarnations: map[string]int{}, inFlight: map[string]int{}}
 	for _, id := range ids {
 		f.list[id] = &ListedMachine{ID: id, Pool: "s", State: MachineUp, Worker: id + "-0"}
 	}
@@ -64,16 +64,16 @@
 
 func (f *fakeMachines) Maintenance(_ context.Context, order MachineOrder, _ int64) error {
 	f.enter(order.Machine)
-	defer f.leave(order.Machine)
+	defer f.exit(order.Machine)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fences = append(f.fences, order.Fence)
 	m := f.list[order.Machine]
-	if m.State == MachineUp && f.lives[m.ID] == 0 {
+	if m.State == MachineUp && f.incarnations[m.ID] == 0 {
 		f.takeDown(m)
 	}
-	if f.silent {
-		f.silent = false
+	if f.loseAnswer {
+		f.loseAnswer = false
 		return errNoAnswer
 	}
 	return nil
@@ -88,29 +88,29 @@
 	}
 	f.moves = append(f.moves, m.ID+" to "+pool)
 	m.Pool, m.State = pool, MachineMoving
-	f.comeUp(m)
+	f.scheduleReturn(m)
 	return nil
 }
 
 // enter counts a call under way and takes its time.
 func (f *fakeMachines) enter(machine string) {
 	f.mu.Lock()
-	f.calls[machine]++
-	f.mostCalls = max(f.mostCalls, f.calls[machine])
+	f.inFlight[machine]++
+	f.maxInFlight = max(f.maxInFlight, f.inFlight[machine])
 	f.mu.Unlock()
-	time.Sleep(f.slow)
+	time.Sleep(f.callDuration)
 }
 
-func (f *fakeMachines) leave(machine string) {
+func (f *fakeMachines) exit(machine string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.calls[machine]--
+	f.inFlight[machine]--
 }
 
 func (f *fakeMachines) takeDown(m *ListedMachine) {
 	old := m.Worker
-	f.world.with(old, func(w *fakeWorker) { w.replaced = true; clear(w.running) })
-	time.AfterFunc(f.lag, func() {
+	f.world.withWorker(old, func(w *fakeWorker) { w.superseded = true; clear(w.running) })
+	time.AfterFunc(f.listDelay, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if m.Worker == old {
@@ -118,15 +118,15 @@
 		}
 	})
 	f.down++
-	f.mostDown = max(f.mostDown, f.down)
-	f.comeUp(m)
+	f.maxDown = max(f.maxDown, f.down)
+	f.scheduleReturn(m)
 }
 
-// comeUp lets the next incarnation of a machine's worker appear. f.mu is held.
-func (f *fakeMachines) comeUp(m *ListedMachine) {
-	f.lives[m.ID]++
-	next := fmt.Sprint(m.ID, "-", f.lives[m.ID])
-	time.AfterFunc(f.length, func() {
+// scheduleReturn lets the next incarnation of a machine's worker appear. f.mu is held.
+func (f *fakeMachines) scheduleReturn(m *ListedMachine) {
+	f.incarnations[m.ID]++
+	next := fmt.Sprint(m.ID, "-", f.incarnations[m.ID])
+	time.AfterFunc(f.downtime, func() {
 		f.world.workers.add(next)
 		f.mu.Lock()
 		if m.State != MachineMoving {
@@ -140,11 +140,11 @@
 }
 
 // machineWorld is a leader with machines and one worker on each.
-func machineWorld(t *testing.T, machines *fakeMachines) *world {
-	w := newWorld(t, func(w *world) {
+func machineWorld(t *testing.T, machines *fakeMachines) *testCluster {
+	w := newTestCluster(t, func(w *testCluster) {
 		machines.world = w
 		w.c.cfg.Machines = machines
-		w.c.cfg.Bounds.Maintenance = machines.length
+		w.c.cfg.Bounds.MaintenanceDuration = machines.downtime
 	})
 	for id := range machines.list {
 		w.workers.add(id + "-0")
@@ -153,12 +153,12 @@
 	return w
 }
 
-func (w *world) startWave(wave workflow.Wave) {
+func (w *testCluster) startWave(wave workflow.Wave) {
 	_, err := w.c.StartWave(context.Background(), &WaveCall{Wave: wave})
 	must.NoError(w.t, err)
 }
 
-func (w *world) waveDone(id int64) bool {
+func (w *testCluster) waveDone(id int64) bool {
 	reply, err := w.c.WaveState(context.Background(), &WaveStateCall{ID: id})
 	must.NoError(w.t, err)
 	return reply.Done
@@ -166,7 +166,7 @@
 
 // What a user sees: nothing, though all machines have their maintenance: the job that
 // ran when the wave began ends before its machine goes down.
-func TestAWaveTakesMachinesDownOneAfterTheOther(t *testing.T) {
+func TestWaveRespectsMaxDownAndWaitsForRuns(t *testing.T) {
 	machines := newFakeMachines("m1", "m2", "m3")
 	w := machineWorld(t, machines)
 	w.submit("a", oneTask)
@@ -183,78 +183,78 @@
 	w.eventually("two machines have been down", func() bool {
 		machines.mu.Lock()
 		defer machines.mu.Unlock()
-		return machines.lives["m1"]+machines.lives["m2"]+machines.lives["m3"] == 2
+		return machines.incarnations["m1"]+machines.incarnations["m2"]+machines.incarnations["m3"] == 2
 	})
 	must.False(t, w.waveDone(1))
-	w.with(on, func(f *fakeWorker) {
-		must.False(t, f.replaced, must.Sprint("the busy machine goes last"))
+	w.withWorker(on, func(f *fakeWorker) {
+		must.False(t, f.superseded, must.Sprint("the busy machine goes last"))
 		f.finish(task("a", 0), workflow.OutcomeDone)
 	})
 	w.eventually("the wave is done", func() bool { return w.waveDone(1) })
 	must.Eq(t, workflow.PhaseDone, w.phase("a"))
-	must.Eq(t, 1, machines.mostDown)
+	must.Eq(t, 1, machines.maxDown)
 }
 
 // What an operator sees: more machines are down than the wave allows.
 // Order: an order for a machine is carried out and its answer is lost.
 // Cause: a machine counted as up while its order was open.
-func TestAnUnansweredOrderCountsAsDown(t *testing.T) {
+func TestMachineWithUnansweredOrderCountsAsDown(t *testing.T) {
 	machines := newFakeMachines("m1", "m2", "m3")
-	machines.silent, machines.length, machines.lag = true, 600*time.Millisecond, 300*time.Millisecond
+	machines.loseAnswer, machines.downtime, machines.listDelay = true, 600*time.Millisecond, 300*time.Millisecond
 	w := machineWorld(t, machines)
 	w.startWave(workflow.Wave{ID: 1, Machines: []string{"m1", "m2", "m3"}, DurationMS: 60_000, MaxDown: 1})
 	w.eventually("the wave is done", func() bool { return w.waveDone(1) })
-	must.Eq(t, 1, machines.mostDown)
+	must.Eq(t, 1, machines.maxDown)
 }
 
 // What an operator sees: more machines are down than the wave allows.
 // Order: a worker restarts; its machine is ordered down by a list that shows its
 // earlier incarnation; the next list, which lags, shows the later one as up.
 // Cause: another incarnation was taken for proof that the machine is back.
-func TestAMachineIsBackAfterTheTimeOfAMaintenanceOnly(t *testing.T) {
-	w := newWorld(t, nil)
-	ten, err := w.c.leading(context.Background())
+func TestMachineIsBackOnlyAfterMaintenanceTime(t *testing.T) {
+	w := newTestCluster(t, nil)
+	ten, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
-	ten.c.cfg.Bounds.Maintenance = time.Hour
+	ten.c.cfg.Bounds.MaintenanceDuration = time.Hour
 	listed := ListedMachine{ID: "m1", State: MachineUp, Worker: "m1-1"}
 	done := workflow.Maintenance{Wave: 1, Machine: "m1", Stage: workflow.MaintenanceBegun, Worker: "m1-0"}
 	begun := time.Now()
 	ten.mu.Lock()
 	defer ten.mu.Unlock()
-	must.False(t, ten.isBack(listed, done, begun), must.Sprint("begun under an earlier leader"))
-	ten.machines.begunAt["m1"] = begun
-	must.False(t, ten.isBack(listed, done, begun.Add(time.Minute)))
-	must.True(t, ten.isBack(listed, done, begun.Add(time.Hour)))
+	must.False(t, ten.backFromMaintenance(listed, done, begun), must.Sprint("begun under an earlier leader"))
+	ten.machines.maintenanceBegunAt["m1"] = begun
+	must.False(t, ten.backFromMaintenance(listed, done, begun.Add(time.Minute)))
+	must.True(t, ten.backFromMaintenance(listed, done, begun.Add(time.Hour)))
 	listed.Worker = "m1-0"
-	must.False(t, ten.isBack(listed, done, begun.Add(time.Hour)), must.Sprint("the same incarnation"))
+	must.False(t, ten.backFromMaintenance(listed, done, begun.Add(time.Hour)), must.Sprint("the same incarnation"))
 }
 
 // What an operator sees: one machine gets orders twice, or from two instances.
 // Order: an order takes long, and the next decision comes before its answer; a
 // leader begins right after another one gave orders.
 // Cause: nothing held orders for one machine apart.
-func TestOrdersForOneMachineLieApart(t *testing.T) {
+func TestOrdersForOneMachineNeverOverlap(t *testing.T) {
 	machines := newFakeMachines("m1", "m2")
-	machines.slow = 3 * machinesPause
+	machines.callDuration = 3 * machineLoopInterval
 	w := machineWorld(t, machines)
-	ten, err := w.c.leading(context.Background())
+	ten, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	must.True(t, ten.beginOrder("m9"))
 	must.False(t, ten.beginOrder("m9"))
-	ten.c.cfg.Bounds.HolderPause = time.Hour
+	ten.c.cfg.Bounds.MachineHandoverDelay = time.Hour
 	must.False(t, ten.beginOrder("m8"), must.Sprint("the predecessor's orders may be on their way"))
-	ten.c.cfg.Bounds.HolderPause = 0
+	ten.c.cfg.Bounds.MachineHandoverDelay = 0
 	w.startWave(workflow.Wave{ID: 1, Machines: []string{"m1", "m2"}, DurationMS: 60_000, MaxDown: 1})
 	w.eventually("the wave is done", func() bool { return w.waveDone(1) })
-	must.Eq(t, 1, machines.mostCalls)
+	must.Eq(t, 1, machines.maxInFlight)
 }
 
 // What a user sees: a service with too few of its tasks at work.
 // Order: two machines are cordoned by one decision; a task of the same step runs on
 // each; one of them may be away.
 // Cause: the first stop didn't count before it was carried out.
-func TestATaskThatIsAskedToStopCountsAsAway(t *testing.T) {
-	w := newWorld(t, nil)
+func TestStoppingTaskCountsAsUnavailable(t *testing.T) {
+	w := newTestCluster(t, nil)
 	for _, id := range []string{"w1", "w2"} {
 		w.workers.add(id)
 		w.announce(id)
@@ -262,7 +262,7 @@
 	step := workflow.Step{Count: 2, Need: workflow.Resources{MilliCPU: 6000}, LongRunning: true, MaxUnavailable: 1}
 	w.submit("a", step)
 	w.eventually("both tasks run", func() bool { return w.started("w1") == 1 && w.started("w2") == 1 })
-	ten, err := w.c.leading(context.Background())
+	ten, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	ten.mu.Lock()
 	defer ten.mu.Unlock()
@@ -270,13 +270,13 @@
 		var runs []workflow.Run
 		for _, id := range []string{"w1", "w2"} {
 			for key, run := range s.Runs[id] {
-				ten.sessions[id].orders[key] = &order{run: run, listed: true, percent: wholePercent}
+				ten.sessions[id].orders[key] = &runOrder{run: run, listed: true, percent: completePercent}
 				runs = append(runs, run)
 			}
 		}
-		must.True(t, ten.spared(s, runs[1], &step))
+		must.True(t, ten.disruptionAllowed(s, runs[1], &step))
 		ten.sessions["w1"].orders[runs[0].Task].stopSent = time.Now()
-		must.False(t, ten.spared(s, runs[1], &step))
+		must.False(t, ten.disruptionAllowed(s, runs[1], &step))
 	})
 }
 
@@ -284,8 +284,8 @@
 // Order: both of its workers are to leave; both tasks turn out to be at work between
 // two looks for runs to stop; one of them may be away.
 // Cause: the stops of one look were noted after all its runs had been judged.
-func TestTasksJudgedTogetherCountEachOthersStops(t *testing.T) {
-	ten := loadedTenure(t, load{workers: 2})
+func TestStopsOfOneSweepCountAgainstMaxUnavailable(t *testing.T) {
+	ten := loadedTerm(t, benchmarkLoad{workers: 2})
 	service := submission("service")
 	service.Submit.Steps[0] = workflow.Step{Count: 2, Need: workflow.Resources{MilliCPU: 6000}, LongRunning: true, MaxUnavailable: 1}
 	starts := &workflow.Command{Start: []workflow.Run{
@@ -299,22 +299,22 @@
 		session := ten.sessions[id]
 		session.worker.Draining = true
 		run := workflow.Run{Task: task("service", i), Worker: id, Number: 1}
-		session.orders[run.Task] = &order{run: run, listed: true, percent: wholePercent}
+		session.orders[run.Task] = &runOrder{run: run, listed: true, percent: completePercent}
 	}
-	must.SliceLen(t, 1, ten.snapshot(time.Now()).stops)
-	must.SliceEmpty(t, ten.snapshot(time.Now().Add(stopAgain/2)).stops, must.Sprint("the other one stays until the first is at work elsewhere"))
+	must.SliceLen(t, 1, ten.gatherPlanInput(time.Now()).stops)
+	must.SliceEmpty(t, ten.gatherPlanInput(time.Now().Add(stopRetryInterval/2)).stops, must.Sprint("the other one stays until the first is at work elsewhere"))
 }
 
 // What a user sees: a machine is taken from under a task.
 // Order: a machine is chosen for a move; a start on it is being committed.
 // Cause: only committed runs were looked at.
-func TestAMachineOnWhichATaskBeginsIsNotEmpty(t *testing.T) {
-	w := newWorld(t, nil)
-	ten, err := w.c.leading(context.Background())
+func TestMachineWithProposedStartIsNotEmpty(t *testing.T) {
+	w := newTestCluster(t, nil)
+	ten, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	must.True(t, ten.isEmpty("w1"))
 	ten.mu.Lock()
-	ten.proposed[task("a", 0)] = "w1"
+	ten.proposedStarts[task("a", 0)] = "w1"
 	ten.mu.Unlock()
 	must.False(t, ten.isEmpty("w1"))
 }
@@ -323,7 +323,7 @@
 // Order: two tasks serve on two machines; one of them may be away; both machines
 // are to go down; the moved task takes its time to be at work again.
 // Cause: a task counted as at work once its start was sent.
-func TestLongRunningTasksMoveOneAtATime(t *testing.T) {
+func TestLongRunningTasksMoveWithinMaxUnavailable(t *testing.T) {
 	machines := newFakeMachines("m1", "m2", "m3")
 	w := machineWorld(t, machines)
 	step := workflow.Step{Count: 2, Need: workflow.Resources{MilliCPU: 6000, MemoryMB: 10}, LongRunning: true, MaxUnavailable: 1, MaxPerWorker: 1}
@@ -339,9 +339,9 @@
 		return ids
 	}
 	atWork := func(id string) {
-		w.with(id, func(f *fakeWorker) {
+		w.withWorker(id, func(f *fakeWorker) {
 			for key, r := range f.running {
-				r.Percent = wholePercent
+				r.Percent = completePercent
 				f.running[key] = r
 			}
 		})
@@ -364,7 +364,7 @@
 // What a user sees: jobs wait though machines stand by.
 // Order: a job needs more than the service's one machine has; others are off in a
 // standby pool.
-func TestAMachineOnStandbyComesWhenWorkWaits(t *testing.T) {
+func TestStandbyMachineMovesToPoolWithPendingWork(t *testing.T) {
 	machines := newFakeMachines("m1", "m2", "m3")
 	for _, id := range []string{"m2", "m3"} {
 		*machines.list[id] = ListedMachine{ID: id, Pool: "off", State: MachineDown}
@@ -372,7 +372,7 @@
 	for _, m := range machines.list {
 		m.Capacity = tenCores
 	}
-	w := newWorld(t, func(w *world) {
+	w := newTestCluster(t, func(w *testCluster) {
 		machines.world = w
 		w.c.cfg.Machines = machines
 		w.commit(&workflow.Command{Configuration: &workflow.Document{
@@ -402,16 +402,16 @@
 // What a user sees: a wave is said to be done, and a machine of it wasn't taken down.
 // Order: the list is read whole; then an entry of it is damaged.
 // Cause: a machine whose entry couldn't be read counted as gone for good.
-func TestAMachineWhoseEntryCannotBeReadIsNotGone(t *testing.T) {
-	w := newWorld(t, nil)
-	ten, err := w.c.leading(context.Background())
+func TestMachineWithUnreadableEntryIsKept(t *testing.T) {
+	w := newTestCluster(t, nil)
+	ten, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	ten.machines.list = map[string]ListedMachine{"m-1": {ID: "m-1"}, "m-2": {ID: "m-2"}}
 	list := map[string]ListedMachine{"m-1": {ID: "m-1", State: MachineUp}}
-	ten.keepUnread(list, 1)
+	ten.keepUnreadable(list, 1)
 	must.MapContainsKey(t, list, "m-2")
 	must.Eq(t, MachineUp, list["m-1"].State)
 	list = map[string]ListedMachine{"m-1": {ID: "m-1"}}
-	ten.keepUnread(list, 0)
+	ten.keepUnreadable(list, 0)
 	must.MapNotContainsKey(t, list, "m-2")
 }
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -7,25 +7,25 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// startTries is how often a start is sent before its run is stopped instead.
-const startTries = 2
+// maxStartAttempts is how often a start is sent before its run is stopped instead.
+const maxStartAttempts = 2
 
 // order is a start that this tenure has committed and sends.
-type order struct {
+type runOrder struct {
 	run    workflow.Run
 	ticket string
 	// openCalls counts the calls of its start that have no answer: each may be carried out
 	// later, also by the worker's next life.
 	openCalls int
-	// sending says that the start is queued or under way, settledAt is when it no longer was.
-	sending   bool
-	settledAt time.Time
+	// sending says that the start is queued or under way, startCallsEndedAt is when it no longer was.
+	startInProgress   bool
+	startCallsEndedAt time.Time
 	// claimed says that the run is stopped since nothing would have told its end.
-	claimed bool
+	orphaned bool
 	// endKnown says that its end is known and only has to be committed.
 	endKnown bool
-	// listedSent is when the last look that showed the run as alive was sent.
-	listedSent time.Time
+	// listedByPollSentAt is when the last look that showed the run as alive was sent.
+	listedByPollSentAt time.Time
 	// sentAt is when the call under way was sent, zero while there is none.
 	sentAt time.Time
 	// unanswered says that a call ended without an answer and that no list of the
@@ -55,23 +55,23 @@
 	// gang says that the run is a member of one.
 	gang bool
 	// lasts says that the task runs until its job is cancelled.
-	lasts bool
+	longRunning bool
 	// suspect says that a worker has crashed under the task before.
-	suspect bool
+	crashSuspect bool
 	// usesSpare says that the task takes what processors others leave. share is what
 	// the worker has acknowledged last, sharing that a change is under way, pausedAt
 	// since when it is 0.
-	usesSpare bool
-	share     int
-	sharing   bool
-	pausedAt  time.Time
+	usesSpare     bool
+	share         int
+	shareChanging bool
+	pausedAt      time.Time
 }
 
 // unknownShare is that of a run which an earlier leader ordered.
 const unknownShare = -1
 
 // sendStop tells the worker to end a run, or never to begin it.
-func (s *session) sendStop(run workflow.Run) {
+func (s *workerSession) sendStop(run workflow.Run) {
 	clockMS, err := s.callStop(run)
 	t := s.t
 	t.mu.Lock()
@@ -89,19 +89,19 @@
 		o.unanswered = false
 		// The held look began before the acknowledgement and settles nothing.
 		if !o.listed {
-			s.hurry()
+			s.interruptPoll()
 		}
 	}
 }
 
-// stopStranger stops a run that the log doesn't have.
-func (s *session) stopStranger(run workflow.Run) {
+// stopUnknownRun stops a run that the log doesn't have.
+func (s *workerSession) stopUnknownRun(run workflow.Run) {
 	_, err := s.callStop(run)
 	s.t.logger.Log("event", "stop", "task", run.Task, "run", run.Number, "worker", s.worker.ID,
 		"cause", "not in the log", "err", err)
 }
 
-func (s *session) callStop(run workflow.Run) (int64, error) {
+func (s *workerSession) callStop(run workflow.Run) (int64, error) {
 	t := s.t
 	t.c.cfg.Counters.Add("stops", 1)
 	return s.call(func(ctx context.Context, to Target) (int64, error) {
@@ -110,7 +110,7 @@
 }
 
 // call makes one call of the worker where it is now, within callTimeout.
-func (s *session) call(order func(context.Context, Target) (clockMS int64, err error)) (clockMS int64, err error) {
+func (s *workerSession) call(order func(context.Context, Target) (clockMS int64, err error)) (clockMS int64, err error) {
 	s.t.mu.Lock()
 	target := s.target()
 	s.t.mu.Unlock()
--- a/internal/control/ports.go
+++ b/internal/control/ports.go
@@ -49,8 +49,8 @@
 	Fence uint64 `cbor:"3,keyasint"`
 }
 
-// LookOrder asks a worker what runs and what has ended.
-type LookOrder struct {
+// PollOrder asks a worker what runs and what has ended.
+type PollOrder struct {
 	Fence uint64 `cbor:"1,keyasint"`
 	// Seen is the last end that needn't be listed any more.
 	Seen uint64 `cbor:"2,keyasint,omitempty"`
@@ -80,7 +80,7 @@
 	workflow.RunEnd
 }
 
-// Report is a worker's answer to a LookOrder.
+// Report is a worker's answer to a PollOrder.
 type Report struct {
 	ClockMS int64     `cbor:"1,keyasint"`
 	Running []Running `cbor:"2,keyasint,omitempty"`
@@ -94,22 +94,22 @@
 
 // Refusals.
 const (
-	// RefusedFence: the worker has seen a later leader.
-	RefusedFence Refusal = "fence"
-	// RefusedOld: a run as high was stopped or has ended there.
-	RefusedOld Refusal = "old"
-	// RefusedLate: the lease in the order had ended.
-	RefusedLate Refusal = "late"
-	// RefusedRoom: the worker has no room.
-	RefusedRoom Refusal = "room"
+	// RefusedStaleFence: the worker has seen a later leader.
+	RefusedStaleFence Refusal = "fence"
+	// RefusedStaleRun: a run as high was stopped or has ended there.
+	RefusedStaleRun Refusal = "old"
+	// RefusedLeaseExpired: the lease in the order had ended.
+	RefusedLeaseExpired Refusal = "late"
+	// RefusedNoRoom: the worker has no room.
+	RefusedNoRoom Refusal = "room"
 	// RefusedTicket: the ticket isn't valid.
 	RefusedTicket Refusal = "ticket"
 	// RefusedInvalid: the worker can't read the order.
 	RefusedInvalid Refusal = "invalid"
 	// RefusedUnhealthy: the worker takes nothing at present.
 	RefusedUnhealthy Refusal = "unhealthy"
-	// RefusedBusy: the machine isn't up, or is leaving.
-	RefusedBusy Refusal = "busy"
+	// RefusedMachineNotUp: the machine isn't up, or is leaving.
+	RefusedMachineNotUp Refusal = "busy"
 	// RefusedWave: the machine doesn't belong to the wave.
 	RefusedWave Refusal = "wave"
 	// RefusedRate: too many calls; this one has done nothing.
@@ -133,7 +133,7 @@
 	Start(ctx context.Context, to Target, order StartOrder) (clockMS int64, err error)
 	Stop(ctx context.Context, to Target, order StopOrder) (clockMS int64, err error)
 	Throttle(ctx context.Context, to Target, order ThrottleOrder) (clockMS int64, err error)
-	Look(ctx context.Context, to Target, order LookOrder) (Report, error)
+	Poll(ctx context.Context, to Target, order PollOrder) (Report, error)
 }
 
 // MachineState is what the deployment's list says of a machine.
--- a/internal/control/random_test.go
+++ b/internal/control/random_test.go
@@ -17,15 +17,15 @@
 )
 
 // rough is one seeded run.
-type rough struct {
-	t       *testing.T
-	random  *rand.Rand
-	state   *StateMachine
-	workers *roughWorkers
-	term    uint64
-	lives   int
-	c       *Controller
-	stop    func()
+type chaosRun struct {
+	t            *testing.T
+	random       *rand.Rand
+	state        *StateMachine
+	workers      *chaosWorkers
+	term         uint64
+	incarnations int
+	c            *Controller
+	stop         func()
 }
 
 // sinceStart stamps lines with the milliseconds since the test program started.
@@ -33,11 +33,11 @@
 
 var programStart = time.Now()
 
-func (x *rough) lead() {
+func (x *chaosRun) startLeader() {
 	x.term++
 	replicated := &termedLog{fakeLog: fakeLog{state: x.state}, term: x.term}
 	x.c = New(Config{
-		Address: "own", Bounds: Bounds{LeaseMax: 700 * time.Millisecond, Shown: time.Minute}, Workers: x.workers, Adviser: x.workers,
+		Address: "own", Bounds: Bounds{MaxLease: 700 * time.Millisecond, EndedJobRetention: time.Minute}, Workers: x.workers, Adviser: x.workers,
 		Client: link.NewClient(100), Logger: log.With(log.NewLogfmtLogger(&x.workers.lines), "ms", log.Valuer(sinceStart), "term", x.term), Counters: noCounters{},
 		Leader: func() string { return "own" }, Members: func() []string { return nil },
 	}, x.state, replicated)
@@ -51,7 +51,7 @@
 	}()
 	x.stop = func() { cancel(); <-done }
 	for {
-		if _, err := x.c.leading(context.Background()); err == nil {
+		if _, err := x.c.currentLeaderTerm(context.Background()); err == nil {
 			return
 		}
 		time.Sleep(time.Millisecond)
@@ -59,27 +59,27 @@
 }
 
 // addWorker adds an incarnation and announces it.
-func (x *rough) addWorker() {
-	x.lives++
-	id := fmt.Sprint("w", x.lives)
+func (x *chaosRun) addWorker() {
+	x.incarnations++
+	id := fmt.Sprint("w", x.incarnations)
 	x.workers.mu.Lock()
-	x.workers.all[id] = &roughWorker{
-		id: id, capacity: tenCores, running: map[workflow.TaskKey]*roughRun{}, stopped: map[workflow.TaskKey]int{},
+	x.workers.all[id] = &chaosWorker{
+		id: id, capacity: tenCores, running: map[workflow.TaskKey]*chaosWorkerRun{}, stopped: map[workflow.TaskKey]int{},
 	}
 	x.workers.mu.Unlock()
 	x.announce(id)
 }
 
-func (x *rough) announce(id string) {
+func (x *chaosRun) announce(id string) {
 	_, err := x.c.Announce(context.Background(), &Announcement{Worker: worker(id)})
 	must.NoError(x.t, err)
 }
 
 // disturb makes one fault.
-func (x *rough) disturb() {
+func (x *chaosRun) injectFault() {
 	r := x.workers
 	r.mu.Lock()
-	var up []*roughWorker
+	var up []*chaosWorker
 	for _, w := range r.all {
 		if !w.gone {
 			up = append(up, w)
@@ -99,12 +99,12 @@
 		x.addWorker()
 	case 2:
 		x.stop()
-		x.lead()
+		x.startLeader()
 	}
 }
 
-// randomSteps are a plain step, a gang, and one whose tasks may be copied.
-func randomSteps(random *rand.Rand) workflow.Step {
+// randomStep are a plain step, a gang, and one whose tasks may be copied.
+func randomStep(random *rand.Rand) workflow.Step {
 	step := workflow.Step{
 		Count:      1 + random.IntN(4),
 		Need:       workflow.Resources{MilliCPU: int64(1000 + random.IntN(4000)), MemoryMB: 10},
@@ -144,18 +144,18 @@
 
 func randomFaults(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	x := &rough{t: t, random: random, state: NewStateMachine(), workers: &roughWorkers{
-		t: t, random: rand.New(rand.NewPCG(seed, 2)), all: map[string]*roughWorker{}, specs: map[string]workflow.Step{},
-		complete: map[gangRun]bool{}, startedAt: map[workflow.TaskKey][]time.Time{}, doneAt: map[workflow.TaskKey]time.Time{},
+	x := &chaosRun{t: t, random: random, state: NewStateMachine(), workers: &chaosWorkers{
+		t: t, random: rand.New(rand.NewPCG(seed, 2)), all: map[string]*chaosWorker{}, specs: map[string]workflow.Step{},
+		completeGangs: map[gangRun]bool{}, startedAt: map[workflow.TaskKey][]time.Time{}, doneAt: map[workflow.TaskKey]time.Time{},
 	}}
-	x.lead()
+	x.startLeader()
 	defer func() { x.stop() }()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go x.workers.work(ctx)
+	go x.workers.runTasks(ctx)
 	must.NoError(t, x.propose(&workflow.Command{Configuration: &workflow.Document{Version: 1, Source: []byte("{}"), Queues: []workflow.Queue{
 		{Name: "q", Host: "h", Prefix: "/q/", Policy: workflow.Policy{Service: "s", MaxAttempts: 9, Stretch: 2, ObjectiveMS: 100,
-			Advice: &workflow.AdvicePolicy{DecideMS: 1, ValidMS: 200}}},
+			Advice: &workflow.AdvicePolicy{BaseMS: 1, TicketValidityMS: 200}}},
 	}}}))
 	for range 4 {
 		x.addWorker()
@@ -166,36 +166,36 @@
 			jobs++
 			x.submit(fmt.Sprint("j", jobs))
 		}
-		x.disturb()
+		x.injectFault()
 		time.Sleep(time.Duration(random.IntN(80)) * time.Millisecond)
 	}
 	x.workers.mu.Lock()
-	x.workers.calm = true
+	x.workers.faultsOver = true
 	x.workers.mu.Unlock()
-	x.awaitEnds()
+	x.awaitAllEnded()
 	x.workers.mu.Lock()
 	defer x.workers.mu.Unlock()
-	must.SliceEmpty(t, x.workers.broken, must.Sprint(x.workers.broken), must.Sprint(x.workers.lines.of(x.workers.broken)))
+	must.SliceEmpty(t, x.workers.violations, must.Sprint(x.workers.violations), must.Sprint(x.workers.lines.of(x.workers.violations)))
 }
 
-func (x *rough) propose(c *workflow.Command) error {
+func (x *chaosRun) propose(c *workflow.Command) error {
 	_, err := x.c.propose(context.Background(), c)
 	return err
 }
 
-func (x *rough) submit(id string) {
-	step := randomSteps(x.random)
+func (x *chaosRun) submit(id string) {
+	step := randomStep(x.random)
 	x.workers.mu.Lock()
 	x.workers.specs[id] = step
 	x.workers.mu.Unlock()
 	_, err := x.c.Submit(context.Background(), &SubmitCall{
-		Place: Place{Host: "h", Path: "/q/" + id}, Payload: "p", Steps: []workflow.Step{step},
+		Address: JobAddress{Host: "h", Path: "/q/" + id}, Payload: "p", Steps: []workflow.Step{step},
 	})
 	must.NoError(x.t, err)
 }
 
-// awaitEnds waits until no job is open, with heartbeats of the workers that are up.
-func (x *rough) awaitEnds() {
+// awaitAllEnded waits until no job is open, with heartbeats of the workers that are up.
+func (x *chaosRun) awaitAllEnded() {
 	var open []string
 	for range 200 {
 		x.workers.mu.Lock()
@@ -211,7 +211,7 @@
 		}
 		open = nil
 		x.state.read(func(s *workflow.State) {
-			for id, job := range s.Open() {
+			for id, job := range s.OpenJobs() {
 				open = append(open, fmt.Sprint(id, " ", job.Unfinished))
 			}
 		})
--- a/internal/control/report.go
+++ b/internal/control/report.go
@@ -6,59 +6,59 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// stopAgain is the time between two stops of the same run.
-const stopAgain = 400 * time.Millisecond
+// stopRetryInterval is the time between two stops of the same run.
+const stopRetryInterval = 400 * time.Millisecond
 
-// takeIn works through a worker's lists. A run that is in the log and in
+// applyReport works through a worker's lists. A run that is in the log and in
 // neither list is settled as never started when it can't start any more.
-func (s *session) takeIn(report Report, sent time.Time) {
+func (s *workerSession) applyReport(report Report, sent time.Time) {
 	t := s.t
 	now := time.Now()
 	t.mu.Lock()
 	first := !s.ready
 	s.ready = true
-	returned := first && len(s.missing()) > 0
-	s.noteLists(report.ClockMS, now)
+	returned := first && len(s.possiblyCrashedRuns()) > 0
+	s.noteReport(report.ClockMS, now)
 	ends, seen := s.listedEnds(report, now)
 	ends = append(ends, s.neverStarted(report, ends, sent)...)
 	strangers := s.noteRunning(report, sent, now)
 	// Together with the lists: a run that they end is accounted for at any moment.
-	s.markEndsKnown(ends)
+	s.markKnownEnds(ends)
 	if !report.Partial {
-		s.listsSent = sent
+		s.fullReportSentAt = sent
 	}
 	t.mu.Unlock()
 	if first {
 		t.logger.Log("event", "worker_contact", "worker", s.worker.ID, "outcome", "ready",
 			"running", len(report.Running), "ended", len(report.Ended))
 	}
-	s.endRunsOfEarlierLives(ends)
+	s.endPredecessorRuns(ends)
 	for _, run := range strangers {
-		t.goTask(func() { s.stopStranger(run) })
+		t.spawn(func() { s.stopUnknownRun(run) })
 	}
 	if returned {
 		// No other list of this tenure would say so.
-		t.goTask(s.commitReturned)
+		t.spawn(s.commitReturned)
 	}
 	if seen > 0 || len(ends) > 0 {
 		s.logEnds(ends)
 		s.commitEnds(seen, ends)
 	} else if first {
-		t.kick()
+		t.wake()
 	}
 }
 
-// noteLists takes in that this life of the worker has just answered a look. t.mu is held.
-func (s *session) noteLists(clockMS int64, now time.Time) {
-	s.answeredAt, s.doubted = now, false
-	s.noteAnswer(now)
+// noteReport takes in that this life of the worker has just answered a look. t.mu is held.
+func (s *workerSession) noteReport(clockMS int64, now time.Time) {
+	s.answeredAt, s.incarnationUnconfirmed = now, false
+	s.recordAnswer(now)
 	if clockMS > 0 {
 		// The lists are this life's, so their clock is, even if it seems to jump.
 		s.clockMS, s.clockAt = clockMS, now
 	}
 }
 
-func (s *session) logEnds(ends []workflow.RunEnd) {
+func (s *workerSession) logEnds(ends []workflow.RunEnd) {
 	for _, end := range ends {
 		s.t.c.cfg.Counters.Add("ends_"+end.Outcome.String(), 1)
 		s.t.logger.Log("event", "run_ended", "task", end.Task, "run", end.Number, "worker", s.worker.ID,
@@ -68,27 +68,27 @@
 
 // logEndedJobs logs the jobs that have ended with these runs: how long they took
 // against their objective.
-func (t *tenure) logEndedJobs(ends []workflow.RunEnd) {
+func (t *leaderTerm) logEndedJobs(ends []workflow.RunEnd) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	t.c.state.read(func(s *workflow.State) {
 		for _, end := range ends {
 			job := s.Jobs[end.Task.Job]
-			if job == nil || !job.Ended() || t.reported[job.ID] {
+			if job == nil || !job.Ended() || t.loggedEnds[job.ID] {
 				continue
 			}
-			t.reported[job.ID] = true
-			accepted, known := t.accepted[job.ID]
+			t.loggedEnds[job.ID] = true
+			accepted, known := t.acceptedAt[job.ID]
 			t.logger.Log("event", "job_ended", "job", job.ID, "phase", job.Phase(), "age_ms", now.Sub(accepted).Milliseconds(),
 				"age_known", known, "objective_ms", objectiveOf(job).Milliseconds(), "last_task", end.Task, "last_outcome", end.Outcome)
-			t.noteCrasher(s, job)
+			t.logCrashingTask(s, job)
 		}
 	})
 }
 
 // listedEnds returns the ends that are new. t.mu is held.
-func (s *session) listedEnds(report Report, now time.Time) (ends []workflow.RunEnd, seen uint64) {
+func (s *workerSession) listedEnds(report Report, now time.Time) (ends []workflow.RunEnd, seen uint64) {
 	for _, e := range report.Ended {
 		seen = max(seen, e.Position)
 		ends = append(ends, e.RunEnd)
@@ -99,7 +99,7 @@
 
 // noteRunning takes in checkpoints of the runs that are alive, and returns those
 // that the log doesn't have. t.mu is held.
-func (s *session) noteRunning(report Report, sent, now time.Time) []workflow.Run {
+func (s *workerSession) noteRunning(report Report, sent, now time.Time) []workflow.Run {
 	var strangers []workflow.Run
 	advanced := false
 	s.t.c.state.read(func(state *workflow.State) {
@@ -107,13 +107,13 @@
 			run, ok := state.Runs[s.worker.ID][r.Task]
 			if !ok || run.Number != r.Number {
 				stranger := workflow.Run{Task: r.Task, Number: r.Number, Worker: s.worker.ID}
-				if now.Sub(s.strangers[stranger]) > stopAgain {
-					s.strangers[stranger] = now
+				if now.Sub(s.unknownRuns[stranger]) > stopRetryInterval {
+					s.unknownRuns[stranger] = now
 					strangers = append(strangers, stranger)
 				}
 				continue
 			}
-			s.t.begun[r.Task.Job] = true
+			s.t.startedJobs[r.Task.Job] = true
 			if r.Checkpoint != "" {
 				s.t.checkpoints[r.Task] = r.Checkpoint
 			}
@@ -122,16 +122,16 @@
 				// What an earlier leader ordered, or a session before this one, is watched
 				// like an order of this one.
 				spec := &job.Steps[r.Task.Step]
-				o = &order{run: run, usesSpare: spec.UsesSpare, lasts: spec.LongRunning, share: unknownShare}
+				o = &runOrder{run: run, usesSpare: spec.UsesSpare, longRunning: spec.LongRunning, share: unknownShare}
 				s.orders[r.Task] = o
 			}
 			if o != nil {
 				o.unanswered = false
-				o.listedSent = sent
+				o.listedByPollSentAt = sent
 				advanced = o.noteProgress(r.Percent, now) || advanced
 			}
 		}
-		s.noteLatency(state, report, now)
+		s.updateThrottle(state, report, now)
 	})
 	s.noteAdvance(report, advanced, now)
 	return strangers
@@ -146,7 +146,7 @@
 // made the lists, and refuses the older order from then on. An own run is
 // settled when the worker had acknowledged a stop before the look was sent: it
 // refuses the run from then on.
-func (s *session) neverStarted(report Report, ends []workflow.RunEnd, sent time.Time) []workflow.RunEnd {
+func (s *workerSession) neverStarted(report Report, ends []workflow.RunEnd, sent time.Time) []workflow.RunEnd {
 	if report.Partial {
 		return nil
 	}
--- a/internal/control/rough_test.go
+++ b/internal/control/rough_test.go
@@ -24,72 +24,72 @@
 	return replica.Status{Role: replica.Leader, Term: l.term, CanDecide: true}
 }
 
-// roughWorker is a worker whose calls get lost, carried out late or twice, and
+// chaosWorker is a worker whose calls get lost, carried out late or twice, and
 // that holds leases by its own clock.
-type roughWorker struct {
+type chaosWorker struct {
 	id       string
 	capacity workflow.Resources
 	fence    uint64
-	running  map[workflow.TaskKey]*roughRun
+	running  map[workflow.TaskKey]*chaosWorkerRun
 	stopped  map[workflow.TaskKey]int
 	ended    []Ended
 	endedAt  []time.Time
 	leaseEnd time.Time
-	// lapsedAt is when its lease lapsed last.
-	lapsedAt time.Time
+	// leaseExpiredAt is when its lease lapsed last.
+	leaseExpiredAt time.Time
 	// seen is the last end that a leader has acknowledged.
-	seen uint64
-	// cutUntil is until when no call gets through.
+	acknowledged uint64
+	// cutOffUntil is until when no call gets through.
 	cutUntil time.Time
 	gone     bool
 }
 
-type roughRun struct {
+type chaosWorkerRun struct {
 	number int
 	ends   time.Time
 	need   workflow.Resources
 }
 
-// roughWorkers are all workers, with the ledger of what users must never see.
-type roughWorkers struct {
+// chaosWorkers are all workers, with the ledger of what users must never see.
+type chaosWorkers struct {
 	t      *testing.T
 	mu     sync.Mutex
 	random *rand.Rand
 	// calm ends all faults.
-	calm  bool
-	all   map[string]*roughWorker
-	specs map[string]workflow.Step
+	faultsOver bool
+	all        map[string]*chaosWorker
+	specs      map[string]workflow.Step
 	// startedAt are all starts of a task, doneAt is when it ended as done, once a
 	// leader has acknowledged that.
 	startedAt map[workflow.TaskKey][]time.Time
 	doneAt    map[workflow.TaskKey]time.Time
 	// broken lists what must not have happened.
-	broken []string
+	violations []string
 	// complete are the runs of gangs all of whose members have been there together.
-	complete map[gangRun]bool
+	completeGangs map[gangRun]bool
 	// lines are those of the controllers and of the workers.
-	lines roughLines
+	lines chaosLog
 }
 
-// roughLines keeps lines until a run has failed.
-type roughLines struct {
+// chaosLog keeps lines until a run has failed.
+type chaosLog struct {
 	mu   sync.Mutex
 	text []string
 }
 
-func (l *roughLines) Write(line []byte) (int, error) {
+func (l *chaosLog) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.text = append(l.text, string(line))
 	return len(line), nil
 }
 
-func (l *roughLines) note(event string, w *roughWorker, task workflow.TaskKey, run int) {
+func (l *chaosLog) note(event string, w *chaosWorker, task workflow.TaskKey, run int) {
 	_, _ = fmt.Fprintf(l, "ms=%d worker=%s %s task=%s run=%d\n", sinceStart(), w.id, event, task, run)
 }
 
 // of returns the lines about the jobs that the faults name.
-func (l *roughLines) of(broken []string) string {
+func (l *chaosLog) of(broken []string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var found strings.Builder
@@ -104,15 +104,15 @@
 	return found.String()
 }
 
-var errRough = fmt.Errorf("no answer: %w", errNoAnswer)
+var errInjected = fmt.Errorf("no answer: %w", errNoAnswer)
 
 // fate decides what happens to a call: whether it is carried out now, later, or
 // never, and whether its answer gets through.
-func (r *roughWorkers) fate(w *roughWorker) (now, later, answered bool) {
+func (r *chaosWorkers) drawOutcome(w *chaosWorker) (now, later, answered bool) {
 	if w.gone || time.Now().Before(w.cutUntil) {
 		return false, false, false
 	}
-	if r.calm {
+	if r.faultsOver {
 		return true, false, true
 	}
 	switch p := r.random.Float64(); {
@@ -128,14 +128,14 @@
 }
 
 // call carries an order out as fate has it.
-func (r *roughWorkers) call(id string, carryOut func(*roughWorker) error) (int64, error) {
+func (r *chaosWorkers) call(id string, carryOut func(*chaosWorker) error) (int64, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.all[id]
 	if w.gone && !time.Now().Before(w.cutUntil) {
 		return 0, ErrOtherIncarnation
 	}
-	now, later, answered := r.fate(w)
+	now, later, answered := r.drawOutcome(w)
 	var err error
 	if now {
 		err = carryOut(w)
@@ -151,46 +151,46 @@
 		})
 	}
 	if !answered {
-		return 0, errRough
+		return 0, errInjected
 	}
 	return time.Now().UnixMilli(), err
 }
 
-func (r *roughWorkers) Start(_ context.Context, to Target, o StartOrder) (int64, error) {
-	return r.call(to.Worker, func(w *roughWorker) error { return r.begin(w, o) })
+func (r *chaosWorkers) Start(_ context.Context, to Target, o StartOrder) (int64, error) {
+	return r.call(to.Worker, func(w *chaosWorker) error { return r.startRun(w, o) })
 }
 
-func (r *roughWorkers) begin(w *roughWorker, o StartOrder) error {
+func (r *chaosWorkers) startRun(w *chaosWorker, o StartOrder) error {
 	if o.Fence < w.fence {
-		return &RefusedError{RefusedFence}
+		return &RefusedError{RefusedStaleFence}
 	}
 	w.fence = o.Fence
-	w.hold(o.LeaseEndMS)
+	w.extendLease(o.LeaseEndMS)
 	task := o.Run.Task
 	running := w.running[task]
 	switch {
 	case o.Run.Number <= w.stopped[task]:
-		return &RefusedError{RefusedOld}
+		return &RefusedError{RefusedStaleRun}
 	case running != nil && running.number >= o.Run.Number:
 		return nil
 	case time.Now().After(w.leaseEnd):
-		return &RefusedError{RefusedLate}
-	case r.random.Float64() < 0.05 && !r.calm:
+		return &RefusedError{RefusedLeaseExpired}
+	case r.random.Float64() < 0.05 && !r.faultsOver:
 		return &RefusedError{RefusedTicket}
 	}
 	spec := r.specs[task.Job]
-	w.running[task] = &roughRun{number: o.Run.Number, need: spec.Need, ends: time.Now().Add(time.Duration(10+r.random.IntN(60)) * time.Millisecond)}
+	w.running[task] = &chaosWorkerRun{number: o.Run.Number, need: spec.Need, ends: time.Now().Add(time.Duration(10+r.random.IntN(60)) * time.Millisecond)}
 	r.lines.note("begins", w, task, o.Run.Number)
-	r.check(w, task, spec)
+	r.recordViolations(w, task, spec)
 	return nil
 }
 
 // check records what a start must never bring about.
-func (r *roughWorkers) check(w *roughWorker, task workflow.TaskKey, spec workflow.Step) {
-	key := taskOf(task, spec)
+func (r *chaosWorkers) recordViolations(w *chaosWorker, task workflow.TaskKey, spec workflow.Step) {
+	key := outcomeKey(task, spec)
 	r.startedAt[key] = append(r.startedAt[key], time.Now())
 	if !r.doneAt[key].IsZero() && !spec.Speculative {
-		r.broken = append(r.broken, fmt.Sprintf("%s starts on %s after it was done", task, w.id))
+		r.violations = append(r.violations, fmt.Sprintf("%s starts on %s after it was done", task, w.id))
 	}
 	live := 0
 	for _, other := range r.all {
@@ -199,20 +199,20 @@
 		}
 	}
 	if live > 1 && !spec.Speculative || live > 2 {
-		r.broken = append(r.broken, fmt.Sprintf("%d runs of %s", live, task))
+		r.violations = append(r.violations, fmt.Sprintf("%d runs of %s", live, task))
 	}
 	var used workflow.Resources
 	for _, run := range w.running {
 		used = used.Plus(run.need)
 	}
 	if !used.Fits(w.capacity) {
-		r.broken = append(r.broken, fmt.Sprintf("%s holds %v of %v", w.id, used, w.capacity))
+		r.violations = append(r.violations, fmt.Sprintf("%s holds %v of %v", w.id, used, w.capacity))
 	}
 }
 
-// taskOf is the task that an end as done counts for: that of a gang's member counts
+// outcomeKey is the task that an end as done counts for: that of a gang's member counts
 // for all.
-func taskOf(task workflow.TaskKey, spec workflow.Step) workflow.TaskKey {
+func outcomeKey(task workflow.TaskKey, spec workflow.Step) workflow.TaskKey {
 	if spec.Gang {
 		task.Index = 0
 	}
@@ -221,36 +221,36 @@
 
 // acknowledge takes in that a leader has seen ends. One that it acknowledges stands
 // for good, unless the lease lapsed between the end and that.
-func (r *roughWorkers) acknowledge(w *roughWorker, seen uint64) {
-	for ; w.seen < seen; w.seen++ {
-		e, at := w.ended[w.seen], w.endedAt[w.seen]
+func (r *chaosWorkers) acknowledge(w *chaosWorker, seen uint64) {
+	for ; w.acknowledged < seen; w.acknowledged++ {
+		e, at := w.ended[w.acknowledged], w.endedAt[w.acknowledged]
 		spec := r.specs[e.Task.Job]
-		if e.Outcome != workflow.OutcomeDone || w.lapsedAt.After(at) {
+		if e.Outcome != workflow.OutcomeDone || w.leaseExpiredAt.After(at) {
 			continue
 		}
-		key := taskOf(e.Task, spec)
+		key := outcomeKey(e.Task, spec)
 		r.doneAt[key] = at
 		for _, started := range r.startedAt[key] {
 			if started.After(at) && !spec.Speculative {
-				r.broken = append(r.broken, fmt.Sprintf("%s started elsewhere between its end on %s and the acknowledgement", key, w.id))
+				r.violations = append(r.violations, fmt.Sprintf("%s started elsewhere between its end on %s and the acknowledgement", key, w.id))
 			}
 		}
 	}
 }
 
-func (w *roughWorker) hold(leaseEndMS int64) {
+func (w *chaosWorker) extendLease(leaseEndMS int64) {
 	if now := time.Now(); now.After(w.leaseEnd) {
-		w.lapsedAt = now
+		w.leaseExpiredAt = now
 	}
 	if end := time.UnixMilli(leaseEndMS); leaseEndMS > 0 && end.After(w.leaseEnd) {
 		w.leaseEnd = end
 	}
 }
 
-func (r *roughWorkers) Stop(_ context.Context, to Target, o StopOrder) (int64, error) {
-	return r.call(to.Worker, func(w *roughWorker) error {
+func (r *chaosWorkers) Stop(_ context.Context, to Target, o StopOrder) (int64, error) {
+	return r.call(to.Worker, func(w *chaosWorker) error {
 		if o.Fence < w.fence {
-			return &RefusedError{RefusedFence}
+			return &RefusedError{RefusedStaleFence}
 		}
 		w.fence = o.Fence
 		w.stopped[o.Run.Task] = max(w.stopped[o.Run.Task], o.Run.Number)
@@ -261,9 +261,9 @@
 	})
 }
 
-func (r *roughWorkers) Throttle(context.Context, Target, ThrottleOrder) (int64, error) { return 0, nil }
+func (r *chaosWorkers) Throttle(context.Context, Target, ThrottleOrder) (int64, error) { return 0, nil }
 
-func (w *roughWorker) finish(task workflow.TaskKey, outcome workflow.Outcome) {
+func (w *chaosWorker) finish(task workflow.TaskKey, outcome workflow.Outcome) {
 	run := w.running[task]
 	delete(w.running, task)
 	w.stopped[task] = max(w.stopped[task], run.number)
@@ -272,15 +272,15 @@
 	w.endedAt = append(w.endedAt, time.Now())
 }
 
-func (r *roughWorkers) Look(ctx context.Context, to Target, o LookOrder) (Report, error) {
-	wait.For(ctx, fakeHold)
+func (r *chaosWorkers) Poll(ctx context.Context, to Target, o PollOrder) (Report, error) {
+	wait.For(ctx, fakePollHold)
 	var report Report
-	clock, err := r.call(to.Worker, func(w *roughWorker) error {
+	clock, err := r.call(to.Worker, func(w *chaosWorker) error {
 		if o.Fence < w.fence {
-			return &RefusedError{RefusedFence}
+			return &RefusedError{RefusedStaleFence}
 		}
 		w.fence = o.Fence
-		w.hold(o.LeaseEndMS)
+		w.extendLease(o.LeaseEndMS)
 		r.acknowledge(w, o.Seen)
 		report = Report{}
 		for task, run := range w.running {
@@ -302,11 +302,11 @@
 	return answer, err
 }
 
-func (r *roughWorkers) Ask(_ context.Context, call AskCall) (AskReply, error) {
+func (r *chaosWorkers) Ask(_ context.Context, call AskCall) (AskReply, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.calm && r.random.Float64() < 0.1 {
-		return AskReply{}, errRough
+	if !r.faultsOver && r.random.Float64() < 0.1 {
+		return AskReply{}, errInjected
 	}
 	reply := AskReply{Valid: 200 * time.Millisecond}
 	for _, worker := range call.Workers {
@@ -316,7 +316,7 @@
 }
 
 // work ends runs whose time or lease is over, until ctx ends.
-func (r *roughWorkers) work(ctx context.Context) {
+func (r *chaosWorkers) runTasks(ctx context.Context) {
 	for wait.For(ctx, 2*time.Millisecond) {
 		r.mu.Lock()
 		for _, w := range r.all {
@@ -325,9 +325,9 @@
 				case w.gone:
 				case time.Now().After(w.leaseEnd):
 					r.lines.note("lapses", w, task, run.number)
-					w.finish(task, workflow.OutcomeLapsed)
-				case time.Now().After(run.ends) && r.together(task, run.number):
-					r.end(w, task)
+					w.finish(task, workflow.OutcomeLeaseExpired)
+				case time.Now().After(run.ends) && r.gangComplete(task, run.number):
+					r.endRun(w, task)
 				}
 			}
 		}
@@ -337,9 +337,9 @@
 
 // together reports whether a run may end by itself: a gang's members work only once
 // all of them have begun, so none is done before.
-func (r *roughWorkers) together(task workflow.TaskKey, run int) bool {
+func (r *chaosWorkers) gangComplete(task workflow.TaskKey, run int) bool {
 	spec := r.specs[task.Job]
-	if !spec.Gang || r.complete[gangRun{task.StepKey, run}] {
+	if !spec.Gang || r.completeGangs[gangRun{task.StepKey, run}] {
 		return true
 	}
 	present := map[int]bool{}
@@ -350,7 +350,7 @@
 			}
 		}
 	}
-	r.complete[gangRun{task.StepKey, run}] = len(present) == spec.Count
+	r.completeGangs[gangRun{task.StepKey, run}] = len(present) == spec.Count
 	return len(present) == spec.Count
 }
 
@@ -361,7 +361,7 @@
 }
 
 // end ends a run by itself; one in twenty fails.
-func (r *roughWorkers) end(w *roughWorker, task workflow.TaskKey) {
+func (r *chaosWorkers) endRun(w *chaosWorker, task workflow.TaskKey) {
 	outcome := workflow.OutcomeDone
 	if r.random.IntN(20) == 0 {
 		outcome = workflow.OutcomeFailed
--- a/internal/control/search_adviser_test.go
+++ b/internal/control/search_adviser_test.go
@@ -13,66 +13,66 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// searchAdviser permits each step on a fixed part of the workers. It serves each lane's
+// simAdviser permits each step on a fixed part of the workers. It serves each lane's
 // questions one after the other, and makes calls of other instances.
-type searchAdviser struct {
-	drawn *drawnWorld
-	seed  uint64
+type simAdviser struct {
+	params *simParams
+	seed   uint64
 	// policyOf names the advice of a step's queue.
 	policyOf func(workflow.StepKey) *workflow.AdvicePolicy
 	stepOf   func(workflow.TaskKey) *workflow.Step
 	// calm reports whether all faults are over.
-	calm func() bool
+	faultsOver func() bool
 
 	mu     sync.Mutex
 	random *rand.Rand
 	busy   map[string]time.Time
-	// cutUntil is until when a lane's instance can't be reached.
-	cutUntil map[string]time.Time
-	asked    int
+	// cutOffUntil is until when a lane's instance can't be reached.
+	cutOffUntil map[string]time.Time
+	asked       int
 }
 
 // chance is a number from 0 to 1 that follows from the seed and the words.
-func chance(seed uint64, words ...any) float64 {
+func seededFloat(seed uint64, words ...any) float64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprint(h, seed, words)
 	return rand.New(rand.NewPCG(seed, h.Sum64())).Float64()
 }
 
 // permits reports whether a step may run on a worker, which never changes.
-func (a *searchAdviser) permits(step workflow.StepKey, worker string) bool {
+func (a *simAdviser) permits(step workflow.StepKey, worker string) bool {
 	spec := a.stepOf(workflow.TaskKey{StepKey: step})
-	return spec != nil && spec.Image != refusedImage && chance(a.seed, "permit", step, worker) < a.drawn.share
+	return spec != nil && spec.Image != refusedImage && seededFloat(a.seed, "permit", step, worker) < a.params.permittedShare
 }
 
 // Ask puts a question of the leader's own machine.
-func (a *searchAdviser) Ask(ctx context.Context, call AskCall) (AskReply, error) {
-	return a.ask(ctx, ownLane, call)
+func (a *simAdviser) Ask(ctx context.Context, call AskCall) (AskReply, error) {
+	return a.ask(ctx, ownAddress, call)
 }
 
-// ownLane is the leader's own address.
-const ownLane = "own"
+// ownAddress is the leader's own address.
+const ownAddress = "own"
 
 // Call puts a question through another instance.
-func (a *searchAdviser) Call(ctx context.Context, address, _ string, request, reply any) error {
+func (a *simAdviser) Call(ctx context.Context, address, _ string, request, reply any) error {
 	answer, err := a.ask(ctx, address, *request.(*AskCall))
 	*reply.(*AskReply) = answer
 	return err
 }
 
-func (a *searchAdviser) ask(ctx context.Context, lane string, call AskCall) (AskReply, error) {
+func (a *simAdviser) ask(ctx context.Context, lane string, call AskCall) (AskReply, error) {
 	policy := a.policyOf(call.Step)
 	if policy == nil {
 		return AskReply{}, errNoAnswer
 	}
 	a.mu.Lock()
 	a.asked++
-	lost := a.random.Float64() < a.drawn.faults.askLost && !a.calm() || time.Now().Before(a.cutUntil[lane])
+	lost := a.random.Float64() < a.params.faults.askLost && !a.faultsOver() || time.Now().Before(a.cutOffUntil[lane])
 	end := time.Now()
 	if a.busy[lane].After(end) {
 		end = a.busy[lane]
 	}
-	end = end.Add(askLength(policy, len(call.Workers)))
+	end = end.Add(queryDuration(policy, len(call.Workers)))
 	a.busy[lane] = end
 	a.mu.Unlock()
 	if lost {
@@ -82,7 +82,7 @@
 	if !wait.For(ctx, time.Until(end)) {
 		return AskReply{}, errNoAnswer
 	}
-	reply := AskReply{Valid: time.Duration(policy.ValidMS) * time.Millisecond}
+	reply := AskReply{Valid: time.Duration(policy.TicketValidityMS) * time.Millisecond}
 	for _, worker := range call.Workers {
 		if a.permits(call.Step, worker) {
 			reply.Granted = append(reply.Granted, Grant{Worker: worker, Ticket: ticketFor(call.Step, worker, time.Now().Add(reply.Valid))})
@@ -92,16 +92,16 @@
 }
 
 // cut lets a lane's instance be out of reach for a time.
-func (a *searchAdviser) cut(lane string, until time.Time) {
+func (a *simAdviser) cutOff(lane string, until time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.cutUntil[lane] = until
+	a.cutOffUntil[lane] = until
 }
 
-func (a *searchAdviser) isCut(lane string) bool {
+func (a *simAdviser) isCutOff(lane string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return time.Now().Before(a.cutUntil[lane])
+	return time.Now().Before(a.cutOffUntil[lane])
 }
 
 // ticketFor is a ticket that names what it permits and when it ends.
--- a/internal/control/search_crash_test.go
+++ b/internal/control/search_crash_test.go
@@ -8,35 +8,35 @@
 )
 
 const (
-	// startsAfterThird is how many starts of a task that crashes its workers may follow the
+	// maxStartsAfterThirdCrash is how many starts of a task that crashes its workers may follow the
 	// third crash.
-	startsAfterThird = 2
-	// crashedLeast is how many workers must have crashed under a task that is given up.
-	crashedLeast = 2
-	// shrinkTold is how long after a change of its capacity the larger one may be used: the
+	maxStartsAfterThirdCrash = 2
+	// minCrashedWorkers is how many workers must have crashed under a task that is given up.
+	minCrashedWorkers = 2
+	// shrinkGrace is how long after a change of its capacity the larger one may be used: the
 	// longest that the users grant until the change is known, and two heartbeats.
-	shrinkTold = 3*time.Second + 2*beatPause*heartbeatEach
-	// soonBack bounds how long a worker stays away that a task has crashed.
-	soonBack = 8 * time.Second
+	shrinkGrace = 3*time.Second + 2*simHeartbeatInterval*heartbeatGroups
+	// maxCrashDowntime bounds how long a worker stays away that a task has crashed.
+	maxCrashDowntime = 8 * time.Second
 )
 
-// isCrasher reports whether a task crashes each worker that begins it.
-func (r *searchWorkers) isCrasher(task workflow.TaskKey) bool {
-	return chance(r.seed, "crasher", task) < r.drawn.crashers
+// isCrashingTask reports whether a task crashes each worker that begins it.
+func (r *simWorkers) isCrashingTask(task workflow.TaskKey) bool {
+	return seededFloat(r.seed, "crasher", task) < r.params.crashingTaskChance
 }
 
-// crashLater lets the worker crash some milliseconds after it has begun a task that crashes
+// scheduleCrash lets the worker crash some milliseconds after it has begun a task that crashes
 // its workers; r.mu is held.
-func (r *searchWorkers) crashLater(w *searchWorker, run workflow.Run) {
-	if !r.isCrasher(run.Task) {
+func (r *simWorkers) scheduleCrash(w *simWorker, run workflow.Run) {
+	if !r.isCrashingTask(run.Task) {
 		return
 	}
 	if r.crashes[run.Task] >= 3 {
-		if r.afterThird[run.Task]++; r.afterThird[run.Task] > startsAfterThird {
-			r.broken = append(r.broken, fmt.Sprintf("%s is started again after it has crashed %d workers", run.Task, r.crashes[run.Task]))
+		if r.startsAfterThirdCrash[run.Task]++; r.startsAfterThirdCrash[run.Task] > maxStartsAfterThirdCrash {
+			r.violations = append(r.violations, fmt.Sprintf("%s is started again after it has crashed %d workers", run.Task, r.crashes[run.Task]))
 		}
 	}
-	draw := func(what string) float64 { return chance(r.seed, what, run.Task, run.Number) }
+	draw := func(what string) float64 { return seededFloat(r.seed, what, run.Task, run.Number) }
 	time.AfterFunc(time.Duration(draw("crash after")*float64(60*time.Millisecond)), func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -45,12 +45,12 @@
 		}
 		r.lines.note("crashes", w, run, nil)
 		r.crash(w)
-		r.comeBack(w, time.Duration((0.1+draw("back after"))*float64(soonBack)))
+		r.scheduleReturn(w, time.Duration((0.1+draw("back after"))*float64(maxCrashDowntime)))
 	})
 }
 
-// comeBack lets the next incarnation of a worker begin after a time.
-func (r *searchWorkers) comeBack(w *searchWorker, away time.Duration) {
+// scheduleReturn lets the next incarnation of a worker begin after a time.
+func (r *simWorkers) scheduleReturn(w *simWorker, away time.Duration) {
 	life := 0
 	if _, err := fmt.Sscanf(w.ID, w.Address+".%d", &life); err != nil {
 		return
@@ -58,58 +58,58 @@
 	time.AfterFunc(away, func() { r.add(w.Address, life+1) })
 }
 
-// capacityTold is the most that a worker may be filled up to: a change counts once it could
+// allowedCapacity is the most that a worker may be filled up to: a change counts once it could
 // be known.
-func (w *searchWorker) capacityTold(now time.Time) workflow.Resources {
-	if now.Sub(w.changedAt) < shrinkTold {
-		return w.Capacity.Max(w.had)
+func (w *simWorker) allowedCapacity(now time.Time) workflow.Resources {
+	if now.Sub(w.changedAt) < shrinkGrace {
+		return w.Capacity.Max(w.previousCapacity)
 	}
 	return w.Capacity
 }
 
 // resize changes a worker's capacity.
-func (w *searchWorker) resize(capacity workflow.Resources, now time.Time) {
-	had := w.capacityTold(now)
-	w.Capacity, w.had, w.changedAt = capacity, had, now
+func (w *simWorker) resize(capacity workflow.Resources, now time.Time) {
+	had := w.allowedCapacity(now)
+	w.Capacity, w.previousCapacity, w.changedAt = capacity, had, now
 }
 
 // shrinkSome lets a third of the workers have a part of their capacity.
-func (x *search) shrinkSome() {
+func (x *simulation) shrinkSome() {
 	share := 0.2 + 0.8*x.random.Float64()
-	x.each(func(w *searchWorker) {
-		capacity := x.drawn.capacity
+	x.changeSome(func(w *simWorker) {
+		capacity := x.params.capacity
 		capacity.MilliCPU = int64(share * float64(capacity.MilliCPU))
 		w.resize(capacity, time.Now())
 	})
 }
 
-// growAll gives all workers their whole capacity; r.mu is held.
-func (r *searchWorkers) growAll() {
+// restoreCapacities gives all workers their whole capacity; r.mu is held.
+func (r *simWorkers) restoreCapacities() {
 	for _, w := range r.all {
-		w.resize(r.drawn.capacity, time.Now())
+		w.resize(r.params.capacity, time.Now())
 	}
 }
 
-// givenUpWrongly returns the jobs that were given up for a task that hardly a worker has
+// wronglyGivenUp returns the jobs that were given up for a task that hardly a worker has
 // crashed under.
-func (x *search) givenUpWrongly() (found []string) {
+func (x *simulation) wronglyGivenUp() (found []string) {
 	x.workers.mu.Lock()
 	defer x.workers.mu.Unlock()
 	x.state.read(func(s *workflow.State) {
 		for id, job := range s.Jobs {
-			if job.Crasher != nil && x.workers.crashes[*job.Crasher] < crashedLeast {
-				found = append(found, fmt.Sprintf("%s/ is given up for %s, under which %d workers crashed", id, *job.Crasher, x.workers.crashes[*job.Crasher]))
+			if job.CrashingTask != nil && x.workers.crashes[*job.CrashingTask] < minCrashedWorkers {
+				found = append(found, fmt.Sprintf("%s/ is given up for %s, under which %d workers crashed", id, *job.CrashingTask, x.workers.crashes[*job.CrashingTask]))
 			}
 		}
 	})
 	return found
 }
 
-// hasCrasher reports whether a task of the job crashes its workers.
-func (r *searchWorkers) hasCrasher(job *workflow.Job) bool {
+// hasCrashingTask reports whether a task of the job crashes its workers.
+func (r *simWorkers) hasCrashingTask(job *workflow.Job) bool {
 	for step := range job.Steps {
 		for index := range job.Steps[step].Count {
-			if r.isCrasher(workflow.TaskKey{StepKey: workflow.StepKey{Job: job.ID, Step: step}, Index: index}) {
+			if r.isCrashingTask(workflow.TaskKey{StepKey: workflow.StepKey{Job: job.ID, Step: step}, Index: index}) {
 				return true
 			}
 		}
@@ -117,23 +117,23 @@
 	return false
 }
 
-// mayBeHeld reports whether a job may wait: it has a task that crashes its workers.
-func (x *search) mayBeHeld(id string) (held bool) {
+// mayWaitForever reports whether a job may wait: it has a task that crashes its workers.
+func (x *simulation) mayWaitForever(id string) (held bool) {
 	x.state.read(func(s *workflow.State) {
 		job := s.Jobs[id]
-		held = job != nil && x.workers.hasCrasher(job)
+		held = job != nil && x.workers.hasCrashingTask(job)
 	})
 	return held
 }
 
-// givenUp counts the jobs that were given up and have a task that crashes its workers, and
+// countGivenUp counts the jobs that were given up and have a task that crashes its workers, and
 // the others that were given up.
-func (x *search) givenUp() (crashers, others int) {
+func (x *simulation) countGivenUp() (crashers, others int) {
 	x.state.read(func(s *workflow.State) {
 		for _, job := range s.Jobs {
 			switch {
-			case job.Crasher == nil:
-			case x.workers.hasCrasher(job):
+			case job.CrashingTask == nil:
+			case x.workers.hasCrashingTask(job):
 				crashers++
 			default:
 				others++
--- a/internal/control/search_disturb_test.go
+++ b/internal/control/search_disturb_test.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// searchTick is the time between two looks at the day.
-const searchTick = 25 * time.Millisecond
+// simTick is the time between two looks at the day.
+const simTick = 25 * time.Millisecond
 
-// longestSpell bounds a disturbance of the log or of a worker that comes back.
-const longestSpell = 1500 * time.Millisecond
+// maxFaultDuration bounds a disturbance of the log or of a worker that comes back.
+const maxFaultDuration = 1500 * time.Millisecond
 
 // disturbed lets traffic come in and disturbances happen, and returns what was found
 // meanwhile.
-func (x *search) disturbed() []string {
+func (x *simulation) runWithFaults() []string {
 	begun := time.Now()
-	next := begun.Add(between(x.random, 0, x.drawn.spells))
-	for time.Since(begun) < x.drawn.disturbed {
-		time.Sleep(searchTick)
-		x.traffic(time.Since(begun))
+	next := begun.Add(randomDuration(x.random, 0, x.params.faultInterval))
+	for time.Since(begun) < x.params.faultPeriod {
+		time.Sleep(simTick)
+		x.submitLoad(time.Since(begun))
 		if time.Now().After(next) {
-			x.disturb()
-			next = time.Now().Add(between(x.random, 0, 2*x.drawn.spells))
+			x.injectFault()
+			next = time.Now().Add(randomDuration(x.random, 0, 2*x.params.faultInterval))
 		}
-		if found := x.always(); len(found) > 0 {
+		if found := x.invariantViolations(); len(found) > 0 {
 			return found
 		}
 	}
@@ -32,57 +32,57 @@
 
 // traffic hands in as many jobs as the load allows for, no more than the adviser can
 // answer for in twice the time.
-func (x *search) traffic(age time.Duration) {
-	load := x.drawn.load
-	if age >= x.drawn.burstAt && age < x.drawn.burstAt+x.drawn.burstFor {
-		load = max(load, x.drawn.burst)
+func (x *simulation) submitLoad(age time.Duration) {
+	load := x.params.load
+	if age >= x.params.burstAt && age < x.params.burstAt+x.params.burstFor {
+		load = max(load, x.params.burst)
 	}
-	tick := float64(searchTick / time.Millisecond)
-	x.work += load * tick * float64(x.drawn.workers) * float64(x.drawn.capacity.MilliCPU)
-	x.asks += max(load, 1) * tick * float64(x.drawn.lanes)
-	for x.work > 0 && x.asks > 0 {
-		queue, steps := &x.drawn.queues[x.random.IntN(len(x.drawn.queues))], x.drawn.drawJob(x.random)
-		x.work -= workOf(steps)
+	tick := float64(simTick / time.Millisecond)
+	x.workBudget += load * tick * float64(x.params.workers) * float64(x.params.capacity.MilliCPU)
+	x.adviserBudget += max(load, 1) * tick * float64(x.params.adviserConns)
+	for x.workBudget > 0 && x.adviserBudget > 0 {
+		queue, steps := &x.params.queues[x.random.IntN(len(x.params.queues))], x.params.drawJob(x.random)
+		x.workBudget -= workOf(steps)
 		for i := range steps {
-			x.asks -= float64(x.drawn.askTime(queue, &steps[i]) / time.Millisecond)
+			x.adviserBudget -= float64(x.params.adviserTime(queue, &steps[i]) / time.Millisecond)
 		}
 		x.submit(queue, steps)
 	}
 }
 
 // disturb makes one fault.
-func (x *search) disturb() {
+func (x *simulation) injectFault() {
 	kind := x.random.IntN(15)
-	spell := between(x.random, 30*time.Millisecond, longestSpell)
+	spell := randomDuration(x.random, 30*time.Millisecond, maxFaultDuration)
 	until := time.Now().Add(spell)
-	x.lines.say("disturbance %d for %v", kind, spell)
+	x.lines.logf("disturbance %d for %v", kind, spell)
 	switch kind {
 	case 0, 1:
 		x.crashOne()
 	case 2:
-		x.cutSome(until)
+		x.cutOffSome(until)
 	case 3:
-		x.each(func(w *searchWorker) { w.sickUntil = until })
+		x.changeSome(func(w *simWorker) { w.refusingUntil = until })
 	case 4, 5:
-		x.each(func(w *searchWorker) { w.partialUntil = until })
+		x.changeSome(func(w *simWorker) { w.partialReportsUntil = until })
 	case 6, 7:
 		x.changeLeader()
 	case 12:
-		x.adviser.cut(fmt.Sprint("lane", x.random.IntN(x.drawn.lanes)), until)
+		x.adviser.cutOff(fmt.Sprint("lane", x.random.IntN(x.params.adviserConns)), until)
 	case 14:
 		// Around the length of a lease: what runs there goes on, or has lapsed.
-		lease := x.drawn.lease
-		x.cutSome(time.Now().Add(between(x.random, lease*2/5, lease*13/10)))
+		lease := x.params.lease
+		x.cutOffSome(time.Now().Add(randomDuration(x.random, lease*2/5, lease*13/10)))
 	case 13:
-		if x.drawn.shrinks {
+		if x.params.shrinks {
 			x.shrinkSome()
 		}
 	default:
-		x.disturbLog(kind, until)
+		x.injectLogFault(kind, until)
 	}
 }
 
-func (x *search) disturbLog(kind int, until time.Time) {
+func (x *simulation) injectLogFault(kind int, until time.Time) {
 	x.store.mu.Lock()
 	defer x.store.mu.Unlock()
 	switch kind {
@@ -96,7 +96,7 @@
 }
 
 // each changes one in three of the workers.
-func (x *search) each(change func(*searchWorker)) {
+func (x *simulation) changeSome(change func(*simWorker)) {
 	x.workers.mu.Lock()
 	defer x.workers.mu.Unlock()
 	for _, w := range x.workers.all {
@@ -106,23 +106,23 @@
 	}
 }
 
-// cutSome cuts one worker off, or a third of them.
-func (x *search) cutSome(until time.Time) {
+// cutOffSome cuts one worker off, or a third of them.
+func (x *simulation) cutOffSome(until time.Time) {
 	if oneIn(x.random, 2) {
-		x.each(func(w *searchWorker) { w.cutUntil = until })
+		x.changeSome(func(w *simWorker) { w.cutOffUntil = until })
 		return
 	}
 	x.workers.mu.Lock()
 	defer x.workers.mu.Unlock()
-	x.workers.all[x.random.IntN(len(x.workers.all))].cutUntil = until
+	x.workers.all[x.random.IntN(len(x.workers.all))].cutOffUntil = until
 }
 
-// neverBack is one in how many crashed workers stays away.
-const neverBack = 2
+// neverReturnsOneIn is one in how many crashed workers stays away.
+const neverReturnsOneIn = 2
 
 // crashOne ends a worker, which comes back under another incarnation or never.
-func (x *search) crashOne() {
-	away, back := between(x.random, 50*time.Millisecond, 4*time.Second), !oneIn(x.random, neverBack)
+func (x *simulation) crashOne() {
+	away, back := randomDuration(x.random, 50*time.Millisecond, 4*time.Second), !oneIn(x.random, neverReturnsOneIn)
 	x.workers.mu.Lock()
 	defer x.workers.mu.Unlock()
 	w := x.workers.all[x.random.IntN(len(x.workers.all))]
@@ -131,6 +131,6 @@
 	}
 	x.workers.crash(w)
 	if back {
-		x.workers.comeBack(w, away)
+		x.workers.scheduleReturn(w, away)
 	}
 }
--- a/internal/control/search_draw_test.go
+++ b/internal/control/search_draw_test.go
@@ -9,51 +9,51 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// drawnWorld is what a seed draws: how large the site is, what comes in and what goes
+// simParams is what a seed draws: how large the site is, what comes in and what goes
 // wrong.
-type drawnWorld struct {
+type simParams struct {
 	workers int
 	// capacity is that of each worker.
 	capacity workflow.Resources
 	// lanes is how many instances put questions, share what part of the workers is
 	// permitted to a step.
-	lanes int
-	share float64
-	lease time.Duration
+	adviserConns   int
+	permittedShare float64
+	lease          time.Duration
 	// widest bounds the tasks of a step, longest the estimates in milliseconds.
-	widest, longest float64
+	maxTasks, maxEstimateMS float64
 	// queues differ in priority, objective and adviser.
 	queues []workflow.Queue
 	// disturbed is how long traffic and disturbances last.
-	disturbed time.Duration
+	faultPeriod time.Duration
 	// load is the traffic in multiples of the capacity, burst that from burstAt on for
 	// burstFor.
 	load, burst       float64
 	burstAt, burstFor time.Duration
 	// hopeless is how many steps come first that no worker can take, refused how many that
 	// the adviser permits nowhere.
-	hopeless, refused int
+	unplaceable, refused int
 	// faults are the chances of a call, spells the mean time between two disturbances.
-	faults faultChances
-	spells time.Duration
+	faults        faultRates
+	faultInterval time.Duration
 	// crashers is the chance of a task to crash each worker that begins it, shrinks says
 	// that capacities change.
-	crashers float64
-	shrinks  bool
+	crashingTaskChance float64
+	shrinks            bool
 	// sameNames says that a worker that comes back has the name that it had.
 	sameNames bool
 }
 
-// faultChances are the chances of one call.
-type faultChances struct {
+// faultRates are the chances of one call.
+type faultRates struct {
 	lost, unanswered, late, slow, refused, misdirected, askLost, failed float64
 }
 
 const (
-	searchHost = "h"
-	// fewWorkers and mostWorkers bound the usual site, largeSite is one in largeEach.
-	fewWorkers, mostWorkers = 8, 60
-	largeSite, largeEach    = 350, 25
+	simHost = "h"
+	// minWorkers and maxWorkers bound the usual site, largeClusterWorkers is one in largeClusterOneIn.
+	minWorkers, maxWorkers                 = 8, 60
+	largeClusterWorkers, largeClusterOneIn = 350, 25
 )
 
 // logUniform draws between low and high so that each order of magnitude is as likely.
@@ -61,42 +61,42 @@
 	return low * math.Pow(high/low, random.Float64())
 }
 
-func between(random *rand.Rand, low, high time.Duration) time.Duration {
+func randomDuration(random *rand.Rand, low, high time.Duration) time.Duration {
 	return low + time.Duration(random.Float64()*float64(high-low))
 }
 
 func oneIn(random *rand.Rand, n int) bool { return random.IntN(n) == 0 }
 
-func drawWorld(random *rand.Rand) *drawnWorld {
-	d := &drawnWorld{
-		workers:   fewWorkers + random.IntN(mostWorkers-fewWorkers+1),
-		capacity:  workflow.Resources{MilliCPU: int64(4+random.IntN(28)) * 1000, MemoryMB: 64_000},
-		lanes:     1 + random.IntN(12),
-		share:     0.2 + 0.8*random.Float64(),
-		lease:     []time.Duration{4 * time.Second, 6 * time.Second, 10 * time.Second}[random.IntN(3)],
-		widest:    logUniform(random, 2, mostTasks+1),
-		longest:   logUniform(random, 60, 3000),
-		disturbed: between(random, 4*time.Second, 10*time.Second),
-		load:      0.2 + 0.7*random.Float64(),
-		spells:    between(random, 150*time.Millisecond, 1500*time.Millisecond),
-	}
-	if oneIn(random, largeEach) {
-		d.workers, d.lanes = largeSite, 44
+func drawParams(random *rand.Rand) *simParams {
+	d := &simParams{
+		workers:        minWorkers + random.IntN(maxWorkers-minWorkers+1),
+		capacity:       workflow.Resources{MilliCPU: int64(4+random.IntN(28)) * 1000, MemoryMB: 64_000},
+		adviserConns:   1 + random.IntN(12),
+		permittedShare: 0.2 + 0.8*random.Float64(),
+		lease:          []time.Duration{4 * time.Second, 6 * time.Second, 10 * time.Second}[random.IntN(3)],
+		maxTasks:       logUniform(random, 2, maxTasksPerStep+1),
+		maxEstimateMS:  logUniform(random, 60, 3000),
+		faultPeriod:    randomDuration(random, 4*time.Second, 10*time.Second),
+		load:           0.2 + 0.7*random.Float64(),
+		faultInterval:  randomDuration(random, 150*time.Millisecond, 1500*time.Millisecond),
+	}
+	if oneIn(random, largeClusterOneIn) {
+		d.workers, d.adviserConns = largeClusterWorkers, 44
 	}
 	if oneIn(random, 2) {
 		d.burst = logUniform(random, 1.2, 8)
-		d.burstAt = between(random, 0, d.disturbed*3/4)
-		d.burstFor = between(random, 500*time.Millisecond, 3*time.Second)
+		d.burstAt = randomDuration(random, 0, d.faultPeriod*3/4)
+		d.burstFor = randomDuration(random, 500*time.Millisecond, 3*time.Second)
 	}
 	if oneIn(random, 4) {
-		d.hopeless = 20 + random.IntN(200)
+		d.unplaceable = 20 + random.IntN(200)
 	}
 	if oneIn(random, 4) {
 		d.refused = 20 + random.IntN(200)
 	}
 	d.drawFaults(random)
 	if oneIn(random, 2) {
-		d.crashers = logUniform(random, 0.001, 0.02)
+		d.crashingTaskChance = logUniform(random, 0.001, 0.02)
 	}
 	d.shrinks, d.sameNames = oneIn(random, 2), oneIn(random, 2)
 	for i := range 1 + random.IntN(4) {
@@ -106,14 +106,14 @@
 }
 
 // drawFaults makes each kind of fault frequent in some worlds and absent in others.
-func (d *drawnWorld) drawFaults(random *rand.Rand) {
+func (d *simParams) drawFaults(random *rand.Rand) {
 	chance := func(most float64) float64 {
 		if oneIn(random, 2) {
 			return 0
 		}
 		return logUniform(random, most/30, most)
 	}
-	d.faults = faultChances{
+	d.faults = faultRates{
 		lost: chance(0.1), unanswered: chance(0.1), late: chance(0.1), slow: chance(0.2), refused: chance(0.2),
 		misdirected: chance(0.03), askLost: chance(0.1), failed: chance(0.2),
 	}
@@ -121,7 +121,7 @@
 
 func drawQueue(random *rand.Rand, i int) workflow.Queue {
 	q := workflow.Queue{
-		Name: fmt.Sprint("q", i), Host: searchHost, Prefix: fmt.Sprintf("/q%d/", i),
+		Name: fmt.Sprint("q", i), Host: simHost, Prefix: fmt.Sprintf("/q%d/", i),
 		Policy: workflow.Policy{
 			Service: "s", Priority: random.IntN(3), MaxAttempts: 3 + random.IntN(4),
 			Stretch: 1.2 + 3*random.Float64(), ObjectiveMS: int64(logUniform(random, 20, 3000)),
@@ -129,14 +129,14 @@
 	}
 	if !oneIn(random, 5) {
 		q.Policy.Advice = &workflow.AdvicePolicy{
-			DecideMS: logUniform(random, 2, 700), EachMS: logUniform(random, 0.1, 8), ValidMS: int64(logUniform(random, 800, 20_000)),
+			BaseMS: logUniform(random, 2, 700), PerWorkerMS: logUniform(random, 0.1, 8), TicketValidityMS: int64(logUniform(random, 800, 20_000)),
 		}
 	}
 	return q
 }
 
 // drawJob draws the steps of a job, of which the second depends on the first.
-func (d *drawnWorld) drawJob(random *rand.Rand) []workflow.Step {
+func (d *simParams) drawJob(random *rand.Rand) []workflow.Step {
 	steps := []workflow.Step{d.drawStep(random)}
 	if oneIn(random, 4) {
 		next := d.drawStep(random)
@@ -146,13 +146,13 @@
 	return steps
 }
 
-const mostTasks = 60
+const maxTasksPerStep = 60
 
-func (d *drawnWorld) drawStep(random *rand.Rand) workflow.Step {
+func (d *simParams) drawStep(random *rand.Rand) workflow.Step {
 	step := workflow.Step{
-		Count:      int(logUniform(random, 1, d.widest)),
+		Count:      int(logUniform(random, 1, d.maxTasks)),
 		Need:       workflow.Resources{MilliCPU: int64(logUniform(random, 500, float64(d.capacity.MilliCPU)/1.5)), MemoryMB: 100},
-		EstimateMS: int64(logUniform(random, 40, d.longest)),
+		EstimateMS: int64(logUniform(random, 40, d.maxEstimateMS)),
 	}
 	switch random.IntN(6) {
 	case 0, 1:
@@ -170,12 +170,12 @@
 const (
 	// nowhere is a label that no worker carries, refusedImage an image that the adviser
 	// permits nowhere.
-	nowhere      = "nowhere"
+	unknownLabel = "nowhere"
 	refusedImage = "refused"
 )
 
 // undoable returns a step that nothing can be done for.
-func undoable(label, image string) []workflow.Step {
+func unplaceableSteps(label, image string) []workflow.Step {
 	return []workflow.Step{{
 		Count: 1, Need: workflow.Resources{MilliCPU: 500, MemoryMB: 10}, EstimateMS: 60_000, Label: label, Image: image,
 	}}
@@ -190,19 +190,19 @@
 	return work
 }
 
-// questionsFor is how many questions a step is allowed for: each names askWorkers of
+// queriesPerStep is how many questions a step is allowed for: each names workersPerQuery of
 // all workers, and some are put again for tickets.
-func (d *drawnWorld) questionsFor() int { return (d.workers+askWorkers-1)/askWorkers + 2 }
+func (d *simParams) queriesPerStep() int { return (d.workers+workersPerQuery-1)/workersPerQuery + 2 }
 
-// askTime is how long the adviser is kept busy for a step at most.
-func (d *drawnWorld) askTime(q *workflow.Queue, step *workflow.Step) time.Duration {
+// adviserTime is how long the adviser is kept busy for a step at most.
+func (d *simParams) adviserTime(q *workflow.Queue, step *workflow.Step) time.Duration {
 	if q.Policy.Advice == nil {
 		return 0
 	}
 	if step.Gang {
-		named := min(d.workers, gangAskWorkers)
-		parts := (d.workers + gangAskWorkers - 1) / gangAskWorkers
-		return time.Duration(3*parts) * askLength(q.Policy.Advice, named)
+		named := min(d.workers, gangWorkersPerQuery)
+		parts := (d.workers + gangWorkersPerQuery - 1) / gangWorkersPerQuery
+		return time.Duration(3*parts) * queryDuration(q.Policy.Advice, named)
 	}
-	return time.Duration(d.questionsFor()) * askLength(q.Policy.Advice, min(askWorkers, d.workers))
+	return time.Duration(d.queriesPerStep()) * queryDuration(q.Policy.Advice, min(workersPerQuery, d.workers))
 }
--- a/internal/control/search_lines_test.go
+++ b/internal/control/search_lines_test.go
@@ -9,41 +9,41 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// searchLines keeps the lines of the leaders and of the workers until a search has found
+// simLog keeps the lines of the leaders and of the workers until a search has found
 // something.
-type searchLines struct {
+type simLog struct {
 	mu   sync.Mutex
 	text []string
 	// read is how many of them were looked through for claims.
-	read int
+	scanned int
 }
 
 // virtualMS is the virtual time in milliseconds.
-func virtualMS() any { return time.Now().UnixMilli() - searchEpochMS }
+func virtualMS() any { return time.Now().UnixMilli() - simEpochMS }
 
-// searchEpochMS is when virtual time begins.
-var searchEpochMS = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC).UnixMilli()
+// simEpochMS is when virtual time begins.
+var simEpochMS = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC).UnixMilli()
 
-func (l *searchLines) Write(line []byte) (int, error) {
+func (l *simLog) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.text = append(l.text, string(line))
 	return len(line), nil
 }
 
-func (l *searchLines) note(event string, w *searchWorker, run workflow.Run, err error) {
+func (l *simLog) note(event string, w *simWorker, run workflow.Run, err error) {
 	_, _ = fmt.Fprintf(l, "ms=%d worker=%s %s task=%s run=%d err=%v\n", virtualMS(), w.ID, event, run.Task, run.Number, err)
 }
 
-func (l *searchLines) say(format string, args ...any) {
+func (l *simLog) logf(format string, args ...any) {
 	_, _ = fmt.Fprintf(l, "ms=%d "+format+"\n", append([]any{virtualMS()}, args...)...)
 }
 
-// mostLines is how many lines a failure shows.
-const mostLines = 60
+// maxShownLines is how many lines a failure shows.
+const maxShownLines = 60
 
 // about returns the last lines that hold one of the words.
-func (l *searchLines) about(words ...string) string {
+func (l *simLog) linesAbout(words ...string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var found []string
@@ -55,7 +55,7 @@
 			}
 		}
 	}
-	return strings.Join(found[max(0, len(found)-mostLines):], "")
+	return strings.Join(found[max(0, len(found)-maxShownLines):], "")
 }
 
 // claimKey names a run as the line does that it was found to have no owner.
@@ -65,17 +65,17 @@
 
 // claims returns the lines on runs that were found to have no owner, but for those that
 // may be.
-func (l *searchLines) claims(may map[string]bool) (found []string) {
+func (l *simLog) claims(allowed map[string]bool) (found []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for ; l.read < len(l.text); l.read++ {
-		line := l.text[l.read]
+	for ; l.scanned < len(l.text); l.scanned++ {
+		line := l.text[l.scanned]
 		at := strings.Index(line, "event=run_claimed")
 		if at < 0 {
 			continue
 		}
 		key, _, _ := strings.Cut(line[at:], "unaccounted_ms=")
-		if !may[key] {
+		if !allowed[key] {
 			found = append(found, strings.TrimSpace(line))
 		}
 	}
--- a/internal/control/search_log_test.go
+++ b/internal/control/search_log_test.go
@@ -14,28 +14,28 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// searchStore is what all leaders' logs have in common.
-type searchStore struct {
+// simStore is what all leaders' logs have in common.
+type simStore struct {
 	mu     sync.Mutex
 	random *rand.Rand
 	state  *StateMachine
 	index  uint64
 	// lastAt is when the last command is committed; they are in order.
 	lastAt time.Time
-	// slowUntil is until when commits take long, heldUntil until when nothing shows that
+	// slowUntil is until when commits take long, delayedUntil until when nothing shows that
 	// the leader leads, fullUntil until when too many calls wait.
 	slowUntil, heldUntil, fullUntil time.Time
 	// open are the commands whose fate was open when their leader lost the leadership.
 	open [][]byte
 	// refused counts what the log refused, opened what it left open.
-	refused, opened int
+	refused, leftOpen int
 }
 
 // commitAt is when a command that is proposed now is committed.
-func (s *searchStore) commitAt(now time.Time) time.Time {
-	took := between(s.random, time.Millisecond, 5*time.Millisecond)
+func (s *simStore) commitAt(now time.Time) time.Time {
+	took := randomDuration(s.random, time.Millisecond, 5*time.Millisecond)
 	if now.Before(s.slowUntil) {
-		took = between(s.random, 50*time.Millisecond, 500*time.Millisecond)
+		took = randomDuration(s.random, 50*time.Millisecond, 500*time.Millisecond)
 	}
 	at := now.Add(took)
 	if !at.After(s.lastAt) {
@@ -46,7 +46,7 @@
 }
 
 // settleOpen lets half of the commands whose fate is open be committed.
-func (s *searchStore) settleOpen() {
+func (s *simStore) settleOpen() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, data := range s.open {
@@ -58,15 +58,15 @@
 	s.open = nil
 }
 
-// searchLog is the log of one leader.
-type searchLog struct {
-	store *searchStore
+// simReplica is the log of one leader.
+type simReplica struct {
+	store *simStore
 	term  uint64
 	// lost is closed when the leadership is.
 	lost chan struct{}
 }
 
-func (l *searchLog) over() bool {
+func (l *simReplica) over() bool {
 	select {
 	case <-l.lost:
 		return true
@@ -75,15 +75,15 @@
 	}
 }
 
-func unproposed(mark error) error {
+func notProposed(mark error) error {
 	return errors.Mark(fault.New(fault.Unavailable, "nothing was proposed"), mark)
 }
 
 // refusal is why nothing may be proposed now. The store's lock is held.
-func (l *searchLog) refusal(now time.Time) error {
+func (l *simReplica) refusal(now time.Time) error {
 	switch {
 	case l.over():
-		return unproposed(node.ErrNotLeader)
+		return notProposed(node.ErrNotLeader)
 	case now.Before(l.store.fullUntil):
 		l.store.refused++
 		return fault.New(fault.Overloaded, "too many calls wait for the log already")
@@ -91,13 +91,13 @@
 	return nil
 }
 
-func (l *searchLog) Propose(ctx context.Context, data []byte) (any, error) {
+func (l *simReplica) Propose(ctx context.Context, data []byte) (any, error) {
 	s, now := l.store, time.Now()
 	s.mu.Lock()
 	err := l.refusal(now)
 	if err == nil && now.Before(s.heldUntil) {
 		s.refused++
-		err = unproposed(node.ErrNotLeader)
+		err = notProposed(node.ErrNotLeader)
 	}
 	at := time.Time{}
 	if err == nil {
@@ -118,14 +118,14 @@
 	defer s.mu.Unlock()
 	if l.over() || ctx.Err() != nil {
 		s.open = append(s.open, data)
-		s.opened++
+		s.leftOpen++
 		return nil, errors.Mark(fault.New(fault.Unavailable, "the fate of the command is open"), node.ErrFateOpen)
 	}
 	s.index++
 	return s.state.Apply(s.index, data), nil
 }
 
-func (l *searchLog) Barrier(ctx context.Context) error {
+func (l *simReplica) Barrier(ctx context.Context) error {
 	l.store.mu.Lock()
 	err := l.refusal(time.Now())
 	held := time.Until(l.store.heldUntil)
@@ -135,12 +135,12 @@
 	}
 	wait.For(ctx, max(held, 0)+time.Millisecond)
 	if l.over() {
-		return unproposed(node.ErrNotLeader)
+		return notProposed(node.ErrNotLeader)
 	}
 	return ctx.Err()
 }
 
-func (l *searchLog) Status() replica.Status {
+func (l *simReplica) Status() replica.Status {
 	if l.over() {
 		return replica.Status{Role: replica.Follower, Term: l.term + 1}
 	}
@@ -149,7 +149,7 @@
 	return replica.Status{Role: replica.Leader, Term: l.term, CanDecide: !time.Now().Before(l.store.heldUntil)}
 }
 
-func (l *searchLog) Changed() <-chan struct{} {
+func (l *simReplica) Changed() <-chan struct{} {
 	if l.over() {
 		return make(chan struct{})
 	}
--- a/internal/control/search_look_test.go
+++ b/internal/control/search_look_test.go
@@ -9,20 +9,20 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// endsInList is how many ends one list holds.
-const endsInList = 20
+// maxEndsPerReport is how many ends one list holds.
+const maxEndsPerReport = 20
 
-// aMoment passes between two calls of a caller: nothing happens at one instant.
-const aMoment = time.Microsecond
+// callGap passes between two calls of a caller: nothing happens at one instant.
+const callGap = time.Microsecond
 
 // Look is answered once a run has ended or the wait is over.
-func (r *searchWorkers) Look(ctx context.Context, to Target, o LookOrder) (Report, error) {
-	defer time.Sleep(aMoment)
+func (r *simWorkers) Poll(ctx context.Context, to Target, o PollOrder) (Report, error) {
+	defer time.Sleep(callGap)
 	w, f, err := r.reach(ctx, "look", to, workflow.Run{})
 	if err != nil {
 		return Report{}, err
 	}
-	changed, err := r.takeLook(w, o)
+	changed, err := r.applyPoll(w, o)
 	if err != nil {
 		return Report{}, err
 	}
@@ -30,29 +30,29 @@
 		// Its lists say which life they are of.
 		return Report{}, ErrOtherIncarnation
 	}
-	r.holdLook(ctx, changed, o.Wait)
+	r.holdPoll(ctx, changed, o.Wait)
 	r.mu.Lock()
-	gone, report := w.gone, r.list(w, o.Seen)
+	gone, report := w.gone, r.report(w, o.Seen)
 	r.mu.Unlock()
 	if f.unanswered || f.late > 0 || gone {
 		<-ctx.Done()
 	}
-	if !wait.For(ctx, f.back) || ctx.Err() != nil {
+	if !wait.For(ctx, f.replyDelay) || ctx.Err() != nil {
 		return Report{}, errNoAnswer
 	}
 	return report, nil
 }
 
-// takeLook takes in what a look carries, and returns what is closed when a run ends, nil
+// applyPoll takes in what a look carries, and returns what is closed when a run ends, nil
 // where ends are to be listed already.
-func (r *searchWorkers) takeLook(w *searchWorker, o LookOrder) (<-chan struct{}, error) {
+func (r *simWorkers) applyPoll(w *simWorker, o PollOrder) (<-chan struct{}, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if o.Fence < w.fence {
-		return nil, &RefusedError{RefusedFence}
+		return nil, &RefusedError{RefusedStaleFence}
 	}
 	w.fence = o.Fence
-	w.hold(o.LeaseEndMS, time.Now())
+	w.extendLease(o.LeaseEndMS, time.Now())
 	r.acknowledge(w, o.Seen)
 	if uint64(len(w.ended)) > o.Seen {
 		return nil, nil
@@ -60,7 +60,7 @@
 	return w.changed, nil
 }
 
-func (r *searchWorkers) holdLook(ctx context.Context, changed <-chan struct{}, hold time.Duration) {
+func (r *simWorkers) holdPoll(ctx context.Context, changed <-chan struct{}, hold time.Duration) {
 	if changed == nil {
 		return
 	}
@@ -70,18 +70,18 @@
 }
 
 // list makes up a worker's lists; r.mu is held.
-func (r *searchWorkers) list(w *searchWorker, seen uint64) Report {
+func (r *simWorkers) report(w *simWorker, seen uint64) Report {
 	now := time.Now()
 	report := Report{ClockMS: w.clockMS(now)}
 	for task, run := range w.running {
 		percent := 0
-		if !run.gang || r.complete[gangRun{task.StepKey, run.number}] {
-			percent = int(min(99, 100*now.Sub(run.begun)/max(run.takes, 1)))
+		if !run.gang || r.completeGangs[gangRun{task.StepKey, run.number}] {
+			percent = int(min(99, 100*now.Sub(run.begun)/max(run.duration, 1)))
 		}
 		report.Running = append(report.Running, Running{Task: task, Number: run.number, Percent: percent})
 	}
-	most := endsInList
-	if !r.calm && now.Before(w.partialUntil) {
+	most := maxEndsPerReport
+	if !r.faultsOver && now.Before(w.partialReportsUntil) {
 		most, report.Partial = 1, true
 	}
 	for _, e := range w.ended {
@@ -99,39 +99,39 @@
 
 // acknowledge takes in that a leader has seen ends. One that it acknowledges stands
 // for good, unless the lease lapsed between the end and that; r.mu is held.
-func (r *searchWorkers) acknowledge(w *searchWorker, seen uint64) {
-	w.told = max(w.told, seen)
-	for ; w.seen < min(seen, uint64(len(w.ended))); w.seen++ {
-		e, at := w.ended[w.seen], w.endedAt[w.seen]
+func (r *simWorkers) acknowledge(w *simWorker, seen uint64) {
+	w.highestSeen = max(w.highestSeen, seen)
+	for ; w.acknowledged < min(seen, uint64(len(w.ended))); w.acknowledged++ {
+		e, at := w.ended[w.acknowledged], w.endedAt[w.acknowledged]
 		step := r.stepOf(e.Task)
-		if e.Outcome != workflow.OutcomeDone || w.lapsedAt.After(at) || step == nil {
+		if e.Outcome != workflow.OutcomeDone || w.leaseExpiredAt.After(at) || step == nil {
 			continue
 		}
-		key := taskOf(e.Task, *step)
+		key := outcomeKey(e.Task, *step)
 		r.doneAt[key] = at
 		for _, started := range r.startedAt[key] {
 			if started.After(at) && !step.Speculative {
-				r.broken = append(r.broken, fmt.Sprintf("%s started elsewhere between its end on %s and the acknowledgement", key, w.ID))
+				r.violations = append(r.violations, fmt.Sprintf("%s started elsewhere between its end on %s and the acknowledgement", key, w.ID))
 			}
 		}
 	}
 }
 
-// workPause is how exactly runs end.
-const workPause = 4 * time.Millisecond
+// simRunInterval is how exactly runs end.
+const simRunInterval = 4 * time.Millisecond
 
 // work ends runs whose time or lease is over, until ctx ends.
-func (r *searchWorkers) work(ctx context.Context) {
-	for wait.For(ctx, workPause) {
+func (r *simWorkers) runTasks(ctx context.Context) {
+	for wait.For(ctx, simRunInterval) {
 		r.mu.Lock()
 		now, present := time.Now(), r.gangsPresent()
 		for _, w := range r.all {
 			for task, run := range w.running {
 				switch {
 				case now.After(w.leaseEnd):
-					r.finish(w, task, workflow.OutcomeLapsed)
-				case !r.together(task, run, present, now):
-				case now.Sub(run.begun) < run.takes:
+					r.finish(w, task, workflow.OutcomeLeaseExpired)
+				case !r.gangComplete(task, run, present, now):
+				case now.Sub(run.begun) < run.duration:
 				case run.fails:
 					r.finish(w, task, workflow.OutcomeFailed)
 				default:
@@ -144,7 +144,7 @@
 }
 
 // gangsPresent counts the members of each run of a gang that are there; r.mu is held.
-func (r *searchWorkers) gangsPresent() map[gangRun]int {
+func (r *simWorkers) gangsPresent() map[gangRun]int {
 	present := map[gangRun]int{}
 	for _, w := range r.all {
 		for task, run := range w.running {
@@ -158,18 +158,18 @@
 
 // together reports whether a run is at work: a gang's members are only once all of them
 // have begun. r.mu is held.
-func (r *searchWorkers) together(task workflow.TaskKey, run *searchRun, present map[gangRun]int, now time.Time) bool {
+func (r *simWorkers) gangComplete(task workflow.TaskKey, run *simRun, present map[gangRun]int, now time.Time) bool {
 	if !run.gang {
 		return true
 	}
 	gang := gangRun{task.StepKey, run.number}
-	if r.complete[gang] {
+	if r.completeGangs[gang] {
 		return true
 	}
 	if present[gang] < run.step.Count {
 		run.begun = now
 		return false
 	}
-	r.complete[gang] = true
+	r.completeGangs[gang] = true
 	return true
 }
--- a/internal/control/search_test.go
+++ b/internal/control/search_test.go
@@ -16,52 +16,52 @@
 )
 
 // search is one seeded run.
-type search struct {
+type simulation struct {
 	t       *testing.T
 	seed    uint64
-	drawn   *drawnWorld
+	params  *simParams
 	random  *rand.Rand
 	state   *StateMachine
-	store   *searchStore
-	workers *searchWorkers
-	adviser *searchAdviser
-	lines   *searchLines
+	store   *simStore
+	workers *simWorkers
+	adviser *simAdviser
+	lines   *simLog
 	begun   time.Time
 	jobs    int
 	// work and asks are what traffic may bring of each by now.
-	work, asks float64
+	workBudget, adviserBudget float64
 	// behind is the most steps that a decision didn't go into.
-	behind int
+	maxBacklog int
 
-	mu    sync.Mutex
-	steps map[string][]workflow.Step
-	c     *Controller
-	log   *searchLog
-	stop  func()
-	term  uint64
-	calm  bool
+	mu         sync.Mutex
+	steps      map[string][]workflow.Step
+	c          *Controller
+	log        *simReplica
+	stop       func()
+	term       uint64
+	faultsOver bool
 }
 
-func newSearch(t *testing.T, seed uint64) *search {
+func newSimulation(t *testing.T, seed uint64) *simulation {
 	random := rand.New(rand.NewPCG(seed, 3))
-	x := &search{
-		t: t, seed: seed, drawn: drawWorld(random), random: random, state: NewStateMachine(), lines: &searchLines{},
+	x := &simulation{
+		t: t, seed: seed, params: drawParams(random), random: random, state: NewStateMachine(), lines: &simLog{},
 		begun: time.Now(), steps: map[string][]workflow.Step{},
 	}
-	x.store = &searchStore{random: rand.New(rand.NewPCG(seed, 4)), state: x.state}
-	x.workers = &searchWorkers{
-		drawn: x.drawn, seed: seed, stepOf: x.stepOf, lines: x.lines, at: map[string]*searchWorker{}, calls: map[string]int{},
-		startedAt: map[workflow.TaskKey][]time.Time{}, doneAt: map[workflow.TaskKey]time.Time{}, complete: map[gangRun]bool{},
-		lastStart: map[workflow.StepKey]time.Time{}, mayClaim: map[string]bool{},
-		crashes: map[workflow.TaskKey]int{}, afterThird: map[workflow.TaskKey]int{},
+	x.store = &simStore{random: rand.New(rand.NewPCG(seed, 4)), state: x.state}
+	x.workers = &simWorkers{
+		params: x.params, seed: seed, stepOf: x.stepOf, lines: x.lines, current: map[string]*simWorker{}, calls: map[string]int{},
+		startedAt: map[workflow.TaskKey][]time.Time{}, doneAt: map[workflow.TaskKey]time.Time{}, completeGangs: map[gangRun]bool{},
+		lastStart: map[workflow.StepKey]time.Time{}, allowedClaims: map[string]bool{},
+		crashes: map[workflow.TaskKey]int{}, startsAfterThirdCrash: map[workflow.TaskKey]int{},
 	}
-	x.adviser = &searchAdviser{
-		drawn: x.drawn, seed: seed, policyOf: x.adviceOf, stepOf: x.stepOf, calm: x.isCalm, random: rand.New(rand.NewPCG(seed, 5)), busy: map[string]time.Time{}, cutUntil: map[string]time.Time{},
+	x.adviser = &simAdviser{
+		params: x.params, seed: seed, policyOf: x.adviceOf, stepOf: x.stepOf, faultsOver: x.areFaultsOver, random: rand.New(rand.NewPCG(seed, 5)), busy: map[string]time.Time{}, cutOffUntil: map[string]time.Time{},
 	}
 	return x
 }
 
-func (x *search) stepOf(task workflow.TaskKey) *workflow.Step {
+func (x *simulation) stepOf(task workflow.TaskKey) *workflow.Step {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	steps := x.steps[task.Job]
@@ -71,7 +71,7 @@
 	return &steps[task.Step]
 }
 
-func (x *search) adviceOf(step workflow.StepKey) (advice *workflow.AdvicePolicy) {
+func (x *simulation) adviceOf(step workflow.StepKey) (advice *workflow.AdvicePolicy) {
 	x.state.read(func(s *workflow.State) {
 		if job := s.Jobs[step.Job]; job != nil {
 			advice = job.Policy.Advice
@@ -80,30 +80,30 @@
 	return advice
 }
 
-func (x *search) isCalm() bool {
+func (x *simulation) areFaultsOver() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.calm
+	return x.faultsOver
 }
 
 // controller returns the present leader's.
-func (x *search) controller() *Controller {
+func (x *simulation) controller() *Controller {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.c
 }
 
 // lead lets a new leader begin.
-func (x *search) lead() {
+func (x *simulation) startLeader() {
 	x.store.settleOpen()
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.term++
-	x.log = &searchLog{store: x.store, term: x.term, lost: make(chan struct{})}
+	x.log = &simReplica{store: x.store, term: x.term, lost: make(chan struct{})}
 	x.c = New(Config{
-		Address: ownLane, Bounds: Bounds{LeaseMax: x.drawn.lease, Shown: time.Minute}, Workers: x.workers, Adviser: x.adviser, Client: x.adviser,
+		Address: ownAddress, Bounds: Bounds{MaxLease: x.params.lease, EndedJobRetention: time.Minute}, Workers: x.workers, Adviser: x.adviser, Client: x.adviser,
 		Logger: log.With(log.NewLogfmtLogger(x.lines), "ms", log.Valuer(virtualMS)), Counters: noCounters{},
-		Leader: func() string { return ownLane }, Members: func() []string { return nil },
+		Leader: func() string { return ownAddress }, Members: func() []string { return nil },
 	}, x.state, x.log)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -116,27 +116,27 @@
 }
 
 // changeLeader lets the leader lose its leadership, which it notices a little later.
-func (x *search) changeLeader() {
+func (x *simulation) changeLeader() {
 	close(x.log.lost)
-	time.Sleep(between(x.random, 0, idlePause))
+	time.Sleep(randomDuration(x.random, 0, statusPollInterval))
 	x.stop()
-	time.Sleep(between(x.random, 0, 1500*time.Millisecond))
-	x.lead()
+	time.Sleep(randomDuration(x.random, 0, 1500*time.Millisecond))
+	x.startLeader()
 }
 
 // present keeps the instances that put questions and the workers announced, until ctx ends.
-func (x *search) present(ctx context.Context) {
+func (x *simulation) sendHeartbeats(ctx context.Context) {
 	for beat := 0; ctx.Err() == nil; beat++ {
 		c := x.controller()
-		for i := 1; i < x.drawn.lanes; i++ {
-			if lane := fmt.Sprint("lane", i); !x.adviser.isCut(lane) {
+		for i := 1; i < x.params.adviserConns; i++ {
+			if lane := fmt.Sprint("lane", i); !x.adviser.isCutOff(lane) {
 				_, _ = c.Follow(ctx, &FollowCall{Address: lane})
 			}
 		}
 		x.workers.mu.Lock()
 		var heard []*Announcement
 		for i, w := range x.workers.all {
-			if w.reachable(time.Now()) && i%heartbeatEach == beat%heartbeatEach {
+			if w.reachable(time.Now()) && i%heartbeatGroups == beat%heartbeatGroups {
 				w.Sequence++
 				heard = append(heard, &Announcement{Worker: w.Worker, Sequence: w.Sequence})
 			}
@@ -147,20 +147,20 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(beatPause):
+		case <-time.After(simHeartbeatInterval):
 		}
 	}
 }
 
 const (
-	// beatPause is the time between two rounds of heartbeats, of which each worker takes
-	// part in one of heartbeatEach.
-	beatPause     = 250 * time.Millisecond
-	heartbeatEach = 4
+	// simHeartbeatInterval is the time between two rounds of heartbeats, of which each worker takes
+	// part in one of heartbeatGroups.
+	simHeartbeatInterval = 250 * time.Millisecond
+	heartbeatGroups      = 4
 )
 
 // submit hands a job in to a queue.
-func (x *search) submit(queue *workflow.Queue, steps []workflow.Step) {
+func (x *simulation) submit(queue *workflow.Queue, steps []workflow.Step) {
 	x.jobs++
 	id := fmt.Sprint("j", x.jobs, "-", queue.Name)
 	x.mu.Lock()
@@ -168,13 +168,13 @@
 	c := x.c
 	x.mu.Unlock()
 	go func() {
-		_, _ = c.Submit(context.Background(), &SubmitCall{Place: Place{Host: searchHost, Path: queue.Prefix + id}, Payload: "p", Steps: steps})
+		_, _ = c.Submit(context.Background(), &SubmitCall{Address: JobAddress{Host: simHost, Path: queue.Prefix + id}, Payload: "p", Steps: steps})
 	}()
 }
 
 // configure stores the queues.
-func (x *search) configure() {
-	document := &workflow.Document{Version: 1, Source: []byte("{}"), Queues: x.drawn.queues}
+func (x *simulation) configure() {
+	document := &workflow.Document{Version: 1, Source: []byte("{}"), Queues: x.params.queues}
 	data, err := (&workflow.Command{Configuration: document}).Encode()
 	if err != nil {
 		x.t.Fatal(err)
@@ -183,12 +183,12 @@
 }
 
 // play lets the seed's day pass, and returns what was found.
-func (x *search) play() []string {
+func (x *simulation) run() []string {
 	x.configure()
-	for i := range x.drawn.workers {
+	for i := range x.params.workers {
 		x.workers.add(fmt.Sprint("w", i), 1)
 	}
-	x.lead()
+	x.startLeader()
 	defer func() {
 		x.stop()
 		// Calls under way end before the world does.
@@ -196,47 +196,47 @@
 	}()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go x.workers.work(ctx)
-	go x.present(ctx)
+	go x.workers.runTasks(ctx)
+	go x.sendHeartbeats(ctx)
 	time.Sleep(time.Second)
-	for range x.drawn.hopeless {
-		x.submit(&x.drawn.queues[0], undoable(nowhere, ""))
+	for range x.params.unplaceable {
+		x.submit(&x.params.queues[0], unplaceableSteps(unknownLabel, ""))
 	}
 	if queue := x.advisedQueue(); queue != nil {
-		for range x.drawn.refused {
-			x.submit(queue, undoable("", refusedImage))
+		for range x.params.refused {
+			x.submit(queue, unplaceableSteps("", refusedImage))
 		}
 	}
-	if found := x.disturbed(); len(found) > 0 {
+	if found := x.runWithFaults(); len(found) > 0 {
 		return found
 	}
-	x.settle()
-	return x.verdict()
+	x.endFaults()
+	return x.awaitCompletion()
 }
 
 // advisedQueue returns the first queue that needs permits, nil for none.
-func (x *search) advisedQueue() *workflow.Queue {
-	for i := range x.drawn.queues {
-		if x.drawn.queues[i].Policy.Advice != nil {
-			return &x.drawn.queues[i]
+func (x *simulation) advisedQueue() *workflow.Queue {
+	for i := range x.params.queues {
+		if x.params.queues[i].Policy.Advice != nil {
+			return &x.params.queues[i]
 		}
 	}
 	return nil
 }
 
 // settle ends traffic and disturbances.
-func (x *search) settle() {
+func (x *simulation) endFaults() {
 	x.mu.Lock()
-	x.calm = true
+	x.faultsOver = true
 	x.mu.Unlock()
 	x.workers.mu.Lock()
-	x.workers.calm = true
-	x.workers.growAll()
+	x.workers.faultsOver = true
+	x.workers.restoreCapacities()
 	x.workers.mu.Unlock()
 	x.store.mu.Lock()
 	x.store.slowUntil, x.store.heldUntil, x.store.fullUntil = time.Time{}, time.Time{}, time.Time{}
 	x.store.mu.Unlock()
-	x.lines.say("calm")
+	x.lines.logf("calm")
 }
 
 // What a user sees: accepted work that nothing takes up while room is free.
@@ -251,7 +251,7 @@
 // one moment isn't drawn, so two runs of a seed differ in their details.
 //
 // BILBERRY_SEEDS names how many seeds are run, BILBERRY_SEED the first.
-func TestSearchFindsNoWorkThatNothingTakesUp(t *testing.T) {
+func TestSimulationStartsAllPlaceableWork(t *testing.T) {
 	few := 6
 	if testing.Short() {
 		few = 2
@@ -261,11 +261,11 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				x := newSearch(t, uint64(seed))
-				found := x.play()
+				x := newSimulation(t, uint64(seed))
+				found := x.run()
 				x.logFigures()
 				if len(found) > 0 {
-					t.Errorf("%s\n%s", strings.Join(found, "\n"), x.lines.about(jobsIn(found)...))
+					t.Errorf("%s\n%s", strings.Join(found, "\n"), x.lines.linesAbout(jobsNamedIn(found)...))
 				}
 			})
 		})
@@ -273,18 +273,18 @@
 }
 
 // logFigures says what the seed has drawn and how much happened.
-func (x *search) logFigures() {
+func (x *simulation) logFigures() {
 	x.workers.mu.Lock()
 	defer x.workers.mu.Unlock()
-	d := x.drawn
-	crashers, others := x.givenUp()
+	d := x.params
+	crashers, others := x.countGivenUp()
 	x.t.Logf("crashers %.4f, shrinks %t, same names %t; given up %d crashers, %d others; workers %d, lanes %d, share %.2f, lease %v, load %.2f, burst %.2f, hopeless %d, refused %d, faults %+v; jobs %d, starts %d, questions %d, leaders %d, most behind %d, log refused %d, left open %d, virtual %v",
-		d.crashers, d.shrinks, d.sameNames, crashers, others, d.workers, d.lanes, d.share, d.lease, d.load, d.burst, d.hopeless, d.refused, d.faults, x.jobs, x.workers.starts, x.adviser.asked, x.term, x.behind,
-		x.store.refused, x.store.opened, time.Since(x.begun).Round(time.Millisecond))
+		d.crashingTaskChance, d.shrinks, d.sameNames, crashers, others, d.workers, d.adviserConns, d.permittedShare, d.lease, d.load, d.burst, d.unplaceable, d.refused, d.faults, x.jobs, x.workers.starts, x.adviser.asked, x.term, x.maxBacklog,
+		x.store.refused, x.store.leftOpen, time.Since(x.begun).Round(time.Millisecond))
 }
 
-// jobsIn returns the jobs that findings name.
-func jobsIn(found []string) []string {
+// jobsNamedIn returns the jobs that findings name.
+func jobsNamedIn(found []string) []string {
 	var jobs []string
 	for _, f := range found {
 		for word := range strings.FieldsSeq(f) {
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -13,9 +13,9 @@
 // and a client waits for 3 s in all.
 const commitTimeout = 2 * time.Second
 
-// retryLater is when a caller is told to come back that met no configuration:
+// noConfigurationRetryAfter is when a caller is told to come back that met no configuration:
 // the first version is sent again until it is accepted.
-const retryLater = time.Second
+const noConfigurationRetryAfter = time.Second
 
 // Register serves the controller's calls on mux.
 func (c *Controller) Register(mux *link.Mux) {
@@ -42,8 +42,8 @@
 
 // addressed returns the tenure that decides on what a place names, with the queue
 // and the rest of the path, which is a job's id or empty.
-func (c *Controller) addressed(ctx context.Context, place Place) (*tenure, workflow.Queue, string, error) {
-	t, err := c.leading(ctx)
+func (c *Controller) resolveOnLeader(ctx context.Context, place JobAddress) (*leaderTerm, workflow.Queue, string, error) {
+	t, err := c.currentLeaderTerm(ctx)
 	if err != nil {
 		return nil, workflow.Queue{}, "", err
 	}
@@ -61,7 +61,7 @@
 
 // resolve finds the queue of a place. NotFound is said only after the log has
 // shown that the configuration here is the newest.
-func (c *Controller) resolve(ctx context.Context, place Place) (workflow.Queue, string, error) {
+func (c *Controller) resolve(ctx context.Context, place JobAddress) (workflow.Queue, string, error) {
 	queue, rest, err := c.lookUp(ctx, place)
 	if !fault.Is(err, fault.NotFound) {
 		return queue, rest, err
@@ -74,23 +74,23 @@
 
 // lookUp finds the queue of a place in the configuration here, and notes by which
 // version it answers.
-func (c *Controller) lookUp(ctx context.Context, place Place) (found workflow.Queue, rest string, err error) {
+func (c *Controller) lookUp(ctx context.Context, place JobAddress) (found workflow.Queue, rest string, err error) {
 	c.state.read(func(s *workflow.State) {
 		if s.Configuration.Source == nil {
-			err = fault.Retry(fault.Unavailable, retryLater, "no configuration yet")
+			err = fault.Retry(fault.Unavailable, noConfigurationRetryAfter, "no configuration yet")
 			return
 		}
 		link.NoteVersion(ctx, s.Configuration.Version)
-		queue, after, ok := s.Configuration.Resolve(place.Host, place.Path)
+		queue, remaining, ok := s.Configuration.Resolve(place.Host, place.Path)
 		if place.Queue != "" {
 			queue, ok = s.Configuration.Queue(place.Queue)
-			after = place.ID
+			remaining = place.ID
 		}
 		if !ok {
 			err = fault.New(fault.NotFound, "no queue at %s%s%s", place.Host, place.Path, place.Queue)
 			return
 		}
-		found, rest = *queue, after
+		found, rest = *queue, remaining
 	})
 	return found, rest, err
 }
@@ -99,7 +99,7 @@
 func (c *Controller) Submit(ctx context.Context, r *SubmitCall) (SubmitReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	t, queue, id, err := c.addressed(ctx, r.Place)
+	t, queue, id, err := c.resolveOnLeader(ctx, r.Address)
 	if err != nil {
 		return SubmitReply{}, err
 	}
@@ -110,8 +110,8 @@
 		t.logger.Log("event", "submit", "job", id, "queue", queue.Name, "outcome", "refused", "err", err)
 		return SubmitReply{}, err
 	}
-	defer t.handIn(id)()
-	begun := time.Now()
+	defer t.beginSubmission(id)()
+	start := time.Now()
 	submission := workflow.Submission{
 		ID: id, Queue: queue.Identity(), Payload: r.Payload, Steps: r.Steps, Schedule: r.Schedule, Policy: queue.Policy,
 	}
@@ -125,11 +125,11 @@
 	}
 	known := result.Submit == workflow.SubmitKnown
 	if !known {
-		t.noteAccepted(id, begun)
+		t.noteAccepted(id, start)
 		c.cfg.Counters.Add("jobs_accepted", 1)
 	}
 	t.logger.Log("event", "submit", "job", id, "queue", queue.Name, "outcome", "accepted", "known", known,
-		"steps", len(r.Steps), "commit_ms", time.Since(begun).Milliseconds())
+		"steps", len(r.Steps), "commit_ms", time.Since(start).Milliseconds())
 	return SubmitReply{Known: known}, nil
 }
 
@@ -137,18 +137,18 @@
 func (c *Controller) State(ctx context.Context, r *StateCall) (StateReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	t, queue, id, err := c.addressed(ctx, r.Place)
+	t, queue, id, err := c.resolveOnLeader(ctx, r.Address)
 	if err != nil {
 		return StateReply{}, err
 	}
 	if id == "" {
-		return StateReply{Queue: true, Waiting: c.waiting(t, queue.Identity())}, nil
+		return StateReply{Queue: true, Waiting: c.countWaitingJobs(t, queue.Identity())}, nil
 	}
 	phase, err := c.confirmedPhase(ctx, id, queue.Identity())
 	if err != nil {
 		return StateReply{}, err
 	}
-	if phase == workflow.PhasePending && t.hasBegun(id) {
+	if phase == workflow.PhasePending && t.hasStarted(id) {
 		phase = workflow.PhaseActive
 	}
 	return StateReply{Phase: phase}, nil
@@ -163,7 +163,7 @@
 	if c.log.Status().Leader == "" || c.version() < r.Version {
 		return EndedReply{}, nil
 	}
-	queue, id, err := c.lookUp(ctx, r.Place)
+	queue, id, err := c.lookUp(ctx, r.Address)
 	if err != nil || id == "" {
 		// The leader says so, with proof.
 		return EndedReply{}, nil
@@ -204,12 +204,12 @@
 }
 
 // waiting counts the accepted jobs of a queue of which no worker has begun a task.
-func (c *Controller) waiting(t *tenure, queue string) (n int) {
+func (c *Controller) countWaitingJobs(t *leaderTerm, queue string) (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c.state.read(func(s *workflow.State) {
-		for id, job := range s.Open() {
-			if job.Queue == queue && !job.Begun && !t.begun[id] {
+		for id, job := range s.OpenJobs() {
+			if job.Queue == queue && !job.Begun && !t.startedJobs[id] {
 				n++
 			}
 		}
@@ -221,7 +221,7 @@
 func (c *Controller) Cancel(ctx context.Context, r *CancelCall) (Empty, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	t, queue, id, err := c.addressed(ctx, r.Place)
+	t, queue, id, err := c.resolveOnLeader(ctx, r.Address)
 	if err != nil {
 		return Empty{}, err
 	}
@@ -237,7 +237,7 @@
 func (c *Controller) Configure(ctx context.Context, r *ConfigureCall) (Empty, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	t, err := c.leading(ctx)
+	t, err := c.currentLeaderTerm(ctx)
 	if err != nil {
 		return Empty{}, err
 	}
@@ -250,7 +250,7 @@
 func (c *Controller) Configuration(ctx context.Context, _ *Empty) (ConfigurationReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	if _, err := c.leading(ctx); err != nil {
+	if _, err := c.currentLeaderTerm(ctx); err != nil {
 		return ConfigurationReply{}, err
 	}
 	if err := c.catchUp(ctx); err != nil {
@@ -261,7 +261,7 @@
 		reply = ConfigurationReply{Version: s.Configuration.Version, Source: s.Configuration.Source}
 	})
 	if reply.Source == nil {
-		return ConfigurationReply{}, fault.Retry(fault.Unavailable, retryLater, "no configuration yet")
+		return ConfigurationReply{}, fault.Retry(fault.Unavailable, noConfigurationRetryAfter, "no configuration yet")
 	}
 	return reply, nil
 }
@@ -270,7 +270,7 @@
 func (c *Controller) StartWave(ctx context.Context, r *WaveCall) (Empty, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	t, err := c.leading(ctx)
+	t, err := c.currentLeaderTerm(ctx)
 	if err != nil {
 		return Empty{}, err
 	}
@@ -279,7 +279,7 @@
 	_, err = c.propose(ctx, &workflow.Command{Wave: &wave})
 	t.logger.Log("event", "wave", "wave", wave.ID, "machines", len(wave.Machines), "at_once", wave.MaxDown,
 		"duration_ms", wave.DurationMS, "err", err)
-	t.noteWave(wave.ID)
+	t.recordWaveAccepted(wave.ID)
 	return Empty{}, err
 }
 
@@ -288,7 +288,7 @@
 func (c *Controller) WaveState(ctx context.Context, r *WaveStateCall) (WaveStateReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	if _, err := c.leading(ctx); err != nil {
+	if _, err := c.currentLeaderTerm(ctx); err != nil {
 		return WaveStateReply{}, err
 	}
 	if err := c.catchUp(ctx); err != nil {
@@ -313,10 +313,10 @@
 
 // Follow answers an instance that stays in touch.
 func (c *Controller) Follow(ctx context.Context, r *FollowCall) (FollowReply, error) {
-	t, err := c.leading(ctx)
+	t, err := c.currentLeaderTerm(ctx)
 	if err != nil {
 		return FollowReply{}, err
 	}
-	t.lanes.note(r.Address, time.Now())
-	return FollowReply{Members: c.cfg.Members(), Version: c.version(), Pause: t.lanes.pause()}, nil
+	t.adviserConns.recordAnnouncement(r.Address, time.Now())
+	return FollowReply{Members: c.cfg.Members(), Version: c.version(), Pause: t.adviserConns.announceInterval()}, nil
 }
--- a/internal/control/serve_version_test.go
+++ b/internal/control/serve_version_test.go
@@ -8,10 +8,10 @@
 	"github.com/bilberryferry/bilberryferry/internal/link"
 )
 
-func TestAnAnswerNotesTheVersionThatTheQueueWasLookedUpIn(t *testing.T) {
-	w := newWorld(t, nil)
+func TestReplyNotesConfigurationVersion(t *testing.T) {
+	w := newTestCluster(t, nil)
 	ctx, note := link.WithVersionNote(t.Context())
-	_, err := w.c.State(ctx, &StateCall{Place: Place{Host: "nowhere", Path: "/x/"}})
+	_, err := w.c.State(ctx, &StateCall{Address: JobAddress{Host: "nowhere", Path: "/x/"}})
 	must.Error(t, err)
 	must.Eq(t, w.c.version(), note.Version())
 	must.Positive(t, note.Version())
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -13,8 +13,8 @@
 // What a user sees: a job runs and is shown as done.
 // Order: handed in, started on the one worker, ends there, taken in.
 func TestJobRunsToItsEnd(t *testing.T) {
-	w := startedWorld(t)
-	w.with("w1", func(f *fakeWorker) {
+	w := clusterWithStartedTask(t)
+	w.withWorker("w1", func(f *fakeWorker) {
 		must.Eq(t, "payload", f.starts[0].Payload)
 		must.Eq(t, uint64(7), f.starts[0].Fence)
 		f.finish(task("a", 0), workflow.OutcomeDone)
@@ -26,12 +26,12 @@
 // Order: the start of a task is committed; the job is cancelled, which drops its
 // payload; then the order is made up.
 // Cause: an order was sent for a job that had ended meanwhile.
-func TestNothingStartsOfAJobThatEndedDuringTheCommit(t *testing.T) {
-	w := newWorld(t, nil)
+func TestNoStartIsSentForJobCancelledDuringCommit(t *testing.T) {
+	w := newTestCluster(t, nil)
 	w.workers.add("w1")
 	w.announce("w1")
 	w.log.mu.Lock()
-	w.log.applied = func(c workflow.Command) {
+	w.log.afterApply = func(c workflow.Command) {
 		if len(c.Start) > 0 {
 			w.commit(&workflow.Command{Cancel: "a"})
 		}
@@ -51,15 +51,15 @@
 // What a user sees: an urgent task is late though its worker is idle.
 // Order: a start gets lost on its way; the next one would be carried out at once.
 // Cause: the second call was made only when the first one was given up.
-func TestAStartIsSentAgainBesideOneThatIsOverdue(t *testing.T) {
-	w := newWorld(t, nil)
-	w.workers.add("w1").hang = 1
+func TestOverdueStartIsSentAgainConcurrently(t *testing.T) {
+	w := newTestCluster(t, nil)
+	w.workers.add("w1").hangingStarts = 1
 	w.announce("w1")
 	begun := time.Now()
 	w.submit("a", oneTask)
 	w.eventually("the task starts", func() bool { return w.started("w1") == 1 })
 	must.Less(t, callTimeout, time.Since(begun))
-	w.with("w1", func(f *fakeWorker) {
+	w.withWorker("w1", func(f *fakeWorker) {
 		must.Eq(t, 1, f.starts[0].Run.Number)
 		f.finish(task("a", 0), workflow.OutcomeDone)
 	})
@@ -72,24 +72,24 @@
 // Order: a step's tasks are given to one worker; it falls silent; the first starts get
 // no answer; the others haven't been sent; another worker is idle.
 // Cause: all were sent, whatever had become of the first.
-func TestStartsBehindAnOverdueOneGoElsewhere(t *testing.T) {
-	w := newWorld(t, nil)
-	w.workers.add("w1").hang = 1000
+func TestStartsQueuedBehindOverdueStartMoveElsewhere(t *testing.T) {
+	w := newTestCluster(t, nil)
+	w.workers.add("w1").hangingStarts = 1000
 	w.announce("w1")
 	w.eventually("the worker is ready", func() bool {
-		ten, err := w.c.leading(context.Background())
+		term, err := w.c.currentLeaderTerm(context.Background())
 		must.NoError(t, err)
-		ten.mu.Lock()
-		defer ten.mu.Unlock()
-		return ten.sessions["w1"] != nil && ten.sessions["w1"].ready
+		term.mu.Lock()
+		defer term.mu.Unlock()
+		return term.sessions["w1"] != nil && term.sessions["w1"].ready
 	})
 	step := oneTask
-	step.Count = startsAtOnce + 4
+	step.Count = maxConcurrentStarts + 4
 	w.submit("a", step)
 	w.eventually("the starts are under way", func() bool {
 		hung := 0
-		w.with("w1", func(f *fakeWorker) { hung = 1000 - f.hang })
-		return hung >= startsAtOnce
+		w.withWorker("w1", func(f *fakeWorker) { hung = 1000 - f.hangingStarts })
+		return hung >= maxConcurrentStarts
 	})
 	w.workers.add("w2")
 	w.announce("w2")
--- a/internal/control/starts.go
+++ b/internal/control/starts.go
@@ -10,10 +10,10 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// startsAtOnce is how many starts are under way to a worker at a time. A step with
+// maxConcurrentStarts is how many starts are under way to a worker at a time. A step with
 // many tasks is given to few workers; sent all at once, each start would take a new
 // connection of its own, which costs its caller more than the start.
-const startsAtOnce = 3
+const maxConcurrentStarts = 3
 
 // sendStart sends a committed start until the worker has answered, and stops the
 // run when it doesn't.
@@ -21,67 +21,67 @@
 // Failure guarded against: an order or its answer gets lost, and an urgent task
 // waits for the end of the call. The same run is sent again beside a call that
 // takes longer than a calm worker does; whichever arrives second changes nothing.
-func (s *session) sendStart(o *order, payload, checkpoint string) {
-	defer s.noteSettled(o)
-	if !o.gang && s.t.c.beats == nil {
-		if cause := s.beginStart(o); cause != "" {
-			s.unsent(o, cause)
+func (s *workerSession) sendStart(o *runOrder, payload, checkpoint string) {
+	defer s.noteStartCallsEnded(o)
+	if !o.gang && s.t.c.heartbeats == nil {
+		if cause := s.acquireStartSlot(o); cause != "" {
+			s.settleUnsentStart(o, cause)
 			return
 		}
-		defer s.endStart()
+		defer s.releaseStartSlot()
 	}
-	s.takeInTries(o, s.tryStart(o, payload, checkpoint))
+	s.settleStartAttempts(o, s.attemptStart(o, payload, checkpoint))
 }
 
-// tryStart sends a start, and again where the first call is overdue or gets no answer. It
+// attemptStart sends a start, and again where the first call is overdue or gets no answer. It
 // returns how the calls ended that tell what became of the order, the first one first.
 //
 // Failure guarded against: the second call is sent beside the first, which the worker then
 // refuses. What the second one ends with must be waited for: it may have begun the run, and
 // if it is refused as well the run has to be settled here, since no list will ever show it.
-func (s *session) tryStart(o *order, payload, checkpoint string) []error {
+func (s *workerSession) attemptStart(o *runOrder, payload, checkpoint string) []error {
 	second := make(chan error, 1)
 	var again *time.Timer
-	if s.t.c.beats == nil && !s.t.without.SecondStarts {
+	if s.t.c.heartbeats == nil && !s.t.disabled.ResentStarts {
 		again = time.AfterFunc(s.overdueAfter(), func() { second <- s.callStart(o, payload, checkpoint) })
 	}
 	first := s.callStart(o, payload, checkpoint)
 	beside := again != nil && !again.Stop()
-	tries := make([]error, 0, startTries)
+	tries := make([]error, 0, maxStartAttempts)
 	tries = append(tries, first)
 	switch {
 	case first == nil:
 	case beside:
 		tries = append(tries, <-second)
-	case noAnswer(first):
+	case outcomeUnknown(first):
 		tries = append(tries, s.callStart(o, payload, checkpoint))
 	}
 	return tries
 }
 
-// noteSettled takes in that no call of a start is under way any more, nor will be.
-func (s *session) noteSettled(o *order) {
+// noteStartCallsEnded takes in that no call of a start is under way any more, nor will be.
+func (s *workerSession) noteStartCallsEnded(o *runOrder) {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
-	o.sending, o.settledAt = false, time.Now()
+	o.startInProgress, o.startCallsEndedAt = false, time.Now()
 }
 
-func (s *session) overdueAfter() time.Duration {
+func (s *workerSession) overdueAfter() time.Duration {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
 	return s.t.overdueAfter()
 }
 
-// noAnswer reports whether a call leaves open what the worker did.
-func noAnswer(err error) bool {
+// outcomeUnknown reports whether a call leaves open what the worker did.
+func outcomeUnknown(err error) bool {
 	var refused *RefusedError
 	return !errors.Is(err, ErrOtherIncarnation) && !errors.As(err, &refused)
 }
 
-// takeInTries settles an order by how the calls of its start ended: one that succeeded has
+// settleStartAttempts settles an order by how the calls of its start ended: one that succeeded has
 // begun the run, one without an answer may begin it later, so that a stop has to settle it,
 // and a refusal settles it only if no call was left open.
-func (s *session) takeInTries(o *order, tries []error) {
+func (s *workerSession) settleStartAttempts(o *runOrder, tries []error) {
 	if slices.Contains(tries, nil) {
 		return
 	}
@@ -92,7 +92,7 @@
 		switch {
 		case errors.Is(err, ErrOtherIncarnation):
 			s.t.mu.Lock()
-			s.hurry()
+			s.interruptPoll()
 			s.t.mu.Unlock()
 			return
 		case errors.As(err, &refused):
@@ -106,13 +106,13 @@
 	switch {
 	case unanswered:
 		s.abandonUnlessListed(o)
-	case refusal.Reason != RefusedFence:
+	case refusal.Reason != RefusedStaleFence:
 		s.commitEnds(0, []workflow.RunEnd{{Task: o.run.Task, Number: o.run.Number, Outcome: workflow.OutcomeNotStarted}})
 	}
 }
 
 // noteUnanswered takes in a call of a start that got no answer.
-func (s *session) noteUnanswered(o *order, try int, err error) {
+func (s *workerSession) noteUnanswered(o *runOrder, try int, err error) {
 	s.t.mu.Lock()
 	o.unanswered = true
 	// Without it, a worker that takes no starts but answers looks would be
@@ -124,7 +124,7 @@
 }
 
 // noteRefused takes in a call of a start that was refused.
-func (s *session) noteRefused(o *order, reason Refusal) {
+func (s *workerSession) noteRefused(o *runOrder, reason Refusal) {
 	t := s.t
 	t.c.cfg.Counters.Add("starts_refused_"+string(reason), 1)
 	t.logger.Log("event", "start", "task", o.run.Task, "run", o.run.Number, "worker", s.worker.ID,
@@ -134,36 +134,36 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.forgetTicket(o.run.Task.StepKey, s.worker.ID)
+	t.invalidateTicket(o.run.Task.StepKey, s.worker.ID)
 }
 
-// beginStart waits until a start may be sent, and returns why it isn't worth it any
+// acquireStartSlot waits until a start may be sent, and returns why it isn't worth it any
 // more: while others wait for answers that are overdue it would get none either. The
 // members of a gang don't wait here: those that have begun wait for the others.
-func (s *session) beginStart(o *order) (cause string) {
+func (s *workerSession) acquireStartSlot(o *runOrder) (cause string) {
 	select {
-	case s.starting <- struct{}{}:
+	case s.startSlots <- struct{}{}:
 	case <-s.t.ctx.Done():
 		return "the leadership has ended"
 	}
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
 	switch {
-	case s.doubtful(time.Now()):
-		cause = string(reasonDoubtful)
-	case !s.t.stillToDo(o.run):
+	case s.hasOverdueOrder(time.Now()):
+		cause = string(reasonOverdueOrder)
+	case !s.t.taskPending(o.run):
 		cause = "the job has ended, or a copy is done"
 	default:
 		return ""
 	}
-	s.endStart()
+	s.releaseStartSlot()
 	return cause
 }
 
-func (s *session) endStart() { <-s.starting }
+func (s *workerSession) releaseStartSlot() { <-s.startSlots }
 
-// stillToDo reports whether the run's task is still to be done. t.mu is held.
-func (t *tenure) stillToDo(run workflow.Run) (open bool) {
+// taskPending reports whether the run's task is still to be done. t.mu is held.
+func (t *leaderTerm) taskPending(run workflow.Run) (open bool) {
 	t.c.state.read(func(s *workflow.State) {
 		job := s.Jobs[run.Task.Job]
 		open = job != nil && !job.Ended() && !s.Task(run.Task).Done
@@ -172,7 +172,7 @@
 }
 
 // unsent settles a run whose start was never sent.
-func (s *session) unsent(o *order, cause string) {
+func (s *workerSession) settleUnsentStart(o *runOrder, cause string) {
 	if s.t.ctx.Err() != nil {
 		// The next leader settles it.
 		return
@@ -184,14 +184,14 @@
 
 // abandonUnlessListed lets a run be stopped whose start may be carried out later, unless
 // the worker has shown it as alive.
-func (s *session) abandonUnlessListed(o *order) {
+func (s *workerSession) abandonUnlessListed(o *runOrder) {
 	s.t.mu.Lock()
 	o.abandoned = !o.listed
 	s.t.mu.Unlock()
-	s.t.kick()
+	s.t.wake()
 }
 
-func (s *session) callStart(o *order, payload, checkpoint string) error {
+func (s *workerSession) callStart(o *runOrder, payload, checkpoint string) error {
 	t := s.t
 	t.mu.Lock()
 	start := StartOrder{
@@ -213,8 +213,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o.sentAt = time.Time{}
-	if err != nil && noAnswer(err) {
-		s.noteLost(begun, now)
+	if err != nil && outcomeUnknown(err) {
+		s.noteLostCall(begun, now)
 		return err
 	}
 	o.openCalls--
@@ -227,10 +227,10 @@
 	if o.startedAt.IsZero() {
 		o.startedAt = now
 	}
-	t.begun[o.run.Task.Job] = true
+	t.startedJobs[o.run.Task.Job] = true
 	if o.usesSpare && s.throttle.serving {
 		// It begins at its whole share, and the next report may be far.
-		s.throttle.noteSpare(now)
+		s.throttle.beginSpare(now)
 		s.applyShare(o)
 	}
 	return nil
--- a/internal/control/statemachine.go
+++ b/internal/control/statemachine.go
@@ -36,8 +36,8 @@
 	return result
 }
 
-// onApply sets what is called after each command.
-func (m *StateMachine) onApply(f func()) {
+// setOnApply sets what is called after each command.
+func (m *StateMachine) setOnApply(f func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.applied = f
--- a/internal/control/stops.go
+++ b/internal/control/stops.go
@@ -18,24 +18,24 @@
 	stopMachine    stopCause = "the machine goes down"
 	stopLeaving    stopCause = "the worker leaves"
 	stopPaused     stopCause = "paused for long"
-	stopStill      stopCause = "stands still"
+	stopStalled    stopCause = "stands still"
 	stopUnanswered stopCause = "its start got no answer"
 	stopPreempted  stopCause = "gives way to more urgent work"
-	stopUnclaimed  stopCause = "nothing would tell its end"
+	stopOrphaned   stopCause = "nothing would tell its end"
 )
 
 // stopping is a run that is to be stopped.
-type stopping struct {
-	session *session
+type pendingStop struct {
+	session *workerSession
 	run     workflow.Run
 	cause   stopCause
 }
 
 // stopCauseOf returns why a run serves nobody. t.mu is held.
-func (t *tenure) stopCauseOf(s *workflow.State, run workflow.Run, session *session, now time.Time) stopCause {
-	if t.isUnclaimed(run, now) {
+func (t *leaderTerm) stopCauseOf(s *workflow.State, run workflow.Run, session *workerSession, now time.Time) stopCause {
+	if t.isOrphaned(run, now) {
 		// Before all else: the other causes only hold for runs that have an owner.
-		return stopUnclaimed
+		return stopOrphaned
 	}
 	job := s.Jobs[run.Task.Job]
 	if job == nil || job.Cancelled || job.Failed {
@@ -46,11 +46,11 @@
 	switch {
 	case spec.Gang && step.GangEndedRun >= run.Number:
 		return stopGangEnded
-	case spec.MayCopy() && step.Tasks[run.Task.Index].Done:
+	case spec.AllowsCopies() && step.Tasks[run.Task.Index].Done:
 		return stopCopyDone
-	case t.evacuated(s, run, now):
+	case t.stopForMaintenance(s, run, now):
 		return stopMachine
-	case t.leaves(s, session, run, now):
+	case t.stopForDrain(s, session, run, now):
 		return stopLeaving
 	}
 	o := session.orders[run.Task]
@@ -59,10 +59,10 @@
 		return stopNone
 	case o.preempted:
 		return stopPreempted
-	case o.paused(spec, now):
+	case o.pausedTooLong(spec, now):
 		return stopPaused
-	case o.stuck(spec):
-		return stopStill
+	case o.isStalledTooLong(spec):
+		return stopStalled
 	case o.unanswered && o.abandoned:
 		return stopUnanswered
 	}
@@ -71,51 +71,51 @@
 
 // stopDue reports whether a stop of a run that is known to this tenure, or that nobody
 // else would settle, is to be sent now. t.mu is held.
-func (s *session) stopDue(run workflow.Run, cause stopCause, now time.Time) bool {
+func (s *workerSession) stopDue(run workflow.Run, cause stopCause, now time.Time) bool {
 	o := s.orders[run.Task]
 	if o == nil || o.run.Number != run.Number {
-		return cause == stopUnclaimed || s.inherited[run.Task] == run.Number
+		return cause == stopOrphaned || s.inherited[run.Task] == run.Number
 	}
-	return now.Sub(o.stopSent) >= stopAgain
+	return now.Sub(o.stopSent) >= stopRetryInterval
 }
 
 // noteStop notes that a stop is sent. A run that stands still sets its worker
 // back once: with nothing else running there it would be the first choice for
 // the same task. t.mu is held.
-func (s *session) noteStop(stop stopping, now time.Time) {
+func (s *workerSession) noteStop(stop pendingStop, now time.Time) {
 	o := s.orders[stop.run.Task]
 	if o == nil || o.run.Number != stop.run.Number {
-		o = &order{run: stop.run, listed: stop.cause != stopUnclaimed}
+		o = &runOrder{run: stop.run, listed: stop.cause != stopOrphaned}
 		s.orders[stop.run.Task] = o
 	}
-	if stop.cause == stopUnclaimed && !o.claimed {
-		o.claimed = true
-		s.t.noteClaimed(stop.run, now)
+	if stop.cause == stopOrphaned && !o.orphaned {
+		o.orphaned = true
+		s.t.noteOrphan(stop.run, now)
 	}
 	if o.stopSent.IsZero() {
 		s.t.logger.Log("event", "stop", "task", stop.run.Task, "run", stop.run.Number, "worker", s.worker.ID, "cause", stop.cause)
-		if stop.cause == stopStill {
+		if stop.cause == stopStalled {
 			s.failures++
 		}
 	}
 	o.stopSent = now
-	s.row = row{}
+	s.runSummary = runSummary{}
 }
 
 // preempt stops the runs that a decision takes room from.
-func (t *tenure) preempt(preempts []dispatch.Preempt, now time.Time) {
+func (t *leaderTerm) preempt(preempts []dispatch.Preemption, now time.Time) {
 	t.mu.Lock()
-	var stops []stopping
+	var stops []pendingStop
 	for _, p := range preempts {
 		session := t.sessions[p.Worker]
 		if session == nil || session.orders[p.Task] == nil {
 			continue
 		}
 		session.orders[p.Task].preempted = true
-		stop := stopping{session, session.orders[p.Task].run, stopPreempted}
+		stop := pendingStop{session, session.orders[p.Task].run, stopPreempted}
 		session.noteStop(stop, now)
 		stops = append(stops, stop)
-		t.logger.Log("event", "preempt", "task", p.Task, "worker", p.Worker, "for", p.For)
+		t.logger.Log("event", "preempt", "task", p.Task, "worker", p.Worker, "for", p.Preemptor)
 	}
 	t.mu.Unlock()
 	t.c.cfg.Counters.Add("preempted", int64(len(stops)))
@@ -123,8 +123,8 @@
 }
 
 // sendStops sends stops that have been noted.
-func (t *tenure) sendStops(stops []stopping) {
+func (t *leaderTerm) sendStops(stops []pendingStop) {
 	for _, stop := range stops {
-		t.goTask(func() { stop.session.sendStop(stop.run) })
+		t.spawn(func() { stop.session.sendStop(stop.run) })
 	}
 }
