--- a/internal/control/stops_test.go
+++ b/internal/control/stops_test.go
@@ -15,8 +15,8 @@
 // Order: a batch task with checkpoints fills the worker; a gang of a more urgent
 // queue comes; the stop's first answer is lost; both jobs end.
 // Cause: room was made by nobody, or a stop without an answer wasn't repeated.
-func TestABatchTaskGivesWayToAGangAndGoesOnLater(t *testing.T) {
-	w := newWorld(t, func(w *world) {
+func TestBatchTaskIsPreemptedByGangAndResumes(t *testing.T) {
+	w := newTestCluster(t, func(w *testCluster) {
 		w.commit(&workflow.Command{Configuration: &workflow.Document{Version: 2, Source: []byte("{}"), Queues: []workflow.Queue{
 			{Name: "q", Host: "h", Prefix: "/q/", Policy: workflow.Policy{Service: "s", Priority: 2, Stretch: 2}},
 			{Name: "u", Host: "h", Prefix: "/u/", Policy: workflow.Policy{Service: "s", Priority: 1, Stretch: 9, ObjectiveMS: 9000}},
@@ -27,36 +27,36 @@
 	batch := workflow.Step{Count: 1, Need: workflow.Resources{MilliCPU: 9000, MemoryMB: 10}, EstimateMS: 60_000, Checkpointing: true}
 	w.submit("a", batch)
 	w.eventually("the batch task runs", func() bool { return w.started("w1") == 1 })
-	w.with("w1", func(f *fakeWorker) {
+	w.withWorker("w1", func(f *fakeWorker) {
 		f.running[task("a", 0)] = Running{Task: task("a", 0), Number: 1, Checkpoint: "half"}
-		f.deaf = 1
+		f.lostStops = 1
 	})
 	w.eventually("its checkpoint is known", func() bool {
-		ten, err := w.c.leading(context.Background())
+		term, err := w.c.currentLeaderTerm(context.Background())
 		must.NoError(t, err)
-		ten.mu.Lock()
-		defer ten.mu.Unlock()
-		return ten.checkpoints[task("a", 0)] == "half"
+		term.mu.Lock()
+		defer term.mu.Unlock()
+		return term.checkpoints[task("a", 0)] == "half"
 	})
 	gang := workflow.Step{Count: 2, Need: workflow.Resources{MilliCPU: 4000, MemoryMB: 10}, EstimateMS: 1000, Gang: true}
-	_, err := w.c.Submit(context.Background(), &SubmitCall{Place: Place{Queue: "u", ID: "g"}, Payload: "payload", Steps: []workflow.Step{gang}})
+	_, err := w.c.Submit(context.Background(), &SubmitCall{Address: JobAddress{Queue: "u", ID: "g"}, Payload: "payload", Steps: []workflow.Step{gang}})
 	must.NoError(t, err)
 	begun := time.Now()
 	w.eventually("the gang runs", func() bool { return w.started("w1") == 3 })
-	must.Less(t, moveAfter, time.Since(begun), must.Sprint("not stopped for standing still"))
-	w.with("w1", func(f *fakeWorker) {
+	must.Less(t, stalledRunTimeout, time.Since(begun), must.Sprint("not stopped for standing still"))
+	w.withWorker("w1", func(f *fakeWorker) {
 		f.finish(task("g", 0), workflow.OutcomeDone)
 		f.finish(task("g", 1), workflow.OutcomeDone)
 	})
 	w.eventually("the batch task goes on", func() bool { return w.started("w1") == 4 })
-	w.with("w1", func(f *fakeWorker) { must.Eq(t, "half", f.starts[3].Checkpoint) })
+	w.withWorker("w1", func(f *fakeWorker) { must.Eq(t, "half", f.starts[3].Checkpoint) })
 }
 
 // What a user sees: a job that was cancelled goes on taking room.
 // Order: cancelled while its task runs.
-func TestRunsOfACancelledJobAreStopped(t *testing.T) {
-	w := startedWorld(t)
-	_, err := w.c.Cancel(context.Background(), &CancelCall{Place: Place{Host: "h", Path: "/q/a"}})
+func TestRunsOfCancelledJobAreStopped(t *testing.T) {
+	w := clusterWithStartedTask(t)
+	_, err := w.c.Cancel(context.Background(), &CancelCall{Address: JobAddress{Host: "h", Path: "/q/a"}})
 	must.NoError(t, err)
 	begun := time.Now()
 	w.eventually("the run has ended", func() bool {
@@ -71,8 +71,8 @@
 // What a user sees: a gang's members wait for one that never comes.
 // Order: a gang starts on two workers; one of them refuses its member.
 // Cause: the others' runs serve nobody once one has ended.
-func TestTheOtherMembersOfAGangAreStoppedWhenOneEnds(t *testing.T) {
-	w := newWorld(t, nil)
+func TestGangMembersAreStoppedWhenOneEnds(t *testing.T) {
+	w := newTestCluster(t, nil)
 	w.workers.add("w1")
 	w.workers.add("w2").fence = 99
 	w.announce("w1")
@@ -80,15 +80,15 @@
 	gang := workflow.Step{Count: 2, Need: workflow.Resources{MilliCPU: 6000, MemoryMB: 10}, EstimateMS: 50, Gang: true}
 	w.submit("a", gang)
 	w.eventually("the members start", func() bool { return w.started("w1") == 1 })
-	w.with("w1", func(f *fakeWorker) {
+	w.withWorker("w1", func(f *fakeWorker) {
 		for task := range f.running {
-			f.finish(task, workflow.OutcomeBroken)
+			f.finish(task, workflow.OutcomeGangBroken)
 		}
 	})
 	begun := time.Now()
 	w.eventually("the run of the other is asked to stop", func() bool {
 		stopped := 0
-		w.with("w2", func(f *fakeWorker) { stopped = len(f.stopped) })
+		w.withWorker("w2", func(f *fakeWorker) { stopped = len(f.stopped) })
 		return stopped == 1
 	})
 	must.Less(t, time.Second, time.Since(begun))
@@ -98,8 +98,8 @@
 // Order: a task with checkpoints runs on a worker that drains and may go in a
 // moment; its end is far off; one without checkpoints runs beside it.
 // Cause: nobody asked the task to save before the worker went.
-func TestATaskIsSavedBeforeItsWorkerLeaves(t *testing.T) {
-	w := newWorld(t, nil)
+func TestCheckpointingTaskIsStoppedBeforeWorkerLeaves(t *testing.T) {
+	w := newTestCluster(t, nil)
 	w.workers.add("w1")
 	w.announce("w1")
 	saves := oneTask
@@ -117,12 +117,12 @@
 	}
 	leave(30 * time.Second)
 	time.Sleep(50 * time.Millisecond)
-	w.with("w1", func(f *fakeWorker) { must.MapLen(t, 2, f.running) })
-	leave(saveLead)
+	w.withWorker("w1", func(f *fakeWorker) { must.MapLen(t, 2, f.running) })
+	leave(checkpointLead)
 	w.eventually("the one with checkpoints is stopped", func() bool {
 		left := 2
-		w.with("w1", func(f *fakeWorker) { left = len(f.running) })
+		w.withWorker("w1", func(f *fakeWorker) { left = len(f.running) })
 		return left == 1
 	})
-	w.with("w1", func(f *fakeWorker) { must.MapContainsKey(t, f.running, task("b", 0)) })
+	w.withWorker("w1", func(f *fakeWorker) { must.MapContainsKey(t, f.running, task("b", 0)) })
 }
--- a/internal/control/suspend.go
+++ b/internal/control/suspend.go
@@ -10,9 +10,9 @@
 // aren't read at the same moment.
 const suspendTolerance = 100 * time.Millisecond
 
-// sleepTime returns how long the machine has been suspended since it started:
+// suspendedTime returns how long the machine has been suspended since it started:
 // one of the two steady clocks counts that time and the other doesn't.
-func sleepTime() (time.Duration, error) {
+func suspendedTime() (time.Duration, error) {
 	var boot, steady unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
 		return 0, err
@@ -29,11 +29,11 @@
 // steady clock doesn't count them, so it takes its right to decide for valid
 // still, while another leader has taken over, and prolongs the lease of a worker
 // that the other one can't reach and waits for.
-func (t *tenure) suspended() bool {
-	slept, err := t.sleepTime()
+func (t *leaderTerm) wasSuspended() bool {
+	slept, err := t.suspendedTime()
 	if err != nil {
 		// Without the clock nothing shows a suspension; the log ends the tenure then.
 		return false
 	}
-	return slept-t.sleptBefore > suspendTolerance
+	return slept-t.suspendedBefore > suspendTolerance
 }
--- a/internal/control/tasks.go
+++ b/internal/control/tasks.go
@@ -5,13 +5,13 @@
 // tasks are the goroutines of a tenure. Once wait has been called none is begun:
 // a heartbeat that comes in while a tenure ends would otherwise add to a wait
 // group that is being waited for.
-type tasks struct {
+type goroutineGroup struct {
 	mu     sync.Mutex
 	closed bool
 	group  sync.WaitGroup
 }
 
-func (t *tasks) run(f func()) {
+func (t *goroutineGroup) start(f func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.closed {
@@ -19,7 +19,7 @@
 	}
 }
 
-func (t *tasks) wait() {
+func (t *goroutineGroup) wait() {
 	t.mu.Lock()
 	t.closed = true
 	t.mu.Unlock()
--- a/internal/control/tasks_test.go
+++ b/internal/control/tasks_test.go
@@ -11,15 +11,15 @@
 // Order: a tenure ends and waits for its goroutines; a worker's heartbeat comes
 // in and begins another one.
 // Cause: a goroutine was added to a group that was being waited for.
-func TestNothingBeginsOnceATenureEnds(t *testing.T) {
-	var running tasks
+func TestGoroutineGroupStartsNothingAfterWait(t *testing.T) {
+	var running goroutineGroup
 	ended := false
-	running.run(func() {
+	running.start(func() {
 		time.Sleep(time.Millisecond)
 		ended = true
 	})
 	running.wait()
 	must.True(t, ended)
-	running.run(func() { t.Error("begun after the end") })
+	running.start(func() { t.Error("begun after the end") })
 	running.wait()
 }
--- a/internal/control/tenure.go
+++ b/internal/control/tenure.go
@@ -25,121 +25,121 @@
 	// after this tenure began: until its own right to decide ended, which is
 	// within one election timeout.
 	predecessorSlack = 1500 * time.Millisecond
-	// planPause is the longest time between two decisions; due times and leases
+	// planInterval is the longest time between two decisions; due times and leases
 	// change without an event.
-	planPause = 100 * time.Millisecond
-	// forgetPause is the time between two looks for ended jobs to forget.
-	forgetPause = 5 * time.Second
+	planInterval = 100 * time.Millisecond
+	// forgetInterval is the time between two looks for ended jobs to forget.
+	forgetInterval = 5 * time.Second
 )
 
 // tenure is one leadership of this member.
-type tenure struct {
+type leaderTerm struct {
 	c       *Controller
 	ctx     context.Context
 	end     func()
 	fence   uint64
 	started time.Time
-	// sleptBefore is how long the machine had been suspended when the tenure began.
-	sleptBefore time.Duration
-	sleepTime   func() (time.Duration, error)
-	lease       time.Duration
-	logger      log.Logger
-	without     dispatch.Without
-	lanes       *lanes
-	kicked      chan struct{}
+	// suspendedBefore is how long the machine had been suspended when the tenure began.
+	suspendedBefore time.Duration
+	suspendedTime   func() (time.Duration, error)
+	lease           time.Duration
+	logger          log.Logger
+	disabled        dispatch.Disabled
+	adviserConns    *adviserPool
+	wakePlanner     chan struct{}
 	// freshened says that there are fresh jobs.
-	freshened chan struct{}
-	tasks     tasks
-	// loadAt is when the load was logged last, turn counts the decisions, left is what
-	// the last whole decision has left over of the workers' room, leftAt its time, and
+	jobsChanged chan struct{}
+	tasks       goroutineGroup
+	// loadLoggedAt is when the load was logged last, turn counts the decisions, left is what
+	// the last whole decision has left over of the workers' room, leavingSince its time, and
 	// backlog says that more waited than it went into, next is the most urgent step of
 	// those that it had no place for; all belong to planLoop.
-	loadAt  time.Time
-	turn    int
-	left    []dispatch.Worker
-	leftAt  time.Time
-	backlog bool
-	next    *dispatch.Step
+	loadLoggedAt    time.Time
+	decisions       int
+	leftoverWorkers []dispatch.Worker
+	leftoverAt      time.Time
+	backlog         bool
+	nextUrgentStep  *dispatch.Step
 
 	mu sync.Mutex
 	// queued is how many steps were ready and not whole at the last decision.
-	queued int
+	incompleteSteps int
 	// answerTime is a moving mean of how long starts take to be answered, quickest the
 	// least that one took.
-	answerTime, quickest time.Duration
-	// lostAt is when a call was last found to have got lost.
-	lostAt time.Time
-	// sweptAt is when runs to stop or to copy were looked for last.
-	sweptAt time.Time
+	answerTime, minAnswerTime time.Duration
+	// callLostAt is when a call was last found to have got lost.
+	callLostAt time.Time
+	// runsCheckedAt is when runs to stop or to copy were looked for last.
+	runsCheckedAt time.Time
 	// waiting is what is known of the steps that wait, behind how many the last decision
 	// didn't go into.
-	waiting  map[workflow.StepKey]*waitingStep
-	behind   int
-	sessions map[string]*session
-	permits  map[workflow.StepKey]*stepPermits
+	waiting          map[workflow.StepKey]*waitingStep
+	stepsBeyondBound int
+	sessions         map[string]*workerSession
+	permits          map[workflow.StepKey]*stepPermits
 	// grantShares is, by queue, the share of workers asked about that the adviser has
 	// permitted of late.
 	grantShares map[string]movingMean
 	// answered is when a worker of each data centre last answered.
-	answered map[string]time.Time
+	dataCentreAnsweredAt map[string]time.Time
 	// suspected is when a data centre was last taken for cut off, of those that the
 	// last line on it said so.
-	suspected map[string]time.Time
+	dataCentreSuspectedAt map[string]time.Time
 	// accepted is when jobs were accepted; those of earlier tenures count from
 	// the start of this one, in the order of the log.
-	accepted map[string]time.Time
-	// handedIn counts the calls that commit a job, by its ID.
-	handedIn map[string]int
+	acceptedAt map[string]time.Time
+	// pendingSubmits counts the calls that commit a job, by its ID.
+	pendingSubmits map[string]int
 	// reported are jobs whose end was logged.
-	reported map[string]bool
+	loggedEnds map[string]bool
 	// fresh are the jobs for which something has come up since the last decision.
-	fresh map[string]bool
+	changedJobs map[string]bool
 	// earmarked are the workers on which the last decision kept room for a gang.
 	earmarked map[string]bool
 	// begun are jobs of which a worker has acknowledged or listed a run.
-	begun map[string]bool
+	startedJobs map[string]bool
 	// ended is when this tenure first saw that a job had ended.
-	ended map[string]time.Time
+	endedAt map[string]time.Time
 	// pace is that of all workers.
 	pace movingMean
 	// proposed are the starts that are being committed, by task.
-	proposed map[workflow.TaskKey]string
-	machines *machines
-	fleet    *pools
+	proposedStarts map[workflow.TaskKey]string
+	machines       *machines
+	fleet          *pools
 	// checkpoints are the latest that running tasks reported.
 	checkpoints map[workflow.TaskKey]string
 	// unaccounted is since when runs have been unaccounted for; see accountsFor.
-	unaccounted map[workflow.Run]time.Time
-	runCounts   runCounts
+	unaccountedSince map[workflow.Run]time.Time
+	runCounts        runCounts
 }
 
-func newTenure(ctx context.Context, end func(), c *Controller, term uint64) *tenure {
-	t := &tenure{
-		c: c, ctx: ctx, end: end, fence: term, started: time.Now(), sleepTime: sleepTime,
-		logger:      log.With(c.cfg.Logger, "term", term),
-		without:     c.cfg.Without,
-		kicked:      make(chan struct{}, 1),
-		freshened:   make(chan struct{}, 1),
-		fresh:       map[string]bool{},
-		sessions:    map[string]*session{},
-		permits:     map[workflow.StepKey]*stepPermits{},
-		grantShares: map[string]movingMean{},
-		answered:    map[string]time.Time{},
-		suspected:   map[string]time.Time{},
-		accepted:    map[string]time.Time{},
-		handedIn:    map[string]int{},
-		reported:    map[string]bool{},
-		begun:       map[string]bool{},
-		ended:       map[string]time.Time{},
-		checkpoints: map[workflow.TaskKey]string{},
-		proposed:    map[workflow.TaskKey]string{},
+func newLeaderTerm(ctx context.Context, end func(), c *Controller, term uint64) *leaderTerm {
+	t := &leaderTerm{
+		c: c, ctx: ctx, end: end, fence: term, started: time.Now(), suspendedTime: suspendedTime,
+		logger:                log.With(c.cfg.Logger, "term", term),
+		disabled:              c.cfg.Disabled,
+		wakePlanner:           make(chan struct{}, 1),
+		jobsChanged:           make(chan struct{}, 1),
+		changedJobs:           map[string]bool{},
+		sessions:              map[string]*workerSession{},
+		permits:               map[workflow.StepKey]*stepPermits{},
+		grantShares:           map[string]movingMean{},
+		dataCentreAnsweredAt:  map[string]time.Time{},
+		dataCentreSuspectedAt: map[string]time.Time{},
+		acceptedAt:            map[string]time.Time{},
+		pendingSubmits:        map[string]int{},
+		loggedEnds:            map[string]bool{},
+		startedJobs:           map[string]bool{},
+		endedAt:               map[string]time.Time{},
+		checkpoints:           map[workflow.TaskKey]string{},
+		proposedStarts:        map[workflow.TaskKey]string{},
 	}
-	if slept, err := t.sleepTime(); err == nil {
-		t.sleptBefore = slept
+	if slept, err := t.suspendedTime(); err == nil {
+		t.suspendedBefore = slept
 	}
 	t.lease = leaseLength(c.cfg.Bounds)
 	t.machines, t.fleet = newMachines(), newPools()
-	t.lanes = newLanes(c.cfg.Address, c.cfg.Adviser, c.cfg.Client)
+	t.adviserConns = newAdviserPool(c.cfg.Address, c.cfg.Adviser, c.cfg.Client)
 	c.state.read(func(s *workflow.State) {
 		for id, worker := range s.Workers {
 			if !worker.Gone {
@@ -147,7 +147,7 @@
 			}
 		}
 		for _, session := range t.sessions {
-			t.noteOutlived(session, s)
+			t.linkToSuccessor(session, s)
 		}
 	})
 	return t
@@ -157,54 +157,54 @@
 // as long, and its ends count when the cut has healed. A worker that is gone for good
 // blocks its tasks for as long, but one that crashed is back under another incarnation
 // before, which settles them at once.
-func leaseLength(b Bounds) time.Duration { return b.LeaseMax - leaseSlack }
+func leaseLength(b Bounds) time.Duration { return b.MaxLease - leaseSlack }
 
-// lapsesWithin is how long by this process's clock a lease takes to end at most, whose length
+// leaseUpperBound is how long by this process's clock a lease takes to end at most, whose length
 // is measured by a worker's.
-func lapsesWithin(lease time.Duration) time.Duration {
+func leaseUpperBound(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease)*driftFactor) + leaseSlack
 }
 
 // run works until the tenure ends.
-func (t *tenure) run() {
+func (t *leaderTerm) run() {
 	t.mu.Lock()
 	for _, s := range t.sessions {
-		t.goTask(s.run)
+		t.spawn(s.run)
 	}
 	t.mu.Unlock()
-	t.goTask(t.forgetLoop)
+	t.spawn(t.forgetLoop)
 	if t.c.cfg.Machines != nil {
-		t.goTask(t.machineLoop)
+		t.spawn(t.machineLoop)
 	}
 	t.planLoop()
 	t.tasks.wait()
 }
 
-func (t *tenure) goTask(f func()) { t.tasks.run(f) }
+func (t *leaderTerm) spawn(f func()) { t.tasks.start(f) }
 
 // kick wakes the planner.
-func (t *tenure) kick() {
+func (t *leaderTerm) wake() {
 	select {
-	case t.kicked <- struct{}{}:
+	case t.wakePlanner <- struct{}{}:
 	default:
 	}
 }
 
 // addSession begins to look after a worker. inherited are the runs that earlier
 // leaders may have ordered. t.mu is held, or t isn't shared yet.
-func (t *tenure) addSession(w workflow.Worker, inherited map[workflow.TaskKey]workflow.Run) *session {
-	s := &session{
+func (t *leaderTerm) addSession(w workflow.Worker, inherited map[workflow.TaskKey]workflow.Run) *workerSession {
+	s := &workerSession{
 		t: t, worker: w,
-		inherited: map[workflow.TaskKey]int{},
-		orders:    map[workflow.TaskKey]*order{},
-		strangers: map[workflow.Run]time.Time{},
-		heardAt:   time.Now(),
+		inherited:   map[workflow.TaskKey]int{},
+		orders:      map[workflow.TaskKey]*runOrder{},
+		unknownRuns: map[workflow.Run]time.Time{},
+		heartbeatAt: time.Now(),
 		// What answers first may be another life than the log knows.
-		doubted:  true,
-		throttle: throttle{share: wholeShare},
-		starting: make(chan struct{}, startsAtOnce),
+		incarnationUnconfirmed: true,
+		throttle:               throttle{share: fullShare},
+		startSlots:             make(chan struct{}, maxConcurrentStarts),
 		// A predecessor may have given a whole lease just before its right ended.
-		leaseEnd: t.started.Add(lapsesWithin(t.lease) + predecessorSlack),
+		leaseEnd: t.started.Add(leaseUpperBound(t.lease) + predecessorSlack),
 	}
 	for task, run := range inherited {
 		s.inherited[task] = run.Number
@@ -214,10 +214,10 @@
 }
 
 // heard takes in an acknowledged heartbeat.
-func (t *tenure) heard(w *workflow.Worker, remaining time.Duration) {
+func (t *leaderTerm) noteHeartbeat(w *workflow.Worker, remaining time.Duration) {
 	gone := false
 	t.c.state.read(func(s *workflow.State) {
-		gone = s.Workers[w.ID] != nil && s.Workers[w.ID].Gone || s.Outlived(w)
+		gone = s.Workers[w.ID] != nil && s.Workers[w.ID].Gone || s.Superseded(w)
 	})
 	if gone || t.ctx.Err() != nil {
 		return
@@ -227,21 +227,21 @@
 	s := t.sessions[w.ID]
 	if s == nil {
 		s = t.addSession(*w, nil)
-		t.takeOverAll(s)
-		t.goTask(s.run)
+		t.takeOverPredecessors(s)
+		t.spawn(s.run)
 		t.probeAddress(w)
 	}
-	s.noteStays(w)
-	s.heardAt = time.Now()
+	s.noteStillAnnounced(w)
+	s.heartbeatAt = time.Now()
 	s.worker.Draining = s.worker.Draining || w.Draining
 	if remaining > 0 {
-		s.leavesAt = s.heardAt.Add(remaining)
+		s.leavesAt = s.heartbeatAt.Add(remaining)
 	}
-	t.kick()
+	t.wake()
 }
 
-// looksAfter reports whether a worker's incarnation is looked after.
-func (t *tenure) looksAfter(worker string) bool {
+// monitors reports whether a worker's incarnation is looked after.
+func (t *leaderTerm) monitors(worker string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.sessions[worker] != nil
@@ -249,36 +249,36 @@
 
 // probeAddress lets sessions with other incarnations at the same address find
 // out at once that theirs is over. t.mu is held.
-func (t *tenure) probeAddress(w *workflow.Worker) {
+func (t *leaderTerm) probeAddress(w *workflow.Worker) {
 	for _, other := range t.sessions {
 		if other.worker.Address == w.Address && other.worker.ID != w.ID {
-			other.hurry()
+			other.interruptPoll()
 		}
 	}
 }
 
 // probe looks at a worker that says that it ends.
-func (t *tenure) probe(id string) {
+func (t *leaderTerm) noteLeaving(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.sessions[id]; s != nil {
-		s.leaving, s.leftAt = true, time.Now()
-		s.hurry()
+		s.leaving, s.leavingSince = true, time.Now()
+		s.interruptPoll()
 	}
 }
 
-// hasBegun reports whether a worker has shown that a run of the job is alive.
-func (t *tenure) hasBegun(job string) bool {
+// hasStarted reports whether a worker has shown that a run of the job is alive.
+func (t *leaderTerm) hasStarted(job string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.begun[job]
+	return t.startedJobs[job]
 }
 
-func (t *tenure) noteAccepted(job string, at time.Time) {
+func (t *leaderTerm) noteAccepted(job string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.accepted[job] = at
-	t.noteFresh(job)
+	t.acceptedAt[job] = at
+	t.markChanged(job)
 }
 
 // propose commits a command of this tenure. A failure ends nothing here: the
@@ -288,9 +288,9 @@
 // nothing shows that the member still leads. The log refuses what is proposed at that
 // moment, though the tenure goes on, and each start and end among it is lost. It has done
 // nothing, so the command is proposed again once the log has told that it still leads.
-func (t *tenure) propose(command *workflow.Command) (workflow.Result, error) {
+func (t *leaderTerm) propose(command *workflow.Command) (workflow.Result, error) {
 	result, err := t.c.propose(t.ctx, command)
-	for errors.Is(err, link.ErrNotLeader) && t.stillLeads() {
+	for errors.Is(err, link.ErrNotLeader) && t.confirmLeadership() {
 		t.c.cfg.Counters.Add("commits_repeated", 1)
 		result, err = t.c.propose(t.ctx, command)
 	}
@@ -300,9 +300,9 @@
 	return result, err
 }
 
-// stillLeads waits until the log has told whether this member leads, and reports whether
+// confirmLeadership waits until the log has told whether this member leads, and reports whether
 // it does in the term of this tenure.
-func (t *tenure) stillLeads() bool {
+func (t *leaderTerm) confirmLeadership() bool {
 	if t.c.catchUp(t.ctx) != nil {
 		return false
 	}
@@ -310,10 +310,10 @@
 }
 
 // forgetLoop drops what ended jobs no longer need.
-func (t *tenure) forgetLoop() {
-	for wait.For(t.ctx, forgetPause) {
-		if t.c.beats != nil {
-			t.c.beats.forget(t.looksAfter)
+func (t *leaderTerm) forgetLoop() {
+	for wait.For(t.ctx, forgetInterval) {
+		if t.c.heartbeats != nil {
+			t.c.heartbeats.forget(t.monitors)
 		}
 		if old := t.forget(time.Now()); len(old) > 0 {
 			// A failure is logged by propose; the jobs are found again next time.
@@ -325,7 +325,7 @@
 // forget drops the permits of jobs that have ended, which are the largest part
 // of what a tenure knows of them, and returns the jobs that need no longer be
 // shown.
-func (t *tenure) forget(now time.Time) (old []string) {
+func (t *leaderTerm) forget(now time.Time) (old []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.c.state.read(func(s *workflow.State) {
@@ -333,10 +333,10 @@
 			if !job.Ended() {
 				continue
 			}
-			if t.ended[id].IsZero() {
-				t.ended[id] = now
+			if t.endedAt[id].IsZero() {
+				t.endedAt[id] = now
 			}
-			if now.Sub(t.ended[id]) > t.c.cfg.Bounds.Shown+forgetPause {
+			if now.Sub(t.endedAt[id]) > t.c.cfg.Bounds.EndedJobRetention+forgetInterval {
 				old = append(old, id)
 			}
 		}
@@ -347,10 +347,10 @@
 		}
 	})
 	for _, id := range old {
-		delete(t.ended, id)
-		delete(t.accepted, id)
-		delete(t.begun, id)
-		delete(t.reported, id)
+		delete(t.endedAt, id)
+		delete(t.acceptedAt, id)
+		delete(t.startedJobs, id)
+		delete(t.loggedEnds, id)
 	}
 	return old
 }
--- a/internal/control/throttle.go
+++ b/internal/control/throttle.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// wholeShare is the share at which a task works that nobody throttles, in percent.
-	wholeShare = 100
-	// firstShare is what tasks on spare processors get beside serving ones until
+	// fullShare is the share at which a task works that nobody throttles, in percent.
+	fullShare = 100
+	// initialShare is what tasks on spare processors get beside serving ones until
 	// the latency of those has been seen.
-	firstShare = 30
-	// leastShareKept is the least share that does some work; below it they pause.
-	leastShareKept = 5
-	// shareStep is by how much the share rises while latency is low.
-	shareStep = 10
-	// Above latencyHigh of the objective the share is halved, above the whole
-	// objective it falls to a quarter, below latencyLow it rises. Latency must not
+	initialShare = 30
+	// minShare is the least share that does some work; below it they pause.
+	minShare = 5
+	// shareIncrement is by how much the share rises while latency is low.
+	shareIncrement = 10
+	// Above highLatencyRatio of the objective the share is halved, above the whole
+	// objective it falls to a quarter, below lowLatencyRatio it rises. Latency must not
 	// be over its objective for some seconds on end; from 30 % it takes two changes
 	// to pause.
-	latencyHigh = 0.9
-	latencyLow  = 0.7
-	// throttleEvery is the time between two changes: the worker's figures cover
+	highLatencyRatio = 0.9
+	lowLatencyRatio  = 0.7
+	// throttleInterval is the time between two changes: the worker's figures cover
 	// half a second, and a change takes a tenth of one to have its effect.
-	throttleEvery = 700 * time.Millisecond
-	// throttleWait holds a look at a worker whose tasks are throttled.
-	throttleWait = 300 * time.Millisecond
+	throttleInterval = 700 * time.Millisecond
+	// throttledPollWait holds a look at a worker whose tasks are throttled.
+	throttledPollWait = 300 * time.Millisecond
 )
 
 // throttle is the share of a worker's tasks on spare processors. All of them get
@@ -40,52 +40,52 @@
 }
 
 // watched reports whether the worker needs to be looked at often.
-func (h *throttle) watched() bool { return h.serving && h.spare }
+func (h *throttle) active() bool { return h.serving && h.spare }
 
 // next returns the share after a report in which latency was ratio times its
 // objective at worst.
-func (h *throttle) next(ratio float64, now time.Time) int {
+func (h *throttle) nextShare(ratio float64, now time.Time) int {
 	switch {
-	case !h.watched():
-		return wholeShare
-	case h.share == wholeShare && h.changedAt.IsZero():
-		return firstShare
-	case now.Sub(h.changedAt) < throttleEvery:
+	case !h.active():
+		return fullShare
+	case h.share == fullShare && h.changedAt.IsZero():
+		return initialShare
+	case now.Sub(h.changedAt) < throttleInterval:
 		return h.share
 	case ratio > 1:
-		return atLeastKept(h.share / 4)
-	case ratio > latencyHigh:
-		return atLeastKept(h.share / 2)
-	case ratio < latencyLow:
-		return min(h.share+shareStep, wholeShare)
+		return pauseBelowMin(h.share / 4)
+	case ratio > highLatencyRatio:
+		return pauseBelowMin(h.share / 2)
+	case ratio < lowLatencyRatio:
+		return min(h.share+shareIncrement, fullShare)
 	}
 	return h.share
 }
 
-// atLeastKept pauses tasks whose share is too small to get anything done.
-func atLeastKept(share int) int {
-	if share < leastShareKept {
+// pauseBelowMin pauses tasks whose share is too small to get anything done.
+func pauseBelowMin(share int) int {
+	if share < minShare {
 		return 0
 	}
 	return share
 }
 
-// noteSpare takes in that a task on spare processors begins beside serving ones.
-func (h *throttle) noteSpare(now time.Time) {
+// beginSpare takes in that a task on spare processors begins beside serving ones.
+func (h *throttle) beginSpare(now time.Time) {
 	if !h.spare {
-		h.spare, h.share, h.changedAt = true, firstShare, now
+		h.spare, h.share, h.changedAt = true, initialShare, now
 	}
 }
 
-// noteLatency takes in what a report says of tasks with a latency objective, and
+// updateThrottle takes in what a report says of tasks with a latency objective, and
 // throttles the tasks on spare processors beside them. t.mu is held.
 //
 // Failure guarded against: tasks on spare processors slow the serving tasks on
 // their worker down, by amounts that differ from task to task and change within
 // seconds; users of those wait too long. The serving tasks' own figures say so,
 // and the share falls at once and rises slowly.
-func (s *session) noteLatency(state *workflow.State, report Report, now time.Time) {
-	worst := 0.0
+func (s *workerSession) updateThrottle(state *workflow.State, report Report, now time.Time) {
+	worstRatio := 0.0
 	s.throttle.serving, s.throttle.spare = false, false
 	for _, r := range report.Running {
 		job := state.Jobs[r.Task.Job]
@@ -96,15 +96,15 @@
 		s.throttle.spare = s.throttle.spare || spec.UsesSpare
 		if spec.LatencyObjectiveMS > 0 {
 			s.throttle.serving = true
-			worst = max(worst, float64(r.Measured)/float64(spec.LatencyObjectiveMS))
+			worstRatio = max(worstRatio, float64(r.Measured)/float64(spec.LatencyObjectiveMS))
 		}
 	}
-	share := s.throttle.next(worst, now)
+	share := s.throttle.nextShare(worstRatio, now)
 	if share != s.throttle.share {
-		s.t.logger.Log("event", "throttle", "worker", s.worker.ID, "share", share, "before", s.throttle.share, "latency_ratio", worst)
+		s.t.logger.Log("event", "throttle", "worker", s.worker.ID, "share", share, "before", s.throttle.share, "latency_ratio", worstRatio)
 		s.throttle.share, s.throttle.changedAt = share, now
 	}
-	if !s.throttle.watched() {
+	if !s.throttle.active() {
 		s.throttle.changedAt = time.Time{}
 	}
 	for _, r := range report.Running {
@@ -116,16 +116,16 @@
 
 // applyShare sends the worker's share for one run where it has another one.
 // t.mu is held.
-func (s *session) applyShare(o *order) {
-	if o.share == s.throttle.share || o.sharing {
+func (s *workerSession) applyShare(o *runOrder) {
+	if o.share == s.throttle.share || o.shareChanging {
 		return
 	}
-	o.sharing = true
+	o.shareChanging = true
 	share := s.throttle.share
-	s.t.goTask(func() { s.sendShare(o, share) })
+	s.t.spawn(func() { s.sendShare(o, share) })
 }
 
-func (s *session) sendShare(o *order, share int) {
+func (s *workerSession) sendShare(o *runOrder, share int) {
 	t := s.t
 	clockMS, err := s.call(func(ctx context.Context, to Target) (int64, error) {
 		return t.c.cfg.Workers.Throttle(ctx, to, ThrottleOrder{Run: o.run, Share: share, Fence: t.fence})
@@ -133,7 +133,7 @@
 	t.c.cfg.Counters.Add("throttles", 1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	o.sharing = false
+	o.shareChanging = false
 	if err != nil {
 		// The next report sends it again.
 		t.logger.Log("event", "throttle", "task", o.run.Task, "run", o.run.Number, "worker", s.worker.ID, "share", share, "err", err)
@@ -150,6 +150,6 @@
 
 // paused reports whether a run has been paused for so long that it is better
 // carried on elsewhere, which only a checkpoint makes worth it.
-func (o *order) paused(step *workflow.Step, now time.Time) bool {
-	return step.Checkpointing && !o.pausedAt.IsZero() && now.Sub(o.pausedAt) > moveAfter
+func (o *runOrder) pausedTooLong(step *workflow.Step, now time.Time) bool {
+	return step.Checkpointing && !o.pausedAt.IsZero() && now.Sub(o.pausedAt) > stalledRunTimeout
 }
--- a/internal/control/throttle_test.go
+++ b/internal/control/throttle_test.go
@@ -9,25 +9,25 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-func TestTheShareFollowsTheLatency(t *testing.T) {
+func TestNextShareFollowsLatency(t *testing.T) {
 	now := time.Now()
-	old := now.Add(-throttleEvery)
+	old := now.Add(-throttleInterval)
 	for _, c := range []struct {
 		name  string
 		h     throttle
 		ratio float64
 		want  int
 	}{
-		{"nobody is disturbed", throttle{share: 40, spare: true}, 9, wholeShare},
-		{"the first report beside serving tasks", throttle{share: wholeShare, serving: true, spare: true}, 0, firstShare},
+		{"nobody is disturbed", throttle{share: 40, spare: true}, 9, fullShare},
+		{"the first report beside serving tasks", throttle{share: fullShare, serving: true, spare: true}, 0, initialShare},
 		{"a change is given time", throttle{share: 40, serving: true, spare: true, changedAt: now}, 2, 40},
 		{"over the objective", throttle{share: 40, serving: true, spare: true, changedAt: old}, 1.2, 10},
 		{"near the objective", throttle{share: 40, serving: true, spare: true, changedAt: old}, 0.95, 20},
 		{"too little to work with", throttle{share: 10, serving: true, spare: true, changedAt: old}, 1.2, 0},
-		{"well below", throttle{share: 95, serving: true, spare: true, changedAt: old}, 0.2, wholeShare},
+		{"well below", throttle{share: 95, serving: true, spare: true, changedAt: old}, 0.2, fullShare},
 		{"between", throttle{share: 40, serving: true, spare: true, changedAt: old}, 0.8, 40},
 	} {
-		must.Eq(t, c.want, c.h.next(c.ratio, now), must.Sprint(c.name))
+		must.Eq(t, c.want, c.h.nextShare(c.ratio, now), must.Sprint(c.name))
 	}
 }
 
@@ -35,8 +35,8 @@
 // on spare processors.
 // Order: both run on one worker; the service's latency rises over its objective.
 // Cause: nothing throttled the batch job's tasks.
-func TestTasksOnSpareProcessorsGiveWayToServingOnes(t *testing.T) {
-	w := newWorld(t, nil)
+func TestSpareTaskIsThrottledForLatency(t *testing.T) {
+	w := newTestCluster(t, nil)
 	w.workers.add("w1")
 	w.announce("w1")
 	serving := workflow.Step{Count: 1, Need: workflow.Resources{MilliCPU: 4000, MemoryMB: 10}, LongRunning: true, LatencyObjectiveMS: 50}
@@ -45,17 +45,17 @@
 	w.eventually("it serves", func() bool { return w.started("w1") == 1 })
 	w.submit("b", spare)
 	share := func() (n int) {
-		w.with("w1", func(f *fakeWorker) {
-			n = wholeShare
+		w.withWorker("w1", func(f *fakeWorker) {
+			n = fullShare
 			if s, ok := f.shares[task("b", 0)]; ok {
 				n = s
 			}
 		})
 		return n
 	}
-	w.eventually("it begins at a small share", func() bool { return share() == firstShare })
+	w.eventually("it begins at a small share", func() bool { return share() == initialShare })
 	latency := func(ms int64) {
-		w.with("w1", func(f *fakeWorker) {
+		w.withWorker("w1", func(f *fakeWorker) {
 			r := f.running[task("a", 0)]
 			r.Measured = ms
 			f.running[r.Task] = r
@@ -64,6 +64,6 @@
 	latency(70)
 	w.eventually("it pauses", func() bool { return share() == 0 })
 	latency(10)
-	w.eventually("it goes on", func() bool { return share() >= shareStep })
+	w.eventually("it goes on", func() bool { return share() >= shareIncrement })
 	must.Eq(t, 2, w.started("w1"), must.Sprint("it wasn't moved"))
 }
--- a/internal/control/unsettled_test.go
+++ b/internal/control/unsettled_test.go
@@ -10,17 +10,17 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// tenureOf returns the tenure of a world's leader.
-func (w *world) tenureOf() *tenure {
-	ten, err := w.c.leading(context.Background())
+// currentTerm returns the tenure of a world's leader.
+func (w *testCluster) currentTerm() *leaderTerm {
+	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(w.t, err)
-	return ten
+	return term
 }
 
 // Guards against a task that never runs again: its start is answered as by another
 // incarnation, and the worker's lists go on as before.
-func TestAStartThatWasMisdirectedOnceIsSettled(t *testing.T) {
-	w := newWorld(t, nil)
+func TestMisdirectedStartIsSettled(t *testing.T) {
+	w := newTestCluster(t, nil)
 	w.workers.add("w1").misdirected = 1
 	w.announce("w1")
 	w.submit("a", oneTask)
@@ -29,30 +29,30 @@
 
 // Guards against a task that never runs again: its run began and is in none of the
 // worker's lists, neither alive nor ended.
-func TestARunThatNoListShowsIsSettled(t *testing.T) {
-	w := startedWorld(t)
-	w.with("w1", func(f *fakeWorker) { clear(f.running) })
+func TestRunMissingFromReportsIsSettled(t *testing.T) {
+	w := clusterWithStartedTask(t)
+	w.withWorker("w1", func(f *fakeWorker) { clear(f.running) })
 	w.eventually("the task runs again", func() bool { return w.started("w1") == 2 })
 }
 
 // Guards against a task that never runs again: its start was committed when its worker
 // had just been given up, and the commit of that end fails.
-func TestARunOnAWorkerThatIsNotLookedAfterIsSettled(t *testing.T) {
-	w := newWorld(t, nil)
+func TestRunOnUnmonitoredWorkerIsSettled(t *testing.T) {
+	w := newTestCluster(t, nil)
 	w.workers.add("w1")
 	w.announce("w1")
-	ten := w.tenureOf()
+	term := w.currentTerm()
 	w.log.mu.Lock()
-	w.log.applied = func(c workflow.Command) {
+	w.log.afterApply = func(c workflow.Command) {
 		if len(c.Start) > 0 && c.Start[0].Worker == "w1" {
-			ten.mu.Lock()
-			defer ten.mu.Unlock()
-			ten.sessions["w1"].cancelLook()
-			delete(ten.sessions, "w1")
+			term.mu.Lock()
+			defer term.mu.Unlock()
+			term.sessions["w1"].cancelPoll()
+			delete(term.sessions, "w1")
 		}
 	}
 	w.log.mu.Unlock()
-	w.log.refuseEnds(node.ErrFateOpen)
+	w.log.failEnds(node.ErrFateOpen)
 	w.submit("a", oneTask)
 	w.eventually("the start is committed", func() bool {
 		runs := 0
@@ -66,35 +66,35 @@
 
 // Guards against a task that never runs again after a change of leader: the end of its
 // first run is in a list that isn't whole, and the second one never began.
-func TestALateEndLeavesTheInheritedRunAfterIt(t *testing.T) {
-	w := newWorld(t, func(w *world) {
+func TestLateEndKeepsLaterInheritedRun(t *testing.T) {
+	w := newTestCluster(t, func(w *testCluster) {
 		one := worker("w1")
 		w.commit(&workflow.Command{Worker: &one})
 		w.commit(submission("a"))
 		for range 2 {
 			w.commit(&workflow.Command{Start: []workflow.Run{{Task: task("a", 0), Worker: "w1"}}})
-			w.commit(&workflow.Command{Ends: &workflow.WorkerEnds{Worker: "w1", Ends: []workflow.RunEnd{
+			w.commit(&workflow.Command{Ends: &workflow.RunEnds{Worker: "w1", Ends: []workflow.RunEnd{
 				{Task: task("a", 0), Number: 1, Outcome: workflow.OutcomeLost},
 			}}})
 		}
 		f := w.workers.add("w1")
 		f.running[task("a", 0)] = Running{Task: task("a", 0), Number: 1}
-		f.finish(task("a", 0), workflow.OutcomeLapsed)
+		f.finish(task("a", 0), workflow.OutcomeLeaseExpired)
 		f.partial = true
 	})
 	w.eventually("the end is taken in", func() bool {
 		seen := uint64(0)
-		w.c.state.read(func(s *workflow.State) { seen = s.Workers["w1"].Seen })
+		w.c.state.read(func(s *workflow.State) { seen = s.Workers["w1"].LastEnd })
 		return seen == 1
 	})
-	w.with("w1", func(f *fakeWorker) { f.partial = false })
+	w.withWorker("w1", func(f *fakeWorker) { f.partial = false })
 	w.eventually("the task runs again", func() bool { return w.started("w1") == 1 })
 }
 
-// unlookedWorld is a leader in whose log the task of job a runs on worker w1, which it
+// clusterWithUnmonitoredWorker is a leader in whose log the task of job a runs on worker w1, which it
 // doesn't look after.
-func unlookedWorld(t *testing.T) *world {
-	w := newWorld(t, nil)
+func clusterWithUnmonitoredWorker(t *testing.T) *testCluster {
+	w := newTestCluster(t, nil)
 	one := worker("w1")
 	w.workers.add("w1").running[task("a", 0)] = Running{Task: task("a", 0), Number: 1}
 	w.commit(&workflow.Command{Worker: &one})
@@ -105,10 +105,10 @@
 
 // Guards against a run whose end nobody sees: its worker is in order and nobody looks after
 // it.
-func TestAWorkerWithRunsThatNobodyLooksAfterIsTakenUp(t *testing.T) {
-	w := unlookedWorld(t)
-	w.eventually("the worker is looked after", func() bool { return w.tenureOf().looksAfter("w1") })
-	w.with("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
+func TestUnmonitoredWorkerWithRunsIsMonitoredAgain(t *testing.T) {
+	w := clusterWithUnmonitoredWorker(t)
+	w.eventually("the worker is looked after", func() bool { return w.currentTerm().monitors("w1") })
+	w.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
 	w.eventually("the job is done", func() bool {
 		phase, _ := w.c.phase("a", "q")
 		return phase == workflow.PhaseDone
@@ -118,9 +118,9 @@
 
 // Guards against a task that never runs again: its worker is out of reach and nobody looks
 // after it.
-func TestRunsOnASilentWorkerThatNobodyLooksAfterAreLost(t *testing.T) {
-	w := unlookedWorld(t)
-	w.with("w1", func(f *fakeWorker) { f.cut = true })
+func TestRunsOnUnreachableUnmonitoredWorkerAreLost(t *testing.T) {
+	w := clusterWithUnmonitoredWorker(t)
+	w.withWorker("w1", func(f *fakeWorker) { f.answersLost = true })
 	w.workers.add("w2")
 	w.announce("w2")
 	w.eventually("the task runs elsewhere", func() bool { return w.started("w2") == 1 })
@@ -128,8 +128,8 @@
 
 // Guards against a gang that never runs again: nothing would tell the end of one member's
 // run, and another member has ended.
-func TestAnUnclaimedRunOfAGangIsSettledThoughAnotherMemberHasEnded(t *testing.T) {
-	w := newWorld(t, nil)
+func TestOrphanedGangRunIsSettledAfterAnotherMemberEnded(t *testing.T) {
+	w := newTestCluster(t, nil)
 	for _, id := range []string{"w1", "w2"} {
 		w.workers.add(id)
 		w.announce(id)
@@ -142,22 +142,22 @@
 	w.applyTogether(
 		submitted,
 		&workflow.Command{Start: []workflow.Run{{Task: task("a", 0), Worker: "w1"}, {Task: task("a", 1), Worker: "w2"}}},
-		&workflow.Command{Ends: &workflow.WorkerEnds{Worker: "w1", Ends: []workflow.RunEnd{
+		&workflow.Command{Ends: &workflow.RunEnds{Worker: "w1", Ends: []workflow.RunEnd{
 			{Task: task("a", 0), Number: 1, Outcome: workflow.OutcomeNotStarted},
 		}}},
 	)
 	w.eventually("both run", func() bool { return w.started("w1")+w.started("w2") == 2 })
 }
 
-func (w *world) isReady(id string) bool {
-	ten := w.tenureOf()
-	ten.mu.Lock()
-	defer ten.mu.Unlock()
-	return ten.sessions[id].ready
+func (w *testCluster) isReady(id string) bool {
+	term := w.currentTerm()
+	term.mu.Lock()
+	defer term.mu.Unlock()
+	return term.sessions[id].ready
 }
 
 // applyTogether commits commands with no decision between them.
-func (w *world) applyTogether(commands ...*workflow.Command) {
+func (w *testCluster) applyTogether(commands ...*workflow.Command) {
 	w.log.mu.Lock()
 	defer w.log.mu.Unlock()
 	for _, c := range commands {
--- a/internal/control/waiting.go
+++ b/internal/control/waiting.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// waitingLinePause is the least time between two lines on what one step waits for:
+	// waitingLogInterval is the least time between two lines on what one step waits for:
 	// reasons may change with each of ten decisions a second.
-	waitingLinePause = time.Second
-	// turnLines is how many steps at most are logged each second as not yet gone into: a
+	waitingLogInterval = time.Second
+	// maxBacklogLogLines is how many steps at most are logged each second as not yet gone into: a
 	// twentieth of the lines that a process may write.
-	turnLines = 100
+	maxBacklogLogLines = 100
 )
 
 // waitingStep is what is known of a step that waits.
@@ -29,16 +29,16 @@
 	// seenAt is the last decision that found it waiting.
 	seenAt time.Time
 	// spent is how long it has waited by each earlier reason.
-	spent []spell
+	earlierWaits []waitPeriod
 	// logged is the reason that was logged last, loggedAt when.
-	logged   dispatch.Reason
-	loggedAt time.Time
+	loggedReason dispatch.Reason
+	loggedAt     time.Time
 }
 
 // spell is time waited for one reason.
-type spell struct {
-	reason dispatch.Reason
-	took   time.Duration
+type waitPeriod struct {
+	reason   dispatch.Reason
+	duration time.Duration
 }
 
 func newWaitingStep(reason dispatch.Reason, now time.Time) *waitingStep {
@@ -46,53 +46,53 @@
 }
 
 // note takes in what a decision found.
-func (w *waitingStep) note(reason dispatch.Reason, now time.Time) {
+func (w *waitingStep) update(reason dispatch.Reason, now time.Time) {
 	w.seenAt = now
 	if reason == w.reason {
 		return
 	}
-	w.add(w.reason, now.Sub(w.reasonAt))
+	w.addWait(w.reason, now.Sub(w.reasonAt))
 	w.reason, w.reasonAt = reason, now
 }
 
-func (w *waitingStep) add(reason dispatch.Reason, took time.Duration) {
-	for i := range w.spent {
-		if w.spent[i].reason == reason {
-			w.spent[i].took += took
+func (w *waitingStep) addWait(reason dispatch.Reason, took time.Duration) {
+	for i := range w.earlierWaits {
+		if w.earlierWaits[i].reason == reason {
+			w.earlierWaits[i].duration += took
 			return
 		}
 	}
-	w.spent = append(w.spent, spell{reason, took})
+	w.earlierWaits = append(w.earlierWaits, waitPeriod{reason, took})
 }
 
 // restart takes in that a task of the step has started while others wait on.
 func (w *waitingStep) restart(now time.Time) {
-	w.since, w.reasonAt, w.spent, w.logged = now, now, nil, ""
+	w.since, w.reasonAt, w.earlierWaits, w.loggedReason = now, now, nil, ""
 }
 
-// lineDue reports whether the reason is to be logged. That the adviser is asked isn't:
+// logDue reports whether the reason is to be logged. That the adviser is asked isn't:
 // each question is.
-func (w *waitingStep) lineDue(now time.Time) bool {
-	return w.reason != dispatch.ReasonPermit && w.reason != w.logged && now.Sub(w.loggedAt) >= waitingLinePause
+func (w *waitingStep) logDue(now time.Time) bool {
+	return w.reason != dispatch.ReasonAwaitsAdviser && w.reason != w.loggedReason && now.Sub(w.loggedAt) >= waitingLogInterval
 }
 
 // earlier tells how long the step has waited for earlier reasons.
-func (w *waitingStep) earlier() string {
-	list := make([]string, len(w.spent))
-	for i, s := range w.spent {
-		list[i] = fmt.Sprintf("%d ms: %s", s.took.Milliseconds(), s.reason)
+func (w *waitingStep) formatEarlierWaits() string {
+	list := make([]string, len(w.earlierWaits))
+	for i, s := range w.earlierWaits {
+		list[i] = fmt.Sprintf("%d ms: %s", s.duration.Milliseconds(), s.reason)
 	}
 	return strings.Join(list, "; ")
 }
 
-// noteWaiting takes in why steps wait, and logs it for each new reason of a step.
+// updateWaiting takes in why steps wait, and logs it for each new reason of a step.
 // Where the decision went into all steps, those that it doesn't name wait no more.
-func (t *tenure) noteWaiting(plan *dispatch.Plan, now time.Time) {
+func (t *leaderTerm) updateWaiting(plan *dispatch.Plan, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	before := t.waiting
-	t.behind = plan.Behind
-	if plan.Behind == 0 || before == nil {
+	t.stepsBeyondBound = plan.BeyondBound
+	if plan.BeyondBound == 0 || before == nil {
 		t.waiting = make(map[workflow.StepKey]*waitingStep, len(plan.Waiting))
 	}
 	for i := range plan.Waiting {
@@ -101,7 +101,7 @@
 		if known == nil {
 			known = newWaitingStep(w.Reason, now)
 		}
-		known.note(w.Reason, now)
+		known.update(w.Reason, now)
 		t.waiting[w.Step] = known
 		t.logWaiting(w, known, now)
 	}
@@ -117,31 +117,31 @@
 	}
 }
 
-func (t *tenure) logWaiting(w *dispatch.Waiting, known *waitingStep, now time.Time) {
-	if !known.lineDue(now) {
+func (t *leaderTerm) logWaiting(w *dispatch.Waiting, known *waitingStep, now time.Time) {
+	if !known.logDue(now) {
 		return
 	}
-	known.logged, known.loggedAt = known.reason, now
+	known.loggedReason, known.loggedAt = known.reason, now
 	t.logger.Log("event", "step_waiting", "step", w.Step, "tasks", w.Tasks, "reason", known.reason, "label", w.Label,
-		"waited_ms", now.Sub(known.since).Milliseconds(), "earlier", known.earlier())
+		"waited_ms", now.Sub(known.since).Milliseconds(), "earlier", known.formatEarlierWaits())
 }
 
-// reasonOf says why a step waits. t.mu is held.
-func (t *tenure) reasonOf(key workflow.StepKey) dispatch.Reason {
+// waitingReason says why a step waits. t.mu is held.
+func (t *leaderTerm) waitingReason(key workflow.StepKey) dispatch.Reason {
 	if known := t.waiting[key]; known != nil {
 		return known.reason
 	}
-	if t.behind > 0 {
-		return dispatch.ReasonTurn
+	if t.stepsBeyondBound > 0 {
+		return dispatch.ReasonBeyondBound
 	}
 	return ""
 }
 
-// noteBehind finds the steps that no decision has gone into yet, and forgets those
+// addBacklog finds the steps that no decision has gone into yet, and forgets those
 // that wait no more. It looks at all steps: once a second, and only while decisions
 // don't go into all of them. t.mu is held.
-func (t *tenure) noteBehind(v *view, plan *dispatch.Plan, now time.Time) {
-	if plan.Behind == 0 {
+func (t *leaderTerm) addBacklog(v *planInput, plan *dispatch.Plan, now time.Time) {
+	if plan.BeyondBound == 0 {
 		return
 	}
 	started := make(map[workflow.StepKey]bool, len(plan.Starts))
@@ -156,9 +156,9 @@
 		if s.Copy || started[s.Key] || t.waiting[s.Key] != nil {
 			continue
 		}
-		known := newWaitingStep(dispatch.ReasonTurn, now)
+		known := newWaitingStep(dispatch.ReasonBeyondBound, now)
 		t.waiting[s.Key] = known
-		if lines++; lines > turnLines {
+		if lines++; lines > maxBacklogLogLines {
 			continue
 		}
 		t.logWaiting(&dispatch.Waiting{Step: s.Key, Tasks: len(s.Pending), Label: s.Spec.Label}, known, now)
@@ -172,7 +172,7 @@
 
 // oldestWaiting returns the step that has waited longest of those that a decision
 // left, nil when none waits. t.mu is held.
-func (t *tenure) oldestWaiting(v *view) (*dispatch.Step, *waitingStep) {
+func (t *leaderTerm) oldestWaiting(v *planInput) (*dispatch.Step, *waitingStep) {
 	var oldest *dispatch.Step
 	var known *waitingStep
 	for i := range v.steps {
--- a/internal/entry/scheduler.go
+++ b/internal/entry/scheduler.go
@@ -99,7 +99,7 @@
 // askOwner asks the data centre that an id was given in, and follows a job
 // that was handed over to the data centre where it lives now.
 func askOwner(ctx context.Context, e *Entry, id string, effort directory.Effort, call func(context.Context, clients) (*apiv1.StatusResponse, error)) (*apiv1.StatusResponse, error) {
-	home := state.Home(id)
+	home := state.HomeDataCentre(id)
 	if home == "" || !e.base.Directory.Knows(home) {
 		return nil, fault.New(fault.NotFound, "no job %q", id)
 	}
--- a/internal/gateway/answers_test.go
+++ b/internal/gateway/answers_test.go
@@ -21,7 +21,7 @@
 func versioned(t *testing.T, answer func(queue string) (version uint64, err error)) string {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodState, func(ctx context.Context, r *control.StateCall) (control.StateReply, error) {
-		version, err := answer(r.Place.Queue)
+		version, err := answer(r.Address.Queue)
 		link.NoteVersion(ctx, version)
 		return control.StateReply{Queue: true}, err
 	})
@@ -32,7 +32,7 @@
 
 // askFor asks for a queue as a caller's request that comes now.
 func askFor(ctx context.Context, g *Gateway, queue string) error {
-	call := &control.StateCall{Place: control.Place{Queue: queue}}
+	call := &control.StateCall{Address: control.JobAddress{Queue: queue}}
 	_, err := CallForCaller[control.StateReply](ctx, g, time.Now(), control.MethodState, call)
 	return err
 }
@@ -170,7 +170,7 @@
 	t.Cleanup(server.Close)
 	g := New(link.NewClient(100), "own", []string{strings.TrimPrefix(server.URL, "http://")}, log.NewNopLogger())
 	must.NoError(t, g.answers.take(65, time.Now().Add(-time.Second), "leader"))
-	_, known := g.Ended(t.Context(), time.Now(), control.Place{})
+	_, known := g.Ended(t.Context(), time.Now(), control.JobAddress{})
 	must.False(t, known)
 }
 
--- a/internal/gateway/ask.go
+++ b/internal/gateway/ask.go
@@ -57,7 +57,7 @@
 
 // Ended asks a member other than the leader for a job that may have ended, for a
 // request that a caller made at begun. Without an answer the leader has to be asked.
-func (g *Gateway) Ended(ctx context.Context, begun time.Time, place control.Place) (phase workflow.Phase, known bool) {
+func (g *Gateway) Ended(ctx context.Context, begun time.Time, place control.JobAddress) (phase workflow.Phase, known bool) {
 	member := g.other()
 	if member == "" {
 		return 0, false
@@ -65,7 +65,7 @@
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	var reply control.EndedReply
-	call := &control.EndedCall{Place: place, Version: g.Version()}
+	call := &control.EndedCall{Address: place, Version: g.Version()}
 	version, err := g.client.CallVersioned(ctx, member, control.MethodEnded, call, &reply)
 	if err != nil {
 		g.avoid(member)
--- a/internal/instance/core.go
+++ b/internal/instance/core.go
@@ -88,7 +88,7 @@
 	cfg := control.Config{
 		Address: n.own, Public: s.Control, Workers: n.outside, Adviser: n.outside, Client: n.client,
 		Logger: p.logger, Counters: p.metrics, Leader: host.Leader, Members: host.Addresses,
-		Bounds: s.controlBounds(), Without: s.Without, Instance: s.Instance, OrdersByHeartbeat: s.WorkerOrders == ordersHeartbeat,
+		Bounds: s.controlBounds(), Disabled: s.Without, Instance: s.Instance, OrdersByHeartbeat: s.WorkerOrders == ordersHeartbeat,
 	}
 	if s.MachineList != "" {
 		cfg.Machines = n.outside
@@ -110,14 +110,14 @@
 	if !cfg.OrdersByHeartbeat {
 		own = carrier.NewCarrier(carrier.CarrierConfig{
 			Workers: n.outside, DataCentre: p.settings.DataCentre, Counters: p.metrics,
-			TakeHeard: func() []control.HeardWorker { return controller.TakeHeard() },
+			TakeHeard: func() []control.BufferedHeartbeat { return controller.CollectHeartbeats() },
 		})
 		spread := carrier.NewSpread(carrier.Config{
 			Own: n.own, Members: cfg.Members, Transport: n.client, Direct: n.outside,
-			Heard:  func(heard []control.HeardWorker) { controller.HeardElsewhere(heard) },
+			Heard:  func(heard []control.BufferedHeartbeat) { controller.ApplyCollectedHeartbeats(heard) },
 			Logger: p.logger, Counters: p.metrics,
 		})
-		cfg.Workers, cfg.Lead = spread, spread.Lead
+		cfg.Workers, cfg.OnElected = spread, spread.Lead
 	}
 	controller = control.New(cfg, machine, replicated)
 	controller.Register(n.mux)
@@ -129,8 +129,8 @@
 
 func (s *Settings) controlBounds() control.Bounds {
 	return control.Bounds{
-		LeaseMax: s.Bounds.LeaseMax.Std(), Shown: s.Bounds.Shown.Std(),
-		HolderPause: s.Bounds.HolderPause.Std(), Maintenance: s.Bounds.Maintenance.Std(),
+		MaxLease: s.Bounds.LeaseMax.Std(), EndedJobRetention: s.Bounds.Shown.Std(),
+		MachineHandoverDelay: s.Bounds.HolderPause.Std(), MaintenanceDuration: s.Bounds.Maintenance.Std(),
 	}
 }
 
--- a/internal/instance/operations.go
+++ b/internal/instance/operations.go
@@ -81,19 +81,19 @@
 // of the core can tell, then the leader.
 func (o *Operations) State(ctx context.Context, r *control.StateCall) (control.StateReply, error) {
 	begun := time.Now()
-	if phase, known := o.ended(ctx, begun, r.Place); known {
+	if phase, known := o.ended(ctx, begun, r.Address); known {
 		return control.StateReply{Phase: phase}, nil
 	}
 	return callForCaller(ctx, o, begun, control.MethodState, r, (*control.Controller).State)
 }
 
-func (o *Operations) ended(ctx context.Context, begun time.Time, place control.Place) (workflow.Phase, bool) {
+func (o *Operations) ended(ctx context.Context, begun time.Time, place control.JobAddress) (workflow.Phase, bool) {
 	c := o.own.Load()
 	if c == nil {
 		return o.gateway.Ended(ctx, begun, place)
 	}
 	noting, note := link.WithVersionNote(ctx)
-	reply, err := c.Ended(noting, &control.EndedCall{Place: place, Version: o.gateway.Version()})
+	reply, err := c.Ended(noting, &control.EndedCall{Address: place, Version: o.gateway.Version()})
 	known := err == nil && reply.Known && o.inOrder(begun, control.MethodState, note.Version(), nil) == nil
 	return reply.Phase, known
 }
--- a/internal/instance/operations_test.go
+++ b/internal/instance/operations_test.go
@@ -64,7 +64,7 @@
 	o := &Operations{gateway: gateway.New(link.NewClient(100), "own", []string{leaderBy(t, 65)}, log.NewNopLogger())}
 	o.lead(own)
 	ask := func(id string) workflow.Phase {
-		reply, err := o.State(t.Context(), &control.StateCall{Place: control.Place{Queue: "q", ID: id}})
+		reply, err := o.State(t.Context(), &control.StateCall{Address: control.JobAddress{Queue: "q", ID: id}})
 		must.NoError(t, err)
 		return reply.Phase
 	}
--- a/internal/instance/settings.go
+++ b/internal/instance/settings.go
@@ -62,16 +62,16 @@
 	InstancesLost int    `toml:"instances_lost"`
 	Bounds        Bounds `toml:"bounds"`
 	// Without switches mechanisms of deciding off, to measure what each is worth.
-	Without dispatch.Without `toml:"without"`
+	Without dispatch.Disabled `toml:"without"`
 }
 
 // Bounds are the deployment's times.
 type Bounds struct {
-	// LeaseMax is the longest lease that a worker grants.
+	// MaxLease is the longest lease that a worker grants.
 	LeaseMax settings.Duration `toml:"lease_max"`
 	// Shown is how long an ended job is shown at least.
 	Shown settings.Duration `toml:"shown"`
-	// HolderPause is how long orders of two instances for one machine lie apart.
+	// MachineHandoverDelay is how long orders of two instances for one machine lie apart.
 	HolderPause settings.Duration `toml:"holder_pause"`
 	// Maintenance is how long a machine is down for its maintenance.
 	Maintenance settings.Duration `toml:"maintenance"`
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -150,7 +150,7 @@
 func (c *call) peek() (state routing.State, refusal *routing.Refusal, giveUp time.Duration) {
 	c.h.mu.Lock()
 	defer c.h.mu.Unlock()
-	return c.ticket.State(), c.ticket.Refusal(), c.h.balancer.GiveUpAt(c.ticket)
+	return c.ticket.State(), c.ticket.Refusal(), c.h.balancer.QueueDeadline(c.ticket)
 }
 
 // giveUp ends the ticket of a caller that went away before anything was sent.
@@ -194,7 +194,7 @@
 	c.h.locked(func(b *routing.Balancer, _ time.Duration) {
 		target = b.Target(c.ticket)
 		until = b.AttemptDeadline(c.ticket)
-		send.validUntil = b.ValidUntil(c.ticket)
+		send.validUntil = b.SendDeadline(c.ticket)
 	})
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -142,8 +142,8 @@
 func (h *Handler) locked(f func(b *routing.Balancer, now time.Duration)) {
 	h.mu.Lock()
 	f(h.balancer, h.cfg.Now())
-	changed := h.balancer.Changed()
-	urgent := h.balancer.Urgent()
+	changed := h.balancer.TakeChanged()
+	urgent := h.balancer.SlotRequestDue()
 	h.mu.Unlock()
 	for _, t := range changed {
 		select {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -298,7 +298,7 @@
 	must.NoError(t, h.handler.Wait(context.Background()))
 	h.stop()
 	h.shared.Wait()
-	must.True(t, h.leader.divider.Charged("m1") == 0)
+	must.True(t, h.leader.divider.Occupied("m1") == 0)
 }
 
 // More requests than slots: the minion must never see more than its slots.
--- a/internal/proxy/share.go
+++ b/internal/proxy/share.go
@@ -104,8 +104,8 @@
 
 // Demand builds the next slot request, to be sent at once.
 func (h *Handler) Demand() *apiv1.ShareSlotsRequest {
-	var req routing.ShareRequest
-	h.locked(func(b *routing.Balancer, now time.Duration) { req = b.Demand(now) })
+	var req routing.SlotRequest
+	h.locked(func(b *routing.Balancer, now time.Duration) { req = b.NextSlotRequest(now) })
 	return RequestToWire(req)
 }
 
@@ -114,7 +114,7 @@
 func (h *Handler) Granted(resp *apiv1.ShareSlotsResponse) (again, grew bool) {
 	h.locked(func(b *routing.Balancer, now time.Duration) {
 		before := b.GrantedSlots()
-		again = b.Granted(ResponseFromWire(resp), now)
+		again = b.HandleSlotResponse(ResponseFromWire(resp), now)
 		grew = b.GrantedSlots() > before
 	})
 	return again, grew
@@ -139,7 +139,7 @@
 // process. It is safe for concurrent use.
 type Leader struct {
 	mu      sync.Mutex
-	divider *routing.Divider
+	divider *routing.Allocator
 	now     func() time.Duration
 }
 
@@ -148,7 +148,7 @@
 	if now == nil {
 		now = MonotonicClock()
 	}
-	return &Leader{divider: routing.NewDivider(opts), now: now}
+	return &Leader{divider: routing.NewAllocator(opts), now: now}
 }
 
 // Lead begins a leadership; see routing.Divider.Lead.
@@ -172,7 +172,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	resp, err := l.divider.Share(RequestFromWire(req), l.now())
+	resp, err := l.divider.Allocate(RequestFromWire(req), l.now())
 	if err != nil {
 		return nil, fault.New(fault.Unavailable, "%v", err)
 	}
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -98,7 +98,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out.Queued = h.balancer.QueueLength()
-	out.Running = h.balancer.Running()
+	out.Running = h.balancer.InFlight()
 	out.GrantedSlots = h.balancer.GrantedSlots()
 	out.OpenBreakers = h.balancer.OpenBreakers()
 	out.Balancer = h.balancer.Counts()
--- a/internal/proxy/wire.go
+++ b/internal/proxy/wire.go
@@ -33,7 +33,7 @@
 }
 
 // RequestToWire writes a slot request.
-func RequestToWire(r routing.ShareRequest) *apiv1.ShareSlotsRequest {
+func RequestToWire(r routing.SlotRequest) *apiv1.ShareSlotsRequest {
 	w := &apiv1.ShareSlotsRequest{
 		Entry:       r.Entry,
 		Incarnation: r.Incarnation,
@@ -42,21 +42,21 @@
 		Adopted:     r.Adopted,
 		Full:        r.Full,
 		Alive:       r.Alive,
-		HandBack:    r.HandBack,
+		HandBack:    r.ReleaseAll,
 	}
 	for _, d := range r.Demands {
 		w.Services = append(w.Services, &apiv1.ServiceDemand{Service: d.Service, Wanted: int32(d.Wanted)})
 	}
-	for _, u := range r.Uses {
+	for _, u := range r.Loads {
 		w.UsedMinions = append(w.UsedMinions, u.Number)
-		w.UsedSlots = append(w.UsedSlots, uint32(u.InProgress))
+		w.UsedSlots = append(w.UsedSlots, uint32(u.InFlight))
 	}
 	for _, c := range r.Claims {
 		w.Demands = append(w.Demands, &apiv1.SlotDemand{
 			Service:    c.Service,
 			Minion:     c.Minion,
 			Held:       int32(c.Held),
-			InProgress: int32(c.InProgress),
+			InProgress: int32(c.InFlight),
 		})
 	}
 	for _, a := range r.Announcements {
@@ -66,8 +66,8 @@
 }
 
 // RequestFromWire reads a slot request.
-func RequestFromWire(w *apiv1.ShareSlotsRequest) routing.ShareRequest {
-	r := routing.ShareRequest{
+func RequestFromWire(w *apiv1.ShareSlotsRequest) routing.SlotRequest {
+	r := routing.SlotRequest{
 		Entry:       w.GetEntry(),
 		Incarnation: w.GetIncarnation(),
 		Sequence:    w.GetSequence(),
@@ -75,22 +75,22 @@
 		Adopted:     w.GetAdopted(),
 		Full:        w.GetFull(),
 		Alive:       w.GetAlive(),
-		HandBack:    w.GetHandBack(),
+		ReleaseAll:  w.GetHandBack(),
 	}
 	for _, d := range w.GetServices() {
 		r.Demands = append(r.Demands, routing.ServiceDemand{Service: d.GetService(), Wanted: count(d.GetWanted())})
 	}
 	for i, number := range w.GetUsedMinions() {
 		if i < len(w.GetUsedSlots()) {
-			r.Uses = append(r.Uses, routing.Use{Number: number, InProgress: int(w.GetUsedSlots()[i])})
+			r.Loads = append(r.Loads, routing.MinionLoad{Number: number, InFlight: int(w.GetUsedSlots()[i])})
 		}
 	}
 	for _, d := range w.GetDemands() {
 		r.Claims = append(r.Claims, routing.Claim{
-			Minion:     d.GetMinion(),
-			Service:    d.GetService(),
-			Held:       count(d.GetHeld()),
-			InProgress: count(d.GetInProgress()),
+			Minion:   d.GetMinion(),
+			Service:  d.GetService(),
+			Held:     count(d.GetHeld()),
+			InFlight: count(d.GetInProgress()),
 		})
 	}
 	for _, a := range w.GetAnnouncements() {
@@ -103,7 +103,7 @@
 func count(n int32) int { return int(max(0, n)) }
 
 // ResponseToWire writes the answer to a slot request.
-func ResponseToWire(r routing.ShareResponse) *apiv1.ShareSlotsResponse {
+func ResponseToWire(r routing.SlotResponse) *apiv1.ShareSlotsResponse {
 	w := &apiv1.ShareSlotsResponse{
 		LeaseMs:  r.Lease.Milliseconds(),
 		Term:     r.Term,
@@ -119,24 +119,24 @@
 
 func grantToWire(g routing.Grant) *apiv1.SlotGrant {
 	w := &apiv1.SlotGrant{Number: g.Number, Slots: int32(g.Slots)}
-	if !g.Described {
+	if !g.HasAnnouncement {
 		return w
 	}
 	w.Described = true
-	w.Minion = g.Minion.Minion
-	w.Service = g.Minion.Service
-	w.Address = g.Minion.Address
-	w.Incarnation = g.Minion.Incarnation
-	w.TotalSlots = int32(g.Minion.Slots)
-	w.MaxConnections = int32(g.Minion.MaxConnections)
-	w.Leaving = g.Minion.Leaving
+	w.Minion = g.Announcement.Minion
+	w.Service = g.Announcement.Service
+	w.Address = g.Announcement.Address
+	w.Incarnation = g.Announcement.Incarnation
+	w.TotalSlots = int32(g.Announcement.Slots)
+	w.MaxConnections = int32(g.Announcement.MaxConnections)
+	w.Leaving = g.Announcement.Leaving
 	w.Gone = g.Gone
 	return w
 }
 
 // ResponseFromWire reads the answer to a slot request.
-func ResponseFromWire(w *apiv1.ShareSlotsResponse) routing.ShareResponse {
-	r := routing.ShareResponse{
+func ResponseFromWire(w *apiv1.ShareSlotsResponse) routing.SlotResponse {
+	r := routing.SlotResponse{
 		Term:     w.GetTerm(),
 		Sequence: w.GetSequence(),
 		Lease:    time.Duration(w.GetLeaseMs()) * time.Millisecond,
@@ -154,9 +154,9 @@
 	if !w.GetDescribed() {
 		return g
 	}
-	g.Described = true
+	g.HasAnnouncement = true
 	g.Gone = w.GetGone()
-	g.Minion = routing.Announcement{
+	g.Announcement = routing.Announcement{
 		Minion:         w.GetMinion(),
 		Service:        w.GetService(),
 		Address:        w.GetAddress(),
--- a/internal/standin/reports.go
+++ b/internal/standin/reports.go
@@ -178,7 +178,7 @@
 	s.reports.acknowledge(attempts)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.guard.Forget(attempts, lease.Position{Term: response.UntilTerm, Number: response.UntilNumber})
+	s.guard.Acknowledge(attempts, lease.Position{Term: response.UntilTerm, Number: response.UntilNumber})
 }
 
 // flush tries for a short time to get all reports acknowledged.
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -199,7 +199,7 @@
 		request.Announcement = s.announcement()
 	}
 	request.HoldMs = hold.Milliseconds()
-	s.holder.Sent(s.sequence, s.clock())
+	s.holder.RecordSent(s.sequence, s.clock())
 	return request, hold + s.callSlack(hold)
 }
 
@@ -246,7 +246,7 @@
 func (s *session) take(sequence uint64, response *apiv1.RenewResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || s.guard.Observe(response.Term) != nil {
+	if s.closed || s.guard.ObserveTerm(response.Term) != nil {
 		return
 	}
 	if response.Ended {
@@ -263,8 +263,8 @@
 func (s *session) grant(sequence uint64, ttl time.Duration) {
 	now := s.clock()
 	s.ttl = ttl
-	s.holder.Granted(sequence, ttl, now)
-	s.leaseTimer.Reset(s.holder.Ends() - now)
+	s.holder.RecordGranted(sequence, ttl, now)
+	s.leaseTimer.Reset(s.holder.ExpiresAt() - now)
 }
 
 // checkLease runs when the lease should have ended.
@@ -276,7 +276,7 @@
 	}
 	now := s.clock()
 	if s.holder.Valid(now) {
-		s.leaseTimer.Reset(s.holder.Ends() - now)
+		s.leaseTimer.Reset(s.holder.ExpiresAt() - now)
 		return
 	}
 	s.endLease("no renewal in time")
--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -9,7 +9,7 @@
 	"github.com/bilberryferry/bilberryferry/placement"
 )
 
-func wall(ms int64) time.Time {
+func fromUnixMilli(ms int64) time.Time {
 	if ms == 0 {
 		return time.Time{}
 	}
@@ -33,7 +33,7 @@
 	case c.Start != nil:
 		return s.start(c.Now, c.Start)
 	case c.End != nil:
-		return s.end(c.Now, c.End)
+		return s.endAttempts(c.Now, c.End)
 	case c.WorkerUp != nil:
 		return s.workerUp(c.Now, c.WorkerUp)
 	case c.WorkerDown != nil:
@@ -48,10 +48,10 @@
 		return s.refuse(c.Now, c.Refuse)
 	case c.Preempt != nil:
 		return s.preempt(c.Preempt)
-	case c.Offered != nil:
-		return s.offered(c.Now, c.Offered)
-	case c.TakeOver != nil:
-		return s.takeOver(c.Now, c.TakeOver)
+	case c.RecordHandoverAnswer != nil:
+		return s.recordHandoverAnswer(c.Now, c.RecordHandoverAnswer)
+	case c.AnswerHandoverOffer != nil:
+		return s.answerHandoverOffer(c.Now, c.AnswerHandoverOffer)
 	case c.AdoptConfig != nil:
 		return s.adoptConfig(c.AdoptConfig)
 	case c.Quota != nil:
@@ -65,7 +65,7 @@
 // recall returns the first answer to a request id, if there is one. The same
 // id with other content is a Conflict. Guards against an answer lost on the
 // way: the caller resends and must not create the work twice.
-func (s *State) recall(r Request) (Result, bool) {
+func (s *State) firstAnswer(r Request) (Result, bool) {
 	record, ok := s.Requests[r.key()]
 	if !ok {
 		return Result{}, false
@@ -74,41 +74,41 @@
 		return Result{Err: fault.New(fault.Conflict, "request id %q was used with other content", r.ID)}, true
 	}
 	if f := record.Fault; f != nil {
-		err := fault.Retry(f.Kind, time.Duration(f.Retry), "%s", f.Detail)
+		err := fault.Retry(f.Kind, time.Duration(f.RetryAfter), "%s", f.Detail)
 		return Result{Err: err, Job: record.Job}, true
 	}
 	return Result{Job: record.Job, Jobs: record.Jobs}, true
 }
 
 // Recall returns the first answer to a request id before anything is proposed.
-func (s *State) Recall(r Request) (Result, bool) { return s.recall(r) }
+func (s *State) FirstAnswer(r Request) (Result, bool) { return s.firstAnswer(r) }
 
 func (r Request) key() string { return r.Customer + "\x00" + r.ID }
 
-func (s *State) remember(r Request, now int64, record RequestRecord) {
+func (s *State) recordAnswer(r Request, now int64, record RequestRecord) {
 	record.Digest = r.Digest
 	record.At = now
 	s.Requests[r.key()] = record
 }
 
 func (s *State) submit(now int64, c *Submit) Result {
-	if first, ok := s.recall(c.Request); ok {
+	if first, ok := s.firstAnswer(c.Request); ok {
 		return first
 	}
 	if c.Refused {
-		f := &FaultRecord{Kind: c.Kind, Detail: c.Detail, Retry: int64(c.Retry)}
-		s.remember(c.Request, now, RequestRecord{Fault: f})
-		s.event("job refused", c.Kind.String()+": "+c.Detail, c.Customer, c.Spec.Name)
-		return Result{Err: fault.Retry(c.Kind, c.Retry, "%s", c.Detail)}
+		f := &FaultRecord{Kind: c.Kind, Detail: c.Detail, RetryAfter: int64(c.RetryAfter)}
+		s.recordAnswer(c.Request, now, RequestRecord{Fault: f})
+		s.recordEvent("job refused", c.Kind.String()+": "+c.Detail, c.Customer, c.Spec.Name)
+		return Result{Err: fault.Retry(c.Kind, c.RetryAfter, "%s", c.Detail)}
 	}
 	j := s.newJob(s.newID(), c.Customer, c.Spec, now)
-	if c.HandTo != "" {
+	if c.HandoverTo != "" {
 		j.State = JobPendingHandover
-		j.HandedTo = c.HandTo
-		s.event("job offered", "to "+c.HandTo, j.ID, j.Customer)
+		j.HandoverDataCentre = c.HandoverTo
+		s.recordEvent("job offered", "to "+c.HandoverTo, j.ID, j.Customer)
 	}
-	s.remember(c.Request, now, RequestRecord{Job: j.ID})
-	s.event("job accepted", c.Spec.Name, j.ID, j.Customer)
+	s.recordAnswer(c.Request, now, RequestRecord{Job: j.ID})
+	s.recordEvent("job accepted", c.Spec.Name, j.ID, j.Customer)
 	return Result{Job: j.ID}
 }
 
@@ -119,17 +119,17 @@
 		j.Tasks[i].State = TaskQueued
 	}
 	s.Jobs[id] = j
-	s.touch(j)
+	s.markChanged(j)
 	return j
 }
 
 // end takes reports of a worker. A report counts once, for the latest attempt
 // on that worker and incarnation; late and doubled ones only get their acknowledgement.
-func (s *State) end(now int64, c *End) Result {
+func (s *State) endAttempts(now int64, c *End) Result {
 	var r Result
 	for _, report := range c.Reports {
 		r.Acknowledged = append(r.Acknowledged, report.Ref)
-		j, t := s.task(report.Ref)
+		j, t := s.latestAttempt(report.Ref)
 		if t == nil || t.State != TaskRunning || t.Worker != c.Worker || t.Incarnation != c.Incarnation {
 			continue
 		}
@@ -140,7 +140,7 @@
 
 func (s *State) endTask(now int64, j *Job, i int, report Report) {
 	t := &j.Tasks[i]
-	s.release(j, i)
+	s.releaseWorker(j, i)
 	t.Ended = now
 	switch report.Outcome {
 	case Finished:
@@ -149,36 +149,36 @@
 			Customer: j.Customer, Name: j.Spec.Name, Declared: j.Spec.Runtime, Measured: report.Runtime,
 			Need: j.Spec.Need, Peak: report.Peak,
 		})
-		s.changes.Tries = append(s.changes.Tries, Try{Worker: t.Worker, Job: j.ID})
+		s.changes.AttemptResults = append(s.changes.AttemptResults, AttemptResult{Worker: t.Worker, Job: j.ID})
 	case NotStarted:
 		t.Runs--
-		s.requeueOr(now, j, t, neverRan(t))
+		s.requeueOrEnd(now, j, t, finalStateWithoutRun(t))
 	case Stopped:
-		s.requeueOr(now, j, t, TaskCancelled)
+		s.requeueOrEnd(now, j, t, TaskCancelled)
 	default:
-		s.changes.Tries = append(s.changes.Tries, Try{Worker: t.Worker, Job: j.ID, Failed: true})
+		s.changes.AttemptResults = append(s.changes.AttemptResults, AttemptResult{Worker: t.Worker, Job: j.ID, Failed: true})
 		s.failTask(now, j, t)
 	}
-	s.event("attempt ended", fmt.Sprintf("task %d attempt %d: %s %s", i, t.Attempt, outcomeNames[report.Outcome%5], report.Detail), j.ID, t.Worker)
-	s.settle(now, j, report.Detail)
+	s.recordEvent("attempt ended", fmt.Sprintf("task %d attempt %d: %s %s", i, t.Attempt, outcomeNames[report.Outcome%5], report.Detail), j.ID, t.Worker)
+	s.updateJobState(now, j, report.Detail)
 }
 
 var outcomeNames = [...]string{"failed", "finished", "failed", "stopped", "not started"}
 
-// neverRan is the final state of a task whose last attempt never ran.
-func neverRan(t *Task) TaskState {
+// finalStateWithoutRun is the final state of a task whose last attempt never ran.
+func finalStateWithoutRun(t *Task) TaskState {
 	if t.Runs > 0 {
 		return TaskCancelled
 	}
 	return TaskNotRun
 }
 
-// requeueOr puts a task that was stopped or never started back into the queue,
+// requeueOrEnd puts a task that was stopped or never started back into the queue,
 // or gives it its final state when the job is closing or it may not run again.
-func (s *State) requeueOr(now int64, j *Job, t *Task, final TaskState) {
-	unwanted := t.Stopping && !t.Preempted
-	again := !j.Closing && !unwanted && (j.Spec.Idempotent || t.Runs == 0)
-	if again {
+func (s *State) requeueOrEnd(now int64, j *Job, t *Task, final TaskState) {
+	cancelled := t.Stopping && !t.Preempted
+	requeue := !j.Closing && !cancelled && (j.Spec.Idempotent || t.Runs == 0)
+	if requeue {
 		t.State = TaskQueued
 		t.NotBefore = 0
 		return
@@ -194,36 +194,36 @@
 	if limit == 0 {
 		limit = DefaultMaxAttempts
 	}
-	spent := t.Failures >= limit && j.Spec.Policy != placement.Service
+	attemptsUsedUp := t.Failures >= limit && j.Spec.Policy != placement.Service
 	late := j.Spec.Deadline > 0 && now >= j.Spec.Deadline
-	if j.Closing || t.Stopping || !j.Spec.Idempotent || spent || late {
+	if j.Closing || t.Stopping || !j.Spec.Idempotent || attemptsUsedUp || late {
 		t.State = TaskFailed
 		return
 	}
 	t.State = TaskQueued
-	backoff := int64(retryBackoff) << min(t.Failures-1, 10)
-	t.NotBefore = now + min(backoff, maxRetryBackoff)
+	backoff := int64(retryBackoffMillis) << min(t.Failures-1, 10)
+	t.NotBefore = now + min(backoff, maxRetryBackoffMillis)
 }
 
 // release frees the worker of a running task.
-func (s *State) release(j *Job, i int) {
+func (s *State) releaseWorker(j *Job, i int) {
 	t := &j.Tasks[i]
-	delete(s.onWorker[t.Worker], j.ref(i))
-	s.used[j.Customer] = sub(s.used[j.Customer], j.Held(i))
+	delete(s.onWorker[t.Worker], j.attemptRef(i))
+	s.used[j.Customer] = sub(s.used[j.Customer], j.HeldResources(i))
 	if w := s.Workers[t.Worker]; w != nil && w.Incarnation == t.Incarnation {
-		w.Used = sub(w.Used, j.Held(i))
-		w.checkWorker()
+		w.Used = sub(w.Used, j.HeldResources(i))
+		w.assertWithinCapacity()
 	}
 	s.changes.Unplaced = append(s.changes.Unplaced, Unplaced{Job: j.ID, Task: i})
 }
 
 // settle gives a job its state after one of its tasks changed.
-func (s *State) settle(now int64, j *Job, detail string) {
-	s.touch(j)
+func (s *State) updateJobState(now int64, j *Job, detail string) {
+	s.markChanged(j)
 	queued, running, _ := j.Counts()
 	failed := slices.ContainsFunc(j.Tasks, func(t Task) bool { return t.State == TaskFailed || t.State == TaskUnknown })
 	if failed && !j.Closing && j.Spec.Policy != placement.Service {
-		s.closeJob(j, fault.Failed, orText(detail, "a task failed"))
+		s.closeJob(j, fault.Failed, textOrDefault(detail, "a task failed"))
 		queued, running, _ = j.Counts()
 	}
 	if running > 0 {
@@ -236,7 +236,7 @@
 	s.finishJob(now, j)
 }
 
-func orText(text, fallback string) string {
+func textOrDefault(text, fallback string) string {
 	if text == "" {
 		return fallback
 	}
@@ -254,18 +254,18 @@
 		t := &j.Tasks[i]
 		switch t.State {
 		case TaskQueued:
-			t.State = neverRan(t)
+			t.State = finalStateWithoutRun(t)
 		case TaskRunning:
 			s.stopTask(j, i)
 		}
 	}
-	s.touch(j)
+	s.markChanged(j)
 }
 
 func (s *State) stopTask(j *Job, i int) {
 	t := &j.Tasks[i]
 	t.Stopping = true
-	s.changes.Stops = append(s.changes.Stops, StartedAttempt{Ref: j.ref(i), Worker: t.Worker, Incarnation: t.Incarnation})
+	s.changes.Stops = append(s.changes.Stops, StartedAttempt{Ref: j.attemptRef(i), Worker: t.Worker, Incarnation: t.Incarnation})
 }
 
 // finishJob gives a job without queued or running tasks its final state.
@@ -298,8 +298,8 @@
 	default:
 		j.State = JobFailed
 	}
-	s.event("job ended", j.State.String()+" "+j.Reason, j.ID, j.Customer)
-	s.touch(j)
+	s.recordEvent("job ended", j.State.String()+" "+j.Reason, j.ID, j.Customer)
+	s.markChanged(j)
 }
 
 var jobStateNames = [...]string{"unspecified", "queued", "pending handover", "running", "finished", "failed", "cancelled", "not run", "unknown"}
--- a/internal/state/bench_test.go
+++ b/internal/state/bench_test.go
@@ -11,7 +11,7 @@
 		for range items {
 			start.Items = append(start.Items, StartItem{Job: "drogheda-hall.12345", Worker: "rackwise-drogheda-hall-017"})
 		}
-		data, err := (&Command{Now: 1_796_237_089_673, By: "drogheda-1/cell", Start: start}).Encode()
+		data, err := (&Command{Now: 1_796_237_089_673, Proposer: "drogheda-1/cell", Start: start}).Encode()
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/state/change.go
+++ b/internal/state/change.go
@@ -27,7 +27,7 @@
 	}
 	s.Workers[c.ID] = &Worker{ID: c.ID, Incarnation: c.Incarnation, Rack: c.Rack, Capacity: c.Capacity, Draining: draining}
 	s.changes.Workers[c.ID] = struct{}{}
-	s.event("worker up", fmt.Sprintf("incarnation %d", c.Incarnation), c.ID)
+	s.recordEvent("worker up", fmt.Sprintf("incarnation %d", c.Incarnation), c.ID)
 	return Result{}
 }
 
@@ -43,7 +43,7 @@
 	if c.Left {
 		reason = "left"
 	}
-	s.event("worker down", reason, c.ID)
+	s.recordEvent("worker down", reason, c.ID)
 	return Result{}
 }
 
@@ -51,39 +51,39 @@
 // tasks queue again. The fate of non-idempotent ones can't be known: the start
 // may or may not have reached the worker.
 func (s *State) loseAttempts(now int64, w *Worker, detail string, crashed bool) {
-	for _, ref := range s.OnWorker(w.ID) {
-		j, t := s.task(ref)
-		s.release(j, int(ref.Task))
+	for _, ref := range s.AttemptsOnWorker(w.ID) {
+		j, t := s.latestAttempt(ref)
+		s.releaseWorker(j, int(ref.Task))
 		t.Ended = now
 		if crashed {
 			t.Crashes++
 		}
-		if t.crashesWorkers(j) {
+		if t.crashLimitReached(j) {
 			t.State = TaskFailed
 		} else if j.Spec.Idempotent {
-			s.requeueOr(now, j, t, TaskCancelled)
+			s.requeueOrEnd(now, j, t, TaskCancelled)
 		} else {
 			t.State = TaskUnknown
 		}
-		s.event("attempt lost", detail, j.ID, w.ID)
-		s.settle(now, j, detail)
+		s.recordEvent("attempt lost", detail, j.ID, w.ID)
+		s.updateJobState(now, j, detail)
 	}
 }
 
-// mostCrashes is how many workers may restart under a task's attempts before it is given up.
-const mostCrashes = 5
+// maxTaskCrashes is how many workers may restart under a task's attempts before it is given up.
+const maxTaskCrashes = 5
 
-// crashesWorkers reports whether the task is given up for the workers that restarted under
+// crashLimitReached reports whether the task is given up for the workers that restarted under
 // it. A service's tasks meet many a restart that isn't theirs.
 //
 // Failure guarded against: a task crashes each worker that starts it, and is queued again
 // without end.
-func (t *Task) crashesWorkers(j *Job) bool {
-	return t.Crashes >= mostCrashes && j.Spec.Idempotent && j.Spec.Policy != placement.Service
+func (t *Task) crashLimitReached(j *Job) bool {
+	return t.Crashes >= maxTaskCrashes && j.Spec.Idempotent && j.Spec.Policy != placement.Service
 }
 
 func (s *State) drain(now int64, c *Drain) Result {
-	if first, ok := s.recall(c.Request); ok {
+	if first, ok := s.firstAnswer(c.Request); ok {
 		return first
 	}
 	w := s.Workers[c.Worker]
@@ -92,16 +92,16 @@
 	}
 	w.Draining = !c.Undo
 	s.changes.Workers[c.Worker] = struct{}{}
-	s.remember(c.Request, now, RequestRecord{})
-	s.event("worker draining", fmt.Sprint(w.Draining), c.Worker)
+	s.recordAnswer(c.Request, now, RequestRecord{})
+	s.recordEvent("worker draining", fmt.Sprint(w.Draining), c.Worker)
 	return Result{}
 }
 
 func (s *State) cancel(now int64, c *Cancel) Result {
-	if first, ok := s.recall(c.Request); ok {
+	if first, ok := s.firstAnswer(c.Request); ok {
 		return first
 	}
-	jobs, err := s.Select(c)
+	jobs, err := s.SelectForCancel(c)
 	if err != nil {
 		return Result{Err: err}
 	}
@@ -110,13 +110,13 @@
 		ids = append(ids, j.ID)
 		s.cancelJob(now, j)
 	}
-	s.remember(c.Request, now, RequestRecord{Jobs: ids})
+	s.recordAnswer(c.Request, now, RequestRecord{Jobs: ids})
 	return Result{Jobs: ids}
 }
 
 // Select finds the unfinished jobs that a cancellation names. Another
 // customer's job reads as not found.
-func (s *State) Select(c *Cancel) ([]*Job, error) {
+func (s *State) SelectForCancel(c *Cancel) ([]*Job, error) {
 	if len(c.IDs) > 0 {
 		return s.selectIDs(c)
 	}
@@ -149,18 +149,18 @@
 // can't be ended before the other data centre's answer is known: it only
 // remembers the wish.
 func (s *State) cancelJob(now int64, j *Job) {
-	s.event("job cancelled", "", j.ID, j.Customer)
+	s.recordEvent("job cancelled", "", j.ID, j.Customer)
 	if j.State == JobPendingHandover {
 		j.Kind, j.Reason = fault.Cancelled, "cancelled by the customer"
-		s.touch(j)
+		s.markChanged(j)
 		return
 	}
 	s.closeJob(j, fault.Cancelled, "cancelled by the customer")
-	s.settle(now, j, "")
+	s.updateJobState(now, j, "")
 }
 
 func (s *State) scale(now int64, c *Scale) Result {
-	if first, ok := s.recall(c.Request); ok {
+	if first, ok := s.firstAnswer(c.Request); ok {
 		return first
 	}
 	j := s.Jobs[c.Job]
@@ -171,33 +171,33 @@
 		return Result{Err: fault.New(fault.Conflict, "job %s is no running service", c.Job)}
 	}
 	s.resize(j, c.Tasks)
-	s.remember(c.Request, now, RequestRecord{Job: j.ID})
-	s.event("service scaled", fmt.Sprintf("to %d", c.Tasks), j.ID)
-	s.settle(now, j, "")
+	s.recordAnswer(c.Request, now, RequestRecord{Job: j.ID})
+	s.recordEvent("service scaled", fmt.Sprintf("to %d", c.Tasks), j.ID)
+	s.updateJobState(now, j, "")
 	return Result{Job: j.ID}
 }
 
 // resize adds queued tasks, or ends queued tasks first and running ones after.
 func (s *State) resize(j *Job, tasks int) {
-	alive := 0
+	active := 0
 	for i := range j.Tasks {
 		if !j.Tasks[i].State.Ended() && !j.Tasks[i].Stopping {
-			alive++
+			active++
 		}
 	}
-	for ; alive < tasks; alive++ {
+	for ; active < tasks; active++ {
 		j.Tasks = append(j.Tasks, Task{State: TaskQueued})
 	}
-	for i := len(j.Tasks) - 1; i >= 0 && alive > tasks; i-- {
+	for i := len(j.Tasks) - 1; i >= 0 && active > tasks; i-- {
 		if j.Tasks[i].State == TaskQueued {
 			j.Tasks[i].State = TaskCancelled
-			alive--
+			active--
 		}
 	}
-	for i := len(j.Tasks) - 1; i >= 0 && alive > tasks; i-- {
+	for i := len(j.Tasks) - 1; i >= 0 && active > tasks; i-- {
 		if j.Tasks[i].State == TaskRunning && !j.Tasks[i].Stopping {
 			s.stopTask(j, i)
-			alive--
+			active--
 		}
 	}
 	j.Spec.Tasks = tasks
@@ -210,7 +210,7 @@
 		return Result{}
 	}
 	s.closeJob(j, c.Kind, c.Detail)
-	s.settle(now, j, "")
+	s.updateJobState(now, j, "")
 	return Result{Job: j.ID}
 }
 
@@ -226,8 +226,8 @@
 		}
 		t.Preempted = true
 		s.stopTask(j, item.Task)
-		s.event("attempt preempted", "", j.ID, item.Worker)
-		s.touch(j)
+		s.recordEvent("attempt preempted", "", j.ID, item.Worker)
+		s.markChanged(j)
 	}
 	return Result{}
 }
@@ -235,57 +235,57 @@
 // offered takes the other data centre's committed answer. Only a committed
 // refusal gives the job back: a timeout says nothing about what the other side
 // has committed, and taking the job back then could run it in both.
-func (s *State) offered(now int64, c *Offered) Result {
+func (s *State) recordHandoverAnswer(now int64, c *RecordHandoverAnswer) Result {
 	j := s.Jobs[c.Job]
-	if j == nil || j.State != JobPendingHandover || j.HandedTo != c.To || j.HandoverDone {
+	if j == nil || j.State != JobPendingHandover || j.HandoverDataCentre != c.To || j.HandoverDone {
 		return Result{}
 	}
 	if c.Accepted && j.Kind == fault.Cancelled && !c.Withdrawn {
 		// The customer cancelled while the offer was under way. The job stays
 		// open here until the data centre that has it now knows of that.
-		s.touch(j)
+		s.markChanged(j)
 		return Result{}
 	}
 	if c.Accepted {
 		j.HandoverDone = true
-		s.event("handover accepted", "by "+c.To, j.ID)
-		s.touch(j)
+		s.recordEvent("handover accepted", "by "+c.To, j.ID)
+		s.markChanged(j)
 		return Result{}
 	}
-	j.Tried = append(j.Tried, c.To)
-	s.event("handover refused", "by "+c.To+": "+c.Detail, j.ID)
+	j.RefusedBy = append(j.RefusedBy, c.To)
+	s.recordEvent("handover refused", "by "+c.To+": "+c.Detail, j.ID)
 	if c.Next != "" && j.Kind != fault.Cancelled {
-		j.HandedTo = c.Next
-		s.touch(j)
+		j.HandoverDataCentre = c.Next
+		s.markChanged(j)
 		return Result{}
 	}
-	j.HandedTo = ""
+	j.HandoverDataCentre = ""
 	j.State = JobQueued
 	kind, reason := c.Kind, c.Detail
 	if j.Kind == fault.Cancelled {
 		kind, reason = j.Kind, j.Reason
 	}
 	s.closeJob(j, kind, reason)
-	s.settle(now, j, "")
+	s.updateJobState(now, j, "")
 	return Result{}
 }
 
-// takeOver answers an offer. The first committed answer stands for repeats.
-func (s *State) takeOver(now int64, c *TakeOver) Result {
-	if record, ok := s.Offers[c.Job]; ok {
+// answerHandoverOffer answers an offer. The first committed answer stands for repeats.
+func (s *State) answerHandoverOffer(now int64, c *AnswerHandoverOffer) Result {
+	if record, ok := s.HandoverAnswers[c.Job]; ok {
 		return record.result(c.Job)
 	}
-	record := OfferRecord{Accepted: !c.Refused, Kind: c.Kind, Detail: c.Detail, At: now}
-	s.Offers[c.Job] = record
+	record := HandoverAnswerRecord{Accepted: !c.Refused, Kind: c.Kind, Detail: c.Detail, At: now}
+	s.HandoverAnswers[c.Job] = record
 	if record.Accepted {
 		j := s.newJob(c.Job, c.Customer, c.Spec, c.Submitted)
-		j.Foreign = c.From
-		s.event("job taken over", "from "+c.From, j.ID, j.Customer)
+		j.OriginDataCentre = c.From
+		s.recordEvent("job taken over", "from "+c.From, j.ID, j.Customer)
 	}
 	return record.result(c.Job)
 }
 
-func (r OfferRecord) result(job string) Result {
+func (r HandoverAnswerRecord) result(job string) Result {
 	if r.Accepted {
 		return Result{Job: job}
 	}
@@ -299,13 +299,13 @@
 		return Result{}
 	}
 	s.Config = *c
-	s.event("configuration adopted", fmt.Sprintf("version %d", c.ConfigVersion), fmt.Sprintf("config.%d", c.ConfigVersion))
+	s.recordEvent("configuration adopted", fmt.Sprintf("version %d", c.ConfigVersion), fmt.Sprintf("config.%d", c.ConfigVersion))
 	s.changes.Quota = true
-	if len(c.Quota.Founders) == 0 {
+	if len(c.Quota.InitialOwners) == 0 {
 		return Result{}
 	}
 	if err := s.ledger.Configure(c.Quota); err != nil {
-		s.event("quota not changed", err.Error(), fmt.Sprintf("config.%d", c.ConfigVersion))
+		s.recordEvent("quota not changed", err.Error(), fmt.Sprintf("config.%d", c.ConfigVersion))
 	}
 	return Result{}
 }
@@ -315,19 +315,19 @@
 	s.changes.Quota = true
 	switch {
 	case c.Give != nil:
-		transfer, err := s.ledger.Give(*c.Give, s.Used)
+		transfer, err := s.ledger.Debit(*c.Give, s.Used)
 		if err == nil {
-			s.event("quota given", fmt.Sprintf("transfer %d to %s", transfer.Sequence, transfer.To))
+			s.recordEvent("quota given", fmt.Sprintf("transfer %d to %s", transfer.Sequence, transfer.To))
 		}
 		return Result{Err: err}
 	case c.Take != nil:
-		err := s.ledger.Take(*c.Take)
+		err := s.ledger.Credit(*c.Take)
 		if err == nil {
-			s.event("quota taken", fmt.Sprintf("transfer %d from %s", c.Take.Sequence, c.Take.From))
+			s.recordEvent("quota taken", fmt.Sprintf("transfer %d from %s", c.Take.Sequence, c.Take.From))
 		}
 		return Result{Err: err}
 	case c.Forget != nil:
-		s.ledger.Forget(*c.Forget)
+		s.ledger.Acknowledge(*c.Forget)
 	}
 	return Result{}
 }
@@ -371,7 +371,7 @@
 }
 
 // allowed reports whether a customer may use more.
-func (s *State) allowed(customer string, need placement.Resources) bool {
+func (s *State) withinQuota(customer string, need placement.Resources) bool {
 	limit := s.Allotment(customer)
 	used := add(s.used[customer], need)
 	within := func(amount, most int64) bool { return most < 0 || amount <= most }
@@ -383,8 +383,8 @@
 func (s *State) prune(c *Prune) Result {
 	for id, j := range s.Jobs {
 		ended := j.State.Ended() && j.Ended < c.Before
-		away := j.HandoverDone && max(j.Submitted, j.Spec.Deadline) < c.Before
-		if ended || away {
+		handedOver := j.HandoverDone && max(j.Submitted, j.Spec.Deadline) < c.Before
+		if ended || handedOver {
 			delete(s.Jobs, id)
 		}
 	}
@@ -393,9 +393,9 @@
 			delete(s.Requests, key)
 		}
 	}
-	for id, record := range s.Offers {
+	for id, record := range s.HandoverAnswers {
 		if record.At < c.Before && s.Jobs[id] == nil {
-			delete(s.Offers, id)
+			delete(s.HandoverAnswers, id)
 		}
 	}
 	return Result{}
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -23,26 +23,26 @@
 	// dates events; no guard against double runs depends on it.
 	Now int64 `cbor:"2,keyasint"`
 	// By and Logical complete the event stamp of the proposer.
-	By      string `cbor:"3,keyasint,omitempty"`
-	Logical uint32 `cbor:"4,keyasint,omitempty"`
+	Proposer string `cbor:"3,keyasint,omitempty"`
+	Logical  uint32 `cbor:"4,keyasint,omitempty"`
 	// Term is the leader's; ids carry the highest one seen.
 	Term uint64 `cbor:"5,keyasint,omitempty"`
 
-	Submit      *Submit      `cbor:"10,keyasint,omitempty"`
-	Start       *Start       `cbor:"11,keyasint,omitempty"`
-	End         *End         `cbor:"12,keyasint,omitempty"`
-	WorkerUp    *WorkerUp    `cbor:"13,keyasint,omitempty"`
-	WorkerDown  *WorkerDown  `cbor:"14,keyasint,omitempty"`
-	Drain       *Drain       `cbor:"15,keyasint,omitempty"`
-	Cancel      *Cancel      `cbor:"16,keyasint,omitempty"`
-	Scale       *Scale       `cbor:"17,keyasint,omitempty"`
-	Refuse      *Refuse      `cbor:"18,keyasint,omitempty"`
-	Preempt     *Preempt     `cbor:"19,keyasint,omitempty"`
-	Offered     *Offered     `cbor:"20,keyasint,omitempty"`
-	TakeOver    *TakeOver    `cbor:"21,keyasint,omitempty"`
-	AdoptConfig *AdoptConfig `cbor:"22,keyasint,omitempty"`
-	Quota       *Quota       `cbor:"23,keyasint,omitempty"`
-	Prune       *Prune       `cbor:"24,keyasint,omitempty"`
+	Submit               *Submit               `cbor:"10,keyasint,omitempty"`
+	Start                *Start                `cbor:"11,keyasint,omitempty"`
+	End                  *End                  `cbor:"12,keyasint,omitempty"`
+	WorkerUp             *WorkerUp             `cbor:"13,keyasint,omitempty"`
+	WorkerDown           *WorkerDown           `cbor:"14,keyasint,omitempty"`
+	Drain                *Drain                `cbor:"15,keyasint,omitempty"`
+	Cancel               *Cancel               `cbor:"16,keyasint,omitempty"`
+	Scale                *Scale                `cbor:"17,keyasint,omitempty"`
+	Refuse               *Refuse               `cbor:"18,keyasint,omitempty"`
+	Preempt              *Preempt              `cbor:"19,keyasint,omitempty"`
+	RecordHandoverAnswer *RecordHandoverAnswer `cbor:"20,keyasint,omitempty"`
+	AnswerHandoverOffer  *AnswerHandoverOffer  `cbor:"21,keyasint,omitempty"`
+	AdoptConfig          *AdoptConfig          `cbor:"22,keyasint,omitempty"`
+	Quota                *Quota                `cbor:"23,keyasint,omitempty"`
+	Prune                *Prune                `cbor:"24,keyasint,omitempty"`
 }
 
 // Request identifies a mutating call so that a resent one gets the first
@@ -57,14 +57,14 @@
 // doubled copy of a refused request that arrives later must not be accepted
 // after its sender was told that nothing will run.
 type Submit struct {
-	Request  Request       `cbor:"1,keyasint"`
-	Spec     Spec          `cbor:"2,keyasint"`
-	Refused  bool          `cbor:"3,keyasint,omitempty"`
-	Kind     fault.Kind    `cbor:"4,keyasint,omitempty"`
-	Detail   string        `cbor:"5,keyasint,omitempty"`
-	Retry    time.Duration `cbor:"6,keyasint,omitempty"`
-	HandTo   string        `cbor:"7,keyasint,omitempty"`
-	Customer string        `cbor:"8,keyasint"`
+	Request    Request       `cbor:"1,keyasint"`
+	Spec       Spec          `cbor:"2,keyasint"`
+	Refused    bool          `cbor:"3,keyasint,omitempty"`
+	Kind       fault.Kind    `cbor:"4,keyasint,omitempty"`
+	Detail     string        `cbor:"5,keyasint,omitempty"`
+	RetryAfter time.Duration `cbor:"6,keyasint,omitempty"`
+	HandoverTo string        `cbor:"7,keyasint,omitempty"`
+	Customer   string        `cbor:"8,keyasint"`
 }
 
 // Start asks for attempts to be started.
@@ -77,7 +77,7 @@
 	Job    string `cbor:"1,keyasint"`
 	Worker string `cbor:"2,keyasint"`
 	// Raised is set where more than the declared need is to be held.
-	Raised *placement.Resources `cbor:"3,keyasint,omitempty"`
+	RaisedNeed *placement.Resources `cbor:"3,keyasint,omitempty"`
 }
 
 // Report is one end of an attempt.
@@ -149,7 +149,7 @@
 }
 
 // Offered records the other data centre's committed answer to a handover.
-type Offered struct {
+type RecordHandoverAnswer struct {
 	Job      string     `cbor:"1,keyasint"`
 	To       string     `cbor:"2,keyasint"`
 	Accepted bool       `cbor:"3,keyasint,omitempty"`
@@ -162,9 +162,9 @@
 	Next string `cbor:"6,keyasint,omitempty"`
 }
 
-// TakeOver records this data centre's answer to another's offer. The first
+// AnswerHandoverOffer records this data centre's answer to another's offer. The first
 // answer for a job stands for every repeat of the offer.
-type TakeOver struct {
+type AnswerHandoverOffer struct {
 	Job       string     `cbor:"1,keyasint"`
 	Customer  string     `cbor:"2,keyasint"`
 	From      string     `cbor:"3,keyasint"`
@@ -190,9 +190,9 @@
 type Quota struct {
 	// Give answers another data centre's ask, Take credits a received transfer,
 	// Forget drops a transfer that the ask acknowledges.
-	Give   *quota.Answer   `cbor:"1,keyasint,omitempty"`
-	Take   *quota.Transfer `cbor:"2,keyasint,omitempty"`
-	Forget *quota.Ask      `cbor:"3,keyasint,omitempty"`
+	Give   *quota.DebitCommand    `cbor:"1,keyasint,omitempty"`
+	Take   *quota.Transfer        `cbor:"2,keyasint,omitempty"`
+	Forget *quota.TransferRequest `cbor:"3,keyasint,omitempty"`
 }
 
 // Prune forgets ended jobs and old request records.
--- a/internal/state/start.go
+++ b/internal/state/start.go
@@ -32,17 +32,17 @@
 // startGang starts all queued tasks of a gang on the workers that the plan
 // names for it, or none: half a gang would hold workers and wait for the rest.
 func (s *State) startGang(now int64, j *Job, items []StartItem) []StartedAttempt {
-	var own []StartItem
+	var gangItems []StartItem
 	for _, item := range items {
 		if item.Job == j.ID {
-			own = append(own, item)
+			gangItems = append(gangItems, item)
 		}
 	}
-	if !s.gangFits(now, j, own) {
+	if !s.gangFits(now, j, gangItems) {
 		return nil
 	}
-	started := make([]StartedAttempt, 0, len(own))
-	for _, item := range own {
+	started := make([]StartedAttempt, 0, len(gangItems))
+	for _, item := range gangItems {
 		attempt, ok := s.startTask(now, j, item)
 		if !ok {
 			panic("state: gang " + j.ID + " started in part")
@@ -67,11 +67,11 @@
 		total = add(total, need)
 		needs[item.Worker] = add(needs[item.Worker], need)
 	}
-	if !j.startable() || len(items) != queued || ready != queued || !s.allowed(j.Customer, total) {
+	if !j.startable() || len(items) != queued || ready != queued || !s.withinQuota(j.Customer, total) {
 		return false
 	}
 	for id, need := range needs {
-		if !s.takes(s.Workers[id], need) {
+		if !s.hasRoom(s.Workers[id], need) {
 			return false
 		}
 	}
@@ -84,22 +84,22 @@
 }
 
 // takes reports whether a worker has room for more.
-func (s *State) takes(w *Worker, need placement.Resources) bool {
+func (s *State) hasRoom(w *Worker, need placement.Resources) bool {
 	return w != nil && !w.Down && !w.Draining && fits(add(w.Used, need), w.Capacity)
 }
 
 // need is what an item of a plan asks the account to carry for one task.
 func (j *Job) need(item StartItem) placement.Resources {
-	if item.Raised == nil {
+	if item.RaisedNeed == nil {
 		return j.Spec.Need
 	}
-	return atLeast(j.Spec.Need, *item.Raised)
+	return atLeast(j.Spec.Need, *item.RaisedNeed)
 }
 
 func (s *State) startTask(now int64, j *Job, item StartItem) (StartedAttempt, bool) {
 	worker, need := item.Worker, j.need(item)
 	w := s.Workers[worker]
-	if !j.startable() || !s.takes(w, need) || !s.allowed(j.Customer, need) {
+	if !j.startable() || !s.hasRoom(w, need) || !s.withinQuota(j.Customer, need) {
 		return StartedAttempt{}, false
 	}
 	i := slices.IndexFunc(j.Tasks, func(t Task) bool { return t.State == TaskQueued && t.NotBefore <= now })
@@ -119,21 +119,21 @@
 	t.Started = now
 	t.Stopping, t.Preempted = false, false
 	t.NotBefore = 0
-	t.Raised = placement.Resources{}
+	t.RaisedNeed = placement.Resources{}
 	if need != j.Spec.Need {
-		t.Raised = need
+		t.RaisedNeed = need
 	}
 	if j.Started == 0 {
 		j.Started = now
 	}
 	j.State = JobRunning
 	w.Used = add(w.Used, need)
-	w.checkWorker()
-	ref := j.ref(i)
+	w.assertWithinCapacity()
+	ref := j.attemptRef(i)
 	s.occupy(worker, ref)
 	s.used[j.Customer] = add(s.used[j.Customer], need)
-	s.changes.Placed = append(s.changes.Placed, j.placed(i))
-	s.touch(j)
-	s.event("attempt started", fmt.Sprintf("task %d attempt %d", i, t.Attempt), j.ID, worker)
+	s.changes.Placed = append(s.changes.Placed, j.placedTask(i))
+	s.markChanged(j)
+	s.recordEvent("attempt started", fmt.Sprintf("task %d attempt %d", i, t.Attempt), j.ID, worker)
 	return StartedAttempt{Ref: ref, Worker: worker, Incarnation: w.Incarnation}, true
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -18,10 +18,10 @@
 const (
 	// DefaultMaxAttempts bounds the tries of an idempotent task whose spec names none.
 	DefaultMaxAttempts = 5
-	// retryBackoff is the wait after a first failure; it doubles with each one.
-	retryBackoff = 250
-	// maxRetryBackoff bounds the wait, in ms.
-	maxRetryBackoff = 30_000
+	// retryBackoffMillis is the wait after a first failure; it doubles with each one.
+	retryBackoffMillis = 250
+	// maxRetryBackoffMillis bounds the wait, in ms.
+	maxRetryBackoffMillis = 30_000
 )
 
 // State is everything that one data centre's log decides.
@@ -36,7 +36,7 @@
 	Workers  map[string]*Worker       `cbor:"6,keyasint"`
 	Requests map[string]RequestRecord `cbor:"7,keyasint"`
 	// Offers remembers the answers given to other data centres' offers.
-	Offers map[string]OfferRecord `cbor:"8,keyasint"`
+	HandoverAnswers map[string]HandoverAnswerRecord `cbor:"8,keyasint"`
 	// Config is the adopted configuration.
 	Config AdoptConfig `cbor:"9,keyasint"`
 	// Applied is the index of the last applied command.
@@ -65,13 +65,13 @@
 
 // FaultRecord is a refusal as it was first answered.
 type FaultRecord struct {
-	Kind   fault.Kind `cbor:"1,keyasint"`
-	Detail string     `cbor:"2,keyasint,omitempty"`
-	Retry  int64      `cbor:"3,keyasint,omitempty"`
+	Kind       fault.Kind `cbor:"1,keyasint"`
+	Detail     string     `cbor:"2,keyasint,omitempty"`
+	RetryAfter int64      `cbor:"3,keyasint,omitempty"`
 }
 
-// OfferRecord is the committed answer to a handover offer.
-type OfferRecord struct {
+// HandoverAnswerRecord is the committed answer to a handover offer.
+type HandoverAnswerRecord struct {
 	Accepted bool       `cbor:"1,keyasint,omitempty"`
 	Kind     fault.Kind `cbor:"2,keyasint,omitempty"`
 	Detail   string     `cbor:"3,keyasint,omitempty"`
@@ -90,8 +90,8 @@
 	Stops   []StartedAttempt
 	Samples []placement.Sample
 	// Failures and Successes tell of attempts that a worker brought to an end.
-	Tries  []Try
-	Events []Event
+	AttemptResults []AttemptResult
+	Events         []Event
 	// Quota says that allotments may have changed.
 	Quota bool
 }
@@ -103,7 +103,7 @@
 }
 
 // Try is an attempt that failed or succeeded on a worker.
-type Try struct {
+type AttemptResult struct {
 	Worker, Job string
 	Failed      bool
 }
@@ -111,15 +111,15 @@
 // New returns the empty state of a data centre.
 func New(dataCentre string) *State {
 	s := &State{
-		Format:     FormatVersion,
-		DataCentre: dataCentre,
-		Jobs:       make(map[string]*Job),
-		Workers:    make(map[string]*Worker),
-		Requests:   make(map[string]RequestRecord),
-		Offers:     make(map[string]OfferRecord),
-		ledger:     quota.NewLedger(dataCentre),
+		Format:          FormatVersion,
+		DataCentre:      dataCentre,
+		Jobs:            make(map[string]*Job),
+		Workers:         make(map[string]*Worker),
+		Requests:        make(map[string]RequestRecord),
+		HandoverAnswers: make(map[string]HandoverAnswerRecord),
+		ledger:          quota.NewLedger(dataCentre),
 	}
-	s.derive()
+	s.rebuildDerived()
 	return s
 }
 
@@ -153,8 +153,8 @@
 	if s.Requests == nil {
 		s.Requests = fresh.Requests
 	}
-	if s.Offers == nil {
-		s.Offers = fresh.Offers
+	if s.HandoverAnswers == nil {
+		s.HandoverAnswers = fresh.HandoverAnswers
 	}
 	s.ledger = fresh.ledger
 	if len(s.Ledger) > 0 {
@@ -162,20 +162,20 @@
 			return nil, errors.Wrap(err, "decode quota ledger")
 		}
 	}
-	s.derive()
+	s.rebuildDerived()
 	return s, nil
 }
 
 // derive rebuilds what follows from the stored fields.
-func (s *State) derive() {
+func (s *State) rebuildDerived() {
 	s.resetChanges()
 	s.onWorker = make(map[string]map[AttemptRef]struct{})
 	s.used = make(map[string]placement.Resources)
 	for _, j := range s.Jobs {
 		for i := range j.Tasks {
 			if j.Tasks[i].State == TaskRunning {
-				s.occupy(j.Tasks[i].Worker, j.ref(i))
-				s.used[j.Customer] = add(s.used[j.Customer], j.Held(i))
+				s.occupy(j.Tasks[i].Worker, j.attemptRef(i))
+				s.used[j.Customer] = add(s.used[j.Customer], j.HeldResources(i))
 			}
 		}
 	}
@@ -201,8 +201,8 @@
 	set[ref] = struct{}{}
 }
 
-// OnWorker returns the attempts that occupy a worker, in a fixed order.
-func (s *State) OnWorker(worker string) []AttemptRef {
+// AttemptsOnWorker returns the attempts that occupy a worker, in a fixed order.
+func (s *State) AttemptsOnWorker(worker string) []AttemptRef {
 	refs := make([]AttemptRef, 0, len(s.onWorker[worker]))
 	for ref := range s.onWorker[worker] {
 		refs = append(refs, ref)
@@ -221,12 +221,12 @@
 	return int(a.Attempt - b.Attempt)
 }
 
-func (j *Job) ref(i int) AttemptRef {
+func (j *Job) attemptRef(i int) AttemptRef {
 	return AttemptRef{Job: j.ID, Task: int32(i), Attempt: j.Tasks[i].Attempt}
 }
 
 // task finds the task of a reference, if the attempt is its latest.
-func (s *State) task(ref AttemptRef) (*Job, *Task) {
+func (s *State) latestAttempt(ref AttemptRef) (*Job, *Task) {
 	j := s.Jobs[ref.Job]
 	if j == nil || ref.Task < 0 || int(ref.Task) >= len(j.Tasks) {
 		return nil, nil
@@ -254,39 +254,41 @@
 }
 
 // Queued returns the job as placement sees it, and whether tasks wait.
-func (j *Job) Queued() (placement.Job, bool) {
+func (j *Job) PlacementJob() (placement.Job, bool) {
 	queued, _, _ := j.Counts()
-	p := j.placement(queued)
+	p := j.placementJob(queued)
 	return p, queued > 0 && j.startable()
 }
 
-func (j *Job) placement(tasks int) placement.Job {
+func (j *Job) placementJob(tasks int) placement.Job {
 	p := placement.Job{
 		ID: j.ID, Customer: j.Customer, Name: j.Spec.Name, Policy: j.Spec.Policy, Tasks: tasks,
 		Need: j.Spec.Need, Runtime: j.Spec.Runtime, Urgent: j.Spec.Urgent, Idempotent: j.Spec.Idempotent,
-		Submitted: wall(j.Submitted), Deadline: wall(j.Spec.Deadline),
+		Submitted: fromUnixMilli(j.Submitted), Deadline: fromUnixMilli(j.Spec.Deadline),
 	}
 	for i := range j.Tasks {
 		if j.Tasks[i].State == TaskQueued && j.Tasks[i].NotBefore > 0 {
-			p.NotBefore = wall(max(j.Tasks[i].NotBefore, unixMilli(p.NotBefore)))
+			p.NotBefore = fromUnixMilli(max(j.Tasks[i].NotBefore, unixMilli(p.NotBefore)))
 		}
 	}
 	return p
 }
 
 // placed returns a running task as placement sees it.
-func (j *Job) placed(i int) placement.Placed {
+func (j *Job) placedTask(i int) placement.Placed {
 	t := &j.Tasks[i]
 	return placement.Placed{
 		Job: j.ID, Task: i, Worker: t.Worker, Customer: j.Customer, Name: j.Spec.Name, Policy: j.Spec.Policy,
-		Need: j.Held(i), Urgent: j.Spec.Urgent, Idempotent: j.Spec.Idempotent,
-		Started: wall(t.Started), Runtime: j.Spec.Runtime, Deadline: wall(j.Spec.Deadline),
+		Need: j.HeldResources(i), Urgent: j.Spec.Urgent, Idempotent: j.Spec.Idempotent,
+		Started: fromUnixMilli(t.Started), Runtime: j.Spec.Runtime, Deadline: fromUnixMilli(j.Spec.Deadline),
 	}
 }
 
 // Held is what the account of the worker carries for a running task: the
 // declared need, and more where earlier runs used more.
-func (j *Job) Held(i int) placement.Resources { return atLeast(j.Spec.Need, j.Tasks[i].Raised) }
+func (j *Job) HeldResources(i int) placement.Resources {
+	return atLeast(j.Spec.Need, j.Tasks[i].RaisedNeed)
+}
 
 // Placed returns every running task as placement sees it.
 func (s *State) Placed() []placement.Placed {
@@ -294,7 +296,7 @@
 	for _, j := range s.Jobs {
 		for i := range j.Tasks {
 			if j.Tasks[i].State == TaskRunning {
-				all = append(all, j.placed(i))
+				all = append(all, j.placedTask(i))
 			}
 		}
 	}
@@ -302,7 +304,7 @@
 }
 
 // Overdue names the unfinished jobs whose deadline has passed, in a fixed order.
-func (s *State) Overdue(now int64) []string {
+func (s *State) OverdueJobs(now int64) []string {
 	var overdue []string
 	for id, j := range s.Jobs {
 		if j.startable() && j.Spec.Deadline > 0 && j.Spec.Deadline <= now {
@@ -314,13 +316,13 @@
 }
 
 // touch marks a job as changed.
-func (s *State) touch(j *Job) {
+func (s *State) markChanged(j *Job) {
 	s.Revision++
 	j.Revision = s.Revision
 	s.changes.Queues[j.ID] = struct{}{}
 }
 
-func (s *State) event(kind, detail string, subjects ...string) {
+func (s *State) recordEvent(kind, detail string, subjects ...string) {
 	s.changes.Events = append(s.changes.Events, Event{Kind: kind, Subjects: subjects, Detail: detail})
 }
 
@@ -338,14 +340,14 @@
 	if s.Term == 0 {
 		return s.DataCentre + "." + sequence
 	}
-	return s.DataCentre + "." + strconv.FormatUint(s.Term, idBase) + "-" + sequence
+	return s.DataCentre + "." + strconv.FormatUint(s.Term, termBase) + "-" + sequence
 }
 
-// idBase keeps terms short in ids.
-const idBase = 36
+// termBase keeps terms short in ids.
+const termBase = 36
 
 // Home returns the data centre that an id was given in, or "".
-func Home(id string) string {
+func HomeDataCentre(id string) string {
 	dot := strings.LastIndexByte(id, '.')
 	if dot <= 0 {
 		return ""
@@ -353,10 +355,10 @@
 	return id[:dot]
 }
 
-// checkWorker panics when a worker is given more than it has. Every start is
+// assertWithinCapacity panics when a worker is given more than it has. Every start is
 // rechecked against the account before it, so reaching this is a defect of
 // this package that must not go unseen.
-func (w *Worker) checkWorker() {
+func (w *Worker) assertWithinCapacity() {
 	over := w.Used.CPU > w.Capacity.CPU || w.Used.Memory > w.Capacity.Memory || w.Used.Accelerators > w.Capacity.Accelerators
 	if over || w.Used.CPU < 0 || w.Used.Memory < 0 || w.Used.Accelerators < 0 {
 		panic(fmt.Sprintf("state: worker %s is given %+v of %+v", w.ID, w.Used, w.Capacity))
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -14,7 +14,7 @@
 
 // host is a worker as it really is: it runs what it was commanded to, until
 // its incarnation is over.
-type host struct {
+type fakeWorker struct {
 	incarnation uint64
 	running     map[AttemptRef]bool
 	// stopped are attempts of which it gave proof that they never start.
@@ -24,30 +24,30 @@
 
 // world drives two replicas of a state and the hosts behind it with random
 // commands, among them late, doubled and senseless ones.
-type world struct {
-	t       *rapid.T
-	a, b    *State
-	index   uint64
-	now     int64
-	hosts   map[string]*host
-	inbox   []StartedAttempt // commands under way; delivered late, twice or never
-	ran     map[string]int   // job/task -> attempts that really ran
-	jobs    []string
-	request int
+type stateHarness struct {
+	t           *rapid.T
+	a, b        *State
+	index       uint64
+	now         int64
+	fakeWorkers map[string]*fakeWorker
+	undelivered []StartedAttempt // commands under way; delivered late, twice or never
+	startCounts map[string]int   // job/task -> attempts that really ran
+	jobs        []string
+	request     int
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{t: t, a: New("hall"), b: New("hall"), now: 1_000, hosts: make(map[string]*host), ran: make(map[string]int)}
+func newStateHarness(t *rapid.T) *stateHarness {
+	w := &stateHarness{t: t, a: New("hall"), b: New("hall"), now: 1_000, fakeWorkers: make(map[string]*fakeWorker), startCounts: make(map[string]int)}
 	limits := map[string]placement.Resources{"c0": {CPU: 6000, Memory: -1, Accelerators: -1}, "c1": {CPU: -1, Memory: -1, Accelerators: -1}}
-	w.apply(&Command{AdoptConfig: &AdoptConfig{ConfigVersion: 1, Quota: quota.Config{Version: 1, Founders: []string{"hall"}, Limits: limits}}})
+	w.apply(&Command{AdoptConfig: &AdoptConfig{ConfigVersion: 1, Quota: quota.Config{Version: 1, InitialOwners: []string{"hall"}, Limits: limits}}})
 	for i := range 3 {
-		w.boot(fmt.Sprint("w", i))
+		w.startWorker(fmt.Sprint("w", i))
 	}
 	return w
 }
 
 // apply carries a command out on both replicas, which must decide alike.
-func (w *world) apply(c *Command) Result {
+func (w *stateHarness) apply(c *Command) Result {
 	w.index++
 	w.now += 10
 	c.Now = w.now
@@ -66,11 +66,11 @@
 	return result
 }
 
-func (w *world) boot(id string) {
-	h := w.hosts[id]
+func (w *stateHarness) startWorker(id string) {
+	h := w.fakeWorkers[id]
 	if h == nil {
-		h = &host{}
-		w.hosts[id] = h
+		h = &fakeWorker{}
+		w.fakeWorkers[id] = h
 	}
 	h.incarnation++
 	h.running, h.stopped, h.ended = make(map[AttemptRef]bool), make(map[AttemptRef]bool), make(map[AttemptRef]bool)
@@ -81,7 +81,7 @@
 	w.apply(&Command{WorkerUp: &WorkerUp{ID: id, Incarnation: h.incarnation, Capacity: capacity}})
 }
 
-func (w *world) submit() {
+func (w *stateHarness) submit() {
 	w.request++
 	policies := []placement.Policy{placement.Service, placement.Batch, placement.Gang}
 	spec := Spec{
@@ -92,7 +92,7 @@
 	customer := rapid.SampledFrom([]string{"c0", "c1"}).Draw(w.t, "customer")
 	submit := &Submit{Request: Request{ID: fmt.Sprint(w.request), Customer: customer, Digest: 1}, Customer: customer, Spec: spec}
 	if rapid.IntRange(0, 4).Draw(w.t, "away") == 0 {
-		submit.HandTo = "other"
+		submit.HandoverTo = "other"
 	}
 	result := w.apply(&Command{Submit: submit})
 	must.NoError(w.t, result.Err)
@@ -101,57 +101,57 @@
 	w.jobs = append(w.jobs, result.Job)
 }
 
-func (w *world) job() string {
+func (w *stateHarness) job() string {
 	if len(w.jobs) == 0 {
 		return "none"
 	}
 	return rapid.SampledFrom(w.jobs).Draw(w.t, "job")
 }
 
-func (w *world) worker() string {
+func (w *stateHarness) worker() string {
 	return fmt.Sprint("w", rapid.IntRange(0, 2).Draw(w.t, "worker"))
 }
 
 // plan starts what a careless plan asks for: too much, on any worker.
-func (w *world) plan() {
+func (w *stateHarness) applyRandomPlan() {
 	var items []StartItem
 	for range rapid.IntRange(1, 8).Draw(w.t, "items") {
 		item := StartItem{Job: w.job(), Worker: w.worker()}
 		if rapid.IntRange(0, 3).Draw(w.t, "raised") == 0 {
-			item.Raised = &placement.Resources{CPU: 1500, Memory: 100}
+			item.RaisedNeed = &placement.Resources{CPU: 1500, Memory: 100}
 		}
 		items = append(items, item)
 	}
 	result := w.apply(&Command{Start: &Start{Items: items}})
-	w.inbox = append(w.inbox, result.Started...)
+	w.undelivered = append(w.undelivered, result.Started...)
 }
 
 // deliver hands a command to its host, which refuses other incarnations,
 // repeats, and attempts that it has ended or proved never to start.
-func (w *world) deliver() {
-	if len(w.inbox) == 0 {
+func (w *stateHarness) deliver() {
+	if len(w.undelivered) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.inbox)-1).Draw(w.t, "command")
-	c := w.inbox[i]
+	i := rapid.IntRange(0, len(w.undelivered)-1).Draw(w.t, "command")
+	c := w.undelivered[i]
 	if rapid.Bool().Draw(w.t, "once") {
-		w.inbox = append(w.inbox[:i:i], w.inbox[i+1:]...)
+		w.undelivered = append(w.undelivered[:i:i], w.undelivered[i+1:]...)
 	}
-	h := w.hosts[c.Worker]
+	h := w.fakeWorkers[c.Worker]
 	if h.incarnation != c.Incarnation || h.running[c.Ref] || h.stopped[c.Ref] || h.ended[c.Ref] {
 		return
 	}
-	w.mustRunNowhere(c.Ref)
+	w.mustNotRunElsewhere(c.Ref)
 	h.running[c.Ref] = true
 	key := fmt.Sprint(c.Ref.Job, "/", c.Ref.Task)
-	w.ran[key]++
+	w.startCounts[key]++
 	if j := w.a.Jobs[c.Ref.Job]; j != nil && !j.Spec.Idempotent {
-		must.Eq(w.t, 1, w.ran[key], must.Sprint("non-idempotent task ran twice: ", key))
+		must.Eq(w.t, 1, w.startCounts[key], must.Sprint("non-idempotent task ran twice: ", key))
 	}
 }
 
-func (w *world) mustRunNowhere(ref AttemptRef) {
-	for id, h := range w.hosts {
+func (w *stateHarness) mustNotRunElsewhere(ref AttemptRef) {
+	for id, h := range w.fakeWorkers {
 		for other := range h.running {
 			must.False(w.t, other.Job == ref.Job && other.Task == ref.Task, must.Sprintf("%v runs on %s already", ref, id))
 		}
@@ -159,10 +159,10 @@
 }
 
 // report ends an attempt on its host, or proves that it never starts there.
-func (w *world) report() {
+func (w *stateHarness) report() {
 	id := w.worker()
-	h := w.hosts[id]
-	refs := w.a.OnWorker(id)
+	h := w.fakeWorkers[id]
+	refs := w.a.AttemptsOnWorker(id)
 	if len(refs) == 0 {
 		return
 	}
@@ -183,19 +183,19 @@
 }
 
 // lose ends a lease: the host has stopped everything by then.
-func (w *world) lose() {
+func (w *stateHarness) expireLease() {
 	id := w.worker()
-	h := w.hosts[id]
+	h := w.fakeWorkers[id]
 	h.running = make(map[AttemptRef]bool)
 	w.apply(&Command{WorkerDown: &WorkerDown{ID: id, Incarnation: h.incarnation}})
 	if rapid.Bool().Draw(w.t, "late announcement") {
 		result := w.apply(&Command{WorkerUp: &WorkerUp{ID: id, Incarnation: h.incarnation, Capacity: placement.Resources{CPU: 9000, Memory: 9000}}})
 		must.True(w.t, fault.Is(result.Err, fault.Conflict))
 	}
-	w.boot(id)
+	w.startWorker(id)
 }
 
-func (w *world) cancel() {
+func (w *stateHarness) cancel() {
 	id := w.job()
 	j := w.a.Jobs[id]
 	if j == nil {
@@ -205,18 +205,18 @@
 	w.apply(&Command{Cancel: &Cancel{Request: Request{ID: fmt.Sprint(w.request), Customer: j.Customer}, Customer: j.Customer, IDs: []string{id}}})
 }
 
-func (w *world) handover() {
+func (w *stateHarness) handover() {
 	accepted := rapid.Bool().Draw(w.t, "accepted")
-	w.apply(&Command{Offered: &Offered{Job: w.job(), To: "other", Accepted: accepted, Kind: fault.Infeasible}})
+	w.apply(&Command{RecordHandoverAnswer: &RecordHandoverAnswer{Job: w.job(), To: "other", Accepted: accepted, Kind: fault.Infeasible}})
 }
 
-func (w *world) preempt() {
+func (w *stateHarness) preempt() {
 	id := w.job()
 	w.apply(&Command{Preempt: &Preempt{Items: []placement.Preemption{{Job: id, Task: 0, Worker: w.worker()}}}})
 }
 
 // snapshot replaces a replica by what its snapshot holds.
-func (w *world) snapshot() {
+func (w *stateHarness) snapshot() {
 	data, err := w.a.Encode()
 	must.NoError(w.t, err)
 	w.b, err = DecodeState(data)
@@ -224,12 +224,12 @@
 }
 
 // check asserts what must hold after every step.
-func (w *world) check() {
+func (w *stateHarness) check() {
 	used := make(map[string]int64)
 	for id, worker := range w.a.Workers {
 		var sum placement.Resources
-		for _, ref := range w.a.OnWorker(id) {
-			held := w.a.Jobs[ref.Job].Held(int(ref.Task))
+		for _, ref := range w.a.AttemptsOnWorker(id) {
+			held := w.a.Jobs[ref.Job].HeldResources(int(ref.Task))
 			sum = add(sum, held)
 			used[w.a.Jobs[ref.Job].Customer] += held.CPU
 		}
@@ -237,9 +237,9 @@
 		must.True(w.t, fits(sum, worker.Capacity))
 	}
 	must.LessEq(w.t, 6000, used["c0"])
-	for id, h := range w.hosts {
+	for id, h := range w.fakeWorkers {
 		for ref := range h.running {
-			j, task := w.a.task(ref)
+			j, task := w.a.latestAttempt(ref)
 			must.True(w.t, j != nil && task != nil && task.Worker == id, must.Sprintf("%v runs on %s without authority", ref, id))
 		}
 	}
@@ -248,10 +248,10 @@
 	}
 }
 
-func (w *world) checkJob(j *Job) {
+func (w *stateHarness) checkJob(j *Job) {
 	for i := range j.Tasks {
-		if j.Tasks[i].State == TaskNotRun || j.State == JobNotRun || j.HandedTo != "" {
-			must.Eq(w.t, 0, w.ran[fmt.Sprint(j.ID, "/", i)], must.Sprintf("%s task %d is said not to have run", j.ID, i))
+		if j.Tasks[i].State == TaskNotRun || j.State == JobNotRun || j.HandoverDataCentre != "" {
+			must.Eq(w.t, 0, w.startCounts[fmt.Sprint(j.ID, "/", i)], must.Sprintf("%s task %d is said not to have run", j.ID, i))
 		}
 	}
 	if j.State.Ended() {
@@ -266,11 +266,11 @@
 // restarted smaller, cancellations and handovers racing starts, snapshots.
 func TestRandomCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newStateHarness(t)
 		steps := map[string]func(*rapid.T){"": func(*rapid.T) { w.check() }}
 		for name, step := range map[string]func(){
-			"submit": w.submit, "plan": w.plan, "deliver": w.deliver, "report": w.report, "lose": w.lose,
-			"restart": func() { w.boot(w.worker()) }, "cancel": w.cancel, "handover": w.handover,
+			"submit": w.submit, "plan": w.applyRandomPlan, "deliver": w.deliver, "report": w.report, "lose": w.expireLease,
+			"restart": func() { w.startWorker(w.worker()) }, "cancel": w.cancel, "handover": w.handover,
 			"preempt": w.preempt, "snapshot": w.snapshot,
 		} {
 			steps[name] = func(*rapid.T) { step() }
@@ -300,18 +300,18 @@
 }
 
 // Guards against a task that takes one worker after the other down, without end.
-func TestATaskThatCrashesItsWorkersFails(t *testing.T) {
+func TestTaskFailsAfterCrashingTooManyWorkers(t *testing.T) {
 	s := New("hall")
-	up := func(life uint64) {
-		s.Apply(1, &Command{WorkerUp: &WorkerUp{ID: "w", Incarnation: life, Capacity: placement.Resources{CPU: 4000, Memory: 4096}}})
+	up := func(incarnation uint64) {
+		s.Apply(1, &Command{WorkerUp: &WorkerUp{ID: "w", Incarnation: incarnation, Capacity: placement.Resources{CPU: 4000, Memory: 4096}}})
 	}
 	up(1)
 	spec := Spec{Name: "nightly", Policy: placement.Batch, Tasks: 1, Need: placement.Resources{CPU: 1, Memory: 1}, Idempotent: true}
 	job := s.Apply(2, &Command{Submit: &Submit{Request: Request{ID: "r"}, Customer: "c", Spec: spec}}).Job
-	for life := uint64(1); s.Jobs[job].State != JobFailed; life++ {
-		must.LessEq(t, mostCrashes, life, must.Sprint("workers crashed by one task"))
+	for incarnation := uint64(1); s.Jobs[job].State != JobFailed; incarnation++ {
+		must.LessEq(t, maxTaskCrashes, incarnation, must.Sprint("workers crashed by one task"))
 		s.Apply(3, &Command{Start: &Start{Items: []StartItem{{Job: job, Worker: "w"}}}})
-		up(life + 1)
+		up(incarnation + 1)
 	}
 }
 
@@ -320,21 +320,21 @@
 // Order: the job is offered; its customer cancels it; the other data centre's
 // acceptance arrives; only its answer to the withdrawal ends the handover.
 // Cause: the cancellation and the offer pass each other.
-func TestCancelOvertakesAHandover(t *testing.T) {
+func TestCancelDuringHandoverKeepsJobPendingUntilWithdrawn(t *testing.T) {
 	s := New("hall")
 	spec := Spec{Name: "check-in", Policy: placement.Batch, Tasks: 1, Need: placement.Resources{CPU: 1, Memory: 1}}
-	job := s.Apply(1, &Command{Submit: &Submit{Request: Request{ID: "r"}, Customer: "c", Spec: spec, HandTo: "other"}}).Job
+	job := s.Apply(1, &Command{Submit: &Submit{Request: Request{ID: "r"}, Customer: "c", Spec: spec, HandoverTo: "other"}}).Job
 	s.Apply(2, &Command{Cancel: &Cancel{Request: Request{ID: "x"}, Customer: "c", IDs: []string{job}}})
-	s.Apply(3, &Command{Offered: &Offered{Job: job, To: "other", Accepted: true}})
+	s.Apply(3, &Command{RecordHandoverAnswer: &RecordHandoverAnswer{Job: job, To: "other", Accepted: true}})
 	must.False(t, s.Jobs[job].HandoverDone)
 	must.Eq(t, JobPendingHandover, s.Jobs[job].State)
-	s.Apply(4, &Command{Offered: &Offered{Job: job, To: "other", Accepted: true, Withdrawn: true}})
+	s.Apply(4, &Command{RecordHandoverAnswer: &RecordHandoverAnswer{Job: job, To: "other", Accepted: true, Withdrawn: true}})
 	must.True(t, s.Jobs[job].HandoverDone)
 }
 
 // A request id used with other content is a conflict; a refusal is remembered,
 // so that a late copy of the request can't be accepted after it.
-func TestFirstAnswerStands(t *testing.T) {
+func TestResentRequestGetsFirstAnswer(t *testing.T) {
 	s := New("hall")
 	refused := &Submit{Request: Request{ID: "r", Digest: 1}, Customer: "c", Refused: true, Kind: fault.Infeasible, Detail: "no"}
 	must.True(t, fault.Is(s.Apply(1, &Command{Submit: refused}).Err, fault.Infeasible))
@@ -346,7 +346,7 @@
 }
 
 // A later program's state and commands are refused, not guessed at.
-func TestFormatOfALaterProgram(t *testing.T) {
+func TestNewerFormatVersionIsRefused(t *testing.T) {
 	s := New("hall")
 	s.Format = FormatVersion + 1
 	data, err := s.Encode()
--- a/internal/state/types.go
+++ b/internal/state/types.go
@@ -83,7 +83,7 @@
 	Runs int32 `cbor:"11,keyasint,omitempty"`
 	// Raised is what the account carries for the attempt where measurements of
 	// earlier runs showed more than the declared need.
-	Raised placement.Resources `cbor:"12,keyasint,omitempty"`
+	RaisedNeed placement.Resources `cbor:"12,keyasint,omitempty"`
 	// Crashes counts the workers that restarted under the task's attempts.
 	Crashes int `cbor:"13,keyasint,omitempty"`
 }
@@ -104,14 +104,14 @@
 	Closing bool       `cbor:"10,keyasint,omitempty"`
 	Kind    fault.Kind `cbor:"11,keyasint,omitempty"`
 	Reason  string     `cbor:"12,keyasint,omitempty"`
-	// HandedTo names the data centre the job is offered to or lives in.
-	HandedTo string `cbor:"13,keyasint,omitempty"`
+	// HandoverDataCentre names the data centre the job is offered to or lives in.
+	HandoverDataCentre string `cbor:"13,keyasint,omitempty"`
 	// HandoverDone is set once the other data centre's acceptance is known.
 	HandoverDone bool `cbor:"14,keyasint,omitempty"`
 	// Tried lists data centres that refused the job.
-	Tried []string `cbor:"15,keyasint,omitempty"`
+	RefusedBy []string `cbor:"15,keyasint,omitempty"`
 	// Foreign jobs were accepted from another data centre.
-	Foreign string `cbor:"16,keyasint,omitempty"`
+	OriginDataCentre string `cbor:"16,keyasint,omitempty"`
 }
 
 // Worker is one announced worker.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -145,8 +145,8 @@
 		TasksQueued: int32(queued), TasksRunning: int32(running), TasksEnded: int32(ended),
 	}
 	job.Spec.Payload = nil
-	if j.HandedTo != "" && j.HandoverDone {
-		job.DataCentre = j.HandedTo
+	if j.HandoverDataCentre != "" && j.HandoverDone {
+		job.DataCentre = j.HandoverDataCentre
 	}
 	if j.Closing || j.State.Ended() && j.State != state.JobFinished {
 		job.ReasonKind = j.Kind.String()
--- a/lease/guard.go
+++ b/lease/guard.go
@@ -6,24 +6,24 @@
 	"strings"
 )
 
-// MaxAttempts is how many attempts a Guard remembers, running and ended
+// MaxRememberedAttempts is how many attempts a Guard remembers, running and ended
 // together. Beyond it starts are refused with ErrFull until the owner
 // acknowledges ends.
-const MaxAttempts = 4096
+const MaxRememberedAttempts = 4096
 
 // Refusal is why a Guard refuses a command. The list is closed.
 type Refusal uint8
 
 // Refusals.
 const (
-	// ErrIncarnation: the command is for another incarnation. Ignore it.
-	ErrIncarnation Refusal = iota + 1
+	// ErrOtherIncarnation: the command is for another incarnation. Ignore it.
+	ErrOtherIncarnation Refusal = iota + 1
 	// ErrOldTerm: a leader of a newer term has been heard from. Ignore the command.
 	ErrOldTerm
-	// ErrRepeat: the command is a copy of a processed one. Ignore it.
-	ErrRepeat
-	// ErrGap: an earlier command is missing. The owner sends both again.
-	ErrGap
+	// ErrDuplicate: the command is a copy of a processed one. Ignore it.
+	ErrDuplicate
+	// ErrSequenceGap: an earlier command is missing. The owner sends both again.
+	ErrSequenceGap
 	// ErrRunning: the attempt runs already. The command counts as processed.
 	ErrRunning
 	// ErrEnded: the attempt has run and ended. The command counts as processed;
@@ -32,7 +32,7 @@
 	// ErrStopped: the attempt was stopped before it started and never will
 	// start. The command counts as processed; report NOT_STARTED again.
 	ErrStopped
-	// ErrFull: MaxAttempts are remembered. The command is not processed; the
+	// ErrFull: MaxRememberedAttempts are remembered. The command is not processed; the
 	// owner sends it again.
 	ErrFull
 	// ErrNotRunning: End was called for an attempt that isn't running.
@@ -41,15 +41,15 @@
 
 // refusalTexts are the messages of the refusals.
 var refusalTexts = [...]string{
-	ErrIncarnation: "command is for another incarnation",
-	ErrOldTerm:     "command is of an older term",
-	ErrRepeat:      "command was processed before",
-	ErrGap:         "an earlier command is missing",
-	ErrRunning:     "attempt is running already",
-	ErrEnded:       "attempt has ended",
-	ErrStopped:     "attempt was stopped before it started",
-	ErrFull:        "too many attempts are remembered",
-	ErrNotRunning:  "attempt is not running",
+	ErrOtherIncarnation: "command is for another incarnation",
+	ErrOldTerm:          "command is of an older term",
+	ErrDuplicate:        "command was processed before",
+	ErrSequenceGap:      "an earlier command is missing",
+	ErrRunning:          "attempt is running already",
+	ErrEnded:            "attempt has ended",
+	ErrStopped:          "attempt was stopped before it started",
+	ErrFull:             "too many attempts are remembered",
+	ErrNotRunning:       "attempt is not running",
 }
 
 // Error gives the refusal as a sentence.
@@ -99,12 +99,12 @@
 )
 
 // memory is what a Guard remembers of one attempt.
-type memory struct {
+type attemptRecord struct {
 	phase phase
 	// acknowledged says that the owner has committed the end; until is then the
 	// highest command that it had issued.
 	acknowledged bool
-	until        Position
+	forgetAfter  Position
 }
 
 // Guard is the worker's decision on commands. It is not safe for concurrent
@@ -112,14 +112,14 @@
 type Guard struct {
 	incarnation uint64
 	position    Position
-	attempts    map[Attempt]*memory
+	attempts    map[Attempt]*attemptRecord
 	// acknowledged counts the attempts that wait only for their position.
 	acknowledged int
 }
 
 // NewGuard returns a Guard for an incarnation in which nothing has run.
 func NewGuard(incarnation uint64) *Guard {
-	return &Guard{incarnation: incarnation, attempts: map[Attempt]*memory{}}
+	return &Guard{incarnation: incarnation, attempts: map[Attempt]*attemptRecord{}}
 }
 
 // Restart begins a higher incarnation. The caller has stopped all tasks. What
@@ -147,7 +147,7 @@
 // A renewal that carries the leader's own term proves that no command of an
 // earlier term will be taken any more, so only an announcement sent with it
 // tells the leader what may still start.
-func (g *Guard) Observe(term uint64) error {
+func (g *Guard) ObserveTerm(term uint64) error {
 	if term < g.position.Term {
 		return ErrOldTerm
 	}
@@ -170,19 +170,19 @@
 		return err
 	}
 	m := g.attempts[a]
-	if m == nil && len(g.attempts) >= MaxAttempts {
+	if m == nil && len(g.attempts) >= MaxRememberedAttempts {
 		return ErrFull
 	}
 	g.advance(h.Position)
 	if m != nil {
 		return m.refusal()
 	}
-	g.attempts[a] = &memory{phase: running}
+	g.attempts[a] = &attemptRecord{phase: running}
 	return nil
 }
 
 // refusal says why an attempt that is remembered can't be started.
-func (m *memory) refusal() Refusal {
+func (m *attemptRecord) refusal() Refusal {
 	switch m.phase {
 	case running:
 		return ErrRunning
@@ -215,12 +215,12 @@
 		return 0, err
 	}
 	m := g.attempts[a]
-	if m == nil && len(g.attempts) >= MaxAttempts {
+	if m == nil && len(g.attempts) >= MaxRememberedAttempts {
 		return 0, ErrFull
 	}
 	g.advance(h.Position)
 	if m == nil {
-		g.attempts[a] = &memory{phase: stoppedBeforeStart}
+		g.attempts[a] = &attemptRecord{phase: stoppedBeforeStart}
 		return StopBeforeStart, nil
 	}
 	switch m.phase {
@@ -256,7 +256,7 @@
 // acknowledgement by itself is not enough: a start that was issued a second
 // time under a later number may still be under way. An acknowledgement without
 // a term is therefore ignored; terms start at 1.
-func (g *Guard) Forget(acknowledged []Attempt, until Position) {
+func (g *Guard) Acknowledge(acknowledged []Attempt, until Position) {
 	if until.Term == 0 {
 		return
 	}
@@ -266,7 +266,7 @@
 			continue
 		}
 		m.acknowledged = true
-		m.until = until
+		m.forgetAfter = until
 		g.acknowledged++
 	}
 	// The acknowledgement itself comes from the leader of until.Term.
@@ -274,27 +274,27 @@
 		g.advance(Position{Term: until.Term})
 		return
 	}
-	g.sweep()
+	g.dropForgettable()
 }
 
 // Running returns the attempts that run, in order, for an announcement.
 func (g *Guard) Running() []Attempt {
-	return g.list(func(m *memory) bool { return m.phase == running })
+	return g.attemptsWhere(func(m *attemptRecord) bool { return m.phase == running })
 }
 
 // Unacknowledged returns the ended and stopped attempts whose reports the
 // owner has not acknowledged, in order.
 func (g *Guard) Unacknowledged() []Attempt {
-	return g.list(func(m *memory) bool { return m.phase != running && !m.acknowledged })
+	return g.attemptsWhere(func(m *attemptRecord) bool { return m.phase != running && !m.acknowledged })
 }
 
 // Remembered is the number of attempts that the guard remembers.
-func (g *Guard) Remembered() int {
+func (g *Guard) AttemptCount() int {
 	return len(g.attempts)
 }
 
 // list returns the attempts whose memory is wanted, in order.
-func (g *Guard) list(wanted func(*memory) bool) []Attempt {
+func (g *Guard) attemptsWhere(wanted func(*attemptRecord) bool) []Attempt {
 	var list []Attempt
 	for a, m := range g.attempts {
 		if wanted(m) {
@@ -308,7 +308,7 @@
 // check refuses commands by header alone.
 func (g *Guard) check(h Header) error {
 	if h.Incarnation != g.incarnation {
-		return ErrIncarnation
+		return ErrOtherIncarnation
 	}
 	if h.Position.Term < g.position.Term {
 		return ErrOldTerm
@@ -318,10 +318,10 @@
 		expected = g.position.Number + 1
 	}
 	if h.Position.Number < expected {
-		return ErrRepeat
+		return ErrDuplicate
 	}
 	if h.Position.Number > expected {
-		return ErrGap
+		return ErrSequenceGap
 	}
 	return nil
 }
@@ -330,17 +330,17 @@
 func (g *Guard) advance(to Position) {
 	invariant(to.Compare(g.position) > 0, "the guard's position went back")
 	g.position = to
-	g.sweep()
+	g.dropForgettable()
 }
 
 // sweep forgets the acknowledged attempts whose commands are all refused by
 // position.
-func (g *Guard) sweep() {
+func (g *Guard) dropForgettable() {
 	if g.acknowledged == 0 {
 		return
 	}
 	for a, m := range g.attempts {
-		if m.acknowledged && m.until.Compare(g.position) <= 0 {
+		if m.acknowledged && m.forgetAfter.Compare(g.position) <= 0 {
 			delete(g.attempts, a)
 			g.acknowledged--
 		}
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -7,26 +7,26 @@
 const maxOutstanding = 16
 
 // sent is one renewal that was sent.
-type sent struct {
+type sentRenewal struct {
 	sequence uint64
 	at       time.Duration
 }
 
 // Holder is the worker's view of its lease. It is not safe for concurrent use.
 type Holder struct {
-	outstanding []sent
+	outstanding []sentRenewal
 	// last is the highest sequence number sent, over all incarnations of this
 	// process.
-	last    uint64
-	ends    time.Duration
-	granted bool
-	lapsed  bool
+	last      uint64
+	expiresAt time.Duration
+	granted   bool
+	expired   bool
 }
 
 // Sent notes that the renewal with a sequence number is about to be sent. It
 // is called before the renewal leaves. When the same number is sent again, the
 // first time counts. Numbers go on growing over Reset.
-func (h *Holder) Sent(sequence uint64, now time.Duration) {
+func (h *Holder) RecordSent(sequence uint64, now time.Duration) {
 	if sequence <= h.last {
 		return
 	}
@@ -34,7 +34,7 @@
 	if len(h.outstanding) == maxOutstanding {
 		h.outstanding = h.outstanding[1:]
 	}
-	h.outstanding = append(h.outstanding, sent{sequence, now})
+	h.outstanding = append(h.outstanding, sentRenewal{sequence, now})
 }
 
 // Granted notes the owner's answer to a renewal, received at now. The lease
@@ -51,16 +51,16 @@
 // Copies and answers out of order never move the end forward or back. The
 // caller must not process commands from an answer when Valid is false after
 // Granted.
-func (h *Holder) Granted(sequence uint64, ttl, now time.Duration) {
+func (h *Holder) RecordGranted(sequence uint64, ttl, now time.Duration) {
 	h.Valid(now)
-	if h.lapsed {
+	if h.expired {
 		return
 	}
 	for _, s := range h.outstanding {
 		if s.sequence == sequence {
-			h.ends = max(h.ends, s.at+ttl)
+			h.expiresAt = max(h.expiresAt, s.at+ttl)
 			h.granted = true
-			h.drop(sequence)
+			h.dropThrough(sequence)
 			return
 		}
 	}
@@ -68,7 +68,7 @@
 
 // drop forgets the renewals sent up to a sequence number: an answer to one of
 // them can't prolong the lease any more.
-func (h *Holder) drop(sequence uint64) {
+func (h *Holder) dropThrough(sequence uint64) {
 	kept := h.outstanding[:0]
 	for _, s := range h.outstanding {
 		if s.sequence > sequence {
@@ -86,21 +86,21 @@
 // the end of its lease, and its first steps afterwards belong to a task that
 // runs elsewhere by now. Therefore it is called before each step.
 func (h *Holder) Valid(now time.Duration) bool {
-	if h.granted && now >= h.ends {
-		h.lapsed = true
+	if h.granted && now >= h.expiresAt {
+		h.expired = true
 	}
-	return h.granted && !h.lapsed
+	return h.granted && !h.expired
 }
 
 // Lapsed says whether Valid has found that a granted lease was over. The
 // worker then needs a higher incarnation.
-func (h *Holder) Lapsed() bool {
-	return h.lapsed
+func (h *Holder) Expired() bool {
+	return h.expired
 }
 
 // Ends returns when the tasks must be stopped; zero while nothing was granted.
-func (h *Holder) Ends() time.Duration {
-	return h.ends
+func (h *Holder) ExpiresAt() time.Duration {
+	return h.expiresAt
 }
 
 // Reset starts a new incarnation, with no lease.
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -23,15 +23,15 @@
 // A task runs on after it was started elsewhere. The worker's process is
 // stopped; its lease ends and the owner declares it over and dies; the process
 // goes on, renews, and the new leader, which knows nothing of the end, answers.
-func TestGrantAfterTheEndIsNoGrant(t *testing.T) {
+func TestGrantAfterExpiryIsIgnored(t *testing.T) {
 	for _, sentAt := range []float64{9, 13} {
 		var h lease.Holder
-		h.Sent(1, at(0))
-		h.Granted(1, ttl, at(1))
-		h.Sent(2, at(sentAt))
-		h.Granted(2, ttl, at(14))
+		h.RecordSent(1, at(0))
+		h.RecordGranted(1, ttl, at(1))
+		h.RecordSent(2, at(sentAt))
+		h.RecordGranted(2, ttl, at(14))
 		must.False(t, h.Valid(at(14)))
-		must.True(t, h.Lapsed())
+		must.True(t, h.Expired())
 	}
 }
 
@@ -39,34 +39,34 @@
 // held up for longer than the lease, and the worker counts from its arrival.
 func TestLeaseCountsFromSending(t *testing.T) {
 	var h lease.Holder
-	h.Sent(1, at(0))
-	h.Sent(1, at(5))
-	h.Granted(1, ttl, at(9))
-	must.Eq(t, at(10), h.Ends())
+	h.RecordSent(1, at(0))
+	h.RecordSent(1, at(5))
+	h.RecordGranted(1, ttl, at(9))
+	must.Eq(t, at(10), h.ExpiresAt())
 	must.True(t, h.Valid(at(9.9)))
 	must.False(t, h.Valid(at(10)))
-	h.Sent(2, at(9))
-	h.Granted(2, ttl, at(9.5))
+	h.RecordSent(2, at(9))
+	h.RecordGranted(2, ttl, at(9.5))
 	must.False(t, h.Valid(at(9.6)), must.Sprint("the tasks have been stopped"))
 }
 
 // A worker that the owner doesn't know holds no lease, but thinks so: an answer
 // to a renewal of its old incarnation comes late and is taken for a new grant.
-func TestLateAnswerAfterReset(t *testing.T) {
+func TestAnswerToEarlierIncarnationIsIgnored(t *testing.T) {
 	var h lease.Holder
-	h.Sent(1, at(0))
+	h.RecordSent(1, at(0))
 	h.Reset()
-	h.Sent(1, at(9))
-	h.Granted(1, ttl, at(9))
+	h.RecordSent(1, at(9))
+	h.RecordGranted(1, ttl, at(9))
 	must.False(t, h.Valid(at(9)))
-	h.Sent(2, at(9))
-	h.Granted(2, ttl, at(9))
+	h.RecordSent(2, at(9))
+	h.RecordGranted(2, ttl, at(9))
 	must.True(t, h.Valid(at(9)))
 }
 
 // A dead worker counts as live for ever, and its work waits: copies of its last
 // renewal go on arriving.
-func TestCopyChangesNothing(t *testing.T) {
+func TestDuplicateRenewalIsIgnored(t *testing.T) {
 	table := lease.NewTable(ttl, drift)
 	must.Eq(t, lease.Renewal{Accepted: true, Unknown: true}, table.Renew("w", 3, 7, at(0)))
 	must.Eq(t, lease.Renewal{Stale: true}, table.Renew("w", 3, 7, at(9)))
@@ -75,10 +75,10 @@
 	must.True(t, table.Live("w", at(9.9)))
 	must.False(t, table.Live("w", at(10)))
 	must.SliceEmpty(t, table.Expired(at(11.9)))
-	must.False(t, table.Over("w", 3))
+	must.False(t, table.Fenced("w", 3))
 	must.Eq(t, []string{"w"}, table.Expired(at(12)))
 	must.SliceEmpty(t, table.Expired(at(13)), must.Sprint("told once"))
-	must.True(t, table.Over("w", 3))
+	must.True(t, table.Fenced("w", 3))
 }
 
 // A task runs twice: its worker's lease was declared over, the task was started
@@ -90,48 +90,48 @@
 	late := table.Renew("w", 3, 2, at(13))
 	must.True(t, late.Ended)
 	must.False(t, late.Grants())
-	must.True(t, table.Over("w", 3))
-	back := table.Renew("w", 4, 3, at(14))
-	must.True(t, back.Accepted && back.NewIncarnation)
-	must.True(t, table.Over("w", 3))
-	must.False(t, table.Over("w", 4))
+	must.True(t, table.Fenced("w", 3))
+	renewed := table.Renew("w", 4, 3, at(14))
+	must.True(t, renewed.Accepted && renewed.NewIncarnation)
+	must.True(t, table.Fenced("w", 3))
+	must.False(t, table.Fenced("w", 4))
 	must.False(t, table.Leave("w", 3))
 	must.True(t, table.Leave("w", 4))
 	must.True(t, table.Renew("w", 4, 9, at(15)).Ended)
 }
 
 // A new leader starts a task that a worker of its predecessor still runs.
-func TestNewLeaderWaits(t *testing.T) {
+func TestNewLeaderWaitsForUnheardWorkers(t *testing.T) {
 	table := lease.NewTable(ttl, drift)
-	table.Own(at(100), []string{"heard", "silent"})
-	table.Expect("heard", 6)
-	table.Expect("silent", 6)
+	table.TakeOver(at(100), []string{"heard", "silent"})
+	table.RecordIncarnation("heard", 6)
+	table.RecordIncarnation("silent", 6)
 	must.True(t, table.Renew("heard", 5, 1, at(101)).Stale, must.Sprint("the predecessor knew of 6"))
 	must.False(t, table.Live("heard", at(101)))
 	must.True(t, table.Renew("heard", 6, 1, at(101)).Unknown)
 	must.True(t, table.Live("heard", at(101)))
-	must.False(t, table.Over("silent", 6))
+	must.False(t, table.Fenced("silent", 6))
 	must.SliceEmpty(t, table.Expired(at(111.9)))
 	next, open := table.NextExpiry()
 	must.True(t, open)
 	must.Eq(t, at(112), next)
 	must.Eq(t, []string{"silent"}, table.Expired(at(112)))
-	must.True(t, table.Over("silent", 6))
-	must.False(t, table.Over("never seen", 1))
+	must.True(t, table.Fenced("silent", 6))
+	must.False(t, table.Fenced("never seen", 1))
 }
 
 // A task runs twice on one worker. Its start is issued twice, the task runs,
 // ends, and the owner acknowledges the end; then the second start arrives.
-func TestAcknowledgedAttemptIsRememberedForLateStarts(t *testing.T) {
-	guard, box := lease.NewGuard(1), lease.NewOutbox[string](1, 1)
-	first, second := box.Add("start"), box.Add("start")
+func TestAcknowledgedAttemptRejectsLateStart(t *testing.T) {
+	guard, outbox := lease.NewGuard(1), lease.NewOutbox[string](1, 1)
+	first, second := outbox.Add("start"), outbox.Add("start")
 	must.NoError(t, guard.Start(first, task))
 	must.NoError(t, guard.End(task))
-	guard.Forget([]lease.Attempt{task}, lease.Position{})
-	guard.Forget([]lease.Attempt{task}, box.Position())
+	guard.Acknowledge([]lease.Attempt{task}, lease.Position{})
+	guard.Acknowledge([]lease.Attempt{task}, outbox.Position())
 	must.ErrorIs(t, guard.Start(second, task), lease.ErrEnded)
-	must.Eq(t, 0, guard.Remembered())
-	must.ErrorIs(t, guard.Start(second, task), lease.ErrRepeat)
+	must.Eq(t, 0, guard.AttemptCount())
+	must.ErrorIs(t, guard.Start(second, task), lease.ErrDuplicate)
 }
 
 // "Not run" was said, and then it ran: the stop overtook the start of an
@@ -144,42 +144,42 @@
 	must.ErrorIs(t, guard.Start(header(1, 1, 1), task), lease.ErrOldTerm)
 	must.ErrorIs(t, guard.Start(header(1, 2, 2), task), lease.ErrStopped)
 	must.Eq(t, []lease.Attempt{task}, guard.Unacknowledged())
-	guard.Forget([]lease.Attempt{task}, lease.Position{Term: 3})
-	must.Eq(t, 0, guard.Remembered())
+	guard.Acknowledge([]lease.Attempt{task}, lease.Position{Term: 3})
+	must.Eq(t, 0, guard.AttemptCount())
 	must.ErrorIs(t, guard.Start(header(1, 2, 3), task), lease.ErrOldTerm)
 }
 
 func TestGuardRefuses(t *testing.T) {
 	guard := lease.NewGuard(4)
-	must.ErrorIs(t, guard.Start(header(3, 1, 1), task), lease.ErrIncarnation)
-	must.ErrorIs(t, guard.Start(header(5, 1, 1), task), lease.ErrIncarnation)
-	must.ErrorIs(t, guard.Start(header(4, 1, 2), task), lease.ErrGap)
+	must.ErrorIs(t, guard.Start(header(3, 1, 1), task), lease.ErrOtherIncarnation)
+	must.ErrorIs(t, guard.Start(header(5, 1, 1), task), lease.ErrOtherIncarnation)
+	must.ErrorIs(t, guard.Start(header(4, 1, 2), task), lease.ErrSequenceGap)
 	must.NoError(t, guard.Start(header(4, 1, 1), task))
-	must.ErrorIs(t, guard.Start(header(4, 1, 1), task), lease.ErrRepeat)
+	must.ErrorIs(t, guard.Start(header(4, 1, 1), task), lease.ErrDuplicate)
 	must.ErrorIs(t, guard.Start(header(4, 2, 1), task), lease.ErrRunning)
 	must.ErrorIs(t, guard.Start(header(4, 1, 2), task), lease.ErrOldTerm)
-	must.ErrorIs(t, guard.Observe(1), lease.ErrOldTerm)
-	must.NoError(t, guard.Observe(3))
+	must.ErrorIs(t, guard.ObserveTerm(1), lease.ErrOldTerm)
+	must.NoError(t, guard.ObserveTerm(3))
 	must.ErrorIs(t, guard.Start(header(4, 2, 2), task), lease.ErrOldTerm)
 	must.Eq(t, []lease.Attempt{task}, guard.Running())
 	must.NoError(t, guard.End(task))
 	must.ErrorIs(t, guard.End(task), lease.ErrNotRunning)
 	guard.Restart(5)
-	must.ErrorIs(t, guard.Start(header(4, 3, 1), task), lease.ErrIncarnation)
+	must.ErrorIs(t, guard.Start(header(4, 3, 1), task), lease.ErrOtherIncarnation)
 }
 
 // Memory stays bounded when the owner never acknowledges, and a refused
 // command is not lost.
-func TestGuardIsBounded(t *testing.T) {
+func TestGuardAttemptLimit(t *testing.T) {
 	guard := lease.NewGuard(1)
-	for i := range lease.MaxAttempts {
+	for i := range lease.MaxRememberedAttempts {
 		a := lease.Attempt{Job: "j", Task: int32(i)}
 		must.NoError(t, guard.Start(header(1, 1, uint64(i+1)), a))
 		must.NoError(t, guard.End(a))
 	}
-	next := header(1, 1, lease.MaxAttempts+1)
+	next := header(1, 1, lease.MaxRememberedAttempts+1)
 	must.ErrorIs(t, guard.Start(next, task), lease.ErrFull)
-	guard.Forget([]lease.Attempt{{Job: "j"}}, lease.Position{Term: 1, Number: 1})
+	guard.Acknowledge([]lease.Attempt{{Job: "j"}}, lease.Position{Term: 1, Number: 1})
 	must.NoError(t, guard.Start(next, task))
 }
 
@@ -189,12 +189,12 @@
 	guard := lease.NewGuard(1)
 
 	// The worker sends a renewal, the owner answers it with a command.
-	holder.Sent(1, 0)
+	holder.RecordSent(1, 0)
 	renewal := table.Renew("worker-1", 1, 1, 500*time.Second)
 	box := lease.NewOutbox[string](7, 1)
 	box.Add("start")
 	if renewal.Grants() {
-		holder.Granted(1, table.TTL(), time.Second)
+		holder.RecordGranted(1, table.TTL(), time.Second)
 	}
 	start := box.Pending(1)[0]
 	attempt := lease.Attempt{Job: "folio", Attempt: 1}
@@ -202,8 +202,8 @@
 	fmt.Println(guard.Start(start.Header, attempt))
 
 	// No more is heard of either.
-	fmt.Println(holder.Ends(), holder.Valid(11*time.Second))
-	fmt.Println(table.Expired(512*time.Second), table.Over("worker-1", 1))
+	fmt.Println(holder.ExpiresAt(), holder.Valid(11*time.Second))
+	fmt.Println(table.Expired(512*time.Second), table.Fenced("worker-1", 1))
 	// Output:
 	// true <nil>
 	// lease: command was processed before
@@ -247,7 +247,7 @@
 		n++
 		_ = guard.Start(header(1, 1, n), task)
 		_ = guard.End(task)
-		guard.Forget([]lease.Attempt{task}, lease.Position{Term: 1, Number: n})
+		guard.Acknowledge([]lease.Attempt{task}, lease.Position{Term: 1, Number: n})
 	}
 }
 
--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -37,7 +37,7 @@
 	position    lease.Position
 	granted     bool
 	ended       bool
-	commands    []lease.Numbered[command]
+	commands    []lease.NumberedCommand[command]
 	attempt     lease.Attempt
 	outcome     string
 }
@@ -63,28 +63,28 @@
 
 // world is the whole system: a leader, workers, the network and the committed
 // state, which every leader has.
-type world struct {
+type model struct {
 	t         *rapid.T
 	now       time.Duration
 	workers   []*process
 	processes int
 	network   []message
 
-	term      uint64
-	origin    time.Duration
-	table     *lease.Table
-	outboxes  map[int]*lease.Outbox[command]
-	boxed     map[int]uint64
-	records   map[lease.Attempt]*record
-	attempts  []int32
-	announced map[int]uint64
-	started   map[lease.Attempt]bool
-	seen      map[string]int
+	term              uint64
+	origin            time.Duration
+	table             *lease.Table
+	outboxes          map[int]*lease.Outbox[command]
+	outboxIncarnation map[int]uint64
+	records           map[lease.Attempt]*record
+	attempts          []int32
+	announced         map[int]uint64
+	started           map[lease.Attempt]bool
+	seen              map[string]int
 }
 
 // even draws from [0, n) without the bias of rapid's ranges towards small
 // values, which would leave most actions of the model out.
-func even(n int) *rapid.Generator[int] {
+func uniform(n int) *rapid.Generator[int] {
 	const bits = 12
 	return rapid.Custom(func(t *rapid.T) int {
 		value := 0
@@ -102,8 +102,8 @@
 	return []string{"w0", "w1", "w2"}[:n]
 }
 
-func newWorld(t *rapid.T, seen map[string]int) *world {
-	w := &world{
+func newModel(t *rapid.T, seen map[string]int) *model {
+	w := &model{
 		t: t, records: map[lease.Attempt]*record{}, announced: map[int]uint64{},
 		started: map[lease.Attempt]bool{}, attempts: make([]int32, 3), seen: seen,
 	}
@@ -111,15 +111,15 @@
 		w.workers = append(w.workers, nil)
 		w.restart(len(w.workers) - 1)
 	}
-	w.lead()
+	w.changeLeader()
 	return w
 }
 
 // clock is a worker's monotonic clock.
-func (w *world) clock(p *process) time.Duration { return w.now * p.rate / 1000 }
+func (w *model) clock(p *process) time.Duration { return w.now * p.rate / 1000 }
 
 // restart replaces the process of a worker; its tasks end with it.
-func (w *world) restart(i int) {
+func (w *model) restart(i int) {
 	incarnation := uint64(1)
 	if old := w.workers[i]; old != nil {
 		incarnation = old.guard.Incarnation() + 1
@@ -133,27 +133,27 @@
 }
 
 // lead puts a new leader in, which knows only the committed state.
-func (w *world) lead() {
+func (w *model) changeLeader() {
 	w.term++
 	w.origin = time.Duration(rapid.IntRange(0, 100000).Draw(w.t, "origin")) * time.Millisecond
 	w.table = lease.NewTable(ttl, drift)
 	w.outboxes = map[int]*lease.Outbox[command]{}
-	w.boxed = map[int]uint64{}
-	w.table.Own(w.ownerNow(), names(len(w.workers)))
+	w.outboxIncarnation = map[int]uint64{}
+	w.table.TakeOver(w.ownerNow(), names(len(w.workers)))
 	for i, incarnation := range w.announced {
-		w.table.Expect(names(3)[i], incarnation)
+		w.table.RecordIncarnation(names(3)[i], incarnation)
 	}
 }
 
-func (w *world) ownerNow() time.Duration { return w.now + w.origin }
+func (w *model) ownerNow() time.Duration { return w.now + w.origin }
 
-func (w *world) send(m message) { w.network = append(w.network, m) }
+func (w *model) send(m message) { w.network = append(w.network, m) }
 
 // renew sends a renewal of worker i.
-func (w *world) renew(i int) {
+func (w *model) renew(i int) {
 	p := w.workers[i]
 	p.sequence++
-	p.holder.Sent(p.sequence, w.clock(p))
+	p.holder.RecordSent(p.sequence, w.clock(p))
 	w.send(message{
 		kind: "renewal", worker: i, process: p.id, incarnation: p.guard.Incarnation(),
 		sequence: p.sequence, position: p.guard.Position(),
@@ -162,16 +162,16 @@
 
 // valid is the check before each step; on a lapse the worker stops all tasks
 // and takes a higher incarnation.
-func (w *world) valid(p *process) bool {
+func (w *model) valid(p *process) bool {
 	valid := p.holder.Valid(w.clock(p))
-	if p.holder.Lapsed() {
+	if p.holder.Expired() {
 		w.seen["lapse"]++
-		w.abandon(p)
+		w.endIncarnation(p)
 	}
 	return valid
 }
 
-func (w *world) abandon(p *process) {
+func (w *model) endIncarnation(p *process) {
 	for _, a := range p.guard.Running() {
 		p.reports[a] = "ended"
 	}
@@ -181,7 +181,7 @@
 
 // step lets every running task of a worker do something that must not be done
 // in two places.
-func (w *world) step(p *process) {
+func (w *model) step(p *process) {
 	if !w.valid(p) {
 		return
 	}
@@ -194,7 +194,7 @@
 }
 
 // deliver handles one message.
-func (w *world) deliver(m message) {
+func (w *model) deliver(m message) {
 	p := w.workers[m.worker]
 	switch m.kind {
 	case "renewal":
@@ -207,7 +207,7 @@
 		}
 	case "acknowledgement":
 		if m.process == p.id && m.incarnation == p.guard.Incarnation() {
-			p.guard.Forget([]lease.Attempt{m.attempt}, m.position)
+			p.guard.Acknowledge([]lease.Attempt{m.attempt}, m.position)
 		}
 		if m.process == p.id {
 			delete(p.reports, m.attempt)
@@ -215,16 +215,16 @@
 	}
 }
 
-func (w *world) handleRenewal(m message) {
+func (w *model) handleRenewal(m message) {
 	name := names(3)[m.worker]
 	r := w.table.Renew(name, m.incarnation, m.sequence, w.ownerNow())
-	if r.Accepted && w.boxed[m.worker] != m.incarnation {
+	if r.Accepted && w.outboxIncarnation[m.worker] != m.incarnation {
 		w.announced[m.worker] = max(w.announced[m.worker], m.incarnation)
-		w.boxed[m.worker] = m.incarnation
+		w.outboxIncarnation[m.worker] = m.incarnation
 		w.outboxes[m.worker] = lease.NewOutbox[command](w.term, m.incarnation)
 		w.resend(m.worker)
 	}
-	w.settle()
+	w.commitLost()
 	answer := message{
 		kind: "answer", worker: m.worker, process: m.process, incarnation: m.incarnation,
 		sequence: m.sequence, granted: r.Grants(), ended: r.Ended, position: lease.Position{Term: w.term},
@@ -239,40 +239,40 @@
 
 // resend issues again, or stops, what a worker's incarnation was assigned: a
 // new leader doesn't know which of it arrived.
-func (w *world) resend(i int) {
+func (w *model) resend(i int) {
 	for task := range w.attempts {
 		a := w.latest(task)
 		if r := w.records[a]; r != nil && r.worker == i {
-			w.issue(a, command{stop: even(3).Draw(w.t, "stop") == 0, attempt: a})
+			w.issue(a, command{stop: uniform(3).Draw(w.t, "stop") == 0, attempt: a})
 		}
 	}
 }
 
 // latest names the newest attempt of a task, the only one that may be assigned.
-func (w *world) latest(task int) lease.Attempt {
+func (w *model) latest(task int) lease.Attempt {
 	return lease.Attempt{Job: "j", Task: int32(task), Attempt: w.attempts[task]}
 }
 
 // issue adds a command if its attempt's incarnation is the one of the outbox.
-func (w *world) issue(a lease.Attempt, c command) {
+func (w *model) issue(a lease.Attempt, c command) {
 	r := w.records[a]
-	if r.state == "assigned" && w.boxed[r.worker] == r.incarnation {
+	if r.state == "assigned" && w.outboxIncarnation[r.worker] == r.incarnation {
 		w.outboxes[r.worker].Add(c)
 	}
 }
 
 // settle commits the attempts that are over as lost, so that their tasks are
 // tried elsewhere.
-func (w *world) settle() {
+func (w *model) commitLost() {
 	for _, r := range w.records {
-		if r.state == "assigned" && w.table.Over(names(3)[r.worker], r.incarnation) {
+		if r.state == "assigned" && w.table.Fenced(names(3)[r.worker], r.incarnation) {
 			w.seen["lost"]++
 			r.state = "lost"
 		}
 	}
 }
 
-func (w *world) handleReport(m message) {
+func (w *model) handleReport(m message) {
 	r := w.records[m.attempt]
 	if r.state == "assigned" {
 		r.state = m.outcome
@@ -284,33 +284,33 @@
 		kind: "acknowledgement", worker: m.worker, process: m.process,
 		incarnation: m.incarnation, attempt: m.attempt, position: lease.Position{Term: w.term},
 	}
-	if w.boxed[m.worker] == m.incarnation {
+	if w.outboxIncarnation[m.worker] == m.incarnation {
 		ack.position = w.outboxes[m.worker].Position()
 	}
 	w.send(ack)
 }
 
-func (w *world) handleAnswer(p *process, m message) {
-	if p.guard.Observe(m.position.Term) != nil {
+func (w *model) handleAnswer(p *process, m message) {
+	if p.guard.ObserveTerm(m.position.Term) != nil {
 		return
 	}
 	if m.ended && m.incarnation == p.guard.Incarnation() {
-		w.abandon(p)
+		w.endIncarnation(p)
 		return
 	}
 	if m.granted {
-		p.holder.Granted(m.sequence, ttl, w.clock(p))
+		p.holder.RecordGranted(m.sequence, ttl, w.clock(p))
 	}
 	if !w.valid(p) {
 		return
 	}
 	for _, c := range m.commands {
-		w.obey(p, c)
+		w.handleCommand(p, c)
 	}
 }
 
 // obey lets the guard decide on a command.
-func (w *world) obey(p *process, c lease.Numbered[command]) {
+func (w *model) handleCommand(p *process, c lease.NumberedCommand[command]) {
 	a := c.Body.attempt
 	if c.Body.stop {
 		result, err := p.guard.Stop(c.Header, a)
@@ -342,15 +342,15 @@
 	w.seen["start"]++
 }
 
-func (w *world) end(p *process, a lease.Attempt) {
+func (w *model) end(p *process, a lease.Attempt) {
 	must.NoError(w.t, p.guard.End(a))
 	p.reports[a] = "ended"
 }
 
 // assign commits an attempt of a task that no attempt is assigned for.
-func (w *world) assign() {
-	task := even(len(w.attempts)).Draw(w.t, "task")
-	i := even(len(w.workers)).Draw(w.t, "worker")
+func (w *model) assign() {
+	task := uniform(len(w.attempts)).Draw(w.t, "task")
+	i := uniform(len(w.workers)).Draw(w.t, "worker")
 	last := w.records[w.latest(task)]
 	if (last != nil && last.state == "assigned") || !w.table.Live(names(3)[i], w.ownerNow()) {
 		return
@@ -363,26 +363,26 @@
 }
 
 // act does one thing drawn at random.
-func (w *world) act() {
-	i := even(len(w.workers)).Draw(w.t, "worker")
+func (w *model) act() {
+	i := uniform(len(w.workers)).Draw(w.t, "worker")
 	p := w.workers[i]
-	switch action := even(100).Draw(w.t, "action"); {
+	switch action := uniform(100).Draw(w.t, "action"); {
 	case action < 12:
-		w.now += time.Duration(even(1500).Draw(w.t, "ms")) * time.Millisecond
+		w.now += time.Duration(uniform(1500).Draw(w.t, "ms")) * time.Millisecond
 	case action < 50:
-		w.pick()
+		w.takeMessage()
 	case action < 58:
 		w.assign()
 	case action < 64:
-		a := w.latest(even(len(w.attempts)).Draw(w.t, "task"))
+		a := w.latest(uniform(len(w.attempts)).Draw(w.t, "task"))
 		if w.records[a] != nil {
 			w.issue(a, command{stop: action >= 61, attempt: a})
 		}
 	case action < 69:
 		w.table.Expired(w.ownerNow())
-		w.settle()
+		w.commitLost()
 	case action < 70:
-		w.lead()
+		w.changeLeader()
 	case action < 72:
 		p.paused = !p.paused
 	case action < 73:
@@ -407,20 +407,20 @@
 }
 
 // pick loses, doubles or delivers a message from anywhere in the network.
-func (w *world) pick() {
+func (w *model) takeMessage() {
 	if len(w.network) == 0 {
 		return
 	}
 	i := len(w.network) - 1
-	if even(3).Draw(w.t, "late") == 2 {
-		i = even(i+1).Draw(w.t, "message")
+	if uniform(3).Draw(w.t, "late") == 2 {
+		i = uniform(i+1).Draw(w.t, "message")
 	}
 	m := w.network[i]
 	toWorker := m.kind == "answer" || m.kind == "acknowledgement"
 	if toWorker && w.workers[m.worker].paused {
 		return
 	}
-	fate := even(10).Draw(w.t, "fate")
+	fate := uniform(10).Draw(w.t, "fate")
 	if fate >= 3 {
 		w.network = slices.Delete(w.network, i, i+1)
 	}
@@ -433,10 +433,10 @@
 // The order of events may be anything: workers and leaders pause, restart and
 // change while messages are lost, doubled, late and reordered, and clocks run
 // apart within the bound.
-func TestNoAttemptRunsTwice(t *testing.T) {
+func TestAttemptNeverRunsTwice(t *testing.T) {
 	seen := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, seen)
+		w := newModel(t, seen)
 		for range 400 {
 			w.act()
 		}
--- a/lease/outbox.go
+++ b/lease/outbox.go
@@ -1,7 +1,7 @@
 package lease
 
 // Numbered is one command of an Outbox with its header.
-type Numbered[T any] struct {
+type NumberedCommand[T any] struct {
 	Header Header
 	Body   T
 }
@@ -13,7 +13,7 @@
 type Outbox[T any] struct {
 	term, incarnation uint64
 	last              uint64
-	pending           []Numbered[T]
+	pending           []NumberedCommand[T]
 }
 
 // NewOutbox returns an empty outbox for one leader's term and one incarnation
@@ -26,7 +26,7 @@
 func (o *Outbox[T]) Add(body T) Header {
 	o.last++
 	header := Header{Incarnation: o.incarnation, Position: Position{Term: o.term, Number: o.last}}
-	o.pending = append(o.pending, Numbered[T]{Header: header, Body: body})
+	o.pending = append(o.pending, NumberedCommand[T]{Header: header, Body: body})
 	return header
 }
 
@@ -46,7 +46,7 @@
 // always begin with the oldest that is not acknowledged, since the worker
 // takes no command before its predecessor. The slice is valid until the next
 // call of another method.
-func (o *Outbox[T]) Pending(max int) []Numbered[T] {
+func (o *Outbox[T]) Pending(max int) []NumberedCommand[T] {
 	return o.pending[:min(max, len(o.pending))]
 }
 
--- a/lease/table.go
+++ b/lease/table.go
@@ -32,14 +32,14 @@
 }
 
 // holding is what the owner knows of one worker's lease.
-type holding struct {
+type leaseRecord struct {
 	// incarnation is zero while none is known.
 	incarnation uint64
 	sequence    uint64
 	// until is when the worker's lease has ended for certain.
-	until time.Duration
+	expiresAt time.Duration
 	// heard says that this table itself has granted a lease.
-	heard bool
+	granted bool
 	// ended says that the lease was declared over; that is never taken back
 	// for the same incarnation.
 	ended bool
@@ -51,7 +51,7 @@
 type Table struct {
 	ttl, drift time.Duration
 	now        time.Duration
-	workers    map[string]*holding
+	workers    map[string]*leaseRecord
 }
 
 // NewTable returns an empty table. Leases are granted for ttl; drift is the
@@ -59,7 +59,7 @@
 // ttl is lowered between two leaders, the new one must still use the old ttl
 // until its predecessor's leases are over.
 func NewTable(ttl, drift time.Duration) *Table {
-	return &Table{ttl: ttl, drift: drift, workers: map[string]*holding{}}
+	return &Table{ttl: ttl, drift: drift, workers: map[string]*leaseRecord{}}
 }
 
 // TTL returns the time to live that goes into a granting answer.
@@ -75,20 +75,20 @@
 // on under a lease that the predecessor granted a moment ago. Each worker is
 // therefore taken to hold a lease until now+ttl+drift; see the package comment
 // for why that is enough. A worker that renews here is live at once.
-func (t *Table) Own(now time.Duration, workers []string) {
-	t.advance(now)
+func (t *Table) TakeOver(now time.Duration, workers []string) {
+	t.advanceClock(now)
 	for _, w := range workers {
 		if _, known := t.workers[w]; known {
 			continue
 		}
-		t.workers[w] = &holding{until: t.now + t.ttl + t.drift}
+		t.workers[w] = &leaseRecord{expiresAt: t.now + t.ttl + t.drift}
 	}
 }
 
 // Expect tells the table the highest incarnation that is committed for a
 // worker, so that a late renewal of an earlier one is known as stale by a new
 // leader too. It is called after Own.
-func (t *Table) Expect(worker string, incarnation uint64) {
+func (t *Table) RecordIncarnation(worker string, incarnation uint64) {
 	h := t.workers[worker]
 	if h == nil || h.incarnation >= incarnation {
 		return
@@ -106,10 +106,10 @@
 // arrives after the lease was declared over must not make the incarnation live
 // again, because its attempts may run elsewhere by then.
 func (t *Table) Renew(worker string, incarnation, sequence uint64, now time.Duration) Renewal {
-	t.advance(now)
+	t.advanceClock(now)
 	h := t.workers[worker]
 	if h == nil {
-		h = &holding{}
+		h = &leaseRecord{}
 		t.workers[worker] = h
 	}
 	switch {
@@ -123,28 +123,28 @@
 	result := Renewal{
 		Accepted:       true,
 		NewIncarnation: h.incarnation != 0 && incarnation > h.incarnation,
-		Unknown:        !h.heard || incarnation > h.incarnation,
+		Unknown:        !h.granted || incarnation > h.incarnation,
 	}
 	h.incarnation = incarnation
 	h.sequence = sequence
-	h.heard = true
+	h.granted = true
 	h.ended = false
-	t.prolong(worker, h)
+	t.extend(worker, h)
 	return result
 }
 
 // prolong moves the end of a lease. An end never moves back.
-func (t *Table) prolong(worker string, h *holding) {
+func (t *Table) extend(worker string, h *leaseRecord) {
 	until := t.now + t.ttl + t.drift
-	invariant(until >= h.until, "the lease of worker %s moved back", worker)
-	h.until = until
+	invariant(until >= h.expiresAt, "the lease of worker %s moved back", worker)
+	h.expiresAt = until
 }
 
 // Live says whether the worker has renewed with this table less than ttl ago.
 // Tasks go to live workers only.
 func (t *Table) Live(worker string, now time.Duration) bool {
 	h := t.workers[worker]
-	return h != nil && h.heard && !h.ended && now < h.until-t.drift
+	return h != nil && h.granted && !h.ended && now < h.expiresAt-t.drift
 }
 
 // Incarnation returns the highest incarnation known of a worker; commands and
@@ -161,17 +161,17 @@
 // each once. From then on no attempt of the worker's present or an earlier
 // incarnation runs or can start.
 func (t *Table) Expired(now time.Duration) []string {
-	t.advance(now)
-	var over []string
+	t.advanceClock(now)
+	var expired []string
 	for w, h := range t.workers {
-		if h.ended || t.now < h.until {
+		if h.ended || t.now < h.expiresAt {
 			continue
 		}
 		h.ended = true
-		over = append(over, w)
+		expired = append(expired, w)
 	}
-	slices.Sort(over)
-	return over
+	slices.Sort(expired)
+	return expired
 }
 
 // NextExpiry returns when Expired will next have something to tell. It is
@@ -180,10 +180,10 @@
 	var next time.Duration
 	found := false
 	for _, h := range t.workers {
-		if h.ended || (found && h.until >= next) {
+		if h.ended || (found && h.expiresAt >= next) {
 			continue
 		}
-		next = h.until
+		next = h.expiresAt
 		found = true
 	}
 	return next, found
@@ -192,7 +192,7 @@
 // Over is the proof that no attempt of a worker's incarnation runs or can
 // start: the lease was declared over, or the worker announced a higher
 // incarnation. Absence of a worker is no proof.
-func (t *Table) Over(worker string, incarnation uint64) bool {
+func (t *Table) Fenced(worker string, incarnation uint64) bool {
 	h := t.workers[worker]
 	if h == nil {
 		return false
@@ -228,7 +228,7 @@
 // advance takes over a reading of the owner's clock. Callers that read the
 // clock and then wait for a mutex come out of order; the later reading is then
 // right for both, since it has passed already.
-func (t *Table) advance(now time.Duration) {
+func (t *Table) advanceClock(now time.Duration) {
 	t.now = max(t.now, now)
 }
 
--- a/placement/arrivals/generate.go
+++ b/placement/arrivals/generate.go
@@ -12,45 +12,45 @@
 )
 
 // Mix says what arrives.
-type Mix struct {
+type Workload struct {
 	Seed uint64
 	// Load is the true work that arrives over what the workers could do.
 	Load float64
 	// Length is for how long jobs arrive.
-	Length time.Duration
+	Duration time.Duration
 	// Urgent and Gangs are the parts of the jobs of that kind.
 	Urgent float64
 	Gangs  float64
-	// WrongCustomers is the part of the customers that always declare run
+	// MisdeclaringCustomers is the part of the customers that always declare run
 	// times wrongly, by a factor between 0.2 and 5 that is fixed per name.
-	WrongCustomers float64
-	// WrongNames is the part of the names of other customers that are wrong
+	MisdeclaringCustomers float64
+	// MisdeclaredNames is the part of the names of other customers that are wrong
 	// in the same way.
-	WrongNames float64
+	MisdeclaredNames float64
 	// Noise is the standard deviation of the logarithm of each job's own
 	// error, on top.
-	Noise float64
+	DeclarationNoise float64
 	// Services is the part of the capacity that services hold throughout.
 	Services float64
 	// NotIdempotent is the part of the batch jobs that may run only once.
 	NotIdempotent float64
 	// Tight is the part of the jobs that must start within a few run times;
 	// the others have one to six hours.
-	Tight float64
+	TightDeadlines float64
 	// UrgentNeed is what an urgent task needs.
 	UrgentNeed placement.Resources
 	// Exact declares the true run times.
-	Exact bool
+	ExactDeclarations bool
 }
 
-// DefaultMix is the mix of the measurements at a load.
-func DefaultMix(seed uint64, load float64) Mix {
-	return Mix{
-		Seed: seed, Load: load, Length: 6 * time.Hour,
+// DefaultWorkload is the mix of the measurements at a load.
+func DefaultWorkload(seed uint64, load float64) Workload {
+	return Workload{
+		Seed: seed, Load: load, Duration: 6 * time.Hour,
 		Urgent: 0.1, Gangs: 0.05,
-		WrongCustomers: 0.3, WrongNames: 0.2, Noise: 0.1,
+		MisdeclaringCustomers: 0.3, MisdeclaredNames: 0.2, DeclarationNoise: 0.1,
 		Services: 0.1, NotIdempotent: 0.2,
-		Tight: 0.4, UrgentNeed: size(1, 2),
+		TightDeadlines: 0.4, UrgentNeed: resources(1, 2),
 	}
 }
 
@@ -59,7 +59,7 @@
 	At  time.Duration
 	Job placement.Job
 	// True is the run time of each task; it is the same for all.
-	True time.Duration
+	ActualRuntime time.Duration
 	// Peak is the most that a task uses.
 	Peak placement.Resources
 }
@@ -70,48 +70,48 @@
 const namesPerCustomer = 8
 
 // kind is a recurring job of a customer: its name, size and declared error.
-type kind struct {
-	customer int
-	name     string
-	need     placement.Resources
-	median   time.Duration
-	bias     float64
-	peak     float64
+type jobTemplate struct {
+	customer        int
+	name            string
+	need            placement.Resources
+	median          time.Duration
+	declarationBias float64
+	peakRatio       float64
 }
 
 type generator struct {
-	site  Site
-	mix   Mix
-	rand  *rand.Rand
-	kinds []kind
+	site      Site
+	mix       Workload
+	rand      *rand.Rand
+	templates []jobTemplate
 }
 
 // Generate makes the list of arrivals of a site, ordered by time. The spacing
 // is scaled so that the true work meets the load.
-func Generate(site Site, mix Mix) []Arrival {
+func Generate(site Site, mix Workload) []Arrival {
 	g := &generator{site: site, mix: mix, rand: rand.New(rand.NewPCG(mix.Seed, 1))}
-	g.makeKinds()
+	g.makeTemplates()
 	rate := mix.Load - mix.Services
-	budget := rate * mix.Length.Seconds()
+	budget := rate * mix.Duration.Seconds()
 	var list []Arrival
 	var at float64
-	var spent work
-	for n := 0; spent.largest() < budget; n++ {
-		a := g.job(n)
-		spent = spent.plus(workOf(a, site.total()))
+	var generated siteSeconds
+	for n := 0; generated.largest() < budget; n++ {
+		a := g.newArrival(n)
+		generated = generated.plus(siteSecondsOf(a, site.total()))
 		at += g.rand.ExpFloat64()
 		list = append(list, a)
 		list[n].At = time.Duration(at * float64(time.Second))
 	}
-	stretch := mix.Length.Seconds() / at
+	stretch := mix.Duration.Seconds() / at
 	for i := range list {
-		list[i].settle(stretch)
+		list[i].resolveTimes(stretch)
 	}
 	return list
 }
 
 // settle scales the time of arrival and makes the relative deadline absolute.
-func (a *Arrival) settle(stretch float64) {
+func (a *Arrival) resolveTimes(stretch float64) {
 	a.At = time.Duration(float64(a.At) * stretch)
 	now := epoch.Add(a.At)
 	a.Job.Submitted = now
@@ -119,11 +119,11 @@
 }
 
 // work is an amount of work by resource, in seconds of the whole site.
-type work struct{ cpu, memory, accelerators float64 }
+type siteSeconds struct{ cpu, memory, accelerators float64 }
 
-func workOf(a Arrival, total placement.Resources) work {
-	seconds := a.True.Seconds() * float64(a.Job.Tasks)
-	w := work{
+func siteSecondsOf(a Arrival, total placement.Resources) siteSeconds {
+	seconds := a.ActualRuntime.Seconds() * float64(a.Job.Tasks)
+	w := siteSeconds{
 		cpu:    seconds * float64(a.Job.Need.CPU) / float64(total.CPU),
 		memory: seconds * float64(a.Job.Need.Memory) / float64(total.Memory),
 	}
@@ -133,46 +133,46 @@
 	return w
 }
 
-func (w work) plus(o work) work {
-	return work{cpu: w.cpu + o.cpu, memory: w.memory + o.memory, accelerators: w.accelerators + o.accelerators}
+func (w siteSeconds) plus(o siteSeconds) siteSeconds {
+	return siteSeconds{cpu: w.cpu + o.cpu, memory: w.memory + o.memory, accelerators: w.accelerators + o.accelerators}
 }
 
 // largest is the work of the resource that is asked for most.
-func (w work) largest() float64 { return max(w.cpu, w.memory, w.accelerators) }
+func (w siteSeconds) largest() float64 { return max(w.cpu, w.memory, w.accelerators) }
 
-func (g *generator) makeKinds() {
+func (g *generator) makeTemplates() {
 	for c := range g.site.Customers {
-		wrong := float64(c) < g.mix.WrongCustomers*float64(g.site.Customers)
+		wrong := float64(c) < g.mix.MisdeclaringCustomers*float64(g.site.Customers)
 		for n := range namesPerCustomer {
-			g.kinds = append(g.kinds, g.kind(c, n, wrong))
+			g.templates = append(g.templates, g.newTemplate(c, n, wrong))
 		}
 	}
 }
 
-func (g *generator) kind(customer, n int, wrong bool) kind {
+func (g *generator) newTemplate(customer, n int, wrong bool) jobTemplate {
 	bias := 1.0
-	if wrong || g.rand.Float64() < g.mix.WrongNames {
+	if wrong || g.rand.Float64() < g.mix.MisdeclaredNames {
 		bias = math.Exp((2*g.rand.Float64() - 1) * math.Log(5))
 	}
 	cpu := []int64{1, 2, 2, 4, 4, 6, 8, 12}[g.rand.IntN(8)]
 	gigabytes := cpu * []int64{2, 3, 4, 5}[g.rand.IntN(4)]
-	need := size(cpu, gigabytes)
+	need := resources(cpu, gigabytes)
 	if g.site.Accelerators > 0 && g.rand.Float64() < 0.25 {
 		need.Accelerators = 1 + g.rand.Int64N(2)
 	}
-	return kind{
-		customer: customer,
-		name:     fmt.Sprintf("job-%d", n),
-		need:     need,
-		median:   time.Duration(math.Exp(g.rand.NormFloat64()*0.7) * float64(4*time.Minute)),
-		bias:     bias,
-		peak:     0.4 + 0.7*g.rand.Float64(),
+	return jobTemplate{
+		customer:        customer,
+		name:            fmt.Sprintf("job-%d", n),
+		need:            need,
+		median:          time.Duration(math.Exp(g.rand.NormFloat64()*0.7) * float64(4*time.Minute)),
+		declarationBias: bias,
+		peakRatio:       0.4 + 0.7*g.rand.Float64(),
 	}
 }
 
 // job draws one job; its deadline is relative to the zero time until settled.
-func (g *generator) job(n int) Arrival {
-	k := g.kinds[g.rand.IntN(len(g.kinds))]
+func (g *generator) newArrival(n int) Arrival {
+	k := g.templates[g.rand.IntN(len(g.templates))]
 	run := time.Duration(math.Exp(g.rand.NormFloat64()*0.25) * float64(k.median))
 	run = min(max(run, 5*time.Second), time.Hour)
 	j := placement.Job{
@@ -199,23 +199,23 @@
 		j.Tasks = 4 + g.rand.IntN(13)
 		slack += 30 * time.Minute
 	}
-	j.Runtime = g.declare(run, k.bias)
+	j.Runtime = g.declaredRuntime(run, k.declarationBias)
 	j.Deadline = time.Time{}.Add(run + slack)
-	peak := placement.Resources{CPU: int64(float64(j.Need.CPU) * k.peak), Memory: int64(float64(j.Need.Memory) * k.peak)}
-	return Arrival{Job: j, True: run, Peak: peak}
+	peak := placement.Resources{CPU: int64(float64(j.Need.CPU) * k.peakRatio), Memory: int64(float64(j.Need.Memory) * k.peakRatio)}
+	return Arrival{Job: j, ActualRuntime: run, Peak: peak}
 }
 
 // slack draws the time beyond the run time.
 func (g *generator) slack(run time.Duration) time.Duration {
-	if g.rand.Float64() < g.mix.Tight {
+	if g.rand.Float64() < g.mix.TightDeadlines {
 		return 2*time.Minute + time.Duration((1+5*g.rand.Float64())*float64(run))
 	}
 	return time.Hour + time.Duration(g.rand.Float64()*5*float64(time.Hour))
 }
 
-func (g *generator) declare(run time.Duration, bias float64) time.Duration {
-	noise := math.Exp(g.rand.NormFloat64() * g.mix.Noise)
-	if g.mix.Exact {
+func (g *generator) declaredRuntime(run time.Duration, bias float64) time.Duration {
+	noise := math.Exp(g.rand.NormFloat64() * g.mix.DeclarationNoise)
+	if g.mix.ExactDeclarations {
 		return run
 	}
 	return time.Duration(float64(run)*bias*noise).Round(time.Second) + time.Second
@@ -230,21 +230,21 @@
 	Until time.Duration
 }
 
-// floodRun is how long each task of a flood takes.
-const floodRun = 3 * time.Minute
+// floodTaskRuntime is how long each task of a flood takes.
+const floodTaskRuntime = 3 * time.Minute
 
 // Add merges the jobs of the flood into a list of arrivals.
 func (f Flood) Add(site Site, list []Arrival) []Arrival {
-	need := size(4, 12)
+	need := resources(4, 12)
 	const tasks = 10
-	perJob := floodRun.Seconds() * tasks * float64(need.CPU) / float64(site.total().CPU)
+	perJob := floodTaskRuntime.Seconds() * tasks * float64(need.CPU) / float64(site.total().CPU)
 	count := int(f.Load * (f.Until - f.From).Seconds() / perJob)
 	for i := range count {
 		at := f.From + (f.Until-f.From)*time.Duration(i)/time.Duration(count)
 		now := epoch.Add(at)
-		list = append(list, Arrival{At: at, True: floodRun, Job: placement.Job{
+		list = append(list, Arrival{At: at, ActualRuntime: floodTaskRuntime, Job: placement.Job{
 			ID: fmt.Sprintf("f%06d", i), Customer: f.Customer, Name: "flood", Policy: placement.Batch, Tasks: tasks,
-			Need: need, Runtime: floodRun, Submitted: now, Deadline: now.Add(12 * time.Hour), Idempotent: true,
+			Need: need, Runtime: floodTaskRuntime, Submitted: now, Deadline: now.Add(12 * time.Hour), Idempotent: true,
 		}})
 	}
 	slices.SortStableFunc(list, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
--- a/placement/arrivals/measure_test.go
+++ b/placement/arrivals/measure_test.go
@@ -28,7 +28,7 @@
 
 // clairvoyant knows the true run times, starts what must start first on the
 // first worker with room and gives up exactly what can't end in time.
-func clairvoyant() placement.Options {
+func oracleOptions() placement.Options {
 	o := placement.DefaultOptions()
 	o.DueWindow = 1000 * time.Hour
 	o.FirstFit = true
@@ -37,12 +37,12 @@
 	return o
 }
 
-func run(site Site, mix Mix, o placement.Options, faults ...Fault) *Report {
+func run(site Site, mix Workload, o placement.Options, faults ...WorkerFault) *Report {
 	return Replay(Config{Site: site, Options: o, Services: mix.Services, Faults: faults, Stopwatch: stopwatch()}, Generate(site, mix))
 }
 
 // wanted skips a measurement that was not asked for.
-func wanted(t *testing.T, name string) {
+func skipUnlessSelected(t *testing.T, name string) {
 	if *measure != name && *measure != "all" {
 		t.Skip("run with -measure " + name)
 	}
@@ -50,7 +50,7 @@
 
 func sites() []Site {
 	var list []Site
-	for _, s := range []Site{Rackwise(), Himalaya(), Later()} {
+	for _, s := range []Site{Rackwise(), Himalaya(), GrowthTarget()} {
 		if *only == "" || *only == s.Name {
 			list = append(list, s)
 		}
@@ -60,37 +60,37 @@
 
 // TestLoad prints baseline, placement and clairvoyant at one load.
 func TestLoad(t *testing.T) {
-	wanted(t, "load")
+	skipUnlessSelected(t, "load")
 	for _, site := range sites() {
 		for s := uint64(1); s <= *seeds; s++ {
-			mix := DefaultMix(s, *load)
-			mix.Tight, mix.Length = *tight, *length
+			mix := DefaultWorkload(s, *load)
+			mix.TightDeadlines, mix.Duration = *tight, *length
 			exact := mix
-			exact.Exact = true
+			exact.ExactDeclarations = true
 			if *brief {
 				fmt.Printf("%s seed %d placement   %v\n", site.Name, s, run(site, mix, placement.DefaultOptions()))
 				continue
 			}
 			fmt.Printf("%s seed %d baseline    %v\n", site.Name, s, run(site, mix, placement.BaselineOptions()))
 			fmt.Printf("%s seed %d placement   %v\n", site.Name, s, run(site, mix, placement.DefaultOptions()))
-			fmt.Printf("%s seed %d clairvoyant %v\n", site.Name, s, run(site, exact, clairvoyant()))
+			fmt.Printf("%s seed %d clairvoyant %v\n", site.Name, s, run(site, exact, oracleOptions()))
 		}
 	}
 }
 
 // TestPacking prints the work done in time over a range of loads.
 func TestPacking(t *testing.T) {
-	wanted(t, "packing")
+	skipUnlessSelected(t, "packing")
 	for _, site := range sites() {
 		var points []packingPoint
 		for step := range 10 {
-			mix := DefaultMix(1, 0.75+0.05*float64(step))
+			mix := DefaultWorkload(1, 0.75+0.05*float64(step))
 			base := run(site, mix, placement.BaselineOptions())
-			own := run(site, mix, placement.DefaultOptions())
+			scheduled := run(site, mix, placement.DefaultOptions())
 			fmt.Printf("%s seed 1 load %.2f baseline goodput %.1f%% not in time %.2f%% | placement goodput %.1f%% not in time %.2f%% refused %.2f%% missed %.3f%%\n",
 				site.Name, mix.Load, 100*base.Goodput(), 100-100*base.InTimeRate(),
-				100*own.Goodput(), 100-100*own.InTimeRate(), 100*own.RefusalRate(), 100*own.MissRate())
-			points = append(points, packingPoint{load: mix.Load, base: 100 * base.Goodput(), own: 100 * own.Goodput()})
+				100*scheduled.Goodput(), 100-100*scheduled.InTimeRate(), 100*scheduled.RefusalRate(), 100*scheduled.MissRate())
+			points = append(points, packingPoint{load: mix.Load, baseline: 100 * base.Goodput(), scheduled: 100 * scheduled.Goodput()})
 		}
 		if *plots != "" {
 			plotPacking(t, site, points, filepath.Join(*plots, "placement-packing-"+site.Name+".svg"))
@@ -101,12 +101,12 @@
 // TestUrgent prints the waiting time of urgent work of four cores while more
 // batch work arrives than the workers can do.
 func TestUrgent(t *testing.T) {
-	wanted(t, "urgent")
+	skipUnlessSelected(t, "urgent")
 	for _, site := range sites() {
 		for s := uint64(1); s <= *seeds; s++ {
-			mix := DefaultMix(s, 1.3)
-			mix.Tight = 0
-			mix.UrgentNeed = size(4, 8)
+			mix := DefaultWorkload(s, 1.3)
+			mix.TightDeadlines = 0
+			mix.UrgentNeed = resources(4, 8)
 			base := run(site, mix, placement.BaselineOptions())
 			own := run(site, mix, placement.DefaultOptions())
 			fmt.Printf("%s seed %d baseline urgent p50 %v p99 %v | placement urgent p50 %v p99 %v preempted %d missed %.3f%% refused %.2f%%\n",
@@ -119,11 +119,11 @@
 // TestFlood prints the waits of all other customers while one customer floods
 // the queue for two hours, by the size of the flood.
 func TestFlood(t *testing.T) {
-	wanted(t, "flood")
+	skipUnlessSelected(t, "flood")
 	for _, site := range sites() {
 		for s := uint64(1); s <= *seeds; s++ {
 			for _, size := range []float64{0, 0.5, 1, 2, 5} {
-				mix := DefaultMix(s, 0.6)
+				mix := DefaultWorkload(s, 0.6)
 				list := Flood{Customer: "flood", Load: size, From: time.Hour, Until: 3 * time.Hour}.Add(site, Generate(site, mix))
 				for name, o := range map[string]placement.Options{"baseline": placement.BaselineOptions(), "placement": placement.DefaultOptions()} {
 					r := Replay(Config{Site: site, Options: o, Services: mix.Services}, list)
@@ -137,13 +137,13 @@
 
 // TestFaults prints what two workers cost that fail all they start for two hours.
 func TestFaults(t *testing.T) {
-	wanted(t, "faults")
+	skipUnlessSelected(t, "faults")
 	for _, site := range sites() {
-		faults := []Fault{{Worker: "w003", From: time.Hour, Until: 3 * time.Hour}, {Worker: "w017", From: 90 * time.Minute, Until: 4 * time.Hour}}
+		faults := []WorkerFault{{Worker: "w003", From: time.Hour, Until: 3 * time.Hour}, {Worker: "w017", From: 90 * time.Minute, Until: 4 * time.Hour}}
 		for s := uint64(1); s <= *seeds; s++ {
-			mix := DefaultMix(s, 0.8)
+			mix := DefaultWorkload(s, 0.8)
 			off := placement.DefaultOptions()
-			off.NoSetAside = true
+			off.NoQuarantine = true
 			base := run(site, mix, placement.BaselineOptions(), faults...)
 			without := run(site, mix, off, faults...)
 			own := run(site, mix, placement.DefaultOptions(), faults...)
--- a/placement/arrivals/plot_test.go
+++ b/placement/arrivals/plot_test.go
@@ -12,7 +12,7 @@
 
 // packingPoint is one load of the packing measurement, in percent.
 type packingPoint struct {
-	load, base, own float64
+	load, baseline, scheduled float64
 }
 
 // plotPacking draws the useful work over the load as SVG.
@@ -24,8 +24,8 @@
 	p.Legend.Top, p.Legend.Left = true, true
 	base, own := make(plotter.XYs, len(points)), make(plotter.XYs, len(points))
 	for i, x := range points {
-		base[i].X, base[i].Y = x.load, x.base
-		own[i].X, own[i].Y = x.load, x.own
+		base[i].X, base[i].Y = x.load, x.baseline
+		own[i].X, own[i].Y = x.load, x.scheduled
 	}
 	must.NoError(t, plotutil.AddLinePoints(p, "placement", own, "first come, first fit", base))
 	must.NoError(t, p.Save(14*vg.Centimeter, 9*vg.Centimeter, file))
--- a/placement/arrivals/replay.go
+++ b/placement/arrivals/replay.go
@@ -9,7 +9,7 @@
 )
 
 // Fault is a worker that fails whatever it starts, within a second.
-type Fault struct {
+type WorkerFault struct {
 	Worker string
 	From   time.Duration
 	Until  time.Duration
@@ -20,7 +20,7 @@
 	Site     Site
 	Options  placement.Options
 	Services float64
-	Faults   []Fault
+	Faults   []WorkerFault
 	// Stopwatch returns a running time by which decisions are timed; nil
 	// leaves them untimed.
 	Stopwatch func() time.Duration
@@ -29,18 +29,18 @@
 const (
 	// reportLag is how late measured usage reaches the scheduler.
 	reportLag = 10 * time.Second
-	// stopTime is how long a preempted task takes to stop.
-	stopTime = 2 * time.Second
-	// failTime is how long a task on a faulty worker lasts.
-	failTime = time.Second
-	// retryPause holds a failed task back.
-	retryPause = 5 * time.Second
+	// preemptionDelay is how long a preempted task takes to stop.
+	preemptionDelay = 2 * time.Second
+	// faultyTaskRuntime is how long a task on a faulty worker lasts.
+	faultyTaskRuntime = time.Second
+	// retryBackoff holds a failed task back.
+	retryBackoff = 5 * time.Second
 	// maxAttempts is when a failed task is given up.
 	maxAttempts = 5
-	// planSize is the most decisions that are taken from one evaluation.
-	planSize = 256
-	// settleTime after the last deadline ends the replay.
-	settleTime = 2 * time.Hour
+	// maxDecisions is the most decisions that are taken from one evaluation.
+	maxDecisions = 256
+	// drainTime after the last deadline ends the replay.
+	drainTime = 2 * time.Hour
 )
 
 type eventKind uint8
@@ -54,11 +54,11 @@
 
 // event is something that happens at a time of the replay.
 type event struct {
-	at    time.Duration
-	order int
-	kind  eventKind
-	job   *job
-	task  int
+	at       time.Duration
+	sequence int
+	kind     eventKind
+	job      *job
+	task     int
 	// attempt tells an end from that of an earlier attempt that was stopped.
 	attempt int
 	failed  bool
@@ -72,7 +72,7 @@
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
-	return h[i].order < h[j].order
+	return h[i].sequence < h[j].sequence
 }
 func (h *events) Push(x any) { *h = append(*h, x.(event)) }
 func (h *events) Pop() any {
@@ -88,42 +88,42 @@
 	waiting []int
 	done    int
 	// inWindow is the work that was done while jobs arrived.
-	inWindow work
+	inWindow siteSeconds
 	lastEnd  time.Duration
 	refused  bool
 	finished bool
 }
 
 type task struct {
-	worker  string
-	started time.Duration
-	begun   bool
-	attempt int
-	fails   int
+	worker      string
+	started     time.Duration
+	everStarted bool
+	attempt     int
+	failures    int
 }
 
 type replay struct {
-	config  Config
-	cluster *placement.Cluster
-	now     time.Duration
-	events  events
-	order   int
-	jobs    map[string]*job
-	report  *Report
-	woken   time.Duration
-	faulty  map[string][]Fault
-	used    placement.Resources
+	config   Config
+	cluster  *placement.Cluster
+	now      time.Duration
+	events   events
+	sequence int
+	jobs     map[string]*job
+	report   *Report
+	nextWake time.Duration
+	faulty   map[string][]WorkerFault
+	used     placement.Resources
 }
 
 // Replay runs the arrivals to their end and reports.
 func Replay(config Config, arrivals []Arrival) *Report {
 	r := &replay{
-		config:  config,
-		cluster: placement.NewCluster(config.Options),
-		jobs:    map[string]*job{},
-		report:  newReport(config.Site),
-		woken:   -1,
-		faulty:  map[string][]Fault{},
+		config:   config,
+		cluster:  placement.NewCluster(config.Options),
+		jobs:     map[string]*job{},
+		report:   newReport(config.Site),
+		nextWake: -1,
+		faulty:   map[string][]WorkerFault{},
 	}
 	for _, f := range config.Faults {
 		r.faulty[f.Worker] = append(r.faulty[f.Worker], f)
@@ -135,18 +135,18 @@
 	var stop time.Duration
 	for i := range arrivals {
 		a := &arrivals[i]
-		r.push(event{at: a.At, kind: eventArrival, job: &job{arrival: *a}})
+		r.schedule(event{at: a.At, kind: eventArrival, job: &job{arrival: *a}})
 		stop = max(stop, a.Job.Deadline.Sub(epoch))
-		r.report.window = max(r.report.window, a.At)
+		r.report.arrivalWindow = max(r.report.arrivalWindow, a.At)
 	}
-	r.run(stop + settleTime)
-	r.finish()
+	r.run(stop + drainTime)
+	r.countUnfinished()
 	return r.report
 }
 
-func (r *replay) push(e event) {
-	r.order++
-	e.order = r.order
+func (r *replay) schedule(e event) {
+	r.sequence++
+	e.sequence = r.sequence
 	heap.Push(&r.events, e)
 }
 
@@ -155,7 +155,7 @@
 // placeServices fills a part of the workers with tasks that never end.
 func (r *replay) placeServices() {
 	total := r.config.Site.total()
-	need := size(4, 12)
+	need := resources(4, 12)
 	count := int(r.config.Services * float64(total.CPU) / float64(need.CPU))
 	if count == 0 {
 		return
@@ -174,7 +174,7 @@
 			return
 		}
 		for _, s := range plan.Starts {
-			r.must(r.cluster.Place(placement.Placed{Job: s.Job, Task: next[s.Job], Worker: s.Worker, Policy: placement.Service, Need: s.Need, Started: epoch}))
+			r.mustSucceed(r.cluster.Place(placement.Placed{Job: s.Job, Task: next[s.Job], Worker: s.Worker, Policy: placement.Service, Need: s.Need, Started: epoch}))
 			next[s.Job]++
 			r.used = add(r.used, s.Need, 1)
 		}
@@ -185,7 +185,7 @@
 }
 
 // must stops a replay in which a plan did not hold against the accounts.
-func (r *replay) must(err error) {
+func (r *replay) mustSucceed(err error) {
 	if err != nil {
 		panic(fmt.Sprintf("replay at %v: %v", r.now, err))
 	}
@@ -197,7 +197,7 @@
 		if e.at > stop {
 			return
 		}
-		r.report.advance(r.now, e.at, r.used)
+		r.report.addUsage(r.now, e.at, r.used)
 		r.now = e.at
 		if r.handle(e) {
 			r.evaluate()
@@ -211,24 +211,24 @@
 	case eventArrival:
 		return r.arrive(e.job)
 	case eventEnd:
-		return r.end(e)
+		return r.endAttempt(e)
 	case eventLearn:
-		r.learn(e.job)
+		r.reportSample(e.job)
 		return false
 	default:
-		return e.at == r.woken
+		return e.at == r.nextWake
 	}
 }
 
 func (r *replay) arrive(j *job) bool {
 	r.jobs[j.arrival.Job.ID] = j
-	begin := r.watch()
+	begin := r.stopwatchTime()
 	v := r.cluster.Admit(j.arrival.Job, r.wall(), placement.Resources{CPU: -1, Memory: -1, Accelerators: -1})
-	r.report.admitted(r.watch() - begin)
+	r.report.recordAdmission(r.stopwatchTime() - begin)
 	r.report.submitted++
 	if !v.Admitted {
 		j.refused = true
-		r.report.refuse(j, v)
+		r.report.recordRefusal(j, v)
 		return false
 	}
 	j.tasks = make([]task, j.arrival.Job.Tasks)
@@ -246,7 +246,7 @@
 	r.cluster.Enqueue(entry)
 }
 
-func (r *replay) watch() time.Duration {
+func (r *replay) stopwatchTime() time.Duration {
 	if r.config.Stopwatch == nil {
 		return 0
 	}
@@ -256,12 +256,12 @@
 // evaluate commits plans until nothing more can be decided now.
 func (r *replay) evaluate() {
 	for {
-		begin := r.watch()
-		plan := r.cluster.Evaluate(r.wall(), planSize)
-		r.report.decided(r.watch()-begin, len(plan.Starts))
+		begin := r.stopwatchTime()
+		plan := r.cluster.Evaluate(r.wall(), maxDecisions)
+		r.report.recordEvaluation(r.stopwatchTime()-begin, len(plan.Starts))
 		r.commit(plan)
 		if len(plan.Starts) == 0 && len(plan.Refusals) == 0 {
-			r.wake(plan.Wake)
+			r.wake(plan.ReevaluateAt)
 			return
 		}
 	}
@@ -271,8 +271,8 @@
 	if at.IsZero() {
 		return
 	}
-	r.woken = max(at.Sub(epoch), r.now+time.Millisecond)
-	r.push(event{at: r.woken, kind: eventWake})
+	r.nextWake = max(at.Sub(epoch), r.now+time.Millisecond)
+	r.schedule(event{at: r.nextWake, kind: eventWake})
 }
 
 func (r *replay) commit(plan placement.Plan) {
@@ -284,17 +284,17 @@
 	}
 	for _, p := range plan.Preemptions {
 		j := r.jobs[p.Job]
-		r.cluster.Stopping(p.Job, p.Task)
+		r.cluster.MarkStopping(p.Job, p.Task)
 		j.tasks[p.Task].attempt++
 		r.report.preempted++
-		r.push(event{at: r.now + stopTime, kind: eventEnd, job: j, task: p.Task, attempt: j.tasks[p.Task].attempt})
+		r.schedule(event{at: r.now + preemptionDelay, kind: eventEnd, job: j, task: p.Task, attempt: j.tasks[p.Task].attempt})
 	}
 }
 
 // giveUp ends accepted work that has become hopeless.
 func (r *replay) giveUp(j *job) {
 	j.refused = true
-	r.report.miss(j, missHopeless)
+	r.report.recordMiss(j, missInfeasible)
 	r.cluster.Dequeue(j.arrival.Job.ID)
 }
 
@@ -302,25 +302,25 @@
 	i := j.waiting[0]
 	j.waiting = j.waiting[1:]
 	t := &j.tasks[i]
-	if !t.begun {
-		t.begun = true
-		r.report.waited(j, r.now-j.arrival.At)
+	if !t.everStarted {
+		t.everStarted = true
+		r.report.recordWait(j, r.now-j.arrival.At)
 	}
 	t.worker = s.Worker
 	t.started = r.now
 	t.attempt += 2
 	a := j.arrival.Job
-	r.must(r.cluster.Place(placement.Placed{
+	r.mustSucceed(r.cluster.Place(placement.Placed{
 		Job: a.ID, Task: i, Worker: s.Worker, Customer: a.Customer, Name: a.Name, Policy: a.Policy, Need: s.Need,
 		Urgent: a.Urgent, Idempotent: a.Idempotent, Started: r.wall(), Runtime: a.Runtime, Deadline: a.Deadline,
 	}))
 	r.used = add(r.used, s.Need, 1)
 	r.enqueueRest(j)
-	run, failed := j.arrival.True, false
+	run, failed := j.arrival.ActualRuntime, false
 	if r.isFaulty(s.Worker) {
-		run, failed = failTime, true
+		run, failed = faultyTaskRuntime, true
 	}
-	r.push(event{at: r.now + run, kind: eventEnd, job: j, task: i, attempt: t.attempt, failed: failed})
+	r.schedule(event{at: r.now + run, kind: eventEnd, job: j, task: i, attempt: t.attempt, failed: failed})
 }
 
 func (r *replay) enqueueRest(j *job) {
@@ -344,7 +344,7 @@
 }
 
 // end frees a worker; a task that was preempted or failed waits again.
-func (r *replay) end(e event) bool {
+func (r *replay) endAttempt(e event) bool {
 	j, t := e.job, &e.job.tasks[e.task]
 	if t.attempt != e.attempt {
 		return false
@@ -358,28 +358,28 @@
 	switch {
 	case preempted:
 		t.attempt++
-		r.again(j, e.task, time.Time{})
+		r.requeue(j, e.task, time.Time{})
 	case e.failed:
-		r.fail(j, e.task)
+		r.failTask(j, e.task)
 	default:
 		r.cluster.ReportSuccess(t.worker, id, r.wall())
 		j.inWindow = j.inWindow.plus(r.doneInWindow(j, t.started))
 		r.complete(j)
-		r.push(event{at: r.now + reportLag, kind: eventLearn, job: j})
+		r.schedule(event{at: r.now + reportLag, kind: eventLearn, job: j})
 	}
 	return true
 }
 
 // doneInWindow is the part of a finished task that ran while jobs arrived.
-func (r *replay) doneInWindow(j *job, started time.Duration) work {
-	ran := min(r.now, r.report.window) - started
+func (r *replay) doneInWindow(j *job, started time.Duration) siteSeconds {
+	ran := min(r.now, r.report.arrivalWindow) - started
 	if ran <= 0 {
-		return work{}
+		return siteSeconds{}
 	}
-	return workOf(Arrival{True: ran, Job: placement.Job{Tasks: 1, Need: j.arrival.Job.Need}}, r.config.Site.total())
+	return siteSecondsOf(Arrival{ActualRuntime: ran, Job: placement.Job{Tasks: 1, Need: j.arrival.Job.Need}}, r.config.Site.total())
 }
 
-func (r *replay) again(j *job, task int, notBefore time.Time) {
+func (r *replay) requeue(j *job, task int, notBefore time.Time) {
 	if j.refused {
 		return
 	}
@@ -387,20 +387,20 @@
 	r.enqueue(j, notBefore)
 }
 
-func (r *replay) fail(j *job, i int) {
+func (r *replay) failTask(j *job, i int) {
 	t := &j.tasks[i]
 	r.report.failures++
 	r.cluster.ReportFailure(t.worker, j.arrival.Job.ID, r.wall())
-	t.fails++
-	if j.arrival.Job.Idempotent && t.fails < maxAttempts {
-		r.again(j, i, r.wall().Add(retryPause))
+	t.failures++
+	if j.arrival.Job.Idempotent && t.failures < maxAttempts {
+		r.requeue(j, i, r.wall().Add(retryBackoff))
 		return
 	}
 	if j.refused {
 		return
 	}
 	j.refused = true
-	r.report.miss(j, missFailed)
+	r.report.recordMiss(j, missFailed)
 	r.cluster.Dequeue(j.arrival.Job.ID)
 }
 
@@ -411,19 +411,19 @@
 		return
 	}
 	j.finished = true
-	r.report.finish(j)
+	r.report.recordFinish(j)
 }
 
-func (r *replay) learn(j *job) {
+func (r *replay) reportSample(j *job) {
 	a := j.arrival.Job
-	r.cluster.Learn(placement.Sample{Customer: a.Customer, Name: a.Name, Declared: a.Runtime, Measured: j.arrival.True, Need: a.Need, Peak: j.arrival.Peak})
+	r.cluster.Learn(placement.Sample{Customer: a.Customer, Name: a.Name, Declared: a.Runtime, Measured: j.arrival.ActualRuntime, Need: a.Need, Peak: j.arrival.Peak})
 }
 
 // finish counts what is left unfinished as missed.
-func (r *replay) finish() {
+func (r *replay) countUnfinished() {
 	for _, j := range r.jobs {
 		if !j.finished && !j.refused {
-			r.report.miss(j, missLeft)
+			r.report.recordMiss(j, missUnfinished)
 		}
 	}
 }
