--- a/placement/arrivals/report.go
+++ b/placement/arrivals/report.go
@@ -15,109 +15,109 @@
 const (
 	// missLate finished after its deadline.
 	missLate missKind = iota
-	// missHopeless was given up by the scheduler after acceptance.
-	missHopeless
+	// missInfeasible was given up by the scheduler after acceptance.
+	missInfeasible
 	// missFailed failed on workers too often.
 	missFailed
-	// missLeft was not finished when the replay ended.
-	missLeft
-	missKinds
+	// missUnfinished was not finished when the replay ended.
+	missUnfinished
+	missKindCount
 )
 
 // Waits holds waiting times in milliseconds.
-type Waits struct{ histogram *hdrhistogram.Histogram }
+type WaitTimes struct{ histogram *hdrhistogram.Histogram }
 
-func newWaits() *Waits {
-	return &Waits{histogram: hdrhistogram.New(1, int64(48*time.Hour/time.Millisecond), 3)}
+func newWaitTimes() *WaitTimes {
+	return &WaitTimes{histogram: hdrhistogram.New(1, int64(48*time.Hour/time.Millisecond), 3)}
 }
 
 // Quantile is the waiting time that the part q of the tasks stays within.
-func (w *Waits) Quantile(q float64) time.Duration {
+func (w *WaitTimes) Quantile(q float64) time.Duration {
 	return time.Duration(w.histogram.ValueAtQuantile(100*q)) * time.Millisecond
 }
 
-func (w *Waits) record(d time.Duration) {
+func (w *WaitTimes) record(d time.Duration) {
 	_ = w.histogram.RecordValue(int64(d / time.Millisecond))
 }
 
 // Report is what a replay showed.
 type Report struct {
-	site   Site
-	window time.Duration
+	site          Site
+	arrivalWindow time.Duration
 
 	submitted int
 	refused   map[placement.Reason]int
-	// refusedAlone counts refusals that name no time to come back: the
+	// refusedPermanently counts refusals that name no time to come back: the
 	// run time alone was taken to overrun the deadline.
-	refusedAlone int
-	// refusedEarly counts refusals in the first hour, while run times are
+	refusedPermanently int
+	// refusedFirstHour counts refusals in the first hour, while run times are
 	// still being learned.
-	refusedEarly int
+	refusedFirstHour int
 	// refusedBy counts refusals by customer.
 	refusedBy map[string]int
-	missed    [missKinds]int
+	missed    [missKindCount]int
 	inTime    int
 	// inTimeWork and used are in seconds of the whole site.
-	inTimeWork work
-	busy       work
+	inTimeWork siteSeconds
+	usedWork   siteSeconds
 	preempted  int
 	failures   int
 
-	Normal   *Waits
-	Urgent   *Waits
-	Gangs    *Waits
-	Customer map[string]*Waits
+	Normal   *WaitTimes
+	Urgent   *WaitTimes
+	Gangs    *WaitTimes
+	Customer map[string]*WaitTimes
 
-	evaluations *hdrhistogram.Histogram
-	admissions  *hdrhistogram.Histogram
-	spent       time.Duration
-	starts      int
+	evaluations    *hdrhistogram.Histogram
+	admissions     *hdrhistogram.Histogram
+	schedulingTime time.Duration
+	starts         int
 }
 
 func newReport(site Site) *Report {
 	timing := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(10*time.Second), 3) }
 	return &Report{
 		site: site, refused: map[placement.Reason]int{}, refusedBy: map[string]int{},
-		Normal: newWaits(), Urgent: newWaits(), Gangs: newWaits(), Customer: map[string]*Waits{},
+		Normal: newWaitTimes(), Urgent: newWaitTimes(), Gangs: newWaitTimes(), Customer: map[string]*WaitTimes{},
 		evaluations: timing(), admissions: timing(),
 	}
 }
 
 // advance adds what was used between two events, within the time of arrivals.
-func (r *Report) advance(from, to time.Duration, used placement.Resources) {
-	to = min(to, r.window)
+func (r *Report) addUsage(from, to time.Duration, used placement.Resources) {
+	to = min(to, r.arrivalWindow)
 	if to <= from {
 		return
 	}
-	held := Arrival{True: to - from, Job: placement.Job{Tasks: 1, Need: used}}
-	r.busy = r.busy.plus(workOf(held, r.site.total()))
+	held := Arrival{ActualRuntime: to - from, Job: placement.Job{Tasks: 1, Need: used}}
+	r.usedWork = r.usedWork.plus(siteSecondsOf(held, r.site.total()))
 }
 
-func (r *Report) admitted(took time.Duration) {
+func (r *Report) recordAdmission(took time.Duration) {
 	_ = r.admissions.RecordValue(int64(took))
-	r.spent += took
+	r.schedulingTime += took
 }
 
-func (r *Report) decided(took time.Duration, starts int) {
+func (r *Report) recordEvaluation(took time.Duration, starts int) {
 	_ = r.evaluations.RecordValue(int64(took))
-	r.spent += took
+	r.schedulingTime += took
 	r.starts += starts
 }
 
-func (r *Report) refuse(j *job, v placement.Verdict) {
+func (r *Report) recordRefusal(j *job, v placement.AdmissionDecision) {
 	r.refused[v.Reason]++
 	r.refusedBy[j.arrival.Job.Customer]++
 	if v.RetryAfter == 0 {
-		r.refusedAlone++
+		r.refusedPermanently++
 	}
 	if j.arrival.At < time.Hour {
-		r.refusedEarly++
+		r.refusedFirstHour++
 	}
 }
 
-func (r *Report) miss(_ *job, kind missKind) { r.missed[kind]++ }
+func (r *Report) recordMiss(_ *job, kind missKind) { r.missed[kind]++ }
 
-func (r *Report) waited(j *job, d time.Duration) {
+func (r *Report) recordWait(j *job, d time.Duration) {
 	a := j.arrival.Job
 	switch {
 	case a.Urgent:
@@ -128,16 +128,16 @@
 		r.Normal.record(d)
 		own, found := r.Customer[a.Customer]
 		if !found {
-			own = newWaits()
+			own = newWaitTimes()
 			r.Customer[a.Customer] = own
 		}
 		own.record(d)
 	}
 }
 
-func (r *Report) finish(j *job) {
+func (r *Report) recordFinish(j *job) {
 	if epoch.Add(j.lastEnd).After(j.arrival.Job.Deadline) {
-		r.miss(j, missLate)
+		r.recordMiss(j, missLate)
 		return
 	}
 	r.inTime++
@@ -147,7 +147,7 @@
 // OthersWait is the waiting time that the part q of the normal tasks of all
 // customers but one stays within.
 func (r *Report) OthersWait(except string, q float64) time.Duration {
-	others := newWaits()
+	others := newWaitTimes()
 	for customer, w := range r.Customer {
 		if customer != except {
 			others.histogram.Merge(w.histogram)
@@ -188,18 +188,18 @@
 
 // Busy is the mean part in use, while jobs arrived, of the resource that is
 // used most.
-func (r *Report) Busy() float64 { return r.busy.largest() / r.window.Seconds() }
+func (r *Report) Busy() float64 { return r.usedWork.largest() / r.arrivalWindow.Seconds() }
 
 // Goodput is the work done while jobs arrived, for jobs that finished in time,
 // as a part of what the workers could do. Services are not in it.
-func (r *Report) Goodput() float64 { return r.inTimeWork.largest() / r.window.Seconds() }
+func (r *Report) Goodput() float64 { return r.inTimeWork.largest() / r.arrivalWindow.Seconds() }
 
 // DecisionRate is the number of starts per second of deciding.
 func (r *Report) DecisionRate() float64 {
-	if r.spent == 0 {
+	if r.schedulingTime == 0 {
 		return 0
 	}
-	return float64(r.starts) / r.spent.Seconds()
+	return float64(r.starts) / r.schedulingTime.Seconds()
 }
 
 // DecisionQuantile is how long an evaluation takes at most for the part q.
@@ -222,7 +222,7 @@
 // String is one row of a table.
 func (r *Report) String() string {
 	return fmt.Sprintf("jobs %d refused %.2f%% (alone %d, first hour %d, reasons %v) missed %.3f%% %v in time %.2f%% busy %.1f%% goodput %.1f%% | wait p50 %v p99 %v urgent p50 %v p99 %v gang p50 %v p99 %v | preempted %d failures %d | %.0f starts/s evaluate p50 %v p99 %v admit p50 %v p99 %v",
-		r.submitted, 100*r.RefusalRate(), r.refusedAlone, r.refusedEarly, r.refused, 100*r.MissRate(), r.missed, 100*r.InTimeRate(), 100*r.Busy(), 100*r.Goodput(),
+		r.submitted, 100*r.RefusalRate(), r.refusedPermanently, r.refusedFirstHour, r.refused, 100*r.MissRate(), r.missed, 100*r.InTimeRate(), 100*r.Busy(), 100*r.Goodput(),
 		r.Normal.Quantile(0.5).Round(time.Millisecond), r.Normal.Quantile(0.99).Round(time.Second),
 		r.Urgent.Quantile(0.5), r.Urgent.Quantile(0.99).Round(time.Millisecond),
 		r.Gangs.Quantile(0.5).Round(time.Second), r.Gangs.Quantile(0.99).Round(time.Second),
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -12,7 +12,7 @@
 )
 
 // crowd is a full cluster of 450 workers with 10,000 tasks in the queue.
-type crowd struct {
+type benchCluster struct {
 	cluster *Cluster
 	rand    *rand.Rand
 	now     time.Time
@@ -21,22 +21,22 @@
 }
 
 const (
-	crowdWorkers   = 450
-	crowdQueue     = 10_000
-	crowdCustomers = 100
+	benchWorkers     = 450
+	benchQueuedTasks = 10_000
+	benchCustomers   = 100
 )
 
-func newCrowd(b testing.TB) *crowd {
+func newBenchCluster(b testing.TB) *benchCluster {
 	o := DefaultOptions()
 	o.MaxQueue = 0
-	g := &crowd{cluster: NewCluster(o), rand: rand.New(rand.NewPCG(1, 2)), now: start}
-	for i := range crowdWorkers {
+	g := &benchCluster{cluster: NewCluster(o), rand: rand.New(rand.NewPCG(1, 2)), now: start}
+	for i := range benchWorkers {
 		w := Worker{ID: fmt.Sprintf("w%03d", i), Rack: fmt.Sprintf("r%02d", i/8), Capacity: cores(32), Live: true}
 		w.Capacity.Memory *= 4
 		w.Capacity.Accelerators = int64(min(4, max(0, 970-4*i)))
 		g.cluster.SetWorker(w)
 	}
-	for g.cluster.Queued() < crowdQueue {
+	for g.cluster.Queued() < benchQueuedTasks {
 		g.submit()
 		g.place(b, 64)
 	}
@@ -44,7 +44,7 @@
 }
 
 // submit queues one job of one task; one in fifty is a gang of eight.
-func (g *crowd) submit() Job {
+func (g *benchCluster) submit() Job {
 	g.jobs++
 	kind := g.rand.IntN(8)
 	need := cores(int64(1 + kind))
@@ -53,7 +53,7 @@
 		need.Accelerators = 1
 	}
 	j := Job{
-		ID: fmt.Sprintf("j%07d", g.jobs), Customer: fmt.Sprintf("c%02d", g.rand.IntN(crowdCustomers)), Name: fmt.Sprint(kind),
+		ID: fmt.Sprintf("j%07d", g.jobs), Customer: fmt.Sprintf("c%02d", g.rand.IntN(benchCustomers)), Name: fmt.Sprint(kind),
 		Policy: Batch, Tasks: 1, Need: need, Runtime: time.Duration(1+g.rand.IntN(600)) * time.Second,
 		Submitted: g.now, Deadline: g.now.Add(12*time.Hour + time.Duration(g.rand.IntN(36000))*time.Second), Idempotent: true,
 	}
@@ -64,8 +64,8 @@
 	return j
 }
 
-func (g *crowd) place(b testing.TB, most int) int {
-	plan := g.cluster.Evaluate(g.now, most)
+func (g *benchCluster) place(b testing.TB, max int) int {
+	plan := g.cluster.Evaluate(g.now, max)
 	for _, s := range plan.Starts {
 		e := g.cluster.queue.entries[s.Job]
 		p := Placed{Job: s.Job, Task: e.job.Tasks, Worker: s.Worker, Customer: e.job.Customer, Name: e.job.Name, Policy: e.job.Policy,
@@ -80,7 +80,7 @@
 }
 
 // endOne ends a random running task.
-func (g *crowd) endOne() {
+func (g *benchCluster) endOne() {
 	i := g.rand.IntN(len(g.running))
 	p := g.running[i]
 	g.running[i] = g.running[len(g.running)-1]
@@ -88,21 +88,21 @@
 	g.cluster.Unplace(p.Job, p.Task)
 }
 
-// BenchmarkDecide is one task end, the evaluation that follows it and the
+// BenchmarkEvaluate is one task end, the evaluation that follows it and the
 // commits, with the queue kept at 10,000. It reports starts per second of the
 // whole and the 99th percentile of the evaluation alone.
 //
 // With several ends to an evaluation, as under group commit, the fixed cost of
 // an evaluation is shared.
-func BenchmarkDecide(b *testing.B) {
+func BenchmarkEvaluate(b *testing.B) {
 	for _, ends := range []int{1, 8} {
-		b.Run(fmt.Sprintf("ends=%d", ends), func(b *testing.B) { benchmarkDecide(b, ends) })
+		b.Run(fmt.Sprintf("ends=%d", ends), func(b *testing.B) { benchmarkEvaluate(b, ends) })
 	}
 }
 
-func benchmarkDecide(b *testing.B, ends int) {
-	g := newCrowd(b)
-	took := hdrhistogram.New(1, int64(time.Second), 3)
+func benchmarkEvaluate(b *testing.B, ends int) {
+	g := newBenchCluster(b)
+	durations := hdrhistogram.New(1, int64(time.Second), 3)
 	starts := 0
 	b.ResetTimer()
 	for b.Loop() {
@@ -110,22 +110,22 @@
 		for range ends {
 			g.endOne()
 		}
-		for g.cluster.Queued() < crowdQueue {
+		for g.cluster.Queued() < benchQueuedTasks {
 			g.submit()
 		}
 		begin := time.Now()
 		n := g.place(b, 64)
-		_ = took.RecordValue(int64(time.Since(begin)))
+		_ = durations.RecordValue(int64(time.Since(begin)))
 		starts += n
 	}
 	b.ReportMetric(float64(starts)/b.Elapsed().Seconds(), "starts/s")
-	b.ReportMetric(float64(took.ValueAtQuantile(99))/1000, "p99-µs")
+	b.ReportMetric(float64(durations.ValueAtQuantile(99))/1000, "p99-µs")
 	b.ReportMetric(float64(len(g.running)), "running")
 }
 
 // BenchmarkAdmit asks for the admission of one job beside 10,000 queued tasks.
 func BenchmarkAdmit(b *testing.B) {
-	g := newCrowd(b)
+	g := newBenchCluster(b)
 	took := hdrhistogram.New(1, int64(time.Second), 3)
 	j := g.submit()
 	b.ResetTimer()
@@ -138,11 +138,11 @@
 	b.ReportMetric(float64(took.ValueAtQuantile(99))/1000, "p99-µs")
 }
 
-// BenchmarkCancelWave takes 10,000 queued jobs out one by one.
-func BenchmarkCancelWave(b *testing.B) {
+// BenchmarkDequeueAll takes 10,000 queued jobs out one by one.
+func BenchmarkDequeueAll(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
-		g := newCrowd(b)
+		g := newBenchCluster(b)
 		b.StartTimer()
 		g.cluster.DequeueAll(func(Job) bool { return true })
 	}
@@ -158,7 +158,7 @@
 	}
 	for b.Loop() {
 		before := heap()
-		g := newCrowd(b)
+		g := newBenchCluster(b)
 		full := heap()
 		queued := len(g.cluster.queue.entries)
 		g.cluster.DequeueAll(func(Job) bool { return true })
--- a/placement/cluster.go
+++ b/placement/cluster.go
@@ -20,28 +20,28 @@
 // the queue. It is owned by one goroutine. What it holds is derived from the
 // owner's committed state and can be rebuilt from it at any time.
 type Cluster struct {
-	opts     Options
-	workers  map[string]*worker
-	byID     []*worker
-	free     freeIndex
-	capacity Resources
-	placed   map[taskKey]*placedTask
-	jobs     map[string]*jobRecord
-	ends     *btree.BTreeG[*placedTask]
-	queue    queue
-	demand   demand
-	running  profile
-	learned  estimator
+	opts          Options
+	workers       map[string]*worker
+	byID          []*worker
+	free          freeIndex
+	capacity      Resources
+	placed        map[taskKey]*placedTask
+	jobs          map[string]*jobRecord
+	byExpectedEnd *btree.BTreeG[*placedTask]
+	queue         queue
+	demand        demand
+	running       profile
+	estimator     estimator
 	// evaluations numbers the calls of Evaluate, to tell marks of one from
 	// those of another without clearing them.
 	evaluations uint64
 	// promised are the jobs that hold a reservation since the last evaluation.
-	promised []string
+	reservedJobs []string
 	// forecasts numbers the forecasts in the same way.
 	forecasts uint64
-	// endlessNeed is what services use of the open workers, which no
+	// unboundedUsage is what services use of the open workers, which no
 	// projection gives back.
-	endlessNeed Resources
+	unboundedUsage Resources
 }
 
 // jobRecord is what is known of a job beside its queue entry: how many of its
@@ -58,21 +58,21 @@
 func NewCluster(opts Options) *Cluster {
 	options := btree.Options{NoLocks: true}
 	return &Cluster{
-		opts:    opts,
-		workers: map[string]*worker{},
-		free:    newFreeIndex(),
-		placed:  map[taskKey]*placedTask{},
-		jobs:    map[string]*jobRecord{},
-		ends:    btree.NewBTreeGOptions(lessEnd, options),
-		queue:   newQueue(),
-		demand:  newDemand(),
-		learned: newEstimator(opts),
+		opts:          opts,
+		workers:       map[string]*worker{},
+		free:          newFreeIndex(),
+		placed:        map[taskKey]*placedTask{},
+		jobs:          map[string]*jobRecord{},
+		byExpectedEnd: btree.NewBTreeGOptions(lessExpectedEnd, options),
+		queue:         newQueue(),
+		demand:        newDemand(),
+		estimator:     newEstimator(opts),
 	}
 }
 
-func lessEnd(a, b *placedTask) bool {
-	if !a.end.Equal(b.end) {
-		return a.end.Before(b.end)
+func lessExpectedEnd(a, b *placedTask) bool {
+	if !a.expectedEnd.Equal(b.expectedEnd) {
+		return a.expectedEnd.Before(b.expectedEnd)
 	}
 	if a.Job != b.Job {
 		return a.Job < b.Job
@@ -82,17 +82,17 @@
 
 // SetWorker adds a worker or replaces what is known of it. Tasks on it stay.
 func (c *Cluster) SetWorker(w Worker) {
-	own := c.workerFor(w.ID)
-	c.free.drop(own)
-	wasOpen := own.open()
-	c.countCapacity(own, -1)
-	own.Worker = w
-	own.known = true
-	own.free = w.Capacity.minus(own.used)
-	c.countCapacity(own, 1)
-	c.free.add(own)
-	if own.open() || wasOpen {
-		c.queue.unblock(own.free)
+	entry := c.workerFor(w.ID)
+	c.free.remove(entry)
+	wasSchedulable := entry.schedulable()
+	c.countCapacity(entry, -1)
+	entry.Worker = w
+	entry.announced = true
+	entry.free = w.Capacity.minus(entry.used)
+	c.countCapacity(entry, 1)
+	c.free.add(entry)
+	if entry.schedulable() || wasSchedulable {
+		c.queue.unblock(entry.free)
 	}
 }
 
@@ -103,9 +103,9 @@
 	if !found {
 		return
 	}
-	c.free.drop(w)
+	c.free.remove(w)
 	c.countCapacity(w, -1)
-	w.known = false
+	w.announced = false
 	w.Capacity = Resources{}
 	w.free = Resources{}.minus(w.used)
 	c.forgetWorker(w)
@@ -113,28 +113,28 @@
 
 // countCapacity keeps the sum over workers that admission counts on.
 func (c *Cluster) countCapacity(w *worker, sign int64) {
-	if !w.counted() {
+	if !w.countsForAdmission() {
 		return
 	}
 	c.capacity = c.capacity.plus(w.Capacity.times(sign))
-	c.endlessNeed = c.endlessNeed.plus(w.endless.times(sign))
+	c.unboundedUsage = c.unboundedUsage.plus(w.unboundedUsage.times(sign))
 	for _, t := range w.tasks {
-		if !t.endless {
+		if !t.unbounded {
 			c.running.add(t, sign)
 		}
 	}
 }
 
 func (c *Cluster) countRunning(t *placedTask, sign int64) {
-	if t.on.counted() {
+	if t.worker.countsForAdmission() {
 		c.running.add(t, sign)
 	}
 }
 
-func (c *Cluster) countEndless(w *worker, need Resources) {
-	w.endless = w.endless.plus(need)
-	if w.open() {
-		c.endlessNeed = c.endlessNeed.plus(need)
+func (c *Cluster) countUnbounded(w *worker, need Resources) {
+	w.unboundedUsage = w.unboundedUsage.plus(need)
+	if w.schedulable() {
+		c.unboundedUsage = c.unboundedUsage.plus(need)
 	}
 }
 
@@ -154,7 +154,7 @@
 }
 
 func (c *Cluster) forgetWorker(w *worker) {
-	if w.known || len(w.tasks) > 0 {
+	if w.announced || len(w.tasks) > 0 {
 		return
 	}
 	delete(c.workers, w.ID)
@@ -174,17 +174,17 @@
 	// Two plans computed from the same state, or a plan older than the state,
 	// ask for the same room twice. Without this check the second start would
 	// overload the worker.
-	if w.known && !p.Need.within(w.free) {
+	if w.announced && !p.Need.within(w.free) {
 		return ErrOverCommit
 	}
-	t := &placedTask{Placed: p, on: w, rack: w.Rack}
-	c.setEnd(t)
-	w.health.probing = w.health.setAside
+	t := &placedTask{Placed: p, worker: w, rack: w.Rack}
+	c.setExpectedEnd(t)
+	w.health.probing = w.health.quarantined
 	w.tasks[key] = t
 	c.placed[key] = t
 	c.occupy(w, p.Need)
 	c.trackPlaced(t, w)
-	invariant(!w.known || w.used.within(w.Capacity), "worker %s uses %v of %v", w.ID, w.used, w.Capacity)
+	invariant(!w.announced || w.used.within(w.Capacity), "worker %s uses %v of %v", w.ID, w.used, w.Capacity)
 	return nil
 }
 
@@ -198,94 +198,94 @@
 	w := c.workers[t.Worker]
 	delete(c.placed, key)
 	delete(w.tasks, key)
-	w.ended = t.Placed
+	w.lastEnded = t.Placed
 	w.health.probing = w.health.probing && len(w.tasks) > 0
 	if t.stopping {
-		w.leaving = w.leaving.minus(t.Need)
+		w.stopping = w.stopping.minus(t.Need)
 	}
 	if t.preemptible() {
-		w.stoppable = w.stoppable.minus(t.Need)
+		w.preemptible = w.preemptible.minus(t.Need)
 	}
 	c.trackUnplaced(t, w)
-	c.vacate(w, t.Need)
+	c.release(w, t.Need)
 	c.forgetWorker(w)
 }
 
 // Stopping records that a running task was told to stop, so that its room is
 // counted on and not asked for a second time. Unknown tasks are ignored.
-func (c *Cluster) Stopping(job string, task int) {
+func (c *Cluster) MarkStopping(job string, task int) {
 	t, found := c.placed[taskKey{job: job, task: task}]
 	if !found || !t.preemptible() {
 		return
 	}
 	t.stopping = true
 	w := c.workers[t.Worker]
-	w.leaving = w.leaving.plus(t.Need)
-	w.stoppable = w.stoppable.minus(t.Need)
+	w.stopping = w.stopping.plus(t.Need)
+	w.preemptible = w.preemptible.minus(t.Need)
 }
 
-func (c *Cluster) setEnd(t *placedTask) {
-	t.endless = t.Policy == Service || t.Runtime <= 0
-	if t.endless {
+func (c *Cluster) setExpectedEnd(t *placedTask) {
+	t.unbounded = t.Policy == Service || t.Runtime <= 0
+	if t.unbounded {
 		return
 	}
-	run := c.learned.runtime(t.Customer, t.Name, t.Runtime)
-	t.end = t.Started.Add(run.high)
+	run := c.estimator.runtime(t.Customer, t.Name, t.Runtime)
+	t.expectedEnd = t.Started.Add(run.high)
 }
 
 // occupy takes room on a worker.
 func (c *Cluster) occupy(w *worker, need Resources) {
-	c.free.drop(w)
+	c.free.remove(w)
 	w.used = w.used.plus(need)
 	w.free = w.Capacity.minus(w.used)
 	c.free.add(w)
 }
 
 // vacate gives room back and wakes the shapes that now fit.
-func (c *Cluster) vacate(w *worker, need Resources) {
-	c.free.drop(w)
+func (c *Cluster) release(w *worker, need Resources) {
+	c.free.remove(w)
 	w.used = w.used.minus(need)
 	w.free = w.Capacity.minus(w.used)
 	c.free.add(w)
-	if w.open() {
+	if w.schedulable() {
 		c.queue.unblock(w.free)
 	}
 }
 
 func (c *Cluster) trackPlaced(t *placedTask, w *worker) {
-	if t.endless {
-		c.countEndless(w, t.Need)
+	if t.unbounded {
+		c.countUnbounded(w, t.Need)
 	} else {
-		c.ends.Set(t)
+		c.byExpectedEnd.Set(t)
 		c.countRunning(t, 1)
 	}
 	if t.preemptible() {
-		w.stoppable = w.stoppable.plus(t.Need)
+		w.preemptible = w.preemptible.plus(t.Need)
 	}
 	c.queue.customer(t.Customer).use(t.Need)
-	c.record(t.Job).running++
-	c.countSpread(t.Job, t.Policy, w.ID, t.rack, 1)
+	c.jobRecordFor(t.Job).running++
+	c.countServiceSpread(t.Job, t.Policy, w.ID, t.rack, 1)
 }
 
 func (c *Cluster) trackUnplaced(t *placedTask, w *worker) {
-	if t.endless {
-		c.countEndless(w, t.Need.times(-1))
+	if t.unbounded {
+		c.countUnbounded(w, t.Need.times(-1))
 	} else {
-		c.ends.Delete(t)
+		c.byExpectedEnd.Delete(t)
 		c.countRunning(t, -1)
 	}
 	c.queue.customer(t.Customer).use(t.Need.times(-1))
-	c.record(t.Job).running--
-	c.countSpread(t.Job, t.Policy, w.ID, t.rack, -1)
-	c.dropRecord(t.Job)
+	c.jobRecordFor(t.Job).running--
+	c.countServiceSpread(t.Job, t.Policy, w.ID, t.rack, -1)
+	c.dropIdleJobRecord(t.Job)
 }
 
-// countSpread counts the tasks of a service by worker and rack.
-func (c *Cluster) countSpread(job string, policy Policy, workerID, rack string, n int) {
+// countServiceSpread counts the tasks of a service by worker and rack.
+func (c *Cluster) countServiceSpread(job string, policy Policy, workerID, rack string, n int) {
 	if policy != Service {
 		return
 	}
-	r := c.record(job)
+	r := c.jobRecordFor(job)
 	if r.workers == nil {
 		r.workers = map[string]int{}
 		r.racks = map[string]int{}
@@ -294,7 +294,7 @@
 	r.racks[rack] += n
 }
 
-func (c *Cluster) record(job string) *jobRecord {
+func (c *Cluster) jobRecordFor(job string) *jobRecord {
 	r, found := c.jobs[job]
 	if !found {
 		r = &jobRecord{}
@@ -303,22 +303,22 @@
 	return r
 }
 
-// dropRecord forgets a job that neither runs nor waits.
-func (c *Cluster) dropRecord(job string) {
+// dropIdleJobRecord forgets a job that neither runs nor waits.
+func (c *Cluster) dropIdleJobRecord(job string) {
 	r, found := c.jobs[job]
 	if !found || r.running > 0 || c.queue.entries[job] != nil {
 		return
 	}
-	c.forgive(job, r)
+	c.discountFailures(job, r)
 	delete(c.jobs, job)
 }
 
 // SetLimit bounds what the running tasks of a customer may use at once; a
 // negative field is unlimited. Without a call there is no bound.
 func (c *Cluster) SetLimit(customer string, limit Resources) {
-	own := c.queue.customer(customer)
-	own.limited = true
-	own.limit = limit
+	account := c.queue.customer(customer)
+	account.limited = true
+	account.limit = limit
 }
 
 // SetWeight sets the share of the capacity that a customer is due in contention
@@ -331,7 +331,7 @@
 // Used sums what the placed tasks use and what the open workers have.
 func (c *Cluster) Used() (used, capacity Resources) {
 	for _, w := range c.byID {
-		if w.open() {
+		if w.schedulable() {
 			used = used.plus(w.used)
 		}
 	}
--- a/placement/cluster_test.go
+++ b/placement/cluster_test.go
@@ -15,15 +15,15 @@
 
 func cores(n int64) Resources { return Resources{CPU: n * 1000, Memory: n * 1024} }
 
-func workers(c *Cluster, n int, capacity Resources, perRack int) {
+func addWorkers(c *Cluster, n int, capacity Resources, perRack int) {
 	for i := range n {
 		c.SetWorker(Worker{ID: fmt.Sprintf("w%03d", i), Rack: fmt.Sprintf("r%02d", i/perRack), Capacity: capacity, Live: true})
 	}
 }
 
-func batch(id, customer string, tasks int, need Resources, run, within time.Duration) Job {
+func newBatchJob(id, customer string, tasks int, need Resources, run, deadlineAfter time.Duration) Job {
 	return Job{ID: id, Customer: customer, Name: "name", Policy: Batch, Tasks: tasks, Need: need, Runtime: run,
-		Deadline: start.Add(within), Submitted: start, Idempotent: true}
+		Deadline: start.Add(deadlineAfter), Submitted: start, Idempotent: true}
 }
 
 // commit places what a plan starts, as the owner of the state would.
@@ -43,7 +43,7 @@
 // the room. Taking it would give the worker more than it has.
 func TestPlaceRefusesOverCommit(t *testing.T) {
 	c := NewCluster(DefaultOptions())
-	workers(c, 1, cores(4), 1)
+	addWorkers(c, 1, cores(4), 1)
 	must.NoError(t, c.Place(Placed{Job: "a", Worker: "w000", Need: cores(3), Policy: Batch, Runtime: time.Minute, Started: start}))
 	must.ErrorIs(t, c.Place(Placed{Job: "b", Worker: "w000", Need: cores(2), Policy: Batch, Runtime: time.Minute, Started: start}), ErrOverCommit)
 	must.ErrorIs(t, c.Place(Placed{Job: "a", Worker: "w000", Need: cores(1), Policy: Batch, Runtime: time.Minute, Started: start}), ErrPlacedTwice)
@@ -53,7 +53,7 @@
 
 func TestServiceSpreadsOverRacks(t *testing.T) {
 	c := NewCluster(DefaultOptions())
-	workers(c, 8, cores(8), 2)
+	addWorkers(c, 8, cores(8), 2)
 	c.Enqueue(Job{ID: "s", Customer: "x", Policy: Service, Tasks: 4, Need: cores(1), Submitted: start})
 	plan := c.Evaluate(start, 100)
 	racks := map[string]int{}
@@ -65,13 +65,13 @@
 
 // A gang of eight needs more than is free. Starting a part of it would hold
 // room that another half-started gang waits for.
-func TestGangStartsWholeOrNotAtAll(t *testing.T) {
+func TestGangStartsAllTasksOrNone(t *testing.T) {
 	c := NewCluster(DefaultOptions())
-	workers(c, 4, cores(4), 2)
+	addWorkers(c, 4, cores(4), 2)
 	next := map[string]int{}
-	c.Enqueue(batch("b", "x", 1, cores(4), time.Hour, 10*time.Hour))
+	c.Enqueue(newBatchJob("b", "x", 1, cores(4), time.Hour, 10*time.Hour))
 	commit(t, c, c.Evaluate(start, 100), start, next)
-	g := batch("g", "x", 4, cores(4), time.Hour, 10*time.Hour)
+	g := newBatchJob("g", "x", 4, cores(4), time.Hour, 10*time.Hour)
 	g.Policy = Gang
 	c.Enqueue(g)
 	must.SliceEmpty(t, c.Evaluate(start, 100).Starts)
@@ -81,14 +81,14 @@
 
 // One place of a second gang is free and its other place is kept for the first
 // gang. Starting the free one would leave two gangs waiting for each other.
-func TestGangDoesNotStartBesideReservation(t *testing.T) {
+func TestGangDoesNotStartPartlyBesideReservation(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	c.SetWorker(Worker{ID: "large0", Rack: "r", Capacity: cores(8), Live: true})
 	c.SetWorker(Worker{ID: "large1", Rack: "r", Capacity: cores(8), Live: true})
 	c.SetWorker(Worker{ID: "small", Rack: "r", Capacity: cores(4), Live: true})
 	must.NoError(t, c.Place(Placed{Job: "b", Worker: "large0", Need: cores(8), Policy: Batch, Runtime: time.Hour, Started: start}))
-	first := batch("first", "x", 2, cores(8), time.Hour, 5*time.Hour)
-	second := batch("second", "y", 2, cores(4), 2*time.Hour, 20*time.Hour)
+	first := newBatchJob("first", "x", 2, cores(8), time.Hour, 5*time.Hour)
+	second := newBatchJob("second", "y", 2, cores(4), 2*time.Hour, 20*time.Hour)
 	first.Policy, second.Policy = Gang, Gang
 	c.Enqueue(first)
 	c.Enqueue(second)
@@ -99,17 +99,17 @@
 
 // Long tasks must not take the room that a blocked gang waits for; short ones
 // that end before its computed start may.
-func TestBackfillUnderReservation(t *testing.T) {
+func TestBackfillEndsBeforeReservedStart(t *testing.T) {
 	c := NewCluster(DefaultOptions())
-	workers(c, 2, cores(4), 2)
+	addWorkers(c, 2, cores(4), 2)
 	next := map[string]int{}
-	c.Enqueue(batch("b", "x", 1, cores(4), time.Hour, 10*time.Hour))
+	c.Enqueue(newBatchJob("b", "x", 1, cores(4), time.Hour, 10*time.Hour))
 	commit(t, c, c.Evaluate(start, 100), start, next)
-	g := batch("g", "x", 2, cores(4), time.Hour, 10*time.Hour)
+	g := newBatchJob("g", "x", 2, cores(4), time.Hour, 10*time.Hour)
 	g.Policy = Gang
 	c.Enqueue(g)
-	c.Enqueue(batch("long", "y", 1, cores(2), 2*time.Hour, 20*time.Hour))
-	c.Enqueue(batch("short", "y", 1, cores(2), 30*time.Minute, 20*time.Hour))
+	c.Enqueue(newBatchJob("long", "y", 1, cores(2), 2*time.Hour, 20*time.Hour))
+	c.Enqueue(newBatchJob("short", "y", 1, cores(2), 30*time.Minute, 20*time.Hour))
 	plan := c.Evaluate(start, 100)
 	must.SliceLen(t, 1, plan.Starts)
 	must.EqOp(t, "short", plan.Starts[0].Job)
@@ -130,16 +130,16 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			c := NewCluster(DefaultOptions())
-			workers(c, 1, cores(4), 1)
+			addWorkers(c, 1, cores(4), 1)
 			must.NoError(t, c.Place(Placed{Job: "low", Worker: "w000", Need: cores(4), Policy: tc.policy, Idempotent: tc.idempotent,
 				Runtime: time.Hour, Started: start}))
-			u := batch("u", "x", 1, cores(2), time.Minute, time.Hour)
+			u := newBatchJob("u", "x", 1, cores(2), time.Minute, time.Hour)
 			u.Urgent = true
 			c.Enqueue(u)
 			plan := c.Evaluate(start, 100)
 			must.SliceLen(t, tc.want, plan.Preemptions)
 			must.SliceEmpty(t, plan.Starts)
-			c.Stopping("low", 0)
+			c.MarkStopping("low", 0)
 			must.SliceEmpty(t, c.Evaluate(start, 100).Preemptions)
 			c.Unplace("low", 0)
 			must.SliceLen(t, 1, c.Evaluate(start, 100).Starts)
@@ -149,33 +149,33 @@
 
 // Urgent work asked for one task to stop. It takes a while to end, and each
 // evaluation until then must not stop another.
-func TestPreemptionIsNotAskedForTwice(t *testing.T) {
+func TestPreemptionIsNotRepeatedWhileTaskStops(t *testing.T) {
 	c := NewCluster(DefaultOptions())
-	workers(c, 1, cores(4), 1)
+	addWorkers(c, 1, cores(4), 1)
 	for i := range 2 {
 		must.NoError(t, c.Place(Placed{Job: "low", Task: i, Worker: "w000", Need: cores(2), Policy: Batch, Idempotent: true, Runtime: time.Hour, Started: start}))
 	}
-	u := batch("u", "x", 1, cores(2), time.Minute, time.Hour)
+	u := newBatchJob("u", "x", 1, cores(2), time.Minute, time.Hour)
 	u.Urgent = true
 	c.Enqueue(u)
 	plan := c.Evaluate(start, 100)
 	must.SliceLen(t, 1, plan.Preemptions)
-	c.Stopping("low", plan.Preemptions[0].Task)
+	c.MarkStopping("low", plan.Preemptions[0].Task)
 	must.SliceEmpty(t, c.Evaluate(start, 100).Preemptions)
 }
 
 // A large task of a busy customer holds a place. When the place comes free, the
 // small tasks of a customer with nothing running come first by share.
-func TestReservedPlaceIsKeptWhenItComesFree(t *testing.T) {
+func TestReservedRoomGoesToItsJobBeforeFairShare(t *testing.T) {
 	o := DefaultOptions()
 	o.FairReservations = 0
 	c := NewCluster(o)
-	workers(c, 2, cores(4), 1)
+	addWorkers(c, 2, cores(4), 1)
 	must.NoError(t, c.Place(Placed{Job: "old", Worker: "w000", Need: cores(4), Policy: Batch, Runtime: 10 * time.Minute, Started: start}))
 	must.NoError(t, c.Place(Placed{Job: "run", Worker: "w001", Customer: "busy", Need: cores(4), Policy: Batch, Runtime: 5 * time.Hour, Started: start}))
-	c.Enqueue(batch("large", "busy", 1, cores(4), time.Hour, 20*time.Hour))
+	c.Enqueue(newBatchJob("large", "busy", 1, cores(4), time.Hour, 20*time.Hour))
 	small := Resources{CPU: 500, Memory: 512}
-	c.Enqueue(batch("small", "idle", 50, small, time.Hour, 20*time.Hour))
+	c.Enqueue(newBatchJob("small", "idle", 50, small, time.Hour, 20*time.Hour))
 	// The first evaluation finds that nothing fits, the second reserves.
 	must.SliceEmpty(t, c.Evaluate(start, 100).Starts)
 	must.SliceEmpty(t, c.Evaluate(start, 100).Starts)
@@ -189,7 +189,7 @@
 	small := DefaultOptions()
 	small.MaxQueue = 10
 	gang := func(n int) Job {
-		g := batch("g", "x", n, cores(4), time.Minute, time.Hour)
+		g := newBatchJob("g", "x", n, cores(4), time.Minute, time.Hour)
 		g.Policy = Gang
 		return g
 	}
@@ -200,19 +200,19 @@
 		want  Reason
 		retry bool
 	}{
-		{"fits", batch("a", "x", 1, cores(1), time.Minute, time.Hour), unlimited, ReasonNone, false},
-		{"too large", batch("a", "x", 1, cores(5), time.Minute, time.Hour), unlimited, ReasonTooLarge, false},
+		{"fits", newBatchJob("a", "x", 1, cores(1), time.Minute, time.Hour), unlimited, ReasonNone, false},
+		{"too large", newBatchJob("a", "x", 1, cores(5), time.Minute, time.Hour), unlimited, ReasonTooLarge, false},
 		{"gang fits", gang(4), unlimited, ReasonNone, false},
 		{"gang too large", gang(5), unlimited, ReasonTooMany, false},
-		{"run time above deadline", batch("a", "x", 1, cores(1), 2*time.Hour, time.Hour), unlimited, ReasonDeadline, false},
-		{"too much work", batch("a", "x", 10, cores(4), time.Hour, time.Hour), unlimited, ReasonDeadline, true},
-		{"allotment", batch("a", "x", 1, cores(2), time.Minute, time.Hour), Resources{CPU: 1000, Memory: -1, Accelerators: -1}, ReasonQuota, true},
-		{"queue", batch("a", "x", 11, cores(1), time.Minute, time.Hour), unlimited, ReasonQueueFull, true},
+		{"run time above deadline", newBatchJob("a", "x", 1, cores(1), 2*time.Hour, time.Hour), unlimited, ReasonDeadline, false},
+		{"too much work", newBatchJob("a", "x", 10, cores(4), time.Hour, time.Hour), unlimited, ReasonDeadline, true},
+		{"allotment", newBatchJob("a", "x", 1, cores(2), time.Minute, time.Hour), Resources{CPU: 1000, Memory: -1, Accelerators: -1}, ReasonQuota, true},
+		{"queue", newBatchJob("a", "x", 11, cores(1), time.Minute, time.Hour), unlimited, ReasonQueueFull, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			c := NewCluster(small)
-			workers(c, 4, cores(4), 2)
+			addWorkers(c, 4, cores(4), 2)
 			v := c.Admit(tc.job, start, tc.avail)
 			must.EqOp(t, tc.want, v.Reason, must.Sprint(v.Detail))
 			must.EqOp(t, tc.want == ReasonNone, v.Admitted)
@@ -224,29 +224,29 @@
 
 // One customer submits far more than the workers can do until its deadlines.
 // All of it being accepted, the others would be refused for hours.
-func TestFloodLeavesRoomForOthers(t *testing.T) {
+func TestAdmissionBoundsOneCustomersQueuedWork(t *testing.T) {
 	c := NewCluster(DefaultOptions())
-	workers(c, 4, cores(4), 2)
-	c.Enqueue(batch("first", "quiet", 1, cores(1), time.Minute, time.Hour))
+	addWorkers(c, 4, cores(4), 2)
+	c.Enqueue(newBatchJob("first", "quiet", 1, cores(1), time.Minute, time.Hour))
 	admitted := 0
 	for i := range 1000 {
-		j := batch(fmt.Sprintf("f%d", i), "loud", 10, cores(1), 10*time.Minute, 12*time.Hour)
+		j := newBatchJob(fmt.Sprintf("f%d", i), "loud", 10, cores(1), 10*time.Minute, 12*time.Hour)
 		if c.Admit(j, start, unlimited).Admitted {
 			c.Enqueue(j)
 			admitted++
 		}
 	}
 	must.Between(t, 10, admitted, 999)
-	v := c.Admit(batch("f", "loud", 10, cores(1), 10*time.Minute, 12*time.Hour), start, unlimited)
+	v := c.Admit(newBatchJob("f", "loud", 10, cores(1), 10*time.Minute, 12*time.Hour), start, unlimited)
 	must.EqOp(t, ReasonQueueFull, v.Reason)
 	must.Positive(t, v.RetryAfter)
-	must.True(t, c.Admit(batch("q", "quiet", 10, cores(1), 10*time.Minute, 2*time.Hour), start, unlimited).Admitted)
+	must.True(t, c.Admit(newBatchJob("q", "quiet", 10, cores(1), 10*time.Minute, 2*time.Hour), start, unlimited).Admitted)
 }
 
-func TestHopelessWorkIsRefused(t *testing.T) {
+func TestInfeasibleJobIsRefused(t *testing.T) {
 	c := NewCluster(DefaultOptions())
-	workers(c, 1, cores(1), 1)
-	c.Enqueue(batch("a", "x", 1, cores(2), time.Hour, 2*time.Hour))
+	addWorkers(c, 1, cores(1), 1)
+	c.Enqueue(newBatchJob("a", "x", 1, cores(2), time.Hour, 2*time.Hour))
 	must.SliceEmpty(t, c.Evaluate(start, 100).Refusals)
 	plan := c.Evaluate(start.Add(2*time.Hour), 100)
 	must.SliceLen(t, 1, plan.Refusals)
@@ -255,14 +255,14 @@
 
 // A worker fails everything within a second of its start, so it always has the
 // most room and draws all work to itself.
-func TestFailingWorkerIsSetAsideAndProbed(t *testing.T) {
+func TestFailingWorkerIsQuarantinedAndProbed(t *testing.T) {
 	c := NewCluster(DefaultOptions())
-	workers(c, 2, cores(4), 1)
+	addWorkers(c, 2, cores(4), 1)
 	for i := range 3 {
 		c.ReportFailure("w000", fmt.Sprintf("j%d", i), start)
 	}
-	must.Eq(t, []string{"w000"}, c.SetAside())
-	c.Enqueue(batch("a", "x", 2, cores(4), time.Minute, time.Hour))
+	must.Eq(t, []string{"w000"}, c.Quarantined())
+	c.Enqueue(newBatchJob("a", "x", 2, cores(4), time.Minute, time.Hour))
 	must.SliceLen(t, 1, c.Evaluate(start, 100).Starts)
 	later := start.Add(c.opts.ProbeBackoff)
 	plan := c.Evaluate(later, 100)
@@ -271,19 +271,19 @@
 	c.ReportFailure("w000", "a", later)
 	must.EqOp(t, 2*c.opts.ProbeBackoff, c.workers["w000"].health.backoff)
 	c.ReportSuccess("w000", "a", later)
-	must.SliceEmpty(t, c.SetAside())
+	must.SliceEmpty(t, c.Quarantined())
 }
 
 // A probe fails, the owner takes it off the account and then reports it. The
 // worker must rest for its backoff and not get the next probe at once.
-func TestFailedProbeRestsWhenUnplacedFirst(t *testing.T) {
+func TestFailedProbeBacksOffWhenUnplacedFirst(t *testing.T) {
 	c := NewCluster(DefaultOptions())
-	workers(c, 1, cores(4), 1)
+	addWorkers(c, 1, cores(4), 1)
 	for i := range 3 {
 		c.ReportFailure("w000", fmt.Sprintf("j%d", i), start)
 	}
-	c.Enqueue(batch("a", "x", 2, cores(1), time.Minute, time.Hour))
-	c.Enqueue(batch("b", "x", 2, cores(1), time.Minute, time.Hour))
+	c.Enqueue(newBatchJob("a", "x", 2, cores(1), time.Minute, time.Hour))
+	c.Enqueue(newBatchJob("b", "x", 2, cores(1), time.Minute, time.Hour))
 	later := start.Add(c.opts.ProbeBackoff)
 	plan := c.Evaluate(later, 100)
 	must.SliceLen(t, 1, plan.Starts)
@@ -292,15 +292,15 @@
 	c.Unplace(plan.Starts[0].Job, 0)
 	c.ReportFailure("w000", plan.Starts[0].Job, later)
 	must.SliceEmpty(t, c.Evaluate(later, 100).Starts)
-	must.EqOp(t, later.Add(2*c.opts.ProbeBackoff), c.Evaluate(later, 100).Wake)
+	must.EqOp(t, later.Add(2*c.opts.ProbeBackoff), c.Evaluate(later, 100).ReevaluateAt)
 }
 
 // A worker loses its disk while a long task computes. The task still ends well
 // and must not put the worker back into use, where it fails all new starts.
-func TestOlderTaskDoesNotRestoreFailingWorker(t *testing.T) {
+func TestSuccessOfOlderTaskDoesNotEndQuarantine(t *testing.T) {
 	for _, unplaceFirst := range []bool{true, false} {
 		c := NewCluster(DefaultOptions())
-		workers(c, 2, cores(4), 1)
+		addWorkers(c, 2, cores(4), 1)
 		must.NoError(t, c.Place(Placed{Job: "old", Worker: "w000", Need: cores(1), Policy: Batch, Runtime: time.Hour, Started: start}))
 		later := start.Add(time.Minute)
 		for i := range 3 {
@@ -310,38 +310,38 @@
 			c.Unplace("old", 0)
 		}
 		c.ReportSuccess("w000", "old", later.Add(time.Minute))
-		must.Eq(t, []string{"w000"}, c.SetAside())
+		must.Eq(t, []string{"w000"}, c.Quarantined())
 	}
 }
 
 // Two broken jobs fail wherever they are started. Counting that against the
 // workers would take them out of service one after another.
-func TestBrokenJobsDoNotConvictWorkers(t *testing.T) {
+func TestBrokenJobsDoNotQuarantineWorkers(t *testing.T) {
 	c := NewCluster(DefaultOptions())
-	workers(c, 5, cores(4), 1)
+	addWorkers(c, 5, cores(4), 1)
 	for _, id := range []string{"bad0", "bad1"} {
-		c.Enqueue(batch(id, "x", 1, cores(1), time.Minute, time.Hour))
+		c.Enqueue(newBatchJob(id, "x", 1, cores(1), time.Minute, time.Hour))
 		for i := range 20 {
 			c.ReportFailure(fmt.Sprintf("w%03d", i%5), id, start.Add(time.Duration(i)*time.Second))
 		}
 		must.True(t, c.JobSuspect(id))
 	}
-	must.SliceEmpty(t, c.SetAside())
+	must.SliceEmpty(t, c.Quarantined())
 	// The owner gives the jobs up; what they left behind must not count.
 	c.Dequeue("bad0")
 	c.Dequeue("bad1")
 	c.ReportFailure("w000", "other", start)
-	must.SliceEmpty(t, c.SetAside())
+	must.SliceEmpty(t, c.Quarantined())
 }
 
 func TestCorrectedRuntimeAndNeed(t *testing.T) {
 	c := NewCluster(DefaultOptions())
-	workers(c, 1, cores(8), 1)
-	j := batch("a", "x", 1, cores(2), time.Minute, time.Hour)
+	addWorkers(c, 1, cores(8), 1)
+	j := newBatchJob("a", "x", 1, cores(2), time.Minute, time.Hour)
 	for range 100 {
 		c.Learn(Sample{Customer: "x", Name: "name", Declared: time.Minute, Measured: 4 * time.Minute, Need: cores(2), Peak: cores(3)})
 	}
-	run := c.learned.runtime("x", "name", time.Minute)
+	run := c.estimator.runtime("x", "name", time.Minute)
 	must.Between(t, 3.7, run.high.Minutes(), 4.3)
 	must.EqOp(t, cores(3), c.NeedOf(j))
 	must.EqOp(t, cores(2), c.NeedOf(Job{Customer: "x", Name: "other", Need: cores(2)}))
@@ -350,11 +350,11 @@
 	must.EqOp(t, cores(2), c.NeedOf(Job{Customer: "x", Name: "frugal", Need: cores(2)}))
 }
 
-func TestFairTurnsBetweenCustomers(t *testing.T) {
+func TestCustomersGetEqualShares(t *testing.T) {
 	c := NewCluster(DefaultOptions())
-	workers(c, 1, cores(10), 1)
-	c.Enqueue(batch("flood", "loud", 1000, cores(1), time.Minute, 8*time.Hour))
-	c.Enqueue(batch("few", "quiet", 5, cores(1), time.Minute, 9*time.Hour))
+	addWorkers(c, 1, cores(10), 1)
+	c.Enqueue(newBatchJob("flood", "loud", 1000, cores(1), time.Minute, 8*time.Hour))
+	c.Enqueue(newBatchJob("few", "quiet", 5, cores(1), time.Minute, 9*time.Hour))
 	count := map[string]int{}
 	for _, s := range c.Evaluate(start, 100).Starts {
 		count[s.Job]++
@@ -364,14 +364,14 @@
 
 // Two customers flood the queue. What they get stands in the ratio of their
 // weights, and equal weights get equal parts.
-func TestWeightsDivideContendedWorkers(t *testing.T) {
+func TestSharesFollowCustomerWeights(t *testing.T) {
 	for _, weights := range [][2]int{{1, 1}, {2, 1}, {3, 1}} {
 		c := NewCluster(DefaultOptions())
-		workers(c, 4, cores(12), 2)
+		addWorkers(c, 4, cores(12), 2)
 		c.SetWeight("a", weights[0])
 		c.SetWeight("b", weights[1])
-		c.Enqueue(batch("ja", "a", 100, cores(1), time.Minute, 10*time.Hour))
-		c.Enqueue(batch("jb", "b", 100, cores(1), time.Minute, 10*time.Hour))
+		c.Enqueue(newBatchJob("ja", "a", 100, cores(1), time.Minute, 10*time.Hour))
+		c.Enqueue(newBatchJob("jb", "b", 100, cores(1), time.Minute, 10*time.Hour))
 		started := map[string]int{}
 		for _, s := range c.Evaluate(start, 100).Starts {
 			started[s.Job]++
--- a/placement/estimate.go
+++ b/placement/estimate.go
@@ -10,18 +10,18 @@
 	// ratioUnit is how one is written in the histograms of measured to
 	// declared run times; a step is a fiftieth.
 	ratioUnit = 50
-	// maxRatio is the largest ratio that is told apart, 40 times.
-	maxRatio = 40 * ratioUnit
+	// maxRatioValue is the largest ratio that is told apart, 40 times.
+	maxRatioValue = 40 * ratioUnit
 	// ratioDigits keeps a histogram near 1 KB; a bucket is 6% wide at most.
 	ratioDigits = 1
-	// trustedSamples is when the samples of a name are believed alone; below
+	// priorWeightSamples is when the samples of a name are believed alone; below
 	// it those of the customer fill in, and below that the declaration.
-	trustedSamples = 8
-	// forgetSamples is the length of a generation. Estimates come from the
+	priorWeightSamples = 8
+	// generationSamples is the length of a generation. Estimates come from the
 	// running and the last one, so that a change of habit shows.
-	forgetSamples = 400
-	// maxNames bounds the memory for one customer.
-	maxNames = 256
+	generationSamples = 400
+	// maxNamesPerCustomer bounds the memory for one customer.
+	maxNamesPerCustomer = 256
 
 	lowQuantile  = 0.02
 	highQuantile = 0.95
@@ -36,7 +36,7 @@
 }
 
 // history holds two generations of ratios.
-type history struct {
+type runtimeHistory struct {
 	current  *hdrhistogram.Histogram
 	previous *hdrhistogram.Histogram
 	low      float64
@@ -48,45 +48,45 @@
 	peakMemory float64
 }
 
-func newHistory() *history {
-	return &history{current: hdrhistogram.New(1, maxRatio, ratioDigits)}
+func newHistory() *runtimeHistory {
+	return &runtimeHistory{current: hdrhistogram.New(1, maxRatioValue, ratioDigits)}
 }
 
 // record adds a ratio and recomputes the quantiles, so that reading is cheap.
-func (h *history) record(ratio float64) {
-	value := min(max(int64(ratio*ratioUnit+0.5), 1), maxRatio)
+func (h *runtimeHistory) record(ratio float64) {
+	value := min(max(int64(ratio*ratioUnit+0.5), 1), maxRatioValue)
 	if h.current.RecordValue(value) != nil {
 		return
 	}
-	if h.current.TotalCount() >= forgetSamples {
+	if h.current.TotalCount() >= generationSamples {
 		h.previous = h.current
-		h.current = hdrhistogram.New(1, maxRatio, ratioDigits)
+		h.current = hdrhistogram.New(1, maxRatioValue, ratioDigits)
 	}
-	both := h.current
+	merged := h.current
 	if h.previous != nil {
-		both = hdrhistogram.New(1, maxRatio, ratioDigits)
-		both.Merge(h.previous)
-		both.Merge(h.current)
+		merged = hdrhistogram.New(1, maxRatioValue, ratioDigits)
+		merged.Merge(h.previous)
+		merged.Merge(h.current)
 	}
-	h.samples = both.TotalCount()
-	h.low = float64(both.ValueAtQuantile(100*lowQuantile)) / ratioUnit
-	h.mean = both.Mean() / ratioUnit
-	h.high = float64(both.ValueAtQuantile(100*highQuantile)) / ratioUnit
+	h.samples = merged.TotalCount()
+	h.low = float64(merged.ValueAtQuantile(100*lowQuantile)) / ratioUnit
+	h.mean = merged.Mean() / ratioUnit
+	h.high = float64(merged.ValueAtQuantile(100*highQuantile)) / ratioUnit
 }
 
 // estimator corrects declarations by what was measured.
 type estimator struct {
-	off       bool
+	disabled  bool
 	customers map[string]*customerHistory
 }
 
 type customerHistory struct {
-	all   *history
-	names map[string]*history
+	all   *runtimeHistory
+	names map[string]*runtimeHistory
 }
 
 func newEstimator(opts Options) estimator {
-	return estimator{off: opts.NoCorrection, customers: map[string]*customerHistory{}}
+	return estimator{disabled: opts.NoCorrection, customers: map[string]*customerHistory{}}
 }
 
 // Learn takes in the measured run of a finished task.
@@ -94,24 +94,24 @@
 	if s.Declared <= 0 || s.Measured < 0 {
 		return
 	}
-	c.learned.learn(s)
+	c.estimator.learn(s)
 }
 
 func (m *estimator) learn(s Sample) {
-	own, found := m.customers[s.Customer]
+	customerHist, found := m.customers[s.Customer]
 	if !found {
-		own = &customerHistory{all: newHistory(), names: map[string]*history{}}
-		m.customers[s.Customer] = own
+		customerHist = &customerHistory{all: newHistory(), names: map[string]*runtimeHistory{}}
+		m.customers[s.Customer] = customerHist
 	}
 	ratio := float64(s.Measured) / float64(s.Declared)
-	own.all.record(ratio)
-	named, found := own.names[s.Name]
+	customerHist.all.record(ratio)
+	named, found := customerHist.names[s.Name]
 	if !found {
-		if len(own.names) >= maxNames {
+		if len(customerHist.names) >= maxNamesPerCustomer {
 			return
 		}
 		named = newHistory()
-		own.names[s.Name] = named
+		customerHist.names[s.Name] = named
 	}
 	named.record(ratio)
 	named.peakCPU = max(named.peakCPU, peakRatio(s.Peak.CPU, s.Need.CPU))
@@ -126,37 +126,37 @@
 }
 
 // runtime corrects a declared run time. The prior is the declaration, held
-// with the weight of trustedSamples; then what the customer's other work
+// with the weight of priorWeightSamples; then what the customer's other work
 // showed; then what work of this name showed.
 func (m *estimator) runtime(customer, name string, declared time.Duration) estimate {
-	believed := estimate{low: declared, mean: declared, high: declared}
-	if m.off || declared <= 0 {
-		return believed
+	result := estimate{low: declared, mean: declared, high: declared}
+	if m.disabled || declared <= 0 {
+		return result
 	}
 	// Nothing is known of an unknown customer: only a run time five times
 	// shorter than declared makes work hopeless.
-	believed.low = declared / 5
-	own, found := m.customers[customer]
+	result.low = declared / 5
+	customerHist, found := m.customers[customer]
 	if !found {
-		return believed
+		return result
 	}
-	believed = own.all.blend(believed, declared)
-	if named, found := own.names[name]; found {
-		believed = named.blend(believed, declared)
+	result = customerHist.all.blend(result, declared)
+	if named, found := customerHist.names[name]; found {
+		result = named.blend(result, declared)
 	}
-	return believed
+	return result
 }
 
 // blend weighs the history against a prior by the number of samples.
-func (h *history) blend(prior estimate, declared time.Duration) estimate {
-	weight := float64(h.samples) / float64(h.samples+trustedSamples)
-	if h.samples >= 4*trustedSamples {
+func (h *runtimeHistory) blend(prior estimate, declared time.Duration) estimate {
+	weight := float64(h.samples) / float64(h.samples+priorWeightSamples)
+	if h.samples >= 4*priorWeightSamples {
 		weight = 1
 	}
-	mix := func(before time.Duration, ratio float64) time.Duration {
-		return time.Duration((1-weight)*float64(before) + weight*ratio*float64(declared))
+	interpolate := func(priorValue time.Duration, ratio float64) time.Duration {
+		return time.Duration((1-weight)*float64(priorValue) + weight*ratio*float64(declared))
 	}
-	return estimate{low: mix(prior.low, h.low), mean: mix(prior.mean, h.mean), high: mix(prior.high, h.high)}
+	return estimate{low: interpolate(prior.low, h.low), mean: interpolate(prior.mean, h.mean), high: interpolate(prior.high, h.high)}
 }
 
 // NeedOf is the need that the account of workers should carry for a task of
@@ -167,24 +167,24 @@
 	if c.opts.NoCorrection {
 		return j.Need
 	}
-	own, found := c.learned.customers[j.Customer]
+	customerHist, found := c.estimator.customers[j.Customer]
 	if !found {
 		return j.Need
 	}
-	named, found := own.names[j.Name]
+	named, found := customerHist.names[j.Name]
 	if !found {
 		return j.Need
 	}
 	raised := j.Need
-	raised.CPU = raise(j.Need.CPU, named.peakCPU)
-	raised.Memory = raise(j.Need.Memory, named.peakMemory)
+	raised.CPU = scaleNeed(j.Need.CPU, named.peakCPU)
+	raised.Memory = scaleNeed(j.Need.Memory, named.peakMemory)
 	if raised == j.Need || c.fitsSomeWorker(raised) {
 		return raised
 	}
 	return j.Need.atLeast(raised.atMost(c.largestFor(j.Need)))
 }
 
-func raise(need int64, ratio float64) int64 {
+func scaleNeed(need int64, ratio float64) int64 {
 	if ratio <= 1 {
 		return need
 	}
@@ -193,7 +193,7 @@
 
 func (c *Cluster) fitsSomeWorker(need Resources) bool {
 	for _, w := range c.byID {
-		if w.known && need.within(w.Capacity) {
+		if w.announced && need.within(w.Capacity) {
 			return true
 		}
 	}
@@ -204,7 +204,7 @@
 func (c *Cluster) largestFor(need Resources) Resources {
 	best := need
 	for _, w := range c.byID {
-		if w.known && need.within(w.Capacity) && best.within(w.Capacity) {
+		if w.announced && need.within(w.Capacity) && best.within(w.Capacity) {
 			best = w.Capacity
 		}
 	}
--- a/placement/evaluate.go
+++ b/placement/evaluate.go
@@ -9,29 +9,29 @@
 	// lookahead is how many entries of a line, and how many of a shape, are
 	// looked at in one evaluation once a reservation held one back.
 	lookahead = 6
-	// dueVisits bounds the walk over work that is due but does not fit.
-	dueVisits = 256
-	// gangVisits bounds the walk over gangs that look for a reservation.
-	gangVisits = 16
-	// largeVisits bounds the walk over large tasks in the same way.
-	largeVisits = 64
-	// largePart is the part of a worker from which a task counts as large.
-	largePart = 0.15
+	// maxDueVisits bounds the walk over work that is due but does not fit.
+	maxDueVisits = 256
+	// maxGangVisits bounds the walk over gangs that look for a reservation.
+	maxGangVisits = 16
+	// maxLargeVisits bounds the walk over large tasks in the same way.
+	maxLargeVisits = 64
+	// largeTaskShare is the part of a worker from which a task counts as large.
+	largeTaskShare = 0.15
 )
 
 // planner is one evaluation. It takes room tentatively on the real accounts,
 // so that each choice sees those before it, and gives everything back at the
 // end.
 type planner struct {
-	cluster      *Cluster
-	now          time.Time
-	id           uint64
-	left         int
-	plan         Plan
-	reservations int
-	asked        request
+	cluster        *Cluster
+	now            time.Time
+	id             uint64
+	budget         int
+	plan           Plan
+	reservations   int
+	scratchRequest request
 	// promised are the jobs that held a reservation in the last evaluation.
-	promised []string
+	previouslyReserved []string
 }
 
 // Evaluate says what to start, preempt and refuse now, at most max decisions.
@@ -39,43 +39,43 @@
 // calls Place, Enqueue, Stopping and Dequeue.
 func (c *Cluster) Evaluate(now time.Time, max int) Plan {
 	c.evaluations++
-	c.queue.release(now)
-	p := &planner{cluster: c, now: now, id: c.evaluations, left: max, reservations: c.opts.Reservations, promised: c.promised}
-	c.promised = nil
-	if c.opts.FirstCome {
-		p.serveArrivals()
+	c.queue.releaseDelayed(now)
+	p := &planner{cluster: c, now: now, id: c.evaluations, budget: max, reservations: c.opts.Reservations, previouslyReserved: c.reservedJobs}
+	c.reservedJobs = nil
+	if c.opts.FirstComeFirstServed {
+		p.startInSubmissionOrder()
 	} else {
-		p.run()
+		p.runSteps()
 	}
-	p.check()
+	p.checkPlan()
 	p.rollback()
-	p.setWake()
+	p.setReevaluateAt()
 	return p.plan
 }
 
 // run takes the steps of an evaluation in the order of their urgency.
-func (p *planner) run() {
-	p.refuseHopeless()
+func (p *planner) runSteps() {
+	p.refuseInfeasible()
 	p.serve(classUrgent)
 	p.serve(classService)
 	p.serveDue()
 	p.reserveGangs()
-	p.keepPromises()
-	p.reserveFair()
+	p.startPreviouslyReserved()
+	p.reserveLeastServed()
 	p.reserveLarge()
 	p.serve(classNormal)
 	p.probe()
 }
 
-// refuseHopeless gives up accepted work that can't end in time any more, so
+// refuseInfeasible gives up accepted work that can't end in time any more, so
 // that its owner hears at once and its room goes to work that can.
-func (p *planner) refuseHopeless() {
-	p.cluster.queue.hopeless.Scan(func(e *entry) bool {
-		if p.left == 0 || !e.hopeless.Before(p.now) {
+func (p *planner) refuseInfeasible() {
+	p.cluster.queue.byLastFeasibleStart.Scan(func(e *entry) bool {
+		if p.budget == 0 || !e.lastFeasibleStart.Before(p.now) {
 			return false
 		}
-		p.left--
-		e.skippedBy, e.refusedBy = p.id, p.id
+		p.budget--
+		e.skippedEval, e.refusedEval = p.id, p.id
 		detail := fmt.Sprintf("a task takes at least %v and the deadline is in %v",
 			e.run.low.Round(time.Second), e.job.Deadline.Sub(p.now).Round(time.Second))
 		p.plan.Refusals = append(p.plan.Refusals, Refusal{Job: e.job.ID, Reason: ReasonDeadline, Detail: detail})
@@ -83,24 +83,24 @@
 	})
 }
 
-// serveArrivals is the baseline: strict order of submission.
-func (p *planner) serveArrivals() {
-	p.cluster.queue.byArrival.Scan(func(e *entry) bool {
+// startInSubmissionOrder is the baseline: strict order of submission.
+func (p *planner) startInSubmissionOrder() {
+	p.cluster.queue.bySubmitted.Scan(func(e *entry) bool {
 		for p.remaining(e) > 0 {
 			if !p.place(e) {
 				return false
 			}
 		}
-		return p.left > 0
+		return p.budget > 0
 	})
 }
 
 // remaining is how many tasks of the entry this evaluation has not started.
 func (p *planner) remaining(e *entry) int {
-	if e.skippedBy == p.id {
+	if e.skippedEval == p.id {
 		return 0
 	}
-	if e.plannedBy != p.id {
+	if e.plannedEval != p.id {
 		return e.job.Tasks
 	}
 	return e.job.Tasks - e.planned
@@ -108,23 +108,23 @@
 
 // request is valid until the next call.
 func (p *planner) request(e *entry) *request {
-	p.asked = request{cluster: p.cluster, entry: e, record: p.cluster.jobs[e.job.ID], now: p.now, evaluation: p.id}
-	return &p.asked
+	p.scratchRequest = request{cluster: p.cluster, entry: e, record: p.cluster.jobs[e.job.ID], now: p.now, evaluation: p.id}
+	return &p.scratchRequest
 }
 
 // place starts one task of the entry, or all tasks of a gang. A shape for
 // which no worker has room is marked; any other hindrance is not its fault.
 func (p *planner) place(e *entry) bool {
-	if p.left == 0 || e.line.state.blocked {
+	if p.budget == 0 || e.subqueue.state.blocked {
 		return false
 	}
 	if e.job.Policy == Gang {
 		return p.placeGang(e)
 	}
-	if !e.line.customer.allows(e.need) {
+	if !e.subqueue.customer.allows(e.need) {
 		return false
 	}
-	if e.line.state.holds(p.id, e.run.high) {
+	if e.subqueue.state.findsOnlyReserved(p.id, e.run.high) {
 		return false
 	}
 	s := p.request(e).find()
@@ -132,11 +132,11 @@
 		p.start(e, s.worker)
 		return true
 	}
-	if !s.roomy {
-		p.cluster.queue.block(e.line.state)
+	if !s.hasRoom {
+		p.cluster.queue.block(e.subqueue.state)
 	}
 	if s.reserved {
-		e.line.state.hold(p.id, e.run.high)
+		e.subqueue.state.recordReservedMiss(p.id, e.run.high)
 	}
 	return false
 }
@@ -144,21 +144,21 @@
 // start takes room tentatively and adds the start to the plan.
 func (p *planner) start(e *entry, w *worker) {
 	invariant(e.need.within(w.free), "plan gives %v on %s, which has %v", e.need, w.ID, w.free)
-	if e.plannedBy != p.id {
-		e.plannedBy, e.planned = p.id, 0
+	if e.plannedEval != p.id {
+		e.plannedEval, e.planned = p.id, 0
 	}
 	e.planned++
-	p.left--
-	p.cluster.takeSpare(p.id, e, w, p.now)
+	p.budget--
+	p.cluster.chargeReservation(p.id, e, w, p.now)
 	p.cluster.occupy(w, e.need)
-	e.line.customer.use(e.need)
-	p.cluster.countSpread(e.job.ID, e.job.Policy, w.ID, w.Rack, 1)
+	e.subqueue.customer.use(e.need)
+	p.cluster.countServiceSpread(e.job.ID, e.job.Policy, w.ID, w.Rack, 1)
 	p.plan.Starts = append(p.plan.Starts, Start{Job: e.job.ID, Worker: w.ID, Need: e.need})
 }
 
 // check stops the program on a plan that would overload a worker or start a
 // part of a gang. It runs while the plan still holds its room.
-func (p *planner) check() {
+func (p *planner) checkPlan() {
 	for _, s := range p.plan.Starts {
 		w, e := p.cluster.workers[s.Worker], p.cluster.queue.entries[s.Job]
 		invariant(w.used.within(w.Capacity), "plan uses %v of %v on worker %s", w.used, w.Capacity, w.ID)
@@ -171,9 +171,9 @@
 	for _, s := range p.plan.Starts {
 		e := p.cluster.queue.entries[s.Job]
 		w := p.cluster.workers[s.Worker]
-		p.cluster.vacate(w, e.need)
-		e.line.customer.use(e.need.times(-1))
-		p.cluster.countSpread(s.Job, e.job.Policy, w.ID, w.Rack, -1)
+		p.cluster.release(w, e.need)
+		e.subqueue.customer.use(e.need.times(-1))
+		p.cluster.countServiceSpread(s.Job, e.job.Policy, w.ID, w.Rack, -1)
 	}
 }
 
@@ -183,9 +183,9 @@
 func (p *planner) serveDue() {
 	horizon := p.now.Add(p.cluster.opts.DueWindow)
 	visits := 0
-	p.cluster.queue.byLatest.Scan(func(e *entry) bool {
+	p.cluster.queue.byLatestStart.Scan(func(e *entry) bool {
 		visits++
-		if p.left == 0 || visits > dueVisits || e.latest.After(horizon) {
+		if p.budget == 0 || visits > maxDueVisits || e.latestStart.After(horizon) {
 			return false
 		}
 		for p.remaining(e) > 0 {
@@ -204,10 +204,10 @@
 func (p *planner) probe() {
 	for _, w := range p.cluster.byID {
 		h := &w.health
-		if !h.setAside || h.probing || h.probeAt.After(p.now) || !w.known || !w.Live || w.Draining {
+		if !h.quarantined || h.probing || h.probeAt.After(p.now) || !w.announced || !w.Live || w.Draining {
 			continue
 		}
-		if e := p.probeFor(w); e != nil && p.left > 0 {
+		if e := p.probeFor(w); e != nil && p.budget > 0 {
 			p.start(e, w)
 		}
 	}
@@ -217,45 +217,45 @@
 func (p *planner) probeFor(w *worker) *entry {
 	var found *entry
 	visits := 0
-	p.cluster.queue.byLatest.Scan(func(e *entry) bool {
+	p.cluster.queue.byLatestStart.Scan(func(e *entry) bool {
 		visits++
-		risked := e.job.Policy == Batch && e.job.Idempotent && p.unplanned(e) > 0 && e.refusedBy != p.id
-		if risked && e.line.customer.allows(e.need) && e.need.within(w.free) && !rejectFailedHere(p.request(e), w) {
+		eligible := e.job.Policy == Batch && e.job.Idempotent && p.unplannedTasks(e) > 0 && e.refusedEval != p.id
+		if eligible && e.subqueue.customer.allows(e.need) && e.need.within(w.free) && !rejectFailedHere(p.request(e), w) {
 			found = e
 			return false
 		}
-		return visits < dueVisits
+		return visits < maxDueVisits
 	})
 	return found
 }
 
-// setWake names the next moment at which time alone changes the plan.
-func (p *planner) setWake() {
-	if p.left == 0 {
-		p.plan.Wake = p.now
+// setReevaluateAt names the next moment at which time alone changes the plan.
+func (p *planner) setReevaluateAt() {
+	if p.budget == 0 {
+		p.plan.ReevaluateAt = p.now
 		return
 	}
-	if e, found := p.cluster.queue.held.Min(); found {
-		p.wakeAt(e.job.NotBefore)
+	if e, found := p.cluster.queue.delayed.Min(); found {
+		p.reevaluateBy(e.job.NotBefore)
 	}
-	if p.cluster.opts.FirstCome {
+	if p.cluster.opts.FirstComeFirstServed {
 		return
 	}
-	if e, found := p.cluster.queue.hopeless.Min(); found && e.hopeless != farFuture {
-		p.wakeAt(e.hopeless.Add(time.Nanosecond))
+	if e, found := p.cluster.queue.byLastFeasibleStart.Min(); found && e.lastFeasibleStart != farFuture {
+		p.reevaluateBy(e.lastFeasibleStart.Add(time.Nanosecond))
 	}
 	if p.cluster.queue.tasks == 0 {
 		return
 	}
 	for _, w := range p.cluster.byID {
-		if w.health.setAside && !w.health.probing && w.health.probeAt.After(p.now) {
-			p.wakeAt(w.health.probeAt)
+		if w.health.quarantined && !w.health.probing && w.health.probeAt.After(p.now) {
+			p.reevaluateBy(w.health.probeAt)
 		}
 	}
 }
 
-func (p *planner) wakeAt(t time.Time) {
-	if p.plan.Wake.IsZero() || t.Before(p.plan.Wake) {
-		p.plan.Wake = t
+func (p *planner) reevaluateBy(t time.Time) {
+	if p.plan.ReevaluateAt.IsZero() || t.Before(p.plan.ReevaluateAt) {
+		p.plan.ReevaluateAt = t
 	}
 }
--- a/placement/explain.go
+++ b/placement/explain.go
@@ -47,7 +47,7 @@
 	}
 	own := c.queue.customer(e.job.Customer)
 	switch {
-	case e.held:
+	case e.delayed:
 		return fmt.Sprintf("held back until %s after a failed attempt", e.job.NotBefore.UTC().Format(time.RFC3339))
 	case c.JobSuspect(e.job.ID):
 		return fmt.Sprintf("the job failed on %d workers and succeeded on none: the job, not the workers, looks at fault", len(c.jobs[e.job.ID].failedOn))
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -12,7 +12,7 @@
 }
 
 // ends is when the task would end if it started now, at the high estimate.
-func (r *request) ends() time.Time { return r.now.Add(r.entry.run.high) }
+func (r *request) expectedEnd() time.Time { return r.now.Add(r.entry.run.high) }
 
 // filter takes workers out that may not run the task.
 type filter struct {
@@ -23,10 +23,10 @@
 // filters are asked in this order; explain counts a worker at the first one
 // that rejects it.
 var filters = []filter{
-	{name: "not announced", rejects: func(_ *request, w *worker) bool { return !w.known }},
+	{name: "not announced", rejects: func(_ *request, w *worker) bool { return !w.announced }},
 	{name: "lease not held", rejects: func(_ *request, w *worker) bool { return !w.Live }},
 	{name: "draining", rejects: func(_ *request, w *worker) bool { return w.Draining }},
-	{name: "set aside after failures", rejects: func(_ *request, w *worker) bool { return w.health.setAside }},
+	{name: "set aside after failures", rejects: func(_ *request, w *worker) bool { return w.health.quarantined }},
 	{name: "too small", rejects: func(r *request, w *worker) bool { return !r.entry.need.within(w.Capacity) }},
 	{name: "not enough free cores", rejects: func(r *request, w *worker) bool { return r.entry.need.CPU > w.free.CPU }},
 	{name: "not enough free memory", rejects: func(r *request, w *worker) bool { return r.entry.need.Memory > w.free.Memory }},
@@ -51,13 +51,13 @@
 // rejectReserved keeps the room that a blocked gang needs at its computed
 // start: a task may only start there if it ends before, or fits beside.
 func rejectReserved(r *request, w *worker) bool {
-	if w.reservedBy != r.evaluation || r.entry == w.reserved.owner {
+	if w.reservedEval != r.evaluation || r.entry == w.reservation.owner {
 		return false
 	}
-	if r.entry.job.Policy != Service && !r.ends().After(w.reserved.at) {
+	if r.entry.job.Policy != Service && !r.expectedEnd().After(w.reservation.at) {
 		return false
 	}
-	return !r.entry.need.within(w.reserved.spare)
+	return !r.entry.need.within(w.reservation.remaining)
 }
 
 // rejectedBy names the first filter that takes the worker out, or "".
--- a/placement/health.go
+++ b/placement/health.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// suspectWorkers is on how many workers a job must fail, without a success
+	// minSuspectWorkers is on how many workers a job must fail, without a success
 	// anywhere, before the job itself is taken for the cause.
-	suspectWorkers = 3
+	minSuspectWorkers = 3
 	// maxFailedJobs bounds what is kept of the failures of one worker.
 	maxFailedJobs = 16
 )
@@ -15,12 +15,12 @@
 	// failures counts the failed starts since the last success, by job.
 	failures map[string]int
 	// since is the time of the first of those failures.
-	since    time.Time
-	setAside bool
-	probeAt  time.Time
-	backoff  time.Duration
-	// asideAt is when the worker was set aside.
-	asideAt time.Time
+	firstFailureAt time.Time
+	quarantined    bool
+	probeAt        time.Time
+	backoff        time.Duration
+	// quarantinedAt is when the worker was set aside.
+	quarantinedAt time.Time
 	// probing is true while a probe runs.
 	probing bool
 }
@@ -30,21 +30,21 @@
 // started does not count against workers.
 func (c *Cluster) ReportFailure(workerID, job string, now time.Time) {
 	w, found := c.workers[workerID]
-	if !found || c.opts.NoSetAside {
+	if !found || c.opts.NoQuarantine {
 		return
 	}
-	r := c.record(job)
+	r := c.jobRecordFor(job)
 	if r.failedOn == nil {
 		r.failedOn = map[string]bool{}
 	}
 	r.failedOn[workerID] = true
 	c.countFailure(w, job, now)
-	if w.health.setAside {
+	if w.health.quarantined {
 		c.postponeProbe(w, job, now)
-	} else if c.blames(w) {
-		c.setAside(w, now)
+	} else if c.workerAtFault(w) {
+		c.quarantine(w, now)
 	}
-	c.dropRecord(job)
+	c.dropIdleJobRecord(job)
 }
 
 // ReportSuccess records that a task of a job succeeded on a worker, which takes
@@ -60,18 +60,18 @@
 	if !found {
 		return
 	}
-	if w.startOf(job, now).Before(w.health.since) {
+	if w.startOf(job, now).Before(w.health.firstFailureAt) {
 		return
 	}
 	w.health.failures = nil
-	w.health.since = time.Time{}
-	if !w.health.setAside {
+	w.health.firstFailureAt = time.Time{}
+	if !w.health.quarantined {
 		return
 	}
 	w.health = health{}
 	c.countCapacity(w, 1)
 	c.free.add(w)
-	if w.open() {
+	if w.schedulable() {
 		c.queue.unblock(w.free)
 	}
 }
@@ -79,8 +79,8 @@
 // startOf is when a task of the job started on the worker: the one that ended
 // last, or else the oldest that runs.
 func (w *worker) startOf(job string, now time.Time) time.Time {
-	if w.ended.Job == job {
-		return w.ended.Started
+	if w.lastEnded.Job == job {
+		return w.lastEnded.Started
 	}
 	first := now
 	for _, t := range w.tasks {
@@ -91,11 +91,11 @@
 	return first
 }
 
-// SetAside lists the workers that get no work but probes, by ID.
-func (c *Cluster) SetAside() []string {
+// Quarantined lists the workers that get no work but probes, by ID.
+func (c *Cluster) Quarantined() []string {
 	var ids []string
 	for _, w := range c.byID {
-		if w.health.setAside {
+		if w.health.quarantined {
 			ids = append(ids, w.ID)
 		}
 	}
@@ -105,7 +105,7 @@
 func (c *Cluster) countFailure(w *worker, job string, now time.Time) {
 	if len(w.health.failures) == 0 {
 		w.health.failures = map[string]int{}
-		w.health.since = now
+		w.health.firstFailureAt = now
 	}
 	if _, found := w.health.failures[job]; !found && len(w.health.failures) >= maxFailedJobs {
 		return
@@ -116,8 +116,8 @@
 // blames says whether the failures since the last success are the worker's
 // fault. One job alone can't convict a worker unless it succeeded elsewhere:
 // otherwise a broken job would take worker after worker out of service.
-func (c *Cluster) blames(w *worker) bool {
-	failures, jobs, proven := 0, 0, false
+func (c *Cluster) workerAtFault(w *worker) bool {
+	failures, jobs, succeededElsewhere := 0, 0, false
 	for job, n := range w.health.failures {
 		r, found := c.jobs[job]
 		if found && r.suspect() {
@@ -125,14 +125,14 @@
 		}
 		failures += n
 		jobs++
-		proven = proven || found && r.succeeded
+		succeededElsewhere = succeededElsewhere || found && r.succeeded
 	}
-	return failures >= c.opts.FailuresBeforeSetAside && (jobs > 1 || proven)
+	return failures >= c.opts.FailuresBeforeQuarantine && (jobs > 1 || succeededElsewhere)
 }
 
 // suspect says that the job and not its workers is the cause of its failures.
 func (r *jobRecord) suspect() bool {
-	return !r.succeeded && len(r.failedOn) >= suspectWorkers
+	return !r.succeeded && len(r.failedOn) >= minSuspectWorkers
 }
 
 // JobSuspect says whether a job failed on several workers and nowhere
@@ -143,7 +143,7 @@
 }
 
 // forgive takes the failures of a job that was itself at fault from workers.
-func (c *Cluster) forgive(job string, r *jobRecord) {
+func (c *Cluster) discountFailures(job string, r *jobRecord) {
 	if !r.suspect() {
 		return
 	}
@@ -154,11 +154,11 @@
 	}
 }
 
-func (c *Cluster) setAside(w *worker, now time.Time) {
-	c.free.drop(w)
+func (c *Cluster) quarantine(w *worker, now time.Time) {
+	c.free.remove(w)
 	c.countCapacity(w, -1)
-	w.health.setAside = true
-	w.health.asideAt = now
+	w.health.quarantined = true
+	w.health.quarantinedAt = now
 	w.health.backoff = c.opts.ProbeBackoff
 	w.health.probeAt = now.Add(w.health.backoff)
 }
@@ -168,7 +168,7 @@
 // is goes by the start: the owner may have unplaced the probe already, and if
 // that failure were not counted the next probe would follow at once.
 func (c *Cluster) postponeProbe(w *worker, job string, now time.Time) {
-	if w.startOf(job, now).Before(w.health.asideAt) {
+	if w.startOf(job, now).Before(w.health.quarantinedAt) {
 		return
 	}
 	w.health.probing = false
--- a/placement/machine_test.go
+++ b/placement/machine_test.go
@@ -11,16 +11,16 @@
 
 // machine drives a cluster with random calls and checks after each that what
 // is kept incrementally equals what a recount gives.
-type machine struct {
-	c    *Cluster
-	now  time.Time
-	next map[string]int
+type stateMachine struct {
+	c        *Cluster
+	now      time.Time
+	nextTask map[string]int
 }
 
-func (m *machine) amount(t *rapid.T, most int64) Resources {
+func (m *stateMachine) amount(t *rapid.T, max int64) Resources {
 	return Resources{
-		CPU:          1000 * rapid.Int64Range(1, most).Draw(t, "cpu"),
-		Memory:       1024 * rapid.Int64Range(0, most).Draw(t, "memory"),
+		CPU:          1000 * rapid.Int64Range(1, max).Draw(t, "cpu"),
+		Memory:       1024 * rapid.Int64Range(0, max).Draw(t, "memory"),
 		Accelerators: rapid.SampledFrom([]int64{0, 0, 0, 1, 2}).Draw(t, "accelerators"),
 	}
 }
@@ -29,7 +29,7 @@
 
 func jobID(t *rapid.T) string { return fmt.Sprintf("j%d", rapid.IntRange(0, 9).Draw(t, "job")) }
 
-func (m *machine) SetWorker(t *rapid.T) {
+func (m *stateMachine) SetWorker(t *rapid.T) {
 	id := workerID(t)
 	capacity := m.amount(t, 8)
 	// A worker does not shrink below what it runs.
@@ -42,9 +42,9 @@
 	})
 }
 
-func (m *machine) RemoveWorker(t *rapid.T) { m.c.RemoveWorker(workerID(t)) }
+func (m *stateMachine) RemoveWorker(t *rapid.T) { m.c.RemoveWorker(workerID(t)) }
 
-func (m *machine) Enqueue(t *rapid.T) {
+func (m *stateMachine) Enqueue(t *rapid.T) {
 	run := time.Duration(rapid.IntRange(1, 600).Draw(t, "seconds")) * time.Second
 	j := Job{
 		ID: jobID(t), Customer: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "customer"), Name: "n",
@@ -60,11 +60,11 @@
 	}
 }
 
-func (m *machine) Dequeue(t *rapid.T) { m.c.Dequeue(jobID(t)) }
+func (m *stateMachine) Dequeue(t *rapid.T) { m.c.Dequeue(jobID(t)) }
 
-func (m *machine) Unplace(t *rapid.T) {
+func (m *stateMachine) Unplace(t *rapid.T) {
 	id := jobID(t)
-	for n := 1; n <= m.next[id]; n++ {
+	for n := 1; n <= m.nextTask[id]; n++ {
 		if m.c.Placed(id, n).Job == id {
 			m.c.Unplace(id, n)
 			return
@@ -72,21 +72,21 @@
 	}
 }
 
-func (m *machine) Place(t *rapid.T) {
+func (m *stateMachine) Place(t *rapid.T) {
 	id := jobID(t)
-	m.next[id]++
+	m.nextTask[id]++
 	w := workerID(t)
 	need := m.amount(t, 4)
 	own, known := m.c.workers[w]
-	fits := known && own.known && need.within(own.free)
-	err := m.c.Place(Placed{Job: id, Task: m.next[id], Worker: w, Customer: "a", Name: "n", Policy: Batch, Need: need, Started: m.now, Runtime: time.Minute,
+	fits := known && own.announced && need.within(own.free)
+	err := m.c.Place(Placed{Job: id, Task: m.nextTask[id], Worker: w, Customer: "a", Name: "n", Policy: Batch, Need: need, Started: m.now, Runtime: time.Minute,
 		Idempotent: rapid.Bool().Draw(t, "idempotent")})
-	if known && own.known {
+	if known && own.announced {
 		must.EqOp(t, fits, err == nil)
 	}
 }
 
-func (m *machine) Report(t *rapid.T) {
+func (m *stateMachine) Report(t *rapid.T) {
 	if rapid.IntRange(0, 2).Draw(t, "success") == 0 {
 		m.c.ReportSuccess(workerID(t), jobID(t), m.now)
 		return
@@ -94,22 +94,22 @@
 	m.c.ReportFailure(workerID(t), jobID(t), m.now)
 }
 
-func (m *machine) Learn(t *rapid.T) {
+func (m *stateMachine) Learn(t *rapid.T) {
 	need := m.amount(t, 4)
 	m.c.Learn(Sample{Customer: "a", Name: "n", Declared: time.Minute, Measured: time.Duration(rapid.IntRange(1, 600).Draw(t, "measured")) * time.Second,
 		Need: need, Peak: need.times(rapid.Int64Range(0, 2).Draw(t, "peak"))})
 }
 
-func (m *machine) SetLimit(t *rapid.T) {
+func (m *stateMachine) SetLimit(t *rapid.T) {
 	m.c.SetLimit("b", Resources{CPU: rapid.Int64Range(-1, 8000).Draw(t, "limit"), Memory: -1, Accelerators: -1})
 }
 
-func (m *machine) Pass(t *rapid.T) {
+func (m *stateMachine) Pass(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "pass")) * time.Second)
 }
 
 // Evaluate checks a plan against the accounts and commits it or drops it.
-func (m *machine) Evaluate(t *rapid.T) {
+func (m *stateMachine) Evaluate(t *rapid.T) {
 	before := m.recount()
 	plan := m.c.Evaluate(m.now, rapid.IntRange(1, 30).Draw(t, "max"))
 	must.Eq(t, before, m.recount())
@@ -119,8 +119,8 @@
 		taken[s.Worker] = taken[s.Worker].plus(s.Need)
 		starts[s.Job]++
 		w := m.c.workers[s.Worker]
-		must.True(t, w.known && w.Live && !w.Draining)
-		must.True(t, !w.health.setAside || !w.health.probing)
+		must.True(t, w.announced && w.Live && !w.Draining)
+		must.True(t, !w.health.quarantined || !w.health.probing)
 	}
 	for id, need := range taken {
 		must.True(t, need.within(m.c.workers[id].free), must.Sprintf("plan overloads %s", id))
@@ -138,17 +138,17 @@
 	}
 }
 
-func (m *machine) commit(t *rapid.T, plan Plan) {
+func (m *stateMachine) commit(t *rapid.T, plan Plan) {
 	for _, s := range plan.Starts {
 		j := m.c.queue.entries[s.Job].job
-		m.next[j.ID]++
-		must.NoError(t, m.c.Place(Placed{Job: j.ID, Task: m.next[j.ID], Worker: s.Worker, Customer: j.Customer, Name: j.Name, Policy: j.Policy,
+		m.nextTask[j.ID]++
+		must.NoError(t, m.c.Place(Placed{Job: j.ID, Task: m.nextTask[j.ID], Worker: s.Worker, Customer: j.Customer, Name: j.Name, Policy: j.Policy,
 			Need: s.Need, Urgent: j.Urgent, Idempotent: j.Idempotent, Started: m.now, Runtime: j.Runtime, Deadline: j.Deadline}))
 		j.Tasks--
 		m.c.Enqueue(j)
 	}
 	for _, p := range plan.Preemptions {
-		m.c.Stopping(p.Job, p.Task)
+		m.c.MarkStopping(p.Job, p.Task)
 	}
 	for _, r := range plan.Refusals {
 		m.c.Dequeue(r.Job)
@@ -156,7 +156,7 @@
 }
 
 // account is what a recount of the cluster gives.
-type account struct {
+type recountedState struct {
 	Capacity, Endless, Running, ServiceNeed Resources
 	Used, Leaving, Stoppable                map[string]Resources
 	Customers                               map[string]Resources
@@ -164,11 +164,11 @@
 	Queued, Indexed, Ends                   int
 }
 
-func (m *machine) recount() account {
-	a := account{Used: map[string]Resources{}, Leaving: map[string]Resources{}, Stoppable: map[string]Resources{}, Customers: map[string]Resources{}, Entries: map[string]int{}}
+func (m *stateMachine) recount() recountedState {
+	a := recountedState{Used: map[string]Resources{}, Leaving: map[string]Resources{}, Stoppable: map[string]Resources{}, Customers: map[string]Resources{}, Entries: map[string]int{}}
 	for id, w := range m.c.workers {
 		a.Used[id], a.Leaving[id], a.Stoppable[id] = Resources{}, Resources{}, Resources{}
-		if w.open() {
+		if w.schedulable() {
 			a.Capacity = a.Capacity.plus(w.Capacity)
 			a.Indexed++
 		}
@@ -176,14 +176,14 @@
 	for _, p := range m.c.placed {
 		a.Used[p.Worker] = a.Used[p.Worker].plus(p.Need)
 		a.Customers[p.Customer] = a.Customers[p.Customer].plus(p.Need)
-		open := m.c.workers[p.Worker].open()
+		open := m.c.workers[p.Worker].schedulable()
 		switch {
-		case p.endless && open:
+		case p.unbounded && open:
 			a.Endless = a.Endless.plus(p.Need)
-		case !p.endless && open:
+		case !p.unbounded && open:
 			a.Running = a.Running.plus(p.Need)
 		}
-		if !p.endless {
+		if !p.unbounded {
 			a.Ends++
 		}
 		if p.stopping {
@@ -204,21 +204,21 @@
 }
 
 // Check compares the recount with what the cluster keeps.
-func (m *machine) Check(t *rapid.T) {
+func (m *stateMachine) Check(t *rapid.T) {
 	a := m.recount()
 	must.EqOp(t, a.Capacity, m.c.capacity)
-	must.EqOp(t, a.Endless, m.c.endlessNeed)
+	must.EqOp(t, a.Endless, m.c.unboundedUsage)
 	must.EqOp(t, a.Running, m.c.running.need)
 	must.EqOp(t, a.ServiceNeed, m.c.queue.serviceNeed)
 	must.EqOp(t, a.Queued, m.c.queue.tasks)
-	must.EqOp(t, a.Indexed, m.c.free.plain.Len()+m.c.free.accelerated.Len())
-	must.EqOp(t, a.Ends, m.c.ends.Len())
+	must.EqOp(t, a.Indexed, m.c.free.withoutAccelerators.Len()+m.c.free.withAccelerators.Len())
+	must.EqOp(t, a.Ends, m.c.byExpectedEnd.Len())
 	for id, w := range m.c.workers {
 		must.EqOp(t, a.Used[id], w.used)
-		must.EqOp(t, a.Leaving[id], w.leaving)
-		must.EqOp(t, a.Stoppable[id], w.stoppable)
+		must.EqOp(t, a.Leaving[id], w.stopping)
+		must.EqOp(t, a.Stoppable[id], w.preemptible)
 		must.EqOp(t, w.Capacity.minus(w.used), w.free)
-		must.EqOp(t, w.open(), w.indexed)
+		must.EqOp(t, w.schedulable(), w.indexed)
 	}
 	for name, c := range m.c.queue.customers {
 		must.EqOp(t, a.Customers[name], c.used)
@@ -229,7 +229,7 @@
 	}
 	if len(m.c.queue.entries) == 0 {
 		must.SliceEmpty(t, m.c.queue.shapeList)
-		must.EqOp(t, 0, m.c.demand.slices.Len())
+		must.EqOp(t, 0, m.c.demand.buckets.Len())
 	}
 	for _, s := range m.c.queue.shapeList {
 		m.checkBlocked(t, s)
@@ -238,13 +238,13 @@
 
 // checkBlocked finds a shape that is marked though a task of it fits: its
 // entries would never be looked at again.
-func (m *machine) checkBlocked(t *rapid.T, s *shapeState) {
+func (m *stateMachine) checkBlocked(t *rapid.T, s *shapeState) {
 	if !s.blocked {
 		return
 	}
 	room := 0
 	for _, w := range m.c.workers {
-		if w.open() {
+		if w.schedulable() {
 			room += w.free.copies(s.shape.need, 100)
 		}
 	}
@@ -253,7 +253,7 @@
 
 func TestClusterStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{c: NewCluster(DefaultOptions()), now: start, next: map[string]int{}}
+		m := &stateMachine{c: NewCluster(DefaultOptions()), now: start, nextTask: map[string]int{}}
 		t.Repeat(rapid.StateMachineActions(m))
 	})
 }
--- a/placement/options.go
+++ b/placement/options.go
@@ -23,12 +23,12 @@
 	// the order of shares between customers. A lower value refuses earlier in
 	// an overload, and large jobs before small ones.
 	Efficiency float64
-	// CustomerPart is the part of what admission counts on that one customer's
+	// MaxCustomerShare is the part of what admission counts on that one customer's
 	// waiting work may take.
-	CustomerPart float64
-	// FailuresBeforeSetAside is how many starts in a row must fail on a worker
+	MaxCustomerShare float64
+	// FailuresBeforeQuarantine is how many starts in a row must fail on a worker
 	// before it gets no more work.
-	FailuresBeforeSetAside int
+	FailuresBeforeQuarantine int
 	// ProbeBackoff and MaxProbeBackoff bound the pause between the probes of a
 	// worker that is set aside; each failed probe doubles it.
 	ProbeBackoff    time.Duration
@@ -36,32 +36,32 @@
 
 	// The switches below make the baseline that measurements compare with.
 
-	// FirstCome orders the queue by submission only; the first task that does
+	// FirstComeFirstServed orders the queue by submission only; the first task that does
 	// not fit holds back all that follow.
-	FirstCome bool
+	FirstComeFirstServed bool
 	// FirstFit takes the first worker by ID that has room.
 	FirstFit bool
 	// NoAdmission accepts everything.
 	NoAdmission bool
 	// NoCorrection believes declared run times and needs.
 	NoCorrection bool
-	// NoSetAside goes on using workers that fail everything.
-	NoSetAside bool
+	// NoQuarantine goes on using workers that fail everything.
+	NoQuarantine bool
 }
 
 // DefaultOptions are the settings that the measurements were made with.
 func DefaultOptions() Options {
 	return Options{
-		MaxQueue:               50_000,
-		DueWindow:              10 * time.Minute,
-		Reservations:           2,
-		FairReservations:       4,
-		LargeReservations:      8,
-		Efficiency:             0.4,
-		CustomerPart:           0.5,
-		FailuresBeforeSetAside: 3,
-		ProbeBackoff:           30 * time.Second,
-		MaxProbeBackoff:        30 * time.Minute,
+		MaxQueue:                 50_000,
+		DueWindow:                10 * time.Minute,
+		Reservations:             2,
+		FairReservations:         4,
+		LargeReservations:        8,
+		Efficiency:               0.4,
+		MaxCustomerShare:         0.5,
+		FailuresBeforeQuarantine: 3,
+		ProbeBackoff:             30 * time.Second,
+		MaxProbeBackoff:          30 * time.Minute,
 	}
 }
 
@@ -70,10 +70,10 @@
 func BaselineOptions() Options {
 	o := DefaultOptions()
 	o.MaxQueue = 0
-	o.FirstCome = true
+	o.FirstComeFirstServed = true
 	o.FirstFit = true
 	o.NoAdmission = true
 	o.NoCorrection = true
-	o.NoSetAside = true
+	o.NoQuarantine = true
 	return o
 }
--- a/placement/profile.go
+++ b/placement/profile.go
@@ -6,9 +6,9 @@
 	"github.com/tidwall/btree"
 )
 
-// profileStep is the width in seconds of the steps of a profile. Ends are
+// profileStepSeconds is the width in seconds of the steps of a profile. Ends are
 // rounded up to a step, which overstates what runs by less than one step each.
-const profileStep = 4
+const profileStepSeconds = 4
 
 // profile is what the running tasks on open workers hold, by expected end. It
 // is kept with every start and end, so that admission only walks its steps.
@@ -16,8 +16,8 @@
 	steps btree.Map[int64, *profileCell]
 	need  Resources
 	// moment is the sum of need times end, in seconds after the origin.
-	moment work
-	origin int64
+	firstMoment resourceSeconds
+	origin      int64
 }
 
 type profileCell struct {
@@ -26,12 +26,12 @@
 }
 
 func profileKey(end time.Time) int64 {
-	return (end.Unix()/profileStep + 1) * profileStep
+	return (end.Unix()/profileStepSeconds + 1) * profileStepSeconds
 }
 
 // add counts a task in (sign 1) or out (sign -1).
 func (p *profile) add(t *placedTask, sign int64) {
-	key := profileKey(t.end)
+	key := profileKey(t.expectedEnd)
 	if p.origin == 0 {
 		p.origin = key
 	}
@@ -43,26 +43,26 @@
 	cell.need = cell.need.plus(t.Need.times(sign))
 	cell.tasks += int(sign)
 	p.need = p.need.plus(t.Need.times(sign))
-	p.moment = p.moment.plus(workOf(t.Need, float64(sign*(key-p.origin))))
+	p.firstMoment = p.firstMoment.plus(resourceSecondsOf(t.Need, float64(sign*(key-p.origin))))
 	if cell.tasks == 0 {
 		p.steps.Delete(key)
 	}
 	if p.steps.Len() == 0 {
-		p.moment = work{}
+		p.firstMoment = resourceSeconds{}
 	}
 }
 
-// atMost is about all that the running tasks still take. Tasks that have run
+// upperBound is about all that the running tasks still take. Tasks that have run
 // longer than expected count as if they took the tail from now on, so it is
 // never less than what walk finds.
-func (p *profile) atMost(now time.Time) work {
-	passed := float64(now.Unix()-p.origin) - overdueTail.Seconds()
-	left := p.moment.plus(workOf(p.need, -passed))
+func (p *profile) upperBound(now time.Time) resourceSeconds {
+	elapsed := float64(now.Unix()-p.origin) - overdueRemaining.Seconds()
+	left := p.firstMoment.plus(resourceSecondsOf(p.need, -elapsed))
 	p.steps.Scan(func(key int64, cell *profileCell) bool {
 		if key >= now.Unix() {
 			return false
 		}
-		left = left.plus(workOf(cell.need, float64(now.Unix()-key)))
+		left = left.plus(resourceSecondsOf(cell.need, float64(now.Unix()-key)))
 		return true
 	})
 	return left
@@ -70,31 +70,31 @@
 
 // profileWalk reads a profile at growing times.
 type profileWalk struct {
-	steps btree.MapIter[int64, *profileCell]
-	more  bool
-	now   float64
-	done  work
-	after Resources
+	steps    btree.MapIter[int64, *profileCell]
+	more     bool
+	now      float64
+	finished resourceSeconds
+	active   Resources
 }
 
 func (p *profile) walk(now time.Time) *profileWalk {
-	w := &profileWalk{steps: p.steps.Iter(), after: p.need, now: float64(now.UnixMilli()) / 1000}
+	w := &profileWalk{steps: p.steps.Iter(), active: p.need, now: float64(now.UnixMilli()) / 1000}
 	w.more = w.steps.First()
 	return w
 }
 
 // until is the work that running tasks take within the next seconds; it may
 // only be asked for growing times.
-func (w *profileWalk) until(seconds float64) work {
+func (w *profileWalk) until(seconds float64) resourceSeconds {
 	for w.more {
 		cell := w.steps.Value()
-		left := max(float64(w.steps.Key())-w.now, overdueTail.Seconds())
+		left := max(float64(w.steps.Key())-w.now, overdueRemaining.Seconds())
 		if left > seconds {
 			break
 		}
-		w.done = w.done.plus(workOf(cell.need, left))
-		w.after = w.after.minus(cell.need)
+		w.finished = w.finished.plus(resourceSecondsOf(cell.need, left))
+		w.active = w.active.minus(cell.need)
 		w.more = w.steps.Next()
 	}
-	return w.done.plus(workOf(w.after, seconds))
+	return w.finished.plus(resourceSecondsOf(w.active, seconds))
 }
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -25,46 +25,46 @@
 	class class
 	// latest is when a task must start to end by the deadline at the high
 	// estimate of its run time; after hopeless not even the low one helps.
-	latest   time.Time
-	hopeless time.Time
-	// latestKey and arrivalKey are latest and the submission in Unix
+	latestStart       time.Time
+	lastFeasibleStart time.Time
+	// latestStartMicros and submittedMicros are latest and the submission in Unix
 	// microseconds, for quick comparison.
-	latestKey  int64
-	arrivalKey int64
+	latestStartMicros int64
+	submittedMicros   int64
 	// large tasks need a great part of a worker.
-	large bool
-	owner *customer
-	line  *line
-	held  bool
-	// planned counts the tasks that the evaluation numbered plannedBy starts.
-	planned   int
-	plannedBy uint64
-	// skippedBy is the evaluation that is done with the entry, refusedBy the
+	large    bool
+	account  *customer
+	subqueue *subqueue
+	delayed  bool
+	// planned counts the tasks that the evaluation numbered plannedEval starts.
+	planned     int
+	plannedEval uint64
+	// skippedEval is the evaluation that is done with the entry, refusedEval the
 	// one that refused it.
-	skippedBy uint64
-	refusedBy uint64
-	// reservedBy is the evaluation that looked for a reservation.
-	reservedBy uint64
-	demandKey  int64
+	skippedEval uint64
+	refusedEval uint64
+	// reservedEval is the evaluation that looked for a reservation.
+	reservedEval    uint64
+	demandBucketKey int64
 }
 
-func lessLatest(a, b *entry) bool {
-	if a.latestKey != b.latestKey {
-		return a.latestKey < b.latestKey
+func lessLatestStart(a, b *entry) bool {
+	if a.latestStartMicros != b.latestStartMicros {
+		return a.latestStartMicros < b.latestStartMicros
 	}
-	return lessArrival(a, b)
+	return lessSubmitted(a, b)
 }
 
-func lessArrival(a, b *entry) bool {
-	if a.arrivalKey != b.arrivalKey {
-		return a.arrivalKey < b.arrivalKey
+func lessSubmitted(a, b *entry) bool {
+	if a.submittedMicros != b.submittedMicros {
+		return a.submittedMicros < b.submittedMicros
 	}
 	return a.job.ID < b.job.ID
 }
 
-func lessHopeless(a, b *entry) bool {
-	if !a.hopeless.Equal(b.hopeless) {
-		return a.hopeless.Before(b.hopeless)
+func lessLastFeasibleStart(a, b *entry) bool {
+	if !a.lastFeasibleStart.Equal(b.lastFeasibleStart) {
+		return a.lastFeasibleStart.Before(b.lastFeasibleStart)
 	}
 	return a.job.ID < b.job.ID
 }
@@ -87,47 +87,47 @@
 // that found no room until some worker has room for one task again, so that a
 // full cluster costs nothing per queued entry.
 type shapeState struct {
-	shape   shape
-	lines   []*line
-	blocked bool
-	// heldBy is the evaluation in which entries of the shape found room that
-	// a reservation keeps, misses how many did and heldRun the shortest run
+	shape     shape
+	subqueues []*subqueue
+	blocked   bool
+	// reservedMissEval is the evaluation in which entries of the shape found room that
+	// a reservation keeps, misses how many did and minReservedMissRun the shortest run
 	// time among them: whatever takes as long would find the same.
-	heldBy  uint64
-	misses  int
-	heldRun time.Duration
+	reservedMissEval   uint64
+	reservedMisses     int
+	minReservedMissRun time.Duration
 }
 
 // hold notes that an entry found only room that is reserved.
-func (s *shapeState) hold(evaluation uint64, run time.Duration) {
-	if s.heldBy != evaluation {
-		s.heldBy, s.misses, s.heldRun = evaluation, 0, run
+func (s *shapeState) recordReservedMiss(evaluation uint64, run time.Duration) {
+	if s.reservedMissEval != evaluation {
+		s.reservedMissEval, s.reservedMisses, s.minReservedMissRun = evaluation, 0, run
 	}
-	s.misses++
-	s.heldRun = min(s.heldRun, run)
+	s.reservedMisses++
+	s.minReservedMissRun = min(s.minReservedMissRun, run)
 }
 
 // exhausted says that the evaluation has tried enough entries of the shape.
 func (s *shapeState) exhausted(evaluation uint64) bool {
-	return s.heldBy == evaluation && s.misses > lookahead
+	return s.reservedMissEval == evaluation && s.reservedMisses > lookahead
 }
 
 // holds says whether an entry is known to find only reserved room.
-func (s *shapeState) holds(evaluation uint64, run time.Duration) bool {
-	return s.heldBy == evaluation && (s.misses > lookahead || run >= s.heldRun)
+func (s *shapeState) findsOnlyReserved(evaluation uint64, run time.Duration) bool {
+	return s.reservedMissEval == evaluation && (s.reservedMisses > lookahead || run >= s.minReservedMissRun)
 }
 
 // line is the entries of one customer, class and shape, by latest start.
-type line struct {
+type subqueue struct {
 	customer *customer
 	class    class
 	state    *shapeState
 	entries  *btree.BTreeG[*entry]
-	// stuckBy is the evaluation that is done with the line.
-	stuckBy uint64
-	// cursor is how far the evaluation numbered cursorBy has come.
-	cursor   *entry
-	cursorBy uint64
+	// doneEval is the evaluation that is done with the line.
+	doneEval uint64
+	// cursor is how far the evaluation numbered cursorEval has come.
+	cursor     *entry
+	cursorEval uint64
 }
 
 // customer is the account of fair shares of one customer.
@@ -137,20 +137,20 @@
 	limited bool
 	limit   Resources
 	// weight scales the share that the customer is due; zero stands for one.
-	weight  float64
-	lines   [classCount]map[shape]*line
-	waiting int
+	weight       float64
+	subqueues    [classCount]map[shape]*subqueue
+	readyEntries int
 	// booked is the work of the customer in the queue, and horizon the latest
 	// of its deadlines since the queue last held nothing of it.
-	booked  work
-	entries int
-	tasks   int
-	horizon time.Time
-	// ready are the lines of readyClass that the evaluation numbered readyBy
+	queuedDemand resourceSeconds
+	entries      int
+	tasks        int
+	horizon      time.Time
+	// ready are the lines of readyClass that the evaluation numbered readyEval
 	// may serve.
-	ready      []*line
-	readyBy    uint64
-	readyClass class
+	readySubqueues []*subqueue
+	readyEval      uint64
+	readyClass     class
 }
 
 // share is how much of the capacity the customer uses, for its weight.
@@ -170,13 +170,13 @@
 		return true
 	}
 	after := c.used.plus(need)
-	return below(after.CPU, c.limit.CPU) &&
-		below(after.Memory, c.limit.Memory) &&
-		below(after.Accelerators, c.limit.Accelerators)
+	return withinLimit(after.CPU, c.limit.CPU) &&
+		withinLimit(after.Memory, c.limit.Memory) &&
+		withinLimit(after.Accelerators, c.limit.Accelerators)
 }
 
 // below treats a negative limit as none.
-func below(amount, limit int64) bool { return limit < 0 || amount <= limit }
+func withinLimit(amount, limit int64) bool { return limit < 0 || amount <= limit }
 
 // queue holds the entries under the orders that the evaluation walks.
 type queue struct {
@@ -185,30 +185,30 @@
 	customers map[string]*customer
 	blocked   []*shapeState
 	// serviceNeed is what the services in the queue ask for.
-	serviceNeed Resources
-	shapes      map[shape]*shapeState
-	shapeList   []*shapeState
-	byLatest    *btree.BTreeG[*entry]
-	byArrival   *btree.BTreeG[*entry]
-	hopeless    *btree.BTreeG[*entry]
-	gangs       *btree.BTreeG[*entry]
+	serviceNeed         Resources
+	shapes              map[shape]*shapeState
+	shapeList           []*shapeState
+	byLatestStart       *btree.BTreeG[*entry]
+	bySubmitted         *btree.BTreeG[*entry]
+	byLastFeasibleStart *btree.BTreeG[*entry]
+	gangs               *btree.BTreeG[*entry]
 	// large are the batch entries that need a great part of a worker, by
 	// arrival.
-	large *btree.BTreeG[*entry]
-	held  *btree.BTreeG[*entry]
+	largeBatch *btree.BTreeG[*entry]
+	delayed    *btree.BTreeG[*entry]
 }
 
 func newQueue() queue {
 	return queue{
-		entries:   map[string]*entry{},
-		customers: map[string]*customer{},
-		shapes:    map[shape]*shapeState{},
-		byLatest:  newOrder(lessLatest),
-		byArrival: newOrder(lessArrival),
-		hopeless:  newOrder(lessHopeless),
-		gangs:     newOrder(lessLatest),
-		large:     newOrder(lessArrival),
-		held:      newOrder(lessNotBefore),
+		entries:             map[string]*entry{},
+		customers:           map[string]*customer{},
+		shapes:              map[shape]*shapeState{},
+		byLatestStart:       newOrder(lessLatestStart),
+		bySubmitted:         newOrder(lessSubmitted),
+		byLastFeasibleStart: newOrder(lessLastFeasibleStart),
+		gangs:               newOrder(lessLatestStart),
+		largeBatch:          newOrder(lessSubmitted),
+		delayed:             newOrder(lessNotBefore),
 	}
 }
 
@@ -221,8 +221,8 @@
 		return c
 	}
 	c := &customer{name: name}
-	for i := range c.lines {
-		c.lines[i] = map[shape]*line{}
+	for i := range c.subqueues {
+		c.subqueues[i] = map[shape]*subqueue{}
 	}
 	q.customers[name] = c
 	return c
@@ -233,13 +233,13 @@
 	q.entries[e.job.ID] = e
 	q.tasks += e.job.Tasks
 	q.countService(e, 1)
-	q.hopeless.Set(e)
+	q.byLastFeasibleStart.Set(e)
 	if !e.job.NotBefore.IsZero() {
-		e.held = true
-		q.held.Set(e)
+		e.delayed = true
+		q.delayed.Set(e)
 		return
 	}
-	q.ready(e)
+	q.makeReady(e)
 }
 
 func (q *queue) countService(e *entry, sign int64) {
@@ -250,26 +250,26 @@
 }
 
 // ready puts an entry into the orders that starts are taken from.
-func (q *queue) ready(e *entry) {
-	e.held = false
-	e.line = q.lineFor(e)
-	e.line.entries.Set(e)
-	e.line.customer.waiting++
-	q.byArrival.Set(e)
+func (q *queue) makeReady(e *entry) {
+	e.delayed = false
+	e.subqueue = q.subqueueFor(e)
+	e.subqueue.entries.Set(e)
+	e.subqueue.customer.readyEntries++
+	q.bySubmitted.Set(e)
 	if e.class != classNormal {
 		return
 	}
-	q.byLatest.Set(e)
+	q.byLatestStart.Set(e)
 	if e.job.Policy == Gang {
 		q.gangs.Set(e)
 	}
 	if e.large {
-		q.large.Set(e)
+		q.largeBatch.Set(e)
 	}
 }
 
 // shrink sets the number of tasks that an entry has left.
-func (q *queue) shrink(e *entry, tasks int) {
+func (q *queue) setRemaining(e *entry, tasks int) {
 	q.tasks += tasks - e.job.Tasks
 	e.job.Tasks = tasks
 }
@@ -278,36 +278,36 @@
 	delete(q.entries, e.job.ID)
 	q.tasks -= e.job.Tasks
 	q.countService(e, -1)
-	q.hopeless.Delete(e)
-	if e.held {
-		q.held.Delete(e)
+	q.byLastFeasibleStart.Delete(e)
+	if e.delayed {
+		q.delayed.Delete(e)
 		return
 	}
-	e.line.entries.Delete(e)
-	e.line.customer.waiting--
-	q.dropLine(e.line)
-	q.byArrival.Delete(e)
+	e.subqueue.entries.Delete(e)
+	e.subqueue.customer.readyEntries--
+	q.dropEmptySubqueue(e.subqueue)
+	q.bySubmitted.Delete(e)
 	if e.class != classNormal {
 		return
 	}
-	q.byLatest.Delete(e)
+	q.byLatestStart.Delete(e)
 	if e.job.Policy == Gang {
 		q.gangs.Delete(e)
 	}
 	if e.large {
-		q.large.Delete(e)
+		q.largeBatch.Delete(e)
 	}
 }
 
 // release readies the entries whose NotBefore has passed.
-func (q *queue) release(now time.Time) {
+func (q *queue) releaseDelayed(now time.Time) {
 	for {
-		e, found := q.held.Min()
+		e, found := q.delayed.Min()
 		if !found || e.job.NotBefore.After(now) {
 			return
 		}
-		q.held.Delete(e)
-		q.ready(e)
+		q.delayed.Delete(e)
+		q.makeReady(e)
 	}
 }
 
@@ -319,10 +319,10 @@
 	return s
 }
 
-func (q *queue) lineFor(e *entry) *line {
+func (q *queue) subqueueFor(e *entry) *subqueue {
 	s := shapeOf(e)
 	c := q.customer(e.job.Customer)
-	if l, found := c.lines[e.class][s]; found {
+	if l, found := c.subqueues[e.class][s]; found {
 		return l
 	}
 	state, found := q.shapes[s]
@@ -331,31 +331,31 @@
 		q.shapes[s] = state
 		q.shapeList = append(q.shapeList, state)
 	}
-	l := &line{customer: c, class: e.class, state: state, entries: newOrder(lessLatest)}
-	state.lines = append(state.lines, l)
-	c.lines[e.class][s] = l
+	l := &subqueue{customer: c, class: e.class, state: state, entries: newOrder(lessLatestStart)}
+	state.subqueues = append(state.subqueues, l)
+	c.subqueues[e.class][s] = l
 	return l
 }
 
-func (q *queue) dropLine(l *line) {
+func (q *queue) dropEmptySubqueue(l *subqueue) {
 	if l.entries.Len() > 0 {
 		return
 	}
-	delete(l.customer.lines[l.class], l.state.shape)
-	l.state.lines = without(l.state.lines, l)
-	if len(l.state.lines) == 0 {
+	delete(l.customer.subqueues[l.class], l.state.shape)
+	l.state.subqueues = removeUnordered(l.state.subqueues, l)
+	if len(l.state.subqueues) == 0 {
 		delete(q.shapes, l.state.shape)
-		q.shapeList = without(q.shapeList, l.state)
+		q.shapeList = removeUnordered(q.shapeList, l.state)
 	}
 }
 
 // without removes one item of a list, whose order does not matter.
-func without[T comparable](list []T, item T) []T {
+func removeUnordered[T comparable](list []T, item T) []T {
 	at := slices.Index(list, item)
 	last := len(list) - 1
 	list[at] = list[last]
-	var none T
-	list[last] = none
+	var zero T
+	list[last] = zero
 	return list[:last]
 }
 
--- a/placement/reserve.go
+++ b/placement/reserve.go
@@ -9,64 +9,64 @@
 	owner *entry
 	at    time.Time
 	// spare is what is left beside the reserved work at that time.
-	spare Resources
+	remaining Resources
 }
 
 // reserve computes when the entry can start, from the expected ends of what
 // runs, and keeps the room it needs then. Other work may use that room until
 // then (backfill), so nothing stands idle for a guess.
 func (p *planner) reserve(e *entry) {
-	if p.reservations == 0 || e.reservedBy == p.id || !e.line.customer.allows(e.need) {
+	if p.reservations == 0 || e.reservedEval == p.id || !e.subqueue.customer.allows(e.need) {
 		return
 	}
-	e.reservedBy = p.id
+	e.reservedEval = p.id
 	f := p.forecast(e)
 	if f == nil {
 		return
 	}
 	p.reservations--
-	p.cluster.promised = append(p.cluster.promised, e.job.ID)
+	p.cluster.reservedJobs = append(p.cluster.reservedJobs, e.job.ID)
 	for _, w := range f.chosen {
-		o := p.cluster.outlookOf(w)
-		w.reservedBy = p.id
-		w.reserved = reservation{
-			owner: e,
-			at:    f.at,
-			spare: w.free.plus(o.released).minus(e.need.times(int64(o.tasks))),
+		o := p.cluster.workerForecastOf(w)
+		w.reservedEval = p.id
+		w.reservation = reservation{
+			owner:     e,
+			at:        f.at,
+			remaining: w.free.plus(o.released).minus(e.need.times(int64(o.tasks))),
 		}
 	}
 }
 
 // outlook is what a forecast expects of one worker.
-type outlook struct {
+type workerForecast struct {
 	released Resources
 	tasks    int
 }
 
-// outlookOf returns the outlook of the running forecast, empty at first.
-func (c *Cluster) outlookOf(w *worker) *outlook {
-	if w.outlookBy != c.forecasts {
-		w.outlookBy = c.forecasts
-		w.outlook = outlook{}
+// workerForecastOf returns the outlook of the running forecast, empty at first.
+func (c *Cluster) workerForecastOf(w *worker) *workerForecast {
+	if w.forecastID != c.forecasts {
+		w.forecastID = c.forecasts
+		w.forecast = workerForecast{}
 	}
-	return &w.outlook
+	return &w.forecast
 }
 
 // forecast is the earliest start of an entry as far as it can be told.
 type forecast struct {
-	at     time.Time
-	wanted int
-	chosen []*worker
+	at        time.Time
+	tasksLeft int
+	chosen    []*worker
 }
 
 // offer counts the tasks that fit on a worker by now in the forecast.
-func (p *planner) offer(f *forecast, e *entry, w *worker) bool {
-	o := p.cluster.outlookOf(w)
+func (p *planner) addCandidate(f *forecast, e *entry, w *worker) bool {
+	o := p.cluster.workerForecastOf(w)
 	room := w.free.plus(o.released)
-	if !e.need.within(room) || !w.open() || w.reservedBy == p.id {
+	if !e.need.within(room) || !w.schedulable() || w.reservedEval == p.id {
 		return false
 	}
-	more := min(room.copies(e.need, o.tasks+f.wanted)-o.tasks, f.wanted)
+	more := min(room.copies(e.need, o.tasks+f.tasksLeft)-o.tasks, f.tasksLeft)
 	if more <= 0 {
 		return false
 	}
@@ -74,33 +74,33 @@
 		f.chosen = append(f.chosen, w)
 	}
 	o.tasks += more
-	f.wanted -= more
+	f.tasksLeft -= more
 	return true
 }
 
-func latest(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// takeSpare charges a start that outlasts a reservation to what is spare.
-func (c *Cluster) takeSpare(evaluation uint64, e *entry, w *worker, now time.Time) {
-	if w.reservedBy != evaluation || w.reserved.owner == e {
+// chargeReservation charges a start that outlasts a reservation to what is spare.
+func (c *Cluster) chargeReservation(evaluation uint64, e *entry, w *worker, now time.Time) {
+	if w.reservedEval != evaluation || w.reservation.owner == e {
 		return
 	}
-	if e.job.Policy != Service && !now.Add(e.run.high).After(w.reserved.at) {
+	if e.job.Policy != Service && !now.Add(e.run.high).After(w.reservation.at) {
 		return
 	}
-	w.reserved.spare = w.reserved.spare.minus(e.need)
+	w.reservation.remaining = w.reservation.remaining.minus(e.need)
 }
 
-// keepPromises starts the work for which the last evaluation held room. By the
+// startPreviouslyReserved starts the work for which the last evaluation held room. By the
 // time that room is free, others have the smaller shares and would take it.
-func (p *planner) keepPromises() {
-	for _, id := range p.promised {
-		if e := p.cluster.queue.entries[id]; e != nil && !e.held && p.remaining(e) > 0 {
+func (p *planner) startPreviouslyReserved() {
+	for _, id := range p.previouslyReserved {
+		if e := p.cluster.queue.entries[id]; e != nil && !e.delayed && p.remaining(e) > 0 {
 			p.place(e)
 		}
 	}
@@ -111,7 +111,7 @@
 	visits := 0
 	p.cluster.queue.gangs.Scan(func(e *entry) bool {
 		visits++
-		if p.left == 0 || p.reservations == 0 || visits > gangVisits {
+		if p.budget == 0 || p.reservations == 0 || visits > maxGangVisits {
 			return false
 		}
 		if p.remaining(e) > 0 && !p.place(e) {
@@ -121,13 +121,13 @@
 	})
 }
 
-// reserveFair keeps a place for the customers that use least, when what they
+// reserveLeastServed keeps a place for the customers that use least, when what they
 // queue is too large for any gap. Without it a flood of small tasks takes each
 // gap as it opens, and a larger task of another customer waits until it is due.
-func (p *planner) reserveFair() {
+func (p *planner) reserveLeastServed() {
 	p.reservations += p.cluster.opts.FairReservations
 	for _, c := range p.leastServed(p.cluster.opts.FairReservations) {
-		if e := p.blockedHead(c); e != nil {
+		if e := p.blockedBatchHead(c); e != nil {
 			p.reserve(e)
 		}
 	}
@@ -138,15 +138,15 @@
 // all wait until they are due, whatever the share of their customer.
 func (p *planner) reserveLarge() {
 	p.reservations += p.cluster.opts.LargeReservations
-	given, visits := 0, 0
-	p.cluster.queue.large.Scan(func(e *entry) bool {
+	reserved, visits := 0, 0
+	p.cluster.queue.largeBatch.Scan(func(e *entry) bool {
 		visits++
-		if given >= p.cluster.opts.LargeReservations || visits > largeVisits {
+		if reserved >= p.cluster.opts.LargeReservations || visits > maxLargeVisits {
 			return false
 		}
-		if e.line.state.blocked && p.remaining(e) > 0 {
+		if e.subqueue.state.blocked && p.remaining(e) > 0 {
 			p.reserve(e)
-			given++
+			reserved++
 		}
 		return true
 	})
@@ -154,12 +154,12 @@
 
 // leastServed are the n customers with the smallest shares that wait.
 func (p *planner) leastServed(n int) []*customer {
-	least := make(turns, 0, n+1)
+	least := make(shareHeap, 0, n+1)
 	for _, c := range p.cluster.queue.customers {
-		if c.waiting == 0 {
+		if c.readyEntries == 0 {
 			continue
 		}
-		least = append(least, turn{customer: c, share: c.used.share(p.cluster.capacity)})
+		least = append(least, shareItem{customer: c, share: c.used.share(p.cluster.capacity)})
 		for i := len(least) - 1; i > 0 && least.Less(i, i-1); i-- {
 			least.Swap(i, i-1)
 		}
@@ -172,15 +172,15 @@
 	return list
 }
 
-// blockedHead is the batch entry of a customer that must start first among
+// blockedBatchHead is the batch entry of a customer that must start first among
 // those for which no worker has room.
-func (p *planner) blockedHead(c *customer) *entry {
+func (p *planner) blockedBatchHead(c *customer) *entry {
 	var first *entry
-	for _, l := range c.lines[classNormal] {
+	for _, l := range c.subqueues[classNormal] {
 		if !l.state.blocked || l.state.shape.gang > 0 {
 			continue
 		}
-		if e := p.head(l); e != nil && (first == nil || lessLatest(e, first)) {
+		if e := p.head(l); e != nil && (first == nil || lessLatestStart(e, first)) {
 			first = e
 		}
 	}
--- a/placement/resources.go
+++ b/placement/resources.go
@@ -22,7 +22,7 @@
 	return r.CPU <= o.CPU && r.Memory <= o.Memory && r.Accelerators <= o.Accelerators
 }
 
-// atMost is the smaller of both, field by field.
+// upperBound is the smaller of both, field by field.
 func (r Resources) atMost(o Resources) Resources {
 	return Resources{CPU: min(r.CPU, o.CPU), Memory: min(r.Memory, o.Memory), Accelerators: min(r.Accelerators, o.Accelerators)}
 }
--- a/placement/score.go
+++ b/placement/score.go
@@ -9,10 +9,10 @@
 }
 
 var (
-	// scorePack prefers the worker that the task fills up most.
-	scorePack = score{name: "pack", weight: 1, rate: ratePack}
-	// scoreSpare keeps workers with accelerators for work that needs them.
-	scoreSpare = score{name: "spare accelerators", weight: 4, rate: rateSpare}
+	// scoreBinPacking prefers the worker that the task fills up most.
+	scoreBinPacking = score{name: "pack", weight: 1, rate: rateBinPacking}
+	// scoreAccelerators keeps workers with accelerators for work that needs them.
+	scoreAccelerators = score{name: "spare accelerators", weight: 4, rate: rateAccelerators}
 	// scoreHealth avoids workers whose last start failed.
 	scoreHealth = score{name: "health", weight: 2, rate: rateHealth}
 	// scoreRack spreads the tasks of a service over racks, so that the loss
@@ -23,17 +23,17 @@
 )
 
 var scoresOf = map[Policy][]score{
-	Service: {scoreRack, scoreWorker, scoreSpare, scoreHealth, scorePack},
-	Batch:   {scoreSpare, scoreHealth, scorePack},
-	Gang:    {scoreSpare, scoreHealth, scorePack},
+	Service: {scoreRack, scoreWorker, scoreAccelerators, scoreHealth, scoreBinPacking},
+	Batch:   {scoreAccelerators, scoreHealth, scoreBinPacking},
+	Gang:    {scoreAccelerators, scoreHealth, scoreBinPacking},
 }
 
-func ratePack(r *request, w *worker) float64 {
+func rateBinPacking(r *request, w *worker) float64 {
 	left := w.free.minus(r.entry.need)
 	return 1 - (ratio(left.CPU, w.Capacity.CPU)+ratio(left.Memory, w.Capacity.Memory))/2
 }
 
-func rateSpare(r *request, w *worker) float64 {
+func rateAccelerators(r *request, w *worker) float64 {
 	if r.entry.need.Accelerators == 0 && w.Capacity.Accelerators > 0 {
 		return 0
 	}
@@ -62,7 +62,7 @@
 }
 
 // total adds the weighted scores of the policy.
-func (r *request) total(w *worker) float64 {
+func (r *request) weightedScore(w *worker) float64 {
 	sum := 0.0
 	for _, s := range scoresOf[r.entry.job.Policy] {
 		sum += s.weight * s.rate(r, w)
@@ -72,13 +72,13 @@
 
 // candidates is how many workers with room are rated for batch and gang tasks:
 // the index gives the tightest first, so more would rarely change the choice.
-const candidates = 8
+const maxRatedCandidates = 8
 
 // search is the result of looking for a worker for one task.
 type search struct {
 	worker *worker
 	// roomy says that some open worker has room, whatever the filters say.
-	roomy bool
+	hasRoom bool
 	// reserved says that some of that room is kept by a reservation.
 	reserved bool
 }
@@ -87,16 +87,16 @@
 func (r *request) find() search {
 	if r.cluster.opts.FirstFit {
 		w := r.firstFit()
-		return search{worker: w, roomy: w != nil}
+		return search{worker: w, hasRoom: w != nil}
 	}
 	var s search
-	limit := candidates
+	limit := maxRatedCandidates
 	if r.entry.job.Policy == Service {
 		limit = len(r.cluster.byID)
 	}
-	top, seen := 0.0, 0
+	best, seen := 0.0, 0
 	r.cluster.free.ascend(r.entry.need, func(w *worker) bool {
-		s.roomy = true
+		s.hasRoom = true
 		if rejectFailedHere(r, w) {
 			return true
 		}
@@ -104,8 +104,8 @@
 			s.reserved = true
 			return true
 		}
-		if rated := r.total(w); s.worker == nil || rated > top {
-			s.worker, top = w, rated
+		if rated := r.weightedScore(w); s.worker == nil || rated > best {
+			s.worker, best = w, rated
 		}
 		seen++
 		return seen < limit
@@ -115,7 +115,7 @@
 
 func (r *request) firstFit() *worker {
 	for _, w := range r.cluster.byID {
-		if w.open() && r.entry.need.within(w.free) {
+		if w.schedulable() && r.entry.need.within(w.free) {
 			return w
 		}
 	}
--- a/placement/serve.go
+++ b/placement/serve.go
@@ -3,7 +3,7 @@
 import "container/heap"
 
 // turn is a customer that may have an entry to serve.
-type turn struct {
+type shareItem struct {
 	customer *customer
 	share    float64
 }
@@ -12,18 +12,18 @@
 // on top. The
 // order depends on what a customer runs and not on how much it queues, so a
 // flood only lengthens the wait of its own customer.
-type turns []turn
+type shareHeap []shareItem
 
-func (t turns) Len() int      { return len(t) }
-func (t turns) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
-func (t turns) Less(i, j int) bool {
+func (t shareHeap) Len() int      { return len(t) }
+func (t shareHeap) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+func (t shareHeap) Less(i, j int) bool {
 	if t[i].share != t[j].share {
 		return t[i].share < t[j].share
 	}
 	return t[i].customer.name < t[j].customer.name
 }
-func (t *turns) Push(x any) { *t = append(*t, x.(turn)) }
-func (t *turns) Pop() any {
+func (t *shareHeap) Push(x any) { *t = append(*t, x.(shareItem)) }
+func (t *shareHeap) Pop() any {
 	last := (*t)[len(*t)-1]
 	*t = (*t)[:len(*t)-1]
 	return last
@@ -32,21 +32,21 @@
 // serve places the entries of a class, in turns between the customers and by
 // latest start within each.
 func (p *planner) serve(k class) {
-	var waiting turns
+	var byShare shareHeap
 	for _, c := range p.readyCustomers(k) {
-		waiting = append(waiting, turn{customer: c, share: c.share(p.cluster.capacity)})
+		byShare = append(byShare, shareItem{customer: c, share: c.share(p.cluster.capacity)})
 	}
-	heap.Init(&waiting)
-	for waiting.Len() > 0 && p.left > 0 {
-		c := waiting[0].customer
-		l := p.nextLine(c)
+	heap.Init(&byShare)
+	for byShare.Len() > 0 && p.budget > 0 {
+		c := byShare[0].customer
+		l := p.nextSubqueue(c)
 		if l == nil {
-			heap.Pop(&waiting)
+			heap.Pop(&byShare)
 			continue
 		}
-		p.serveLine(l)
-		waiting[0].share = c.share(p.cluster.capacity)
-		heap.Fix(&waiting, 0)
+		p.serveSubqueue(l)
+		byShare[0].share = c.share(p.cluster.capacity)
+		heap.Fix(&byShare, 0)
 	}
 }
 
@@ -58,48 +58,48 @@
 		if s.blocked && k != classUrgent {
 			continue
 		}
-		for _, l := range s.lines {
+		for _, l := range s.subqueues {
 			if l.class != k {
 				continue
 			}
 			c := l.customer
-			if c.readyBy != p.id || c.readyClass != k {
-				c.readyBy, c.readyClass, c.ready = p.id, k, c.ready[:0]
+			if c.readyEval != p.id || c.readyClass != k {
+				c.readyEval, c.readyClass, c.readySubqueues = p.id, k, c.readySubqueues[:0]
 				ready = append(ready, c)
 			}
-			c.ready = append(c.ready, l)
+			c.readySubqueues = append(c.readySubqueues, l)
 		}
 	}
 	return ready
 }
 
-// nextLine is the line of the customer whose head must start first.
-func (p *planner) nextLine(c *customer) *line {
-	var best *line
+// nextSubqueue is the line of the customer whose head must start first.
+func (p *planner) nextSubqueue(c *customer) *subqueue {
+	var best *subqueue
 	var first *entry
-	kept := c.ready[:0]
-	for _, l := range c.ready {
-		if l.stuckBy == p.id || l.state.blocked && l.class != classUrgent || l.state.exhausted(p.id) {
+	kept := c.readySubqueues[:0]
+	for _, l := range c.readySubqueues {
+		if l.doneEval == p.id || l.state.blocked && l.class != classUrgent || l.state.exhausted(p.id) {
 			continue
 		}
 		e := p.head(l)
-		if e == nil || l.state.holds(p.id, e.run.high) && !p.passHeld(l) {
+		if e == nil || l.state.findsOnlyReserved(p.id, e.run.high) && !p.skipReservedEntries(l) {
 			continue
 		}
 		e = l.cursor
 		kept = append(kept, l)
-		if first == nil || lessLatest(e, first) {
+		if first == nil || lessLatestStart(e, first) {
 			best, first = l, e
 		}
 	}
-	c.ready = kept
+	c.readySubqueues = kept
 	return best
 }
 
 // head is the first entry of the line that this evaluation is not done with.
-func (p *planner) head(l *line) *entry {
-	if l.cursorBy != p.id {
-		l.cursorBy = p.id
+func (p *planner) head(l *subqueue) *entry {
+	if l.cursorEval != p.id {
+		l.cursorEval = p.id
 		l.cursor, _ = l.entries.Min()
 	}
 	if l.cursor == nil || p.remaining(l.cursor) > 0 {
@@ -117,14 +117,14 @@
 	return l.cursor
 }
 
-// passHeld moves the cursor of a line to an entry that may end before the
+// skipReservedEntries moves the cursor of a line to an entry that may end before the
 // reservation that holds the first one back. It gives up after a few.
-func (p *planner) passHeld(l *line) bool {
+func (p *planner) skipReservedEntries(l *subqueue) bool {
 	visits := 0
 	found := false
 	l.entries.Ascend(l.cursor, func(e *entry) bool {
 		visits++
-		if p.remaining(e) > 0 && !l.state.holds(p.id, e.run.high) {
+		if p.remaining(e) > 0 && !l.state.findsOnlyReserved(p.id, e.run.high) {
 			l.cursor, found = e, true
 			return false
 		}
@@ -133,18 +133,18 @@
 	return found
 }
 
-// serveLine tries the head of a line. When only reserved room is left for it,
+// serveSubqueue tries the head of a line. When only reserved room is left for it,
 // a few entries behind it that take less time are tried too.
-func (p *planner) serveLine(l *line) {
+func (p *planner) serveSubqueue(l *subqueue) {
 	e := p.head(l)
 	if p.place(e) {
 		return
 	}
-	e.skippedBy = p.id
+	e.skippedEval = p.id
 	if e.class == classUrgent && p.preemptFor(e) {
 		return
 	}
 	if !l.customer.allows(e.need) || e.class == classUrgent {
-		l.stuckBy = p.id
+		l.doneEval = p.id
 	}
 }
--- a/placement/types.go
+++ b/placement/types.go
@@ -61,7 +61,7 @@
 	// expected to renew. It gets no tasks, but admission counts on it: a new
 	// leader that hasn't heard from its workers yet must not refuse work as if
 	// there were none.
-	Awaited bool
+	AwaitingRenewal bool
 }
 
 // Placed is a task that occupies a worker, from the committed start of its
@@ -135,11 +135,11 @@
 	Refusals    []Refusal
 	// Wake is when the plan should be computed again though nothing changes;
 	// zero for never.
-	Wake time.Time
+	ReevaluateAt time.Time
 }
 
 // Verdict is the answer of admission.
-type Verdict struct {
+type AdmissionDecision struct {
 	Admitted bool
 	Reason   Reason
 	Detail   string
--- a/placement/worker.go
+++ b/placement/worker.go
@@ -15,13 +15,13 @@
 // placedTask is a task on a worker together with its expected end.
 type placedTask struct {
 	Placed
-	end      time.Time
-	endless  bool
-	on       *worker
-	rack     string
-	stopping bool
-	// preemptedBy is the evaluation that planned to stop the task.
-	preemptedBy uint64
+	expectedEnd time.Time
+	unbounded   bool
+	worker      *worker
+	rack        string
+	stopping    bool
+	// preemptedEval is the evaluation that planned to stop the task.
+	preemptedEval uint64
 }
 
 // preemptible says whether the task may be stopped for urgent work. Work that
@@ -34,44 +34,44 @@
 type worker struct {
 	Worker
 	// known is false while only tasks name the worker and no announcement has.
-	known bool
-	used  Resources
+	announced bool
+	used      Resources
 	// free is the capacity less what is used, kept beside for the index.
 	free Resources
 	// leaving is the part of used that is being stopped for urgent work.
-	leaving Resources
+	stopping Resources
 	// stoppable is the part of used that urgent work could still have.
-	stoppable Resources
+	preemptible Resources
 	// endless is the part of used that services hold.
-	endless Resources
-	tasks   map[taskKey]*placedTask
-	indexed bool
-	health  health
+	unboundedUsage Resources
+	tasks          map[taskKey]*placedTask
+	indexed        bool
+	health         health
 	// ended is the task that was unplaced last.
-	ended Placed
-	// reserved belongs to the evaluation numbered reservedBy.
-	reserved   reservation
-	reservedBy uint64
-	// outlook belongs to the forecast numbered outlookBy.
-	outlook   outlook
-	outlookBy uint64
+	lastEnded Placed
+	// reserved belongs to the evaluation numbered reservedEval.
+	reservation  reservation
+	reservedEval uint64
+	// outlook belongs to the forecast numbered forecastID.
+	forecast   workerForecast
+	forecastID uint64
 }
 
 // open says whether tasks may be started on the worker at all.
-func (w *worker) open() bool {
-	return w.known && w.Live && !w.Draining && !w.health.setAside
+func (w *worker) schedulable() bool {
+	return w.announced && w.Live && !w.Draining && !w.health.quarantined
 }
 
 // counted says whether admission counts on the worker's capacity.
-func (w *worker) counted() bool {
-	return w.known && (w.Live || w.Awaited) && !w.Draining && !w.health.setAside
+func (w *worker) countsForAdmission() bool {
+	return w.announced && (w.Live || w.AwaitingRenewal) && !w.Draining && !w.health.quarantined
 }
 
 // freeIndex orders open workers by what they have left, so that the tightest
 // worker with enough of the leading resource is found by one descent.
 type freeIndex struct {
-	plain       *btree.BTreeG[*worker]
-	accelerated *btree.BTreeG[*worker]
+	withoutAccelerators *btree.BTreeG[*worker]
+	withAccelerators    *btree.BTreeG[*worker]
 	// pivot is where the next descent starts.
 	pivot *worker
 }
@@ -79,13 +79,13 @@
 func newFreeIndex() freeIndex {
 	options := btree.Options{NoLocks: true}
 	return freeIndex{
-		plain:       btree.NewBTreeGOptions(lessPlain, options),
-		accelerated: btree.NewBTreeGOptions(lessAccelerated, options),
-		pivot:       &worker{},
+		withoutAccelerators: btree.NewBTreeGOptions(lessFree, options),
+		withAccelerators:    btree.NewBTreeGOptions(lessFreeAccelerators, options),
+		pivot:               &worker{},
 	}
 }
 
-func lessPlain(a, b *worker) bool {
+func lessFree(a, b *worker) bool {
 	if a.free.CPU != b.free.CPU {
 		return a.free.CPU < b.free.CPU
 	}
@@ -95,34 +95,34 @@
 	return a.ID < b.ID
 }
 
-func lessAccelerated(a, b *worker) bool {
+func lessFreeAccelerators(a, b *worker) bool {
 	if a.free.Accelerators != b.free.Accelerators {
 		return a.free.Accelerators < b.free.Accelerators
 	}
-	return lessPlain(a, b)
+	return lessFree(a, b)
 }
 
-func (x freeIndex) of(w *worker) *btree.BTreeG[*worker] {
+func (x freeIndex) treeFor(w *worker) *btree.BTreeG[*worker] {
 	if w.Capacity.Accelerators > 0 {
-		return x.accelerated
+		return x.withAccelerators
 	}
-	return x.plain
+	return x.withoutAccelerators
 }
 
 func (x freeIndex) add(w *worker) {
-	if w.indexed || !w.open() {
+	if w.indexed || !w.schedulable() {
 		return
 	}
-	x.of(w).Set(w)
+	x.treeFor(w).Set(w)
 	w.indexed = true
 }
 
 // drop must be called before free or the capacity of the worker changes.
-func (x freeIndex) drop(w *worker) {
+func (x freeIndex) remove(w *worker) {
 	if !w.indexed {
 		return
 	}
-	x.of(w).Delete(w)
+	x.treeFor(w).Delete(w)
 	w.indexed = false
 }
 
@@ -130,18 +130,18 @@
 // accelerators come last for work that needs none.
 func (x freeIndex) ascend(need Resources, visit func(*worker) bool) {
 	x.pivot.free = need
-	going := true
+	more := true
 	step := func(w *worker) bool {
 		if !need.within(w.free) {
 			return true
 		}
-		going = visit(w)
-		return going
+		more = visit(w)
+		return more
 	}
 	if need.Accelerators == 0 {
-		x.plain.Ascend(x.pivot, step)
+		x.withoutAccelerators.Ascend(x.pivot, step)
 	}
-	if going {
-		x.accelerated.Ascend(x.pivot, step)
+	if more {
+		x.withAccelerators.Ascend(x.pivot, step)
 	}
 }
--- a/quota/config.go
+++ b/quota/config.go
@@ -24,7 +24,7 @@
 	// in any order, the same in every version of a generation and for all data
 	// centres: where two differ in them, slots are owned twice. Other data centres start with
 	// nothing and are given slots on demand.
-	Founders []string `cbor:"3,keyasint"`
+	InitialOwners []string `cbor:"3,keyasint"`
 	// Limits are by customer; a customer that is missing may use nothing.
 	Limits map[string]placement.Resources `cbor:"4,keyasint,omitempty"`
 }
@@ -33,9 +33,9 @@
 var (
 	// ErrOldVersion: the version is below the one in force.
 	ErrOldVersion = errors.New("quota: configuration version is older than the one in force")
-	// ErrFounders: the founders are not the ones of the generation, or they are
+	// ErrInitialOwners: the founders are not the ones of the generation, or they are
 	// none, too many, or not different.
-	ErrFounders = errors.New("quota: founders don't fit the generation")
+	ErrInitialOwners = errors.New("quota: founders don't fit the generation")
 	// ErrLimit: a limit is below zero and not Unlimited.
 	ErrLimit = errors.New("quota: limit is negative")
 )
@@ -46,13 +46,13 @@
 	if next.Version < c.Version || next.Generation < c.Generation {
 		return ErrOldVersion
 	}
-	founders := slices.Sorted(slices.Values(next.Founders))
-	if c.Version != 0 && next.Generation == c.Generation && !slices.Equal(founders, slices.Sorted(slices.Values(c.Founders))) {
-		return ErrFounders
+	founders := slices.Sorted(slices.Values(next.InitialOwners))
+	if c.Version != 0 && next.Generation == c.Generation && !slices.Equal(founders, slices.Sorted(slices.Values(c.InitialOwners))) {
+		return ErrInitialOwners
 	}
 	distinct := slices.Compact(founders)
-	if len(distinct) == 0 || len(distinct) > Slots || len(distinct) != len(next.Founders) {
-		return ErrFounders
+	if len(distinct) == 0 || len(distinct) > Slots || len(distinct) != len(next.InitialOwners) {
+		return ErrInitialOwners
 	}
 	for customer, limit := range next.Limits {
 		if min(limit.CPU, limit.Memory, limit.Accelerators) < Unlimited {
--- a/quota/demand_test.go
+++ b/quota/demand_test.go
@@ -16,19 +16,19 @@
 // The demand run: customers whose demand is mostly in one data centre, which
 // changes; one tick is a tenth of a second and the way of a message.
 const (
-	simCentres   = 4
-	simCustomers = 100
-	simTicks     = 12000
-	ticksPerSec  = 10
-	taskCPU      = 1000
-	taskSeconds  = 6
-	startsPerSec = 2
-	simLimit     = 17 * taskCPU
-	hotShare     = 0.7
-	hotTicks     = 1200
-	epochTicks   = 50
-	cutFrom      = 6000
-	cutTo        = 7200
+	simCentres      = 4
+	simCustomers    = 100
+	simTicks        = 12000
+	ticksPerSec     = 10
+	taskCPU         = 1000
+	taskSeconds     = 6
+	startsPerSec    = 2
+	simLimit        = 17 * taskCPU
+	mainCentreShare = 0.7
+	mainCentreTicks = 1200
+	epochTicks      = 50
+	partitionStart  = 6000
+	partitionEnd    = 7200
 )
 
 // strategy is one way of following demand.
@@ -43,20 +43,20 @@
 	keepWaiting bool
 	average     float64
 	// pace is how many ticks there are between two looks for what is lacking.
-	pace int
+	checkInterval int
 	// cut cuts data centre 0 off for two minutes.
-	cut bool
+	partition bool
 }
 
 // waiting is a task in a queue, since a tick.
-type waiting struct{ since int }
+type queuedTask struct{ since int }
 
 // centre is one data centre of the run.
 type centre struct {
 	ledger  *quota.Ledger
 	planner *quota.Planner
 	used    [simCustomers]int64
-	queue   [simCustomers][]waiting
+	queue   [simCustomers][]queuedTask
 	demand  [simCustomers]float64
 	ends    map[int][]int
 }
@@ -64,17 +64,17 @@
 // simulation is one run of a strategy.
 type simulation struct {
 	strategy
-	random   *rand.Rand
-	centres  []*centre
-	names    []string
-	ids      []string
-	inbox    []func()
-	next     []func()
-	tick     int
-	waits    []int
-	unneeded int
-	messages int
-	bytes    int
+	random        *rand.Rand
+	centres       []*centre
+	names         []string
+	ids           []string
+	inbox         []func()
+	next          []func()
+	tick          int
+	waits         []int
+	avoidableWait int
+	messages      int
+	bytes         int
 }
 
 func newSimulation(s strategy, seed uint64) *simulation {
@@ -87,7 +87,7 @@
 	for i := range simCentres {
 		m.names = append(m.names, fmt.Sprintf("hall-%d", i))
 	}
-	config.Founders = m.names
+	config.InitialOwners = m.names
 	for _, name := range m.names {
 		ledger := quota.NewLedger(name)
 		_ = ledger.Configure(config)
@@ -103,7 +103,7 @@
 	data, _ := cbor.Marshal(message)
 	m.messages++
 	m.bytes += len(data)
-	if away := m.cut && m.tick >= cutFrom && m.tick < cutTo; away && (from == 0 || to == 0) {
+	if partitioned := m.partition && m.tick >= partitionStart && m.tick < partitionEnd; partitioned && (from == 0 || to == 0) {
 		return
 	}
 	m.next = append(m.next, deliver)
@@ -122,7 +122,7 @@
 			}
 			delete(c.ends, m.tick)
 			m.start(c)
-			m.follow(i, c)
+			m.rebalance(i, c)
 		}
 	}
 }
@@ -130,21 +130,21 @@
 // arrive puts new tasks into the queues.
 func (m *simulation) arrive() {
 	for customer := range simCustomers {
-		hot := (customer + (m.tick+customer*hotTicks/simCustomers)/hotTicks) % simCentres
+		hot := (customer + (m.tick+customer*mainCentreTicks/simCustomers)/mainCentreTicks) % simCentres
 		for i, c := range m.centres {
-			share := (1 - hotShare) / (simCentres - 1)
+			share := (1 - mainCentreShare) / (simCentres - 1)
 			if i == hot {
-				share = hotShare
+				share = mainCentreShare
 			}
 			if m.random.Float64() < share*startsPerSec/ticksPerSec {
-				c.queue[customer] = append(c.queue[customer], waiting{m.tick})
+				c.queue[customer] = append(c.queue[customer], queuedTask{m.tick})
 			}
 		}
 	}
 }
 
 // room says whether a data centre may start one more task.
-func (m *simulation) room(c *centre, customer int) bool {
+func (m *simulation) mayStart(c *centre, customer int) bool {
 	if m.pool {
 		return m.total(customer)+taskCPU <= simLimit
 	}
@@ -161,7 +161,7 @@
 
 func (m *simulation) start(c *centre) {
 	for customer := range simCustomers {
-		for len(c.queue[customer]) > 0 && m.room(c, customer) {
+		for len(c.queue[customer]) > 0 && m.mayStart(c, customer) {
 			m.waits = append(m.waits, m.tick-c.queue[customer][0].since)
 			c.queue[customer] = c.queue[customer][1:]
 			c.used[customer] += taskCPU
@@ -169,13 +169,13 @@
 			c.ends[end] = append(c.ends[end], customer)
 		}
 		if len(c.queue[customer]) > 0 && m.total(customer)+taskCPU <= simLimit {
-			m.unneeded++
+			m.avoidableWait++
 		}
 	}
 }
 
 // follow sends what the strategy sends in a tick.
-func (m *simulation) follow(i int, c *centre) {
+func (m *simulation) rebalance(i int, c *centre) {
 	if m.pool || m.static {
 		return
 	}
@@ -190,18 +190,18 @@
 	if m.tick%ticksPerSec == 0 {
 		c.planner.Tick()
 	}
-	var lacking []quota.Want
+	var lacking []quota.Demand
 	for customer, id := range m.ids {
 		if n := int64(len(c.queue[customer])); n > 0 {
 			lack := c.used[customer] + n*taskCPU - c.ledger.Allotment(id).CPU
-			lacking = append(lacking, quota.Want{Customer: id, Need: placement.Resources{CPU: lack}})
+			lacking = append(lacking, quota.Demand{Customer: id, Amount: placement.Resources{CPU: lack}})
 		}
 	}
-	if m.tick%m.pace != 0 {
+	if m.tick%m.checkInterval != 0 {
 		return
 	}
-	for _, ask := range c.planner.Ask(c.ledger, lacking) {
-		m.ask(i, ask, nil)
+	for _, ask := range c.planner.Requests(c.ledger, lacking) {
+		m.requestTransfer(i, ask, nil)
 	}
 }
 
@@ -211,17 +211,17 @@
 	if m.tick%epochTicks != 0 {
 		return
 	}
-	wants := make([][]quota.Want, simCentres)
+	wants := make([][]quota.Demand, simCentres)
 	reserves := make([][]placement.Resources, simCentres)
 	for customer, id := range m.ids {
-		lack := m.target(i, customer) - c.ledger.Allotment(id).CPU
+		lack := m.fairShare(i, customer) - c.ledger.Allotment(id).CPU
 		for j, other := range m.centres {
-			above := other.ledger.Allotment(id).CPU - m.target(j, customer)
+			above := other.ledger.Allotment(id).CPU - m.fairShare(j, customer)
 			if lack >= taskCPU/4 && above > 0 && i != j {
 				want := min(lack, above)
 				lack -= want
-				wants[j] = append(wants[j], quota.Want{Customer: id, Need: placement.Resources{CPU: want}})
-				reserves[j] = append(reserves[j], placement.Resources{CPU: m.target(j, customer)})
+				wants[j] = append(wants[j], quota.Demand{Customer: id, Amount: placement.Resources{CPU: want}})
+				reserves[j] = append(reserves[j], placement.Resources{CPU: m.fairShare(j, customer)})
 			}
 		}
 	}
@@ -230,14 +230,14 @@
 			m.send(i, j, c.demand, func() {})
 		}
 		if len(wants[j]) > 0 {
-			m.ask(i, c.ledger.Ask(m.names[j], wants[j]...), reserves[j])
+			m.requestTransfer(i, c.ledger.Request(m.names[j], wants[j]...), reserves[j])
 		}
 	}
 }
 
 // target is a data centre's share by the averages of demand. A core more for
 // each keeps the idle ones from standing at nothing.
-func (m *simulation) target(i, customer int) int64 {
+func (m *simulation) fairShare(i, customer int) int64 {
 	var sum float64
 	for _, c := range m.centres {
 		sum += c.demand[customer] + taskCPU
@@ -246,7 +246,7 @@
 }
 
 // keep is what a giver holds back from those who ask.
-func (m *simulation) keep(c *centre) func(string) placement.Resources {
+func (m *simulation) reserved(c *centre) func(string) placement.Resources {
 	return func(id string) placement.Resources {
 		customer := slices.Index(m.ids, id)
 		keep := c.used[customer]
@@ -258,27 +258,27 @@
 }
 
 // ask sends an ask, its reply and the acknowledgement.
-func (m *simulation) ask(from int, a quota.Ask, reserve []placement.Resources) {
+func (m *simulation) requestTransfer(from int, a quota.TransferRequest, reserve []placement.Resources) {
 	to := slices.Index(m.names, a.To)
 	asker, giver := m.centres[from], m.centres[to]
 	used := func(id string) placement.Resources {
 		return placement.Resources{CPU: giver.used[slices.Index(m.ids, id)]}
 	}
 	m.send(from, to, a, func() {
-		answer := giver.planner.Answer(a, m.keep(giver))
+		answer := giver.planner.DebitCommand(a, m.reserved(giver))
 		if m.proportional {
 			answer.Reserve = reserve
 		}
-		_, _ = giver.ledger.Give(answer, used)
-		reply := giver.planner.Reply(giver.ledger, a, m.keep(giver))
+		_, _ = giver.ledger.Debit(answer, used)
+		reply := giver.planner.Reply(giver.ledger, a, m.reserved(giver))
 		m.send(to, from, reply, func() {
-			asker.planner.Heard(reply)
+			asker.planner.Observe(reply)
 			if reply.Transfer.Sequence == 0 {
 				return
 			}
-			_ = asker.ledger.Take(reply.Transfer)
-			ack := asker.ledger.Ask(a.To)
-			m.send(from, to, ack, func() { giver.ledger.Forget(ack) })
+			_ = asker.ledger.Credit(reply.Transfer)
+			ack := asker.ledger.Request(a.To)
+			m.send(from, to, ack, func() { giver.ledger.Acknowledge(ack) })
 		})
 	})
 }
@@ -291,13 +291,13 @@
 		{name: "pool", pool: true},
 		{name: "static", static: true},
 		{name: "proportional", proportional: true},
-		{name: "ask-0.1s", pace: 1},
-		{name: "ask-1s", pace: 10},
-		{name: "ask-2s", pace: 20},
-		{name: "ask-1s-waiting", pace: 10, keepWaiting: true},
-		{name: "ask-1s-average", pace: 10, average: 1},
-		{name: "proportional-cut", proportional: true, cut: true},
-		{name: "ask-1s-cut", pace: 10, cut: true},
+		{name: "ask-0.1s", checkInterval: 1},
+		{name: "ask-1s", checkInterval: 10},
+		{name: "ask-2s", checkInterval: 20},
+		{name: "ask-1s-waiting", checkInterval: 10, keepWaiting: true},
+		{name: "ask-1s-average", checkInterval: 10, average: 1},
+		{name: "proportional-cut", proportional: true, partition: true},
+		{name: "ask-1s-cut", checkInterval: 10, partition: true},
 	} {
 		b.Run(s.name, func(b *testing.B) {
 			for b.Loop() {
@@ -323,7 +323,7 @@
 	b.ReportMetric(float64(sum)/n/ticksPerSec*1000, "wait-ms")
 	b.ReportMetric(float64(m.waits[int(math.Floor(n*0.99))])/ticksPerSec, "p99-s")
 	b.ReportMetric(100*float64(late)/n, "waited-%")
-	b.ReportMetric(float64(m.unneeded)/n/ticksPerSec*1000, "unneeded-ms")
+	b.ReportMetric(float64(m.avoidableWait)/n/ticksPerSec*1000, "unneeded-ms")
 	b.ReportMetric(float64(m.messages)/seconds/simCentres, "msg/s")
 	b.ReportMetric(float64(m.bytes)/seconds/simCentres, "B/s")
 	b.ReportMetric(n, "starts")
--- a/quota/example_test.go
+++ b/quota/example_test.go
@@ -10,7 +10,7 @@
 // A data centre that lacks two accelerators gets them from another.
 func ExampleLedger() {
 	config := quota.Config{
-		Version: 1, Founders: []string{"naas-hall", "swords-hall"},
+		Version: 1, InitialOwners: []string{"naas-hall", "swords-hall"},
 		Limits: map[string]placement.Resources{"reports": {CPU: 9000, Memory: 4096, Accelerators: 5}},
 	}
 	naas, swords := quota.NewLedger("naas-hall"), quota.NewLedger("swords-hall")
@@ -18,15 +18,15 @@
 	_ = swords.Configure(config)
 	fmt.Println(naas.Allotment("reports").Accelerators, swords.Allotment("reports").Accelerators)
 
-	planner := quota.NewPlanner("swords-hall", config.Founders)
-	lacking := quota.Want{Customer: "reports", Need: placement.Resources{Accelerators: 2}}
-	ask := planner.Ask(swords, []quota.Want{lacking})[0]
+	planner := quota.NewPlanner("swords-hall", config.InitialOwners)
+	lacking := quota.Demand{Customer: "reports", Amount: placement.Resources{Accelerators: 2}}
+	ask := planner.Requests(swords, []quota.Demand{lacking})[0]
 
 	unused := func(string) placement.Resources { return placement.Resources{} }
-	transfer, err := naas.Give(quota.Answer{Ask: ask}, unused)
+	transfer, err := naas.Debit(quota.DebitCommand{Request: ask}, unused)
 	fmt.Println(err, naas.Allotment("reports").Accelerators)
-	fmt.Println(swords.Take(transfer), swords.Take(transfer))
-	naas.Forget(swords.Ask("naas-hall"))
+	fmt.Println(swords.Credit(transfer), swords.Credit(transfer))
+	naas.Acknowledge(swords.Request("naas-hall"))
 	fmt.Println(naas.Allotment("reports").Accelerators, swords.Allotment("reports").Accelerators)
 	// Output:
 	// 3 2
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -12,52 +12,52 @@
 
 // Errors of Give and Take. The list is closed.
 var (
-	// ErrNothing: nothing that was asked for is spare.
-	ErrNothing = errors.New("quota: nothing to give")
+	// ErrNoSpare: nothing that was asked for is spare.
+	ErrNoSpare = errors.New("quota: nothing to give")
 	// ErrStale: the ask was sent before the asker took the last transfer.
 	// Ledger.Outgoing has that transfer when it may not have arrived.
 	ErrStale = errors.New("quota: ask is older than the last transfer")
-	// ErrRepeat: the transfer was taken before; acknowledge it again.
-	ErrRepeat = errors.New("quota: transfer was taken before")
-	// ErrGap: a sequence number is missing, so one side has lost its state. An
+	// ErrDuplicate: the transfer was taken before; acknowledge it again.
+	ErrDuplicate = errors.New("quota: transfer was taken before")
+	// ErrSequenceGap: a sequence number is missing, so one side has lost its state. An
 	// operator must start a new generation.
-	ErrGap = errors.New("quota: transfer is not the next one")
-	// ErrGeneration: the message is of another generation than the one in force
+	ErrSequenceGap = errors.New("quota: transfer is not the next one")
+	// ErrOtherGeneration: the message is of another generation than the one in force
 	// here. A newer one can be taken once the configuration has arrived, an
 	// older one is void.
-	ErrGeneration = errors.New("quota: message is of another generation")
-	// ErrAddress: the message is for another data centre.
-	ErrAddress = errors.New("quota: message is for another data centre")
+	ErrOtherGeneration = errors.New("quota: message is of another generation")
+	// ErrWrongDataCentre: the message is for another data centre.
+	ErrWrongDataCentre = errors.New("quota: message is for another data centre")
 )
 
 // Want is what an asker lacks for one customer.
-type Want struct {
+type Demand struct {
 	Customer string `cbor:"1,keyasint"`
 	// Need is what waiting work needs beyond the asker's allotment.
-	Need placement.Resources `cbor:"2,keyasint"`
+	Amount placement.Resources `cbor:"2,keyasint"`
 }
 
 // Ask asks a data centre for some of its allotments, and acknowledges the
 // transfers taken from it. Without wants it is an acknowledgement alone.
-type Ask struct {
+type TransferRequest struct {
 	From string `cbor:"1,keyasint"`
 	To   string `cbor:"2,keyasint"`
 	// Taken is the highest transfer taken from To.
-	Taken      uint64 `cbor:"3,keyasint,omitempty"`
-	Generation uint64 `cbor:"4,keyasint,omitempty"`
-	Wants      []Want `cbor:"5,keyasint,omitempty"`
+	LastReceived uint64   `cbor:"3,keyasint,omitempty"`
+	Generation   uint64   `cbor:"4,keyasint,omitempty"`
+	Demands      []Demand `cbor:"5,keyasint,omitempty"`
 }
 
 // Answer is the command with which a giver decides on an ask. It carries the
 // reserve that the leader found right, since the other replicas don't know it.
-type Answer struct {
-	Ask Ask `cbor:"1,keyasint"`
+type DebitCommand struct {
+	Request TransferRequest `cbor:"1,keyasint"`
 	// Reserve is what to keep, for each want of the ask.
 	Reserve []placement.Resources `cbor:"2,keyasint,omitempty"`
 }
 
 // Parcel is the part of a transfer for one customer.
-type Parcel struct {
+type CustomerSlots struct {
 	Customer     string  `cbor:"1,keyasint"`
 	CPU          SlotSet `cbor:"2,keyasint"`
 	Memory       SlotSet `cbor:"3,keyasint"`
@@ -69,13 +69,13 @@
 	From string `cbor:"1,keyasint"`
 	To   string `cbor:"2,keyasint"`
 	// Sequence counts the transfers of the pair from 1 in each generation.
-	Sequence   uint64   `cbor:"3,keyasint"`
-	Generation uint64   `cbor:"4,keyasint,omitempty"`
-	Parcels    []Parcel `cbor:"5,keyasint"`
+	Sequence   uint64          `cbor:"3,keyasint"`
+	Generation uint64          `cbor:"4,keyasint,omitempty"`
+	Customers  []CustomerSlots `cbor:"5,keyasint"`
 }
 
 // holding is what one data centre owns of one customer's limit.
-type holding struct {
+type ownedSlots struct {
 	CPU          SlotSet `cbor:"1,keyasint"`
 	Memory       SlotSet `cbor:"2,keyasint"`
 	Accelerators SlotSet `cbor:"3,keyasint"`
@@ -87,11 +87,11 @@
 	Config Config `cbor:"2,keyasint"`
 	// Held has the customers that transfers have touched. A customer keeps its
 	// entry when it leaves the configuration, for it may come back.
-	Held map[string]*holding `cbor:"3,keyasint,omitempty"`
+	Owned map[string]*ownedSlots `cbor:"3,keyasint,omitempty"`
 	// Given is the last sequence number given to each data centre, and Taken
 	// the last one taken from it.
-	Given map[string]uint64 `cbor:"4,keyasint,omitempty"`
-	Taken map[string]uint64 `cbor:"5,keyasint,omitempty"`
+	LastSent     map[string]uint64 `cbor:"4,keyasint,omitempty"`
+	LastReceived map[string]uint64 `cbor:"5,keyasint,omitempty"`
 	// Outgoing has the transfers that are not acknowledged, one per receiver.
 	Outgoing map[string]Transfer `cbor:"6,keyasint,omitempty"`
 }
@@ -111,20 +111,20 @@
 func NewLedger(self string) *Ledger {
 	l := &Ledger{}
 	l.s.Self = self
-	l.fill()
+	l.initMaps()
 	return l
 }
 
 // fill makes the maps that an empty snapshot leaves out.
-func (l *Ledger) fill() {
-	if l.s.Held == nil {
-		l.s.Held = map[string]*holding{}
+func (l *Ledger) initMaps() {
+	if l.s.Owned == nil {
+		l.s.Owned = map[string]*ownedSlots{}
 	}
-	if l.s.Given == nil {
-		l.s.Given = map[string]uint64{}
+	if l.s.LastSent == nil {
+		l.s.LastSent = map[string]uint64{}
 	}
-	if l.s.Taken == nil {
-		l.s.Taken = map[string]uint64{}
+	if l.s.LastReceived == nil {
+		l.s.LastReceived = map[string]uint64{}
 	}
 	if l.s.Outgoing == nil {
 		l.s.Outgoing = map[string]Transfer{}
@@ -146,11 +146,11 @@
 		// Messages of the old generation are refused from here on, so that
 		// nothing that was given or taken in it counts any more.
 		l.s = state{Self: l.s.Self}
-		l.fill()
+		l.initMaps()
 	}
 	l.s.Config = c
 	// The order in which a data centre lists the founders must not matter.
-	l.s.Config.Founders = slices.Sorted(slices.Values(c.Founders))
+	l.s.Config.InitialOwners = slices.Sorted(slices.Values(c.InitialOwners))
 	l.refresh()
 	return nil
 }
@@ -175,18 +175,18 @@
 func (l *Ledger) refresh() {
 	l.allotments = make(map[string]placement.Resources, len(l.s.Config.Limits))
 	for customer := range l.s.Config.Limits {
-		l.refreshOne(customer)
+		l.refreshCustomer(customer)
 	}
 }
 
-// refreshOne computes the allotment of a customer. One that has no limit is
+// refreshCustomer computes the allotment of a customer. One that has no limit is
 // allotted nothing.
-func (l *Ledger) refreshOne(customer string) {
+func (l *Ledger) refreshCustomer(customer string) {
 	limit, known := l.s.Config.Limits[customer]
 	if !known {
 		return
 	}
-	h := l.holding(customer)
+	h := l.owned(customer)
 	l.allotments[customer] = placement.Resources{
 		CPU:          allotted(&h.CPU, limit.CPU),
 		Memory:       allotted(&h.Memory, limit.Memory),
@@ -206,17 +206,17 @@
 
 // holding returns what is owned of a customer's limit: what transfers have
 // left, or the first division where there were none.
-func (l *Ledger) holding(customer string) holding {
-	if h := l.s.Held[customer]; h != nil {
+func (l *Ledger) owned(customer string) ownedSlots {
+	if h := l.s.Owned[customer]; h != nil {
 		return *h
 	}
-	for i, name := range l.s.Config.Founders {
+	for i, name := range l.s.Config.InitialOwners {
 		if name == l.s.Self {
-			first := founderSlots(i, len(l.s.Config.Founders))
-			return holding{CPU: first, Memory: first, Accelerators: first}
+			first := initialSlots(i, len(l.s.Config.InitialOwners))
+			return ownedSlots{CPU: first, Memory: first, Accelerators: first}
 		}
 	}
-	return holding{}
+	return ownedSlots{}
 }
 
 // Give commits a transfer that answers an ask, with what the ask wants as far
@@ -227,59 +227,59 @@
 // Failure guarded against: an ask is delivered twice, or late, and more is
 // given away each time. An ask counts only if its asker had taken everything
 // given to it so far; the transfer that answers it makes all copies stale.
-func (l *Ledger) Give(answer Answer, used func(customer string) placement.Resources) (Transfer, error) {
-	a := answer.Ask
-	if err := l.checkAsk(a); err != nil {
+func (l *Ledger) Debit(answer DebitCommand, used func(customer string) placement.Resources) (Transfer, error) {
+	a := answer.Request
+	if err := l.checkRequest(a); err != nil {
 		return Transfer{}, err
 	}
-	l.Forget(a)
-	if a.Taken < l.s.Given[a.From] {
+	l.Acknowledge(a)
+	if a.LastReceived < l.s.LastSent[a.From] {
 		return Transfer{}, ErrStale
 	}
-	parcels := l.parcels(answer, used)
-	if len(parcels) == 0 {
-		return Transfer{}, ErrNothing
+	customers := l.debitAll(answer, used)
+	if len(customers) == 0 {
+		return Transfer{}, ErrNoSpare
 	}
-	l.s.Given[a.From]++
+	l.s.LastSent[a.From]++
 	t := Transfer{
 		From: l.s.Self, To: a.From,
-		Sequence: l.s.Given[a.From], Generation: l.s.Config.Generation, Parcels: parcels,
+		Sequence: l.s.LastSent[a.From], Generation: l.s.Config.Generation, Customers: customers,
 	}
 	l.s.Outgoing[a.From] = t
 	return t, nil
 }
 
-// checkAsk refuses asks that can't be meant for this state.
-func (l *Ledger) checkAsk(a Ask) error {
+// checkRequest refuses asks that can't be meant for this state.
+func (l *Ledger) checkRequest(a TransferRequest) error {
 	if a.To != l.s.Self || a.From == l.s.Self {
-		return ErrAddress
+		return ErrWrongDataCentre
 	}
 	if a.Generation != l.s.Config.Generation {
-		return ErrGeneration
+		return ErrOtherGeneration
 	}
-	if a.Taken > l.s.Given[a.From] {
-		return ErrGap
+	if a.LastReceived > l.s.LastSent[a.From] {
+		return ErrSequenceGap
 	}
 	return nil
 }
 
 // parcels takes what an answer gives out of the holdings.
-func (l *Ledger) parcels(answer Answer, used func(customer string) placement.Resources) []Parcel {
-	var parcels []Parcel
-	for i, w := range answer.Ask.Wants {
+func (l *Ledger) debitAll(answer DebitCommand, used func(customer string) placement.Resources) []CustomerSlots {
+	var customers []CustomerSlots
+	for i, w := range answer.Request.Demands {
 		keep := used(w.Customer)
 		if i < len(answer.Reserve) {
-			keep = larger(keep, answer.Reserve[i])
+			keep = maxResources(keep, answer.Reserve[i])
 		}
-		if p, some := l.parcel(w, keep); some {
-			parcels = append(parcels, p)
+		if p, some := l.debitCustomer(w, keep); some {
+			customers = append(customers, p)
 		}
 	}
-	return parcels
+	return customers
 }
 
 // larger takes the larger of each field.
-func larger(a, b placement.Resources) placement.Resources {
+func maxResources(a, b placement.Resources) placement.Resources {
 	return placement.Resources{
 		CPU:          max(a.CPU, b.CPU),
 		Memory:       max(a.Memory, b.Memory),
@@ -288,78 +288,78 @@
 }
 
 // parcel takes what is wanted and spare out of a customer's holding.
-func (l *Ledger) parcel(w Want, keep placement.Resources) (Parcel, bool) {
+func (l *Ledger) debitCustomer(w Demand, keep placement.Resources) (CustomerSlots, bool) {
 	limit := l.Limit(w.Customer)
 	has := l.Allotment(w.Customer)
-	h := l.holding(w.Customer)
-	p := Parcel{
+	h := l.owned(w.Customer)
+	p := CustomerSlots{
 		Customer:     w.Customer,
-		CPU:          h.CPU.choose(limit.CPU, w.Need.CPU, has.CPU-keep.CPU),
-		Memory:       h.Memory.choose(limit.Memory, w.Need.Memory, has.Memory-keep.Memory),
-		Accelerators: h.Accelerators.choose(limit.Accelerators, w.Need.Accelerators, has.Accelerators-keep.Accelerators),
+		CPU:          h.CPU.selectUnits(limit.CPU, w.Amount.CPU, has.CPU-keep.CPU),
+		Memory:       h.Memory.selectUnits(limit.Memory, w.Amount.Memory, has.Memory-keep.Memory),
+		Accelerators: h.Accelerators.selectUnits(limit.Accelerators, w.Amount.Accelerators, has.Accelerators-keep.Accelerators),
 	}
 	if p.empty() {
-		return Parcel{}, false
+		return CustomerSlots{}, false
 	}
 	h.CPU.remove(p.CPU)
 	h.Memory.remove(p.Memory)
 	h.Accelerators.remove(p.Accelerators)
-	l.s.Held[w.Customer] = &h
-	l.refreshOne(w.Customer)
+	l.s.Owned[w.Customer] = &h
+	l.refreshCustomer(w.Customer)
 	return p, true
 }
 
 // empty says whether the parcel has no slot.
-func (p *Parcel) empty() bool {
+func (p *CustomerSlots) empty() bool {
 	return p.CPU == SlotSet{} && p.Memory == SlotSet{} && p.Accelerators == SlotSet{}
 }
 
-// Take commits a received transfer. On nil and on ErrRepeat the caller sends an
+// Take commits a received transfer. On nil and on ErrDuplicate the caller sends an
 // acknowledgement. On other errors nothing has changed.
 //
 // Failure guarded against: a transfer is delivered twice and credited twice,
 // so that a customer gets more than its limit. Only the sequence number after
 // the last one taken is credited, and only in its own generation: slots of an
 // earlier one have been divided anew.
-func (l *Ledger) Take(t Transfer) error {
+func (l *Ledger) Credit(t Transfer) error {
 	if t.To != l.s.Self || t.From == l.s.Self {
-		return ErrAddress
+		return ErrWrongDataCentre
 	}
 	if t.Generation != l.s.Config.Generation {
-		return ErrGeneration
+		return ErrOtherGeneration
 	}
-	last := l.s.Taken[t.From]
+	last := l.s.LastReceived[t.From]
 	if t.Sequence <= last {
-		return ErrRepeat
+		return ErrDuplicate
 	}
 	if t.Sequence != last+1 {
-		return ErrGap
+		return ErrSequenceGap
 	}
-	l.s.Taken[t.From] = t.Sequence
-	for _, p := range t.Parcels {
-		l.credit(p)
+	l.s.LastReceived[t.From] = t.Sequence
+	for _, p := range t.Customers {
+		l.creditCustomer(p)
 	}
 	return nil
 }
 
 // credit puts a parcel into its customer's holding.
-func (l *Ledger) credit(p Parcel) {
-	h := l.holding(p.Customer)
+func (l *Ledger) creditCustomer(p CustomerSlots) {
+	h := l.owned(p.Customer)
 	twice := h.CPU.overlaps(p.CPU) || h.Memory.overlaps(p.Memory) || h.Accelerators.overlaps(p.Accelerators)
 	invariant(!twice, "a slot of customer %s is owned twice", p.Customer)
-	h.CPU.join(p.CPU)
-	h.Memory.join(p.Memory)
-	h.Accelerators.join(p.Accelerators)
-	l.s.Held[p.Customer] = &h
-	l.refreshOne(p.Customer)
+	h.CPU.addAll(p.CPU)
+	h.Memory.addAll(p.Memory)
+	h.Accelerators.addAll(p.Accelerators)
+	l.s.Owned[p.Customer] = &h
+	l.refreshCustomer(p.Customer)
 }
 
 // Forget commits the acknowledgement that every ask carries.
-func (l *Ledger) Forget(a Ask) {
+func (l *Ledger) Acknowledge(a TransferRequest) {
 	if a.To != l.s.Self || a.Generation != l.s.Config.Generation {
 		return
 	}
-	if out, open := l.s.Outgoing[a.From]; open && a.Taken >= out.Sequence {
+	if out, open := l.s.Outgoing[a.From]; open && a.LastReceived >= out.Sequence {
 		delete(l.s.Outgoing, a.From)
 	}
 }
@@ -371,10 +371,10 @@
 }
 
 // Ask returns an ask with an up-to-date acknowledgement.
-func (l *Ledger) Ask(to string, wants ...Want) Ask {
-	return Ask{
+func (l *Ledger) Request(to string, wants ...Demand) TransferRequest {
+	return TransferRequest{
 		From: l.s.Self, To: to,
-		Taken: l.s.Taken[to], Generation: l.s.Config.Generation, Wants: wants,
+		LastReceived: l.s.LastReceived[to], Generation: l.s.Config.Generation, Demands: wants,
 	}
 }
 
@@ -390,7 +390,7 @@
 		return errors.Wrap(err, "quota: reading a ledger")
 	}
 	l.s = s
-	l.fill()
+	l.initMaps()
 	l.refresh()
 	return nil
 }
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -18,18 +18,18 @@
 
 // world is some data centres, the network between them, and the configurations
 // that were accepted so far.
-type world struct {
+type model struct {
 	t         *rapid.T
 	names     []string
 	ledgers   []*quota.Ledger
 	configs   []quota.Config
-	asks      []quota.Ask
+	requests  []quota.TransferRequest
 	transfers []quota.Transfer
 	seen      map[string]int
 }
 
 // even draws from [0, n) without the bias of rapid's ranges towards small values.
-func even(n int) *rapid.Generator[int] {
+func uniform(n int) *rapid.Generator[int] {
 	const bits = 12
 	return rapid.Custom(func(t *rapid.T) int {
 		value := 0
@@ -43,13 +43,13 @@
 	})
 }
 
-func newWorld(t *rapid.T, seen map[string]int) *world {
-	w := &world{t: t, seen: seen}
-	for i := range 2 + even(4).Draw(t, "centres") {
+func newModel(t *rapid.T, seen map[string]int) *model {
+	w := &model{t: t, seen: seen}
+	for i := range 2 + uniform(4).Draw(t, "centres") {
 		w.names = append(w.names, fmt.Sprintf("hall-%d", i))
 		w.ledgers = append(w.ledgers, quota.NewLedger(w.names[i]))
 	}
-	w.accept()
+	w.acceptConfig()
 	for _, l := range w.ledgers {
 		must.NoError(t, l.Configure(w.configs[0]))
 	}
@@ -57,79 +57,79 @@
 }
 
 // accept adds a configuration: any limits, now and then a new generation.
-func (w *world) accept() {
+func (w *model) acceptConfig() {
 	limits := rapid.SampledFrom([]int64{quota.Unlimited, 0, 1, 3, 7, 1000, 1023, 4096, 50_000, 1 << 40})
-	next := quota.Config{Version: uint64(len(w.configs) + 1), Founders: w.names[:len(w.names)-1]}
+	next := quota.Config{Version: uint64(len(w.configs) + 1), InitialOwners: w.names[:len(w.names)-1]}
 	if n := len(w.configs); n > 0 {
 		next.Generation = w.configs[n-1].Generation
-		next.Founders = w.configs[n-1].Founders
+		next.InitialOwners = w.configs[n-1].InitialOwners
 	}
-	if even(8).Draw(w.t, "generation") == 0 {
+	if uniform(8).Draw(w.t, "generation") == 0 {
 		next.Generation++
-		next.Founders = w.names[even(len(w.names)).Draw(w.t, "founder"):]
+		next.InitialOwners = w.names[uniform(len(w.names)).Draw(w.t, "founder"):]
 	}
 	next.Limits = map[string]placement.Resources{customer: {
 		CPU: limits.Draw(w.t, "cpu"), Memory: limits.Draw(w.t, "memory"), Accelerators: limits.Draw(w.t, "accelerators"),
 	}}
-	if even(6).Draw(w.t, "gone") == 0 {
+	if uniform(6).Draw(w.t, "gone") == 0 {
 		next.Limits = nil
 	}
 	w.configs = append(w.configs, next)
 }
 
 // act does one thing drawn at random.
-func (w *world) act() {
-	i := even(len(w.ledgers)).Draw(w.t, "centre")
-	switch action := even(100).Draw(w.t, "action"); {
+func (w *model) act() {
+	i := uniform(len(w.ledgers)).Draw(w.t, "centre")
+	switch action := uniform(100).Draw(w.t, "action"); {
 	case action < 3:
-		w.accept()
+		w.acceptConfig()
 	case action < 15:
 		// Versions are skipped, and late ones arrive after newer ones.
-		c := w.configs[len(w.configs)-1-even(min(3, len(w.configs))).Draw(w.t, "back")]
+		c := w.configs[len(w.configs)-1-uniform(min(3, len(w.configs))).Draw(w.t, "back")]
 		if err := w.ledgers[i].Configure(c); err != nil {
 			must.ErrorIs(w.t, err, quota.ErrOldVersion)
 		}
 	case action < 20:
 		w.restore(i)
 	case action < 50:
-		w.ask(i, even(len(w.ledgers)).Draw(w.t, "to"))
+		w.request(i, uniform(len(w.ledgers)).Draw(w.t, "to"))
 	case action < 75:
-		if m, some := pick(w, &w.asks); some {
-			w.answer(m)
+		if m, some := takeMessage(w, &w.requests); some {
+			w.debit(m)
 		}
 	default:
-		if m, some := pick(w, &w.transfers); some {
-			w.take(m)
+		if m, some := takeMessage(w, &w.transfers); some {
+			w.credit(m)
 		}
 	}
 }
 
 // pick loses, keeps a copy of, or takes a message from anywhere.
-func pick[M any](w *world, network *[]M) (M, bool) {
+func takeMessage[M any](w *model, network *[]M) (M, bool) {
 	var none M
 	if len(*network) == 0 {
 		return none, false
 	}
-	i := even(len(*network)).Draw(w.t, "message")
+	i := uniform(len(*network)).Draw(w.t, "message")
 	m := (*network)[i]
-	fate := even(10).Draw(w.t, "fate")
+	fate := uniform(10).Draw(w.t, "fate")
 	if fate >= 3 {
 		*network = slices.Delete(*network, i, i+1)
 	}
 	return m, fate < 9
 }
 
-func (w *world) ask(i, to int) {
+func (w *model) request(i, to int) {
 	amounts := rapid.SampledFrom([]int64{0, 1, 100, 2000, 1 << 38})
 	need := placement.Resources{CPU: amounts.Draw(w.t, "cpu"), Memory: amounts.Draw(w.t, "memory"), Accelerators: amounts.Draw(w.t, "acc")}
-	w.asks = append(w.asks, w.ledgers[i].Ask(w.names[to], quota.Want{Customer: customer, Need: need}))
+	w.requests = append(w.requests, w.ledgers[i].Request(w.names[to], quota.Demand{Customer: customer, Amount: need}))
 }
 
-func (w *world) answer(a quota.Ask) {
+func (w *model) debit(a quota.TransferRequest) {
 	giver := w.ledgers[slices.Index(w.names, a.To)]
 	has := giver.Allotment(customer)
-	used := placement.Resources{CPU: has.CPU * int64(even(3).Draw(w.t, "used")) / 2}
-	t, err := giver.Give(quota.Answer{Ask: a}, func(string) placement.Resources { return used })
+	used := placement.Resources{CPU: has.CPU * int64(uniform(3).Draw(w.t, "used")) / 2}
+	t, err := giver.Debit(quota.DebitCommand{Request: a}, func(string) placement.Resources { return used })
 	w.count("give", err)
 	if has.CPU != quota.Unlimited {
 		must.LessEq(w.t, giver.Allotment(customer).CPU, used.CPU)
@@ -142,16 +142,16 @@
 	}
 }
 
-func (w *world) take(t quota.Transfer) {
+func (w *model) credit(t quota.Transfer) {
 	taker := w.ledgers[slices.Index(w.names, t.To)]
-	w.count("take", taker.Take(t))
-	w.asks = append(w.asks, taker.Ask(t.From))
+	w.count("take", taker.Credit(t))
+	w.requests = append(w.requests, taker.Request(t.From))
 }
 
-func (w *world) count(what string, err error) { w.seen[fmt.Sprint(what, ": ", err)]++ }
+func (w *model) count(what string, err error) { w.seen[fmt.Sprint(what, ": ", err)]++ }
 
 // restore replaces a ledger by its snapshot's copy.
-func (w *world) restore(i int) {
+func (w *model) restore(i int) {
 	data, err := w.ledgers[i].MarshalBinary()
 	must.NoError(w.t, err)
 	copied := quota.NewLedger("")
@@ -164,7 +164,7 @@
 
 // check is the promise of the package: no more than the highest limit in force
 // in any data centre of the generation.
-func (w *world) check() {
+func (w *model) check() {
 	var sum, limit [3]int64
 	generation := w.configs[w.ledgers[0].Version()-1].Generation
 	for _, l := range w.ledgers {
@@ -192,7 +192,7 @@
 
 // settle lets the newest configuration and all messages arrive; then nothing
 // may be missing.
-func (w *world) settle() {
+func (w *model) deliverAll() {
 	last := w.configs[len(w.configs)-1]
 	for _, l := range w.ledgers {
 		must.NoError(w.t, l.Configure(last))
@@ -201,8 +201,8 @@
 	for i, giver := range w.ledgers {
 		for j, taker := range w.ledgers {
 			if t, open := giver.Outgoing(w.names[j]); open {
-				w.count("settle", taker.Take(t))
-				giver.Forget(taker.Ask(w.names[i]))
+				w.count("settle", taker.Credit(t))
+				giver.Acknowledge(taker.Request(w.names[i]))
 			}
 		}
 	}
@@ -225,15 +225,15 @@
 // A customer gets more than its limit, or some of the limit is lost for good:
 // transfers are lost, doubled, late and reordered, limits go up and down while
 // they are under way, data centres miss versions and come back from snapshots.
-func TestLimitHolds(t *testing.T) {
+func TestAllotmentsNeverExceedLimit(t *testing.T) {
 	seen := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, seen)
+		w := newModel(t, seen)
 		for range 150 {
 			w.act()
 			w.check()
 		}
-		w.settle()
+		w.deliverAll()
 	})
 	t.Log(seen)
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -16,12 +16,12 @@
 
 func config(version uint64, limit int64) quota.Config {
 	return quota.Config{
-		Version: version, Founders: []string{"a", "b"},
+		Version: version, InitialOwners: []string{"a", "b"},
 		Limits: map[string]placement.Resources{customer: cpu(limit)},
 	}
 }
 
-func pair(limit int64) (a, b *quota.Ledger) {
+func newLedgerPair(limit int64) (a, b *quota.Ledger) {
 	a, b = quota.NewLedger("a"), quota.NewLedger("b")
 	_, _ = a.Configure(config(1, limit)), b.Configure(config(1, limit))
 	return a, b
@@ -29,13 +29,13 @@
 
 // A customer runs more than a lowered limit allows. One data centre has given
 // half of the old limit away and misses the version that lowered it.
-func TestLoweredLimit(t *testing.T) {
-	a, b := pair(100)
-	half := b.Ask("a", quota.Want{Customer: customer, Need: cpu(50)})
-	transfer, err := a.Give(quota.Answer{Ask: half}, unused)
+func TestLoweredLimitAfterTransfer(t *testing.T) {
+	a, b := newLedgerPair(100)
+	half := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(50)})
+	transfer, err := a.Debit(quota.DebitCommand{Request: half}, unused)
 	must.NoError(t, err)
 	must.NoError(t, b.Configure(config(2, 40)))
-	must.NoError(t, b.Take(transfer))
+	must.NoError(t, b.Credit(transfer))
 	must.Eq(t, cpu(0), a.Allotment(customer))
 	must.Eq(t, cpu(40), b.Allotment(customer))
 	must.ErrorIs(t, b.Configure(config(1, 100)), quota.ErrOldVersion)
@@ -44,84 +44,84 @@
 }
 
 // A data centre stands at nothing because one ask took effect twice.
-func TestDoubledAsk(t *testing.T) {
-	a, b := pair(100)
-	ask := b.Ask("a", quota.Want{Customer: customer, Need: cpu(20)})
-	transfer, err := a.Give(quota.Answer{Ask: ask}, unused)
+func TestDuplicateRequestDebitsOnce(t *testing.T) {
+	a, b := newLedgerPair(100)
+	ask := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(20)})
+	transfer, err := a.Debit(quota.DebitCommand{Request: ask}, unused)
 	must.NoError(t, err)
-	_, err = a.Give(quota.Answer{Ask: ask}, unused)
+	_, err = a.Debit(quota.DebitCommand{Request: ask}, unused)
 	must.ErrorIs(t, err, quota.ErrStale)
-	must.NoError(t, b.Take(transfer))
-	a.Forget(b.Ask("a"))
-	_, err = a.Give(quota.Answer{Ask: ask}, unused)
+	must.NoError(t, b.Credit(transfer))
+	a.Acknowledge(b.Request("a"))
+	_, err = a.Debit(quota.DebitCommand{Request: ask}, unused)
 	must.ErrorIs(t, err, quota.ErrStale)
 	must.Eq(t, cpu(30), a.Allotment(customer))
 	must.Eq(t, cpu(70), b.Allotment(customer))
 }
 
 // Work that was started loses its allotment: more is given than is spare.
-func TestGivesOnlyWhatIsSpare(t *testing.T) {
-	a, b := pair(100)
-	ask := b.Ask("a", quota.Want{Customer: customer, Need: cpu(40)})
+func TestDebitKeepsUsedAndReserved(t *testing.T) {
+	a, b := newLedgerPair(100)
+	ask := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(40)})
 	used := func(string) placement.Resources { return cpu(35) }
-	_, err := a.Give(quota.Answer{Ask: ask, Reserve: []placement.Resources{cpu(45)}}, used)
+	_, err := a.Debit(quota.DebitCommand{Request: ask, Reserve: []placement.Resources{cpu(45)}}, used)
 	must.NoError(t, err)
 	must.Eq(t, cpu(45), a.Allotment(customer))
-	_, err = a.Give(quota.Answer{Ask: b.Ask("a", ask.Wants...)}, used)
+	_, err = a.Debit(quota.DebitCommand{Request: b.Request("a", ask.Demands...)}, used)
 	must.ErrorIs(t, err, quota.ErrStale)
 }
 
 // The same slots are owned twice: a transfer of a division of slots that was
 // replaced by a new one arrives late.
-func TestNewGenerationVoidsTransfers(t *testing.T) {
-	a, b := pair(100)
-	ask := b.Ask("a", quota.Want{Customer: customer, Need: cpu(20)})
-	transfer, _ := a.Give(quota.Answer{Ask: ask}, unused)
+func TestNewGenerationRejectsOldTransfers(t *testing.T) {
+	a, b := newLedgerPair(100)
+	ask := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(20)})
+	transfer, _ := a.Debit(quota.DebitCommand{Request: ask}, unused)
 	next := config(2, 100)
 	next.Generation = 1
 	must.NoError(t, b.Configure(next))
-	must.ErrorIs(t, b.Take(transfer), quota.ErrGeneration)
+	must.ErrorIs(t, b.Credit(transfer), quota.ErrOtherGeneration)
 	must.NoError(t, a.Configure(next))
-	_, err := a.Give(quota.Answer{Ask: ask}, unused)
-	must.ErrorIs(t, err, quota.ErrGeneration)
+	_, err := a.Debit(quota.DebitCommand{Request: ask}, unused)
+	must.ErrorIs(t, err, quota.ErrOtherGeneration)
 	must.Eq(t, cpu(50), a.Allotment(customer))
 	must.Eq(t, cpu(50), b.Allotment(customer))
 }
 
 // More is allotted than the limit after a data centre lost its state and came
 // back as new: what the other side remembers shows it.
-func TestLostStateShows(t *testing.T) {
-	a, b := pair(100)
-	first, _ := a.Give(quota.Answer{Ask: b.Ask("a", quota.Want{Customer: customer, Need: cpu(5)})}, unused)
-	must.NoError(t, b.Take(first))
-	second, _ := a.Give(quota.Answer{Ask: b.Ask("a", quota.Want{Customer: customer, Need: cpu(5)})}, unused)
-	blankA, blankB := pair(100)
-	must.ErrorIs(t, blankB.Take(second), quota.ErrGap)
-	_, err := blankA.Give(quota.Answer{Ask: b.Ask("a")}, unused)
-	must.ErrorIs(t, err, quota.ErrGap)
+func TestLostStateIsDetected(t *testing.T) {
+	a, b := newLedgerPair(100)
+	first, _ := a.Debit(quota.DebitCommand{Request: b.Request("a", quota.Demand{Customer: customer, Amount: cpu(5)})}, unused)
+	must.NoError(t, b.Credit(first))
+	second, _ := a.Debit(quota.DebitCommand{Request: b.Request("a", quota.Demand{Customer: customer, Amount: cpu(5)})}, unused)
+	blankA, blankB := newLedgerPair(100)
+	must.ErrorIs(t, blankB.Credit(second), quota.ErrSequenceGap)
+	_, err := blankA.Debit(quota.DebitCommand{Request: b.Request("a")}, unused)
+	must.ErrorIs(t, err, quota.ErrSequenceGap)
 }
 
-func TestCheck(t *testing.T) {
+func TestConfigCheck(t *testing.T) {
 	c := config(1, 100)
 	other := config(2, 100)
-	other.Founders = []string{"a", "c"}
-	must.ErrorIs(t, c.Check(other), quota.ErrFounders)
+	other.InitialOwners = []string{"a", "c"}
+	must.ErrorIs(t, c.Check(other), quota.ErrInitialOwners)
 	other.Generation = 1
 	must.NoError(t, c.Check(other))
-	other.Founders = []string{"a", "a"}
-	must.ErrorIs(t, c.Check(other), quota.ErrFounders)
+	other.InitialOwners = []string{"a", "a"}
+	must.ErrorIs(t, c.Check(other), quota.ErrInitialOwners)
 	must.ErrorIs(t, c.Check(config(2, -2)), quota.ErrLimit)
 	must.NoError(t, c.Check(config(2, quota.Unlimited)))
 }
 
 // More is allotted than the limit: two data centres list the founders in
 // different order and both count themselves as the first.
-func TestOrderOfFounders(t *testing.T) {
-	a, _ := pair(3)
+func TestInitialOwnersInAnyOrder(t *testing.T) {
+	a, _ := newLedgerPair(3)
 	b := quota.NewLedger("b")
-	turned := config(1, 3)
-	turned.Founders = []string{"b", "a"}
-	must.NoError(t, b.Configure(turned))
+	reordered := config(1, 3)
+	reordered.InitialOwners = []string{"b", "a"}
+	must.NoError(t, b.Configure(reordered))
 	must.Eq(t, cpu(2), a.Allotment(customer))
 	must.Eq(t, cpu(1), b.Allotment(customer))
 	must.NoError(t, b.Configure(config(2, 3)))
@@ -129,29 +129,29 @@
 
 // Work waits for ever beside a free allotment: what others told is always too
 // old when the next ask goes out, and the one with nothing is asked each time.
-func TestEveryDataCentreIsAskedInTurn(t *testing.T) {
+func TestPlannerRotatesDonors(t *testing.T) {
 	names := []string{"a", "b", "c", "d"}
 	planner := quota.NewPlanner("a", names)
 	ledger := quota.NewLedger("a")
 	c := config(1, 100)
-	c.Founders = names
+	c.InitialOwners = names
 	must.NoError(t, ledger.Configure(c))
 	asked := map[string]bool{}
 	for range names[1:] {
 		for range 10 {
 			planner.Tick()
 		}
-		asks := planner.Ask(ledger, []quota.Want{{Customer: customer, Need: cpu(30)}})
+		asks := planner.Requests(ledger, []quota.Demand{{Customer: customer, Amount: cpu(30)}})
 		must.SliceLen(t, 1, asks)
 		asked[asks[0].To] = true
-		planner.Heard(quota.Reply{From: asks[0].To, To: "a", Figures: []quota.Figure{{Customer: customer}}})
+		planner.Observe(quota.Reply{From: asks[0].To, To: "a", Availabilities: []quota.Availability{{Customer: customer}}})
 	}
 	must.MapLen(t, len(names)-1, asked)
 }
 
 // BenchmarkAllotment is what a placement pays for one look.
 func BenchmarkAllotment(b *testing.B) {
-	a, _ := pair(1 << 30)
+	a, _ := newLedgerPair(1 << 30)
 	for b.Loop() {
 		a.Allotment(customer)
 	}
@@ -160,16 +160,16 @@
 // BenchmarkTransfer is a whole transfer of one customer's processors, with the
 // bytes of its messages and of the state that it adds to a snapshot.
 func BenchmarkTransfer(b *testing.B) {
-	giver, taker := pair(1 << 20)
+	giver, taker := newLedgerPair(1 << 20)
 	empty, _ := giver.MarshalBinary()
 	for n := 0; b.Loop(); n++ {
 		if n%100 == 0 {
-			giver, taker = pair(1 << 20)
+			giver, taker = newLedgerPair(1 << 20)
 		}
-		ask := taker.Ask("a", quota.Want{Customer: customer, Need: cpu(1 << 12)})
-		transfer, _ := giver.Give(quota.Answer{Ask: ask}, unused)
-		_ = taker.Take(transfer)
-		giver.Forget(taker.Ask("a"))
+		ask := taker.Request("a", quota.Demand{Customer: customer, Amount: cpu(1 << 12)})
+		transfer, _ := giver.Debit(quota.DebitCommand{Request: ask}, unused)
+		_ = taker.Credit(transfer)
+		giver.Acknowledge(taker.Request("a"))
 		if n == 0 {
 			asked, _ := cbor.Marshal(ask)
 			moved, _ := cbor.Marshal(transfer)
--- a/quota/slots.go
+++ b/quota/slots.go
@@ -20,8 +20,8 @@
 // bytes at its end.
 type SlotSet [words]uint64
 
-// founderSlots returns the slots that the founder with an index owns first.
-func founderSlots(index, founders int) SlotSet {
+// initialSlots returns the slots that the founder with an index owns first.
+func initialSlots(index, founders int) SlotSet {
 	var s SlotSet
 	for slot := index; slot < Slots; slot += founders {
 		s.add(slot)
@@ -50,7 +50,7 @@
 }
 
 // join puts all slots of t in.
-func (s *SlotSet) join(t SlotSet) {
+func (s *SlotSet) addAll(t SlotSet) {
 	for i := range s {
 		s[i] |= t[i]
 	}
@@ -64,7 +64,7 @@
 }
 
 // count is the number of slots below a bound.
-func (s *SlotSet) count(bound int) int64 {
+func (s *SlotSet) countBelow(bound int) int64 {
 	var n int
 	for i := range bound / wordBits {
 		n += bits.OnesCount64(s[i])
@@ -77,7 +77,7 @@
 
 // units is the number of units below a limit that belong to the set.
 func (s *SlotSet) units(limit int64) int64 {
-	return s.count(Slots)*(limit/Slots) + s.count(int(limit%Slots))
+	return s.countBelow(Slots)*(limit/Slots) + s.countBelow(int(limit%Slots))
 }
 
 // unitsOf is the number of units below a limit that belong to one slot.
@@ -91,7 +91,7 @@
 // choose returns slots of the set that are worth want units at a limit, one
 // slot's worth more at most, and never more than spare. Slots that are worth
 // nothing stay.
-func (s *SlotSet) choose(limit, want, spare int64) SlotSet {
+func (s *SlotSet) selectUnits(limit, want, spare int64) SlotSet {
 	var chosen SlotSet
 	if limit == Unlimited {
 		return chosen
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -15,11 +15,11 @@
 	m, s := t.minion, b.services[t.Service]
 	m.remove(t)
 	s.running--
-	s.load(t.Customer).running--
-	s.settle(t.Customer)
-	took := now - t.started
-	if o.mayRun() {
-		b.linger(s, m, t, now)
+	s.customer(t.Customer).running--
+	s.dropIdleCustomer(t.Customer)
+	took := now - t.startedAt
+	if o.mayStillRun() {
+		b.holdSlot(s, m, t, now)
 	}
 	b.observe(s, m, t, o, took, now)
 	b.dispatch(s, now)
@@ -27,10 +27,10 @@
 
 // linger keeps the slot of an attempt that may still run. The Divider counts on
 // a request ending within MaxRequest of its start.
-func (b *Balancer) linger(s *service, m *minion, t *Ticket, now time.Duration) {
-	until := t.started + min(lingerFactor*s.times.high, b.opts.Lease.MaxRequest)
+func (b *Balancer) holdSlot(s *service, m *minion, t *Ticket, now time.Duration) {
+	until := t.startedAt + min(lingerFactor*s.serviceTimes.tail, b.opts.Lease.MaxRequest)
 	if until > now {
-		m.lingering = append(m.lingering, until)
+		m.lingeringUntil = append(m.lingeringUntil, until)
 	}
 }
 
@@ -38,37 +38,37 @@
 const lingerFactor = 4
 
 func (b *Balancer) observe(s *service, m *minion, t *Ticket, o Outcome, took, now time.Duration) {
-	hurried := o == TimedOut && took < fairFactor*s.times.high
-	if o == Abandoned || o == LeaseEnded || hurried {
+	startedLate := o == TimedOut && took < minAttemptFactor*s.serviceTimes.tail
+	if o == Abandoned || o == LeaseEnded || startedLate {
 		if t.probe {
 			m.breaker.probing = false
 		}
 		return
 	}
 	if o == Answered {
-		s.times.add(took, now)
-		s.times.refresh(now)
+		s.serviceTimes.add(took, now)
+		s.serviceTimes.refresh(now)
 	}
-	s.refreshUsual(now)
+	s.refreshMedianTime(now)
 	wasOpen := m.breaker.open
-	usual := s.usual
+	usual := s.medianTime
 	if usual == 0 {
-		usual = s.times.mean
+		usual = s.serviceTimes.mean
 	}
 	ended := attempt{outcome: o, took: took, probe: t.probe}
-	closed := m.breaker.observe(ended, usual, s.maySoftTrip(), now)
+	closed := m.breaker.observe(ended, usual, s.mayTripOnRate(), now)
 	if closed {
-		m.since = now
+		m.slowStartFrom = now
 	}
 	if !wasOpen && m.breaker.open {
 		b.counts.Tripped++
 	}
 }
 
-// fairFactor times the high service time is how long a minion must have had
+// minAttemptFactor times the high service time is how long a minion must have had
 // before a missing answer speaks against it: a request that started shortly
 // before its deadline tells nothing of the minion.
-const fairFactor = 2
+const minAttemptFactor = 2
 
 // Retry queues a finished request again. It returns false when the budget, the
 // deadline or the number of attempts forbids it; the caller then answers with
@@ -79,7 +79,7 @@
 	if !ok || t.state != Finished || t.attempts >= maxAttempts {
 		return false
 	}
-	if now+s.times.mean > t.Deadline {
+	if now+s.serviceTimes.mean > t.Deadline {
 		b.counts.RetriesDenied++
 		return false
 	}
@@ -88,7 +88,7 @@
 		return false
 	}
 	b.counts.Retried++
-	t.avoid = t.minion
+	t.failedMinion = t.minion
 	t.minion = nil
 	b.enqueue(s, t, now)
 	return t.state != Refused
@@ -98,14 +98,14 @@
 const maxAttempts = 4
 
 func (b *Balancer) earnRetry() {
-	b.retries = min(b.opts.RetryBurst, b.retries+b.opts.RetryRatio)
+	b.retryBudget = min(b.opts.RetryBurst, b.retryBudget+b.opts.RetryRatio)
 }
 
 func (b *Balancer) spendRetry() bool {
-	if b.retries < 1 {
+	if b.retryBudget < 1 {
 		return false
 	}
-	b.retries--
+	b.retryBudget--
 	return true
 }
 
@@ -116,7 +116,7 @@
 		return t.Deadline
 	}
 	s := b.services[t.Service]
-	patience := max(hangFloor, hangFactor*s.times.high)
-	half := (t.Deadline - t.started) / 2
-	return t.started + min(t.Deadline-t.started, max(patience, half))
+	hangTimeout := max(hangFloor, hangFactor*s.serviceTimes.tail)
+	half := (t.Deadline - t.startedAt) / 2
+	return t.startedAt + min(t.Deadline-t.startedAt, max(hangTimeout, half))
 }
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -8,9 +8,9 @@
 // Balancer decides for one entry instance which request goes to which minion.
 // It is not safe for concurrent use.
 type Balancer struct {
-	opts   Options
-	rng    *rand.Rand
-	leases leases
+	opts  Options
+	rng   *rand.Rand
+	lease slotLease
 
 	minions  map[string]*minion
 	byNumber map[uint32]*minion
@@ -18,11 +18,11 @@
 
 	draining bool
 	// urgent says that a slot request should go out at once.
-	urgent  bool
-	numbers uint64
+	slotRequestDue   bool
+	lastTicketNumber uint64
 	// retries is the retry budget in whole and parts of retries.
-	retries float64
-	changed []*Ticket
+	retryBudget float64
+	changed     []*Ticket
 	// candidates is kept between picks to save allocations.
 	candidates []*minion
 	counts     Counts
@@ -44,31 +44,31 @@
 func NewBalancer(opts Options) *Balancer {
 	opts = opts.withDefaults()
 	b := &Balancer{
-		opts:     opts,
-		rng:      rand.New(rand.NewPCG(opts.Seed, opts.Incarnation)),
-		minions:  make(map[string]*minion),
-		byNumber: make(map[uint32]*minion),
-		services: make(map[string]*service),
-		retries:  opts.RetryBurst,
+		opts:        opts,
+		rng:         rand.New(rand.NewPCG(opts.Seed, opts.Incarnation)),
+		minions:     make(map[string]*minion),
+		byNumber:    make(map[uint32]*minion),
+		services:    make(map[string]*service),
+		retryBudget: opts.RetryBurst,
 	}
-	b.leases.granted = make(map[uint32]int)
-	b.leases.full = true
+	b.lease.granted = make(map[uint32]int)
+	b.lease.fullRequestNeeded = true
 	return b
 }
 
 // Submit takes a request. Afterwards the ticket is Started, Queued or Refused.
 func (b *Balancer) Submit(r Request, now time.Duration) *Ticket {
-	b.sweep(now)
-	b.numbers++
+	b.releaseLingering(now)
+	b.lastTicketNumber++
 	b.counts.Submitted++
-	t := &Ticket{Request: r, number: b.numbers}
+	t := &Ticket{Request: r, number: b.lastTicketNumber}
 	t.Deadline = min(t.Deadline, now+b.opts.Lease.MaxRequest)
 	s, ok := b.services[r.Service]
 	if b.draining {
 		b.refuse(nil, t, Draining, now)
 		return t
 	}
-	if !ok && b.leases.answered {
+	if !ok && b.lease.everAnswered {
 		b.refuse(nil, t, NoSuchService, now)
 		return t
 	}
@@ -93,13 +93,13 @@
 // enqueue queues the ticket, gives out free slots and then refuses what the
 // queue can't carry.
 func (b *Balancer) enqueue(s *service, t *Ticket, now time.Duration) {
-	t.queued = now
-	s.push(t)
+	t.queuedAt = now
+	s.enqueue(t)
 	b.dispatch(s, now)
 	if t.state != Queued {
 		return
 	}
-	b.urgent = true
+	b.slotRequestDue = true
 	if b.opts.Baseline {
 		return
 	}
@@ -112,69 +112,69 @@
 	if t.state != Queued {
 		return
 	}
-	b.services[t.Service].drop(t)
+	b.services[t.Service].dequeue(t)
 	t.state = Finished
-	b.sweep(now)
+	b.releaseLingering(now)
 }
 
 // Expire refuses a queued request that can't be answered in time any more. It
-// does nothing before GiveUpAt.
+// does nothing before QueueDeadline.
 func (b *Balancer) Expire(t *Ticket, now time.Duration) {
-	if t.state != Queued || now < b.GiveUpAt(t) {
+	if t.state != Queued || now < b.QueueDeadline(t) {
 		return
 	}
 	s := b.services[t.Service]
-	s.drop(t)
+	s.dequeue(t)
 	b.refuse(s, t, TooLate, now)
 }
 
-// GiveUpAt is when a queued request gets its refusal if it isn't started by then.
-func (b *Balancer) GiveUpAt(t *Ticket) time.Duration {
+// QueueDeadline is when a queued request gets its refusal if it isn't started by then.
+func (b *Balancer) QueueDeadline(t *Ticket) time.Duration {
 	s, ok := b.services[t.Service]
 	if !ok {
 		return t.Deadline
 	}
-	latest := t.queued + maxWaitFactor*b.maxWait(s)
+	latest := t.queuedAt + maxWaitFactor*b.maxWait(s)
 	return min(b.latestStart(s, t), latest)
 }
 
 // maxWait is the longest estimated wait at which a request is accepted.
 func (b *Balancer) maxWait(s *service) time.Duration {
-	return max(b.opts.MaxWait, 2*s.times.mean)
+	return max(b.opts.MaxWait, 2*s.serviceTimes.mean)
 }
 
 // maxWaitFactor times MaxWait is the longest real wait of a request.
 const maxWaitFactor = 2
 
-// ValidUntil is when the request may no longer be sent: not one byte of it may
+// SendDeadline is when the request may no longer be sent: not one byte of it may
 // be written after that.
-func (b *Balancer) ValidUntil(t *Ticket) time.Duration {
-	return min(b.leases.ends, t.minion.validUntil(b.opts.Lease.MinionTTL))
+func (b *Balancer) SendDeadline(t *Ticket) time.Duration {
+	return min(b.lease.expiresAt, t.minion.usableUntil(b.opts.Lease.MinionTTL))
 }
 
 // Target returns where a started request goes.
 func (b *Balancer) Target(t *Ticket) Target { return t.minion.target() }
 
 // Changed returns the tickets that became Started or Refused since the last call.
-func (b *Balancer) Changed() []*Ticket {
+func (b *Balancer) TakeChanged() []*Ticket {
 	changed := b.changed
 	b.changed = nil
 	return changed
 }
 
 // Urgent says whether a slot request should go out at once.
-func (b *Balancer) Urgent() bool { return b.urgent }
+func (b *Balancer) SlotRequestDue() bool { return b.slotRequestDue }
 
 // StopAccepting refuses every request from now on. Queued and started ones go on.
 func (b *Balancer) StopAccepting() {
 	b.draining = true
-	b.urgent = true
+	b.slotRequestDue = true
 }
 
 // Tick brings everything that depends on the time up to now.
 func (b *Balancer) Tick(now time.Duration) {
-	b.sweep(now)
-	b.dispatchAll(now)
+	b.releaseLingering(now)
+	b.dispatchAllServices(now)
 }
 
 // QueueLength returns how many requests wait.
@@ -187,7 +187,7 @@
 }
 
 // Running returns how many requests are in progress.
-func (b *Balancer) Running() int {
+func (b *Balancer) InFlight() int {
 	n := 0
 	for _, s := range b.services {
 		n += s.running
@@ -218,15 +218,15 @@
 // Counts returns the running totals.
 func (b *Balancer) Counts() Counts { return b.counts }
 
-func (b *Balancer) sweep(now time.Duration) {
+func (b *Balancer) releaseLingering(now time.Duration) {
 	for _, m := range b.minions {
-		if len(m.lingering) > 0 {
+		if len(m.lingeringUntil) > 0 {
 			m.expireLingering(now)
 		}
 	}
 }
 
-func (b *Balancer) dispatchAll(now time.Duration) {
+func (b *Balancer) dispatchAllServices(now time.Duration) {
 	for _, s := range b.services {
 		if len(s.queue) > 0 {
 			b.dispatch(s, now)
@@ -237,9 +237,9 @@
 // dispatch gives free slots to queued requests.
 func (b *Balancer) dispatch(s *service, now time.Duration) {
 	for len(s.queue) > 0 {
-		t := s.next(b.shareBase(s, now))
+		t := s.nextTicket(b.sharedSlots(s, now))
 		if now >= b.latestStart(s, t) {
-			s.drop(t)
+			s.dequeue(t)
 			b.refuse(s, t, TooLate, now)
 			continue
 		}
@@ -251,13 +251,13 @@
 	}
 }
 
-// shareBase is the number of slots that customers share; only needed when there
+// sharedSlots is the number of slots that customers share; only needed when there
 // are several.
-func (b *Balancer) shareBase(s *service, now time.Duration) int {
+func (b *Balancer) sharedSlots(s *service, now time.Duration) int {
 	if len(s.customers) <= 1 {
 		return 0
 	}
-	return b.slots(s, now)
+	return b.usableSlots(s, now)
 }
 
 // latestStart is when a request must start to be answered by its deadline. One
@@ -271,30 +271,30 @@
 	if b.opts.Baseline {
 		return t.Deadline
 	}
-	safe := t.Deadline - s.times.high
+	latestSafeStart := t.Deadline - s.serviceTimes.tail
 	switch {
-	case safe > t.queued:
-		return safe
-	case s.running == 0 && s.times.stale(t.queued):
+	case latestSafeStart > t.queuedAt:
+		return latestSafeStart
+	case s.running == 0 && s.serviceTimes.stale(t.queuedAt):
 		return t.Deadline
 	default:
-		return t.Deadline - s.times.mean
+		return t.Deadline - s.serviceTimes.mean
 	}
 }
 
 func (b *Balancer) start(s *service, t *Ticket, m *minion, now time.Duration) {
-	invariant(m.inProgress() < m.slots, "no free slot on the minion")
-	invariant(now < b.leases.ends, "slot lease has ended")
-	s.drop(t)
+	invariant(m.inFlight() < m.slots, "no free slot on the minion")
+	invariant(now < b.lease.expiresAt, "slot lease has ended")
+	s.dequeue(t)
 	s.running++
-	s.load(t.Customer).running++
+	s.customer(t.Customer).running++
 	m.running = append(m.running, t)
 	if t.probe {
 		m.breaker.probing = true
 	}
 	t.state = Started
 	t.minion = m
-	t.started = now
+	t.startedAt = now
 	t.attempts++
 	b.counts.Started++
 	b.changed = append(b.changed, t)
--- a/routing/breaker.go
+++ b/routing/breaker.go
@@ -4,40 +4,40 @@
 
 // Bounds of the circuit breaker of one minion.
 const (
-	// hardFailures in a row open the breaker: refused or broken connections
+	// maxConsecutiveFailures in a row open the breaker: refused or broken connections
 	// and missing answers.
-	hardFailures = 2
-	// softRate of failure answers opens the breaker, after softSamples answers.
-	softRate    = 0.5
-	softSamples = 6
-	softWeight  = 0.15
+	maxConsecutiveFailures = 2
+	// maxFailureRate of failure answers opens the breaker, after minRateSamples answers.
+	maxFailureRate = 0.5
+	minRateSamples = 6
+	failureWeight  = 0.15
 	// slowFactor over the usual time of the service's minions opens the breaker.
-	slowFactor  = 4
-	slowSamples = 5
-	slowMargin  = 20 * time.Millisecond
-	timeWeight  = 0.2
+	slowFactor        = 4
+	minTimeSamples    = 5
+	slowMargin        = 20 * time.Millisecond
+	averageTimeWeight = 0.2
 
 	firstBackoff = time.Second
 	maxBackoff   = 10 * time.Second
 	// cautious is how many backoffs pass before a request that isn't
 	// idempotent may be the probe.
-	cautious = 3
+	nonIdempotentBackoffs = 3
 )
 
 // breaker keeps load away from one minion that fails or is slow.
 type breaker struct {
-	open    bool
-	probing bool
-	opened  time.Duration
-	backoff time.Duration
+	open     bool
+	probing  bool
+	openedAt time.Duration
+	backoff  time.Duration
 	// closed is when the breaker closed last.
-	closed time.Duration
+	closedAt time.Duration
 
-	hard     int
-	softRate float64
-	samples  int
+	consecutiveFailures int
+	failureRate         float64
+	samples             int
 	// usual is the moving average of service times.
-	usual time.Duration
+	averageTime time.Duration
 }
 
 // probeDue says whether a request may try out the minion.
@@ -47,40 +47,40 @@
 	}
 	wait := b.backoff
 	if !idempotent {
-		wait *= cautious
+		wait *= nonIdempotentBackoffs
 	}
-	return now >= b.opened+wait
+	return now >= b.openedAt+wait
 }
 
 func (b *breaker) trip(now time.Duration) {
-	if !b.open && now-b.closed > maxBackoff {
+	if !b.open && now-b.closedAt > maxBackoff {
 		b.backoff = 0
 	}
 	b.backoff = min(maxBackoff, max(firstBackoff, 2*b.backoff))
 	b.open = true
-	b.opened = now
+	b.openedAt = now
 	b.probing = false
 }
 
 // reset closes the breaker and forgets what was measured.
 func (b *breaker) reset(now time.Duration) {
-	*b = breaker{backoff: b.backoff, closed: now}
+	*b = breaker{backoff: b.backoff, closedAt: now}
 }
 
 // observe takes the outcome of an attempt. Usual is the usual service time of
-// the service's minions and maySoft whether answers that tell of failures may
+// the service's minions and mayTripOnRate whether answers that tell of failures may
 // open the breaker. It returns whether the breaker has just closed.
 //
 // Failure: a minion that fails at once is always free and would attract all
 // load; one that is slow or never answers would hold its slots and the
 // requests on them. Guard: each of these opens the breaker, and only single
 // probes go there until one succeeds in the usual time.
-func (b *breaker) observe(a attempt, usual time.Duration, maySoft bool, now time.Duration) (closed bool) {
+func (b *breaker) observe(a attempt, typicalTime time.Duration, mayTripOnRate bool, now time.Duration) (closed bool) {
 	if b.open {
-		return a.probe && b.judgeProbe(a, usual, now)
+		return a.probe && b.finishProbe(a, typicalTime, now)
 	}
-	b.count(a.outcome, a.took)
-	if b.bad(usual, maySoft) {
+	b.record(a.outcome, a.took)
+	if b.shouldTrip(typicalTime, mayTripOnRate) {
 		b.trip(now)
 	}
 	return false
@@ -93,46 +93,46 @@
 	probe   bool
 }
 
-func (b *breaker) count(o Outcome, took time.Duration) {
+func (b *breaker) record(o Outcome, took time.Duration) {
 	b.samples++
-	fail := 0.0
+	failure := 0.0
 	switch o {
 	case AnsweredFailure:
-		fail = 1
-		b.hard = 0
+		failure = 1
+		b.consecutiveFailures = 0
 	case NotSent, Broken, TimedOut:
-		fail = 1
-		b.hard++
+		failure = 1
+		b.consecutiveFailures++
 	case Streamed:
-		b.hard = 0
+		b.consecutiveFailures = 0
 	default:
-		b.hard = 0
-		b.learn(took)
+		b.consecutiveFailures = 0
+		b.updateAverageTime(took)
 	}
-	b.softRate += softWeight * (fail - b.softRate)
+	b.failureRate += failureWeight * (failure - b.failureRate)
 }
 
-func (b *breaker) learn(took time.Duration) {
-	if b.usual == 0 {
-		b.usual = took
+func (b *breaker) updateAverageTime(took time.Duration) {
+	if b.averageTime == 0 {
+		b.averageTime = took
 		return
 	}
-	b.usual += time.Duration(timeWeight * float64(took-b.usual))
+	b.averageTime += time.Duration(averageTimeWeight * float64(took-b.averageTime))
 }
 
-func (b *breaker) bad(usual time.Duration, maySoft bool) bool {
-	if b.hard >= hardFailures {
+func (b *breaker) shouldTrip(typicalTime time.Duration, mayTripOnRate bool) bool {
+	if b.consecutiveFailures >= maxConsecutiveFailures {
 		return true
 	}
-	if maySoft && b.samples >= softSamples && b.softRate > softRate {
+	if mayTripOnRate && b.samples >= minRateSamples && b.failureRate > maxFailureRate {
 		return true
 	}
-	return b.samples >= slowSamples && tooSlow(b.usual, usual)
+	return b.samples >= minTimeSamples && tooSlow(b.averageTime, typicalTime)
 }
 
-func (b *breaker) judgeProbe(a attempt, usual, now time.Duration) bool {
+func (b *breaker) finishProbe(a attempt, typicalTime, now time.Duration) bool {
 	b.probing = false
-	if a.outcome.failed() || (a.outcome == Answered && tooSlow(a.took, usual)) {
+	if a.outcome.failed() || (a.outcome == Answered && tooSlow(a.took, typicalTime)) {
 		b.trip(now)
 		return false
 	}
@@ -140,6 +140,6 @@
 	return true
 }
 
-func tooSlow(took, usual time.Duration) bool {
-	return usual > 0 && took > slowFactor*usual+slowMargin
+func tooSlow(took, typicalTime time.Duration) bool {
+	return typicalTime > 0 && took > slowFactor*typicalTime+slowMargin
 }
--- a/routing/charge.go
+++ b/routing/charge.go
@@ -14,87 +14,87 @@
 }
 
 // residue is what an ended process of an entry instance may have left behind.
-type residue struct {
-	charges map[uint32]int
-	freeAt  time.Duration
+type terminatedProcess struct {
+	occupied map[uint32]int
+	freeAt   time.Duration
 }
 
 // description is the version of a minion that an answer told.
-type description struct {
+type sentAnnouncement struct {
 	version  uint64
 	sequence uint64
 }
 
 // never is later than any time a process lives to see.
-const never = time.Duration(1<<63 - 1)
+const farFuture = time.Duration(1<<63 - 1)
 
-// dividerEntry is what the Divider knows of one entry instance.
-type dividerEntry struct {
-	id          string
-	incarnation uint64
-	sequence    uint64
-	heard       time.Duration
+// entryRecord is what the Divider knows of one entry instance.
+type entryRecord struct {
+	id            string
+	incarnation   uint64
+	sequence      uint64
+	lastRequestAt time.Duration
 	// claimed says that a full request arrived in this term.
 	claimed  bool
 	draining bool
-	wanted   map[string]int
+	demand   map[string]int
 	// adopted is the sequence of the answer in use at the entry instance.
 	adopted uint64
 	// sets are the answers that the entry instance may use, oldest first.
-	sets []grantSet
+	grantSets []grantSet
 	// uses are the requests in progress as last reported, which may last
-	// until usesEnd.
-	uses    map[uint32]int
-	usesEnd time.Duration
-	residue []residue
+	// until inFlightUntil.
+	inFlight      map[uint32]int
+	inFlightUntil time.Duration
+	terminated    []terminatedProcess
 	// own is the upper bound of requests in progress by minion of the current
-	// process; charges adds what ended processes left. Both hold until nextFree.
-	own      map[uint32]int
-	charges  map[uint32]int
-	nextFree time.Duration
+	// process; charges adds what ended processes left. Both hold until nextFreeAt.
+	ownOccupied map[uint32]int
+	occupied    map[uint32]int
+	nextFreeAt  time.Duration
 	// described says which minions the entry instance was told about.
-	described map[uint32]description
+	sentAnnouncements map[uint32]sentAnnouncement
 }
 
-func newDividerEntry(id string, incarnation uint64) *dividerEntry {
-	return &dividerEntry{
-		id:          id,
-		incarnation: incarnation,
-		nextFree:    never,
-		described:   make(map[uint32]description),
+func newEntryRecord(id string, incarnation uint64) *entryRecord {
+	return &entryRecord{
+		id:                id,
+		incarnation:       incarnation,
+		nextFreeAt:        farFuture,
+		sentAnnouncements: make(map[uint32]sentAnnouncement),
 	}
 }
 
 // restart begins a new incarnation. The process before has ended, so its
 // charges need not wait for its lease.
-func (e *dividerEntry) restart(incarnation uint64, now time.Duration) {
-	left := residue{charges: e.charges, freeAt: now + restartLinger}
-	kept := append(e.residue, left)
-	*e = *newDividerEntry(e.id, incarnation)
-	e.residue = kept
-	e.charges = left.charges
+func (e *entryRecord) restart(incarnation uint64, now time.Duration) {
+	left := terminatedProcess{occupied: e.occupied, freeAt: now + restartLinger}
+	kept := append(e.terminated, left)
+	*e = *newEntryRecord(e.id, incarnation)
+	e.terminated = kept
+	e.occupied = left.occupied
 }
 
 // supersede drops the answers older than the adopted one: the entry instance
 // never goes back to them.
-func (e *dividerEntry) supersede(adopted uint64) {
+func (e *entryRecord) adopt(adopted uint64) {
 	e.adopted = adopted
-	for len(e.sets) > 0 && e.sets[0].sequence < adopted {
-		e.sets = e.sets[1:]
+	for len(e.grantSets) > 0 && e.grantSets[0].sequence < adopted {
+		e.grantSets = e.grantSets[1:]
 	}
 }
 
 // latest returns the newest answer's grants.
-func (e *dividerEntry) latest() map[uint32]int {
-	if len(e.sets) == 0 {
+func (e *entryRecord) latestGrants() map[uint32]int {
+	if len(e.grantSets) == 0 {
 		return nil
 	}
-	return e.sets[len(e.sets)-1].slots
+	return e.grantSets[len(e.grantSets)-1].slots
 }
 
 // base returns the grants that the entry instance is known to have adopted.
-func (e *dividerEntry) base() (map[uint32]int, bool) {
-	for _, s := range e.sets {
+func (e *entryRecord) adoptedGrants() (map[uint32]int, bool) {
+	for _, s := range e.grantSets {
 		if s.sequence == e.adopted {
 			return s.slots, true
 		}
@@ -110,64 +110,64 @@
 // may be in use and of the reported requests in progress. An answer counts
 // until a later one is known to be adopted, or until its lease and the longest
 // request begun under it have ended.
-func (d *Divider) recharge(e *dividerEntry, now time.Duration) {
-	own := make(map[uint32]int)
-	e.nextFree = never
-	if now < e.usesEnd {
-		raise(own, e.uses)
-		e.nextFree = min(e.nextFree, e.usesEnd)
+func (d *Allocator) updateOccupied(e *entryRecord, now time.Duration) {
+	ownOccupied := make(map[uint32]int)
+	e.nextFreeAt = farFuture
+	if now < e.inFlightUntil {
+		raiseTo(ownOccupied, e.inFlight)
+		e.nextFreeAt = min(e.nextFreeAt, e.inFlightUntil)
 	}
-	kept := e.sets[:0]
-	for _, s := range e.sets {
+	kept := e.grantSets[:0]
+	for _, s := range e.grantSets {
 		if s.freeAt <= now {
 			continue
 		}
-		raise(own, s.slots)
-		e.nextFree = min(e.nextFree, s.freeAt)
+		raiseTo(ownOccupied, s.slots)
+		e.nextFreeAt = min(e.nextFreeAt, s.freeAt)
 		kept = append(kept, s)
 	}
-	e.sets = kept
-	e.own = own
-	charges := maps.Clone(own)
-	d.addResidue(e, charges, now)
-	d.recount(e.charges, charges)
-	e.charges = charges
+	e.grantSets = kept
+	e.ownOccupied = ownOccupied
+	occupied := maps.Clone(ownOccupied)
+	d.addTerminated(e, occupied, now)
+	d.replaceOccupied(e.occupied, occupied)
+	e.occupied = occupied
 }
 
-func (d *Divider) addResidue(e *dividerEntry, charges map[uint32]int, now time.Duration) {
-	kept := e.residue[:0]
-	for _, r := range e.residue {
+func (d *Allocator) addTerminated(e *entryRecord, occupied map[uint32]int, now time.Duration) {
+	kept := e.terminated[:0]
+	for _, r := range e.terminated {
 		if r.freeAt <= now {
 			continue
 		}
-		for number, slots := range r.charges {
-			charges[number] += slots
+		for number, slots := range r.occupied {
+			occupied[number] += slots
 		}
-		e.nextFree = min(e.nextFree, r.freeAt)
+		e.nextFreeAt = min(e.nextFreeAt, r.freeAt)
 		kept = append(kept, r)
 	}
-	e.residue = kept
+	e.terminated = kept
 }
 
 // recount replaces the old charges of an entry instance in the sums of minions.
-func (d *Divider) recount(old, charges map[uint32]int) {
+func (d *Allocator) replaceOccupied(old, occupied map[uint32]int) {
 	for number, slots := range old {
 		if m, ok := d.byNumber[number]; ok {
-			m.charged -= slots
+			m.occupied -= slots
 		}
 	}
-	for number, slots := range charges {
+	for number, slots := range occupied {
 		if m, ok := d.byNumber[number]; ok {
-			m.charged += slots
-			invariant(m.charged >= 0, "negative charge")
+			m.occupied += slots
+			invariant(m.occupied >= 0, "negative charge")
 		}
 	}
 }
 
-func raise(charges, slots map[uint32]int) {
+func raiseTo(bounds, slots map[uint32]int) {
 	for number, n := range slots {
-		if n > charges[number] {
-			charges[number] = n
+		if n > bounds[number] {
+			bounds[number] = n
 		}
 	}
 }
