--- a/routing/divide.go
+++ b/routing/divide.go
@@ -3,13 +3,13 @@
 import "time"
 
 // divide works out the grants of an entry instance for all services.
-func (d *Divider) divide(e *dividerEntry, now time.Duration) map[uint32]int {
+func (d *Allocator) allocate(e *entryRecord, now time.Duration) map[uint32]int {
 	grants := make(map[uint32]int)
 	if e.draining {
 		return grants
 	}
-	for _, group := range d.services() {
-		d.divideService(e, group, grants, now)
+	for _, group := range d.serviceGroups() {
+		d.allocateService(e, group, grants, now)
 	}
 	return grants
 }
@@ -17,13 +17,13 @@
 // serviceGroup is the usable minions of one service.
 type serviceGroup struct {
 	name    string
-	minions []*dividerMinion
+	minions []*minionRecord
 	// capacity is the sum of slots that no reserve holds.
 	capacity int
 }
 
 // services returns the usable minions by service, in the order of numbers.
-func (d *Divider) services() []*serviceGroup {
+func (d *Allocator) serviceGroups() []*serviceGroup {
 	var groups []*serviceGroup
 	byName := make(map[string]*serviceGroup)
 	for _, m := range d.list {
@@ -37,93 +37,93 @@
 			groups = append(groups, g)
 		}
 		g.minions = append(g.minions, m)
-		g.capacity += max(0, m.Slots-m.reserve)
+		g.capacity += max(0, m.Slots-m.reserved)
 	}
 	return groups
 }
 
-// divideService adds the grants of one service to grants.
-func (d *Divider) divideService(e *dividerEntry, g *serviceGroup, grants map[uint32]int, now time.Duration) {
-	target := d.target(e, g, now)
-	room := make([]int, len(g.minions))
+// allocateService adds the grants of one service to grants.
+func (d *Allocator) allocateService(e *entryRecord, g *serviceGroup, grants map[uint32]int, now time.Duration) {
+	share := d.fairShare(e, g, now)
+	free := make([]int, len(g.minions))
 	total := 0
-	latest := e.latest()
+	latest := e.latestGrants()
 	for i, m := range g.minions {
-		available := max(0, m.Slots-m.reserve-(m.charged-e.own[m.number]))
+		available := max(0, m.Slots-m.reserved-(m.occupied-e.ownOccupied[m.number]))
 		keep := min(latest[m.number], available)
 		grants[m.number] = keep
-		room[i] = available - keep
+		free[i] = available - keep
 		total += keep
 	}
-	if total > target {
-		excess := min(total-target, d.shortage(e, g, now))
-		shrink(g, grants, e.uses, excess)
+	if total > share {
+		excess := min(total-share, d.unmetMinimum(e, g, now))
+		shrink(g, grants, e.inFlight, excess)
 		return
 	}
-	grow(g, grants, room, target-total, d.position(e.id))
+	grow(g, grants, free, share-total, d.entryIndex(e.id))
 }
 
 // target is the fair part of the service's capacity: demand is served evenly
 // (max-min), and what nobody wants is spread evenly, so that every entry
 // instance can serve a burst before its next renewal.
-func (d *Divider) target(e *dividerEntry, g *serviceGroup, now time.Duration) int {
-	wants, own := d.wants(e, g.name, now)
-	shares := waterFill(g.capacity, wants)
+func (d *Allocator) fairShare(e *entryRecord, g *serviceGroup, now time.Duration) int {
+	demands, own := d.demands(e, g.name, now)
+	shares := waterFill(g.capacity, demands)
 	return shares[own]
 }
 
 // wants returns the demands of the live entry instances and the place of e.
-func (d *Divider) wants(e *dividerEntry, service string, now time.Duration) (wants []int, own int) {
+func (d *Allocator) demands(e *entryRecord, service string, now time.Duration) (demands []int, own int) {
 	for _, id := range d.order {
 		other := d.entries[id]
 		if other != e && !d.live(other, now) {
 			continue
 		}
 		if other == e {
-			own = len(wants)
+			own = len(demands)
 		}
-		wants = append(wants, other.wanted[service])
+		demands = append(demands, other.demand[service])
 	}
-	return wants, own
+	return demands, own
 }
 
-func (d *Divider) live(e *dividerEntry, now time.Duration) bool {
-	return e.claimed && !e.draining && now-e.heard < d.opts.Lease
+func (d *Allocator) live(e *entryRecord, now time.Duration) bool {
+	return e.claimed && !e.draining && now-e.lastRequestAt < d.opts.Lease
 }
 
 // shortage is how many slots the other entry instances lack of their targets
 // after all free slots are given out. Nothing is taken from an entry instance
 // without need, so that small swings of demand cost no messages.
-func (d *Divider) shortage(e *dividerEntry, g *serviceGroup, now time.Duration) int {
-	short := 0
+func (d *Allocator) unmetMinimum(e *entryRecord, g *serviceGroup, now time.Duration) int {
+	unmet := 0
 	for _, id := range d.order {
 		other := d.entries[id]
 		if other == e || !d.live(other, now) {
 			continue
 		}
 		held := 0
-		latest := other.latest()
+		latest := other.latestGrants()
 		for _, m := range g.minions {
 			held += latest[m.number]
 		}
-		short += max(0, d.need(other, g, now)-held)
+		unmet += max(0, d.minimumShare(other, g, now)-held)
 	}
 	for _, m := range g.minions {
-		short -= max(0, m.Slots-m.reserve-m.charged)
+		unmet -= max(0, m.Slots-m.reserved-m.occupied)
 	}
-	return max(0, short)
+	return max(0, unmet)
 }
 
 // need is what an entry instance is short of when it holds less: its demand, or
 // half of its even part, so that a new one can begin to serve.
-func (d *Divider) need(e *dividerEntry, g *serviceGroup, now time.Duration) int {
-	target := d.target(e, g, now)
-	return min(target, max(e.wanted[g.name], target/2))
+func (d *Allocator) minimumShare(e *entryRecord, g *serviceGroup, now time.Duration) int {
+	share := d.fairShare(e, g, now)
+	return min(share, max(e.demand[g.name], share/2))
 }
 
 // position is the place of an entry instance among all, to start its search
 // for free slots at different minions than the others.
-func (d *Divider) position(id string) int {
+func (d *Allocator) entryIndex(id string) int {
 	for i, other := range d.order {
 		if other == id {
 			return i
@@ -133,7 +133,7 @@
 }
 
 // shrink takes slots away, idle ones and those of the most granted minions first.
-func shrink(g *serviceGroup, grants, uses map[uint32]int, excess int) {
+func shrink(g *serviceGroup, grants, inFlight map[uint32]int, excess int) {
 	for ; excess > 0; excess-- {
 		best := uint32(0)
 		bestScore := 0
@@ -143,8 +143,8 @@
 				continue
 			}
 			score := n
-			if n > uses[m.number] {
-				score += idleFirst
+			if n > inFlight[m.number] {
+				score += idleSlotBonus
 			}
 			if score > bestScore {
 				best, bestScore = m.number, score
@@ -157,20 +157,20 @@
 	}
 }
 
-// idleFirst outweighs any count of slots, so that idle slots are taken first.
-const idleFirst = 1 << 20
+// idleSlotBonus outweighs any count of slots, so that idle slots are taken first.
+const idleSlotBonus = 1 << 20
 
 // grow adds slots where the most are free, and among those where the least are held.
-func grow(g *serviceGroup, grants map[uint32]int, room []int, missing, position int) {
+func grow(g *serviceGroup, grants map[uint32]int, free []int, missing, entryIndex int) {
 	n := len(g.minions)
 	for ; missing > 0; missing-- {
 		best := -1
 		for k := range n {
-			i := (k + position*growStride) % n
-			if room[i] == 0 {
+			i := (k + entryIndex*growStride) % n
+			if free[i] == 0 {
 				continue
 			}
-			if best < 0 || better(g, grants, room, i, best) {
+			if best < 0 || preferred(g, grants, free, i, best) {
 				best = i
 			}
 		}
@@ -178,29 +178,29 @@
 			return
 		}
 		grants[g.minions[best].number]++
-		room[best]--
+		free[best]--
 	}
 }
 
 // growStride keeps the starting points of entry instances apart.
 const growStride = 7
 
-func better(g *serviceGroup, grants map[uint32]int, room []int, i, best int) bool {
+func preferred(g *serviceGroup, grants map[uint32]int, free []int, i, best int) bool {
 	heldI, heldBest := grants[g.minions[i].number], grants[g.minions[best].number]
 	if heldI != heldBest {
 		return heldI < heldBest
 	}
-	return room[i] > room[best]
+	return free[i] > free[best]
 }
 
 // waterFill divides capacity by max-min fairness on wants and spreads the rest
 // evenly. The shares sum to capacity.
-func waterFill(capacity int, wants []int) []int {
-	shares := make([]int, len(wants))
+func waterFill(capacity int, demands []int) []int {
+	shares := make([]int, len(demands))
 	left := capacity
 	for left > 0 {
 		unmet := 0
-		for i, w := range wants {
+		for i, w := range demands {
 			if shares[i] < w {
 				unmet++
 			}
@@ -209,11 +209,11 @@
 			break
 		}
 		step := max(1, left/unmet)
-		for i, w := range wants {
-			give := min(step, w-shares[i], left)
-			if give > 0 {
-				shares[i] += give
-				left -= give
+		for i, w := range demands {
+			granted := min(step, w-shares[i], left)
+			if granted > 0 {
+				shares[i] += granted
+				left -= granted
 			}
 		}
 	}
@@ -227,12 +227,12 @@
 
 // respond records the grants as outstanding and tells what differs from the
 // answer that the entry instance uses.
-func (d *Divider) respond(e *dividerEntry, req ShareRequest, grants map[uint32]int, now time.Duration) ShareResponse {
-	base, known := e.base()
+func (d *Allocator) respond(e *entryRecord, req SlotRequest, grants map[uint32]int, now time.Duration) SlotResponse {
+	base, known := e.adoptedGrants()
 	if req.Full {
 		known = false
 	}
-	resp := ShareResponse{Term: d.term, Sequence: req.Sequence, Lease: d.opts.Lease}
+	resp := SlotResponse{Term: d.term, Sequence: req.Sequence, Lease: d.opts.Lease}
 	if known {
 		resp.Base = e.adopted
 	}
@@ -242,7 +242,7 @@
 		if !known {
 			differs = slots > 0
 		}
-		if g, tell := d.grant(e, m, slots, req.Sequence); tell || differs {
+		if g, send := d.grant(e, m, slots, req.Sequence); send || differs {
 			resp.Grants = append(resp.Grants, g)
 		}
 	}
@@ -251,45 +251,45 @@
 			delete(grants, number)
 		}
 	}
-	e.sets = append(e.sets, d.newSet(req.Sequence, grants, now))
-	d.recharge(e, now)
-	d.checkCharges(e)
+	e.grantSets = append(e.grantSets, d.newGrantSet(req.Sequence, grants, now))
+	d.updateOccupied(e, now)
+	d.checkOccupied(e)
 	return resp
 }
 
 // grant builds the grant of one minion, with its description where the entry
 // instance isn't known to have it.
-func (d *Divider) grant(e *dividerEntry, m *dividerMinion, slots int, sequence uint64) (Grant, bool) {
+func (d *Allocator) grant(e *entryRecord, m *minionRecord, slots int, sequence uint64) (Grant, bool) {
 	g := Grant{Number: m.number, Slots: slots}
 	if !m.announced {
 		return g, false
 	}
-	told, ok := e.described[m.number]
-	if ok && told.version == m.version && told.sequence <= e.adopted {
+	sent, ok := e.sentAnnouncements[m.number]
+	if ok && sent.version == m.version && sent.sequence <= e.adopted {
 		return g, false
 	}
 	if !ok && m.gone {
 		return g, false
 	}
-	if !ok || told.version != m.version {
-		e.described[m.number] = description{version: m.version, sequence: sequence}
+	if !ok || sent.version != m.version {
+		e.sentAnnouncements[m.number] = sentAnnouncement{version: m.version, sequence: sequence}
 	}
-	g.Described = true
-	g.Minion = m.Announcement
+	g.HasAnnouncement = true
+	g.Announcement = m.Announcement
 	g.Gone = m.gone
 	return g, true
 }
 
-// checkCharges asserts that a grant never takes a minion over its slots. Slots
+// checkOccupied asserts that a grant never takes a minion over its slots. Slots
 // claimed from earlier terms may exceed what the minion now announces; those
 // are never granted beyond the charge that they had.
-func (d *Divider) checkCharges(e *dividerEntry) {
+func (d *Allocator) checkOccupied(e *entryRecord) {
 	if !checkInvariants {
 		return
 	}
-	for number, slots := range e.latest() {
+	for number, slots := range e.latestGrants() {
 		m := d.byNumber[number]
-		others := m.charged - e.own[number]
+		others := m.occupied - e.ownOccupied[number]
 		invariant(others+slots <= m.Slots, "granted more than the slots of a minion")
 	}
 }
--- a/routing/divider.go
+++ b/routing/divider.go
@@ -7,12 +7,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Reasons for which a ShareRequest gets no answer.
+// Reasons for which a SlotRequest gets no answer.
 var (
 	// ErrNotLeading says that the Divider has not been told to lead.
 	ErrNotLeading = errors.New("not leading")
-	// ErrDeposed says that the request has seen a higher term.
-	ErrDeposed = errors.New("a higher term leads")
+	// ErrHigherTerm says that the request has seen a higher term.
+	ErrHigherTerm = errors.New("a higher term leads")
 	// ErrStale says that the request is a late or second copy.
 	ErrStale = errors.New("request is older than one already answered")
 )
@@ -33,7 +33,7 @@
 // What keeps a minion at or under its slots: for each entry instance and minion
 // the Divider keeps an upper bound of the requests that may be in progress (the
 // charge), and grants only what the charges of all entry instances leave free.
-type Divider struct {
+type Allocator struct {
 	opts LeaseOptions
 
 	leading bool
@@ -42,50 +42,50 @@
 	// one, can still be in force.
 	reserveEnds time.Duration
 	// awaited are the entry instances that haven't claimed in this term yet.
-	awaited map[string]bool
+	unclaimed map[string]bool
 
-	minions    map[string]*dividerMinion
-	byNumber   map[uint32]*dividerMinion
-	list       []*dividerMinion // all minions, in the order of numbers
+	minions    map[string]*minionRecord
+	byNumber   map[uint32]*minionRecord
+	list       []*minionRecord // all minions, in the order of numbers
 	lastNumber uint32
-	entries    map[string]*dividerEntry
+	entries    map[string]*entryRecord
 	order      []string // entry instances, sorted
 }
 
-// dividerMinion is what the Divider knows of one minion.
-type dividerMinion struct {
+// minionRecord is what the Divider knows of one minion.
+type minionRecord struct {
 	Announcement
 	number uint32
 	// announced is false for a minion known from claims only.
-	announced bool
-	heard     time.Duration
-	gone      bool
+	announced   bool
+	lastHeardAt time.Duration
+	gone        bool
 	// version grows with each change that entry instances must learn.
 	version uint64
 	// charged is the sum of all charges on the minion.
-	charged int
+	occupied int
 	// reserve is how many slots a predecessor may have granted to entry
 	// instances that haven't claimed yet.
-	reserve int
+	reserved int
 }
 
-func (m *dividerMinion) usable() bool { return m.announced && !m.gone }
+func (m *minionRecord) usable() bool { return m.announced && !m.gone }
 
-// NewDivider returns a Divider that grants nothing until Lead.
-func NewDivider(opts LeaseOptions) *Divider {
-	d := &Divider{opts: opts.withDefaults()}
+// NewAllocator returns a Divider that grants nothing until Lead.
+func NewAllocator(opts LeaseOptions) *Allocator {
+	d := &Allocator{opts: opts.withDefaults()}
 	d.reset()
 	return d
 }
 
-func (d *Divider) reset() {
-	d.minions = make(map[string]*dividerMinion)
-	d.byNumber = make(map[uint32]*dividerMinion)
+func (d *Allocator) reset() {
+	d.minions = make(map[string]*minionRecord)
+	d.byNumber = make(map[uint32]*minionRecord)
 	d.list = nil
 	d.lastNumber = 0
-	d.entries = make(map[string]*dividerEntry)
+	d.entries = make(map[string]*entryRecord)
 	d.order = nil
-	d.awaited = make(map[string]bool)
+	d.unclaimed = make(map[string]bool)
 }
 
 // Lead begins the leadership of a term. The caller must be sure that no leader
@@ -97,26 +97,26 @@
 // another entry instance puts a minion over its slots. Guard: whatever hasn't
 // been claimed stays reserved until the predecessor's last lease, and the
 // requests begun under it, must have ended.
-func (d *Divider) Lead(term uint64, entries []string, now time.Duration) {
+func (d *Allocator) Lead(term uint64, entries []string, now time.Duration) {
 	d.reset()
 	d.leading = true
 	d.term = term
 	d.reserveEnds = now + d.opts.Lease + d.opts.MaxRequest + d.opts.Drift
 	for _, entry := range entries {
-		d.awaited[entry] = true
+		d.unclaimed[entry] = true
 	}
 }
 
 // Resign ends the leadership: no request is answered until the next Lead.
-func (d *Divider) Resign() { d.leading = false }
+func (d *Allocator) Resign() { d.leading = false }
 
 // Term returns the term of the current or last leadership.
-func (d *Divider) Term() uint64 { return d.term }
+func (d *Allocator) Term() uint64 { return d.term }
 
 // Announce takes a minion's announcement. An announcement of an earlier
 // incarnation is ignored, as is one that takes back Leaving.
-func (d *Divider) Announce(a Announcement, now time.Duration) {
-	m := d.minion(a.Minion, now)
+func (d *Allocator) Announce(a Announcement, now time.Duration) {
+	m := d.ensureMinion(a.Minion, now)
 	if m.announced && a.Incarnation < m.Incarnation {
 		return
 	}
@@ -125,43 +125,43 @@
 		return
 	}
 	changed := !sameProcess || m.gone || a != m.Announcement
-	more := a.Slots - m.Slots
+	addedSlots := a.Slots - m.Slots
 	m.Announcement = a
 	m.announced = true
-	m.heard = now
+	m.lastHeardAt = now
 	m.gone = a.Leaving
 	if changed {
 		m.version++
 	}
-	d.reserveSlots(m, more, now)
+	d.reserveSlots(m, addedSlots, now)
 }
 
 // reserveSlots sets aside what a predecessor may have granted of the slots that
 // an announcement adds.
-func (d *Divider) reserveSlots(m *dividerMinion, more int, now time.Duration) {
+func (d *Allocator) reserveSlots(m *minionRecord, addedSlots int, now time.Duration) {
 	if !d.reserveInForce(now) {
 		return
 	}
 	if m.version == 1 {
-		m.reserve = max(0, m.Slots-m.charged)
+		m.reserved = max(0, m.Slots-m.occupied)
 		return
 	}
-	m.reserve = min(m.reserve+max(0, more), m.Slots)
+	m.reserved = min(m.reserved+max(0, addedSlots), m.Slots)
 }
 
 // Leave takes a minion out of use.
-func (d *Divider) Leave(minion string, incarnation uint64, now time.Duration) {
+func (d *Allocator) Leave(minion string, incarnation uint64, now time.Duration) {
 	m, ok := d.minions[minion]
 	if !ok || !m.announced || incarnation < m.Incarnation {
 		return
 	}
 	m.Incarnation = incarnation
 	m.Leaving = true
-	m.heard = now
+	m.lastHeardAt = now
 	d.retire(m)
 }
 
-func (d *Divider) retire(m *dividerMinion) {
+func (d *Allocator) retire(m *minionRecord) {
 	if m.gone {
 		return
 	}
@@ -170,12 +170,12 @@
 }
 
 // minion returns the record of a minion and makes one where there is none.
-func (d *Divider) minion(name string, now time.Duration) *dividerMinion {
+func (d *Allocator) ensureMinion(name string, now time.Duration) *minionRecord {
 	if m, ok := d.minions[name]; ok {
 		return m
 	}
 	d.lastNumber++
-	m := &dividerMinion{number: d.lastNumber, heard: now}
+	m := &minionRecord{number: d.lastNumber, lastHeardAt: now}
 	m.Minion = name
 	d.minions[name] = m
 	d.byNumber[m.number] = m
@@ -183,33 +183,33 @@
 	return m
 }
 
-func (d *Divider) reserveInForce(now time.Duration) bool { return now < d.reserveEnds }
+func (d *Allocator) reserveInForce(now time.Duration) bool { return now < d.reserveEnds }
 
 // Share answers a request of an entry instance. The error is ErrNotLeading,
-// ErrDeposed or ErrStale; then there is no answer to send.
-func (d *Divider) Share(req ShareRequest, now time.Duration) (ShareResponse, error) {
+// ErrHigherTerm or ErrStale; then there is no answer to send.
+func (d *Allocator) Allocate(req SlotRequest, now time.Duration) (SlotResponse, error) {
 	if !d.leading {
-		return ShareResponse{}, ErrNotLeading
+		return SlotResponse{}, ErrNotLeading
 	}
 	if req.Term > d.term {
-		return ShareResponse{}, ErrDeposed
+		return SlotResponse{}, ErrHigherTerm
 	}
-	d.sweep(now)
-	e, err := d.accept(req, now)
+	d.expire(now)
+	e, err := d.acceptRequest(req, now)
 	if err != nil {
-		return ShareResponse{}, err
+		return SlotResponse{}, err
 	}
-	d.announced(e, req.Announcements, now)
-	resync := ShareResponse{Term: d.term, Sequence: req.Sequence, Resync: true}
+	d.applyAnnouncements(e, req.Announcements, now)
+	resync := SlotResponse{Term: d.term, Sequence: req.Sequence, Resync: true}
 	if req.Term != d.term {
 		return resync, nil
 	}
 	if !req.Full && !e.claimed {
 		return resync, nil
 	}
-	d.heardAlive(req.Alive, now)
-	d.report(e, req, now)
-	grants := d.divide(e, now)
+	d.refreshAlive(req.Alive, now)
+	d.applyReport(e, req, now)
+	grants := d.allocate(e, now)
 	return d.respond(e, req, grants, now), nil
 }
 
@@ -217,10 +217,10 @@
 //
 // Failure: a late copy of a request would free slots that were granted since.
 // Guard: sequences only grow within an incarnation, and incarnations only grow.
-func (d *Divider) accept(req ShareRequest, now time.Duration) (*dividerEntry, error) {
+func (d *Allocator) acceptRequest(req SlotRequest, now time.Duration) (*entryRecord, error) {
 	e, ok := d.entries[req.Entry]
 	if !ok {
-		e = newDividerEntry(req.Entry, req.Incarnation)
+		e = newEntryRecord(req.Entry, req.Incarnation)
 		d.entries[req.Entry] = e
 		at, _ := slices.BinarySearch(d.order, req.Entry)
 		d.order = slices.Insert(d.order, at, req.Entry)
@@ -230,112 +230,112 @@
 	}
 	if req.Incarnation > e.incarnation {
 		e.restart(req.Incarnation, now)
-		d.recharge(e, now)
+		d.updateOccupied(e, now)
 	}
 	if req.Sequence <= e.sequence {
 		return nil, ErrStale
 	}
 	e.sequence = req.Sequence
-	e.heard = now
+	e.lastRequestAt = now
 	return e, nil
 }
 
 // announced takes announcements that an entry instance passes on, and makes
 // sure that the answer tells what became of them.
-func (d *Divider) announced(e *dividerEntry, announcements []Announcement, now time.Duration) {
+func (d *Allocator) applyAnnouncements(e *entryRecord, announcements []Announcement, now time.Duration) {
 	for _, a := range announcements {
 		d.Announce(a, now)
-		e.described[d.minions[a.Minion].number] = description{}
+		e.sentAnnouncements[d.minions[a.Minion].number] = sentAnnouncement{}
 	}
 }
 
-// heardAlive takes the minions that an entry instance has heard itself.
-func (d *Divider) heardAlive(numbers []uint32, now time.Duration) {
+// refreshAlive takes the minions that an entry instance has heard itself.
+func (d *Allocator) refreshAlive(numbers []uint32, now time.Duration) {
 	for _, number := range numbers {
 		m, ok := d.byNumber[number]
 		if ok && m.usable() {
-			m.heard = now
+			m.lastHeardAt = now
 		}
 	}
 }
 
 // report takes what the entry instance says it holds and has in progress.
-func (d *Divider) report(e *dividerEntry, req ShareRequest, now time.Duration) {
-	uses := make(map[uint32]int, len(req.Uses))
-	for _, u := range req.Uses {
-		uses[u.Number] = u.InProgress
+func (d *Allocator) applyReport(e *entryRecord, req SlotRequest, now time.Duration) {
+	inFlight := make(map[uint32]int, len(req.Loads))
+	for _, u := range req.Loads {
+		inFlight[u.Number] = u.InFlight
 	}
-	e.supersede(req.Adopted)
-	if req.HandBack {
+	e.adopt(req.Adopted)
+	if req.ReleaseAll {
 		// The sender uses no grant any more, whichever answer it comes from.
-		e.sets = nil
+		e.grantSets = nil
 	}
 	if req.Full {
-		d.claim(e, req, uses, now)
+		d.applyClaims(e, req, inFlight, now)
 	}
-	e.uses = uses
-	e.usesEnd = now + d.opts.MaxRequest + d.opts.Drift
-	e.wanted = make(map[string]int, len(req.Demands))
+	e.inFlight = inFlight
+	e.inFlightUntil = now + d.opts.MaxRequest + d.opts.Drift
+	e.demand = make(map[string]int, len(req.Demands))
 	for _, demand := range req.Demands {
-		e.wanted[demand.Service] = demand.Wanted
+		e.demand[demand.Service] = demand.Wanted
 	}
-	e.draining = req.HandBack
-	d.recharge(e, now)
+	e.draining = req.ReleaseAll
+	d.updateOccupied(e, now)
 }
 
 // claim takes the slots that an entry instance holds by a grant of an earlier
 // term. The request names this term, so the entry instance takes no more
 // answers of earlier ones and the claim is final.
-func (d *Divider) claim(e *dividerEntry, req ShareRequest, uses map[uint32]int, now time.Duration) {
+func (d *Allocator) applyClaims(e *entryRecord, req SlotRequest, inFlight map[uint32]int, now time.Duration) {
 	held := make(map[uint32]int, len(req.Claims))
 	for _, c := range req.Claims {
-		m := d.minion(c.Minion, now)
+		m := d.ensureMinion(c.Minion, now)
 		held[m.number] = c.Held
-		uses[m.number] = c.InProgress
+		inFlight[m.number] = c.InFlight
 		if !e.claimed {
-			m.reserve = max(0, m.reserve-max(c.Held, c.InProgress))
+			m.reserved = max(0, m.reserved-max(c.Held, c.InFlight))
 		}
 	}
-	e.described = make(map[uint32]description)
-	e.sets = append([]grantSet{d.newSet(req.Adopted, held, now)}, e.sets...)
+	e.sentAnnouncements = make(map[uint32]sentAnnouncement)
+	e.grantSets = append([]grantSet{d.newGrantSet(req.Adopted, held, now)}, e.grantSets...)
 	e.claimed = true
-	d.claimed(e.id, now)
+	d.markClaimed(e.id, now)
 }
 
 // claimed ends the reserve early once every entry instance has claimed.
-func (d *Divider) claimed(entry string, now time.Duration) {
-	if !d.awaited[entry] {
+func (d *Allocator) markClaimed(entry string, now time.Duration) {
+	if !d.unclaimed[entry] {
 		return
 	}
-	delete(d.awaited, entry)
-	if len(d.awaited) == 0 {
+	delete(d.unclaimed, entry)
+	if len(d.unclaimed) == 0 {
 		d.reserveEnds = min(d.reserveEnds, now+restartLinger)
 	}
 }
 
-func (d *Divider) newSet(sequence uint64, slots map[uint32]int, now time.Duration) grantSet {
+func (d *Allocator) newGrantSet(sequence uint64, slots map[uint32]int, now time.Duration) grantSet {
 	ends := now + d.opts.Lease + d.opts.Drift
 	return grantSet{sequence: sequence, slots: slots, freeAt: ends + d.opts.MaxRequest}
 }
 
 // sweep brings everything that depends on the time up to now.
-func (d *Divider) sweep(now time.Duration) {
+func (d *Allocator) expire(now time.Duration) {
 	for _, id := range d.order {
 		e := d.entries[id]
-		if e.nextFree <= now {
-			d.recharge(e, now)
+		if e.nextFreeAt <= now {
+			d.updateOccupied(e, now)
 		}
 	}
 	reserved := d.reserveInForce(now)
 	kept := d.list[:0]
 	for _, m := range d.list {
 		if !reserved {
-			m.reserve = 0
+			m.reserved = 0
 		}
-		if m.announced && now-m.heard > d.opts.MinionTTL {
+		if m.announced && now-m.lastHeardAt > d.opts.MinionTTL {
 			d.retire(m)
 		}
-		if !m.usable() && m.charged == 0 && now-m.heard > forgetAfter {
+		if !m.usable() && m.occupied == 0 && now-m.lastHeardAt > forgetAfter {
 			d.forget(m)
 			continue
 		}
@@ -345,16 +345,16 @@
 	d.list = kept
 }
 
-func (d *Divider) forget(m *dividerMinion) {
+func (d *Allocator) forget(m *minionRecord) {
 	delete(d.minions, m.Minion)
 	delete(d.byNumber, m.number)
 	for _, e := range d.entries {
-		delete(e.described, m.number)
+		delete(e.sentAnnouncements, m.number)
 	}
 }
 
 // Minions returns the announcements of the minions in use.
-func (d *Divider) Minions() []Announcement {
+func (d *Allocator) Minions() []Announcement {
 	var live []Announcement
 	for _, m := range d.list {
 		if m.usable() {
@@ -365,9 +365,9 @@
 }
 
 // Charged returns the upper bound of requests in progress on a minion.
-func (d *Divider) Charged(minion string) int {
+func (d *Allocator) Occupied(minion string) int {
 	if m, ok := d.minions[minion]; ok {
-		return m.charged
+		return m.occupied
 	}
 	return 0
 }
--- a/routing/load_cases_test.go
+++ b/routing/load_cases_test.go
@@ -11,7 +11,7 @@
 func restartEntry(r *loadRun) {
 	e := r.entries[0]
 	e.up = false
-	r.at(r.now+time.Second, func() { r.boot(e) })
+	r.at(r.now+time.Second, func() { r.startEntry(e) })
 }
 
 func loseEntry(r *loadRun) { r.entries[0].up = false }
@@ -21,7 +21,7 @@
 	r.leader = false
 	r.at(r.now+3*time.Second, func() {
 		r.leader = true
-		r.divider = routing.NewDivider(routing.LeaseOptions{})
+		r.divider = routing.NewAllocator(routing.LeaseOptions{})
 		var ids []string
 		for _, e := range r.entries {
 			ids = append(ids, e.id)
@@ -35,7 +35,7 @@
 	loseLeader(r)
 }
 
-func leaveHalf(r *loadRun) {
+func removeHalfOfMinions(r *loadRun) {
 	for _, m := range r.order[:len(r.order)/2] {
 		m.Leaving = true
 		r.divider.Leave(m.Minion, m.Incarnation, r.now)
@@ -59,7 +59,7 @@
 		loadCase{name: "gone-half", load: 0.7, fault: gone, faulty: 5},
 		loadCase{name: "gone-half", load: 0.7, fault: gone, faulty: 5, baseline: true},
 		loadCase{name: "failing-half", load: 0.45, fault: failing, faulty: 5},
-		loadCase{name: "leaving-half", load: 0.45, event: leaveHalf},
+		loadCase{name: "leaving-half", load: 0.45, event: removeHalfOfMinions},
 		loadCase{name: "entry-restart", load: 0.9, event: restartEntry},
 		loadCase{name: "entry-restart-2-entries", load: 0.9, event: restartEntry, entries: 2, minions: 10},
 		loadCase{name: "entry-restart-9-entries", load: 0.9, event: restartEntry, entries: 9, minions: 50},
--- a/routing/load_report_test.go
+++ b/routing/load_report_test.go
@@ -8,10 +8,10 @@
 
 func (r *loadRun) perSecond(n int) float64 { return float64(n) / (loadEnd - warmUp).Seconds() }
 
-// recovered is the first whole second after loadFault from which the work done
-// stays within a tenth of what it was before, in seconds after loadFault.
+// recovered is the first whole second after faultAt from which the work done
+// stays within a tenth of what it was before, in seconds after faultAt.
 func (r *loadRun) recovered() float64 {
-	first := int(loadFault / time.Second)
+	first := int(faultAt / time.Second)
 	before := float64(r.goodBySecond[first-1]+r.goodBySecond[first-2]+r.goodBySecond[first-3]) / 3
 	last := int(loadEnd/time.Second) - 1
 	for s := last; s >= first; s-- {
@@ -22,10 +22,10 @@
 	return 0
 }
 
-func (r *loadRun) mostOnMinion() int {
+func (r *loadRun) maxBusyOnMinion() int {
 	most := 0
 	for _, m := range r.order {
-		most = max(most, m.most)
+		most = max(most, m.maxBusy)
 	}
 	return most
 }
@@ -40,7 +40,7 @@
 	b.ReportMetric(float64(r.refused), "refused")
 	b.ReportMetric(r.perSecond(r.bytes)/float64(len(r.entries)), "B/s/entry")
 	b.ReportMetric(r.perSecond(r.calls)/float64(len(r.entries)), "calls/s/entry")
-	b.ReportMetric(float64(r.mostOnMinion()), "most-on-minion")
+	b.ReportMetric(float64(r.maxBusyOnMinion()), "most-on-minion")
 	if r.event != nil || r.fault != healthy {
 		b.ReportMetric(r.recovered(), "recovered-s")
 	}
--- a/routing/load_test.go
+++ b/routing/load_test.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	loadSeed     = 7
-	loadSlots    = 8
-	meanService  = 50 * time.Millisecond
-	loadDeadline = time.Second
-	loadFault    = 8 * time.Second
-	loadEnd      = 20 * time.Second
-	warmUp       = 4 * time.Second
-	oneWay       = time.Millisecond
-	shareEvery   = 500 * time.Millisecond
-	shareGap     = 100 * time.Millisecond
-	announceFrom = time.Second
-	// callBytes is what one small call costs beside its two messages, over HTTP/2.
-	callBytes  = 25
-	maxReturns = 2
+	loadSeed            = 7
+	loadSlots           = 8
+	meanService         = 50 * time.Millisecond
+	loadDeadline        = time.Second
+	faultAt             = 8 * time.Second
+	loadEnd             = 20 * time.Second
+	warmUp              = 4 * time.Second
+	oneWay              = time.Millisecond
+	slotRequestInterval = 500 * time.Millisecond
+	minSlotRequestGap   = 100 * time.Millisecond
+	announceInterval    = time.Second
+	// callOverheadBytes is what one small call costs beside its two messages, over HTTP/2.
+	callOverheadBytes = 25
+	maxCallerRetries  = 2
 )
 
 // loadCase is one run.
@@ -38,10 +38,10 @@
 	load     float64 // offered work over the capacity of the minions
 	policy   routing.Policy
 	baseline bool
-	// fault is given to the first faulty minions at loadFault.
+	// fault is given to the first faulty minions at faultAt.
 	fault  minionFault
 	faulty int
-	// event happens at loadFault.
+	// event happens at faultAt.
 	event func(*loadRun)
 	// flood is the part of the requests that one customer sends.
 	flood float64
@@ -59,30 +59,30 @@
 
 type loadMinion struct {
 	routing.Announcement
-	fault minionFault
-	busy  int
-	most  int
-	queue []*loadRequest // baseline only: the minion's own backlog
+	fault   minionFault
+	busy    int
+	maxBusy int
+	queue   []*loadRequest // baseline only: the minion's own backlog
 }
 
 type loadEntry struct {
-	id          string
-	incarnation uint64
-	balancer    *routing.Balancer
-	up          bool
-	gap         time.Duration
-	next        time.Duration
+	id                string
+	incarnation       uint64
+	balancer          *routing.Balancer
+	up                bool
+	gap               time.Duration
+	nextSlotRequestAt time.Duration
 }
 
 type loadRequest struct {
-	customer string
-	returns  int
-	entry    *loadEntry
-	born     *routing.Balancer
-	ticket   *routing.Ticket
-	arrived  time.Duration
-	deadline time.Duration
-	again    bool
+	customer   string
+	retries    int
+	entry      *loadEntry
+	balancer   *routing.Balancer
+	ticket     *routing.Ticket
+	arrived    time.Duration
+	deadline   time.Duration
+	idempotent bool
 }
 
 // loadRun is a discrete event simulation.
@@ -92,7 +92,7 @@
 	now     time.Duration
 	events  eventHeap
 	count   int
-	divider *routing.Divider
+	divider *routing.Allocator
 	leader  bool
 	entries []*loadEntry
 	minions map[string]*loadMinion
@@ -103,7 +103,7 @@
 	goodBySecond                           [64]int
 	bytes, calls                           int
 	waits                                  *hdrhistogram.Histogram
-	leftAfter                              time.Duration
+	lastSendAfterLeave                     time.Duration
 }
 
 type loadEvent struct {
@@ -138,7 +138,7 @@
 		rng:      rand.New(rand.NewPCG(loadSeed, 0)),
 		minions:  make(map[string]*loadMinion),
 		waits:    hdrhistogram.New(1, 60_000_000, 3),
-		divider:  routing.NewDivider(routing.LeaseOptions{}),
+		divider:  routing.NewAllocator(routing.LeaseOptions{}),
 		leader:   true,
 	}
 	r.divider.Lead(1, nil, -time.Hour)
@@ -151,28 +151,28 @@
 		m := &loadMinion{Announcement: a}
 		r.minions[name] = m
 		r.order = append(r.order, m)
-		r.at(time.Duration(i)*announceFrom/time.Duration(c.minions), func() { r.announce(m) })
+		r.at(time.Duration(i)*announceInterval/time.Duration(c.minions), func() { r.announce(m) })
 	}
 	for i := range c.entries {
 		e := &loadEntry{id: fmt.Sprintf("naas-hall-%d", i)}
 		r.entries = append(r.entries, e)
-		r.boot(e)
+		r.startEntry(e)
 	}
 	r.at(warmUp/2, r.arrive)
-	r.at(loadFault, r.strike)
+	r.at(faultAt, r.injectFault)
 	return r
 }
 
-func (r *loadRun) boot(e *loadEntry) {
+func (r *loadRun) startEntry(e *loadEntry) {
 	e.incarnation++
 	e.up = true
 	e.balancer = routing.NewBalancer(routing.Options{
 		Entry: e.id, Incarnation: e.incarnation, Seed: e.incarnation, Policy: r.policy,
 	})
-	r.share(e, e.balancer)
+	r.sendSlotRequest(e, e.balancer)
 }
 
-func (r *loadRun) strike() {
+func (r *loadRun) injectFault() {
 	for _, m := range r.order[:r.faulty] {
 		m.fault = r.fault
 	}
@@ -190,66 +190,66 @@
 			}
 		}
 	}
-	r.at(r.now+announceFrom, func() { r.announce(m) })
+	r.at(r.now+announceInterval, func() { r.announce(m) })
 }
 
 // share is the loop of slot requests of one entry process.
-func (r *loadRun) share(e *loadEntry, b *routing.Balancer) {
+func (r *loadRun) sendSlotRequest(e *loadEntry, b *routing.Balancer) {
 	if e.balancer != b || !e.up {
 		return
 	}
-	e.next = r.now + shareEvery
-	req := b.Demand(r.now)
-	r.at(r.now+oneWay, func() { r.lead(e, b, req) })
-	r.at(e.next, func() {
-		if e.next <= r.now {
-			r.share(e, b)
+	e.nextSlotRequestAt = r.now + slotRequestInterval
+	req := b.NextSlotRequest(r.now)
+	r.at(r.now+oneWay, func() { r.handleSlotRequest(e, b, req) })
+	r.at(e.nextSlotRequestAt, func() {
+		if e.nextSlotRequestAt <= r.now {
+			r.sendSlotRequest(e, b)
 		}
 	})
 }
 
-func (r *loadRun) lead(e *loadEntry, b *routing.Balancer, req routing.ShareRequest) {
+func (r *loadRun) handleSlotRequest(e *loadEntry, b *routing.Balancer, req routing.SlotRequest) {
 	if !r.leader {
 		return
 	}
-	resp, err := r.divider.Share(req, r.now)
+	resp, err := r.divider.Allocate(req, r.now)
 	if err != nil {
 		return
 	}
 	if r.measured() {
-		r.bytes += callBytes + proto.Size(proxy.RequestToWire(req)) + callBytes + proto.Size(proxy.ResponseToWire(resp))
+		r.bytes += callOverheadBytes + proto.Size(proxy.RequestToWire(req)) + callOverheadBytes + proto.Size(proxy.ResponseToWire(resp))
 		r.calls++
 	}
-	r.at(r.now+oneWay, func() { r.granted(e, b, resp) })
+	r.at(r.now+oneWay, func() { r.handleSlotResponse(e, b, resp) })
 }
 
-func (r *loadRun) granted(e *loadEntry, b *routing.Balancer, resp routing.ShareResponse) {
+func (r *loadRun) handleSlotResponse(e *loadEntry, b *routing.Balancer, resp routing.SlotResponse) {
 	if e.balancer != b || !e.up {
 		return
 	}
 	before := b.GrantedSlots()
-	again := b.Granted(resp, r.now)
+	again := b.HandleSlotResponse(resp, r.now)
 	grew := b.GrantedSlots() > before
 	e.gap = nextGap(e.gap, grew)
 	r.collect(e)
 	if again {
-		r.share(e, b)
+		r.sendSlotRequest(e, b)
 	}
 }
 
 // nextGap is the rule of internal/proxy.
 func nextGap(gap time.Duration, grew bool) time.Duration {
 	if grew {
-		return max(shareGap, gap/4)
+		return max(minSlotRequestGap, gap/4)
 	}
-	return min(shareEvery, max(shareGap, 2*gap))
+	return min(slotRequestInterval, max(minSlotRequestGap, 2*gap))
 }
 
 // arrive is one new caller; the next comes after an exponential time.
 func (r *loadRun) arrive() {
 	rate := r.load * float64(len(r.order)*loadSlots) / meanService.Seconds()
 	r.at(r.now+time.Duration(r.rng.ExpFloat64()/rate*float64(time.Second)), r.arrive)
-	q := &loadRequest{customer: fmt.Sprint("c", r.rng.IntN(4)), again: r.rng.IntN(2) == 0}
+	q := &loadRequest{customer: fmt.Sprint("c", r.rng.IntN(4)), idempotent: r.rng.IntN(2) == 0}
 	if r.rng.Float64() < r.flood {
 		q.customer = "flood"
 	}
@@ -275,50 +275,50 @@
 	for !e.up {
 		e = r.entries[r.rng.IntN(len(r.entries))]
 	}
-	q.entry, q.born = e, e.balancer
+	q.entry, q.balancer = e, e.balancer
 	q.ticket = e.balancer.Submit(routing.Request{
-		Service: "inspect-hub", Customer: q.customer, Deadline: q.deadline, Idempotent: q.again, Tag: q,
+		Service: "inspect-hub", Customer: q.customer, Deadline: q.deadline, Idempotent: q.idempotent, Tag: q,
 	}, r.now)
 	r.collect(e)
-	r.watch(q)
+	r.expireWhenDue(q)
 }
 
-func (r *loadRun) watch(q *loadRequest) {
+func (r *loadRun) expireWhenDue(q *loadRequest) {
 	if q.ticket.State() != routing.Queued {
 		return
 	}
-	r.at(q.born.GiveUpAt(q.ticket)+1, func() {
+	r.at(q.balancer.QueueDeadline(q.ticket)+1, func() {
 		if q.alive() && q.ticket.State() == routing.Queued {
-			q.born.Expire(q.ticket, r.now)
+			q.balancer.Expire(q.ticket, r.now)
 			r.collect(q.entry)
-			r.watch(q)
+			r.expireWhenDue(q)
 		}
 	})
 }
 
-func (q *loadRequest) alive() bool { return q.entry.up && q.entry.balancer == q.born }
+func (q *loadRequest) alive() bool { return q.entry.up && q.entry.balancer == q.balancer }
 
 func (r *loadRun) collect(e *loadEntry) {
-	for _, t := range e.balancer.Changed() {
+	for _, t := range e.balancer.TakeChanged() {
 		q := t.Tag.(*loadRequest)
 		switch t.State() {
 		case routing.Started:
 			r.started(q, t)
 		case routing.Refused:
-			r.turnedAway(q, t.Refusal().RetryAfter)
+			r.retryRefused(q, t.Refusal().RetryAfter)
 		}
 	}
-	if e.balancer.Urgent() && r.now > e.next-shareEvery+e.gap {
-		r.share(e, e.balancer)
+	if e.balancer.SlotRequestDue() && r.now > e.nextSlotRequestAt-slotRequestInterval+e.gap {
+		r.sendSlotRequest(e, e.balancer)
 	}
 }
 
-func (r *loadRun) turnedAway(q *loadRequest, after time.Duration) {
+func (r *loadRun) retryRefused(q *loadRequest, after time.Duration) {
 	r.refused++
-	if q.returns >= maxReturns || after == 0 {
+	if q.retries >= maxCallerRetries || after == 0 {
 		return
 	}
-	back := &loadRequest{customer: q.customer, returns: q.returns + 1, again: q.again}
+	back := &loadRequest{customer: q.customer, retries: q.retries + 1, idempotent: q.idempotent}
 	r.at(r.now+after, func() { r.send(back) })
 }
 
@@ -332,13 +332,13 @@
 
 // started carries a request to its minion.
 func (r *loadRun) started(q *loadRequest, t *routing.Ticket) {
-	m := r.minions[q.born.Target(t).Minion]
-	patience := q.born.AttemptDeadline(t)
+	m := r.minions[q.balancer.Target(t).Minion]
+	attemptDeadline := q.balancer.AttemptDeadline(t)
 	if r.measured() {
 		_ = r.waits.RecordValue(max(1, t.Waited().Microseconds()))
 	}
 	if m.Leaving {
-		r.leftAfter = max(r.leftAfter, r.now-loadFault)
+		r.lastSendAfterLeave = max(r.lastSendAfterLeave, r.now-faultAt)
 	}
 	switch m.fault {
 	case gone:
@@ -346,38 +346,38 @@
 	case failing:
 		r.at(r.now+2*oneWay, func() { r.finished(q, routing.AnsweredFailure) })
 	case hanging:
-		m.enter()
-		r.at(patience, func() { m.busy--; r.finished(q, routing.TimedOut) })
+		m.requestStarted()
+		r.at(attemptDeadline, func() { m.busy--; r.finished(q, routing.TimedOut) })
 	default:
-		m.enter()
+		m.requestStarted()
 		end := r.now + 2*oneWay + r.serviceTime(m)
 		r.at(end, func() { m.busy-- })
-		if end > patience {
-			r.at(patience, func() { r.finished(q, routing.TimedOut) })
+		if end > attemptDeadline {
+			r.at(attemptDeadline, func() { r.finished(q, routing.TimedOut) })
 			return
 		}
 		r.at(end, func() { r.finished(q, routing.Answered) })
 	}
 }
 
-func (m *loadMinion) enter() {
+func (m *loadMinion) requestStarted() {
 	m.busy++
-	m.most = max(m.most, m.busy)
+	m.maxBusy = max(m.maxBusy, m.busy)
 }
 
 func (r *loadRun) finished(q *loadRequest, o routing.Outcome) {
 	if !q.alive() {
 		return
 	}
-	b := q.born
+	b := q.balancer
 	b.Finish(q.ticket, o, r.now)
 	if o == routing.Answered {
 		r.done(q)
 		r.collect(q.entry)
 		return
 	}
-	if (o == routing.NotSent || q.again) && b.Retry(q.ticket, o, r.now) {
-		r.watch(q)
+	if (o == routing.NotSent || q.idempotent) && b.Retry(q.ticket, o, r.now) {
+		r.expireWhenDue(q)
 	} else if q.ticket.State() != routing.Refused {
 		r.lost++
 	}
@@ -417,7 +417,7 @@
 	if r.measured() {
 		_ = r.waits.RecordValue(max(1, (r.now - q.arrived).Microseconds()))
 	}
-	m.enter()
+	m.requestStarted()
 	r.at(r.now+r.serviceTime(m), func() {
 		m.busy--
 		r.done(q)
--- a/routing/machine_test.go
+++ b/routing/machine_test.go
@@ -10,34 +10,34 @@
 
 // world is a leader, entry instances and minions with a network between them
 // that loses, doubles and delays everything.
-type world struct {
+type model struct {
 	t        *rapid.T
 	now      time.Duration
-	divider  *Divider
+	divider  *Allocator
 	term     uint64
-	entries  []*worldEntry
+	entries  []*modelEntry
 	minions  []Announcement
-	requests []ShareRequest
-	answers  []worldAnswer
+	requests []SlotRequest
+	answers  []modelAnswer
 	// ended are requests of processes that died, with the time until which a
 	// minion may work on them.
 	orphans []orphan
 	granted int
 }
 
-type worldEntry struct {
+type modelEntry struct {
 	id          string
 	incarnation uint64
 	rate        float64
-	born        time.Duration
+	startedAt   time.Duration
 	balancer    *Balancer
 	running     []*Ticket
 }
 
-type worldAnswer struct {
+type modelAnswer struct {
 	to          int
 	incarnation uint64
-	resp        ShareResponse
+	resp        SlotResponse
 }
 
 type orphan struct {
@@ -45,14 +45,14 @@
 	until  time.Duration
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{t: t, now: time.Minute, divider: NewDivider(LeaseOptions{})}
+func newModel(t *rapid.T) *model {
+	w := &model{t: t, now: time.Minute, divider: NewAllocator(LeaseOptions{})}
 	for i := range 3 {
 		a := Announcement{Minion: fmt.Sprint("m", i), Service: "s", Address: "a", Slots: 3, Incarnation: 1}
 		w.minions = append(w.minions, a)
 	}
 	for i := range 3 {
-		w.entries = append(w.entries, &worldEntry{id: fmt.Sprint("e", i)})
+		w.entries = append(w.entries, &modelEntry{id: fmt.Sprint("e", i)})
 		w.start(w.entries[i])
 	}
 	w.changeLeader()
@@ -61,25 +61,25 @@
 
 // start begins a new process on an entry instance. Its clock starts anywhere
 // and runs a little too fast or too slow.
-func (w *world) start(e *worldEntry) {
+func (w *model) start(e *modelEntry) {
 	e.incarnation++
-	e.born = w.now
+	e.startedAt = w.now
 	e.rate = 1 + float64(rapid.IntRange(-8, 8).Draw(w.t, "rate"))/1000
 	e.balancer = NewBalancer(Options{Entry: e.id, Incarnation: e.incarnation, Seed: e.incarnation})
 	e.running = nil
 }
 
-func (w *world) clock(e *worldEntry) time.Duration {
-	return time.Duration(float64(w.now-e.born) * e.rate)
+func (w *model) clock(e *modelEntry) time.Duration {
+	return time.Duration(float64(w.now-e.startedAt) * e.rate)
 }
 
-func (w *world) drawEntry() *worldEntry {
+func (w *model) drawEntry() *modelEntry {
 	return w.entries[rapid.IntRange(0, len(w.entries)-1).Draw(w.t, "entry")]
 }
 
-func (w *world) changeLeader() {
+func (w *model) changeLeader() {
 	w.term++
-	w.divider = NewDivider(LeaseOptions{})
+	w.divider = NewAllocator(LeaseOptions{})
 	var ids []string
 	if rapid.Bool().Draw(w.t, "entries known") {
 		ids = []string{"e0", "e1", "e2"}
@@ -93,15 +93,15 @@
 }
 
 // collect notes which tickets the Balancer started.
-func (w *world) collect(e *worldEntry) {
-	for _, t := range e.balancer.Changed() {
+func (w *model) collect(e *modelEntry) {
+	for _, t := range e.balancer.TakeChanged() {
 		if t.State() == Started {
 			e.running = append(e.running, t)
 		}
 	}
 }
 
-func (w *world) drop(e *worldEntry, i int, o Outcome) {
+func (w *model) finishAttempt(e *modelEntry, i int, o Outcome) {
 	t := e.running[i]
 	e.running = append(e.running[:i:i], e.running[i+1:]...)
 	e.balancer.Finish(t, o, w.clock(e))
@@ -109,7 +109,7 @@
 }
 
 // advance moves the time. Requests past their deadline are given up.
-func (w *world) advance(step time.Duration) {
+func (w *model) advance(step time.Duration) {
 	w.now += step
 	for _, e := range w.entries {
 		for i := 0; i < len(e.running); {
@@ -117,18 +117,18 @@
 				i++
 				continue
 			}
-			w.drop(e, i, TimedOut)
+			w.finishAttempt(e, i, TimedOut)
 		}
 	}
 }
 
 // check asserts that no minion has more in progress than its slots.
-func (w *world) check(t *rapid.T) {
+func (w *model) check(t *rapid.T) {
 	count := make(map[string]int)
 	for _, e := range w.entries {
 		for _, m := range e.balancer.minions {
 			m.expireLingering(w.clock(e))
-			count[m.Minion] += m.inProgress()
+			count[m.Minion] += m.inFlight()
 		}
 	}
 	for _, o := range w.orphans {
@@ -143,14 +143,14 @@
 	}
 }
 
-func (w *world) actions() map[string]func(*rapid.T) {
+func (w *model) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"":        w.check,
 		"advance": func(t *rapid.T) { w.advance(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond) },
 		"sleep":   func(t *rapid.T) { w.advance(time.Duration(rapid.IntRange(1, 9).Draw(t, "s")) * time.Second) },
 		"demand": func(*rapid.T) {
 			e := w.drawEntry()
-			w.requests = append(w.requests, e.balancer.Demand(w.clock(e)))
+			w.requests = append(w.requests, e.balancer.NextSlotRequest(w.clock(e)))
 		},
 		"exchange":  w.exchange,
 		"exchange2": w.exchange,
@@ -181,51 +181,51 @@
 }
 
 // exchange is a whole round trip without trouble.
-func (w *world) exchange(*rapid.T) {
+func (w *model) exchange(*rapid.T) {
 	e := w.drawEntry()
-	resp, err := w.divider.Share(e.balancer.Demand(w.clock(e)), w.now)
+	resp, err := w.divider.Allocate(e.balancer.NextSlotRequest(w.clock(e)), w.now)
 	if err != nil {
 		return
 	}
-	w.take(e, resp)
+	w.deliverAnswer(e, resp)
 }
 
-func (w *world) take(e *worldEntry, resp ShareResponse) {
-	e.balancer.Granted(resp, w.clock(e))
+func (w *model) deliverAnswer(e *modelEntry, resp SlotResponse) {
+	e.balancer.HandleSlotResponse(resp, w.clock(e))
 	w.collect(e)
 	w.granted += e.balancer.GrantedSlots()
 }
 
 // toLeader delivers any request that was ever sent; it may come again later.
-func (w *world) toLeader(t *rapid.T) {
+func (w *model) toLeader(t *rapid.T) {
 	if len(w.requests) == 0 {
 		t.Skip()
 	}
 	req := w.requests[rapid.IntRange(0, len(w.requests)-1).Draw(t, "request")]
-	resp, err := w.divider.Share(req, w.now)
+	resp, err := w.divider.Allocate(req, w.now)
 	if err != nil {
 		return
 	}
 	for i, e := range w.entries {
 		if e.id == req.Entry {
-			w.answers = append(w.answers, worldAnswer{to: i, incarnation: req.Incarnation, resp: resp})
+			w.answers = append(w.answers, modelAnswer{to: i, incarnation: req.Incarnation, resp: resp})
 		}
 	}
 }
 
 // toEntry delivers any answer that was ever given, to the process that asked.
-func (w *world) toEntry(t *rapid.T) {
+func (w *model) toEntry(t *rapid.T) {
 	if len(w.answers) == 0 {
 		t.Skip()
 	}
 	a := w.answers[rapid.IntRange(0, len(w.answers)-1).Draw(t, "answer")]
 	e := w.entries[a.to]
 	if e.incarnation == a.incarnation {
-		w.take(e, a.resp)
+		w.deliverAnswer(e, a.resp)
 	}
 }
 
-func (w *world) submit(t *rapid.T) {
+func (w *model) submit(t *rapid.T) {
 	e := w.drawEntry()
 	left := time.Duration(rapid.IntRange(1, 12).Draw(t, "deadline")) * time.Second
 	for range rapid.IntRange(1, 4).Draw(t, "burst") {
@@ -235,18 +235,18 @@
 	w.collect(e)
 }
 
-func (w *world) finish(t *rapid.T) {
+func (w *model) finish(t *rapid.T) {
 	e := w.drawEntry()
 	if len(e.running) == 0 {
 		t.Skip()
 	}
 	outcomes := []Outcome{Answered, Answered, Broken, Abandoned, AnsweredFailure}
 	o := outcomes[rapid.IntRange(0, len(outcomes)-1).Draw(t, "outcome")]
-	w.drop(e, rapid.IntRange(0, len(e.running)-1).Draw(t, "which"), o)
+	w.finishAttempt(e, rapid.IntRange(0, len(e.running)-1).Draw(t, "which"), o)
 }
 
 // restart ends a process; its minions notice within the linger time.
-func (w *world) restart(t *rapid.T) {
+func (w *model) restart(t *rapid.T) {
 	e := w.drawEntry()
 	for _, r := range e.running {
 		w.orphans = append(w.orphans, orphan{minion: r.minion.Minion, until: w.now + restartLinger})
@@ -256,10 +256,10 @@
 
 // A minion is over its slots: any order of lost, doubled and late messages,
 // pauses, restarts and leader changes lets two entry instances use one slot.
-func TestSlotsAreNeverUsedTwice(t *testing.T) {
+func TestInFlightNeverExceedsSlots(t *testing.T) {
 	granted := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newModel(t)
 		t.Repeat(w.actions())
 		granted += w.granted
 	})
--- a/routing/minion.go
+++ b/routing/minion.go
@@ -21,49 +21,49 @@
 	// slots is what the adopted grants allow.
 	slots int
 	// told is the announcement as the leader described it.
-	told    Announcement
-	toldYet bool
+	leaderAnnouncement Announcement
+	leaderAnnounced    bool
 	// gone is the leader's word that the minion left or fell silent.
 	gone bool
 	// vouched is when the adopted grants were asked for, heard when the minion
 	// last announced itself here.
-	vouched  time.Duration
-	heard    time.Duration
-	heardYet bool
-	// heardSince says that the minion was heard since the last slot request.
-	heardSince bool
+	grantsRequestedAt time.Duration
+	announcedAt       time.Duration
+	announced         bool
+	// announcedSinceRequest says that the minion was heard since the last slot request.
+	announcedSinceRequest bool
 
-	since   time.Duration
-	running []*Ticket
+	slowStartFrom time.Duration
+	running       []*Ticket
 	// lingering are the times until which abandoned requests count.
-	lingering []time.Duration
-	breaker   breaker
+	lingeringUntil []time.Duration
+	breaker        breaker
 }
 
-func (m *minion) inProgress() int { return len(m.running) + len(m.lingering) }
+func (m *minion) inFlight() int { return len(m.running) + len(m.lingeringUntil) }
 
-// validUntil is when requests may no longer be sent to the minion, as far as
+// usableUntil is when requests may no longer be sent to the minion, as far as
 // its announcements go.
 //
 // Failure: a minion that left or died keeps getting requests from an entry
 // instance that is cut off from the leader. Guard: without a fresh word from
 // the leader or from the minion itself it is out of use after the TTL, even
 // while the slot lease lasts.
-func (m *minion) validUntil(ttl time.Duration) time.Duration {
+func (m *minion) usableUntil(ttl time.Duration) time.Duration {
 	if m.Leaving || m.gone {
 		return 0
 	}
-	latest := m.vouched
-	if m.heardYet {
-		latest = max(latest, m.heard)
+	latest := m.grantsRequestedAt
+	if m.announced {
+		latest = max(latest, m.announcedAt)
 	}
 	return latest + ttl
 }
 
 // allowed is how many requests may be in progress, with slow start.
-func (m *minion) allowed(slowStart, now time.Duration) int {
+func (m *minion) slotLimit(slowStart, now time.Duration) int {
 	slots := min(m.slots, max(0, m.Slots))
-	age := now - m.since
+	age := now - m.slowStartFrom
 	if age >= slowStart || slots <= 1 {
 		return slots
 	}
@@ -76,7 +76,7 @@
 	if len(m.running) == 0 || e.samples < hangSamples {
 		return false
 	}
-	return now-m.running[0].started > max(hangFloor, hangFactor*e.high)
+	return now-m.running[0].startedAt > max(hangFloor, hangFactor*e.tail)
 }
 
 func (m *minion) remove(t *Ticket) {
@@ -87,7 +87,7 @@
 
 // expireLingering drops abandoned requests whose time has passed.
 func (m *minion) expireLingering(now time.Duration) {
-	m.lingering = slices.DeleteFunc(m.lingering, func(until time.Duration) bool { return until <= now })
+	m.lingeringUntil = slices.DeleteFunc(m.lingeringUntil, func(until time.Duration) bool { return until <= now })
 }
 
 // target returns where a request for the minion is sent.
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -6,73 +6,73 @@
 
 // slots is how many requests the entry instance may have in progress for a
 // service, busy ones included.
-func (b *Balancer) slots(s *service, now time.Duration) int {
-	if now >= b.leases.ends {
+func (b *Balancer) usableSlots(s *service, now time.Duration) int {
+	if now >= b.lease.expiresAt {
 		return 0
 	}
 	n := 0
 	for _, m := range s.minions {
-		if b.inUse(s, m, now) {
-			n += m.allowed(b.opts.SlowStart, now)
+		if b.usable(s, m, now) {
+			n += m.slotLimit(b.opts.SlowStart, now)
 		}
 	}
 	return n
 }
 
-// inUse says whether requests may be sent to the minion at all.
-func (b *Balancer) inUse(s *service, m *minion, now time.Duration) bool {
-	if m.slots == 0 || now >= m.validUntil(b.opts.Lease.MinionTTL) {
+// usable says whether requests may be sent to the minion at all.
+func (b *Balancer) usable(s *service, m *minion, now time.Duration) bool {
+	if m.slots == 0 || now >= m.usableUntil(b.opts.Lease.MinionTTL) {
 		return false
 	}
 	if b.opts.Baseline {
 		return true
 	}
-	return !m.breaker.open && !m.hanging(s.times, now)
+	return !m.breaker.open && !m.hanging(s.serviceTimes, now)
 }
 
 // free says whether the minion takes one more request.
-func (b *Balancer) free(s *service, m *minion, now time.Duration) bool {
-	return m.inProgress() < m.allowed(b.opts.SlowStart, now) && b.inUse(s, m, now)
+func (b *Balancer) hasFreeSlot(s *service, m *minion, now time.Duration) bool {
+	return m.inFlight() < m.slotLimit(b.opts.SlowStart, now) && b.usable(s, m, now)
 }
 
 // pick chooses a minion for the ticket, or nil when no slot is free.
 func (b *Balancer) pick(s *service, t *Ticket, now time.Duration) *minion {
-	if now >= b.leases.ends {
+	if now >= b.lease.expiresAt {
 		return nil
 	}
 	t.probe = false
-	if m := b.probeTarget(s, t, now); m != nil {
+	if m := b.probeMinion(s, t, now); m != nil {
 		t.probe = true
 		return m
 	}
 	b.candidates = b.candidates[:0]
 	avoided := false
 	for _, m := range s.minions {
-		if !b.free(s, m, now) {
+		if !b.hasFreeSlot(s, m, now) {
 			continue
 		}
-		if m == t.avoid {
+		if m == t.failedMinion {
 			avoided = true
 			continue
 		}
 		b.candidates = append(b.candidates, m)
 	}
 	if len(b.candidates) == 0 && avoided {
-		return t.avoid
+		return t.failedMinion
 	}
 	return b.choose(s)
 }
 
-// probeTarget returns a minion whose breaker lets a probe through.
-func (b *Balancer) probeTarget(s *service, t *Ticket, now time.Duration) *minion {
+// probeMinion returns a minion whose breaker lets a probe through.
+func (b *Balancer) probeMinion(s *service, t *Ticket, now time.Duration) *minion {
 	if b.opts.Baseline {
 		return nil
 	}
 	for _, m := range s.minions {
-		if !m.breaker.probeDue(t.Idempotent, now) || m == t.avoid {
+		if !m.breaker.probeDue(t.Idempotent, now) || m == t.failedMinion {
 			continue
 		}
-		if m.slots > m.inProgress() && now < m.validUntil(b.opts.Lease.MinionTTL) {
+		if m.slots > m.inFlight() && now < m.usableUntil(b.opts.Lease.MinionTTL) {
 			return m
 		}
 	}
@@ -89,13 +89,13 @@
 	case Random:
 		return b.candidates[b.rng.IntN(n)]
 	case TwoChoices:
-		return b.lower(s, b.candidates[b.rng.IntN(n)], b.candidates[b.rng.IntN(n)])
+		return b.lowerScore(s, b.candidates[b.rng.IntN(n)], b.candidates[b.rng.IntN(n)])
 	default:
-		return b.lowest(s)
+		return b.lowestScore(s)
 	}
 }
 
-func (b *Balancer) lower(s *service, x, y *minion) *minion {
+func (b *Balancer) lowerScore(s *service, x, y *minion) *minion {
 	if score(s, y) < score(s, x) {
 		return y
 	}
@@ -103,7 +103,7 @@
 }
 
 // lowest returns the candidate with the lowest score, any of equal ones.
-func (b *Balancer) lowest(s *service) *minion {
+func (b *Balancer) lowestScore(s *service) *minion {
 	var best *minion
 	lowest, equal := 0.0, 0
 	for _, m := range b.candidates {
@@ -123,9 +123,9 @@
 
 // score is the load after one more request, weighed by how slow the minion is.
 func score(s *service, m *minion) float64 {
-	load := float64(m.inProgress()+1) / float64(max(1, m.slots))
-	if s.usual > 0 && m.breaker.usual > s.usual {
-		load *= float64(m.breaker.usual) / float64(s.usual)
+	load := float64(m.inFlight()+1) / float64(max(1, m.slots))
+	if s.medianTime > 0 && m.breaker.averageTime > s.medianTime {
+		load *= float64(m.breaker.averageTime) / float64(s.medianTime)
 	}
 	return load
 }
--- a/routing/service.go
+++ b/routing/service.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// spareSlots are asked for beyond the demand, for the next requests to come.
-const spareSlots = 2
+// spareSlotDemand are asked for beyond the demand, for the next requests to come.
+const spareSlotDemand = 2
 
 // customerLoad counts the requests of one customer at one service.
 type customerLoad struct {
@@ -21,40 +21,40 @@
 	name    string
 	minions []*minion
 	// queue is ordered by deadline, equal ones by arrival.
-	queue     []*Ticket
-	customers map[string]*customerLoad
-	running   int
-	times     *estimator
+	queue        []*Ticket
+	customers    map[string]*customerLoad
+	running      int
+	serviceTimes *estimator
 	// usual is the median of the minions' usual service times.
-	usual   time.Duration
-	usualAt time.Duration
+	medianTime   time.Duration
+	medianReadAt time.Duration
 	// returns is when the last refused caller was told to come back.
-	returns time.Duration
+	lastReturnAt time.Duration
 	// peopled is when the service was last seen with minions.
-	peopled     time.Duration
-	everPeopled bool
+	lastPopulatedAt time.Duration
+	everPopulated   bool
 }
 
 func newService(name string, first, now time.Duration) *service {
 	return &service{
-		name:      name,
-		customers: make(map[string]*customerLoad),
-		times:     newEstimator(first, now),
+		name:         name,
+		customers:    make(map[string]*customerLoad),
+		serviceTimes: newEstimator(first, now),
 	}
 }
 
 func (s *service) idle() bool { return len(s.queue) == 0 && s.running == 0 }
 
 // wanted is how many slots the entry instance could use.
-func (s *service) wanted() int {
+func (s *service) slotDemand() int {
 	n := s.running + len(s.queue)
 	if n == 0 {
 		return 0
 	}
-	return n + spareSlots
+	return n + spareSlotDemand
 }
 
-func (s *service) load(customer string) *customerLoad {
+func (s *service) customer(customer string) *customerLoad {
 	c, ok := s.customers[customer]
 	if !ok {
 		c = &customerLoad{}
@@ -64,14 +64,14 @@
 }
 
 // settle forgets a customer without requests.
-func (s *service) settle(customer string) {
+func (s *service) dropIdleCustomer(customer string) {
 	if c, ok := s.customers[customer]; ok && c.total() == 0 {
 		delete(s.customers, customer)
 	}
 }
 
 // before orders tickets by deadline, then by arrival.
-func before(a, b *Ticket) int {
+func compareTickets(a, b *Ticket) int {
 	if a.Deadline != b.Deadline {
 		return int(min(1, max(-1, a.Deadline-b.Deadline)))
 	}
@@ -85,23 +85,23 @@
 }
 
 // push queues a ticket and returns how many are before it.
-func (s *service) push(t *Ticket) int {
-	at, _ := slices.BinarySearchFunc(s.queue, t, before)
+func (s *service) enqueue(t *Ticket) int {
+	at, _ := slices.BinarySearchFunc(s.queue, t, compareTickets)
 	s.queue = slices.Insert(s.queue, at, t)
-	s.load(t.Customer).queued++
+	s.customer(t.Customer).queued++
 	t.state = Queued
 	return at
 }
 
 // drop takes a ticket out of the queue.
-func (s *service) drop(t *Ticket) {
-	at, found := slices.BinarySearchFunc(s.queue, t, before)
+func (s *service) dequeue(t *Ticket) {
+	at, found := slices.BinarySearchFunc(s.queue, t, compareTickets)
 	if !found {
 		return
 	}
 	s.queue = slices.Delete(s.queue, at, at+1)
-	s.load(t.Customer).queued--
-	s.settle(t.Customer)
+	s.customer(t.Customer).queued--
+	s.dropIdleCustomer(t.Customer)
 }
 
 // next returns the queued ticket that gets the next slot: the earliest deadline
@@ -111,14 +111,14 @@
 // Failure: one customer floods the service with short deadlines and the others
 // miss theirs. Guard: a customer with its share in progress goes behind the
 // others, whatever its deadlines.
-func (s *service) next(slots int) *Ticket {
+func (s *service) nextTicket(slots int) *Ticket {
 	if len(s.queue) == 0 {
 		return nil
 	}
 	if len(s.customers) <= 1 {
 		return s.queue[0]
 	}
-	share := s.share(slots)
+	share := s.customerShare(slots)
 	for _, t := range s.queue {
 		if s.customers[t.Customer].running < share {
 			return t
@@ -128,13 +128,13 @@
 }
 
 // share is the equal part of n for each customer with requests here, rounded up.
-func (s *service) share(n int) int {
+func (s *service) customerShare(n int) int {
 	customers := max(1, len(s.customers))
 	return (n + customers - 1) / customers
 }
 
 // largest returns the customer with the most requests here.
-func (s *service) largest() (string, int) {
+func (s *service) largestCustomer() (string, int) {
 	name, most := "", -1
 	for customer, c := range s.customers {
 		if c.queued == 0 {
@@ -147,8 +147,8 @@
 	return name, most
 }
 
-// lastOf returns the queued ticket of a customer with the latest deadline.
-func (s *service) lastOf(customer string) *Ticket {
+// latestOf returns the queued ticket of a customer with the latest deadline.
+func (s *service) latestOf(customer string) *Ticket {
 	for _, t := range slices.Backward(s.queue) {
 		if t.Customer == customer {
 			return t
@@ -168,27 +168,27 @@
 	return n
 }
 
-// refreshUsual works out the median of the usual service times again.
-func (s *service) refreshUsual(now time.Duration) {
-	if now-s.usualAt < estimateEvery && s.usual > 0 {
+// refreshMedianTime works out the median of the usual service times again.
+func (s *service) refreshMedianTime(now time.Duration) {
+	if now-s.medianReadAt < estimateInterval && s.medianTime > 0 {
 		return
 	}
-	s.usualAt = now
+	s.medianReadAt = now
 	times := make([]time.Duration, 0, len(s.minions))
 	for _, m := range s.minions {
-		if m.breaker.usual > 0 {
-			times = append(times, m.breaker.usual)
+		if m.breaker.averageTime > 0 {
+			times = append(times, m.breaker.averageTime)
 		}
 	}
-	s.usual = median(times)
+	s.medianTime = median(times)
 }
 
-// maySoftTrip says whether answers that tell of failures may open one more breaker.
+// mayTripOnRate says whether answers that tell of failures may open one more breaker.
 //
 // Failure: requests that fail on every minion, for example bad input of one
 // customer, would open all breakers and take the service down for everyone.
 // Guard: at most half of the minions are kept out for their answers.
-func (s *service) maySoftTrip() bool {
+func (s *service) mayTripOnRate() bool {
 	open := 0
 	for _, m := range s.minions {
 		if m.breaker.open {
@@ -199,7 +199,7 @@
 }
 
 // position returns how many tickets are queued before t.
-func (s *service) position(t *Ticket) int {
-	at, _ := slices.BinarySearchFunc(s.queue, t, before)
+func (s *service) queueIndex(t *Ticket) int {
+	at, _ := slices.BinarySearchFunc(s.queue, t, compareTickets)
 	return at
 }
--- a/routing/ticket.go
+++ b/routing/ticket.go
@@ -38,12 +38,12 @@
 	minion  *minion
 	number  uint64
 	// attempts counts the starts.
-	attempts int
-	queued   time.Duration
-	started  time.Duration
+	attempts  int
+	queuedAt  time.Duration
+	startedAt time.Duration
 	// avoid is the minion of the attempt that failed.
-	avoid *minion
-	probe bool
+	failedMinion *minion
+	probe        bool
 }
 
 // State returns where the request stands.
@@ -56,7 +56,7 @@
 func (t *Ticket) Attempts() int { return t.attempts }
 
 // Waited returns how long the request waited for its last slot.
-func (t *Ticket) Waited() time.Duration { return t.started - t.queued }
+func (t *Ticket) Waited() time.Duration { return t.startedAt - t.queuedAt }
 
 // Target is the minion that a started request goes to.
 type Target struct {
@@ -95,5 +95,5 @@
 	return o == AnsweredFailure || o == NotSent || o == Broken || o == TimedOut
 }
 
-// mayRun says whether the minion may still be working on the request.
-func (o Outcome) mayRun() bool { return o == TimedOut || o == Abandoned }
+// mayStillRun says whether the minion may still be working on the request.
+func (o Outcome) mayStillRun() bool { return o == TimedOut || o == Abandoned }
--- a/routing/types.go
+++ b/routing/types.go
@@ -34,21 +34,21 @@
 }
 
 // Use is how many requests an entry instance has in progress on a minion.
-type Use struct {
-	Number     uint32
-	InProgress int
+type MinionLoad struct {
+	Number   uint32
+	InFlight int
 }
 
 // Claim is what an entry instance holds of a minion, told to a new leader.
 type Claim struct {
-	Minion     string
-	Service    string
-	Held       int
-	InProgress int
+	Minion   string
+	Service  string
+	Held     int
+	InFlight int
 }
 
-// ShareRequest renews the slot leases of one entry instance.
-type ShareRequest struct {
+// SlotRequest renews the slot leases of one entry instance.
+type SlotRequest struct {
 	Entry string
 	// Incarnation grows with each start of the entry process.
 	Incarnation uint64
@@ -62,14 +62,14 @@
 	Full    bool
 	Demands []ServiceDemand
 	// Uses lists minions of the term with requests in progress.
-	Uses   []Use
+	Loads  []MinionLoad
 	Claims []Claim
 	// Alive lists the minions of the term heard since the last request.
 	Alive []uint32
 	// Announcements are those that the leader isn't known to have.
 	Announcements []Announcement
-	// HandBack says that the entry instance drains and wants no slots.
-	HandBack bool
+	// ReleaseAll says that the entry instance drains and wants no slots.
+	ReleaseAll bool
 }
 
 // Grant changes what an entry instance may use of one minion.
@@ -77,14 +77,14 @@
 	Number uint32
 	Slots  int
 	// Described is set when Minion holds the minion's announcement.
-	Described bool
-	Minion    Announcement
+	HasAnnouncement bool
+	Announcement    Announcement
 	// Gone says that the minion has left or fell silent.
 	Gone bool
 }
 
-// ShareResponse answers a ShareRequest.
-type ShareResponse struct {
+// SlotResponse answers a SlotRequest.
+type SlotResponse struct {
 	Term     uint64
 	Sequence uint64
 	// Lease is counted by the entry instance from when it sent the request.
--- a/workflow/apply.go
+++ b/workflow/apply.go
@@ -14,8 +14,8 @@
 	// Cancel is the ID of a job.
 	Cancel string `cbor:"2,keyasint,omitempty"`
 	// Start holds runs to begin; Number is chosen by Apply.
-	Start []Run       `cbor:"3,keyasint,omitempty"`
-	Ends  *WorkerEnds `cbor:"4,keyasint,omitempty"`
+	Start []Run    `cbor:"3,keyasint,omitempty"`
+	Ends  *RunEnds `cbor:"4,keyasint,omitempty"`
 	// Worker announces an incarnation.
 	Worker *Worker `cbor:"5,keyasint,omitempty"`
 	// Gone is the incarnation of a worker that has ended.
@@ -29,12 +29,12 @@
 	Maintenance   *Maintenance `cbor:"10,keyasint,omitempty"`
 }
 
-// WorkerEnds are ends of runs on one worker.
-type WorkerEnds struct {
+// RunEnds are ends of runs on one worker.
+type RunEnds struct {
 	Worker string `cbor:"1,keyasint"`
 	// Seen is the number of the last end listed by the worker that is contained.
-	Seen uint64   `cbor:"2,keyasint,omitempty"`
-	Ends []RunEnd `cbor:"3,keyasint"`
+	LastEnd uint64   `cbor:"2,keyasint,omitempty"`
+	Ends    []RunEnd `cbor:"3,keyasint"`
 	// Returned says that the worker has answered again after its lease had ended.
 	Returned bool `cbor:"4,keyasint,omitempty"`
 	// GivenUp says that the worker has been silent for so long that it isn't looked for any
@@ -102,7 +102,7 @@
 	case c.Wave != nil:
 		s.startWave(c.Wave)
 	case c.Maintenance != nil:
-		s.noteMaintenance(c.Maintenance)
+		s.recordMaintenance(c.Maintenance)
 	}
 	return Result{}
 }
@@ -124,7 +124,7 @@
 		job.Occurrences = append(job.Occurrences, steps)
 	}
 	s.Jobs[sub.ID] = job
-	s.open[sub.ID] = job
+	s.openJobs[sub.ID] = job
 	return SubmitAccepted
 }
 
@@ -142,7 +142,7 @@
 
 // close drops what an ended job no longer needs.
 func (s *State) close(job *Job) {
-	delete(s.open, job.ID)
+	delete(s.openJobs, job.ID)
 	job.Payload = ""
 }
 
@@ -196,8 +196,8 @@
 	return started
 }
 
-// maxLive is how many runs of a task may be alive where copies are allowed.
-const maxLive = 2
+// maxLiveRuns is how many runs of a task may be alive where copies are allowed.
+const maxLiveRuns = 2
 
 // mayStart refuses a second run of a task beside one that may be alive, unless
 // its step allows copies on different workers and none has crashed under it, and a start
@@ -207,21 +207,21 @@
 // on before are being committed, and they bring it over its capacity.
 func (s *State) mayStart(spec *Step, step *StepState, run Run) bool {
 	worker := s.Workers[run.Worker]
-	if worker == nil || worker.Gone || run.Task.Index >= len(step.Tasks) || s.copiesOn(worker, spec) == 0 {
+	if worker == nil || worker.Gone || run.Task.Index >= len(step.Tasks) || s.fitCountOn(worker, spec) == 0 {
 		return false
 	}
 	task := &step.Tasks[run.Task.Index]
-	if task.Done || task.Held() {
+	if task.Done || task.AwaitsCrashVerdict() {
 		return false
 	}
 	_, there := s.Runs[run.Worker][run.Task]
-	return task.Live == 0 || spec.MayCopy() && !task.Suspect() && task.Live < maxLive && !there
+	return task.Live == 0 || spec.AllowsCopies() && !task.Suspect() && task.Live < maxLiveRuns && !there
 }
 
-// copiesOn returns how many tasks of a step a worker has room for.
-func (s *State) copiesOn(worker *WorkerState, spec *Step) int {
+// fitCountOn returns how many tasks of a step a worker has room for.
+func (s *State) fitCountOn(worker *WorkerState, spec *Step) int {
 	used, _ := s.Used(worker.ID)
-	return spec.Room().Copies(worker.Capacity.Minus(used))
+	return spec.Demand().FitCount(worker.Capacity.Minus(used))
 }
 
 // mayStartGang reports whether all members of a gang may be begun, those on one worker
@@ -235,21 +235,21 @@
 		members[run.Worker]++
 	}
 	for id, n := range members {
-		if s.copiesOn(s.Workers[id], spec) < n {
+		if s.fitCountOn(s.Workers[id], spec) < n {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *State) end(e *WorkerEnds) {
+func (s *State) end(e *RunEnds) {
 	if worker := s.Workers[e.Worker]; worker != nil {
-		worker.Seen = max(worker.Seen, e.Seen)
+		worker.LastEnd = max(worker.LastEnd, e.LastEnd)
 		if e.Returned {
-			s.dropMissing(worker)
+			s.dropUnresolved(worker)
 		}
 		if e.GivenUp {
-			s.countMissing(worker)
+			s.countUnresolvedAsCrashes(worker)
 		}
 	}
 	for _, end := range e.Ends {
@@ -275,10 +275,10 @@
 	if end.Checkpoint != "" {
 		task.Checkpoint = end.Checkpoint
 	}
-	job.Begun = job.Begun || end.Outcome.begun()
-	s.noteLoss(worker, job, task, end)
+	job.Begun = job.Begun || end.Outcome.provesStart()
+	s.recordLoss(worker, job, task, end)
 	if spec.Gang {
-		s.endMember(job, spec, step, end)
+		s.endGangMember(job, spec, step, end)
 		return
 	}
 	switch {
@@ -286,16 +286,16 @@
 	case task.Done:
 		// A copy ended first.
 	case end.Outcome == OutcomeDone:
-		s.finish(job, step, task)
+		s.finishTask(job, step, task)
 	case end.Outcome == OutcomeFailed:
 		task.Failures++
-		s.checkBudget(job, task.Failures)
+		s.failIfAttemptsExhausted(job, task.Failures)
 	}
 }
 
-// endMember takes in the end of a gang's member: one done member stands for all,
+// endGangMember takes in the end of a gang's member: one done member stands for all,
 // and a run that failed counts once, however many members say so.
-func (s *State) endMember(job *Job, spec *Step, step *StepState, end RunEnd) {
+func (s *State) endGangMember(job *Job, spec *Step, step *StepState, end RunEnd) {
 	if end.Outcome != OutcomeDone {
 		step.GangEndedRun = max(step.GangEndedRun, end.Number)
 	}
@@ -308,16 +308,16 @@
 	case spec.LongRunning:
 	case end.Outcome == OutcomeDone:
 		for i := range step.Tasks {
-			s.finish(job, step, &step.Tasks[i])
+			s.finishTask(job, step, &step.Tasks[i])
 		}
 	case end.Outcome == OutcomeFailed && step.GangFailedRun < end.Number:
 		step.GangFailedRun = end.Number
 		step.GangFailures++
-		s.checkBudget(job, step.GangFailures)
+		s.failIfAttemptsExhausted(job, step.GangFailures)
 	}
 }
 
-func (s *State) finish(job *Job, step *StepState, task *Task) {
+func (s *State) finishTask(job *Job, step *StepState, task *Task) {
 	if task.Done {
 		return
 	}
@@ -329,7 +329,7 @@
 	}
 }
 
-func (s *State) checkBudget(job *Job, failures int) {
+func (s *State) failIfAttemptsExhausted(job *Job, failures int) {
 	budget := job.Policy.MaxAttempts
 	if budget > 0 && failures >= budget && !job.Ended() {
 		job.Failed = true
@@ -344,7 +344,7 @@
 	known := s.Workers[w.ID]
 	if known == nil {
 		s.Workers[w.ID] = &WorkerState{Worker: *w}
-		s.noteLife(w)
+		s.recordIncarnation(w)
 		return
 	}
 	if w.Sequence >= known.Sequence {
@@ -360,9 +360,9 @@
 	}
 	worker.Gone = true
 	if crashed {
-		s.countMissing(worker)
+		s.countUnresolvedAsCrashes(worker)
 	} else {
-		s.dropMissing(worker)
+		s.dropUnresolved(worker)
 	}
 	for _, run := range sortedRuns(s.Runs[id]) {
 		s.endRun(id, RunEnd{Task: run.Task, Number: run.Number, Outcome: OutcomeLost})
--- a/workflow/capacity_test.go
+++ b/workflow/capacity_test.go
@@ -7,7 +7,7 @@
 )
 
 // shrink lets worker w1 announce that it has that many thousandths of a core.
-func (s *State) shrink(sequence uint64, milliCPU int64) {
+func (s *State) announceCapacity(sequence uint64, milliCPU int64) {
 	s.Apply(20, &Command{Worker: &Worker{
 		ID: "w1", Service: "s", Address: "w1", Capacity: Resources{MilliCPU: milliCPU, MemoryMB: 800}, Sequence: sequence,
 	}})
@@ -15,33 +15,33 @@
 
 // Guards against a worker that is brought over its capacity (LIMIT): it shrank between the
 // decision on a start and its commit.
-func TestAStartThatAShrunkWorkerHasNoRoomForIsLeftOut(t *testing.T) {
-	s := newState(t, small(4))
-	s.shrink(1, 2500)
+func TestStartBeyondShrunkCapacityIsRejected(t *testing.T) {
+	s := newState(t, smallStep(4))
+	s.announceCapacity(1, 2500)
 	must.SliceLen(t, 2, s.begin("w1", key(0, 0), key(0, 1), key(0, 2)))
 	must.SliceLen(t, 1, s.begin("w2", key(0, 2)))
-	s.shrink(2, 500)
+	s.announceCapacity(2, 500)
 	must.SliceEmpty(t, s.begin("w1", key(0, 3)))
-	s.shrink(3, 8000)
+	s.announceCapacity(3, 8000)
 	must.SliceLen(t, 1, s.begin("w1", key(0, 3)))
 }
 
 // Guards against a gang of which members are begun without the others, or on a worker that
 // has shrunk and doesn't hold them together.
-func TestAGangThatAShrunkWorkerHasNoRoomForIsLeftOut(t *testing.T) {
-	gang := small(3)
+func TestGangBeyondShrunkCapacityIsRejected(t *testing.T) {
+	gang := smallStep(3)
 	gang.Gang = true
 	s := newState(t, gang)
-	s.shrink(1, 2500)
+	s.announceCapacity(1, 2500)
 	must.SliceEmpty(t, s.begin("w1", key(0, 0), key(0, 1), key(0, 2)))
-	s.shrink(2, 3000)
+	s.announceCapacity(2, 3000)
 	must.SliceLen(t, 3, s.begin("w1", key(0, 0), key(0, 1), key(0, 2)))
 }
 
 // Guards against an older heartbeat that is committed after a newer one.
-func TestAnOlderHeartbeatChangesNothing(t *testing.T) {
-	s := newState(t, small(1))
-	s.shrink(7, 500)
-	s.shrink(6, 8000)
+func TestOlderHeartbeatIsIgnored(t *testing.T) {
+	s := newState(t, smallStep(1))
+	s.announceCapacity(7, 500)
+	s.announceCapacity(6, 8000)
 	must.Eq(t, 500, s.Workers["w1"].Capacity.MilliCPU)
 }
--- a/workflow/check.go
+++ b/workflow/check.go
@@ -36,7 +36,7 @@
 // Error returns field and message.
 func (e *CheckError) Error() string { return string(e.Field) + ": " + e.Message }
 
-func wrong(field Field, format string, args ...any) error {
+func checkErrorf(field Field, format string, args ...any) error {
 	return &CheckError{Field: field, Message: fmt.Sprintf(format, args...)}
 }
 
@@ -44,13 +44,13 @@
 func Check(payload string, steps []Step, schedule Schedule) error {
 	switch {
 	case len(payload) > MaxPayload:
-		return wrong(FieldPayload, "%d bytes, the limit is %d", len(payload), MaxPayload)
+		return checkErrorf(FieldPayload, "%d bytes, the limit is %d", len(payload), MaxPayload)
 	case len(steps) == 0 || len(steps) > MaxSteps:
-		return wrong(FieldSteps, "%d steps, 1 to %d are allowed", len(steps), MaxSteps)
+		return checkErrorf(FieldSteps, "%d steps, 1 to %d are allowed", len(steps), MaxSteps)
 	case schedule.Times < 0 || schedule.Times > MaxOccurrences:
-		return wrong(FieldRepeatTimes, "%d, 0 to %d are allowed", schedule.Times, MaxOccurrences)
+		return checkErrorf(FieldRepeatTimes, "%d, 0 to %d are allowed", schedule.Times, MaxOccurrences)
 	case schedule.EveryMS < 0 || schedule.FirstAtMS < 0:
-		return wrong(FieldRepeatEvery, "times may not be negative")
+		return checkErrorf(FieldRepeatEvery, "times may not be negative")
 	}
 	tasks := 0
 	for i := range steps {
@@ -60,7 +60,7 @@
 		tasks += steps[i].Count
 	}
 	if tasks > MaxTasks || tasks*max(schedule.Times, 1) > MaxTasks {
-		return wrong(FieldTasks, "more than %d tasks", MaxTasks)
+		return checkErrorf(FieldTasks, "more than %d tasks", MaxTasks)
 	}
 	return nil
 }
@@ -68,17 +68,17 @@
 func (s *Step) check(index int) error {
 	switch {
 	case s.Count < 1 || s.Count > MaxTasks:
-		return wrong(FieldTasks, "%d tasks in step %d, 1 to %d are allowed", s.Count, index, MaxTasks)
+		return checkErrorf(FieldTasks, "%d tasks in step %d, 1 to %d are allowed", s.Count, index, MaxTasks)
 	case s.Need.MilliCPU < 0 || s.Need.MemoryMB < 0 || s.Need.Accelerators < 0:
-		return wrong(FieldNeed, "step %d has a negative size", index)
+		return checkErrorf(FieldNeed, "step %d has a negative size", index)
 	case s.EstimateMS < 0:
-		return wrong(FieldEstimate, "step %d has a negative estimate", index)
+		return checkErrorf(FieldEstimate, "step %d has a negative estimate", index)
 	case s.MaxPerWorker < 0 || s.MaxUnavailable < 0 || s.LatencyObjectiveMS < 0:
-		return wrong(FieldMaxPerWorker, "step %d has a negative bound", index)
+		return checkErrorf(FieldMaxPerWorker, "step %d has a negative bound", index)
 	}
 	for _, before := range s.DependsOn {
 		if before < 0 || before >= index {
-			return wrong(FieldAfter, "step %d depends on %d, which isn't an earlier step", index, before)
+			return checkErrorf(FieldAfter, "step %d depends on %d, which isn't an earlier step", index, before)
 		}
 	}
 	return nil
--- a/workflow/configuration.go
+++ b/workflow/configuration.go
@@ -5,9 +5,9 @@
 // AdvicePolicy describes the adviser of a queue: its answer takes Decide and
 // Each for each worker named, and a ticket holds for Valid.
 type AdvicePolicy struct {
-	DecideMS float64 `cbor:"1,keyasint"`
-	EachMS   float64 `cbor:"2,keyasint"`
-	ValidMS  int64   `cbor:"3,keyasint"`
+	BaseMS           float64 `cbor:"1,keyasint"`
+	PerWorkerMS      float64 `cbor:"2,keyasint"`
+	TicketValidityMS int64   `cbor:"3,keyasint"`
 }
 
 // Policy is how the jobs of a queue are treated.
--- a/workflow/crash.go
+++ b/workflow/crash.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// strongCrashes is how many crashes right after a start a task is given up for: a rack
+	// maxStrongCrashes is how many crashes right after a start a task is given up for: a rack
 	// that loses power crashes under many tasks, hardly ever three times under the same.
-	strongCrashes = 3
-	// mostCrashes is how many crashes of any kind a task is given up for: three that show it,
+	maxStrongCrashes = 3
+	// maxCrashes is how many crashes of any kind a task is given up for: three that show it,
 	// and those of the two starts that may follow them.
-	mostCrashes = 5
+	maxCrashes = 5
 )
 
 // Suspect reports whether a worker has crashed under the task.
@@ -31,51 +31,53 @@
 //
 // Failure guarded against: workers stay away for longer than their leases. Each crash is
 // known only after the task has begun on the next workers, and they crash as well.
-func (t *Task) Held() bool { return t.Missing > 0 && len(t.CrashedOn)+t.Missing >= mostCrashes }
+func (t *Task) AwaitsCrashVerdict() bool {
+	return t.Unresolved > 0 && len(t.CrashedOn)+t.Unresolved >= maxCrashes
+}
 
-// noteLoss takes in what the end of a run says of crashes. A run that ended with its
+// recordLoss takes in what the end of a run says of crashes. A run that ended with its
 // worker's lease counts once it is known that the worker has crashed.
-func (s *State) noteLoss(worker string, job *Job, task *Task, end RunEnd) {
+func (s *State) recordLoss(worker string, job *Job, task *Task, end RunEnd) {
 	switch {
 	case end.Suspicion == SuspicionNone:
 	case end.Outcome == OutcomeCrashed:
-		s.noteCrash(worker, job, task, end)
+		s.recordCrash(worker, job, task, end)
 	case end.Outcome == OutcomeLost && s.Workers[worker] != nil:
 		state := s.Workers[worker]
-		state.Missing = append(state.Missing, RunEnd{Task: end.Task, Number: end.Number, Suspicion: end.Suspicion})
-		task.Missing++
+		state.Unresolved = append(state.Unresolved, RunEnd{Task: end.Task, Number: end.Number, Suspicion: end.Suspicion})
+		task.Unresolved++
 	}
 }
 
-// countMissing counts a crash against each task whose run had ended with the lease of a
+// countUnresolvedAsCrashes counts a crash against each task whose run had ended with the lease of a
 // worker that is now taken for crashed.
-func (s *State) countMissing(worker *WorkerState) {
-	missing := worker.Missing
-	s.dropMissing(worker)
-	for _, end := range missing {
+func (s *State) countUnresolvedAsCrashes(worker *WorkerState) {
+	unresolved := worker.Unresolved
+	s.dropUnresolved(worker)
+	for _, end := range unresolved {
 		if job, _ := s.step(end.Task.StepKey); job != nil {
-			s.noteCrash(worker.ID, job, s.Task(end.Task), end)
+			s.recordCrash(worker.ID, job, s.Task(end.Task), end)
 		}
 	}
 }
 
-// dropMissing forgets the runs that ended with a worker's lease: it hasn't crashed.
-func (s *State) dropMissing(worker *WorkerState) {
-	for _, end := range worker.Missing {
+// dropUnresolved forgets the runs that ended with a worker's lease: it hasn't crashed.
+func (s *State) dropUnresolved(worker *WorkerState) {
+	for _, end := range worker.Unresolved {
 		if task := s.Task(end.Task); task != nil {
-			task.Missing--
+			task.Unresolved--
 		}
 	}
-	worker.Missing = nil
+	worker.Unresolved = nil
 }
 
-// noteCrash counts a crash against a task, and gives its job up where it is the task that
+// recordCrash counts a crash against a task, and gives its job up where it is the task that
 // crashes its workers.
 //
 // Failure guarded against: a task crashes each worker that starts it. Started again like
 // one whose worker was lost by chance, it takes one worker after the other down, with all
 // that runs there.
-func (s *State) noteCrash(worker string, job *Job, task *Task, end RunEnd) {
+func (s *State) recordCrash(worker string, job *Job, task *Task, end RunEnd) {
 	if job.Ended() || task.Done {
 		return
 	}
@@ -83,9 +85,9 @@
 	if end.Suspicion == SuspicionStrong {
 		task.StrongCrashes++
 	}
-	if task.StrongCrashes >= strongCrashes || len(task.CrashedOn) >= mostCrashes {
+	if task.StrongCrashes >= maxStrongCrashes || len(task.CrashedOn) >= maxCrashes {
 		crasher := end.Task
-		job.Failed, job.Crasher = true, &crasher
+		job.Failed, job.CrashingTask = true, &crasher
 		s.close(job)
 	}
 }
--- a/workflow/job.go
+++ b/workflow/job.go
@@ -43,25 +43,25 @@
 }
 
 // Copies returns how many tasks that need r fit into room.
-func (r Resources) Copies(room Resources) int {
+func (r Resources) FitCount(room Resources) int {
 	if !r.Fits(room) {
 		return 0
 	}
-	copies := int64(maxCopies)
+	count := int64(maxFitCount)
 	if r.MilliCPU > 0 {
-		copies = min(copies, room.MilliCPU/r.MilliCPU)
+		count = min(count, room.MilliCPU/r.MilliCPU)
 	}
 	if r.MemoryMB > 0 {
-		copies = min(copies, room.MemoryMB/r.MemoryMB)
+		count = min(count, room.MemoryMB/r.MemoryMB)
 	}
 	if r.Accelerators > 0 {
-		copies = min(copies, room.Accelerators/r.Accelerators)
+		count = min(count, room.Accelerators/r.Accelerators)
 	}
-	return int(copies)
+	return int(count)
 }
 
-// maxCopies bounds the copies of a task that needs nothing.
-const maxCopies = 1 << 20
+// maxFitCount bounds the copies of a task that needs nothing.
+const maxFitCount = 1 << 20
 
 // Step is one part of a job: tasks that are alike and may start once the steps
 // that it depends on have ended.
@@ -101,12 +101,12 @@
 	LatencyObjectiveMS int64 `cbor:"16,keyasint,omitempty"`
 }
 
-// MayCopy reports whether a second run of a task may be alive beside the first.
+// AllowsCopies reports whether a second run of a task may be alive beside the first.
 // A gang runs as a whole, and a long-running task has one place.
-func (s *Step) MayCopy() bool { return s.Speculative && !s.Gang && !s.LongRunning }
+func (s *Step) AllowsCopies() bool { return s.Speculative && !s.Gang && !s.LongRunning }
 
 // Room is what a task of the step takes of a worker's capacity.
-func (s *Step) Room() Resources {
+func (s *Step) Demand() Resources {
 	room := s.Need
 	if s.UsesSpare {
 		room.MilliCPU = 0
@@ -183,12 +183,12 @@
 	OutcomeFailed
 	// OutcomeStopped: the run was stopped on request.
 	OutcomeStopped
-	// OutcomeLapsed: the worker's lease ended before the run did.
-	OutcomeLapsed
-	// OutcomeBroken: another member of the gang ended.
-	OutcomeBroken
-	// OutcomeAlone: the gang's other members didn't appear in time.
-	OutcomeAlone
+	// OutcomeLeaseExpired: the worker's lease ended before the run did.
+	OutcomeLeaseExpired
+	// OutcomeGangBroken: another member of the gang ended.
+	OutcomeGangBroken
+	// OutcomeGangIncomplete: the gang's other members didn't appear in time.
+	OutcomeGangIncomplete
 	// OutcomeNotStarted: the worker never began the run and never will.
 	OutcomeNotStarted
 	// OutcomeLost: the worker, or its lease, ended without a word on the run.
@@ -207,7 +207,7 @@
 }
 
 // begun reports whether the outcome proves that a worker had begun the run.
-func (o Outcome) begun() bool {
+func (o Outcome) provesStart() bool {
 	return o != OutcomeNotStarted && o != OutcomeLost && o != OutcomeCrashed
 }
 
@@ -229,8 +229,8 @@
 	// Name is the worker's own, which its incarnations may share, and Born when this one
 	// began, in Unix milliseconds: of two with one name the later one holds. Both are empty
 	// where each incarnation has a name of its own.
-	Name string `cbor:"14,keyasint,omitempty"`
-	Born int64  `cbor:"15,keyasint,omitempty"`
+	Name        string `cbor:"14,keyasint,omitempty"`
+	StartedAtMS int64  `cbor:"15,keyasint,omitempty"`
 	// Service is the pool that the worker runs tasks for.
 	Service    string    `cbor:"2,keyasint"`
 	Address    string    `cbor:"3,keyasint"`
@@ -249,10 +249,10 @@
 type WorkerState struct {
 	Worker
 	// Seen is the number of the last end that was taken in from it.
-	Seen uint64 `cbor:"8,keyasint,omitempty"`
+	LastEnd uint64 `cbor:"8,keyasint,omitempty"`
 	// Gone says that this incarnation runs nothing and never will again.
 	Gone bool `cbor:"9,keyasint,omitempty"`
 	// Missing are the runs that ended with the worker's lease, until it is known
 	// whether the worker has crashed.
-	Missing []RunEnd `cbor:"12,keyasint,omitempty"`
+	Unresolved []RunEnd `cbor:"12,keyasint,omitempty"`
 }
--- a/workflow/keys_test.go
+++ b/workflow/keys_test.go
@@ -10,7 +10,7 @@
 
 // Guards against a field that a snapshot or the log drops without a word: of two fields of
 // one encoded struct that share a key only one is encoded, also where one is embedded.
-func TestNoTwoFieldsOfAnEncodedStructShareAKey(t *testing.T) {
+func TestCBORKeysAreUniquePerStruct(t *testing.T) {
 	seen := map[reflect.Type]bool{}
 	var check func(reflect.Type)
 	check = func(of reflect.Type) {
--- a/workflow/load.go
+++ b/workflow/load.go
@@ -3,8 +3,8 @@
 // workerLoad is what the runs that may be alive on a worker take. It follows from
 // the runs, and spares decisions the counting of them.
 type workerLoad struct {
-	used  Resources
-	rooms map[TaskKey]Resources
+	used    Resources
+	demands map[TaskKey]Resources
 	// changes counts the beginnings and ends of runs.
 	changes uint64
 }
@@ -33,7 +33,7 @@
 	runs[run.Task] = run
 	load := s.loads[run.Worker]
 	if load == nil {
-		load = &workerLoad{rooms: map[TaskKey]Resources{}}
+		load = &workerLoad{demands: map[TaskKey]Resources{}}
 		s.loads[run.Worker] = load
 	}
 	load.changes++
@@ -42,8 +42,8 @@
 		return
 	}
 	spec := &job.Steps[run.Task.Step]
-	load.rooms[run.Task] = spec.Room()
-	load.used = load.used.Plus(spec.Room())
+	load.demands[run.Task] = spec.Demand()
+	load.used = load.used.Plus(spec.Demand())
 	if spec.MaxPerWorker > 0 {
 		s.countPlaced(run.Task.StepKey, run.Worker, 1)
 	}
@@ -54,8 +54,8 @@
 	delete(s.Runs[run.Worker], run.Task)
 	load := s.loads[run.Worker]
 	load.changes++
-	load.used = load.used.Minus(load.rooms[run.Task])
-	delete(load.rooms, run.Task)
+	load.used = load.used.Minus(load.demands[run.Task])
+	delete(load.demands, run.Task)
 	if s.placed[run.Task.StepKey] != nil {
 		s.countPlaced(run.Task.StepKey, run.Worker, -1)
 	}
--- a/workflow/state.go
+++ b/workflow/state.go
@@ -23,7 +23,7 @@
 	StrongCrashes int      `cbor:"7,keyasint,omitempty"`
 	// Missing counts the workers whose lease ended under the task's runs and of which it
 	// isn't known yet whether they have crashed.
-	Missing int `cbor:"8,keyasint,omitempty"`
+	Unresolved int `cbor:"8,keyasint,omitempty"`
 }
 
 // StepState holds the tasks of a step of one occurrence.
@@ -65,7 +65,7 @@
 	// Index is the log entry of the acceptance, which orders jobs by age.
 	Index uint64 `cbor:"11,keyasint"`
 	// Crasher is the task for whose crashed workers the job was given up, nil for none.
-	Crasher *TaskKey `cbor:"13,keyasint,omitempty"`
+	CrashingTask *TaskKey `cbor:"13,keyasint,omitempty"`
 }
 
 // Ended reports whether nothing more is to be started for the job.
@@ -139,9 +139,9 @@
 	Waves map[int64]*WaveState `cbor:"5,keyasint,omitempty"`
 
 	// newest holds the latest life of each worker, by name.
-	newest map[string]string
+	newestByName map[string]string
 	// open holds the jobs that have not ended.
-	open map[string]*Job
+	openJobs map[string]*Job
 	// loads and placed follow from Runs; see Used and Placed.
 	loads  map[string]*workerLoad
 	placed map[StepKey]map[string]int
@@ -151,13 +151,13 @@
 func NewState() *State {
 	return &State{
 		Jobs: map[string]*Job{}, Workers: map[string]*WorkerState{},
-		Runs: map[string]map[TaskKey]Run{}, Waves: map[int64]*WaveState{}, open: map[string]*Job{}, newest: map[string]string{},
+		Runs: map[string]map[TaskKey]Run{}, Waves: map[int64]*WaveState{}, openJobs: map[string]*Job{}, newestByName: map[string]string{},
 		loads: map[string]*workerLoad{}, placed: map[StepKey]map[string]int{},
 	}
 }
 
 // Open returns the jobs that have not ended. The caller must not change it.
-func (s *State) Open() map[string]*Job { return s.open }
+func (s *State) OpenJobs() map[string]*Job { return s.openJobs }
 
 // Snapshot encodes the state.
 func (s *State) Snapshot() ([]byte, error) {
@@ -183,11 +183,11 @@
 	}
 	s.RunList = nil
 	for _, worker := range s.Workers {
-		s.noteLife(&worker.Worker)
+		s.recordIncarnation(&worker.Worker)
 	}
 	for id, job := range s.Jobs {
 		if !job.Ended() {
-			s.open[id] = job
+			s.openJobs[id] = job
 		}
 	}
 	return s, nil
--- a/workflow/wave.go
+++ b/workflow/wave.go
@@ -28,8 +28,8 @@
 	MaintenanceOrdered MaintenanceStage = iota + 1
 	// MaintenanceBegun: the machine has gone down for its maintenance.
 	MaintenanceBegun
-	// MaintenanceMoot: the machine has left, or the deployment says that it isn't of this wave.
-	MaintenanceMoot
+	// MaintenanceNotNeeded: the machine has left, or the deployment says that it isn't of this wave.
+	MaintenanceNotNeeded
 )
 
 // String returns the stage as logs show it.
@@ -72,20 +72,20 @@
 	}
 }
 
-// noteMaintenance takes in how far a maintenance has come; it never goes back.
-func (s *State) noteMaintenance(u *Maintenance) {
-	wave := s.Waves[u.Wave]
-	if wave == nil || !slices.Contains(wave.Machines, u.Machine) || u.Stage <= wave.Maintenances[u.Machine].Stage {
+// recordMaintenance takes in how far a maintenance has come; it never goes back.
+func (s *State) recordMaintenance(update *Maintenance) {
+	wave := s.Waves[update.Wave]
+	if wave == nil || !slices.Contains(wave.Machines, update.Machine) || update.Stage <= wave.Maintenances[update.Machine].Stage {
 		return
 	}
 	if wave.Maintenances == nil {
 		wave.Maintenances = map[string]Maintenance{}
 	}
-	known := *u
+	known := *update
 	if known.Worker == "" {
-		known.Worker = wave.Maintenances[u.Machine].Worker
+		known.Worker = wave.Maintenances[update.Machine].Worker
 	}
-	wave.Maintenances[u.Machine] = known
+	wave.Maintenances[update.Machine] = known
 }
 
 // Clone returns a copy that the state doesn't change.
--- a/workflow/wave_test.go
+++ b/workflow/wave_test.go
@@ -14,7 +14,7 @@
 // Order: one machine has begun, the other's order was sent and got no answer, and
 // a late copy of an older note arrives.
 // Cause: an order counted as begun, or a stage went back.
-func TestAWaveIsDoneOnceEachMachineHasBegunOrLeft(t *testing.T) {
+func TestWaveIsDoneOnceEachMachineHasBegunOrLeft(t *testing.T) {
 	s := NewState()
 	wave := Wave{ID: 3, Machines: []string{"m1", "m2"}, DurationMS: 20_000, MaxDown: 1}
 	s.Apply(1, &Command{Wave: &wave})
@@ -31,7 +31,7 @@
 	must.NoError(t, err)
 	must.Eq(t, MaintenanceBegun, s.Wave(3).Maintenances["m1"].Stage)
 	must.MapLen(t, 2, s.Wave(3).Maintenances)
-	maintenance(s, "m2", MaintenanceMoot)
+	maintenance(s, "m2", MaintenanceNotNeeded)
 	must.True(t, s.Wave(3).Done())
 	must.Nil(t, s.Wave(4))
 }
--- a/workflow/workflow_test.go
+++ b/workflow/workflow_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func small(count int) Step {
+func smallStep(count int) Step {
 	return Step{Count: count, Need: Resources{MilliCPU: 1000, MemoryMB: 10}, EstimateMS: 100}
 }
 
@@ -35,21 +35,21 @@
 }
 
 func (s *State) finishRun(run Run, outcome Outcome) {
-	s.Apply(4, &Command{Ends: &WorkerEnds{Worker: run.Worker, Ends: []RunEnd{{Task: run.Task, Number: run.Number, Outcome: outcome}}}})
+	s.Apply(4, &Command{Ends: &RunEnds{Worker: run.Worker, Ends: []RunEnd{{Task: run.Task, Number: run.Number, Outcome: outcome}}}})
 }
 
-func TestTheSameSubmissionIsOneJob(t *testing.T) {
-	s := newState(t, small(1))
-	again := Submission{ID: "j", Queue: "q", Steps: []Step{small(1)}}
+func TestSubmissionIsIdempotent(t *testing.T) {
+	s := newState(t, smallStep(1))
+	again := Submission{ID: "j", Queue: "q", Steps: []Step{smallStep(1)}}
 	must.Eq(t, SubmitKnown, s.Apply(5, &Command{Submit: &again}).Submit)
 	again.Queue = "other"
 	must.Eq(t, SubmitConflict, s.Apply(6, &Command{Submit: &again}).Submit)
 }
 
 func TestStepWaitsForTheStepsItDependsOn(t *testing.T) {
-	second := small(1)
+	second := smallStep(1)
 	second.DependsOn = []int{0}
-	s := newState(t, small(2), second)
+	s := newState(t, smallStep(2), second)
 	must.SliceEmpty(t, s.begin("w1", key(1, 0)))
 	for _, run := range s.begin("w1", key(0, 0), key(0, 1)) {
 		must.SliceEmpty(t, s.begin("w2", key(1, 0)))
@@ -62,8 +62,8 @@
 // Order: a task's start is committed; before it has ended, a second decision
 // made from an older view starts it elsewhere.
 // Cause: a start that isn't checked again when it is applied.
-func TestNoSecondRunBesideOneThatMayBeAlive(t *testing.T) {
-	s := newState(t, small(2))
+func TestNoSecondRunWhileFirstMayBeAlive(t *testing.T) {
+	s := newState(t, smallStep(2))
 	first := s.begin("w1", key(0, 0))
 	must.SliceLen(t, 1, first)
 	must.SliceEmpty(t, s.begin("w2", key(0, 0)))
@@ -78,8 +78,8 @@
 // Order: a run may be alive on a worker that doesn't answer; a copy is started
 // elsewhere; a third one is asked for; the copy ends; the first run fails.
 // Cause: none of the state's checks knew of copies.
-func TestACopyOfASpeculativeTask(t *testing.T) {
-	step := small(2)
+func TestSpeculativeCopy(t *testing.T) {
+	step := smallStep(2)
 	step.Speculative = true
 	s := newState(t, step)
 	first := s.begin("w1", key(0, 0))[0]
@@ -100,8 +100,8 @@
 // Order: a run is given up because its worker's lease has ended; the task runs
 // again elsewhere; then the first worker comes back and lists its end.
 // Cause: an end of a run that no longer counts was taken in.
-func TestEndOfALostRunIsIgnored(t *testing.T) {
-	s := newState(t, small(1))
+func TestEndOfLostRunIsIgnored(t *testing.T) {
+	s := newState(t, smallStep(1))
 	first := s.begin("w1", key(0, 0))[0]
 	s.finishRun(first, OutcomeLost)
 	second := s.begin("w1", key(0, 0))[0]
@@ -113,8 +113,8 @@
 }
 
 func TestOnlyFailedRunsCountAsAttempts(t *testing.T) {
-	s := newState(t, small(1))
-	for _, outcome := range []Outcome{OutcomeStopped, OutcomeLapsed, OutcomeLost, OutcomeNotStarted, OutcomeFailed} {
+	s := newState(t, smallStep(1))
+	for _, outcome := range []Outcome{OutcomeStopped, OutcomeLeaseExpired, OutcomeLost, OutcomeNotStarted, OutcomeFailed} {
 		s.finishRun(s.begin("w1", key(0, 0))[0], outcome)
 		must.Eq(t, PhaseActive, s.Jobs["j"].Phase(), must.Sprint(outcome))
 	}
@@ -124,7 +124,7 @@
 }
 
 func TestGangStartsWholeAndEndsOnce(t *testing.T) {
-	gang := small(2)
+	gang := smallStep(2)
 	gang.Gang = true
 	s := newState(t, gang)
 	must.SliceEmpty(t, s.begin("w1", key(0, 0)))
@@ -141,10 +141,10 @@
 	must.Eq(t, PhaseDone, s.Jobs["j"].Phase())
 }
 
-func TestLongRunningTasksStartAgainHoweverTheyEnd(t *testing.T) {
-	lasting := small(1)
-	lasting.LongRunning = true
-	s := newState(t, lasting)
+func TestLongRunningTaskRestartsAfterAnyEnd(t *testing.T) {
+	longRunning := smallStep(1)
+	longRunning.LongRunning = true
+	s := newState(t, longRunning)
 	for range 4 {
 		s.finishRun(s.begin("w1", key(0, 0))[0], OutcomeFailed)
 	}
@@ -157,14 +157,14 @@
 // Order: cancelled while its last task runs; the task ends as done.
 // Cause: the count of unfinished tasks reaching zero overrode the cancellation.
 func TestCancelledJobStaysCancelled(t *testing.T) {
-	s := newState(t, small(1))
+	s := newState(t, smallStep(1))
 	run := s.begin("w1", key(0, 0))[0]
 	s.Apply(5, &Command{Cancel: "j"})
 	s.finishRun(run, OutcomeDone)
 	must.Eq(t, PhaseCancelled, s.Jobs["j"].Phase())
 }
 
-func TestHighestConfigurationStays(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	s := NewState()
 	for _, version := range []uint64{3, 7, 7, 5} {
 		s.Apply(version, &Command{Configuration: &Document{Version: version, Source: []byte(fmt.Sprint(version))}})
@@ -187,13 +187,13 @@
 // gives back the same state.
 func TestRandomCommands(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		gang := small(2)
+		gang := smallStep(2)
 		gang.Gang = true
-		after := small(1)
+		after := smallStep(1)
 		after.DependsOn = []int{0}
-		copied := small(1)
+		copied := smallStep(1)
 		copied.Speculative = true
-		s := newState(t, small(2), gang, after, copied)
+		s := newState(t, smallStep(2), gang, after, copied)
 		var live []Run
 		for range rapid.IntRange(1, 60).Draw(rt, "commands") {
 			worker := rapid.SampledFrom([]string{"w1", "w2"}).Draw(rt, "worker")
@@ -263,8 +263,8 @@
 // What a user sees: a queue says that nobody waits while jobs wait.
 // Order: a start is committed; the worker never carries the order out.
 // Cause: a job counted as begun from the commit of its start on.
-func TestAJobBeginsWithARunNotWithItsOrder(t *testing.T) {
-	s := newState(t, small(1))
+func TestJobIsPendingUntilARunBegins(t *testing.T) {
+	s := newState(t, smallStep(1))
 	for _, outcome := range []Outcome{OutcomeNotStarted, OutcomeLost} {
 		s.finishRun(s.begin("w1", key(0, 0))[0], outcome)
 		must.Eq(t, PhasePending, s.Jobs["j"].Phase(), must.Sprint(outcome))
@@ -275,7 +275,7 @@
 
 // The room that runs take, and the counts of bounded steps, follow each beginning
 // and end, over a snapshot too.
-func TestUsedRoomFollowsTheRuns(t *testing.T) {
+func TestUsedResourcesFollowRuns(t *testing.T) {
 	s := NewState()
 	worker := Worker{ID: "w", Service: "s", Capacity: Resources{MilliCPU: 10}}
 	s.Apply(1, &Command{Worker: &worker})
@@ -297,7 +297,7 @@
 	check(restored, 6, 2)
 	_, before := s.Used("w")
 	end := RunEnd{Task: run(0).Task, Number: 1, Outcome: OutcomeDone}
-	s.Apply(4, &Command{Ends: &WorkerEnds{Worker: "w", Ends: []RunEnd{end, end}}})
+	s.Apply(4, &Command{Ends: &RunEnds{Worker: "w", Ends: []RunEnd{end, end}}})
 	check(s, 3, 1)
 	_, after := s.Used("w")
 	must.NotEq(t, before, after)
