--- a/routing/admit.go
+++ b/routing/admit.go
@@ -3,20 +3,22 @@
 import "time"
 
 const (
-	// minRetryAfter and maxRetryAfter bound the time told to refused callers.
+	// minRetryAfter and maxRetryAfter bound the retry delay that a refused caller
+	// is told.
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = 15 * time.Second
-	// returningCapacityShare is the part of the service's capacity that returning callers
-	// may take.
+	// returningCapacityShare is the share of a service's capacity that scheduled
+	// retries of refused callers may take.
 	returningCapacityShare = 0.5
 )
 
-// admit refuses the queued ticket, or one of a larger customer in its place,
-// when the queue can't carry it.
+// admit refuses the queued ticket t, or a ticket of a customer with more
+// requests, if the queue can't start it in time.
 //
-// Failure: under overload a long queue makes every request late, and the work
-// done is worth nothing. Guard: a request that can't be started in time by the
-// measured service times is refused at once, before it costs anything.
+// Guards against congestion collapse: under overload every request of a long
+// queue misses its deadline, and the work done for it is wasted. The measured
+// service times tell which requests can't start in time; these are refused
+// before they use a slot.
 func (b *Balancer) admit(s *service, t *Ticket, now time.Duration) {
 	s.serviceTimes.refresh(now)
 	slots := b.usableSlots(s, now)
@@ -34,7 +36,7 @@
 	}
 }
 
-// admitWithoutSlots bounds the queue while no slots are granted yet.
+// admitWithoutSlots bounds the queue of a service for which no slots are granted.
 func (b *Balancer) admitWithoutSlots(s *service, t *Ticket, now time.Duration) {
 	if now+s.serviceTimes.mean > t.Deadline {
 		b.refuseQueued(s, t, TooLate, now)
@@ -45,9 +47,9 @@
 	}
 }
 
-// expectedWait estimates the time until the ticket gets a slot. A customer
-// below its share waits only for its own requests before it; one at its share
-// gets the slots that the others leave.
+// expectedWait estimates the time until t gets a slot. A customer below its
+// share waits only for its own requests ahead of t. A customer at its share
+// gets only the slots that other customers leave.
 func (b *Balancer) expectedWait(s *service, t *Ticket, slots int) time.Duration {
 	at := s.queueIndex(t)
 	wait := estimateWait(at, slots, s.serviceTimes.mean)
@@ -63,11 +65,15 @@
 	return max(wait, estimateWait(s.queuedBefore(t, at), left, s.serviceTimes.mean))
 }
 
+// estimateWait returns the expected wait of a request with ahead requests
+// before it, when each of slots takes mean per request.
 func estimateWait(ahead, slots int, mean time.Duration) time.Duration {
 	return time.Duration(ahead+1) * mean / time.Duration(max(1, slots))
 }
 
-// shedLargestCustomer refuses the last request of the largest customer.
+// shedLargestCustomer refuses the queued request with the latest deadline of
+// the customer with the most requests, or t itself if no customer has more than
+// the customer of t.
 func (b *Balancer) shedLargestCustomer(s *service, t *Ticket, now time.Duration) {
 	customer, total := s.largestCustomer()
 	if customer == t.Customer || s.customer(t.Customer).total() >= total {
@@ -77,6 +83,7 @@
 	b.refuseQueued(s, s.latestOf(customer), OverShare, now)
 }
 
+// fullReason returns the reason to give for a refusal by a full queue.
 func (b *Balancer) fullReason(s *service) Reason {
 	if len(s.customers) > 1 {
 		return OverShare
@@ -84,17 +91,18 @@
 	return QueueFull
 }
 
+// refuseQueued removes a ticket from the queue and refuses it.
 func (b *Balancer) refuseQueued(s *service, t *Ticket, reason Reason, now time.Duration) {
 	s.dequeue(t)
 	b.refuse(s, t, reason, now)
 }
 
-// retryAfter spreads returning callers over time: each refusal books the next
-// moment at which the service can be expected to carry one more caller.
+// retryAfter returns the delay after which a refused caller may retry.
 //
-// Failure: callers refused together come back together and meet the same full
-// queue. Guard: their times are booked one after the other at the rate that the
-// service can carry, and moved by a random part.
+// Guards against retry storms: callers that are refused together would return
+// together and meet the same full queue. Each refusal reserves the next free
+// time at the rate that the service can carry, and random jitter spreads the
+// callers further.
 func (b *Balancer) retryAfter(s *service, reason Reason, now time.Duration) time.Duration {
 	if reason == NoSuchService {
 		return 0
@@ -107,6 +115,8 @@
 	return min(maxRetryAfter, earliest+jitter)
 }
 
+// scheduleReturn reserves the next time for the return of a refused caller and
+// returns the delay until then.
 func (b *Balancer) scheduleReturn(s *service, now time.Duration) time.Duration {
 	slots := max(1, b.usableSlots(s, now))
 	step := time.Duration(float64(s.serviceTimes.mean) / float64(slots) / returningCapacityShare)
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Finish ends an attempt and frees its slot.
+// Finish ends an attempt and releases its slot.
 //
-// Failure: the caller of a request went away and the slot is given to the next
-// one while the minion, which can't tell, still works on the first. Guard: an
-// attempt that may still run keeps its slot for the usual time of the service.
+// Guards against overload of the minion: when a caller goes away or an attempt
+// times out, the minion isn't told and still works on the request. The slot of
+// such an attempt is held until the request has probably ended.
 func (b *Balancer) Finish(t *Ticket, o Outcome, now time.Duration) {
 	if t.state != Started {
 		return
@@ -25,8 +25,9 @@
 	b.dispatch(s, now)
 }
 
-// linger keeps the slot of an attempt that may still run. The Divider counts on
-// a request ending within MaxRequest of its start.
+// holdSlot keeps the slot of an attempt that may still run. It never holds the
+// slot for longer than MaxRequest after the start, because the Allocator counts
+// on every request to end by then.
 func (b *Balancer) holdSlot(s *service, m *minion, t *Ticket, now time.Duration) {
 	until := t.startedAt + min(lingerFactor*s.serviceTimes.tail, b.opts.Lease.MaxRequest)
 	if until > now {
@@ -34,9 +35,12 @@
 	}
 }
 
-// lingerFactor times the high service time is when nearly every request has ended.
+// lingerFactor times the tail service time is how long after its start an
+// attempt is assumed to have ended.
 const lingerFactor = 4
 
+// observe records how an attempt ended in the service time estimate and in the
+// circuit breaker of its minion.
 func (b *Balancer) observe(s *service, m *minion, t *Ticket, o Outcome, took, now time.Duration) {
 	startedLate := o == TimedOut && took < minAttemptFactor*s.serviceTimes.tail
 	if o == Abandoned || o == LeaseEnded || startedLate {
@@ -65,15 +69,15 @@
 	}
 }
 
-// minAttemptFactor times the high service time is how long a minion must have had
-// before a missing answer speaks against it: a request that started shortly
-// before its deadline tells nothing of the minion.
+// minAttemptFactor times the tail service time is the shortest attempt whose
+// timeout counts as a failure of the minion. A shorter attempt started close to
+// its deadline and says nothing about the minion.
 const minAttemptFactor = 2
 
-// Retry queues a finished request again. It returns false when the budget, the
-// deadline or the number of attempts forbids it; the caller then answers with
-// the failure. It must only be called for requests that no minion has started,
-// or that are idempotent.
+// Retry queues a finished request again. It returns false if the retry budget,
+// the deadline or the number of attempts forbids a retry; the caller then
+// returns the failure. Call it only for requests that no minion has started or
+// that are idempotent.
 func (b *Balancer) Retry(t *Ticket, o Outcome, now time.Duration) bool {
 	s, ok := b.services[t.Service]
 	if !ok || t.state != Finished || t.attempts >= maxAttempts {
@@ -94,13 +98,15 @@
 	return t.state != Refused
 }
 
-// maxAttempts bounds the starts of one request.
+// maxAttempts is the most attempts of one request.
 const maxAttempts = 4
 
+// earnRetry adds the share of one new request to the retry budget.
 func (b *Balancer) earnRetry() {
 	b.retryBudget = min(b.opts.RetryBurst, b.retryBudget+b.opts.RetryRatio)
 }
 
+// spendRetry takes one retry from the budget. It returns false if none is left.
 func (b *Balancer) spendRetry() bool {
 	if b.retryBudget < 1 {
 		return false
@@ -109,8 +115,9 @@
 	return true
 }
 
-// AttemptDeadline is when the current attempt must be given up. An idempotent
-// request keeps part of its time for another minion.
+// AttemptDeadline returns when the caller must give up the current attempt. The
+// first attempt of an idempotent request ends early enough to leave time for an
+// attempt on another minion.
 func (b *Balancer) AttemptDeadline(t *Ticket) time.Duration {
 	if !t.Idempotent || t.attempts > 1 {
 		return t.Deadline
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Balancer decides for one entry instance which request goes to which minion.
+// Balancer decides, for one entry instance, which request goes to which minion.
 // It is not safe for concurrent use.
 type Balancer struct {
 	opts  Options
@@ -17,30 +17,31 @@
 	services map[string]*service
 
 	draining bool
-	// urgent says that a slot request should go out at once.
+	// slotRequestDue reports whether a slot request should be sent at once.
 	slotRequestDue   bool
 	lastTicketNumber uint64
-	// retries is the retry budget in whole and parts of retries.
+	// retryBudget is the number of retries allowed now. Each request adds a
+	// fraction of a retry.
 	retryBudget float64
 	changed     []*Ticket
-	// candidates is kept between picks to save allocations.
+	// candidates is reused by each call of pick to save allocations.
 	candidates []*minion
 	counts     Counts
 }
 
-// Counts are running totals of a Balancer.
+// Counts holds the running totals of a Balancer.
 type Counts struct {
 	Submitted uint64
 	Started   uint64
 	Refused   uint64
 	Retried   uint64
-	// RetriesDenied counts retries that the budget or the deadline forbade.
+	// RetriesDenied counts retries that the retry budget or the deadline forbade.
 	RetriesDenied uint64
-	// Tripped counts circuit breakers that opened.
+	// Tripped counts how often a circuit breaker opened.
 	Tripped uint64
 }
 
-// NewBalancer returns a Balancer without slots.
+// NewBalancer returns a Balancer that has no slots yet.
 func NewBalancer(opts Options) *Balancer {
 	opts = opts.withDefaults()
 	b := &Balancer{
@@ -56,7 +57,7 @@
 	return b
 }
 
-// Submit takes a request. Afterwards the ticket is Started, Queued or Refused.
+// Submit accepts a request. The returned ticket is Started, Queued or Refused.
 func (b *Balancer) Submit(r Request, now time.Duration) *Ticket {
 	b.releaseLingering(now)
 	b.lastTicketNumber++
@@ -77,7 +78,7 @@
 		return t
 	}
 	if !ok {
-		// No leader has answered yet: the service may well exist.
+		// No leader has answered yet, so the service may exist.
 		s = newService(r.Service, b.opts.FirstEstimate, now)
 		b.services[r.Service] = s
 	}
@@ -86,12 +87,13 @@
 	return t
 }
 
-// maxUnknownServices bounds the services that callers may name before any
-// leader has told which exist, so that made up names can't fill the memory.
+// maxUnknownServices bounds the services that callers may name before a leader
+// has told which services exist. Without the bound, invented names could fill
+// the memory.
 const maxUnknownServices = 64
 
-// enqueue queues the ticket, gives out free slots and then refuses what the
-// queue can't carry.
+// enqueue queues the ticket, assigns free slots and then refuses what the queue
+// can't start in time.
 func (b *Balancer) enqueue(s *service, t *Ticket, now time.Duration) {
 	t.queuedAt = now
 	s.enqueue(t)
@@ -106,8 +108,8 @@
 	b.admit(s, t, now)
 }
 
-// Cancel gives up a queued request: its caller went away. A started one is
-// ended by Finish with Abandoned.
+// Cancel removes a queued request whose caller has gone away. A started request
+// ends by Finish with Abandoned instead.
 func (b *Balancer) Cancel(t *Ticket, now time.Duration) {
 	if t.state != Queued {
 		return
@@ -117,7 +119,7 @@
 	b.releaseLingering(now)
 }
 
-// Expire refuses a queued request that can't be answered in time any more. It
+// Expire refuses a queued request that can no longer be answered in time. It
 // does nothing before QueueDeadline.
 func (b *Balancer) Expire(t *Ticket, now time.Duration) {
 	if t.state != Queued || now < b.QueueDeadline(t) {
@@ -128,7 +130,7 @@
 	b.refuse(s, t, TooLate, now)
 }
 
-// QueueDeadline is when a queued request gets its refusal if it isn't started by then.
+// QueueDeadline returns when a queued request is refused unless it has started.
 func (b *Balancer) QueueDeadline(t *Ticket) time.Duration {
 	s, ok := b.services[t.Service]
 	if !ok {
@@ -138,46 +140,49 @@
 	return min(b.latestStart(s, t), latest)
 }
 
-// maxWait is the longest estimated wait at which a request is accepted.
+// maxWait returns the longest estimated wait at which a request of the service
+// is accepted.
 func (b *Balancer) maxWait(s *service) time.Duration {
 	return max(b.opts.MaxWait, 2*s.serviceTimes.mean)
 }
 
-// maxWaitFactor times MaxWait is the longest real wait of a request.
+// maxWaitFactor times maxWait is the longest time that a request stays queued.
 const maxWaitFactor = 2
 
-// SendDeadline is when the request may no longer be sent: not one byte of it may
-// be written after that.
+// SendDeadline returns until when a started request may be sent to its minion.
+// No byte of it may be written later.
 func (b *Balancer) SendDeadline(t *Ticket) time.Duration {
 	return min(b.lease.expiresAt, t.minion.usableUntil(b.opts.Lease.MinionTTL))
 }
 
-// Target returns where a started request goes.
+// Target returns the minion that a started request is sent to.
 func (b *Balancer) Target(t *Ticket) Target { return t.minion.target() }
 
-// Changed returns the tickets that became Started or Refused since the last call.
+// TakeChanged returns the tickets that became Started or Refused since the last
+// call.
 func (b *Balancer) TakeChanged() []*Ticket {
 	changed := b.changed
 	b.changed = nil
 	return changed
 }
 
-// Urgent says whether a slot request should go out at once.
+// SlotRequestDue reports whether a slot request should be sent at once.
 func (b *Balancer) SlotRequestDue() bool { return b.slotRequestDue }
 
-// StopAccepting refuses every request from now on. Queued and started ones go on.
+// StopAccepting makes the Balancer refuse every new request. Queued and started
+// requests continue.
 func (b *Balancer) StopAccepting() {
 	b.draining = true
 	b.slotRequestDue = true
 }
 
-// Tick brings everything that depends on the time up to now.
+// Tick releases lingering slots and starts queued requests on free ones.
 func (b *Balancer) Tick(now time.Duration) {
 	b.releaseLingering(now)
 	b.dispatchAllServices(now)
 }
 
-// QueueLength returns how many requests wait.
+// QueueLength returns the number of queued requests.
 func (b *Balancer) QueueLength() int {
 	n := 0
 	for _, s := range b.services {
@@ -186,7 +191,7 @@
 	return n
 }
 
-// Running returns how many requests are in progress.
+// InFlight returns the number of started requests that have not finished.
 func (b *Balancer) InFlight() int {
 	n := 0
 	for _, s := range b.services {
@@ -195,7 +200,7 @@
 	return n
 }
 
-// GrantedSlots returns how many slots the adopted grants allow.
+// GrantedSlots returns the number of slots in the adopted grants.
 func (b *Balancer) GrantedSlots() int {
 	n := 0
 	for _, m := range b.minions {
@@ -204,7 +209,7 @@
 	return n
 }
 
-// OpenBreakers returns how many minions are kept out by their circuit breaker.
+// OpenBreakers returns the number of minions with an open circuit breaker.
 func (b *Balancer) OpenBreakers() int {
 	n := 0
 	for _, m := range b.minions {
@@ -215,9 +220,10 @@
 	return n
 }
 
-// Counts returns the running totals.
+// Counts returns the running totals since the start.
 func (b *Balancer) Counts() Counts { return b.counts }
 
+// releaseLingering releases the lingering slots whose time has passed.
 func (b *Balancer) releaseLingering(now time.Duration) {
 	for _, m := range b.minions {
 		if len(m.lingeringUntil) > 0 {
@@ -226,6 +232,7 @@
 	}
 }
 
+// dispatchAllServices dispatches the queue of every service.
 func (b *Balancer) dispatchAllServices(now time.Duration) {
 	for _, s := range b.services {
 		if len(s.queue) > 0 {
@@ -234,7 +241,8 @@
 	}
 }
 
-// dispatch gives free slots to queued requests.
+// dispatch assigns free slots to the queued requests of a service. It refuses
+// those that can no longer be answered by their deadline.
 func (b *Balancer) dispatch(s *service, now time.Duration) {
 	for len(s.queue) > 0 {
 		t := s.nextTicket(b.sharedSlots(s, now))
@@ -251,8 +259,8 @@
 	}
 }
 
-// sharedSlots is the number of slots that customers share; only needed when there
-// are several.
+// sharedSlots returns the number of slots that the customers of a service
+// share. It is 0 with one customer, where shares don't matter.
 func (b *Balancer) sharedSlots(s *service, now time.Duration) int {
 	if len(s.customers) <= 1 {
 		return 0
@@ -260,13 +268,16 @@
 	return b.usableSlots(s, now)
 }
 
-// latestStart is when a request must start to be answered by its deadline. One
-// that never had more time than that may still be tried at once; one that has
-// waited until then takes the slot from others for little hope.
+// latestStart returns when a request must start to be answered by its deadline,
+// going by the tail service time. A request that waited past that time would
+// take a slot from others with little chance to finish. A request whose deadline
+// was closer than that when it was queued may start until only the mean service
+// time is left.
 //
-// Failure: a service was slow for a while; then every request that has less time
-// is refused for it, none is started, and nothing tells that it is fast again.
-// Guard: with nothing known of late, one at a time is tried.
+// Guards against refusing a service's requests forever: after a slow period the
+// estimate refuses all requests with short deadlines, so none starts and the
+// estimate never improves. Without recent samples, one request at a time is
+// therefore started regardless of the estimate.
 func (b *Balancer) latestStart(s *service, t *Ticket) time.Duration {
 	if b.opts.Baseline {
 		return t.Deadline
@@ -282,9 +293,10 @@
 	}
 }
 
+// start gives the ticket a slot of minion m.
 func (b *Balancer) start(s *service, t *Ticket, m *minion, now time.Duration) {
 	invariant(m.inFlight() < m.slots, "no free slot on the minion")
-	invariant(now < b.lease.expiresAt, "slot lease has ended")
+	invariant(now < b.lease.expiresAt, "slot lease has expired")
 	s.dequeue(t)
 	s.running++
 	s.customer(t.Customer).running++
@@ -300,7 +312,7 @@
 	b.changed = append(b.changed, t)
 }
 
-// refuse gives a ticket its final answer. It is in no queue.
+// refuse gives the final answer to a ticket that is in no queue.
 func (b *Balancer) refuse(s *service, t *Ticket, reason Reason, now time.Duration) {
 	t.state = Refused
 	t.refusal = &Refusal{Reason: reason, RetryAfter: b.retryAfter(s, reason, now)}
--- a/routing/breaker.go
+++ b/routing/breaker.go
@@ -2,45 +2,53 @@
 
 import "time"
 
-// Bounds of the circuit breaker of one minion.
+// Settings of the circuit breaker of one minion.
 const (
-	// maxConsecutiveFailures in a row open the breaker: refused or broken connections
-	// and missing answers.
+	// maxConsecutiveFailures is the number of consecutive refused or broken
+	// connections or timeouts that opens the breaker.
 	maxConsecutiveFailures = 2
-	// maxFailureRate of failure answers opens the breaker, after minRateSamples answers.
+	// maxFailureRate is the moving average of failed attempts above which the
+	// breaker opens, once there are minRateSamples attempts. failureWeight is the
+	// weight of the newest attempt.
 	maxFailureRate = 0.5
 	minRateSamples = 6
 	failureWeight  = 0.15
-	// slowFactor over the usual time of the service's minions opens the breaker.
+	// slowFactor times the typical service time of the service's minions, plus
+	// slowMargin, is the average service time above which the breaker opens, once
+	// there are minTimeSamples attempts. averageTimeWeight is the weight of the
+	// newest attempt in the average.
 	slowFactor        = 4
 	minTimeSamples    = 5
 	slowMargin        = 20 * time.Millisecond
 	averageTimeWeight = 0.2
 
+	// firstBackoff is the time from opening to the first probe. It doubles with
+	// each failed probe, up to maxBackoff.
 	firstBackoff = time.Second
 	maxBackoff   = 10 * time.Second
-	// cautious is how many backoffs pass before a request that isn't
-	// idempotent may be the probe.
+	// nonIdempotentBackoffs is the number of backoffs after which a request that
+	// isn't idempotent may be the probe.
 	nonIdempotentBackoffs = 3
 )
 
-// breaker keeps load away from one minion that fails or is slow.
+// breaker is the circuit breaker of one minion. It keeps requests away from a
+// minion that fails or is slow.
 type breaker struct {
 	open     bool
 	probing  bool
 	openedAt time.Duration
 	backoff  time.Duration
-	// closed is when the breaker closed last.
+	// closedAt is when the breaker last closed.
 	closedAt time.Duration
 
 	consecutiveFailures int
 	failureRate         float64
 	samples             int
-	// usual is the moving average of service times.
+	// averageTime is the moving average of the service times.
 	averageTime time.Duration
 }
 
-// probeDue says whether a request may try out the minion.
+// probeDue reports whether a request may probe the minion.
 func (b *breaker) probeDue(idempotent bool, now time.Duration) bool {
 	if !b.open || b.probing {
 		return false
@@ -52,6 +60,8 @@
 	return now >= b.openedAt+wait
 }
 
+// trip opens the breaker and doubles its backoff. The backoff starts over if the
+// breaker has been closed for longer than maxBackoff.
 func (b *breaker) trip(now time.Duration) {
 	if !b.open && now-b.closedAt > maxBackoff {
 		b.backoff = 0
@@ -62,19 +72,19 @@
 	b.probing = false
 }
 
-// reset closes the breaker and forgets what was measured.
+// reset closes the breaker and clears its measurements.
 func (b *breaker) reset(now time.Duration) {
 	*b = breaker{backoff: b.backoff, closedAt: now}
 }
 
-// observe takes the outcome of an attempt. Usual is the usual service time of
-// the service's minions and mayTripOnRate whether answers that tell of failures may
-// open the breaker. It returns whether the breaker has just closed.
+// observe records the end of an attempt. typicalTime is the median service time
+// of the service's minions; mayTripOnRate allows the breaker to open because of
+// its failure rate. It returns whether the breaker has just closed.
 //
-// Failure: a minion that fails at once is always free and would attract all
-// load; one that is slow or never answers would hold its slots and the
-// requests on them. Guard: each of these opens the breaker, and only single
-// probes go there until one succeeds in the usual time.
+// Guards against two faults of a minion. One that fails at once is always free
+// and would attract all requests. One that is slow or never answers would hold
+// its slots and the requests in them. Either opens the breaker; then only single
+// probes reach the minion until one succeeds in the typical time.
 func (b *breaker) observe(a attempt, typicalTime time.Duration, mayTripOnRate bool, now time.Duration) (closed bool) {
 	if b.open {
 		return a.probe && b.finishProbe(a, typicalTime, now)
@@ -86,13 +96,14 @@
 	return false
 }
 
-// attempt is how one attempt ended.
+// attempt is the result of one attempt.
 type attempt struct {
 	outcome Outcome
 	took    time.Duration
 	probe   bool
 }
 
+// record updates the measurements with one attempt.
 func (b *breaker) record(o Outcome, took time.Duration) {
 	b.samples++
 	failure := 0.0
@@ -112,6 +123,7 @@
 	b.failureRate += failureWeight * (failure - b.failureRate)
 }
 
+// updateAverageTime adds a service time to the moving average.
 func (b *breaker) updateAverageTime(took time.Duration) {
 	if b.averageTime == 0 {
 		b.averageTime = took
@@ -120,6 +132,7 @@
 	b.averageTime += time.Duration(averageTimeWeight * float64(took-b.averageTime))
 }
 
+// shouldTrip reports whether the measurements require the breaker to open.
 func (b *breaker) shouldTrip(typicalTime time.Duration, mayTripOnRate bool) bool {
 	if b.consecutiveFailures >= maxConsecutiveFailures {
 		return true
@@ -130,6 +143,8 @@
 	return b.samples >= minTimeSamples && tooSlow(b.averageTime, typicalTime)
 }
 
+// finishProbe closes the breaker after a successful probe and opens it again
+// after a failed or slow one. It returns whether the breaker closed.
 func (b *breaker) finishProbe(a attempt, typicalTime, now time.Duration) bool {
 	b.probing = false
 	if a.outcome.failed() || (a.outcome == Answered && tooSlow(a.took, typicalTime)) {
@@ -140,6 +155,8 @@
 	return true
 }
 
+// tooSlow reports whether took is far above the typical service time. It is
+// false while the typical time is unknown.
 func tooSlow(took, typicalTime time.Duration) bool {
 	return typicalTime > 0 && took > slowFactor*typicalTime+slowMargin
 }
--- a/routing/charge.go
+++ b/routing/charge.go
@@ -5,57 +5,63 @@
 	"time"
 )
 
-// grantSet is one answer's complete grants, by number of minion.
+// grantSet holds the complete grants of one response, by minion number.
 type grantSet struct {
 	sequence uint64
 	slots    map[uint32]int
-	// freeAt is when no request begun under the set can be in progress.
+	// freeAt is when every request that started under the grants has ended.
 	freeAt time.Duration
 }
 
-// residue is what an ended process of an entry instance may have left behind.
+// terminatedProcess holds the slots that a terminated process of an entry
+// instance may still occupy.
 type terminatedProcess struct {
 	occupied map[uint32]int
 	freeAt   time.Duration
 }
 
-// description is the version of a minion that an answer told.
+// sentAnnouncement identifies the announcement of a minion that a response sent
+// to an entry instance.
 type sentAnnouncement struct {
 	version  uint64
 	sequence uint64
 }
 
-// never is later than any time a process lives to see.
+// farFuture is later than any time that a process reaches.
 const farFuture = time.Duration(1<<63 - 1)
 
-// entryRecord is what the Divider knows of one entry instance.
+// entryRecord is the Allocator's record of one entry instance.
 type entryRecord struct {
 	id            string
 	incarnation   uint64
 	sequence      uint64
 	lastRequestAt time.Duration
-	// claimed says that a full request arrived in this term.
+	// claimed reports whether the entry instance has sent a full request in
+	// this term.
 	claimed  bool
 	draining bool
 	demand   map[string]int
-	// adopted is the sequence of the answer in use at the entry instance.
+	// adopted is the sequence of the response that the entry instance uses.
 	adopted uint64
-	// sets are the answers that the entry instance may use, oldest first.
+	// grantSets are the responses that the entry instance may use, oldest first.
 	grantSets []grantSet
-	// uses are the requests in progress as last reported, which may last
-	// until inFlightUntil.
+	// inFlight is the reported number of requests in flight by minion. All of
+	// them have ended at inFlightUntil.
 	inFlight      map[uint32]int
 	inFlightUntil time.Duration
 	terminated    []terminatedProcess
-	// own is the upper bound of requests in progress by minion of the current
-	// process; charges adds what ended processes left. Both hold until nextFreeAt.
+	// ownOccupied is the upper bound of the current process's requests in flight,
+	// by minion. occupied adds the slots of terminated processes. Both need no
+	// update before nextFreeAt.
 	ownOccupied map[uint32]int
 	occupied    map[uint32]int
 	nextFreeAt  time.Duration
-	// described says which minions the entry instance was told about.
+	// sentAnnouncements has the announcements sent to the entry instance, by
+	// minion number.
 	sentAnnouncements map[uint32]sentAnnouncement
 }
 
+// newEntryRecord returns the record of an entry instance that holds no slots.
 func newEntryRecord(id string, incarnation uint64) *entryRecord {
 	return &entryRecord{
 		id:                id,
@@ -65,8 +71,8 @@
 	}
 }
 
-// restart begins a new incarnation. The process before has ended, so its
-// charges need not wait for its lease.
+// restart begins a new incarnation. The earlier process has terminated, so its
+// slots are released after restartLinger without waiting for its lease.
 func (e *entryRecord) restart(incarnation uint64, now time.Duration) {
 	left := terminatedProcess{occupied: e.occupied, freeAt: now + restartLinger}
 	kept := append(e.terminated, left)
@@ -75,8 +81,8 @@
 	e.occupied = left.occupied
 }
 
-// supersede drops the answers older than the adopted one: the entry instance
-// never goes back to them.
+// adopt drops the responses before the adopted one; the entry instance can't
+// return to them.
 func (e *entryRecord) adopt(adopted uint64) {
 	e.adopted = adopted
 	for len(e.grantSets) > 0 && e.grantSets[0].sequence < adopted {
@@ -84,7 +90,7 @@
 	}
 }
 
-// latest returns the newest answer's grants.
+// latestGrants returns the grants of the newest response, or nil.
 func (e *entryRecord) latestGrants() map[uint32]int {
 	if len(e.grantSets) == 0 {
 		return nil
@@ -92,7 +98,8 @@
 	return e.grantSets[len(e.grantSets)-1].slots
 }
 
-// base returns the grants that the entry instance is known to have adopted.
+// adoptedGrants returns the grants that the entry instance is known to have
+// adopted. It returns false if they are no longer recorded.
 func (e *entryRecord) adoptedGrants() (map[uint32]int, bool) {
 	for _, s := range e.grantSets {
 		if s.sequence == e.adopted {
@@ -102,14 +109,14 @@
 	return nil, false
 }
 
-// recharge works out the charges of an entry instance at now.
+// updateOccupied recomputes the occupied slots of an entry instance.
 //
-// Failure: an answer that takes slots away may be lost, and requests begun
-// before a lease ended may still run; counting only the last answer would give
-// the same slot twice. Guard: the charge is the largest of every answer that
-// may be in use and of the reported requests in progress. An answer counts
-// until a later one is known to be adopted, or until its lease and the longest
-// request begun under it have ended.
+// Guards against granting a slot twice: a response that takes slots away may be
+// lost, and requests that started before a lease expired may still run. The
+// occupied slots are therefore the maximum over every response that may be in
+// use and over the reported requests in flight. A response counts until a later
+// one is known to be adopted, or until its lease and the longest request
+// started under it have ended.
 func (d *Allocator) updateOccupied(e *entryRecord, now time.Duration) {
 	ownOccupied := make(map[uint32]int)
 	e.nextFreeAt = farFuture
@@ -134,6 +141,8 @@
 	e.occupied = occupied
 }
 
+// addTerminated adds the slots of terminated processes to occupied and drops
+// those that are released by now.
 func (d *Allocator) addTerminated(e *entryRecord, occupied map[uint32]int, now time.Duration) {
 	kept := e.terminated[:0]
 	for _, r := range e.terminated {
@@ -149,7 +158,8 @@
 	e.terminated = kept
 }
 
-// recount replaces the old charges of an entry instance in the sums of minions.
+// replaceOccupied replaces the occupied slots of one entry instance in the sums
+// of the minions.
 func (d *Allocator) replaceOccupied(old, occupied map[uint32]int) {
 	for number, slots := range old {
 		if m, ok := d.byNumber[number]; ok {
@@ -159,11 +169,12 @@
 	for number, slots := range occupied {
 		if m, ok := d.byNumber[number]; ok {
 			m.occupied += slots
-			invariant(m.occupied >= 0, "negative charge")
+			invariant(m.occupied >= 0, "negative number of occupied slots")
 		}
 	}
 }
 
+// raiseTo raises each bound to at least the number of slots.
 func raiseTo(bounds, slots map[uint32]int) {
 	for number, n := range slots {
 		if n > bounds[number] {
--- a/routing/divide.go
+++ b/routing/divide.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// divide works out the grants of an entry instance for all services.
+// allocate computes the grants of an entry instance for all services.
 func (d *Allocator) allocate(e *entryRecord, now time.Duration) map[uint32]int {
 	grants := make(map[uint32]int)
 	if e.draining {
@@ -14,15 +14,15 @@
 	return grants
 }
 
-// serviceGroup is the usable minions of one service.
+// serviceGroup holds the usable minions of one service.
 type serviceGroup struct {
 	name    string
 	minions []*minionRecord
-	// capacity is the sum of slots that no reserve holds.
+	// capacity is the number of slots that are not reserved.
 	capacity int
 }
 
-// services returns the usable minions by service, in the order of numbers.
+// serviceGroups returns the usable minions by service, ordered by minion number.
 func (d *Allocator) serviceGroups() []*serviceGroup {
 	var groups []*serviceGroup
 	byName := make(map[string]*serviceGroup)
@@ -42,7 +42,7 @@
 	return groups
 }
 
-// allocateService adds the grants of one service to grants.
+// allocateService adds the grants for one service to grants.
 func (d *Allocator) allocateService(e *entryRecord, g *serviceGroup, grants map[uint32]int, now time.Duration) {
 	share := d.fairShare(e, g, now)
 	free := make([]int, len(g.minions))
@@ -63,16 +63,17 @@
 	grow(g, grants, free, share-total, d.entryIndex(e.id))
 }
 
-// target is the fair part of the service's capacity: demand is served evenly
-// (max-min), and what nobody wants is spread evenly, so that every entry
-// instance can serve a burst before its next renewal.
+// fairShare returns the entry instance's share of a service's capacity. Demand
+// is served with max-min fairness. Capacity beyond the demand is spread evenly,
+// so that every entry instance can serve a burst before its next renewal.
 func (d *Allocator) fairShare(e *entryRecord, g *serviceGroup, now time.Duration) int {
 	demands, own := d.demands(e, g.name, now)
 	shares := waterFill(g.capacity, demands)
 	return shares[own]
 }
 
-// wants returns the demands of the live entry instances and the place of e.
+// demands returns the demands of all live entry instances and the index of e
+// among them.
 func (d *Allocator) demands(e *entryRecord, service string, now time.Duration) (demands []int, own int) {
 	for _, id := range d.order {
 		other := d.entries[id]
@@ -87,13 +88,15 @@
 	return demands, own
 }
 
+// live reports whether the entry instance has claimed its slots, isn't draining
+// and has sent a request within the lease time.
 func (d *Allocator) live(e *entryRecord, now time.Duration) bool {
 	return e.claimed && !e.draining && now-e.lastRequestAt < d.opts.Lease
 }
 
-// shortage is how many slots the other entry instances lack of their targets
-// after all free slots are given out. Nothing is taken from an entry instance
-// without need, so that small swings of demand cost no messages.
+// unmetMinimum returns how many slots the other entry instances lack of their
+// minimum shares after all free slots are granted. Only that many are taken
+// away, so that small changes of demand cause no messages.
 func (d *Allocator) unmetMinimum(e *entryRecord, g *serviceGroup, now time.Duration) int {
 	unmet := 0
 	for _, id := range d.order {
@@ -114,15 +117,16 @@
 	return max(0, unmet)
 }
 
-// need is what an entry instance is short of when it holds less: its demand, or
-// half of its even part, so that a new one can begin to serve.
+// minimumShare returns the slots that an entry instance must be able to get: its
+// demand, or half of its fair share, so that a new entry instance can start to
+// serve.
 func (d *Allocator) minimumShare(e *entryRecord, g *serviceGroup, now time.Duration) int {
 	share := d.fairShare(e, g, now)
 	return min(share, max(e.demand[g.name], share/2))
 }
 
-// position is the place of an entry instance among all, to start its search
-// for free slots at different minions than the others.
+// entryIndex returns the index of an entry instance among all of them. It makes
+// each of them start its search for free slots at a different minion.
 func (d *Allocator) entryIndex(id string) int {
 	for i, other := range d.order {
 		if other == id {
@@ -132,7 +136,8 @@
 	return 0
 }
 
-// shrink takes slots away, idle ones and those of the most granted minions first.
+// shrink takes excess slots away: idle slots first, and among these from the
+// minion with the most granted slots.
 func shrink(g *serviceGroup, grants, inFlight map[uint32]int, excess int) {
 	for ; excess > 0; excess-- {
 		best := uint32(0)
@@ -157,10 +162,11 @@
 	}
 }
 
-// idleSlotBonus outweighs any count of slots, so that idle slots are taken first.
+// idleSlotBonus exceeds any number of slots, so that idle slots are taken first.
 const idleSlotBonus = 1 << 20
 
-// grow adds slots where the most are free, and among those where the least are held.
+// grow grants missing slots, each on the minion with the fewest granted slots
+// and, among those, the most free slots.
 func grow(g *serviceGroup, grants map[uint32]int, free []int, missing, entryIndex int) {
 	n := len(g.minions)
 	for ; missing > 0; missing-- {
@@ -182,9 +188,10 @@
 	}
 }
 
-// growStride keeps the starting points of entry instances apart.
+// growStride separates the minions at which entry instances start their search.
 const growStride = 7
 
+// preferred reports whether minion i is a better choice than minion best.
 func preferred(g *serviceGroup, grants map[uint32]int, free []int, i, best int) bool {
 	heldI, heldBest := grants[g.minions[i].number], grants[g.minions[best].number]
 	if heldI != heldBest {
@@ -193,8 +200,8 @@
 	return free[i] > free[best]
 }
 
-// waterFill divides capacity by max-min fairness on wants and spreads the rest
-// evenly. The shares sum to capacity.
+// waterFill divides capacity among demands with max-min fairness and spreads
+// the rest evenly. The shares sum to capacity.
 func waterFill(capacity int, demands []int) []int {
 	shares := make([]int, len(demands))
 	left := capacity
@@ -225,8 +232,8 @@
 	return shares
 }
 
-// respond records the grants as outstanding and tells what differs from the
-// answer that the entry instance uses.
+// respond records the grants as outstanding and builds the response, which has
+// the differences from the response that the entry instance uses.
 func (d *Allocator) respond(e *entryRecord, req SlotRequest, grants map[uint32]int, now time.Duration) SlotResponse {
 	base, known := e.adoptedGrants()
 	if req.Full {
@@ -257,8 +264,8 @@
 	return resp
 }
 
-// grant builds the grant of one minion, with its description where the entry
-// instance isn't known to have it.
+// grant builds the grant of one minion. It adds the announcement, and returns
+// true, if the entry instance isn't known to have it.
 func (d *Allocator) grant(e *entryRecord, m *minionRecord, slots int, sequence uint64) (Grant, bool) {
 	g := Grant{Number: m.number, Slots: slots}
 	if !m.announced {
@@ -280,9 +287,9 @@
 	return g, true
 }
 
-// checkOccupied asserts that a grant never takes a minion over its slots. Slots
-// claimed from earlier terms may exceed what the minion now announces; those
-// are never granted beyond the charge that they had.
+// checkOccupied asserts that a grant never exceeds the slots of a minion. Slots
+// claimed from earlier terms may exceed what the minion announces now; they are
+// never granted beyond what was occupied already.
 func (d *Allocator) checkOccupied(e *entryRecord) {
 	if !checkInvariants {
 		return
--- a/routing/divider.go
+++ b/routing/divider.go
@@ -7,52 +7,52 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Reasons for which a SlotRequest gets no answer.
+// Errors of Allocate. The request gets no response.
 var (
-	// ErrNotLeading says that the Divider has not been told to lead.
+	// ErrNotLeading is returned while the Allocator isn't leading.
 	ErrNotLeading = errors.New("not leading")
-	// ErrHigherTerm says that the request has seen a higher term.
-	ErrHigherTerm = errors.New("a higher term leads")
-	// ErrStale says that the request is a late or second copy.
-	ErrStale = errors.New("request is older than one already answered")
+	// ErrHigherTerm is returned if the sender has seen a higher term.
+	ErrHigherTerm = errors.New("request is from a higher term")
+	// ErrStale is returned for a delayed or duplicate request.
+	ErrStale = errors.New("request is older than one that was answered, or a duplicate")
 )
 
-// restartLinger is how long slots of an ended entry process stay counted after
-// its successor reports. The kernel has closed the connections of the ended
-// process; minions need this long to notice.
+// restartLinger is how long the slots of a terminated entry process stay
+// occupied after its successor's first request. The kernel has closed the
+// process's connections by then; minions need this long to notice.
 const restartLinger = time.Second
 
-// forgetAfter is how long a minion that left is remembered, so that late
-// copies of its announcements don't bring it back.
+// forgetAfter is how long a minion that left stays recorded, so that delayed
+// duplicates of its announcements don't bring it back.
 const forgetAfter = 10 * time.Minute
 
-// Divider divides the slots of the minions of one data centre among its entry
-// instances. It belongs to the leader of the data centre. It is not safe for
+// Allocator allocates the slots of one data centre's minions to its entry
+// instances. It runs on the leader of the data centre and is not safe for
 // concurrent use.
 //
-// What keeps a minion at or under its slots: for each entry instance and minion
-// the Divider keeps an upper bound of the requests that may be in progress (the
-// charge), and grants only what the charges of all entry instances leave free.
+// It keeps each minion within its slots: for each entry instance and minion it
+// records an upper bound of the requests that may be in flight (the occupied
+// slots), and it grants only the slots that no entry instance occupies.
 type Allocator struct {
 	opts LeaseOptions
 
 	leading bool
 	term    uint64
-	// reserveEnds is when no predecessor's grant, nor a request begun under
-	// one, can still be in force.
+	// reserveEnds is when every grant of an earlier leader has expired and every
+	// request started under one has ended.
 	reserveEnds time.Duration
-	// awaited are the entry instances that haven't claimed in this term yet.
+	// unclaimed has the entry instances that have not claimed in this term yet.
 	unclaimed map[string]bool
 
 	minions    map[string]*minionRecord
 	byNumber   map[uint32]*minionRecord
-	list       []*minionRecord // all minions, in the order of numbers
+	list       []*minionRecord // all minions, ordered by number
 	lastNumber uint32
 	entries    map[string]*entryRecord
 	order      []string // entry instances, sorted
 }
 
-// minionRecord is what the Divider knows of one minion.
+// minionRecord is the Allocator's record of one minion.
 type minionRecord struct {
 	Announcement
 	number uint32
@@ -60,24 +60,26 @@
 	announced   bool
 	lastHeardAt time.Duration
 	gone        bool
-	// version grows with each change that entry instances must learn.
+	// version grows with each change that entry instances must learn of.
 	version uint64
-	// charged is the sum of all charges on the minion.
+	// occupied is the sum of the occupied slots of all entry instances.
 	occupied int
-	// reserve is how many slots a predecessor may have granted to entry
-	// instances that haven't claimed yet.
+	// reserved is the number of slots that an earlier leader may have granted to
+	// entry instances that have not claimed yet.
 	reserved int
 }
 
+// usable reports whether the minion may get requests.
 func (m *minionRecord) usable() bool { return m.announced && !m.gone }
 
-// NewAllocator returns a Divider that grants nothing until Lead.
+// NewAllocator returns an Allocator that grants nothing until Lead.
 func NewAllocator(opts LeaseOptions) *Allocator {
 	d := &Allocator{opts: opts.withDefaults()}
 	d.reset()
 	return d
 }
 
+// reset clears all records.
 func (d *Allocator) reset() {
 	d.minions = make(map[string]*minionRecord)
 	d.byNumber = make(map[uint32]*minionRecord)
@@ -88,15 +90,15 @@
 	d.unclaimed = make(map[string]bool)
 }
 
-// Lead begins the leadership of a term. The caller must be sure that no leader
-// of an earlier term grants from now on. Entries lists the entry instances of
-// the data centre; once all of them have claimed what they hold there is
-// nothing left to wait out. With an empty list the whole time is waited out.
+// Lead begins the leadership of a term. The caller must make sure that no leader
+// of an earlier term grants slots from now on. entries lists the entry instances
+// of the data centre; the reservation ends early once all of them have claimed.
+// With an empty list it lasts its whole time.
 //
-// Failure: a new leader that grants at once what its predecessor granted to
-// another entry instance puts a minion over its slots. Guard: whatever hasn't
-// been claimed stays reserved until the predecessor's last lease, and the
-// requests begun under it, must have ended.
+// Guards against overload of a minion: a new leader that grants slots granted to
+// another entry instance by the previous leader would exceed the minion's slots.
+// Slots that nobody has claimed stay reserved until the last lease of the
+// previous leader has expired and the requests started under it have ended.
 func (d *Allocator) Lead(term uint64, entries []string, now time.Duration) {
 	d.reset()
 	d.leading = true
@@ -113,8 +115,8 @@
 // Term returns the term of the current or last leadership.
 func (d *Allocator) Term() uint64 { return d.term }
 
-// Announce takes a minion's announcement. An announcement of an earlier
-// incarnation is ignored, as is one that takes back Leaving.
+// Announce records a minion's announcement. It ignores an announcement of an
+// earlier incarnation and one that would undo Leaving.
 func (d *Allocator) Announce(a Announcement, now time.Duration) {
 	m := d.ensureMinion(a.Minion, now)
 	if m.announced && a.Incarnation < m.Incarnation {
@@ -136,8 +138,8 @@
 	d.reserveSlots(m, addedSlots, now)
 }
 
-// reserveSlots sets aside what a predecessor may have granted of the slots that
-// an announcement adds.
+// reserveSlots reserves the slots that an announcement adds and that an earlier
+// leader may have granted.
 func (d *Allocator) reserveSlots(m *minionRecord, addedSlots int, now time.Duration) {
 	if !d.reserveInForce(now) {
 		return
@@ -149,7 +151,7 @@
 	m.reserved = min(m.reserved+max(0, addedSlots), m.Slots)
 }
 
-// Leave takes a minion out of use.
+// Leave takes a minion out of use for the rest of its incarnation.
 func (d *Allocator) Leave(minion string, incarnation uint64, now time.Duration) {
 	m, ok := d.minions[minion]
 	if !ok || !m.announced || incarnation < m.Incarnation {
@@ -161,6 +163,7 @@
 	d.retire(m)
 }
 
+// retire takes a minion out of use. Later responses report it as gone.
 func (d *Allocator) retire(m *minionRecord) {
 	if m.gone {
 		return
@@ -169,7 +172,7 @@
 	m.version++
 }
 
-// minion returns the record of a minion and makes one where there is none.
+// ensureMinion returns the record of a minion and creates it if there is none.
 func (d *Allocator) ensureMinion(name string, now time.Duration) *minionRecord {
 	if m, ok := d.minions[name]; ok {
 		return m
@@ -183,10 +186,11 @@
 	return m
 }
 
+// reserveInForce reports whether slots of an earlier leader are still reserved.
 func (d *Allocator) reserveInForce(now time.Duration) bool { return now < d.reserveEnds }
 
-// Share answers a request of an entry instance. The error is ErrNotLeading,
-// ErrHigherTerm or ErrStale; then there is no answer to send.
+// Allocate answers a slot request of an entry instance. On ErrNotLeading,
+// ErrHigherTerm and ErrStale there is no response to send.
 func (d *Allocator) Allocate(req SlotRequest, now time.Duration) (SlotResponse, error) {
 	if !d.leading {
 		return SlotResponse{}, ErrNotLeading
@@ -213,10 +217,12 @@
 	return d.respond(e, req, grants, now), nil
 }
 
-// accept finds the record of the sender and refuses late and second copies.
+// acceptRequest returns the record of the sender. It returns ErrStale for
+// delayed and duplicate requests.
 //
-// Failure: a late copy of a request would free slots that were granted since.
-// Guard: sequences only grow within an incarnation, and incarnations only grow.
+// Guards against freeing slots twice: a delayed duplicate of a request would
+// free slots that were granted since. Sequences only grow within an incarnation,
+// and incarnations only grow.
 func (d *Allocator) acceptRequest(req SlotRequest, now time.Duration) (*entryRecord, error) {
 	e, ok := d.entries[req.Entry]
 	if !ok {
@@ -240,8 +246,8 @@
 	return e, nil
 }
 
-// announced takes announcements that an entry instance passes on, and makes
-// sure that the answer tells what became of them.
+// applyAnnouncements records announcements that an entry instance passes on and
+// makes the response send back the current announcements of these minions.
 func (d *Allocator) applyAnnouncements(e *entryRecord, announcements []Announcement, now time.Duration) {
 	for _, a := range announcements {
 		d.Announce(a, now)
@@ -249,7 +255,8 @@
 	}
 }
 
-// refreshAlive takes the minions that an entry instance has heard itself.
+// refreshAlive records that an entry instance has received announcements of the
+// minions with these numbers.
 func (d *Allocator) refreshAlive(numbers []uint32, now time.Duration) {
 	for _, number := range numbers {
 		m, ok := d.byNumber[number]
@@ -259,7 +266,8 @@
 	}
 }
 
-// report takes what the entry instance says it holds and has in progress.
+// applyReport records the held slots, requests in flight and demand that a
+// request reports.
 func (d *Allocator) applyReport(e *entryRecord, req SlotRequest, now time.Duration) {
 	inFlight := make(map[uint32]int, len(req.Loads))
 	for _, u := range req.Loads {
@@ -267,7 +275,7 @@
 	}
 	e.adopt(req.Adopted)
 	if req.ReleaseAll {
-		// The sender uses no grant any more, whichever answer it comes from.
+		// The sender uses no grant of any response any more.
 		e.grantSets = nil
 	}
 	if req.Full {
@@ -283,9 +291,9 @@
 	d.updateOccupied(e, now)
 }
 
-// claim takes the slots that an entry instance holds by a grant of an earlier
-// term. The request names this term, so the entry instance takes no more
-// answers of earlier ones and the claim is final.
+// applyClaims records the slots that an entry instance holds by grants of an
+// earlier term. The request names this term, so the entry instance accepts no
+// more responses of earlier terms, and the claim is final.
 func (d *Allocator) applyClaims(e *entryRecord, req SlotRequest, inFlight map[uint32]int, now time.Duration) {
 	held := make(map[uint32]int, len(req.Claims))
 	for _, c := range req.Claims {
@@ -302,7 +310,8 @@
 	d.markClaimed(e.id, now)
 }
 
-// claimed ends the reserve early once every entry instance has claimed.
+// markClaimed shortens the reservation to restartLinger from now once every entry
+// instance has claimed.
 func (d *Allocator) markClaimed(entry string, now time.Duration) {
 	if !d.unclaimed[entry] {
 		return
@@ -313,12 +322,14 @@
 	}
 }
 
+// newGrantSet returns the record of a response sent at now.
 func (d *Allocator) newGrantSet(sequence uint64, slots map[uint32]int, now time.Duration) grantSet {
 	ends := now + d.opts.Lease + d.opts.Drift
 	return grantSet{sequence: sequence, slots: slots, freeAt: ends + d.opts.MaxRequest}
 }
 
-// sweep brings everything that depends on the time up to now.
+// expire updates everything that depends on the time: occupied and reserved
+// slots, minions without announcements and old records.
 func (d *Allocator) expire(now time.Duration) {
 	for _, id := range d.order {
 		e := d.entries[id]
@@ -345,6 +356,7 @@
 	d.list = kept
 }
 
+// forget deletes the record of a minion.
 func (d *Allocator) forget(m *minionRecord) {
 	delete(d.minions, m.Minion)
 	delete(d.byNumber, m.number)
@@ -353,7 +365,7 @@
 	}
 }
 
-// Minions returns the announcements of the minions in use.
+// Minions returns the announcements of the usable minions.
 func (d *Allocator) Minions() []Announcement {
 	var live []Announcement
 	for _, m := range d.list {
@@ -364,7 +376,7 @@
 	return live
 }
 
-// Charged returns the upper bound of requests in progress on a minion.
+// Occupied returns the upper bound of requests in flight on a minion.
 func (d *Allocator) Occupied(minion string) int {
 	if m, ok := d.minions[minion]; ok {
 		return m.occupied
--- a/routing/estimate.go
+++ b/routing/estimate.go
@@ -8,49 +8,56 @@
 )
 
 const (
-	// estimateWindow is how long service times count; a window of
-	// estimateWindowParts parts slides over them.
+	// estimateWindow is the length of one of the estimateWindowParts histograms
+	// of the sliding window.
 	estimateWindow      = 2 * time.Second
 	estimateWindowParts = 3
-	// estimateInterval is how often quantiles are read again.
+	// estimateInterval is how often the mean and the percentile are recomputed.
 	estimateInterval = 100 * time.Millisecond
-	// tailPercentile of the service times is expected of a request that must be
-	// answered by its deadline.
+	// tailPercentile is the percentile of the service times that a request is
+	// assumed to need when it must be answered by its deadline.
 	tailPercentile = 95
 
+	// maxServiceTime is the largest recorded service time; longer ones count as
+	// this. significantDigits is the precision of the histogram.
 	maxServiceTime    = 60 * time.Second
 	significantDigits = 2
 )
 
-// estimator knows the recent service times of one service.
+// estimator estimates the service times of one service from recent samples.
 type estimator struct {
 	window    *hdrhistogram.WindowedHistogram
 	rotatedAt time.Duration
 	readAt    time.Duration
-	// added is when the last service time was taken in.
+	// addedAt is when the last sample was added.
 	addedAt time.Duration
-	unread  bool
+	// unread reports whether samples were added since mean and tail were
+	// computed.
+	unread bool
 
 	samples int64
 	mean    time.Duration
 	tail    time.Duration
 }
 
+// newEstimator returns an estimator that assumes first until it has samples.
 func newEstimator(first time.Duration, now time.Duration) *estimator {
 	window := hdrhistogram.NewWindowed(estimateWindowParts, 1, maxServiceTime.Microseconds(), significantDigits)
 	return &estimator{window: window, rotatedAt: now, readAt: now, addedAt: now, mean: first, tail: first}
 }
 
+// add records a service time.
 func (e *estimator) add(took, now time.Duration) {
 	e.slide(now)
 	e.addedAt = now
 	micros := min(max(1, took.Microseconds()), maxServiceTime.Microseconds())
-	// The value is within the bounds given to NewWindowed, so there is no error.
+	// RecordValue can't fail: micros is within the bounds given to NewWindowed.
 	_ = e.window.Current.RecordValue(micros)
 	e.unread = true
 }
 
-// refresh reads mean and quantile again when it is time to.
+// refresh recomputes mean and tail from new samples if estimateInterval has
+// passed, or at once while they rest on fewer than 20 samples.
 func (e *estimator) refresh(now time.Duration) {
 	early := e.samples < 20 && e.unread
 	if now-e.readAt < estimateInterval && !early {
@@ -63,7 +70,7 @@
 	e.slide(now)
 }
 
-// slide drops the parts of the window that have passed.
+// slide drops the parts of the window that have expired.
 func (e *estimator) slide(now time.Duration) {
 	passed := int((now - e.rotatedAt) / estimateWindow)
 	if passed == 0 {
@@ -75,11 +82,12 @@
 	}
 }
 
-// stale says that no service time of the window is known any more.
+// stale reports whether the window has no sample any more.
 func (e *estimator) stale(now time.Duration) bool {
 	return now-e.addedAt >= estimateWindowParts*estimateWindow
 }
 
+// readWindow recomputes mean and tail from the window.
 func (e *estimator) readWindow() {
 	e.unread = false
 	merged := e.window.Merge()
@@ -91,7 +99,7 @@
 	e.tail = time.Duration(merged.ValueAtQuantile(tailPercentile)) * time.Microsecond
 }
 
-// median returns the middle of times, or 0 for none. It sorts times.
+// median returns the median of times, or 0 if there are none. It sorts times.
 func median(times []time.Duration) time.Duration {
 	if len(times) == 0 {
 		return 0
--- a/routing/invariant.go
+++ b/routing/invariant.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// checkInvariants is on in tests. Elsewhere a broken invariant must not take
-// the daemon down with the requests it carries.
+// checkInvariants is true in tests only. In production a violated invariant must
+// not crash the daemon and the requests that it carries.
 var checkInvariants = testing.Testing()
 
-// invariant panics in tests when something that must always hold doesn't.
+// invariant panics in tests if holds is false.
 func invariant(holds bool, message string) {
 	if checkInvariants && !holds {
 		panic("routing: invariant broken: " + message)
--- a/routing/load_cases_test.go
+++ b/routing/load_cases_test.go
@@ -8,15 +8,17 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
+// restartEntry stops an entry instance and starts it again after 1 s.
 func restartEntry(r *loadRun) {
 	e := r.entries[0]
 	e.up = false
 	r.at(r.now+time.Second, func() { r.startEntry(e) })
 }
 
+// loseEntry stops an entry instance for good.
 func loseEntry(r *loadRun) { r.entries[0].up = false }
 
-// loseLeader has nobody divide for 3 s, until a leader without memory does.
+// loseLeader stops the leader; after 3 s a new leader without state takes over.
 func loseLeader(r *loadRun) {
 	r.leader = false
 	r.at(r.now+3*time.Second, func() {
@@ -30,11 +32,13 @@
 	})
 }
 
+// loseLeaderAndEntry stops the leader and an entry instance at the same time.
 func loseLeaderAndEntry(r *loadRun) {
 	loseEntry(r)
 	loseLeader(r)
 }
 
+// removeHalfOfMinions makes half of the minions leave.
 func removeHalfOfMinions(r *loadRun) {
 	for _, m := range r.order[:len(r.order)/2] {
 		m.Leaving = true
@@ -42,6 +46,8 @@
 	}
 }
 
+// BenchmarkLoad simulates overload, faults, lost processes, a customer flood and
+// the policies, and reports the served load.
 func BenchmarkLoad(b *testing.B) {
 	var cases []loadCase
 	for _, load := range []float64{0.5, 1, 2, 3, 5} {
--- a/routing/load_report_test.go
+++ b/routing/load_report_test.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
+// perSecond returns a count of the measured period as a rate.
 func (r *loadRun) perSecond(n int) float64 { return float64(n) / (loadEnd - warmUp).Seconds() }
 
-// recovered is the first whole second after faultAt from which the work done
-// stays within a tenth of what it was before, in seconds after faultAt.
+// recovered returns the number of whole seconds after faultAt until the served
+// load stays above 90 % of what it was before the fault.
 func (r *loadRun) recovered() float64 {
 	first := int(faultAt / time.Second)
 	before := float64(r.goodBySecond[first-1]+r.goodBySecond[first-2]+r.goodBySecond[first-3]) / 3
@@ -22,6 +23,7 @@
 	return 0
 }
 
+// maxBusyOnMinion returns the most requests that any minion processed at a time.
 func (r *loadRun) maxBusyOnMinion() int {
 	most := 0
 	for _, m := range r.order {
@@ -30,6 +32,7 @@
 	return most
 }
 
+// report reports the results of the run as benchmark metrics.
 func (r *loadRun) report(b *testing.B) {
 	b.ReportMetric(0, "ns/op")
 	b.ReportMetric(math.Round(r.perSecond(r.good)), "good/s")
--- a/routing/load_test.go
+++ b/routing/load_test.go
@@ -13,6 +13,8 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
+// Durations and sizes of the simulation. The system runs without faults from
+// warmUp to faultAt.
 const (
 	loadSeed            = 7
 	loadSlots           = 8
@@ -25,28 +27,30 @@
 	slotRequestInterval = 500 * time.Millisecond
 	minSlotRequestGap   = 100 * time.Millisecond
 	announceInterval    = time.Second
-	// callOverheadBytes is what one small call costs beside its two messages, over HTTP/2.
+	// callOverheadBytes is the overhead of one small call over HTTP/2, without
+	// its two messages.
 	callOverheadBytes = 25
 	maxCallerRetries  = 2
 )
 
-// loadCase is one run.
+// loadCase is the configuration of one run.
 type loadCase struct {
 	name     string
 	entries  int
 	minions  int
-	load     float64 // offered work over the capacity of the minions
+	load     float64 // offered load as a multiple of the minions' capacity
 	policy   routing.Policy
 	baseline bool
-	// fault is given to the first faulty minions at faultAt.
+	// fault is injected into the first faulty minions at faultAt.
 	fault  minionFault
 	faulty int
-	// event happens at faultAt.
+	// event runs at faultAt.
 	event func(*loadRun)
-	// flood is the part of the requests that one customer sends.
+	// flood is the fraction of the requests that one customer sends.
 	flood float64
 }
 
+// minionFault is a fault of a simulated minion.
 type minionFault uint8
 
 const (
@@ -57,14 +61,16 @@
 	gone
 )
 
+// loadMinion is a simulated minion.
 type loadMinion struct {
 	routing.Announcement
 	fault   minionFault
 	busy    int
 	maxBusy int
-	queue   []*loadRequest // baseline only: the minion's own backlog
+	queue   []*loadRequest // the minion's own queue; baseline only
 }
 
+// loadEntry is a simulated entry instance.
 type loadEntry struct {
 	id                string
 	incarnation       uint64
@@ -74,6 +80,7 @@
 	nextSlotRequestAt time.Duration
 }
 
+// loadRequest is one request of a simulated caller.
 type loadRequest struct {
 	customer   string
 	retries    int
@@ -106,12 +113,14 @@
 	lastSendAfterLeave                     time.Duration
 }
 
+// loadEvent is a function that runs at a simulated time.
 type loadEvent struct {
 	at    time.Duration
 	order int
 	do    func()
 }
 
+// eventHeap orders events by time, then by insertion.
 type eventHeap []loadEvent
 
 func (h eventHeap) Len() int { return len(h) }
@@ -127,11 +136,13 @@
 	return last
 }
 
+// at schedules a function.
 func (r *loadRun) at(t time.Duration, do func()) {
 	r.count++
 	heap.Push(&r.events, loadEvent{at: t, order: r.count, do: do})
 }
 
+// newLoadRun returns a simulation with its first events scheduled.
 func newLoadRun(c loadCase) *loadRun {
 	r := &loadRun{
 		loadCase: c,
@@ -163,6 +174,7 @@
 	return r
 }
 
+// startEntry starts a new process of an entry instance.
 func (r *loadRun) startEntry(e *loadEntry) {
 	e.incarnation++
 	e.up = true
@@ -172,6 +184,7 @@
 	r.sendSlotRequest(e, e.balancer)
 }
 
+// injectFault injects the fault and runs the event of the case.
 func (r *loadRun) injectFault() {
 	for _, m := range r.order[:r.faulty] {
 		m.fault = r.fault
@@ -181,6 +194,7 @@
 	}
 }
 
+// announce sends a minion's announcement to all entry instances, periodically.
 func (r *loadRun) announce(m *loadMinion) {
 	if m.fault != gone {
 		for _, e := range r.entries {
@@ -193,7 +207,8 @@
 	r.at(r.now+announceInterval, func() { r.announce(m) })
 }
 
-// share is the loop of slot requests of one entry process.
+// sendSlotRequest sends a slot request of one entry process, and the next one
+// after slotRequestInterval.
 func (r *loadRun) sendSlotRequest(e *loadEntry, b *routing.Balancer) {
 	if e.balancer != b || !e.up {
 		return
@@ -208,6 +223,7 @@
 	})
 }
 
+// handleSlotRequest answers a slot request at the leader.
 func (r *loadRun) handleSlotRequest(e *loadEntry, b *routing.Balancer, req routing.SlotRequest) {
 	if !r.leader {
 		return
@@ -223,6 +239,7 @@
 	r.at(r.now+oneWay, func() { r.handleSlotResponse(e, b, resp) })
 }
 
+// handleSlotResponse processes a slot response at the entry process.
 func (r *loadRun) handleSlotResponse(e *loadEntry, b *routing.Balancer, resp routing.SlotResponse) {
 	if e.balancer != b || !e.up {
 		return
@@ -237,7 +254,8 @@
 	}
 }
 
-// nextGap is the rule of internal/proxy.
+// nextGap returns the minimum time between two slot requests, by the same rule
+// as internal/proxy.
 func nextGap(gap time.Duration, grew bool) time.Duration {
 	if grew {
 		return max(minSlotRequestGap, gap/4)
@@ -245,7 +263,8 @@
 	return min(slotRequestInterval, max(minSlotRequestGap, 2*gap))
 }
 
-// arrive is one new caller; the next comes after an exponential time.
+// arrive creates a new caller and schedules the next one after an exponentially
+// distributed time.
 func (r *loadRun) arrive() {
 	rate := r.load * float64(len(r.order)*loadSlots) / meanService.Seconds()
 	r.at(r.now+time.Duration(r.rng.ExpFloat64()/rate*float64(time.Second)), r.arrive)
@@ -262,8 +281,10 @@
 	r.send(q)
 }
 
+// measured reports whether the current time counts in the results.
 func (r *loadRun) measured() bool { return r.now >= warmUp && r.now < loadEnd }
 
+// send submits a request to a random live entry instance.
 func (r *loadRun) send(q *loadRequest) {
 	q.arrived = r.now
 	q.deadline = r.now + loadDeadline
@@ -283,6 +304,7 @@
 	r.expireWhenDue(q)
 }
 
+// expireWhenDue schedules the expiry of a queued request.
 func (r *loadRun) expireWhenDue(q *loadRequest) {
 	if q.ticket.State() != routing.Queued {
 		return
@@ -296,8 +318,11 @@
 	})
 }
 
+// alive reports whether the process that accepted the request still runs.
 func (q *loadRequest) alive() bool { return q.entry.up && q.entry.balancer == q.balancer }
 
+// collect handles the started and refused requests of an entry instance and
+// sends a slot request if one is due.
 func (r *loadRun) collect(e *loadEntry) {
 	for _, t := range e.balancer.TakeChanged() {
 		q := t.Tag.(*loadRequest)
@@ -313,6 +338,7 @@
 	}
 }
 
+// retryRefused lets the caller of a refused request retry after the delay.
 func (r *loadRun) retryRefused(q *loadRequest, after time.Duration) {
 	r.refused++
 	if q.retries >= maxCallerRetries || after == 0 {
@@ -322,6 +348,7 @@
 	r.at(r.now+after, func() { r.send(back) })
 }
 
+// serviceTime draws the service time of a request on a minion.
 func (r *loadRun) serviceTime(m *loadMinion) time.Duration {
 	took := time.Duration(r.rng.ExpFloat64() * float64(meanService))
 	if m.fault == slow {
@@ -330,7 +357,7 @@
 	return took
 }
 
-// started carries a request to its minion.
+// started simulates a started request on its minion.
 func (r *loadRun) started(q *loadRequest, t *routing.Ticket) {
 	m := r.minions[q.balancer.Target(t).Minion]
 	attemptDeadline := q.balancer.AttemptDeadline(t)
@@ -360,11 +387,13 @@
 	}
 }
 
+// requestStarted counts a request that the minion begins to process.
 func (m *loadMinion) requestStarted() {
 	m.busy++
 	m.maxBusy = max(m.maxBusy, m.busy)
 }
 
+// finished ends an attempt and retries it where allowed.
 func (r *loadRun) finished(q *loadRequest, o routing.Outcome) {
 	if !q.alive() {
 		return
@@ -384,6 +413,7 @@
 	r.collect(q.entry)
 }
 
+// done counts an answered request.
 func (r *loadRun) done(q *loadRequest) {
 	if r.now > q.deadline {
 		r.late++
@@ -399,8 +429,8 @@
 	}
 }
 
-// sendBaseline sends to a random minion, which queues by itself and works off
-// everything in order, wanted or not.
+// sendBaseline sends a request to a random minion, which processes its own queue
+// in order, expired requests included.
 func (r *loadRun) sendBaseline(q *loadRequest) {
 	m := r.order[r.rng.IntN(len(r.order))]
 	switch {
@@ -413,6 +443,7 @@
 	}
 }
 
+// serveBaseline processes a request and then the next one of the minion's queue.
 func (r *loadRun) serveBaseline(m *loadMinion, q *loadRequest) {
 	if r.measured() {
 		_ = r.waits.RecordValue(max(1, (r.now - q.arrived).Microseconds()))
@@ -429,12 +460,14 @@
 	})
 }
 
+// run runs the simulation to its end.
 func (r *loadRun) run() {
 	for r.now < loadEnd {
 		r.step()
 	}
 }
 
+// step runs the next event.
 func (r *loadRun) step() {
 	e := heap.Pop(&r.events).(loadEvent)
 	r.now = e.at
--- a/routing/machine_test.go
+++ b/routing/machine_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// world is a leader, entry instances and minions with a network between them
-// that loses, doubles and delays everything.
+// model is a leader, entry instances and minions, and a network that loses,
+// duplicates and delays messages.
 type model struct {
 	t        *rapid.T
 	now      time.Duration
@@ -19,12 +19,13 @@
 	minions  []Announcement
 	requests []SlotRequest
 	answers  []modelAnswer
-	// ended are requests of processes that died, with the time until which a
-	// minion may work on them.
+	// orphans are the requests of terminated processes that a minion may still be
+	// processing.
 	orphans []orphan
 	granted int
 }
 
+// modelEntry is an entry instance of the model.
 type modelEntry struct {
 	id          string
 	incarnation uint64
@@ -34,17 +35,21 @@
 	running     []*Ticket
 }
 
+// modelAnswer is a slot response on its way to an entry process.
 type modelAnswer struct {
 	to          int
 	incarnation uint64
 	resp        SlotResponse
 }
 
+// orphan is a request of a terminated process.
 type orphan struct {
 	minion string
 	until  time.Duration
 }
 
+// newModel returns a model with three minions, three entry instances and a
+// leader.
 func newModel(t *rapid.T) *model {
 	w := &model{t: t, now: time.Minute, divider: NewAllocator(LeaseOptions{})}
 	for i := range 3 {
@@ -59,8 +64,8 @@
 	return w
 }
 
-// start begins a new process on an entry instance. Its clock starts anywhere
-// and runs a little too fast or too slow.
+// start starts a new process of an entry instance. Its clock has its own origin
+// and is up to 0.8 % too fast or too slow.
 func (w *model) start(e *modelEntry) {
 	e.incarnation++
 	e.startedAt = w.now
@@ -69,6 +74,7 @@
 	e.running = nil
 }
 
+// clock returns the time on the clock of an entry process.
 func (w *model) clock(e *modelEntry) time.Duration {
 	return time.Duration(float64(w.now-e.startedAt) * e.rate)
 }
@@ -77,6 +83,7 @@
 	return w.entries[rapid.IntRange(0, len(w.entries)-1).Draw(w.t, "entry")]
 }
 
+// changeLeader replaces the leader by one of the next term without state.
 func (w *model) changeLeader() {
 	w.term++
 	w.divider = NewAllocator(LeaseOptions{})
@@ -92,7 +99,7 @@
 	}
 }
 
-// collect notes which tickets the Balancer started.
+// collect records the tickets that the Balancer started.
 func (w *model) collect(e *modelEntry) {
 	for _, t := range e.balancer.TakeChanged() {
 		if t.State() == Started {
@@ -101,6 +108,7 @@
 	}
 }
 
+// finishAttempt ends a running request of an entry instance.
 func (w *model) finishAttempt(e *modelEntry, i int, o Outcome) {
 	t := e.running[i]
 	e.running = append(e.running[:i:i], e.running[i+1:]...)
@@ -108,7 +116,7 @@
 	w.collect(e)
 }
 
-// advance moves the time. Requests past their deadline are given up.
+// advance moves the time forward and times out requests past their deadline.
 func (w *model) advance(step time.Duration) {
 	w.now += step
 	for _, e := range w.entries {
@@ -122,7 +130,7 @@
 	}
 }
 
-// check asserts that no minion has more in progress than its slots.
+// check asserts that no minion has more requests in flight than slots.
 func (w *model) check(t *rapid.T) {
 	count := make(map[string]int)
 	for _, e := range w.entries {
@@ -138,7 +146,7 @@
 	}
 	for _, m := range w.minions {
 		if count[m.Minion] > m.Slots {
-			t.Fatalf("%s has %d requests in progress on %d slots", m.Minion, count[m.Minion], m.Slots)
+			t.Fatalf("%s has %d requests in flight on %d slots", m.Minion, count[m.Minion], m.Slots)
 		}
 	}
 }
@@ -180,7 +188,7 @@
 	}
 }
 
-// exchange is a whole round trip without trouble.
+// exchange delivers a slot request and its response without faults.
 func (w *model) exchange(*rapid.T) {
 	e := w.drawEntry()
 	resp, err := w.divider.Allocate(e.balancer.NextSlotRequest(w.clock(e)), w.now)
@@ -190,13 +198,15 @@
 	w.deliverAnswer(e, resp)
 }
 
+// deliverAnswer delivers a slot response to an entry process.
 func (w *model) deliverAnswer(e *modelEntry, resp SlotResponse) {
 	e.balancer.HandleSlotResponse(resp, w.clock(e))
 	w.collect(e)
 	w.granted += e.balancer.GrantedSlots()
 }
 
-// toLeader delivers any request that was ever sent; it may come again later.
+// toLeader delivers any earlier slot request to the leader and keeps a copy of
+// it.
 func (w *model) toLeader(t *rapid.T) {
 	if len(w.requests) == 0 {
 		t.Skip()
@@ -213,7 +223,7 @@
 	}
 }
 
-// toEntry delivers any answer that was ever given, to the process that asked.
+// toEntry delivers any earlier slot response to the process that asked for it.
 func (w *model) toEntry(t *rapid.T) {
 	if len(w.answers) == 0 {
 		t.Skip()
@@ -225,6 +235,7 @@
 	}
 }
 
+// submit submits a burst of requests to an entry instance.
 func (w *model) submit(t *rapid.T) {
 	e := w.drawEntry()
 	left := time.Duration(rapid.IntRange(1, 12).Draw(t, "deadline")) * time.Second
@@ -235,6 +246,7 @@
 	w.collect(e)
 }
 
+// finish ends a running request with a random outcome.
 func (w *model) finish(t *rapid.T) {
 	e := w.drawEntry()
 	if len(e.running) == 0 {
@@ -245,7 +257,8 @@
 	w.finishAttempt(e, rapid.IntRange(0, len(e.running)-1).Draw(t, "which"), o)
 }
 
-// restart ends a process; its minions notice within the linger time.
+// restart replaces the process of an entry instance. Minions stop working on the
+// old process's requests within restartLinger.
 func (w *model) restart(t *rapid.T) {
 	e := w.drawEntry()
 	for _, r := range e.running {
@@ -254,8 +267,9 @@
 	w.start(e)
 }
 
-// A minion is over its slots: any order of lost, doubled and late messages,
-// pauses, restarts and leader changes lets two entry instances use one slot.
+// Two entry instances use the same slot of a minion, so that it has more
+// requests in flight than slots. The model loses, duplicates and delays messages
+// and pauses, restarts and replaces processes and leaders in any order.
 func TestInFlightNeverExceedsSlots(t *testing.T) {
 	granted := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -264,6 +278,6 @@
 		granted += w.granted
 	})
 	if granted == 0 {
-		t.Fatal("the runs granted nothing")
+		t.Fatal("no run granted any slot")
 	}
 }
--- a/routing/minion.go
+++ b/routing/minion.go
@@ -6,49 +6,56 @@
 )
 
 const (
-	// hangFactor over the high service time marks a minion with an unanswered
-	// request as hanging; hangFloor keeps fast services from being touchy.
+	// hangFactor times the tail service time is the age of the oldest request
+	// at which a minion counts as hanging, once there are hangSamples samples.
+	// hangFloor is the least such age; it prevents false positives of fast
+	// services.
 	hangFactor  = 6
 	hangFloor   = 250 * time.Millisecond
 	hangSamples = 20
 )
 
-// minion is what a Balancer knows of one minion.
+// minion is a Balancer's record of one minion.
 type minion struct {
 	Announcement
-	// number is the leader's, valid in the current term; 0 before it is known.
+	// number is the minion's number in the leader's current term, or 0 if
+	// unknown.
 	number uint32
-	// slots is what the adopted grants allow.
+	// slots is the number of slots in the adopted grants.
 	slots int
-	// told is the announcement as the leader described it.
+	// leaderAnnouncement is the announcement that the leader sent.
 	leaderAnnouncement Announcement
 	leaderAnnounced    bool
-	// gone is the leader's word that the minion left or fell silent.
+	// gone reports whether the leader says that the minion left or stopped
+	// announcing itself.
 	gone bool
-	// vouched is when the adopted grants were asked for, heard when the minion
-	// last announced itself here.
+	// grantsRequestedAt is when the request for the adopted grants was sent.
+	// announcedAt is when this entry instance last got an announcement of the
+	// minion.
 	grantsRequestedAt time.Duration
 	announcedAt       time.Duration
 	announced         bool
-	// announcedSinceRequest says that the minion was heard since the last slot request.
+	// announcedSinceRequest reports whether the minion has announced itself
+	// here since the last slot request.
 	announcedSinceRequest bool
 
 	slowStartFrom time.Duration
 	running       []*Ticket
-	// lingering are the times until which abandoned requests count.
+	// lingeringUntil has, for each lingering slot, the time of its release.
 	lingeringUntil []time.Duration
 	breaker        breaker
 }
 
+// inFlight returns the number of slots in use, lingering ones included.
 func (m *minion) inFlight() int { return len(m.running) + len(m.lingeringUntil) }
 
-// usableUntil is when requests may no longer be sent to the minion, as far as
-// its announcements go.
+// usableUntil returns until when requests may be sent to the minion, judging by
+// its announcements alone.
 //
-// Failure: a minion that left or died keeps getting requests from an entry
-// instance that is cut off from the leader. Guard: without a fresh word from
-// the leader or from the minion itself it is out of use after the TTL, even
-// while the slot lease lasts.
+// Guards against sending to a minion that left or died, from an entry instance
+// that is partitioned from the leader. Unless the leader or the minion itself has
+// confirmed within the TTL that the minion is in use, it gets no requests, even
+// under a valid slot lease.
 func (m *minion) usableUntil(ttl time.Duration) time.Duration {
 	if m.Leaving || m.gone {
 		return 0
@@ -60,7 +67,7 @@
 	return latest + ttl
 }
 
-// allowed is how many requests may be in progress, with slow start.
+// slotLimit returns how many requests may be in flight, with slow start.
 func (m *minion) slotLimit(slowStart, now time.Duration) int {
 	slots := min(m.slots, max(0, m.Slots))
 	age := now - m.slowStartFrom
@@ -70,8 +77,8 @@
 	return 1 + int(time.Duration(slots-1)*age/slowStart)
 }
 
-// hanging says whether the oldest request waits for its answer for far longer
-// than usual.
+// hanging reports whether the oldest request has waited for its answer for much
+// longer than usual.
 func (m *minion) hanging(e *estimator, now time.Duration) bool {
 	if len(m.running) == 0 || e.samples < hangSamples {
 		return false
@@ -79,18 +86,19 @@
 	return now-m.running[0].startedAt > max(hangFloor, hangFactor*e.tail)
 }
 
+// remove removes a finished ticket from the running ones.
 func (m *minion) remove(t *Ticket) {
 	if i := slices.Index(m.running, t); i >= 0 {
 		m.running = slices.Delete(m.running, i, i+1)
 	}
 }
 
-// expireLingering drops abandoned requests whose time has passed.
+// expireLingering releases the lingering slots whose time has passed.
 func (m *minion) expireLingering(now time.Duration) {
 	m.lingeringUntil = slices.DeleteFunc(m.lingeringUntil, func(until time.Duration) bool { return until <= now })
 }
 
-// target returns where a request for the minion is sent.
+// target returns the address and the limits of the minion.
 func (m *minion) target() Target {
 	return Target{
 		Minion:         m.Minion,
--- a/routing/options.go
+++ b/routing/options.go
@@ -5,47 +5,49 @@
 	"time"
 )
 
-// Policy says how a minion is picked among those with a free slot.
+// Policy selects among the minions with a free slot.
 type Policy uint8
 
-// Policies.
+// The policies.
 const (
-	// LeastLoaded picks the lowest score of all minions with a free slot.
+	// LeastLoaded selects the minion with the lowest score.
 	LeastLoaded Policy = iota
-	// TwoChoices picks the lower score of two random ones.
+	// TwoChoices selects the lower score of two random minions.
 	TwoChoices
-	// Random picks any.
+	// Random selects a random minion.
 	Random
 )
 
-// Options configure a Balancer. Zero fields take the values of DefaultOptions.
+// Options configures a Balancer. Zero fields take the values of DefaultOptions.
 type Options struct {
-	// Entry and Incarnation identify the process in slot requests.
+	// Entry and Incarnation identify the entry process in slot requests.
 	Entry       string
 	Incarnation uint64
-	// Seed is for choices among equals and for jitter.
+	// Seed seeds the random choice among equal minions and the retry jitter.
 	Seed   uint64
 	Lease  LeaseOptions
 	Policy Policy
-	// MaxQueue is the largest number of requests that wait for one service.
+	// MaxQueue is the largest number of queued requests of one service.
 	MaxQueue int
 	// MaxWait is the longest estimated wait for a slot at which a request is
-	// still accepted. Services whose requests take long wait up to twice their
-	// mean service time.
+	// accepted. A service whose mean service time is longer than half of MaxWait
+	// accepts requests up to twice its mean service time.
 	MaxWait time.Duration
-	// FirstEstimate is the service time assumed before any was measured.
+	// FirstEstimate is the service time assumed before any is measured.
 	FirstEstimate time.Duration
-	// RetryRatio is how many retries each request adds to the retry budget.
+	// RetryRatio is the number of retries that each request adds to the retry
+	// budget.
 	RetryRatio float64
 	// RetryBurst is the largest retry budget.
 	RetryBurst float64
-	// SlowStart is how long a new minion takes to reach its full slots.
+	// SlowStart is how long the load of a new minion takes to rise to its full
+	// slots.
 	SlowStart time.Duration
-	// Baseline switches off admission and circuit breakers, for comparison.
+	// Baseline disables admission control and circuit breakers, for comparison.
 	Baseline bool
 }
 
-// DefaultOptions returns the options used where settings say nothing.
+// DefaultOptions returns the options that apply without settings.
 func DefaultOptions() Options {
 	return Options{
 		Lease:         DefaultLeaseOptions(),
@@ -58,6 +60,7 @@
 	}
 }
 
+// withDefaults replaces unset options by their defaults.
 func (o Options) withDefaults() Options {
 	d := DefaultOptions()
 	o.Lease = o.Lease.withDefaults()
@@ -82,23 +85,25 @@
 	return o
 }
 
-// Reason says why a request was refused. A refused request never reached a minion.
+// Reason is why a request was refused. A refused request never reached a minion.
 type Reason uint8
 
-// Reasons.
+// The reasons.
 const (
-	// NoSuchService says that no minion of the service is known.
+	// NoSuchService: no minion of the service is known.
 	NoSuchService Reason = iota + 1
-	// QueueFull says that too many requests wait.
+	// QueueFull: too many requests are queued for the service.
 	QueueFull
-	// TooLate says that the request can't be answered by its deadline.
+	// TooLate: the request can't be answered by its deadline.
 	TooLate
-	// OverShare says that the customer has more than its share in a full queue.
+	// OverShare: the customer has more than its share of requests in a full
+	// queue.
 	OverShare
-	// Draining says that the entry instance accepts nothing more.
+	// Draining: the entry instance is shutting down.
 	Draining
 )
 
+// reasonTexts are the error texts of the reasons.
 var reasonTexts = map[Reason]string{
 	NoSuchService: "no minion of the service is known",
 	QueueFull:     "too many requests wait for the service",
@@ -110,11 +115,11 @@
 // Refusal is the error of a request that was not sent to any minion.
 type Refusal struct {
 	Reason Reason
-	// RetryAfter is when to come back; 0 where coming back is no use.
+	// RetryAfter is the delay after which to retry; 0 if a retry is useless.
 	RetryAfter time.Duration
 }
 
-// Error returns the reason as a sentence.
+// Error returns the reason and the retry delay as a sentence.
 func (r *Refusal) Error() string {
 	if r.RetryAfter == 0 {
 		return reasonTexts[r.Reason]
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// slots is how many requests the entry instance may have in progress for a
-// service, busy ones included.
+// usableSlots returns how many requests the entry instance may have in flight
+// for a service, those in flight now included.
 func (b *Balancer) usableSlots(s *service, now time.Duration) int {
 	if now >= b.lease.expiresAt {
 		return 0
@@ -19,7 +19,7 @@
 	return n
 }
 
-// usable says whether requests may be sent to the minion at all.
+// usable reports whether requests may be sent to the minion.
 func (b *Balancer) usable(s *service, m *minion, now time.Duration) bool {
 	if m.slots == 0 || now >= m.usableUntil(b.opts.Lease.MinionTTL) {
 		return false
@@ -30,12 +30,13 @@
 	return !m.breaker.open && !m.hanging(s.serviceTimes, now)
 }
 
-// free says whether the minion takes one more request.
+// hasFreeSlot reports whether the minion may get one more request.
 func (b *Balancer) hasFreeSlot(s *service, m *minion, now time.Duration) bool {
 	return m.inFlight() < m.slotLimit(b.opts.SlowStart, now) && b.usable(s, m, now)
 }
 
-// pick chooses a minion for the ticket, or nil when no slot is free.
+// pick selects a minion for the ticket. It returns nil if no slot is free. The
+// minion of the failed attempt is selected only if no other has a free slot.
 func (b *Balancer) pick(s *service, t *Ticket, now time.Duration) *minion {
 	if now >= b.lease.expiresAt {
 		return nil
@@ -63,7 +64,8 @@
 	return b.choose(s)
 }
 
-// probeMinion returns a minion whose breaker lets a probe through.
+// probeMinion returns a minion whose circuit breaker admits the ticket as a
+// probe, or nil.
 func (b *Balancer) probeMinion(s *service, t *Ticket, now time.Duration) *minion {
 	if b.opts.Baseline {
 		return nil
@@ -95,6 +97,7 @@
 	}
 }
 
+// lowerScore returns the minion with the lower score.
 func (b *Balancer) lowerScore(s *service, x, y *minion) *minion {
 	if score(s, y) < score(s, x) {
 		return y
@@ -102,7 +105,8 @@
 	return x
 }
 
-// lowest returns the candidate with the lowest score, any of equal ones.
+// lowestScore returns the candidate with the lowest score, a random one of
+// several.
 func (b *Balancer) lowestScore(s *service) *minion {
 	var best *minion
 	lowest, equal := 0.0, 0
@@ -121,7 +125,8 @@
 	return best
 }
 
-// score is the load after one more request, weighed by how slow the minion is.
+// score returns the load of the minion after one more request, multiplied by the
+// ratio of its average service time to the median if that exceeds 1.
 func score(s *service, m *minion) float64 {
 	load := float64(m.inFlight()+1) / float64(max(1, m.slots))
 	if s.medianTime > 0 && m.breaker.averageTime > s.medianTime {
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -8,13 +8,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// desk is one leader and one entry instance, both on one clock.
+// fixture is one leader and one entry instance on the same clock.
 type fixture struct {
 	divider  *Allocator
 	balancer *Balancer
 	now      time.Duration
 }
 
+// newFixture returns a fixture whose entry instance has all slots of the minions
+// and has passed slow start.
 func newFixture(minions, slots int) *fixture {
 	d := &fixture{
 		divider:  NewAllocator(LeaseOptions{}),
@@ -28,12 +30,12 @@
 		}, d.now)
 	}
 	d.exchangeSlotRequests()
-	// New minions have reached their full slots.
+	// After slow start the minions may use all their slots.
 	d.advance(DefaultOptions().SlowStart)
 	return d
 }
 
-// share makes slot requests until nothing more is to be said.
+// exchangeSlotRequests exchanges slot requests until no request must follow.
 func (d *fixture) exchangeSlotRequests() {
 	for again := true; again; {
 		resp, err := d.divider.Allocate(d.balancer.NextSlotRequest(d.now), d.now)
@@ -44,7 +46,7 @@
 	}
 }
 
-// pass lets time pass with all minions announcing themselves to the leader.
+// advance moves the time forward; all minions announce themselves to the leader.
 func (d *fixture) advance(step time.Duration) {
 	d.now += step
 	for _, m := range d.divider.Minions() {
@@ -53,18 +55,20 @@
 	d.exchangeSlotRequests()
 }
 
+// submit submits a request with a deadline left from now.
 func (d *fixture) submit(left time.Duration) *Ticket {
 	r := Request{Service: "s", Customer: "c", Deadline: d.now + left}
 	return d.balancer.Submit(r, d.now)
 }
 
+// finish ends a request after it took some time.
 func (d *fixture) finish(t *Ticket, took time.Duration, o Outcome) {
 	d.now += took
 	d.balancer.Finish(t, o, d.now)
 }
 
-// A minion that said farewell still gets requests. The entry instance is cut
-// off from the leader and only the minion's own word, or its silence, reaches it.
+// A minion that left still gets requests. The entry instance may learn of it
+// from the minion, from missing announcements or from the leader.
 func TestNoRequestsToLeavingMinion(t *testing.T) {
 	leaveReceived := newFixture(1, 8)
 	must.Eq(t, Started, leaveReceived.submit(time.Second).State())
@@ -72,19 +76,19 @@
 	must.Eq(t, Queued, leaveReceived.submit(time.Second).State())
 
 	cutOff := newFixture(1, 8)
-	cutOff.now += 3 * time.Second // of a lease of 5 s
+	cutOff.now += 3 * time.Second // the TTL has passed, the slot lease of 5 s hasn't
 	must.Eq(t, Queued, cutOff.submit(time.Second).State())
 
 	byLeader := newFixture(1, 8)
 	byLeader.divider.Leave("m0", 1, byLeader.now)
 	byLeader.exchangeSlotRequests()
 	must.Eq(t, Queued, byLeader.submit(time.Second).State())
-	// A late copy of an announcement doesn't bring it back.
+	// A delayed duplicate of an announcement must not bring the minion back.
 	byLeader.divider.Announce(Announcement{Minion: "m0", Service: "s", Slots: 8, Incarnation: 1}, byLeader.now)
 	must.SliceEmpty(t, byLeader.divider.Minions())
 }
 
-// A minion dies without a word: the leader takes it out after the TTL.
+// A minion that died without leaving keeps its slots granted after the TTL.
 func TestMinionIsRemovedAfterTTL(t *testing.T) {
 	d := newFixture(1, 8)
 	d.now += DefaultLeaseOptions().MinionTTL + 1
@@ -92,8 +96,8 @@
 	must.Eq(t, 0, d.balancer.GrantedSlots())
 }
 
-// Two entry instances use the same slot: a new leader doesn't know what its
-// predecessor granted to the entry instance that it can't hear.
+// Two entry instances use the same slot: a new leader doesn't know what the
+// previous one granted to an entry instance that it can't reach.
 func TestNewLeaderReservesUnclaimedSlots(t *testing.T) {
 	d := newFixture(1, 8)
 	d.divider = NewAllocator(LeaseOptions{})
@@ -115,8 +119,8 @@
 	must.Positive(t, ask())
 }
 
-// The service stands still after the loss of a leader, since slots have to be
-// waited out. What an entry instance holds it keeps by its claim.
+// No requests are served after a leader change until the reservation of the
+// previous leader's grants ends. An entry instance keeps the slots it claims.
 func TestClaimedSlotsSurviveLeaderChange(t *testing.T) {
 	d := newFixture(2, 8)
 	must.Eq(t, 16, d.balancer.GrantedSlots())
@@ -131,8 +135,8 @@
 	must.Eq(t, Started, d.submit(time.Second).State())
 }
 
-// Work that is over its deadline before it starts is paid for and worth
-// nothing. It must be refused when that is known, with a time to come back.
+// A request that can't be answered by its deadline is started and wastes work.
+// It must be refused at once, with a jittered retry delay.
 func TestUnreachableDeadlineIsRefusedAtOnce(t *testing.T) {
 	d := newFixture(1, 2)
 	for range 40 {
@@ -156,7 +160,7 @@
 	must.Greater(t, 15, len(times))
 }
 
-// A minion that fails at once is always free and draws all requests.
+// A minion that fails at once is always free and attracts all requests.
 func TestBreakerOpensOnFailingMinion(t *testing.T) {
 	for _, o := range []Outcome{AnsweredFailure, NotSent, Broken} {
 		d := newFixture(4, 8)
@@ -183,7 +187,8 @@
 	}
 }
 
-// Bad input of one customer fails on every minion; the service stays open.
+// Bad input of one customer fails on every minion and opens all circuit
+// breakers, which takes the service down.
 func TestFailureRateOpensAtMostHalfOfBreakers(t *testing.T) {
 	d := newFixture(4, 8)
 	for range 200 {
@@ -193,7 +198,7 @@
 	must.LessEq(t, 2, d.balancer.OpenBreakers())
 }
 
-// Retries multiply the load on a service that is in trouble already.
+// Retries multiply the load on an overloaded service.
 func TestRetryBudget(t *testing.T) {
 	d := newFixture(8, 8)
 	retried := 0
@@ -215,7 +220,7 @@
 	must.False(t, d.balancer.Retry(late, Broken, d.now))
 }
 
-// One customer fills the queue; the request of another is not refused for it.
+// One customer fills the queue, and the request of another customer is refused.
 func TestCustomerFloodDoesNotRefuseOthers(t *testing.T) {
 	d := newFixture(1, 2)
 	for range 500 {
@@ -232,6 +237,7 @@
 	must.Eq(t, Started, other.State())
 }
 
+// BenchmarkDecision measures submitting and finishing one request.
 func BenchmarkDecision(b *testing.B) {
 	for _, policy := range []Policy{LeastLoaded, TwoChoices, Random} {
 		b.Run([]string{"least-loaded", "two-choices", "random"}[policy], func(b *testing.B) {
@@ -246,6 +252,7 @@
 	}
 }
 
+// BenchmarkDivide measures a slot request with nine entry instances.
 func BenchmarkDivide(b *testing.B) {
 	d := newFixture(50, 8)
 	var others []*fixture
@@ -260,8 +267,8 @@
 	}
 }
 
-// The caller hangs up, its slot goes to the next request, and the minion, which
-// can't tell, works on both.
+// The slot of a request whose caller went away is reused while the minion, which
+// isn't told, still works on the request.
 func TestAbandonedRequestKeepsItsSlot(t *testing.T) {
 	d := newFixture(1, 1)
 	d.finish(d.submit(time.Second), 0, Abandoned)
@@ -271,9 +278,8 @@
 	must.Eq(t, 1, d.balancer.InFlight())
 }
 
-// Slots come back to life: copies of requests and answers from before arrive
-// late, also from a leader that was replaced, and the slots that they speak of
-// belong to others by now.
+// Delayed duplicates of slot requests and responses, also from a replaced
+// leader, bring back slots that others hold by now.
 func TestStaleSlotMessagesAreIgnored(t *testing.T) {
 	d := newFixture(1, 8)
 	old := d.balancer.NextSlotRequest(d.now)
@@ -297,7 +303,7 @@
 	refused(func(r *SlotResponse) { r.Sequence++ })
 }
 
-// The answer to a slot request takes longer than the lease that it grants.
+// A slot response that took longer than its lease still grants slots.
 func TestExpiredSlotResponseGrantsNothing(t *testing.T) {
 	d := newFixture(1, 8)
 	resp, err := d.divider.Allocate(d.balancer.NextSlotRequest(d.now), d.now)
@@ -308,8 +314,8 @@
 	must.Eq(t, Queued, d.submit(time.Second).State())
 }
 
-// Callers make up names of services while no leader answers; each name kept
-// would cost memory.
+// Callers use invented service names while no leader answers, and each recorded
+// name costs memory.
 func TestUnknownServicesAreBounded(t *testing.T) {
 	b := NewBalancer(Options{Entry: "e", Incarnation: 1})
 	for i := range 2 * maxUnknownServices {
@@ -318,8 +324,8 @@
 	must.Eq(t, maxUnknownServices, b.QueueLength())
 }
 
-// An entry instance that handed its slots back takes an answer that was under
-// way, while the leader gives the same slots to others.
+// An entry instance that released its slots adopts a response that was in
+// flight, while the leader grants the same slots to others.
 func TestNoGrantsAfterReleasingSlots(t *testing.T) {
 	d := newFixture(1, 8)
 	resp, err := d.divider.Allocate(d.balancer.NextSlotRequest(d.now), d.now)
@@ -331,8 +337,8 @@
 	must.Eq(t, 0, d.balancer.lease.expiresAt)
 }
 
-// A service was slow while patient callers asked, and then fast again. Impatient
-// ones were refused ever after: none was started, so nothing was learned.
+// After a slow period, requests with short deadlines are refused forever: none
+// starts, so no new service time is measured.
 func TestOldServiceTimesExpire(t *testing.T) {
 	d := newFixture(2, 8)
 	for range 40 {
@@ -348,5 +354,5 @@
 			return
 		}
 	}
-	t.Fatal("still refused")
+	t.Fatal("requests with short deadlines are still refused 20 s after the slow period")
 }
--- a/routing/service.go
+++ b/routing/service.go
@@ -5,36 +5,41 @@
 	"time"
 )
 
-// spareSlotDemand are asked for beyond the demand, for the next requests to come.
+// spareSlotDemand is how many slots beyond the current requests are demanded, so
+// that the next requests find a free slot.
 const spareSlotDemand = 2
 
-// customerLoad counts the requests of one customer at one service.
+// customerLoad counts the requests of one customer for one service.
 type customerLoad struct {
 	running int
 	queued  int
 }
 
+// total returns the number of queued and running requests.
 func (c customerLoad) total() int { return c.running + c.queued }
 
-// service is the queue and the minions of one service.
+// service holds the queue and the minions of one service.
 type service struct {
 	name    string
 	minions []*minion
-	// queue is ordered by deadline, equal ones by arrival.
+	// queue is ordered by deadline, then by arrival.
 	queue        []*Ticket
 	customers    map[string]*customerLoad
 	running      int
 	serviceTimes *estimator
-	// usual is the median of the minions' usual service times.
+	// medianTime is the median of the minions' average service times.
 	medianTime   time.Duration
 	medianReadAt time.Duration
-	// returns is when the last refused caller was told to come back.
+	// lastReturnAt is the latest time at which a refused caller was told to
+	// retry.
 	lastReturnAt time.Duration
-	// peopled is when the service was last seen with minions.
+	// lastPopulatedAt is when the service last had a minion.
 	lastPopulatedAt time.Duration
 	everPopulated   bool
 }
 
+// newService returns a service without minions, whose estimated service time is
+// first.
 func newService(name string, first, now time.Duration) *service {
 	return &service{
 		name:         name,
@@ -43,9 +48,10 @@
 	}
 }
 
+// idle reports whether the service has no requests.
 func (s *service) idle() bool { return len(s.queue) == 0 && s.running == 0 }
 
-// wanted is how many slots the entry instance could use.
+// slotDemand returns how many slots the entry instance could use.
 func (s *service) slotDemand() int {
 	n := s.running + len(s.queue)
 	if n == 0 {
@@ -54,6 +60,7 @@
 	return n + spareSlotDemand
 }
 
+// customer returns the counts of a customer and creates them if there are none.
 func (s *service) customer(customer string) *customerLoad {
 	c, ok := s.customers[customer]
 	if !ok {
@@ -63,14 +70,14 @@
 	return c
 }
 
-// settle forgets a customer without requests.
+// dropIdleCustomer deletes the counts of a customer that has no requests.
 func (s *service) dropIdleCustomer(customer string) {
 	if c, ok := s.customers[customer]; ok && c.total() == 0 {
 		delete(s.customers, customer)
 	}
 }
 
-// before orders tickets by deadline, then by arrival.
+// compareTickets orders tickets by deadline, then by arrival.
 func compareTickets(a, b *Ticket) int {
 	if a.Deadline != b.Deadline {
 		return int(min(1, max(-1, a.Deadline-b.Deadline)))
@@ -84,7 +91,7 @@
 	return 0
 }
 
-// push queues a ticket and returns how many are before it.
+// enqueue adds a ticket to the queue and returns the number of tickets before it.
 func (s *service) enqueue(t *Ticket) int {
 	at, _ := slices.BinarySearchFunc(s.queue, t, compareTickets)
 	s.queue = slices.Insert(s.queue, at, t)
@@ -93,7 +100,7 @@
 	return at
 }
 
-// drop takes a ticket out of the queue.
+// dequeue removes a ticket from the queue, if it is in it.
 func (s *service) dequeue(t *Ticket) {
 	at, found := slices.BinarySearchFunc(s.queue, t, compareTickets)
 	if !found {
@@ -104,13 +111,13 @@
 	s.dropIdleCustomer(t.Customer)
 }
 
-// next returns the queued ticket that gets the next slot: the earliest deadline
-// among customers that have less than their share in progress, else the
-// earliest of all.
+// nextTicket returns the queued ticket that gets the next slot: the one with the
+// earliest deadline among the customers that have fewer running requests than
+// their share, or among all if there is no such customer.
 //
-// Failure: one customer floods the service with short deadlines and the others
-// miss theirs. Guard: a customer with its share in progress goes behind the
-// others, whatever its deadlines.
+// Guards against starvation: a customer that floods the service with short
+// deadlines would make all others miss theirs. A customer that uses its share is
+// served after the others, whatever its deadlines.
 func (s *service) nextTicket(slots int) *Ticket {
 	if len(s.queue) == 0 {
 		return nil
@@ -127,13 +134,14 @@
 	return s.queue[0]
 }
 
-// share is the equal part of n for each customer with requests here, rounded up.
+// customerShare returns each customer's equal share of n slots, rounded up.
 func (s *service) customerShare(n int) int {
 	customers := max(1, len(s.customers))
 	return (n + customers - 1) / customers
 }
 
-// largest returns the customer with the most requests here.
+// largestCustomer returns the customer with the most requests, among those with
+// queued requests, and their number.
 func (s *service) largestCustomer() (string, int) {
 	name, most := "", -1
 	for customer, c := range s.customers {
@@ -147,7 +155,7 @@
 	return name, most
 }
 
-// latestOf returns the queued ticket of a customer with the latest deadline.
+// latestOf returns a customer's queued ticket with the latest deadline, or nil.
 func (s *service) latestOf(customer string) *Ticket {
 	for _, t := range slices.Backward(s.queue) {
 		if t.Customer == customer {
@@ -157,7 +165,8 @@
 	return nil
 }
 
-// queuedBefore counts the queued tickets of the same customer before t.
+// queuedBefore counts the tickets of the same customer in the queue before t,
+// which is at index at.
 func (s *service) queuedBefore(t *Ticket, at int) int {
 	n := 0
 	for _, other := range s.queue[:at] {
@@ -168,7 +177,7 @@
 	return n
 }
 
-// refreshMedianTime works out the median of the usual service times again.
+// refreshMedianTime recomputes medianTime at most once per estimateInterval.
 func (s *service) refreshMedianTime(now time.Duration) {
 	if now-s.medianReadAt < estimateInterval && s.medianTime > 0 {
 		return
@@ -183,11 +192,12 @@
 	s.medianTime = median(times)
 }
 
-// mayTripOnRate says whether answers that tell of failures may open one more breaker.
+// mayTripOnRate reports whether the failure rate of a minion may open its
+// circuit breaker.
 //
-// Failure: requests that fail on every minion, for example bad input of one
-// customer, would open all breakers and take the service down for everyone.
-// Guard: at most half of the minions are kept out for their answers.
+// Guards against taking a whole service down: requests that fail on every
+// minion, such as a customer's bad input, would open all breakers. At most half
+// of the minions may be kept out because of failure answers.
 func (s *service) mayTripOnRate() bool {
 	open := 0
 	for _, m := range s.minions {
@@ -198,7 +208,7 @@
 	return 2*(open+1) <= len(s.minions)
 }
 
-// position returns how many tickets are queued before t.
+// queueIndex returns the number of tickets queued before t.
 func (s *service) queueIndex(t *Ticket) int {
 	at, _ := slices.BinarySearchFunc(s.queue, t, compareTickets)
 	return at
--- a/routing/slots.go
+++ b/routing/slots.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// maxSentRequests is how many slot requests are remembered while unanswered.
+// maxSentRequests is the number of unanswered slot requests that are recorded.
 const maxSentRequests = 16
 
 // sentRequest is a slot request that may still be answered.
@@ -15,24 +15,25 @@
 	at       time.Duration
 }
 
-// leases is what a Balancer holds from the leader.
+// slotLease is the slot lease that a Balancer holds from the leader.
 type slotLease struct {
 	term     uint64
 	sequence uint64
 	adopted  uint64
-	// ends is when the adopted grants may no longer be used.
+	// expiresAt is when the adopted grants expire.
 	expiresAt time.Duration
-	// granted is the adopted grants by number of the term.
+	// granted has the adopted grants by the leader's minion numbers.
 	granted map[uint32]int
-	// full says that the leader needs all claims.
+	// fullRequestNeeded reports whether the next request must list all held
+	// slots.
 	fullRequestNeeded bool
-	// answered says that any leader has answered yet.
+	// everAnswered reports whether a leader has answered since the start.
 	everAnswered bool
 	sent         []sentRequest
 	released     bool
 }
 
-// Announce takes a minion's own announcement to this entry instance.
+// Announce records an announcement that a minion sent to this entry instance.
 func (b *Balancer) Announce(a Announcement, now time.Duration) {
 	if a.Minion == "" || a.Service == "" {
 		return
@@ -52,7 +53,7 @@
 		return
 	}
 	if m.gone {
-		// The leader learns of the return from this announcement.
+		// The leader learns from the next request that the minion is back.
 		b.slotRequestDue = true
 	}
 	b.dispatchAllServices(now)
@@ -70,7 +71,8 @@
 	b.Announce(a, now)
 }
 
-// describe takes over an announcement of the current or a later incarnation.
+// setAnnouncement records an announcement of the current or a later incarnation.
+// A later incarnation starts with a closed breaker and with slow start.
 func (b *Balancer) setAnnouncement(m *minion, a Announcement, now time.Duration) {
 	if a.Incarnation != m.Incarnation {
 		m.breaker = breaker{}
@@ -82,7 +84,7 @@
 	m.Announcement = a
 }
 
-// known returns the record of a minion and makes one where there is none.
+// ensureMinion returns the record of a minion and creates it if there is none.
 func (b *Balancer) ensureMinion(name string, now time.Duration) *minion {
 	if m, ok := b.minions[name]; ok {
 		return m
@@ -93,7 +95,7 @@
 	return m
 }
 
-// move puts a minion under another service.
+// moveToService assigns a minion to another service.
 func (b *Balancer) moveToService(m *minion, service string, now time.Duration) {
 	if s, ok := b.services[m.Service]; ok {
 		s.minions = slices.DeleteFunc(s.minions, func(other *minion) bool { return other == m })
@@ -106,8 +108,8 @@
 	s.minions = append(s.minions, m)
 }
 
-// Demand builds the next slot request. It must be sent right away: the lease in
-// the answer counts from now.
+// NextSlotRequest builds the next slot request. The caller must send it at once,
+// because the lease in the response counts from now.
 func (b *Balancer) NextSlotRequest(now time.Duration) SlotRequest {
 	b.releaseLingering(now)
 	l := &b.lease
@@ -133,7 +135,7 @@
 }
 
 // releaseIfDrained gives up all slots once a draining entry instance has started
-// its last request.
+// its last queued request.
 func (b *Balancer) releaseIfDrained() {
 	l := &b.lease
 	if !b.draining || b.QueueLength() > 0 {
@@ -147,6 +149,7 @@
 	}
 }
 
+// addDemands adds the slot demand of each service to the request.
 func (b *Balancer) addDemands(req *SlotRequest) {
 	for _, name := range slices.Sorted(maps.Keys(b.services)) {
 		wanted := b.services[name].slotDemand()
@@ -156,6 +159,7 @@
 	}
 }
 
+// addMinions adds announcements, claims and requests in flight to the request.
 func (b *Balancer) addMinions(req *SlotRequest, now time.Duration) {
 	claimable := now < b.lease.expiresAt+b.opts.Lease.MaxRequest-b.opts.Lease.Lease
 	for _, name := range slices.Sorted(maps.Keys(b.minions)) {
@@ -172,8 +176,8 @@
 	}
 }
 
-// addAnnouncement tells the leader that a minion was heard: by number where the leader
-// has the announcement, whole where it hasn't.
+// addAnnouncement tells the leader that a minion has announced itself: by number
+// if the leader has the same announcement, otherwise with the announcement.
 func (b *Balancer) addAnnouncement(req *SlotRequest, m *minion) {
 	if !m.announcedSinceRequest {
 		return
@@ -188,9 +192,9 @@
 	m.announcedSinceRequest = m.Leaving && !acknowledged
 }
 
-// addClaim tells a new leader what is held. After the lease ended the slots are
-// out of use, but they remain reserved for this entry instance until the
-// predecessor could have granted them to another.
+// addClaim tells a new leader which slots of a minion are held. Slots of an
+// expired lease aren't used any more, but they are claimed until the previous
+// leader could have granted them to another entry instance.
 func (b *Balancer) addClaim(req *SlotRequest, m *minion, inProgress int, claimable bool) {
 	held := m.slots
 	if !claimable {
@@ -203,13 +207,13 @@
 	req.Claims = append(req.Claims, claim)
 }
 
-// Granted takes the answer to a slot request. It returns whether the next
-// request should follow at once.
+// HandleSlotResponse processes the response to a slot request. It returns
+// whether the next request must follow at once.
 //
-// Failure: answers arrive late, twice and out of order, also from a leader that
-// was replaced; taking an old one would use slots that others hold by now.
-// Guard: only an answer of the current term, later than the adopted one and
-// based on it, is taken, and its lease counts from when its request was sent.
+// Guards against using slots that others hold: responses may be delayed,
+// duplicated and reordered, and may come from a replaced leader. Only a response
+// of the current term that is later than the adopted one and based on it is
+// adopted. Its lease counts from when its request was sent.
 func (b *Balancer) HandleSlotResponse(resp SlotResponse, now time.Duration) (again bool) {
 	l := &b.lease
 	if resp.Term < l.term || l.released {
@@ -238,6 +242,7 @@
 	return shrunk
 }
 
+// sentAt returns when the request with this sequence was sent, if it is recorded.
 func (l *slotLease) sentAt(sequence uint64) (time.Duration, bool) {
 	for _, s := range l.sent {
 		if s.sequence == sequence {
@@ -247,8 +252,8 @@
 	return 0, false
 }
 
-// newTerm forgets the numbers of an earlier leader. The slots stay: the new
-// leader is told of them by claims.
+// newTerm drops the minion numbers of the previous leader. The granted slots
+// stay; the next request claims them from the new leader.
 func (b *Balancer) newTerm(term uint64) {
 	l := &b.lease
 	l.term = term
@@ -262,7 +267,8 @@
 	b.byNumber = make(map[uint32]*minion)
 }
 
-// understood says whether every number in the answer is known.
+// numbersKnown reports whether every minion number in the response is known or
+// comes with an announcement.
 func (b *Balancer) numbersKnown(resp SlotResponse) bool {
 	for _, g := range resp.Grants {
 		if _, ok := b.byNumber[g.Number]; !ok && !g.HasAnnouncement {
@@ -272,8 +278,9 @@
 	return true
 }
 
-// adopt takes over the grants. It returns whether any of them shrank; the
-// leader gives the difference to others once it knows of the adoption.
+// adopt starts to use the grants of a response. It returns whether any of them
+// shrank: the leader can grant the difference to others once it knows of the
+// adoption.
 func (b *Balancer) adopt(resp SlotResponse, sent, now time.Duration) (shrunk bool) {
 	l := &b.lease
 	if resp.Base == 0 {
@@ -304,6 +311,8 @@
 	return shrunk
 }
 
+// applyAnnouncement records the leader's announcement of a minion, unless the
+// minion itself has announced something later.
 func (b *Balancer) applyAnnouncement(g Grant, now time.Duration) {
 	m := b.ensureMinion(g.Announcement.Minion, now)
 	if m.number != g.Number {
@@ -324,7 +333,7 @@
 	b.setAnnouncement(m, g.Announcement, now)
 }
 
-// forgetGone drops the records of minions that left and hold nothing.
+// forgetGone deletes the records of minions that left and have no requests.
 func (b *Balancer) forgetGone(now time.Duration) {
 	ttl := b.opts.Lease.MinionTTL
 	for name, m := range b.minions {
@@ -341,8 +350,9 @@
 	b.forgetServices(now)
 }
 
-// forgetServices drops services that never had a minion, and those that have
-// had none for long. Until then a service without minions is busy, not unknown.
+// forgetServices deletes services that never had a minion, or have had none for
+// forgetAfter. Until then requests for a service without minions are queued, not
+// refused as NoSuchService.
 func (b *Balancer) forgetServices(now time.Duration) {
 	for name, s := range b.services {
 		if len(s.minions) > 0 {
--- a/routing/ticket.go
+++ b/routing/ticket.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// State is where a request stands.
+// State is the state of a request.
 type State uint8
 
-// States.
+// The states.
 const (
 	// Queued requests wait for a slot.
 	Queued State = iota + 1
@@ -13,23 +13,23 @@
 	Started
 	// Refused requests have their final answer in Ticket.Refusal.
 	Refused
-	// Finished requests hold nothing.
+	// Finished requests hold no slot and are not queued.
 	Finished
 )
 
-// Request is what the Balancer needs to know of a request.
+// Request is what the Balancer needs to know about a request.
 type Request struct {
 	Service  string
 	Customer string
-	// Deadline is on the clock of the caller of Submit.
+	// Deadline is a time on the clock of the caller of Submit.
 	Deadline time.Duration
-	// Idempotent requests may be sent again after their fate became unknown.
+	// Idempotent requests may be sent again when it is unknown whether they ran.
 	Idempotent bool
-	// Tag is the caller's own.
+	// Tag is for the caller; the Balancer doesn't use it.
 	Tag any
 }
 
-// Ticket follows one request through the Balancer.
+// Ticket tracks one request through the Balancer.
 type Ticket struct {
 	Request
 
@@ -37,28 +37,28 @@
 	refusal *Refusal
 	minion  *minion
 	number  uint64
-	// attempts counts the starts.
+	// attempts counts how many times the request started.
 	attempts  int
 	queuedAt  time.Duration
 	startedAt time.Duration
-	// avoid is the minion of the attempt that failed.
+	// failedMinion is the minion of the attempt that failed.
 	failedMinion *minion
 	probe        bool
 }
 
-// State returns where the request stands.
+// State returns the state of the request.
 func (t *Ticket) State() State { return t.state }
 
 // Refusal returns why the request was refused, or nil.
 func (t *Ticket) Refusal() *Refusal { return t.refusal }
 
-// Attempts returns how many times the request was given a slot.
+// Attempts returns how many times the request started.
 func (t *Ticket) Attempts() int { return t.attempts }
 
-// Waited returns how long the request waited for its last slot.
+// Waited returns how long the request was queued before its last start.
 func (t *Ticket) Waited() time.Duration { return t.startedAt - t.queuedAt }
 
-// Target is the minion that a started request goes to.
+// Target is the minion that a started request is sent to.
 type Target struct {
 	Minion         string
 	Address        string
@@ -69,31 +69,34 @@
 // Outcome is how an attempt on a minion ended.
 type Outcome uint8
 
-// Outcomes.
+// The outcomes.
 const (
-	// Answered: the whole answer arrived and tells of no failure of the minion.
+	// Answered: the complete answer arrived and reports no failure of the minion.
 	Answered Outcome = iota + 1
-	// AnsweredFailure: the whole answer arrived and tells that the minion failed.
+	// AnsweredFailure: the complete answer arrived and reports that the minion
+	// failed.
 	AnsweredFailure
-	// Streamed: the whole answer arrived at the pace of the caller, so that its
-	// time says nothing about the minion.
+	// Streamed: the complete answer arrived at the pace of the caller, so its
+	// duration says nothing about the minion.
 	Streamed
-	// NotSent: no byte of the request was written, since the minion couldn't be reached.
+	// NotSent: the minion was unreachable, and no byte of the request was
+	// written.
 	NotSent
-	// LeaseEnded: no byte of the request was written, since the slot lease ended first.
+	// LeaseEnded: the slot lease expired before any byte of the request was
+	// written.
 	LeaseEnded
-	// Broken: the connection broke before the answer was whole.
+	// Broken: the connection broke before the answer was complete.
 	Broken
-	// TimedOut: the answer was not whole in time.
+	// TimedOut: the answer was not complete in time.
 	TimedOut
 	// Abandoned: the caller went away.
 	Abandoned
 )
 
-// failed says whether the outcome speaks against the minion.
+// failed reports whether the outcome is a failure of the minion.
 func (o Outcome) failed() bool {
 	return o == AnsweredFailure || o == NotSent || o == Broken || o == TimedOut
 }
 
-// mayStillRun says whether the minion may still be working on the request.
+// mayStillRun reports whether the minion may still be working on the request.
 func (o Outcome) mayStillRun() bool { return o == TimedOut || o == Abandoned }
--- a/routing/types.go
+++ b/routing/types.go
@@ -1,29 +1,31 @@
-// Package routing decides which request goes to which minion, and when. It has
-// no input or output, reads no clock and starts no goroutine: every method
-// takes the time as a duration since an arbitrary origin of the caller's
-// monotonic clock.
+// Package routing decides which request goes to which minion, and when. It does
+// no input or output, reads no clock and starts no goroutine: every method takes
+// the time as a duration since an arbitrary origin of the caller's monotonic
+// clock.
 //
-// The Divider runs on the leader of a data centre and divides the slots of
-// minions among the entry instances by slot leases. A Balancer runs on each
-// entry instance: it holds the leases, queues requests by deadline, refuses
-// those that can't make it and picks minions for the others.
+// An Allocator runs on the leader of a data centre and allocates the slots of
+// its minions to the entry instances by slot leases. A Balancer runs on each
+// entry instance: it holds the slot leases, queues requests by deadline, refuses
+// those that can't be answered in time and selects minions for the others.
 package routing
 
 import "time"
 
-// Announcement is what a minion says about itself.
+// Announcement is what a minion reports about itself.
 type Announcement struct {
 	Minion  string
 	Service string
-	// Address is host:port of the minion's HTTP server.
+	// Address is the host:port of the minion's HTTP server.
 	Address string
-	// Slots is how many requests the minion takes at a time.
+	// Slots is how many requests the minion processes at a time.
 	Slots int
-	// MaxConnections is how many connections the minion takes; 0 for no limit.
+	// MaxConnections is how many connections the minion accepts; 0 means no
+	// limit.
 	MaxConnections int
 	// Incarnation grows with each start of the minion.
 	Incarnation uint64
-	// Leaving asks for no more requests. It lasts for the incarnation.
+	// Leaving reports whether the minion wants no more requests. It can't be
+	// undone within the incarnation.
 	Leaving bool
 }
 
@@ -33,13 +35,13 @@
 	Wanted  int
 }
 
-// Use is how many requests an entry instance has in progress on a minion.
+// MinionLoad is how many requests an entry instance has in flight on a minion.
 type MinionLoad struct {
 	Number   uint32
 	InFlight int
 }
 
-// Claim is what an entry instance holds of a minion, told to a new leader.
+// Claim is what an entry instance holds of a minion. It tells a new leader.
 type Claim struct {
 	Minion   string
 	Service  string
@@ -47,39 +49,41 @@
 	InFlight int
 }
 
-// SlotRequest renews the slot leases of one entry instance.
+// SlotRequest renews the slot lease of one entry instance.
 type SlotRequest struct {
 	Entry string
 	// Incarnation grows with each start of the entry process.
 	Incarnation uint64
 	// Sequence grows with each request of an incarnation.
 	Sequence uint64
-	// Term is the highest term from which the entry instance has heard.
+	// Term is the highest term that the entry instance has seen.
 	Term uint64
 	// Adopted is the sequence of the response whose grants are in use.
 	Adopted uint64
-	// Full says that Claims holds all that the entry instance holds.
+	// Full reports whether Claims has everything that the entry instance holds.
 	Full    bool
 	Demands []ServiceDemand
-	// Uses lists minions of the term with requests in progress.
+	// Loads lists the minions with requests in flight, by their numbers of Term.
 	Loads  []MinionLoad
 	Claims []Claim
-	// Alive lists the minions of the term heard since the last request.
+	// Alive lists the minions that announced themselves since the last request,
+	// by their numbers of Term.
 	Alive []uint32
-	// Announcements are those that the leader isn't known to have.
+	// Announcements lists the announcements that the leader may not have.
 	Announcements []Announcement
-	// ReleaseAll says that the entry instance drains and wants no slots.
+	// ReleaseAll reports whether the entry instance is draining and gives up
+	// all slots.
 	ReleaseAll bool
 }
 
-// Grant changes what an entry instance may use of one minion.
+// Grant sets how many slots of one minion an entry instance may use.
 type Grant struct {
 	Number uint32
 	Slots  int
-	// Described is set when Minion holds the minion's announcement.
+	// HasAnnouncement reports whether Announcement is set.
 	HasAnnouncement bool
 	Announcement    Announcement
-	// Gone says that the minion has left or fell silent.
+	// Gone reports whether the minion left or stopped announcing itself.
 	Gone bool
 }
 
@@ -87,29 +91,31 @@
 type SlotResponse struct {
 	Term     uint64
 	Sequence uint64
-	// Lease is counted by the entry instance from when it sent the request.
+	// Lease is the duration of the lease, counted from when the entry instance
+	// sent the request.
 	Lease time.Duration
-	// Base is the sequence of the response that Grants change. 0: Grants are complete.
+	// Base is the sequence of the response that Grants modifies. 0 means that
+	// Grants is complete.
 	Base uint64
-	// Resync asks for a full request; nothing is granted.
+	// Resync asks for a full request; the response grants nothing.
 	Resync bool
 	Grants []Grant
 }
 
-// LeaseOptions are the durations on which Divider and Balancer must agree.
+// LeaseOptions are the durations on which Allocator and Balancer must agree.
 type LeaseOptions struct {
 	// Lease is how long granted slots may be used.
 	Lease time.Duration
-	// MaxRequest bounds how long a request may be in progress on a minion. It
+	// MaxRequest bounds how long a request may be in flight on a minion. It
 	// must not be shorter than Lease.
 	MaxRequest time.Duration
-	// Drift bounds how much two monotonic clocks differ over Lease + MaxRequest.
+	// Drift bounds how far two monotonic clocks diverge over Lease + MaxRequest.
 	Drift time.Duration
-	// MinionTTL is after how long without an announcement a minion is gone.
+	// MinionTTL is how long a minion stays usable without an announcement.
 	MinionTTL time.Duration
 }
 
-// DefaultLeaseOptions returns the durations used where settings say nothing.
+// DefaultLeaseOptions returns the durations that apply without settings.
 func DefaultLeaseOptions() LeaseOptions {
 	return LeaseOptions{
 		Lease:      5 * time.Second,
@@ -119,7 +125,8 @@
 	}
 }
 
-// withDefaults fills in zero fields and keeps MaxRequest >= Lease.
+// withDefaults replaces unset durations by their defaults and raises MaxRequest
+// to at least Lease.
 func (o LeaseOptions) withDefaults() LeaseOptions {
 	d := DefaultLeaseOptions()
 	if o.Lease <= 0 {
