--- a/quota/config.go
+++ b/quota/config.go
@@ -8,40 +8,41 @@
 	"github.com/bilberryferry/bilberryferry/placement"
 )
 
-// Unlimited in a field of a limit means that there is none.
+// Unlimited as a field of a limit means that there is no limit.
 const Unlimited int64 = -1
 
-// Config is what a configuration version says about quotas.
+// Config is the quota part of a configuration version.
 type Config struct {
-	// Version grows with each accepted configuration.
+	// Version increases with each accepted configuration.
 	Version uint64 `cbor:"1,keyasint"`
-	// Generation counts the divisions of slots. It grows only when an operator
-	// has the slots divided anew, because a data centre was added for good or
-	// lost with its state. All ownership and transfers of earlier generations
-	// are void then.
+	// Generation counts the initial allocations of slots. It grows only when an
+	// operator has the slots allocated again, because a data centre was added for
+	// good or lost with its state. All ownership and transfers of earlier
+	// generations are then invalid.
 	Generation uint64 `cbor:"2,keyasint,omitempty"`
-	// Founders are the data centres among which the slots are divided at first,
-	// in any order, the same in every version of a generation and for all data
-	// centres: where two differ in them, slots are owned twice. Other data centres start with
-	// nothing and are given slots on demand.
+	// InitialOwners are the data centres among which the slots are divided at
+	// first, in any order. They must be the same in every version of a
+	// generation and for all data centres; if two data centres differ, a slot
+	// can have two owners. Other data centres start without slots and get them
+	// by transfers.
 	InitialOwners []string `cbor:"3,keyasint"`
-	// Limits are by customer; a customer that is missing may use nothing.
+	// Limits has the limits by customer. A customer without one may use nothing.
 	Limits map[string]placement.Resources `cbor:"4,keyasint,omitempty"`
 }
 
-// Errors of Check and Configure. The list is closed.
+// Errors of Check and Configure. The list is complete.
 var (
-	// ErrOldVersion: the version is below the one in force.
+	// ErrOldVersion: the version is lower than the one in force.
 	ErrOldVersion = errors.New("quota: configuration version is older than the one in force")
-	// ErrInitialOwners: the founders are not the ones of the generation, or they are
-	// none, too many, or not different.
-	ErrInitialOwners = errors.New("quota: founders don't fit the generation")
-	// ErrLimit: a limit is below zero and not Unlimited.
+	// ErrInitialOwners: the initial owners differ from those of the generation,
+	// or there are none, too many, or duplicates.
+	ErrInitialOwners = errors.New("quota: initial owners differ from those of the generation, or are none, too many or duplicate")
+	// ErrLimit: a limit is negative and not Unlimited.
 	ErrLimit = errors.New("quota: limit is negative")
 )
 
-// Check says whether next may follow c. Whoever accepts configurations calls
-// it, so that no data centre meets one that it must refuse.
+// Check reports whether next may follow c. Call it before accepting a
+// configuration, so that no data centre gets one that it must refuse.
 func (c Config) Check(next Config) error {
 	if next.Version < c.Version || next.Generation < c.Generation {
 		return ErrOldVersion
--- a/quota/demand_test.go
+++ b/quota/demand_test.go
@@ -13,8 +13,8 @@
 	"github.com/bilberryferry/bilberryferry/quota"
 )
 
-// The demand run: customers whose demand is mostly in one data centre, which
-// changes; one tick is a tenth of a second and the way of a message.
+// Parameters of the simulation. Most of a customer's demand is in one data
+// centre, which changes over time. One tick is 0.1 s and the delay of a message.
 const (
 	simCentres      = 4
 	simCustomers    = 100
@@ -31,27 +31,27 @@
 	partitionEnd    = 7200
 )
 
-// strategy is one way of following demand.
+// strategy is one way of adapting allotments to demand.
 type strategy struct {
 	name         string
 	pool, static bool
-	// proportional sets shares by demand, told to all each epoch, as far as
-	// hard limits allow; otherwise what lacks is asked for.
+	// proportional sets shares by demand, which all data centres exchange each
+	// epoch. The other strategies request what is lacking.
 	proportional bool
-	// keepWaiting keeps what waiting work needs when others ask, and average
-	// that part of the moving average of demand.
+	// keepWaiting makes a donor keep what its waiting work needs. average is the
+	// fraction of the moving average of demand that a donor keeps.
 	keepWaiting bool
 	average     float64
-	// pace is how many ticks there are between two looks for what is lacking.
+	// checkInterval is the number of ticks between two checks for lacking units.
 	checkInterval int
-	// cut cuts data centre 0 off for two minutes.
+	// partition separates data centre 0 from the others for two minutes.
 	partition bool
 }
 
-// waiting is a task in a queue, since a tick.
+// queuedTask is a queued task with the tick of its arrival.
 type queuedTask struct{ since int }
 
-// centre is one data centre of the run.
+// centre is one simulated data centre.
 type centre struct {
 	ledger  *quota.Ledger
 	planner *quota.Planner
@@ -77,6 +77,8 @@
 	bytes         int
 }
 
+// newSimulation returns a simulation of a strategy with all data centres
+// configured.
 func newSimulation(s strategy, seed uint64) *simulation {
 	m := &simulation{strategy: s, random: rand.New(rand.NewPCG(seed, seed))}
 	config := quota.Config{Version: 1, Limits: map[string]placement.Resources{}}
@@ -98,7 +100,8 @@
 	return m
 }
 
-// send delivers a message a tick later, unless data centre 0 is cut off.
+// send delivers a message one tick later, unless data centre 0 is partitioned
+// from the others.
 func (m *simulation) send(from, to int, message any, deliver func()) {
 	data, _ := cbor.Marshal(message)
 	m.messages++
@@ -109,6 +112,7 @@
 	m.next = append(m.next, deliver)
 }
 
+// run simulates all ticks.
 func (m *simulation) run() {
 	for m.tick = range simTicks {
 		m.inbox, m.next = m.next, nil
@@ -127,7 +131,7 @@
 	}
 }
 
-// arrive puts new tasks into the queues.
+// arrive adds new tasks to the queues.
 func (m *simulation) arrive() {
 	for customer := range simCustomers {
 		hot := (customer + (m.tick+customer*mainCentreTicks/simCustomers)/mainCentreTicks) % simCentres
@@ -143,7 +147,7 @@
 	}
 }
 
-// room says whether a data centre may start one more task.
+// mayStart reports whether a data centre may start one more task of a customer.
 func (m *simulation) mayStart(c *centre, customer int) bool {
 	if m.pool {
 		return m.total(customer)+taskCPU <= simLimit
@@ -151,6 +155,7 @@
 	return c.used[customer]+taskCPU <= c.ledger.Allotment(m.ids[customer]).CPU
 }
 
+// total returns a customer's usage over all data centres.
 func (m *simulation) total(customer int) int64 {
 	var sum int64
 	for _, c := range m.centres {
@@ -159,6 +164,7 @@
 	return sum
 }
 
+// start starts the queued tasks that the allotments permit.
 func (m *simulation) start(c *centre) {
 	for customer := range simCustomers {
 		for len(c.queue[customer]) > 0 && m.mayStart(c, customer) {
@@ -174,7 +180,7 @@
 	}
 }
 
-// follow sends what the strategy sends in a tick.
+// rebalance sends the messages of the strategy for one tick.
 func (m *simulation) rebalance(i int, c *centre) {
 	if m.pool || m.static {
 		return
@@ -205,8 +211,9 @@
 	}
 }
 
-// share is the proportional strategy: at the end of each epoch the averages of
-// demand go to all, and whoever is below its share asks those above theirs.
+// share is the proportional strategy: at the end of each epoch all data centres
+// exchange their averages of demand, and those below their share request slots
+// from those above theirs.
 func (m *simulation) share(i int, c *centre) {
 	if m.tick%epochTicks != 0 {
 		return
@@ -235,8 +242,8 @@
 	}
 }
 
-// target is a data centre's share by the averages of demand. A core more for
-// each keeps the idle ones from standing at nothing.
+// fairShare returns a data centre's share by the averages of demand. One core is
+// added for each data centre, so that idle ones keep a share.
 func (m *simulation) fairShare(i, customer int) int64 {
 	var sum float64
 	for _, c := range m.centres {
@@ -245,7 +252,7 @@
 	return int64(simLimit * (m.centres[i].demand[customer] + taskCPU) / sum)
 }
 
-// keep is what a giver holds back from those who ask.
+// reserved returns what a donor keeps of each customer's allotment.
 func (m *simulation) reserved(c *centre) func(string) placement.Resources {
 	return func(id string) placement.Resources {
 		customer := slices.Index(m.ids, id)
@@ -257,7 +264,7 @@
 	}
 }
 
-// ask sends an ask, its reply and the acknowledgement.
+// requestTransfer sends a transfer request, its reply and the acknowledgement.
 func (m *simulation) requestTransfer(from int, a quota.TransferRequest, reserve []placement.Resources) {
 	to := slices.Index(m.names, a.To)
 	asker, giver := m.centres[from], m.centres[to]
@@ -283,9 +290,9 @@
 	})
 }
 
-// BenchmarkDemand compares ways of following demand on one seeded run of 20
-// minutes. "unneeded" are seconds per start in which a task waited although its
-// customer was below its limit; a run takes one iteration.
+// BenchmarkDemand compares the strategies on one seeded run of 20 minutes.
+// "unneeded-ms" is the time per start for which a task waited although its
+// customer was below its limit. A run takes one iteration.
 func BenchmarkDemand(b *testing.B) {
 	for _, s := range []strategy{
 		{name: "pool", pool: true},
@@ -309,6 +316,7 @@
 	}
 }
 
+// report reports the results of the run as benchmark metrics.
 func (m *simulation) report(b *testing.B) {
 	slices.Sort(m.waits)
 	sum, late := 0, 0
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -1,44 +1,46 @@
 // Package quota splits the limits of customers over data centres, so that each
-// data centre can decide alone, cut off from the others too, and all together
-// never allow a customer more than its limit. It has no input or output, reads
-// no clock and starts no goroutine.
+// data centre can decide alone, also while it is partitioned from the others, and
+// all of them together never allow a customer more than its limit. It does no
+// input or output, reads no clock and starts no goroutine.
 //
 // # Slots
 //
-// The units of a limit (thousandths of a core, MiB, accelerators) are dealt
-// out to [Slots] slots: unit u, counted from 0, belongs to slot u mod Slots.
-// Each slot has at most one owner. A data centre's allotment is the number of
-// units below the limit that belong to its slots. The founders, the data
-// centres among which the slots are divided at first, own every n-th slot
-// each; afterwards ownership moves by transfers only.
-//
-// What holds:
-//
-//  1. At one configuration version the allotments of all data centres are
-//     never negative, and their sum is the limit less what is under way. At
-//     first it is the limit exactly.
-//  2. While versions differ the sum is at most the highest limit in force
-//     anywhere: every unit that is allotted is below that limit and belongs
-//     to one slot, and that slot to one data centre.
-//  3. A lowered limit needs no agreement and gives nobody a negative
-//     allotment, whatever has been given away, and versions may be skipped:
-//     an allotment depends on the slots owned and the limit in force alone.
-//
-// Work that was started under an earlier, higher allotment runs on; a limit
-// binds starts. Only a new generation (see [Config]) divides anew: while some
-// data centres have it and some don't, the sum is at most that of both.
+// The units of a limit (thousandths of a core, MiB, accelerators) are assigned
+// to [Slots] slots: unit u, counted from 0, belongs to slot u mod Slots. Each
+// slot has at most one owner. A data centre's allotment is the number of units
+// below the limit that belong to its slots. The initial owners, the data centres
+// among which the slots are divided at first, own every n-th slot each;
+// afterwards only transfers change the owner of a slot.
+//
+// Guarantees:
+//
+//  1. At one configuration version the allotments of all data centres are never
+//     negative, and their sum is the limit minus the units in flight in
+//     transfers. At first the sum is exactly the limit.
+//  2. While versions differ, the sum is at most the highest limit in force
+//     anywhere: every allotted unit is below that limit and belongs to one slot,
+//     and that slot to one data centre.
+//  3. A lowered limit needs no agreement and never makes an allotment negative,
+//     whatever has been transferred, and versions may be skipped: an allotment
+//     depends only on the owned slots and the limit in force.
+//
+// Work that started under an earlier, higher allotment continues; a limit only
+// restricts starts. Only a new generation (see [Config]) allocates the slots
+// again. While some data centres have the new generation and others don't, the
+// sum is at most the limits of both generations together.
 //
 // # Transfers
 //
-// Between two data centres there is at most one transfer in each direction at
-// a time. The giver commits it with [Ledger.Give], which takes the slots from
-// it and gives the transfer the next sequence number of that pair; the
-// receiver commits [Ledger.Take], which credits it if it is the next; the
-// giver commits [Ledger.Forget]. A slot is thus with the giver, under way, or
-// with the receiver, and a message lost, doubled, late or reordered finds a
-// sequence number that says so. Memory is one number and at most one transfer
-// per other data centre.
-//
-// A data centre whose state was lost entirely must not come back under the
-// same generation: it would own its first slots again.
+// Between two data centres there is at most one transfer in each direction at a
+// time. The donor commits it with [Ledger.Debit], which removes the slots from
+// the donor and gives the transfer the next sequence number of that pair; the
+// recipient commits it with [Ledger.Credit], which credits it if it is the next;
+// the donor commits the acknowledgement with [Ledger.Acknowledge]. A slot thus
+// belongs to the donor, to the transfer in flight, or to the recipient, and the
+// sequence number identifies a message that is lost, duplicated, delayed or
+// reordered. The state is one number and at most one transfer per other data
+// centre.
+//
+// A data centre whose state was lost entirely must not return under the same
+// generation: it would own its initial slots again.
 package quota
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -10,53 +10,56 @@
 	"github.com/bilberryferry/bilberryferry/placement"
 )
 
-// Errors of Give and Take. The list is closed.
+// Errors of Debit and Credit. The list is complete.
 var (
-	// ErrNoSpare: nothing that was asked for is spare.
-	ErrNoSpare = errors.New("quota: nothing to give")
-	// ErrStale: the ask was sent before the asker took the last transfer.
-	// Ledger.Outgoing has that transfer when it may not have arrived.
-	ErrStale = errors.New("quota: ask is older than the last transfer")
-	// ErrDuplicate: the transfer was taken before; acknowledge it again.
+	// ErrNoSpare: the donor has no spare slots for any demand of the request.
+	ErrNoSpare = errors.New("quota: no spare units for the request")
+	// ErrStale: the request was sent before its sender credited the last
+	// transfer. Ledger.Outgoing returns that transfer if it is not
+	// acknowledged.
+	ErrStale = errors.New("quota: request is older than the last transfer")
+	// ErrDuplicate: the transfer was credited before; acknowledge it again.
 	ErrDuplicate = errors.New("quota: transfer was taken before")
-	// ErrSequenceGap: a sequence number is missing, so one side has lost its state. An
-	// operator must start a new generation.
-	ErrSequenceGap = errors.New("quota: transfer is not the next one")
-	// ErrOtherGeneration: the message is of another generation than the one in force
-	// here. A newer one can be taken once the configuration has arrived, an
-	// older one is void.
+	// ErrSequenceGap: a sequence number is missing, so one side has lost its
+	// state. An operator must start a new generation.
+	ErrSequenceGap = errors.New("quota: transfer is not the next in sequence")
+	// ErrOtherGeneration: the message isn't of the generation in force here. A
+	// message of a newer generation can be processed once the configuration has
+	// arrived; one of an older generation is invalid.
 	ErrOtherGeneration = errors.New("quota: message is of another generation")
 	// ErrWrongDataCentre: the message is for another data centre.
 	ErrWrongDataCentre = errors.New("quota: message is for another data centre")
 )
 
-// Want is what an asker lacks for one customer.
+// Demand is what a data centre lacks for one customer.
 type Demand struct {
 	Customer string `cbor:"1,keyasint"`
-	// Need is what waiting work needs beyond the asker's allotment.
+	// Amount is what waiting work needs beyond the allotment.
 	Amount placement.Resources `cbor:"2,keyasint"`
 }
 
-// Ask asks a data centre for some of its allotments, and acknowledges the
-// transfers taken from it. Without wants it is an acknowledgement alone.
+// TransferRequest asks another data centre for some of its slots and
+// acknowledges the transfers credited from it. Without demands it only
+// acknowledges.
 type TransferRequest struct {
 	From string `cbor:"1,keyasint"`
 	To   string `cbor:"2,keyasint"`
-	// Taken is the highest transfer taken from To.
+	// LastReceived is the highest sequence number credited from To.
 	LastReceived uint64   `cbor:"3,keyasint,omitempty"`
 	Generation   uint64   `cbor:"4,keyasint,omitempty"`
 	Demands      []Demand `cbor:"5,keyasint,omitempty"`
 }
 
-// Answer is the command with which a giver decides on an ask. It carries the
-// reserve that the leader found right, since the other replicas don't know it.
+// DebitCommand is the replicated command by which a donor decides on a request.
+// It carries the reserved units, which only the leader knows.
 type DebitCommand struct {
 	Request TransferRequest `cbor:"1,keyasint"`
-	// Reserve is what to keep, for each want of the ask.
+	// Reserve has, for each demand of the request, the units that the donor
+	// keeps.
 	Reserve []placement.Resources `cbor:"2,keyasint,omitempty"`
 }
 
-// Parcel is the part of a transfer for one customer.
+// CustomerSlots is the part of a transfer for one customer.
 type CustomerSlots struct {
 	Customer     string  `cbor:"1,keyasint"`
 	CPU          SlotSet `cbor:"2,keyasint"`
@@ -68,46 +71,48 @@
 type Transfer struct {
 	From string `cbor:"1,keyasint"`
 	To   string `cbor:"2,keyasint"`
-	// Sequence counts the transfers of the pair from 1 in each generation.
+	// Sequence numbers the transfers between the two data centres in this
+	// direction from 1 in each generation.
 	Sequence   uint64          `cbor:"3,keyasint"`
 	Generation uint64          `cbor:"4,keyasint,omitempty"`
 	Customers  []CustomerSlots `cbor:"5,keyasint"`
 }
 
-// holding is what one data centre owns of one customer's limit.
+// ownedSlots are the slots of one customer's limit that a data centre owns.
 type ownedSlots struct {
 	CPU          SlotSet `cbor:"1,keyasint"`
 	Memory       SlotSet `cbor:"2,keyasint"`
 	Accelerators SlotSet `cbor:"3,keyasint"`
 }
 
-// state is what a Ledger consists of, and its serialised form.
+// state is the serialised form of a Ledger.
 type state struct {
 	Self   string `cbor:"1,keyasint"`
 	Config Config `cbor:"2,keyasint"`
-	// Held has the customers that transfers have touched. A customer keeps its
-	// entry when it leaves the configuration, for it may come back.
+	// Owned has the customers whose slots transfers have changed. A customer that
+	// leaves the configuration keeps its entry, because it may return.
 	Owned map[string]*ownedSlots `cbor:"3,keyasint,omitempty"`
-	// Given is the last sequence number given to each data centre, and Taken
-	// the last one taken from it.
+	// LastSent has the last sequence number of the transfers sent to each data
+	// centre, and LastReceived the last one credited from it.
 	LastSent     map[string]uint64 `cbor:"4,keyasint,omitempty"`
 	LastReceived map[string]uint64 `cbor:"5,keyasint,omitempty"`
-	// Outgoing has the transfers that are not acknowledged, one per receiver.
+	// Outgoing has the unacknowledged transfers, at most one per recipient.
 	Outgoing map[string]Transfer `cbor:"6,keyasint,omitempty"`
 }
 
-// Ledger is the state of one data centre. It belongs into that data centre's
-// replicated state: Configure, Give, Take and Forget are called when a command
-// is applied and give the same result on every replica; the other methods
-// change nothing. It is not safe for concurrent use.
+// Ledger records the slots of one data centre. It is part of the data centre's
+// replicated state: Configure, Debit, Credit and Acknowledge run when a command
+// is applied and have the same result on every replica; the other methods change
+// nothing. It is not safe for concurrent use.
 type Ledger struct {
 	s state
-	// allotments follows from s; it is kept because every placement looks at it.
+	// allotments is derived from s. It is cached because every placement reads
+	// it.
 	allotments map[string]placement.Resources
 }
 
-// NewLedger returns the ledger of a data centre that allots nothing until it is
-// configured.
+// NewLedger returns the ledger of a data centre. It allots nothing until
+// Configure.
 func NewLedger(self string) *Ledger {
 	l := &Ledger{}
 	l.s.Self = self
@@ -115,7 +120,7 @@
 	return l
 }
 
-// fill makes the maps that an empty snapshot leaves out.
+// initMaps creates the maps that an empty snapshot omits.
 func (l *Ledger) initMaps() {
 	if l.s.Owned == nil {
 		l.s.Owned = map[string]*ownedSlots{}
@@ -131,10 +136,10 @@
 	}
 }
 
-// Configure puts a configuration in force. Versions may be skipped. The error
-// is one of Config.Check; then nothing is changed. The version in force is
-// accepted again and changes nothing. The ledger keeps c's maps, which the
-// caller must not change.
+// Configure puts a configuration in force. Versions may be skipped. On an error,
+// which is one of Config.Check, nothing changes. The version in force is accepted
+// again and changes nothing. The ledger keeps the maps of c, which the caller
+// must not change.
 func (l *Ledger) Configure(c Config) error {
 	if err := l.s.Config.Check(c); err != nil {
 		return err
@@ -143,19 +148,19 @@
 		return nil
 	}
 	if c.Generation != l.s.Config.Generation {
-		// Messages of the old generation are refused from here on, so that
-		// nothing that was given or taken in it counts any more.
+		// Messages of the old generation are refused from now on, so its
+		// transfers no longer count.
 		l.s = state{Self: l.s.Self}
 		l.initMaps()
 	}
 	l.s.Config = c
-	// The order in which a data centre lists the founders must not matter.
+	// The result must not depend on the order of the initial owners.
 	l.s.Config.InitialOwners = slices.Sorted(slices.Values(c.InitialOwners))
 	l.refresh()
 	return nil
 }
 
-// Version returns the configuration version in force; zero for none.
+// Version returns the configuration version in force, or 0 if there is none.
 func (l *Ledger) Version() uint64 {
 	return l.s.Config.Version
 }
@@ -165,13 +170,13 @@
 	return l.s.Config.Limits[customer]
 }
 
-// Allotment returns what this data centre may let a customer use. A field
-// without limit is Unlimited.
+// Allotment returns how much a customer may use in this data centre. Fields
+// without a limit are Unlimited.
 func (l *Ledger) Allotment(customer string) placement.Resources {
 	return l.allotments[customer]
 }
 
-// refresh computes the allotments of all customers.
+// refresh recomputes the allotments of all customers.
 func (l *Ledger) refresh() {
 	l.allotments = make(map[string]placement.Resources, len(l.s.Config.Limits))
 	for customer := range l.s.Config.Limits {
@@ -179,8 +184,7 @@
 	}
 }
 
-// refreshCustomer computes the allotment of a customer. One that has no limit is
-// allotted nothing.
+// refreshCustomer recomputes the allotment of a customer that has a limit.
 func (l *Ledger) refreshCustomer(customer string) {
 	limit, known := l.s.Config.Limits[customer]
 	if !known {
@@ -194,18 +198,18 @@
 	}
 }
 
-// allotted is one field of an allotment.
+// allotted returns one field of an allotment.
 func allotted(s *SlotSet, limit int64) int64 {
 	if limit == Unlimited {
 		return Unlimited
 	}
 	units := s.units(limit)
-	invariant(units >= 0 && units <= limit, "%d units are allotted of a limit of %d", units, limit)
+	invariant(units >= 0 && units <= limit, "allotment of %d units is outside 0 to the limit of %d", units, limit)
 	return units
 }
 
-// holding returns what is owned of a customer's limit: what transfers have
-// left, or the first division where there were none.
+// owned returns the owned slots of a customer: those that transfers have left, or
+// the initial slots if there were no transfers.
 func (l *Ledger) owned(customer string) ownedSlots {
 	if h := l.s.Owned[customer]; h != nil {
 		return *h
@@ -219,14 +223,14 @@
 	return ownedSlots{}
 }
 
-// Give commits a transfer that answers an ask, with what the ask wants as far
-// as the allotment stays at the reserve and at used(customer), the usage in the
-// replicated state at this moment. The transfer is sent until it is
-// acknowledged.
+// Debit commits a transfer in response to a request. It transfers what the
+// request demands, as far as the allotment stays at least at the reserve and at
+// used(customer), the usage in the replicated state. The transfer is sent until
+// it is acknowledged.
 //
-// Failure guarded against: an ask is delivered twice, or late, and more is
-// given away each time. An ask counts only if its asker had taken everything
-// given to it so far; the transfer that answers it makes all copies stale.
+// Guards against debiting twice for a duplicated or delayed request. A request
+// counts only if its sender had credited every transfer sent to it so far; the
+// transfer that answers a request makes all its duplicates stale.
 func (l *Ledger) Debit(answer DebitCommand, used func(customer string) placement.Resources) (Transfer, error) {
 	a := answer.Request
 	if err := l.checkRequest(a); err != nil {
@@ -249,7 +253,7 @@
 	return t, nil
 }
 
-// checkRequest refuses asks that can't be meant for this state.
+// checkRequest refuses requests for another data centre, generation or state.
 func (l *Ledger) checkRequest(a TransferRequest) error {
 	if a.To != l.s.Self || a.From == l.s.Self {
 		return ErrWrongDataCentre
@@ -263,7 +267,7 @@
 	return nil
 }
 
-// parcels takes what an answer gives out of the holdings.
+// debitAll removes the slots for all demands of a request from the owned slots.
 func (l *Ledger) debitAll(answer DebitCommand, used func(customer string) placement.Resources) []CustomerSlots {
 	var customers []CustomerSlots
 	for i, w := range answer.Request.Demands {
@@ -278,7 +282,7 @@
 	return customers
 }
 
-// larger takes the larger of each field.
+// maxResources returns the maximum of each field.
 func maxResources(a, b placement.Resources) placement.Resources {
 	return placement.Resources{
 		CPU:          max(a.CPU, b.CPU),
@@ -287,7 +291,8 @@
 	}
 }
 
-// parcel takes what is wanted and spare out of a customer's holding.
+// debitCustomer removes the demanded and spare slots of one customer from the
+// owned slots. It returns false if there are none.
 func (l *Ledger) debitCustomer(w Demand, keep placement.Resources) (CustomerSlots, bool) {
 	limit := l.Limit(w.Customer)
 	has := l.Allotment(w.Customer)
@@ -309,18 +314,18 @@
 	return p, true
 }
 
-// empty says whether the parcel has no slot.
+// empty reports whether there is no slot.
 func (p *CustomerSlots) empty() bool {
 	return p.CPU == SlotSet{} && p.Memory == SlotSet{} && p.Accelerators == SlotSet{}
 }
 
-// Take commits a received transfer. On nil and on ErrDuplicate the caller sends an
-// acknowledgement. On other errors nothing has changed.
+// Credit commits a received transfer. On nil and on ErrDuplicate the caller sends
+// an acknowledgement. On other errors nothing has changed.
 //
-// Failure guarded against: a transfer is delivered twice and credited twice,
-// so that a customer gets more than its limit. Only the sequence number after
-// the last one taken is credited, and only in its own generation: slots of an
-// earlier one have been divided anew.
+// Guards against crediting a duplicated transfer twice, which would give a
+// customer more than its limit. Only the sequence number after the last credited
+// one is credited, and only in its own generation, because the slots of an
+// earlier generation have been allocated again.
 func (l *Ledger) Credit(t Transfer) error {
 	if t.To != l.s.Self || t.From == l.s.Self {
 		return ErrWrongDataCentre
@@ -342,11 +347,11 @@
 	return nil
 }
 
-// credit puts a parcel into its customer's holding.
+// creditCustomer adds the slots of one customer to the owned slots.
 func (l *Ledger) creditCustomer(p CustomerSlots) {
 	h := l.owned(p.Customer)
 	twice := h.CPU.overlaps(p.CPU) || h.Memory.overlaps(p.Memory) || h.Accelerators.overlaps(p.Accelerators)
-	invariant(!twice, "a slot of customer %s is owned twice", p.Customer)
+	invariant(!twice, "a transfer has a slot of customer %s that is already owned", p.Customer)
 	h.CPU.addAll(p.CPU)
 	h.Memory.addAll(p.Memory)
 	h.Accelerators.addAll(p.Accelerators)
@@ -354,7 +359,7 @@
 	l.refreshCustomer(p.Customer)
 }
 
-// Forget commits the acknowledgement that every ask carries.
+// Acknowledge commits the acknowledgement that every request carries.
 func (l *Ledger) Acknowledge(a TransferRequest) {
 	if a.To != l.s.Self || a.Generation != l.s.Config.Generation {
 		return
@@ -364,13 +369,13 @@
 	}
 }
 
-// Outgoing returns the transfer to a data centre that is not acknowledged.
+// Outgoing returns the unacknowledged transfer to a data centre, if there is one.
 func (l *Ledger) Outgoing(to string) (Transfer, bool) {
 	t, open := l.s.Outgoing[to]
 	return t, open
 }
 
-// Ask returns an ask with an up-to-date acknowledgement.
+// Request returns a request that acknowledges all credited transfers.
 func (l *Ledger) Request(to string, wants ...Demand) TransferRequest {
 	return TransferRequest{
 		From: l.s.Self, To: to,
@@ -378,16 +383,16 @@
 	}
 }
 
-// MarshalBinary gives the state for a snapshot, the same bytes for the same state.
+// MarshalBinary returns the state for a snapshot. Equal states have equal bytes.
 func (l *Ledger) MarshalBinary() ([]byte, error) {
 	return encoding.Marshal(l.s)
 }
 
-// UnmarshalBinary replaces the state by a snapshot's.
+// UnmarshalBinary replaces the state by that of a snapshot.
 func (l *Ledger) UnmarshalBinary(data []byte) error {
 	var s state
 	if err := cbor.Unmarshal(data, &s); err != nil {
-		return errors.Wrap(err, "quota: reading a ledger")
+		return errors.Wrap(err, "quota: decoding the ledger's snapshot")
 	}
 	l.s = s
 	l.initMaps()
@@ -398,12 +403,12 @@
 // encoding sorts map keys, so that equal states have equal bytes.
 var encoding = func() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
-	invariant(err == nil, "the CBOR options are refused: %v", err)
+	invariant(err == nil, "invalid CBOR options: %v", err)
 	return mode
 }()
 
-// invariant panics when a condition that the package's proof rests on doesn't
-// hold: going on could give a customer more than its limit.
+// invariant panics if holds is false: without the condition a customer could get
+// more than its limit.
 func invariant(holds bool, format string, args ...any) {
 	if !holds {
 		panic("quota: invariant broken: " + fmt.Sprintf(format, args...))
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -16,8 +16,8 @@
 
 const customer = "reports"
 
-// world is some data centres, the network between them, and the configurations
-// that were accepted so far.
+// model is some data centres, the network between them, and the configurations
+// accepted so far.
 type model struct {
 	t         *rapid.T
 	names     []string
@@ -28,7 +28,8 @@
 	seen      map[string]int
 }
 
-// even draws from [0, n) without the bias of rapid's ranges towards small values.
+// uniform draws from [0, n) without the bias of rapid's ranges towards small
+// values.
 func uniform(n int) *rapid.Generator[int] {
 	const bits = 12
 	return rapid.Custom(func(t *rapid.T) int {
@@ -43,6 +44,7 @@
 	})
 }
 
+// newModel returns two to five data centres under the first configuration.
 func newModel(t *rapid.T, seen map[string]int) *model {
 	w := &model{t: t, seen: seen}
 	for i := range 2 + uniform(4).Draw(t, "centres") {
@@ -56,7 +58,8 @@
 	return w
 }
 
-// accept adds a configuration: any limits, now and then a new generation.
+// acceptConfig adds a configuration with random limits and sometimes a new
+// generation.
 func (w *model) acceptConfig() {
 	limits := rapid.SampledFrom([]int64{quota.Unlimited, 0, 1, 3, 7, 1000, 1023, 4096, 50_000, 1 << 40})
 	next := quota.Config{Version: uint64(len(w.configs) + 1), InitialOwners: w.names[:len(w.names)-1]}
@@ -77,14 +80,14 @@
 	w.configs = append(w.configs, next)
 }
 
-// act does one thing drawn at random.
+// act performs one random action.
 func (w *model) act() {
 	i := uniform(len(w.ledgers)).Draw(w.t, "centre")
 	switch action := uniform(100).Draw(w.t, "action"); {
 	case action < 3:
 		w.acceptConfig()
 	case action < 15:
-		// Versions are skipped, and late ones arrive after newer ones.
+		// Versions are skipped, and older versions arrive after newer ones.
 		c := w.configs[len(w.configs)-1-uniform(min(3, len(w.configs))).Draw(w.t, "back")]
 		if err := w.ledgers[i].Configure(c); err != nil {
 			must.ErrorIs(w.t, err, quota.ErrOldVersion)
@@ -104,7 +107,8 @@
 	}
 }
 
-// pick loses, keeps a copy of, or takes a message from anywhere.
+// takeMessage takes a random message from the network and may lose it or keep a
+// copy of it there.
 func takeMessage[M any](w *model, network *[]M) (M, bool) {
 	var none M
 	if len(*network) == 0 {
@@ -119,12 +123,14 @@
 	return m, fate < 9
 }
 
+// request sends a transfer request with random demands.
 func (w *model) request(i, to int) {
 	amounts := rapid.SampledFrom([]int64{0, 1, 100, 2000, 1 << 38})
 	need := placement.Resources{CPU: amounts.Draw(w.t, "cpu"), Memory: amounts.Draw(w.t, "memory"), Accelerators: amounts.Draw(w.t, "acc")}
 	w.requests = append(w.requests, w.ledgers[i].Request(w.names[to], quota.Demand{Customer: customer, Amount: need}))
 }
 
+// debit handles a transfer request at the donor.
 func (w *model) debit(a quota.TransferRequest) {
 	giver := w.ledgers[slices.Index(w.names, a.To)]
 	has := giver.Allotment(customer)
@@ -142,15 +148,17 @@
 	}
 }
 
+// credit handles a transfer at the recipient and acknowledges it.
 func (w *model) credit(t quota.Transfer) {
 	taker := w.ledgers[slices.Index(w.names, t.To)]
 	w.count("take", taker.Credit(t))
 	w.requests = append(w.requests, taker.Request(t.From))
 }
 
+// count counts the results of an operation.
 func (w *model) count(what string, err error) { w.seen[fmt.Sprint(what, ": ", err)]++ }
 
-// restore replaces a ledger by its snapshot's copy.
+// restore replaces a ledger by a copy restored from its snapshot.
 func (w *model) restore(i int) {
 	data, err := w.ledgers[i].MarshalBinary()
 	must.NoError(w.t, err)
@@ -162,8 +170,8 @@
 	w.ledgers[i] = copied
 }
 
-// check is the promise of the package: no more than the highest limit in force
-// in any data centre of the generation.
+// check asserts that the allotments sum to at most the highest limit in force in
+// any data centre, if all are in the same generation.
 func (w *model) check() {
 	var sum, limit [3]int64
 	generation := w.configs[w.ledgers[0].Version()-1].Generation
@@ -182,7 +190,7 @@
 		}
 	}
 	for f := range sum {
-		must.LessEq(w.t, limit[f], sum[f], must.Sprint("more is allotted than the limit"))
+		must.LessEq(w.t, limit[f], sum[f], must.Sprint("the allotments exceed the limit"))
 	}
 }
 
@@ -190,8 +198,8 @@
 	return [3]int64{r.CPU, r.Memory, r.Accelerators}
 }
 
-// settle lets the newest configuration and all messages arrive; then nothing
-// may be missing.
+// deliverAll delivers the newest configuration and all transfers, and asserts
+// that the allotments then sum to the limit.
 func (w *model) deliverAll() {
 	last := w.configs[len(w.configs)-1]
 	for _, l := range w.ledgers {
@@ -212,19 +220,19 @@
 		}
 		for _, name := range w.names {
 			_, open := l.Outgoing(name)
-			must.False(w.t, open, must.Sprint("not forgotten: ", w.names[i], " to ", name))
+			must.False(w.t, open, must.Sprint("unacknowledged transfer: ", w.names[i], " to ", name))
 		}
 	}
 	for f, limit := range fields(last.Limits[customer]) {
 		if limit != quota.Unlimited {
-			must.Eq(w.t, limit, sum[f], must.Sprint("something was lost or made"))
+			must.Eq(w.t, limit, sum[f], must.Sprint("the allotments don't sum to the limit"))
 		}
 	}
 }
 
-// A customer gets more than its limit, or some of the limit is lost for good:
-// transfers are lost, doubled, late and reordered, limits go up and down while
-// they are under way, data centres miss versions and come back from snapshots.
+// A customer gets more than its limit, or part of the limit is lost for good.
+// Transfers are lost, duplicated, delayed and reordered while limits change, and
+// data centres skip versions and restart from snapshots.
 func TestAllotmentsNeverExceedLimit(t *testing.T) {
 	seen := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
--- a/quota/planner.go
+++ b/quota/planner.go
@@ -7,54 +7,56 @@
 	"github.com/bilberryferry/bilberryferry/placement"
 )
 
-// availabilityTicks is for how many ticks a figure heard from another data centre is
-// believed; after that it is asked again.
+// availabilityTicks is for how many ticks an availability report of another data
+// centre is used.
 const availabilityTicks = 2
 
-// requestTimeoutTicks is after how many ticks an ask without a reply counts as lost.
+// requestTimeoutTicks is after how many ticks an unanswered request counts as
+// lost.
 const requestTimeoutTicks = 2
 
-// perMille is the whole of a share in thousandths.
+// perMille is the whole of a fraction in thousandths.
 const perMille = 1000
 
-// Figure is what a data centre tells others of a customer.
+// Availability is a data centre's report of what it can spare of a customer's
+// allotment.
 type Availability struct {
 	Customer string `cbor:"1,keyasint"`
-	// Spare is what it could give at that moment.
+	// Spare is what the data centre could transfer when it sent the report.
 	Spare placement.Resources `cbor:"2,keyasint"`
 }
 
-// Reply answers an ask.
+// Reply answers a transfer request.
 type Reply struct {
 	From string `cbor:"1,keyasint"`
 	To   string `cbor:"2,keyasint"`
-	// Transfer is the transfer that the asker has not acknowledged; its
-	// Sequence is zero when there is none.
+	// Transfer is the transfer that the requesting data centre has not
+	// acknowledged; its Sequence is zero if there is none.
 	Transfer Transfer `cbor:"3,keyasint"`
-	// Figures are of the customers that the ask wanted something for.
+	// Availabilities are for the customers in the demands of the request.
 	Availabilities []Availability `cbor:"4,keyasint,omitempty"`
 }
 
-// heard is a figure with its age.
+// observation is an availability report with the tick at which it arrived.
 type observation struct {
 	spare placement.Resources
 	tick  uint64
 }
 
-// Planner decides whom to ask, by what others told of their spare allotments.
-// That is a guess that nothing safe depends on: it is kept in memory by the
-// leader of a data centre and starts empty after a change of leader. It is not
-// safe for concurrent use.
+// Planner selects the data centres to request slots from, by their reports of
+// spare allotments. The reports are estimates, and correctness doesn't depend on
+// them: only the leader of a data centre holds them, in memory, and a new leader
+// starts without any. A Planner is not safe for concurrent use.
 type Planner struct {
 	self   string
 	others []string
 	tick   uint64
-	// asked has the tick at which an ask that is not answered was sent.
+	// requestedAt has the tick of the unanswered request to each data centre.
 	requestedAt map[string]uint64
 	observed    map[string]map[string]observation
 }
 
-// NewPlanner returns the planner of a data centre; centres may include it.
+// NewPlanner returns the planner of the data centre self; centres may include it.
 func NewPlanner(self string, centres []string) *Planner {
 	p := &Planner{
 		self:        self,
@@ -71,15 +73,15 @@
 	return p
 }
 
-// Tick notes that about a second has passed.
+// Tick advances the time. Call it about once a second.
 func (p *Planner) Tick() {
 	p.tick++
 }
 
-// Ask returns the asks that go out now for what is lacking, at most one to each
-// other data centre. A want goes to the data centre that is most likely to have
-// it to spare, among those that owe no reply. The caller calls it again while
-// something is lacking.
+// Requests returns the requests to send now, at most one to each other data
+// centre. Each demand goes to the data centre most likely to have enough to
+// spare, among those without an unanswered request. The caller calls it again
+// while something is lacking.
 func (p *Planner) Requests(l *Ledger, lacking []Demand) []TransferRequest {
 	demands := map[string][]Demand{}
 	for _, w := range lacking {
@@ -100,28 +102,29 @@
 	return asks
 }
 
-// waiting says whether a data centre owes a reply.
+// awaitingReply reports whether a request to the data centre is unanswered and
+// not yet lost.
 func (p *Planner) awaitingReply(to string) bool {
 	at, open := p.requestedAt[to]
 	return open && p.tick-at < requestTimeoutTicks
 }
 
-// candidate is a data centre that could be asked.
+// candidate is a data centre to which a request could go.
 type candidate struct {
 	name string
-	// covers is how much of the want the last figures cover, in thousandths.
+	// coverage is how much of the demand the last report covers, in thousandths.
 	coverage int64
-	// heard is when that was heard; zero for never.
+	// observedAt is the tick of that report; zero if there is none.
 	observedAt uint64
 }
 
-// best returns the data centre that covers most of a want by the last figures,
-// among those that owe no reply. Figures older than availabilityTicks say nothing:
-// such a data centre is taken to cover it all.
+// bestDonor returns the data centre whose last report covers most of a demand,
+// among those without an unanswered request. A data centre whose report is older
+// than availabilityTicks is assumed to cover all of it.
 //
-// Failure guarded against: figures are always too old because asks are rare,
-// all data centres look alike, and the same one, which has nothing, is asked
-// for ever. Of those that look alike the one heard of longest ago is asked.
+// Guards against requesting from the same data centre forever although it has
+// nothing: if requests are rare, all reports are too old and all data centres
+// look alike. Among equal ones the one with the oldest report is chosen.
 func (p *Planner) bestDonor(w Demand) (string, bool) {
 	var list []candidate
 	for _, name := range p.others {
@@ -145,8 +148,8 @@
 	}).name, true
 }
 
-// covers says how much of a need is spare, in thousandths, by the field that is
-// shortest.
+// coverage returns how much of need is spare, in thousandths, by the scarcest
+// field.
 func coverage(spare, need placement.Resources) int64 {
 	field := func(spare, need int64) int64 {
 		if need <= 0 {
@@ -157,8 +160,9 @@
 	return min(field(spare.CPU, need.CPU), field(spare.Memory, need.Memory), field(spare.Accelerators, need.Accelerators))
 }
 
-// Answer makes the command that answers an ask. waiting gives the leader's
-// count of what a customer uses and what its waiting work needs; that is kept.
+// DebitCommand builds the command that answers a request. waiting returns what a
+// customer uses and what its waiting work needs, as known to the leader; the
+// donor keeps that much.
 func (p *Planner) DebitCommand(a TransferRequest, waiting func(customer string) placement.Resources) DebitCommand {
 	answer := DebitCommand{Request: a, Reserve: make([]placement.Resources, len(a.Demands))}
 	for i, w := range a.Demands {
@@ -167,8 +171,8 @@
 	return answer
 }
 
-// Reply makes the answer to an ask, after Ledger.Give was applied for it
-// whatever that returned. waiting is as for Answer.
+// Reply builds the reply to a request, after Ledger.Debit was applied for it with
+// any result. waiting is the same as for DebitCommand.
 func (p *Planner) Reply(l *Ledger, a TransferRequest, waiting func(customer string) placement.Resources) Reply {
 	r := Reply{From: p.self, To: a.From}
 	r.Transfer, _ = l.Outgoing(a.From)
@@ -179,7 +183,7 @@
 	return r
 }
 
-// minus subtracts field by field, not below zero.
+// subtract returns a-b by field, but at least zero.
 func subtract(a, b placement.Resources) placement.Resources {
 	return placement.Resources{
 		CPU:          max(0, a.CPU-b.CPU),
@@ -188,7 +192,8 @@
 	}
 }
 
-// Heard takes the figures of a reply. Its transfer is for Ledger.Take.
+// Observe records the availabilities of a reply. Its transfer is for
+// Ledger.Credit.
 func (p *Planner) Observe(r Reply) {
 	figures, known := p.observed[r.From]
 	if !known {
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -21,14 +21,15 @@
 	}
 }
 
+// newLedgerPair returns two ledgers under the same configuration.
 func newLedgerPair(limit int64) (a, b *quota.Ledger) {
 	a, b = quota.NewLedger("a"), quota.NewLedger("b")
 	_, _ = a.Configure(config(1, limit)), b.Configure(config(1, limit))
 	return a, b
 }
 
-// A customer runs more than a lowered limit allows. One data centre has given
-// half of the old limit away and misses the version that lowered it.
+// A customer gets more than a lowered limit: one data centre has given half of
+// the old limit away and misses the version that lowered it.
 func TestLoweredLimitAfterTransfer(t *testing.T) {
 	a, b := newLedgerPair(100)
 	half := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(50)})
@@ -43,7 +44,8 @@
 	must.Eq(t, cpu(0), a.Allotment(customer))
 }
 
-// A data centre stands at nothing because one ask took effect twice.
+// A data centre is left without an allotment because a duplicated request is
+// debited twice.
 func TestDuplicateRequestDebitsOnce(t *testing.T) {
 	a, b := newLedgerPair(100)
 	ask := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(20)})
@@ -59,7 +61,7 @@
 	must.Eq(t, cpu(70), b.Allotment(customer))
 }
 
-// Work that was started loses its allotment: more is given than is spare.
+// Running work loses its allotment because more than the spare units are debited.
 func TestDebitKeepsUsedAndReserved(t *testing.T) {
 	a, b := newLedgerPair(100)
 	ask := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(40)})
@@ -71,8 +73,8 @@
 	must.ErrorIs(t, err, quota.ErrStale)
 }
 
-// The same slots are owned twice: a transfer of a division of slots that was
-// replaced by a new one arrives late.
+// A delayed transfer of an earlier generation is credited, and the same slots
+// have two owners.
 func TestNewGenerationRejectsOldTransfers(t *testing.T) {
 	a, b := newLedgerPair(100)
 	ask := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(20)})
@@ -88,8 +90,8 @@
 	must.Eq(t, cpu(50), b.Allotment(customer))
 }
 
-// More is allotted than the limit after a data centre lost its state and came
-// back as new: what the other side remembers shows it.
+// More than the limit is allotted after a data centre lost its state and
+// restarted empty. The sequence numbers of the other side reveal the loss.
 func TestLostStateIsDetected(t *testing.T) {
 	a, b := newLedgerPair(100)
 	first, _ := a.Debit(quota.DebitCommand{Request: b.Request("a", quota.Demand{Customer: customer, Amount: cpu(5)})}, unused)
@@ -101,6 +103,7 @@
 	must.ErrorIs(t, err, quota.ErrSequenceGap)
 }
 
+// An invalid configuration is accepted, or a valid one is refused.
 func TestConfigCheck(t *testing.T) {
 	c := config(1, 100)
 	other := config(2, 100)
@@ -114,8 +117,8 @@
 	must.NoError(t, c.Check(config(2, quota.Unlimited)))
 }
 
-// More is allotted than the limit: two data centres list the founders in
-// different order and both count themselves as the first.
+// More than the limit is allotted: two data centres list the initial owners in
+// different orders, and both own the slots of the first.
 func TestInitialOwnersInAnyOrder(t *testing.T) {
 	a, _ := newLedgerPair(3)
 	b := quota.NewLedger("b")
@@ -127,8 +130,9 @@
 	must.NoError(t, b.Configure(config(2, 3)))
 }
 
-// Work waits for ever beside a free allotment: what others told is always too
-// old when the next ask goes out, and the one with nothing is asked each time.
+// Work waits forever although another data centre has a free allotment: all
+// reports are outdated when the next request is due, and the same data centre,
+// which has nothing, is asked each time.
 func TestPlannerRotatesDonors(t *testing.T) {
 	names := []string{"a", "b", "c", "d"}
 	planner := quota.NewPlanner("a", names)
@@ -149,7 +153,7 @@
 	must.MapLen(t, len(names)-1, asked)
 }
 
-// BenchmarkAllotment is what a placement pays for one look.
+// BenchmarkAllotment measures one read of an allotment, as each placement does.
 func BenchmarkAllotment(b *testing.B) {
 	a, _ := newLedgerPair(1 << 30)
 	for b.Loop() {
@@ -157,8 +161,8 @@
 	}
 }
 
-// BenchmarkTransfer is a whole transfer of one customer's processors, with the
-// bytes of its messages and of the state that it adds to a snapshot.
+// BenchmarkTransfer measures a complete transfer of one customer's processors,
+// with the bytes of its messages and of the state that it adds to a snapshot.
 func BenchmarkTransfer(b *testing.B) {
 	giver, taker := newLedgerPair(1 << 20)
 	empty, _ := giver.MarshalBinary()
--- a/quota/slots.go
+++ b/quota/slots.go
@@ -6,7 +6,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Slots is the number of slots over which the units of one limit are dealt.
+// Slots is the number of slots to which the units of one limit are assigned.
 const Slots = 1024
 
 const (
@@ -16,11 +16,11 @@
 	words     = Slots / wordBits
 )
 
-// SlotSet is a set of slots. Its binary form is a bitmap without the zero
-// bytes at its end.
+// SlotSet is a set of slots. Its binary form is a bitmap without trailing zero
+// bytes.
 type SlotSet [words]uint64
 
-// initialSlots returns the slots that the founder with an index owns first.
+// initialSlots returns the slots that the initial owner at index owns first.
 func initialSlots(index, founders int) SlotSet {
 	var s SlotSet
 	for slot := index; slot < Slots; slot += founders {
@@ -29,17 +29,17 @@
 	return s
 }
 
-// add puts a slot in.
+// add adds a slot.
 func (s *SlotSet) add(slot int) {
 	s[slot/wordBits] |= 1 << (slot % wordBits)
 }
 
-// has says whether a slot is in the set.
+// has reports whether a slot is in the set.
 func (s *SlotSet) has(slot int) bool {
 	return s[slot/wordBits]&(1<<(slot%wordBits)) != 0
 }
 
-// overlaps says whether a slot is in both sets.
+// overlaps reports whether the sets have a slot in common.
 func (s *SlotSet) overlaps(t SlotSet) bool {
 	for i := range s {
 		if s[i]&t[i] != 0 {
@@ -49,21 +49,21 @@
 	return false
 }
 
-// join puts all slots of t in.
+// addAll adds all slots of t.
 func (s *SlotSet) addAll(t SlotSet) {
 	for i := range s {
 		s[i] |= t[i]
 	}
 }
 
-// remove takes all slots of t out.
+// remove removes all slots of t.
 func (s *SlotSet) remove(t SlotSet) {
 	for i := range s {
 		s[i] &^= t[i]
 	}
 }
 
-// count is the number of slots below a bound.
+// countBelow returns the number of slots in the set below bound.
 func (s *SlotSet) countBelow(bound int) int64 {
 	var n int
 	for i := range bound / wordBits {
@@ -75,12 +75,12 @@
 	return int64(n)
 }
 
-// units is the number of units below a limit that belong to the set.
+// units returns the number of units below a limit that belong to the set.
 func (s *SlotSet) units(limit int64) int64 {
 	return s.countBelow(Slots)*(limit/Slots) + s.countBelow(int(limit%Slots))
 }
 
-// unitsOf is the number of units below a limit that belong to one slot.
+// unitsOf returns the number of units below a limit that belong to one slot.
 func unitsOf(slot int, limit int64) int64 {
 	if int64(slot) < limit%Slots {
 		return limit/Slots + 1
@@ -88,9 +88,9 @@
 	return limit / Slots
 }
 
-// choose returns slots of the set that are worth want units at a limit, one
-// slot's worth more at most, and never more than spare. Slots that are worth
-// nothing stay.
+// selectUnits returns slots of the set that hold want units of a limit. It may
+// exceed want by less than the units of one slot, but never exceeds spare. It
+// selects no slots without units.
 func (s *SlotSet) selectUnits(limit, want, spare int64) SlotSet {
 	var chosen SlotSet
 	if limit == Unlimited {
@@ -111,7 +111,7 @@
 	return chosen
 }
 
-// MarshalBinary gives the bitmap. It never fails.
+// MarshalBinary returns the bitmap. The error is always nil.
 func (s SlotSet) MarshalBinary() ([]byte, error) {
 	data := make([]byte, 0, Slots/wordBytes)
 	used := 0
@@ -127,10 +127,10 @@
 	return data[:used], nil
 }
 
-// UnmarshalBinary reads what MarshalBinary gave.
+// UnmarshalBinary reads the bitmap that MarshalBinary returns.
 func (s *SlotSet) UnmarshalBinary(data []byte) error {
 	if len(data) > Slots/wordBytes {
-		return errors.Newf("quota: %d bytes are too long for a set of slots", len(data))
+		return errors.Newf("quota: slot set of %d bytes is too long", len(data))
 	}
 	*s = SlotSet{}
 	for i, b := range data {
