--- a/lease/guard.go
+++ b/lease/guard.go
@@ -6,58 +6,59 @@
 	"strings"
 )
 
-// MaxRememberedAttempts is how many attempts a Guard remembers, running and ended
-// together. Beyond it starts are refused with ErrFull until the owner
-// acknowledges ends.
+// MaxRememberedAttempts is how many attempts, running and ended together, a Guard
+// records. Further starts are refused with ErrFull until the owner acknowledges
+// ended attempts.
 const MaxRememberedAttempts = 4096
 
-// Refusal is why a Guard refuses a command. The list is closed.
+// Refusal is why a Guard refuses a command. The list is complete.
 type Refusal uint8
 
-// Refusals.
+// The refusals.
 const (
 	// ErrOtherIncarnation: the command is for another incarnation. Ignore it.
 	ErrOtherIncarnation Refusal = iota + 1
-	// ErrOldTerm: a leader of a newer term has been heard from. Ignore the command.
+	// ErrOldTerm: a leader of a newer term has been seen. Ignore the command.
 	ErrOldTerm
-	// ErrDuplicate: the command is a copy of a processed one. Ignore it.
+	// ErrDuplicate: the command was processed before. Ignore it.
 	ErrDuplicate
 	// ErrSequenceGap: an earlier command is missing. The owner sends both again.
 	ErrSequenceGap
-	// ErrRunning: the attempt runs already. The command counts as processed.
+	// ErrRunning: the attempt is already running. The command counts as
+	// processed.
 	ErrRunning
 	// ErrEnded: the attempt has run and ended. The command counts as processed;
 	// report the end again.
 	ErrEnded
-	// ErrStopped: the attempt was stopped before it started and never will
+	// ErrStopped: the attempt was stopped before it started and can never
 	// start. The command counts as processed; report NOT_STARTED again.
 	ErrStopped
-	// ErrFull: MaxRememberedAttempts are remembered. The command is not processed; the
-	// owner sends it again.
+	// ErrFull: MaxRememberedAttempts attempts are recorded. The command isn't
+	// processed; the owner sends it again.
 	ErrFull
 	// ErrNotRunning: End was called for an attempt that isn't running.
 	ErrNotRunning
 )
 
-// refusalTexts are the messages of the refusals.
+// refusalTexts are the error texts of the refusals.
 var refusalTexts = [...]string{
 	ErrOtherIncarnation: "command is for another incarnation",
-	ErrOldTerm:          "command is of an older term",
+	ErrOldTerm:          "command is of an earlier term",
 	ErrDuplicate:        "command was processed before",
 	ErrSequenceGap:      "an earlier command is missing",
-	ErrRunning:          "attempt is running already",
+	ErrRunning:          "attempt is already running",
 	ErrEnded:            "attempt has ended",
 	ErrStopped:          "attempt was stopped before it started",
-	ErrFull:             "too many attempts are remembered",
+	ErrFull:             "too many attempts are recorded",
 	ErrNotRunning:       "attempt is not running",
 }
 
-// Error gives the refusal as a sentence.
+// Error returns the refusal as a sentence.
 func (r Refusal) Error() string {
 	return "lease: " + refusalTexts[r]
 }
 
-// Attempt names one try of one task.
+// Attempt identifies one attempt to run a task.
 type Attempt struct {
 	Job     string `cbor:"1,keyasint"`
 	Task    int32  `cbor:"2,keyasint,omitempty"`
@@ -69,27 +70,27 @@
 	return cmp.Or(strings.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
 }
 
-// Position is a place in the commands of one incarnation. The number counts
-// from 1 in each term.
+// Position is a position in the commands to one incarnation. Number counts from 1
+// in each term.
 type Position struct {
 	Term   uint64
 	Number uint64
 }
 
-// Compare orders positions by term, then number.
+// Compare orders positions by term, then by number.
 func (p Position) Compare(q Position) int {
 	return cmp.Or(cmp.Compare(p.Term, q.Term), cmp.Compare(p.Number, q.Number))
 }
 
-// Header is what every command carries.
+// Header is the header of a command.
 type Header struct {
-	// Incarnation is the one that the attempt was committed for, even when the
-	// owner knows of a later one by now.
+	// Incarnation is the incarnation for which the attempt was committed, even
+	// if the owner knows of a later one.
 	Incarnation uint64
 	Position    Position
 }
 
-// phase is how far an attempt has come.
+// phase is the phase of an attempt.
 type phase uint8
 
 const (
@@ -98,55 +99,56 @@
 	stoppedBeforeStart
 )
 
-// memory is what a Guard remembers of one attempt.
+// attemptRecord is a Guard's record of one attempt.
 type attemptRecord struct {
 	phase phase
-	// acknowledged says that the owner has committed the end; until is then the
-	// highest command that it had issued.
+	// acknowledged reports whether the owner has committed the end. forgetAfter
+	// is then the highest command that the owner had issued.
 	acknowledged bool
 	forgetAfter  Position
 }
 
-// Guard is the worker's decision on commands. It is not safe for concurrent
-// use.
+// Guard decides, on a worker, which commands are executed. It is not safe for
+// concurrent use.
 type Guard struct {
 	incarnation uint64
 	position    Position
 	attempts    map[Attempt]*attemptRecord
-	// acknowledged counts the attempts that wait only for their position.
+	// acknowledged counts the acknowledged attempts that are still recorded.
 	acknowledged int
 }
 
-// NewGuard returns a Guard for an incarnation in which nothing has run.
+// NewGuard returns a Guard for an incarnation in which no attempt has run.
 func NewGuard(incarnation uint64) *Guard {
 	return &Guard{incarnation: incarnation, attempts: map[Attempt]*attemptRecord{}}
 }
 
-// Restart begins a higher incarnation. The caller has stopped all tasks. What
-// was remembered is dropped: it was to refuse commands of the old incarnation,
-// and those are refused by their incarnation now.
+// Restart begins a higher incarnation. The caller must have stopped all tasks.
+// The attempt records are dropped: commands of the old incarnation, against which
+// they guarded, are now refused by their incarnation.
 func (g *Guard) Restart(incarnation uint64) {
-	invariant(incarnation > g.incarnation, "incarnation %d after %d", incarnation, g.incarnation)
+	invariant(incarnation > g.incarnation, "incarnation %d is not higher than %d", incarnation, g.incarnation)
 	*g = *NewGuard(incarnation)
 }
 
-// Incarnation returns the present incarnation.
+// Incarnation returns the current incarnation.
 func (g *Guard) Incarnation() uint64 {
 	return g.incarnation
 }
 
-// Position returns the last command processed; renewals carry it.
+// Position returns the position of the last processed command. Renewals carry it.
 func (g *Guard) Position() Position {
 	return g.position
 }
 
-// Observe notes the term of a leader's answer, with or without commands. From
-// then on commands of older terms are refused. It returns ErrOldTerm when the
-// answer itself is older; such an answer must be ignored, its grant included.
+// ObserveTerm records the term of a leader's answer, with or without commands.
+// Commands of earlier terms are refused from then on. It returns ErrOldTerm if
+// the answer itself is of an earlier term; the caller must then ignore the answer
+// and its grant.
 //
 // A renewal that carries the leader's own term proves that no command of an
-// earlier term will be taken any more, so only an announcement sent with it
-// tells the leader what may still start.
+// earlier term will be accepted any more. Only an announcement sent with such a
+// renewal tells the leader which attempts may still start.
 func (g *Guard) ObserveTerm(term uint64) error {
 	if term < g.position.Term {
 		return ErrOldTerm
@@ -157,14 +159,13 @@
 	return nil
 }
 
-// Start decides whether an attempt may be started now. On nil the attempt
-// counts as running, and the caller must start it or call End. Any error is a
-// Refusal.
+// Start decides whether an attempt may start now. On nil the attempt counts as
+// running, and the caller must start it or call End. Any error is a Refusal.
 //
-// Failures guarded against: a start is delivered twice, or by a deposed leader
-// after its successor has moved the task, or after the attempt has run and
-// ended, or after the owner was given proof that it never started; each would
-// run a task a second time.
+// Guards against running a task a second time: a start may be delivered twice, or
+// come from a replaced leader after its successor has moved the task, or arrive
+// after the attempt has run and ended, or after the owner got proof that it never
+// started.
 func (g *Guard) Start(h Header, a Attempt) error {
 	if err := g.check(h); err != nil {
 		return err
@@ -181,7 +182,7 @@
 	return nil
 }
 
-// refusal says why an attempt that is remembered can't be started.
+// refusal returns why a recorded attempt can't start.
 func (m *attemptRecord) refusal() Refusal {
 	switch m.phase {
 	case running:
@@ -193,23 +194,24 @@
 	}
 }
 
-// StopResult is what a stop command found.
+// StopResult is the result of a stop command.
 type StopResult uint8
 
-// Results of a stop.
+// The results of a stop.
 const (
-	// StopRunning: the attempt runs; the caller stops it and then calls End.
+	// StopRunning: the attempt is running; the caller stops it and then calls
+	// End.
 	StopRunning StopResult = iota + 1
-	// StopBeforeStart is the proof that the attempt never started and never
-	// will; the caller reports NOT_STARTED.
+	// StopBeforeStart proves that the attempt never started and never will; the
+	// caller reports NOT_STARTED.
 	StopBeforeStart
 	// StopEnded: the attempt had ended; the caller reports its end again.
 	StopEnded
 )
 
-// Stop decides on a stop command. Any error is a Refusal. The proof
-// StopBeforeStart holds because the attempt is remembered as stopped from now
-// on, and because the incarnation has not run and forgotten it: see Forget.
+// Stop decides on a stop command. Any error is a Refusal. StopBeforeStart is a
+// proof because the attempt is recorded as stopped from now on, and because this
+// incarnation can't have run it and dropped its record; see Acknowledge.
 func (g *Guard) Stop(h Header, a Attempt) (StopResult, error) {
 	if err := g.check(h); err != nil {
 		return 0, err
@@ -233,7 +235,8 @@
 	}
 }
 
-// End notes that a running attempt has ended, in whatever way.
+// End records that a running attempt has ended, for any reason. It returns
+// ErrNotRunning if the attempt isn't running.
 func (g *Guard) End(a Attempt) error {
 	m := g.attempts[a]
 	if m == nil || m.phase != running {
@@ -243,19 +246,19 @@
 	return nil
 }
 
-// Forget notes that the owner has committed the ends of attempts. until is the
-// highest command that it had issued to this incarnation when the ends were
-// committed (Outbox.Position of the leader that acknowledges): the leader's term
-// with number 0 when it has issued none.
+// Acknowledge records that the owner has committed the ends of attempts. until is
+// the highest command that the owner had issued to this incarnation when it
+// committed them (Outbox.Position of the leader that acknowledges), or the
+// leader's term with number 0 if it has issued none.
 //
-// An attempt is forgotten once the guard's own position has reached until.
-// That is enough: the leader issues no command for the attempt after the
-// commit, and neither does a later leader, whose state holds the commit. So
-// every copy of such a command is at or before until, and at the guard's
-// position or before it commands are refused by number and term alone. The
-// acknowledgement by itself is not enough: a start that was issued a second
-// time under a later number may still be under way. An acknowledgement without
-// a term is therefore ignored; terms start at 1.
+// The record of an attempt is dropped once the guard's own position has reached
+// until. That is safe: neither this leader, after the commit, nor a later leader,
+// whose state has the commit, issues a command for the attempt. So every copy of
+// such a command is at or before until, and commands at or before the guard's
+// position are refused by term and number alone. Dropping the record at the
+// acknowledgement would not be safe: a start that was issued a second time under
+// a later number may still be in flight. An acknowledgement without a term is
+// therefore ignored; terms start at 1.
 func (g *Guard) Acknowledge(acknowledged []Attempt, until Position) {
 	if until.Term == 0 {
 		return
@@ -269,7 +272,7 @@
 		m.forgetAfter = until
 		g.acknowledged++
 	}
-	// The acknowledgement itself comes from the leader of until.Term.
+	// The acknowledgement was sent by the leader of until.Term.
 	if until.Term > g.position.Term {
 		g.advance(Position{Term: until.Term})
 		return
@@ -277,23 +280,23 @@
 	g.dropForgettable()
 }
 
-// Running returns the attempts that run, in order, for an announcement.
+// Running returns the running attempts, sorted, for an announcement.
 func (g *Guard) Running() []Attempt {
 	return g.attemptsWhere(func(m *attemptRecord) bool { return m.phase == running })
 }
 
-// Unacknowledged returns the ended and stopped attempts whose reports the
-// owner has not acknowledged, in order.
+// Unacknowledged returns, sorted, the ended and stopped attempts whose reports
+// the owner has not acknowledged.
 func (g *Guard) Unacknowledged() []Attempt {
 	return g.attemptsWhere(func(m *attemptRecord) bool { return m.phase != running && !m.acknowledged })
 }
 
-// Remembered is the number of attempts that the guard remembers.
+// AttemptCount returns the number of recorded attempts.
 func (g *Guard) AttemptCount() int {
 	return len(g.attempts)
 }
 
-// list returns the attempts whose memory is wanted, in order.
+// attemptsWhere returns the attempts whose records are wanted, sorted.
 func (g *Guard) attemptsWhere(wanted func(*attemptRecord) bool) []Attempt {
 	var list []Attempt
 	for a, m := range g.attempts {
@@ -305,7 +308,7 @@
 	return list
 }
 
-// check refuses commands by header alone.
+// check refuses a command if its header alone is reason enough.
 func (g *Guard) check(h Header) error {
 	if h.Incarnation != g.incarnation {
 		return ErrOtherIncarnation
@@ -326,15 +329,16 @@
 	return nil
 }
 
-// advance moves the position on and forgets what it makes forgettable.
+// advance moves the position forward and drops the records that this makes
+// unnecessary.
 func (g *Guard) advance(to Position) {
-	invariant(to.Compare(g.position) > 0, "the guard's position went back")
+	invariant(to.Compare(g.position) > 0, "the guard's position moved back")
 	g.position = to
 	g.dropForgettable()
 }
 
-// sweep forgets the acknowledged attempts whose commands are all refused by
-// position.
+// dropForgettable drops the acknowledged attempts all of whose commands are
+// refused by position.
 func (g *Guard) dropForgettable() {
 	if g.acknowledged == 0 {
 		return
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -20,9 +20,9 @@
 
 var task = lease.Attempt{Job: "folio", Attempt: 1}
 
-// A task runs on after it was started elsewhere. The worker's process is
-// stopped; its lease ends and the owner declares it over and dies; the process
-// goes on, renews, and the new leader, which knows nothing of the end, answers.
+// A task runs on after it was started elsewhere. The worker's process is paused,
+// its lease expires, and the owner declares it over and dies. The process resumes
+// and renews, and the new leader, which doesn't know of the end, grants.
 func TestGrantAfterExpiryIsIgnored(t *testing.T) {
 	for _, sentAt := range []float64{9, 13} {
 		var h lease.Holder
@@ -35,8 +35,8 @@
 	}
 }
 
-// A task runs on after it was started elsewhere. The answer to a renewal is
-// held up for longer than the lease, and the worker counts from its arrival.
+// A task runs on after it was started elsewhere: the answer to a renewal takes
+// longer than the lease, and the worker counts from its arrival.
 func TestLeaseCountsFromSending(t *testing.T) {
 	var h lease.Holder
 	h.RecordSent(1, at(0))
@@ -47,11 +47,11 @@
 	must.False(t, h.Valid(at(10)))
 	h.RecordSent(2, at(9))
 	h.RecordGranted(2, ttl, at(9.5))
-	must.False(t, h.Valid(at(9.6)), must.Sprint("the tasks have been stopped"))
+	must.False(t, h.Valid(at(9.6)), must.Sprint("the lease has expired before; the tasks are stopped"))
 }
 
-// A worker that the owner doesn't know holds no lease, but thinks so: an answer
-// to a renewal of its old incarnation comes late and is taken for a new grant.
+// A worker assumes a lease that the owner didn't grant: a delayed answer to a
+// renewal of its old incarnation is taken for a grant to the new one.
 func TestAnswerToEarlierIncarnationIsIgnored(t *testing.T) {
 	var h lease.Holder
 	h.RecordSent(1, at(0))
@@ -64,8 +64,8 @@
 	must.True(t, h.Valid(at(9)))
 }
 
-// A dead worker counts as live for ever, and its work waits: copies of its last
-// renewal go on arriving.
+// A dead worker counts as live forever and its work waits, because duplicates of
+// its last renewal keep arriving.
 func TestDuplicateRenewalIsIgnored(t *testing.T) {
 	table := lease.NewTable(ttl, drift)
 	must.Eq(t, lease.Renewal{Accepted: true, Unknown: true}, table.Renew("w", 3, 7, at(0)))
@@ -77,12 +77,12 @@
 	must.SliceEmpty(t, table.Expired(at(11.9)))
 	must.False(t, table.Fenced("w", 3))
 	must.Eq(t, []string{"w"}, table.Expired(at(12)))
-	must.SliceEmpty(t, table.Expired(at(13)), must.Sprint("told once"))
+	must.SliceEmpty(t, table.Expired(at(13)), must.Sprint("each expiry must be returned only once"))
 	must.True(t, table.Fenced("w", 3))
 }
 
 // A task runs twice: its worker's lease was declared over, the task was started
-// elsewhere, and a late renewal makes the old incarnation live again.
+// elsewhere, and a delayed renewal makes the old incarnation live again.
 func TestEndedIncarnationStaysEnded(t *testing.T) {
 	table := lease.NewTable(ttl, drift)
 	table.Renew("w", 3, 1, at(0))
@@ -100,13 +100,14 @@
 	must.True(t, table.Renew("w", 4, 9, at(15)).Ended)
 }
 
-// A new leader starts a task that a worker of its predecessor still runs.
+// A new leader starts a task elsewhere that a worker of the previous leader still
+// runs.
 func TestNewLeaderWaitsForUnheardWorkers(t *testing.T) {
 	table := lease.NewTable(ttl, drift)
 	table.TakeOver(at(100), []string{"heard", "silent"})
 	table.RecordIncarnation("heard", 6)
 	table.RecordIncarnation("silent", 6)
-	must.True(t, table.Renew("heard", 5, 1, at(101)).Stale, must.Sprint("the predecessor knew of 6"))
+	must.True(t, table.Renew("heard", 5, 1, at(101)).Stale, must.Sprint("incarnation 6 is committed"))
 	must.False(t, table.Live("heard", at(101)))
 	must.True(t, table.Renew("heard", 6, 1, at(101)).Unknown)
 	must.True(t, table.Live("heard", at(101)))
@@ -120,8 +121,8 @@
 	must.False(t, table.Fenced("never seen", 1))
 }
 
-// A task runs twice on one worker. Its start is issued twice, the task runs,
-// ends, and the owner acknowledges the end; then the second start arrives.
+// A task runs twice on one worker. Its start is issued twice; the task runs and
+// ends, the owner acknowledges the end, and then the second start arrives.
 func TestAcknowledgedAttemptRejectsLateStart(t *testing.T) {
 	guard, outbox := lease.NewGuard(1), lease.NewOutbox[string](1, 1)
 	first, second := outbox.Add("start"), outbox.Add("start")
@@ -134,8 +135,9 @@
 	must.ErrorIs(t, guard.Start(second, task), lease.ErrDuplicate)
 }
 
-// "Not run" was said, and then it ran: the stop overtook the start of an
-// earlier leader, or a copy of the start comes after the acknowledgement.
+// A task that was reported as not started runs: the stop overtakes the start of
+// an earlier leader, or a duplicate of the start arrives after the
+// acknowledgement.
 func TestStopBeforeStartIsFinal(t *testing.T) {
 	guard := lease.NewGuard(1)
 	result, err := guard.Stop(header(1, 2, 1), task)
@@ -149,6 +151,7 @@
 	must.ErrorIs(t, guard.Start(header(1, 2, 3), task), lease.ErrOldTerm)
 }
 
+// A command of another incarnation, an old term or out of order is executed.
 func TestGuardRefuses(t *testing.T) {
 	guard := lease.NewGuard(4)
 	must.ErrorIs(t, guard.Start(header(3, 1, 1), task), lease.ErrOtherIncarnation)
@@ -168,8 +171,8 @@
 	must.ErrorIs(t, guard.Start(header(4, 3, 1), task), lease.ErrOtherIncarnation)
 }
 
-// Memory stays bounded when the owner never acknowledges, and a refused
-// command is not lost.
+// The attempt records grow without bound when the owner never acknowledges, or a
+// command refused because of the limit is lost.
 func TestGuardAttemptLimit(t *testing.T) {
 	guard := lease.NewGuard(1)
 	for i := range lease.MaxRememberedAttempts {
@@ -188,7 +191,7 @@
 	var holder lease.Holder
 	guard := lease.NewGuard(1)
 
-	// The worker sends a renewal, the owner answers it with a command.
+	// The worker sends a renewal; the owner answers with a command.
 	holder.RecordSent(1, 0)
 	renewal := table.Renew("worker-1", 1, 1, 500*time.Second)
 	box := lease.NewOutbox[string](7, 1)
@@ -201,7 +204,7 @@
 	fmt.Println(holder.Valid(time.Second), guard.Start(start.Header, attempt))
 	fmt.Println(guard.Start(start.Header, attempt))
 
-	// No more is heard of either.
+	// The lease expires because no more renewals arrive.
 	fmt.Println(holder.ExpiresAt(), holder.Valid(11*time.Second))
 	fmt.Println(table.Expired(512*time.Second), table.Fenced("worker-1", 1))
 	// Output:
@@ -211,7 +214,7 @@
 	// [worker-1] true
 }
 
-// BenchmarkRenew is one renewal at the owner, with 450 workers.
+// BenchmarkRenew measures one renewal at the owner with 450 workers.
 func BenchmarkRenew(b *testing.B) {
 	const workers = 450
 	table := lease.NewTable(ttl, drift)
@@ -228,7 +231,7 @@
 	b.ReportMetric(float64(n)/b.Elapsed().Seconds(), "renewals/s")
 }
 
-// BenchmarkExpired is one look for ended leases among 450.
+// BenchmarkExpired measures one check for expired leases among 450.
 func BenchmarkExpired(b *testing.B) {
 	table := lease.NewTable(ttl, drift)
 	for i := range 450 {
@@ -239,7 +242,7 @@
 	}
 }
 
-// BenchmarkGuard is the whole life of one attempt at the worker.
+// BenchmarkGuard measures all the calls for one attempt at the worker.
 func BenchmarkGuard(b *testing.B) {
 	guard := lease.NewGuard(1)
 	n := uint64(0)
@@ -251,8 +254,8 @@
 	}
 }
 
-// BenchmarkRenewalBytes gives the size of a renewal without news and of its
-// answer, before the framing of the transport.
+// BenchmarkRenewalBytes reports the size of a renewal without commands or reports
+// and of its answer, without the framing of the transport.
 func BenchmarkRenewalBytes(b *testing.B) {
 	request := &apiv1.RenewRequest{Worker: "rackwise-naas-042", Incarnation: 1796236685000, Sequence: 30000, HoldMs: 3000, Term: 12, CommandAck: 5000}
 	response := &apiv1.RenewResponse{Term: 12, LeaseMs: 10000, Sequence: 30000}
--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -16,18 +16,19 @@
 const (
 	ttl   = 10 * time.Second
 	drift = 2 * time.Second
-	// slowest is a worker clock that loses drift over ttl+drift, in thousandths.
+	// slowest is the rate, in thousandths, of a worker clock that loses drift
+	// over ttl+drift. fastest is the highest rate.
 	slowest = 834
 	fastest = 1200
 )
 
-// command is the body of a command in the model.
+// command is the body of a command.
 type command struct {
 	stop    bool
 	attempt lease.Attempt
 }
 
-// message is anything under way. Which fields count depends on kind.
+// message is a message in flight. kind tells which fields are set.
 type message struct {
 	kind        string
 	worker      int
@@ -42,7 +43,7 @@
 	outcome     string
 }
 
-// process is one start of a worker's process.
+// process is one process of a worker.
 type process struct {
 	id       int
 	rate     time.Duration
@@ -50,7 +51,7 @@
 	guard    *lease.Guard
 	sequence uint64
 	paused   bool
-	// reports are the outcomes that the owner hasn't acknowledged.
+	// reports are the outcomes that the owner has not acknowledged.
 	reports map[lease.Attempt]string
 }
 
@@ -61,8 +62,8 @@
 	state       string
 }
 
-// world is the whole system: a leader, workers, the network and the committed
-// state, which every leader has.
+// model is a leader, workers, the network and the committed state, which every
+// leader has.
 type model struct {
 	t         *rapid.T
 	now       time.Duration
@@ -82,8 +83,8 @@
 	seen              map[string]int
 }
 
-// even draws from [0, n) without the bias of rapid's ranges towards small
-// values, which would leave most actions of the model out.
+// uniform draws from [0, n) without the bias of rapid's ranges towards small
+// values, which would leave out most actions of the model.
 func uniform(n int) *rapid.Generator[int] {
 	const bits = 12
 	return rapid.Custom(func(t *rapid.T) int {
@@ -98,10 +99,12 @@
 	})
 }
 
+// names returns the names of the first n workers.
 func names(n int) []string {
 	return []string{"w0", "w1", "w2"}[:n]
 }
 
+// newModel returns a model with one to three workers and a leader.
 func newModel(t *rapid.T, seen map[string]int) *model {
 	w := &model{
 		t: t, records: map[lease.Attempt]*record{}, announced: map[int]uint64{},
@@ -115,7 +118,7 @@
 	return w
 }
 
-// clock is a worker's monotonic clock.
+// clock returns the time on a worker's monotonic clock.
 func (w *model) clock(p *process) time.Duration { return w.now * p.rate / 1000 }
 
 // restart replaces the process of a worker; its tasks end with it.
@@ -132,7 +135,7 @@
 	}
 }
 
-// lead puts a new leader in, which knows only the committed state.
+// changeLeader starts a new leader, which has only the committed state.
 func (w *model) changeLeader() {
 	w.term++
 	w.origin = time.Duration(rapid.IntRange(0, 100000).Draw(w.t, "origin")) * time.Millisecond
@@ -145,8 +148,10 @@
 	}
 }
 
+// ownerNow returns the time on the leader's monotonic clock.
 func (w *model) ownerNow() time.Duration { return w.now + w.origin }
 
+// send puts a message into the network.
 func (w *model) send(m message) { w.network = append(w.network, m) }
 
 // renew sends a renewal of worker i.
@@ -160,8 +165,8 @@
 	})
 }
 
-// valid is the check before each step; on a lapse the worker stops all tasks
-// and takes a higher incarnation.
+// valid is the check before each step. If the lease has expired, the worker stops
+// all tasks and takes a higher incarnation.
 func (w *model) valid(p *process) bool {
 	valid := p.holder.Valid(w.clock(p))
 	if p.holder.Expired() {
@@ -171,6 +176,7 @@
 	return valid
 }
 
+// endIncarnation stops all tasks of a worker and takes a higher incarnation.
 func (w *model) endIncarnation(p *process) {
 	for _, a := range p.guard.Running() {
 		p.reports[a] = "ended"
@@ -179,8 +185,8 @@
 	p.holder.Reset()
 }
 
-// step lets every running task of a worker do something that must not be done
-// in two places.
+// step lets every running task of a worker perform a step that must not be
+// performed in two places.
 func (w *model) step(p *process) {
 	if !w.valid(p) {
 		return
@@ -188,12 +194,12 @@
 	for _, a := range p.guard.Running() {
 		w.seen["step"]++
 		if state := w.records[a].state; state != "assigned" {
-			w.t.Fatalf("%v does a step after the owner committed it as %s", a, state)
+			w.t.Fatalf("%v runs a step after the owner committed it as %s", a, state)
 		}
 	}
 }
 
-// deliver handles one message.
+// deliver delivers a message to its receiver.
 func (w *model) deliver(m message) {
 	p := w.workers[m.worker]
 	switch m.kind {
@@ -215,6 +221,7 @@
 	}
 }
 
+// handleRenewal handles a renewal at the leader.
 func (w *model) handleRenewal(m message) {
 	name := names(3)[m.worker]
 	r := w.table.Renew(name, m.incarnation, m.sequence, w.ownerNow())
@@ -237,8 +244,8 @@
 	w.send(answer)
 }
 
-// resend issues again, or stops, what a worker's incarnation was assigned: a
-// new leader doesn't know which of it arrived.
+// resend starts or stops again the attempts assigned to a worker's incarnation:
+// a new leader doesn't know which commands arrived.
 func (w *model) resend(i int) {
 	for task := range w.attempts {
 		a := w.latest(task)
@@ -248,12 +255,12 @@
 	}
 }
 
-// latest names the newest attempt of a task, the only one that may be assigned.
+// latest returns the newest attempt of a task, the only one that may be assigned.
 func (w *model) latest(task int) lease.Attempt {
 	return lease.Attempt{Job: "j", Task: int32(task), Attempt: w.attempts[task]}
 }
 
-// issue adds a command if its attempt's incarnation is the one of the outbox.
+// issue adds a command if the outbox is for the incarnation of its attempt.
 func (w *model) issue(a lease.Attempt, c command) {
 	r := w.records[a]
 	if r.state == "assigned" && w.outboxIncarnation[r.worker] == r.incarnation {
@@ -261,8 +268,8 @@
 	}
 }
 
-// settle commits the attempts that are over as lost, so that their tasks are
-// tried elsewhere.
+// commitLost commits the attempts of fenced incarnations as lost, so that their
+// tasks are tried elsewhere.
 func (w *model) commitLost() {
 	for _, r := range w.records {
 		if r.state == "assigned" && w.table.Fenced(names(3)[r.worker], r.incarnation) {
@@ -272,13 +279,14 @@
 	}
 }
 
+// handleReport handles a report at the leader and acknowledges it.
 func (w *model) handleReport(m message) {
 	r := w.records[m.attempt]
 	if r.state == "assigned" {
 		r.state = m.outcome
 	}
 	if m.outcome == "not started" && w.started[m.attempt] {
-		w.t.Fatalf("%v was reported as not started, but was", m.attempt)
+		w.t.Fatalf("%v was reported as not started, but it was started", m.attempt)
 	}
 	ack := message{
 		kind: "acknowledgement", worker: m.worker, process: m.process,
@@ -290,6 +298,7 @@
 	w.send(ack)
 }
 
+// handleAnswer handles the answer to a renewal at the worker.
 func (w *model) handleAnswer(p *process, m message) {
 	if p.guard.ObserveTerm(m.position.Term) != nil {
 		return
@@ -309,7 +318,7 @@
 	}
 }
 
-// obey lets the guard decide on a command.
+// handleCommand executes a command if the guard permits it.
 func (w *model) handleCommand(p *process, c lease.NumberedCommand[command]) {
 	a := c.Body.attempt
 	if c.Body.stop {
@@ -342,12 +351,13 @@
 	w.seen["start"]++
 }
 
+// end ends a running attempt.
 func (w *model) end(p *process, a lease.Attempt) {
 	must.NoError(w.t, p.guard.End(a))
 	p.reports[a] = "ended"
 }
 
-// assign commits an attempt of a task that no attempt is assigned for.
+// assign commits a new attempt of a task that has no assigned attempt.
 func (w *model) assign() {
 	task := uniform(len(w.attempts)).Draw(w.t, "task")
 	i := uniform(len(w.workers)).Draw(w.t, "worker")
@@ -362,7 +372,7 @@
 	w.issue(a, command{attempt: a})
 }
 
-// act does one thing drawn at random.
+// act performs one random action.
 func (w *model) act() {
 	i := uniform(len(w.workers)).Draw(w.t, "worker")
 	p := w.workers[i]
@@ -406,7 +416,7 @@
 	}
 }
 
-// pick loses, doubles or delivers a message from anywhere in the network.
+// takeMessage loses, duplicates or delivers a random message in the network.
 func (w *model) takeMessage() {
 	if len(w.network) == 0 {
 		return
@@ -429,10 +439,9 @@
 	}
 }
 
-// A user sees a task run in two places, or gets "not run" for work that ran.
-// The order of events may be anything: workers and leaders pause, restart and
-// change while messages are lost, doubled, late and reordered, and clocks run
-// apart within the bound.
+// A task runs in two places, or work that ran is reported as not run. Workers and
+// leaders pause, restart and change in any order while messages are lost,
+// duplicated, delayed and reordered and clocks diverge within the bound.
 func TestAttemptNeverRunsTwice(t *testing.T) {
 	seen := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
--- a/lease/outbox.go
+++ b/lease/outbox.go
@@ -1,28 +1,28 @@
 package lease
 
-// Numbered is one command of an Outbox with its header.
+// NumberedCommand is a command of an Outbox with its header.
 type NumberedCommand[T any] struct {
 	Header Header
 	Body   T
 }
 
-// Outbox is the owner's side of the commands to one worker: it numbers them
-// from 1 within (incarnation, term) and gives them out until the worker
-// acknowledges them. A new leader and a new incarnation each start an empty
-// one. It is not safe for concurrent use.
+// Outbox holds the owner's commands to one worker. It numbers them from 1 within
+// (incarnation, term) and returns them for sending until the worker acknowledges
+// them. A new leader and a new incarnation each start with an empty Outbox. It is
+// not safe for concurrent use.
 type Outbox[T any] struct {
 	term, incarnation uint64
 	last              uint64
 	pending           []NumberedCommand[T]
 }
 
-// NewOutbox returns an empty outbox for one leader's term and one incarnation
-// of a worker.
+// NewOutbox returns an empty Outbox for a leader's term and an incarnation of a
+// worker.
 func NewOutbox[T any](term, incarnation uint64) *Outbox[T] {
 	return &Outbox[T]{term: term, incarnation: incarnation}
 }
 
-// Add issues a command and returns its header.
+// Add appends a command and returns its header.
 func (o *Outbox[T]) Add(body T) Header {
 	o.last++
 	header := Header{Incarnation: o.incarnation, Position: Position{Term: o.term, Number: o.last}}
@@ -31,8 +31,7 @@
 }
 
 // Acknowledge drops the commands that the worker has processed. ack is the
-// Position that the worker's renewal carried; one of another term says nothing
-// of this outbox.
+// Position that the worker's renewal carried; one of another term is ignored.
 func (o *Outbox[T]) Acknowledge(ack Position) {
 	if ack.Term != o.term {
 		return
@@ -42,17 +41,17 @@
 	}
 }
 
-// Pending returns the commands to send, in order, at most max of them. They
-// always begin with the oldest that is not acknowledged, since the worker
-// takes no command before its predecessor. The slice is valid until the next
-// call of another method.
+// Pending returns the commands to send, in order, at most max of them. The first
+// one is the oldest unacknowledged command, because the worker accepts no command
+// before the one that precedes it. The slice is valid until the next call of
+// another method.
 func (o *Outbox[T]) Pending(max int) []NumberedCommand[T] {
 	return o.pending[:min(max, len(o.pending))]
 }
 
-// Position is the highest command issued. The acknowledgement of a report
-// carries it to Guard.Forget; it must be read after the end of the attempt was
-// committed and applied.
+// Position returns the position of the last command issued. The acknowledgement
+// of a report carries it to Guard.Acknowledge; it must be read after the end of
+// the attempt was committed and applied.
 func (o *Outbox[T]) Position() Position {
 	return Position{Term: o.term, Number: o.last}
 }
--- a/lease/table.go
+++ b/lease/table.go
@@ -8,73 +8,75 @@
 
 // Renewal is the owner's decision on one renewal.
 type Renewal struct {
-	// Accepted says that the lease was prolonged.
+	// Accepted reports whether the lease was extended.
 	Accepted bool
-	// Stale says that the renewal is a copy, late, or of an incarnation that
-	// has been replaced. It changed nothing.
+	// Stale reports whether the renewal is delayed, a duplicate, or of an
+	// incarnation that has been replaced. It changed nothing.
 	Stale bool
-	// NewIncarnation says that the renewal ended an earlier incarnation, all
-	// attempts of which are dead.
+	// NewIncarnation reports whether the renewal ended an earlier incarnation,
+	// whose attempts have all ended.
 	NewIncarnation bool
-	// Unknown says that the table had not heard of this incarnation: the owner
-	// needs the worker's announcement.
+	// Unknown reports whether the table had not seen this incarnation: the
+	// owner needs the worker's announcement.
 	Unknown bool
-	// Ended says that the lease of this incarnation has been declared over. The
-	// worker must stop all tasks and come back with a higher incarnation.
+	// Ended reports whether the lease of this incarnation has been declared
+	// over. The worker must stop all tasks and return with a higher
+	// incarnation.
 	Ended bool
 }
 
-// Grants says whether the answer to the renewal may carry a time to live. A
-// copy of a renewal of the present incarnation may be answered like the first:
-// the worker counts from when it sent that sequence number.
+// Grants reports whether the answer to the renewal may carry a time to live. A
+// duplicate of a renewal of the current incarnation may be answered like the
+// first copy, because the worker counts from when it sent that sequence number.
 func (r Renewal) Grants() bool {
 	return r.Accepted || (r.Stale && !r.Ended && !r.NewIncarnation && !r.Unknown)
 }
 
-// holding is what the owner knows of one worker's lease.
+// leaseRecord is the owner's record of one worker's lease.
 type leaseRecord struct {
 	// incarnation is zero while none is known.
 	incarnation uint64
 	sequence    uint64
-	// until is when the worker's lease has ended for certain.
+	// expiresAt is when the worker's lease has certainly expired.
 	expiresAt time.Duration
-	// heard says that this table itself has granted a lease.
+	// granted reports whether this table has granted a lease.
 	granted bool
-	// ended says that the lease was declared over; that is never taken back
+	// ended reports whether the lease was declared over; that can't be undone
 	// for the same incarnation.
 	ended bool
 }
 
-// Table is the owner's view of the leases of all workers of a data centre. It
-// is volatile: a new leader starts with an empty one and calls Own. It is not
-// safe for concurrent use.
+// Table is the owner's record of the leases of all workers of a data centre. It
+// is not persisted: a new leader starts with an empty one and calls TakeOver.
+// It is not safe for concurrent use.
 type Table struct {
 	ttl, drift time.Duration
 	now        time.Duration
 	workers    map[string]*leaseRecord
 }
 
-// NewTable returns an empty table. Leases are granted for ttl; drift is the
-// most that a worker's clock may lose against the owner's over ttl+drift. When
-// ttl is lowered between two leaders, the new one must still use the old ttl
-// until its predecessor's leases are over.
+// NewTable returns an empty table that grants leases for ttl. drift is the most
+// that a worker's clock may lose against the owner's over ttl+drift. If ttl is
+// lowered between two leaders, the new one must use the old ttl until the leases
+// of the previous leader are over.
 func NewTable(ttl, drift time.Duration) *Table {
 	return &Table{ttl: ttl, drift: drift, workers: map[string]*leaseRecord{}}
 }
 
-// TTL returns the time to live that goes into a granting answer.
+// TTL returns the time to live to put into a granting answer.
 func (t *Table) TTL() time.Duration {
 	return t.ttl
 }
 
-// Own takes workers over from a predecessor. now must be read after the caller
-// has become the one that may decide.
+// TakeOver adds the workers of the previous leader. now must be read after the
+// caller has become the only one that may decide.
 //
-// Failure guarded against: a new leader counts a worker that it hasn't heard
-// from as free, and starts the worker's tasks elsewhere, while the worker runs
-// on under a lease that the predecessor granted a moment ago. Each worker is
-// therefore taken to hold a lease until now+ttl+drift; see the package comment
-// for why that is enough. A worker that renews here is live at once.
+// Guards against running a task twice: a new leader that considers a worker
+// free because it has not heard from it would start the worker's tasks
+// elsewhere, while the worker runs on under a lease that the previous leader
+// granted a moment ago. Each worker is therefore assumed to hold a lease until
+// now+ttl+drift; the package comment says why that is enough. A worker that
+// renews here is live at once.
 func (t *Table) TakeOver(now time.Duration, workers []string) {
 	t.advanceClock(now)
 	for _, w := range workers {
@@ -85,9 +87,9 @@
 	}
 }
 
-// Expect tells the table the highest incarnation that is committed for a
-// worker, so that a late renewal of an earlier one is known as stale by a new
-// leader too. It is called after Own.
+// RecordIncarnation records the highest incarnation that is committed for a
+// worker, so that a new leader also recognises a delayed renewal of an earlier
+// incarnation as stale. Call it after TakeOver.
 func (t *Table) RecordIncarnation(worker string, incarnation uint64) {
 	h := t.workers[worker]
 	if h == nil || h.incarnation >= incarnation {
@@ -96,15 +98,16 @@
 	h.incarnation = incarnation
 }
 
-// Renew decides on a renewal that was received at now. Sequence numbers grow
-// from 1 within an incarnation.
+// Renew decides on a renewal that was received at now. Sequence numbers grow from
+// 1 within an incarnation.
 //
-// Failures guarded against: a copy of a renewal prolongs the lease of a worker
-// that is dead, again and again; a renewal that was overtaken by its worker's
-// restart brings the old incarnation back. A renewal counts once, and only if
-// its (incarnation, sequence) is higher than any before. And a renewal that
-// arrives after the lease was declared over must not make the incarnation live
-// again, because its attempts may run elsewhere by then.
+// Guards against three faults: a duplicated renewal extends the lease of a dead
+// worker again and again; a renewal that arrives after its worker's restart
+// brings the old incarnation back; a renewal that arrives after the lease was
+// declared over makes the incarnation live again, although its attempts may run
+// elsewhere by then. A renewal therefore counts only once, only if its
+// (incarnation, sequence) is higher than any before, and not for an incarnation
+// that has ended.
 func (t *Table) Renew(worker string, incarnation, sequence uint64, now time.Duration) Renewal {
 	t.advanceClock(now)
 	h := t.workers[worker]
@@ -133,22 +136,22 @@
 	return result
 }
 
-// prolong moves the end of a lease. An end never moves back.
+// extend moves the expiry of a lease forward, never back.
 func (t *Table) extend(worker string, h *leaseRecord) {
 	until := t.now + t.ttl + t.drift
-	invariant(until >= h.expiresAt, "the lease of worker %s moved back", worker)
+	invariant(until >= h.expiresAt, "the expiry of the lease of worker %s moved back", worker)
 	h.expiresAt = until
 }
 
-// Live says whether the worker has renewed with this table less than ttl ago.
-// Tasks go to live workers only.
+// Live reports whether the worker has renewed with this table less than ttl ago.
+// Only live workers get tasks.
 func (t *Table) Live(worker string, now time.Duration) bool {
 	h := t.workers[worker]
 	return h != nil && h.granted && !h.ended && now < h.expiresAt-t.drift
 }
 
-// Incarnation returns the highest incarnation known of a worker; commands and
-// attempts carry it. It is false while none is known.
+// Incarnation returns the highest known incarnation of a worker, which commands
+// and attempts carry. It returns false if none is known.
 func (t *Table) Incarnation(worker string) (uint64, bool) {
 	h := t.workers[worker]
 	if h == nil || h.incarnation == 0 {
@@ -157,8 +160,8 @@
 	return h.incarnation, true
 }
 
-// Expired returns, sorted, the workers whose leases have become over by now,
-// each once. From then on no attempt of the worker's present or an earlier
+// Expired returns, sorted and each only once, the workers whose leases have
+// expired by now. From then on no attempt of the worker's current or an earlier
 // incarnation runs or can start.
 func (t *Table) Expired(now time.Duration) []string {
 	t.advanceClock(now)
@@ -174,8 +177,8 @@
 	return expired
 }
 
-// NextExpiry returns when Expired will next have something to tell. It is
-// false when no lease is open.
+// NextExpiry returns when the next lease expires. It returns false if there is no
+// lease.
 func (t *Table) NextExpiry() (time.Duration, bool) {
 	var next time.Duration
 	found := false
@@ -189,9 +192,9 @@
 	return next, found
 }
 
-// Over is the proof that no attempt of a worker's incarnation runs or can
-// start: the lease was declared over, or the worker announced a higher
-// incarnation. Absence of a worker is no proof.
+// Fenced reports whether it is proven that no attempt of a worker's incarnation
+// runs or can start: the lease was declared over, or the worker announced a
+// higher incarnation. An unknown worker is no proof.
 func (t *Table) Fenced(worker string, incarnation uint64) bool {
 	h := t.workers[worker]
 	if h == nil {
@@ -200,9 +203,9 @@
 	return incarnation < h.incarnation || (h.ended && incarnation <= h.incarnation) || (h.ended && h.incarnation == 0)
 }
 
-// Leave ends the lease of a worker that has stopped all tasks of the
-// incarnation and says so. It returns false for an incarnation that is not the
-// present one. Late renewals of the incarnation are refused.
+// Leave ends the lease of a worker that reports that it has stopped all tasks of
+// the incarnation. It returns false if the incarnation isn't the current one.
+// Delayed renewals of the incarnation are refused.
 func (t *Table) Leave(worker string, incarnation uint64) bool {
 	h := t.workers[worker]
 	if h == nil || incarnation < h.incarnation {
@@ -213,27 +216,27 @@
 	return true
 }
 
-// Forget drops all knowledge of a worker that is gone for good. It must not be
-// called while a late renewal may still be under way: that would bring the
+// Forget deletes the record of a worker that is gone for good. Don't call it
+// while a delayed renewal may still be in flight: the renewal would bring the
 // worker back for one ttl.
 func (t *Table) Forget(worker string) {
 	delete(t.workers, worker)
 }
 
-// Workers returns the number of workers that the table knows.
+// Workers returns the number of workers in the table.
 func (t *Table) Workers() int {
 	return len(t.workers)
 }
 
-// advance takes over a reading of the owner's clock. Callers that read the
-// clock and then wait for a mutex come out of order; the later reading is then
-// right for both, since it has passed already.
+// advanceClock records a reading of the owner's clock. Callers that read the
+// clock and then wait for a mutex may arrive out of order; the latest reading
+// is then right for both, because that time has already passed.
 func (t *Table) advanceClock(now time.Duration) {
 	t.now = max(t.now, now)
 }
 
-// invariant panics when a condition that the package's proof rests on doesn't
-// hold: going on would risk running a task twice, while a restart is safe.
+// invariant panics if holds is false. Without the condition the package can't
+// prevent a task from running twice, while a restart of the process is safe.
 func invariant(holds bool, format string, args ...any) {
 	if !holds {
 		panic("lease: invariant broken: " + fmt.Sprintf(format, args...))
