--- a/routing/admit.go
+++ b/routing/admit.go
@@ -61,8 +61,8 @@
 	if running < share {
 		return min(wait, estimateWait(s.queuedBefore(t, at), share, s.serviceTimes.mean))
 	}
-	left := max(share, slots-(s.running-running))
-	return max(wait, estimateWait(s.queuedBefore(t, at), left, s.serviceTimes.mean))
+	slotsLeft := max(share, slots-(s.running-running))
+	return max(wait, estimateWait(s.queuedBefore(t, at), slotsLeft, s.serviceTimes.mean))
 }
 
 // estimateWait returns the expected wait of a request with ahead requests
--- a/routing/divide.go
+++ b/routing/allocate.go
@@ -3,13 +3,13 @@
 import "time"
 
 // allocate computes the grants of an entry instance for all services.
-func (d *Allocator) allocate(e *entryRecord, now time.Duration) map[uint32]int {
+func (a *Allocator) allocate(e *entryRecord, now time.Duration) map[uint32]int {
 	grants := make(map[uint32]int)
 	if e.draining {
 		return grants
 	}
-	for _, group := range d.serviceGroups() {
-		d.allocateService(e, group, grants, now)
+	for _, group := range a.serviceGroups() {
+		a.allocateService(e, group, grants, now)
 	}
 	return grants
 }
@@ -23,10 +23,10 @@
 }
 
 // serviceGroups returns the usable minions by service, ordered by minion number.
-func (d *Allocator) serviceGroups() []*serviceGroup {
+func (a *Allocator) serviceGroups() []*serviceGroup {
 	var groups []*serviceGroup
 	byName := make(map[string]*serviceGroup)
-	for _, m := range d.list {
+	for _, m := range a.list {
 		if !m.usable() {
 			continue
 		}
@@ -43,8 +43,8 @@
 }
 
 // allocateService adds the grants for one service to grants.
-func (d *Allocator) allocateService(e *entryRecord, g *serviceGroup, grants map[uint32]int, now time.Duration) {
-	share := d.fairShare(e, g, now)
+func (a *Allocator) allocateService(e *entryRecord, g *serviceGroup, grants map[uint32]int, now time.Duration) {
+	share := a.fairShare(e, g, now)
 	free := make([]int, len(g.minions))
 	total := 0
 	latest := e.latestGrants()
@@ -56,28 +56,28 @@
 		total += keep
 	}
 	if total > share {
-		excess := min(total-share, d.unmetMinimum(e, g, now))
+		excess := min(total-share, a.unmetMinimum(e, g, now))
 		shrink(g, grants, e.inFlight, excess)
 		return
 	}
-	grow(g, grants, free, share-total, d.entryIndex(e.id))
+	grow(g, grants, free, share-total, a.entryIndex(e.id))
 }
 
 // fairShare returns the entry instance's share of a service's capacity. Demand
 // is served with max-min fairness. Capacity beyond the demand is spread evenly,
 // so that every entry instance can serve a burst before its next renewal.
-func (d *Allocator) fairShare(e *entryRecord, g *serviceGroup, now time.Duration) int {
-	demands, own := d.demands(e, g.name, now)
+func (a *Allocator) fairShare(e *entryRecord, g *serviceGroup, now time.Duration) int {
+	demands, own := a.demands(e, g.name, now)
 	shares := waterFill(g.capacity, demands)
 	return shares[own]
 }
 
 // demands returns the demands of all live entry instances and the index of e
 // among them.
-func (d *Allocator) demands(e *entryRecord, service string, now time.Duration) (demands []int, own int) {
-	for _, id := range d.order {
-		other := d.entries[id]
-		if other != e && !d.live(other, now) {
+func (a *Allocator) demands(e *entryRecord, service string, now time.Duration) (demands []int, own int) {
+	for _, id := range a.order {
+		other := a.entries[id]
+		if other != e && !a.live(other, now) {
 			continue
 		}
 		if other == e {
@@ -90,18 +90,18 @@
 
 // live reports whether the entry instance has claimed its slots, isn't draining
 // and has sent a request within the lease time.
-func (d *Allocator) live(e *entryRecord, now time.Duration) bool {
-	return e.claimed && !e.draining && now-e.lastRequestAt < d.opts.Lease
+func (a *Allocator) live(e *entryRecord, now time.Duration) bool {
+	return e.claimed && !e.draining && now-e.lastRequestAt < a.opts.Lease
 }
 
 // unmetMinimum returns how many slots the other entry instances lack of their
 // minimum shares after all free slots are granted. Only that many are taken
 // away, so that small changes of demand cause no messages.
-func (d *Allocator) unmetMinimum(e *entryRecord, g *serviceGroup, now time.Duration) int {
+func (a *Allocator) unmetMinimum(e *entryRecord, g *serviceGroup, now time.Duration) int {
 	unmet := 0
-	for _, id := range d.order {
-		other := d.entries[id]
-		if other == e || !d.live(other, now) {
+	for _, id := range a.order {
+		other := a.entries[id]
+		if other == e || !a.live(other, now) {
 			continue
 		}
 		held := 0
@@ -109,7 +109,7 @@
 		for _, m := range g.minions {
 			held += latest[m.number]
 		}
-		unmet += max(0, d.minimumShare(other, g, now)-held)
+		unmet += max(0, a.minimumShare(other, g, now)-held)
 	}
 	for _, m := range g.minions {
 		unmet -= max(0, m.Slots-m.reserved-m.occupied)
@@ -120,15 +120,15 @@
 // minimumShare returns the slots that an entry instance must be able to get: its
 // demand, or half of its fair share, so that a new entry instance can start to
 // serve.
-func (d *Allocator) minimumShare(e *entryRecord, g *serviceGroup, now time.Duration) int {
-	share := d.fairShare(e, g, now)
+func (a *Allocator) minimumShare(e *entryRecord, g *serviceGroup, now time.Duration) int {
+	share := a.fairShare(e, g, now)
 	return min(share, max(e.demand[g.name], share/2))
 }
 
 // entryIndex returns the index of an entry instance among all of them. It makes
 // each of them start its search for free slots at a different minion.
-func (d *Allocator) entryIndex(id string) int {
-	for i, other := range d.order {
+func (a *Allocator) entryIndex(id string) int {
+	for i, other := range a.order {
 		if other == id {
 			return i
 		}
@@ -204,52 +204,52 @@
 // the rest evenly. The shares sum to capacity.
 func waterFill(capacity int, demands []int) []int {
 	shares := make([]int, len(demands))
-	left := capacity
-	for left > 0 {
+	remaining := capacity
+	for remaining > 0 {
 		unmet := 0
-		for i, w := range demands {
-			if shares[i] < w {
+		for i, demand := range demands {
+			if shares[i] < demand {
 				unmet++
 			}
 		}
 		if unmet == 0 {
 			break
 		}
-		step := max(1, left/unmet)
-		for i, w := range demands {
-			granted := min(step, w-shares[i], left)
+		step := max(1, remaining/unmet)
+		for i, demand := range demands {
+			granted := min(step, demand-shares[i], remaining)
 			if granted > 0 {
 				shares[i] += granted
-				left -= granted
+				remaining -= granted
 			}
 		}
 	}
 	for i := range shares {
-		part := left / (len(shares) - i)
-		shares[i] += part
-		left -= part
+		extra := remaining / (len(shares) - i)
+		shares[i] += extra
+		remaining -= extra
 	}
 	return shares
 }
 
 // respond records the grants as outstanding and builds the response, which has
 // the differences from the response that the entry instance uses.
-func (d *Allocator) respond(e *entryRecord, req SlotRequest, grants map[uint32]int, now time.Duration) SlotResponse {
+func (a *Allocator) respond(e *entryRecord, req SlotRequest, grants map[uint32]int, now time.Duration) SlotResponse {
 	base, known := e.adoptedGrants()
 	if req.Full {
 		known = false
 	}
-	resp := SlotResponse{Term: d.term, Sequence: req.Sequence, Lease: d.opts.Lease}
+	resp := SlotResponse{Term: a.term, Sequence: req.Sequence, Lease: a.opts.Lease}
 	if known {
 		resp.Base = e.adopted
 	}
-	for _, m := range d.list {
+	for _, m := range a.list {
 		slots := grants[m.number]
 		differs := slots != base[m.number]
 		if !known {
 			differs = slots > 0
 		}
-		if g, send := d.grant(e, m, slots, req.Sequence); send || differs {
+		if g, send := a.grant(e, m, slots, req.Sequence); send || differs {
 			resp.Grants = append(resp.Grants, g)
 		}
 	}
@@ -258,15 +258,15 @@
 			delete(grants, number)
 		}
 	}
-	e.grantSets = append(e.grantSets, d.newGrantSet(req.Sequence, grants, now))
-	d.updateOccupied(e, now)
-	d.checkOccupied(e)
+	e.grantSets = append(e.grantSets, a.newGrantSet(req.Sequence, grants, now))
+	a.updateOccupied(e, now)
+	a.checkOccupied(e)
 	return resp
 }
 
 // grant builds the grant of one minion. It adds the announcement, and returns
 // true, if the entry instance isn't known to have it.
-func (d *Allocator) grant(e *entryRecord, m *minionRecord, slots int, sequence uint64) (Grant, bool) {
+func (a *Allocator) grant(e *entryRecord, m *minionRecord, slots int, sequence uint64) (Grant, bool) {
 	g := Grant{Number: m.number, Slots: slots}
 	if !m.announced {
 		return g, false
@@ -290,12 +290,12 @@
 // checkOccupied asserts that a grant never exceeds the slots of a minion. Slots
 // claimed from earlier terms may exceed what the minion announces now; they are
 // never granted beyond what was occupied already.
-func (d *Allocator) checkOccupied(e *entryRecord) {
+func (a *Allocator) checkOccupied(e *entryRecord) {
 	if !checkInvariants {
 		return
 	}
 	for number, slots := range e.latestGrants() {
-		m := d.byNumber[number]
+		m := a.byNumber[number]
 		others := m.occupied - e.ownOccupied[number]
 		invariant(others+slots <= m.Slots, "granted more than the slots of a minion")
 	}
--- a/routing/divider.go
+++ b/routing/allocator.go
@@ -74,20 +74,20 @@
 
 // NewAllocator returns an Allocator that grants nothing until Lead.
 func NewAllocator(opts LeaseOptions) *Allocator {
-	d := &Allocator{opts: opts.withDefaults()}
-	d.reset()
-	return d
+	a := &Allocator{opts: opts.withDefaults()}
+	a.reset()
+	return a
 }
 
 // reset clears all records.
-func (d *Allocator) reset() {
-	d.minions = make(map[string]*minionRecord)
-	d.byNumber = make(map[uint32]*minionRecord)
-	d.list = nil
-	d.lastNumber = 0
-	d.entries = make(map[string]*entryRecord)
-	d.order = nil
-	d.unclaimed = make(map[string]bool)
+func (a *Allocator) reset() {
+	a.minions = make(map[string]*minionRecord)
+	a.byNumber = make(map[uint32]*minionRecord)
+	a.list = nil
+	a.lastNumber = 0
+	a.entries = make(map[string]*entryRecord)
+	a.order = nil
+	a.unclaimed = make(map[string]bool)
 }
 
 // Lead begins the leadership of a term. The caller must make sure that no leader
@@ -99,49 +99,49 @@
 // another entry instance by the previous leader would exceed the minion's slots.
 // Slots that nobody has claimed stay reserved until the last lease of the
 // previous leader has expired and the requests started under it have ended.
-func (d *Allocator) Lead(term uint64, entries []string, now time.Duration) {
-	d.reset()
-	d.leading = true
-	d.term = term
-	d.reserveEnds = now + d.opts.Lease + d.opts.MaxRequest + d.opts.Drift
+func (a *Allocator) Lead(term uint64, entries []string, now time.Duration) {
+	a.reset()
+	a.leading = true
+	a.term = term
+	a.reserveEnds = now + a.opts.Lease + a.opts.MaxRequest + a.opts.Drift
 	for _, entry := range entries {
-		d.unclaimed[entry] = true
+		a.unclaimed[entry] = true
 	}
 }
 
 // Resign ends the leadership: no request is answered until the next Lead.
-func (d *Allocator) Resign() { d.leading = false }
+func (a *Allocator) Resign() { a.leading = false }
 
 // Term returns the term of the current or last leadership.
-func (d *Allocator) Term() uint64 { return d.term }
+func (a *Allocator) Term() uint64 { return a.term }
 
 // Announce records a minion's announcement. It ignores an announcement of an
 // earlier incarnation and one that would undo Leaving.
-func (d *Allocator) Announce(a Announcement, now time.Duration) {
-	m := d.ensureMinion(a.Minion, now)
-	if m.announced && a.Incarnation < m.Incarnation {
+func (a *Allocator) Announce(announcement Announcement, now time.Duration) {
+	m := a.ensureMinion(announcement.Minion, now)
+	if m.announced && announcement.Incarnation < m.Incarnation {
 		return
 	}
-	sameProcess := m.announced && a.Incarnation == m.Incarnation
+	sameProcess := m.announced && announcement.Incarnation == m.Incarnation
 	if sameProcess && m.Leaving {
 		return
 	}
-	changed := !sameProcess || m.gone || a != m.Announcement
-	addedSlots := a.Slots - m.Slots
-	m.Announcement = a
+	changed := !sameProcess || m.gone || announcement != m.Announcement
+	addedSlots := announcement.Slots - m.Slots
+	m.Announcement = announcement
 	m.announced = true
 	m.lastHeardAt = now
-	m.gone = a.Leaving
+	m.gone = announcement.Leaving
 	if changed {
 		m.version++
 	}
-	d.reserveSlots(m, addedSlots, now)
+	a.reserveSlots(m, addedSlots, now)
 }
 
 // reserveSlots reserves the slots that an announcement adds and that an earlier
 // leader may have granted.
-func (d *Allocator) reserveSlots(m *minionRecord, addedSlots int, now time.Duration) {
-	if !d.reserveInForce(now) {
+func (a *Allocator) reserveSlots(m *minionRecord, addedSlots int, now time.Duration) {
+	if !a.reserveInForce(now) {
 		return
 	}
 	if m.version == 1 {
@@ -152,19 +152,19 @@
 }
 
 // Leave takes a minion out of use for the rest of its incarnation.
-func (d *Allocator) Leave(minion string, incarnation uint64, now time.Duration) {
-	m, ok := d.minions[minion]
+func (a *Allocator) Leave(minion string, incarnation uint64, now time.Duration) {
+	m, ok := a.minions[minion]
 	if !ok || !m.announced || incarnation < m.Incarnation {
 		return
 	}
 	m.Incarnation = incarnation
 	m.Leaving = true
 	m.lastHeardAt = now
-	d.retire(m)
+	a.retire(m)
 }
 
 // retire takes a minion out of use. Later responses report it as gone.
-func (d *Allocator) retire(m *minionRecord) {
+func (a *Allocator) retire(m *minionRecord) {
 	if m.gone {
 		return
 	}
@@ -173,48 +173,48 @@
 }
 
 // ensureMinion returns the record of a minion and creates it if there is none.
-func (d *Allocator) ensureMinion(name string, now time.Duration) *minionRecord {
-	if m, ok := d.minions[name]; ok {
+func (a *Allocator) ensureMinion(name string, now time.Duration) *minionRecord {
+	if m, ok := a.minions[name]; ok {
 		return m
 	}
-	d.lastNumber++
-	m := &minionRecord{number: d.lastNumber, lastHeardAt: now}
+	a.lastNumber++
+	m := &minionRecord{number: a.lastNumber, lastHeardAt: now}
 	m.Minion = name
-	d.minions[name] = m
-	d.byNumber[m.number] = m
-	d.list = append(d.list, m)
+	a.minions[name] = m
+	a.byNumber[m.number] = m
+	a.list = append(a.list, m)
 	return m
 }
 
 // reserveInForce reports whether slots of an earlier leader are still reserved.
-func (d *Allocator) reserveInForce(now time.Duration) bool { return now < d.reserveEnds }
+func (a *Allocator) reserveInForce(now time.Duration) bool { return now < a.reserveEnds }
 
 // Allocate answers a slot request of an entry instance. On ErrNotLeading,
 // ErrHigherTerm and ErrStale there is no response to send.
-func (d *Allocator) Allocate(req SlotRequest, now time.Duration) (SlotResponse, error) {
-	if !d.leading {
+func (a *Allocator) Allocate(req SlotRequest, now time.Duration) (SlotResponse, error) {
+	if !a.leading {
 		return SlotResponse{}, ErrNotLeading
 	}
-	if req.Term > d.term {
+	if req.Term > a.term {
 		return SlotResponse{}, ErrHigherTerm
 	}
-	d.expire(now)
-	e, err := d.acceptRequest(req, now)
+	a.expire(now)
+	e, err := a.acceptRequest(req, now)
 	if err != nil {
 		return SlotResponse{}, err
 	}
-	d.applyAnnouncements(e, req.Announcements, now)
-	resync := SlotResponse{Term: d.term, Sequence: req.Sequence, Resync: true}
-	if req.Term != d.term {
+	a.applyAnnouncements(e, req.Announcements, now)
+	resync := SlotResponse{Term: a.term, Sequence: req.Sequence, Resync: true}
+	if req.Term != a.term {
 		return resync, nil
 	}
 	if !req.Full && !e.claimed {
 		return resync, nil
 	}
-	d.refreshAlive(req.Alive, now)
-	d.applyReport(e, req, now)
-	grants := d.allocate(e, now)
-	return d.respond(e, req, grants, now), nil
+	a.refreshAlive(req.Alive, now)
+	a.applyReport(e, req, now)
+	grants := a.allocate(e, now)
+	return a.respond(e, req, grants, now), nil
 }
 
 // acceptRequest returns the record of the sender. It returns ErrStale for
@@ -223,20 +223,20 @@
 // Guards against freeing slots twice: a delayed duplicate of a request would
 // free slots that were granted since. Sequences only grow within an incarnation,
 // and incarnations only grow.
-func (d *Allocator) acceptRequest(req SlotRequest, now time.Duration) (*entryRecord, error) {
-	e, ok := d.entries[req.Entry]
+func (a *Allocator) acceptRequest(req SlotRequest, now time.Duration) (*entryRecord, error) {
+	e, ok := a.entries[req.Entry]
 	if !ok {
 		e = newEntryRecord(req.Entry, req.Incarnation)
-		d.entries[req.Entry] = e
-		at, _ := slices.BinarySearch(d.order, req.Entry)
-		d.order = slices.Insert(d.order, at, req.Entry)
+		a.entries[req.Entry] = e
+		at, _ := slices.BinarySearch(a.order, req.Entry)
+		a.order = slices.Insert(a.order, at, req.Entry)
 	}
 	if req.Incarnation < e.incarnation {
 		return nil, ErrStale
 	}
 	if req.Incarnation > e.incarnation {
 		e.restart(req.Incarnation, now)
-		d.updateOccupied(e, now)
+		a.updateOccupied(e, now)
 	}
 	if req.Sequence <= e.sequence {
 		return nil, ErrStale
@@ -248,18 +248,18 @@
 
 // applyAnnouncements records announcements that an entry instance passes on and
 // makes the response send back the current announcements of these minions.
-func (d *Allocator) applyAnnouncements(e *entryRecord, announcements []Announcement, now time.Duration) {
-	for _, a := range announcements {
-		d.Announce(a, now)
-		e.sentAnnouncements[d.minions[a.Minion].number] = sentAnnouncement{}
+func (a *Allocator) applyAnnouncements(e *entryRecord, announcements []Announcement, now time.Duration) {
+	for _, announcement := range announcements {
+		a.Announce(announcement, now)
+		e.sentAnnouncements[a.minions[announcement.Minion].number] = sentAnnouncement{}
 	}
 }
 
 // refreshAlive records that an entry instance has received announcements of the
 // minions with these numbers.
-func (d *Allocator) refreshAlive(numbers []uint32, now time.Duration) {
+func (a *Allocator) refreshAlive(numbers []uint32, now time.Duration) {
 	for _, number := range numbers {
-		m, ok := d.byNumber[number]
+		m, ok := a.byNumber[number]
 		if ok && m.usable() {
 			m.lastHeardAt = now
 		}
@@ -268,10 +268,10 @@
 
 // applyReport records the held slots, requests in flight and demand that a
 // request reports.
-func (d *Allocator) applyReport(e *entryRecord, req SlotRequest, now time.Duration) {
+func (a *Allocator) applyReport(e *entryRecord, req SlotRequest, now time.Duration) {
 	inFlight := make(map[uint32]int, len(req.Loads))
-	for _, u := range req.Loads {
-		inFlight[u.Number] = u.InFlight
+	for _, load := range req.Loads {
+		inFlight[load.Number] = load.InFlight
 	}
 	e.adopt(req.Adopted)
 	if req.ReleaseAll {
@@ -279,25 +279,25 @@
 		e.grantSets = nil
 	}
 	if req.Full {
-		d.applyClaims(e, req, inFlight, now)
+		a.applyClaims(e, req, inFlight, now)
 	}
 	e.inFlight = inFlight
-	e.inFlightUntil = now + d.opts.MaxRequest + d.opts.Drift
+	e.inFlightUntil = now + a.opts.MaxRequest + a.opts.Drift
 	e.demand = make(map[string]int, len(req.Demands))
 	for _, demand := range req.Demands {
 		e.demand[demand.Service] = demand.Wanted
 	}
 	e.draining = req.ReleaseAll
-	d.updateOccupied(e, now)
+	a.updateOccupied(e, now)
 }
 
 // applyClaims records the slots that an entry instance holds by grants of an
 // earlier term. The request names this term, so the entry instance accepts no
 // more responses of earlier terms, and the claim is final.
-func (d *Allocator) applyClaims(e *entryRecord, req SlotRequest, inFlight map[uint32]int, now time.Duration) {
+func (a *Allocator) applyClaims(e *entryRecord, req SlotRequest, inFlight map[uint32]int, now time.Duration) {
 	held := make(map[uint32]int, len(req.Claims))
 	for _, c := range req.Claims {
-		m := d.ensureMinion(c.Minion, now)
+		m := a.ensureMinion(c.Minion, now)
 		held[m.number] = c.Held
 		inFlight[m.number] = c.InFlight
 		if !e.claimed {
@@ -305,70 +305,70 @@
 		}
 	}
 	e.sentAnnouncements = make(map[uint32]sentAnnouncement)
-	e.grantSets = append([]grantSet{d.newGrantSet(req.Adopted, held, now)}, e.grantSets...)
+	e.grantSets = append([]grantSet{a.newGrantSet(req.Adopted, held, now)}, e.grantSets...)
 	e.claimed = true
-	d.markClaimed(e.id, now)
+	a.markClaimed(e.id, now)
 }
 
 // markClaimed shortens the reservation to restartLinger from now once every entry
 // instance has claimed.
-func (d *Allocator) markClaimed(entry string, now time.Duration) {
-	if !d.unclaimed[entry] {
+func (a *Allocator) markClaimed(entry string, now time.Duration) {
+	if !a.unclaimed[entry] {
 		return
 	}
-	delete(d.unclaimed, entry)
-	if len(d.unclaimed) == 0 {
-		d.reserveEnds = min(d.reserveEnds, now+restartLinger)
+	delete(a.unclaimed, entry)
+	if len(a.unclaimed) == 0 {
+		a.reserveEnds = min(a.reserveEnds, now+restartLinger)
 	}
 }
 
 // newGrantSet returns the record of a response sent at now.
-func (d *Allocator) newGrantSet(sequence uint64, slots map[uint32]int, now time.Duration) grantSet {
-	ends := now + d.opts.Lease + d.opts.Drift
-	return grantSet{sequence: sequence, slots: slots, freeAt: ends + d.opts.MaxRequest}
+func (a *Allocator) newGrantSet(sequence uint64, slots map[uint32]int, now time.Duration) grantSet {
+	ends := now + a.opts.Lease + a.opts.Drift
+	return grantSet{sequence: sequence, slots: slots, freeAt: ends + a.opts.MaxRequest}
 }
 
 // expire updates everything that depends on the time: occupied and reserved
 // slots, minions without announcements and old records.
-func (d *Allocator) expire(now time.Duration) {
-	for _, id := range d.order {
-		e := d.entries[id]
+func (a *Allocator) expire(now time.Duration) {
+	for _, id := range a.order {
+		e := a.entries[id]
 		if e.nextFreeAt <= now {
-			d.updateOccupied(e, now)
+			a.updateOccupied(e, now)
 		}
 	}
-	reserved := d.reserveInForce(now)
-	kept := d.list[:0]
-	for _, m := range d.list {
+	reserved := a.reserveInForce(now)
+	kept := a.list[:0]
+	for _, m := range a.list {
 		if !reserved {
 			m.reserved = 0
 		}
-		if m.announced && now-m.lastHeardAt > d.opts.MinionTTL {
-			d.retire(m)
+		if m.announced && now-m.lastHeardAt > a.opts.MinionTTL {
+			a.retire(m)
 		}
 		if !m.usable() && m.occupied == 0 && now-m.lastHeardAt > forgetAfter {
-			d.forget(m)
+			a.forget(m)
 			continue
 		}
 		kept = append(kept, m)
 	}
-	clear(d.list[len(kept):])
-	d.list = kept
+	clear(a.list[len(kept):])
+	a.list = kept
 }
 
 // forget deletes the record of a minion.
-func (d *Allocator) forget(m *minionRecord) {
-	delete(d.minions, m.Minion)
-	delete(d.byNumber, m.number)
-	for _, e := range d.entries {
+func (a *Allocator) forget(m *minionRecord) {
+	delete(a.minions, m.Minion)
+	delete(a.byNumber, m.number)
+	for _, e := range a.entries {
 		delete(e.sentAnnouncements, m.number)
 	}
 }
 
 // Minions returns the announcements of the usable minions.
-func (d *Allocator) Minions() []Announcement {
+func (a *Allocator) Minions() []Announcement {
 	var live []Announcement
-	for _, m := range d.list {
+	for _, m := range a.list {
 		if m.usable() {
 			live = append(live, m.Announcement)
 		}
@@ -377,8 +377,8 @@
 }
 
 // Occupied returns the upper bound of requests in flight on a minion.
-func (d *Allocator) Occupied(minion string) int {
-	if m, ok := d.minions[minion]; ok {
+func (a *Allocator) Occupied(minion string) int {
+	if m, ok := a.minions[minion]; ok {
 		return m.occupied
 	}
 	return 0
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -55,12 +55,12 @@
 	}
 	s.refreshMedianTime(now)
 	wasOpen := m.breaker.open
-	usual := s.medianTime
-	if usual == 0 {
-		usual = s.serviceTimes.mean
+	typicalTime := s.medianTime
+	if typicalTime == 0 {
+		typicalTime = s.serviceTimes.mean
 	}
 	ended := attempt{outcome: o, took: took, probe: t.probe}
-	closed := m.breaker.observe(ended, usual, s.mayTripOnRate(), now)
+	closed := m.breaker.observe(ended, typicalTime, s.mayTripOnRate(), now)
 	if closed {
 		m.slowStartFrom = now
 	}
--- a/routing/load_cases_test.go
+++ b/routing/load_cases_test.go
@@ -23,12 +23,12 @@
 	r.leader = false
 	r.at(r.now+3*time.Second, func() {
 		r.leader = true
-		r.divider = routing.NewAllocator(routing.LeaseOptions{})
+		r.allocator = routing.NewAllocator(routing.LeaseOptions{})
 		var ids []string
 		for _, e := range r.entries {
 			ids = append(ids, e.id)
 		}
-		r.divider.Lead(2, ids, r.now)
+		r.allocator.Lead(2, ids, r.now)
 	})
 }
 
@@ -40,9 +40,9 @@
 
 // removeHalfOfMinions makes half of the minions leave.
 func removeHalfOfMinions(r *loadRun) {
-	for _, m := range r.order[:len(r.order)/2] {
+	for _, m := range r.minionList[:len(r.minionList)/2] {
 		m.Leaving = true
-		r.divider.Leave(m.Minion, m.Incarnation, r.now)
+		r.allocator.Leave(m.Minion, m.Incarnation, r.now)
 	}
 }
 
--- a/routing/load_report_test.go
+++ b/routing/load_report_test.go
@@ -25,11 +25,11 @@
 
 // maxBusyOnMinion returns the most requests that any minion processed at a time.
 func (r *loadRun) maxBusyOnMinion() int {
-	most := 0
-	for _, m := range r.order {
-		most = max(most, m.maxBusy)
+	maxBusy := 0
+	for _, m := range r.minionList {
+		maxBusy = max(maxBusy, m.maxBusy)
 	}
-	return most
+	return maxBusy
 }
 
 // report reports the results of the run as benchmark metrics.
--- a/routing/load_test.go
+++ b/routing/load_test.go
@@ -23,7 +23,7 @@
 	faultAt             = 8 * time.Second
 	loadEnd             = 20 * time.Second
 	warmUp              = 4 * time.Second
-	oneWay              = time.Millisecond
+	oneWayDelay         = time.Millisecond
 	slotRequestInterval = 500 * time.Millisecond
 	minSlotRequestGap   = 100 * time.Millisecond
 	announceInterval    = time.Second
@@ -95,15 +95,15 @@
 // loadRun is a discrete event simulation.
 type loadRun struct {
 	loadCase
-	rng     *rand.Rand
-	now     time.Duration
-	events  eventHeap
-	count   int
-	divider *routing.Allocator
-	leader  bool
-	entries []*loadEntry
-	minions map[string]*loadMinion
-	order   []*loadMinion
+	rng        *rand.Rand
+	now        time.Duration
+	events     eventHeap
+	eventCount int
+	allocator  *routing.Allocator
+	leader     bool
+	entries    []*loadEntry
+	minions    map[string]*loadMinion
+	minionList []*loadMinion
 
 	offered, good, otherOffered, otherGood int
 	refused, late, lost                    int
@@ -115,9 +115,9 @@
 
 // loadEvent is a function that runs at a simulated time.
 type loadEvent struct {
-	at    time.Duration
-	order int
-	do    func()
+	at       time.Duration
+	sequence int
+	do       func()
 }
 
 // eventHeap orders events by time, then by insertion.
@@ -125,7 +125,7 @@
 
 func (h eventHeap) Len() int { return len(h) }
 func (h eventHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || (h[i].at == h[j].at && h[i].order < h[j].order)
+	return h[i].at < h[j].at || (h[i].at == h[j].at && h[i].sequence < h[j].sequence)
 }
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *eventHeap) Push(x any)   { *h = append(*h, x.(loadEvent)) }
@@ -138,21 +138,21 @@
 
 // at schedules a function.
 func (r *loadRun) at(t time.Duration, do func()) {
-	r.count++
-	heap.Push(&r.events, loadEvent{at: t, order: r.count, do: do})
+	r.eventCount++
+	heap.Push(&r.events, loadEvent{at: t, sequence: r.eventCount, do: do})
 }
 
 // newLoadRun returns a simulation with its first events scheduled.
 func newLoadRun(c loadCase) *loadRun {
 	r := &loadRun{
-		loadCase: c,
-		rng:      rand.New(rand.NewPCG(loadSeed, 0)),
-		minions:  make(map[string]*loadMinion),
-		waits:    hdrhistogram.New(1, 60_000_000, 3),
-		divider:  routing.NewAllocator(routing.LeaseOptions{}),
-		leader:   true,
-	}
-	r.divider.Lead(1, nil, -time.Hour)
+		loadCase:  c,
+		rng:       rand.New(rand.NewPCG(loadSeed, 0)),
+		minions:   make(map[string]*loadMinion),
+		waits:     hdrhistogram.New(1, 60_000_000, 3),
+		allocator: routing.NewAllocator(routing.LeaseOptions{}),
+		leader:    true,
+	}
+	r.allocator.Lead(1, nil, -time.Hour)
 	for i := range c.minions {
 		name := fmt.Sprintf("naas-hall-m%d", i)
 		a := routing.Announcement{
@@ -161,7 +161,7 @@
 		}
 		m := &loadMinion{Announcement: a}
 		r.minions[name] = m
-		r.order = append(r.order, m)
+		r.minionList = append(r.minionList, m)
 		r.at(time.Duration(i)*announceInterval/time.Duration(c.minions), func() { r.announce(m) })
 	}
 	for i := range c.entries {
@@ -186,7 +186,7 @@
 
 // injectFault injects the fault and runs the event of the case.
 func (r *loadRun) injectFault() {
-	for _, m := range r.order[:r.faulty] {
+	for _, m := range r.minionList[:r.faulty] {
 		m.fault = r.fault
 	}
 	if r.event != nil {
@@ -215,7 +215,7 @@
 	}
 	e.nextSlotRequestAt = r.now + slotRequestInterval
 	req := b.NextSlotRequest(r.now)
-	r.at(r.now+oneWay, func() { r.handleSlotRequest(e, b, req) })
+	r.at(r.now+oneWayDelay, func() { r.handleSlotRequest(e, b, req) })
 	r.at(e.nextSlotRequestAt, func() {
 		if e.nextSlotRequestAt <= r.now {
 			r.sendSlotRequest(e, b)
@@ -228,7 +228,7 @@
 	if !r.leader {
 		return
 	}
-	resp, err := r.divider.Allocate(req, r.now)
+	resp, err := r.allocator.Allocate(req, r.now)
 	if err != nil {
 		return
 	}
@@ -236,7 +236,7 @@
 		r.bytes += callOverheadBytes + proto.Size(proxy.RequestToWire(req)) + callOverheadBytes + proto.Size(proxy.ResponseToWire(resp))
 		r.calls++
 	}
-	r.at(r.now+oneWay, func() { r.handleSlotResponse(e, b, resp) })
+	r.at(r.now+oneWayDelay, func() { r.handleSlotResponse(e, b, resp) })
 }
 
 // handleSlotResponse processes a slot response at the entry process.
@@ -266,7 +266,7 @@
 // arrive creates a new caller and schedules the next one after an exponentially
 // distributed time.
 func (r *loadRun) arrive() {
-	rate := r.load * float64(len(r.order)*loadSlots) / meanService.Seconds()
+	rate := r.load * float64(len(r.minionList)*loadSlots) / meanService.Seconds()
 	r.at(r.now+time.Duration(r.rng.ExpFloat64()/rate*float64(time.Second)), r.arrive)
 	q := &loadRequest{customer: fmt.Sprint("c", r.rng.IntN(4)), idempotent: r.rng.IntN(2) == 0}
 	if r.rng.Float64() < r.flood {
@@ -344,8 +344,8 @@
 	if q.retries >= maxCallerRetries || after == 0 {
 		return
 	}
-	back := &loadRequest{customer: q.customer, retries: q.retries + 1, idempotent: q.idempotent}
-	r.at(r.now+after, func() { r.send(back) })
+	retry := &loadRequest{customer: q.customer, retries: q.retries + 1, idempotent: q.idempotent}
+	r.at(r.now+after, func() { r.send(retry) })
 }
 
 // serviceTime draws the service time of a request on a minion.
@@ -369,15 +369,15 @@
 	}
 	switch m.fault {
 	case gone:
-		r.at(r.now+2*oneWay, func() { r.finished(q, routing.NotSent) })
+		r.at(r.now+2*oneWayDelay, func() { r.finished(q, routing.NotSent) })
 	case failing:
-		r.at(r.now+2*oneWay, func() { r.finished(q, routing.AnsweredFailure) })
+		r.at(r.now+2*oneWayDelay, func() { r.finished(q, routing.AnsweredFailure) })
 	case hanging:
 		m.requestStarted()
 		r.at(attemptDeadline, func() { m.busy--; r.finished(q, routing.TimedOut) })
 	default:
 		m.requestStarted()
-		end := r.now + 2*oneWay + r.serviceTime(m)
+		end := r.now + 2*oneWayDelay + r.serviceTime(m)
 		r.at(end, func() { m.busy-- })
 		if end > attemptDeadline {
 			r.at(attemptDeadline, func() { r.finished(q, routing.TimedOut) })
@@ -432,7 +432,7 @@
 // sendBaseline sends a request to a random minion, which processes its own queue
 // in order, expired requests included.
 func (r *loadRun) sendBaseline(q *loadRequest) {
-	m := r.order[r.rng.IntN(len(r.order))]
+	m := r.minionList[r.rng.IntN(len(r.minionList))]
 	switch {
 	case m.fault == gone || m.fault == failing || m.fault == hanging:
 		r.lost++
--- a/routing/machine_test.go
+++ b/routing/model_test.go
@@ -11,14 +11,14 @@
 // model is a leader, entry instances and minions, and a network that loses,
 // duplicates and delays messages.
 type model struct {
-	t        *rapid.T
-	now      time.Duration
-	divider  *Allocator
-	term     uint64
-	entries  []*modelEntry
-	minions  []Announcement
-	requests []SlotRequest
-	answers  []modelAnswer
+	t         *rapid.T
+	now       time.Duration
+	allocator *Allocator
+	term      uint64
+	entries   []*modelEntry
+	minions   []Announcement
+	requests  []SlotRequest
+	answers   []modelAnswer
 	// orphans are the requests of terminated processes that a minion may still be
 	// processing.
 	orphans []orphan
@@ -51,7 +51,7 @@
 // newModel returns a model with three minions, three entry instances and a
 // leader.
 func newModel(t *rapid.T) *model {
-	w := &model{t: t, now: time.Minute, divider: NewAllocator(LeaseOptions{})}
+	w := &model{t: t, now: time.Minute, allocator: NewAllocator(LeaseOptions{})}
 	for i := range 3 {
 		a := Announcement{Minion: fmt.Sprint("m", i), Service: "s", Address: "a", Slots: 3, Incarnation: 1}
 		w.minions = append(w.minions, a)
@@ -79,6 +79,7 @@
 	return time.Duration(float64(w.now-e.startedAt) * e.rate)
 }
 
+// drawEntry returns a random entry instance.
 func (w *model) drawEntry() *modelEntry {
 	return w.entries[rapid.IntRange(0, len(w.entries)-1).Draw(w.t, "entry")]
 }
@@ -86,15 +87,15 @@
 // changeLeader replaces the leader by one of the next term without state.
 func (w *model) changeLeader() {
 	w.term++
-	w.divider = NewAllocator(LeaseOptions{})
+	w.allocator = NewAllocator(LeaseOptions{})
 	var ids []string
 	if rapid.Bool().Draw(w.t, "entries known") {
 		ids = []string{"e0", "e1", "e2"}
 	}
-	w.divider.Lead(w.term, ids, w.now)
+	w.allocator.Lead(w.term, ids, w.now)
 	for _, a := range w.minions {
 		if rapid.Bool().Draw(w.t, "announced") {
-			w.divider.Announce(a, w.now)
+			w.allocator.Announce(a, w.now)
 		}
 	}
 }
@@ -151,6 +152,8 @@
 	}
 }
 
+// actions returns the random actions; the one without a name checks the
+// invariant.
 func (w *model) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"":        w.check,
@@ -169,7 +172,7 @@
 		"finish":    w.finish,
 		"announce": func(t *rapid.T) {
 			a := w.minions[rapid.IntRange(0, len(w.minions)-1).Draw(t, "minion")]
-			w.divider.Announce(a, w.now)
+			w.allocator.Announce(a, w.now)
 			e := w.drawEntry()
 			e.balancer.Announce(a, w.clock(e))
 			w.collect(e)
@@ -191,7 +194,7 @@
 // exchange delivers a slot request and its response without faults.
 func (w *model) exchange(*rapid.T) {
 	e := w.drawEntry()
-	resp, err := w.divider.Allocate(e.balancer.NextSlotRequest(w.clock(e)), w.now)
+	resp, err := w.allocator.Allocate(e.balancer.NextSlotRequest(w.clock(e)), w.now)
 	if err != nil {
 		return
 	}
@@ -212,7 +215,7 @@
 		t.Skip()
 	}
 	req := w.requests[rapid.IntRange(0, len(w.requests)-1).Draw(t, "request")]
-	resp, err := w.divider.Allocate(req, w.now)
+	resp, err := w.allocator.Allocate(req, w.now)
 	if err != nil {
 		return
 	}
--- a/routing/charge.go
+++ b/routing/occupied.go
@@ -74,11 +74,11 @@
 // restart begins a new incarnation. The earlier process has terminated, so its
 // slots are released after restartLinger without waiting for its lease.
 func (e *entryRecord) restart(incarnation uint64, now time.Duration) {
-	left := terminatedProcess{occupied: e.occupied, freeAt: now + restartLinger}
-	kept := append(e.terminated, left)
+	terminated := terminatedProcess{occupied: e.occupied, freeAt: now + restartLinger}
+	kept := append(e.terminated, terminated)
 	*e = *newEntryRecord(e.id, incarnation)
 	e.terminated = kept
-	e.occupied = left.occupied
+	e.occupied = terminated.occupied
 }
 
 // adopt drops the responses before the adopted one; the entry instance can't
@@ -117,7 +117,7 @@
 // use and over the reported requests in flight. A response counts until a later
 // one is known to be adopted, or until its lease and the longest request
 // started under it have ended.
-func (d *Allocator) updateOccupied(e *entryRecord, now time.Duration) {
+func (a *Allocator) updateOccupied(e *entryRecord, now time.Duration) {
 	ownOccupied := make(map[uint32]int)
 	e.nextFreeAt = farFuture
 	if now < e.inFlightUntil {
@@ -136,14 +136,14 @@
 	e.grantSets = kept
 	e.ownOccupied = ownOccupied
 	occupied := maps.Clone(ownOccupied)
-	d.addTerminated(e, occupied, now)
-	d.replaceOccupied(e.occupied, occupied)
+	a.addTerminated(e, occupied, now)
+	a.replaceOccupied(e.occupied, occupied)
 	e.occupied = occupied
 }
 
 // addTerminated adds the slots of terminated processes to occupied and drops
 // those that are released by now.
-func (d *Allocator) addTerminated(e *entryRecord, occupied map[uint32]int, now time.Duration) {
+func (a *Allocator) addTerminated(e *entryRecord, occupied map[uint32]int, now time.Duration) {
 	kept := e.terminated[:0]
 	for _, r := range e.terminated {
 		if r.freeAt <= now {
@@ -160,14 +160,14 @@
 
 // replaceOccupied replaces the occupied slots of one entry instance in the sums
 // of the minions.
-func (d *Allocator) replaceOccupied(old, occupied map[uint32]int) {
+func (a *Allocator) replaceOccupied(old, occupied map[uint32]int) {
 	for number, slots := range old {
-		if m, ok := d.byNumber[number]; ok {
+		if m, ok := a.byNumber[number]; ok {
 			m.occupied -= slots
 		}
 	}
 	for number, slots := range occupied {
-		if m, ok := d.byNumber[number]; ok {
+		if m, ok := a.byNumber[number]; ok {
 			m.occupied += slots
 			invariant(m.occupied >= 0, "negative number of occupied slots")
 		}
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -47,18 +47,18 @@
 		return m
 	}
 	b.candidates = b.candidates[:0]
-	avoided := false
+	failedMinionFree := false
 	for _, m := range s.minions {
 		if !b.hasFreeSlot(s, m, now) {
 			continue
 		}
 		if m == t.failedMinion {
-			avoided = true
+			failedMinionFree = true
 			continue
 		}
 		b.candidates = append(b.candidates, m)
 	}
-	if len(b.candidates) == 0 && avoided {
+	if len(b.candidates) == 0 && failedMinionFree {
 		return t.failedMinion
 	}
 	return b.choose(s)
@@ -111,11 +111,11 @@
 	var best *minion
 	lowest, equal := 0.0, 0
 	for _, m := range b.candidates {
-		sc := score(s, m)
+		minionScore := score(s, m)
 		switch {
-		case best == nil || sc < lowest:
-			best, lowest, equal = m, sc, 1
-		case sc == lowest:
+		case best == nil || minionScore < lowest:
+			best, lowest, equal = m, minionScore, 1
+		case minionScore == lowest:
 			equal++
 			if b.rng.IntN(equal) == 0 {
 				best = m
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -10,61 +10,61 @@
 
 // fixture is one leader and one entry instance on the same clock.
 type fixture struct {
-	divider  *Allocator
-	balancer *Balancer
-	now      time.Duration
+	allocator *Allocator
+	balancer  *Balancer
+	now       time.Duration
 }
 
 // newFixture returns a fixture whose entry instance has all slots of the minions
 // and has passed slow start.
 func newFixture(minions, slots int) *fixture {
-	d := &fixture{
-		divider:  NewAllocator(LeaseOptions{}),
-		balancer: NewBalancer(Options{Entry: "e", Incarnation: 1, Seed: 1}),
-		now:      time.Hour,
+	f := &fixture{
+		allocator: NewAllocator(LeaseOptions{}),
+		balancer:  NewBalancer(Options{Entry: "e", Incarnation: 1, Seed: 1}),
+		now:       time.Hour,
 	}
-	d.divider.Lead(1, nil, 0)
+	f.allocator.Lead(1, nil, 0)
 	for i := range minions {
-		d.divider.Announce(Announcement{
+		f.allocator.Announce(Announcement{
 			Minion: fmt.Sprint("m", i), Service: "s", Address: fmt.Sprint("a", i), Slots: slots, Incarnation: 1,
-		}, d.now)
+		}, f.now)
 	}
-	d.exchangeSlotRequests()
+	f.exchangeSlotRequests()
 	// After slow start the minions may use all their slots.
-	d.advance(DefaultOptions().SlowStart)
-	return d
+	f.advance(DefaultOptions().SlowStart)
+	return f
 }
 
 // exchangeSlotRequests exchanges slot requests until no request must follow.
-func (d *fixture) exchangeSlotRequests() {
+func (f *fixture) exchangeSlotRequests() {
 	for again := true; again; {
-		resp, err := d.divider.Allocate(d.balancer.NextSlotRequest(d.now), d.now)
+		resp, err := f.allocator.Allocate(f.balancer.NextSlotRequest(f.now), f.now)
 		if err != nil {
 			return
 		}
-		again = d.balancer.HandleSlotResponse(resp, d.now)
+		again = f.balancer.HandleSlotResponse(resp, f.now)
 	}
 }
 
 // advance moves the time forward; all minions announce themselves to the leader.
-func (d *fixture) advance(step time.Duration) {
-	d.now += step
-	for _, m := range d.divider.Minions() {
-		d.divider.Announce(m, d.now)
+func (f *fixture) advance(step time.Duration) {
+	f.now += step
+	for _, m := range f.allocator.Minions() {
+		f.allocator.Announce(m, f.now)
 	}
-	d.exchangeSlotRequests()
+	f.exchangeSlotRequests()
 }
 
 // submit submits a request with a deadline left from now.
-func (d *fixture) submit(left time.Duration) *Ticket {
-	r := Request{Service: "s", Customer: "c", Deadline: d.now + left}
-	return d.balancer.Submit(r, d.now)
+func (f *fixture) submit(left time.Duration) *Ticket {
+	r := Request{Service: "s", Customer: "c", Deadline: f.now + left}
+	return f.balancer.Submit(r, f.now)
 }
 
 // finish ends a request after it took some time.
-func (d *fixture) finish(t *Ticket, took time.Duration, o Outcome) {
-	d.now += took
-	d.balancer.Finish(t, o, d.now)
+func (f *fixture) finish(t *Ticket, took time.Duration, o Outcome) {
+	f.now += took
+	f.balancer.Finish(t, o, f.now)
 }
 
 // A minion that left still gets requests. The entry instance may learn of it
@@ -75,114 +75,114 @@
 	leaveReceived.balancer.Leave("m0", 1, leaveReceived.now)
 	must.Eq(t, Queued, leaveReceived.submit(time.Second).State())
 
-	cutOff := newFixture(1, 8)
-	cutOff.now += 3 * time.Second // the TTL has passed, the slot lease of 5 s hasn't
-	must.Eq(t, Queued, cutOff.submit(time.Second).State())
+	partitioned := newFixture(1, 8)
+	partitioned.now += 3 * time.Second // the TTL has passed, the slot lease of 5 s hasn't
+	must.Eq(t, Queued, partitioned.submit(time.Second).State())
 
-	byLeader := newFixture(1, 8)
-	byLeader.divider.Leave("m0", 1, byLeader.now)
-	byLeader.exchangeSlotRequests()
-	must.Eq(t, Queued, byLeader.submit(time.Second).State())
+	leaveFromLeader := newFixture(1, 8)
+	leaveFromLeader.allocator.Leave("m0", 1, leaveFromLeader.now)
+	leaveFromLeader.exchangeSlotRequests()
+	must.Eq(t, Queued, leaveFromLeader.submit(time.Second).State())
 	// A delayed duplicate of an announcement must not bring the minion back.
-	byLeader.divider.Announce(Announcement{Minion: "m0", Service: "s", Slots: 8, Incarnation: 1}, byLeader.now)
-	must.SliceEmpty(t, byLeader.divider.Minions())
+	leaveFromLeader.allocator.Announce(Announcement{Minion: "m0", Service: "s", Slots: 8, Incarnation: 1}, leaveFromLeader.now)
+	must.SliceEmpty(t, leaveFromLeader.allocator.Minions())
 }
 
 // A minion that died without leaving keeps its slots granted after the TTL.
 func TestMinionIsRemovedAfterTTL(t *testing.T) {
-	d := newFixture(1, 8)
-	d.now += DefaultLeaseOptions().MinionTTL + 1
-	d.exchangeSlotRequests()
-	must.Eq(t, 0, d.balancer.GrantedSlots())
+	f := newFixture(1, 8)
+	f.now += DefaultLeaseOptions().MinionTTL + 1
+	f.exchangeSlotRequests()
+	must.Eq(t, 0, f.balancer.GrantedSlots())
 }
 
 // Two entry instances use the same slot: a new leader doesn't know what the
 // previous one granted to an entry instance that it can't reach.
 func TestNewLeaderReservesUnclaimedSlots(t *testing.T) {
-	d := newFixture(1, 8)
-	d.divider = NewAllocator(LeaseOptions{})
-	d.divider.Lead(2, []string{"e", "silent"}, d.now)
-	d.divider.Announce(Announcement{Minion: "m0", Service: "s", Slots: 8, Incarnation: 1}, d.now)
+	f := newFixture(1, 8)
+	f.allocator = NewAllocator(LeaseOptions{})
+	f.allocator.Lead(2, []string{"e", "unreachable"}, f.now)
+	f.allocator.Announce(Announcement{Minion: "m0", Service: "s", Slots: 8, Incarnation: 1}, f.now)
 	other := NewBalancer(Options{Entry: "other", Incarnation: 1})
-	ask := func() int {
+	requestSlots := func() int {
 		for range 3 {
-			resp, err := d.divider.Allocate(other.NextSlotRequest(d.now), d.now)
+			resp, err := f.allocator.Allocate(other.NextSlotRequest(f.now), f.now)
 			must.NoError(t, err)
-			other.HandleSlotResponse(resp, d.now)
+			other.HandleSlotResponse(resp, f.now)
 		}
 		return other.GrantedSlots()
 	}
-	must.Eq(t, 0, ask())
-	d.advance(d.divider.opts.Lease + d.divider.opts.MaxRequest + d.divider.opts.Drift - 1)
-	must.Eq(t, 0, ask())
-	d.advance(1)
-	must.Positive(t, ask())
+	must.Eq(t, 0, requestSlots())
+	f.advance(f.allocator.opts.Lease + f.allocator.opts.MaxRequest + f.allocator.opts.Drift - 1)
+	must.Eq(t, 0, requestSlots())
+	f.advance(1)
+	must.Positive(t, requestSlots())
 }
 
 // No requests are served after a leader change until the reservation of the
 // previous leader's grants ends. An entry instance keeps the slots it claims.
 func TestClaimedSlotsSurviveLeaderChange(t *testing.T) {
-	d := newFixture(2, 8)
-	must.Eq(t, 16, d.balancer.GrantedSlots())
-	d.now += 3 * time.Second
-	d.divider = NewAllocator(LeaseOptions{})
-	d.divider.Lead(2, nil, d.now)
+	f := newFixture(2, 8)
+	must.Eq(t, 16, f.balancer.GrantedSlots())
+	f.now += 3 * time.Second
+	f.allocator = NewAllocator(LeaseOptions{})
+	f.allocator.Lead(2, nil, f.now)
 	for _, m := range []string{"m0", "m1"} {
-		d.divider.Announce(Announcement{Minion: m, Service: "s", Slots: 8, Incarnation: 1}, d.now)
+		f.allocator.Announce(Announcement{Minion: m, Service: "s", Slots: 8, Incarnation: 1}, f.now)
 	}
-	d.exchangeSlotRequests()
-	must.Eq(t, 16, d.balancer.GrantedSlots())
-	must.Eq(t, Started, d.submit(time.Second).State())
+	f.exchangeSlotRequests()
+	must.Eq(t, 16, f.balancer.GrantedSlots())
+	must.Eq(t, Started, f.submit(time.Second).State())
 }
 
 // A request that can't be answered by its deadline is started and wastes work.
 // It must be refused at once, with a jittered retry delay.
 func TestUnreachableDeadlineIsRefusedAtOnce(t *testing.T) {
-	d := newFixture(1, 2)
+	f := newFixture(1, 2)
 	for range 40 {
-		d.finish(d.submit(time.Second), 100*time.Millisecond, Answered)
-		d.balancer.TakeChanged()
-		d.advance(0)
+		f.finish(f.submit(time.Second), 100*time.Millisecond, Answered)
+		f.balancer.TakeChanged()
+		f.advance(0)
 	}
 	for range 2 {
-		must.Eq(t, Started, d.submit(time.Second).State())
+		must.Eq(t, Started, f.submit(time.Second).State())
 	}
-	unreachable := d.submit(120 * time.Millisecond)
+	unreachable := f.submit(120 * time.Millisecond)
 	must.Eq(t, Refused, unreachable.State())
 	must.Eq(t, TooLate, unreachable.Refusal().Reason)
 	must.Positive(t, unreachable.Refusal().RetryAfter)
-	times := make(map[time.Duration]bool)
+	retryDelays := make(map[time.Duration]bool)
 	for range 20 {
-		late := d.submit(120 * time.Millisecond)
+		late := f.submit(120 * time.Millisecond)
 		must.Eq(t, Refused, late.State())
-		times[late.Refusal().RetryAfter] = true
+		retryDelays[late.Refusal().RetryAfter] = true
 	}
-	must.Greater(t, 15, len(times))
+	must.Greater(t, 15, len(retryDelays))
 }
 
 // A minion that fails at once is always free and attracts all requests.
 func TestBreakerOpensOnFailingMinion(t *testing.T) {
 	for _, o := range []Outcome{AnsweredFailure, NotSent, Broken} {
-		d := newFixture(4, 8)
-		bad := 0
+		f := newFixture(4, 8)
+		failingAttempts := 0
 		for range 200 {
-			ticket := d.submit(time.Second)
+			ticket := f.submit(time.Second)
 			must.Eq(t, Started, ticket.State())
-			if d.balancer.Target(ticket).Minion == "m0" {
-				bad++
-				d.finish(ticket, 0, o)
+			if f.balancer.Target(ticket).Minion == "m0" {
+				failingAttempts++
+				f.finish(ticket, 0, o)
 				continue
 			}
-			d.finish(ticket, 4*time.Millisecond, Answered)
-			d.advance(0)
+			f.finish(ticket, 4*time.Millisecond, Answered)
+			f.advance(0)
 		}
-		must.LessEq(t, 10, bad)
-		must.Positive(t, bad)
-		must.Eq(t, 1, d.balancer.OpenBreakers())
-		d.advance(maxBackoff)
-		for d.balancer.OpenBreakers() > 0 {
-			d.advance(firstBackoff)
-			d.finish(d.submit(time.Second), 4*time.Millisecond, Answered)
+		must.LessEq(t, 10, failingAttempts)
+		must.Positive(t, failingAttempts)
+		must.Eq(t, 1, f.balancer.OpenBreakers())
+		f.advance(maxBackoff)
+		for f.balancer.OpenBreakers() > 0 {
+			f.advance(firstBackoff)
+			f.finish(f.submit(time.Second), 4*time.Millisecond, Answered)
 		}
 	}
 }
@@ -190,47 +190,47 @@
 // Bad input of one customer fails on every minion and opens all circuit
 // breakers, which takes the service down.
 func TestFailureRateOpensAtMostHalfOfBreakers(t *testing.T) {
-	d := newFixture(4, 8)
+	f := newFixture(4, 8)
 	for range 200 {
-		d.finish(d.submit(time.Second), time.Millisecond, AnsweredFailure)
-		d.advance(0)
+		f.finish(f.submit(time.Second), time.Millisecond, AnsweredFailure)
+		f.advance(0)
 	}
-	must.LessEq(t, 2, d.balancer.OpenBreakers())
+	must.LessEq(t, 2, f.balancer.OpenBreakers())
 }
 
 // Retries multiply the load on an overloaded service.
 func TestRetryBudget(t *testing.T) {
-	d := newFixture(8, 8)
+	f := newFixture(8, 8)
 	retried := 0
 	for range 100 {
-		ticket := d.submit(time.Second)
+		ticket := f.submit(time.Second)
 		if ticket.State() != Started {
 			break
 		}
-		d.finish(ticket, 0, AnsweredFailure)
-		if d.balancer.Retry(ticket, AnsweredFailure, d.now) {
+		f.finish(ticket, 0, AnsweredFailure)
+		if f.balancer.Retry(ticket, AnsweredFailure, f.now) {
 			retried++
-			d.finish(ticket, 0, AnsweredFailure)
+			f.finish(ticket, 0, AnsweredFailure)
 		}
 	}
 	must.LessEq(t, 21, retried)
 	must.Positive(t, retried)
-	late := d.submit(time.Second)
-	d.finish(late, time.Second, Broken)
-	must.False(t, d.balancer.Retry(late, Broken, d.now))
+	late := f.submit(time.Second)
+	f.finish(late, time.Second, Broken)
+	must.False(t, f.balancer.Retry(late, Broken, f.now))
 }
 
 // One customer fills the queue, and the request of another customer is refused.
 func TestCustomerFloodDoesNotRefuseOthers(t *testing.T) {
-	d := newFixture(1, 2)
+	f := newFixture(1, 2)
 	for range 500 {
-		d.submit(time.Second)
+		f.submit(time.Second)
 	}
-	other := d.balancer.Submit(Request{Service: "s", Customer: "other", Deadline: d.now + time.Second}, d.now)
+	other := f.balancer.Submit(Request{Service: "s", Customer: "other", Deadline: f.now + time.Second}, f.now)
 	must.Eq(t, Queued, other.State())
-	for _, ticket := range d.balancer.TakeChanged() {
+	for _, ticket := range f.balancer.TakeChanged() {
 		if ticket.State() == Started {
-			d.finish(ticket, time.Millisecond, Answered)
+			f.finish(ticket, time.Millisecond, Answered)
 			break
 		}
 	}
@@ -241,23 +241,23 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, policy := range []Policy{LeastLoaded, TwoChoices, Random} {
 		b.Run([]string{"least-loaded", "two-choices", "random"}[policy], func(b *testing.B) {
-			d := newFixture(50, 8)
-			d.balancer.opts.Policy = policy
+			f := newFixture(50, 8)
+			f.balancer.opts.Policy = policy
 			for b.Loop() {
-				ticket := d.submit(time.Second)
-				d.balancer.Finish(ticket, Answered, d.now)
-				d.balancer.TakeChanged()
+				ticket := f.submit(time.Second)
+				f.balancer.Finish(ticket, Answered, f.now)
+				f.balancer.TakeChanged()
 			}
 		})
 	}
 }
 
-// BenchmarkDivide measures a slot request with nine entry instances.
-func BenchmarkDivide(b *testing.B) {
-	d := newFixture(50, 8)
+// BenchmarkAllocate measures a slot request with nine entry instances.
+func BenchmarkAllocate(b *testing.B) {
+	f := newFixture(50, 8)
 	var others []*fixture
 	for i := range 8 {
-		other := &fixture{divider: d.divider, now: d.now}
+		other := &fixture{allocator: f.allocator, now: f.now}
 		other.balancer = NewBalancer(Options{Entry: fmt.Sprint("o", i), Incarnation: 1})
 		other.exchangeSlotRequests()
 		others = append(others, other)
@@ -270,48 +270,48 @@
 // The slot of a request whose caller went away is reused while the minion, which
 // isn't told, still works on the request.
 func TestAbandonedRequestKeepsItsSlot(t *testing.T) {
-	d := newFixture(1, 1)
-	d.finish(d.submit(time.Second), 0, Abandoned)
-	must.Eq(t, Queued, d.submit(time.Second).State())
-	d.now += lingerFactor * DefaultOptions().FirstEstimate
-	d.balancer.Tick(d.now)
-	must.Eq(t, 1, d.balancer.InFlight())
+	f := newFixture(1, 1)
+	f.finish(f.submit(time.Second), 0, Abandoned)
+	must.Eq(t, Queued, f.submit(time.Second).State())
+	f.now += lingerFactor * DefaultOptions().FirstEstimate
+	f.balancer.Tick(f.now)
+	must.Eq(t, 1, f.balancer.InFlight())
 }
 
 // Delayed duplicates of slot requests and responses, also from a replaced
 // leader, bring back slots that others hold by now.
 func TestStaleSlotMessagesAreIgnored(t *testing.T) {
-	d := newFixture(1, 8)
-	old := d.balancer.NextSlotRequest(d.now)
-	oldAnswer, err := d.divider.Allocate(old, d.now)
+	f := newFixture(1, 8)
+	oldRequest := f.balancer.NextSlotRequest(f.now)
+	oldResponse, err := f.allocator.Allocate(oldRequest, f.now)
 	must.NoError(t, err)
-	d.exchangeSlotRequests()
-	_, err = d.divider.Allocate(old, d.now)
+	f.exchangeSlotRequests()
+	_, err = f.allocator.Allocate(oldRequest, f.now)
 	must.ErrorIs(t, err, ErrStale)
-	refused := func(change func(*SlotResponse)) {
+	assertIgnored := func(change func(*SlotResponse)) {
 		t.Helper()
-		adopted := d.balancer.lease.adopted
-		resp := SlotResponse{Term: 1, Sequence: d.balancer.NextSlotRequest(d.now).Sequence, Lease: time.Second}
+		adopted := f.balancer.lease.adopted
+		resp := SlotResponse{Term: 1, Sequence: f.balancer.NextSlotRequest(f.now).Sequence, Lease: time.Second}
 		change(&resp)
-		must.False(t, d.balancer.HandleSlotResponse(resp, d.now))
-		must.Eq(t, adopted, d.balancer.lease.adopted)
-		must.Eq(t, 8, d.balancer.GrantedSlots())
+		must.False(t, f.balancer.HandleSlotResponse(resp, f.now))
+		must.Eq(t, adopted, f.balancer.lease.adopted)
+		must.Eq(t, 8, f.balancer.GrantedSlots())
 	}
-	refused(func(r *SlotResponse) { r.Term = 0 })
-	refused(func(r *SlotResponse) { r.Base = oldAnswer.Sequence })
-	refused(func(r *SlotResponse) { r.Sequence = oldAnswer.Sequence })
-	refused(func(r *SlotResponse) { r.Sequence++ })
+	assertIgnored(func(r *SlotResponse) { r.Term = 0 })
+	assertIgnored(func(r *SlotResponse) { r.Base = oldResponse.Sequence })
+	assertIgnored(func(r *SlotResponse) { r.Sequence = oldResponse.Sequence })
+	assertIgnored(func(r *SlotResponse) { r.Sequence++ })
 }
 
 // A slot response that took longer than its lease still grants slots.
 func TestExpiredSlotResponseGrantsNothing(t *testing.T) {
-	d := newFixture(1, 8)
-	resp, err := d.divider.Allocate(d.balancer.NextSlotRequest(d.now), d.now)
+	f := newFixture(1, 8)
+	resp, err := f.allocator.Allocate(f.balancer.NextSlotRequest(f.now), f.now)
 	must.NoError(t, err)
-	d.now += resp.Lease
-	d.balancer.Announce(d.divider.Minions()[0], d.now)
-	d.balancer.HandleSlotResponse(resp, d.now)
-	must.Eq(t, Queued, d.submit(time.Second).State())
+	f.now += resp.Lease
+	f.balancer.Announce(f.allocator.Minions()[0], f.now)
+	f.balancer.HandleSlotResponse(resp, f.now)
+	must.Eq(t, Queued, f.submit(time.Second).State())
 }
 
 // Callers use invented service names while no leader answers, and each recorded
@@ -327,30 +327,30 @@
 // An entry instance that released its slots adopts a response that was in
 // flight, while the leader grants the same slots to others.
 func TestNoGrantsAfterReleasingSlots(t *testing.T) {
-	d := newFixture(1, 8)
-	resp, err := d.divider.Allocate(d.balancer.NextSlotRequest(d.now), d.now)
+	f := newFixture(1, 8)
+	resp, err := f.allocator.Allocate(f.balancer.NextSlotRequest(f.now), f.now)
 	must.NoError(t, err)
-	d.balancer.StopAccepting()
-	must.True(t, d.balancer.NextSlotRequest(d.now).ReleaseAll)
-	d.balancer.HandleSlotResponse(resp, d.now)
-	must.Eq(t, 0, d.balancer.GrantedSlots())
-	must.Eq(t, 0, d.balancer.lease.expiresAt)
+	f.balancer.StopAccepting()
+	must.True(t, f.balancer.NextSlotRequest(f.now).ReleaseAll)
+	f.balancer.HandleSlotResponse(resp, f.now)
+	must.Eq(t, 0, f.balancer.GrantedSlots())
+	must.Eq(t, 0, f.balancer.lease.expiresAt)
 }
 
 // After a slow period, requests with short deadlines are refused forever: none
 // starts, so no new service time is measured.
 func TestOldServiceTimesExpire(t *testing.T) {
-	d := newFixture(2, 8)
+	f := newFixture(2, 8)
 	for range 40 {
-		d.finish(d.submit(2*time.Second), 700*time.Millisecond, Answered)
-		d.advance(0)
+		f.finish(f.submit(2*time.Second), 700*time.Millisecond, Answered)
+		f.advance(0)
 	}
-	must.Eq(t, Refused, d.submit(500*time.Millisecond).State())
+	must.Eq(t, Refused, f.submit(500*time.Millisecond).State())
 	for range 20 {
-		d.advance(time.Second)
-		if ticket := d.submit(500 * time.Millisecond); ticket.State() == Started {
-			d.finish(ticket, 4*time.Millisecond, Answered)
-			must.Eq(t, Started, d.submit(500*time.Millisecond).State())
+		f.advance(time.Second)
+		if ticket := f.submit(500 * time.Millisecond); ticket.State() == Started {
+			f.finish(ticket, 4*time.Millisecond, Answered)
+			must.Eq(t, Started, f.submit(500*time.Millisecond).State())
 			return
 		}
 	}
--- a/routing/slots.go
+++ b/routing/slot_lease.go
@@ -195,15 +195,15 @@
 // addClaim tells a new leader which slots of a minion are held. Slots of an
 // expired lease aren't used any more, but they are claimed until the previous
 // leader could have granted them to another entry instance.
-func (b *Balancer) addClaim(req *SlotRequest, m *minion, inProgress int, claimable bool) {
+func (b *Balancer) addClaim(req *SlotRequest, m *minion, inFlight int, claimable bool) {
 	held := m.slots
 	if !claimable {
 		held = 0
 	}
-	if held == 0 && inProgress == 0 {
+	if held == 0 && inFlight == 0 {
 		return
 	}
-	claim := Claim{Minion: m.Minion, Service: m.Service, Held: held, InFlight: inProgress}
+	claim := Claim{Minion: m.Minion, Service: m.Service, Held: held, InFlight: inFlight}
 	req.Claims = append(req.Claims, claim)
 }
 
@@ -337,8 +337,8 @@
 func (b *Balancer) forgetGone(now time.Duration) {
 	ttl := b.opts.Lease.MinionTTL
 	for name, m := range b.minions {
-		heard := m.announced && now < m.announcedAt+ttl
-		if !m.gone || heard || m.announcedSinceRequest || m.inFlight() > 0 {
+		recentlyAnnounced := m.announced && now < m.announcedAt+ttl
+		if !m.gone || recentlyAnnounced || m.announcedSinceRequest || m.inFlight() > 0 {
 			continue
 		}
 		delete(b.minions, name)
--- a/routing/types.go
+++ b/routing/types.go
@@ -35,7 +35,8 @@
 	Wanted  int
 }
 
-// MinionLoad is how many requests an entry instance has in flight on a minion.
+// MinionLoad is how many requests an entry instance has in flight on a minion,
+// which is identified by its number in the leader's term.
 type MinionLoad struct {
 	Number   uint32
 	InFlight int
@@ -76,7 +77,8 @@
 	ReleaseAll bool
 }
 
-// Grant sets how many slots of one minion an entry instance may use.
+// Grant sets how many slots of one minion an entry instance may use. The minion
+// is identified by its number in the leader's term.
 type Grant struct {
 	Number uint32
 	Slots  int
