--- a/quota/config.go
+++ b/quota/config.go
@@ -47,11 +47,11 @@
 	if next.Version < c.Version || next.Generation < c.Generation {
 		return ErrOldVersion
 	}
-	founders := slices.Sorted(slices.Values(next.InitialOwners))
-	if c.Version != 0 && next.Generation == c.Generation && !slices.Equal(founders, slices.Sorted(slices.Values(c.InitialOwners))) {
+	owners := slices.Sorted(slices.Values(next.InitialOwners))
+	if c.Version != 0 && next.Generation == c.Generation && !slices.Equal(owners, slices.Sorted(slices.Values(c.InitialOwners))) {
 		return ErrInitialOwners
 	}
-	distinct := slices.Compact(founders)
+	distinct := slices.Compact(owners)
 	if len(distinct) == 0 || len(distinct) > Slots || len(distinct) != len(next.InitialOwners) {
 		return ErrInitialOwners
 	}
--- a/quota/demand_test.go
+++ b/quota/demand_test.go
@@ -14,7 +14,9 @@
 )
 
 // Parameters of the simulation. Most of a customer's demand is in one data
-// centre, which changes over time. One tick is 0.1 s and the delay of a message.
+// centre, which changes over time. One tick is 0.1 s and the delay of a
+// message. The values named Ticks, Start and End are in ticks, those named CPU
+// and Limit in thousandths of a core.
 const (
 	simCentres      = 4
 	simCustomers    = 100
@@ -48,33 +50,33 @@
 	partition bool
 }
 
-// queuedTask is a queued task with the tick of its arrival.
+// queuedTask is a queued task. since is the tick of its arrival.
 type queuedTask struct{ since int }
 
 // centre is one simulated data centre.
 type centre struct {
-	ledger  *quota.Ledger
-	planner *quota.Planner
-	used    [simCustomers]int64
-	queue   [simCustomers][]queuedTask
-	demand  [simCustomers]float64
-	ends    map[int][]int
+	ledger      *quota.Ledger
+	planner     *quota.Planner
+	used        [simCustomers]int64
+	queue       [simCustomers][]queuedTask
+	demand      [simCustomers]float64
+	endingTasks map[int][]int
 }
 
 // simulation is one run of a strategy.
 type simulation struct {
 	strategy
-	random        *rand.Rand
-	centres       []*centre
-	names         []string
-	ids           []string
-	inbox         []func()
-	next          []func()
-	tick          int
-	waits         []int
-	avoidableWait int
-	messages      int
-	bytes         int
+	random             *rand.Rand
+	centres            []*centre
+	centreNames        []string
+	customerIDs        []string
+	inbox              []func()
+	nextInbox          []func()
+	tick               int
+	waits              []int
+	avoidableWaitTicks int
+	messages           int
+	bytes              int
 }
 
 // newSimulation returns a simulation of a strategy with all data centres
@@ -83,18 +85,18 @@
 	m := &simulation{strategy: s, random: rand.New(rand.NewPCG(seed, seed))}
 	config := quota.Config{Version: 1, Limits: map[string]placement.Resources{}}
 	for c := range simCustomers {
-		m.ids = append(m.ids, fmt.Sprintf("team-%02d", c))
-		config.Limits[m.ids[c]] = placement.Resources{CPU: simLimit, Memory: quota.Unlimited}
+		m.customerIDs = append(m.customerIDs, fmt.Sprintf("team-%02d", c))
+		config.Limits[m.customerIDs[c]] = placement.Resources{CPU: simLimit, Memory: quota.Unlimited}
 	}
 	for i := range simCentres {
-		m.names = append(m.names, fmt.Sprintf("hall-%d", i))
+		m.centreNames = append(m.centreNames, fmt.Sprintf("hall-%d", i))
 	}
-	config.InitialOwners = m.names
-	for _, name := range m.names {
+	config.InitialOwners = m.centreNames
+	for _, name := range m.centreNames {
 		ledger := quota.NewLedger(name)
 		_ = ledger.Configure(config)
 		m.centres = append(m.centres, &centre{
-			ledger: ledger, planner: quota.NewPlanner(name, m.names), ends: map[int][]int{},
+			ledger: ledger, planner: quota.NewPlanner(name, m.centreNames), endingTasks: map[int][]int{},
 		})
 	}
 	return m
@@ -109,22 +111,22 @@
 	if partitioned := m.partition && m.tick >= partitionStart && m.tick < partitionEnd; partitioned && (from == 0 || to == 0) {
 		return
 	}
-	m.next = append(m.next, deliver)
+	m.nextInbox = append(m.nextInbox, deliver)
 }
 
 // run simulates all ticks.
 func (m *simulation) run() {
 	for m.tick = range simTicks {
-		m.inbox, m.next = m.next, nil
+		m.inbox, m.nextInbox = m.nextInbox, nil
 		for _, deliver := range m.inbox {
 			deliver()
 		}
 		m.arrive()
 		for i, c := range m.centres {
-			for _, customer := range c.ends[m.tick] {
+			for _, customer := range c.endingTasks[m.tick] {
 				c.used[customer] -= taskCPU
 			}
-			delete(c.ends, m.tick)
+			delete(c.endingTasks, m.tick)
 			m.start(c)
 			m.rebalance(i, c)
 		}
@@ -134,10 +136,10 @@
 // arrive adds new tasks to the queues.
 func (m *simulation) arrive() {
 	for customer := range simCustomers {
-		hot := (customer + (m.tick+customer*mainCentreTicks/simCustomers)/mainCentreTicks) % simCentres
+		mainCentre := (customer + (m.tick+customer*mainCentreTicks/simCustomers)/mainCentreTicks) % simCentres
 		for i, c := range m.centres {
 			share := (1 - mainCentreShare) / (simCentres - 1)
-			if i == hot {
+			if i == mainCentre {
 				share = mainCentreShare
 			}
 			if m.random.Float64() < share*startsPerSec/ticksPerSec {
@@ -152,7 +154,7 @@
 	if m.pool {
 		return m.total(customer)+taskCPU <= simLimit
 	}
-	return c.used[customer]+taskCPU <= c.ledger.Allotment(m.ids[customer]).CPU
+	return c.used[customer]+taskCPU <= c.ledger.Allotment(m.customerIDs[customer]).CPU
 }
 
 // total returns a customer's usage over all data centres.
@@ -172,10 +174,10 @@
 			c.queue[customer] = c.queue[customer][1:]
 			c.used[customer] += taskCPU
 			end := m.tick + 1 + int(m.random.ExpFloat64()*taskSeconds*ticksPerSec)
-			c.ends[end] = append(c.ends[end], customer)
+			c.endingTasks[end] = append(c.endingTasks[end], customer)
 		}
 		if len(c.queue[customer]) > 0 && m.total(customer)+taskCPU <= simLimit {
-			m.avoidableWait++
+			m.avoidableWaitTicks++
 		}
 	}
 }
@@ -186,8 +188,8 @@
 		return
 	}
 	for customer := range simCustomers {
-		now := float64(c.used[customer]) + float64(len(c.queue[customer]))*taskCPU
-		c.demand[customer] += 0.02 * (now - c.demand[customer])
+		currentDemand := float64(c.used[customer]) + float64(len(c.queue[customer]))*taskCPU
+		c.demand[customer] += 0.02 * (currentDemand - c.demand[customer])
 	}
 	if m.proportional {
 		m.share(i, c)
@@ -196,18 +198,18 @@
 	if m.tick%ticksPerSec == 0 {
 		c.planner.Tick()
 	}
-	var lacking []quota.Demand
-	for customer, id := range m.ids {
+	var demands []quota.Demand
+	for customer, id := range m.customerIDs {
 		if n := int64(len(c.queue[customer])); n > 0 {
-			lack := c.used[customer] + n*taskCPU - c.ledger.Allotment(id).CPU
-			lacking = append(lacking, quota.Demand{Customer: id, Amount: placement.Resources{CPU: lack}})
+			missing := c.used[customer] + n*taskCPU - c.ledger.Allotment(id).CPU
+			demands = append(demands, quota.Demand{Customer: id, Amount: placement.Resources{CPU: missing}})
 		}
 	}
 	if m.tick%m.checkInterval != 0 {
 		return
 	}
-	for _, ask := range c.planner.Requests(c.ledger, lacking) {
-		m.requestTransfer(i, ask, nil)
+	for _, request := range c.planner.Requests(c.ledger, demands) {
+		m.requestTransfer(i, request, nil)
 	}
 }
 
@@ -218,17 +220,17 @@
 	if m.tick%epochTicks != 0 {
 		return
 	}
-	wants := make([][]quota.Demand, simCentres)
-	reserves := make([][]placement.Resources, simCentres)
-	for customer, id := range m.ids {
-		lack := m.fairShare(i, customer) - c.ledger.Allotment(id).CPU
+	demands := make([][]quota.Demand, simCentres)
+	reserved := make([][]placement.Resources, simCentres)
+	for customer, id := range m.customerIDs {
+		missing := m.fairShare(i, customer) - c.ledger.Allotment(id).CPU
 		for j, other := range m.centres {
-			above := other.ledger.Allotment(id).CPU - m.fairShare(j, customer)
-			if lack >= taskCPU/4 && above > 0 && i != j {
-				want := min(lack, above)
-				lack -= want
-				wants[j] = append(wants[j], quota.Demand{Customer: id, Amount: placement.Resources{CPU: want}})
-				reserves[j] = append(reserves[j], placement.Resources{CPU: m.fairShare(j, customer)})
+			surplus := other.ledger.Allotment(id).CPU - m.fairShare(j, customer)
+			if missing >= taskCPU/4 && surplus > 0 && i != j {
+				amount := min(missing, surplus)
+				missing -= amount
+				demands[j] = append(demands[j], quota.Demand{Customer: id, Amount: placement.Resources{CPU: amount}})
+				reserved[j] = append(reserved[j], placement.Resources{CPU: m.fairShare(j, customer)})
 			}
 		}
 	}
@@ -236,8 +238,8 @@
 		if i != j {
 			m.send(i, j, c.demand, func() {})
 		}
-		if len(wants[j]) > 0 {
-			m.requestTransfer(i, c.ledger.Request(m.names[j], wants[j]...), reserves[j])
+		if len(demands[j]) > 0 {
+			m.requestTransfer(i, c.ledger.Request(m.centreNames[j], demands[j]...), reserved[j])
 		}
 	}
 }
@@ -255,7 +257,7 @@
 // reserved returns what a donor keeps of each customer's allotment.
 func (m *simulation) reserved(c *centre) func(string) placement.Resources {
 	return func(id string) placement.Resources {
-		customer := slices.Index(m.ids, id)
+		customer := slices.Index(m.customerIDs, id)
 		keep := c.used[customer]
 		if m.keepWaiting {
 			keep += int64(len(c.queue[customer])) * taskCPU
@@ -265,27 +267,27 @@
 }
 
 // requestTransfer sends a transfer request, its reply and the acknowledgement.
-func (m *simulation) requestTransfer(from int, a quota.TransferRequest, reserve []placement.Resources) {
-	to := slices.Index(m.names, a.To)
-	asker, giver := m.centres[from], m.centres[to]
+func (m *simulation) requestTransfer(from int, request quota.TransferRequest, reserve []placement.Resources) {
+	to := slices.Index(m.centreNames, request.To)
+	recipient, donor := m.centres[from], m.centres[to]
 	used := func(id string) placement.Resources {
-		return placement.Resources{CPU: giver.used[slices.Index(m.ids, id)]}
+		return placement.Resources{CPU: donor.used[slices.Index(m.customerIDs, id)]}
 	}
-	m.send(from, to, a, func() {
-		answer := giver.planner.DebitCommand(a, m.reserved(giver))
+	m.send(from, to, request, func() {
+		command := donor.planner.DebitCommand(request, m.reserved(donor))
 		if m.proportional {
-			answer.Reserve = reserve
+			command.Reserve = reserve
 		}
-		_, _ = giver.ledger.Debit(answer, used)
-		reply := giver.planner.Reply(giver.ledger, a, m.reserved(giver))
+		_, _ = donor.ledger.Debit(command, used)
+		reply := donor.planner.Reply(donor.ledger, request, m.reserved(donor))
 		m.send(to, from, reply, func() {
-			asker.planner.Observe(reply)
+			recipient.planner.Observe(reply)
 			if reply.Transfer.Sequence == 0 {
 				return
 			}
-			_ = asker.ledger.Credit(reply.Transfer)
-			ack := asker.ledger.Request(a.To)
-			m.send(from, to, ack, func() { giver.ledger.Acknowledge(ack) })
+			_ = recipient.ledger.Credit(reply.Transfer)
+			ack := recipient.ledger.Request(request.To)
+			m.send(from, to, ack, func() { donor.ledger.Acknowledge(ack) })
 		})
 	})
 }
@@ -319,19 +321,19 @@
 // report reports the results of the run as benchmark metrics.
 func (m *simulation) report(b *testing.B) {
 	slices.Sort(m.waits)
-	sum, late := 0, 0
+	sum, delayed := 0, 0
 	for _, w := range m.waits {
 		sum += w
 		if w > 0 {
-			late++
+			delayed++
 		}
 	}
 	n := float64(len(m.waits))
 	seconds := float64(simTicks) / ticksPerSec
 	b.ReportMetric(float64(sum)/n/ticksPerSec*1000, "wait-ms")
 	b.ReportMetric(float64(m.waits[int(math.Floor(n*0.99))])/ticksPerSec, "p99-s")
-	b.ReportMetric(100*float64(late)/n, "waited-%")
-	b.ReportMetric(float64(m.avoidableWait)/n/ticksPerSec*1000, "unneeded-ms")
+	b.ReportMetric(100*float64(delayed)/n, "waited-%")
+	b.ReportMetric(float64(m.avoidableWaitTicks)/n/ticksPerSec*1000, "unneeded-ms")
 	b.ReportMetric(float64(m.messages)/seconds/simCentres, "msg/s")
 	b.ReportMetric(float64(m.bytes)/seconds/simCentres, "B/s")
 	b.ReportMetric(n, "starts")
--- a/quota/example_test.go
+++ b/quota/example_test.go
@@ -19,11 +19,11 @@
 	fmt.Println(naas.Allotment("reports").Accelerators, swords.Allotment("reports").Accelerators)
 
 	planner := quota.NewPlanner("swords-hall", config.InitialOwners)
-	lacking := quota.Demand{Customer: "reports", Amount: placement.Resources{Accelerators: 2}}
-	ask := planner.Requests(swords, []quota.Demand{lacking})[0]
+	demand := quota.Demand{Customer: "reports", Amount: placement.Resources{Accelerators: 2}}
+	request := planner.Requests(swords, []quota.Demand{demand})[0]
 
 	unused := func(string) placement.Resources { return placement.Resources{} }
-	transfer, err := naas.Debit(quota.DebitCommand{Request: ask}, unused)
+	transfer, err := naas.Debit(quota.DebitCommand{Request: request}, unused)
 	fmt.Println(err, naas.Allotment("reports").Accelerators)
 	fmt.Println(swords.Credit(transfer), swords.Credit(transfer))
 	naas.Acknowledge(swords.Request("naas-hall"))
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -105,9 +105,9 @@
 // is applied and have the same result on every replica; the other methods change
 // nothing. It is not safe for concurrent use.
 type Ledger struct {
-	s state
-	// allotments is derived from s. It is cached because every placement reads
-	// it.
+	state state
+	// allotments is derived from state. It is cached because every placement
+	// reads it.
 	allotments map[string]placement.Resources
 }
 
@@ -115,24 +115,24 @@
 // Configure.
 func NewLedger(self string) *Ledger {
 	l := &Ledger{}
-	l.s.Self = self
+	l.state.Self = self
 	l.initMaps()
 	return l
 }
 
 // initMaps creates the maps that an empty snapshot omits.
 func (l *Ledger) initMaps() {
-	if l.s.Owned == nil {
-		l.s.Owned = map[string]*ownedSlots{}
+	if l.state.Owned == nil {
+		l.state.Owned = map[string]*ownedSlots{}
 	}
-	if l.s.LastSent == nil {
-		l.s.LastSent = map[string]uint64{}
+	if l.state.LastSent == nil {
+		l.state.LastSent = map[string]uint64{}
 	}
-	if l.s.LastReceived == nil {
-		l.s.LastReceived = map[string]uint64{}
+	if l.state.LastReceived == nil {
+		l.state.LastReceived = map[string]uint64{}
 	}
-	if l.s.Outgoing == nil {
-		l.s.Outgoing = map[string]Transfer{}
+	if l.state.Outgoing == nil {
+		l.state.Outgoing = map[string]Transfer{}
 	}
 }
 
@@ -141,33 +141,33 @@
 // again and changes nothing. The ledger keeps the maps of c, which the caller
 // must not change.
 func (l *Ledger) Configure(c Config) error {
-	if err := l.s.Config.Check(c); err != nil {
+	if err := l.state.Config.Check(c); err != nil {
 		return err
 	}
-	if c.Version == l.s.Config.Version {
+	if c.Version == l.state.Config.Version {
 		return nil
 	}
-	if c.Generation != l.s.Config.Generation {
+	if c.Generation != l.state.Config.Generation {
 		// Messages of the old generation are refused from now on, so its
 		// transfers no longer count.
-		l.s = state{Self: l.s.Self}
+		l.state = state{Self: l.state.Self}
 		l.initMaps()
 	}
-	l.s.Config = c
+	l.state.Config = c
 	// The result must not depend on the order of the initial owners.
-	l.s.Config.InitialOwners = slices.Sorted(slices.Values(c.InitialOwners))
+	l.state.Config.InitialOwners = slices.Sorted(slices.Values(c.InitialOwners))
 	l.refresh()
 	return nil
 }
 
 // Version returns the configuration version in force, or 0 if there is none.
 func (l *Ledger) Version() uint64 {
-	return l.s.Config.Version
+	return l.state.Config.Version
 }
 
 // Limit returns a customer's limit over all data centres.
 func (l *Ledger) Limit(customer string) placement.Resources {
-	return l.s.Config.Limits[customer]
+	return l.state.Config.Limits[customer]
 }
 
 // Allotment returns how much a customer may use in this data centre. Fields
@@ -178,23 +178,23 @@
 
 // refresh recomputes the allotments of all customers.
 func (l *Ledger) refresh() {
-	l.allotments = make(map[string]placement.Resources, len(l.s.Config.Limits))
-	for customer := range l.s.Config.Limits {
+	l.allotments = make(map[string]placement.Resources, len(l.state.Config.Limits))
+	for customer := range l.state.Config.Limits {
 		l.refreshCustomer(customer)
 	}
 }
 
 // refreshCustomer recomputes the allotment of a customer that has a limit.
 func (l *Ledger) refreshCustomer(customer string) {
-	limit, known := l.s.Config.Limits[customer]
+	limit, known := l.state.Config.Limits[customer]
 	if !known {
 		return
 	}
-	h := l.owned(customer)
+	slots := l.owned(customer)
 	l.allotments[customer] = placement.Resources{
-		CPU:          allotted(&h.CPU, limit.CPU),
-		Memory:       allotted(&h.Memory, limit.Memory),
-		Accelerators: allotted(&h.Accelerators, limit.Accelerators),
+		CPU:          allotted(&slots.CPU, limit.CPU),
+		Memory:       allotted(&slots.Memory, limit.Memory),
+		Accelerators: allotted(&slots.Accelerators, limit.Accelerators),
 	}
 }
 
@@ -211,12 +211,12 @@
 // owned returns the owned slots of a customer: those that transfers have left, or
 // the initial slots if there were no transfers.
 func (l *Ledger) owned(customer string) ownedSlots {
-	if h := l.s.Owned[customer]; h != nil {
-		return *h
+	if slots := l.state.Owned[customer]; slots != nil {
+		return *slots
 	}
-	for i, name := range l.s.Config.InitialOwners {
-		if name == l.s.Self {
-			first := initialSlots(i, len(l.s.Config.InitialOwners))
+	for i, name := range l.state.Config.InitialOwners {
+		if name == l.state.Self {
+			first := initialSlots(i, len(l.state.Config.InitialOwners))
 			return ownedSlots{CPU: first, Memory: first, Accelerators: first}
 		}
 	}
@@ -231,51 +231,51 @@
 // Guards against debiting twice for a duplicated or delayed request. A request
 // counts only if its sender had credited every transfer sent to it so far; the
 // transfer that answers a request makes all its duplicates stale.
-func (l *Ledger) Debit(answer DebitCommand, used func(customer string) placement.Resources) (Transfer, error) {
-	a := answer.Request
-	if err := l.checkRequest(a); err != nil {
+func (l *Ledger) Debit(command DebitCommand, used func(customer string) placement.Resources) (Transfer, error) {
+	request := command.Request
+	if err := l.checkRequest(request); err != nil {
 		return Transfer{}, err
 	}
-	l.Acknowledge(a)
-	if a.LastReceived < l.s.LastSent[a.From] {
+	l.Acknowledge(request)
+	if request.LastReceived < l.state.LastSent[request.From] {
 		return Transfer{}, ErrStale
 	}
-	customers := l.debitAll(answer, used)
+	customers := l.debitAll(command, used)
 	if len(customers) == 0 {
 		return Transfer{}, ErrNoSpare
 	}
-	l.s.LastSent[a.From]++
+	l.state.LastSent[request.From]++
 	t := Transfer{
-		From: l.s.Self, To: a.From,
-		Sequence: l.s.LastSent[a.From], Generation: l.s.Config.Generation, Customers: customers,
+		From: l.state.Self, To: request.From,
+		Sequence: l.state.LastSent[request.From], Generation: l.state.Config.Generation, Customers: customers,
 	}
-	l.s.Outgoing[a.From] = t
+	l.state.Outgoing[request.From] = t
 	return t, nil
 }
 
 // checkRequest refuses requests for another data centre, generation or state.
-func (l *Ledger) checkRequest(a TransferRequest) error {
-	if a.To != l.s.Self || a.From == l.s.Self {
+func (l *Ledger) checkRequest(request TransferRequest) error {
+	if request.To != l.state.Self || request.From == l.state.Self {
 		return ErrWrongDataCentre
 	}
-	if a.Generation != l.s.Config.Generation {
+	if request.Generation != l.state.Config.Generation {
 		return ErrOtherGeneration
 	}
-	if a.LastReceived > l.s.LastSent[a.From] {
+	if request.LastReceived > l.state.LastSent[request.From] {
 		return ErrSequenceGap
 	}
 	return nil
 }
 
 // debitAll removes the slots for all demands of a request from the owned slots.
-func (l *Ledger) debitAll(answer DebitCommand, used func(customer string) placement.Resources) []CustomerSlots {
+func (l *Ledger) debitAll(command DebitCommand, used func(customer string) placement.Resources) []CustomerSlots {
 	var customers []CustomerSlots
-	for i, w := range answer.Request.Demands {
-		keep := used(w.Customer)
-		if i < len(answer.Reserve) {
-			keep = maxResources(keep, answer.Reserve[i])
+	for i, demand := range command.Request.Demands {
+		keep := used(demand.Customer)
+		if i < len(command.Reserve) {
+			keep = maxResources(keep, command.Reserve[i])
 		}
-		if p, some := l.debitCustomer(w, keep); some {
+		if p, ok := l.debitCustomer(demand, keep); ok {
 			customers = append(customers, p)
 		}
 	}
@@ -293,24 +293,24 @@
 
 // debitCustomer removes the demanded and spare slots of one customer from the
 // owned slots. It returns false if there are none.
-func (l *Ledger) debitCustomer(w Demand, keep placement.Resources) (CustomerSlots, bool) {
-	limit := l.Limit(w.Customer)
-	has := l.Allotment(w.Customer)
-	h := l.owned(w.Customer)
+func (l *Ledger) debitCustomer(demand Demand, keep placement.Resources) (CustomerSlots, bool) {
+	limit := l.Limit(demand.Customer)
+	allotment := l.Allotment(demand.Customer)
+	slots := l.owned(demand.Customer)
 	p := CustomerSlots{
-		Customer:     w.Customer,
-		CPU:          h.CPU.selectUnits(limit.CPU, w.Amount.CPU, has.CPU-keep.CPU),
-		Memory:       h.Memory.selectUnits(limit.Memory, w.Amount.Memory, has.Memory-keep.Memory),
-		Accelerators: h.Accelerators.selectUnits(limit.Accelerators, w.Amount.Accelerators, has.Accelerators-keep.Accelerators),
+		Customer:     demand.Customer,
+		CPU:          slots.CPU.selectUnits(limit.CPU, demand.Amount.CPU, allotment.CPU-keep.CPU),
+		Memory:       slots.Memory.selectUnits(limit.Memory, demand.Amount.Memory, allotment.Memory-keep.Memory),
+		Accelerators: slots.Accelerators.selectUnits(limit.Accelerators, demand.Amount.Accelerators, allotment.Accelerators-keep.Accelerators),
 	}
 	if p.empty() {
 		return CustomerSlots{}, false
 	}
-	h.CPU.remove(p.CPU)
-	h.Memory.remove(p.Memory)
-	h.Accelerators.remove(p.Accelerators)
-	l.s.Owned[w.Customer] = &h
-	l.refreshCustomer(w.Customer)
+	slots.CPU.remove(p.CPU)
+	slots.Memory.remove(p.Memory)
+	slots.Accelerators.remove(p.Accelerators)
+	l.state.Owned[demand.Customer] = &slots
+	l.refreshCustomer(demand.Customer)
 	return p, true
 }
 
@@ -327,20 +327,20 @@
 // one is credited, and only in its own generation, because the slots of an
 // earlier generation have been allocated again.
 func (l *Ledger) Credit(t Transfer) error {
-	if t.To != l.s.Self || t.From == l.s.Self {
+	if t.To != l.state.Self || t.From == l.state.Self {
 		return ErrWrongDataCentre
 	}
-	if t.Generation != l.s.Config.Generation {
+	if t.Generation != l.state.Config.Generation {
 		return ErrOtherGeneration
 	}
-	last := l.s.LastReceived[t.From]
+	last := l.state.LastReceived[t.From]
 	if t.Sequence <= last {
 		return ErrDuplicate
 	}
 	if t.Sequence != last+1 {
 		return ErrSequenceGap
 	}
-	l.s.LastReceived[t.From] = t.Sequence
+	l.state.LastReceived[t.From] = t.Sequence
 	for _, p := range t.Customers {
 		l.creditCustomer(p)
 	}
@@ -349,43 +349,43 @@
 
 // creditCustomer adds the slots of one customer to the owned slots.
 func (l *Ledger) creditCustomer(p CustomerSlots) {
-	h := l.owned(p.Customer)
-	twice := h.CPU.overlaps(p.CPU) || h.Memory.overlaps(p.Memory) || h.Accelerators.overlaps(p.Accelerators)
-	invariant(!twice, "a transfer has a slot of customer %s that is already owned", p.Customer)
-	h.CPU.addAll(p.CPU)
-	h.Memory.addAll(p.Memory)
-	h.Accelerators.addAll(p.Accelerators)
-	l.s.Owned[p.Customer] = &h
+	slots := l.owned(p.Customer)
+	overlap := slots.CPU.overlaps(p.CPU) || slots.Memory.overlaps(p.Memory) || slots.Accelerators.overlaps(p.Accelerators)
+	invariant(!overlap, "a transfer has a slot of customer %s that is already owned", p.Customer)
+	slots.CPU.addAll(p.CPU)
+	slots.Memory.addAll(p.Memory)
+	slots.Accelerators.addAll(p.Accelerators)
+	l.state.Owned[p.Customer] = &slots
 	l.refreshCustomer(p.Customer)
 }
 
 // Acknowledge commits the acknowledgement that every request carries.
-func (l *Ledger) Acknowledge(a TransferRequest) {
-	if a.To != l.s.Self || a.Generation != l.s.Config.Generation {
+func (l *Ledger) Acknowledge(request TransferRequest) {
+	if request.To != l.state.Self || request.Generation != l.state.Config.Generation {
 		return
 	}
-	if out, open := l.s.Outgoing[a.From]; open && a.LastReceived >= out.Sequence {
-		delete(l.s.Outgoing, a.From)
+	if out, open := l.state.Outgoing[request.From]; open && request.LastReceived >= out.Sequence {
+		delete(l.state.Outgoing, request.From)
 	}
 }
 
 // Outgoing returns the unacknowledged transfer to a data centre, if there is one.
 func (l *Ledger) Outgoing(to string) (Transfer, bool) {
-	t, open := l.s.Outgoing[to]
+	t, open := l.state.Outgoing[to]
 	return t, open
 }
 
 // Request returns a request that acknowledges all credited transfers.
-func (l *Ledger) Request(to string, wants ...Demand) TransferRequest {
+func (l *Ledger) Request(to string, demands ...Demand) TransferRequest {
 	return TransferRequest{
-		From: l.s.Self, To: to,
-		LastReceived: l.s.LastReceived[to], Generation: l.s.Config.Generation, Demands: wants,
+		From: l.state.Self, To: to,
+		LastReceived: l.state.LastReceived[to], Generation: l.state.Config.Generation, Demands: demands,
 	}
 }
 
 // MarshalBinary returns the state for a snapshot. Equal states have equal bytes.
 func (l *Ledger) MarshalBinary() ([]byte, error) {
-	return encoding.Marshal(l.s)
+	return encoding.Marshal(l.state)
 }
 
 // UnmarshalBinary replaces the state by that of a snapshot.
@@ -394,7 +394,7 @@
 	if err := cbor.Unmarshal(data, &s); err != nil {
 		return errors.Wrap(err, "quota: decoding the ledger's snapshot")
 	}
-	l.s = s
+	l.state = s
 	l.initMaps()
 	l.refresh()
 	return nil
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -14,6 +14,7 @@
 	"github.com/bilberryferry/bilberryferry/quota"
 )
 
+// customer is the only customer of the tests.
 const customer = "reports"
 
 // model is some data centres, the network between them, and the configurations
@@ -25,7 +26,7 @@
 	configs   []quota.Config
 	requests  []quota.TransferRequest
 	transfers []quota.Transfer
-	seen      map[string]int
+	results   map[string]int
 }
 
 // uniform draws from [0, n) without the bias of rapid's ranges towards small
@@ -45,8 +46,8 @@
 }
 
 // newModel returns two to five data centres under the first configuration.
-func newModel(t *rapid.T, seen map[string]int) *model {
-	w := &model{t: t, seen: seen}
+func newModel(t *rapid.T, results map[string]int) *model {
+	w := &model{t: t, results: results}
 	for i := range 2 + uniform(4).Draw(t, "centres") {
 		w.names = append(w.names, fmt.Sprintf("hall-%d", i))
 		w.ledgers = append(w.ledgers, quota.NewLedger(w.names[i]))
@@ -69,7 +70,7 @@
 	}
 	if uniform(8).Draw(w.t, "generation") == 0 {
 		next.Generation++
-		next.InitialOwners = w.names[uniform(len(w.names)).Draw(w.t, "founder"):]
+		next.InitialOwners = w.names[uniform(len(w.names)).Draw(w.t, "first initial owner"):]
 	}
 	next.Limits = map[string]placement.Resources{customer: {
 		CPU: limits.Draw(w.t, "cpu"), Memory: limits.Draw(w.t, "memory"), Accelerators: limits.Draw(w.t, "accelerators"),
@@ -97,11 +98,11 @@
 	case action < 50:
 		w.request(i, uniform(len(w.ledgers)).Draw(w.t, "to"))
 	case action < 75:
-		if m, some := takeMessage(w, &w.requests); some {
+		if m, ok := takeMessage(w, &w.requests); ok {
 			w.debit(m)
 		}
 	default:
-		if m, some := takeMessage(w, &w.transfers); some {
+		if m, ok := takeMessage(w, &w.transfers); ok {
 			w.credit(m)
 		}
 	}
@@ -116,32 +117,32 @@
 	}
 	i := uniform(len(*network)).Draw(w.t, "message")
 	m := (*network)[i]
-	fate := uniform(10).Draw(w.t, "fate")
-	if fate >= 3 {
+	delivery := uniform(10).Draw(w.t, "delivery")
+	if delivery >= 3 {
 		*network = slices.Delete(*network, i, i+1)
 	}
-	return m, fate < 9
+	return m, delivery < 9
 }
 
 // request sends a transfer request with random demands.
 func (w *model) request(i, to int) {
 	amounts := rapid.SampledFrom([]int64{0, 1, 100, 2000, 1 << 38})
-	need := placement.Resources{CPU: amounts.Draw(w.t, "cpu"), Memory: amounts.Draw(w.t, "memory"), Accelerators: amounts.Draw(w.t, "acc")}
-	w.requests = append(w.requests, w.ledgers[i].Request(w.names[to], quota.Demand{Customer: customer, Amount: need}))
+	amount := placement.Resources{CPU: amounts.Draw(w.t, "cpu"), Memory: amounts.Draw(w.t, "memory"), Accelerators: amounts.Draw(w.t, "acc")}
+	w.requests = append(w.requests, w.ledgers[i].Request(w.names[to], quota.Demand{Customer: customer, Amount: amount}))
 }
 
 // debit handles a transfer request at the donor.
-func (w *model) debit(a quota.TransferRequest) {
-	giver := w.ledgers[slices.Index(w.names, a.To)]
-	has := giver.Allotment(customer)
-	used := placement.Resources{CPU: has.CPU * int64(uniform(3).Draw(w.t, "used")) / 2}
-	t, err := giver.Debit(quota.DebitCommand{Request: a}, func(string) placement.Resources { return used })
-	w.count("give", err)
-	if has.CPU != quota.Unlimited {
-		must.LessEq(w.t, giver.Allotment(customer).CPU, used.CPU)
+func (w *model) debit(request quota.TransferRequest) {
+	donor := w.ledgers[slices.Index(w.names, request.To)]
+	allotment := donor.Allotment(customer)
+	used := placement.Resources{CPU: allotment.CPU * int64(uniform(3).Draw(w.t, "used")) / 2}
+	t, err := donor.Debit(quota.DebitCommand{Request: request}, func(string) placement.Resources { return used })
+	w.count("debit", err)
+	if allotment.CPU != quota.Unlimited {
+		must.LessEq(w.t, donor.Allotment(customer).CPU, used.CPU)
 	}
 	if errors.Is(err, quota.ErrStale) {
-		t, _ = giver.Outgoing(a.From)
+		t, _ = donor.Outgoing(request.From)
 	}
 	if t.Sequence != 0 {
 		w.transfers = append(w.transfers, t)
@@ -150,13 +151,13 @@
 
 // credit handles a transfer at the recipient and acknowledges it.
 func (w *model) credit(t quota.Transfer) {
-	taker := w.ledgers[slices.Index(w.names, t.To)]
-	w.count("take", taker.Credit(t))
-	w.requests = append(w.requests, taker.Request(t.From))
+	recipient := w.ledgers[slices.Index(w.names, t.To)]
+	w.count("credit", recipient.Credit(t))
+	w.requests = append(w.requests, recipient.Request(t.From))
 }
 
 // count counts the results of an operation.
-func (w *model) count(what string, err error) { w.seen[fmt.Sprint(what, ": ", err)]++ }
+func (w *model) count(what string, err error) { w.results[fmt.Sprint(what, ": ", err)]++ }
 
 // restore replaces a ledger by a copy restored from its snapshot.
 func (w *model) restore(i int) {
@@ -179,14 +180,14 @@
 		if w.configs[l.Version()-1].Generation != generation {
 			return
 		}
-		top, has := fields(l.Limit(customer)), fields(l.Allotment(customer))
+		limits, has := fields(l.Limit(customer)), fields(l.Allotment(customer))
 		for f := range sum {
-			if top[f] == quota.Unlimited {
+			if limits[f] == quota.Unlimited {
 				return
 			}
 			must.GreaterEq(w.t, 0, has[f])
 			sum[f] += has[f]
-			limit[f] = max(limit[f], top[f])
+			limit[f] = max(limit[f], limits[f])
 		}
 	}
 	for f := range sum {
@@ -194,6 +195,7 @@
 	}
 }
 
+// fields returns the fields of resources as an array.
 func fields(r placement.Resources) [3]int64 {
 	return [3]int64{r.CPU, r.Memory, r.Accelerators}
 }
@@ -206,11 +208,11 @@
 		must.NoError(w.t, l.Configure(last))
 	}
 	var sum [3]int64
-	for i, giver := range w.ledgers {
-		for j, taker := range w.ledgers {
-			if t, open := giver.Outgoing(w.names[j]); open {
-				w.count("settle", taker.Credit(t))
-				giver.Acknowledge(taker.Request(w.names[i]))
+	for i, donor := range w.ledgers {
+		for j, recipient := range w.ledgers {
+			if t, open := donor.Outgoing(w.names[j]); open {
+				w.count("final credit", recipient.Credit(t))
+				donor.Acknowledge(recipient.Request(w.names[i]))
 			}
 		}
 	}
@@ -234,14 +236,14 @@
 // Transfers are lost, duplicated, delayed and reordered while limits change, and
 // data centres skip versions and restart from snapshots.
 func TestAllotmentsNeverExceedLimit(t *testing.T) {
-	seen := map[string]int{}
+	results := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newModel(t, seen)
+		w := newModel(t, results)
 		for range 150 {
 			w.act()
 			w.check()
 		}
 		w.deliverAll()
 	})
-	t.Log(seen)
+	t.Log(results)
 }
--- a/quota/planner.go
+++ b/quota/planner.go
@@ -84,22 +84,22 @@
 // while something is lacking.
 func (p *Planner) Requests(l *Ledger, lacking []Demand) []TransferRequest {
 	demands := map[string][]Demand{}
-	for _, w := range lacking {
-		to, found := p.bestDonor(w)
+	for _, demand := range lacking {
+		to, found := p.bestDonor(demand)
 		if !found {
 			continue
 		}
-		demands[to] = append(demands[to], w)
+		demands[to] = append(demands[to], demand)
 	}
-	var asks []TransferRequest
+	var requests []TransferRequest
 	for _, to := range p.others {
 		if len(demands[to]) == 0 {
 			continue
 		}
 		p.requestedAt[to] = p.tick
-		asks = append(asks, l.Request(to, demands[to]...))
+		requests = append(requests, l.Request(to, demands[to]...))
 	}
-	return asks
+	return requests
 }
 
 // awaitingReply reports whether a request to the data centre is unanswered and
@@ -125,25 +125,25 @@
 // Guards against requesting from the same data centre forever although it has
 // nothing: if requests are rare, all reports are too old and all data centres
 // look alike. Among equal ones the one with the oldest report is chosen.
-func (p *Planner) bestDonor(w Demand) (string, bool) {
-	var list []candidate
+func (p *Planner) bestDonor(demand Demand) (string, bool) {
+	var candidates []candidate
 	for _, name := range p.others {
 		if p.awaitingReply(name) {
 			continue
 		}
-		h, known := p.observed[name][w.Customer]
-		c := candidate{name, perMille, h.tick}
-		if known && p.tick-h.tick < availabilityTicks {
-			c.coverage = coverage(h.spare, w.Amount)
+		last, known := p.observed[name][demand.Customer]
+		c := candidate{name, perMille, last.tick}
+		if known && p.tick-last.tick < availabilityTicks {
+			c.coverage = coverage(last.spare, demand.Amount)
 		}
 		if c.coverage > 0 {
-			list = append(list, c)
+			candidates = append(candidates, c)
 		}
 	}
-	if len(list) == 0 {
+	if len(candidates) == 0 {
 		return "", false
 	}
-	return slices.MinFunc(list, func(a, b candidate) int {
+	return slices.MinFunc(candidates, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(b.coverage, a.coverage), cmp.Compare(a.observedAt, b.observedAt))
 	}).name, true
 }
@@ -160,25 +160,25 @@
 	return min(field(spare.CPU, need.CPU), field(spare.Memory, need.Memory), field(spare.Accelerators, need.Accelerators))
 }
 
-// DebitCommand builds the command that answers a request. waiting returns what a
+// DebitCommand builds the command that answers a request. required returns what a
 // customer uses and what its waiting work needs, as known to the leader; the
 // donor keeps that much.
-func (p *Planner) DebitCommand(a TransferRequest, waiting func(customer string) placement.Resources) DebitCommand {
-	answer := DebitCommand{Request: a, Reserve: make([]placement.Resources, len(a.Demands))}
-	for i, w := range a.Demands {
-		answer.Reserve[i] = waiting(w.Customer)
+func (p *Planner) DebitCommand(request TransferRequest, required func(customer string) placement.Resources) DebitCommand {
+	command := DebitCommand{Request: request, Reserve: make([]placement.Resources, len(request.Demands))}
+	for i, demand := range request.Demands {
+		command.Reserve[i] = required(demand.Customer)
 	}
-	return answer
+	return command
 }
 
 // Reply builds the reply to a request, after Ledger.Debit was applied for it with
-// any result. waiting is the same as for DebitCommand.
-func (p *Planner) Reply(l *Ledger, a TransferRequest, waiting func(customer string) placement.Resources) Reply {
-	r := Reply{From: p.self, To: a.From}
-	r.Transfer, _ = l.Outgoing(a.From)
-	for _, w := range a.Demands {
-		spare := subtract(l.Allotment(w.Customer), waiting(w.Customer))
-		r.Availabilities = append(r.Availabilities, Availability{Customer: w.Customer, Spare: spare})
+// any result. required is the same as for DebitCommand.
+func (p *Planner) Reply(l *Ledger, request TransferRequest, required func(customer string) placement.Resources) Reply {
+	r := Reply{From: p.self, To: request.From}
+	r.Transfer, _ = l.Outgoing(request.From)
+	for _, demand := range request.Demands {
+		spare := subtract(l.Allotment(demand.Customer), required(demand.Customer))
+		r.Availabilities = append(r.Availabilities, Availability{Customer: demand.Customer, Spare: spare})
 	}
 	return r
 }
@@ -195,12 +195,12 @@
 // Observe records the availabilities of a reply. Its transfer is for
 // Ledger.Credit.
 func (p *Planner) Observe(r Reply) {
-	figures, known := p.observed[r.From]
+	reports, known := p.observed[r.From]
 	if !known {
 		return
 	}
 	delete(p.requestedAt, r.From)
-	for _, f := range r.Availabilities {
-		figures[f.Customer] = observation{f.Spare, p.tick}
+	for _, report := range r.Availabilities {
+		reports[report.Customer] = observation{report.Spare, p.tick}
 	}
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -10,10 +10,13 @@
 	"github.com/bilberryferry/bilberryferry/quota"
 )
 
+// cpu returns resources of an amount of CPU.
 func cpu(amount int64) placement.Resources { return placement.Resources{CPU: amount} }
 
+// unused reports no usage for any customer.
 func unused(string) placement.Resources { return placement.Resources{} }
 
+// config returns a configuration with two initial owners and a CPU limit.
 func config(version uint64, limit int64) quota.Config {
 	return quota.Config{
 		Version: version, InitialOwners: []string{"a", "b"},
@@ -48,14 +51,14 @@
 // debited twice.
 func TestDuplicateRequestDebitsOnce(t *testing.T) {
 	a, b := newLedgerPair(100)
-	ask := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(20)})
-	transfer, err := a.Debit(quota.DebitCommand{Request: ask}, unused)
+	request := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(20)})
+	transfer, err := a.Debit(quota.DebitCommand{Request: request}, unused)
 	must.NoError(t, err)
-	_, err = a.Debit(quota.DebitCommand{Request: ask}, unused)
+	_, err = a.Debit(quota.DebitCommand{Request: request}, unused)
 	must.ErrorIs(t, err, quota.ErrStale)
 	must.NoError(t, b.Credit(transfer))
 	a.Acknowledge(b.Request("a"))
-	_, err = a.Debit(quota.DebitCommand{Request: ask}, unused)
+	_, err = a.Debit(quota.DebitCommand{Request: request}, unused)
 	must.ErrorIs(t, err, quota.ErrStale)
 	must.Eq(t, cpu(30), a.Allotment(customer))
 	must.Eq(t, cpu(70), b.Allotment(customer))
@@ -64,12 +67,12 @@
 // Running work loses its allotment because more than the spare units are debited.
 func TestDebitKeepsUsedAndReserved(t *testing.T) {
 	a, b := newLedgerPair(100)
-	ask := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(40)})
+	request := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(40)})
 	used := func(string) placement.Resources { return cpu(35) }
-	_, err := a.Debit(quota.DebitCommand{Request: ask, Reserve: []placement.Resources{cpu(45)}}, used)
+	_, err := a.Debit(quota.DebitCommand{Request: request, Reserve: []placement.Resources{cpu(45)}}, used)
 	must.NoError(t, err)
 	must.Eq(t, cpu(45), a.Allotment(customer))
-	_, err = a.Debit(quota.DebitCommand{Request: b.Request("a", ask.Demands...)}, used)
+	_, err = a.Debit(quota.DebitCommand{Request: b.Request("a", request.Demands...)}, used)
 	must.ErrorIs(t, err, quota.ErrStale)
 }
 
@@ -77,14 +80,14 @@
 // have two owners.
 func TestNewGenerationRejectsOldTransfers(t *testing.T) {
 	a, b := newLedgerPair(100)
-	ask := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(20)})
-	transfer, _ := a.Debit(quota.DebitCommand{Request: ask}, unused)
+	request := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(20)})
+	transfer, _ := a.Debit(quota.DebitCommand{Request: request}, unused)
 	next := config(2, 100)
 	next.Generation = 1
 	must.NoError(t, b.Configure(next))
 	must.ErrorIs(t, b.Credit(transfer), quota.ErrOtherGeneration)
 	must.NoError(t, a.Configure(next))
-	_, err := a.Debit(quota.DebitCommand{Request: ask}, unused)
+	_, err := a.Debit(quota.DebitCommand{Request: request}, unused)
 	must.ErrorIs(t, err, quota.ErrOtherGeneration)
 	must.Eq(t, cpu(50), a.Allotment(customer))
 	must.Eq(t, cpu(50), b.Allotment(customer))
@@ -140,17 +143,17 @@
 	c := config(1, 100)
 	c.InitialOwners = names
 	must.NoError(t, ledger.Configure(c))
-	asked := map[string]bool{}
+	donors := map[string]bool{}
 	for range names[1:] {
 		for range 10 {
 			planner.Tick()
 		}
-		asks := planner.Requests(ledger, []quota.Demand{{Customer: customer, Amount: cpu(30)}})
-		must.SliceLen(t, 1, asks)
-		asked[asks[0].To] = true
-		planner.Observe(quota.Reply{From: asks[0].To, To: "a", Availabilities: []quota.Availability{{Customer: customer}}})
+		requests := planner.Requests(ledger, []quota.Demand{{Customer: customer, Amount: cpu(30)}})
+		must.SliceLen(t, 1, requests)
+		donors[requests[0].To] = true
+		planner.Observe(quota.Reply{From: requests[0].To, To: "a", Availabilities: []quota.Availability{{Customer: customer}}})
 	}
-	must.MapLen(t, len(names)-1, asked)
+	must.MapLen(t, len(names)-1, donors)
 }
 
 // BenchmarkAllotment measures one read of an allotment, as each placement does.
@@ -164,23 +167,23 @@
 // BenchmarkTransfer measures a complete transfer of one customer's processors,
 // with the bytes of its messages and of the state that it adds to a snapshot.
 func BenchmarkTransfer(b *testing.B) {
-	giver, taker := newLedgerPair(1 << 20)
-	empty, _ := giver.MarshalBinary()
+	donor, recipient := newLedgerPair(1 << 20)
+	emptySnapshot, _ := donor.MarshalBinary()
 	for n := 0; b.Loop(); n++ {
 		if n%100 == 0 {
-			giver, taker = newLedgerPair(1 << 20)
+			donor, recipient = newLedgerPair(1 << 20)
 		}
-		ask := taker.Request("a", quota.Demand{Customer: customer, Amount: cpu(1 << 12)})
-		transfer, _ := giver.Debit(quota.DebitCommand{Request: ask}, unused)
-		_ = taker.Credit(transfer)
-		giver.Acknowledge(taker.Request("a"))
+		request := recipient.Request("a", quota.Demand{Customer: customer, Amount: cpu(1 << 12)})
+		transfer, _ := donor.Debit(quota.DebitCommand{Request: request}, unused)
+		_ = recipient.Credit(transfer)
+		donor.Acknowledge(recipient.Request("a"))
 		if n == 0 {
-			asked, _ := cbor.Marshal(ask)
-			moved, _ := cbor.Marshal(transfer)
-			after, _ := giver.MarshalBinary()
-			b.ReportMetric(float64(len(asked)), "ask-B")
-			b.ReportMetric(float64(len(moved)), "transfer-B")
-			b.ReportMetric(float64(len(after)-len(empty)), "snapshot-B")
+			requestBytes, _ := cbor.Marshal(request)
+			transferBytes, _ := cbor.Marshal(transfer)
+			snapshotBytes, _ := donor.MarshalBinary()
+			b.ReportMetric(float64(len(requestBytes)), "ask-B")
+			b.ReportMetric(float64(len(transferBytes)), "transfer-B")
+			b.ReportMetric(float64(len(snapshotBytes)-len(emptySnapshot)), "snapshot-B")
 		}
 	}
 }
--- a/quota/slots.go
+++ b/quota/slots.go
@@ -21,9 +21,9 @@
 type SlotSet [words]uint64
 
 // initialSlots returns the slots that the initial owner at index owns first.
-func initialSlots(index, founders int) SlotSet {
+func initialSlots(index, owners int) SlotSet {
 	var s SlotSet
-	for slot := index; slot < Slots; slot += founders {
+	for slot := index; slot < Slots; slot += owners {
 		s.add(slot)
 	}
 	return s
@@ -97,16 +97,16 @@
 		return chosen
 	}
 	for slot := 0; slot < Slots && want > 0; slot++ {
-		worth := unitsOf(slot, limit)
-		if worth == 0 {
+		units := unitsOf(slot, limit)
+		if units == 0 {
 			break
 		}
-		if !s.has(slot) || worth > spare {
+		if !s.has(slot) || units > spare {
 			continue
 		}
 		chosen.add(slot)
-		want -= worth
-		spare -= worth
+		want -= units
+		spare -= units
 	}
 	return chosen
 }
