--- a/lease/guard.go
+++ b/lease/guard.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// MaxRememberedAttempts is how many attempts, running and ended together, a Guard
+// MaxAttemptRecords is how many attempts, running and ended together, a Guard
 // records. Further starts are refused with ErrFull until the owner acknowledges
 // ended attempts.
-const MaxRememberedAttempts = 4096
+const MaxAttemptRecords = 4096
 
 // Refusal is why a Guard refuses a command. The list is complete.
 type Refusal uint8
@@ -33,7 +33,7 @@
 	// ErrStopped: the attempt was stopped before it started and can never
 	// start. The command counts as processed; report NOT_STARTED again.
 	ErrStopped
-	// ErrFull: MaxRememberedAttempts attempts are recorded. The command isn't
+	// ErrFull: MaxAttemptRecords attempts are recorded. The command isn't
 	// processed; the owner sends it again.
 	ErrFull
 	// ErrNotRunning: End was called for an attempt that isn't running.
@@ -170,21 +170,21 @@
 	if err := g.check(h); err != nil {
 		return err
 	}
-	m := g.attempts[a]
-	if m == nil && len(g.attempts) >= MaxRememberedAttempts {
+	record := g.attempts[a]
+	if record == nil && len(g.attempts) >= MaxAttemptRecords {
 		return ErrFull
 	}
 	g.advance(h.Position)
-	if m != nil {
-		return m.refusal()
+	if record != nil {
+		return record.refusal()
 	}
 	g.attempts[a] = &attemptRecord{phase: running}
 	return nil
 }
 
 // refusal returns why a recorded attempt can't start.
-func (m *attemptRecord) refusal() Refusal {
-	switch m.phase {
+func (record *attemptRecord) refusal() Refusal {
+	switch record.phase {
 	case running:
 		return ErrRunning
 	case ended:
@@ -216,16 +216,16 @@
 	if err := g.check(h); err != nil {
 		return 0, err
 	}
-	m := g.attempts[a]
-	if m == nil && len(g.attempts) >= MaxRememberedAttempts {
+	record := g.attempts[a]
+	if record == nil && len(g.attempts) >= MaxAttemptRecords {
 		return 0, ErrFull
 	}
 	g.advance(h.Position)
-	if m == nil {
+	if record == nil {
 		g.attempts[a] = &attemptRecord{phase: stoppedBeforeStart}
 		return StopBeforeStart, nil
 	}
-	switch m.phase {
+	switch record.phase {
 	case running:
 		return StopRunning, nil
 	case ended:
@@ -238,11 +238,11 @@
 // End records that a running attempt has ended, for any reason. It returns
 // ErrNotRunning if the attempt isn't running.
 func (g *Guard) End(a Attempt) error {
-	m := g.attempts[a]
-	if m == nil || m.phase != running {
+	record := g.attempts[a]
+	if record == nil || record.phase != running {
 		return ErrNotRunning
 	}
-	m.phase = ended
+	record.phase = ended
 	return nil
 }
 
@@ -264,12 +264,12 @@
 		return
 	}
 	for _, a := range acknowledged {
-		m := g.attempts[a]
-		if m == nil || m.phase == running || m.acknowledged {
+		record := g.attempts[a]
+		if record == nil || record.phase == running || record.acknowledged {
 			continue
 		}
-		m.acknowledged = true
-		m.forgetAfter = until
+		record.acknowledged = true
+		record.forgetAfter = until
 		g.acknowledged++
 	}
 	// The acknowledgement was sent by the leader of until.Term.
@@ -299,8 +299,8 @@
 // attemptsWhere returns the attempts whose records are wanted, sorted.
 func (g *Guard) attemptsWhere(wanted func(*attemptRecord) bool) []Attempt {
 	var list []Attempt
-	for a, m := range g.attempts {
-		if wanted(m) {
+	for a, record := range g.attempts {
+		if wanted(record) {
 			list = append(list, a)
 		}
 	}
@@ -343,8 +343,8 @@
 	if g.acknowledged == 0 {
 		return
 	}
-	for a, m := range g.attempts {
-		if m.acknowledged && m.forgetAfter.Compare(g.position) <= 0 {
+	for a, record := range g.attempts {
+		if record.acknowledged && record.forgetAfter.Compare(g.position) <= 0 {
 			delete(g.attempts, a)
 			g.acknowledged--
 		}
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -12,12 +12,15 @@
 	"github.com/bilberryferry/bilberryferry/lease"
 )
 
+// at returns a time in seconds as a duration.
 func at(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
+// header returns the header of a command.
 func header(incarnation, term, number uint64) lease.Header {
 	return lease.Header{Incarnation: incarnation, Position: lease.Position{Term: term, Number: number}}
 }
 
+// task is the attempt that most tests use.
 var task = lease.Attempt{Job: "folio", Attempt: 1}
 
 // A task runs on after it was started elsewhere. The worker's process is paused,
@@ -175,12 +178,12 @@
 // command refused because of the limit is lost.
 func TestGuardAttemptLimit(t *testing.T) {
 	guard := lease.NewGuard(1)
-	for i := range lease.MaxRememberedAttempts {
+	for i := range lease.MaxAttemptRecords {
 		a := lease.Attempt{Job: "j", Task: int32(i)}
 		must.NoError(t, guard.Start(header(1, 1, uint64(i+1)), a))
 		must.NoError(t, guard.End(a))
 	}
-	next := header(1, 1, lease.MaxRememberedAttempts+1)
+	next := header(1, 1, lease.MaxAttemptRecords+1)
 	must.ErrorIs(t, guard.Start(next, task), lease.ErrFull)
 	guard.Acknowledge([]lease.Attempt{{Job: "j"}}, lease.Position{Term: 1, Number: 1})
 	must.NoError(t, guard.Start(next, task))
@@ -194,12 +197,12 @@
 	// The worker sends a renewal; the owner answers with a command.
 	holder.RecordSent(1, 0)
 	renewal := table.Renew("worker-1", 1, 1, 500*time.Second)
-	box := lease.NewOutbox[string](7, 1)
-	box.Add("start")
+	outbox := lease.NewOutbox[string](7, 1)
+	outbox.Add("start")
 	if renewal.Grants() {
 		holder.RecordGranted(1, table.TTL(), time.Second)
 	}
-	start := box.Pending(1)[0]
+	start := outbox.Pending(1)[0]
 	attempt := lease.Attempt{Job: "folio", Attempt: 1}
 	fmt.Println(holder.Valid(time.Second), guard.Start(start.Header, attempt))
 	fmt.Println(guard.Start(start.Header, attempt))
--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -16,10 +16,10 @@
 const (
 	ttl   = 10 * time.Second
 	drift = 2 * time.Second
-	// slowest is the rate, in thousandths, of a worker clock that loses drift
-	// over ttl+drift. fastest is the highest rate.
-	slowest = 834
-	fastest = 1200
+	// minClockRate is the rate, in thousandths, of a worker clock that loses
+	// drift over ttl+drift. maxClockRate is the highest rate.
+	minClockRate = 834
+	maxClockRate = 1200
 )
 
 // command is the body of a command.
@@ -65,22 +65,22 @@
 // model is a leader, workers, the network and the committed state, which every
 // leader has.
 type model struct {
-	t         *rapid.T
-	now       time.Duration
-	workers   []*process
-	processes int
-	network   []message
-
-	term              uint64
-	origin            time.Duration
-	table             *lease.Table
-	outboxes          map[int]*lease.Outbox[command]
-	outboxIncarnation map[int]uint64
-	records           map[lease.Attempt]*record
-	attempts          []int32
-	announced         map[int]uint64
-	started           map[lease.Attempt]bool
-	seen              map[string]int
+	t             *rapid.T
+	now           time.Duration
+	workers       []*process
+	lastProcessID int
+	network       []message
+
+	term                  uint64
+	clockOrigin           time.Duration
+	table                 *lease.Table
+	outboxes              map[int]*lease.Outbox[command]
+	outboxIncarnation     map[int]uint64
+	records               map[lease.Attempt]*record
+	lastAttempt           []int32
+	announcedIncarnations map[int]uint64
+	started               map[lease.Attempt]bool
+	eventCounts           map[string]int
 }
 
 // uniform draws from [0, n) without the bias of rapid's ranges towards small
@@ -105,10 +105,10 @@
 }
 
 // newModel returns a model with one to three workers and a leader.
-func newModel(t *rapid.T, seen map[string]int) *model {
+func newModel(t *rapid.T, eventCounts map[string]int) *model {
 	w := &model{
-		t: t, records: map[lease.Attempt]*record{}, announced: map[int]uint64{},
-		started: map[lease.Attempt]bool{}, attempts: make([]int32, 3), seen: seen,
+		t: t, records: map[lease.Attempt]*record{}, announcedIncarnations: map[int]uint64{},
+		started: map[lease.Attempt]bool{}, lastAttempt: make([]int32, 3), eventCounts: eventCounts,
 	}
 	for range rapid.IntRange(1, 3).Draw(t, "workers") {
 		w.workers = append(w.workers, nil)
@@ -127,10 +127,10 @@
 	if old := w.workers[i]; old != nil {
 		incarnation = old.guard.Incarnation() + 1
 	}
-	w.processes++
-	rate := rapid.IntRange(slowest, fastest).Draw(w.t, "rate")
+	w.lastProcessID++
+	rate := rapid.IntRange(minClockRate, maxClockRate).Draw(w.t, "rate")
 	w.workers[i] = &process{
-		id: w.processes, rate: time.Duration(rate),
+		id: w.lastProcessID, rate: time.Duration(rate),
 		guard: lease.NewGuard(incarnation), reports: map[lease.Attempt]string{},
 	}
 }
@@ -138,18 +138,18 @@
 // changeLeader starts a new leader, which has only the committed state.
 func (w *model) changeLeader() {
 	w.term++
-	w.origin = time.Duration(rapid.IntRange(0, 100000).Draw(w.t, "origin")) * time.Millisecond
+	w.clockOrigin = time.Duration(rapid.IntRange(0, 100000).Draw(w.t, "origin")) * time.Millisecond
 	w.table = lease.NewTable(ttl, drift)
 	w.outboxes = map[int]*lease.Outbox[command]{}
 	w.outboxIncarnation = map[int]uint64{}
 	w.table.TakeOver(w.ownerNow(), names(len(w.workers)))
-	for i, incarnation := range w.announced {
+	for i, incarnation := range w.announcedIncarnations {
 		w.table.RecordIncarnation(names(3)[i], incarnation)
 	}
 }
 
 // ownerNow returns the time on the leader's monotonic clock.
-func (w *model) ownerNow() time.Duration { return w.now + w.origin }
+func (w *model) ownerNow() time.Duration { return w.now + w.clockOrigin }
 
 // send puts a message into the network.
 func (w *model) send(m message) { w.network = append(w.network, m) }
@@ -170,7 +170,7 @@
 func (w *model) valid(p *process) bool {
 	valid := p.holder.Valid(w.clock(p))
 	if p.holder.Expired() {
-		w.seen["lapse"]++
+		w.eventCounts["lease expired"]++
 		w.endIncarnation(p)
 	}
 	return valid
@@ -192,7 +192,7 @@
 		return
 	}
 	for _, a := range p.guard.Running() {
-		w.seen["step"]++
+		w.eventCounts["step"]++
 		if state := w.records[a].state; state != "assigned" {
 			w.t.Fatalf("%v runs a step after the owner committed it as %s", a, state)
 		}
@@ -226,7 +226,7 @@
 	name := names(3)[m.worker]
 	r := w.table.Renew(name, m.incarnation, m.sequence, w.ownerNow())
 	if r.Accepted && w.outboxIncarnation[m.worker] != m.incarnation {
-		w.announced[m.worker] = max(w.announced[m.worker], m.incarnation)
+		w.announcedIncarnations[m.worker] = max(w.announcedIncarnations[m.worker], m.incarnation)
 		w.outboxIncarnation[m.worker] = m.incarnation
 		w.outboxes[m.worker] = lease.NewOutbox[command](w.term, m.incarnation)
 		w.resend(m.worker)
@@ -237,9 +237,9 @@
 		sequence: m.sequence, granted: r.Grants(), ended: r.Ended, position: lease.Position{Term: w.term},
 	}
 	if r.Accepted {
-		box := w.outboxes[m.worker]
-		box.Acknowledge(m.position)
-		answer.commands = slices.Clone(box.Pending(4))
+		outbox := w.outboxes[m.worker]
+		outbox.Acknowledge(m.position)
+		answer.commands = slices.Clone(outbox.Pending(4))
 	}
 	w.send(answer)
 }
@@ -247,21 +247,23 @@
 // resend starts or stops again the attempts assigned to a worker's incarnation:
 // a new leader doesn't know which commands arrived.
 func (w *model) resend(i int) {
-	for task := range w.attempts {
-		a := w.latest(task)
+	for task := range w.lastAttempt {
+		a := w.latestAttempt(task)
 		if r := w.records[a]; r != nil && r.worker == i {
-			w.issue(a, command{stop: uniform(3).Draw(w.t, "stop") == 0, attempt: a})
+			w.addCommand(a, command{stop: uniform(3).Draw(w.t, "stop") == 0, attempt: a})
 		}
 	}
 }
 
-// latest returns the newest attempt of a task, the only one that may be assigned.
-func (w *model) latest(task int) lease.Attempt {
-	return lease.Attempt{Job: "j", Task: int32(task), Attempt: w.attempts[task]}
+// latestAttempt returns the newest attempt of a task, the only one that may be
+// assigned.
+func (w *model) latestAttempt(task int) lease.Attempt {
+	return lease.Attempt{Job: "j", Task: int32(task), Attempt: w.lastAttempt[task]}
 }
 
-// issue adds a command if the outbox is for the incarnation of its attempt.
-func (w *model) issue(a lease.Attempt, c command) {
+// addCommand adds a command to the outbox if the outbox is for the incarnation of
+// the command's attempt.
+func (w *model) addCommand(a lease.Attempt, c command) {
 	r := w.records[a]
 	if r.state == "assigned" && w.outboxIncarnation[r.worker] == r.incarnation {
 		w.outboxes[r.worker].Add(c)
@@ -273,7 +275,7 @@
 func (w *model) commitLost() {
 	for _, r := range w.records {
 		if r.state == "assigned" && w.table.Fenced(names(3)[r.worker], r.incarnation) {
-			w.seen["lost"]++
+			w.eventCounts["lost"]++
 			r.state = "lost"
 		}
 	}
@@ -327,7 +329,7 @@
 			return
 		}
 		if result == lease.StopBeforeStart {
-			w.seen["not started"]++
+			w.eventCounts["not started"]++
 			p.reports[a] = "not started"
 		}
 		if result == lease.StopRunning {
@@ -338,7 +340,7 @@
 	err := p.guard.Start(c.Header, a)
 	var refusal lease.Refusal
 	if errors.As(err, &refusal) {
-		w.seen[refusal.Error()]++
+		w.eventCounts[refusal.Error()]++
 		return
 	}
 	if w.started[a] {
@@ -348,7 +350,7 @@
 		w.t.Fatalf("%v is started after the owner committed it as %s", a, state)
 	}
 	w.started[a] = true
-	w.seen["start"]++
+	w.eventCounts["start"]++
 }
 
 // end ends a running attempt.
@@ -359,17 +361,17 @@
 
 // assign commits a new attempt of a task that has no assigned attempt.
 func (w *model) assign() {
-	task := uniform(len(w.attempts)).Draw(w.t, "task")
+	task := uniform(len(w.lastAttempt)).Draw(w.t, "task")
 	i := uniform(len(w.workers)).Draw(w.t, "worker")
-	last := w.records[w.latest(task)]
+	last := w.records[w.latestAttempt(task)]
 	if (last != nil && last.state == "assigned") || !w.table.Live(names(3)[i], w.ownerNow()) {
 		return
 	}
 	incarnation, _ := w.table.Incarnation(names(3)[i])
-	w.attempts[task]++
-	a := w.latest(task)
+	w.lastAttempt[task]++
+	a := w.latestAttempt(task)
 	w.records[a] = &record{worker: i, incarnation: incarnation, state: "assigned"}
-	w.issue(a, command{attempt: a})
+	w.addCommand(a, command{attempt: a})
 }
 
 // act performs one random action.
@@ -384,9 +386,9 @@
 	case action < 58:
 		w.assign()
 	case action < 64:
-		a := w.latest(uniform(len(w.attempts)).Draw(w.t, "task"))
+		a := w.latestAttempt(uniform(len(w.lastAttempt)).Draw(w.t, "task"))
 		if w.records[a] != nil {
-			w.issue(a, command{stop: action >= 61, attempt: a})
+			w.addCommand(a, command{stop: action >= 61, attempt: a})
 		}
 	case action < 69:
 		w.table.Expired(w.ownerNow())
@@ -430,11 +432,11 @@
 	if toWorker && w.workers[m.worker].paused {
 		return
 	}
-	fate := uniform(10).Draw(w.t, "fate")
-	if fate >= 3 {
+	delivery := uniform(10).Draw(w.t, "delivery")
+	if delivery >= 3 {
 		w.network = slices.Delete(w.network, i, i+1)
 	}
-	if fate > 0 && fate < 9 {
+	if delivery > 0 && delivery < 9 {
 		w.deliver(m)
 	}
 }
@@ -443,12 +445,12 @@
 // leaders pause, restart and change in any order while messages are lost,
 // duplicated, delayed and reordered and clocks diverge within the bound.
 func TestAttemptNeverRunsTwice(t *testing.T) {
-	seen := map[string]int{}
+	eventCounts := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newModel(t, seen)
+		w := newModel(t, eventCounts)
 		for range 400 {
 			w.act()
 		}
 	})
-	t.Log(seen)
+	t.Log(eventCounts)
 }
--- a/lease/table.go
+++ b/lease/table.go
@@ -91,11 +91,11 @@
 // worker, so that a new leader also recognises a delayed renewal of an earlier
 // incarnation as stale. Call it after TakeOver.
 func (t *Table) RecordIncarnation(worker string, incarnation uint64) {
-	h := t.workers[worker]
-	if h == nil || h.incarnation >= incarnation {
+	record := t.workers[worker]
+	if record == nil || record.incarnation >= incarnation {
 		return
 	}
-	h.incarnation = incarnation
+	record.incarnation = incarnation
 }
 
 // Renew decides on a renewal that was received at now. Sequence numbers grow from
@@ -110,54 +110,54 @@
 // that has ended.
 func (t *Table) Renew(worker string, incarnation, sequence uint64, now time.Duration) Renewal {
 	t.advanceClock(now)
-	h := t.workers[worker]
-	if h == nil {
-		h = &leaseRecord{}
-		t.workers[worker] = h
+	record := t.workers[worker]
+	if record == nil {
+		record = &leaseRecord{}
+		t.workers[worker] = record
 	}
 	switch {
-	case incarnation < h.incarnation:
+	case incarnation < record.incarnation:
 		return Renewal{Stale: true, Ended: true}
-	case incarnation == h.incarnation && h.ended:
+	case incarnation == record.incarnation && record.ended:
 		return Renewal{Stale: true, Ended: true}
-	case incarnation == h.incarnation && sequence <= h.sequence:
+	case incarnation == record.incarnation && sequence <= record.sequence:
 		return Renewal{Stale: true}
 	}
 	result := Renewal{
 		Accepted:       true,
-		NewIncarnation: h.incarnation != 0 && incarnation > h.incarnation,
-		Unknown:        !h.granted || incarnation > h.incarnation,
+		NewIncarnation: record.incarnation != 0 && incarnation > record.incarnation,
+		Unknown:        !record.granted || incarnation > record.incarnation,
 	}
-	h.incarnation = incarnation
-	h.sequence = sequence
-	h.granted = true
-	h.ended = false
-	t.extend(worker, h)
+	record.incarnation = incarnation
+	record.sequence = sequence
+	record.granted = true
+	record.ended = false
+	t.extend(worker, record)
 	return result
 }
 
 // extend moves the expiry of a lease forward, never back.
-func (t *Table) extend(worker string, h *leaseRecord) {
+func (t *Table) extend(worker string, record *leaseRecord) {
 	until := t.now + t.ttl + t.drift
-	invariant(until >= h.expiresAt, "the expiry of the lease of worker %s moved back", worker)
-	h.expiresAt = until
+	invariant(until >= record.expiresAt, "the expiry of the lease of worker %s moved back", worker)
+	record.expiresAt = until
 }
 
 // Live reports whether the worker has renewed with this table less than ttl ago.
 // Only live workers get tasks.
 func (t *Table) Live(worker string, now time.Duration) bool {
-	h := t.workers[worker]
-	return h != nil && h.granted && !h.ended && now < h.expiresAt-t.drift
+	record := t.workers[worker]
+	return record != nil && record.granted && !record.ended && now < record.expiresAt-t.drift
 }
 
 // Incarnation returns the highest known incarnation of a worker, which commands
 // and attempts carry. It returns false if none is known.
 func (t *Table) Incarnation(worker string) (uint64, bool) {
-	h := t.workers[worker]
-	if h == nil || h.incarnation == 0 {
+	record := t.workers[worker]
+	if record == nil || record.incarnation == 0 {
 		return 0, false
 	}
-	return h.incarnation, true
+	return record.incarnation, true
 }
 
 // Expired returns, sorted and each only once, the workers whose leases have
@@ -166,11 +166,11 @@
 func (t *Table) Expired(now time.Duration) []string {
 	t.advanceClock(now)
 	var expired []string
-	for w, h := range t.workers {
-		if h.ended || t.now < h.expiresAt {
+	for w, record := range t.workers {
+		if record.ended || t.now < record.expiresAt {
 			continue
 		}
-		h.ended = true
+		record.ended = true
 		expired = append(expired, w)
 	}
 	slices.Sort(expired)
@@ -182,11 +182,11 @@
 func (t *Table) NextExpiry() (time.Duration, bool) {
 	var next time.Duration
 	found := false
-	for _, h := range t.workers {
-		if h.ended || (found && h.expiresAt >= next) {
+	for _, record := range t.workers {
+		if record.ended || (found && record.expiresAt >= next) {
 			continue
 		}
-		next = h.expiresAt
+		next = record.expiresAt
 		found = true
 	}
 	return next, found
@@ -196,23 +196,23 @@
 // runs or can start: the lease was declared over, or the worker announced a
 // higher incarnation. An unknown worker is no proof.
 func (t *Table) Fenced(worker string, incarnation uint64) bool {
-	h := t.workers[worker]
-	if h == nil {
+	record := t.workers[worker]
+	if record == nil {
 		return false
 	}
-	return incarnation < h.incarnation || (h.ended && incarnation <= h.incarnation) || (h.ended && h.incarnation == 0)
+	return incarnation < record.incarnation || (record.ended && incarnation <= record.incarnation) || (record.ended && record.incarnation == 0)
 }
 
 // Leave ends the lease of a worker that reports that it has stopped all tasks of
 // the incarnation. It returns false if the incarnation isn't the current one.
 // Delayed renewals of the incarnation are refused.
 func (t *Table) Leave(worker string, incarnation uint64) bool {
-	h := t.workers[worker]
-	if h == nil || incarnation < h.incarnation {
+	record := t.workers[worker]
+	if record == nil || incarnation < record.incarnation {
 		return false
 	}
-	h.incarnation = incarnation
-	h.ended = true
+	record.incarnation = incarnation
+	record.ended = true
 	return true
 }
 
