--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -16,18 +16,19 @@
 const (
 	ttl   = 10 * time.Second
 	drift = 2 * time.Second
-	// slowest is a worker clock that loses drift over ttl+drift, in thousandths.
-	slowest = 834
-	fastest = 1200
+	// minClockRate is the rate, in thousandths, of a worker clock that loses
+	// drift over ttl+drift. maxClockRate is the highest rate.
+	minClockRate = 834
+	maxClockRate = 1200
 )
 
-// command is the body of a command in the model.
+// command is the body of a command.
 type command struct {
 	stop    bool
 	attempt lease.Attempt
 }
 
-// message is anything under way. Which fields count depends on kind.
+// message is a message in flight. kind tells which fields are set.
 type message struct {
 	kind        string
 	worker      int
@@ -42,7 +43,7 @@
 	outcome     string
 }
 
-// process is one start of a worker's process.
+// process is one process of a worker.
 type process struct {
 	id       int
 	rate     time.Duration
@@ -50,7 +51,7 @@
 	guard    *lease.Guard
 	sequence uint64
 	paused   bool
-	// reports are the outcomes that the owner hasn't acknowledged.
+	// reports are the outcomes that the owner has not acknowledged.
 	reports map[lease.Attempt]string
 }
 
@@ -61,29 +62,29 @@
 	state       string
 }
 
-// world is the whole system: a leader, workers, the network and the committed
-// state, which every leader has.
+// model is a leader, workers, the network and the committed state, which every
+// leader has.
 type model struct {
-	t         *rapid.T
-	now       time.Duration
-	workers   []*process
-	processes int
-	network   []message
-
-	term              uint64
-	origin            time.Duration
-	table             *lease.Table
-	outboxes          map[int]*lease.Outbox[command]
-	outboxIncarnation map[int]uint64
-	records           map[lease.Attempt]*record
-	attempts          []int32
-	announced         map[int]uint64
-	started           map[lease.Attempt]bool
-	seen              map[string]int
+	t             *rapid.T
+	now           time.Duration
+	workers       []*process
+	lastProcessID int
+	network       []message
+
+	term                  uint64
+	clockOrigin           time.Duration
+	table                 *lease.Table
+	outboxes              map[int]*lease.Outbox[command]
+	outboxIncarnation     map[int]uint64
+	records               map[lease.Attempt]*record
+	lastAttempt           []int32
+	announcedIncarnations map[int]uint64
+	started               map[lease.Attempt]bool
+	eventCounts           map[string]int
 }
 
-// even draws from [0, n) without the bias of rapid's ranges towards small
-// values, which would leave most actions of the model out.
+// uniform draws from [0, n) without the bias of rapid's ranges towards small
+// values, which would leave out most actions of the model.
 func uniform(n int) *rapid.Generator[int] {
 	const bits = 12
 	return rapid.Custom(func(t *rapid.T) int {
@@ -98,14 +99,16 @@
 	})
 }
 
+// names returns the names of the first n workers.
 func names(n int) []string {
 	return []string{"w0", "w1", "w2"}[:n]
 }
 
-func newModel(t *rapid.T, seen map[string]int) *model {
+// newModel returns a model with one to three workers and a leader.
+func newModel(t *rapid.T, eventCounts map[string]int) *model {
 	w := &model{
-		t: t, records: map[lease.Attempt]*record{}, announced: map[int]uint64{},
-		started: map[lease.Attempt]bool{}, attempts: make([]int32, 3), seen: seen,
+		t: t, records: map[lease.Attempt]*record{}, announcedIncarnations: map[int]uint64{},
+		started: map[lease.Attempt]bool{}, lastAttempt: make([]int32, 3), eventCounts: eventCounts,
 	}
 	for range rapid.IntRange(1, 3).Draw(t, "workers") {
 		w.workers = append(w.workers, nil)
@@ -115,7 +118,7 @@
 	return w
 }
 
-// clock is a worker's monotonic clock.
+// clock returns the time on a worker's monotonic clock.
 func (w *model) clock(p *process) time.Duration { return w.now * p.rate / 1000 }
 
 // restart replaces the process of a worker; its tasks end with it.
@@ -124,29 +127,31 @@
 	if old := w.workers[i]; old != nil {
 		incarnation = old.guard.Incarnation() + 1
 	}
-	w.processes++
-	rate := rapid.IntRange(slowest, fastest).Draw(w.t, "rate")
+	w.lastProcessID++
+	rate := rapid.IntRange(minClockRate, maxClockRate).Draw(w.t, "rate")
 	w.workers[i] = &process{
-		id: w.processes, rate: time.Duration(rate),
+		id: w.lastProcessID, rate: time.Duration(rate),
 		guard: lease.NewGuard(incarnation), reports: map[lease.Attempt]string{},
 	}
 }
 
-// lead puts a new leader in, which knows only the committed state.
+// changeLeader starts a new leader, which has only the committed state.
 func (w *model) changeLeader() {
 	w.term++
-	w.origin = time.Duration(rapid.IntRange(0, 100000).Draw(w.t, "origin")) * time.Millisecond
+	w.clockOrigin = time.Duration(rapid.IntRange(0, 100000).Draw(w.t, "origin")) * time.Millisecond
 	w.table = lease.NewTable(ttl, drift)
 	w.outboxes = map[int]*lease.Outbox[command]{}
 	w.outboxIncarnation = map[int]uint64{}
 	w.table.TakeOver(w.ownerNow(), names(len(w.workers)))
-	for i, incarnation := range w.announced {
+	for i, incarnation := range w.announcedIncarnations {
 		w.table.RecordIncarnation(names(3)[i], incarnation)
 	}
 }
 
-func (w *model) ownerNow() time.Duration { return w.now + w.origin }
+// ownerNow returns the time on the leader's monotonic clock.
+func (w *model) ownerNow() time.Duration { return w.now + w.clockOrigin }
 
+// send puts a message into the network.
 func (w *model) send(m message) { w.network = append(w.network, m) }
 
 // renew sends a renewal of worker i.
@@ -160,17 +165,18 @@
 	})
 }
 
-// valid is the check before each step; on a lapse the worker stops all tasks
-// and takes a higher incarnation.
+// valid is the check before each step. If the lease has expired, the worker stops
+// all tasks and takes a higher incarnation.
 func (w *model) valid(p *process) bool {
 	valid := p.holder.Valid(w.clock(p))
 	if p.holder.Expired() {
-		w.seen["lapse"]++
+		w.eventCounts["lease expired"]++
 		w.endIncarnation(p)
 	}
 	return valid
 }
 
+// endIncarnation stops all tasks of a worker and takes a higher incarnation.
 func (w *model) endIncarnation(p *process) {
 	for _, a := range p.guard.Running() {
 		p.reports[a] = "ended"
@@ -179,21 +185,21 @@
 	p.holder.Reset()
 }
 
-// step lets every running task of a worker do something that must not be done
-// in two places.
+// step lets every running task of a worker perform a step that must not be
+// performed in two places.
 func (w *model) step(p *process) {
 	if !w.valid(p) {
 		return
 	}
 	for _, a := range p.guard.Running() {
-		w.seen["step"]++
+		w.eventCounts["step"]++
 		if state := w.records[a].state; state != "assigned" {
-			w.t.Fatalf("%v does a step after the owner committed it as %s", a, state)
+			w.t.Fatalf("%v runs a step after the owner committed it as %s", a, state)
 		}
 	}
 }
 
-// deliver handles one message.
+// deliver delivers a message to its receiver.
 func (w *model) deliver(m message) {
 	p := w.workers[m.worker]
 	switch m.kind {
@@ -215,11 +221,12 @@
 	}
 }
 
+// handleRenewal handles a renewal at the leader.
 func (w *model) handleRenewal(m message) {
 	name := names(3)[m.worker]
 	r := w.table.Renew(name, m.incarnation, m.sequence, w.ownerNow())
 	if r.Accepted && w.outboxIncarnation[m.worker] != m.incarnation {
-		w.announced[m.worker] = max(w.announced[m.worker], m.incarnation)
+		w.announcedIncarnations[m.worker] = max(w.announcedIncarnations[m.worker], m.incarnation)
 		w.outboxIncarnation[m.worker] = m.incarnation
 		w.outboxes[m.worker] = lease.NewOutbox[command](w.term, m.incarnation)
 		w.resend(m.worker)
@@ -230,55 +237,58 @@
 		sequence: m.sequence, granted: r.Grants(), ended: r.Ended, position: lease.Position{Term: w.term},
 	}
 	if r.Accepted {
-		box := w.outboxes[m.worker]
-		box.Acknowledge(m.position)
-		answer.commands = slices.Clone(box.Pending(4))
+		outbox := w.outboxes[m.worker]
+		outbox.Acknowledge(m.position)
+		answer.commands = slices.Clone(outbox.Pending(4))
 	}
 	w.send(answer)
 }
 
-// resend issues again, or stops, what a worker's incarnation was assigned: a
-// new leader doesn't know which of it arrived.
+// resend starts or stops again the attempts assigned to a worker's incarnation:
+// a new leader doesn't know which commands arrived.
 func (w *model) resend(i int) {
-	for task := range w.attempts {
-		a := w.latest(task)
+	for task := range w.lastAttempt {
+		a := w.latestAttempt(task)
 		if r := w.records[a]; r != nil && r.worker == i {
-			w.issue(a, command{stop: uniform(3).Draw(w.t, "stop") == 0, attempt: a})
+			w.addCommand(a, command{stop: uniform(3).Draw(w.t, "stop") == 0, attempt: a})
 		}
 	}
 }
 
-// latest names the newest attempt of a task, the only one that may be assigned.
-func (w *model) latest(task int) lease.Attempt {
-	return lease.Attempt{Job: "j", Task: int32(task), Attempt: w.attempts[task]}
+// latestAttempt returns the newest attempt of a task, the only one that may be
+// assigned.
+func (w *model) latestAttempt(task int) lease.Attempt {
+	return lease.Attempt{Job: "j", Task: int32(task), Attempt: w.lastAttempt[task]}
 }
 
-// issue adds a command if its attempt's incarnation is the one of the outbox.
-func (w *model) issue(a lease.Attempt, c command) {
+// addCommand adds a command to the outbox if the outbox is for the incarnation of
+// the command's attempt.
+func (w *model) addCommand(a lease.Attempt, c command) {
 	r := w.records[a]
 	if r.state == "assigned" && w.outboxIncarnation[r.worker] == r.incarnation {
 		w.outboxes[r.worker].Add(c)
 	}
 }
 
-// settle commits the attempts that are over as lost, so that their tasks are
-// tried elsewhere.
+// commitLost commits the attempts of fenced incarnations as lost, so that their
+// tasks are tried elsewhere.
 func (w *model) commitLost() {
 	for _, r := range w.records {
 		if r.state == "assigned" && w.table.Fenced(names(3)[r.worker], r.incarnation) {
-			w.seen["lost"]++
+			w.eventCounts["lost"]++
 			r.state = "lost"
 		}
 	}
 }
 
+// handleReport handles a report at the leader and acknowledges it.
 func (w *model) handleReport(m message) {
 	r := w.records[m.attempt]
 	if r.state == "assigned" {
 		r.state = m.outcome
 	}
 	if m.outcome == "not started" && w.started[m.attempt] {
-		w.t.Fatalf("%v was reported as not started, but was", m.attempt)
+		w.t.Fatalf("%v was reported as not started, but it was started", m.attempt)
 	}
 	ack := message{
 		kind: "acknowledgement", worker: m.worker, process: m.process,
@@ -290,6 +300,7 @@
 	w.send(ack)
 }
 
+// handleAnswer handles the answer to a renewal at the worker.
 func (w *model) handleAnswer(p *process, m message) {
 	if p.guard.ObserveTerm(m.position.Term) != nil {
 		return
@@ -309,7 +320,7 @@
 	}
 }
 
-// obey lets the guard decide on a command.
+// handleCommand executes a command if the guard permits it.
 func (w *model) handleCommand(p *process, c lease.NumberedCommand[command]) {
 	a := c.Body.attempt
 	if c.Body.stop {
@@ -318,7 +329,7 @@
 			return
 		}
 		if result == lease.StopBeforeStart {
-			w.seen["not started"]++
+			w.eventCounts["not started"]++
 			p.reports[a] = "not started"
 		}
 		if result == lease.StopRunning {
@@ -329,7 +340,7 @@
 	err := p.guard.Start(c.Header, a)
 	var refusal lease.Refusal
 	if errors.As(err, &refusal) {
-		w.seen[refusal.Error()]++
+		w.eventCounts[refusal.Error()]++
 		return
 	}
 	if w.started[a] {
@@ -339,30 +350,31 @@
 		w.t.Fatalf("%v is started after the owner committed it as %s", a, state)
 	}
 	w.started[a] = true
-	w.seen["start"]++
+	w.eventCounts["start"]++
 }
 
+// end ends a running attempt.
 func (w *model) end(p *process, a lease.Attempt) {
 	must.NoError(w.t, p.guard.End(a))
 	p.reports[a] = "ended"
 }
 
-// assign commits an attempt of a task that no attempt is assigned for.
+// assign commits a new attempt of a task that has no assigned attempt.
 func (w *model) assign() {
-	task := uniform(len(w.attempts)).Draw(w.t, "task")
+	task := uniform(len(w.lastAttempt)).Draw(w.t, "task")
 	i := uniform(len(w.workers)).Draw(w.t, "worker")
-	last := w.records[w.latest(task)]
+	last := w.records[w.latestAttempt(task)]
 	if (last != nil && last.state == "assigned") || !w.table.Live(names(3)[i], w.ownerNow()) {
 		return
 	}
 	incarnation, _ := w.table.Incarnation(names(3)[i])
-	w.attempts[task]++
-	a := w.latest(task)
+	w.lastAttempt[task]++
+	a := w.latestAttempt(task)
 	w.records[a] = &record{worker: i, incarnation: incarnation, state: "assigned"}
-	w.issue(a, command{attempt: a})
+	w.addCommand(a, command{attempt: a})
 }
 
-// act does one thing drawn at random.
+// act performs one random action.
 func (w *model) act() {
 	i := uniform(len(w.workers)).Draw(w.t, "worker")
 	p := w.workers[i]
@@ -374,9 +386,9 @@
 	case action < 58:
 		w.assign()
 	case action < 64:
-		a := w.latest(uniform(len(w.attempts)).Draw(w.t, "task"))
+		a := w.latestAttempt(uniform(len(w.lastAttempt)).Draw(w.t, "task"))
 		if w.records[a] != nil {
-			w.issue(a, command{stop: action >= 61, attempt: a})
+			w.addCommand(a, command{stop: action >= 61, attempt: a})
 		}
 	case action < 69:
 		w.table.Expired(w.ownerNow())
@@ -406,7 +418,7 @@
 	}
 }
 
-// pick loses, doubles or delivers a message from anywhere in the network.
+// takeMessage loses, duplicates or delivers a random message in the network.
 func (w *model) takeMessage() {
 	if len(w.network) == 0 {
 		return
@@ -420,26 +432,25 @@
 	if toWorker && w.workers[m.worker].paused {
 		return
 	}
-	fate := uniform(10).Draw(w.t, "fate")
-	if fate >= 3 {
+	delivery := uniform(10).Draw(w.t, "delivery")
+	if delivery >= 3 {
 		w.network = slices.Delete(w.network, i, i+1)
 	}
-	if fate > 0 && fate < 9 {
+	if delivery > 0 && delivery < 9 {
 		w.deliver(m)
 	}
 }
 
-// A user sees a task run in two places, or gets "not run" for work that ran.
-// The order of events may be anything: workers and leaders pause, restart and
-// change while messages are lost, doubled, late and reordered, and clocks run
-// apart within the bound.
+// A task runs in two places, or work that ran is reported as not run. Workers and
+// leaders pause, restart and change in any order while messages are lost,
+// duplicated, delayed and reordered and clocks diverge within the bound.
 func TestAttemptNeverRunsTwice(t *testing.T) {
-	seen := map[string]int{}
+	eventCounts := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newModel(t, seen)
+		w := newModel(t, eventCounts)
 		for range 400 {
 			w.act()
 		}
 	})
-	t.Log(seen)
+	t.Log(eventCounts)
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -10,10 +10,13 @@
 	"github.com/bilberryferry/bilberryferry/quota"
 )
 
+// cpu returns resources of an amount of CPU.
 func cpu(amount int64) placement.Resources { return placement.Resources{CPU: amount} }
 
+// unused reports no usage for any customer.
 func unused(string) placement.Resources { return placement.Resources{} }
 
+// config returns a configuration with two initial owners and a CPU limit.
 func config(version uint64, limit int64) quota.Config {
 	return quota.Config{
 		Version: version, InitialOwners: []string{"a", "b"},
@@ -21,14 +24,15 @@
 	}
 }
 
+// newLedgerPair returns two ledgers under the same configuration.
 func newLedgerPair(limit int64) (a, b *quota.Ledger) {
 	a, b = quota.NewLedger("a"), quota.NewLedger("b")
 	_, _ = a.Configure(config(1, limit)), b.Configure(config(1, limit))
 	return a, b
 }
 
-// A customer runs more than a lowered limit allows. One data centre has given
-// half of the old limit away and misses the version that lowered it.
+// A customer gets more than a lowered limit: one data centre has given half of
+// the old limit away and misses the version that lowered it.
 func TestLoweredLimitAfterTransfer(t *testing.T) {
 	a, b := newLedgerPair(100)
 	half := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(50)})
@@ -43,53 +47,54 @@
 	must.Eq(t, cpu(0), a.Allotment(customer))
 }
 
-// A data centre stands at nothing because one ask took effect twice.
+// A data centre is left without an allotment because a duplicated request is
+// debited twice.
 func TestDuplicateRequestDebitsOnce(t *testing.T) {
 	a, b := newLedgerPair(100)
-	ask := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(20)})
-	transfer, err := a.Debit(quota.DebitCommand{Request: ask}, unused)
+	request := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(20)})
+	transfer, err := a.Debit(quota.DebitCommand{Request: request}, unused)
 	must.NoError(t, err)
-	_, err = a.Debit(quota.DebitCommand{Request: ask}, unused)
+	_, err = a.Debit(quota.DebitCommand{Request: request}, unused)
 	must.ErrorIs(t, err, quota.ErrStale)
 	must.NoError(t, b.Credit(transfer))
 	a.Acknowledge(b.Request("a"))
-	_, err = a.Debit(quota.DebitCommand{Request: ask}, unused)
+	_, err = a.Debit(quota.DebitCommand{Request: request}, unused)
 	must.ErrorIs(t, err, quota.ErrStale)
 	must.Eq(t, cpu(30), a.Allotment(customer))
 	must.Eq(t, cpu(70), b.Allotment(customer))
 }
 
-// Work that was started loses its allotment: more is given than is spare.
+// Running work loses its allotment because more than the spare units are debited.
 func TestDebitKeepsUsedAndReserved(t *testing.T) {
 	a, b := newLedgerPair(100)
-	ask := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(40)})
+	request := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(40)})
 	used := func(string) placement.Resources { return cpu(35) }
-	_, err := a.Debit(quota.DebitCommand{Request: ask, Reserve: []placement.Resources{cpu(45)}}, used)
+	_, err := a.Debit(quota.DebitCommand{Request: request, Reserve: []placement.Resources{cpu(45)}}, used)
 	must.NoError(t, err)
 	must.Eq(t, cpu(45), a.Allotment(customer))
-	_, err = a.Debit(quota.DebitCommand{Request: b.Request("a", ask.Demands...)}, used)
+	_, err = a.Debit(quota.DebitCommand{Request: b.Request("a", request.Demands...)}, used)
 	must.ErrorIs(t, err, quota.ErrStale)
 }
 
-// The same slots are owned twice: a transfer of a division of slots that was
-// replaced by a new one arrives late.
+// A delayed transfer of an earlier generation is credited, and the same slots
+// have two owners.
 func TestNewGenerationRejectsOldTransfers(t *testing.T) {
 	a, b := newLedgerPair(100)
-	ask := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(20)})
-	transfer, _ := a.Debit(quota.DebitCommand{Request: ask}, unused)
+	request := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(20)})
+	transfer, _ := a.Debit(quota.DebitCommand{Request: request}, unused)
 	next := config(2, 100)
 	next.Generation = 1
 	must.NoError(t, b.Configure(next))
 	must.ErrorIs(t, b.Credit(transfer), quota.ErrOtherGeneration)
 	must.NoError(t, a.Configure(next))
-	_, err := a.Debit(quota.DebitCommand{Request: ask}, unused)
+	_, err := a.Debit(quota.DebitCommand{Request: request}, unused)
 	must.ErrorIs(t, err, quota.ErrOtherGeneration)
 	must.Eq(t, cpu(50), a.Allotment(customer))
 	must.Eq(t, cpu(50), b.Allotment(customer))
 }
 
-// More is allotted than the limit after a data centre lost its state and came
-// back as new: what the other side remembers shows it.
+// More than the limit is allotted after a data centre lost its state and
+// restarted empty. The sequence numbers of the other side reveal the loss.
 func TestLostStateIsDetected(t *testing.T) {
 	a, b := newLedgerPair(100)
 	first, _ := a.Debit(quota.DebitCommand{Request: b.Request("a", quota.Demand{Customer: customer, Amount: cpu(5)})}, unused)
@@ -101,6 +106,7 @@
 	must.ErrorIs(t, err, quota.ErrSequenceGap)
 }
 
+// An invalid configuration is accepted, or a valid one is refused.
 func TestConfigCheck(t *testing.T) {
 	c := config(1, 100)
 	other := config(2, 100)
@@ -114,8 +120,8 @@
 	must.NoError(t, c.Check(config(2, quota.Unlimited)))
 }
 
-// More is allotted than the limit: two data centres list the founders in
-// different order and both count themselves as the first.
+// More than the limit is allotted: two data centres list the initial owners in
+// different orders, and both own the slots of the first.
 func TestInitialOwnersInAnyOrder(t *testing.T) {
 	a, _ := newLedgerPair(3)
 	b := quota.NewLedger("b")
@@ -127,8 +133,9 @@
 	must.NoError(t, b.Configure(config(2, 3)))
 }
 
-// Work waits for ever beside a free allotment: what others told is always too
-// old when the next ask goes out, and the one with nothing is asked each time.
+// Work waits forever although another data centre has a free allotment: all
+// reports are outdated when the next request is due, and the same data centre,
+// which has nothing, is asked each time.
 func TestPlannerRotatesDonors(t *testing.T) {
 	names := []string{"a", "b", "c", "d"}
 	planner := quota.NewPlanner("a", names)
@@ -136,20 +143,20 @@
 	c := config(1, 100)
 	c.InitialOwners = names
 	must.NoError(t, ledger.Configure(c))
-	asked := map[string]bool{}
+	donors := map[string]bool{}
 	for range names[1:] {
 		for range 10 {
 			planner.Tick()
 		}
-		asks := planner.Requests(ledger, []quota.Demand{{Customer: customer, Amount: cpu(30)}})
-		must.SliceLen(t, 1, asks)
-		asked[asks[0].To] = true
-		planner.Observe(quota.Reply{From: asks[0].To, To: "a", Availabilities: []quota.Availability{{Customer: customer}}})
+		requests := planner.Requests(ledger, []quota.Demand{{Customer: customer, Amount: cpu(30)}})
+		must.SliceLen(t, 1, requests)
+		donors[requests[0].To] = true
+		planner.Observe(quota.Reply{From: requests[0].To, To: "a", Availabilities: []quota.Availability{{Customer: customer}}})
 	}
-	must.MapLen(t, len(names)-1, asked)
+	must.MapLen(t, len(names)-1, donors)
 }
 
-// BenchmarkAllotment is what a placement pays for one look.
+// BenchmarkAllotment measures one read of an allotment, as each placement does.
 func BenchmarkAllotment(b *testing.B) {
 	a, _ := newLedgerPair(1 << 30)
 	for b.Loop() {
@@ -157,26 +164,26 @@
 	}
 }
 
-// BenchmarkTransfer is a whole transfer of one customer's processors, with the
-// bytes of its messages and of the state that it adds to a snapshot.
+// BenchmarkTransfer measures a complete transfer of one customer's processors,
+// with the bytes of its messages and of the state that it adds to a snapshot.
 func BenchmarkTransfer(b *testing.B) {
-	giver, taker := newLedgerPair(1 << 20)
-	empty, _ := giver.MarshalBinary()
+	donor, recipient := newLedgerPair(1 << 20)
+	emptySnapshot, _ := donor.MarshalBinary()
 	for n := 0; b.Loop(); n++ {
 		if n%100 == 0 {
-			giver, taker = newLedgerPair(1 << 20)
+			donor, recipient = newLedgerPair(1 << 20)
 		}
-		ask := taker.Request("a", quota.Demand{Customer: customer, Amount: cpu(1 << 12)})
-		transfer, _ := giver.Debit(quota.DebitCommand{Request: ask}, unused)
-		_ = taker.Credit(transfer)
-		giver.Acknowledge(taker.Request("a"))
+		request := recipient.Request("a", quota.Demand{Customer: customer, Amount: cpu(1 << 12)})
+		transfer, _ := donor.Debit(quota.DebitCommand{Request: request}, unused)
+		_ = recipient.Credit(transfer)
+		donor.Acknowledge(recipient.Request("a"))
 		if n == 0 {
-			asked, _ := cbor.Marshal(ask)
-			moved, _ := cbor.Marshal(transfer)
-			after, _ := giver.MarshalBinary()
-			b.ReportMetric(float64(len(asked)), "ask-B")
-			b.ReportMetric(float64(len(moved)), "transfer-B")
-			b.ReportMetric(float64(len(after)-len(empty)), "snapshot-B")
+			requestBytes, _ := cbor.Marshal(request)
+			transferBytes, _ := cbor.Marshal(transfer)
+			snapshotBytes, _ := donor.MarshalBinary()
+			b.ReportMetric(float64(len(requestBytes)), "ask-B")
+			b.ReportMetric(float64(len(transferBytes)), "transfer-B")
+			b.ReportMetric(float64(len(snapshotBytes)-len(emptySnapshot)), "snapshot-B")
 		}
 	}
 }
--- /dev/null
+++ b/routing/allocate.go
@@ -0,0 +1,302 @@
+package routing
+
+import "time"
+
+// allocate computes the grants of an entry instance for all services.
+func (a *Allocator) allocate(e *entryRecord, now time.Duration) map[uint32]int {
+	grants := make(map[uint32]int)
+	if e.draining {
+		return grants
+	}
+	for _, group := range a.serviceGroups() {
+		a.allocateService(e, group, grants, now)
+	}
+	return grants
+}
+
+// serviceGroup holds the usable minions of one service.
+type serviceGroup struct {
+	name    string
+	minions []*minionRecord
+	// capacity is the number of slots that are not reserved.
+	capacity int
+}
+
+// serviceGroups returns the usable minions by service, ordered by minion number.
+func (a *Allocator) serviceGroups() []*serviceGroup {
+	var groups []*serviceGroup
+	byName := make(map[string]*serviceGroup)
+	for _, m := range a.list {
+		if !m.usable() {
+			continue
+		}
+		g, ok := byName[m.Service]
+		if !ok {
+			g = &serviceGroup{name: m.Service}
+			byName[m.Service] = g
+			groups = append(groups, g)
+		}
+		g.minions = append(g.minions, m)
+		g.capacity += max(0, m.Slots-m.reserved)
+	}
+	return groups
+}
+
+// allocateService adds the grants for one service to grants.
+func (a *Allocator) allocateService(e *entryRecord, g *serviceGroup, grants map[uint32]int, now time.Duration) {
+	share := a.fairShare(e, g, now)
+	free := make([]int, len(g.minions))
+	total := 0
+	latest := e.latestGrants()
+	for i, m := range g.minions {
+		available := max(0, m.Slots-m.reserved-(m.occupied-e.ownOccupied[m.number]))
+		keep := min(latest[m.number], available)
+		grants[m.number] = keep
+		free[i] = available - keep
+		total += keep
+	}
+	if total > share {
+		excess := min(total-share, a.unmetMinimum(e, g, now))
+		shrink(g, grants, e.inFlight, excess)
+		return
+	}
+	grow(g, grants, free, share-total, a.entryIndex(e.id))
+}
+
+// fairShare returns the entry instance's share of a service's capacity. Demand
+// is served with max-min fairness. Capacity beyond the demand is spread evenly,
+// so that every entry instance can serve a burst before its next renewal.
+func (a *Allocator) fairShare(e *entryRecord, g *serviceGroup, now time.Duration) int {
+	demands, own := a.demands(e, g.name, now)
+	shares := waterFill(g.capacity, demands)
+	return shares[own]
+}
+
+// demands returns the demands of all live entry instances and the index of e
+// among them.
+func (a *Allocator) demands(e *entryRecord, service string, now time.Duration) (demands []int, own int) {
+	for _, id := range a.order {
+		other := a.entries[id]
+		if other != e && !a.live(other, now) {
+			continue
+		}
+		if other == e {
+			own = len(demands)
+		}
+		demands = append(demands, other.demand[service])
+	}
+	return demands, own
+}
+
+// live reports whether the entry instance has claimed its slots, isn't draining
+// and has sent a request within the lease time.
+func (a *Allocator) live(e *entryRecord, now time.Duration) bool {
+	return e.claimed && !e.draining && now-e.lastRequestAt < a.opts.Lease
+}
+
+// unmetMinimum returns how many slots the other entry instances lack of their
+// minimum shares after all free slots are granted. Only that many are taken
+// away, so that small changes of demand cause no messages.
+func (a *Allocator) unmetMinimum(e *entryRecord, g *serviceGroup, now time.Duration) int {
+	unmet := 0
+	for _, id := range a.order {
+		other := a.entries[id]
+		if other == e || !a.live(other, now) {
+			continue
+		}
+		held := 0
+		latest := other.latestGrants()
+		for _, m := range g.minions {
+			held += latest[m.number]
+		}
+		unmet += max(0, a.minimumShare(other, g, now)-held)
+	}
+	for _, m := range g.minions {
+		unmet -= max(0, m.Slots-m.reserved-m.occupied)
+	}
+	return max(0, unmet)
+}
+
+// minimumShare returns the slots that an entry instance must be able to get: its
+// demand, or half of its fair share, so that a new entry instance can start to
+// serve.
+func (a *Allocator) minimumShare(e *entryRecord, g *serviceGroup, now time.Duration) int {
+	share := a.fairShare(e, g, now)
+	return min(share, max(e.demand[g.name], share/2))
+}
+
+// entryIndex returns the index of an entry instance among all of them. It makes
+// each of them start its search for free slots at a different minion.
+func (a *Allocator) entryIndex(id string) int {
+	for i, other := range a.order {
+		if other == id {
+			return i
+		}
+	}
+	return 0
+}
+
+// shrink takes excess slots away: idle slots first, and among these from the
+// minion with the most granted slots.
+func shrink(g *serviceGroup, grants, inFlight map[uint32]int, excess int) {
+	for ; excess > 0; excess-- {
+		best := uint32(0)
+		bestScore := 0
+		for _, m := range g.minions {
+			n := grants[m.number]
+			if n == 0 {
+				continue
+			}
+			score := n
+			if n > inFlight[m.number] {
+				score += idleSlotBonus
+			}
+			if score > bestScore {
+				best, bestScore = m.number, score
+			}
+		}
+		if best == 0 {
+			return
+		}
+		grants[best]--
+	}
+}
+
+// idleSlotBonus exceeds any number of slots, so that idle slots are taken first.
+const idleSlotBonus = 1 << 20
+
+// grow grants missing slots, each on the minion with the fewest granted slots
+// and, among those, the most free slots.
+func grow(g *serviceGroup, grants map[uint32]int, free []int, missing, entryIndex int) {
+	n := len(g.minions)
+	for ; missing > 0; missing-- {
+		best := -1
+		for k := range n {
+			i := (k + entryIndex*growStride) % n
+			if free[i] == 0 {
+				continue
+			}
+			if best < 0 || preferred(g, grants, free, i, best) {
+				best = i
+			}
+		}
+		if best < 0 {
+			return
+		}
+		grants[g.minions[best].number]++
+		free[best]--
+	}
+}
+
+// growStride separates the minions at which entry instances start their search.
+const growStride = 7
+
+// preferred reports whether minion i is a better choice than minion best.
+func preferred(g *serviceGroup, grants map[uint32]int, free []int, i, best int) bool {
+	heldI, heldBest := grants[g.minions[i].number], grants[g.minions[best].number]
+	if heldI != heldBest {
+		return heldI < heldBest
+	}
+	return free[i] > free[best]
+}
+
+// waterFill divides capacity among demands with max-min fairness and spreads
+// the rest evenly. The shares sum to capacity.
+func waterFill(capacity int, demands []int) []int {
+	shares := make([]int, len(demands))
+	remaining := capacity
+	for remaining > 0 {
+		unmet := 0
+		for i, demand := range demands {
+			if shares[i] < demand {
+				unmet++
+			}
+		}
+		if unmet == 0 {
+			break
+		}
+		step := max(1, remaining/unmet)
+		for i, demand := range demands {
+			granted := min(step, demand-shares[i], remaining)
+			if granted > 0 {
+				shares[i] += granted
+				remaining -= granted
+			}
+		}
+	}
+	for i := range shares {
+		extra := remaining / (len(shares) - i)
+		shares[i] += extra
+		remaining -= extra
+	}
+	return shares
+}
+
+// respond records the grants as outstanding and builds the response, which has
+// the differences from the response that the entry instance uses.
+func (a *Allocator) respond(e *entryRecord, req SlotRequest, grants map[uint32]int, now time.Duration) SlotResponse {
+	base, known := e.adoptedGrants()
+	if req.Full {
+		known = false
+	}
+	resp := SlotResponse{Term: a.term, Sequence: req.Sequence, Lease: a.opts.Lease}
+	if known {
+		resp.Base = e.adopted
+	}
+	for _, m := range a.list {
+		slots := grants[m.number]
+		differs := slots != base[m.number]
+		if !known {
+			differs = slots > 0
+		}
+		if g, send := a.grant(e, m, slots, req.Sequence); send || differs {
+			resp.Grants = append(resp.Grants, g)
+		}
+	}
+	for number, slots := range grants {
+		if slots == 0 {
+			delete(grants, number)
+		}
+	}
+	e.grantSets = append(e.grantSets, a.newGrantSet(req.Sequence, grants, now))
+	a.updateOccupied(e, now)
+	a.checkOccupied(e)
+	return resp
+}
+
+// grant builds the grant of one minion. It adds the announcement, and returns
+// true, if the entry instance isn't known to have it.
+func (a *Allocator) grant(e *entryRecord, m *minionRecord, slots int, sequence uint64) (Grant, bool) {
+	g := Grant{Number: m.number, Slots: slots}
+	if !m.announced {
+		return g, false
+	}
+	sent, ok := e.sentAnnouncements[m.number]
+	if ok && sent.version == m.version && sent.sequence <= e.adopted {
+		return g, false
+	}
+	if !ok && m.gone {
+		return g, false
+	}
+	if !ok || sent.version != m.version {
+		e.sentAnnouncements[m.number] = sentAnnouncement{version: m.version, sequence: sequence}
+	}
+	g.HasAnnouncement = true
+	g.Announcement = m.Announcement
+	g.Gone = m.gone
+	return g, true
+}
+
+// checkOccupied asserts that a grant never exceeds the slots of a minion. Slots
+// claimed from earlier terms may exceed what the minion announces now; they are
+// never granted beyond what was occupied already.
+func (a *Allocator) checkOccupied(e *entryRecord) {
+	if !checkInvariants {
+		return
+	}
+	for number, slots := range e.latestGrants() {
+		m := a.byNumber[number]
+		others := m.occupied - e.ownOccupied[number]
+		invariant(others+slots <= m.Slots, "granted more than the slots of a minion")
+	}
+}
--- /dev/null
+++ b/routing/allocator.go
@@ -0,0 +1,385 @@
+package routing
+
+import (
+	"slices"
+	"time"
+
+	"github.com/cockroachdb/errors"
+)
+
+// Errors of Allocate. The request gets no response.
+var (
+	// ErrNotLeading is returned while the Allocator isn't leading.
+	ErrNotLeading = errors.New("not leading")
+	// ErrHigherTerm is returned if the sender has seen a higher term.
+	ErrHigherTerm = errors.New("request is from a higher term")
+	// ErrStale is returned for a delayed or duplicate request.
+	ErrStale = errors.New("request is older than one that was answered, or a duplicate")
+)
+
+// restartLinger is how long the slots of a terminated entry process stay
+// occupied after its successor's first request. The kernel has closed the
+// process's connections by then; minions need this long to notice.
+const restartLinger = time.Second
+
+// forgetAfter is how long a minion that left stays recorded, so that delayed
+// duplicates of its announcements don't bring it back.
+const forgetAfter = 10 * time.Minute
+
+// Allocator allocates the slots of one data centre's minions to its entry
+// instances. It runs on the leader of the data centre and is not safe for
+// concurrent use.
+//
+// It keeps each minion within its slots: for each entry instance and minion it
+// records an upper bound of the requests that may be in flight (the occupied
+// slots), and it grants only the slots that no entry instance occupies.
+type Allocator struct {
+	opts LeaseOptions
+
+	leading bool
+	term    uint64
+	// reserveEnds is when every grant of an earlier leader has expired and every
+	// request started under one has ended.
+	reserveEnds time.Duration
+	// unclaimed has the entry instances that have not claimed in this term yet.
+	unclaimed map[string]bool
+
+	minions    map[string]*minionRecord
+	byNumber   map[uint32]*minionRecord
+	list       []*minionRecord // all minions, ordered by number
+	lastNumber uint32
+	entries    map[string]*entryRecord
+	order      []string // entry instances, sorted
+}
+
+// minionRecord is the Allocator's record of one minion.
+type minionRecord struct {
+	Announcement
+	number uint32
+	// announced is false for a minion known from claims only.
+	announced   bool
+	lastHeardAt time.Duration
+	gone        bool
+	// version grows with each change that entry instances must learn of.
+	version uint64
+	// occupied is the sum of the occupied slots of all entry instances.
+	occupied int
+	// reserved is the number of slots that an earlier leader may have granted to
+	// entry instances that have not claimed yet.
+	reserved int
+}
+
+// usable reports whether the minion may get requests.
+func (m *minionRecord) usable() bool { return m.announced && !m.gone }
+
+// NewAllocator returns an Allocator that grants nothing until Lead.
+func NewAllocator(opts LeaseOptions) *Allocator {
+	a := &Allocator{opts: opts.withDefaults()}
+	a.reset()
+	return a
+}
+
+// reset clears all records.
+func (a *Allocator) reset() {
+	a.minions = make(map[string]*minionRecord)
+	a.byNumber = make(map[uint32]*minionRecord)
+	a.list = nil
+	a.lastNumber = 0
+	a.entries = make(map[string]*entryRecord)
+	a.order = nil
+	a.unclaimed = make(map[string]bool)
+}
+
+// Lead begins the leadership of a term. The caller must make sure that no leader
+// of an earlier term grants slots from now on. entries lists the entry instances
+// of the data centre; the reservation ends early once all of them have claimed.
+// With an empty list it lasts its whole time.
+//
+// Guards against overload of a minion: a new leader that grants slots granted to
+// another entry instance by the previous leader would exceed the minion's slots.
+// Slots that nobody has claimed stay reserved until the last lease of the
+// previous leader has expired and the requests started under it have ended.
+func (a *Allocator) Lead(term uint64, entries []string, now time.Duration) {
+	a.reset()
+	a.leading = true
+	a.term = term
+	a.reserveEnds = now + a.opts.Lease + a.opts.MaxRequest + a.opts.Drift
+	for _, entry := range entries {
+		a.unclaimed[entry] = true
+	}
+}
+
+// Resign ends the leadership: no request is answered until the next Lead.
+func (a *Allocator) Resign() { a.leading = false }
+
+// Term returns the term of the current or last leadership.
+func (a *Allocator) Term() uint64 { return a.term }
+
+// Announce records a minion's announcement. It ignores an announcement of an
+// earlier incarnation and one that would undo Leaving.
+func (a *Allocator) Announce(announcement Announcement, now time.Duration) {
+	m := a.ensureMinion(announcement.Minion, now)
+	if m.announced && announcement.Incarnation < m.Incarnation {
+		return
+	}
+	sameProcess := m.announced && announcement.Incarnation == m.Incarnation
+	if sameProcess && m.Leaving {
+		return
+	}
+	changed := !sameProcess || m.gone || announcement != m.Announcement
+	addedSlots := announcement.Slots - m.Slots
+	m.Announcement = announcement
+	m.announced = true
+	m.lastHeardAt = now
+	m.gone = announcement.Leaving
+	if changed {
+		m.version++
+	}
+	a.reserveSlots(m, addedSlots, now)
+}
+
+// reserveSlots reserves the slots that an announcement adds and that an earlier
+// leader may have granted.
+func (a *Allocator) reserveSlots(m *minionRecord, addedSlots int, now time.Duration) {
+	if !a.reserveInForce(now) {
+		return
+	}
+	if m.version == 1 {
+		m.reserved = max(0, m.Slots-m.occupied)
+		return
+	}
+	m.reserved = min(m.reserved+max(0, addedSlots), m.Slots)
+}
+
+// Leave takes a minion out of use for the rest of its incarnation.
+func (a *Allocator) Leave(minion string, incarnation uint64, now time.Duration) {
+	m, ok := a.minions[minion]
+	if !ok || !m.announced || incarnation < m.Incarnation {
+		return
+	}
+	m.Incarnation = incarnation
+	m.Leaving = true
+	m.lastHeardAt = now
+	a.retire(m)
+}
+
+// retire takes a minion out of use. Later responses report it as gone.
+func (a *Allocator) retire(m *minionRecord) {
+	if m.gone {
+		return
+	}
+	m.gone = true
+	m.version++
+}
+
+// ensureMinion returns the record of a minion and creates it if there is none.
+func (a *Allocator) ensureMinion(name string, now time.Duration) *minionRecord {
+	if m, ok := a.minions[name]; ok {
+		return m
+	}
+	a.lastNumber++
+	m := &minionRecord{number: a.lastNumber, lastHeardAt: now}
+	m.Minion = name
+	a.minions[name] = m
+	a.byNumber[m.number] = m
+	a.list = append(a.list, m)
+	return m
+}
+
+// reserveInForce reports whether slots of an earlier leader are still reserved.
+func (a *Allocator) reserveInForce(now time.Duration) bool { return now < a.reserveEnds }
+
+// Allocate answers a slot request of an entry instance. On ErrNotLeading,
+// ErrHigherTerm and ErrStale there is no response to send.
+func (a *Allocator) Allocate(req SlotRequest, now time.Duration) (SlotResponse, error) {
+	if !a.leading {
+		return SlotResponse{}, ErrNotLeading
+	}
+	if req.Term > a.term {
+		return SlotResponse{}, ErrHigherTerm
+	}
+	a.expire(now)
+	e, err := a.acceptRequest(req, now)
+	if err != nil {
+		return SlotResponse{}, err
+	}
+	a.applyAnnouncements(e, req.Announcements, now)
+	resync := SlotResponse{Term: a.term, Sequence: req.Sequence, Resync: true}
+	if req.Term != a.term {
+		return resync, nil
+	}
+	if !req.Full && !e.claimed {
+		return resync, nil
+	}
+	a.refreshAlive(req.Alive, now)
+	a.applyReport(e, req, now)
+	grants := a.allocate(e, now)
+	return a.respond(e, req, grants, now), nil
+}
+
+// acceptRequest returns the record of the sender. It returns ErrStale for
+// delayed and duplicate requests.
+//
+// Guards against freeing slots twice: a delayed duplicate of a request would
+// free slots that were granted since. Sequences only grow within an incarnation,
+// and incarnations only grow.
+func (a *Allocator) acceptRequest(req SlotRequest, now time.Duration) (*entryRecord, error) {
+	e, ok := a.entries[req.Entry]
+	if !ok {
+		e = newEntryRecord(req.Entry, req.Incarnation)
+		a.entries[req.Entry] = e
+		at, _ := slices.BinarySearch(a.order, req.Entry)
+		a.order = slices.Insert(a.order, at, req.Entry)
+	}
+	if req.Incarnation < e.incarnation {
+		return nil, ErrStale
+	}
+	if req.Incarnation > e.incarnation {
+		e.restart(req.Incarnation, now)
+		a.updateOccupied(e, now)
+	}
+	if req.Sequence <= e.sequence {
+		return nil, ErrStale
+	}
+	e.sequence = req.Sequence
+	e.lastRequestAt = now
+	return e, nil
+}
+
+// applyAnnouncements records announcements that an entry instance passes on and
+// makes the response send back the current announcements of these minions.
+func (a *Allocator) applyAnnouncements(e *entryRecord, announcements []Announcement, now time.Duration) {
+	for _, announcement := range announcements {
+		a.Announce(announcement, now)
+		e.sentAnnouncements[a.minions[announcement.Minion].number] = sentAnnouncement{}
+	}
+}
+
+// refreshAlive records that an entry instance has received announcements of the
+// minions with these numbers.
+func (a *Allocator) refreshAlive(numbers []uint32, now time.Duration) {
+	for _, number := range numbers {
+		m, ok := a.byNumber[number]
+		if ok && m.usable() {
+			m.lastHeardAt = now
+		}
+	}
+}
+
+// applyReport records the held slots, requests in flight and demand that a
+// request reports.
+func (a *Allocator) applyReport(e *entryRecord, req SlotRequest, now time.Duration) {
+	inFlight := make(map[uint32]int, len(req.Loads))
+	for _, load := range req.Loads {
+		inFlight[load.Number] = load.InFlight
+	}
+	e.adopt(req.Adopted)
+	if req.ReleaseAll {
+		// The sender uses no grant of any response any more.
+		e.grantSets = nil
+	}
+	if req.Full {
+		a.applyClaims(e, req, inFlight, now)
+	}
+	e.inFlight = inFlight
+	e.inFlightUntil = now + a.opts.MaxRequest + a.opts.Drift
+	e.demand = make(map[string]int, len(req.Demands))
+	for _, demand := range req.Demands {
+		e.demand[demand.Service] = demand.Wanted
+	}
+	e.draining = req.ReleaseAll
+	a.updateOccupied(e, now)
+}
+
+// applyClaims records the slots that an entry instance holds by grants of an
+// earlier term. The request names this term, so the entry instance accepts no
+// more responses of earlier terms, and the claim is final.
+func (a *Allocator) applyClaims(e *entryRecord, req SlotRequest, inFlight map[uint32]int, now time.Duration) {
+	held := make(map[uint32]int, len(req.Claims))
+	for _, c := range req.Claims {
+		m := a.ensureMinion(c.Minion, now)
+		held[m.number] = c.Held
+		inFlight[m.number] = c.InFlight
+		if !e.claimed {
+			m.reserved = max(0, m.reserved-max(c.Held, c.InFlight))
+		}
+	}
+	e.sentAnnouncements = make(map[uint32]sentAnnouncement)
+	e.grantSets = append([]grantSet{a.newGrantSet(req.Adopted, held, now)}, e.grantSets...)
+	e.claimed = true
+	a.markClaimed(e.id, now)
+}
+
+// markClaimed shortens the reservation to restartLinger from now once every entry
+// instance has claimed.
+func (a *Allocator) markClaimed(entry string, now time.Duration) {
+	if !a.unclaimed[entry] {
+		return
+	}
+	delete(a.unclaimed, entry)
+	if len(a.unclaimed) == 0 {
+		a.reserveEnds = min(a.reserveEnds, now+restartLinger)
+	}
+}
+
+// newGrantSet returns the record of a response sent at now.
+func (a *Allocator) newGrantSet(sequence uint64, slots map[uint32]int, now time.Duration) grantSet {
+	ends := now + a.opts.Lease + a.opts.Drift
+	return grantSet{sequence: sequence, slots: slots, freeAt: ends + a.opts.MaxRequest}
+}
+
+// expire updates everything that depends on the time: occupied and reserved
+// slots, minions without announcements and old records.
+func (a *Allocator) expire(now time.Duration) {
+	for _, id := range a.order {
+		e := a.entries[id]
+		if e.nextFreeAt <= now {
+			a.updateOccupied(e, now)
+		}
+	}
+	reserved := a.reserveInForce(now)
+	kept := a.list[:0]
+	for _, m := range a.list {
+		if !reserved {
+			m.reserved = 0
+		}
+		if m.announced && now-m.lastHeardAt > a.opts.MinionTTL {
+			a.retire(m)
+		}
+		if !m.usable() && m.occupied == 0 && now-m.lastHeardAt > forgetAfter {
+			a.forget(m)
+			continue
+		}
+		kept = append(kept, m)
+	}
+	clear(a.list[len(kept):])
+	a.list = kept
+}
+
+// forget deletes the record of a minion.
+func (a *Allocator) forget(m *minionRecord) {
+	delete(a.minions, m.Minion)
+	delete(a.byNumber, m.number)
+	for _, e := range a.entries {
+		delete(e.sentAnnouncements, m.number)
+	}
+}
+
+// Minions returns the announcements of the usable minions.
+func (a *Allocator) Minions() []Announcement {
+	var live []Announcement
+	for _, m := range a.list {
+		if m.usable() {
+			live = append(live, m.Announcement)
+		}
+	}
+	return live
+}
+
+// Occupied returns the upper bound of requests in flight on a minion.
+func (a *Allocator) Occupied(minion string) int {
+	if m, ok := a.minions[minion]; ok {
+		return m.occupied
+	}
+	return 0
+}
--- a/routing/load_cases_test.go
+++ b/routing/load_cases_test.go
@@ -8,40 +8,46 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
+// restartEntry stops an entry instance and starts it again after 1 s.
 func restartEntry(r *loadRun) {
 	e := r.entries[0]
 	e.up = false
 	r.at(r.now+time.Second, func() { r.startEntry(e) })
 }
 
+// loseEntry stops an entry instance for good.
 func loseEntry(r *loadRun) { r.entries[0].up = false }
 
-// loseLeader has nobody divide for 3 s, until a leader without memory does.
+// loseLeader stops the leader; after 3 s a new leader without state takes over.
 func loseLeader(r *loadRun) {
 	r.leader = false
 	r.at(r.now+3*time.Second, func() {
 		r.leader = true
-		r.divider = routing.NewAllocator(routing.LeaseOptions{})
+		r.allocator = routing.NewAllocator(routing.LeaseOptions{})
 		var ids []string
 		for _, e := range r.entries {
 			ids = append(ids, e.id)
 		}
-		r.divider.Lead(2, ids, r.now)
+		r.allocator.Lead(2, ids, r.now)
 	})
 }
 
+// loseLeaderAndEntry stops the leader and an entry instance at the same time.
 func loseLeaderAndEntry(r *loadRun) {
 	loseEntry(r)
 	loseLeader(r)
 }
 
+// removeHalfOfMinions makes half of the minions leave.
 func removeHalfOfMinions(r *loadRun) {
-	for _, m := range r.order[:len(r.order)/2] {
+	for _, m := range r.minionList[:len(r.minionList)/2] {
 		m.Leaving = true
-		r.divider.Leave(m.Minion, m.Incarnation, r.now)
+		r.allocator.Leave(m.Minion, m.Incarnation, r.now)
 	}
 }
 
+// BenchmarkLoad simulates overload, faults, lost processes, a customer flood and
+// the policies, and reports the served load.
 func BenchmarkLoad(b *testing.B) {
 	var cases []loadCase
 	for _, load := range []float64{0.5, 1, 2, 3, 5} {
--- a/routing/load_test.go
+++ b/routing/load_test.go
@@ -13,6 +13,8 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
+// Durations and sizes of the simulation. The system runs without faults from
+// warmUp to faultAt.
 const (
 	loadSeed            = 7
 	loadSlots           = 8
@@ -21,32 +23,34 @@
 	faultAt             = 8 * time.Second
 	loadEnd             = 20 * time.Second
 	warmUp              = 4 * time.Second
-	oneWay              = time.Millisecond
+	oneWayDelay         = time.Millisecond
 	slotRequestInterval = 500 * time.Millisecond
 	minSlotRequestGap   = 100 * time.Millisecond
 	announceInterval    = time.Second
-	// callOverheadBytes is what one small call costs beside its two messages, over HTTP/2.
+	// callOverheadBytes is the overhead of one small call over HTTP/2, without
+	// its two messages.
 	callOverheadBytes = 25
 	maxCallerRetries  = 2
 )
 
-// loadCase is one run.
+// loadCase is the configuration of one run.
 type loadCase struct {
 	name     string
 	entries  int
 	minions  int
-	load     float64 // offered work over the capacity of the minions
+	load     float64 // offered load as a multiple of the minions' capacity
 	policy   routing.Policy
 	baseline bool
-	// fault is given to the first faulty minions at faultAt.
+	// fault is injected into the first faulty minions at faultAt.
 	fault  minionFault
 	faulty int
-	// event happens at faultAt.
+	// event runs at faultAt.
 	event func(*loadRun)
-	// flood is the part of the requests that one customer sends.
+	// flood is the fraction of the requests that one customer sends.
 	flood float64
 }
 
+// minionFault is a fault of a simulated minion.
 type minionFault uint8
 
 const (
@@ -57,14 +61,16 @@
 	gone
 )
 
+// loadMinion is a simulated minion.
 type loadMinion struct {
 	routing.Announcement
 	fault   minionFault
 	busy    int
 	maxBusy int
-	queue   []*loadRequest // baseline only: the minion's own backlog
+	queue   []*loadRequest // the minion's own queue; baseline only
 }
 
+// loadEntry is a simulated entry instance.
 type loadEntry struct {
 	id                string
 	incarnation       uint64
@@ -74,6 +80,7 @@
 	nextSlotRequestAt time.Duration
 }
 
+// loadRequest is one request of a simulated caller.
 type loadRequest struct {
 	customer   string
 	retries    int
@@ -88,15 +95,15 @@
 // loadRun is a discrete event simulation.
 type loadRun struct {
 	loadCase
-	rng     *rand.Rand
-	now     time.Duration
-	events  eventHeap
-	count   int
-	divider *routing.Allocator
-	leader  bool
-	entries []*loadEntry
-	minions map[string]*loadMinion
-	order   []*loadMinion
+	rng        *rand.Rand
+	now        time.Duration
+	events     eventHeap
+	eventCount int
+	allocator  *routing.Allocator
+	leader     bool
+	entries    []*loadEntry
+	minions    map[string]*loadMinion
+	minionList []*loadMinion
 
 	offered, good, otherOffered, otherGood int
 	refused, late, lost                    int
@@ -106,17 +113,19 @@
 	lastSendAfterLeave                     time.Duration
 }
 
+// loadEvent is a function that runs at a simulated time.
 type loadEvent struct {
-	at    time.Duration
-	order int
-	do    func()
+	at       time.Duration
+	sequence int
+	do       func()
 }
 
+// eventHeap orders events by time, then by insertion.
 type eventHeap []loadEvent
 
 func (h eventHeap) Len() int { return len(h) }
 func (h eventHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || (h[i].at == h[j].at && h[i].order < h[j].order)
+	return h[i].at < h[j].at || (h[i].at == h[j].at && h[i].sequence < h[j].sequence)
 }
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *eventHeap) Push(x any)   { *h = append(*h, x.(loadEvent)) }
@@ -127,21 +136,23 @@
 	return last
 }
 
+// at schedules a function.
 func (r *loadRun) at(t time.Duration, do func()) {
-	r.count++
-	heap.Push(&r.events, loadEvent{at: t, order: r.count, do: do})
+	r.eventCount++
+	heap.Push(&r.events, loadEvent{at: t, sequence: r.eventCount, do: do})
 }
 
+// newLoadRun returns a simulation with its first events scheduled.
 func newLoadRun(c loadCase) *loadRun {
 	r := &loadRun{
-		loadCase: c,
-		rng:      rand.New(rand.NewPCG(loadSeed, 0)),
-		minions:  make(map[string]*loadMinion),
-		waits:    hdrhistogram.New(1, 60_000_000, 3),
-		divider:  routing.NewAllocator(routing.LeaseOptions{}),
-		leader:   true,
-	}
-	r.divider.Lead(1, nil, -time.Hour)
+		loadCase:  c,
+		rng:       rand.New(rand.NewPCG(loadSeed, 0)),
+		minions:   make(map[string]*loadMinion),
+		waits:     hdrhistogram.New(1, 60_000_000, 3),
+		allocator: routing.NewAllocator(routing.LeaseOptions{}),
+		leader:    true,
+	}
+	r.allocator.Lead(1, nil, -time.Hour)
 	for i := range c.minions {
 		name := fmt.Sprintf("naas-hall-m%d", i)
 		a := routing.Announcement{
@@ -150,7 +161,7 @@
 		}
 		m := &loadMinion{Announcement: a}
 		r.minions[name] = m
-		r.order = append(r.order, m)
+		r.minionList = append(r.minionList, m)
 		r.at(time.Duration(i)*announceInterval/time.Duration(c.minions), func() { r.announce(m) })
 	}
 	for i := range c.entries {
@@ -163,6 +174,7 @@
 	return r
 }
 
+// startEntry starts a new process of an entry instance.
 func (r *loadRun) startEntry(e *loadEntry) {
 	e.incarnation++
 	e.up = true
@@ -172,8 +184,9 @@
 	r.sendSlotRequest(e, e.balancer)
 }
 
+// injectFault injects the fault and runs the event of the case.
 func (r *loadRun) injectFault() {
-	for _, m := range r.order[:r.faulty] {
+	for _, m := range r.minionList[:r.faulty] {
 		m.fault = r.fault
 	}
 	if r.event != nil {
@@ -181,6 +194,7 @@
 	}
 }
 
+// announce sends a minion's announcement to all entry instances, periodically.
 func (r *loadRun) announce(m *loadMinion) {
 	if m.fault != gone {
 		for _, e := range r.entries {
@@ -193,14 +207,15 @@
 	r.at(r.now+announceInterval, func() { r.announce(m) })
 }
 
-// share is the loop of slot requests of one entry process.
+// sendSlotRequest sends a slot request of one entry process, and the next one
+// after slotRequestInterval.
 func (r *loadRun) sendSlotRequest(e *loadEntry, b *routing.Balancer) {
 	if e.balancer != b || !e.up {
 		return
 	}
 	e.nextSlotRequestAt = r.now + slotRequestInterval
 	req := b.NextSlotRequest(r.now)
-	r.at(r.now+oneWay, func() { r.handleSlotRequest(e, b, req) })
+	r.at(r.now+oneWayDelay, func() { r.handleSlotRequest(e, b, req) })
 	r.at(e.nextSlotRequestAt, func() {
 		if e.nextSlotRequestAt <= r.now {
 			r.sendSlotRequest(e, b)
@@ -208,11 +223,12 @@
 	})
 }
 
+// handleSlotRequest answers a slot request at the leader.
 func (r *loadRun) handleSlotRequest(e *loadEntry, b *routing.Balancer, req routing.SlotRequest) {
 	if !r.leader {
 		return
 	}
-	resp, err := r.divider.Allocate(req, r.now)
+	resp, err := r.allocator.Allocate(req, r.now)
 	if err != nil {
 		return
 	}
@@ -220,9 +236,10 @@
 		r.bytes += callOverheadBytes + proto.Size(proxy.RequestToWire(req)) + callOverheadBytes + proto.Size(proxy.ResponseToWire(resp))
 		r.calls++
 	}
-	r.at(r.now+oneWay, func() { r.handleSlotResponse(e, b, resp) })
+	r.at(r.now+oneWayDelay, func() { r.handleSlotResponse(e, b, resp) })
 }
 
+// handleSlotResponse processes a slot response at the entry process.
 func (r *loadRun) handleSlotResponse(e *loadEntry, b *routing.Balancer, resp routing.SlotResponse) {
 	if e.balancer != b || !e.up {
 		return
@@ -237,7 +254,8 @@
 	}
 }
 
-// nextGap is the rule of internal/proxy.
+// nextGap returns the minimum time between two slot requests, by the same rule
+// as internal/proxy.
 func nextGap(gap time.Duration, grew bool) time.Duration {
 	if grew {
 		return max(minSlotRequestGap, gap/4)
@@ -245,9 +263,10 @@
 	return min(slotRequestInterval, max(minSlotRequestGap, 2*gap))
 }
 
-// arrive is one new caller; the next comes after an exponential time.
+// arrive creates a new caller and schedules the next one after an exponentially
+// distributed time.
 func (r *loadRun) arrive() {
-	rate := r.load * float64(len(r.order)*loadSlots) / meanService.Seconds()
+	rate := r.load * float64(len(r.minionList)*loadSlots) / meanService.Seconds()
 	r.at(r.now+time.Duration(r.rng.ExpFloat64()/rate*float64(time.Second)), r.arrive)
 	q := &loadRequest{customer: fmt.Sprint("c", r.rng.IntN(4)), idempotent: r.rng.IntN(2) == 0}
 	if r.rng.Float64() < r.flood {
@@ -262,8 +281,10 @@
 	r.send(q)
 }
 
+// measured reports whether the current time counts in the results.
 func (r *loadRun) measured() bool { return r.now >= warmUp && r.now < loadEnd }
 
+// send submits a request to a random live entry instance.
 func (r *loadRun) send(q *loadRequest) {
 	q.arrived = r.now
 	q.deadline = r.now + loadDeadline
@@ -283,6 +304,7 @@
 	r.expireWhenDue(q)
 }
 
+// expireWhenDue schedules the expiry of a queued request.
 func (r *loadRun) expireWhenDue(q *loadRequest) {
 	if q.ticket.State() != routing.Queued {
 		return
@@ -296,8 +318,11 @@
 	})
 }
 
+// alive reports whether the process that accepted the request still runs.
 func (q *loadRequest) alive() bool { return q.entry.up && q.entry.balancer == q.balancer }
 
+// collect handles the started and refused requests of an entry instance and
+// sends a slot request if one is due.
 func (r *loadRun) collect(e *loadEntry) {
 	for _, t := range e.balancer.TakeChanged() {
 		q := t.Tag.(*loadRequest)
@@ -313,15 +338,17 @@
 	}
 }
 
+// retryRefused lets the caller of a refused request retry after the delay.
 func (r *loadRun) retryRefused(q *loadRequest, after time.Duration) {
 	r.refused++
 	if q.retries >= maxCallerRetries || after == 0 {
 		return
 	}
-	back := &loadRequest{customer: q.customer, retries: q.retries + 1, idempotent: q.idempotent}
-	r.at(r.now+after, func() { r.send(back) })
+	retry := &loadRequest{customer: q.customer, retries: q.retries + 1, idempotent: q.idempotent}
+	r.at(r.now+after, func() { r.send(retry) })
 }
 
+// serviceTime draws the service time of a request on a minion.
 func (r *loadRun) serviceTime(m *loadMinion) time.Duration {
 	took := time.Duration(r.rng.ExpFloat64() * float64(meanService))
 	if m.fault == slow {
@@ -330,7 +357,7 @@
 	return took
 }
 
-// started carries a request to its minion.
+// started simulates a started request on its minion.
 func (r *loadRun) started(q *loadRequest, t *routing.Ticket) {
 	m := r.minions[q.balancer.Target(t).Minion]
 	attemptDeadline := q.balancer.AttemptDeadline(t)
@@ -342,15 +369,15 @@
 	}
 	switch m.fault {
 	case gone:
-		r.at(r.now+2*oneWay, func() { r.finished(q, routing.NotSent) })
+		r.at(r.now+2*oneWayDelay, func() { r.finished(q, routing.NotSent) })
 	case failing:
-		r.at(r.now+2*oneWay, func() { r.finished(q, routing.AnsweredFailure) })
+		r.at(r.now+2*oneWayDelay, func() { r.finished(q, routing.AnsweredFailure) })
 	case hanging:
 		m.requestStarted()
 		r.at(attemptDeadline, func() { m.busy--; r.finished(q, routing.TimedOut) })
 	default:
 		m.requestStarted()
-		end := r.now + 2*oneWay + r.serviceTime(m)
+		end := r.now + 2*oneWayDelay + r.serviceTime(m)
 		r.at(end, func() { m.busy-- })
 		if end > attemptDeadline {
 			r.at(attemptDeadline, func() { r.finished(q, routing.TimedOut) })
@@ -360,11 +387,13 @@
 	}
 }
 
+// requestStarted counts a request that the minion begins to process.
 func (m *loadMinion) requestStarted() {
 	m.busy++
 	m.maxBusy = max(m.maxBusy, m.busy)
 }
 
+// finished ends an attempt and retries it where allowed.
 func (r *loadRun) finished(q *loadRequest, o routing.Outcome) {
 	if !q.alive() {
 		return
@@ -384,6 +413,7 @@
 	r.collect(q.entry)
 }
 
+// done counts an answered request.
 func (r *loadRun) done(q *loadRequest) {
 	if r.now > q.deadline {
 		r.late++
@@ -399,10 +429,10 @@
 	}
 }
 
-// sendBaseline sends to a random minion, which queues by itself and works off
-// everything in order, wanted or not.
+// sendBaseline sends a request to a random minion, which processes its own queue
+// in order, expired requests included.
 func (r *loadRun) sendBaseline(q *loadRequest) {
-	m := r.order[r.rng.IntN(len(r.order))]
+	m := r.minionList[r.rng.IntN(len(r.minionList))]
 	switch {
 	case m.fault == gone || m.fault == failing || m.fault == hanging:
 		r.lost++
@@ -413,6 +443,7 @@
 	}
 }
 
+// serveBaseline processes a request and then the next one of the minion's queue.
 func (r *loadRun) serveBaseline(m *loadMinion, q *loadRequest) {
 	if r.measured() {
 		_ = r.waits.RecordValue(max(1, (r.now - q.arrived).Microseconds()))
@@ -429,12 +460,14 @@
 	})
 }
 
+// run runs the simulation to its end.
 func (r *loadRun) run() {
 	for r.now < loadEnd {
 		r.step()
 	}
 }
 
+// step runs the next event.
 func (r *loadRun) step() {
 	e := heap.Pop(&r.events).(loadEvent)
 	r.now = e.at
