--- a/dispatch/load_test.go
+++ b/dispatch/load_test.go
@@ -17,11 +17,11 @@
 func mixedLoad(load float64) []*replayKind {
 	ms := time.Millisecond
 	return []*replayKind{
-		{name: "recalc", worth: 12.9, rate: 3.81 * load, steps: 1.2, width: 20, widthCV: 0.8, maxWidth: 120, cores: 18, coresCV: 0.4, maxCores: 30, gb: 67, gbCV: 0.5, maxGB: 130,
+		{name: "recalc", value: 12.9, rate: 3.81 * load, steps: 1.2, width: 20, widthCV: 0.8, maxWidth: 120, cores: 18, coresCV: 0.4, maxCores: 30, gb: 67, gbCV: 0.5, maxGB: 130,
 			work: 6200 * ms, workCV: 0.5, objective: 1000 * ms, stretch: 2.2, priority: 1, gangShare: 1, checkpointingShare: 0.5, baseLatency: 702 * ms, perWorkerLatency: 10 * ms, ticketValidity: 2000 * ms, grantedShare: 0.3, failingShare: 0.05},
-		{name: "build", worth: 3.9, rate: 7.9 * load, steps: 1.5, width: 25, widthCV: 0.8, maxWidth: 150, cores: 6.9, coresCV: 0.45, maxCores: 21, gb: 14, gbCV: 0.6, maxGB: 43,
+		{name: "build", value: 3.9, rate: 7.9 * load, steps: 1.5, width: 25, widthCV: 0.8, maxWidth: 150, cores: 6.9, coresCV: 0.45, maxCores: 21, gb: 14, gbCV: 0.6, maxGB: 43,
 			work: 3400 * ms, workCV: 0.5, objective: 3000 * ms, stretch: 4, priority: 2, checkpointingShare: 0.8, baseLatency: 156 * ms, perWorkerLatency: 2340 * time.Microsecond, ticketValidity: 2000 * ms, grantedShare: 0.45, failingShare: 0.05},
-		{name: "lookup", worth: 0.391, rate: 110 * load, steps: 1, width: 3.2, widthCV: 0.8, maxWidth: 19, cores: 9.9, coresCV: 0.45, maxCores: 30, gb: 37, gbCV: 0.6, maxGB: 110,
+		{name: "lookup", value: 0.391, rate: 110 * load, steps: 1, width: 3.2, widthCV: 0.8, maxWidth: 19, cores: 9.9, coresCV: 0.45, maxCores: 30, gb: 37, gbCV: 0.6, maxGB: 110,
 			work: 800 * ms, workCV: 0.5, objective: 250 * ms, stretch: 1.5, gangShare: 0.3, baseLatency: 11700 * time.Microsecond, perWorkerLatency: 169 * time.Microsecond, ticketValidity: 2000 * ms, grantedShare: 0.7, failingShare: 0.05},
 	}
 }
@@ -91,7 +91,7 @@
 // seconds, asks for its tickets, and has its next turn when they have ended: none of 600
 // starts within a minute on an empty pool, and 19,200 questions are put.
 func TestStepsBeyondBoundStartBeforeTicketsExpire(t *testing.T) {
-	for _, behind := range []int{40, 600, 900} {
+	for _, waiting := range []int{40, 600, 900} {
 		kind := &replayKind{name: "behind", priority: 1, steps: 1, width: 1, maxWidth: 1, cores: 1, maxCores: 1, gb: 1, maxGB: 1, work: time.Second,
 			baseLatency: 195 * time.Millisecond, ticketValidity: 1500 * time.Millisecond, grantedShare: 0.25, stretch: 1}
 		huge := &replayKind{name: "ahead", steps: 1, width: 1, maxWidth: 1, cores: 65, maxCores: 65, gb: 1, maxGB: 1, work: time.Second,
@@ -101,13 +101,13 @@
 		for range 96 {
 			r.submit(huge)
 		}
-		for range behind {
+		for range waiting {
 			r.submit(kind)
 		}
 		for r.now < time.Minute && len(r.jobs) > 96 {
 			r.decide()
 			r.advance()
 		}
-		must.SliceLen(t, 96, r.jobs, must.Sprintf("%d behind: %d questions", behind, r.queries))
+		must.SliceLen(t, 96, r.jobs, must.Sprintf("%d behind: %d questions", waiting, r.queries))
 	}
 }
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -116,7 +116,7 @@
 
 func TestPermits(t *testing.T) {
 	valid := Permit{Granted: true, Ticket: "t", Expires: time.Second}
-	ended := Permit{Granted: true, Ticket: "t"}
+	expired := Permit{Granted: true, Ticket: "t"}
 	for _, c := range []struct {
 		name    string
 		step    Step
@@ -131,11 +131,11 @@
 			workers: workers(4, 9), want: []string{"a/0@w0"}},
 		{name: "a refused worker is never used", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": {}, "w1": {}}),
 			workers: workers(4, 9)},
-		{name: "an ended ticket is renewed where there is room", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": ended, "w1": ended}),
+		{name: "an ended ticket is renewed where there is room", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": expired, "w1": expired}),
 			workers: workers(1, 9), ask: []string{"w1"}, renewal: true},
-		{name: "no ticket is renewed without room", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": ended}),
+		{name: "no ticket is renewed without room", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": expired}),
 			workers: workers(1)},
-		{name: "unknown workers are asked about when they have room", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": ended}),
+		{name: "unknown workers are asked about when they have room", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": expired}),
 			workers: workers(1, 5), ask: []string{"w1"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -191,13 +191,13 @@
 func TestGangTicketsAreRenewedBeforeItFits(t *testing.T) {
 	gang := needsPermit(step("gang", 2, 4), map[string]Permit{"w0": {Granted: true}, "w1": {Granted: true}})
 	gang.Spec.Gang = true
-	asks := func(now time.Duration) int {
+	countQueries := func(now time.Duration) int {
 		list := workers(4, 0)
 		list[1].Releases = []Release{{At: time.Second, Resources: cores(4)}}
 		return len(Decide(now, []Step{gang}, list, limits).Queries)
 	}
-	must.Eq(t, 0, asks(0))
-	must.Eq(t, 1, asks(500*time.Millisecond))
+	must.Eq(t, 0, countQueries(0))
+	must.Eq(t, 1, countQueries(500*time.Millisecond))
 }
 
 // What a user sees: a late all-or-nothing job never ends, with most workers idle.
@@ -212,9 +212,9 @@
 	}
 	busy := workers(0, 16, 0)
 	busy[0].Releases = []Release{{At: time.Minute, Resources: cores(16)}}
-	asks := Decide(0, []Step{gang()}, busy, limits).Queries
-	must.SliceLen(t, 1, asks)
-	must.Eq(t, []string{"w1", "w2"}, asks[0].Workers)
+	queries := Decide(0, []Step{gang()}, busy, limits).Queries
+	must.SliceLen(t, 1, queries)
+	must.Eq(t, []string{"w1", "w2"}, queries[0].Workers)
 	full := workers(0, 0, 0)
 	full[0].Releases = []Release{{At: time.Minute, Resources: cores(16)}}
 	must.SliceEmpty(t, Decide(0, []Step{gang()}, full, limits).Queries, must.Sprint("nobody has room"))
@@ -268,7 +268,7 @@
 		change(&s)
 		return s
 	}
-	same, asIs := func(*Release) {}, func(*Step) {}
+	unchangedRun, unchangedStep := func(*Release) {}, func(*Step) {}
 	stopped := func(s Step, list []Worker) []string {
 		var got []string
 		for _, v := range Decide(0, []Step{s}, list, limits).Preemptions {
@@ -276,20 +276,20 @@
 		}
 		return got
 	}
-	must.Eq(t, []string{"v1/0@w1 for gang", "v1/1@w1 for gang"}, stopped(gang(asIs), full(same)))
-	must.SliceEmpty(t, stopped(gang(asIs), full(func(r *Release) { r.Preemptible = false })), must.Sprint("without checkpoints"))
-	must.SliceEmpty(t, stopped(gang(asIs), full(func(r *Release) { r.Priority = 1 })), must.Sprint("as urgent"))
-	must.SliceEmpty(t, stopped(gang(asIs), full(func(r *Release) { r.At = minPreemptWait })), must.Sprint("ending soon"))
-	must.SliceEmpty(t, stopped(gang(func(s *Step) { s.Lateness = 1 }), full(same)), must.Sprint("late anyway"))
-	must.SliceEmpty(t, stopped(gang(func(s *Step) { s.Pending = append(s.Pending, 3, 4, 5, 6, 7, 8, 9) }), full(same)), must.Sprint("not enough"))
-	must.Eq(t, []string{"v1/0@w1 for gang", "v2/0@w2 for gang"}, stopped(gang(func(s *Step) { s.Spec.MaxPerWorker = 1 }), full(same)))
+	must.Eq(t, []string{"v1/0@w1 for gang", "v1/1@w1 for gang"}, stopped(gang(unchangedStep), full(unchangedRun)))
+	must.SliceEmpty(t, stopped(gang(unchangedStep), full(func(r *Release) { r.Preemptible = false })), must.Sprint("without checkpoints"))
+	must.SliceEmpty(t, stopped(gang(unchangedStep), full(func(r *Release) { r.Priority = 1 })), must.Sprint("as urgent"))
+	must.SliceEmpty(t, stopped(gang(unchangedStep), full(func(r *Release) { r.At = minPreemptWait })), must.Sprint("ending soon"))
+	must.SliceEmpty(t, stopped(gang(func(s *Step) { s.Lateness = 1 }), full(unchangedRun)), must.Sprint("late anyway"))
+	must.SliceEmpty(t, stopped(gang(func(s *Step) { s.Pending = append(s.Pending, 3, 4, 5, 6, 7, 8, 9) }), full(unchangedRun)), must.Sprint("not enough"))
+	must.Eq(t, []string{"v1/0@w1 for gang", "v2/0@w2 for gang"}, stopped(gang(func(s *Step) { s.Spec.MaxPerWorker = 1 }), full(unchangedRun)))
 
-	ended := Permit{Granted: true}
-	plan := Decide(0, []Step{needsPermit(gang(asIs), map[string]Permit{"w0": ended, "w1": ended, "w2": {}})}, full(same), limits)
+	expired := Permit{Granted: true}
+	plan := Decide(0, []Step{needsPermit(gang(unchangedStep), map[string]Permit{"w0": expired, "w1": expired, "w2": {}})}, full(unchangedRun), limits)
 	must.SliceEmpty(t, plan.Preemptions, must.Sprint("its tickets would have ended"))
 	must.Eq(t, []string{"w0", "w1"}, plan.Queries[0].Workers)
 	valid := Permit{Granted: true, Expires: time.Second}
-	plan = Decide(0, []Step{needsPermit(gang(asIs), map[string]Permit{"w0": valid, "w1": valid, "w2": {}})}, full(same), limits)
+	plan = Decide(0, []Step{needsPermit(gang(unchangedStep), map[string]Permit{"w0": valid, "w1": valid, "w2": {}})}, full(unchangedRun), limits)
 	must.SliceLen(t, 2, plan.Preemptions)
 }
 
--- a/dispatch/preempt.go
+++ b/dispatch/preempt.go
@@ -36,8 +36,8 @@
 	runs   []*Release
 	// cost is the room that the runs take, in thousandths of a core; unticketed
 	// says that a ticket has to be asked for first.
-	cost       int64
-	unticketed bool
+	cost        int64
+	needsTicket bool
 }
 
 // preemption looks for room for n tasks of s, on workers that may run it, by
@@ -82,7 +82,7 @@
 }
 
 func compareVictims(a, b *victimSet) int {
-	return cmp.Or(compareBools(a.unticketed, b.unticketed), cmp.Compare(a.cost, b.cost),
+	return cmp.Or(compareBools(a.needsTicket, b.needsTicket), cmp.Compare(a.cost, b.cost),
 		cmp.Compare(a.worker.Penalty, b.worker.Penalty), cmp.Compare(a.worker.ID, b.worker.ID))
 }
 
@@ -117,7 +117,7 @@
 // fitOneMore takes room for one more task of s out of scratch and yields, and says
 // what it costs; nil when there is none.
 func (p *planner) fitOneMore(s *Step, w, scratch *Worker, preemptible *[]*Release, placed int) *victimSet {
-	v := &victimSet{worker: w, unticketed: !p.mayStartOn(s, w)}
+	v := &victimSet{worker: w, needsTicket: !p.mayStartOn(s, w)}
 	if s.Spec.MaxPerWorker > 0 && s.Placed[w.ID]+placed >= s.Spec.MaxPerWorker {
 		return nil
 	}
@@ -161,7 +161,7 @@
 	ticketed := true
 	for i := range chosen {
 		p.reserveRoom(chosen[i].worker, s.Spec.Demand())
-		ticketed = ticketed && !chosen[i].unticketed && p.ticketOutlastsStops(s, chosen[i].worker)
+		ticketed = ticketed && !chosen[i].needsTicket && p.ticketOutlastsStops(s, chosen[i].worker)
 		if !slices.Contains(workers, chosen[i].worker) {
 			workers = append(workers, chosen[i].worker)
 		}
--- a/dispatch/stops_test.go
+++ b/dispatch/preempt_test.go
@@ -106,8 +106,8 @@
 func TestLongQueryNeedsLongQueryBudget(t *testing.T) {
 	bound := limits
 	bound.Queries, bound.LongQueries, bound.LongQueryTime = 1, 0, 150*time.Millisecond
-	ended := map[string]Permit{"w0": {Granted: true}, "w1": {Granted: true}}
-	gang := waitingGang("gang", 4, 4, ended)
+	expired := map[string]Permit{"w0": {Granted: true}, "w1": {Granted: true}}
+	gang := waitingGang("gang", 4, 4, expired)
 	short := needsPermit(step("short", 1, 4), nil)
 	short.Priority = 1
 	short.AnswerTime = func(int) time.Duration { return 20 * time.Millisecond }
--- a/dispatch/turns_test.go
+++ b/dispatch/query_test.go
@@ -76,11 +76,11 @@
 // Steps that always want to ask leave others a third of the questions, one question
 // a decision or many.
 func TestRoundRobinStepsGetTheirShareOfQueries(t *testing.T) {
-	for _, asks := range []int{1, 2, 5} {
+	for _, queries := range []int{1, 2, 5} {
 		sent := 0
 		for turn := range 60 {
 			bounded := limits
-			bounded.Queries, bounded.Round = asks, turn
+			bounded.Queries, bounded.Round = queries, turn
 			steps := []Step{}
 			for i := range 20 {
 				urgent := needsPermit(step(fmt.Sprintf("urgent%02d", i), 1, 2), map[string]Permit{"w0": {}})
@@ -89,7 +89,7 @@
 				steps = append(steps, urgent, other)
 			}
 			plan := Decide(0, steps, workers(9, 9), bounded)
-			must.SliceLen(t, asks, plan.Queries, must.Sprint("none is left unused"))
+			must.SliceLen(t, queries, plan.Queries, must.Sprint("none is left unused"))
 			must.SliceLen(t, len(steps), plan.Waiting)
 			for _, a := range plan.Queries {
 				if strings.HasPrefix(a.Step.Job, "other") {
@@ -97,22 +97,22 @@
 				}
 			}
 		}
-		must.Eq(t, 60*asks/roundRobinQueryDivisor, sent)
+		must.Eq(t, 60*queries/roundRobinQueryDivisor, sent)
 	}
 }
 
 // Guards against questions that nobody puts: no worker has room, and what is kept back for
 // steps in turn counted as not to be had.
 func TestAllQueriesAreSentOnFullPool(t *testing.T) {
-	for _, asks := range []int{1, 2, 5} {
+	for _, queries := range []int{1, 2, 5} {
 		for turn := range roundRobinQueryDivisor {
 			bounded := limits
-			bounded.Queries, bounded.Round = asks, turn
+			bounded.Queries, bounded.Round = queries, turn
 			var steps []Step
 			for i := range 20 {
 				steps = append(steps, needsPermit(step(fmt.Sprintf("s%02d", i), 1, 4), nil))
 			}
-			must.SliceLen(t, asks, Decide(0, steps, workers(1, 1), bounded).Queries)
+			must.SliceLen(t, queries, Decide(0, steps, workers(1, 1), bounded).Queries)
 		}
 	}
 }
--- a/dispatch/replay_jobs_test.go
+++ b/dispatch/replay_jobs_test.go
@@ -27,7 +27,7 @@
 	objective time.Duration
 	priority  int
 	// worth is that of a job of mean size.
-	worth float64
+	value float64
 	// gang, checkpointing, permitted and failing are shares: of the steps, of the steps,
 	// of the workers, of the runs.
 	gangShare, checkpointingShare, grantedShare, failingShare float64
@@ -133,9 +133,9 @@
 	}
 	sum := func(jobs []*replayJob) (owed, got float64) {
 		for _, j := range jobs {
-			worth := k.worth * min(4, 0.3+0.7*j.coreTime()/mean)
-			owed += worth
-			got += worth * j.earnedShare
+			value := k.value * min(4, 0.3+0.7*j.coreTime()/mean)
+			owed += value
+			got += value * j.earnedShare
 		}
 		return owed, got
 	}
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -172,8 +172,8 @@
 // playIncremental lets jobs come until a time, with decisions about fresh jobs every tick
 // between whole ones.
 func (r *replay) playIncremental(until, tick time.Duration) {
-	whole := r.decision
-	defer func() { r.decision = whole }()
+	fullInterval := r.decision
+	defer func() { r.decision = fullInterval }()
 	r.decision = tick
 	for next := r.now; r.now < until; r.advance() {
 		r.arrive(tick)
@@ -182,7 +182,7 @@
 			continue
 		}
 		r.decide()
-		next = r.now + whole
+		next = r.now + fullInterval
 	}
 }
 
@@ -298,15 +298,15 @@
 
 // start lets a task run.
 func (r *replay) start(j *replayJob, s Start) {
-	spec, whole := j.specs[s.Task.Step], j.works[s.Task.Step]
+	spec, work := j.specs[s.Task.Step], j.works[s.Task.Step]
 	w := slices.IndexFunc(r.workers, func(w Worker) bool { return w.ID == s.Worker })
 	r.workers[w].Free = r.workers[w].Free.Minus(spec.Demand())
-	rest := 1 - j.saved[s.Task]
-	took := time.Duration(rest * float64(whole) * []float64{1, 1, 1.3}[w%3])
-	run := &replayRun{job: j, task: s.Task, worker: w, begin: r.now, end: r.now + took, duration: took,
-		expected: r.now + time.Duration(rest*float64(spec.EstimateMS)*1e6)}
+	remaining := 1 - j.saved[s.Task]
+	runTime := time.Duration(remaining * float64(work) * []float64{1, 1, 1.3}[w%3])
+	run := &replayRun{job: j, task: s.Task, worker: w, begin: r.now, end: r.now + runTime, duration: runTime,
+		expected: r.now + time.Duration(remaining*float64(spec.EstimateMS)*1e6)}
 	if !spec.Gang && r.random.Float64() < j.kind.failingShare {
-		run.fails, run.end = true, r.now+time.Duration(r.random.Float64()*float64(took))
+		run.fails, run.end = true, r.now+time.Duration(r.random.Float64()*float64(runTime))
 	}
 	r.runs[s.Task] = run
 	j.pending[s.Task.Step] = slices.DeleteFunc(j.pending[s.Task.Step], func(i int) bool { return i == s.Task.Index })
