--- a/workflow/crash_test.go
+++ b/workflow/crash_test.go
@@ -69,17 +69,17 @@
 func TestCrashCountsSurviveSnapshot(t *testing.T) {
 	c := newCrashSequence(t, smallStep(1))
 	c.end(c.startOnNewWorker(), OutcomeCrashed, SuspicionStrong)
-	var silent []Run
+	var unresolved []Run
 	for range maxStrongCrashes - 1 {
 		run := c.startOnNewWorker()
 		c.end(run, OutcomeLost, SuspicionStrong)
-		silent = append(silent, run)
+		unresolved = append(unresolved, run)
 	}
 	data, err := c.s.Snapshot()
 	must.NoError(t, err)
 	c.s, err = Restore(data)
 	must.NoError(t, err)
-	for _, run := range silent {
+	for _, run := range unresolved {
 		must.False(t, c.failed())
 		c.s.Apply(12, &Command{Gone: run.Worker, Crashed: true})
 	}
--- a/workflow/wave_test.go
+++ b/workflow/wave_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func maintenance(s *State, machine string, stage MaintenanceStage) {
+func recordMaintenance(s *State, machine string, stage MaintenanceStage) {
 	s.Apply(1, &Command{Maintenance: &Maintenance{Wave: 3, Machine: machine, Stage: stage, Worker: "w-" + machine}})
 }
 
@@ -20,10 +20,10 @@
 	s.Apply(1, &Command{Wave: &wave})
 	s.Apply(2, &Command{Wave: &Wave{ID: 3}})
 	must.Eq(t, wave, s.Wave(3).Wave, must.Sprint("the same ID is the same wave"))
-	maintenance(s, "m1", MaintenanceBegun)
-	maintenance(s, "m1", MaintenanceOrdered)
-	maintenance(s, "m2", MaintenanceOrdered)
-	maintenance(s, "stranger", MaintenanceBegun)
+	recordMaintenance(s, "m1", MaintenanceBegun)
+	recordMaintenance(s, "m1", MaintenanceOrdered)
+	recordMaintenance(s, "m2", MaintenanceOrdered)
+	recordMaintenance(s, "stranger", MaintenanceBegun)
 	must.False(t, s.Wave(3).Done())
 	data, err := s.Snapshot()
 	must.NoError(t, err)
@@ -31,7 +31,7 @@
 	must.NoError(t, err)
 	must.Eq(t, MaintenanceBegun, s.Wave(3).Maintenances["m1"].Stage)
 	must.MapLen(t, 2, s.Wave(3).Maintenances)
-	maintenance(s, "m2", MaintenanceNotNeeded)
+	recordMaintenance(s, "m2", MaintenanceNotNeeded)
 	must.True(t, s.Wave(3).Done())
 	must.Nil(t, s.Wave(4))
 }
