--- a/dispatch/backlog_test.go
+++ b/dispatch/backlog_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// largeLoad is what a pool of 1,100 workers gets: large gangs, builds with checkpoints and
-// urgent lookups, 0.88 of its cores on average.
+// largeLoad is the load of a pool of 1,100 workers: large gangs, builds with checkpoints and
+// urgent lookups, which take 0.88 of its cores on average.
 func largeLoad() (recalc, build, lookup *replayKind) {
 	ms := time.Millisecond
 	recalc = &replayKind{name: "recalc", value: 9.18, rate: 7.46, steps: 1.2, width: 32, widthCV: 0.6, maxWidth: 160, cores: 18, coresCV: 0.4, maxCores: 30,
@@ -23,11 +23,10 @@
 	return recalc, build, lookup
 }
 
-// What a user sees: after a burst urgent jobs are late for the rest of the day, beside a
-// quarter of the cores that is free.
-// Order: lookups come twice as often for four seconds; whole decisions are made every
-// 150 ms and have places for 128 steps.
-// Cause: behind a queue longer than that, each fresh job waited for two whole decisions.
+// Guards against a backlog that outlives its burst: with lookups coming at twice the rate for
+// four seconds, full decisions every 150 ms and a bound of 128 steps, each changed job beyond
+// the bound waited for two full decisions. Urgent jobs then stayed late although a quarter of
+// the cores was free.
 func TestBacklogOfBurstDrains(t *testing.T) {
 	const burstStart, burstEnd, usualRate, end = 8 * time.Second, 12 * time.Second, 156, 16 * time.Second
 	recalc, build, lookup := largeLoad()
@@ -41,8 +40,8 @@
 	steps, gangs := r.waiting()
 	t.Logf("waiting %d, gangs %d, free %.2f", steps, gangs, r.freeShare())
 	must.Less(t, r.limits.Steps, steps)
-	must.Less(t, 0.2, r.freeShare(), must.Sprint("what comes fills the pool"))
+	must.Less(t, 0.2, r.freeShare(), must.Sprint("the load fills the pool"))
 }
 
-// incrementalTick is the time between two decisions about fresh jobs.
+// incrementalTick is the time between two incremental decisions.
 const incrementalTick = 15 * time.Millisecond
--- a/dispatch/explain.go
+++ b/dispatch/explain.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Count is how many workers one reason keeps from running a task.
+// ReasonCount is the number of workers that one reason rules out for a task.
 type ReasonCount struct {
 	Reason  Reason
 	Workers int
-	// Example is one of them.
+	// Example is the ID of one of the workers.
 	Example string
 }
 
-// Explain counts the workers of the step's service by what keeps them from
-// running one more task of s now, the most frequent reason first. Workers that
-// could are counted under the empty reason.
+// Explain counts the workers of the step's service by what rules them out for one more task of
+// s now, the most frequent reason first. Workers that could run it are counted under the empty
+// reason.
 func Explain(now time.Duration, s *Step, workers []Worker, limits Limits) []ReasonCount {
 	p := &planner{now: now, limits: limits}
 	var counts []ReasonCount
@@ -38,7 +38,7 @@
 	return counts
 }
 
-// obstacle returns the first thing that keeps one more task of s off w.
+// obstacle returns the first reason that rules out w for one more task of s; empty for none.
 func (p *planner) obstacle(s *Step, w *Worker) Reason {
 	if reason := rejection(s, w); reason != "" {
 		return reason
--- a/dispatch/gang.go
+++ b/dispatch/gang.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// maxReservedGangs is how many gangs of a pool that don't fit now have room kept for them, by
-// the expected ends of what runs there: what is kept for more is nobody's for as long as
-// those ends don't come.
+// maxReservedGangs is how many gangs of a pool that don't fit now get a reservation, which
+// follows the expected ends of runs. Resources reserved for more gangs would lie idle while
+// runs outlast their expected ends.
 //
-// Load that it answers: dozens of gangs that wait among hundreds of workers, and ends that
-// come much earlier or later than expected. With room kept for many of them, a large part
-// of the cores is free all the time, and most gangs are late.
+// Dozens of gangs may wait among hundreds of workers whose runs end much earlier or later than
+// expected. With reservations for many of them a large part of the cores is always free, and
+// most gangs are late.
 const maxReservedGangs = 1
 
-// prepareGang has a gang that couldn't start learn of workers, renew its tickets where it
-// fits now, or else wait for room.
+// prepareGang handles a gang that couldn't start: it renews the tickets where the gang fits
+// now, or else reserves resources, preempts runs or queries more workers. It returns what the
+// gang waits for.
 func (p *planner) prepareGang(s *Step, granted, unknown []*Worker, left int) Reason {
 	if totalFitCount(s, granted) >= left {
 		return p.renewGangTickets(s, granted, left)
@@ -37,26 +38,26 @@
 	return waitReason(s, granted, left)
 }
 
-// renewGangTickets keeps the room on which a gang fits now until its tickets are there. They
-// are asked for on more workers than it needs: steps that go before it may take some of
-// the room meanwhile.
+// renewGangTickets reserves the resources on which a gang fits now until its tickets arrive. It
+// queries more workers than the gang needs, since steps that precede it may take some of the
+// resources meanwhile.
 func (p *planner) renewGangTickets(s *Step, granted []*Worker, left int) Reason {
 	if s.AwaitsAnswer {
 		p.reserve(s, fewestWorkersFor(s, withIDs(granted, s.Renewing), left), left)
 		return ReasonAwaitsAdviser
 	}
 	if !p.queryInParts(s, fewestWorkersFor(s, granted, int(wantedFreeFactor*float64(left))), true) {
-		// What is kept without a question would be nobody's.
+		// A reservation without a query would leave the resources idle.
 		return ReasonNoConnection
 	}
 	p.reserve(s, fewestWorkersFor(s, granted, left), left)
 	return ReasonAwaitsAdviser
 }
 
-// gangQueriesMore reports whether a gang asks about workers that nothing is known of: while
-// its permitted workers would hardly do if they were empty; while others have room and
-// what is kept for it is far off, or nothing is kept and it knows of few; and when others
-// promise enough room now.
+// gangQueriesMore reports whether a gang queries workers of unknown permission. It does while
+// its permitted workers would hardly hold it if they were empty; while others have free
+// resources and its reservation is far off, or it has none and knows few workers; and if the
+// others are likely to hold it now.
 func (p *planner) gangQueriesMore(s *Step, granted, unknown []*Worker, left int, reservation gangReservation) bool {
 	if len(unknown) == 0 {
 		return false
@@ -69,9 +70,8 @@
 	return far && worthQuerying(s, unknown) || likelyFits(s, granted, unknown, left)
 }
 
-// promising reports whether the room that is free now on permitted workers, and is
-// to be expected on unknown ones by the share that is permitted, holds the gang. It
-// isn't while no share is known.
+// likelyFits reports whether the gang fits into the free resources of the permitted workers and
+// those expected on unknown ones by the grant rate. It is false while no rate is known.
 func likelyFits(s *Step, granted, unknown []*Worker, left int) bool {
 	if s.GrantRate == 0 {
 		return false
@@ -81,29 +81,29 @@
 }
 
 const (
-	// minEmptyFactor times its tasks a gang's permitted workers must hold if they were
-	// empty: others take room there too.
+	// minEmptyFactor times its tasks is what the permitted workers of a gang must hold if they
+	// were empty, since other steps run there too.
 	minEmptyFactor = 2
-	// wantedEmptyFactor times its tasks they must hold while others have room. A question costs
-	// a second of one lane, but a gang that knows of few workers waits for room there
-	// while others are free.
+	// wantedEmptyFactor times its tasks is what they must hold while others have free
+	// resources. A query occupies an adviser connection for a second, but a gang that knows few
+	// workers waits for them while others are free.
 	wantedEmptyFactor = 8
-	// wantedFreeFactor times its tasks a gang's questions cover of the room that is free now:
-	// which workers are permitted differs from the average, and some room is taken
-	// until the answer comes.
+	// wantedFreeFactor times its tasks is how many tasks the queried workers of a gang must be
+	// expected to hold now: the grants differ from the average, and other steps take resources
+	// until the answer arrives.
 	wantedFreeFactor = 2.5
-	// maxGangQueries bounds the questions that a gang puts side by side. Each takes a lane
-	// for half a second and more.
+	// maxGangQueries bounds the queries that a gang sends in parallel. Each occupies an adviser
+	// connection for half a second and more.
 	maxGangQueries = 6
 )
 
-// gangWorkersToQuery names the workers that a gang asks about: permitted ones with room
-// for it, and of the unknown ones, those with room first, as many as are expected
-// to hold it by the share that the adviser permits.
+// gangWorkersToQuery returns the workers that a gang queries: permitted ones on which it fits,
+// then unknown ones, those with the most free resources first, until the expected grants hold
+// the gang.
 //
-// Load that it answers: gangs of dozens of tasks among hundreds of workers, of which a
-// quarter is permitted and a quarter is free. Of those that one question names a few are
-// both: a gang that asks one question after the other finds none of them free together.
+// With gangs of dozens of tasks among hundreds of workers, a quarter of them permitted and a
+// quarter free, few of the workers in one query are both. A gang that sends its queries one by
+// one never finds enough of them free at the same time.
 func (p *planner) gangWorkersToQuery(s *Step, granted, unknown []*Worker, left int) []*Worker {
 	chosen := fewestWorkersFor(s, granted, left)
 	freeFits, emptyFits := float64(totalFitCount(s, chosen)), float64(totalEmptyFitCount(s, granted))
@@ -121,8 +121,8 @@
 	return chosen
 }
 
-// queryInParts puts the question in parts of equal length, side by side, and reports
-// whether any is put.
+// queryInParts splits a query into parts of equal length, sends them in parallel and reports
+// whether any was sent.
 func (p *planner) queryInParts(s *Step, workers []*Worker, renewal bool) (sent bool) {
 	if len(workers) == 0 {
 		return false
@@ -134,9 +134,9 @@
 	return sent
 }
 
-// ticketsDue reports whether the tickets of the chosen workers must be asked for
-// now to be there when the gang fits. Asked for later, the room would lie idle
-// for as long as the adviser takes, which is half a second and more.
+// ticketsDue reports whether the tickets for the chosen workers must be queried now to be valid
+// when the gang fits. A later query would leave the resources idle for as long as the adviser
+// takes, half a second and more.
 func (p *planner) ticketsDue(s *Step, chosen []*Worker, when time.Duration) bool {
 	answered := p.now + s.AnswerTime(len(chosen))
 	if answered+p.limits.TicketMargin < when {
@@ -150,36 +150,36 @@
 	return false
 }
 
-// opening is room for one more task on a worker from a time on.
+// expectedFit is room for one more task on a worker from a point in time on.
 type expectedFit struct {
 	at     time.Duration
 	worker *Worker
 }
 
-// earmarkAhead is how long before a gang is expected to fit other steps begin to
-// avoid its workers.
+// earmarkAhead is how long before a gang is expected to fit other steps begin to avoid its
+// workers.
 const earmarkAhead = time.Second
 
-// gangReservation is the room that a gang waits for.
+// gangReservation describes the resources that a gang waits for.
 type gangReservation struct {
-	// preempted says that other runs are being stopped for it.
+	// preempted says that other runs are being stopped for the gang.
 	preempted bool
-	// kept says that what comes free is kept for it; chosen are the workers on which it
-	// is expected to fit, when is the time of that, 0 when it can't be told.
+	// reserved says that the gang is among those that get a reservation. It is expected to fit
+	// on workers from at on; at is 0 if that can't be predicted.
 	reserved bool
 	workers  []*Worker
 	at       time.Duration
 }
 
-// late reports whether a gang that room is kept for won't fit before long.
+// farOff reports whether a gang with a reservation won't fit soon.
 func (r gangReservation) farOff(now time.Duration) bool {
 	return r.reserved && (r.at == 0 || r.at > now+minPreemptWait)
 }
 
-// reserveOrPreempt sees to it that the first gangs that don't fit now find room for n tasks on
-// workers: by keeping what comes free or, where that takes long, by stopping less urgent
-// runs. Stops for all gangs that wait would place more of them, and cost the leader more
-// than that gains: a hundred stops and second starts a second.
+// reserveOrPreempt reserves resources that come free for the first gangs that don't fit now or,
+// where that takes long, stops less urgent runs for them. Preempting for all waiting gangs
+// would start more of them and cost the leader more than it gains: a hundred stops and restarts
+// a second.
 func (p *planner) reserveOrPreempt(s *Step, workers []*Worker, n int) gangReservation {
 	if p.reservedGangs[s.Service] >= maxReservedGangs {
 		return gangReservation{}
@@ -198,9 +198,9 @@
 	return gangReservation{reserved: true, workers: chosen, at: when}
 }
 
-// reserveExpected keeps room for a gang, by the expected ends of what runs there, from
-// the steps after s, and returns the workers and the time. Without it, small tasks
-// take each piece of room as it comes free, and the gang never finds enough at once.
+// reserveExpected reserves the resources of expected fits for a gang and returns the workers
+// and the time of the last fit. Without the reservation small tasks take resources as they come
+// free, and the gang never finds enough at once.
 func (p *planner) reserveExpected(s *Step, fits []expectedFit) ([]*Worker, time.Duration) {
 	n := len(fits)
 	var chosen []*Worker
@@ -218,8 +218,8 @@
 	return chosen, fits[n-1].at
 }
 
-// expectedGangFits lists when and where each of n tasks of s will fit, the soonest
-// first; nil when that can't be told of all.
+// expectedGangFits lists when and where each of n tasks of s will fit, the soonest first; nil
+// if that is unknown for one of them.
 func (p *planner) expectedGangFits(s *Step, workers []*Worker, n int) []expectedFit {
 	var fits []expectedFit
 	for _, w := range workers {
@@ -237,7 +237,7 @@
 	return fits[:n]
 }
 
-// openings lists when each of up to n tasks of s will fit on w.
+// expectedFits lists when each of up to n tasks of s will fit on w.
 func (p *planner) expectedFits(s *Step, w *Worker, n int) []expectedFit {
 	var list []expectedFit
 	free := *w
--- a/dispatch/gang_test.go
+++ b/dispatch/gang_test.go
@@ -8,14 +8,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// adviser answers the questions of a plan; which workers it permits is fixed.
+// adviser answers the queries of a plan from a fixed set of permitted workers.
 type adviser struct {
 	permitted map[string]bool
 	queries   int
 }
 
-// randomAdviser draws a share of the workers to be permitted, again until tasks of the
-// step fit there.
+// randomAdviser permits a random share of the workers, drawn until the tasks of the step fit on
+// them.
 func randomAdviser(random *rand.Rand, share float64, s *Step, pool []Worker, tasks int) *adviser {
 	for {
 		a := &adviser{permitted: map[string]bool{}}
@@ -32,6 +32,7 @@
 	}
 }
 
+// answer applies the answers to the queries of a plan to the permits of s.
 func (a *adviser) answer(s *Step, plan Plan) {
 	for _, query := range plan.Queries {
 		a.queries++
@@ -44,10 +45,10 @@
 	}
 }
 
-// A calm day with 350 workers of which three quarters are taken, in pieces. A gang of
-// 30 to 60 tasks is permitted on a quarter of the workers. It asked about 60 of them
-// at a time, 0.9 s each, and about no more once the 15 permitted ones seemed to come
-// free soon: one in five gangs came too late with a quarter of the pool free.
+// Guards against gangs that start late with a quarter of the pool free. Three quarters of 350
+// workers are occupied, in fragments, and a gang of 30 to 60 tasks is permitted on a quarter of
+// them. It queried 60 workers at a time, 0.9 s each, and no more once its 15 permitted ones
+// were expected to come free soon; one gang in five was late.
 func TestLargeGangQueriesEnoughWorkersInParallel(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -66,7 +67,7 @@
 			for ; rounds < 4; rounds++ {
 				list := workers(free...)
 				for i := range list {
-					// What runs there seems to end soon, and doesn't.
+					// The runs there are expected to end soon, but keep running.
 					list[i].Releases = []Release{{At: 300 * time.Millisecond, Resources: cores(16 - free[i])}}
 				}
 				plan := Decide(0, []Step{gang}, list, bounds)
@@ -81,7 +82,7 @@
 	}
 }
 
-// Where one question covers all workers, a gang puts one.
+// Guards against needless queries: if one query covers all workers, a gang sends only that.
 func TestGangInSmallPoolSendsOneQuery(t *testing.T) {
 	gang := step("a", 20, 4)
 	gang.Spec.Gang, gang.NeedsPermit, gang.GrantRate = true, true, 0.25
--- a/dispatch/load_test.go
+++ b/dispatch/load_test.go
@@ -12,8 +12,8 @@
 var replaySeeds = flag.Int("replay.seeds", 0, "how many seeds of the replayed load to play for its figures")
 var replayLoad = flag.Float64("replay.load", 1, "the replayed load, in multiples of the usual one")
 
-// mixedLoad is what a pool of 350 workers gets: large gangs, builds with checkpoints and
-// urgent lookups, 0.88 of its cores on average.
+// mixedLoad is the load of a pool of 350 workers: large gangs, builds with checkpoints and
+// urgent lookups, which take 0.88 of its cores on average.
 func mixedLoad(load float64) []*replayKind {
 	ms := time.Millisecond
 	return []*replayKind{
@@ -26,9 +26,9 @@
 	}
 }
 
-// The figures of the mixed load, by seed: of each kind the share in time and late, and of
-// its worth the shares earned by all, the largest tenth and the fifth below; what waits
-// when the traffic ends and 14 s later.
+// Prints figures of the mixed load for each seed: the share of jobs of each kind in time and
+// late; the shares of their value that all jobs, the largest tenth and the next fifth earned;
+// and the waiting steps when submissions end and 14 s later.
 func TestMixedLoadFigures(t *testing.T) {
 	for seed := range *replaySeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -47,20 +47,19 @@
 				o, g, shares := k.earned()
 				owed, got = owed+o, got+g
 				worst = min(worst, shares[0], shares[1], shares[2])
-				line += fmt.Sprintf("%s in time %.3f late %.3f worth %.3f | ", k.name,
+				line += fmt.Sprintf("%s in time %.3f late %.3f value %.3f | ", k.name,
 					float64(k.inTime)/float64(len(k.all)), float64(k.late)/float64(len(k.all)), shares)
 			}
-			t.Logf("%sworth %.3f worst %.3f free %.3f waiting %d gangs %d, 14 s later %d %d, free %.2f | asked %d %d preempted %d longest decision %v",
+			t.Logf("%svalue %.3f worst %.3f free %.3f waiting %d gangs %d, 14 s later %d %d, free %.2f | queries %d %d preempted %d longest decision %v",
 				line, got/owed, worst, free, steps, gangs, stepsLeft, gangsLeft, r.freeShare(), asked, r.queries-asked, r.preemptions, r.longestDecision)
 		})
 	}
 }
 
-// A caller hands a job in, a run of it fails, and it doesn't run again while more than a
-// third of the pool is free to the end: 39 gangs waited then with 55 % of the cores free
-// ("event=load free_milli_cpu=11918650 steps=39 tasks=1176 gangs=39"). The first twelve keep
-// room from all others by ends that don't come when they are expected, and those behind
-// them may not renew their tickets.
+// Guards against a failed job that doesn't run again although more than a third of the pool
+// stays free: 39 gangs waited with 55 % of the cores free ("event=load free_milli_cpu=11918650
+// steps=39 tasks=1176 gangs=39"). The first twelve reserved resources by expected ends that
+// runs didn't keep, and the gangs after them could not renew their tickets.
 func TestGangsStartWhenTwiceTheirRoomIsFree(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -80,16 +79,17 @@
 }
 
 const (
-	// drainTime is how long after the last job callers expect all that can run to
-	// run, maxIdleWait how long a job may have nothing running beside room for twice its
-	// tasks.
+	// drainTime is how long after the last submission every job that fits must be running.
+	// maxIdleWait is how long a job may have no run while twice the resources of its tasks are
+	// free.
 	drainTime   = 14 * time.Second
 	maxIdleWait = 3 * time.Second
 )
 
-// Hundreds of steps wait behind others that fit nowhere. Each has its turn every two
-// seconds, asks for its tickets, and has its next turn when they have ended: none of 600
-// starts within a minute on an empty pool, and 19,200 questions are put.
+// Guards against steps beyond the bound whose tickets always expire unused. Hundreds of steps
+// wait behind others that fit nowhere. Each is considered every two seconds, queries, and is
+// considered again after its tickets have expired: none of 600 starts within a minute on an
+// empty pool, and 19,200 queries are sent.
 func TestStepsBeyondBoundStartBeforeTicketsExpire(t *testing.T) {
 	for _, waiting := range []int{40, 600, 900} {
 		kind := &replayKind{name: "behind", priority: 1, steps: 1, width: 1, maxWidth: 1, cores: 1, maxCores: 1, gb: 1, maxGB: 1, work: time.Second,
@@ -108,6 +108,6 @@
 			r.decide()
 			r.advance()
 		}
-		must.SliceLen(t, 96, r.jobs, must.Sprintf("%d behind: %d questions", waiting, r.queries))
+		must.SliceLen(t, 96, r.jobs, must.Sprintf("%d steps beyond the bound, %d queries", waiting, r.queries))
 	}
 }
--- a/dispatch/permits.go
+++ b/dispatch/permits.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// preparePermits decides what to ask the adviser for the tasks of s that were not
-// started, reserves room for them where that helps, and says what they wait for.
+// preparePermits plans the queries for the remaining tasks of s, reserves resources for them
+// where that helps, and returns what they wait for.
 func (p *planner) preparePermits(s *Step, suitable []*Worker, left int) Reason {
 	if !s.NeedsPermit {
 		if s.Spec.Gang && p.reserveOrPreempt(s, suitable, left).preempted {
@@ -33,6 +33,7 @@
 	return waitReason(s, granted, left)
 }
 
+// waitReason says why s waits although it needs no further query.
 func waitReason(s *Step, granted []*Worker, left int) Reason {
 	if len(granted) == 0 {
 		return ReasonAllRefused
@@ -40,8 +41,8 @@
 	return roomReason(s, granted, left)
 }
 
-// split separates the workers that are known to be permitted from those that
-// nothing is known of.
+// splitByPermit returns the workers that are known to be permitted and those of unknown
+// permission.
 func (p *planner) splitByPermit(s *Step, suitable []*Worker) (granted, unknown []*Worker) {
 	for _, w := range suitable {
 		permit, known := s.Permits[w.ID]
@@ -55,9 +56,9 @@
 	return granted, unknown
 }
 
-// fewestWorkersFor returns permitted workers on which n tasks of s fit now, those with most
-// room first, or all that have room where they don't. A start there needs a valid
-// ticket.
+// fewestWorkersFor returns permitted workers on which n tasks of s fit now, those with the most
+// free resources first, or all on which a task fits if that isn't enough. A start there still
+// needs a valid ticket.
 func fewestWorkersFor(s *Step, granted []*Worker, n int) []*Worker {
 	var chosen []*Worker
 	room := 0
@@ -71,7 +72,7 @@
 	return chosen
 }
 
-// totalFitCount returns how many tasks of s the workers hold now.
+// totalFitCount returns how many tasks of s fit on the workers now.
 func totalFitCount(s *Step, workers []*Worker) int {
 	total := 0
 	for _, w := range workers {
@@ -91,7 +92,7 @@
 	return out
 }
 
-// worthQuerying reports whether workers of unknown permission are worth a question.
+// worthQuerying reports whether a query about the workers of unknown permission is worthwhile.
 func worthQuerying(s *Step, unknown []*Worker) bool {
 	if len(s.Permits) == 0 {
 		return len(unknown) > 0
@@ -99,8 +100,8 @@
 	return slices.ContainsFunc(unknown, func(w *Worker) bool { return fitCount(s, w) > 0 })
 }
 
-// totalEmptyFitCount returns how many tasks of s the workers would hold if they ran
-// nothing else.
+// totalEmptyFitCount returns how many tasks of s would fit on the workers if they ran nothing
+// else.
 func totalEmptyFitCount(s *Step, workers []*Worker) int {
 	total := 0
 	for _, w := range workers {
@@ -109,7 +110,7 @@
 	return total
 }
 
-// emptyFitCount returns how many tasks of s fit on w when it runs nothing else.
+// emptyFitCount returns how many tasks of s would fit on w if it ran nothing else.
 func emptyFitCount(s *Step, w *Worker) int {
 	n := s.Spec.Demand().FitCount(w.Capacity)
 	if s.Spec.MaxPerWorker > 0 {
@@ -118,14 +119,13 @@
 	return n
 }
 
-// workersToQuery names the workers to ask about: permitted ones that the tasks left need as
-// well, then unknown ones, those with room first. A step that is refused everywhere asks
-// about as many again as have refused it.
+// workersToQuery returns the workers to query: permitted ones that the remaining tasks need,
+// then unknown ones, those with the most free resources first. A step that all queried workers
+// refused queries as many again.
 //
-// Load that it answers: a step of dozens of tasks that is permitted on a dozen workers,
-// most of them full. Where one of these has room for one task it would ask for that
-// worker's ticket, start the task and ask again, one question after the other, while
-// workers that it knows nothing of are free.
+// A step of dozens of tasks may be permitted on a dozen workers, most of them full. If it
+// queried only a permitted worker with room for one task, it would renew that ticket, start the
+// task and query again, while unknown workers are free.
 func (p *planner) workersToQuery(s *Step, renew, unknown []*Worker) []*Worker {
 	chosen := renew
 	limit := p.limits.WorkersPerQuery
@@ -141,28 +141,26 @@
 	return chosen
 }
 
-// queryInParallel puts questions about workers side by side.
-//
-// Failure guarded against: a step that one worker in a hundred is permitted for asks about
-// a few after the other, and waits ten times as long in a pool that is ten times as large.
+// queryInParallel sends queries about the workers in parallel. Without it a step that one
+// worker in a hundred is permitted for queries a few at a time, and waits ten times as long in
+// a pool ten times as large.
 func (p *planner) queryInParallel(s *Step, workers []*Worker) {
 	for part := range slices.Chunk(workers, p.limits.WorkersPerQuery) {
 		p.query(s, part, false)
 	}
 }
 
-// mayQuery reports whether a lane is left for a question of s about n workers.
+// mayQuery reports whether an adviser connection is left for a query of s about n workers.
 func (p *planner) mayQuery(s *Step, n int) bool {
 	return p.limits.Queries > 0 && (p.limits.LongQueries > 0 || !p.isLong(s, n))
 }
 
-// isLong reports whether the adviser takes long to answer a question of s about n
-// workers.
+// isLong reports whether the adviser takes long to answer a query of s about n workers.
 func (p *planner) isLong(s *Step, n int) bool {
 	return p.limits.LongQueryTime > 0 && s.AnswerTime(n) > p.limits.LongQueryTime
 }
 
-// ask puts a question where a lane is left for it, and reports whether it does.
+// query plans a query if a connection is left for it, and reports whether it does.
 func (p *planner) query(s *Step, workers []*Worker, renewal bool) bool {
 	if !p.mayQuery(s, len(workers)) {
 		return false
@@ -179,7 +177,7 @@
 	return true
 }
 
-// named returns the workers whose IDs are listed.
+// withIDs returns the workers whose IDs are listed.
 func withIDs(workers []*Worker, ids []string) []*Worker {
 	var out []*Worker
 	for _, w := range workers {
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -8,39 +8,39 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// planner is the working copy of one decision.
+// planner is the working state of one decision.
 type planner struct {
 	now    time.Duration
 	limits Limits
-	// byService holds the workers of a pool; their Free shrinks as the plan grows.
+	// byService holds the workers of each pool. Their Free shrinks as the plan grows.
 	byService map[string][]*Worker
 	byID      map[string]*Worker
-	// headroom is the largest free room of a pool's workers in each resource; a pool
-	// that isn't in it has to be counted anew.
+	// headroom is the largest free amount of each resource on any worker of a pool. A missing
+	// entry is computed again.
 	headroom map[string]workflow.Resources
-	// unkept is the same if no room were kept for others.
+	// unreservedHeadroom is the same as if nothing were reserved.
 	unreservedHeadroom map[string]workflow.Resources
-	// keeps says that room is kept for others at all.
+	// hasReservations says that the plan has reserved resources.
 	hasReservations bool
-	// unticketed says that the step that was looked at last has room on a permitted
-	// worker whose ticket has ended.
+	// fitsWithoutTicket says that the last step for which candidates was called fits on a
+	// permitted worker whose ticket has expired.
 	fitsWithoutTicket bool
-	// reserved counts the gangs of a pool that room is kept for.
+	// reservedGangs counts the gangs of each pool that have a reservation.
 	reservedGangs map[string]int
 	// stopping are the runs that the plan stops.
 	stopping map[workflow.TaskKey]bool
-	// yielding is the least urgent priority of a pool's runs that may be stopped.
+	// preemptiblePriority is the least urgent priority of the preemptible runs of each pool.
 	preemptiblePriority map[string]int
-	// unasked are the steps that wait for a question, in order; reservedQueries of the questions, of
-	// which reservedLongQueries may be long, are kept back for them.
+	// queryWaiters are the steps that wait for a query, in order. reservedQueries of the
+	// queries, of which reservedLongQueries may be long, are held back for them.
 	queryWaiters                         []queryWaiter
 	reservedQueries, reservedLongQueries int
 	plan                                 Plan
 }
 
-// Decide plans starts and questions for steps on workers. Steps are taken in
-// order of lateness, priority and objective, copies last; what a step takes or
-// reserves is gone for those after it. The workers' Free is changed.
+// Decide plans starts and queries for steps on workers. Steps are considered in the order of
+// lateness, priority and objective, speculative copies last. What a step takes or reserves
+// isn't available to later ones. Decide changes the Free and Reserved fields of workers.
 func Decide(now time.Duration, steps []Step, workers []Worker, limits Limits) Plan {
 	p := &planner{
 		now: now, limits: limits, byService: map[string][]*Worker{}, byID: make(map[string]*Worker, len(workers)), headroom: map[string]workflow.Resources{},
@@ -72,7 +72,7 @@
 	return p.plan
 }
 
-// sortedByID returns workers in the order of their IDs.
+// sortedByID returns the workers in the order of their IDs.
 func sortedByID(workers []Worker) []*Worker {
 	order := make([]*Worker, len(workers))
 	for i := range workers {
@@ -82,17 +82,16 @@
 	return order
 }
 
-// roundRobinDivisor is the part of a bounded decision that goes to steps in turn, as a
-// divisor of the bound.
+// roundRobinDivisor is the divisor of a decision's bound that gives the number of steps taken
+// round robin instead of by urgency.
 const roundRobinDivisor = 4
 
-// selectSteps returns the steps that the decision may go into. Where there are more
-// than its bound, the most urgent ones take most of it, and those behind them the
-// rest in turn, so that none waits for ever behind others that can't start.
+// selectSteps returns the steps that the decision considers. If there are more than its bound,
+// most of the bound goes to the most urgent steps and the rest to the others round robin, so
+// that no step waits forever behind steps that can't start.
 //
-// Load that it answers: a queue of thousands of steps after an outage. A decision
-// that goes into all of them takes longer than tickets hold: nothing starts, and the
-// queue grows on.
+// Without the bound a backlog of thousands of steps after an outage makes a decision take
+// longer than tickets are valid: nothing starts, and the backlog keeps growing.
 func (p *planner) selectSteps(order []*Step) []*Step {
 	bound := p.limits.Steps
 	if bound <= 0 || len(order) <= bound {
@@ -110,14 +109,13 @@
 	return chosen
 }
 
-// turns returns up to n of the steps whose turn it is: half of them such as hold tickets,
-// the ones that end soonest before the others, a quarter in turn such as know of no worker
-// yet, and the rest in turn such as have no question under way.
+// roundRobin returns up to n steps from beyond the bound: up to half of them hold tickets,
+// those whose tickets expire soonest first; a quarter know of no worker yet; the rest have no
+// query in flight. The last two groups rotate.
 //
-// Failure guarded against: with 900 steps behind the bound each has its turn every 3 s,
-// asks, and has its next one when its tickets of 1.5 s have ended, so that hardly any starts
-// on an empty pool. With a place for those that hold tickets an answer is used by the next
-// decision.
+// Without the slots for ticket holders, each of 900 steps beyond the bound is considered every
+// 3 s, queries, and is considered again when its tickets of 1.5 s have expired, so that hardly
+// any starts on an empty pool. With them the next decision uses an answer.
 func (p *planner) roundRobin(rest []*Step, n int) []*Step {
 	var ticketed, unqueried, others []*Step
 	for _, s := range rest {
@@ -134,12 +132,12 @@
 	slices.SortStableFunc(ticketed, func(a, b *Step) int { return cmp.Compare(a.TicketsExpire, b.TicketsExpire) })
 	chosen := slices.Clip(ticketed[:min(n/2, len(ticketed))])
 	chosen = append(chosen, takeCircular(unqueried, n/4*p.limits.Round, n-n/4-len(chosen))...)
-	// A quarter of the places is the others' at least, so a turn that moves on by as many
-	// passes none of them by.
+	// At least a quarter of n goes to the others, so an offset that advances by that much per
+	// decision skips none of them.
 	return append(chosen, takeCircular(others, (n-n/2-n/4)*p.limits.Round, n-len(chosen))...)
 }
 
-// takeCircular returns up to n of the steps from the first one on, in a circle.
+// takeCircular returns up to n of the steps, beginning at index first and wrapping around.
 func takeCircular(steps []*Step, first, n int) []*Step {
 	var chosen []*Step
 	for i := range min(n, len(steps)) {
@@ -148,22 +146,23 @@
 	return chosen
 }
 
-// countWaiting counts the steps of an order but for the copies at its end, whose tasks
-// run.
+// countWaiting counts the steps of an order without the speculative copies at its end, whose
+// tasks already run.
 func countWaiting(order []*Step) int {
 	n, _ := slices.BinarySearchFunc(order, true, func(s *Step, isCopy bool) int { return compareBools(s.Copy, isCopy) })
 	return n
 }
 
-// Before reports whether a decision takes a before b.
+// Before reports whether a decision considers a before b.
 func Before(a, b *Step) bool { return compareSteps(a, b) < 0 }
 
+// compareSteps orders steps as a decision considers them.
 func compareSteps(a, b *Step) int {
 	return cmp.Or(compareBools(a.Copy, b.Copy), cmp.Compare(a.Lateness, b.Lateness), cmp.Compare(a.Priority, b.Priority),
 		cmp.Compare(a.Due, b.Due), workflow.CompareSteps(a.Key, b.Key))
 }
 
-// compareBools puts false before true.
+// compareBools orders false before true.
 func compareBools(a, b bool) int {
 	switch {
 	case a == b:
@@ -175,6 +174,7 @@
 	}
 }
 
+// planStep starts what it can of s and queries or records a reason for the rest.
 func (p *planner) planStep(s *Step) {
 	if p.unschedulable(s) {
 		p.addWaiting(s, len(s.Pending), p.skipReason(s, len(s.Pending)))
@@ -196,7 +196,8 @@
 	p.prepareRest(s, left)
 }
 
-// seek sees to what the tasks of s that are left need before they can start.
+// prepareRest queries or reserves what the remaining tasks of s need before they can start, and
+// records why they wait.
 func (p *planner) prepareRest(s *Step, left int) {
 	suitable := filter(p.byService[s.Service], s)
 	if len(suitable) == 0 {
@@ -211,18 +212,18 @@
 	p.addWaiting(s, left, reason)
 }
 
-// blocked reports whether nothing more can be done for s in this decision: it has
-// to ask, no question may be put now, and no room is kept for it.
+// blocked reports whether nothing more can be done for s in this decision: it needs a query,
+// none may be sent now, and s can't get a reservation.
 //
-// Load that it answers: a queue that grows while all questions are under way, or all
-// the long ones that gangs put. Going through hundreds of workers for each step that
-// can't ask takes the time in which others would start, and the queue grows on.
+// Without this check, while all queries or all long queries of gangs are in flight, a decision
+// spends its time on hundreds of workers for each step that can't query, others start later,
+// and the backlog keeps growing.
 func (p *planner) blocked(s *Step) bool {
 	mayReserve := s.Spec.Gang && (p.reservedGangs[s.Service] < maxReservedGangs && len(s.Permits) > 0 || len(s.Renewing) > 0 || p.holdsTickets(s))
 	return s.NeedsPermit && !p.mayQuery(s, 1) && !mayReserve
 }
 
-// candidates returns the workers on which a task of s would be accepted and fits now.
+// candidates returns the workers on which a task of s fits and a start would be accepted now.
 func (p *planner) candidates(s *Step) []*Worker {
 	var list []*Worker
 	add := func(w *Worker) {
@@ -249,10 +250,9 @@
 	return list
 }
 
-// hopeless reports whether nothing can be done for s because no worker has room
-// for one of its tasks, and nothing is to be asked ahead of room. On a full
-// cluster that is nearly every step: with 500 queued steps and 48 workers a
-// decision takes a fifth of the time.
+// unschedulable reports whether nothing can be done for s because its tasks fit on no worker
+// and no query may be sent in advance. On a full cluster that is nearly every step: with 500
+// queued steps and 48 workers this check cuts a decision to a fifth of the time.
 func (p *planner) unschedulable(s *Step) bool {
 	mayQueryFirst := s.NeedsPermit && len(s.Permits) == 0 && p.limits.Queries+p.reservedQueries > 0
 	if mayQueryFirst || s.Spec.Gang && p.reservedGangs[s.Service] < maxReservedGangs {
@@ -261,6 +261,7 @@
 	return !s.Spec.Demand().Fits(p.headroomOf(s.Service))
 }
 
+// headroomOf returns the headroom of a pool.
 func (p *planner) headroomOf(service string) workflow.Resources {
 	headroom, counted := p.headroom[service]
 	if counted {
@@ -273,8 +274,7 @@
 	return headroom
 }
 
-// permitReason says why a step has no permitted worker, empty when it has or
-// needs none.
+// permitReason says why s has no permitted worker; empty when it has one or needs none.
 func (p *planner) permitReason(s *Step) Reason {
 	switch {
 	case !slices.ContainsFunc(p.byService[s.Service], func(w *Worker) bool { return eligible(s, w) }):
@@ -289,6 +289,7 @@
 	return ""
 }
 
+// anyGranted reports whether one of the permits is granted.
 func anyGranted(permits map[string]Permit) bool {
 	for _, permit := range permits {
 		if permit.Granted {
@@ -298,20 +299,22 @@
 	return false
 }
 
+// addWaiting records that tasks of s wait, and why.
 func (p *planner) addWaiting(s *Step, tasks int, reason Reason) {
 	if s.Copy {
-		// Its tasks run; only a second chance waits.
+		// The tasks already run; only their speculative copies wait.
 		return
 	}
 	p.plan.Waiting = append(p.plan.Waiting, Waiting{Step: s.Key, Tasks: tasks, Reason: reason, Label: s.Spec.Label})
 }
 
-// usable reports whether a start of s on w would be accepted now.
+// mayStartOn reports whether a start of s on w would be accepted now.
 func (p *planner) mayStartOn(s *Step, w *Worker) bool {
 	return !s.NeedsPermit || p.valid(s.Permits[w.ID])
 }
 
-// valid reports whether a permit holds until a start has reached the worker.
+// valid reports whether a permit is granted and stays valid until a start has reached the
+// worker.
 func (p *planner) valid(permit Permit) bool {
 	return permit.Granted && p.outlastsStart(permit.Expires)
 }
@@ -319,14 +322,14 @@
 // holdsTickets reports whether one of the tickets of s may be valid.
 func (p *planner) holdsTickets(s *Step) bool { return p.outlastsStart(s.TicketsExpire) }
 
-// outlastsStart reports whether a ticket that ends then holds until a start has reached the
-// worker.
+// outlastsStart reports whether a ticket that expires at end is valid until a start has reached
+// the worker.
 func (p *planner) outlastsStart(end time.Duration) bool { return end >= p.now+p.limits.TicketMargin }
 
-// copies returns how many further tasks of s fit on w.
+// fitCount returns how many more tasks of s fit on w.
 func fitCount(s *Step, w *Worker) int { return fitCountIn(s, w, w.Free) }
 
-// fitCountIn returns how many further tasks of s fit into room of w.
+// fitCountIn returns how many more tasks of s fit into the given free resources of w.
 func fitCountIn(s *Step, w *Worker, room workflow.Resources) int {
 	n := s.Spec.Demand().FitCount(room)
 	if s.Spec.MaxPerWorker > 0 {
@@ -335,8 +338,7 @@
 	return max(n, 0)
 }
 
-// startTasks starts what it can, one task after the other, and returns how many
-// are left.
+// startTasks starts as many tasks of s as possible, one by one, and returns how many remain.
 func (p *planner) startTasks(s *Step) int {
 	candidates := p.candidates(s)
 	for i, index := range s.Pending {
@@ -353,7 +355,7 @@
 	return 0
 }
 
-// startGang starts all tasks or none and returns how many are left.
+// startGang starts all tasks of s or none, and returns how many remain.
 func (p *planner) startGang(s *Step) int {
 	if !s.Spec.Demand().Fits(p.headroomOf(s.Service)) {
 		return len(s.Pending)
@@ -368,7 +370,7 @@
 	return 0
 }
 
-// gangWorkers returns a worker for each of n tasks, nil when they don't all fit.
+// gangWorkers returns a worker for each of n tasks, nil if they don't all fit.
 func gangWorkers(s *Step, usable []*Worker, n int) []*Worker {
 	if s.Spec.SameRack {
 		if chosen := oneRack(s, usable, n); chosen != nil {
@@ -378,7 +380,8 @@
 	return greedy(s, usable, n)
 }
 
-// greedy fills the workers with most room first.
+// greedy places n tasks on the workers with the most free resources first; nil if they don't
+// all fit.
 func greedy(s *Step, usable []*Worker, n int) []*Worker {
 	var chosen []*Worker
 	for w := range byRoom(s, usable) {
@@ -392,7 +395,7 @@
 	return nil
 }
 
-// oneRack looks for a rack that holds all n tasks.
+// oneRack places n tasks within one rack; nil if no rack holds them all.
 func oneRack(s *Step, usable []*Worker, n int) []*Worker {
 	racks := map[string][]*Worker{}
 	var names []string
@@ -411,11 +414,13 @@
 	return nil
 }
 
+// start plans the start of one task on w.
 func (p *planner) start(s *Step, index int, w *Worker) {
 	p.takeRoom(w, s.Spec.Demand())
 	w.plannedStarts++
 	if s.Suspects[index] {
-		// Nothing else is begun beside it until it has shown itself.
+		// No other task starts beside a crash suspect in this decision: the suspect must first
+		// show whether it crashes the worker.
 		p.takeRoom(w, w.Free)
 	}
 	delete(p.unreservedHeadroom, w.Service)
@@ -436,13 +441,13 @@
 	})
 }
 
-// takeRoom takes room of a worker from the steps that follow.
+// takeRoom makes resources of w unavailable to later steps.
 func (p *planner) takeRoom(w *Worker, room workflow.Resources) {
 	w.Free = w.Free.Minus(room)
 	delete(p.headroom, w.Service)
 }
 
-// reserve keeps room for n tasks of s away from the steps after it.
+// reserve reserves resources for n tasks of s, as far as they fit on the workers.
 func (p *planner) reserve(s *Step, workers []*Worker, n int) {
 	if p.limits.Disabled.Reservation {
 		return
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -56,45 +56,45 @@
 		want    []string
 		reason  Reason
 	}{
-		{name: "the fullest worker that fits", steps: []Step{step("a", 1, 2)}, workers: workers(16, 3), want: []string{"a/0@w1"}},
-		{name: "never over the free room", steps: []Step{step("a", 3, 2)}, workers: workers(4), want: []string{"a/0@w0", "a/1@w0"}, reason: ReasonNoRoom},
-		{name: "urgent work first", steps: []Step{
+		{name: "the fullest worker on which it fits", steps: []Step{step("a", 1, 2)}, workers: workers(16, 3), want: []string{"a/0@w1"}},
+		{name: "never beyond the free resources", steps: []Step{step("a", 3, 2)}, workers: workers(4), want: []string{"a/0@w0", "a/1@w0"}, reason: ReasonNoRoom},
+		{name: "more urgent step first", steps: []Step{
 			with(step("a", 1, 4), func(s *Step) { s.Priority = 1 }), step("b", 1, 4),
 		}, workers: workers(4), want: []string{"b/0@w0"}, reason: ReasonNoRoom},
-		{name: "late work last", steps: []Step{
+		{name: "late step last", steps: []Step{
 			with(step("a", 1, 4), func(s *Step) { s.Lateness = 1 }), with(step("b", 1, 4), func(s *Step) { s.Priority = 2 }),
 		}, workers: workers(4), want: []string{"b/0@w0"}, reason: ReasonNoRoom},
-		{name: "a gang whole", steps: []Step{gang(step("a", 3, 4))}, workers: workers(8, 4), want: []string{"a/0@w0", "a/1@w0", "a/2@w1"}},
-		{name: "a gang not in part", steps: []Step{gang(step("a", 3, 4))}, workers: workers(8), reason: ReasonNoRoom},
+		{name: "a gang starts whole", steps: []Step{gang(step("a", 3, 4))}, workers: workers(8, 4), want: []string{"a/0@w0", "a/1@w0", "a/2@w1"}},
+		{name: "a gang never starts in part", steps: []Step{gang(step("a", 3, 4))}, workers: workers(8), reason: ReasonNoRoom},
 		{name: "a gang within one rack", steps: []Step{with(gang(step("a", 2, 8)), func(s *Step) { s.Spec.SameRack = true })},
 			workers: workers(16, 0, 8, 8), want: []string{"a/0@w0", "a/1@w0"}},
-		{name: "a bound of tasks on a worker", steps: []Step{with(step("a", 2, 1), func(s *Step) { s.Spec.MaxPerWorker = 1 })},
+		{name: "maximum of tasks per worker", steps: []Step{with(step("a", 2, 1), func(s *Step) { s.Spec.MaxPerWorker = 1 })},
 			workers: workers(8, 9), want: []string{"a/0@w0", "a/1@w1"}},
-		{name: "near the data", steps: []Step{with(step("a", 1, 1), func(s *Step) { s.Spec.DataRack = "r1" })},
+		{name: "worker near the data", steps: []Step{with(step("a", 1, 1), func(s *Step) { s.Spec.DataRack = "r1" })},
 			workers: workers(2, 2, 9), want: []string{"a/0@w2"}},
-		{name: "a label that nobody has", steps: []Step{with(step("a", 1, 1), func(s *Step) { s.Spec.Label = "gpu" })},
+		{name: "no worker has the label", steps: []Step{with(step("a", 1, 1), func(s *Step) { s.Spec.Label = "gpu" })},
 			workers: workers(9), reason: ReasonNoWorker},
-		{name: "another service's workers", steps: []Step{with(step("a", 1, 1), func(s *Step) { s.Service = "t" })},
+		{name: "workers of another service", steps: []Step{with(step("a", 1, 1), func(s *Step) { s.Service = "t" })},
 			workers: workers(9), reason: ReasonNoWorker},
-		{name: "more than any worker has", steps: []Step{step("a", 1, 17)}, workers: workers(16), reason: ReasonNoWorker},
-		{name: "a copy beside its task on another worker only", steps: []Step{
+		{name: "demand exceeds every worker", steps: []Step{step("a", 1, 17)}, workers: workers(16), reason: ReasonNoWorker},
+		{name: "a copy runs on another worker than its task", steps: []Step{
 			with(step("a", 1, 2), func(s *Step) { s.Copy, s.Avoid = true, map[int]string{0: "w1"} }),
 		}, workers: workers(16, 3), want: []string{"a/0@w0"}},
-		{name: "a copy only in room that nothing else takes", steps: []Step{
+		{name: "a copy gets only resources that no other step takes", steps: []Step{
 			with(step("a", 1, 4), func(s *Step) { s.Copy = true }),
 			with(step("b", 1, 4), func(s *Step) { s.Priority, s.Lateness = 9, 2 }),
 		}, workers: workers(4), want: []string{"b/0@w0"}},
-		{name: "spare processors cost none", steps: []Step{with(step("a", 1, 9), func(s *Step) { s.Spec.UsesSpare = true })},
+		{name: "spare CPU costs no capacity", steps: []Step{with(step("a", 1, 9), func(s *Step) { s.Spec.UsesSpare = true })},
 			workers: workers(0), want: []string{"a/0@w0"}},
-		{name: "spare processors apart from serving tasks while there is room", steps: []Step{
+		{name: "spare CPU users apart from serving tasks while other workers are free", steps: []Step{
 			with(step("a", 1, 1), func(s *Step) { s.Spec.LatencyObjectiveMS = 50 }),
 			with(step("b", 2, 1), func(s *Step) { s.Spec.UsesSpare = true }),
 			with(step("c", 1, 1), func(s *Step) { s.Spec.LatencyObjectiveMS = 50 }),
 		}, workers: workers(9, 10), want: []string{"a/0@w0", "b/0@w1", "b/1@w1", "c/0@w0"}},
-		{name: "spare processors not where serving tasks leave nothing", steps: []Step{
+		{name: "no spare CPU user where serving tasks leave nothing", steps: []Step{
 			with(step("b", 1, 1), func(s *Step) { s.Spec.UsesSpare = true }),
 		}, workers: []Worker{{Worker: workers(9)[0].Worker, Free: cores(9), Serving: true, SpareShare: 9}}, reason: ReasonNoWorker},
-		{name: "spare processors where most are left", steps: []Step{
+		{name: "spare CPU user where most CPU is free", steps: []Step{
 			with(step("b", 1, 1), func(s *Step) { s.Spec.UsesSpare = true }),
 		}, workers: workers(3, 9), want: []string{"b/0@w1"}},
 	} {
@@ -125,17 +125,17 @@
 		ask     []string
 		renewal bool
 	}{
-		{name: "nothing known: ask about those with room first", step: needsPermit(step("a", 1, 2), nil),
+		{name: "no permit known: query workers with most free resources first", step: needsPermit(step("a", 1, 2), nil),
 			workers: workers(0, 4, 8), ask: []string{"w2", "w1", "w0"}},
 		{name: "a valid ticket is used", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": valid}),
 			workers: workers(4, 9), want: []string{"a/0@w0"}},
-		{name: "a refused worker is never used", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": {}, "w1": {}}),
+		{name: "a refused worker gets no task", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": {}, "w1": {}}),
 			workers: workers(4, 9)},
-		{name: "an ended ticket is renewed where there is room", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": expired, "w1": expired}),
+		{name: "an expired ticket is renewed where the task fits", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": expired, "w1": expired}),
 			workers: workers(1, 9), ask: []string{"w1"}, renewal: true},
-		{name: "no ticket is renewed without room", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": expired}),
+		{name: "no ticket is renewed where the task doesn't fit", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": expired}),
 			workers: workers(1)},
-		{name: "unknown workers are asked about when they have room", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": expired}),
+		{name: "unknown workers are queried where the task fits", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": expired}),
 			workers: workers(1, 5), ask: []string{"w1"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -170,10 +170,9 @@
 	must.Eq(t, ReasonCount{"", 3, "w3"}, Explain(0, &s, list, limits)[0])
 }
 
-// What a user sees: an all-or-nothing job waits for ever beside small ones.
-// Order: the gang needs two workers; one is free, the other is soon; small
-// tasks arrive all the time and take each piece of room.
-// Cause: room for a gang wasn't kept while it came together.
+// Guards against a gang that waits forever beside small tasks. It needs two workers, of which
+// one is free now and one soon; small tasks arrive all the time and took each free resource,
+// since nothing was reserved for the gang.
 func TestRoomIsReservedForWaitingGang(t *testing.T) {
 	list := workers(4, 0)
 	list[1].Releases = []Release{{At: time.Second, Resources: cores(4)}}
@@ -184,10 +183,9 @@
 	must.SliceEmpty(t, started(Decide(0, []Step{gang, batch}, list, limits)))
 }
 
-// What a user sees: a worker stands idle for half a second before each gang.
-// Order: a gang's last piece of room comes free in a second; its tickets have
-// ended; the adviser takes half a second to give new ones.
-// Cause: tickets were asked for only once there was room.
+// Guards against workers that idle for half a second before each gang. The gang fits in a
+// second and its tickets have expired; the adviser takes half a second, but was queried only
+// once the gang fit.
 func TestGangTicketsAreRenewedBeforeItFits(t *testing.T) {
 	gang := needsPermit(step("gang", 2, 4), map[string]Permit{"w0": {Granted: true}, "w1": {Granted: true}})
 	gang.Spec.Gang = true
@@ -200,10 +198,10 @@
 	must.Eq(t, 1, countQueries(500*time.Millisecond))
 }
 
-// What a user sees: a late all-or-nothing job never ends, with most workers idle.
-// Order: a new leader's first question names the two workers that have answered
-// it; one is permitted; it is big enough, and never empty.
-// Cause: a gang asked again only when its permitted workers were too small.
+// Guards against a late gang that never starts although most workers are idle. The first query
+// of a new leader names the two workers that have answered it. One is permitted and large
+// enough, but never empty, and the gang queried others only if its permitted workers were too
+// small.
 func TestGangQueriesIdleWorkersWhilePermittedOnesStayBusy(t *testing.T) {
 	gang := func() Step {
 		s := needsPermit(step("gang", 2, 4), map[string]Permit{"w0": {Granted: true}})
@@ -217,18 +215,17 @@
 	must.Eq(t, []string{"w1", "w2"}, queries[0].Workers)
 	full := workers(0, 0, 0)
 	full[0].Releases = []Release{{At: time.Minute, Resources: cores(16)}}
-	must.SliceEmpty(t, Decide(0, []Step{gang()}, full, limits).Queries, must.Sprint("nobody has room"))
+	must.SliceEmpty(t, Decide(0, []Step{gang()}, full, limits).Queries, must.Sprint("no worker has free resources"))
 	soon := workers(0, 16, 0)
 	soon[0].Releases = []Release{{At: minPreemptWait, Resources: cores(16)}}
 	plan := Decide(0, []Step{gang()}, soon, limits)
 	must.SliceLen(t, 1, plan.Queries)
-	must.True(t, plan.Queries[0].Renewal, must.Sprint("it fits before long"))
+	must.True(t, plan.Queries[0].Renewal, must.Sprint("the gang fits soon"))
 }
 
-// What a user sees: a gang waits on though runs were stopped for it.
-// Order: room for a gang comes free bit by bit; small urgent tasks come meanwhile
-// and fit there best; another worker has room for them too.
-// Cause: they were placed as if nobody waited.
+// Guards against a gang that keeps waiting after runs were preempted for it. Its resources come
+// free one by one, and small urgent tasks took them as the best fit although another worker had
+// room for them.
 func TestSmallTasksAvoidEarmarkedWorkers(t *testing.T) {
 	list := workers(3, 9)
 	must.Eq(t, []string{"a/0@w0"}, started(Decide(0, []Step{step("a", 1, 2)}, list, limits)))
@@ -241,14 +238,12 @@
 	list[2].Releases = []Release{{At: time.Second, Resources: cores(4)}}
 	must.Eq(t, []string{"w0", "w2"}, Decide(0, []Step{gang}, list, limits).Earmarks)
 	list[2].Releases[0].At += time.Millisecond
-	must.SliceEmpty(t, Decide(0, []Step{gang}, list, limits).Earmarks, must.Sprint("too far off"))
+	must.SliceEmpty(t, Decide(0, []Step{gang}, list, limits).Earmarks, must.Sprint("the gang fits too late"))
 }
 
-// What a user sees: an urgent all-or-nothing job waits for many seconds while a
-// batch job that could go on later holds the room.
-// Order: a gang needs three tasks' worth; one fits; two workers are full of runs
-// with checkpoints, one of them ends by itself at once.
-// Cause: nothing was stopped for it.
+// Guards against an urgent gang that waits many seconds while a batch job that could resume
+// later occupies the workers. The gang has three tasks, of which one fits; two workers are full
+// of runs with checkpoints, and nothing was preempted.
 func TestGangPreemptsRunsWithCheckpoints(t *testing.T) {
 	full := func(change func(*Release)) []Worker {
 		list := workers(4, 0, 0)
@@ -277,16 +272,16 @@
 		return got
 	}
 	must.Eq(t, []string{"v1/0@w1 for gang", "v1/1@w1 for gang"}, stopped(gang(unchangedStep), full(unchangedRun)))
-	must.SliceEmpty(t, stopped(gang(unchangedStep), full(func(r *Release) { r.Preemptible = false })), must.Sprint("without checkpoints"))
-	must.SliceEmpty(t, stopped(gang(unchangedStep), full(func(r *Release) { r.Priority = 1 })), must.Sprint("as urgent"))
-	must.SliceEmpty(t, stopped(gang(unchangedStep), full(func(r *Release) { r.At = minPreemptWait })), must.Sprint("ending soon"))
-	must.SliceEmpty(t, stopped(gang(func(s *Step) { s.Lateness = 1 }), full(unchangedRun)), must.Sprint("late anyway"))
-	must.SliceEmpty(t, stopped(gang(func(s *Step) { s.Pending = append(s.Pending, 3, 4, 5, 6, 7, 8, 9) }), full(unchangedRun)), must.Sprint("not enough"))
+	must.SliceEmpty(t, stopped(gang(unchangedStep), full(func(r *Release) { r.Preemptible = false })), must.Sprint("runs without checkpoints"))
+	must.SliceEmpty(t, stopped(gang(unchangedStep), full(func(r *Release) { r.Priority = 1 })), must.Sprint("runs of the same priority"))
+	must.SliceEmpty(t, stopped(gang(unchangedStep), full(func(r *Release) { r.At = minPreemptWait })), must.Sprint("runs that end soon"))
+	must.SliceEmpty(t, stopped(gang(func(s *Step) { s.Lateness = 1 }), full(unchangedRun)), must.Sprint("the gang is late already"))
+	must.SliceEmpty(t, stopped(gang(func(s *Step) { s.Pending = append(s.Pending, 3, 4, 5, 6, 7, 8, 9) }), full(unchangedRun)), must.Sprint("too few preemptible runs"))
 	must.Eq(t, []string{"v1/0@w1 for gang", "v2/0@w2 for gang"}, stopped(gang(func(s *Step) { s.Spec.MaxPerWorker = 1 }), full(unchangedRun)))
 
 	expired := Permit{Granted: true}
 	plan := Decide(0, []Step{needsPermit(gang(unchangedStep), map[string]Permit{"w0": expired, "w1": expired, "w2": {}})}, full(unchangedRun), limits)
-	must.SliceEmpty(t, plan.Preemptions, must.Sprint("its tickets would have ended"))
+	must.SliceEmpty(t, plan.Preemptions, must.Sprint("the tickets would expire before the runs have stopped"))
 	must.Eq(t, []string{"w0", "w1"}, plan.Queries[0].Workers)
 	valid := Permit{Granted: true, Expires: time.Second}
 	plan = Decide(0, []Step{needsPermit(gang(unchangedStep), map[string]Permit{"w0": valid, "w1": valid, "w2": {}})}, full(unchangedRun), limits)
@@ -304,10 +299,9 @@
 	}
 }
 
-// What a user sees: after an outage nothing starts any more, though workers are idle.
-// Order: thousands of steps are queued; one decision goes into all of them, each with
-// questions about hundreds of workers; the tickets end before the next decision.
-// Cause: a decision had no bound.
+// Guards against a standstill after an outage: one decision considered thousands of queued
+// steps, each with queries about hundreds of workers, and took so long that the tickets expired
+// before the next one. Each step must still be considered at some point.
 func TestDecisionConsidersBoundedNumberOfSteps(t *testing.T) {
 	bounded := limits
 	bounded.Steps = 8
@@ -321,19 +315,18 @@
 	for turn := range 100 {
 		bounded.Round = turn
 		plan := Decide(0, steps, workers(4), bounded)
-		must.Eq(t, []string{"j00/0@w0"}, started(plan), must.Sprint("the most urgent one first"))
+		must.Eq(t, []string{"j00/0@w0"}, started(plan), must.Sprint("the most urgent step starts"))
 		must.SliceLen(t, bounded.Steps-1, plan.Waiting)
 		must.Eq(t, len(steps)-bounded.Steps, plan.BeyondBound)
 		for _, w := range plan.Waiting {
 			seen[w.Step.Job] = true
 		}
 	}
-	must.MapLen(t, 99, seen, must.Sprint("each has its turn"))
+	must.MapLen(t, 99, seen, must.Sprint("each step is considered"))
 }
 
-// What a user sees: decisions take seconds while the adviser is busy.
-// Order: no question may be put; hundreds of steps have to ask.
-// Cause: each was held against all workers, only to find that it has to wait.
+// Guards against decisions that take seconds while the adviser is busy: hundreds of steps need
+// a query, none may be sent, and each step was still matched against all workers.
 func TestStepThatCannotQueryIsSkipped(t *testing.T) {
 	none := limits
 	none.Queries = 0
@@ -345,11 +338,10 @@
 	must.Eq(t, []string{"b/0@w0"}, started(Decide(0, []Step{s, valid}, workers(9), none)))
 }
 
-// What a user sees: a report with fifty tasks isn't done for a minute while half of the
-// workers are free.
-// Order: it is permitted on a few workers, nearly all full; one has room for a task, whose
-// ticket has ended; others that it knows nothing of are empty.
-// Cause: it asked for that one ticket, and again when the next task ended there.
+// Guards against a wide step that takes a minute while half of the workers are free. It is
+// permitted on a few workers, nearly all full; one fits a single task, but its ticket has
+// expired. The step renewed only that ticket, and again when the next task had ended there,
+// instead of querying the empty workers too.
 func TestStepWithTooLittlePermittedRoomQueriesMoreWorkers(t *testing.T) {
 	s := step("wide", 10, 4)
 	s.NeedsPermit = true
@@ -361,5 +353,5 @@
 
 	s.Pending = s.Pending[:1]
 	plan = Decide(time.Second, []Step{s}, workers(4, 0, 0, 16, 16, 16), limits)
-	must.Eq(t, []string{"w0"}, plan.Queries[0].Workers, must.Sprint("what it knows of will do"))
+	must.Eq(t, []string{"w0"}, plan.Queries[0].Workers, must.Sprint("the permitted worker suffices"))
 }
--- a/dispatch/preempt.go
+++ b/dispatch/preempt.go
@@ -9,43 +9,41 @@
 )
 
 const (
-	// minPreemptWait is how long a step waits for ends at least before less urgent runs
-	// are stopped for it: a stop takes a fraction of a second itself.
+	// minPreemptWait is the shortest wait for runs to end that makes a gang preempt less urgent
+	// runs: a stop itself takes a fraction of a second.
 	minPreemptWait = 600 * time.Millisecond
-	// StopTime is how long it takes from a decision until the room of a run that is
-	// stopped has come free: the worker's own time, the commit of the end, the call.
+	// StopTime is the time from a decision until the resources of a stopped run are free: the
+	// stop on the worker, the commit of the end and the call.
 	StopTime = 300 * time.Millisecond
-	// minRemaining is the time before its expected end from which on a run isn't stopped
-	// any more.
+	// minRemaining is the expected remaining run time below which a run isn't preempted.
 	minRemaining = 400 * time.Millisecond
 )
 
-// Preempt is a run that is stopped to make room for a more urgent step. It goes
-// on elsewhere from its checkpoint.
+// Preemption is a run that is stopped to free resources for a more urgent step. It resumes
+// elsewhere from its checkpoint.
 type Preemption struct {
 	Task   workflow.TaskKey
 	Worker string
-	// For is the step that gets the room.
+	// Preemptor is the step that gets the resources.
 	Preemptor workflow.StepKey
 }
 
-// victims is one more task's worth of room on a worker, and what has to be stopped
-// for it.
+// victimSet is what must be stopped on a worker so that one more task fits there.
 type victimSet struct {
 	worker *Worker
 	runs   []*Release
-	// cost is the room that the runs take, in thousandths of a core; unticketed
-	// says that a ticket has to be asked for first.
+	// cost is the CPU of the runs in thousandths of a core. needsTicket says that the worker
+	// must be queried for a ticket first.
 	cost        int64
 	needsTicket bool
 }
 
-// preemption looks for room for n tasks of s, on workers that may run it, by
-// stopping the least of what gives way to it; nil when there isn't enough.
+// findVictims finds resources for n tasks of s on workers that may run it by preempting as few
+// runs as possible; nil if there aren't enough.
 //
-// What it is for: a gang needs room on several workers at once and waits for
-// many ends, while tasks that could go on later from a checkpoint hold the room.
-// Their work isn't lost, so stopping them costs little.
+// A gang needs resources on several workers at once and would wait for many runs to end while
+// runs that can resume from a checkpoint hold them. Those lose no work, so stopping them costs
+// little.
 func (p *planner) findVictims(s *Step, workers []*Worker, n int) []victimSet {
 	type candidate struct {
 		scratch     Worker
@@ -81,15 +79,16 @@
 	return chosen
 }
 
+// compareVictims puts the sets that are cheaper to stop first, those with a valid ticket before
+// the others.
 func compareVictims(a, b *victimSet) int {
 	return cmp.Or(compareBools(a.needsTicket, b.needsTicket), cmp.Compare(a.cost, b.cost),
 		cmp.Compare(a.worker.Penalty, b.worker.Penalty), cmp.Compare(a.worker.ID, b.worker.ID))
 }
 
-// stoppingResources is the room on w of runs that are being stopped.
-//
-// Failure guarded against: a stop takes a third of a second, and each decision until then
-// would stop further runs for the same gang, twelve instead of two.
+// stoppingResources returns the resources on w of runs that are being stopped. A stop takes a
+// third of a second; if these weren't counted, each decision until then would stop further runs
+// for the same gang, twelve instead of two.
 func (p *planner) stoppingResources(w *Worker) (room workflow.Resources) {
 	for i := range w.Releases {
 		if w.Releases[i].Stopping {
@@ -99,7 +98,7 @@
 	return room
 }
 
-// yields returns the runs on w that give way to s, the smallest first.
+// preemptible returns the runs on w that s may preempt, the smallest first.
 func (p *planner) preemptible(s *Step, w *Worker) []*Release {
 	var list []*Release
 	for i := range w.Releases {
@@ -114,8 +113,8 @@
 	return list
 }
 
-// fitOneMore takes room for one more task of s out of scratch and yields, and says
-// what it costs; nil when there is none.
+// fitOneMore takes resources for one more task of s out of scratch and, if they don't suffice,
+// of runs in preemptible. It returns the runs and their cost, nil if the task doesn't fit.
 func (p *planner) fitOneMore(s *Step, w, scratch *Worker, preemptible *[]*Release, placed int) *victimSet {
 	v := &victimSet{worker: w, needsTicket: !p.mayStartOn(s, w)}
 	if s.Spec.MaxPerWorker > 0 && s.Placed[w.ID]+placed >= s.Spec.MaxPerWorker {
@@ -136,8 +135,8 @@
 	return v
 }
 
-// recordPreemptible remembers whether the pool has runs that could be stopped, so that
-// nothing is searched where it has none.
+// recordPreemptible records whether a pool has preemptible runs, so that pools without any
+// aren't searched.
 func (p *planner) recordPreemptible(w *Worker) {
 	for i := range w.Releases {
 		if r := &w.Releases[i]; r.Preemptible {
@@ -146,9 +145,9 @@
 	}
 }
 
-// preemptForGang stops less urgent runs for a gang whose room is far off, and
-// keeps the room that they leave. It asks for tickets first where they would not
-// last until then. It reports whether it has taken care of the gang.
+// preemptForGang stops less urgent runs for a gang that won't fit soon and reserves their
+// resources. It queries first if tickets would expire before the runs have stopped. It reports
+// whether it has handled the gang.
 func (p *planner) preemptForGang(s *Step, granted []*Worker, n int) bool {
 	if p.limits.Disabled.Preemption || s.Lateness > 0 || s.AwaitsAnswer || p.preemptiblePriority[s.Service] <= s.Priority {
 		return false
@@ -180,9 +179,9 @@
 	return true
 }
 
-// earmark lets other steps of the next decisions prefer other workers. Without it,
-// small urgent tasks take each piece of room as it comes free, and the gang waits
-// on though runs were stopped for it.
+// earmark makes other steps of the next decisions prefer other workers. Without it small urgent
+// tasks take resources as they come free, and the gang keeps waiting although runs were stopped
+// for it.
 func (p *planner) earmark(workers []*Worker) {
 	if p.limits.Disabled.Earmarks {
 		return
@@ -192,7 +191,8 @@
 	}
 }
 
-// lasts reports whether a ticket holds until room has come free by stops.
+// ticketOutlastsStops reports whether the ticket of s for w is valid until preempted runs have
+// stopped.
 func (p *planner) ticketOutlastsStops(s *Step, w *Worker) bool {
 	return !s.NeedsPermit || s.Permits[w.ID].Expires >= p.now+StopTime+p.limits.TicketMargin
 }
--- a/dispatch/preempt_test.go
+++ b/dispatch/preempt_test.go
@@ -10,7 +10,7 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// preemptiblePool holds n workers of 16 cores, each full with four runs that give way.
+// preemptiblePool returns n workers of 16 cores, each full with four preemptible runs.
 func preemptiblePool(n int) []Worker {
 	list := workers(make([]int64, n)...)
 	for i := range list {
@@ -31,7 +31,7 @@
 	return permits
 }
 
-// stop notes in the pool that runs are being stopped.
+// markStopping marks the preempted runs of a pool as stopping.
 func markStopping(pool []Worker, preempts []Preemption) {
 	for _, p := range preempts {
 		for i := range pool {
@@ -44,8 +44,8 @@
 	}
 }
 
-// Users' batch runs are stopped by the dozen for one gang of three tasks: until the first
-// stops had come through, each decision made others.
+// Guards against dozens of preempted batch runs for one gang of three tasks: until the first
+// runs had stopped, each decision preempted further ones.
 func TestStoppingRunsCountForTheirGang(t *testing.T) {
 	pool := preemptiblePool(6)
 	gang := waitingGang("gang", 3, 4, permittedOn(pool))
@@ -59,7 +59,7 @@
 	must.Eq(t, 3, stops)
 }
 
-// A run that gives way to two gangs was stopped, and counted, twice.
+// Guards against a run that is preempted, and counted, twice because two gangs can preempt it.
 func TestRunIsPreemptedOncePerPlan(t *testing.T) {
 	pool := preemptiblePool(3)
 	var steps []Step
@@ -76,8 +76,8 @@
 	must.MapNotEmpty(t, seen)
 }
 
-// Hundreds of steps wait behind others that can't start, many with tickets that are of no
-// use: the others had their turn in steps that passed most of them by for good.
+// Guards against steps that are never considered: beside hundreds of steps beyond the bound,
+// many with useless tickets, the offset of the round robin skipped most of the others for good.
 func TestRoundRobinReachesAllSteps(t *testing.T) {
 	for _, ticketed := range []int{0, 16, 24, 31, 200} {
 		seen := map[string]bool{}
@@ -97,12 +97,13 @@
 				}
 			}
 		}
-		must.MapLen(t, 96, seen, must.Sprintf("%d with tickets", ticketed))
+		must.MapLen(t, 96, seen, must.Sprintf("%d steps with tickets", ticketed))
 	}
 }
 
-// A gang's question is planned though no lane takes long ones: it was dropped, room was
-// kept for the gang all the same, and the short questions behind it weren't put.
+// Guards against the plan of a long query for a gang while no connection takes long ones: the
+// query was dropped, resources were still reserved for the gang, and the short queries after it
+// weren't sent.
 func TestLongQueryNeedsLongQueryBudget(t *testing.T) {
 	bound := limits
 	bound.Queries, bound.LongQueries, bound.LongQueryTime = 1, 0, 150*time.Millisecond
@@ -117,8 +118,8 @@
 	must.Eq(t, ReasonNoConnection, reasons(plan)["gang"])
 }
 
-// The room that a gang waits for goes to small tasks: a gang before it that no worker may
-// run held the one place for which room is kept.
+// Guards against small tasks that take the resources a gang waits for: a more urgent gang that
+// no worker can run held the only reservation of the pool.
 func TestGangThatCannotReserveLeavesReservationToNext(t *testing.T) {
 	valid := Permit{Granted: true, Expires: time.Hour}
 	refused := waitingGang("refused", 9, 16, map[string]Permit{"w0": {}, "w1": {}, "w2": valid})
--- a/dispatch/query_test.go
+++ b/dispatch/query_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// slowQueryKind is a kind of small jobs whose questions take over a second.
+// slowQueryKind is a kind of small jobs whose queries take over a second.
 func slowQueryKind(name string, priority int, permitted float64) *replayKind {
 	return &replayKind{
 		name: name, priority: priority, steps: 1, width: 1, maxWidth: 1, cores: 4, maxCores: 4, gb: 4, maxGB: 4, work: 2 * time.Second,
@@ -20,8 +20,8 @@
 	}
 }
 
-// waitUntilAllStart plays until each job of the kind has begun or a minute has passed, beside
-// what comes in, and returns how long the last of them has waited.
+// waitUntilAllStart plays until each job of the kind has started or a minute has passed, with
+// the usual submissions, and returns the time that passed.
 func waitUntilAllStart(r *replay, k *replayKind) time.Duration {
 	begun := r.now
 	for r.now < begun+time.Minute {
@@ -36,8 +36,8 @@
 	return r.now - begun
 }
 
-// waitBehindRefused lets ten jobs, permitted on a quarter of an empty pool, come 10 s after urgent
-// ones that no worker is permitted for, and returns how long the last of them waits.
+// waitBehindRefused submits ten jobs, permitted on a quarter of an empty pool, 10 s after
+// urgent jobs that no worker is permitted for. It returns how long the last of the ten waits.
 func waitBehindRefused(pool, ahead int) time.Duration {
 	refused, others := slowQueryKind("refused", 0, 0), slowQueryKind("others", 1, 0.25)
 	r := newReplay(1, pool, 44, refused, others)
@@ -51,9 +51,9 @@
 	return waitUntilAllStart(r, others)
 }
 
-// Urgent steps that no worker is permitted for ask about 30 workers after the other, and
-// their questions take every lane: others wait behind them on an empty pool, the longer
-// the more workers there are.
+// Guards against urgent steps that no worker is permitted for and whose queries, 30 workers at
+// a time, occupy every adviser connection: other steps wait behind them on an empty pool, for
+// longer the more workers there are.
 func TestRefusedUrgentStepsLeaveQueriesToOthers(t *testing.T) {
 	for _, pool := range []int{350, 1100, 3000} {
 		t.Run(fmt.Sprint(pool), func(t *testing.T) {
@@ -63,7 +63,8 @@
 	}
 }
 
-// The same with more urgent steps than one decision goes into.
+// Guards against refused urgent steps that occupy every adviser connection, where there are
+// more of them than one decision considers: other steps wait behind them on an empty pool.
 func TestUrgentStepsBeyondTheBoundLeaveOthersQuestions(t *testing.T) {
 	for _, pool := range []int{350, 1100, 3000} {
 		t.Run(fmt.Sprint(pool), func(t *testing.T) {
@@ -73,8 +74,8 @@
 	}
 }
 
-// Steps that always want to ask leave others a third of the questions, one question
-// a decision or many.
+// Guards against steps that always want to query and leave others less than a third of the
+// queries, with one query per decision or many.
 func TestRoundRobinStepsGetTheirShareOfQueries(t *testing.T) {
 	for _, queries := range []int{1, 2, 5} {
 		sent := 0
@@ -89,7 +90,7 @@
 				steps = append(steps, urgent, other)
 			}
 			plan := Decide(0, steps, workers(9, 9), bounded)
-			must.SliceLen(t, queries, plan.Queries, must.Sprint("none is left unused"))
+			must.SliceLen(t, queries, plan.Queries, must.Sprint("no query is left unused"))
 			must.SliceLen(t, len(steps), plan.Waiting)
 			for _, a := range plan.Queries {
 				if strings.HasPrefix(a.Step.Job, "other") {
@@ -101,8 +102,8 @@
 	}
 }
 
-// Guards against questions that nobody puts: no worker has room, and what is kept back for
-// steps in turn counted as not to be had.
+// Guards against unused queries on a full pool: the queries held back for round-robin use
+// counted as unavailable.
 func TestAllQueriesAreSentOnFullPool(t *testing.T) {
 	for _, queries := range []int{1, 2, 5} {
 		for turn := range roundRobinQueryDivisor {
@@ -117,8 +118,8 @@
 	}
 }
 
-// Guards against long questions that nobody puts: what is kept back of them for steps in
-// turn wasn't offered to those that might ask about a few workers, but need many.
+// Guards against unused long queries: those held back for round-robin use weren't offered to
+// steps that could send a short query about a few workers but need many.
 func TestAllLongQueriesAreSent(t *testing.T) {
 	for turn := range roundRobinQueryDivisor {
 		bounded := limits
@@ -139,7 +140,8 @@
 	}
 }
 
-// What urgent steps have no use for goes to others, and the other way round.
+// Guards against queries that stay unused because only the urgent or only the other steps need
+// them.
 func TestUnusedQueryShareGoesToOtherSteps(t *testing.T) {
 	for _, priority := range []int{0, 1} {
 		bounded := limits
@@ -154,8 +156,8 @@
 	}
 }
 
-// A job that is late goes after all others; while urgent ones that are refused keep
-// coming it learns of no worker.
+// Guards against a late job that never gets a query: it goes after all others, and urgent jobs
+// that are refused keep arriving.
 func TestLateJobQueriesBesideRefusedUrgentJobs(t *testing.T) {
 	refused, late := slowQueryKind("refused", 0, 0), slowQueryKind("late", 1, 0.25)
 	late.objective, refused.rate = 0, 5
@@ -167,8 +169,8 @@
 	must.LessEq(t, maxIdleWait, waitUntilAllStart(r, late))
 }
 
-// A step that one worker in a hundred is permitted for asks about 30 after the other: the
-// larger the empty pool is, the longer it waits.
+// Guards against a step that one worker in a hundred is permitted for and that queries 30
+// workers at a time, one query after the other: the larger the empty pool, the longer it waits.
 func TestAStepThatIsPermittedHardlyAnywhereFindsItsWorkers(t *testing.T) {
 	for _, pool := range []int{350, 1100, 3000} {
 		t.Run(fmt.Sprint(pool), func(t *testing.T) {
@@ -185,8 +187,8 @@
 	}
 }
 
-// A step that every worker asked about refuses needs a question more for each 30 of them,
-// one after the other: with ten times the workers it waits ten times as long.
+// Guards against queries one by one for a step that every queried worker refuses: it needs one
+// query per 30 workers, so with ten times the workers it waits ten times as long.
 func TestRefusedStepDoublesQueriedWorkers(t *testing.T) {
 	pool := workers(make([]int64, 640)...)
 	for i := range pool {
@@ -203,7 +205,7 @@
 		for _, a := range plan.Queries {
 			must.LessEq(t, bounded.WorkersPerQuery, len(a.Workers))
 			for _, w := range a.Workers {
-				must.MapNotContainsKey(t, s.Permits, w, must.Sprint("asked about twice"))
+				must.MapNotContainsKey(t, s.Permits, w, must.Sprint("queried twice"))
 				s.Permits[w] = Permit{}
 			}
 		}
@@ -211,8 +213,8 @@
 	must.LessEq(t, 1+bits.Len(uint(len(pool)/bounded.WorkersPerQuery)), rounds)
 }
 
-// wideGangs is a kind of gangs, permitted on a quarter of the workers, whose questions
-// about a hundred of them take 1.7 s.
+// wideGangs is a kind of gangs that are permitted on a quarter of the workers. A query about a
+// hundred of them takes 1.7 s.
 func wideGangs(width, cores float64) *replayKind {
 	return &replayKind{
 		name: "gang", priority: 1, gangShare: 1, steps: 1, width: width, maxWidth: width, cores: cores, maxCores: cores, gb: 16, maxGB: 16,
@@ -221,8 +223,8 @@
 	}
 }
 
-// Gangs that come together on an empty pool ask about the same hundred workers, which
-// hold a third of them, and the others ask a second and a third time.
+// Guards against gangs that are submitted together on an empty pool and query the same hundred
+// workers: these hold a third of the gangs, and the others query a second and a third time.
 func TestGangsThatComeTogetherAskAboutDifferentWorkers(t *testing.T) {
 	gangs := wideGangs(20, 18)
 	r := newReplay(0, 1100, 44, gangs)
@@ -233,9 +235,9 @@
 	must.LessEq(t, maxIdleWait, waitUntilAllStart(r, gangs))
 }
 
-// A gang that just doesn't fit keeps the free room of nearly all workers that it is
-// permitted on for as long as a long run lasts. Small jobs that may run there as well
-// don't wait for it, since they learn of others.
+// Guards against small jobs that wait for a gang. The gang nearly fits and reserves the free
+// resources of nearly all its permitted workers for the duration of a long run. Small jobs that
+// are permitted there must query other workers instead.
 func TestSmallJobsStartBesideReservedGangRoom(t *testing.T) {
 	long := slowQueryKind("long", 0, 1)
 	long.width, long.maxWidth, long.cores, long.maxCores, long.work = 130, 130, 60, 60, 2*time.Minute
@@ -251,10 +253,10 @@
 		r.submit(small)
 	}
 	must.LessEq(t, maxIdleWait, waitUntilAllStart(r, small))
-	must.SliceLen(t, 60, gang.all[0].pending[0], must.Sprint("the gang waits on"))
+	must.SliceLen(t, 60, gang.all[0].pending[0], must.Sprint("the gang still waits"))
 }
 
-// kept is the room that a decision keeps for a job, in thousandths of a core.
+// reservedCPU is the CPU that a decision reserves for a job, in thousandths of a core.
 func (r *replay) reservedCPU(j *replayJob) (room int64) {
 	s, _ := r.step(j)
 	list := r.view()
--- a/dispatch/reason.go
+++ b/dispatch/reason.go
@@ -2,15 +2,15 @@
 
 import "github.com/bilberryferry/bilberryferry/workflow"
 
-// reserveRoom keeps room of a worker for a step that can't start yet.
+// reserveRoom reserves resources of w for a step that can't start yet.
 func (p *planner) reserveRoom(w *Worker, room workflow.Resources) {
 	p.hasReservations = true
 	w.Reserved = w.Reserved.Plus(room)
 	p.takeRoom(w, room)
 }
 
-// roomReason says what keeps a step off its permitted workers: room for the n tasks left
-// of a gang, or for one task of another step.
+// roomReason says why s doesn't start on its permitted workers. A gang must fit with all its n
+// remaining tasks, another step with one.
 func roomReason(s *Step, permitted []*Worker, n int) Reason {
 	if !s.Spec.Gang {
 		n = 1
@@ -21,7 +21,7 @@
 	return ReasonNoRoom
 }
 
-// unreservedGangReason is roomReason for a gang that can't ask now.
+// unreservedGangReason is roomReason for a gang that has no reservation and can't query now.
 func unreservedGangReason(s *Step, permitted []*Worker, n int) Reason {
 	if fitsOn(s, permitted, n, fitCount) {
 		return ReasonTicketsExpired
@@ -32,10 +32,10 @@
 	return ReasonGangCannotQuery
 }
 
-// holds reports whether n tasks of s fit on workers, by what each of them holds.
-func fitsOn(s *Step, workers []*Worker, n int, held func(*Step, *Worker) int) bool {
+// fitsOn reports whether n tasks of s fit on the workers, counted by perWorker.
+func fitsOn(s *Step, workers []*Worker, n int, perWorker func(*Step, *Worker) int) bool {
 	for _, w := range workers {
-		n -= held(s, w)
+		n -= perWorker(s, w)
 		if n <= 0 {
 			return true
 		}
@@ -43,15 +43,15 @@
 	return false
 }
 
-// fitCountWithReserved returns how many further tasks of s would fit on w if no room were
-// kept there.
+// fitCountWithReserved returns how many more tasks of s would fit on w if nothing were reserved
+// there.
 func fitCountWithReserved(s *Step, w *Worker) int {
 	return fitCountIn(s, w, w.Free.Plus(w.Reserved))
 }
 
-// Pieces counts the free pieces of the size of a task of s that a plan has left on the
-// workers of its pool, those that it keeps for steps included; permitted are those on
-// workers that s is known to be permitted on.
+// FitCounts returns how many pending tasks of s fit into what a plan has left on the workers of
+// its pool, reserved resources included. The second count takes only workers on which s is
+// known to be permitted.
 func FitCounts(s *Step, workers []Worker) (all, permitted int) {
 	for i := range workers {
 		w := &workers[i]
@@ -67,7 +67,8 @@
 	return all, permitted
 }
 
-// permitted returns the workers that s may run on.
+// permitted returns the eligible workers that s may run on: those with a granted permit, or all
+// if s needs none.
 func (p *planner) permitted(s *Step) []*Worker {
 	if !s.NeedsPermit {
 		return filter(p.byService[s.Service], s)
@@ -81,13 +82,13 @@
 	return list
 }
 
-// fitsUnreserved reports whether a worker might have room for a task of s if no room were
-// kept there.
+// fitsUnreserved reports whether a task of s might fit on a worker of its pool if nothing were
+// reserved there.
 func (p *planner) fitsUnreserved(s *Step) bool {
 	return p.hasReservations && s.Spec.Demand().Fits(p.unreservedHeadroomOf(s.Service))
 }
 
-// unreservedHeadroomOf is the headroom of a pool if no room were kept there.
+// unreservedHeadroomOf returns the headroom of a pool as if nothing were reserved.
 func (p *planner) unreservedHeadroomOf(service string) workflow.Resources {
 	headroom, counted := p.unreservedHeadroom[service]
 	if counted {
@@ -100,9 +101,9 @@
 	return headroom
 }
 
-// skipReason says what a step waits for that the decision doesn't go into: no
-// worker has room for one of its tasks, or it can't ask now. On a full cluster that is
-// nearly every step: few workers are looked at again.
+// skipReason says why a step waits that the decision skips: its tasks fit on no worker, or it
+// can't query now. On a full cluster that is nearly every step, so skipReason looks at few
+// workers again.
 func (p *planner) skipReason(s *Step, left int) Reason {
 	reason := p.permitReason(s)
 	fits := s.Spec.Demand().Fits(p.headroomOf(s.Service))
@@ -123,8 +124,8 @@
 	return ReasonNoRoom
 }
 
-// fitsPermittedUnreserved reports whether a task of s, which needs permits, would fit on a permitted
-// worker if no room were kept there.
+// fitsPermittedUnreserved reports whether a task of s, which needs permits, would fit on a
+// permitted worker if nothing were reserved there.
 func (p *planner) fitsPermittedUnreserved(s *Step) bool {
 	if !p.hasReservations {
 		return false
--- a/dispatch/reason_test.go
+++ b/dispatch/reason_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// reasons maps the jobs of a plan's waiting steps to what they wait for.
+// reasons maps the jobs of the waiting steps of a plan to their reasons.
 func reasons(p Plan) map[string]Reason {
 	found := map[string]Reason{}
 	for _, w := range p.Waiting {
@@ -26,8 +26,7 @@
 	return s
 }
 
-// gangsAhead are as many gangs as room is kept for, each of which needs two tasks of
-// four cores.
+// gangsAhead returns as many gangs as get a reservation, each with two tasks of four cores.
 func gangsAhead(permits map[string]Permit) []Step {
 	var list []Step
 	for i := range maxReservedGangs {
@@ -38,6 +37,7 @@
 	return list
 }
 
+// Guards against waiting steps that are listed under a wrong reason.
 func TestWaitingReasons(t *testing.T) {
 	valid := Permit{Granted: true, Expires: time.Hour}
 	expired := Permit{Granted: true}
@@ -62,24 +62,24 @@
 		limits  Limits
 		want    Reason
 	}{
-		{"no room for a task", []Step{step("a", 1, 4)}, workers(3, 2), limits, ReasonNoRoom},
-		{"no room for a gang", []Step{waitingGang("a", 3, 4, both)}, workers(4, 4), limits, ReasonNoRoom},
-		{"room for a gang in pieces that are too small", []Step{waitingGang("a", 2, 4, nil)}, workers(3, 3, 3), limits, ReasonNoRoom},
-		{"a task, and the room is kept", []Step{first, step("a", 1, 4)}, soon(workers(4, 4)), limits, ReasonReserved},
-		{"a gang, and the room is kept", []Step{first, waitingGang("a", 2, 4, both)}, soon(workers(4, 4)), limits, ReasonReserved},
-		{"a gang behind others that doesn't fit", append(gangsAhead(both), waitingGang("a", 9, 4, allExpired)), soon(workers(4, 0)), limits, ReasonGangCannotQuery},
-		{"a gang behind others that would fit into what is kept", append(gangsAhead(both), waitingGang("a", 1, 4, allExpired)), soon(workers(4, 0)), limits, ReasonReserved},
-		{"a gang behind others that fits without tickets", append(gangsAhead(map[string]Permit{"w2": valid}), waitingGang("a", 2, 4, allExpired)),
+		{"a task fits nowhere", []Step{step("a", 1, 4)}, workers(3, 2), limits, ReasonNoRoom},
+		{"a gang fits nowhere", []Step{waitingGang("a", 3, 4, both)}, workers(4, 4), limits, ReasonNoRoom},
+		{"a gang in free resources that are too fragmented", []Step{waitingGang("a", 2, 4, nil)}, workers(3, 3, 3), limits, ReasonNoRoom},
+		{"a task in resources reserved for a gang", []Step{first, step("a", 1, 4)}, soon(workers(4, 4)), limits, ReasonReserved},
+		{"a gang in resources reserved for another gang", []Step{first, waitingGang("a", 2, 4, both)}, soon(workers(4, 4)), limits, ReasonReserved},
+		{"a gang after others that doesn't fit", append(gangsAhead(both), waitingGang("a", 9, 4, allExpired)), soon(workers(4, 0)), limits, ReasonGangCannotQuery},
+		{"a gang after others that would fit into reserved resources", append(gangsAhead(both), waitingGang("a", 1, 4, allExpired)), soon(workers(4, 0)), limits, ReasonReserved},
+		{"a gang after others that fits without tickets", append(gangsAhead(map[string]Permit{"w2": valid}), waitingGang("a", 2, 4, allExpired)),
 			workers(4, 4, 0), limits, ReasonAwaitsAdviser},
-		{"the same while no question may be put", append(gangsAhead(map[string]Permit{"w2": valid}), waitingGang("a", 2, 4, allExpired)),
+		{"the same while no query may be sent", append(gangsAhead(map[string]Permit{"w2": valid}), waitingGang("a", 2, 4, allExpired)),
 			workers(4, 4, 0), noQueries, ReasonNoConnection},
-		{"a gang behind others and what is kept", append(gangsAhead(map[string]Permit{"w0": valid}), waitingGang("a", 3, 4, allExpired)),
+		{"a gang after others that fits only with reserved resources", append(gangsAhead(map[string]Permit{"w0": valid}), waitingGang("a", 3, 4, allExpired)),
 			soon(workers(4, 9)), limits, ReasonReserved},
-		{"no lane to ask about a task", []Step{needsPermit(step("a", 1, 4), nil)}, workers(9), noQueries, ReasonNoConnection},
-		{"no lane to renew a task's ticket", []Step{needsPermit(step("a", 1, 4), allExpired)}, workers(9), noQueries, ReasonNoConnection},
-		{"no lane for a gang", []Step{waitingGang("a", 2, 4, allExpired)}, workers(4, 4), noQueries, ReasonNoConnection},
-		{"a question is put", []Step{waitingGang("a", 2, 4, allExpired)}, workers(4, 4), limits, ReasonAwaitsAdviser},
-		{"a question is under way", []Step{asking}, workers(4, 4), noQueries, ReasonAwaitsAdviser},
+		{"no connection to query for a task", []Step{needsPermit(step("a", 1, 4), nil)}, workers(9), noQueries, ReasonNoConnection},
+		{"no connection to renew the ticket of a task", []Step{needsPermit(step("a", 1, 4), allExpired)}, workers(9), noQueries, ReasonNoConnection},
+		{"no connection to query for a gang", []Step{waitingGang("a", 2, 4, allExpired)}, workers(4, 4), noQueries, ReasonNoConnection},
+		{"a query is sent", []Step{waitingGang("a", 2, 4, allExpired)}, workers(4, 4), limits, ReasonAwaitsAdviser},
+		{"a query is in flight", []Step{asking}, workers(4, 4), noQueries, ReasonAwaitsAdviser},
 		{"refused", []Step{needsPermit(step("a", 1, 4), map[string]Permit{"w0": {}})}, workers(9), limits, ReasonAllRefused},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -88,6 +88,7 @@
 	}
 }
 
+// Guards against a gang that is listed as out of room while runs are preempted for it.
 func TestPreemptionReason(t *testing.T) {
 	list := workers(0)
 	for range 4 {
@@ -100,7 +101,7 @@
 	}
 }
 
-// The room that a plan keeps is told apart from what it starts.
+// Guards against reserved resources that are counted as taken by starts.
 func TestReservedRoomIsSeparateFromFreeRoom(t *testing.T) {
 	list := workers(8, 4)
 	Decide(0, []Step{step("a", 1, 4), waitingGang("gang", 3, 4, nil)}, list, limits)
@@ -122,6 +123,8 @@
 	return list
 }
 
+// Guards against speculative copies that are counted as steps beyond the bound: their tasks
+// already run.
 func TestCopiesAreNotCountedBeyondBound(t *testing.T) {
 	bounded := limits
 	bounded.Steps = 2
--- a/dispatch/replay_jobs_test.go
+++ b/dispatch/replay_jobs_test.go
@@ -10,11 +10,12 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// replayKind is a kind of job: how often it comes, what its steps need, and how the
+// replayKind is a kind of job: how often it is submitted, what its steps need, and how the
 // adviser answers about them. Sizes are means; each CV is a coefficient of variation.
 type replayKind struct {
 	name string
-	// rate is in jobs a second; steps and width count steps of a job and tasks of a step.
+	// rate is in jobs per second; steps is the number of steps of a job, width of tasks of a
+	// step.
 	rate, steps, width     float64
 	cores, gb              float64
 	work                   time.Duration
@@ -22,21 +23,24 @@
 	workCV                 float64
 	maxWidth               float64
 	maxCores, maxGB        float64
-	// stretch times its longest chain of work, and objective more, a job may take.
+	// A job may take stretch times its longest chain of work plus objective.
 	stretch   float64
 	objective time.Duration
 	priority  int
-	// worth is that of a job of mean size.
+	// value is that of a job of mean size.
 	value float64
-	// gang, checkpointing, permitted and failing are shares: of the steps, of the steps,
-	// of the workers, of the runs.
+	// gangShare and checkpointingShare are shares of the steps, grantedShare is one of the
+	// workers, failingShare one of the runs.
 	gangShare, checkpointingShare, grantedShare, failingShare float64
-	// decide and each are what a question takes, and takes more for each worker.
+	// A query takes baseLatency plus perWorkerLatency for each worker; tickets are valid for
+	// ticketValidity.
 	baseLatency, perWorkerLatency, ticketValidity time.Duration
 
-	// grantRate is the moving mean of what the adviser permits.
+	// grantRate is the moving mean of the share of workers that the adviser permits, over
+	// grantSamples answers.
 	grantRate, grantSamples float64
-	// all are the jobs that have come; outlastsStart and late count those that ended so.
+	// all are the jobs submitted so far; inTime and late count those that ended in time or
+	// late.
 	all          []*replayJob
 	inTime, late int
 }
@@ -46,35 +50,36 @@
 	kind             *replayKind
 	id               string
 	begin, objective time.Duration
-	// step is the present one; specs, works, pending and left are by step.
+	// step is the index of the current step; specs, works, pending and left are by step.
 	step    int
 	specs   []*workflow.Step
 	works   []time.Duration
 	pending [][]int
 	left    []int
-	// saved is the share of a task's work that a stopped run has left.
+	// saved is the share of a task's work that is in the checkpoint of a preempted run.
 	saved map[workflow.TaskKey]float64
-	// What is known of the present step's permits.
+	// These fields hold what is known of the permits of the current step.
 	permits        map[string]Permit
 	pendingQueries int
 	lastQuery      time.Duration
 	renewing       []string
 	ticketsExpire  time.Duration
-	// ended is when it ended, got the share of its worth that it earned.
+	// ended is when the job ended, earnedShare the share of its value that it earned.
 	ended       time.Duration
 	earnedShare float64
-	// roomSince is since when the step could have started twice over, -1 for not.
+	// roomSince is since when the job has had no run although twice its resources are free; -1
+	// if it isn't so.
 	roomSince time.Duration
 }
 
-// around draws a positive figure with a mean and a coefficient of variation.
+// logNormal draws a positive figure with a mean and a coefficient of variation, at most most.
 func (r *replay) logNormal(mean, cv, most float64) float64 {
 	sigma := math.Sqrt(math.Log(1 + cv*cv))
 	x := mean * math.Exp(sigma*r.random.NormFloat64()-sigma*sigma/2)
 	return min(x, most)
 }
 
-// submit hands a job of the kind in.
+// submit submits a job of the kind.
 func (r *replay) submit(k *replayKind) *replayJob {
 	j := &replayJob{kind: k, id: fmt.Sprintf("%s%06d", k.name, len(k.all)), begin: r.now, lastQuery: r.now, saved: map[workflow.TaskKey]float64{},
 		permits: map[string]Permit{}, roomSince: -1}
@@ -101,7 +106,7 @@
 	return j
 }
 
-// arrive lets the jobs come that come in a time.
+// arrive submits the jobs that arrive within d.
 func (r *replay) arrive(d time.Duration) {
 	for _, k := range r.kinds {
 		n := k.rate * d.Seconds()
@@ -113,7 +118,7 @@
 	}
 }
 
-// area is the work of the job, in thousandths of a core and nanoseconds.
+// coreTime is the work of the job in thousandths of a core times nanoseconds.
 func (j *replayJob) coreTime() float64 {
 	a := 0.0
 	for i, s := range j.specs {
@@ -122,8 +127,8 @@
 	return a
 }
 
-// earned returns the worth that a kind's jobs were owed and got, and the shares of it
-// that all, the largest tenth and the fifth below it got. A larger job is worth more.
+// earned returns the total value of the kind's jobs, the value that they earned, and the shares
+// earned by all of them, the largest tenth and the next fifth. A larger job has more value.
 func (k *replayKind) earned() (owed, got float64, shares [3]float64) {
 	all, n := k.all, len(k.all)
 	slices.SortFunc(all, func(a, b *replayJob) int { return cmp.Compare(b.coreTime(), a.coreTime()) })
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -12,13 +12,13 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// replay plays the load of a large pool against Decide on a clock of its own: jobs come
-// in, an adviser answers late, runs take other times than estimated, some fail.
-// Everything follows from its seed.
+// replay simulates the load of a large pool against Decide on a virtual clock: jobs arrive, an
+// adviser answers with a delay, runs take longer or shorter than estimated, some fail.
+// Everything follows from the seed.
 type replay struct {
 	random *rand.Rand
 	now    time.Duration
-	// decision is the time between two decisions.
+	// decision is the interval between two decisions.
 	decision time.Duration
 	limits   Limits
 	round    int
@@ -26,35 +26,35 @@
 	kinds    []*replayKind
 	jobs     []*replayJob
 	runs     map[workflow.TaskKey]*replayRun
-	// lanes are when each lane to the adviser will be free.
+	// connections holds when each adviser connection becomes free.
 	connections []time.Duration
 	answers     []replayAnswer
 	earmarked   map[string]bool
-	// left is what the last whole decision left over of the workers' room, next the first
-	// step that it had no place for, and fresh are the jobs for which something has come
-	// up since; see playIncremental.
+	// remaining are the workers as the last full decision left them, firstSkipped is the first
+	// step beyond its bound, and changed are the jobs with a change since then; see
+	// playIncremental.
 	remaining    []Worker
 	firstSkipped *Step
 	changed      map[string]bool
 
-	// Figures: questions, stops and decisions, the longest decision, and the sum of the
-	// shares of cores that were free after each.
+	// These are figures for the output: queries, preemptions and decisions, the longest
+	// decision, and the sum over the decisions of the share of cores that are free.
 	queries, preemptions, decisions int
 	longestDecision                 time.Duration
 	freeSum                         float64
 }
 
-// replayRun is a run that is alive.
+// replayRun is a live run.
 type replayRun struct {
 	job    *replayJob
 	task   workflow.TaskKey
 	worker int
-	// end is when it ends, expected what its estimate says, whole how long it takes.
+	// end is when the run ends, expected when its estimate says so, duration how long it takes.
 	begin, end, expected, duration time.Duration
 	fails, stops                   bool
 }
 
-// replayAnswer is an answer of the adviser that is under way.
+// replayAnswer is an answer of the adviser that is in flight.
 type replayAnswer struct {
 	at    time.Duration
 	job   *replayJob
@@ -62,7 +62,7 @@
 	query Query
 }
 
-// newReplay returns a pool of n workers with 64 cores and 256 GB each, without load.
+// newReplay returns a pool of n workers with 64 cores and 256 GiB each, without load.
 func newReplay(seed uint64, n, connections int, kinds ...*replayKind) *replay {
 	r := &replay{
 		random: rand.New(rand.NewPCG(seed, 7)), kinds: kinds, connections: make([]time.Duration, connections),
@@ -78,15 +78,15 @@
 	return r
 }
 
-// permits is the adviser's word, which never changes for a step and a worker.
+// permits is the decision of the adviser, which never changes for a step and a worker.
 func (r *replay) permits(key workflow.StepKey, worker string, share float64) bool {
 	h := fnv.New32a()
 	_, _ = fmt.Fprint(h, key, worker)
 	return float64(h.Sum32()%1000) < 1000*share
 }
 
-// step returns what a decision learns of the job's present step; false when nothing
-// of it may start.
+// step returns the input of a decision for the current step of a job; false if none of its
+// tasks may start.
 func (r *replay) step(j *replayJob) (Step, bool) {
 	if j.ended > 0 || len(j.pending[j.step]) == 0 {
 		return Step{}, false
@@ -107,7 +107,7 @@
 	return s, true
 }
 
-// decide makes one decision and carries it out.
+// decide makes a full decision and applies it.
 func (r *replay) decide() {
 	var steps []Step
 	jobs := map[workflow.StepKey]*replayJob{}
@@ -138,7 +138,7 @@
 	r.apply(&plan, jobs)
 }
 
-// apply puts the questions of a plan and starts what it starts.
+// apply sends the queries of a plan and starts its tasks.
 func (r *replay) apply(plan *Plan, jobs map[workflow.StepKey]*replayJob) {
 	for _, a := range plan.Queries {
 		r.query(jobs[a.Step], a)
@@ -148,8 +148,9 @@
 	}
 }
 
-// decideIncremental makes a decision about the fresh jobs alone, with the room that the last
-// whole one left over. Those that don't go before all that it had no place for wait.
+// decideIncremental makes a decision for the changed jobs alone, with the resources that the
+// last full one left. Jobs that don't precede the first step beyond its bound wait for the next
+// full decision.
 func (r *replay) decideIncremental() {
 	var steps []Step
 	jobs := map[workflow.StepKey]*replayJob{}
@@ -169,8 +170,8 @@
 	r.apply(&plan, jobs)
 }
 
-// playIncremental lets jobs come until a time, with decisions about fresh jobs every tick
-// between whole ones.
+// playIncremental submits jobs until a time, with incremental decisions every tick between full
+// ones.
 func (r *replay) playIncremental(until, tick time.Duration) {
 	fullInterval := r.decision
 	defer func() { r.decision = fullInterval }()
@@ -193,7 +194,7 @@
 	}
 }
 
-// view returns the workers as a decision sees them.
+// view returns the workers as a decision gets them.
 func (r *replay) view() []Worker {
 	view := slices.Clone(r.workers)
 	for i := range view {
@@ -216,7 +217,7 @@
 	return view
 }
 
-// freeConnections returns how many questions may be put now, and how many of them may be long.
+// freeConnections returns how many queries may be sent now, and how many of them may be long.
 func (r *replay) freeConnections() (all, long int) {
 	for i, until := range r.connections {
 		if until >= r.now+time.Second {
@@ -230,11 +231,11 @@
 	return all, long
 }
 
-// shortQueryDivisor is the part of the lanes that long questions leave to short ones, as a
-// divisor.
+// shortQueryDivisor is the divisor of the connections that gives those reserved for short
+// queries.
 const shortQueryDivisor = 6
 
-// ask puts a question on the lane that is free first.
+// query sends a query on the connection that becomes free first.
 func (r *replay) query(j *replayJob, a Query) {
 	r.queries++
 	length := j.kind.baseLatency + time.Duration(len(a.Workers))*j.kind.perWorkerLatency
@@ -257,7 +258,7 @@
 	r.answers = append(r.answers, replayAnswer{at: usable[first] + 5*time.Millisecond, job: j, key: a.Step, query: a})
 }
 
-// applyAnswer takes in an answer of the adviser.
+// applyAnswer applies an answer of the adviser.
 func (r *replay) applyAnswer(a replayAnswer) {
 	j, k := a.job, a.job.kind
 	if j.ended > 0 || j.step != a.key.Step {
@@ -289,14 +290,14 @@
 	j.permits = known
 }
 
-// markChanged takes in that something has come up for a job.
+// markChanged records that a job has changed since the last full decision.
 func (r *replay) markChanged(j *replayJob) {
 	if r.changed != nil {
 		r.changed[j.id] = true
 	}
 }
 
-// start lets a task run.
+// start starts a task.
 func (r *replay) start(j *replayJob, s Start) {
 	spec, work := j.specs[s.Task.Step], j.works[s.Task.Step]
 	w := slices.IndexFunc(r.workers, func(w Worker) bool { return w.ID == s.Worker })
@@ -315,7 +316,7 @@
 	}
 }
 
-// tie lets the members of a gang end together, with the slowest.
+// alignGangEnds lets all members of a gang end together with the slowest, or fail together.
 func (r *replay) alignGangEnds(j *replayJob, key workflow.StepKey) {
 	end := time.Duration(0)
 	fails := r.random.Float64() < j.kind.failingShare
@@ -332,7 +333,7 @@
 	}
 }
 
-// end takes in the end of a run.
+// end applies the end of a run.
 func (r *replay) end(run *replayRun) {
 	j, step := run.job, run.task.Step
 	delete(r.runs, run.task)
@@ -364,7 +365,7 @@
 	}
 }
 
-// advance lets time pass until the next decision.
+// advance moves the clock to the next decision and applies what happens until then.
 func (r *replay) advance() {
 	r.now += r.decision
 	r.answers = slices.DeleteFunc(r.answers, func(a replayAnswer) bool {
@@ -388,7 +389,7 @@
 	r.freeSum += r.freeShare()
 }
 
-// freeShare is the share of the pool's cores that no run takes.
+// freeShare is the share of the pool's cores that no run occupies.
 func (r *replay) freeShare() float64 {
 	free, all := int64(0), int64(0)
 	for i := range r.workers {
@@ -398,7 +399,7 @@
 	return float64(free) / float64(all)
 }
 
-// play lets jobs come for traffic, and then nothing for rest.
+// play submits jobs for traffic and none for rest.
 func (r *replay) play(traffic, rest time.Duration) {
 	for r.now < traffic+rest {
 		if r.now < traffic {
@@ -422,9 +423,8 @@
 	return steps, gangs
 }
 
-// longestIdleWait notes since when each job of which nothing runs would find room for twice its
-// tasks on permitted workers, beside all jobs before it that would, and returns the longest
-// such time.
+// longestIdleWait records since when each job without a run would find twice its resources on
+// permitted workers, beside all such jobs before it, and returns the longest of these times.
 func (r *replay) longestIdleWait() time.Duration {
 	longest := time.Duration(0)
 	free := slices.Clone(r.workers)
@@ -442,8 +442,8 @@
 	return longest
 }
 
-// takeTwiceTheRoom takes room for twice the step's tasks on workers that the adviser permits,
-// asked or not, and reports whether there is as much.
+// takeTwiceTheRoom takes resources for twice the tasks of a step from workers that the adviser
+// permits, queried or not, and reports whether that many are free.
 func (r *replay) takeTwiceTheRoom(s *Step, j *replayJob, free []Worker) bool {
 	var chosen []*Worker
 	left := 2 * len(s.Pending)
--- a/dispatch/roundrobin.go
+++ b/dispatch/roundrobin.go
@@ -5,33 +5,34 @@
 	"slices"
 )
 
-// roundRobinQueryDivisor is the part of the questions that goes to steps in turn, as a divisor.
+// roundRobinQueryDivisor is the divisor of the queries of a decision that gives those held back
+// for round-robin use.
 const roundRobinQueryDivisor = 3
 
-// unasked is a step that waits for a question.
+// queryWaiter is a step that waits for a query.
 type queryWaiter struct {
 	step *Step
-	// left is how many of its tasks weren't started, reason what they wait for without a
-	// question.
+	// left is the number of tasks that were not started, reason what they wait for if no query
+	// is sent.
 	left   int
 	reason Reason
 }
 
-// roundRobinPart is the part of n questions that steps in turn get. Over the decisions it is
-// the same part where each has a single one to give.
+// roundRobinPart returns how many of n queries are held back for round-robin use. The rounding
+// rotates, so the share also holds over decisions that have a single query each.
 func (p *planner) roundRobinPart(n int) int {
 	return (n + p.limits.Round%roundRobinQueryDivisor) / roundRobinQueryDivisor
 }
 
-// needsReservedLongQuery reports whether only a long question that is kept back would do for s.
+// needsReservedLongQuery reports whether s can only be served by a long query that is held
+// back.
 func (p *planner) needsReservedLongQuery(s *Step) bool {
 	return s.NeedsPermit && !s.Spec.Gang && p.reservedLongQueries > 0 && !p.mayQuery(s, p.limits.WorkersPerQuery)
 }
 
-// queryRoundRobin gives the questions that are left to the steps that wait for one.
-//
-// Failure guarded against: urgent steps that hardly any worker is permitted for ask on and
-// on, and others learn of no worker beside an empty pool, the longer the larger it is.
+// queryRoundRobin gives the remaining queries to the steps that wait for one. Without it urgent
+// steps that hardly any worker is permitted for use all queries, and other steps get none
+// beside an empty pool, for longer the larger the pool is.
 func (p *planner) queryRoundRobin() {
 	slices.SortStableFunc(p.queryWaiters, func(a, b queryWaiter) int { return compareQueryOrder(a.step, b.step) })
 	for _, u := range p.queryWaiters {
@@ -43,8 +44,8 @@
 	}
 }
 
-// compareQueryOrder puts steps that know of no worker first, since a first question tells
-// most, and then those whose last one is longest ago.
+// compareQueryOrder puts steps that know of no worker first, since a first query tells the
+// most, then those whose last query is the longest ago.
 func compareQueryOrder(a, b *Step) int {
 	return cmp.Or(compareBools(len(a.Permits) > 0, len(b.Permits) > 0), cmp.Compare(a.LastQuery, b.LastQuery))
 }
--- a/dispatch/select.go
+++ b/dispatch/select.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// filters keep workers from a step, whatever else runs there now.
+// filters are the requirements of a step that a worker meets or not, whatever else runs there.
 var filters = []struct {
 	reason Reason
 	passes func(s *Step, w *Worker) bool
@@ -28,13 +28,13 @@
 	return out
 }
 
-// suits reports whether w, nil for a worker that isn't there, is of the pool of s and
-// could run its tasks if it were empty.
+// eligible reports whether w is in the pool of s and could run its tasks if it were empty. A
+// nil worker isn't eligible.
 func eligible(s *Step, w *Worker) bool {
 	return w != nil && w.Service == s.Service && rejection(s, w) == ""
 }
 
-// rejection returns why w can't run tasks of s at all, empty when it can.
+// rejection returns why w can't run tasks of s at all, empty if it can.
 func rejection(s *Step, w *Worker) Reason {
 	for i := range filters {
 		if !filters[i].passes(s, w) {
@@ -50,19 +50,19 @@
 
 func bigEnough(s *Step, w *Worker) bool { return s.Spec.Demand().Fits(w.Capacity) }
 
-// minSpareShare is the share, in percent, below which a worker's serving tasks
-// leave too little to begin another task on spare processors there.
+// minSpareShare is the CPU percentage that serving tasks must leave on a worker for another
+// task that uses spare CPU to start there.
 const minSpareShare = 10
 
-// compatible keeps tasks that use spare processors off workers whose serving tasks
-// leave next to nothing.
+// enoughSpareShare reports whether w has spare CPU for tasks of s. Tasks that use spare CPU
+// don't start where serving tasks leave next to nothing.
 func enoughSpareShare(s *Step, w *Worker) bool {
 	return !s.Spec.UsesSpare || !w.Serving || w.SpareShare >= minSpareShare
 }
 
-// crowding is how much a task of s and what runs on w disturb each other: tasks
-// with a latency objective and tasks that use spare processors are kept apart
-// while there is room elsewhere, and the latter among themselves.
+// interference ranks how much a task of s and the runs on w disturb each other. Tasks with a
+// latency objective and tasks that use spare CPU are kept apart while other workers have free
+// resources, and the latter also from each other.
 func interference(s *Step, w *Worker) int {
 	switch {
 	case s.Spec.UsesSpare && w.Serving:
@@ -73,7 +73,7 @@
 	return 0
 }
 
-// best returns the worker that comes first in an order.
+// best returns the first worker in the order among those that are ok, nil if there is none.
 func best(s *Step, workers []*Worker, order func(s *Step, a, b *Worker) int, ok func(*Worker) bool) *Worker {
 	var chosen *Worker
 	for _, w := range workers {
@@ -84,28 +84,30 @@
 	return chosen
 }
 
-// prefer orders workers by how well they suit one task of s: sound ones first, then
-// those near the data, then those that no gang is about to fill, then the one that
-// is left with the least room, which keeps whole workers free for gangs.
+// comparePreference orders workers by how well they suit one task of s: healthy ones first,
+// then those near the data, with little interference and without an earmark, then the one with
+// the least free resources, which keeps whole workers free for gangs.
 func comparePreference(s *Step, a, b *Worker) int {
 	room := cmp.Compare(a.Free.MilliCPU, b.Free.MilliCPU)
 	if s.Spec.UsesSpare {
-		// What others leave is what such a task gets.
+		// Tasks that use spare CPU get what others leave, so the worker with the most free CPU
+		// suits best.
 		room = -room
 	}
 	return cmp.Or(cmp.Compare(a.Penalty, b.Penalty), cmp.Compare(distance(s, a), distance(s, b)),
 		cmp.Compare(interference(s, a), interference(s, b)), compareBools(a.Earmarked, b.Earmarked), room, a.rank-b.rank)
 }
 
-// compareRunCount puts workers first whose crash would take the fewest runs along.
+// compareRunCount puts workers with the fewest runs first, so that a crash of the worker ends
+// as few of them as possible.
 func compareRunCount(s *Step, a, b *Worker) int {
 	return cmp.Or(cmp.Compare(a.runCount(), b.runCount()), comparePreference(s, a, b))
 }
 
-// runs counts the runs on w, and those that the plan begins there.
+// runCount counts the runs on w and those that the plan starts there.
 func (w *Worker) runCount() int { return len(w.Releases) + w.plannedStarts }
 
-// distance is 0 near the data of s, 1 elsewhere.
+// distance is 0 in the rack that holds the data of s, 1 elsewhere.
 func distance(s *Step, w *Worker) int {
 	if s.Spec.DataRack == "" || s.Spec.DataRack == w.Rack {
 		return 0
@@ -113,14 +115,14 @@
 	return 1
 }
 
-// ranked is a worker with what it is ordered by.
+// rankedWorker is a worker with the values that order it.
 type rankedWorker struct {
 	worker             *Worker
 	fitCount, distance int
 }
 
-// compareRoom puts sound workers first, then those near the data, then those with most
-// room.
+// compareRoom puts healthy workers first, then those near the data, then those on which the
+// most tasks fit.
 func compareRoom(a, b *rankedWorker) int {
 	switch {
 	case a.worker.Penalty != b.worker.Penalty:
@@ -135,11 +137,9 @@
 	return a.worker.rank - b.worker.rank
 }
 
-// byRoom yields workers by how many tasks of s fit now, most first, so that a gang
-// spreads over few workers.
-//
-// Load that it answers: gangs and questions need the first few dozens of a thousand
-// workers each. Only these are put in order.
+// byRoom yields the workers on which the most tasks of s fit first, so that a gang spreads over
+// few workers. It sorts lazily with a heap, since gangs and queries need only the first few
+// dozen of a thousand workers.
 func byRoom(s *Step, workers []*Worker) iter.Seq[*Worker] {
 	order := make(roomHeap, len(workers))
 	for i, w := range workers {
@@ -156,17 +156,17 @@
 	}
 }
 
-// roomHeap is a heap whose first worker is the next by room.
+// roomHeap is a heap of workers in the order of compareRoom.
 type roomHeap []rankedWorker
 
 func (h roomHeap) Len() int           { return len(h) }
 func (h roomHeap) Less(i, j int) bool { return compareRoom(&h[i], &h[j]) < 0 }
 func (h roomHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (h *roomHeap) Push(x any) { *h = append(*h, x.(rankedWorker)) }
 
-// Pop drops the last entry; its value is of no use to anybody.
+// Pop removes the last entry. It returns nil, since no caller uses the value.
 func (h *roomHeap) Pop() any {
 	*h = (*h)[:len(*h)-1]
 	return nil
--- a/dispatch/suspect_test.go
+++ b/dispatch/suspect_test.go
@@ -6,7 +6,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against a task that crashes its workers and takes with it what was placed beside it.
+// Guards against a crash suspect that ends the runs placed beside it when it crashes its
+// worker.
 func TestCrashSuspectStartsAlone(t *testing.T) {
 	pool := workers(4, 16)
 	pool[0].Releases = []Release{{}}
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -1,7 +1,7 @@
-// Package dispatch decides which ready tasks start on which worker and which
-// permits are to be asked for. Plan is a function of a snapshot; it reads no
-// clock and keeps nothing between calls. The caller commits the starts, which
-// checks them again, and then sends them.
+// Package dispatch decides which ready tasks start on which worker and which queries go to the
+// adviser. Decide is a pure function of a snapshot: it reads no clock and keeps nothing between
+// calls. The caller commits the planned starts, which checks them again, and then sends them to
+// the workers.
 package dispatch
 
 import (
@@ -13,99 +13,98 @@
 // Worker is a worker that may be given tasks now.
 type Worker struct {
 	workflow.Worker
-	// Free is the capacity that no run takes, not even one that may be alive; a plan
-	// takes from it. Unplanned is the same before the plan.
+	// Free is the capacity that no run occupies; a run that may be alive occupies its
+	// resources. A plan takes from Free. FreeBeforePlan is the value before the plan.
 	Free, FreeBeforePlan workflow.Resources
-	// Kept is what a plan keeps of the worker, now or once runs end, for steps that it
-	// couldn't start; it isn't in Free.
+	// Reserved are resources that the plan reserves, now or once runs end, for steps that it
+	// couldn't start. They aren't in Free.
 	Reserved workflow.Resources
 	// Releases are the expected ends of the runs on the worker, the soonest first.
 	Releases []Release
-	// started counts the starts that the plan has given to the worker.
+	// plannedStarts counts the starts that the plan has placed on the worker.
 	plannedStarts int
-	// Serving says that tasks with a latency objective run there.
+	// Serving says that tasks with a latency objective run on the worker.
 	Serving bool
-	// SpareRuns counts the tasks there that use spare processors, SpareShare is the
-	// share in percent at which they may work beside serving ones.
+	// SpareRuns counts the runs on the worker that use spare CPU. SpareShare is the percentage
+	// of the CPU that they may use beside serving tasks.
 	SpareRuns, SpareShare int
-	// Earmarked says that the last decision kept room there for a gang that is about
-	// to fit.
+	// Earmarked says that the last decision reserved resources here for a gang that fits soon.
 	Earmarked bool
-	// Penalty sets back workers that failed or stood still lately; 0 is sound.
+	// Penalty ranks workers lower that failed or stalled recently; 0 is healthy.
 	Penalty int
-	// rank is the worker's place by ID, which decides between equal ones.
+	// rank is the position of the worker in the order of IDs; it breaks ties.
 	rank int
 }
 
-// Release is room that a run is expected to give back.
+// Release describes the resources that a run is expected to release when it ends.
 type Release struct {
-	// At is on the caller's steady clock.
+	// At is on the monotonic clock of the caller.
 	At        time.Duration
 	Resources workflow.Resources
 	Task      workflow.TaskKey
 	// Priority is that of the run's queue.
 	Priority int
-	// Yields says that the run may be stopped for a more urgent step: it goes on
-	// later from a checkpoint.
+	// Preemptible says that a more urgent step may stop the run: it resumes from a checkpoint.
 	Preemptible bool
 	// Stopping says that the run has been told to stop.
 	Stopping bool
 }
 
-// Permit is what is known of a step's permission to run on a worker.
+// Permit is the adviser's known answer on whether a step may run on a worker.
 type Permit struct {
 	// Granted never changes for a step and a worker.
 	Granted bool
 	Ticket  string
-	// Expires is when the ticket ends, on the caller's steady clock.
+	// Expires is when the ticket expires, on the monotonic clock of the caller.
 	Expires time.Duration
 }
 
-// Step is a step whose turn has come.
+// Step is a step whose dependencies have ended, with what a decision needs to know of it.
 type Step struct {
 	Key  workflow.StepKey
 	Spec *workflow.Step
 	// Service is the pool whose workers may run the step.
 	Service string
-	// Priority comes from the queue; 0 goes first.
+	// Priority is that of the queue; 0 is the most urgent.
 	Priority int
-	// Late is 0 while the job can meet its objective, 1 while it is late but still
-	// worth something, and 2 after that.
+	// Lateness is 0 while the job can meet its objective, 1 while it is late but still has some
+	// value, and 2 after that.
 	Lateness int
-	// Due is when the job's objective ends, on the caller's steady clock.
+	// Due is when the job's objective ends, on the monotonic clock of the caller.
 	Due time.Duration
-	// Pending are the tasks that may be started.
+	// Pending are the indexes of the tasks that may be started.
 	Pending []int
-	// NeedsPermit says that workers are permitted by an adviser.
+	// NeedsPermit says that the adviser decides which workers may run the step.
 	NeedsPermit bool
-	Permits     map[string]Permit
-	// TicketsExpire is when the last of its tickets ends, on the caller's steady clock; 0 for
-	// none.
+	// Permits are the known answers of the adviser, by worker ID.
+	Permits map[string]Permit
+	// TicketsExpire is when the last of the step's tickets expires, on the monotonic clock of
+	// the caller; 0 for none.
 	TicketsExpire time.Duration
-	// Asked is when its last question was put, or before the first since when it waits for
-	// one, on the caller's steady clock.
+	// LastQuery is when the step's last query was sent, on the monotonic clock of the caller.
+	// Before the first one it is when the step began to wait for a query.
 	LastQuery time.Duration
-	// AnswerTime is how long the adviser takes to answer about n workers.
+	// AnswerTime returns how long the adviser takes to answer a query about n workers.
 	AnswerTime func(n int) time.Duration
-	// GrantRate is the share of the workers asked about that the adviser has permitted
-	// of late for the step's queue; 0 when it isn't known.
+	// GrantRate is the share of the queried workers that the adviser has recently permitted for
+	// the step's queue; 0 while it is unknown.
 	GrantRate float64
-	// Asking says that an answer of the adviser is awaited; Renewing names the
-	// workers asked about whose grant is already known.
+	// AwaitsAnswer says that a query of the step is in flight. Renewing names the workers in it
+	// whose grant is known already.
 	AwaitsAnswer bool
 	Renewing     []string
-	// Placed counts the step's live runs on each worker, where Spec bounds them.
+	// Placed counts the step's live runs by worker. It is set only where Spec bounds them.
 	Placed map[string]int
-	// Copy says that each pending task is alive already, on the worker that Avoid
-	// names, and that a second run of it is worth some idle room.
+	// Copy says that the pending tasks already run, on the workers that Avoid names by task
+	// index, and that a speculative copy of each is worth idle resources.
 	Copy  bool
 	Avoid map[int]string
-	// Suspects are the pending tasks that workers have crashed under.
+	// Suspects are the pending tasks under whose runs workers have crashed.
 	Suspects map[int]bool
 }
 
-// grantRate is the share of workers that a question is expected to permit; before
-// anything is known of the queue, all.
+// expectedGrantRate returns the share of the queried workers that the adviser is expected to
+// permit: 1 while nothing is known of the queue.
 func (s *Step) expectedGrantRate() float64 {
 	if s.GrantRate == 0 {
 		return 1
@@ -113,18 +112,18 @@
 	return s.GrantRate
 }
 
-// Start is one task to be started.
+// Start is one task to start on a worker.
 type Start struct {
 	Task   workflow.TaskKey
 	Worker string
 	Ticket string
 }
 
-// Ask is a question to the adviser.
+// Query asks the adviser whether a step may run on some workers.
 type Query struct {
 	Step    workflow.StepKey
 	Workers []string
-	// Renewal says that all grants are known and only tickets are needed.
+	// Renewal says that all grants are known and only new tickets are needed.
 	Renewal bool
 }
 
@@ -147,17 +146,19 @@
 	ReasonNotQueried    Reason = "the adviser wasn't asked about the worker"
 	ReasonTicketExpired Reason = "the ticket for the worker has ended"
 
-	// ReasonBeyondBound is that of steps that a decision didn't go into. Plans only count them.
+	// ReasonBeyondBound: the step is beyond the bound of the decision. Plans only count such
+	// steps.
 	ReasonBeyondBound Reason = "behind the steps that one decision goes into"
-	// ReasonNoConnection: something has to be asked, and no question may be put.
+	// ReasonNoConnection: the step needs a query and no adviser connection is free for it.
 	ReasonNoConnection Reason = "no lane to the adviser is free"
-	// ReasonTicketsExpired: a gang fits where it is permitted, and no question may be put now.
+	// ReasonTicketsExpired: a gang fits on permitted workers, and no query may be sent now.
 	ReasonTicketsExpired Reason = "fits on permitted workers, whose tickets have ended"
-	// ReasonReserved: without the room that is kept for others it would fit.
+	// ReasonReserved: the step would fit if no resources were reserved for other steps.
 	ReasonReserved Reason = "the room that would do is kept for steps before it"
-	// ReasonGangCannotQuery: a gang that can't ask now and doesn't fit on the workers it knows of.
+	// ReasonGangCannotQuery: a gang doesn't fit on the workers known to be permitted and may
+	// send no query now.
 	ReasonGangCannotQuery Reason = "doesn't fit on the workers it knows of, and can't ask now"
-	// ReasonPreempting: runs are stopped for it, or tickets asked for to stop them.
+	// ReasonPreempting: runs are being stopped for the step, or tickets are queried first.
 	ReasonPreempting Reason = "less urgent runs give way to it"
 )
 
@@ -166,30 +167,31 @@
 	Step   workflow.StepKey
 	Tasks  int
 	Reason Reason
-	// Label is the one that the step requires.
+	// Label is the worker label that the step requires.
 	Label string
 }
 
 // Limits bound one plan.
 type Limits struct {
-	// WorkersPerQuery is how many workers one question names, WorkersPerGangQuery how many
-	// one about a gang does: it needs many at once, and may put several.
+	// WorkersPerQuery is the number of workers that one query names at most.
+	// WorkersPerGangQuery is the same for a gang, which needs many workers at once and may send
+	// several queries.
 	WorkersPerQuery     int
 	WorkersPerGangQuery int
-	// Asks is how many questions may be put now.
+	// Queries is how many queries may be sent now.
 	Queries int
-	// LongQueries is how many of them may be long, which they are when the adviser takes
-	// more than LongQueryTime to answer; LongQueryTime 0 makes none long.
+	// LongQueries is how many of the Queries may be long, that is, take the adviser more than
+	// LongQueryTime. With LongQueryTime 0 no query is long.
 	LongQueries   int
 	LongQueryTime time.Duration
-	// Steps is how many steps one decision goes into at most; 0 for no bound.
+	// Steps is the most steps that one decision considers; 0 for no bound.
 	Steps int
-	// Turn counts the decisions. It lets each step behind the bound have its turn.
+	// Round is the number of the decision. It rotates the steps beyond the bound.
 	Round int
-	// Without names mechanisms that are switched off.
+	// Disabled are the mechanisms that are switched off.
 	Disabled Disabled
-	// TicketMargin is how long a ticket must be valid still when a start is
-	// planned, so that it reaches the worker in time.
+	// TicketMargin is how long a ticket must still be valid when a start is planned, so that
+	// the start reaches the worker before the ticket expires.
 	TicketMargin time.Duration
 }
 
@@ -198,14 +200,14 @@
 	Starts  []Start
 	Queries []Query
 	Waiting []Waiting
-	// Behind counts the steps that the decision didn't go into; they wait for
+	// BeyondBound counts the steps that the decision didn't consider. They wait for
 	// ReasonBeyondBound and aren't in Waiting.
 	BeyondBound int
-	// Next is the most urgent of the steps that had no place of their own in the decision;
-	// it went into all that go before that one. It is nil when it went into all.
+	// FirstSkipped is the most urgent step beyond the bound of the decision: steps that precede
+	// it were all considered. It is nil if the decision considered all steps.
 	FirstSkipped *Step
-	// Earmarks are the workers on which room is kept for a gang that is about to fit.
+	// Earmarks are the workers on which resources are reserved for a gang that fits soon.
 	Earmarks []string
-	// Preempts are runs to be stopped.
+	// Preemptions are the runs to stop.
 	Preemptions []Preemption
 }
