--- a/workflow/apply.go
+++ b/workflow/apply.go
@@ -7,22 +7,21 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Command is one change of the state. Exactly one field is set, but for Crashed, which
-// goes with Gone.
+// Command is one change of the state. Exactly one field is set; only Crashed accompanies Gone.
 type Command struct {
 	Submit *Submission `cbor:"1,keyasint,omitempty"`
-	// Cancel is the ID of a job.
+	// Cancel is the ID of the job to cancel.
 	Cancel string `cbor:"2,keyasint,omitempty"`
-	// Start holds runs to begin; Number is chosen by Apply.
+	// Start holds runs to start; Apply sets their Number.
 	Start []Run    `cbor:"3,keyasint,omitempty"`
 	Ends  *RunEnds `cbor:"4,keyasint,omitempty"`
-	// Worker announces an incarnation.
+	// Worker announces an incarnation of a worker.
 	Worker *Worker `cbor:"5,keyasint,omitempty"`
-	// Gone is the incarnation of a worker that has ended.
+	// Gone is the ID of an incarnation that has ended.
 	Gone string `cbor:"6,keyasint,omitempty"`
-	// Crashed says that the worker that is gone has crashed.
+	// Crashed says that the worker named by Gone has crashed.
 	Crashed bool `cbor:"11,keyasint,omitempty"`
-	// Forget lists jobs that need no longer be shown.
+	// Forget lists ended jobs to delete.
 	Forget        []string     `cbor:"7,keyasint,omitempty"`
 	Configuration *Document    `cbor:"8,keyasint,omitempty"`
 	Wave          *Wave        `cbor:"9,keyasint,omitempty"`
@@ -32,30 +31,30 @@
 // RunEnds are ends of runs on one worker.
 type RunEnds struct {
 	Worker string `cbor:"1,keyasint"`
-	// Seen is the number of the last end listed by the worker that is contained.
+	// LastEnd is the highest number of an end reported by the worker that these ends include.
 	LastEnd uint64   `cbor:"2,keyasint,omitempty"`
 	Ends    []RunEnd `cbor:"3,keyasint"`
-	// Returned says that the worker has answered again after its lease had ended.
+	// Returned says that the worker has answered again after its lease had expired.
 	Returned bool `cbor:"4,keyasint,omitempty"`
-	// GivenUp says that the worker has been silent for so long that it isn't looked for any
-	// more: what its lease ended counts as ended by a crash.
+	// GivenUp says that the worker has been unresponsive for so long that it is no longer
+	// monitored: runs that ended with its lease count as ended by a crash.
 	GivenUp bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Encode returns the command as the log carries it.
+// Encode returns the command as the log stores it.
 func (c *Command) Encode() ([]byte, error) {
 	data, err := cbor.Marshal(c)
-	return data, errors.Wrap(err, "encode a command")
+	return data, errors.Wrap(err, "encode a workflow command")
 }
 
-// Decode reads a command.
+// Decode decodes a command that Encode encoded.
 func Decode(data []byte) (Command, error) {
 	var c Command
 	err := cbor.Unmarshal(data, &c)
-	return c, errors.Wrap(err, "decode a command")
+	return c, errors.Wrap(err, "decode a workflow command")
 }
 
-// SubmitResult tells what became of a submission.
+// SubmitResult is the outcome of a submission.
 type SubmitResult uint8
 
 // Results of a submission.
@@ -67,19 +66,19 @@
 	SubmitConflict
 )
 
-// Result is what Apply returns to whoever proposed the command.
+// Result is what Apply returns to the proposer of the command.
 type Result struct {
 	Submit SubmitResult
-	// Started are the runs that were begun, with their numbers. Those that the
-	// state no longer allows are left out.
+	// Started are the runs that were started, with their numbers. Runs that the state no longer
+	// allows are left out.
 	Started []Run
-	// Found says that the job to cancel is known.
+	// Found says that the job to cancel exists.
 	Found bool
-	// InForce is the configuration after the command.
+	// InForce is the current configuration after the command.
 	InForce Document
 }
 
-// Apply carries out one committed command.
+// Apply applies one committed command.
 func (s *State) Apply(index uint64, c *Command) Result {
 	switch {
 	case c.Submit != nil:
@@ -107,6 +106,7 @@
 	return Result{}
 }
 
+// submit accepts a job. A repeated submission is recognized by its ID.
 func (s *State) submit(index uint64, sub *Submission) SubmitResult {
 	if known := s.Jobs[sub.ID]; known != nil {
 		if known.Queue != sub.Queue {
@@ -128,6 +128,7 @@
 	return SubmitAccepted
 }
 
+// cancel cancels a job and reports whether it exists.
 func (s *State) cancel(id string) bool {
 	job := s.Jobs[id]
 	if job == nil {
@@ -140,14 +141,13 @@
 	return true
 }
 
-// close drops what an ended job no longer needs.
+// close removes a job from the open jobs and drops its payload.
 func (s *State) close(job *Job) {
 	delete(s.openJobs, job.ID)
 	job.Payload = ""
 }
 
-// start begins the runs that the state still allows. A gang is begun whole or
-// not at all.
+// start starts the runs that the state still allows. A gang starts whole or not at all.
 func (s *State) start(runs []Run) []Run {
 	var started []Run
 	for len(runs) > 0 {
@@ -161,6 +161,7 @@
 	return started
 }
 
+// startStep starts runs that belong to one step.
 func (s *State) startStep(runs []Run) []Run {
 	key := runs[0].Task.StepKey
 	job, step := s.step(key)
@@ -196,15 +197,15 @@
 	return started
 }
 
-// maxLiveRuns is how many runs of a task may be alive where copies are allowed.
+// maxLiveRuns is how many runs of a task may be alive at once if speculative copies are
+// allowed.
 const maxLiveRuns = 2
 
-// mayStart refuses a second run of a task beside one that may be alive, unless
-// its step allows copies on different workers and none has crashed under it, and a start
-// on a worker that is gone or has no room.
-//
-// Failure guarded against: a worker says that it has shrunk while starts that were decided
-// on before are being committed, and they bring it over its capacity.
+// mayStart reports whether a run may start. It refuses a second run beside one that may be
+// alive, unless the step allows speculative copies, the other run is on another worker and no
+// worker has crashed under the task. It also refuses a worker that is gone or lacks free
+// capacity: a worker may announce less capacity while starts decided before are being
+// committed, which would overcommit it.
 func (s *State) mayStart(spec *Step, step *StepState, run Run) bool {
 	worker := s.Workers[run.Worker]
 	if worker == nil || worker.Gone || run.Task.Index >= len(step.Tasks) || s.fitCountOn(worker, spec) == 0 {
@@ -218,14 +219,13 @@
 	return task.Live == 0 || spec.AllowsCopies() && !task.Suspect() && task.Live < maxLiveRuns && !there
 }
 
-// fitCountOn returns how many tasks of a step a worker has room for.
+// fitCountOn returns how many more tasks of a step fit on a worker.
 func (s *State) fitCountOn(worker *WorkerState, spec *Step) int {
 	used, _ := s.Used(worker.ID)
 	return spec.Demand().FitCount(worker.Capacity.Minus(used))
 }
 
-// mayStartGang reports whether all members of a gang may be begun, those on one worker
-// together.
+// mayStartGang reports whether all members of a gang may start, those on one worker together.
 func (s *State) mayStartGang(spec *Step, step *StepState, runs []Run) bool {
 	members := map[string]int{}
 	for _, run := range runs {
@@ -242,6 +242,7 @@
 	return true
 }
 
+// end applies ends of runs on one worker.
 func (s *State) end(e *RunEnds) {
 	if worker := s.Workers[e.Worker]; worker != nil {
 		worker.LastEnd = max(worker.LastEnd, e.LastEnd)
@@ -257,8 +258,8 @@
 	}
 }
 
-// endRun takes in the end of a run that may be alive. Ends of other runs are
-// repeats, or of runs whose lease had ended before and that count as lost.
+// endRun applies the end of a run that may be alive. It ignores other ends: they are
+// duplicates, or belong to runs that already count as lost because their lease expired.
 func (s *State) endRun(worker string, end RunEnd) {
 	run, ok := s.Runs[worker][end.Task]
 	if !ok || run.Number != end.Number {
@@ -284,7 +285,7 @@
 	switch {
 	case spec.LongRunning:
 	case task.Done:
-		// A copy ended first.
+		// A speculative copy finished the task before.
 	case end.Outcome == OutcomeDone:
 		s.finishTask(job, step, task)
 	case end.Outcome == OutcomeFailed:
@@ -293,8 +294,8 @@
 	}
 }
 
-// endGangMember takes in the end of a gang's member: one done member stands for all,
-// and a run that failed counts once, however many members say so.
+// endGangMember applies the end of a member of a gang. One member that is done finishes all
+// tasks, and a failed run counts as one failure, however many members report it.
 func (s *State) endGangMember(job *Job, spec *Step, step *StepState, end RunEnd) {
 	if end.Outcome != OutcomeDone {
 		step.GangEndedRun = max(step.GangEndedRun, end.Number)
@@ -317,6 +318,7 @@
 	}
 }
 
+// finishTask marks a task as done, and closes the job with its last task.
 func (s *State) finishTask(job *Job, step *StepState, task *Task) {
 	if task.Done {
 		return
@@ -329,6 +331,7 @@
 	}
 }
 
+// failIfAttemptsExhausted fails a job whose number of failures has reached the attempt limit.
 func (s *State) failIfAttemptsExhausted(job *Job, failures int) {
 	budget := job.Policy.MaxAttempts
 	if budget > 0 && failures >= budget && !job.Ended() {
@@ -337,9 +340,9 @@
 	}
 }
 
-// announce takes in a worker. Another incarnation at the same address takes the
-// place of the one before only when that one is said to be gone. Of two heartbeats that
-// are committed out of order the later one holds.
+// announce records a worker. A new incarnation doesn't replace an earlier one at the same
+// address; only Gone ends that one. Of two heartbeats of an incarnation that are committed out
+// of order the one with the higher sequence wins.
 func (s *State) announce(w *Worker) {
 	known := s.Workers[w.ID]
 	if known == nil {
@@ -352,7 +355,7 @@
 	}
 }
 
-// workerGone ends every run of a worker that runs nothing any more.
+// workerGone ends every run of a worker whose incarnation has ended.
 func (s *State) workerGone(id string, crashed bool) {
 	worker := s.Workers[id]
 	if worker == nil {
@@ -371,6 +374,8 @@
 	delete(s.loads, id)
 }
 
+// sortedRuns returns runs in the order of their tasks, so that every replica applies them
+// alike.
 func sortedRuns(runs map[TaskKey]Run) []Run {
 	list := make([]Run, 0, len(runs))
 	for _, run := range runs {
@@ -380,6 +385,7 @@
 	return list
 }
 
+// forget deletes ended jobs.
 func (s *State) forget(ids []string) {
 	for _, id := range ids {
 		if job := s.Jobs[id]; job != nil && job.Ended() {
@@ -388,7 +394,7 @@
 	}
 }
 
-// configure keeps the highest version; an older one changes nothing.
+// configure keeps the document with the highest version; an older one changes nothing.
 func (s *State) configure(d *Document) {
 	if s.Configuration.Source == nil || d.Version > s.Configuration.Version {
 		s.Configuration = *d
--- a/workflow/capacity_test.go
+++ b/workflow/capacity_test.go
@@ -6,15 +6,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// shrink lets worker w1 announce that it has that many thousandths of a core.
+// announceCapacity lets worker w1 announce a capacity in thousandths of a core.
 func (s *State) announceCapacity(sequence uint64, milliCPU int64) {
 	s.Apply(20, &Command{Worker: &Worker{
 		ID: "w1", Service: "s", Address: "w1", Capacity: Resources{MilliCPU: milliCPU, MemoryMB: 800}, Sequence: sequence,
 	}})
 }
 
-// Guards against a worker that is brought over its capacity (LIMIT): it shrank between the
-// decision on a start and its commit.
+// Guards against a worker that is loaded beyond its capacity (LIMIT): its capacity shrank
+// between the decision on a start and the commit.
 func TestStartBeyondShrunkCapacityIsRejected(t *testing.T) {
 	s := newState(t, smallStep(4))
 	s.announceCapacity(1, 2500)
@@ -26,8 +26,8 @@
 	must.SliceLen(t, 1, s.begin("w1", key(0, 3)))
 }
 
-// Guards against a gang of which members are begun without the others, or on a worker that
-// has shrunk and doesn't hold them together.
+// Guards against a gang that starts in part, or on a worker whose capacity has shrunk and
+// doesn't hold all members placed on it.
 func TestGangBeyondShrunkCapacityIsRejected(t *testing.T) {
 	gang := smallStep(3)
 	gang.Gang = true
@@ -38,7 +38,7 @@
 	must.SliceLen(t, 3, s.begin("w1", key(0, 0), key(0, 1), key(0, 2)))
 }
 
-// Guards against an older heartbeat that is committed after a newer one.
+// Guards against an older heartbeat that is committed after a newer one and overwrites it.
 func TestOlderHeartbeatIsIgnored(t *testing.T) {
 	s := newState(t, smallStep(1))
 	s.announceCapacity(7, 500)
--- a/workflow/check.go
+++ b/workflow/check.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Bounds of a job. That of the tasks comes from the memory of an instance:
-// 100,000 of them take 6 MB.
+// MaxPayload, MaxTasks, MaxSteps and MaxOccurrences are the limits of a job. MaxPayload is in
+// bytes. MaxTasks follows from the memory of an instance: 100,000 tasks take 6 MB.
 const (
 	MaxPayload     = 4000
 	MaxTasks       = 100_000
@@ -14,7 +14,7 @@
 // Field names a part of a submission.
 type Field string
 
-// Fields of a submission, as the product's own interface names them.
+// Fields of a submission, as the API names them.
 const (
 	FieldPayload      Field = "payload"
 	FieldSteps        Field = "steps"
@@ -27,7 +27,7 @@
 	FieldAfter        Field = "after"
 )
 
-// CheckError says what is wrong with which field of a submission.
+// CheckError says which field of a submission is invalid and why.
 type CheckError struct {
 	Field   Field
 	Message string
@@ -36,11 +36,12 @@
 // Error returns field and message.
 func (e *CheckError) Error() string { return string(e.Field) + ": " + e.Message }
 
+// checkErrorf returns a *CheckError with a formatted message.
 func checkErrorf(field Field, format string, args ...any) error {
 	return &CheckError{Field: field, Message: fmt.Sprintf(format, args...)}
 }
 
-// Check returns a *CheckError when a job can't be accepted as it is.
+// Check returns a *CheckError if a job can't be accepted, nil otherwise.
 func Check(payload string, steps []Step, schedule Schedule) error {
 	switch {
 	case len(payload) > MaxPayload:
@@ -48,9 +49,9 @@
 	case len(steps) == 0 || len(steps) > MaxSteps:
 		return checkErrorf(FieldSteps, "%d steps, 1 to %d are allowed", len(steps), MaxSteps)
 	case schedule.Times < 0 || schedule.Times > MaxOccurrences:
-		return checkErrorf(FieldRepeatTimes, "%d, 0 to %d are allowed", schedule.Times, MaxOccurrences)
+		return checkErrorf(FieldRepeatTimes, "%d occurrences, 0 to %d are allowed", schedule.Times, MaxOccurrences)
 	case schedule.EveryMS < 0 || schedule.FirstAtMS < 0:
-		return checkErrorf(FieldRepeatEvery, "times may not be negative")
+		return checkErrorf(FieldRepeatEvery, "the start time and the interval may not be negative")
 	}
 	tasks := 0
 	for i := range steps {
@@ -60,21 +61,22 @@
 		tasks += steps[i].Count
 	}
 	if tasks > MaxTasks || tasks*max(schedule.Times, 1) > MaxTasks {
-		return checkErrorf(FieldTasks, "more than %d tasks", MaxTasks)
+		return checkErrorf(FieldTasks, "more than %d tasks in all steps and occurrences", MaxTasks)
 	}
 	return nil
 }
 
+// check returns a *CheckError if the step with this index is invalid.
 func (s *Step) check(index int) error {
 	switch {
 	case s.Count < 1 || s.Count > MaxTasks:
 		return checkErrorf(FieldTasks, "%d tasks in step %d, 1 to %d are allowed", s.Count, index, MaxTasks)
 	case s.Need.MilliCPU < 0 || s.Need.MemoryMB < 0 || s.Need.Accelerators < 0:
-		return checkErrorf(FieldNeed, "step %d has a negative size", index)
+		return checkErrorf(FieldNeed, "step %d has a negative resource demand", index)
 	case s.EstimateMS < 0:
-		return checkErrorf(FieldEstimate, "step %d has a negative estimate", index)
+		return checkErrorf(FieldEstimate, "step %d has a negative run time estimate", index)
 	case s.MaxPerWorker < 0 || s.MaxUnavailable < 0 || s.LatencyObjectiveMS < 0:
-		return checkErrorf(FieldMaxPerWorker, "step %d has a negative bound", index)
+		return checkErrorf(FieldMaxPerWorker, "step %d has a negative limit of tasks per worker or of unavailable tasks, or a negative latency objective", index)
 	}
 	for _, before := range s.DependsOn {
 		if before < 0 || before >= index {
@@ -84,7 +86,7 @@
 	return nil
 }
 
-// Fields of a wave of maintenance.
+// Fields of a maintenance wave.
 const (
 	FieldWaveID       Field = "id"
 	FieldWaveMachines Field = "machines"
@@ -92,11 +94,11 @@
 	FieldWaveMaxDown  Field = "max_down"
 )
 
-// CheckWave says what is wrong with a wave, nil when nothing is.
+// CheckWave returns why a maintenance wave is invalid, nil if it is valid.
 func CheckWave(w *Wave) *CheckError {
 	switch {
 	case w.ID <= 0:
-		return &CheckError{FieldWaveID, "missing, or not above 0"}
+		return &CheckError{FieldWaveID, "it is missing or not above 0"}
 	case len(w.Machines) == 0 || len(w.Machines) > MaxTasks:
 		return &CheckError{FieldWaveMachines, fmt.Sprintf("%d machines, 1 to %d are allowed", len(w.Machines), MaxTasks)}
 	case w.DurationMS <= 0:
--- a/workflow/configuration.go
+++ b/workflow/configuration.go
@@ -2,8 +2,9 @@
 
 import "strings"
 
-// AdvicePolicy describes the adviser of a queue: its answer takes Decide and
-// Each for each worker named, and a ticket holds for Valid.
+// AdvicePolicy describes the adviser of a queue: an answer takes BaseMS and PerWorkerMS for
+// each worker in the query, and a ticket is valid for TicketValidityMS. All are in
+// milliseconds.
 type AdvicePolicy struct {
 	BaseMS           float64 `cbor:"1,keyasint"`
 	PerWorkerMS      float64 `cbor:"2,keyasint"`
@@ -14,19 +15,19 @@
 type Policy struct {
 	// Service is the pool of workers that run the tasks.
 	Service string `cbor:"1,keyasint"`
-	// Priority 0 goes first.
+	// Priority orders the queues; 0 is the most urgent.
 	Priority int `cbor:"2,keyasint,omitempty"`
-	// MaxAttempts is how many runs of a task may fail before the job does.
+	// MaxAttempts is how many runs of a task may fail before its job fails; 0 for no limit.
 	MaxAttempts int `cbor:"3,keyasint,omitempty"`
-	// The objective of a job is Stretch times its longest chain of work and
-	// ObjectiveMS more.
+	// A job meets its objective if it takes at most Stretch times its longest chain of work
+	// plus ObjectiveMS milliseconds.
 	Stretch     float64 `cbor:"4,keyasint,omitempty"`
 	ObjectiveMS int64   `cbor:"5,keyasint,omitempty"`
-	// Advice is nil when any worker of the service may run any step.
+	// Advice is nil if any worker of the service may run any step.
 	Advice *AdvicePolicy `cbor:"6,keyasint,omitempty"`
 }
 
-// Queue takes in the jobs that are submitted under a host and a path.
+// Queue accepts the jobs that are submitted under a host and a path prefix.
 type Queue struct {
 	Name   string `cbor:"1,keyasint"`
 	Host   string `cbor:"2,keyasint"`
@@ -34,27 +35,27 @@
 	Policy Policy `cbor:"4,keyasint"`
 }
 
-// Identity names the queue for as long as its host and path stay the same.
+// Identity names the queue as long as its host and prefix stay the same.
 func (q *Queue) Identity() string { return q.Host + q.Prefix }
 
 // Service is a pool of workers.
 type Service struct {
 	Name string `cbor:"1,keyasint"`
-	// Standby pools run nothing: their machines are off until they are moved.
+	// Standby pools run nothing: their machines are off until they are moved to another pool.
 	Standby bool `cbor:"2,keyasint,omitempty"`
 }
 
 // Document is a version of the configuration.
 type Document struct {
 	Version uint64 `cbor:"1,keyasint"`
-	// Source is the document as it was handed in, nil before the first one.
+	// Source is the document as it was submitted, nil before the first one.
 	Source []byte  `cbor:"2,keyasint"`
 	Queues []Queue `cbor:"3,keyasint"`
 	// Services are the pools of workers that queues name.
 	Services []Service `cbor:"4,keyasint,omitempty"`
 }
 
-// Queue finds a queue by its name.
+// Queue returns the queue with a name.
 func (d *Document) Queue(name string) (queue *Queue, ok bool) {
 	for i := range d.Queues {
 		if d.Queues[i].Name == name {
@@ -64,8 +65,8 @@
 	return nil, false
 }
 
-// Resolve finds the queue with the longest prefix of path, and the rest of the
-// path after it.
+// Resolve returns the queue with the longest prefix of path, and the rest of the path after the
+// prefix.
 func (d *Document) Resolve(host, path string) (queue *Queue, rest string, ok bool) {
 	for i := range d.Queues {
 		q := &d.Queues[i]
--- a/workflow/crash.go
+++ b/workflow/crash.go
@@ -1,42 +1,42 @@
 package workflow
 
-// Suspicion is how much speaks for a run having crashed the worker that it ran on.
+// Suspicion is how likely it is that a run crashed the worker that it ran on.
 type Suspicion uint8
 
 // Suspicions of runs that ended with their workers.
 const (
-	// SuspicionNone: the run hadn't begun, or had lasted for so long that the crash isn't its
-	// own.
+	// SuspicionNone: the run hadn't started, or had run for so long that it isn't taken for the
+	// cause of the crash.
 	SuspicionNone Suspicion = iota
-	// SuspicionWeak: the run was there, as may have been others.
+	// SuspicionWeak: the run was on the worker, as other runs may have been.
 	SuspicionWeak
-	// SuspicionStrong: the worker crashed right after it was told to begin the run.
+	// SuspicionStrong: the worker crashed right after it was told to start the run.
 	SuspicionStrong
 )
 
 const (
-	// maxStrongCrashes is how many crashes right after a start a task is given up for: a rack
-	// that loses power crashes under many tasks, hardly ever three times under the same.
+	// maxStrongCrashes is how many crashes right after a start fail the job of a task. A rack
+	// that loses power crashes under many tasks, but hardly ever three times under the same
+	// one.
 	maxStrongCrashes = 3
-	// maxCrashes is how many crashes of any kind a task is given up for: three that show it,
-	// and those of the two starts that may follow them.
+	// maxCrashes is how many crashes of any suspicion fail the job of a task: three that show
+	// the cause, and those of the two starts that may follow them.
 	maxCrashes = 5
 )
 
 // Suspect reports whether a worker has crashed under the task.
 func (t *Task) Suspect() bool { return len(t.CrashedOn) > 0 }
 
-// Held reports whether the task waits until it is known of enough workers whether they have
-// crashed.
-//
-// Failure guarded against: workers stay away for longer than their leases. Each crash is
-// known only after the task has begun on the next workers, and they crash as well.
+// AwaitsCrashVerdict reports whether the task must not start until it is known of enough
+// workers whether they have crashed. Otherwise, while workers stay away for longer than their
+// leases, the task would start on the next workers and crash them before its earlier crashes
+// are known.
 func (t *Task) AwaitsCrashVerdict() bool {
 	return t.Unresolved > 0 && len(t.CrashedOn)+t.Unresolved >= maxCrashes
 }
 
-// recordLoss takes in what the end of a run says of crashes. A run that ended with its
-// worker's lease counts once it is known that the worker has crashed.
+// recordLoss records what the end of a run says about crashes. A run that ended with the lease
+// of its worker counts only once it is known that the worker has crashed.
 func (s *State) recordLoss(worker string, job *Job, task *Task, end RunEnd) {
 	switch {
 	case end.Suspicion == SuspicionNone:
@@ -49,8 +49,8 @@
 	}
 }
 
-// countUnresolvedAsCrashes counts a crash against each task whose run had ended with the lease of a
-// worker that is now taken for crashed.
+// countUnresolvedAsCrashes counts a crash against each task whose run ended with the lease of a
+// worker that now counts as crashed.
 func (s *State) countUnresolvedAsCrashes(worker *WorkerState) {
 	unresolved := worker.Unresolved
 	s.dropUnresolved(worker)
@@ -61,7 +61,7 @@
 	}
 }
 
-// dropUnresolved forgets the runs that ended with a worker's lease: it hasn't crashed.
+// dropUnresolved forgets the runs that ended with the lease of a worker that hasn't crashed.
 func (s *State) dropUnresolved(worker *WorkerState) {
 	for _, end := range worker.Unresolved {
 		if task := s.Task(end.Task); task != nil {
@@ -71,12 +71,9 @@
 	worker.Unresolved = nil
 }
 
-// recordCrash counts a crash against a task, and gives its job up where it is the task that
-// crashes its workers.
-//
-// Failure guarded against: a task crashes each worker that starts it. Started again like
-// one whose worker was lost by chance, it takes one worker after the other down, with all
-// that runs there.
+// recordCrash counts a crash against a task and fails its job once the task counts as the
+// cause. A task that crashes each worker would otherwise be started again and again, and take
+// down one worker after the other with all other runs there.
 func (s *State) recordCrash(worker string, job *Job, task *Task, end RunEnd) {
 	if job.Ended() || task.Done {
 		return
--- a/workflow/crash_test.go
+++ b/workflow/crash_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// crashes lets workers crash one after the other under the first task of a job.
+// crashSequence lets workers crash one after the other under the first task of a job.
 type crashSequence struct {
 	t       *testing.T
 	s       *State
@@ -18,7 +18,7 @@
 	return &crashSequence{t: t, s: newState(t, steps...)}
 }
 
-// next starts the task on a fresh worker.
+// startOnNewWorker starts the task on a new worker.
 func (c *crashSequence) startOnNewWorker() Run {
 	c.workers++
 	id := fmt.Sprint("c", c.workers)
@@ -36,7 +36,7 @@
 
 func (c *crashSequence) failed() bool { return c.s.Jobs["j"].Phase() == PhaseFailed }
 
-// Guards against a task that takes one worker after the other down.
+// Guards against a task that crashes one worker after the other without end.
 func TestJobFailsAfterRepeatedWorkerCrashes(t *testing.T) {
 	for suspicion, most := range map[Suspicion]int{SuspicionStrong: maxStrongCrashes, SuspicionWeak: maxCrashes} {
 		c := newCrashSequence(t, smallStep(2))
@@ -49,8 +49,8 @@
 	}
 }
 
-// Guards against a job that is given up though its task crashed nothing: its workers were
-// cut off for longer than their leases, or the task had not begun there.
+// Guards against a job that fails although its task crashed no worker: its workers were
+// unreachable for longer than their leases, or the task had not started there.
 func TestLossesWithoutCrashDoNotFailJob(t *testing.T) {
 	c := newCrashSequence(t, smallStep(1))
 	for range 2 * maxCrashes {
@@ -64,8 +64,8 @@
 	must.False(t, c.s.Task(key(0, 0)).Suspect())
 }
 
-// Guards against crashes that are forgotten with a snapshot: those that count, and those
-// that aren't known yet.
+// Guards against a snapshot that loses crashes: those counted already and those of workers
+// whose crash isn't known yet.
 func TestCrashCountsSurviveSnapshot(t *testing.T) {
 	c := newCrashSequence(t, smallStep(1))
 	c.end(c.startOnNewWorker(), OutcomeCrashed, SuspicionStrong)
@@ -86,7 +86,7 @@
 	must.True(t, c.failed())
 }
 
-// Guards against a task that lasts and is started again without end, though it crashes its
+// Guards against a long-running task that is restarted without end although it crashes its
 // workers some seconds after each start.
 func TestJobOfLongRunningTaskFailsAfterWeakCrashes(t *testing.T) {
 	step := smallStep(1)
@@ -99,7 +99,7 @@
 	must.True(t, c.failed())
 }
 
-// Guards against a task that crashes two workers at a time.
+// Guards against a speculative copy that lets a task crash two workers at a time.
 func TestCrashSuspectGetsNoCopy(t *testing.T) {
 	step := smallStep(1)
 	step.Speculative = true
@@ -109,8 +109,8 @@
 	must.SliceEmpty(t, c.s.begin("w1", key(0, 0)))
 }
 
-// Guards against a task that takes down one worker after the other while it isn't known yet
-// that they have crashed.
+// Guards against a task that crashes further workers while it isn't known yet whether the
+// earlier ones have crashed.
 func TestTaskWaitsForUnresolvedCrashes(t *testing.T) {
 	c := newCrashSequence(t, smallStep(1))
 	var runs []Run
--- a/workflow/job.go
+++ b/workflow/job.go
@@ -1,17 +1,16 @@
-// Package workflow is the replicated state of jobs that consist of dependent
-// steps: what was accepted, which runs of tasks may be alive on which worker,
-// and how tasks have ended. It is deterministic and has no input or output;
-// every change is a Command that the log has committed.
+// Package workflow is the replicated state of jobs that consist of dependent steps: which jobs
+// were accepted, which runs of tasks may be alive on which worker, and how tasks have ended. It
+// is deterministic and does no I/O; every change is a Command that the log has committed.
 package workflow
 
 import "fmt"
 
-// Resources are what a task needs or a worker has.
+// Resources are what a task demands or a worker has.
 type Resources struct {
 	// MilliCPU is in thousandths of a core.
 	MilliCPU int64 `cbor:"1,keyasint,omitempty"`
 	MemoryMB int64 `cbor:"2,keyasint,omitempty"`
-	// Accelerators is a whole number of devices.
+	// Accelerators is a number of devices.
 	Accelerators int64 `cbor:"3,keyasint,omitempty"`
 }
 
@@ -37,12 +36,12 @@
 	}
 }
 
-// Times returns the room of n tasks that need r each.
+// Times returns the resources of n tasks that demand r each.
 func (r Resources) Times(n int64) Resources {
 	return Resources{r.MilliCPU * n, r.MemoryMB * n, r.Accelerators * n}
 }
 
-// Copies returns how many tasks that need r fit into room.
+// FitCount returns how many tasks that demand r fit into room.
 func (r Resources) FitCount(room Resources) int {
 	if !r.Fits(room) {
 		return 0
@@ -60,52 +59,51 @@
 	return int(count)
 }
 
-// maxFitCount bounds the copies of a task that needs nothing.
+// maxFitCount bounds the fit count of a task that demands nothing.
 const maxFitCount = 1 << 20
 
-// Step is one part of a job: tasks that are alike and may start once the steps
-// that it depends on have ended.
+// Step is one part of a job: identical tasks that may start once the steps that this one
+// depends on have ended.
 type Step struct {
 	// Count is the number of tasks.
 	Count int       `cbor:"1,keyasint"`
 	Need  Resources `cbor:"2,keyasint"`
-	// EstimateMS is a rough estimate of one task's run time, in milliseconds.
+	// EstimateMS is a rough estimate of the run time of one task, in milliseconds.
 	EstimateMS int64 `cbor:"3,keyasint,omitempty"`
 	// DependsOn lists earlier steps, counted from 0.
 	DependsOn []int `cbor:"4,keyasint,omitempty"`
 	// Gang says that all tasks run at the same time or none does.
 	Gang bool `cbor:"5,keyasint,omitempty"`
-	// SameRack says that a gang runs faster within one rack.
+	// SameRack says that the gang runs faster within one rack.
 	SameRack bool `cbor:"6,keyasint,omitempty"`
-	// Label is a label that the worker must carry; empty for any worker.
+	// Label is a label that the worker must have; empty for any worker.
 	Label string `cbor:"7,keyasint,omitempty"`
 	// DataRack is the rack that holds the data; tasks run slower elsewhere.
 	DataRack string `cbor:"8,keyasint,omitempty"`
 	// MaxPerWorker bounds the tasks of the step on one worker; 0 for no bound.
 	MaxPerWorker int `cbor:"9,keyasint,omitempty"`
-	// Speculative says that copies of a task may run at the same time.
+	// Speculative says that a speculative copy of a task may run beside the first run.
 	Speculative bool `cbor:"10,keyasint,omitempty"`
-	// LongRunning tasks run until the job is cancelled and are started again
-	// however they end.
+	// LongRunning tasks run until the job is cancelled and are restarted however they end.
 	LongRunning bool `cbor:"11,keyasint,omitempty"`
 	// Checkpointing says that tasks report checkpoints to resume from.
 	Checkpointing bool `cbor:"12,keyasint,omitempty"`
-	// UsesSpare says that the tasks take no CPU of their own, only what others leave.
+	// UsesSpare says that the tasks reserve no CPU and use only what others leave idle.
 	UsesSpare bool `cbor:"13,keyasint,omitempty"`
-	// MaxUnavailable bounds how many long-running tasks the system itself may
-	// interrupt at the same time.
+	// MaxUnavailable bounds how many long-running tasks the system itself may interrupt at the
+	// same time.
 	MaxUnavailable int `cbor:"14,keyasint,omitempty"`
-	// Image names what the tasks run; equal images behave alike.
+	// Image names what the tasks run; tasks with equal images behave alike.
 	Image string `cbor:"15,keyasint,omitempty"`
-	// LatencyObjectiveMS is the tail latency that a serving task must keep.
+	// LatencyObjectiveMS is the tail latency that a serving task must keep, in milliseconds.
 	LatencyObjectiveMS int64 `cbor:"16,keyasint,omitempty"`
 }
 
-// AllowsCopies reports whether a second run of a task may be alive beside the first.
-// A gang runs as a whole, and a long-running task has one place.
+// AllowsCopies reports whether a speculative copy of a task may run beside the first run. Gangs
+// run as a whole, and a long-running task has a single run.
 func (s *Step) AllowsCopies() bool { return s.Speculative && !s.Gang && !s.LongRunning }
 
-// Room is what a task of the step takes of a worker's capacity.
+// Demand returns what a task of the step occupies of the capacity of its worker.
 func (s *Step) Demand() Resources {
 	room := s.Need
 	if s.UsesSpare {
@@ -118,7 +116,8 @@
 type Schedule struct {
 	// FirstAtMS is the due time of the first occurrence, in Unix milliseconds.
 	FirstAtMS int64 `cbor:"1,keyasint,omitempty"`
-	EveryMS   int64 `cbor:"2,keyasint,omitempty"`
+	// EveryMS is the interval between occurrences, in milliseconds.
+	EveryMS int64 `cbor:"2,keyasint,omitempty"`
 	// Times is the number of occurrences; 0 for a job that isn't repeated.
 	Times int `cbor:"3,keyasint,omitempty"`
 }
@@ -128,11 +127,11 @@
 	return s.FirstAtMS + int64(occurrence)*s.EveryMS
 }
 
-// Submission is a job as a caller hands it in.
+// Submission is a job as the caller submits it.
 type Submission struct {
-	// ID is chosen by the caller; the same ID is the same job.
+	// ID is chosen by the caller and serves as an idempotency key: the same ID is the same job.
 	ID string `cbor:"1,keyasint"`
-	// Queue is the identity of the queue that the job was handed in to.
+	// Queue is the identity of the queue that the job was submitted to.
 	Queue string `cbor:"2,keyasint"`
 	// Payload is passed to the tasks unread.
 	Payload  string   `cbor:"3,keyasint,omitempty"`
@@ -168,7 +167,7 @@
 	Task TaskKey `cbor:"1,keyasint"`
 	// Number counts the starts of the task from 1; members of a gang share it.
 	Number int `cbor:"2,keyasint"`
-	// Worker is the incarnation that the run was given to.
+	// Worker is the incarnation that the run was assigned to.
 	Worker string `cbor:"3,keyasint"`
 }
 
@@ -177,21 +176,22 @@
 
 // Outcomes of runs. Only OutcomeFailed counts as an attempt.
 const (
-	// OutcomeDone: the task did its work.
+	// OutcomeDone: the task completed its work.
 	OutcomeDone Outcome = iota + 1
-	// OutcomeFailed: the task failed by its own fault or the worker's.
+	// OutcomeFailed: the task failed, through its own fault or that of the worker.
 	OutcomeFailed
 	// OutcomeStopped: the run was stopped on request.
 	OutcomeStopped
-	// OutcomeLeaseExpired: the worker's lease ended before the run did.
+	// OutcomeLeaseExpired: the lease of the worker expired before the run ended.
 	OutcomeLeaseExpired
-	// OutcomeGangBroken: another member of the gang ended.
+	// OutcomeGangBroken: the run was stopped because another member of the gang ended.
 	OutcomeGangBroken
-	// OutcomeGangIncomplete: the gang's other members didn't appear in time.
+	// OutcomeGangIncomplete: the other members of the gang didn't start in time.
 	OutcomeGangIncomplete
-	// OutcomeNotStarted: the worker never began the run and never will.
+	// OutcomeNotStarted: the worker never started the run and never will.
 	OutcomeNotStarted
-	// OutcomeLost: the worker, or its lease, ended without a word on the run.
+	// OutcomeLost: the incarnation of the worker ended, or its lease expired, without a report
+	// on the run.
 	OutcomeLost
 	// OutcomeCrashed: the worker crashed, and the run with it.
 	OutcomeCrashed
@@ -206,7 +206,7 @@
 	return "unknown"
 }
 
-// begun reports whether the outcome proves that a worker had begun the run.
+// provesStart reports whether the outcome proves that a worker had started the run.
 func (o Outcome) provesStart() bool {
 	return o != OutcomeNotStarted && o != OutcomeLost && o != OutcomeCrashed
 }
@@ -216,19 +216,19 @@
 	Task    TaskKey `cbor:"1,keyasint"`
 	Number  int     `cbor:"2,keyasint"`
 	Outcome Outcome `cbor:"3,keyasint"`
-	// Checkpoint is where the next run resumes from; empty when there is none.
+	// Checkpoint is where the next run resumes from; empty for none.
 	Checkpoint string `cbor:"4,keyasint,omitempty"`
-	// Suspicion is how much speaks for the run having crashed its worker.
+	// Suspicion is how likely it is that the run crashed its worker.
 	Suspicion Suspicion `cbor:"5,keyasint,omitempty"`
 }
 
 // Worker is one incarnation of a worker as it announced itself.
 type Worker struct {
-	// ID names the incarnation; a restarted worker has another one.
+	// ID names the incarnation; a restarted worker has a new one.
 	ID string `cbor:"1,keyasint"`
-	// Name is the worker's own, which its incarnations may share, and Born when this one
-	// began, in Unix milliseconds: of two with one name the later one holds. Both are empty
-	// where each incarnation has a name of its own.
+	// Name is the name of the worker, which its incarnations may share. StartedAtMS is when
+	// this incarnation started, in Unix milliseconds: of two with the same name the later one
+	// supersedes the other. Both are empty if each incarnation has a name of its own.
 	Name        string `cbor:"14,keyasint,omitempty"`
 	StartedAtMS int64  `cbor:"15,keyasint,omitempty"`
 	// Service is the pool that the worker runs tasks for.
@@ -238,21 +238,21 @@
 	Rack       string    `cbor:"5,keyasint,omitempty"`
 	Labels     []string  `cbor:"6,keyasint,omitempty"`
 	Capacity   Resources `cbor:"7,keyasint"`
-	// Draining workers finish what they run and get nothing new.
+	// Draining workers finish what they run and get no new tasks.
 	Draining bool `cbor:"10,keyasint,omitempty"`
-	// Sequence is that of the heartbeat that said so; it grows with each one of the
-	// incarnation.
+	// Sequence is the number of the heartbeat that carried these fields; it grows with each
+	// heartbeat of the incarnation.
 	Sequence uint64 `cbor:"13,keyasint,omitempty"`
 }
 
-// WorkerState is what the log remembers of a worker.
+// WorkerState is the replicated state of a worker.
 type WorkerState struct {
 	Worker
-	// Seen is the number of the last end that was taken in from it.
+	// LastEnd is the highest number of an end applied from its reports.
 	LastEnd uint64 `cbor:"8,keyasint,omitempty"`
 	// Gone says that this incarnation runs nothing and never will again.
 	Gone bool `cbor:"9,keyasint,omitempty"`
-	// Missing are the runs that ended with the worker's lease, until it is known
-	// whether the worker has crashed.
+	// Unresolved are the runs that ended with the worker's lease while it is unknown whether
+	// the worker has crashed.
 	Unresolved []RunEnd `cbor:"12,keyasint,omitempty"`
 }
--- a/workflow/keys_test.go
+++ b/workflow/keys_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against a field that a snapshot or the log drops without a word: of two fields of
-// one encoded struct that share a key only one is encoded, also where one is embedded.
+// Guards against a field that a snapshot or the log silently drops: of two fields of a struct
+// with the same CBOR key, embedded ones included, only one is encoded.
 func TestCBORKeysAreUniquePerStruct(t *testing.T) {
 	seen := map[reflect.Type]bool{}
 	var check func(reflect.Type)
@@ -36,7 +36,7 @@
 			if field.Anonymous || tag == "" || tag == "-" {
 				continue
 			}
-			must.Eq(t, "", keys[tag], must.Sprintf("key %s of %s: %s and %s", tag, of, keys[tag], field.Name))
+			must.Eq(t, "", keys[tag], must.Sprintf("CBOR key %s of %s is used by %s and %s", tag, of, keys[tag], field.Name))
 			keys[tag] = field.Name
 			check(field.Type)
 		}
--- a/workflow/load.go
+++ b/workflow/load.go
@@ -1,16 +1,16 @@
 package workflow
 
-// workerLoad is what the runs that may be alive on a worker take. It follows from
-// the runs, and spares decisions the counting of them.
+// workerLoad is what the runs that may be alive on a worker occupy. It is derived from the
+// runs, so that decisions needn't sum them up.
 type workerLoad struct {
 	used    Resources
 	demands map[TaskKey]Resources
-	// changes counts the beginnings and ends of runs.
+	// changes counts the starts and ends of runs.
 	changes uint64
 }
 
-// Used returns what the runs that may be alive on a worker take, and a number
-// that changes whenever one begins or ends.
+// Used returns what the runs that may be alive on a worker occupy, and a number that changes
+// whenever one starts or ends.
 func (s *State) Used(worker string) (used Resources, changes uint64) {
 	load := s.loads[worker]
 	if load == nil {
@@ -19,11 +19,11 @@
 	return load.used, load.changes
 }
 
-// Placed counts the runs that may be alive of a step whose tasks are bounded on
-// each worker, by worker; nil for other steps. The caller must not change it.
+// Placed returns the number of runs that may be alive by worker, for a step with MaxPerWorker;
+// nil for other steps. The caller must not change the map.
 func (s *State) Placed(step StepKey) map[string]int { return s.placed[step] }
 
-// addRun takes in that a run may be alive.
+// addRun records that a run may be alive.
 func (s *State) addRun(run Run) {
 	runs := s.Runs[run.Worker]
 	if runs == nil {
@@ -49,7 +49,7 @@
 	}
 }
 
-// removeRun takes in that a run isn't alive any more.
+// removeRun records that a run is no longer alive.
 func (s *State) removeRun(run Run) {
 	delete(s.Runs[run.Worker], run.Task)
 	load := s.loads[run.Worker]
@@ -61,6 +61,7 @@
 	}
 }
 
+// countPlaced adds n to the count of runs of a step on a worker.
 func (s *State) countPlaced(step StepKey, worker string, n int) {
 	counts := s.placed[step]
 	if counts == nil {
--- a/workflow/state.go
+++ b/workflow/state.go
@@ -7,7 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Task is what the log remembers of a task.
+// Task is the replicated state of a task.
 type Task struct {
 	Done bool `cbor:"1,keyasint,omitempty"`
 	// Runs counts the starts.
@@ -17,12 +17,12 @@
 	// Failures counts the runs that failed.
 	Failures   int    `cbor:"4,keyasint,omitempty"`
 	Checkpoint string `cbor:"5,keyasint,omitempty"`
-	// CrashedOn are the workers that crashed under the task's runs, StrongCrashes how many
-	// of these crashes speak strongly against the task.
+	// CrashedOn are the workers that crashed under runs of the task. StrongCrashes counts those
+	// with SuspicionStrong.
 	CrashedOn     []string `cbor:"6,keyasint,omitempty"`
 	StrongCrashes int      `cbor:"7,keyasint,omitempty"`
-	// Missing counts the workers whose lease ended under the task's runs and of which it
-	// isn't known yet whether they have crashed.
+	// Unresolved counts the runs of the task that ended with the lease of a worker of which it
+	// is unknown whether it has crashed.
 	Unresolved int `cbor:"8,keyasint,omitempty"`
 }
 
@@ -31,13 +31,13 @@
 	Tasks []Task `cbor:"1,keyasint"`
 	// Done counts the tasks that are done.
 	Done int `cbor:"2,keyasint,omitempty"`
-	// GangRun is the number of the latest run of a gang; GangFailures counts the
-	// runs that failed, once each.
+	// GangRun is the number of the latest run of a gang. GangFailures counts the failed runs,
+	// once for all members.
 	GangRun      int `cbor:"3,keyasint,omitempty"`
 	GangFailures int `cbor:"4,keyasint,omitempty"`
 	// GangFailedRun is the latest run that was counted as failed.
 	GangFailedRun int `cbor:"5,keyasint,omitempty"`
-	// GangEndedRun is the latest run of which a member has ended.
+	// GangEndedRun is the latest run of which a member ended without being done.
 	GangEndedRun int `cbor:"6,keyasint,omitempty"`
 }
 
@@ -53,25 +53,25 @@
 // Job is an accepted job.
 type Job struct {
 	Submission
-	// Occurrences holds the steps of each repetition, one for a plain job.
+	// Occurrences holds the steps of each repetition; a job without a schedule has one.
 	Occurrences [][]StepState `cbor:"6,keyasint"`
 	Cancelled   bool          `cbor:"7,keyasint,omitempty"`
 	Failed      bool          `cbor:"8,keyasint,omitempty"`
-	// Begun says that a run has ended, so a worker had begun it. That a start was
-	// committed doesn't say so: the order may never have been carried out.
+	// Begun says that a run has ended that a worker had started. The commit of a start doesn't
+	// set it, since the worker may never carry out the order.
 	Begun bool `cbor:"9,keyasint,omitempty"`
 	// Unfinished counts the tasks that aren't done.
 	Unfinished int `cbor:"10,keyasint,omitempty"`
-	// Index is the log entry of the acceptance, which orders jobs by age.
+	// Index is the log index of the acceptance, which orders jobs by age.
 	Index uint64 `cbor:"11,keyasint"`
-	// Crasher is the task for whose crashed workers the job was given up, nil for none.
+	// CrashingTask is the task whose worker crashes failed the job, nil for none.
 	CrashingTask *TaskKey `cbor:"13,keyasint,omitempty"`
 }
 
-// Ended reports whether nothing more is to be started for the job.
+// Ended reports whether the job is over and starts no more runs.
 func (j *Job) Ended() bool { return j.Cancelled || j.Failed || j.Unfinished == 0 }
 
-// Phase is how far a job has come, as callers see it.
+// Phase is the progress of a job, as callers see it.
 type Phase uint8
 
 // Phases of a job.
@@ -92,7 +92,7 @@
 	return "unknown"
 }
 
-// Phase returns how far the job has come.
+// Phase returns the progress of the job.
 func (j *Job) Phase() Phase {
 	switch {
 	case j.Failed:
@@ -108,7 +108,7 @@
 	}
 }
 
-// Due reports whether an occurrence's time has come, by the time of day.
+// Due reports whether an occurrence may start, by the wall clock.
 func (j *Job) Due(occurrence int, now time.Time) bool {
 	if j.Schedule.Times == 0 {
 		return true
@@ -127,7 +127,7 @@
 	return true
 }
 
-// State is everything that the log builds up.
+// State is the state that the log replicates.
 type State struct {
 	Jobs    map[string]*Job         `cbor:"1,keyasint"`
 	Workers map[string]*WorkerState `cbor:"2,keyasint"`
@@ -135,14 +135,14 @@
 	Runs          map[string]map[TaskKey]Run `cbor:"-"`
 	Configuration Document                   `cbor:"3,keyasint"`
 	RunList       []Run                      `cbor:"4,keyasint"`
-	// Waves are the operator's waves of maintenance.
+	// Waves are the maintenance waves of the operator, by ID.
 	Waves map[int64]*WaveState `cbor:"5,keyasint,omitempty"`
 
-	// newest holds the latest life of each worker, by name.
+	// newestByName holds the latest incarnation of each worker, by name.
 	newestByName map[string]string
-	// open holds the jobs that have not ended.
+	// openJobs holds the jobs that have not ended.
 	openJobs map[string]*Job
-	// loads and placed follow from Runs; see Used and Placed.
+	// loads and placed are derived from Runs; see Used and Placed.
 	loads  map[string]*workerLoad
 	placed map[StepKey]map[string]int
 }
@@ -156,7 +156,7 @@
 	}
 }
 
-// Open returns the jobs that have not ended. The caller must not change it.
+// OpenJobs returns the jobs that have not ended, by ID. The caller must not change the map.
 func (s *State) OpenJobs() map[string]*Job { return s.openJobs }
 
 // Snapshot encodes the state.
@@ -169,14 +169,14 @@
 		}
 	}
 	data, err := cbor.Marshal(&flat)
-	return data, errors.Wrap(err, "encode the state of jobs")
+	return data, errors.Wrap(err, "encode the workflow state")
 }
 
 // Restore decodes a state that Snapshot encoded.
 func Restore(data []byte) (*State, error) {
 	s := NewState()
 	if err := cbor.Unmarshal(data, s); err != nil {
-		return nil, errors.Wrap(err, "decode the state of jobs")
+		return nil, errors.Wrap(err, "decode the workflow state")
 	}
 	for _, run := range s.RunList {
 		s.addRun(run)
@@ -193,6 +193,7 @@
 	return s, nil
 }
 
+// step returns a step and its job, nil for both if there is no such step.
 func (s *State) step(key StepKey) (*Job, *StepState) {
 	job := s.Jobs[key.Job]
 	if job == nil || key.Occurrence >= len(job.Occurrences) || key.Step >= len(job.Steps) {
@@ -201,7 +202,7 @@
 	return job, &job.Occurrences[key.Occurrence][key.Step]
 }
 
-// Task returns the state of a task, nil when there is none of that name.
+// Task returns the state of a task, nil if there is no such task.
 func (s *State) Task(key TaskKey) *Task {
 	_, step := s.step(key.StepKey)
 	if step == nil || key.Index >= len(step.Tasks) {
--- a/workflow/wave.go
+++ b/workflow/wave.go
@@ -5,30 +5,32 @@
 	"slices"
 )
 
-// Wave asks that each of some machines is taken down for its maintenance in time.
+// Wave requests that each of some machines is taken down for maintenance within a time.
 type Wave struct {
-	// ID is chosen by the operator; the same ID is the same wave.
+	// ID is chosen by the operator and serves as an idempotency key: the same ID is the same
+	// wave.
 	ID       int64    `cbor:"1,keyasint"`
 	Machines []string `cbor:"2,keyasint"`
-	// DurationMS is how long the whole wave may take.
+	// DurationMS is how long the whole wave may take, in milliseconds.
 	DurationMS int64 `cbor:"3,keyasint"`
 	// MaxDown is how many of the machines may be down at the same time.
 	MaxDown int `cbor:"4,keyasint"`
-	// AcceptedAtMS is the accepting leader's time of day, in Unix milliseconds. It
+	// AcceptedAtMS is the wall clock time of the accepting leader, in Unix milliseconds. It
 	// tells later leaders roughly how much time is left.
 	AcceptedAtMS int64 `cbor:"5,keyasint"`
 }
 
-// MaintenanceStage is how far the maintenance of one machine has come.
+// MaintenanceStage is the progress of the maintenance of one machine.
 type MaintenanceStage uint8
 
 // Stages of a maintenance.
 const (
-	// MaintenanceOrdered: the order may have been sent; whether it is carried out is open.
+	// MaintenanceOrdered: the order may have been sent; whether it is carried out is unknown.
 	MaintenanceOrdered MaintenanceStage = iota + 1
-	// MaintenanceBegun: the machine has gone down for its maintenance.
+	// MaintenanceBegun: the machine has gone down for maintenance.
 	MaintenanceBegun
-	// MaintenanceNotNeeded: the machine has left, or the deployment says that it isn't of this wave.
+	// MaintenanceNotNeeded: the machine has left, or the deployment reports that it isn't part
+	// of the wave.
 	MaintenanceNotNeeded
 )
 
@@ -41,38 +43,40 @@
 	return "unknown"
 }
 
-// Maintenance is a machine's maintenance in a wave.
+// Maintenance is the maintenance of one machine in a wave.
 type Maintenance struct {
 	Wave    int64            `cbor:"1,keyasint"`
 	Machine string           `cbor:"2,keyasint"`
 	Stage   MaintenanceStage `cbor:"3,keyasint"`
-	// Worker is the incarnation that lived on the machine when it was ordered.
+	// Worker is the incarnation on the machine when the maintenance was ordered.
 	Worker string `cbor:"4,keyasint,omitempty"`
 }
 
-// WaveState is a wave and what has become of its machines.
+// WaveState is a wave and the progress of its machines.
 type WaveState struct {
 	Wave
 	Maintenances map[string]Maintenance `cbor:"6,keyasint,omitempty"`
 }
 
-// Done reports whether no machine's maintenance is outstanding.
+// Done reports whether the maintenance of every machine has begun or isn't needed.
 func (w *WaveState) Done() bool {
 	return !slices.ContainsFunc(w.Machines, func(machine string) bool {
 		return w.Maintenances[machine].Stage < MaintenanceBegun
 	})
 }
 
-// Wave returns a wave, nil when there is none of that ID.
+// Wave returns the wave with an ID, nil if there is none.
 func (s *State) Wave(id int64) *WaveState { return s.Waves[id] }
 
+// startWave records a wave; a wave with a known ID changes nothing.
 func (s *State) startWave(w *Wave) {
 	if s.Waves[w.ID] == nil {
 		s.Waves[w.ID] = &WaveState{Wave: *w, Maintenances: map[string]Maintenance{}}
 	}
 }
 
-// recordMaintenance takes in how far a maintenance has come; it never goes back.
+// recordMaintenance records the progress of a maintenance; a delayed duplicate never sets it
+// back.
 func (s *State) recordMaintenance(update *Maintenance) {
 	wave := s.Waves[update.Wave]
 	if wave == nil || !slices.Contains(wave.Machines, update.Machine) || update.Stage <= wave.Maintenances[update.Machine].Stage {
@@ -88,7 +92,7 @@
 	wave.Maintenances[update.Machine] = known
 }
 
-// Clone returns a copy that the state doesn't change.
+// Clone returns a copy whose Maintenances later commands don't change.
 func (w *WaveState) Clone() WaveState {
 	clone := *w
 	clone.Maintenances = maps.Clone(w.Maintenances)
--- a/workflow/wave_test.go
+++ b/workflow/wave_test.go
@@ -10,16 +10,15 @@
 	s.Apply(1, &Command{Maintenance: &Maintenance{Wave: 3, Machine: machine, Stage: stage, Worker: "w-" + machine}})
 }
 
-// What an operator sees: a wave is said to be done while a machine waits.
-// Order: one machine has begun, the other's order was sent and got no answer, and
-// a late copy of an older note arrives.
-// Cause: an order counted as begun, or a stage went back.
+// Guards against a maintenance wave that is reported as done while a machine still waits: an
+// order without an answer counted as begun, or a delayed duplicate of an older update set a
+// stage back.
 func TestWaveIsDoneOnceEachMachineHasBegunOrLeft(t *testing.T) {
 	s := NewState()
 	wave := Wave{ID: 3, Machines: []string{"m1", "m2"}, DurationMS: 20_000, MaxDown: 1}
 	s.Apply(1, &Command{Wave: &wave})
 	s.Apply(2, &Command{Wave: &Wave{ID: 3}})
-	must.Eq(t, wave, s.Wave(3).Wave, must.Sprint("the same ID is the same wave"))
+	must.Eq(t, wave, s.Wave(3).Wave, must.Sprint("a wave with a known ID changes nothing"))
 	recordMaintenance(s, "m1", MaintenanceBegun)
 	recordMaintenance(s, "m1", MaintenanceOrdered)
 	recordMaintenance(s, "m2", MaintenanceOrdered)
--- a/workflow/workflow_test.go
+++ b/workflow/workflow_test.go
@@ -38,6 +38,7 @@
 	s.Apply(4, &Command{Ends: &RunEnds{Worker: run.Worker, Ends: []RunEnd{{Task: run.Task, Number: run.Number, Outcome: outcome}}}})
 }
 
+// Guards against a second job for a repeated submission.
 func TestSubmissionIsIdempotent(t *testing.T) {
 	s := newState(t, smallStep(1))
 	again := Submission{ID: "j", Queue: "q", Steps: []Step{smallStep(1)}}
@@ -58,32 +59,29 @@
 	must.SliceLen(t, 1, s.begin("w2", key(1, 0)))
 }
 
-// What a user sees: a report is issued twice.
-// Order: a task's start is committed; before it has ended, a second decision
-// made from an older view starts it elsewhere.
-// Cause: a start that isn't checked again when it is applied.
+// Guards against a task that runs twice: a second decision, made from an older snapshot, starts
+// a task elsewhere whose committed run hasn't ended, and the start isn't checked again when it
+// is applied.
 func TestNoSecondRunWhileFirstMayBeAlive(t *testing.T) {
 	s := newState(t, smallStep(2))
 	first := s.begin("w1", key(0, 0))
 	must.SliceLen(t, 1, first)
 	must.SliceEmpty(t, s.begin("w2", key(0, 0)))
 	s.finishRun(first[0], OutcomeDone)
-	must.SliceEmpty(t, s.begin("w2", key(0, 0)), must.Sprint("the task is done, the job isn't"))
+	must.SliceEmpty(t, s.begin("w2", key(0, 0)), must.Sprint("the task is done, though its job isn't"))
 	s.finishRun(s.begin("w2", key(0, 1))[0], OutcomeDone)
 	must.Eq(t, PhaseDone, s.Jobs["j"].Phase())
 }
 
-// What a user sees: work whose copies are allowed waits for a worker that is cut
-// off, or two copies of it share one worker.
-// Order: a run may be alive on a worker that doesn't answer; a copy is started
-// elsewhere; a third one is asked for; the copy ends; the first run fails.
-// Cause: none of the state's checks knew of copies.
+// Guards against a speculative task that waits for an unreachable worker, and against two
+// copies on one worker, a third run, and a failure of the first run that counts after the copy
+// has finished the task.
 func TestSpeculativeCopy(t *testing.T) {
 	step := smallStep(2)
 	step.Speculative = true
 	s := newState(t, step)
 	first := s.begin("w1", key(0, 0))[0]
-	must.SliceEmpty(t, s.begin("w1", key(0, 0)), must.Sprint("beside its own copy"))
+	must.SliceEmpty(t, s.begin("w1", key(0, 0)), must.Sprint("a copy on the same worker"))
 	second := s.begin("w2", key(0, 0))
 	must.SliceLen(t, 1, second)
 	must.Eq(t, 2, second[0].Number)
@@ -92,14 +90,13 @@
 	s.finishRun(second[0], OutcomeDone)
 	must.SliceEmpty(t, s.begin("w2", key(0, 0)), must.Sprint("the task is done"))
 	s.finishRun(first, OutcomeFailed)
-	must.Eq(t, 0, s.Task(key(0, 0)).Failures, must.Sprint("an end after the task's own counts for nothing"))
+	must.Eq(t, 0, s.Task(key(0, 0)).Failures, must.Sprint("a failure after the task is done doesn't count"))
 	must.Eq(t, 1, s.Jobs["j"].Unfinished)
 }
 
-// What a user sees: a task ends as done, and then as not done.
-// Order: a run is given up because its worker's lease has ended; the task runs
-// again elsewhere; then the first worker comes back and lists its end.
-// Cause: an end of a run that no longer counts was taken in.
+// Guards against a task that ends twice: its run is lost because the lease of the worker
+// expired, the task runs again, and then the first worker returns and reports the end of the
+// lost run.
 func TestEndOfLostRunIsIgnored(t *testing.T) {
 	s := newState(t, smallStep(1))
 	first := s.begin("w1", key(0, 0))[0]
@@ -132,7 +129,7 @@
 	must.SliceLen(t, 2, runs)
 	must.Eq(t, runs[0].Number, runs[1].Number)
 	s.finishRun(runs[0], OutcomeFailed)
-	must.SliceEmpty(t, s.begin("w2", key(0, 0), key(0, 1)), must.Sprint("a member may be alive"))
+	must.SliceEmpty(t, s.begin("w2", key(0, 0), key(0, 1)), must.Sprint("a member of the gang may still be alive"))
 	s.finishRun(runs[1], OutcomeFailed)
 	must.Eq(t, 1, s.Jobs["j"].Occurrences[0][0].GangFailures)
 	runs = s.begin("w2", key(0, 0), key(0, 1))
@@ -153,9 +150,8 @@
 	must.Eq(t, PhaseCancelled, s.Jobs["j"].Phase())
 }
 
-// What a user sees: a cancelled job is shown as done.
-// Order: cancelled while its last task runs; the task ends as done.
-// Cause: the count of unfinished tasks reaching zero overrode the cancellation.
+// Guards against a cancelled job that is shown as done: its last task ends after the
+// cancellation, and the count of unfinished tasks reaches zero.
 func TestCancelledJobStaysCancelled(t *testing.T) {
 	s := newState(t, smallStep(1))
 	run := s.begin("w1", key(0, 0))[0]
@@ -183,8 +179,8 @@
 	must.False(t, ok)
 }
 
-// The rules of the state hold after any sequence of commands, and a snapshot
-// gives back the same state.
+// TestRandomCommands applies random commands and checks that the counters of the state match
+// what they count, also after a snapshot is restored.
 func TestRandomCommands(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		gang := smallStep(2)
@@ -230,7 +226,7 @@
 	for worker, runs := range s.Runs {
 		for task, run := range runs {
 			if run.Worker != worker || s.Workers[worker].Gone {
-				t.Fatalf("run %v on %s", run, worker)
+				t.Fatalf("run %v is listed under worker %s", run, worker)
 			}
 			live[task]++
 		}
@@ -246,7 +242,7 @@
 						most = 2
 					}
 					if task.Live != live[k] || task.Live > most || task.Live < 0 {
-						t.Fatalf("task %s counts %d runs, %d are there", k, task.Live, live[k])
+						t.Fatalf("task %s counts %d live runs, the state lists %d", k, task.Live, live[k])
 					}
 					if !task.Done {
 						unfinished++
@@ -255,14 +251,13 @@
 			}
 		}
 		if unfinished != job.Unfinished {
-			t.Fatalf("job %s counts %d unfinished tasks, there are %d", id, job.Unfinished, unfinished)
+			t.Fatalf("job %s counts %d unfinished tasks, it has %d", id, job.Unfinished, unfinished)
 		}
 	}
 }
 
-// What a user sees: a queue says that nobody waits while jobs wait.
-// Order: a start is committed; the worker never carries the order out.
-// Cause: a job counted as begun from the commit of its start on.
+// Guards against a job that is shown as active, so that its queue reports no waiting jobs, from
+// the commit of its start on: the worker may never carry out the order.
 func TestJobIsPendingUntilARunBegins(t *testing.T) {
 	s := newState(t, smallStep(1))
 	for _, outcome := range []Outcome{OutcomeNotStarted, OutcomeLost} {
@@ -273,8 +268,8 @@
 	must.Eq(t, PhaseActive, s.Jobs["j"].Phase())
 }
 
-// The room that runs take, and the counts of bounded steps, follow each beginning
-// and end, over a snapshot too.
+// Guards against used resources and per-worker counts that don't follow the starts and ends of
+// runs, or a snapshot.
 func TestUsedResourcesFollowRuns(t *testing.T) {
 	s := NewState()
 	worker := Worker{ID: "w", Service: "s", Capacity: Resources{MilliCPU: 10}}
