--- a/dispatch/gang.go
+++ b/dispatch/gang.go
@@ -76,8 +76,8 @@
 	if s.GrantRate == 0 {
 		return false
 	}
-	room := float64(totalFitCount(s, granted)) + s.GrantRate*float64(totalFitCount(s, unknown))
-	return room >= float64(left)
+	expected := float64(totalFitCount(s, granted)) + s.GrantRate*float64(totalFitCount(s, unknown))
+	return expected >= float64(left)
 }
 
 const (
@@ -108,7 +108,7 @@
 	chosen := fewestWorkersFor(s, granted, left)
 	freeFits, emptyFits := float64(totalFitCount(s, chosen)), float64(totalEmptyFitCount(s, granted))
 	grantRate := s.expectedGrantRate()
-	for w := range byRoom(s, unknown) {
+	for w := range byFree(s, unknown) {
 		n := fitCount(s, w)
 		enough := emptyFits >= float64(wantedEmptyFactor*left) && (n == 0 || freeFits >= wantedFreeFactor*float64(left))
 		if len(chosen) >= maxGangQueries*p.limits.WorkersPerGangQuery || len(chosen) >= p.limits.WorkersPerGangQuery && enough {
@@ -204,12 +204,12 @@
 func (p *planner) reserveExpected(s *Step, fits []expectedFit) ([]*Worker, time.Duration) {
 	n := len(fits)
 	var chosen []*Worker
-	for _, o := range fits {
+	for _, fit := range fits {
 		if !p.limits.Disabled.Reservation {
-			p.reserveRoom(o.worker, s.Spec.Demand())
+			p.reserveResources(fit.worker, s.Spec.Demand())
 		}
-		if !slices.Contains(chosen, o.worker) {
-			chosen = append(chosen, o.worker)
+		if !slices.Contains(chosen, fit.worker) {
+			chosen = append(chosen, fit.worker)
 		}
 	}
 	if fits[n-1].at <= p.now+earmarkAhead {
--- a/dispatch/gang_test.go
+++ b/dispatch/gang_test.go
@@ -19,14 +19,14 @@
 func randomAdviser(random *rand.Rand, share float64, s *Step, pool []Worker, tasks int) *adviser {
 	for {
 		a := &adviser{permitted: map[string]bool{}}
-		room := 0
+		fits := 0
 		for i := range pool {
 			if random.Float64() < share {
 				a.permitted[pool[i].ID] = true
-				room += fitCount(s, &pool[i])
+				fits += fitCount(s, &pool[i])
 			}
 		}
-		if room >= tasks {
+		if fits >= tasks {
 			return a
 		}
 	}
--- a/dispatch/load_test.go
+++ b/dispatch/load_test.go
@@ -60,7 +60,7 @@
 // stays free: 39 gangs waited with 55 % of the cores free ("event=load free_milli_cpu=11918650
 // steps=39 tasks=1176 gangs=39"). The first twelve reserved resources by expected ends that
 // runs didn't keep, and the gangs after them could not renew their tickets.
-func TestGangsStartWhenTwiceTheirRoomIsFree(t *testing.T) {
+func TestGangsStartWhenTwiceTheirDemandIsFree(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
--- a/dispatch/permits.go
+++ b/dispatch/permits.go
@@ -9,7 +9,7 @@
 		if s.Spec.Gang && p.reserveOrPreempt(s, suitable, left).preempted {
 			return ReasonPreempting
 		}
-		return roomReason(s, suitable, left)
+		return capacityReason(s, suitable, left)
 	}
 	granted, unknown := p.splitByPermit(s, suitable)
 	if s.Spec.Gang {
@@ -38,7 +38,7 @@
 	if len(granted) == 0 {
 		return ReasonAllRefused
 	}
-	return roomReason(s, granted, left)
+	return capacityReason(s, granted, left)
 }
 
 // splitByPermit returns the workers that are known to be permitted and those of unknown
@@ -61,11 +61,11 @@
 // needs a valid ticket.
 func fewestWorkersFor(s *Step, granted []*Worker, n int) []*Worker {
 	var chosen []*Worker
-	room := 0
-	for w := range byRoom(s, fitting(s, granted)) {
+	fits := 0
+	for w := range byFree(s, fitting(s, granted)) {
 		chosen = append(chosen, w)
-		room += fitCount(s, w)
-		if room >= n {
+		fits += fitCount(s, w)
+		if fits >= n {
 			return chosen
 		}
 	}
@@ -132,7 +132,7 @@
 	if !anyGranted(s.Permits) {
 		limit = max(limit, len(s.Permits))
 	}
-	for w := range byRoom(s, unknown) {
+	for w := range byFree(s, unknown) {
 		if len(chosen) >= limit {
 			break
 		}
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -330,8 +330,8 @@
 func fitCount(s *Step, w *Worker) int { return fitCountIn(s, w, w.Free) }
 
 // fitCountIn returns how many more tasks of s fit into the given free resources of w.
-func fitCountIn(s *Step, w *Worker, room workflow.Resources) int {
-	n := s.Spec.Demand().FitCount(room)
+func fitCountIn(s *Step, w *Worker, free workflow.Resources) int {
+	n := s.Spec.Demand().FitCount(free)
 	if s.Spec.MaxPerWorker > 0 {
 		n = min(n, s.Spec.MaxPerWorker-s.Placed[w.ID])
 	}
@@ -384,7 +384,7 @@
 // all fit.
 func greedy(s *Step, usable []*Worker, n int) []*Worker {
 	var chosen []*Worker
-	for w := range byRoom(s, usable) {
+	for w := range byFree(s, usable) {
 		for range min(fitCount(s, w), n-len(chosen)) {
 			chosen = append(chosen, w)
 		}
@@ -416,12 +416,12 @@
 
 // start plans the start of one task on w.
 func (p *planner) start(s *Step, index int, w *Worker) {
-	p.takeRoom(w, s.Spec.Demand())
+	p.takeResources(w, s.Spec.Demand())
 	w.plannedStarts++
 	if s.Suspects[index] {
 		// No other task starts beside a crash suspect in this decision: the suspect must first
 		// show whether it crashes the worker.
-		p.takeRoom(w, w.Free)
+		p.takeResources(w, w.Free)
 	}
 	delete(p.unreservedHeadroom, w.Service)
 	w.Serving = w.Serving || s.Spec.LatencyObjectiveMS > 0
@@ -441,9 +441,9 @@
 	})
 }
 
-// takeRoom makes resources of w unavailable to later steps.
-func (p *planner) takeRoom(w *Worker, room workflow.Resources) {
-	w.Free = w.Free.Minus(room)
+// takeResources makes resources of w unavailable to later steps.
+func (p *planner) takeResources(w *Worker, taken workflow.Resources) {
+	w.Free = w.Free.Minus(taken)
 	delete(p.headroom, w.Service)
 }
 
@@ -452,10 +452,10 @@
 	if p.limits.Disabled.Reservation {
 		return
 	}
-	room := s.Spec.Demand()
+	demand := s.Spec.Demand()
 	for _, w := range workers {
-		take := min(fitCount(s, w), n)
-		p.reserveRoom(w, room.Times(int64(take)))
-		n -= take
+		count := min(fitCount(s, w), n)
+		p.reserveResources(w, demand.Times(int64(count)))
+		n -= count
 	}
 }
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -173,7 +173,7 @@
 // Guards against a gang that waits forever beside small tasks. It needs two workers, of which
 // one is free now and one soon; small tasks arrive all the time and took each free resource,
 // since nothing was reserved for the gang.
-func TestRoomIsReservedForWaitingGang(t *testing.T) {
+func TestResourcesAreReservedForWaitingGang(t *testing.T) {
 	list := workers(4, 0)
 	list[1].Releases = []Release{{At: time.Second, Resources: cores(4)}}
 	gang := step("gang", 2, 4)
@@ -342,7 +342,7 @@
 // permitted on a few workers, nearly all full; one fits a single task, but its ticket has
 // expired. The step renewed only that ticket, and again when the next task had ended there,
 // instead of querying the empty workers too.
-func TestStepWithTooLittlePermittedRoomQueriesMoreWorkers(t *testing.T) {
+func TestStepWithTooFewPermittedResourcesQueriesMoreWorkers(t *testing.T) {
 	s := step("wide", 10, 4)
 	s.NeedsPermit = true
 	s.Permits = map[string]Permit{"w0": {Granted: true}, "w1": {Granted: true}, "w2": {Granted: true}}
--- a/dispatch/preempt.go
+++ b/dispatch/preempt.go
@@ -89,13 +89,13 @@
 // stoppingResources returns the resources on w of runs that are being stopped. A stop takes a
 // third of a second; if these weren't counted, each decision until then would stop further runs
 // for the same gang, twelve instead of two.
-func (p *planner) stoppingResources(w *Worker) (room workflow.Resources) {
+func (p *planner) stoppingResources(w *Worker) (total workflow.Resources) {
 	for i := range w.Releases {
 		if w.Releases[i].Stopping {
-			room = room.Plus(w.Releases[i].Resources)
+			total = total.Plus(w.Releases[i].Resources)
 		}
 	}
-	return room
+	return total
 }
 
 // preemptible returns the runs on w that s may preempt, the smallest first.
@@ -120,8 +120,8 @@
 	if s.Spec.MaxPerWorker > 0 && s.Placed[w.ID]+placed >= s.Spec.MaxPerWorker {
 		return nil
 	}
-	room := s.Spec.Demand()
-	for !room.Fits(scratch.Free) {
+	demand := s.Spec.Demand()
+	for !demand.Fits(scratch.Free) {
 		if len(*preemptible) == 0 {
 			return nil
 		}
@@ -131,7 +131,7 @@
 		v.runs = append(v.runs, run)
 		v.cost += run.Resources.MilliCPU
 	}
-	scratch.Free = scratch.Free.Minus(room)
+	scratch.Free = scratch.Free.Minus(demand)
 	return v
 }
 
@@ -159,7 +159,7 @@
 	var workers []*Worker
 	ticketed := true
 	for i := range chosen {
-		p.reserveRoom(chosen[i].worker, s.Spec.Demand())
+		p.reserveResources(chosen[i].worker, s.Spec.Demand())
 		ticketed = ticketed && !chosen[i].needsTicket && p.ticketOutlastsStops(s, chosen[i].worker)
 		if !slices.Contains(workers, chosen[i].worker) {
 			workers = append(workers, chosen[i].worker)
--- a/dispatch/query_test.go
+++ b/dispatch/query_test.go
@@ -238,7 +238,7 @@
 // Guards against small jobs that wait for a gang. The gang nearly fits and reserves the free
 // resources of nearly all its permitted workers for the duration of a long run. Small jobs that
 // are permitted there must query other workers instead.
-func TestSmallJobsStartBesideReservedGangRoom(t *testing.T) {
+func TestSmallJobsStartBesideGangReservation(t *testing.T) {
 	long := slowQueryKind("long", 0, 1)
 	long.width, long.maxWidth, long.cores, long.maxCores, long.work = 130, 130, 60, 60, 2*time.Minute
 	gang, small := wideGangs(60, 60), slowQueryKind("small", 2, 0.25)
@@ -257,12 +257,12 @@
 }
 
 // reservedCPU is the CPU that a decision reserves for a job, in thousandths of a core.
-func (r *replay) reservedCPU(j *replayJob) (room int64) {
+func (r *replay) reservedCPU(j *replayJob) (milliCPU int64) {
 	s, _ := r.step(j)
 	list := r.view()
 	Decide(r.now, []Step{s}, list, r.limits)
 	for i := range list {
-		room += list[i].Reserved.MilliCPU
+		milliCPU += list[i].Reserved.MilliCPU
 	}
-	return room
+	return milliCPU
 }
--- a/dispatch/reason.go
+++ b/dispatch/reason.go
@@ -2,16 +2,16 @@
 
 import "github.com/bilberryferry/bilberryferry/workflow"
 
-// reserveRoom reserves resources of w for a step that can't start yet.
-func (p *planner) reserveRoom(w *Worker, room workflow.Resources) {
+// reserveResources reserves resources of w for a step that can't start yet.
+func (p *planner) reserveResources(w *Worker, reserved workflow.Resources) {
 	p.hasReservations = true
-	w.Reserved = w.Reserved.Plus(room)
-	p.takeRoom(w, room)
+	w.Reserved = w.Reserved.Plus(reserved)
+	p.takeResources(w, reserved)
 }
 
-// roomReason says why s doesn't start on its permitted workers. A gang must fit with all its n
+// capacityReason says why s doesn't start on its permitted workers. A gang must fit with all its n
 // remaining tasks, another step with one.
-func roomReason(s *Step, permitted []*Worker, n int) Reason {
+func capacityReason(s *Step, permitted []*Worker, n int) Reason {
 	if !s.Spec.Gang {
 		n = 1
 	}
@@ -21,7 +21,7 @@
 	return ReasonNoRoom
 }
 
-// unreservedGangReason is roomReason for a gang that has no reservation and can't query now.
+// unreservedGangReason is capacityReason for a gang that has no reservation and can't query now.
 func unreservedGangReason(s *Step, permitted []*Worker, n int) Reason {
 	if fitsOn(s, permitted, n, fitCount) {
 		return ReasonTicketsExpired
--- a/dispatch/reason_test.go
+++ b/dispatch/reason_test.go
@@ -102,7 +102,7 @@
 }
 
 // Guards against reserved resources that are counted as taken by starts.
-func TestReservedRoomIsSeparateFromFreeRoom(t *testing.T) {
+func TestReservedResourcesAreSeparateFromFree(t *testing.T) {
 	list := workers(8, 4)
 	Decide(0, []Step{step("a", 1, 4), waitingGang("gang", 3, 4, nil)}, list, limits)
 	must.Eq(t, int64(0), list[0].Reserved.MilliCPU)
--- a/dispatch/replay_jobs_test.go
+++ b/dispatch/replay_jobs_test.go
@@ -67,9 +67,9 @@
 	// ended is when the job ended, earnedShare the share of its value that it earned.
 	ended       time.Duration
 	earnedShare float64
-	// roomSince is since when the job has had no run although twice its resources are free; -1
+	// idleSince is since when the job has had no run although twice its resources are free; -1
 	// if it isn't so.
-	roomSince time.Duration
+	idleSince time.Duration
 }
 
 // logNormal draws a positive figure with a mean and a coefficient of variation, at most most.
@@ -82,7 +82,7 @@
 // submit submits a job of the kind.
 func (r *replay) submit(k *replayKind) *replayJob {
 	j := &replayJob{kind: k, id: fmt.Sprintf("%s%06d", k.name, len(k.all)), begin: r.now, lastQuery: r.now, saved: map[workflow.TaskKey]float64{},
-		permits: map[string]Permit{}, roomSince: -1}
+		permits: map[string]Permit{}, idleSince: -1}
 	chain := time.Duration(0)
 	for range max(1, int(math.Round(r.logNormal(k.steps, 0.4, 3*k.steps)))) {
 		count := max(1, int(math.Round(r.logNormal(k.width, k.widthCV, k.maxWidth))))
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -430,21 +430,21 @@
 	free := slices.Clone(r.workers)
 	for _, j := range r.jobs {
 		s, waits := r.step(j)
-		if !waits || len(s.Pending) < s.Spec.Count || !r.takeTwiceTheRoom(&s, j, free) {
-			j.roomSince = -1
+		if !waits || len(s.Pending) < s.Spec.Count || !r.takeTwiceTheDemand(&s, j, free) {
+			j.idleSince = -1
 			continue
 		}
-		if j.roomSince < 0 {
-			j.roomSince = r.now
+		if j.idleSince < 0 {
+			j.idleSince = r.now
 		}
-		longest = max(longest, r.now-j.roomSince)
+		longest = max(longest, r.now-j.idleSince)
 	}
 	return longest
 }
 
-// takeTwiceTheRoom takes resources for twice the tasks of a step from workers that the adviser
+// takeTwiceTheDemand takes resources for twice the tasks of a step from workers that the adviser
 // permits, queried or not, and reports whether that many are free.
-func (r *replay) takeTwiceTheRoom(s *Step, j *replayJob, free []Worker) bool {
+func (r *replay) takeTwiceTheDemand(s *Step, j *replayJob, free []Worker) bool {
 	var chosen []*Worker
 	left := 2 * len(s.Pending)
 	for i := range free {
--- a/dispatch/roundrobin.go
+++ b/dispatch/roundrobin.go
@@ -35,12 +35,12 @@
 // beside an empty pool, for longer the larger the pool is.
 func (p *planner) queryRoundRobin() {
 	slices.SortStableFunc(p.queryWaiters, func(a, b queryWaiter) int { return compareQueryOrder(a.step, b.step) })
-	for _, u := range p.queryWaiters {
-		if p.blocked(u.step) {
-			p.addWaiting(u.step, u.left, u.reason)
+	for _, waiter := range p.queryWaiters {
+		if p.blocked(waiter.step) {
+			p.addWaiting(waiter.step, waiter.left, waiter.reason)
 			continue
 		}
-		p.prepareRest(u.step, u.left)
+		p.prepareRest(waiter.step, waiter.left)
 	}
 }
 
--- a/dispatch/select.go
+++ b/dispatch/select.go
@@ -88,14 +88,14 @@
 // then those near the data, with little interference and without an earmark, then the one with
 // the least free resources, which keeps whole workers free for gangs.
 func comparePreference(s *Step, a, b *Worker) int {
-	room := cmp.Compare(a.Free.MilliCPU, b.Free.MilliCPU)
+	cpuOrder := cmp.Compare(a.Free.MilliCPU, b.Free.MilliCPU)
 	if s.Spec.UsesSpare {
 		// Tasks that use spare CPU get what others leave, so the worker with the most free CPU
 		// suits best.
-		room = -room
+		cpuOrder = -cpuOrder
 	}
 	return cmp.Or(cmp.Compare(a.Penalty, b.Penalty), cmp.Compare(distance(s, a), distance(s, b)),
-		cmp.Compare(interference(s, a), interference(s, b)), compareBools(a.Earmarked, b.Earmarked), room, a.rank-b.rank)
+		cmp.Compare(interference(s, a), interference(s, b)), compareBools(a.Earmarked, b.Earmarked), cpuOrder, a.rank-b.rank)
 }
 
 // compareRunCount puts workers with the fewest runs first, so that a crash of the worker ends
@@ -121,9 +121,9 @@
 	fitCount, distance int
 }
 
-// compareRoom puts healthy workers first, then those near the data, then those on which the
+// compareFree puts healthy workers first, then those near the data, then those on which the
 // most tasks fit.
-func compareRoom(a, b *rankedWorker) int {
+func compareFree(a, b *rankedWorker) int {
 	switch {
 	case a.worker.Penalty != b.worker.Penalty:
 		return a.worker.Penalty - b.worker.Penalty
@@ -137,11 +137,11 @@
 	return a.worker.rank - b.worker.rank
 }
 
-// byRoom yields the workers on which the most tasks of s fit first, so that a gang spreads over
+// byFree yields the workers on which the most tasks of s fit first, so that a gang spreads over
 // few workers. It sorts lazily with a heap, since gangs and queries need only the first few
 // dozen of a thousand workers.
-func byRoom(s *Step, workers []*Worker) iter.Seq[*Worker] {
-	order := make(roomHeap, len(workers))
+func byFree(s *Step, workers []*Worker) iter.Seq[*Worker] {
+	order := make(freeHeap, len(workers))
 	for i, w := range workers {
 		order[i] = rankedWorker{w, fitCount(s, w), distance(s, w)}
 	}
@@ -156,18 +156,18 @@
 	}
 }
 
-// roomHeap is a heap of workers in the order of compareRoom.
-type roomHeap []rankedWorker
+// freeHeap is a heap of workers in the order of compareFree.
+type freeHeap []rankedWorker
 
-func (h roomHeap) Len() int           { return len(h) }
-func (h roomHeap) Less(i, j int) bool { return compareRoom(&h[i], &h[j]) < 0 }
-func (h roomHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h freeHeap) Len() int           { return len(h) }
+func (h freeHeap) Less(i, j int) bool { return compareFree(&h[i], &h[j]) < 0 }
+func (h freeHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (h *roomHeap) Push(x any) { *h = append(*h, x.(rankedWorker)) }
+func (h *freeHeap) Push(x any) { *h = append(*h, x.(rankedWorker)) }
 
 // Pop removes the last entry. It returns nil, since no caller uses the value.
-func (h *roomHeap) Pop() any {
+func (h *freeHeap) Pop() any {
 	*h = (*h)[:len(*h)-1]
 	return nil
 }
