--- a/workflow/apply.go
+++ b/workflow/apply.go
@@ -215,8 +215,8 @@
 	if task.Done || task.AwaitsCrashVerdict() {
 		return false
 	}
-	_, there := s.Runs[run.Worker][run.Task]
-	return task.Live == 0 || spec.AllowsCopies() && !task.Suspect() && task.Live < maxLiveRuns && !there
+	_, runsThere := s.Runs[run.Worker][run.Task]
+	return task.Live == 0 || spec.AllowsCopies() && !task.Suspect() && task.Live < maxLiveRuns && !runsThere
 }
 
 // fitCountOn returns how many more tasks of a step fit on a worker.
@@ -333,8 +333,8 @@
 
 // failIfAttemptsExhausted fails a job whose number of failures has reached the attempt limit.
 func (s *State) failIfAttemptsExhausted(job *Job, failures int) {
-	budget := job.Policy.MaxAttempts
-	if budget > 0 && failures >= budget && !job.Ended() {
+	limit := job.Policy.MaxAttempts
+	if limit > 0 && failures >= limit && !job.Ended() {
 		job.Failed = true
 		s.close(job)
 	}
--- a/workflow/crash.go
+++ b/workflow/crash.go
@@ -83,8 +83,8 @@
 		task.StrongCrashes++
 	}
 	if task.StrongCrashes >= maxStrongCrashes || len(task.CrashedOn) >= maxCrashes {
-		crasher := end.Task
-		job.Failed, job.CrashingTask = true, &crasher
+		crashingTask := end.Task
+		job.Failed, job.CrashingTask = true, &crashingTask
 		s.close(job)
 	}
 }
--- a/workflow/job.go
+++ b/workflow/job.go
@@ -15,8 +15,8 @@
 }
 
 // Fits reports whether r fits into room.
-func (r Resources) Fits(room Resources) bool {
-	return r.MilliCPU <= room.MilliCPU && r.MemoryMB <= room.MemoryMB && r.Accelerators <= room.Accelerators
+func (r Resources) Fits(free Resources) bool {
+	return r.MilliCPU <= free.MilliCPU && r.MemoryMB <= free.MemoryMB && r.Accelerators <= free.Accelerators
 }
 
 // Plus returns the sum of r and other.
@@ -42,19 +42,19 @@
 }
 
 // FitCount returns how many tasks that demand r fit into room.
-func (r Resources) FitCount(room Resources) int {
-	if !r.Fits(room) {
+func (r Resources) FitCount(free Resources) int {
+	if !r.Fits(free) {
 		return 0
 	}
 	count := int64(maxFitCount)
 	if r.MilliCPU > 0 {
-		count = min(count, room.MilliCPU/r.MilliCPU)
+		count = min(count, free.MilliCPU/r.MilliCPU)
 	}
 	if r.MemoryMB > 0 {
-		count = min(count, room.MemoryMB/r.MemoryMB)
+		count = min(count, free.MemoryMB/r.MemoryMB)
 	}
 	if r.Accelerators > 0 {
-		count = min(count, room.Accelerators/r.Accelerators)
+		count = min(count, free.Accelerators/r.Accelerators)
 	}
 	return int(count)
 }
@@ -105,11 +105,11 @@
 
 // Demand returns what a task of the step occupies of the capacity of its worker.
 func (s *Step) Demand() Resources {
-	room := s.Need
+	demand := s.Need
 	if s.UsesSpare {
-		room.MilliCPU = 0
+		demand.MilliCPU = 0
 	}
-	return room
+	return demand
 }
 
 // Schedule repeats a job at fixed times. The zero value means once, now.
