--- a/dispatch/gang.go
+++ b/dispatch/gang.go
@@ -71,7 +71,8 @@
 }
 
 // likelyFits reports whether the gang fits into the free resources of the permitted workers and
-// those expected on unknown ones by the grant rate. It is false while no rate is known.
+// the share of those on unknown workers that the grant rate suggests. It is false while no rate
+// is known.
 func likelyFits(s *Step, granted, unknown []*Worker, left int) bool {
 	if s.GrantRate == 0 {
 		return false
@@ -82,11 +83,12 @@
 
 const (
 	// minEmptyFactor times its tasks is what the permitted workers of a gang must hold if they
-	// were empty, since other steps run there too.
+	// were empty; otherwise the gang queries more workers. Other steps run on them too.
 	minEmptyFactor = 2
-	// wantedEmptyFactor times its tasks is what they must hold while others have free
-	// resources. A query occupies an adviser connection for a second, but a gang that knows few
-	// workers waits for them while others are free.
+	// wantedEmptyFactor times its tasks is what the permitted workers of a gang should hold if
+	// they were empty while other workers have free resources. A query occupies an adviser
+	// connection for a second, but a gang that knows few workers waits for them while others
+	// are free.
 	wantedEmptyFactor = 8
 	// wantedFreeFactor times its tasks is how many tasks the queried workers of a gang must be
 	// expected to hold now: the grants differ from the average, and other steps take resources
@@ -150,7 +152,7 @@
 	return false
 }
 
-// expectedFit is room for one more task on a worker from a point in time on.
+// expectedFit says that one more task fits on a worker from a point in time on.
 type expectedFit struct {
 	at     time.Duration
 	worker *Worker
--- a/dispatch/permits.go
+++ b/dispatch/permits.go
@@ -120,12 +120,12 @@
 }
 
 // workersToQuery returns the workers to query: permitted ones that the remaining tasks need,
-// then unknown ones, those with the most free resources first. A step that all queried workers
-// refused queries as many again.
+// then unknown ones, those with the most free resources first. If all queried workers refused
+// the step, it queries as many again.
 //
 // A step of dozens of tasks may be permitted on a dozen workers, most of them full. If it
-// queried only a permitted worker with room for one task, it would renew that ticket, start the
-// task and query again, while unknown workers are free.
+// queried only a permitted worker that fits a single task, it would renew that ticket, start
+// the task and query again, while unknown workers are free.
 func (p *planner) workersToQuery(s *Step, renew, unknown []*Worker) []*Worker {
 	chosen := renew
 	limit := p.limits.WorkersPerQuery
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -18,7 +18,8 @@
 	// headroom is the largest free amount of each resource on any worker of a pool. A missing
 	// entry is computed again.
 	headroom map[string]workflow.Resources
-	// unreservedHeadroom is the same as if nothing were reserved.
+	// unreservedHeadroom is the largest amount of each resource that would be free on any
+	// worker of a pool if nothing were reserved.
 	unreservedHeadroom map[string]workflow.Resources
 	// hasReservations says that the plan has reserved resources.
 	hasReservations bool
@@ -174,7 +175,8 @@
 	}
 }
 
-// planStep starts what it can of s and queries or records a reason for the rest.
+// planStep starts what it can of s. For the remaining tasks it plans queries or records why
+// they wait.
 func (p *planner) planStep(s *Step) {
 	if p.unschedulable(s) {
 		p.addWaiting(s, len(s.Pending), p.skipReason(s, len(s.Pending)))
@@ -261,7 +263,7 @@
 	return !s.Spec.Demand().Fits(p.headroomOf(s.Service))
 }
 
-// headroomOf returns the headroom of a pool.
+// headroomOf returns the largest free amount of each resource on any worker of a pool.
 func (p *planner) headroomOf(service string) workflow.Resources {
 	headroom, counted := p.headroom[service]
 	if counted {
@@ -419,7 +421,7 @@
 	p.takeResources(w, s.Spec.Demand())
 	w.plannedStarts++
 	if s.Suspects[index] {
-		// No other task starts beside a crash suspect in this decision: the suspect must first
+		// No other task starts alongside a crash suspect in this decision: the suspect must first
 		// show whether it crashes the worker.
 		p.takeResources(w, w.Free)
 	}
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -170,7 +170,7 @@
 	must.Eq(t, ReasonCount{"", 3, "w3"}, Explain(0, &s, list, limits)[0])
 }
 
-// Guards against a gang that waits forever beside small tasks. It needs two workers, of which
+// Guards against a gang that waits forever alongside small tasks. It needs two workers, of which
 // one is free now and one soon; small tasks arrive all the time and took each free resource,
 // since nothing was reserved for the gang.
 func TestResourcesAreReservedForWaitingGang(t *testing.T) {
@@ -224,8 +224,8 @@
 }
 
 // Guards against a gang that keeps waiting after runs were preempted for it. Its resources come
-// free one by one, and small urgent tasks took them as the best fit although another worker had
-// room for them.
+// free one by one, and small urgent tasks took them as the best fit although they fit on
+// another worker.
 func TestSmallTasksAvoidEarmarkedWorkers(t *testing.T) {
 	list := workers(3, 9)
 	must.Eq(t, []string{"a/0@w0"}, started(Decide(0, []Step{step("a", 1, 2)}, list, limits)))
--- a/dispatch/preempt.go
+++ b/dispatch/preempt.go
@@ -38,8 +38,8 @@
 	needsTicket bool
 }
 
-// findVictims finds resources for n tasks of s on workers that may run it by preempting as few
-// runs as possible; nil if there aren't enough.
+// findVictims finds resources for n tasks of s on workers that may run it by preempting runs at
+// the lowest cost; nil if there aren't enough.
 //
 // A gang needs resources on several workers at once and would wait for many runs to end while
 // runs that can resume from a checkpoint hold them. Those lose no work, so stopping them costs
@@ -79,8 +79,7 @@
 	return chosen
 }
 
-// compareVictims puts the sets that are cheaper to stop first, those with a valid ticket before
-// the others.
+// compareVictims puts sets that need no ticket query first, then those with the lowest cost.
 func compareVictims(a, b *victimSet) int {
 	return cmp.Or(compareBools(a.needsTicket, b.needsTicket), cmp.Compare(a.cost, b.cost),
 		cmp.Compare(a.worker.Penalty, b.worker.Penalty), cmp.Compare(a.worker.ID, b.worker.ID))
--- a/dispatch/preempt_test.go
+++ b/dispatch/preempt_test.go
@@ -76,7 +76,7 @@
 	must.MapNotEmpty(t, seen)
 }
 
-// Guards against steps that are never considered: beside hundreds of steps beyond the bound,
+// Guards against steps that are never considered: alongside hundreds of steps beyond the bound,
 // many with useless tickets, the offset of the round robin skipped most of the others for good.
 func TestRoundRobinReachesAllSteps(t *testing.T) {
 	for _, ticketed := range []int{0, 16, 24, 31, 200} {
--- a/dispatch/reason.go
+++ b/dispatch/reason.go
@@ -9,8 +9,8 @@
 	p.takeResources(w, reserved)
 }
 
-// capacityReason says why s doesn't start on its permitted workers. A gang must fit with all its n
-// remaining tasks, another step with one.
+// capacityReason says why s doesn't start on its permitted workers: free capacity is lacking or
+// reserved. A gang must fit with all its n remaining tasks, another step with one.
 func capacityReason(s *Step, permitted []*Worker, n int) Reason {
 	if !s.Spec.Gang {
 		n = 1
@@ -21,7 +21,7 @@
 	return ReasonNoRoom
 }
 
-// unreservedGangReason is capacityReason for a gang that has no reservation and can't query now.
+// unreservedGangReason says why a gang waits that has no reservation and can't query now.
 func unreservedGangReason(s *Step, permitted []*Worker, n int) Reason {
 	if fitsOn(s, permitted, n, fitCount) {
 		return ReasonTicketsExpired
@@ -88,7 +88,8 @@
 	return p.hasReservations && s.Spec.Demand().Fits(p.unreservedHeadroomOf(s.Service))
 }
 
-// unreservedHeadroomOf returns the headroom of a pool as if nothing were reserved.
+// unreservedHeadroomOf returns the largest amount of each resource that would be free on any
+// worker of a pool if nothing were reserved.
 func (p *planner) unreservedHeadroomOf(service string) workflow.Resources {
 	headroom, counted := p.unreservedHeadroom[service]
 	if counted {
--- a/dispatch/reason_test.go
+++ b/dispatch/reason_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// Guards against a gang that is listed as out of room while runs are preempted for it.
+// Guards against a gang that is listed as waiting for free resources while runs are preempted for it.
 func TestPreemptionReason(t *testing.T) {
 	list := workers(0)
 	for range 4 {
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -424,7 +424,7 @@
 }
 
 // longestIdleWait records since when each job without a run would find twice its resources on
-// permitted workers, beside all such jobs before it, and returns the longest of these times.
+// permitted workers, alongside all such jobs before it, and returns the longest of these times.
 func (r *replay) longestIdleWait() time.Duration {
 	longest := time.Duration(0)
 	free := slices.Clone(r.workers)
--- a/dispatch/roundrobin.go
+++ b/dispatch/roundrobin.go
@@ -32,7 +32,7 @@
 
 // queryRoundRobin gives the remaining queries to the steps that wait for one. Without it urgent
 // steps that hardly any worker is permitted for use all queries, and other steps get none
-// beside an empty pool, for longer the larger the pool is.
+// although the pool is empty, for longer the larger the pool is.
 func (p *planner) queryRoundRobin() {
 	slices.SortStableFunc(p.queryWaiters, func(a, b queryWaiter) int { return compareQueryOrder(a.step, b.step) })
 	for _, waiter := range p.queryWaiters {
--- a/dispatch/suspect_test.go
+++ b/dispatch/suspect_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against a crash suspect that ends the runs placed beside it when it crashes its
+// Guards against a crash suspect that ends the runs placed alongside it when it crashes its
 // worker.
 func TestCrashSuspectStartsAlone(t *testing.T) {
 	pool := workers(4, 16)
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -2,6 +2,11 @@
 // adviser. Decide is a pure function of a snapshot: it reads no clock and keeps nothing between
 // calls. The caller commits the planned starts, which checks them again, and then sends them to
 // the workers.
+//
+// The adviser is an external service that decides for a queue which workers may run a step. Its
+// permission never changes, but a start also needs its ticket, which expires. A gang is a step
+// whose tasks start together or not at all. An earmark is a soft reservation: other steps
+// prefer other workers.
 package dispatch
 
 import (
@@ -26,7 +31,7 @@
 	// Serving says that tasks with a latency objective run on the worker.
 	Serving bool
 	// SpareRuns counts the runs on the worker that use spare CPU. SpareShare is the percentage
-	// of the CPU that they may use beside serving tasks.
+	// of the CPU that they may use alongside serving tasks.
 	SpareRuns, SpareShare int
 	// Earmarked says that the last decision reserved resources here for a gang that fits soon.
 	Earmarked bool
