--- a/workflow/apply.go
+++ b/workflow/apply.go
@@ -201,7 +201,7 @@
 // allowed.
 const maxLiveRuns = 2
 
-// mayStart reports whether a run may start. It refuses a second run beside one that may be
+// mayStart reports whether a run may start. It refuses a second run alongside one that may be
 // alive, unless the step allows speculative copies, the other run is on another worker and no
 // worker has crashed under the task. It also refuses a worker that is gone or lacks free
 // capacity: a worker may announce less capacity while starts decided before are being
--- a/workflow/job.go
+++ b/workflow/job.go
@@ -14,7 +14,7 @@
 	Accelerators int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Fits reports whether r fits into room.
+// Fits reports whether r fits into free.
 func (r Resources) Fits(free Resources) bool {
 	return r.MilliCPU <= free.MilliCPU && r.MemoryMB <= free.MemoryMB && r.Accelerators <= free.Accelerators
 }
@@ -41,7 +41,7 @@
 	return Resources{r.MilliCPU * n, r.MemoryMB * n, r.Accelerators * n}
 }
 
-// FitCount returns how many tasks that demand r fit into room.
+// FitCount returns how many tasks that demand r fit into free.
 func (r Resources) FitCount(free Resources) int {
 	if !r.Fits(free) {
 		return 0
@@ -82,7 +82,7 @@
 	DataRack string `cbor:"8,keyasint,omitempty"`
 	// MaxPerWorker bounds the tasks of the step on one worker; 0 for no bound.
 	MaxPerWorker int `cbor:"9,keyasint,omitempty"`
-	// Speculative says that a speculative copy of a task may run beside the first run.
+	// Speculative says that a speculative copy of a task may run alongside the first run.
 	Speculative bool `cbor:"10,keyasint,omitempty"`
 	// LongRunning tasks run until the job is cancelled and are restarted however they end.
 	LongRunning bool `cbor:"11,keyasint,omitempty"`
@@ -99,7 +99,7 @@
 	LatencyObjectiveMS int64 `cbor:"16,keyasint,omitempty"`
 }
 
-// AllowsCopies reports whether a speculative copy of a task may run beside the first run. Gangs
+// AllowsCopies reports whether a speculative copy of a task may run alongside the first run. Gangs
 // run as a whole, and a long-running task has a single run.
 func (s *Step) AllowsCopies() bool { return s.Speculative && !s.Gang && !s.LongRunning }
 
