--- /dev/null
+++ b/dispatch/disabled.go
@@ -0,0 +1,24 @@
+package dispatch
+
+// Disabled lists the mechanisms that are switched off. The zero value has all of them on. Each
+// switch serves to measure what the mechanism is worth.
+type Disabled struct {
+	// Copies: speculative copies of tasks whose run is unreachable, stalled or slow.
+	Copies bool `toml:"copies"`
+	// Preemption: stopping less urgent runs with checkpoints for a gang.
+	Preemption bool `toml:"preemption"`
+	// Reservation: reserving resources for gangs and for tasks whose ticket is being queried.
+	Reservation bool `toml:"reservation"`
+	// Earmarks: other steps prefer workers that no gang is about to fill.
+	Earmarks bool `toml:"earmarks"`
+	// Suspicion: a data centre in which no worker answers gets no new tasks.
+	Suspicion bool `toml:"suspicion"`
+	// Health: workers that fail, stall or are slow are ranked lower or quarantined.
+	Health bool `toml:"health"`
+	// Lateness: jobs that can no longer meet their objective go after jobs that can.
+	Lateness bool `toml:"lateness"`
+	// ResentStarts: a start whose answer is overdue is sent again.
+	ResentStarts bool `toml:"second_starts"`
+	// ShortLooks: long polls are held for a shorter time while calls get lost.
+	ShortLooks bool `toml:"short_looks"`
+}
--- a/dispatch/load_test.go
+++ b/dispatch/load_test.go
@@ -12,23 +12,23 @@
 var replaySeeds = flag.Int("replay.seeds", 0, "how many seeds of the replayed load to play for its figures")
 var replayLoad = flag.Float64("replay.load", 1, "the replayed load, in multiples of the usual one")
 
-// mixedLoad is what a pool of 350 workers gets: large gangs, builds with checkpoints and
-// urgent lookups, 0.88 of its cores on average.
+// mixedLoad is the load of a pool of 350 workers: large gangs, builds with checkpoints and
+// urgent lookups, which take 0.88 of its cores on average.
 func mixedLoad(load float64) []*replayKind {
 	ms := time.Millisecond
 	return []*replayKind{
-		{name: "recalc", worth: 12.9, rate: 3.81 * load, steps: 1.2, width: 20, widthCV: 0.8, maxWidth: 120, cores: 18, coresCV: 0.4, maxCores: 30, gb: 67, gbCV: 0.5, maxGB: 130,
+		{name: "recalc", value: 12.9, rate: 3.81 * load, steps: 1.2, width: 20, widthCV: 0.8, maxWidth: 120, cores: 18, coresCV: 0.4, maxCores: 30, gb: 67, gbCV: 0.5, maxGB: 130,
 			work: 6200 * ms, workCV: 0.5, objective: 1000 * ms, stretch: 2.2, priority: 1, gangShare: 1, checkpointingShare: 0.5, baseLatency: 702 * ms, perWorkerLatency: 10 * ms, ticketValidity: 2000 * ms, grantedShare: 0.3, failingShare: 0.05},
-		{name: "build", worth: 3.9, rate: 7.9 * load, steps: 1.5, width: 25, widthCV: 0.8, maxWidth: 150, cores: 6.9, coresCV: 0.45, maxCores: 21, gb: 14, gbCV: 0.6, maxGB: 43,
+		{name: "build", value: 3.9, rate: 7.9 * load, steps: 1.5, width: 25, widthCV: 0.8, maxWidth: 150, cores: 6.9, coresCV: 0.45, maxCores: 21, gb: 14, gbCV: 0.6, maxGB: 43,
 			work: 3400 * ms, workCV: 0.5, objective: 3000 * ms, stretch: 4, priority: 2, checkpointingShare: 0.8, baseLatency: 156 * ms, perWorkerLatency: 2340 * time.Microsecond, ticketValidity: 2000 * ms, grantedShare: 0.45, failingShare: 0.05},
-		{name: "lookup", worth: 0.391, rate: 110 * load, steps: 1, width: 3.2, widthCV: 0.8, maxWidth: 19, cores: 9.9, coresCV: 0.45, maxCores: 30, gb: 37, gbCV: 0.6, maxGB: 110,
+		{name: "lookup", value: 0.391, rate: 110 * load, steps: 1, width: 3.2, widthCV: 0.8, maxWidth: 19, cores: 9.9, coresCV: 0.45, maxCores: 30, gb: 37, gbCV: 0.6, maxGB: 110,
 			work: 800 * ms, workCV: 0.5, objective: 250 * ms, stretch: 1.5, gangShare: 0.3, baseLatency: 11700 * time.Microsecond, perWorkerLatency: 169 * time.Microsecond, ticketValidity: 2000 * ms, grantedShare: 0.7, failingShare: 0.05},
 	}
 }
 
-// The figures of the mixed load, by seed: of each kind the share in time and late, and of
-// its worth the shares earned by all, the largest tenth and the fifth below; what waits
-// when the traffic ends and 14 s later.
+// Prints figures of the mixed load for each seed: the share of jobs of each kind in time and
+// late; the shares of their value that all jobs, the largest tenth and the next fifth earned;
+// and the waiting steps when submissions end and 14 s later.
 func TestMixedLoadFigures(t *testing.T) {
 	for seed := range *replaySeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -47,21 +47,20 @@
 				o, g, shares := k.earned()
 				owed, got = owed+o, got+g
 				worst = min(worst, shares[0], shares[1], shares[2])
-				line += fmt.Sprintf("%s in time %.3f late %.3f worth %.3f | ", k.name,
+				line += fmt.Sprintf("%s in time %.3f late %.3f value %.3f | ", k.name,
 					float64(k.inTime)/float64(len(k.all)), float64(k.late)/float64(len(k.all)), shares)
 			}
-			t.Logf("%sworth %.3f worst %.3f free %.3f waiting %d gangs %d, 14 s later %d %d, free %.2f | asked %d %d preempted %d longest decision %v",
+			t.Logf("%svalue %.3f worst %.3f free %.3f waiting %d gangs %d, 14 s later %d %d, free %.2f | queries %d %d preempted %d longest decision %v",
 				line, got/owed, worst, free, steps, gangs, stepsLeft, gangsLeft, r.freeShare(), asked, r.queries-asked, r.preemptions, r.longestDecision)
 		})
 	}
 }
 
-// A caller hands a job in, a run of it fails, and it doesn't run again while more than a
-// third of the pool is free to the end: 39 gangs waited then with 55 % of the cores free
-// ("event=load free_milli_cpu=11918650 steps=39 tasks=1176 gangs=39"). The first twelve keep
-// room from all others by ends that don't come when they are expected, and those behind
-// them may not renew their tickets.
-func TestGangsStartWhenTwiceTheirRoomIsFree(t *testing.T) {
+// Guards against a failed job that doesn't run again although more than a third of the pool
+// stays free: 39 gangs waited with 55 % of the cores free ("event=load free_milli_cpu=11918650
+// steps=39 tasks=1176 gangs=39"). The first twelve reserved resources by expected ends that
+// runs didn't keep, and the gangs after them could not renew their tickets.
+func TestGangsStartWhenTwiceTheirDemandIsFree(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -80,18 +79,19 @@
 }
 
 const (
-	// drainTime is how long after the last job callers expect all that can run to
-	// run, maxIdleWait how long a job may have nothing running beside room for twice its
-	// tasks.
+	// drainTime is how long after the last submission every job that fits must be running.
+	// maxIdleWait is how long a job may have no run while twice the resources of its tasks are
+	// free.
 	drainTime   = 14 * time.Second
 	maxIdleWait = 3 * time.Second
 )
 
-// Hundreds of steps wait behind others that fit nowhere. Each has its turn every two
-// seconds, asks for its tickets, and has its next turn when they have ended: none of 600
-// starts within a minute on an empty pool, and 19,200 questions are put.
+// Guards against steps beyond the bound whose tickets always expire unused. Hundreds of steps
+// wait behind others that fit nowhere. Each is considered every two seconds, queries, and is
+// considered again after its tickets have expired: none of 600 starts within a minute on an
+// empty pool, and 19,200 queries are sent.
 func TestStepsBeyondBoundStartBeforeTicketsExpire(t *testing.T) {
-	for _, behind := range []int{40, 600, 900} {
+	for _, waiting := range []int{40, 600, 900} {
 		kind := &replayKind{name: "behind", priority: 1, steps: 1, width: 1, maxWidth: 1, cores: 1, maxCores: 1, gb: 1, maxGB: 1, work: time.Second,
 			baseLatency: 195 * time.Millisecond, ticketValidity: 1500 * time.Millisecond, grantedShare: 0.25, stretch: 1}
 		huge := &replayKind{name: "ahead", steps: 1, width: 1, maxWidth: 1, cores: 65, maxCores: 65, gb: 1, maxGB: 1, work: time.Second,
@@ -101,13 +101,13 @@
 		for range 96 {
 			r.submit(huge)
 		}
-		for range behind {
+		for range waiting {
 			r.submit(kind)
 		}
 		for r.now < time.Minute && len(r.jobs) > 96 {
 			r.decide()
 			r.advance()
 		}
-		must.SliceLen(t, 96, r.jobs, must.Sprintf("%d behind: %d questions", behind, r.queries))
+		must.SliceLen(t, 96, r.jobs, must.Sprintf("%d steps beyond the bound, %d queries", waiting, r.queries))
 	}
 }
--- /dev/null
+++ b/dispatch/roundrobin.go
@@ -0,0 +1,51 @@
+package dispatch
+
+import (
+	"cmp"
+	"slices"
+)
+
+// roundRobinQueryDivisor is the divisor of the queries of a decision that gives those held back
+// for round-robin use.
+const roundRobinQueryDivisor = 3
+
+// queryWaiter is a step that waits for a query.
+type queryWaiter struct {
+	step *Step
+	// left is the number of tasks that were not started, reason what they wait for if no query
+	// is sent.
+	left   int
+	reason Reason
+}
+
+// roundRobinPart returns how many of n queries are held back for round-robin use. The rounding
+// rotates, so the share also holds over decisions that have a single query each.
+func (p *planner) roundRobinPart(n int) int {
+	return (n + p.limits.Round%roundRobinQueryDivisor) / roundRobinQueryDivisor
+}
+
+// needsReservedLongQuery reports whether s can only be served by a long query that is held
+// back.
+func (p *planner) needsReservedLongQuery(s *Step) bool {
+	return s.NeedsPermit && !s.Spec.Gang && p.reservedLongQueries > 0 && !p.mayQuery(s, p.limits.WorkersPerQuery)
+}
+
+// queryRoundRobin gives the remaining queries to the steps that wait for one. Without it urgent
+// steps that hardly any worker is permitted for use all queries, and other steps get none
+// although the pool is empty, for longer the larger the pool is.
+func (p *planner) queryRoundRobin() {
+	slices.SortStableFunc(p.queryWaiters, func(a, b queryWaiter) int { return compareQueryOrder(a.step, b.step) })
+	for _, waiter := range p.queryWaiters {
+		if p.blocked(waiter.step) {
+			p.addWaiting(waiter.step, waiter.left, waiter.reason)
+			continue
+		}
+		p.prepareRest(waiter.step, waiter.left)
+	}
+}
+
+// compareQueryOrder puts steps that know of no worker first, since a first query tells the
+// most, then those whose last query is the longest ago.
+func compareQueryOrder(a, b *Step) int {
+	return cmp.Or(compareBools(len(a.Permits) > 0, len(b.Permits) > 0), cmp.Compare(a.LastQuery, b.LastQuery))
+}
