--- a/placement/admit.go
+++ b/placement/admit.go
@@ -47,15 +47,15 @@
 
 // admitSize refuses what no set of known workers could ever hold.
 func (c *Cluster) admitSize(e *entry, _ time.Time, _ Resources) AdmissionDecision {
-	known, slots := 0, 0
+	announced, slots := 0, 0
 	for _, w := range c.byID {
 		if !w.announced {
 			continue
 		}
-		known++
-		slots += w.Capacity.copies(e.need, e.job.Tasks)
+		announced++
+		slots += w.Capacity.fitCount(e.need, e.job.Tasks)
 	}
-	if known == 0 {
+	if announced == 0 {
 		return refuse(ReasonNoWorkers, noWorkersRetryAfter, "no worker has announced itself")
 	}
 	if slots == 0 {
@@ -144,11 +144,11 @@
 	}
 	if e.latestStart.Before(now) {
 		return refuse(ReasonDeadline, 0, "a task takes about %v and the deadline is in %v",
-			e.run.high.Round(time.Second), e.job.Deadline.Sub(now).Round(time.Second))
+			e.runtime.high.Round(time.Second), e.job.Deadline.Sub(now).Round(time.Second))
 	}
-	if late, at := c.firstDeadlineOverrun(e, now); late > 0 {
-		return refuse(ReasonDeadline, max(minRetryAfter, late), "accepted work takes the workers until %v later than the deadline at %s allows",
-			late.Round(time.Second), at.UTC().Format(time.RFC3339))
+	if lateBy, deadline := c.firstDeadlineOverrun(e, now); lateBy > 0 {
+		return refuse(ReasonDeadline, max(minRetryAfter, lateBy), "accepted work takes the workers until %v later than the deadline at %s allows",
+			lateBy.Round(time.Second), deadline.UTC().Format(time.RFC3339))
 	}
 	return AdmissionDecision{Admitted: true, ExpectedStart: c.expectedStart(e, now)}
 }
--- a/placement/arrivals/measure_test.go
+++ b/placement/arrivals/measure_test.go
@@ -11,14 +11,14 @@
 )
 
 var (
-	measure = flag.String("measure", "", "measurement to print: load, packing, flood, urgent, faults, all")
-	seeds   = flag.Uint64("seeds", 5, "seeds 1 to this are run")
-	load    = flag.Float64("load", 0.95, "true work that arrives over capacity")
-	brief   = flag.Bool("brief", false, "leave out baseline and clairvoyant")
-	tight   = flag.Float64("tight", 0.4, "part of the jobs that must start within a few run times")
-	length  = flag.Duration("length", 6*time.Hour, "time over which jobs arrive")
-	plots   = flag.String("plots", "", "folder for SVG plots of the packing measurement; empty for none")
-	only    = flag.String("only", "", "site to run; empty for all")
+	measure       = flag.String("measure", "", "measurement to print: load, packing, flood, urgent, faults, all")
+	seeds         = flag.Uint64("seeds", 5, "seeds 1 to this are run")
+	load          = flag.Float64("load", 0.95, "true work that arrives over capacity")
+	placementOnly = flag.Bool("brief", false, "leave out baseline and clairvoyant")
+	tight         = flag.Float64("tight", 0.4, "part of the jobs that must start within a few run times")
+	length        = flag.Duration("length", 6*time.Hour, "time over which jobs arrive")
+	plots         = flag.String("plots", "", "folder for SVG plots of the packing measurement; empty for none")
+	only          = flag.String("only", "", "site to run; empty for all")
 )
 
 func stopwatch() func() time.Duration {
@@ -67,7 +67,7 @@
 			mix.TightDeadlines, mix.Duration = *tight, *length
 			exact := mix
 			exact.ExactDeclarations = true
-			if *brief {
+			if *placementOnly {
 				fmt.Printf("%s seed %d placement   %v\n", site.Name, s, run(site, mix, placement.DefaultOptions()))
 				continue
 			}
--- a/placement/arrivals/replay.go
+++ b/placement/arrivals/replay.go
@@ -87,11 +87,11 @@
 	tasks   []task
 	waiting []int
 	done    int
-	// inWindow is the work that was done while jobs arrived.
-	inWindow siteSeconds
-	lastEnd  time.Duration
-	refused  bool
-	finished bool
+	// windowWork is the work that was done while jobs arrived.
+	windowWork siteSeconds
+	lastEnd    time.Duration
+	refused    bool
+	finished   bool
 }
 
 type task struct {
@@ -103,30 +103,30 @@
 }
 
 type replay struct {
-	config   Config
-	cluster  *placement.Cluster
-	now      time.Duration
-	events   events
-	sequence int
-	jobs     map[string]*job
-	report   *Report
-	nextWake time.Duration
-	faulty   map[string][]WorkerFault
-	used     placement.Resources
+	config         Config
+	cluster        *placement.Cluster
+	now            time.Duration
+	events         events
+	sequence       int
+	jobs           map[string]*job
+	report         *Report
+	nextWake       time.Duration
+	faultsByWorker map[string][]WorkerFault
+	used           placement.Resources
 }
 
 // Replay runs the arrivals to their end and reports.
 func Replay(config Config, arrivals []Arrival) *Report {
 	r := &replay{
-		config:   config,
-		cluster:  placement.NewCluster(config.Options),
-		jobs:     map[string]*job{},
-		report:   newReport(config.Site),
-		nextWake: -1,
-		faulty:   map[string][]WorkerFault{},
+		config:         config,
+		cluster:        placement.NewCluster(config.Options),
+		jobs:           map[string]*job{},
+		report:         newReport(config.Site),
+		nextWake:       -1,
+		faultsByWorker: map[string][]WorkerFault{},
 	}
 	for _, f := range config.Faults {
-		r.faulty[f.Worker] = append(r.faulty[f.Worker], f)
+		r.faultsByWorker[f.Worker] = append(r.faultsByWorker[f.Worker], f)
 	}
 	for _, w := range config.Site.workers() {
 		r.cluster.SetWorker(w)
@@ -150,7 +150,7 @@
 	heap.Push(&r.events, e)
 }
 
-func (r *replay) wall() time.Time { return epoch.Add(r.now) }
+func (r *replay) wallClock() time.Time { return epoch.Add(r.now) }
 
 // placeServices fills a part of the workers with tasks that never end.
 func (r *replay) placeServices() {
@@ -209,7 +209,7 @@
 func (r *replay) handle(e event) bool {
 	switch e.kind {
 	case eventArrival:
-		return r.arrive(e.job)
+		return r.handleArrival(e.job)
 	case eventEnd:
 		return r.endAttempt(e)
 	case eventLearn:
@@ -220,10 +220,10 @@
 	}
 }
 
-func (r *replay) arrive(j *job) bool {
+func (r *replay) handleArrival(j *job) bool {
 	r.jobs[j.arrival.Job.ID] = j
 	begin := r.stopwatchTime()
-	v := r.cluster.Admit(j.arrival.Job, r.wall(), placement.Resources{CPU: -1, Memory: -1, Accelerators: -1})
+	v := r.cluster.Admit(j.arrival.Job, r.wallClock(), placement.Resources{CPU: -1, Memory: -1, Accelerators: -1})
 	r.report.recordAdmission(r.stopwatchTime() - begin)
 	r.report.submitted++
 	if !v.Admitted {
@@ -257,17 +257,17 @@
 func (r *replay) evaluate() {
 	for {
 		begin := r.stopwatchTime()
-		plan := r.cluster.Evaluate(r.wall(), maxDecisions)
+		plan := r.cluster.Evaluate(r.wallClock(), maxDecisions)
 		r.report.recordEvaluation(r.stopwatchTime()-begin, len(plan.Starts))
 		r.commit(plan)
 		if len(plan.Starts) == 0 && len(plan.Refusals) == 0 {
-			r.wake(plan.ReevaluateAt)
+			r.scheduleWake(plan.ReevaluateAt)
 			return
 		}
 	}
 }
 
-func (r *replay) wake(at time.Time) {
+func (r *replay) scheduleWake(at time.Time) {
 	if at.IsZero() {
 		return
 	}
@@ -277,10 +277,10 @@
 
 func (r *replay) commit(plan placement.Plan) {
 	for _, f := range plan.Refusals {
-		r.giveUp(r.jobs[f.Job])
+		r.refuseAccepted(r.jobs[f.Job])
 	}
 	for _, s := range plan.Starts {
-		r.start(r.jobs[s.Job], s)
+		r.startTask(r.jobs[s.Job], s)
 	}
 	for _, p := range plan.Preemptions {
 		j := r.jobs[p.Job]
@@ -291,14 +291,14 @@
 	}
 }
 
-// giveUp ends accepted work that has become hopeless.
-func (r *replay) giveUp(j *job) {
+// refuseAccepted ends accepted work that has become hopeless.
+func (r *replay) refuseAccepted(j *job) {
 	j.refused = true
 	r.report.recordMiss(j, missInfeasible)
 	r.cluster.Dequeue(j.arrival.Job.ID)
 }
 
-func (r *replay) start(j *job, s placement.Start) {
+func (r *replay) startTask(j *job, s placement.Start) {
 	i := j.waiting[0]
 	j.waiting = j.waiting[1:]
 	t := &j.tasks[i]
@@ -312,10 +312,10 @@
 	a := j.arrival.Job
 	r.mustSucceed(r.cluster.Place(placement.Placed{
 		Job: a.ID, Task: i, Worker: s.Worker, Customer: a.Customer, Name: a.Name, Policy: a.Policy, Need: s.Need,
-		Urgent: a.Urgent, Idempotent: a.Idempotent, Started: r.wall(), Runtime: a.Runtime, Deadline: a.Deadline,
+		Urgent: a.Urgent, Idempotent: a.Idempotent, Started: r.wallClock(), Runtime: a.Runtime, Deadline: a.Deadline,
 	}))
 	r.used = add(r.used, s.Need, 1)
-	r.enqueueRest(j)
+	r.updateQueueEntry(j)
 	run, failed := j.arrival.ActualRuntime, false
 	if r.isFaulty(s.Worker) {
 		run, failed = faultyTaskRuntime, true
@@ -323,7 +323,7 @@
 	r.schedule(event{at: r.now + run, kind: eventEnd, job: j, task: i, attempt: t.attempt, failed: failed})
 }
 
-func (r *replay) enqueueRest(j *job) {
+func (r *replay) updateQueueEntry(j *job) {
 	if j.refused {
 		return
 	}
@@ -335,7 +335,7 @@
 }
 
 func (r *replay) isFaulty(worker string) bool {
-	for _, f := range r.faulty[worker] {
+	for _, f := range r.faultsByWorker[worker] {
 		if r.now >= f.From && r.now < f.Until {
 			return true
 		}
@@ -362,16 +362,16 @@
 	case e.failed:
 		r.failTask(j, e.task)
 	default:
-		r.cluster.ReportSuccess(t.worker, id, r.wall())
-		j.inWindow = j.inWindow.plus(r.doneInWindow(j, t.started))
-		r.complete(j)
+		r.cluster.ReportSuccess(t.worker, id, r.wallClock())
+		j.windowWork = j.windowWork.plus(r.workInWindow(j, t.started))
+		r.completeTask(j)
 		r.schedule(event{at: r.now + reportLag, kind: eventLearn, job: j})
 	}
 	return true
 }
 
-// doneInWindow is the part of a finished task that ran while jobs arrived.
-func (r *replay) doneInWindow(j *job, started time.Duration) siteSeconds {
+// workInWindow is the part of a finished task that ran while jobs arrived.
+func (r *replay) workInWindow(j *job, started time.Duration) siteSeconds {
 	ran := min(r.now, r.report.arrivalWindow) - started
 	if ran <= 0 {
 		return siteSeconds{}
@@ -390,10 +390,10 @@
 func (r *replay) failTask(j *job, i int) {
 	t := &j.tasks[i]
 	r.report.failures++
-	r.cluster.ReportFailure(t.worker, j.arrival.Job.ID, r.wall())
+	r.cluster.ReportFailure(t.worker, j.arrival.Job.ID, r.wallClock())
 	t.failures++
 	if j.arrival.Job.Idempotent && t.failures < maxAttempts {
-		r.requeue(j, i, r.wall().Add(retryBackoff))
+		r.requeue(j, i, r.wallClock().Add(retryBackoff))
 		return
 	}
 	if j.refused {
@@ -404,7 +404,7 @@
 	r.cluster.Dequeue(j.arrival.Job.ID)
 }
 
-func (r *replay) complete(j *job) {
+func (r *replay) completeTask(j *job) {
 	j.done++
 	j.lastEnd = r.now
 	if j.done < len(j.tasks) || j.refused {
--- a/placement/arrivals/report.go
+++ b/placement/arrivals/report.go
@@ -89,8 +89,8 @@
 	if to <= from {
 		return
 	}
-	held := Arrival{ActualRuntime: to - from, Job: placement.Job{Tasks: 1, Need: used}}
-	r.usedWork = r.usedWork.plus(siteSecondsOf(held, r.site.total()))
+	usage := Arrival{ActualRuntime: to - from, Job: placement.Job{Tasks: 1, Need: used}}
+	r.usedWork = r.usedWork.plus(siteSecondsOf(usage, r.site.total()))
 }
 
 func (r *Report) recordAdmission(took time.Duration) {
@@ -126,12 +126,12 @@
 		r.Gangs.record(d)
 	default:
 		r.Normal.record(d)
-		own, found := r.Customer[a.Customer]
+		customerWaits, found := r.Customer[a.Customer]
 		if !found {
-			own = newWaitTimes()
-			r.Customer[a.Customer] = own
+			customerWaits = newWaitTimes()
+			r.Customer[a.Customer] = customerWaits
 		}
-		own.record(d)
+		customerWaits.record(d)
 	}
 }
 
@@ -141,7 +141,7 @@
 		return
 	}
 	r.inTime++
-	r.inTimeWork = r.inTimeWork.plus(j.inWindow)
+	r.inTimeWork = r.inTimeWork.plus(j.windowWork)
 }
 
 // OthersWait is the waiting time that the part q of the normal tasks of all
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -37,14 +37,14 @@
 		g.cluster.SetWorker(w)
 	}
 	for g.cluster.Queued() < benchQueuedTasks {
-		g.submit()
-		g.place(b, 64)
+		g.enqueueJob()
+		g.evaluateAndPlace(b, 64)
 	}
 	return g
 }
 
 // submit queues one job of one task; one in fifty is a gang of eight.
-func (g *benchCluster) submit() Job {
+func (g *benchCluster) enqueueJob() Job {
 	g.jobs++
 	kind := g.rand.IntN(8)
 	need := cores(int64(1 + kind))
@@ -64,7 +64,7 @@
 	return j
 }
 
-func (g *benchCluster) place(b testing.TB, max int) int {
+func (g *benchCluster) evaluateAndPlace(b testing.TB, max int) int {
 	plan := g.cluster.Evaluate(g.now, max)
 	for _, s := range plan.Starts {
 		e := g.cluster.queue.entries[s.Job]
@@ -79,8 +79,8 @@
 	return len(plan.Starts)
 }
 
-// endOne ends a random running task.
-func (g *benchCluster) endOne() {
+// unplaceRandom ends a random running task.
+func (g *benchCluster) unplaceRandom() {
 	i := g.rand.IntN(len(g.running))
 	p := g.running[i]
 	g.running[i] = g.running[len(g.running)-1]
@@ -108,13 +108,13 @@
 	for b.Loop() {
 		g.now = g.now.Add(50 * time.Millisecond)
 		for range ends {
-			g.endOne()
+			g.unplaceRandom()
 		}
 		for g.cluster.Queued() < benchQueuedTasks {
-			g.submit()
+			g.enqueueJob()
 		}
 		begin := time.Now()
-		n := g.place(b, 64)
+		n := g.evaluateAndPlace(b, 64)
 		_ = durations.RecordValue(int64(time.Since(begin)))
 		starts += n
 	}
@@ -127,7 +127,7 @@
 func BenchmarkAdmit(b *testing.B) {
 	g := newBenchCluster(b)
 	took := hdrhistogram.New(1, int64(time.Second), 3)
-	j := g.submit()
+	j := g.enqueueJob()
 	b.ResetTimer()
 	for b.Loop() {
 		j.Deadline = g.now.Add(time.Duration(1+g.rand.IntN(20)) * time.Hour)
@@ -150,19 +150,19 @@
 
 // BenchmarkMemory reports the heap that queued jobs and placed tasks take.
 func BenchmarkMemory(b *testing.B) {
-	heap := func() float64 {
+	heapBytes := func() float64 {
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		return float64(m.HeapAlloc)
 	}
 	for b.Loop() {
-		before := heap()
+		before := heapBytes()
 		g := newBenchCluster(b)
-		full := heap()
+		full := heapBytes()
 		queued := len(g.cluster.queue.entries)
 		g.cluster.DequeueAll(func(Job) bool { return true })
-		placed := heap()
+		placed := heapBytes()
 		b.ReportMetric((full-before)/1e6, "MB")
 		b.ReportMetric((full-placed)/float64(queued), "B/queued-job")
 		b.ReportMetric((placed-before)/float64(len(g.running)), "B/placed-task")
--- a/placement/cluster.go
+++ b/placement/cluster.go
@@ -262,7 +262,7 @@
 	if t.preemptible() {
 		w.preemptible = w.preemptible.plus(t.Need)
 	}
-	c.queue.customer(t.Customer).use(t.Need)
+	c.queue.customer(t.Customer).addUsage(t.Need)
 	c.jobRecordFor(t.Job).running++
 	c.countServiceSpread(t.Job, t.Policy, w.ID, t.rack, 1)
 }
@@ -274,7 +274,7 @@
 		c.byExpectedEnd.Delete(t)
 		c.countRunning(t, -1)
 	}
-	c.queue.customer(t.Customer).use(t.Need.times(-1))
+	c.queue.customer(t.Customer).addUsage(t.Need.times(-1))
 	c.jobRecordFor(t.Job).running--
 	c.countServiceSpread(t.Job, t.Policy, w.ID, t.rack, -1)
 	c.dropIdleJobRecord(t.Job)
--- a/placement/demand.go
+++ b/placement/demand.go
@@ -84,7 +84,7 @@
 
 // expected is the corrected work of all tasks of an entry.
 func (e *entry) expectedDemand() resourceSeconds {
-	return resourceSecondsOf(e.need, e.run.mean.Seconds()*float64(e.job.Tasks))
+	return resourceSecondsOf(e.need, e.runtime.mean.Seconds()*float64(e.job.Tasks))
 }
 
 // book counts an entry in (sign 1) or out (sign -1) of what its customer has
--- a/placement/enqueue.go
+++ b/placement/enqueue.go
@@ -75,7 +75,7 @@
 // newEntry computes what the queue needs to know of a job.
 func (c *Cluster) newEntry(j Job) *entry {
 	run := c.estimator.runtime(j.Customer, j.Name, j.Runtime)
-	e := &entry{job: j, need: c.NeedOf(j), run: run, class: c.classOf(j), account: c.queue.customer(j.Customer)}
+	e := &entry{job: j, need: c.NeedOf(j), runtime: run, class: c.classOf(j), account: c.queue.customer(j.Customer)}
 	e.latestStart = farFuture
 	e.lastFeasibleStart = farFuture
 	if !j.Deadline.IsZero() && j.Policy != Service {
--- a/placement/evaluate.go
+++ b/placement/evaluate.go
@@ -25,7 +25,7 @@
 type planner struct {
 	cluster        *Cluster
 	now            time.Time
-	id             uint64
+	evaluation     uint64
 	budget         int
 	plan           Plan
 	reservations   int
@@ -40,7 +40,7 @@
 func (c *Cluster) Evaluate(now time.Time, max int) Plan {
 	c.evaluations++
 	c.queue.releaseDelayed(now)
-	p := &planner{cluster: c, now: now, id: c.evaluations, budget: max, reservations: c.opts.Reservations, previouslyReserved: c.reservedJobs}
+	p := &planner{cluster: c, now: now, evaluation: c.evaluations, budget: max, reservations: c.opts.Reservations, previouslyReserved: c.reservedJobs}
 	c.reservedJobs = nil
 	if c.opts.FirstComeFirstServed {
 		p.startInSubmissionOrder()
@@ -75,9 +75,9 @@
 			return false
 		}
 		p.budget--
-		e.skippedEval, e.refusedEval = p.id, p.id
+		e.skippedEval, e.refusedEval = p.evaluation, p.evaluation
 		detail := fmt.Sprintf("a task takes at least %v and the deadline is in %v",
-			e.run.low.Round(time.Second), e.job.Deadline.Sub(p.now).Round(time.Second))
+			e.runtime.low.Round(time.Second), e.job.Deadline.Sub(p.now).Round(time.Second))
 		p.plan.Refusals = append(p.plan.Refusals, Refusal{Job: e.job.ID, Reason: ReasonDeadline, Detail: detail})
 		return true
 	})
@@ -97,10 +97,10 @@
 
 // remaining is how many tasks of the entry this evaluation has not started.
 func (p *planner) remaining(e *entry) int {
-	if e.skippedEval == p.id {
+	if e.skippedEval == p.evaluation {
 		return 0
 	}
-	if e.plannedEval != p.id {
+	if e.plannedEval != p.evaluation {
 		return e.job.Tasks
 	}
 	return e.job.Tasks - e.planned
@@ -108,14 +108,14 @@
 
 // request is valid until the next call.
 func (p *planner) request(e *entry) *request {
-	p.scratchRequest = request{cluster: p.cluster, entry: e, record: p.cluster.jobs[e.job.ID], now: p.now, evaluation: p.id}
+	p.scratchRequest = request{cluster: p.cluster, entry: e, record: p.cluster.jobs[e.job.ID], now: p.now, evaluation: p.evaluation}
 	return &p.scratchRequest
 }
 
 // place starts one task of the entry, or all tasks of a gang. A shape for
 // which no worker has room is marked; any other hindrance is not its fault.
 func (p *planner) place(e *entry) bool {
-	if p.budget == 0 || e.subqueue.state.blocked {
+	if p.budget == 0 || e.subqueue.shapeState.blocked {
 		return false
 	}
 	if e.job.Policy == Gang {
@@ -124,7 +124,7 @@
 	if !e.subqueue.customer.allows(e.need) {
 		return false
 	}
-	if e.subqueue.state.findsOnlyReserved(p.id, e.run.high) {
+	if e.subqueue.shapeState.findsOnlyReserved(p.evaluation, e.runtime.high) {
 		return false
 	}
 	s := p.request(e).find()
@@ -132,11 +132,11 @@
 		p.start(e, s.worker)
 		return true
 	}
-	if !s.hasRoom {
-		p.cluster.queue.block(e.subqueue.state)
+	if !s.anyFits {
+		p.cluster.queue.block(e.subqueue.shapeState)
 	}
 	if s.reserved {
-		e.subqueue.state.recordReservedMiss(p.id, e.run.high)
+		e.subqueue.shapeState.recordReservedMiss(p.evaluation, e.runtime.high)
 	}
 	return false
 }
@@ -144,14 +144,14 @@
 // start takes room tentatively and adds the start to the plan.
 func (p *planner) start(e *entry, w *worker) {
 	invariant(e.need.within(w.free), "plan gives %v on %s, which has %v", e.need, w.ID, w.free)
-	if e.plannedEval != p.id {
-		e.plannedEval, e.planned = p.id, 0
+	if e.plannedEval != p.evaluation {
+		e.plannedEval, e.planned = p.evaluation, 0
 	}
 	e.planned++
 	p.budget--
-	p.cluster.chargeReservation(p.id, e, w, p.now)
+	p.cluster.chargeReservation(p.evaluation, e, w, p.now)
 	p.cluster.occupy(w, e.need)
-	e.subqueue.customer.use(e.need)
+	e.subqueue.customer.addUsage(e.need)
 	p.cluster.countServiceSpread(e.job.ID, e.job.Policy, w.ID, w.Rack, 1)
 	p.plan.Starts = append(p.plan.Starts, Start{Job: e.job.ID, Worker: w.ID, Need: e.need})
 }
@@ -172,7 +172,7 @@
 		e := p.cluster.queue.entries[s.Job]
 		w := p.cluster.workers[s.Worker]
 		p.cluster.release(w, e.need)
-		e.subqueue.customer.use(e.need.times(-1))
+		e.subqueue.customer.addUsage(e.need.times(-1))
 		p.cluster.countServiceSpread(s.Job, e.job.Policy, w.ID, w.Rack, -1)
 	}
 }
@@ -219,7 +219,7 @@
 	visits := 0
 	p.cluster.queue.byLatestStart.Scan(func(e *entry) bool {
 		visits++
-		eligible := e.job.Policy == Batch && e.job.Idempotent && p.unplannedTasks(e) > 0 && e.refusedEval != p.id
+		eligible := e.job.Policy == Batch && e.job.Idempotent && p.unplannedTasks(e) > 0 && e.refusedEval != p.evaluation
 		if eligible && e.subqueue.customer.allows(e.need) && e.need.within(w.free) && !rejectFailedHere(p.request(e), w) {
 			found = e
 			return false
--- a/placement/explain.go
+++ b/placement/explain.go
@@ -22,17 +22,17 @@
 
 func (c *Cluster) countFilters(e *entry, now time.Time) []FilterCount {
 	r := &request{cluster: c, entry: e, record: c.jobs[e.job.ID], now: now, evaluation: c.evaluations}
-	at := map[string]int{}
+	indexOf := map[string]int{}
 	var counts []FilterCount
 	for _, w := range c.byID {
 		name := r.rejectedBy(w)
 		if name == "" {
 			continue
 		}
-		i, seen := at[name]
+		i, seen := indexOf[name]
 		if !seen {
 			i = len(counts)
-			at[name] = i
+			indexOf[name] = i
 			counts = append(counts, FilterCount{Filter: name, Example: w.ID})
 		}
 		counts[i].Workers++
@@ -45,14 +45,14 @@
 	for _, f := range counts {
 		rejected += f.Workers
 	}
-	own := c.queue.customer(e.job.Customer)
+	account := c.queue.customer(e.job.Customer)
 	switch {
 	case e.delayed:
 		return fmt.Sprintf("held back until %s after a failed attempt", e.job.NotBefore.UTC().Format(time.RFC3339))
 	case c.JobSuspect(e.job.ID):
 		return fmt.Sprintf("the job failed on %d workers and succeeded on none: the job, not the workers, looks at fault", len(c.jobs[e.job.ID].failedOn))
-	case !own.allows(e.need):
-		return fmt.Sprintf("the customer's running work uses its limit of %v", own.limit)
+	case !account.allows(e.need):
+		return fmt.Sprintf("the customer's running work uses its limit of %v", account.limit)
 	case len(c.byID) == 0:
 		return "no worker is known"
 	case rejected == len(c.byID):
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -12,7 +12,7 @@
 }
 
 // ends is when the task would end if it started now, at the high estimate.
-func (r *request) expectedEnd() time.Time { return r.now.Add(r.entry.run.high) }
+func (r *request) expectedEnd() time.Time { return r.now.Add(r.entry.runtime.high) }
 
 // filter takes workers out that may not run the task.
 type filter struct {
--- a/placement/gang.go
+++ b/placement/gang.go
@@ -19,11 +19,11 @@
 	if !e.subqueue.customer.allows(e.need.times(int64(tasks))) {
 		return false
 	}
-	if !p.hasRoomFor(e, tasks) {
-		p.cluster.queue.block(e.subqueue.state)
+	if !p.hasSlotsFor(e, tasks) {
+		p.cluster.queue.block(e.subqueue.shapeState)
 		return false
 	}
-	if e.subqueue.state.findsOnlyReserved(p.id, e.run.high) {
+	if e.subqueue.shapeState.findsOnlyReserved(p.evaluation, e.runtime.high) {
 		return false
 	}
 	r := p.request(e)
@@ -32,7 +32,7 @@
 		s := r.find()
 		if s.worker == nil {
 			if s.reserved {
-				e.subqueue.state.recordReservedMiss(p.id, e.run.high)
+				e.subqueue.shapeState.recordReservedMiss(p.evaluation, e.runtime.high)
 			}
 			break
 		}
@@ -52,11 +52,11 @@
 	return true
 }
 
-// hasRoomFor counts free places for the tasks, and stops when there are enough.
-func (p *planner) hasRoomFor(e *entry, tasks int) bool {
+// hasSlotsFor counts free places for the tasks, and stops when there are enough.
+func (p *planner) hasSlotsFor(e *entry, tasks int) bool {
 	found := 0
 	p.cluster.free.ascend(e.need, func(w *worker) bool {
-		found += w.free.copies(e.need, tasks)
+		found += w.free.fitCount(e.need, tasks)
 		return found < tasks
 	})
 	return found >= tasks
--- a/placement/preempt.go
+++ b/placement/preempt.go
@@ -22,7 +22,7 @@
 
 // unplanned is how many tasks of the entry the plan does not start.
 func (p *planner) unplannedTasks(e *entry) int {
-	if e.plannedEval != p.id {
+	if e.plannedEval != p.evaluation {
 		return e.job.Tasks
 	}
 	return e.job.Tasks - e.planned
@@ -30,8 +30,8 @@
 
 // expected is the room of a worker once all that is told to stop has ended,
 // less what other urgent work of this evaluation claims.
-func (p *planner) expectedRoom(w *worker) Resources {
-	if w.reservedEval == p.id {
+func (p *planner) expectedFree(w *worker) Resources {
+	if w.reservedEval == p.evaluation {
 		return w.reservation.remaining
 	}
 	return w.free.plus(w.stopping)
@@ -47,15 +47,15 @@
 		if visits >= maxPreemptionCandidates {
 			break
 		}
-		room := p.expectedRoom(w)
-		if !w.schedulable() || !e.need.within(room.plus(w.preemptible)) || !e.need.within(w.Capacity) {
+		free := p.expectedFree(w)
+		if !w.schedulable() || !e.need.within(free.plus(w.preemptible)) || !e.need.within(w.Capacity) {
 			continue
 		}
-		if e.need.within(room) {
+		if e.need.within(free) {
 			return w, nil
 		}
 		visits++
-		tasks, cost, enough := p.victimsOn(w, e.need, room)
+		tasks, cost, enough := p.victimsOn(w, e.need, free)
 		if enough && (best == nil || cost < lostWork) {
 			best, victims, lostWork = w, tasks, cost
 		}
@@ -64,10 +64,10 @@
 }
 
 // victimsOn takes the youngest preemptible tasks until the need fits.
-func (p *planner) victimsOn(w *worker, need, room Resources) ([]*placedTask, float64, bool) {
+func (p *planner) victimsOn(w *worker, need, free Resources) ([]*placedTask, float64, bool) {
 	var preemptible []*placedTask
 	for _, t := range w.tasks {
-		if t.preemptible() && t.preemptedEval != p.id {
+		if t.preemptible() && t.preemptedEval != p.evaluation {
 			preemptible = append(preemptible, t)
 		}
 	}
@@ -80,17 +80,17 @@
 	cost := 0.0
 	var victims []*placedTask
 	for _, t := range preemptible {
-		if need.within(room) {
+		if need.within(free) {
 			break
 		}
-		if !reducesShortfall(t.Need, need, room) {
+		if !reducesShortfall(t.Need, need, free) {
 			continue
 		}
 		victims = append(victims, t)
-		room = room.plus(t.Need)
+		free = free.plus(t.Need)
 		cost += p.now.Sub(t.Started).Seconds() * float64(t.Need.CPU)
 	}
-	return victims, cost, need.within(room)
+	return victims, cost, need.within(free)
 }
 
 func lessKey(a, b *placedTask) bool {
@@ -101,24 +101,24 @@
 }
 
 // helps says whether a task gives back something of what is still missing.
-func reducesShortfall(released, need, room Resources) bool {
-	return released.CPU > 0 && need.CPU > room.CPU ||
-		released.Memory > 0 && need.Memory > room.Memory ||
-		released.Accelerators > 0 && need.Accelerators > room.Accelerators
+func reducesShortfall(released, need, free Resources) bool {
+	return released.CPU > 0 && need.CPU > free.CPU ||
+		released.Memory > 0 && need.Memory > free.Memory ||
+		released.Accelerators > 0 && need.Accelerators > free.Accelerators
 }
 
 // claim plans the stops and keeps the room of the worker for the urgent entry.
 func (p *planner) planPreemption(e *entry, w *worker, victims []*placedTask) {
-	room := p.expectedRoom(w)
+	free := p.expectedFree(w)
 	for _, t := range victims {
 		// A task that is not idempotent may not be run again: stopping it
 		// would leave its customer with work that can never be finished.
 		invariant(t.Idempotent && t.Policy == Batch && !t.Urgent, "task %s/%d must not be preempted", t.Job, t.Task)
-		t.preemptedEval = p.id
-		room = room.plus(t.Need)
+		t.preemptedEval = p.evaluation
+		free = free.plus(t.Need)
 		p.plan.Preemptions = append(p.plan.Preemptions, Preemption{Job: t.Job, Task: t.Task, Worker: w.ID})
 		p.budget--
 	}
-	w.reservedEval = p.id
-	w.reservation = reservation{owner: e, at: p.now, remaining: room.minus(e.need)}
+	w.reservedEval = p.evaluation
+	w.reservation = reservation{owner: e, at: p.now, remaining: free.minus(e.need)}
 }
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -19,10 +19,10 @@
 
 // entry is one job in the queue.
 type entry struct {
-	job   Job
-	need  Resources
-	run   estimate
-	class class
+	job     Job
+	need    Resources
+	runtime estimate
+	class   class
 	// latest is when a task must start to end by the deadline at the high
 	// estimate of its run time; after hopeless not even the low one helps.
 	latestStart       time.Time
@@ -99,12 +99,12 @@
 }
 
 // hold notes that an entry found only room that is reserved.
-func (s *shapeState) recordReservedMiss(evaluation uint64, run time.Duration) {
+func (s *shapeState) recordReservedMiss(evaluation uint64, runtime time.Duration) {
 	if s.reservedMissEval != evaluation {
-		s.reservedMissEval, s.reservedMisses, s.minReservedMissRun = evaluation, 0, run
+		s.reservedMissEval, s.reservedMisses, s.minReservedMissRun = evaluation, 0, runtime
 	}
 	s.reservedMisses++
-	s.minReservedMissRun = min(s.minReservedMissRun, run)
+	s.minReservedMissRun = min(s.minReservedMissRun, runtime)
 }
 
 // exhausted says that the evaluation has tried enough entries of the shape.
@@ -113,16 +113,16 @@
 }
 
 // holds says whether an entry is known to find only reserved room.
-func (s *shapeState) findsOnlyReserved(evaluation uint64, run time.Duration) bool {
-	return s.reservedMissEval == evaluation && (s.reservedMisses > lookahead || run >= s.minReservedMissRun)
+func (s *shapeState) findsOnlyReserved(evaluation uint64, runtime time.Duration) bool {
+	return s.reservedMissEval == evaluation && (s.reservedMisses > lookahead || runtime >= s.minReservedMissRun)
 }
 
 // line is the entries of one customer, class and shape, by latest start.
 type subqueue struct {
-	customer *customer
-	class    class
-	state    *shapeState
-	entries  *btree.BTreeG[*entry]
+	customer   *customer
+	class      class
+	shapeState *shapeState
+	entries    *btree.BTreeG[*entry]
 	// doneEval is the evaluation that is done with the line.
 	doneEval uint64
 	// cursor is how far the evaluation numbered cursorEval has come.
@@ -162,7 +162,7 @@
 	return share
 }
 
-func (c *customer) use(need Resources) { c.used = c.used.plus(need) }
+func (c *customer) addUsage(need Resources) { c.used = c.used.plus(need) }
 
 // allows says whether one more task keeps the customer within its limit.
 func (c *customer) allows(need Resources) bool {
@@ -322,8 +322,8 @@
 func (q *queue) subqueueFor(e *entry) *subqueue {
 	s := shapeOf(e)
 	c := q.customer(e.job.Customer)
-	if l, found := c.subqueues[e.class][s]; found {
-		return l
+	if sq, found := c.subqueues[e.class][s]; found {
+		return sq
 	}
 	state, found := q.shapes[s]
 	if !found {
@@ -331,21 +331,21 @@
 		q.shapes[s] = state
 		q.shapeList = append(q.shapeList, state)
 	}
-	l := &subqueue{customer: c, class: e.class, state: state, entries: newOrder(lessLatestStart)}
-	state.subqueues = append(state.subqueues, l)
-	c.subqueues[e.class][s] = l
-	return l
+	sq := &subqueue{customer: c, class: e.class, shapeState: state, entries: newOrder(lessLatestStart)}
+	state.subqueues = append(state.subqueues, sq)
+	c.subqueues[e.class][s] = sq
+	return sq
 }
 
-func (q *queue) dropEmptySubqueue(l *subqueue) {
-	if l.entries.Len() > 0 {
+func (q *queue) dropEmptySubqueue(sq *subqueue) {
+	if sq.entries.Len() > 0 {
 		return
 	}
-	delete(l.customer.subqueues[l.class], l.state.shape)
-	l.state.subqueues = removeUnordered(l.state.subqueues, l)
-	if len(l.state.subqueues) == 0 {
-		delete(q.shapes, l.state.shape)
-		q.shapeList = removeUnordered(q.shapeList, l.state)
+	delete(sq.customer.subqueues[sq.class], sq.shapeState.shape)
+	sq.shapeState.subqueues = removeUnordered(sq.shapeState.subqueues, sq)
+	if len(sq.shapeState.subqueues) == 0 {
+		delete(q.shapes, sq.shapeState.shape)
+		q.shapeList = removeUnordered(q.shapeList, sq.shapeState)
 	}
 }
 
--- a/placement/reserve.go
+++ b/placement/reserve.go
@@ -16,10 +16,10 @@
 // runs, and keeps the room it needs then. Other work may use that room until
 // then (backfill), so nothing stands idle for a guess.
 func (p *planner) reserve(e *entry) {
-	if p.reservations == 0 || e.reservedEval == p.id || !e.subqueue.customer.allows(e.need) {
+	if p.reservations == 0 || e.reservedEval == p.evaluation || !e.subqueue.customer.allows(e.need) {
 		return
 	}
-	e.reservedEval = p.id
+	e.reservedEval = p.evaluation
 	f := p.forecast(e)
 	if f == nil {
 		return
@@ -28,7 +28,7 @@
 	p.cluster.reservedJobs = append(p.cluster.reservedJobs, e.job.ID)
 	for _, w := range f.chosen {
 		o := p.cluster.workerForecastOf(w)
-		w.reservedEval = p.id
+		w.reservedEval = p.evaluation
 		w.reservation = reservation{
 			owner:     e,
 			at:        f.at,
@@ -62,11 +62,11 @@
 // offer counts the tasks that fit on a worker by now in the forecast.
 func (p *planner) addCandidate(f *forecast, e *entry, w *worker) bool {
 	o := p.cluster.workerForecastOf(w)
-	room := w.free.plus(o.released)
-	if !e.need.within(room) || !w.schedulable() || w.reservedEval == p.id {
+	free := w.free.plus(o.released)
+	if !e.need.within(free) || !w.schedulable() || w.reservedEval == p.evaluation {
 		return false
 	}
-	more := min(room.copies(e.need, o.tasks+f.tasksLeft)-o.tasks, f.tasksLeft)
+	more := min(free.fitCount(e.need, o.tasks+f.tasksLeft)-o.tasks, f.tasksLeft)
 	if more <= 0 {
 		return false
 	}
@@ -90,7 +90,7 @@
 	if w.reservedEval != evaluation || w.reservation.owner == e {
 		return
 	}
-	if e.job.Policy != Service && !now.Add(e.run.high).After(w.reservation.at) {
+	if e.job.Policy != Service && !now.Add(e.runtime.high).After(w.reservation.at) {
 		return
 	}
 	w.reservation.remaining = w.reservation.remaining.minus(e.need)
@@ -144,7 +144,7 @@
 		if reserved >= p.cluster.opts.LargeReservations || visits > maxLargeVisits {
 			return false
 		}
-		if e.subqueue.state.blocked && p.remaining(e) > 0 {
+		if e.subqueue.shapeState.blocked && p.remaining(e) > 0 {
 			p.reserve(e)
 			reserved++
 		}
@@ -176,11 +176,11 @@
 // those for which no worker has room.
 func (p *planner) blockedBatchHead(c *customer) *entry {
 	var first *entry
-	for _, l := range c.subqueues[classNormal] {
-		if !l.state.blocked || l.state.shape.gang > 0 {
+	for _, sq := range c.subqueues[classNormal] {
+		if !sq.shapeState.blocked || sq.shapeState.shape.gang > 0 {
 			continue
 		}
-		if e := p.head(l); e != nil && (first == nil || lessLatestStart(e, first)) {
+		if e := p.head(sq); e != nil && (first == nil || lessLatestStart(e, first)) {
 			first = e
 		}
 	}
--- a/placement/resources.go
+++ b/placement/resources.go
@@ -33,7 +33,7 @@
 }
 
 // copies says how many tasks of the given need fit into r, at most limit.
-func (r Resources) copies(need Resources, limit int) int {
+func (r Resources) fitCount(need Resources, limit int) int {
 	n := int64(limit)
 	if need.CPU > 0 {
 		n = min(n, r.CPU/need.CPU)
--- a/placement/score.go
+++ b/placement/score.go
@@ -78,7 +78,7 @@
 type search struct {
 	worker *worker
 	// roomy says that some open worker has room, whatever the filters say.
-	hasRoom bool
+	anyFits bool
 	// reserved says that some of that room is kept by a reservation.
 	reserved bool
 }
@@ -87,7 +87,7 @@
 func (r *request) find() search {
 	if r.cluster.opts.FirstFit {
 		w := r.firstFit()
-		return search{worker: w, hasRoom: w != nil}
+		return search{worker: w, anyFits: w != nil}
 	}
 	var s search
 	limit := maxRatedCandidates
@@ -96,7 +96,7 @@
 	}
 	best, seen := 0.0, 0
 	r.cluster.free.ascend(r.entry.need, func(w *worker) bool {
-		s.hasRoom = true
+		s.anyFits = true
 		if rejectFailedHere(r, w) {
 			return true
 		}
--- a/placement/serve.go
+++ b/placement/serve.go
@@ -39,12 +39,12 @@
 	heap.Init(&byShare)
 	for byShare.Len() > 0 && p.budget > 0 {
 		c := byShare[0].customer
-		l := p.nextSubqueue(c)
-		if l == nil {
+		sq := p.nextSubqueue(c)
+		if sq == nil {
 			heap.Pop(&byShare)
 			continue
 		}
-		p.serveSubqueue(l)
+		p.serveSubqueue(sq)
 		byShare[0].share = c.share(p.cluster.capacity)
 		heap.Fix(&byShare, 0)
 	}
@@ -58,16 +58,16 @@
 		if s.blocked && k != classUrgent {
 			continue
 		}
-		for _, l := range s.subqueues {
-			if l.class != k {
+		for _, sq := range s.subqueues {
+			if sq.class != k {
 				continue
 			}
-			c := l.customer
-			if c.readyEval != p.id || c.readyClass != k {
-				c.readyEval, c.readyClass, c.readySubqueues = p.id, k, c.readySubqueues[:0]
+			c := sq.customer
+			if c.readyEval != p.evaluation || c.readyClass != k {
+				c.readyEval, c.readyClass, c.readySubqueues = p.evaluation, k, c.readySubqueues[:0]
 				ready = append(ready, c)
 			}
-			c.readySubqueues = append(c.readySubqueues, l)
+			c.readySubqueues = append(c.readySubqueues, sq)
 		}
 	}
 	return ready
@@ -78,18 +78,18 @@
 	var best *subqueue
 	var first *entry
 	kept := c.readySubqueues[:0]
-	for _, l := range c.readySubqueues {
-		if l.doneEval == p.id || l.state.blocked && l.class != classUrgent || l.state.exhausted(p.id) {
+	for _, sq := range c.readySubqueues {
+		if sq.doneEval == p.evaluation || sq.shapeState.blocked && sq.class != classUrgent || sq.shapeState.exhausted(p.evaluation) {
 			continue
 		}
-		e := p.head(l)
-		if e == nil || l.state.findsOnlyReserved(p.id, e.run.high) && !p.skipReservedEntries(l) {
+		e := p.head(sq)
+		if e == nil || sq.shapeState.findsOnlyReserved(p.evaluation, e.runtime.high) && !p.skipReservedEntries(sq) {
 			continue
 		}
-		e = l.cursor
-		kept = append(kept, l)
+		e = sq.cursor
+		kept = append(kept, sq)
 		if first == nil || lessLatestStart(e, first) {
-			best, first = l, e
+			best, first = sq, e
 		}
 	}
 	c.readySubqueues = kept
@@ -97,35 +97,35 @@
 }
 
 // head is the first entry of the line that this evaluation is not done with.
-func (p *planner) head(l *subqueue) *entry {
-	if l.cursorEval != p.id {
-		l.cursorEval = p.id
-		l.cursor, _ = l.entries.Min()
+func (p *planner) head(sq *subqueue) *entry {
+	if sq.cursorEval != p.evaluation {
+		sq.cursorEval = p.evaluation
+		sq.cursor, _ = sq.entries.Min()
 	}
-	if l.cursor == nil || p.remaining(l.cursor) > 0 {
-		return l.cursor
+	if sq.cursor == nil || p.remaining(sq.cursor) > 0 {
+		return sq.cursor
 	}
-	from := l.cursor
-	l.cursor = nil
-	l.entries.Ascend(from, func(e *entry) bool {
+	from := sq.cursor
+	sq.cursor = nil
+	sq.entries.Ascend(from, func(e *entry) bool {
 		if p.remaining(e) == 0 {
 			return true
 		}
-		l.cursor = e
+		sq.cursor = e
 		return false
 	})
-	return l.cursor
+	return sq.cursor
 }
 
 // skipReservedEntries moves the cursor of a line to an entry that may end before the
 // reservation that holds the first one back. It gives up after a few.
-func (p *planner) skipReservedEntries(l *subqueue) bool {
+func (p *planner) skipReservedEntries(sq *subqueue) bool {
 	visits := 0
 	found := false
-	l.entries.Ascend(l.cursor, func(e *entry) bool {
+	sq.entries.Ascend(sq.cursor, func(e *entry) bool {
 		visits++
-		if p.remaining(e) > 0 && !l.state.findsOnlyReserved(p.id, e.run.high) {
-			l.cursor, found = e, true
+		if p.remaining(e) > 0 && !sq.shapeState.findsOnlyReserved(p.evaluation, e.runtime.high) {
+			sq.cursor, found = e, true
 			return false
 		}
 		return visits < lookahead
@@ -135,16 +135,16 @@
 
 // serveSubqueue tries the head of a line. When only reserved room is left for it,
 // a few entries behind it that take less time are tried too.
-func (p *planner) serveSubqueue(l *subqueue) {
-	e := p.head(l)
+func (p *planner) serveSubqueue(sq *subqueue) {
+	e := p.head(sq)
 	if p.place(e) {
 		return
 	}
-	e.skippedEval = p.id
+	e.skippedEval = p.evaluation
 	if e.class == classUrgent && p.preemptFor(e) {
 		return
 	}
-	if !l.customer.allows(e.need) || e.class == classUrgent {
-		l.doneEval = p.id
+	if !sq.customer.allows(e.need) || e.class == classUrgent {
+		sq.doneEval = p.evaluation
 	}
 }
--- a/placement/machine_test.go
+++ b/placement/state_machine_test.go
@@ -77,11 +77,11 @@
 	m.nextTask[id]++
 	w := workerID(t)
 	need := m.amount(t, 4)
-	own, known := m.c.workers[w]
-	fits := known && own.announced && need.within(own.free)
+	account, found := m.c.workers[w]
+	fits := found && account.announced && need.within(account.free)
 	err := m.c.Place(Placed{Job: id, Task: m.nextTask[id], Worker: w, Customer: "a", Name: "n", Policy: Batch, Need: need, Started: m.now, Runtime: time.Minute,
 		Idempotent: rapid.Bool().Draw(t, "idempotent")})
-	if known && own.announced {
+	if found && account.announced {
 		must.EqOp(t, fits, err == nil)
 	}
 }
@@ -242,13 +242,13 @@
 	if !s.blocked {
 		return
 	}
-	room := 0
+	slots := 0
 	for _, w := range m.c.workers {
 		if w.schedulable() {
-			room += w.free.copies(s.shape.need, 100)
+			slots += w.free.fitCount(s.shape.need, 100)
 		}
 	}
-	must.True(t, room < max(1, s.shape.gang), must.Sprintf("shape %v is marked as blocked and has room for %d", s.shape, room))
+	must.True(t, slots < max(1, s.shape.gang), must.Sprintf("shape %v is marked as blocked and has room for %d", s.shape, slots))
 }
 
 func TestClusterStateMachine(t *testing.T) {
