--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -195,8 +195,8 @@
 		limit = DefaultMaxAttempts
 	}
 	attemptsUsedUp := t.Failures >= limit && j.Spec.Policy != placement.Service
-	late := j.Spec.Deadline > 0 && now >= j.Spec.Deadline
-	if j.Closing || t.Stopping || !j.Spec.Idempotent || attemptsUsedUp || late {
+	deadlinePassed := j.Spec.Deadline > 0 && now >= j.Spec.Deadline
+	if j.Closing || t.Stopping || !j.Spec.Idempotent || attemptsUsedUp || deadlinePassed {
 		t.State = TaskFailed
 		return
 	}
--- a/internal/state/start.go
+++ b/internal/state/start.go
@@ -71,7 +71,7 @@
 		return false
 	}
 	for id, need := range needs {
-		if !s.hasRoom(s.Workers[id], need) {
+		if !s.fitsOn(s.Workers[id], need) {
 			return false
 		}
 	}
@@ -84,7 +84,7 @@
 }
 
 // takes reports whether a worker has room for more.
-func (s *State) hasRoom(w *Worker, need placement.Resources) bool {
+func (s *State) fitsOn(w *Worker, need placement.Resources) bool {
 	return w != nil && !w.Down && !w.Draining && fits(add(w.Used, need), w.Capacity)
 }
 
@@ -99,7 +99,7 @@
 func (s *State) startTask(now int64, j *Job, item StartItem) (StartedAttempt, bool) {
 	worker, need := item.Worker, j.need(item)
 	w := s.Workers[worker]
-	if !j.startable() || !s.hasRoom(w, need) || !s.withinQuota(j.Customer, need) {
+	if !j.startable() || !s.fitsOn(w, need) || !s.withinQuota(j.Customer, need) {
 		return StartedAttempt{}, false
 	}
 	i := slices.IndexFunc(j.Tasks, func(t Task) bool { return t.State == TaskQueued && t.NotBefore <= now })
