--- a/placement/admit.go
+++ b/placement/admit.go
@@ -6,19 +6,24 @@
 )
 
 const (
-	// minRetryAfter keeps refused callers from asking again at once.
+	// minRetryAfter is the shortest retry delay that a refusal names. It keeps
+	// refused callers from resending at once.
 	minRetryAfter = time.Second
-	// minShareHorizon is the least time over which the part of a customer is
-	// taken, so that a few jobs with close deadlines never fill it.
+	// minShareHorizon is the shortest period over which a customer's share of
+	// the capacity is computed. Over a shorter one, a few jobs with close
+	// deadlines would use up the share.
 	minShareHorizon = time.Hour
-	// noWorkersRetryAfter is about the time that workers take to find a new leader.
+	// noWorkersRetryAfter is the retry delay while no worker is announced:
+	// about the time that workers take to find a new leader.
 	noWorkersRetryAfter = 5 * time.Second
 )
 
-// Admit says whether a job can be accepted now. avail is what the customer may
-// still use of its allotment; a negative field is unlimited. A customer with a
-// limit (see SetLimit) needs room for one batch task only, since Evaluate
-// holds its running work to the limit; without one the whole job must fit.
+// Admit decides whether a job can be accepted now. available is the rest of the
+// customer's quota allotment; a negative field means unlimited.
+//
+// Without a limit (see SetLimit) the whole job must fit into available. A batch
+// job of a customer with a limit only needs enough for one task, since Evaluate
+// holds the customer's running tasks to the limit.
 func (c *Cluster) Admit(j Job, now time.Time, available Resources) AdmissionDecision {
 	if c.opts.NoAdmission {
 		return AdmissionDecision{Admitted: true, ExpectedStart: now}
@@ -41,11 +46,14 @@
 	return v
 }
 
+// refuse returns a refusal that names a reason, a retry delay (zero: never
+// retry) and a formatted detail.
 func refuse(r Reason, retry time.Duration, format string, args ...any) AdmissionDecision {
 	return AdmissionDecision{Reason: r, RetryAfter: retry, Detail: fmt.Sprintf(format, args...)}
 }
 
-// admitSize refuses what no set of known workers could ever hold.
+// admitSize refuses a job that all announced workers together could not run
+// even if they were empty.
 func (c *Cluster) admitSize(e *entry, _ time.Time, _ Resources) AdmissionDecision {
 	announced, slots := 0, 0
 	for _, w := range c.byID {
@@ -62,11 +70,13 @@
 		return refuse(ReasonTooLarge, 0, "a task needs %v and no worker has that much", e.need)
 	}
 	if e.job.Policy == Gang && slots < e.job.Tasks {
-		return refuse(ReasonTooMany, 0, "the job needs %d tasks at once and all workers together hold %d", e.job.Tasks, slots)
+		return refuse(ReasonTooMany, 0, "the gang needs %d tasks at once and all workers together can run %d", e.job.Tasks, slots)
 	}
 	return AdmissionDecision{Admitted: true}
 }
 
+// admitQuota refuses a job that exceeds the rest of the customer's quota
+// allotment.
 func (c *Cluster) admitQuota(e *entry, _ time.Time, available Resources) AdmissionDecision {
 	tasks := int64(e.job.Tasks)
 	if e.job.Policy == Batch && c.queue.customer(e.job.Customer).limited {
@@ -76,24 +86,27 @@
 	if withinLimit(need.CPU, available.CPU) && withinLimit(need.Memory, available.Memory) && withinLimit(need.Accelerators, available.Accelerators) {
 		return AdmissionDecision{Admitted: true}
 	}
-	return refuse(ReasonQuota, c.backlogRetryAfter(), "the job needs %v of the allotment and %v are left", need, available)
+	return refuse(ReasonQuota, c.backlogRetryAfter(), "the job needs %v and the customer's allotment has %v left", need, available)
 }
 
+// admitQueue refuses a job that exceeds the queue limit. Once several customers
+// are known, it also holds each one to its share of the queue.
 func (c *Cluster) admitQueue(e *entry, _ time.Time, _ Resources) AdmissionDecision {
 	if c.opts.MaxQueue <= 0 {
 		return AdmissionDecision{Admitted: true}
 	}
 	limit := int(float64(c.opts.MaxQueue) * c.opts.MaxCustomerShare)
 	if len(c.queue.customers) > 1 && e.account.tasks+e.job.Tasks > limit {
-		return refuse(ReasonQueueFull, c.backlogRetryAfter(), "%d tasks of the customer wait and %d may", e.account.tasks, limit)
+		return refuse(ReasonQueueFull, c.backlogRetryAfter(), "%d tasks of the customer are queued and the limit is %d", e.account.tasks, limit)
 	}
 	if c.queue.tasks+e.job.Tasks <= c.opts.MaxQueue {
 		return AdmissionDecision{Admitted: true}
 	}
-	return refuse(ReasonQueueFull, c.backlogRetryAfter(), "%d tasks wait and %d may", c.queue.tasks, c.opts.MaxQueue)
+	return refuse(ReasonQueueFull, c.backlogRetryAfter(), "%d tasks are queued and the limit is %d", c.queue.tasks, c.opts.MaxQueue)
 }
 
-// backlogRetryAfter is about how long a twentieth of the queue takes.
+// backlogRetryAfter is the retry delay under a backlog: the time in which the
+// workers process about a twentieth of the queued CPU demand.
 func (c *Cluster) backlogRetryAfter() time.Duration {
 	seconds := 0.0
 	supply := c.capacityRate()
@@ -103,9 +116,10 @@
 	return max(minRetryAfter, time.Duration(seconds*float64(time.Second)))
 }
 
-// admitCustomerShare keeps one customer from booking all the time that is left until its
-// deadlines. Work that is accepted is not given up for others, so without this
-// check a flood with late deadlines would have all other customers refused.
+// admitCustomerShare keeps one customer from taking all capacity up to its
+// latest deadline. Accepted jobs are not dropped for others, so without this
+// check a flood of jobs with late deadlines would cause refusals for all other
+// customers.
 func (c *Cluster) admitCustomerShare(e *entry, now time.Time, _ Resources) AdmissionDecision {
 	if len(c.queue.customers) < 2 || e.job.Deadline.IsZero() || e.job.Policy == Service || e.job.Urgent {
 		return AdmissionDecision{Admitted: true}
@@ -118,23 +132,24 @@
 		return AdmissionDecision{Admitted: true}
 	}
 	retry := overrun(booked, shareRate, e.need, horizonSeconds)
-	return refuse(ReasonQueueFull, max(minRetryAfter, retry), "the customer's waiting work takes more than its part of the workers until %s",
+	return refuse(ReasonQueueFull, max(minRetryAfter, retry), "the customer's queued work exceeds its share of the workers until %s",
 		horizon.UTC().Format(time.RFC3339))
 }
 
-// capacityRate is the capacity per second that tasks with an end can have.
+// capacityRate is the capacity left beside tasks without an expected end, in
+// resource-seconds per second.
 func (c *Cluster) capacityRate() resourceSeconds {
 	return resourceSecondsOf(c.capacity.minus(c.unboundedUsage), 1)
 }
 
-// admitDeadline projects the capacity forward. For every deadline from the
-// job's own on, the accepted work that must be done by then has to fit into
-// what the workers give until then, less what running tasks still take.
+// admitDeadline projects the use of the capacity into the future. For the job's
+// own deadline and every later one, the accepted work due by then must fit into
+// the capacity up to then, less what running tasks still use.
 //
-// The projection treats work as divisible and the workers as one. Its errors:
-// deadlines are rounded down by up to 1/32 of their distance, room that is
-// split over workers is counted as whole (Options.Efficiency covers it), and
-// run times are means by the time of acceptance.
+// The projection treats work as divisible and all workers as one. Its errors:
+// deadlines are rounded down by up to 1/32 of their distance, free resources
+// spread over several workers count as contiguous (Options.Efficiency makes up
+// for it), and run times are mean estimates from the time of acceptance.
 func (c *Cluster) admitDeadline(e *entry, now time.Time, _ Resources) AdmissionDecision {
 	if e.job.Policy == Service {
 		return c.admitService(e, now)
@@ -147,13 +162,14 @@
 			e.runtime.high.Round(time.Second), e.job.Deadline.Sub(now).Round(time.Second))
 	}
 	if lateBy, deadline := c.firstDeadlineOverrun(e, now); lateBy > 0 {
-		return refuse(ReasonDeadline, max(minRetryAfter, lateBy), "accepted work takes the workers until %v later than the deadline at %s allows",
+		return refuse(ReasonDeadline, max(minRetryAfter, lateBy), "accepted work occupies the workers until %v after the deadline at %s",
 			lateBy.Round(time.Second), deadline.UTC().Format(time.RFC3339))
 	}
 	return AdmissionDecision{Admitted: true, ExpectedStart: c.expectedStart(e, now)}
 }
 
-// admitService checks that the service finds room beside other services.
+// admitService refuses a service that does not fit beside the running and
+// queued services.
 func (c *Cluster) admitService(e *entry, now time.Time) AdmissionDecision {
 	need := c.unboundedUsage.plus(c.queue.serviceNeed).plus(e.need.times(int64(e.job.Tasks)))
 	if need.within(c.capacity) {
@@ -162,10 +178,10 @@
 	return refuse(ReasonTooMany, c.backlogRetryAfter(), "services would need %v and all workers together have %v", need, c.capacity)
 }
 
-// firstDeadlineOverrun returns by how much the first deadline that can't be kept
-// would be overrun, and which deadline that is.
+// firstDeadlineOverrun returns the first deadline that would be missed if the
+// entry were accepted, and by how much; zero if none is missed.
 func (c *Cluster) firstDeadlineOverrun(e *entry, now time.Time) (time.Duration, time.Time) {
-	// What runs was fitted in already; what waits will lose some room to
+	// Running tasks are placed already; queued tasks will lose some capacity to
 	// fragmentation.
 	overhead := 1 / c.opts.Efficiency
 	p := projection{
@@ -182,21 +198,24 @@
 	return p.checkDeadlines(c, bucketOf(e.job.Deadline, now), overhead)
 }
 
-// projection checks one deadline after the other against the capacity.
+// projection compares the accumulated demand with the capacity, one deadline
+// after the other.
 type projection struct {
 	rate         resourceSeconds
 	now          time.Time
 	need         Resources
 	newJobDemand resourceSeconds
-	// waiting is the work of the queue with deadlines so far.
+	// queuedDemand is the demand of the queued entries with deadlines up to the
+	// one being checked.
 	queuedDemand   resourceSeconds
 	runningWalk    *profileWalk
 	lateBy         time.Duration
 	missedDeadline time.Time
 }
 
-// walk checks the deadline of the new job, in the slice key, and all later
-// ones; work that must end earlier is not moved by it.
+// checkDeadlines checks the deadline of the new job, whose bucket is key, and
+// all later ones. Earlier deadlines are not affected: work that is due earlier
+// runs first.
 func (p *projection) checkDeadlines(c *Cluster, key int64, overhead float64) (time.Duration, time.Time) {
 	p.runningWalk = c.running.walk(p.now)
 	checked := false
@@ -216,7 +235,8 @@
 	return p.lateBy, p.missedDeadline
 }
 
-// holds says whether all work with deadlines until then fits.
+// fitsBefore reports whether all work due by the deadline (Unix seconds) fits.
+// If not, it records the deadline and the overrun.
 func (p *projection) fitsBefore(deadline int64) bool {
 	seconds := float64(deadline) - float64(p.now.UnixMilli())/1000
 	if seconds <= 0 {
@@ -231,7 +251,9 @@
 	return false
 }
 
-// overrun is how long after the deadline the work would be done.
+// overrun returns how long after the deadline, which is seconds away, the
+// needed work would be done. Only resources that need asks for count. It
+// returns an hour if no such resource exceeds the deadline.
 func overrun(needed, rate resourceSeconds, need Resources, seconds float64) time.Duration {
 	longest := 0.0
 	if need.CPU > 0 && rate.cpu > 0 {
@@ -249,8 +271,8 @@
 	return time.Duration((longest - seconds) * float64(time.Second))
 }
 
-// expectedStart is now when a task fits beside an empty queue, and otherwise
-// when the work ahead of the entry is done.
+// expectedStart estimates when the entry starts: now if the queue is empty,
+// otherwise when the queued work with earlier deadlines is done.
 func (c *Cluster) expectedStart(e *entry, now time.Time) time.Time {
 	rate := c.capacityRate()
 	if rate.cpu <= 0 || c.queue.tasks == 0 {
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// crowd is a full cluster of 450 workers with 10,000 tasks in the queue.
+// benchCluster is a full cluster of 450 workers with 10,000 queued tasks.
 type benchCluster struct {
 	cluster *Cluster
 	rand    *rand.Rand
@@ -26,6 +26,7 @@
 	benchCustomers   = 100
 )
 
+// newBenchCluster fills the workers and the queue.
 func newBenchCluster(b testing.TB) *benchCluster {
 	o := DefaultOptions()
 	o.MaxQueue = 0
@@ -43,7 +44,7 @@
 	return g
 }
 
-// submit queues one job of one task; one in fifty is a gang of eight.
+// enqueueJob queues a job with one task; every fiftieth job is a gang of eight.
 func (g *benchCluster) enqueueJob() Job {
 	g.jobs++
 	kind := g.rand.IntN(8)
@@ -64,6 +65,8 @@
 	return j
 }
 
+// evaluateAndPlace commits the starts of one evaluation and returns their
+// number.
 func (g *benchCluster) evaluateAndPlace(b testing.TB, max int) int {
 	plan := g.cluster.Evaluate(g.now, max)
 	for _, s := range plan.Starts {
@@ -88,12 +91,12 @@
 	g.cluster.Unplace(p.Job, p.Task)
 }
 
-// BenchmarkEvaluate is one task end, the evaluation that follows it and the
-// commits, with the queue kept at 10,000. It reports starts per second of the
-// whole and the 99th percentile of the evaluation alone.
+// BenchmarkEvaluate measures the end of some tasks, the evaluation after it and
+// its commits, with the queue kept at 10,000 tasks. It reports starts per
+// second over all of this and the 99th percentile of the evaluation alone.
 //
-// With several ends to an evaluation, as under group commit, the fixed cost of
-// an evaluation is shared.
+// Several ends per evaluation, as under group commit, share the fixed cost of
+// an evaluation.
 func BenchmarkEvaluate(b *testing.B) {
 	for _, ends := range []int{1, 8} {
 		b.Run(fmt.Sprintf("ends=%d", ends), func(b *testing.B) { benchmarkEvaluate(b, ends) })
@@ -123,7 +126,8 @@
 	b.ReportMetric(float64(len(g.running)), "running")
 }
 
-// BenchmarkAdmit asks for the admission of one job beside 10,000 queued tasks.
+// BenchmarkAdmit measures the admission check of one job with 10,000 queued
+// tasks.
 func BenchmarkAdmit(b *testing.B) {
 	g := newBenchCluster(b)
 	took := hdrhistogram.New(1, int64(time.Second), 3)
@@ -138,7 +142,8 @@
 	b.ReportMetric(float64(took.ValueAtQuantile(99))/1000, "p99-µs")
 }
 
-// BenchmarkDequeueAll takes 10,000 queued jobs out one by one.
+// BenchmarkDequeueAll measures the removal of all jobs of a queue of 10,000
+// tasks with one call.
 func BenchmarkDequeueAll(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
@@ -148,7 +153,7 @@
 	}
 }
 
-// BenchmarkMemory reports the heap that queued jobs and placed tasks take.
+// BenchmarkMemory reports the heap size of queued jobs and placed tasks.
 func BenchmarkMemory(b *testing.B) {
 	heapBytes := func() float64 {
 		runtime.GC()
--- a/placement/cluster.go
+++ b/placement/cluster.go
@@ -8,17 +8,19 @@
 	"github.com/tidwall/btree"
 )
 
-// Errors of Place. They mean that the start must not be committed.
+// Errors of Place. After either of them the caller must not commit the start.
 var (
-	// ErrOverCommit: the worker has less free than the task needs.
+	// ErrOverCommit means that the worker has fewer free resources than the
+	// task needs.
 	ErrOverCommit = errors.New("placement: worker has not enough free resources")
-	// ErrPlacedTwice: the task already occupies a worker.
+	// ErrPlacedTwice means that the task already occupies a worker.
 	ErrPlacedTwice = errors.New("placement: task is already placed")
 )
 
 // Cluster is an incremental cache of the workers, the tasks placed on them and
-// the queue. It is owned by one goroutine. What it holds is derived from the
-// owner's committed state and can be rebuilt from it at any time.
+// the queue. It is not safe for concurrent use: one goroutine owns it. All of
+// it is derived from the owner's committed state and can be rebuilt from that
+// at any time.
 type Cluster struct {
 	opts          Options
 	workers       map[string]*worker
@@ -32,20 +34,23 @@
 	demand        demand
 	running       profile
 	estimator     estimator
-	// evaluations numbers the calls of Evaluate, to tell marks of one from
-	// those of another without clearing them.
+	// evaluations counts the calls of Evaluate. A mark that carries the number
+	// of an earlier evaluation is stale, so marks need no clearing.
 	evaluations uint64
-	// promised are the jobs that hold a reservation since the last evaluation.
+	// reservedJobs are the IDs of the jobs that got a reservation in the last
+	// evaluation.
 	reservedJobs []string
-	// forecasts numbers the forecasts in the same way.
+	// forecasts counts the forecasts; like evaluations, it tells stale marks.
 	forecasts uint64
-	// unboundedUsage is what services use of the open workers, which no
-	// projection gives back.
+	// unboundedUsage is what tasks without an expected end use of the
+	// schedulable workers. Projections never count it as released.
 	unboundedUsage Resources
 }
 
-// jobRecord is what is known of a job beside its queue entry: how many of its
-// tasks run, for services where, and where it failed. It goes when the job has neither tasks nor an entry.
+// jobRecord is what the cluster knows of a job besides its queue entry: the
+// number of its running tasks, for services their spread over racks and
+// workers, and the workers on which it failed. It is dropped once the job has
+// neither running tasks nor a queue entry.
 type jobRecord struct {
 	running   int
 	racks     map[string]int
@@ -54,7 +59,7 @@
 	succeeded bool
 }
 
-// NewCluster makes an empty cluster.
+// NewCluster returns an empty cluster.
 func NewCluster(opts Options) *Cluster {
 	options := btree.Options{NoLocks: true}
 	return &Cluster{
@@ -70,6 +75,7 @@
 	}
 }
 
+// lessExpectedEnd orders placed tasks by expected end, then by job and task.
 func lessExpectedEnd(a, b *placedTask) bool {
 	if !a.expectedEnd.Equal(b.expectedEnd) {
 		return a.expectedEnd.Before(b.expectedEnd)
@@ -80,7 +86,8 @@
 	return a.Task < b.Task
 }
 
-// SetWorker adds a worker or replaces what is known of it. Tasks on it stay.
+// SetWorker adds a worker or replaces its description. The tasks placed on it
+// stay.
 func (c *Cluster) SetWorker(w Worker) {
 	entry := c.workerFor(w.ID)
 	c.free.remove(entry)
@@ -96,8 +103,8 @@
 	}
 }
 
-// RemoveWorker forgets a worker. Tasks that are still placed on it stay in the
-// account until they are unplaced.
+// RemoveWorker removes a worker. Tasks that are still placed on it stay
+// recorded until they are unplaced.
 func (c *Cluster) RemoveWorker(id string) {
 	w, found := c.workers[id]
 	if !found {
@@ -111,7 +118,8 @@
 	c.forgetWorker(w)
 }
 
-// countCapacity keeps the sum over workers that admission counts on.
+// countCapacity adds (sign 1) or subtracts (sign -1) the worker in the totals
+// that admission uses, if it counts for admission.
 func (c *Cluster) countCapacity(w *worker, sign int64) {
 	if !w.countsForAdmission() {
 		return
@@ -125,12 +133,16 @@
 	}
 }
 
+// countRunning adds (sign 1) or subtracts (sign -1) a task with an expected end
+// in the usage profile.
 func (c *Cluster) countRunning(t *placedTask, sign int64) {
 	if t.worker.countsForAdmission() {
 		c.running.add(t, sign)
 	}
 }
 
+// countUnbounded adds need to the usage of tasks without an expected end; a
+// negative need subtracts.
 func (c *Cluster) countUnbounded(w *worker, need Resources) {
 	w.unboundedUsage = w.unboundedUsage.plus(need)
 	if w.schedulable() {
@@ -138,8 +150,8 @@
 	}
 }
 
-// workerFor finds the account of a worker, and opens one for a worker that
-// only a task has named so far.
+// workerFor returns the record of a worker and creates it if there is none, as
+// for a worker that so far only a task has named.
 func (c *Cluster) workerFor(id string) *worker {
 	if w, found := c.workers[id]; found {
 		return w
@@ -153,6 +165,8 @@
 	return w
 }
 
+// forgetWorker deletes the record of a worker that is not announced and has no
+// tasks.
 func (c *Cluster) forgetWorker(w *worker) {
 	if w.announced || len(w.tasks) > 0 {
 		return
@@ -162,9 +176,10 @@
 	c.byID = append(c.byID[:at], c.byID[at+1:]...)
 }
 
-// Place records that a task occupies a worker. It is the check of a start
-// against the committed state: on an error nothing was recorded and the start
-// must not be committed. A worker that was not announced yet is not checked.
+// Place records that a task occupies a worker. It checks a planned start
+// against the committed state: on an error nothing is recorded and the start
+// must not be committed. Capacity is not checked on a worker that has not been
+// announced yet.
 func (c *Cluster) Place(p Placed) error {
 	key := taskKey{job: p.Job, task: p.Task}
 	if _, found := c.placed[key]; found {
@@ -172,8 +187,8 @@
 	}
 	w := c.workerFor(p.Worker)
 	// Two plans computed from the same state, or a plan older than the state,
-	// ask for the same room twice. Without this check the second start would
-	// overload the worker.
+	// can use the same free resources twice. Without this check the second
+	// start would overload the worker.
 	if w.announced && !p.Need.within(w.free) {
 		return ErrOverCommit
 	}
@@ -211,8 +226,9 @@
 	c.forgetWorker(w)
 }
 
-// Stopping records that a running task was told to stop, so that its room is
-// counted on and not asked for a second time. Unknown tasks are ignored.
+// MarkStopping records that a running task was told to stop. Later evaluations
+// count its resources as about to be free and preempt no further task for them.
+// Unknown tasks are ignored.
 func (c *Cluster) MarkStopping(job string, task int) {
 	t, found := c.placed[taskKey{job: job, task: task}]
 	if !found || !t.preemptible() {
@@ -224,6 +240,8 @@
 	w.preemptible = w.preemptible.minus(t.Need)
 }
 
+// setExpectedEnd sets the expected end from the high estimate of the run time.
+// Services and tasks without a declared run time have none.
 func (c *Cluster) setExpectedEnd(t *placedTask) {
 	t.unbounded = t.Policy == Service || t.Runtime <= 0
 	if t.unbounded {
@@ -233,7 +251,7 @@
 	t.expectedEnd = t.Started.Add(run.high)
 }
 
-// occupy takes room on a worker.
+// occupy allocates resources on a worker.
 func (c *Cluster) occupy(w *worker, need Resources) {
 	c.free.remove(w)
 	w.used = w.used.plus(need)
@@ -241,7 +259,7 @@
 	c.free.add(w)
 }
 
-// vacate gives room back and wakes the shapes that now fit.
+// release frees resources on a worker and unblocks the shapes that fit now.
 func (c *Cluster) release(w *worker, need Resources) {
 	c.free.remove(w)
 	w.used = w.used.minus(need)
@@ -252,6 +270,8 @@
 	}
 }
 
+// trackPlaced updates the totals by job, customer and expected end for a task
+// that was placed.
 func (c *Cluster) trackPlaced(t *placedTask, w *worker) {
 	if t.unbounded {
 		c.countUnbounded(w, t.Need)
@@ -267,6 +287,8 @@
 	c.countServiceSpread(t.Job, t.Policy, w.ID, t.rack, 1)
 }
 
+// trackUnplaced updates the totals by job, customer and expected end for a task
+// that ended.
 func (c *Cluster) trackUnplaced(t *placedTask, w *worker) {
 	if t.unbounded {
 		c.countUnbounded(w, t.Need.times(-1))
@@ -280,7 +302,8 @@
 	c.dropIdleJobRecord(t.Job)
 }
 
-// countServiceSpread counts the tasks of a service by worker and rack.
+// countServiceSpread adds n to the number of tasks of a service on a worker and
+// in its rack. Other policies are ignored.
 func (c *Cluster) countServiceSpread(job string, policy Policy, workerID, rack string, n int) {
 	if policy != Service {
 		return
@@ -294,6 +317,7 @@
 	r.racks[rack] += n
 }
 
+// jobRecordFor returns the record of a job and creates it if there is none.
 func (c *Cluster) jobRecordFor(job string) *jobRecord {
 	r, found := c.jobs[job]
 	if !found {
@@ -303,7 +327,8 @@
 	return r
 }
 
-// dropIdleJobRecord forgets a job that neither runs nor waits.
+// dropIdleJobRecord deletes the record of a job that has neither running tasks
+// nor a queue entry.
 func (c *Cluster) dropIdleJobRecord(job string) {
 	r, found := c.jobs[job]
 	if !found || r.running > 0 || c.queue.entries[job] != nil {
@@ -313,22 +338,23 @@
 	delete(c.jobs, job)
 }
 
-// SetLimit bounds what the running tasks of a customer may use at once; a
-// negative field is unlimited. Without a call there is no bound.
+// SetLimit bounds what the running tasks of a customer may use at once. A
+// negative field means unlimited. Customers are unlimited by default.
 func (c *Cluster) SetLimit(customer string, limit Resources) {
 	account := c.queue.customer(customer)
 	account.limited = true
 	account.limit = limit
 }
 
-// SetWeight sets the share of the capacity that a customer is due in contention
-// with others, 1 without a call. The weight must be positive.
+// SetWeight sets the weight of a customer, by which contended capacity is
+// shared. The weight must be positive and is 1 by default.
 func (c *Cluster) SetWeight(customer string, weight int) {
 	invariant(weight > 0, "weight %d of customer %s", weight, customer)
 	c.queue.customer(customer).weight = float64(weight)
 }
 
-// Used sums what the placed tasks use and what the open workers have.
+// Used returns what the placed tasks use of the schedulable workers, and the
+// capacity that admission counts on.
 func (c *Cluster) Used() (used, capacity Resources) {
 	for _, w := range c.byID {
 		if w.schedulable() {
@@ -341,7 +367,7 @@
 // farFuture sorts after every real time.
 var farFuture = time.Unix(1<<40, 0)
 
-// Placed returns a placed task; the zero value when it is not placed.
+// Placed returns a placed task, or the zero value if the task is not placed.
 func (c *Cluster) Placed(job string, task int) Placed {
 	t, found := c.placed[taskKey{job: job, task: task}]
 	if !found {
--- a/placement/cluster_test.go
+++ b/placement/cluster_test.go
@@ -8,25 +8,31 @@
 	"github.com/shoenig/test/must"
 )
 
+// start is the time at which the tests begin.
 var start = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-// unlimited is an allotment without bounds.
+// unlimited is a quota allotment without limits.
 var unlimited = Resources{CPU: -1, Memory: -1, Accelerators: -1}
 
+// cores returns n cores with 1 GiB of memory each.
 func cores(n int64) Resources { return Resources{CPU: n * 1000, Memory: n * 1024} }
 
+// addWorkers adds n workers, perRack to a rack.
 func addWorkers(c *Cluster, n int, capacity Resources, perRack int) {
 	for i := range n {
 		c.SetWorker(Worker{ID: fmt.Sprintf("w%03d", i), Rack: fmt.Sprintf("r%02d", i/perRack), Capacity: capacity, Live: true})
 	}
 }
 
+// newBatchJob returns an idempotent batch job, submitted at start, whose
+// deadline is deadlineAfter later.
 func newBatchJob(id, customer string, tasks int, need Resources, run, deadlineAfter time.Duration) Job {
 	return Job{ID: id, Customer: customer, Name: "name", Policy: Batch, Tasks: tasks, Need: need, Runtime: run,
 		Deadline: start.Add(deadlineAfter), Submitted: start, Idempotent: true}
 }
 
-// commit places what a plan starts, as the owner of the state would.
+// commit places the starts of a plan, as the owner of the committed state does.
+// next is the number of the next task by job.
 func commit(t testing.TB, c *Cluster, plan Plan, now time.Time, next map[string]int) {
 	for _, s := range plan.Starts {
 		e := c.queue.entries[s.Job]
@@ -40,7 +46,7 @@
 }
 
 // A start that was planned from an older state arrives after another task took
-// the room. Taking it would give the worker more than it has.
+// the resources. Placing it would overload the worker.
 func TestPlaceRefusesOverCommit(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(4), 1)
@@ -51,6 +57,8 @@
 	must.NoError(t, c.Place(Placed{Job: "b", Worker: "w000", Need: cores(4), Policy: Batch, Runtime: time.Minute, Started: start}))
 }
 
+// Two tasks of a service share a rack while another rack has none, so that the
+// loss of one rack stops more of the service than necessary.
 func TestServiceSpreadsOverRacks(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 8, cores(8), 2)
@@ -63,8 +71,8 @@
 	must.MapLen(t, 4, racks)
 }
 
-// A gang of eight needs more than is free. Starting a part of it would hold
-// room that another half-started gang waits for.
+// A gang needs more than is free. Starting a part of it would hold resources
+// that another half-started gang waits for, and both would wait forever.
 func TestGangStartsAllTasksOrNone(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 4, cores(4), 2)
@@ -79,8 +87,9 @@
 	must.SliceLen(t, 4, c.Evaluate(start, 100).Starts)
 }
 
-// One place of a second gang is free and its other place is kept for the first
-// gang. Starting the free one would leave two gangs waiting for each other.
+// A gang of two fits only if one of its tasks uses resources that are reserved
+// for an earlier gang. Starting the other task alone would leave two gangs
+// waiting for each other.
 func TestGangDoesNotStartPartlyBesideReservation(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	c.SetWorker(Worker{ID: "large0", Rack: "r", Capacity: cores(8), Live: true})
@@ -97,8 +106,9 @@
 	must.SliceLen(t, 2, c.Evaluate(start, 100).Starts)
 }
 
-// Long tasks must not take the room that a blocked gang waits for; short ones
-// that end before its computed start may.
+// A long task takes the resources that are reserved for a blocked gang and
+// delays it. A short task that ends before the reserved start time may use
+// them.
 func TestBackfillEndsBeforeReservedStart(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 2, cores(4), 2)
@@ -115,6 +125,8 @@
 	must.EqOp(t, "short", plan.Starts[0].Job)
 }
 
+// An urgent task preempts a task that must not run twice, or one of a service
+// or a gang.
 func TestUrgentPreemptsOnlyIdempotentBatch(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -147,8 +159,8 @@
 	}
 }
 
-// Urgent work asked for one task to stop. It takes a while to end, and each
-// evaluation until then must not stop another.
+// A task that was preempted for urgent work takes a while to stop, and each
+// evaluation until then preempts another one.
 func TestPreemptionIsNotRepeatedWhileTaskStops(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(4), 1)
@@ -164,8 +176,9 @@
 	must.SliceEmpty(t, c.Evaluate(start, 100).Preemptions)
 }
 
-// A large task of a busy customer holds a place. When the place comes free, the
-// small tasks of a customer with nothing running come first by share.
+// A large task of a customer with a high share has a reservation. Once the
+// reserved resources are free, the fair order gives them to the small tasks of
+// a customer with nothing running, and the large task starves.
 func TestReservedRoomGoesToItsJobBeforeFairShare(t *testing.T) {
 	o := DefaultOptions()
 	o.FairReservations = 0
@@ -176,7 +189,8 @@
 	c.Enqueue(newBatchJob("large", "busy", 1, cores(4), time.Hour, 20*time.Hour))
 	small := Resources{CPU: 500, Memory: 512}
 	c.Enqueue(newBatchJob("small", "idle", 50, small, time.Hour, 20*time.Hour))
-	// The first evaluation finds that nothing fits, the second reserves.
+	// The first evaluation finds that nothing fits and blocks the shape; the
+	// second one makes the reservation.
 	must.SliceEmpty(t, c.Evaluate(start, 100).Starts)
 	must.SliceEmpty(t, c.Evaluate(start, 100).Starts)
 	c.Unplace("old", 0)
@@ -185,6 +199,8 @@
 	must.EqOp(t, "large", plan.Starts[0].Job)
 }
 
+// A job is refused for the wrong reason, or with a retry delay although it can
+// never be accepted.
 func TestAdmitReasons(t *testing.T) {
 	small := DefaultOptions()
 	small.MaxQueue = 10
@@ -222,8 +238,8 @@
 	must.EqOp(t, ReasonNoWorkers, NewCluster(small).Admit(gang(1), start, unlimited).Reason)
 }
 
-// One customer submits far more than the workers can do until its deadlines.
-// All of it being accepted, the others would be refused for hours.
+// One customer submits far more than the workers can do before its deadlines.
+// If all of it were accepted, other customers would be refused for hours.
 func TestAdmissionBoundsOneCustomersQueuedWork(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 4, cores(4), 2)
@@ -243,6 +259,7 @@
 	must.True(t, c.Admit(newBatchJob("q", "quiet", 10, cores(1), 10*time.Minute, 2*time.Hour), start, unlimited).Admitted)
 }
 
+// An accepted job that can no longer meet its deadline stays queued.
 func TestInfeasibleJobIsRefused(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(1), 1)
@@ -253,8 +270,8 @@
 	must.EqOp(t, ReasonDeadline, plan.Refusals[0].Reason)
 }
 
-// A worker fails everything within a second of its start, so it always has the
-// most room and draws all work to itself.
+// A worker fails every task within a second of its start. It therefore always
+// has the most free resources and attracts all tasks.
 func TestFailingWorkerIsQuarantinedAndProbed(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 2, cores(4), 1)
@@ -274,8 +291,8 @@
 	must.SliceEmpty(t, c.Quarantined())
 }
 
-// A probe fails, the owner takes it off the account and then reports it. The
-// worker must rest for its backoff and not get the next probe at once.
+// A probe fails, and the caller unplaces it before it reports the failure.
+// Without the backoff the next probe would follow at once.
 func TestFailedProbeBacksOffWhenUnplacedFirst(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(4), 1)
@@ -295,8 +312,8 @@
 	must.EqOp(t, later.Add(2*c.opts.ProbeBackoff), c.Evaluate(later, 100).ReevaluateAt)
 }
 
-// A worker loses its disk while a long task computes. The task still ends well
-// and must not put the worker back into use, where it fails all new starts.
+// A worker loses its disk while a long task computes. The task still succeeds,
+// which must not end the quarantine: the worker fails all new tasks.
 func TestSuccessOfOlderTaskDoesNotEndQuarantine(t *testing.T) {
 	for _, unplaceFirst := range []bool{true, false} {
 		c := NewCluster(DefaultOptions())
@@ -314,8 +331,8 @@
 	}
 }
 
-// Two broken jobs fail wherever they are started. Counting that against the
-// workers would take them out of service one after another.
+// Two broken jobs fail on every worker. Counting their failures against the
+// workers would quarantine one worker after the other.
 func TestBrokenJobsDoNotQuarantineWorkers(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 5, cores(4), 1)
@@ -327,13 +344,15 @@
 		must.True(t, c.JobSuspect(id))
 	}
 	must.SliceEmpty(t, c.Quarantined())
-	// The owner gives the jobs up; what they left behind must not count.
+	// After the jobs are removed, their failures must not count either.
 	c.Dequeue("bad0")
 	c.Dequeue("bad1")
 	c.ReportFailure("w000", "other", start)
 	must.SliceEmpty(t, c.Quarantined())
 }
 
+// Estimates ignore the measurements, apply those of another job name, or fall
+// below the declared need.
 func TestCorrectedRuntimeAndNeed(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(8), 1)
@@ -350,6 +369,7 @@
 	must.EqOp(t, cores(2), c.NeedOf(Job{Customer: "x", Name: "frugal", Need: cores(2)}))
 }
 
+// A customer with a long queue gets more than one with a short queue.
 func TestCustomersGetEqualShares(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(10), 1)
@@ -362,8 +382,8 @@
 	must.Eq(t, map[string]int{"flood": 5, "few": 5}, count)
 }
 
-// Two customers flood the queue. What they get stands in the ratio of their
-// weights, and equal weights get equal parts.
+// Two customers have more queued than the workers can run. What they get must
+// be in the ratio of their weights, and equal with equal weights.
 func TestSharesFollowCustomerWeights(t *testing.T) {
 	for _, weights := range [][2]int{{1, 1}, {2, 1}, {3, 1}} {
 		c := NewCluster(DefaultOptions())
--- a/placement/demand.go
+++ b/placement/demand.go
@@ -6,13 +6,14 @@
 	"github.com/tidwall/btree"
 )
 
-// work is resources times seconds.
+// resourceSeconds is an amount of work: resources times seconds of use.
 type resourceSeconds struct {
 	cpu          float64
 	memory       float64
 	accelerators float64
 }
 
+// resourceSecondsOf returns the work of using need for that many seconds.
 func resourceSecondsOf(need Resources, seconds float64) resourceSeconds {
 	return resourceSeconds{
 		cpu:          float64(need.CPU) * seconds,
@@ -21,15 +22,17 @@
 	}
 }
 
+// plus adds two amounts of work.
 func (a resourceSeconds) plus(b resourceSeconds) resourceSeconds {
 	return resourceSeconds{cpu: a.cpu + b.cpu, memory: a.memory + b.memory, accelerators: a.accelerators + b.accelerators}
 }
 
+// times multiplies every field by x.
 func (a resourceSeconds) times(x float64) resourceSeconds {
 	return resourceSeconds{cpu: a.cpu * x, memory: a.memory * x, accelerators: a.accelerators * x}
 }
 
-// exceeds says whether a is more than b in a field that the need asks for.
+// exceeds reports whether a is larger than b in a resource that need asks for.
 func (a resourceSeconds) exceeds(b resourceSeconds, need Resources) bool {
 	return need.CPU > 0 && a.cpu > b.cpu ||
 		need.Memory > 0 && a.memory > b.memory ||
@@ -37,21 +40,24 @@
 }
 
 const (
-	// minBucketSeconds is the width in seconds of the slices that deadlines close
-	// by are rounded down to.
+	// minBucketSeconds is the width, in seconds, of the buckets for the closest
+	// deadlines.
 	minBucketSeconds = 1
-	// bucketsPerOctave makes a slice at most 1/32 of the time to the deadline.
+	// bucketsPerOctave limits the width of a bucket to 1/32 of the time to the
+	// deadline.
 	bucketsPerOctave = 32
 )
 
-// demand sums the corrected work of the queue by deadline. Deadlines are
-// rounded down to slices that widen with their distance, so the number of
-// slices stays small however long the queue is.
+// demand sums the estimated work of the queue by deadline. Deadlines are
+// rounded down to buckets that widen with their distance, so the number of
+// buckets stays small however long the queue is.
 type demand struct {
 	buckets btree.Map[int64, *demandBucket]
 	total   resourceSeconds
 }
 
+// demandBucket is the work of all entries whose deadlines round down to the
+// same time.
 type demandBucket struct {
 	demand  resourceSeconds
 	entries int
@@ -59,7 +65,8 @@
 
 func newDemand() demand { return demand{} }
 
-// add books (sign 1) or releases (sign -1) the work of an entry.
+// add adds (sign 1) or removes (sign -1) an entry. Entries without a deadline
+// and services are ignored.
 func (d *demand) add(e *entry, sign float64) {
 	if e.job.Policy == Service || e.job.Deadline.IsZero() {
 		return
@@ -82,13 +89,14 @@
 	}
 }
 
-// expected is the corrected work of all tasks of an entry.
+// expectedDemand is the work of all tasks of the entry at the mean estimate of
+// the run time.
 func (e *entry) expectedDemand() resourceSeconds {
 	return resourceSecondsOf(e.need, e.runtime.mean.Seconds()*float64(e.job.Tasks))
 }
 
-// book counts an entry in (sign 1) or out (sign -1) of what its customer has
-// waiting.
+// countQueued adds (sign 1) or subtracts (sign -1) an entry in the customer's
+// queued totals.
 func (c *customer) countQueued(e *entry, sign float64) {
 	c.entries += int(sign)
 	c.tasks += int(sign) * e.job.Tasks
@@ -101,7 +109,8 @@
 	}
 }
 
-// change adds or subtracts the work of an entry that is booked.
+// adjust adds (sign 1) or subtracts (sign -1) the work of an entry that already
+// belongs to a bucket.
 func (d *demand) adjust(e *entry, sign float64) {
 	if e.job.Policy == Service || e.job.Deadline.IsZero() {
 		return
@@ -115,7 +124,8 @@
 	d.total = d.total.plus(w)
 }
 
-// bucketOf rounds a deadline down; the result is in Unix seconds.
+// bucketOf returns the bucket of a deadline: the deadline rounded down, in Unix
+// seconds.
 func bucketOf(deadline, submitted time.Time) int64 {
 	distance := int64(deadline.Sub(submitted) / time.Second)
 	width := int64(minBucketSeconds)
--- a/placement/enqueue.go
+++ b/placement/enqueue.go
@@ -1,7 +1,7 @@
 package placement
 
-// Enqueue adds a job with Tasks tasks still to place, or replaces the entry of
-// the same ID. A job with no task left is taken out.
+// Enqueue adds a job of which Tasks tasks are still to be placed, or replaces
+// the entry with the same ID. A job without tasks left is removed.
 func (c *Cluster) Enqueue(j Job) {
 	if c.updateRemaining(j) {
 		return
@@ -18,8 +18,8 @@
 	e.account.countQueued(e, 1)
 }
 
-// shrink handles the most frequent replacement cheaply: the same batch job
-// with some of its tasks started.
+// updateRemaining handles the most frequent replacement cheaply: the same batch
+// job with some of its tasks started. It reports whether it did.
 func (c *Cluster) updateRemaining(j Job) bool {
 	e, found := c.queue.entries[j.ID]
 	if !found || j.Tasks <= 0 || j.Policy != Batch || e.delayed {
@@ -38,14 +38,15 @@
 	return true
 }
 
-// Dequeue takes a job out of the queue; it costs the logarithm of the queue.
+// Dequeue removes a job from the queue, in time logarithmic in the length of
+// the queue.
 func (c *Cluster) Dequeue(job string) {
 	c.unqueue(job)
 	c.dropIdleJobRecord(job)
 }
 
-// DequeueAll takes out every queued job that match names, in one pass, and
-// says how many. It is for cancellations that come in waves.
+// DequeueAll removes every queued job that match selects in one pass, and
+// returns how many it removed. It serves bulk cancellations.
 func (c *Cluster) DequeueAll(match func(Job) bool) int {
 	var matched []string
 	for id, e := range c.queue.entries {
@@ -59,6 +60,7 @@
 	return len(matched)
 }
 
+// unqueue removes the queue entry of a job and keeps the job record.
 func (c *Cluster) unqueue(job string) {
 	e, found := c.queue.entries[job]
 	if !found {
@@ -69,10 +71,10 @@
 	e.account.countQueued(e, -1)
 }
 
-// Queued is the number of tasks that wait.
+// Queued returns the number of queued tasks.
 func (c *Cluster) Queued() int { return c.queue.tasks }
 
-// newEntry computes what the queue needs to know of a job.
+// newEntry computes the queue entry of a job. It does not enqueue it.
 func (c *Cluster) newEntry(j Job) *entry {
 	run := c.estimator.runtime(j.Customer, j.Name, j.Runtime)
 	e := &entry{job: j, need: c.NeedOf(j), runtime: run, class: c.classOf(j), account: c.queue.customer(j.Customer)}
@@ -88,11 +90,13 @@
 	return e
 }
 
-// isLarge says whether a need takes a great part of the mean open worker.
+// isLarge reports whether one task needs a large share of an average
+// schedulable worker.
 func (c *Cluster) isLarge(need Resources) bool {
 	return need.share(c.capacity)*float64(len(c.byID)) >= largeTaskShare
 }
 
+// classOf returns the priority class of a job.
 func (c *Cluster) classOf(j Job) class {
 	switch {
 	case c.opts.FirstComeFirstServed:
--- a/placement/estimate.go
+++ b/placement/estimate.go
@@ -7,35 +7,41 @@
 )
 
 const (
-	// ratioUnit is how one is written in the histograms of measured to
-	// declared run times; a step is a fiftieth.
+	// ratioUnit is the histogram value of a measured run time equal to the
+	// declared one. The resolution is 1/50.
 	ratioUnit = 50
-	// maxRatioValue is the largest ratio that is told apart, 40 times.
+	// maxRatioValue is the largest ratio that a histogram records: 40 times the
+	// declaration.
 	maxRatioValue = 40 * ratioUnit
-	// ratioDigits keeps a histogram near 1 KB; a bucket is 6% wide at most.
+	// ratioDigits is the number of significant digits of a histogram. With 1 a
+	// histogram takes about 1 KB and a bucket is at most 6% wide.
 	ratioDigits = 1
-	// priorWeightSamples is when the samples of a name are believed alone; below
-	// it those of the customer fill in, and below that the declaration.
+	// priorWeightSamples is the weight of the prior, in samples. From four
+	// times as many samples on, the history alone counts.
 	priorWeightSamples = 8
-	// generationSamples is the length of a generation. Estimates come from the
-	// running and the last one, so that a change of habit shows.
+	// generationSamples is the number of samples in one generation of a
+	// history. Estimates use the current and the previous generation, so that
+	// they follow a change of behaviour.
 	generationSamples = 400
-	// maxNamesPerCustomer bounds the memory for one customer.
+	// maxNamesPerCustomer bounds the memory for the histories of one customer.
 	maxNamesPerCustomer = 256
 
+	// lowQuantile and highQuantile of the measured ratios give the low and the
+	// high estimate.
 	lowQuantile  = 0.02
 	highQuantile = 0.95
 )
 
-// estimate is a corrected run time: hardly ever shorter than low, mean in the
-// long run, seldom longer than high.
+// estimate is an estimated run time. Runs are rarely shorter than low, take
+// mean on average and are rarely longer than high.
 type estimate struct {
 	low  time.Duration
 	mean time.Duration
 	high time.Duration
 }
 
-// history holds two generations of ratios.
+// runtimeHistory holds two generations of ratios of measured to declared run
+// times, and the peak use of resources.
 type runtimeHistory struct {
 	current  *hdrhistogram.Histogram
 	previous *hdrhistogram.Histogram
@@ -43,16 +49,19 @@
 	mean     float64
 	high     float64
 	samples  int64
-	// peak is the largest use above the declared need, as a ratio by field.
+	// peakCPU and peakMemory are the largest measured use as a ratio of the
+	// declared need.
 	peakCPU    float64
 	peakMemory float64
 }
 
+// newHistory returns an empty history.
 func newHistory() *runtimeHistory {
 	return &runtimeHistory{current: hdrhistogram.New(1, maxRatioValue, ratioDigits)}
 }
 
-// record adds a ratio and recomputes the quantiles, so that reading is cheap.
+// record adds a ratio and recomputes the quantiles, so that reading them is
+// cheap.
 func (h *runtimeHistory) record(ratio float64) {
 	value := min(max(int64(ratio*ratioUnit+0.5), 1), maxRatioValue)
 	if h.current.RecordValue(value) != nil {
@@ -74,22 +83,28 @@
 	h.high = float64(merged.ValueAtQuantile(100*highQuantile)) / ratioUnit
 }
 
-// estimator corrects declarations by what was measured.
+// estimator estimates run times and resource needs from declarations and
+// measurements.
 type estimator struct {
 	disabled  bool
 	customers map[string]*customerHistory
 }
 
+// customerHistory is the history of all jobs of a customer and of each job
+// name.
 type customerHistory struct {
 	all   *runtimeHistory
 	names map[string]*runtimeHistory
 }
 
+// newEstimator returns an estimator without samples. With NoCorrection it
+// returns declarations unchanged.
 func newEstimator(opts Options) estimator {
 	return estimator{disabled: opts.NoCorrection, customers: map[string]*customerHistory{}}
 }
 
-// Learn takes in the measured run of a finished task.
+// Learn adds the measured run of a finished task to the estimates. Samples
+// without a declared run time are ignored.
 func (c *Cluster) Learn(s Sample) {
 	if s.Declared <= 0 || s.Measured < 0 {
 		return
@@ -97,6 +112,7 @@
 	c.estimator.learn(s)
 }
 
+// learn adds a sample to the histories of its customer and its job name.
 func (m *estimator) learn(s Sample) {
 	customerHist, found := m.customers[s.Customer]
 	if !found {
@@ -118,6 +134,8 @@
 	named.peakMemory = max(named.peakMemory, peakRatio(s.Peak.Memory, s.Need.Memory))
 }
 
+// peakRatio is peak use divided by declared need, or zero without a declared
+// need.
 func peakRatio(peak, need int64) float64 {
 	if need <= 0 {
 		return 0
@@ -125,16 +143,15 @@
 	return float64(peak) / float64(need)
 }
 
-// runtime corrects a declared run time. The prior is the declaration, held
-// with the weight of priorWeightSamples; then what the customer's other work
-// showed; then what work of this name showed.
+// runtime estimates a run time. It starts from the declaration, blends in the
+// history of all the customer's jobs and then the history of the job's name.
 func (m *estimator) runtime(customer, name string, declared time.Duration) estimate {
 	result := estimate{low: declared, mean: declared, high: declared}
 	if m.disabled || declared <= 0 {
 		return result
 	}
-	// Nothing is known of an unknown customer: only a run time five times
-	// shorter than declared makes work hopeless.
+	// Without any history, low is a fifth of the declaration: a job is
+	// infeasible only if it needed to run five times faster than declared.
 	result.low = declared / 5
 	customerHist, found := m.customers[customer]
 	if !found {
@@ -147,7 +164,8 @@
 	return result
 }
 
-// blend weighs the history against a prior by the number of samples.
+// blend combines the history with a prior estimate. The weight of the history
+// grows with its number of samples.
 func (h *runtimeHistory) blend(prior estimate, declared time.Duration) estimate {
 	weight := float64(h.samples) / float64(h.samples+priorWeightSamples)
 	if h.samples >= 4*priorWeightSamples {
@@ -159,10 +177,10 @@
 	return estimate{low: interpolate(prior.low, h.low), mean: interpolate(prior.mean, h.mean), high: interpolate(prior.high, h.high)}
 }
 
-// NeedOf is the need that the account of workers should carry for a task of
-// the job: the declared one, raised where earlier tasks of the same name used
-// more, at most to what the largest worker has. It is never lower than
-// declared: a task may always use what it asked for.
+// NeedOf returns the resources to reserve for a task of the job: the declared
+// need, raised to the peak use of earlier tasks of the same name, but at most
+// to the capacity of the largest worker. It is never below the declared need,
+// since a task may always use what it declared.
 func (c *Cluster) NeedOf(j Job) Resources {
 	if c.opts.NoCorrection {
 		return j.Need
@@ -184,6 +202,7 @@
 	return j.Need.atLeast(raised.atMost(c.largestFor(j.Need)))
 }
 
+// scaleNeed multiplies need by ratio if that raises it.
 func scaleNeed(need int64, ratio float64) int64 {
 	if ratio <= 1 {
 		return need
@@ -191,6 +210,8 @@
 	return int64(float64(need)*ratio + 0.5)
 }
 
+// fitsSomeWorker reports whether need fits an announced worker if it were
+// empty.
 func (c *Cluster) fitsSomeWorker(need Resources) bool {
 	for _, w := range c.byID {
 		if w.announced && need.within(w.Capacity) {
@@ -200,7 +221,8 @@
 	return false
 }
 
-// largestFor is the capacity of the largest known worker that holds need.
+// largestFor returns the capacity of the largest announced worker that could
+// hold need, or need itself if there is none.
 func (c *Cluster) largestFor(need Resources) Resources {
 	best := need
 	for _, w := range c.byID {
--- a/placement/evaluate.go
+++ b/placement/evaluate.go
@@ -6,37 +6,45 @@
 )
 
 const (
-	// lookahead is how many entries of a line, and how many of a shape, are
-	// looked at in one evaluation once a reservation held one back.
+	// lookahead is how many entries of one subqueue, and of one shape, an
+	// evaluation examines once a reservation has blocked one of them.
 	lookahead = 6
-	// maxDueVisits bounds the walk over work that is due but does not fit.
+	// maxDueVisits bounds the entries that serveDue and probeFor visit in one
+	// evaluation.
 	maxDueVisits = 256
-	// maxGangVisits bounds the walk over gangs that look for a reservation.
+	// maxGangVisits bounds the gangs that an evaluation visits to reserve
+	// resources for them.
 	maxGangVisits = 16
-	// maxLargeVisits bounds the walk over large tasks in the same way.
+	// maxLargeVisits bounds the large tasks that an evaluation visits to
+	// reserve resources for them.
 	maxLargeVisits = 64
-	// largeTaskShare is the part of a worker from which a task counts as large.
+	// largeTaskShare is the share of an average worker from which a task counts
+	// as large.
 	largeTaskShare = 0.15
 )
 
-// planner is one evaluation. It takes room tentatively on the real accounts,
-// so that each choice sees those before it, and gives everything back at the
-// end.
+// planner computes the plan of one evaluation. It allocates resources
+// tentatively in the cluster, so that each decision sees the earlier ones, and
+// rolls all of it back at the end.
 type planner struct {
-	cluster        *Cluster
-	now            time.Time
-	evaluation     uint64
-	budget         int
-	plan           Plan
+	cluster    *Cluster
+	now        time.Time
+	evaluation uint64
+	// budget is the number of decisions that this evaluation may still make.
+	budget int
+	plan   Plan
+	// reservations is how many more reservations this evaluation may make.
 	reservations   int
 	scratchRequest request
-	// promised are the jobs that held a reservation in the last evaluation.
+	// previouslyReserved are the IDs of the jobs that had a reservation in the
+	// last evaluation.
 	previouslyReserved []string
 }
 
-// Evaluate says what to start, preempt and refuse now, at most max decisions.
-// It leaves the accounts as they were: the owner commits the plan and then
-// calls Place, Enqueue, Stopping and Dequeue.
+// Evaluate plans what to start, preempt and refuse now, with at most max
+// decisions (a larger gang gets an evaluation of its own). The cluster is left
+// unchanged: the caller commits the plan and then calls Place, Enqueue,
+// MarkStopping and Dequeue.
 func (c *Cluster) Evaluate(now time.Time, max int) Plan {
 	c.evaluations++
 	c.queue.releaseDelayed(now)
@@ -53,7 +61,7 @@
 	return p.plan
 }
 
-// run takes the steps of an evaluation in the order of their urgency.
+// runSteps runs the steps of an evaluation in order of priority.
 func (p *planner) runSteps() {
 	p.refuseInfeasible()
 	p.serve(classUrgent)
@@ -67,8 +75,9 @@
 	p.probe()
 }
 
-// refuseInfeasible gives up accepted work that can't end in time any more, so
-// that its owner hears at once and its room goes to work that can.
+// refuseInfeasible refuses accepted jobs that can no longer meet their
+// deadline. Their customers learn of it at once and other jobs get the
+// resources.
 func (p *planner) refuseInfeasible() {
 	p.cluster.queue.byLastFeasibleStart.Scan(func(e *entry) bool {
 		if p.budget == 0 || !e.lastFeasibleStart.Before(p.now) {
@@ -83,7 +92,7 @@
 	})
 }
 
-// startInSubmissionOrder is the baseline: strict order of submission.
+// startInSubmissionOrder is the baseline scheduler: strict order of submission.
 func (p *planner) startInSubmissionOrder() {
 	p.cluster.queue.bySubmitted.Scan(func(e *entry) bool {
 		for p.remaining(e) > 0 {
@@ -95,7 +104,8 @@
 	})
 }
 
-// remaining is how many tasks of the entry this evaluation has not started.
+// remaining returns how many tasks of the entry this evaluation can still
+// start; zero if it skips the entry.
 func (p *planner) remaining(e *entry) int {
 	if e.skippedEval == p.evaluation {
 		return 0
@@ -106,14 +116,16 @@
 	return e.job.Tasks - e.planned
 }
 
-// request is valid until the next call.
+// request returns the request for one task of the entry. It is valid until the
+// next call.
 func (p *planner) request(e *entry) *request {
 	p.scratchRequest = request{cluster: p.cluster, entry: e, record: p.cluster.jobs[e.job.ID], now: p.now, evaluation: p.evaluation}
 	return &p.scratchRequest
 }
 
-// place starts one task of the entry, or all tasks of a gang. A shape for
-// which no worker has room is marked; any other hindrance is not its fault.
+// place starts one task of the entry, or all tasks of a gang, and reports
+// whether it did. If no worker has enough free resources, it blocks the shape;
+// quota limits and reservations do not block it.
 func (p *planner) place(e *entry) bool {
 	if p.budget == 0 || e.subqueue.shapeState.blocked {
 		return false
@@ -141,9 +153,9 @@
 	return false
 }
 
-// start takes room tentatively and adds the start to the plan.
+// start allocates resources tentatively and adds the start to the plan.
 func (p *planner) start(e *entry, w *worker) {
-	invariant(e.need.within(w.free), "plan gives %v on %s, which has %v", e.need, w.ID, w.free)
+	invariant(e.need.within(w.free), "plan allocates %v on worker %s, which has %v free", e.need, w.ID, w.free)
 	if e.plannedEval != p.evaluation {
 		e.plannedEval, e.planned = p.evaluation, 0
 	}
@@ -156,8 +168,8 @@
 	p.plan.Starts = append(p.plan.Starts, Start{Job: e.job.ID, Worker: w.ID, Need: e.need})
 }
 
-// check stops the program on a plan that would overload a worker or start a
-// part of a gang. It runs while the plan still holds its room.
+// checkPlan panics if the plan would overload a worker or start only part of a
+// gang. It runs before the rollback.
 func (p *planner) checkPlan() {
 	for _, s := range p.plan.Starts {
 		w, e := p.cluster.workers[s.Worker], p.cluster.queue.entries[s.Job]
@@ -166,7 +178,7 @@
 	}
 }
 
-// rollback gives back what the starts of the plan took.
+// rollback releases what the starts of the plan allocated.
 func (p *planner) rollback() {
 	for _, s := range p.plan.Starts {
 		e := p.cluster.queue.entries[s.Job]
@@ -177,9 +189,10 @@
 	}
 }
 
-// serveDue starts accepted work whose latest start is near before the fair
-// order: a promise that was made goes before shares. What does not fit gets a
-// reservation, or else small tasks would take every gap before it for ever.
+// serveDue starts jobs whose latest start time is near before the fair order is
+// applied: keeping an accepted deadline has priority over fair shares. A job
+// that does not fit gets a reservation. Without it small tasks would keep
+// taking all free resources and starve it.
 func (p *planner) serveDue() {
 	horizon := p.now.Add(p.cluster.opts.DueWindow)
 	visits := 0
@@ -199,8 +212,8 @@
 	})
 }
 
-// probe starts one task on each worker that is set aside and whose backoff
-// has passed. Only work that may be run again is risked.
+// probe starts one task on each quarantined worker whose backoff has passed.
+// Only idempotent tasks are used, since they may run again.
 func (p *planner) probe() {
 	for _, w := range p.cluster.byID {
 		h := &w.health
@@ -213,7 +226,8 @@
 	}
 }
 
-// probeFor finds a task that may be risked on a worker that fails.
+// probeFor returns an entry with a task that may probe a quarantined worker, or
+// nil.
 func (p *planner) probeFor(w *worker) *entry {
 	var found *entry
 	visits := 0
@@ -229,7 +243,8 @@
 	return found
 }
 
-// setReevaluateAt names the next moment at which time alone changes the plan.
+// setReevaluateAt sets the next time at which the plan changes without any
+// event.
 func (p *planner) setReevaluateAt() {
 	if p.budget == 0 {
 		p.plan.ReevaluateAt = p.now
@@ -254,6 +269,7 @@
 	}
 }
 
+// reevaluateBy makes the next evaluation happen at t at the latest.
 func (p *planner) reevaluateBy(t time.Time) {
 	if p.plan.ReevaluateAt.IsZero() || t.Before(p.plan.ReevaluateAt) {
 		p.plan.ReevaluateAt = t
--- a/placement/example_test.go
+++ b/placement/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/bilberryferry/bilberryferry/placement"
 )
 
-// A job is admitted, planned and placed; another that no worker can hold is
-// refused with its reason.
+// A job is admitted, planned and started. Another one, which is too large for
+// every worker, is refused with a reason.
 func ExampleCluster() {
 	now := time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 	c := placement.NewCluster(placement.DefaultOptions())
--- a/placement/explain.go
+++ b/placement/explain.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Explain says why a job waits, worker by worker. It reads the whole cluster
-// and is meant for people, not for the path of decisions.
+// Explain reports why a job is queued and how many workers each filter rejects.
+// It reads the whole cluster and is meant for people, not for the scheduling
+// path.
 func (c *Cluster) Explain(job string, now time.Time) Explanation {
 	e, found := c.queue.entries[job]
 	if !found {
@@ -20,6 +21,8 @@
 	}
 }
 
+// countFilters counts, for each filter, the workers of which it is the first to
+// reject the entry.
 func (c *Cluster) countFilters(e *entry, now time.Time) []FilterCount {
 	r := &request{cluster: c, entry: e, record: c.jobs[e.job.ID], now: now, evaluation: c.evaluations}
 	indexOf := map[string]int{}
@@ -40,6 +43,7 @@
 	return counts
 }
 
+// summary describes in one sentence why the entry is queued.
 func (c *Cluster) summary(e *entry, counts []FilterCount, now time.Time) string {
 	rejected := 0
 	for _, f := range counts {
@@ -48,17 +52,17 @@
 	account := c.queue.customer(e.job.Customer)
 	switch {
 	case e.delayed:
-		return fmt.Sprintf("held back until %s after a failed attempt", e.job.NotBefore.UTC().Format(time.RFC3339))
+		return fmt.Sprintf("in backoff until %s after a failed attempt", e.job.NotBefore.UTC().Format(time.RFC3339))
 	case c.JobSuspect(e.job.ID):
-		return fmt.Sprintf("the job failed on %d workers and succeeded on none: the job, not the workers, looks at fault", len(c.jobs[e.job.ID].failedOn))
+		return fmt.Sprintf("the job failed on %d workers and succeeded on none: the job is probably at fault, not the workers", len(c.jobs[e.job.ID].failedOn))
 	case !account.allows(e.need):
-		return fmt.Sprintf("the customer's running work uses its limit of %v", account.limit)
+		return fmt.Sprintf("the customer's running tasks use up its limit of %v", account.limit)
 	case len(c.byID) == 0:
 		return "no worker is known"
 	case rejected == len(c.byID):
-		return fmt.Sprintf("%d tasks wait: none of %d workers can take one now", e.job.Tasks, len(c.byID))
+		return fmt.Sprintf("%d tasks are queued: none of %d workers can run one now", e.job.Tasks, len(c.byID))
 	case e.job.Policy == Gang:
 		return fmt.Sprintf("the gang starts when all its %d tasks fit at once", e.job.Tasks)
 	}
-	return fmt.Sprintf("%d tasks wait for their turn; %d of %d workers could take one now", e.job.Tasks, len(c.byID)-rejected, len(c.byID))
+	return fmt.Sprintf("%d tasks are queued behind others; %d of %d workers could run one now", e.job.Tasks, len(c.byID)-rejected, len(c.byID))
 }
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// request is one task that looks for a worker in one evaluation.
+// request is the search for a worker for one task, in one evaluation.
 type request struct {
 	cluster    *Cluster
 	entry      *entry
@@ -11,17 +11,18 @@
 	evaluation uint64
 }
 
-// ends is when the task would end if it started now, at the high estimate.
+// expectedEnd is when the task would end if it started now, at the high
+// estimate of its run time.
 func (r *request) expectedEnd() time.Time { return r.now.Add(r.entry.runtime.high) }
 
-// filter takes workers out that may not run the task.
+// filter rejects workers that may not run the task.
 type filter struct {
 	name    string
 	rejects func(*request, *worker) bool
 }
 
-// filters are asked in this order; explain counts a worker at the first one
-// that rejects it.
+// filters are applied in this order. Explain counts a worker for the first
+// filter that rejects it. The names are shown to clients.
 var filters = []filter{
 	{name: "not announced", rejects: func(_ *request, w *worker) bool { return !w.announced }},
 	{name: "lease not held", rejects: func(_ *request, w *worker) bool { return !w.Live }},
@@ -37,10 +38,11 @@
 	{name: "reserved for waiting work", rejects: rejectReserved},
 }
 
+// filterFailedHere names the filter for workers on which the job failed before.
 const filterFailedHere = "the job failed here before"
 
-// rejectFailedHere sends a retried job to other workers, as long as there is
-// one on which it has not failed yet.
+// rejectFailedHere sends a retried job to a worker on which it has not failed
+// yet, as long as there is one.
 func rejectFailedHere(r *request, w *worker) bool {
 	if r.record == nil || !r.record.failedOn[w.ID] {
 		return false
@@ -48,8 +50,9 @@
 	return len(r.record.failedOn) < len(r.cluster.byID)
 }
 
-// rejectReserved keeps the room that a blocked gang needs at its computed
-// start: a task may only start there if it ends before, or fits beside.
+// rejectReserved protects the reservation of another entry. A task may only
+// start on the worker if it ends before the reserved start time or fits beside
+// the reserved resources.
 func rejectReserved(r *request, w *worker) bool {
 	if w.reservedEval != r.evaluation || r.entry == w.reservation.owner {
 		return false
@@ -60,7 +63,8 @@
 	return !r.entry.need.within(w.reservation.remaining)
 }
 
-// rejectedBy names the first filter that takes the worker out, or "".
+// rejectedBy returns the name of the first filter that rejects the worker, or
+// "".
 func (r *request) rejectedBy(w *worker) string {
 	for _, f := range filters {
 		if f.rejects(r, w) {
--- a/placement/gang.go
+++ b/placement/gang.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// overdueRemaining is how much longer a task is expected to run that has run longer
-// than its high estimate.
+// overdueRemaining is the assumed remaining run time of a task that has
+// exceeded its high estimate.
 const overdueRemaining = 30 * time.Second
 
-// placeGang starts all tasks of a gang or none. Nothing is held for a part of
-// the gang, so two gangs can't each hold half of what the other waits for.
+// placeGang starts all tasks of a gang or none, and reports whether it did.
+// Holding resources for a part of a gang could deadlock two gangs, each holding
+// what the other needs.
 func (p *planner) placeGang(e *entry) bool {
 	tasks := p.remaining(e)
 	if tasks > p.budget && len(p.plan.Starts) > 0 {
-		// The next evaluation has the whole limit; a gang above the limit
-		// has one for itself.
+		// Leave the gang to the next evaluation, which has its whole budget. A
+		// gang larger than the budget gets an evaluation of its own.
 		p.budget = 0
 		return false
 	}
@@ -52,7 +53,8 @@
 	return true
 }
 
-// hasSlotsFor counts free places for the tasks, and stops when there are enough.
+// hasSlotsFor reports whether that many tasks of the entry fit now. It stops
+// counting once they do.
 func (p *planner) hasSlotsFor(e *entry, tasks int) bool {
 	found := 0
 	p.cluster.free.ascend(e.need, func(w *worker) bool {
@@ -62,8 +64,10 @@
 	return found >= tasks
 }
 
-// forecast walks the expected ends until enough workers have room. Workers
-// that carry the reservation of another entry are left out.
+// forecast predicts when the entry can start by releasing running tasks in
+// order of their expected ends until it fits. It leaves out workers with the
+// reservation of another entry. It returns nil if the entry does not fit even
+// then.
 func (p *planner) forecast(e *entry) *forecast {
 	p.cluster.forecasts++
 	f := &forecast{at: p.now, tasksLeft: 1}
--- a/placement/health.go
+++ b/placement/health.go
@@ -3,31 +3,33 @@
 import "time"
 
 const (
-	// minSuspectWorkers is on how many workers a job must fail, without a success
-	// anywhere, before the job itself is taken for the cause.
+	// minSuspectWorkers is the number of workers on which a job must fail,
+	// without succeeding anywhere, before the job itself counts as the cause.
 	minSuspectWorkers = 3
-	// maxFailedJobs bounds what is kept of the failures of one worker.
+	// maxFailedJobs bounds the jobs in the failure record of one worker.
 	maxFailedJobs = 16
 )
 
-// health is what the recent starts on a worker showed.
+// health is the failure record of a worker.
 type health struct {
 	// failures counts the failed starts since the last success, by job.
 	failures map[string]int
-	// since is the time of the first of those failures.
+	// firstFailureAt is the time of the first failure since the last success.
 	firstFailureAt time.Time
 	quarantined    bool
-	probeAt        time.Time
-	backoff        time.Duration
-	// quarantinedAt is when the worker was set aside.
+	// probeAt is the earliest time of the next probe, backoff the current pause
+	// between probes.
+	probeAt time.Time
+	backoff time.Duration
+	// quarantinedAt is when the worker was quarantined.
 	quarantinedAt time.Time
-	// probing is true while a probe runs.
+	// probing is set while a probe runs.
 	probing bool
 }
 
-// ReportFailure records that a start of a job failed on a worker. A worker
-// that fails whatever it starts is set aside; a job that fails wherever it is
-// started does not count against workers.
+// ReportFailure records that a job failed to run on a worker. A worker on which
+// different jobs fail is quarantined. A job that fails on every worker does not
+// count against the workers.
 func (c *Cluster) ReportFailure(workerID, job string, now time.Time) {
 	w, found := c.workers[workerID]
 	if !found || c.opts.NoQuarantine {
@@ -47,11 +49,11 @@
 	c.dropIdleJobRecord(job)
 }
 
-// ReportSuccess records that a task of a job succeeded on a worker, which takes
-// the worker back into use. It may be called before or after Unplace. A task
-// that was started before the worker began to fail says nothing of its state
-// now: taking it for a sign of health would put a broken worker back to work
-// each time that one of its older tasks ends.
+// ReportSuccess records that a task succeeded on a worker and ends the worker's
+// quarantine. It may be called before or after Unplace. The success of a task
+// that started before the first failure is ignored: it does not show that the
+// worker can start tasks now, and a broken worker would return to service each
+// time one of its older tasks ends.
 func (c *Cluster) ReportSuccess(workerID, job string, now time.Time) {
 	if r, found := c.jobs[job]; found {
 		r.succeeded = true
@@ -76,8 +78,9 @@
 	}
 }
 
-// startOf is when a task of the job started on the worker: the one that ended
-// last, or else the oldest that runs.
+// startOf returns when a task of the job started on the worker: the task that
+// ended last if it belongs to the job, otherwise the oldest running one,
+// otherwise now.
 func (w *worker) startOf(job string, now time.Time) time.Time {
 	if w.lastEnded.Job == job {
 		return w.lastEnded.Started
@@ -91,7 +94,7 @@
 	return first
 }
 
-// Quarantined lists the workers that get no work but probes, by ID.
+// Quarantined returns the IDs of the workers that get only probes, sorted.
 func (c *Cluster) Quarantined() []string {
 	var ids []string
 	for _, w := range c.byID {
@@ -102,6 +105,7 @@
 	return ids
 }
 
+// countFailure adds a failure of the job to the worker's failure record.
 func (c *Cluster) countFailure(w *worker, job string, now time.Time) {
 	if len(w.health.failures) == 0 {
 		w.health.failures = map[string]int{}
@@ -113,9 +117,10 @@
 	w.health.failures[job]++
 }
 
-// blames says whether the failures since the last success are the worker's
-// fault. One job alone can't convict a worker unless it succeeded elsewhere:
-// otherwise a broken job would take worker after worker out of service.
+// workerAtFault reports whether the failures since the last success are the
+// worker's fault. They must come from several jobs, or from one that succeeded
+// elsewhere. Otherwise a single broken job would quarantine one worker after
+// the other.
 func (c *Cluster) workerAtFault(w *worker) bool {
 	failures, jobs, succeededElsewhere := 0, 0, false
 	for job, n := range w.health.failures {
@@ -130,19 +135,21 @@
 	return failures >= c.opts.FailuresBeforeQuarantine && (jobs > 1 || succeededElsewhere)
 }
 
-// suspect says that the job and not its workers is the cause of its failures.
+// suspect reports whether the job, and not its workers, probably causes its
+// failures.
 func (r *jobRecord) suspect() bool {
 	return !r.succeeded && len(r.failedOn) >= minSuspectWorkers
 }
 
-// JobSuspect says whether a job failed on several workers and nowhere
-// succeeded, so that more attempts are of no use.
+// JobSuspect reports whether a job failed on several workers and succeeded on
+// none, so that more attempts are useless.
 func (c *Cluster) JobSuspect(job string) bool {
 	r, found := c.jobs[job]
 	return found && r.suspect()
 }
 
-// forgive takes the failures of a job that was itself at fault from workers.
+// discountFailures removes the failures of a job that was itself at fault from
+// the records of the workers.
 func (c *Cluster) discountFailures(job string, r *jobRecord) {
 	if !r.suspect() {
 		return
@@ -154,6 +161,7 @@
 	}
 }
 
+// quarantine takes a worker out of placement until a probe succeeds.
 func (c *Cluster) quarantine(w *worker, now time.Time) {
 	c.free.remove(w)
 	c.countCapacity(w, -1)
@@ -163,10 +171,10 @@
 	w.health.probeAt = now.Add(w.health.backoff)
 }
 
-// postponeProbe doubles the pause after a failed probe. Failures of tasks that
-// were started before the worker was set aside don't count as probes. Which it
-// is goes by the start: the owner may have unplaced the probe already, and if
-// that failure were not counted the next probe would follow at once.
+// postponeProbe doubles the backoff after a failed probe. Failures of tasks
+// that started before the quarantine are not probes. The start time decides,
+// not the probing mark: the caller may have unplaced the probe already, and if
+// its failure did not count, the next probe would follow at once.
 func (c *Cluster) postponeProbe(w *worker, job string, now time.Time) {
 	if w.startOf(job, now).Before(w.health.quarantinedAt) {
 		return
--- a/placement/invariant.go
+++ b/placement/invariant.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// invariant stops the program when a rule of the package that no caller can
-// break does not hold: going on would start work that was never checked.
+// invariant panics if holds is false. It guards rules that only a defect in
+// this package can break: continuing would start tasks that were never checked.
 func invariant(holds bool, format string, args ...any) {
 	if holds {
 		return
--- a/placement/options.go
+++ b/placement/options.go
@@ -2,54 +2,56 @@
 
 import "time"
 
-// Options are the limits and switches of a Cluster.
+// Options are the limits and switches of a Cluster. Shares are fractions
+// between 0 and 1.
 type Options struct {
-	// MaxQueue is the number of tasks that may wait; more are refused at
-	// submission. Zero means no limit.
+	// MaxQueue is the maximum number of queued tasks; jobs beyond it are
+	// refused at submission. Zero means no limit.
 	MaxQueue int
-	// DueWindow is how long before its latest start accepted work goes ahead
-	// of the fair order between customers.
+	// DueWindow is how long before its latest start time an accepted job gets
+	// priority over the fair order between customers.
 	DueWindow time.Duration
-	// Reservations is how many blocked gangs may hold a computed start time.
+	// Reservations is how many blocked gangs or due jobs may hold a
+	// reservation.
 	Reservations int
-	// FairReservations is how many customers that use least may hold a
-	// computed start time for a task that fits nowhere now.
+	// FairReservations is how many of the least served customers may hold a
+	// reservation for a task that fits no worker now.
 	FairReservations int
-	// LargeReservations is how many tasks that need a great part of a worker
-	// may hold a computed start time, in order of submission.
+	// LargeReservations is how many large tasks may hold a reservation, in
+	// order of submission.
 	LargeReservations int
-	// Efficiency is the part of the free capacity that admission expects
-	// waiting work to get. It covers fragmentation, errors of run times and
-	// the order of shares between customers. A lower value refuses earlier in
-	// an overload, and large jobs before small ones.
+	// Efficiency is the share of the free capacity that admission expects
+	// queued work to get. It accounts for fragmentation, errors of estimated
+	// run times and the fair order between customers. A lower value causes
+	// earlier refusals under overload, of large jobs before small ones.
 	Efficiency float64
-	// MaxCustomerShare is the part of what admission counts on that one customer's
-	// waiting work may take.
+	// MaxCustomerShare is the largest share of the queue, and of the capacity
+	// that admission counts on, that the queued work of one customer may take.
 	MaxCustomerShare float64
-	// FailuresBeforeQuarantine is how many starts in a row must fail on a worker
-	// before it gets no more work.
+	// FailuresBeforeQuarantine is the number of consecutive failures after
+	// which a worker is quarantined.
 	FailuresBeforeQuarantine int
-	// ProbeBackoff and MaxProbeBackoff bound the pause between the probes of a
-	// worker that is set aside; each failed probe doubles it.
+	// ProbeBackoff is the time from the quarantine of a worker to its first
+	// probe. Each failed probe doubles it, up to MaxProbeBackoff.
 	ProbeBackoff    time.Duration
 	MaxProbeBackoff time.Duration
 
-	// The switches below make the baseline that measurements compare with.
+	// The switches below turn the scheduler into the baseline for comparisons.
 
-	// FirstComeFirstServed orders the queue by submission only; the first task that does
-	// not fit holds back all that follow.
+	// FirstComeFirstServed orders the queue by submission only. The first task
+	// that does not fit blocks all later ones.
 	FirstComeFirstServed bool
-	// FirstFit takes the first worker by ID that has room.
+	// FirstFit chooses the first worker by ID on which a task fits.
 	FirstFit bool
-	// NoAdmission accepts everything.
+	// NoAdmission accepts every job.
 	NoAdmission bool
-	// NoCorrection believes declared run times and needs.
+	// NoCorrection uses declared run times and needs without estimates.
 	NoCorrection bool
-	// NoQuarantine goes on using workers that fail everything.
+	// NoQuarantine keeps using workers on which everything fails.
 	NoQuarantine bool
 }
 
-// DefaultOptions are the settings that the measurements were made with.
+// DefaultOptions returns the default settings.
 func DefaultOptions() Options {
 	return Options{
 		MaxQueue:                 50_000,
@@ -65,8 +67,8 @@
 	}
 }
 
-// BaselineOptions switch off everything that this package adds to first come
-// first served with first fit.
+// BaselineOptions returns the settings of a plain first come, first served
+// scheduler with first fit.
 func BaselineOptions() Options {
 	o := DefaultOptions()
 	o.MaxQueue = 0
--- a/placement/preempt.go
+++ b/placement/preempt.go
@@ -2,13 +2,14 @@
 
 import "sort"
 
-// maxPreemptionCandidates bounds how many suitable workers are compared.
+// maxPreemptionCandidates bounds how many workers are compared for one
+// preemption.
 const maxPreemptionCandidates = 16
 
-// preemptFor looks for running work to stop so that an urgent entry can start.
-// Room that is being given back already is counted first, so that a second
-// evaluation before the stopped tasks have ended asks for no more of them.
-// It says whether room will come for all tasks of the entry.
+// preemptFor plans preemptions so that an urgent entry can start. Resources of
+// tasks that are already stopping count first, so that evaluations before those
+// tasks have ended preempt no more of them. It reports whether all tasks of the
+// entry will get resources.
 func (p *planner) preemptFor(e *entry) bool {
 	for n := p.unplannedTasks(e); n > 0; n-- {
 		w, victims := p.cheapestVictims(e)
@@ -20,7 +21,7 @@
 	return true
 }
 
-// unplanned is how many tasks of the entry the plan does not start.
+// unplannedTasks is how many tasks of the entry the plan does not start.
 func (p *planner) unplannedTasks(e *entry) int {
 	if e.plannedEval != p.evaluation {
 		return e.job.Tasks
@@ -28,8 +29,8 @@
 	return e.job.Tasks - e.planned
 }
 
-// expected is the room of a worker once all that is told to stop has ended,
-// less what other urgent work of this evaluation claims.
+// expectedFree is what the worker has free once all stopping tasks have ended,
+// less what other urgent entries take in this evaluation.
 func (p *planner) expectedFree(w *worker) Resources {
 	if w.reservedEval == p.evaluation {
 		return w.reservation.remaining
@@ -37,7 +38,9 @@
 	return w.free.plus(w.stopping)
 }
 
-// cheapestVictims chooses the worker on which the least finished work is lost.
+// cheapestVictims chooses the worker on which preemption loses the least work,
+// and the tasks to preempt there. The worker is nil if no preemption frees
+// enough.
 func (p *planner) cheapestVictims(e *entry) (*worker, []*placedTask) {
 	var best *worker
 	var victims []*placedTask
@@ -63,7 +66,9 @@
 	return best, victims
 }
 
-// victimsOn takes the youngest preemptible tasks until the need fits.
+// victimsOn selects the most recently started preemptible tasks until need
+// fits. It returns them with the work they lose, in milli-core seconds, and
+// whether need fits then.
 func (p *planner) victimsOn(w *worker, need, free Resources) ([]*placedTask, float64, bool) {
 	var preemptible []*placedTask
 	for _, t := range w.tasks {
@@ -93,6 +98,7 @@
 	return victims, cost, need.within(free)
 }
 
+// lessKey orders tasks by job and task number.
 func lessKey(a, b *placedTask) bool {
 	if a.Job != b.Job {
 		return a.Job < b.Job
@@ -100,19 +106,21 @@
 	return a.Task < b.Task
 }
 
-// helps says whether a task gives back something of what is still missing.
+// reducesShortfall reports whether released contains a resource of which need
+// exceeds free.
 func reducesShortfall(released, need, free Resources) bool {
 	return released.CPU > 0 && need.CPU > free.CPU ||
 		released.Memory > 0 && need.Memory > free.Memory ||
 		released.Accelerators > 0 && need.Accelerators > free.Accelerators
 }
 
-// claim plans the stops and keeps the room of the worker for the urgent entry.
+// planPreemption adds the preemptions to the plan and reserves the resources of
+// the worker for the urgent entry.
 func (p *planner) planPreemption(e *entry, w *worker, victims []*placedTask) {
 	free := p.expectedFree(w)
 	for _, t := range victims {
-		// A task that is not idempotent may not be run again: stopping it
-		// would leave its customer with work that can never be finished.
+		// A non-idempotent task must not run again: preempting it would leave
+		// its customer with a task that can never finish.
 		invariant(t.Idempotent && t.Policy == Batch && !t.Urgent, "task %s/%d must not be preempted", t.Job, t.Task)
 		t.preemptedEval = p.evaluation
 		free = free.plus(t.Need)
--- a/placement/profile.go
+++ b/placement/profile.go
@@ -6,30 +6,36 @@
 	"github.com/tidwall/btree"
 )
 
-// profileStepSeconds is the width in seconds of the steps of a profile. Ends are
-// rounded up to a step, which overstates what runs by less than one step each.
+// profileStepSeconds is the width of the steps of a profile. Expected ends are
+// rounded up to a step, so the usage of a task is overstated by less than one
+// step.
 const profileStepSeconds = 4
 
-// profile is what the running tasks on open workers hold, by expected end. It
-// is kept with every start and end, so that admission only walks its steps.
+// profile is the usage of running tasks on the workers that count for
+// admission, by expected end. It is updated with every start and end of a task,
+// so admission only walks its steps.
 type profile struct {
 	steps btree.Map[int64, *profileCell]
 	need  Resources
-	// moment is the sum of need times end, in seconds after the origin.
+	// firstMoment is the sum of need times expected end, in seconds after
+	// origin.
 	firstMoment resourceSeconds
 	origin      int64
 }
 
+// profileCell is the usage of all tasks whose expected ends round up to the
+// same step.
 type profileCell struct {
 	need  Resources
 	tasks int
 }
 
+// profileKey returns the step of an expected end, in Unix seconds.
 func profileKey(end time.Time) int64 {
 	return (end.Unix()/profileStepSeconds + 1) * profileStepSeconds
 }
 
-// add counts a task in (sign 1) or out (sign -1).
+// add adds (sign 1) or removes (sign -1) a task.
 func (p *profile) add(t *placedTask, sign int64) {
 	key := profileKey(t.expectedEnd)
 	if p.origin == 0 {
@@ -52,9 +58,9 @@
 	}
 }
 
-// upperBound is about all that the running tasks still take. Tasks that have run
-// longer than expected count as if they took the tail from now on, so it is
-// never less than what walk finds.
+// upperBound is the work that running tasks will still use, at most. Overdue
+// tasks count with overdueRemaining from now on, so the result is never below
+// that of walk. It needs no walk over the steps in the future.
 func (p *profile) upperBound(now time.Time) resourceSeconds {
 	elapsed := float64(now.Unix()-p.origin) - overdueRemaining.Seconds()
 	left := p.firstMoment.plus(resourceSecondsOf(p.need, -elapsed))
@@ -68,7 +74,7 @@
 	return left
 }
 
-// profileWalk reads a profile at growing times.
+// profileWalk reads a profile at increasing times.
 type profileWalk struct {
 	steps    btree.MapIter[int64, *profileCell]
 	more     bool
@@ -77,14 +83,15 @@
 	active   Resources
 }
 
+// walk starts a walk at now.
 func (p *profile) walk(now time.Time) *profileWalk {
 	w := &profileWalk{steps: p.steps.Iter(), active: p.need, now: float64(now.UnixMilli()) / 1000}
 	w.more = w.steps.First()
 	return w
 }
 
-// until is the work that running tasks take within the next seconds; it may
-// only be asked for growing times.
+// until returns the work that running tasks use within the next seconds. Calls
+// must pass increasing values.
 func (w *profileWalk) until(seconds float64) resourceSeconds {
 	for w.more {
 		cell := w.steps.Value()
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -7,13 +7,14 @@
 	"github.com/tidwall/btree"
 )
 
-// class is the first key of the order of the queue.
+// class is the priority class of an entry, highest first.
 type class uint8
 
 const (
 	classUrgent class = iota
 	classService
 	classNormal
+	// classCount is the number of classes.
 	classCount
 )
 
@@ -23,31 +24,36 @@
 	need    Resources
 	runtime estimate
 	class   class
-	// latest is when a task must start to end by the deadline at the high
-	// estimate of its run time; after hopeless not even the low one helps.
+	// latestStart is when a task must start to meet the deadline at the high
+	// estimate of its run time. After lastFeasibleStart it misses the deadline
+	// even at the low estimate.
 	latestStart       time.Time
 	lastFeasibleStart time.Time
-	// latestStartMicros and submittedMicros are latest and the submission in Unix
-	// microseconds, for quick comparison.
+	// latestStartMicros and submittedMicros are latestStart and the submission
+	// time in Unix microseconds, for fast comparison.
 	latestStartMicros int64
 	submittedMicros   int64
-	// large tasks need a great part of a worker.
+	// large marks a batch job whose tasks need a large share of a worker.
 	large    bool
 	account  *customer
 	subqueue *subqueue
-	delayed  bool
-	// planned counts the tasks that the evaluation numbered plannedEval starts.
+	// delayed is set while the entry waits for its NotBefore.
+	delayed bool
+	// planned is the number of tasks that the evaluation numbered plannedEval
+	// starts.
 	planned     int
 	plannedEval uint64
-	// skippedEval is the evaluation that is done with the entry, refusedEval the
-	// one that refused it.
+	// skippedEval is the last evaluation that made no more attempts for the
+	// entry, refusedEval the one that refused it.
 	skippedEval uint64
 	refusedEval uint64
-	// reservedEval is the evaluation that looked for a reservation.
+	// reservedEval is the last evaluation that tried to reserve resources for
+	// the entry.
 	reservedEval    uint64
 	demandBucketKey int64
 }
 
+// lessLatestStart orders entries by latest start, then by submission.
 func lessLatestStart(a, b *entry) bool {
 	if a.latestStartMicros != b.latestStartMicros {
 		return a.latestStartMicros < b.latestStartMicros
@@ -55,6 +61,7 @@
 	return lessSubmitted(a, b)
 }
 
+// lessSubmitted orders entries by submission, then by job ID.
 func lessSubmitted(a, b *entry) bool {
 	if a.submittedMicros != b.submittedMicros {
 		return a.submittedMicros < b.submittedMicros
@@ -62,6 +69,7 @@
 	return a.job.ID < b.job.ID
 }
 
+// lessLastFeasibleStart orders entries by last feasible start, then by job ID.
 func lessLastFeasibleStart(a, b *entry) bool {
 	if !a.lastFeasibleStart.Equal(b.lastFeasibleStart) {
 		return a.lastFeasibleStart.Before(b.lastFeasibleStart)
@@ -69,6 +77,7 @@
 	return a.job.ID < b.job.ID
 }
 
+// lessNotBefore orders entries by NotBefore, then by job ID.
 func lessNotBefore(a, b *entry) bool {
 	if !a.job.NotBefore.Equal(b.job.NotBefore) {
 		return a.job.NotBefore.Before(b.job.NotBefore)
@@ -76,29 +85,30 @@
 	return a.job.ID < b.job.ID
 }
 
-// shape is what makes entries alike for the question whether they fit now:
+// shape is the equivalence class of entries that fit or do not fit together:
 // the need of one task and, for gangs, the number of tasks.
 type shape struct {
 	need Resources
 	gang int
 }
 
-// shapeState is shared by all entries of a shape. blocked holds from a search
-// that found no room until some worker has room for one task again, so that a
-// full cluster costs nothing per queued entry.
+// shapeState is the state that all entries of a shape share. blocked is set
+// when a search finds no worker with enough free resources and cleared once one
+// task fits on some worker. Thus a full cluster costs nothing per queued entry.
 type shapeState struct {
 	shape     shape
 	subqueues []*subqueue
 	blocked   bool
-	// reservedMissEval is the evaluation in which entries of the shape found room that
-	// a reservation keeps, misses how many did and minReservedMissRun the shortest run
-	// time among them: whatever takes as long would find the same.
+	// reservedMissEval is the evaluation in which entries of the shape fitted
+	// only into reserved resources. reservedMisses counts them, and
+	// minReservedMissRun is the shortest run time among them: entries with at
+	// least that run time would miss as well.
 	reservedMissEval   uint64
 	reservedMisses     int
 	minReservedMissRun time.Duration
 }
 
-// hold notes that an entry found only room that is reserved.
+// recordReservedMiss records that an entry fitted only into reserved resources.
 func (s *shapeState) recordReservedMiss(evaluation uint64, runtime time.Duration) {
 	if s.reservedMissEval != evaluation {
 		s.reservedMissEval, s.reservedMisses, s.minReservedMissRun = evaluation, 0, runtime
@@ -107,53 +117,58 @@
 	s.minReservedMissRun = min(s.minReservedMissRun, runtime)
 }
 
-// exhausted says that the evaluation has tried enough entries of the shape.
+// exhausted reports whether the evaluation has tried enough entries of the
+// shape.
 func (s *shapeState) exhausted(evaluation uint64) bool {
 	return s.reservedMissEval == evaluation && s.reservedMisses > lookahead
 }
 
-// holds says whether an entry is known to find only reserved room.
+// findsOnlyReserved reports whether an entry with this run time is known to fit
+// only into reserved resources.
 func (s *shapeState) findsOnlyReserved(evaluation uint64, runtime time.Duration) bool {
 	return s.reservedMissEval == evaluation && (s.reservedMisses > lookahead || runtime >= s.minReservedMissRun)
 }
 
-// line is the entries of one customer, class and shape, by latest start.
+// subqueue holds the entries of one customer, class and shape, by latest start.
 type subqueue struct {
 	customer   *customer
 	class      class
 	shapeState *shapeState
 	entries    *btree.BTreeG[*entry]
-	// doneEval is the evaluation that is done with the line.
+	// doneEval is the last evaluation that gave up on the subqueue.
 	doneEval uint64
-	// cursor is how far the evaluation numbered cursorEval has come.
+	// cursor is the position of the evaluation numbered cursorEval.
 	cursor     *entry
 	cursorEval uint64
 }
 
-// customer is the account of fair shares of one customer.
+// customer is the record of one customer: usage, limit, weight and queued
+// entries.
 type customer struct {
 	name    string
 	used    Resources
 	limited bool
 	limit   Resources
-	// weight scales the share that the customer is due; zero stands for one.
-	weight       float64
-	subqueues    [classCount]map[shape]*subqueue
+	// weight divides the used share in the fair order; zero stands for one.
+	weight    float64
+	subqueues [classCount]map[shape]*subqueue
+	// readyEntries is the number of queued entries that are not delayed.
 	readyEntries int
-	// booked is the work of the customer in the queue, and horizon the latest
-	// of its deadlines since the queue last held nothing of it.
+	// queuedDemand is the work of the customer's queued entries. horizon is the
+	// latest of their deadlines, and those of earlier entries, since the
+	// customer last had none queued.
 	queuedDemand resourceSeconds
 	entries      int
 	tasks        int
 	horizon      time.Time
-	// ready are the lines of readyClass that the evaluation numbered readyEval
-	// may serve.
+	// readySubqueues are the subqueues of readyClass that the evaluation
+	// numbered readyEval may still serve.
 	readySubqueues []*subqueue
 	readyEval      uint64
 	readyClass     class
 }
 
-// share is how much of the capacity the customer uses, for its weight.
+// share is the customer's dominant share of the capacity divided by its weight.
 func (c *customer) share(capacity Resources) float64 {
 	share := c.used.share(capacity)
 	if c.weight > 0 {
@@ -162,9 +177,12 @@
 	return share
 }
 
+// addUsage adds need to the resources that the customer uses; a negative need
+// subtracts.
 func (c *customer) addUsage(need Resources) { c.used = c.used.plus(need) }
 
-// allows says whether one more task keeps the customer within its limit.
+// allows reports whether using need as well keeps the customer within its
+// limit.
 func (c *customer) allows(need Resources) bool {
 	if !c.limited {
 		return true
@@ -175,16 +193,17 @@
 		withinLimit(after.Accelerators, c.limit.Accelerators)
 }
 
-// below treats a negative limit as none.
+// withinLimit reports whether amount is within limit. A negative limit means
+// unlimited.
 func withinLimit(amount, limit int64) bool { return limit < 0 || amount <= limit }
 
-// queue holds the entries under the orders that the evaluation walks.
+// queue holds the entries in all orders that an evaluation walks.
 type queue struct {
 	entries   map[string]*entry
 	tasks     int
 	customers map[string]*customer
 	blocked   []*shapeState
-	// serviceNeed is what the services in the queue ask for.
+	// serviceNeed is the need of all queued services.
 	serviceNeed         Resources
 	shapes              map[shape]*shapeState
 	shapeList           []*shapeState
@@ -192,12 +211,12 @@
 	bySubmitted         *btree.BTreeG[*entry]
 	byLastFeasibleStart *btree.BTreeG[*entry]
 	gangs               *btree.BTreeG[*entry]
-	// large are the batch entries that need a great part of a worker, by
-	// arrival.
+	// largeBatch are the entries marked large, by submission.
 	largeBatch *btree.BTreeG[*entry]
 	delayed    *btree.BTreeG[*entry]
 }
 
+// newQueue returns an empty queue.
 func newQueue() queue {
 	return queue{
 		entries:             map[string]*entry{},
@@ -212,10 +231,13 @@
 	}
 }
 
+// newOrder returns an empty ordered set without locks, since one goroutine owns
+// the queue.
 func newOrder(less func(a, b *entry) bool) *btree.BTreeG[*entry] {
 	return btree.NewBTreeGOptions(less, btree.Options{NoLocks: true})
 }
 
+// customer returns the record of a customer and creates it if there is none.
 func (q *queue) customer(name string) *customer {
 	if c, found := q.customers[name]; found {
 		return c
@@ -228,7 +250,8 @@
 	return c
 }
 
-// add takes an entry in; one with a NotBefore is held until release.
+// add adds an entry. An entry with a NotBefore stays delayed until
+// releaseDelayed.
 func (q *queue) add(e *entry) {
 	q.entries[e.job.ID] = e
 	q.tasks += e.job.Tasks
@@ -242,6 +265,8 @@
 	q.makeReady(e)
 }
 
+// countService adds (sign 1) or subtracts (sign -1) the entry in serviceNeed,
+// if it is a service.
 func (q *queue) countService(e *entry, sign int64) {
 	if e.job.Policy != Service {
 		return
@@ -249,7 +274,7 @@
 	q.serviceNeed = q.serviceNeed.plus(e.need.times(sign * int64(e.job.Tasks)))
 }
 
-// ready puts an entry into the orders that starts are taken from.
+// makeReady adds an entry to the orders from which evaluations start tasks.
 func (q *queue) makeReady(e *entry) {
 	e.delayed = false
 	e.subqueue = q.subqueueFor(e)
@@ -268,12 +293,14 @@
 	}
 }
 
-// shrink sets the number of tasks that an entry has left.
+// setRemaining sets the number of tasks of an entry that are still to be
+// placed.
 func (q *queue) setRemaining(e *entry, tasks int) {
 	q.tasks += tasks - e.job.Tasks
 	e.job.Tasks = tasks
 }
 
+// remove removes an entry from all orders.
 func (q *queue) remove(e *entry) {
 	delete(q.entries, e.job.ID)
 	q.tasks -= e.job.Tasks
@@ -299,7 +326,7 @@
 	}
 }
 
-// release readies the entries whose NotBefore has passed.
+// releaseDelayed makes the entries ready whose NotBefore has passed.
 func (q *queue) releaseDelayed(now time.Time) {
 	for {
 		e, found := q.delayed.Min()
@@ -311,6 +338,7 @@
 	}
 }
 
+// shapeOf returns the shape of an entry.
 func shapeOf(e *entry) shape {
 	s := shape{need: e.need}
 	if e.job.Policy == Gang {
@@ -319,6 +347,7 @@
 	return s
 }
 
+// subqueueFor returns the subqueue of an entry and creates it if there is none.
 func (q *queue) subqueueFor(e *entry) *subqueue {
 	s := shapeOf(e)
 	c := q.customer(e.job.Customer)
@@ -337,6 +366,8 @@
 	return sq
 }
 
+// dropEmptySubqueue deletes a subqueue without entries, and its shape if that
+// was the last subqueue of the shape.
 func (q *queue) dropEmptySubqueue(sq *subqueue) {
 	if sq.entries.Len() > 0 {
 		return
@@ -349,7 +380,7 @@
 	}
 }
 
-// without removes one item of a list, whose order does not matter.
+// removeUnordered removes one item of a list without keeping the order.
 func removeUnordered[T comparable](list []T, item T) []T {
 	at := slices.Index(list, item)
 	last := len(list) - 1
@@ -359,7 +390,7 @@
 	return list[:last]
 }
 
-// block marks a shape after a search that found no room for it.
+// block marks a shape that no worker can hold now.
 func (q *queue) block(s *shapeState) {
 	if s.blocked {
 		return
@@ -368,7 +399,7 @@
 	q.blocked = append(q.blocked, s)
 }
 
-// unblock clears the mark of every shape of which a task fits into free.
+// unblock clears the mark of every shape of which one task fits into free.
 func (q *queue) unblock(free Resources) {
 	kept := q.blocked[:0]
 	for _, s := range q.blocked {
--- a/placement/reserve.go
+++ b/placement/reserve.go
@@ -2,19 +2,21 @@
 
 import "time"
 
-// reservation holds room on a worker for work that starts there at a computed
-// time. It lives for one evaluation and is computed anew in the next, so that
-// a task which ends early or late moves it and nothing needs to be withdrawn.
+// reservation reserves resources on a worker for an entry that is expected to
+// start there at a computed time. It lasts for one evaluation, and the next one
+// computes it anew. A task that ends early or late thus moves it, and nothing
+// needs to be withdrawn.
 type reservation struct {
 	owner *entry
 	at    time.Time
-	// spare is what is left beside the reserved work at that time.
+	// remaining is what is expected to be free beside the reserved resources at
+	// that time.
 	remaining Resources
 }
 
-// reserve computes when the entry can start, from the expected ends of what
-// runs, and keeps the room it needs then. Other work may use that room until
-// then (backfill), so nothing stands idle for a guess.
+// reserve forecasts when the entry can start and reserves the resources that it
+// needs then. Other tasks may use them until then (backfill), so a reservation
+// leaves nothing idle.
 func (p *planner) reserve(e *entry) {
 	if p.reservations == 0 || e.reservedEval == p.evaluation || !e.subqueue.customer.allows(e.need) {
 		return
@@ -37,13 +39,15 @@
 	}
 }
 
-// outlook is what a forecast expects of one worker.
+// workerForecast is the forecast for one worker: the resources released by then
+// and the number of the entry's tasks that fit.
 type workerForecast struct {
 	released Resources
 	tasks    int
 }
 
-// workerForecastOf returns the outlook of the running forecast, empty at first.
+// workerForecastOf returns the worker's part of the current forecast. It resets
+// what an earlier forecast left.
 func (c *Cluster) workerForecastOf(w *worker) *workerForecast {
 	if w.forecastID != c.forecasts {
 		w.forecastID = c.forecasts
@@ -52,14 +56,16 @@
 	return &w.forecast
 }
 
-// forecast is the earliest start of an entry as far as it can be told.
+// forecast is the predicted earliest start of an entry and the workers for its
+// tasks. tasksLeft is the number of tasks that do not fit yet.
 type forecast struct {
 	at        time.Time
 	tasksLeft int
 	chosen    []*worker
 }
 
-// offer counts the tasks that fit on a worker by now in the forecast.
+// addCandidate adds to the forecast the tasks that fit on the worker with the
+// resources released so far. It reports whether any more fit.
 func (p *planner) addCandidate(f *forecast, e *entry, w *worker) bool {
 	o := p.cluster.workerForecastOf(w)
 	free := w.free.plus(o.released)
@@ -78,6 +84,7 @@
 	return true
 }
 
+// laterOf returns the later of two times.
 func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -85,7 +92,8 @@
 	return b
 }
 
-// chargeReservation charges a start that outlasts a reservation to what is spare.
+// chargeReservation subtracts a start that outlasts the worker's reservation
+// from what remains beside the reservation.
 func (c *Cluster) chargeReservation(evaluation uint64, e *entry, w *worker, now time.Time) {
 	if w.reservedEval != evaluation || w.reservation.owner == e {
 		return
@@ -96,8 +104,9 @@
 	w.reservation.remaining = w.reservation.remaining.minus(e.need)
 }
 
-// startPreviouslyReserved starts the work for which the last evaluation held room. By the
-// time that room is free, others have the smaller shares and would take it.
+// startPreviouslyReserved starts the jobs that had a reservation in the last
+// evaluation. Once the reserved resources are free, other customers have
+// smaller shares and the fair order would give the resources to them.
 func (p *planner) startPreviouslyReserved() {
 	for _, id := range p.previouslyReserved {
 		if e := p.cluster.queue.entries[id]; e != nil && !e.delayed && p.remaining(e) > 0 {
@@ -106,7 +115,8 @@
 	}
 }
 
-// reserveGangs starts or reserves the gangs that must start first.
+// reserveGangs starts the gangs with the earliest latest start times, or
+// reserves resources for them.
 func (p *planner) reserveGangs() {
 	visits := 0
 	p.cluster.queue.gangs.Scan(func(e *entry) bool {
@@ -121,9 +131,10 @@
 	})
 }
 
-// reserveLeastServed keeps a place for the customers that use least, when what they
-// queue is too large for any gap. Without it a flood of small tasks takes each
-// gap as it opens, and a larger task of another customer waits until it is due.
+// reserveLeastServed reserves resources for the customers with the smallest
+// shares whose next task fits no worker. Without it a flood of small tasks
+// takes resources as soon as they are free, and a larger task of another
+// customer starves until it is due.
 func (p *planner) reserveLeastServed() {
 	p.reservations += p.cluster.opts.FairReservations
 	for _, c := range p.leastServed(p.cluster.opts.FairReservations) {
@@ -133,9 +144,9 @@
 	}
 }
 
-// reserveLarge keeps places for the large tasks that have waited longest. Gaps
-// of their size hardly ever open by themselves in a full cluster, so they would
-// all wait until they are due, whatever the share of their customer.
+// reserveLarge reserves resources for the large tasks that were submitted
+// first. In a full cluster a worker rarely has that much free at once, so they
+// would all starve until they are due, whatever the share of their customer.
 func (p *planner) reserveLarge() {
 	p.reservations += p.cluster.opts.LargeReservations
 	reserved, visits := 0, 0
@@ -152,7 +163,8 @@
 	})
 }
 
-// leastServed are the n customers with the smallest shares that wait.
+// leastServed returns the n customers with the smallest shares among those with
+// ready entries.
 func (p *planner) leastServed(n int) []*customer {
 	least := make(shareHeap, 0, n+1)
 	for _, c := range p.cluster.queue.customers {
@@ -172,8 +184,8 @@
 	return list
 }
 
-// blockedBatchHead is the batch entry of a customer that must start first among
-// those for which no worker has room.
+// blockedBatchHead returns the batch entry of the customer with the earliest
+// latest start among those that fit no worker now, or nil.
 func (p *planner) blockedBatchHead(c *customer) *entry {
 	var first *entry
 	for _, sq := range c.subqueues[classNormal] {
--- a/placement/score.go
+++ b/placement/score.go
@@ -1,7 +1,7 @@
 package placement
 
-// score rates a worker that passed the filters; higher is better. Values are
-// between zero and one, so that the weights alone say what goes first.
+// score rates a worker that passed the filters; higher is better. Every rate is
+// between 0 and 1, so only the weights decide which score dominates.
 type score struct {
 	name   string
 	weight float64
@@ -9,30 +9,36 @@
 }
 
 var (
-	// scoreBinPacking prefers the worker that the task fills up most.
+	// scoreBinPacking prefers the worker that has the least left after the task
+	// is placed.
 	scoreBinPacking = score{name: "pack", weight: 1, rate: rateBinPacking}
-	// scoreAccelerators keeps workers with accelerators for work that needs them.
+	// scoreAccelerators keeps workers with accelerators for tasks that need
+	// them.
 	scoreAccelerators = score{name: "spare accelerators", weight: 4, rate: rateAccelerators}
-	// scoreHealth avoids workers whose last start failed.
+	// scoreHealth avoids workers with failures since their last success.
 	scoreHealth = score{name: "health", weight: 2, rate: rateHealth}
-	// scoreRack spreads the tasks of a service over racks, so that the loss
-	// of one rack takes as few of them as can be.
+	// scoreRack spreads the tasks of a service over racks, to limit how many
+	// are lost with one rack.
 	scoreRack = score{name: "rack spread", weight: 100, rate: rateRack}
 	// scoreWorker spreads the tasks of a service over the workers of a rack.
 	scoreWorker = score{name: "worker spread", weight: 10, rate: rateWorker}
 )
 
+// scoresOf lists the scores that apply to each policy.
 var scoresOf = map[Policy][]score{
 	Service: {scoreRack, scoreWorker, scoreAccelerators, scoreHealth, scoreBinPacking},
 	Batch:   {scoreAccelerators, scoreHealth, scoreBinPacking},
 	Gang:    {scoreAccelerators, scoreHealth, scoreBinPacking},
 }
 
+// rateBinPacking is 1 if the task fills the worker, less the mean fraction of
+// CPU and memory that stays free.
 func rateBinPacking(r *request, w *worker) float64 {
 	left := w.free.minus(r.entry.need)
 	return 1 - (ratio(left.CPU, w.Capacity.CPU)+ratio(left.Memory, w.Capacity.Memory))/2
 }
 
+// rateAccelerators is 0 for a worker with accelerators if the task needs none.
 func rateAccelerators(r *request, w *worker) float64 {
 	if r.entry.need.Accelerators == 0 && w.Capacity.Accelerators > 0 {
 		return 0
@@ -40,6 +46,7 @@
 	return 1
 }
 
+// rateHealth is 0 for a worker with failures since its last success.
 func rateHealth(_ *request, w *worker) float64 {
 	if len(w.health.failures) > 0 {
 		return 0
@@ -47,6 +54,7 @@
 	return 1
 }
 
+// rateRack falls with the number of the job's tasks in the rack of the worker.
 func rateRack(r *request, w *worker) float64 {
 	if r.record == nil {
 		return 1
@@ -54,6 +62,7 @@
 	return 1 / float64(1+r.record.racks[w.Rack])
 }
 
+// rateWorker falls with the number of the job's tasks on the worker.
 func rateWorker(r *request, w *worker) float64 {
 	if r.record == nil {
 		return 1
@@ -61,7 +70,7 @@
 	return 1 / float64(1+r.record.workers[w.ID])
 }
 
-// total adds the weighted scores of the policy.
+// weightedScore returns the weighted sum of the scores of the job's policy.
 func (r *request) weightedScore(w *worker) float64 {
 	sum := 0.0
 	for _, s := range scoresOf[r.entry.job.Policy] {
@@ -70,16 +79,18 @@
 	return sum
 }
 
-// candidates is how many workers with room are rated for batch and gang tasks:
-// the index gives the tightest first, so more would rarely change the choice.
+// maxRatedCandidates is how many fitting workers are rated for a batch or gang
+// task. The index returns the tightest fit first, so rating more rarely changes
+// the choice.
 const maxRatedCandidates = 8
 
-// search is the result of looking for a worker for one task.
+// search is the result of the search for a worker for one task.
 type search struct {
 	worker *worker
-	// roomy says that some open worker has room, whatever the filters say.
+	// anyFits is set if the task fits on some schedulable worker, whatever the
+	// filters say.
 	anyFits bool
-	// reserved says that some of that room is kept by a reservation.
+	// reserved is set if a reservation excluded such a worker.
 	reserved bool
 }
 
@@ -113,6 +124,7 @@
 	return s
 }
 
+// firstFit returns the first worker by ID on which the task fits, or nil.
 func (r *request) firstFit() *worker {
 	for _, w := range r.cluster.byID {
 		if w.schedulable() && r.entry.need.within(w.free) {
--- a/placement/serve.go
+++ b/placement/serve.go
@@ -2,16 +2,15 @@
 
 import "container/heap"
 
-// turn is a customer that may have an entry to serve.
+// shareItem is a customer with subqueues to serve, and its share.
 type shareItem struct {
 	customer *customer
 	share    float64
 }
 
-// turns is a heap with the customer that uses the smallest share for its weight
-// on top. The
-// order depends on what a customer runs and not on how much it queues, so a
-// flood only lengthens the wait of its own customer.
+// shareHeap is a heap with the smallest weighted share on top. Shares depend on
+// what a customer runs, not on how much it queues, so a flood only delays its
+// own customer.
 type shareHeap []shareItem
 
 func (t shareHeap) Len() int      { return len(t) }
@@ -29,8 +28,8 @@
 	return last
 }
 
-// serve places the entries of a class, in turns between the customers and by
-// latest start within each.
+// serve places the entries of a class. The customer with the smallest share
+// goes next, and within a customer the entry with the earliest latest start.
 func (p *planner) serve(k class) {
 	var byShare shareHeap
 	for _, c := range p.readyCustomers(k) {
@@ -50,8 +49,9 @@
 	}
 }
 
-// readyCustomers finds the customers with a line whose shape may fit. A full
-// cluster has few such shapes, however many customers and entries wait.
+// readyCustomers returns the customers with a subqueue whose shape is not
+// blocked; for urgent entries, blocked ones count too. A full cluster has few
+// unblocked shapes, however many customers and entries are queued.
 func (p *planner) readyCustomers(k class) []*customer {
 	var ready []*customer
 	for _, s := range p.cluster.queue.shapeList {
@@ -73,7 +73,8 @@
 	return ready
 }
 
-// nextSubqueue is the line of the customer whose head must start first.
+// nextSubqueue returns the customer's subqueue whose head has the earliest
+// latest start, or nil. It drops subqueues that this evaluation is done with.
 func (p *planner) nextSubqueue(c *customer) *subqueue {
 	var best *subqueue
 	var first *entry
@@ -96,7 +97,8 @@
 	return best
 }
 
-// head is the first entry of the line that this evaluation is not done with.
+// head returns the first entry of the subqueue that has tasks left for this
+// evaluation, or nil.
 func (p *planner) head(sq *subqueue) *entry {
 	if sq.cursorEval != p.evaluation {
 		sq.cursorEval = p.evaluation
@@ -117,8 +119,9 @@
 	return sq.cursor
 }
 
-// skipReservedEntries moves the cursor of a line to an entry that may end before the
-// reservation that holds the first one back. It gives up after a few.
+// skipReservedEntries moves the cursor to an entry that is short enough to end
+// before the reservation that excludes the head. It examines up to lookahead
+// entries and reports whether it found one.
 func (p *planner) skipReservedEntries(sq *subqueue) bool {
 	visits := 0
 	found := false
@@ -133,8 +136,8 @@
 	return found
 }
 
-// serveSubqueue tries the head of a line. When only reserved room is left for it,
-// a few entries behind it that take less time are tried too.
+// serveSubqueue tries to place the head of a subqueue, and plans preemptions if
+// it is urgent. An entry that fails is skipped for the rest of the evaluation.
 func (p *planner) serveSubqueue(sq *subqueue) {
 	e := p.head(sq)
 	if p.place(e) {
--- a/placement/state_machine_test.go
+++ b/placement/state_machine_test.go
@@ -9,14 +9,15 @@
 	"pgregory.net/rapid"
 )
 
-// machine drives a cluster with random calls and checks after each that what
-// is kept incrementally equals what a recount gives.
+// stateMachine calls a cluster at random. After each call it compares the
+// totals that the cluster updates incrementally with a recount.
 type stateMachine struct {
 	c        *Cluster
 	now      time.Time
 	nextTask map[string]int
 }
 
+// amount draws resources with up to max cores and max GiB.
 func (m *stateMachine) amount(t *rapid.T, max int64) Resources {
 	return Resources{
 		CPU:          1000 * rapid.Int64Range(1, max).Draw(t, "cpu"),
@@ -32,7 +33,7 @@
 func (m *stateMachine) SetWorker(t *rapid.T) {
 	id := workerID(t)
 	capacity := m.amount(t, 8)
-	// A worker does not shrink below what it runs.
+	// A worker must not shrink below what its tasks use.
 	if w, found := m.c.workers[id]; found {
 		capacity = capacity.atLeast(w.used)
 	}
@@ -108,7 +109,7 @@
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "pass")) * time.Second)
 }
 
-// Evaluate checks a plan against the accounts and commits it or drops it.
+// Evaluate checks a plan against the cluster and commits or drops it.
 func (m *stateMachine) Evaluate(t *rapid.T) {
 	before := m.recount()
 	plan := m.c.Evaluate(m.now, rapid.IntRange(1, 30).Draw(t, "max"))
@@ -123,7 +124,7 @@
 		must.True(t, !w.health.quarantined || !w.health.probing)
 	}
 	for id, need := range taken {
-		must.True(t, need.within(m.c.workers[id].free), must.Sprintf("plan overloads %s", id))
+		must.True(t, need.within(m.c.workers[id].free), must.Sprintf("plan overloads worker %s", id))
 	}
 	for id, n := range starts {
 		j := m.c.queue.entries[id].job
@@ -138,6 +139,7 @@
 	}
 }
 
+// commit applies the plan as the owner of the committed state does.
 func (m *stateMachine) commit(t *rapid.T, plan Plan) {
 	for _, s := range plan.Starts {
 		j := m.c.queue.entries[s.Job].job
@@ -155,7 +157,8 @@
 	}
 }
 
-// account is what a recount of the cluster gives.
+// recountedState is the totals of a cluster, recounted from its workers, placed
+// tasks and entries.
 type recountedState struct {
 	Capacity, Endless, Running, ServiceNeed Resources
 	Used, Leaving, Stoppable                map[string]Resources
@@ -164,6 +167,7 @@
 	Queued, Indexed, Ends                   int
 }
 
+// recount computes the totals.
 func (m *stateMachine) recount() recountedState {
 	a := recountedState{Used: map[string]Resources{}, Leaving: map[string]Resources{}, Stoppable: map[string]Resources{}, Customers: map[string]Resources{}, Entries: map[string]int{}}
 	for id, w := range m.c.workers {
@@ -203,7 +207,7 @@
 	return a
 }
 
-// Check compares the recount with what the cluster keeps.
+// Check compares the recount with the totals that the cluster keeps.
 func (m *stateMachine) Check(t *rapid.T) {
 	a := m.recount()
 	must.EqOp(t, a.Capacity, m.c.capacity)
@@ -225,7 +229,7 @@
 		must.EqOp(t, a.Entries[name], c.entries)
 	}
 	for id, r := range m.c.jobs {
-		must.True(t, r.running > 0 || m.c.queue.entries[id] != nil, must.Sprintf("record of %s is left behind", id))
+		must.True(t, r.running > 0 || m.c.queue.entries[id] != nil, must.Sprintf("record of idle job %s was not dropped", id))
 	}
 	if len(m.c.queue.entries) == 0 {
 		must.SliceEmpty(t, m.c.queue.shapeList)
@@ -236,8 +240,8 @@
 	}
 }
 
-// checkBlocked finds a shape that is marked though a task of it fits: its
-// entries would never be looked at again.
+// checkBlocked fails if a shape is blocked although it fits: its entries would
+// never be tried again.
 func (m *stateMachine) checkBlocked(t *rapid.T, s *shapeState) {
 	if !s.blocked {
 		return
@@ -248,9 +252,11 @@
 			slots += w.free.fitCount(s.shape.need, 100)
 		}
 	}
-	must.True(t, slots < max(1, s.shape.gang), must.Sprintf("shape %v is marked as blocked and has room for %d", s.shape, slots))
+	must.True(t, slots < max(1, s.shape.gang), must.Sprintf("shape %v is blocked although %d tasks fit", s.shape, slots))
 }
 
+// The totals of a cluster drift from its tasks and workers after some sequence
+// of calls, a plan overloads a worker, or a shape that fits stays blocked.
 func TestClusterStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &stateMachine{c: NewCluster(DefaultOptions()), now: start, nextTask: map[string]int{}}
--- a/placement/types.go
+++ b/placement/types.go
@@ -1,11 +1,11 @@
-// Package placement decides which task starts where, which work is admitted
-// and which is refused, as functions of a snapshot. It has no input or output,
-// reads no clock and starts no goroutine.
+// Package placement decides which task starts on which worker and which jobs
+// are admitted or refused. Its decisions are functions of a snapshot: it does
+// no input or output, reads no clock and starts no goroutine.
 package placement
 
 import "time"
 
-// Resources are amounts of what a worker has or a task needs.
+// Resources are the amounts that a worker has or a task needs.
 type Resources struct {
 	// CPU is in thousandths of a core.
 	CPU int64 `cbor:"1,keyasint,omitempty"`
@@ -15,20 +15,21 @@
 	Accelerators int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Policy says how the tasks of a job are placed.
+// Policy is how the tasks of a job are placed.
 type Policy uint8
 
-// Policies.
+// The policies.
 const (
 	// Service tasks run until they are stopped and are spread over racks.
 	Service Policy = iota + 1
-	// Batch tasks run once each, ordered by deadline slack and packed.
+	// Batch tasks run once each. They are ordered by latest start and packed
+	// tightly.
 	Batch
 	// Gang tasks start all together or not at all.
 	Gang
 )
 
-// Job is a piece of accepted work, or one that asks to be accepted.
+// Job is an accepted job, or one that is checked for admission.
 type Job struct {
 	ID       string
 	Customer string
@@ -44,28 +45,29 @@
 	Submitted  time.Time
 	Urgent     bool
 	Idempotent bool
-	// NotBefore holds a retried task back until its backoff has passed.
+	// NotBefore is when the backoff of a retried task ends; zero for none.
 	NotBefore time.Time
 }
 
-// Worker is one machine that runs tasks.
+// Worker describes a worker, the process that runs tasks on one machine.
 type Worker struct {
 	ID       string
 	Rack     string
 	Capacity Resources
 	// Draining workers get no new tasks.
 	Draining bool
-	// Live says that the worker's lease is held; tasks go to live workers only.
+	// Live is set while the worker holds its lease. Only live workers get
+	// tasks.
 	Live bool
-	// Awaited says that the worker may hold a lease of an earlier leader and is
-	// expected to renew. It gets no tasks, but admission counts on it: a new
-	// leader that hasn't heard from its workers yet must not refuse work as if
-	// there were none.
+	// AwaitingRenewal is set if the worker may hold a lease of an earlier
+	// leader and is expected to renew it. The worker gets no tasks, but
+	// admission counts its capacity: a new leader must not refuse jobs just
+	// because its workers have not renewed yet.
 	AwaitingRenewal bool
 }
 
-// Placed is a task that occupies a worker, from the committed start of its
-// attempt until its committed end.
+// Placed is a task that occupies a worker, from the committed start of an
+// attempt to its committed end.
 type Placed struct {
 	Job        string
 	Task       int
@@ -81,17 +83,17 @@
 	Deadline   time.Time
 }
 
-// Start asks for a task of a job to be started on a worker. Which task of the
-// job it is, is for the owner of the state to say.
+// Start is the decision to start a task of a job on a worker. The owner of the
+// state chooses which task.
 type Start struct {
 	Job    string
 	Worker string
-	// Need is what the account of the worker is to carry for the task: the
-	// declared need, raised where earlier tasks of the same name used more.
+	// Need is the amount to reserve on the worker: the declared need, raised if
+	// earlier tasks of the same name used more.
 	Need Resources
 }
 
-// Preemption asks for a running task to be stopped in favour of urgent work.
+// Preemption is the decision to stop a running task in favour of an urgent one.
 type Preemption struct {
 	Job  string
 	Task int
@@ -99,78 +101,82 @@
 	Worker string
 }
 
-// Reason says why work is refused or waits.
+// Reason is why a job is refused.
 type Reason uint8
 
-// Reasons.
+// The reasons.
 const (
-	// ReasonNone means that there is nothing against the work.
+	// ReasonNone means that the job is not refused.
 	ReasonNone Reason = iota
-	// ReasonTooLarge: no worker could ever hold one task.
+	// ReasonTooLarge means that one task fits no worker, even an empty one.
 	ReasonTooLarge
-	// ReasonTooMany: all workers together could never hold all tasks of a gang.
+	// ReasonTooMany means that all workers together are too small for the tasks
+	// of a gang or a service.
 	ReasonTooMany
-	// ReasonNoWorkers: no worker is known at present.
+	// ReasonNoWorkers means that no worker is announced.
 	ReasonNoWorkers
-	// ReasonDeadline: the work can't finish by its deadline.
+	// ReasonDeadline means that the job cannot finish by its deadline.
 	ReasonDeadline
-	// ReasonQuota: the customer's allotment is used up.
+	// ReasonQuota means that the job exceeds the customer's quota allotment.
 	ReasonQuota
-	// ReasonQueueFull: the queue is at its limit.
+	// ReasonQueueFull means that the queue, or the customer's share of it, is
+	// full.
 	ReasonQueueFull
 )
 
-// Refusal is the end of accepted work that has become hopeless.
+// Refusal is the decision to end an accepted job that has become infeasible.
 type Refusal struct {
 	Job    string
 	Reason Reason
 	Detail string
 }
 
-// Plan is what one evaluation asks for. It is checked again against the
-// committed state when it is applied.
+// Plan is the result of one evaluation. Each decision is checked against the
+// committed state again when it is applied.
 type Plan struct {
 	Starts      []Start
 	Preemptions []Preemption
 	Refusals    []Refusal
-	// Wake is when the plan should be computed again though nothing changes;
-	// zero for never.
+	// ReevaluateAt is when to evaluate again even if nothing changes; zero
+	// means never.
 	ReevaluateAt time.Time
 }
 
-// Verdict is the answer of admission.
+// AdmissionDecision is the result of an admission check.
 type AdmissionDecision struct {
 	Admitted bool
 	Reason   Reason
 	Detail   string
-	// RetryAfter says when the same work may be accepted; zero when never.
+	// RetryAfter is the time after which the same job may be accepted; zero
+	// means never.
 	RetryAfter time.Duration
-	// ExpectedStart is an estimate, for explain.
+	// ExpectedStart is an estimate for display.
 	ExpectedStart time.Time
 }
 
-// FilterCount says how many workers one filter took out, for explain.
+// FilterCount is the number of workers that one filter rejected.
 type FilterCount struct {
 	Filter  string
 	Workers int
-	// Example is one of the workers that were taken out.
+	// Example is one of the rejected workers.
 	Example string
 }
 
-// Explanation says why a job waits.
+// Explanation describes why a job is queued.
 type Explanation struct {
 	Summary       string
 	Filters       []FilterCount
 	ExpectedStart time.Time
 }
 
-// Sample is the measured run of one finished task, from lagged reports.
+// Sample is the measured run of one finished task. It arrives some time after
+// the end of the task.
 type Sample struct {
 	Customer string
 	Name     string
 	Declared time.Duration
 	Measured time.Duration
-	// Need and Peak are what was declared and what was used at most.
+	// Need is the declared need, Peak the maximum use.
 	Need Resources
 	Peak Resources
 }
--- a/placement/worker.go
+++ b/placement/worker.go
@@ -6,13 +6,13 @@
 	"github.com/tidwall/btree"
 )
 
-// taskKey names one task of a job.
+// taskKey identifies one task of a job.
 type taskKey struct {
 	job  string
 	task int
 }
 
-// placedTask is a task on a worker together with its expected end.
+// placedTask is a task on a worker with its expected end.
 type placedTask struct {
 	Placed
 	expectedEnd time.Time
@@ -20,62 +20,67 @@
 	worker      *worker
 	rack        string
 	stopping    bool
-	// preemptedEval is the evaluation that planned to stop the task.
+	// preemptedEval is the last evaluation that planned to preempt the task.
 	preemptedEval uint64
 }
 
-// preemptible says whether the task may be stopped for urgent work. Work that
-// is not idempotent is never stopped: it could not be run a second time.
+// preemptible reports whether urgent tasks may preempt the task. A
+// non-idempotent task is never preempted, since it could not run a second time.
 func (t *placedTask) preemptible() bool {
 	return t.Policy == Batch && t.Idempotent && !t.Urgent && !t.stopping
 }
 
-// worker is the account of one worker.
+// worker is the cluster's record of one worker.
 type worker struct {
 	Worker
-	// known is false while only tasks name the worker and no announcement has.
+	// announced is unset while only placed tasks name the worker.
 	announced bool
 	used      Resources
-	// free is the capacity less what is used, kept beside for the index.
+	// free is the capacity less used. It is stored because freeIndex sorts by
+	// it.
 	free Resources
-	// leaving is the part of used that is being stopped for urgent work.
+	// stopping is the part of used that belongs to tasks that are being
+	// stopped.
 	stopping Resources
-	// stoppable is the part of used that urgent work could still have.
+	// preemptible is the part of used that urgent tasks could still preempt.
 	preemptible Resources
-	// endless is the part of used that services hold.
+	// unboundedUsage is the part of used that belongs to tasks without an
+	// expected end.
 	unboundedUsage Resources
 	tasks          map[taskKey]*placedTask
 	indexed        bool
 	health         health
-	// ended is the task that was unplaced last.
+	// lastEnded is the task that was unplaced last.
 	lastEnded Placed
-	// reserved belongs to the evaluation numbered reservedEval.
+	// reservation is valid in the evaluation numbered reservedEval.
 	reservation  reservation
 	reservedEval uint64
-	// outlook belongs to the forecast numbered forecastID.
+	// forecast is valid in the forecast numbered forecastID.
 	forecast   workerForecast
 	forecastID uint64
 }
 
-// open says whether tasks may be started on the worker at all.
+// schedulable reports whether tasks may be started on the worker.
 func (w *worker) schedulable() bool {
 	return w.announced && w.Live && !w.Draining && !w.health.quarantined
 }
 
-// counted says whether admission counts on the worker's capacity.
+// countsForAdmission reports whether admission counts the worker's capacity.
 func (w *worker) countsForAdmission() bool {
 	return w.announced && (w.Live || w.AwaitingRenewal) && !w.Draining && !w.health.quarantined
 }
 
-// freeIndex orders open workers by what they have left, so that the tightest
-// worker with enough of the leading resource is found by one descent.
+// freeIndex orders the schedulable workers by free resources: free accelerators
+// first where the worker has any, then CPU. One descent finds the tightest
+// worker with enough of the first resource.
 type freeIndex struct {
 	withoutAccelerators *btree.BTreeG[*worker]
 	withAccelerators    *btree.BTreeG[*worker]
-	// pivot is where the next descent starts.
+	// pivot is a scratch key for the start of a descent.
 	pivot *worker
 }
 
+// newFreeIndex returns an empty index.
 func newFreeIndex() freeIndex {
 	options := btree.Options{NoLocks: true}
 	return freeIndex{
@@ -85,6 +90,7 @@
 	}
 }
 
+// lessFree orders workers by free CPU, free memory and ID.
 func lessFree(a, b *worker) bool {
 	if a.free.CPU != b.free.CPU {
 		return a.free.CPU < b.free.CPU
@@ -95,6 +101,7 @@
 	return a.ID < b.ID
 }
 
+// lessFreeAccelerators orders workers by free accelerators, then as lessFree.
 func lessFreeAccelerators(a, b *worker) bool {
 	if a.free.Accelerators != b.free.Accelerators {
 		return a.free.Accelerators < b.free.Accelerators
@@ -102,6 +109,7 @@
 	return lessFree(a, b)
 }
 
+// treeFor returns the tree that holds the worker.
 func (x freeIndex) treeFor(w *worker) *btree.BTreeG[*worker] {
 	if w.Capacity.Accelerators > 0 {
 		return x.withAccelerators
@@ -109,6 +117,7 @@
 	return x.withoutAccelerators
 }
 
+// add adds the worker if it is schedulable and not indexed yet.
 func (x freeIndex) add(w *worker) {
 	if w.indexed || !w.schedulable() {
 		return
@@ -117,7 +126,8 @@
 	w.indexed = true
 }
 
-// drop must be called before free or the capacity of the worker changes.
+// remove removes the worker. It must be called before the free resources or the
+// capacity of the worker change.
 func (x freeIndex) remove(w *worker) {
 	if !w.indexed {
 		return
@@ -126,8 +136,9 @@
 	w.indexed = false
 }
 
-// ascend visits open workers with room for need, tightest first; workers with
-// accelerators come last for work that needs none.
+// ascend visits the schedulable workers on which need fits, tightest fit first,
+// until visit returns false. If need has no accelerators, workers with
+// accelerators come last.
 func (x freeIndex) ascend(need Resources, visit func(*worker) bool) {
 	x.pivot.free = need
 	more := true
