--- a/placement/arrivals/doc.go
+++ b/placement/arrivals/doc.go
@@ -1,5 +1,6 @@
-// Package arrivals drives a placement.Cluster with a seeded list of arriving
-// jobs and their true run times, and reports waiting time, packing, missed
-// deadlines and refusals. It stands for the owner of the state: it commits
-// each plan and feeds ends back. It knows no network, leases or lost messages.
+// Package arrivals simulates a placement.Cluster with a seeded list of arriving
+// jobs and their actual run times. It reports waiting times, packing, missed
+// deadlines and refusals. It plays the owner of the committed state: it commits
+// each plan and reports the ends of tasks. It simulates no network, leases or
+// lost messages.
 package arrivals
--- a/placement/arrivals/generate.go
+++ b/placement/arrivals/generate.go
@@ -11,39 +11,42 @@
 	"github.com/bilberryferry/bilberryferry/placement"
 )
 
-// Mix says what arrives.
+// Workload describes the jobs that arrive. Shares are fractions between 0 and
+// 1.
 type Workload struct {
 	Seed uint64
-	// Load is the true work that arrives over what the workers could do.
+	// Load is the actual work that arrives, divided by the capacity of the
+	// workers.
 	Load float64
-	// Length is for how long jobs arrive.
+	// Duration is the period over which jobs arrive.
 	Duration time.Duration
-	// Urgent and Gangs are the parts of the jobs of that kind.
+	// Urgent and Gangs are the shares of urgent jobs and of gangs.
 	Urgent float64
 	Gangs  float64
-	// MisdeclaringCustomers is the part of the customers that always declare run
-	// times wrongly, by a factor between 0.2 and 5 that is fixed per name.
+	// MisdeclaringCustomers is the share of the customers that always declare
+	// wrong run times, by a factor between 0.2 and 5 that is fixed per job
+	// name.
 	MisdeclaringCustomers float64
-	// MisdeclaredNames is the part of the names of other customers that are wrong
-	// in the same way.
+	// MisdeclaredNames is the share of the other customers' job names with run
+	// times that are wrong in the same way.
 	MisdeclaredNames float64
-	// Noise is the standard deviation of the logarithm of each job's own
-	// error, on top.
+	// DeclarationNoise is the standard deviation of the logarithm of a random
+	// error on every declared run time.
 	DeclarationNoise float64
-	// Services is the part of the capacity that services hold throughout.
+	// Services is the share of the capacity that services hold throughout.
 	Services float64
-	// NotIdempotent is the part of the batch jobs that may run only once.
+	// NotIdempotent is the share of the batch jobs that may run only once.
 	NotIdempotent float64
-	// Tight is the part of the jobs that must start within a few run times;
-	// the others have one to six hours.
+	// TightDeadlines is the share of the jobs that must start within a few run
+	// times; the others have one to six hours.
 	TightDeadlines float64
-	// UrgentNeed is what an urgent task needs.
+	// UrgentNeed is the resource need of an urgent task.
 	UrgentNeed placement.Resources
-	// Exact declares the true run times.
+	// ExactDeclarations makes every declared run time equal the actual one.
 	ExactDeclarations bool
 }
 
-// DefaultWorkload is the mix of the measurements at a load.
+// DefaultWorkload returns the standard workload at a load.
 func DefaultWorkload(seed uint64, load float64) Workload {
 	return Workload{
 		Seed: seed, Load: load, Duration: 6 * time.Hour,
@@ -54,22 +57,25 @@
 	}
 }
 
-// Arrival is one job with what it really takes.
+// Arrival is one job with its actual run time and use.
 type Arrival struct {
+	// At is the time of submission, from the start of the simulation.
 	At  time.Duration
 	Job placement.Job
-	// True is the run time of each task; it is the same for all.
+	// ActualRuntime is the run time of each task.
 	ActualRuntime time.Duration
-	// Peak is the most that a task uses.
+	// Peak is the maximum use of a task.
 	Peak placement.Resources
 }
 
-// epoch is the wall time at which a replay begins.
+// epoch is the wall clock time at which a simulation begins.
 var epoch = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
+// namesPerCustomer is the number of recurring jobs of each customer.
 const namesPerCustomer = 8
 
-// kind is a recurring job of a customer: its name, size and declared error.
+// jobTemplate is a recurring job of a customer: its name, need, median run
+// time, factor of its declared run times and peak use relative to its need.
 type jobTemplate struct {
 	customer        int
 	name            string
@@ -79,6 +85,7 @@
 	peakRatio       float64
 }
 
+// generator draws the arrivals of one workload.
 type generator struct {
 	site      Site
 	mix       Workload
@@ -86,8 +93,8 @@
 	templates []jobTemplate
 }
 
-// Generate makes the list of arrivals of a site, ordered by time. The spacing
-// is scaled so that the true work meets the load.
+// Generate returns the arrivals at a site, ordered by time. It scales the time
+// between them so that the actual work matches the load.
 func Generate(site Site, mix Workload) []Arrival {
 	g := &generator{site: site, mix: mix, rand: rand.New(rand.NewPCG(mix.Seed, 1))}
 	g.makeTemplates()
@@ -110,7 +117,8 @@
 	return list
 }
 
-// settle scales the time of arrival and makes the relative deadline absolute.
+// resolveTimes scales the arrival time and makes the relative deadline
+// absolute.
 func (a *Arrival) resolveTimes(stretch float64) {
 	a.At = time.Duration(float64(a.At) * stretch)
 	now := epoch.Add(a.At)
@@ -118,9 +126,10 @@
 	a.Job.Deadline = now.Add(a.Job.Deadline.Sub(time.Time{}))
 }
 
-// work is an amount of work by resource, in seconds of the whole site.
+// siteSeconds is an amount of work by resource, in seconds of the whole site.
 type siteSeconds struct{ cpu, memory, accelerators float64 }
 
+// siteSecondsOf returns the work of all tasks of an arrival.
 func siteSecondsOf(a Arrival, total placement.Resources) siteSeconds {
 	seconds := a.ActualRuntime.Seconds() * float64(a.Job.Tasks)
 	w := siteSeconds{
@@ -133,13 +142,15 @@
 	return w
 }
 
+// plus adds two amounts of work.
 func (w siteSeconds) plus(o siteSeconds) siteSeconds {
 	return siteSeconds{cpu: w.cpu + o.cpu, memory: w.memory + o.memory, accelerators: w.accelerators + o.accelerators}
 }
 
-// largest is the work of the resource that is asked for most.
+// largest returns the work of the resource with the highest demand.
 func (w siteSeconds) largest() float64 { return max(w.cpu, w.memory, w.accelerators) }
 
+// makeTemplates draws the recurring jobs of all customers.
 func (g *generator) makeTemplates() {
 	for c := range g.site.Customers {
 		wrong := float64(c) < g.mix.MisdeclaringCustomers*float64(g.site.Customers)
@@ -149,6 +160,8 @@
 	}
 }
 
+// newTemplate draws recurring job n of a customer. wrong makes its declared run
+// times wrong.
 func (g *generator) newTemplate(customer, n int, wrong bool) jobTemplate {
 	bias := 1.0
 	if wrong || g.rand.Float64() < g.mix.MisdeclaredNames {
@@ -170,7 +183,8 @@
 	}
 }
 
-// job draws one job; its deadline is relative to the zero time until settled.
+// newArrival draws one job. Its deadline is relative to the zero time until
+// resolveTimes.
 func (g *generator) newArrival(n int) Arrival {
 	k := g.templates[g.rand.IntN(len(g.templates))]
 	run := time.Duration(math.Exp(g.rand.NormFloat64()*0.25) * float64(k.median))
@@ -205,7 +219,7 @@
 	return Arrival{Job: j, ActualRuntime: run, Peak: peak}
 }
 
-// slack draws the time beyond the run time.
+// slack draws the time from the earliest end to the deadline.
 func (g *generator) slack(run time.Duration) time.Duration {
 	if g.rand.Float64() < g.mix.TightDeadlines {
 		return 2*time.Minute + time.Duration((1+5*g.rand.Float64())*float64(run))
@@ -213,6 +227,9 @@
 	return time.Hour + time.Duration(g.rand.Float64()*5*float64(time.Hour))
 }
 
+// declaredRuntime draws the declared run time for an actual one. It draws the
+// random error even if it is not used, so that both cases give the same
+// arrivals.
 func (g *generator) declaredRuntime(run time.Duration, bias float64) time.Duration {
 	noise := math.Exp(g.rand.NormFloat64() * g.mix.DeclarationNoise)
 	if g.mix.ExactDeclarations {
@@ -221,19 +238,20 @@
 	return time.Duration(float64(run)*bias*noise).Round(time.Second) + time.Second
 }
 
-// Flood is a wave of jobs of one customer, spread evenly over a time.
+// Flood is a burst of jobs of one customer, spread evenly over a period.
 type Flood struct {
 	Customer string
-	// Load is the work of the flood over what the workers could do.
+	// Load is the work of the flood, divided by the capacity of the workers in
+	// that period.
 	Load  float64
 	From  time.Duration
 	Until time.Duration
 }
 
-// floodTaskRuntime is how long each task of a flood takes.
+// floodTaskRuntime is the run time of each task of a flood.
 const floodTaskRuntime = 3 * time.Minute
 
-// Add merges the jobs of the flood into a list of arrivals.
+// Add returns the arrivals merged with the jobs of the flood, ordered by time.
 func (f Flood) Add(site Site, list []Arrival) []Arrival {
 	need := resources(4, 12)
 	const tasks = 10
--- a/placement/arrivals/measure_test.go
+++ b/placement/arrivals/measure_test.go
@@ -21,13 +21,16 @@
 	only          = flag.String("only", "", "site to run; empty for all")
 )
 
+// stopwatch returns a function for the time since the call.
 func stopwatch() func() time.Duration {
 	begin := time.Now()
 	return func() time.Duration { return time.Since(begin) }
 }
 
-// clairvoyant knows the true run times, starts what must start first on the
-// first worker with room and gives up exactly what can't end in time.
+// oracleOptions are the options of an oracle scheduler. With exact declarations
+// it knows the run times, starts the job with the earliest latest start on the
+// first worker that fits, and refuses exactly the jobs that cannot meet their
+// deadlines.
 func oracleOptions() placement.Options {
 	o := placement.DefaultOptions()
 	o.DueWindow = 1000 * time.Hour
@@ -37,17 +40,20 @@
 	return o
 }
 
+// run simulates a workload at a site.
 func run(site Site, mix Workload, o placement.Options, faults ...WorkerFault) *Report {
 	return Replay(Config{Site: site, Options: o, Services: mix.Services, Faults: faults, Stopwatch: stopwatch()}, Generate(site, mix))
 }
 
-// wanted skips a measurement that was not asked for.
+// skipUnlessSelected skips a measurement that the flag -measure does not
+// select.
 func skipUnlessSelected(t *testing.T, name string) {
 	if *measure != name && *measure != "all" {
 		t.Skip("run with -measure " + name)
 	}
 }
 
+// sites returns the sites that the flag -only selects.
 func sites() []Site {
 	var list []Site
 	for _, s := range []Site{Rackwise(), Himalaya(), GrowthTarget()} {
@@ -58,7 +64,8 @@
 	return list
 }
 
-// TestLoad prints baseline, placement and clairvoyant at one load.
+// TestLoad prints the reports of the baseline, the scheduler and the oracle at
+// one load.
 func TestLoad(t *testing.T) {
 	skipUnlessSelected(t, "load")
 	for _, site := range sites() {
@@ -78,7 +85,7 @@
 	}
 }
 
-// TestPacking prints the work done in time over a range of loads.
+// TestPacking prints the work done in time at a range of loads.
 func TestPacking(t *testing.T) {
 	skipUnlessSelected(t, "packing")
 	for _, site := range sites() {
@@ -98,8 +105,8 @@
 	}
 }
 
-// TestUrgent prints the waiting time of urgent work of four cores while more
-// batch work arrives than the workers can do.
+// TestUrgent prints the waiting times of urgent tasks of four cores while batch
+// jobs arrive at a load above the capacity.
 func TestUrgent(t *testing.T) {
 	skipUnlessSelected(t, "urgent")
 	for _, site := range sites() {
@@ -116,8 +123,8 @@
 	}
 }
 
-// TestFlood prints the waits of all other customers while one customer floods
-// the queue for two hours, by the size of the flood.
+// TestFlood prints the waiting times of all other customers while one customer
+// floods the queue for two hours, by size of the flood.
 func TestFlood(t *testing.T) {
 	skipUnlessSelected(t, "flood")
 	for _, site := range sites() {
@@ -135,7 +142,8 @@
 	}
 }
 
-// TestFaults prints what two workers cost that fail all they start for two hours.
+// TestFaults prints the failures and misses while one worker fails all tasks
+// for two hours and another one for two and a half.
 func TestFaults(t *testing.T) {
 	skipUnlessSelected(t, "faults")
 	for _, site := range sites() {
--- a/placement/arrivals/plot_test.go
+++ b/placement/arrivals/plot_test.go
@@ -10,12 +10,13 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// packingPoint is one load of the packing measurement, in percent.
+// packingPoint is the useful work at one load, for the baseline and for the
+// scheduler, all in percent of the capacity.
 type packingPoint struct {
 	load, baseline, scheduled float64
 }
 
-// plotPacking draws the useful work over the load as SVG.
+// plotPacking writes an SVG plot of the useful work by load.
 func plotPacking(t *testing.T, site Site, points []packingPoint, file string) {
 	p := plot.New()
 	p.Title.Text = site.Name + ": work done in time, seed 1"
--- a/placement/arrivals/replay.go
+++ b/placement/arrivals/replay.go
@@ -8,41 +8,45 @@
 	"github.com/bilberryferry/bilberryferry/placement"
 )
 
-// Fault is a worker that fails whatever it starts, within a second.
+// WorkerFault is a period in which a worker fails every task within a second.
 type WorkerFault struct {
 	Worker string
 	From   time.Duration
 	Until  time.Duration
 }
 
-// Config is one replay.
+// Config is the configuration of one simulation.
 type Config struct {
-	Site     Site
-	Options  placement.Options
+	Site    Site
+	Options placement.Options
+	// Services is the share of the CPU capacity that services hold throughout.
 	Services float64
 	Faults   []WorkerFault
-	// Stopwatch returns a running time by which decisions are timed; nil
-	// leaves them untimed.
+	// Stopwatch returns an increasing time with which scheduling decisions are
+	// timed. If it is nil, they are not timed.
 	Stopwatch func() time.Duration
 }
 
 const (
-	// reportLag is how late measured usage reaches the scheduler.
+	// reportLag is the delay until the measurements of a task reach the
+	// scheduler.
 	reportLag = 10 * time.Second
-	// preemptionDelay is how long a preempted task takes to stop.
+	// preemptionDelay is the time that a preempted task takes to stop.
 	preemptionDelay = 2 * time.Second
-	// faultyTaskRuntime is how long a task on a faulty worker lasts.
+	// faultyTaskRuntime is the run time of a task on a faulty worker.
 	faultyTaskRuntime = time.Second
-	// retryBackoff holds a failed task back.
+	// retryBackoff is the delay before a failed task may start again.
 	retryBackoff = 5 * time.Second
-	// maxAttempts is when a failed task is given up.
+	// maxAttempts is the number of failures after which a task is not retried.
 	maxAttempts = 5
-	// maxDecisions is the most decisions that are taken from one evaluation.
+	// maxDecisions is the maximum number of decisions in one evaluation.
 	maxDecisions = 256
-	// drainTime after the last deadline ends the replay.
+	// drainTime is the time from the last deadline to the end of the
+	// simulation.
 	drainTime = 2 * time.Hour
 )
 
+// eventKind is the kind of an event.
 type eventKind uint8
 
 const (
@@ -52,18 +56,21 @@
 	eventWake
 )
 
-// event is something that happens at a time of the replay.
+// event is something that happens at a time of the simulation. Events of the
+// same time are handled in order of their sequence numbers.
 type event struct {
 	at       time.Duration
 	sequence int
 	kind     eventKind
 	job      *job
 	task     int
-	// attempt tells an end from that of an earlier attempt that was stopped.
+	// attempt is the number of the attempt that ends. The event is stale if the
+	// task has a later attempt.
 	attempt int
 	failed  bool
 }
 
+// events is a heap with the next event on top.
 type events []event
 
 func (h events) Len() int      { return len(h) }
@@ -81,19 +88,20 @@
 	return last
 }
 
-// job is the owner's state of one arrival.
+// job is the committed state of one arrival.
 type job struct {
 	arrival Arrival
 	tasks   []task
 	waiting []int
 	done    int
-	// windowWork is the work that was done while jobs arrived.
+	// windowWork is the work done up to the last arrival.
 	windowWork siteSeconds
 	lastEnd    time.Duration
 	refused    bool
 	finished   bool
 }
 
+// task is the committed state of one task.
 type task struct {
 	worker      string
 	started     time.Duration
@@ -102,6 +110,7 @@
 	failures    int
 }
 
+// replay is the state of one simulation.
 type replay struct {
 	config         Config
 	cluster        *placement.Cluster
@@ -115,7 +124,8 @@
 	used           placement.Resources
 }
 
-// Replay runs the arrivals to their end and reports.
+// Replay simulates the arrivals until drainTime after the last deadline and
+// returns the report.
 func Replay(config Config, arrivals []Arrival) *Report {
 	r := &replay{
 		config:         config,
@@ -144,15 +154,18 @@
 	return r.report
 }
 
+// schedule adds an event.
 func (r *replay) schedule(e event) {
 	r.sequence++
 	e.sequence = r.sequence
 	heap.Push(&r.events, e)
 }
 
+// wallClock is the simulated time.
 func (r *replay) wallClock() time.Time { return epoch.Add(r.now) }
 
-// placeServices fills a part of the workers with tasks that never end.
+// placeServices starts services, which never end, on the configured share of
+// the workers.
 func (r *replay) placeServices() {
 	total := r.config.Site.total()
 	need := resources(4, 12)
@@ -184,13 +197,14 @@
 	}
 }
 
-// must stops a replay in which a plan did not hold against the accounts.
+// mustSucceed panics if the cluster rejects a start that it has just planned.
 func (r *replay) mustSucceed(err error) {
 	if err != nil {
-		panic(fmt.Sprintf("replay at %v: %v", r.now, err))
+		panic(fmt.Sprintf("simulation at %v: planned start rejected: %v", r.now, err))
 	}
 }
 
+// run handles the events up to the time stop.
 func (r *replay) run(stop time.Duration) {
 	for len(r.events) > 0 {
 		e := heap.Pop(&r.events).(event)
@@ -205,7 +219,7 @@
 	}
 }
 
-// handle takes in one event and says whether decisions are due.
+// handle handles one event and reports whether an evaluation must follow.
 func (r *replay) handle(e event) bool {
 	switch e.kind {
 	case eventArrival:
@@ -220,6 +234,7 @@
 	}
 }
 
+// handleArrival admits or refuses a job, and reports whether it was admitted.
 func (r *replay) handleArrival(j *job) bool {
 	r.jobs[j.arrival.Job.ID] = j
 	begin := r.stopwatchTime()
@@ -239,6 +254,7 @@
 	return true
 }
 
+// enqueue replaces the queue entry of a job by one with its waiting tasks.
 func (r *replay) enqueue(j *job, notBefore time.Time) {
 	entry := j.arrival.Job
 	entry.Tasks = len(j.waiting)
@@ -246,6 +262,7 @@
 	r.cluster.Enqueue(entry)
 }
 
+// stopwatchTime returns the time of the stopwatch, or zero without one.
 func (r *replay) stopwatchTime() time.Duration {
 	if r.config.Stopwatch == nil {
 		return 0
@@ -253,7 +270,7 @@
 	return r.config.Stopwatch()
 }
 
-// evaluate commits plans until nothing more can be decided now.
+// evaluate commits plans until one starts and refuses nothing.
 func (r *replay) evaluate() {
 	for {
 		begin := r.stopwatchTime()
@@ -267,6 +284,8 @@
 	}
 }
 
+// scheduleWake schedules the next evaluation at a time of the simulation; the
+// zero time means none.
 func (r *replay) scheduleWake(at time.Time) {
 	if at.IsZero() {
 		return
@@ -275,6 +294,7 @@
 	r.schedule(event{at: r.nextWake, kind: eventWake})
 }
 
+// commit applies a plan.
 func (r *replay) commit(plan placement.Plan) {
 	for _, f := range plan.Refusals {
 		r.refuseAccepted(r.jobs[f.Job])
@@ -291,13 +311,14 @@
 	}
 }
 
-// refuseAccepted ends accepted work that has become hopeless.
+// refuseAccepted ends an accepted job that has become infeasible.
 func (r *replay) refuseAccepted(j *job) {
 	j.refused = true
 	r.report.recordMiss(j, missInfeasible)
 	r.cluster.Dequeue(j.arrival.Job.ID)
 }
 
+// startTask starts the first waiting task of a job on the planned worker.
 func (r *replay) startTask(j *job, s placement.Start) {
 	i := j.waiting[0]
 	j.waiting = j.waiting[1:]
@@ -323,6 +344,7 @@
 	r.schedule(event{at: r.now + run, kind: eventEnd, job: j, task: i, attempt: t.attempt, failed: failed})
 }
 
+// updateQueueEntry updates the queue entry of a job after a start.
 func (r *replay) updateQueueEntry(j *job) {
 	if j.refused {
 		return
@@ -334,6 +356,7 @@
 	r.enqueue(j, time.Time{})
 }
 
+// isFaulty reports whether the worker fails every task now.
 func (r *replay) isFaulty(worker string) bool {
 	for _, f := range r.faultsByWorker[worker] {
 		if r.now >= f.From && r.now < f.Until {
@@ -343,13 +366,15 @@
 	return false
 }
 
-// end frees a worker; a task that was preempted or failed waits again.
+// endAttempt releases the resources of an attempt that ended, and queues the
+// task again if it was preempted or failed. It reports whether an evaluation
+// must follow.
 func (r *replay) endAttempt(e event) bool {
 	j, t := e.job, &e.job.tasks[e.task]
 	if t.attempt != e.attempt {
 		return false
 	}
-	// Starts take even numbers and stops odd ones.
+	// Even attempt numbers are starts, odd ones stops.
 	preempted := e.attempt%2 == 1
 	id := j.arrival.Job.ID
 	need := r.cluster.Placed(id, e.task).Need
@@ -370,7 +395,8 @@
 	return true
 }
 
-// workInWindow is the part of a finished task that ran while jobs arrived.
+// workInWindow returns the work that a finished task has done up to the last
+// arrival.
 func (r *replay) workInWindow(j *job, started time.Duration) siteSeconds {
 	ran := min(r.now, r.report.arrivalWindow) - started
 	if ran <= 0 {
@@ -379,6 +405,7 @@
 	return siteSecondsOf(Arrival{ActualRuntime: ran, Job: placement.Job{Tasks: 1, Need: j.arrival.Job.Need}}, r.config.Site.total())
 }
 
+// requeue queues a task again, not before the given time.
 func (r *replay) requeue(j *job, task int, notBefore time.Time) {
 	if j.refused {
 		return
@@ -387,6 +414,8 @@
 	r.enqueue(j, notBefore)
 }
 
+// failTask reports a failure. It retries an idempotent task up to maxAttempts
+// failures and otherwise ends the job.
 func (r *replay) failTask(j *job, i int) {
 	t := &j.tasks[i]
 	r.report.failures++
@@ -404,6 +433,7 @@
 	r.cluster.Dequeue(j.arrival.Job.ID)
 }
 
+// completeTask counts a finished task of a job, and the job with its last task.
 func (r *replay) completeTask(j *job) {
 	j.done++
 	j.lastEnd = r.now
@@ -414,12 +444,13 @@
 	r.report.recordFinish(j)
 }
 
+// reportSample passes the measurements of a finished task to the cluster.
 func (r *replay) reportSample(j *job) {
 	a := j.arrival.Job
 	r.cluster.Learn(placement.Sample{Customer: a.Customer, Name: a.Name, Declared: a.Runtime, Measured: j.arrival.ActualRuntime, Need: a.Need, Peak: j.arrival.Peak})
 }
 
-// finish counts what is left unfinished as missed.
+// countUnfinished counts the jobs that are still unfinished as missed.
 func (r *replay) countUnfinished() {
 	for _, j := range r.jobs {
 		if !j.finished && !j.refused {
@@ -428,6 +459,7 @@
 	}
 }
 
+// add returns a plus sign times b.
 func add(a, b placement.Resources, sign int64) placement.Resources {
 	return placement.Resources{CPU: a.CPU + sign*b.CPU, Memory: a.Memory + sign*b.Memory, Accelerators: a.Accelerators + sign*b.Accelerators}
 }
--- a/placement/arrivals/report.go
+++ b/placement/arrivals/report.go
@@ -9,55 +9,63 @@
 	"github.com/bilberryferry/bilberryferry/placement"
 )
 
-// missKind is why accepted work did not finish in time.
+// missKind is the reason why an accepted job did not finish in time.
 type missKind uint8
 
 const (
-	// missLate finished after its deadline.
+	// missLate is a job that finished after its deadline.
 	missLate missKind = iota
-	// missInfeasible was given up by the scheduler after acceptance.
+	// missInfeasible is a job that the scheduler refused after it had accepted
+	// it.
 	missInfeasible
-	// missFailed failed on workers too often.
+	// missFailed is a job with a task that failed too often.
 	missFailed
-	// missUnfinished was not finished when the replay ended.
+	// missUnfinished is a job that was not finished at the end of the
+	// simulation.
 	missUnfinished
+	// missKindCount is the number of kinds.
 	missKindCount
 )
 
-// Waits holds waiting times in milliseconds.
+// WaitTimes is a distribution of waiting times in milliseconds.
 type WaitTimes struct{ histogram *hdrhistogram.Histogram }
 
+// newWaitTimes returns an empty distribution.
 func newWaitTimes() *WaitTimes {
 	return &WaitTimes{histogram: hdrhistogram.New(1, int64(48*time.Hour/time.Millisecond), 3)}
 }
 
-// Quantile is the waiting time that the part q of the tasks stays within.
+// Quantile returns the waiting time that the fraction q of the tasks does not
+// exceed.
 func (w *WaitTimes) Quantile(q float64) time.Duration {
 	return time.Duration(w.histogram.ValueAtQuantile(100*q)) * time.Millisecond
 }
 
+// record adds a waiting time.
 func (w *WaitTimes) record(d time.Duration) {
 	_ = w.histogram.RecordValue(int64(d / time.Millisecond))
 }
 
-// Report is what a replay showed.
+// Report is the result of a simulation.
 type Report struct {
-	site          Site
+	site Site
+	// arrivalWindow is the time of the last arrival.
 	arrivalWindow time.Duration
 
 	submitted int
 	refused   map[placement.Reason]int
-	// refusedPermanently counts refusals that name no time to come back: the
-	// run time alone was taken to overrun the deadline.
+	// refusedPermanently counts refusals without a retry delay: the estimated
+	// run time alone exceeds the time to the deadline.
 	refusedPermanently int
-	// refusedFirstHour counts refusals in the first hour, while run times are
-	// still being learned.
+	// refusedFirstHour counts refusals in the first hour, while the scheduler
+	// has few measured run times.
 	refusedFirstHour int
 	// refusedBy counts refusals by customer.
 	refusedBy map[string]int
 	missed    [missKindCount]int
 	inTime    int
-	// inTimeWork and used are in seconds of the whole site.
+	// inTimeWork is the work done for jobs that finished in time, usedWork the
+	// work of all allocated resources, both up to the last arrival.
 	inTimeWork siteSeconds
 	usedWork   siteSeconds
 	preempted  int
@@ -68,12 +76,14 @@
 	Gangs    *WaitTimes
 	Customer map[string]*WaitTimes
 
-	evaluations    *hdrhistogram.Histogram
-	admissions     *hdrhistogram.Histogram
+	evaluations *hdrhistogram.Histogram
+	admissions  *hdrhistogram.Histogram
+	// schedulingTime is the total time of admission checks and evaluations.
 	schedulingTime time.Duration
 	starts         int
 }
 
+// newReport returns an empty report.
 func newReport(site Site) *Report {
 	timing := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(10*time.Second), 3) }
 	return &Report{
@@ -83,7 +93,8 @@
 	}
 }
 
-// advance adds what was used between two events, within the time of arrivals.
+// addUsage adds the allocated resources between two events, up to the last
+// arrival.
 func (r *Report) addUsage(from, to time.Duration, used placement.Resources) {
 	to = min(to, r.arrivalWindow)
 	if to <= from {
@@ -93,17 +104,21 @@
 	r.usedWork = r.usedWork.plus(siteSecondsOf(usage, r.site.total()))
 }
 
+// recordAdmission records the duration of an admission check.
 func (r *Report) recordAdmission(took time.Duration) {
 	_ = r.admissions.RecordValue(int64(took))
 	r.schedulingTime += took
 }
 
+// recordEvaluation records the duration of an evaluation and its number of
+// starts.
 func (r *Report) recordEvaluation(took time.Duration, starts int) {
 	_ = r.evaluations.RecordValue(int64(took))
 	r.schedulingTime += took
 	r.starts += starts
 }
 
+// recordRefusal counts a job that was refused at submission.
 func (r *Report) recordRefusal(j *job, v placement.AdmissionDecision) {
 	r.refused[v.Reason]++
 	r.refusedBy[j.arrival.Job.Customer]++
@@ -115,8 +130,11 @@
 	}
 }
 
+// recordMiss counts an accepted job that did not finish in time.
 func (r *Report) recordMiss(_ *job, kind missKind) { r.missed[kind]++ }
 
+// recordWait records the time from the submission of a job to the first start
+// of a task.
 func (r *Report) recordWait(j *job, d time.Duration) {
 	a := j.arrival.Job
 	switch {
@@ -135,6 +153,7 @@
 	}
 }
 
+// recordFinish counts a finished job, as missed if it is late.
 func (r *Report) recordFinish(j *job) {
 	if epoch.Add(j.lastEnd).After(j.arrival.Job.Deadline) {
 		r.recordMiss(j, missLate)
@@ -144,8 +163,8 @@
 	r.inTimeWork = r.inTimeWork.plus(j.windowWork)
 }
 
-// OthersWait is the waiting time that the part q of the normal tasks of all
-// customers but one stays within.
+// OthersWait returns the waiting time that the fraction q of the normal tasks
+// of all customers except one does not exceed.
 func (r *Report) OthersWait(except string, q float64) time.Duration {
 	others := newWaitTimes()
 	for customer, w := range r.Customer {
@@ -156,10 +175,10 @@
 	return others.Quantile(q)
 }
 
-// Accepted is the number of jobs that admission took.
+// Accepted returns the number of admitted jobs.
 func (r *Report) Accepted() int { return r.submitted - r.Refused() }
 
-// Refused is the number of jobs that admission turned away.
+// Refused returns the number of jobs that were refused at submission.
 func (r *Report) Refused() int {
 	n := 0
 	for _, k := range r.refused {
@@ -168,7 +187,7 @@
 	return n
 }
 
-// Missed is the number of accepted jobs that did not finish in time.
+// Missed returns the number of accepted jobs that did not finish in time.
 func (r *Report) Missed() int {
 	n := 0
 	for _, k := range r.missed {
@@ -177,24 +196,26 @@
 	return n
 }
 
-// MissRate is the part of the accepted jobs that was missed.
+// MissRate returns the fraction of the accepted jobs that did not finish in
+// time.
 func (r *Report) MissRate() float64 { return rate(r.Missed(), r.Accepted()) }
 
-// RefusalRate is the part of the submitted jobs that was turned away.
+// RefusalRate returns the fraction of the submitted jobs that were refused at
+// submission.
 func (r *Report) RefusalRate() float64 { return rate(r.Refused(), r.submitted) }
 
-// InTimeRate is the part of the submitted jobs that finished in time.
+// InTimeRate returns the fraction of the submitted jobs that finished in time.
 func (r *Report) InTimeRate() float64 { return rate(r.inTime, r.submitted) }
 
-// Busy is the mean part in use, while jobs arrived, of the resource that is
-// used most.
+// Busy returns the mean allocated fraction, up to the last arrival, of the
+// resource that is used most.
 func (r *Report) Busy() float64 { return r.usedWork.largest() / r.arrivalWindow.Seconds() }
 
-// Goodput is the work done while jobs arrived, for jobs that finished in time,
-// as a part of what the workers could do. Services are not in it.
+// Goodput returns the work done up to the last arrival for jobs that finished
+// in time, as a fraction of the capacity. It does not include services.
 func (r *Report) Goodput() float64 { return r.inTimeWork.largest() / r.arrivalWindow.Seconds() }
 
-// DecisionRate is the number of starts per second of deciding.
+// DecisionRate returns the number of starts per second of scheduling time.
 func (r *Report) DecisionRate() float64 {
 	if r.schedulingTime == 0 {
 		return 0
@@ -202,16 +223,19 @@
 	return float64(r.starts) / r.schedulingTime.Seconds()
 }
 
-// DecisionQuantile is how long an evaluation takes at most for the part q.
+// DecisionQuantile returns the duration that the fraction q of the evaluations
+// does not exceed.
 func (r *Report) DecisionQuantile(q float64) time.Duration {
 	return time.Duration(r.evaluations.ValueAtQuantile(100 * q))
 }
 
-// AdmissionQuantile is how long an admission takes at most for the part q.
+// AdmissionQuantile returns the duration that the fraction q of the admission
+// checks does not exceed.
 func (r *Report) AdmissionQuantile(q float64) time.Duration {
 	return time.Duration(r.admissions.ValueAtQuantile(100 * q))
 }
 
+// rate returns part divided by whole, or zero if whole is zero.
 func rate(part, whole int) float64 {
 	if whole == 0 {
 		return 0
@@ -219,7 +243,7 @@
 	return float64(part) / float64(whole)
 }
 
-// String is one row of a table.
+// String formats the report as one line.
 func (r *Report) String() string {
 	return fmt.Sprintf("jobs %d refused %.2f%% (alone %d, first hour %d, reasons %v) missed %.3f%% %v in time %.2f%% busy %.1f%% goodput %.1f%% | wait p50 %v p99 %v urgent p50 %v p99 %v gang p50 %v p99 %v | preempted %d failures %d | %.0f starts/s evaluate p50 %v p99 %v admit p50 %v p99 %v",
 		r.submitted, 100*r.RefusalRate(), r.refusedPermanently, r.refusedFirstHour, r.refused, 100*r.MissRate(), r.missed, 100*r.InTimeRate(), 100*r.Busy(), 100*r.Goodput(),
--- a/placement/arrivals/site.go
+++ b/placement/arrivals/site.go
@@ -6,43 +6,46 @@
 	"github.com/bilberryferry/bilberryferry/placement"
 )
 
-// Site is a set of workers and the customers that use it.
+// Site is a set of simulated workers and the number of customers that use them.
 type Site struct {
 	Name           string
 	Workers        int
 	WorkersPerRack int
-	// Capacity is that of every worker, without accelerators.
+	// Capacity is the capacity of every worker, without accelerators.
 	Capacity placement.Resources
-	// Accelerators are dealt out in fours, and the rest in twos, to the first
-	// workers.
+	// Accelerators is the total number of accelerators. The first workers get
+	// acceleratorsPerWorker each and the next one the rest.
 	Accelerators int
 	Customers    int
 }
 
-// Rackwise has 50 workers of 64 cores and 256 GB, 8 to a rack.
+// Rackwise returns a site of 50 workers with 64 cores and 256 GB each, 8 to a
+// rack.
 func Rackwise() Site {
 	return Site{Name: "rackwise", Workers: 50, WorkersPerRack: 8, Capacity: resources(64, 256), Customers: 6}
 }
 
-// Himalaya has 50 workers of 32 cores and 128 GB, 6 to a rack.
+// Himalaya returns a site of 50 workers with 32 cores and 128 GB each, 6 to a
+// rack.
 func Himalaya() Site {
 	return Site{Name: "himalaya", Workers: 50, WorkersPerRack: 6, Capacity: resources(32, 128), Customers: 6}
 }
 
-// Later is the size to grow to: 450 workers, 970 accelerators, 100 customers.
+// GrowthTarget returns a site of the size to grow to: 450 workers, 970
+// accelerators and 100 customers.
 func GrowthTarget() Site {
 	return Site{Name: "later", Workers: 450, WorkersPerRack: 8, Capacity: resources(32, 128), Accelerators: 970, Customers: 100}
 }
 
-// size makes an amount of cores and GB.
+// resources returns an amount of cores and gigabytes of memory.
 func resources(cores, gigabytes int64) placement.Resources {
 	return placement.Resources{CPU: cores * 1000, Memory: gigabytes * 1024}
 }
 
-// acceleratorsPerWorker is how many devices an accelerated worker carries.
+// acceleratorsPerWorker is the number of devices of a worker with accelerators.
 const acceleratorsPerWorker = 4
 
-// workers lists the workers of the site, all alive.
+// workers returns the workers of the site, all live.
 func (s Site) workers() []placement.Worker {
 	left := s.Accelerators
 	list := make([]placement.Worker, s.Workers)
@@ -60,7 +63,7 @@
 	return list
 }
 
-// total is the capacity of all workers.
+// total returns the capacity of all workers.
 func (s Site) total() placement.Resources {
 	n := int64(s.Workers)
 	return placement.Resources{CPU: s.Capacity.CPU * n, Memory: s.Capacity.Memory * n, Accelerators: int64(s.Accelerators)}
