--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -9,6 +9,7 @@
 	"github.com/bilberryferry/bilberryferry/placement"
 )
 
+// fromUnixMilli converts Unix ms to a time; zero becomes the zero time.
 func fromUnixMilli(ms int64) time.Time {
 	if ms == 0 {
 		return time.Time{}
@@ -16,6 +17,7 @@
 	return time.UnixMilli(ms)
 }
 
+// unixMilli converts a time to Unix ms; the zero time becomes zero.
 func unixMilli(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -23,7 +25,7 @@
 	return t.UnixMilli()
 }
 
-// Apply carries out one committed command.
+// Apply applies the committed command at that log index.
 func (s *State) Apply(index uint64, c *Command) Result {
 	s.Applied = index
 	s.Term = max(s.Term, c.Term)
@@ -62,9 +64,9 @@
 	return Result{Err: fault.New(fault.Internal, "command of an unknown type")}
 }
 
-// recall returns the first answer to a request id, if there is one. The same
-// id with other content is a Conflict. Guards against an answer lost on the
-// way: the caller resends and must not create the work twice.
+// firstAnswer returns the recorded answer to a request, if there is one, and a
+// Conflict if the ID was used with other content. It prevents a caller whose
+// answer was lost from creating the work twice by resending the request.
 func (s *State) firstAnswer(r Request) (Result, bool) {
 	record, ok := s.Requests[r.key()]
 	if !ok {
@@ -80,17 +82,22 @@
 	return Result{Job: record.Job, Jobs: record.Jobs}, true
 }
 
-// Recall returns the first answer to a request id before anything is proposed.
+// FirstAnswer returns the recorded answer to a request, if there is one, before
+// any command is proposed.
 func (s *State) FirstAnswer(r Request) (Result, bool) { return s.firstAnswer(r) }
 
+// key returns the key of the idempotency record: request IDs are unique per
+// customer.
 func (r Request) key() string { return r.Customer + "\x00" + r.ID }
 
+// recordAnswer stores the first answer to a request.
 func (s *State) recordAnswer(r Request, now int64, record RequestRecord) {
 	record.Digest = r.Digest
 	record.At = now
 	s.Requests[r.key()] = record
 }
 
+// submit records an admitted or refused job and returns its ID, or the refusal.
 func (s *State) submit(now int64, c *Submit) Result {
 	if first, ok := s.firstAnswer(c.Request); ok {
 		return first
@@ -112,6 +119,7 @@
 	return Result{Job: j.ID}
 }
 
+// newJob adds a job with all its tasks queued.
 func (s *State) newJob(id, customer string, spec Spec, submitted int64) *Job {
 	j := &Job{ID: id, Customer: customer, Spec: spec, State: JobQueued, Submitted: submitted}
 	j.Tasks = make([]Task, spec.Tasks)
@@ -123,8 +131,9 @@
 	return j
 }
 
-// end takes reports of a worker. A report counts once, for the latest attempt
-// on that worker and incarnation; late and doubled ones only get their acknowledgement.
+// endAttempts applies the reports of a worker. A report counts once, for the
+// latest attempt on that worker and incarnation. Late and duplicate reports are
+// only acknowledged.
 func (s *State) endAttempts(now int64, c *End) Result {
 	var r Result
 	for _, report := range c.Reports {
@@ -138,6 +147,7 @@
 	return r
 }
 
+// endTask applies the reported end of the latest attempt of task i.
 func (s *State) endTask(now int64, j *Job, i int, report Report) {
 	t := &j.Tasks[i]
 	s.releaseWorker(j, i)
@@ -163,9 +173,11 @@
 	s.updateJobState(now, j, report.Detail)
 }
 
+// outcomeNames are the names of the outcomes in events.
 var outcomeNames = [...]string{"failed", "finished", "failed", "stopped", "not started"}
 
-// finalStateWithoutRun is the final state of a task whose last attempt never ran.
+// finalStateWithoutRun is the final state of a task whose last attempt never
+// ran: cancelled if an earlier one may have run.
 func finalStateWithoutRun(t *Task) TaskState {
 	if t.Runs > 0 {
 		return TaskCancelled
@@ -173,8 +185,9 @@
 	return TaskNotRun
 }
 
-// requeueOrEnd puts a task that was stopped or never started back into the queue,
-// or gives it its final state when the job is closing or it may not run again.
+// requeueOrEnd queues a task again that was stopped or never started. It gives
+// the task its final state instead if the job is closing or the task may not
+// run again.
 func (s *State) requeueOrEnd(now int64, j *Job, t *Task, final TaskState) {
 	cancelled := t.Stopping && !t.Preempted
 	requeue := !j.Closing && !cancelled && (j.Spec.Idempotent || t.Runs == 0)
@@ -186,8 +199,9 @@
 	t.State = final
 }
 
-// failTask retries an idempotent task with a doubling backoff until its
-// attempts are used up or its deadline has passed.
+// failTask queues an idempotent task again after an exponential backoff. It
+// fails a non-idempotent task, and one whose attempts are used up (services
+// have no limit), whose deadline has passed or whose job is closing.
 func (s *State) failTask(now int64, j *Job, t *Task) {
 	t.Failures++
 	limit := j.Spec.MaxAttempts
@@ -205,7 +219,7 @@
 	t.NotBefore = now + min(backoff, maxRetryBackoffMillis)
 }
 
-// release frees the worker of a running task.
+// releaseWorker frees the resources of running task i.
 func (s *State) releaseWorker(j *Job, i int) {
 	t := &j.Tasks[i]
 	delete(s.onWorker[t.Worker], j.attemptRef(i))
@@ -217,7 +231,8 @@
 	s.changes.Unplaced = append(s.changes.Unplaced, Unplaced{Job: j.ID, Task: i})
 }
 
-// settle gives a job its state after one of its tasks changed.
+// updateJobState updates the state of a job after one of its tasks changed. A
+// failed task closes the job, unless it is a service.
 func (s *State) updateJobState(now int64, j *Job, detail string) {
 	s.markChanged(j)
 	queued, running, _ := j.Counts()
@@ -236,6 +251,7 @@
 	s.finishJob(now, j)
 }
 
+// textOrDefault returns text, or fallback if text is empty.
 func textOrDefault(text, fallback string) string {
 	if text == "" {
 		return fallback
@@ -243,7 +259,8 @@
 	return text
 }
 
-// closeJob starts the end of a job: what waits will not run, what runs is stopped.
+// closeJob begins to end a job: it ends the queued tasks and stops the running
+// ones.
 func (s *State) closeJob(j *Job, kind fault.Kind, reason string) {
 	if j.Closing || j.State.Ended() {
 		return
@@ -262,13 +279,15 @@
 	s.markChanged(j)
 }
 
+// stopTask marks running task i as stopping and records that its worker must
+// stop it.
 func (s *State) stopTask(j *Job, i int) {
 	t := &j.Tasks[i]
 	t.Stopping = true
 	s.changes.Stops = append(s.changes.Stops, StartedAttempt{Ref: j.attemptRef(i), Worker: t.Worker, Incarnation: t.Incarnation})
 }
 
-// finishJob gives a job without queued or running tasks its final state.
+// finishJob sets the final state of a job without queued or running tasks.
 func (s *State) finishJob(now int64, j *Job) {
 	if j.State.Ended() {
 		return
@@ -285,7 +304,7 @@
 		}
 	}
 	j.Ended = now
-	j.Spec.Payload = nil // no attempt will need it any more
+	j.Spec.Payload = nil // No later attempt needs it.
 	switch {
 	case finished == len(j.Tasks):
 		j.State, j.Kind, j.Reason = JobFinished, fault.Internal, ""
@@ -302,27 +321,32 @@
 	s.markChanged(j)
 }
 
+// jobStateNames are the names of the job states in events.
 var jobStateNames = [...]string{"unspecified", "queued", "pending handover", "running", "finished", "failed", "cancelled", "not run", "unknown"}
 
-// String returns the state's name.
+// String returns the name of the state.
 func (s JobState) String() string { return jobStateNames[min(int(s), len(jobStateNames)-1)] }
 
+// add returns the sum of two amounts.
 func add(a, b placement.Resources) placement.Resources {
 	return placement.Resources{CPU: a.CPU + b.CPU, Memory: a.Memory + b.Memory, Accelerators: a.Accelerators + b.Accelerators}
 }
 
+// sub returns a less b.
 func sub(a, b placement.Resources) placement.Resources { return add(a, times(b, -1)) }
 
+// times returns n times an amount.
 func times(a placement.Resources, n int) placement.Resources {
 	m := int64(n)
 	return placement.Resources{CPU: a.CPU * m, Memory: a.Memory * m, Accelerators: a.Accelerators * m}
 }
 
-// atLeast is the larger of two amounts in each field.
+// atLeast returns the larger amount of each resource.
 func atLeast(a, b placement.Resources) placement.Resources {
 	return placement.Resources{CPU: max(a.CPU, b.CPU), Memory: max(a.Memory, b.Memory), Accelerators: max(a.Accelerators, b.Accelerators)}
 }
 
+// fits reports whether a is at most in, in each resource.
 func fits(a, in placement.Resources) bool {
 	return a.CPU <= in.CPU && a.Memory <= in.Memory && a.Accelerators <= in.Accelerators
 }
--- a/internal/state/bench_test.go
+++ b/internal/state/bench_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// BenchmarkStartBytes measures what one start adds to a command of many.
+// BenchmarkStartBytes measures the encoded size of one start in a command with
+// 100 of them.
 func BenchmarkStartBytes(b *testing.B) {
 	const items = 100
 	size := 0
--- a/internal/state/change.go
+++ b/internal/state/change.go
@@ -9,13 +9,14 @@
 	"github.com/bilberryferry/bilberryferry/quota"
 )
 
-// workerUp takes an announcement. A higher incarnation proves that the worker's
-// earlier process is gone, so its attempts are over. An incarnation whose lease
-// has ended is over for good: a late copy of its announcement must not revive it.
+// workerUp applies the announcement of a worker. A higher incarnation proves
+// that the earlier process is gone, so its attempts have ended. An incarnation
+// whose lease has expired never returns: a delayed duplicate of its
+// announcement must not revive it.
 func (s *State) workerUp(now int64, c *WorkerUp) Result {
 	w := s.Workers[c.ID]
 	if w != nil && (c.Incarnation < w.Incarnation || c.Incarnation == w.Incarnation && w.Down) {
-		return Result{Err: fault.New(fault.Conflict, "incarnation %d of worker %s is over", c.Incarnation, c.ID)}
+		return Result{Err: fault.New(fault.Conflict, "incarnation %d of worker %s has ended", c.Incarnation, c.ID)}
 	}
 	if w != nil && c.Incarnation == w.Incarnation {
 		return Result{}
@@ -31,6 +32,8 @@
 	return Result{}
 }
 
+// workerDown ends an incarnation and its attempts. An incarnation that is not
+// the current one is ignored.
 func (s *State) workerDown(now int64, c *WorkerDown) Result {
 	w := s.Workers[c.ID]
 	if w == nil || w.Incarnation != c.Incarnation || w.Down {
@@ -47,9 +50,10 @@
 	return Result{}
 }
 
-// loseAttempts ends every attempt on an incarnation that is over. Idempotent
-// tasks queue again. The fate of non-idempotent ones can't be known: the start
-// may or may not have reached the worker.
+// loseAttempts ends every attempt of an incarnation that has ended. Idempotent
+// tasks are queued again. The outcome of non-idempotent ones is unknown: the
+// start may or may not have reached the worker. crashed adds to the crash
+// counts of the tasks.
 func (s *State) loseAttempts(now int64, w *Worker, detail string, crashed bool) {
 	for _, ref := range s.AttemptsOnWorker(w.ID) {
 		j, t := s.latestAttempt(ref)
@@ -70,18 +74,18 @@
 	}
 }
 
-// maxTaskCrashes is how many workers may restart under a task's attempts before it is given up.
+// maxTaskCrashes is how many worker restarts during its attempts end a task.
 const maxTaskCrashes = 5
 
-// crashLimitReached reports whether the task is given up for the workers that restarted under
-// it. A service's tasks meet many a restart that isn't theirs.
-//
-// Failure guarded against: a task crashes each worker that starts it, and is queued again
-// without end.
+// crashLimitReached reports whether the task fails because too many workers
+// restarted during its attempts. Otherwise a task that crashes its workers
+// would be queued again forever. Services are exempt: they run long enough to
+// see many restarts that they do not cause.
 func (t *Task) crashLimitReached(j *Job) bool {
 	return t.Crashes >= maxTaskCrashes && j.Spec.Idempotent && j.Spec.Policy != placement.Service
 }
 
+// drain takes a worker out of placement or puts it back.
 func (s *State) drain(now int64, c *Drain) Result {
 	if first, ok := s.firstAnswer(c.Request); ok {
 		return first
@@ -97,6 +101,7 @@
 	return Result{}
 }
 
+// cancel cancels the selected jobs and returns their IDs.
 func (s *State) cancel(now int64, c *Cancel) Result {
 	if first, ok := s.firstAnswer(c.Request); ok {
 		return first
@@ -114,8 +119,8 @@
 	return Result{Jobs: ids}
 }
 
-// Select finds the unfinished jobs that a cancellation names. Another
-// customer's job reads as not found.
+// SelectForCancel returns the unfinished jobs that a cancellation selects. It
+// returns NotFound for the job of another customer.
 func (s *State) SelectForCancel(c *Cancel) ([]*Job, error) {
 	if len(c.IDs) > 0 {
 		return s.selectIDs(c)
@@ -131,6 +136,8 @@
 	return jobs, nil
 }
 
+// selectIDs returns the unfinished jobs with the given IDs, or NotFound if one
+// of them is unknown.
 func (s *State) selectIDs(c *Cancel) ([]*Job, error) {
 	var jobs []*Job
 	for _, id := range c.IDs {
@@ -145,9 +152,9 @@
 	return jobs, nil
 }
 
-// cancelJob ends a job at its customer's wish. A job that is offered elsewhere
-// can't be ended before the other data centre's answer is known: it only
-// remembers the wish.
+// cancelJob ends a job on request of its customer. While the job is offered to
+// another data centre, it only records the request: the job cannot end before
+// that data centre has answered.
 func (s *State) cancelJob(now int64, j *Job) {
 	s.recordEvent("job cancelled", "", j.ID, j.Customer)
 	if j.State == JobPendingHandover {
@@ -159,6 +166,7 @@
 	s.updateJobState(now, j, "")
 }
 
+// scale changes the number of tasks of a service.
 func (s *State) scale(now int64, c *Scale) Result {
 	if first, ok := s.firstAnswer(c.Request); ok {
 		return first
@@ -168,7 +176,7 @@
 		return Result{Err: fault.New(fault.NotFound, "no job %q", c.Job)}
 	}
 	if j.Spec.Policy != placement.Service || j.Closing || j.State.Ended() {
-		return Result{Err: fault.New(fault.Conflict, "job %s is no running service", c.Job)}
+		return Result{Err: fault.New(fault.Conflict, "job %s is not a running service", c.Job)}
 	}
 	s.resize(j, c.Tasks)
 	s.recordAnswer(c.Request, now, RequestRecord{Job: j.ID})
@@ -177,7 +185,8 @@
 	return Result{Job: j.ID}
 }
 
-// resize adds queued tasks, or ends queued tasks first and running ones after.
+// resize adds queued tasks or ends surplus ones, queued tasks before running
+// ones.
 func (s *State) resize(j *Job, tasks int) {
 	active := 0
 	for i := range j.Tasks {
@@ -203,7 +212,7 @@
 	j.Spec.Tasks = tasks
 }
 
-// refuse ends accepted work that can no longer make its deadline, at once.
+// refuse ends an accepted job that can no longer meet its deadline.
 func (s *State) refuse(now int64, c *Refuse) Result {
 	j := s.Jobs[c.Job]
 	if j == nil || j.Closing || j.State.Ended() || j.State == JobPendingHandover {
@@ -214,6 +223,8 @@
 	return Result{Job: j.ID}
 }
 
+// preempt stops running idempotent tasks. Items that no longer match the state
+// are ignored.
 func (s *State) preempt(c *Preempt) Result {
 	for _, item := range c.Items {
 		j := s.Jobs[item.Job]
@@ -232,17 +243,18 @@
 	return Result{}
 }
 
-// offered takes the other data centre's committed answer. Only a committed
-// refusal gives the job back: a timeout says nothing about what the other side
-// has committed, and taking the job back then could run it in both.
+// recordHandoverAnswer applies the committed answer of another data centre to
+// an offer. Only a committed refusal returns the job: a timeout does not show
+// what the other data centre has committed, and the job could then run in both.
 func (s *State) recordHandoverAnswer(now int64, c *RecordHandoverAnswer) Result {
 	j := s.Jobs[c.Job]
 	if j == nil || j.State != JobPendingHandover || j.HandoverDataCentre != c.To || j.HandoverDone {
 		return Result{}
 	}
 	if c.Accepted && j.Kind == fault.Cancelled && !c.Withdrawn {
-		// The customer cancelled while the offer was under way. The job stays
-		// open here until the data centre that has it now knows of that.
+		// The customer cancelled while the offer was in flight. The job stays
+		// pending until the data centre that accepted it knows of the
+		// cancellation.
 		s.markChanged(j)
 		return Result{}
 	}
@@ -270,7 +282,8 @@
 	return Result{}
 }
 
-// answerHandoverOffer answers an offer. The first committed answer stands for repeats.
+// answerHandoverOffer accepts or refuses a job of another data centre. The
+// first committed answer also answers every duplicate of the offer.
 func (s *State) answerHandoverOffer(now int64, c *AnswerHandoverOffer) Result {
 	if record, ok := s.HandoverAnswers[c.Job]; ok {
 		return record.result(c.Job)
@@ -285,6 +298,7 @@
 	return record.result(c.Job)
 }
 
+// result returns the recorded answer for a job.
 func (r HandoverAnswerRecord) result(job string) Result {
 	if r.Accepted {
 		return Result{Job: job}
@@ -292,8 +306,9 @@
 	return Result{Err: fault.New(r.Kind, "%s", r.Detail)}
 }
 
-// adoptConfig brings a version into force. A lower or equal one changes nothing:
-// versions never fall, whatever order the copies arrive in.
+// adoptConfig puts a configuration version into force. It ignores lower and
+// equal versions, so the version never decreases, in whatever order copies
+// arrive.
 func (s *State) adoptConfig(c *AdoptConfig) Result {
 	if c.ConfigVersion <= s.Config.ConfigVersion {
 		return Result{}
@@ -310,7 +325,7 @@
 	return Result{}
 }
 
-// applyQuota carries out one step of a quota transfer.
+// applyQuota applies one step of a quota transfer.
 func (s *State) applyQuota(c *Quota) Result {
 	s.changes.Quota = true
 	switch {
@@ -332,10 +347,12 @@
 	return Result{}
 }
 
-// Used is what the running tasks of a customer hold here.
+// Used returns the resources reserved for the running tasks of a customer in
+// this data centre.
 func (s *State) Used(customer string) placement.Resources { return s.used[customer] }
 
-// Demand is what each customer's running and waiting tasks need here.
+// Demand returns what the queued and running tasks of each customer need in
+// this data centre.
 func (s *State) Demand() map[string]placement.Resources {
 	demand := make(map[string]placement.Resources)
 	for _, j := range s.Jobs {
@@ -346,7 +363,8 @@
 	return demand
 }
 
-// Customers are all customers with running tasks or a quota here.
+// Customers returns all customers with running tasks or a quota in this data
+// centre.
 func (s *State) Customers() map[string]struct{} {
 	customers := make(map[string]struct{})
 	for name := range s.used {
@@ -358,11 +376,11 @@
 	return customers
 }
 
-// Quota returns the quota ledger, to be read only.
+// Quota returns the quota ledger. Callers must not modify it.
 func (s *State) Quota() *quota.Ledger { return s.ledger }
 
-// Allotment is what this data centre may let a customer use at once. Before
-// the first configuration nothing is limited.
+// Allotment returns what this data centre may let a customer use at once. It is
+// unlimited before the first configuration.
 func (s *State) Allotment(customer string) placement.Resources {
 	if s.ledger.Version() == 0 {
 		return placement.Resources{CPU: quota.Unlimited, Memory: quota.Unlimited, Accelerators: quota.Unlimited}
@@ -370,7 +388,7 @@
 	return s.ledger.Allotment(customer)
 }
 
-// allowed reports whether a customer may use more.
+// withinQuota reports whether the customer may use need in addition.
 func (s *State) withinQuota(customer string, need placement.Resources) bool {
 	limit := s.Allotment(customer)
 	used := add(s.used[customer], need)
@@ -378,8 +396,8 @@
 	return within(used.CPU, limit.CPU) && within(used.Memory, limit.Memory) && within(used.Accelerators, limit.Accelerators)
 }
 
-// prune forgets what ended before a time. Jobs handed over are kept until the
-// deadline has passed, so that callers are still sent to the owner.
+// prune deletes what ended before a time. A job that was handed over is kept
+// until its deadline has passed, so that callers are redirected to its owner.
 func (s *State) prune(c *Prune) Result {
 	for id, j := range s.Jobs {
 		ended := j.State.Ended() && j.Ended < c.Before
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -11,21 +11,24 @@
 	"github.com/bilberryferry/bilberryferry/quota"
 )
 
-// FormatVersion is the version of commands and snapshots that this program
-// writes. It reads every version up to its own and refuses later ones.
+// FormatVersion is the version of the commands and snapshots that this program
+// writes. It reads all versions up to this one and refuses later ones.
 const FormatVersion = 1
 
-// Command is one entry of the data centre's log. Exactly one of the pointers
-// is set.
+// Command is one entry of the data centre's log. Exactly one of the pointers is
+// set.
 type Command struct {
 	Version uint32 `cbor:"1,keyasint"`
-	// Now is the proposer's wall clock in Unix ms. It judges deadlines and
-	// dates events; no guard against double runs depends on it.
+	// Now is the proposer's wall clock in Unix ms. It decides about deadlines
+	// and gives events their time. No protection against running a task twice
+	// depends on it.
 	Now int64 `cbor:"2,keyasint"`
-	// By and Logical complete the event stamp of the proposer.
+	// Proposer and Logical complete the timestamp (hybrid logical clock) of
+	// events.
 	Proposer string `cbor:"3,keyasint,omitempty"`
 	Logical  uint32 `cbor:"4,keyasint,omitempty"`
-	// Term is the leader's; ids carry the highest one seen.
+	// Term is the term of the proposing leader. Job IDs contain the highest
+	// term seen.
 	Term uint64 `cbor:"5,keyasint,omitempty"`
 
 	Submit               *Submit               `cbor:"10,keyasint,omitempty"`
@@ -45,17 +48,17 @@
 	Prune                *Prune                `cbor:"24,keyasint,omitempty"`
 }
 
-// Request identifies a mutating call so that a resent one gets the first
-// answer. Digest tells another content under the same id apart.
+// Request identifies a mutating call, so that a resent call gets the first
+// answer. Digest detects other content under the same ID.
 type Request struct {
 	ID       string `cbor:"1,keyasint"`
 	Customer string `cbor:"2,keyasint,omitempty"`
 	Digest   uint64 `cbor:"3,keyasint"`
 }
 
-// Submit records an admission or a refusal. Refusals are recorded too: a
-// doubled copy of a refused request that arrives later must not be accepted
-// after its sender was told that nothing will run.
+// Submit records the admission or refusal of a job. Refusals are recorded too:
+// a delayed duplicate of a refused request must not be accepted after its
+// sender was told that nothing will run.
 type Submit struct {
 	Request    Request       `cbor:"1,keyasint"`
 	Spec       Spec          `cbor:"2,keyasint"`
@@ -67,20 +70,20 @@
 	Customer   string        `cbor:"8,keyasint"`
 }
 
-// Start asks for attempts to be started.
+// Start starts attempts.
 type Start struct {
 	Items []StartItem `cbor:"1,keyasint"`
 }
 
-// StartItem asks for a task of a job to be started on a worker.
+// StartItem starts a task of a job on a worker.
 type StartItem struct {
 	Job    string `cbor:"1,keyasint"`
 	Worker string `cbor:"2,keyasint"`
-	// Raised is set where more than the declared need is to be held.
+	// RaisedNeed is set if more than the declared need is to be reserved.
 	RaisedNeed *placement.Resources `cbor:"3,keyasint,omitempty"`
 }
 
-// Report is one end of an attempt.
+// Report is the end of an attempt, as its worker reports it.
 type Report struct {
 	Ref     AttemptRef          `cbor:"1,keyasint"`
 	Outcome Outcome             `cbor:"2,keyasint"`
@@ -89,14 +92,14 @@
 	Peak    placement.Resources `cbor:"5,keyasint,omitempty"`
 }
 
-// End records reports of one worker incarnation.
+// End records the reports of one worker incarnation.
 type End struct {
 	Worker      string   `cbor:"1,keyasint"`
 	Incarnation uint64   `cbor:"2,keyasint"`
 	Reports     []Report `cbor:"3,keyasint"`
 }
 
-// WorkerUp records an announcement.
+// WorkerUp records the announcement of a worker.
 type WorkerUp struct {
 	ID          string              `cbor:"1,keyasint"`
 	Incarnation uint64              `cbor:"2,keyasint"`
@@ -104,22 +107,22 @@
 	Capacity    placement.Resources `cbor:"4,keyasint"`
 }
 
-// WorkerDown records that the lease of an incarnation has ended, counted by
-// the owner with the drift bound, or that the worker has left with nothing running.
+// WorkerDown records that the lease of an incarnation has expired, with an
+// allowance for clock drift, or that the worker left with nothing running.
 type WorkerDown struct {
 	ID          string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 	Left        bool   `cbor:"3,keyasint,omitempty"`
 }
 
-// Drain takes a worker out of placement or puts it back.
+// Drain takes a worker out of placement or, with Undo, puts it back.
 type Drain struct {
 	Request Request `cbor:"1,keyasint"`
 	Worker  string  `cbor:"2,keyasint"`
 	Undo    bool    `cbor:"3,keyasint,omitempty"`
 }
 
-// Cancel ends jobs of one customer: by ids, by name, or all.
+// Cancel ends jobs of one customer: by IDs, by name, or all.
 type Cancel struct {
 	Request  Request  `cbor:"1,keyasint"`
 	Customer string   `cbor:"2,keyasint"`
@@ -136,34 +139,37 @@
 	Tasks    int     `cbor:"4,keyasint"`
 }
 
-// Refuse ends accepted work that can no longer make its deadline.
+// Refuse ends an accepted job that can no longer meet its deadline.
 type Refuse struct {
 	Job    string     `cbor:"1,keyasint"`
 	Kind   fault.Kind `cbor:"2,keyasint"`
 	Detail string     `cbor:"3,keyasint,omitempty"`
 }
 
-// Preempt asks for running tasks to be stopped in favour of urgent work.
+// Preempt stops running tasks in favour of urgent ones.
 type Preempt struct {
 	Items []placement.Preemption `cbor:"1,keyasint"`
 }
 
-// Offered records the other data centre's committed answer to a handover.
+// RecordHandoverAnswer records the committed answer of another data centre to a
+// handover offer of this one.
 type RecordHandoverAnswer struct {
 	Job      string     `cbor:"1,keyasint"`
 	To       string     `cbor:"2,keyasint"`
 	Accepted bool       `cbor:"3,keyasint,omitempty"`
 	Kind     fault.Kind `cbor:"4,keyasint,omitempty"`
 	Detail   string     `cbor:"5,keyasint,omitempty"`
-	// Withdrawn says that the other data centre has been told of the
-	// customer's cancellation.
+	// Withdrawn is set once the other data centre knows of the customer's
+	// cancellation.
 	Withdrawn bool `cbor:"7,keyasint,omitempty"`
-	// Next is the data centre to try next after a refusal; empty ends the job.
+	// Next is the data centre that gets the next offer after a refusal. If it
+	// is empty, the job ends.
 	Next string `cbor:"6,keyasint,omitempty"`
 }
 
-// AnswerHandoverOffer records this data centre's answer to another's offer. The first
-// answer for a job stands for every repeat of the offer.
+// AnswerHandoverOffer records this data centre's answer to a handover offer of
+// another one. The first answer for a job also answers every duplicate of the
+// offer.
 type AnswerHandoverOffer struct {
 	Job       string     `cbor:"1,keyasint"`
 	Customer  string     `cbor:"2,keyasint"`
@@ -175,39 +181,43 @@
 	Detail    string     `cbor:"8,keyasint,omitempty"`
 }
 
-// AdoptConfig brings a committed configuration version into force here.
+// AdoptConfig puts a committed configuration version into force in this data
+// centre.
 type AdoptConfig struct {
 	ConfigVersion uint64 `cbor:"1,keyasint"`
 	Document      string `cbor:"2,keyasint"`
 	Author        string `cbor:"3,keyasint,omitempty"`
 	Accepted      int64  `cbor:"4,keyasint,omitempty"`
-	// Quota is what the proposer read out of the document. It is part of the
-	// command so that replicas with different programs hold the same ledger.
+	// Quota is what the proposer parsed from the document. It is part of the
+	// command so that replicas running different program versions hold the same
+	// ledger.
 	Quota quota.Config `cbor:"5,keyasint,omitempty"`
 }
 
 // Quota is one step of a quota transfer. Exactly one of the pointers is set.
 type Quota struct {
-	// Give answers another data centre's ask, Take credits a received transfer,
-	// Forget drops a transfer that the ask acknowledges.
+	// Give debits this data centre for a transfer that another one requested,
+	// Take credits a received transfer, and Forget drops a transfer that the
+	// request acknowledges.
 	Give   *quota.DebitCommand    `cbor:"1,keyasint,omitempty"`
 	Take   *quota.Transfer        `cbor:"2,keyasint,omitempty"`
 	Forget *quota.TransferRequest `cbor:"3,keyasint,omitempty"`
 }
 
-// Prune forgets ended jobs and old request records.
+// Prune deletes jobs, request records and handover answers that ended or were
+// made before Before (Unix ms).
 type Prune struct {
 	Before int64 `cbor:"1,keyasint"`
 }
 
-// Encode writes a command.
+// Encode returns the command encoded in the current format version.
 func (c *Command) Encode() ([]byte, error) {
 	c.Version = FormatVersion
 	data, err := cbor.Marshal(c)
 	return data, errors.Wrap(err, "encode command")
 }
 
-// Decode reads a command of this or an earlier version.
+// Decode decodes a command of this or an earlier format version.
 func Decode(data []byte) (*Command, error) {
 	c := new(Command)
 	if err := cbor.Unmarshal(data, c); err != nil {
--- a/internal/state/start.go
+++ b/internal/state/start.go
@@ -7,9 +7,10 @@
 	"github.com/bilberryferry/bilberryferry/placement"
 )
 
-// start makes attempts of queued tasks. Each item is checked again against
-// what is committed, since the plan was made from an earlier view: a job that
-// was cancelled, a worker that went down or filled up since gets nothing.
+// start starts attempts of queued tasks. Each item is checked against the
+// committed state again, since the plan was made from an earlier one: nothing
+// is started of a job that was cancelled meanwhile, or on a worker that went
+// down or filled up.
 func (s *State) start(now int64, c *Start) Result {
 	var r Result
 	gangs := make(map[string]bool)
@@ -29,8 +30,8 @@
 	return r
 }
 
-// startGang starts all queued tasks of a gang on the workers that the plan
-// names for it, or none: half a gang would hold workers and wait for the rest.
+// startGang starts all queued tasks of a gang on the workers of the plan, or
+// none. A part of a gang would occupy workers while it waits for the rest.
 func (s *State) startGang(now int64, j *Job, items []StartItem) []StartedAttempt {
 	var gangItems []StartItem
 	for _, item := range items {
@@ -45,13 +46,15 @@
 	for _, item := range gangItems {
 		attempt, ok := s.startTask(now, j, item)
 		if !ok {
-			panic("state: gang " + j.ID + " started in part")
+			panic("state: gang " + j.ID + " was started only in part")
 		}
 		started = append(started, attempt)
 	}
 	return started
 }
 
+// gangFits reports whether the items cover all queued tasks of the gang and all
+// of them can start now.
 func (s *State) gangFits(now int64, j *Job, items []StartItem) bool {
 	ready := 0
 	for i := range j.Tasks {
@@ -83,12 +86,12 @@
 	return !j.Closing && !j.State.Ended() && j.State != JobPendingHandover
 }
 
-// takes reports whether a worker has room for more.
+// fitsOn reports whether the worker can take tasks and has need free.
 func (s *State) fitsOn(w *Worker, need placement.Resources) bool {
 	return w != nil && !w.Down && !w.Draining && fits(add(w.Used, need), w.Capacity)
 }
 
-// need is what an item of a plan asks the account to carry for one task.
+// need returns the amount to reserve for one task of a plan item.
 func (j *Job) need(item StartItem) placement.Resources {
 	if item.RaisedNeed == nil {
 		return j.Spec.Need
@@ -96,6 +99,8 @@
 	return atLeast(j.Spec.Need, *item.RaisedNeed)
 }
 
+// startTask starts the first queued task of the job that is past its backoff,
+// if the job, the worker and the quota allow it. It reports whether it did.
 func (s *State) startTask(now int64, j *Job, item StartItem) (StartedAttempt, bool) {
 	worker, need := item.Worker, j.need(item)
 	w := s.Workers[worker]
@@ -107,8 +112,9 @@
 		return StartedAttempt{}, false
 	}
 	t := &j.Tasks[i]
-	// Non-idempotent work has one attempt. A task returns to the queue only
-	// with its worker's proof that the attempt never ran, so this is a defect.
+	// A non-idempotent task has one attempt. It returns to the queue only after
+	// its worker has proved that the attempt never ran, so a second run is a
+	// defect.
 	if t.Runs > 0 && !j.Spec.Idempotent {
 		panic(fmt.Sprintf("state: second attempt of non-idempotent task %d of %s", i, j.ID))
 	}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -14,28 +14,31 @@
 	"github.com/bilberryferry/bilberryferry/quota"
 )
 
-// Defaults of the retry rules.
+// Retry settings.
 const (
-	// DefaultMaxAttempts bounds the tries of an idempotent task whose spec names none.
+	// DefaultMaxAttempts is the maximum number of attempts of an idempotent
+	// task whose spec sets none.
 	DefaultMaxAttempts = 5
-	// retryBackoffMillis is the wait after a first failure; it doubles with each one.
+	// retryBackoffMillis is the backoff after the first failure; each further
+	// one doubles it.
 	retryBackoffMillis = 250
-	// maxRetryBackoffMillis bounds the wait, in ms.
+	// maxRetryBackoffMillis is the maximum backoff.
 	maxRetryBackoffMillis = 30_000
 )
 
-// State is everything that one data centre's log decides.
+// State is the state of one data centre that results from its log.
 type State struct {
 	Format     uint32 `cbor:"1,keyasint"`
 	DataCentre string `cbor:"2,keyasint"`
-	// Sequence numbers job ids.
+	// Sequence is the number in the last job ID.
 	Sequence uint64 `cbor:"3,keyasint"`
-	// Revision grows with every change of a job.
+	// Revision increases with every change of a job.
 	Revision uint64                   `cbor:"4,keyasint"`
 	Jobs     map[string]*Job          `cbor:"5,keyasint"`
 	Workers  map[string]*Worker       `cbor:"6,keyasint"`
 	Requests map[string]RequestRecord `cbor:"7,keyasint"`
-	// Offers remembers the answers given to other data centres' offers.
+	// HandoverAnswers holds the answers to handover offers of other data
+	// centres, by job.
 	HandoverAnswers map[string]HandoverAnswerRecord `cbor:"8,keyasint"`
 	// Config is the adopted configuration.
 	Config AdoptConfig `cbor:"9,keyasint"`
@@ -43,18 +46,21 @@
 	Applied uint64 `cbor:"10,keyasint"`
 	// Ledger is the encoded quota ledger.
 	Ledger []byte `cbor:"11,keyasint,omitempty"`
-	// Term is the highest term of a command.
+	// Term is the highest leader term of any applied command.
 	Term uint64 `cbor:"12,keyasint,omitempty"`
 
-	// onWorker lists the attempts that occupy each worker; derived.
+	// onWorker holds the attempts that occupy each worker. It is derived from
+	// the jobs.
 	onWorker map[string]map[AttemptRef]struct{}
-	// used is what each customer's running tasks hold; derived.
+	// used is the sum of resources reserved for the running tasks of each
+	// customer. It is derived from the jobs.
 	used    map[string]placement.Resources
 	ledger  *quota.Ledger
 	changes Changes
 }
 
-// RequestRecord is the first answer given to a request id.
+// RequestRecord is the idempotency record of a request: the digest of its
+// content and the first answer. At is in Unix ms.
 type RequestRecord struct {
 	Digest uint64       `cbor:"1,keyasint"`
 	At     int64        `cbor:"2,keyasint"`
@@ -63,14 +69,15 @@
 	Fault  *FaultRecord `cbor:"5,keyasint,omitempty"`
 }
 
-// FaultRecord is a refusal as it was first answered.
+// FaultRecord is a recorded refusal. RetryAfter is in nanoseconds.
 type FaultRecord struct {
 	Kind       fault.Kind `cbor:"1,keyasint"`
 	Detail     string     `cbor:"2,keyasint,omitempty"`
 	RetryAfter int64      `cbor:"3,keyasint,omitempty"`
 }
 
-// HandoverAnswerRecord is the committed answer to a handover offer.
+// HandoverAnswerRecord is the committed answer to a handover offer. At is in
+// Unix ms.
 type HandoverAnswerRecord struct {
 	Accepted bool       `cbor:"1,keyasint,omitempty"`
 	Kind     fault.Kind `cbor:"2,keyasint,omitempty"`
@@ -78,21 +85,24 @@
 	At       int64      `cbor:"4,keyasint"`
 }
 
-// Changes is what a run of commands has changed, for caches and time lines.
+// Changes is what a series of commands has changed. It updates caches and the
+// event timeline.
 type Changes struct {
 	Placed   []placement.Placed
 	Unplaced []Unplaced
-	// Queues names jobs whose count of queued tasks may have changed.
+	// Queues holds the IDs of jobs whose number of queued tasks may have
+	// changed.
 	Queues map[string]struct{}
-	// Workers names workers that may have changed.
+	// Workers holds the IDs of workers that may have changed.
 	Workers map[string]struct{}
-	// Stops are attempts whose workers are to be told to stop.
+	// Stops are the attempts that their workers must stop.
 	Stops   []StartedAttempt
 	Samples []placement.Sample
-	// Failures and Successes tell of attempts that a worker brought to an end.
+	// AttemptResults are the attempts that a worker finished, successfully or
+	// not.
 	AttemptResults []AttemptResult
 	Events         []Event
-	// Quota says that allotments may have changed.
+	// Quota is set if allotments may have changed.
 	Quota bool
 }
 
@@ -102,7 +112,7 @@
 	Task int
 }
 
-// Try is an attempt that failed or succeeded on a worker.
+// AttemptResult is the success or failure of an attempt on a worker.
 type AttemptResult struct {
 	Worker, Job string
 	Failed      bool
@@ -166,7 +176,7 @@
 	return s, nil
 }
 
-// derive rebuilds what follows from the stored fields.
+// rebuildDerived rebuilds the derived fields from the stored ones.
 func (s *State) rebuildDerived() {
 	s.resetChanges()
 	s.onWorker = make(map[string]map[AttemptRef]struct{})
@@ -181,6 +191,7 @@
 	}
 }
 
+// resetChanges discards the recorded changes.
 func (s *State) resetChanges() {
 	s.changes = Changes{Queues: make(map[string]struct{}), Workers: make(map[string]struct{})}
 }
@@ -192,6 +203,7 @@
 	return c
 }
 
+// occupy records that an attempt occupies a worker.
 func (s *State) occupy(worker string, ref AttemptRef) {
 	set := s.onWorker[worker]
 	if set == nil {
@@ -201,7 +213,7 @@
 	set[ref] = struct{}{}
 }
 
-// AttemptsOnWorker returns the attempts that occupy a worker, in a fixed order.
+// AttemptsOnWorker returns the attempts that occupy a worker, sorted.
 func (s *State) AttemptsOnWorker(worker string) []AttemptRef {
 	refs := make([]AttemptRef, 0, len(s.onWorker[worker]))
 	for ref := range s.onWorker[worker] {
@@ -211,6 +223,7 @@
 	return refs
 }
 
+// compareRefs orders attempts by job, task and attempt.
 func compareRefs(a, b AttemptRef) int {
 	if c := strings.Compare(a.Job, b.Job); c != 0 {
 		return c
@@ -221,11 +234,13 @@
 	return int(a.Attempt - b.Attempt)
 }
 
+// attemptRef returns the reference of the latest attempt of task i.
 func (j *Job) attemptRef(i int) AttemptRef {
 	return AttemptRef{Job: j.ID, Task: int32(i), Attempt: j.Tasks[i].Attempt}
 }
 
-// task finds the task of a reference, if the attempt is its latest.
+// latestAttempt returns the job and the task of an attempt, or nil if the
+// attempt is not the latest of its task.
 func (s *State) latestAttempt(ref AttemptRef) (*Job, *Task) {
 	j := s.Jobs[ref.Job]
 	if j == nil || ref.Task < 0 || int(ref.Task) >= len(j.Tasks) {
@@ -253,13 +268,16 @@
 	return queued, running, ended
 }
 
-// Queued returns the job as placement sees it, and whether tasks wait.
+// PlacementJob returns the job with its queued tasks in the form that package
+// placement uses, and whether any can be placed.
 func (j *Job) PlacementJob() (placement.Job, bool) {
 	queued, _, _ := j.Counts()
 	p := j.placementJob(queued)
 	return p, queued > 0 && j.startable()
 }
 
+// placementJob returns the job with that many tasks in the form that package
+// placement uses. Its NotBefore is the latest of the queued tasks.
 func (j *Job) placementJob(tasks int) placement.Job {
 	p := placement.Job{
 		ID: j.ID, Customer: j.Customer, Name: j.Spec.Name, Policy: j.Spec.Policy, Tasks: tasks,
@@ -274,7 +292,7 @@
 	return p
 }
 
-// placed returns a running task as placement sees it.
+// placedTask returns running task i in the form that package placement uses.
 func (j *Job) placedTask(i int) placement.Placed {
 	t := &j.Tasks[i]
 	return placement.Placed{
@@ -284,13 +302,13 @@
 	}
 }
 
-// Held is what the account of the worker carries for a running task: the
-// declared need, and more where earlier runs used more.
+// HeldResources is the amount reserved on the worker for running task i: the
+// declared need, or more if earlier runs used more.
 func (j *Job) HeldResources(i int) placement.Resources {
 	return atLeast(j.Spec.Need, j.Tasks[i].RaisedNeed)
 }
 
-// Placed returns every running task as placement sees it.
+// Placed returns all running tasks in the form that package placement uses.
 func (s *State) Placed() []placement.Placed {
 	var all []placement.Placed
 	for _, j := range s.Jobs {
@@ -303,7 +321,8 @@
 	return all
 }
 
-// Overdue names the unfinished jobs whose deadline has passed, in a fixed order.
+// OverdueJobs returns the IDs of the unfinished jobs whose deadline has passed,
+// sorted.
 func (s *State) OverdueJobs(now int64) []string {
 	var overdue []string
 	for id, j := range s.Jobs {
@@ -315,25 +334,27 @@
 	return overdue
 }
 
-// touch marks a job as changed.
+// markChanged gives the job a new revision and records the change.
 func (s *State) markChanged(j *Job) {
 	s.Revision++
 	j.Revision = s.Revision
 	s.changes.Queues[j.ID] = struct{}{}
 }
 
+// recordEvent adds an event for the event timeline.
 func (s *State) recordEvent(kind, detail string, subjects ...string) {
 	s.changes.Events = append(s.changes.Events, Event{Kind: kind, Subjects: subjects, Detail: detail})
 }
 
-// newID names the next job. The id carries the home data centre, so that any
-// entry instance finds the owner, and the term.
+// newID returns the ID of the next job. It contains the home data centre, so
+// that any instance that gets a request can find the owner of the job, and the
+// leader term.
 //
-// Failure guarded against: the log went on without a disk, the data centre lost
-// its power, and jobs that were accepted in memory are forgotten with the count
-// of them. A new job under the id of a forgotten one could be taken for it, by
-// its customer or by a worker that still reports on it. Terms only grow, over
-// such a loss too.
+// The term prevents the reuse of an ID: if the log runs without a disk and the
+// data centre loses power, jobs accepted in memory are lost together with the
+// sequence number. A new job with the ID of a lost one could be mistaken for it
+// by its customer, or by a worker that still reports on it. Terms increase even
+// across such a loss.
 func (s *State) newID() string {
 	s.Sequence++
 	sequence := strconv.FormatUint(s.Sequence, 10)
@@ -343,10 +364,11 @@
 	return s.DataCentre + "." + strconv.FormatUint(s.Term, termBase) + "-" + sequence
 }
 
-// termBase keeps terms short in ids.
+// termBase is the number base of terms in IDs. A high base keeps them short.
 const termBase = 36
 
-// Home returns the data centre that an id was given in, or "".
+// HomeDataCentre returns the data centre that assigned a job ID, or "" if the
+// ID names none.
 func HomeDataCentre(id string) string {
 	dot := strings.LastIndexByte(id, '.')
 	if dot <= 0 {
@@ -355,12 +377,12 @@
 	return id[:dot]
 }
 
-// assertWithinCapacity panics when a worker is given more than it has. Every start is
-// rechecked against the account before it, so reaching this is a defect of
-// this package that must not go unseen.
+// assertWithinCapacity panics if more than the capacity of a worker, or less
+// than nothing, is reserved. Every start is checked before, so this is a defect
+// of this package, which must not go unnoticed.
 func (w *Worker) assertWithinCapacity() {
 	over := w.Used.CPU > w.Capacity.CPU || w.Used.Memory > w.Capacity.Memory || w.Used.Accelerators > w.Capacity.Accelerators
 	if over || w.Used.CPU < 0 || w.Used.Memory < 0 || w.Used.Accelerators < 0 {
-		panic(fmt.Sprintf("state: worker %s is given %+v of %+v", w.ID, w.Used, w.Capacity))
+		panic(fmt.Sprintf("state: worker %s has %+v reserved of capacity %+v", w.ID, w.Used, w.Capacity))
 	}
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -12,41 +12,43 @@
 	"github.com/bilberryferry/bilberryferry/quota"
 )
 
-// host is a worker as it really is: it runs what it was commanded to, until
-// its incarnation is over.
+// fakeWorker is a simulated worker. It runs the attempts that reach it until
+// its incarnation ends.
 type fakeWorker struct {
 	incarnation uint64
 	running     map[AttemptRef]bool
-	// stopped are attempts of which it gave proof that they never start.
+	// stopped are the attempts that it has proved never to start.
 	stopped map[AttemptRef]bool
 	ended   map[AttemptRef]bool
 }
 
-// world drives two replicas of a state and the hosts behind it with random
-// commands, among them late, doubled and senseless ones.
+// stateHarness applies random commands, among them late, duplicate and invalid
+// ones, to two replicas of a state and simulates the workers.
 type stateHarness struct {
 	t           *rapid.T
 	a, b        *State
 	index       uint64
 	now         int64
 	fakeWorkers map[string]*fakeWorker
-	undelivered []StartedAttempt // commands under way; delivered late, twice or never
-	startCounts map[string]int   // job/task -> attempts that really ran
+	undelivered []StartedAttempt // orders in flight; delivered late, twice or never
+	startCounts map[string]int   // job/task -> attempts that ran
 	jobs        []string
 	request     int
 }
 
+// newStateHarness returns a harness with three workers, one customer with a
+// quota limit and one without.
 func newStateHarness(t *rapid.T) *stateHarness {
-	w := &stateHarness{t: t, a: New("hall"), b: New("hall"), now: 1_000, fakeWorkers: make(map[string]*fakeWorker), startCounts: make(map[string]int)}
+	w := &stateHarness{t: t, a: New("home"), b: New("home"), now: 1_000, fakeWorkers: make(map[string]*fakeWorker), startCounts: make(map[string]int)}
 	limits := map[string]placement.Resources{"c0": {CPU: 6000, Memory: -1, Accelerators: -1}, "c1": {CPU: -1, Memory: -1, Accelerators: -1}}
-	w.apply(&Command{AdoptConfig: &AdoptConfig{ConfigVersion: 1, Quota: quota.Config{Version: 1, InitialOwners: []string{"hall"}, Limits: limits}}})
+	w.apply(&Command{AdoptConfig: &AdoptConfig{ConfigVersion: 1, Quota: quota.Config{Version: 1, InitialOwners: []string{"home"}, Limits: limits}}})
 	for i := range 3 {
 		w.startWorker(fmt.Sprint("w", i))
 	}
 	return w
 }
 
-// apply carries a command out on both replicas, which must decide alike.
+// apply applies a command to both replicas and fails if their results differ.
 func (w *stateHarness) apply(c *Command) Result {
 	w.index++
 	w.now += 10
@@ -66,6 +68,8 @@
 	return result
 }
 
+// startWorker starts the next incarnation of a worker, with the same or less
+// capacity.
 func (w *stateHarness) startWorker(id string) {
 	h := w.fakeWorkers[id]
 	if h == nil {
@@ -81,6 +85,8 @@
 	w.apply(&Command{WorkerUp: &WorkerUp{ID: id, Incarnation: h.incarnation, Capacity: capacity}})
 }
 
+// submit submits a random job twice and fails if the duplicate gets another
+// answer.
 func (w *stateHarness) submit() {
 	w.request++
 	policies := []placement.Policy{placement.Service, placement.Batch, placement.Gang}
@@ -101,6 +107,7 @@
 	w.jobs = append(w.jobs, result.Job)
 }
 
+// job draws the ID of a submitted job.
 func (w *stateHarness) job() string {
 	if len(w.jobs) == 0 {
 		return "none"
@@ -108,11 +115,13 @@
 	return rapid.SampledFrom(w.jobs).Draw(w.t, "job")
 }
 
+// worker draws the ID of a worker.
 func (w *stateHarness) worker() string {
 	return fmt.Sprint("w", rapid.IntRange(0, 2).Draw(w.t, "worker"))
 }
 
-// plan starts what a careless plan asks for: too much, on any worker.
+// applyRandomPlan applies a plan that ignores capacities, limits and the state
+// of jobs and workers.
 func (w *stateHarness) applyRandomPlan() {
 	var items []StartItem
 	for range rapid.IntRange(1, 8).Draw(w.t, "items") {
@@ -126,8 +135,9 @@
 	w.undelivered = append(w.undelivered, result.Started...)
 }
 
-// deliver hands a command to its host, which refuses other incarnations,
-// repeats, and attempts that it has ended or proved never to start.
+// deliver delivers an order to its worker. The worker rejects orders for
+// another incarnation, duplicates, and attempts that it has ended or proved
+// never to start.
 func (w *stateHarness) deliver() {
 	if len(w.undelivered) == 0 {
 		return
@@ -146,19 +156,21 @@
 	key := fmt.Sprint(c.Ref.Job, "/", c.Ref.Task)
 	w.startCounts[key]++
 	if j := w.a.Jobs[c.Ref.Job]; j != nil && !j.Spec.Idempotent {
-		must.Eq(w.t, 1, w.startCounts[key], must.Sprint("non-idempotent task ran twice: ", key))
+		must.Eq(w.t, 1, w.startCounts[key], must.Sprint("non-idempotent task ran more than once: ", key))
 	}
 }
 
+// mustNotRunElsewhere fails if a worker runs an attempt of the same task.
 func (w *stateHarness) mustNotRunElsewhere(ref AttemptRef) {
 	for id, h := range w.fakeWorkers {
 		for other := range h.running {
-			must.False(w.t, other.Job == ref.Job && other.Task == ref.Task, must.Sprintf("%v runs on %s already", ref, id))
+			must.False(w.t, other.Job == ref.Job && other.Task == ref.Task, must.Sprintf("%v is already running on %s", ref, id))
 		}
 	}
 }
 
-// report ends an attempt on its host, or proves that it never starts there.
+// report reports the end of an attempt, or the proof that it never starts,
+// followed by a contradicting duplicate.
 func (w *stateHarness) report() {
 	id := w.worker()
 	h := w.fakeWorkers[id]
@@ -182,7 +194,8 @@
 	w.apply(&Command{End: end})
 }
 
-// lose ends a lease: the host has stopped everything by then.
+// expireLease ends the lease of a worker, which has stopped all its attempts by
+// then, and starts its next incarnation.
 func (w *stateHarness) expireLease() {
 	id := w.worker()
 	h := w.fakeWorkers[id]
@@ -215,7 +228,8 @@
 	w.apply(&Command{Preempt: &Preempt{Items: []placement.Preemption{{Job: id, Task: 0, Worker: w.worker()}}}})
 }
 
-// snapshot replaces a replica by what its snapshot holds.
+// snapshot replaces the second replica by one restored from a snapshot of the
+// first.
 func (w *stateHarness) snapshot() {
 	data, err := w.a.Encode()
 	must.NoError(w.t, err)
@@ -223,7 +237,7 @@
 	must.NoError(w.t, err)
 }
 
-// check asserts what must hold after every step.
+// check checks the invariants after every step.
 func (w *stateHarness) check() {
 	used := make(map[string]int64)
 	for id, worker := range w.a.Workers {
@@ -240,7 +254,7 @@
 	for id, h := range w.fakeWorkers {
 		for ref := range h.running {
 			j, task := w.a.latestAttempt(ref)
-			must.True(w.t, j != nil && task != nil && task.Worker == id, must.Sprintf("%v runs on %s without authority", ref, id))
+			must.True(w.t, j != nil && task != nil && task.Worker == id, must.Sprintf("%v runs on %s although the state does not place it there", ref, id))
 		}
 	}
 	for _, j := range w.a.Jobs {
@@ -248,10 +262,12 @@
 	}
 }
 
+// checkJob fails if a task that is reported as not run, or was handed over, did
+// run, or if an ended job has queued or running tasks.
 func (w *stateHarness) checkJob(j *Job) {
 	for i := range j.Tasks {
 		if j.Tasks[i].State == TaskNotRun || j.State == JobNotRun || j.HandoverDataCentre != "" {
-			must.Eq(w.t, 0, w.startCounts[fmt.Sprint(j.ID, "/", i)], must.Sprintf("%s task %d is said not to have run", j.ID, i))
+			must.Eq(w.t, 0, w.startCounts[fmt.Sprint(j.ID, "/", i)], must.Sprintf("task %[2]d of %[1]s ran, but the state says that it did not", j.ID, i))
 		}
 	}
 	if j.State.Ended() {
@@ -260,10 +276,10 @@
 	}
 }
 
-// What a user sees: whatever operators, workers and the network do, nothing
-// runs twice, no worker or customer gets more than it has, and "not run" is true.
-// Order: random, with commands delivered late, twice or never, workers lost and
-// restarted smaller, cancellations and handovers racing starts, snapshots.
+// A task runs twice, a worker or customer gets more than its capacity or quota,
+// or a task that ran is reported as not run. Orders are delivered late, twice
+// or never, workers are lost and restarted with less capacity, cancellations
+// and handovers race with starts, and replicas are restored from snapshots.
 func TestRandomCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newStateHarness(t)
@@ -279,13 +295,12 @@
 	})
 }
 
-// What a user sees: a check-in whose worker was cut off is Unknown, never
-// "cancelled" or "not run", even when it was cancelled before.
-// Order: the task starts; its customer may cancel it; the lease ends.
-// Cause: the start may or may not have reached the worker.
+// A non-idempotent job whose worker became unreachable is reported as cancelled
+// or not run, though its start may have reached the worker. The task starts, in
+// one case the customer cancels the job, and then the lease expires.
 func TestLostNonIdempotentWorkIsUnknown(t *testing.T) {
 	for _, cancelled := range []bool{false, true} {
-		s := New("hall")
+		s := New("home")
 		s.Apply(1, &Command{WorkerUp: &WorkerUp{ID: "w", Incarnation: 1, Capacity: placement.Resources{CPU: 4000, Memory: 4096}}})
 		spec := Spec{Name: "check-in", Policy: placement.Batch, Tasks: 1, Need: placement.Resources{CPU: 1, Memory: 1}}
 		job := s.Apply(2, &Command{Submit: &Submit{Request: Request{ID: "r"}, Customer: "c", Spec: spec}}).Job
@@ -299,9 +314,9 @@
 	}
 }
 
-// Guards against a task that takes one worker after the other down, without end.
+// A task that crashes every worker that starts it is queued again forever.
 func TestTaskFailsAfterCrashingTooManyWorkers(t *testing.T) {
-	s := New("hall")
+	s := New("home")
 	up := func(incarnation uint64) {
 		s.Apply(1, &Command{WorkerUp: &WorkerUp{ID: "w", Incarnation: incarnation, Capacity: placement.Resources{CPU: 4000, Memory: 4096}}})
 	}
@@ -309,19 +324,18 @@
 	spec := Spec{Name: "nightly", Policy: placement.Batch, Tasks: 1, Need: placement.Resources{CPU: 1, Memory: 1}, Idempotent: true}
 	job := s.Apply(2, &Command{Submit: &Submit{Request: Request{ID: "r"}, Customer: "c", Spec: spec}}).Job
 	for incarnation := uint64(1); s.Jobs[job].State != JobFailed; incarnation++ {
-		must.LessEq(t, maxTaskCrashes, incarnation, must.Sprint("workers crashed by one task"))
+		must.LessEq(t, maxTaskCrashes, incarnation, must.Sprint("one task crashed too many workers"))
 		s.Apply(3, &Command{Start: &Start{Items: []StartItem{{Job: job, Worker: "w"}}}})
 		up(incarnation + 1)
 	}
 }
 
-// What a user sees: a job that was cancelled while it was handed over doesn't
-// run on unseen in the other data centre.
-// Order: the job is offered; its customer cancels it; the other data centre's
-// acceptance arrives; only its answer to the withdrawal ends the handover.
-// Cause: the cancellation and the offer pass each other.
+// A job that its customer cancelled during a handover keeps running in the
+// other data centre. The job is offered, the customer cancels it, and then the
+// acceptance of the offer arrives. The handover must not be done before the
+// other data centre has answered the withdrawal.
 func TestCancelDuringHandoverKeepsJobPendingUntilWithdrawn(t *testing.T) {
-	s := New("hall")
+	s := New("home")
 	spec := Spec{Name: "check-in", Policy: placement.Batch, Tasks: 1, Need: placement.Resources{CPU: 1, Memory: 1}}
 	job := s.Apply(1, &Command{Submit: &Submit{Request: Request{ID: "r"}, Customer: "c", Spec: spec, HandoverTo: "other"}}).Job
 	s.Apply(2, &Command{Cancel: &Cancel{Request: Request{ID: "x"}, Customer: "c", IDs: []string{job}}})
@@ -332,10 +346,11 @@
 	must.True(t, s.Jobs[job].HandoverDone)
 }
 
-// A request id used with other content is a conflict; a refusal is remembered,
-// so that a late copy of the request can't be accepted after it.
+// A resent request creates its job although the first copy was refused, or a
+// request with other content is taken for a duplicate because it has the same
+// ID.
 func TestResentRequestGetsFirstAnswer(t *testing.T) {
-	s := New("hall")
+	s := New("home")
 	refused := &Submit{Request: Request{ID: "r", Digest: 1}, Customer: "c", Refused: true, Kind: fault.Infeasible, Detail: "no"}
 	must.True(t, fault.Is(s.Apply(1, &Command{Submit: refused}).Err, fault.Infeasible))
 	copied := &Submit{Request: Request{ID: "r", Digest: 1}, Customer: "c", Spec: Spec{Tasks: 1}}
@@ -345,9 +360,10 @@
 	must.MapEmpty(t, s.Jobs)
 }
 
-// A later program's state and commands are refused, not guessed at.
+// A snapshot written by a later program version is decoded as if the format
+// were known.
 func TestNewerFormatVersionIsRefused(t *testing.T) {
-	s := New("hall")
+	s := New("home")
 	s.Format = FormatVersion + 1
 	data, err := s.Encode()
 	must.NoError(t, err)
--- a/internal/state/types.go
+++ b/internal/state/types.go
@@ -1,8 +1,8 @@
 // Package state is the replicated state of one data centre: its jobs, tasks,
-// attempts, workers, handovers, quota and adopted configuration. Commands are
-// applied in log order on every replica and decide alike everywhere: nothing
-// here reads a clock, and each rule that guards against running work twice is
-// checked here, where a stale leader's commands can't get past it.
+// attempts, workers, handovers, quota and adopted configuration. Every replica
+// applies the same commands in log order and reaches the same decisions, so
+// nothing here reads a clock. Each rule that prevents running a task twice is
+// checked here, where commands of a stale leader cannot bypass it.
 package state
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/bilberryferry/bilberryferry/placement"
 )
 
-// Spec is what a customer asks for.
+// Spec is the specification of a job, as its customer submits it.
 type Spec struct {
 	Name        string              `cbor:"1,keyasint"`
 	Policy      placement.Policy    `cbor:"2,keyasint"`
@@ -26,10 +26,10 @@
 	MaxAttempts int                 `cbor:"10,keyasint,omitempty"`
 }
 
-// JobState is where a job stands. Values match api/v1 JobState.
+// JobState is the state of a job. The values match JobState of api/v1.
 type JobState uint8
 
-// Job states.
+// The job states.
 const (
 	JobQueued JobState = iota + 1
 	JobPendingHandover
@@ -37,19 +37,20 @@
 	JobFinished
 	JobFailed
 	JobCancelled
-	// JobNotRun is reached only when no attempt of any task ever started.
+	// JobNotRun means that no attempt of any task ever started.
 	JobNotRun
-	// JobUnknown ends non-idempotent work whose fate can't be known.
+	// JobUnknown ends a job with a non-idempotent task whose outcome is
+	// unknown.
 	JobUnknown
 )
 
 // Ended reports whether the state is final.
 func (s JobState) Ended() bool { return s >= JobFinished }
 
-// TaskState is where a task stands. Values match api/v1 TaskState.
+// TaskState is the state of a task. The values match TaskState of api/v1.
 type TaskState uint8
 
-// Task states.
+// The task states.
 const (
 	TaskQueued TaskState = iota + 1
 	TaskRunning
@@ -63,8 +64,9 @@
 // Ended reports whether the state is final.
 func (s TaskState) Ended() bool { return s >= TaskFinished }
 
-// Task is one task of a job. While its state is TaskRunning the attempt
-// occupies Worker: from the committed start to the committed end.
+// Task is one task of a job and its latest attempt. In the state TaskRunning,
+// from the committed start to the committed end, the attempt occupies Worker.
+// Started, Ended and NotBefore are in Unix ms.
 type Task struct {
 	State       TaskState `cbor:"1,keyasint"`
 	Attempt     int32     `cbor:"2,keyasint,omitempty"`
@@ -74,21 +76,22 @@
 	Ended       int64     `cbor:"6,keyasint,omitempty"`
 	NotBefore   int64     `cbor:"7,keyasint,omitempty"`
 	Failures    int       `cbor:"8,keyasint,omitempty"`
-	// Stopping says that the worker was told to stop the attempt.
+	// Stopping is set once the worker is to stop the attempt.
 	Stopping bool `cbor:"9,keyasint,omitempty"`
-	// Preempted says that a stop is no failure: the task queues again.
+	// Preempted is set if the attempt is stopped for urgent work. The task is
+	// then queued again and the stop does not count as a failure.
 	Preempted bool `cbor:"10,keyasint,omitempty"`
-	// Runs counts the attempts that may have run: each committed start, less
-	// those of which the worker has proved that they never ran.
+	// Runs counts the attempts that may have run: the committed starts, less
+	// those that the worker has proved never to have run.
 	Runs int32 `cbor:"11,keyasint,omitempty"`
-	// Raised is what the account carries for the attempt where measurements of
-	// earlier runs showed more than the declared need.
+	// RaisedNeed is the amount reserved for the attempt if earlier runs used
+	// more than the declared need; zero otherwise.
 	RaisedNeed placement.Resources `cbor:"12,keyasint,omitempty"`
-	// Crashes counts the workers that restarted under the task's attempts.
+	// Crashes counts the worker restarts during attempts of the task.
 	Crashes int `cbor:"13,keyasint,omitempty"`
 }
 
-// Job is one accepted piece of work.
+// Job is one accepted job. Submitted, Started and Ended are in Unix ms.
 type Job struct {
 	ID        string   `cbor:"1,keyasint"`
 	Customer  string   `cbor:"2,keyasint"`
@@ -98,19 +101,23 @@
 	Submitted int64    `cbor:"6,keyasint"`
 	Started   int64    `cbor:"7,keyasint,omitempty"`
 	Ended     int64    `cbor:"8,keyasint,omitempty"`
-	Revision  uint64   `cbor:"9,keyasint"`
-	// Closing is set once the job is to end: queued tasks are done for and
-	// running ones are being stopped. Final is the state it will get.
+	// Revision is the revision of the state at the last change of the job.
+	Revision uint64 `cbor:"9,keyasint"`
+	// Closing is set once the job is to end: its queued tasks are ended and its
+	// running ones are being stopped. Kind and Reason say why.
 	Closing bool       `cbor:"10,keyasint,omitempty"`
 	Kind    fault.Kind `cbor:"11,keyasint,omitempty"`
 	Reason  string     `cbor:"12,keyasint,omitempty"`
-	// HandoverDataCentre names the data centre the job is offered to or lives in.
+	// HandoverDataCentre names the data centre to which the job is offered or
+	// was handed over.
 	HandoverDataCentre string `cbor:"13,keyasint,omitempty"`
-	// HandoverDone is set once the other data centre's acceptance is known.
+	// HandoverDone is set once the acceptance of the other data centre is
+	// known.
 	HandoverDone bool `cbor:"14,keyasint,omitempty"`
-	// Tried lists data centres that refused the job.
+	// RefusedBy lists the data centres that refused the job.
 	RefusedBy []string `cbor:"15,keyasint,omitempty"`
-	// Foreign jobs were accepted from another data centre.
+	// OriginDataCentre names the data centre that handed the job over to this
+	// one; empty for jobs submitted here.
 	OriginDataCentre string `cbor:"16,keyasint,omitempty"`
 }
 
@@ -122,11 +129,12 @@
 	Capacity    placement.Resources `cbor:"4,keyasint"`
 	Used        placement.Resources `cbor:"5,keyasint,omitempty"`
 	Draining    bool                `cbor:"6,keyasint,omitempty"`
-	// Down is set when the lease of this incarnation has ended for good.
+	// Down is set once this incarnation can never run tasks again: its lease
+	// expired or it left.
 	Down bool `cbor:"7,keyasint,omitempty"`
 }
 
-// AttemptRef names one attempt of one task.
+// AttemptRef identifies one attempt of one task.
 type AttemptRef struct {
 	Job     string `cbor:"1,keyasint"`
 	Task    int32  `cbor:"2,keyasint"`
@@ -136,36 +144,39 @@
 // Outcome is how an attempt ended, as its worker reports it.
 type Outcome uint8
 
-// Outcomes. Values match api/v1 Outcome.
+// The outcomes. The values match Outcome of api/v1.
 const (
 	Finished Outcome = iota + 1
 	Failed
 	Stopped
-	// NotStarted is the worker's proof that the attempt never ran and never will.
+	// NotStarted is the worker's proof that the attempt never ran and never
+	// will.
 	NotStarted
 )
 
-// Result is what applying a command gives to its proposer.
+// Result is the result of a command, returned to its proposer.
 type Result struct {
 	Err error
 	// Job is the id of the job a submission made, or that the command concerns.
 	Job string
-	// Jobs are the ids a cancellation reached.
+	// Jobs are the IDs of the jobs that a cancellation selected.
 	Jobs []string
-	// Started lists the attempts that a start command was allowed to make.
+	// Started lists the attempts that a Start command has started.
 	Started []StartedAttempt
-	// Acknowledged lists attempts whose end is committed.
+	// Acknowledged lists the attempts whose ends are committed, so that the
+	// worker can drop its reports.
 	Acknowledged []AttemptRef
 }
 
-// StartedAttempt is one committed start, to be sent to its worker.
+// StartedAttempt is a committed attempt and the worker incarnation that gets
+// the order.
 type StartedAttempt struct {
 	Ref         AttemptRef
 	Worker      string
 	Incarnation uint64
 }
 
-// Event is one change of state for the time line.
+// Event is one change of the state for the event timeline.
 type Event struct {
 	Kind     string
 	Subjects []string
