--- a/placement/arrivals/measure_test.go
+++ b/placement/arrivals/measure_test.go
@@ -12,10 +12,10 @@
 
 var (
 	measure       = flag.String("measure", "", "measurement to print: load, packing, flood, urgent, faults, all")
-	seeds         = flag.Uint64("seeds", 5, "seeds 1 to this are run")
-	load          = flag.Float64("load", 0.95, "true work that arrives over capacity")
-	placementOnly = flag.Bool("brief", false, "leave out baseline and clairvoyant")
-	tight         = flag.Float64("tight", 0.4, "part of the jobs that must start within a few run times")
+	seeds         = flag.Uint64("seeds", 5, "number of seeds; seeds 1 to this number are run")
+	load          = flag.Float64("load", 0.95, "actual work that arrives, divided by the capacity")
+	placementOnly = flag.Bool("brief", false, "leave out the baseline and the oracle")
+	tight         = flag.Float64("tight", 0.4, "share of the jobs that must start within a few run times")
 	length        = flag.Duration("length", 6*time.Hour, "time over which jobs arrive")
 	plots         = flag.String("plots", "", "folder for SVG plots of the packing measurement; empty for none")
 	only          = flag.String("only", "", "site to run; empty for all")
@@ -80,7 +80,7 @@
 			}
 			fmt.Printf("%s seed %d baseline    %v\n", site.Name, s, run(site, mix, placement.BaselineOptions()))
 			fmt.Printf("%s seed %d placement   %v\n", site.Name, s, run(site, mix, placement.DefaultOptions()))
-			fmt.Printf("%s seed %d clairvoyant %v\n", site.Name, s, run(site, exact, oracleOptions()))
+			fmt.Printf("%s seed %d oracle      %v\n", site.Name, s, run(site, exact, oracleOptions()))
 		}
 	}
 }
@@ -155,8 +155,8 @@
 			base := run(site, mix, placement.BaselineOptions(), faults...)
 			without := run(site, mix, off, faults...)
 			own := run(site, mix, placement.DefaultOptions(), faults...)
-			for name, r := range map[string]*Report{"baseline": base, "no set-aside": without, "placement": own} {
-				fmt.Printf("%s seed %d %-12s failures %d missed %.3f%% %v refused %.2f%%\n", site.Name, s, name, r.failures, 100*r.MissRate(), r.missed, 100*r.RefusalRate())
+			for name, r := range map[string]*Report{"baseline": base, "no quarantine": without, "placement": own} {
+				fmt.Printf("%s seed %d %-13s failures %d missed %.3f%% %v refused %.2f%%\n", site.Name, s, name, r.failures, 100*r.MissRate(), r.missed, 100*r.RefusalRate())
 			}
 		}
 	}
--- a/placement/arrivals/plot_test.go
+++ b/placement/arrivals/plot_test.go
@@ -20,8 +20,8 @@
 func plotPacking(t *testing.T, site Site, points []packingPoint, file string) {
 	p := plot.New()
 	p.Title.Text = site.Name + ": work done in time, seed 1"
-	p.X.Label.Text = "arriving work, part of the workers"
-	p.Y.Label.Text = "useful work, percent of the workers"
+	p.X.Label.Text = "arriving work, fraction of the capacity"
+	p.Y.Label.Text = "useful work, percent of the capacity"
 	p.Legend.Top, p.Legend.Left = true, true
 	base, own := make(plotter.XYs, len(points)), make(plotter.XYs, len(points))
 	for i, x := range points {
--- a/placement/arrivals/report.go
+++ b/placement/arrivals/report.go
@@ -245,7 +245,7 @@
 
 // String formats the report as one line.
 func (r *Report) String() string {
-	return fmt.Sprintf("jobs %d refused %.2f%% (alone %d, first hour %d, reasons %v) missed %.3f%% %v in time %.2f%% busy %.1f%% goodput %.1f%% | wait p50 %v p99 %v urgent p50 %v p99 %v gang p50 %v p99 %v | preempted %d failures %d | %.0f starts/s evaluate p50 %v p99 %v admit p50 %v p99 %v",
+	return fmt.Sprintf("jobs %d refused %.2f%% (without retry %d, first hour %d, reasons %v) missed %.3f%% %v in time %.2f%% busy %.1f%% goodput %.1f%% | wait p50 %v p99 %v urgent p50 %v p99 %v gang p50 %v p99 %v | preempted %d failures %d | %.0f starts/s evaluate p50 %v p99 %v admit p50 %v p99 %v",
 		r.submitted, 100*r.RefusalRate(), r.refusedPermanently, r.refusedFirstHour, r.refused, 100*r.MissRate(), r.missed, 100*r.InTimeRate(), 100*r.Busy(), 100*r.Goodput(),
 		r.Normal.Quantile(0.5).Round(time.Millisecond), r.Normal.Quantile(0.99).Round(time.Second),
 		r.Urgent.Quantile(0.5), r.Urgent.Quantile(0.99).Round(time.Millisecond),
