--- a/placement/arrivals/generate.go
+++ b/placement/arrivals/generate.go
@@ -88,18 +88,18 @@
 // generator draws the arrivals of one workload.
 type generator struct {
 	site      Site
-	mix       Workload
+	workload  Workload
 	rand      *rand.Rand
 	templates []jobTemplate
 }
 
 // Generate returns the arrivals at a site, ordered by time. It scales the time
 // between them so that the actual work matches the load.
-func Generate(site Site, mix Workload) []Arrival {
-	g := &generator{site: site, mix: mix, rand: rand.New(rand.NewPCG(mix.Seed, 1))}
+func Generate(site Site, workload Workload) []Arrival {
+	g := &generator{site: site, workload: workload, rand: rand.New(rand.NewPCG(workload.Seed, 1))}
 	g.makeTemplates()
-	rate := mix.Load - mix.Services
-	budget := rate * mix.Duration.Seconds()
+	rate := workload.Load - workload.Services
+	budget := rate * workload.Duration.Seconds()
 	var list []Arrival
 	var at float64
 	var generated siteSeconds
@@ -110,7 +110,7 @@
 		list = append(list, a)
 		list[n].At = time.Duration(at * float64(time.Second))
 	}
-	stretch := mix.Duration.Seconds() / at
+	stretch := workload.Duration.Seconds() / at
 	for i := range list {
 		list[i].resolveTimes(stretch)
 	}
@@ -153,7 +153,7 @@
 // makeTemplates draws the recurring jobs of all customers.
 func (g *generator) makeTemplates() {
 	for c := range g.site.Customers {
-		wrong := float64(c) < g.mix.MisdeclaringCustomers*float64(g.site.Customers)
+		wrong := float64(c) < g.workload.MisdeclaringCustomers*float64(g.site.Customers)
 		for n := range namesPerCustomer {
 			g.templates = append(g.templates, g.newTemplate(c, n, wrong))
 		}
@@ -164,7 +164,7 @@
 // times wrong.
 func (g *generator) newTemplate(customer, n int, wrong bool) jobTemplate {
 	bias := 1.0
-	if wrong || g.rand.Float64() < g.mix.MisdeclaredNames {
+	if wrong || g.rand.Float64() < g.workload.MisdeclaredNames {
 		bias = math.Exp((2*g.rand.Float64() - 1) * math.Log(5))
 	}
 	cpu := []int64{1, 2, 2, 4, 4, 6, 8, 12}[g.rand.IntN(8)]
@@ -196,19 +196,19 @@
 		Policy:     placement.Batch,
 		Tasks:      1 + int(g.rand.ExpFloat64()*6),
 		Need:       k.need,
-		Idempotent: g.rand.Float64() >= g.mix.NotIdempotent,
+		Idempotent: g.rand.Float64() >= g.workload.NotIdempotent,
 	}
 	draw := g.rand.Float64()
 	slack := g.slack(run)
 	switch {
-	case draw < g.mix.Urgent:
+	case draw < g.workload.Urgent:
 		j.Urgent = true
 		j.Tasks = 1
-		j.Need = g.mix.UrgentNeed
+		j.Need = g.workload.UrgentNeed
 		j.Name += "-urgent"
 		run = time.Duration((3 + 12*g.rand.Float64()) * float64(time.Second))
 		slack = 2 * time.Minute
-	case draw < g.mix.Urgent+g.mix.Gangs:
+	case draw < g.workload.Urgent+g.workload.Gangs:
 		j.Policy = placement.Gang
 		j.Tasks = 4 + g.rand.IntN(13)
 		slack += 30 * time.Minute
@@ -221,7 +221,7 @@
 
 // slack draws the time from the earliest end to the deadline.
 func (g *generator) slack(run time.Duration) time.Duration {
-	if g.rand.Float64() < g.mix.TightDeadlines {
+	if g.rand.Float64() < g.workload.TightDeadlines {
 		return 2*time.Minute + time.Duration((1+5*g.rand.Float64())*float64(run))
 	}
 	return time.Hour + time.Duration(g.rand.Float64()*5*float64(time.Hour))
@@ -231,8 +231,8 @@
 // random error even if it is not used, so that both cases give the same
 // arrivals.
 func (g *generator) declaredRuntime(run time.Duration, bias float64) time.Duration {
-	noise := math.Exp(g.rand.NormFloat64() * g.mix.DeclarationNoise)
-	if g.mix.ExactDeclarations {
+	noise := math.Exp(g.rand.NormFloat64() * g.workload.DeclarationNoise)
+	if g.workload.ExactDeclarations {
 		return run
 	}
 	return time.Duration(float64(run)*bias*noise).Round(time.Second) + time.Second
--- a/placement/arrivals/measure_test.go
+++ b/placement/arrivals/measure_test.go
@@ -41,8 +41,8 @@
 }
 
 // run simulates a workload at a site.
-func run(site Site, mix Workload, o placement.Options, faults ...WorkerFault) *Report {
-	return Replay(Config{Site: site, Options: o, Services: mix.Services, Faults: faults, Stopwatch: stopwatch()}, Generate(site, mix))
+func run(site Site, workload Workload, o placement.Options, faults ...WorkerFault) *Report {
+	return Replay(Config{Site: site, Options: o, Services: workload.Services, Faults: faults, Stopwatch: stopwatch()}, Generate(site, workload))
 }
 
 // skipUnlessSelected skips a measurement that the flag -measure does not
@@ -69,18 +69,18 @@
 func TestLoad(t *testing.T) {
 	skipUnlessSelected(t, "load")
 	for _, site := range sites() {
-		for s := uint64(1); s <= *seeds; s++ {
-			mix := DefaultWorkload(s, *load)
-			mix.TightDeadlines, mix.Duration = *tight, *length
-			exact := mix
+		for seed := uint64(1); seed <= *seeds; seed++ {
+			workload := DefaultWorkload(seed, *load)
+			workload.TightDeadlines, workload.Duration = *tight, *length
+			exact := workload
 			exact.ExactDeclarations = true
 			if *placementOnly {
-				fmt.Printf("%s seed %d placement   %v\n", site.Name, s, run(site, mix, placement.DefaultOptions()))
+				fmt.Printf("%s seed %d placement   %v\n", site.Name, seed, run(site, workload, placement.DefaultOptions()))
 				continue
 			}
-			fmt.Printf("%s seed %d baseline    %v\n", site.Name, s, run(site, mix, placement.BaselineOptions()))
-			fmt.Printf("%s seed %d placement   %v\n", site.Name, s, run(site, mix, placement.DefaultOptions()))
-			fmt.Printf("%s seed %d oracle      %v\n", site.Name, s, run(site, exact, oracleOptions()))
+			fmt.Printf("%s seed %d baseline    %v\n", site.Name, seed, run(site, workload, placement.BaselineOptions()))
+			fmt.Printf("%s seed %d placement   %v\n", site.Name, seed, run(site, workload, placement.DefaultOptions()))
+			fmt.Printf("%s seed %d oracle      %v\n", site.Name, seed, run(site, exact, oracleOptions()))
 		}
 	}
 }
@@ -91,13 +91,13 @@
 	for _, site := range sites() {
 		var points []packingPoint
 		for step := range 10 {
-			mix := DefaultWorkload(1, 0.75+0.05*float64(step))
-			base := run(site, mix, placement.BaselineOptions())
-			scheduled := run(site, mix, placement.DefaultOptions())
+			workload := DefaultWorkload(1, 0.75+0.05*float64(step))
+			base := run(site, workload, placement.BaselineOptions())
+			scheduled := run(site, workload, placement.DefaultOptions())
 			fmt.Printf("%s seed 1 load %.2f baseline goodput %.1f%% not in time %.2f%% | placement goodput %.1f%% not in time %.2f%% refused %.2f%% missed %.3f%%\n",
-				site.Name, mix.Load, 100*base.Goodput(), 100-100*base.InTimeRate(),
+				site.Name, workload.Load, 100*base.Goodput(), 100-100*base.InTimeRate(),
 				100*scheduled.Goodput(), 100-100*scheduled.InTimeRate(), 100*scheduled.RefusalRate(), 100*scheduled.MissRate())
-			points = append(points, packingPoint{load: mix.Load, baseline: 100 * base.Goodput(), scheduled: 100 * scheduled.Goodput()})
+			points = append(points, packingPoint{load: workload.Load, baseline: 100 * base.Goodput(), scheduled: 100 * scheduled.Goodput()})
 		}
 		if *plots != "" {
 			plotPacking(t, site, points, filepath.Join(*plots, "placement-packing-"+site.Name+".svg"))
@@ -110,14 +110,14 @@
 func TestUrgent(t *testing.T) {
 	skipUnlessSelected(t, "urgent")
 	for _, site := range sites() {
-		for s := uint64(1); s <= *seeds; s++ {
-			mix := DefaultWorkload(s, 1.3)
-			mix.TightDeadlines = 0
-			mix.UrgentNeed = resources(4, 8)
-			base := run(site, mix, placement.BaselineOptions())
-			own := run(site, mix, placement.DefaultOptions())
+		for seed := uint64(1); seed <= *seeds; seed++ {
+			workload := DefaultWorkload(seed, 1.3)
+			workload.TightDeadlines = 0
+			workload.UrgentNeed = resources(4, 8)
+			base := run(site, workload, placement.BaselineOptions())
+			own := run(site, workload, placement.DefaultOptions())
 			fmt.Printf("%s seed %d baseline urgent p50 %v p99 %v | placement urgent p50 %v p99 %v preempted %d missed %.3f%% refused %.2f%%\n",
-				site.Name, s, base.Urgent.Quantile(0.5), base.Urgent.Quantile(0.99),
+				site.Name, seed, base.Urgent.Quantile(0.5), base.Urgent.Quantile(0.99),
 				own.Urgent.Quantile(0.5), own.Urgent.Quantile(0.99), own.preempted, 100*own.MissRate(), 100*own.RefusalRate())
 		}
 	}
@@ -128,13 +128,13 @@
 func TestFlood(t *testing.T) {
 	skipUnlessSelected(t, "flood")
 	for _, site := range sites() {
-		for s := uint64(1); s <= *seeds; s++ {
+		for seed := uint64(1); seed <= *seeds; seed++ {
 			for _, size := range []float64{0, 0.5, 1, 2, 5} {
-				mix := DefaultWorkload(s, 0.6)
-				list := Flood{Customer: "flood", Load: size, From: time.Hour, Until: 3 * time.Hour}.Add(site, Generate(site, mix))
+				workload := DefaultWorkload(seed, 0.6)
+				list := Flood{Customer: "flood", Load: size, From: time.Hour, Until: 3 * time.Hour}.Add(site, Generate(site, workload))
 				for name, o := range map[string]placement.Options{"baseline": placement.BaselineOptions(), "placement": placement.DefaultOptions()} {
-					r := Replay(Config{Site: site, Options: o, Services: mix.Services}, list)
-					fmt.Printf("%s seed %d flood %.1f %-9s others p50 %v p90 %v p99 %v refused %d | refused %.2f%% missed %.3f%%\n", site.Name, s, size, name,
+					r := Replay(Config{Site: site, Options: o, Services: workload.Services}, list)
+					fmt.Printf("%s seed %d flood %.1f %-9s others p50 %v p90 %v p99 %v refused %d | refused %.2f%% missed %.3f%%\n", site.Name, seed, size, name,
 						r.OthersWait("flood", 0.5), r.OthersWait("flood", 0.9), r.OthersWait("flood", 0.99).Round(time.Second), r.Refused()-r.refusedBy["flood"], 100*r.RefusalRate(), 100*r.MissRate())
 				}
 			}
@@ -148,15 +148,15 @@
 	skipUnlessSelected(t, "faults")
 	for _, site := range sites() {
 		faults := []WorkerFault{{Worker: "w003", From: time.Hour, Until: 3 * time.Hour}, {Worker: "w017", From: 90 * time.Minute, Until: 4 * time.Hour}}
-		for s := uint64(1); s <= *seeds; s++ {
-			mix := DefaultWorkload(s, 0.8)
-			off := placement.DefaultOptions()
-			off.NoQuarantine = true
-			base := run(site, mix, placement.BaselineOptions(), faults...)
-			without := run(site, mix, off, faults...)
-			own := run(site, mix, placement.DefaultOptions(), faults...)
-			for name, r := range map[string]*Report{"baseline": base, "no quarantine": without, "placement": own} {
-				fmt.Printf("%s seed %d %-13s failures %d missed %.3f%% %v refused %.2f%%\n", site.Name, s, name, r.failures, 100*r.MissRate(), r.missed, 100*r.RefusalRate())
+		for seed := uint64(1); seed <= *seeds; seed++ {
+			workload := DefaultWorkload(seed, 0.8)
+			quarantineOff := placement.DefaultOptions()
+			quarantineOff.NoQuarantine = true
+			base := run(site, workload, placement.BaselineOptions(), faults...)
+			unquarantined := run(site, workload, quarantineOff, faults...)
+			own := run(site, workload, placement.DefaultOptions(), faults...)
+			for name, r := range map[string]*Report{"baseline": base, "no quarantine": unquarantined, "placement": own} {
+				fmt.Printf("%s seed %d %-13s failures %d missed %.3f%% %v refused %.2f%%\n", site.Name, seed, name, r.failures, 100*r.MissRate(), r.missed, 100*r.RefusalRate())
 			}
 		}
 	}
--- a/placement/arrivals/report.go
+++ b/placement/arrivals/report.go
@@ -54,9 +54,9 @@
 
 	submitted int
 	refused   map[placement.Reason]int
-	// refusedPermanently counts refusals without a retry delay: the estimated
+	// refusedWithoutRetry counts refusals without a retry delay: the estimated
 	// run time alone exceeds the time to the deadline.
-	refusedPermanently int
+	refusedWithoutRetry int
 	// refusedFirstHour counts refusals in the first hour, while the scheduler
 	// has few measured run times.
 	refusedFirstHour int
@@ -123,7 +123,7 @@
 	r.refused[v.Reason]++
 	r.refusedBy[j.arrival.Job.Customer]++
 	if v.RetryAfter == 0 {
-		r.refusedPermanently++
+		r.refusedWithoutRetry++
 	}
 	if j.arrival.At < time.Hour {
 		r.refusedFirstHour++
@@ -246,7 +246,7 @@
 // String formats the report as one line.
 func (r *Report) String() string {
 	return fmt.Sprintf("jobs %d refused %.2f%% (without retry %d, first hour %d, reasons %v) missed %.3f%% %v in time %.2f%% busy %.1f%% goodput %.1f%% | wait p50 %v p99 %v urgent p50 %v p99 %v gang p50 %v p99 %v | preempted %d failures %d | %.0f starts/s evaluate p50 %v p99 %v admit p50 %v p99 %v",
-		r.submitted, 100*r.RefusalRate(), r.refusedPermanently, r.refusedFirstHour, r.refused, 100*r.MissRate(), r.missed, 100*r.InTimeRate(), 100*r.Busy(), 100*r.Goodput(),
+		r.submitted, 100*r.RefusalRate(), r.refusedWithoutRetry, r.refusedFirstHour, r.refused, 100*r.MissRate(), r.missed, 100*r.InTimeRate(), 100*r.Busy(), 100*r.Goodput(),
 		r.Normal.Quantile(0.5).Round(time.Millisecond), r.Normal.Quantile(0.99).Round(time.Second),
 		r.Urgent.Quantile(0.5), r.Urgent.Quantile(0.99).Round(time.Millisecond),
 		r.Gangs.Quantile(0.5).Round(time.Second), r.Gangs.Quantile(0.99).Round(time.Second),
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -54,7 +54,7 @@
 // start on the worker if it ends before the reserved start time or fits beside
 // the reserved resources.
 func rejectReserved(r *request, w *worker) bool {
-	if w.reservedEval != r.evaluation || r.entry == w.reservation.owner {
+	if w.reservedEval != r.evaluation || r.entry == w.reservation.entry {
 		return false
 	}
 	if r.entry.job.Policy != Service && !r.expectedEnd().After(w.reservation.at) {
--- a/placement/preempt.go
+++ b/placement/preempt.go
@@ -128,5 +128,5 @@
 		p.budget--
 	}
 	w.reservedEval = p.evaluation
-	w.reservation = reservation{owner: e, at: p.now, remaining: free.minus(e.need)}
+	w.reservation = reservation{entry: e, at: p.now, remaining: free.minus(e.need)}
 }
--- a/placement/reserve.go
+++ b/placement/reserve.go
@@ -7,7 +7,7 @@
 // computes it anew. A task that ends early or late thus moves it, and nothing
 // needs to be withdrawn.
 type reservation struct {
-	owner *entry
+	entry *entry
 	at    time.Time
 	// remaining is what is expected to be free beside the reserved resources at
 	// that time.
@@ -32,7 +32,7 @@
 		o := p.cluster.workerForecastOf(w)
 		w.reservedEval = p.evaluation
 		w.reservation = reservation{
-			owner:     e,
+			entry:     e,
 			at:        f.at,
 			remaining: w.free.plus(o.released).minus(e.need.times(int64(o.tasks))),
 		}
@@ -95,7 +95,7 @@
 // chargeReservation subtracts a start that outlasts the worker's reservation
 // from what remains beside the reservation.
 func (c *Cluster) chargeReservation(evaluation uint64, e *entry, w *worker, now time.Time) {
-	if w.reservedEval != evaluation || w.reservation.owner == e {
+	if w.reservedEval != evaluation || w.reservation.entry == e {
 		return
 	}
 	if e.job.Policy != Service && !now.Add(e.runtime.high).After(w.reservation.at) {
