--- a/placement/arrivals/report.go
+++ b/placement/arrivals/report.go
@@ -71,6 +71,8 @@
 	preempted  int
 	failures   int
 
+	// Normal, Urgent and Gangs are the waiting times of tasks by kind of job,
+	// Customer those of the normal tasks by customer.
 	Normal   *WaitTimes
 	Urgent   *WaitTimes
 	Gangs    *WaitTimes
--- a/placement/serve.go
+++ b/placement/serve.go
@@ -138,6 +138,8 @@
 
 // serveSubqueue tries to place the head of a subqueue, and plans preemptions if
 // it is urgent. An entry that fails is skipped for the rest of the evaluation.
+// If it fits only into reserved resources, nextSubqueue goes on with later
+// entries that have shorter run times.
 func (p *planner) serveSubqueue(sq *subqueue) {
 	e := p.head(sq)
 	if p.place(e) {
