--- a/placement/reserve.go
+++ b/placement/reserve.go
@@ -163,8 +163,8 @@
 	})
 }
 
-// leastServed returns the n customers with the smallest shares among those with
-// ready entries.
+// leastServed returns the n customers with the smallest unweighted shares among
+// those with ready entries.
 func (p *planner) leastServed(n int) []*customer {
 	least := make(shareHeap, 0, n+1)
 	for _, c := range p.cluster.queue.customers {
