--- a/placement/arrivals/plot_test.go
+++ b/placement/arrivals/plot_test.go
@@ -10,17 +10,18 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// packingPoint is one load of the packing measurement, in percent.
+// packingPoint is the useful work at one load, for the baseline and for the
+// scheduler, all in percent of the capacity.
 type packingPoint struct {
 	load, baseline, scheduled float64
 }
 
-// plotPacking draws the useful work over the load as SVG.
+// plotPacking writes an SVG plot of the useful work by load.
 func plotPacking(t *testing.T, site Site, points []packingPoint, file string) {
 	p := plot.New()
 	p.Title.Text = site.Name + ": work done in time, seed 1"
-	p.X.Label.Text = "arriving work, part of the workers"
-	p.Y.Label.Text = "useful work, percent of the workers"
+	p.X.Label.Text = "arriving work, fraction of the capacity"
+	p.Y.Label.Text = "useful work, percent of the capacity"
 	p.Legend.Top, p.Legend.Left = true, true
 	base, own := make(plotter.XYs, len(points)), make(plotter.XYs, len(points))
 	for i, x := range points {
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// crowd is a full cluster of 450 workers with 10,000 tasks in the queue.
+// benchCluster is a full cluster of 450 workers with 10,000 queued tasks.
 type benchCluster struct {
 	cluster *Cluster
 	rand    *rand.Rand
@@ -26,6 +26,7 @@
 	benchCustomers   = 100
 )
 
+// newBenchCluster fills the workers and the queue.
 func newBenchCluster(b testing.TB) *benchCluster {
 	o := DefaultOptions()
 	o.MaxQueue = 0
@@ -37,14 +38,14 @@
 		g.cluster.SetWorker(w)
 	}
 	for g.cluster.Queued() < benchQueuedTasks {
-		g.submit()
-		g.place(b, 64)
+		g.enqueueJob()
+		g.evaluateAndPlace(b, 64)
 	}
 	return g
 }
 
-// submit queues one job of one task; one in fifty is a gang of eight.
-func (g *benchCluster) submit() Job {
+// enqueueJob queues a job with one task; every fiftieth job is a gang of eight.
+func (g *benchCluster) enqueueJob() Job {
 	g.jobs++
 	kind := g.rand.IntN(8)
 	need := cores(int64(1 + kind))
@@ -64,7 +65,9 @@
 	return j
 }
 
-func (g *benchCluster) place(b testing.TB, max int) int {
+// evaluateAndPlace commits the starts of one evaluation and returns their
+// number.
+func (g *benchCluster) evaluateAndPlace(b testing.TB, max int) int {
 	plan := g.cluster.Evaluate(g.now, max)
 	for _, s := range plan.Starts {
 		e := g.cluster.queue.entries[s.Job]
@@ -79,8 +82,8 @@
 	return len(plan.Starts)
 }
 
-// endOne ends a random running task.
-func (g *benchCluster) endOne() {
+// unplaceRandom ends a random running task.
+func (g *benchCluster) unplaceRandom() {
 	i := g.rand.IntN(len(g.running))
 	p := g.running[i]
 	g.running[i] = g.running[len(g.running)-1]
@@ -88,12 +91,12 @@
 	g.cluster.Unplace(p.Job, p.Task)
 }
 
-// BenchmarkEvaluate is one task end, the evaluation that follows it and the
-// commits, with the queue kept at 10,000. It reports starts per second of the
-// whole and the 99th percentile of the evaluation alone.
+// BenchmarkEvaluate measures the end of some tasks, the evaluation after it and
+// its commits, with the queue kept at 10,000 tasks. It reports starts per
+// second over all of this and the 99th percentile of the evaluation alone.
 //
-// With several ends to an evaluation, as under group commit, the fixed cost of
-// an evaluation is shared.
+// Several ends per evaluation, as under group commit, share the fixed cost of
+// an evaluation.
 func BenchmarkEvaluate(b *testing.B) {
 	for _, ends := range []int{1, 8} {
 		b.Run(fmt.Sprintf("ends=%d", ends), func(b *testing.B) { benchmarkEvaluate(b, ends) })
@@ -108,13 +111,13 @@
 	for b.Loop() {
 		g.now = g.now.Add(50 * time.Millisecond)
 		for range ends {
-			g.endOne()
+			g.unplaceRandom()
 		}
 		for g.cluster.Queued() < benchQueuedTasks {
-			g.submit()
+			g.enqueueJob()
 		}
 		begin := time.Now()
-		n := g.place(b, 64)
+		n := g.evaluateAndPlace(b, 64)
 		_ = durations.RecordValue(int64(time.Since(begin)))
 		starts += n
 	}
@@ -123,11 +126,12 @@
 	b.ReportMetric(float64(len(g.running)), "running")
 }
 
-// BenchmarkAdmit asks for the admission of one job beside 10,000 queued tasks.
+// BenchmarkAdmit measures the admission check of one job with 10,000 queued
+// tasks.
 func BenchmarkAdmit(b *testing.B) {
 	g := newBenchCluster(b)
 	took := hdrhistogram.New(1, int64(time.Second), 3)
-	j := g.submit()
+	j := g.enqueueJob()
 	b.ResetTimer()
 	for b.Loop() {
 		j.Deadline = g.now.Add(time.Duration(1+g.rand.IntN(20)) * time.Hour)
@@ -138,7 +142,8 @@
 	b.ReportMetric(float64(took.ValueAtQuantile(99))/1000, "p99-µs")
 }
 
-// BenchmarkDequeueAll takes 10,000 queued jobs out one by one.
+// BenchmarkDequeueAll measures the removal of all jobs of a queue of 10,000
+// tasks with one call.
 func BenchmarkDequeueAll(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
@@ -148,21 +153,21 @@
 	}
 }
 
-// BenchmarkMemory reports the heap that queued jobs and placed tasks take.
+// BenchmarkMemory reports the heap size of queued jobs and placed tasks.
 func BenchmarkMemory(b *testing.B) {
-	heap := func() float64 {
+	heapBytes := func() float64 {
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		return float64(m.HeapAlloc)
 	}
 	for b.Loop() {
-		before := heap()
+		before := heapBytes()
 		g := newBenchCluster(b)
-		full := heap()
+		full := heapBytes()
 		queued := len(g.cluster.queue.entries)
 		g.cluster.DequeueAll(func(Job) bool { return true })
-		placed := heap()
+		placed := heapBytes()
 		b.ReportMetric((full-before)/1e6, "MB")
 		b.ReportMetric((full-placed)/float64(queued), "B/queued-job")
 		b.ReportMetric((placed-before)/float64(len(g.running)), "B/placed-task")
