--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -93,10 +93,10 @@
 			now := time.Now()
 			took := hdrhistogram.New(1, int64(time.Second), 3)
 			for b.Loop() {
-				begun := time.Now()
+				start := time.Now()
 				v := t.gatherPlanInput(now)
 				dispatch.Decide(now.Sub(t.started), v.steps, v.workers, planLimits)
-				must.NoError(b, took.RecordValue(int64(time.Since(begun))))
+				must.NoError(b, took.RecordValue(int64(time.Since(start))))
 			}
 			b.ReportMetric(float64(took.ValueAtPercentile(99)), "p99-ns")
 		})
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -82,8 +82,8 @@
 }
 
 // New returns a controller over a log whose state machine is state.
-func New(cfg Config, state *StateMachine, replicated node.Log) *Controller {
-	c := &Controller{cfg: cfg, state: state, log: replicated}
+func New(cfg Config, state *StateMachine, replicatedLog node.Log) *Controller {
+	c := &Controller{cfg: cfg, state: state, log: replicatedLog}
 	if cfg.OrdersByHeartbeat {
 		c.heartbeats = newHeartbeatTransport(cfg.Workers)
 		c.cfg.Workers = c.heartbeats
@@ -191,7 +191,7 @@
 	if err != nil {
 		return workflow.Result{}, err
 	}
-	begun := time.Now()
+	start := time.Now()
 	value, err := c.log.Propose(ctx, data)
 	switch {
 	case errors.Is(err, node.ErrNotLeader):
@@ -201,6 +201,6 @@
 	case err != nil:
 		return workflow.Result{}, err
 	}
-	c.cfg.Counters.Observe("commit", time.Since(begun))
+	c.cfg.Counters.Observe("commit", time.Since(start))
 	return value.(workflow.Result), nil
 }
--- a/internal/control/crash.go
+++ b/internal/control/crash.go
@@ -39,7 +39,7 @@
 	age := s.aliveFor(o)
 	inherited := o.startedAt.IsZero() && o.listed
 	switch {
-	case !o.mayHaveBegun(), o.longRunning && age > noSuspicionMinAge:
+	case !o.mayHaveStarted(), o.longRunning && age > noSuspicionMinAge:
 		return workflow.SuspicionNone
 	case inherited, !o.stopSent.IsZero(), age > strongSuspicionMaxAge:
 		return workflow.SuspicionWeak
@@ -68,8 +68,8 @@
 	return s.answeredAt
 }
 
-// mayHaveBegun reports whether the worker may have been told to begin the run.
-func (o *runOrder) mayHaveBegun() bool {
+// mayHaveStarted reports whether the worker may have been told to begin the run.
+func (o *runOrder) mayHaveStarted() bool {
 	return !o.startedAt.IsZero() || o.listed || o.unanswered || !o.sentAt.IsZero()
 }
 
@@ -89,7 +89,7 @@
 
 // logLostRuns says of each run that ends with its worker how old it was when the worker last
 // answered: the same task again and again, young each time, is one that crashes its workers.
-func (s *workerSession) logLostRuns(ends []workflow.RunEnd, why string) {
+func (s *workerSession) logLostRuns(ends []workflow.RunEnd, cause string) {
 	t := s.t
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -102,13 +102,13 @@
 			age = s.aliveFor(o)
 		}
 		t.logger.Log("event", "run_lost", "task", end.Task, "run", end.Number, "worker", s.worker.ID,
-			"age_ms", age.Milliseconds(), "age_known", known, "beside", len(ends)-1, "outcome", end.Outcome, "cause", why)
+			"age_ms", age.Milliseconds(), "age_known", known, "beside", len(ends)-1, "outcome", end.Outcome, "cause", cause)
 	}
 }
 
 // missing returns the runs that ended with the worker's lease and may yet turn out to have
 // ended with a crash. t.mu may be held.
-func (s *workerSession) possiblyCrashedRuns() (ends []workflow.RunEnd) {
+func (s *workerSession) unresolvedRuns() (ends []workflow.RunEnd) {
 	s.t.c.state.read(func(state *workflow.State) {
 		if worker := state.Workers[s.worker.ID]; worker != nil {
 			ends = slices.Clone(worker.Unresolved)
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -156,7 +156,7 @@
 	// its lists show which life they are of.
 	successor *fakeWorker
 	// looks are the looks that were answered.
-	looks []PollOrder
+	polls []PollOrder
 }
 
 // present is the life that orders reach.
@@ -303,7 +303,7 @@
 		return Report{}, ErrOtherIncarnation
 	}
 	w.fence = max(w.fence, order.Fence)
-	w.looks = append(w.looks, order)
+	w.polls = append(w.polls, order)
 	if w.id != to.Worker {
 		return Report{}, ErrOtherIncarnation
 	}
--- a/internal/control/health.go
+++ b/internal/control/health.go
@@ -30,19 +30,19 @@
 	overallPaceWeight = 0.02
 )
 
-// noteHealth takes in what an end says of the worker. t.mu is held.
-func (s *workerSession) noteHealth(end workflow.RunEnd, now time.Time) {
+// recordHealth takes in what an end says of the worker. t.mu is held.
+func (s *workerSession) recordHealth(end workflow.RunEnd, now time.Time) {
 	switch end.Outcome {
 	case workflow.OutcomeDone:
 		s.failures, s.failedJob = 0, ""
-		s.notePace(end, now)
+		s.recordPace(end, now)
 	case workflow.OutcomeFailed:
-		s.noteFailure(end, now)
+		s.recordFailure(end, now)
 	}
 }
 
-// noteFailure sets a worker aside that fails whatever it is given.
-func (s *workerSession) noteFailure(end workflow.RunEnd, now time.Time) {
+// recordFailure sets a worker aside that fails whatever it is given.
+func (s *workerSession) recordFailure(end workflow.RunEnd, now time.Time) {
 	if end.Task.Job == s.failedJob {
 		return
 	}
@@ -54,7 +54,7 @@
 	}
 }
 
-func (s *workerSession) notePace(end workflow.RunEnd, now time.Time) {
+func (s *workerSession) recordPace(end workflow.RunEnd, now time.Time) {
 	o := s.orders[end.Task]
 	if o == nil || o.run.Number != end.Number || o.startedAt.IsZero() || o.estimate <= 0 || o.resumed {
 		return
@@ -89,17 +89,17 @@
 	return s.busy && s.answeredAt.Sub(s.advancedAt) > stallTimeout
 }
 
-// noteAdvance takes in whether a report showed that something goes on. t.mu is held.
-func (s *workerSession) noteAdvance(report Report, advanced bool, now time.Time) {
+// recordAdvance takes in whether a report showed that something goes on. t.mu is held.
+func (s *workerSession) recordAdvance(report Report, advanced bool, now time.Time) {
 	s.busy = len(report.Running) > 0
 	if advanced || len(report.Ended) > 0 || !s.busy {
 		s.advancedAt = now
 	}
 }
 
-// noteProgress takes in how far a run is, and reports whether it has advanced.
+// recordProgress takes in how far a run is, and reports whether it has advanced.
 // t.mu is held.
-func (o *runOrder) noteProgress(percent int, now time.Time) bool {
+func (o *runOrder) recordProgress(percent int, now time.Time) bool {
 	advanced := !o.listed || percent > o.percent
 	if advanced {
 		o.advancedAt = now
--- a/internal/control/health_test.go
+++ b/internal/control/health_test.go
@@ -38,20 +38,20 @@
 	now := time.Now()
 	term := &leaderTerm{logger: nopLogger{}}
 	slow := &workerSession{t: term, orders: map[workflow.TaskKey]*runOrder{}}
-	sound := &workerSession{t: term, orders: map[workflow.TaskKey]*runOrder{}}
+	healthy := &workerSession{t: term, orders: map[workflow.TaskKey]*runOrder{}}
 	run := func(s *workerSession, took time.Duration) {
 		s.orders[task("j", 0)] = &runOrder{run: workflow.Run{Number: 1}, startedAt: now.Add(-took), estimate: time.Second}
-		s.noteHealth(workflow.RunEnd{Task: task("j", 0), Number: 1, Outcome: workflow.OutcomeDone}, now)
+		s.recordHealth(workflow.RunEnd{Task: task("j", 0), Number: 1, Outcome: workflow.OutcomeDone}, now)
 	}
 	for range 20 {
-		run(sound, 1500*time.Millisecond)
+		run(healthy, 1500*time.Millisecond)
 	}
 	run(slow, 8*time.Second)
 	run(slow, 8*time.Second)
 	must.False(t, slow.isSlow(), must.Sprint("two runs may be chance"))
 	run(slow, 8*time.Second)
 	must.True(t, slow.isSlow())
-	must.False(t, sound.isSlow())
+	must.False(t, healthy.isSlow())
 	for range 10 {
 		run(slow, time.Second)
 	}
--- a/internal/control/heard.go
+++ b/internal/control/heartbeat_buffer.go
@@ -74,13 +74,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.collectedAt = now
-	heard := make([]BufferedHeartbeat, 0, len(l.pending))
+	collected := make([]BufferedHeartbeat, 0, len(l.pending))
 	for worker, at := range l.pending {
-		heard = append(heard, BufferedHeartbeat{Worker: worker, Age: now.Sub(at)})
+		collected = append(collected, BufferedHeartbeat{Worker: worker, Age: now.Sub(at)})
 		l.forwarded.note(worker, now)
 	}
 	clear(l.pending)
-	return heard
+	return collected
 }
 
 // CollectHeartbeats returns the heartbeats that this instance took for the leader, which asks.
@@ -89,7 +89,7 @@
 }
 
 // ApplyCollectedHeartbeats takes in heartbeats that another instance took.
-func (c *Controller) ApplyCollectedHeartbeats(heard []BufferedHeartbeat) {
+func (c *Controller) ApplyCollectedHeartbeats(collected []BufferedHeartbeat) {
 	c.mu.Lock()
 	t := c.leaderTerm
 	c.mu.Unlock()
@@ -97,7 +97,7 @@
 		return
 	}
 	now := time.Now()
-	for _, h := range heard {
+	for _, h := range collected {
 		t.applyCollectedHeartbeat(h.Worker, now.Add(-h.Age))
 	}
 }
--- a/internal/control/beats.go
+++ b/internal/control/heartbeat_transport.go
@@ -100,11 +100,11 @@
 }
 
 // forget drops what is held for workers other than those that are there.
-func (b *heartbeatTransport) forget(there func(worker string) bool) {
+func (b *heartbeatTransport) forget(exists func(worker string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for worker := range b.mailboxes {
-		if !there(worker) {
+		if !exists(worker) {
 			delete(b.mailboxes, worker)
 		}
 	}
@@ -114,15 +114,15 @@
 func (b *heartbeatTransport) exchange(ctx context.Context, worker string, fence uint64, report Report) HeartbeatOrders {
 	b.mu.Lock()
 	box := b.mailboxOf(worker)
-	box.noteHeartbeat(report, time.Now())
+	box.recordHeartbeat(report, time.Now())
 	idle := len(box.starts) == 0 && len(box.stops) == 0
-	ordered := box.orderAdded
+	orderAdded := box.orderAdded
 	b.mu.Unlock()
 	if idle {
 		hold, cancel := context.WithTimeout(ctx, heartbeatHold)
 		defer cancel()
 		select {
-		case <-ordered:
+		case <-orderAdded:
 		case <-hold.Done():
 		}
 	}
@@ -134,7 +134,7 @@
 // hear takes in a heartbeat. Lists that don't show a run say nothing of a start
 // on its way; that a stop or the fence has arrived is shown by the heartbeats
 // that follow the answer promptly.
-func (box *mailbox) noteHeartbeat(report Report, now time.Time) {
+func (box *mailbox) recordHeartbeat(report Report, now time.Time) {
 	prompt := !box.answeredAt.IsZero() && now.Sub(box.answeredAt) < promptHeartbeatMax
 	if prompt && box.fence > 0 {
 		box.confirmed++
@@ -142,10 +142,10 @@
 		box.confirmed = 0
 	}
 	for _, r := range report.Running {
-		box.noteStartDelivered(r.Task, r.Number)
+		box.recordStartDelivered(r.Task, r.Number)
 	}
 	for _, e := range report.Ended {
-		box.noteStartDelivered(e.Task, e.Number)
+		box.recordStartDelivered(e.Task, e.Number)
 	}
 	for run, stop := range box.stops {
 		if !stop.sent || !prompt {
@@ -163,7 +163,7 @@
 	box.heartbeatReceived = make(chan struct{})
 }
 
-func (box *mailbox) noteStartDelivered(task workflow.TaskKey, number int) {
+func (box *mailbox) recordStartDelivered(task workflow.TaskKey, number int) {
 	start := box.starts[task]
 	if start != nil && number >= start.start.Run.Number {
 		delete(box.starts, task)
@@ -181,8 +181,8 @@
 	box.answeredAt = now
 	orders := HeartbeatOrders{Fence: fence, Seen: box.poll.Seen, NextIn: heartbeatInterval}
 	if box.poll.LeaseEndMS > 0 {
-		left := time.Duration(box.poll.LeaseEndMS-report.ClockMS)*time.Millisecond - heartbeatTimeout
-		orders.Lease = max(left, 0)
+		lease := time.Duration(box.poll.LeaseEndMS-report.ClockMS)*time.Millisecond - heartbeatTimeout
+		orders.Lease = max(lease, 0)
 	}
 	for _, start := range box.starts {
 		start.sent = true
@@ -202,17 +202,17 @@
 		b.mu.Lock()
 		box := b.mailboxOf(to.Worker)
 		box.poll = order
-		heard := box.heartbeatReceived
+		received := box.heartbeatReceived
 		b.mu.Unlock()
 		select {
 		case <-ctx.Done():
 			return Report{}, ctx.Err()
-		case <-heard:
+		case <-received:
 		}
 		b.mu.Lock()
-		report, sure := box.report, box.fence == order.Fence && box.confirmed >= requiredConfirmations
+		report, confirmed := box.report, box.fence == order.Fence && box.confirmed >= requiredConfirmations
 		b.mu.Unlock()
-		if sure {
+		if confirmed {
 			return report, nil
 		}
 	}
--- a/internal/control/life.go
+++ b/internal/control/incarnations.go
@@ -27,8 +27,8 @@
 // latestIncarnation returns the incarnation that a call means which may name a worker only.
 func (t *leaderTerm) latestIncarnation(incarnation, name string) string {
 	t.c.state.read(func(s *workflow.State) {
-		namesNoLife := incarnation == name || s.Workers[incarnation] == nil
-		if newest := s.NewestIncarnation(name); namesNoLife && newest != nil {
+		nameOnly := incarnation == name || s.Workers[incarnation] == nil
+		if newest := s.NewestIncarnation(name); nameOnly && newest != nil {
 			incarnation = newest.ID
 		}
 	})
@@ -76,9 +76,9 @@
 	return s.superseded
 }
 
-// noteStillAnnounced takes in that a worker that was said to end goes on announcing itself: an
+// revokeLeaving takes in that a worker that was said to end goes on announcing itself: an
 // earlier life of it was meant. t.mu is held.
-func (s *workerSession) noteStillAnnounced(w *workflow.Worker) {
+func (s *workerSession) revokeLeaving(w *workflow.Worker) {
 	if s.worker.StartedAtMS > 0 && s.leaving && !w.Draining && time.Since(s.leavingSince) > leavingRevokedAfter && !s.t.machines.isCordoned(w.ID) {
 		s.leaving = false
 	}
@@ -100,8 +100,8 @@
 		return false
 	}
 	elapsed := now.Sub(s.clockAt)
-	off := time.Duration(clockMS-s.clockMS)*time.Millisecond - elapsed
-	return off.Abs() > clockJumpTolerance+time.Duration(float64(elapsed)*(driftFactor-1))
+	deviation := time.Duration(clockMS-s.clockMS)*time.Millisecond - elapsed
+	return deviation.Abs() > clockJumpTolerance+time.Duration(float64(elapsed)*(driftFactor-1))
 }
 
 // settleWithSuccessor settles the runs that a later life of the worker may have been told to
@@ -110,7 +110,7 @@
 // Failure guarded against: a start that got no answer before the worker crashed is carried
 // out seconds later by its next life, which has its id and has seen no fence, beside the run
 // that its task has elsewhere by then.
-func (s *workerSession) settleWithSuccessor(why string, outcome workflow.Outcome) {
+func (s *workerSession) settleWithSuccessor(cause string, outcome workflow.Outcome) {
 	if s.worker.StartedAtMS == 0 {
 		return
 	}
@@ -122,21 +122,21 @@
 	if leaving {
 		return
 	}
-	s.loseRuns(why, outcome, s.startConfirmed)
-	left := s.liveRuns()
-	if len(left) == 0 {
+	s.loseRuns(cause, outcome, s.startConfirmed)
+	runs := s.liveRuns()
+	if len(runs) == 0 {
 		return
 	}
-	begun := time.Now()
+	started := time.Now()
 	var stops errgroup.Group
 	stops.SetLimit(maxConcurrentStarts)
-	for _, run := range left {
-		stops.Go(func() error { s.stopAtSuccessor(run, begun.Add(silentWorkerTimeout)); return nil })
+	for _, run := range runs {
+		stops.Go(func() error { s.stopAtSuccessor(run, started.Add(silentWorkerTimeout)); return nil })
 	}
 	_ = stops.Wait()
-	listed := s.awaitSuccessorReport(begun.Add(silentWorkerTimeout))
-	s.t.logger.Log("event", "next_life", "worker", s.worker.ID, "runs", len(left), "listed", listed,
-		"ms", time.Since(begun).Milliseconds())
+	listed := s.awaitSuccessorReport(started.Add(silentWorkerTimeout))
+	s.t.logger.Log("event", "next_life", "worker", s.worker.ID, "runs", len(runs), "listed", listed,
+		"ms", time.Since(started).Milliseconds())
 }
 
 // startConfirmed reports whether a run was begun by this life for sure, and no call of its start
@@ -158,8 +158,8 @@
 
 // stopAtSuccessor stops a run at the worker's address until the stop is answered: from then
 // on no life there begins it.
-func (s *workerSession) stopAtSuccessor(run workflow.Run, last time.Time) {
-	for s.t.ctx.Err() == nil && time.Now().Before(last) {
+func (s *workerSession) stopAtSuccessor(run workflow.Run, deadline time.Time) {
+	for s.t.ctx.Err() == nil && time.Now().Before(deadline) {
 		_, err := s.callStop(run)
 		if err == nil || errors.Is(err, ErrOtherIncarnation) {
 			return
@@ -170,11 +170,11 @@
 
 // awaitSuccessorReport waits until the worker's next life has shown what it runs and what has
 // ended there, by lists that were asked for from now on.
-func (s *workerSession) awaitSuccessorReport(last time.Time) bool {
-	asked := time.Now()
+func (s *workerSession) awaitSuccessorReport(deadline time.Time) bool {
+	since := time.Now()
 	s.interruptSuccessorPoll()
-	for time.Now().Before(last) {
-		if s.successorReportedSince(asked) {
+	for time.Now().Before(deadline) {
+		if s.successorReportedSince(since) {
 			return true
 		}
 		if !wait.For(s.t.ctx, successorCheckInterval) {
@@ -203,11 +203,11 @@
 	return nil
 }
 
-func (s *workerSession) successorReportedSince(asked time.Time) bool {
+func (s *workerSession) successorReportedSince(since time.Time) bool {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
 	next := s.successor()
-	return next != nil && next.fullReportSentAt.After(asked)
+	return next != nil && next.fullReportSentAt.After(since)
 }
 
 // endPredecessorRuns takes in ends that the worker lists of runs that were given to its
--- a/internal/control/life_test.go
+++ b/internal/control/incarnations_test.go
@@ -48,9 +48,9 @@
 	w.announceIncarnation("n1", 1)
 	w.submit("a", oneTask)
 	w.eventually("the start is sent twice", func() bool {
-		late := 0
-		w.withWorker("n1", func(f *fakeWorker) { late = len(f.delayedStarts) })
-		return late == maxStartAttempts
+		delayed := 0
+		w.withWorker("n1", func(f *fakeWorker) { delayed = len(f.delayedStarts) })
+		return delayed == maxStartAttempts
 	})
 	w.restart("n1", "n2")
 	return w
@@ -60,8 +60,8 @@
 // that ends.
 func (w *testCluster) deliverDelayedStart() (err error) {
 	w.withWorker("n1", func(f *fakeWorker) {
-		late := f.delayedStarts[0]
-		err = f.successor.begin(late)
+		delayed := f.delayedStarts[0]
+		err = f.successor.begin(delayed)
 	})
 	return err
 }
@@ -120,7 +120,7 @@
 	w.withWorker("n1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
 	w.eventually("the end is taken note of", func() bool {
 		seen := false
-		w.withWorker("n1", func(f *fakeWorker) { seen = f.looks[len(f.looks)-1].Seen == 1 })
+		w.withWorker("n1", func(f *fakeWorker) { seen = f.polls[len(f.polls)-1].Seen == 1 })
 		return seen
 	})
 	w.withWorker("n1", func(f *fakeWorker) { f.answersLost = true })
@@ -129,7 +129,7 @@
 	w.announceIncarnation("n2", 2)
 	w.eventually("the next life is looked after", func() bool { return w.isReady("n2") })
 	w.withWorker("n2", func(f *fakeWorker) {
-		for _, look := range f.looks {
+		for _, look := range f.polls {
 			must.Eq(t, 0, look.Seen)
 		}
 	})
@@ -182,7 +182,7 @@
 	w.announceIncarnation("n2", 2)
 	w.eventually("the next life is looked after", func() bool { return w.isReady("n2") })
 	w.withWorker("n2", func(f *fakeWorker) {
-		for _, look := range f.looks {
+		for _, look := range f.polls {
 			must.Eq(t, 0, look.Seen)
 		}
 	})
--- a/internal/control/tenure.go
+++ b/internal/control/leader_term.go
@@ -231,7 +231,7 @@
 		t.spawn(s.run)
 		t.probeAddress(w)
 	}
-	s.noteStillAnnounced(w)
+	s.revokeLeaving(w)
 	s.heartbeatAt = time.Now()
 	s.worker.Draining = s.worker.Draining || w.Draining
 	if remaining > 0 {
--- a/internal/control/guard_test.go
+++ b/internal/control/leader_term_test.go
@@ -54,14 +54,14 @@
 	}
 	w.workers.add("w2")
 	w.announce("w2")
-	onSound := func(job string) bool {
+	onHealthy := func(job string) bool {
 		found := false
 		w.withWorker("w2", func(f *fakeWorker) { found = f.running[task(job, 0)].Number > 0 })
 		return found
 	}
-	w.eventually("the third job runs on the sound worker", func() bool { return onSound("c") })
+	w.eventually("the third job runs on the sound worker", func() bool { return onHealthy("c") })
 	w.submit("d", oneTask)
-	w.eventually("and so does a new one", func() bool { return onSound("d") })
+	w.eventually("and so does a new one", func() bool { return onHealthy("d") })
 }
 
 // What a user sees: a queue says that nobody waits while jobs wait.
@@ -74,9 +74,9 @@
 	w.announce("w1")
 	w.submit("a", oneTask)
 	w.eventually("the start is sent", func() bool {
-		late := 0
-		w.withWorker("w1", func(f *fakeWorker) { late = len(f.delayedStarts) })
-		return late > 0
+		delayed := 0
+		w.withWorker("w1", func(f *fakeWorker) { delayed = len(f.delayedStarts) })
+		return delayed > 0
 	})
 	reply, err := w.c.State(context.Background(), &StateCall{Address: JobAddress{Host: "h", Path: "/q/"}})
 	must.NoError(t, err)
--- a/internal/control/account.go
+++ b/internal/control/orphans.go
@@ -91,7 +91,7 @@
 		if t.sessions[run.Worker] != nil || state == nil || !t.isOrphaned(run, now) {
 			continue
 		}
-		t.noteOrphan(run, now)
+		t.recordOrphan(run, now)
 		session := t.addSession(state.Worker, nil)
 		t.linkToSuccessor(session, s)
 		// Starts of this tenure may have prolonged its lease until now.
@@ -104,8 +104,8 @@
 	})
 }
 
-// noteOrphan tells that a run was found that nothing would have ended. t.mu is held.
-func (t *leaderTerm) noteOrphan(run workflow.Run, now time.Time) {
+// recordOrphan tells that a run was found that nothing would have ended. t.mu is held.
+func (t *leaderTerm) recordOrphan(run workflow.Run, now time.Time) {
 	t.c.cfg.Counters.Add("runs_claimed", 1)
 	t.logger.Log("event", "run_claimed", "task", run.Task, "run", run.Number, "worker", run.Worker,
 		"unaccounted_ms", now.Sub(t.unaccountedSince[run]).Milliseconds(), "looked_after", t.sessions[run.Worker] != nil)
--- a/internal/control/looks.go
+++ b/internal/control/polls.go
@@ -30,9 +30,9 @@
 	return now.Sub(t.callLostAt) < lossWindow && !t.disabled.ShortLooks
 }
 
-// noteLostCall takes in that a call got no answer. From a worker that has answered since the
+// recordLostCall takes in that a call got no answer. From a worker that has answered since the
 // call was sent it has got lost. t.mu is held.
-func (s *workerSession) noteLostCall(sent, now time.Time) {
+func (s *workerSession) recordLostCall(sent, now time.Time) {
 	s.incarnationUnconfirmed = true
 	if !s.answeredAt.After(sent) && !s.clockAt.After(sent) {
 		return
@@ -48,8 +48,8 @@
 func (s *workerSession) pollTimes(now time.Time) (hold, slack time.Duration) {
 	hold, slack = pollHold, callTimeout
 	if s.t.losingCalls(now) {
-		fewest := time.Duration(len(s.t.sessions)) * time.Second / maxLossyPolls
-		hold = min(max(lossyPollHold, fewest), pollHold)
+		minHold := time.Duration(len(s.t.sessions)) * time.Second / maxLossyPolls
+		hold = min(max(lossyPollHold, minHold), pollHold)
 		slack = s.t.scaledAnswerTime(lossyPollSlack, callTimeout)
 	}
 	if s.isStalled() {
--- a/internal/control/report.go
+++ b/internal/control/report.go
@@ -17,11 +17,11 @@
 	t.mu.Lock()
 	first := !s.ready
 	s.ready = true
-	returned := first && len(s.possiblyCrashedRuns()) > 0
-	s.noteReport(report.ClockMS, now)
+	cameBack := first && len(s.unresolvedRuns()) > 0
+	s.recordReport(report.ClockMS, now)
 	ends, seen := s.listedEnds(report, now)
 	ends = append(ends, s.neverStarted(report, ends, sent)...)
-	strangers := s.noteRunning(report, sent, now)
+	unknown := s.recordRunning(report, sent, now)
 	// Together with the lists: a run that they end is accounted for at any moment.
 	s.markKnownEnds(ends)
 	if !report.Partial {
@@ -33,10 +33,10 @@
 			"running", len(report.Running), "ended", len(report.Ended))
 	}
 	s.endPredecessorRuns(ends)
-	for _, run := range strangers {
+	for _, run := range unknown {
 		t.spawn(func() { s.stopUnknownRun(run) })
 	}
-	if returned {
+	if cameBack {
 		// No other list of this tenure would say so.
 		t.spawn(s.commitReturned)
 	}
@@ -48,8 +48,8 @@
 	}
 }
 
-// noteReport takes in that this life of the worker has just answered a look. t.mu is held.
-func (s *workerSession) noteReport(clockMS int64, now time.Time) {
+// recordReport takes in that this life of the worker has just answered a look. t.mu is held.
+func (s *workerSession) recordReport(clockMS int64, now time.Time) {
 	s.answeredAt, s.incarnationUnconfirmed = now, false
 	s.recordAnswer(now)
 	if clockMS > 0 {
@@ -92,24 +92,24 @@
 	for _, e := range report.Ended {
 		seen = max(seen, e.Position)
 		ends = append(ends, e.RunEnd)
-		s.noteHealth(e.RunEnd, now)
+		s.recordHealth(e.RunEnd, now)
 	}
 	return ends, seen
 }
 
-// noteRunning takes in checkpoints of the runs that are alive, and returns those
+// recordRunning takes in checkpoints of the runs that are alive, and returns those
 // that the log doesn't have. t.mu is held.
-func (s *workerSession) noteRunning(report Report, sent, now time.Time) []workflow.Run {
-	var strangers []workflow.Run
+func (s *workerSession) recordRunning(report Report, sent, now time.Time) []workflow.Run {
+	var unknown []workflow.Run
 	advanced := false
 	s.t.c.state.read(func(state *workflow.State) {
 		for _, r := range report.Running {
 			run, ok := state.Runs[s.worker.ID][r.Task]
 			if !ok || run.Number != r.Number {
-				stranger := workflow.Run{Task: r.Task, Number: r.Number, Worker: s.worker.ID}
-				if now.Sub(s.unknownRuns[stranger]) > stopRetryInterval {
-					s.unknownRuns[stranger] = now
-					strangers = append(strangers, stranger)
+				unknownRun := workflow.Run{Task: r.Task, Number: r.Number, Worker: s.worker.ID}
+				if now.Sub(s.unknownRuns[unknownRun]) > stopRetryInterval {
+					s.unknownRuns[unknownRun] = now
+					unknown = append(unknown, unknownRun)
 				}
 				continue
 			}
@@ -128,13 +128,13 @@
 			if o != nil {
 				o.unanswered = false
 				o.listedByPollSentAt = sent
-				advanced = o.noteProgress(r.Percent, now) || advanced
+				advanced = o.recordProgress(r.Percent, now) || advanced
 			}
 		}
 		s.updateThrottle(state, report, now)
 	})
-	s.noteAdvance(report, advanced, now)
-	return strangers
+	s.recordAdvance(report, advanced, now)
+	return unknown
 }
 
 // neverStarted returns the runs that this report proves never to have begun and
--- a/internal/control/session.go
+++ b/internal/control/session.go
@@ -157,9 +157,9 @@
 func (s *workerSession) leaseEndMS(now time.Time) int64 {
 	elapsed := now.Sub(s.clockAt)
 	end := s.clockMS + (elapsed + s.t.lease).Milliseconds()
-	here := s.clockAt.Add(leaseUpperBound(elapsed + s.t.lease))
-	if here.After(s.leaseEnd) {
-		s.leaseEnd = here
+	expiry := s.clockAt.Add(leaseUpperBound(elapsed + s.t.lease))
+	if expiry.After(s.leaseEnd) {
+		s.leaseEnd = expiry
 	}
 	return end
 }
@@ -214,7 +214,7 @@
 		case err != nil && s.takePollInterrupted():
 		case err != nil:
 			s.t.mu.Lock()
-			s.noteLostCall(sent, time.Now())
+			s.recordLostCall(sent, time.Now())
 			s.t.mu.Unlock()
 			if s.handleUnansweredPoll(err) {
 				return
@@ -273,8 +273,8 @@
 	now := time.Now()
 	t.mu.Lock()
 	wasReady, leaving := s.ready, s.leaving
-	lapsed := now.After(s.leaseEnd)
-	quiet := now.Sub(s.heartbeatAt) > silentWorkerTimeout
+	leaseExpired := now.After(s.leaseEnd)
+	noHeartbeat := now.Sub(s.heartbeatAt) > silentWorkerTimeout
 	if now.Sub(s.answeredAt) > maxAnswerAge {
 		s.ready = false
 	}
@@ -287,14 +287,14 @@
 		s.endIncarnation("the worker left")
 		return true
 	}
-	if !lapsed {
+	if !leaseExpired {
 		return false
 	}
 	s.loseRuns("lease ended without an answer", workflow.OutcomeLost, allRuns)
-	if !quiet {
+	if !noHeartbeat {
 		return false
 	}
-	if missing := s.possiblyCrashedRuns(); len(missing) > 0 {
+	if missing := s.unresolvedRuns(); len(missing) > 0 {
 		t.commitWithRetry(&workflow.Command{Ends: &workflow.RunEnds{Worker: s.worker.ID, GivenUp: true}})
 		t.logEndedJobs(missing)
 	}
@@ -306,18 +306,18 @@
 }
 
 // end takes note that the incarnation is over: nothing runs there.
-func (s *workerSession) endIncarnation(why string) {
+func (s *workerSession) endIncarnation(cause string) {
 	t, crashed := s.t, s.hasCrashed()
-	t.logger.Log("event", "worker_gone", "worker", s.worker.ID, "cause", why, "crashed", crashed)
+	t.logger.Log("event", "worker_gone", "worker", s.worker.ID, "cause", cause, "crashed", crashed)
 	outcome := workflow.OutcomeLost
 	if crashed {
 		t.c.cfg.Counters.Add("workers_crashed", 1)
 		outcome = workflow.OutcomeCrashed
 	}
 	// What its runs had saved goes into the log first.
-	s.settleWithSuccessor(why, outcome)
-	s.loseRuns(why, outcome, allRuns)
-	missing := s.possiblyCrashedRuns()
+	s.settleWithSuccessor(cause, outcome)
+	s.loseRuns(cause, outcome, allRuns)
+	missing := s.unresolvedRuns()
 	t.commitWithRetry(&workflow.Command{Gone: s.worker.ID, Crashed: crashed})
 	t.logEndedJobs(missing)
 	t.mu.Lock()
@@ -330,23 +330,23 @@
 func allRuns(workflow.Run) bool { return true }
 
 // loseRuns ends the chosen runs of a worker, which can't be alive any more.
-func (s *workerSession) loseRuns(why string, outcome workflow.Outcome, chosen func(workflow.Run) bool) {
-	ends := s.lostEnds(outcome, chosen)
+func (s *workerSession) loseRuns(cause string, outcome workflow.Outcome, selected func(workflow.Run) bool) {
+	ends := s.lostEnds(outcome, selected)
 	if len(ends) == 0 {
 		return
 	}
-	s.t.logger.Log("event", "runs_lost", "worker", s.worker.ID, "runs", len(ends), "cause", why)
-	s.logLostRuns(ends, why)
+	s.t.logger.Log("event", "runs_lost", "worker", s.worker.ID, "runs", len(ends), "cause", cause)
+	s.logLostRuns(ends, cause)
 	s.commitEnds(0, ends)
 }
 
-func (s *workerSession) lostEnds(outcome workflow.Outcome, chosen func(workflow.Run) bool) []workflow.RunEnd {
+func (s *workerSession) lostEnds(outcome workflow.Outcome, selected func(workflow.Run) bool) []workflow.RunEnd {
 	var ends []workflow.RunEnd
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
 	s.t.c.state.read(func(state *workflow.State) {
 		for task, run := range state.Runs[s.worker.ID] {
-			if !chosen(run) {
+			if !selected(run) {
 				continue
 			}
 			ends = append(ends, workflow.RunEnd{
@@ -363,7 +363,7 @@
 // A worker lists its ends again until they are committed; others are said by nobody again.
 func (s *workerSession) commitEnds(seen uint64, ends []workflow.RunEnd) {
 	command := &workflow.Command{Ends: &workflow.RunEnds{Worker: s.worker.ID, LastEnd: seen, Ends: ends}}
-	s.noteKnownEnds(ends)
+	s.recordKnownEnds(ends)
 	if seen > 0 {
 		if _, err := s.t.propose(command); err != nil {
 			return
@@ -380,15 +380,15 @@
 	s.t.wake()
 }
 
-// noteKnownEnds notes that the ends of runs are known: they are proposed, or listed again,
+// recordKnownEnds notes that the ends of runs are known: they are proposed, or listed again,
 // until they are committed.
-func (s *workerSession) noteKnownEnds(ends []workflow.RunEnd) {
+func (s *workerSession) recordKnownEnds(ends []workflow.RunEnd) {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
 	s.markKnownEnds(ends)
 }
 
-// markKnownEnds is noteKnownEnds where t.mu is held.
+// markKnownEnds is recordKnownEnds where t.mu is held.
 func (s *workerSession) markKnownEnds(ends []workflow.RunEnd) {
 	for _, end := range ends {
 		if o := s.orders[end.Task]; o != nil && o.run.Number == end.Number {
--- a/internal/control/settle_test.go
+++ b/internal/control/settle_test.go
@@ -21,9 +21,9 @@
 	w.announce("w1")
 	w.submit("a", oneTask)
 	w.eventually("the start is sent twice", func() bool {
-		late := 0
-		w.withWorker("w1", func(f *fakeWorker) { late = len(f.delayedStarts) })
-		return late == maxStartAttempts
+		delayed := 0
+		w.withWorker("w1", func(f *fakeWorker) { delayed = len(f.delayedStarts) })
+		return delayed == maxStartAttempts
 	})
 	w.workers.add("w2")
 	w.announce("w2")
@@ -104,10 +104,10 @@
 	w := clusterWithStartedTask(t)
 	w.workers.add("w2")
 	w.announce("w2")
-	begun := time.Now()
+	start := time.Now()
 	w.withWorker("w1", func(f *fakeWorker) { f.superseded = true })
 	w.eventually("the task runs again", func() bool { return w.started("w2") == 1 })
-	must.Less(t, 400*time.Millisecond, time.Since(begun), must.Sprint("a lease is 400 ms"))
+	must.Less(t, 400*time.Millisecond, time.Since(start), must.Sprint("a lease is 400 ms"))
 }
 
 // What a user sees: a cancelled job's task runs on.
@@ -153,8 +153,8 @@
 // one on worker w1.
 func clusterWithInheritedRun(t *testing.T, prepare func(*fakeWorker)) *testCluster {
 	return newTestCluster(t, func(w *testCluster) {
-		one := worker("w1")
-		w.commit(&workflow.Command{Worker: &one})
+		w1 := worker("w1")
+		w.commit(&workflow.Command{Worker: &w1})
 		w.commit(&workflow.Command{Submit: &workflow.Submission{
 			ID: "a", Queue: "h/q/", Payload: "p", Steps: []workflow.Step{oneTask}, Policy: workflow.Policy{Service: "s", MaxAttempts: 3},
 		}})
@@ -251,10 +251,10 @@
 	hold, slack := s.pollTimes(now)
 	must.Eq(t, pollHold, hold)
 	must.Eq(t, callTimeout, slack)
-	s.noteLostCall(now.Add(time.Second), now)
+	s.recordLostCall(now.Add(time.Second), now)
 	must.False(t, term.losingCalls(now), must.Sprint("a worker that is cut off answers nothing"))
 	s.answeredAt = now
-	s.noteLostCall(now.Add(-time.Second), now)
+	s.recordLostCall(now.Add(-time.Second), now)
 	hold, slack = s.pollTimes(now)
 	must.Eq(t, lossyPollHold, hold)
 	must.Eq(t, lossyPollSlack, slack)
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -75,7 +75,7 @@
 			} else if session.stopDue(run, cause, now) {
 				stop := pendingStop{session, run, cause}
 				// Noted at once: it counts for the runs that are looked at after it.
-				session.noteStop(stop, now)
+				session.recordStop(stop, now)
 				v.stops = append(v.stops, stop)
 			}
 		}
@@ -143,25 +143,25 @@
 
 // row returns what is known of the runs on a worker. t.mu is held.
 func (t *leaderTerm) summarizeRuns(s *workflow.State, session *workerSession, changes uint64, now time.Time) runSummary {
-	if known := session.runSummary; known.changes == changes && now.Sub(known.at) < maxReleasesAge {
-		return known
+	if cached := session.runSummary; cached.changes == changes && now.Sub(cached.at) < maxReleasesAge {
+		return cached
 	}
-	fresh := runSummary{changes: changes, at: now}
+	summary := runSummary{changes: changes, at: now}
 	for task, run := range s.Runs[session.worker.ID] {
 		job := s.Jobs[task.Job]
 		if job == nil {
 			continue
 		}
 		step := &job.Steps[task.Step]
-		fresh.serving = fresh.serving || step.LatencyObjectiveMS > 0
+		summary.serving = summary.serving || step.LatencyObjectiveMS > 0
 		if step.UsesSpare {
-			fresh.spareRuns++
+			summary.spareRuns++
 		}
-		fresh.releases = append(fresh.releases, t.runRelease(session, job, run, now))
+		summary.releases = append(summary.releases, t.runRelease(session, job, run, now))
 	}
-	slices.SortFunc(fresh.releases, func(a, b dispatch.Release) int { return cmp.Compare(a.At, b.At) })
-	session.runSummary = fresh
-	return fresh
+	slices.SortFunc(summary.releases, func(a, b dispatch.Release) int { return cmp.Compare(a.At, b.At) })
+	session.runSummary = summary
+	return summary
 }
 
 // unpreemptibleRun is the run of a task from which on it isn't stopped for others any
@@ -199,8 +199,8 @@
 		return now.Add(estimate / 2)
 	}
 	if done := o.percent - o.firstPercent; done >= minProgressPercent {
-		each := float64(o.progressAt.Sub(o.firstAt)) / float64(done)
-		return o.progressAt.Add(max(time.Duration(each*float64(completePercent-o.percent)), now.Sub(o.progressAt)))
+		perPercent := float64(o.progressAt.Sub(o.firstAt)) / float64(done)
+		return o.progressAt.Add(max(time.Duration(perPercent*float64(completePercent-o.percent)), now.Sub(o.progressAt)))
 	}
 	// What a resumed run has done already counts from its first report on.
 	rest := estimate * time.Duration(completePercent-o.firstPercent) / completePercent
@@ -316,15 +316,15 @@
 
 // objectiveOf is how long after its acceptance a job should have ended.
 func objectiveOf(job *workflow.Job) time.Duration {
-	longest := make([]int64, len(job.Steps))
-	chain := int64(0)
+	finish := make([]int64, len(job.Steps))
+	criticalPath := int64(0)
 	for i := range job.Steps {
 		for _, before := range job.Steps[i].DependsOn {
-			longest[i] = max(longest[i], longest[before])
+			finish[i] = max(finish[i], finish[before])
 		}
-		longest[i] += job.Steps[i].EstimateMS
-		chain = max(chain, longest[i])
+		finish[i] += job.Steps[i].EstimateMS
+		criticalPath = max(criticalPath, finish[i])
 	}
-	ms := job.Policy.Stretch*float64(chain) + float64(job.Policy.ObjectiveMS)
+	ms := job.Policy.Stretch*float64(criticalPath) + float64(job.Policy.ObjectiveMS)
 	return time.Duration(ms * float64(time.Millisecond))
 }
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -55,10 +55,10 @@
 	w := newTestCluster(t, nil)
 	w.workers.add("w1").hangingStarts = 1
 	w.announce("w1")
-	begun := time.Now()
+	start := time.Now()
 	w.submit("a", oneTask)
 	w.eventually("the task starts", func() bool { return w.started("w1") == 1 })
-	must.Less(t, callTimeout, time.Since(begun))
+	must.Less(t, callTimeout, time.Since(start))
 	w.withWorker("w1", func(f *fakeWorker) {
 		must.Eq(t, 1, f.starts[0].Run.Number)
 		f.finish(task("a", 0), workflow.OutcomeDone)
--- a/internal/control/starts.go
+++ b/internal/control/starts.go
@@ -22,7 +22,7 @@
 // waits for the end of the call. The same run is sent again beside a call that
 // takes longer than a calm worker does; whichever arrives second changes nothing.
 func (s *workerSession) sendStart(o *runOrder, payload, checkpoint string) {
-	defer s.noteStartCallsEnded(o)
+	defer s.recordStartCallsEnded(o)
 	if !o.gang && s.t.c.heartbeats == nil {
 		if cause := s.acquireStartSlot(o); cause != "" {
 			s.settleUnsentStart(o, cause)
@@ -41,26 +41,26 @@
 // if it is refused as well the run has to be settled here, since no list will ever show it.
 func (s *workerSession) attemptStart(o *runOrder, payload, checkpoint string) []error {
 	second := make(chan error, 1)
-	var again *time.Timer
+	var retry *time.Timer
 	if s.t.c.heartbeats == nil && !s.t.disabled.ResentStarts {
-		again = time.AfterFunc(s.overdueAfter(), func() { second <- s.callStart(o, payload, checkpoint) })
+		retry = time.AfterFunc(s.overdueAfter(), func() { second <- s.callStart(o, payload, checkpoint) })
 	}
 	first := s.callStart(o, payload, checkpoint)
-	beside := again != nil && !again.Stop()
-	tries := make([]error, 0, maxStartAttempts)
-	tries = append(tries, first)
+	concurrent := retry != nil && !retry.Stop()
+	attempts := make([]error, 0, maxStartAttempts)
+	attempts = append(attempts, first)
 	switch {
 	case first == nil:
-	case beside:
-		tries = append(tries, <-second)
+	case concurrent:
+		attempts = append(attempts, <-second)
 	case outcomeUnknown(first):
-		tries = append(tries, s.callStart(o, payload, checkpoint))
+		attempts = append(attempts, s.callStart(o, payload, checkpoint))
 	}
-	return tries
+	return attempts
 }
 
-// noteStartCallsEnded takes in that no call of a start is under way any more, nor will be.
-func (s *workerSession) noteStartCallsEnded(o *runOrder) {
+// recordStartCallsEnded takes in that no call of a start is under way any more, nor will be.
+func (s *workerSession) recordStartCallsEnded(o *runOrder) {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
 	o.startInProgress, o.startCallsEndedAt = false, time.Now()
@@ -81,13 +81,13 @@
 // settleStartAttempts settles an order by how the calls of its start ended: one that succeeded has
 // begun the run, one without an answer may begin it later, so that a stop has to settle it,
 // and a refusal settles it only if no call was left open.
-func (s *workerSession) settleStartAttempts(o *runOrder, tries []error) {
-	if slices.Contains(tries, nil) {
+func (s *workerSession) settleStartAttempts(o *runOrder, attempts []error) {
+	if slices.Contains(attempts, nil) {
 		return
 	}
 	var refusal *RefusedError
 	unanswered := false
-	for i, err := range tries {
+	for i, err := range attempts {
 		var refused *RefusedError
 		switch {
 		case errors.Is(err, ErrOtherIncarnation):
@@ -96,10 +96,10 @@
 			s.t.mu.Unlock()
 			return
 		case errors.As(err, &refused):
-			s.noteRefused(o, refused.Reason)
+			s.recordRefusal(o, refused.Reason)
 			refusal = refused
 		default:
-			s.noteUnanswered(o, i+1, err)
+			s.recordUnanswered(o, i+1, err)
 			unanswered = true
 		}
 	}
@@ -111,8 +111,8 @@
 	}
 }
 
-// noteUnanswered takes in a call of a start that got no answer.
-func (s *workerSession) noteUnanswered(o *runOrder, try int, err error) {
+// recordUnanswered takes in a call of a start that got no answer.
+func (s *workerSession) recordUnanswered(o *runOrder, try int, err error) {
 	s.t.mu.Lock()
 	o.unanswered = true
 	// Without it, a worker that takes no starts but answers looks would be
@@ -123,8 +123,8 @@
 		"outcome", "no answer", "try", try, "err", err)
 }
 
-// noteRefused takes in a call of a start that was refused.
-func (s *workerSession) noteRefused(o *runOrder, reason Refusal) {
+// recordRefusal takes in a call of a start that was refused.
+func (s *workerSession) recordRefusal(o *runOrder, reason Refusal) {
 	t := s.t
 	t.c.cfg.Counters.Add("starts_refused_"+string(reason), 1)
 	t.logger.Log("event", "start", "task", o.run.Task, "run", o.run.Number, "worker", s.worker.ID,
@@ -163,12 +163,12 @@
 func (s *workerSession) releaseStartSlot() { <-s.startSlots }
 
 // taskPending reports whether the run's task is still to be done. t.mu is held.
-func (t *leaderTerm) taskPending(run workflow.Run) (open bool) {
+func (t *leaderTerm) taskPending(run workflow.Run) (pending bool) {
 	t.c.state.read(func(s *workflow.State) {
 		job := s.Jobs[run.Task.Job]
-		open = job != nil && !job.Ended() && !s.Task(run.Task).Done
+		pending = job != nil && !job.Ended() && !s.Task(run.Task).Done
 	})
-	return open
+	return pending
 }
 
 // unsent settles a run whose start was never sent.
@@ -199,9 +199,9 @@
 		Checkpoint: checkpoint, Ticket: o.ticket,
 	}
 	target := s.target()
-	begun := time.Now()
+	sent := time.Now()
 	if o.sentAt.IsZero() {
-		o.sentAt = begun
+		o.sentAt = sent
 	}
 	o.openCalls++
 	t.mu.Unlock()
@@ -209,12 +209,12 @@
 	defer cancel()
 	clockMS, err := t.c.cfg.Workers.Start(ctx, target, start)
 	now := time.Now()
-	t.c.cfg.Counters.Observe("start", now.Sub(begun))
+	t.c.cfg.Counters.Observe("start", now.Sub(sent))
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o.sentAt = time.Time{}
 	if err != nil && outcomeUnknown(err) {
-		s.noteLostCall(begun, now)
+		s.recordLostCall(sent, now)
 		return err
 	}
 	o.openCalls--
@@ -222,7 +222,7 @@
 		return err
 	}
 	s.noteClock(clockMS, now)
-	t.noteAnswerTime(now.Sub(begun))
+	t.noteAnswerTime(now.Sub(sent))
 	o.unanswered = false
 	if o.startedAt.IsZero() {
 		o.startedAt = now
--- a/internal/control/stops.go
+++ b/internal/control/stops.go
@@ -79,10 +79,10 @@
 	return now.Sub(o.stopSent) >= stopRetryInterval
 }
 
-// noteStop notes that a stop is sent. A run that stands still sets its worker
+// recordStop notes that a stop is sent. A run that stands still sets its worker
 // back once: with nothing else running there it would be the first choice for
 // the same task. t.mu is held.
-func (s *workerSession) noteStop(stop pendingStop, now time.Time) {
+func (s *workerSession) recordStop(stop pendingStop, now time.Time) {
 	o := s.orders[stop.run.Task]
 	if o == nil || o.run.Number != stop.run.Number {
 		o = &runOrder{run: stop.run, listed: stop.cause != stopOrphaned}
@@ -90,7 +90,7 @@
 	}
 	if stop.cause == stopOrphaned && !o.orphaned {
 		o.orphaned = true
-		s.t.noteOrphan(stop.run, now)
+		s.t.recordOrphan(stop.run, now)
 	}
 	if o.stopSent.IsZero() {
 		s.t.logger.Log("event", "stop", "task", stop.run.Task, "run", stop.run.Number, "worker", s.worker.ID, "cause", stop.cause)
@@ -113,7 +113,7 @@
 		}
 		session.orders[p.Task].preempted = true
 		stop := pendingStop{session, session.orders[p.Task].run, stopPreempted}
-		session.noteStop(stop, now)
+		session.recordStop(stop, now)
 		stops = append(stops, stop)
 		t.logger.Log("event", "preempt", "task", p.Task, "worker", p.Worker, "for", p.Preemptor)
 	}
--- a/internal/control/stops_test.go
+++ b/internal/control/stops_test.go
@@ -41,9 +41,9 @@
 	gang := workflow.Step{Count: 2, Need: workflow.Resources{MilliCPU: 4000, MemoryMB: 10}, EstimateMS: 1000, Gang: true}
 	_, err := w.c.Submit(context.Background(), &SubmitCall{Address: JobAddress{Queue: "u", ID: "g"}, Payload: "payload", Steps: []workflow.Step{gang}})
 	must.NoError(t, err)
-	begun := time.Now()
+	start := time.Now()
 	w.eventually("the gang runs", func() bool { return w.started("w1") == 3 })
-	must.Less(t, stalledRunTimeout, time.Since(begun), must.Sprint("not stopped for standing still"))
+	must.Less(t, stalledRunTimeout, time.Since(start), must.Sprint("not stopped for standing still"))
 	w.withWorker("w1", func(f *fakeWorker) {
 		f.finish(task("g", 0), workflow.OutcomeDone)
 		f.finish(task("g", 1), workflow.OutcomeDone)
@@ -58,13 +58,13 @@
 	w := clusterWithStartedTask(t)
 	_, err := w.c.Cancel(context.Background(), &CancelCall{Address: JobAddress{Host: "h", Path: "/q/a"}})
 	must.NoError(t, err)
-	begun := time.Now()
+	start := time.Now()
 	w.eventually("the run has ended", func() bool {
 		n := 1
 		w.c.state.read(func(s *workflow.State) { n = len(s.Runs["w1"]) })
 		return n == 0
 	})
-	must.Less(t, time.Second, time.Since(begun), must.Sprint("its stop is sent at once"))
+	must.Less(t, time.Second, time.Since(start), must.Sprint("its stop is sent at once"))
 	must.Eq(t, workflow.PhaseCancelled, w.phase("a"))
 }
 
@@ -85,13 +85,13 @@
 			f.finish(task, workflow.OutcomeGangBroken)
 		}
 	})
-	begun := time.Now()
+	start := time.Now()
 	w.eventually("the run of the other is asked to stop", func() bool {
 		stopped := 0
 		w.withWorker("w2", func(f *fakeWorker) { stopped = len(f.stopped) })
 		return stopped == 1
 	})
-	must.Less(t, time.Second, time.Since(begun))
+	must.Less(t, time.Second, time.Since(start))
 }
 
 // What a user sees: a batch job begins again from nothing when its worker leaves.
@@ -102,11 +102,11 @@
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
 	w.announce("w1")
-	saves := oneTask
-	saves.Checkpointing, saves.EstimateMS = true, 60_000
+	checkpointing := oneTask
+	checkpointing.Checkpointing, checkpointing.EstimateMS = true, 60_000
 	plain := oneTask
 	plain.EstimateMS = 60_000
-	w.submit("a", saves)
+	w.submit("a", checkpointing)
 	w.submit("b", plain)
 	w.eventually("both run", func() bool { return w.started("w1") == 2 })
 	leave := func(remaining time.Duration) {
--- a/internal/control/unsettled_test.go
+++ b/internal/control/unreported_runs_test.go
@@ -68,8 +68,8 @@
 // first run is in a list that isn't whole, and the second one never began.
 func TestLateEndKeepsLaterInheritedRun(t *testing.T) {
 	w := newTestCluster(t, func(w *testCluster) {
-		one := worker("w1")
-		w.commit(&workflow.Command{Worker: &one})
+		w1 := worker("w1")
+		w.commit(&workflow.Command{Worker: &w1})
 		w.commit(submission("a"))
 		for range 2 {
 			w.commit(&workflow.Command{Start: []workflow.Run{{Task: task("a", 0), Worker: "w1"}}})
@@ -95,9 +95,9 @@
 // doesn't look after.
 func clusterWithUnmonitoredWorker(t *testing.T) *testCluster {
 	w := newTestCluster(t, nil)
-	one := worker("w1")
+	w1 := worker("w1")
 	w.workers.add("w1").running[task("a", 0)] = Running{Task: task("a", 0), Number: 1}
-	w.commit(&workflow.Command{Worker: &one})
+	w.commit(&workflow.Command{Worker: &w1})
 	w.commit(submission("a"))
 	w.commit(&workflow.Command{Start: []workflow.Run{{Task: task("a", 0), Worker: "w1"}}})
 	return w
