--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -14,15 +14,15 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// load is the size of a benchmark. unasked says that the adviser couldn't be
-// asked yet about the queued steps.
+// benchmarkLoad is the size of a benchmark. noPermits says that the adviser hasn't been
+// asked about the queued steps yet.
 type benchmarkLoad struct {
 	workers, queued, runs int
 	noPermits             bool
 }
 
-// loadedTerm is a tenure with busy workers and queued steps, a fifth of them
-// gangs, all permitted on a third of the workers.
+// loadedTerm returns a leader term with busy workers and queued steps. A fifth of the steps
+// are gangs, and each step is permitted on a third of the workers.
 func loadedTerm(b testing.TB, size benchmarkLoad) *leaderTerm {
 	queued := size.queued
 	machine := NewStateMachine()
@@ -82,7 +82,7 @@
 	return t
 }
 
-// BenchmarkDecide measures one decision, its 99th percentile too.
+// BenchmarkDecide measures one full decision, including its 99th percentile.
 func BenchmarkDecide(b *testing.B) {
 	for _, size := range []benchmarkLoad{
 		{48, 50, 144, false}, {48, 500, 144, false}, {350, 50, 1800, false}, {350, 3000, 1800, false}, {350, 3000, 1800, true},
@@ -103,9 +103,9 @@
 	}
 }
 
-// BenchmarkDecideMixedLoad measures a decision at the usual load of a large
-// deployment: most workers busy with runs that could go on elsewhere, gangs that
-// wait and know of 60 workers, and steps that have just come in.
+// BenchmarkDecideMixedLoad measures one decision at the usual load of a large deployment:
+// most workers are busy with runs that could continue elsewhere, gangs wait and have
+// permits for 60 workers, and some steps are new.
 func BenchmarkDecideMixedLoad(b *testing.B) {
 	for _, workers := range []int{350, 1100} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) { decideMixedLoad(b, workers) })
--- a/internal/control/calls.go
+++ b/internal/control/calls.go
@@ -7,8 +7,8 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// Place is where a caller's request was sent: a host and a path, or the name of
-// a queue and the ID of a job.
+// JobAddress says where a caller's request was sent: a host and a path, or the name of a
+// queue and the ID of a job.
 type JobAddress struct {
 	Host  string `cbor:"1,keyasint,omitempty"`
 	Path  string `cbor:"2,keyasint,omitempty"`
@@ -16,7 +16,7 @@
 	ID    string `cbor:"4,keyasint,omitempty"`
 }
 
-// SubmitCall hands a job in. The queue and the job's ID follow from Place.
+// SubmitCall submits a job. Address determines the queue and the ID of the job.
 type SubmitCall struct {
 	Address  JobAddress        `cbor:"1,keyasint"`
 	Payload  string            `cbor:"2,keyasint"`
@@ -24,34 +24,34 @@
 	Schedule workflow.Schedule `cbor:"4,keyasint"`
 }
 
-// SubmitReply says that the job is stored.
+// SubmitReply says that the job is stored. Known says that it was stored before.
 type SubmitReply struct {
 	Known bool `cbor:"1,keyasint,omitempty"`
 }
 
-// StateCall asks for a job, or for a queue when the path names no job.
+// StateCall asks for the state of a job, or of a queue if the path names no job.
 type StateCall struct {
 	Address JobAddress `cbor:"1,keyasint"`
 }
 
-// StateReply is how far a job has come, or how many jobs of a queue wait.
+// StateReply is the phase of a job, or the number of waiting jobs of a queue.
 type StateReply struct {
 	Queue   bool           `cbor:"1,keyasint,omitempty"`
 	Waiting int            `cbor:"2,keyasint,omitempty"`
 	Phase   workflow.Phase `cbor:"3,keyasint,omitempty"`
 }
 
-// EndedCall asks an instance that needn't lead whether a job has ended.
+// EndedCall asks an instance, which needn't lead, whether a job has ended.
 type EndedCall struct {
 	Address JobAddress `cbor:"1,keyasint"`
-	// Version is the highest of the configuration that the asking instance has
-	// answered by. One that has an older one doesn't answer: a caller must not see a
-	// version that was dropped again.
+	// Version is the highest version of the configuration by which the calling instance has
+	// answered callers. An instance with an older one doesn't answer, because a caller must
+	// not see a version that was rolled back.
 	Version uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// EndedReply is the phase of a job that has ended; it never changes. Known is false
-// where the leader has to be asked.
+// EndedReply is the phase of an ended job, which never changes. Known is false if only the
+// leader can answer.
 type EndedReply struct {
 	Known bool           `cbor:"1,keyasint,omitempty"`
 	Phase workflow.Phase `cbor:"2,keyasint,omitempty"`
@@ -68,32 +68,32 @@
 // Announcement is a worker's heartbeat.
 type Announcement struct {
 	Worker workflow.Worker `cbor:"1,keyasint"`
-	// Sequence grows with each heartbeat of the incarnation.
+	// Sequence increases with each heartbeat of the incarnation.
 	Sequence uint64 `cbor:"2,keyasint"`
-	// Remaining is the least time that a draining worker still runs.
+	// Remaining is the shortest time for which a draining worker keeps running.
 	Remaining time.Duration `cbor:"3,keyasint,omitempty"`
-	// Report holds the worker's lists, where orders go out with the answers to
+	// Report is the worker's report. It is sent if orders are delivered in the answers to
 	// heartbeats.
 	Report *Report `cbor:"4,keyasint,omitempty"`
 }
 
 // AnnouncementReply answers a heartbeat.
 type AnnouncementReply struct {
-	// HeartbeatAddress is the control address for the worker's next heartbeats.
+	// HeartbeatAddress is where the worker sends its next heartbeats.
 	HeartbeatAddress string `cbor:"1,keyasint,omitempty"`
-	// Orders are nil where workers are called.
+	// Orders is nil if the leader calls workers.
 	Orders *HeartbeatOrders `cbor:"2,keyasint,omitempty"`
 }
 
-// LeaveCall says that an incarnation ends.
+// LeaveCall announces that an incarnation shuts down.
 type LeaveCall struct {
 	Worker string `cbor:"1,keyasint"`
-	// Name is the worker's own, for a call that doesn't say which of its lives ends: the
-	// latest one.
+	// Name is the worker's name. It stands for the latest incarnation if the call doesn't
+	// identify one.
 	Name string `cbor:"2,keyasint,omitempty"`
 }
 
-// ConfigureCall hands in a version of the configuration.
+// ConfigureCall submits a version of the configuration.
 type ConfigureCall struct {
 	Document workflow.Document `cbor:"1,keyasint"`
 }
@@ -104,28 +104,27 @@
 	Source  []byte `cbor:"2,keyasint"`
 }
 
-// FollowCall is how an instance that faces callers stays in touch with the
-// leader, and offers itself for questions to the adviser.
+// FollowCall registers an instance that serves callers with the leader, and offers it for
+// sending queries to the adviser.
 type FollowCall struct {
 	Address string `cbor:"1,keyasint"`
 }
 
-// FollowReply names the core's members, and the version of the configuration
-// that is in force.
+// FollowReply names the core members and the version of the configuration that is in force.
 type FollowReply struct {
 	Members []string `cbor:"1,keyasint"`
 	Version uint64   `cbor:"2,keyasint"`
-	// Pause is when the instance is to announce itself next.
+	// Pause is the time until the instance is to register again.
 	Pause time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
-// ExplainCall asks what a job waits for.
+// ExplainCall asks what a job is waiting for.
 type ExplainCall struct {
 	Address JobAddress `cbor:"1,keyasint"`
 }
 
-// ExplainReply is how far each step of a job is, and what keeps the ready ones
-// from going on.
+// ExplainReply is the progress of each step of a job, and the reasons why its ready steps
+// don't run.
 type ExplainReply struct {
 	Queue   string            `cbor:"1,keyasint"`
 	ID      string            `cbor:"2,keyasint"`
@@ -134,14 +133,14 @@
 	Waiting []StepExplanation `cbor:"5,keyasint,omitempty"`
 }
 
-// StepProgress counts the tasks of one step of one occurrence.
+// StepProgress counts the tasks of one step in one occurrence of a job.
 type StepProgress struct {
 	Key      workflow.StepKey `cbor:"1,keyasint"`
 	Tasks    int              `cbor:"2,keyasint"`
 	Done     int              `cbor:"3,keyasint"`
 	Running  int              `cbor:"4,keyasint"`
 	Failures int              `cbor:"5,keyasint"`
-	// Crashes are of the tasks that workers have crashed under.
+	// Crashes lists the tasks under which workers have crashed.
 	Crashes []TaskCrashes `cbor:"6,keyasint,omitempty"`
 }
 
@@ -149,42 +148,44 @@
 type TaskCrashes struct {
 	Task    int      `cbor:"1,keyasint"`
 	Workers []string `cbor:"2,keyasint"`
-	// GivenUp says that the job was given up for this task.
+	// GivenUp says that the job failed because of this task.
 	GivenUp bool `cbor:"3,keyasint,omitempty"`
 }
 
-// StepExplanation is what a ready step's tasks wait for.
+// StepExplanation says what the tasks of a ready step are waiting for.
 type StepExplanation struct {
 	Key workflow.StepKey `cbor:"1,keyasint"`
-	// Tasks is how many of its tasks could start.
+	// Tasks is the number of tasks of the step that could start.
 	Tasks  int             `cbor:"2,keyasint"`
 	Reason dispatch.Reason `cbor:"3,keyasint"`
-	// Workers counts the service's workers by what keeps each from a task.
+	// Workers counts the workers of the service by the reason why they get no task of the
+	// step.
 	Workers []dispatch.ReasonCount `cbor:"4,keyasint"`
-	// Permitted, Refused and Unknown count workers by the adviser's word.
+	// Permitted, Refused and Unknown count workers by the adviser's answer.
 	Permitted int `cbor:"5,keyasint"`
 	Refused   int `cbor:"6,keyasint"`
 	Unknown   int `cbor:"7,keyasint"`
 }
 
-// WaveCall starts a wave of maintenance.
+// WaveCall starts a maintenance wave.
 type WaveCall struct {
 	Wave workflow.Wave `cbor:"1,keyasint"`
 }
 
-// WaveStateCall asks for a wave.
+// WaveStateCall asks for the progress of a maintenance wave.
 type WaveStateCall struct {
 	ID int64 `cbor:"1,keyasint"`
 }
 
-// WaveStateReply is how far a wave has come.
+// WaveStateReply is the progress of a maintenance wave.
 type WaveStateReply struct {
 	Done bool `cbor:"1,keyasint,omitempty"`
-	// Maintenances are the stages of its machines, in the order of the wave.
+	// Maintenances are the maintenance stages of the wave's machines, in the order of the
+	// wave.
 	Maintenances []workflow.Maintenance `cbor:"2,keyasint,omitempty"`
 }
 
-// Names of the calls between instances.
+// Method names of the calls between instances.
 const (
 	MethodSubmit        = "submit"
 	MethodState         = "state"
--- a/internal/control/capacity_test.go
+++ b/internal/control/capacity_test.go
@@ -11,7 +11,7 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// announceCapacity sends a heartbeat of worker w1 that says how many cores it has.
+// announceCapacity sends a heartbeat of worker w1 with the given number of cores.
 func (w *testCluster) announceCapacity(sequence uint64, cores int64) {
 	announced := worker("w1")
 	announced.Capacity.MilliCPU = 1000 * cores
@@ -19,15 +19,15 @@
 	must.NoError(w.t, err)
 }
 
-// submitOneCoreJobs hands in jobs of one task of a core each.
+// submitOneCoreJobs submits n jobs of one task with one core each.
 func (w *testCluster) submitOneCoreJobs(name string, n int) {
 	for i := range n {
 		w.submit(fmt.Sprint(name, i), oneTask)
 	}
 }
 
-// clusterWithReducedCapacity is a leader with worker w1, which had ten cores, runs two tasks of a core each
-// and has four cores now.
+// clusterWithReducedCapacity is a leader with worker w1, which had ten cores when it
+// started two tasks of one core each, and has four cores now.
 func clusterWithReducedCapacity(t *testing.T) *testCluster {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -38,8 +38,8 @@
 	return w
 }
 
-// Guards against a worker that is brought over its capacity (LIMIT): it had more when it
-// announced itself.
+// Failure: a worker gets more tasks than fit (LIMIT), because the leader uses the capacity
+// from its first heartbeat after it has shrunk.
 func TestWorkerWithReducedCapacityIsNotOvercommitted(t *testing.T) {
 	w := clusterWithReducedCapacity(t)
 	w.submitOneCoreJobs("b", 5)
@@ -48,7 +48,7 @@
 	must.Eq(t, 4, w.started("w1"))
 }
 
-// Guards against room that is never used again: a worker that had shrunk has grown.
+// Failure: capacity stays unused after a worker has shrunk and grown again.
 func TestWorkerWithRestoredCapacityIsUsed(t *testing.T) {
 	w := clusterWithReducedCapacity(t)
 	w.submitOneCoreJobs("b", 5)
@@ -56,8 +56,8 @@
 	w.eventually("all tasks run", func() bool { return w.started("w1") == 7 })
 }
 
-// Guards against a worker that is brought over its capacity (LIMIT): a heartbeat from before
-// it shrank was delayed on its way.
+// Failure: a worker gets more tasks than fit (LIMIT), because a delayed heartbeat from
+// before it shrank restores its old capacity.
 func TestStaleHeartbeatDoesNotRestoreCapacity(t *testing.T) {
 	w := clusterWithReducedCapacity(t)
 	w.announceCapacity(1, 10)
@@ -67,8 +67,8 @@
 	must.Eq(t, 4, w.started("w1"))
 }
 
-// Guards against a worker that is brought over its capacity (LIMIT): it shrinks while starts
-// that were decided on before are being committed.
+// Failure: a worker gets more tasks than fit (LIMIT), because it shrinks while starts are
+// being committed that were decided before.
 func TestStartsCommittedAfterCapacityReductionAreDropped(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
--- a/internal/control/commit_test.go
+++ b/internal/control/commit_test.go
@@ -10,17 +10,16 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// What a user sees: an accepted job never runs to its end, or a gang's tasks begin and
-// wait in vain for one of them, on a calm day.
-// Order: a worker refuses a start; the log is held up for a moment just then and refuses
-// the commit of that end, or its outcome stays open; the leader goes on leading.
-// Cause: the end was proposed once, and the run counted as alive from then on.
+// Failure: an accepted job never ends, or the tasks of a gang start and wait in vain for
+// one of them. A worker refuses a start; at that moment the log is delayed and refuses the
+// commit of that end, or leaves its outcome unknown; the leader stays the same. The end
+// must be proposed again, or the run counts as alive from then on.
 func TestEndKnownOnlyToLeaderIsCommittedAfterRetries(t *testing.T) {
 	for name, errs := range map[string][]error{
-		"refused once":   {node.ErrNotLeader},
-		"refused often":  {node.ErrNotLeader, node.ErrNotLeader, node.ErrNotLeader},
-		"the fate open":  {node.ErrFateOpen},
-		"one then other": {node.ErrFateOpen, node.ErrNotLeader, node.ErrFateOpen},
+		"refused once":    {node.ErrNotLeader},
+		"refused often":   {node.ErrNotLeader, node.ErrNotLeader, node.ErrNotLeader},
+		"outcome unknown": {node.ErrFateOpen},
+		"mixed errors":    {node.ErrFateOpen, node.ErrNotLeader, node.ErrFateOpen},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := clusterWithStartedTask(t)
@@ -29,18 +28,18 @@
 			term.mu.Lock()
 			s := term.sessions["w1"]
 			term.mu.Unlock()
-			// The worker has nothing of the run, as after a start that it refused.
+			// The worker knows nothing of the run, as after a start that it refused.
 			w.withWorker("w1", func(f *fakeWorker) { clear(f.running) })
 			w.log.failEnds(errs...)
 			s.commitEnds(0, []workflow.RunEnd{{Task: task("a", 0), Number: 1, Outcome: workflow.OutcomeNotStarted}})
-			w.eventually("the task is begun again", func() bool { return w.started("w1") == 2 })
+			w.eventually("the task is started again", func() bool { return w.started("w1") == 2 })
 		})
 	}
 }
 
-// What a user sees: tasks begin a tenth of a second late now and then.
-// Order: the log refuses the commit of a start for a moment; the leader goes on leading.
-// Cause: the start was dropped and left to the next decision.
+// Failure: tasks sometimes start a tenth of a second late. The log refuses the commit of a
+// start for a moment while the leader stays the same, and the start is dropped and left to
+// the next decision.
 func TestCommandRefusedByLogIsProposedAgain(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	term, err := w.c.currentLeaderTerm(context.Background())
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -17,71 +17,74 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// Bounds are the deployment's times that the leader derives its own from.
+// Bounds holds the deployment's durations from which the leader derives its own timeouts.
 type Bounds struct {
-	// MaxLease is the longest lease that a worker grants.
+	// MaxLease is the longest lease that a worker accepts.
 	MaxLease time.Duration
-	// Shown is how long an ended job is shown at least.
+	// EndedJobRetention is the shortest time for which an ended job can still be queried.
 	EndedJobRetention time.Duration
-	// MachineHandoverDelay is how long after another instance's last order for a machine
-	// this one may give its first.
+	// MachineHandoverDelay is the shortest time between another instance's last order for a
+	// machine and this instance's first one.
 	MachineHandoverDelay time.Duration
-	// Maintenance is how long a machine is down for its maintenance.
+	// MaintenanceDuration is how long maintenance keeps a machine down.
 	MaintenanceDuration time.Duration
 }
 
-// Config is the fixed part of a Controller.
+// Config configures a Controller and doesn't change after New.
 type Config struct {
-	// Address is where other instances reach this one, Public is where workers
-	// and operators do.
+	// Address is where other instances reach this one; Public is where workers and
+	// operators reach it.
 	Address, Public string
 	Bounds          Bounds
-	// Without names mechanisms that are switched off.
+	// Disabled names the mechanisms that are switched off.
 	Disabled dispatch.Disabled
 	Workers  Workers
-	// Lead is told of each tenure before it looks at any worker; what it begins ends
-	// with ctx. It may be nil.
+	// OnElected is called at the start of each leader term, before any worker is polled.
+	// Whatever it starts must stop when ctx ends. It may be nil.
 	OnElected func(ctx context.Context, term uint64)
-	// OrdersByHeartbeat says that workers get their orders with the answers to their
-	// heartbeats and aren't called.
+	// OrdersByHeartbeat makes the leader put orders into its answers to the workers'
+	// heartbeats; it then doesn't call workers.
 	OrdersByHeartbeat bool
 	Adviser           Adviser
-	// Machines is nil where the deployment has no list of machines.
+	// Machines is nil if the deployment has no list of machines.
 	Machines Machines
-	// Instance names this one in orders for machines.
+	// Instance identifies this instance in orders for machines.
 	Instance string
 	Client   Caller
 	Logger   log.Logger
 	Counters Counters
-	// Leader returns the address of the present leader, Members those of all.
+	// Leader returns the address of the current leader, Members the addresses of all core
+	// members.
 	Leader  func() string
 	Members func() []string
 }
 
-// Counters counts events and keeps gauges by name.
+// Counters records counters, gauges and durations by metric name.
 type Counters interface {
 	Add(name string, n int64)
-	// Set sets a gauge.
+	// Set sets the gauge name to n.
 	Set(name string, n int64)
 	Observe(name string, d time.Duration)
 }
 
-// Controller serves calls on a core instance and leads when the log lets it.
+// Controller serves calls on a core instance. It also does the leader's work while the
+// replicated log says that this member leads.
 type Controller struct {
 	cfg   Config
 	state *StateMachine
 	log   node.Log
-	// beats is nil where workers are called.
+	// heartbeats is nil if the leader calls workers.
 	heartbeats *heartbeatTransport
 	passedOn   forwardedHeartbeats
-	// heartbeatBuffer are the heartbeats that this instance takes for the leader.
+	// heartbeatBuffer holds heartbeats that this instance received until the leader
+	// collects them.
 	heartbeatBuffer heartbeatBuffer
 
 	mu         sync.Mutex
 	leaderTerm *leaderTerm
 }
 
-// New returns a controller over a log whose state machine is state.
+// New returns a controller over a replicated log whose state machine is state.
 func New(cfg Config, state *StateMachine, replicatedLog node.Log) *Controller {
 	c := &Controller{cfg: cfg, state: state, log: replicatedLog}
 	if cfg.OrdersByHeartbeat {
@@ -91,7 +94,7 @@
 	return c
 }
 
-// Run leads whenever this member may decide, until ctx ends.
+// Run runs a leader term whenever this member may decide. It returns nil when ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		changed := c.log.Changed()
@@ -105,18 +108,19 @@
 	return nil
 }
 
-// statusPollInterval bounds how late a change of CanDecide is noticed.
+// statusPollInterval is the longest time between two checks of the log's status, and so the
+// longest delay until a change of CanDecide is noticed.
 const statusPollInterval = 200 * time.Millisecond
 
-// waitForStatusChange waits until the log's status may have changed. CanDecide also
-// ends by the passing of time alone, which closes no channel.
+// waitForStatusChange waits until the log's status may have changed. The timeout is needed
+// because CanDecide also turns false when time passes, which closes no channel.
 func waitForStatusChange(ctx context.Context, changed <-chan struct{}) {
 	ctx, cancel := context.WithTimeout(ctx, statusPollInterval)
 	defer cancel()
 	wait.Closed(ctx, changed)
 }
 
-// lead runs one tenure until the leadership ends.
+// runLeaderTerm runs one leader term and returns when this member stops leading.
 func (c *Controller) runLeaderTerm(ctx context.Context, term uint64) {
 	tenureCtx, end := context.WithCancel(ctx)
 	defer end()
@@ -138,7 +142,7 @@
 	_ = c.cfg.Logger.Log("event", "tenure", "outcome", "ended", "term", term)
 }
 
-// watch ends the tenure when the leadership does.
+// endOnLeadershipLoss calls end as soon as this member no longer leads in term.
 func (c *Controller) endOnLeadershipLoss(ctx context.Context, term uint64, end func()) {
 	defer end()
 	for ctx.Err() == nil {
@@ -162,12 +166,13 @@
 	c.state.setOnApply(t.wake)
 }
 
-// leading returns the tenure in which this member may decide now.
+// currentLeaderTerm returns the leader term in which this member may decide now. It returns
+// a NotLeader error if there is none.
 //
-// Failure guarded against: the log's goroutine is held up for a tenth of a second,
-// and nothing shows that the member still leads. Refused as by a member that
-// doesn't, all calls of that time went round all members. A barrier waits until
-// the log has told; without the lead it fails at once.
+// A delay of the log's goroutine by a tenth of a second makes CanDecide false although the
+// member still leads. An immediate NotLeader would then send every caller round all
+// members. The barrier waits until the log confirms the leadership, and fails at once if it
+// is lost.
 func (c *Controller) currentLeaderTerm(ctx context.Context) (*leaderTerm, error) {
 	c.mu.Lock()
 	t := c.leaderTerm
@@ -184,8 +189,8 @@
 	return t, nil
 }
 
-// propose commits one command. ErrFateOpen becomes a fault of kind Unknown, so
-// that no caller is told that the command wasn't carried out.
+// propose commits one command. It turns ErrFateOpen into a fault of kind Unknown, because
+// the command may have been committed and no caller may be told otherwise.
 func (c *Controller) propose(ctx context.Context, command *workflow.Command) (workflow.Result, error) {
 	data, err := command.Encode()
 	if err != nil {
--- a/internal/control/crash.go
+++ b/internal/control/crash.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	// strongSuspicionMaxAge is how old a run is at most, by its worker's last answer, for the worker's
-	// crash to speak strongly against it.
+	// strongSuspicionMaxAge is the highest age of a run, at its worker's last answer, at
+	// which the worker's crash counts strongly against the task.
 	strongSuspicionMaxAge = time.Second
-	// noSuspicionMinAge is how old a run of a task that lasts must be for its worker's crash not to
-	// be held against it.
+	// noSuspicionMinAge is the age from which on a run of a long-running task isn't
+	// suspected of its worker's crash.
 	noSuspicionMinAge = 10 * time.Second
-	// probation is how long a worker must have answered under a run of a suspect task
-	// before it is given anything else.
+	// probationPeriod is how long a worker must have answered while it runs a crash suspect
+	// before it gets another task.
 	probationPeriod = 500 * time.Millisecond
 )
 
-// crashed reports whether a worker that is gone has crashed: it neither announced its end
-// nor was its machine to go down.
+// hasCrashed reports whether a worker that has gone crashed: it neither announced its
+// shutdown nor was its machine about to go down.
 func (s *workerSession) hasCrashed() bool {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
 	return !s.leaving && !s.worker.Draining && !s.t.machines.isCordoned(s.worker.ID)
 }
 
-// suspicion is how much speaks for a run having crashed its worker, if the worker has
-// crashed. t.mu is held.
+// suspicion returns how strongly a run is suspected of having crashed its worker, if the
+// worker has crashed. t.mu is held.
 func (s *workerSession) suspicion(run workflow.Run) workflow.Suspicion {
 	o := s.orders[run.Task]
 	if o == nil || o.run.Number != run.Number {
-		// An earlier leader ordered it.
+		// The run was ordered by an earlier leader.
 		return workflow.SuspicionWeak
 	}
 	age := s.aliveFor(o)
@@ -47,8 +47,8 @@
 	return workflow.SuspicionStrong
 }
 
-// aliveFor is how long the worker is known to have answered under a run, 0 where no answer
-// has shown the run. t.mu is held.
+// aliveFor returns for how long the worker is known to have answered during a run, 0 if no
+// answer has shown the run. t.mu is held.
 func (s *workerSession) aliveFor(o *runOrder) time.Duration {
 	since := o.startedAt
 	if since.IsZero() {
@@ -60,7 +60,7 @@
 	return max(s.lastAnswerAt().Sub(since), 0)
 }
 
-// lastAnswerAt is when the worker last answered a call of any kind. t.mu is held.
+// lastAnswerAt returns when the worker last answered a call of any kind. t.mu is held.
 func (s *workerSession) lastAnswerAt() time.Time {
 	if s.clockAt.After(s.answeredAt) {
 		return s.clockAt
@@ -68,16 +68,16 @@
 	return s.answeredAt
 }
 
-// mayHaveStarted reports whether the worker may have been told to begin the run.
+// mayHaveStarted reports whether the worker may have received the order to start the run.
 func (o *runOrder) mayHaveStarted() bool {
 	return !o.startedAt.IsZero() || o.listed || o.unanswered || !o.sentAt.IsZero()
 }
 
-// onProbation reports whether a run of a suspect task has only just begun there. t.mu is
-// held.
+// onProbation reports whether a run of a crash suspect started on the worker less than
+// probationPeriod ago. t.mu is held.
 //
-// Failure guarded against: a task that crashes its workers takes with it what was placed
-// beside it.
+// A task that crashes its workers would otherwise also end the runs that were placed beside
+// it.
 func (s *workerSession) onProbation() bool {
 	for _, o := range s.orders {
 		if o.crashSuspect && (o.startedAt.IsZero() || s.lastAnswerAt().Sub(o.startedAt) < probationPeriod) {
@@ -87,8 +87,9 @@
 	return false
 }
 
-// logLostRuns says of each run that ends with its worker how old it was when the worker last
-// answered: the same task again and again, young each time, is one that crashes its workers.
+// logLostRuns logs for each run that ended with its worker how old it was when the worker
+// last answered. The same task in these lines again and again, always young, crashes its
+// workers.
 func (s *workerSession) logLostRuns(ends []workflow.RunEnd, cause string) {
 	t := s.t
 	t.mu.Lock()
@@ -106,8 +107,8 @@
 	}
 }
 
-// missing returns the runs that ended with the worker's lease and may yet turn out to have
-// ended with a crash. t.mu may be held.
+// unresolvedRuns returns the runs that ended when the worker's lease expired and for which
+// a crash may still turn out to be the cause. t.mu may be held.
 func (s *workerSession) unresolvedRuns() (ends []workflow.RunEnd) {
 	s.t.c.state.read(func(state *workflow.State) {
 		if worker := state.Workers[s.worker.ID]; worker != nil {
@@ -117,13 +118,13 @@
 	return ends
 }
 
-// commitReturned commits that the worker answers again, so that it hasn't crashed.
+// commitReturned commits that the worker answers again, and therefore hasn't crashed.
 func (s *workerSession) commitReturned() {
 	s.t.commitWithRetry(&workflow.Command{Ends: &workflow.RunEnds{Worker: s.worker.ID, Returned: true}})
 }
 
-// logCrashingTask tells of a job that was given up for a task that crashed its workers. t.mu is
-// held.
+// logCrashingTask logs a job that failed because one of its tasks crashed its workers. t.mu
+// is held.
 func (t *leaderTerm) logCrashingTask(s *workflow.State, job *workflow.Job) {
 	if job.CrashingTask == nil {
 		return
--- a/internal/control/crash_test.go
+++ b/internal/control/crash_test.go
@@ -11,17 +11,18 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// maxCrashes is how many workers one task may crash: three, and two more starts.
+// maxCrashes is how many workers one task may crash: three, and two more that were started
+// in the meantime.
 const maxCrashes = 5
 
-// crasher lets the one task of job a crash each worker that starts it, and brings another
-// incarnation of the worker back.
+// crashingTask makes the only task of job a crash each worker that starts it. Another
+// incarnation of the worker comes back each time.
 type crashingTask struct {
 	w       *testCluster
 	crashed int
 }
 
-// present is the worker whose turn it is.
+// currentWorker returns the worker that is up.
 func (c *crashingTask) currentWorker() string { return fmt.Sprint("w", c.crashed+1) }
 
 func newCrashingTask(t *testing.T) *crashingTask {
@@ -32,8 +33,9 @@
 	return c
 }
 
-// crashNext waits until the job has failed, which it reports, or its task has started once
-// more, and lets the worker crash then. The crash is known only after a time.
+// crashNext waits until the job has failed, which it reports, or until its task has started
+// once more. In the latter case it crashes the worker. The crash is detectable after
+// knownAfter.
 func (c *crashingTask) crashNext(knownAfter time.Duration) (failed bool) {
 	worker := c.currentWorker()
 	c.w.eventually("the task starts or its job fails", func() bool {
@@ -51,7 +53,7 @@
 	return false
 }
 
-// Guards against a task that takes one worker after the other down, without end.
+// Failure: a task crashes one worker after another without end.
 func TestJobFailsWhenItsTaskKeepsCrashingWorkers(t *testing.T) {
 	c := newCrashingTask(t)
 	for !c.crashNext(0) {
@@ -59,7 +61,7 @@
 	}
 }
 
-// Guards against a job that fails for no reason that its owner could see.
+// Failure: a job fails because its task crashed workers, and its owner can't find out why.
 func TestExplainNamesWorkersThatTaskCrashed(t *testing.T) {
 	c := newCrashingTask(t)
 	for !c.crashNext(0) {
@@ -69,8 +71,8 @@
 	must.Eq(t, []TaskCrashes{{Task: 0, Workers: []string{"w1", "w2", "w3"}, GivenUp: true}}, reply.Steps[0].Crashes)
 }
 
-// Guards against crashes that don't count where the lease had ended, and the run with it,
-// before another incarnation answered.
+// Failure: a crash doesn't count if the lease, and with it the run, ended before another
+// incarnation answered. The task then crashes workers without end.
 func TestCrashDetectedAfterLeaseExpiryCounts(t *testing.T) {
 	c := newCrashingTask(t)
 	for !c.crashNext(time.Second) {
@@ -78,13 +80,13 @@
 	}
 }
 
-// Guards against what is placed beside a task that crashes its workers: the worker gets
-// nothing else until it has answered for a while under the run.
+// Failure: a task that crashes its workers also ends the runs beside it, because the worker
+// gets other tasks before it has answered for a while with the suspect run.
 func TestWorkerWithNewCrashSuspectGetsNoOtherTask(t *testing.T) {
 	now := time.Now()
 	o := &runOrder{run: workflow.Run{Task: task("a", 0), Number: 2, Worker: "w1"}, crashSuspect: true}
 	s := &workerSession{orders: map[workflow.TaskKey]*runOrder{o.run.Task: o}, clockAt: now}
-	must.True(t, s.onProbation(), must.Sprint("its start has no answer"))
+	must.True(t, s.onProbation(), must.Sprint("its start isn't answered yet"))
 	o.startedAt = now
 	must.True(t, s.onProbation())
 	s.clockAt = now.Add(probationPeriod)
@@ -93,8 +95,8 @@
 	must.False(t, s.onProbation())
 }
 
-// Guards against a task that lasts and is given up for crashes that weren't its own, and one
-// that crashes its workers and isn't.
+// Failure: a long-running task is given up for crashes that it didn't cause, or a task that
+// does crash its workers isn't given up.
 func TestCrashSuspicionOfRun(t *testing.T) {
 	now := time.Now()
 	run := workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}
@@ -102,16 +104,16 @@
 		o    runOrder
 		want workflow.Suspicion
 	}{
-		"never sent":             {runOrder{}, workflow.SuspicionNone},
-		"no answer":              {runOrder{unanswered: true}, workflow.SuspicionStrong},
-		"just begun":             {runOrder{startedAt: now.Add(-strongSuspicionMaxAge)}, workflow.SuspicionStrong},
-		"begun a while ago":      {runOrder{startedAt: now.Add(-2 * strongSuspicionMaxAge)}, workflow.SuspicionWeak},
-		"begun long ago":         {runOrder{startedAt: now.Add(-2 * noSuspicionMinAge)}, workflow.SuspicionWeak},
-		"being stopped":          {runOrder{startedAt: now, stopSent: now}, workflow.SuspicionWeak},
-		"lasts, just begun":      {runOrder{startedAt: now, longRunning: true}, workflow.SuspicionStrong},
-		"lasts, a while ago":     {runOrder{startedAt: now.Add(-2 * strongSuspicionMaxAge), longRunning: true}, workflow.SuspicionWeak},
-		"lasts, long ago":        {runOrder{startedAt: now.Add(-2 * noSuspicionMinAge), longRunning: true}, workflow.SuspicionNone},
-		"lasts, listed long ago": {runOrder{listed: true, firstAt: now.Add(-2 * noSuspicionMinAge), longRunning: true}, workflow.SuspicionNone},
+		"never sent":                        {runOrder{}, workflow.SuspicionNone},
+		"no answer":                         {runOrder{unanswered: true}, workflow.SuspicionStrong},
+		"just started":                      {runOrder{startedAt: now.Add(-strongSuspicionMaxAge)}, workflow.SuspicionStrong},
+		"started a while ago":               {runOrder{startedAt: now.Add(-2 * strongSuspicionMaxAge)}, workflow.SuspicionWeak},
+		"started long ago":                  {runOrder{startedAt: now.Add(-2 * noSuspicionMinAge)}, workflow.SuspicionWeak},
+		"being stopped":                     {runOrder{startedAt: now, stopSent: now}, workflow.SuspicionWeak},
+		"long-running, just started":        {runOrder{startedAt: now, longRunning: true}, workflow.SuspicionStrong},
+		"long-running, started a while ago": {runOrder{startedAt: now.Add(-2 * strongSuspicionMaxAge), longRunning: true}, workflow.SuspicionWeak},
+		"long-running, started long ago":    {runOrder{startedAt: now.Add(-2 * noSuspicionMinAge), longRunning: true}, workflow.SuspicionNone},
+		"long-running, reported long ago":   {runOrder{listed: true, firstAt: now.Add(-2 * noSuspicionMinAge), longRunning: true}, workflow.SuspicionNone},
 	} {
 		o := c.o
 		o.run = run
@@ -121,8 +123,9 @@
 	must.Eq(t, workflow.SuspicionWeak, (&workerSession{}).suspicion(run), must.Sprint("ordered by an earlier leader"))
 }
 
-// Guards against a rack that loses power and takes the jobs of its workers with it: most
-// of their tasks were there for a while, and none has crashed a worker before.
+// Failure: a rack loses power, and the jobs on its workers fail as if their tasks had
+// caused the crash. Most of these tasks had been running for a while, and none has crashed
+// a worker before.
 func TestTasksRunAgainAfterPowerLossOfRack(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -17,22 +17,22 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// fakeLog commits every command at once on one member that always leads.
+// fakeLog is the log of a single member that always leads and commits each command at once.
 type fakeLog struct {
 	state *StateMachine
 	mu    sync.Mutex
 	index uint64
-	// applied is called after each command, outside the lock.
+	// afterApply is called after each command, outside the lock.
 	afterApply func(workflow.Command)
-	// begun is called before each command, outside the lock.
+	// beforeApply is called before each command, outside the lock.
 	beforeApply func(workflow.Command)
-	// delayedUntil is when the log's goroutine goes on after it was held up.
+	// delayedUntil is when the log's goroutine continues after a delay.
 	delayedUntil time.Time
-	// refuse are the errors of the next commands that end runs.
+	// endErrors are the errors of the next commands that end runs.
 	endErrors []error
 }
 
-// hold lets nothing show for a time that the member leads.
+// delayStatus makes the log unable to confirm the leadership for a duration.
 func (l *fakeLog) delayStatus(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,14 +67,15 @@
 	return value, nil
 }
 
-// failEnds lets the next commands that end runs fail.
+// failEnds makes the next commands that end runs fail with errs.
 func (l *fakeLog) failEnds(errs ...error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.endErrors = errs
 }
 
-// refusal is the error of a command, which is taken off.
+// nextEndError removes and returns the error for a command that ends runs, nil for other
+// commands.
 func (l *fakeLog) nextEndError(data []byte) error {
 	command, err := workflow.Decode(data)
 	if err != nil || command.Ends == nil {
@@ -90,7 +91,7 @@
 	return err
 }
 
-// announce calls begun.
+// callBeforeApply calls beforeApply with the decoded command.
 func (l *fakeLog) callBeforeApply(data []byte) error {
 	l.mu.Lock()
 	hook := l.beforeApply
@@ -118,48 +119,49 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// fakeWorker is one incarnation of a worker, with its lists.
+// fakeWorker is one incarnation of a worker, with its report.
 type fakeWorker struct {
 	id      string
 	fence   uint64
 	running map[workflow.TaskKey]Running
 	ended   []Ended
-	// stopped is the highest run stopped or ended of each task.
+	// stopped is the highest run number of each task that was stopped or has ended.
 	stopped map[workflow.TaskKey]int
-	// cut says that calls arrive and their answers are lost.
+	// answersLost says that calls arrive and their answers are lost.
 	answersLost bool
-	// delay holds starts back: they get no answer and are kept in late.
+	// delayStarts says that starts get no answer and are kept in delayedStarts.
 	delayStarts   bool
 	delayedStarts []StartOrder
-	// refuse answers the next start after a late one with this reason.
+	// refuseNextStart is the reason for which the next start after a delayed one is
+	// refused.
 	refuseNextStart Refusal
-	// starts are the orders that were carried out.
+	// starts are the start orders that were carried out.
 	starts []StartOrder
-	// shares are the shares that runs were throttled to.
+	// shares are the shares to which runs were throttled.
 	shares map[workflow.TaskKey]int
-	// leases are the lease ends that looks carried.
+	// leases are the lease ends that polls carried.
 	leases []int64
-	// partial says that the lists aren't whole.
+	// partial says that reports are partial.
 	partial bool
-	// deaf is how many stops get lost.
+	// lostStops is how many further stops get lost.
 	lostStops int
-	// replaced says that another incarnation answers.
+	// superseded says that another incarnation answers.
 	superseded bool
-	// hang is how many starts get no answer until their caller gives up; they aren't
-	// carried out.
+	// hangingStarts is how many further starts are neither carried out nor answered until
+	// their caller gives up.
 	hangingStarts int
-	// misdirected is how many starts are answered as by another incarnation.
+	// misdirected is how many further starts are answered as by another incarnation.
 	misdirected int
-	// slowRefusals is how many starts are refused, each after slowRefusalDelay.
+	// slowRefusals is how many further starts are refused, each after slowRefusalDelay.
 	slowRefusals int
-	// next is the worker's next life, which answers in its place: it carries orders out, and
-	// its lists show which life they are of.
+	// successor is the worker's next incarnation. It answers at the same address, carries
+	// out orders, and its reports identify it.
 	successor *fakeWorker
-	// looks are the looks that were answered.
+	// polls are the polls that were answered.
 	polls []PollOrder
 }
 
-// present is the life that orders reach.
+// current returns the incarnation that orders reach.
 func (w *fakeWorker) current() *fakeWorker {
 	for w.successor != nil {
 		w = w.successor
@@ -167,10 +169,10 @@
 	return w
 }
 
-// slowRefusalDelay is longer than an order may be without an answer before it is sent again.
+// slowRefusalDelay is longer than a start may go unanswered before it is sent again.
 const slowRefusalDelay = callTimeout / 2
 
-// fakeWorkers serves all workers.
+// fakeWorkers serves all workers, and stands in for the adviser.
 type fakeWorkers struct {
 	mu  sync.Mutex
 	all map[string]*fakeWorker
@@ -228,7 +230,7 @@
 	return true
 }
 
-// refusesSlowly waits and reports whether this start is refused then.
+// refusesSlowly reports, after slowRefusalDelay, whether a start is to be refused.
 func (f *fakeWorkers) refusesSlowly(ctx context.Context, worker string) bool {
 	f.mu.Lock()
 	w := f.all[worker]
@@ -291,7 +293,7 @@
 	return 1000, nil
 }
 
-// fakePollHold is how long a look is held at most in tests.
+// fakePollHold is how long a poll is held in tests.
 const fakePollHold = 5 * time.Millisecond
 
 func (f *fakeWorkers) Poll(ctx context.Context, to Target, order PollOrder) (Report, error) {
@@ -333,7 +335,7 @@
 	return reply, nil
 }
 
-// testWriter shows the lines of a test that fails.
+// testWriter writes log lines to the output of a test.
 type testWriter struct{ t *testing.T }
 
 func (w testWriter) Write(line []byte) (int, error) {
@@ -347,7 +349,7 @@
 func (noCounters) Set(string, int64)             {}
 func (noCounters) Observe(string, time.Duration) {}
 
-// world is one controller that leads, with its fakes.
+// testCluster is one leading controller with its fakes.
 type testCluster struct {
 	t       *testing.T
 	log     *fakeLog
@@ -355,7 +357,8 @@
 	c       *Controller
 }
 
-// newTestCluster starts a controller once prepare has filled the log.
+// newTestCluster starts a controller after prepare has filled the log, and waits until it
+// leads.
 func newTestCluster(t *testing.T, prepare func(w *testCluster)) *testCluster {
 	machine := NewStateMachine()
 	w := &testCluster{t: t, log: &fakeLog{state: machine}, workers: &fakeWorkers{all: map[string]*fakeWorker{}}}
@@ -378,11 +381,11 @@
 		must.NoError(t, w.c.Run(ctx))
 	}()
 	t.Cleanup(func() { cancel(); <-done })
-	w.eventually("a tenure begins", func() bool { _, err := w.c.currentLeaderTerm(context.Background()); return err == nil })
+	w.eventually("a leader term begins", func() bool { _, err := w.c.currentLeaderTerm(context.Background()); return err == nil })
 	return w
 }
 
-// clusterWithStartedTask is a leader that has started the one task of job a on worker w1.
+// clusterWithStartedTask is a leader that has started the only task of job a on worker w1.
 func clusterWithStartedTask(t *testing.T) *testCluster {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -411,7 +414,7 @@
 	must.NoError(w.t, err)
 }
 
-// submit hands in a job of one step.
+// submit submits a job of one step.
 func (w *testCluster) submit(id string, step workflow.Step) {
 	_, err := w.c.Submit(context.Background(), &SubmitCall{
 		Address: JobAddress{Host: "h", Path: "/q/" + id}, Payload: "payload", Steps: []workflow.Step{step},
@@ -430,7 +433,7 @@
 	w.t.Fatalf("never: %s", what)
 }
 
-// with looks at a worker under the lock.
+// withWorker calls f with a worker while the lock is held.
 func (w *testCluster) withWorker(id string, f func(*fakeWorker)) {
 	w.workers.mu.Lock()
 	defer w.workers.mu.Unlock()
@@ -451,10 +454,10 @@
 	return workflow.TaskKey{StepKey: workflow.StepKey{Job: job}, Index: index}
 }
 
-// oneTask is a step of one small task.
+// oneTask is a step with one small task.
 var oneTask = workflow.Step{Count: 1, Need: workflow.Resources{MilliCPU: 1000, MemoryMB: 10}, EstimateMS: 50}
 
-// submission is a job of one small task.
+// submission is a command that submits a job with one small task.
 func submission(id string) *workflow.Command {
 	return &workflow.Command{Submit: &workflow.Submission{ID: id, Queue: "q", Steps: []workflow.Step{oneTask},
 		Policy: workflow.Policy{Service: "s", MaxAttempts: 3, Stretch: 2, ObjectiveMS: 10_000}}}
--- a/internal/control/health.go
+++ b/internal/control/health.go
@@ -7,30 +7,31 @@
 )
 
 const (
-	// quarantineAfter is how many runs of different jobs must fail in a row before
-	// a worker is set aside; a job that always fails doesn't count twice.
+	// quarantineAfter is how many consecutive runs of different jobs must fail before the
+	// worker is quarantined. A job that always fails counts once.
 	quarantineAfter = 3
-	// quarantineFor is how long it is then given nothing.
+	// quarantineFor is how long a quarantined worker gets no task.
 	quarantineFor = 4 * time.Second
-	// stallTimeout is how long no run of a worker may advance by a percent before it
-	// counts as standing still. The longest tasks take 16 s, a percent 0.16 s.
+	// stallTimeout is how long no run of a worker may advance by a percent before the
+	// worker counts as stalled. The longest tasks take 16 s, so a percent takes 0.16 s.
 	stallTimeout = 700 * time.Millisecond
-	// stalledPollHold holds a look at such a worker: it shows whether a run advances.
+	// stalledPollHold is the hold of a poll at a stalled worker, whose report shows whether
+	// a run advances.
 	stalledPollHold = 300 * time.Millisecond
-	// stalledRunTimeout is how long a run may stand still before it is stopped and started
-	// elsewhere: longer than a worker's short pause, shorter than most tasks.
+	// stalledRunTimeout is how long a run may make no progress before it is stopped and
+	// started elsewhere: longer than a short pause of a worker, shorter than most tasks.
 	stalledRunTimeout = 3 * time.Second
-	// slowFactor is how much longer than others a worker's runs must take, against
-	// their estimates, for it to count as slow. Estimates are off by up to half.
+	// slowFactor is how much longer than on other workers the runs must take, relative to
+	// their estimates, for a worker to count as slow. Estimates are off by up to half.
 	slowFactor = 2.5
-	// slowSamples is how many runs are needed for that.
+	// slowSamples is the least number of runs for that comparison.
 	slowSamples = 3
-	// Weights of the latest run in the moving means of one worker and of all.
+	// Weights of the latest run in the moving means of one worker and of all workers.
 	workerPaceWeight  = 0.3
 	overallPaceWeight = 0.02
 )
 
-// recordHealth takes in what an end says of the worker. t.mu is held.
+// recordHealth records what the end of a run says about the worker's health. t.mu is held.
 func (s *workerSession) recordHealth(end workflow.RunEnd, now time.Time) {
 	switch end.Outcome {
 	case workflow.OutcomeDone:
@@ -41,7 +42,8 @@
 	}
 }
 
-// recordFailure sets a worker aside that fails whatever it is given.
+// recordFailure counts a failed run and quarantines a worker on which runs of different
+// jobs keep failing.
 func (s *workerSession) recordFailure(end workflow.RunEnd, now time.Time) {
 	if end.Task.Job == s.failedJob {
 		return
@@ -54,6 +56,7 @@
 	}
 }
 
+// recordPace adds a finished run to the moving means of run time divided by estimate.
 func (s *workerSession) recordPace(end workflow.RunEnd, now time.Time) {
 	o := s.orders[end.Task]
 	if o == nil || o.run.Number != end.Number || o.startedAt.IsZero() || o.estimate <= 0 || o.resumed {
@@ -68,7 +71,7 @@
 	}
 }
 
-// penalty is how far decisions set the worker back. t.mu is held.
+// penalty returns how far decisions rank the worker behind others. t.mu is held.
 func (s *workerSession) penalty() int {
 	if s.t.disabled.Health {
 		return 0
@@ -76,20 +79,21 @@
 	return s.failures
 }
 
-// slow reports whether the worker's runs take much longer than those of others.
+// isSlow reports whether the worker's runs take much longer than those of other workers.
+// t.mu is held.
 func (s *workerSession) isSlow() bool {
 	return s.pace.samples >= slowSamples && s.pace.mean > slowFactor*s.t.pace.mean
 }
 
-// still reports whether the worker answers but none of its runs advances: its
-// last report showed the same percentages as one that is stallTimeout older. The
-// time of the reports counts, not the present: between two looks nothing can be
-// seen to advance. t.mu is held.
+// isStalled reports whether the worker answers but none of its runs advances: its last
+// report shows the same percentages as one that is older by stallTimeout. The times of the
+// reports count, not the current time, because no progress can be seen between two reports.
+// t.mu is held.
 func (s *workerSession) isStalled() bool {
 	return s.busy && s.answeredAt.Sub(s.advancedAt) > stallTimeout
 }
 
-// recordAdvance takes in whether a report showed that something goes on. t.mu is held.
+// recordAdvance records whether a report showed progress. t.mu is held.
 func (s *workerSession) recordAdvance(report Report, advanced bool, now time.Time) {
 	s.busy = len(report.Running) > 0
 	if advanced || len(report.Ended) > 0 || !s.busy {
@@ -97,8 +101,8 @@
 	}
 }
 
-// recordProgress takes in how far a run is, and reports whether it has advanced.
-// t.mu is held.
+// recordProgress records the progress of a run, and reports whether it has advanced. t.mu
+// is held.
 func (o *runOrder) recordProgress(percent int, now time.Time) bool {
 	advanced := !o.listed || percent > o.percent
 	if advanced {
@@ -112,8 +116,9 @@
 	return advanced
 }
 
-// stuck reports whether a run stands still for so long that it is better begun
-// again elsewhere. A gang's run moves as a whole only and is left alone.
+// isStalledTooLong reports whether a run has made no progress for so long that it should be
+// restarted elsewhere. Runs of a gang are exempt, because a gang can only move as a whole.
+// t.mu is held.
 func (o *runOrder) isStalledTooLong(step *workflow.Step) bool {
 	return o.listed && !step.Gang && !step.LongRunning && o.share != 0 && o.progressAt.Sub(o.advancedAt) > stalledRunTimeout
 }
--- a/internal/control/health_test.go
+++ b/internal/control/health_test.go
@@ -9,9 +9,8 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// What a user sees: jobs vanish into one worker that looks healthy.
-// Order: a worker's tasks stand still; it answers every look; it is given more.
-// Cause: only silence and failures counted against a worker.
+// Failure: a stalled worker answers every poll and gets more and more tasks, none of which
+// advances.
 func TestStalledWorkerGetsNoNewTask(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	time.Sleep(stallTimeout + 200*time.Millisecond)
@@ -21,19 +20,21 @@
 	w.withWorker("w1", func(f *fakeWorker) {
 		f.running[task("a", 0)] = Running{Task: task("a", 0), Number: 1, Percent: 50}
 	})
-	w.eventually("the worker is used again when it goes on", func() bool { return w.started("w1") == 2 })
+	w.eventually("the worker is used again once its run advances", func() bool { return w.started("w1") == 2 })
 }
 
-// What a user sees: a task hangs for as long as its worker does.
-// Order: a task stands still for seconds; another worker has room.
+// Failure: a task makes no progress for seconds and isn't restarted although another worker
+// has capacity.
 func TestStalledTaskIsRestartedElsewhere(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	w.workers.add("w2")
 	w.announce("w2")
-	w.eventually("it runs elsewhere", func() bool { return w.started("w2") == 1 })
+	w.eventually("the task runs elsewhere", func() bool { return w.started("w2") == 1 })
 	w.withWorker("w1", func(f *fakeWorker) { must.MapEmpty(t, f.running) })
 }
 
+// Failure: a slow worker isn't detected, a healthy one counts as slow, or a worker that is
+// fast again still counts as slow.
 func TestSlowWorkerIsDetectedByComparison(t *testing.T) {
 	now := time.Now()
 	term := &leaderTerm{logger: nopLogger{}}
@@ -48,7 +49,7 @@
 	}
 	run(slow, 8*time.Second)
 	run(slow, 8*time.Second)
-	must.False(t, slow.isSlow(), must.Sprint("two runs may be chance"))
+	must.False(t, slow.isSlow(), must.Sprint("two slow runs may be chance"))
 	run(slow, 8*time.Second)
 	must.True(t, slow.isSlow())
 	must.False(t, healthy.isSlow())
--- a/internal/control/heartbeat_buffer.go
+++ b/internal/control/heartbeat_buffer.go
@@ -8,40 +8,44 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// collectTimeout is how long after the leader last asked this instance for the heartbeats
-// that it took it is expected to ask again.
+// collectTimeout is how long after its last collection the leader is expected to collect
+// this instance's heartbeats again.
 const collectTimeout = time.Second
 
-// BufferedHeartbeat is a heartbeat that another instance took.
+// BufferedHeartbeat is a heartbeat that another instance received. Age is the time since
+// then.
 type BufferedHeartbeat struct {
 	Worker string        `cbor:"1,keyasint"`
 	Age    time.Duration `cbor:"2,keyasint"`
 }
 
-// heartbeatBuffer holds heartbeats that say nothing new until the leader asks for them.
+// heartbeatBuffer holds heartbeats without news until the leader collects them.
 //
-// Load that it answers: a thousand workers send hundreds of heartbeats a second, each
-// of which would be a call to the leader.
+// A thousand workers send hundreds of heartbeats a second. Without the buffer, each would
+// be a call to the leader.
 type heartbeatBuffer struct {
 	mu sync.Mutex
-	// waiting is when workers were heard of which the leader hasn't been told.
+	// pending is when a heartbeat of each worker arrived that the leader doesn't know of
+	// yet.
 	pending     map[string]time.Time
 	forwarded   forwardTimes
 	collectedAt time.Time
 }
 
-// forwardTimes is when the leader was last told of heartbeats of each worker.
+// forwardTimes is when the leader last learned of a heartbeat of each worker.
 type forwardTimes struct {
 	at map[string]time.Time
-	// prunedAt is when workers that are long gone were dropped.
+	// prunedAt is when entries of workers that are long gone were last removed.
 	prunedAt time.Time
 }
 
-// lately reports whether the leader needn't be told of a worker again yet.
+// isRecent reports whether the leader learned of a heartbeat of the worker so recently that
+// it needs no other yet.
 func (t *forwardTimes) isRecent(worker string, now time.Time) bool {
 	return now.Sub(t.at[worker]) < forwardInterval
 }
 
+// note records that the leader learns of a heartbeat now, and removes outdated entries.
 func (t *forwardTimes) note(worker string, now time.Time) {
 	if t.at == nil {
 		t.at = map[string]time.Time{}
@@ -53,7 +57,8 @@
 	}
 }
 
-// note takes a heartbeat in, and reports whether the leader will be told by asking.
+// buffer stores a heartbeat for the next collection. It reports false if the leader doesn't
+// collect here, so that the heartbeat has to be forwarded.
 func (l *heartbeatBuffer) buffer(worker string, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,7 +74,7 @@
 	return true
 }
 
-// take returns the heartbeats that the leader hasn't been told of.
+// collect returns and removes the heartbeats that the leader doesn't know of yet.
 func (l *heartbeatBuffer) collect(now time.Time) []BufferedHeartbeat {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,12 +88,14 @@
 	return collected
 }
 
-// CollectHeartbeats returns the heartbeats that this instance took for the leader, which asks.
+// CollectHeartbeats returns the heartbeats that this instance has buffered for the leader
+// since the last call.
 func (c *Controller) CollectHeartbeats() []BufferedHeartbeat {
 	return c.heartbeatBuffer.collect(time.Now())
 }
 
-// ApplyCollectedHeartbeats takes in heartbeats that another instance took.
+// ApplyCollectedHeartbeats records heartbeats that another instance received. It does
+// nothing on a member that doesn't lead.
 func (c *Controller) ApplyCollectedHeartbeats(collected []BufferedHeartbeat) {
 	c.mu.Lock()
 	t := c.leaderTerm
@@ -102,8 +109,8 @@
 	}
 }
 
-// applyCollectedHeartbeat notes when a worker was heard. One that was given up is looked after
-// again.
+// applyCollectedHeartbeat records when a worker sent a heartbeat. A known worker that is no
+// longer monitored is monitored again.
 func (t *leaderTerm) applyCollectedHeartbeat(worker string, at time.Time) {
 	t.mu.Lock()
 	s := t.sessions[worker]
--- a/internal/control/heartbeat_buffer_test.go
+++ b/internal/control/heartbeat_buffer_test.go
@@ -7,21 +7,24 @@
 	"github.com/shoenig/test/must"
 )
 
+// Failure: a heartbeat of each worker goes to the leader every time, or none does after the
+// leader has stopped collecting.
 func TestHeartbeatBufferLimitsForwardRate(t *testing.T) {
 	var l heartbeatBuffer
 	now := time.Now()
-	must.False(t, l.buffer("w", now), must.Sprint("nobody asks: the heartbeat has to go on"))
+	must.False(t, l.buffer("w", now), must.Sprint("the leader doesn't collect: the heartbeat has to be forwarded"))
 	must.SliceEmpty(t, l.collect(now))
 	must.True(t, l.buffer("w", now))
 	must.True(t, l.buffer("w", now.Add(100*time.Millisecond)))
 	must.Eq(t, []BufferedHeartbeat{{Worker: "w", Age: 400 * time.Millisecond}}, l.collect(now.Add(500*time.Millisecond)))
 	must.True(t, l.buffer("w", now.Add(time.Second)))
 	must.SliceEmpty(t, l.collect(now.Add(time.Second)))
-	must.False(t, l.buffer("w", now.Add(time.Second+2*collectTimeout)), must.Sprint("the leader has stopped asking"))
+	must.False(t, l.buffer("w", now.Add(time.Second+2*collectTimeout)), must.Sprint("the leader has stopped collecting"))
 }
 
-// The leader has given up a worker that it didn't reach, and another instance goes on
-// taking its heartbeats: told of one, the leader looks after the worker again.
+// Failure: the leader stops monitoring a worker that it couldn't reach, while another
+// instance still receives the worker's heartbeats. The worker stays unused if a collected
+// heartbeat doesn't make the leader monitor it again.
 func TestCollectedHeartbeatResumesMonitoring(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	w.c.mu.Lock()
--- a/internal/control/heartbeat_transport.go
+++ b/internal/control/heartbeat_transport.go
@@ -12,81 +12,87 @@
 )
 
 const (
-	// heartbeatHold is how long the answer to a heartbeat waits for an order, so that one
-	// that comes up goes out at once.
+	// heartbeatHold is how long the answer to a heartbeat waits for an order, so that a new
+	// order is sent at once.
 	heartbeatHold = 100 * time.Millisecond
-	// heartbeatInterval is when a worker is asked for its next heartbeat: with the hold, an
-	// end is seen after 75 ms on average.
+	// heartbeatInterval is the time from an answer to the worker's next heartbeat. Together
+	// with the hold, an end is seen after 75 ms on average.
 	heartbeatInterval = 50 * time.Millisecond
 	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
 	heartbeatTimeout = time.Second
 	// promptHeartbeatMax is the longest time from an answer to the next heartbeat of a
-	// worker that has taken it: one that hasn't waits for the whole timeout.
+	// worker that received the answer. A worker that didn't receive it waits for the full
+	// timeout.
 	promptHeartbeatMax = heartbeatTimeout - heartbeatHold
-	// confirmations is how many prompt heartbeats in a row show that what the
-	// answers before them carried has arrived. One may come from a connection that
-	// broke before the answer was through.
+	// requiredConfirmations is how many consecutive prompt heartbeats prove that the orders
+	// in the answers before them arrived. A single one may come from a connection that
+	// broke before the answer was delivered.
 	requiredConfirmations = 2
 )
 
-// HeartbeatOrders is what the answer to a heartbeat carries for a worker that isn't
-// called.
+// HeartbeatOrders are the orders in the answer to a heartbeat, for workers that the leader
+// doesn't call.
 type HeartbeatOrders struct {
-	// Lease is how long what runs there may go on from the arrival of the answer.
+	// Lease is how long runs on the worker may continue, counted from the arrival of the
+	// answer.
 	Lease time.Duration `cbor:"1,keyasint,omitempty"`
-	// Seen is the last end that needn't be listed any more.
+	// Seen is the position of the last end that the worker needn't list any more.
 	Seen   uint64         `cbor:"2,keyasint,omitempty"`
 	Fence  uint64         `cbor:"3,keyasint"`
 	Starts []StartOrder   `cbor:"4,keyasint,omitempty"`
 	Stops  []workflow.Run `cbor:"5,keyasint,omitempty"`
-	// Again is when the next heartbeat is due.
+	// NextIn is the time until the next heartbeat is due.
 	NextIn time.Duration `cbor:"6,keyasint"`
 }
 
-// errUnconfirmed says that no heartbeat has shown an order's effect in time.
-var errUnconfirmed = errors.New("no heartbeat shows that the order arrived")
+// errUnconfirmed says that no heartbeat confirmed an order before the call ended. The
+// worker may still carry it out.
+var errUnconfirmed = errors.New("no heartbeat confirmed that the order arrived")
 
-// beats gives orders in the answers to heartbeats. It is the other way to speak
-// to workers, for deployments whose workers call and aren't called.
+// heartbeatTransport implements Workers for deployments whose workers call the leader and
+// aren't called: it delivers orders in the answers to heartbeats.
 type heartbeatTransport struct {
-	// throttler is used for the one order that isn't carried by heartbeats.
+	// direct sends the one order that heartbeats don't carry.
 	direct Workers
 
 	mu        sync.Mutex
 	mailboxes map[string]*mailbox
 }
 
+// newHeartbeatTransport returns a transport that sends only throttle orders through direct.
 func newHeartbeatTransport(throttler Workers) *heartbeatTransport {
 	return &heartbeatTransport{direct: throttler, mailboxes: map[string]*mailbox{}}
 }
 
-// mailbox holds what one worker is to be told, and what it said last.
+// mailbox holds the undelivered orders for one worker and the worker's last report.
 type mailbox struct {
 	poll PollOrder
-	// starts and stops are repeated until a heartbeat shows that they arrived.
+	// starts and stops are sent repeatedly until a heartbeat shows that they arrived.
 	starts map[workflow.TaskKey]*heartbeatOrder
 	stops  map[workflow.Run]*heartbeatOrder
-	// answeredAt is when the last answer was sent, confirmed counts the prompt
-	// heartbeats since an answer first carried the fence.
+	// answeredAt is when the last answer was sent. confirmed counts the prompt heartbeats
+	// since an answer first carried the fence.
 	answeredAt time.Time
 	fence      uint64
 	confirmed  int
-	// ordered is closed when an order comes up, heard at a heartbeat.
+	// orderAdded is closed when an order is added, heartbeatReceived when a heartbeat
+	// arrives.
 	orderAdded, heartbeatReceived chan struct{}
 	report                        Report
 }
 
-// heartbeatOrder is an order on its way.
+// heartbeatOrder is an order that isn't confirmed yet.
 type heartbeatOrder struct {
 	start StartOrder
-	// carried says that an answer had it, confirmed counts the prompt heartbeats
+	// sent says that an answer carried the order. confirmed counts the prompt heartbeats
 	// since then.
 	sent      bool
 	confirmed int
-	// arrived is closed when it has.
+	// delivered is closed when the order is known to have arrived.
 	delivered chan struct{}
 }
 
+// mailboxOf returns the mailbox of a worker, which it creates if needed. b.mu is held.
 func (b *heartbeatTransport) mailboxOf(worker string) *mailbox {
 	box := b.mailboxes[worker]
 	if box == nil {
@@ -99,7 +105,7 @@
 	return box
 }
 
-// forget drops what is held for workers other than those that are there.
+// forget removes the mailboxes of workers for which exists returns false.
 func (b *heartbeatTransport) forget(exists func(worker string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -110,7 +116,8 @@
 	}
 }
 
-// take takes a heartbeat's lists in and returns what its answer carries.
+// exchange records the report of a heartbeat and returns the orders for its answer. It
+// waits up to heartbeatHold for an order if there is none.
 func (b *heartbeatTransport) exchange(ctx context.Context, worker string, fence uint64, report Report) HeartbeatOrders {
 	b.mu.Lock()
 	box := b.mailboxOf(worker)
@@ -131,9 +138,9 @@
 	return box.makeAnswer(fence, report, time.Now())
 }
 
-// hear takes in a heartbeat. Lists that don't show a run say nothing of a start
-// on its way; that a stop or the fence has arrived is shown by the heartbeats
-// that follow the answer promptly.
+// recordHeartbeat records a heartbeat. A report without a run says nothing about a start
+// that was sent before; prompt heartbeats after an answer prove that a stop or the fence in
+// it arrived.
 func (box *mailbox) recordHeartbeat(report Report, now time.Time) {
 	prompt := !box.answeredAt.IsZero() && now.Sub(box.answeredAt) < promptHeartbeatMax
 	if prompt && box.fence > 0 {
@@ -163,6 +170,8 @@
 	box.heartbeatReceived = make(chan struct{})
 }
 
+// recordStartDelivered confirms the start of a task if a report shows its run or a later
+// one.
 func (box *mailbox) recordStartDelivered(task workflow.TaskKey, number int) {
 	start := box.starts[task]
 	if start != nil && number >= start.start.Run.Number {
@@ -171,9 +180,9 @@
 	}
 }
 
-// answer makes up an answer. The lease that a look wants ends at a time on the
-// worker's clock; the worker counts from the arrival, at latest when it would
-// have given the answer up.
+// makeAnswer builds an answer. The leader sets the end of a lease on the worker's clock,
+// but the worker counts from the arrival of the answer. The arrival may be as late as the
+// worker's timeout, which is subtracted.
 func (box *mailbox) makeAnswer(fence uint64, report Report, now time.Time) HeartbeatOrders {
 	if box.fence != fence {
 		box.fence, box.confirmed = fence, 0
@@ -195,8 +204,8 @@
 	return orders
 }
 
-// Look returns the lists of the next heartbeat that comes once the worker has
-// taken this leader's fence: it refuses older orders from then on.
+// Poll waits for the first heartbeat after the worker has accepted this leader's fence, and
+// returns its report. The worker refuses orders of earlier leaders from then on.
 func (b *heartbeatTransport) Poll(ctx context.Context, to Target, order PollOrder) (Report, error) {
 	for {
 		b.mu.Lock()
@@ -218,25 +227,26 @@
 	}
 }
 
-// clockUnknown stands for the worker's clock in answers that heartbeats confirm: what
-// those show of it comes with the lists.
+// clockUnknown is the clock in answers that heartbeats confirm. The worker's clock comes
+// with its reports.
 const clockUnknown = 0
 
-// Start returns once a heartbeat lists the run.
+// Start returns nil once a heartbeat lists the run, and errUnconfirmed if ctx ends first.
 func (b *heartbeatTransport) Start(ctx context.Context, to Target, order StartOrder) (int64, error) {
 	return clockUnknown, deliver(ctx, b, to, order.Run.Task, &heartbeatOrder{start: order},
 		func(box *mailbox) map[workflow.TaskKey]*heartbeatOrder { return box.starts })
 }
 
-// Stop returns once heartbeats show that the order has arrived.
+// Stop returns nil once heartbeats prove that the order arrived, and errUnconfirmed if ctx
+// ends first.
 func (b *heartbeatTransport) Stop(ctx context.Context, to Target, order StopOrder) (int64, error) {
 	return clockUnknown, deliver(ctx, b, to, order.Run, &heartbeatOrder{},
 		func(box *mailbox) map[workflow.Run]*heartbeatOrder { return box.stops })
 }
 
-// deliver repeats an order under a key of one of a worker's lists until a
-// heartbeat shows that it arrived. One that nobody waits for any more is dropped,
-// unless a newer one has taken its place.
+// deliver adds an order to one of the worker's lists, under key, and sends it repeatedly
+// until a heartbeat proves that it arrived. When ctx ends first, it removes the order,
+// unless a newer one has replaced it, and returns errUnconfirmed.
 func deliver[Key comparable](ctx context.Context, b *heartbeatTransport, to Target, key Key, order *heartbeatOrder,
 	list func(*mailbox) map[Key]*heartbeatOrder) error {
 	order.delivered = make(chan struct{})
@@ -256,12 +266,12 @@
 	return errUnconfirmed
 }
 
-// Throttle calls the worker: heartbeats don't carry this order.
+// Throttle calls the worker directly, because heartbeats don't carry this order.
 func (b *heartbeatTransport) Throttle(ctx context.Context, to Target, order ThrottleOrder) (int64, error) {
 	return b.direct.Throttle(ctx, to, order)
 }
 
-// wake lets a heartbeat that is held be answered.
+// wake makes a held heartbeat be answered.
 func (box *mailbox) wake() {
 	close(box.orderAdded)
 	box.orderAdded = make(chan struct{})
--- a/internal/control/heartbeat_transport_test.go
+++ b/internal/control/heartbeat_transport_test.go
@@ -11,15 +11,16 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// heartbeatWorker is a worker that gets its orders with the answers to its heartbeats.
+// heartbeatWorker is a worker that receives its orders in the answers to its heartbeats.
 type heartbeatWorker struct {
 	*fakeWorker
-	// lose drops that many answers before they are carried out, late keeps them.
+	// loseAnswers is how many answers are dropped before they are carried out; lostAnswers
+	// keeps them.
 	loseAnswers int
 	lostAnswers []HeartbeatOrders
 }
 
-// beat sends one heartbeat with the worker's lists and carries the answer out.
+// sendHeartbeat sends one heartbeat with the worker's report and carries out the answer.
 func (w *testCluster) sendHeartbeat(b *heartbeatWorker) {
 	report := Report{ClockMS: time.Now().UnixMilli()}
 	w.workers.mu.Lock()
@@ -55,7 +56,7 @@
 		}
 	}
 	for _, start := range orders.Starts {
-		// A refusal is seen by the run's absence from the lists.
+		// The missing run in the next report shows a refusal.
 		_ = b.begin(start)
 	}
 	if orders.Lease > 0 {
@@ -63,7 +64,8 @@
 	}
 }
 
-// heartbeatCluster is a leader whose workers aren't called, with one of them beating.
+// heartbeatCluster is a leader that doesn't call its workers, with workers that send
+// heartbeats.
 func heartbeatCluster(t *testing.T, ids ...string) (*testCluster, map[string]*heartbeatWorker) {
 	w := newTestCluster(t, func(w *testCluster) {
 		w.c.heartbeats = newHeartbeatTransport(w.c.cfg.Workers)
@@ -87,20 +89,21 @@
 	return w, all
 }
 
-// What a user sees: nothing; the job runs though nobody calls the worker.
+// Failure: a job doesn't run, or a cancelled one isn't stopped, because the orders don't
+// reach a worker that the leader can't call.
 func TestHeartbeatAnswersCarryOrders(t *testing.T) {
 	w, _ := heartbeatCluster(t, "w1")
 	w.submit("a", oneTask)
 	w.eventually("the task starts", func() bool { return w.started("w1") == 1 })
-	// The answer that carries the start may come before the first look that prolongs the
-	// lease; the start carries its own until then.
-	w.eventually("a lease is given", func() (given bool) {
+	// The answer with the start may arrive before the first poll that extends the lease.
+	// The start carries its own lease until then.
+	w.eventually("a lease is granted", func() (given bool) {
 		w.withWorker("w1", func(f *fakeWorker) { given = len(f.leases) > 0 })
 		return given
 	})
 	w.withWorker("w1", func(f *fakeWorker) {
 		must.SliceNotEmpty(t, f.leases)
-		must.Less(t, int64(2000), f.leases[0], must.Sprint("the lease counts from the arrival, which may be a second away"))
+		must.Less(t, int64(2000), f.leases[0], must.Sprint("the lease counts from the arrival of the answer, which may be a second later"))
 		f.finish(task("a", 0), workflow.OutcomeDone)
 	})
 	w.eventually("the job is done", func() bool { return w.phase("a") == workflow.PhaseDone })
@@ -115,11 +118,9 @@
 	})
 }
 
-// What a user sees: a task runs twice.
-// Order: the answer with a start is lost; the run is stopped, and the answer with
-// the stop is lost as well; the next heartbeat comes; the task starts elsewhere;
-// the first answer is carried out late.
-// Cause: the next heartbeat was taken for proof that the stop had arrived.
+// Failure: a task runs twice. The answer with a start is lost, and so is the answer with
+// the stop of its run. If the next heartbeat counts as proof that the stop arrived, the
+// task starts elsewhere, and the worker carries out the first answer late.
 func TestStopIsDeliveredAfterTwoPromptHeartbeats(t *testing.T) {
 	b := newHeartbeatTransport(nil)
 	run := workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}
@@ -137,17 +138,16 @@
 	b.exchange(ctx, "w1", 7, Report{})
 	select {
 	case <-stopped:
-		t.Fatal("one heartbeat after the answer may come from a broken connection")
+		t.Fatal("a single heartbeat proved that the stop arrived; it may come from a broken connection")
 	case <-time.After(20 * time.Millisecond):
 	}
 	b.exchange(ctx, "w1", 7, Report{})
 	must.NoError(t, <-stopped)
 }
 
-// What a user sees: a task runs twice after a change of leader.
-// Order: a new leader gets a heartbeat whose lists were made before the worker
-// had its fence; an old leader's start is carried out after it.
-// Cause: a look was answered with lists that prove nothing.
+// Failure: a task runs twice after a change of leader. A new leader receives a heartbeat
+// whose report was made before the worker had the new fence. If it answers a poll with that
+// report, the worker may still carry out a start of the old leader after it.
 func TestPollNeedsTwoHeartbeatsUnderItsFence(t *testing.T) {
 	b := newHeartbeatTransport(nil)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -165,7 +165,7 @@
 	b.exchange(ctx, "w1", 7, Report{ClockMS: 2})
 	select {
 	case <-got:
-		t.Fatal("the lists may be older than the fence")
+		t.Fatal("a poll returned a report that may be older than the fence")
 	case <-time.After(20 * time.Millisecond):
 	}
 	b.exchange(ctx, "w1", 7, Report{ClockMS: 3})
--- a/internal/control/incarnations.go
+++ b/internal/control/incarnations.go
@@ -12,19 +12,23 @@
 )
 
 const (
-	// clockJumpTolerance is by how much an answer's clock may be off what the clock before it leads
-	// one to expect, beside the drift: a call's way and the scheduling of both processes.
+	// clockJumpTolerance is how far an answer's clock may differ from the expected value,
+	// beyond the drift: the one-way delay of a call and the scheduling delay of both
+	// processes.
 	clockJumpTolerance = 2 * time.Second
-	// leavingRevokedAfter is how long after a worker was said to end its heartbeats show that another
-	// life of it was meant.
+	// leavingRevokedAfter is how long after an announced shutdown a heartbeat shows that
+	// the announcement came from another incarnation.
 	leavingRevokedAfter = 3 * time.Second
-	// supersededPollHold holds a look at a worker while runs of its earlier lives aren't settled.
+	// supersededPollHold is the longest hold of a poll while runs of the worker's earlier
+	// incarnations aren't settled.
 	supersededPollHold = 50 * time.Millisecond
-	// successorCheckInterval is the time between two looks at what the next life has listed.
+	// successorCheckInterval is the pause between two checks whether the successor has
+	// reported.
 	successorCheckInterval = 20 * time.Millisecond
 )
 
-// latestIncarnation returns the incarnation that a call means which may name a worker only.
+// latestIncarnation returns the incarnation that a call refers to: the given one if it is
+// known, else the latest one of the worker name.
 func (t *leaderTerm) latestIncarnation(incarnation, name string) string {
 	t.c.state.read(func(s *workflow.State) {
 		nameOnly := incarnation == name || s.Workers[incarnation] == nil
@@ -35,8 +39,8 @@
 	return incarnation
 }
 
-// linkToSuccessor lets the session with a worker's latest life, if there is one, take over from
-// one with a life before. t.mu is held, or t isn't shared yet.
+// linkToSuccessor marks s as superseded if a later incarnation of its worker is known, and
+// hands its runs to the session of the latest one. t.mu is held, or t isn't shared yet.
 func (t *leaderTerm) linkToSuccessor(s *workerSession, state *workflow.State) {
 	if !state.Superseded(&s.worker) {
 		return
@@ -47,8 +51,8 @@
 	}
 }
 
-// takeOverPredecessors lets a session with a worker's latest life take over from those with the lives
-// before. t.mu is held.
+// takeOverPredecessors makes the session of a worker's latest incarnation take over from
+// the sessions of all earlier ones. t.mu is held.
 func (t *leaderTerm) takeOverPredecessors(latest *workerSession) {
 	for _, s := range t.sessions {
 		if latest.worker.Supersedes(&s.worker) {
@@ -57,13 +61,14 @@
 	}
 }
 
-// takeOver ends a session with a life of the worker before this one, and has its runs settled
-// with what this life lists. t.mu is held, or the tenure isn't shared yet.
+// takeOver ends the session of an earlier incarnation of the worker; the reports of this
+// incarnation settle its runs. t.mu is held, or the leader term isn't shared yet.
 func (s *workerSession) takeOver(earlier *workerSession) {
 	earlier.superseded = true
 	s.predecessors = append(s.predecessors, earlier)
-	// Orders to the life before may be carried out by this one, with leases that its clock
-	// doesn't know: they are cut to the longest that it grants.
+	// This incarnation may carry out orders meant for the earlier one. Their lease ends
+	// refer to the earlier clock, so the worker shortens them to the longest lease that it
+	// accepts.
 	if end := time.Now().Add(leaseUpperBound(s.t.c.cfg.Bounds.MaxLease)); end.After(s.leaseEnd) {
 		s.leaseEnd = end
 	}
@@ -76,25 +81,25 @@
 	return s.superseded
 }
 
-// revokeLeaving takes in that a worker that was said to end goes on announcing itself: an
-// earlier life of it was meant. t.mu is held.
+// revokeLeaving clears leaving if a worker keeps sending heartbeats after an announced
+// shutdown: the announcement came from an earlier incarnation. t.mu is held.
 func (s *workerSession) revokeLeaving(w *workflow.Worker) {
 	if s.worker.StartedAtMS > 0 && s.leaving && !w.Draining && time.Since(s.leavingSince) > leavingRevokedAfter && !s.t.machines.isCordoned(w.ID) {
 		s.leaving = false
 	}
 }
 
-// mayBeOtherIncarnation reports whether what answers next may be another life of the worker.
-// t.mu is held.
+// mayBeOtherIncarnation reports whether another incarnation of the worker may answer the
+// next call. t.mu is held.
 //
-// Failure guarded against: a look tells a life that has only begun that its first ends are
-// taken note of, since as many of the life before were; no list shows them then.
+// A poll acknowledges the listed ends by their highest position. A new incarnation that
+// received the position of its predecessor would never list its own first ends.
 func (s *workerSession) mayBeOtherIncarnation() bool {
 	return s.worker.StartedAtMS > 0 && (s.incarnationUnconfirmed || s.superseded)
 }
 
-// clockJumped reports whether a clock shows another life than the answers before it. t.mu is
-// held.
+// clockJumped reports whether a clock reading can't come from the incarnation that gave the
+// earlier readings. t.mu is held.
 func (s *workerSession) clockJumped(clockMS int64, now time.Time) bool {
 	if s.worker.StartedAtMS == 0 || clockMS <= 0 || s.clockAt.IsZero() {
 		return false
@@ -104,18 +109,18 @@
 	return deviation.Abs() > clockJumpTolerance+time.Duration(float64(elapsed)*(driftFactor-1))
 }
 
-// settleWithSuccessor settles the runs that a later life of the worker may have been told to
-// begin: each is stopped there, and whatever it has listed by then holds.
+// settleWithSuccessor settles the runs that a later incarnation of the worker may have
+// started. It stops each run there, and accepts what the successor has reported by then.
 //
-// Failure guarded against: a start that got no answer before the worker crashed is carried
-// out seconds later by its next life, which has its id and has seen no fence, beside the run
-// that its task has elsewhere by then.
+// A start that got no answer before the worker crashed may reach the next incarnation
+// seconds later. That one has the same address and has seen no fence yet, and would run the
+// task a second time beside the run that was started elsewhere meanwhile.
 func (s *workerSession) settleWithSuccessor(cause string, outcome workflow.Outcome) {
 	if s.worker.StartedAtMS == 0 {
 		return
 	}
 	s.t.mu.Lock()
-	// It accounts for its runs until they are settled.
+	// A session that isn't ready accounts for its runs until they are settled.
 	s.ready = false
 	leaving := s.leaving
 	s.t.mu.Unlock()
@@ -139,14 +144,14 @@
 		"ms", time.Since(started).Milliseconds())
 }
 
-// startConfirmed reports whether a run was begun by this life for sure, and no call of its start
-// is open. t.mu is held.
+// startConfirmed reports whether this incarnation has certainly started the run and no call
+// of its start is unanswered. t.mu is held.
 func (s *workerSession) startConfirmed(run workflow.Run) bool {
 	o := s.orders[run.Task]
 	return o != nil && o.run.Number == run.Number && o.openCalls == 0 && !o.startedAt.IsZero() && s.fullReportSentAt.After(o.startedAt)
 }
 
-// liveRuns returns the runs of the session's worker that may be alive.
+// liveRuns returns the runs of the worker that may be alive.
 func (s *workerSession) liveRuns() (runs []workflow.Run) {
 	s.t.c.state.read(func(state *workflow.State) {
 		for _, run := range state.Runs[s.worker.ID] {
@@ -156,8 +161,8 @@
 	return runs
 }
 
-// stopAtSuccessor stops a run at the worker's address until the stop is answered: from then
-// on no life there begins it.
+// stopAtSuccessor sends stops for a run to the worker's address until one is answered or
+// the deadline has passed. After that no incarnation there starts the run.
 func (s *workerSession) stopAtSuccessor(run workflow.Run, deadline time.Time) {
 	for s.t.ctx.Err() == nil && time.Now().Before(deadline) {
 		_, err := s.callStop(run)
@@ -168,8 +173,8 @@
 	}
 }
 
-// awaitSuccessorReport waits until the worker's next life has shown what it runs and what has
-// ended there, by lists that were asked for from now on.
+// awaitSuccessorReport waits for a complete report of the successor to a poll that is sent
+// from now on. It returns false if the deadline passes first.
 func (s *workerSession) awaitSuccessorReport(deadline time.Time) bool {
 	since := time.Now()
 	s.interruptSuccessorPoll()
@@ -184,7 +189,7 @@
 	return false
 }
 
-// interruptSuccessorPoll lets the next look at the worker's next life begin at once.
+// interruptSuccessorPoll makes the successor be polled at once.
 func (s *workerSession) interruptSuccessorPoll() {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
@@ -193,7 +198,7 @@
 	}
 }
 
-// successor is the session that has taken this one's place, nil for none. t.mu is held.
+// successor returns the session that took over from this one, or nil. t.mu is held.
 func (s *workerSession) successor() *workerSession {
 	for _, next := range s.t.sessions {
 		if slices.Contains(next.predecessors, s) {
@@ -203,6 +208,8 @@
 	return nil
 }
 
+// successorReportedSince reports whether the successor has answered a poll that was sent
+// after since with a complete report.
 func (s *workerSession) successorReportedSince(since time.Time) bool {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
@@ -210,8 +217,8 @@
 	return next != nil && next.fullReportSentAt.After(since)
 }
 
-// endPredecessorRuns takes in ends that the worker lists of runs that were given to its
-// life before.
+// endPredecessorRuns commits the ends that this incarnation lists of runs that were
+// assigned to earlier ones.
 func (s *workerSession) endPredecessorRuns(listed []workflow.RunEnd) {
 	for _, earlier := range s.unsettledPredecessors() {
 		var ends []workflow.RunEnd
@@ -228,8 +235,8 @@
 	}
 }
 
-// unsettledPredecessors returns the sessions with earlier lives of the worker, and forgets those
-// that are over.
+// unsettledPredecessors returns the sessions of earlier incarnations that aren't over, and
+// drops the others.
 func (s *workerSession) unsettledPredecessors() []*workerSession {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
--- a/internal/control/incarnations_test.go
+++ b/internal/control/incarnations_test.go
@@ -10,27 +10,28 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// life is a life of worker n, which each of its lives is called by.
+// incarnation returns the heartbeat of an incarnation of worker n. All incarnations share
+// the name and address.
 func incarnation(id string, born int64) *Announcement {
 	w := worker(id)
 	w.Name, w.Address, w.StartedAtMS = "n", "n", born
 	return &Announcement{Worker: w}
 }
 
-// announceIncarnation sends a heartbeat of a life of worker n.
+// announceIncarnation sends a heartbeat of an incarnation of worker n.
 func (w *testCluster) announceIncarnation(id string, born int64) {
 	_, err := w.c.Announce(context.Background(), incarnation(id, born))
 	must.NoError(w.t, err)
 }
 
-// restart lets the next life of a worker begin at its address.
+// restart starts the next incarnation of a worker at its address.
 func (w *testCluster) restart(before, after string) {
 	next := w.workers.add(after)
 	w.withWorker(before, func(f *fakeWorker) { f.successor = next })
 }
 
-// clusterWithIncarnation is a leader that has started the one task of job a on the first life of
-// worker n.
+// clusterWithIncarnation is a leader that has started the only task of job a on the first
+// incarnation of worker n.
 func clusterWithIncarnation(t *testing.T) *testCluster {
 	w := newTestCluster(t, nil)
 	w.workers.add("n1")
@@ -40,8 +41,8 @@
 	return w
 }
 
-// clusterWithUnansweredStart is a leader that has sent the start of job a's task to the first life of
-// worker n, which answered nothing and has ended.
+// clusterWithUnansweredStart is a leader that has sent the start of job a's task to the
+// first incarnation of worker n, which has ended without an answer.
 func clusterWithUnansweredStart(t *testing.T) *testCluster {
 	w := newTestCluster(t, nil)
 	w.workers.add("n1").delayStarts = true
@@ -56,8 +57,8 @@
 	return w
 }
 
-// deliverDelayedStart lets the next life carry out what the first one was told, and returns how
-// that ends.
+// deliverDelayedStart makes the next incarnation carry out the start that was sent to the
+// first one, and returns the result.
 func (w *testCluster) deliverDelayedStart() (err error) {
 	w.withWorker("n1", func(f *fakeWorker) {
 		delayed := f.delayedStarts[0]
@@ -66,8 +67,8 @@
 	return err
 }
 
-// Guards against a task that runs twice (TWICE): a start that got no answer is carried out by
-// the worker's next life, beside the run that the task has by then.
+// Failure: a task runs twice (TWICE). The worker's next incarnation carries out a start
+// that got no answer, while another run of the task is in progress.
 func TestUnansweredStartIsSettledWithSuccessor(t *testing.T) {
 	w := clusterWithUnansweredStart(t)
 	w.workers.add("w2")
@@ -77,8 +78,8 @@
 	must.Error(t, w.deliverDelayedStart(), must.Sprint("carried out late, beside the second run"))
 }
 
-// Guards against a task that runs twice (TWICE): a start that got no answer was carried out
-// by the worker's next life, which has ended it.
+// Failure: a task runs twice (TWICE). The worker's next incarnation has carried out, and
+// ended, a start that got no answer.
 func TestRunDoneBySuccessorIsNotRepeated(t *testing.T) {
 	w := clusterWithUnansweredStart(t)
 	must.NoError(t, w.deliverDelayedStart())
@@ -88,8 +89,8 @@
 	must.Eq(t, 1, w.started("n2"))
 }
 
-// Guards against work that nothing takes up (LOST): the runs of a life that is over count as
-// alive, since its worker answers.
+// Failure: a task never runs again (LOST). The runs of an ended incarnation count as alive
+// because its worker answers.
 func TestRunsOfSupersededIncarnationRestart(t *testing.T) {
 	w := clusterWithIncarnation(t)
 	w.restart("n1", "n2")
@@ -97,8 +98,8 @@
 	w.eventually("the task starts again", func() bool { return w.started("n2") == 1 })
 }
 
-// Guards against a worker that isn't used any more: a heartbeat of a life that is over arrives
-// late and is believed.
+// Failure: a worker isn't used any more because a delayed heartbeat of an ended incarnation
+// replaces the current one.
 func TestStaleHeartbeatOfSupersededIncarnationIsIgnored(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("n2")
@@ -113,12 +114,12 @@
 	})
 }
 
-// Guards against ends that count as taken note of before a list has shown them: a life that
-// has only begun is told the number of ends that the life before had listed.
+// Failure: ends are acknowledged before a report has shown them. A poll carries the position
+// of the previous incarnation's last end to a new incarnation.
 func TestPollOfUnconfirmedIncarnationAcknowledgesNoEnds(t *testing.T) {
 	w := clusterWithIncarnation(t)
 	w.withWorker("n1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
-	w.eventually("the end is taken note of", func() bool {
+	w.eventually("the end is acknowledged", func() bool {
 		seen := false
 		w.withWorker("n1", func(f *fakeWorker) { seen = f.polls[len(f.polls)-1].Seen == 1 })
 		return seen
@@ -127,7 +128,7 @@
 	time.Sleep(10 * fakePollHold)
 	w.restart("n1", "n2")
 	w.announceIncarnation("n2", 2)
-	w.eventually("the next life is looked after", func() bool { return w.isReady("n2") })
+	w.eventually("the successor is monitored", func() bool { return w.isReady("n2") })
 	w.withWorker("n2", func(f *fakeWorker) {
 		for _, look := range f.polls {
 			must.Eq(t, 0, look.Seen)
@@ -135,8 +136,9 @@
 	})
 }
 
-// Guards against a wave that never ends, and a worker that is given tasks while its machine
-// goes down: the list of machines names a worker, not its life.
+// Failure: a maintenance wave never ends, or a worker gets tasks while its machine goes
+// down. The list of machines names a worker, which has to be resolved to its latest
+// incarnation.
 func TestWorkerNameResolvesToLatestIncarnation(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("n1")
@@ -149,7 +151,8 @@
 	must.Eq(t, "unknown", term.latestIncarnation("unknown", "unknown"))
 }
 
-// Guards against a lease that is reckoned by a clock that isn't the worker's any more.
+// Failure: a lease end is computed from a clock that belongs to an earlier incarnation of
+// the worker.
 func TestClockJumpShowsOtherIncarnation(t *testing.T) {
 	now := time.Now()
 	s := &workerSession{worker: incarnation("n1", 1).Worker, clockMS: 50_000, clockAt: now}
@@ -160,18 +163,18 @@
 	must.False(t, s.clockJumped(300, now.Add(time.Second)))
 }
 
-// Guards against a task that runs twice (TWICE): a worker that is cut off counts as empty
-// before its lease has ended.
+// Failure: a task runs twice (TWICE). An unreachable worker counts as empty before its
+// lease has expired.
 func TestLeaseEndAllowsForClockDrift(t *testing.T) {
 	now := time.Now()
 	s := &workerSession{t: &leaderTerm{lease: 4 * time.Second}, clockMS: 50_000, clockAt: now.Add(-time.Second)}
 	must.Eq(t, 55_000, s.leaseEndMS(now))
 	slowest := 5 * time.Second * 100 / 98
-	must.LessEq(t, s.leaseEnd.Sub(s.clockAt), slowest, must.Sprint("a worker's clock may be 2% slow"))
+	must.LessEq(t, s.leaseEnd.Sub(s.clockAt), slowest, must.Sprint("a worker's clock may run 2% slow"))
 }
 
-// Guards against ends that count as taken note of before a list has shown them: a leader
-// that has just begun doesn't know that a worker has restarted since.
+// Failure: ends are acknowledged before a report has shown them. A new leader doesn't know
+// that a worker has restarted since the log last recorded its ends.
 func TestFirstPollOfNewLeaderAcknowledgesNoEnds(t *testing.T) {
 	w := newTestCluster(t, func(w *testCluster) {
 		w.workers.add("n1")
@@ -180,7 +183,7 @@
 		w.commit(&workflow.Command{Ends: &workflow.RunEnds{Worker: "n1", LastEnd: 7}})
 	})
 	w.announceIncarnation("n2", 2)
-	w.eventually("the next life is looked after", func() bool { return w.isReady("n2") })
+	w.eventually("the successor is monitored", func() bool { return w.isReady("n2") })
 	w.withWorker("n2", func(f *fakeWorker) {
 		for _, look := range f.polls {
 			must.Eq(t, 0, look.Seen)
@@ -188,8 +191,9 @@
 	})
 }
 
-// Guards against a task that waits for the life before a worker's present one: nobody looked
-// after that life any more when its run was found, and nothing told it of the next one.
+// Failure: a task waits for an earlier incarnation of its worker. Its run is found when no
+// session monitors that incarnation any more, and the resumed session isn't linked to the
+// successor.
 func TestResumedPredecessorIsSettledWithSuccessor(t *testing.T) {
 	w := clusterWithIncarnation(t)
 	term := w.currentTerm()
--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -15,31 +15,33 @@
 )
 
 const (
-	// driftFactor is how much slower than this process's a worker's steady clock
-	// may run: 2 %.
+	// driftFactor allows for a worker's monotonic clock that runs up to 2 % slower than the
+	// clock of this process.
 	driftFactor = 1 / 0.98
-	// leaseSlack is added to every lease of a worker before it counts as ended: a
-	// call's round trip and the scheduling of both processes.
+	// leaseSlack is added to each worker's lease before it counts as expired. It covers the
+	// round trip of a call and the scheduling delay of both processes.
 	leaseSlack = 300 * time.Millisecond
-	// predecessorSlack is how long a predecessor may have gone on giving leases
-	// after this tenure began: until its own right to decide ended, which is
-	// within one election timeout.
+	// predecessorSlack is how long the previous leader may have granted leases after this
+	// leader term began: until its right to decide ended, which is at most one election
+	// timeout.
 	predecessorSlack = 1500 * time.Millisecond
-	// planInterval is the longest time between two decisions; due times and leases
-	// change without an event.
+	// planInterval is the longest time between two decisions. Due times and leases change
+	// without an event.
 	planInterval = 100 * time.Millisecond
-	// forgetInterval is the time between two looks for ended jobs to forget.
+	// forgetInterval is the time between two removals of ended jobs.
 	forgetInterval = 5 * time.Second
 )
 
-// tenure is one leadership of this member.
+// leaderTerm is the state of one period of leadership of this member. Nothing in it
+// outlives the leadership.
 type leaderTerm struct {
 	c       *Controller
 	ctx     context.Context
 	end     func()
 	fence   uint64
 	started time.Time
-	// suspendedBefore is how long the machine had been suspended when the tenure began.
+	// suspendedBefore is how long the machine had been suspended, in total, when the leader
+	// term began.
 	suspendedBefore time.Duration
 	suspendedTime   func() (time.Duration, error)
 	lease           time.Duration
@@ -47,13 +49,14 @@
 	disabled        dispatch.Disabled
 	adviserConns    *adviserPool
 	wakePlanner     chan struct{}
-	// freshened says that there are fresh jobs.
+	// jobsChanged signals that changedJobs isn't empty.
 	jobsChanged chan struct{}
 	tasks       goroutineGroup
-	// loadLoggedAt is when the load was logged last, turn counts the decisions, left is what
-	// the last whole decision has left over of the workers' room, leavingSince its time, and
-	// backlog says that more waited than it went into, next is the most urgent step of
-	// those that it had no place for; all belong to planLoop.
+	// The following fields belong to planLoop. loadLoggedAt is when the load was last
+	// logged, decisions counts the decisions. leftoverWorkers holds the workers with the
+	// capacity that the last full decision left free, leftoverAt is its time. backlog says
+	// that more steps waited than that decision considered. nextUrgentStep is the most
+	// urgent step that it couldn't place.
 	loadLoggedAt    time.Time
 	decisions       int
 	leftoverWorkers []dispatch.Worker
@@ -62,57 +65,61 @@
 	nextUrgentStep  *dispatch.Step
 
 	mu sync.Mutex
-	// queued is how many steps were ready and not whole at the last decision.
+	// incompleteSteps is how many steps were ready but not fully placed at the last
+	// decision.
 	incompleteSteps int
-	// answerTime is a moving mean of how long starts take to be answered, quickest the
-	// least that one took.
+	// answerTime is a moving mean of the time until a start is answered, minAnswerTime the
+	// shortest such time.
 	answerTime, minAnswerTime time.Duration
-	// callLostAt is when a call was last found to have got lost.
+	// callLostAt is when a call was last found to have been lost.
 	callLostAt time.Time
-	// runsCheckedAt is when runs to stop or to copy were looked for last.
+	// runsCheckedAt is when all runs were last checked for stops and copies.
 	runsCheckedAt time.Time
-	// waiting is what is known of the steps that wait, behind how many the last decision
-	// didn't go into.
+	// waiting holds what is known of each step that waits; stepsBeyondBound is how many
+	// further steps the last decision didn't consider.
 	waiting          map[workflow.StepKey]*waitingStep
 	stepsBeyondBound int
 	sessions         map[string]*workerSession
 	permits          map[workflow.StepKey]*stepPermits
-	// grantShares is, by queue, the share of workers asked about that the adviser has
-	// permitted of late.
+	// grantShares is, by queue, the moving mean of the share of workers that the adviser
+	// permits.
 	grantShares map[string]movingMean
-	// answered is when a worker of each data centre last answered.
+	// dataCentreAnsweredAt is when any worker of each data centre last answered.
 	dataCentreAnsweredAt map[string]time.Time
-	// suspected is when a data centre was last taken for cut off, of those that the
-	// last line on it said so.
+	// dataCentreSuspectedAt is when each data centre that the last log line named as
+	// unreachable was last suspected of it.
 	dataCentreSuspectedAt map[string]time.Time
-	// accepted is when jobs were accepted; those of earlier tenures count from
-	// the start of this one, in the order of the log.
+	// acceptedAt is when each job was accepted. Jobs accepted in earlier leader terms count
+	// from the start of this one, in log order.
 	acceptedAt map[string]time.Time
-	// pendingSubmits counts the calls that commit a job, by its ID.
+	// pendingSubmits counts the submit calls in progress, by job ID.
 	pendingSubmits map[string]int
-	// reported are jobs whose end was logged.
+	// loggedEnds holds the jobs whose end has been logged.
 	loggedEnds map[string]bool
-	// fresh are the jobs for which something has come up since the last decision.
+	// changedJobs holds the jobs that changed since the last decision.
 	changedJobs map[string]bool
-	// earmarked are the workers on which the last decision kept room for a gang.
+	// earmarked holds the workers on which the last decision earmarked free capacity for a
+	// gang.
 	earmarked map[string]bool
-	// begun are jobs of which a worker has acknowledged or listed a run.
+	// startedJobs holds the jobs of which a worker has acknowledged or reported a run.
 	startedJobs map[string]bool
-	// ended is when this tenure first saw that a job had ended.
+	// endedAt is when this leader term first saw that a job had ended.
 	endedAt map[string]time.Time
-	// pace is that of all workers.
+	// pace is the moving mean over all workers of run time divided by estimate.
 	pace movingMean
-	// proposed are the starts that are being committed, by task.
+	// proposedStarts maps each task whose start is being committed to its worker.
 	proposedStarts map[workflow.TaskKey]string
 	machines       *machines
 	fleet          *pools
-	// checkpoints are the latest that running tasks reported.
+	// checkpoints are the latest checkpoints that live runs reported.
 	checkpoints map[workflow.TaskKey]string
-	// unaccounted is since when runs have been unaccounted for; see accountsFor.
+	// unaccountedSince is since when each run has been unaccounted for; see accountsFor.
 	unaccountedSince map[workflow.Run]time.Time
 	runCounts        runCounts
 }
 
+// newLeaderTerm returns a leader term with a session for each worker in the log. end must
+// cancel ctx; term becomes the fence of its orders.
 func newLeaderTerm(ctx context.Context, end func(), c *Controller, term uint64) *leaderTerm {
 	t := &leaderTerm{
 		c: c, ctx: ctx, end: end, fence: term, started: time.Now(), suspendedTime: suspendedTime,
@@ -153,19 +160,20 @@
 	return t
 }
 
-// leaseLength is the longest that a worker grants: work behind a cut goes on for
-// as long, and its ends count when the cut has healed. A worker that is gone for good
-// blocks its tasks for as long, but one that crashed is back under another incarnation
-// before, which settles them at once.
+// leaseLength returns the lease that the leader grants: the longest that workers accept,
+// less the slack. With a long lease, runs survive a network partition and their ends still
+// count when it heals. Tasks on a worker that never returns stay blocked for that time. A
+// worker that crashed usually returns earlier as another incarnation, which settles its
+// runs at once.
 func leaseLength(b Bounds) time.Duration { return b.MaxLease - leaseSlack }
 
-// leaseUpperBound is how long by this process's clock a lease takes to end at most, whose length
-// is measured by a worker's.
+// leaseUpperBound returns how long a lease lasts at most by this process's clock if the
+// worker measures it by its own clock.
 func leaseUpperBound(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease)*driftFactor) + leaseSlack
 }
 
-// run works until the tenure ends.
+// run does the leader's work until the leader term ends.
 func (t *leaderTerm) run() {
 	t.mu.Lock()
 	for _, s := range t.sessions {
@@ -180,9 +188,10 @@
 	t.tasks.wait()
 }
 
+// spawn runs f in a goroutine that run waits for.
 func (t *leaderTerm) spawn(f func()) { t.tasks.start(f) }
 
-// kick wakes the planner.
+// wake makes the planner decide again.
 func (t *leaderTerm) wake() {
 	select {
 	case t.wakePlanner <- struct{}{}:
@@ -190,8 +199,8 @@
 	}
 }
 
-// addSession begins to look after a worker. inherited are the runs that earlier
-// leaders may have ordered. t.mu is held, or t isn't shared yet.
+// addSession starts monitoring a worker. inherited are its runs that earlier leaders may
+// have ordered. t.mu is held, or t isn't shared yet.
 func (t *leaderTerm) addSession(w workflow.Worker, inherited map[workflow.TaskKey]workflow.Run) *workerSession {
 	s := &workerSession{
 		t: t, worker: w,
@@ -199,11 +208,12 @@
 		orders:      map[workflow.TaskKey]*runOrder{},
 		unknownRuns: map[workflow.Run]time.Time{},
 		heartbeatAt: time.Now(),
-		// What answers first may be another life than the log knows.
+		// The first answer may come from an incarnation that the log doesn't have.
 		incarnationUnconfirmed: true,
 		throttle:               throttle{share: fullShare},
 		startSlots:             make(chan struct{}, maxConcurrentStarts),
-		// A predecessor may have given a whole lease just before its right ended.
+		// The previous leader may have granted a full lease just before its right to decide
+		// ended.
 		leaseEnd: t.started.Add(leaseUpperBound(t.lease) + predecessorSlack),
 	}
 	for task, run := range inherited {
@@ -213,7 +223,8 @@
 	return s
 }
 
-// heard takes in an acknowledged heartbeat.
+// noteHeartbeat records a heartbeat of a worker and starts monitoring the worker if needed.
+// remaining is how long a draining worker keeps running at least, 0 if unknown.
 func (t *leaderTerm) noteHeartbeat(w *workflow.Worker, remaining time.Duration) {
 	gone := false
 	t.c.state.read(func(s *workflow.State) {
@@ -240,15 +251,15 @@
 	t.wake()
 }
 
-// monitors reports whether a worker's incarnation is looked after.
+// monitors reports whether this leader term monitors the incarnation.
 func (t *leaderTerm) monitors(worker string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.sessions[worker] != nil
 }
 
-// probeAddress lets sessions with other incarnations at the same address find
-// out at once that theirs is over. t.mu is held.
+// probeAddress polls all other incarnations at the worker's address at once, so that their
+// sessions notice that they have ended. t.mu is held.
 func (t *leaderTerm) probeAddress(w *workflow.Worker) {
 	for _, other := range t.sessions {
 		if other.worker.Address == w.Address && other.worker.ID != w.ID {
@@ -257,7 +268,7 @@
 	}
 }
 
-// probe looks at a worker that says that it ends.
+// noteLeaving records that an incarnation announced its shutdown, and polls it at once.
 func (t *leaderTerm) noteLeaving(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -267,13 +278,14 @@
 	}
 }
 
-// hasStarted reports whether a worker has shown that a run of the job is alive.
+// hasStarted reports whether a worker has acknowledged or reported a run of the job.
 func (t *leaderTerm) hasStarted(job string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.startedJobs[job]
 }
 
+// noteAccepted records that a job was accepted and marks it as changed.
 func (t *leaderTerm) noteAccepted(job string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -281,13 +293,12 @@
 	t.markChanged(job)
 }
 
-// propose commits a command of this tenure. A failure ends nothing here: the
-// tenure ends by itself when the leadership does.
+// propose commits a command in this leader term. An error doesn't end the leader term;
+// losing the leadership does.
 //
-// Failure guarded against: the log's goroutine is held up for some milliseconds, and
-// nothing shows that the member still leads. The log refuses what is proposed at that
-// moment, though the tenure goes on, and each start and end among it is lost. It has done
-// nothing, so the command is proposed again once the log has told that it still leads.
+// A short delay of the log's goroutine makes the log refuse commands although the member
+// still leads. Each start and end among them would be lost. A refused command has had no
+// effect, so it is proposed again once the log confirms the leadership.
 func (t *leaderTerm) propose(command *workflow.Command) (workflow.Result, error) {
 	result, err := t.c.propose(t.ctx, command)
 	for errors.Is(err, link.ErrNotLeader) && t.confirmLeadership() {
@@ -300,8 +311,8 @@
 	return result, err
 }
 
-// confirmLeadership waits until the log has told whether this member leads, and reports whether
-// it does in the term of this tenure.
+// confirmLeadership waits until the log knows whether this member leads, and reports
+// whether this leader term still lasts.
 func (t *leaderTerm) confirmLeadership() bool {
 	if t.c.catchUp(t.ctx) != nil {
 		return false
@@ -309,22 +320,21 @@
 	return t.ctx.Err() == nil && t.c.log.Status().Term == t.fence
 }
 
-// forgetLoop drops what ended jobs no longer need.
+// forgetLoop periodically removes what ended jobs no longer need.
 func (t *leaderTerm) forgetLoop() {
 	for wait.For(t.ctx, forgetInterval) {
 		if t.c.heartbeats != nil {
 			t.c.heartbeats.forget(t.monitors)
 		}
 		if old := t.forget(time.Now()); len(old) > 0 {
-			// A failure is logged by propose; the jobs are found again next time.
+			// propose logs the failure, and the next round finds the jobs again.
 			_, _ = t.propose(&workflow.Command{Forget: old})
 		}
 	}
 }
 
-// forget drops the permits of jobs that have ended, which are the largest part
-// of what a tenure knows of them, and returns the jobs that need no longer be
-// shown.
+// forget removes the permits of ended jobs, which take most of the memory that a leader
+// term uses for a job. It returns the jobs whose retention has expired.
 func (t *leaderTerm) forget(now time.Time) (old []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/control/leader_term_test.go
+++ b/internal/control/leader_term_test.go
@@ -11,9 +11,8 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// What a user sees: a task is started on a worker that is about to leave.
-// Order: a worker says that it drains; a job comes; an older heartbeat arrives
-// late and says that it doesn't.
+// Failure: a task is started on a worker that is about to shut down. An older heartbeat,
+// from before the worker announced that it drains, arrives after that announcement.
 func TestDrainingWorkerGetsNoNewTask(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -32,8 +31,7 @@
 	w.eventually("the task starts elsewhere", func() bool { return w.started("w2") == 1 })
 }
 
-// What a user sees: one bad machine fails job after job.
-// Order: a worker fails whatever it is given, another one is sound.
+// Failure: one faulty worker fails job after job while a healthy one has capacity.
 func TestWorkerThatFailsAllRunsIsQuarantined(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -59,15 +57,14 @@
 		w.withWorker("w2", func(f *fakeWorker) { found = f.running[task(job, 0)].Number > 0 })
 		return found
 	}
-	w.eventually("the third job runs on the sound worker", func() bool { return onHealthy("c") })
+	w.eventually("the third job runs on the healthy worker", func() bool { return onHealthy("c") })
 	w.submit("d", oneTask)
-	w.eventually("and so does a new one", func() bool { return onHealthy("d") })
+	w.eventually("a new job runs on the healthy worker", func() bool { return onHealthy("d") })
 }
 
-// What a user sees: a queue says that nobody waits while jobs wait.
-// Order: a start is committed and sent; the worker doesn't answer, and carries
-// the order out later or never.
-// Cause: a job counted as begun from the commit of its start on.
+// Failure: a queue reports no waiting jobs although jobs wait, because a job counts as
+// started from the commit of its start. Its worker doesn't answer the start, and carries it
+// out later or never.
 func TestJobCountsAsWaitingUntilWorkerStartsIt(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1").delayStarts = true
@@ -82,16 +79,15 @@
 	must.NoError(t, err)
 	must.Eq(t, 1, reply.Waiting)
 	w.withWorker("w1", func(f *fakeWorker) { f.delayStarts = false })
-	w.eventually("nobody waits", func() bool {
+	w.eventually("no job waits", func() bool {
 		reply, err := w.c.State(context.Background(), &StateCall{Address: JobAddress{Host: "h", Path: "/q/"}})
 		return err == nil && reply.Waiting == 0
 	})
 }
 
-// What a user sees: a task runs in two places.
-// Order: a leader's machine is suspended; another leader takes over and waits
-// for a lease that it knows; the first one wakes and prolongs it.
-// Cause: the steady clock doesn't count the time of a suspension.
+// Failure: a task runs twice. A leader's machine is suspended; another leader takes over
+// and waits for a lease to expire; the first leader resumes and extends that lease, since
+// its monotonic clock doesn't count the suspension.
 func TestLeaderTermEndsAfterMachineSuspend(t *testing.T) {
 	ended := false
 	w := newTestCluster(t, nil)
@@ -106,9 +102,8 @@
 	must.True(t, ended)
 }
 
-// What a user sees: the leader is killed for its memory on a long day.
-// Order: jobs come and end, each with what the adviser said of 48 workers.
-// Cause: what was known of ended jobs was kept for as long as the tenure.
+// Failure: the leader runs out of memory. It keeps the state of ended jobs, each with the
+// adviser's answers for 48 workers, for the whole leader term.
 func TestStateOfEndedJobsIsReleased(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	term, err := w.c.currentLeaderTerm(context.Background())
@@ -126,9 +121,8 @@
 	must.MapEmpty(t, term.acceptedAt)
 }
 
-// What a user sees: a worker is given more than it has.
-// Order: starts are being committed; a second decision is made meanwhile.
-// Cause: the room of starts under way wasn't counted.
+// Failure: a worker gets more tasks than fit, because a second decision is made while
+// starts are being committed and doesn't count their capacity.
 func TestProposedStartsReserveCapacity(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -150,10 +144,8 @@
 	must.Eq(t, []int{1}, v.steps[0].Pending)
 }
 
-// What a user sees: a worker is given more than it has, right after a change of
-// leader.
-// Order: a leader begins; a worker hasn't answered it yet; a job comes.
-// Cause: what runs there isn't known before the worker's first answer.
+// Failure: a worker gets more tasks than fit right after a change of leader, because the
+// new leader doesn't know what runs there before the worker's first answer.
 func TestUnconfirmedWorkerGetsNoTask(t *testing.T) {
 	now := time.Now()
 	s := &workerSession{t: &leaderTerm{}, answeredAt: now}
@@ -162,11 +154,9 @@
 	must.Eq(t, "", s.unschedulableReason(now, nil, 0))
 }
 
-// What a user sees: calls are refused by an instance that leads, and all instances
-// are busy with looking for another leader.
-// Order: the log's goroutine is held up for a tenth of a second; nothing shows
-// meanwhile that the member still leads; it does.
-// Cause: what wasn't shown to lead was taken for not leading.
+// Failure: a leader refuses calls, and all instances search for another leader. The log's
+// goroutine is delayed by a tenth of a second and can't confirm the leadership, although
+// the member still leads.
 func TestLeaderWaitsForDelayedLogInsteadOfRefusing(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -175,8 +165,8 @@
 	must.NoError(t, err)
 }
 
-// slowLogger takes its time with the line that a tenure has begun, and shares nothing
-// between the lines' writers, which would hide from the race detector what they share.
+// slowLogger delays the log line at the start of a leader term. It has no lock, which would
+// hide data races between its callers from the race detector.
 type slowLogger struct{}
 
 func (slowLogger) Log(keyvals ...any) error {
@@ -186,10 +176,9 @@
 	return nil
 }
 
-// What an operator sees: a leader ends with a fault of the runtime as it begins.
-// Order: a tenure is shared with the calls; the line that it has begun counts its
-// workers; a worker's first heartbeat comes meanwhile.
-// Cause: they were counted without the tenure's lock. The race detector says so.
+// Failure: a new leader crashes with a concurrent map access. The log line at the start of
+// the leader term counts its workers without the lock while the first heartbeat adds a
+// worker. The race detector finds this.
 func TestSharedLeaderTermIsReadUnderLock(t *testing.T) {
 	w := newTestCluster(t, func(w *testCluster) { w.c.cfg.Logger = slowLogger{} })
 	w.workers.add("w1")
--- a/internal/control/mean.go
+++ b/internal/control/mean.go
@@ -1,7 +1,7 @@
 package control
 
-// movingMean follows a value. The first sample counts whole, each later one by a
-// weight.
+// movingMean is an exponentially weighted moving mean. The first sample sets the mean; each
+// later one has the weight given to add.
 type movingMean struct {
 	mean    float64
 	samples int
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -10,67 +10,73 @@
 // maxStartAttempts is how often a start is sent before its run is stopped instead.
 const maxStartAttempts = 2
 
-// order is a start that this tenure has committed and sends.
+// runOrder is the order to start a run that this leader term has committed, and what is
+// known of the run since.
 type runOrder struct {
 	run    workflow.Run
 	ticket string
-	// openCalls counts the calls of its start that have no answer: each may be carried out
-	// later, also by the worker's next life.
+	// openCalls counts the unanswered calls of the start. Each may be carried out later,
+	// also by the worker's next incarnation.
 	openCalls int
-	// sending says that the start is queued or under way, startCallsEndedAt is when it no longer was.
+	// startInProgress says that the start is queued or in flight. startCallsEndedAt is when
+	// that ended.
 	startInProgress   bool
 	startCallsEndedAt time.Time
-	// claimed says that the run is stopped since nothing would have told its end.
+	// orphaned says that the run is being stopped because no pending event would have
+	// reported its end.
 	orphaned bool
-	// endKnown says that its end is known and only has to be committed.
+	// endKnown says that the end of the run is known and only has to be committed.
 	endKnown bool
-	// listedByPollSentAt is when the last look that showed the run as alive was sent.
+	// listedByPollSentAt is when the last poll was sent whose report showed the run as
+	// alive.
 	listedByPollSentAt time.Time
-	// sentAt is when the call under way was sent, zero while there is none.
+	// sentAt is when the call in flight was sent, zero if there is none.
 	sentAt time.Time
-	// unanswered says that a call ended without an answer and that no list of the
-	// worker has shown the run since.
+	// unanswered says that a call ended without an answer and that no report has shown the
+	// run since.
 	unanswered bool
-	// listed says that the worker has listed the run as alive.
+	// listed says that a report has shown the run as alive.
 	listed bool
-	// abandoned says that no further start is sent; a stop settles the run unless
-	// the worker shows it.
+	// abandoned says that no further start is sent. A stop settles the run unless a report
+	// shows it.
 	abandoned bool
-	// preempted says that the run gives way to more urgent work.
+	// preempted says that the run is stopped for more urgent work.
 	preempted bool
-	// stopSent is the last stop, stopAcked its acknowledgement.
+	// stopSent is when the last stop was sent, stopAcked when a stop was first
+	// acknowledged.
 	stopSent, stopAcked time.Time
 	startedAt           time.Time
-	// percent is the share of the work that was done at progressAt, firstPercent and
-	// firstAt are those of the first report: a resumed run doesn't begin at 0.
+	// percent is the progress at progressAt. firstPercent and firstAt belong to the first
+	// report; a resumed run doesn't begin at 0 %.
 	percent      int
 	progressAt   time.Time
 	firstPercent int
 	firstAt      time.Time
-	// advancedAt is when the percentage last rose.
+	// advancedAt is when the percentage last increased.
 	advancedAt time.Time
-	// estimate is the job's own, resumed says that only the rest is to be done.
+	// estimate is the job's estimated run time. resumed says that the run continues from a
+	// checkpoint and does only the rest of the work.
 	estimate time.Duration
 	resumed  bool
-	// gang says that the run is a member of one.
+	// gang says that the run is a member of a gang.
 	gang bool
-	// lasts says that the task runs until its job is cancelled.
+	// longRunning says that the task runs until its job is cancelled.
 	longRunning bool
-	// suspect says that a worker has crashed under the task before.
+	// crashSuspect says that a worker has crashed under the task before.
 	crashSuspect bool
-	// usesSpare says that the task takes what processors others leave. share is what
-	// the worker has acknowledged last, sharing that a change is under way, pausedAt
-	// since when it is 0.
+	// usesSpare says that the task uses processor time that others leave idle. share is the
+	// share in percent that the worker last acknowledged, shareChanging says that a change
+	// is in flight, pausedAt is since when the share is 0.
 	usesSpare     bool
 	share         int
 	shareChanging bool
 	pausedAt      time.Time
 }
 
-// unknownShare is that of a run which an earlier leader ordered.
+// unknownShare is the share of a run that an earlier leader ordered.
 const unknownShare = -1
 
-// sendStop tells the worker to end a run, or never to begin it.
+// sendStop sends one order to end a run, or never to start it, and records the answer.
 func (s *workerSession) sendStop(run workflow.Run) {
 	clockMS, err := s.callStop(run)
 	t := s.t
@@ -87,7 +93,8 @@
 	if o != nil && o.run.Number == run.Number && o.stopAcked.IsZero() {
 		o.stopAcked = now
 		o.unanswered = false
-		// The held look began before the acknowledgement and settles nothing.
+		// The poll in flight was sent before the acknowledgement, so its report settles
+		// nothing.
 		if !o.listed {
 			s.interruptPoll()
 		}
@@ -109,7 +116,7 @@
 	})
 }
 
-// call makes one call of the worker where it is now, within callTimeout.
+// call makes one call to the worker's current address, within callTimeout.
 func (s *workerSession) call(order func(context.Context, Target) (clockMS int64, err error)) (clockMS int64, err error) {
 	s.t.mu.Lock()
 	target := s.target()
--- a/internal/control/orphans_test.go
+++ b/internal/control/orphans_test.go
@@ -11,7 +11,7 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// counted counts the runs of a leader's world now.
+// currentRunCounts counts the runs of the cluster's leader now.
 func (w *testCluster) currentRunCounts() runCounts {
 	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(w.t, err)
@@ -21,15 +21,17 @@
 	return term.runCounts
 }
 
-// A run that the log has and nothing at hand would end shows in the counts.
+// Failure: the counts miss a run that is in the log but in no report of its worker, and
+// that no pending event will end.
 func TestOrphanedRunIsCountedAsUnaccounted(t *testing.T) {
 	w := clusterWithStartedTask(t)
-	w.eventually("the run is listed", func() bool { c := w.currentRunCounts(); return c.alive == 1 && c.unaccounted == 0 })
+	w.eventually("the run is reported", func() bool { c := w.currentRunCounts(); return c.alive == 1 && c.unaccounted == 0 })
 	w.withWorker("w1", func(f *fakeWorker) { clear(f.running) })
-	w.eventually("no list shows it", func() bool { c := w.currentRunCounts(); return c.unaccounted == 1 && c.longest > 0 })
+	w.eventually("no report shows the run", func() bool { c := w.currentRunCounts(); return c.unaccounted == 1 && c.longest > 0 })
 }
 
-// A run counts as accounted for while its worker doesn't answer: its lease will end.
+// Failure: a run on a worker that doesn't answer is counted as unaccounted for, and
+// stopped, although the expiry of its lease will end it.
 func TestRunOnUnresponsiveWorkerIsAccountedFor(t *testing.T) {
 	w := clusterWithInheritedRun(t, func(f *fakeWorker) { f.answersLost = true })
 	c := w.currentRunCounts()
@@ -37,8 +39,8 @@
 	must.Eq(t, 0, c.unaccounted)
 }
 
-// Guards against counting a run whose stop was acknowledged as lost while the look that
-// settles it is held.
+// Failure: a run whose stop was acknowledged is counted as unaccounted for while the poll
+// that will settle it is held.
 func TestRunWithAcknowledgedStopIsAccountedFor(t *testing.T) {
 	now := time.Now()
 	run := workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}
@@ -49,11 +51,11 @@
 	must.False(t, s.accountsFor(run, now))
 }
 
-// Guards against stops for runs that have ended: the log takes no command for a while, and
-// their ends are listed again and again.
+// Failure: ended runs are stopped again. The log accepts no command for a while, so that
+// their ends are reported repeatedly and not committed.
 func TestRunWhoseEndIsNotCommittedIsAccountedFor(t *testing.T) {
 	w := clusterWithStartedTask(t)
-	w.eventually("the run is listed", func() bool { return w.currentRunCounts().unaccounted == 0 })
+	w.eventually("the run is reported", func() bool { return w.currentRunCounts().unaccounted == 0 })
 	var refusals []error
 	for range 1000 {
 		refusals = append(refusals, node.ErrFateOpen)
@@ -68,8 +70,8 @@
 	w.eventually("the job is done", func() bool { return w.phase("a") == workflow.PhaseDone })
 }
 
-// Guards against a worker that is given nothing any more: an order without an answer, whose
-// run the log doesn't have.
+// Failure: a worker never gets a task again. It has an unanswered order whose run isn't in
+// the log, for example because the run was lost while the order was created.
 func TestOrderWithoutRunInLogIsDropped(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	term := w.currentTerm()
@@ -77,15 +79,15 @@
 	s := term.sessions["w1"]
 	s.orders[task("b", 0)] = &runOrder{run: workflow.Run{Task: task("b", 0), Number: 1, Worker: "w1"}, unanswered: true, abandoned: true}
 	term.mu.Unlock()
-	w.eventually("the order is forgotten", func() bool {
+	w.eventually("the order is dropped", func() bool {
 		term.mu.Lock()
 		defer term.mu.Unlock()
 		return s.orders[task("b", 0)] == nil && s.orders[task("a", 0)] != nil
 	})
 }
 
-// Guards against a claimed run that is stopped only every other second, and counted each
-// time: its stop gets lost.
+// Failure: an orphaned run is stopped only every other second, and counted as orphaned each
+// time. Its stop is lost, but the run counts as accounted for after each stop sent.
 func TestOrphanedRunIsUnaccountedUntilStopIsAcknowledged(t *testing.T) {
 	now := time.Now()
 	run := workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}
--- a/internal/control/polls.go
+++ b/internal/control/polls.go
@@ -3,35 +3,36 @@
 import "time"
 
 const (
-	// lossWindow is how long after a call without an answer, from a worker that answers
-	// others, looks are held shorter.
+	// lossWindow is how long poll holds stay shortened after a call was lost, that is, got
+	// no answer from a worker that answers other calls.
 	lossWindow = 5 * time.Second
-	// lossyPollHold is how long they are held then, and lossyPollSlack what is allowed for
-	// their way: the end of a run is noticed that much later at most.
+	// lossyPollHold is the hold of a poll during the loss window, lossyPollSlack the time
+	// allowed for its round trip. Together they bound how late the end of a run is noticed.
 	lossyPollHold  = 250 * time.Millisecond
 	lossyPollSlack = 200 * time.Millisecond
-	// maxLossyPolls bounds the looks a second at all workers while they are held shorter:
-	// a look takes some 0.3 ms of the leader.
+	// maxLossyPolls bounds the polls per second to all workers during the loss window: each
+	// costs the leader some 0.3 ms.
 	maxLossyPolls = 200
-	// overdueFactor times as long as answers take of late, an answer is overdue, and as
-	// many times their delay the next look waits after a report of ends.
+	// overdueFactor times the mean answer time makes an answer overdue. The same multiple
+	// of the answer delay is the pause between a report with ended runs and the next poll.
 	overdueFactor = 8
-	// answerTimeWeight is that of the latest answer in their moving mean.
+	// answerTimeWeight is the weight of the latest sample in the moving mean of answer
+	// times.
 	answerTimeWeight = 0.05
 )
 
-// losing reports whether calls have got lost lately that workers in reach should have
-// answered. t.mu is held.
+// losingCalls reports whether a call to a reachable worker was lost within the loss window.
+// t.mu is held.
 //
-// Load that it answers: one call in twenty gets no answer. A look that is held for
-// 1.5 s hides the ends of its worker for 2 s when its answer is lost, with four looks
-// a second and worker for two fifths of the time.
+// If one call in twenty is lost, a poll held for 1.5 s hides the ends of its worker for 2 s
+// whenever its answer is lost. At four polls a second and worker, that would be two fifths
+// of the time.
 func (t *leaderTerm) losingCalls(now time.Time) bool {
 	return now.Sub(t.callLostAt) < lossWindow && !t.disabled.ShortLooks
 }
 
-// recordLostCall takes in that a call got no answer. From a worker that has answered since the
-// call was sent it has got lost. t.mu is held.
+// recordLostCall records that a call got no answer. The call counts as lost only if the
+// worker has answered another one since it was sent. t.mu is held.
 func (s *workerSession) recordLostCall(sent, now time.Time) {
 	s.incarnationUnconfirmed = true
 	if !s.answeredAt.After(sent) && !s.clockAt.After(sent) {
@@ -43,8 +44,8 @@
 	s.t.callLostAt = now
 }
 
-// pollTimes returns how long a look is held, and how much longer its answer may
-// take. t.mu is held.
+// pollTimes returns how long the worker may hold the next poll, and how much longer its
+// answer may take. t.mu is held.
 func (s *workerSession) pollTimes(now time.Time) (hold, slack time.Duration) {
 	hold, slack = pollHold, callTimeout
 	if s.t.losingCalls(now) {
@@ -67,8 +68,9 @@
 	return hold, slack
 }
 
-// settles reports whether the next lists settle a run: its stop was acknowledged, and no
-// list has shown it, so that none of its ends will end a held look. t.mu is held.
+// pollSettlesStop reports whether the next report settles a stopped run: the worker
+// acknowledged the stop and has never reported the run, so no end of the run would end a
+// held poll. t.mu is held.
 func (s *workerSession) pollSettlesStop() bool {
 	for _, o := range s.orders {
 		if !o.stopAcked.IsZero() && !o.listed {
@@ -78,36 +80,36 @@
 	return false
 }
 
-// maxPollPauseAfterEnds is the most that a look waits after a report of ends: a worker has
-// some three a second.
+// maxPollPauseAfterEnds is the longest pause between a report with ended runs and the next
+// poll. About three runs a second end on one worker.
 const maxPollPauseAfterEnds = 300 * time.Millisecond
 
-// pauseAfterEnds is the time between a report of ends and the next look: longer where
-// answers come later of late than the quickest did, so that more ends share a look.
+// pauseAfterEnds returns the pause between a report with ended runs and the next poll. The
+// pause grows with the answer delay, so that more ends share a poll.
 //
-// Load that it answers: the leader has more to do than its processor can, which shows
-// in answers that it reads late. Half of its calls are looks, and each end that is
-// seen at once brings it another decision and commit.
+// An overloaded leader reads answers late. Half of its calls are polls, and each end that
+// it sees at once costs another decision and commit.
 func (s *workerSession) pauseAfterEnds() time.Duration {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
-	// The quickest answer shows the way alone, which is longer through another instance.
+	// minAnswerTime approximates the network round trip alone, which is longer if another
+	// instance relays the call.
 	delay := s.t.answerTime - s.t.minAnswerTime
 	return boundedMultiple(delay, pollPauseAfterEnds, maxPollPauseAfterEnds)
 }
 
-// scaledAnswerTime is a time that grows with how long answers take of late, between
-// bounds. t.mu is held.
+// scaledAnswerTime returns overdueFactor times the mean answer time, limited to least and
+// most. t.mu is held.
 func (t *leaderTerm) scaledAnswerTime(least, most time.Duration) time.Duration {
 	return boundedMultiple(t.answerTime, least, most)
 }
 
-// boundedMultiple is overdueFactor times as long as answers take, between bounds.
+// boundedMultiple returns overdueFactor times took, limited to least and most.
 func boundedMultiple(took, least, most time.Duration) time.Duration {
 	return min(max(least, overdueFactor*took), most)
 }
 
-// noteAnswerTime takes in how long a start took to be answered. t.mu is held.
+// noteAnswerTime records how long a start took to be answered. t.mu is held.
 func (t *leaderTerm) noteAnswerTime(took time.Duration) {
 	t.answerTime += time.Duration(answerTimeWeight * float64(took-t.answerTime))
 	if t.minAnswerTime == 0 || took < t.minAnswerTime {
@@ -115,21 +117,20 @@
 	}
 }
 
-// overdueAfter is how long an order may be without an answer before it counts as
-// overdue: longer where answers take long of late. t.mu is held.
+// overdueAfter returns how long an order may stay unanswered before it counts as overdue.
+// The time grows with the mean answer time. t.mu is held.
 //
-// Failure guarded against: the leader has more to do than it can, and sees answers
-// late. Taken for lost, each order is sent again and its worker given nothing, which
-// makes more to do.
+// An overloaded leader sees answers late. With a fixed time it would take them for lost,
+// send each order again and give the workers nothing, which would add to the load.
 func (t *leaderTerm) overdueAfter() time.Duration {
 	return t.scaledAnswerTime(minOverdueTime, callTimeout/2)
 }
 
-// unheard reports whether a look has gone without an answer for longer than it may be
-// held. t.mu is held.
+// isUnresponsive reports whether a poll has gone unanswered for longer than its hold
+// allows. t.mu is held.
 //
-// Failure guarded against: the time since the last answer counts, and a look that began
-// late, after a report of ends, makes a sound worker seem out of reach.
+// The time since the last answer alone isn't enough: a poll that is sent late, after a
+// report with ended runs, would make a healthy worker seem unreachable.
 func (s *workerSession) isUnresponsive(now time.Time) bool {
 	silent := now.Sub(s.answeredAt) > copySilenceTimeout && now.Sub(s.t.started) > copySilenceTimeout
 	return silent && now.After(s.pollDue)
--- a/internal/control/report.go
+++ b/internal/control/report.go
@@ -9,8 +9,9 @@
 // stopRetryInterval is the time between two stops of the same run.
 const stopRetryInterval = 400 * time.Millisecond
 
-// applyReport works through a worker's lists. A run that is in the log and in
-// neither list is settled as never started when it can't start any more.
+// applyReport processes a worker's report. A run that is in the log, but neither alive nor
+// ended in the report, is settled as never started once it can't start any more. sent is
+// when the poll was sent.
 func (s *workerSession) applyReport(report Report, sent time.Time) {
 	t := s.t
 	now := time.Now()
@@ -22,7 +23,8 @@
 	ends, seen := s.listedEnds(report, now)
 	ends = append(ends, s.neverStarted(report, ends, sent)...)
 	unknown := s.recordRunning(report, sent, now)
-	// Together with the lists: a run that they end is accounted for at any moment.
+	// Marked while the report is applied, so that the runs are accounted for at every
+	// moment.
 	s.markKnownEnds(ends)
 	if !report.Partial {
 		s.fullReportSentAt = sent
@@ -37,7 +39,7 @@
 		t.spawn(func() { s.stopUnknownRun(run) })
 	}
 	if cameBack {
-		// No other list of this tenure would say so.
+		// Only this report shows that the worker has come back; no later one repeats it.
 		t.spawn(s.commitReturned)
 	}
 	if seen > 0 || len(ends) > 0 {
@@ -48,12 +50,14 @@
 	}
 }
 
-// recordReport takes in that this life of the worker has just answered a look. t.mu is held.
+// recordReport records that this incarnation of the worker has just answered a poll. t.mu
+// is held.
 func (s *workerSession) recordReport(clockMS int64, now time.Time) {
 	s.answeredAt, s.incarnationUnconfirmed = now, false
 	s.recordAnswer(now)
 	if clockMS > 0 {
-		// The lists are this life's, so their clock is, even if it seems to jump.
+		// The report identifies the incarnation, so its clock is valid even if it seems to
+		// jump.
 		s.clockMS, s.clockAt = clockMS, now
 	}
 }
@@ -66,8 +70,8 @@
 	}
 }
 
-// logEndedJobs logs the jobs that have ended with these runs: how long they took
-// against their objective.
+// logEndedJobs logs the jobs that ended with these runs, with their age and their
+// objective.
 func (t *leaderTerm) logEndedJobs(ends []workflow.RunEnd) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -87,7 +91,7 @@
 	})
 }
 
-// listedEnds returns the ends that are new. t.mu is held.
+// listedEnds returns the ends in a report and the highest of their positions. t.mu is held.
 func (s *workerSession) listedEnds(report Report, now time.Time) (ends []workflow.RunEnd, seen uint64) {
 	for _, e := range report.Ended {
 		seen = max(seen, e.Position)
@@ -97,8 +101,8 @@
 	return ends, seen
 }
 
-// recordRunning takes in checkpoints of the runs that are alive, and returns those
-// that the log doesn't have. t.mu is held.
+// recordRunning records progress and checkpoints of the live runs in a report. It returns
+// the runs that the log doesn't have. t.mu is held.
 func (s *workerSession) recordRunning(report Report, sent, now time.Time) []workflow.Run {
 	var unknown []workflow.Run
 	advanced := false
@@ -119,8 +123,8 @@
 			}
 			o := s.orders[r.Task]
 			if job := state.Jobs[r.Task.Job]; o == nil && job != nil {
-				// What an earlier leader ordered, or a session before this one, is watched
-				// like an order of this one.
+				// Runs that an earlier leader or an earlier session ordered are monitored
+				// like orders of this session.
 				spec := &job.Steps[r.Task.Step]
 				o = &runOrder{run: run, usesSpare: spec.UsesSpare, longRunning: spec.LongRunning, share: unknownShare}
 				s.orders[r.Task] = o
@@ -137,15 +141,14 @@
 	return unknown
 }
 
-// neverStarted returns the runs that this report proves never to have begun and
-// never to begin. t.mu is held.
+// neverStarted returns the runs that this report proves never to have started and never to
+// start. t.mu is held.
 //
-// Failure guarded against: an order without an answer may be carried out seconds
-// later; taking its run for not begun would start the task twice. An inherited
-// run is settled because the worker has taken this tenure's fence before it
-// made the lists, and refuses the older order from then on. An own run is
-// settled when the worker had acknowledged a stop before the look was sent: it
-// refuses the run from then on.
+// A missing run alone proves nothing: an unanswered order may be carried out seconds later,
+// and a second start would run the task twice. An inherited run is settled because the
+// worker has accepted this leader's fence before it made the report, and refuses the older
+// order from then on. A run that this leader ordered is settled if the worker had
+// acknowledged a stop before the poll was sent, since it refuses the run from then on.
 func (s *workerSession) neverStarted(report Report, ends []workflow.RunEnd, sent time.Time) []workflow.RunEnd {
 	if report.Partial {
 		return nil
--- a/internal/control/session.go
+++ b/internal/control/session.go
@@ -12,85 +12,90 @@
 )
 
 const (
-	// pollHold is how long a worker may hold a look back until a run ends. Longer
-	// saves looks, shorter notices a silent worker earlier.
+	// pollHold is how long a worker may hold a poll until a run ends. A longer hold saves
+	// polls, a shorter one detects an unresponsive worker earlier.
 	pollHold = 1500 * time.Millisecond
-	// callTimeout bounds an order's round trip: a few milliseconds on a calm link,
-	// and one repeated packet on a lossy one.
+	// callTimeout bounds the round trip of an order: a few milliseconds on a good link,
+	// plus one retransmission on a lossy one.
 	callTimeout = 600 * time.Millisecond
-	// minOverdueTime is how long a worker in reach takes at most to answer an order:
-	// some round trips of 2 ms and its own scheduling.
+	// minOverdueTime is the shortest time after which an unanswered order counts as
+	// overdue. A reachable worker answers within some round trips of 2 ms and its own
+	// scheduling delay.
 	minOverdueTime = 100 * time.Millisecond
-	// maxAnswerAge is how long after its last answer a worker still gets new tasks:
-	// one held look and the time of a call.
+	// maxAnswerAge is how long after its last answer a worker still gets new tasks: one
+	// held poll and one call.
 	maxAnswerAge = pollHold + callTimeout
-	// pollPauseAfterEnds is the time between a report of ends and the next look. Ends that come
-	// up meanwhile share that look, at the price of being seen a little later.
+	// pollPauseAfterEnds is the shortest pause between a report with ended runs and the
+	// next poll. Runs that end meanwhile share that poll, but are seen a little later.
 	pollPauseAfterEnds = 80 * time.Millisecond
-	// commitRetryInterval is the time between two tries to commit what nobody would say again.
+	// commitRetryInterval is the pause between two attempts to commit a command whose
+	// content only the leader knows.
 	commitRetryInterval = 50 * time.Millisecond
-	// retryInterval is the time between two looks at a worker that doesn't answer.
+	// retryInterval is the pause between two calls of a worker that doesn't answer.
 	retryInterval = 300 * time.Millisecond
-	// silentWorkerTimeout is how long a silent worker without runs is looked for.
+	// silentWorkerTimeout is how long after its last heartbeat an unresponsive worker
+	// without runs is still monitored.
 	silentWorkerTimeout = 15 * time.Second
 )
 
-// session is what a tenure knows of one incarnation of a worker. Its own
-// goroutine looks at the worker all the time; fields are guarded by t.mu.
+// workerSession monitors one incarnation of a worker during a leader term. Its goroutine
+// polls the worker continuously. t.mu guards the fields.
 type workerSession struct {
 	t      *leaderTerm
 	worker workflow.Worker
-	// ready says that the worker has answered under this tenure's fence and that
-	// its lists have been taken in. Nothing is started before.
+	// ready says that the worker has answered under this leader's fence and that its report
+	// has been applied. Nothing is started on it before.
 	ready bool
-	// leaving says that the worker has announced its end. leavesAt is the earliest
-	// time at which a draining one goes, as it said itself.
+	// leaving says that the worker has announced its shutdown. leavesAt is the earliest
+	// shutdown time that a draining worker has announced.
 	leaving  bool
 	leavesAt time.Time
-	// leavingSince is when the worker was said to end.
+	// leavingSince is when the shutdown was announced.
 	leavingSince time.Time
-	// outlived says that a later life of the same worker is known, earlier are the lives of
-	// it whose runs aren't settled yet.
+	// superseded says that a later incarnation of the same worker is known. predecessors
+	// are the sessions of earlier incarnations whose runs aren't settled yet.
 	superseded   bool
 	predecessors []*workerSession
-	// doubted says that no lists have come in yet, or that a call got no answer since the last
-	// ones: another life may answer the next one.
+	// incarnationUnconfirmed says that no report has arrived yet, or that a call went
+	// unanswered since the last one: another incarnation may answer the next call.
 	incarnationUnconfirmed bool
-	// heartbeatAt is the last heartbeat, answeredAt the last answer to a look.
+	// heartbeatAt is the time of the last heartbeat, answeredAt of the last answer to a
+	// poll.
 	heartbeatAt, answeredAt time.Time
-	// clockMS is what the worker's clock showed at or before clockAt here.
+	// clockMS is what the worker's clock showed, in milliseconds, at or before clockAt on
+	// this process's clock.
 	clockMS int64
 	clockAt time.Time
-	// fullReportSentAt is when the look was sent that the last whole lists answered.
+	// fullReportSentAt is when the poll was sent that the last complete report answered.
 	fullReportSentAt time.Time
-	// leaseEnd is when, by this process's clock, whatever runs there has ended,
-	// unless it answers and is given a longer lease.
+	// leaseEnd is when, by this process's clock, all runs on the worker have ended, unless
+	// the worker answers and gets a longer lease.
 	leaseEnd time.Time
-	// inherited are the runs that an earlier leader may have ordered.
+	// inherited maps each task to the run that an earlier leader may have ordered.
 	inherited map[workflow.TaskKey]int
 	orders    map[workflow.TaskKey]*runOrder
-	// strangers are runs that the worker lists and the log doesn't have, with the
-	// time of the last stop.
+	// unknownRuns are runs that the worker reports and the log doesn't have, with the time
+	// of the last stop sent.
 	unknownRuns map[workflow.Run]time.Time
-	// failures counts what went wrong in a row: runs of different jobs that failed,
-	// and starts without an answer.
+	// failures counts consecutive failures: failed runs of different jobs, and unanswered
+	// starts.
 	failures         int
 	failedJob        string
 	quarantinedUntil time.Time
-	// pace is how long its runs took, in multiples of their estimates.
+	// pace is the moving mean of run time divided by estimate on this worker.
 	pace       movingMean
 	throttle   throttle
 	runSummary runSummary
-	// starting has room for the starts that may be under way.
+	// startSlots has one slot for each start that may be in flight.
 	startSlots chan struct{}
-	// busy says that the last report listed runs; advancedAt is the last report
-	// that showed that something goes on.
+	// busy says that the last report listed live runs. advancedAt is the time of the last
+	// report that showed progress.
 	busy       bool
 	advancedAt time.Time
 	cancelPoll context.CancelFunc
-	// pollDue is when the answer to the look under way is overdue.
+	// pollDue is when the answer to the poll in flight becomes overdue.
 	pollDue time.Time
-	// hurried says that the look under way was ended on purpose.
+	// pollInterrupted says that interruptPoll ended the poll in flight.
 	pollInterrupted bool
 }
 
@@ -98,7 +103,7 @@
 	return Target{Worker: s.worker.ID, Address: s.worker.Address, DataCentre: s.worker.DataCentre}
 }
 
-// Reasons why a worker gets nothing new.
+// Reasons why a worker gets no new task.
 const (
 	reasonSilent                dispatch.Reason = "the worker hasn't answered lately"
 	reasonLeaving               dispatch.Reason = "the worker leaves"
@@ -111,8 +116,8 @@
 	reasonProbation             dispatch.Reason = "a task that workers have crashed under has just begun there"
 )
 
-// obstacle returns why no new task is given to the worker, on which runs may be
-// alive; empty when one may be. t.mu is held.
+// unschedulableReason returns why the worker gets no new task, or "" if it may get one.
+// runs is the number of its runs that may be alive. t.mu is held.
 func (s *workerSession) unschedulableReason(now time.Time, suspects map[string]bool, runs int) dispatch.Reason {
 	switch {
 	case s.leaving || s.worker.Draining:
@@ -134,15 +139,15 @@
 	case s.isStalled():
 		return reasonStalled
 	case s.isSlow() && runs > 0:
-		// A slow worker gets one run at a time, which shows whether it still is.
+		// One run at a time shows whether the worker is still slow.
 		return reasonSlow
 	}
 	return ""
 }
 
-// doubtful reports whether an order is without an answer for longer than a
-// calm worker takes: it may be cut off, and what it is given now would be
-// blocked with it until the lease ends.
+// hasOverdueOrder reports whether an order has been unanswered for longer than a reachable
+// worker takes. The worker may be unreachable, and a task given to it now would be blocked
+// until the lease expires. t.mu is held.
 func (s *workerSession) hasOverdueOrder(now time.Time) bool {
 	for _, o := range s.orders {
 		if o.unanswered || !o.sentAt.IsZero() && now.Sub(o.sentAt) > s.t.overdueAfter() {
@@ -152,8 +157,8 @@
 	return false
 }
 
-// leaseEndMS returns the end of a lease that begins now, on the worker's clock,
-// and notes when it will have ended. t.mu is held.
+// leaseEndMS returns the end of a lease that begins now, in milliseconds on the worker's
+// clock. It moves leaseEnd accordingly. t.mu is held.
 func (s *workerSession) leaseEndMS(now time.Time) int64 {
 	elapsed := now.Sub(s.clockAt)
 	end := s.clockMS + (elapsed + s.t.lease).Milliseconds()
@@ -164,8 +169,7 @@
 	return end
 }
 
-// noteClock takes in what the worker's clock showed in an answer that has just
-// come in. t.mu is held.
+// noteClock records the worker's clock from an answer that has just arrived. t.mu is held.
 func (s *workerSession) noteClock(clockMS int64, now time.Time) {
 	s.recordAnswer(now)
 	if s.clockJumped(clockMS, now) {
@@ -178,7 +182,7 @@
 	}
 }
 
-// hurry ends a look that is held, so that the next one begins at once.
+// interruptPoll ends a held poll so that the next one is sent at once. t.mu is held.
 func (s *workerSession) interruptPoll() {
 	if s.cancelPoll != nil {
 		s.pollInterrupted = true
@@ -186,7 +190,7 @@
 	}
 }
 
-// takePollInterrupted reports whether the last look was ended on purpose.
+// takePollInterrupted reports whether the last poll was interrupted, and resets the mark.
 func (s *workerSession) takePollInterrupted() bool {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
@@ -195,12 +199,12 @@
 	return hurried
 }
 
-// run looks at the worker until the tenure or the incarnation ends.
+// run polls the worker until the leader term or the incarnation ends.
 func (s *workerSession) run() {
 	failed := 0
 	for s.t.ctx.Err() == nil {
 		if s.isSuperseded() {
-			s.endIncarnation("a later life of the worker is known")
+			s.endIncarnation("a later incarnation of the worker is known")
 			return
 		}
 		sent := time.Now()
@@ -232,9 +236,9 @@
 	}
 }
 
-// look asks the worker for its lists. The lease is prolonged only while the
-// worker answers: a worker that gets looks but whose answers are lost would
-// otherwise hold its runs for ever, and nobody could tell when they end.
+// poll asks the worker for its report. It extends the lease only while the worker answers.
+// A worker that receives polls but whose answers are lost would otherwise keep its runs for
+// ever, and the leader could never tell when they end.
 func (s *workerSession) poll(now time.Time) (Report, error) {
 	t := s.t
 	if t.wasSuspended() {
@@ -250,7 +254,7 @@
 	t.mu.Lock()
 	hold, slack := s.pollTimes(now)
 	if s.mayBeOtherIncarnation() {
-		// It has counted no ends yet, and its clock is another one.
+		// This incarnation hasn't reported any end yet, and its clock is a different one.
 		order.Seen = 0
 	} else if s.ready && now.Sub(s.answeredAt) < callTimeout {
 		order.LeaseEndMS = s.leaseEndMS(now)
@@ -266,8 +270,8 @@
 	return t.c.cfg.Workers.Poll(ctx, target, order)
 }
 
-// silent handles a look without an answer, and reports whether the session is
-// over. Once the lease has ended, nothing runs there any more.
+// handleUnansweredPoll handles a poll without an answer, and reports whether the session is
+// over. Once the lease has expired, nothing runs on the worker any more.
 func (s *workerSession) handleUnansweredPoll(cause error) bool {
 	t := s.t
 	now := time.Now()
@@ -284,7 +288,7 @@
 		t.logger.Log("event", "worker_contact", "worker", s.worker.ID, "outcome", "lost", "err", cause)
 	}
 	if leaving {
-		s.endIncarnation("the worker left")
+		s.endIncarnation("the worker announced its shutdown and doesn't answer")
 		return true
 	}
 	if !leaseExpired {
@@ -305,7 +309,8 @@
 	return true
 }
 
-// end takes note that the incarnation is over: nothing runs there.
+// endIncarnation records that the incarnation has ended and nothing runs there any more.
+// The cause is logged.
 func (s *workerSession) endIncarnation(cause string) {
 	t, crashed := s.t, s.hasCrashed()
 	t.logger.Log("event", "worker_gone", "worker", s.worker.ID, "cause", cause, "crashed", crashed)
@@ -314,7 +319,8 @@
 		t.c.cfg.Counters.Add("workers_crashed", 1)
 		outcome = workflow.OutcomeCrashed
 	}
-	// What its runs had saved goes into the log first.
+	// Checkpoints and ends in the successor's report are committed before the remaining
+	// runs count as lost.
 	s.settleWithSuccessor(cause, outcome)
 	s.loseRuns(cause, outcome, allRuns)
 	missing := s.unresolvedRuns()
@@ -326,10 +332,10 @@
 	t.wake()
 }
 
-// allRuns chooses all runs of a worker.
+// allRuns selects all runs of a worker.
 func allRuns(workflow.Run) bool { return true }
 
-// loseRuns ends the chosen runs of a worker, which can't be alive any more.
+// loseRuns commits the end of the selected runs of a worker, which can't be alive any more.
 func (s *workerSession) loseRuns(cause string, outcome workflow.Outcome, selected func(workflow.Run) bool) {
 	ends := s.lostEnds(outcome, selected)
 	if len(ends) == 0 {
@@ -340,6 +346,7 @@
 	s.commitEnds(0, ends)
 }
 
+// lostEnds returns the ends of the selected runs, with their last checkpoints.
 func (s *workerSession) lostEnds(outcome workflow.Outcome, selected func(workflow.Run) bool) []workflow.RunEnd {
 	var ends []workflow.RunEnd
 	s.t.mu.Lock()
@@ -357,10 +364,11 @@
 	return ends
 }
 
-// commitEnds commits ends; seen is the last of those that the worker lists, 0 where it
-// lists none of them.
+// commitEnds commits ends of runs. seen is the position of the last of them in the worker's
+// list of ends, 0 if the worker lists none of them.
 //
-// A worker lists its ends again until they are committed; others are said by nobody again.
+// A worker lists its ends until they are committed, so those are proposed only once. No
+// worker repeats the others, so they are proposed until they are committed.
 func (s *workerSession) commitEnds(seen uint64, ends []workflow.RunEnd) {
 	command := &workflow.Command{Ends: &workflow.RunEnds{Worker: s.worker.ID, LastEnd: seen, Ends: ends}}
 	s.recordKnownEnds(ends)
@@ -380,15 +388,15 @@
 	s.t.wake()
 }
 
-// recordKnownEnds notes that the ends of runs are known: they are proposed, or listed again,
-// until they are committed.
+// recordKnownEnds marks runs whose end is known: the end is proposed, or listed again,
+// until it is committed.
 func (s *workerSession) recordKnownEnds(ends []workflow.RunEnd) {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
 	s.markKnownEnds(ends)
 }
 
-// markKnownEnds is recordKnownEnds where t.mu is held.
+// markKnownEnds is recordKnownEnds for callers that hold t.mu.
 func (s *workerSession) markKnownEnds(ends []workflow.RunEnd) {
 	for _, end := range ends {
 		if o := s.orders[end.Task]; o != nil && o.run.Number == end.Number {
@@ -397,13 +405,12 @@
 	}
 }
 
-// commitWithRetry proposes a command until it is committed, and reports whether it was
-// before the tenure ended.
+// commitWithRetry proposes a command until it is committed. It reports false if the leader
+// term ends first.
 //
-// Failure guarded against: a commit fails, and the run counts as alive for as long as the
-// leader leads. An end that the leader has found out by itself, such as that of a start
-// that was refused, would be said by nobody again: the task would never run, and the other
-// members of a gang would wait for it.
+// A failed commit of an end that only the leader knows, such as the end of a refused start,
+// would leave the run alive until the leadership changes. Its task would never run again,
+// and the other members of its gang would wait for it.
 func (t *leaderTerm) commitWithRetry(command *workflow.Command) bool {
 	for {
 		if _, err := t.propose(command); err == nil {
@@ -415,9 +422,9 @@
 	}
 }
 
-// forgetRun drops what is known of a run that has ended. A worker may list an
-// end while a later run of the task is under way; that one's order stays, or
-// nobody could stop the run any more. t.mu is held.
+// forgetRun removes what is known of a run that has ended. It keeps the order of a later
+// run of the same task, since a worker may list an end while the next run is in progress,
+// and nobody could stop that run without its order. t.mu is held.
 func (s *workerSession) forgetRun(end workflow.RunEnd) {
 	if o := s.orders[end.Task]; o != nil && o.run.Number > end.Number {
 		return
--- a/internal/control/settle_test.go
+++ b/internal/control/settle_test.go
@@ -11,10 +11,9 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// What a user sees: a report is issued twice.
-// Order: a worker doesn't answer a start; the task is given to another worker;
-// the first one carries the order out after all.
-// Cause: no answer was taken for not carried out.
+// Failure: a task runs twice. A worker doesn't answer a start, the leader takes that for
+// not carried out and starts the task elsewhere, and the first worker carries out the start
+// after all.
 func TestUnansweredStartIsSettledBeforeRestartElsewhere(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1").delayStarts = true
@@ -35,11 +34,10 @@
 	})
 }
 
-// What a user sees: a job never ends, though most workers are idle.
-// Order: a worker doesn't answer a start; the start is sent again, and refused
-// because its ticket has ended.
-// Cause: the refusal settles nothing while the first call is open, and only a
-// second call without an answer led to a stop.
+// Failure: a job never ends although most workers are idle. A worker doesn't answer a
+// start, and refuses the second attempt because its ticket has expired. The refusal settles
+// nothing while the first call is open, so a stop has to follow, as after two unanswered
+// calls.
 func TestRefusalAfterUnansweredStartIsSettledByStop(t *testing.T) {
 	w := newTestCluster(t, nil)
 	first := w.workers.add("w1")
@@ -53,10 +51,9 @@
 	})
 }
 
-// What a user sees: a task runs on two workers.
-// Order: a worker takes looks but its answers are lost; its runs count as ended
-// when the lease has; the task starts elsewhere.
-// Cause: looks that nobody answers went on prolonging the lease.
+// Failure: a task runs on two workers. A worker receives polls but its answers are lost. If
+// unanswered polls extend its lease, its runs continue after the leader takes the lease for
+// expired and starts the task elsewhere.
 func TestUnansweredPollsDoNotExtendLease(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	w.withWorker("w1", func(f *fakeWorker) { f.answersLost = true })
@@ -69,11 +66,10 @@
 	w.withWorker("w1", func(f *fakeWorker) { must.Eq(t, before, len(f.leases)) })
 }
 
-// What a user sees: a job is stuck, or issued twice, after a change of leader.
-// Order: a leader commits a start and loses the leadership before the worker has
-// the order; the next leader looks at the worker.
-// Cause: the new leader can't know whether the order is under way. Its look
-// takes the fence to the worker, which refuses the old order from then on.
+// Failure: a job is stuck, or its task runs twice, after a change of leader. The old leader
+// commits a start and loses the leadership before the worker has the order, so the new
+// leader doesn't know whether it is in flight. The poll of the new leader carries its fence
+// to the worker, which refuses the old order from then on.
 func TestInheritedRunThatNeverStartedRunsAgain(t *testing.T) {
 	w := clusterWithInheritedRun(t, func(*fakeWorker) {})
 	w.eventually("the task starts", func() bool { return w.started("w1") == 1 })
@@ -83,9 +79,8 @@
 	})
 }
 
-// What a user sees: work goes on over a change of leader.
-// Order: a run is under way when the leadership changes; the next leader finds
-// it in the worker's list.
+// Failure: a run that is in progress when the leader changes is restarted, although the
+// worker reports it to the new leader as alive.
 func TestInheritedLiveRunContinues(t *testing.T) {
 	w := clusterWithInheritedRun(t, func(f *fakeWorker) {
 		f.running[task("a", 0)] = Running{Task: task("a", 0), Number: 1}
@@ -96,10 +91,8 @@
 	must.Eq(t, 0, w.started("w1"))
 }
 
-// What a user sees: a worker that crashed and came back blocks its tasks for the
-// time of a lease.
-// Order: a worker's next incarnation answers at its address.
-// Cause: that another incarnation answers is proof that the old one is over.
+// Failure: a worker that crashed and came back blocks its tasks until its lease expires,
+// although the answer of its next incarnation proves that the old one has ended.
 func TestTasksOfReplacedIncarnationRunAgainAtOnce(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	w.workers.add("w2")
@@ -110,10 +103,9 @@
 	must.Less(t, 400*time.Millisecond, time.Since(start), must.Sprint("a lease is 400 ms"))
 }
 
-// What a user sees: a cancelled job's task runs on.
-// Order: a second run of a task is under way on a worker that lists the end of
-// the first one late; the job is cancelled.
-// Cause: the late end made the leader forget the order of the second run.
+// Failure: the task of a cancelled job keeps running. A worker lists the end of the first
+// run late, while it executes the second one, and the leader drops the order of the second
+// run because of that end.
 func TestLateEndOfEarlierRunKeepsOrderOfNextRun(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	w.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeFailed) })
@@ -133,8 +125,8 @@
 	})
 }
 
-// Guards against a task that waits for a held look though its run is known never to begin:
-// the stop was acknowledged just before the look was sent.
+// Failure: a task waits for the end of a held poll although its run is known never to
+// start. The stop was acknowledged just before the poll was sent.
 func TestPollThatSettlesStopIsNotHeld(t *testing.T) {
 	now := time.Now()
 	s := &workerSession{t: &leaderTerm{c: &Controller{}}, orders: map[workflow.TaskKey]*runOrder{}}
@@ -146,11 +138,11 @@
 	must.Eq(t, 0, hold)
 	o.listed = true
 	hold, _ = s.pollTimes(now)
-	must.Eq(t, pollHold, hold, must.Sprint("the end of a run that was listed ends the wait"))
+	must.Eq(t, pollHold, hold, must.Sprint("the end of a reported run ends the hold"))
 }
 
-// clusterWithInheritedRun is a leader that finds the run of a task committed by another
-// one on worker w1.
+// clusterWithInheritedRun is a leader that finds a run in the log, on worker w1, that
+// another leader committed.
 func clusterWithInheritedRun(t *testing.T, prepare func(*fakeWorker)) *testCluster {
 	return newTestCluster(t, func(w *testCluster) {
 		w1 := worker("w1")
@@ -163,10 +155,9 @@
 	})
 }
 
-// What a user sees: a task runs twice after a change of leader.
-// Order: the next leader's look lists nothing; the old leader's order arrives
-// after it.
-// Cause: the look didn't carry the fence that bars the old order.
+// Failure: a task runs twice after a change of leader. The new leader's poll doesn't carry
+// the fence that blocks old orders, the report shows no run, and the old leader's start
+// arrives afterwards.
 func TestPollCarriesFence(t *testing.T) {
 	w := clusterWithInheritedRun(t, func(f *fakeWorker) { f.delayStarts = true })
 	w.eventually("the run is settled", func() bool {
@@ -180,20 +171,18 @@
 	})
 }
 
-// What a user sees: a task runs twice.
-// Order: a worker has more ends to list than one answer holds; a run's end is
-// among those not listed yet.
-// Cause: a run that isn't in a partial list was taken for never begun.
+// Failure: a task runs twice. A worker has more ends to list than one answer holds, and the
+// leader takes a run that is missing in a partial report for never started.
 func TestPartialReportSettlesNoRun(t *testing.T) {
 	w := clusterWithInheritedRun(t, func(f *fakeWorker) { f.partial = true })
 	time.Sleep(100 * time.Millisecond)
 	must.Eq(t, 0, w.started("w1"))
 	w.withWorker("w1", func(f *fakeWorker) { f.partial = false })
-	w.eventually("a whole list settles it", func() bool { return w.started("w1") == 1 })
+	w.eventually("a complete report settles it", func() bool { return w.started("w1") == 1 })
 }
 
-// settledRuns returns the runs that a report without lists settles, for an order
-// in the state that change gives it, with a look sent at sent.
+// settledRuns returns how many runs an empty report settles. change sets the state of the
+// run's order; sent is when the poll was sent.
 func settledRuns(t *testing.T, sent time.Time, change func(*runOrder)) int {
 	w := clusterWithStartedTask(t)
 	term, err := w.c.currentLeaderTerm(context.Background())
@@ -207,10 +196,8 @@
 	return len(s.neverStarted(Report{}, nil, sent))
 }
 
-// What a user sees: a task runs twice.
-// Order: a look is under way; a stop is acknowledged; the look's answer, made up
-// before the stop, comes in.
-// Cause: lists older than the acknowledgement were taken for proof.
+// Failure: a task runs twice. A stop is acknowledged while a poll is in flight, and the
+// report, which was made before the stop, counts as proof that the run never starts.
 func TestOnlyPollSentAfterStopSettlesRun(t *testing.T) {
 	now := time.Now()
 	stopped := func(o *runOrder) { o.stopAcked = now }
@@ -219,10 +206,8 @@
 	must.Eq(t, 0, settledRuns(t, now, func(*runOrder) {}), must.Sprint("an order without a stop"))
 }
 
-// What a user sees: a task runs twice.
-// Order: a start gets no answer, is sent again and refused; the first one is
-// carried out later.
-// Cause: the refusal was taken to settle both calls.
+// Failure: a task runs twice. A start gets no answer, its second attempt is refused, the
+// refusal settles both calls, and the first one is carried out later.
 func TestRefusalSettlesNothingWhileEarlierCallIsOpen(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	term, err := w.c.currentLeaderTerm(context.Background())
@@ -236,10 +221,9 @@
 	must.Eq(t, 1, runs)
 }
 
-// What a user sees: urgent jobs are late though their tasks ran in time.
-// Order: calls of workers get lost, one in some; a worker answers a start while its
-// look, sent before, gets no answer; a run ends on it.
-// Cause: the look was held for 1.5 s and given up after 2 s, and nobody saw the end.
+// Failure: urgent jobs end late although their tasks ran in time. Some calls are lost: a
+// worker answers a start, but the answer to a poll sent earlier is lost. The leader doesn't
+// see the end of a run meanwhile if polls are held for 1.5 s and time out after 2 s.
 func TestPollHoldIsShorterWhileCallsAreLost(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	term, err := w.c.currentLeaderTerm(context.Background())
@@ -252,7 +236,7 @@
 	must.Eq(t, pollHold, hold)
 	must.Eq(t, callTimeout, slack)
 	s.recordLostCall(now.Add(time.Second), now)
-	must.False(t, term.losingCalls(now), must.Sprint("a worker that is cut off answers nothing"))
+	must.False(t, term.losingCalls(now), must.Sprint("an unreachable worker answers no call, so none counts as lost"))
 	s.answeredAt = now
 	s.recordLostCall(now.Add(-time.Second), now)
 	hold, slack = s.pollTimes(now)
@@ -262,7 +246,7 @@
 		term.sessions[fmt.Sprint("other", i)] = s
 	}
 	hold, _ = s.pollTimes(now)
-	must.Eq(t, 201*time.Second/maxLossyPolls, hold, must.Sprint("no more looks a second than the leader can take"))
+	must.Eq(t, 201*time.Second/maxLossyPolls, hold, must.Sprint("the leader sends no more polls a second than it can handle"))
 	hold, _ = s.pollTimes(now.Add(lossWindow))
 	must.Eq(t, pollHold, hold)
 	for i := range 200 {
@@ -270,9 +254,8 @@
 	}
 }
 
-// What a user sees: a leader with much to do serves less and less.
-// Order: answers take 0.2 s because the leader reads them late; each is taken for lost.
-// Cause: what counts as overdue didn't follow from how long answers take.
+// Failure: an overloaded leader slows down further. It reads answers 0.2 s late and takes
+// each for lost, if the overdue time doesn't grow with the answer time.
 func TestOverdueTimeFollowsAnswerTime(t *testing.T) {
 	term := &leaderTerm{}
 	must.Eq(t, minOverdueTime, term.overdueAfter())
@@ -290,8 +273,8 @@
 	must.Eq(t, callTimeout/2, term.overdueAfter())
 }
 
-// Guards against a task that never runs again: a start is sent again beside one that is
-// overdue, and the worker refuses both.
+// Failure: a task never runs again. An overdue start is sent a second time concurrently,
+// and the worker refuses both.
 func TestConcurrentlyRefusedStartsSettleRun(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1").slowRefusals = 2
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -10,38 +10,45 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// worthlessAfterObjectives times its objective after acceptance a job is worth nothing more.
+// worthlessAfterObjectives is the age, as a multiple of its objective, from which on a job
+// has no value any more.
 const worthlessAfterObjectives = 3
 
-// view is what a decision needs. Everything in it is a copy.
+// planInput is the input of a decision. It is a copy, so that the decision runs without the
+// lock.
 type planInput struct {
 	steps   []dispatch.Step
 	workers []dispatch.Worker
 	stops   []pendingStop
-	// copies are the runs of which a copy is worth some idle room.
+	// copyCandidates are the runs for which a speculative copy on idle capacity is
+	// worthwhile.
 	copyCandidates map[workflow.TaskKey]copyCandidate
-	// placed counts the runs on each worker of the steps whose tasks are bounded.
+	// runsPerWorker counts the runs on each worker, for steps that limit their tasks per
+	// worker.
 	runsPerWorker map[workflow.StepKey]map[string]int
 }
 
 const (
-	// extraStepCapacity is how many steps more than at the last decision are allowed for.
+	// extraStepCapacity is how many more steps than at the last decision the list is
+	// allocated for.
 	extraStepCapacity = 64
-	// runCheckInterval is the time between two looks for runs to stop or to copy. They
-	// take seconds to become so.
+	// runCheckInterval is the time between two checks of all runs for stops and copies. It
+	// takes a run seconds to need one.
 	runCheckInterval = 150 * time.Millisecond
-	// maxReleasesAge is how old the expected ends of a worker's runs may be while none
-	// begins or ends there. Expectations are off by half anyway, and counting them anew
-	// for thousands of runs is most of a decision.
+	// maxReleasesAge is the highest age of a worker's cached expected run ends while no run
+	// starts or ends there. The expected ends are off by half anyway, and recomputing them
+	// for thousands of runs takes most of the time of a decision.
 	maxReleasesAge = 400 * time.Millisecond
 )
 
+// gatherPlanInput collects the input of a full decision. Every runCheckInterval it also
+// checks all runs for stops and copies.
 func (t *leaderTerm) gatherPlanInput(now time.Time) planInput {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	// A whole decision goes into fresh jobs as well.
+	// A full decision covers the changed jobs as well.
 	t.takeChanged()
-	// The steps of the last decision are the best guess at how many there are now.
+	// The number of waiting steps at the last decision estimates the current number.
 	v := planInput{copyCandidates: map[workflow.TaskKey]copyCandidate{}, runsPerWorker: map[workflow.StepKey]map[string]int{}, steps: make([]dispatch.Step, 0, len(t.waiting)+extraStepCapacity)}
 	t.c.state.read(func(s *workflow.State) {
 		if now.Sub(t.runsCheckedAt) >= runCheckInterval {
@@ -59,7 +66,7 @@
 	return v
 }
 
-// checkRuns finds the runs that are to be stopped or worth a copy.
+// checkRuns finds the runs that are to be stopped and those worth a copy.
 func (t *leaderTerm) checkRuns(s *workflow.State, now time.Time, v *planInput) {
 	for id, runs := range s.Runs {
 		session := t.sessions[id]
@@ -74,7 +81,8 @@
 				}
 			} else if session.stopDue(run, cause, now) {
 				stop := pendingStop{session, run, cause}
-				// Noted at once: it counts for the runs that are looked at after it.
+				// Recorded at once, because it affects the runs that are checked after this
+				// one.
 				session.recordStop(stop, now)
 				v.stops = append(v.stops, stop)
 			}
@@ -82,9 +90,9 @@
 	}
 }
 
-// runsPerWorkerOf counts the runs of a step on each worker, those just proposed included;
-// nil for a step whose tasks aren't bounded. A step and the copies of its tasks share
-// the counts, so that a decision that starts both counts both. t.mu is held.
+// runsPerWorkerOf counts the runs of a step on each worker, including starts that are being
+// committed. It returns nil if the step doesn't limit its tasks per worker. The step and
+// the copies of its tasks share the counts, so that one decision counts both. t.mu is held.
 func (v *planInput) runsPerWorkerOf(t *leaderTerm, s *workflow.State, key workflow.StepKey, spec *workflow.Step) map[string]int {
 	if spec.MaxPerWorker == 0 {
 		return nil
@@ -103,6 +111,8 @@
 	return counts
 }
 
+// gatherWorkers returns the workers that may get tasks, sorted by ID, with their free
+// capacity. t.mu is held.
 func (t *leaderTerm) gatherWorkers(s *workflow.State, now time.Time) []dispatch.Worker {
 	workers := make([]dispatch.Worker, 0, len(t.sessions))
 	proposed := map[string]workflow.Resources{}
@@ -113,7 +123,7 @@
 	}
 	suspects := t.suspectedDataCentres(now)
 	t.updateSuspected(suspects, now)
-	// In order, so that decisions about fresh jobs, which use them again, needn't sort.
+	// Sorted, so that decisions about changed jobs, which reuse the list, needn't sort it.
 	for _, id := range slices.Sorted(maps.Keys(t.sessions)) {
 		session, state := t.sessions[id], s.Workers[id]
 		if state == nil || state.Gone || session.unschedulableReason(now, suspects, len(s.Runs[id])) != "" {
@@ -130,10 +140,10 @@
 	return workers
 }
 
-// row is what decisions need to know of the runs on a worker. It is replaced,
-// never changed: decisions read it without the lock.
+// runSummary is what decisions need of the runs on a worker. A summary is replaced, never
+// changed, because decisions read it without the lock.
 type runSummary struct {
-	// changes is the state's number for the runs that the row is about.
+	// changes is the state's version of the worker's runs when the summary was made.
 	changes   uint64
 	at        time.Time
 	releases  []dispatch.Release
@@ -141,7 +151,8 @@
 	spareRuns int
 }
 
-// row returns what is known of the runs on a worker. t.mu is held.
+// summarizeRuns returns the summary of the runs on a worker, cached if it is recent. t.mu
+// is held.
 func (t *leaderTerm) summarizeRuns(s *workflow.State, session *workerSession, changes uint64, now time.Time) runSummary {
 	if cached := session.runSummary; cached.changes == changes && now.Sub(cached.at) < maxReleasesAge {
 		return cached
@@ -164,11 +175,12 @@
 	return summary
 }
 
-// unpreemptibleRun is the run of a task from which on it isn't stopped for others any
-// more, so that it ends some time.
+// unpreemptibleRun is the run number from which on a task isn't preempted any more, so that
+// it ends eventually.
 const unpreemptibleRun = 4
 
-// release is what a decision needs to know of a run. t.mu is held.
+// runRelease returns when a run is expected to release its capacity, and whether it can be
+// preempted. t.mu is held.
 func (t *leaderTerm) runRelease(session *workerSession, job *workflow.Job, run workflow.Run, now time.Time) dispatch.Release {
 	spec := &job.Steps[run.Task.Step]
 	r := dispatch.Release{
@@ -186,12 +198,13 @@
 	return r
 }
 
-// minProgressPercent is the share of a run, in percent, from which on its progress
-// tells its end better than the estimate of the job.
+// minProgressPercent is the reported progress from which on a run's end is extrapolated
+// from its progress instead of the job's estimate.
 const minProgressPercent = 10
 
-// expectedEnd estimates when a run ends: by its progress where the worker has
-// reported enough of it, else by the job's estimate. t.mu is held.
+// expectedEnd estimates when a run ends: from its progress if the worker has reported
+// enough of it, else from the job's estimate. A run whose start time isn't known counts as
+// half done. A run past its estimate is expected to take another tenth of it. t.mu is held.
 func (s *workerSession) expectedEnd(run workflow.Run, step *workflow.Step, now time.Time) time.Time {
 	estimate := time.Duration(step.EstimateMS) * time.Millisecond
 	o := s.orders[run.Task]
@@ -202,12 +215,13 @@
 		perPercent := float64(o.progressAt.Sub(o.firstAt)) / float64(done)
 		return o.progressAt.Add(max(time.Duration(perPercent*float64(completePercent-o.percent)), now.Sub(o.progressAt)))
 	}
-	// What a resumed run has done already counts from its first report on.
+	// The work that a resumed run did before counts from its first report on.
 	rest := estimate * time.Duration(completePercent-o.firstPercent) / completePercent
 	elapsed := now.Sub(o.startedAt)
 	return o.startedAt.Add(max(rest, elapsed+estimate/10))
 }
 
+// gatherSteps adds the ready steps of a job that have tasks to start. t.mu is held.
 func (t *leaderTerm) gatherSteps(v *planInput, s *workflow.State, job *workflow.Job, now time.Time) {
 	accepted, ok := t.acceptedAt[job.ID]
 	if !ok {
@@ -239,6 +253,9 @@
 	}
 }
 
+// dispatchStep describes a ready step for a decision. begin is the time from which the
+// job's objective counts. Lateness is 2 for a job that has no value any more, and 1 for one
+// that can't meet its objective any more. t.mu is held.
 func (t *leaderTerm) dispatchStep(job *workflow.Job, key workflow.StepKey, pending []int, begin time.Time,
 	objective time.Duration, now time.Time, placed map[string]int) dispatch.Step {
 	step := dispatch.Step{
@@ -267,16 +284,17 @@
 	return step
 }
 
-// minEstimateShare of its estimate a step takes at least: estimates are off by half.
+// minEstimateShare is the least share of its estimate that a step takes: estimates are off
+// by half.
 const minEstimateShare = 0.6
 
-// minRemainingTime is how long a step takes at least. A job that can't meet its
-// objective any more gives way to one that still can, where more work comes than fits.
+// minRemainingTime returns the least time that a step takes. Under overload, a job that
+// can't meet its objective any more yields to one that still can.
 func minRemainingTime(spec *workflow.Step) time.Duration {
 	return time.Duration(minEstimateShare * float64(spec.EstimateMS) * float64(time.Millisecond))
 }
 
-// pendingTasks returns the tasks that may be started; of a gang all or none.
+// pendingTasks returns the tasks of a step that may be started; for a gang all or none.
 // t.mu is held.
 func (t *leaderTerm) pendingTasks(key workflow.StepKey, spec *workflow.Step, state *workflow.StepState) []int {
 	if spec.Gang && (state.Live() > 0 || state.Done > 0) {
@@ -299,7 +317,8 @@
 	return pending
 }
 
-// suspectsAmong returns the pending tasks that workers have crashed under, nil for none.
+// suspectsAmong returns the pending tasks under which workers have crashed, nil if there
+// are none.
 func suspectsAmong(state *workflow.StepState, pending []int) map[int]bool {
 	var suspects map[int]bool
 	for _, index := range pending {
@@ -314,7 +333,8 @@
 	return suspects
 }
 
-// objectiveOf is how long after its acceptance a job should have ended.
+// objectiveOf returns the time after its acceptance within which a job should end: its
+// policy's stretch times the critical path of its steps, plus a constant.
 func objectiveOf(job *workflow.Job) time.Duration {
 	finish := make([]int64, len(job.Steps))
 	criticalPath := int64(0)
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -10,8 +10,8 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// What a user sees: a job runs and is shown as done.
-// Order: handed in, started on the one worker, ends there, taken in.
+// Failure: a job doesn't run to its end. It is submitted, started on the only worker, ends
+// there, and has to be reported as done.
 func TestJobRunsToItsEnd(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	w.withWorker("w1", func(f *fakeWorker) {
@@ -22,10 +22,8 @@
 	w.eventually("the job is done", func() bool { return w.phase("a") == workflow.PhaseDone })
 }
 
-// What a user sees: a worker is told to run a task without its payload.
-// Order: the start of a task is committed; the job is cancelled, which drops its
-// payload; then the order is made up.
-// Cause: an order was sent for a job that had ended meanwhile.
+// Failure: a worker is told to run a task without its payload. The job is cancelled, which
+// drops the payload, between the commit of the start and the creation of the order.
 func TestNoStartIsSentForJobCancelledDuringCommit(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -48,9 +46,8 @@
 	must.Eq(t, 0, w.started("w1"))
 }
 
-// What a user sees: an urgent task is late though its worker is idle.
-// Order: a start gets lost on its way; the next one would be carried out at once.
-// Cause: the second call was made only when the first one was given up.
+// Failure: an urgent task is late although its worker is idle. Its start is lost, and the
+// second attempt waits for the timeout of the first.
 func TestOverdueStartIsSentAgainConcurrently(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1").hangingStarts = 1
@@ -67,11 +64,10 @@
 	w.c.state.read(func(s *workflow.State) { must.Eq(t, 1, s.Task(task("a", 0)).Runs) })
 }
 
-// What a user sees: tasks wait for the lease of a worker that was cut off before they
-// were sent to it.
-// Order: a step's tasks are given to one worker; it falls silent; the first starts get
-// no answer; the others haven't been sent; another worker is idle.
-// Cause: all were sent, whatever had become of the first.
+// Failure: tasks wait for the lease of a worker that became unreachable before their starts
+// were sent. A step's tasks are assigned to one worker, which doesn't answer the first
+// starts. If the remaining starts are sent all the same, their tasks can't move to an idle
+// worker.
 func TestStartsQueuedBehindOverdueStartMoveElsewhere(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1").hangingStarts = 1000
@@ -86,12 +82,12 @@
 	step := oneTask
 	step.Count = maxConcurrentStarts + 4
 	w.submit("a", step)
-	w.eventually("the starts are under way", func() bool {
+	w.eventually("the first starts are in flight", func() bool {
 		hung := 0
 		w.withWorker("w1", func(f *fakeWorker) { hung = 1000 - f.hangingStarts })
 		return hung >= maxConcurrentStarts
 	})
 	w.workers.add("w2")
 	w.announce("w2")
-	w.eventually("what wasn't sent starts elsewhere", func() bool { return w.started("w2") >= 4 })
+	w.eventually("the unsent tasks start elsewhere", func() bool { return w.started("w2") >= 4 })
 }
--- a/internal/control/starts.go
+++ b/internal/control/starts.go
@@ -10,17 +10,17 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// maxConcurrentStarts is how many starts are under way to a worker at a time. A step with
-// many tasks is given to few workers; sent all at once, each start would take a new
-// connection of its own, which costs its caller more than the start.
+// maxConcurrentStarts is how many starts to one worker may be in flight. A step with many
+// tasks is assigned to few workers. If all were sent at once, each start would open its own
+// connection, which costs the caller more than the start itself.
 const maxConcurrentStarts = 3
 
-// sendStart sends a committed start until the worker has answered, and stops the
-// run when it doesn't.
+// sendStart sends a committed start until the worker has answered, and stops the run if it
+// doesn't answer.
 //
-// Failure guarded against: an order or its answer gets lost, and an urgent task
-// waits for the end of the call. The same run is sent again beside a call that
-// takes longer than a calm worker does; whichever arrives second changes nothing.
+// If a call or its answer is lost, an urgent task would wait for the timeout. The same run
+// is therefore sent again while an overdue call is still in flight; the one that arrives
+// second has no effect.
 func (s *workerSession) sendStart(o *runOrder, payload, checkpoint string) {
 	defer s.recordStartCallsEnded(o)
 	if !o.gang && s.t.c.heartbeats == nil {
@@ -33,12 +33,13 @@
 	s.settleStartAttempts(o, s.attemptStart(o, payload, checkpoint))
 }
 
-// attemptStart sends a start, and again where the first call is overdue or gets no answer. It
-// returns how the calls ended that tell what became of the order, the first one first.
+// attemptStart sends a start, and sends it again if the first call is overdue or gets no
+// answer. It returns the results of the calls that determine the outcome, the first call
+// first.
 //
-// Failure guarded against: the second call is sent beside the first, which the worker then
-// refuses. What the second one ends with must be waited for: it may have begun the run, and
-// if it is refused as well the run has to be settled here, since no list will ever show it.
+// The worker may refuse the first call while a concurrent second one is in flight. The
+// result of the second one must be awaited: it may have started the run, and if it is
+// refused too, the run has to be settled here, because no report will ever show it.
 func (s *workerSession) attemptStart(o *runOrder, payload, checkpoint string) []error {
 	second := make(chan error, 1)
 	var retry *time.Timer
@@ -59,28 +60,30 @@
 	return attempts
 }
 
-// recordStartCallsEnded takes in that no call of a start is under way any more, nor will be.
+// recordStartCallsEnded records that no call of a start is in flight any more, and that
+// none will be made.
 func (s *workerSession) recordStartCallsEnded(o *runOrder) {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
 	o.startInProgress, o.startCallsEndedAt = false, time.Now()
 }
 
+// overdueAfter is leaderTerm.overdueAfter for callers that don't hold t.mu.
 func (s *workerSession) overdueAfter() time.Duration {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
 	return s.t.overdueAfter()
 }
 
-// outcomeUnknown reports whether a call leaves open what the worker did.
+// outcomeUnknown reports whether a call error leaves open what the worker did.
 func outcomeUnknown(err error) bool {
 	var refused *RefusedError
 	return !errors.Is(err, ErrOtherIncarnation) && !errors.As(err, &refused)
 }
 
-// settleStartAttempts settles an order by how the calls of its start ended: one that succeeded has
-// begun the run, one without an answer may begin it later, so that a stop has to settle it,
-// and a refusal settles it only if no call was left open.
+// settleStartAttempts settles an order by the results of its calls. A success has started
+// the run. A call without an answer may start it later, so a stop has to settle it. A
+// refusal settles it only if no call is left open.
 func (s *workerSession) settleStartAttempts(o *runOrder, attempts []error) {
 	if slices.Contains(attempts, nil) {
 		return
@@ -111,19 +114,19 @@
 	}
 }
 
-// recordUnanswered takes in a call of a start that got no answer.
+// recordUnanswered records a call of a start that got no answer.
 func (s *workerSession) recordUnanswered(o *runOrder, try int, err error) {
 	s.t.mu.Lock()
 	o.unanswered = true
-	// Without it, a worker that takes no starts but answers looks would be
-	// given the same task again and again.
+	// Without this, a worker that answers polls but no starts would get the same task again
+	// and again.
 	s.failures++
 	s.t.mu.Unlock()
 	s.t.logger.Log("event", "start", "task", o.run.Task, "run", o.run.Number, "worker", s.worker.ID,
 		"outcome", "no answer", "try", try, "err", err)
 }
 
-// recordRefusal takes in a call of a start that was refused.
+// recordRefusal records a refused call of a start.
 func (s *workerSession) recordRefusal(o *runOrder, reason Refusal) {
 	t := s.t
 	t.c.cfg.Counters.Add("starts_refused_"+string(reason), 1)
@@ -137,9 +140,10 @@
 	t.invalidateTicket(o.run.Task.StepKey, s.worker.ID)
 }
 
-// acquireStartSlot waits until a start may be sent, and returns why it isn't worth it any
-// more: while others wait for answers that are overdue it would get none either. The
-// members of a gang don't wait here: those that have begun wait for the others.
+// acquireStartSlot waits until a start may be sent. It returns a cause, and no slot, if the
+// start is no longer worth sending, for example because another start to the worker is
+// overdue and this one would get no answer either. Gang members don't use slots, because
+// members that have started wait for the others.
 func (s *workerSession) acquireStartSlot(o *runOrder) (cause string) {
 	select {
 	case s.startSlots <- struct{}{}:
@@ -152,7 +156,7 @@
 	case s.hasOverdueOrder(time.Now()):
 		cause = string(reasonOverdueOrder)
 	case !s.t.taskPending(o.run):
-		cause = "the job has ended, or a copy is done"
+		cause = "the job has ended, or another run of the task is done"
 	default:
 		return ""
 	}
@@ -162,7 +166,7 @@
 
 func (s *workerSession) releaseStartSlot() { <-s.startSlots }
 
-// taskPending reports whether the run's task is still to be done. t.mu is held.
+// taskPending reports whether the run's task still has to be done. t.mu is held.
 func (t *leaderTerm) taskPending(run workflow.Run) (pending bool) {
 	t.c.state.read(func(s *workflow.State) {
 		job := s.Jobs[run.Task.Job]
@@ -171,10 +175,10 @@
 	return pending
 }
 
-// unsent settles a run whose start was never sent.
+// settleUnsentStart settles a run whose start was never sent.
 func (s *workerSession) settleUnsentStart(o *runOrder, cause string) {
 	if s.t.ctx.Err() != nil {
-		// The next leader settles it.
+		// The next leader settles the run.
 		return
 	}
 	s.t.logger.Log("event", "start", "task", o.run.Task, "run", o.run.Number, "worker", s.worker.ID,
@@ -182,8 +186,8 @@
 	s.commitEnds(0, []workflow.RunEnd{{Task: o.run.Task, Number: o.run.Number, Outcome: workflow.OutcomeNotStarted}})
 }
 
-// abandonUnlessListed lets a run be stopped whose start may be carried out later, unless
-// the worker has shown it as alive.
+// abandonUnlessListed gives up a start that may still be carried out later, so that its run
+// is stopped, unless a report has shown the run as alive.
 func (s *workerSession) abandonUnlessListed(o *runOrder) {
 	s.t.mu.Lock()
 	o.abandoned = !o.listed
@@ -191,6 +195,7 @@
 	s.t.wake()
 }
 
+// callStart makes one call of a start and records its result in the order.
 func (s *workerSession) callStart(o *runOrder, payload, checkpoint string) error {
 	t := s.t
 	t.mu.Lock()
@@ -229,7 +234,7 @@
 	}
 	t.startedJobs[o.run.Task.Job] = true
 	if o.usesSpare && s.throttle.serving {
-		// It begins at its whole share, and the next report may be far.
+		// The run starts with its full share, and the next report may be far off.
 		s.throttle.beginSpare(now)
 		s.applyShare(o)
 	}
--- a/internal/control/statemachine.go
+++ b/internal/control/statemachine.go
@@ -7,26 +7,27 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// StateMachine is the replicated state with the lock that lets readers in.
+// StateMachine is the replicated state, guarded by a lock.
 type StateMachine struct {
 	mu    sync.Mutex
 	state *workflow.State
-	// applied is called without the lock after each command; it must not block.
+	// applied is called after each command, without the lock held. It must not block.
 	applied func()
 }
 
-// NewStateMachine returns an empty state.
+// NewStateMachine returns a state machine with an empty state.
 func NewStateMachine() *StateMachine {
 	return &StateMachine{state: workflow.NewState(), applied: func() {}}
 }
 
-// Apply takes in one committed command.
+// Apply applies one committed command and returns its result. It panics if the command
+// can't be decoded.
 func (m *StateMachine) Apply(index uint64, data []byte) any {
 	command, err := workflow.Decode(data)
 	if err != nil {
-		// Every member applies the same bytes; one that goes on without them
-		// would differ from the others.
-		panic(fmt.Sprintf("control: entry %d can't be decoded: %v", index, err))
+		// Every member applies the same bytes. A member that skipped them would diverge
+		// from the others.
+		panic(fmt.Sprintf("control: log entry %d can't be decoded: %v", index, err))
 	}
 	m.mu.Lock()
 	result := m.state.Apply(index, &command)
@@ -36,21 +37,22 @@
 	return result
 }
 
-// setOnApply sets what is called after each command.
+// setOnApply sets the function that is called after each command.
 func (m *StateMachine) setOnApply(f func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.applied = f
 }
 
-// Snapshot encodes the state.
+// Snapshot returns the encoded state.
 func (m *StateMachine) Snapshot() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state.Snapshot()
 }
 
-// Restore replaces the state.
+// Restore replaces the state by the encoded one. The state is unchanged if data can't be
+// decoded.
 func (m *StateMachine) Restore(data []byte) error {
 	state, err := workflow.Restore(data)
 	if err != nil {
@@ -62,7 +64,7 @@
 	return nil
 }
 
-// read calls f with the state, which must not be changed or kept.
+// read calls f with the state, which f must neither change nor keep.
 func (m *StateMachine) read(f func(*workflow.State)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/control/stops.go
+++ b/internal/control/stops.go
@@ -7,34 +7,34 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// stopCause is why a run is stopped.
+// stopCause is why a run is stopped, as logged.
 type stopCause string
 
 const (
 	stopNone       stopCause = ""
 	stopJobEnded   stopCause = "the job has ended"
 	stopGangEnded  stopCause = "another member of the gang has ended"
-	stopCopyDone   stopCause = "a copy is done"
+	stopCopyDone   stopCause = "another run of the task is done"
 	stopMachine    stopCause = "the machine goes down"
 	stopLeaving    stopCause = "the worker leaves"
 	stopPaused     stopCause = "paused for long"
 	stopStalled    stopCause = "stands still"
 	stopUnanswered stopCause = "its start got no answer"
-	stopPreempted  stopCause = "gives way to more urgent work"
-	stopOrphaned   stopCause = "nothing would tell its end"
+	stopPreempted  stopCause = "preempted by more urgent work"
+	stopOrphaned   stopCause = "no pending event will report its end"
 )
 
-// stopping is a run that is to be stopped.
+// pendingStop is a run that is to be stopped.
 type pendingStop struct {
 	session *workerSession
 	run     workflow.Run
 	cause   stopCause
 }
 
-// stopCauseOf returns why a run serves nobody. t.mu is held.
+// stopCauseOf returns why a run is to be stopped, or stopNone if it isn't. t.mu is held.
 func (t *leaderTerm) stopCauseOf(s *workflow.State, run workflow.Run, session *workerSession, now time.Time) stopCause {
 	if t.isOrphaned(run, now) {
-		// Before all else: the other causes only hold for runs that have an owner.
+		// Checked first: the other causes assume that the run's end will be reported.
 		return stopOrphaned
 	}
 	job := s.Jobs[run.Task.Job]
@@ -69,8 +69,8 @@
 	return stopNone
 }
 
-// stopDue reports whether a stop of a run that is known to this tenure, or that nobody
-// else would settle, is to be sent now. t.mu is held.
+// stopDue reports whether a stop of the run is to be sent now. Without an order of this
+// leader term, that holds for orphaned and inherited runs only. t.mu is held.
 func (s *workerSession) stopDue(run workflow.Run, cause stopCause, now time.Time) bool {
 	o := s.orders[run.Task]
 	if o == nil || o.run.Number != run.Number {
@@ -79,9 +79,9 @@
 	return now.Sub(o.stopSent) >= stopRetryInterval
 }
 
-// recordStop notes that a stop is sent. A run that stands still sets its worker
-// back once: with nothing else running there it would be the first choice for
-// the same task. t.mu is held.
+// recordStop records that a stop is sent. The first stop of a stalled run counts as a
+// failure of its worker, because the worker, idle again, would otherwise be the first
+// choice for the same task. t.mu is held.
 func (s *workerSession) recordStop(stop pendingStop, now time.Time) {
 	o := s.orders[stop.run.Task]
 	if o == nil || o.run.Number != stop.run.Number {
@@ -102,7 +102,7 @@
 	s.runSummary = runSummary{}
 }
 
-// preempt stops the runs that a decision takes room from.
+// preempt stops the runs whose capacity a decision takes for more urgent work.
 func (t *leaderTerm) preempt(preempts []dispatch.Preemption, now time.Time) {
 	t.mu.Lock()
 	var stops []pendingStop
@@ -122,7 +122,7 @@
 	t.sendStops(stops)
 }
 
-// sendStops sends stops that have been noted.
+// sendStops sends stops that recordStop has recorded.
 func (t *leaderTerm) sendStops(stops []pendingStop) {
 	for _, stop := range stops {
 		t.spawn(func() { stop.session.sendStop(stop.run) })
