--- a/internal/control/stops_test.go
+++ b/internal/control/stops_test.go
@@ -10,11 +10,10 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// What a user sees: an urgent all-or-nothing job waits behind a batch job, or the
-// batch job begins again from nothing.
-// Order: a batch task with checkpoints fills the worker; a gang of a more urgent
-// queue comes; the stop's first answer is lost; both jobs end.
-// Cause: room was made by nobody, or a stop without an answer wasn't repeated.
+// Failure: an urgent gang waits behind a batch job, or the batch job restarts from nothing.
+// A batch task with checkpoints fills the worker when the gang arrives. It has to be
+// preempted, its stop has to be repeated after the first one is lost, and it has to resume
+// from its checkpoint after the gang has ended.
 func TestBatchTaskIsPreemptedByGangAndResumes(t *testing.T) {
 	w := newTestCluster(t, func(w *testCluster) {
 		w.commit(&workflow.Command{Configuration: &workflow.Document{Version: 2, Source: []byte("{}"), Queues: []workflow.Queue{
@@ -43,17 +42,16 @@
 	must.NoError(t, err)
 	start := time.Now()
 	w.eventually("the gang runs", func() bool { return w.started("w1") == 3 })
-	must.Less(t, stalledRunTimeout, time.Since(start), must.Sprint("not stopped for standing still"))
+	must.Less(t, stalledRunTimeout, time.Since(start), must.Sprint("preempted, not stopped as stalled"))
 	w.withWorker("w1", func(f *fakeWorker) {
 		f.finish(task("g", 0), workflow.OutcomeDone)
 		f.finish(task("g", 1), workflow.OutcomeDone)
 	})
-	w.eventually("the batch task goes on", func() bool { return w.started("w1") == 4 })
+	w.eventually("the batch task resumes", func() bool { return w.started("w1") == 4 })
 	w.withWorker("w1", func(f *fakeWorker) { must.Eq(t, "half", f.starts[3].Checkpoint) })
 }
 
-// What a user sees: a job that was cancelled goes on taking room.
-// Order: cancelled while its task runs.
+// Failure: the run of a cancelled job keeps using capacity.
 func TestRunsOfCancelledJobAreStopped(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	_, err := w.c.Cancel(context.Background(), &CancelCall{Address: JobAddress{Host: "h", Path: "/q/a"}})
@@ -68,9 +66,8 @@
 	must.Eq(t, workflow.PhaseCancelled, w.phase("a"))
 }
 
-// What a user sees: a gang's members wait for one that never comes.
-// Order: a gang starts on two workers; one of them refuses its member.
-// Cause: the others' runs serve nobody once one has ended.
+// Failure: members of a gang wait for one that never starts. The gang starts on two
+// workers, and one of them refuses its member. The other run has to be stopped.
 func TestGangMembersAreStoppedWhenOneEnds(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -86,7 +83,7 @@
 		}
 	})
 	start := time.Now()
-	w.eventually("the run of the other is asked to stop", func() bool {
+	w.eventually("the other member's run is stopped", func() bool {
 		stopped := 0
 		w.withWorker("w2", func(f *fakeWorker) { stopped = len(f.stopped) })
 		return stopped == 1
@@ -94,10 +91,10 @@
 	must.Less(t, time.Second, time.Since(start))
 }
 
-// What a user sees: a batch job begins again from nothing when its worker leaves.
-// Order: a task with checkpoints runs on a worker that drains and may go in a
-// moment; its end is far off; one without checkpoints runs beside it.
-// Cause: nobody asked the task to save before the worker went.
+// Failure: a batch job restarts from nothing when its worker shuts down. A task with
+// checkpoints, whose end is far off, runs on a draining worker that may soon go. It has to
+// be stopped in time so that it saves its state, while the task without checkpoints beside
+// it runs on.
 func TestCheckpointingTaskIsStoppedBeforeWorkerLeaves(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
--- a/internal/control/suspend.go
+++ b/internal/control/suspend.go
@@ -6,12 +6,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// suspendTolerance is by how much the two clocks may seem to differ because they
-// aren't read at the same moment.
+// suspendTolerance is how much the two clocks may seem to differ because they aren't read
+// at the same moment.
 const suspendTolerance = 100 * time.Millisecond
 
-// suspendedTime returns how long the machine has been suspended since it started:
-// one of the two steady clocks counts that time and the other doesn't.
+// suspendedTime returns how long the machine has been suspended since it booted:
+// CLOCK_BOOTTIME counts that time and CLOCK_MONOTONIC doesn't.
 func suspendedTime() (time.Duration, error) {
 	var boot, steady unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
@@ -23,16 +23,17 @@
 	return time.Duration(boot.Nano() - steady.Nano()), nil
 }
 
-// suspended reports whether the machine was suspended during this tenure.
+// wasSuspended reports whether the machine was suspended during this leader term.
 //
-// Failure guarded against: the machine of a leader is suspended for seconds. Its
-// steady clock doesn't count them, so it takes its right to decide for valid
-// still, while another leader has taken over, and prolongs the lease of a worker
-// that the other one can't reach and waits for.
+// The monotonic clock doesn't count a suspension. After a suspension of some seconds, a
+// leader still takes its right to decide for valid although another leader has taken over.
+// It would then extend the lease of a worker that the new leader can't reach and whose
+// lease it waits for.
 func (t *leaderTerm) wasSuspended() bool {
 	slept, err := t.suspendedTime()
 	if err != nil {
-		// Without the clock nothing shows a suspension; the log ends the tenure then.
+		// Without this clock a suspension isn't detected. The log still ends the leader
+		// term when it learns of the new leader.
 		return false
 	}
 	return slept-t.suspendedBefore > suspendTolerance
--- a/internal/control/unreported_runs_test.go
+++ b/internal/control/unreported_runs_test.go
@@ -10,15 +10,15 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// currentTerm returns the tenure of a world's leader.
+// currentTerm returns the leader term of the cluster.
 func (w *testCluster) currentTerm() *leaderTerm {
 	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(w.t, err)
 	return term
 }
 
-// Guards against a task that never runs again: its start is answered as by another
-// incarnation, and the worker's lists go on as before.
+// Failure: a task never runs again. Its start is answered as by another incarnation, and
+// the worker's reports continue as before.
 func TestMisdirectedStartIsSettled(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1").misdirected = 1
@@ -27,16 +27,16 @@
 	w.eventually("the task runs", func() bool { return w.started("w1") == 1 })
 }
 
-// Guards against a task that never runs again: its run began and is in none of the
-// worker's lists, neither alive nor ended.
+// Failure: a task never runs again. Its run started, and then appears in no report of the
+// worker, neither as alive nor as ended.
 func TestRunMissingFromReportsIsSettled(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	w.withWorker("w1", func(f *fakeWorker) { clear(f.running) })
 	w.eventually("the task runs again", func() bool { return w.started("w1") == 2 })
 }
 
-// Guards against a task that never runs again: its start was committed when its worker
-// had just been given up, and the commit of that end fails.
+// Failure: a task never runs again. Its start is committed just after the leader stopped
+// monitoring its worker, and the commit of that end fails.
 func TestRunOnUnmonitoredWorkerIsSettled(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -64,8 +64,8 @@
 	w.eventually("the task runs elsewhere", func() bool { return w.started("w2") == 1 })
 }
 
-// Guards against a task that never runs again after a change of leader: the end of its
-// first run is in a list that isn't whole, and the second one never began.
+// Failure: a task never runs again after a change of leader. The end of its first run is in
+// a partial report, and the second run never started.
 func TestLateEndKeepsLaterInheritedRun(t *testing.T) {
 	w := newTestCluster(t, func(w *testCluster) {
 		w1 := worker("w1")
@@ -82,7 +82,7 @@
 		f.finish(task("a", 0), workflow.OutcomeLeaseExpired)
 		f.partial = true
 	})
-	w.eventually("the end is taken in", func() bool {
+	w.eventually("the end is recorded", func() bool {
 		seen := uint64(0)
 		w.c.state.read(func(s *workflow.State) { seen = s.Workers["w1"].LastEnd })
 		return seen == 1
@@ -91,8 +91,8 @@
 	w.eventually("the task runs again", func() bool { return w.started("w1") == 1 })
 }
 
-// clusterWithUnmonitoredWorker is a leader in whose log the task of job a runs on worker w1, which it
-// doesn't look after.
+// clusterWithUnmonitoredWorker is a leader whose log has the run of job a's task on worker
+// w1, which the leader doesn't monitor.
 func clusterWithUnmonitoredWorker(t *testing.T) *testCluster {
 	w := newTestCluster(t, nil)
 	w1 := worker("w1")
@@ -103,11 +103,11 @@
 	return w
 }
 
-// Guards against a run whose end nobody sees: its worker is in order and nobody looks after
-// it.
+// Failure: the end of a run is never seen. Its worker is healthy and the leader doesn't
+// monitor it.
 func TestUnmonitoredWorkerWithRunsIsMonitoredAgain(t *testing.T) {
 	w := clusterWithUnmonitoredWorker(t)
-	w.eventually("the worker is looked after", func() bool { return w.currentTerm().monitors("w1") })
+	w.eventually("the worker is monitored", func() bool { return w.currentTerm().monitors("w1") })
 	w.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
 	w.eventually("the job is done", func() bool {
 		phase, _ := w.c.phase("a", "q")
@@ -116,8 +116,8 @@
 	must.Eq(t, 0, w.started("w1"))
 }
 
-// Guards against a task that never runs again: its worker is out of reach and nobody looks
-// after it.
+// Failure: a task never runs again. Its worker is unreachable and the leader doesn't
+// monitor it.
 func TestRunsOnUnreachableUnmonitoredWorkerAreLost(t *testing.T) {
 	w := clusterWithUnmonitoredWorker(t)
 	w.withWorker("w1", func(f *fakeWorker) { f.answersLost = true })
@@ -126,7 +126,7 @@
 	w.eventually("the task runs elsewhere", func() bool { return w.started("w2") == 1 })
 }
 
-// Guards against a gang that never runs again: nothing would tell the end of one member's
+// Failure: a gang never runs again. No pending event will report the end of one member's
 // run, and another member has ended.
 func TestOrphanedGangRunIsSettledAfterAnotherMemberEnded(t *testing.T) {
 	w := newTestCluster(t, nil)
@@ -156,7 +156,7 @@
 	return term.sessions[id].ready
 }
 
-// applyTogether commits commands with no decision between them.
+// applyTogether commits commands without a decision between them.
 func (w *testCluster) applyTogether(commands ...*workflow.Command) {
 	w.log.mu.Lock()
 	defer w.log.mu.Unlock()
