--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -122,21 +122,21 @@
 
 // runLeaderTerm runs one leader term and returns when this member stops leading.
 func (c *Controller) runLeaderTerm(ctx context.Context, term uint64) {
-	tenureCtx, end := context.WithCancel(ctx)
+	termCtx, end := context.WithCancel(ctx)
 	defer end()
-	if err := c.log.Barrier(tenureCtx); err != nil {
+	if err := c.log.Barrier(termCtx); err != nil {
 		_ = c.cfg.Logger.Log("event", "tenure", "outcome", "not begun", "term", term, "err", err)
 		wait.For(ctx, statusPollInterval)
 		return
 	}
 	if c.cfg.OnElected != nil {
-		c.cfg.OnElected(tenureCtx, term)
+		c.cfg.OnElected(termCtx, term)
 	}
-	t := newLeaderTerm(tenureCtx, end, c, term)
+	t := newLeaderTerm(termCtx, end, c, term)
 	workers := len(t.sessions)
 	c.setLeaderTerm(t)
 	_ = c.cfg.Logger.Log("event", "tenure", "outcome", "begun", "term", term, "workers", workers)
-	go c.endOnLeadershipLoss(tenureCtx, term, end)
+	go c.endOnLeadershipLoss(termCtx, term, end)
 	t.run()
 	c.setLeaderTerm(nil)
 	_ = c.cfg.Logger.Log("event", "tenure", "outcome", "ended", "term", term)
--- a/internal/control/crash_test.go
+++ b/internal/control/crash_test.go
@@ -95,8 +95,8 @@
 	must.False(t, s.onProbation())
 }
 
-// Failure: a long-running task is given up for crashes that it didn't cause, or a task that
-// does crash its workers isn't given up.
+// Failure: a job fails for crashes that its long-running task didn't cause, or a job whose
+// task does crash its workers doesn't fail.
 func TestCrashSuspicionOfRun(t *testing.T) {
 	now := time.Now()
 	run := workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}
--- a/internal/control/heartbeat_buffer.go
+++ b/internal/control/heartbeat_buffer.go
@@ -124,8 +124,8 @@
 	var known *workflow.Worker
 	t.c.state.read(func(state *workflow.State) {
 		if w := state.Workers[worker]; w != nil && !w.Gone {
-			copied := w.Worker
-			known = &copied
+			registered := w.Worker
+			known = &registered
 		}
 	})
 	if known != nil {
--- a/internal/control/heartbeat_transport.go
+++ b/internal/control/heartbeat_transport.go
@@ -60,8 +60,8 @@
 }
 
 // newHeartbeatTransport returns a transport that sends only throttle orders through direct.
-func newHeartbeatTransport(throttler Workers) *heartbeatTransport {
-	return &heartbeatTransport{direct: throttler, mailboxes: map[string]*mailbox{}}
+func newHeartbeatTransport(direct Workers) *heartbeatTransport {
+	return &heartbeatTransport{direct: direct, mailboxes: map[string]*mailbox{}}
 }
 
 // mailbox holds the undelivered orders for one worker and the worker's last report.
--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -141,8 +141,8 @@
 		checkpoints:           map[workflow.TaskKey]string{},
 		proposedStarts:        map[workflow.TaskKey]string{},
 	}
-	if slept, err := t.suspendedTime(); err == nil {
-		t.suspendedBefore = slept
+	if suspended, err := t.suspendedTime(); err == nil {
+		t.suspendedBefore = suspended
 	}
 	t.lease = leaseLength(c.cfg.Bounds)
 	t.machines, t.fleet = newMachines(), newPools()
--- a/internal/control/leader_term_test.go
+++ b/internal/control/leader_term_test.go
@@ -149,7 +149,7 @@
 func TestUnconfirmedWorkerGetsNoTask(t *testing.T) {
 	now := time.Now()
 	s := &workerSession{t: &leaderTerm{}, answeredAt: now}
-	must.Eq(t, reasonSilent, s.unschedulableReason(now, nil, 0))
+	must.Eq(t, reasonUnresponsive, s.unschedulableReason(now, nil, 0))
 	s.ready = true
 	must.Eq(t, "", s.unschedulableReason(now, nil, 0))
 }
--- a/internal/control/polls.go
+++ b/internal/control/polls.go
@@ -132,6 +132,6 @@
 // The time since the last answer alone isn't enough: a poll that is sent late, after a
 // report with ended runs, would make a healthy worker seem unreachable.
 func (s *workerSession) isUnresponsive(now time.Time) bool {
-	silent := now.Sub(s.answeredAt) > copySilenceTimeout && now.Sub(s.t.started) > copySilenceTimeout
-	return silent && now.After(s.pollDue)
+	noRecentAnswer := now.Sub(s.answeredAt) > copySilenceTimeout && now.Sub(s.t.started) > copySilenceTimeout
+	return noRecentAnswer && now.After(s.pollDue)
 }
--- a/internal/control/session.go
+++ b/internal/control/session.go
@@ -105,7 +105,7 @@
 
 // Reasons why a worker gets no new task.
 const (
-	reasonSilent                dispatch.Reason = "the worker hasn't answered lately"
+	reasonUnresponsive          dispatch.Reason = "the worker hasn't answered lately"
 	reasonLeaving               dispatch.Reason = "the worker leaves"
 	reasonCordoned              dispatch.Reason = "the worker's machine is to go down"
 	reasonOverdueOrder          dispatch.Reason = "an order to the worker has no answer"
@@ -123,7 +123,7 @@
 	case s.leaving || s.worker.Draining:
 		return reasonLeaving
 	case !s.ready || now.Sub(s.answeredAt) >= maxAnswerAge:
-		return reasonSilent
+		return reasonUnresponsive
 	case s.t.machines.isCordoned(s.worker.ID):
 		return reasonCordoned
 	case s.hasOverdueOrder(now):
@@ -194,9 +194,9 @@
 func (s *workerSession) takePollInterrupted() bool {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
-	hurried := s.pollInterrupted
+	interrupted := s.pollInterrupted
 	s.pollInterrupted = false
-	return hurried
+	return interrupted
 }
 
 // run polls the worker until the leader term or the incarnation ends.
@@ -298,9 +298,9 @@
 	if !noHeartbeat {
 		return false
 	}
-	if missing := s.unresolvedRuns(); len(missing) > 0 {
+	if unresolved := s.unresolvedRuns(); len(unresolved) > 0 {
 		t.commitWithRetry(&workflow.Command{Ends: &workflow.RunEnds{Worker: s.worker.ID, GivenUp: true}})
-		t.logEndedJobs(missing)
+		t.logEndedJobs(unresolved)
 	}
 	t.mu.Lock()
 	delete(t.sessions, s.worker.ID)
@@ -323,9 +323,9 @@
 	// runs count as lost.
 	s.settleWithSuccessor(cause, outcome)
 	s.loseRuns(cause, outcome, allRuns)
-	missing := s.unresolvedRuns()
+	unresolved := s.unresolvedRuns()
 	t.commitWithRetry(&workflow.Command{Gone: s.worker.ID, Crashed: crashed})
-	t.logEndedJobs(missing)
+	t.logEndedJobs(unresolved)
 	t.mu.Lock()
 	delete(t.sessions, s.worker.ID)
 	t.mu.Unlock()
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -131,10 +131,10 @@
 		}
 		used, changes := s.Used(id)
 		free := state.Capacity.Minus(used).Minus(proposed[id])
-		row := t.summarizeRuns(s, session, changes, now)
+		summary := t.summarizeRuns(s, session, changes, now)
 		workers = append(workers, dispatch.Worker{
-			Worker: state.Worker, Free: free, FreeBeforePlan: free, Releases: row.releases, Penalty: session.penalty(), Earmarked: t.earmarked[id],
-			Serving: row.serving, SpareRuns: row.spareRuns, SpareShare: session.throttle.share,
+			Worker: state.Worker, Free: free, FreeBeforePlan: free, Releases: summary.releases, Penalty: session.penalty(), Earmarked: t.earmarked[id],
+			Serving: summary.serving, SpareRuns: summary.spareRuns, SpareShare: session.throttle.share,
 		})
 	}
 	return workers
@@ -211,8 +211,8 @@
 	if o == nil || o.startedAt.IsZero() {
 		return now.Add(estimate / 2)
 	}
-	if done := o.percent - o.firstPercent; done >= minProgressPercent {
-		perPercent := float64(o.progressAt.Sub(o.firstAt)) / float64(done)
+	if progress := o.percent - o.firstPercent; progress >= minProgressPercent {
+		perPercent := float64(o.progressAt.Sub(o.firstAt)) / float64(progress)
 		return o.progressAt.Add(max(time.Duration(perPercent*float64(completePercent-o.percent)), now.Sub(o.progressAt)))
 	}
 	// The work that a resumed run did before counts from its first report on.
@@ -230,13 +230,13 @@
 	}
 	objective := objectiveOf(job)
 	for occurrence := range job.Occurrences {
-		begin := accepted
+		objectiveStart := accepted
 		if job.Schedule.Times > 0 {
 			if !job.Due(occurrence, now) {
 				continue
 			}
 			due := time.UnixMilli(job.Schedule.DueMS(occurrence))
-			begin = now.Add(-now.Round(0).Sub(due))
+			objectiveStart = now.Add(-now.Round(0).Sub(due))
 		}
 		for step := range job.Steps {
 			key := workflow.StepKey{Job: job.ID, Occurrence: occurrence, Step: step}
@@ -246,23 +246,23 @@
 				continue
 			}
 			placed := v.runsPerWorkerOf(t, s, key, &job.Steps[step])
-			ready := t.dispatchStep(job, key, pending, begin, objective, now, placed)
+			ready := t.dispatchStep(job, key, pending, objectiveStart, objective, now, placed)
 			ready.Suspects = suspectsAmong(state, pending)
 			v.steps = append(v.steps, ready)
 		}
 	}
 }
 
-// dispatchStep describes a ready step for a decision. begin is the time from which the
-// job's objective counts. Lateness is 2 for a job that has no value any more, and 1 for one
-// that can't meet its objective any more. t.mu is held.
-func (t *leaderTerm) dispatchStep(job *workflow.Job, key workflow.StepKey, pending []int, begin time.Time,
+// dispatchStep describes a ready step for a decision. The objective counts from
+// objectiveStart. Lateness is 2 for a job that has no value any more, and 1 for one that
+// can't meet its objective any more. t.mu is held.
+func (t *leaderTerm) dispatchStep(job *workflow.Job, key workflow.StepKey, pending []int, objectiveStart time.Time,
 	objective time.Duration, now time.Time, placed map[string]int) dispatch.Step {
 	step := dispatch.Step{
 		Key: key, Spec: &job.Steps[key.Step], Service: job.Policy.Service, Priority: job.Policy.Priority,
-		Due: begin.Add(objective).Sub(t.started), Pending: pending, Placed: placed,
+		Due: objectiveStart.Add(objective).Sub(t.started), Pending: pending, Placed: placed,
 	}
-	switch age := now.Sub(begin); {
+	switch age := now.Sub(objectiveStart); {
 	case age > worthlessAfterObjectives*objective:
 		step.Lateness = 2
 	case age+minRemainingTime(step.Spec) > objective && !t.disabled.Lateness:
--- a/internal/control/starts.go
+++ b/internal/control/starts.go
@@ -88,7 +88,7 @@
 	if slices.Contains(attempts, nil) {
 		return
 	}
-	var refusal *RefusedError
+	var lastRefusal *RefusedError
 	unanswered := false
 	for i, err := range attempts {
 		var refused *RefusedError
@@ -100,7 +100,7 @@
 			return
 		case errors.As(err, &refused):
 			s.recordRefusal(o, refused.Reason)
-			refusal = refused
+			lastRefusal = refused
 		default:
 			s.recordUnanswered(o, i+1, err)
 			unanswered = true
@@ -109,13 +109,13 @@
 	switch {
 	case unanswered:
 		s.abandonUnlessListed(o)
-	case refusal.Reason != RefusedStaleFence:
+	case lastRefusal.Reason != RefusedStaleFence:
 		s.commitEnds(0, []workflow.RunEnd{{Task: o.run.Task, Number: o.run.Number, Outcome: workflow.OutcomeNotStarted}})
 	}
 }
 
 // recordUnanswered records a call of a start that got no answer.
-func (s *workerSession) recordUnanswered(o *runOrder, try int, err error) {
+func (s *workerSession) recordUnanswered(o *runOrder, attempt int, err error) {
 	s.t.mu.Lock()
 	o.unanswered = true
 	// Without this, a worker that answers polls but no starts would get the same task again
@@ -123,7 +123,7 @@
 	s.failures++
 	s.t.mu.Unlock()
 	s.t.logger.Log("event", "start", "task", o.run.Task, "run", o.run.Number, "worker", s.worker.ID,
-		"outcome", "no answer", "try", try, "err", err)
+		"outcome", "no answer", "try", attempt, "err", err)
 }
 
 // recordRefusal records a refused call of a start.
--- a/internal/control/suspend.go
+++ b/internal/control/suspend.go
@@ -13,14 +13,14 @@
 // suspendedTime returns how long the machine has been suspended since it booted:
 // CLOCK_BOOTTIME counts that time and CLOCK_MONOTONIC doesn't.
 func suspendedTime() (time.Duration, error) {
-	var boot, steady unix.Timespec
+	var boot, monotonic unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
 		return 0, err
 	}
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady); err != nil {
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err != nil {
 		return 0, err
 	}
-	return time.Duration(boot.Nano() - steady.Nano()), nil
+	return time.Duration(boot.Nano() - monotonic.Nano()), nil
 }
 
 // wasSuspended reports whether the machine was suspended during this leader term.
@@ -30,11 +30,11 @@
 // It would then extend the lease of a worker that the new leader can't reach and whose
 // lease it waits for.
 func (t *leaderTerm) wasSuspended() bool {
-	slept, err := t.suspendedTime()
+	suspended, err := t.suspendedTime()
 	if err != nil {
 		// Without this clock a suspension isn't detected. The log still ends the leader
 		// term when it learns of the new leader.
 		return false
 	}
-	return slept-t.suspendedBefore > suspendTolerance
+	return suspended-t.suspendedBefore > suspendTolerance
 }
