--- /dev/null
+++ b/internal/control/incarnations.go
@@ -0,0 +1,245 @@
+package control
+
+import (
+	"slices"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"golang.org/x/sync/errgroup"
+
+	"github.com/bilberryferry/bilberryferry/internal/wait"
+	"github.com/bilberryferry/bilberryferry/workflow"
+)
+
+const (
+	// clockJumpTolerance is how far an answer's clock may differ from the expected value,
+	// beyond the drift: the one-way delay of a call and the scheduling delay of both
+	// processes.
+	clockJumpTolerance = 2 * time.Second
+	// leavingRevokedAfter is how long after an announced shutdown a heartbeat shows that
+	// the announcement came from another incarnation.
+	leavingRevokedAfter = 3 * time.Second
+	// supersededPollHold is the longest hold of a poll while runs of the worker's earlier
+	// incarnations aren't settled.
+	supersededPollHold = 50 * time.Millisecond
+	// successorCheckInterval is the pause between two checks whether the successor has
+	// reported.
+	successorCheckInterval = 20 * time.Millisecond
+)
+
+// latestIncarnation returns the incarnation that a call refers to: the given one if it is
+// known, else the latest one of the worker name.
+func (t *leaderTerm) latestIncarnation(incarnation, name string) string {
+	t.c.state.read(func(s *workflow.State) {
+		nameOnly := incarnation == name || s.Workers[incarnation] == nil
+		if newest := s.NewestIncarnation(name); nameOnly && newest != nil {
+			incarnation = newest.ID
+		}
+	})
+	return incarnation
+}
+
+// linkToSuccessor marks s as superseded if a later incarnation of its worker is known, and
+// hands its runs to the session of the latest one. t.mu is held, or t isn't shared yet.
+func (t *leaderTerm) linkToSuccessor(s *workerSession, state *workflow.State) {
+	if !state.Superseded(&s.worker) {
+		return
+	}
+	s.superseded = true
+	if latest := t.sessions[state.NewestIncarnation(s.worker.Name).ID]; latest != nil {
+		latest.takeOver(s)
+	}
+}
+
+// takeOverPredecessors makes the session of a worker's latest incarnation take over from
+// the sessions of all earlier ones. t.mu is held.
+func (t *leaderTerm) takeOverPredecessors(latest *workerSession) {
+	for _, s := range t.sessions {
+		if latest.worker.Supersedes(&s.worker) {
+			latest.takeOver(s)
+		}
+	}
+}
+
+// takeOver ends the session of an earlier incarnation of the worker; the reports of this
+// incarnation settle its runs. t.mu is held, or the leader term isn't shared yet.
+func (s *workerSession) takeOver(earlier *workerSession) {
+	earlier.superseded = true
+	s.predecessors = append(s.predecessors, earlier)
+	// This incarnation may carry out orders meant for the earlier one. Their lease ends
+	// refer to the earlier clock, so the worker shortens them to the longest lease that it
+	// accepts.
+	if end := time.Now().Add(leaseUpperBound(s.t.c.cfg.Bounds.MaxLease)); end.After(s.leaseEnd) {
+		s.leaseEnd = end
+	}
+	earlier.interruptPoll()
+}
+
+func (s *workerSession) isSuperseded() bool {
+	s.t.mu.Lock()
+	defer s.t.mu.Unlock()
+	return s.superseded
+}
+
+// revokeLeaving clears leaving if a worker keeps sending heartbeats after an announced
+// shutdown: the announcement came from an earlier incarnation. t.mu is held.
+func (s *workerSession) revokeLeaving(w *workflow.Worker) {
+	if s.worker.StartedAtMS > 0 && s.leaving && !w.Draining && time.Since(s.leavingSince) > leavingRevokedAfter && !s.t.machines.isCordoned(w.ID) {
+		s.leaving = false
+	}
+}
+
+// mayBeOtherIncarnation reports whether another incarnation of the worker may answer the
+// next call. t.mu is held.
+//
+// A poll acknowledges the listed ends by their highest position. A new incarnation that
+// received the position of its predecessor would never list its own first ends.
+func (s *workerSession) mayBeOtherIncarnation() bool {
+	return s.worker.StartedAtMS > 0 && (s.incarnationUnconfirmed || s.superseded)
+}
+
+// clockJumped reports whether a clock reading can't come from the incarnation that gave the
+// earlier readings. t.mu is held.
+func (s *workerSession) clockJumped(clockMS int64, now time.Time) bool {
+	if s.worker.StartedAtMS == 0 || clockMS <= 0 || s.clockAt.IsZero() {
+		return false
+	}
+	elapsed := now.Sub(s.clockAt)
+	deviation := time.Duration(clockMS-s.clockMS)*time.Millisecond - elapsed
+	return deviation.Abs() > clockJumpTolerance+time.Duration(float64(elapsed)*(driftFactor-1))
+}
+
+// settleWithSuccessor settles the runs that a later incarnation of the worker may have
+// started. It stops each run there, and accepts what the successor has reported by then.
+//
+// A start that got no answer before the worker crashed may reach the next incarnation
+// seconds later. That one has the same address and has seen no fence yet, and would run the
+// task a second time beside the run that was started elsewhere meanwhile.
+func (s *workerSession) settleWithSuccessor(cause string, outcome workflow.Outcome) {
+	if s.worker.StartedAtMS == 0 {
+		return
+	}
+	s.t.mu.Lock()
+	// A session that isn't ready accounts for its runs until they are settled.
+	s.ready = false
+	leaving := s.leaving
+	s.t.mu.Unlock()
+	if leaving {
+		return
+	}
+	s.loseRuns(cause, outcome, s.startConfirmed)
+	runs := s.liveRuns()
+	if len(runs) == 0 {
+		return
+	}
+	started := time.Now()
+	var stops errgroup.Group
+	stops.SetLimit(maxConcurrentStarts)
+	for _, run := range runs {
+		stops.Go(func() error { s.stopAtSuccessor(run, started.Add(silentWorkerTimeout)); return nil })
+	}
+	_ = stops.Wait()
+	listed := s.awaitSuccessorReport(started.Add(silentWorkerTimeout))
+	s.t.logger.Log("event", "next_life", "worker", s.worker.ID, "runs", len(runs), "listed", listed,
+		"ms", time.Since(started).Milliseconds())
+}
+
+// startConfirmed reports whether this incarnation has certainly started the run and no call
+// of its start is unanswered. t.mu is held.
+func (s *workerSession) startConfirmed(run workflow.Run) bool {
+	o := s.orders[run.Task]
+	return o != nil && o.run.Number == run.Number && o.openCalls == 0 && !o.startedAt.IsZero() && s.fullReportSentAt.After(o.startedAt)
+}
+
+// liveRuns returns the runs of the worker that may be alive.
+func (s *workerSession) liveRuns() (runs []workflow.Run) {
+	s.t.c.state.read(func(state *workflow.State) {
+		for _, run := range state.Runs[s.worker.ID] {
+			runs = append(runs, run)
+		}
+	})
+	return runs
+}
+
+// stopAtSuccessor sends stops for a run to the worker's address until one is answered or
+// the deadline has passed. After that no incarnation there starts the run.
+func (s *workerSession) stopAtSuccessor(run workflow.Run, deadline time.Time) {
+	for s.t.ctx.Err() == nil && time.Now().Before(deadline) {
+		_, err := s.callStop(run)
+		if err == nil || errors.Is(err, ErrOtherIncarnation) {
+			return
+		}
+		wait.For(s.t.ctx, retryInterval)
+	}
+}
+
+// awaitSuccessorReport waits for a complete report of the successor to a poll that is sent
+// from now on. It returns false if the deadline passes first.
+func (s *workerSession) awaitSuccessorReport(deadline time.Time) bool {
+	since := time.Now()
+	s.interruptSuccessorPoll()
+	for time.Now().Before(deadline) {
+		if s.successorReportedSince(since) {
+			return true
+		}
+		if !wait.For(s.t.ctx, successorCheckInterval) {
+			return false
+		}
+	}
+	return false
+}
+
+// interruptSuccessorPoll makes the successor be polled at once.
+func (s *workerSession) interruptSuccessorPoll() {
+	s.t.mu.Lock()
+	defer s.t.mu.Unlock()
+	if next := s.successor(); next != nil {
+		next.interruptPoll()
+	}
+}
+
+// successor returns the session that took over from this one, or nil. t.mu is held.
+func (s *workerSession) successor() *workerSession {
+	for _, next := range s.t.sessions {
+		if slices.Contains(next.predecessors, s) {
+			return next
+		}
+	}
+	return nil
+}
+
+// successorReportedSince reports whether the successor has answered a poll that was sent
+// after since with a complete report.
+func (s *workerSession) successorReportedSince(since time.Time) bool {
+	s.t.mu.Lock()
+	defer s.t.mu.Unlock()
+	next := s.successor()
+	return next != nil && next.fullReportSentAt.After(since)
+}
+
+// endPredecessorRuns commits the ends that this incarnation lists of runs that were
+// assigned to earlier ones.
+func (s *workerSession) endPredecessorRuns(listed []workflow.RunEnd) {
+	for _, earlier := range s.unsettledPredecessors() {
+		var ends []workflow.RunEnd
+		s.t.c.state.read(func(state *workflow.State) {
+			for _, end := range listed {
+				if run, ok := state.Runs[earlier.worker.ID][end.Task]; ok && run.Number == end.Number {
+					ends = append(ends, end)
+				}
+			}
+		})
+		if len(ends) > 0 {
+			earlier.commitEnds(0, ends)
+		}
+	}
+}
+
+// unsettledPredecessors returns the sessions of earlier incarnations that aren't over, and
+// drops the others.
+func (s *workerSession) unsettledPredecessors() []*workerSession {
+	s.t.mu.Lock()
+	defer s.t.mu.Unlock()
+	s.predecessors = slices.DeleteFunc(s.predecessors, func(e *workerSession) bool { return s.t.sessions[e.worker.ID] != e })
+	return slices.Clone(s.predecessors)
+}
--- /dev/null
+++ b/internal/control/polls.go
@@ -0,0 +1,137 @@
+package control
+
+import "time"
+
+const (
+	// lossWindow is how long poll holds stay shortened after a call was lost, that is, got
+	// no answer from a worker that answers other calls.
+	lossWindow = 5 * time.Second
+	// lossyPollHold is the hold of a poll during the loss window, lossyPollSlack the time
+	// allowed for its round trip. Together they bound how late the end of a run is noticed.
+	lossyPollHold  = 250 * time.Millisecond
+	lossyPollSlack = 200 * time.Millisecond
+	// maxLossyPolls bounds the polls per second to all workers during the loss window: each
+	// costs the leader some 0.3 ms.
+	maxLossyPolls = 200
+	// overdueFactor times the mean answer time makes an answer overdue. The same multiple
+	// of the answer delay is the pause between a report with ended runs and the next poll.
+	overdueFactor = 8
+	// answerTimeWeight is the weight of the latest sample in the moving mean of answer
+	// times.
+	answerTimeWeight = 0.05
+)
+
+// losingCalls reports whether a call to a reachable worker was lost within the loss window.
+// t.mu is held.
+//
+// If one call in twenty is lost, a poll held for 1.5 s hides the ends of its worker for 2 s
+// whenever its answer is lost. At four polls a second and worker, that would be two fifths
+// of the time.
+func (t *leaderTerm) losingCalls(now time.Time) bool {
+	return now.Sub(t.callLostAt) < lossWindow && !t.disabled.ShortLooks
+}
+
+// recordLostCall records that a call got no answer. The call counts as lost only if the
+// worker has answered another one since it was sent. t.mu is held.
+func (s *workerSession) recordLostCall(sent, now time.Time) {
+	s.incarnationUnconfirmed = true
+	if !s.answeredAt.After(sent) && !s.clockAt.After(sent) {
+		return
+	}
+	if !s.t.losingCalls(now) {
+		s.t.logger.Log("event", "calls_lost", "worker", s.worker.ID, "sent_ms_ago", now.Sub(sent).Milliseconds())
+	}
+	s.t.callLostAt = now
+}
+
+// pollTimes returns how long the worker may hold the next poll, and how much longer its
+// answer may take. t.mu is held.
+func (s *workerSession) pollTimes(now time.Time) (hold, slack time.Duration) {
+	hold, slack = pollHold, callTimeout
+	if s.t.losingCalls(now) {
+		minHold := time.Duration(len(s.t.sessions)) * time.Second / maxLossyPolls
+		hold = min(max(lossyPollHold, minHold), pollHold)
+		slack = s.t.scaledAnswerTime(lossyPollSlack, callTimeout)
+	}
+	if s.isStalled() {
+		hold = min(hold, stalledPollHold)
+	}
+	if s.throttle.active() {
+		hold = min(hold, throttledPollWait)
+	}
+	if s.pollSettlesStop() {
+		hold = 0
+	}
+	if len(s.predecessors) > 0 {
+		hold = min(hold, supersededPollHold)
+	}
+	return hold, slack
+}
+
+// pollSettlesStop reports whether the next report settles a stopped run: the worker
+// acknowledged the stop and has never reported the run, so no end of the run would end a
+// held poll. t.mu is held.
+func (s *workerSession) pollSettlesStop() bool {
+	for _, o := range s.orders {
+		if !o.stopAcked.IsZero() && !o.listed {
+			return true
+		}
+	}
+	return false
+}
+
+// maxPollPauseAfterEnds is the longest pause between a report with ended runs and the next
+// poll. About three runs a second end on one worker.
+const maxPollPauseAfterEnds = 300 * time.Millisecond
+
+// pauseAfterEnds returns the pause between a report with ended runs and the next poll. The
+// pause grows with the answer delay, so that more ends share a poll.
+//
+// An overloaded leader reads answers late. Half of its calls are polls, and each end that
+// it sees at once costs another decision and commit.
+func (s *workerSession) pauseAfterEnds() time.Duration {
+	s.t.mu.Lock()
+	defer s.t.mu.Unlock()
+	// minAnswerTime approximates the network round trip alone, which is longer if another
+	// instance relays the call.
+	delay := s.t.answerTime - s.t.minAnswerTime
+	return boundedMultiple(delay, pollPauseAfterEnds, maxPollPauseAfterEnds)
+}
+
+// scaledAnswerTime returns overdueFactor times the mean answer time, limited to least and
+// most. t.mu is held.
+func (t *leaderTerm) scaledAnswerTime(least, most time.Duration) time.Duration {
+	return boundedMultiple(t.answerTime, least, most)
+}
+
+// boundedMultiple returns overdueFactor times took, limited to least and most.
+func boundedMultiple(took, least, most time.Duration) time.Duration {
+	return min(max(least, overdueFactor*took), most)
+}
+
+// noteAnswerTime records how long a start took to be answered. t.mu is held.
+func (t *leaderTerm) noteAnswerTime(took time.Duration) {
+	t.answerTime += time.Duration(answerTimeWeight * float64(took-t.answerTime))
+	if t.minAnswerTime == 0 || took < t.minAnswerTime {
+		t.minAnswerTime = took
+	}
+}
+
+// overdueAfter returns how long an order may stay unanswered before it counts as overdue.
+// The time grows with the mean answer time. t.mu is held.
+//
+// An overloaded leader sees answers late. With a fixed time it would take them for lost,
+// send each order again and give the workers nothing, which would add to the load.
+func (t *leaderTerm) overdueAfter() time.Duration {
+	return t.scaledAnswerTime(minOverdueTime, callTimeout/2)
+}
+
+// isUnresponsive reports whether a poll has gone unanswered for longer than its hold
+// allows. t.mu is held.
+//
+// The time since the last answer alone isn't enough: a poll that is sent late, after a
+// report with ended runs, would make a healthy worker seem unreachable.
+func (s *workerSession) isUnresponsive(now time.Time) bool {
+	noRecentAnswer := now.Sub(s.answeredAt) > copySilenceTimeout && now.Sub(s.t.started) > copySilenceTimeout
+	return noRecentAnswer && now.After(s.pollDue)
+}
--- a/internal/control/report.go
+++ b/internal/control/report.go
@@ -9,20 +9,22 @@
 // stopRetryInterval is the time between two stops of the same run.
 const stopRetryInterval = 400 * time.Millisecond
 
-// applyReport works through a worker's lists. A run that is in the log and in
-// neither list is settled as never started when it can't start any more.
+// applyReport processes a worker's report. A run that is in the log, but neither alive nor
+// ended in the report, is settled as never started once it can't start any more. sent is
+// when the poll was sent.
 func (s *workerSession) applyReport(report Report, sent time.Time) {
 	t := s.t
 	now := time.Now()
 	t.mu.Lock()
 	first := !s.ready
 	s.ready = true
-	returned := first && len(s.possiblyCrashedRuns()) > 0
-	s.noteReport(report.ClockMS, now)
+	cameBack := first && len(s.unresolvedRuns()) > 0
+	s.recordReport(report.ClockMS, now)
 	ends, seen := s.listedEnds(report, now)
 	ends = append(ends, s.neverStarted(report, ends, sent)...)
-	strangers := s.noteRunning(report, sent, now)
-	// Together with the lists: a run that they end is accounted for at any moment.
+	unknown := s.recordRunning(report, sent, now)
+	// Marked while the report is applied, so that the runs are accounted for at every
+	// moment.
 	s.markKnownEnds(ends)
 	if !report.Partial {
 		s.fullReportSentAt = sent
@@ -33,11 +35,11 @@
 			"running", len(report.Running), "ended", len(report.Ended))
 	}
 	s.endPredecessorRuns(ends)
-	for _, run := range strangers {
+	for _, run := range unknown {
 		t.spawn(func() { s.stopUnknownRun(run) })
 	}
-	if returned {
-		// No other list of this tenure would say so.
+	if cameBack {
+		// Only this report shows that the worker has come back; no later one repeats it.
 		t.spawn(s.commitReturned)
 	}
 	if seen > 0 || len(ends) > 0 {
@@ -48,12 +50,14 @@
 	}
 }
 
-// noteReport takes in that this life of the worker has just answered a look. t.mu is held.
-func (s *workerSession) noteReport(clockMS int64, now time.Time) {
+// recordReport records that this incarnation of the worker has just answered a poll. t.mu
+// is held.
+func (s *workerSession) recordReport(clockMS int64, now time.Time) {
 	s.answeredAt, s.incarnationUnconfirmed = now, false
 	s.recordAnswer(now)
 	if clockMS > 0 {
-		// The lists are this life's, so their clock is, even if it seems to jump.
+		// The report identifies the incarnation, so its clock is valid even if it seems to
+		// jump.
 		s.clockMS, s.clockAt = clockMS, now
 	}
 }
@@ -66,8 +70,8 @@
 	}
 }
 
-// logEndedJobs logs the jobs that have ended with these runs: how long they took
-// against their objective.
+// logEndedJobs logs the jobs that ended with these runs, with their age and their
+// objective.
 func (t *leaderTerm) logEndedJobs(ends []workflow.RunEnd) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -87,29 +91,29 @@
 	})
 }
 
-// listedEnds returns the ends that are new. t.mu is held.
+// listedEnds returns the ends in a report and the highest of their positions. t.mu is held.
 func (s *workerSession) listedEnds(report Report, now time.Time) (ends []workflow.RunEnd, seen uint64) {
 	for _, e := range report.Ended {
 		seen = max(seen, e.Position)
 		ends = append(ends, e.RunEnd)
-		s.noteHealth(e.RunEnd, now)
+		s.recordHealth(e.RunEnd, now)
 	}
 	return ends, seen
 }
 
-// noteRunning takes in checkpoints of the runs that are alive, and returns those
-// that the log doesn't have. t.mu is held.
-func (s *workerSession) noteRunning(report Report, sent, now time.Time) []workflow.Run {
-	var strangers []workflow.Run
+// recordRunning records progress and checkpoints of the live runs in a report. It returns
+// the runs that the log doesn't have. t.mu is held.
+func (s *workerSession) recordRunning(report Report, sent, now time.Time) []workflow.Run {
+	var unknown []workflow.Run
 	advanced := false
 	s.t.c.state.read(func(state *workflow.State) {
 		for _, r := range report.Running {
 			run, ok := state.Runs[s.worker.ID][r.Task]
 			if !ok || run.Number != r.Number {
-				stranger := workflow.Run{Task: r.Task, Number: r.Number, Worker: s.worker.ID}
-				if now.Sub(s.unknownRuns[stranger]) > stopRetryInterval {
-					s.unknownRuns[stranger] = now
-					strangers = append(strangers, stranger)
+				unknownRun := workflow.Run{Task: r.Task, Number: r.Number, Worker: s.worker.ID}
+				if now.Sub(s.unknownRuns[unknownRun]) > stopRetryInterval {
+					s.unknownRuns[unknownRun] = now
+					unknown = append(unknown, unknownRun)
 				}
 				continue
 			}
@@ -119,8 +123,8 @@
 			}
 			o := s.orders[r.Task]
 			if job := state.Jobs[r.Task.Job]; o == nil && job != nil {
-				// What an earlier leader ordered, or a session before this one, is watched
-				// like an order of this one.
+				// Runs that an earlier leader or an earlier session ordered are monitored
+				// like orders of this session.
 				spec := &job.Steps[r.Task.Step]
 				o = &runOrder{run: run, usesSpare: spec.UsesSpare, longRunning: spec.LongRunning, share: unknownShare}
 				s.orders[r.Task] = o
@@ -128,24 +132,23 @@
 			if o != nil {
 				o.unanswered = false
 				o.listedByPollSentAt = sent
-				advanced = o.noteProgress(r.Percent, now) || advanced
+				advanced = o.recordProgress(r.Percent, now) || advanced
 			}
 		}
 		s.updateThrottle(state, report, now)
 	})
-	s.noteAdvance(report, advanced, now)
-	return strangers
+	s.recordAdvance(report, advanced, now)
+	return unknown
 }
 
-// neverStarted returns the runs that this report proves never to have begun and
-// never to begin. t.mu is held.
+// neverStarted returns the runs that this report proves never to have started and never to
+// start. t.mu is held.
 //
-// Failure guarded against: an order without an answer may be carried out seconds
-// later; taking its run for not begun would start the task twice. An inherited
-// run is settled because the worker has taken this tenure's fence before it
-// made the lists, and refuses the older order from then on. An own run is
-// settled when the worker had acknowledged a stop before the look was sent: it
-// refuses the run from then on.
+// A missing run alone proves nothing: an unanswered order may be carried out seconds later,
+// and a second start would run the task twice. An inherited run is settled because the
+// worker has accepted this leader's fence before it made the report, and refuses the older
+// order from then on. A run that this leader ordered is settled if the worker had
+// acknowledged a stop before the poll was sent, since it refuses the run from then on.
 func (s *workerSession) neverStarted(report Report, ends []workflow.RunEnd, sent time.Time) []workflow.RunEnd {
 	if report.Partial {
 		return nil
