--- a/examples/embedding/main.go
+++ b/examples/embedding/main.go
@@ -60,7 +60,7 @@
 	members := []replica.Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 	g := group{}
 	for _, m := range members {
-		core, err := replica.New(replica.Config{ID: m.ID, Incarnation: 1, Members: members}, replica.Stored{})
+		core, err := replica.New(replica.Config{ID: m.ID, Incarnation: 1, Members: members}, replica.StoredState{})
 		if err != nil {
 			panic(err)
 		}
--- a/hlc/hlc.go
+++ b/hlc/hlc.go
@@ -25,7 +25,7 @@
 var ErrMalformed = errors.New("malformed stamp")
 
 // Stamp is one reading of the clock. The zero Stamp is before all others.
-type Stamp struct {
+type Timestamp struct {
 	// Wall is in Unix milliseconds.
 	Wall int64 `cbor:"1,keyasint,omitempty"`
 	// Logical orders the stamps of one millisecond.
@@ -33,7 +33,7 @@
 }
 
 // Compare returns -1, 0 or +1 as s is before, equal to or after t.
-func (s Stamp) Compare(t Stamp) int {
+func (s Timestamp) Compare(t Timestamp) int {
 	if c := cmp.Compare(s.Wall, t.Wall); c != 0 {
 		return c
 	}
@@ -41,60 +41,60 @@
 }
 
 // IsZero says whether s is the zero Stamp.
-func (s Stamp) IsZero() bool {
-	return s == Stamp{}
+func (s Timestamp) IsZero() bool {
+	return s == Timestamp{}
 }
 
 // Time returns the wall part.
-func (s Stamp) Time() time.Time {
+func (s Timestamp) Time() time.Time {
 	return time.UnixMilli(s.Wall)
 }
 
 // String gives the milliseconds and the logical counter, as in
 // "1796236685000.0". Parse reads it back.
-func (s Stamp) String() string {
+func (s Timestamp) String() string {
 	return fmt.Sprintf("%d.%d", s.Wall, s.Logical)
 }
 
 // Parse reads the form that String writes. Its error wraps ErrMalformed.
-func Parse(text string) (Stamp, error) {
+func Parse(text string) (Timestamp, error) {
 	wall, logical, found := strings.Cut(text, ".")
 	if !found {
-		return Stamp{}, errors.Wrapf(ErrMalformed, "%q has no logical part", text)
+		return Timestamp{}, errors.Wrapf(ErrMalformed, "%q has no logical part", text)
 	}
 	w, err := strconv.ParseInt(wall, 10, 64)
 	if err != nil {
-		return Stamp{}, errors.Wrapf(ErrMalformed, "wall part of %q", text)
+		return Timestamp{}, errors.Wrapf(ErrMalformed, "wall part of %q", text)
 	}
 	l, err := strconv.ParseUint(logical, 10, 32)
 	if err != nil {
-		return Stamp{}, errors.Wrapf(ErrMalformed, "logical part of %q", text)
+		return Timestamp{}, errors.Wrapf(ErrMalformed, "logical part of %q", text)
 	}
-	return Stamp{Wall: w, Logical: uint32(l)}, nil
+	return Timestamp{Wall: w, Logical: uint32(l)}, nil
 }
 
 // next returns the smallest stamp after s.
-func (s Stamp) next() Stamp {
+func (s Timestamp) next() Timestamp {
 	if s.Logical == math.MaxUint32 {
-		return Stamp{Wall: s.Wall + 1}
+		return Timestamp{Wall: s.Wall + 1}
 	}
-	return Stamp{Wall: s.Wall, Logical: s.Logical + 1}
+	return Timestamp{Wall: s.Wall, Logical: s.Logical + 1}
 }
 
 // Clock makes stamps. Its zero value is ready; it may be used by several
 // goroutines at once.
 type Clock struct {
 	mu       sync.Mutex
-	last     Stamp
+	last     Timestamp
 	rejected uint64
 }
 
 // Now returns a stamp for a local event: after every stamp that the clock has
 // returned or taken over, and not before wall.
-func (c *Clock) Now(wall time.Time) Stamp {
+func (c *Clock) Now(wall time.Time) Timestamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.advance(Stamp{Wall: wall.UnixMilli()})
+	return c.advance(Timestamp{Wall: wall.UnixMilli()})
 }
 
 // Observe takes over the stamp of a received message and returns the stamp of
@@ -107,10 +107,10 @@
 // the receipt is then stamped as a local event and Rejected counts it. Since
 // each process compares with its own wall clock, stamps can't creep ahead by
 // being handed on either.
-func (c *Clock) Observe(remote Stamp, wall time.Time) Stamp {
+func (c *Clock) Observe(remote Timestamp, wall time.Time) Timestamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	local := Stamp{Wall: wall.UnixMilli()}
+	local := Timestamp{Wall: wall.UnixMilli()}
 	if remote.Wall > local.Wall+MaxAhead.Milliseconds() {
 		c.rejected++
 		return c.advance(local)
@@ -129,7 +129,7 @@
 }
 
 // advance moves the clock to local, or by one step where local is not ahead.
-func (c *Clock) advance(local Stamp) Stamp {
+func (c *Clock) advance(local Timestamp) Timestamp {
 	if local.Compare(c.last) > 0 {
 		c.last = local
 	} else {
--- a/hlc/hlc_test.go
+++ b/hlc/hlc_test.go
@@ -25,11 +25,11 @@
 // Messages between processes with skewed clocks: a receipt is always stamped
 // after the sending, the stamps of a process only grow, and none lies further
 // ahead of the process's own wall clock than the bound.
-func TestCauseBeforeEffect(t *testing.T) {
+func TestReceiptIsAfterSend(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		skew := rapid.SliceOfN(rapid.Int64Range(-30_000, 30_000), 2, 4).Draw(t, "skew")
 		clocks := make([]hlc.Clock, len(skew))
-		last := make([]hlc.Stamp, len(skew))
+		last := make([]hlc.Timestamp, len(skew))
 		now := int64(1_000_000)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += rapid.Int64Range(0, 5).Draw(t, "passed")
@@ -53,19 +53,19 @@
 
 // A wall clock that is set back, or a counter that is full, must not make
 // stamps go back.
-func TestNeverGoesBack(t *testing.T) {
+func TestTimestampsNeverGoBack(t *testing.T) {
 	var c hlc.Clock
 	first := c.Now(time.UnixMilli(5000))
 	second := c.Now(time.UnixMilli(4000))
-	must.Eq(t, hlc.Stamp{Wall: 5000, Logical: 1}, second)
+	must.Eq(t, hlc.Timestamp{Wall: 5000, Logical: 1}, second)
 	must.Eq(t, -1, first.Compare(second))
-	full := hlc.Stamp{Wall: 6000, Logical: math.MaxUint32}
-	must.Eq(t, hlc.Stamp{Wall: 6001}, c.Observe(full, time.UnixMilli(5500)))
+	full := hlc.Timestamp{Wall: 6000, Logical: math.MaxUint32}
+	must.Eq(t, hlc.Timestamp{Wall: 6001}, c.Observe(full, time.UnixMilli(5500)))
 }
 
 func TestParse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := hlc.Stamp{Wall: rapid.Int64().Draw(t, "wall"), Logical: rapid.Uint32().Draw(t, "logical")}
+		s := hlc.Timestamp{Wall: rapid.Int64().Draw(t, "wall"), Logical: rapid.Uint32().Draw(t, "logical")}
 		parsed, err := hlc.Parse(s.String())
 		must.NoError(t, err)
 		must.Eq(t, s, parsed)
@@ -76,12 +76,12 @@
 	}
 }
 
-func TestConcurrentStampsDiffer(t *testing.T) {
+func TestConcurrentTimestampsDiffer(t *testing.T) {
 	const goroutines, each = 4, 200
 	var c hlc.Clock
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	seen := map[hlc.Stamp]bool{}
+	seen := map[hlc.Timestamp]bool{}
 	for range goroutines {
 		group.Go(func() {
 			for range each {
--- a/internal/apiserver/apiserver.go
+++ b/internal/apiserver/apiserver.go
@@ -48,8 +48,8 @@
 func New(operations Operations, token string, logger log.Logger) http.Handler {
 	api := apiv1.NewWorkflowsServer(&server{operations: operations, logger: logger})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		shown := []byte(r.Header.Get("Authorization"))
-		if subtle.ConstantTimeCompare(shown, []byte("Bearer "+token)) != 1 {
+		presented := []byte(r.Header.Get("Authorization"))
+		if subtle.ConstantTimeCompare(presented, []byte("Bearer "+token)) != 1 {
 			w.WriteHeader(http.StatusUnauthorized)
 			return
 		}
@@ -61,14 +61,14 @@
 }
 
 // answer logs a refused call and turns its error into one of the schema's.
-func (s *server) answer(call, queue, id string, err error) error {
+func (s *server) toAPIError(call, queue, id string, err error) error {
 	if err != nil {
 		_ = s.logger.Log("event", "api_request", "call", call, "queue", queue, "job", id, "outcome", fault.KindOf(err), "err", err)
 	}
 	return fault.ToTwirp(err)
 }
 
-func place(queue, id string) control.JobAddress { return control.JobAddress{Queue: queue, ID: id} }
+func jobAddress(queue, id string) control.JobAddress { return control.JobAddress{Queue: queue, ID: id} }
 
 func checkRef(queue, id string) error {
 	switch {
@@ -82,22 +82,22 @@
 
 func (s *server) SubmitWorkflow(ctx context.Context, r *apiv1.SubmitWorkflowRequest) (*apiv1.SubmitWorkflowResponse, error) {
 	reply, err := s.submit(ctx, r)
-	return &apiv1.SubmitWorkflowResponse{Known: reply.Known}, s.answer("submit", r.GetQueue(), r.GetId(), err)
+	return &apiv1.SubmitWorkflowResponse{Known: reply.Known}, s.toAPIError("submit", r.GetQueue(), r.GetId(), err)
 }
 
 func (s *server) submit(ctx context.Context, r *apiv1.SubmitWorkflowRequest) (control.SubmitReply, error) {
 	if err := checkRef(r.GetQueue(), r.GetId()); err != nil {
 		return control.SubmitReply{}, err
 	}
-	call := &control.SubmitCall{Address: place(r.GetQueue(), r.GetId()), Payload: r.GetPayload(), Schedule: workflow.Schedule{
+	call := &control.SubmitCall{Address: jobAddress(r.GetQueue(), r.GetId()), Payload: r.GetPayload(), Schedule: workflow.Schedule{
 		FirstAtMS: r.GetRepeat().GetFirstUnixMs(), EveryMS: r.GetRepeat().GetEveryMs(), Times: int(r.GetRepeat().GetTimes()),
 	}}
 	for _, step := range r.GetSteps() {
 		call.Steps = append(call.Steps, stepFromAPI(step))
 	}
-	var wrong *workflow.CheckError
-	if errors.As(workflow.Check(call.Payload, call.Steps, call.Schedule), &wrong) {
-		return control.SubmitReply{}, fault.Field(string(wrong.Field), "%s", wrong.Message)
+	var invalid *workflow.CheckError
+	if errors.As(workflow.Check(call.Payload, call.Steps, call.Schedule), &invalid) {
+		return control.SubmitReply{}, fault.Field(string(invalid.Field), "%s", invalid.Message)
 	}
 	return s.operations.Submit(ctx, call)
 }
@@ -112,8 +112,8 @@
 		LongRunning: s.GetLongRunning(), Checkpointing: s.GetCheckpointing(), UsesSpare: s.GetSpareProcessors(),
 		MaxUnavailable: int(s.GetMaxUnavailable()), Image: s.GetImage(), LatencyObjectiveMS: s.GetLatencyObjectiveMs(),
 	}
-	for _, before := range s.GetAfter() {
-		step.DependsOn = append(step.DependsOn, int(before))
+	for _, dependency := range s.GetAfter() {
+		step.DependsOn = append(step.DependsOn, int(dependency))
 	}
 	return step
 }
@@ -121,41 +121,41 @@
 func (s *server) CancelWorkflow(ctx context.Context, r *apiv1.WorkflowRef) (*apiv1.CancelWorkflowResponse, error) {
 	err := checkRef(r.GetQueue(), r.GetId())
 	if err == nil {
-		err = s.operations.Cancel(ctx, &control.CancelCall{Address: place(r.GetQueue(), r.GetId())})
+		err = s.operations.Cancel(ctx, &control.CancelCall{Address: jobAddress(r.GetQueue(), r.GetId())})
 	}
-	return &apiv1.CancelWorkflowResponse{}, s.answer("cancel", r.GetQueue(), r.GetId(), err)
+	return &apiv1.CancelWorkflowResponse{}, s.toAPIError("cancel", r.GetQueue(), r.GetId(), err)
 }
 
 func (s *server) GetWorkflow(ctx context.Context, r *apiv1.WorkflowRef) (*apiv1.WorkflowStatus, error) {
 	reply, err := s.explain(ctx, r)
-	return statusToAPI(&reply), s.answer("get", r.GetQueue(), r.GetId(), err)
+	return statusToAPI(&reply), s.toAPIError("get", r.GetQueue(), r.GetId(), err)
 }
 
 func (s *server) ExplainWorkflow(ctx context.Context, r *apiv1.WorkflowRef) (*apiv1.ExplainWorkflowResponse, error) {
 	reply, err := s.explain(ctx, r)
-	return explanationToAPI(&reply), s.answer("explain", r.GetQueue(), r.GetId(), err)
+	return explanationToAPI(&reply), s.toAPIError("explain", r.GetQueue(), r.GetId(), err)
 }
 
 func (s *server) explain(ctx context.Context, r *apiv1.WorkflowRef) (control.ExplainReply, error) {
 	if err := checkRef(r.GetQueue(), r.GetId()); err != nil {
 		return control.ExplainReply{}, err
 	}
-	return s.operations.Explain(ctx, &control.ExplainCall{Address: place(r.GetQueue(), r.GetId())})
+	return s.operations.Explain(ctx, &control.ExplainCall{Address: jobAddress(r.GetQueue(), r.GetId())})
 }
 
 func statusToAPI(reply *control.ExplainReply) *apiv1.WorkflowStatus {
 	status := &apiv1.WorkflowStatus{Queue: reply.Queue, Id: reply.ID, Phase: reply.Phase.String()}
 	for _, step := range reply.Steps {
-		shown := &apiv1.StepStatus{
+		stepStatus := &apiv1.StepStatus{
 			Occurrence: int32(step.Key.Occurrence), Step: int32(step.Key.Step), Tasks: int32(step.Tasks),
 			Done: int32(step.Done), Running: int32(step.Running), Failures: int32(step.Failures),
 		}
 		for _, crashes := range step.Crashes {
-			shown.Crashes = append(shown.Crashes, &apiv1.TaskCrashes{
+			stepStatus.Crashes = append(stepStatus.Crashes, &apiv1.TaskCrashes{
 				Task: int32(crashes.Task), Workers: crashes.Workers, GivenUp: crashes.GivenUp,
 			})
 		}
-		status.Steps = append(status.Steps, shown)
+		status.Steps = append(status.Steps, stepStatus)
 	}
 	return status
 }
@@ -180,19 +180,19 @@
 
 func (s *server) GetQueue(ctx context.Context, r *apiv1.QueueRef) (*apiv1.QueueStatus, error) {
 	if r.GetQueue() == "" {
-		return nil, s.answer("queue", "", "", fault.Field("queue", "missing"))
+		return nil, s.toAPIError("queue", "", "", fault.Field("queue", "missing"))
 	}
-	reply, err := s.operations.State(ctx, &control.StateCall{Address: place(r.GetQueue(), "")})
-	return &apiv1.QueueStatus{Waiting: int32(reply.Waiting)}, s.answer("queue", r.GetQueue(), "", err)
+	reply, err := s.operations.State(ctx, &control.StateCall{Address: jobAddress(r.GetQueue(), "")})
+	return &apiv1.QueueStatus{Waiting: int32(reply.Waiting)}, s.toAPIError("queue", r.GetQueue(), "", err)
 }
 
 func (s *server) StartWave(ctx context.Context, r *apiv1.Wave) (*apiv1.WaveStatus, error) {
 	wave := workflow.Wave{ID: r.GetId(), Machines: r.GetMachines(), DurationMS: r.GetDurationMs(), MaxDown: int(r.GetMaxDown())}
 	if err := workflow.CheckWave(&wave); err != nil {
-		return nil, s.answer("start wave", "", "", fault.Field(string(err.Field), "%s", err.Message))
+		return nil, s.toAPIError("start wave", "", "", fault.Field(string(err.Field), "%s", err.Message))
 	}
 	if err := s.operations.StartWave(ctx, &control.WaveCall{Wave: wave}); err != nil {
-		return nil, s.answer("start wave", "", "", err)
+		return nil, s.toAPIError("start wave", "", "", err)
 	}
 	return s.GetWave(ctx, &apiv1.WaveRef{Id: r.GetId()})
 }
@@ -203,5 +203,5 @@
 	for _, maintenance := range reply.Maintenances {
 		status.Machines = append(status.Machines, &apiv1.MachineMaintenance{Machine: maintenance.Machine, Stage: maintenance.Stage.String()})
 	}
-	return status, s.answer("wave", "", "", err)
+	return status, s.toAPIError("wave", "", "", err)
 }
--- a/internal/apiserver/apiserver_test.go
+++ b/internal/apiserver/apiserver_test.go
@@ -62,10 +62,10 @@
 }
 
 // serve serves a leader and returns a client that shows the given token.
-func serve(t *testing.T, f *fakeLeader, shown string) apiv1.Workflows {
+func newClient(t *testing.T, f *fakeLeader, presented string) apiv1.Workflows {
 	server := httptest.NewServer(New(f, token, log.NewNopLogger()))
 	t.Cleanup(server.Close)
-	client := &http.Client{Transport: withToken(shown)}
+	client := &http.Client{Transport: withToken(presented)}
 	return apiv1.NewWorkflowsProtobufClient(server.URL, client)
 }
 
@@ -77,16 +77,16 @@
 	return http.DefaultTransport.RoundTrip(r)
 }
 
-func TestNobodyIsServedWithoutTheToken(t *testing.T) {
+func TestCallWithWrongTokenIsRejected(t *testing.T) {
 	f := &fakeLeader{}
-	_, err := serve(t, f, "other").StartWave(t.Context(), &apiv1.Wave{Id: 1, Machines: []string{"m1"}, DurationMs: 1, MaxDown: 1})
+	_, err := newClient(t, f, "other").StartWave(t.Context(), &apiv1.Wave{Id: 1, Machines: []string{"m1"}, DurationMs: 1, MaxDown: 1})
 	must.Error(t, err)
 	must.Nil(t, f.wave)
 }
 
-func TestAJobIsTranslated(t *testing.T) {
+func TestSubmissionIsTranslated(t *testing.T) {
 	f := &fakeLeader{}
-	answer, err := serve(t, f, token).SubmitWorkflow(t.Context(), &apiv1.SubmitWorkflowRequest{
+	answer, err := newClient(t, f, token).SubmitWorkflow(t.Context(), &apiv1.SubmitWorkflowRequest{
 		Id: "a", Queue: "q", Payload: "p", Repeat: &apiv1.Repeat{FirstUnixMs: 5, EveryMs: 6, Times: 2},
 		Steps: []*apiv1.Step{{Tasks: 1, EstimateMs: 9}, {
 			Tasks: 2, Need: &apiv1.Resources{CpuMilli: 500, MemoryMib: 64, Accelerators: 1}, EstimateMs: 10, After: []int32{0}, Gang: true,
@@ -106,31 +106,31 @@
 	}, f.submitted)
 }
 
-func TestBadCallsAreRefusedWithTheField(t *testing.T) {
-	one := []*apiv1.Step{{Tasks: 1}}
+func TestInvalidCallErrorNamesTheField(t *testing.T) {
+	validSteps := []*apiv1.Step{{Tasks: 1}}
 	for field, r := range map[string]*apiv1.SubmitWorkflowRequest{
-		"queue": {Id: "a", Steps: one},
-		"id":    {Queue: "q", Steps: one},
+		"queue": {Id: "a", Steps: validSteps},
+		"id":    {Queue: "q", Steps: validSteps},
 		"steps": {Id: "a", Queue: "q"},
 		"tasks": {Id: "a", Queue: "q", Steps: []*apiv1.Step{{}}},
 		"after": {Id: "a", Queue: "q", Steps: []*apiv1.Step{{Tasks: 1, After: []int32{0}}}},
 		"need":  {Id: "a", Queue: "q", Steps: []*apiv1.Step{{Tasks: 1, Need: &apiv1.Resources{CpuMilli: -1}}}},
 	} {
 		f := &fakeLeader{}
-		_, err := serve(t, f, token).SubmitWorkflow(t.Context(), r)
+		_, err := newClient(t, f, token).SubmitWorkflow(t.Context(), r)
 		must.Eq(t, fault.Invalid, fault.KindOf(err), must.Sprint(field))
 		must.Eq(t, field, fault.From(err).Field)
 		must.Nil(t, f.submitted)
 	}
 	f := &fakeLeader{}
-	_, err := serve(t, f, token).StartWave(t.Context(), &apiv1.Wave{Id: 1, Machines: []string{"m1"}, DurationMs: 1})
+	_, err := newClient(t, f, token).StartWave(t.Context(), &apiv1.Wave{Id: 1, Machines: []string{"m1"}, DurationMs: 1})
 	must.Eq(t, "max_down", fault.From(err).Field)
 	must.Nil(t, f.wave)
 }
 
-func TestAnswersAreTranslated(t *testing.T) {
+func TestResponsesAreTranslated(t *testing.T) {
 	f := &fakeLeader{}
-	api := serve(t, f, token)
+	api := newClient(t, f, token)
 	ref := &apiv1.WorkflowRef{Queue: "q", Id: "a"}
 	explained, err := api.ExplainWorkflow(t.Context(), ref)
 	must.NoError(t, err)
--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -14,10 +14,10 @@
 	// collectHold is how long a question for outcomes waits for one. A carrier without
 	// outcomes answers as often as that, which shows the leader that it is there.
 	collectHold = 150 * time.Millisecond
-	// maxOutcomes bounds the outcomes of one answer, and of those that wait for the
+	// maxReplyOutcomes bounds the outcomes of one answer, and of those that wait for the
 	// leader to ask: three seconds of a thousand ends.
-	maxOutcomes     = 512
-	maxKeptOutcomes = 4096
+	maxReplyOutcomes    = 512
+	maxBufferedOutcomes = 4096
 )
 
 // CarrierConfig is the fixed part of a Carrier.
@@ -25,30 +25,30 @@
 	// Workers calls workers from here.
 	Workers    control.Workers
 	DataCentre string
-	// TakeHeard returns the heartbeats that this instance took and that the leader
+	// CollectHeartbeats returns the heartbeats that this instance took and that the leader
 	// hasn't been told of.
-	TakeHeard func() []control.BufferedHeartbeat
-	Counters  control.Counters
+	CollectHeartbeats func() []control.BufferedHeartbeat
+	Counters          control.Counters
 }
 
 // Carrier calls workers for whoever leads. It is safe for concurrent use.
 type Carrier struct {
-	cfg   CarrierConfig
-	epoch uint64
+	cfg         CarrierConfig
+	incarnation uint64
 
 	mu   sync.Mutex
 	term uint64
 	// outcomes are those that the leader hasn't confirmed; first is the number of the
 	// first of them.
-	outcomes []Outcome
-	first    uint64
+	outcomes    []Outcome
+	firstNumber uint64
 	// came is closed when an outcome comes up.
-	came chan struct{}
+	outcomeAdded chan struct{}
 }
 
 // NewCarrier returns a carrier without orders.
 func NewCarrier(cfg CarrierConfig) *Carrier {
-	return &Carrier{cfg: cfg, epoch: rand.Uint64() | 1, first: 1, came: make(chan struct{})}
+	return &Carrier{cfg: cfg, incarnation: rand.Uint64() | 1, firstNumber: 1, outcomeAdded: make(chan struct{})}
 }
 
 // Register serves the carrier's calls on mux.
@@ -59,13 +59,13 @@
 
 // Carry takes orders over and returns at once; their outcomes are collected.
 func (c *Carrier) Carry(ctx context.Context, call *CarryCall) (CarryReply, error) {
-	if held := c.holds(call.Term); held != call.Term {
-		return CarryReply{Term: held}, nil
+	if current := c.adoptTerm(call.Term); current != call.Term {
+		return CarryReply{Term: current}, nil
 	}
 	c.cfg.Counters.Add("carried_orders", int64(len(call.Orders)))
 	ctx = context.WithoutCancel(ctx)
 	for i := range call.Orders {
-		go c.do(ctx, call.Term, &call.Orders[i])
+		go c.execute(ctx, call.Term, &call.Orders[i])
 	}
 	return CarryReply{Term: call.Term}, nil
 }
@@ -76,63 +76,63 @@
 // Failure guarded against: an instance that was cut off still takes itself for the
 // leader and hands over orders. Workers refuse them by their fence once the new leader
 // has looked at them; the carrier refuses them from its first message.
-func (c *Carrier) holds(term uint64) uint64 {
+func (c *Carrier) adoptTerm(term uint64) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if term > c.term {
 		c.term = term
-		c.outcomes, c.first = nil, 1
+		c.outcomes, c.firstNumber = nil, 1
 	}
 	return c.term
 }
 
 // do makes one call of a worker.
-func (c *Carrier) do(ctx context.Context, term uint64, o *Order) {
-	ctx, cancel := context.WithTimeout(ctx, o.Within)
+func (c *Carrier) execute(ctx context.Context, term uint64, order *Order) {
+	ctx, cancel := context.WithTimeout(ctx, order.CallTimeout)
 	defer cancel()
-	outcome, err := o.callBy(ctx, c.cfg.Workers)
-	outcome.ID = o.ID
-	outcome.noteErr(err)
-	c.add(term, outcome)
+	outcome, err := order.callWorker(ctx, c.cfg.Workers)
+	outcome.ID = order.ID
+	outcome.recordErr(err)
+	c.addOutcome(term, outcome)
 }
 
-func (c *Carrier) add(term uint64, outcome Outcome) {
+func (c *Carrier) addOutcome(term uint64, outcome Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if term != c.term {
 		return
 	}
-	if len(c.outcomes) >= maxKeptOutcomes {
+	if len(c.outcomes) >= maxBufferedOutcomes {
 		// The leader doesn't ask; it has given these orders up.
 		c.outcomes = c.outcomes[1:]
-		c.first++
+		c.firstNumber++
 		c.cfg.Counters.Add("carried_outcomes_dropped", 1)
 	}
 	c.outcomes = append(c.outcomes, outcome)
-	close(c.came)
-	c.came = make(chan struct{})
+	close(c.outcomeAdded)
+	c.outcomeAdded = make(chan struct{})
 }
 
 // Collect returns outcomes as soon as there are any. A leader that doesn't know this
 // life of the carrier is answered at once.
 func (c *Carrier) Collect(ctx context.Context, call *CollectCall) (CollectReply, error) {
-	held := c.holds(call.Term)
-	reply := CollectReply{Term: held, DataCentre: c.cfg.DataCentre, Epoch: c.epoch}
-	if held != call.Term {
+	current := c.adoptTerm(call.Term)
+	reply := CollectReply{Term: current, DataCentre: c.cfg.DataCentre, Incarnation: c.incarnation}
+	if current != call.Term {
 		return reply, nil
 	}
-	reply.Heard = c.cfg.TakeHeard()
-	hold := time.NewTimer(collectHold)
-	defer hold.Stop()
+	reply.Heartbeats = c.cfg.CollectHeartbeats()
+	holdTimer := time.NewTimer(collectHold)
+	defer holdTimer.Stop()
 	for {
-		var came <-chan struct{}
-		reply.Outcomes, reply.Last, came = c.after(call)
-		if len(reply.Outcomes) > 0 || call.Epoch != c.epoch {
+		var added <-chan struct{}
+		reply.Outcomes, reply.Last, added = c.outcomesAfter(call)
+		if len(reply.Outcomes) > 0 || call.Incarnation != c.incarnation {
 			return reply, nil
 		}
 		select {
-		case <-came:
-		case <-hold.C:
+		case <-added:
+		case <-holdTimer.C:
 			return reply, nil
 		case <-ctx.Done():
 			return reply, ctx.Err()
@@ -142,17 +142,17 @@
 
 // after returns the outcomes after those that the leader has, and drops the latter;
 // came is closed when there is another one.
-func (c *Carrier) after(call *CollectCall) (outcomes []Outcome, last uint64, came <-chan struct{}) {
+func (c *Carrier) outcomesAfter(call *CollectCall) (outcomes []Outcome, last uint64, added <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if call.Term != c.term {
-		return nil, call.Seen, c.came
+		return nil, call.Acknowledged, c.outcomeAdded
 	}
-	for len(c.outcomes) > 0 && call.Epoch == c.epoch && c.first <= call.Seen {
+	for len(c.outcomes) > 0 && call.Incarnation == c.incarnation && c.firstNumber <= call.Acknowledged {
 		c.outcomes = c.outcomes[1:]
-		c.first++
+		c.firstNumber++
 	}
-	n := min(len(c.outcomes), maxOutcomes)
+	n := min(len(c.outcomes), maxReplyOutcomes)
 	outcomes = append(outcomes, c.outcomes[:n]...)
-	return outcomes, c.first + uint64(n) - 1, c.came
+	return outcomes, c.firstNumber + uint64(n) - 1, c.outcomeAdded
 }
--- a/internal/carrier/fake_test.go
+++ b/internal/carrier/fake_test.go
@@ -19,13 +19,13 @@
 )
 
 // way is one way of a message between two instances.
-const way = time.Millisecond
+const networkDelay = time.Millisecond
 
 // cluster is carriers and one leader's Spread on a network that can be cut.
 type cluster struct {
-	t      *testing.T
-	spread *Spread
-	end    context.CancelFunc
+	t         *testing.T
+	forwarder *Forwarder
+	endTerm   context.CancelFunc
 
 	mu       sync.Mutex
 	members  []string
@@ -33,14 +33,14 @@
 	workers  map[string]*fakeWorkers
 	// unreached refuse connections, silent take messages and answer nothing, losing
 	// answer nothing after having worked.
-	unreached, silent, losing map[string]bool
-	calls                     map[string]int
+	refusing, unresponsive, droppingReplies map[string]bool
+	callCounts                              map[string]int
 }
 
 func newCluster(t *testing.T, carriers int) *cluster {
 	c := &cluster{
 		t: t, carriers: map[string]*Carrier{}, workers: map[string]*fakeWorkers{},
-		unreached: map[string]bool{}, silent: map[string]bool{}, losing: map[string]bool{}, calls: map[string]int{},
+		refusing: map[string]bool{}, unresponsive: map[string]bool{}, droppingReplies: map[string]bool{}, callCounts: map[string]int{},
 	}
 	c.members = []string{"leader"}
 	c.workers["leader"] = &fakeWorkers{}
@@ -50,9 +50,9 @@
 		c.workers[name] = &fakeWorkers{}
 		c.restart(name)
 	}
-	c.spread = NewSpread(Config{
-		Own: "leader", Members: c.present, Transport: c,
-		Direct: c.workers["leader"], Heard: func([]control.BufferedHeartbeat) {}, Logger: log.NewNopLogger(), Counters: noCounters{},
+	c.forwarder = NewForwarder(ForwarderConfig{
+		OwnAddress: "leader", Members: c.currentMembers, Transport: c,
+		DirectWorkers: c.workers["leader"], ApplyHeartbeats: func([]control.BufferedHeartbeat) {}, Logger: log.NewNopLogger(), Counters: noCounters{},
 	})
 	return c
 }
@@ -64,7 +64,7 @@
 	c.carriers[name] = newTestCarrier(c.workers[name], "dc-"+name)
 }
 
-func (c *cluster) present() []string {
+func (c *cluster) currentMembers() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.members)
@@ -75,80 +75,80 @@
 	c.mu.Lock()
 	c.members = members
 	c.mu.Unlock()
-	time.Sleep(2 * membersPause)
+	time.Sleep(2 * membershipInterval)
 }
 
 func newTestCarrier(workers control.Workers, dataCentre string) *Carrier {
 	return NewCarrier(CarrierConfig{
 		Workers: workers, DataCentre: dataCentre, Counters: noCounters{},
-		TakeHeard: func() []control.BufferedHeartbeat { return nil },
+		CollectHeartbeats: func() []control.BufferedHeartbeat { return nil },
 	})
 }
 
 // lead begins a term; it ends with the test or the next one. The leader has so many orders
 // that it hands all of them over.
 func (c *cluster) lead(term uint64) {
-	if c.end != nil {
-		c.end()
+	if c.endTerm != nil {
+		c.endTerm()
 	}
 	var ctx context.Context
-	ctx, c.end = context.WithCancel(c.t.Context())
-	c.spread.Lead(ctx, term)
-	go c.keepBusy(ctx)
+	ctx, c.endTerm = context.WithCancel(c.t.Context())
+	c.forwarder.Lead(ctx, term)
+	go c.simulateLoad(ctx)
 }
 
 // manyOrders is a rate at which the leader calls hardly any worker by itself.
 const manyOrders = 1e9
 
-// keepBusy lets the leader count so many orders that it hands all over.
-func (c *cluster) keepBusy(ctx context.Context) {
-	for wait.For(ctx, membersPause/2) {
-		c.spread.own.orders.Add(manyOrders)
+// simulateLoad lets the leader count so many orders that it hands all over.
+func (c *cluster) simulateLoad(ctx context.Context) {
+	for wait.For(ctx, membershipInterval/2) {
+		c.forwarder.direct.orderCount.Add(manyOrders)
 	}
 }
 
-func (c *cluster) set(of map[string]bool, name string, on bool) {
+func (c *cluster) setFault(faults map[string]bool, name string, active bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	of[name] = on
+	faults[name] = active
 }
 
-func (c *cluster) is(of map[string]bool, name string) bool {
+func (c *cluster) hasFault(faults map[string]bool, name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return of[name]
+	return faults[name]
 }
 
 // callsOf returns how many messages of a kind were sent.
 func (c *cluster) callsOf(method string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.calls[method]
+	return c.callCounts[method]
 }
 
 // Call carries a message as the network does.
 func (c *cluster) Call(ctx context.Context, address, method string, request, reply any) error {
 	c.mu.Lock()
 	carrier := c.carriers[address]
-	c.calls[method]++
+	c.callCounts[method]++
 	c.mu.Unlock()
-	if c.is(c.unreached, address) {
+	if c.hasFault(c.refusing, address) {
 		return errors.Mark(errors.New("refused"), link.ErrUnsent)
 	}
-	time.Sleep(way)
-	if c.is(c.silent, address) {
+	time.Sleep(networkDelay)
+	if c.hasFault(c.unresponsive, address) {
 		<-ctx.Done()
 		return ctx.Err()
 	}
 	answer, err := serve(ctx, carrier, method, request)
-	if err == nil && c.is(c.losing, address) {
+	if err == nil && c.hasFault(c.droppingReplies, address) {
 		<-ctx.Done()
 		err = ctx.Err()
 	}
 	if err != nil {
 		return err
 	}
-	time.Sleep(way)
+	time.Sleep(networkDelay)
 	return copyMessage(answer, reply)
 }
 
@@ -182,14 +182,14 @@
 	mu     sync.Mutex
 	starts []control.StartOrder
 	// to counts the starts of each worker.
-	to map[string]int
+	startsByWorker map[string]int
 	// refuse is the answer to starts; nil takes them.
-	refuse error
-	looks  int
-	// holdLooks is how long looks are held.
-	holdLooks time.Duration
+	startErr error
+	polls    int
+	// pollHold is how long looks are held.
+	pollHold time.Duration
 	// hang keeps starts from being answered.
-	hang bool
+	hangStarts bool
 }
 
 const workerClockMS = 77
@@ -197,18 +197,18 @@
 func (w *fakeWorkers) Start(ctx context.Context, to control.Target, order control.StartOrder) (int64, error) {
 	w.mu.Lock()
 	w.starts = append(w.starts, order)
-	if w.to == nil {
-		w.to = map[string]int{}
+	if w.startsByWorker == nil {
+		w.startsByWorker = map[string]int{}
 	}
-	w.to[to.Worker]++
-	refuse, hang := w.refuse, w.hang
+	w.startsByWorker[to.Worker]++
+	startErr, hang := w.startErr, w.hangStarts
 	w.mu.Unlock()
 	if hang {
 		<-ctx.Done()
 		return 0, ctx.Err()
 	}
-	time.Sleep(way)
-	return workerClockMS, refuse
+	time.Sleep(networkDelay)
+	return workerClockMS, startErr
 }
 
 func (w *fakeWorkers) Stop(context.Context, control.Target, control.StopOrder) (int64, error) {
@@ -221,10 +221,10 @@
 
 // Look answers at once with one end.
 func (w *fakeWorkers) Poll(_ context.Context, _ control.Target, order control.PollOrder) (control.Report, error) {
-	time.Sleep(way + w.holdLooks)
+	time.Sleep(networkDelay + w.pollHold)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.looks++
+	w.polls++
 	end := workflow.RunEnd{Task: workflow.TaskKey{StepKey: workflow.StepKey{Job: "j", Step: 1}, Index: 2}, Number: 3, Outcome: workflow.OutcomeDone}
 	return control.Report{
 		ClockMS: workerClockMS, Ended: []control.Ended{{Position: order.Seen + 1, RunEnd: end}},
@@ -249,30 +249,30 @@
 func (c *cluster) start(worker string) error {
 	ctx, cancel := context.WithTimeout(c.t.Context(), 600*time.Millisecond)
 	defer cancel()
-	_, err := c.spread.Start(ctx, control.Target{Worker: worker, Address: "a"}, control.StartOrder{Fence: 1, Payload: "p"})
+	_, err := c.forwarder.Start(ctx, control.Target{Worker: worker, Address: "a"}, control.StartOrder{Fence: 1, Payload: "p"})
 	return err
 }
 
-// startsBy returns how many starts each instance has sent.
-func (c *cluster) startsBy() map[string]int {
-	by := map[string]int{}
+// startsByInstance returns how many starts each instance has sent.
+func (c *cluster) startsByInstance() map[string]int {
+	starts := map[string]int{}
 	for name, w := range c.workers {
-		by[name] = w.started()
+		starts[name] = w.started()
 	}
-	return by
+	return starts
 }
 
-// sentTo returns how many starts each worker was sent, by whomever.
-func (c *cluster) sentTo() map[string]int {
-	sent := map[string]int{}
+// startsByWorker returns how many starts each worker was sent, by whomever.
+func (c *cluster) startsByWorker() map[string]int {
+	starts := map[string]int{}
 	for _, w := range c.workers {
 		w.mu.Lock()
-		for worker, n := range w.to {
-			sent[worker] += n
+		for worker, n := range w.startsByWorker {
+			starts[worker] += n
 		}
 		w.mu.Unlock()
 	}
-	return sent
+	return starts
 }
 
 // startMany sends starts to many workers at once and returns how many had no error.
@@ -292,8 +292,8 @@
 	return answered
 }
 
-// underWay returns how many orders have no outcome.
-func (r *route) underWay() int {
+// pendingOrders returns how many orders have no outcome.
+func (r *route) pendingOrders() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.pending)
--- a/internal/carrier/messages.go
+++ b/internal/carrier/messages.go
@@ -38,13 +38,13 @@
 	Start    *control.StartOrder    `cbor:"3,keyasint,omitempty"`
 	Stop     *control.StopOrder     `cbor:"4,keyasint,omitempty"`
 	Throttle *control.ThrottleOrder `cbor:"5,keyasint,omitempty"`
-	Look     *control.PollOrder     `cbor:"6,keyasint,omitempty"`
+	Poll     *control.PollOrder     `cbor:"6,keyasint,omitempty"`
 	// Within is how long the carrier may wait for the worker's answer.
-	Within time.Duration `cbor:"7,keyasint"`
+	CallTimeout time.Duration `cbor:"7,keyasint"`
 }
 
-// callBy makes the call that the order stands for.
-func (o *Order) callBy(ctx context.Context, workers control.Workers) (outcome Outcome, err error) {
+// callWorker makes the call that the order stands for.
+func (o *Order) callWorker(ctx context.Context, workers control.Workers) (outcome Outcome, err error) {
 	switch {
 	case o.Start != nil:
 		outcome.ClockMS, err = workers.Start(ctx, o.To, *o.Start)
@@ -52,9 +52,9 @@
 		outcome.ClockMS, err = workers.Stop(ctx, o.To, *o.Stop)
 	case o.Throttle != nil:
 		outcome.ClockMS, err = workers.Throttle(ctx, o.To, *o.Throttle)
-	case o.Look != nil:
+	case o.Poll != nil:
 		var report control.Report
-		report, err = workers.Poll(ctx, o.To, *o.Look)
+		report, err = workers.Poll(ctx, o.To, *o.Poll)
 		outcome.Report = &report
 	}
 	return outcome, err
@@ -78,9 +78,9 @@
 	Term uint64 `cbor:"1,keyasint"`
 	// Seen is the number of the last outcome that the leader has; the others are
 	// listed again, so that one that was lost on its way isn't missed.
-	Seen uint64 `cbor:"2,keyasint"`
+	Acknowledged uint64 `cbor:"2,keyasint"`
 	// Epoch is the carrier's own, as its last answer named it; Seen counts from there.
-	Epoch uint64 `cbor:"3,keyasint,omitempty"`
+	Incarnation uint64 `cbor:"3,keyasint,omitempty"`
 }
 
 // CollectReply lists outcomes in the order in which they came up.
@@ -93,9 +93,9 @@
 	Last uint64 `cbor:"4,keyasint,omitempty"`
 	// Epoch names one life of the carrier. In another one it knows nothing of orders
 	// that were handed to it before.
-	Epoch uint64 `cbor:"5,keyasint"`
+	Incarnation uint64 `cbor:"5,keyasint"`
 	// Heard are the heartbeats that the carrier's instance took.
-	Heard []control.BufferedHeartbeat `cbor:"6,keyasint,omitempty"`
+	Heartbeats []control.BufferedHeartbeat `cbor:"6,keyasint,omitempty"`
 }
 
 // Outcome is what became of an order.
@@ -129,8 +129,8 @@
 	}
 }
 
-// noteErr notes a worker's answer that is an error.
-func (o *Outcome) noteErr(err error) {
+// recordErr notes a worker's answer that is an error.
+func (o *Outcome) recordErr(err error) {
 	var refused *control.RefusedError
 	switch {
 	case err == nil:
--- a/internal/carrier/random_test.go
+++ b/internal/carrier/random_test.go
@@ -20,16 +20,16 @@
 //
 // Whatever happens on the way, an order ends in time, one that was answered was sent, and
 // one that was sent through a carrier was sent once.
-func TestEveryOrderEndsInTimeAndAnsweredOnesWereSent(t *testing.T) {
+func TestOrdersUnderFaultsEndInTimeAndAreSentOnce(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		seed := rapid.Uint64().Draw(r, "seed")
 		carriers := rapid.IntRange(1, 4).Draw(r, "carriers")
-		synctest.Test(t, func(t *testing.T) { disturb(t, seed, carriers) })
+		synctest.Test(t, func(t *testing.T) { runWithFaults(t, seed, carriers) })
 	})
 }
 
 // disturb sends orders while a network of carriers is disturbed.
-func disturb(t *testing.T, seed uint64, carriers int) {
+func runWithFaults(t *testing.T, seed uint64, carriers int) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	c := newCluster(t, carriers)
 	c.lead(1)
@@ -38,13 +38,13 @@
 	answered := map[string]bool{}
 	for i := range 120 {
 		if i%10 == 0 {
-			c.disturbOne(random, carriers)
+			c.injectFault(random, carriers)
 		}
 		worker := fmt.Sprint("w", i)
 		group.Go(func() {
-			begun := time.Now()
+			started := time.Now()
 			err := c.start(worker)
-			must.LessEq(t, 600*time.Millisecond, time.Since(begun))
+			must.LessEq(t, 600*time.Millisecond, time.Since(started))
 			mu.Lock()
 			defer mu.Unlock()
 			answered[worker] = err == nil
@@ -52,9 +52,9 @@
 		time.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
 	}
 	group.Wait()
-	c.end()
+	c.endTerm()
 	time.Sleep(time.Second)
-	sent := c.sentTo()
+	sent := c.startsByWorker()
 	for worker, ok := range answered {
 		if ok {
 			must.Positive(t, sent[worker], must.Sprint(worker))
@@ -63,16 +63,16 @@
 	}
 }
 
-// disturbOne changes how one carrier behaves.
-func (c *cluster) disturbOne(random *rand.Rand, carriers int) {
+// injectFault changes how one carrier behaves.
+func (c *cluster) injectFault(random *rand.Rand, carriers int) {
 	name := fmt.Sprintf("carrier-%d", random.IntN(carriers))
 	switch random.IntN(4) {
 	case 0:
-		c.set(c.silent, name, !c.is(c.silent, name))
+		c.setFault(c.unresponsive, name, !c.hasFault(c.unresponsive, name))
 	case 1:
-		c.set(c.unreached, name, !c.is(c.unreached, name))
+		c.setFault(c.refusing, name, !c.hasFault(c.refusing, name))
 	case 2:
-		c.set(c.losing, name, !c.is(c.losing, name))
+		c.setFault(c.droppingReplies, name, !c.hasFault(c.droppingReplies, name))
 	case 3:
 		c.restart(name)
 	}
--- a/internal/carrier/route.go
+++ b/internal/carrier/route.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	// wayTimeout bounds a message's way to a carrier and back, and collectTimeout that
+	// roundTripTimeout bounds a message's way to a carrier and back, and collectTimeout that
 	// of a question for outcomes, the hold included. A carrier that answers later is
 	// taken for silent.
-	wayTimeout     = 300 * time.Millisecond
-	collectTimeout = collectHold + wayTimeout
+	roundTripTimeout = 300 * time.Millisecond
+	collectTimeout   = collectHold + roundTripTimeout
 	// overdueAfter is how long an order may be without an outcome before its carrier
 	// gets no further ones, looks excepted, which are held: some round trips of the
 	// carrier and of the worker.
 	overdueAfter = 120 * time.Millisecond
-	// overdueOrders is how many must be so. One or two may be a worker's fault.
-	overdueOrders = 4
-	// silentPause lies between two questions to a carrier that is silent.
-	silentPause = 250 * time.Millisecond
+	// overdueThreshold is how many must be so. One or two may be a worker's fault.
+	overdueThreshold = 4
+	// unresponsiveRetryInterval lies between two questions to a carrier that is silent.
+	unresponsiveRetryInterval = 250 * time.Millisecond
 	// maxBatch bounds the orders of one message.
 	maxBatch = 256
 )
 
 // route is the way to one carrier under one term.
 type route struct {
-	cfg     *Config
+	cfg     *ForwarderConfig
 	address string
 	term    uint64
 	// ids numbers the orders of all routes.
@@ -41,56 +41,56 @@
 	// Failure guarded against: a member leaves and comes back within a term, and the
 	// carrier still holds outcomes of the route that was closed. Numbered from 1 again,
 	// an order would be given the outcome of another.
-	ids *atomic.Uint64
+	lastOrderID *atomic.Uint64
 	// queued has room for one: a set one means that orders are queued.
-	queued chan struct{}
+	wake chan struct{}
 	// answered is closed once the carrier has answered for the first time, or failed to.
-	answered chan struct{}
-	tried    sync.Once
+	contacted     chan struct{}
+	contactedOnce sync.Once
 
-	mu    sync.Mutex
-	pause time.Duration
+	mu       sync.Mutex
+	interval time.Duration
 	// present says that the carrier answers under this term; dataCentre is its own.
-	present    bool
+	responsive bool
 	dataCentre string
 	queue      []*Order
 	pending    map[uint64]*pendingOrder
 	// prompt holds the orders that a worker answers at once, the oldest first.
-	prompt *list.List
+	immediate *list.List
 }
 
 // pendingOrder is an order without an outcome.
 type pendingOrder struct {
-	since time.Time
+	enqueuedAt time.Time
 	// settled has room for one: the outcome, or why none will come.
-	settled chan settlement
+	result chan orderResult
 	// place is where it stands in prompt; nil for a look.
-	place *list.Element
+	element *list.Element
 }
 
 // settlement ends the wait for an order's outcome.
-type settlement struct {
+type orderResult struct {
 	outcome Outcome
 	err     error
 }
 
-func newRoute(cfg *Config, address string, term uint64, ids *atomic.Uint64) *route {
+func newRoute(cfg *ForwarderConfig, address string, term uint64, lastOrderID *atomic.Uint64) *route {
 	return &route{
-		cfg: cfg, address: address, term: term, ids: ids, queued: make(chan struct{}, 1), answered: make(chan struct{}),
-		pause: messagePause, pending: map[uint64]*pendingOrder{}, prompt: list.New(),
+		cfg: cfg, address: address, term: term, lastOrderID: lastOrderID, wake: make(chan struct{}, 1), contacted: make(chan struct{}),
+		interval: baseMessageInterval, pending: map[uint64]*pendingOrder{}, immediate: list.New(),
 	}
 }
 
-func (r *route) setPause(pause time.Duration) {
+func (r *route) setInterval(interval time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.pause = pause
+	r.interval = interval
 }
 
-func (r *route) messagePause() time.Duration {
+func (r *route) messageInterval() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.pause
+	return r.interval
 }
 
 // usable reports whether the carrier may be given orders, and where it is.
@@ -101,46 +101,46 @@
 func (r *route) usable(now time.Time) (usable bool, dataCentre string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.present && !r.behind(now), r.dataCentre
+	return r.responsive && !r.backlogged(now), r.dataCentre
 }
 
 // behind reports whether several orders are overdue. r.mu is held.
-func (r *route) behind(now time.Time) bool {
+func (r *route) backlogged(now time.Time) bool {
 	overdue := 0
-	for e := r.prompt.Front(); e != nil && overdue < overdueOrders; e = e.Next() {
-		if now.Sub(e.Value.(*pendingOrder).since) < overdueAfter {
+	for e := r.immediate.Front(); e != nil && overdue < overdueThreshold; e = e.Next() {
+		if now.Sub(e.Value.(*pendingOrder).enqueuedAt) < overdueAfter {
 			return false
 		}
 		overdue++
 	}
-	return overdue >= overdueOrders
+	return overdue >= overdueThreshold
 }
 
 // carry queues an order and waits for its outcome.
-func (r *route) carry(ctx context.Context, order *Order) (Outcome, error) {
+func (r *route) forward(ctx context.Context, order *Order) (Outcome, error) {
 	p := r.enqueue(ctx, order)
 	select {
-	case settled := <-p.settled:
-		return settled.outcome, settled.err
+	case result := <-p.result:
+		return result.outcome, result.err
 	case <-ctx.Done():
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.forget(order.ID)
+		r.remove(order.ID)
 		return Outcome{}, errors.Wrap(errNoAnswer, ctx.Err().Error())
 	}
 }
 
 func (r *route) enqueue(ctx context.Context, order *Order) *pendingOrder {
-	p := &pendingOrder{since: time.Now(), settled: make(chan settlement, 1)}
+	p := &pendingOrder{enqueuedAt: time.Now(), result: make(chan orderResult, 1)}
 	if deadline, ok := ctx.Deadline(); ok {
-		order.Within = time.Until(deadline)
+		order.CallTimeout = time.Until(deadline)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	order.ID = r.ids.Add(1)
+	order.ID = r.lastOrderID.Add(1)
 	r.pending[order.ID] = p
-	if order.Look == nil {
-		p.place = r.prompt.PushBack(p)
+	if order.Poll == nil {
+		p.element = r.immediate.PushBack(p)
 	}
 	r.queue = append(r.queue, order)
 	r.signal()
@@ -149,45 +149,45 @@
 
 func (r *route) signal() {
 	select {
-	case r.queued <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
 // settle ends the wait for an order, if anybody still waits. r.mu is held.
-func (r *route) settle(id uint64, by settlement) {
+func (r *route) complete(id uint64, result orderResult) {
 	if p := r.pending[id]; p != nil {
-		p.settled <- by
-		r.forget(id)
+		p.result <- result
+		r.remove(id)
 	}
 }
 
 // forget drops an order that nobody waits for any more. r.mu is held.
-func (r *route) forget(id uint64) {
+func (r *route) remove(id uint64) {
 	p := r.pending[id]
 	if p == nil {
 		return
 	}
 	delete(r.pending, id)
-	if p.place != nil {
-		r.prompt.Remove(p.place)
+	if p.element != nil {
+		r.immediate.Remove(p.element)
 	}
 }
 
 // send hands queued orders over until ctx ends.
-func (r *route) send(ctx context.Context) {
+func (r *route) sendLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.queued:
+		case <-r.wake:
 		}
-		batch := r.take()
+		batch := r.nextBatch()
 		if len(batch) == 0 {
 			continue
 		}
-		go r.handOver(ctx, batch)
-		if !wait.For(ctx, r.messagePause()) {
+		go r.sendBatch(ctx, batch)
+		if !wait.For(ctx, r.messageInterval()) {
 			return
 		}
 	}
@@ -195,7 +195,7 @@
 
 // take takes the orders of the next message out of the queue, but for those that have
 // been given up.
-func (r *route) take() []*Order {
+func (r *route) nextBatch() []*Order {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var batch []*Order
@@ -214,10 +214,10 @@
 	return batch
 }
 
-// handOver sends one message. Orders that can't have arrived go another way; those
+// sendBatch sends one message. Orders that can't have arrived go another way; those
 // that may have count as under way.
-func (r *route) handOver(ctx context.Context, batch []*Order) {
-	ctx, cancel := context.WithTimeout(ctx, wayTimeout)
+func (r *route) sendBatch(ctx context.Context, batch []*Order) {
+	ctx, cancel := context.WithTimeout(ctx, roundTripTimeout)
 	defer cancel()
 	call := &CarryCall{Term: r.term, Orders: make([]Order, 0, len(batch))}
 	for _, order := range batch {
@@ -230,57 +230,57 @@
 	case err == nil && reply.Term == r.term:
 		return
 	case err == nil:
-		r.fail(batch, errors.Wrapf(errNoAnswer, "the carrier acts under term %d", reply.Term))
+		r.failBatch(batch, errors.Wrapf(errNoAnswer, "the carrier acts under term %d", reply.Term))
 	case errors.Is(err, link.ErrUnsent):
-		r.fail(batch, errNotCarried)
+		r.failBatch(batch, errNotForwarded)
 	default:
-		r.fail(batch, errors.Wrap(errNoAnswer, err.Error()))
+		r.failBatch(batch, errors.Wrap(errNoAnswer, err.Error()))
 	}
 	if err != nil {
-		r.setPresent(false, err)
+		r.setResponsive(false, err)
 	}
 }
 
-func (r *route) fail(batch []*Order, err error) {
+func (r *route) failBatch(batch []*Order, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, order := range batch {
-		r.settle(order.ID, settlement{err: err})
+		r.complete(order.ID, orderResult{err: err})
 	}
 }
 
 // collect takes in outcomes until ctx ends.
-func (r *route) collect(ctx context.Context) {
+func (r *route) collectLoop(ctx context.Context) {
 	var last CollectReply
 	for ctx.Err() == nil {
 		reply, err := r.collectOnce(ctx, &last)
 		if err != nil {
-			r.setPresent(false, err)
-			r.noteTried()
-			r.giveUp(err)
-			wait.For(ctx, silentPause)
+			r.setResponsive(false, err)
+			r.markContacted()
+			r.failPending(err)
+			wait.For(ctx, unresponsiveRetryInterval)
 			continue
 		}
-		r.takeIn(reply.Outcomes)
-		if last.Epoch != 0 && reply.Epoch != last.Epoch {
-			r.giveUp(errRestarted)
+		r.applyOutcomes(reply.Outcomes)
+		if last.Incarnation != 0 && reply.Incarnation != last.Incarnation {
+			r.failPending(errRestarted)
 		}
-		if len(reply.Heard) > 0 {
-			r.cfg.Heard(reply.Heard)
+		if len(reply.Heartbeats) > 0 {
+			r.cfg.ApplyHeartbeats(reply.Heartbeats)
 		}
 		last = reply
-		r.noteDataCentre(reply.DataCentre)
-		r.setPresent(true, nil)
-		r.noteTried()
+		r.setDataCentre(reply.DataCentre)
+		r.setResponsive(true, nil)
+		r.markContacted()
 		if len(reply.Outcomes) > 0 {
-			wait.For(ctx, r.messagePause())
+			wait.For(ctx, r.messageInterval())
 		}
 	}
-	r.giveUp(ctx.Err())
+	r.failPending(ctx.Err())
 }
 
-// noteTried lets a new leader that waits for the carrier's first answer go on.
-func (r *route) noteTried() { r.tried.Do(func() { close(r.answered) }) }
+// markContacted lets a new leader that waits for the carrier's first answer go on.
+func (r *route) markContacted() { r.contactedOnce.Do(func() { close(r.contacted) }) }
 
 var errRestarted = errors.New("the carrier has started anew")
 
@@ -289,7 +289,7 @@
 	defer cancel()
 	r.cfg.Counters.Add("outcome_messages", 1)
 	var reply CollectReply
-	call := &CollectCall{Term: r.term, Seen: last.Last, Epoch: last.Epoch}
+	call := &CollectCall{Term: r.term, Acknowledged: last.Last, Incarnation: last.Incarnation}
 	err := r.cfg.Transport.Call(ctx, r.address, MethodCollect, call, &reply)
 	if err == nil && reply.Term != r.term {
 		err = errors.Newf("the carrier acts under term %d", reply.Term)
@@ -297,39 +297,39 @@
 	return reply, err
 }
 
-func (r *route) takeIn(outcomes []Outcome) {
+func (r *route) applyOutcomes(outcomes []Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, outcome := range outcomes {
-		r.settle(outcome.ID, settlement{outcome: outcome})
+		r.complete(outcome.ID, orderResult{outcome: outcome})
 	}
 }
 
-func (r *route) noteDataCentre(dataCentre string) {
+func (r *route) setDataCentre(dataCentre string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.dataCentre = dataCentre
 }
 
-// setPresent notes whether the carrier answers.
-func (r *route) setPresent(present bool, cause error) {
+// setResponsive notes whether the carrier answers.
+func (r *route) setResponsive(responsive bool, cause error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.present == present {
+	if r.responsive == responsive {
 		return
 	}
-	r.present = present
-	_ = r.cfg.Logger.Log("event", "carrier", "carrier", r.address, "term", r.term, "present", present, "err", cause)
+	r.responsive = responsive
+	_ = r.cfg.Logger.Log("event", "carrier", "carrier", r.address, "term", r.term, "present", responsive, "err", cause)
 }
 
-// giveUp ends the wait for all outcomes. The orders may have been carried out; whoever
+// failPending ends the wait for all outcomes. The orders may have been carried out; whoever
 // waits for them learns at once that no answer will come, and goes another way.
-func (r *route) giveUp(cause error) {
+func (r *route) failPending(cause error) {
 	err := errors.Wrap(errNoAnswer, cause.Error())
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id := range r.pending {
-		r.settle(id, settlement{err: err})
+		r.complete(id, orderResult{err: err})
 	}
 	r.queue = nil
 }
--- a/internal/cell/admit_test.go
+++ b/internal/cell/admit_test.go
@@ -17,38 +17,38 @@
 )
 
 // newTestCell returns a cell over an unreplicated log, leading, with one worker.
-func newTestCell(t *testing.T) (*Cell, *tenure) {
+func newTestCell(t *testing.T) (*Cell, *leaderTerm) {
 	s := settings.Default()
 	s.Instances = []settings.Instance{{ID: "a", DataCentre: "hall", Cell: "127.0.0.1:1"}}
 	machine := NewMachine("hall", nil)
 	base := &daemon.Base{Settings: &s, Instance: &s.Instances[0], Clock: new(hlc.Clock), Logger: log.NewNopLogger()}
-	c := New(base, Logs{Home: NewSolo(machine), Machine: machine})
+	c := New(base, Logs{Home: NewUnreplicatedLog(machine), Machine: machine})
 	up := &state.WorkerUp{ID: "w", Incarnation: 1, Capacity: placement.Resources{CPU: 4000, Memory: 4096}}
 	_, err := c.propose(t.Context(), &state.Command{WorkerUp: up})
 	must.NoError(t, err)
-	return c, c.newTenure(1)
+	return c, c.newLeaderTerm(1)
 }
 
 // What a user sees: accepted work misses its deadline though nothing failed.
 // Order: two jobs arrive at once; each would take all workers until its
 // deadline; both are judged before either is committed.
 // Cause: both are admitted on the same free capacity.
-func TestJobsBeingAcceptedAreBooked(t *testing.T) {
-	c, tenure := newTestCell(t)
+func TestConcurrentSubmissionsReserveCapacity(t *testing.T) {
+	c, term := newTestCell(t)
 	now := c.now()
 	spec := state.Spec{
 		Name: "recalculation", Policy: placement.Batch, Tasks: 4, Need: placement.Resources{CPU: 1000, Memory: 512},
 		Runtime: time.Minute, Deadline: now.Add(200 * time.Second).UnixMilli(), Idempotent: true,
 	}
-	first, release := c.judge(tenure, "a", spec, now)
+	first, release := c.admitAndReserve(term, "a", spec, now)
 	must.True(t, first.Admitted, must.Sprint(first.Detail))
-	second, _ := c.judge(tenure, "b", spec, now)
+	second, _ := c.admitAndReserve(term, "b", spec, now)
 	must.False(t, second.Admitted)
 	must.Eq(t, placement.ReasonDeadline, second.Reason)
 	release()
-	third, _ := c.judge(tenure, "b", spec, now)
+	third, _ := c.admitAndReserve(term, "b", spec, now)
 	must.True(t, third.Admitted, must.Sprint(third.Detail))
-	must.SliceEmpty(t, tenure.plan(now).Starts)
+	must.SliceEmpty(t, term.plan(now).Starts)
 }
 
 // What a user sees: a worker that runs work which the system has forgotten isn't
@@ -56,9 +56,9 @@
 // Order: starts are committed in memory only; the data centre loses its power
 // and forgets them, or the worker as well; the worker announces what it runs.
 // Cause: two failures, of the disk and then of the power.
-func TestWorkerWithForgottenWorkStartsAnew(t *testing.T) {
-	c, tenure := newTestCell(t)
-	c.tenure.Store(tenure)
+func TestWorkerRunningUnknownAttemptsMustRestart(t *testing.T) {
+	c, term := newTestCell(t)
+	c.leaderTerm.Store(term)
 	ctx := rpc.WithCaller(t.Context(), rpc.Caller{Identity: settings.Identity{Role: settings.Worker}})
 	running := []*apiv1.AttemptRef{{Job: "hall.7", Task: 0, Attempt: 1}}
 	capacity := &apiv1.Resources{CpuMilli: 4000, MemoryMib: 4096}
--- a/internal/cell/adopt.go
+++ b/internal/cell/adopt.go
@@ -15,14 +15,14 @@
 
 // Pace of adoption.
 const (
-	// fetchHold is how long a voter holds a question for a newer version. The
+	// fetchLongPoll is how long a voter holds a question for a newer version. The
 	// next question goes to the next voter, so a voter that is cut off from the
 	// others delays a version by no more than this.
-	fetchHold = 1500 * time.Millisecond
+	fetchLongPoll = 1500 * time.Millisecond
 	// fetchGrace is how much longer than the hold an answer may take.
 	fetchGrace = 500 * time.Millisecond
-	// fetchPause is the wait after a voter couldn't be asked.
-	fetchPause = 500 * time.Millisecond
+	// fetchRetryDelay is the wait after a voter couldn't be asked.
+	fetchRetryDelay = 500 * time.Millisecond
 )
 
 // adoptConfig brings each committed version of the shared configuration into
@@ -37,16 +37,16 @@
 		}
 		version, err := c.fetchConfig(ctx, &voters[i%len(voters)])
 		if err != nil {
-			wait.For(ctx, fetchPause)
+			wait.For(ctx, fetchRetryDelay)
 			continue
 		}
-		if version.Version <= c.adopted().ConfigVersion {
+		if version.Version <= c.adoptedConfig().ConfigVersion {
 			continue
 		}
-		limits, err := quotaOf(version.Version, version.Document)
+		limits, err := quotaConfig(version.Version, version.Document)
 		if err != nil {
 			c.base.Logger.Log("msg", "configuration can't be read", "version", version.Version, "err", err)
-			wait.For(ctx, fetchPause)
+			wait.For(ctx, fetchRetryDelay)
 			continue
 		}
 		adopt := &state.AdoptConfig{
@@ -54,19 +54,19 @@
 			Author: version.Author, Accepted: version.AcceptedUnixMs,
 		}
 		if _, err := c.propose(ctx, &state.Command{AdoptConfig: adopt}); err != nil {
-			wait.For(ctx, fetchPause)
+			wait.For(ctx, fetchRetryDelay)
 		}
 	}
 }
 
-func (c *Cell) adopted() state.AdoptConfig {
+func (c *Cell) adoptedConfig() state.AdoptConfig {
 	var adopted state.AdoptConfig
 	c.machine.View(func(s *state.State) { adopted = s.Config })
 	return adopted
 }
 
 func (c *Cell) fetchConfig(ctx context.Context, voter *settings.Instance) (*apiv1.Config, error) {
-	ctx, cancel := context.WithTimeout(ctx, fetchHold+fetchGrace)
+	ctx, cancel := context.WithTimeout(ctx, fetchLongPoll+fetchGrace)
 	defer cancel()
 	ctx, err := rpc.WithBearer(ctx, "Bearer "+c.base.Tokens.Token(settings.Peer))
 	if err != nil {
@@ -74,7 +74,7 @@
 	}
 	client := apiv1.NewPeerProtobufClient("http://"+voter.Cell, c.base.Directory.Client())
 	return client.FetchConfig(ctx, &apiv1.FetchConfigRequest{
-		AfterVersion: c.adopted().ConfigVersion, WaitMs: fetchHold.Milliseconds(),
+		AfterVersion: c.adoptedConfig().ConfigVersion, WaitMs: fetchLongPoll.Milliseconds(),
 	})
 }
 
@@ -86,23 +86,23 @@
 	if _, err := rpc.Require(ctx, settings.Peer); err != nil {
 		return nil, err
 	}
-	held, cancel := context.WithTimeout(ctx, min(time.Duration(r.WaitMs)*time.Millisecond, maxFetchHold))
+	pollCtx, cancel := context.WithTimeout(ctx, min(time.Duration(r.WaitMs)*time.Millisecond, maxFetchLongPoll))
 	defer cancel()
 	if r.Adopted {
-		return p.fetchAdopted(ctx, held, r)
+		return p.fetchAdopted(ctx, pollCtx, r)
 	}
-	return p.fetchCommitted(held, r)
+	return p.fetchCommitted(pollCtx, r)
 }
 
-func (c *Cell) fetchCommitted(held context.Context, r *apiv1.FetchConfigRequest) (*apiv1.Config, error) {
+func (c *Cell) fetchCommitted(pollCtx context.Context, r *apiv1.FetchConfigRequest) (*apiv1.Config, error) {
 	if c.register == nil {
 		return nil, fault.New(fault.Unavailable, "this instance doesn't vote on the configuration")
 	}
 	for {
 		changed := c.register.Changed()
 		current := c.register.Current()
-		if current.Version > r.AfterVersion || !c.wait(held, changed) {
-			return newsOf(configToAPI(current), r.AfterVersion), nil
+		if current.Version > r.AfterVersion || !c.waitForChange(pollCtx, changed) {
+			return omitUnchanged(configToAPI(current), r.AfterVersion), nil
 		}
 	}
 }
@@ -110,8 +110,8 @@
 // fetchAdopted answers only on a leader that has proved itself, so that an
 // entry instance that restarts is never handed an older version than the data
 // centre has in force.
-func (c *Cell) fetchAdopted(ctx, held context.Context, r *apiv1.FetchConfigRequest) (*apiv1.Config, error) {
-	if _, err := c.leading(); err != nil {
+func (c *Cell) fetchAdopted(ctx, pollCtx context.Context, r *apiv1.FetchConfigRequest) (*apiv1.Config, error) {
+	if _, err := c.currentLeaderTerm(); err != nil {
 		return nil, err
 	}
 	if err := barrier(ctx, c.log); err != nil {
@@ -119,9 +119,9 @@
 	}
 	for {
 		changed := c.machine.Changed()
-		adopted := c.adopted()
-		if adopted.ConfigVersion > r.AfterVersion || !c.wait(held, changed) {
-			return newsOf(&apiv1.Config{
+		adopted := c.adoptedConfig()
+		if adopted.ConfigVersion > r.AfterVersion || !c.waitForChange(pollCtx, changed) {
+			return omitUnchanged(&apiv1.Config{
 				Version: adopted.ConfigVersion, Document: adopted.Document,
 				Author: adopted.Author, AcceptedUnixMs: adopted.Accepted,
 			}, r.AfterVersion), nil
@@ -129,12 +129,12 @@
 	}
 }
 
-// newsOf leaves the version alone of a configuration that the asker has already.
+// omitUnchanged leaves the version alone of a configuration that the asker has already.
 //
 // Failure guarded against: most held calls end without a change. Answered with
 // the whole document each time, they cost every instance its length every few
 // seconds, which is above what control may use where there are many customers.
-func newsOf(config *apiv1.Config, known uint64) *apiv1.Config {
+func omitUnchanged(config *apiv1.Config, known uint64) *apiv1.Config {
 	if config.Version > known {
 		return config
 	}
--- a/internal/cell/adopt_test.go
+++ b/internal/cell/adopt_test.go
@@ -12,11 +12,11 @@
 // between its instances. Each instance asks for a newer configuration, the call
 // is held until its time is over, and the answer carries the whole document that
 // the asker has already.
-func TestUnchangedConfigurationIsAnsweredWithoutItsDocument(t *testing.T) {
+func TestUnchangedConfigOmitsDocument(t *testing.T) {
 	config := &apiv1.Config{Version: 7, Document: "document", Author: "operator", AcceptedUnixMs: 1}
-	must.True(t, config == newsOf(config, 6))
-	same := newsOf(config, 7)
+	must.True(t, config == omitUnchanged(config, 6))
+	same := omitUnchanged(config, 7)
 	must.Eq(t, 7, same.Version)
 	must.Eq(t, "", same.Document)
-	must.Eq(t, 7, newsOf(config, 8).Version)
+	must.Eq(t, 7, omitUnchanged(config, 8).Version)
 }
--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -43,12 +43,12 @@
 	groupName string
 
 	// slots divides the slots of the data centre's minions while this replica leads.
-	slots    *proxy.Leader
-	stats    Stats
-	started  time.Time
-	tenure   atomic.Pointer[tenure]
-	draining chan struct{}
-	drain    sync.Once
+	slots      *proxy.Leader
+	stats      Stats
+	started    time.Time
+	leaderTerm atomic.Pointer[leaderTerm]
+	draining   chan struct{}
+	drainOnce  sync.Once
 }
 
 // New returns a cell. Run makes it lead when it is elected.
@@ -73,20 +73,20 @@
 	for ctx.Err() == nil {
 		changed := c.log.Changed()
 		if status := c.log.Status(); status.CanDecide {
-			c.lead(ctx, status.Term)
+			c.runLeaderTerm(ctx, status.Term)
 			continue
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-		case <-time.After(leaseCheck):
+		case <-time.After(leaseCheckInterval):
 		}
 	}
 	return nil
 }
 
 // BeginShutdown ends held calls, so that a shutdown waits for nothing that is idle.
-func (c *Cell) BeginShutdown() { c.drain.Do(func() { close(c.draining) }) }
+func (c *Cell) BeginShutdown() { c.drainOnce.Do(func() { close(c.draining) }) }
 
 // Handler serves the calls of entry instances and peers.
 func (c *Cell) Handler(exchange func(context.Context, *apiv1.ExchangeRequest) (*apiv1.ExchangeResponse, error)) http.Handler {
@@ -117,8 +117,8 @@
 	return options
 }
 
-// recordWait counts how long a job waited for its first start.
-func (c *Cell) recordWait(j *state.Job) {
+// recordQueueTime counts how long a job waited for its first start.
+func (c *Cell) recordQueueTime(j *state.Job) {
 	if j == nil || j.Started == 0 {
 		return
 	}
--- a/internal/cell/decide.go
+++ b/internal/cell/decide.go
@@ -23,8 +23,8 @@
 // repeats, and the tasks would be held for running for ever. Within a term the
 // replica is the only one that can have granted or commanded anything, so what
 // the tenure knows is still true when it may decide again.
-func (c *Cell) decide(ctx context.Context, t *tenure) {
-	timer := time.NewTimer(leaseCheck)
+func (c *Cell) runDecisions(ctx context.Context, t *leaderTerm) {
+	timer := time.NewTimer(leaseCheckInterval)
 	defer timer.Stop()
 	for ctx.Err() == nil {
 		status := c.log.Status()
@@ -32,11 +32,11 @@
 			return
 		}
 		if status.CanDecide {
-			c.noteDegraded(t, status.Degraded)
-			c.endOverdue(ctx, t)
-			c.pass(ctx, t)
+			c.recordDegraded(t, status.Degraded)
+			c.endOverdueJobs(ctx, t)
+			c.decideOnce(ctx, t)
 		}
-		timer.Reset(leaseCheck)
+		timer.Reset(leaseCheckInterval)
 		select {
 		case <-ctx.Done():
 		case <-c.log.Changed():
@@ -47,9 +47,9 @@
 	}
 }
 
-// noteDegraded tells operators when what is committed begins or ceases to
+// recordDegraded tells operators when what is committed begins or ceases to
 // depend on memory alone.
-func (c *Cell) noteDegraded(t *tenure, degraded bool) {
+func (c *Cell) recordDegraded(t *leaderTerm, degraded bool) {
 	if degraded == t.degraded {
 		return
 	}
@@ -63,12 +63,12 @@
 }
 
 // pass makes one round of decisions.
-func (c *Cell) pass(ctx context.Context, t *tenure) {
+func (c *Cell) decideOnce(ctx context.Context, t *leaderTerm) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	for {
 		c.refresh(t)
-		c.endLeases(ctx, t)
+		c.endExpiredLeases(ctx, t)
 		plan := t.plan(c.now())
 		if len(plan.Starts)+len(plan.Preemptions)+len(plan.Refusals) == 0 {
 			return
@@ -82,14 +82,14 @@
 	}
 }
 
-// endOverdue gives the final answer to work whose deadline has passed while it
+// endOverdueJobs gives the final answer to work whose deadline has passed while it
 // ran or waited: a late result is as bad as none, and its workers are needed.
-func (c *Cell) endOverdue(ctx context.Context, t *tenure) {
+func (c *Cell) endOverdueJobs(ctx context.Context, t *leaderTerm) {
 	now := c.now()
 	if now.Before(t.nextOverdue) {
 		return
 	}
-	t.nextOverdue = now.Add(overdueCheck)
+	t.nextOverdue = now.Add(overdueCheckInterval)
 	var overdue []string
 	c.machine.View(func(s *state.State) { overdue = s.OverdueJobs(now.UnixMilli()) })
 	for _, id := range overdue {
@@ -100,42 +100,42 @@
 	}
 }
 
-// endLeases commits the end of each worker incarnation whose lease is over. A
+// endExpiredLeases commits the end of each worker incarnation whose lease is over. A
 // proposal that fails is made again in the next pass: until the end is
 // committed, the attempts of a dead worker are held for running.
-func (c *Cell) endLeases(ctx context.Context, t *tenure) {
-	over := c.leasesOver(t)
-	for _, down := range over {
+func (c *Cell) endExpiredLeases(ctx context.Context, t *leaderTerm) {
+	expired := c.expiredLeases(t)
+	for _, down := range expired {
 		if _, err := c.propose(ctx, &state.Command{WorkerDown: down}); err != nil {
 			c.base.Logger.Log("msg", "end of lease not committed", "worker", down.ID, "err", err)
 		}
 	}
-	if len(over) > 0 {
+	if len(expired) > 0 {
 		c.refresh(t)
 	}
 }
 
-func (c *Cell) leasesOver(t *tenure) []*state.WorkerDown {
-	var over []*state.WorkerDown
+func (c *Cell) expiredLeases(t *leaderTerm) []*state.WorkerDown {
+	var expired []*state.WorkerDown
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.leases.Expired(c.monotonic())
 	c.machine.View(func(s *state.State) {
 		for id, w := range s.Workers {
 			if !w.Down && t.leases.Fenced(id, w.Incarnation) {
-				over = append(over, &state.WorkerDown{ID: id, Incarnation: w.Incarnation})
+				expired = append(expired, &state.WorkerDown{ID: id, Incarnation: w.Incarnation})
 			}
 		}
 	})
-	return over
+	return expired
 }
 
-func (t *tenure) plan(now time.Time) placement.Plan {
+func (t *leaderTerm) plan(now time.Time) placement.Plan {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	plan := t.cluster.Evaluate(now, maxStarts)
 	plan.Refusals = slices.DeleteFunc(plan.Refusals, func(r placement.Refusal) bool {
-		return strings.HasPrefix(r.Job, bookingPrefix)
+		return strings.HasPrefix(r.Job, reservationPrefix)
 	})
 	return plan
 }
@@ -143,9 +143,9 @@
 // commitPlan writes a plan to the log. Starts are sent once they are applied: a
 // leader that was deposed meanwhile can't have committed them, so it can't have
 // sent them either.
-func (c *Cell) commitPlan(ctx context.Context, t *tenure, plan placement.Plan) error {
+func (c *Cell) commitPlan(ctx context.Context, t *leaderTerm, plan placement.Plan) error {
 	for _, refusal := range plan.Refusals {
-		command := &state.Refuse{Job: refusal.Job, Kind: kindOf(refusal.Reason), Detail: refusal.Detail}
+		command := &state.Refuse{Job: refusal.Job, Kind: faultKind(refusal.Reason), Detail: refusal.Detail}
 		if _, err := c.propose(ctx, &state.Command{Refuse: command}); err != nil {
 			return err
 		}
@@ -179,8 +179,8 @@
 	return items
 }
 
-// kindOf maps placement's reasons to the closed list.
-func kindOf(reason placement.Reason) fault.Kind {
+// faultKind maps placement's reasons to the closed list.
+func faultKind(reason placement.Reason) fault.Kind {
 	switch reason {
 	case placement.ReasonTooLarge, placement.ReasonTooMany:
 		return fault.Infeasible
@@ -197,8 +197,8 @@
 // prune forgets ended jobs, answers and records that are older than a day.
 func (c *Cell) prune(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.For(ctx, pruneEvery)
-		before := c.now().Add(-keepEnded).UnixMilli()
+		wait.For(ctx, pruneInterval)
+		before := c.now().Add(-endedJobRetention).UnixMilli()
 		if _, err := c.propose(ctx, &state.Command{Prune: &state.Prune{Before: before}}); err != nil && ctx.Err() == nil {
 			c.base.Logger.Log("msg", "nothing pruned", "err", err)
 		}
--- a/internal/cell/gateway.go
+++ b/internal/cell/gateway.go
@@ -16,9 +16,9 @@
 var _ apiv1.WorkerGateway = (*Cell)(nil)
 
 // leading returns the present tenure, or the error that names the leader.
-func (c *Cell) leading() (*tenure, error) {
+func (c *Cell) currentLeaderTerm() (*leaderTerm, error) {
 	status := c.log.Status()
-	t := c.tenure.Load()
+	t := c.leaderTerm.Load()
 	if t == nil || !status.CanDecide || status.Term != t.term {
 		return nil, rpc.NotLeader(rpc.LeaderIn(status))
 	}
@@ -34,19 +34,19 @@
 	if r.Worker == "" || r.Incarnation == 0 {
 		return nil, fault.Field("worker", "name and incarnation are needed")
 	}
-	t, err := c.leading()
+	t, err := c.currentLeaderTerm()
 	if err != nil {
 		return nil, err
 	}
 	c.stats.Renewals.Add(1)
 	response := &apiv1.RenewResponse{Term: t.term, Sequence: r.Sequence}
-	switch standing, err := c.admitWorker(ctx, r); {
+	switch status, err := c.registerWorker(ctx, r); {
 	case err != nil:
 		return nil, err
-	case standing == incarnationOver:
+	case status == incarnationEnded:
 		response.Ended = true
 		return response, nil
-	case standing == incarnationUnknown || c.mustAnnounce(t, r):
+	case status == incarnationUnknown || c.needsAnnouncement(t, r):
 		response.Announce = true
 		return response, nil
 	}
@@ -56,27 +56,27 @@
 		return response, nil
 	}
 	response.LeaseMs = t.leases.TTL().Milliseconds()
-	response.Commands = c.await(ctx, t, box, r)
+	response.Commands = c.awaitCommands(ctx, t, box, r)
 	return response, nil
 }
 
 // standing is what the committed state knows of a worker's incarnation.
-type standing int
+type incarnationStatus int
 
 const (
-	incarnationUnknown standing = iota
+	incarnationUnknown incarnationStatus = iota
 	incarnationKnown
-	incarnationOver
+	incarnationEnded
 )
 
-// admitWorker makes sure that the incarnation is committed, by its
+// registerWorker makes sure that the incarnation is committed, by its
 // announcement where it is new.
-func (c *Cell) admitWorker(ctx context.Context, r *apiv1.RenewRequest) (standing, error) {
-	known := c.standingOf(r.Worker, r.Incarnation)
-	if known == incarnationKnown && c.runsUnknown(r) {
+func (c *Cell) registerWorker(ctx context.Context, r *apiv1.RenewRequest) (incarnationStatus, error) {
+	known := c.incarnationStatusOf(r.Worker, r.Incarnation)
+	if known == incarnationKnown && c.hasUnknownAttempts(r) {
 		down := &state.WorkerDown{ID: r.Worker, Incarnation: r.Incarnation}
 		_, err := c.propose(ctx, &state.Command{WorkerDown: down})
-		return incarnationOver, err
+		return incarnationEnded, err
 	}
 	if known != incarnationUnknown {
 		return known, nil
@@ -87,8 +87,8 @@
 	}
 	if len(a.Running) > 0 {
 		// A new incarnation begins with nothing running. This one was known once
-		// and has been forgotten with its attempts; see mustAnnounce.
-		return incarnationOver, nil
+		// and has been forgotten with its attempts; see needsAnnouncement.
+		return incarnationEnded, nil
 	}
 	capacity := wire.ResourcesFromAPI(a.Capacity)
 	if capacity.CPU <= 0 || capacity.Memory <= 0 || capacity.Accelerators < 0 {
@@ -98,10 +98,10 @@
 	if _, err := c.propose(ctx, &state.Command{WorkerUp: up}); err != nil {
 		return incarnationUnknown, err
 	}
-	return c.standingOf(r.Worker, r.Incarnation), nil
+	return c.incarnationStatusOf(r.Worker, r.Incarnation), nil
 }
 
-// mustAnnounce says that a worker's first renewal in this tenure has to tell
+// needsAnnouncement says that a worker's first renewal in this tenure has to tell
 // what it runs.
 //
 // Failure guarded against: the log went on without a disk, the whole data centre
@@ -109,7 +109,7 @@
 // their workers run them. Such a worker looks free and would be given more than
 // it has. What it runs and the state never heard of shows that; its incarnation
 // is then over, and it comes back with nothing running.
-func (c *Cell) mustAnnounce(t *tenure, r *apiv1.RenewRequest) bool {
+func (c *Cell) needsAnnouncement(t *leaderTerm, r *apiv1.RenewRequest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	box := t.outboxes[r.Worker]
@@ -117,9 +117,9 @@
 	return first && r.Announcement == nil
 }
 
-// runsUnknown reports whether a worker announces an attempt that was never
+// hasUnknownAttempts reports whether a worker announces an attempt that was never
 // committed here. One whose end is committed already is no such attempt.
-func (c *Cell) runsUnknown(r *apiv1.RenewRequest) bool {
+func (c *Cell) hasUnknownAttempts(r *apiv1.RenewRequest) bool {
 	unknown := false
 	c.machine.View(func(s *state.State) {
 		for _, ref := range r.GetAnnouncement().GetRunning() {
@@ -132,7 +132,7 @@
 	return unknown
 }
 
-func (c *Cell) standingOf(worker string, incarnation uint64) standing {
+func (c *Cell) incarnationStatusOf(worker string, incarnation uint64) incarnationStatus {
 	found := incarnationUnknown
 	c.machine.View(func(s *state.State) {
 		w := s.Workers[worker]
@@ -140,7 +140,7 @@
 		case w == nil || w.Incarnation < incarnation:
 			return
 		case w.Incarnation > incarnation || w.Down:
-			found = incarnationOver
+			found = incarnationEnded
 		default:
 			found = incarnationKnown
 		}
@@ -152,7 +152,7 @@
 // renewal grants nothing. The caller has made sure, after the renewal was
 // received, that this replica may decide: a leader resumed after a pause must
 // not grant a lease that its successor doesn't wait out.
-func (c *Cell) renew(t *tenure, r *apiv1.RenewRequest, received time.Duration) (*outbox, lease.Renewal) {
+func (c *Cell) renew(t *leaderTerm, r *apiv1.RenewRequest, received time.Duration) (*outbox, lease.Renewal) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	wasLive := t.leases.Live(r.Worker, received)
@@ -162,10 +162,10 @@
 	}
 	var box *outbox
 	c.machine.View(func(s *state.State) {
-		box = t.open(s, r.Worker, r.Incarnation)
+		box = t.openOutbox(s, r.Worker, r.Incarnation)
 		if !wasLive || renewal.NewIncarnation {
 			t.syncWorker(s, r.Worker, received)
-			t.poke()
+			t.wakeUp()
 		}
 	})
 	box.Acknowledge(lease.Position{Term: r.Term, Number: r.CommandAck})
@@ -174,21 +174,21 @@
 
 // await holds a renewal until there are commands, the hold is over, or the
 // tenure ends.
-func (c *Cell) await(ctx context.Context, t *tenure, box *outbox, r *apiv1.RenewRequest) []*apiv1.Command {
+func (c *Cell) awaitCommands(ctx context.Context, t *leaderTerm, box *outbox, r *apiv1.RenewRequest) []*apiv1.Command {
 	hold := min(time.Duration(r.HoldMs)*time.Millisecond, time.Duration(c.base.Settings.Timing.RenewHold))
 	timer := time.NewTimer(max(hold, 0))
 	defer timer.Stop()
 	for {
 		t.mu.Lock()
 		pending := box.commands()
-		filled := box.filled
+		changed := box.changed
 		t.mu.Unlock()
 		if len(pending) > 0 || hold <= 0 {
 			return pending
 		}
 		select {
-		case <-filled:
-			if c.tenure.Load() != t {
+		case <-changed:
+			if c.leaderTerm.Load() != t {
 				return nil
 			}
 		case <-timer.C:
@@ -206,7 +206,7 @@
 	if _, err := rpc.Require(ctx, settings.Worker); err != nil {
 		return nil, err
 	}
-	t, err := c.leading()
+	t, err := c.currentLeaderTerm()
 	if err != nil {
 		return nil, err
 	}
@@ -237,7 +237,7 @@
 	if _, err := rpc.Require(ctx, settings.Worker); err != nil {
 		return nil, err
 	}
-	t, err := c.leading()
+	t, err := c.currentLeaderTerm()
 	if err != nil {
 		return nil, err
 	}
@@ -249,7 +249,7 @@
 	return &apiv1.LeaveResponse{}, nil
 }
 
-func (c *Cell) endLease(t *tenure, r *apiv1.LeaveWorkerRequest) {
+func (c *Cell) endLease(t *leaderTerm, r *apiv1.LeaveWorkerRequest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.leases.Leave(r.Worker, r.Incarnation)
@@ -257,7 +257,7 @@
 
 // acknowledgement carries the place of the last command issued, read after the
 // ends were applied.
-func (t *tenure) acknowledgement(r *apiv1.ReportRequest) *apiv1.ReportResponse {
+func (t *leaderTerm) acknowledgement(r *apiv1.ReportRequest) *apiv1.ReportResponse {
 	response := &apiv1.ReportResponse{UntilTerm: t.term}
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/cell/handover.go
+++ b/internal/cell/handover.go
@@ -19,29 +19,29 @@
 
 // Pace of handovers.
 const (
-	// offerPause is the wait before an unanswered offer is made again.
-	offerPause = 500 * time.Millisecond
+	// offerRetryInterval is the wait before an unanswered offer is made again.
+	offerRetryInterval = 500 * time.Millisecond
 	// probeTimeout bounds the question whether another data centre would take a
 	// job; the caller is waiting.
 	probeTimeout = 400 * time.Millisecond
-	// awayFor is how long a data centre that didn't answer isn't asked again by
+	// unreachableRetryDelay is how long a data centre that didn't answer isn't asked again by
 	// callers' submissions.
-	awayFor = 5 * time.Second
+	unreachableRetryDelay = 5 * time.Second
 )
 
-// findTaker asks the other data centres in turn whether they would take a job
+// findAcceptingDataCentre asks the other data centres in turn whether they would take a job
 // and returns the first that would, or "". Nothing is committed by it: the
 // question spares the log offers that would only be refused.
-func (c *Cell) findTaker(ctx context.Context, t *tenure, probe *apiv1.OfferRequest, tried []string) string {
+func (c *Cell) findAcceptingDataCentre(ctx context.Context, t *leaderTerm, probe *apiv1.OfferRequest, tried []string) string {
 	for _, dataCentre := range c.base.Settings.DataCentres() {
-		if dataCentre == c.base.Instance.DataCentre || slices.Contains(tried, dataCentre) || t.isAway(dataCentre, c.now()) {
+		if dataCentre == c.base.Instance.DataCentre || slices.Contains(tried, dataCentre) || t.isUnreachable(dataCentre, c.now()) {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 		answer, err := c.offer(ctx, dataCentre, probe)
 		cancel()
 		if err != nil {
-			t.setAway(dataCentre, c.now().Add(awayFor))
+			t.markUnreachable(dataCentre, c.now().Add(unreachableRetryDelay))
 			continue
 		}
 		if answer.Accepted {
@@ -51,16 +51,16 @@
 	return ""
 }
 
-func (t *tenure) isAway(dataCentre string, now time.Time) bool {
+func (t *leaderTerm) isUnreachable(dataCentre string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return now.Before(t.away[dataCentre])
+	return now.Before(t.unreachableUntil[dataCentre])
 }
 
-func (t *tenure) setAway(dataCentre string, until time.Time) {
+func (t *leaderTerm) markUnreachable(dataCentre string, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.away[dataCentre] = until
+	t.unreachableUntil[dataCentre] = until
 }
 
 func (c *Cell) offer(ctx context.Context, dataCentre string, r *apiv1.OfferRequest) (*apiv1.OfferResponse, error) {
@@ -69,7 +69,7 @@
 		return nil, err
 	}
 	var answer *apiv1.OfferResponse
-	err = c.base.Directory.Leader(ctx, dataCentre, directory.Effort{}, func(ctx context.Context, base string) error {
+	err = c.base.Directory.CallLeader(ctx, dataCentre, directory.CallOptions{}, func(ctx context.Context, base string) error {
 		var err error
 		answer, err = apiv1.NewPeerProtobufClient(base, c.base.Directory.Client()).Offer(ctx, r)
 		return err
@@ -79,11 +79,11 @@
 
 // handOver makes the offers that the log says are open, again and again until
 // the other data centre's committed answer is known, however long it is cut off.
-func (c *Cell) handOver(ctx context.Context, t *tenure) {
+func (c *Cell) handOver(ctx context.Context, t *leaderTerm) {
 	for ctx.Err() == nil {
 		changed := c.machine.Changed()
-		if !c.settleOffers(ctx, t) {
-			wait.For(ctx, offerPause)
+		if !c.sendPendingOffers(ctx, t) {
+			wait.For(ctx, offerRetryInterval)
 			continue
 		}
 		select {
@@ -93,20 +93,20 @@
 	}
 }
 
-// settleOffers makes every open offer, side by side to different data centres,
+// sendPendingOffers makes every open offer, side by side to different data centres,
 // so that one which is cut off doesn't hold back the offers to another. It
 // returns false when an offer must be made again.
-func (c *Cell) settleOffers(ctx context.Context, t *tenure) bool {
-	byTaker := make(map[string][]*state.Job)
-	for _, j := range c.openOffers() {
-		byTaker[j.HandoverDataCentre] = append(byTaker[j.HandoverDataCentre], j)
+func (c *Cell) sendPendingOffers(ctx context.Context, t *leaderTerm) bool {
+	byDataCentre := make(map[string][]*state.Job)
+	for _, j := range c.pendingOffers() {
+		byDataCentre[j.HandoverDataCentre] = append(byDataCentre[j.HandoverDataCentre], j)
 	}
 	var failed atomic.Bool
 	var offers sync.WaitGroup
-	for _, jobs := range byTaker {
+	for _, jobs := range byDataCentre {
 		offers.Go(func() {
 			for _, j := range jobs {
-				if err := c.settleOffer(ctx, t, j); err != nil {
+				if err := c.sendOffer(ctx, t, j); err != nil {
 					failed.Store(true)
 					return
 				}
@@ -117,27 +117,27 @@
 	return !failed.Load()
 }
 
-func (c *Cell) openOffers() []*state.Job {
-	var open []*state.Job
+func (c *Cell) pendingOffers() []*state.Job {
+	var pending []*state.Job
 	c.machine.View(func(s *state.State) {
 		for _, j := range s.Jobs {
 			if j.State == state.JobPendingHandover && !j.HandoverDone {
 				copied := *j
-				open = append(open, &copied)
+				pending = append(pending, &copied)
 			}
 		}
 	})
-	return open
+	return pending
 }
 
-func (c *Cell) settleOffer(ctx context.Context, t *tenure, j *state.Job) error {
+func (c *Cell) sendOffer(ctx context.Context, t *leaderTerm, j *state.Job) error {
 	request := &apiv1.OfferRequest{
 		FromDataCentre: c.base.Instance.DataCentre, Job: j.ID, Customer: j.Customer,
 		Spec: wire.SpecToAPI(j.Spec, ""), SubmittedUnixMs: j.Submitted, Withdraw: j.Kind == fault.Cancelled,
 	}
 	answer, err := c.offer(ctx, j.HandoverDataCentre, request)
 	if err != nil {
-		t.setAway(j.HandoverDataCentre, c.now().Add(awayFor))
+		t.markUnreachable(j.HandoverDataCentre, c.now().Add(unreachableRetryDelay))
 		return err
 	}
 	offered := &state.RecordHandoverAnswer{Job: j.ID, To: j.HandoverDataCentre, Accepted: answer.Accepted, Withdrawn: request.Withdraw}
@@ -145,7 +145,7 @@
 		offered.Kind, _ = fault.Parse(answer.ReasonKind)
 		offered.Detail = answer.Reason
 		request.Probe = true
-		offered.Next = c.findTaker(ctx, t, request, append(slices.Clone(j.RefusedBy), j.HandoverDataCentre))
+		offered.Next = c.findAcceptingDataCentre(ctx, t, request, append(slices.Clone(j.RefusedBy), j.HandoverDataCentre))
 	}
 	_, err = c.propose(ctx, &state.Command{RecordHandoverAnswer: offered})
 	return err
@@ -173,23 +173,23 @@
 	if _, err := rpc.Require(ctx, settings.Peer); err != nil {
 		return nil, err
 	}
-	t, err := p.leading()
+	t, err := p.currentLeaderTerm()
 	if err != nil {
 		return nil, err
 	}
-	if answer, ok := p.answered(r.Job); ok && !r.Probe {
+	if answer, ok := p.committedAnswer(r.Job); ok && !r.Probe {
 		return answer, p.withdraw(ctx, r, answer)
 	}
-	take, release := p.judgeOffer(t, r)
+	command, release := p.evaluateOffer(t, r)
 	defer release()
 	if r.Probe {
-		return offerAnswer(!take.Refused, take.Kind, take.Detail), nil
+		return offerAnswer(!command.Refused, command.Kind, command.Detail), nil
 	}
-	if _, err := p.propose(ctx, &state.Command{AnswerHandoverOffer: take}); err != nil {
+	if _, err := p.propose(ctx, &state.Command{AnswerHandoverOffer: command}); err != nil {
 		return nil, err
 	}
-	t.poke()
-	answer, _ := p.answered(r.Job)
+	t.wakeUp()
+	answer, _ := p.committedAnswer(r.Job)
 	return answer, nil
 }
 
@@ -210,29 +210,29 @@
 	return result.Err
 }
 
-// judgeOffer says what the answer to an offer is, and books what it needs.
-func (p *peerServer) judgeOffer(t *tenure, r *apiv1.OfferRequest) (take *state.AnswerHandoverOffer, release func()) {
-	take = &state.AnswerHandoverOffer{Job: r.Job, Customer: r.Customer, From: r.FromDataCentre, Submitted: r.SubmittedUnixMs}
+// evaluateOffer says what the answer to an offer is, and books what it needs.
+func (p *peerServer) evaluateOffer(t *leaderTerm, r *apiv1.OfferRequest) (command *state.AnswerHandoverOffer, release func()) {
+	command = &state.AnswerHandoverOffer{Job: r.Job, Customer: r.Customer, From: r.FromDataCentre, Submitted: r.SubmittedUnixMs}
 	spec, err := wire.CheckSpec(r.Spec, p.base.Settings.Limits, p.now())
 	if err != nil {
 		// The deadline may have passed while the offer was under way.
-		take.Refused, take.Kind, take.Detail = true, fault.DeadlineUnreachable, fault.From(err).Error()
-		return take, func() {}
+		command.Refused, command.Kind, command.Detail = true, fault.DeadlineUnreachable, fault.From(err).Error()
+		return command, func() {}
 	}
-	take.Spec = spec
+	command.Spec = spec
 	if r.Withdraw {
-		take.Refused, take.Kind, take.Detail = true, fault.Cancelled, "cancelled by the customer"
-		return take, func() {}
-	}
-	verdict, release := p.judge(t, r.Customer, spec, p.now())
-	take.Refused = !verdict.Admitted
-	take.Kind = kindOf(verdict.Reason)
-	take.Detail = verdict.Detail
-	return take, release
+		command.Refused, command.Kind, command.Detail = true, fault.Cancelled, "cancelled by the customer"
+		return command, func() {}
+	}
+	verdict, release := p.admitAndReserve(t, r.Customer, spec, p.now())
+	command.Refused = !verdict.Admitted
+	command.Kind = faultKind(verdict.Reason)
+	command.Detail = verdict.Detail
+	return command, release
 }
 
 // answered returns the committed answer to an offer.
-func (c *Cell) answered(job string) (*apiv1.OfferResponse, bool) {
+func (c *Cell) committedAnswer(job string) (*apiv1.OfferResponse, bool) {
 	var record state.HandoverAnswerRecord
 	var ok bool
 	c.machine.View(func(s *state.State) { record, ok = s.HandoverAnswers[job] })
--- a/internal/cell/machine.go
+++ b/internal/cell/machine.go
@@ -39,7 +39,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	result := m.state.Apply(index, command)
-	m.gather(command)
+	m.publishChanges(command)
 	close(m.changed)
 	m.changed = make(chan struct{})
 	return result
@@ -48,19 +48,19 @@
 // gather hands the changes of one command to the caches and the time line.
 // Every replica records the same events under the proposer's stamp, so that
 // the story survives the loss of the instance that wrote it.
-func (m *Machine) gather(command *state.Command) {
+func (m *Machine) publishChanges(command *state.Command) {
 	c := m.state.TakeChanges()
-	stamp := hlc.Stamp{Wall: command.Now, Logical: command.Logical}
+	stamp := hlc.Timestamp{Wall: command.Now, Logical: command.Logical}
 	for _, e := range c.Events {
 		m.events.RecordAt(stamp, command.Proposer, e.Kind, e.Detail, e.Subjects...)
 	}
 	if !m.collect {
 		return
 	}
-	merge(&m.pending, c)
+	mergeChanges(&m.pending, c)
 }
 
-func merge(into *state.Changes, c state.Changes) {
+func mergeChanges(into *state.Changes, c state.Changes) {
 	into.Placed = append(into.Placed, c.Placed...)
 	into.Unplaced = append(into.Unplaced, c.Unplaced...)
 	into.Stops = append(into.Stops, c.Stops...)
--- a/internal/cell/minions.go
+++ b/internal/cell/minions.go
@@ -24,8 +24,8 @@
 	if _, err := rpc.Require(ctx, settings.Peer); err != nil {
 		return nil, err
 	}
-	if _, err := p.leading(); err != nil {
+	if _, err := p.currentLeaderTerm(); err != nil {
 		return nil, err
 	}
-	return p.slots.Share(r)
+	return p.slots.Allocate(r)
 }
--- a/internal/cell/operations.go
+++ b/internal/cell/operations.go
@@ -21,9 +21,9 @@
 
 // Bounds of listing and held calls.
 const (
-	maxEvents       = 5000
-	maxFetchHold    = 20 * time.Second
-	defaultVersions = 20
+	maxEvents        = 5000
+	maxFetchLongPoll = 20 * time.Second
+	defaultVersions  = 20
 )
 
 // Workers lists the workers of this data centre.
@@ -31,17 +31,17 @@
 	if _, err := rpc.Require(ctx, settings.Operator); err != nil {
 		return nil, err
 	}
-	t, err := c.leading()
+	t, err := c.currentLeaderTerm()
 	if err != nil {
 		return nil, err
 	}
 	response := &apiv1.WorkersResponse{}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	aside := t.cluster.Quarantined()
+	quarantined := t.cluster.Quarantined()
 	c.machine.View(func(s *state.State) {
 		for id := range s.Workers {
-			response.Workers = append(response.Workers, c.workerInfo(s, t, id, aside))
+			response.Workers = append(response.Workers, c.workerInfo(s, t, id, quarantined))
 		}
 	})
 	slices.SortFunc(response.Workers, func(a, b *apiv1.WorkerInfo) int { return strings.Compare(a.Id, b.Id) })
@@ -49,11 +49,11 @@
 }
 
 // workerInfo describes one worker. The caller holds t.mu.
-func (c *Cell) workerInfo(s *state.State, t *tenure, id string, aside []string) *apiv1.WorkerInfo {
+func (c *Cell) workerInfo(s *state.State, t *leaderTerm, id string, quarantined []string) *apiv1.WorkerInfo {
 	w := s.Workers[id]
 	return &apiv1.WorkerInfo{
 		Id: id, Rack: w.Rack, DataCentre: c.base.Instance.DataCentre, Capacity: wire.ResourcesToAPI(w.Capacity),
-		Used: wire.ResourcesToAPI(w.Used), Draining: w.Draining, SetAside: slices.Contains(aside, id),
+		Used: wire.ResourcesToAPI(w.Used), Draining: w.Draining, SetAside: slices.Contains(quarantined, id),
 		Connected: !w.Down && t.leases.Live(id, c.monotonic()), Tasks: int32(len(s.AttemptsOnWorker(id))),
 	}
 }
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t, err := c.leading()
+	t, err := c.currentLeaderTerm()
 	if err != nil {
 		return nil, err
 	}
@@ -173,7 +173,7 @@
 		response.CommittedVersion = c.register.Current().Version
 	}
 	response.Instances = []*apiv1.InstanceConfig{{
-		Instance: c.base.Instance.ID, DataCentre: c.base.Instance.DataCentre, Version: c.adopted().ConfigVersion, Reachable: true,
+		Instance: c.base.Instance.ID, DataCentre: c.base.Instance.DataCentre, Version: c.adoptedConfig().ConfigVersion, Reachable: true,
 	}}
 	return response, nil
 }
--- a/internal/cell/outbox.go
+++ b/internal/cell/outbox.go
@@ -17,14 +17,14 @@
 	*lease.Outbox[*apiv1.Command]
 	incarnation uint64
 	// filled is closed and replaced when a command is added.
-	filled chan struct{}
+	changed chan struct{}
 }
 
 func newOutbox(term, incarnation uint64) *outbox {
 	return &outbox{
 		Outbox:      lease.NewOutbox[*apiv1.Command](term, incarnation),
 		incarnation: incarnation,
-		filled:      make(chan struct{}),
+		changed:     make(chan struct{}),
 	}
 }
 
@@ -33,8 +33,8 @@
 	command.Number = header.Position.Number
 	command.Term = header.Position.Term
 	command.Incarnation = header.Incarnation
-	close(b.filled)
-	b.filled = make(chan struct{})
+	close(b.changed)
+	b.changed = make(chan struct{})
 }
 
 // commands returns what is to be sent with the next answer.
@@ -48,7 +48,7 @@
 }
 
 // send queues a command for a worker incarnation. The caller holds t.mu.
-func (t *tenure) send(worker string, incarnation uint64, command *apiv1.Command) {
+func (t *leaderTerm) enqueueCommand(worker string, incarnation uint64, command *apiv1.Command) {
 	box := t.outboxes[worker]
 	if box == nil || box.incarnation != incarnation {
 		// The worker hasn't renewed here yet. Its first renewal fills the
@@ -62,7 +62,7 @@
 // committed state when the incarnation is new to this tenure. Every attempt
 // that occupies the worker is commanded again: the predecessor may have
 // committed a start and died before sending it. The worker refuses repeats.
-func (t *tenure) open(s *state.State, worker string, incarnation uint64) *outbox {
+func (t *leaderTerm) openOutbox(s *state.State, worker string, incarnation uint64) *outbox {
 	box := t.outboxes[worker]
 	if box != nil && box.incarnation == incarnation {
 		return box
@@ -83,14 +83,14 @@
 	return box
 }
 
-// closeOutboxes ends every held renewal of the tenure, so that workers look
+// wakeHeldRenewals ends every held renewal of the tenure, so that workers look
 // for the next leader at once.
-func (t *tenure) closeOutboxes() {
+func (t *leaderTerm) wakeHeldRenewals() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, box := range t.outboxes {
-		close(box.filled)
-		box.filled = make(chan struct{})
+		close(box.changed)
+		box.changed = make(chan struct{})
 	}
 }
 
--- a/internal/cell/quota.go
+++ b/internal/cell/quota.go
@@ -23,17 +23,17 @@
 
 // Pace of quota transfers.
 const (
-	// quotaTick is the planner's idea of a second.
-	quotaTick = time.Second
-	// askTimeout bounds one ask of another data centre.
-	askTimeout = 700 * time.Millisecond
+	// quotaTickInterval is the planner's idea of a second.
+	quotaTickInterval = time.Second
+	// transferRequestTimeout bounds one ask of another data centre.
+	transferRequestTimeout = 700 * time.Millisecond
 	// quotaFormat is the version of the encoded messages.
 	quotaFormat = 1
 )
 
-// quotaOf reads the limits out of a configuration document. Without a division
+// quotaConfig reads the limits out of a configuration document. Without a division
 // nothing is limited.
-func quotaOf(version uint64, document string) (quota.Config, error) {
+func quotaConfig(version uint64, document string) (quota.Config, error) {
 	parsed, err := conf.Parse(document)
 	if err != nil {
 		return quota.Config{}, err
@@ -53,11 +53,11 @@
 // checkQuota refuses a document that would divide quotas otherwise than the
 // one in force without saying that they are divided anew.
 func checkQuota(current conf.Config, document string) error {
-	before, err := quotaOf(current.Version, current.Text)
+	before, err := quotaConfig(current.Version, current.Text)
 	if err != nil {
 		return err
 	}
-	next, err := quotaOf(current.Version+1, document)
+	next, err := quotaConfig(current.Version+1, document)
 	if err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 
 // syncQuota tells placement what each customer may use here, and its weight.
 // The caller holds t.mu.
-func (t *tenure) syncQuota(s *state.State) {
+func (t *leaderTerm) syncQuota(s *state.State) {
 	for name := range s.Customers() {
 		t.cluster.SetLimit(name, s.Allotment(name))
 	}
@@ -90,7 +90,7 @@
 
 // limit is what a customer may use in all data centres together: what bounds a
 // job for good. What the data centre's allotment lacks is asked of the others.
-func (c *Cell) limit(customer string) placement.Resources {
+func (c *Cell) customerLimit(customer string) placement.Resources {
 	limit := placement.Resources{CPU: quota.Unlimited, Memory: quota.Unlimited, Accelerators: quota.Unlimited}
 	c.machine.View(func(s *state.State) {
 		if s.Quota().Version() > 0 {
@@ -100,10 +100,10 @@
 	return limit
 }
 
-// moveQuota asks the other data centres for what customers lack here, as long
+// runQuotaTransfers asks the other data centres for what customers lack here, as long
 // as this replica leads.
-func (c *Cell) moveQuota(ctx context.Context, t *tenure) {
-	ticker := time.NewTicker(quotaTick)
+func (c *Cell) runQuotaTransfers(ctx context.Context, t *leaderTerm) {
+	ticker := time.NewTicker(quotaTickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -111,66 +111,66 @@
 			return
 		case <-ticker.C:
 		}
-		for _, ask := range c.planAsks(t) {
-			go c.askFor(ctx, t, ask)
+		for _, request := range c.planTransferRequests(t) {
+			go c.requestTransfer(ctx, t, request)
 		}
 	}
 }
 
-// planAsks notes the demand of each customer and plans whom to ask.
-func (c *Cell) planAsks(t *tenure) []quota.TransferRequest {
-	var asks []quota.TransferRequest
-	t.planning.Lock()
-	defer t.planning.Unlock()
+// planTransferRequests notes the demand of each customer and plans whom to ask.
+func (c *Cell) planTransferRequests(t *leaderTerm) []quota.TransferRequest {
+	var requests []quota.TransferRequest
+	t.plannerMu.Lock()
+	defer t.plannerMu.Unlock()
 	c.machine.View(func(s *state.State) {
 		if s.Quota().Version() == 0 {
 			return
 		}
 		demand := s.Demand()
 		t.planner.Tick()
-		var lacking []quota.Demand
+		var shortfalls []quota.Demand
 		for customer, need := range demand {
-			if lack, some := lacks(need, s.Allotment(customer)); some {
-				lacking = append(lacking, quota.Demand{Customer: customer, Amount: lack})
+			if missing, short := shortfall(need, s.Allotment(customer)); short {
+				shortfalls = append(shortfalls, quota.Demand{Customer: customer, Amount: missing})
 			}
 		}
-		slices.SortFunc(lacking, func(a, b quota.Demand) int { return strings.Compare(a.Customer, b.Customer) })
-		asks = t.planner.Requests(s.Quota(), lacking)
+		slices.SortFunc(shortfalls, func(a, b quota.Demand) int { return strings.Compare(a.Customer, b.Customer) })
+		requests = t.planner.Requests(s.Quota(), shortfalls)
 	})
-	return asks
+	return requests
 }
 
-// needOf returns what each customer's running and waiting work needs here,
+// demandOf returns what each customer's running and waiting work needs here,
 // which is kept when others ask.
-func needOf(s *state.State) func(customer string) placement.Resources {
+func demandOf(s *state.State) func(customer string) placement.Resources {
 	demand := s.Demand()
 	return func(customer string) placement.Resources { return demand[customer] }
 }
 
 // lacks returns how much a need is above an allotment.
-func lacks(need, allotment placement.Resources) (lack placement.Resources, some bool) {
-	above := func(amount, most int64) int64 {
+func shortfall(need, allotment placement.Resources) (missing placement.Resources, short bool) {
+	excess := func(amount, most int64) int64 {
 		if most < 0 || amount <= most {
 			return 0
 		}
-		some = true
+		short = true
 		return amount - most
 	}
-	lack.CPU = above(need.CPU, allotment.CPU)
-	lack.Memory = above(need.Memory, allotment.Memory)
-	lack.Accelerators = above(need.Accelerators, allotment.Accelerators)
-	return lack, some
+	missing.CPU = excess(need.CPU, allotment.CPU)
+	missing.Memory = excess(need.Memory, allotment.Memory)
+	missing.Accelerators = excess(need.Accelerators, allotment.Accelerators)
+	return missing, short
 }
 
-// askFor sends one ask, commits what comes back, and acknowledges it.
-func (c *Cell) askFor(ctx context.Context, t *tenure, ask quota.TransferRequest) {
-	reply, err := c.sendAsk(ctx, ask)
+// requestTransfer sends one ask, commits what comes back, and acknowledges it.
+func (c *Cell) requestTransfer(ctx context.Context, t *leaderTerm, request quota.TransferRequest) {
+	reply, err := c.sendTransferRequest(ctx, request)
 	if err != nil {
 		return
 	}
-	t.planning.Lock()
+	t.plannerMu.Lock()
 	t.planner.Observe(reply)
-	t.planning.Unlock()
+	t.plannerMu.Unlock()
 	if reply.Transfer.Sequence == 0 {
 		return
 	}
@@ -178,27 +178,27 @@
 	if err != nil || result.Err != nil && !errors.Is(result.Err, quota.ErrDuplicate) {
 		return
 	}
-	t.poke()
+	t.wakeUp()
 	var acknowledgement quota.TransferRequest
-	c.machine.View(func(s *state.State) { acknowledgement = s.Quota().Request(ask.To) })
+	c.machine.View(func(s *state.State) { acknowledgement = s.Quota().Request(request.To) })
 	// A lost acknowledgement is made up for by the next ask.
-	_, _ = c.sendAsk(ctx, acknowledgement)
+	_, _ = c.sendTransferRequest(ctx, acknowledgement)
 }
 
-func (c *Cell) sendAsk(ctx context.Context, ask quota.TransferRequest) (quota.Reply, error) {
+func (c *Cell) sendTransferRequest(ctx context.Context, transfer quota.TransferRequest) (quota.Reply, error) {
 	var reply quota.Reply
-	message, err := cbor.Marshal(ask)
+	message, err := cbor.Marshal(transfer)
 	if err != nil {
 		return reply, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, transferRequestTimeout)
 	defer cancel()
 	ctx, err = rpc.WithBearer(ctx, "Bearer "+c.base.Tokens.Token(settings.Peer))
 	if err != nil {
 		return reply, err
 	}
 	request := &apiv1.MoveQuotaRequest{FromDataCentre: c.base.Instance.DataCentre, Message: message, FormatVersion: quotaFormat}
-	err = c.base.Directory.Leader(ctx, ask.To, directory.Effort{}, func(ctx context.Context, base string) error {
+	err = c.base.Directory.CallLeader(ctx, transfer.To, directory.CallOptions{}, func(ctx context.Context, base string) error {
 		response, err := apiv1.NewPeerProtobufClient(base, c.base.Directory.Client()).MoveQuota(ctx, request)
 		if err != nil {
 			return err
@@ -214,36 +214,36 @@
 	if _, err := rpc.Require(ctx, settings.Peer); err != nil {
 		return nil, err
 	}
-	t, err := p.leading()
+	t, err := p.currentLeaderTerm()
 	if err != nil {
 		return nil, err
 	}
-	var ask quota.TransferRequest
+	var request quota.TransferRequest
 	if r.FormatVersion != quotaFormat {
 		return nil, fault.Field("format_version", "%d, this program speaks %d", r.FormatVersion, quotaFormat)
 	}
-	if err := cbor.Unmarshal(r.Message, &ask); err != nil {
+	if err := cbor.Unmarshal(r.Message, &request); err != nil {
 		return nil, fault.Field("message", "%v", err)
 	}
-	if err := p.settleAsk(ctx, t, ask); err != nil {
+	if err := p.applyTransferRequest(ctx, t, request); err != nil {
 		return nil, err
 	}
 	var reply quota.Reply
-	t.planning.Lock()
-	p.machine.View(func(s *state.State) { reply = t.planner.Reply(s.Quota(), ask, needOf(s)) })
-	t.planning.Unlock()
+	t.plannerMu.Lock()
+	p.machine.View(func(s *state.State) { reply = t.planner.Reply(s.Quota(), request, demandOf(s)) })
+	t.plannerMu.Unlock()
 	message, err := cbor.Marshal(reply)
 	return &apiv1.MoveQuotaResponse{Message: message}, err
 }
 
-// settleAsk commits what an ask acknowledges and what it is given.
-func (p *peerServer) settleAsk(ctx context.Context, t *tenure, ask quota.TransferRequest) error {
-	step := &state.Quota{Forget: &ask}
-	if len(ask.Demands) > 0 {
+// applyTransferRequest commits what an ask acknowledges and what it is given.
+func (p *peerServer) applyTransferRequest(ctx context.Context, t *leaderTerm, request quota.TransferRequest) error {
+	step := &state.Quota{Forget: &request}
+	if len(request.Demands) > 0 {
 		var answer quota.DebitCommand
-		t.planning.Lock()
-		p.machine.View(func(s *state.State) { answer = t.planner.DebitCommand(ask, needOf(s)) })
-		t.planning.Unlock()
+		t.plannerMu.Lock()
+		p.machine.View(func(s *state.State) { answer = t.planner.DebitCommand(request, demandOf(s)) })
+		t.plannerMu.Unlock()
 		step = &state.Quota{Give: &answer}
 	}
 	// The ledger's refusals, such as nothing to give, go into the reply.
@@ -257,7 +257,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := c.leading(); err != nil {
+	if _, err := c.currentLeaderTerm(); err != nil {
 		return nil, err
 	}
 	response := &apiv1.QuotasResponse{}
--- a/internal/cell/replace.go
+++ b/internal/cell/replace.go
@@ -44,7 +44,7 @@
 	for _, step := range []func([]replica.Member) []replica.Member{
 		func(m []replica.Member) []replica.Member { return withLearner(m, added) },
 		func(m []replica.Member) []replica.Member { return withVoter(m, r.NewInstance) },
-		func(m []replica.Member) []replica.Member { return without(m, r.OldInstance) },
+		func(m []replica.Member) []replica.Member { return withoutMember(m, r.OldInstance) },
 	} {
 		before := group.Status().Members
 		after := step(slices.Clone(before))
@@ -65,8 +65,8 @@
 	return response, nil
 }
 
-// catchUpPause is the wait before a learner that lagged is tried again.
-const catchUpPause = 100 * time.Millisecond
+// learnerRetryInterval is the wait before a learner that lagged is tried again.
+const learnerRetryInterval = 100 * time.Millisecond
 
 // changeMembers makes one change, waiting for a learner to catch up first.
 func changeMembers(ctx context.Context, group Group, members []replica.Member) error {
@@ -75,7 +75,7 @@
 		if !errors.Is(err, replica.ErrNotCaughtUp) || ctx.Err() != nil {
 			return err
 		}
-		wait.For(ctx, catchUpPause)
+		wait.For(ctx, learnerRetryInterval)
 	}
 }
 
@@ -94,7 +94,7 @@
 	return members
 }
 
-func without(members []replica.Member, id string) []replica.Member {
+func withoutMember(members []replica.Member, id string) []replica.Member {
 	return slices.DeleteFunc(members, func(m replica.Member) bool { return m.ID == id })
 }
 
--- a/internal/cell/scheduler.go
+++ b/internal/cell/scheduler.go
@@ -23,9 +23,9 @@
 
 // Bounds of held and listing calls.
 const (
-	maxWatch      = 20 * time.Second
-	defaultList   = 1000
-	handoverGrace = time.Second
+	maxWatchLongPoll = 20 * time.Second
+	defaultList      = 1000
+	handoverWait     = time.Second
 )
 
 // Home names this data centre.
@@ -49,43 +49,43 @@
 	if err != nil {
 		return nil, err
 	}
-	t, err := c.leading()
+	t, err := c.currentLeaderTerm()
 	if err != nil {
 		return nil, err
 	}
-	if first, ok := c.recall(request); ok {
-		return c.submitted(ctx, first)
+	if first, ok := c.firstAnswer(request); ok {
+		return c.awaitHandover(ctx, first)
 	}
 	spec, err := wire.CheckSpec(r.Spec, c.base.Settings.Limits, c.now())
 	if err != nil {
 		return nil, err
 	}
 	submit := &state.Submit{Request: request, Customer: caller.Customer, Spec: spec}
-	release := c.admit(ctx, t, submit, r.Spec)
+	release := c.admitOrHandOver(ctx, t, submit, r.Spec)
 	c.stats.Submissions.Add(1)
 	result, err := c.propose(ctx, &state.Command{Submit: submit})
-	t.poke()
+	t.wakeUp()
 	release()
 	if err != nil {
 		return nil, err
 	}
-	return c.submitted(ctx, result)
+	return c.awaitHandover(ctx, result)
 }
 
-func (c *Cell) recall(request state.Request) (first state.Result, ok bool) {
+func (c *Cell) firstAnswer(request state.Request) (first state.Result, ok bool) {
 	c.machine.View(func(s *state.State) { first, ok = s.FirstAnswer(request) })
 	return first, ok
 }
 
 // admit decides whether the job is taken here, offered elsewhere, or refused.
 // The capacity that it was admitted on is booked until release is called.
-func (c *Cell) admit(ctx context.Context, t *tenure, submit *state.Submit, spec *apiv1.Spec) (release func()) {
-	verdict, release := c.judge(t, submit.Customer, submit.Spec, c.now())
+func (c *Cell) admitOrHandOver(ctx context.Context, t *leaderTerm, submit *state.Submit, spec *apiv1.Spec) (release func()) {
+	verdict, release := c.admitAndReserve(t, submit.Customer, submit.Spec, c.now())
 	if verdict.Admitted {
 		return release
 	}
 	if spec.DataCentre == "" {
-		submit.HandoverTo = c.findTaker(ctx, t, &apiv1.OfferRequest{
+		submit.HandoverTo = c.findAcceptingDataCentre(ctx, t, &apiv1.OfferRequest{
 			FromDataCentre: c.base.Instance.DataCentre, Customer: submit.Customer, Spec: spec, Probe: true,
 			SubmittedUnixMs: c.now().UnixMilli(),
 		}, nil)
@@ -95,15 +95,15 @@
 	}
 	c.stats.Refusals.Add(1)
 	submit.Refused = true
-	submit.Kind = kindOf(verdict.Reason)
+	submit.Kind = faultKind(verdict.Reason)
 	submit.Detail = verdict.Detail
 	submit.RetryAfter = verdict.RetryAfter
 	return release
 }
 
-// bookingPrefix begins the ids of jobs that are being accepted. No committed
+// reservationPrefix begins the ids of jobs that are being accepted. No committed
 // job has such an id.
-const bookingPrefix = "accepting."
+const reservationPrefix = "accepting."
 
 // judge asks admission whether a job would finish in time here, and books what
 // it needs until release is called.
@@ -112,16 +112,16 @@
 // before the others are committed, all are admitted on the same free capacity,
 // and accepted work misses its deadline. A booked job waits in the queue under an
 // id of its own, held back, until its proposal is decided.
-func (c *Cell) judge(t *tenure, customer string, spec state.Spec, now time.Time) (verdict placement.AdmissionDecision, release func()) {
+func (c *Cell) admitAndReserve(t *leaderTerm, customer string, spec state.Spec, now time.Time) (verdict placement.AdmissionDecision, release func()) {
 	job := placement.Job{
-		ID: bookingPrefix + strconv.FormatUint(t.bookings.Add(1), 10), Customer: customer, Name: spec.Name,
+		ID: reservationPrefix + strconv.FormatUint(t.reservations.Add(1), 10), Customer: customer, Name: spec.Name,
 		Policy: spec.Policy, Tasks: spec.Tasks, Need: spec.Need, Runtime: spec.Runtime, Submitted: now,
 		Urgent: spec.Urgent, Idempotent: spec.Idempotent,
 	}
 	if spec.Deadline > 0 {
 		job.Deadline = time.UnixMilli(spec.Deadline)
 	}
-	limit := c.limit(customer)
+	limit := c.customerLimit(customer)
 	c.refresh(t)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -142,11 +142,11 @@
 // submitted answers a submission from what is committed. A job that is being
 // offered elsewhere is waited for a little, so that most callers hear the end
 // of it at once.
-func (c *Cell) submitted(ctx context.Context, result state.Result) (*apiv1.SubmitResponse, error) {
+func (c *Cell) awaitHandover(ctx context.Context, result state.Result) (*apiv1.SubmitResponse, error) {
 	if result.Err != nil {
 		return nil, result.Err
 	}
-	ctx, cancel := context.WithTimeout(ctx, handoverGrace)
+	ctx, cancel := context.WithTimeout(ctx, handoverWait)
 	defer cancel()
 	for {
 		changed := c.machine.Changed()
@@ -154,14 +154,14 @@
 		if j == nil {
 			return nil, fault.New(fault.NotFound, "job %s was forgotten after its end", result.Job)
 		}
-		if j.State != state.JobPendingHandover || j.HandoverDone || !c.wait(ctx, changed) {
-			return c.submission(j)
+		if j.State != state.JobPendingHandover || j.HandoverDone || !c.waitForChange(ctx, changed) {
+			return c.submitResponse(j)
 		}
 	}
 }
 
 // wait returns false when ctx ended first.
-func (c *Cell) wait(ctx context.Context, changed <-chan struct{}) bool {
+func (c *Cell) waitForChange(ctx context.Context, changed <-chan struct{}) bool {
 	select {
 	case <-changed:
 		return true
@@ -172,17 +172,17 @@
 	}
 }
 
-func (c *Cell) submission(j *state.Job) (*apiv1.SubmitResponse, error) {
+func (c *Cell) submitResponse(j *state.Job) (*apiv1.SubmitResponse, error) {
 	if j.State.Ended() && len(j.RefusedBy) > 0 && j.Kind != fault.Cancelled {
 		return nil, fault.New(j.Kind, "%s", j.Reason)
 	}
 	home := c.base.Instance.DataCentre
-	stateNow := apiv1.JobState(j.State)
+	jobState := apiv1.JobState(j.State)
 	if j.HandoverDone {
 		home = j.HandoverDataCentre
-		stateNow = apiv1.JobState_JOB_STATE_QUEUED
+		jobState = apiv1.JobState_JOB_STATE_QUEUED
 	}
-	return &apiv1.SubmitResponse{Id: j.ID, DataCentre: home, State: stateNow}, nil
+	return &apiv1.SubmitResponse{Id: j.ID, DataCentre: home, State: jobState}, nil
 }
 
 // job returns a copy of a job, or nil.
@@ -211,12 +211,12 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := c.leading(); err != nil {
+	if _, err := c.currentLeaderTerm(); err != nil {
 		return nil, err
 	}
 	cancel := &state.Cancel{Request: request, Customer: caller.Customer, IDs: r.Ids, Name: r.Name, All: r.AllOfCustomer}
 	if r.DryRun {
-		return c.dryRun(cancel)
+		return c.dryRunCancel(cancel)
 	}
 	result, err := c.propose(ctx, &state.Command{Cancel: cancel})
 	if err != nil {
@@ -244,7 +244,7 @@
 	return content
 }
 
-func (c *Cell) dryRun(cancel *state.Cancel) (*apiv1.CancelResponse, error) {
+func (c *Cell) dryRunCancel(cancel *state.Cancel) (*apiv1.CancelResponse, error) {
 	response := &apiv1.CancelResponse{}
 	var err error
 	c.machine.View(func(s *state.State) {
@@ -270,7 +270,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := c.leading(); err != nil {
+	if _, err := c.currentLeaderTerm(); err != nil {
 		return nil, err
 	}
 	scale := &state.Scale{Request: request, Customer: caller.Customer, Job: r.Id, Tasks: int(r.Tasks)}
@@ -290,36 +290,36 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := c.leading(); err != nil {
+	if _, err := c.currentLeaderTerm(); err != nil {
 		return nil, err
 	}
 	if err := barrier(ctx, c.log); err != nil {
 		return nil, err
 	}
 	if r.Id != "" {
-		return c.statusOf(caller, r.Id, r.WithTasks)
+		return c.jobStatus(caller, r.Id, r.WithTasks)
 	}
-	return c.list(caller, r), nil
+	return c.listJobs(caller, r), nil
 }
 
-// statusOf answers for one job. Another customer's job reads as not found.
-func (c *Cell) statusOf(caller rpc.Caller, id string, withTasks bool) (*apiv1.StatusResponse, error) {
+// jobStatus answers for one job. Another customer's job reads as not found.
+func (c *Cell) jobStatus(caller rpc.Caller, id string, withTasks bool) (*apiv1.StatusResponse, error) {
 	j := c.job(id)
-	if j == nil || !sees(caller, j) {
+	if j == nil || !mayView(caller, j) {
 		return nil, fault.New(fault.NotFound, "no job %q", id)
 	}
 	return &apiv1.StatusResponse{Jobs: []*apiv1.Job{wire.JobToAPI(j, c.base.Instance.DataCentre, withTasks)}}, nil
 }
 
-func sees(caller rpc.Caller, j *state.Job) bool {
+func mayView(caller rpc.Caller, j *state.Job) bool {
 	return caller.Role == settings.Operator || j.Customer == caller.Customer
 }
 
-func (c *Cell) list(caller rpc.Caller, r *apiv1.StatusRequest) *apiv1.StatusResponse {
+func (c *Cell) listJobs(caller rpc.Caller, r *apiv1.StatusRequest) *apiv1.StatusResponse {
 	response := &apiv1.StatusResponse{}
 	c.machine.View(func(s *state.State) {
 		for _, j := range s.Jobs {
-			if sees(caller, j) && !j.HandoverDone && (r.IncludeEnded || !j.State.Ended()) {
+			if mayView(caller, j) && !j.HandoverDone && (r.IncludeEnded || !j.State.Ended()) {
 				response.Jobs = append(response.Jobs, wire.JobToAPI(j, c.base.Instance.DataCentre, r.WithTasks))
 			}
 		}
@@ -344,19 +344,19 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := c.leading(); err != nil {
+	if _, err := c.currentLeaderTerm(); err != nil {
 		return nil, err
 	}
-	hold := min(time.Duration(r.WaitMs)*time.Millisecond, maxWatch)
-	held, cancel := context.WithTimeout(ctx, hold)
+	hold := min(time.Duration(r.WaitMs)*time.Millisecond, maxWatchLongPoll)
+	pollCtx, cancel := context.WithTimeout(ctx, hold)
 	defer cancel()
 	for {
 		changed := c.machine.Changed()
-		response, err := c.statusOf(caller, r.Id, false)
+		response, err := c.jobStatus(caller, r.Id, false)
 		if err != nil {
 			return nil, err
 		}
-		if response.Jobs[0].Revision > r.AfterRevision || !c.wait(held, changed) {
+		if response.Jobs[0].Revision > r.AfterRevision || !c.waitForChange(pollCtx, changed) {
 			return response, nil
 		}
 	}
@@ -368,12 +368,12 @@
 	if err != nil {
 		return nil, err
 	}
-	t, err := c.leading()
+	t, err := c.currentLeaderTerm()
 	if err != nil {
 		return nil, err
 	}
 	j := c.job(r.Id)
-	if j == nil || !sees(caller, j) {
+	if j == nil || !mayView(caller, j) {
 		return nil, fault.New(fault.NotFound, "no job %q", r.Id)
 	}
 	if queued, _ := j.PlacementJob(); queued.Tasks == 0 || j.State.Ended() {
--- a/internal/cell/serve.go
+++ b/internal/cell/serve.go
@@ -39,7 +39,7 @@
 
 // Serve runs bilberry-celld until ctx ends.
 func Serve(ctx context.Context, b *daemon.Base) error {
-	config := peer.Config{ID: b.Instance.ID, Bearer: "Bearer " + b.Tokens.Token(settings.Peer), Stamper: stamper{b}, Dial: b.Dial}
+	config := peer.Config{ID: b.Instance.ID, Bearer: "Bearer " + b.Tokens.Token(settings.Peer), Clock: stamper{b}, Dial: b.Dial}
 	p := &process{base: b, transport: peer.New(config), mux: peer.NewMux(config), groups: make(map[string]*node.Group)}
 	for _, instance := range b.Settings.Instances {
 		if instance.Cell != "" && instance.ID != b.Instance.ID {
@@ -63,19 +63,19 @@
 // openGroups opens the log of the data centre, those it witnesses and, on a
 // voter, the configuration log.
 func (p *process) openGroups() (*Cell, error) {
-	s, own := p.base.Settings, p.base.Instance
-	machine := NewMachine(own.DataCentre, p.base.Events)
-	home, err := p.open(cellPrefix+own.DataCentre, cellMembers(s, own.DataCentre), machine)
+	s, instance := p.base.Settings, p.base.Instance
+	machine := NewMachine(instance.DataCentre, p.base.Events)
+	home, err := p.open(cellPrefix+instance.DataCentre, cellMembers(s, instance.DataCentre), machine)
 	if err != nil {
 		return nil, err
 	}
-	for _, dataCentre := range own.WitnessFor {
+	for _, dataCentre := range instance.WitnessFor {
 		if _, err := p.open(cellPrefix+dataCentre, cellMembers(s, dataCentre), NewMachine(dataCentre, nil)); err != nil {
 			return nil, err
 		}
 	}
-	logs := Logs{Home: home, Machine: machine, Groups: map[string]Group{own.DataCentre: home}}
-	if own.ConfigVoter {
+	logs := Logs{Home: home, Machine: machine, Groups: map[string]Group{instance.DataCentre: home}}
+	if instance.ConfigVoter {
 		logs.Register = conf.NewRegister()
 		voters, err := p.open(configGroup, members(s.ConfigVoters(), ""), logs.Register)
 		if err != nil {
@@ -133,7 +133,7 @@
 	for _, group := range p.groups {
 		running.Go(func() error { return group.Run(ctx) })
 	}
-	running.Go(func() error { return p.followMembers(ctx) })
+	running.Go(func() error { return p.trackMembers(ctx) })
 	if p.base.ForceStart {
 		running.Go(func() error { return p.forceStart(ctx) })
 	}
@@ -150,31 +150,31 @@
 func (p *process) forceStart(ctx context.Context) error {
 	group := p.groups[cellPrefix+p.base.Instance.DataCentre]
 	// The member must first have waited for a leader in vain.
-	deadline := time.Now().Add(forceStartPatience)
+	giveUpAt := time.Now().Add(forceStartTimeout)
 	for {
 		err := group.ForceStart(ctx)
 		if err == nil {
 			break
 		}
-		if ctx.Err() != nil || time.Now().After(deadline) {
+		if ctx.Err() != nil || time.Now().After(giveUpAt) {
 			return errors.Wrap(err, "forced start")
 		}
-		wait.For(ctx, memberCheck)
+		wait.For(ctx, memberCheckInterval)
 	}
 	p.base.Events.Record("forced start", "", p.base.Instance.DataCentre, p.base.Instance.ID)
 	p.base.Logger.Log("msg", "forced to start alone", "data_centre", p.base.Instance.DataCentre)
 	return nil
 }
 
-// forceStartPatience bounds how long a forced start is tried for.
-const forceStartPatience = 30 * time.Second
+// forceStartTimeout bounds how long a forced start is tried for.
+const forceStartTimeout = 30 * time.Second
 
-// memberCheck is how often memberships are looked through for new members.
-const memberCheck = 500 * time.Millisecond
+// memberCheckInterval is how often memberships are looked through for new members.
+const memberCheckInterval = 500 * time.Millisecond
 
-// followMembers makes members reachable that the settings of this process
+// trackMembers makes members reachable that the settings of this process
 // don't name, because they joined after it was started.
-func (p *process) followMembers(ctx context.Context) error {
+func (p *process) trackMembers(ctx context.Context) error {
 	for ctx.Err() == nil {
 		for _, group := range p.groups {
 			for _, member := range group.Status().Members {
@@ -183,7 +183,7 @@
 				}
 			}
 		}
-		wait.For(ctx, memberCheck)
+		wait.For(ctx, memberCheckInterval)
 	}
 	return nil
 }
@@ -225,11 +225,11 @@
 // hybrid logical clock, so that what follows from a message is stamped later.
 type stamper struct{ base *daemon.Base }
 
-func (s stamper) Stamp() (int64, uint32) {
+func (s stamper) Timestamp() (int64, uint32) {
 	stamp := s.base.Clock.Now(time.Now())
 	return stamp.Wall, stamp.Logical
 }
 
 func (s stamper) Observe(wall int64, logical uint32) {
-	s.base.Clock.Observe(hlc.Stamp{Wall: wall, Logical: logical}, time.Now())
+	s.base.Clock.Observe(hlc.Timestamp{Wall: wall, Logical: logical}, time.Now())
 }
--- a/internal/cell/solo.go
+++ b/internal/cell/solo.go
@@ -10,7 +10,7 @@
 // Solo is a log of one member without a disk or peers: every proposal commits
 // at once and nothing survives the process. It is the baseline that the
 // replicated log is measured against.
-type Solo struct {
+type UnreplicatedLog struct {
 	mu      sync.Mutex
 	index   uint64
 	machine interface {
@@ -19,15 +19,15 @@
 	never chan struct{}
 }
 
-// NewSolo returns a log that applies to machine.
-func NewSolo(machine interface {
+// NewUnreplicatedLog returns a log that applies to machine.
+func NewUnreplicatedLog(machine interface {
 	Apply(index uint64, command []byte) any
-}) *Solo {
-	return &Solo{machine: machine, never: make(chan struct{})}
+}) *UnreplicatedLog {
+	return &UnreplicatedLog{machine: machine, never: make(chan struct{})}
 }
 
 // Propose applies the command.
-func (l *Solo) Propose(_ context.Context, command []byte) (any, error) {
+func (l *UnreplicatedLog) Propose(_ context.Context, command []byte) (any, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.index++
@@ -35,14 +35,14 @@
 }
 
 // Barrier has nothing to wait for.
-func (l *Solo) Barrier(context.Context) error { return nil }
+func (l *UnreplicatedLog) Barrier(context.Context) error { return nil }
 
 // Status is that of a leader of term 1.
-func (l *Solo) Status() replica.Status {
+func (l *UnreplicatedLog) Status() replica.Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return replica.Status{Role: replica.Leader, Term: 1, Commit: l.index, Applied: l.index, CanDecide: true, Degraded: true}
 }
 
 // Changed never fires: a lone member leads for good.
-func (l *Solo) Changed() <-chan struct{} { return l.never }
+func (l *UnreplicatedLog) Changed() <-chan struct{} { return l.never }
--- a/internal/cell/stats.go
+++ b/internal/cell/stats.go
@@ -61,7 +61,7 @@
 
 // packing is the share of the workers' processors that running tasks hold.
 func (c *Cell) packing() float64 {
-	t := c.tenure.Load()
+	t := c.leaderTerm.Load()
 	if t == nil {
 		return 0
 	}
--- a/internal/cell/tenure.go
+++ b/internal/cell/tenure.go
@@ -20,13 +20,13 @@
 	// maxStarts bounds the starts of one command, so that one command's bytes
 	// and its apply stay small beside the commit itself.
 	maxStarts = 512
-	// leaseCheck is how often leases are checked for their end.
-	leaseCheck = 100 * time.Millisecond
-	// overdueCheck is how often deadlines are looked through.
-	overdueCheck = 500 * time.Millisecond
-	// keepEnded is how long the ends of jobs and first answers are remembered.
-	keepEnded  = 24 * time.Hour
-	pruneEvery = 10 * time.Minute
+	// leaseCheckInterval is how often leases are checked for their end.
+	leaseCheckInterval = 100 * time.Millisecond
+	// overdueCheckInterval is how often deadlines are looked through.
+	overdueCheckInterval = 500 * time.Millisecond
+	// endedJobRetention is how long the ends of jobs and first answers are remembered.
+	endedJobRetention = 24 * time.Hour
+	pruneInterval     = 10 * time.Minute
 	// proposeTimeout bounds how long the leader waits for its own commits.
 	proposeTimeout = 5 * time.Second
 )
@@ -34,7 +34,7 @@
 // tenure is what a leader holds beside the replicated state, from its election
 // until it is deposed: caches, leases and commands under way to workers. All
 // of it can be rebuilt from the state and from what workers say.
-type tenure struct {
+type leaderTerm struct {
 	term uint64
 
 	mu       sync.Mutex
@@ -42,23 +42,23 @@
 	leases   *lease.Table
 	outboxes map[string]*outbox
 	// away holds data centres that can't be reached for handovers, until when.
-	away map[string]time.Time
+	unreachableUntil map[string]time.Time
 
 	wake chan struct{}
 	// bookings numbers the jobs that are being accepted.
-	bookings atomic.Uint64
+	reservations atomic.Uint64
 	// degraded is whether the log went on without a disk when it was last noted.
 	degraded bool
 	// nextOverdue is when the deadlines of accepted work are looked through next.
 	nextOverdue time.Time
 
 	// planning guards the planner of quota transfers.
-	planning sync.Mutex
-	planner  *quota.Planner
+	plannerMu sync.Mutex
+	planner   *quota.Planner
 }
 
 // poke makes the leader look at its work again.
-func (t *tenure) poke() {
+func (t *leaderTerm) wakeUp() {
 	select {
 	case t.wake <- struct{}{}:
 	default:
@@ -67,63 +67,63 @@
 
 // lead runs one tenure: it ends when the context does, or when this replica
 // may no longer decide.
-func (c *Cell) lead(ctx context.Context, term uint64) {
-	t := c.newTenure(term)
-	c.tenure.Store(t)
+func (c *Cell) runLeaderTerm(ctx context.Context, term uint64) {
+	t := c.newLeaderTerm(term)
+	c.leaderTerm.Store(t)
 	c.slots.Lead(term, c.entryInstances())
 	c.base.Events.Record("leader elected", "", c.groupName)
 	c.base.Logger.Log("msg", "leads", "term", term)
 	defer func() {
-		c.tenure.Store(nil)
+		c.leaderTerm.Store(nil)
 		c.slots.Resign()
 		c.machine.StopCollecting()
-		t.closeOutboxes()
+		t.wakeHeldRenewals()
 		c.base.Logger.Log("msg", "leads no more", "term", term)
 	}()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go c.handOver(ctx, t)
 	go c.adoptConfig(ctx)
-	go c.moveQuota(ctx, t)
+	go c.runQuotaTransfers(ctx, t)
 	go c.prune(ctx)
-	c.decide(ctx, t)
+	c.runDecisions(ctx, t)
 }
 
-func (c *Cell) newTenure(term uint64) *tenure {
+func (c *Cell) newLeaderTerm(term uint64) *leaderTerm {
 	timing := c.base.Settings.Timing
-	t := &tenure{
-		term:     term,
-		leases:   lease.NewTable(time.Duration(timing.WorkerLease), time.Duration(timing.Drift)),
-		outboxes: make(map[string]*outbox),
-		away:     make(map[string]time.Time),
-		wake:     make(chan struct{}, 1),
-		planner:  quota.NewPlanner(c.base.Instance.DataCentre, c.base.Settings.DataCentres()),
+	t := &leaderTerm{
+		term:             term,
+		leases:           lease.NewTable(time.Duration(timing.WorkerLease), time.Duration(timing.Drift)),
+		outboxes:         make(map[string]*outbox),
+		unreachableUntil: make(map[string]time.Time),
+		wake:             make(chan struct{}, 1),
+		planner:          quota.NewPlanner(c.base.Instance.DataCentre, c.base.Settings.DataCentres()),
 	}
 	c.machine.Collect(func(s *state.State) {
-		t.ownLeases(s, c.monotonic())
-		c.load(t, s, c.monotonic())
+		t.takeOverLeases(s, c.monotonic())
+		c.rebuildCache(t, s, c.monotonic())
 	})
 	return t
 }
 
-// ownLeases takes the leases over. Any worker that isn't known to be down may
+// takeOverLeases takes the leases over. Any worker that isn't known to be down may
 // hold one granted by a predecessor, so each is waited out unless it renews here
 // first.
-func (t *tenure) ownLeases(s *state.State, now time.Duration) {
-	var owned []string
+func (t *leaderTerm) takeOverLeases(s *state.State, now time.Duration) {
+	var workers []string
 	for _, w := range s.Workers {
 		if !w.Down {
-			owned = append(owned, w.ID)
+			workers = append(workers, w.ID)
 		}
 	}
-	t.leases.TakeOver(now, owned)
+	t.leases.TakeOver(now, workers)
 	for _, w := range s.Workers {
 		t.leases.RecordIncarnation(w.ID, w.Incarnation)
 	}
 }
 
 // load fills the placement cache from the replicated state.
-func (c *Cell) load(t *tenure, s *state.State, now time.Duration) {
+func (c *Cell) rebuildCache(t *leaderTerm, s *state.State, now time.Duration) {
 	t.cluster = placement.NewCluster(c.placementOptions())
 	for id := range s.Workers {
 		t.syncWorker(s, id, now)
@@ -139,7 +139,7 @@
 	}
 }
 
-func (t *tenure) syncWorker(s *state.State, id string, now time.Duration) {
+func (t *leaderTerm) syncWorker(s *state.State, id string, now time.Duration) {
 	w := s.Workers[id]
 	if w == nil || w.Down {
 		t.cluster.RemoveWorker(id)
@@ -151,7 +151,7 @@
 	})
 }
 
-func (t *tenure) syncQueue(s *state.State, id string) {
+func (t *leaderTerm) syncQueue(s *state.State, id string) {
 	j := s.Jobs[id]
 	if j == nil {
 		t.cluster.Dequeue(id)
@@ -166,7 +166,7 @@
 }
 
 // refresh brings the caches up to the applied state.
-func (c *Cell) refresh(t *tenure) {
+func (c *Cell) refresh(t *leaderTerm) {
 	changes := c.machine.TakeChanges()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -178,9 +178,9 @@
 			t.syncWorker(s, id, c.monotonic())
 		}
 		for _, p := range slices.Backward(changes.Placed) {
-			if running(s, p) {
-				c.place(t, s, p)
-				c.command(t, s, p)
+			if stillRunning(s, p) {
+				c.placeCommitted(t, s, p)
+				c.enqueueStart(t, s, p)
 			}
 		}
 		for id := range changes.Queues {
@@ -193,26 +193,26 @@
 	for _, sample := range changes.Samples {
 		t.cluster.Learn(sample)
 	}
-	for _, try := range changes.AttemptResults {
-		t.learnTry(try, c.now())
+	for _, result := range changes.AttemptResults {
+		t.recordAttemptResult(result, c.now())
 	}
 	for _, stop := range changes.Stops {
 		t.cluster.MarkStopping(stop.Ref.Job, int(stop.Ref.Task))
-		t.send(stop.Worker, stop.Incarnation, stopCommand(stop.Ref))
+		t.enqueueCommand(stop.Worker, stop.Incarnation, stopCommand(stop.Ref))
 	}
 }
 
-func (t *tenure) learnTry(try state.AttemptResult, now time.Time) {
-	if try.Failed {
-		t.cluster.ReportFailure(try.Worker, try.Job, now)
+func (t *leaderTerm) recordAttemptResult(result state.AttemptResult, now time.Time) {
+	if result.Failed {
+		t.cluster.ReportFailure(result.Worker, result.Job, now)
 		return
 	}
-	t.cluster.ReportSuccess(try.Worker, try.Job, now)
+	t.cluster.ReportSuccess(result.Worker, result.Job, now)
 }
 
 // running reports whether a start among the changes still stands: it may have
 // ended again within the same batch of changes.
-func running(s *state.State, p placement.Placed) bool {
+func stillRunning(s *state.State, p placement.Placed) bool {
 	j := s.Jobs[p.Job]
 	if j == nil || p.Task >= len(j.Tasks) {
 		return false
@@ -228,14 +228,14 @@
 // The state's account has taken the start already, so a cache that refuses it
 // has drifted from the state and every later plan would be wrong: it is thrown
 // away and built anew from the state.
-func (c *Cell) place(t *tenure, s *state.State, p placement.Placed) {
+func (c *Cell) placeCommitted(t *leaderTerm, s *state.State, p placement.Placed) {
 	err := t.cluster.Place(p)
 	if err == nil || errors.Is(err, placement.ErrPlacedTwice) {
 		return
 	}
 	c.stats.Rebuilds.Add(1)
 	c.base.Logger.Log("msg", "placement cache drifted, built anew", "job", p.Job, "worker", p.Worker, "err", err)
-	c.load(t, s, c.monotonic())
+	c.rebuildCache(t, s, c.monotonic())
 }
 
 // command hands a committed start to its worker's outbox. The caller holds t.mu.
@@ -243,13 +243,13 @@
 // Failure guarded against: the leader doesn't hear of its own commit in time, or
 // the proposal's answer is lost, and the attempt is committed but never sent.
 // Commands follow from what was applied, not from the answers of proposals.
-func (c *Cell) command(t *tenure, s *state.State, p placement.Placed) {
+func (c *Cell) enqueueStart(t *leaderTerm, s *state.State, p placement.Placed) {
 	j := s.Jobs[p.Job]
 	task := &j.Tasks[p.Task]
 	ref := state.AttemptRef{Job: p.Job, Task: int32(p.Task), Attempt: task.Attempt}
 	if start := startCommand(s, ref); start != nil {
-		t.send(p.Worker, task.Incarnation, start)
+		t.enqueueCommand(p.Worker, task.Incarnation, start)
 	}
 	c.stats.Starts.Add(1)
-	c.recordWait(j)
+	c.recordQueueTime(j)
 }
--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -75,7 +75,7 @@
 // Two operators have both read version 0 and write at the same time. One wins,
 // the other must be told the version that won; a resend of either must get its
 // first answer and write nothing again.
-func TestRaceOfTwoOperators(t *testing.T) {
+func TestOnlyOneOfTwoConcurrentWritesSucceeds(t *testing.T) {
 	r := NewRegister()
 	changed := r.Changed()
 	first := Write{RequestID: "a", Document: sample, Author: "op1"}
--- a/internal/conf/document.go
+++ b/internal/conf/document.go
@@ -20,10 +20,10 @@
 // Bounds of a document.
 const (
 	// MaxDocument is the largest text of a document in bytes.
-	MaxDocument  = 64 << 10
-	maxCustomers = 1000
-	maxWeight    = 1000
-	maxCount     = 1_000_000
+	MaxDocument   = 64 << 10
+	maxCustomers  = 1000
+	maxWeight     = 1000
+	maxQuotaCount = 1_000_000
 	// maxDataCentres is far below the number of parts that a quota is dealt in.
 	maxDataCentres = 64
 )
@@ -35,13 +35,13 @@
 // it and nobody changes it.
 type Document struct {
 	Customers []Customer
-	Quota     Division
+	Quota     QuotaDivision
 }
 
 // Division says among which data centres quotas are divided. It belongs to the
 // shared configuration and not to the settings of processes: data centres that
 // divided quotas differently would together give a customer more than its limit.
-type Division struct {
+type QuotaDivision struct {
 	DataCentres []string
 	// Generation grows only when the quotas are to be divided anew.
 	Generation uint64
@@ -76,11 +76,11 @@
 // rawDocument is the document as it is written. Amounts stay text until each
 // can be refused with its own line.
 type rawDocument struct {
-	Customers []rawCustomer `toml:"customer"`
-	Quota     rawDivision   `toml:"quota"`
+	Customers []rawCustomer    `toml:"customer"`
+	Quota     rawQuotaDivision `toml:"quota"`
 }
 
-type rawDivision struct {
+type rawQuotaDivision struct {
 	DataCentres []string `toml:"data_centres"`
 	Generation  *int64   `toml:"generation"`
 }
@@ -120,25 +120,25 @@
 		seen[customer.Name] = true
 		document.Customers = append(document.Customers, customer)
 	}
-	document.Quota, err = parseDivision(file, &raw.Quota)
+	document.Quota, err = parseQuotaDivision(file, &raw.Quota)
 	if err != nil {
 		return nil, err
 	}
-	if len(document.Quota.DataCentres) == 0 && document.limited() {
+	if len(document.Quota.DataCentres) == 0 && document.hasQuotas() {
 		return nil, file.Errorf("quota.data_centres", "is missing: customers have quotas, and these are divided among data centres")
 	}
 	return document, nil
 }
 
 // limited reports whether any customer has a quota.
-func (d *Document) limited() bool {
+func (d *Document) hasQuotas() bool {
 	return slices.ContainsFunc(d.Customers, func(c Customer) bool {
 		return c.CPU != Unlimited || c.Memory != Unlimited || c.Accelerators != Unlimited
 	})
 }
 
-func parseDivision(file *tomlfile.File, raw *rawDivision) (Division, error) {
-	division := Division{DataCentres: raw.DataCentres}
+func parseQuotaDivision(file *tomlfile.File, raw *rawQuotaDivision) (QuotaDivision, error) {
+	division := QuotaDivision{DataCentres: raw.DataCentres}
 	if len(raw.DataCentres) > maxDataCentres {
 		return division, file.Errorf("quota.data_centres", "%d data centres are too many, at most %d", len(raw.DataCentres), maxDataCentres)
 	}
@@ -151,7 +151,7 @@
 		}
 	}
 	generation := int64(0)
-	err := setCount(file, "quota.generation", raw.Generation, 0, maxCount, &generation)
+	err := setCount(file, "quota.generation", raw.Generation, 0, maxQuotaCount, &generation)
 	division.Generation = uint64(generation)
 	return division, err
 }
@@ -171,7 +171,7 @@
 	if err := setAmount(file, customerPath(i, "memory"), raw.Memory, units.ParseMiB, &c.Memory); err != nil {
 		return c, err
 	}
-	if err := setCount(file, customerPath(i, "accelerators"), raw.Accelerators, 0, maxCount, &c.Accelerators); err != nil {
+	if err := setCount(file, customerPath(i, "accelerators"), raw.Accelerators, 0, maxQuotaCount, &c.Accelerators); err != nil {
 		return c, err
 	}
 	weight := int64(c.Weight)
@@ -180,7 +180,7 @@
 	return c, err
 }
 
-func setAmount(file *tomlfile.File, path string, raw *tomlfile.Text, parse func(string) (int64, error), into *int64) error {
+func setAmount(file *tomlfile.File, path string, raw *tomlfile.Text, parse func(string) (int64, error), target *int64) error {
 	if raw == nil {
 		return nil
 	}
@@ -188,18 +188,18 @@
 	if err != nil {
 		return file.Errorf(path, "%v", err)
 	}
-	*into = amount
+	*target = amount
 	return nil
 }
 
-func setCount(file *tomlfile.File, path string, raw *int64, least, most int64, into *int64) error {
+func setCount(file *tomlfile.File, path string, raw *int64, least, most int64, target *int64) error {
 	if raw == nil {
 		return nil
 	}
 	if *raw < least || *raw > most {
 		return file.Errorf(path, "must be from %d to %d, is %d", least, most, *raw)
 	}
-	*into = *raw
+	*target = *raw
 	return nil
 }
 
--- a/internal/conf/holder.go
+++ b/internal/conf/holder.go
@@ -29,7 +29,7 @@
 		return false
 	}
 	if config.Document == nil {
-		config = read(Config{Document: h.documentLocked()}, config)
+		config = withParsedDocument(Config{Document: h.documentLocked()}, config)
 	}
 	h.current = config
 	if h.changed != nil {
--- a/internal/conf/register.go
+++ b/internal/conf/register.go
@@ -15,7 +15,7 @@
 
 // format is the version of commands and snapshots. A program refuses formats
 // newer than its own.
-const format = 1
+const formatVersion = 1
 
 // Bounds of the register's memory.
 const (
@@ -25,10 +25,10 @@
 	// current one is always kept.
 	maxHistoryBytes = 1 << 20
 	// maxAnswers is the number of request ids whose first answer is kept.
-	maxAnswers = 1024
-	maxAuthor  = 256
-	// maxRequestID bounds a request id in bytes.
-	maxRequestID = 128
+	maxAnswers     = 1024
+	maxAuthorBytes = 256
+	// maxRequestIDBytes bounds a request id in bytes.
+	maxRequestIDBytes = 128
 )
 
 // Config is one accepted version of the shared configuration.
@@ -74,17 +74,17 @@
 	if w.RequestID == "" {
 		return nil, fault.Field("request_id", "is missing")
 	}
-	if len(w.RequestID) > maxRequestID {
-		return nil, fault.Field("request_id", "has %d bytes, at most %d are taken", len(w.RequestID), maxRequestID)
+	if len(w.RequestID) > maxRequestIDBytes {
+		return nil, fault.Field("request_id", "has %d bytes, at most %d are taken", len(w.RequestID), maxRequestIDBytes)
 	}
-	if len(w.Author) > maxAuthor {
-		return nil, fault.Field("author", "has %d bytes, at most %d are taken", len(w.Author), maxAuthor)
+	if len(w.Author) > maxAuthorBytes {
+		return nil, fault.Field("author", "has %d bytes, at most %d are taken", len(w.Author), maxAuthorBytes)
 	}
 	if _, err := Parse(w.Document); err != nil {
 		return nil, err
 	}
 	return cbor.Marshal(wireWrite{
-		Format:         format,
+		Format:         formatVersion,
 		RequestID:      w.RequestID,
 		Expected:       w.Expected,
 		Document:       w.Document,
@@ -116,11 +116,11 @@
 type Register struct {
 	holder Holder
 
-	mu      sync.RWMutex
-	history []Config // oldest first, the current version last
-	answers []answer // oldest first
-	byID    map[string]int
-	dropped int // answers dropped so far; byID counts from the first ever
+	mu             sync.RWMutex
+	history        []Config // oldest first, the current version last
+	answers        []answer // oldest first
+	byID           map[string]int
+	droppedAnswers int // answers dropped so far; byID counts from the first ever
 }
 
 // NewRegister returns a register at version 0 with an empty document.
@@ -160,9 +160,9 @@
 	defer r.mu.Unlock()
 	digest := w.digest()
 	if i, ok := r.byID[w.RequestID]; ok {
-		return r.repeat(r.answers[i-r.dropped], digest)
+		return r.duplicateOutcome(r.answers[i-r.droppedAnswers], digest)
 	}
-	return r.write(w, digest)
+	return r.applyWrite(w, digest)
 }
 
 // digest stands for what a request id was first used with. The time is left
@@ -178,7 +178,7 @@
 	return hash.Sum(nil)
 }
 
-func (r *Register) repeat(first answer, digest []byte) Outcome {
+func (r *Register) duplicateOutcome(first answer, digest []byte) Outcome {
 	if string(first.Digest) != string(digest) {
 		return Outcome{Err: fault.New(fault.Conflict, "request id %q was used before with other content", first.RequestID)}
 	}
@@ -194,34 +194,34 @@
 	return Outcome{Config: Config{Version: first.Version}}
 }
 
-func (r *Register) write(w wireWrite, digest []byte) Outcome {
+func (r *Register) applyWrite(w wireWrite, digest []byte) Outcome {
 	current := r.holder.Current()
 	first := answer{RequestID: w.RequestID, Digest: digest}
 	switch {
-	case len(w.Document) > MaxDocument || len(w.RequestID) > maxRequestID || len(w.Author) > maxAuthor:
+	case len(w.Document) > MaxDocument || len(w.RequestID) > maxRequestIDBytes || len(w.Author) > maxAuthorBytes:
 		return Outcome{Err: fault.New(fault.Invalid, "the configuration command is too large")}
 	case w.Expected != current.Version:
 		err := fault.New(fault.Conflict, "expected version %d, the current version is %d", w.Expected, current.Version)
 		first.Kind = fault.Conflict
 		first.Message = fault.From(err).Message
-		r.remember(first)
+		r.recordAnswer(first)
 		return Outcome{Err: err}
 	}
-	next := read(current, Config{
+	next := withParsedDocument(current, Config{
 		Version:  current.Version + 1,
 		Text:     w.Document,
 		Author:   w.Author,
 		Accepted: time.UnixMilli(w.AcceptedUnixMs),
 	})
-	r.append(next.withoutDocument())
+	r.appendHistory(next.withoutDocument())
 	r.holder.Set(next)
 	first.Version = next.Version
-	r.remember(first)
+	r.recordAnswer(first)
 	return Outcome{Config: next}
 }
 
 // read fills the document of a version; see Config.Document.
-func read(before, next Config) Config {
+func withParsedDocument(before, next Config) Config {
 	document, err := Parse(next.Text)
 	if err != nil {
 		next.Document = before.Document
@@ -232,32 +232,32 @@
 	return next
 }
 
-func (r *Register) append(config Config) {
+func (r *Register) appendHistory(config Config) {
 	r.history = append(r.history, config)
 	total := 0
-	keep := len(r.history) - 1
+	oldestKept := len(r.history) - 1
 	for i := len(r.history) - 1; i >= 0; i-- {
 		total += len(r.history[i].Text)
 		if len(r.history)-i > maxHistory || (total > maxHistoryBytes && i < len(r.history)-1) {
 			break
 		}
-		keep = i
+		oldestKept = i
 	}
-	r.history = append([]Config(nil), r.history[keep:]...)
+	r.history = append([]Config(nil), r.history[oldestKept:]...)
 }
 
-func (r *Register) remember(first answer) {
+func (r *Register) recordAnswer(first answer) {
 	if first.RequestID == "" {
 		return
 	}
-	r.byID[first.RequestID] = r.dropped + len(r.answers)
+	r.byID[first.RequestID] = r.droppedAnswers + len(r.answers)
 	r.answers = append(r.answers, first)
 	if len(r.answers) <= maxAnswers {
 		return
 	}
 	delete(r.byID, r.answers[0].RequestID)
 	r.answers = r.answers[1:]
-	r.dropped++
+	r.droppedAnswers++
 }
 
 type wireConfig struct {
@@ -277,7 +277,7 @@
 func (r *Register) Snapshot() ([]byte, error) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	snapshot := wireSnapshot{Format: format, Answers: r.answers}
+	snapshot := wireSnapshot{Format: formatVersion, Answers: r.answers}
 	for _, c := range r.history {
 		snapshot.History = append(snapshot.History, wireConfig{c.Version, c.Text, c.Author, c.Accepted.UnixMilli()})
 	}
@@ -291,8 +291,8 @@
 	if err := cbor.Unmarshal(data, &snapshot); err != nil {
 		return errors.Wrap(err, "decode configuration snapshot")
 	}
-	if snapshot.Format > format {
-		return errors.Newf("configuration snapshot has format %d, this program reads up to %d", snapshot.Format, format)
+	if snapshot.Format > formatVersion {
+		return errors.Newf("configuration snapshot has format %d, this program reads up to %d", snapshot.Format, formatVersion)
 	}
 	history, err := readHistory(snapshot.History)
 	if err != nil {
@@ -306,20 +306,20 @@
 	defer r.mu.Unlock()
 	r.history = history
 	r.answers = snapshot.Answers
-	r.dropped = 0
+	r.droppedAnswers = 0
 	r.byID = make(map[string]int, len(r.answers))
 	for i, a := range r.answers {
 		r.byID[a.RequestID] = i
 	}
 	if len(history) > 0 {
-		r.holder.Set(readNewest(history))
+		r.holder.Set(newestWithDocument(history))
 	}
 	return nil
 }
 
-// readNewest returns the newest version with its document, or with that of the
+// newestWithDocument returns the newest version with its document, or with that of the
 // last version that can be read.
-func readNewest(history []Config) Config {
+func newestWithDocument(history []Config) Config {
 	newest := history[len(history)-1]
 	document, err := Parse(newest.Text)
 	if err == nil {
--- a/internal/control/commit_test.go
+++ b/internal/control/commit_test.go
@@ -18,8 +18,8 @@
 	for name, errs := range map[string][]error{
 		"refused once":    {node.ErrNotLeader},
 		"refused often":   {node.ErrNotLeader, node.ErrNotLeader, node.ErrNotLeader},
-		"outcome unknown": {node.ErrFateOpen},
-		"mixed errors":    {node.ErrFateOpen, node.ErrNotLeader, node.ErrFateOpen},
+		"outcome unknown": {node.ErrOutcomeUnknown},
+		"mixed errors":    {node.ErrOutcomeUnknown, node.ErrNotLeader, node.ErrOutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := clusterWithStartedTask(t)
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -189,7 +189,7 @@
 	return t, nil
 }
 
-// propose commits one command. It turns ErrFateOpen into a fault of kind Unknown, because
+// propose commits one command. It turns ErrOutcomeUnknown into a fault of kind Unknown, because
 // the command may have been committed and no caller may be told otherwise.
 func (c *Controller) propose(ctx context.Context, command *workflow.Command) (workflow.Result, error) {
 	data, err := command.Encode()
@@ -201,7 +201,7 @@
 	switch {
 	case errors.Is(err, node.ErrNotLeader):
 		return workflow.Result{}, link.NotLeader(c.cfg.Leader())
-	case errors.Is(err, node.ErrFateOpen):
+	case errors.Is(err, node.ErrOutcomeUnknown):
 		return workflow.Result{}, fault.New(fault.Unknown, "%v", err)
 	case err != nil:
 		return workflow.Result{}, err
--- a/internal/control/orphans_test.go
+++ b/internal/control/orphans_test.go
@@ -58,7 +58,7 @@
 	w.eventually("the run is reported", func() bool { return w.currentRunCounts().unaccounted == 0 })
 	var refusals []error
 	for range 1000 {
-		refusals = append(refusals, node.ErrFateOpen)
+		refusals = append(refusals, node.ErrOutcomeUnknown)
 	}
 	w.log.failEnds(refusals...)
 	w.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
--- a/internal/control/search_log_test.go
+++ b/internal/control/search_log_test.go
@@ -119,7 +119,7 @@
 	if l.over() || ctx.Err() != nil {
 		s.open = append(s.open, data)
 		s.leftOpen++
-		return nil, errors.Mark(fault.New(fault.Unavailable, "the fate of the command is open"), node.ErrFateOpen)
+		return nil, errors.Mark(fault.New(fault.Unavailable, "the fate of the command is open"), node.ErrOutcomeUnknown)
 	}
 	s.index++
 	return s.state.Apply(s.index, data), nil
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -80,7 +80,7 @@
 			err = fault.Retry(fault.Unavailable, noConfigurationRetryAfter, "no configuration yet")
 			return
 		}
-		link.NoteVersion(ctx, s.Configuration.Version)
+		link.RecordVersion(ctx, s.Configuration.Version)
 		queue, remaining, ok := s.Configuration.Resolve(place.Host, place.Path)
 		if place.Queue != "" {
 			queue, ok = s.Configuration.Queue(place.Queue)
--- a/internal/control/serve_version_test.go
+++ b/internal/control/serve_version_test.go
@@ -10,7 +10,7 @@
 
 func TestReplyNotesConfigurationVersion(t *testing.T) {
 	w := newTestCluster(t, nil)
-	ctx, note := link.WithVersionNote(t.Context())
+	ctx, note := link.WithVersionRecorder(t.Context())
 	_, err := w.c.State(ctx, &StateCall{Address: JobAddress{Host: "nowhere", Path: "/x/"}})
 	must.Error(t, err)
 	must.Eq(t, w.c.version(), note.Version())
--- a/internal/control/unreported_runs_test.go
+++ b/internal/control/unreported_runs_test.go
@@ -52,7 +52,7 @@
 		}
 	}
 	w.log.mu.Unlock()
-	w.log.failEnds(node.ErrFateOpen)
+	w.log.failEnds(node.ErrOutcomeUnknown)
 	w.submit("a", oneTask)
 	w.eventually("the start is committed", func() bool {
 		runs := 0
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -70,7 +70,7 @@
 // NewBase prepares a process of an instance. role names the process in logs
 // and events, such as "entry"; dial opens its connections, nil means TCP.
 func NewBase(s *settings.Settings, instance, role string, logs io.Writer, dial rpc.Dial) (*Base, error) {
-	own, err := s.Instance(instance)
+	ownInstance, err := s.Instance(instance)
 	if err != nil {
 		return nil, err
 	}
@@ -79,14 +79,14 @@
 		return nil, err
 	}
 	clock := new(hlc.Clock)
-	name := own.ID + "/" + role
-	history, err := openEvents(own, role)
+	name := ownInstance.ID + "/" + role
+	eventsFile, err := openEvents(ownInstance, role)
 	if err != nil {
 		return nil, err
 	}
 	base := &Base{
-		Settings: s, Instance: own, Tokens: tokens, Clock: clock,
-		Events:  event.NewRecorder(event.Config{Instance: name, DataCentre: own.DataCentre, Clock: clock, File: history}),
+		Settings: s, Instance: ownInstance, Tokens: tokens, Clock: clock,
+		Events:  event.NewRecorder(event.Config{Instance: name, DataCentre: ownInstance.DataCentre, Clock: clock, File: eventsFile}),
 		Logger:  newLogger(logs, s.Log.Level, name),
 		Metrics: new(expvar.Map).Init(),
 		Dial:    dial,
@@ -96,7 +96,7 @@
 	}
 	dialer := &peer.Dialer{Dial: dial}
 	base.Directory = directory.New(s, rpc.NewClient(dialer.DialContext))
-	base.publishBytes("dialled", dialer.Bytes)
+	base.publishTraffic("dialled", dialer.Bytes)
 	return base, nil
 }
 
@@ -106,11 +106,11 @@
 	BytesSent, BytesReceived uint64
 }
 
-// publishBytes shows the traffic of a kind of sockets in the metrics. Accepted
+// publishTraffic shows the traffic of a kind of sockets in the metrics. Accepted
 // connections are those of callers, workers and other instances; dialled ones
 // carry forwarded calls. Streams of replicated logs and requests to minions go
 // over connections of their own, which are counted where they are opened.
-func (b *Base) publishBytes(kind string, bytes func() (sent, received uint64)) {
+func (b *Base) publishTraffic(kind string, bytes func() (sent, received uint64)) {
 	b.Metrics.Set(kind, expvar.Func(func() any {
 		sent, received := bytes()
 		return Traffic{BytesSent: sent, BytesReceived: received}
@@ -162,24 +162,24 @@
 		}
 	}
 	counted := peer.CountListener(listener)
-	b.publishBytes("accepted", counted.Bytes)
+	b.publishTraffic("accepted", counted.Bytes)
 	server := rpc.NewServer(s.Handler)
 	group, groupCtx := errgroup.WithContext(ctx)
-	working, stopWork := context.WithCancel(context.WithoutCancel(ctx))
+	workCtx, stopWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWork()
 	group.Go(func() error { return ignoreClosed(server.Serve(counted)) })
-	group.Go(func() error { return s.Run(working) })
+	group.Go(func() error { return s.Run(workCtx) })
 	stopAdmin := b.serveAdmin(group, s)
 	group.Go(func() error {
 		<-groupCtx.Done()
 		b.Logger.Log("msg", "shutting down")
 		s.BeginShutdown()
 		limit := time.Duration(b.Settings.Timing.Shutdown)
-		shutdown, cancel := context.WithTimeout(context.WithoutCancel(ctx), limit)
+		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), limit)
 		defer cancel()
-		err := server.Shutdown(shutdown)
+		err := server.Shutdown(shutdownCtx)
 		if s.Finish != nil {
-			s.Finish(shutdown)
+			s.Finish(shutdownCtx)
 		}
 		stopWork()
 		stopAdmin()
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -21,7 +21,7 @@
 
 // A process was told to end, and the events of its last moments were missing from
 // its file: they were queued for the disk and nobody wrote them before the end.
-func TestTheLastEventsAreOnDisk(t *testing.T) {
+func TestLastEventsAreWrittenOnShutdown(t *testing.T) {
 	const events = 500
 	path := filepath.Join(t.TempDir(), "events.jsonl")
 	file, err := event.OpenFile(path, event.DefaultFileBytes)
--- a/internal/descriptors/budget.go
+++ b/internal/descriptors/budget.go
@@ -17,73 +17,73 @@
 )
 
 const (
-	// forFiles are kept for the log, its snapshots, the connections between logs, and
+	// reservedForFiles are kept for the log, its snapshots, the connections between logs, and
 	// what the runtime opens.
-	forFiles = 360
-	// leastConnections is how many connections a process must be able to hold.
-	leastConnections = 152
+	reservedForFiles = 360
+	// minConnections is how many connections a process must be able to hold.
+	minConnections = 152
 	// fewest is the smallest limit under which a process starts.
-	fewest = forFiles + leastConnections
+	minDescriptors = reservedForFiles + minConnections
 )
 
 // Shares of the descriptors that are left for connections, in percent. An instance
 // with a disk is called by workers and all instances, and calls workers.
 const (
-	coreFromInstances = 30
-	coreFromOutside   = 20
-	coreToInstances   = 12
-	coreToOutside     = 38
+	coreFromInstancesPercent = 30
+	coreFromExternalPercent  = 20
+	coreToInstancesPercent   = 12
+	coreToExternalPercent    = 38
 
-	edgeFromInstances = 12
-	edgeFromOutside   = 60
-	edgeToInstances   = 20
-	edgeToOutside     = 8
+	edgeFromInstancesPercent = 12
+	edgeFromExternalPercent  = 60
+	edgeToInstancesPercent   = 20
+	edgeToExternalPercent    = 8
 )
 
 // Budget is how many connections of each kind a process may have open.
 type Budget struct {
 	// FromInstances and ToInstances are those between the system's own processes.
 	FromInstances, ToInstances int
-	// FromOutside are those of callers, workers and operators.
-	FromOutside int
-	// ToOutside are those to workers and to the deployment's own services.
-	ToOutside int
+	// FromExternal are those of callers, workers and operators.
+	FromExternal int
+	// ToExternal are those to workers and to the deployment's own services.
+	ToExternal int
 }
 
 // ForCore divides the descriptors of an instance with a disk; limit is how many it
 // may have open, 0 for what the operating system says. It fails if they are too few.
 func ForCore(limit int) (Budget, error) {
-	return divide(limit, coreFromInstances, coreFromOutside, coreToInstances, coreToOutside)
+	return allocate(limit, coreFromInstancesPercent, coreFromExternalPercent, coreToInstancesPercent, coreToExternalPercent)
 }
 
 // ForEdge is ForCore for an instance that faces callers.
 func ForEdge(limit int) (Budget, error) {
-	return divide(limit, edgeFromInstances, edgeFromOutside, edgeToInstances, edgeToOutside)
+	return allocate(limit, edgeFromInstancesPercent, edgeFromExternalPercent, edgeToInstancesPercent, edgeToExternalPercent)
 }
 
-func divide(limit, fromInstances, fromOutside, toInstances, toOutside int) (Budget, error) {
-	limit = atMostAllowed(limit)
-	if limit < fewest {
-		return Budget{}, fault.Field("max_files", "%d, at least %d are needed", limit, fewest)
+func allocate(limit, fromInstancesPercent, fromExternalPercent, toInstancesPercent, toExternalPercent int) (Budget, error) {
+	limit = capToRlimit(limit)
+	if limit < minDescriptors {
+		return Budget{}, fault.Field("max_files", "%d, at least %d are needed", limit, minDescriptors)
 	}
-	left := limit - forFiles
+	forConnections := limit - reservedForFiles
 	return Budget{
-		FromInstances: left * fromInstances / 100,
-		FromOutside:   left * fromOutside / 100,
-		ToInstances:   left * toInstances / 100,
-		ToOutside:     left * toOutside / 100,
+		FromInstances: forConnections * fromInstancesPercent / 100,
+		FromExternal:  forConnections * fromExternalPercent / 100,
+		ToInstances:   forConnections * toInstancesPercent / 100,
+		ToExternal:    forConnections * toExternalPercent / 100,
 	}, nil
 }
 
-// atMostAllowed returns limit, or the operating system's own where that is lower or
+// capToRlimit returns limit, or the operating system's own where that is lower or
 // limit is 0.
-func atMostAllowed(limit int) int {
-	var allowed syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &allowed); err != nil || allowed.Cur > math.MaxInt32 {
+func capToRlimit(limit int) int {
+	var rlimit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &rlimit); err != nil || rlimit.Cur > math.MaxInt32 {
 		return limit
 	}
 	if limit == 0 {
-		return int(allowed.Cur)
+		return int(rlimit.Cur)
 	}
-	return min(limit, int(allowed.Cur))
+	return min(limit, int(rlimit.Cur))
 }
--- a/internal/descriptors/budget_test.go
+++ b/internal/descriptors/budget_test.go
@@ -9,20 +9,20 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-func TestABudgetLeavesDescriptorsForFiles(t *testing.T) {
+func TestBudgetLeavesDescriptorsForFiles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit := rapid.IntRange(fewest, 1024).Draw(t, "limit")
-		for _, divided := range []func(int) (Budget, error){ForCore, ForEdge} {
-			b, err := divided(limit)
+		limit := rapid.IntRange(minDescriptors, 1024).Draw(t, "limit")
+		for _, budgetFor := range []func(int) (Budget, error){ForCore, ForEdge} {
+			b, err := budgetFor(limit)
 			must.NoError(t, err)
-			must.LessEq(t, limit-forFiles, b.FromInstances+b.FromOutside+b.ToInstances+b.ToOutside)
-			must.Positive(t, min(b.FromInstances, b.FromOutside, b.ToInstances, b.ToOutside))
+			must.LessEq(t, limit-reservedForFiles, b.FromInstances+b.FromExternal+b.ToInstances+b.ToExternal)
+			must.Positive(t, min(b.FromInstances, b.FromExternal, b.ToInstances, b.ToExternal))
 		}
 	})
 }
 
-func TestTooFewDescriptorsAreRefusedWithTheNumberNeeded(t *testing.T) {
-	_, err := ForCore(fewest - 1)
+func TestTooFewDescriptorsErrorNamesTheMinimum(t *testing.T) {
+	_, err := ForCore(minDescriptors - 1)
 	must.True(t, fault.Is(err, fault.Invalid))
 	must.StrContains(t, err.Error(), "at least 512 are needed")
 }
--- a/internal/descriptors/inbound.go
+++ b/internal/descriptors/inbound.go
@@ -7,9 +7,9 @@
 	"sync"
 )
 
-// perHostShare is the part of a server's connections that one host may hold, where
+// perHostDivisor is the part of a server's connections that one host may hold, where
 // hosts are told apart.
-const perHostShare = 8
+const perHostDivisor = 8
 
 // Counter counts events by name.
 type Counter interface {
@@ -18,7 +18,7 @@
 
 // Inbound bounds the connections of a server. At the bound the one that has been idle
 // for longest is closed for a new one; without an idle one the new one is closed.
-type Inbound struct {
+type InboundLimiter struct {
 	// name begins the counters' names.
 	name string
 	// limit bounds all connections, perHost those of one remote host.
@@ -26,126 +26,126 @@
 	counters       Counter
 
 	mu    sync.Mutex
-	hosts map[string]*host
+	hosts map[string]*hostConns
 	// idle holds connections without a request, the longest idle first.
 	idle  *list.List
 	conns map[net.Conn]*inboundConn
 }
 
 // host is what one remote host holds.
-type host struct {
+type hostConns struct {
 	conns int
 	idle  *list.List
 }
 
 type inboundConn struct {
 	remote string
-	// place and hostPlace are where the connection stands in the lists of idle ones;
+	// place and hostIdleElement are where the connection stands in the lists of idle ones;
 	// nil while it serves a request.
-	place, hostPlace *list.Element
+	idleElement, hostIdleElement *list.Element
 }
 
-// BoundServer bounds the connections of a server that isn't serving yet. Its counters
+// LimitServer bounds the connections of a server that isn't serving yet. Its counters
 // begin with name. telling says that its callers reach it from hosts of their own, so
 // that one that opens very many connections is held to a share of them.
-func BoundServer(server *http.Server, name string, limit int, telling bool, counters Counter) *Inbound {
-	in := &Inbound{
+func LimitServer(server *http.Server, name string, limit int, limitPerHost bool, counters Counter) *InboundLimiter {
+	in := &InboundLimiter{
 		name: name, limit: limit, perHost: limit, counters: counters,
-		hosts: map[string]*host{}, idle: list.New(), conns: map[net.Conn]*inboundConn{},
+		hosts: map[string]*hostConns{}, idle: list.New(), conns: map[net.Conn]*inboundConn{},
 	}
-	if telling {
-		in.perHost = max(limit/perHostShare, 1)
+	if limitPerHost {
+		in.perHost = max(limit/perHostDivisor, 1)
 	}
-	server.ConnState = in.note
+	server.ConnState = in.onStateChange
 	return in
 }
 
 // note takes in a change of a connection's state. A server calls it for a new
 // connection before it accepts the next one.
-func (in *Inbound) note(conn net.Conn, state http.ConnState) {
+func (in *InboundLimiter) onStateChange(conn net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
-		in.take(conn)
+		in.admit(conn)
 	case http.StateActive:
 		in.mu.Lock()
 		defer in.mu.Unlock()
-		in.noteBusy(conn)
+		in.markActive(conn)
 	case http.StateIdle:
 		in.mu.Lock()
 		defer in.mu.Unlock()
-		in.noteIdle(conn)
+		in.markIdle(conn)
 	case http.StateClosed, http.StateHijacked:
 		in.mu.Lock()
 		defer in.mu.Unlock()
-		in.forget(conn)
+		in.remove(conn)
 	}
 }
 
-func (in *Inbound) take(conn net.Conn) {
+func (in *InboundLimiter) admit(conn net.Conn) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	remote := remoteHost(conn)
 	h := in.hosts[remote]
 	if h == nil {
-		h = &host{idle: list.New()}
+		h = &hostConns{idle: list.New()}
 		in.hosts[remote] = h
 	}
-	from := in.idle
+	evictFrom := in.idle
 	if h.conns >= in.perHost {
-		from = h.idle
+		evictFrom = h.idle
 	}
-	over := h.conns >= in.perHost || len(in.conns) >= in.limit
+	full := h.conns >= in.perHost || len(in.conns) >= in.limit
 	h.conns++
 	in.conns[conn] = &inboundConn{remote: remote}
-	if over {
-		in.makeRoom(from, conn)
+	if full {
+		in.evictOrReject(evictFrom, conn)
 		return
 	}
-	in.noteIdle(conn)
+	in.markIdle(conn)
 }
 
-// makeRoom closes the connection of a list that has been idle for longest, or the new
+// evictOrReject closes the connection of a list that has been idle for longest, or the new
 // one. in.mu is held.
-func (in *Inbound) makeRoom(idle *list.List, fresh net.Conn) {
+func (in *InboundLimiter) evictOrReject(idle *list.List, newConn net.Conn) {
 	oldest := idle.Front()
 	if oldest == nil {
 		in.counters.Add(in.name+"_connections_refused", 1)
-		in.forget(fresh)
-		_ = fresh.Close()
+		in.remove(newConn)
+		_ = newConn.Close()
 		return
 	}
 	conn := oldest.Value.(net.Conn)
 	in.counters.Add(in.name+"_connections_closed_idle", 1)
-	in.forget(conn)
+	in.remove(conn)
 	_ = conn.Close()
-	in.noteIdle(fresh)
+	in.markIdle(newConn)
 }
 
-// noteIdle puts a connection behind the idle ones. in.mu is held.
-func (in *Inbound) noteIdle(conn net.Conn) {
+// markIdle puts a connection behind the idle ones. in.mu is held.
+func (in *InboundLimiter) markIdle(conn net.Conn) {
 	c := in.conns[conn]
 	if c == nil {
 		return
 	}
-	in.noteBusy(conn)
-	c.place = in.idle.PushBack(conn)
-	c.hostPlace = in.hosts[c.remote].idle.PushBack(conn)
+	in.markActive(conn)
+	c.idleElement = in.idle.PushBack(conn)
+	c.hostIdleElement = in.hosts[c.remote].idle.PushBack(conn)
 }
 
-// noteBusy takes a connection out of the idle ones. in.mu is held.
-func (in *Inbound) noteBusy(conn net.Conn) {
+// markActive takes a connection out of the idle ones. in.mu is held.
+func (in *InboundLimiter) markActive(conn net.Conn) {
 	c := in.conns[conn]
-	if c == nil || c.place == nil {
+	if c == nil || c.idleElement == nil {
 		return
 	}
-	in.idle.Remove(c.place)
-	in.hosts[c.remote].idle.Remove(c.hostPlace)
-	c.place, c.hostPlace = nil, nil
+	in.idle.Remove(c.idleElement)
+	in.hosts[c.remote].idle.Remove(c.hostIdleElement)
+	c.idleElement, c.hostIdleElement = nil, nil
 }
 
 // forget drops a connection that is closed. in.mu is held.
-func (in *Inbound) forget(conn net.Conn) {
-	in.noteBusy(conn)
+func (in *InboundLimiter) remove(conn net.Conn) {
+	in.markActive(conn)
 	c := in.conns[conn]
 	if c == nil {
 		return
--- a/internal/descriptors/outbound.go
+++ b/internal/descriptors/outbound.go
@@ -10,39 +10,39 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// idleShare is the part of its connections that a client keeps open without a call.
+// idleDivisor is the part of its connections that a client keeps open without a call.
 // The others are for calls: while all of these are under way a further one waits.
-const idleShare = 4
+const idleDivisor = 4
 
-// ErrNone says that no connection could be opened in time because as many as allowed
+// ErrLimitReached says that no connection could be opened in time because as many as allowed
 // were open.
-var ErrNone = errors.New("as many connections as allowed are open")
+var ErrLimitReached = errors.New("as many connections as allowed are open")
 
 // Outbound bounds the connections that a client opens.
-type Outbound struct {
+type OutboundLimiter struct {
 	limit   int
 	slots   *semaphore.Weighted
 	timeout time.Duration
 	dialer  net.Dialer
 }
 
-// NewOutbound returns the bound of a client that may have limit connections, none of
+// NewOutboundLimiter returns the bound of a client that may have limit connections, none of
 // which may take longer than timeout to open, the wait for a place included.
-func NewOutbound(limit int, timeout time.Duration) *Outbound {
-	return &Outbound{limit: limit, slots: semaphore.NewWeighted(int64(limit)), timeout: timeout}
+func NewOutboundLimiter(limit int, timeout time.Duration) *OutboundLimiter {
+	return &OutboundLimiter{limit: limit, slots: semaphore.NewWeighted(int64(limit)), timeout: timeout}
 }
 
 // Idle is how many connections a client keeps without a call; the least used one is
 // closed for another.
-func (o *Outbound) Idle() int { return max(o.limit/idleShare, 1) }
+func (o *OutboundLimiter) MaxIdle() int { return max(o.limit/idleDivisor, 1) }
 
 // DialContext opens a connection once there is room for it. Those that wait get their
 // places in order.
-func (o *Outbound) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
+func (o *OutboundLimiter) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, o.timeout)
 	defer cancel()
 	if err := o.slots.Acquire(ctx, 1); err != nil {
-		return nil, &net.OpError{Op: "dial", Net: network, Err: errors.CombineErrors(ErrNone, err)}
+		return nil, &net.OpError{Op: "dial", Net: network, Err: errors.CombineErrors(ErrLimitReached, err)}
 	}
 	conn, err := o.dialer.DialContext(ctx, network, address)
 	if err != nil {
--- a/internal/descriptors/outbound_test.go
+++ b/internal/descriptors/outbound_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func accepting(t *testing.T) string {
+func listen(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -18,16 +18,16 @@
 
 // A leader calls so many workers at once that it has no descriptor left, and its log
 // can't open a file. At the bound a call waits for another one's connection.
-func TestAClientOpensNoMoreConnectionsThanItMay(t *testing.T) {
-	address := accepting(t)
-	o := NewOutbound(2, 50*time.Millisecond)
+func TestDialWaitsAtTheConnectionLimit(t *testing.T) {
+	address := listen(t)
+	o := NewOutboundLimiter(2, 50*time.Millisecond)
 	first, err := o.DialContext(t.Context(), "tcp", address)
 	must.NoError(t, err)
 	_, err = o.DialContext(t.Context(), "tcp", address)
 	must.NoError(t, err)
 
 	_, err = o.DialContext(t.Context(), "tcp", address)
-	must.True(t, errors.Is(err, ErrNone))
+	must.True(t, errors.Is(err, ErrLimitReached))
 
 	time.AfterFunc(10*time.Millisecond, func() {
 		_ = first.Close()
@@ -36,17 +36,17 @@
 	_, err = o.DialContext(t.Context(), "tcp", address)
 	must.NoError(t, err)
 	_, err = o.DialContext(t.Context(), "tcp", address)
-	must.True(t, errors.Is(err, ErrNone), must.Sprint("a place was given back twice"))
+	must.True(t, errors.Is(err, ErrLimitReached), must.Sprint("a place was given back twice"))
 }
 
-func TestAFailedDialGivesItsPlaceBack(t *testing.T) {
-	o := NewOutbound(1, time.Second)
+func TestFailedDialReleasesItsSlot(t *testing.T) {
+	o := NewOutboundLimiter(1, time.Second)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	must.NoError(t, listener.Close())
 	for range 2 {
 		_, err := o.DialContext(t.Context(), "tcp", listener.Addr().String())
 		must.Error(t, err)
-		must.False(t, errors.Is(err, ErrNone))
+		must.False(t, errors.Is(err, ErrLimitReached))
 	}
 }
--- a/internal/descriptors/process_test.go
+++ b/internal/descriptors/process_test.go
@@ -19,17 +19,17 @@
 const (
 	childEnv = "DESCRIPTORS_TEST_CHILD"
 	// childLimit is the child's own limit, pressing how many connections are opened to it.
-	childLimit = 600
-	pressing   = 900
-	// logFiles is how many files the child opens at a time.
-	logFiles = 100
-	// answeredWithin is how long a request may take.
-	answeredWithin = 10 * time.Second
+	childLimit        = 600
+	openedConnections = 900
+	// filesPerRequest is how many files the child opens at a time.
+	filesPerRequest = 100
+	// requestTimeout is how long a request may take.
+	requestTimeout = 10 * time.Second
 )
 
 func TestMain(m *testing.M) {
 	if folder := os.Getenv(childEnv); folder != "" {
-		if err := serveAsChild(folder); err != nil {
+		if err := runChild(folder); err != nil {
 			fmt.Println("failed:", err)
 			os.Exit(1)
 		}
@@ -38,9 +38,9 @@
 	os.Exit(m.Run())
 }
 
-// serveAsChild serves under a low limit; each request opens files, as a log does. The
+// runChild serves under a low limit; each request opens files, as a log does. The
 // parent ends the process.
-func serveAsChild(folder string) error {
+func runChild(folder string) error {
 	limit := &syscall.Rlimit{Cur: childLimit, Max: childLimit}
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, limit); err != nil {
 		return err
@@ -58,13 +58,13 @@
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 		}
 	})}
-	BoundServer(server, "child", budget.FromOutside, false, &counts{})
+	LimitServer(server, "child", budget.FromExternal, false, &fakeCounter{})
 	fmt.Println(listener.Addr())
 	return server.Serve(listener)
 }
 
 func openFiles(folder string) error {
-	for i := range logFiles {
+	for i := range filesPerRequest {
 		file, err := os.Create(filepath.Join(folder, fmt.Sprint(i)))
 		if err != nil {
 			return err
@@ -76,7 +76,7 @@
 
 // More callers connect to a leader than it has descriptors. It stopped accepting, and
 // ended when its log couldn't open the file of a snapshot.
-func TestAProcessWithFewDescriptorsServesAndOpensFilesUnderAStorm(t *testing.T) {
+func TestProcessServesAndOpensFilesDuringConnectionStorm(t *testing.T) {
 	child := exec.Command(os.Args[0])
 	child.Env = append(os.Environ(), childEnv+"="+t.TempDir())
 	output, err := child.StdoutPipe()
@@ -90,12 +90,12 @@
 	must.NoError(t, err)
 	address = strings.TrimSpace(address)
 
-	for range pressing {
+	for range openedConnections {
 		conn, err := net.Dial("tcp", address)
 		must.NoError(t, err)
 		t.Cleanup(func() { _ = conn.Close() })
 	}
-	client := &http.Client{Timeout: answeredWithin}
+	client := &http.Client{Timeout: requestTimeout}
 	response, err := client.Get("http://" + address)
 	must.NoError(t, err)
 	must.Eq(t, http.StatusOK, response.StatusCode)
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -21,9 +21,9 @@
 	// AttemptTimeout bounds one try of an ordinary call. A paused or cut-off
 	// instance keeps connections open and says nothing.
 	AttemptTimeout = time.Second
-	// roundPause is the wait between two rounds over all instances; an election
+	// roundDelay is the wait between two rounds over all instances; an election
 	// takes some rounds.
-	roundPause = 60 * time.Millisecond
+	roundDelay = 60 * time.Millisecond
 )
 
 // Configuration stands, in place of a data centre's name, for the voters of the
@@ -57,7 +57,7 @@
 func (d *Directory) Client() *http.Client { return d.client }
 
 // Knows reports whether a data centre of that name exists.
-func (d *Directory) Knows(dataCentre string) bool {
+func (d *Directory) HasDataCentre(dataCentre string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.instances[dataCentre]) > 0
@@ -67,46 +67,46 @@
 type Call func(ctx context.Context, base string) error
 
 // Effort says how hard Leader tries.
-type Effort struct {
+type CallOptions struct {
 	// Patience is how long to go on looking for a leader; zero tries every
 	// instance once.
-	Patience time.Duration
+	SearchTimeout time.Duration
 	// Attempt bounds one try; zero means AttemptTimeout.
-	Attempt time.Duration
+	AttemptTimeout time.Duration
 }
 
 // Leader makes a call on the leader of a data centre. A call whose answer was
 // lost is made again, so it must be safe to repeat: every mutating call of the
 // schema is, by its request id or by the numbers it carries.
-func (d *Directory) Leader(ctx context.Context, dataCentre string, effort Effort, call Call) error {
-	if effort.Attempt == 0 {
-		effort.Attempt = AttemptTimeout
+func (d *Directory) CallLeader(ctx context.Context, dataCentre string, options CallOptions, call Call) error {
+	if options.AttemptTimeout == 0 {
+		options.AttemptTimeout = AttemptTimeout
 	}
-	until := time.Now().Add(effort.Patience)
-	var last error
+	deadline := time.Now().Add(options.SearchTimeout)
+	var lastErr error
 	for {
-		for _, instance := range d.order(dataCentre) {
-			err := d.try(ctx, instance, effort.Attempt, call)
+		for _, instance := range d.inCallOrder(dataCentre) {
+			err := d.attempt(ctx, instance, options.AttemptTimeout, call)
 			if err == nil {
-				d.remember(dataCentre, instance.ID)
+				d.setLeader(dataCentre, instance.ID)
 				return nil
 			}
 			if !fault.Is(err, fault.Unavailable) {
 				return err
 			}
-			last = err
-			if d.follow(dataCentre, err) {
+			lastErr = err
+			if d.followLeaderHint(dataCentre, err) {
 				break
 			}
 			if ctx.Err() != nil {
-				return last
+				return lastErr
 			}
 		}
-		if last == nil {
+		if lastErr == nil {
 			return fault.New(fault.NotFound, "no instances for %s", groupName(dataCentre))
 		}
-		if !pause(ctx, until) {
-			return fault.New(fault.Unavailable, "%s has no leader that answers: %s", groupName(dataCentre), fault.From(last).Message)
+		if !waitForNextRound(ctx, deadline) {
+			return fault.New(fault.Unavailable, "%s has no leader that answers: %s", groupName(dataCentre), fault.From(lastErr).Message)
 		}
 	}
 }
@@ -119,9 +119,9 @@
 }
 
 // pause waits between two rounds. It returns false when there is no time left.
-func pause(ctx context.Context, until time.Time) bool {
-	wait := roundPause/2 + rand.N(roundPause)
-	if time.Now().Add(wait).After(until) {
+func waitForNextRound(ctx context.Context, deadline time.Time) bool {
+	wait := roundDelay/2 + rand.N(roundDelay)
+	if time.Now().Add(wait).After(deadline) {
 		return false
 	}
 	select {
@@ -132,14 +132,14 @@
 	}
 }
 
-func (d *Directory) try(ctx context.Context, instance settings.Instance, limit time.Duration, call Call) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func (d *Directory) attempt(ctx context.Context, instance settings.Instance, timeout time.Duration, call Call) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return call(ctx, "http://"+instance.Cell)
 }
 
 // order lists the instances of a data centre, the last known leader first.
-func (d *Directory) order(dataCentre string) []settings.Instance {
+func (d *Directory) inCallOrder(dataCentre string) []settings.Instance {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	all := d.instances[dataCentre]
@@ -157,7 +157,7 @@
 	return ordered
 }
 
-func (d *Directory) remember(dataCentre, leader string) {
+func (d *Directory) setLeader(dataCentre, leader string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.leader[dataCentre] = leader
@@ -165,14 +165,14 @@
 
 // follow notes the leader that an error names. It returns true when that is
 // another one than was remembered, so that the next round begins with it.
-func (d *Directory) follow(dataCentre string, err error) bool {
+func (d *Directory) followLeaderHint(dataCentre string, err error) bool {
 	leader, ok := rpc.LeaderOf(err)
 	if !ok || leader.ID == "" {
 		return false
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.learn(dataCentre, leader)
+	d.addUnknownLeader(dataCentre, leader)
 	changed := d.leader[dataCentre] != leader.ID
 	d.leader[dataCentre] = leader.ID
 	return changed
@@ -180,7 +180,7 @@
 
 // learn adds a leader that the settings don't name: an instance that has
 // replaced another since they were read.
-func (d *Directory) learn(dataCentre string, leader rpc.Leader) {
+func (d *Directory) addUnknownLeader(dataCentre string, leader rpc.Leader) {
 	known := slices.ContainsFunc(d.instances[dataCentre], func(i settings.Instance) bool { return i.ID == leader.ID })
 	if !known && leader.Address != "" {
 		d.instances[dataCentre] = append(d.instances[dataCentre], settings.Instance{ID: leader.ID, DataCentre: dataCentre, Cell: leader.Address})
@@ -189,8 +189,8 @@
 
 // Each makes a call on every instance of a data centre at once and returns the
 // errors by instance id; nil for those that answered.
-func (d *Directory) Each(ctx context.Context, dataCentre string, call func(ctx context.Context, instance settings.Instance, base string) error) map[string]error {
-	instances := d.order(dataCentre)
+func (d *Directory) CallEach(ctx context.Context, dataCentre string, call func(ctx context.Context, instance settings.Instance, base string) error) map[string]error {
+	instances := d.inCallOrder(dataCentre)
 	results := make([]error, len(instances))
 	var wait sync.WaitGroup
 	for i, instance := range instances {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -27,14 +27,14 @@
 
 // Efforts of the calls that an entry instance forwards.
 const (
-	// electionPatience is how long a caller's call waits for a new leader: an
+	// electionTimeout is how long a caller's call waits for a new leader: an
 	// election and the first round after it.
-	electionPatience = 4 * time.Second
-	// holdGrace is how much longer than its hold a held call may take.
-	holdGrace = 500 * time.Millisecond
-	// submitAttempt is longer than other calls', since a submission may wait
+	electionTimeout = 4 * time.Second
+	// holdMargin is how much longer than its hold a held call may take.
+	holdMargin = 500 * time.Millisecond
+	// submitAttemptTimeout is longer than other calls', since a submission may wait
 	// for another data centre's answer.
-	submitAttempt = 2500 * time.Millisecond
+	submitAttemptTimeout = 2500 * time.Millisecond
 )
 
 // Entry serves on one instance.
@@ -44,16 +44,16 @@
 	started time.Time
 
 	// requests carries requests to minions.
-	requests *proxy.Handler
-	stats    Stats
+	requestProxy *proxy.Handler
+	stats        Stats
 
 	mu      sync.Mutex
 	clients map[string]clients
 
-	ready    atomic.Bool
-	begin    sync.Once
-	draining chan struct{}
-	drain    sync.Once
+	ready     atomic.Bool
+	readyOnce sync.Once
+	draining  chan struct{}
+	drainOnce sync.Once
 }
 
 // clients are the calls on one instance.
@@ -69,7 +69,7 @@
 	e := &Entry{
 		base: b, started: time.Now(), clients: make(map[string]clients), draining: make(chan struct{}),
 	}
-	e.requests = proxy.New(proxy.Config{
+	e.requestProxy = proxy.New(proxy.Config{
 		Balancer: routing.NewBalancer(e.routingOptions()), DataCentre: b.Instance.DataCentre,
 		Authenticate: e.customerOf, MaxBody: int64(b.Settings.Limits.Body), Logger: b.Logger,
 		Dial: b.Dial,
@@ -91,12 +91,12 @@
 		mux.Handle(server.PathPrefix(), server)
 	}
 	outer := http.NewServeMux()
-	outer.Handle("/", rpc.Authenticate(e.base.Tokens, int64(e.base.Settings.Limits.Body), e.count(mux)))
-	outer.Handle(proxy.Prefix, e.requests)
+	outer.Handle("/", rpc.Authenticate(e.base.Tokens, int64(e.base.Settings.Limits.Body), e.countCalls(mux)))
+	outer.Handle(proxy.Prefix, e.requestProxy)
 	return outer
 }
 
-func (e *Entry) count(next http.Handler) http.Handler {
+func (e *Entry) countCalls(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.stats.Calls.Add(1)
 		next.ServeHTTP(w, r)
@@ -111,7 +111,7 @@
 // platform's balancer has had time to notice, held calls answer. Requests in
 // progress go on.
 func (e *Entry) BeginShutdown() {
-	e.drain.Do(func() {
+	e.drainOnce.Do(func() {
 		e.ready.Store(false)
 		time.Sleep(time.Duration(e.base.Settings.Timing.UnreadyGrace))
 		close(e.draining)
@@ -126,13 +126,13 @@
 		return nil
 	})
 	group.Go(func() error {
-		e.requests.ShareSlots(ctx, e.shareSlots)
+		e.requestProxy.RenewSlotLeases(ctx, e.renewSlotLeases)
 		return nil
 	})
 	return group.Wait()
 }
 
-func (e *Entry) client(base string) clients {
+func (e *Entry) clientsOf(base string) clients {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	c, ok := e.clients[base]
@@ -150,15 +150,15 @@
 }
 
 // forward makes the caller's call on the leader of a data centre.
-func forward[T any](ctx context.Context, e *Entry, dataCentre string, effort directory.Effort, call func(context.Context, clients) (T, error)) (T, error) {
+func forward[T any](ctx context.Context, e *Entry, dataCentre string, effort directory.CallOptions, call func(context.Context, clients) (T, error)) (T, error) {
 	var answer T
 	ctx, err := rpc.Forward(ctx)
 	if err != nil {
 		return answer, err
 	}
-	err = e.base.Directory.Leader(ctx, dataCentre, effort, func(ctx context.Context, base string) error {
+	err = e.base.Directory.CallLeader(ctx, dataCentre, effort, func(ctx context.Context, base string) error {
 		var err error
-		answer, err = call(ctx, e.client(base))
+		answer, err = call(ctx, e.clientsOf(base))
 		return err
 	})
 	return answer, err
@@ -170,11 +170,11 @@
 	names := e.base.Settings.DataCentres()
 	answers := make([]T, len(names))
 	errs := make([]error, len(names))
-	var wait sync.WaitGroup
+	var group sync.WaitGroup
 	for i, name := range names {
-		wait.Go(func() { answers[i], errs[i] = forward(ctx, e, name, directory.Effort{}, call) })
+		group.Go(func() { answers[i], errs[i] = forward(ctx, e, name, directory.CallOptions{}, call) })
 	}
-	wait.Wait()
+	group.Wait()
 	var reached []T
 	var unreachable []string
 	for i, err := range errs {
@@ -197,38 +197,38 @@
 func (e *Entry) followConfig(ctx context.Context) {
 	hold := time.Duration(e.base.Settings.Timing.RenewHold)
 	for ctx.Err() == nil {
-		bearer, err := rpc.WithBearer(ctx, "Bearer "+e.base.Tokens.Token(settings.Peer))
+		authCtx, err := rpc.WithBearer(ctx, "Bearer "+e.base.Tokens.Token(settings.Peer))
 		if err != nil {
 			return
 		}
 		var adopted *apiv1.Config
-		known := e.config.Current().Version
-		request := &apiv1.FetchConfigRequest{Adopted: true, AfterVersion: known}
+		knownVersion := e.config.Current().Version
+		request := &apiv1.FetchConfigRequest{Adopted: true, AfterVersion: knownVersion}
 		if e.ready.Load() {
 			request.WaitMs = hold.Milliseconds()
 		}
-		effort := directory.Effort{Attempt: hold + holdGrace}
-		err = e.base.Directory.Leader(bearer, e.base.Instance.DataCentre, effort, func(ctx context.Context, base string) error {
+		effort := directory.CallOptions{AttemptTimeout: hold + holdMargin}
+		err = e.base.Directory.CallLeader(authCtx, e.base.Instance.DataCentre, effort, func(ctx context.Context, base string) error {
 			var err error
-			adopted, err = e.client(base).peer.FetchConfig(ctx, request)
+			adopted, err = e.clientsOf(base).peer.FetchConfig(ctx, request)
 			return err
 		})
 		if err != nil {
-			wait.For(ctx, configPause)
+			wait.For(ctx, configRetryDelay)
 			continue
 		}
-		e.apply(adopted)
+		e.applyConfig(adopted)
 	}
 }
 
-// configPause is the wait after no leader could be asked for the configuration.
-const configPause = 200 * time.Millisecond
+// configRetryDelay is the wait after no leader could be asked for the configuration.
+const configRetryDelay = 200 * time.Millisecond
 
-func (e *Entry) apply(adopted *apiv1.Config) {
+func (e *Entry) applyConfig(adopted *apiv1.Config) {
 	if adopted.Version > e.config.Current().Version {
 		e.setConfig(adopted)
 	}
-	e.begin.Do(func() {
+	e.readyOnce.Do(func() {
 		e.ready.Store(true)
 		e.base.Logger.Log("msg", "ready", "config", e.config.Current().Version)
 	})
--- a/internal/entry/gateway.go
+++ b/internal/entry/gateway.go
@@ -25,19 +25,19 @@
 		return nil, err
 	}
 	hold := min(time.Duration(r.HoldMs)*time.Millisecond, time.Duration(e.base.Settings.Timing.RenewHold))
-	until := time.Now().Add(hold)
-	effort := directory.Effort{Patience: electionPatience, Attempt: hold + holdGrace}
-	ctx, cancel := e.whileServing(ctx)
+	holdUntil := time.Now().Add(hold)
+	effort := directory.CallOptions{SearchTimeout: electionTimeout, AttemptTimeout: hold + holdMargin}
+	ctx, cancel := e.cancelOnDrain(ctx)
 	defer cancel()
 	return forward(ctx, e, e.base.Instance.DataCentre, effort, func(ctx context.Context, c clients) (*apiv1.RenewResponse, error) {
-		r.HoldMs = max(0, time.Until(until).Milliseconds())
+		r.HoldMs = max(0, time.Until(holdUntil).Milliseconds())
 		return c.workers.Renew(ctx, r)
 	})
 }
 
-// whileServing ends a held call when the instance drains: its worker renews at
+// cancelOnDrain ends a held call when the instance drains: its worker renews at
 // another entry instance, and the shutdown waits for nothing that is idle.
-func (e *Entry) whileServing(ctx context.Context) (context.Context, context.CancelFunc) {
+func (e *Entry) cancelOnDrain(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		select {
@@ -54,7 +54,7 @@
 	if _, err := rpc.Require(ctx, settings.Worker); err != nil {
 		return nil, err
 	}
-	return forward(ctx, e, e.base.Instance.DataCentre, directory.Effort{Patience: electionPatience}, func(ctx context.Context, c clients) (*apiv1.ReportResponse, error) {
+	return forward(ctx, e, e.base.Instance.DataCentre, directory.CallOptions{SearchTimeout: electionTimeout}, func(ctx context.Context, c clients) (*apiv1.ReportResponse, error) {
 		return c.workers.Report(ctx, r)
 	})
 }
@@ -64,7 +64,7 @@
 	if _, err := rpc.Require(ctx, settings.Worker); err != nil {
 		return nil, err
 	}
-	return forward(ctx, e, e.base.Instance.DataCentre, directory.Effort{Patience: electionPatience}, func(ctx context.Context, c clients) (*apiv1.LeaveResponse, error) {
+	return forward(ctx, e, e.base.Instance.DataCentre, directory.CallOptions{SearchTimeout: electionTimeout}, func(ctx context.Context, c clients) (*apiv1.LeaveResponse, error) {
 		return c.workers.LeaveWorker(ctx, r)
 	})
 }
--- a/internal/entry/gateway_test.go
+++ b/internal/entry/gateway_test.go
@@ -27,7 +27,7 @@
 	return g.renew(ctx, r)
 }
 
-func fakeCell(t *testing.T, renew func(context.Context, *apiv1.RenewRequest) (*apiv1.RenewResponse, error)) string {
+func startFakeCell(t *testing.T, renew func(context.Context, *apiv1.RenewRequest) (*apiv1.RenewResponse, error)) string {
 	server := httptest.NewUnstartedServer(apiv1.NewWorkerGatewayServer(&fakeGateway{renew: renew}))
 	server.Config = rpc.NewServer(server.Config.Handler)
 	server.Start()
@@ -39,13 +39,13 @@
 // Order: the leader freezes while it holds the worker's renewal; the entry
 // instance gives up and asks the new leader; that one holds the renewal again.
 // Cause: two holds in a row outlast the worker's lease.
-func TestRenewalIsNotHeldTwice(t *testing.T) {
-	frozen := fakeCell(t, func(ctx context.Context, _ *apiv1.RenewRequest) (*apiv1.RenewResponse, error) {
+func TestRetriedRenewalIsNotHeldAgain(t *testing.T) {
+	frozen := startFakeCell(t, func(ctx context.Context, _ *apiv1.RenewRequest) (*apiv1.RenewResponse, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
 	holds := make(chan int64, 1)
-	healthy := fakeCell(t, func(_ context.Context, r *apiv1.RenewRequest) (*apiv1.RenewResponse, error) {
+	healthy := startFakeCell(t, func(_ context.Context, r *apiv1.RenewRequest) (*apiv1.RenewResponse, error) {
 		holds <- r.HoldMs
 		return &apiv1.RenewResponse{Term: 2}, nil
 	})
--- a/internal/entry/minions.go
+++ b/internal/entry/minions.go
@@ -21,7 +21,7 @@
 const (
 	maxSlots       = 10_000
 	maxConnections = 100_000
-	maxMinionName  = 128
+	maxNameLength  = 128
 )
 
 // routingOptions are the options of the request path from the settings.
@@ -45,17 +45,17 @@
 	return identity.Customer, nil
 }
 
-// shareSlots renews the slot leases at the leader of this data centre.
-func (e *Entry) shareSlots(ctx context.Context, r *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error) {
+// renewSlotLeases renews the slot leases at the leader of this data centre.
+func (e *Entry) renewSlotLeases(ctx context.Context, r *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error) {
 	ctx, err := rpc.WithBearer(ctx, "Bearer "+e.base.Tokens.Token(settings.Peer))
 	if err != nil {
 		return nil, err
 	}
 	var answer *apiv1.ShareSlotsResponse
-	effort := directory.Effort{Attempt: time.Duration(e.base.Settings.Timing.SlotLease) / 4}
-	err = e.base.Directory.Leader(ctx, e.base.Instance.DataCentre, effort, func(ctx context.Context, base string) error {
+	effort := directory.CallOptions{AttemptTimeout: time.Duration(e.base.Settings.Timing.SlotLease) / 4}
+	err = e.base.Directory.CallLeader(ctx, e.base.Instance.DataCentre, effort, func(ctx context.Context, base string) error {
 		var err error
-		answer, err = e.client(base).peer.ShareSlots(ctx, r)
+		answer, err = e.clientsOf(base).peer.ShareSlots(ctx, r)
 		return err
 	})
 	return answer, err
@@ -70,16 +70,16 @@
 	if err := checkAnnouncement(r); err != nil {
 		return nil, err
 	}
-	e.requests.Announce(r)
+	e.requestProxy.Announce(r)
 	return &apiv1.AnnounceResponse{TtlMs: time.Duration(e.base.Settings.Timing.MinionTTL).Milliseconds()}, nil
 }
 
 func checkAnnouncement(r *apiv1.AnnounceRequest) error {
 	switch {
-	case r.Minion == "" || len(r.Minion) > maxMinionName:
-		return fault.Field("minion", "must have 1 to %d bytes", maxMinionName)
-	case r.Service == "" || len(r.Service) > maxMinionName:
-		return fault.Field("service", "must have 1 to %d bytes", maxMinionName)
+	case r.Minion == "" || len(r.Minion) > maxNameLength:
+		return fault.Field("minion", "must have 1 to %d bytes", maxNameLength)
+	case r.Service == "" || len(r.Service) > maxNameLength:
+		return fault.Field("service", "must have 1 to %d bytes", maxNameLength)
 	case r.Slots <= 0 || r.Slots > maxSlots:
 		return fault.Field("slots", "must be 1 to %d", maxSlots)
 	case r.MaxConnections < 0 || r.MaxConnections > maxConnections:
@@ -99,6 +99,6 @@
 	if _, err := rpc.Require(ctx, settings.Minion); err != nil {
 		return nil, err
 	}
-	e.requests.Leave(r)
+	e.requestProxy.Leave(r)
 	return &apiv1.LeaveResponse{}, nil
 }
--- a/internal/entry/operations.go
+++ b/internal/entry/operations.go
@@ -19,25 +19,25 @@
 
 var _ apiv1.Operations = (*Entry)(nil)
 
-// replaceAttempt bounds the replacement of an instance, which waits for the new
+// replaceAttemptTimeout bounds the replacement of an instance, which waits for the new
 // one to catch up with the log.
-const replaceAttempt = 30 * time.Second
+const replaceAttemptTimeout = 30 * time.Second
 
 // maxEvents bounds what one call of Events returns.
 const maxEvents = 5000
 
 // Workers lists the workers of one data centre, or of all.
 func (e *Entry) Workers(ctx context.Context, r *apiv1.WorkersRequest) (*apiv1.WorkersResponse, error) {
-	ask := func(ctx context.Context, c clients) (*apiv1.WorkersResponse, error) {
+	listWorkers := func(ctx context.Context, c clients) (*apiv1.WorkersResponse, error) {
 		return c.operations.Workers(ctx, r)
 	}
 	if r.DataCentre != "" {
-		if !e.base.Directory.Knows(r.DataCentre) {
+		if !e.base.Directory.HasDataCentre(r.DataCentre) {
 			return nil, fault.Field("data_centre", "no data centre %q", r.DataCentre)
 		}
-		return forward(ctx, e, r.DataCentre, directory.Effort{Patience: electionPatience}, ask)
+		return forward(ctx, e, r.DataCentre, directory.CallOptions{SearchTimeout: electionTimeout}, listWorkers)
 	}
-	answers, unreachable, err := fanOut(ctx, e, ask)
+	answers, unreachable, err := fanOut(ctx, e, listWorkers)
 	if err != nil {
 		return nil, err
 	}
@@ -53,14 +53,14 @@
 func (e *Entry) Drain(ctx context.Context, r *apiv1.DrainRequest) (*apiv1.DrainResponse, error) {
 	names := e.base.Settings.DataCentres()
 	if r.DataCentre != "" {
-		if !e.base.Directory.Knows(r.DataCentre) {
+		if !e.base.Directory.HasDataCentre(r.DataCentre) {
 			return nil, fault.Field("data_centre", "no data centre %q", r.DataCentre)
 		}
 		names = []string{r.DataCentre}
 	}
-	var missing error
+	var lookupErr error
 	for _, name := range names {
-		answer, err := forward(ctx, e, name, directory.Effort{Patience: electionPatience}, func(ctx context.Context, c clients) (*apiv1.DrainResponse, error) {
+		answer, err := forward(ctx, e, name, directory.CallOptions{SearchTimeout: electionTimeout}, func(ctx context.Context, c clients) (*apiv1.DrainResponse, error) {
 			return c.operations.Drain(ctx, r)
 		})
 		if err == nil {
@@ -71,31 +71,31 @@
 		}
 		// A data centre that can't be reached may know the worker, so it
 		// outweighs another's "not found".
-		if missing == nil || fault.Is(err, fault.Unavailable) {
-			missing = err
+		if lookupErr == nil || fault.Is(err, fault.Unavailable) {
+			lookupErr = err
 		}
 	}
-	return nil, missing
+	return nil, lookupErr
 }
 
 // GetConfig returns the committed configuration. Cut off from the majority of
 // the voters it fails at once.
 func (e *Entry) GetConfig(ctx context.Context, r *apiv1.GetConfigRequest) (*apiv1.Config, error) {
-	return forward(ctx, e, directory.Configuration, directory.Effort{}, func(ctx context.Context, c clients) (*apiv1.Config, error) {
+	return forward(ctx, e, directory.Configuration, directory.CallOptions{}, func(ctx context.Context, c clients) (*apiv1.Config, error) {
 		return c.operations.GetConfig(ctx, r)
 	})
 }
 
 // SetConfig writes the configuration, compare-and-set.
 func (e *Entry) SetConfig(ctx context.Context, r *apiv1.SetConfigRequest) (*apiv1.Config, error) {
-	return forward(ctx, e, directory.Configuration, directory.Effort{}, func(ctx context.Context, c clients) (*apiv1.Config, error) {
+	return forward(ctx, e, directory.Configuration, directory.CallOptions{}, func(ctx context.Context, c clients) (*apiv1.Config, error) {
 		return c.operations.SetConfig(ctx, r)
 	})
 }
 
 // ConfigHistory lists committed versions.
 func (e *Entry) ConfigHistory(ctx context.Context, r *apiv1.ConfigHistoryRequest) (*apiv1.ConfigHistoryResponse, error) {
-	return forward(ctx, e, directory.Configuration, directory.Effort{}, func(ctx context.Context, c clients) (*apiv1.ConfigHistoryResponse, error) {
+	return forward(ctx, e, directory.Configuration, directory.CallOptions{}, func(ctx context.Context, c clients) (*apiv1.ConfigHistoryResponse, error) {
 		return c.operations.ConfigHistory(ctx, r)
 	})
 }
@@ -119,7 +119,7 @@
 // that the lost one voted on: that of its data centre, those that it witnessed,
 // and the configuration log. Called again it goes on where it was interrupted.
 func (e *Entry) ReplaceInstance(ctx context.Context, r *apiv1.ReplaceInstanceRequest) (*apiv1.ReplaceInstanceResponse, error) {
-	if !e.base.Directory.Knows(r.DataCentre) {
+	if !e.base.Directory.HasDataCentre(r.DataCentre) {
 		return nil, fault.Field("data_centre", "no data centre %q", r.DataCentre)
 	}
 	groups := []string{r.DataCentre}
@@ -129,22 +129,22 @@
 			groups = append(groups, directory.Configuration)
 		}
 	}
-	var home *apiv1.ReplaceInstanceResponse
+	var homeResponse *apiv1.ReplaceInstanceResponse
 	for _, group := range groups {
 		request := proto.Clone(r).(*apiv1.ReplaceInstanceRequest)
 		request.Configuration = group == directory.Configuration
-		effort := directory.Effort{Patience: electionPatience, Attempt: replaceAttempt}
+		effort := directory.CallOptions{SearchTimeout: electionTimeout, AttemptTimeout: replaceAttemptTimeout}
 		answer, err := forward(ctx, e, group, effort, func(ctx context.Context, c clients) (*apiv1.ReplaceInstanceResponse, error) {
 			return c.operations.ReplaceInstance(ctx, request)
 		})
 		if err != nil {
 			return nil, err
 		}
-		if home == nil {
-			home = answer
+		if homeResponse == nil {
+			homeResponse = answer
 		}
 	}
-	return home, nil
+	return homeResponse, nil
 }
 
 // process is one process of an instance, as the fan-out over all of them sees it.
@@ -155,7 +155,7 @@
 }
 
 // cells lists the processes of the deployment that hold logs.
-func (e *Entry) cells() []process {
+func (e *Entry) cellProcesses() []process {
 	var cells []process
 	for _, instance := range e.base.Settings.Instances {
 		if instance.Cell != "" {
@@ -166,7 +166,7 @@
 }
 
 // entries lists the other entry processes.
-func (e *Entry) entries() []process {
+func (e *Entry) otherEntryProcesses() []process {
 	var entries []process
 	for _, instance := range e.base.Settings.Instances {
 		if instance.Entry != "" && instance.ID != e.base.Instance.ID {
@@ -176,22 +176,22 @@
 	return entries
 }
 
-// askAll makes the caller's call on processes at once.
-func askAll[T any](ctx context.Context, e *Entry, all []process, call func(context.Context, clients) (T, error)) ([]T, []error) {
-	answers := make([]T, len(all))
-	errs := make([]error, len(all))
+// callAll makes the caller's call on processes at once.
+func callAll[T any](ctx context.Context, e *Entry, processes []process, call func(context.Context, clients) (T, error)) ([]T, []error) {
+	answers := make([]T, len(processes))
+	errs := make([]error, len(processes))
 	ctx, err := rpc.Forward(ctx)
-	var wait sync.WaitGroup
-	for i, p := range all {
-		wait.Go(func() {
+	var group sync.WaitGroup
+	for i, p := range processes {
+		group.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, directory.AttemptTimeout)
 			defer cancel()
 			if errs[i] = err; err == nil {
-				answers[i], errs[i] = call(ctx, e.client(p.base))
+				answers[i], errs[i] = call(ctx, e.clientsOf(p.base))
 			}
 		})
 	}
-	wait.Wait()
+	group.Wait()
 	return answers, errs
 }
 
@@ -200,25 +200,25 @@
 	if _, err := rpc.Require(ctx, settings.Operator); err != nil {
 		return nil, err
 	}
-	own := &apiv1.InstanceConfig{
+	ownConfig := &apiv1.InstanceConfig{
 		Instance: e.base.Instance.ID + "/entry", DataCentre: e.base.Instance.DataCentre,
 		Version: e.config.Current().Version, Reachable: true,
 	}
-	response := &apiv1.ConfigStatusResponse{Instances: []*apiv1.InstanceConfig{own}}
+	response := &apiv1.ConfigStatusResponse{Instances: []*apiv1.InstanceConfig{ownConfig}}
 	if r.LocalOnly {
 		return response, nil
 	}
-	all := append(e.cells(), e.entries()...)
-	answers, errs := askAll(ctx, e, all, func(ctx context.Context, c clients) (*apiv1.ConfigStatusResponse, error) {
+	processes := append(e.cellProcesses(), e.otherEntryProcesses()...)
+	answers, errs := callAll(ctx, e, processes, func(ctx context.Context, c clients) (*apiv1.ConfigStatusResponse, error) {
 		return c.operations.ConfigStatus(ctx, &apiv1.ConfigStatusRequest{LocalOnly: true})
 	})
-	for i, p := range all {
-		row := &apiv1.InstanceConfig{Instance: p.name, DataCentre: p.instance.DataCentre}
+	for i, p := range processes {
+		config := &apiv1.InstanceConfig{Instance: p.name, DataCentre: p.instance.DataCentre}
 		if errs[i] == nil && len(answers[i].Instances) > 0 {
-			row.Version, row.Reachable = answers[i].Instances[0].Version, true
+			config.Version, config.Reachable = answers[i].Instances[0].Version, true
 			response.CommittedVersion = max(response.CommittedVersion, answers[i].CommittedVersion)
 		}
-		response.Instances = append(response.Instances, row)
+		response.Instances = append(response.Instances, config)
 	}
 	slices.SortFunc(response.Instances, func(a, b *apiv1.InstanceConfig) int { return strings.Compare(a.Instance, b.Instance) })
 	return response, nil
@@ -229,12 +229,12 @@
 	if _, err := rpc.Require(ctx, settings.Operator); err != nil {
 		return nil, err
 	}
-	all := e.cells()
-	answers, errs := askAll(ctx, e, all, func(ctx context.Context, c clients) (*apiv1.InstancesResponse, error) {
+	processes := e.cellProcesses()
+	answers, errs := callAll(ctx, e, processes, func(ctx context.Context, c clients) (*apiv1.InstancesResponse, error) {
 		return c.operations.Instances(ctx, r)
 	})
 	response := &apiv1.InstancesResponse{}
-	for i, p := range all {
+	for i, p := range processes {
 		if errs[i] == nil {
 			response.Instances = append(response.Instances, answers[i].Instances...)
 			continue
@@ -256,17 +256,17 @@
 	if limit <= 0 || limit > maxEvents {
 		limit = maxEvents
 	}
-	own := e.base.Events.Since(r.Subject, r.SinceUnixMs, limit)
+	ownEvents := e.base.Events.Since(r.Subject, r.SinceUnixMs, limit)
 	if r.LocalOnly {
-		return &apiv1.EventsResponse{Events: event.ListToAPI(own)}, nil
+		return &apiv1.EventsResponse{Events: event.ListToAPI(ownEvents)}, nil
 	}
-	all := append(e.cells(), e.entries()...)
-	answers, errs := askAll(ctx, e, all, func(ctx context.Context, c clients) (*apiv1.EventsResponse, error) {
+	processes := append(e.cellProcesses(), e.otherEntryProcesses()...)
+	answers, errs := callAll(ctx, e, processes, func(ctx context.Context, c clients) (*apiv1.EventsResponse, error) {
 		return c.operations.Events(ctx, &apiv1.EventsRequest{Subject: r.Subject, SinceUnixMs: r.SinceUnixMs, Limit: int32(limit), LocalOnly: true})
 	})
 	response := &apiv1.EventsResponse{}
-	lists := [][]event.Event{own}
-	for i, p := range all {
+	lists := [][]event.Event{ownEvents}
+	for i, p := range processes {
 		if errs[i] != nil {
 			response.UnreachableInstances = append(response.UnreachableInstances, p.name)
 			continue
