--- a/internal/entry/scheduler.go
+++ b/internal/entry/scheduler.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	effort := directory.Effort{Patience: electionPatience, Attempt: submitAttempt}
+	effort := directory.CallOptions{SearchTimeout: electionTimeout, AttemptTimeout: submitAttemptTimeout}
 	return forward(ctx, e, home, effort, func(ctx context.Context, c clients) (*apiv1.SubmitResponse, error) {
 		return c.scheduler.Submit(ctx, r)
 	})
@@ -71,7 +71,7 @@
 	if home == "" {
 		home = e.base.Instance.DataCentre
 	}
-	if !e.base.Directory.Knows(home) {
+	if !e.base.Directory.HasDataCentre(home) {
 		return "", fault.Field("data_centre", "no data centre %q", home)
 	}
 	return home, nil
@@ -80,9 +80,9 @@
 // Status tells of one job, or of all jobs of the caller's customer everywhere.
 func (e *Entry) Status(ctx context.Context, r *apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
 	if r.Id == "" {
-		return e.list(ctx, r)
+		return e.listJobs(ctx, r)
 	}
-	return askOwner(ctx, e, r.Id, directory.Effort{Patience: electionPatience}, func(ctx context.Context, c clients) (*apiv1.StatusResponse, error) {
+	return callOwner(ctx, e, r.Id, directory.CallOptions{SearchTimeout: electionTimeout}, func(ctx context.Context, c clients) (*apiv1.StatusResponse, error) {
 		return c.scheduler.Status(ctx, r)
 	})
 }
@@ -90,22 +90,22 @@
 // Watch waits for a job to change.
 func (e *Entry) Watch(ctx context.Context, r *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
 	hold := time.Duration(r.WaitMs) * time.Millisecond
-	effort := directory.Effort{Patience: electionPatience, Attempt: hold + directory.AttemptTimeout}
-	return askOwner(ctx, e, r.Id, effort, func(ctx context.Context, c clients) (*apiv1.StatusResponse, error) {
+	effort := directory.CallOptions{SearchTimeout: electionTimeout, AttemptTimeout: hold + directory.AttemptTimeout}
+	return callOwner(ctx, e, r.Id, effort, func(ctx context.Context, c clients) (*apiv1.StatusResponse, error) {
 		return c.scheduler.Watch(ctx, r)
 	})
 }
 
-// askOwner asks the data centre that an id was given in, and follows a job
+// callOwner asks the data centre that an id was given in, and follows a job
 // that was handed over to the data centre where it lives now.
-func askOwner(ctx context.Context, e *Entry, id string, effort directory.Effort, call func(context.Context, clients) (*apiv1.StatusResponse, error)) (*apiv1.StatusResponse, error) {
+func callOwner(ctx context.Context, e *Entry, id string, effort directory.CallOptions, call func(context.Context, clients) (*apiv1.StatusResponse, error)) (*apiv1.StatusResponse, error) {
 	home := state.HomeDataCentre(id)
-	if home == "" || !e.base.Directory.Knows(home) {
+	if home == "" || !e.base.Directory.HasDataCentre(home) {
 		return nil, fault.New(fault.NotFound, "no job %q", id)
 	}
 	answer, err := forward(ctx, e, home, effort, call)
 	if fault.Is(err, fault.Unavailable) {
-		return e.askOthers(ctx, home, err, call)
+		return e.searchOtherDataCentres(ctx, home, err, call)
 	}
 	if err != nil {
 		return nil, err
@@ -116,15 +116,15 @@
 	return answer, nil
 }
 
-// askOthers looks for a job whose home can't be reached: it may have been
+// searchOtherDataCentres looks for a job whose home can't be reached: it may have been
 // handed over before. Not finding it elsewhere says nothing, so the answer is
 // then that its home is unavailable.
-func (e *Entry) askOthers(ctx context.Context, home string, unavailable error, call func(context.Context, clients) (*apiv1.StatusResponse, error)) (*apiv1.StatusResponse, error) {
+func (e *Entry) searchOtherDataCentres(ctx context.Context, home string, unavailable error, call func(context.Context, clients) (*apiv1.StatusResponse, error)) (*apiv1.StatusResponse, error) {
 	for _, name := range e.base.Settings.DataCentres() {
 		if name == home {
 			continue
 		}
-		answer, err := forward(ctx, e, name, directory.Effort{}, call)
+		answer, err := forward(ctx, e, name, directory.CallOptions{}, call)
 		if err == nil {
 			return answer, nil
 		}
@@ -132,7 +132,7 @@
 	return nil, unavailable
 }
 
-func (e *Entry) list(ctx context.Context, r *apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
+func (e *Entry) listJobs(ctx context.Context, r *apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
 	answers, unreachable, err := fanOut(ctx, e, func(ctx context.Context, c clients) (*apiv1.StatusResponse, error) {
 		return c.scheduler.Status(ctx, r)
 	})
@@ -169,10 +169,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return joinCancels(answers, unreachable), nil
+	return mergeCancelResponses(answers, unreachable), nil
 }
 
-func joinCancels(answers []*apiv1.CancelResponse, unreachable []string) *apiv1.CancelResponse {
+func mergeCancelResponses(answers []*apiv1.CancelResponse, unreachable []string) *apiv1.CancelResponse {
 	all := &apiv1.CancelResponse{UnreachableDataCentres: unreachable}
 	for _, answer := range answers {
 		all.Ids = append(all.Ids, answer.Ids...)
@@ -195,11 +195,11 @@
 	}
 	all := &apiv1.CancelResponse{}
 	for owner, ids := range owners {
-		part := proto.Clone(r).(*apiv1.CancelRequest)
-		part.Ids = ids
-		effort := directory.Effort{Patience: electionPatience}
+		request := proto.Clone(r).(*apiv1.CancelRequest)
+		request.Ids = ids
+		effort := directory.CallOptions{SearchTimeout: electionTimeout}
 		answer, err := forward(ctx, e, owner, effort, func(ctx context.Context, c clients) (*apiv1.CancelResponse, error) {
-			return c.scheduler.Cancel(ctx, part)
+			return c.scheduler.Cancel(ctx, request)
 		})
 		if err != nil {
 			return nil, err
@@ -216,7 +216,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return forward(ctx, e, owner, directory.Effort{Patience: electionPatience}, func(ctx context.Context, c clients) (*apiv1.ScaleResponse, error) {
+	return forward(ctx, e, owner, directory.CallOptions{SearchTimeout: electionTimeout}, func(ctx context.Context, c clients) (*apiv1.ScaleResponse, error) {
 		return c.scheduler.Scale(ctx, r)
 	})
 }
@@ -227,7 +227,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return forward(ctx, e, owner, directory.Effort{Patience: electionPatience}, func(ctx context.Context, c clients) (*apiv1.ExplainResponse, error) {
+	return forward(ctx, e, owner, directory.CallOptions{SearchTimeout: electionTimeout}, func(ctx context.Context, c clients) (*apiv1.ExplainResponse, error) {
 		return c.scheduler.Explain(ctx, r)
 	})
 }
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -18,8 +18,8 @@
 
 // finish hands the slots of minions back once the last request is answered.
 func (e *Entry) finish(ctx context.Context) {
-	e.requests.StopAccepting()
-	if err := e.requests.Wait(ctx); err != nil {
+	e.requestProxy.StopAccepting()
+	if err := e.requestProxy.Wait(ctx); err != nil {
 		e.base.Logger.Log("msg", "requests were still in progress", "err", err)
 	}
 }
--- a/internal/entry/stats.go
+++ b/internal/entry/stats.go
@@ -10,6 +10,6 @@
 // Publish puts the counters into a map of metrics.
 func (e *Entry) Publish(metrics *expvar.Map) {
 	metrics.Set("calls", &e.stats.Calls)
-	metrics.Set("requests", expvar.Func(func() any { return e.requests.Stats() }))
+	metrics.Set("requests", expvar.Func(func() any { return e.requestProxy.Stats() }))
 	metrics.Set("config_version", expvar.Func(func() any { return e.config.Current().Version }))
 }
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -14,9 +14,9 @@
 
 // Event is one change of state.
 type Event struct {
-	Stamp      hlc.Stamp `cbor:"1,keyasint"`
-	Instance   string    `cbor:"2,keyasint"`
-	DataCentre string    `cbor:"3,keyasint,omitempty"`
+	Stamp      hlc.Timestamp `cbor:"1,keyasint"`
+	Instance   string        `cbor:"2,keyasint"`
+	DataCentre string        `cbor:"3,keyasint,omitempty"`
 	// Kind is a short name of what happened, such as "leader" or "task started".
 	Kind string `cbor:"4,keyasint"`
 	// Subjects are the ids of jobs, requests, workers, minions and versions concerned.
@@ -45,7 +45,7 @@
 // FromAPI reads an event from the wire.
 func FromAPI(wire *apiv1.Event) Event {
 	return Event{
-		Stamp:      hlc.Stamp{Wall: wire.GetWallMs(), Logical: wire.GetLogical()},
+		Stamp:      hlc.Timestamp{Wall: wire.GetWallMs(), Logical: wire.GetLogical()},
 		Instance:   wire.GetInstance(),
 		DataCentre: wire.GetDataCentre(),
 		Kind:       wire.GetKind(),
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -15,7 +15,7 @@
 )
 
 func at(wall int64, logical uint32, instance, kind string, subjects ...string) Event {
-	return Event{Stamp: hlc.Stamp{Wall: wall, Logical: logical}, Instance: instance, Kind: kind, Subjects: subjects}
+	return Event{Stamp: hlc.Timestamp{Wall: wall, Logical: logical}, Instance: instance, Kind: kind, Subjects: subjects}
 }
 
 func TestRing(t *testing.T) {
--- a/internal/event/recorder.go
+++ b/internal/event/recorder.go
@@ -19,7 +19,7 @@
 
 // Clock gives stamps; hlc.Clock does.
 type Clock interface {
-	Now(wall time.Time) hlc.Stamp
+	Now(wall time.Time) hlc.Timestamp
 }
 
 // Config describes the process whose events are recorded.
@@ -70,7 +70,7 @@
 // RecordAt keeps an event that another process of the data centre has stamped:
 // a committed change, which every replica records under its proposer's name and
 // stamp, so that the event outlives the proposer and Merge keeps it once.
-func (r *Recorder) RecordAt(stamp hlc.Stamp, instance, kind, detail string, subjects ...string) {
+func (r *Recorder) RecordAt(stamp hlc.Timestamp, instance, kind, detail string, subjects ...string) {
 	if r == nil {
 		return
 	}
--- a/internal/gateway/answers.go
+++ b/internal/gateway/answers.go
@@ -18,10 +18,10 @@
 	// request for a later one that is sent 250 ms later; this is less by what the way
 	// here may take. It costs little: 0 to 2 answers were withheld in each of seven plays
 	// of three days with trouble, of 62 s with 9 edges.
-	overtaking = 100 * time.Millisecond
-	// maxSpans bounds the versions that are remembered; a request lasts 10 s at most, in
+	reorderTolerance = 100 * time.Millisecond
+	// maxVersionSpans bounds the versions that are remembered; a request lasts 10 s at most, in
 	// which few are committed.
-	maxSpans = 8
+	maxVersionSpans = 8
 )
 
 // answers knows by which versions of the configuration this instance has answered
@@ -36,58 +36,58 @@
 // comes second, whichever it is; its caller asks again and gets one by the newest
 // version. Out-of-date leaders are covered as well: an answer by an older version
 // than an earlier request's is withheld.
-type answers struct {
+type versionOrder struct {
 	logger log.Logger
 
 	mu sync.Mutex
 	// last is the version of the last answer.
-	last uint64
+	lastVersion uint64
 	// spans are in the order of their versions.
-	spans []span
+	spans []versionSpan
 }
 
 // span is when the requests began that were answered by a version: the first one
 // and the last one of them.
-type span struct {
-	version     uint64
-	first, last time.Time
+type versionSpan struct {
+	version                     uint64
+	firstReceived, lastReceived time.Time
 }
 
 // Outcome is what became of a caller's request.
 type Outcome struct {
 	Method string
 	// Begun is when the request came.
-	Begun time.Time
+	ReceivedAt time.Time
 	// Version is that of the configuration by which it was answered, 0 for none, and
 	// From the address of the instance that did.
-	Version uint64
-	From    string
+	Version    uint64
+	AnsweredBy string
 	// Open says that an earlier try may have been carried out.
-	Open bool
+	MaybeExecuted bool
 	// Err is nil for success.
 	Err error
 }
 
-// InOrder returns the error of an outcome. It is another one when the outcome is
+// WithholdOutOfOrder returns the error of an outcome. It is another one when the outcome is
 // withheld because it would be out of order.
-func (g *Gateway) InOrder(o Outcome) error {
-	if o.Version == 0 || !showsVersion(o.Err) {
+func (g *Gateway) WithholdOutOfOrder(o Outcome) error {
+	if o.Version == 0 || !revealsVersion(o.Err) {
 		return o.Err
 	}
-	withheld := g.answers.take(o.Version, o.Begun, o.From)
+	withheld := g.versionOrder.admit(o.Version, o.ReceivedAt, o.AnsweredBy)
 	switch {
 	case withheld == nil:
 		return o.Err
 	case o.Method == control.MethodState:
 		return withheld
 	default:
-		return settled(withheld, o.Open || o.Err == nil)
+		return finalError(withheld, o.MaybeExecuted || o.Err == nil)
 	}
 }
 
-// showsVersion reports whether an outcome tells a caller which version was in force:
+// revealsVersion reports whether an outcome tells a caller which version was in force:
 // whether its queue is there. That nothing was done, or isn't known, tells nothing.
-func showsVersion(err error) bool {
+func revealsVersion(err error) bool {
 	if err == nil {
 		return true
 	}
@@ -102,28 +102,28 @@
 // take reports whether a request that began at begun may be answered by a version,
 // and takes in that it is. It logs when the version isn't that of the last answer;
 // from is the address of the instance that answered.
-func (a *answers) take(version uint64, begun time.Time, from string) error {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if other := a.conflict(version, begun); other != 0 {
+func (o *versionOrder) admit(version uint64, receivedAt time.Time, answeredBy string) error {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if other := o.conflictingVersion(version, receivedAt); other != 0 {
 		return fault.Retry(fault.Unavailable, RetryAfter,
 			"an answer by version %d is withheld after one by %d to another request", version, other)
 	}
-	a.widen(version, begun)
-	if version != a.last {
-		_ = a.logger.Log("event", "answered_by", "version", version, "before", a.last, "from", from,
-			"waited_ms", time.Since(begun).Milliseconds())
+	o.record(version, receivedAt)
+	if version != o.lastVersion {
+		_ = o.logger.Log("event", "answered_by", "version", version, "before", o.lastVersion, "from", answeredBy,
+			"waited_ms", time.Since(receivedAt).Milliseconds())
 	}
-	a.last = version
+	o.lastVersion = version
 	return nil
 }
 
 // conflict returns the version of an answer with which one by version would be in
 // the wrong order, 0 for none. a.mu is held.
-func (a *answers) conflict(version uint64, begun time.Time) uint64 {
-	for _, s := range a.spans {
-		laterByOlder := s.version < version && s.last.Sub(begun) > overtaking
-		earlierByNewer := s.version > version && begun.Sub(s.first) > overtaking
+func (o *versionOrder) conflictingVersion(version uint64, receivedAt time.Time) uint64 {
+	for _, s := range o.spans {
+		laterByOlder := s.version < version && s.lastReceived.Sub(receivedAt) > reorderTolerance
+		earlierByNewer := s.version > version && receivedAt.Sub(s.firstReceived) > reorderTolerance
 		if laterByOlder || earlierByNewer {
 			return s.version
 		}
@@ -132,35 +132,35 @@
 }
 
 // widen takes a request into its version's span. a.mu is held.
-func (a *answers) widen(version uint64, begun time.Time) {
-	at, known := slices.BinarySearchFunc(a.spans, version, func(s span, v uint64) int { return cmp.Compare(s.version, v) })
+func (o *versionOrder) record(version uint64, receivedAt time.Time) {
+	i, known := slices.BinarySearchFunc(o.spans, version, func(s versionSpan, v uint64) int { return cmp.Compare(s.version, v) })
 	if !known {
-		a.spans = slices.Insert(a.spans, at, span{version: version, first: begun, last: begun})
-		a.forget()
+		o.spans = slices.Insert(o.spans, i, versionSpan{version: version, firstReceived: receivedAt, lastReceived: receivedAt})
+		o.dropOldest()
 		return
 	}
-	a.spans[at].add(begun)
+	o.spans[i].extend(receivedAt)
 }
 
 // forget drops the oldest version when there are too many.
-func (a *answers) forget() {
-	if len(a.spans) <= maxSpans {
+func (o *versionOrder) dropOldest() {
+	if len(o.spans) <= maxVersionSpans {
 		return
 	}
 	// Its last request still tells which answers by newer versions would be too late; its
 	// first one tells nothing of the next version.
-	if oldest := a.spans[0]; oldest.last.After(a.spans[1].last) {
-		a.spans[1].last = oldest.last
+	if oldest := o.spans[0]; oldest.lastReceived.After(o.spans[1].lastReceived) {
+		o.spans[1].lastReceived = oldest.lastReceived
 	}
-	a.spans = slices.Delete(a.spans, 0, 1)
+	o.spans = slices.Delete(o.spans, 0, 1)
 }
 
 // add takes in a request that began at begun.
-func (s *span) add(begun time.Time) {
-	if begun.Before(s.first) {
-		s.first = begun
+func (s *versionSpan) extend(receivedAt time.Time) {
+	if receivedAt.Before(s.firstReceived) {
+		s.firstReceived = receivedAt
 	}
-	if begun.After(s.last) {
-		s.last = begun
+	if receivedAt.After(s.lastReceived) {
+		s.lastReceived = receivedAt
 	}
 }
--- a/internal/gateway/answers_test.go
+++ b/internal/gateway/answers_test.go
@@ -18,11 +18,11 @@
 
 // versioned serves questions for a queue with answer, which also says by which
 // version of the configuration.
-func versioned(t *testing.T, answer func(queue string) (version uint64, err error)) string {
+func startStateServer(t *testing.T, answer func(queue string) (version uint64, err error)) string {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodState, func(ctx context.Context, r *control.StateCall) (control.StateReply, error) {
 		version, err := answer(r.Address.Queue)
-		link.NoteVersion(ctx, version)
+		link.RecordVersion(ctx, version)
 		return control.StateReply{Queue: true}, err
 	})
 	server := httptest.NewServer(mux)
@@ -30,32 +30,32 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// askFor asks for a queue as a caller's request that comes now.
-func askFor(ctx context.Context, g *Gateway, queue string) error {
+// callState asks for a queue as a caller's request that comes now.
+func callState(ctx context.Context, g *Gateway, queue string) error {
 	call := &control.StateCall{Address: control.JobAddress{Queue: queue}}
 	_, err := CallForCaller[control.StateReply](ctx, g, time.Now(), control.MethodState, call)
 	return err
 }
 
-func TestALineTellsWhenAnswersChangeTheirVersion(t *testing.T) {
+func TestChangeOfAnsweringVersionIsLogged(t *testing.T) {
 	var lines bytes.Buffer
 	var version uint64 = 62
-	leader := versioned(t, func(string) (uint64, error) { return version, nil })
+	leader := startStateServer(t, func(string) (uint64, error) { return version, nil })
 	g := New(link.NewClient(100), "own", []string{leader}, log.NewLogfmtLogger(&lines))
 	for range 3 {
-		must.NoError(t, askFor(t.Context(), g, "q"))
+		must.NoError(t, callState(t.Context(), g, "q"))
 	}
 	version = 65
-	must.NoError(t, askFor(t.Context(), g, "q"))
+	must.NoError(t, callState(t.Context(), g, "q"))
 	must.Eq(t, 2, strings.Count(lines.String(), "event=answered_by"))
 	must.StrContains(t, lines.String(), "event=answered_by version=62 before=0 from="+leader)
 	must.StrContains(t, lines.String(), "event=answered_by version=65 before=62 from="+leader)
 }
 
-// heldLeader answers for the queue "added" by version 65, once released is closed,
+// startHeldLeader answers for the queue "added" by version 65, once released is closed,
 // and for all others by version 62 at once.
-func heldLeader(t *testing.T, released <-chan struct{}) string {
-	return versioned(t, func(queue string) (uint64, error) {
+func startHeldLeader(t *testing.T, released <-chan struct{}) string {
+	return startStateServer(t, func(queue string) (uint64, error) {
 		if queue != "added" {
 			return 62, nil
 		}
@@ -71,13 +71,13 @@
 // request reaches the next leader and is answered by it.
 // Cause: each answer was by the newest version of its moment, in another order than
 // the requests came in.
-func TestARequestIsNotAnsweredByANewerVersionThanALaterOne(t *testing.T) {
+func TestEarlierRequestIsNotAnsweredByNewerVersion(t *testing.T) {
 	released := make(chan struct{})
-	g := New(link.NewClient(100), "own", []string{heldLeader(t, released)}, log.NewNopLogger())
+	g := New(link.NewClient(100), "own", []string{startHeldLeader(t, released)}, log.NewNopLogger())
 	first := make(chan error, 1)
-	go func() { first <- askFor(t.Context(), g, "added") }()
+	go func() { first <- callState(t.Context(), g, "added") }()
 	time.Sleep(300 * time.Millisecond)
-	must.NoError(t, askFor(t.Context(), g, "dropped"))
+	must.NoError(t, callState(t.Context(), g, "dropped"))
 	close(released)
 	err := <-first
 	must.Error(t, err)
@@ -87,7 +87,7 @@
 
 // The order in which answers of two versions may be given: when the requests began,
 // and whether the second answer may follow the first one.
-func TestAnswersKeepTheOrderOfTheirRequests(t *testing.T) {
+func TestVersionOrderFollowsRequestOrder(t *testing.T) {
 	start := time.Now()
 	for _, c := range []struct {
 		name          string
@@ -97,57 +97,57 @@
 		allowed bool
 	}{
 		{"a newer version for a later request", 62, 65, time.Second, true},
-		{"a newer version for a request that came about then", 62, 65, -overtaking, true},
-		{"a newer version for an earlier request", 62, 65, -overtaking - 1, false},
+		{"a newer version for a request that came about then", 62, 65, -reorderTolerance, true},
+		{"a newer version for an earlier request", 62, 65, -reorderTolerance - 1, false},
 		{"the same version for an earlier request", 62, 62, -time.Second, true},
 		{"an older version for an earlier request", 65, 62, -time.Second, true},
-		{"an older version for a request that came about then", 65, 62, overtaking, true},
-		{"an older version for a later request", 65, 62, overtaking + 1, false},
+		{"an older version for a request that came about then", 65, 62, reorderTolerance, true},
+		{"an older version for a later request", 65, 62, reorderTolerance + 1, false},
 	} {
-		a := answers{logger: log.NewNopLogger()}
-		must.NoError(t, a.take(c.first, start, "leader"))
-		err := a.take(c.second, start.Add(c.later), "leader")
+		order := versionOrder{logger: log.NewNopLogger()}
+		must.NoError(t, order.admit(c.first, start, "leader"))
+		err := order.admit(c.second, start.Add(c.later), "leader")
 		must.Eq(t, c.allowed, err == nil, must.Sprint(c.name))
 	}
 }
 
 // An answer that is withheld wasn't given, so that nothing is compared with it.
-func TestAWithheldAnswerDoesNotCount(t *testing.T) {
+func TestWithheldAnswerIsNotRecorded(t *testing.T) {
 	start := time.Now()
-	a := answers{logger: log.NewNopLogger()}
-	must.NoError(t, a.take(62, start.Add(time.Second), "leader"))
-	must.Error(t, a.take(65, start, "leader"))
-	must.NoError(t, a.take(62, start.Add(2*time.Second), "leader"))
+	order := versionOrder{logger: log.NewNopLogger()}
+	must.NoError(t, order.admit(62, start.Add(time.Second), "leader"))
+	must.Error(t, order.admit(65, start, "leader"))
+	must.NoError(t, order.admit(62, start.Add(2*time.Second), "leader"))
 }
 
-func TestFewVersionsAreRemembered(t *testing.T) {
+func TestRecordedVersionsAreBounded(t *testing.T) {
 	start := time.Now()
-	a := answers{logger: log.NewNopLogger()}
-	for version := range uint64(3 * maxSpans) {
-		must.NoError(t, a.take(version+1, start.Add(time.Duration(version)*time.Second), "leader"))
+	order := versionOrder{logger: log.NewNopLogger()}
+	for version := range uint64(3 * maxVersionSpans) {
+		must.NoError(t, order.admit(version+1, start.Add(time.Duration(version)*time.Second), "leader"))
 	}
-	must.Len(t, maxSpans, a.spans)
-	must.Error(t, a.take(3*maxSpans+1, start, "leader"))
+	must.Len(t, maxVersionSpans, order.spans)
+	must.Error(t, order.admit(3*maxVersionSpans+1, start, "leader"))
 }
 
 // What a user sees: a job that was said not to run runs.
 // Order: the job is accepted; the answer is withheld, because one by an older version
 // has been given to a later request.
 // Cause: a withheld answer says that nothing was done, which doesn't hold for a change.
-func TestAWithheldAnswerToAChangeLeavesItsFateOpen(t *testing.T) {
-	g := New(link.NewClient(100), "own", []string{acceptBy(t, 65)}, log.NewNopLogger())
-	must.NoError(t, g.answers.take(62, time.Now(), "leader"))
+func TestWithheldAnswerToChangeIsUnknown(t *testing.T) {
+	g := New(link.NewClient(100), "own", []string{startSubmitServer(t, 65)}, log.NewNopLogger())
+	must.NoError(t, g.versionOrder.admit(62, time.Now(), "leader"))
 	call := &control.SubmitCall{}
 	_, err := CallForCaller[control.SubmitReply](t.Context(), g, time.Now().Add(-time.Second), control.MethodSubmit, call)
 	must.Error(t, err)
 	must.Eq(t, fault.Unknown, fault.KindOf(err))
 }
 
-// acceptBy takes all jobs by a version of the configuration.
-func acceptBy(t *testing.T, version uint64) string {
+// startSubmitServer takes all jobs by a version of the configuration.
+func startSubmitServer(t *testing.T, version uint64) string {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodSubmit, func(ctx context.Context, _ *control.SubmitCall) (control.SubmitReply, error) {
-		link.NoteVersion(ctx, version)
+		link.RecordVersion(ctx, version)
 		return control.SubmitReply{}, nil
 	})
 	server := httptest.NewServer(mux)
@@ -160,16 +160,16 @@
 // Order: the leader answers a request by version 65; a member that is behind tells of
 // a job that has ended by version 62.
 // Cause: what has ended is told by any member.
-func TestAnEndThatWouldBeOutOfOrderIsAskedOfTheLeader(t *testing.T) {
+func TestOutOfOrderEndedReplyIsIgnored(t *testing.T) {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodEnded, func(ctx context.Context, _ *control.EndedCall) (control.EndedReply, error) {
-		link.NoteVersion(ctx, 62)
+		link.RecordVersion(ctx, 62)
 		return control.EndedReply{Known: true, Phase: 1}, nil
 	})
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
 	g := New(link.NewClient(100), "own", []string{strings.TrimPrefix(server.URL, "http://")}, log.NewNopLogger())
-	must.NoError(t, g.answers.take(65, time.Now().Add(-time.Second), "leader"))
+	must.NoError(t, g.versionOrder.admit(65, time.Now().Add(-time.Second), "leader"))
 	_, known := g.Ended(t.Context(), time.Now(), control.JobAddress{})
 	must.False(t, known)
 }
@@ -177,13 +177,13 @@
 // A caller's answer is withheld though all answers by newer versions went to later
 // requests: nine versions came in a few seconds, and the oldest one's first request
 // counted as the next one's.
-func TestAForgottenVersionDoesNotWidenTheNextOne(t *testing.T) {
+func TestDroppedSpanDoesNotExtendNextSpan(t *testing.T) {
 	start := time.Now()
-	a := answers{logger: log.NewNopLogger()}
-	must.NoError(t, a.take(1, start, "leader"))
-	for i := range maxSpans {
-		must.NoError(t, a.take(uint64(i+3), start.Add(time.Duration(i+2)*time.Second), "leader"))
+	order := versionOrder{logger: log.NewNopLogger()}
+	must.NoError(t, order.admit(1, start, "leader"))
+	for i := range maxVersionSpans {
+		must.NoError(t, order.admit(uint64(i+3), start.Add(time.Duration(i+2)*time.Second), "leader"))
 	}
-	must.NoError(t, a.take(2, start.Add(time.Second), "leader"))
-	must.Error(t, a.take(2, start.Add(3*time.Second), "leader"), must.Sprint("after answers by newer versions"))
+	must.NoError(t, order.admit(2, start.Add(time.Second), "leader"))
+	must.Error(t, order.admit(2, start.Add(3*time.Second), "leader"), must.Sprint("after answers by newer versions"))
 }
--- a/internal/gateway/ask.go
+++ b/internal/gateway/ask.go
@@ -10,38 +10,38 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// askAround asks members who leads while the leader takes long to answer, and
+// probeForNewLeader asks members who leads while the leader takes long to answer, and
 // ends the calls under way there when it is another one by now.
 //
 // Failure guarded against: a leader vanishes without a word, and calls wait for
 // it after the others have elected another one.
-func (g *Gateway) askAround(ctx context.Context, leader string) {
-	if !g.asking.TryLock() {
+func (g *Gateway) probeForNewLeader(ctx context.Context, leader string) {
+	if !g.probing.TryLock() {
 		return
 	}
-	defer g.asking.Unlock()
+	defer g.probing.Unlock()
 	for ctx.Err() == nil {
-		for _, address := range g.targets() {
+		for _, address := range g.candidates() {
 			if address == leader {
 				continue
 			}
-			hint := g.askWhoLeads(ctx, address)
+			hint := g.leaderKnownBy(ctx, address)
 			if hint != "" && hint != leader && ctx.Err() == nil {
-				g.Suggest(hint)
+				g.SuggestLeader(hint)
 				return
 			}
-			wait.For(ctx, searchPause)
+			wait.For(ctx, searchInterval)
 		}
-		wait.For(ctx, searchPause)
+		wait.For(ctx, searchInterval)
 	}
 }
 
-// askWhoLeads returns the leader that a member knows, empty for none.
-func (g *Gateway) askWhoLeads(ctx context.Context, address string) string {
+// leaderKnownBy returns the leader that a member knows, empty for none.
+func (g *Gateway) leaderKnownBy(ctx context.Context, address string) string {
 	ctx, cancel := context.WithTimeout(ctx, searchTimeout)
 	defer cancel()
 	var reply control.FollowReply
-	err := g.client.Call(ctx, address, control.MethodFollow, &control.FollowCall{Address: g.own}, &reply)
+	err := g.client.Call(ctx, address, control.MethodFollow, &control.FollowCall{Address: g.ownAddress}, &reply)
 	if err == nil {
 		return address
 	}
@@ -52,26 +52,26 @@
 // answered by.
 func (g *Gateway) Version() uint64 { return g.client.Version() }
 
-// askTimeout bounds a question to an instance that needn't lead; the leader knows too.
-const askTimeout = 150 * time.Millisecond
+// endedTimeout bounds a question to an instance that needn't lead; the leader knows too.
+const endedTimeout = 150 * time.Millisecond
 
 // Ended asks a member other than the leader for a job that may have ended, for a
 // request that a caller made at begun. Without an answer the leader has to be asked.
-func (g *Gateway) Ended(ctx context.Context, begun time.Time, place control.JobAddress) (phase workflow.Phase, known bool) {
-	member := g.other()
+func (g *Gateway) Ended(ctx context.Context, receivedAt time.Time, jobAddress control.JobAddress) (phase workflow.Phase, known bool) {
+	member := g.nextFollower()
 	if member == "" {
 		return 0, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, endedTimeout)
 	defer cancel()
 	var reply control.EndedReply
-	call := &control.EndedCall{Address: place, Version: g.Version()}
+	call := &control.EndedCall{Address: jobAddress, Version: g.Version()}
 	version, err := g.client.CallVersioned(ctx, member, control.MethodEnded, call, &reply)
 	if err != nil {
-		g.avoid(member)
+		g.markUnresponsive(member)
 		return 0, false
 	}
-	if !reply.Known || g.answers.take(version, begun, member) != nil {
+	if !reply.Known || g.versionOrder.admit(version, receivedAt, member) != nil {
 		return 0, false
 	}
 	return reply.Phase, true
@@ -79,26 +79,26 @@
 
 // other returns a member that doesn't lead and has answered lately, another one each
 // time; empty for none.
-func (g *Gateway) other() string {
+func (g *Gateway) nextFollower() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
 	for range g.members {
-		g.turn++
-		member := g.members[g.turn%len(g.members)]
-		if member != g.leader && member != g.own && now.After(g.avoidUntil[member]) {
+		g.nextMember++
+		member := g.members[g.nextMember%len(g.members)]
+		if member != g.leader && member != g.ownAddress && now.After(g.unresponsiveUntil[member]) {
 			return member
 		}
 	}
 	return ""
 }
 
-// avoidFor is how long a member that gave no answer isn't asked, as long as a
+// unresponsiveFor is how long a member that gave no answer isn't asked, as long as a
 // data centre's shortest cut.
-const avoidFor = 2 * time.Second
+const unresponsiveFor = 2 * time.Second
 
-func (g *Gateway) avoid(member string) {
+func (g *Gateway) markUnresponsive(member string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.avoidUntil[member] = time.Now().Add(avoidFor)
+	g.unresponsiveUntil[member] = time.Now().Add(unresponsiveFor)
 }
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -12,111 +12,111 @@
 )
 
 // attempt is one call on its way through the tries that it takes.
-type attempt struct {
+type leaderCall struct {
 	g       *Gateway
 	method  string
 	request any
 	// open says that some try may have been carried out.
-	open bool
+	maybeExecuted bool
 	// version is that of the configuration by which the last try was answered, from is
 	// who answered; 0 and empty for nobody.
-	version uint64
-	from    string
+	version    uint64
+	answeredBy string
 }
 
 // Call makes a call of the leader within the time of ctx. It goes on to other
 // members while no leader answers. The error is of kind Unknown when some try
 // may have been carried out, and otherwise says that none was.
 func Call[Reply any](ctx context.Context, g *Gateway, method string, request any) (Reply, error) {
-	return finish[Reply](ctx, &attempt{g: g, method: method, request: request})
+	return callUntilSettled[Reply](ctx, &leaderCall{g: g, method: method, request: request})
 }
 
 // CallForCaller is Call for a request that a caller made at begun, and whose outcome
 // shows the caller which version of the configuration was in force. One that would be
-// out of order is withheld; see InOrder.
-func CallForCaller[Reply any](ctx context.Context, g *Gateway, begun time.Time, method string, request any) (Reply, error) {
-	a := &attempt{g: g, method: method, request: request}
-	reply, err := finish[Reply](ctx, a)
-	return reply, g.InOrder(Outcome{Method: method, Begun: begun, Version: a.version, From: a.from, Open: a.open, Err: err})
+// out of order is withheld; see WithholdOutOfOrder.
+func CallForCaller[Reply any](ctx context.Context, g *Gateway, receivedAt time.Time, method string, request any) (Reply, error) {
+	c := &leaderCall{g: g, method: method, request: request}
+	reply, err := callUntilSettled[Reply](ctx, c)
+	return reply, g.WithholdOutOfOrder(Outcome{Method: method, ReceivedAt: receivedAt, Version: c.version, AnsweredBy: c.answeredBy, MaybeExecuted: c.maybeExecuted, Err: err})
 }
 
 // finish makes tries until one settles the call.
-func finish[Reply any](ctx context.Context, a *attempt) (Reply, error) {
+func callUntilSettled[Reply any](ctx context.Context, c *leaderCall) (Reply, error) {
 	var reply Reply
-	g := a.g
+	g := c.g
 	for {
-		leader, changed := g.known()
-		var done bool
+		leader, leaderChanged := g.currentLeader()
+		var settled bool
 		var err error
 		if leader != "" {
-			done, err = a.tryLeader(ctx, leader, changed, &reply)
+			settled, err = c.tryLeader(ctx, leader, leaderChanged, &reply)
 		} else {
-			done, err = a.find(ctx, changed, &reply)
+			settled, err = c.searchLeader(ctx, leaderChanged, &reply)
 		}
 		switch {
-		case done:
+		case settled:
 			return reply, err
 		case ctx.Err() != nil:
-			return reply, outOfTime(a.method, a.open)
+			return reply, timeoutError(c.method, c.maybeExecuted)
 		}
 	}
 }
 
 // tryLeader makes a try at the leader, and reports whether that settles the call.
 // A try without an answer ends when another leader is found.
-func (a *attempt) tryLeader(ctx context.Context, leader string, changed <-chan struct{}, reply any) (done bool, err error) {
+func (c *leaderCall) tryLeader(ctx context.Context, leader string, leaderChanged <-chan struct{}, reply any) (settled bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	slow := time.AfterFunc(slowAfter, func() {
-		a.g.askAround(ctx, leader)
-		if wait.Closed(ctx, changed) {
+	probeTimer := time.AfterFunc(probeAfter, func() {
+		c.g.probeForNewLeader(ctx, leader)
+		if wait.Closed(ctx, leaderChanged) {
 			cancel()
 		}
 	})
-	defer slow.Stop()
-	done, err = a.try(ctx, leader, tryTimeout, reply)
-	if !done {
-		a.follow(leader, err)
+	defer probeTimer.Stop()
+	settled, err = c.try(ctx, leader, tryTimeout, reply)
+	if !settled {
+		c.followRefusal(leader, err)
 	}
-	return done, err
+	return settled, err
 }
 
 // follow goes on to the leader that a refusal names, or to a search.
-func (a *attempt) follow(tried string, err error) {
+func (c *leaderCall) followRefusal(tried string, err error) {
 	hint := link.LeaderOf(err)
 	if hint != "" && hint != tried {
-		a.g.Suggest(hint)
+		c.g.SuggestLeader(hint)
 		return
 	}
-	a.g.lost(tried)
+	c.g.leaderLost(tried)
 }
 
 // find goes through the members, if no other call does; else it waits for what
 // that one finds.
-func (a *attempt) find(ctx context.Context, changed <-chan struct{}, reply any) (done bool, err error) {
+func (c *leaderCall) searchLeader(ctx context.Context, leaderChanged <-chan struct{}, reply any) (settled bool, err error) {
 	select {
-	case a.g.search <- struct{}{}:
-	case <-changed:
+	case c.g.searchSlot <- struct{}{}:
+	case <-leaderChanged:
 		return false, nil
 	case <-ctx.Done():
 		return false, nil
 	}
-	defer func() { <-a.g.search }()
-	for _, address := range a.g.targets() {
-		leader, changed := a.g.known()
+	defer func() { <-c.g.searchSlot }()
+	for _, address := range c.g.candidates() {
+		leader, leaderChanged := c.g.currentLeader()
 		if leader != "" || ctx.Err() != nil {
 			return false, nil
 		}
-		done, err := a.tryMember(ctx, address, changed, reply)
-		if done {
+		settled, err := c.tryMember(ctx, address, leaderChanged, reply)
+		if settled {
 			return true, err
 		}
 		if hint := link.LeaderOf(err); hint != "" && hint != address {
-			a.g.Suggest(hint)
+			c.g.SuggestLeader(hint)
 		}
 	}
-	if leader, _ := a.g.known(); leader == "" {
-		wait.For(ctx, searchPause)
+	if leader, _ := c.g.currentLeader(); leader == "" {
+		wait.For(ctx, searchInterval)
 	}
 	return false, nil
 }
@@ -127,52 +127,52 @@
 // Failure guarded against: a member is cut off, another call learns who leads, and
 // this one waits on for each member that is cut off; it is answered after calls that
 // came later.
-func (a *attempt) tryMember(ctx context.Context, address string, changed <-chan struct{}, reply any) (done bool, err error) {
+func (c *leaderCall) tryMember(ctx context.Context, address string, leaderChanged <-chan struct{}, reply any) (settled bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		if !wait.Closed(ctx, changed) {
+		if !wait.Closed(ctx, leaderChanged) {
 			return
 		}
-		if leader, _ := a.g.known(); leader != address {
+		if leader, _ := c.g.currentLeader(); leader != address {
 			cancel()
 		}
 	}()
-	return a.try(ctx, address, searchTimeout, reply)
+	return c.try(ctx, address, searchTimeout, reply)
 }
 
 // try makes one try, and reports whether its outcome settles the call.
-func (a *attempt) try(ctx context.Context, address string, limit time.Duration, reply any) (done bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func (c *leaderCall) try(ctx context.Context, address string, timeout time.Duration, reply any) (settled bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	a.from = address
-	a.version, err = a.g.client.CallVersioned(ctx, address, a.method, a.request, reply)
+	c.answeredBy = address
+	c.version, err = c.g.client.CallVersioned(ctx, address, c.method, c.request, reply)
 	switch {
 	case err == nil:
-		a.g.noteLeader(address)
+		c.g.recordLeader(address)
 		return true, nil
 	case errors.Is(err, link.ErrNotLeader), errors.Is(err, link.ErrUnsent):
 		return false, err
 	case fault.Is(err, fault.Unknown):
-		a.open = true
+		c.maybeExecuted = true
 		return false, err
 	default:
-		return true, settled(err, a.open)
+		return true, finalError(err, c.maybeExecuted)
 	}
 }
 
 // settled is the error of a call that was refused. After a try that may have been
 // carried out, a refusal doesn't say that nothing was done.
-func settled(err error, open bool) error {
+func finalError(err error, maybeExecuted bool) error {
 	kind := fault.KindOf(err)
-	if open && (kind == fault.Unavailable || kind == fault.Overloaded) {
+	if maybeExecuted && (kind == fault.Unavailable || kind == fault.Overloaded) {
 		return fault.New(fault.Unknown, "an earlier try may have been carried out: %v", err)
 	}
 	return err
 }
 
-func outOfTime(method string, open bool) error {
-	if open {
+func timeoutError(method string, maybeExecuted bool) error {
+	if maybeExecuted {
 		return fault.New(fault.Unknown, "%s: no answer from the leader", method)
 	}
 	return fault.Retry(fault.Unavailable, RetryAfter, "%s: no leader is reached", method)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -24,21 +24,21 @@
 	// searchTimeout bounds a try while the leader is searched for: a member that
 	// doesn't lead says so within some milliseconds.
 	searchTimeout = 250 * time.Millisecond
-	// searchPause lies between two rounds through the members: a quarter of the shortest
+	// searchInterval lies between two rounds through the members: a quarter of the shortest
 	// election.
-	searchPause = 60 * time.Millisecond
-	// slowAfter is how long a call waits before members are asked whether another
+	searchInterval = 60 * time.Millisecond
+	// probeAfter is how long a call waits before members are asked whether another
 	// one leads: several commits, and less than the shortest election.
-	slowAfter = 200 * time.Millisecond
-	// followPause is the time between two announcements to the leader, unless it names
+	probeAfter = 200 * time.Millisecond
+	// announceInterval is the time between two announcements to the leader, unless it names
 	// another one.
-	followPause = 300 * time.Millisecond
-	// followTimeout bounds one of them.
-	followTimeout = 500 * time.Millisecond
-	// inTouchFor is how long after the leader's last answer this instance takes
+	announceInterval = 300 * time.Millisecond
+	// announceTimeout bounds one of them.
+	announceTimeout = 500 * time.Millisecond
+	// contactTimeout is how long after the leader's last answer this instance takes
 	// itself for connected: three announcements. The balancer needs two misses of
 	// a check a second besides.
-	inTouchFor = 1200 * time.Millisecond
+	contactTimeout = 1200 * time.Millisecond
 	// RetryAfter is when a caller is told to come back that was refused because no
 	// leader could be reached: an election later.
 	RetryAfter = time.Second
@@ -51,37 +51,37 @@
 // 60 ms, becomes a hundred; all members are kept from electing anybody, for good. So
 // one call at a time searches, and the others wait for what it finds.
 type Gateway struct {
-	client *link.Client
-	own    string
-	logger log.Logger
+	client     *link.Client
+	ownAddress string
+	logger     log.Logger
 	// search has room for one: whoever fills it may go through the members.
-	search chan struct{}
+	searchSlot chan struct{}
 	// asking is held by the one call that asks members who leads.
-	asking  sync.Mutex
-	answers answers
+	probing      sync.Mutex
+	versionOrder versionOrder
 
 	mu      sync.Mutex
 	seeds   []string
 	members []string
 	leader  string
 	// changed is closed when leader changes.
-	changed chan struct{}
-	heard   time.Time
-	touch   bool
+	leaderChanged chan struct{}
+	lastAnswer    time.Time
+	inContact     bool
 	// turn picks the member that is asked for jobs that have ended; those in
-	// avoidUntil gave no answer lately.
-	turn       int
-	avoidUntil map[string]time.Time
+	// unresponsiveUntil gave no answer lately.
+	nextMember        int
+	unresponsiveUntil map[string]time.Time
 }
 
 // New returns a gateway for the instance at address own that knows the core's
 // seeds.
-func New(client *link.Client, own string, seeds []string, logger log.Logger) *Gateway {
+func New(client *link.Client, ownAddress string, seeds []string, logger log.Logger) *Gateway {
 	return &Gateway{
-		client: client, own: own, seeds: seeds, members: seeds, logger: logger,
-		search: make(chan struct{}, 1), changed: make(chan struct{}),
-		answers:    answers{logger: logger},
-		avoidUntil: map[string]time.Time{},
+		client: client, ownAddress: ownAddress, seeds: seeds, members: seeds, logger: logger,
+		searchSlot: make(chan struct{}, 1), leaderChanged: make(chan struct{}),
+		versionOrder:      versionOrder{logger: logger},
+		unresponsiveUntil: map[string]time.Time{},
 	}
 }
 
@@ -92,32 +92,32 @@
 	g.seeds = seeds
 }
 
-// InTouch reports whether the leader has answered lately.
-func (g *Gateway) InTouch() bool {
+// InContact reports whether the leader has answered lately.
+func (g *Gateway) InContact() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return time.Since(g.heard) < inTouchFor
+	return time.Since(g.lastAnswer) < contactTimeout
 }
 
 // targets lists where the leader may be, the likeliest first.
-func (g *Gateway) targets() []string {
+func (g *Gateway) candidates() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var list []string
+	var candidates []string
 	for _, address := range slices.Concat(g.members, g.seeds) {
-		if address != "" && !slices.Contains(list, address) {
-			list = append(list, address)
+		if address != "" && !slices.Contains(candidates, address) {
+			candidates = append(candidates, address)
 		}
 	}
-	return list
+	return candidates
 }
 
 // known returns the leader, empty while it is searched for, and a channel that is
 // closed when that changes.
-func (g *Gateway) known() (leader string, changed <-chan struct{}) {
+func (g *Gateway) currentLeader() (leader string, leaderChanged <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.leader, g.changed
+	return g.leader, g.leaderChanged
 }
 
 // setLeader takes an instance for the leader. g.mu is held.
@@ -126,28 +126,28 @@
 		return
 	}
 	g.leader = address
-	close(g.changed)
-	g.changed = make(chan struct{})
+	close(g.leaderChanged)
+	g.leaderChanged = make(chan struct{})
 }
 
 // Suggest takes in that a member of the log knows the leader.
-func (g *Gateway) Suggest(leader string) {
+func (g *Gateway) SuggestLeader(leader string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.setLeader(leader)
 }
 
-// noteLeader remembers which instance answered as the leader.
-func (g *Gateway) noteLeader(address string) {
+// recordLeader remembers which instance answered as the leader.
+func (g *Gateway) recordLeader(address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.heard = time.Now()
+	g.lastAnswer = time.Now()
 	g.setLeader(address)
 }
 
 // lost forgets a leader that gave no useful answer, and lets searches begin with
 // another member.
-func (g *Gateway) lost(address string) {
+func (g *Gateway) leaderLost(address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.leader == address {
@@ -160,40 +160,40 @@
 
 // Follow announces this instance to the leader until ctx ends, and so learns
 // who leads and who the members are.
-func (g *Gateway) Follow(ctx context.Context) error {
+func (g *Gateway) AnnounceToLeader(ctx context.Context) error {
 	for {
-		pause := g.followOnce(ctx)
-		g.logTouch()
+		pause := g.announceOnce(ctx)
+		g.logContact()
 		if !wait.For(ctx, pause) {
 			return nil
 		}
 	}
 }
 
-// followOnce announces this instance once, and returns when to do so again.
-func (g *Gateway) followOnce(ctx context.Context) time.Duration {
-	ctx, cancel := context.WithTimeout(ctx, followTimeout)
+// announceOnce announces this instance once, and returns when to do so again.
+func (g *Gateway) announceOnce(ctx context.Context) time.Duration {
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	reply, err := Call[control.FollowReply](ctx, g, control.MethodFollow, &control.FollowCall{Address: g.own})
+	reply, err := Call[control.FollowReply](ctx, g, control.MethodFollow, &control.FollowCall{Address: g.ownAddress})
 	if err != nil {
-		return followPause
+		return announceInterval
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(reply.Members) > 0 {
 		g.members = reply.Members
 	}
-	return cmp.Or(reply.Pause, followPause)
+	return cmp.Or(reply.Pause, announceInterval)
 }
 
-// logTouch logs when the leader is lost or found again.
-func (g *Gateway) logTouch() {
-	touch := g.InTouch()
+// logContact logs when the leader is lost or found again.
+func (g *Gateway) logContact() {
+	inContact := g.InContact()
 	g.mu.Lock()
-	changed, leader := touch != g.touch, g.leader
-	g.touch = touch
+	changed, leader := inContact != g.inContact, g.leader
+	g.inContact = inContact
 	g.mu.Unlock()
 	if changed {
-		_ = g.logger.Log("event", "leader_contact", "in_touch", touch, "leader", leader)
+		_ = g.logger.Log("event", "leader_contact", "in_touch", inContact, "leader", leader)
 	}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -18,7 +18,7 @@
 )
 
 // member serves cancels with answer.
-func member(t *testing.T, answer func() error) string {
+func startCancelServer(t *testing.T, answer func() error) string {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodCancel, func(context.Context, *control.CancelCall) (control.Empty, error) {
 		return control.Empty{}, answer()
@@ -28,9 +28,9 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func cancelAt(t *testing.T, limit time.Duration, members ...string) error {
+func callCancel(t *testing.T, timeout time.Duration, members ...string) error {
 	g := New(link.NewClient(100), "own", members, log.NewNopLogger())
-	ctx, cancel := context.WithTimeout(t.Context(), limit)
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
 	_, err := Call[control.Empty](ctx, g, control.MethodCancel, &control.CancelCall{})
 	return err
@@ -39,19 +39,19 @@
 const unreachable = "127.0.0.1:1"
 
 func TestCallsFollowTheLeader(t *testing.T) {
-	leader := member(t, func() error { return nil })
-	follower := member(t, func() error { return link.NotLeader(leader) })
-	must.NoError(t, cancelAt(t, time.Second, follower))
-	must.NoError(t, cancelAt(t, time.Second, unreachable, leader))
+	leader := startCancelServer(t, func() error { return nil })
+	follower := startCancelServer(t, func() error { return link.NotLeader(leader) })
+	must.NoError(t, callCancel(t, time.Second, follower))
+	must.NoError(t, callCancel(t, time.Second, unreachable, leader))
 }
 
-func TestARefusalOfTheLeaderIsPassedOn(t *testing.T) {
-	leader := member(t, func() error { return fault.New(fault.NotFound, "no queue") })
-	must.Eq(t, fault.NotFound, fault.KindOf(cancelAt(t, time.Second, leader)))
+func TestLeaderRefusalIsReturned(t *testing.T) {
+	leader := startCancelServer(t, func() error { return fault.New(fault.NotFound, "no queue") })
+	must.Eq(t, fault.NotFound, fault.KindOf(callCancel(t, time.Second, leader)))
 }
 
-func TestWithoutALeaderNothingWasDone(t *testing.T) {
-	err := cancelAt(t, 100*time.Millisecond, unreachable)
+func TestCallWithoutLeaderIsUnavailable(t *testing.T) {
+	err := callCancel(t, 100*time.Millisecond, unreachable)
 	must.Eq(t, fault.Unavailable, fault.KindOf(err))
 	must.Eq(t, RetryAfter, fault.From(err).RetryAfter)
 }
@@ -60,32 +60,32 @@
 // Order: a leader commits a job and is lost before it answers; the next instance
 // refuses for now.
 // Cause: the refusal of the second try was passed on for both.
-func TestARefusalAfterAnOpenTryLeavesTheFateOpen(t *testing.T) {
+func TestRefusalAfterUnknownTryIsUnknown(t *testing.T) {
 	tries := 0
-	lost := member(t, func() error {
+	lost := startCancelServer(t, func() error {
 		tries++
 		return fault.New(fault.Unknown, "the leadership was lost")
 	})
-	refusing := member(t, func() error { return fault.New(fault.Overloaded, "full") })
-	err := cancelAt(t, time.Second, lost, refusing)
+	refusing := startCancelServer(t, func() error { return fault.New(fault.Overloaded, "full") })
+	err := callCancel(t, time.Second, lost, refusing)
 	must.Eq(t, fault.Unknown, fault.KindOf(err))
 	must.Eq(t, 1, tries)
 }
 
-func TestInTouchWhileTheLeaderAnswers(t *testing.T) {
+func TestInContactWhileLeaderAnswers(t *testing.T) {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodFollow, func(context.Context, *control.FollowCall) (control.FollowReply, error) {
 		return control.FollowReply{Members: []string{"m"}}, nil
 	})
 	server := httptest.NewServer(mux)
 	g := New(link.NewClient(100), "own", []string{strings.TrimPrefix(server.URL, "http://")}, log.NewNopLogger())
-	must.False(t, g.InTouch())
-	g.followOnce(t.Context())
-	must.True(t, g.InTouch())
+	must.False(t, g.InContact())
+	g.announceOnce(t.Context())
+	must.True(t, g.InContact())
 	server.Close()
-	g.followOnce(t.Context())
-	time.Sleep(inTouchFor)
-	must.False(t, g.InTouch())
+	g.announceOnce(t.Context())
+	time.Sleep(contactTimeout)
+	must.False(t, g.InContact())
 }
 
 // What a user sees: with hundreds of workers the whole system stops serving and
@@ -94,10 +94,10 @@
 // each waiting call goes through all members every 60 ms; the members, busy with
 // that, are late with the log's heartbeats, and the next leader is refused sooner.
 // Cause: every call searched for the leader by itself.
-func TestCallsWithoutALeaderSearchOneAtATime(t *testing.T) {
+func TestOneCallAtATimeSearchesLeader(t *testing.T) {
 	var tries atomic.Int64
 	var leads atomic.Bool
-	address := member(t, func() error {
+	address := startCancelServer(t, func() error {
 		tries.Add(1)
 		if leads.Load() {
 			return nil
@@ -116,7 +116,7 @@
 		})
 	}
 	const searches = 5
-	time.Sleep(searches * searchPause)
+	time.Sleep(searches * searchInterval)
 	must.LessEq(t, searches+1, tries.Load())
 	leads.Store(true)
 	must.NoError(t, group.Wait())
@@ -126,11 +126,11 @@
 // Order: the leader vanishes without a word; the others elect another one at once;
 // the call waits for the vanished one until its own time is over.
 // Cause: only the end of a try made anybody ask who leads.
-func TestATryAtAVanishedLeaderEndsWhenAnotherOneIsFound(t *testing.T) {
-	silent := make(chan struct{})
-	defer close(silent)
-	vanished := member(t, func() error { <-silent; return nil })
-	leader := member(t, func() error { return nil })
+func TestTryAtUnresponsiveLeaderEndsWhenAnotherIsFound(t *testing.T) {
+	release := make(chan struct{})
+	defer close(release)
+	unresponsive := startCancelServer(t, func() error { <-release; return nil })
+	leader := startCancelServer(t, func() error { return nil })
 	follower := func() string {
 		mux := link.NewMux()
 		link.Handle(mux, control.MethodFollow, func(context.Context, *control.FollowCall) (control.FollowReply, error) {
@@ -140,14 +140,14 @@
 		t.Cleanup(server.Close)
 		return strings.TrimPrefix(server.URL, "http://")
 	}()
-	g := New(link.NewClient(100), "own", []string{vanished, follower}, log.NewNopLogger())
-	g.Suggest(vanished)
+	g := New(link.NewClient(100), "own", []string{unresponsive, follower}, log.NewNopLogger())
+	g.SuggestLeader(unresponsive)
 	ctx, cancel := context.WithTimeout(t.Context(), tryTimeout)
 	defer cancel()
 	_, err := Call[control.Empty](ctx, g, control.MethodCancel, &control.CancelCall{})
 	must.NoError(t, err)
-	known, _ := g.known()
-	must.Eq(t, leader, known)
+	current, _ := g.currentLeader()
+	must.Eq(t, leader, current)
 }
 
 // What a user sees: a request that came while a leader was lost is answered late, by
@@ -155,15 +155,15 @@
 // Order: no leader is known; the request searches and waits at a member that is cut
 // off; another call learns who leads; the request waits on.
 // Cause: a try of the search ended by its own time limit only.
-func TestASearchEndsWhenAnotherCallFindsTheLeader(t *testing.T) {
-	silent := make(chan struct{})
-	defer close(silent)
-	cutOff := member(t, func() error { <-silent; return nil })
-	leader := member(t, func() error { return nil })
-	g := New(link.NewClient(100), "own", []string{cutOff}, log.NewNopLogger())
+func TestSearchEndsWhenAnotherCallFindsLeader(t *testing.T) {
+	release := make(chan struct{})
+	defer close(release)
+	unresponsive := startCancelServer(t, func() error { <-release; return nil })
+	leader := startCancelServer(t, func() error { return nil })
+	g := New(link.NewClient(100), "own", []string{unresponsive}, log.NewNopLogger())
 	ctx, cancel := context.WithTimeout(t.Context(), searchTimeout-time.Millisecond)
 	defer cancel()
-	found := time.AfterFunc(searchTimeout/5, func() { g.Suggest(leader) })
+	found := time.AfterFunc(searchTimeout/5, func() { g.SuggestLeader(leader) })
 	defer found.Stop()
 	_, err := Call[control.Empty](ctx, g, control.MethodCancel, &control.CancelCall{})
 	must.NoError(t, err)
--- a/internal/instance/edge.go
+++ b/internal/instance/edge.go
@@ -23,9 +23,9 @@
 
 // EdgeAdapters translate between a deployment's own protocol and the product.
 type EdgeAdapters struct {
-	Outside func(OutsideAddresses) Outside
+	NewDeploymentClient func(DeploymentAddresses) DeploymentClient
 	// Entry returns the handler of the callers' address.
-	Entry func(operations *Operations, logger log.Logger) http.Handler
+	NewEntryHandler func(operations *Operations, logger log.Logger) http.Handler
 	// ReadinessPath is what the balancer asks for.
 	ReadinessPath string
 }
@@ -41,22 +41,22 @@
 	if err != nil {
 		return err
 	}
-	n := p.openNode(adapters.Outside, budget)
+	n := p.newComponents(adapters.NewDeploymentClient, budget)
 	var stopping atomic.Bool
-	entry := newServer(s.Entry, adapters.Entry(n.operations, p.logger))
-	descriptors.BoundServer(entry, "entry", budget.FromOutside, false, p.metrics)
+	entry := newServer(s.Entry, adapters.NewEntryHandler(n.operations, p.logger))
+	descriptors.LimitServer(entry, "entry", budget.FromExternal, false, p.metrics)
 	readiness := newServer(s.Readiness, readinessHandler(adapters.ReadinessPath, func() bool {
-		return !stopping.Load() && n.gateway.InTouch()
+		return !stopping.Load() && n.gateway.InContact()
 	}))
-	descriptors.BoundServer(readiness, "readiness", sideConnections, false, p.metrics)
+	descriptors.LimitServer(readiness, "readiness", maxAuxiliaryConnections, false, p.metrics)
 
-	working, stopWork := context.WithCancel(context.WithoutCancel(ctx))
+	workCtx, stopWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWork()
-	group, groupCtx := errgroup.WithContext(working)
-	p.serveNode(groupCtx, group, n)
+	group, groupCtx := errgroup.WithContext(workCtx)
+	p.serveComponents(groupCtx, group, n)
 	serve(group, entry)
 	serve(group, readiness)
-	group.Go(func() error { return n.gateway.Follow(groupCtx) })
+	group.Go(func() error { return n.gateway.AnnounceToLeader(groupCtx) })
 	group.Go(func() error {
 		awaitStop(ctx, groupCtx)
 		stopping.Store(true)
@@ -73,12 +73,12 @@
 
 // stopEdge answers the requests in progress.
 func (p *process) stopEdge(entry *http.Server) {
-	left := p.settings.Bounds.Shutdown.Std() - unreadyGrace - exitReserve
-	limit, cancel := context.WithTimeout(context.Background(), left)
+	timeout := p.settings.Bounds.Shutdown.Std() - unreadyGrace - exitReserve
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	// Shutdown fails when the time is over; what is open then is cut off, as the
 	// end of the process would do.
-	_ = entry.Shutdown(limit)
+	_ = entry.Shutdown(shutdownCtx)
 }
 
 func readinessHandler(path string, ready func() bool) http.Handler {
--- a/internal/instance/operations.go
+++ b/internal/instance/operations.go
@@ -18,16 +18,16 @@
 // through the gateway elsewhere.
 type Operations struct {
 	gateway *gateway.Gateway
-	own     atomic.Pointer[control.Controller]
+	local   atomic.Pointer[control.Controller]
 }
 
 // lead lets calls go to this instance's own controller.
-func (o *Operations) lead(c *control.Controller) { o.own.Store(c) }
+func (o *Operations) setLocal(c *control.Controller) { o.local.Store(c) }
 
 // call tries the own controller first; it refuses at once where it doesn't lead.
 func call[Request, Reply any](ctx context.Context, o *Operations, method string, request *Request,
-	own func(*control.Controller, context.Context, *Request) (Reply, error)) (Reply, error) {
-	if reply, err := tryOwn(ctx, o, request, own); !errors.Is(err, link.ErrNotLeader) {
+	callLocal func(*control.Controller, context.Context, *Request) (Reply, error)) (Reply, error) {
+	if reply, err := tryLocal(ctx, o, request, callLocal); !errors.Is(err, link.ErrNotLeader) {
 		return reply, err
 	}
 	return gateway.Call[Reply](ctx, o.gateway, method, request)
@@ -35,66 +35,66 @@
 
 // callForCaller is call for a request that a caller made at begun, and whose outcome
 // shows the caller which version of the configuration was in force.
-func callForCaller[Request, Reply any](ctx context.Context, o *Operations, begun time.Time, method string, request *Request,
-	own func(*control.Controller, context.Context, *Request) (Reply, error)) (Reply, error) {
-	noting, note := link.WithVersionNote(ctx)
-	if reply, err := tryOwn(noting, o, request, own); !errors.Is(err, link.ErrNotLeader) {
-		return reply, o.inOrder(begun, method, note.Version(), err)
+func callForCaller[Request, Reply any](ctx context.Context, o *Operations, receivedAt time.Time, method string, request *Request,
+	callLocal func(*control.Controller, context.Context, *Request) (Reply, error)) (Reply, error) {
+	noteCtx, note := link.WithVersionRecorder(ctx)
+	if reply, err := tryLocal(noteCtx, o, request, callLocal); !errors.Is(err, link.ErrNotLeader) {
+		return reply, o.checkOrder(receivedAt, method, note.Version(), err)
 	}
-	return gateway.CallForCaller[Reply](ctx, o.gateway, begun, method, request)
+	return gateway.CallForCaller[Reply](ctx, o.gateway, receivedAt, method, request)
 }
 
-// inOrder is the error of an outcome that this instance has made itself.
-func (o *Operations) inOrder(begun time.Time, method string, version uint64, err error) error {
-	return o.gateway.InOrder(gateway.Outcome{Method: method, Begun: begun, Version: version, From: fromSelf, Err: err})
+// checkOrder is the error of an outcome that this instance has made itself.
+func (o *Operations) checkOrder(receivedAt time.Time, method string, version uint64, err error) error {
+	return o.gateway.WithholdOutOfOrder(gateway.Outcome{Method: method, ReceivedAt: receivedAt, Version: version, AnsweredBy: fromSelf, Err: err})
 }
 
 // fromSelf stands in lines for the address of the instance that answered.
 const fromSelf = "self"
 
-// tryOwn makes a call of the own controller. The error is marked ErrNotLeader where
+// tryLocal makes a call of the own controller. The error is marked ErrNotLeader where
 // another instance has to be asked.
-func tryOwn[Request, Reply any](ctx context.Context, o *Operations, request *Request,
-	own func(*control.Controller, context.Context, *Request) (Reply, error)) (Reply, error) {
-	c := o.own.Load()
+func tryLocal[Request, Reply any](ctx context.Context, o *Operations, request *Request,
+	callLocal func(*control.Controller, context.Context, *Request) (Reply, error)) (Reply, error) {
+	c := o.local.Load()
 	if c == nil {
-		var none Reply
-		return none, link.ErrNotLeader
+		var zero Reply
+		return zero, link.ErrNotLeader
 	}
-	reply, err := own(c, ctx, request)
+	reply, err := callLocal(c, ctx, request)
 	if leader := link.LeaderOf(err); leader != "" {
-		o.gateway.Suggest(leader)
+		o.gateway.SuggestLeader(leader)
 	}
 	return reply, err
 }
 
 // Submit hands a job in. Without contact to the leader it refuses at once.
 func (o *Operations) Submit(ctx context.Context, r *control.SubmitCall) (control.SubmitReply, error) {
-	begun := time.Now()
-	if !o.gateway.InTouch() {
+	receivedAt := time.Now()
+	if !o.gateway.InContact() {
 		return control.SubmitReply{}, fault.Retry(fault.Unavailable, gateway.RetryAfter, "no leader is reached")
 	}
-	return callForCaller(ctx, o, begun, control.MethodSubmit, r, (*control.Controller).Submit)
+	return callForCaller(ctx, o, receivedAt, control.MethodSubmit, r, (*control.Controller).Submit)
 }
 
 // State asks for a job or a queue: first for one that has ended, which any instance
 // of the core can tell, then the leader.
 func (o *Operations) State(ctx context.Context, r *control.StateCall) (control.StateReply, error) {
-	begun := time.Now()
-	if phase, known := o.ended(ctx, begun, r.Address); known {
+	receivedAt := time.Now()
+	if phase, known := o.endedPhase(ctx, receivedAt, r.Address); known {
 		return control.StateReply{Phase: phase}, nil
 	}
-	return callForCaller(ctx, o, begun, control.MethodState, r, (*control.Controller).State)
+	return callForCaller(ctx, o, receivedAt, control.MethodState, r, (*control.Controller).State)
 }
 
-func (o *Operations) ended(ctx context.Context, begun time.Time, place control.JobAddress) (workflow.Phase, bool) {
-	c := o.own.Load()
+func (o *Operations) endedPhase(ctx context.Context, receivedAt time.Time, address control.JobAddress) (workflow.Phase, bool) {
+	c := o.local.Load()
 	if c == nil {
-		return o.gateway.Ended(ctx, begun, place)
+		return o.gateway.Ended(ctx, receivedAt, address)
 	}
-	noting, note := link.WithVersionNote(ctx)
-	reply, err := c.Ended(noting, &control.EndedCall{Address: place, Version: o.gateway.Version()})
-	known := err == nil && reply.Known && o.inOrder(begun, control.MethodState, note.Version(), nil) == nil
+	noteCtx, note := link.WithVersionRecorder(ctx)
+	reply, err := c.Ended(noteCtx, &control.EndedCall{Address: address, Version: o.gateway.Version()})
+	known := err == nil && reply.Known && o.checkOrder(receivedAt, control.MethodState, note.Version(), nil) == nil
 	return reply.Phase, known
 }
 
@@ -106,7 +106,7 @@
 
 // Announce passes a worker's heartbeat on, unless it says nothing new.
 func (o *Operations) Announce(ctx context.Context, r *control.Announcement) (control.AnnouncementReply, error) {
-	if c := o.own.Load(); c != nil {
+	if c := o.local.Load(); c != nil {
 		if reply, ok := c.AnnounceKnown(r); ok {
 			return reply, nil
 		}
--- a/internal/instance/operations_test.go
+++ b/internal/instance/operations_test.go
@@ -25,7 +25,7 @@
 func (followerLog) Changed() <-chan struct{}                     { return make(chan struct{}) }
 
 // follower is a controller whose state has come as far as the commands.
-func follower(t *testing.T, commands ...workflow.Command) *control.Controller {
+func newFollower(t *testing.T, commands ...workflow.Command) *control.Controller {
 	machine := control.NewStateMachine()
 	for i := range commands {
 		data, err := commands[i].Encode()
@@ -36,11 +36,11 @@
 	return control.New(cfg, machine, followerLog{})
 }
 
-// leaderBy answers all questions for jobs by a version of the configuration.
-func leaderBy(t *testing.T, version uint64) string {
+// startLeader answers all questions for jobs by a version of the configuration.
+func startLeader(t *testing.T, version uint64) string {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodState, func(ctx context.Context, _ *control.StateCall) (control.StateReply, error) {
-		link.NoteVersion(ctx, version)
+		link.RecordVersion(ctx, version)
 		return control.StateReply{Phase: workflow.PhaseActive}, nil
 	})
 	server := httptest.NewServer(mux)
@@ -58,17 +58,17 @@
 // and answers by the leader's newer configuration; then it tells by its own, older
 // one of a job that has ended.
 // Cause: its own state was asked without regard to what it had answered by.
-func TestACoreInstanceThatIsBehindDoesNotAnswerByItsOwnState(t *testing.T) {
+func TestLaggingFollowerDoesNotAnswerFromOlderConfiguration(t *testing.T) {
 	job := workflow.Submission{ID: "job", Queue: queueAt62.Queues[0].Identity(), Steps: []workflow.Step{{Count: 1}}}
-	own := follower(t, workflow.Command{Configuration: &queueAt62}, workflow.Command{Submit: &job}, workflow.Command{Cancel: "job"})
-	o := &Operations{gateway: gateway.New(link.NewClient(100), "own", []string{leaderBy(t, 65)}, log.NewNopLogger())}
-	o.lead(own)
-	ask := func(id string) workflow.Phase {
+	local := newFollower(t, workflow.Command{Configuration: &queueAt62}, workflow.Command{Submit: &job}, workflow.Command{Cancel: "job"})
+	o := &Operations{gateway: gateway.New(link.NewClient(100), "own", []string{startLeader(t, 65)}, log.NewNopLogger())}
+	o.setLocal(local)
+	phaseOf := func(id string) workflow.Phase {
 		reply, err := o.State(t.Context(), &control.StateCall{Address: control.JobAddress{Queue: "q", ID: id}})
 		must.NoError(t, err)
 		return reply.Phase
 	}
-	must.Eq(t, workflow.PhaseCancelled, ask("job"))
-	must.Eq(t, workflow.PhaseActive, ask("other"))
-	must.Eq(t, workflow.PhaseActive, ask("job"))
+	must.Eq(t, workflow.PhaseCancelled, phaseOf("job"))
+	must.Eq(t, workflow.PhaseActive, phaseOf("other"))
+	must.Eq(t, workflow.PhaseActive, phaseOf("job"))
 }
--- a/internal/instance/process.go
+++ b/internal/instance/process.go
@@ -28,18 +28,18 @@
 const (
 	headerTimeout = 3 * time.Second
 	idleTimeout   = 60 * time.Second
-	// reloadPause is how often the settings file is looked at; it may change
+	// reloadInterval is how often the settings file is looked at; it may change
 	// without a signal.
-	reloadPause = time.Second
-	// memoryShare is the part of the machine's memory, in percent, from which on the
+	reloadInterval = time.Second
+	// memoryLimitPercent is the part of the machine's memory, in percent, from which on the
 	// collector works harder; stacks and what the system counts come on top.
-	memoryShare = 57
-	// collectPercent collects less often than the default: memory is cheaper here
+	memoryLimitPercent = 57
+	// gcPercent collects less often than the default: memory is cheaper here
 	// than processor time.
-	collectPercent = 300
-	// sideConnections bounds those of metrics, readiness and the product's own
+	gcPercent = 300
+	// maxAuxiliaryConnections bounds those of metrics, readiness and the product's own
 	// interface each; they come out of the descriptors that are kept for files.
-	sideConnections = 32
+	maxAuxiliaryConnections = 32
 )
 
 // Exit codes of the daemons.
@@ -70,7 +70,7 @@
 	if len(os.Args) > 1 {
 		path = os.Args[1]
 	}
-	debug.SetGCPercent(collectPercent)
+	debug.SetGCPercent(gcPercent)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	err := d.Run(ctx, path, os.Stdout)
@@ -95,7 +95,7 @@
 		return errors.Mark(err, errSettings)
 	}
 	if settings.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(settings.MemoryMB) << 20 * memoryShare / 100)
+		debug.SetMemoryLimit(int64(settings.MemoryMB) << 20 * memoryLimitPercent / 100)
 	}
 	sink := oplog.NewSink(out)
 	defer sink.Close()
@@ -136,7 +136,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", p.metrics)
 	server := newServer(p.settings.MetricsAddress, mux)
-	descriptors.BoundServer(server, "metrics", sideConnections, false, p.metrics)
+	descriptors.LimitServer(server, "metrics", maxAuxiliaryConnections, false, p.metrics)
 	if p.settings.MetricsAddress != "" {
 		serve(group, server)
 	}
@@ -144,9 +144,9 @@
 }
 
 // serveAPI serves the product's own interface, where the settings name an address.
-func (p *process) serveAPI(group *errgroup.Group, n *node) {
+func (p *process) serveAPI(group *errgroup.Group, n *components) {
 	n.api = newInternalServer(p.settings.API, nil)
-	descriptors.BoundServer(n.api, "api", sideConnections, false, p.metrics)
+	descriptors.LimitServer(n.api, "api", maxAuxiliaryConnections, false, p.metrics)
 	if p.settings.API == "" {
 		return
 	}
@@ -160,40 +160,40 @@
 }
 
 // node is what both daemons are made of.
-type node struct {
+type components struct {
 	// own is where other instances reach this one.
-	own        string
-	client     *link.Client
-	mux        *link.Mux
-	outside    Outside
-	gateway    *gateway.Gateway
-	operations *Operations
-	internal   *http.Server
-	metrics    *http.Server
-	api        *http.Server
+	internalAddress string
+	client          *link.Client
+	mux             *link.Mux
+	deployment      DeploymentClient
+	gateway         *gateway.Gateway
+	operations      *Operations
+	internal        *http.Server
+	metrics         *http.Server
+	api             *http.Server
 }
 
-// openNode makes what both daemons are made of. Every instance puts questions to
+// newComponents makes what both daemons are made of. Every instance puts questions to
 // the adviser for the leader.
-func (p *process) openNode(outside func(OutsideAddresses) Outside, budget descriptors.Budget) *node {
+func (p *process) newComponents(newDeploymentClient func(DeploymentAddresses) DeploymentClient, budget descriptors.Budget) *components {
 	s := p.settings
-	addresses := OutsideAddresses{Adviser: s.Adviser, Machines: s.MachineList, Connections: budget.ToOutside}
-	n := &node{
-		own: s.internal(s.Address), client: link.NewClient(budget.ToInstances), mux: link.NewMux(),
-		outside: outside(addresses),
+	addresses := DeploymentAddresses{Adviser: s.Adviser, Machines: s.MachineList, MaxConnections: budget.ToExternal}
+	n := &components{
+		internalAddress: s.internal(s.Address), client: link.NewClient(budget.ToInstances), mux: link.NewMux(),
+		deployment: newDeploymentClient(addresses),
 	}
 	link.Handle(n.mux, control.MethodAsk, func(ctx context.Context, call *control.AskCall) (control.AskReply, error) {
-		return n.outside.Ask(ctx, *call)
+		return n.deployment.Ask(ctx, *call)
 	})
-	n.gateway = gateway.New(n.client, n.own, s.seedAddresses(), p.logger)
+	n.gateway = gateway.New(n.client, n.internalAddress, s.seedAddresses(), p.logger)
 	n.operations = &Operations{gateway: n.gateway}
-	n.internal = newInternalServer(n.own, n.mux)
-	descriptors.BoundServer(n.internal, "internal", budget.FromInstances, true, p.metrics)
+	n.internal = newInternalServer(n.internalAddress, n.mux)
+	descriptors.LimitServer(n.internal, "internal", budget.FromInstances, true, p.metrics)
 	return n
 }
 
-// serveNode serves other instances and the metrics, and follows the settings.
-func (p *process) serveNode(ctx context.Context, group *errgroup.Group, n *node) {
+// serveComponents serves other instances and the metrics, and follows the settings.
+func (p *process) serveComponents(ctx context.Context, group *errgroup.Group, n *components) {
 	serve(group, n.internal)
 	n.metrics = p.serveMetrics(group)
 	p.serveAPI(group, n)
@@ -202,18 +202,18 @@
 	})
 }
 
-// close ends what serveNode serves.
-func (n *node) close() {
+// close ends what serveComponents serves.
+func (n *components) close() {
 	_ = n.internal.Close()
 	_ = n.metrics.Close()
 	_ = n.api.Close()
 }
 
 // awaitStop returns when the process is told to stop or a part of it has failed.
-func awaitStop(ctx, working context.Context) {
+func awaitStop(ctx, workCtx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-working.Done():
+	case <-workCtx.Done():
 	}
 }
 
@@ -227,7 +227,7 @@
 	if err != nil {
 		_ = p.logger.Log("event", "reload", "outcome", "unreadable", "err", err)
 	}
-	ticker := time.NewTicker(reloadPause)
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/instance/settings.go
+++ b/internal/instance/settings.go
@@ -58,34 +58,34 @@
 	WorkerOrders string `toml:"worker_orders"`
 	// MachineList is where the deployment's list of machines is; empty for none.
 	MachineList string `toml:"machine_list"`
-	// InstancesLost is how many core instances may be lost at the same time.
-	InstancesLost int    `toml:"instances_lost"`
-	Bounds        Bounds `toml:"bounds"`
+	// ToleratedFailures is how many core instances may be lost at the same time.
+	ToleratedFailures int    `toml:"instances_lost"`
+	Bounds            Bounds `toml:"bounds"`
 	// Without switches mechanisms of deciding off, to measure what each is worth.
-	Without dispatch.Disabled `toml:"without"`
+	DisabledMechanisms dispatch.Disabled `toml:"without"`
 }
 
 // Bounds are the deployment's times.
 type Bounds struct {
 	// MaxLease is the longest lease that a worker grants.
-	LeaseMax settings.Duration `toml:"lease_max"`
+	MaxLease settings.Duration `toml:"lease_max"`
 	// Shown is how long an ended job is shown at least.
-	Shown settings.Duration `toml:"shown"`
+	EndedJobRetention settings.Duration `toml:"shown"`
 	// MachineHandoverDelay is how long orders of two instances for one machine lie apart.
-	HolderPause settings.Duration `toml:"holder_pause"`
+	MachineHandoverDelay settings.Duration `toml:"holder_pause"`
 	// Maintenance is how long a machine is down for its maintenance.
-	Maintenance settings.Duration `toml:"maintenance"`
+	MaintenanceDuration settings.Duration `toml:"maintenance"`
 	// Shutdown is how long a process that is told to stop may go on.
 	Shutdown settings.Duration `toml:"shutdown"`
 }
 
 // defaultBounds hold where the settings name nothing.
 var defaultBounds = Bounds{
-	LeaseMax:    settings.Duration(6 * time.Second),
-	Shown:       settings.Duration(120 * time.Second),
-	Shutdown:    settings.Duration(6 * time.Second),
-	HolderPause: settings.Duration(3 * time.Second),
-	Maintenance: settings.Duration(2 * time.Second),
+	MaxLease:             settings.Duration(6 * time.Second),
+	EndedJobRetention:    settings.Duration(120 * time.Second),
+	Shutdown:             settings.Duration(6 * time.Second),
+	MachineHandoverDelay: settings.Duration(3 * time.Second),
+	MaintenanceDuration:  settings.Duration(2 * time.Second),
 }
 
 // Load reads and checks a settings file.
@@ -123,8 +123,8 @@
 	if s.MaxFiles < 0 {
 		return fault.Field("max_files", "%d is negative", s.MaxFiles)
 	}
-	if s.InstancesLost < 0 {
-		return fault.Field("instances_lost", "%d is negative", s.InstancesLost)
+	if s.ToleratedFailures < 0 {
+		return fault.Field("instances_lost", "%d is negative", s.ToleratedFailures)
 	}
 	if s.WorkerOrders != "" && s.WorkerOrders != ordersPush && s.WorkerOrders != ordersHeartbeat {
 		return fault.Field("worker_orders", "%q is neither %q nor %q", s.WorkerOrders, ordersPush, ordersHeartbeat)
@@ -189,4 +189,4 @@
 }
 
 // votersFor is how many members must vote so that losing some leaves a majority.
-func votersFor(lost int) int { return 2*max(lost, 1) + 1 }
+func votersFor(failures int) int { return 2*max(failures, 1) + 1 }
--- a/internal/instance/settings_test.go
+++ b/internal/instance/settings_test.go
@@ -28,13 +28,13 @@
 func TestSettingsAreRead(t *testing.T) {
 	s, err := Parse(goodSettings)
 	must.NoError(t, err)
-	must.Eq(t, 10*time.Second, s.Bounds.LeaseMax.Std())
-	must.Eq(t, defaultBounds.Shown, s.Bounds.Shown)
+	must.Eq(t, 10*time.Second, s.Bounds.MaxLease.Std())
+	must.Eq(t, defaultBounds.EndedJobRetention, s.Bounds.EndedJobRetention)
 	must.Eq(t, []string{"10.1.0.16", "10.2.0.32"}, s.seedHosts())
 	must.Eq(t, []string{"10.1.0.16:7720", "10.2.0.32:7720"}, s.seedAddresses())
 }
 
-func TestWrongSettingsNameTheField(t *testing.T) {
+func TestInvalidSettingsErrorNamesTheField(t *testing.T) {
 	for _, c := range []struct{ old, replacement, field string }{
 		{`instance = "core-1"`, ``, "instance"},
 		{`address = "10.1.0.16"`, `address = "core"`, "address"},
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestVotersBearTheLosses(t *testing.T) {
+func TestVotersKeepMajorityAfterToleratedFailures(t *testing.T) {
 	must.Eq(t, 3, votersFor(0))
 	must.Eq(t, 3, votersFor(1))
 	must.Eq(t, 5, votersFor(2))
@@ -63,7 +63,7 @@
 
 // The template that the deploy file names has every setting, so that what the
 // platform says isn't lost by a name that nobody reads.
-func TestTheTemplateHasEverySetting(t *testing.T) {
+func TestTemplateHasEverySetting(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/settings.toml.tmpl")
 	must.NoError(t, err)
 	for _, name := range []string{
--- a/internal/jobtrace/lines.go
+++ b/internal/jobtrace/lines.go
@@ -141,7 +141,7 @@
 			detail = append(detail, f.Key+"="+f.Value)
 		}
 		events = append(events, event.Event{
-			Stamp:    hlc.Stamp{Wall: l.Time.UnixMilli(), Logical: uint32(l.Time.Nanosecond() % int(time.Millisecond))},
+			Stamp:    hlc.Timestamp{Wall: l.Time.UnixMilli(), Logical: uint32(l.Time.Nanosecond() % int(time.Millisecond))},
 			Instance: l.Instance, Kind: l.Event, Subjects: l.subjects(), Detail: strings.Join(detail, " "),
 		})
 	}
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -27,11 +27,11 @@
 	dialTimeout = 500 * time.Millisecond
 	// maxBody bounds a request or reply: a configuration of some thousand routes.
 	maxBody = 8 << 20
-	// idlePerHost keeps as many connections as calls usually run side by side.
-	idlePerHost = 16
-	idleTimeout = 30 * time.Second
-	pathPrefix  = "/link/"
-	contentType = "application/cbor"
+	// maxIdlePerHost keeps as many connections as calls usually run side by side.
+	maxIdlePerHost = 16
+	idleTimeout    = 30 * time.Second
+	pathPrefix     = "/link/"
+	contentType    = "application/cbor"
 )
 
 // ErrUnsent marks the error of a call that can't have reached the other side.
@@ -52,10 +52,10 @@
 // client was made by.
 func (c *Client) Version() uint64 { return c.version.Load() }
 
-func (c *Client) noteVersion(version uint64) {
+func (c *Client) raiseVersion(version uint64) {
 	for {
-		known := c.version.Load()
-		if version <= known || c.version.CompareAndSwap(known, version) {
+		current := c.version.Load()
+		if version <= current || c.version.CompareAndSwap(current, version) {
 			return
 		}
 	}
@@ -63,11 +63,11 @@
 
 // NewClient returns a client that has limit connections at most.
 func NewClient(limit int) *Client {
-	connections := descriptors.NewOutbound(limit, dialTimeout)
+	connections := descriptors.NewOutboundLimiter(limit, dialTimeout)
 	return &Client{http: &http.Client{Transport: &http.Transport{
 		DialContext:         connections.DialContext,
-		MaxIdleConns:        connections.Idle(),
-		MaxIdleConnsPerHost: idlePerHost,
+		MaxIdleConns:        connections.MaxIdle(),
+		MaxIdleConnsPerHost: maxIdlePerHost,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}}}
@@ -100,7 +100,7 @@
 	if err != nil {
 		return 0, err
 	}
-	c.noteVersion(e.Version)
+	c.raiseVersion(e.Version)
 	if e.Failed {
 		return e.Version, e.err()
 	}
@@ -184,7 +184,7 @@
 func NewMux() *Mux { return &Mux{http: http.NewServeMux()} }
 
 // SetVersion has each answer name a version of the configuration: the one that was
-// noted while the call was served, see NoteVersion, or else what version returned
+// noted while the call was served, see RecordVersion, or else what version returned
 // before, which is never too high.
 func (m *Mux) SetVersion(version func() uint64) { m.version.Store(&version) }
 
@@ -205,38 +205,38 @@
 func Handle[Request, Reply any](m *Mux, method string, serve func(context.Context, *Request) (Reply, error)) {
 	m.http.HandleFunc("POST "+pathPrefix+method, func(w http.ResponseWriter, r *http.Request) {
 		version := m.currentVersion()
-		ctx, note := WithVersionNote(r.Context())
-		e := serveOne(ctx, r, serve)
-		e.Version = cmp.Or(note.Version(), version)
-		answer(w, e)
+		ctx, recorder := WithVersionRecorder(r.Context())
+		e := serveRequest(ctx, r, serve)
+		e.Version = cmp.Or(recorder.Version(), version)
+		writeReply(w, e)
 	})
 }
 
-func serveOne[Request, Reply any](ctx context.Context, r *http.Request, serve func(context.Context, *Request) (Reply, error)) envelope {
+func serveRequest[Request, Reply any](ctx context.Context, r *http.Request, serve func(context.Context, *Request) (Reply, error)) envelope {
 	data, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
 	if err != nil {
-		return failure(fault.Field("body", "%v", err))
+		return errorEnvelope(fault.Field("body", "%v", err))
 	}
 	request := new(Request)
 	if err := cbor.Unmarshal(data, request); err != nil {
-		return failure(fault.Field("body", "%v", err))
+		return errorEnvelope(fault.Field("body", "%v", err))
 	}
 	reply, err := serve(ctx, request)
 	if err != nil {
-		return failure(err)
+		return errorEnvelope(err)
 	}
 	value, err := cbor.Marshal(reply)
 	if err != nil {
-		return failure(fault.New(fault.Internal, "encode the answer: %v", err))
+		return errorEnvelope(fault.New(fault.Internal, "encode the answer: %v", err))
 	}
 	return envelope{Value: value}
 }
 
-func failure(err error) envelope {
+func errorEnvelope(err error) envelope {
 	e := envelope{Failed: true, Kind: fault.Internal, Message: err.Error()}
-	var known *fault.Error
-	if errors.As(err, &known) {
-		e.Kind, e.Message, e.RetryAfter = known.Kind, known.Message, known.RetryAfter
+	var f *fault.Error
+	if errors.As(err, &f) {
+		e.Kind, e.Message, e.RetryAfter = f.Kind, f.Message, f.RetryAfter
 	}
 	if errors.Is(err, ErrNotLeader) {
 		e.NotLeader, e.Leader = true, LeaderOf(err)
@@ -244,7 +244,7 @@
 	return e
 }
 
-func answer(w http.ResponseWriter, e envelope) {
+func writeReply(w http.ResponseWriter, e envelope) {
 	w.Header().Set("Content-Type", contentType)
 	data, err := cbor.Marshal(&e)
 	if err != nil {
--- a/internal/link/version_test.go
+++ b/internal/link/version_test.go
@@ -21,10 +21,10 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestAnswersAndRefusalsNameTheVersionThatWasNoted(t *testing.T) {
+func TestRepliesNameRecordedVersion(t *testing.T) {
 	for _, outcome := range []error{nil, fault.New(fault.NotFound, "no queue")} {
 		address := serveVersions(t, func(ctx context.Context) error {
-			NoteVersion(ctx, 65)
+			RecordVersion(ctx, 65)
 			return outcome
 		})
 		client := NewClient(100)
@@ -35,13 +35,13 @@
 	}
 }
 
-func TestAnAnswerWithoutANoteNamesTheVersionBeforeTheCall(t *testing.T) {
+func TestReplyWithoutRecordedVersionNamesVersionBeforeCall(t *testing.T) {
 	address := serveVersions(t, func(context.Context) error { return nil })
 	version, err := NewClient(100).CallVersioned(t.Context(), address, "m", &struct{}{}, &struct{}{})
 	must.NoError(t, err)
 	must.Eq(t, uint64(62), version)
 }
 
-func TestNotingAVersionThatNobodyAsksForDoesNothing(t *testing.T) {
-	NoteVersion(t.Context(), 65)
+func TestRecordVersionWithoutRecorderDoesNothing(t *testing.T) {
+	RecordVersion(t.Context(), 65)
 }
--- a/internal/member/host.go
+++ b/internal/member/host.go
@@ -39,8 +39,8 @@
 	heartbeatTicks = 1
 	// snapshotEntries bounds how many entries a restart applies again.
 	snapshotEntries = 20_000
-	// joinPause is the time between two announcements to the leader.
-	joinPause = 400 * time.Millisecond
+	// announceInterval is the time between two announcements to the leader.
+	announceInterval = 400 * time.Millisecond
 	// joinTimeout bounds one announcement.
 	joinTimeout = 600 * time.Millisecond
 	// transferTimeout bounds the handing over of the leadership at a stop.
@@ -73,7 +73,7 @@
 	transport *peer.Transport
 	mux       *peer.Mux
 	group     *node.Group
-	roster    roster
+	liveness  livenessTracker
 
 	mu       sync.Mutex
 	stopping bool
@@ -83,7 +83,7 @@
 func New(cfg Config, client *link.Client, mux *link.Mux) *Host {
 	config := peer.Config{ID: cfg.ID}
 	h := &Host{cfg: cfg, client: client, transport: peer.New(config), mux: peer.NewMux(config)}
-	h.roster.seen = map[string]time.Time{}
+	h.liveness.lastSeen = map[string]time.Time{}
 	mux.HandleHTTP(apiv1.PeerPathPrefix, apiv1.NewPeerServer(exchangeOnly{h.mux}))
 	link.Handle(mux, "join", h.serveJoin)
 	return h
@@ -132,12 +132,12 @@
 	running.Go(func() error { return h.transport.Run(ctx) })
 	running.Go(func() error { return h.group.Run(ctx) })
 	running.Go(func() error { return h.announce(ctx) })
-	running.Go(func() error { return h.manage(ctx) })
+	running.Go(func() error { return h.manageMembership(ctx) })
 	return running.Wait()
 }
 
-// HandOver moves the leadership to another member, as far as one can take it.
-func (h *Host) HandOver(ctx context.Context) {
+// TransferLeadership moves the leadership to another member, as far as one can take it.
+func (h *Host) TransferLeadership(ctx context.Context) {
 	h.mu.Lock()
 	h.stopping = true
 	group := h.group
@@ -154,7 +154,7 @@
 
 // Leader returns the address of the leader, empty while none is known.
 func (h *Host) Leader() string {
-	group := h.opened()
+	group := h.currentGroup()
 	if group == nil {
 		return ""
 	}
@@ -168,7 +168,7 @@
 // Addresses returns where the members are reached that are known here.
 func (h *Host) Addresses() []string {
 	var list []string
-	if group := h.opened(); group != nil {
+	if group := h.currentGroup(); group != nil {
 		for _, m := range group.Status().Members {
 			list = append(list, m.Address)
 		}
@@ -181,7 +181,7 @@
 	return list
 }
 
-func (h *Host) opened() *node.Group {
+func (h *Host) currentGroup() *node.Group {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.group
@@ -199,7 +199,7 @@
 		}
 		_ = h.cfg.Logger.Log("event", "members_file", "outcome", "unreadable, joining anew")
 	}
-	members := h.firstMembers()
+	members := h.seedMembers()
 	if members == nil {
 		var err error
 		if members, err = h.join(ctx); err != nil {
@@ -209,18 +209,18 @@
 	return members, h.saveMembers(path, members)
 }
 
-// firstMembers are the seeds, on a seed at the very first start.
-func (h *Host) firstMembers() []replica.Member {
+// seedMembers are the seeds, on a seed at the very first start.
+func (h *Host) seedMembers() []replica.Member {
 	if !h.cfg.First {
 		return nil
 	}
 	var members []replica.Member
-	own := false
+	isSeed := false
 	for _, seed := range h.cfg.Seeds {
 		members = append(members, h.member(seed))
-		own = own || seed == h.cfg.ID
+		isSeed = isSeed || seed == h.cfg.ID
 	}
-	if !own {
+	if !isSeed {
 		return nil
 	}
 	return members
--- a/internal/member/join.go
+++ b/internal/member/join.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// silentAfter is how long a member may fail to announce itself before another
+	// unresponsiveAfter is how long a member may fail to announce itself before another
 	// takes its place: five announcements, and well under the 4 s after which a
 	// successor is expected to count.
-	silentAfter = 2 * time.Second
-	// dropAfter is how long a silent learner stays in the membership.
-	dropAfter = 10 * time.Second
-	// managePause is the time between two looks at the membership.
-	managePause = 250 * time.Millisecond
+	unresponsiveAfter = 2 * time.Second
+	// learnerRemovalDelay is how long a silent learner stays in the membership.
+	learnerRemovalDelay = 10 * time.Second
+	// manageInterval is the time between two looks at the membership.
+	manageInterval = 250 * time.Millisecond
 	// changeTimeout bounds one change of the membership.
 	changeTimeout = time.Second
 )
@@ -37,45 +37,45 @@
 }
 
 // roster is when the leader last heard from each instance.
-type roster struct {
-	mu   sync.Mutex
-	seen map[string]time.Time
+type livenessTracker struct {
+	mu       sync.Mutex
+	lastSeen map[string]time.Time
 	// since is when this member began to lead, zero while it doesn't.
-	since time.Time
+	leaderSince time.Time
 }
 
-func (r *roster) note(id string, now time.Time) {
+func (r *livenessTracker) recordSeen(id string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.seen[id] = now
+	r.lastSeen[id] = now
 }
 
 // lead notes whether this member leads.
-func (r *roster) lead(leads bool, now time.Time) {
+func (r *livenessTracker) setLeading(leads bool, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case !leads:
-		r.since = time.Time{}
-	case r.since.IsZero():
-		r.since = now
+		r.leaderSince = time.Time{}
+	case r.leaderSince.IsZero():
+		r.leaderSince = now
 	}
 }
 
 // silence is how long an instance has said nothing to this leader.
-func (r *roster) silence(id string, now time.Time) time.Duration {
+func (r *livenessTracker) timeSinceSeen(id string, now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	last := r.seen[id]
-	if last.Before(r.since) {
-		last = r.since
+	last := r.lastSeen[id]
+	if last.Before(r.leaderSince) {
+		last = r.leaderSince
 	}
 	return now.Sub(last)
 }
 
 // serveJoin adds an instance as a learner that isn't a member.
 func (h *Host) serveJoin(ctx context.Context, r *JoinRequest) (JoinReply, error) {
-	group := h.opened()
+	group := h.currentGroup()
 	if group == nil {
 		return JoinReply{}, link.NotLeader("")
 	}
@@ -83,7 +83,7 @@
 	if !status.CanDecide {
 		return JoinReply{}, link.NotLeader(h.Leader())
 	}
-	h.roster.note(r.ID, time.Now())
+	h.liveness.recordSeen(r.ID, time.Now())
 	known := slices.ContainsFunc(status.Members, func(m replica.Member) bool { return m.ID == r.ID })
 	if known {
 		return JoinReply{Members: status.Members}, nil
@@ -112,7 +112,7 @@
 			}
 		}
 		if i%len(targets) == len(targets)-1 {
-			wait.For(ctx, joinPause)
+			wait.For(ctx, announceInterval)
 		}
 	}
 	return nil, errors.Wrap(ctx.Err(), "stopped before a leader was found")
@@ -128,7 +128,7 @@
 // announce tells the leader that this instance is there, so that it is added
 // again after it was removed while it was cut off.
 func (h *Host) announce(ctx context.Context) error {
-	for wait.For(ctx, joinPause) {
+	for wait.For(ctx, announceInterval) {
 		targets := []string{h.Leader()}
 		if targets[0] == "" {
 			targets = h.Addresses()
@@ -137,7 +137,7 @@
 			continue
 		}
 		for _, address := range targets {
-			// A failure is repeated after joinPause; the leader's view of who is
+			// A failure is repeated after announceInterval; the leader's view of who is
 			// silent is what gets logged.
 			if _, _, err := h.callJoin(ctx, address); err == nil {
 				break
@@ -149,14 +149,14 @@
 
 // manage keeps Voters voters, on the leader: a member that has fallen silent
 // is replaced by a learner that has caught up.
-func (h *Host) manage(ctx context.Context) error {
-	for wait.For(ctx, managePause) {
+func (h *Host) manageMembership(ctx context.Context) error {
+	for wait.For(ctx, manageInterval) {
 		status := h.group.Status()
-		h.roster.lead(status.CanDecide, time.Now())
+		h.liveness.setLeading(status.CanDecide, time.Now())
 		if !status.CanDecide {
 			continue
 		}
-		members, what := h.nextMembership(status, time.Now())
+		members, change := h.nextMembership(status, time.Now())
 		if members == nil {
 			continue
 		}
@@ -166,40 +166,40 @@
 		if err != nil && (errors.Is(err, replica.ErrNotCaughtUp) || errors.Is(err, replica.ErrChangePending)) {
 			continue
 		}
-		_ = h.cfg.Logger.Log("event", "membership", "change", what, "err", err)
+		_ = h.cfg.Logger.Log("event", "membership", "change", change, "err", err)
 	}
 	return nil
 }
 
 // nextMembership returns the next change, one member at a time, or nil.
 func (h *Host) nextMembership(status replica.Status, now time.Time) ([]replica.Member, string) {
-	voters, silentVoter, learner, stale := 0, -1, -1, -1
+	voters, unresponsiveVoter, learner, staleLearner := 0, -1, -1, -1
 	for i, m := range status.Members {
-		silence := h.roster.silence(m.ID, now)
+		sinceSeen := h.liveness.timeSinceSeen(m.ID, now)
 		if m.ID == h.cfg.ID {
-			silence = 0
+			sinceSeen = 0
 		}
 		switch {
 		case !m.Learner:
 			voters++
-			if silence > silentAfter {
-				silentVoter = i
+			if sinceSeen > unresponsiveAfter {
+				unresponsiveVoter = i
 			}
-		case silence > dropAfter:
-			stale = i
-		case silence < silentAfter:
+		case sinceSeen > learnerRemovalDelay:
+			staleLearner = i
+		case sinceSeen < unresponsiveAfter:
 			learner = i
 		}
 	}
 	members := slices.Clone(status.Members)
 	switch {
-	case voters > h.cfg.Voters && silentVoter >= 0:
-		return slices.Delete(members, silentVoter, silentVoter+1), "removed " + status.Members[silentVoter].ID
-	case learner >= 0 && (voters < h.cfg.Voters || silentVoter >= 0):
+	case voters > h.cfg.Voters && unresponsiveVoter >= 0:
+		return slices.Delete(members, unresponsiveVoter, unresponsiveVoter+1), "removed " + status.Members[unresponsiveVoter].ID
+	case learner >= 0 && (voters < h.cfg.Voters || unresponsiveVoter >= 0):
 		members[learner].Learner = false
 		return members, "promoted " + members[learner].ID
-	case stale >= 0:
-		return slices.Delete(members, stale, stale+1), "removed " + status.Members[stale].ID
+	case staleLearner >= 0:
+		return slices.Delete(members, staleLearner, staleLearner+1), "removed " + status.Members[staleLearner].ID
 	}
 	return nil, ""
 }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -18,10 +18,10 @@
 
 func TestNextMembership(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		members []replica.Member
-		silent  map[string]time.Duration
-		want    []replica.Member
+		name      string
+		members   []replica.Member
+		sinceSeen map[string]time.Duration
+		want      []replica.Member
 	}{
 		{"nothing to do", []replica.Member{voter("own"), voter("b"), voter("c"), learner("d")}, nil, nil},
 		{"a learner takes the place of a silent voter", []replica.Member{voter("own"), voter("b"), voter("c"), learner("d")},
@@ -38,9 +38,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Now()
 			h := New(Config{ID: "own", Voters: 3, Logger: log.NewNopLogger()}, link.NewClient(100), link.NewMux())
-			h.roster.lead(true, now.Add(-time.Hour))
+			h.liveness.setLeading(true, now.Add(-time.Hour))
 			for _, m := range c.members {
-				h.roster.note(m.ID, now.Add(-c.silent[m.ID]))
+				h.liveness.recordSeen(m.ID, now.Add(-c.sinceSeen[m.ID]))
 			}
 			before := slices.Clone(c.members)
 			members, _ := h.nextMembership(replica.Status{Members: c.members}, now)
@@ -54,10 +54,10 @@
 // Order: an instance has just become the leader; it hasn't heard from anybody
 // yet.
 // Cause: silence counted from before the tenure.
-func TestSilenceCountsFromTheBeginningOfTheTenure(t *testing.T) {
+func TestNewLeaderDoesNotReplaceVotersItHasNotHeardFrom(t *testing.T) {
 	h := New(Config{ID: "own", Voters: 3, Logger: log.NewNopLogger()}, link.NewClient(100), link.NewMux())
 	now := time.Now()
-	h.roster.lead(true, now)
+	h.liveness.setLeading(true, now)
 	members, _ := h.nextMembership(replica.Status{Members: []replica.Member{voter("own"), voter("b"), voter("c"), learner("d")}}, now)
 	must.Nil(t, members)
 }
@@ -69,7 +69,7 @@
 	must.NoError(t, err)
 	must.Eq(t, "10.0.0.1:7", members[0].Address)
 	again := New(Config{ID: "10.0.0.1", Port: "7", Seeds: []string{"10.0.0.9"}, Folder: folder, Logger: log.NewNopLogger()}, link.NewClient(100), link.NewMux())
-	kept, err := again.initialMembers(t.Context())
+	stored, err := again.initialMembers(t.Context())
 	must.NoError(t, err)
-	must.Eq(t, members, kept)
+	must.Eq(t, members, stored)
 }
--- a/internal/node/apply.go
+++ b/internal/node/apply.go
@@ -8,16 +8,16 @@
 
 // waiter is a proposal on its way to being committed. The term tells it from
 // another leader's entry at the same index.
-type waiter struct {
+type pendingProposal struct {
 	call *call
 	term uint64
 }
 
-// takeCalls hands waiting calls to the core: all commands in one proposal, all
+// processCalls hands waiting calls to the core: all commands in one proposal, all
 // barriers under one token.
-func (g *Group) takeCalls(waiting []*call) {
+func (g *Group) processCalls(pending []*call) {
 	var proposals, barriers []*call
-	for _, c := range waiting {
+	for _, c := range pending {
 		switch c.kind {
 		case callPropose:
 			proposals = append(proposals, c)
@@ -26,9 +26,9 @@
 		case callMembership:
 			g.proposeMembership(c)
 		case callTransfer:
-			c.reply(nil, g.mapped(g.core.Transfer(c.target)))
+			c.reply(nil, g.faultOrNil(g.core.Transfer(c.target)))
 		case callForceStart:
-			c.reply(nil, g.mapped(g.core.ForceStart()))
+			c.reply(nil, g.faultOrNil(g.core.ForceStart()))
 		}
 	}
 	if len(proposals) > 0 {
@@ -39,11 +39,11 @@
 	}
 }
 
-func (g *Group) mapped(err error) error {
+func (g *Group) faultOrNil(err error) error {
 	if err == nil {
 		return nil
 	}
-	return g.refusal(err)
+	return g.coreFault(err)
 }
 
 func (g *Group) propose(proposals []*call) {
@@ -53,11 +53,11 @@
 	}
 	first, term, err := g.core.Propose(commands...)
 	if err != nil {
-		refuse(proposals, g.refusal(err))
+		replyAll(proposals, g.coreFault(err))
 		return
 	}
 	for i, c := range proposals {
-		g.await(first+uint64(i), term, c)
+		g.trackProposal(first+uint64(i), term, c)
 	}
 }
 
@@ -68,34 +68,34 @@
 		// Asked for again after a lost answer.
 		c.reply(nil, nil)
 	case err != nil:
-		c.reply(nil, g.refusal(err))
+		c.reply(nil, g.coreFault(err))
 	default:
-		g.await(index, term, c)
+		g.trackProposal(index, term, c)
 	}
 }
 
 func (g *Group) barrier(barriers []*call) {
-	token := g.reads.nextToken()
+	token := g.barriers.nextToken()
 	if err := g.core.ReadIndex(token); err != nil {
-		refuse(barriers, g.refusal(err))
+		replyAll(barriers, g.coreFault(err))
 		return
 	}
-	g.reads.add(token, g.core.Status().Term, barriers)
+	g.barriers.add(token, g.core.Status().Term, barriers)
 }
 
-func refuse(waiting []*call, err error) {
-	for _, c := range waiting {
+func replyAll(pending []*call, err error) {
+	for _, c := range pending {
 		c.reply(nil, err)
 	}
 }
 
-func (g *Group) await(index, term uint64, c *call) {
-	if old, ok := g.waiters[index]; ok {
+func (g *Group) trackProposal(index, term uint64, c *call) {
+	if old, ok := g.proposals[index]; ok {
 		// This member's log holds the older command no longer, but another
 		// member's may, and it may yet lead.
-		old.call.reply(nil, fateOpen("the leadership was lost"))
+		old.call.reply(nil, outcomeUnknown("the leadership was lost"))
 	}
-	g.waiters[index] = waiter{call: c, term: term}
+	g.proposals[index] = pendingProposal{call: c, term: term}
 }
 
 // apply takes committed entries into the machine and answers who proposed them.
@@ -107,18 +107,18 @@
 			value = g.cfg.Machine.Apply(e.Index, e.Data)
 		}
 		g.applied = e.Index
-		g.snapshots.pending += len(e.Data)
-		g.answer(e, value)
+		g.snapshots.pendingBytes += len(e.Data)
+		g.completeProposal(e, value)
 	}
 	g.counters.commits.Add(uint64(len(entries)))
 }
 
-func (g *Group) answer(e replica.Entry, value any) {
-	w, ok := g.waiters[e.Index]
+func (g *Group) completeProposal(e replica.Entry, value any) {
+	w, ok := g.proposals[e.Index]
 	if !ok {
 		return
 	}
-	delete(g.waiters, e.Index)
+	delete(g.proposals, e.Index)
 	if w.term != e.Term {
 		w.call.reply(nil, unavailable(ErrNotCommitted, "another leader replaced the command"))
 		return
@@ -127,14 +127,14 @@
 }
 
 // install replaces the machine's state by a snapshot from a leader.
-func (g *Group) install(s *replica.Snapshot) error {
+func (g *Group) installSnapshot(s *replica.Snapshot) error {
 	invariant(s.Index > g.applied, "snapshot of entry %d after entry %d was applied", s.Index, g.applied)
 	if err := g.cfg.Machine.Restore(s.Data); err != nil {
 		return errors.Wrapf(err, "restore the snapshot of entry %d", s.Index)
 	}
 	g.applied = s.Index
-	g.snapshots.last = s.Index
-	g.snapshots.size, g.snapshots.pending = len(s.Data), 0
+	g.snapshots.lastIndex = s.Index
+	g.snapshots.lastSize, g.snapshots.pendingBytes = len(s.Data), 0
 	g.counters.restores.Add(1)
 	return nil
 }
@@ -142,22 +142,22 @@
 // settle answers the calls that this member can no longer answer for: those of
 // a term in which it doesn't lead any more. Their entries may be committed by
 // the next leader or dropped by it.
-func (g *Group) settle(s replica.Status) {
-	g.counters.noteRole(s)
+func (g *Group) failSupersededCalls(s replica.Status) {
+	g.counters.recordRole(s)
 	current := func(term uint64) bool { return s.Role == replica.Leader && s.Term == term }
-	g.failWaiters(func(w waiter) bool { return !current(w.term) }, "the leadership was lost")
+	g.failProposals(func(w pendingProposal) bool { return !current(w.term) }, "the leadership was lost")
 	// An error records the stack. Made in every round, though hardly ever used,
 	// it would be a fifteenth of what an idle leader does.
-	if len(g.reads.open) > 0 {
-		g.reads.failUnless(current, unavailable(ErrNotLeader, "not leader; the leadership was lost"))
+	if len(g.barriers.byToken) > 0 {
+		g.barriers.failUnless(current, unavailable(ErrNotLeader, "not leader; the leadership was lost"))
 	}
 }
 
-func (g *Group) failWaiters(match func(waiter) bool, why string) {
-	for index, w := range g.waiters {
+func (g *Group) failProposals(match func(pendingProposal) bool, reason string) {
+	for index, w := range g.proposals {
 		if match(w) {
-			delete(g.waiters, index)
-			w.call.reply(nil, fateOpen(why))
+			delete(g.proposals, index)
+			w.call.reply(nil, outcomeUnknown(reason))
 		}
 	}
 }
--- a/internal/node/bytes_test.go
+++ b/internal/node/bytes_test.go
@@ -12,7 +12,7 @@
 // machine kills it. Every change is a command of several kilobytes, the log
 // keeps thousands of entries before it makes a snapshot, and as many after it,
 // so that a few days' changes are all held at once.
-func TestLongCommandsDontStayInMemory(t *testing.T) {
+func TestLogOfLongCommandsIsCompacted(t *testing.T) {
 	const size, bound, commands = 1 << 10, 16 << 10, 100
 	c := newCluster(t, "a", Config{SnapshotBytes: bound})
 	for i := range commands {
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -17,9 +17,9 @@
 	// ErrNotLeader: this member may not decide; nothing was proposed. Status
 	// names the leader, if one is known.
 	ErrNotLeader = errors.New("not leader")
-	// ErrFateOpen: the command was proposed, and whether it will be committed
+	// ErrOutcomeUnknown: the command was proposed, and whether it will be committed
 	// isn't known here.
-	ErrFateOpen = errors.New("fate open")
+	ErrOutcomeUnknown = errors.New("fate open")
 	// ErrNotCommitted: the command was proposed and will never be committed.
 	ErrNotCommitted = errors.New("not committed")
 	// ErrStopped: this member has stopped; nothing was proposed.
@@ -30,8 +30,8 @@
 	return errors.Mark(fault.New(fault.Unavailable, format, args...), mark)
 }
 
-func fateOpen(why string) error {
-	return unavailable(ErrFateOpen, "%s; the fate of the command is open", why)
+func outcomeUnknown(reason string) error {
+	return unavailable(ErrOutcomeUnknown, "%s; the fate of the command is open", reason)
 }
 
 // outcome is the answer to a call.
@@ -63,58 +63,58 @@
 func (c *call) reply(value any, err error) { c.answer <- outcome{value, err} }
 
 // calls is the queue between callers and Run.
-type calls struct {
+type callQueue struct {
 	mu      sync.Mutex
-	waiting []*call
+	pending []*call
 	stopped bool
 }
 
-func (q *calls) push(c *call) error {
+func (q *callQueue) push(c *call) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	switch {
 	case q.stopped:
 		return unavailable(ErrStopped, "the member has stopped")
-	case len(q.waiting) >= maxWaiting:
-		return fault.New(fault.Overloaded, "%d calls wait for the log already", maxWaiting)
+	case len(q.pending) >= maxPendingCalls:
+		return fault.New(fault.Overloaded, "%d calls wait for the log already", maxPendingCalls)
 	}
-	q.waiting = append(q.waiting, c)
+	q.pending = append(q.pending, c)
 	return nil
 }
 
-func (q *calls) take() []*call {
+func (q *callQueue) take() []*call {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	taken := q.waiting
-	q.waiting = nil
+	taken := q.pending
+	q.pending = nil
 	return taken
 }
 
-func (q *calls) empty() bool {
+func (q *callQueue) empty() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return len(q.waiting) == 0
+	return len(q.pending) == 0
 }
 
 // remove takes a call back; false when Run has it already.
-func (q *calls) remove(c *call) bool {
+func (q *callQueue) remove(c *call) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for i, w := range q.waiting {
+	for i, w := range q.pending {
 		if w == c {
-			q.waiting = append(q.waiting[:i:i], q.waiting[i+1:]...)
+			q.pending = append(q.pending[:i:i], q.pending[i+1:]...)
 			return true
 		}
 	}
 	return false
 }
 
-func (q *calls) stop() []*call {
+func (q *callQueue) stop() []*call {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.stopped = true
-	taken := q.waiting
-	q.waiting = nil
+	taken := q.pending
+	q.pending = nil
 	return taken
 }
 
@@ -136,7 +136,7 @@
 	if g.calls.remove(c) {
 		return nil, unavailable(ctx.Err(), "the call ended before it was proposed: %v", ctx.Err())
 	}
-	return nil, errors.Mark(fateOpen("the call ended before the log answered"), ctx.Err())
+	return nil, errors.Mark(outcomeUnknown("the call ended before the log answered"), ctx.Err())
 }
 
 // Propose waits until the command is committed and applied on this member and
@@ -173,7 +173,7 @@
 // Transfer hands the leadership to another member and waits until one leads.
 // It returns at once on a member that doesn't lead while another does.
 func (g *Group) Transfer(ctx context.Context) error {
-	var failed error
+	var errs error
 	for {
 		changed := g.Changed()
 		s := g.Status()
@@ -181,11 +181,11 @@
 			return nil
 		}
 		if s.Role == replica.Leader {
-			failed = g.transferToAny(ctx, s)
+			errs = g.transferToAny(ctx, s)
 		}
 		select {
 		case <-ctx.Done():
-			return errors.CombineErrors(unavailable(ctx.Err(), "no other member leads yet"), failed)
+			return errors.CombineErrors(unavailable(ctx.Err(), "no other member leads yet"), errs)
 		case <-g.done:
 			return unavailable(ErrStopped, "the member has stopped")
 		case <-changed:
@@ -198,7 +198,7 @@
 
 // transferToAny asks the members in turn until one can take over.
 func (g *Group) transferToAny(ctx context.Context, s replica.Status) error {
-	var failed error
+	var errs error
 	for _, m := range s.Members {
 		if m.ID == g.cfg.ID || m.Learner || m.Witness {
 			continue
@@ -207,13 +207,13 @@
 		if err == nil {
 			return nil
 		}
-		failed = errors.CombineErrors(failed, err)
+		errs = errors.CombineErrors(errs, err)
 	}
-	return failed
+	return errs
 }
 
 // refusal turns an error of the core into a fault. Nothing was proposed.
-func (g *Group) refusal(err error) error {
+func (g *Group) coreFault(err error) error {
 	switch {
 	case errors.Is(err, replica.ErrNotLeader):
 		return unavailable(ErrNotLeader, "not leader; the leader is %q", g.core.Status().Leader)
--- a/internal/node/clock.go
+++ b/internal/node/clock.go
@@ -27,7 +27,7 @@
 // lapses returns when what the last tick told is no longer to be relied on:
 // half an interval after the next tick is due. The core's lease ends at least
 // two ticks before another member may lead.
-func (c *clock) lapses() time.Time {
+func (c *clock) statusExpiry() time.Time {
 	next := c.start.Add(time.Duration(c.ticks+1) * c.interval)
 	return next.Add(c.interval / 2)
 }
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -16,7 +16,7 @@
 )
 
 // patience bounds a wait that is expected to end; it isn't an assertion of speed.
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
 // registers is a machine of named registers. A command sets one and returns
 // the value that it replaced.
@@ -24,7 +24,7 @@
 	mu     sync.Mutex
 	values map[string]string
 	// hold, when set, runs inside Apply.
-	hold func()
+	onApply func()
 }
 
 type setCommand struct{ Key, Value string }
@@ -41,8 +41,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.hold != nil {
-		r.hold()
+	if r.onApply != nil {
+		r.onApply()
 	}
 	old := r.values[c.Key]
 	r.values[c.Key] = c.Value
@@ -72,21 +72,21 @@
 
 // network joins members in one process.
 type network struct {
-	mu    sync.Mutex
-	steps map[string]func(from string, payload []byte) error
-	cut   map[string]bool
+	mu       sync.Mutex
+	steps    map[string]func(from string, payload []byte) error
+	isolated map[string]bool
 }
 
 // port is the Transport of one member.
-type port struct {
+type memberTransport struct {
 	net *network
 	id  string
 }
 
-func (p port) Send(_, to string, payload []byte) {
+func (p memberTransport) Send(_, to string, payload []byte) {
 	p.net.mu.Lock()
 	step := p.net.steps[to]
-	if p.net.cut[p.id] || p.net.cut[to] {
+	if p.net.isolated[p.id] || p.net.isolated[to] {
 		step = nil
 	}
 	p.net.mu.Unlock()
@@ -102,10 +102,10 @@
 }
 
 // isolate cuts a member off from all others, or joins it again.
-func (n *network) isolate(id string, cut bool) {
+func (n *network) isolate(id string, isolated bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[id] = cut
+	n.isolated[id] = isolated
 }
 
 // member is one running member of a cluster.
@@ -113,7 +113,7 @@
 	*Group
 	machine *registers
 	cancel  context.CancelFunc
-	ended   chan error
+	runErr  chan error
 }
 
 // cluster is a group of three.
@@ -131,7 +131,7 @@
 func newCluster(t *testing.T, disks string, config Config) *cluster {
 	c := &cluster{
 		t: t, folder: t.TempDir(), config: config, members: map[string]*member{},
-		net: &network{steps: map[string]func(string, []byte) error{}, cut: map[string]bool{}},
+		net: &network{steps: map[string]func(string, []byte) error{}, isolated: map[string]bool{}},
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		hasDisk := false
@@ -155,7 +155,7 @@
 	cfg.ElectionTicks, cfg.HeartbeatTicks = 12, 3
 	cfg.Incarnation = c.starts
 	machine := &registers{values: map[string]string{}}
-	cfg.Machine, cfg.Transport = machine, port{c.net, id}
+	cfg.Machine, cfg.Transport = machine, memberTransport{c.net, id}
 	for _, m := range cfg.Members {
 		if m.ID == id && m.HasDisk {
 			cfg.Folder = filepath.Join(c.folder, id)
@@ -164,8 +164,8 @@
 	g, err := Open(cfg)
 	must.NoError(c.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	m := &member{Group: g, machine: machine, cancel: cancel, ended: make(chan error, 1)}
-	go func() { m.ended <- g.Run(ctx) }()
+	m := &member{Group: g, machine: machine, cancel: cancel, runErr: make(chan error, 1)}
+	go func() { m.runErr <- g.Run(ctx) }()
 	c.net.register(id, g.Step)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -184,7 +184,7 @@
 	}
 	c.net.register(id, nil)
 	m.cancel()
-	must.NoError(c.t, <-m.ended)
+	must.NoError(c.t, <-m.runErr)
 }
 
 func (c *cluster) stopAll() {
@@ -208,7 +208,7 @@
 // eventually waits until a condition holds.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !condition(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
 		must.True(t, time.Now().Before(end), must.Sprint("never came: "+what))
 	}
 }
--- a/internal/node/inbox.go
+++ b/internal/node/inbox.go
@@ -30,9 +30,9 @@
 func (b *inbox) push(messages []replica.Message) (dropped int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if room := maxInbox - len(b.messages); len(messages) > room {
-		dropped = len(messages) - room
-		messages = messages[:room]
+	if free := maxInboxMessages - len(b.messages); len(messages) > free {
+		dropped = len(messages) - free
+		messages = messages[:free]
 	}
 	b.messages = append(b.messages, messages...)
 	return dropped
--- a/internal/node/linear_test.go
+++ b/internal/node/linear_test.go
@@ -25,8 +25,8 @@
 
 // result is what an access returned; open when its fate isn't known.
 type result struct {
-	old  string
-	open bool
+	old            string
+	outcomeUnknown bool
 }
 
 var registerModel = porcupine.Model{
@@ -49,16 +49,16 @@
 		if in.write {
 			next = in.value
 		}
-		return out.open || out.old == state.(string), next
+		return out.outcomeUnknown || out.old == state.(string), next
 	},
 }
 
 // history records accesses by concurrent clients.
 type history struct {
-	mu         sync.Mutex
-	start      time.Time
-	operations []porcupine.Operation
-	done, open atomic.Int64
+	mu                sync.Mutex
+	start             time.Time
+	operations        []porcupine.Operation
+	recorded, unknown atomic.Int64
 }
 
 func (h *history) access(m *member, client int, in access) {
@@ -77,23 +77,23 @@
 	}
 	end := int64(time.Since(h.start))
 	if err != nil {
-		// An error that isn't ErrFateOpen says that nothing was or will be
+		// An error that isn't ErrOutcomeUnknown says that nothing was or will be
 		// written. It isn't recorded, so a write all the same breaks the model.
-		if !in.write || !errors.Is(err, ErrFateOpen) {
+		if !in.write || !errors.Is(err, ErrOutcomeUnknown) {
 			return
 		}
-		out.open, end = true, math.MaxInt64
-		h.open.Add(1)
+		out.outcomeUnknown, end = true, math.MaxInt64
+		h.unknown.Add(1)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.done.Add(1)
+	h.recorded.Add(1)
 	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: in, Call: call, Output: out, Return: end})
 }
 
 // client makes accesses until enough were recorded by all.
-func (h *history) client(c *cluster, id int, random *rand.Rand, enough int64) {
-	for n := 0; h.done.Load() < enough; n++ {
+func (h *history) client(c *cluster, id int, random *rand.Rand, target int64) {
+	for n := 0; h.recorded.Load() < target; n++ {
 		in := access{key: fmt.Sprint(random.IntN(4)), value: fmt.Sprintf("%d.%d", id, n), write: random.IntN(2) == 0}
 		all := c.running()
 		m := all[random.IntN(len(all))]
@@ -106,14 +106,14 @@
 }
 
 // disturb makes one fault, lets clients go on under it, and heals it.
-func (h *history) disturb(c *cluster, random *rand.Rand, more int64) {
+func (h *history) injectFault(c *cluster, random *rand.Rand, extra int64) {
 	const wait = 500 * time.Millisecond
 	all := c.running()
 	victim := all[random.IntN(len(all))]
 	id := victim.cfg.ID
-	until := h.done.Load() + more
-	goOn := func() {
-		for end := time.Now().Add(wait); h.done.Load() < until && time.Now().Before(end); {
+	until := h.recorded.Load() + extra
+	waitForClients := func() {
+		for end := time.Now().Add(wait); h.recorded.Load() < until && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -124,11 +124,11 @@
 		cancel()
 	case 1:
 		c.net.isolate(id, true)
-		goOn()
+		waitForClients()
 		c.net.isolate(id, false)
 	case 2:
 		c.stop(id)
-		goOn()
+		waitForClients()
 		c.start(id)
 	}
 	eventually(c.t, "nobody recovers", func() bool {
@@ -140,7 +140,7 @@
 		return true
 	})
 	c.leader()
-	goOn()
+	waitForClients()
 }
 
 // Story: several clients read and write while leadership is handed over, the
@@ -153,17 +153,17 @@
 			c := newCluster(t, "a", Config{SnapshotEvery: 50, KeepEntries: 20})
 			c.starts = seed * 1000
 			h := &history{start: time.Now()}
-			const clients, enough = 5, 1500
+			const clients, target = 5, 1500
 			var group sync.WaitGroup
 			for id := range clients {
-				group.Go(func() { h.client(c, id, rand.New(rand.NewPCG(seed, uint64(id))), enough) })
+				group.Go(func() { h.client(c, id, rand.New(rand.NewPCG(seed, uint64(id))), target) })
 			}
 			random := rand.New(rand.NewPCG(seed, clients))
-			for h.done.Load() < enough {
-				h.disturb(c, random, 40)
+			for h.recorded.Load() < target {
+				h.injectFault(c, random, 40)
 			}
 			group.Wait()
-			t.Logf("%d accesses, the fate of %d writes open", len(h.operations), h.open.Load())
+			t.Logf("%d accesses, the fate of %d writes open", len(h.operations), h.unknown.Load())
 			got := porcupine.CheckOperationsTimeout(registerModel, h.operations, time.Minute)
 			must.Eq(t, porcupine.Ok, got)
 		})
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -24,7 +24,7 @@
 // or until its disk fails. It may be called once.
 func (g *Group) Run(ctx context.Context) error {
 	g.clock = newClock(time.Now(), g.cfg.TickInterval)
-	g.running = ctx
+	g.runCtx = ctx
 	ticker := time.NewTicker(g.cfg.TickInterval)
 	defer ticker.Stop()
 	err := g.loop(ctx, ticker.C)
@@ -33,8 +33,8 @@
 
 func (g *Group) loop(ctx context.Context, ticks <-chan time.Time) error {
 	for {
-		err := g.round()
-		if errors.Is(err, wal.ErrNoRoom) && ctx.Err() != nil {
+		err := g.runRound()
+		if errors.Is(err, wal.ErrDiskFull) && ctx.Err() != nil {
 			return nil
 		}
 		if err != nil {
@@ -50,7 +50,7 @@
 		case <-ticks:
 		case <-g.wake:
 		case r := <-g.snapshots.done:
-			if err := g.adoptSnapshot(r); err != nil {
+			if err := g.completeSnapshot(r); err != nil {
 				return err
 			}
 		}
@@ -60,81 +60,81 @@
 // round takes in all that has come and carries out one Ready. Missed ticks go
 // first: a member that was paused must learn how late it is before it takes a
 // message for news or decides anything.
-func (g *Group) round() error {
+func (g *Group) runRound() error {
 	g.tick()
 	for _, m := range g.inbox.take() {
 		if err := g.core.Step(m); err != nil {
 			g.counters.dropped.Add(1)
 		}
 	}
-	if g.mayTakeCalls(time.Now()) {
-		g.takeCalls(g.calls.take())
+	if g.callsDue(time.Now()) {
+		g.processCalls(g.calls.take())
 	}
 	if g.core.HasReady() {
-		if err := g.carryOut(g.core.Ready()); err != nil {
+		if err := g.processReady(g.core.Ready()); err != nil {
 			return err
 		}
 	}
-	g.settle(g.publish())
+	g.failSupersededCalls(g.publish())
 	return g.maybeSnapshot()
 }
 
-// mayTakeCalls reports whether calls that wait are taken in now; if not, it has the
+// callsDue reports whether calls that wait are taken in now; if not, it has the
 // loop come round again when they are.
-func (g *Group) mayTakeCalls(now time.Time) bool {
+func (g *Group) callsDue(now time.Time) bool {
 	if g.calls.empty() {
 		return false
 	}
-	gap := gapPerFollower * time.Duration(len(g.core.Status().Members)-1)
-	if rest := gap - now.Sub(g.tookAt); rest > 0 {
-		time.AfterFunc(rest, g.signal)
+	interval := callIntervalPerFollower * time.Duration(len(g.core.Status().Members)-1)
+	if remaining := interval - now.Sub(g.callsProcessedAt); remaining > 0 {
+		time.AfterFunc(remaining, g.signal)
 		return false
 	}
-	g.tookAt = now
+	g.callsProcessedAt = now
 	return true
 }
 
 func (g *Group) tick() {
 	n := g.clock.due(time.Now())
-	for range min(n, uint64(maxCatchUpTicks*g.cfg.ElectionTicks)) {
+	for range min(n, uint64(maxCatchUpElections*g.cfg.ElectionTicks)) {
 		g.core.Tick()
 	}
 }
 
-// carryOut does the work of a Ready in the order that replica.Ready asks for.
-func (g *Group) carryOut(r replica.Ready) error {
-	early, late := g.split(r)
-	g.send(early)
+// processReady does the work of a Ready in the order that replica.Ready asks for.
+func (g *Group) processReady(r replica.Ready) error {
+	beforeSync, afterSync := g.splitMessages(r)
+	g.send(beforeSync)
 	if err := g.save(r); err != nil {
 		return err
 	}
-	g.send(late)
+	g.send(afterSync)
 	if r.Snapshot != nil {
-		if err := g.install(r.Snapshot); err != nil {
+		if err := g.installSnapshot(r.Snapshot); err != nil {
 			return err
 		}
 	}
 	g.apply(r.Committed)
 	g.core.Advance(r)
-	g.reads.confirm(r.Reads, g.applied)
+	g.barriers.confirm(r.Reads, g.applied)
 	return nil
 }
 
 // split returns the messages that may go before the sync, so that followers
 // write while the leader does, and the others. None goes early when a new term
 // or vote waits for the same sync.
-func (g *Group) split(r replica.Ready) (early, late []replica.Message) {
-	if hs := r.HardState; hs != nil && (hs.Term != g.saved.Term || hs.Vote != g.saved.Vote) {
+func (g *Group) splitMessages(r replica.Ready) (beforeSync, afterSync []replica.Message) {
+	if hs := r.HardState; hs != nil && (hs.Term != g.savedHardState.Term || hs.Vote != g.savedHardState.Vote) {
 		return nil, r.Messages
 	}
 	for _, m := range r.Messages {
 		if m.BeforeSync() {
-			early = append(early, m)
+			beforeSync = append(beforeSync, m)
 		} else {
-			late = append(late, m)
+			afterSync = append(afterSync, m)
 		}
 	}
-	return early, late
+	return beforeSync, afterSync
 }
 
 // save writes what must survive a restart, and syncs it where the core says so.
@@ -143,10 +143,10 @@
 		if err := g.write(r); err != nil {
 			return err
 		}
-		g.noteRoom()
+		g.recordDiskSpace()
 	}
 	if r.HardState != nil {
-		g.saved = *r.HardState
+		g.savedHardState = *r.HardState
 	}
 	return nil
 }
@@ -165,44 +165,44 @@
 // must wait until the snapshot and the entries are durable.
 func (g *Group) saveSnapshot(r replica.Ready) error {
 	if r.HardState != nil {
-		before := *r.HardState
-		before.Recovering = before.Recovering || g.saved.Recovering
-		before.Commit = g.saved.Commit
-		if err := g.wal.Save(&before, nil, true); err != nil {
+		interim := *r.HardState
+		interim.Recovering = interim.Recovering || g.savedHardState.Recovering
+		interim.Commit = g.savedHardState.Commit
+		if err := g.wal.Save(&interim, nil, true); err != nil {
 			return err
 		}
 	}
 	return g.wal.SaveSnapshot(*r.Snapshot)
 }
 
-// fullPause is the time between two tries to write to a full disk.
-const fullPause = 100 * time.Millisecond
+// diskFullRetryInterval is the time between two tries to write to a full disk.
+const diskFullRetryInterval = 100 * time.Millisecond
 
-// awaitRoom waits before the next try to write to a full disk, and reports whether
+// waitForDiskSpace waits before the next try to write to a full disk, and reports whether
 // there is to be one.
 //
 // Failure guarded against: a disk is full for a while. A member that ends is started
 // again and ends again, ten times in 5 s, and what else its process does ends with it.
 // One that waits is mute: it acknowledges nothing, and the right to lead ends by its
 // own clock, as with a disk that stalls.
-func (g *Group) awaitRoom() bool {
-	if g.running == nil {
+func (g *Group) waitForDiskSpace() bool {
+	if g.runCtx == nil {
 		return false
 	}
-	if g.fullSince.IsZero() {
-		g.fullSince = time.Now()
+	if g.diskFullSince.IsZero() {
+		g.diskFullSince = time.Now()
 		_ = g.logger.Log("event", "disk", "outcome", "full")
 	}
-	return wait.For(g.running, fullPause)
+	return wait.For(g.runCtx, diskFullRetryInterval)
 }
 
-// noteRoom takes in that a write to the disk went through.
-func (g *Group) noteRoom() {
-	if g.fullSince.IsZero() {
+// recordDiskSpace takes in that a write to the disk went through.
+func (g *Group) recordDiskSpace() {
+	if g.diskFullSince.IsZero() {
 		return
 	}
-	_ = g.logger.Log("event", "disk", "outcome", "room again", "full_ms", time.Since(g.fullSince).Milliseconds())
-	g.fullSince = time.Time{}
+	_ = g.logger.Log("event", "disk", "outcome", "room again", "full_ms", time.Since(g.diskFullSince).Milliseconds())
+	g.diskFullSince = time.Time{}
 }
 
 // stop ends the member: open calls are answered, the log is synced and closed.
@@ -211,10 +211,10 @@
 	for _, c := range g.calls.stop() {
 		c.reply(nil, unavailable(ErrStopped, "the member has stopped"))
 	}
-	g.failWaiters(func(waiter) bool { return true }, "the member has stopped")
-	g.reads.fail(unavailable(ErrStopped, "the member has stopped"))
+	g.failProposals(func(pendingProposal) bool { return true }, "the member has stopped")
+	g.barriers.failAll(unavailable(ErrStopped, "the member has stopped"))
 	g.snapshots.wait()
-	g.state.set(stoppedStatus(g.core.Status()), time.Time{})
+	g.published.set(stoppedStatus(g.core.Status()), time.Time{})
 	return g.closeLog()
 }
 
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -26,11 +26,11 @@
 )
 
 // loopback is a group of disk members that talk HTTP on 127.0.0.1.
-type loopback struct {
-	nodes []*httpNode
+type httpCluster struct {
+	instances []*httpInstance
 }
 
-type httpNode struct {
+type httpInstance struct {
 	*Group
 	// groups are all that run on this instance, the embedded one first.
 	groups    []*Group
@@ -56,14 +56,14 @@
 func (c *counter) Snapshot() ([]byte, error) { return fmt.Append(nil, c.applied), nil }
 func (c *counter) Restore([]byte) error      { return nil }
 
-// newLoopback starts members; each call takes delay on the way in and out. Of
+// newHTTPCluster starts members; each call takes delay on the way in and out. Of
 // the groups, which are "bench" if none are named, each has a member on every
 // instance.
-func newLoopback(t testing.TB, members int, delay time.Duration, groups ...string) *loopback {
+func newHTTPCluster(t testing.TB, members int, delay time.Duration, groups ...string) *httpCluster {
 	if len(groups) == 0 {
 		groups = []string{"bench"}
 	}
-	l := &loopback{}
+	l := &httpCluster{}
 	var list []replica.Member
 	listeners := make([]*peer.Listener, members)
 	for i := range members {
@@ -74,14 +74,14 @@
 	}
 	folder := t.TempDir()
 	for i, m := range list {
-		n := startNode(t, m, list, filepath.Join(folder, m.ID), listeners[i], delay, groups)
+		n := startInstance(t, m, list, filepath.Join(folder, m.ID), listeners[i], delay, groups)
 		t.Cleanup(n.stop)
-		l.nodes = append(l.nodes, n)
+		l.instances = append(l.instances, n)
 	}
 	return l
 }
 
-func startNode(t testing.TB, self replica.Member, list []replica.Member, folder string, listener *peer.Listener, delay time.Duration, groups []string) *httpNode {
+func startInstance(t testing.TB, self replica.Member, list []replica.Member, folder string, listener *peer.Listener, delay time.Duration, groups []string) *httpInstance {
 	transport := peer.New(peer.Config{ID: self.ID, Bearer: "Bearer test"})
 	for _, m := range list {
 		if m.ID != self.ID {
@@ -117,12 +117,12 @@
 		_ = server.Close()
 		running.Wait()
 	})
-	return &httpNode{Group: opened[0], groups: opened, transport: transport, listener: listener, stop: stop}
+	return &httpInstance{Group: opened[0], groups: opened, transport: transport, listener: listener, stop: stop}
 }
 
-func (l *loopback) leader(t testing.TB) *httpNode {
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		for _, n := range l.nodes {
+func (l *httpCluster) leader(t testing.TB) *httpInstance {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		for _, n := range l.instances {
 			if n.Status().CanDecide {
 				return n
 			}
@@ -135,7 +135,7 @@
 // Story: three members talk over HTTP, the leader's process ends, and another
 // one takes over with all that was committed.
 func TestGroupOverHTTP(t *testing.T) {
-	l := newLoopback(t, 3, 0)
+	l := newHTTPCluster(t, 3, 0)
 	old := l.leader(t)
 	for range 100 {
 		_, err := old.Propose(t.Context(), []byte("command"))
@@ -163,11 +163,11 @@
 		{3, 1, 0, time.Millisecond}, {3, 64, 0, time.Millisecond}, {3, 0, 5000, time.Millisecond},
 	} {
 		b.Run(fmt.Sprintf("members=%d/callers=%d/rate=%d/delay=%v", c.members, c.callers, c.rate, c.delay), func(b *testing.B) {
-			l := newLoopback(b, c.members, c.delay)
-			m := &meter{b: b, leader: l.leader(b), latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+			l := newHTTPCluster(b, c.members, c.delay)
+			m := &loadGenerator{b: b, leader: l.leader(b), latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 			b.ResetTimer()
 			if c.rate > 0 {
-				m.atRate(c.rate)
+				m.openLoop(c.rate)
 			} else {
 				m.closedLoop(c.callers)
 			}
@@ -177,14 +177,14 @@
 }
 
 // meter makes proposals and records how long they take.
-type meter struct {
+type loadGenerator struct {
 	b       *testing.B
-	leader  *httpNode
+	leader  *httpInstance
 	mu      sync.Mutex
 	latency *hdrhistogram.Histogram
 }
 
-func (m *meter) propose(due time.Time) {
+func (m *loadGenerator) propose(due time.Time) {
 	_, err := m.leader.Propose(context.Background(), make([]byte, 60))
 	took := time.Since(due)
 	must.NoError(m.b, err)
@@ -193,7 +193,7 @@
 	_ = m.latency.RecordValue(took.Microseconds())
 }
 
-func (m *meter) closedLoop(callers int) {
+func (m *loadGenerator) closedLoop(callers int) {
 	var left atomic.Int64
 	left.Store(int64(m.b.N))
 	var group sync.WaitGroup
@@ -207,7 +207,7 @@
 	group.Wait()
 }
 
-func (m *meter) atRate(rate int) {
+func (m *loadGenerator) openLoop(rate int) {
 	var group sync.WaitGroup
 	begin := time.Now()
 	for i := range m.b.N {
@@ -218,7 +218,7 @@
 	group.Wait()
 }
 
-func (m *meter) report() {
+func (m *loadGenerator) report() {
 	stats := m.leader.Stats()
 	m.b.ReportMetric(float64(m.b.N)/m.b.Elapsed().Seconds(), "commits/s")
 	m.b.ReportMetric(float64(m.latency.ValueAtQuantile(50))/1000, "p50-ms")
@@ -233,30 +233,30 @@
 func BenchmarkIdle(b *testing.B) {
 	for _, groups := range [][]string{{"cell"}, {"cell", "configuration"}} {
 		b.Run(fmt.Sprintf("groups=%d", len(groups)), func(b *testing.B) {
-			l := newLoopback(b, 3, 0, groups...)
-			l.settle(b, len(groups))
-			before := make([]uint64, len(l.nodes))
-			for i, n := range l.nodes {
-				before[i] = n.bytes()
+			l := newHTTPCluster(b, 3, 0, groups...)
+			l.waitUntilReady(b, len(groups))
+			before := make([]uint64, len(l.instances))
+			for i, n := range l.instances {
+				before[i] = n.socketBytes()
 			}
-			processor := processorTime(b)
+			processor := cpuTime(b)
 			b.ResetTimer()
 			time.Sleep(time.Duration(b.N) * time.Second)
 			seconds := b.Elapsed().Seconds()
-			b.ReportMetric(float64((processorTime(b)-processor).Microseconds())/1000/seconds, "cpu-ms/s")
-			for i, n := range l.nodes {
-				b.ReportMetric(float64(n.bytes()-before[i])/seconds, fmt.Sprintf("leads%d-B/s", n.leads()))
+			b.ReportMetric(float64((cpuTime(b)-processor).Microseconds())/1000/seconds, "cpu-ms/s")
+			for i, n := range l.instances {
+				b.ReportMetric(float64(n.socketBytes()-before[i])/seconds, fmt.Sprintf("leads%d-B/s", n.ledGroups()))
 			}
 		})
 	}
 }
 
 // settle waits until each group has a leader and the connections are opened.
-func (l *loopback) settle(t testing.TB, groups int) {
-	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+func (l *httpCluster) waitUntilReady(t testing.TB, groups int) {
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(5 * time.Millisecond) {
 		led := 0
-		for _, n := range l.nodes {
-			led += n.leads()
+		for _, n := range l.instances {
+			led += n.ledGroups()
 		}
 		if led == groups {
 			break
@@ -266,7 +266,7 @@
 	time.Sleep(2 * time.Second)
 }
 
-func (n *httpNode) leads() int {
+func (n *httpInstance) ledGroups() int {
 	led := 0
 	for _, g := range n.groups {
 		if g.Status().CanDecide {
@@ -276,14 +276,14 @@
 	return led
 }
 
-// processorTime is that of this process so far.
-func processorTime(t testing.TB) time.Duration {
+// cpuTime is that of this process so far.
+func cpuTime(t testing.TB) time.Duration {
 	var used syscall.Rusage
 	must.NoError(t, syscall.Getrusage(syscall.RUSAGE_SELF, &used))
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
 
-func (n *httpNode) bytes() uint64 {
+func (n *httpInstance) socketBytes() uint64 {
 	sent, received := n.listener.Bytes()
 	total := sent + received
 	for _, s := range n.transport.Stats() {
@@ -308,10 +308,10 @@
 	original := os.DirFS(folder)
 	for b.Loop() {
 		b.StopTimer()
-		again := filepath.Join(b.TempDir(), fmt.Sprint(time.Now().UnixNano()))
-		must.NoError(b, os.CopyFS(again, original))
+		copied := filepath.Join(b.TempDir(), fmt.Sprint(time.Now().UnixNano()))
+		must.NoError(b, os.CopyFS(copied, original))
 		b.StartTimer()
-		g, err := Open(Config{Group: "bench", ID: "a", Members: list, Folder: again, Machine: &counter{}, Transport: port{net: &network{}}})
+		g, err := Open(Config{Group: "bench", ID: "a", Members: list, Folder: copied, Machine: &counter{}, Transport: memberTransport{net: &network{}}})
 		must.NoError(b, err)
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -45,7 +45,7 @@
 // Log is a replicated log as its users see it. Group implements it.
 type Log interface {
 	// Propose waits until the command is committed and applied on this member
-	// and returns what Apply returned. See ErrNotLeader and ErrFateOpen.
+	// and returns what Apply returned. See ErrNotLeader and ErrOutcomeUnknown.
 	Propose(ctx context.Context, command []byte) (any, error)
 	// Barrier waits until this member has applied all that was committed
 	// before the call. It fails on a member that doesn't lead.
@@ -65,20 +65,20 @@
 	DefaultSnapshotEvery  = 20_000
 	DefaultSnapshotBytes  = 2 << 20
 
-	// maxAppends bounds the appends under way to a member: 64 last for 25 ms or
+	// maxInflightAppends bounds the appends under way to a member: 64 last for 25 ms or
 	// more when each carries what came up during one sync, so that neither a
 	// slow sync nor a slow way holds new ones back.
-	maxAppends      = 64
-	maxWaiting      = 16_384
-	maxInbox        = 8_192
-	maxCatchUpTicks = 4 // election timeouts
+	maxInflightAppends  = 64
+	maxPendingCalls     = 16_384
+	maxInboxMessages    = 8_192
+	maxCatchUpElections = 4 // election timeouts
 )
 
-// gapPerFollower is how long after it has taken in calls a member waits before it
+// callIntervalPerFollower is how long after it has taken in calls a member waits before it
 // takes in more, for each other member of the group. With two followers that is less
 // than a sync of a slow disk. With more, a leader would spend a large part of a small
 // processor on messages of the log, some thousand a second, unless they come in batches.
-const gapPerFollower = 2 * time.Millisecond
+const callIntervalPerFollower = 2 * time.Millisecond
 
 // Config is the fixed part of a Group.
 type Config struct {
@@ -154,30 +154,30 @@
 	core   *replica.Core
 	wal    *wal.WAL
 	logger log.Logger
-	// running ends when the member is to stop; nil until Run. fullSince is when the
+	// running ends when the member is to stop; nil until Run. diskFullSince is when the
 	// disk was found full, zero while it has room. Both belong to Run.
-	running   context.Context
-	fullSince time.Time
+	runCtx        context.Context
+	diskFullSince time.Time
 
 	// wake has room for one: a set wake means that calls or inbox hold work.
 	wake  chan struct{}
-	calls calls
+	calls callQueue
 	inbox inbox
 
 	// The rest belongs to the goroutine of Run.
 	clock clock
-	// tookAt is when calls were taken in last.
-	tookAt    time.Time
-	saved     replica.HardState
-	waiters   map[uint64]waiter
-	reads     reads
-	applied   uint64
-	snapshots snapshotter
+	// callsProcessedAt is when calls were taken in last.
+	callsProcessedAt time.Time
+	savedHardState   replica.HardState
+	proposals        map[uint64]pendingProposal
+	barriers         pendingBarriers
+	applied          uint64
+	snapshots        snapshotter
 
-	state    published
-	counters counters
-	done     chan struct{}
-	stopOnce sync.Once
+	published publishedStatus
+	counters  counters
+	done      chan struct{}
+	stopOnce  sync.Once
 }
 
 // Open reads the member's log, if it has one, and restores the machine from
@@ -187,11 +187,11 @@
 		return nil, err
 	}
 	g := &Group{
-		cfg:     cfg,
-		logger:  log.With(cfg.Logger, "group", cfg.Group, "member", cfg.ID),
-		wake:    make(chan struct{}, 1),
-		waiters: map[uint64]waiter{},
-		done:    make(chan struct{}),
+		cfg:       cfg,
+		logger:    log.With(cfg.Logger, "group", cfg.Group, "member", cfg.ID),
+		wake:      make(chan struct{}, 1),
+		proposals: map[uint64]pendingProposal{},
+		done:      make(chan struct{}),
 	}
 	stored, err := g.openLog()
 	if err != nil {
@@ -203,14 +203,14 @@
 	return g, nil
 }
 
-func (g *Group) openLog() (replica.Stored, error) {
+func (g *Group) openLog() (replica.StoredState, error) {
 	if g.cfg.Folder == "" {
-		return replica.Stored{}, nil
+		return replica.StoredState{}, nil
 	}
 	w, stored, err := wal.Open(g.cfg.Folder)
 	g.wal = w
 	if err == nil {
-		w.OnFull(g.awaitRoom)
+		w.OnDiskFull(g.waitForDiskSpace)
 	}
 	return stored, errors.Wrapf(err, "log of group %s", g.cfg.Group)
 }
@@ -222,7 +222,7 @@
 	return g.wal.Close()
 }
 
-func (g *Group) start(stored replica.Stored) error {
+func (g *Group) start(stored replica.StoredState) error {
 	core, err := replica.New(replica.Config{
 		ID:             g.cfg.ID,
 		Incarnation:    g.cfg.Incarnation,
@@ -233,21 +233,21 @@
 		Seed:           g.cfg.Seed,
 		KeepEntries:    g.cfg.KeepEntries,
 		KeepBytes:      g.cfg.SnapshotBytes / 2,
-		MaxInflight:    maxAppends,
+		MaxInflight:    maxInflightAppends,
 	}, stored)
 	if err != nil {
 		return err
 	}
-	g.core, g.saved = core, stored.HardState
+	g.core, g.savedHardState = core, stored.HardState
 	g.snapshots.done = make(chan snapshotResult, 1)
 	if stored.Snapshot.Index > 0 {
 		if err := g.cfg.Machine.Restore(stored.Snapshot.Data); err != nil {
 			return errors.Wrapf(err, "restore the snapshot of entry %d", stored.Snapshot.Index)
 		}
 	}
-	g.applied, g.snapshots.last = stored.Snapshot.Index, stored.Snapshot.Index
-	g.snapshots.size = len(stored.Snapshot.Data)
-	g.state.init(core.Status())
+	g.applied, g.snapshots.lastIndex = stored.Snapshot.Index, stored.Snapshot.Index
+	g.snapshots.lastSize = len(stored.Snapshot.Data)
+	g.published.init(core.Status())
 	return nil
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -86,13 +86,13 @@
 
 // Story: a leader is cut off while a command is under way. Its caller must be
 // told that the fate is open: the others may or may not have the command.
-func TestLostLeadershipLeavesFateOpen(t *testing.T) {
+func TestLostLeadershipReportsUnknownOutcome(t *testing.T) {
 	c := newCluster(t, "a", Config{})
 	leader := c.leader()
 	c.net.isolate(leader.cfg.ID, true)
 	_, err := leader.Propose(t.Context(), set("k", "v"))
 	must.True(t, fault.Is(err, fault.Unavailable))
-	must.True(t, errors.Is(err, ErrFateOpen), must.Sprint(err))
+	must.True(t, errors.Is(err, ErrOutcomeUnknown), must.Sprint(err))
 	must.ErrorContains(t, err, "fate")
 	must.True(t, errors.Is(leader.Barrier(t.Context()), ErrNotLeader))
 	c.set("k", "w")
@@ -103,14 +103,14 @@
 // Story: the leader's process is paused for longer than its lease. Whoever
 // asks it right after must not hear that it may decide. Here the pause is a
 // machine that holds the loop.
-func TestStalledLeaderMayNotDecide(t *testing.T) {
+func TestPausedLeaderCannotDecide(t *testing.T) {
 	c := newCluster(t, "a", Config{})
 	leader := c.leader()
-	held := make(chan struct{})
-	release := sync.OnceFunc(func() { close(held) })
+	paused := make(chan struct{})
+	release := sync.OnceFunc(func() { close(paused) })
 	defer release()
 	leader.machine.mu.Lock()
-	leader.machine.hold = func() { <-held }
+	leader.machine.onApply = func() { <-paused }
 	leader.machine.mu.Unlock()
 	proposed := make(chan error, 1)
 	go func() {
@@ -123,12 +123,12 @@
 	must.NoError(t, <-proposed)
 }
 
-func TestClockMakesUpForMissedTicks(t *testing.T) {
+func TestClockCatchesUpOnMissedTicks(t *testing.T) {
 	start := time.Now()
 	c := newClock(start, 100*time.Millisecond)
 	must.Eq(t, 0, c.due(start.Add(99*time.Millisecond)))
 	must.Eq(t, 1, c.due(start.Add(199*time.Millisecond)))
-	must.Eq(t, start.Add(250*time.Millisecond), c.lapses())
+	must.Eq(t, start.Add(250*time.Millisecond), c.statusExpiry())
 	must.Eq(t, 99, c.due(start.Add(10*time.Second)))
 }
 
@@ -198,7 +198,7 @@
 	folder := t.TempDir()
 	w, _, err := wal.Open(folder)
 	must.NoError(t, err)
-	g := &Group{wal: w, saved: replica.HardState{Term: 1, Incarnation: 7, Recovering: true}}
+	g := &Group{wal: w, savedHardState: replica.HardState{Term: 1, Incarnation: 7, Recovering: true}}
 	// A folder in the way of the snapshot's temporary file stands for the crash.
 	must.NoError(t, os.Mkdir(filepath.Join(folder, fmt.Sprintf("%020d.snapshot.tmp", 10)), 0o700))
 	must.Error(t, g.save(replica.Ready{
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -10,25 +10,25 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// snapshotRetry is how long after a snapshot that found the disk full the next one
+// snapshotRetryDelay is how long after a snapshot that found the disk full the next one
 // is begun at the earliest.
-const snapshotRetry = time.Second
+const snapshotRetryDelay = time.Second
 
 // snapshotter makes one snapshot at a time. Encoding (of a Capturer) and
 // writing happen on a goroutine of their own, so that the log goes on
 // meanwhile; what follows from it happens in Run.
 type snapshotter struct {
 	// last is the index of the latest snapshot.
-	last uint64
+	lastIndex uint64
 	// size is that of the latest snapshot, pending the bytes of the commands
 	// applied since one was begun.
-	size, pending int
+	lastSize, pendingBytes int
 
 	running bool
 	done    chan snapshotResult
 	// notBefore keeps the next one back after one found the disk full.
 	notBefore time.Time
-	group     sync.WaitGroup
+	writers   sync.WaitGroup
 }
 
 type snapshotResult struct {
@@ -36,7 +36,7 @@
 	err      error
 }
 
-func (s *snapshotter) wait() { s.group.Wait() }
+func (s *snapshotter) wait() { s.writers.Wait() }
 
 // maybeSnapshot begins a snapshot when enough entries were applied.
 func (g *Group) maybeSnapshot() error {
@@ -52,18 +52,18 @@
 		return err
 	}
 	g.snapshots.running = true
-	g.snapshots.pending = 0
-	g.snapshots.group.Add(1)
+	g.snapshots.pendingBytes = 0
+	g.snapshots.writers.Add(1)
 	go func() {
-		defer g.snapshots.group.Done()
+		defer g.snapshots.writers.Done()
 		g.snapshots.done <- g.writeSnapshot(s, encode)
 	}()
 	return nil
 }
 
 func (g *Group) snapshotDue() bool {
-	return g.applied-g.snapshots.last >= g.cfg.SnapshotEvery ||
-		g.snapshots.pending >= max(g.cfg.SnapshotBytes, g.snapshots.size)
+	return g.applied-g.snapshots.lastIndex >= g.cfg.SnapshotEvery ||
+		g.snapshots.pendingBytes >= max(g.cfg.SnapshotBytes, g.snapshots.lastSize)
 }
 
 func (g *Group) capture() (func() ([]byte, error), error) {
@@ -82,20 +82,20 @@
 	return snapshotResult{s, err}
 }
 
-// adoptSnapshot lets go of what a durable snapshot covers. One that a
+// completeSnapshot lets go of what a durable snapshot covers. One that a
 // leader's snapshot has overtaken meanwhile is left alone.
-func (g *Group) adoptSnapshot(r snapshotResult) error {
+func (g *Group) completeSnapshot(r snapshotResult) error {
 	g.snapshots.running = false
 	if errors.Is(r.err, syscall.ENOSPC) {
 		// The log goes on without it. A later one needs no more room than this one.
 		_ = g.logger.Log("event", "snapshot", "outcome", "failed", "err", r.err)
-		g.snapshots.notBefore = time.Now().Add(snapshotRetry)
+		g.snapshots.notBefore = time.Now().Add(snapshotRetryDelay)
 		return nil
 	}
 	if r.err != nil {
 		return r.err
 	}
-	if r.snapshot.Index <= g.snapshots.last {
+	if r.snapshot.Index <= g.snapshots.lastIndex {
 		return nil
 	}
 	if g.wal != nil {
@@ -104,8 +104,8 @@
 		}
 	}
 	g.core.Compact(r.snapshot)
-	g.snapshots.last = r.snapshot.Index
-	g.snapshots.size = len(r.snapshot.Data)
+	g.snapshots.lastIndex = r.snapshot.Index
+	g.snapshots.lastSize = len(r.snapshot.Data)
 	g.counters.snapshots.Add(1)
 	return nil
 }
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -14,7 +14,7 @@
 	ledTerm uint64
 }
 
-func (c *counters) noteRole(s replica.Status) {
+func (c *counters) recordRole(s replica.Status) {
 	if s.Role == replica.Leader && s.Term != c.ledTerm {
 		c.ledTerm = s.Term
 		c.elections.Add(1)
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -9,23 +9,23 @@
 )
 
 // published is the status as other goroutines read it.
-type published struct {
-	mu      sync.Mutex
-	status  replica.Status
-	lapses  time.Time
-	changed chan struct{}
+type publishedStatus struct {
+	mu         sync.Mutex
+	status     replica.Status
+	validUntil time.Time
+	changed    chan struct{}
 }
 
-func (p *published) init(s replica.Status) {
+func (p *publishedStatus) init(s replica.Status) {
 	p.status, p.changed = s, make(chan struct{})
 }
 
 // set publishes a status and reports whether leadership changed.
-func (p *published) set(s replica.Status, lapses time.Time) bool {
+func (p *publishedStatus) set(s replica.Status, validUntil time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	old := p.status
-	p.status, p.lapses = s, lapses
+	p.status, p.validUntil = s, validUntil
 	same := old.Role == s.Role && old.Leader == s.Leader && old.Term == s.Term && old.CanDecide == s.CanDecide
 	if !same {
 		close(p.changed)
@@ -38,12 +38,12 @@
 // Run hasn't come round in time: after a pause of the process, whoever asks
 // first must not be told of a lease that has ended meanwhile.
 func (g *Group) Status() replica.Status {
-	p := &g.state
+	p := &g.published
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.status
 	s.Members = slices.Clone(s.Members)
-	s.CanDecide = s.CanDecide && time.Now().Before(p.lapses)
+	s.CanDecide = s.CanDecide && time.Now().Before(p.validUntil)
 	return s
 }
 
@@ -51,7 +51,7 @@
 // CanDecide change next. Take the channel before reading Status, or a change
 // between the two is missed.
 func (g *Group) Changed() <-chan struct{} {
-	p := &g.state
+	p := &g.published
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.changed
@@ -59,7 +59,7 @@
 
 func (g *Group) publish() replica.Status {
 	s := g.core.Status()
-	if g.state.set(s, g.clock.lapses()) {
+	if g.published.set(s, g.clock.statusExpiry()) {
 		_ = g.logger.Log("event", "leadership", "role", roleName(s.Role), "term", s.Term,
 			"leader", s.Leader, "can_decide", s.CanDecide)
 	}
--- a/internal/peer/count.go
+++ b/internal/peer/count.go
@@ -103,26 +103,26 @@
 
 // Blocks cuts an instance off from peers, both ways, so that tests can make
 // network partitions. Nothing that arrives over the network reaches it.
-type Blocks struct {
-	mu  sync.Mutex
-	cut map[string]bool
+type BlockedPeers struct {
+	mu    sync.Mutex
+	peers map[string]bool
 }
 
 // Block cuts the peer off, or connects it again.
-func (b *Blocks) Block(id string, cut bool) {
+func (b *BlockedPeers) SetBlocked(id string, blocked bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.cut == nil {
-		b.cut = map[string]bool{}
+	if b.peers == nil {
+		b.peers = map[string]bool{}
 	}
-	b.cut[id] = cut
+	b.peers[id] = blocked
 }
 
-func (b *Blocks) blocked(id string) bool {
+func (b *BlockedPeers) blocked(id string) bool {
 	if b == nil {
 		return false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.cut[id]
+	return b.peers[id]
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -14,43 +14,43 @@
 )
 
 // item is one payload in a queue.
-type item struct {
+type queuedPayload struct {
 	group   string
 	payload []byte
 }
 
 // link is the way to one peer: a queue and a few calls at a time.
-type link struct {
+type peerLink struct {
 	cfg  Config
 	id   string
 	http *http.Client
 
-	mu      sync.Mutex
-	queue   []item
-	bytes   int
-	address string
-	client  apiv1.Peer
+	mu          sync.Mutex
+	queue       []queuedPayload
+	queuedBytes int
+	address     string
+	client      apiv1.Peer
 
-	// session and sequence number the calls, underWay counts those that haven't
+	// session and sequence number the calls, inFlight counts those that haven't
 	// ended. They belong to run.
 	session  uint32
 	sequence uint64
-	underWay int
+	inFlight int
 	// done gets whether a call went well; it has room for all that may be under way.
-	done chan bool
+	results chan bool
 
 	// wake has room for one: a set wake means that the queue isn't empty.
 	wake     chan struct{}
 	counters counters
 }
 
-func newLink(cfg Config, id string) *link {
-	l := &link{cfg: cfg, id: id, session: rand.Uint32() | 1, wake: make(chan struct{}, 1), done: make(chan bool, maxCalls)}
+func newPeerLink(cfg Config, id string) *peerLink {
+	l := &peerLink{cfg: cfg, id: id, session: rand.Uint32() | 1, wake: make(chan struct{}, 1), results: make(chan bool, maxCalls)}
 	l.http = rpc.NewClient(l.dial)
 	return l
 }
 
-func (l *link) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (l *peerLink) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dial := l.cfg.Dial
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: callTimeout}).DialContext
@@ -63,7 +63,7 @@
 	return &countedConn{Conn: conn, sent: &l.counters.bytesSent, received: &l.counters.bytesReceived}, nil
 }
 
-func (l *link) setAddress(address string) {
+func (l *peerLink) setAddress(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.address == address {
@@ -75,13 +75,13 @@
 
 // push queues an item, at the cost of the oldest ones when there is no room:
 // what is old has most likely been overtaken.
-func (l *link) push(i item) {
+func (l *peerLink) enqueue(p queuedPayload) {
 	l.mu.Lock()
-	l.queue = append(l.queue, i)
-	l.bytes += len(i.payload)
-	for len(l.queue) > maxQueuePayloads || l.bytes > maxQueueBytes && len(l.queue) > 1 {
-		l.bytes -= len(l.queue[0].payload)
-		l.queue[0] = item{}
+	l.queue = append(l.queue, p)
+	l.queuedBytes += len(p.payload)
+	for len(l.queue) > maxQueuePayloads || l.queuedBytes > maxQueueBytes && len(l.queue) > 1 {
+		l.queuedBytes -= len(l.queue[0].payload)
+		l.queue[0] = queuedPayload{}
 		l.queue = l.queue[1:]
 		l.counters.dropped.Add(1)
 	}
@@ -89,7 +89,7 @@
 	l.signal()
 }
 
-func (l *link) signal() {
+func (l *peerLink) signal() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -97,7 +97,7 @@
 }
 
 // take returns the next batch and the client to send it with.
-func (l *link) take() ([]item, int, apiv1.Peer) {
+func (l *peerLink) nextBatch() ([]queuedPayload, int, apiv1.Peer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n, size := 0, 0
@@ -107,7 +107,7 @@
 	}
 	batch := l.queue[:n:n]
 	l.queue = l.queue[n:]
-	l.bytes -= size
+	l.queuedBytes -= size
 	if len(l.queue) == 0 {
 		l.queue = nil
 	} else {
@@ -118,27 +118,27 @@
 
 // run makes calls until ctx ends. While maxCalls are under way, what comes up
 // waits and shares the next one.
-func (l *link) run(ctx context.Context) error {
+func (l *peerLink) run(ctx context.Context) error {
 	defer l.http.CloseIdleConnections()
-	defer l.drain()
+	defer l.awaitInFlight()
 	backoff := time.Duration(0)
 	for {
 		wake := l.wake
-		if l.underWay >= maxCalls {
+		if l.inFlight >= maxCalls {
 			wake = nil
 		}
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-wake:
-			l.start(ctx)
-		case ok := <-l.done:
-			l.underWay--
+			l.sendNext(ctx)
+		case ok := <-l.results:
+			l.inFlight--
 			if ok {
 				backoff = 0
 				continue
 			}
-			l.drain()
+			l.awaitInFlight()
 			backoff = min(max(2*backoff, minBackoff), maxBackoff)
 			if !wait.For(ctx, backoff) {
 				return nil
@@ -151,33 +151,33 @@
 // all have ended: a connection whose other end has vanished swallows one call
 // after the other, and only a connection without calls is closed, so that the
 // next call opens a new one.
-func (l *link) drain() {
-	for ; l.underWay > 0; l.underWay-- {
-		<-l.done
+func (l *peerLink) awaitInFlight() {
+	for ; l.inFlight > 0; l.inFlight-- {
+		<-l.results
 	}
 	l.http.CloseIdleConnections()
 }
 
 // start begins a call with the next batch, if there is one.
-func (l *link) start(ctx context.Context) {
-	batch, size, client := l.take()
+func (l *peerLink) sendNext(ctx context.Context) {
+	batch, size, client := l.nextBatch()
 	if len(batch) == 0 {
 		return
 	}
-	if l.cfg.Blocks.blocked(l.id) {
+	if l.cfg.BlockedPeers.blocked(l.id) {
 		l.counters.dropped.Add(uint64(len(batch)))
 		return
 	}
 	l.sequence++
 	request := l.cfg.pack(l.id, batch)
 	request.Session, request.Sequence = l.session, l.sequence
-	l.underWay++
-	go func() { l.done <- l.exchange(ctx, client, request, len(batch), size) }()
+	l.inFlight++
+	go func() { l.results <- l.exchange(ctx, client, request, len(batch), size) }()
 }
 
 // exchange makes one call. After a failure its batch is given up: the logs
 // repeat what still matters, and a repeated old batch would only delay it.
-func (l *link) exchange(ctx context.Context, client apiv1.Peer, request *apiv1.ExchangeRequest, payloads, size int) bool {
+func (l *peerLink) exchange(ctx context.Context, client apiv1.Peer, request *apiv1.ExchangeRequest, payloads, size int) bool {
 	limit := callTimeout + time.Duration(size)*time.Second/bytesPerSecond
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
--- a/internal/peer/mux.go
+++ b/internal/peer/mux.go
@@ -9,39 +9,39 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-// StepFunc takes in a payload of a group. It must not block.
-type StepFunc func(from string, payload []byte) error
+// PayloadHandler takes in a payload of a group. It must not block.
+type PayloadHandler func(from string, payload []byte) error
 
 // Mux hands received payloads to the groups they are meant for. A daemon
 // embeds it in its implementation of apiv1.Peer, behind its check of bearer
 // tokens.
 type Mux struct {
-	id      string
-	stamper Stamper
-	blocks  *Blocks
+	id           string
+	clock        Clock
+	blockedPeers *BlockedPeers
 
-	mu     sync.RWMutex
-	groups map[string]StepFunc
-	orders map[string]*order
+	mu         sync.RWMutex
+	groups     map[string]PayloadHandler
+	sequencers map[string]*sequencer
 
 	received, refused atomic.Uint64
 }
 
 // NewMux returns a mux without groups. ID, Stamper and Blocks of cfg are used.
 func NewMux(cfg Config) *Mux {
-	return &Mux{id: cfg.ID, stamper: cfg.Stamper, blocks: cfg.Blocks, groups: map[string]StepFunc{}, orders: map[string]*order{}}
+	return &Mux{id: cfg.ID, clock: cfg.Clock, blockedPeers: cfg.BlockedPeers, groups: map[string]PayloadHandler{}, sequencers: map[string]*sequencer{}}
 }
 
 // Register gives the payloads of a group to step, in place of an earlier one;
 // nil takes the group out.
-func (m *Mux) Register(group string, step StepFunc) {
+func (m *Mux) Register(group string, handle PayloadHandler) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if step == nil {
+	if handle == nil {
 		delete(m.groups, group)
 		return
 	}
-	m.groups[group] = step
+	m.groups[group] = handle
 }
 
 // Exchange takes in the payloads of one call, in the order of the sender's
@@ -57,49 +57,49 @@
 		return nil, fault.Field("to", "meant for %q, this is %q", r.To, m.id)
 	}
 	if r.Session == 0 || r.Sequence == 0 {
-		m.takeIn(r)
+		m.deliverCall(r)
 	} else {
-		m.orderOf(r.From).take(r)
+		m.sequencerOf(r.From).accept(r)
 	}
 	return &apiv1.ExchangeResponse{}, nil
 }
 
-func (m *Mux) orderOf(from string) *order {
+func (m *Mux) sequencerOf(from string) *sequencer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	o := m.orders[from]
-	if o == nil {
-		o = &order{deliver: m.takeIn, drop: m.refuse}
-		m.orders[from] = o
+	s := m.sequencers[from]
+	if s == nil {
+		s = &sequencer{deliver: m.deliverCall, drop: m.countRefused}
+		m.sequencers[from] = s
 	}
-	return o
+	return s
 }
 
-// takeIn hands the payloads of a call whose turn has come to their groups.
-func (m *Mux) takeIn(r *apiv1.ExchangeRequest) {
-	if m.blocks.blocked(r.From) {
+// deliverCall hands the payloads of a call whose turn has come to their groups.
+func (m *Mux) deliverCall(r *apiv1.ExchangeRequest) {
+	if m.blockedPeers.blocked(r.From) {
 		return
 	}
-	if m.stamper != nil && r.WallMs != 0 {
-		m.stamper.Observe(r.WallMs, r.Logical)
+	if m.clock != nil && r.WallMs != 0 {
+		m.clock.Observe(r.WallMs, r.Logical)
 	}
 	for _, g := range r.Groups {
-		m.deliver(r.From, g)
+		m.deliverGroup(r.From, g)
 	}
 }
 
-func (m *Mux) refuse(r *apiv1.ExchangeRequest) {
+func (m *Mux) countRefused(r *apiv1.ExchangeRequest) {
 	for _, g := range r.Groups {
 		m.refused.Add(uint64(len(g.Messages)))
 	}
 }
 
-func (m *Mux) deliver(from string, g *apiv1.GroupMessages) {
+func (m *Mux) deliverGroup(from string, g *apiv1.GroupMessages) {
 	m.mu.RLock()
-	step := m.groups[g.Group]
+	handle := m.groups[g.Group]
 	m.mu.RUnlock()
 	for _, payload := range g.Messages {
-		if step == nil || step(from, payload) != nil {
+		if handle == nil || handle(from, payload) != nil {
 			m.refused.Add(1)
 			continue
 		}
--- a/internal/peer/order.go
+++ b/internal/peer/order.go
@@ -13,10 +13,10 @@
 	// holdTime is how long a call waits at most for those before it. Calls of
 	// one connection overtake each other by the scheduling of the two
 	// processes, which takes some milliseconds on a busy machine.
-	holdTime = 25 * time.Millisecond
-	maxHeld  = 16 * maxCalls
-	// farBehind bounds the calls that are remembered as missing.
-	farBehind = 4096
+	holdTime     = 25 * time.Millisecond
+	maxHeldCalls = 16 * maxCalls
+	// missingWindow bounds the calls that are remembered as missing.
+	missingWindow = 4096
 )
 
 // order brings the calls of one sender back into the order in which they were
@@ -25,7 +25,7 @@
 // trip. What comes too early is held back, but for holdTime at most, so that a
 // lost call delays the others by no more. A call that comes after its turn is
 // taken in all the same: a long snapshot may be late each time.
-type order struct {
+type sequencer struct {
 	// deliver takes in a call. It is called under mu, one call at a time.
 	deliver func(*apiv1.ExchangeRequest)
 	// drop counts a call that isn't taken in.
@@ -33,33 +33,33 @@
 
 	mu sync.Mutex
 	// session is the sender's, former the one before, whose process has ended.
-	session, former uint32
+	session, previousSession uint32
 	// next is the sequence whose turn it is.
-	next uint64
-	held map[uint64]*apiv1.ExchangeRequest
-	// missing are the sequences below next that haven't come, as far as farBehind.
+	nextSequence uint64
+	held         map[uint64]*apiv1.ExchangeRequest
+	// missing are the sequences below next that haven't come, as far as missingWindow.
 	missing map[uint64]bool
 	// timer releases what is held; nil while nothing is.
-	timer *time.Timer
+	holdTimer *time.Timer
 }
 
 // take takes in a call, now or when its turn comes. A call that came twice, or
 // from a process that has ended, is dropped.
-func (o *order) take(r *apiv1.ExchangeRequest) {
+func (o *sequencer) accept(r *apiv1.ExchangeRequest) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if r.Session == o.former {
+	if r.Session == o.previousSession {
 		o.drop(r)
 		return
 	}
 	if r.Session != o.session {
-		o.begin(r)
+		o.startSession(r)
 	}
 	switch {
-	case r.Sequence < o.next:
-		o.takeLate(r)
-	case r.Sequence == o.next:
-		o.next++
+	case r.Sequence < o.nextSequence:
+		o.acceptLate(r)
+	case r.Sequence == o.nextSequence:
+		o.nextSequence++
 		o.deliver(r)
 		o.deliverFollowing()
 	case o.held[r.Sequence] != nil:
@@ -73,20 +73,20 @@
 // new, or this process is. Calls made shortly before may still be on their way:
 // near the beginning of a session they are waited for, since a new sender's
 // first calls overtake each other too.
-func (o *order) begin(r *apiv1.ExchangeRequest) {
+func (o *sequencer) startSession(r *apiv1.ExchangeRequest) {
 	o.releaseAll()
-	o.former, o.session = o.session, r.Session
+	o.previousSession, o.session = o.session, r.Session
 	o.missing = map[uint64]bool{}
-	o.next = r.Sequence - min(r.Sequence-1, maxHeld)
-	if o.next > 1 {
+	o.nextSequence = r.Sequence - min(r.Sequence-1, maxHeldCalls)
+	if o.nextSequence > 1 {
 		o.skipTo(r.Sequence)
 	}
 }
 
-// takeLate takes in a call whose turn has passed, unless it came already. That
+// acceptLate takes in a call whose turn has passed, unless it came already. That
 // isn't remembered of one that lags very far, and the logs bear a doubled call.
-func (o *order) takeLate(r *apiv1.ExchangeRequest) {
-	if !o.missing[r.Sequence] && r.Sequence+farBehind >= o.next {
+func (o *sequencer) acceptLate(r *apiv1.ExchangeRequest) {
+	if !o.missing[r.Sequence] && r.Sequence+missingWindow >= o.nextSequence {
 		o.drop(r)
 		return
 	}
@@ -95,10 +95,10 @@
 }
 
 // deliverFollowing delivers the held calls whose turn has come.
-func (o *order) deliverFollowing() {
-	for r := o.held[o.next]; r != nil; r = o.held[o.next] {
-		delete(o.held, o.next)
-		o.next++
+func (o *sequencer) deliverFollowing() {
+	for r := o.held[o.nextSequence]; r != nil; r = o.held[o.nextSequence] {
+		delete(o.held, o.nextSequence)
+		o.nextSequence++
 		o.deliver(r)
 	}
 	if len(o.held) == 0 {
@@ -106,28 +106,28 @@
 	}
 }
 
-func (o *order) hold(r *apiv1.ExchangeRequest) {
+func (o *sequencer) hold(r *apiv1.ExchangeRequest) {
 	if o.held == nil {
 		o.held = map[uint64]*apiv1.ExchangeRequest{}
 	}
 	o.held[r.Sequence] = r
-	if len(o.held) > maxHeld {
+	if len(o.held) > maxHeldCalls {
 		o.releaseAll()
 		return
 	}
-	if o.timer == nil {
-		o.timer = time.AfterFunc(holdTime, o.release)
+	if o.holdTimer == nil {
+		o.holdTimer = time.AfterFunc(holdTime, o.releaseAfterTimeout)
 	}
 }
 
 // release gives up what hasn't come before the calls held.
-func (o *order) release() {
+func (o *sequencer) releaseAfterTimeout() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.releaseAll()
 }
 
-func (o *order) releaseAll() {
+func (o *sequencer) releaseAll() {
 	for len(o.held) > 0 {
 		lowest := ^uint64(0)
 		for sequence := range o.held {
@@ -140,17 +140,17 @@
 }
 
 // skipTo passes the turn to a later sequence.
-func (o *order) skipTo(sequence uint64) {
-	maps.DeleteFunc(o.missing, func(s uint64, _ bool) bool { return s+farBehind < sequence })
-	for s := max(o.next, sequence-min(sequence, farBehind)); s < sequence; s++ {
+func (o *sequencer) skipTo(sequence uint64) {
+	maps.DeleteFunc(o.missing, func(s uint64, _ bool) bool { return s+missingWindow < sequence })
+	for s := max(o.nextSequence, sequence-min(sequence, missingWindow)); s < sequence; s++ {
 		o.missing[s] = true
 	}
-	o.next = sequence
+	o.nextSequence = sequence
 }
 
-func (o *order) stopTimer() {
-	if o.timer != nil {
-		o.timer.Stop()
-		o.timer = nil
+func (o *sequencer) stopTimer() {
+	if o.holdTimer != nil {
+		o.holdTimer.Stop()
+		o.holdTimer = nil
 	}
 }
--- a/internal/peer/order_test.go
+++ b/internal/peer/order_test.go
@@ -18,14 +18,14 @@
 // receiver is a mux that notes what its group is given.
 type receiver struct {
 	*Mux
-	mu      sync.Mutex
-	arrived []string
+	mu       sync.Mutex
+	payloads []string
 }
 
-func (r *receiver) got() []string {
+func (r *receiver) delivered() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.arrived)
+	return slices.Clone(r.payloads)
 }
 
 func newReceiver() *receiver {
@@ -33,7 +33,7 @@
 	r.Register("log", func(_ string, payload []byte) error {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.arrived = append(r.arrived, string(payload))
+		r.payloads = append(r.payloads, string(payload))
 		return nil
 	})
 	return r
@@ -57,14 +57,14 @@
 // Story: under load, commits take several round trips. Of the calls under way
 // a later one is served first, and the log refuses its entries because those
 // before are missing.
-func TestCallsThatOvertakeAreTakenInOrder(t *testing.T) {
+func TestOvertakingCallsAreDeliveredInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReceiver()
 		r.calls(t, 7, 1, 4, 3)
-		must.Eq(t, []string{"7/1"}, r.got())
+		must.Eq(t, []string{"7/1"}, r.delivered())
 		r.calls(t, 7, 2, 6, 5)
-		must.Eq(t, []string{"7/1", "7/2", "7/3", "7/4", "7/5", "7/6"}, r.got())
-		must.Nil(t, r.orders["a"].timer)
+		must.Eq(t, []string{"7/1", "7/2", "7/3", "7/4", "7/5", "7/6"}, r.delivered())
+		must.Nil(t, r.sequencers["a"].holdTimer)
 	})
 }
 
@@ -72,7 +72,7 @@
 // connection is opened anew, because all later calls wait for it. They must
 // come through after holdTime, and later calls at once. A call that was only
 // slow, like a long snapshot, must not be lost for having been overtaken.
-func TestLostCallDelaysTheOthersByHoldTime(t *testing.T) {
+func TestLostCallDelaysLaterCallsByHoldTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReceiver()
 		r.calls(t, 7, 1, 3)
@@ -80,25 +80,25 @@
 		r.calls(t, 7, 5)
 		time.Sleep(holdTime/2 - time.Nanosecond)
 		synctest.Wait()
-		must.Eq(t, []string{"7/1"}, r.got())
+		must.Eq(t, []string{"7/1"}, r.delivered())
 		time.Sleep(time.Nanosecond)
 		synctest.Wait()
-		must.Eq(t, []string{"7/1", "7/3", "7/5"}, r.got())
+		must.Eq(t, []string{"7/1", "7/3", "7/5"}, r.delivered())
 		r.calls(t, 7, 6, 2)
-		must.Eq(t, []string{"7/1", "7/3", "7/5", "7/6", "7/2"}, r.got())
+		must.Eq(t, []string{"7/1", "7/3", "7/5", "7/6", "7/2"}, r.delivered())
 	})
 }
 
 // Story: the HTTP client makes a call again after the connection broke, though
 // the first had arrived. Early, in turn or late, it must be taken in once.
-func TestDoubledCallIsTakenOnce(t *testing.T) {
+func TestDuplicateCallIsDeliveredOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReceiver()
 		r.calls(t, 7, 1, 1, 3, 3)
 		time.Sleep(holdTime)
 		synctest.Wait()
 		r.calls(t, 7, 2, 2, 3, 1)
-		must.Eq(t, []string{"7/1", "7/3", "7/2"}, r.got())
+		must.Eq(t, []string{"7/1", "7/3", "7/2"}, r.delivered())
 		received, refused := r.Counters()
 		must.Eq(t, 3, received)
 		must.Eq(t, 5, refused)
@@ -107,24 +107,24 @@
 
 // Story: the sender restarts and counts from 1 again. Its calls must not be
 // taken for doubled ones, and what its former process sent is dropped.
-func TestRestartedSenderBeginsAnew(t *testing.T) {
+func TestRestartedSenderStartsNewSession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReceiver()
 		r.calls(t, 7, 1, 2, 4)
 		r.calls(t, 8, 1, 3)
 		r.calls(t, 7, 3, 5)
 		r.calls(t, 8, 2)
-		must.Eq(t, []string{"7/1", "7/2", "7/4", "8/1", "8/2", "8/3"}, r.got())
+		must.Eq(t, []string{"7/1", "7/2", "7/4", "8/1", "8/2", "8/3"}, r.delivered())
 	})
 }
 
 // Story: the receiver restarts in the middle of a session. The first call that
 // comes has overtaken others; neither it nor they may be lost or wait.
-func TestRestartedReceiverTakesWhatIsUnderWay(t *testing.T) {
+func TestRestartedReceiverDeliversCallsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReceiver()
 		r.calls(t, 7, 1003, 1001, 1002, 1002, 1004)
-		must.Eq(t, []string{"7/1003", "7/1001", "7/1002", "7/1004"}, r.got())
+		must.Eq(t, []string{"7/1003", "7/1001", "7/1002", "7/1004"}, r.delivered())
 	})
 }
 
@@ -134,29 +134,29 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newReceiver()
 		r.call(t, 7, 1)
-		for i := range uint64(maxHeld) {
+		for i := range uint64(maxHeldCalls) {
 			r.call(t, 7, 3+i)
 		}
-		must.Len(t, 1, r.got())
-		r.call(t, 7, 3+maxHeld)
-		must.Len(t, maxHeld+2, r.got())
-		must.MapEmpty(t, r.orders["a"].held)
+		must.Len(t, 1, r.delivered())
+		r.call(t, 7, 3+maxHeldCalls)
+		must.Len(t, maxHeldCalls+2, r.delivered())
+		must.MapEmpty(t, r.sequencers["a"].held)
 		for i := range uint64(3) {
 			r.call(t, 7, 1<<(40+i))
 			time.Sleep(holdTime)
 			synctest.Wait()
 		}
-		must.Len(t, maxHeld+5, r.got())
-		must.LessEq(t, farBehind, len(r.orders["a"].missing))
+		must.Len(t, maxHeldCalls+5, r.delivered())
+		must.LessEq(t, missingWindow, len(r.sequencers["a"].missing))
 		// Too far behind to know whether it came already; a snapshot may be.
 		r.call(t, 7, 2)
-		must.Len(t, maxHeld+6, r.got())
+		must.Len(t, maxHeldCalls+6, r.delivered())
 	})
 }
 
 // Calls that are lost, doubled, late and out of order: all that arrive are
 // taken in once, and in order wherever none before was given up.
-func TestRandomArrivals(t *testing.T) {
+func TestRandomArrivalsAreDeliveredOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(*testing.T) {
 			r := newReceiver()
@@ -174,14 +174,14 @@
 				arrived[fmt.Sprintf("7/%d", s)] = true
 			}
 			if !waited {
-				for i, got := range r.got() {
+				for i, got := range r.delivered() {
 					must.Eq(rt, fmt.Sprintf("7/%d", i+1), got)
 				}
 			}
 			time.Sleep(holdTime)
 			synctest.Wait()
-			must.Len(rt, len(arrived), r.got())
-			for _, got := range r.got() {
+			must.Len(rt, len(arrived), r.delivered())
+			for _, got := range r.delivered() {
 				must.True(rt, arrived[got])
 			}
 		})
@@ -191,12 +191,12 @@
 // What a user sees: nothing; a log loses a round trip at the start of each process.
 // Order: a new sender's second call overtakes its first.
 // Cause: the receiver took the first call that came for the first that was made.
-func TestFirstCallsOfASessionKeepTheirOrder(t *testing.T) {
+func TestFirstCallsOfSessionAreDeliveredInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReceiver()
 		r.calls(t, 7, 2)
-		must.SliceEmpty(t, r.got())
+		must.SliceEmpty(t, r.delivered())
 		r.calls(t, 7, 1)
-		must.Eq(t, []string{"7/1", "7/2"}, r.got())
+		must.Eq(t, []string{"7/1", "7/2"}, r.delivered())
 	})
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -43,8 +43,8 @@
 )
 
 // Stamper gives and takes the hybrid logical clock stamps that each Exchange carries.
-type Stamper interface {
-	Stamp() (wallMS int64, logical uint32)
+type Clock interface {
+	Timestamp() (wallMS int64, logical uint32)
 	Observe(wallMS int64, logical uint32)
 }
 
@@ -55,11 +55,11 @@
 	// Bearer is the value of the Authorization header, such as "Bearer x".
 	Bearer string
 	// Stamper may be nil.
-	Stamper Stamper
+	Clock Clock
 	// Dial opens connections to peers; nil means TCP.
 	Dial rpc.Dial
 	// Blocks cuts peers off in tests; nil otherwise.
-	Blocks *Blocks
+	BlockedPeers *BlockedPeers
 }
 
 // Transport sends payloads to peers. It is safe for concurrent use.
@@ -67,14 +67,14 @@
 	cfg Config
 
 	mu      sync.Mutex
-	links   map[string]*link
+	links   map[string]*peerLink
 	running *errgroup.Group
 	ctx     context.Context
 }
 
 // New returns a transport without peers.
 func New(cfg Config) *Transport {
-	return &Transport{cfg: cfg, links: map[string]*link{}}
+	return &Transport{cfg: cfg, links: map[string]*peerLink{}}
 }
 
 // SetPeer says where a peer is reached, as host:port. Setting another address
@@ -84,7 +84,7 @@
 	defer t.mu.Unlock()
 	l := t.links[id]
 	if l == nil {
-		l = newLink(t.cfg, id)
+		l = newPeerLink(t.cfg, id)
 		t.links[id] = l
 		t.start(l)
 	}
@@ -92,7 +92,7 @@
 }
 
 // start runs a link once Run runs. t.mu is held.
-func (t *Transport) start(l *link) {
+func (t *Transport) start(l *peerLink) {
 	if t.running == nil {
 		return
 	}
@@ -127,7 +127,7 @@
 	l := t.links[to]
 	t.mu.Unlock()
 	if l != nil {
-		l.push(item{group, payload})
+		l.enqueue(queuedPayload{group, payload})
 	}
 }
 
@@ -143,7 +143,7 @@
 }
 
 // pack makes the request of a batch, the payloads of a group side by side.
-func (c *Config) pack(to string, batch []item) *apiv1.ExchangeRequest {
+func (c *Config) pack(to string, batch []queuedPayload) *apiv1.ExchangeRequest {
 	request := &apiv1.ExchangeRequest{FormatVersion: FormatVersion, From: c.ID, To: to}
 	byName := map[string]*apiv1.GroupMessages{}
 	for _, i := range batch {
@@ -155,8 +155,8 @@
 		}
 		g.Messages = append(g.Messages, i.payload)
 	}
-	if c.Stamper != nil {
-		request.WallMs, request.Logical = c.Stamper.Stamp()
+	if c.Clock != nil {
+		request.WallMs, request.Logical = c.Clock.Timestamp()
 	}
 	return request
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -23,15 +23,15 @@
 // instance is a transport and the server that its peers reach.
 type instance struct {
 	*Transport
-	mux      *Mux
-	blocks   *Blocks
-	listener *Listener
-	server   *http.Server
+	mux          *Mux
+	blockedPeers *BlockedPeers
+	listener     *Listener
+	server       *http.Server
 	// hold, when set, delays each Exchange until it returns.
-	hold func()
+	beforeExchange func()
 
 	mu       sync.Mutex
-	arrived  []string
+	payloads []string
 	requests int
 }
 
@@ -42,8 +42,8 @@
 }
 
 func (s service) Exchange(ctx context.Context, r *apiv1.ExchangeRequest) (*apiv1.ExchangeResponse, error) {
-	if s.hold != nil {
-		s.hold()
+	if s.beforeExchange != nil {
+		s.beforeExchange()
 	}
 	s.mu.Lock()
 	s.requests++
@@ -52,12 +52,12 @@
 }
 
 func newInstance(t *testing.T, id string, cfg Config) *instance {
-	cfg.ID, cfg.Bearer, cfg.Blocks = id, bearer, new(Blocks)
-	i := &instance{Transport: New(cfg), mux: NewMux(cfg), blocks: cfg.Blocks}
+	cfg.ID, cfg.Bearer, cfg.BlockedPeers = id, bearer, new(BlockedPeers)
+	i := &instance{Transport: New(cfg), mux: NewMux(cfg), blockedPeers: cfg.BlockedPeers}
 	i.mux.Register("log", func(from string, payload []byte) error {
 		i.mu.Lock()
 		defer i.mu.Unlock()
-		i.arrived = append(i.arrived, from+":"+string(payload))
+		i.payloads = append(i.payloads, from+":"+string(payload))
 		return nil
 	})
 	i.serve(t, "127.0.0.1:0")
@@ -89,10 +89,10 @@
 
 func (i *instance) address() string { return i.listener.Addr().String() }
 
-func (i *instance) got() []string {
+func (i *instance) delivered() []string {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return append([]string(nil), i.arrived...)
+	return append([]string(nil), i.payloads...)
 }
 
 func eventually(t *testing.T, what string, condition func() bool) {
@@ -109,8 +109,8 @@
 	a.Send("unknown group", "b", []byte("x"))
 	a.Send("log", "nobody", []byte("x"))
 	a.Send("log", "b", []byte("2"))
-	eventually(t, "both payloads", func() bool { return len(b.got()) == 2 })
-	must.Eq(t, []string{"a:1", "a:2"}, b.got())
+	eventually(t, "both payloads", func() bool { return len(b.delivered()) == 2 })
+	must.Eq(t, []string{"a:1", "a:2"}, b.delivered())
 	eventually(t, "the answer", func() bool { return a.Stats()["b"].Payloads == 3 })
 	received, refused := b.mux.Counters()
 	must.Eq(t, 2, received)
@@ -128,10 +128,10 @@
 
 // Story: a peer answers slowly. What comes up meanwhile must go in one call,
 // not in one each, or a slow peer costs more than a fast one.
-func TestFewCallsAtATimeCarryAllThatWaits(t *testing.T) {
+func TestQueuedPayloadsShareOneCall(t *testing.T) {
 	a, b := newInstance(t, "a", Config{}), newInstance(t, "b", Config{})
 	release, entered := make(chan struct{}), make(chan struct{}, 100)
-	b.hold = func() {
+	b.beforeExchange = func() {
 		entered <- struct{}{}
 		<-release
 	}
@@ -146,18 +146,18 @@
 		time.Sleep(100 * time.Microsecond)
 	}
 	close(release)
-	eventually(t, "all payloads", func() bool { return len(b.got()) == maxCalls+100 })
+	eventually(t, "all payloads", func() bool { return len(b.delivered()) == maxCalls+100 })
 	must.Eq(t, maxCalls+1, b.requests)
 }
 
 // Story: a peer vanishes while several calls are under way to it. Each new call
 // would go into the same dead connection, which is kept as long as it carries
 // one. After a failure none may begin until all have ended.
-func TestNoCallBeginsBetweenAFailureAndTheLastCallsEnd(t *testing.T) {
+func TestNoCallStartsAfterFailureUntilAllEnd(t *testing.T) {
 	a, b := newInstance(t, "a", Config{}), newInstance(t, "b", Config{})
 	entered, fail, finish := make(chan int, 100), make(chan struct{}), make(chan struct{})
 	var calls atomic.Int64
-	b.hold = func() {
+	b.beforeExchange = func() {
 		n := calls.Add(1)
 		entered <- int(n)
 		switch n {
@@ -180,65 +180,65 @@
 	time.Sleep(3 * minBackoff)
 	close(finish)
 	must.Eq(t, 3, <-entered)
-	eventually(t, "the payloads", func() bool { return len(b.got()) == 2 })
+	eventually(t, "the payloads", func() bool { return len(b.delivered()) == 2 })
 	must.Eq(t, 2, a.Stats()["b"].Dials)
 }
 
 // Story: a peer is away for long. The queue must stay bounded, and what is
 // dropped must be the oldest, which the logs have given up on already.
 func TestFullQueueDropsTheOldest(t *testing.T) {
-	l := newLink(Config{}, "b")
+	l := newPeerLink(Config{}, "b")
 	for i := range maxQueuePayloads + 3 {
-		l.push(item{"log", []byte{byte(i)}})
+		l.enqueue(queuedPayload{"log", []byte{byte(i)}})
 	}
 	must.Len(t, maxQueuePayloads, l.queue)
 	must.Eq(t, byte(3), l.queue[0].payload[0])
 	must.Eq(t, 3, l.counters.dropped.Load())
-	l.push(item{"log", make([]byte, 2*maxQueueBytes)})
+	l.enqueue(queuedPayload{"log", make([]byte, 2*maxQueueBytes)})
 	must.Len(t, 1, l.queue)
-	batch, size, _ := l.take()
+	batch, size, _ := l.nextBatch()
 	must.Len(t, 1, batch)
 	must.Eq(t, 2*maxQueueBytes, size)
-	must.Zero(t, l.bytes)
+	must.Zero(t, l.queuedBytes)
 }
 
 // Story: a peer restarts. Calls to the old connection fail; the link must find
 // the new process by itself and not hammer it meanwhile.
-func TestPeerRestartIsFound(t *testing.T) {
+func TestLinkReconnectsAfterPeerRestart(t *testing.T) {
 	a, b := newInstance(t, "a", Config{}), newInstance(t, "b", Config{})
 	a.SetPeer("b", b.address())
 	a.Send("log", "b", []byte("before"))
-	eventually(t, "the first payload", func() bool { return len(b.got()) == 1 })
+	eventually(t, "the first payload", func() bool { return len(b.delivered()) == 1 })
 	must.NoError(t, b.server.Close())
 	a.Send("log", "b", []byte("lost"))
 	eventually(t, "a failure", func() bool { return a.Stats()["b"].Failures > 0 })
 	b.serve(t, b.address())
 	eventually(t, "a payload after the restart", func() bool {
 		a.Send("log", "b", []byte("after"))
-		got := b.got()
+		got := b.delivered()
 		return strings.HasSuffix(got[len(got)-1], "after")
 	})
 }
 
-func TestBlocksCutBothWays(t *testing.T) {
+func TestBlockedPeerIsBlockedBothWays(t *testing.T) {
 	a, b := newInstance(t, "a", Config{}), newInstance(t, "b", Config{})
 	a.SetPeer("b", b.address())
-	a.blocks.Block("b", true)
+	a.blockedPeers.SetBlocked("b", true)
 	a.Send("log", "b", []byte("blocked by a"))
 	eventually(t, "the drop", func() bool { return a.Stats()["b"].Dropped == 1 })
-	a.blocks.Block("b", false)
-	b.blocks.Block("a", true)
+	a.blockedPeers.SetBlocked("b", false)
+	b.blockedPeers.SetBlocked("a", true)
 	a.Send("log", "b", []byte("blocked by b"))
 	eventually(t, "the call", func() bool { return a.Stats()["b"].Payloads == 1 })
-	b.blocks.Block("a", false)
+	b.blockedPeers.SetBlocked("a", false)
 	a.Send("log", "b", []byte("open"))
-	eventually(t, "the payload", func() bool { return len(b.got()) == 1 })
-	must.Eq(t, []string{"a:open"}, b.got())
+	eventually(t, "the payload", func() bool { return len(b.delivered()) == 1 })
+	must.Eq(t, []string{"a:open"}, b.delivered())
 }
 
 // Story: an address passes to another instance, or a program of another
 // version runs there. Its logs must not take in what isn't meant for them.
-func TestForeignExchangeIsRefused(t *testing.T) {
+func TestExchangeForOtherInstanceOrVersionIsRefused(t *testing.T) {
 	m := NewMux(Config{ID: "b"})
 	for _, r := range []*apiv1.ExchangeRequest{
 		{FormatVersion: FormatVersion, From: "a", To: "c"},
@@ -251,18 +251,18 @@
 	a.SetPeer("c", b.address())
 	a.Send("log", "c", []byte("for c"))
 	eventually(t, "the refusal", func() bool { return a.Stats()["c"].Failures == 1 })
-	must.SliceEmpty(t, b.got())
+	must.SliceEmpty(t, b.delivered())
 }
 
-type fixedStamp struct{ observed chan int64 }
+type fixedClock struct{ observed chan int64 }
 
-func (s fixedStamp) Stamp() (int64, uint32) { return 1234, 5 }
+func (s fixedClock) Timestamp() (int64, uint32) { return 1234, 5 }
 
-func (s fixedStamp) Observe(wallMS int64, logical uint32) { s.observed <- wallMS + int64(logical) }
+func (s fixedClock) Observe(wallMS int64, logical uint32) { s.observed <- wallMS + int64(logical) }
 
-func TestStampsAreCarried(t *testing.T) {
-	s := fixedStamp{make(chan int64, 1)}
-	a, b := newInstance(t, "a", Config{Stamper: s}), newInstance(t, "b", Config{Stamper: s})
+func TestTimestampsAreExchanged(t *testing.T) {
+	s := fixedClock{make(chan int64, 1)}
+	a, b := newInstance(t, "a", Config{Clock: s}), newInstance(t, "b", Config{Clock: s})
 	a.SetPeer("b", b.address())
 	a.Send("log", "b", []byte("1"))
 	must.Eq(t, 1239, <-s.observed)
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -19,34 +19,34 @@
 // one too long for that is passed on while it arrives, and the caller's
 // connection is aborted when it is cut. An answer whose end can't be told from
 // a broken connection counts as cut.
-func (c *call) answer(ctx context.Context, send *sending, resp *http.Response) (done bool) {
-	if resp.StatusCode == http.StatusSwitchingProtocols || !endKnown(resp) {
-		return c.end(routing.Broken, true)
+func (c *call) forwardResponse(ctx context.Context, guard *writeGuard, resp *http.Response) (done bool) {
+	if resp.StatusCode == http.StatusSwitchingProtocols || !isSelfDelimited(resp) {
+		return c.finishOrRetry(routing.Broken, true)
 	}
-	head, err := io.ReadAll(io.LimitReader(resp.Body, int64(c.h.cfg.AnswerBuffer)))
+	prefix, err := io.ReadAll(io.LimitReader(resp.Body, int64(c.h.cfg.ResponseBuffer)))
 	if err != nil {
-		return c.lost(ctx, send)
+		return c.finishWithoutResponse(ctx, guard)
 	}
-	if len(head) == c.h.cfg.AnswerBuffer {
-		c.stream(ctx, send, resp, head)
+	if len(prefix) == c.h.cfg.ResponseBuffer {
+		c.streamResponse(ctx, guard, resp, prefix)
 		return true
 	}
-	if c.retryAnswer(resp.StatusCode) {
+	if c.retryUnavailable(resp.StatusCode) {
 		return false
 	}
-	c.finish(answerOutcome(resp.StatusCode))
-	c.writeHead(resp)
+	c.finish(responseOutcome(resp.StatusCode))
+	c.copyHeader(resp)
 	if bodyAllowed(c.r.Method, resp.StatusCode) {
-		c.w.Header().Set("Content-Length", strconv.Itoa(len(head)))
+		c.w.Header().Set("Content-Length", strconv.Itoa(len(prefix)))
 	}
 	c.w.WriteHeader(resp.StatusCode)
 	// An error means that the caller is gone.
-	_, _ = c.w.Write(head)
+	_, _ = c.w.Write(prefix)
 	return true
 }
 
-// endKnown says whether the end of the body is marked, by length or by chunks.
-func endKnown(resp *http.Response) bool {
+// isSelfDelimited says whether the end of the body is marked, by length or by chunks.
+func isSelfDelimited(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || slices.Contains(resp.TransferEncoding, "chunked") ||
 		!bodyAllowed(resp.Request.Method, resp.StatusCode)
 }
@@ -55,42 +55,42 @@
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// minionFailed says whether the status tells of a failure of the minion.
-func minionFailed(status int) bool { return status >= http.StatusInternalServerError }
+// isServerError says whether the status tells of a failure of the minion.
+func isServerError(status int) bool { return status >= http.StatusInternalServerError }
 
-func answerOutcome(status int) routing.Outcome {
-	if minionFailed(status) {
+func responseOutcome(status int) routing.Outcome {
+	if isServerError(status) {
 		return routing.AnsweredFailure
 	}
 	return routing.Answered
 }
 
-// retryAnswer queues an idempotent call again when the minion says that it
+// retryUnavailable queues an idempotent call again when the minion says that it
 // can't serve. It returns false when the answer must be passed on.
-func (c *call) retryAnswer(status int) bool {
-	cannot := status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
-	if !cannot || !c.request.Idempotent {
+func (c *call) retryUnavailable(status int) bool {
+	unavailable := status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
+	if !unavailable || !c.request.Idempotent {
 		return false
 	}
-	again := false
-	c.h.locked(func(b *routing.Balancer, now time.Duration) {
+	retried := false
+	c.h.withBalancer(func(b *routing.Balancer, now time.Duration) {
 		b.Finish(c.ticket, routing.AnsweredFailure, now)
-		again = b.Retry(c.ticket, routing.AnsweredFailure, now)
+		retried = b.Retry(c.ticket, routing.AnsweredFailure, now)
 	})
-	if again {
+	if retried {
 		c.h.stats.retries.Add(1)
 	}
-	return again
+	return retried
 }
 
 // finish frees the slot; a second call does nothing.
 func (c *call) finish(o routing.Outcome) {
-	c.h.locked(func(b *routing.Balancer, now time.Duration) { b.Finish(c.ticket, o, now) })
-	c.h.stats.outcome(o)
+	c.h.withBalancer(func(b *routing.Balancer, now time.Duration) { b.Finish(c.ticket, o, now) })
+	c.h.stats.countOutcome(o)
 }
 
-// writeHead copies the minion's headers.
-func (c *call) writeHead(resp *http.Response) {
+// copyHeader copies the minion's headers.
+func (c *call) copyHeader(resp *http.Response) {
 	h := c.w.Header()
 	for name, values := range resp.Header {
 		h[name] = values
@@ -101,15 +101,15 @@
 }
 
 // stream passes a long answer on while it arrives.
-func (c *call) stream(ctx context.Context, send *sending, resp *http.Response, head []byte) {
-	c.patience.Stop()
+func (c *call) streamResponse(ctx context.Context, guard *writeGuard, resp *http.Response, prefix []byte) {
+	c.attemptTimer.Stop()
 	control := http.NewResponseController(c.w)
 	// Test recorders have no deadlines.
-	_ = control.SetWriteDeadline(time.Now().Add(c.left()))
-	c.writeHead(resp)
+	_ = control.SetWriteDeadline(time.Now().Add(c.remaining()))
+	c.copyHeader(resp)
 	c.w.WriteHeader(resp.StatusCode)
-	body := &watchedReader{Reader: resp.Body}
-	_, err := c.w.Write(head)
+	body := &errRecordingReader{Reader: resp.Body}
+	_, err := c.w.Write(prefix)
 	if err == nil {
 		_, err = io.Copy(c.w, body)
 	}
@@ -118,27 +118,27 @@
 		_ = control.SetWriteDeadline(time.Time{})
 		return
 	}
-	c.finish(c.streamOutcome(ctx, send, body))
+	c.finish(c.streamOutcome(ctx, guard, body))
 	c.h.stats.aborted.Add(1)
 	panic(http.ErrAbortHandler)
 }
 
 // streamOutcome tells a minion that cut its answer from a caller that stopped reading.
-func (c *call) streamOutcome(ctx context.Context, send *sending, body *watchedReader) routing.Outcome {
+func (c *call) streamOutcome(ctx context.Context, guard *writeGuard, body *errRecordingReader) routing.Outcome {
 	if body.err != nil && body.err != io.EOF {
-		return c.lostOutcome(ctx, send)
+		return c.failureOutcome(ctx, guard)
 	}
 	return routing.Abandoned
 }
 
-// watchedReader remembers the error of its reader.
-type watchedReader struct {
+// errRecordingReader remembers the error of its reader.
+type errRecordingReader struct {
 	io.Reader
 	err error
 }
 
 // Read reads and keeps the error.
-func (r *watchedReader) Read(p []byte) (int, error) {
+func (r *errRecordingReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if err != nil {
 		r.err = err
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -15,16 +15,16 @@
 // BenchmarkAddedLatency measures one caller after the other, to the minion
 // itself and through the handler.
 func BenchmarkAddedLatency(b *testing.B) {
-	h := startHall(b, nil)
+	h := startTestCluster(b, nil)
 	m := startMinion(b, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
 	h.announce(m)
-	urls := map[string]string{"direct": m.server.URL, "proxied": h.front.URL + Prefix + testService}
-	for _, way := range []string{"direct", "proxied"} {
-		b.Run(way, func(b *testing.B) {
+	urls := map[string]string{"direct": m.server.URL, "proxied": h.server.URL + Prefix + testService}
+	for _, route := range []string{"direct", "proxied"} {
+		b.Run(route, func(b *testing.B) {
 			times := hdrhistogram.New(1, time.Second.Microseconds(), 3)
 			for b.Loop() {
 				begin := time.Now()
-				get(b, urls[way]+"/tag")
+				get(b, urls[route]+"/tag")
 				_ = times.RecordValue(time.Since(begin).Microseconds())
 			}
 			b.ReportMetric(float64(times.ValueAtQuantile(50)), "p50-µs")
@@ -33,12 +33,12 @@
 	}
 }
 
-// callersAtOnce is under the slots of the minions.
-const callersAtOnce = 48
+// concurrentCallers is under the slots of the minions.
+const concurrentCallers = 48
 
 // BenchmarkThroughput measures many callers at once on ten minions.
 func BenchmarkThroughput(b *testing.B) {
-	h := startHall(b, func(c *Config) {
+	h := startTestCluster(b, func(c *Config) {
 		c.Balancer = routing.NewBalancer(routing.Options{Entry: "e1", Incarnation: 1, MaxWait: 5 * time.Second})
 	})
 	for range 10 {
@@ -46,10 +46,10 @@
 	}
 	work := make(chan struct{})
 	var callers sync.WaitGroup
-	for range callersAtOnce {
+	for range concurrentCallers {
 		callers.Go(func() {
 			for range work {
-				if got := h.call(nil, http.MethodGet, "/tag", nil); got.status != http.StatusOK {
+				if got := h.do(nil, http.MethodGet, "/tag", nil); got.status != http.StatusOK {
 					b.Error(got.status, got.err, got.body)
 				}
 			}
--- a/internal/proxy/cluster_test.go
+++ b/internal/proxy/cluster_test.go
@@ -21,8 +21,8 @@
 // An inspector waits for an answer that never comes: the minion accepts the
 // request and says nothing. An idempotent one is answered by another minion,
 // the other gets its final answer by its deadline.
-func TestHangingMinion(t *testing.T) {
-	h := startHall(t, nil)
+func TestRequestToHangingMinionEndsByItsDeadline(t *testing.T) {
+	h := startTestCluster(t, nil)
 	release := make(chan struct{})
 	defer close(release)
 	h.announce(startMinion(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -32,31 +32,31 @@
 		}
 	}))
 	header := http.Header{HeaderDeadline: {"200"}}
-	must.Eq(t, fault.Unknown.String(), h.call(header, http.MethodGet, "/x", nil).kind)
+	must.Eq(t, fault.Unknown.String(), h.do(header, http.MethodGet, "/x", nil).kind)
 	h.announce(startMinion(t, func(http.ResponseWriter, *http.Request) {}))
 	header = http.Header{HeaderDeadline: {"4000"}, HeaderIdempotent: {"true"}}
 	for range 4 {
-		must.Eq(t, http.StatusOK, h.call(header, http.MethodGet, "/x", nil).status)
+		must.Eq(t, http.StatusOK, h.do(header, http.MethodGet, "/x", nil).status)
 	}
 }
 
 // Refused callers come back together and are refused together.
-func TestRefusedCallersAreSpread(t *testing.T) {
-	h := startHall(t, func(c *Config) {
+func TestRetryAfterOfRefusedCallersIsSpread(t *testing.T) {
+	h := startTestCluster(t, func(c *Config) {
 		c.Balancer = routing.NewBalancer(routing.Options{Entry: "e1", Incarnation: 1, SlowStart: time.Nanosecond})
 	})
-	goOn := make(chan struct{})
-	h.announce(startMinion(t, func(http.ResponseWriter, *http.Request) { <-goOn }))
+	unblock := make(chan struct{})
+	h.announce(startMinion(t, func(http.ResponseWriter, *http.Request) { <-unblock }))
 	var callers sync.WaitGroup
 	for range testSlots {
-		callers.Go(func() { h.call(nil, http.MethodGet, "/x", nil) })
+		callers.Go(func() { h.do(nil, http.MethodGet, "/x", nil) })
 	}
 	for h.handler.Stats().Running < testSlots {
 		time.Sleep(time.Millisecond)
 	}
-	times := make(map[string]bool)
+	retryAfters := make(map[string]bool)
 	for range 10 {
-		req, err := http.NewRequest(http.MethodGet, h.front.URL+Prefix+testService+"/x", nil)
+		req, err := http.NewRequest(http.MethodGet, h.server.URL+Prefix+testService+"/x", nil)
 		must.NoError(t, err)
 		req.Header.Set(HeaderDeadline, "60")
 		resp, err := http.DefaultClient.Do(req)
@@ -66,65 +66,65 @@
 		seconds, err := strconv.Atoi(resp.Header.Get(fault.HeaderRetryAfter))
 		must.NoError(t, err)
 		must.Positive(t, seconds)
-		times[resp.Header.Get(HeaderRetryAfterMs)] = true
+		retryAfters[resp.Header.Get(HeaderRetryAfterMs)] = true
 	}
-	must.Greater(t, 7, len(times))
-	close(goOn)
+	must.Greater(t, 7, len(retryAfters))
+	close(unblock)
 	callers.Wait()
 }
 
 // instance is one entry process of a cluster.
-type instance struct {
+type entryProcess struct {
 	handler *Handler
-	front   *httptest.Server
+	server  *httptest.Server
 	stop    context.CancelFunc
 }
 
-func startInstance(leader *Leader, id string, incarnation uint64) *instance {
-	i := &instance{handler: New(Config{
+func startEntryProcess(leader *Leader, id string, incarnation uint64) *entryProcess {
+	i := &entryProcess{handler: New(Config{
 		Balancer:     routing.NewBalancer(routing.Options{Entry: id, Incarnation: incarnation, Seed: incarnation}),
 		Authenticate: func(*http.Request) (string, error) { return "c", nil },
 	})}
-	i.front = httptest.NewServer(i.handler)
+	i.server = httptest.NewServer(i.handler)
 	ctx, stop := context.WithCancel(context.Background())
 	i.stop = stop
-	go i.handler.ShareSlots(ctx, func(_ context.Context, r *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error) {
-		return leader.Share(r)
+	go i.handler.RenewSlotLeases(ctx, func(_ context.Context, r *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error) {
+		return leader.Allocate(r)
 	})
 	return i
 }
 
 // kill ends an instance without a word to the leader.
-func (i *instance) kill() {
-	i.front.CloseClientConnections()
+func (i *entryProcess) kill() {
+	i.server.CloseClientConnections()
 	i.stop()
-	i.front.Close()
+	i.server.Close()
 }
 
 // Entry instances are killed and started again under load, over real sockets.
 // No minion may ever see more requests than its slots.
-func TestRestartsUnderLoadKeepSlots(t *testing.T) {
+func TestEntryRestartsUnderLoadNeverExceedSlots(t *testing.T) {
 	const entries, minions, callersEach, restarts = 3, 4, 20, 3
 	leader := NewLeader(routing.LeaseOptions{}, nil)
-	leader.divider.Lead(1, nil, -time.Hour)
+	leader.allocator.Lead(1, nil, -time.Hour)
 	var fakes []*fakeMinion
 	for range minions {
 		fakes = append(fakes, startMinion(t, func(http.ResponseWriter, *http.Request) { time.Sleep(5 * time.Millisecond) }))
 	}
-	var fronts [entries]atomic.Pointer[instance]
-	boot := func(i int, incarnation uint64) {
-		fronts[i].Store(startInstance(leader, fmt.Sprint("e", i), incarnation))
+	var processes [entries]atomic.Pointer[entryProcess]
+	restart := func(i int, incarnation uint64) {
+		processes[i].Store(startEntryProcess(leader, fmt.Sprint("e", i), incarnation))
 	}
 	for i := range entries {
-		boot(i, 1)
+		restart(i, 1)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() {
 		for ctx.Err() == nil {
-			for i := range fronts {
+			for i := range processes {
 				for n, m := range fakes {
-					fronts[i].Load().handler.Announce(&apiv1.AnnounceRequest{
+					processes[i].Load().handler.Announce(&apiv1.AnnounceRequest{
 						Minion: fmt.Sprint("m", n), Service: testService, Address: m.address,
 						Slots: testSlots, MaxConnections: 60, Incarnation: 1,
 					})
@@ -133,36 +133,36 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 	})
-	var good atomic.Int64
+	var answered atomic.Int64
 	for n := range entries * callersEach {
 		running.Go(func() {
 			for ctx.Err() == nil {
-				resp, err := http.Get(fronts[n%entries].Load().front.URL + Prefix + testService + "/x")
+				resp, err := http.Get(processes[n%entries].Load().server.URL + Prefix + testService + "/x")
 				if err != nil {
 					time.Sleep(time.Millisecond)
 					continue
 				}
 				resp.Body.Close()
 				if resp.StatusCode == http.StatusOK {
-					good.Add(1)
+					answered.Add(1)
 				}
 			}
 		})
 	}
 	for r := range restarts {
 		time.Sleep(300 * time.Millisecond)
-		fronts[r%entries].Load().kill()
-		boot(r%entries, uint64(r+2))
+		processes[r%entries].Load().kill()
+		restart(r%entries, uint64(r+2))
 	}
 	time.Sleep(1500 * time.Millisecond)
 	stop()
 	running.Wait()
-	for i := range fronts {
-		fronts[i].Load().kill()
+	for i := range processes {
+		processes[i].Load().kill()
 	}
-	must.Positive(t, good.Load())
+	must.Positive(t, answered.Load())
 	for _, m := range fakes {
-		must.LessEq(t, int64(testSlots), m.most.Load())
+		must.LessEq(t, int64(testSlots), m.maxRunning.Load())
 	}
-	t.Logf("%d requests answered", good.Load())
+	t.Logf("%d requests answered", answered.Load())
 }
