--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -15,9 +15,9 @@
 
 // Reasons for which a request was not written to a connection.
 var (
-	errLeaseEnded = errors.New("slot lease ended before the request was written")
-	errSentBefore = errors.New("request was already written to another connection")
-	errNoSending  = errors.New("connection is used by no request")
+	errLeaseExpired = errors.New("slot lease ended before the request was written")
+	errAlreadySent  = errors.New("request was already written to another connection")
+	errNoRequest    = errors.New("connection is used by no request")
 )
 
 // sending watches over the bytes of one attempt.
@@ -27,53 +27,53 @@
 // its slot lease ended. The minion then runs the request twice, or runs more
 // than its slots. Guard: every write of a request passes permit, which lets it
 // begin on one connection only and not after the lease.
-type sending struct {
+type writeGuard struct {
 	now        func() time.Duration
 	validUntil time.Duration
 
-	mu    sync.Mutex
-	begun *guardedConn
-	late  bool
+	mu       sync.Mutex
+	usedConn *guardedConn
+	expired  bool
 }
 
 // permit says whether the attempt may write to the connection.
-func (s *sending) permit(c *guardedConn) error {
+func (s *writeGuard) allowWrite(c *guardedConn) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.begun == c {
+	if s.usedConn == c {
 		return nil
 	}
-	if s.begun != nil {
-		return errSentBefore
+	if s.usedConn != nil {
+		return errAlreadySent
 	}
 	if s.now() >= s.validUntil {
-		s.late = true
-		return errLeaseEnded
+		s.expired = true
+		return errLeaseExpired
 	}
-	s.begun = c
+	s.usedConn = c
 	return nil
 }
 
 // wrote says whether any byte of the request may have left.
-func (s *sending) wrote() bool {
+func (s *writeGuard) wrote() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.begun != nil
+	return s.usedConn != nil
 }
 
-// wasLate says whether the lease ended before the first byte.
-func (s *sending) wasLate() bool {
+// expiredUnsent says whether the lease ended before the first byte.
+func (s *writeGuard) expiredUnsent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.late
+	return s.expired
 }
 
 // trace hands the connection that the transport picked to the sending.
-func (s *sending) trace(ctx context.Context) context.Context {
+func (s *writeGuard) attachToConn(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			if c, ok := info.Conn.(*guardedConn); ok {
-				c.sending.Store(s)
+				c.guard.Store(s)
 			}
 		},
 	})
@@ -82,18 +82,18 @@
 // guardedConn is a connection to a minion that asks before it writes.
 type guardedConn struct {
 	net.Conn
-	sending atomic.Pointer[sending]
+	guard   atomic.Pointer[writeGuard]
 	closed  sync.Once
 	onClose func()
 }
 
 // Write writes for the attempt that holds the connection.
 func (c *guardedConn) Write(p []byte) (int, error) {
-	s := c.sending.Load()
+	s := c.guard.Load()
 	if s == nil {
-		return 0, errNoSending
+		return 0, errNoRequest
 	}
-	if err := s.permit(c); err != nil {
+	if err := s.allowWrite(c); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
@@ -131,7 +131,7 @@
 }
 
 // guard wraps the connections of a dialer.
-func guard(dial rpc.Dial, counter *connCounter) rpc.Dial {
+func guardDial(dial rpc.Dial, counter *connCounter) rpc.Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
--- a/internal/proxy/header.go
+++ b/internal/proxy/header.go
@@ -39,8 +39,8 @@
 	"Expect",
 }
 
-// timeLeft reads the deadline header. Without one the request gets fallback.
-func timeLeft(h http.Header, fallback time.Duration, wall time.Time) (time.Duration, error) {
+// parseDeadline reads the deadline header. Without one the request gets fallback.
+func parseDeadline(h http.Header, fallback time.Duration, wallNow time.Time) (time.Duration, error) {
 	text := h.Get(HeaderDeadline)
 	if text == "" {
 		return fallback, nil
@@ -50,13 +50,13 @@
 		return 0, fault.Field(HeaderDeadline, "want milliseconds, got %q", text)
 	}
 	if ms >= firstUnixMs {
-		return time.UnixMilli(ms).Sub(wall), nil
+		return time.UnixMilli(ms).Sub(wallNow), nil
 	}
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
 // idempotent reads the idempotency header.
-func idempotent(h http.Header) (bool, error) {
+func parseIdempotent(h http.Header) (bool, error) {
 	text := h.Get(HeaderIdempotent)
 	if text == "" {
 		return false, nil
@@ -82,12 +82,12 @@
 
 // requestHeader returns what the minion gets of the caller's header. The
 // caller's token is for us and stays here.
-func requestHeader(r *http.Request, customer string, left time.Duration) http.Header {
+func requestHeader(r *http.Request, customer string, remaining time.Duration) http.Header {
 	h := r.Header.Clone()
 	removeHopHeaders(h)
 	h.Del("Authorization")
 	h.Set(HeaderCustomer, customer)
-	h.Set(HeaderDeadline, strconv.FormatInt(max(0, left.Milliseconds()), 10))
+	h.Set(HeaderDeadline, strconv.FormatInt(max(0, remaining.Milliseconds()), 10))
 	if _, ok := h["User-Agent"]; !ok {
 		// An empty value keeps the transport from adding its own.
 		h.Set("User-Agent", "")
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -24,14 +24,14 @@
 
 // Defaults of Config.
 const (
-	defaultMaxBody      = 1 << 20
-	defaultMaxBuffered  = 16 << 20
-	defaultAnswerBuffer = 64 << 10
-	defaultMaxEntries   = 9
-	defaultTimeout      = 10 * time.Second
-	dialTimeout         = time.Second
-	idleConnTimeout     = 15 * time.Second
-	maxHeaderBytes      = 64 << 10
+	defaultMaxBody        = 1 << 20
+	defaultMaxBuffered    = 16 << 20
+	defaultResponseBuffer = 64 << 10
+	defaultMaxEntries     = 9
+	defaultTimeout        = 10 * time.Second
+	dialTimeout           = time.Second
+	idleConnTimeout       = 15 * time.Second
+	maxHeaderBytes        = 64 << 10
 )
 
 // Config sets up a Handler. Balancer and Authenticate are required.
@@ -44,9 +44,9 @@
 	MaxBody int64
 	// MaxBuffered is how many bytes of request bodies are held in all.
 	MaxBuffered int64
-	// AnswerBuffer is how many bytes of an answer are held back until it is
+	// ResponseBuffer is how many bytes of an answer are held back until it is
 	// whole. A longer one is passed on while it arrives.
-	AnswerBuffer int
+	ResponseBuffer int
 	// MaxEntries is how many entry instances share the connections of a minion.
 	MaxEntries int
 	// Timeout is the time of a request without a deadline.
@@ -65,8 +65,8 @@
 	if c.MaxBuffered <= 0 {
 		c.MaxBuffered = defaultMaxBuffered
 	}
-	if c.AnswerBuffer <= 0 {
-		c.AnswerBuffer = defaultAnswerBuffer
+	if c.ResponseBuffer <= 0 {
+		c.ResponseBuffer = defaultResponseBuffer
 	}
 	if c.MaxEntries <= 0 {
 		c.MaxEntries = defaultMaxEntries
@@ -94,14 +94,14 @@
 
 // Handler serves /s/<service>/<path> from the minions of the service.
 type Handler struct {
-	cfg       Config
-	transport *http.Transport
-	conns     *connCounter
-	buffered  atomic.Int64
-	stats     *stats
-	wake      chan struct{}
-	// shareFailing says that the last slot request failed.
-	shareFailing atomic.Bool
+	cfg           Config
+	transport     *http.Transport
+	conns         *connCounter
+	bufferedBytes atomic.Int64
+	stats         *stats
+	wake          chan struct{}
+	// slotRequestsFailing says that the last slot request failed.
+	slotRequestsFailing atomic.Bool
 
 	mu       sync.Mutex // guards the Balancer and the fields below
 	balancer *routing.Balancer
@@ -122,24 +122,24 @@
 		drained:  make(chan struct{}),
 	}
 	h.transport = &http.Transport{
-		DialContext:            guard(cfg.Dial, h.conns),
+		DialContext:            guardDial(cfg.Dial, h.conns),
 		DisableCompression:     true,
-		MaxIdleConnsPerHost:    idleLimit,
+		MaxIdleConnsPerHost:    defaultMaxIdleConns,
 		IdleConnTimeout:        idleConnTimeout,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
 	return h
 }
 
-// idleLimit bounds the idle connections of one minion where it names no limit.
-const idleLimit = 8
+// defaultMaxIdleConns bounds the idle connections of one minion where it names no limit.
+const defaultMaxIdleConns = 8
 
 // waiter is woken when a ticket leaves the queue.
 type waiter struct{ woken chan struct{} }
 
 // locked runs f on the Balancer, wakes whom it concerns and asks for slots if
 // f left that urgent.
-func (h *Handler) locked(f func(b *routing.Balancer, now time.Duration)) {
+func (h *Handler) withBalancer(f func(b *routing.Balancer, now time.Duration)) {
 	h.mu.Lock()
 	f(h.balancer, h.cfg.Now())
 	changed := h.balancer.TakeChanged()
@@ -152,11 +152,11 @@
 		}
 	}
 	if urgent {
-		h.wakeSharing()
+		h.wakeSlotRequests()
 	}
 }
 
-func (h *Handler) wakeSharing() {
+func (h *Handler) wakeSlotRequests() {
 	select {
 	case h.wake <- struct{}{}:
 	default:
@@ -165,14 +165,14 @@
 
 // ServeHTTP carries one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	h.enter()
-	defer h.leave()
+	h.beginRequest()
+	defer h.endRequest()
 	c, err := h.newCall(w, r)
 	if err != nil {
 		h.fail(w, err)
 		return
 	}
-	defer c.release()
+	defer c.releaseBody()
 	if err := c.readBody(); err != nil {
 		h.fail(w, err)
 		return
@@ -182,18 +182,18 @@
 
 // fail answers with a fault and counts it.
 func (h *Handler) fail(w http.ResponseWriter, err error) {
-	h.stats.fault(fault.KindOf(err))
+	h.stats.countFault(fault.KindOf(err))
 	writeFault(w, err)
 }
 
-func (h *Handler) enter() {
+func (h *Handler) beginRequest() {
 	h.mu.Lock()
 	h.active++
 	h.mu.Unlock()
 	h.stats.requests.Add(1)
 }
 
-func (h *Handler) leave() {
+func (h *Handler) endRequest() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.active--
@@ -214,7 +214,7 @@
 
 // StopAccepting refuses new requests from now on; those in progress go on.
 func (h *Handler) StopAccepting() {
-	h.locked(func(b *routing.Balancer, _ time.Duration) { b.StopAccepting() })
+	h.withBalancer(func(b *routing.Balancer, _ time.Duration) { b.StopAccepting() })
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.draining = true
@@ -222,7 +222,7 @@
 }
 
 // Wait returns when StopAccepting was called and no request is in progress, or
-// with the error of ctx. The slots go back when the context of ShareSlots ends.
+// with the error of ctx. The slots go back when the context of RenewSlotLeases ends.
 func (h *Handler) Wait(ctx context.Context) error {
 	select {
 	case <-h.drained:
--- a/internal/proxy/share.go
+++ b/internal/proxy/share.go
@@ -12,86 +12,86 @@
 
 // Times of the slot requests of an entry instance.
 const (
-	shareEvery   = 500 * time.Millisecond
-	shareGap     = 100 * time.Millisecond
-	shareTimeout = time.Second
+	slotRequestInterval   = 500 * time.Millisecond
+	minSlotRequestBackoff = 100 * time.Millisecond
+	slotRequestTimeout    = time.Second
 )
 
-// ShareCall sends a slot request to the leader of the data centre.
-type ShareCall func(ctx context.Context, req *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error)
+// SlotRequestFunc sends a slot request to the leader of the data centre.
+type SlotRequestFunc func(ctx context.Context, req *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error)
 
-// ShareSlots renews the slot leases until ctx ends, and hands the slots back
+// RenewSlotLeases renews the slot leases until ctx ends, and hands the slots back
 // then if the handler is drained. After an error the next renewal follows in
 // its time.
-func (h *Handler) ShareSlots(ctx context.Context, call ShareCall) {
-	gap := shareGap
+func (h *Handler) RenewSlotLeases(ctx context.Context, call SlotRequestFunc) {
+	backoff := minSlotRequestBackoff
 	for ctx.Err() == nil {
-		again, grew := h.shareOnce(ctx, call)
-		gap = nextGap(gap, grew)
-		h.pause(ctx, again, gap)
+		followUp, grew := h.requestSlots(ctx, call)
+		backoff = nextBackoff(backoff, grew)
+		h.waitForNextRequest(ctx, followUp, backoff)
 	}
-	if !h.stopped() {
+	if !h.isDraining() {
 		return
 	}
-	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), shareTimeout)
+	finalCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), slotRequestTimeout)
 	defer cancel()
-	h.shareOnce(last, call)
+	h.requestSlots(finalCtx, call)
 }
 
-func (h *Handler) stopped() bool {
+func (h *Handler) isDraining() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.draining
 }
 
-// nextGap makes urgent requests rarer while they bring nothing, as under
+// nextBackoff makes urgent requests rarer while they bring nothing, as under
 // overload, where all slots are given out. One that brings slots makes the next
 // ones more frequent by the square of that.
-func nextGap(gap time.Duration, grew bool) time.Duration {
+func nextBackoff(backoff time.Duration, grew bool) time.Duration {
 	if grew {
-		return max(shareGap, gap/4)
+		return max(minSlotRequestBackoff, backoff/4)
 	}
-	return min(shareEvery, 2*gap)
+	return min(slotRequestInterval, 2*backoff)
 }
 
 // pause waits for the next renewal, or for the gap when there is need earlier.
-func (h *Handler) pause(ctx context.Context, again bool, gap time.Duration) {
-	if again {
+func (h *Handler) waitForNextRequest(ctx context.Context, followUp bool, backoff time.Duration) {
+	if followUp {
 		return
 	}
-	early := time.NewTimer(gap)
-	defer early.Stop()
+	backoffTimer := time.NewTimer(backoff)
+	defer backoffTimer.Stop()
 	select {
-	case <-early.C:
+	case <-backoffTimer.C:
 	case <-ctx.Done():
 		return
 	}
-	regular := time.NewTimer(shareEvery - gap)
-	defer regular.Stop()
+	intervalTimer := time.NewTimer(slotRequestInterval - backoff)
+	defer intervalTimer.Stop()
 	select {
 	case <-h.wake:
-	case <-regular.C:
+	case <-intervalTimer.C:
 	case <-ctx.Done():
 	}
 }
 
-// shareOnce makes one slot request. It returns whether the next should follow
+// requestSlots makes one slot request. It returns whether the next should follow
 // at once and whether the slots grew.
-func (h *Handler) shareOnce(ctx context.Context, call ShareCall) (again, grew bool) {
-	ctx, cancel := context.WithTimeout(ctx, shareTimeout)
+func (h *Handler) requestSlots(ctx context.Context, call SlotRequestFunc) (followUp, grew bool) {
+	ctx, cancel := context.WithTimeout(ctx, slotRequestTimeout)
 	defer cancel()
-	resp, err := call(ctx, h.Demand())
-	h.noteShare(err)
+	resp, err := call(ctx, h.NextSlotRequest())
+	h.logSlotRequestState(err)
 	if err != nil {
 		return false, false
 	}
-	return h.Granted(resp)
+	return h.HandleSlotResponse(resp)
 }
 
-// noteShare logs when slot requests begin to fail and when they work again.
-func (h *Handler) noteShare(err error) {
+// logSlotRequestState logs when slot requests begin to fail and when they work again.
+func (h *Handler) logSlotRequestState(err error) {
 	failing := err != nil
-	if h.shareFailing.Swap(failing) == failing {
+	if h.slotRequestsFailing.Swap(failing) == failing {
 		return
 	}
 	state := "renewed"
@@ -103,34 +103,34 @@
 }
 
 // Demand builds the next slot request, to be sent at once.
-func (h *Handler) Demand() *apiv1.ShareSlotsRequest {
+func (h *Handler) NextSlotRequest() *apiv1.ShareSlotsRequest {
 	var req routing.SlotRequest
-	h.locked(func(b *routing.Balancer, now time.Duration) { req = b.NextSlotRequest(now) })
+	h.withBalancer(func(b *routing.Balancer, now time.Duration) { req = b.NextSlotRequest(now) })
 	return RequestToWire(req)
 }
 
 // Granted takes the answer to a slot request. It returns whether the next
 // request should follow at once and whether the slots grew.
-func (h *Handler) Granted(resp *apiv1.ShareSlotsResponse) (again, grew bool) {
-	h.locked(func(b *routing.Balancer, now time.Duration) {
-		before := b.GrantedSlots()
-		again = b.HandleSlotResponse(ResponseFromWire(resp), now)
-		grew = b.GrantedSlots() > before
+func (h *Handler) HandleSlotResponse(resp *apiv1.ShareSlotsResponse) (followUp, grew bool) {
+	h.withBalancer(func(b *routing.Balancer, now time.Duration) {
+		slotsBefore := b.GrantedSlots()
+		followUp = b.HandleSlotResponse(ResponseFromWire(resp), now)
+		grew = b.GrantedSlots() > slotsBefore
 	})
-	return again, grew
+	return followUp, grew
 }
 
 // Announce takes a minion's announcement; the leader gets it with the next
 // slot request.
 func (h *Handler) Announce(a *apiv1.AnnounceRequest) {
-	h.locked(func(b *routing.Balancer, now time.Duration) {
+	h.withBalancer(func(b *routing.Balancer, now time.Duration) {
 		b.Announce(AnnouncementFromWire(a), now)
 	})
 }
 
 // Leave takes a minion out of use at once.
 func (h *Handler) Leave(req *apiv1.LeaveMinionRequest) {
-	h.locked(func(b *routing.Balancer, now time.Duration) {
+	h.withBalancer(func(b *routing.Balancer, now time.Duration) {
 		b.Leave(req.GetMinion(), req.GetIncarnation(), now)
 	})
 }
@@ -138,9 +138,9 @@
 // Leader divides the slots of a data centre; it belongs to the leader's
 // process. It is safe for concurrent use.
 type Leader struct {
-	mu      sync.Mutex
-	divider *routing.Allocator
-	now     func() time.Duration
+	mu        sync.Mutex
+	allocator *routing.Allocator
+	now       func() time.Duration
 }
 
 // NewLeader returns a Leader that answers nothing until Lead.
@@ -148,31 +148,31 @@
 	if now == nil {
 		now = MonotonicClock()
 	}
-	return &Leader{divider: routing.NewAllocator(opts), now: now}
+	return &Leader{allocator: routing.NewAllocator(opts), now: now}
 }
 
 // Lead begins a leadership; see routing.Divider.Lead.
 func (l *Leader) Lead(term uint64, entries []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.divider.Lead(term, entries, l.now())
+	l.allocator.Lead(term, entries, l.now())
 }
 
 // Resign ends the leadership.
 func (l *Leader) Resign() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.divider.Resign()
+	l.allocator.Resign()
 }
 
 // Share answers a slot request. Its error is Unavailable.
-func (l *Leader) Share(req *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error) {
+func (l *Leader) Allocate(req *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error) {
 	if req.GetEntry() == "" {
 		return nil, fault.Field("entry", "missing")
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	resp, err := l.divider.Allocate(RequestFromWire(req), l.now())
+	resp, err := l.allocator.Allocate(RequestFromWire(req), l.now())
 	if err != nil {
 		return nil, fault.New(fault.Unavailable, "%v", err)
 	}
@@ -183,5 +183,5 @@
 func (l *Leader) Minions() []routing.Announcement {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.divider.Minions()
+	return l.allocator.Minions()
 }
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	longestWait = time.Minute
-	waitDigits  = 2
+	maxRecordedWait       = time.Minute
+	waitSignificantDigits = 2
 )
 
 // stats counts what the Handler did.
 type stats struct {
-	requests atomic.Uint64
-	answered atomic.Uint64
-	retries  atomic.Uint64
-	gone     atomic.Uint64
-	aborted  atomic.Uint64
+	requests    atomic.Uint64
+	answered    atomic.Uint64
+	retries     atomic.Uint64
+	callersGone atomic.Uint64
+	aborted     atomic.Uint64
 
 	mu     sync.Mutex
 	faults map[string]uint64
@@ -32,25 +32,25 @@
 func newStats() *stats {
 	return &stats{
 		faults: make(map[string]uint64),
-		waits:  hdrhistogram.New(1, longestWait.Microseconds(), waitDigits),
+		waits:  hdrhistogram.New(1, maxRecordedWait.Microseconds(), waitSignificantDigits),
 	}
 }
 
-func (s *stats) fault(kind fault.Kind) {
+func (s *stats) countFault(kind fault.Kind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults[kind.String()]++
 }
 
-func (s *stats) waited(wait time.Duration) {
-	micros := min(max(1, wait.Microseconds()), longestWait.Microseconds())
+func (s *stats) recordWait(wait time.Duration) {
+	micros := min(max(1, wait.Microseconds()), maxRecordedWait.Microseconds())
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	// The value is within the bounds of the histogram, so there is no error.
 	_ = s.waits.RecordValue(micros)
 }
 
-func (s *stats) outcome(o routing.Outcome) {
+func (s *stats) countOutcome(o routing.Outcome) {
 	if o == routing.Answered || o == routing.AnsweredFailure || o == routing.Streamed {
 		s.answered.Add(1)
 	}
@@ -84,7 +84,7 @@
 		Requests:    h.stats.requests.Load(),
 		Answered:    h.stats.answered.Load(),
 		Retries:     h.stats.retries.Load(),
-		CallersGone: h.stats.gone.Load(),
+		CallersGone: h.stats.callersGone.Load(),
 		Aborted:     h.stats.aborted.Load(),
 		Faults:      make(map[string]uint64),
 	}
--- a/internal/proxy/wire.go
+++ b/internal/proxy/wire.go
@@ -78,7 +78,7 @@
 		ReleaseAll:  w.GetHandBack(),
 	}
 	for _, d := range w.GetServices() {
-		r.Demands = append(r.Demands, routing.ServiceDemand{Service: d.GetService(), Wanted: count(d.GetWanted())})
+		r.Demands = append(r.Demands, routing.ServiceDemand{Service: d.GetService(), Wanted: nonNegative(d.GetWanted())})
 	}
 	for i, number := range w.GetUsedMinions() {
 		if i < len(w.GetUsedSlots()) {
@@ -89,8 +89,8 @@
 		r.Claims = append(r.Claims, routing.Claim{
 			Minion:   d.GetMinion(),
 			Service:  d.GetService(),
-			Held:     count(d.GetHeld()),
-			InFlight: count(d.GetInProgress()),
+			Held:     nonNegative(d.GetHeld()),
+			InFlight: nonNegative(d.GetInProgress()),
 		})
 	}
 	for _, a := range w.GetAnnouncements() {
@@ -100,7 +100,7 @@
 }
 
 // count reads a number of slots; a negative one reads as none.
-func count(n int32) int { return int(max(0, n)) }
+func nonNegative(n int32) int { return int(max(0, n)) }
 
 // ResponseToWire writes the answer to a slot request.
 func ResponseToWire(r routing.SlotResponse) *apiv1.ShareSlotsResponse {
@@ -150,7 +150,7 @@
 }
 
 func grantFromWire(w *apiv1.SlotGrant) routing.Grant {
-	g := routing.Grant{Number: w.GetNumber(), Slots: count(w.GetSlots())}
+	g := routing.Grant{Number: w.GetNumber(), Slots: nonNegative(w.GetSlots())}
 	if !w.GetDescribed() {
 		return g
 	}
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -144,8 +144,8 @@
 	leaderAddressMeta = "leader_address"
 )
 
-// notLeader is the message of an instance that isn't the leader.
-const notLeader = "not the leader"
+// notLeaderMessage is the message of an instance that isn't the leader.
+const notLeaderMessage = "not the leader"
 
 // Leader is where the leader of a group is reached.
 type Leader struct {
@@ -166,7 +166,7 @@
 
 // NotLeader returns the error of an instance that isn't the leader.
 func NotLeader(leader Leader) error {
-	err := fault.ToTwirp(fault.New(fault.Unavailable, notLeader)).(twirp.Error)
+	err := fault.ToTwirp(fault.New(fault.Unavailable, notLeaderMessage)).(twirp.Error)
 	return err.WithMeta(leaderMeta, leader.ID).WithMeta(leaderAddressMeta, leader.Address)
 }
 
@@ -177,5 +177,5 @@
 	if !errors.As(err, &te) {
 		return Leader{}, false
 	}
-	return Leader{ID: te.Meta(leaderMeta), Address: te.Meta(leaderAddressMeta)}, te.Msg() == notLeader
+	return Leader{ID: te.Meta(leaderMeta), Address: te.Meta(leaderAddressMeta)}, te.Msg() == notLeaderMessage
 }
--- a/internal/wal/counters.go
+++ b/internal/wal/counters.go
@@ -38,4 +38,4 @@
 	return bare
 }
 
-func (m *image) forgetData() { m.entries = withoutData(m.entries) }
+func (m *logState) dropData() { m.entries = withoutData(m.entries) }
--- a/internal/wal/files.go
+++ b/internal/wal/files.go
@@ -38,16 +38,16 @@
 }
 
 // listing holds the names of the files of a folder, oldest first.
-type listing struct {
+type logFiles struct {
 	segments, snapshots, temporaries []string
 }
 
-func list(folder string) (listing, error) {
+func listFiles(folder string) (logFiles, error) {
 	found, err := os.ReadDir(folder)
 	if err != nil {
-		return listing{}, errors.Wrap(err, "list the log folder")
+		return logFiles{}, errors.Wrap(err, "list the log folder")
 	}
-	var l listing
+	var l logFiles
 	for _, f := range found {
 		path := filepath.Join(folder, f.Name())
 		switch filepath.Ext(path) {
@@ -65,26 +65,26 @@
 }
 
 // numbered returns the path of a file; its names sort by number.
-func numbered(folder string, number uint64, suffix string) string {
+func numberedPath(folder string, number uint64, suffix string) string {
 	return filepath.Join(folder, fmt.Sprintf("%020d%s", number, suffix))
 }
 
 // publish writes a file under a temporary name, syncs it, renames it and syncs
 // the folder, so that a crash leaves either no file of that name or all of it.
 // It returns the file, open for writing at its end.
-func publish(path string, content ...[]byte) (*os.File, error) {
+func writeAtomically(path string, content ...[]byte) (*os.File, error) {
 	f, err := os.OpenFile(path+temporarySuffix, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o640)
 	if err != nil {
 		return nil, errors.Wrap(err, "create a file of the log")
 	}
-	if err := fill(f, path, content); err != nil {
+	if err := writeSyncRename(f, path, content); err != nil {
 		_ = f.Close()
 		return nil, errors.Wrapf(err, "write %s", path)
 	}
 	return f, nil
 }
 
-func fill(f *os.File, path string, content [][]byte) error {
+func writeSyncRename(f *os.File, path string, content [][]byte) error {
 	for _, b := range content {
 		if _, err := f.Write(b); err != nil {
 			return err
@@ -109,7 +109,7 @@
 }
 
 // remove deletes files, oldest first, so that a crash half way leaves no gap.
-func remove(paths []string) error {
+func removeFiles(paths []string) error {
 	for _, p := range paths {
 		if err := os.Remove(p); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return errors.Wrap(err, "remove an old file of the log")
@@ -121,7 +121,7 @@
 // lock keeps a second process from writing to the same folder: two writers
 // would interleave their records and both logs would read as damaged. The
 // kernel drops the lock when the process ends.
-func lock(folder string) (*os.File, error) {
+func lockFolder(folder string) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(folder, lockName), os.O_RDWR|os.O_CREATE, 0o640)
 	if err != nil {
 		return nil, errors.Wrap(err, "open the lock file")
@@ -139,8 +139,8 @@
 	return binary.BigEndian.Uint64(b[:])
 }
 
-// numberOf reads the number back out of a path.
-func numberOf(path string) uint64 {
+// numberInPath reads the number back out of a path.
+func numberInPath(path string) uint64 {
 	var n uint64
 	name := strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
 	if _, err := fmt.Sscanf(name, "%d", &n); err != nil {
--- a/internal/wal/format_test.go
+++ b/internal/wal/format_test.go
@@ -18,7 +18,7 @@
 // writeSample saves the state that testdata of each format version holds.
 func writeSample(t *testing.T, folder string) {
 	w, _ := mustOpen(t, folder, 512)
-	saveSpread(t, w, sampleState(), run(1, 25, 2))
+	saveOneByOne(t, w, sampleState(), entryRange(1, 25, 2))
 	must.NoError(t, w.SaveSnapshot(sampleSnapshot()))
 	must.NoError(t, w.Close())
 	must.NoError(t, os.Remove(filepath.Join(folder, lockName)))
@@ -27,7 +27,7 @@
 func sampleState() *replica.HardState {
 	return &replica.HardState{
 		Term: 2, Vote: "b", Commit: 20, Incarnation: 1700000000000,
-		Known: []replica.Known{{ID: "a", Incarnation: 1700000000000}, {ID: "b", Incarnation: 1700000000123}},
+		KnownIncarnations: []replica.MemberIncarnation{{ID: "a", Incarnation: 1700000000000}, {ID: "b", Incarnation: 1700000000123}},
 	}
 }
 
@@ -51,7 +51,7 @@
 	defer w.Close()
 	must.Eq(t, *sampleState(), stored.HardState)
 	must.Eq(t, sampleSnapshot(), stored.Snapshot)
-	must.Eq(t, run(16, 25, 2), stored.Entries)
+	must.Eq(t, entryRange(16, 25, 2), stored.Entries)
 }
 
 // Story: a member is put back to an older program. It must say which version
@@ -72,8 +72,8 @@
 	var frame bytes.Buffer
 	for _, r := range []*record{
 		{Base: &position{}, HardState: &replica.HardState{Term: 1}},
-		{Entries: run(1, 3, 1), Synced: 32},
-		{Mark: &position{9, 2}},
+		{Entries: entryRange(1, 3, 1), Synced: 32},
+		{Snapshot: &position{9, 2}},
 	} {
 		must.NoError(f, encodeFrame(&frame, r, 0, headerSize))
 		f.Add(bytes.Clone(frame.Bytes()))
@@ -91,7 +91,7 @@
 		if err != nil {
 			return
 		}
-		_ = new(image).apply(rec, true, true)
+		_ = new(logState).apply(rec, true, true)
 		var again bytes.Buffer
 		must.NoError(t, encodeFrame(&again, rec, 0, headerSize))
 		_, err = decodeRecord(again.Bytes()[frameSize:])
@@ -106,11 +106,11 @@
 	w, _ := mustOpen(b, folder, DefaultSegmentBytes)
 	data := bytes.Repeat([]byte{7}, 60)
 	for i := uint64(1); i <= entries; i += batch {
-		var some []replica.Entry
+		var batchEntries []replica.Entry
 		for j := i; j < i+batch; j++ {
-			some = append(some, replica.Entry{Index: j, Term: 1, Data: data})
+			batchEntries = append(batchEntries, replica.Entry{Index: j, Term: 1, Data: data})
 		}
-		must.NoError(b, w.Save(nil, some, false))
+		must.NoError(b, w.Save(nil, batchEntries, false))
 	}
 	must.NoError(b, w.Close())
 	for b.Loop() {
--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -25,8 +25,8 @@
 	castagnoli    = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// errShort says that a file ends before the end of a frame.
-var errShort = errors.New("file ends inside the record")
+// errTruncated says that a file ends before the end of a frame.
+var errTruncated = errors.New("file ends inside the record")
 
 // header opens each file: magic, version, salt, sequence, checksum.
 //
@@ -71,10 +71,10 @@
 
 // checksum covers salt, offset, length and payload of a frame.
 func checksum(salt uint64, offset int64, length []byte, payload []byte) uint32 {
-	var place [16]byte
-	binary.BigEndian.PutUint64(place[:8], salt)
-	binary.BigEndian.PutUint64(place[8:], uint64(offset))
-	sum := crc32.Update(0, castagnoli, place[:])
+	var location [16]byte
+	binary.BigEndian.PutUint64(location[:8], salt)
+	binary.BigEndian.PutUint64(location[8:], uint64(offset))
+	sum := crc32.Update(0, castagnoli, location[:])
 	sum = crc32.Update(sum, castagnoli, length)
 	return crc32.Update(sum, castagnoli, payload)
 }
@@ -91,7 +91,7 @@
 func decodeFrame(file []byte, salt uint64, offset int64) ([]byte, error) {
 	rest := file[offset:]
 	if len(rest) < frameSize {
-		return nil, errShort
+		return nil, errTruncated
 	}
 	if !bytes.Equal(rest[:4], frameMagic) {
 		return nil, errors.New("no record begins here")
@@ -101,7 +101,7 @@
 		return nil, errors.Newf("length %d of the record is impossible", length)
 	}
 	if uint64(len(rest)) < frameSize+uint64(length) {
-		return nil, errShort
+		return nil, errTruncated
 	}
 	payload := rest[frameSize : frameSize+int(length)]
 	if checksum(salt, offset, rest[4:8], payload) != binary.BigEndian.Uint32(rest[8:frameSize]) {
--- a/internal/wal/full_test.go
+++ b/internal/wal/full_test.go
@@ -10,19 +10,19 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// fullFile takes no more than its room, as a file on a full disk.
-type fullFile struct {
+// limitedFile takes no more than its room, as a file on a full disk.
+type limitedFile struct {
 	segmentFile
-	room int
+	free int
 }
 
-func (f *fullFile) Write(p []byte) (int, error) {
-	if len(p) <= f.room {
-		f.room -= len(p)
+func (f *limitedFile) Write(p []byte) (int, error) {
+	if len(p) <= f.free {
+		f.free -= len(p)
 		return f.segmentFile.Write(p)
 	}
-	n, err := f.segmentFile.Write(p[:f.room])
-	f.room = 0
+	n, err := f.segmentFile.Write(p[:f.free])
+	f.free = 0
 	if err != nil {
 		return n, err
 	}
@@ -32,46 +32,46 @@
 // Story: the disk is full for a while in the middle of a record. The member ended,
 // was started again and ended again. The record is written whole once there is room,
 // and what a restart reads is what was saved.
-func TestARecordWaitsForRoomOnTheDisk(t *testing.T) {
+func TestSaveRetriesWhileDiskIsFull(t *testing.T) {
 	folder := t.TempDir()
 	w, _ := mustOpen(t, folder, 1<<20)
-	saveSpread(t, w, &replica.HardState{Term: 1}, run(1, 3, 1))
-	full := &fullFile{segmentFile: w.file, room: 10}
+	saveOneByOne(t, w, &replica.HardState{Term: 1}, entryRange(1, 3, 1))
+	full := &limitedFile{segmentFile: w.file, free: 10}
 	w.file = full
 	waits := 0
-	w.OnFull(func() bool {
+	w.OnDiskFull(func() bool {
 		waits++
 		if waits == 3 {
-			full.room = 1 << 20
+			full.free = 1 << 20
 		}
 		return true
 	})
-	saveSpread(t, w, nil, run(4, 6, 1))
+	saveOneByOne(t, w, nil, entryRange(4, 6, 1))
 	must.Eq(t, 3, waits)
 	must.NoError(t, w.Close())
-	must.Eq(t, run(1, 6, 1), reopen(t, folder).Entries)
+	must.Eq(t, entryRange(1, 6, 1), readBack(t, folder).Entries)
 }
 
 // Story: the process is told to stop while its disk is full. It stops cleanly, and
 // nothing of the record that found no room is read back.
-func TestALogOnAFullDiskIsClosedCleanly(t *testing.T) {
+func TestCloseWithFullDisk(t *testing.T) {
 	folder := t.TempDir()
 	w, _ := mustOpen(t, folder, 1<<20)
-	saveSpread(t, w, &replica.HardState{Term: 1}, run(1, 3, 1))
-	w.file = &fullFile{segmentFile: w.file, room: 10}
-	w.OnFull(func() bool { return false })
+	saveOneByOne(t, w, &replica.HardState{Term: 1}, entryRange(1, 3, 1))
+	w.file = &limitedFile{segmentFile: w.file, free: 10}
+	w.OnDiskFull(func() bool { return false })
 	for range 2 {
-		err := w.Save(nil, run(4, 4, 1), true)
-		must.True(t, errors.Is(err, ErrNoRoom), must.Sprint(err))
+		err := w.Save(nil, entryRange(4, 4, 1), true)
+		must.True(t, errors.Is(err, ErrDiskFull), must.Sprint(err))
 	}
 	must.NoError(t, w.Close())
-	must.Eq(t, run(1, 3, 1), reopen(t, folder).Entries)
+	must.Eq(t, entryRange(1, 3, 1), readBack(t, folder).Entries)
 }
 
 // Without anybody who waits a full disk is a failed write.
-func TestAFullDiskIsAFailedWriteWithoutOnFull(t *testing.T) {
+func TestFullDiskFailsWriteWithoutCallback(t *testing.T) {
 	w, _ := mustOpen(t, t.TempDir(), 1<<20)
-	w.file = &fullFile{segmentFile: w.file}
+	w.file = &limitedFile{segmentFile: w.file}
 	must.ErrorIs(t, w.Save(&replica.HardState{Term: 1}, nil, true), syscall.ENOSPC)
 	must.ErrorIs(t, w.Close(), syscall.ENOSPC)
 }
--- a/internal/wal/image.go
+++ b/internal/wal/image.go
@@ -6,16 +6,16 @@
 )
 
 // image is what the records read or written so far amount to.
-type image struct {
+type logState struct {
 	hardState replica.HardState
 	// mark is the newest snapshot that a record names.
-	mark position
+	snapshot position
 	// base is the entry before entries[0].
 	base    position
 	entries []replica.Entry
 }
 
-func (m *image) last() position {
+func (m *logState) last() position {
 	if n := len(m.entries); n > 0 {
 		return position{m.entries[n-1].Index, m.entries[n-1].Term}
 	}
@@ -24,17 +24,17 @@
 
 // apply takes in one record. first is true for the first record of a segment,
 // oldest for that of the oldest segment still there.
-func (m *image) apply(r *record, first, oldest bool) error {
+func (m *logState) apply(r *record, first, oldest bool) error {
 	if first {
-		if err := m.begin(r.Base, oldest); err != nil {
+		if err := m.startSegment(r.Base, oldest); err != nil {
 			return err
 		}
 	}
 	if r.HardState != nil {
 		m.hardState = *r.HardState
 	}
-	if r.Mark != nil {
-		m.take(*r.Mark)
+	if r.Snapshot != nil {
+		m.applySnapshot(*r.Snapshot)
 	}
 	if err := m.rebase(r); err != nil {
 		return err
@@ -46,20 +46,20 @@
 // entries that began in a segment which has been removed since. Without it a
 // log whose first segment replaces the end of the one removed before it would
 // read as damaged.
-func (m *image) rebase(r *record) error {
+func (m *logState) rebase(r *record) error {
 	if len(r.Entries) == 0 || r.Entries[0].Index > m.base.Index {
 		return nil
 	}
 	first := r.Entries[0].Index
-	if first <= m.mark.Index {
-		return errors.Newf("entry %d is older than the snapshot of entry %d", first, m.mark.Index)
+	if first <= m.snapshot.Index {
+		return errors.Newf("entry %d is older than the snapshot of entry %d", first, m.snapshot.Index)
 	}
 	m.base = position{first - 1, r.PreviousTerm}
 	m.entries = nil
 	return nil
 }
 
-func (m *image) begin(base *position, oldest bool) error {
+func (m *logState) startSegment(base *position, oldest bool) error {
 	if base == nil {
 		return errors.New("first record of the segment names no entry to continue from")
 	}
@@ -76,7 +76,7 @@
 
 // append adds entries. One whose index is there already replaces it and all
 // later ones.
-func (m *image) append(entries []replica.Entry) error {
+func (m *logState) append(entries []replica.Entry) error {
 	for _, e := range entries {
 		if last := m.last().Index; e.Index > last+1 {
 			return errors.Newf("entry %d follows entry %d", e.Index, last)
@@ -91,9 +91,9 @@
 
 // take drops what a durable snapshot at p replaces. Entries after p stay if
 // they continue it, else they belong to a history that lost.
-func (m *image) take(p position) {
-	if p.Index > m.mark.Index {
-		m.mark = p
+func (m *logState) applySnapshot(p position) {
+	if p.Index > m.snapshot.Index {
+		m.snapshot = p
 	}
 	if p.Index < m.base.Index {
 		return
@@ -107,7 +107,7 @@
 }
 
 // termAt returns the term of an entry, or 0 when it isn't held.
-func (m *image) termAt(index uint64) uint64 {
+func (m *logState) termAt(index uint64) uint64 {
 	if index == m.base.Index {
 		return m.base.Term
 	}
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -21,7 +21,7 @@
 	HardState *replica.HardState `cbor:"1,keyasint,omitempty"`
 	Entries   []replica.Entry    `cbor:"2,keyasint,omitempty"`
 	// Mark says that the snapshot of this position is durable.
-	Mark *position `cbor:"3,keyasint,omitempty"`
+	Snapshot *position `cbor:"3,keyasint,omitempty"`
 	// Base is the last entry before the segment; only its first record has it.
 	Base *position `cbor:"4,keyasint,omitempty"`
 	// Synced is the length of this segment that was durable before the record
--- a/internal/wal/recover.go
+++ b/internal/wal/recover.go
@@ -16,8 +16,8 @@
 }
 
 // recovered is what reading a folder found. Reading changes nothing.
-type recovered struct {
-	image    image
+type recoveredLog struct {
+	state    logState
 	segments []segment
 	snapshot replica.Snapshot
 	// snapshotPath is the file of snapshot.
@@ -29,8 +29,8 @@
 	torn   bool
 }
 
-func recoverFiles(files listing) (*recovered, error) {
-	r := &recovered{}
+func recoverFiles(files logFiles) (*recoveredLog, error) {
+	r := &recoveredLog{}
 	for i, path := range files.segments {
 		if err := r.readSegment(path, i == 0, i == len(files.segments)-1); err != nil {
 			return nil, err
@@ -43,10 +43,10 @@
 		}
 		r.snapshot, r.snapshotPath = s, files.snapshots[n-1]
 	}
-	return r, r.join()
+	return r, r.reconcileSnapshot()
 }
 
-func (r *recovered) readSegment(path string, oldest, newest bool) error {
+func (r *recoveredLog) readSegment(path string, oldest, newest bool) error {
 	file, err := os.ReadFile(path)
 	if err != nil {
 		return errors.Wrap(err, "read a segment")
@@ -68,7 +68,7 @@
 }
 
 // readRecords returns the offset after the last whole record.
-func (r *recovered) readRecords(path string, file []byte, salt uint64, oldest, newest bool) (int64, error) {
+func (r *recoveredLog) readRecords(path string, file []byte, salt uint64, oldest, newest bool) (int64, error) {
 	current := &r.segments[len(r.segments)-1]
 	offset := int64(headerSize)
 	for offset < int64(len(file)) {
@@ -83,7 +83,7 @@
 		if err != nil {
 			return 0, damaged(path, offset, err)
 		}
-		if err := r.image.apply(rec, offset == headerSize, oldest); err != nil {
+		if err := r.state.apply(rec, offset == headerSize, oldest); err != nil {
 			return 0, damaged(path, offset, err)
 		}
 		for _, e := range rec.Entries {
@@ -112,8 +112,8 @@
 }
 
 // join fits the newest snapshot to the log.
-func (r *recovered) join() error {
-	m := &r.image
+func (r *recoveredLog) reconcileSnapshot() error {
+	m := &r.state
 	if len(r.segments) == 0 {
 		if r.snapshot.Index > 0 {
 			return damaged(r.snapshotPath, 0, errors.New("no segment is beside the snapshot"))
@@ -122,8 +122,8 @@
 	}
 	first := r.segments[0].path
 	at := position{r.snapshot.Index, r.snapshot.Term}
-	if m.mark.Index > at.Index {
-		return damaged(first, 0, errors.Newf("snapshot of entry %d is missing", m.mark.Index))
+	if m.snapshot.Index > at.Index {
+		return damaged(first, 0, errors.Newf("snapshot of entry %d is missing", m.snapshot.Index))
 	}
 	if m.base.Index > at.Index {
 		return damaged(first, 0, errors.Newf("entries before %d are missing", m.base.Index+1))
@@ -131,7 +131,7 @@
 	// A crash between the rename of a snapshot and its mark leaves a snapshot
 	// that no record names; it counts all the same.
 	if at.Index > 0 {
-		m.take(at)
+		m.applySnapshot(at)
 	}
 	m.hardState.Commit = max(m.hardState.Commit, at.Index)
 	m.hardState.Commit = min(m.hardState.Commit, m.last().Index)
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -16,7 +16,7 @@
 	if err := encodeFrame(&frame, s, head.salt, headerSize); err != nil {
 		return err
 	}
-	f, err := publish(numbered(w.folder, s.Index, snapshotSuffix), head.encode(), frame.Bytes())
+	f, err := writeAtomically(numberedPath(w.folder, s.Index, snapshotSuffix), head.encode(), frame.Bytes())
 	if err != nil {
 		return err
 	}
@@ -40,7 +40,7 @@
 	if err := decoder.Unmarshal(payload, &s); err != nil {
 		return replica.Snapshot{}, damaged(path, headerSize, err)
 	}
-	if s.Index != numberOf(path) {
+	if s.Index != numberInPath(path) {
 		return replica.Snapshot{}, damaged(path, headerSize, errors.Newf("holds the snapshot of entry %d", s.Index))
 	}
 	return s, nil
@@ -55,20 +55,20 @@
 		return w.err
 	}
 	at := position{s.Index, s.Term}
-	if err := w.write(&record{Mark: &at}); err != nil {
+	if err := w.write(&record{Snapshot: &at}); err != nil {
 		return err
 	}
-	w.image.take(at)
+	w.state.applySnapshot(at)
 	if err := w.sync(); err != nil {
 		return err
 	}
-	return w.keep(w.removeOld())
+	return w.setErr(w.removeOld())
 }
 
 // SaveSnapshot makes a snapshot durable and replaces the log up to its entry.
 func (w *WAL) SaveSnapshot(s replica.Snapshot) error {
 	if err := w.WriteSnapshot(s); err != nil {
-		return w.keep(err)
+		return w.setErr(err)
 	}
 	return w.AdoptSnapshot(s)
 }
@@ -76,19 +76,19 @@
 // removeOld deletes what the newest snapshot has replaced. The snapshot and
 // its mark are durable by now, so a crash on the way loses nothing.
 func (w *WAL) removeOld() error {
-	files, err := list(w.folder)
+	files, err := listFiles(w.folder)
 	if err != nil {
 		return err
 	}
 	var old []string
 	for _, path := range files.snapshots {
-		if numberOf(path) < w.image.mark.Index {
+		if numberInPath(path) < w.state.snapshot.Index {
 			old = append(old, path)
 		}
 	}
-	for len(w.segments) > 1 && w.segments[0].highest <= w.image.mark.Index {
+	for len(w.segments) > 1 && w.segments[0].highest <= w.state.snapshot.Index {
 		old = append(old, w.segments[0].path)
 		w.segments = w.segments[1:]
 	}
-	return remove(old)
+	return removeFiles(old)
 }
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -25,13 +25,13 @@
 // WAL is an open log. Its methods are not safe for concurrent use, except
 // WriteSnapshot and Counters. After a failed write or sync every further call
 // fails: what the kernel has dropped from its cache can't be synced again. A write
-// that finds the disk full is the exception, see OnFull.
+// that finds the disk full is the exception, see OnDiskFull.
 type WAL struct {
 	folder       string
 	segmentBytes int64
-	lock         *os.File
+	lockFile     *os.File
 
-	image    image
+	state    logState
 	segments []segment
 	file     segmentFile
 	salt     uint64
@@ -39,8 +39,8 @@
 	synced   int64
 	buffer   bytes.Buffer
 	err      error
-	// onFull is nil until OnFull is called.
-	onFull func() bool
+	// onDiskFull is nil until OnDiskFull is called.
+	onDiskFull func() bool
 
 	counters counters
 }
@@ -53,32 +53,32 @@
 	Sync() error
 }
 
-// ErrNoRoom marks the error of a write that found the disk full until nobody wanted
+// ErrDiskFull marks the error of a write that found the disk full until nobody wanted
 // to wait any longer. What was written before is whole.
-var ErrNoRoom = errors.New("the disk is full")
+var ErrDiskFull = errors.New("the disk is full")
 
-// OnFull has a record or a segment that finds no room on the disk be written again
+// OnDiskFull has a record or a segment that finds no room on the disk be written again
 // for as long as wait returns true; wait takes the time between two tries. Then the
-// error is an ErrNoRoom. Without OnFull a full disk is a failed write.
+// error is an ErrDiskFull. Without OnDiskFull a full disk is a failed write.
 //
 // Failure guarded against: the disk is full for some seconds. Nothing of the record
 // counts yet and none of it was promised to anybody, so what was written of it is cut
 // off, and the log is as it was before. A failed sync is never tried again.
-func (w *WAL) OnFull(wait func() bool) { w.onFull = wait }
+func (w *WAL) OnDiskFull(wait func() bool) { w.onDiskFull = wait }
 
 // retry waits after a write that failed, and returns nil if it is to be tried again.
 func (w *WAL) retry(err error) error {
 	switch {
-	case !errors.Is(err, syscall.ENOSPC) || w.onFull == nil:
+	case !errors.Is(err, syscall.ENOSPC) || w.onDiskFull == nil:
 		return err
-	case !w.onFull():
-		return errors.Mark(err, ErrNoRoom)
+	case !w.onDiskFull():
+		return errors.Mark(err, ErrDiskFull)
 	}
 	return nil
 }
 
-// takeBack cuts off what a failed write has left after the last whole record.
-func (w *WAL) takeBack() error {
+// truncateFailedWrite cuts off what a failed write has left after the last whole record.
+func (w *WAL) truncateFailedWrite() error {
 	if err := w.file.Truncate(w.length); err != nil {
 		return errors.Wrap(err, "cut a record that found no room")
 	}
@@ -89,55 +89,55 @@
 // Open reads the log in folder, which it creates when it is missing, and makes
 // durable what it returns. A *DamageError means that the files are not what
 // was written; nothing has been changed then.
-func Open(folder string) (*WAL, replica.Stored, error) {
+func Open(folder string) (*WAL, replica.StoredState, error) {
 	return open(folder, DefaultSegmentBytes)
 }
 
-func open(folder string, segmentBytes int64) (*WAL, replica.Stored, error) {
+func open(folder string, segmentBytes int64) (*WAL, replica.StoredState, error) {
 	if err := os.MkdirAll(folder, 0o750); err != nil {
-		return nil, replica.Stored{}, errors.Wrap(err, "create the log folder")
+		return nil, replica.StoredState{}, errors.Wrap(err, "create the log folder")
 	}
-	lockFile, err := lock(folder)
+	lockFile, err := lockFolder(folder)
 	if err != nil {
-		return nil, replica.Stored{}, err
+		return nil, replica.StoredState{}, err
 	}
-	w := &WAL{folder: folder, segmentBytes: segmentBytes, lock: lockFile}
+	w := &WAL{folder: folder, segmentBytes: segmentBytes, lockFile: lockFile}
 	stored, err := w.load()
 	if err != nil {
-		_ = w.release()
-		return nil, replica.Stored{}, err
+		_ = w.closeFiles()
+		return nil, replica.StoredState{}, err
 	}
 	return w, stored, nil
 }
 
-func (w *WAL) load() (replica.Stored, error) {
-	files, err := list(w.folder)
+func (w *WAL) load() (replica.StoredState, error) {
+	files, err := listFiles(w.folder)
 	if err != nil {
-		return replica.Stored{}, err
+		return replica.StoredState{}, err
 	}
 	found, err := recoverFiles(files)
 	if err != nil {
-		return replica.Stored{}, err
+		return replica.StoredState{}, err
 	}
-	stored := replica.Stored{
-		HardState: found.image.hardState,
+	stored := replica.StoredState{
+		HardState: found.state.hardState,
 		Snapshot:  found.snapshot,
-		Entries:   append([]replica.Entry(nil), found.image.entries...),
+		Entries:   append([]replica.Entry(nil), found.state.entries...),
 	}
-	found.image.forgetData()
-	w.image, w.segments = found.image, found.segments
-	if err := remove(files.temporaries); err != nil {
-		return replica.Stored{}, err
+	found.state.dropData()
+	w.state, w.segments = found.state, found.segments
+	if err := removeFiles(files.temporaries); err != nil {
+		return replica.StoredState{}, err
 	}
-	return stored, w.resume(found)
+	return stored, w.openLastSegment(found)
 }
 
 // resume opens the last segment for writing. What was read must be durable
 // before anyone relies on it: the bytes may still be in the cache of a process
 // that was killed, and a power cut would then lose them.
-func (w *WAL) resume(found *recovered) error {
+func (w *WAL) openLastSegment(found *recoveredLog) error {
 	if len(w.segments) == 0 {
-		return w.roll()
+		return w.startSegment()
 	}
 	f, err := os.OpenFile(w.segments[len(w.segments)-1].path, os.O_RDWR, 0o640)
 	if err != nil {
@@ -186,22 +186,22 @@
 
 func (w *WAL) saveRecord(hs *replica.HardState, entries []replica.Entry) error {
 	if w.length >= w.segmentBytes {
-		if err := w.roll(); err != nil {
-			return w.keep(err)
+		if err := w.startSegment(); err != nil {
+			return w.setErr(err)
 		}
 	}
 	r := &record{HardState: hs, Entries: entries}
 	if len(entries) > 0 {
-		r.PreviousTerm = w.image.termAt(entries[0].Index - 1)
+		r.PreviousTerm = w.state.termAt(entries[0].Index - 1)
 	}
-	if err := w.image.append(withoutData(entries)); err != nil {
+	if err := w.state.append(withoutData(entries)); err != nil {
 		panic(errors.NewAssertionErrorWithWrappedErrf(err, "entries don't continue the log"))
 	}
 	if err := w.write(r); err != nil {
 		return err
 	}
 	if hs != nil {
-		w.image.hardState = *hs
+		w.state.hardState = *hs
 	}
 	current := &w.segments[len(w.segments)-1]
 	for _, e := range entries {
@@ -217,7 +217,7 @@
 	}
 	r.Synced = w.synced
 	if err := encodeFrame(&w.buffer, r, w.salt, w.length); err != nil {
-		return w.keep(err)
+		return w.setErr(err)
 	}
 	for {
 		n, err := w.file.Write(w.buffer.Bytes())
@@ -226,11 +226,11 @@
 			w.counters.bytes.Add(uint64(n))
 			return nil
 		}
-		if cut := w.takeBack(); cut != nil {
-			return w.keep(errors.CombineErrors(errors.Wrap(err, "write to the log"), cut))
+		if cut := w.truncateFailedWrite(); cut != nil {
+			return w.setErr(errors.CombineErrors(errors.Wrap(err, "write to the log"), cut))
 		}
 		if err := w.retry(err); err != nil {
-			return w.keep(errors.Wrap(err, "write to the log"))
+			return w.setErr(errors.Wrap(err, "write to the log"))
 		}
 	}
 }
@@ -243,7 +243,7 @@
 		return nil
 	}
 	if err := w.file.Sync(); err != nil {
-		return w.keep(errors.Wrap(err, "sync the log"))
+		return w.setErr(errors.Wrap(err, "sync the log"))
 	}
 	w.synced = w.length
 	w.counters.syncs.Add(1)
@@ -251,7 +251,7 @@
 }
 
 // keep remembers the first failure.
-func (w *WAL) keep(err error) error {
+func (w *WAL) setErr(err error) error {
 	if w.err == nil {
 		w.err = err
 	}
@@ -260,7 +260,7 @@
 
 // roll makes the current segment durable and begins the next one, whose first
 // record repeats all that older segments say besides entries.
-func (w *WAL) roll() error {
+func (w *WAL) startSegment() error {
 	next := uint64(1)
 	if n := len(w.segments); n > 0 {
 		if err := w.sync(); err != nil {
@@ -269,16 +269,16 @@
 		next = w.segments[n-1].sequence + 1
 	}
 	head := header{magic: segmentMagic, salt: newSalt(), sequence: next}
-	if err := encodeFrame(&w.buffer, w.opening(), head.salt, headerSize); err != nil {
+	if err := encodeFrame(&w.buffer, w.firstRecord(), head.salt, headerSize); err != nil {
 		return err
 	}
-	path := numbered(w.folder, next, segmentSuffix)
-	f, err := publish(path, head.encode(), w.buffer.Bytes())
+	path := numberedPath(w.folder, next, segmentSuffix)
+	f, err := writeAtomically(path, head.encode(), w.buffer.Bytes())
 	for err != nil {
 		if err := w.retry(err); err != nil {
 			return err
 		}
-		f, err = publish(path, head.encode(), w.buffer.Bytes())
+		f, err = writeAtomically(path, head.encode(), w.buffer.Bytes())
 	}
 	if w.file != nil {
 		_ = w.file.Close()
@@ -290,11 +290,11 @@
 	return nil
 }
 
-func (w *WAL) opening() *record {
-	base, hs := w.image.last(), w.image.hardState
+func (w *WAL) firstRecord() *record {
+	base, hs := w.state.last(), w.state.hardState
 	r := &record{HardState: &hs, Base: &base}
-	if mark := w.image.mark; mark.Index > 0 {
-		r.Mark = &mark
+	if mark := w.state.snapshot; mark.Index > 0 {
+		r.Snapshot = &mark
 	}
 	return r
 }
@@ -302,14 +302,14 @@
 // Close makes all that was saved durable and closes the files.
 func (w *WAL) Close() error {
 	err := w.sync()
-	if errors.Is(err, ErrNoRoom) {
+	if errors.Is(err, ErrDiskFull) {
 		// Nothing that found no room was promised to anybody.
 		err = nil
 	}
-	return errors.CombineErrors(err, w.release())
+	return errors.CombineErrors(err, w.closeFiles())
 }
 
-func (w *WAL) release() error {
+func (w *WAL) closeFiles() error {
 	var err error
 	if w.file != nil {
 		err = w.file.Close()
@@ -317,5 +317,5 @@
 	if w.err == nil {
 		w.err = errors.New("log is closed")
 	}
-	return errors.CombineErrors(err, w.lock.Close())
+	return errors.CombineErrors(err, w.lockFile.Close())
 }
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -17,7 +17,7 @@
 	return replica.Entry{Index: index, Term: term, Data: fmt.Appendf(nil, "entry %d of term %d", index, term)}
 }
 
-func run(from, to, term uint64) []replica.Entry {
+func entryRange(from, to, term uint64) []replica.Entry {
 	var entries []replica.Entry
 	for i := from; i <= to; i++ {
 		entries = append(entries, entry(i, term))
@@ -25,7 +25,7 @@
 	return entries
 }
 
-func mustOpen(t must.T, folder string, segmentBytes int64) (*WAL, replica.Stored) {
+func mustOpen(t must.T, folder string, segmentBytes int64) (*WAL, replica.StoredState) {
 	t.Helper()
 	w, stored, err := open(folder, segmentBytes)
 	must.NoError(t, err)
@@ -33,15 +33,15 @@
 }
 
 // reopen reads a folder with small segments and closes it again.
-func reopen(t must.T, folder string) replica.Stored {
+func readBack(t must.T, folder string) replica.StoredState {
 	t.Helper()
 	w, stored := mustOpen(t, folder, 512)
 	must.NoError(t, w.Close())
 	return stored
 }
 
-// saveSpread saves entries one record each, so that they fill several segments.
-func saveSpread(t must.T, w *WAL, hs *replica.HardState, entries []replica.Entry) {
+// saveOneByOne saves entries one record each, so that they fill several segments.
+func saveOneByOne(t must.T, w *WAL, hs *replica.HardState, entries []replica.Entry) {
 	t.Helper()
 	for i := range entries {
 		must.NoError(t, w.Save(hs, entries[i:i+1], true))
@@ -57,7 +57,7 @@
 
 func lastSegment(t must.T, folder string) string {
 	t.Helper()
-	files, err := list(folder)
+	files, err := listFiles(folder)
 	must.NoError(t, err)
 	return files.segments[len(files.segments)-1]
 }
@@ -65,16 +65,16 @@
 func TestSavedStateIsReadBack(t *testing.T) {
 	folder := t.TempDir()
 	w, stored := mustOpen(t, folder, 512)
-	must.Eq(t, replica.Stored{}, stored)
-	saveSpread(t, w, &replica.HardState{Term: 2, Vote: "b"}, run(1, 40, 1))
-	saveSpread(t, w, &replica.HardState{Term: 3, Commit: 30}, run(35, 50, 3))
+	must.Eq(t, replica.StoredState{}, stored)
+	saveOneByOne(t, w, &replica.HardState{Term: 2, Vote: "b"}, entryRange(1, 40, 1))
+	saveOneByOne(t, w, &replica.HardState{Term: 3, Commit: 30}, entryRange(35, 50, 3))
 	must.Greater(t, 3, len(w.segments))
 	must.NoError(t, w.Close())
 
 	w, stored = mustOpen(t, folder, 512)
 	defer w.Close()
 	must.Eq(t, replica.HardState{Term: 3, Commit: 30}, stored.HardState)
-	must.Eq(t, append(run(1, 34, 1), run(35, 50, 3)...), stored.Entries)
+	must.Eq(t, append(entryRange(1, 34, 1), entryRange(35, 50, 3)...), stored.Entries)
 }
 
 func TestSecondProcessIsRefused(t *testing.T) {
@@ -88,28 +88,28 @@
 func TestSnapshotReplacesTheLogBeforeIt(t *testing.T) {
 	folder := t.TempDir()
 	w, _ := mustOpen(t, folder, 512)
-	saveSpread(t, w, &replica.HardState{Term: 1, Commit: 60}, run(1, 60, 1))
+	saveOneByOne(t, w, &replica.HardState{Term: 1, Commit: 60}, entryRange(1, 60, 1))
 	before := len(w.segments)
 	s := replica.Snapshot{Index: 50, Term: 1, Members: []replica.Member{{ID: "a"}}, Data: []byte("state")}
 	must.NoError(t, w.SaveSnapshot(s))
 	must.Less(t, before, len(w.segments))
-	saveSpread(t, w, nil, run(61, 70, 1))
+	saveOneByOne(t, w, nil, entryRange(61, 70, 1))
 	must.NoError(t, w.Close())
 
-	stored := reopen(t, folder)
+	stored := readBack(t, folder)
 	must.Eq(t, s, stored.Snapshot)
-	must.Eq(t, run(51, 70, 1), stored.Entries)
+	must.Eq(t, entryRange(51, 70, 1), stored.Entries)
 
 	// A snapshot of another history, as a leader sends it, leaves nothing.
 	w, _ = mustOpen(t, folder, 512)
 	s = replica.Snapshot{Index: 65, Term: 4}
 	must.NoError(t, w.SaveSnapshot(s))
-	must.NoError(t, w.Save(nil, run(66, 67, 4), true))
+	must.NoError(t, w.Save(nil, entryRange(66, 67, 4), true))
 	must.NoError(t, w.Close())
-	stored = reopen(t, folder)
+	stored = readBack(t, folder)
 	must.Eq(t, s, stored.Snapshot)
-	must.Eq(t, run(66, 67, 4), stored.Entries)
-	files, err := list(folder)
+	must.Eq(t, entryRange(66, 67, 4), stored.Entries)
+	files, err := listFiles(folder)
 	must.NoError(t, err)
 	must.Len(t, 1, files.snapshots)
 }
@@ -117,12 +117,12 @@
 // Story: power fails while the last record is written. Any prefix of it, with
 // zeros or garbage behind, may be on the disk. The member must come back with
 // everything before that record and go on writing.
-func TestTornTailIsCutAtEveryOffset(t *testing.T) {
+func TestTornTailIsTruncatedAtEveryOffset(t *testing.T) {
 	folder, crashed := t.TempDir(), filepath.Join(t.TempDir(), "crashed")
 	w, _ := mustOpen(t, folder, DefaultSegmentBytes)
-	must.NoError(t, w.Save(&replica.HardState{Term: 1}, run(1, 3, 1), true))
+	must.NoError(t, w.Save(&replica.HardState{Term: 1}, entryRange(1, 3, 1), true))
 	start := w.length
-	must.NoError(t, w.Save(&replica.HardState{Term: 2}, run(4, 5, 2), false))
+	must.NoError(t, w.Save(&replica.HardState{Term: 2}, entryRange(4, 5, 2), false))
 	whole, err := os.ReadFile(lastSegment(t, folder))
 	must.NoError(t, err)
 	for cut := start; cut < w.length; cut++ {
@@ -134,11 +134,11 @@
 			}
 			must.NoError(t, os.WriteFile(lastSegment(t, crashed), torn, 0o600))
 			c, stored := mustOpen(t, crashed, DefaultSegmentBytes)
-			must.Eq(t, run(1, 3, 1), stored.Entries)
+			must.Eq(t, entryRange(1, 3, 1), stored.Entries)
 			must.Eq(t, 1, stored.HardState.Term)
-			must.NoError(t, c.Save(nil, run(4, 6, 2), true))
+			must.NoError(t, c.Save(nil, entryRange(4, 6, 2), true))
 			must.NoError(t, c.Close())
-			must.Len(t, 6, reopen(t, crashed).Entries)
+			must.Len(t, 6, readBack(t, crashed).Entries)
 		}
 	}
 	must.NoError(t, w.Close())
@@ -147,16 +147,16 @@
 // Story: a disk flips a byte in a record that was synced and acknowledged long
 // ago. Cutting the log there would lose committed entries without a word. The
 // member must refuse to start, say where, and leave the files for a repair.
-func TestDamagedMiddleIsRefusedAndLeftAlone(t *testing.T) {
-	folder, hurt := t.TempDir(), filepath.Join(t.TempDir(), "hurt")
+func TestDamagedSyncedRecordIsRefused(t *testing.T) {
+	folder, damagedFolder := t.TempDir(), filepath.Join(t.TempDir(), "hurt")
 	w, _ := mustOpen(t, folder, 512)
-	saveSpread(t, w, nil, run(1, 30, 1))
+	saveOneByOne(t, w, nil, entryRange(1, 30, 1))
 	segments := len(w.segments)
 	start := w.length
-	must.NoError(t, w.Save(nil, run(31, 31, 1), true))
+	must.NoError(t, w.Save(nil, entryRange(31, 31, 1), true))
 	must.Eq(t, segments, len(w.segments))
 	must.NoError(t, w.Close())
-	files, err := list(folder)
+	files, err := listFiles(folder)
 	must.NoError(t, err)
 	for i, path := range files.segments {
 		whole, err := os.ReadFile(path)
@@ -166,17 +166,17 @@
 			end = start // the last record of the last segment reads as torn
 		}
 		for at := int64(0); at < end; at += 3 {
-			copyFolder(t, folder, hurt)
+			copyFolder(t, folder, damagedFolder)
 			flipped := append([]byte(nil), whole...)
 			flipped[at] ^= 0x10
-			victim := filepath.Join(hurt, filepath.Base(path))
-			must.NoError(t, os.WriteFile(victim, flipped, 0o600))
-			_, _, err := open(hurt, 512)
+			damagedFile := filepath.Join(damagedFolder, filepath.Base(path))
+			must.NoError(t, os.WriteFile(damagedFile, flipped, 0o600))
+			_, _, err := open(damagedFolder, 512)
 			var damage *DamageError
 			must.True(t, errors.As(err, &damage), must.Sprintf("offset %d of %s: %v", at, path, err))
-			must.Eq(t, victim, damage.File)
+			must.Eq(t, damagedFile, damage.File)
 			must.LessEq(t, at, damage.Offset)
-			left, err := os.ReadFile(victim)
+			left, err := os.ReadFile(damagedFile)
 			must.NoError(t, err)
 			must.Eq(t, flipped, left)
 		}
@@ -189,37 +189,37 @@
 func TestUnsyncedRecordsMayBeTornOutOfOrder(t *testing.T) {
 	folder := t.TempDir()
 	w, _ := mustOpen(t, folder, DefaultSegmentBytes)
-	must.NoError(t, w.Save(nil, run(1, 3, 1), true))
+	must.NoError(t, w.Save(nil, entryRange(1, 3, 1), true))
 	start := w.length
-	must.NoError(t, w.Save(nil, run(4, 4, 1), false))
-	must.NoError(t, w.Save(nil, run(5, 5, 1), false))
+	must.NoError(t, w.Save(nil, entryRange(4, 4, 1), false))
+	must.NoError(t, w.Save(nil, entryRange(5, 5, 1), false))
 	must.NoError(t, w.Close())
 	path := lastSegment(t, folder)
 	whole, err := os.ReadFile(path)
 	must.NoError(t, err)
 	clear(whole[start+20 : start+30])
 	must.NoError(t, os.WriteFile(path, whole, 0o600))
-	must.Eq(t, run(1, 3, 1), reopen(t, folder).Entries)
+	must.Eq(t, entryRange(1, 3, 1), readBack(t, folder).Entries)
 }
 
 // Story: a command happens to hold the bytes of a whole record, and the record
 // that carries it is torn. Were the inner bytes taken for a record, a caller
 // could make a member refuse to start.
-func TestRecordInsideACommandIsNotOne(t *testing.T) {
+func TestRecordBytesInsideCommandAreNotARecord(t *testing.T) {
 	folder := t.TempDir()
 	w, _ := mustOpen(t, folder, DefaultSegmentBytes)
-	must.NoError(t, w.Save(nil, run(1, 1, 1), true))
+	must.NoError(t, w.Save(nil, entryRange(1, 1, 1), true))
 	start := w.length
 	// The caller is taken to know everything but the salt, the place included.
 	var outer, inner bytes.Buffer
-	place := bytes.Repeat([]byte{0xee}, 17)
+	placeholder := bytes.Repeat([]byte{0xee}, 17)
 	carrier := func(data []byte) *record {
 		return &record{Entries: []replica.Entry{{Index: 2, Term: 1, Data: data}}, Synced: w.synced, PreviousTerm: 1}
 	}
-	must.NoError(t, encodeFrame(&outer, carrier(place), w.salt, start))
-	at := start + int64(bytes.Index(outer.Bytes(), place))
+	must.NoError(t, encodeFrame(&outer, carrier(placeholder), w.salt, start))
+	at := start + int64(bytes.Index(outer.Bytes(), placeholder))
 	must.NoError(t, encodeFrame(&inner, &record{Synced: 1 << 15}, 0, at))
-	must.Len(t, len(place), inner.Bytes())
+	must.Len(t, len(placeholder), inner.Bytes())
 	must.NoError(t, w.Save(nil, carrier(inner.Bytes()).Entries, false))
 	must.NoError(t, w.Close())
 	path := lastSegment(t, folder)
@@ -227,7 +227,7 @@
 	must.NoError(t, err)
 	whole[start+8] ^= 1
 	must.NoError(t, os.WriteFile(path, whole, 0o600))
-	must.Len(t, 1, reopen(t, folder).Entries)
+	must.Len(t, 1, readBack(t, folder).Entries)
 }
 
 // Story: the process dies after a snapshot got its name and before the log
@@ -237,7 +237,7 @@
 	for _, s := range []replica.Snapshot{{Index: 30, Term: 1}, {Index: 30, Term: 2}, {Index: 90, Term: 2}} {
 		folder, crashed := t.TempDir(), filepath.Join(t.TempDir(), "crashed")
 		w, _ := mustOpen(t, folder, 512)
-		saveSpread(t, w, &replica.HardState{Term: 2}, run(1, 40, 1))
+		saveOneByOne(t, w, &replica.HardState{Term: 2}, entryRange(1, 40, 1))
 		must.NoError(t, w.SaveSnapshot(replica.Snapshot{Index: 10, Term: 1}))
 		must.NoError(t, w.WriteSnapshot(s))
 		copyFolder(t, folder, crashed)
@@ -245,14 +245,14 @@
 
 		var want []replica.Entry
 		if s.Term == 1 {
-			want = run(31, 40, 1)
+			want = entryRange(31, 40, 1)
 		}
 		c, stored := mustOpen(t, crashed, 512)
 		must.Eq(t, s, stored.Snapshot)
 		must.Eq(t, want, stored.Entries)
-		must.NoError(t, c.Save(nil, run(s.Index+1, s.Index+20, 3), true))
+		must.NoError(t, c.Save(nil, entryRange(s.Index+1, s.Index+20, 3), true))
 		must.NoError(t, c.Close())
-		must.Eq(t, run(s.Index+1, s.Index+20, 3), reopen(t, crashed).Entries)
+		must.Eq(t, entryRange(s.Index+1, s.Index+20, 3), readBack(t, crashed).Entries)
 	}
 }
 
@@ -260,16 +260,16 @@
 	for _, name := range []string{"segments", "snapshots"} {
 		folder := t.TempDir()
 		w, _ := mustOpen(t, folder, 512)
-		saveSpread(t, w, nil, run(1, 60, 1))
+		saveOneByOne(t, w, nil, entryRange(1, 60, 1))
 		must.NoError(t, w.SaveSnapshot(replica.Snapshot{Index: 20, Term: 1}))
 		must.NoError(t, w.Close())
-		files, err := list(folder)
+		files, err := listFiles(folder)
 		must.NoError(t, err)
-		victim := files.segments[1]
+		missingFile := files.segments[1]
 		if name == "snapshots" {
-			victim = files.snapshots[0]
+			missingFile = files.snapshots[0]
 		}
-		must.NoError(t, os.Remove(victim))
+		must.NoError(t, os.Remove(missingFile))
 		_, _, err = open(folder, 512)
 		var damage *DamageError
 		must.True(t, errors.As(err, &damage), must.Sprint(name))
@@ -286,7 +286,7 @@
 		defer os.RemoveAll(folder)
 		live, crashed := filepath.Join(folder, "live"), filepath.Join(folder, "crashed")
 		w, _ := mustOpen(t, live, 512)
-		model := image{}
+		model := logState{}
 		durable := 0
 		for range rapid.IntRange(1, 30).Draw(t, "saves") {
 			last := model.last()
@@ -294,7 +294,7 @@
 			if from <= last.Index {
 				durable = min(durable, int(from-1))
 			}
-			entries := run(from, from+rapid.Uint64Range(0, 4).Draw(t, "more"), last.Term+1)
+			entries := entryRange(from, from+rapid.Uint64Range(0, 4).Draw(t, "more"), last.Term+1)
 			must.NoError(t, model.append(entries))
 			sync := rapid.Bool().Draw(t, "sync")
 			must.NoError(t, w.Save(nil, entries, sync))
@@ -305,7 +305,7 @@
 				at := rapid.Uint64Range(model.base.Index+1, model.last().Index).Draw(t, "at")
 				p := position{at, model.termAt(at)}
 				must.NoError(t, w.SaveSnapshot(replica.Snapshot{Index: p.Index, Term: p.Term}))
-				model.take(p)
+				model.applySnapshot(p)
 				durable = int(model.last().Index)
 			}
 		}
@@ -314,9 +314,9 @@
 		must.NoError(t, os.Truncate(lastSegment(t, crashed), cut))
 		must.NoError(t, w.Close())
 
-		stored := reopen(t, crashed)
+		stored := readBack(t, crashed)
 		must.Eq(t, model.base.Index, stored.Snapshot.Index)
-		got := image{base: model.base, entries: stored.Entries}
+		got := logState{base: model.base, entries: stored.Entries}
 		must.GreaterEq(t, durable, int(got.last().Index))
 		for i := model.base.Index + 1; i <= uint64(durable); i++ {
 			must.Eq(t, model.termAt(i), got.termAt(i))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -18,7 +18,7 @@
 	limits = settings.Default().Limits
 )
 
-func good() *apiv1.Spec {
+func validSpec() *apiv1.Spec {
 	return &apiv1.Spec{
 		Name: "reports", Policy: apiv1.Policy_POLICY_BATCH, Tasks: 2, RuntimeMs: 1000, DeadlineUnixMs: now.UnixMilli() + 60_000,
 		Need: &apiv1.Resources{CpuMilli: 1000, MemoryMib: 512},
@@ -52,34 +52,34 @@
 		{"deadline_unix_ms", func(s *apiv1.Spec) { s.Policy, s.Idempotent = apiv1.Policy_POLICY_SERVICE, true }},
 	}
 	for _, c := range cases {
-		spec := good()
+		spec := validSpec()
 		c.change(spec)
 		_, err := CheckSpec(spec, limits, now)
 		must.True(t, fault.Is(err, fault.Invalid), must.Sprint(c.field))
 		must.Eq(t, c.field, fault.From(err).Field)
 	}
-	_, err := CheckSpec(good(), limits, now)
+	_, err := CheckSpec(validSpec(), limits, now)
 	must.NoError(t, err)
 	_, err = CheckSpec(nil, limits, now)
 	must.Eq(t, "spec", fault.From(err).Field)
 }
 
-func TestRequestTellsContentApart(t *testing.T) {
-	first, err := Request("r", "c", good())
+func TestRequestDigestDependsOnContent(t *testing.T) {
+	first, err := Request("r", "c", validSpec())
 	must.NoError(t, err)
-	changed := good()
+	changed := validSpec()
 	changed.Tasks++
 	second, err := Request("r", "c", changed)
 	must.NoError(t, err)
 	must.NotEq(t, first.Digest, second.Digest)
-	_, err = Request("", "c", good())
+	_, err = Request("", "c", validSpec())
 	must.Eq(t, "request_id", fault.From(err).Field)
 }
 
 // Whatever arrives as a submission is refused as Invalid or gives a spec that
 // keeps its bounds and survives the way back.
 func FuzzSubmit(f *testing.F) {
-	seed, err := proto.Marshal(&apiv1.SubmitRequest{RequestId: "r", Spec: good()})
+	seed, err := proto.Marshal(&apiv1.SubmitRequest{RequestId: "r", Spec: validSpec()})
 	must.NoError(f, err)
 	f.Add(seed)
 	f.Add([]byte{})
--- a/replica/append.go
+++ b/replica/append.go
@@ -8,33 +8,33 @@
 	if c.role != Leader {
 		return
 	}
-	beat := c.lead.beatDue || c.lead.reads.due
+	heartbeat := c.leaderState.heartbeatDue || c.leaderState.reads.due
 	for _, m := range c.members.current() {
 		if m.ID != c.cfg.ID {
-			c.feed(m.ID, c.lead.progress[m.ID], beat)
+			c.replicateTo(m.ID, c.leaderState.progress[m.ID], heartbeat)
 		}
 	}
-	c.lead.beatDue = false
-	c.lead.reads.due = false
+	c.leaderState.heartbeatDue = false
+	c.leaderState.reads.due = false
 }
 
-func (c *Core) feed(id string, p *progress, beat bool) {
+func (c *Core) replicateTo(id string, p *progress, heartbeat bool) {
 	switch p.flow {
 	case probing:
-		if beat || !p.probeSent {
+		if heartbeat || !p.probeSent {
 			p.probeSent = true
 			c.sendEntries(id, p)
 		}
 	case streaming:
 		sent := c.stream(id, p)
-		if beat && !sent {
+		if heartbeat && !sent {
 			c.sendHeartbeat(id, p.next-1)
 		}
 	case snapshotting:
-		if beat {
+		if heartbeat {
 			c.sendHeartbeat(id, 0)
 		}
-		c.repeatSnapshot(id, p)
+		c.resendSnapshot(id, p)
 	}
 }
 
@@ -80,7 +80,7 @@
 func (c *Core) appendMessage(id string) Message {
 	return Message{
 		Type: MsgAppend, To: id, Term: c.term, Commit: c.commit,
-		Tick: c.now, Read: c.lead.reads.round,
+		Tick: c.now, ReadRound: c.leaderState.reads.round,
 	}
 }
 
@@ -90,32 +90,32 @@
 	p.snapshotIndex = c.snapshot.Index
 	p.snapshotTick = c.now
 	s := c.snapshot
-	c.send(Message{Type: MsgSnapshot, To: id, Term: c.term, Tick: c.now, Read: c.lead.reads.round, Snapshot: &s})
+	c.send(Message{Type: MsgSnapshot, To: id, Term: c.term, Tick: c.now, ReadRound: c.leaderState.reads.round, Snapshot: &s})
 }
 
-// repeatSnapshot sends a snapshot again that may have been lost, but not to a
+// resendSnapshot sends a snapshot again that may have been lost, but not to a
 // member from which nothing is heard.
-func (c *Core) repeatSnapshot(id string, p *progress) {
-	pause := uint64(c.cfg.ElectionTicks)
-	if c.now-p.snapshotTick >= pause && c.now-p.contact < pause {
+func (c *Core) resendSnapshot(id string, p *progress) {
+	interval := uint64(c.cfg.ElectionTicks)
+	if c.now-p.snapshotTick >= interval && c.now-p.lastReplyTick < interval {
 		c.sendSnapshot(id, p)
 	}
 }
 
 // onAppend takes in entries of the current term's leader.
 func (c *Core) onAppend(m Message) {
-	c.heardLeader(m.From)
+	c.recordLeaderContact(m.From)
 	reply := c.appendReply(m)
-	match, ok := c.takeEntries(m)
+	match, ok := c.appendMissing(m)
 	if !ok {
 		reply.Reject = true
 		reply.Index = m.Index
-		reply.Hint = c.log.conflictHint(m.Index)
+		reply.RejectHint = c.log.conflictHint(m.Index)
 		c.send(reply)
 		return
 	}
 	c.commitTo(min(m.Commit, match))
-	c.noteMatched(m.From, match)
+	c.recordMatch(m.From, match)
 	reply.Index = match
 	reply.Recovering = c.role == Recovering
 	c.send(reply)
@@ -124,31 +124,31 @@
 func (c *Core) appendReply(m Message) Message {
 	return Message{
 		Type: MsgAppendReply, To: m.From, Term: c.term,
-		Tick: m.Tick, Read: m.Read, Recovering: c.role == Recovering,
+		Tick: m.Tick, ReadRound: m.ReadRound, Recovering: c.role == Recovering,
 	}
 }
 
-// heardLeader notes a sign of life of the leader of the current term.
-func (c *Core) heardLeader(id string) {
+// recordLeaderContact notes a sign of life of the leader of the current term.
+func (c *Core) recordLeaderContact(id string) {
 	invariant(c.role != Leader, "%s and %s both lead in term %d", c.cfg.ID, id, c.term)
 	if c.leader != id || c.role == Candidate {
 		c.follow(c.term, id)
 	} else {
-		c.gaps.note(c.sinceLeader, c.now)
+		c.heartbeatGaps.record(c.ticksSinceLeader, c.now)
 	}
-	c.sinceLeader = 0
-	c.sinceCampaign = 0
-	if c.outside {
-		c.outside = false
-		c.recovery.askIn = 0
+	c.ticksSinceLeader = 0
+	c.ticksSinceReset = 0
+	if c.notMember {
+		c.notMember = false
+		c.recovery.requestCountdown = 0
 		c.resetTimers()
 	}
 }
 
-// takeEntries appends the entries that are missing and returns the last index
+// appendMissing appends the entries that are missing and returns the last index
 // at which the log now matches the leader's; false when the entry before them
 // doesn't match.
-func (c *Core) takeEntries(m Message) (uint64, bool) {
+func (c *Core) appendMissing(m Message) (uint64, bool) {
 	prev, term, entries := m.Index, m.LogTerm, m.unpack()
 	if prev < c.commit {
 		// What is committed is in the leader's log too; only later entries
@@ -182,7 +182,7 @@
 			c.members.truncate(e.Index)
 		}
 		c.log.append(entries[i:]...)
-		err := c.learnMembers(entries[i:])
+		err := c.recordMemberships(entries[i:])
 		invariant(err == nil, "%s: %v", c.cfg.ID, err)
 		return
 	}
@@ -194,7 +194,7 @@
 	if s == nil || checkMembers(s.Members) != nil {
 		return
 	}
-	c.heardLeader(m.From)
+	c.recordLeaderContact(m.From)
 	switch {
 	case s.Index <= c.commit:
 	case c.log.matches(s.Index, s.Term):
@@ -202,7 +202,7 @@
 	default:
 		c.install(*s)
 	}
-	c.noteMatched(m.From, c.commit)
+	c.recordMatch(m.From, c.commit)
 	reply := c.appendReply(m)
 	reply.Index = c.commit
 	c.send(reply)
@@ -210,8 +210,8 @@
 
 func (c *Core) install(s Snapshot) {
 	c.log.reset(s.Index, s.Term)
-	c.members = newMembership(s.Index, s.Members)
-	c.noteMemberIncarnations(s.Members)
+	c.members = newMembershipHistory(s.Index, s.Members)
+	c.recordMemberIncarnations(s.Members)
 	c.snapshot = s
 	c.newSnapshot = &s
 	c.commitTo(s.Index)
@@ -219,35 +219,35 @@
 
 // onAppendReply counts an acknowledgement and keeps the flow of entries going.
 func (c *Core) onAppendReply(m Message) {
-	p := c.lead.progress[m.From]
+	p := c.leaderState.progress[m.From]
 	if c.role != Leader || p == nil {
 		return
 	}
-	p.contact = c.now
-	if !c.vectorKnown(m) {
+	p.lastReplyTick = c.now
+	if !c.incarnationsKnown(m) {
 		// Can't be counted; the next append carries the vector to the sender,
 		// which then answers with one that can.
-		c.lead.beatDue = true
+		c.leaderState.heartbeatDue = true
 		return
 	}
 	p.recovering = m.Recovering
 	if !m.Recovering {
-		p.heard = max(p.heard, m.Tick)
-		p.readRound = max(p.readRound, m.Read)
+		p.ackedTick = max(p.ackedTick, m.Tick)
+		p.readRound = max(p.readRound, m.ReadRound)
 	}
 	if m.Reject {
-		p.refused(m.Index, m.Hint)
+		p.rejected(m.Index, m.RejectHint)
 	} else if m.Index <= c.log.last() {
 		p.matched(m.Index)
 	}
-	c.noteCaughtUp(p)
+	c.clearLagging(p)
 	c.maybeCommit()
 	c.confirmReads()
 	c.tryTransfer(m.From)
 }
 
-// noteCaughtUp lets the commit rule wait for a disk voter again.
-func (c *Core) noteCaughtUp(p *progress) {
+// clearLagging lets the commit rule wait for a disk voter again.
+func (c *Core) clearLagging(p *progress) {
 	if p.match >= c.commit {
 		p.lagging = false
 	}
--- a/replica/bench_test.go
+++ b/replica/bench_test.go
@@ -19,7 +19,7 @@
 	}
 	cores := map[string]*Core{}
 	for _, m := range list {
-		c, err := New(Config{ID: m.ID, Incarnation: benchIncarnation, Members: list}, Stored{})
+		c, err := New(Config{ID: m.ID, Incarnation: benchIncarnation, Members: list}, StoredState{})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -32,14 +32,14 @@
 				return c, cores
 			}
 		}
-		benchPump(cores)
+		benchProcessReady(cores)
 	}
 	b.Fatal("no leader")
 	return nil, nil
 }
 
-// benchPump carries out all work and returns how many bytes were sent.
-func benchPump(cores map[string]*Core) int {
+// benchProcessReady carries out all work and returns how many bytes were sent.
+func benchProcessReady(cores map[string]*Core) int {
 	bytes := 0
 	for busy := true; busy; {
 		busy = false
@@ -86,7 +86,7 @@
 					if _, _, err := leader.Propose(proposals...); err != nil {
 						b.Fatal(err)
 					}
-					sent += benchPump(cores)
+					sent += benchProcessReady(cores)
 					if leader.commit > leader.snapshot.Index+1000 {
 						benchCompact(cores)
 					}
@@ -111,11 +111,11 @@
 	for _, size := range []int{3, 5} {
 		b.Run(fmt.Sprintf("members=%d", size), func(b *testing.B) {
 			leader, cores := benchGroup(b, size)
-			benchPump(cores)
+			benchProcessReady(cores)
 			sent := 0
 			for range b.N {
-				leader.lead.beatDue = true
-				sent += benchPump(cores)
+				leader.leaderState.heartbeatDue = true
+				sent += benchProcessReady(cores)
 			}
 			b.ReportMetric(float64(sent)/float64(b.N)/float64(size-1), "wire-B/peer")
 		})
--- a/replica/change.go
+++ b/replica/change.go
@@ -18,7 +18,7 @@
 	for i := range list {
 		list[i].Incarnation = 0
 	}
-	if err := c.mayPropose(); err != nil {
+	if err := c.checkCanPropose(); err != nil {
 		return 0, 0, err
 	}
 	if err := c.checkChange(list); err != nil {
@@ -28,7 +28,7 @@
 }
 
 func (c *Core) appendMembership(list []Member) uint64 {
-	index := c.appendOwn(EntryMembership, encodeMembers(list))
+	index := c.appendEntry(EntryMembership, encodeMembers(list))
 	c.members.push(index, list)
 	c.syncProgress()
 	return index
@@ -38,7 +38,7 @@
 // memberships that differ in one voter have a common member in any two
 // quorums; that holds for chains of changes only if each one is committed
 // before the next, and the first after an entry of the leader's own term
-// (mayPropose checks that one).
+// (checkCanPropose checks that one).
 func (c *Core) checkChange(list []Member) error {
 	if err := checkMembers(list); err != nil {
 		return err
@@ -87,7 +87,7 @@
 	if !isVoter(list, id) || isVoter(c.members.current(), id) {
 		return nil
 	}
-	p := c.lead.progress[id]
+	p := c.leaderState.progress[id]
 	if p == nil || !c.responsive(p) || p.flow != streaming || p.match+uint64(c.cfg.MaxEntriesPerMessage) < c.commit {
 		return errors.Wrapf(ErrNotCaughtUp, "member %s", id)
 	}
@@ -101,7 +101,7 @@
 func (c *Core) checkQuorum(list []Member) error {
 	answering := 0
 	for _, m := range voters(list) {
-		p := c.lead.progress[m.ID]
+		p := c.leaderState.progress[m.ID]
 		if m.ID == c.cfg.ID || p != nil && c.responsive(p) {
 			answering++
 		}
--- a/replica/coldstart.go
+++ b/replica/coldstart.go
@@ -29,82 +29,82 @@
 // would be every voter, and two leaders and a lost commit would follow.
 
 // standing is how a voter takes part in a cold start.
-type standing struct {
-	member     Member
-	recovering bool
-	held       bool
-	index      uint64
-	term       uint64
+type voterState struct {
+	member       Member
+	recovering   bool
+	participated bool
+	index        uint64
+	term         uint64
 }
 
 // coldStartAllowed reports whether nothing committed can be missing from the
 // members that have not forgotten.
-func coldStartAllowed(list []standing) bool {
-	forgotten, forgottenHeld, disks, disksLost := 0, 0, 0, 0
+func coldStartAllowed(list []voterState) bool {
+	recovering, recoveringParticipants, intactDisks, lostDisks := 0, 0, 0, 0
 	for _, s := range list {
 		if s.recovering {
-			forgotten++
+			recovering++
 		}
-		if s.recovering && s.held {
-			forgottenHeld++
+		if s.recovering && s.participated {
+			recoveringParticipants++
 		}
 		if s.member.HasDisk && !s.recovering {
-			disks++
+			intactDisks++
 		}
-		if s.member.HasDisk && s.recovering && s.held {
-			disksLost++
+		if s.member.HasDisk && s.recovering && s.participated {
+			lostDisks++
 		}
 	}
 	quorum := len(list)/2 + 1
 	switch {
-	case forgotten == len(list):
+	case recovering == len(list):
 		return true
-	case forgottenHeld < quorum:
+	case recoveringParticipants < quorum:
 		return true
 	default:
-		return disks > 0 && disksLost == 0
+		return intactDisks > 0 && lostDisks == 0
 	}
 }
 
 // electionPossible reports whether enough voters remember their promises for
 // an ordinary election.
-func electionPossible(list []standing) bool {
-	remember := 0
+func electionPossible(list []voterState) bool {
+	intact := 0
 	for _, s := range list {
 		if !s.recovering {
-			remember++
+			intact++
 		}
 	}
-	return remember > len(list)/2
+	return intact > len(list)/2
 }
 
 // tryColdStart starts a cold start when every voter has answered lately, none
 // leads, it is allowed, and this member is the one to lead.
 func (c *Core) tryColdStart() bool {
-	lists, ok := c.standings()
-	if !ok || !c.mayLead() || !allAllowed(lists) {
+	lists, ok := c.voterStates()
+	if !ok || !c.mayLead() || !coldStartAllowedInAll(lists) {
 		return false
 	}
 	latest := lists[len(lists)-1]
-	if c.leaderHeard() || electionPossible(latest) || coldStartLeader(latest) != c.cfg.ID {
+	if c.hasRecentLeader() || electionPossible(latest) || coldStartLeader(latest) != c.cfg.ID {
 		return false
 	}
-	c.setTerm(c.highestTermHeard())
-	c.skipForgottenTerms()
+	c.setTerm(c.highestReportedTerm())
+	c.skipLostTerms()
 	c.startCampaign(coldStarting, false)
 	return true
 }
 
-func allAllowed(lists [][]standing) bool {
-	return !slices.ContainsFunc(lists, func(list []standing) bool { return !coldStartAllowed(list) })
+func coldStartAllowedInAll(lists [][]voterState) bool {
+	return !slices.ContainsFunc(lists, func(list []voterState) bool { return !coldStartAllowed(list) })
 }
 
 // standings collects, for each membership from the committed one on, the fresh
 // answers of all voters; false when one is missing or leads.
-func (c *Core) standings() ([][]standing, bool) {
-	var lists [][]standing
+func (c *Core) voterStates() ([][]voterState, bool) {
+	var lists [][]voterState
 	for _, list := range c.members.since(c.commit) {
-		s, ok := c.standingsOf(list)
+		s, ok := c.voterStatesOf(list)
 		if !ok {
 			return nil, false
 		}
@@ -113,44 +113,44 @@
 	return lists, true
 }
 
-// standingsOf: learners with disks must have answered too and may not be ahead:
+// voterStatesOf: learners with disks must have answered too and may not be ahead:
 // one may have been promoted by an entry that isn't in the own log.
-func (c *Core) standingsOf(members []Member) ([]standing, bool) {
-	var list []standing
+func (c *Core) voterStatesOf(members []Member) ([]voterState, bool) {
+	var list []voterState
 	for _, m := range members {
-		s, ok := c.standing(m)
+		s, ok := c.voterStateOf(m)
 		switch {
 		case m.Learner && !m.HasDisk:
 		case !ok:
 			return nil, false
 		case !m.Learner:
 			list = append(list, s)
-		case !s.recovering && c.log.behind(s.index, s.term):
+		case !s.recovering && c.log.isBehind(s.index, s.term):
 			return nil, false
 		}
 	}
 	return list, true
 }
 
-func (c *Core) standing(m Member) (standing, bool) {
+func (c *Core) voterStateOf(m Member) (voterState, bool) {
 	if m.ID == c.cfg.ID {
-		return standing{m, c.role == Recovering, c.known.held(m.ID), c.log.last(), c.log.lastTerm()}, true
+		return voterState{m, c.role == Recovering, c.incarnations.participated(m.ID), c.log.last(), c.log.lastTerm()}, true
 	}
-	a, ok := c.recovery.answers[m.ID]
-	fresh := c.now-a.tick < 2*uint64(c.cfg.ElectionTicks)
-	return standing{m, a.recovering, c.known.held(m.ID), a.index, a.logTerm}, ok && fresh && !a.leader
+	a, ok := c.recovery.replies[m.ID]
+	recent := c.now-a.receivedTick < 2*uint64(c.cfg.ElectionTicks)
+	return voterState{m, a.recovering, c.incarnations.participated(m.ID), a.index, a.logTerm}, ok && recent && !a.leader
 }
 
 // coldStartLeader picks the voter with the best log among those that remember.
 // Without any, a disk voter goes before others, then the lowest ID. Every voter
 // that sees the same answers picks the same one.
-func coldStartLeader(list []standing) string {
+func coldStartLeader(list []voterState) string {
 	best := -1
 	for i, s := range list {
 		if s.member.Witness {
 			continue
 		}
-		if best < 0 || s.before(list[best]) {
+		if best < 0 || s.precedes(list[best]) {
 			best = i
 		}
 	}
@@ -160,7 +160,7 @@
 	return list[best].member.ID
 }
 
-func (s standing) before(o standing) bool {
+func (s voterState) precedes(o voterState) bool {
 	switch {
 	case s.recovering != o.recovering:
 		return !s.recovering
@@ -175,22 +175,22 @@
 	}
 }
 
-// coldStartHolds checks the rule again with what the voters said when they
+// coldStartStillAllowed checks the rule again with what the voters said when they
 // granted: one may have restarted since it answered.
-func (c *Core) coldStartHolds() bool {
-	var lists [][]standing
+func (c *Core) coldStartStillAllowed() bool {
+	var lists [][]voterState
 	for _, members := range c.members.since(c.commit) {
-		var list []standing
+		var list []voterState
 		for _, m := range voters(members) {
 			recovering := c.campaign.votes[m.ID].recovering
-			list = append(list, standing{member: m, recovering: recovering, held: c.known.held(m.ID)})
+			list = append(list, voterState{member: m, recovering: recovering, participated: c.incarnations.participated(m.ID)})
 		}
 		lists = append(lists, list)
 	}
-	return allAllowed(lists)
+	return coldStartAllowedInAll(lists)
 }
 
-// noteColdVote: a forgetful voter has granted a cold start. An append of that
+// recordColdStartVote: a forgetful voter has granted a cold start. An append of that
 // candidate in that term proves that all voters did; then its log up to the
 // end that the request named is all there is to hold.
 //
@@ -200,41 +200,41 @@
 // with the old candidate's log and help to elect it, in a term that already had
 // a leader. A candidate sends one request a term to each voter, so it counted
 // the very incarnation that keeps this source, and its appends needn't name it.
-func (c *Core) noteColdVote(m Message) {
+func (c *Core) recordColdStartVote(m Message) {
 	if m.ColdStart && c.role == Recovering {
-		c.recovery.source = recoverySource{leader: m.From, term: m.Term, target: m.Index}
+		c.recovery.source = recoverySource{leader: m.From, term: m.Term, requiredIndex: m.Index}
 	}
 }
 
-// startAlone makes the only voter of a group its leader.
-func (c *Core) startAlone() {
+// campaignAsSoleVoter makes the only voter of a group its leader.
+func (c *Core) campaignAsSoleVoter() {
 	if c.mayLead() {
-		c.skipForgottenTerms()
+		c.skipLostTerms()
 		c.startCampaign(voting, false)
 	}
 }
 
-// termIncarnations is how many incarnations go into one term: with wall clock
+// incarnationsPerTerm is how many incarnations go into one term: with wall clock
 // milliseconds, about a second.
-const termIncarnations = 1024
+const incarnationsPerTerm = 1024
 
-// skipForgottenTerms: terms that only forgetful members knew may have had
+// skipLostTerms: terms that only forgetful members knew may have had
 // leaders, and whoever fences by term must not meet them twice. Elections are
 // rarer than one a second, so the number of seconds in the latest incarnation
 // is above all of them. It matters only after a blank start.
-func (c *Core) skipForgottenTerms() {
-	if term := c.known.latest() / termIncarnations; c.anyForgetful() && term > c.term {
+func (c *Core) skipLostTerms() {
+	if term := c.incarnations.highest() / incarnationsPerTerm; c.anyRecovering() && term > c.term {
 		c.setTerm(term)
 	}
 }
 
-// anyForgetful reports whether this member or one that answered has forgotten
+// anyRecovering reports whether this member or one that answered has forgotten
 // its promises.
-func (c *Core) anyForgetful() bool {
+func (c *Core) anyRecovering() bool {
 	if c.role == Recovering {
 		return true
 	}
-	for _, a := range c.recovery.answers {
+	for _, a := range c.recovery.replies {
 		if a.recovering {
 			return true
 		}
@@ -257,11 +257,11 @@
 		return errors.Wrap(ErrForceStart, "not a member that may lead")
 	case !c.cfg.HasDisk && !c.soleVoter():
 		return errors.Wrap(ErrForceStart, "neither a disk nor the only voter")
-	case c.leaderHeard():
+	case c.hasRecentLeader():
 		return errors.Wrap(ErrForceStart, "a leader was heard lately")
 	}
-	c.setTerm(c.highestTermHeard() + 1)
-	c.skipForgottenTerms()
+	c.setTerm(c.highestReportedTerm() + 1)
+	c.skipLostTerms()
 	c.vote = c.cfg.ID
 	c.becomeLeader()
 	var list []Member
@@ -273,9 +273,9 @@
 	return nil
 }
 
-func (c *Core) highestTermHeard() uint64 {
+func (c *Core) highestReportedTerm() uint64 {
 	highest := c.term
-	for _, a := range c.recovery.answers {
+	for _, a := range c.recovery.replies {
 		highest = max(highest, a.term)
 	}
 	return highest
--- a/replica/config.go
+++ b/replica/config.go
@@ -9,11 +9,11 @@
 	defaultMaxEntries     = 256
 	defaultMaxInflight    = 16
 	minElectionTicks      = 5
-	// leaseShare: a leader's lease is the election timeout less this part of it.
-	leaseShare = 4
-	// leaseMinMargin is the least number of ticks between the end of the lease
+	// leaseMarginDivisor: a leader's lease is the election timeout less this part of it.
+	leaseMarginDivisor = 4
+	// minLeaseMarginTicks is the least number of ticks between the end of the lease
 	// and the first vote: one for the phase of each clock.
-	leaseMinMargin = 2
+	minLeaseMarginTicks = 2
 )
 
 // Config is the fixed part of a member.
@@ -47,7 +47,7 @@
 	KeepBytes int
 }
 
-func (cfg *Config) fill() error {
+func (cfg *Config) normalize() error {
 	setDefault(&cfg.ElectionTicks, defaultElectionTicks)
 	setDefault(&cfg.HeartbeatTicks, defaultHeartbeatTicks)
 	setDefault(&cfg.MaxEntriesPerMessage, defaultMaxEntries)
@@ -78,6 +78,6 @@
 // after they received it, which is later than it was sent; the margin covers
 // the phase of both clocks and a quarter of difference in their rates.
 func (cfg *Config) leaseTicks() int {
-	margin := max(leaseMinMargin, cfg.ElectionTicks/leaseShare)
+	margin := max(minLeaseMarginTicks, cfg.ElectionTicks/leaseMarginDivisor)
 	return cfg.ElectionTicks - margin
 }
--- a/replica/core.go
+++ b/replica/core.go
@@ -24,27 +24,27 @@
 	vote   string
 	leader string
 	// outside is set while this member takes itself for removed.
-	outside bool
+	notMember bool
 
-	log      entryLog
-	snapshot Snapshot
-	commit   uint64
-	applied  uint64
-	members  membership
-	known    incarnations
+	log          entryLog
+	snapshot     Snapshot
+	commit       uint64
+	applied      uint64
+	members      membershipHistory
+	incarnations incarnations
 
-	// now counts own ticks. sinceLeader counts ticks since a leader was heard,
-	// sinceCampaign those since the election timer was reset.
-	now           uint64
-	sinceLeader   int
-	sinceCampaign int
-	timeout       int
-	gaps          gaps
+	// now counts own ticks. ticksSinceLeader counts ticks since a leader was heard,
+	// ticksSinceReset those since the election timer was reset.
+	now              uint64
+	ticksSinceLeader int
+	ticksSinceReset  int
+	electionTimeout  int
+	heartbeatGaps    heartbeatGaps
 
-	campaign campaign
-	lead     leadership
-	recovery recovery
-	handover handover
+	campaign    campaign
+	leaderState leaderState
+	recovery    recovery
+	logFetch    logFetch
 
 	// peerDigest is the digest that each peer's last message showed.
 	peerDigest map[string]uint64
@@ -56,36 +56,36 @@
 	readyPending bool
 }
 
-// clockStart is the start of the tick count, in election timeouts.
-const clockStart = 2
+// initialClockTimeouts is the start of the tick count, in election timeouts.
+const initialClockTimeouts = 2
 
 // New returns a member as it stands after a start. A member whose stored state
 // is empty comes up Recovering, unless it is the only voter.
-func New(cfg Config, stored Stored) (*Core, error) {
-	if err := cfg.fill(); err != nil {
+func New(cfg Config, stored StoredState) (*Core, error) {
+	if err := cfg.normalize(); err != nil {
 		return nil, err
 	}
 	c := &Core{cfg: cfg, peerDigest: map[string]uint64{}}
 	// The clock starts late enough for "never heard" (zero) to be long ago.
-	c.now = clockStart * uint64(cfg.ElectionTicks)
+	c.now = initialClockTimeouts * uint64(cfg.ElectionTicks)
 	c.rand = rand.New(rand.NewPCG(cfg.Seed, xxhash.Sum64String(cfg.ID)))
 	if err := c.restore(stored); err != nil {
 		return nil, err
 	}
 	c.resetTimers()
 	if c.soleVoter() {
-		c.startAlone()
+		c.campaignAsSoleVoter()
 	}
 	return c, nil
 }
 
-func (s *Stored) empty() bool {
+func (s *StoredState) empty() bool {
 	hs := &s.HardState
 	noState := hs.Term == 0 && hs.Vote == "" && hs.Incarnation == 0
 	return noState && s.Snapshot.Index == 0 && len(s.Entries) == 0
 }
 
-func (c *Core) restore(stored Stored) error {
+func (c *Core) restore(stored StoredState) error {
 	base := stored.Snapshot.Members
 	if stored.Snapshot.Index == 0 {
 		base = c.cfg.Members
@@ -102,14 +102,14 @@
 	c.snapshot = stored.Snapshot
 	c.commit = max(hs.Commit, stored.Snapshot.Index)
 	if c.commit > c.log.last() {
-		return errors.Wrapf(ErrStored, "commit %d after the last entry %d", c.commit, c.log.last())
+		return errors.Wrapf(ErrStoredState, "commit %d after the last entry %d", c.commit, c.log.last())
 	}
 	c.applied = stored.Snapshot.Index
-	c.members = newMembership(stored.Snapshot.Index, slices.Clone(base))
-	if err := c.learnMembers(c.log.slice(max(c.log.first(), stored.Snapshot.Index+1), c.log.last())); err != nil {
+	c.members = newMembershipHistory(stored.Snapshot.Index, slices.Clone(base))
+	if err := c.recordMemberships(c.log.slice(max(c.log.first(), stored.Snapshot.Index+1), c.log.last())); err != nil {
 		return err
 	}
-	c.known = newIncarnations(hs.Known)
+	c.incarnations = newIncarnations(hs.KnownIncarnations)
 	c.restoreIncarnation(stored)
 	return nil
 }
@@ -117,13 +117,13 @@
 // restoreIncarnation: a member that finds its state remembers its promises and
 // goes on under the old incarnation; a blank one takes the new incarnation, so
 // that what it promised before no longer counts.
-func (c *Core) restoreIncarnation(stored Stored) {
+func (c *Core) restoreIncarnation(stored StoredState) {
 	c.incarnation = stored.HardState.Incarnation
 	if c.incarnation == 0 {
 		c.incarnation = c.cfg.Incarnation
 	}
-	c.known.merge(Known{ID: c.cfg.ID, Incarnation: c.incarnation})
-	c.noteMemberIncarnations(stored.Snapshot.Members)
+	c.incarnations.merge(MemberIncarnation{ID: c.cfg.ID, Incarnation: c.incarnation})
+	c.recordMemberIncarnations(stored.Snapshot.Members)
 	if stored.empty() || stored.HardState.Recovering {
 		c.role = Recovering
 	}
@@ -132,15 +132,15 @@
 	}
 }
 
-func (c *Core) noteMemberIncarnations(list []Member) {
+func (c *Core) recordMemberIncarnations(list []Member) {
 	for _, m := range list {
 		if m.Incarnation > 0 {
-			c.noteIncarnation(Known{ID: m.ID, Incarnation: m.Incarnation})
+			c.recordIncarnation(MemberIncarnation{ID: m.ID, Incarnation: m.Incarnation})
 		}
 	}
 }
 
-func (c *Core) learnMembers(entries []Entry) error {
+func (c *Core) recordMemberships(entries []Entry) error {
 	for _, e := range entries {
 		if e.Kind != EntryMembership {
 			continue
@@ -161,29 +161,29 @@
 		c.tickLeader()
 		return
 	}
-	c.sinceLeader++
-	c.sinceCampaign++
+	c.ticksSinceLeader++
+	c.ticksSinceReset++
 	if c.role == Recovering {
 		c.tickRecovering()
 		return
 	}
-	if c.sinceCampaign >= c.timeout {
+	if c.ticksSinceReset >= c.electionTimeout {
 		c.onElectionTimeout()
 	}
 }
 
 // resetTimers starts a new election timeout of its own random length.
 func (c *Core) resetTimers() {
-	c.sinceCampaign = 0
-	patience := c.patience()
-	c.timeout = (patience + c.rand.IntN(patience)) * c.askPause()
+	c.ticksSinceReset = 0
+	minTimeout := c.minElectionTimeout()
+	c.electionTimeout = (minTimeout + c.rand.IntN(minTimeout)) * c.requestIntervalFactor()
 }
 
-// leaderHeard reports whether a leader's lease may still be counting on this
+// hasRecentLeader reports whether a leader's lease may still be counting on this
 // member. Just after a start the answer is yes: the member may have answered
 // a heartbeat right before it died.
-func (c *Core) leaderHeard() bool {
-	return c.role == Leader || c.sinceLeader < c.cfg.ElectionTicks
+func (c *Core) hasRecentLeader() bool {
+	return c.role == Leader || c.ticksSinceLeader < c.cfg.ElectionTicks
 }
 
 func (c *Core) soleVoter() bool {
@@ -194,19 +194,19 @@
 // hardState returns what must survive a restart.
 func (c *Core) hardState() HardState {
 	return HardState{
-		Term:        c.term,
-		Vote:        c.vote,
-		Commit:      c.commit,
-		Incarnation: c.incarnation,
-		Recovering:  c.role == Recovering,
-		Known:       c.known.list,
+		Term:              c.term,
+		Vote:              c.vote,
+		Commit:            c.commit,
+		Incarnation:       c.incarnation,
+		Recovering:        c.role == Recovering,
+		KnownIncarnations: c.incarnations.list,
 	}
 }
 
-// samePromises reports whether a and b are equal but for the commit index.
-func (a *HardState) samePromises(b *HardState) bool {
+// unchangedExceptCommit reports whether a and b are equal but for the commit index.
+func (a *HardState) equalExceptCommit(b *HardState) bool {
 	return a.Term == b.Term && a.Vote == b.Vote && a.Incarnation == b.Incarnation &&
-		a.Recovering == b.Recovering && slices.Equal(a.Known, b.Known)
+		a.Recovering == b.Recovering && slices.Equal(a.KnownIncarnations, b.KnownIncarnations)
 }
 
 // follow makes the member a follower of leader (empty when unknown) in term.
@@ -216,8 +216,8 @@
 	if c.role == Leader {
 		// The leader was its own leader until now; whoever counted on its lease
 		// is served by refusing votes for a whole timeout.
-		c.sinceLeader = 0
-		c.dropLeadership()
+		c.ticksSinceLeader = 0
+		c.clearLeaderState()
 	}
 	if c.role != Recovering {
 		c.role = Follower
@@ -248,9 +248,9 @@
 func (c *Core) send(m Message) {
 	m.From = c.cfg.ID
 	m.Incarnation = c.incarnation
-	m.Digest = c.known.digest
-	if c.peerDigest[m.To] != c.known.digest || m.ColdStart {
-		m.Known = c.known.list
+	m.IncarnationDigest = c.incarnations.digest
+	if c.peerDigest[m.To] != c.incarnations.digest || m.ColdStart {
+		m.KnownIncarnations = c.incarnations.list
 	}
 	m.afterSync = c.savedState.Incarnation == 0 || c.savedState.Recovering
 	c.messages = append(c.messages, m)
@@ -282,7 +282,7 @@
 func (c *Core) Status() Status {
 	list := slices.Clone(c.members.current())
 	for i := range list {
-		list[i].Incarnation = max(list[i].Incarnation, c.known.of(list[i].ID))
+		list[i].Incarnation = max(list[i].Incarnation, c.incarnations.of(list[i].ID))
 	}
 	return Status{
 		ID:        c.cfg.ID,
@@ -295,7 +295,7 @@
 		First:     c.log.first(),
 		Members:   list,
 		CanDecide: c.canDecide(),
-		Degraded:  c.role == Leader && !c.diskAnswers(),
-		Outside:   c.outside,
+		Degraded:  c.role == Leader && !c.diskVoterAvailable(),
+		Outside:   c.notMember,
 	}
 }
--- a/replica/election.go
+++ b/replica/election.go
@@ -33,7 +33,7 @@
 	}
 	// Perhaps too many members have forgotten their promises for any election
 	// to be won; their answers tell.
-	c.askState()
+	c.requestState()
 	c.startCampaign(preVoting, false)
 }
 
@@ -66,7 +66,7 @@
 		if m.ID != c.cfg.ID {
 			request.To = m.ID
 			if kind == coldStarting {
-				request.Receiver = c.known.of(m.ID)
+				request.ReceiverIncarnation = c.incarnations.of(m.ID)
 			}
 			c.send(request)
 		}
@@ -83,25 +83,25 @@
 	return voters(c.members.current())
 }
 
-// refusesVote reports whether a vote request must not even raise the term.
+// ignoresVoteRequest reports whether a vote request must not even raise the term.
 // While a leader was heard within the election timeout its lease may count on
 // this member, so only a transfer that the leader itself began may pass. This
 // also keeps a member that was removed, or cut off alone, from raising terms.
-func (c *Core) refusesVote(m Message) bool {
-	return c.leaderHeard() && !m.Force
+func (c *Core) ignoresVoteRequest(m Message) bool {
+	return c.hasRecentLeader() && !m.Force
 }
 
 // onPreVote answers whether a vote would be granted, and changes nothing.
 func (c *Core) onPreVote(m Message) {
-	grant := m.Term > c.term && !c.leaderHeard() && c.role != Recovering && c.log.upToDate(m.Index, m.LogTerm)
+	grant := m.Term > c.term && !c.hasRecentLeader() && c.role != Recovering && c.log.upToDate(m.Index, m.LogTerm)
 	reply := Message{Type: MsgPreVoteReply, To: m.From, Term: m.Term, Reject: !grant}
 	if !grant {
 		reply.Term = c.term
 		reply.Recovering = c.role == Recovering
-		c.noteWitnessAhead(m, &reply)
+		c.addWitnessLogEnd(m, &reply)
 	}
 	c.send(reply)
-	c.tellOutsider(m.From)
+	c.notifyNonMember(m.From)
 }
 
 // onVote decides on a request of the member's own term.
@@ -110,14 +110,14 @@
 	if grant {
 		c.vote = m.From
 		c.resetTimers()
-		c.noteColdVote(m)
+		c.recordColdStartVote(m)
 	}
 	reply := Message{
-		Type: MsgVoteReply, To: m.From, Term: c.term, Receiver: m.Incarnation, Reject: !grant,
+		Type: MsgVoteReply, To: m.From, Term: c.term, ReceiverIncarnation: m.Incarnation, Reject: !grant,
 		ColdStart: m.ColdStart, Recovering: c.role == Recovering,
 	}
 	if !grant {
-		c.noteWitnessAhead(m, &reply)
+		c.addWitnessLogEnd(m, &reply)
 	}
 	c.send(reply)
 }
@@ -131,7 +131,7 @@
 		return false
 	}
 	if c.role == Recovering {
-		return m.ColdStart && m.Receiver == c.incarnation
+		return m.ColdStart && m.ReceiverIncarnation == c.incarnation
 	}
 	return c.log.upToDate(m.Index, m.LogTerm)
 }
@@ -139,12 +139,12 @@
 // onVoteReply counts an answer to the round under way.
 func (c *Core) onVoteReply(m Message) {
 	if m.Reject && c.wantsLog(m.Index, m.LogTerm) {
-		c.beginFetch(m.From)
+		c.startLogFetch(m.From)
 	}
 	kind := c.campaign.kind
-	fits := m.Type == MsgPreVoteReply && kind == preVoting ||
+	matchesRound := m.Type == MsgPreVoteReply && kind == preVoting ||
 		m.Type == MsgVoteReply && (kind == voting || kind == coldStarting) && m.ColdStart == (kind == coldStarting)
-	if !fits || !c.vectorKnown(m) || !isVoter(c.electorate(), m.From) {
+	if !matchesRound || !c.incarnationsKnown(m) || !isVoter(c.electorate(), m.From) {
 		return
 	}
 	if _, ok := c.campaign.votes[m.From]; ok {
@@ -173,7 +173,7 @@
 			c.becomeLeader()
 		}
 	case coldStarting:
-		if granted == len(list) && c.coldStartHolds() {
+		if granted == len(list) && c.coldStartStillAllowed() {
 			c.becomeLeader()
 		}
 	}
--- a/replica/errors.go
+++ b/replica/errors.go
@@ -10,8 +10,8 @@
 var (
 	// ErrConfig says that a Config can't be used.
 	ErrConfig = errors.New("replica: bad configuration")
-	// ErrStored says that the stored state contradicts itself.
-	ErrStored = errors.New("replica: bad stored state")
+	// ErrStoredState says that the stored state contradicts itself.
+	ErrStoredState = errors.New("replica: bad stored state")
 	// ErrNotLeader says that this member doesn't lead, or may not decide at present.
 	ErrNotLeader = errors.New("replica: not a leader that may decide")
 	// ErrTransferring says that the leader is handing over its leadership.
--- a/replica/example_test.go
+++ b/replica/example_test.go
@@ -13,7 +13,7 @@
 	members := []replica.Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 	cores := map[string]*replica.Core{}
 	for _, m := range members {
-		core, err := replica.New(replica.Config{ID: m.ID, Incarnation: 1, Members: members}, replica.Stored{})
+		core, err := replica.New(replica.Config{ID: m.ID, Incarnation: 1, Members: members}, replica.StoredState{})
 		if err != nil {
 			panic(err)
 		}
--- a/replica/guard_test.go
+++ b/replica/guard_test.go
@@ -6,14 +6,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// guardCore returns n0 of a group that restarts from disk at term 3 with
+// candidateCore returns n0 of a group that restarts from disk at term 3 with
 // entries of terms 1 and 2, past the time in which it refuses votes.
-func guardCore(t *testing.T, ids ...string) *Core {
+func candidateCore(t *testing.T, ids ...string) *Core {
 	var list []Member
 	for _, id := range ids {
 		list = append(list, Member{ID: id, HasDisk: true})
 	}
-	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: list}, Stored{
+	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: list}, StoredState{
 		HardState: HardState{Term: 3, Incarnation: 1},
 		Entries:   []Entry{{Index: 1, Term: 1}, {Index: 2, Term: 2}},
 	})
@@ -25,9 +25,9 @@
 }
 
 // reply answers in the name of a peer that knows the same incarnations, plus extra.
-func reply(t *testing.T, c *Core, m Message, extra ...Known) {
+func stepFromPeer(t *testing.T, c *Core, m Message, extra ...MemberIncarnation) {
 	m.To, m.Incarnation = "n0", 1
-	m.Known = append([]Known{{ID: m.From, Incarnation: 1}}, extra...)
+	m.KnownIncarnations = append([]MemberIncarnation{{ID: m.From, Incarnation: 1}}, extra...)
 	must.NoError(t, c.Step(m))
 }
 
@@ -36,46 +36,46 @@
 // helps to elect n4 in term 4. n3 was part of that majority and votes for n0
 // afterwards. If n0 counted the late vote, term 4 would have two leaders, and
 // the same task could be started twice.
-func TestVoteOfDeadIncarnationDoesntCount(t *testing.T) {
+func TestVoteOfSupersededIncarnationIsNotCounted(t *testing.T) {
 	for _, order := range [][]string{{"n1", "n3"}, {"n3", "n1"}} {
-		c := guardCore(t, "n0", "n1", "n2", "n3", "n4")
+		c := candidateCore(t, "n0", "n1", "n2", "n3", "n4")
 		for _, id := range []string{"n2", "n3"} {
-			reply(t, c, Message{Type: MsgPreVoteReply, From: id, Term: 4})
+			stepFromPeer(t, c, Message{Type: MsgPreVoteReply, From: id, Term: 4})
 		}
 		must.Eq(t, 4, c.term)
 		for _, id := range order {
 			m := Message{Type: MsgVoteReply, From: id, Term: 4}
 			if id == "n3" {
-				reply(t, c, m, Known{ID: "n1", Incarnation: 2})
+				stepFromPeer(t, c, m, MemberIncarnation{ID: "n1", Incarnation: 2})
 			} else {
-				reply(t, c, m)
+				stepFromPeer(t, c, m)
 			}
 		}
 		must.Eq(t, Candidate, c.role)
-		reply(t, c, Message{Type: MsgVoteReply, From: "n2", Term: 4})
+		stepFromPeer(t, c, Message{Type: MsgVoteReply, From: "n2", Term: 4})
 		must.Eq(t, Leader, c.role)
 	}
 }
 
 // The same with an acknowledgement: it must not complete a quorum after the
 // leader has learned that its sender started anew.
-func TestAckOfDeadIncarnationDoesntCount(t *testing.T) {
-	c := guardLeader(t, "n0", "n1", "n2", "n3", "n4")
-	reply(t, c, Message{Type: MsgAppendReply, From: "n1", Term: 4, Index: 3, Tick: c.now})
-	reply(t, c, Message{Type: MsgAppendReply, From: "n3", Term: 4, Index: 3, Tick: c.now}, Known{ID: "n1", Incarnation: 2})
+func TestAckOfSupersededIncarnationIsNotCounted(t *testing.T) {
+	c := leaderCore(t, "n0", "n1", "n2", "n3", "n4")
+	stepFromPeer(t, c, Message{Type: MsgAppendReply, From: "n1", Term: 4, Index: 3, Tick: c.now})
+	stepFromPeer(t, c, Message{Type: MsgAppendReply, From: "n3", Term: 4, Index: 3, Tick: c.now}, MemberIncarnation{ID: "n1", Incarnation: 2})
 	must.Eq(t, 0, c.commit)
-	m := Message{Type: MsgAppendReply, From: "n2", To: "n0", Incarnation: 1, Term: 4, Index: 3, Tick: c.now, Digest: 12345}
+	m := Message{Type: MsgAppendReply, From: "n2", To: "n0", Incarnation: 1, Term: 4, Index: 3, Tick: c.now, IncarnationDigest: 12345}
 	must.NoError(t, c.Step(m)) // a vector that n0 can't judge
 	must.Eq(t, 0, c.commit)
-	reply(t, c, Message{Type: MsgAppendReply, From: "n2", Term: 4, Index: 3, Tick: c.now})
+	stepFromPeer(t, c, Message{Type: MsgAppendReply, From: "n2", Term: 4, Index: 3, Tick: c.now})
 	must.Eq(t, 3, c.commit)
 }
 
-func guardLeader(t *testing.T, ids ...string) *Core {
-	c := guardCore(t, ids...)
+func leaderCore(t *testing.T, ids ...string) *Core {
+	c := candidateCore(t, ids...)
 	for _, kind := range []MessageType{MsgPreVoteReply, MsgVoteReply} {
 		for _, id := range ids[1 : len(ids)/2+1] {
-			reply(t, c, Message{Type: kind, From: id, Term: 4})
+			stepFromPeer(t, c, Message{Type: kind, From: id, Term: 4})
 		}
 	}
 	must.Eq(t, Leader, c.role)
@@ -88,11 +88,11 @@
 // election and replace it; had it been reported as committed, a user would see
 // accepted work disappear.
 func TestEarlierTermCommitsOnlyWithOwnTerm(t *testing.T) {
-	c := guardLeader(t, "n0", "n1", "n2")
-	reply(t, c, Message{Type: MsgAppendReply, From: "n1", Term: 4, Index: 2, Tick: c.now})
+	c := leaderCore(t, "n0", "n1", "n2")
+	stepFromPeer(t, c, Message{Type: MsgAppendReply, From: "n1", Term: 4, Index: 2, Tick: c.now})
 	must.Eq(t, 0, c.commit)
 	must.False(t, c.Status().CanDecide)
-	reply(t, c, Message{Type: MsgAppendReply, From: "n1", Term: 4, Index: 3, Tick: c.now})
+	stepFromPeer(t, c, Message{Type: MsgAppendReply, From: "n1", Term: 4, Index: 3, Tick: c.now})
 	must.Eq(t, 3, c.commit)
 	must.True(t, c.Status().CanDecide)
 }
@@ -101,24 +101,24 @@
 // for votes. While the leader is heard, that neither changes a term nor gets a
 // vote.
 func TestVotesRefusedWhileLeaderHeard(t *testing.T) {
-	c := guardCore(t, "n0", "n1", "n2")
-	reply(t, c, Message{Type: MsgAppend, From: "n1", Term: 4, Index: 2, LogTerm: 2})
+	c := candidateCore(t, "n0", "n1", "n2")
+	stepFromPeer(t, c, Message{Type: MsgAppend, From: "n1", Term: 4, Index: 2, LogTerm: 2})
 	for _, kind := range []MessageType{MsgPreVote, MsgVote} {
-		reply(t, c, Message{Type: kind, From: "n2", Term: 9, Index: 99, LogTerm: 9})
+		stepFromPeer(t, c, Message{Type: kind, From: "n2", Term: 9, Index: 99, LogTerm: 9})
 		must.Eq(t, 4, c.term)
 		must.Eq(t, "", c.vote)
 	}
-	reply(t, c, Message{Type: MsgVote, From: "n2", Term: 9, Index: 99, LogTerm: 9, Force: true})
+	stepFromPeer(t, c, Message{Type: MsgVote, From: "n2", Term: 9, Index: 99, LogTerm: 9, Force: true})
 	must.Eq(t, "n2", c.vote)
 }
 
 // A heartbeat or append that arrives late and is shorter than the log cuts off
 // nothing; one that contradicts what is committed stops the process.
 func TestLogConflicts(t *testing.T) {
-	c := guardCore(t, "n0", "n1", "n2")
+	c := candidateCore(t, "n0", "n1", "n2")
 	entries := []Entry{{Index: 3, Term: 4}, {Index: 4, Term: 4}}
-	reply(t, c, Message{Type: MsgAppend, From: "n1", Term: 4, Index: 2, LogTerm: 2, Entries: entries, Commit: 3})
-	reply(t, c, Message{Type: MsgAppend, From: "n1", Term: 4, Index: 2, LogTerm: 2, Entries: entries[:1]})
+	stepFromPeer(t, c, Message{Type: MsgAppend, From: "n1", Term: 4, Index: 2, LogTerm: 2, Entries: entries, Commit: 3})
+	stepFromPeer(t, c, Message{Type: MsgAppend, From: "n1", Term: 4, Index: 2, LogTerm: 2, Entries: entries[:1]})
 	must.Eq(t, 4, c.log.last())
 	must.Eq(t, 3, c.commit)
 	must.Panic(t, func() { c.mergeEntries([]Entry{{Index: 3, Term: 5}}) })
@@ -133,60 +133,60 @@
 		{}, {ID: "n0"}, {ID: "n0", Incarnation: 1}, {ID: "n0", Incarnation: 1, Members: append(one, one...)},
 		{ID: "n0", Incarnation: 1, Members: one, ElectionTicks: 3}, {ID: "n0", Incarnation: 1, Members: one, HeartbeatTicks: 9},
 	} {
-		_, err := New(cfg, Stored{})
+		_, err := New(cfg, StoredState{})
 		must.ErrorIs(t, err, ErrConfig)
 	}
-	_, err := New(Config{ID: "n0", Incarnation: 1, Members: one}, Stored{Entries: []Entry{{Index: 2, Term: 1}}})
-	must.ErrorIs(t, err, ErrStored)
+	_, err := New(Config{ID: "n0", Incarnation: 1, Members: one}, StoredState{Entries: []Entry{{Index: 2, Term: 1}}})
+	must.ErrorIs(t, err, ErrStoredState)
 }
 
 // A snapshot arrives late, after entries beyond it were acknowledged. Starting
 // the log anew at the snapshot would forget them.
-func TestLateSnapshotCutsNothing(t *testing.T) {
-	c := guardCore(t, "n0", "n1", "n2")
+func TestDelayedSnapshotTruncatesNothing(t *testing.T) {
+	c := candidateCore(t, "n0", "n1", "n2")
 	entries := []Entry{{Index: 3, Term: 4}, {Index: 4, Term: 4}}
-	reply(t, c, Message{Type: MsgAppend, From: "n1", Term: 4, Index: 2, LogTerm: 2, Entries: entries, Commit: 1})
+	stepFromPeer(t, c, Message{Type: MsgAppend, From: "n1", Term: 4, Index: 2, LogTerm: 2, Entries: entries, Commit: 1})
 	snapshot := &Snapshot{Index: 3, Term: 4, Members: c.members.current()}
-	reply(t, c, Message{Type: MsgSnapshot, From: "n1", Term: 4, Snapshot: snapshot})
+	stepFromPeer(t, c, Message{Type: MsgSnapshot, From: "n1", Term: 4, Snapshot: snapshot})
 	must.Eq(t, 4, c.log.last())
 	must.Eq(t, 3, c.commit)
 }
 
 // A membership that was never committed is overwritten by the next leader. The
 // member must count quorums by the earlier one again.
-func TestOverwrittenMembershipIsForgotten(t *testing.T) {
-	c := guardCore(t, "n0", "n1", "n2")
+func TestOverwrittenMembershipIsReverted(t *testing.T) {
+	c := candidateCore(t, "n0", "n1", "n2")
 	before := c.members.current()
-	entry := Entry{Index: 3, Term: 4, Kind: EntryMembership, Data: encodeMembers(without(before, "n2"))}
-	reply(t, c, Message{Type: MsgAppend, From: "n1", Term: 4, Index: 2, LogTerm: 2, Entries: []Entry{entry}})
+	entry := Entry{Index: 3, Term: 4, Kind: EntryMembership, Data: encodeMembers(withoutMember(before, "n2"))}
+	stepFromPeer(t, c, Message{Type: MsgAppend, From: "n1", Term: 4, Index: 2, LogTerm: 2, Entries: []Entry{entry}})
 	must.Len(t, 2, c.members.current())
-	reply(t, c, Message{Type: MsgAppend, From: "n2", Term: 5, Index: 2, LogTerm: 2, Entries: []Entry{{Index: 3, Term: 5}}})
+	stepFromPeer(t, c, Message{Type: MsgAppend, From: "n2", Term: 5, Index: 2, LogTerm: 2, Entries: []Entry{{Index: 3, Term: 5}}})
 	must.Eq(t, before, c.members.current())
 }
 
 // n0 takes over a witness's log that parts from its own at entry 2. The first
 // batch ends right before. If n0 asked on from its own last entry, it would be
 // refused and begin again for ever, and a live majority would stand still.
-func TestHandoverGoesOnFromTheMatch(t *testing.T) {
-	c := guardCore(t, "n0", "n1", "n2")
-	asked := func() Message {
+func TestLogFetchContinuesFromMatch(t *testing.T) {
+	c := candidateCore(t, "n0", "n1", "n2")
+	lastFetch := func() Message {
 		m := c.messages[len(c.messages)-1]
 		must.Eq(t, MsgFetch, m.Type)
 		return m
 	}
 	refusal := Message{Type: MsgPreVoteReply, From: "n2", Term: 3, Reject: true, Index: 3, LogTerm: 3}
-	reply(t, c, refusal)
-	must.Eq(t, 2, asked().Index)
-	reply(t, c, Message{Type: MsgFetchReply, From: "n2", Index: 2, LogTerm: 2, Tick: 3, Read: 3, Reject: true, Hint: 0})
-	must.Eq(t, 0, asked().Index)
-	batch := Message{Type: MsgFetchReply, From: "n2", Tick: 3, Read: 3, Entries: []Entry{{Term: 1}}}
-	reply(t, c, batch)
-	must.Eq(t, 1, asked().Index)
+	stepFromPeer(t, c, refusal)
+	must.Eq(t, 2, lastFetch().Index)
+	stepFromPeer(t, c, Message{Type: MsgFetchReply, From: "n2", Index: 2, LogTerm: 2, Tick: 3, ReadRound: 3, Reject: true, RejectHint: 0})
+	must.Eq(t, 0, lastFetch().Index)
+	batch := Message{Type: MsgFetchReply, From: "n2", Tick: 3, ReadRound: 3, Entries: []Entry{{Term: 1}}}
+	stepFromPeer(t, c, batch)
+	must.Eq(t, 1, lastFetch().Index)
 	queued := len(c.messages)
-	reply(t, c, batch) // a repeated answer starts no second round
-	reply(t, c, refusal)
+	stepFromPeer(t, c, batch) // a repeated answer starts no second round
+	stepFromPeer(t, c, refusal)
 	must.Len(t, queued, c.messages)
-	reply(t, c, Message{Type: MsgFetchReply, From: "n2", Index: 1, LogTerm: 1, Tick: 3, Read: 3, Entries: []Entry{{Term: 3}, {}}})
+	stepFromPeer(t, c, Message{Type: MsgFetchReply, From: "n2", Index: 1, LogTerm: 1, Tick: 3, ReadRound: 3, Entries: []Entry{{Term: 3}, {}}})
 	must.Eq(t, 3, c.log.lastTerm())
 	must.Eq(t, 3, c.log.last())
 }
--- a/replica/handover.go
+++ b/replica/handover.go
@@ -12,8 +12,8 @@
 // parts of one leader's log, so nothing conflicts), or in a later term, whose
 // leader had the entry. Nothing taken over is acknowledged to anyone.
 
-// noteWitnessAhead adds the end of a witness's log to its refusal.
-func (c *Core) noteWitnessAhead(request Message, reply *Message) {
+// addWitnessLogEnd adds the end of a witness's log to its refusal.
+func (c *Core) addWitnessLogEnd(request Message, reply *Message) {
 	self, ok := c.members.find(c.cfg.ID)
 	if !ok || !self.Witness || c.role == Recovering || c.log.upToDate(request.Index, request.LogTerm) {
 		return
@@ -25,31 +25,31 @@
 // log that ends at (index, term).
 func (c *Core) wantsLog(index, term uint64) bool {
 	leaderless := c.role != Leader && c.leader == ""
-	return leaderless && c.newSnapshot == nil && c.log.behind(index, term)
+	return leaderless && c.newSnapshot == nil && c.log.isBehind(index, term)
 }
 
 // handover is the question to a witness that is open, if any. One at a time:
 // each refusal of each round would begin another one otherwise.
-type handover struct {
-	open bool
-	prev uint64
-	tick uint64
+type logFetch struct {
+	pending  bool
+	prev     uint64
+	sentTick uint64
 }
 
-// beginFetch asks a witness that is ahead for its log, unless a question is
+// startLogFetch asks a witness that is ahead for its log, unless a question is
 // open that may still be answered.
-func (c *Core) beginFetch(witness string) {
-	if c.handover.open && c.now-c.handover.tick < uint64(c.cfg.ElectionTicks) {
+func (c *Core) startLogFetch(witness string) {
+	if c.logFetch.pending && c.now-c.logFetch.sentTick < uint64(c.cfg.ElectionTicks) {
 		return
 	}
-	c.fetch(witness, c.log.last())
+	c.requestLog(witness, c.log.last())
 }
 
 // fetch asks a witness for what follows the entry at prev.
-func (c *Core) fetch(witness string, prev uint64) {
+func (c *Core) requestLog(witness string, prev uint64) {
 	prev = max(prev, c.log.prevIndex)
 	term, _ := c.log.term(prev)
-	c.handover = handover{open: true, prev: prev, tick: c.now}
+	c.logFetch = logFetch{pending: true, prev: prev, sentTick: c.now}
 	c.send(Message{Type: MsgFetch, To: witness, Term: c.term, Index: prev, LogTerm: term})
 }
 
@@ -61,7 +61,7 @@
 		return
 	}
 	reply := Message{Type: MsgFetchReply, To: m.From, Term: c.term, Index: m.Index, LogTerm: m.LogTerm}
-	reply.Tick, reply.Read = c.log.lastTerm(), c.log.last()
+	reply.Tick, reply.ReadRound = c.log.lastTerm(), c.log.last()
 	switch {
 	case c.log.matches(m.Index, m.LogTerm):
 		last := min(c.log.last(), m.Index+uint64(c.cfg.MaxEntriesPerMessage))
@@ -71,7 +71,7 @@
 		reply.Snapshot = &s
 	default:
 		reply.Reject = true
-		reply.Hint = c.log.conflictHint(m.Index)
+		reply.RejectHint = c.log.conflictHint(m.Index)
 	}
 	c.send(reply)
 }
@@ -80,29 +80,29 @@
 // the last entry that matched: own entries after it may still contradict the
 // witness's.
 func (c *Core) onFetchReply(m Message) {
-	if !c.handover.open || c.handover.prev != m.Index {
+	if !c.logFetch.pending || c.logFetch.prev != m.Index {
 		return
 	}
-	c.handover = handover{}
-	if !c.wantsLog(m.Read, m.Tick) {
+	c.logFetch = logFetch{}
+	if !c.wantsLog(m.ReadRound, m.Tick) {
 		return
 	}
 	match := uint64(0)
 	switch {
 	case m.Reject:
-		match = min(m.Hint, c.log.last())
+		match = min(m.RejectHint, c.log.last())
 	case m.Snapshot != nil:
-		match = c.fetchedSnapshot(*m.Snapshot)
+		match = c.installFetchedSnapshot(*m.Snapshot)
 	default:
-		match, _ = c.takeEntries(m)
+		match, _ = c.appendMissing(m)
 	}
-	if c.wantsLog(m.Read, m.Tick) {
-		c.fetch(m.From, match)
+	if c.wantsLog(m.ReadRound, m.Tick) {
+		c.requestLog(m.From, match)
 	}
 }
 
-// fetchedSnapshot returns the last index that is sure to match afterwards.
-func (c *Core) fetchedSnapshot(s Snapshot) uint64 {
+// installFetchedSnapshot returns the last index that is sure to match afterwards.
+func (c *Core) installFetchedSnapshot(s Snapshot) uint64 {
 	if s.Index > c.commit && !c.log.matches(s.Index, s.Term) && checkMembers(s.Members) == nil {
 		c.install(s)
 	}
--- a/replica/known.go
+++ b/replica/known.go
@@ -19,19 +19,19 @@
 // its message names the new incarnation and the late one is discarded) or
 // promised before it answered (then the recovering member learned the term).
 type incarnations struct {
-	list   []Known
+	list   []MemberIncarnation
 	digest uint64
 }
 
-func newIncarnations(list []Known) incarnations {
+func newIncarnations(list []MemberIncarnation) incarnations {
 	in := incarnations{list: slices.Clone(list)}
-	slices.SortFunc(in.list, func(a, b Known) int { return cmp.Compare(a.ID, b.ID) })
-	in.sum()
+	slices.SortFunc(in.list, func(a, b MemberIncarnation) int { return cmp.Compare(a.ID, b.ID) })
+	in.updateDigest()
 	return in
 }
 
 func (in *incarnations) find(id string) (int, bool) {
-	return slices.BinarySearchFunc(in.list, id, func(k Known, id string) int { return cmp.Compare(k.ID, id) })
+	return slices.BinarySearchFunc(in.list, id, func(k MemberIncarnation, id string) int { return cmp.Compare(k.ID, id) })
 }
 
 // of returns the latest known incarnation of id, or zero.
@@ -44,51 +44,51 @@
 }
 
 // held reports whether id is known to have taken part.
-func (in *incarnations) held(id string) bool {
+func (in *incarnations) participated(id string) bool {
 	i, ok := in.find(id)
-	return ok && in.list[i].Held
+	return ok && in.list[i].Participated
 }
 
 // latest returns the highest incarnation of all.
-func (in *incarnations) latest() uint64 {
-	latest := uint64(0)
+func (in *incarnations) highest() uint64 {
+	highest := uint64(0)
 	for _, k := range in.list {
-		latest = max(latest, k.Incarnation)
+		highest = max(highest, k.Incarnation)
 	}
-	return latest
+	return highest
 }
 
 // merge notes what k tells and reports whether its incarnation is news. The
 // list is copied on change, because HardStates and messages share it.
-func (in *incarnations) merge(k Known) bool {
+func (in *incarnations) merge(k MemberIncarnation) bool {
 	i, ok := in.find(k.ID)
 	next := k
 	if ok {
 		old := in.list[i]
 		next.Incarnation = max(old.Incarnation, k.Incarnation)
-		next.Held = old.Held || k.Held
+		next.Participated = old.Participated || k.Participated
 		if next == old {
 			return false
 		}
 	}
-	news := !ok || next.Incarnation > in.list[i].Incarnation
+	newer := !ok || next.Incarnation > in.list[i].Incarnation
 	in.list = slices.Clone(in.list)
 	if ok {
 		in.list[i] = next
 	} else {
 		in.list = slices.Insert(in.list, i, next)
 	}
-	in.sum()
-	return news
+	in.updateDigest()
+	return newer
 }
 
-func (in *incarnations) sum() {
+func (in *incarnations) updateDigest() {
 	var buf []byte
 	for _, k := range in.list {
 		buf = binary.AppendUvarint(buf, uint64(len(k.ID)))
 		buf = append(buf, k.ID...)
 		buf = binary.BigEndian.AppendUint64(buf, k.Incarnation)
-		if k.Held {
+		if k.Participated {
 			buf = append(buf, 1)
 		} else {
 			buf = append(buf, 0)
--- a/replica/leader.go
+++ b/replica/leader.go
@@ -7,15 +7,15 @@
 )
 
 // leadership is what only a leader keeps.
-type leadership struct {
+type leaderState struct {
 	progress map[string]*progress
 	// since is the tick of the election, firstIndex the own no-op entry.
-	since      uint64
-	firstIndex uint64
-	beatIn     int
-	beatDue    bool
-	transfer   transfer
-	reads      readRounds
+	electedAt          uint64
+	firstIndex         uint64
+	heartbeatCountdown int
+	heartbeatDue       bool
+	transfer           transfer
+	reads              readRounds
 }
 
 // becomeLeader starts to lead in the current term. The empty entry is what
@@ -25,34 +25,34 @@
 	c.leader = c.cfg.ID
 	c.campaign = campaign{}
 	c.recovery = recovery{}
-	c.known.merge(Known{ID: c.cfg.ID, Held: true})
-	c.lead = leadership{progress: map[string]*progress{}, since: c.now, beatDue: true}
-	c.lead.beatIn = c.cfg.HeartbeatTicks
+	c.incarnations.merge(MemberIncarnation{ID: c.cfg.ID, Participated: true})
+	c.leaderState = leaderState{progress: map[string]*progress{}, electedAt: c.now, heartbeatDue: true}
+	c.leaderState.heartbeatCountdown = c.cfg.HeartbeatTicks
 	c.syncProgress()
-	c.lead.firstIndex = c.appendOwn(EntryNoop, nil)
+	c.leaderState.firstIndex = c.appendEntry(EntryNoop, nil)
 }
 
 // syncProgress follows a change of the membership.
 func (c *Core) syncProgress() {
 	list := c.members.current()
-	for id := range c.lead.progress {
+	for id := range c.leaderState.progress {
 		if _, ok := findMember(list, id); !ok {
-			delete(c.lead.progress, id)
+			delete(c.leaderState.progress, id)
 		}
 	}
 	for _, m := range list {
-		if c.lead.progress[m.ID] == nil {
-			c.lead.progress[m.ID] = newProgress(c.log.last() + 1)
+		if c.leaderState.progress[m.ID] == nil {
+			c.leaderState.progress[m.ID] = newProgress(c.log.last() + 1)
 		}
 	}
 }
 
-func (c *Core) dropLeadership() {
-	c.lead = leadership{}
+func (c *Core) clearLeaderState() {
+	c.leaderState = leaderState{}
 }
 
-// appendOwn adds an entry of the current term and returns its index.
-func (c *Core) appendOwn(kind EntryKind, data []byte) uint64 {
+// appendEntry adds an entry of the current term and returns its index.
+func (c *Core) appendEntry(kind EntryKind, data []byte) uint64 {
 	index := c.log.last() + 1
 	c.log.append(Entry{Index: index, Term: c.term, Kind: kind, Data: data})
 	return index
@@ -64,19 +64,19 @@
 // ErrNotLeader when this member isn't a leader that may decide,
 // ErrTransferring while it hands over.
 func (c *Core) Propose(data ...[]byte) (first uint64, term uint64, err error) {
-	if err := c.mayPropose(); err != nil {
+	if err := c.checkCanPropose(); err != nil {
 		return 0, 0, err
 	}
 	first = c.log.last() + 1
 	for _, d := range data {
-		c.appendOwn(EntryCommand, d)
+		c.appendEntry(EntryCommand, d)
 	}
 	return first, c.term, nil
 }
 
-func (c *Core) mayPropose() error {
-	if c.role == Leader && c.lead.transfer.to != "" {
-		return errors.Wrapf(ErrTransferring, "to %s", c.lead.transfer.to)
+func (c *Core) checkCanPropose() error {
+	if c.role == Leader && c.leaderState.transfer.to != "" {
+		return errors.Wrapf(ErrTransferring, "to %s", c.leaderState.transfer.to)
 	}
 	if !c.canDecide() {
 		return errors.Wrapf(ErrNotLeader, "leader is %q", c.leader)
@@ -87,19 +87,19 @@
 // canDecide: the leader's lease runs and it has committed an entry of its own
 // term, so it knows all that was committed before.
 func (c *Core) canDecide() bool {
-	return c.role == Leader && c.commit >= c.lead.firstIndex && c.leaseRuns() && !c.lead.transfer.told
+	return c.role == Leader && c.commit >= c.leaderState.firstIndex && c.leaseValid() && !c.leaderState.transfer.timeoutNowSent
 }
 
-// leaseRuns reports whether a majority answered a heartbeat that was sent
+// leaseValid reports whether a majority answered a heartbeat that was sent
 // within the lease. Counted from the sending, by the leader's own ticks.
-func (c *Core) leaseRuns() bool {
-	return c.now-c.quorumHeard() < uint64(c.cfg.leaseTicks())
+func (c *Core) leaseValid() bool {
+	return c.now-c.quorumAckTick() < uint64(c.cfg.leaseTicks())
 }
 
-// quorumHeard returns the latest own tick such that a majority of the voters
+// quorumAckTick returns the latest own tick such that a majority of the voters
 // have answered something sent at that tick or later.
-func (c *Core) quorumHeard() uint64 {
-	return c.quorumValue(c.now, func(p *progress) uint64 { return p.heard })
+func (c *Core) quorumAckTick() uint64 {
+	return c.quorumValue(c.now, func(p *progress) uint64 { return p.ackedTick })
 }
 
 // quorumValue returns the largest value that a majority of the voters reaches,
@@ -108,7 +108,7 @@
 	list := voters(c.members.current())
 	values := make([]uint64, 0, len(list))
 	for _, m := range list {
-		switch p := c.lead.progress[m.ID]; {
+		switch p := c.leaderState.progress[m.ID]; {
 		case m.ID == c.cfg.ID:
 			values = append(values, own)
 		case p.recovering:
@@ -127,12 +127,12 @@
 const stepDownTimeouts = 2
 
 func (c *Core) tickLeader() {
-	c.lead.beatIn--
-	if c.lead.beatIn <= 0 {
-		c.lead.beatIn = c.cfg.HeartbeatTicks
-		c.lead.beatDue = true
+	c.leaderState.heartbeatCountdown--
+	if c.leaderState.heartbeatCountdown <= 0 {
+		c.leaderState.heartbeatCountdown = c.cfg.HeartbeatTicks
+		c.leaderState.heartbeatDue = true
 	}
-	if c.now-max(c.quorumHeard(), c.lead.since) >= stepDownTimeouts*uint64(c.cfg.ElectionTicks) {
+	if c.now-max(c.quorumAckTick(), c.leaderState.electedAt) >= stepDownTimeouts*uint64(c.cfg.ElectionTicks) {
 		// No majority answers: another leader may exist by now.
 		c.follow(c.term, "")
 		return
@@ -140,8 +140,8 @@
 	c.tickTransfer()
 }
 
-// onOwnSync counts the leader's own log as far as it is synced.
-func (c *Core) onOwnSync() {
+// onLogSynced counts the leader's own log as far as it is synced.
+func (c *Core) onLogSynced() {
 	c.maybeCommit()
 }
 
@@ -153,7 +153,7 @@
 // power everywhere.
 func (c *Core) maybeCommit() {
 	index := c.quorumValue(c.log.stable, func(p *progress) uint64 { return p.match })
-	if c.diskAnswers() {
+	if c.diskVoterAvailable() {
 		index = min(index, c.diskMatch())
 	}
 	if index <= c.commit {
@@ -163,7 +163,7 @@
 		return
 	}
 	c.commitTo(index)
-	c.noteLagging()
+	c.markLagging()
 	c.confirmReads()
 }
 
@@ -178,20 +178,20 @@
 			best = max(best, c.log.stable)
 			continue
 		}
-		if p := c.lead.progress[m.ID]; !p.recovering {
+		if p := c.leaderState.progress[m.ID]; !p.recovering {
 			best = max(best, p.match)
 		}
 	}
 	return best
 }
 
-// diskAnswers reports whether the commit rule can count on a disk voter: one
+// diskVoterAvailable reports whether the commit rule can count on a disk voter: one
 // that answered within the election timeout and isn't catching up with entries
 // that were committed without it. A new leader gives the disk voters one
 // heartbeat interval to answer for the first time: one that lives answers its
 // first append at once, and when the lost leader was the only disk voter, all
 // starts wait for as long.
-func (c *Core) diskAnswers() bool {
+func (c *Core) diskVoterAvailable() bool {
 	for _, m := range voters(c.members.current()) {
 		if !m.HasDisk {
 			continue
@@ -199,9 +199,9 @@
 		if m.ID == c.cfg.ID {
 			return true
 		}
-		p := c.lead.progress[m.ID]
-		fresh := c.now-c.lead.since < uint64(c.cfg.HeartbeatTicks) && !p.recovering
-		if (fresh || c.responsive(p)) && !p.lagging {
+		p := c.leaderState.progress[m.ID]
+		inGracePeriod := c.now-c.leaderState.electedAt < uint64(c.cfg.HeartbeatTicks) && !p.recovering
+		if (inGracePeriod || c.responsive(p)) && !p.lagging {
 			return true
 		}
 	}
@@ -211,14 +211,14 @@
 // responsive reports whether a member answered within the election timeout
 // and remembers its promises.
 func (c *Core) responsive(p *progress) bool {
-	return !p.recovering && c.now-p.heard < uint64(c.cfg.ElectionTicks)
+	return !p.recovering && c.now-p.ackedTick < uint64(c.cfg.ElectionTicks)
 }
 
-// noteLagging marks the disk voters that a degraded commit left behind; they
+// markLagging marks the disk voters that a degraded commit left behind; they
 // count again once they hold what is committed.
-func (c *Core) noteLagging() {
+func (c *Core) markLagging() {
 	for _, m := range voters(c.members.current()) {
-		if p := c.lead.progress[m.ID]; m.HasDisk && m.ID != c.cfg.ID {
+		if p := c.leaderState.progress[m.ID]; m.HasDisk && m.ID != c.cfg.ID {
 			p.lagging = p.match < c.commit && (p.lagging || !c.responsive(p))
 		}
 	}
--- a/replica/lease_test.go
+++ b/replica/lease_test.go
@@ -7,8 +7,8 @@
 )
 
 // ack acknowledges everything that the leader c has, sent at tick.
-func ack(t *testing.T, c *Core, from string, tick uint64) {
-	reply(t, c, Message{Type: MsgAppendReply, From: from, Term: c.term, Index: c.log.last(), Tick: tick, Read: c.lead.reads.round})
+func ackAll(t *testing.T, c *Core, from string, tick uint64) {
+	stepFromPeer(t, c, Message{Type: MsgAppendReply, From: from, Term: c.term, Index: c.log.last(), Tick: tick, ReadRound: c.leaderState.reads.round})
 }
 
 // A leader whose last answered heartbeat is old goes on deciding while its
@@ -17,12 +17,12 @@
 // follower that got it at once may vote.
 func TestLeaseEndsBeforeVotes(t *testing.T) {
 	for _, age := range []uint64{0, 3} {
-		c := guardLeader(t, "n0", "n1", "n2")
+		c := leaderCore(t, "n0", "n1", "n2")
 		sent := c.now
 		for range age {
 			c.Tick()
 		}
-		ack(t, c, "n1", sent)
+		ackAll(t, c, "n1", sent)
 		must.True(t, c.Status().CanDecide)
 		for c.Status().CanDecide {
 			c.Tick()
@@ -34,40 +34,40 @@
 
 // A member answers a heartbeat, restarts at once and is asked for a vote. The
 // leader's lease still counts on it, so it refuses for a whole timeout.
-func TestRestartRefusesVotes(t *testing.T) {
+func TestRestartedMemberRefusesVotes(t *testing.T) {
 	list := []Member{{ID: "n0", HasDisk: true}, {ID: "n1"}, {ID: "n2"}}
-	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: list}, Stored{HardState: HardState{Term: 3, Incarnation: 1}})
+	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: list}, StoredState{HardState: HardState{Term: 3, Incarnation: 1}})
 	must.NoError(t, err)
 	vote := Message{Type: MsgVote, From: "n1", Term: 4}
-	reply(t, c, vote)
+	stepFromPeer(t, c, vote)
 	must.Eq(t, "", c.vote)
 	for range defaultElectionTicks {
 		c.Tick()
 	}
-	reply(t, c, vote)
+	stepFromPeer(t, c, vote)
 	must.Eq(t, "n1", c.vote)
 }
 
 // A read is answered from a leader that was deposed without knowing it, and
 // misses what its successor did. It waits for answers sent after it began.
 func TestReadWaitsForQuorum(t *testing.T) {
-	c := guardLeader(t, "n0", "n1", "n2")
-	ack(t, c, "n1", c.now)
+	c := leaderCore(t, "n0", "n1", "n2")
+	ackAll(t, c, "n1", c.now)
 	must.NoError(t, c.ReadIndex(77))
 	r := c.Ready()
 	must.SliceEmpty(t, r.Reads)
 	c.Advance(r)
-	reply(t, c, Message{Type: MsgAppendReply, From: "n1", Term: 4, Index: 3, Tick: c.now})
+	stepFromPeer(t, c, Message{Type: MsgAppendReply, From: "n1", Term: 4, Index: 3, Tick: c.now})
 	must.SliceEmpty(t, c.reads)
-	ack(t, c, "n1", c.now)
+	ackAll(t, c, "n1", c.now)
 	must.Eq(t, []ReadState{{Token: 77, Index: 3}}, c.reads)
 }
 
 // The leader sends before it has synced. Its disk must not count before that,
 // or a loss of power could take a committed entry from all disks.
-func TestOwnAckWaitsForSync(t *testing.T) {
-	c := guardLeader(t, "n0", "n1", "n2")
-	ack(t, c, "n1", c.now)
+func TestLeaderAckWaitsForSync(t *testing.T) {
+	c := leaderCore(t, "n0", "n1", "n2")
+	ackAll(t, c, "n1", c.now)
 	_, _, err := c.Propose([]byte("x"), []byte("y"))
 	must.NoError(t, err)
 	r := c.Ready()
@@ -75,7 +75,7 @@
 	for _, m := range r.Messages {
 		must.True(t, m.BeforeSync())
 	}
-	ack(t, c, "n1", c.now)
+	ackAll(t, c, "n1", c.now)
 	must.Eq(t, 3, c.commit)
 	c.Advance(r)
 	must.Eq(t, 5, c.commit)
@@ -83,25 +83,25 @@
 
 // A blank member answers that it holds the log, but not yet all that it may
 // have acknowledged before. It must not complete a quorum.
-func TestRecoveringAckDoesntCount(t *testing.T) {
-	c := guardLeader(t, "n0", "n1", "n2")
+func TestRecoveringAckIsNotCounted(t *testing.T) {
+	c := leaderCore(t, "n0", "n1", "n2")
 	m := Message{Type: MsgAppendReply, From: "n1", Term: 4, Index: 3, Tick: c.now, Recovering: true}
-	reply(t, c, m)
+	stepFromPeer(t, c, m)
 	must.Eq(t, 0, c.commit)
 	must.False(t, c.Status().CanDecide)
 	must.ErrorIs(t, c.Transfer("n1"), ErrNotLeader)
 	m.Recovering = false
-	reply(t, c, m)
+	stepFromPeer(t, c, m)
 	must.Eq(t, 3, c.commit)
 }
 
 // blank returns n0 of a group of five after a blank restart.
-func blank(t *testing.T) *Core {
+func blankCore(t *testing.T) *Core {
 	var list []Member
 	for _, id := range []string{"n0", "n1", "n2", "n3", "n4"} {
 		list = append(list, Member{ID: id})
 	}
-	c, err := New(Config{ID: "n0", Incarnation: 9, Members: list}, Stored{})
+	c, err := New(Config{ID: "n0", Incarnation: 9, Members: list}, StoredState{})
 	must.NoError(t, err)
 	must.Eq(t, Recovering, c.role)
 	return c
@@ -113,36 +113,36 @@
 // leader of the highest term that this majority has heard of; the vote of that
 // term counts as spent.
 func TestRecoveryNeedsMajorityAndLatestLeader(t *testing.T) {
-	c := blank(t)
+	c := blankCore(t)
 	members := c.members.current()
-	answer := func(from string, term uint64, leader, recovering bool) {
+	replyState := func(from string, term uint64, leader, recovering bool) {
 		m := Message{Type: MsgStateReply, From: from, Term: term, Nonce: 9, Index: 2, LogTerm: 3, Leader: leader, Recovering: recovering}
 		if leader {
 			m.Members = members
 		}
-		reply(t, c, m)
+		stepFromPeer(t, c, m)
 	}
 	entries := []Entry{{Index: 1, Term: 3}, {Index: 2, Term: 3}}
 	appendFrom := func(from string, term uint64, n int) {
-		reply(t, c, Message{Type: MsgAppend, From: from, Term: term, Entries: entries[:n]})
+		stepFromPeer(t, c, Message{Type: MsgAppend, From: from, Term: term, Entries: entries[:n]})
 	}
-	answer("n1", 3, true, false)
+	replyState("n1", 3, true, false)
 	appendFrom("n1", 3, 2)
-	answer("n2", 3, false, true) // itself recovering
+	replyState("n2", 3, false, true) // itself recovering
 	must.Eq(t, Recovering, c.role)
-	answer("n2", 4, false, false) // has heard of a later leader
-	answer("n3", 3, false, false)
+	replyState("n2", 4, false, false) // has heard of a later leader
+	replyState("n3", 3, false, false)
 	must.Eq(t, Recovering, c.role)
-	answer("n4", 4, true, false)
+	replyState("n4", 4, true, false)
 	must.Eq(t, 4, c.term)
 	must.Eq(t, "n4", c.vote)
 	appendFrom("n4", 4, 1) // not yet up to the leader's last entry
 	must.Eq(t, Recovering, c.role)
 	appendFrom("n4", 4, 2)
 	must.Eq(t, Follower, c.role)
-	reply(t, c, Message{Type: MsgVote, From: "n3", Term: 4, Index: 9, LogTerm: 9, Force: true})
+	stepFromPeer(t, c, Message{Type: MsgVote, From: "n3", Term: 4, Index: 9, LogTerm: 9, Force: true})
 	must.Eq(t, "n4", c.vote)
-	must.True(t, c.known.held("n0"))
+	must.True(t, c.incarnations.participated("n0"))
 }
 
 // After a loss of power n0 has the disk. It must not lead with a part of the
@@ -150,21 +150,21 @@
 // it lead when the last vote brings the news that two disks were lost.
 func TestColdStartNeedsEveryVoter(t *testing.T) {
 	for held, role := range map[bool]Role{false: Leader, true: Candidate} {
-		c := coldCandidate(t)
+		c := coldStartCandidate(t)
 		grant := Message{Type: MsgVoteReply, From: "n1", Term: 6, ColdStart: true, Recovering: true}
-		reply(t, c, grant)
+		stepFromPeer(t, c, grant)
 		must.Eq(t, Candidate, c.role)
 		grant.From = "n2"
-		reply(t, c, grant, Known{ID: "n1", Incarnation: 1, Held: held}, Known{ID: "n2", Incarnation: 1, Held: held})
+		stepFromPeer(t, c, grant, MemberIncarnation{ID: "n1", Incarnation: 1, Participated: held}, MemberIncarnation{ID: "n2", Incarnation: 1, Participated: held})
 		must.Eq(t, role, c.role)
 	}
 }
 
-// coldCandidate returns n0 of three disk members, asking for a cold start.
-func coldCandidate(t *testing.T) *Core {
-	c := guardCore(t, "n0", "n1", "n2")
+// coldStartCandidate returns n0 of three disk members, asking for a cold start.
+func coldStartCandidate(t *testing.T) *Core {
+	c := candidateCore(t, "n0", "n1", "n2")
 	for _, id := range []string{"n1", "n2"} {
-		reply(t, c, Message{Type: MsgStateReply, From: id, Term: 5, Nonce: 1, Recovering: true})
+		stepFromPeer(t, c, Message{Type: MsgStateReply, From: id, Term: 5, Nonce: 1, Recovering: true})
 	}
 	must.Eq(t, coldStarting, c.campaign.kind)
 	must.Eq(t, 6, c.term)
@@ -174,12 +174,14 @@
 // A wall clock that went back numbers a new start below the old one. The
 // member takes a later number when it hears of the old one; a member that runs
 // twice stops.
-func TestIncarnationBehind(t *testing.T) {
-	c := blank(t)
-	reply(t, c, Message{Type: MsgAppend, From: "n1", Term: 3}, Known{ID: "n0", Incarnation: 20})
+func TestIncarnationBelowKnownOne(t *testing.T) {
+	c := blankCore(t)
+	stepFromPeer(t, c, Message{Type: MsgAppend, From: "n1", Term: 3}, MemberIncarnation{ID: "n0", Incarnation: 20})
 	must.Eq(t, 21, c.incarnation)
-	d := guardCore(t, "n0", "n1", "n2")
-	must.Panic(t, func() { reply(t, d, Message{Type: MsgAppend, From: "n1", Term: 9}, Known{ID: "n0", Incarnation: 20}) })
+	d := candidateCore(t, "n0", "n1", "n2")
+	must.Panic(t, func() {
+		stepFromPeer(t, d, Message{Type: MsgAppend, From: "n1", Term: 9}, MemberIncarnation{ID: "n0", Incarnation: 20})
+	})
 }
 
 // A disk learner may have been promoted by an entry that n0 lacks, and hold
@@ -187,14 +189,14 @@
 // is behind.
 func TestColdStartWaitsForDiskLearner(t *testing.T) {
 	for index, kind := range map[uint64]campaignKind{2: coldStarting, 3: preVoting} {
-		c := guardCore(t, "n0", "n1", "n2")
+		c := candidateCore(t, "n0", "n1", "n2")
 		learner := Member{ID: "n3", HasDisk: true, Learner: true}
-		c.members.push(2, append(without(c.members.current(), ""), learner))
+		c.members.push(2, append(withoutMember(c.members.current(), ""), learner))
 		for _, id := range []string{"n1", "n2"} {
-			reply(t, c, Message{Type: MsgStateReply, From: id, Term: 5, Nonce: 1, Recovering: true})
+			stepFromPeer(t, c, Message{Type: MsgStateReply, From: id, Term: 5, Nonce: 1, Recovering: true})
 		}
 		must.Eq(t, preVoting, c.campaign.kind)
-		reply(t, c, Message{Type: MsgStateReply, From: "n3", Term: 5, Nonce: 1, Index: index, LogTerm: 2})
+		stepFromPeer(t, c, Message{Type: MsgStateReply, From: "n3", Term: 5, Nonce: 1, Index: index, LogTerm: 2})
 		must.Eq(t, kind, c.campaign.kind)
 	}
 }
@@ -203,32 +205,32 @@
 // Order: a leader's signs of life come late, time after time, but come; a member
 // stands for election in each gap.
 // Cause: how long it waits didn't follow from what it had seen.
-func TestAMemberWaitsForALeaderThatIsOftenLate(t *testing.T) {
-	c := guardFollower(t)
-	must.Eq(t, defaultElectionTicks, c.patience())
-	late := func(gap int) {
+func TestElectionTimeoutFollowsHeartbeatGaps(t *testing.T) {
+	c := followerCore(t)
+	must.Eq(t, defaultElectionTicks, c.minElectionTimeout())
+	contactAfter := func(gap int) {
 		for range gap {
 			c.Tick()
 		}
-		reply(t, c, Message{Type: MsgAppend, From: "n1", Term: c.term, Commit: c.commit})
+		stepFromPeer(t, c, Message{Type: MsgAppend, From: "n1", Term: c.term, Commit: c.commit})
 	}
-	late(1)
-	must.Eq(t, defaultElectionTicks, c.patience(), must.Sprint("short gaps change nothing"))
-	late(defaultElectionTicks - 2)
-	must.Eq(t, gapFactor*(defaultElectionTicks-2)+1, c.patience())
+	contactAfter(1)
+	must.Eq(t, defaultElectionTicks, c.minElectionTimeout(), must.Sprint("short gaps change nothing"))
+	contactAfter(defaultElectionTicks - 2)
+	must.Eq(t, gapFactor*(defaultElectionTicks-2)+1, c.minElectionTimeout())
 	must.Eq(t, defaultElectionTicks, c.cfg.ElectionTicks, must.Sprint("the lease and the refusal of votes stay"))
-	for range 2 * gapTicks {
-		late(1)
+	for range 2 * gapWindowTicks {
+		contactAfter(1)
 	}
-	must.Eq(t, defaultElectionTicks, c.patience(), must.Sprint("forgotten after a while"))
+	must.Eq(t, defaultElectionTicks, c.minElectionTimeout(), must.Sprint("forgotten after a while"))
 }
 
-// guardFollower is a member that has heard the leader n1.
-func guardFollower(t *testing.T) *Core {
+// followerCore is a member that has heard the leader n1.
+func followerCore(t *testing.T) *Core {
 	list := []Member{{ID: "n0", HasDisk: true}, {ID: "n1"}, {ID: "n2"}}
-	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: list}, Stored{HardState: HardState{Term: 3, Incarnation: 1}})
+	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: list}, StoredState{HardState: HardState{Term: 3, Incarnation: 1}})
 	must.NoError(t, err)
-	reply(t, c, Message{Type: MsgAppend, From: "n1", Term: 3})
+	stepFromPeer(t, c, Message{Type: MsgAppend, From: "n1", Term: 3})
 	must.Eq(t, "n1", c.leader)
 	return c
 }
--- a/replica/log.go
+++ b/replica/log.go
@@ -16,7 +16,7 @@
 	stable uint64
 }
 
-func newEntryLog(stored Stored) (entryLog, error) {
+func newEntryLog(stored StoredState) (entryLog, error) {
 	l := entryLog{prevIndex: stored.Snapshot.Index, prevTerm: stored.Snapshot.Term}
 	entries := slices.Clone(stored.Entries)
 	if len(entries) > 0 && entries[0].Index <= l.prevIndex {
@@ -27,7 +27,7 @@
 	}
 	for i, e := range entries {
 		if e.Index != l.prevIndex+1+uint64(i) {
-			return l, errors.Wrapf(ErrStored, "entry %d follows %d", e.Index, l.prevIndex+uint64(i))
+			return l, errors.Wrapf(ErrStoredState, "entry %d follows %d", e.Index, l.prevIndex+uint64(i))
 		}
 	}
 	l.entries = entries
@@ -97,10 +97,10 @@
 
 // beyond returns the last entry that must go so that those after it, up to and
 // including index, hold at most so many bytes.
-func (l *entryLog) beyond(index uint64, bytes int) uint64 {
+func (l *entryLog) lastIndexOverBytes(index uint64, maxBytes int) uint64 {
 	for ; index > l.prevIndex; index-- {
-		bytes -= len(l.entries[index-l.first()].Data)
-		if bytes < 0 {
+		maxBytes -= len(l.entries[index-l.first()].Data)
+		if maxBytes < 0 {
 			break
 		}
 	}
@@ -134,7 +134,7 @@
 }
 
 // behind reports whether a log ending at (index, term) holds more than this one.
-func (l *entryLog) behind(index, term uint64) bool {
+func (l *entryLog) isBehind(index, term uint64) bool {
 	own := l.lastTerm()
 	return term > own || term == own && index > l.last()
 }
--- a/replica/members.go
+++ b/replica/members.go
@@ -10,31 +10,31 @@
 // membership is the history of memberships in the kept log, so that dropping
 // an uncommitted entry also drops the membership that it brought. The latest
 // one is in force as soon as it is in the log.
-type membership struct {
-	history []memberships
+type membershipHistory struct {
+	versions []membershipVersion
 }
 
-type memberships struct {
-	index uint64
-	list  []Member
+type membershipVersion struct {
+	index   uint64
+	members []Member
 }
 
-func newMembership(index uint64, list []Member) membership {
-	return membership{history: []memberships{{index: index, list: list}}}
+func newMembershipHistory(index uint64, list []Member) membershipHistory {
+	return membershipHistory{versions: []membershipVersion{{index: index, members: list}}}
 }
 
-func (m *membership) current() []Member    { return m.history[len(m.history)-1].list }
-func (m *membership) currentIndex() uint64 { return m.history[len(m.history)-1].index }
+func (m *membershipHistory) current() []Member    { return m.versions[len(m.versions)-1].members }
+func (m *membershipHistory) currentIndex() uint64 { return m.versions[len(m.versions)-1].index }
 
 // at returns the membership in force at index.
-func (m *membership) at(index uint64) []Member { return m.history[m.position(index)].list }
+func (m *membershipHistory) at(index uint64) []Member { return m.versions[m.versionAt(index)].members }
 
 // indexAt returns the index of the entry that brought that membership.
-func (m *membership) indexAt(index uint64) uint64 { return m.history[m.position(index)].index }
+func (m *membershipHistory) indexAt(index uint64) uint64 { return m.versions[m.versionAt(index)].index }
 
-func (m *membership) position(index uint64) int {
-	for i := len(m.history) - 1; i > 0; i-- {
-		if m.history[i].index <= index {
+func (m *membershipHistory) versionAt(index uint64) int {
+	for i := len(m.versions) - 1; i > 0; i-- {
+		if m.versions[i].index <= index {
 			return i
 		}
 	}
@@ -42,33 +42,33 @@
 }
 
 // since returns the memberships in force from index on, the latest one last.
-func (m *membership) since(index uint64) [][]Member {
+func (m *membershipHistory) since(index uint64) [][]Member {
 	var out [][]Member
-	for _, h := range m.history[m.position(index):] {
-		out = append(out, h.list)
+	for _, h := range m.versions[m.versionAt(index):] {
+		out = append(out, h.members)
 	}
 	return out
 }
 
-func (m *membership) push(index uint64, list []Member) {
-	m.history = append(m.history, memberships{index: index, list: list})
+func (m *membershipHistory) push(index uint64, list []Member) {
+	m.versions = append(m.versions, membershipVersion{index: index, members: list})
 }
 
 // truncate forgets memberships that entries from index on brought.
-func (m *membership) truncate(index uint64) {
-	for len(m.history) > 1 && m.currentIndex() >= index {
-		m.history = m.history[:len(m.history)-1]
+func (m *membershipHistory) truncate(index uint64) {
+	for len(m.versions) > 1 && m.currentIndex() >= index {
+		m.versions = m.versions[:len(m.versions)-1]
 	}
 }
 
 // compact keeps the memberships needed from index on.
-func (m *membership) compact(index uint64) {
-	for len(m.history) > 1 && m.history[1].index <= index {
-		m.history = m.history[1:]
+func (m *membershipHistory) compact(index uint64) {
+	for len(m.versions) > 1 && m.versions[1].index <= index {
+		m.versions = m.versions[1:]
 	}
 }
 
-func (m *membership) find(id string) (Member, bool) {
+func (m *membershipHistory) find(id string) (Member, bool) {
 	return findMember(m.current(), id)
 }
 
--- a/replica/message.go
+++ b/replica/message.go
@@ -33,9 +33,9 @@
 	MsgFetch
 	// MsgFetchReply answers MsgFetch.
 	MsgFetchReply
-	// MsgOutside tells a member that asked that the committed membership, of
+	// MsgNotMember tells a member that asked that the committed membership, of
 	// entry Index, doesn't have it.
-	MsgOutside
+	MsgNotMember
 )
 
 // Message is everything one member tells another. Fields that a type doesn't
@@ -48,10 +48,10 @@
 	// Incarnation of the sender.
 	Incarnation uint64 `cbor:"5,keyasint,omitempty"`
 	// Digest stands for the sender's vector of known incarnations.
-	Digest uint64 `cbor:"6,keyasint,omitempty"`
+	IncarnationDigest uint64 `cbor:"6,keyasint,omitempty"`
 	// Known is that vector; left out when the receiver's last message showed
 	// the same digest.
-	Known []Known `cbor:"7,keyasint,omitempty"`
+	KnownIncarnations []MemberIncarnation `cbor:"7,keyasint,omitempty"`
 	// Index and LogTerm: of the entry before Entries in an append, of the last
 	// entry in a vote request, a state reply or a witness's refusal; in an append reply Index is the
 	// last entry known to match, or the refused one.
@@ -64,11 +64,11 @@
 	// Reject refuses the vote or the append.
 	Reject bool `cbor:"12,keyasint,omitempty"`
 	// Hint is where a refusing follower's log may match.
-	Hint uint64 `cbor:"13,keyasint,omitempty"`
+	RejectHint uint64 `cbor:"13,keyasint,omitempty"`
 	// Tick is the leader's tick count when it sent an append; echoed in the reply.
 	Tick uint64 `cbor:"14,keyasint,omitempty"`
 	// Read is the leader's latest read round; echoed in the reply.
-	Read uint64 `cbor:"15,keyasint,omitempty"`
+	ReadRound uint64 `cbor:"15,keyasint,omitempty"`
 	// Force lets a vote pass although a leader was heard lately; set only in
 	// a transfer that the leader itself began.
 	Force bool `cbor:"16,keyasint,omitempty"`
@@ -85,17 +85,17 @@
 	Snapshot *Snapshot `cbor:"22,keyasint,omitempty"`
 	// Earlier are the memberships before Members, from the one that the leader
 	// knows to be committed on; left out when that is Members itself.
-	Earlier [][]Member `cbor:"23,keyasint,omitempty"`
+	EarlierMemberships [][]Member `cbor:"23,keyasint,omitempty"`
 	// Receiver is the incarnation of the receiver that the message is meant
 	// for; any other drops it. Zero when any may take it.
-	Receiver uint64 `cbor:"24,keyasint,omitempty"`
+	ReceiverIncarnation uint64 `cbor:"24,keyasint,omitempty"`
 	// afterSync holds back a message that BeforeSync would let go; not sent.
 	afterSync bool
 }
 
 // memberships returns those of a leader's answer, the latest one last.
 func (m *Message) memberships() [][]Member {
-	return append(slices.Clone(m.Earlier), m.Members)
+	return append(slices.Clone(m.EarlierMemberships), m.Members)
 }
 
 // pack sets the entries that follow Index in their short form.
--- a/replica/outside.go
+++ b/replica/outside.go
@@ -7,12 +7,12 @@
 // The notice is a hint: a member that has it asks more seldom but doesn't stop,
 // so that one that is late or wrong can't take the last candidate from a group.
 
-// outsidePause is how much more seldom a member outside of the group asks.
-const outsidePause = 8
+// nonMemberIntervalFactor is how much more seldom a member outside of the group asks.
+const nonMemberIntervalFactor = 8
 
-// tellOutsider answers a question of a member that is in no membership from the
+// notifyNonMember answers a question of a member that is in no membership from the
 // committed one on.
-func (c *Core) tellOutsider(id string) {
+func (c *Core) notifyNonMember(id string) {
 	if !c.canDecide() {
 		return
 	}
@@ -21,23 +21,23 @@
 			return
 		}
 	}
-	c.send(Message{Type: MsgOutside, To: id, Term: c.term, Index: c.members.indexAt(c.commit)})
+	c.send(Message{Type: MsgNotMember, To: id, Term: c.term, Index: c.members.indexAt(c.commit)})
 }
 
-// onOutside takes a notice for true until a leader is heard. One that is no news,
+// onNotMember takes a notice for true until a leader is heard. One that is no news,
 // of a membership up to the own commit index, is late: this member was added
 // again by a later one.
-func (c *Core) onOutside(m Message) {
-	if c.leaderHeard() || m.Index <= c.commit {
+func (c *Core) onNotMember(m Message) {
+	if c.hasRecentLeader() || m.Index <= c.commit {
 		return
 	}
-	c.outside = true
+	c.notMember = true
 }
 
-// askPause is the factor by which this member's questions are rarer.
-func (c *Core) askPause() int {
-	if c.outside {
-		return outsidePause
+// requestIntervalFactor is the factor by which this member's questions are rarer.
+func (c *Core) requestIntervalFactor() int {
+	if c.notMember {
+		return nonMemberIntervalFactor
 	}
 	return 1
 }
--- a/replica/patience.go
+++ b/replica/patience.go
@@ -1,27 +1,27 @@
 package replica
 
 const (
-	// gapTicks is for how long the widest gap between two signs of life of a leader
+	// gapWindowTicks is for how long the widest gap between two signs of life of a leader
 	// is remembered at least: 200 ticks of 50 ms are 10 s.
-	gapTicks = 200
+	gapWindowTicks = 200
 	// gapFactor times the widest gap seen, and one tick, a member waits before it
 	// stands for election.
 	gapFactor = 2
-	// mostPatience bounds the wait, in election timeouts.
-	mostPatience = 4
+	// maxTimeoutFactor bounds the wait, in election timeouts.
+	maxTimeoutFactor = 4
 )
 
 // gaps are the widest gaps between two signs of life of one leader, in ticks: in the
 // span under way and in the one before.
-type gaps struct {
-	began             uint64
-	widest, wasWidest int
+type heartbeatGaps struct {
+	windowStart            uint64
+	widest, previousWidest int
 }
 
 // note takes in that a leader was heard again after gap ticks.
-func (g *gaps) note(gap int, now uint64) {
-	if now-g.began >= gapTicks {
-		g.began, g.wasWidest, g.widest = now, g.widest, 0
+func (g *heartbeatGaps) record(gap int, now uint64) {
+	if now-g.windowStart >= gapWindowTicks {
+		g.windowStart, g.previousWidest, g.widest = now, g.widest, 0
 	}
 	g.widest = max(g.widest, gap)
 }
@@ -33,8 +33,8 @@
 // The others elect a new one, whose first work is the longest of all, so that it is
 // late sooner, and so on without end. The
 // refusal of votes isn't prolonged by it, so no leader's lease counts on it.
-func (c *Core) patience() int {
+func (c *Core) minElectionTimeout() int {
 	base := c.cfg.ElectionTicks
-	widest := max(c.gaps.widest, c.gaps.wasWidest)
-	return min(max(base, gapFactor*widest+1), mostPatience*base)
+	widest := max(c.heartbeatGaps.widest, c.heartbeatGaps.previousWidest)
+	return min(max(base, gapFactor*widest+1), maxTimeoutFactor*base)
 }
--- a/replica/progress.go
+++ b/replica/progress.go
@@ -27,9 +27,9 @@
 	snapshotIndex uint64
 	snapshotTick  uint64
 	// heard is the own tick at which the latest answered message was sent.
-	heard uint64
+	ackedTick uint64
 	// contact is the own tick at which any answer came, counted or not.
-	contact uint64
+	lastReplyTick uint64
 	// readRound is the latest read round that the member answered.
 	readRound uint64
 	// recovering members hold entries but acknowledge nothing.
@@ -43,7 +43,7 @@
 }
 
 // forget drops what a forgotten incarnation had told.
-func (p *progress) forget() {
+func (p *progress) resetForIncarnation() {
 	*p = progress{next: p.match + 1, recovering: true, lagging: p.lagging}
 }
 
@@ -74,7 +74,7 @@
 
 // refused handles a refusal of the append after index. Late refusals, of
 // something that has matched since, are ignored.
-func (p *progress) refused(index, hint uint64) {
+func (p *progress) rejected(index, hint uint64) {
 	switch p.flow {
 	case streaming:
 		if index > p.match {
--- a/replica/random_test.go
+++ b/replica/random_test.go
@@ -10,8 +10,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// randomShapes are the groups that the random runs cover.
-var randomShapes = map[string]simOptions{
+// randomGroups are the groups that the random runs cover.
+var randomGroups = map[string]simOptions{
 	"1 disk":                    {voters: 1, disks: 1},
 	"2 voters, 1 disk":          {voters: 2, disks: 1},
 	"2 voters, none":            {voters: 2},
@@ -43,13 +43,13 @@
 // make it longer, REPLICA_FIRST sets the first seed.
 func TestRandom(t *testing.T) {
 	seeds, steps, first := envInt("REPLICA_SEEDS", 6), envInt("REPLICA_STEPS", 3000), envInt("REPLICA_FIRST", 1)
-	for name, opt := range randomShapes {
+	for name, opt := range randomGroups {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			total := map[string]int{}
 			for seed := first; seed < first+seeds; seed++ {
 				opt.faults, opt.steps = true, steps
-				opt.faultEvery = faultRates[seed%len(faultRates)]
+				opt.faultOutcomes = faultRates[seed%len(faultRates)]
 				for what, n := range runRandom(t, uint64(seed), opt) {
 					total[what] += n
 				}
@@ -67,9 +67,9 @@
 		}
 	}()
 	s.run(opt.steps)
-	if len(s.failed) == 0 {
-		s.checkAlive()
+	if len(s.violations) == 0 {
+		s.checkProgress()
 	}
-	must.SliceEmpty(t, s.failed, must.Sprint(fmt.Sprintf("seed %d: %s", seed, strings.Join(s.failed, "\n"))))
+	must.SliceEmpty(t, s.violations, must.Sprint(fmt.Sprintf("seed %d: %s", seed, strings.Join(s.violations, "\n"))))
 	return s.counts
 }
--- a/replica/read.go
+++ b/replica/read.go
@@ -24,7 +24,7 @@
 	if !c.canDecide() {
 		return errors.Wrapf(ErrNotLeader, "leader is %q", c.leader)
 	}
-	r := &c.lead.reads
+	r := &c.leaderState.reads
 	if !r.due {
 		r.round++
 		r.due = true
@@ -36,7 +36,7 @@
 
 // confirmReads hands out the reads of the rounds that a majority has answered.
 func (c *Core) confirmReads() {
-	r := &c.lead.reads
+	r := &c.leaderState.reads
 	if len(r.pending) == 0 {
 		return
 	}
--- a/replica/ready.go
+++ b/replica/ready.go
@@ -16,7 +16,7 @@
 	hs := c.hardState()
 	return len(c.messages) > 0 || len(c.reads) > 0 || c.newSnapshot != nil ||
 		c.log.stable < c.log.last() || c.applied < c.commit ||
-		hs.Commit != c.savedState.Commit || !hs.samePromises(&c.savedState)
+		hs.Commit != c.savedState.Commit || !hs.equalExceptCommit(&c.savedState)
 }
 
 // Ready returns the work to do. Each Ready must be handed to Advance, once its
@@ -31,28 +31,28 @@
 		Messages: c.messages,
 		Reads:    c.reads,
 	}
-	r.Committed = c.toApply()
+	r.Committed = c.entriesToApply()
 	hs := c.hardState()
-	samePromises := hs.samePromises(&c.savedState)
-	if !samePromises || hs.Commit != c.savedState.Commit {
+	unchangedExceptCommit := hs.equalExceptCommit(&c.savedState)
+	if !unchangedExceptCommit || hs.Commit != c.savedState.Commit {
 		r.HardState = &hs
 	}
-	r.MustSync = !samePromises || len(r.Entries) > 0 || r.Snapshot != nil || c.settledMembership(c.savedState.Commit)
+	r.MustSync = !unchangedExceptCommit || len(r.Entries) > 0 || r.Snapshot != nil || c.membershipCommittedAfter(c.savedState.Commit)
 	c.messages, c.reads = nil, nil
 	c.readyPending = true
 	return r
 }
 
-// settledMembership reports whether a membership was committed after index. A
+// membershipCommittedAfter reports whether a membership was committed after index. A
 // restart has to know: until it learns that a removal is committed, the removed
 // member, which may never come back, must take part in a cold start.
-func (c *Core) settledMembership(index uint64) bool {
+func (c *Core) membershipCommittedAfter(index uint64) bool {
 	return c.members.indexAt(c.commit) > index
 }
 
-// toApply returns the committed entries after the applied index, or after the
+// entriesToApply returns the committed entries after the applied index, or after the
 // snapshot that this Ready installs.
-func (c *Core) toApply() []Entry {
+func (c *Core) entriesToApply() []Entry {
 	from := c.applied
 	if c.newSnapshot != nil {
 		from = c.newSnapshot.Index
@@ -79,7 +79,7 @@
 	}
 	invariant(c.applied <= c.commit, "%s: applied %d after commit %d", c.cfg.ID, c.applied, c.commit)
 	if c.role == Leader {
-		c.onOwnSync()
+		c.onLogSynced()
 	}
 }
 
@@ -104,7 +104,7 @@
 	}
 	list := slices.Clone(c.members.at(index))
 	for i := range list {
-		list[i].Incarnation = max(list[i].Incarnation, c.known.of(list[i].ID))
+		list[i].Incarnation = max(list[i].Incarnation, c.incarnations.of(list[i].ID))
 	}
 	return Snapshot{Index: index, Term: term, Members: list, Data: data}, nil
 }
@@ -126,7 +126,7 @@
 	keep := uint64(c.cfg.KeepEntries)
 	drop := s.Index - min(s.Index, keep)
 	if c.cfg.KeepBytes > 0 {
-		drop = max(drop, c.log.beyond(s.Index, c.cfg.KeepBytes))
+		drop = max(drop, c.log.lastIndexOverBytes(s.Index, c.cfg.KeepBytes))
 	}
 	c.log.compact(drop)
 }
--- a/replica/recovery.go
+++ b/replica/recovery.go
@@ -20,8 +20,8 @@
 // came after the committed membership needed a quorum of it first, so a majority
 // of it meets every such quorum (searched in spec/membership.pml).
 type recovery struct {
-	answers map[string]answer
-	askIn   int
+	replies          map[string]stateReply
+	requestCountdown int
 	// memberships are those of the leader that answered.
 	memberships [][]Member
 	source      recoverySource
@@ -33,40 +33,40 @@
 
 // recoverySource is the leader whose log must be held up to target.
 type recoverySource struct {
-	leader string
-	term   uint64
-	target uint64
+	leader        string
+	term          uint64
+	requiredIndex uint64
 }
 
 // answer is what another member said of itself.
-type answer struct {
-	tick       uint64
-	term       uint64
-	index      uint64
-	logTerm    uint64
-	recovering bool
-	leader     bool
+type stateReply struct {
+	receivedTick uint64
+	term         uint64
+	index        uint64
+	logTerm      uint64
+	recovering   bool
+	leader       bool
 	// memberships of a leader, from its last committed one to its latest.
 	memberships [][]Member
 }
 
 func (c *Core) tickRecovering() {
-	if !c.leaderHeard() {
+	if !c.hasRecentLeader() {
 		c.leader = ""
 	}
-	c.recovery.askIn--
-	if c.recovery.askIn <= 0 {
-		c.recovery.askIn = c.cfg.HeartbeatTicks * c.askPause()
-		c.askState()
+	c.recovery.requestCountdown--
+	if c.recovery.requestCountdown <= 0 {
+		c.recovery.requestCountdown = c.cfg.HeartbeatTicks * c.requestIntervalFactor()
+		c.requestState()
 	}
-	if c.sinceCampaign >= c.timeout {
+	if c.ticksSinceReset >= c.electionTimeout {
 		c.resetTimers()
 		c.tryColdStart()
 	}
 }
 
-// askState asks everybody for their state.
-func (c *Core) askState() {
+// requestState asks everybody for their state.
+func (c *Core) requestState() {
 	for _, id := range c.peers() {
 		c.send(Message{Type: MsgState, To: id, Term: c.term, Recovering: c.role == Recovering})
 	}
@@ -83,22 +83,22 @@
 	if c.role == Leader {
 		reply.Leader = true
 		lists := c.members.since(c.commit)
-		reply.Earlier = lists[:len(lists)-1]
+		reply.EarlierMemberships = lists[:len(lists)-1]
 		reply.Members = c.members.current()
 	}
 	c.send(reply)
-	c.tellOutsider(m.From)
+	c.notifyNonMember(m.From)
 }
 
 func (c *Core) onStateReply(m Message) {
-	if m.Nonce != c.incarnation || !c.vectorKnown(m) {
+	if m.Nonce != c.incarnation || !c.incarnationsKnown(m) {
 		return
 	}
-	if c.recovery.answers == nil {
-		c.recovery.answers = map[string]answer{}
+	if c.recovery.replies == nil {
+		c.recovery.replies = map[string]stateReply{}
 	}
-	c.recovery.answers[m.From] = answer{
-		tick: c.now, term: m.Term, index: m.Index, logTerm: m.LogTerm,
+	c.recovery.replies[m.From] = stateReply{
+		receivedTick: c.now, term: m.Term, index: m.Index, logTerm: m.LogTerm,
 		recovering: m.Recovering, leader: m.Leader, memberships: m.memberships(),
 	}
 	switch {
@@ -112,32 +112,32 @@
 // tryRecover looks whether the answers suffice.
 func (c *Core) tryRecover() {
 	highest := c.term
-	for _, a := range c.recovery.answers {
+	for _, a := range c.recovery.replies {
 		highest = max(highest, a.term)
 	}
-	leader, ok := c.leaderAnswer(highest)
+	leader, ok := c.leaderReply(highest)
 	if !ok || c.recovery.source.term >= highest {
 		return
 	}
-	a := c.recovery.answers[leader]
+	a := c.recovery.replies[leader]
 	c.recovery.memberships = a.memberships
 	latest := a.memberships[len(a.memberships)-1]
 	if _, member := findMember(latest, c.cfg.ID); !member {
 		return
 	}
 	for _, list := range a.memberships {
-		if !c.answersSuffice(list) {
+		if !c.hasRecoveryQuorum(list) {
 			return
 		}
 	}
 	c.setTerm(highest)
 	c.vote = leader
-	c.recovery.source = recoverySource{leader: leader, term: highest, target: a.index}
-	c.endRecovery()
+	c.recovery.source = recoverySource{leader: leader, term: highest, requiredIndex: a.index}
+	c.tryEndRecovery()
 }
 
-func (c *Core) leaderAnswer(term uint64) (string, bool) {
-	for id, a := range c.recovery.answers {
+func (c *Core) leaderReply(term uint64) (string, bool) {
+	for id, a := range c.recovery.replies {
 		if a.leader && a.term == term {
 			return id, true
 		}
@@ -145,24 +145,24 @@
 	return "", false
 }
 
-// answersSuffice: a majority of the voters of a membership, this member not among them; the
+// hasRecoveryQuorum: a majority of the voters of a membership, this member not among them; the
 // only other one in a group of two, since it is in every quorum.
-func (c *Core) answersSuffice(list []Member) bool {
+func (c *Core) hasRecoveryQuorum(list []Member) bool {
 	count, others := 0, 0
 	for _, m := range voters(list) {
 		if m.ID == c.cfg.ID {
 			continue
 		}
 		others++
-		if a, ok := c.recovery.answers[m.ID]; ok && !a.recovering {
+		if a, ok := c.recovery.replies[m.ID]; ok && !a.recovering {
 			count++
 		}
 	}
 	return count >= min(majority(list), others)
 }
 
-// noteMatched: the log matches that of the current term's leader up to index.
-func (c *Core) noteMatched(leader string, index uint64) {
+// recordMatch: the log matches that of the current term's leader up to index.
+func (c *Core) recordMatch(leader string, index uint64) {
 	if c.role != Recovering {
 		return
 	}
@@ -171,20 +171,20 @@
 		c.recovery.matched = 0
 	}
 	c.recovery.matched = max(c.recovery.matched, index)
-	c.endRecovery()
+	c.tryEndRecovery()
 }
 
-// endRecovery makes the member a follower once it holds what it may have
+// tryEndRecovery makes the member a follower once it holds what it may have
 // promised to hold.
-func (c *Core) endRecovery() {
+func (c *Core) tryEndRecovery() {
 	r := &c.recovery
 	sameTerm := r.source.term == c.term && r.matchedTerm == c.term
-	if r.source.leader == "" || !sameTerm || r.matched < r.source.target {
+	if r.source.leader == "" || !sameTerm || r.matched < r.source.requiredIndex {
 		return
 	}
 	c.role = Follower
 	c.recovery = recovery{}
-	c.known.merge(Known{ID: c.cfg.ID, Held: true})
+	c.incarnations.merge(MemberIncarnation{ID: c.cfg.ID, Participated: true})
 	// The leader's lease counts on this member from its first acknowledgement on.
-	c.sinceLeader = 0
+	c.ticksSinceLeader = 0
 }
--- a/replica/refuted_test.go
+++ b/replica/refuted_test.go
@@ -8,31 +8,31 @@
 
 // deposed is a group of three of which n0 led and is cut off, with a removal of
 // n1 that only its own log holds; n1 leads the others and has committed since.
-func deposed(t *testing.T, opt simOptions, frozen bool) *sim {
-	s := calm(t, opt)
-	s.lead(t, "n0")
-	s.nodes[0].frozen = frozen
+func newSimWithDeposedLeader(t *testing.T, opt simOptions, frozen bool) *sim {
+	s := newSimWithLeader(t, opt)
+	s.ensureLeader(t, "n0")
+	s.nodes[0].clockStopped = frozen
 	s.isolate(s.nodes[0])
-	_, _, err := s.nodes[0].core.ProposeMembership(without(s.nodes[0].core.members.current(), "n1"))
+	_, _, err := s.nodes[0].core.ProposeMembership(withoutMember(s.nodes[0].core.members.current(), "n1"))
 	must.NoError(t, err)
-	s.settle(t)
-	s.lead(t, "n1")
+	s.waitForLeader(t)
+	s.ensureLeader(t, "n1")
 	return s
 }
 
 // lead hands the leadership over to a member, if another one has it.
-func (s *sim) lead(t *testing.T, id string) {
+func (s *sim) ensureLeader(t *testing.T, id string) {
 	t.Helper()
 	if l := s.leader(); l.id != id {
 		must.NoError(t, l.core.Transfer(id))
-		must.Eq(t, id, s.settle(t).id)
+		must.Eq(t, id, s.waitForLeader(t).id)
 	}
 }
 
-// blankN2 restarts n2 blank where it reaches n0 only.
-func (s *sim) blankN2() {
-	s.wire = nil
-	clear(s.cut)
+// restartN2Blank restarts n2 blank where it reaches n0 only.
+func (s *sim) restartN2Blank() {
+	s.inTransit = nil
+	clear(s.blockedLinks)
 	s.isolate(s.nodes[1])
 	s.nodes[2].crash(false)
 	s.nodes[2].downUntil = s.step + 1
@@ -40,14 +40,14 @@
 }
 
 // healed ends the cuts: what was committed must still be there.
-func (s *sim) healed(t *testing.T) {
+func (s *sim) checkHealed(t *testing.T) {
 	t.Helper()
-	last := s.last
-	for n := s.nodes[0]; n.frozen; n.frozen = n.core.Status().CanDecide {
+	last := s.lastApplied
+	for n := s.nodes[0]; n.clockStopped; n.clockStopped = n.core.Status().CanDecide {
 		n.core.Tick()
 	}
-	clear(s.cut)
-	s.settle(t)
+	clear(s.blockedLinks)
+	s.waitForLeader(t)
 	must.GreaterEq(t, last, s.leader().core.applied)
 }
 
@@ -57,27 +57,27 @@
 // membership, in which it and n0 are alone, it would acknowledge to n0: users
 // would see work that was accepted by n1 disappear.
 func TestRecoveryCountsCommittedMembership(t *testing.T) {
-	s := deposed(t, simOptions{voters: 3}, true)
-	s.blankN2()
+	s := newSimWithDeposedLeader(t, simOptions{voters: 3}, true)
+	s.restartN2Blank()
 	s.run(100)
-	must.SliceEmpty(t, s.failed, must.Sprint(s.failed))
+	must.SliceEmpty(t, s.violations, must.Sprint(s.violations))
 	must.Eq(t, Leader, roleOf(s.nodes[0]))
 	must.Eq(t, Recovering, roleOf(s.nodes[2]))
-	s.healed(t)
+	s.checkHealed(t)
 }
 
 // The same with a disk on n0: it has stepped down and asks n2, blank, for a cold
 // start. Counted by the proposed membership that would be every voter.
 func TestColdStartCountsCommittedMembership(t *testing.T) {
-	s := deposed(t, simOptions{voters: 3, disks: 1}, false)
-	s.blankN2()
+	s := newSimWithDeposedLeader(t, simOptions{voters: 3, disks: 1}, false)
+	s.restartN2Blank()
 	term := s.nodes[0].core.term
 	s.run(300)
-	must.SliceEmpty(t, s.failed, must.Sprint(s.failed))
+	must.SliceEmpty(t, s.violations, must.Sprint(s.violations))
 	must.Nil(t, s.leader())
 	must.Eq(t, term, s.nodes[0].core.term) // nor does waiting cost terms
 	must.Eq(t, Recovering, roleOf(s.nodes[2]))
-	s.healed(t)
+	s.checkHealed(t)
 }
 
 // n0 holds an uncommitted membership with a fourth voter. The disks of n1 and n2,
@@ -85,14 +85,14 @@
 // they had committed. That two of four are left mustn't let n0 lead.
 func TestColdStartRuleHoldsInEachMembership(t *testing.T) {
 	for held, role := range map[bool]Role{false: Leader, true: Candidate} {
-		c := guardCore(t, "n0", "n1", "n2")
-		c.members.push(2, append(without(c.members.current(), ""), Member{ID: "n3", HasDisk: true}))
+		c := candidateCore(t, "n0", "n1", "n2")
+		c.members.push(2, append(withoutMember(c.members.current(), ""), Member{ID: "n3", HasDisk: true}))
 		for _, id := range []string{"n1", "n2", "n3"} {
-			reply(t, c, Message{Type: MsgStateReply, From: id, Term: 5, Nonce: 1, Recovering: id != "n3"})
+			stepFromPeer(t, c, Message{Type: MsgStateReply, From: id, Term: 5, Nonce: 1, Recovering: id != "n3"})
 		}
 		for _, id := range []string{"n1", "n2", "n3"} {
 			grant := Message{Type: MsgVoteReply, From: id, Term: 6, ColdStart: true, Recovering: id != "n3"}
-			reply(t, c, grant, Known{ID: "n1", Incarnation: 1, Held: held}, Known{ID: "n2", Incarnation: 1, Held: held})
+			stepFromPeer(t, c, grant, MemberIncarnation{ID: "n1", Incarnation: 1, Participated: held}, MemberIncarnation{ID: "n2", Incarnation: 1, Participated: held})
 		}
 		must.Eq(t, role, c.role)
 	}
@@ -102,14 +102,14 @@
 // If the disk didn't say that it is committed, the cold start would wait for the
 // removed member, which may be gone for good.
 func TestCommittedMembershipIsSynced(t *testing.T) {
-	c := guardLeader(t, "n0", "n1", "n2")
-	ack(t, c, "n1", c.now)
+	c := leaderCore(t, "n0", "n1", "n2")
+	ackAll(t, c, "n1", c.now)
 	c.Advance(c.Ready())
-	_, _, err := c.ProposeMembership(without(c.members.current(), "n2"))
+	_, _, err := c.ProposeMembership(withoutMember(c.members.current(), "n2"))
 	must.NoError(t, err)
 	c.Advance(c.Ready())
 	must.Len(t, 2, c.members.since(c.commit))
-	ack(t, c, "n1", c.now)
+	ackAll(t, c, "n1", c.now)
 	must.Len(t, 1, c.members.since(c.commit))
 	must.True(t, c.Ready().MustSync)
 }
@@ -119,49 +119,49 @@
 // later term and commits with n1, then restarts blank and gets the doubles. If it
 // consented again it would come back with n0's old log and elect n0 in a term
 // that had a leader: accepted work would disappear.
-func TestColdStartConsentIsOfOneIncarnation(t *testing.T) {
+func TestColdStartVoteIsBoundToIncarnation(t *testing.T) {
 	s := newSim(7, simOptions{voters: 3, disks: 1})
-	var late []Message
-	s.hold = func(m Message) bool {
+	var delayed []Message
+	s.intercept = func(m Message) bool {
 		if m.From == "n0" && m.To == "n2" && (m.ColdStart || m.Type == MsgAppend) {
-			late = append(late, m)
+			delayed = append(delayed, m)
 		}
 		return false
 	}
-	must.Eq(t, "n0", s.settle(t).id)
-	must.True(t, late[0].ColdStart)
-	s.hold = nil
+	must.Eq(t, "n0", s.waitForLeader(t).id)
+	must.True(t, delayed[0].ColdStart)
+	s.intercept = nil
 	s.isolate(s.nodes[0])
-	s.settle(t)
-	s.lead(t, "n2")
-	s.blankN2()
+	s.waitForLeader(t)
+	s.ensureLeader(t, "n2")
+	s.restartN2Blank()
 	s.run(2 * defaultElectionTicks)
-	unnamed := late[0] // as a program sends it that doesn't know the key yet
-	unnamed.Receiver = 0
-	for _, m := range append([]Message{late[0], unnamed}, late[1:4]...) {
-		s.wire = append(s.wire, simMessage{m, s.step})
+	withoutReceiver := delayed[0] // as a program sends it that doesn't know the key yet
+	withoutReceiver.ReceiverIncarnation = 0
+	for _, m := range append([]Message{delayed[0], withoutReceiver}, delayed[1:4]...) {
+		s.inTransit = append(s.inTransit, simMessage{m, s.step})
 		s.run(1)
 	}
 	s.run(300)
-	must.SliceEmpty(t, s.failed, must.Sprint(s.failed))
+	must.SliceEmpty(t, s.violations, must.Sprint(s.violations))
 	must.Nil(t, s.leader())
 	must.Eq(t, Recovering, roleOf(s.nodes[2]))
-	s.healed(t)
+	s.checkHealed(t)
 }
 
 // n0 asks for votes in term 4, restarts blank, recovers by members that haven't
 // heard of term 4, and asks again in it. A vote for the earlier start was given
 // to another log; counted now, it would help to elect a leader that may lack
 // what the voter holds.
-func TestVoteForEarlierIncarnationDoesntCount(t *testing.T) {
-	c := guardCore(t, "n0", "n1", "n2")
-	reply(t, c, Message{Type: MsgPreVoteReply, From: "n1", Term: 4})
-	reply(t, c, Message{Type: MsgVoteReply, From: "n1", Term: 4, Receiver: 7})
+func TestVoteForEarlierIncarnationIsNotCounted(t *testing.T) {
+	c := candidateCore(t, "n0", "n1", "n2")
+	stepFromPeer(t, c, Message{Type: MsgPreVoteReply, From: "n1", Term: 4})
+	stepFromPeer(t, c, Message{Type: MsgVoteReply, From: "n1", Term: 4, ReceiverIncarnation: 7})
 	must.Eq(t, Candidate, c.role)
-	reply(t, c, Message{Type: MsgVoteReply, From: "n1", Term: 4, Receiver: 1})
+	stepFromPeer(t, c, Message{Type: MsgVoteReply, From: "n1", Term: 4, ReceiverIncarnation: 1})
 	must.Eq(t, Leader, c.role)
-	reply(t, c, Message{Type: MsgVote, From: "n2", Term: 5, Force: true})
-	must.Eq(t, 1, c.messages[len(c.messages)-1].Receiver)
+	stepFromPeer(t, c, Message{Type: MsgVote, From: "n2", Term: 5, Force: true})
+	must.Eq(t, 1, c.messages[len(c.messages)-1].ReceiverIncarnation)
 }
 
 // A fresh group begins by a cold start, and the power is lost before the first
@@ -169,21 +169,21 @@
 // part, they would hold its blank disk for a lost one and wait for an operator.
 func TestFirstLeaderSyncsBeforeItAppends(t *testing.T) {
 	list := []Member{{ID: "n0", HasDisk: true}, {ID: "n1"}, {ID: "n2"}}
-	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: list}, Stored{})
+	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: list}, StoredState{})
 	must.NoError(t, err)
 	for c.campaign.kind != coldStarting {
 		c.Tick()
 		for _, id := range []string{"n1", "n2"} {
-			reply(t, c, Message{Type: MsgStateReply, From: id, Nonce: 1, Recovering: true})
+			stepFromPeer(t, c, Message{Type: MsgStateReply, From: id, Nonce: 1, Recovering: true})
 		}
 	}
 	c.Advance(c.Ready())
 	for _, id := range []string{"n1", "n2"} {
-		reply(t, c, Message{Type: MsgVoteReply, From: id, Term: c.term, ColdStart: true, Recovering: true})
+		stepFromPeer(t, c, Message{Type: MsgVoteReply, From: id, Term: c.term, ColdStart: true, Recovering: true})
 	}
 	must.Eq(t, Leader, c.role)
 	for _, early := range []bool{false, true} {
-		c.lead.beatDue = true
+		c.leaderState.heartbeatDue = true
 		r := c.Ready()
 		must.Eq(t, MsgAppend, r.Messages[0].Type)
 		must.Eq(t, early, r.Messages[0].BeforeSync())
--- a/replica/removed_test.go
+++ b/replica/removed_test.go
@@ -9,31 +9,31 @@
 // A member is cut off while it is removed. Without being told it would ask for
 // votes as often as ever, and nothing would show why it is refused. Told, it says
 // so and asks seldom; added again, it takes part as before.
-func TestRemovedMemberIsTold(t *testing.T) {
-	s := calm(t, simOptions{voters: 4})
+func TestRemovedMemberIsNotified(t *testing.T) {
+	s := newSimWithLeader(t, simOptions{voters: 4})
 	l := s.leader()
-	n := s.other(l)
+	n := s.liveFollower(l)
 	all := l.core.members.current()
 	s.isolate(n)
-	_, _, err := l.core.ProposeMembership(without(all, n.id))
+	_, _, err := l.core.ProposeMembership(withoutMember(all, n.id))
 	must.NoError(t, err)
-	s.settle(t)
-	clear(s.cut)
+	s.waitForLeader(t)
+	clear(s.blockedLinks)
 	s.run(60)
 	must.True(t, n.core.Status().Outside)
-	asked := 0
-	s.hold = func(m Message) bool {
+	requests := 0
+	s.intercept = func(m Message) bool {
 		if m.From == n.id {
-			asked++
+			requests++
 		}
 		return false
 	}
 	s.run(400)
-	must.Between(t, 1, asked, 30) // three peers, two questions, about every 120 ticks
+	must.Between(t, 1, requests, 30) // three peers, two questions, about every 120 ticks
 	must.True(t, l.core.Status().CanDecide)
-	_, _, err = l.core.ProposeMembership(append(without(all, n.id), Member{ID: n.id, Learner: true}))
+	_, _, err = l.core.ProposeMembership(append(withoutMember(all, n.id), Member{ID: n.id, Learner: true}))
 	must.NoError(t, err)
-	s.settle(t)
+	s.waitForLeader(t)
 	must.False(t, n.core.Status().Outside)
 	must.Eq(t, l.core.applied, max(l.core.applied, n.core.applied))
 	must.Greater(t, 0, n.core.applied)
@@ -41,16 +41,16 @@
 
 // The notice of a removal is doubled and the double late: the member was added
 // again meanwhile, and its leader has died. It must stand for election as usual.
-func TestLateNoticeOfRemoval(t *testing.T) {
-	c := guardCore(t, "n0", "n1", "n2")
-	notice := Message{Type: MsgOutside, From: "n1", Term: 3, Index: 2}
-	reply(t, c, notice)
+func TestDelayedRemovalNoticeIsIgnored(t *testing.T) {
+	c := candidateCore(t, "n0", "n1", "n2")
+	notice := Message{Type: MsgNotMember, From: "n1", Term: 3, Index: 2}
+	stepFromPeer(t, c, notice)
 	must.True(t, c.Status().Outside)
-	reply(t, c, Message{Type: MsgAppend, From: "n1", Term: 4, Index: 2, LogTerm: 2, Commit: 2})
+	stepFromPeer(t, c, Message{Type: MsgAppend, From: "n1", Term: 4, Index: 2, LogTerm: 2, Commit: 2})
 	must.False(t, c.Status().Outside)
 	for c.role != Candidate {
 		c.Tick()
 	}
-	reply(t, c, notice)
+	stepFromPeer(t, c, notice)
 	must.False(t, c.Status().Outside)
 }
--- a/replica/scenario_test.go
+++ b/replica/scenario_test.go
@@ -7,15 +7,15 @@
 )
 
 // calm returns a group without random faults that has a leader.
-func calm(t *testing.T, opt simOptions) *sim {
+func newSimWithLeader(t *testing.T, opt simOptions) *sim {
 	s := newSim(7, opt)
-	s.settle(t)
+	s.waitForLeader(t)
 	return s
 }
 
 // settle runs until some member may decide and everything proposed so far had
 // time to spread.
-func (s *sim) settle(t *testing.T) *simNode {
+func (s *sim) waitForLeader(t *testing.T) *simNode {
 	t.Helper()
 	for range 400 {
 		s.run(1)
@@ -24,7 +24,7 @@
 			break
 		}
 	}
-	must.SliceEmpty(t, s.failed)
+	must.SliceEmpty(t, s.violations)
 	l := s.leader()
 	must.NotNil(t, l, must.Sprint(s.describe()))
 	return l
@@ -33,13 +33,13 @@
 // isolate cuts a member off from all others.
 func (s *sim) isolate(n *simNode) {
 	for _, o := range s.nodes {
-		s.cut[[2]string{n.id, o.id}] = true
-		s.cut[[2]string{o.id, n.id}] = true
+		s.blockedLinks[[2]string{n.id, o.id}] = true
+		s.blockedLinks[[2]string{o.id, n.id}] = true
 	}
 }
 
 // other returns a live member that isn't the leader.
-func (s *sim) other(l *simNode) *simNode {
+func (s *sim) liveFollower(l *simNode) *simNode {
 	for _, n := range s.nodes {
 		if n != l && n.core != nil {
 			return n
@@ -51,22 +51,22 @@
 // A member is cut off for a long time and comes back. If it had raised its
 // term at each timeout, its return would depose the working leader, and the
 // users would see a pause each time a network fault heals.
-func TestLongCutInflatesNoTerm(t *testing.T) {
+func TestLongPartitionDoesNotRaiseTerm(t *testing.T) {
 	for _, oneWay := range []bool{false, true} {
-		s := calm(t, simOptions{voters: 3, disks: 1})
+		s := newSimWithLeader(t, simOptions{voters: 3, disks: 1})
 		l := s.leader()
 		term := l.core.term
-		n := s.other(l)
+		n := s.liveFollower(l)
 		s.isolate(n)
 		if oneWay {
 			for _, o := range s.nodes {
-				delete(s.cut, [2]string{n.id, o.id})
+				delete(s.blockedLinks, [2]string{n.id, o.id})
 			}
 		}
 		s.run(2000)
-		clear(s.cut)
+		clear(s.blockedLinks)
 		s.run(100)
-		must.SliceEmpty(t, s.failed)
+		must.SliceEmpty(t, s.violations)
 		must.Eq(t, term, l.core.term)
 		must.True(t, l.core.Status().CanDecide)
 		must.Eq(t, l.core.commit, max(l.core.commit, n.core.commit))
@@ -76,8 +76,8 @@
 // The leader is cut off but hears its clients. It must stop deciding before
 // another leader decides, else a client would be told of work that the rest of
 // the group gives to somebody else. The run checks at every step.
-func TestOldLeaderStopsDecidingFirst(t *testing.T) {
-	s := calm(t, simOptions{voters: 5})
+func TestPartitionedLeaderStopsDecidingFirst(t *testing.T) {
+	s := newSimWithLeader(t, simOptions{voters: 5})
 	for range 10 {
 		l := s.leader()
 		s.isolate(l)
@@ -89,8 +89,8 @@
 		must.ErrorIs(t, err, ErrNotLeader)
 		must.ErrorIs(t, l.core.ReadIndex(1), ErrNotLeader)
 		must.NotNil(t, s.leader())
-		clear(s.cut)
-		s.settle(t)
+		clear(s.blockedLinks)
+		s.waitForLeader(t)
 	}
 }
 
@@ -98,26 +98,26 @@
 // One of the two restarts blank just as the leader is cut off. If it voted at
 // once, it and the third would elect a leader without the committed entries,
 // and accepted work would vanish.
-func TestBlankMemberWaitsBeforeItVotes(t *testing.T) {
-	s := calm(t, simOptions{voters: 3})
+func TestBlankMemberDoesNotVoteBeforeRecovery(t *testing.T) {
+	s := newSimWithLeader(t, simOptions{voters: 3})
 	l := s.leader()
-	third := s.other(l)
-	s.isolate(third)
+	partitioned := s.liveFollower(l)
+	s.isolate(partitioned)
 	s.run(200)
 	s.isolate(l)
 	for _, n := range s.nodes {
-		if n != l && n != third {
+		if n != l && n != partitioned {
 			n.crash(false)
-			delete(s.cut, [2]string{n.id, third.id})
-			delete(s.cut, [2]string{third.id, n.id})
+			delete(s.blockedLinks, [2]string{n.id, partitioned.id})
+			delete(s.blockedLinks, [2]string{partitioned.id, n.id})
 		}
 	}
 	s.run(500)
-	must.SliceEmpty(t, s.failed)
+	must.SliceEmpty(t, s.violations)
 	must.Nil(t, s.leader())
-	clear(s.cut)
-	s.settle(t)
-	must.Eq(t, s.last, s.leader().core.applied)
+	clear(s.blockedLinks)
+	s.waitForLeader(t)
+	must.Eq(t, s.lastApplied, s.leader().core.applied)
 }
 
 // A power loss stops everything. The members come back one after the other;
@@ -125,43 +125,43 @@
 // disk, and the group must go on by itself with it.
 func TestColdStartAfterPowerLoss(t *testing.T) {
 	for _, opt := range []simOptions{{voters: 3, disks: 1}, {voters: 5, disks: 2}, {voters: 2, disks: 1}, {voters: 1, disks: 1}} {
-		s := calm(t, opt)
+		s := newSimWithLeader(t, opt)
 		s.run(300)
-		strong := s.strong
-		must.Greater(t, 20, strong)
+		durable := s.lastDurable
+		must.Greater(t, 20, durable)
 		s.losePower()
-		l := s.settle(t)
-		must.GreaterEq(t, strong, l.core.commit)
+		l := s.waitForLeader(t)
+		must.GreaterEq(t, durable, l.core.commit)
 	}
 }
 
 // The only disk is down during a power loss and comes back after the others.
 // If the others had started without it, what it holds would be lost.
 func TestNoColdStartWithoutTheDisk(t *testing.T) {
-	s := calm(t, simOptions{voters: 3, disks: 1})
+	s := newSimWithLeader(t, simOptions{voters: 3, disks: 1})
 	s.losePower()
 	s.nodes[0].downUntil = s.step + 1000
 	s.run(900)
 	must.Nil(t, s.leader())
 	must.Eq(t, 0, s.nodes[1].core.term) // nor does waiting cost terms
 	s.run(100)
-	s.settle(t)
-	must.SliceEmpty(t, s.failed)
+	s.waitForLeader(t)
+	must.SliceEmpty(t, s.violations)
 }
 
 // The disk of one of two disk members is lost together with the power. The
 // other disk may lack what only the lost one had synced, so nothing starts
 // until an operator decides.
 func TestForceStartAfterLostDisk(t *testing.T) {
-	s := calm(t, simOptions{voters: 3, disks: 2})
+	s := newSimWithLeader(t, simOptions{voters: 3, disks: 2})
 	s.losePower()
-	s.nodes[0].stored = Stored{}
+	s.nodes[0].stored = StoredState{}
 	s.run(800)
 	must.Nil(t, s.leader())
 	must.ErrorIs(t, s.nodes[2].core.ForceStart(), ErrForceStart)
 	must.NoError(t, s.nodes[1].core.ForceStart())
-	clear(s.states)
-	l := s.settle(t)
+	clear(s.stateHashes)
+	l := s.waitForLeader(t)
 	must.Eq(t, s.nodes[1], l)
 	must.Len(t, 1, voters(l.core.members.current()))
 	must.Eq(t, roleOf(s.nodes[2]), Follower)
@@ -173,17 +173,17 @@
 // While the disk member answers, nothing may be reported as committed that
 // isn't on a disk, or a power loss would take back an answer given to a user.
 // When it is gone the others go on, and say so.
-func TestDiskRule(t *testing.T) {
-	s := calm(t, simOptions{voters: 3, disks: 1})
+func TestCommitWaitsForDiskVoter(t *testing.T) {
+	s := newSimWithLeader(t, simOptions{voters: 3, disks: 1})
 	l := s.leader()
 	disk := s.nodes[0]
 	for l == disk {
 		must.NoError(t, l.core.Transfer("n1"))
-		l = s.settle(t)
+		l = s.waitForLeader(t)
 	}
 	must.False(t, l.core.Status().Degraded)
 	// The disk stalls for less than an election timeout.
-	s.hold = func(m Message) bool { return m.From == disk.id && m.Type == MsgAppendReply }
+	s.intercept = func(m Message) bool { return m.From == disk.id && m.Type == MsgAppendReply }
 	onDisk := disk.core.log.last()
 	s.run(defaultElectionTicks - 4)
 	must.Greater(t, onDisk, l.core.log.last())
@@ -192,38 +192,38 @@
 	s.run(100)
 	must.True(t, l.core.Status().Degraded)
 	must.Greater(t, onDisk, l.core.commit)
-	s.hold = nil
-	clear(s.cut)
-	s.settle(t)
+	s.intercept = nil
+	clear(s.blockedLinks)
+	s.waitForLeader(t)
 	must.False(t, l.core.Status().Degraded)
-	must.SliceEmpty(t, s.failed)
+	must.SliceEmpty(t, s.violations)
 }
 
 // The leader and the witness commit, then the leader dies. The other member
 // lacks the last entries and the witness never leads: without the hand-over a
 // live majority would stand still.
-func TestWitnessHandsItsLogOver(t *testing.T) {
-	s := calm(t, simOptions{voters: 3, disks: 3, witness: true})
+func TestCandidateFetchesLogFromWitness(t *testing.T) {
+	s := newSimWithLeader(t, simOptions{voters: 3, disks: 3, witness: true})
 	l := s.leader()
-	behind := s.nodes[0]
-	if l == behind {
-		behind = s.nodes[1]
+	lagging := s.nodes[0]
+	if l == lagging {
+		lagging = s.nodes[1]
 	}
-	s.isolate(behind)
+	s.isolate(lagging)
 	s.run(200)
 	l.crash(false)
 	l.downUntil = s.step + 100000
-	clear(s.cut)
-	must.Eq(t, behind, s.settle(t))
-	must.Eq(t, s.last, behind.core.applied)
+	clear(s.blockedLinks)
+	must.Eq(t, lagging, s.waitForLeader(t))
+	must.Eq(t, s.lastApplied, lagging.core.applied)
 }
 
 // A member is lost for good and replaced, by one change at a time, then one
 // more is lost right after the repair.
 func TestReplaceLostMember(t *testing.T) {
-	s := calm(t, simOptions{voters: 3, disks: 1, spares: 1})
+	s := newSimWithLeader(t, simOptions{voters: 3, disks: 1, spares: 1})
 	l := s.leader()
-	lost := s.other(l)
+	lost := s.liveFollower(l)
 	s.run(800) // hundreds of entries, compacted: the new one needs the snapshot
 	lost.crash(true)
 	lost.downUntil = s.step + 100000
@@ -235,33 +235,33 @@
 		s.run(60)
 		return err
 	}
-	must.ErrorIs(t, propose(without(list, l.id)), ErrRemovesLeader)
+	must.ErrorIs(t, propose(withoutMember(list, l.id)), ErrRemovesLeader)
 	for _, m := range list {
 		if m.ID != l.id && m.ID != lost.id {
-			must.ErrorIs(t, propose(without(list, m.ID)), ErrLosesQuorum)
+			must.ErrorIs(t, propose(withoutMember(list, m.ID)), ErrLosesQuorum)
 		}
 	}
-	must.ErrorIs(t, propose(append(without(list, lost.id), spare)), ErrChangeTooLarge)
+	must.ErrorIs(t, propose(append(withoutMember(list, lost.id), spare)), ErrChangeTooLarge)
 	must.ErrorIs(t, propose(list), ErrNoChange)
 	direct := spare
 	direct.Learner = false
-	must.ErrorIs(t, propose(append(without(list, ""), direct)), ErrNotCaughtUp)
-	must.NoError(t, propose(append(without(list, ""), spare)))
+	must.ErrorIs(t, propose(append(withoutMember(list, ""), direct)), ErrNotCaughtUp)
+	must.NoError(t, propose(append(withoutMember(list, ""), spare)))
 	spare.Learner = false
-	list = append(without(list, ""), spare)
+	list = append(withoutMember(list, ""), spare)
 	_, _, err := l.core.ProposeMembership(list)
 	must.NoError(t, err)
-	must.ErrorIs(t, propose(without(list, lost.id)), ErrChangePending)
-	must.NoError(t, propose(without(list, lost.id)))
-	must.SliceEmpty(t, s.failed)
+	must.ErrorIs(t, propose(withoutMember(list, lost.id)), ErrChangePending)
+	must.NoError(t, propose(withoutMember(list, lost.id)))
+	must.SliceEmpty(t, s.violations)
 	l.crash(false)
 	l.downUntil = s.step + 30
-	s.settle(t)
-	must.Eq(t, s.last, s.leader().core.applied)
+	s.waitForLeader(t)
+	must.Eq(t, s.lastApplied, s.leader().core.applied)
 }
 
 // without returns a copy of list that lacks id.
-func without(list []Member, id string) []Member {
+func withoutMember(list []Member, id string) []Member {
 	var out []Member
 	for _, m := range list {
 		if m.ID != id {
@@ -274,52 +274,52 @@
 // The leadership is handed over on purpose. Nobody waits for a timeout, and
 // the old leader decides nothing from the moment it told the new one.
 func TestTransfer(t *testing.T) {
-	s := calm(t, simOptions{voters: 3, witness: true})
+	s := newSimWithLeader(t, simOptions{voters: 3, witness: true})
 	l := s.leader()
 	must.ErrorIs(t, l.core.Transfer("n2"), ErrBadTarget)
-	to := s.other(l)
+	to := s.liveFollower(l)
 	must.NoError(t, l.core.Transfer(to.id))
 	_, _, err := l.core.Propose([]byte("x"))
 	must.ErrorIs(t, err, ErrTransferring)
 	s.run(9)
 	must.Eq(t, to.id, s.leader().id)
-	must.SliceEmpty(t, s.failed)
+	must.SliceEmpty(t, s.violations)
 }
 
 // The message that tells the target to campaign is lost for long. The old
 // leader must not resume in its term, because the message may still arrive.
-func TestTransferGivenUp(t *testing.T) {
-	s := calm(t, simOptions{voters: 3})
+func TestTransferTimesOut(t *testing.T) {
+	s := newSimWithLeader(t, simOptions{voters: 3})
 	l := s.leader()
 	term := l.core.term
-	s.hold = func(m Message) bool { return m.Type == MsgTimeoutNow }
-	must.NoError(t, l.core.Transfer(s.other(l).id))
-	told := false
+	s.intercept = func(m Message) bool { return m.Type == MsgTimeoutNow }
+	must.NoError(t, l.core.Transfer(s.liveFollower(l).id))
+	sent := false
 	for range 60 {
 		s.run(1)
-		told = told || len(s.held) > 0
-		must.False(t, told && l.core.term == term && l.core.Status().CanDecide)
+		sent = sent || len(s.intercepted) > 0
+		must.False(t, sent && l.core.term == term && l.core.Status().CanDecide)
 	}
-	s.hold = nil
-	s.settle(t)
-	s.wire = append(s.wire, simMessage{s.held[0], s.step})
-	l = s.settle(t)
+	s.intercept = nil
+	s.waitForLeader(t)
+	s.inTransit = append(s.inTransit, simMessage{s.intercepted[0], s.step})
+	l = s.waitForLeader(t)
 	must.Greater(t, term, l.core.term)
-	must.SliceEmpty(t, s.failed)
+	must.SliceEmpty(t, s.violations)
 }
 
 // The first leader of a fresh group is cut off before anybody heard it lead.
 // The others have promised nothing to anyone yet; when the cut heals, the
 // group must start without an operator.
-func TestFirstLeaderCutAtOnce(t *testing.T) {
+func TestFirstLeaderPartitionedAtOnce(t *testing.T) {
 	for _, opt := range []simOptions{{voters: 3}, {voters: 5, disks: 2}} {
 		s := newSim(7, opt)
-		s.hold = func(m Message) bool { return m.Type == MsgAppend }
+		s.intercept = func(m Message) bool { return m.Type == MsgAppend }
 		s.run(300)
-		must.SliceEmpty(t, s.failed)
+		must.SliceEmpty(t, s.violations)
 		must.MapNotEmpty(t, s.leaders)
 		must.Nil(t, s.leader())
-		s.hold = nil
-		s.settle(t)
+		s.intercept = nil
+		s.waitForLeader(t)
 	}
 }
--- a/replica/sim_checks_test.go
+++ b/replica/sim_checks_test.go
@@ -5,7 +5,7 @@
 )
 
 // observe checks what a member says of itself.
-func (n *simNode) observe() {
+func (n *simNode) checkStatus() {
 	if n.core == nil {
 		return
 	}
@@ -16,7 +16,7 @@
 		}
 		n.s.leaders[st.Term] = n.id
 		if st.Commit > n.commit && !st.Degraded {
-			n.s.strong = max(n.s.strong, st.Commit)
+			n.s.lastDurable = max(n.s.lastDurable, st.Commit)
 		}
 	}
 	n.commit = st.Commit
@@ -26,7 +26,7 @@
 func (s *sim) checkLease() {
 	var deciding []string
 	for _, n := range s.nodes {
-		if n.core != nil && !n.paused && !n.frozen && n.core.Status().CanDecide {
+		if n.core != nil && !n.paused && !n.clockStopped && n.core.Status().CanDecide {
 			deciding = append(deciding, n.id)
 		}
 	}
@@ -37,33 +37,33 @@
 
 // forgetful counts the members that have forgotten, or will have at their
 // next start, what they promised.
-func (s *sim) forgetful() int {
+func (s *sim) countRecovering() int {
 	count := 0
 	for _, n := range s.nodes {
-		if !s.votesAnywhere(n.id) {
+		if !s.isVoterAnywhere(n.id) {
 			continue
 		}
 		hs := n.stored.HardState
-		lost := (n.core == nil || n.disk) && (hs.Incarnation == 0 || hs.Recovering)
-		if lost || n.core != nil && n.core.role == Recovering {
+		stateLost := (n.core == nil || n.disk) && (hs.Incarnation == 0 || hs.Recovering)
+		if stateLost || n.core != nil && n.core.role == Recovering {
 			count++
 		}
 	}
 	return count
 }
 
-// votesAnywhere reports whether any live member takes id for a voter.
-func (s *sim) votesAnywhere(id string) bool {
+// isVoterAnywhere reports whether any live member takes id for a voter.
+func (s *sim) isVoterAnywhere(id string) bool {
 	for _, n := range s.nodes {
 		if n.core != nil && isVoter(n.core.members.current(), id) {
 			return true
 		}
 	}
-	return isVoter(s.initial(), id)
+	return isVoter(s.initialMembers(), id)
 }
 
-// checkAlive: after the faults, the group has a leader that commits.
-func (s *sim) checkAlive() {
+// checkProgress: after the faults, the group has a leader that commits.
+func (s *sim) checkProgress() {
 	before := s.counts["committed"]
 	s.heal()
 	s.run(600)
--- a/replica/sim_faults_test.go
+++ b/replica/sim_faults_test.go
@@ -5,15 +5,15 @@
 )
 
 // fault lets something fail, within what the group promises to survive.
-func (s *sim) fault() {
+func (s *sim) injectFault() {
 	n := s.nodes[s.rand.IntN(len(s.nodes))]
 	quorum := s.opt.voters/2 + 1
-	switch kind := s.rand.IntN(s.opt.faultEvery); {
+	switch kind := s.rand.IntN(s.opt.faultOutcomes); {
 	case kind < 8 && n.core != nil:
-		forgets := !n.disk
+		losesState := !n.disk
 		loseDisk := n.disk && s.chance(0.2) && !s.opt.powerLoss
-		if forgets || loseDisk {
-			if s.forgetful()+1 >= quorum {
+		if losesState || loseDisk {
+			if s.countRecovering()+1 >= quorum {
 				return
 			}
 		}
@@ -30,21 +30,21 @@
 	case kind < 30:
 		s.counts["cuts"]++
 		for _, o := range s.nodes {
-			s.cut[[2]string{n.id, o.id}] = true
-			s.cut[[2]string{o.id, n.id}] = s.chance(0.8)
+			s.blockedLinks[[2]string{n.id, o.id}] = true
+			s.blockedLinks[[2]string{o.id, n.id}] = s.chance(0.8)
 		}
 	case kind < 45:
-		clear(s.cut)
+		clear(s.blockedLinks)
 	case kind < 48:
-		s.loss = s.rand.Float64() * 0.3
+		s.lossRate = s.rand.Float64() * 0.3
 	case kind < 52:
-		s.loss = 0
+		s.lossRate = 0
 	case kind < 58:
 		if l := s.leader(); l != nil && !l.paused && l.core.Transfer(n.id) == nil {
 			s.counts["transfers"]++
 		}
 	case kind < 68 && s.opt.changes:
-		s.change()
+		s.proposeRandomChange()
 	case kind == 100 && s.opt.powerLoss:
 		s.losePower()
 	}
@@ -52,7 +52,7 @@
 
 // change proposes a random change of one member. Without a disk among the voters
 // nothing would be promised in a loss of power.
-func (s *sim) change() {
+func (s *sim) proposeRandomChange() {
 	l := s.leader()
 	if l == nil || l.paused {
 		return
@@ -80,23 +80,23 @@
 // answered may be lost.
 func (s *sim) losePower() {
 	s.counts["power losses"]++
-	s.wire = nil
+	s.inTransit = nil
 	for _, n := range s.nodes {
 		n.crash(false)
 	}
-	for index := range s.states {
-		if index > s.strong {
-			delete(s.states, index)
+	for index := range s.stateHashes {
+		if index > s.lastDurable {
+			delete(s.stateHashes, index)
 		}
 	}
-	s.last = min(s.last, s.strong)
+	s.lastApplied = min(s.lastApplied, s.lastDurable)
 }
 
 // heal ends all faults and lets the group come to rest.
 func (s *sim) heal() {
 	s.opt.faults = false
-	s.loss = 0
-	clear(s.cut)
+	s.lossRate = 0
+	clear(s.blockedLinks)
 	for _, n := range s.nodes {
 		if n.paused {
 			n.resume()
