--- a/replica/sim_test.go
+++ b/replica/sim_test.go
@@ -15,7 +15,7 @@
 	voters, disks, spares int
 	witness               bool
 	steps                 int
-	faultEvery            int // a step draws one of so many outcomes, about 70 of them faults
+	faultOutcomes         int // a step draws one of so many outcomes, about 70 of them faults
 	faults                bool
 	powerLoss             bool
 	changes               bool
@@ -24,24 +24,24 @@
 // sim is a group on a network and on disks made of memory. All choices come
 // from one seed.
 type sim struct {
-	opt   simOptions
-	rand  *rand.Rand
-	step  int
-	nodes []*simNode
-	wire  []simMessage
-	cut   map[[2]string]bool
-	loss  float64
+	opt          simOptions
+	rand         *rand.Rand
+	step         int
+	nodes        []*simNode
+	inTransit    []simMessage
+	blockedLinks map[[2]string]bool
+	lossRate     float64
 
-	leaders map[uint64]string // term -> leader
-	states  map[uint64]uint64 // index -> hash of the machine after it
-	reads   map[uint64]uint64 // token -> last index applied anywhere at the call
-	hold    func(Message) bool
-	held    []Message
-	last    uint64 // last index applied anywhere
-	strong  uint64 // last index committed while a disk voter answered
-	counts  map[string]int
-	failed  []string
-	nextCmd uint64
+	leaders     map[uint64]string // term -> leader
+	stateHashes map[uint64]uint64 // index -> hash of the machine after it
+	reads       map[uint64]uint64 // token -> last index applied anywhere at the call
+	intercept   func(Message) bool
+	intercepted []Message
+	lastApplied uint64 // last index applied anywhere
+	lastDurable uint64 // last index committed while a disk voter answered
+	counts      map[string]int
+	violations  []string
+	nextCommand uint64
 }
 
 type simMessage struct {
@@ -50,26 +50,26 @@
 }
 
 type simNode struct {
-	s           *sim
-	id          string
-	disk        bool
-	core        *Core
-	incarnation uint64
-	stored      Stored
-	paused      bool
-	frozen      bool // its clock stands still, which only the lease may mind
-	missed      int
-	ready       *Ready
-	finish      int
-	machine     uint64
-	commit      uint64
-	downUntil   int
+	s            *sim
+	id           string
+	disk         bool
+	core         *Core
+	incarnation  uint64
+	stored       StoredState
+	paused       bool
+	clockStopped bool // its clock stands still, which only the lease may mind
+	missedTicks  int
+	ready        *Ready
+	readyDoneAt  int
+	stateHash    uint64
+	commit       uint64
+	downUntil    int
 }
 
 func newSim(seed uint64, opt simOptions) *sim {
 	s := &sim{
-		opt: opt, rand: rand.New(rand.NewPCG(seed, 1)), cut: map[[2]string]bool{},
-		leaders: map[uint64]string{}, states: map[uint64]uint64{0: 0}, counts: map[string]int{}, reads: map[uint64]uint64{},
+		opt: opt, rand: rand.New(rand.NewPCG(seed, 1)), blockedLinks: map[[2]string]bool{},
+		leaders: map[uint64]string{}, stateHashes: map[uint64]uint64{0: 0}, counts: map[string]int{}, reads: map[uint64]uint64{},
 	}
 	for i := range opt.voters + opt.spares {
 		n := &simNode{s: s, id: fmt.Sprintf("n%d", i), disk: i < opt.disks}
@@ -81,7 +81,7 @@
 	return s
 }
 
-func (s *sim) initial() []Member {
+func (s *sim) initialMembers() []Member {
 	var list []Member
 	for i, n := range s.nodes[:s.opt.voters] {
 		list = append(list, Member{ID: n.id, HasDisk: n.disk, Witness: s.opt.witness && i == s.opt.voters-1})
@@ -90,26 +90,26 @@
 }
 
 func (s *sim) failf(format string, args ...any) {
-	s.failed = append(s.failed, fmt.Sprintf("step %d: ", s.step)+fmt.Sprintf(format, args...))
+	s.violations = append(s.violations, fmt.Sprintf("step %d: ", s.step)+fmt.Sprintf(format, args...))
 }
 
 func (s *sim) chance(p float64) bool { return s.rand.Float64() < p }
 
 func (n *simNode) start() {
-	n.incarnation = uint64(n.s.step+1) * termIncarnations
-	stored := Stored{HardState: n.stored.HardState, Snapshot: n.stored.Snapshot, Entries: slices.Clone(n.stored.Entries)}
+	n.incarnation = uint64(n.s.step+1) * incarnationsPerTerm
+	stored := StoredState{HardState: n.stored.HardState, Snapshot: n.stored.Snapshot, Entries: slices.Clone(n.stored.Entries)}
 	core, err := New(Config{
-		ID: n.id, Incarnation: n.incarnation, HasDisk: n.disk, Members: n.s.initial(), Seed: n.incarnation + uint64(n.s.rand.Uint32()),
+		ID: n.id, Incarnation: n.incarnation, HasDisk: n.disk, Members: n.s.initialMembers(), Seed: n.incarnation + uint64(n.s.rand.Uint32()),
 		MaxEntriesPerMessage: 8, MaxInflight: 4, KeepEntries: 3,
 	}, stored)
 	if err != nil {
 		n.s.failf("%s: start: %v", n.id, err)
 		return
 	}
-	n.core, n.ready, n.paused, n.missed = core, nil, false, 0
-	n.machine, n.commit = 0, core.commit
+	n.core, n.ready, n.paused, n.missedTicks = core, nil, false, 0
+	n.stateHash, n.commit = 0, core.commit
 	if stored.Snapshot.Index > 0 {
-		n.machine = binary.BigEndian.Uint64(stored.Snapshot.Data)
+		n.stateHash = binary.BigEndian.Uint64(stored.Snapshot.Data)
 	}
 }
 
@@ -117,10 +117,10 @@
 	if n.ready != nil && n.disk && n.s.chance(0.5) {
 		n.persist(*n.ready)
 	}
-	n.core, n.ready, n.paused, n.missed = nil, nil, false, 0
+	n.core, n.ready, n.paused, n.missedTicks = nil, nil, false, 0
 	n.downUntil = n.s.step + 1 + n.s.rand.IntN(60)
 	if !n.disk || loseDisk {
-		n.stored = Stored{}
+		n.stored = StoredState{}
 	}
 }
 
@@ -139,13 +139,13 @@
 }
 
 // pump begins the work of a Ready; it ends some steps later.
-func (n *simNode) pump() {
-	n.observe()
+func (n *simNode) processReady() {
+	n.checkStatus()
 	if n.core == nil || n.paused {
 		return
 	}
 	if n.ready != nil {
-		if n.s.step >= n.finish {
+		if n.s.step >= n.readyDoneAt {
 			n.finishReady()
 		}
 		return
@@ -155,12 +155,12 @@
 	}
 	r := n.core.Ready()
 	n.ready = &r
-	n.finish = n.s.step
+	n.readyDoneAt = n.s.step
 	if n.s.opt.faults && n.disk {
-		n.finish += n.s.rand.IntN(3)
+		n.readyDoneAt += n.s.rand.IntN(3)
 	}
 	n.sendAll(r, true)
-	if n.s.step >= n.finish {
+	if n.s.step >= n.readyDoneAt {
 		n.finishReady()
 	}
 }
@@ -172,12 +172,12 @@
 	}
 	n.sendAll(r, false)
 	if r.Snapshot != nil {
-		n.machine = binary.BigEndian.Uint64(r.Snapshot.Data)
-		n.applied(r.Snapshot.Index)
+		n.stateHash = binary.BigEndian.Uint64(r.Snapshot.Data)
+		n.checkApplied(r.Snapshot.Index)
 	}
 	for _, e := range r.Committed {
-		n.machine = xxhash.Sum64(binary.BigEndian.AppendUint64(fmt.Appendf(nil, "%d/%d/%s/", e.Index, e.Term, e.Data), n.machine))
-		n.applied(e.Index)
+		n.stateHash = xxhash.Sum64(binary.BigEndian.AppendUint64(fmt.Appendf(nil, "%d/%d/%s/", e.Index, e.Term, e.Data), n.stateHash))
+		n.checkApplied(e.Index)
 	}
 	for _, read := range r.Reads {
 		n.s.counts["reads"]++
@@ -187,20 +187,20 @@
 	}
 	n.ready = nil
 	n.core.Advance(r)
-	n.observe()
+	n.checkStatus()
 	n.compact()
 }
 
 // applied checks state machine safety: after an index, every member ever has
 // the same state. A committed entry that is lost shows here too, because the
 // next one committed at its index differs.
-func (n *simNode) applied(index uint64) {
-	want, ok := n.s.states[index]
+func (n *simNode) checkApplied(index uint64) {
+	want, ok := n.s.stateHashes[index]
 	if !ok {
-		n.s.states[index] = n.machine
-		n.s.last = max(n.s.last, index)
+		n.s.stateHashes[index] = n.stateHash
+		n.s.lastApplied = max(n.s.lastApplied, index)
 		n.s.counts["committed"]++
-	} else if want != n.machine {
+	} else if want != n.stateHash {
 		n.s.failf("%s: state after %d differs", n.id, index)
 	}
 }
@@ -210,7 +210,7 @@
 	if st.Applied < n.core.snapshot.Index+20 || n.core.newSnapshot != nil {
 		return
 	}
-	snapshot, err := n.core.SnapshotAt(st.Applied, binary.BigEndian.AppendUint64(nil, n.machine))
+	snapshot, err := n.core.SnapshotAt(st.Applied, binary.BigEndian.AppendUint64(nil, n.stateHash))
 	if err != nil {
 		n.s.failf("%s: snapshot: %v", n.id, err)
 		return
@@ -228,26 +228,26 @@
 		if m.BeforeSync() != early {
 			continue
 		}
-		n.s.post(m)
+		n.s.transmit(m)
 		if n.s.opt.faults && n.s.chance(0.03) {
-			n.s.post(m)
+			n.s.transmit(m)
 		}
 	}
 }
 
-func (s *sim) post(m Message) {
-	if s.hold != nil && s.hold(m) {
-		s.held = append(s.held, m)
+func (s *sim) transmit(m Message) {
+	if s.intercept != nil && s.intercept(m) {
+		s.intercepted = append(s.intercepted, m)
 		return
 	}
-	if s.chance(s.loss) {
+	if s.chance(s.lossRate) {
 		return
 	}
 	delay := s.rand.IntN(2)
 	if s.opt.faults && s.chance(0.05) {
 		delay += s.rand.IntN(60)
 	}
-	s.wire = append(s.wire, simMessage{m, s.step + 1 + delay})
+	s.inTransit = append(s.inTransit, simMessage{m, s.step + 1 + delay})
 }
 
 func (s *sim) node(id string) *simNode {
@@ -262,18 +262,18 @@
 // run makes one step: deliveries, ticks, proposals, faults, checks.
 func (s *sim) run(steps int) {
 	for range steps {
-		if len(s.failed) > 0 {
+		if len(s.violations) > 0 {
 			return
 		}
 		s.step++
 		s.deliver()
 		for _, n := range s.nodes {
 			s.tick(n)
-			n.pump()
+			n.processReady()
 		}
 		s.propose()
 		if s.opt.faults {
-			s.fault()
+			s.injectFault()
 		}
 		s.checkLease()
 	}
@@ -281,7 +281,7 @@
 
 func (s *sim) deliver() {
 	var due []simMessage
-	s.wire = slices.DeleteFunc(s.wire, func(m simMessage) bool {
+	s.inTransit = slices.DeleteFunc(s.inTransit, func(m simMessage) bool {
 		if m.due <= s.step {
 			due = append(due, m)
 		}
@@ -290,15 +290,15 @@
 	slices.SortStableFunc(due, func(a, b simMessage) int { return cmp.Compare(a.due, b.due) })
 	for _, d := range due {
 		n := s.node(d.m.To)
-		if s.cut[[2]string{d.m.From, d.m.To}] || n.core == nil || n.paused {
+		if s.blockedLinks[[2]string{d.m.From, d.m.To}] || n.core == nil || n.paused {
 			continue
 		}
 		if err := n.core.Step(d.m); err != nil {
 			s.failf("%s: %v", n.id, err)
 		}
-		n.observe()
+		n.checkStatus()
 		if s.chance(0.7) {
-			n.pump()
+			n.processReady()
 		}
 	}
 }
@@ -312,10 +312,10 @@
 		return
 	}
 	if n.paused {
-		n.missed++
+		n.missedTicks++
 		return
 	}
-	if n.frozen || s.opt.faults && s.chance(0.05) {
+	if n.clockStopped || s.opt.faults && s.chance(0.05) {
 		return
 	}
 	n.core.Tick()
@@ -324,10 +324,10 @@
 // resume ends a pause; the missed ticks come before anything else.
 func (n *simNode) resume() {
 	n.paused = false
-	for range n.missed {
+	for range n.missedTicks {
 		n.core.Tick()
 	}
-	n.missed = 0
+	n.missedTicks = 0
 }
 
 func (s *sim) propose() {
@@ -335,12 +335,12 @@
 		if n.core == nil || n.paused || !s.chance(0.3) {
 			continue
 		}
-		s.nextCmd++
-		if _, _, err := n.core.Propose(fmt.Appendf(nil, "c%d", s.nextCmd)); err == nil {
+		s.nextCommand++
+		if _, _, err := n.core.Propose(fmt.Appendf(nil, "c%d", s.nextCommand)); err == nil {
 			s.counts["proposed"]++
 		}
-		if s.chance(0.3) && n.core.ReadIndex(s.nextCmd) == nil {
-			s.reads[s.nextCmd] = s.last
+		if s.chance(0.3) && n.core.ReadIndex(s.nextCommand) == nil {
+			s.reads[s.nextCommand] = s.lastApplied
 		}
 	}
 }
@@ -348,7 +348,7 @@
 // leader returns the member that may decide, or nil.
 func (s *sim) leader() *simNode {
 	for _, n := range s.nodes {
-		if n.core != nil && !n.frozen && n.core.Status().CanDecide {
+		if n.core != nil && !n.clockStopped && n.core.Status().CanDecide {
 			return n
 		}
 	}
--- a/replica/step.go
+++ b/replica/step.go
@@ -26,7 +26,7 @@
 //   - MsgTimeoutNow lets the member stand in a term whose leader decides nothing
 //     any more; its votes are judged as any others.
 //   - MsgPreVoteReply and MsgFetchReply lead to questions and to log entries that
-//     are acknowledged to nobody; MsgState and MsgFetch are questions; MsgOutside
+//     are acknowledged to nobody; MsgState and MsgFetch are questions; MsgNotMember
 //     is a hint.
 //
 // Terms and incarnations that a message tells of are facts for whoever reads it.
@@ -34,12 +34,12 @@
 	if m.To != c.cfg.ID || m.From == "" || m.From == c.cfg.ID {
 		return errors.Wrapf(ErrBadMessage, "from %q to %q", m.From, m.To)
 	}
-	if m.Incarnation < c.known.of(m.From) {
+	if m.Incarnation < c.incarnations.of(m.From) {
 		// The sender has forgotten what it promised under that incarnation.
 		return nil
 	}
-	c.noteVector(m)
-	if m.Receiver != 0 && m.Receiver != c.incarnation {
+	c.recordIncarnations(m)
+	if m.ReceiverIncarnation != 0 && m.ReceiverIncarnation != c.incarnation {
 		return nil
 	}
 	if !c.acceptTerm(m) {
@@ -68,65 +68,65 @@
 		c.onFetch(m)
 	case MsgFetchReply:
 		c.onFetchReply(m)
-	case MsgOutside:
-		c.onOutside(m)
+	case MsgNotMember:
+		c.onNotMember(m)
 	default:
 		return errors.Wrapf(ErrBadMessage, "type %d", m.Type)
 	}
 	return nil
 }
 
-// noteVector merges what the message tells about incarnations.
-func (c *Core) noteVector(m Message) {
-	c.noteIncarnation(Known{ID: m.From, Incarnation: m.Incarnation})
-	for _, k := range m.Known {
-		c.noteIncarnation(k)
+// recordIncarnations merges what the message tells about incarnations.
+func (c *Core) recordIncarnations(m Message) {
+	c.recordIncarnation(MemberIncarnation{ID: m.From, Incarnation: m.Incarnation})
+	for _, k := range m.KnownIncarnations {
+		c.recordIncarnation(k)
 	}
-	c.peerDigest[m.From] = m.Digest
+	c.peerDigest[m.From] = m.IncarnationDigest
 }
 
-// noteIncarnation raises a known incarnation and discards all that the
+// recordIncarnation raises a known incarnation and discards all that the
 // forgotten one told this member.
-func (c *Core) noteIncarnation(k Known) {
+func (c *Core) recordIncarnation(k MemberIncarnation) {
 	if k.ID == c.cfg.ID {
-		c.noteOwnIncarnation(k.Incarnation)
+		c.recordOwnIncarnation(k.Incarnation)
 	}
-	if !c.known.merge(k) || k.ID == c.cfg.ID {
+	if !c.incarnations.merge(k) || k.ID == c.cfg.ID {
 		return
 	}
 	delete(c.campaign.votes, k.ID)
-	delete(c.recovery.answers, k.ID)
-	if p := c.lead.progress[k.ID]; p != nil {
-		p.forget()
+	delete(c.recovery.replies, k.ID)
+	if p := c.leaderState.progress[k.ID]; p != nil {
+		p.resetForIncarnation()
 	}
 }
 
-// noteOwnIncarnation: others know a later start of this member than the one it
+// recordOwnIncarnation: others know a later start of this member than the one it
 // runs under, for example because the wall clock that numbers the starts went
 // back. A recovering member has promised nothing yet and takes a later number;
 // for any other it means that the same ID runs twice.
-func (c *Core) noteOwnIncarnation(incarnation uint64) {
+func (c *Core) recordOwnIncarnation(incarnation uint64) {
 	if incarnation <= c.incarnation {
 		return
 	}
 	invariant(c.role == Recovering, "%s: incarnation %d runs while %d is known", c.cfg.ID, c.incarnation, incarnation)
 	c.incarnation = incarnation + 1
-	c.known.merge(Known{ID: c.cfg.ID, Incarnation: c.incarnation})
+	c.incarnations.merge(MemberIncarnation{ID: c.cfg.ID, Incarnation: c.incarnation})
 	c.recovery = recovery{}
 	c.campaign = campaign{}
 }
 
-// vectorKnown reports whether all that the sender knew of incarnations is
+// incarnationsKnown reports whether all that the sender knew of incarnations is
 // known here too, so that its vote or acknowledgement may be counted.
-func (c *Core) vectorKnown(m Message) bool {
-	return len(m.Known) > 0 || m.Digest == c.known.digest
+func (c *Core) incarnationsKnown(m Message) bool {
+	return len(m.KnownIncarnations) > 0 || m.IncarnationDigest == c.incarnations.digest
 }
 
 // acceptTerm brings the member to the term of a message; false when the
 // message isn't to be handled further.
 func (c *Core) acceptTerm(m Message) bool {
 	switch m.Type {
-	case MsgPreVote, MsgState, MsgStateReply, MsgFetch, MsgFetchReply, MsgOutside:
+	case MsgPreVote, MsgState, MsgStateReply, MsgFetch, MsgFetchReply, MsgNotMember:
 		return true
 	case MsgPreVoteReply:
 		if !m.Reject {
@@ -136,7 +136,7 @@
 			return true
 		}
 	case MsgVote:
-		if c.refusesVote(m) {
+		if c.ignoresVoteRequest(m) {
 			return false
 		}
 	}
@@ -149,14 +149,14 @@
 		return true
 	}
 	if m.Term < c.term {
-		c.answerOldTerm(m)
+		c.replyToOldTerm(m)
 		return false
 	}
 	return true
 }
 
-// answerOldTerm tells a deposed leader of the newer term.
-func (c *Core) answerOldTerm(m Message) {
+// replyToOldTerm tells a deposed leader of the newer term.
+func (c *Core) replyToOldTerm(m Message) {
 	if m.Type == MsgAppend || m.Type == MsgSnapshot {
 		c.send(Message{Type: MsgAppendReply, To: m.From, Term: c.term, Reject: true, Recovering: c.role == Recovering})
 	}
--- a/replica/transfer.go
+++ b/replica/transfer.go
@@ -4,9 +4,9 @@
 
 // transfer of the leadership. told is set once the target may campaign.
 type transfer struct {
-	to    string
-	since uint64
-	told  bool
+	to             string
+	startedTick    uint64
+	timeoutNowSent bool
 }
 
 // Transfer hands the leadership to another voter: no more proposals are taken,
@@ -15,17 +15,17 @@
 // ErrTransferring, and ErrBadTarget for a member that can't lead or doesn't
 // answer at present.
 func (c *Core) Transfer(to string) error {
-	if err := c.mayPropose(); err != nil {
+	if err := c.checkCanPropose(); err != nil {
 		return err
 	}
 	if to == c.cfg.ID {
 		return nil
 	}
 	m, ok := c.members.find(to)
-	if !ok || m.Learner || m.Witness || !c.responsive(c.lead.progress[to]) {
+	if !ok || m.Learner || m.Witness || !c.responsive(c.leaderState.progress[to]) {
 		return errors.Wrapf(ErrBadTarget, "member %q", to)
 	}
-	c.lead.transfer = transfer{to: to, since: c.now}
+	c.leaderState.transfer = transfer{to: to, startedTick: c.now}
 	c.tryTransfer(to)
 	return nil
 }
@@ -34,14 +34,14 @@
 // decides nothing any more: the target's votes pass the voters' refusal, so
 // the lease no longer protects.
 func (c *Core) tryTransfer(from string) {
-	t := &c.lead.transfer
-	if c.role != Leader || t.to != from || t.told {
+	t := &c.leaderState.transfer
+	if c.role != Leader || t.to != from || t.timeoutNowSent {
 		return
 	}
-	if c.lead.progress[from].match < c.log.last() {
+	if c.leaderState.progress[from].match < c.log.last() {
 		return
 	}
-	t.told = true
+	t.timeoutNowSent = true
 	c.send(Message{Type: MsgTimeoutNow, To: from, Term: c.term})
 }
 
@@ -49,13 +49,13 @@
 // when the message is late, so this leader can't go on in the same term; it
 // steps down.
 func (c *Core) tickTransfer() {
-	t := &c.lead.transfer
-	if t.to == "" || c.now-t.since < uint64(c.cfg.ElectionTicks) {
+	t := &c.leaderState.transfer
+	if t.to == "" || c.now-t.startedTick < uint64(c.cfg.ElectionTicks) {
 		return
 	}
-	if t.told {
+	if t.timeoutNowSent {
 		c.follow(c.term, "")
 		return
 	}
-	c.lead.transfer = transfer{}
+	c.leaderState.transfer = transfer{}
 }
--- a/replica/types.go
+++ b/replica/types.go
@@ -53,17 +53,17 @@
 	// that it no longer knows.
 	Recovering bool `cbor:"5,keyasint,omitempty"`
 	// Known holds the latest incarnations heard of, ordered by ID.
-	Known []Known `cbor:"6,keyasint,omitempty"`
+	KnownIncarnations []MemberIncarnation `cbor:"6,keyasint,omitempty"`
 }
 
 // Known is the latest incarnation of a member that somebody has heard of.
-type Known struct {
+type MemberIncarnation struct {
 	ID          string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 	// Held says that the member has taken part without having to recover,
 	// under this or an earlier incarnation: its disk may have been the one that
 	// held a committed entry.
-	Held bool `cbor:"3,keyasint,omitempty"`
+	Participated bool `cbor:"3,keyasint,omitempty"`
 }
 
 // Snapshot is the state of the state machine after entry Index.
@@ -76,7 +76,7 @@
 
 // Stored is what a member with a disk finds at start. A diskless member, or
 // one whose disk is empty, starts from the zero value.
-type Stored struct {
+type StoredState struct {
 	HardState HardState
 	Snapshot  Snapshot
 	Entries   []Entry
