--- a/replica/lease_test.go
+++ b/replica/lease_test.go
@@ -96,7 +96,7 @@
 }
 
 // blank returns n0 of a group of five after a blank restart.
-func blankCore(t *testing.T) *Core {
+func coreWithoutState(t *testing.T) *Core {
 	var list []Member
 	for _, id := range []string{"n0", "n1", "n2", "n3", "n4"} {
 		list = append(list, Member{ID: id})
@@ -113,7 +113,7 @@
 // leader of the highest term that this majority has heard of; the vote of that
 // term counts as spent.
 func TestRecoveryNeedsMajorityAndLatestLeader(t *testing.T) {
-	c := blankCore(t)
+	c := coreWithoutState(t)
 	members := c.members.current()
 	replyState := func(from string, term uint64, leader, recovering bool) {
 		m := Message{Type: MsgStateReply, From: from, Term: term, Nonce: 9, Index: 2, LogTerm: 3, Leader: leader, Recovering: recovering}
@@ -149,13 +149,13 @@
 // voters: the missing one may have data that nobody else has, or lead. Nor may
 // it lead when the last vote brings the news that two disks were lost.
 func TestColdStartNeedsEveryVoter(t *testing.T) {
-	for held, role := range map[bool]Role{false: Leader, true: Candidate} {
+	for participated, role := range map[bool]Role{false: Leader, true: Candidate} {
 		c := coldStartCandidate(t)
 		grant := Message{Type: MsgVoteReply, From: "n1", Term: 6, ColdStart: true, Recovering: true}
 		stepFromPeer(t, c, grant)
 		must.Eq(t, Candidate, c.role)
 		grant.From = "n2"
-		stepFromPeer(t, c, grant, MemberIncarnation{ID: "n1", Incarnation: 1, Participated: held}, MemberIncarnation{ID: "n2", Incarnation: 1, Participated: held})
+		stepFromPeer(t, c, grant, MemberIncarnation{ID: "n1", Incarnation: 1, Participated: participated}, MemberIncarnation{ID: "n2", Incarnation: 1, Participated: participated})
 		must.Eq(t, role, c.role)
 	}
 }
@@ -175,7 +175,7 @@
 // member takes a later number when it hears of the old one; a member that runs
 // twice stops.
 func TestIncarnationBelowKnownOne(t *testing.T) {
-	c := blankCore(t)
+	c := coreWithoutState(t)
 	stepFromPeer(t, c, Message{Type: MsgAppend, From: "n1", Term: 3}, MemberIncarnation{ID: "n0", Incarnation: 20})
 	must.Eq(t, 21, c.incarnation)
 	d := candidateCore(t, "n0", "n1", "n2")
--- a/replica/refuted_test.go
+++ b/replica/recovery_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// restartN2Blank restarts n2 blank where it reaches n0 only.
-func (s *sim) restartN2Blank() {
+// restartN2WithoutState restarts n2 blank where it reaches n0 only.
+func (s *sim) restartN2WithoutState() {
 	s.inTransit = nil
 	clear(s.blockedLinks)
 	s.isolate(s.nodes[1])
@@ -58,7 +58,7 @@
 // would see work that was accepted by n1 disappear.
 func TestRecoveryCountsCommittedMembership(t *testing.T) {
 	s := newSimWithDeposedLeader(t, simOptions{voters: 3}, true)
-	s.restartN2Blank()
+	s.restartN2WithoutState()
 	s.run(100)
 	must.SliceEmpty(t, s.violations, must.Sprint(s.violations))
 	must.Eq(t, Leader, roleOf(s.nodes[0]))
@@ -70,7 +70,7 @@
 // start. Counted by the proposed membership that would be every voter.
 func TestColdStartCountsCommittedMembership(t *testing.T) {
 	s := newSimWithDeposedLeader(t, simOptions{voters: 3, disks: 1}, false)
-	s.restartN2Blank()
+	s.restartN2WithoutState()
 	term := s.nodes[0].core.term
 	s.run(300)
 	must.SliceEmpty(t, s.violations, must.Sprint(s.violations))
@@ -84,7 +84,7 @@
 // a majority of the committed membership, are lost, and with them perhaps what
 // they had committed. That two of four are left mustn't let n0 lead.
 func TestColdStartRuleHoldsInEachMembership(t *testing.T) {
-	for held, role := range map[bool]Role{false: Leader, true: Candidate} {
+	for participated, role := range map[bool]Role{false: Leader, true: Candidate} {
 		c := candidateCore(t, "n0", "n1", "n2")
 		c.members.push(2, append(withoutMember(c.members.current(), ""), Member{ID: "n3", HasDisk: true}))
 		for _, id := range []string{"n1", "n2", "n3"} {
@@ -92,7 +92,7 @@
 		}
 		for _, id := range []string{"n1", "n2", "n3"} {
 			grant := Message{Type: MsgVoteReply, From: id, Term: 6, ColdStart: true, Recovering: id != "n3"}
-			stepFromPeer(t, c, grant, MemberIncarnation{ID: "n1", Incarnation: 1, Participated: held}, MemberIncarnation{ID: "n2", Incarnation: 1, Participated: held})
+			stepFromPeer(t, c, grant, MemberIncarnation{ID: "n1", Incarnation: 1, Participated: participated}, MemberIncarnation{ID: "n2", Incarnation: 1, Participated: participated})
 		}
 		must.Eq(t, role, c.role)
 	}
@@ -134,7 +134,7 @@
 	s.isolate(s.nodes[0])
 	s.waitForLeader(t)
 	s.ensureLeader(t, "n2")
-	s.restartN2Blank()
+	s.restartN2WithoutState()
 	s.run(2 * defaultElectionTicks)
 	withoutReceiver := delayed[0] // as a program sends it that doesn't know the key yet
 	withoutReceiver.ReceiverIncarnation = 0
--- a/replica/guard_test.go
+++ b/replica/safety_test.go
@@ -100,7 +100,7 @@
 // A member that was removed, or that can send but not receive, keeps asking
 // for votes. While the leader is heard, that neither changes a term nor gets a
 // vote.
-func TestVotesRefusedWhileLeaderHeard(t *testing.T) {
+func TestVotesRefusedWithRecentLeader(t *testing.T) {
 	c := candidateCore(t, "n0", "n1", "n2")
 	stepFromPeer(t, c, Message{Type: MsgAppend, From: "n1", Term: 4, Index: 2, LogTerm: 2})
 	for _, kind := range []MessageType{MsgPreVote, MsgVote} {
--- a/replica/scenario_test.go
+++ b/replica/scenario_test.go
@@ -98,7 +98,7 @@
 // One of the two restarts blank just as the leader is cut off. If it voted at
 // once, it and the third would elect a leader without the committed entries,
 // and accepted work would vanish.
-func TestBlankMemberDoesNotVoteBeforeRecovery(t *testing.T) {
+func TestMemberWithoutStateDoesNotVoteBeforeRecovery(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3})
 	l := s.leader()
 	partitioned := s.liveFollower(l)
@@ -137,7 +137,7 @@
 
 // The only disk is down during a power loss and comes back after the others.
 // If the others had started without it, what it holds would be lost.
-func TestNoColdStartWithoutTheDisk(t *testing.T) {
+func TestNoColdStartWithoutDiskMember(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3, disks: 1})
 	s.losePower()
 	s.nodes[0].downUntil = s.step + 1000
@@ -223,10 +223,10 @@
 func TestReplaceLostMember(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3, disks: 1, spares: 1})
 	l := s.leader()
-	lost := s.liveFollower(l)
+	failedMember := s.liveFollower(l)
 	s.run(800) // hundreds of entries, compacted: the new one needs the snapshot
-	lost.crash(true)
-	lost.downUntil = s.step + 100000
+	failedMember.crash(true)
+	failedMember.downUntil = s.step + 100000
 	s.run(50)
 	spare := Member{ID: "n3", Learner: true}
 	list := l.core.members.current()
@@ -237,11 +237,11 @@
 	}
 	must.ErrorIs(t, propose(withoutMember(list, l.id)), ErrRemovesLeader)
 	for _, m := range list {
-		if m.ID != l.id && m.ID != lost.id {
+		if m.ID != l.id && m.ID != failedMember.id {
 			must.ErrorIs(t, propose(withoutMember(list, m.ID)), ErrLosesQuorum)
 		}
 	}
-	must.ErrorIs(t, propose(append(withoutMember(list, lost.id), spare)), ErrChangeTooLarge)
+	must.ErrorIs(t, propose(append(withoutMember(list, failedMember.id), spare)), ErrChangeTooLarge)
 	must.ErrorIs(t, propose(list), ErrNoChange)
 	direct := spare
 	direct.Learner = false
@@ -251,8 +251,8 @@
 	list = append(withoutMember(list, ""), spare)
 	_, _, err := l.core.ProposeMembership(list)
 	must.NoError(t, err)
-	must.ErrorIs(t, propose(withoutMember(list, lost.id)), ErrChangePending)
-	must.NoError(t, propose(withoutMember(list, lost.id)))
+	must.ErrorIs(t, propose(withoutMember(list, failedMember.id)), ErrChangePending)
+	must.NoError(t, propose(withoutMember(list, failedMember.id)))
 	must.SliceEmpty(t, s.violations)
 	l.crash(false)
 	l.downUntil = s.step + 30
