--- a/hlc/hlc.go
+++ b/hlc/hlc.go
@@ -1,8 +1,7 @@
-// Package hlc gives a hybrid logical clock: stamps that stay close to wall
-// time, never go back on one process, and order an event after every event
-// that it can have been caused by. The time line of events is sorted by them.
-// Nothing that must be safe depends on a stamp: leases count on monotonic
-// clocks, and decisions are ordered by the replicated log.
+// Package hlc implements a hybrid logical clock. Its timestamps stay close to wall
+// time, never go back within one process, and order an event after every event that
+// may have caused it. They sort the event timeline. No safety property depends on a
+// timestamp: leases use monotonic clocks, and the replicated log orders decisions.
 package hlc
 
 import (
@@ -17,22 +16,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxAhead is how far a remote stamp may lie ahead of the local wall clock. A
-// stamp further ahead is not taken over.
+// MaxAhead is the furthest that a remote timestamp may lie ahead of the local wall
+// clock. The clock doesn't adopt a timestamp further ahead.
 const MaxAhead = 10 * time.Second
 
-// ErrMalformed is what Parse wraps for text that is not a stamp.
-var ErrMalformed = errors.New("malformed stamp")
+// ErrMalformed is wrapped by the errors of Parse.
+var ErrMalformed = errors.New("malformed timestamp")
 
-// Stamp is one reading of the clock. The zero Stamp is before all others.
+// Timestamp is one reading of the clock. The zero Timestamp is before all others.
 type Timestamp struct {
-	// Wall is in Unix milliseconds.
+	// Wall is the wall time in Unix milliseconds.
 	Wall int64 `cbor:"1,keyasint,omitempty"`
-	// Logical orders the stamps of one millisecond.
+	// Logical orders the timestamps of one millisecond.
 	Logical uint32 `cbor:"2,keyasint,omitempty"`
 }
 
-// Compare returns -1, 0 or +1 as s is before, equal to or after t.
+// Compare returns -1, 0 or +1 if s is before, equal to or after t.
 func (s Timestamp) Compare(t Timestamp) int {
 	if c := cmp.Compare(s.Wall, t.Wall); c != 0 {
 		return c
@@ -40,40 +39,40 @@
 	return cmp.Compare(s.Logical, t.Logical)
 }
 
-// IsZero says whether s is the zero Stamp.
+// IsZero reports whether s is the zero Timestamp.
 func (s Timestamp) IsZero() bool {
 	return s == Timestamp{}
 }
 
-// Time returns the wall part.
+// Time returns the wall time without the logical counter.
 func (s Timestamp) Time() time.Time {
 	return time.UnixMilli(s.Wall)
 }
 
-// String gives the milliseconds and the logical counter, as in
-// "1796236685000.0". Parse reads it back.
+// String returns the milliseconds and the logical counter, as in "1796236685000.0".
+// Parse reads this form.
 func (s Timestamp) String() string {
 	return fmt.Sprintf("%d.%d", s.Wall, s.Logical)
 }
 
-// Parse reads the form that String writes. Its error wraps ErrMalformed.
+// Parse parses the form that String returns. Its error wraps ErrMalformed.
 func Parse(text string) (Timestamp, error) {
 	wall, logical, found := strings.Cut(text, ".")
 	if !found {
-		return Timestamp{}, errors.Wrapf(ErrMalformed, "%q has no logical part", text)
+		return Timestamp{}, errors.Wrapf(ErrMalformed, "%q has no logical counter", text)
 	}
 	w, err := strconv.ParseInt(wall, 10, 64)
 	if err != nil {
-		return Timestamp{}, errors.Wrapf(ErrMalformed, "wall part of %q", text)
+		return Timestamp{}, errors.Wrapf(ErrMalformed, "wall time of %q", text)
 	}
 	l, err := strconv.ParseUint(logical, 10, 32)
 	if err != nil {
-		return Timestamp{}, errors.Wrapf(ErrMalformed, "logical part of %q", text)
+		return Timestamp{}, errors.Wrapf(ErrMalformed, "logical counter of %q", text)
 	}
 	return Timestamp{Wall: w, Logical: uint32(l)}, nil
 }
 
-// next returns the smallest stamp after s.
+// next returns the smallest timestamp after s.
 func (s Timestamp) next() Timestamp {
 	if s.Logical == math.MaxUint32 {
 		return Timestamp{Wall: s.Wall + 1}
@@ -81,32 +80,31 @@
 	return Timestamp{Wall: s.Wall, Logical: s.Logical + 1}
 }
 
-// Clock makes stamps. Its zero value is ready; it may be used by several
-// goroutines at once.
+// Clock issues timestamps. Its zero value is ready to use. It is safe for concurrent
+// use.
 type Clock struct {
 	mu       sync.Mutex
 	last     Timestamp
 	rejected uint64
 }
 
-// Now returns a stamp for a local event: after every stamp that the clock has
-// returned or taken over, and not before wall.
+// Now returns a timestamp for a local event. It is after every timestamp that the
+// clock has returned or adopted, and not before wall.
 func (c *Clock) Now(wall time.Time) Timestamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.advance(Timestamp{Wall: wall.UnixMilli()})
 }
 
-// Observe takes over the stamp of a received message and returns the stamp of
-// its receipt, which is after both remote and every earlier stamp.
+// Observe adopts the timestamp of a received message and returns the timestamp of its
+// receipt, which is after both remote and every earlier timestamp.
 //
-// Failure guarded against: a process whose wall clock runs hours ahead sends
-// one message, every process takes the stamp over and hands it on, and the
-// time line of the whole system is in the future until that time has come. A
-// stamp more than MaxAhead before the local wall clock is therefore left out:
-// the receipt is then stamped as a local event and Rejected counts it. Since
-// each process compares with its own wall clock, stamps can't creep ahead by
-// being handed on either.
+// A process whose wall clock runs hours ahead must not move the event timeline of the
+// whole system into the future, as its timestamp would if every process adopted it
+// and passed it on. If remote is more than MaxAhead ahead of the local wall clock,
+// Observe therefore ignores it, treats the receipt as a local event and counts it in
+// Rejected. Since each process compares with its own wall clock, timestamps can't
+// drift ahead from process to process either.
 func (c *Clock) Observe(remote Timestamp, wall time.Time) Timestamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,14 +119,15 @@
 	return c.advance(local)
 }
 
-// Rejected counts the stamps that lay too far ahead.
+// Rejected returns the number of timestamps ignored because they were too far ahead.
 func (c *Clock) Rejected() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rejected
 }
 
-// advance moves the clock to local, or by one step where local is not ahead.
+// advance moves the clock to local, or by one logical step if local isn't ahead of
+// it.
 func (c *Clock) advance(local Timestamp) Timestamp {
 	if local.Compare(c.last) > 0 {
 		c.last = local
--- a/hlc/hlc_test.go
+++ b/hlc/hlc_test.go
@@ -22,9 +22,9 @@
 	// Output: 2000.0 2000.1 -1
 }
 
-// Messages between processes with skewed clocks: a receipt is always stamped
-// after the sending, the stamps of a process only grow, and none lies further
-// ahead of the process's own wall clock than the bound.
+// Between processes with skewed clocks, a receipt is after its send, the timestamps
+// of a process only grow, and none lies further ahead of the process's own wall clock
+// than MaxAhead.
 func TestReceiptIsAfterSend(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		skew := rapid.SliceOfN(rapid.Int64Range(-30_000, 30_000), 2, 4).Draw(t, "skew")
@@ -51,8 +51,8 @@
 	})
 }
 
-// A wall clock that is set back, or a counter that is full, must not make
-// stamps go back.
+// Timestamps must not go back when the wall clock is set back or the logical counter
+// is full.
 func TestTimestampsNeverGoBack(t *testing.T) {
 	var c hlc.Clock
 	first := c.Now(time.UnixMilli(5000))
