--- a/internal/wal/counters.go
+++ b/internal/wal/counters.go
@@ -10,11 +10,11 @@
 	bytes, entries, syncs, tornTails atomic.Uint64
 }
 
-// Counters are totals since Open.
+// Counters holds totals since Open.
 type Counters struct {
-	// Bytes and Entries were written to segments, Syncs is the number of syncs.
+	// Bytes and Entries count what was written to segments, Syncs the syncs.
 	Bytes, Entries, Syncs uint64
-	// TornTails is 1 when Open cut a torn tail.
+	// TornTails is 1 if Open truncated a torn tail.
 	TornTails uint64
 }
 
@@ -28,8 +28,8 @@
 	}
 }
 
-// withoutData copies entries without what they carry: the open log keeps only
-// positions in memory.
+// withoutData returns copies of entries without their data. The open log keeps only
+// index and term of its entries in memory.
 func withoutData(entries []replica.Entry) []replica.Entry {
 	bare := make([]replica.Entry, len(entries))
 	for i, e := range entries {
@@ -38,4 +38,5 @@
 	return bare
 }
 
+// dropData drops the data of the entries.
 func (m *logState) dropData() { m.entries = withoutData(m.entries) }
--- a/internal/wal/disk_full_test.go
+++ b/internal/wal/disk_full_test.go
@@ -10,7 +10,7 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// limitedFile takes no more than its room, as a file on a full disk.
+// limitedFile accepts only free bytes, like a file on a full disk.
 type limitedFile struct {
 	segmentFile
 	free int
@@ -29,9 +29,9 @@
 	return n, syscall.ENOSPC
 }
 
-// Story: the disk is full for a while in the middle of a record. The member ended,
-// was started again and ended again. The record is written whole once there is room,
-// and what a restart reads is what was saved.
+// The disk is full for a while in the middle of a record, which must not end the
+// member. The record must be written whole once there is free space, and a restart
+// must read everything that was saved.
 func TestSaveRetriesWhileDiskIsFull(t *testing.T) {
 	folder := t.TempDir()
 	w, _ := mustOpen(t, folder, 1<<20)
@@ -52,8 +52,8 @@
 	must.Eq(t, entryRange(1, 6, 1), readBack(t, folder).Entries)
 }
 
-// Story: the process is told to stop while its disk is full. It stops cleanly, and
-// nothing of the record that found no room is read back.
+// The process is told to stop while its disk is full. Close must succeed, and a
+// restart must read nothing of the record that didn't fit.
 func TestCloseWithFullDisk(t *testing.T) {
 	folder := t.TempDir()
 	w, _ := mustOpen(t, folder, 1<<20)
@@ -68,7 +68,7 @@
 	must.Eq(t, entryRange(1, 3, 1), readBack(t, folder).Entries)
 }
 
-// Without anybody who waits a full disk is a failed write.
+// Without a callback a full disk is a failed write.
 func TestFullDiskFailsWriteWithoutCallback(t *testing.T) {
 	w, _ := mustOpen(t, t.TempDir(), 1<<20)
 	w.file = &limitedFile{segmentFile: w.file}
--- a/internal/wal/files.go
+++ b/internal/wal/files.go
@@ -20,7 +20,7 @@
 	lockName        = "lock"
 )
 
-// DamageError says that a file is not what was written to it. Nothing in the
+// DamageError says that a file doesn't contain what was written to it. Nothing in the
 // folder has been changed.
 type DamageError struct {
 	File   string
@@ -28,20 +28,22 @@
 	Reason string
 }
 
-// Error names the file, the offset and the reason.
+// Error returns the file, the offset and the reason.
 func (e *DamageError) Error() string {
 	return fmt.Sprintf("%s: damaged at offset %d: %s", e.File, e.Offset, e.Reason)
 }
 
+// damaged returns a *DamageError with the caller's stack.
 func damaged(file string, offset int64, reason error) error {
 	return errors.WithStackDepth(&DamageError{File: file, Offset: offset, Reason: reason.Error()}, 1)
 }
 
-// listing holds the names of the files of a folder, oldest first.
+// logFiles holds the paths of the files of a folder, oldest first.
 type logFiles struct {
 	segments, snapshots, temporaries []string
 }
 
+// listFiles returns the files of a log folder.
 func listFiles(folder string) (logFiles, error) {
 	found, err := os.ReadDir(folder)
 	if err != nil {
@@ -64,13 +66,13 @@
 	return l, nil
 }
 
-// numbered returns the path of a file; its names sort by number.
+// numberedPath returns the path of the file with a number. Paths sort by number.
 func numberedPath(folder string, number uint64, suffix string) string {
 	return filepath.Join(folder, fmt.Sprintf("%020d%s", number, suffix))
 }
 
-// publish writes a file under a temporary name, syncs it, renames it and syncs
-// the folder, so that a crash leaves either no file of that name or all of it.
+// writeAtomically writes a file under a temporary name, syncs it, renames it and
+// syncs the folder, so that a crash leaves either no file of that name or all of it.
 // It returns the file, open for writing at its end.
 func writeAtomically(path string, content ...[]byte) (*os.File, error) {
 	f, err := os.OpenFile(path+temporarySuffix, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o640)
@@ -84,6 +86,7 @@
 	return f, nil
 }
 
+// writeSyncRename fills the temporary file f and renames it to path.
 func writeSyncRename(f *os.File, path string, content [][]byte) error {
 	for _, b := range content {
 		if _, err := f.Write(b); err != nil {
@@ -108,7 +111,7 @@
 	return errors.Wrap(d.Sync(), "sync the log folder")
 }
 
-// remove deletes files, oldest first, so that a crash half way leaves no gap.
+// removeFiles deletes files, oldest first, so that a crash in between leaves no gap.
 func removeFiles(paths []string) error {
 	for _, p := range paths {
 		if err := os.Remove(p); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -118,9 +121,9 @@
 	return nil
 }
 
-// lock keeps a second process from writing to the same folder: two writers
-// would interleave their records and both logs would read as damaged. The
-// kernel drops the lock when the process ends.
+// lockFolder keeps a second process from writing to the same folder: the records of
+// two writers would interleave and both logs would read as damaged. The kernel
+// releases the lock when the process ends.
 func lockFolder(folder string) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(folder, lockName), os.O_RDWR|os.O_CREATE, 0o640)
 	if err != nil {
@@ -139,7 +142,7 @@
 	return binary.BigEndian.Uint64(b[:])
 }
 
-// numberInPath reads the number back out of a path.
+// numberInPath returns the number in a path of numberedPath, or 0.
 func numberInPath(path string) uint64 {
 	var n uint64
 	name := strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
--- a/internal/wal/format_test.go
+++ b/internal/wal/format_test.go
@@ -15,7 +15,7 @@
 
 var writeTestdata = flag.Bool("write-testdata", false, "write testdata of the current format version")
 
-// writeSample saves the state that testdata of each format version holds.
+// writeSample saves the state that the testdata of each format version contains.
 func writeSample(t *testing.T, folder string) {
 	w, _ := mustOpen(t, folder, 512)
 	saveOneByOne(t, w, sampleState(), entryRange(1, 25, 2))
@@ -39,8 +39,8 @@
 	}
 }
 
-// Story: a member is upgraded and finds the files that the version before
-// wrote. It must read them; an entry read wrongly is a lost promise.
+// A member is upgraded and must read the files of the previous version. An entry read
+// wrongly breaks an acknowledgement.
 func TestFilesOfVersion1AreRead(t *testing.T) {
 	if *writeTestdata {
 		writeSample(t, "testdata/v1")
@@ -54,8 +54,8 @@
 	must.Eq(t, entryRange(16, 25, 2), stored.Entries)
 }
 
-// Story: a member is put back to an older program. It must say which version
-// it found rather than call the file damaged or guess at its layout.
+// A member is downgraded to an older program. It must name the version that it found
+// rather than report damage or guess the layout.
 func TestNewerVersionIsRefused(t *testing.T) {
 	b := header{magic: segmentMagic}.encode()
 	_, err := decodeHeader(b, segmentMagic)
@@ -66,8 +66,8 @@
 	must.ErrorContains(t, err, "format version 2 is not known")
 }
 
-// FuzzRecord reads arbitrary bytes as the records of a segment: no panic, and
-// what is accepted survives being written again.
+// FuzzRecord reads arbitrary bytes as the records of a segment. It must not panic,
+// and an accepted record must survive being written again.
 func FuzzRecord(f *testing.F) {
 	var frame bytes.Buffer
 	for _, r := range []*record{
@@ -85,7 +85,7 @@
 		isTorn(file, 0, headerSize)
 		payload, err := decodeFrame(file, 0, headerSize)
 		if err != nil {
-			payload = data // past the checksum all the same
+			payload = data // decode the bytes although the checksum fails
 		}
 		rec, err := decodeRecord(payload)
 		if err != nil {
--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -8,13 +8,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// FormatVersion is the version of the format in the header of each file.
+// FormatVersion is the file format version in the header of each file.
 const FormatVersion = 1
 
 const (
+	// headerSize is the size of a file header, frameSize that of a frame header, in
+	// bytes.
 	headerSize = 32
 	frameSize  = 12
-	// maxPayload bounds what a length field may claim.
+	// maxPayload is the greatest payload length in bytes that is accepted.
 	maxPayload = 1 << 30
 )
 
@@ -28,11 +30,11 @@
 // errTruncated says that a file ends before the end of a frame.
 var errTruncated = errors.New("file ends inside the record")
 
-// header opens each file: magic, version, salt, sequence, checksum.
+// header is the header of each file: magic, version, salt, sequence, checksum.
 //
-// The salt is random for each file and part of every checksum in it. Without
-// it, bytes of a command that look like a whole record could pass for one when
-// the record that carries them is torn.
+// The salt is random for each file and part of every checksum in it. Without it,
+// bytes of a command that look like a whole record could pass for one when the record
+// that contains them is torn.
 type header struct {
 	magic    [8]byte
 	salt     uint64
@@ -48,19 +50,20 @@
 	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
+// decodeHeader returns the header of a file, or an error that names its defect.
 func decodeHeader(b []byte, magic [8]byte) (header, error) {
 	if len(b) < headerSize {
 		return header{}, errors.New("file is shorter than its header")
 	}
 	if !bytes.Equal(b[:8], magic[:]) {
-		return header{}, errors.New("not a file of this kind")
+		return header{}, errors.New("magic number of the file is wrong")
 	}
 	sum := binary.BigEndian.Uint32(b[headerSize-4 : headerSize])
 	if crc32.Checksum(b[:headerSize-4], castagnoli) != sum {
 		return header{}, errors.New("checksum of the header is wrong")
 	}
 	if v := binary.BigEndian.Uint32(b[8:12]); v == 0 || v > FormatVersion {
-		return header{}, errors.Newf("format version %d is not known; this program reads up to %d", v, FormatVersion)
+		return header{}, errors.Newf("format version %d is not known; this program reads versions up to %d", v, FormatVersion)
 	}
 	return header{
 		magic:    magic,
@@ -69,7 +72,7 @@
 	}, nil
 }
 
-// checksum covers salt, offset, length and payload of a frame.
+// checksum returns the CRC-32C of salt, offset, length and payload of a frame.
 func checksum(salt uint64, offset int64, length []byte, payload []byte) uint32 {
 	var location [16]byte
 	binary.BigEndian.PutUint64(location[:8], salt)
@@ -79,7 +82,8 @@
 	return crc32.Update(sum, castagnoli, payload)
 }
 
-// sealFrame fills in the first frameSize bytes of frame, whose payload follows them.
+// sealFrame fills in the frame header in the first frameSize bytes of frame, before
+// the payload.
 func sealFrame(frame []byte, salt uint64, offset int64) {
 	copy(frame, frameMagic)
 	binary.BigEndian.PutUint32(frame[4:8], uint32(len(frame)-frameSize))
@@ -87,18 +91,18 @@
 	binary.BigEndian.PutUint32(frame[8:frameSize], sum)
 }
 
-// decodeFrame returns the payload of the frame at offset of a whole file.
+// decodeFrame returns the payload of the frame at offset. file is the whole file.
 func decodeFrame(file []byte, salt uint64, offset int64) ([]byte, error) {
 	rest := file[offset:]
 	if len(rest) < frameSize {
 		return nil, errTruncated
 	}
 	if !bytes.Equal(rest[:4], frameMagic) {
-		return nil, errors.New("no record begins here")
+		return nil, errors.New("no record begins at this offset")
 	}
 	length := binary.BigEndian.Uint32(rest[4:8])
 	if length == 0 || length > maxPayload {
-		return nil, errors.Newf("length %d of the record is impossible", length)
+		return nil, errors.Newf("record length %d is out of range", length)
 	}
 	if uint64(len(rest)) < frameSize+uint64(length) {
 		return nil, errTruncated
@@ -110,7 +114,7 @@
 	return payload, nil
 }
 
-// nextFrame finds the first whole frame that begins after offset.
+// nextFrame returns the first whole frame that begins after offset, or a nil payload.
 func nextFrame(file []byte, salt uint64, offset int64) (at int64, payload []byte) {
 	for from := offset + 1; from < int64(len(file)); {
 		i := bytes.Index(file[from:], frameMagic)
--- a/internal/wal/log_state.go
+++ b/internal/wal/log_state.go
@@ -5,16 +5,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// image is what the records read or written so far amount to.
+// logState is the result of the records read or written so far.
 type logState struct {
 	hardState replica.HardState
-	// mark is the newest snapshot that a record names.
+	// snapshot is the position of the newest snapshot that a record names.
 	snapshot position
-	// base is the entry before entries[0].
+	// base is the position of the entry before entries[0].
 	base    position
 	entries []replica.Entry
 }
 
+// last returns the position of the last entry.
 func (m *logState) last() position {
 	if n := len(m.entries); n > 0 {
 		return position{m.entries[n-1].Index, m.entries[n-1].Term}
@@ -22,8 +23,8 @@
 	return m.base
 }
 
-// apply takes in one record. first is true for the first record of a segment,
-// oldest for that of the oldest segment still there.
+// apply applies one record. first is true for the first record of a segment, oldest
+// for a record of the oldest remaining segment.
 func (m *logState) apply(r *record, first, oldest bool) error {
 	if first {
 		if err := m.startSegment(r.Base, oldest); err != nil {
@@ -42,26 +43,26 @@
 	return m.append(r.Entries)
 }
 
-// rebase goes back to the entry before the record's own when they replace
-// entries that began in a segment which has been removed since. Without it a
-// log whose first segment replaces the end of the one removed before it would
-// read as damaged.
+// rebase sets the base to the entry before the record's entries when these replace
+// entries that began in a segment removed since. Without it, a log whose first
+// segment replaces the end of the removed one would read as damaged.
 func (m *logState) rebase(r *record) error {
 	if len(r.Entries) == 0 || r.Entries[0].Index > m.base.Index {
 		return nil
 	}
 	first := r.Entries[0].Index
 	if first <= m.snapshot.Index {
-		return errors.Newf("entry %d is older than the snapshot of entry %d", first, m.snapshot.Index)
+		return errors.Newf("entry %d is not after the snapshot of entry %d", first, m.snapshot.Index)
 	}
 	m.base = position{first - 1, r.PreviousTerm}
 	m.entries = nil
 	return nil
 }
 
+// startSegment checks that a segment continues the entry before it.
 func (m *logState) startSegment(base *position, oldest bool) error {
 	if base == nil {
-		return errors.New("first record of the segment names no entry to continue from")
+		return errors.New("first record of the segment doesn't name the entry before it")
 	}
 	if oldest {
 		m.base = *base
@@ -74,23 +75,23 @@
 	return nil
 }
 
-// append adds entries. One whose index is there already replaces it and all
-// later ones.
+// append adds entries. An entry whose index is already present replaces that entry
+// and all later ones.
 func (m *logState) append(entries []replica.Entry) error {
 	for _, e := range entries {
 		if last := m.last().Index; e.Index > last+1 {
 			return errors.Newf("entry %d follows entry %d", e.Index, last)
 		}
 		if e.Index <= m.base.Index {
-			return errors.Newf("entry %d is older than entry %d, which is no longer held", e.Index, m.base.Index)
+			return errors.Newf("entry %d is not after entry %d, the last one removed", e.Index, m.base.Index)
 		}
 		m.entries = append(m.entries[:e.Index-m.base.Index-1], e)
 	}
 	return nil
 }
 
-// take drops what a durable snapshot at p replaces. Entries after p stay if
-// they continue it, else they belong to a history that lost.
+// applySnapshot drops the entries that a durable snapshot at p replaces. Entries
+// after p stay if they continue it; otherwise they belong to a superseded history.
 func (m *logState) applySnapshot(p position) {
 	if p.Index > m.snapshot.Index {
 		m.snapshot = p
@@ -106,7 +107,7 @@
 	m.base = p
 }
 
-// termAt returns the term of an entry, or 0 when it isn't held.
+// termAt returns the term of an entry, or 0 when the log doesn't hold it.
 func (m *logState) termAt(index uint64) uint64 {
 	if index == m.base.Index {
 		return m.base.Term
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -9,24 +9,23 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// position names an entry by index and term.
+// position identifies an entry by index and term.
 type position struct {
 	Index uint64 `cbor:"1,keyasint"`
 	Term  uint64 `cbor:"2,keyasint"`
 }
 
-// record is the payload of one frame of a segment. Fields that are absent
-// change nothing.
+// record is the payload of one frame of a segment. Absent fields change nothing.
 type record struct {
 	HardState *replica.HardState `cbor:"1,keyasint,omitempty"`
 	Entries   []replica.Entry    `cbor:"2,keyasint,omitempty"`
-	// Mark says that the snapshot of this position is durable.
+	// Snapshot says that the snapshot of this position is durable.
 	Snapshot *position `cbor:"3,keyasint,omitempty"`
 	// Base is the last entry before the segment; only its first record has it.
 	Base *position `cbor:"4,keyasint,omitempty"`
-	// Synced is the length of this segment that was durable before the record
-	// was written. It tells a torn tail from damage: bytes below it can't have
-	// been lost by a crash.
+	// Synced is the length in bytes of this segment that was durable before the
+	// record was written. It distinguishes a torn tail from damage, since a crash
+	// can't lose bytes below it.
 	Synced int64 `cbor:"5,keyasint"`
 	// PreviousTerm is the term of the entry before Entries[0].
 	PreviousTerm uint64 `cbor:"6,keyasint,omitempty"`
@@ -53,7 +52,7 @@
 	return mode
 }
 
-// encodeFrame encodes v as a frame for offset into buf, which it empties first.
+// encodeFrame replaces the content of buf by v encoded as a frame for offset.
 func encodeFrame(buf *bytes.Buffer, v any, salt uint64, offset int64) error {
 	buf.Reset()
 	buf.Write(make([]byte, frameSize))
@@ -61,7 +60,7 @@
 		return errors.Wrap(err, "encode a record")
 	}
 	if buf.Len()-frameSize > maxPayload {
-		return errors.Newf("record of %d bytes is too long", buf.Len())
+		return errors.Newf("record of %d bytes exceeds the maximum", buf.Len())
 	}
 	sealFrame(buf.Bytes(), salt, offset)
 	return nil
--- a/internal/wal/recover.go
+++ b/internal/wal/recover.go
@@ -7,28 +7,29 @@
 	"github.com/cockroachdb/errors"
 )
 
-// segment is one file of the log.
+// segment is one segment file of the log.
 type segment struct {
 	path     string
 	sequence uint64
-	// highest is the largest entry index written to it.
+	// highest is the highest entry index written to it.
 	highest uint64
 }
 
-// recovered is what reading a folder found. Reading changes nothing.
+// recoveredLog is the content of a log folder. Reading it changes no file.
 type recoveredLog struct {
 	state    logState
 	segments []segment
 	snapshot replica.Snapshot
 	// snapshotPath is the file of snapshot.
 	snapshotPath string
-	// salt and length are those of the last segment; length ends after its
-	// last whole record, torn is true when bytes follow it.
+	// salt and length are those of the last segment. length ends after its last whole
+	// record; torn is true when bytes follow it.
 	salt   uint64
 	length int64
 	torn   bool
 }
 
+// recoverFiles reads the segments and the newest snapshot of a folder.
 func recoverFiles(files logFiles) (*recoveredLog, error) {
 	r := &recoveredLog{}
 	for i, path := range files.segments {
@@ -46,6 +47,7 @@
 	return r, r.reconcileSnapshot()
 }
 
+// readSegment applies the records of one segment.
 func (r *recoveredLog) readSegment(path string, oldest, newest bool) error {
 	file, err := os.ReadFile(path)
 	if err != nil {
@@ -67,7 +69,8 @@
 	return nil
 }
 
-// readRecords returns the offset after the last whole record.
+// readRecords applies the records of a segment and returns the offset after the last
+// whole one.
 func (r *recoveredLog) readRecords(path string, file []byte, salt uint64, oldest, newest bool) (int64, error) {
 	current := &r.segments[len(r.segments)-1]
 	offset := int64(headerSize)
@@ -92,15 +95,16 @@
 		offset += frameSize + int64(len(payload))
 	}
 	if offset == headerSize {
-		return 0, damaged(path, offset, errors.New("segment holds no record"))
+		return 0, damaged(path, offset, errors.New("segment contains no record"))
 	}
 	return offset, nil
 }
 
-// isTorn tells the tail that a crash may leave from damage to what was durable.
-// A crash can tear any record that had not been synced, and can do so out of
-// order, so whole records may follow. It can't tear what a later record knows
-// to have been synced; cutting there would lose acknowledged entries silently.
+// isTorn reports whether the invalid record at offset is a tail torn by a crash
+// rather than damage to durable data. A crash can tear any record that wasn't synced
+// yet, and out of order, so whole records may follow. It can't tear a record that a
+// later one declares synced; truncating the log there would silently lose
+// acknowledged entries.
 func isTorn(file []byte, salt uint64, offset int64) bool {
 	for at, payload := nextFrame(file, salt, offset); payload != nil; at, payload = nextFrame(file, salt, at) {
 		rec, err := decodeRecord(payload)
@@ -111,12 +115,13 @@
 	return true
 }
 
-// join fits the newest snapshot to the log.
+// reconcileSnapshot applies the newest snapshot to the log and checks that no file
+// between them is missing.
 func (r *recoveredLog) reconcileSnapshot() error {
 	m := &r.state
 	if len(r.segments) == 0 {
 		if r.snapshot.Index > 0 {
-			return damaged(r.snapshotPath, 0, errors.New("no segment is beside the snapshot"))
+			return damaged(r.snapshotPath, 0, errors.New("there is a snapshot but no segment"))
 		}
 		return nil
 	}
@@ -128,8 +133,8 @@
 	if m.base.Index > at.Index {
 		return damaged(first, 0, errors.Newf("entries before %d are missing", m.base.Index+1))
 	}
-	// A crash between the rename of a snapshot and its mark leaves a snapshot
-	// that no record names; it counts all the same.
+	// A crash between the rename of a snapshot and the record that names it leaves a
+	// snapshot that no record names. It is valid all the same.
 	if at.Index > 0 {
 		m.applySnapshot(at)
 	}
--- a/internal/wal/seed_test.go
+++ b/internal/wal/seed_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// A fixed seed gives every run the same verdict. -rapid.seed=0 draws a new one.
+// A fixed seed makes runs repeatable. -rapid.seed=0 chooses a random one.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -9,7 +9,7 @@
 )
 
 // WriteSnapshot makes a snapshot durable in a file of its own. It may run
-// beside Save; AdoptSnapshot must follow.
+// concurrently with Save. AdoptSnapshot must follow.
 func (w *WAL) WriteSnapshot(s replica.Snapshot) error {
 	head := header{magic: snapshotMagic, salt: newSalt(), sequence: s.Index}
 	var frame bytes.Buffer
@@ -23,6 +23,7 @@
 	return errors.Wrap(f.Close(), "close a snapshot")
 }
 
+// readSnapshot reads a snapshot file. Damage is a *DamageError.
 func readSnapshot(path string) (replica.Snapshot, error) {
 	file, err := os.ReadFile(path)
 	if err != nil {
@@ -41,15 +42,14 @@
 		return replica.Snapshot{}, damaged(path, headerSize, err)
 	}
 	if s.Index != numberInPath(path) {
-		return replica.Snapshot{}, damaged(path, headerSize, errors.Newf("holds the snapshot of entry %d", s.Index))
+		return replica.Snapshot{}, damaged(path, headerSize, errors.Newf("file contains the snapshot of entry %d", s.Index))
 	}
 	return s, nil
 }
 
-// AdoptSnapshot records that the snapshot which WriteSnapshot made durable
-// replaces the log up to its entry, then removes older snapshots and the
-// segments that hold nothing else. Entries after the snapshot stay when they
-// continue it.
+// AdoptSnapshot records that the durable snapshot of WriteSnapshot replaces the log
+// up to its entry. It then removes older snapshots and the segments that hold only
+// replaced entries. Entries after the snapshot stay if they continue it.
 func (w *WAL) AdoptSnapshot(s replica.Snapshot) error {
 	if w.err != nil {
 		return w.err
@@ -73,8 +73,8 @@
 	return w.AdoptSnapshot(s)
 }
 
-// removeOld deletes what the newest snapshot has replaced. The snapshot and
-// its mark are durable by now, so a crash on the way loses nothing.
+// removeOld deletes the files that the newest snapshot replaces. The snapshot and the
+// record that names it are durable by now, so a crash meanwhile loses nothing.
 func (w *WAL) removeOld() error {
 	files, err := listFiles(w.folder)
 	if err != nil {
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -1,12 +1,12 @@
-// Package wal keeps the log of one replica in one folder: entries and hard
-// state in segments that are only appended to, snapshots in files of their own.
+// Package wal stores the log of one replica in one folder: entries and hard state in
+// append-only segments, snapshots in files of their own.
 //
-// Each file opens with a header that carries the format version. A record is
-// framed by its length and a CRC-32C. At start the tail that a crash has torn
-// is cut after the last whole record; damage to anything that was durable is
-// refused with a DamageError and the folder stays as it is. The one exception
-// can't be told apart: damage to the very last records of the last segment,
-// with no later record that knows them to be durable, reads as a torn tail.
+// Each file starts with a header that carries the format version. A record is framed
+// by its length and a CRC-32C. Open truncates a tail that a crash has torn after the
+// last whole record. It refuses damage to durable data with a DamageError and leaves
+// the folder unchanged. One kind of damage can't be distinguished: damage to the very
+// last records of the last segment, with no later record that declares them synced,
+// reads as a torn tail.
 package wal
 
 import (
@@ -19,13 +19,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// DefaultSegmentBytes is the size at which a new segment is begun.
+// DefaultSegmentBytes is the size at which a new segment is started.
 const DefaultSegmentBytes = 4 << 20
 
 // WAL is an open log. Its methods are not safe for concurrent use, except
-// WriteSnapshot and Counters. After a failed write or sync every further call
-// fails: what the kernel has dropped from its cache can't be synced again. A write
-// that finds the disk full is the exception, see OnDiskFull.
+// WriteSnapshot and Counters. After a failed write or sync every further call fails,
+// because data that the kernel has dropped from its cache can't be synced again. A
+// write to a full disk is the exception, see OnDiskFull.
 type WAL struct {
 	folder       string
 	segmentBytes int64
@@ -45,7 +45,7 @@
 	counters counters
 }
 
-// segmentFile is what the log needs of the file of its last segment.
+// segmentFile is the part of os.File that the log uses for its last segment.
 type segmentFile interface {
 	io.WriteSeeker
 	io.Closer
@@ -53,20 +53,20 @@
 	Sync() error
 }
 
-// ErrDiskFull marks the error of a write that found the disk full until nobody wanted
-// to wait any longer. What was written before is whole.
+// ErrDiskFull marks the error of a write to a full disk after the callback of
+// OnDiskFull returned false. Earlier records are whole.
 var ErrDiskFull = errors.New("the disk is full")
 
-// OnDiskFull has a record or a segment that finds no room on the disk be written again
-// for as long as wait returns true; wait takes the time between two tries. Then the
-// error is an ErrDiskFull. Without OnDiskFull a full disk is a failed write.
+// OnDiskFull sets a callback for writes of a record or a segment to a full disk. wait
+// blocks until the next try and returns true to retry, or false to fail with
+// ErrDiskFull. Without a callback a full disk is a failed write.
 //
-// Failure guarded against: the disk is full for some seconds. Nothing of the record
-// counts yet and none of it was promised to anybody, so what was written of it is cut
-// off, and the log is as it was before. A failed sync is never tried again.
+// A disk that is full for some seconds must not stop the member. No part of the
+// record counts yet or was acknowledged, so the partial record is truncated and the
+// log is as before. A failed sync is never retried.
 func (w *WAL) OnDiskFull(wait func() bool) { w.onDiskFull = wait }
 
-// retry waits after a write that failed, and returns nil if it is to be tried again.
+// retry waits after a failed write and returns nil if the write is to be retried.
 func (w *WAL) retry(err error) error {
 	switch {
 	case !errors.Is(err, syscall.ENOSPC) || w.onDiskFull == nil:
@@ -77,18 +77,18 @@
 	return nil
 }
 
-// truncateFailedWrite cuts off what a failed write has left after the last whole record.
+// truncateFailedWrite removes the partial record that a failed write has left.
 func (w *WAL) truncateFailedWrite() error {
 	if err := w.file.Truncate(w.length); err != nil {
-		return errors.Wrap(err, "cut a record that found no room")
+		return errors.Wrap(err, "truncate a partial record")
 	}
 	_, err := w.file.Seek(w.length, io.SeekStart)
 	return errors.Wrap(err, "seek to the end of the log")
 }
 
-// Open reads the log in folder, which it creates when it is missing, and makes
-// durable what it returns. A *DamageError means that the files are not what
-// was written; nothing has been changed then.
+// Open reads the log in folder, which it creates if it is missing, and makes durable
+// what it returns. A *DamageError means that a file doesn't contain what was written
+// to it; Open has changed nothing then.
 func Open(folder string) (*WAL, replica.StoredState, error) {
 	return open(folder, DefaultSegmentBytes)
 }
@@ -110,6 +110,7 @@
 	return w, stored, nil
 }
 
+// load reads the files and opens the last segment for writing.
 func (w *WAL) load() (replica.StoredState, error) {
 	files, err := listFiles(w.folder)
 	if err != nil {
@@ -132,9 +133,9 @@
 	return stored, w.openLastSegment(found)
 }
 
-// resume opens the last segment for writing. What was read must be durable
-// before anyone relies on it: the bytes may still be in the cache of a process
-// that was killed, and a power cut would then lose them.
+// openLastSegment opens the last segment for writing and syncs it. The log may still
+// be only in the kernel's cache, written by a process that was killed; without the
+// sync a loss of power could remove data that the caller relies on already.
 func (w *WAL) openLastSegment(found *recoveredLog) error {
 	if len(w.segments) == 0 {
 		return w.startSegment()
@@ -147,7 +148,7 @@
 	if found.torn {
 		w.counters.tornTails.Add(1)
 		if err := f.Truncate(found.length); err != nil {
-			return errors.Wrap(err, "cut the torn tail")
+			return errors.Wrap(err, "truncate the torn tail")
 		}
 	}
 	if _, err := f.Seek(found.length, io.SeekStart); err != nil {
@@ -162,13 +163,13 @@
 	return w.AdoptSnapshot(found.snapshot)
 }
 
-// Save appends a hard state (nil when unchanged) and entries. An entry whose
-// index is there already replaces it and all later ones. With sync, all that
-// was saved so far is durable on return.
+// Save appends a hard state (nil when unchanged) and entries. An entry whose index is
+// already present replaces that entry and all later ones. With sync, everything saved
+// so far is durable on return.
 //
 // A crash keeps all of one Save or nothing of it. A hard state may say that a
-// recovering member holds all it promised; were it durable without the entries
-// that make it true, the member would vote without them.
+// recovering member holds everything it acknowledged. If it were durable without the
+// entries, the member would vote without them.
 func (w *WAL) Save(hs *replica.HardState, entries []replica.Entry, sync bool) error {
 	if w.err != nil {
 		return w.err
@@ -184,6 +185,7 @@
 	return w.sync()
 }
 
+// saveRecord writes one record, in a new segment if the current one is full.
 func (w *WAL) saveRecord(hs *replica.HardState, entries []replica.Entry) error {
 	if w.length >= w.segmentBytes {
 		if err := w.startSegment(); err != nil {
@@ -211,6 +213,8 @@
 	return nil
 }
 
+// write appends a record to the segment. It retries while the disk is full, see
+// OnDiskFull; any other failure is final.
 func (w *WAL) write(r *record) error {
 	if w.err != nil {
 		return w.err
@@ -235,6 +239,7 @@
 	}
 }
 
+// sync makes all written records durable. A failure is final.
 func (w *WAL) sync() error {
 	if w.err != nil {
 		return w.err
@@ -250,7 +255,7 @@
 	return nil
 }
 
-// keep remembers the first failure.
+// setErr stores the first failure and returns err.
 func (w *WAL) setErr(err error) error {
 	if w.err == nil {
 		w.err = err
@@ -258,8 +263,8 @@
 	return err
 }
 
-// roll makes the current segment durable and begins the next one, whose first
-// record repeats all that older segments say besides entries.
+// startSegment makes the current segment durable and starts the next one. Its first
+// record repeats all state of older segments except entries.
 func (w *WAL) startSegment() error {
 	next := uint64(1)
 	if n := len(w.segments); n > 0 {
@@ -290,6 +295,7 @@
 	return nil
 }
 
+// firstRecord returns the first record of the next segment.
 func (w *WAL) firstRecord() *record {
 	base, hs := w.state.last(), w.state.hardState
 	r := &record{HardState: &hs, Base: &base}
@@ -299,16 +305,17 @@
 	return r
 }
 
-// Close makes all that was saved durable and closes the files.
+// Close makes everything saved durable and closes the files.
 func (w *WAL) Close() error {
 	err := w.sync()
 	if errors.Is(err, ErrDiskFull) {
-		// Nothing that found no room was promised to anybody.
+		// Nothing of a record that didn't fit on the disk was acknowledged.
 		err = nil
 	}
 	return errors.CombineErrors(err, w.closeFiles())
 }
 
+// closeFiles closes the segment and releases the lock.
 func (w *WAL) closeFiles() error {
 	var err error
 	if w.file != nil {
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -17,6 +17,7 @@
 	return replica.Entry{Index: index, Term: term, Data: fmt.Appendf(nil, "entry %d of term %d", index, term)}
 }
 
+// entryRange returns the entries from..to, both included, of one term.
 func entryRange(from, to, term uint64) []replica.Entry {
 	var entries []replica.Entry
 	for i := from; i <= to; i++ {
@@ -32,7 +33,7 @@
 	return w, stored
 }
 
-// reopen reads a folder with small segments and closes it again.
+// readBack reads a folder with small segments and closes it again.
 func readBack(t must.T, folder string) replica.StoredState {
 	t.Helper()
 	w, stored := mustOpen(t, folder, 512)
@@ -40,7 +41,8 @@
 	return stored
 }
 
-// saveOneByOne saves entries one record each, so that they fill several segments.
+// saveOneByOne saves each entry in a record of its own, so that they fill several
+// segments.
 func saveOneByOne(t must.T, w *WAL, hs *replica.HardState, entries []replica.Entry) {
 	t.Helper()
 	for i := range entries {
@@ -48,7 +50,7 @@
 	}
 }
 
-// copyFolder copies the files of a log, as a crash at this moment leaves them.
+// copyFolder copies the files of a log, as a crash at this moment would leave them.
 func copyFolder(t must.T, from, to string) {
 	t.Helper()
 	must.NoError(t, os.RemoveAll(to))
@@ -100,7 +102,7 @@
 	must.Eq(t, s, stored.Snapshot)
 	must.Eq(t, entryRange(51, 70, 1), stored.Entries)
 
-	// A snapshot of another history, as a leader sends it, leaves nothing.
+	// A leader's snapshot of a different history replaces all entries.
 	w, _ = mustOpen(t, folder, 512)
 	s = replica.Snapshot{Index: 65, Term: 4}
 	must.NoError(t, w.SaveSnapshot(s))
@@ -114,9 +116,9 @@
 	must.Len(t, 1, files.snapshots)
 }
 
-// Story: power fails while the last record is written. Any prefix of it, with
-// zeros or garbage behind, may be on the disk. The member must come back with
-// everything before that record and go on writing.
+// The power fails while the last record is written. Any prefix of it, followed by
+// zeros or garbage, may be on the disk. Open must return everything before that
+// record, and writing must continue.
 func TestTornTailIsTruncatedAtEveryOffset(t *testing.T) {
 	folder, crashed := t.TempDir(), filepath.Join(t.TempDir(), "crashed")
 	w, _ := mustOpen(t, folder, DefaultSegmentBytes)
@@ -144,9 +146,9 @@
 	must.NoError(t, w.Close())
 }
 
-// Story: a disk flips a byte in a record that was synced and acknowledged long
-// ago. Cutting the log there would lose committed entries without a word. The
-// member must refuse to start, say where, and leave the files for a repair.
+// A disk flips a bit in a record that was synced and acknowledged earlier. Truncating
+// the log there would silently lose committed entries. Open must fail, name the
+// location, and leave the files unchanged for a repair.
 func TestDamagedSyncedRecordIsRefused(t *testing.T) {
 	folder, damagedFolder := t.TempDir(), filepath.Join(t.TempDir(), "hurt")
 	w, _ := mustOpen(t, folder, 512)
@@ -163,7 +165,7 @@
 		must.NoError(t, err)
 		end := int64(len(whole))
 		if i == len(files.segments)-1 {
-			end = start // the last record of the last segment reads as torn
+			end = start // damage to the last record of the last segment reads as a torn tail
 		}
 		for at := int64(0); at < end; at += 3 {
 			copyFolder(t, folder, damagedFolder)
@@ -183,9 +185,9 @@
 	}
 }
 
-// Story: records written without a sync reach the disk out of order: the
-// second is whole, the first is torn. Neither was ever acknowledged, so the
-// member must start without them rather than ask for a repair.
+// Records written without a sync reach the disk out of order: the second is whole,
+// the first is torn. Neither was acknowledged, so Open must drop both rather than
+// report damage.
 func TestUnsyncedRecordsMayBeTornOutOfOrder(t *testing.T) {
 	folder := t.TempDir()
 	w, _ := mustOpen(t, folder, DefaultSegmentBytes)
@@ -202,15 +204,15 @@
 	must.Eq(t, entryRange(1, 3, 1), readBack(t, folder).Entries)
 }
 
-// Story: a command happens to hold the bytes of a whole record, and the record
-// that carries it is torn. Were the inner bytes taken for a record, a caller
-// could make a member refuse to start.
+// A command contains the bytes of a whole record, and the record that contains the
+// command is torn. If these bytes passed for a record, a caller could make a member
+// refuse to start.
 func TestRecordBytesInsideCommandAreNotARecord(t *testing.T) {
 	folder := t.TempDir()
 	w, _ := mustOpen(t, folder, DefaultSegmentBytes)
 	must.NoError(t, w.Save(nil, entryRange(1, 1, 1), true))
 	start := w.length
-	// The caller is taken to know everything but the salt, the place included.
+	// The caller is assumed to know everything except the salt, even the offset.
 	var outer, inner bytes.Buffer
 	placeholder := bytes.Repeat([]byte{0xee}, 17)
 	carrier := func(data []byte) *record {
@@ -230,9 +232,9 @@
 	must.Len(t, 1, readBack(t, folder).Entries)
 }
 
-// Story: the process dies after a snapshot got its name and before the log
-// names it or old segments are gone. The next start must use the snapshot and
-// must not see a gap when the log goes on after it.
+// The process fails after the rename of a snapshot, before a record names it or old
+// segments are removed. Open must use the snapshot and must not report a gap when the
+// log continues after it.
 func TestCrashBetweenSnapshotRenameAndRemoval(t *testing.T) {
 	for _, s := range []replica.Snapshot{{Index: 30, Term: 1}, {Index: 30, Term: 2}, {Index: 90, Term: 2}} {
 		folder, crashed := t.TempDir(), filepath.Join(t.TempDir(), "crashed")
@@ -256,6 +258,8 @@
 	}
 }
 
+// A segment or a snapshot is missing. Open must report the gap rather than continue
+// without its entries.
 func TestMissingFilesAreRefused(t *testing.T) {
 	for _, name := range []string{"segments", "snapshots"} {
 		folder := t.TempDir()
@@ -276,9 +280,9 @@
 	}
 }
 
-// TestRandomCrashes saves at random and crashes with the unsynced end of the
-// last segment cut anywhere. What was synced must be there; what comes after
-// must be a prefix of what was saved.
+// TestRandomCrashes saves at random and crashes with the unsynced end of the last
+// segment truncated at any offset. Everything synced must be there, followed by a
+// prefix of what was saved.
 func TestRandomCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		folder, err := os.MkdirTemp("", "wal")
