--- a/replica/append.go
+++ b/replica/append.go
@@ -1,9 +1,9 @@
 package replica
 
-// flushAppends queues what each member still lacks, as far as the bound on
-// unanswered appends allows, and heartbeats when they are due. Collecting here
-// rather than at each proposal is what makes group commit: all proposals since
-// the last Ready share one append.
+// flushAppends queues the entries that each member lacks, within the bound on
+// unanswered appends, and the heartbeats that are due. It runs once for each Ready
+// rather than for each proposal, so that all proposals since the last Ready share one
+// append (group commit).
 func (c *Core) flushAppends() {
 	if c.role != Leader {
 		return
@@ -18,6 +18,7 @@
 	c.leaderState.reads.due = false
 }
 
+// replicateTo queues the appends, heartbeat or snapshot for one member.
 func (c *Core) replicateTo(id string, p *progress, heartbeat bool) {
 	switch p.flow {
 	case probing:
@@ -38,6 +39,7 @@
 	}
 }
 
+// stream queues appends up to MaxInflight and reports whether it queued any.
 func (c *Core) stream(id string, p *progress) bool {
 	sent := false
 	for p.flow == streaming && p.next <= c.log.last() && len(p.inflight) < c.cfg.MaxInflight {
@@ -51,8 +53,9 @@
 	return sent
 }
 
-// sendEntries sends the entries from p.next on, or the snapshot when they
-// aren't kept any more, and returns the last index sent.
+// sendEntries sends the entries from p.next on and returns the last index sent. It
+// sends the snapshot and returns 0 when the log no longer holds the entry before
+// p.next.
 func (c *Core) sendEntries(id string, p *progress) uint64 {
 	prev := p.next - 1
 	term, ok := c.log.term(prev)
@@ -68,8 +71,8 @@
 	return last
 }
 
-// sendHeartbeat sends an append without entries. prev zero matches any log; it
-// only tells that the leader is there.
+// sendHeartbeat sends an append without entries. prev zero matches any log; such a
+// heartbeat only renews the contact.
 func (c *Core) sendHeartbeat(id string, prev uint64) {
 	m := c.appendMessage(id)
 	m.Index = prev
@@ -84,6 +87,7 @@
 	}
 }
 
+// sendSnapshot sends the current snapshot and pauses appends until it is installed.
 func (c *Core) sendSnapshot(id string, p *progress) {
 	p.flow = snapshotting
 	p.inflight = nil
@@ -93,8 +97,8 @@
 	c.send(Message{Type: MsgSnapshot, To: id, Term: c.term, Tick: c.now, ReadRound: c.leaderState.reads.round, Snapshot: &s})
 }
 
-// resendSnapshot sends a snapshot again that may have been lost, but not to a
-// member from which nothing is heard.
+// resendSnapshot sends the snapshot again after an election timeout, in case it was
+// lost. It sends nothing to a member that didn't reply within that time.
 func (c *Core) resendSnapshot(id string, p *progress) {
 	interval := uint64(c.cfg.ElectionTicks)
 	if c.now-p.snapshotTick >= interval && c.now-p.lastReplyTick < interval {
@@ -102,7 +106,7 @@
 	}
 }
 
-// onAppend takes in entries of the current term's leader.
+// onAppend handles the entries of the current term's leader.
 func (c *Core) onAppend(m Message) {
 	c.recordLeaderContact(m.From)
 	reply := c.appendReply(m)
@@ -128,9 +132,9 @@
 	}
 }
 
-// recordLeaderContact notes a sign of life of the leader of the current term.
+// recordLeaderContact records a message of the leader of the current term.
 func (c *Core) recordLeaderContact(id string) {
-	invariant(c.role != Leader, "%s and %s both lead in term %d", c.cfg.ID, id, c.term)
+	invariant(c.role != Leader, "%s and %s are both leaders of term %d", c.cfg.ID, id, c.term)
 	if c.leader != id || c.role == Candidate {
 		c.follow(c.term, id)
 	} else {
@@ -145,14 +149,13 @@
 	}
 }
 
-// appendMissing appends the entries that are missing and returns the last index
-// at which the log now matches the leader's; false when the entry before them
-// doesn't match.
+// appendMissing appends the missing entries of m and returns the last index at which
+// the log matches the sender's. It returns false when the entry before them doesn't
+// match.
 func (c *Core) appendMissing(m Message) (uint64, bool) {
 	prev, term, entries := m.Index, m.LogTerm, m.unpack()
 	if prev < c.commit {
-		// What is committed is in the leader's log too; only later entries
-		// matter.
+		// Committed entries are also in the leader's log; only later ones matter.
 		skip := min(uint64(len(entries)), c.commit-prev)
 		prev += skip
 		entries = entries[skip:]
@@ -168,16 +171,16 @@
 	return prev + uint64(len(entries)), true
 }
 
-// mergeEntries replaces the tail from the first conflicting entry on. A tail
-// that matches stays, so that a late, shorter append cuts off nothing that was
-// acknowledged.
+// mergeEntries replaces the tail of the log from the first conflicting entry on. A
+// tail that matches stays: otherwise a delayed, shorter append would remove entries
+// that were acknowledged.
 func (c *Core) mergeEntries(entries []Entry) {
 	for i, e := range entries {
 		if c.log.matches(e.Index, e.Term) {
 			continue
 		}
 		if e.Index <= c.log.last() {
-			invariant(e.Index > c.commit, "%s: entry %d of term %d conflicts below commit %d", c.cfg.ID, e.Index, e.Term, c.commit)
+			invariant(e.Index > c.commit, "%s: entry %d of term %d conflicts with an entry up to commit index %d", c.cfg.ID, e.Index, e.Term, c.commit)
 			c.log.truncate(e.Index)
 			c.members.truncate(e.Index)
 		}
@@ -188,7 +191,8 @@
 	}
 }
 
-// onSnapshot replaces a log that lacks what the snapshot holds.
+// onSnapshot installs the snapshot of a leader unless the log holds its entries
+// already.
 func (c *Core) onSnapshot(m Message) {
 	s := m.Snapshot
 	if s == nil || checkMembers(s.Members) != nil {
@@ -208,6 +212,7 @@
 	c.send(reply)
 }
 
+// install replaces the log and the membership by a snapshot.
 func (c *Core) install(s Snapshot) {
 	c.log.reset(s.Index, s.Term)
 	c.members = newMembershipHistory(s.Index, s.Members)
@@ -217,7 +222,7 @@
 	c.commitTo(s.Index)
 }
 
-// onAppendReply counts an acknowledgement and keeps the flow of entries going.
+// onAppendReply counts an acknowledgement and lets replication continue.
 func (c *Core) onAppendReply(m Message) {
 	p := c.leaderState.progress[m.From]
 	if c.role != Leader || p == nil {
@@ -225,8 +230,9 @@
 	}
 	p.lastReplyTick = c.now
 	if !c.incarnationsKnown(m) {
-		// Can't be counted; the next append carries the vector to the sender,
-		// which then answers with one that can.
+		// The reply can't be counted before both sides know the same incarnations.
+		// The next append carries them to the sender, whose reply to it can be
+		// counted.
 		c.leaderState.heartbeatDue = true
 		return
 	}
@@ -246,7 +252,8 @@
 	c.tryTransfer(m.From)
 }
 
-// clearLagging lets the commit rule wait for a disk voter again.
+// clearLagging makes commits wait for a disk voter again once it holds all committed
+// entries.
 func (c *Core) clearLagging(p *progress) {
 	if p.match >= c.commit {
 		p.lagging = false
--- a/replica/bench_test.go
+++ b/replica/bench_test.go
@@ -7,11 +7,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// benchIncarnation is a wall clock in milliseconds, as in real use, so that
-// incarnations and terms take the room on the wire that they really take.
+// benchIncarnation is a wall clock in milliseconds, as in production, so that
+// incarnations and terms have their usual size on the wire.
 const benchIncarnation = 1_780_000_000_000
 
-// benchGroup is a group in memory without delay.
+// benchGroup returns the leader and all members of a group in memory without delays.
 func benchGroup(b *testing.B, size int) (*Core, map[string]*Core) {
 	var list []Member
 	for i := range size {
@@ -38,7 +38,7 @@
 	return nil, nil
 }
 
-// benchProcessReady carries out all work and returns how many bytes were sent.
+// benchProcessReady processes all Readys and returns the number of bytes sent.
 func benchProcessReady(cores map[string]*Core) int {
 	bytes := 0
 	for busy := true; busy; {
@@ -67,8 +67,8 @@
 	return data
 }
 
-// BenchmarkCommit measures committed entries a second of all members of a
-// group together on one processor, with messages encoded but not sent.
+// BenchmarkCommit measures committed entries a second of all members of a group
+// together on one processor, with messages encoded but not sent.
 func BenchmarkCommit(b *testing.B) {
 	command := make([]byte, 60)
 	for _, size := range []int{1, 3, 5} {
@@ -105,8 +105,8 @@
 	}
 }
 
-// BenchmarkHeartbeat measures the bytes that one idle heartbeat round of a
-// leader and its answers take, encoded, without the transport's own.
+// BenchmarkHeartbeat measures the encoded bytes of one idle heartbeat round of a
+// leader, replies included, without transport overhead.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, size := range []int{3, 5} {
 		b.Run(fmt.Sprintf("members=%d", size), func(b *testing.B) {
--- a/replica/change.go
+++ b/replica/change.go
@@ -6,10 +6,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ProposeMembership changes the group by one member: adds a learner, promotes
-// a learner that has caught up, removes or changes a member. The new
-// membership is in force as soon as it is in a member's log. A member lost for
-// good is replaced by adding a learner, promoting it and removing the old one.
+// ProposeMembership proposes a membership that differs in one member: adds a learner,
+// promotes a learner that has caught up, removes or changes a member. It returns the
+// index and term of the entry. The new membership is in force as soon as it is in a
+// member's log. To replace a failed member, add a learner, promote it and remove the
+// old member.
 //
 // Errors: ErrNotLeader, ErrTransferring, ErrChangePending, ErrNoChange,
 // ErrChangeTooLarge, ErrConfig, ErrRemovesLeader, ErrNotCaughtUp, ErrLosesQuorum.
@@ -34,11 +35,10 @@
 	return index
 }
 
-// checkChange refuses what the one-at-a-time rule doesn't cover. Two
-// memberships that differ in one voter have a common member in any two
-// quorums; that holds for chains of changes only if each one is committed
-// before the next, and the first after an entry of the leader's own term
-// (checkCanPropose checks that one).
+// checkChange returns the error for a change that isn't safe. Two memberships that
+// differ in one voter have a common member in any two quorums. For a series of
+// changes that holds only if each one is committed before the next, and the first one
+// after an entry of the leader's own term (checkCanPropose checks that).
 func (c *Core) checkChange(list []Member) error {
 	if err := checkMembers(list); err != nil {
 		return err
@@ -62,7 +62,7 @@
 	return c.checkQuorum(list)
 }
 
-// changedMembers returns the IDs in which two memberships differ.
+// changedMembers returns the IDs of the members in which two memberships differ.
 func changedMembers(before, after []Member) []string {
 	var out []string
 	for _, b := range before {
@@ -80,9 +80,9 @@
 	return out
 }
 
-// checkPromotion: a new voter comes as a learner first and must hold what is
-// committed, but for what fits into one append; else the group could need an
-// acknowledgement that a long catching-up holds back.
+// checkPromotion returns ErrNotCaughtUp for a new voter that isn't a learner holding
+// the committed entries, up to those that fit into one append. Otherwise the group
+// could need the acknowledgement of a member that is still far behind.
 func (c *Core) checkPromotion(list []Member, id string) error {
 	if !isVoter(list, id) || isVoter(c.members.current(), id) {
 		return nil
@@ -94,9 +94,9 @@
 	return nil
 }
 
-// checkQuorum: the voters that answer at present must be a majority of the new
-// membership. Without this check, removing a live voter of a group that has
-// already lost one stops the group for good, since undoing the change needs a
+// checkQuorum returns ErrLosesQuorum unless the responsive voters are a majority of
+// the new membership. Without this check, removing a live voter of a group that has
+// already lost one stops the group permanently, since undoing the change needs a
 // quorum as well.
 func (c *Core) checkQuorum(list []Member) error {
 	answering := 0
@@ -107,7 +107,7 @@
 		}
 	}
 	if need := majority(list); answering < need {
-		return errors.Wrapf(ErrLosesQuorum, "%d of the %d voters answer, %d needed", answering, len(voters(list)), need)
+		return errors.Wrapf(ErrLosesQuorum, "%d of the %d voters are responsive, %d needed", answering, len(voters(list)), need)
 	}
 	return nil
 }
--- a/replica/coldstart.go
+++ b/replica/coldstart.go
@@ -6,29 +6,28 @@
 	"github.com/cockroachdb/errors"
 )
 
-// A cold start begins a group again after so many members have forgotten their
-// promises that no election can be won: after a loss of power everywhere, and
-// at the very first start, which looks the same.
+// A cold start elects a leader when so many members have lost their state that no
+// ordinary election can be won: after a loss of power of all members, and at the very
+// first start, which looks the same.
 //
-// It needs the vote of every voter of the group. Every voter thereby moves on
-// to the new term, so nothing can be committed or elected in an earlier one
-// any more, and what was committed is found as follows. Let R be the voters
-// that have forgotten and N the others. When those of R that ever took part
-// (Known.Held) are fewer than a majority, each committed entry is on a member
-// of N, since a majority held it. When all
-// disk voters that ever took part are in N, each committed entry
-// is on one of them, unless it was committed while no disk voter answered
-// (Status.Degraded). When N is empty there is no data anywhere. In any other
-// case, such as a lost disk together with a loss of power, an operator must
-// decide, see ForceStart. The leader's log must hold at least what each member
-// of N holds.
+// It needs the vote of every voter of the group. Every voter thereby moves to the new
+// term, so nothing can be committed or elected in an earlier one any more. Committed
+// entries are found as follows. Let R be the voters that lost their state and N the
+// others. When the members of R that ever took part (MemberIncarnation.Participated)
+// are fewer than a majority, each committed entry is on a member of N, since a
+// majority held it. When all disk voters that ever took part are in N, each committed
+// entry is on one of them, unless it was committed while no disk voter answered
+// (Status.Degraded). When N is empty, no member has any data. In any other case, such
+// as a lost disk together with a loss of power, an operator must decide, see
+// ForceStart. The leader's log must hold at least as much as that of each member of
+// N.
 //
 // All this must hold in each membership from the last committed one that the
-// candidate knows to its latest: a deposed leader may have proposed, and failed
-// to commit, the removal of the member that leads by now. Without it, the others
+// candidate knows to its latest. A deposed leader may have proposed, and failed to
+// commit, the removal of the member that leads now. Without that member the others
 // would be every voter, and two leaders and a lost commit would follow.
 
-// standing is how a voter takes part in a cold start.
+// voterState is the state of a voter that matters for a cold start.
 type voterState struct {
 	member       Member
 	recovering   bool
@@ -37,8 +36,8 @@
 	term         uint64
 }
 
-// coldStartAllowed reports whether nothing committed can be missing from the
-// members that have not forgotten.
+// coldStartAllowed reports whether the members that kept their state must hold every
+// committed entry.
 func coldStartAllowed(list []voterState) bool {
 	recovering, recoveringParticipants, intactDisks, lostDisks := 0, 0, 0, 0
 	for _, s := range list {
@@ -66,8 +65,8 @@
 	}
 }
 
-// electionPossible reports whether enough voters remember their promises for
-// an ordinary election.
+// electionPossible reports whether enough voters kept their state for an ordinary
+// election.
 func electionPossible(list []voterState) bool {
 	intact := 0
 	for _, s := range list {
@@ -78,8 +77,8 @@
 	return intact > len(list)/2
 }
 
-// tryColdStart starts a cold start when every voter has answered lately, none
-// leads, it is allowed, and this member is the one to lead.
+// tryColdStart starts a cold start when every voter has replied recently, none leads,
+// the committed entries can't be missing, and this member is the one to lead.
 func (c *Core) tryColdStart() bool {
 	lists, ok := c.voterStates()
 	if !ok || !c.mayLead() || !coldStartAllowedInAll(lists) {
@@ -95,12 +94,14 @@
 	return true
 }
 
+// coldStartAllowedInAll reports whether a cold start is allowed in each membership.
 func coldStartAllowedInAll(lists [][]voterState) bool {
 	return !slices.ContainsFunc(lists, func(list []voterState) bool { return !coldStartAllowed(list) })
 }
 
-// standings collects, for each membership from the committed one on, the fresh
-// answers of all voters; false when one is missing or leads.
+// voterStates returns, for each membership from the committed one on, the states of
+// all voters by their recent replies. It returns false when a reply is missing or
+// comes from a leader.
 func (c *Core) voterStates() ([][]voterState, bool) {
 	var lists [][]voterState
 	for _, list := range c.members.since(c.commit) {
@@ -113,8 +114,9 @@
 	return lists, true
 }
 
-// voterStatesOf: learners with disks must have answered too and may not be ahead:
-// one may have been promoted by an entry that isn't in the own log.
+// voterStatesOf returns the states of the voters of one membership. Learners with
+// disks must have replied too and may not be ahead, because an entry that this member
+// lacks may have promoted them.
 func (c *Core) voterStatesOf(members []Member) ([]voterState, bool) {
 	var list []voterState
 	for _, m := range members {
@@ -132,6 +134,7 @@
 	return list, true
 }
 
+// voterStateOf returns the state of m; false when m didn't reply recently or leads.
 func (c *Core) voterStateOf(m Member) (voterState, bool) {
 	if m.ID == c.cfg.ID {
 		return voterState{m, c.role == Recovering, c.incarnations.participated(m.ID), c.log.last(), c.log.lastTerm()}, true
@@ -141,9 +144,9 @@
 	return voterState{m, a.recovering, c.incarnations.participated(m.ID), a.index, a.logTerm}, ok && recent && !a.leader
 }
 
-// coldStartLeader picks the voter with the best log among those that remember.
-// Without any, a disk voter goes before others, then the lowest ID. Every voter
-// that sees the same answers picks the same one.
+// coldStartLeader returns the ID of the voter with the most complete log among those
+// that kept their state. If there is none, disk voters precede others, then the
+// lowest ID wins. Every voter with the same replies chooses the same one.
 func coldStartLeader(list []voterState) string {
 	best := -1
 	for i, s := range list {
@@ -160,6 +163,7 @@
 	return list[best].member.ID
 }
 
+// precedes reports whether s is preferred to o as the leader of a cold start.
 func (s voterState) precedes(o voterState) bool {
 	switch {
 	case s.recovering != o.recovering:
@@ -175,8 +179,9 @@
 	}
 }
 
-// coldStartStillAllowed checks the rule again with what the voters said when they
-// granted: one may have restarted since it answered.
+// coldStartStillAllowed checks the rule again with the states that the voters
+// reported with their votes, because a voter may have restarted since its state
+// reply.
 func (c *Core) coldStartStillAllowed() bool {
 	var lists [][]voterState
 	for _, members := range c.members.since(c.commit) {
@@ -190,16 +195,17 @@
 	return coldStartAllowedInAll(lists)
 }
 
-// recordColdStartVote: a forgetful voter has granted a cold start. An append of that
-// candidate in that term proves that all voters did; then its log up to the
-// end that the request named is all there is to hold.
+// recordColdStartVote sets the recovery source of a recovering voter that has granted
+// a cold start. An append of that candidate in that term proves that all voters
+// granted it. The member then needs the candidate's log only up to the end that the
+// request named.
 //
-// The request names the incarnation that answered the candidate, and no other
-// grants it (grantsVote). A voter may have led or helped a later leader since
-// and come back blank; consenting again to the late request it would come back
-// with the old candidate's log and help to elect it, in a term that already had
-// a leader. A candidate sends one request a term to each voter, so it counted
-// the very incarnation that keeps this source, and its appends needn't name it.
+// The request names the incarnation that sent the state reply, and no other one
+// grants it (see grantsVote). A voter may since have led or followed a later leader
+// and lost its state again. If it granted the delayed request, it would recover with
+// the old candidate's log and help to elect that candidate in a term that already had
+// a leader. A candidate sends one request a term to each voter, so it counted exactly
+// the incarnation that holds this source, and its appends needn't name it.
 func (c *Core) recordColdStartVote(m Message) {
 	if m.ColdStart && c.role == Recovering {
 		c.recovery.source = recoverySource{leader: m.From, term: m.Term, requiredIndex: m.Index}
@@ -214,22 +220,22 @@
 	}
 }
 
-// incarnationsPerTerm is how many incarnations go into one term: with wall clock
-// milliseconds, about a second.
+// incarnationsPerTerm is the number of incarnations that correspond to one term.
+// Incarnations are wall clock milliseconds, so it is about a second.
 const incarnationsPerTerm = 1024
 
-// skipLostTerms: terms that only forgetful members knew may have had
-// leaders, and whoever fences by term must not meet them twice. Elections are
-// rarer than one a second, so the number of seconds in the latest incarnation
-// is above all of them. It matters only after a blank start.
+// skipLostTerms raises the term above all terms that only members without state knew.
+// These terms may have had leaders, and a fencing token derived from a term must not
+// recur. Elections are rarer than one a second, so the number of seconds in the
+// latest incarnation is above all of them. It has an effect only after a start
+// without stored state.
 func (c *Core) skipLostTerms() {
 	if term := c.incarnations.highest() / incarnationsPerTerm; c.anyRecovering() && term > c.term {
 		c.setTerm(term)
 	}
 }
 
-// anyRecovering reports whether this member or one that answered has forgotten
-// its promises.
+// anyRecovering reports whether this member or one that replied is recovering.
 func (c *Core) anyRecovering() bool {
 	if c.role == Recovering {
 		return true
@@ -242,23 +248,23 @@
 	return false
 }
 
-// ForceStart makes this member the only voter of its group and its leader; the
-// other voters become learners, to be promoted again once they have caught up.
-// It is an operator's last resort: committed entries that only other members
-// hold are lost, and the others must not go on by themselves. Allowed on a
-// member with a disk and on a blank only voter that hasn't heard a leader for
-// an election timeout; ErrForceStart otherwise. A member whose log contradicts
-// the new one stops with a broken invariant when it comes back: it must be
-// started blank.
+// ForceStart makes this member the only voter of its group and its leader. The other
+// voters become learners, to be promoted again once they have caught up. It is an
+// operator's last resort: committed entries that only other members hold are lost,
+// and the other members must not continue on their own. It is allowed on a member
+// with a disk, and on an only voter without state, that hasn't heard from a leader
+// for an election timeout; otherwise it returns ErrForceStart. A member whose log
+// contradicts the new one stops with a broken invariant when it rejoins: it must be
+// started without stored state.
 func (c *Core) ForceStart() error {
 	self, ok := c.members.find(c.cfg.ID)
 	switch {
 	case !ok || self.Witness:
-		return errors.Wrap(ErrForceStart, "not a member that may lead")
+		return errors.Wrap(ErrForceStart, "member may not lead")
 	case !c.cfg.HasDisk && !c.soleVoter():
-		return errors.Wrap(ErrForceStart, "neither a disk nor the only voter")
+		return errors.Wrap(ErrForceStart, "member has no disk and isn't the only voter")
 	case c.hasRecentLeader():
-		return errors.Wrap(ErrForceStart, "a leader was heard lately")
+		return errors.Wrap(ErrForceStart, "a leader made contact within the election timeout")
 	}
 	c.setTerm(c.highestReportedTerm() + 1)
 	c.skipLostTerms()
@@ -273,6 +279,7 @@
 	return nil
 }
 
+// highestReportedTerm returns the highest term of this member and of the replies.
 func (c *Core) highestReportedTerm() uint64 {
 	highest := c.term
 	for _, a := range c.recovery.replies {
--- a/replica/config.go
+++ b/replica/config.go
@@ -9,44 +9,49 @@
 	defaultMaxEntries     = 256
 	defaultMaxInflight    = 16
 	minElectionTicks      = 5
-	// leaseMarginDivisor: a leader's lease is the election timeout less this part of it.
+	// leaseMarginDivisor sets the margin between the end of the lease and the
+	// election timeout: the timeout divided by it.
 	leaseMarginDivisor = 4
 	// minLeaseMarginTicks is the least number of ticks between the end of the lease
-	// and the first vote: one for the phase of each clock.
+	// and the first vote: one for the phase of each of the two clocks.
 	minLeaseMarginTicks = 2
 )
 
-// Config is the fixed part of a member.
+// Config holds the fixed settings of a member.
 type Config struct {
-	// ID names the member; unique in the group and never given to another.
+	// ID names the member. It is unique in the group and never reused for another
+	// member.
 	ID string
-	// Incarnation must grow from one blank start of this ID to the next. Give
-	// the wall clock in milliseconds at process start: a cold start also takes
-	// its term from it, so that terms don't recur even when everything was
-	// forgotten. Not zero.
+	// Incarnation must grow from one start without stored state to the next of the
+	// same ID, and must not be zero. Pass the wall clock in milliseconds at process
+	// start: a cold start also derives its term from it, so that terms don't recur
+	// even when all members have lost their state.
 	Incarnation uint64
-	// HasDisk says that the caller syncs Ready to disk and gives it back as Stored.
+	// HasDisk says that the caller syncs each Ready to disk and passes it back as
+	// StoredState.
 	HasDisk bool
-	// Members is the initial membership, used only when Stored is empty.
+	// Members is the initial membership, used only when StoredState is empty.
 	Members []Member
-	// ElectionTicks without a leader let a member campaign (randomised up to
-	// twice that). Default 10.
+	// ElectionTicks is the number of ticks without a leader after which a member
+	// campaigns, randomised up to twice that. Default 10.
 	ElectionTicks int
-	// HeartbeatTicks lie between two heartbeats. Default 2.
+	// HeartbeatTicks is the number of ticks between two heartbeats. Default 2.
 	HeartbeatTicks int
-	// Seed of the election timeouts; mixed with the ID.
+	// Seed of the random election timeouts; it is mixed with the ID.
 	Seed uint64
-	// MaxEntriesPerMessage bounds an append. Default 256.
+	// MaxEntriesPerMessage bounds the entries of one append. Default 256.
 	MaxEntriesPerMessage int
-	// MaxInflight bounds the appends sent to a member and not yet answered. Default 16.
+	// MaxInflight bounds the unanswered appends to one member. Default 16.
 	MaxInflight int
-	// KeepEntries is how many entries before a snapshot Compact keeps, so that
-	// a member that lags a little needs no snapshot.
+	// KeepEntries is the number of entries before a snapshot that Compact keeps, so
+	// that a member that lags a little needs no snapshot.
 	KeepEntries int
-	// KeepBytes bounds the data of those entries together; 0 means no bound.
+	// KeepBytes bounds the data bytes of those entries together; 0 means no bound.
 	KeepBytes int
 }
 
+// normalize sets the defaults and returns an ErrConfig for settings that can't be
+// used.
 func (cfg *Config) normalize() error {
 	setDefault(&cfg.ElectionTicks, defaultElectionTicks)
 	setDefault(&cfg.HeartbeatTicks, defaultHeartbeatTicks)
@@ -54,15 +59,15 @@
 	setDefault(&cfg.MaxInflight, defaultMaxInflight)
 	switch {
 	case cfg.ID == "":
-		return errors.Wrap(ErrConfig, "empty ID")
+		return errors.Wrap(ErrConfig, "ID is empty")
 	case cfg.Incarnation == 0:
-		return errors.Wrap(ErrConfig, "zero incarnation")
+		return errors.Wrap(ErrConfig, "Incarnation is zero")
 	case cfg.ElectionTicks < minElectionTicks:
-		return errors.Wrapf(ErrConfig, "fewer than %d election ticks", minElectionTicks)
+		return errors.Wrapf(ErrConfig, "ElectionTicks is less than %d", minElectionTicks)
 	case cfg.HeartbeatTicks < 1 || cfg.HeartbeatTicks >= cfg.leaseTicks():
-		return errors.Wrapf(ErrConfig, "heartbeat of %d ticks in a lease of %d", cfg.HeartbeatTicks, cfg.leaseTicks())
+		return errors.Wrapf(ErrConfig, "HeartbeatTicks is %d, must be at least 1 and less than the lease of %d ticks", cfg.HeartbeatTicks, cfg.leaseTicks())
 	case cfg.MaxEntriesPerMessage < 1 || cfg.MaxInflight < 1 || cfg.KeepEntries < 0 || cfg.KeepBytes < 0:
-		return errors.Wrap(ErrConfig, "negative bound")
+		return errors.Wrap(ErrConfig, "MaxEntriesPerMessage and MaxInflight must be positive, KeepEntries and KeepBytes not negative")
 	}
 	return nil
 }
@@ -73,10 +78,10 @@
 	}
 }
 
-// leaseTicks is how long a leader may decide after sending a heartbeat that a
-// majority answered. The answering members refuse votes for ElectionTicks
-// after they received it, which is later than it was sent; the margin covers
-// the phase of both clocks and a quarter of difference in their rates.
+// leaseTicks returns how many ticks a leader may decide after sending a heartbeat
+// that a majority answered. The members that answered refuse votes for ElectionTicks
+// after they received it, which is later than it was sent. The margin covers the
+// phase of both clocks and a quarter of difference in their rates.
 func (cfg *Config) leaseTicks() int {
 	margin := max(minLeaseMarginTicks, cfg.ElectionTicks/leaseMarginDivisor)
 	return cfg.ElectionTicks - margin
--- a/replica/core.go
+++ b/replica/core.go
@@ -8,12 +8,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Core is one member of a group. It is deterministic: the same calls in the
-// same order give the same results. It isn't safe for concurrent use.
+// Core is one member of a group. It is deterministic: the same calls in the same
+// order give the same results. It isn't safe for concurrent use.
 //
-// The caller ticks it at a steady rate. After the process was paused, the
-// caller makes up for the missed ticks before it feeds anything else, so that
-// a leader learns that its lease has ended before it decides anything.
+// The caller calls Tick at a steady rate. After a pause of the process, the caller
+// first makes up for the missed ticks. Otherwise a leader would decide something
+// before it notices that its lease has expired.
 type Core struct {
 	cfg         Config
 	incarnation uint64
@@ -23,7 +23,7 @@
 	term   uint64
 	vote   string
 	leader string
-	// outside is set while this member takes itself for removed.
+	// notMember is set while this member believes that it isn't in the group.
 	notMember bool
 
 	log          entryLog
@@ -33,8 +33,9 @@
 	members      membershipHistory
 	incarnations incarnations
 
-	// now counts own ticks. ticksSinceLeader counts ticks since a leader was heard,
-	// ticksSinceReset those since the election timer was reset.
+	// now counts this member's ticks. ticksSinceLeader counts the ticks since the
+	// last contact from a leader, ticksSinceReset those since the election timer was
+	// reset.
 	now              uint64
 	ticksSinceLeader int
 	ticksSinceReset  int
@@ -46,7 +47,7 @@
 	recovery    recovery
 	logFetch    logFetch
 
-	// peerDigest is the digest that each peer's last message showed.
+	// peerDigest is the incarnation digest of the last message of each peer.
 	peerDigest map[string]uint64
 	messages   []Message
 	reads      []ReadState
@@ -56,17 +57,17 @@
 	readyPending bool
 }
 
-// initialClockTimeouts is the start of the tick count, in election timeouts.
+// initialClockTimeouts is the initial tick count, in election timeouts. It is high
+// enough for tick zero, which stands for "never", to be long past.
 const initialClockTimeouts = 2
 
-// New returns a member as it stands after a start. A member whose stored state
-// is empty comes up Recovering, unless it is the only voter.
+// New returns a member after a start. A member without stored state starts as
+// Recovering, unless it is the only voter. Errors: ErrConfig and ErrStoredState.
 func New(cfg Config, stored StoredState) (*Core, error) {
 	if err := cfg.normalize(); err != nil {
 		return nil, err
 	}
 	c := &Core{cfg: cfg, peerDigest: map[string]uint64{}}
-	// The clock starts late enough for "never heard" (zero) to be long ago.
 	c.now = initialClockTimeouts * uint64(cfg.ElectionTicks)
 	c.rand = rand.New(rand.NewPCG(cfg.Seed, xxhash.Sum64String(cfg.ID)))
 	if err := c.restore(stored); err != nil {
@@ -79,12 +80,14 @@
 	return c, nil
 }
 
+// empty reports whether the member starts without stored state.
 func (s *StoredState) empty() bool {
 	hs := &s.HardState
 	noState := hs.Term == 0 && hs.Vote == "" && hs.Incarnation == 0
 	return noState && s.Snapshot.Index == 0 && len(s.Entries) == 0
 }
 
+// restore loads the stored state, or the initial membership when there is none.
 func (c *Core) restore(stored StoredState) error {
 	base := stored.Snapshot.Members
 	if stored.Snapshot.Index == 0 {
@@ -114,9 +117,9 @@
 	return nil
 }
 
-// restoreIncarnation: a member that finds its state remembers its promises and
-// goes on under the old incarnation; a blank one takes the new incarnation, so
-// that what it promised before no longer counts.
+// restoreIncarnation sets the incarnation. A member that finds its state knows its
+// votes and acknowledgements and keeps its incarnation. A member without stored state
+// takes a new one, so that its earlier votes and acknowledgements no longer count.
 func (c *Core) restoreIncarnation(stored StoredState) {
 	c.incarnation = stored.HardState.Incarnation
 	if c.incarnation == 0 {
@@ -132,6 +135,7 @@
 	}
 }
 
+// recordMemberIncarnations records the incarnations that a snapshot's members carry.
 func (c *Core) recordMemberIncarnations(list []Member) {
 	for _, m := range list {
 		if m.Incarnation > 0 {
@@ -140,6 +144,7 @@
 	}
 }
 
+// recordMemberships adds the memberships that entries carry to the history.
 func (c *Core) recordMemberships(entries []Entry) error {
 	for _, e := range entries {
 		if e.Kind != EntryMembership {
@@ -154,7 +159,7 @@
 	return nil
 }
 
-// Tick advances the member's clock by one.
+// Tick advances the member's clock by one tick.
 func (c *Core) Tick() {
 	c.now++
 	if c.role == Leader {
@@ -172,26 +177,27 @@
 	}
 }
 
-// resetTimers starts a new election timeout of its own random length.
+// resetTimers restarts the election timer with a new random timeout.
 func (c *Core) resetTimers() {
 	c.ticksSinceReset = 0
 	minTimeout := c.minElectionTimeout()
 	c.electionTimeout = (minTimeout + c.rand.IntN(minTimeout)) * c.requestIntervalFactor()
 }
 
-// hasRecentLeader reports whether a leader's lease may still be counting on this
-// member. Just after a start the answer is yes: the member may have answered
-// a heartbeat right before it died.
+// hasRecentLeader reports whether a leader's lease may still count on this member. It
+// is true just after a start as well, because the member may have answered a
+// heartbeat right before it stopped.
 func (c *Core) hasRecentLeader() bool {
 	return c.role == Leader || c.ticksSinceLeader < c.cfg.ElectionTicks
 }
 
+// soleVoter reports whether this member is the only voter of the current membership.
 func (c *Core) soleVoter() bool {
 	list := voters(c.members.current())
 	return len(list) == 1 && list[0].ID == c.cfg.ID
 }
 
-// hardState returns what must survive a restart.
+// hardState returns the state that must survive a restart.
 func (c *Core) hardState() HardState {
 	return HardState{
 		Term:              c.term,
@@ -203,19 +209,19 @@
 	}
 }
 
-// unchangedExceptCommit reports whether a and b are equal but for the commit index.
+// equalExceptCommit reports whether a and b are equal except for the commit index.
 func (a *HardState) equalExceptCommit(b *HardState) bool {
 	return a.Term == b.Term && a.Vote == b.Vote && a.Incarnation == b.Incarnation &&
 		a.Recovering == b.Recovering && slices.Equal(a.KnownIncarnations, b.KnownIncarnations)
 }
 
-// follow makes the member a follower of leader (empty when unknown) in term.
-// A recovering member stays recovering: it has only learned of a term.
+// follow makes the member a follower of leader (empty when unknown) in term. A
+// recovering member only adopts the term and stays Recovering.
 func (c *Core) follow(term uint64, leader string) {
 	c.setTerm(term)
 	if c.role == Leader {
-		// The leader was its own leader until now; whoever counted on its lease
-		// is served by refusing votes for a whole timeout.
+		// Members may still count on the lease of this former leader, so it refuses
+		// votes for a whole election timeout.
 		c.ticksSinceLeader = 0
 		c.clearLeaderState()
 	}
@@ -227,15 +233,16 @@
 	c.resetTimers()
 }
 
-// setTerm moves to a term; a new term has a vote to give.
+// setTerm moves the member to term and clears its vote if the term is new.
 func (c *Core) setTerm(term uint64) {
-	invariant(term >= c.term, "%s: term falls from %d to %d", c.cfg.ID, c.term, term)
+	invariant(term >= c.term, "%s: term goes back from %d to %d", c.cfg.ID, c.term, term)
 	if term > c.term {
 		c.term = term
 		c.vote = ""
 	}
 }
 
+// commitTo advances the commit index. It never moves it back.
 func (c *Core) commitTo(index uint64) {
 	if index <= c.commit {
 		return
@@ -244,7 +251,7 @@
 	c.commit = index
 }
 
-// send queues m, stamped with the sender's incarnation and vector.
+// send queues m with the sender's incarnation and known incarnations.
 func (c *Core) send(m Message) {
 	m.From = c.cfg.ID
 	m.Incarnation = c.incarnation
@@ -256,7 +263,7 @@
 	c.messages = append(c.messages, m)
 }
 
-// peers returns everybody but this member that the member knows an ID of.
+// peers returns the IDs of all other members that this member knows.
 func (c *Core) peers() []string {
 	var out []string
 	add := func(list []Member) {
@@ -278,7 +285,7 @@
 	return out
 }
 
-// Status returns a view of the member.
+// Status returns the current state of the member.
 func (c *Core) Status() Status {
 	list := slices.Clone(c.members.current())
 	for i := range list {
--- a/replica/election.go
+++ b/replica/election.go
@@ -1,7 +1,7 @@
 package replica
 
-// campaign is a candidacy under way. Its votes say who granted (true) or
-// refused; a grant is struck out when its giver turns out to be forgotten.
+// campaign is the candidacy of this member in one round. A vote is deleted when a
+// later incarnation of its voter becomes known.
 type campaign struct {
 	kind  campaignKind
 	votes map[string]vote
@@ -11,39 +11,42 @@
 
 // The zero campaignKind stands for no campaign.
 const (
-	// preVoting asks whether an election would be won. It costs no term, so a
-	// member back from a long cut doesn't depose a working leader.
+	// preVoting asks whether an election would be won, without raising the term. A
+	// member that returns from a long partition therefore doesn't depose a working
+	// leader.
 	preVoting campaignKind = iota + 1
 	voting
-	// coldStarting needs the grant of each voter.
+	// coldStarting needs the vote of every voter.
 	coldStarting
 )
 
+// vote is a voter's reply in the current round.
 type vote struct {
 	granted    bool
 	recovering bool
 }
 
-// onElectionTimeout: no leader was heard for a whole timeout.
+// onElectionTimeout starts a pre-vote after an election timeout without a leader.
 func (c *Core) onElectionTimeout() {
 	c.resetTimers()
 	c.leader = ""
 	if !c.mayLead() {
 		return
 	}
-	// Perhaps too many members have forgotten their promises for any election
-	// to be won; their answers tell.
+	// Too many members may have lost their state for any election to be won. Their
+	// state replies show that and may allow a cold start.
 	c.requestState()
 	c.startCampaign(preVoting, false)
 }
 
-// mayLead reports whether this member may stand for election.
+// mayLead reports whether this member may campaign.
 func (c *Core) mayLead() bool {
 	m, ok := c.members.find(c.cfg.ID)
 	return ok && !m.Learner && !m.Witness
 }
 
-// startCampaign begins a round. force marks a transfer that the leader began.
+// startCampaign starts a round and requests the votes. force marks a leadership
+// transfer that the leader started.
 func (c *Core) startCampaign(kind campaignKind, force bool) {
 	request := Message{Type: MsgPreVote, Term: c.term + 1, Force: force}
 	recovering := c.role == Recovering
@@ -74,8 +77,8 @@
 	c.countVotes()
 }
 
-// electorate returns who votes in the campaign under way: the voters of the
-// latest membership, and in a cold start those of all from the committed one on.
+// electorate returns the voters of the current campaign: those of the latest
+// membership, and in a cold start those of all memberships from the committed one on.
 func (c *Core) electorate() []Member {
 	if c.campaign.kind == coldStarting {
 		return votersOfAll(c.members.since(c.commit))
@@ -83,15 +86,15 @@
 	return voters(c.members.current())
 }
 
-// ignoresVoteRequest reports whether a vote request must not even raise the term.
-// While a leader was heard within the election timeout its lease may count on
-// this member, so only a transfer that the leader itself began may pass. This
-// also keeps a member that was removed, or cut off alone, from raising terms.
+// ignoresVoteRequest reports whether a vote request is dropped without raising the
+// term. The lease of a leader that made contact within the election timeout may count
+// on this member, so only a transfer that this leader started may pass. This also
+// keeps a removed or partitioned member from raising terms.
 func (c *Core) ignoresVoteRequest(m Message) bool {
 	return c.hasRecentLeader() && !m.Force
 }
 
-// onPreVote answers whether a vote would be granted, and changes nothing.
+// onPreVote answers whether a vote would be granted. It changes no state.
 func (c *Core) onPreVote(m Message) {
 	grant := m.Term > c.term && !c.hasRecentLeader() && c.role != Recovering && c.log.upToDate(m.Index, m.LogTerm)
 	reply := Message{Type: MsgPreVoteReply, To: m.From, Term: m.Term, Reject: !grant}
@@ -104,7 +107,7 @@
 	c.notifyNonMember(m.From)
 }
 
-// onVote decides on a request of the member's own term.
+// onVote answers a vote request of the member's own term.
 func (c *Core) onVote(m Message) {
 	grant := c.grantsVote(m)
 	if grant {
@@ -122,10 +125,10 @@
 	c.send(reply)
 }
 
-// grantsVote: one vote a term, and only for a log that holds at least what the
-// own one does, so that a leader has every committed entry. A member that has
-// forgotten what it acknowledged can't judge that, and takes part only in a
-// cold start, where all the others judge too.
+// grantsVote reports whether to grant a vote request: one vote a term, and only for a
+// log that holds at least as much as this member's, so that a leader has every
+// committed entry. A recovering member can't judge that and grants only a cold start,
+// in which all the other voters judge as well.
 func (c *Core) grantsVote(m Message) bool {
 	if c.vote != "" && c.vote != m.From {
 		return false
@@ -136,7 +139,7 @@
 	return c.log.upToDate(m.Index, m.LogTerm)
 }
 
-// onVoteReply counts an answer to the round under way.
+// onVoteReply counts a reply to the current round.
 func (c *Core) onVoteReply(m Message) {
 	if m.Reject && c.wantsLog(m.Index, m.LogTerm) {
 		c.startLogFetch(m.From)
@@ -154,7 +157,8 @@
 	c.countVotes()
 }
 
-// countVotes goes on when the round is won.
+// countVotes starts the election after a won pre-vote and makes this member leader
+// after a won election.
 func (c *Core) countVotes() {
 	list := c.electorate()
 	granted := 0
@@ -179,7 +183,7 @@
 	}
 }
 
-// onTimeoutNow: the leader hands over; its voters are asked at once.
+// onTimeoutNow campaigns at once because the leader transfers its leadership.
 func (c *Core) onTimeoutNow(m Message) {
 	if c.role != Follower || c.leader != m.From || !c.mayLead() {
 		return
--- a/replica/election_timeout.go
+++ b/replica/election_timeout.go
@@ -1,24 +1,24 @@
 package replica
 
 const (
-	// gapWindowTicks is for how long the widest gap between two signs of life of a leader
-	// is remembered at least: 200 ticks of 50 ms are 10 s.
+	// gapWindowTicks is the least number of ticks for which the widest gap between
+	// two messages of a leader is remembered: 200 ticks of 50 ms are 10 s.
 	gapWindowTicks = 200
-	// gapFactor times the widest gap seen, and one tick, a member waits before it
-	// stands for election.
+	// gapFactor times the widest gap, plus one tick, is the least election timeout.
 	gapFactor = 2
-	// maxTimeoutFactor bounds the wait, in election timeouts.
+	// maxTimeoutFactor bounds the least election timeout, in multiples of
+	// Config.ElectionTicks.
 	maxTimeoutFactor = 4
 )
 
-// gaps are the widest gaps between two signs of life of one leader, in ticks: in the
-// span under way and in the one before.
+// heartbeatGaps holds the widest gaps between two messages of one leader, in ticks:
+// in the current window and in the previous one.
 type heartbeatGaps struct {
 	windowStart            uint64
 	widest, previousWidest int
 }
 
-// note takes in that a leader was heard again after gap ticks.
+// record adds the gap before a message of the leader, in ticks.
 func (g *heartbeatGaps) record(gap int, now uint64) {
 	if now-g.windowStart >= gapWindowTicks {
 		g.windowStart, g.previousWidest, g.widest = now, g.widest, 0
@@ -26,13 +26,13 @@
 	g.widest = max(g.widest, gap)
 }
 
-// patience is how many ticks without a sign of life let this member stand for
-// election: more than the gaps that it has seen and that the leader outlived.
+// minElectionTimeout returns the least election timeout in ticks. It is longer than
+// the recent gaps between the leader's messages after which the leader did continue.
 //
-// Failure guarded against: a leader that has much to do sends its heartbeats late.
-// The others elect a new one, whose first work is the longest of all, so that it is
-// late sooner, and so on without end. The
-// refusal of votes isn't prolonged by it, so no leader's lease counts on it.
+// Without it, a leader under load that sends its heartbeats late is replaced. The new
+// leader's first work is the longest of all, so it is late even sooner, and elections
+// go on without end. The time for which votes are refused isn't extended, so no
+// leader's lease depends on this value.
 func (c *Core) minElectionTimeout() int {
 	base := c.cfg.ElectionTicks
 	widest := max(c.heartbeatGaps.widest, c.heartbeatGaps.previousWidest)
--- a/replica/example_test.go
+++ b/replica/example_test.go
@@ -6,9 +6,8 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// Three members without disks start blank, elect a leader, and commit two
-// commands. The loop is what a driver does: tick, carry out each Ready, pass
-// the messages on, advance.
+// Three diskless members start without state, elect a leader and commit two commands.
+// The loop shows a driver: tick, carry out each Ready, deliver the messages, advance.
 func Example() {
 	members := []replica.Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 	cores := map[string]*replica.Core{}
--- a/replica/incarnations.go
+++ b/replica/incarnations.go
@@ -8,21 +8,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// incarnations is the vector of the latest known incarnations. It only grows.
+// incarnations is the vector of the latest known incarnations of all members. Its
+// values only grow.
 //
-// It closes the following hole: a diskless member votes or acknowledges, dies,
-// comes back blank and learns nothing of that promise, because the message
-// carrying it is still on its way; the late message then completes a quorum
-// with a member that no longer keeps the promise. A recovering member leaves
-// its new incarnation with a majority, so each quorum that the late message
-// could complete has a member that either answered before it promised (then
-// its message names the new incarnation and the late one is discarded) or
-// promised before it answered (then the recovering member learned the term).
+// It guards against the following failure. A diskless member votes or acknowledges,
+// fails and restarts without state. It learns nothing of its vote, because the
+// message that carries it is still in flight. The delayed message then completes a
+// quorum with a member that no longer honours the vote. To prevent this, a recovering
+// member registers its new incarnation with a majority. Each quorum that the delayed
+// message could complete then has a member that either replied before it voted (its
+// message names the new incarnation, so the delayed one is discarded) or voted before
+// it replied (the recovering member learned the term from it).
 type incarnations struct {
 	list   []MemberIncarnation
 	digest uint64
 }
 
+// newIncarnations returns the vector of list, sorted by ID.
 func newIncarnations(list []MemberIncarnation) incarnations {
 	in := incarnations{list: slices.Clone(list)}
 	slices.SortFunc(in.list, func(a, b MemberIncarnation) int { return cmp.Compare(a.ID, b.ID) })
@@ -30,6 +32,7 @@
 	return in
 }
 
+// find returns the position of id in the list, or where to insert it.
 func (in *incarnations) find(id string) (int, bool) {
 	return slices.BinarySearchFunc(in.list, id, func(k MemberIncarnation, id string) int { return cmp.Compare(k.ID, id) })
 }
@@ -43,13 +46,13 @@
 	return in.list[i].Incarnation
 }
 
-// held reports whether id is known to have taken part.
+// participated reports whether id is known to have taken part in the group.
 func (in *incarnations) participated(id string) bool {
 	i, ok := in.find(id)
 	return ok && in.list[i].Participated
 }
 
-// latest returns the highest incarnation of all.
+// highest returns the highest incarnation of all members.
 func (in *incarnations) highest() uint64 {
 	highest := uint64(0)
 	for _, k := range in.list {
@@ -58,8 +61,8 @@
 	return highest
 }
 
-// merge notes what k tells and reports whether its incarnation is news. The
-// list is copied on change, because HardStates and messages share it.
+// merge adds k and reports whether its incarnation is newer than the known one. It
+// copies the list before a change, because HardStates and messages share it.
 func (in *incarnations) merge(k MemberIncarnation) bool {
 	i, ok := in.find(k.ID)
 	next := k
@@ -82,6 +85,7 @@
 	return newer
 }
 
+// updateDigest recomputes the digest of the vector.
 func (in *incarnations) updateDigest() {
 	var buf []byte
 	for _, k := range in.list {
--- a/replica/leader.go
+++ b/replica/leader.go
@@ -6,10 +6,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// leadership is what only a leader keeps.
+// leaderState is the state that only a leader has.
 type leaderState struct {
 	progress map[string]*progress
-	// since is the tick of the election, firstIndex the own no-op entry.
+	// electedAt is the tick of the election, firstIndex the index of the leader's own
+	// no-op entry.
 	electedAt          uint64
 	firstIndex         uint64
 	heartbeatCountdown int
@@ -18,7 +19,7 @@
 	reads              readRounds
 }
 
-// becomeLeader starts to lead in the current term. The empty entry is what
+// becomeLeader makes this member the leader of the current term. Its no-op entry
 // commits the entries of earlier terms.
 func (c *Core) becomeLeader() {
 	c.role = Leader
@@ -32,7 +33,7 @@
 	c.leaderState.firstIndex = c.appendEntry(EntryNoop, nil)
 }
 
-// syncProgress follows a change of the membership.
+// syncProgress adds and removes progress to match the current membership.
 func (c *Core) syncProgress() {
 	list := c.members.current()
 	for id := range c.leaderState.progress {
@@ -47,22 +48,23 @@
 	}
 }
 
+// clearLeaderState drops the leader state when this member steps down.
 func (c *Core) clearLeaderState() {
 	c.leaderState = leaderState{}
 }
 
-// appendEntry adds an entry of the current term and returns its index.
+// appendEntry appends an entry of the current term and returns its index.
 func (c *Core) appendEntry(kind EntryKind, data []byte) uint64 {
 	index := c.log.last() + 1
 	c.log.append(Entry{Index: index, Term: c.term, Kind: kind, Data: data})
 	return index
 }
 
-// Propose appends commands and returns the index of the first one and their
-// term. They are committed once entries of that index and term come out of
-// Ready.Committed; another term at the index means that they never will be.
-// ErrNotLeader when this member isn't a leader that may decide,
-// ErrTransferring while it hands over.
+// Propose appends commands and returns the index of the first one and their term.
+// They are committed once entries of that index and term appear in Ready.Committed.
+// Another term at the index means that they never will be. Errors: ErrNotLeader when
+// this member isn't a leader that may decide, ErrTransferring during a leadership
+// transfer.
 func (c *Core) Propose(data ...[]byte) (first uint64, term uint64, err error) {
 	if err := c.checkCanPropose(); err != nil {
 		return 0, 0, err
@@ -74,6 +76,8 @@
 	return first, c.term, nil
 }
 
+// checkCanPropose returns ErrNotLeader or ErrTransferring when this member may not
+// propose.
 func (c *Core) checkCanPropose() error {
 	if c.role == Leader && c.leaderState.transfer.to != "" {
 		return errors.Wrapf(ErrTransferring, "to %s", c.leaderState.transfer.to)
@@ -84,26 +88,26 @@
 	return nil
 }
 
-// canDecide: the leader's lease runs and it has committed an entry of its own
-// term, so it knows all that was committed before.
+// canDecide reports whether this leader's lease is valid and it has committed an
+// entry of its own term, so that it knows all earlier committed entries.
 func (c *Core) canDecide() bool {
 	return c.role == Leader && c.commit >= c.leaderState.firstIndex && c.leaseValid() && !c.leaderState.transfer.timeoutNowSent
 }
 
-// leaseValid reports whether a majority answered a heartbeat that was sent
-// within the lease. Counted from the sending, by the leader's own ticks.
+// leaseValid reports whether a majority answered a message sent within the lease. The
+// lease runs from the sending, in the leader's own ticks.
 func (c *Core) leaseValid() bool {
 	return c.now-c.quorumAckTick() < uint64(c.cfg.leaseTicks())
 }
 
-// quorumAckTick returns the latest own tick such that a majority of the voters
-// have answered something sent at that tick or later.
+// quorumAckTick returns the latest tick of this member such that a majority of the
+// voters has answered messages sent at that tick or later.
 func (c *Core) quorumAckTick() uint64 {
 	return c.quorumValue(c.now, func(p *progress) uint64 { return p.ackedTick })
 }
 
-// quorumValue returns the largest value that a majority of the voters reaches,
-// where own is this member's value.
+// quorumValue returns the largest value that a majority of the voters reaches. own is
+// this member's value; recovering members count as zero.
 func (c *Core) quorumValue(own uint64, of func(*progress) uint64) uint64 {
 	list := voters(c.members.current())
 	values := make([]uint64, 0, len(list))
@@ -121,11 +125,14 @@
 	return values[len(values)-(len(list)/2+1)]
 }
 
-// stepDownTimeouts is how many election timeouts without answers of a majority make a
-// leader step down. Its lease has ended long before, so it decides nothing meanwhile;
-// but where it was only held up itself, it goes on, and no election is needed.
+// stepDownTimeouts is the number of election timeouts without replies of a majority
+// after which a leader steps down. Its lease has expired long before, so it decides
+// nothing meanwhile. A leader that was only delayed itself resumes without an
+// election.
 const stepDownTimeouts = 2
 
+// tickLeader schedules heartbeats, steps down without a quorum and expires a
+// transfer.
 func (c *Core) tickLeader() {
 	c.leaderState.heartbeatCountdown--
 	if c.leaderState.heartbeatCountdown <= 0 {
@@ -133,24 +140,23 @@
 		c.leaderState.heartbeatDue = true
 	}
 	if c.now-max(c.quorumAckTick(), c.leaderState.electedAt) >= stepDownTimeouts*uint64(c.cfg.ElectionTicks) {
-		// No majority answers: another leader may exist by now.
+		// No majority answers, so another leader may exist already.
 		c.follow(c.term, "")
 		return
 	}
 	c.tickTransfer()
 }
 
-// onLogSynced counts the leader's own log as far as it is synced.
+// onLogSynced counts the leader's own log up to its last synced entry.
 func (c *Core) onLogSynced() {
 	c.maybeCommit()
 }
 
-// maybeCommit advances the commit index. Three rules:
-// a majority of the voters holds the entry; the entry is of the own term (an
-// entry of an earlier term on a majority may still be overwritten by a leader
-// that never saw it, until one of the own term follows it); and while a disk
-// voter answers, one disk voter has synced it, so that it outlives a loss of
-// power everywhere.
+// maybeCommit advances the commit index to an entry that meets three rules. A
+// majority of the voters holds it. It is of the leader's own term: a leader that
+// never saw an entry of an earlier term may overwrite it, even on a majority, until
+// an entry of the own term follows it. While a disk voter answers, some disk voter
+// has synced it, so that it survives a loss of power of all members.
 func (c *Core) maybeCommit() {
 	index := c.quorumValue(c.log.stable, func(p *progress) uint64 { return p.match })
 	if c.diskVoterAvailable() {
@@ -167,7 +173,7 @@
 	c.confirmReads()
 }
 
-// diskMatch returns the last index that some disk voter has synced.
+// diskMatch returns the highest index that some disk voter has synced.
 func (c *Core) diskMatch() uint64 {
 	best := uint64(0)
 	for _, m := range voters(c.members.current()) {
@@ -185,12 +191,11 @@
 	return best
 }
 
-// diskVoterAvailable reports whether the commit rule can count on a disk voter: one
-// that answered within the election timeout and isn't catching up with entries
-// that were committed without it. A new leader gives the disk voters one
-// heartbeat interval to answer for the first time: one that lives answers its
-// first append at once, and when the lost leader was the only disk voter, all
-// starts wait for as long.
+// diskVoterAvailable reports whether commits can wait for a disk voter: one that
+// answered within the election timeout and isn't catching up with entries that were
+// committed without it. A new leader gives the disk voters one heartbeat interval for
+// their first reply. A live one answers its first append at once, and if the previous
+// leader was the only disk voter, all commits wait for that long.
 func (c *Core) diskVoterAvailable() bool {
 	for _, m := range voters(c.members.current()) {
 		if !m.HasDisk {
@@ -208,14 +213,14 @@
 	return false
 }
 
-// responsive reports whether a member answered within the election timeout
-// and remembers its promises.
+// responsive reports whether a member that isn't recovering answered within the
+// election timeout.
 func (c *Core) responsive(p *progress) bool {
 	return !p.recovering && c.now-p.ackedTick < uint64(c.cfg.ElectionTicks)
 }
 
-// markLagging marks the disk voters that a degraded commit left behind; they
-// count again once they hold what is committed.
+// markLagging marks the disk voters that miss entries committed without them. They
+// count again once they hold all committed entries.
 func (c *Core) markLagging() {
 	for _, m := range voters(c.members.current()) {
 		if p := c.leaderState.progress[m.ID]; m.HasDisk && m.ID != c.cfg.ID {
--- a/replica/lease_test.go
+++ b/replica/lease_test.go
@@ -6,15 +6,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// ack acknowledges everything that the leader c has, sent at tick.
+// ackAll acknowledges all entries of the leader c in reply to a message sent at tick.
 func ackAll(t *testing.T, c *Core, from string, tick uint64) {
 	stepFromPeer(t, c, Message{Type: MsgAppendReply, From: from, Term: c.term, Index: c.log.last(), Tick: tick, ReadRound: c.leaderState.reads.round})
 }
 
-// A leader whose last answered heartbeat is old goes on deciding while its
-// followers elect another one. The lease counts from when the heartbeat was
-// sent and ends at least two ticks, one for the phase of each clock, before a
-// follower that got it at once may vote.
+// A leader must not decide any more once its followers may elect another one. The
+// lease runs from the sending of the last answered heartbeat and ends at least two
+// ticks, one for the phase of each clock, before a follower that received it at once
+// may vote.
 func TestLeaseEndsBeforeVotes(t *testing.T) {
 	for _, age := range []uint64{0, 3} {
 		c := leaderCore(t, "n0", "n1", "n2")
@@ -32,8 +32,8 @@
 	}
 }
 
-// A member answers a heartbeat, restarts at once and is asked for a vote. The
-// leader's lease still counts on it, so it refuses for a whole timeout.
+// A member answers a heartbeat, restarts at once and receives a vote request. The
+// leader's lease still counts on it, so it must refuse for a whole election timeout.
 func TestRestartedMemberRefusesVotes(t *testing.T) {
 	list := []Member{{ID: "n0", HasDisk: true}, {ID: "n1"}, {ID: "n2"}}
 	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: list}, StoredState{HardState: HardState{Term: 3, Incarnation: 1}})
@@ -48,8 +48,9 @@
 	must.Eq(t, "n1", c.vote)
 }
 
-// A read is answered from a leader that was deposed without knowing it, and
-// misses what its successor did. It waits for answers sent after it began.
+// A leader that was deposed without noticing must not answer a read, since it lacks
+// the writes of the next leader. A read waits for replies to messages sent after it
+// arrived.
 func TestReadWaitsForQuorum(t *testing.T) {
 	c := leaderCore(t, "n0", "n1", "n2")
 	ackAll(t, c, "n1", c.now)
@@ -63,8 +64,9 @@
 	must.Eq(t, []ReadState{{Token: 77, Index: 3}}, c.reads)
 }
 
-// The leader sends before it has synced. Its disk must not count before that,
-// or a loss of power could take a committed entry from all disks.
+// The leader sends entries before it has synced them. Its own acknowledgement must
+// not count before the sync, or a loss of power could remove a committed entry from
+// all disks.
 func TestLeaderAckWaitsForSync(t *testing.T) {
 	c := leaderCore(t, "n0", "n1", "n2")
 	ackAll(t, c, "n1", c.now)
@@ -81,8 +83,8 @@
 	must.Eq(t, 5, c.commit)
 }
 
-// A blank member answers that it holds the log, but not yet all that it may
-// have acknowledged before. It must not complete a quorum.
+// A recovering member reports that it holds the log, but doesn't yet hold everything
+// that it may have acknowledged before. It must not complete a quorum.
 func TestRecoveringAckIsNotCounted(t *testing.T) {
 	c := leaderCore(t, "n0", "n1", "n2")
 	m := Message{Type: MsgAppendReply, From: "n1", Term: 4, Index: 3, Tick: c.now, Recovering: true}
@@ -95,7 +97,7 @@
 	must.Eq(t, 3, c.commit)
 }
 
-// blank returns n0 of a group of five after a blank restart.
+// coreWithoutState returns n0 of a group of five after a restart without stored state.
 func coreWithoutState(t *testing.T) *Core {
 	var list []Member
 	for _, id := range []string{"n0", "n1", "n2", "n3", "n4"} {
@@ -107,11 +109,11 @@
 	return c
 }
 
-// A blank member asks around while an old leader, cut off, still answers. It
-// voted for the new leader before it died. Led by the old one alone it would
-// help it to commit what the new one doesn't have. It needs a majority, and the
-// leader of the highest term that this majority has heard of; the vote of that
-// term counts as spent.
+// A member without state requests the state of the others while a partitioned old
+// leader still replies. Before the restart the member had voted for a new leader.
+// Following only the old leader, it would help it to commit entries that the new one
+// lacks. It needs the replies of a majority and of the leader of the highest term
+// that this majority reports, and its vote of that term counts as given.
 func TestRecoveryNeedsMajorityAndLatestLeader(t *testing.T) {
 	c := coreWithoutState(t)
 	members := c.members.current()
@@ -130,13 +132,13 @@
 	appendFrom("n1", 3, 2)
 	replyState("n2", 3, false, true) // itself recovering
 	must.Eq(t, Recovering, c.role)
-	replyState("n2", 4, false, false) // has heard of a later leader
+	replyState("n2", 4, false, false) // knows the term of a later leader
 	replyState("n3", 3, false, false)
 	must.Eq(t, Recovering, c.role)
 	replyState("n4", 4, true, false)
 	must.Eq(t, 4, c.term)
 	must.Eq(t, "n4", c.vote)
-	appendFrom("n4", 4, 1) // not yet up to the leader's last entry
+	appendFrom("n4", 4, 1) // still before the leader's last entry
 	must.Eq(t, Recovering, c.role)
 	appendFrom("n4", 4, 2)
 	must.Eq(t, Follower, c.role)
@@ -145,9 +147,9 @@
 	must.True(t, c.incarnations.participated("n0"))
 }
 
-// After a loss of power n0 has the disk. It must not lead with a part of the
-// voters: the missing one may have data that nobody else has, or lead. Nor may
-// it lead when the last vote brings the news that two disks were lost.
+// After a loss of power n0 still has its disk. It must not lead with the votes of
+// some voters only: a missing voter may lead or hold entries that no other member
+// has. It must not lead either when the last vote reveals that two disks were lost.
 func TestColdStartNeedsEveryVoter(t *testing.T) {
 	for participated, role := range map[bool]Role{false: Leader, true: Candidate} {
 		c := coldStartCandidate(t)
@@ -160,7 +162,7 @@
 	}
 }
 
-// coldStartCandidate returns n0 of three disk members, asking for a cold start.
+// coldStartCandidate returns n0 of three disk members as a candidate in a cold start.
 func coldStartCandidate(t *testing.T) *Core {
 	c := candidateCore(t, "n0", "n1", "n2")
 	for _, id := range []string{"n1", "n2"} {
@@ -171,9 +173,9 @@
 	return c
 }
 
-// A wall clock that went back numbers a new start below the old one. The
-// member takes a later number when it hears of the old one; a member that runs
-// twice stops.
+// After the wall clock went back, a new start has a lower incarnation than an earlier
+// one. A recovering member takes a higher one when it learns of the earlier one. Any
+// other member panics, because its ID runs twice.
 func TestIncarnationBelowKnownOne(t *testing.T) {
 	c := coreWithoutState(t)
 	stepFromPeer(t, c, Message{Type: MsgAppend, From: "n1", Term: 3}, MemberIncarnation{ID: "n0", Incarnation: 20})
@@ -184,9 +186,9 @@
 	})
 }
 
-// A disk learner may have been promoted by an entry that n0 lacks, and hold
-// what was committed since. n0 waits for its answer and doesn't lead while it
-// is behind.
+// An entry that n0 lacks may have promoted a disk learner, which may then hold
+// entries committed since. n0 must wait for its reply and must not lead while it is
+// behind it.
 func TestColdStartWaitsForDiskLearner(t *testing.T) {
 	for index, kind := range map[uint64]campaignKind{2: coldStarting, 3: preVoting} {
 		c := candidateCore(t, "n0", "n1", "n2")
@@ -201,10 +203,10 @@
 	}
 }
 
-// What a user sees: a busy leader is replaced again and again, and nothing is served.
-// Order: a leader's signs of life come late, time after time, but come; a member
-// stands for election in each gap.
-// Cause: how long it waits didn't follow from what it had seen.
+// A busy leader whose heartbeats are often late must not be replaced again and again,
+// since nothing is served meanwhile. A member that has seen such gaps waits longer
+// before it campaigns. The lease and the time for which votes are refused stay the
+// same.
 func TestElectionTimeoutFollowsHeartbeatGaps(t *testing.T) {
 	c := followerCore(t)
 	must.Eq(t, defaultElectionTicks, c.minElectionTimeout())
@@ -218,14 +220,14 @@
 	must.Eq(t, defaultElectionTicks, c.minElectionTimeout(), must.Sprint("short gaps change nothing"))
 	contactAfter(defaultElectionTicks - 2)
 	must.Eq(t, gapFactor*(defaultElectionTicks-2)+1, c.minElectionTimeout())
-	must.Eq(t, defaultElectionTicks, c.cfg.ElectionTicks, must.Sprint("the lease and the refusal of votes stay"))
+	must.Eq(t, defaultElectionTicks, c.cfg.ElectionTicks, must.Sprint("the lease and the time of refused votes stay the same"))
 	for range 2 * gapWindowTicks {
 		contactAfter(1)
 	}
-	must.Eq(t, defaultElectionTicks, c.minElectionTimeout(), must.Sprint("forgotten after a while"))
+	must.Eq(t, defaultElectionTicks, c.minElectionTimeout(), must.Sprint("gaps expire"))
 }
 
-// followerCore is a member that has heard the leader n1.
+// followerCore returns n0, restarted from disk, as a follower of the leader n1.
 func followerCore(t *testing.T) *Core {
 	list := []Member{{ID: "n0", HasDisk: true}, {ID: "n1"}, {ID: "n2"}}
 	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: list}, StoredState{HardState: HardState{Term: 3, Incarnation: 1}})
--- a/replica/log.go
+++ b/replica/log.go
@@ -6,8 +6,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// entryLog is the kept part of the log. prevIndex and prevTerm are those of
-// the entry before the first kept one.
+// entryLog is the part of the log that isn't compacted. prevIndex and prevTerm are
+// the index and term of the entry before the first one it holds.
 type entryLog struct {
 	entries   []Entry
 	prevIndex uint64
@@ -16,24 +16,26 @@
 	stable uint64
 }
 
+// newEntryLog returns the log of a stored state, or ErrStoredState when its entries
+// have gaps.
 func newEntryLog(stored StoredState) (entryLog, error) {
 	l := entryLog{prevIndex: stored.Snapshot.Index, prevTerm: stored.Snapshot.Term}
 	entries := slices.Clone(stored.Entries)
 	if len(entries) > 0 && entries[0].Index <= l.prevIndex {
-		// A kept tail before the snapshot serves members that lag a little. Its
-		// first entry only tells the term that an append after it must name.
+		// The entries before the snapshot serve members that lag a little. The first
+		// of them only supplies the term that an append after it must name.
 		l.prevIndex, l.prevTerm = entries[0].Index, entries[0].Term
 		entries = entries[1:]
 	}
 	for i, e := range entries {
 		if e.Index != l.prevIndex+1+uint64(i) {
-			return l, errors.Wrapf(ErrStoredState, "entry %d follows %d", e.Index, l.prevIndex+uint64(i))
+			return l, errors.Wrapf(ErrStoredState, "entry %d follows entry %d", e.Index, l.prevIndex+uint64(i))
 		}
 	}
 	l.entries = entries
 	if !l.matches(stored.Snapshot.Index, stored.Snapshot.Term) {
-		// The snapshot came from a leader and replaces a log that ends before
-		// it or contradicts it.
+		// The snapshot came from a leader. It replaces a log that ends before it or
+		// contradicts it.
 		l = entryLog{prevIndex: stored.Snapshot.Index, prevTerm: stored.Snapshot.Term}
 	}
 	l.stable = l.last()
@@ -48,7 +50,7 @@
 	return term
 }
 
-// term returns the term of the entry at index; false when it isn't kept.
+// term returns the term of the entry at index, or false when the log doesn't hold it.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	switch {
 	case index == l.prevIndex:
@@ -59,13 +61,14 @@
 	return l.entries[index-l.first()].Term, true
 }
 
+// matches reports whether the log holds an entry of that index and term.
 func (l *entryLog) matches(index, term uint64) bool {
 	got, ok := l.term(index)
 	return ok && got == term
 }
 
-// slice returns the entries from..to, both included, without copying. Entries
-// are never changed in place, so the slice stays valid.
+// slice returns the entries from..to, both included, without copying. Entries are
+// never changed in place, so the slice stays valid.
 func (l *entryLog) slice(from, to uint64) []Entry {
 	if from > to {
 		return nil
@@ -78,8 +81,8 @@
 	l.entries = append(l.entries, entries...)
 }
 
-// truncate drops all entries from index on. The rest is copied, because
-// slices handed out earlier share the array.
+// truncate drops all entries from index on. It copies the rest, because slices
+// returned earlier share the array.
 func (l *entryLog) truncate(index uint64) {
 	l.entries = slices.Clone(l.entries[:index-l.first()])
 	l.stable = min(l.stable, index-1)
@@ -95,8 +98,8 @@
 	l.prevIndex, l.prevTerm = index, term
 }
 
-// beyond returns the last entry that must go so that those after it, up to and
-// including index, hold at most so many bytes.
+// lastIndexOverBytes returns the last index to drop so that the data of the entries
+// after it, up to and including index, takes at most maxBytes.
 func (l *entryLog) lastIndexOverBytes(index uint64, maxBytes int) uint64 {
 	for ; index > l.prevIndex; index-- {
 		maxBytes -= len(l.entries[index-l.first()].Data)
@@ -107,14 +110,14 @@
 	return index
 }
 
-// reset starts the log anew after a snapshot.
+// reset replaces the log by a snapshot that ends at (index, term).
 func (l *entryLog) reset(index, term uint64) {
 	*l = entryLog{prevIndex: index, prevTerm: term, stable: index}
 }
 
-// conflictHint returns an index below prev at which the log of a leader may
-// match: it skips the whole term of the conflicting entry, so that a member
-// that diverged by many entries costs a round trip a term, not one an entry.
+// conflictHint returns an index below prev at which the leader's log may match. It
+// skips the whole term of the conflicting entry, so that a log that diverged by many
+// entries costs one round trip for each term, not one for each entry.
 func (l *entryLog) conflictHint(prev uint64) uint64 {
 	if prev > l.last() {
 		return l.last()
@@ -133,14 +136,14 @@
 	return index
 }
 
-// behind reports whether a log ending at (index, term) holds more than this one.
+// isBehind reports whether a log ending at (index, term) holds more than this one.
 func (l *entryLog) isBehind(index, term uint64) bool {
 	own := l.lastTerm()
 	return term > own || term == own && index > l.last()
 }
 
-// upToDate reports whether a log ending at (index, term) holds at least what
-// this one does.
+// upToDate reports whether a log ending at (index, term) holds at least as much as
+// this one.
 func (l *entryLog) upToDate(index, term uint64) bool {
 	own := l.lastTerm()
 	return term > own || term == own && index >= l.last()
--- a/replica/log_fetch.go
+++ b/replica/log_fetch.go
@@ -1,18 +1,19 @@
 package replica
 
-// A witness can be the only one left that holds the latest committed entries:
-// the leader and the witness acknowledged them, then the leader died. The
-// witness refuses to vote for a log that lacks them and never leads itself, so
-// the group would stand still with a majority alive. It therefore hands its
-// log over to the candidate that it refuses.
+// A witness can be the only live member that holds the latest committed entries: the
+// leader and the witness acknowledged them, then the leader failed. The witness refuses
+// to vote for a log that lacks them and never leads itself, so the group would have no
+// leader although a majority is alive. The refused candidate therefore fetches the log
+// of the witness.
 //
-// Taking over the log of a member that is ahead loses nothing committed: if
-// this member acknowledged a committed entry of term t, then its last term is
-// t or later. A log ahead of it ends in the same term and is longer (both are
-// parts of one leader's log, so nothing conflicts), or in a later term, whose
-// leader had the entry. Nothing taken over is acknowledged to anyone.
+// Fetching the log of a member that is ahead loses no committed entry. If this member
+// acknowledged a committed entry of term t, its last term is t or later. A log ahead of
+// it either ends in the same term and is longer (both are parts of one leader's log, so
+// they don't conflict), or ends in a later term, whose leader had the entry. Fetched
+// entries aren't acknowledged to any member.
 
-// addWitnessLogEnd adds the end of a witness's log to its refusal.
+// addWitnessLogEnd adds the end of this witness's log to its rejection of a vote
+// request when the requester's log lacks entries.
 func (c *Core) addWitnessLogEnd(request Message, reply *Message) {
 	self, ok := c.members.find(c.cfg.ID)
 	if !ok || !self.Witness || c.role == Recovering || c.log.upToDate(request.Index, request.LogTerm) {
@@ -21,23 +22,23 @@
 	reply.Index, reply.LogTerm = c.log.last(), c.log.lastTerm()
 }
 
-// wantsLog reports whether this member, without a leader, should take over a
-// log that ends at (index, term).
+// wantsLog reports whether this member knows no leader and lacks entries of a log
+// that ends at (index, term).
 func (c *Core) wantsLog(index, term uint64) bool {
 	leaderless := c.role != Leader && c.leader == ""
 	return leaderless && c.newSnapshot == nil && c.log.isBehind(index, term)
 }
 
-// handover is the question to a witness that is open, if any. One at a time:
-// each refusal of each round would begin another one otherwise.
+// logFetch is the pending log request to a witness, if any. There is one at a time:
+// each rejection of each round would start another one otherwise.
 type logFetch struct {
 	pending  bool
 	prev     uint64
 	sentTick uint64
 }
 
-// startLogFetch asks a witness that is ahead for its log, unless a question is
-// open that may still be answered.
+// startLogFetch requests the log of a witness that is ahead, unless an earlier
+// request is pending and not yet older than an election timeout.
 func (c *Core) startLogFetch(witness string) {
 	if c.logFetch.pending && c.now-c.logFetch.sentTick < uint64(c.cfg.ElectionTicks) {
 		return
@@ -45,7 +46,7 @@
 	c.requestLog(witness, c.log.last())
 }
 
-// fetch asks a witness for what follows the entry at prev.
+// requestLog requests the entries after prev from a witness.
 func (c *Core) requestLog(witness string, prev uint64) {
 	prev = max(prev, c.log.prevIndex)
 	term, _ := c.log.term(prev)
@@ -53,9 +54,9 @@
 	c.send(Message{Type: MsgFetch, To: witness, Term: c.term, Index: prev, LogTerm: term})
 }
 
-// onFetch answers with entries, a snapshot, or where the logs may match. The
-// reply names the end of the own log in Tick (term) and Read (index), so that
-// the receiver can judge again whether it is behind.
+// onFetch replies with entries, a snapshot, or an index at which the logs may match.
+// The reply carries the end of this member's log in Tick (the term) and ReadRound
+// (the index), so that the requester can tell whether it still lacks entries.
 func (c *Core) onFetch(m Message) {
 	if c.role == Recovering || c.role == Leader {
 		return
@@ -76,8 +77,8 @@
 	c.send(reply)
 }
 
-// onFetchReply takes the entries over and asks for the rest. It goes on from
-// the last entry that matched: own entries after it may still contradict the
+// onFetchReply adopts the entries and requests the rest. It continues from the last
+// entry that matched, because own entries after it may still conflict with the
 // witness's.
 func (c *Core) onFetchReply(m Message) {
 	if !c.logFetch.pending || c.logFetch.prev != m.Index {
@@ -101,7 +102,8 @@
 	}
 }
 
-// installFetchedSnapshot returns the last index that is sure to match afterwards.
+// installFetchedSnapshot installs a snapshot that the log lacks and returns the last
+// index that is known to match afterwards.
 func (c *Core) installFetchedSnapshot(s Snapshot) uint64 {
 	if s.Index > c.commit && !c.log.matches(s.Index, s.Term) && checkMembers(s.Members) == nil {
 		c.install(s)
--- a/replica/members.go
+++ b/replica/members.go
@@ -7,13 +7,14 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// membership is the history of memberships in the kept log, so that dropping
-// an uncommitted entry also drops the membership that it brought. The latest
-// one is in force as soon as it is in the log.
+// membershipHistory holds the memberships in the log, so that truncating an
+// uncommitted entry also reverts its membership. The latest one is in force as soon
+// as it is in the log.
 type membershipHistory struct {
 	versions []membershipVersion
 }
 
+// membershipVersion is the membership that the entry at index set.
 type membershipVersion struct {
 	index   uint64
 	members []Member
@@ -29,9 +30,10 @@
 // at returns the membership in force at index.
 func (m *membershipHistory) at(index uint64) []Member { return m.versions[m.versionAt(index)].members }
 
-// indexAt returns the index of the entry that brought that membership.
+// indexAt returns the index of the entry that set the membership in force at index.
 func (m *membershipHistory) indexAt(index uint64) uint64 { return m.versions[m.versionAt(index)].index }
 
+// versionAt returns the position in versions of the membership in force at index.
 func (m *membershipHistory) versionAt(index uint64) int {
 	for i := len(m.versions) - 1; i > 0; i-- {
 		if m.versions[i].index <= index {
@@ -50,18 +52,19 @@
 	return out
 }
 
+// push adds the membership that the entry at index sets.
 func (m *membershipHistory) push(index uint64, list []Member) {
 	m.versions = append(m.versions, membershipVersion{index: index, members: list})
 }
 
-// truncate forgets memberships that entries from index on brought.
+// truncate drops the memberships that entries from index on set.
 func (m *membershipHistory) truncate(index uint64) {
 	for len(m.versions) > 1 && m.currentIndex() >= index {
 		m.versions = m.versions[:len(m.versions)-1]
 	}
 }
 
-// compact keeps the memberships needed from index on.
+// compact drops the memberships that aren't needed from index on.
 func (m *membershipHistory) compact(index uint64) {
 	for len(m.versions) > 1 && m.versions[1].index <= index {
 		m.versions = m.versions[1:]
@@ -85,6 +88,7 @@
 	return ok && !m.Learner
 }
 
+// voters returns the members of list that aren't learners.
 func voters(list []Member) []Member {
 	var out []Member
 	for _, m := range list {
@@ -95,7 +99,7 @@
 	return out
 }
 
-// votersOfAll returns each voter of any of the memberships once, in the order
+// votersOfAll returns each voter of any of the memberships once, starting with those
 // of the latest one.
 func votersOfAll(lists [][]Member) []Member {
 	var out []Member
@@ -121,19 +125,19 @@
 func decodeMembers(data []byte) ([]Member, error) {
 	var list []Member
 	if err := cbor.Unmarshal(data, &list); err != nil {
-		return nil, errors.Wrap(err, "membership entry")
+		return nil, errors.Wrap(err, "decode membership entry")
 	}
 	return list, nil
 }
 
-// checkMembers refuses memberships with unnamed or doubled members or without
-// a voter that could lead.
+// checkMembers returns ErrConfig for a membership with an empty or duplicate ID or
+// without a voter that may lead.
 func checkMembers(list []Member) error {
 	seen := make(map[string]bool, len(list))
 	leaders := 0
 	for _, m := range list {
 		if m.ID == "" || seen[m.ID] {
-			return errors.Wrapf(ErrConfig, "member %q is unnamed or doubled", m.ID)
+			return errors.Wrapf(ErrConfig, "member ID %q is empty or duplicate", m.ID)
 		}
 		seen[m.ID] = true
 		if !m.Learner && !m.Witness {
@@ -141,7 +145,7 @@
 		}
 	}
 	if leaders == 0 {
-		return errors.Wrap(ErrConfig, "no voter may lead")
+		return errors.Wrap(ErrConfig, "no member is a voter that may lead")
 	}
 	return nil
 }
--- a/replica/message.go
+++ b/replica/message.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// MessageType tells the messages of the protocol apart.
+// MessageType is the type of a protocol message.
 type MessageType uint8
 
 // Types of messages between the members of a group.
 const (
-	// MsgPreVote asks whether a vote would be granted; it changes nothing.
+	// MsgPreVote asks whether a vote would be granted; it changes no state.
 	MsgPreVote MessageType = iota + 1
 	// MsgPreVoteReply answers MsgPreVote.
 	MsgPreVoteReply
@@ -19,86 +19,88 @@
 	MsgAppend
 	// MsgAppendReply answers MsgAppend and MsgSnapshot.
 	MsgAppendReply
-	// MsgSnapshot carries a snapshot for a member behind the leader's log.
+	// MsgSnapshot carries a snapshot for a member that lacks entries which the
+	// leader's log no longer holds.
 	MsgSnapshot
-	// MsgTimeoutNow tells the target of a leadership transfer to campaign.
+	// MsgTimeoutNow tells the new leader of a leadership transfer to campaign.
 	MsgTimeoutNow
-	// MsgState asks for the receiver's state: its term, log end and whether it
-	// has forgotten its promises. A recovering member sends it under its new
-	// incarnation, which is the nonce that the answer must repeat.
+	// MsgState requests the receiver's state: its term, log end and whether it is
+	// recovering. A recovering member sends it under its new incarnation, which is
+	// the nonce that the reply must repeat.
 	MsgState
 	// MsgStateReply answers MsgState.
 	MsgStateReply
-	// MsgFetch asks a witness for its log after Index.
+	// MsgFetch requests a witness's log after Index.
 	MsgFetch
 	// MsgFetchReply answers MsgFetch.
 	MsgFetchReply
-	// MsgNotMember tells a member that asked that the committed membership, of
-	// entry Index, doesn't have it.
+	// MsgNotMember replies to a request of a member that isn't in the committed
+	// membership; Index is that membership's entry.
 	MsgNotMember
 )
 
-// Message is everything one member tells another. Fields that a type doesn't
-// use are zero and take no room on the wire.
+// Message is any message between members. Fields that a type doesn't use are zero and
+// take no space on the wire.
 type Message struct {
 	Type MessageType `cbor:"1,keyasint"`
 	From string      `cbor:"2,keyasint"`
 	To   string      `cbor:"3,keyasint"`
 	Term uint64      `cbor:"4,keyasint,omitempty"`
-	// Incarnation of the sender.
+	// Incarnation is the sender's incarnation.
 	Incarnation uint64 `cbor:"5,keyasint,omitempty"`
-	// Digest stands for the sender's vector of known incarnations.
+	// IncarnationDigest is the digest of the sender's vector of known incarnations.
 	IncarnationDigest uint64 `cbor:"6,keyasint,omitempty"`
-	// Known is that vector; left out when the receiver's last message showed
-	// the same digest.
+	// KnownIncarnations is that vector. It is left out when the receiver's last
+	// message carried the same digest.
 	KnownIncarnations []MemberIncarnation `cbor:"7,keyasint,omitempty"`
-	// Index and LogTerm: of the entry before Entries in an append, of the last
-	// entry in a vote request, a state reply or a witness's refusal; in an append reply Index is the
-	// last entry known to match, or the refused one.
+	// Index and LogTerm identify the entry before Entries in an append and the last
+	// entry of the log in a vote request, a state reply or a witness's rejection. In
+	// an append reply Index is the last entry known to match, or the rejected one.
 	Index   uint64 `cbor:"8,keyasint,omitempty"`
 	LogTerm uint64 `cbor:"9,keyasint,omitempty"`
-	// Entries follow Index. To save room their indexes are left out, and so is
-	// a term that equals the one before.
+	// Entries follow Index. To save space their indexes are left out, and so is a
+	// term that equals the one before.
 	Entries []Entry `cbor:"10,keyasint,omitempty"`
 	Commit  uint64  `cbor:"11,keyasint,omitempty"`
-	// Reject refuses the vote or the append.
+	// Reject says that the vote, the append or the log request is rejected.
 	Reject bool `cbor:"12,keyasint,omitempty"`
-	// Hint is where a refusing follower's log may match.
+	// RejectHint is an index at which the log of a rejecting member may match.
 	RejectHint uint64 `cbor:"13,keyasint,omitempty"`
-	// Tick is the leader's tick count when it sent an append; echoed in the reply.
+	// Tick is the leader's tick when it sent an append; the reply repeats it.
 	Tick uint64 `cbor:"14,keyasint,omitempty"`
-	// Read is the leader's latest read round; echoed in the reply.
+	// ReadRound is the leader's latest read round; the reply repeats it.
 	ReadRound uint64 `cbor:"15,keyasint,omitempty"`
-	// Force lets a vote pass although a leader was heard lately; set only in
-	// a transfer that the leader itself began.
+	// Force lets a vote request pass although a leader made contact recently. It is
+	// set only in a leadership transfer that the leader started.
 	Force bool `cbor:"16,keyasint,omitempty"`
-	// ColdStart marks a vote that needs every voter's grant.
+	// ColdStart marks an election that needs the vote of every voter.
 	ColdStart bool `cbor:"17,keyasint,omitempty"`
-	// Recovering says that the sender has forgotten its promises.
+	// Recovering says that the sender has lost its state and is recovering.
 	Recovering bool `cbor:"18,keyasint,omitempty"`
-	// Nonce repeats the incarnation of the asker in a state reply.
+	// Nonce repeats the incarnation of the requester in a state reply.
 	Nonce uint64 `cbor:"19,keyasint,omitempty"`
 	// Leader says that the sender of a state reply leads in Term.
 	Leader bool `cbor:"20,keyasint,omitempty"`
 	// Members is the latest membership of a leader that answers MsgState.
 	Members  []Member  `cbor:"21,keyasint,omitempty"`
 	Snapshot *Snapshot `cbor:"22,keyasint,omitempty"`
-	// Earlier are the memberships before Members, from the one that the leader
-	// knows to be committed on; left out when that is Members itself.
+	// EarlierMemberships are the memberships before Members, from the one that the
+	// leader knows to be committed on; left out when that is Members itself.
 	EarlierMemberships [][]Member `cbor:"23,keyasint,omitempty"`
-	// Receiver is the incarnation of the receiver that the message is meant
-	// for; any other drops it. Zero when any may take it.
+	// ReceiverIncarnation is the incarnation that the message is meant for; any other
+	// drops it. Zero when any incarnation may handle it.
 	ReceiverIncarnation uint64 `cbor:"24,keyasint,omitempty"`
-	// afterSync holds back a message that BeforeSync would let go; not sent.
+	// afterSync makes BeforeSync report false for any type. It isn't sent.
 	afterSync bool
 }
 
-// memberships returns those of a leader's answer, the latest one last.
+// memberships returns the memberships of a leader's state reply, the latest one last.
 func (m *Message) memberships() [][]Member {
 	return append(slices.Clone(m.EarlierMemberships), m.Members)
 }
 
-// pack sets the entries that follow Index in their short form.
+// pack sets Entries to entries in their short form, without indexes and repeated
+// terms.
 func (m *Message) pack(entries []Entry) {
 	term := m.LogTerm
 	m.Entries = make([]Entry, len(entries))
@@ -124,13 +126,15 @@
 	return out
 }
 
-// BeforeSync reports whether m may be sent before the HardState and Entries of
-// its Ready are synced. That holds for what promises nothing: a leader's
-// appends (its own acknowledgement counts only after Advance) and questions.
+// BeforeSync reports whether m may be sent before the HardState and Entries of its
+// Ready are synced. That holds for a leader's appends, whose own acknowledgement
+// counts only after Advance, and for pre-vote requests: neither commits the sender to
+// anything.
 //
-// A member that hasn't synced yet that it takes part sends nothing before. Its
-// messages say that it does (Known.Held), and were its state lost in a loss of
-// power, the others would take its disk for one that held committed entries.
+// A member that hasn't yet synced that it takes part sends nothing before the sync.
+// Its messages say that it takes part (MemberIncarnation.Participated). If a loss of
+// power then took its state, the others would treat its disk as a lost one that held
+// committed entries.
 func (m Message) BeforeSync() bool {
 	if m.afterSync {
 		return false
--- a/replica/not_member.go
+++ b/replica/not_member.go
@@ -1,16 +1,17 @@
 package replica
 
-// A removed member gets no entries any more, so it may never see the one that
-// removed it. It would go on asking for votes and states, be refused, and show
-// nobody why. The leader therefore answers such a question with a notice.
+// A removed member receives no entries any more, so it may never receive the one that
+// removed it. It would keep requesting votes and states, be rejected, and never show
+// why. The leader therefore replies to such a request with MsgNotMember.
 //
-// The notice is a hint: a member that has it asks more seldom but doesn't stop,
-// so that one that is late or wrong can't take the last candidate from a group.
+// The message is a hint: its receiver sends requests less often but doesn't stop, so
+// that a delayed or wrong one can't take the last candidate from a group.
 
-// nonMemberIntervalFactor is how much more seldom a member outside of the group asks.
+// nonMemberIntervalFactor multiplies the request interval and the election timeout of
+// a member that isn't in the group.
 const nonMemberIntervalFactor = 8
 
-// notifyNonMember answers a question of a member that is in no membership from the
+// notifyNonMember sends MsgNotMember to a requester that is in no membership from the
 // committed one on.
 func (c *Core) notifyNonMember(id string) {
 	if !c.canDecide() {
@@ -24,9 +25,9 @@
 	c.send(Message{Type: MsgNotMember, To: id, Term: c.term, Index: c.members.indexAt(c.commit)})
 }
 
-// onNotMember takes a notice for true until a leader is heard. One that is no news,
-// of a membership up to the own commit index, is late: this member was added
-// again by a later one.
+// onNotMember accepts the message until a leader makes contact. One about a
+// membership up to the own commit index is delayed: a later membership has added this
+// member again.
 func (c *Core) onNotMember(m Message) {
 	if c.hasRecentLeader() || m.Index <= c.commit {
 		return
@@ -34,7 +35,8 @@
 	c.notMember = true
 }
 
-// requestIntervalFactor is the factor by which this member's questions are rarer.
+// requestIntervalFactor returns the factor by which this member lengthens its request
+// interval and election timeout.
 func (c *Core) requestIntervalFactor() int {
 	if c.notMember {
 		return nonMemberIntervalFactor
--- a/replica/progress.go
+++ b/replica/progress.go
@@ -1,40 +1,42 @@
 package replica
 
-// flowState tells how entries are sent to a member.
+// flowState says how a leader replicates to a member.
 type flowState uint8
 
 const (
 	// probing sends one append at a time until one matches.
 	probing flowState = iota
-	// streaming sends appends without waiting for the answers.
+	// streaming sends appends without waiting for the replies.
 	streaming
-	// snapshotting waits for a snapshot to be taken in.
+	// snapshotting waits until the member has installed a snapshot.
 	snapshotting
 )
 
-// progress is what a leader knows of another member.
+// progress is a leader's view of another member.
 type progress struct {
-	// match is the last index that the member is known to hold; next the one
-	// to be sent next.
+	// match is the last index that the member is known to hold, next the first index
+	// to send.
 	match uint64
 	next  uint64
 	flow  flowState
 	// probeSent holds back a second probe until the next heartbeat.
 	probeSent bool
-	// inflight are the last indexes of appends not yet answered.
+	// inflight holds the last index of each unanswered append.
 	inflight []uint64
-	// snapshotIndex and snapshotTick are of the last snapshot sent.
+	// snapshotIndex is the index of the last snapshot sent, snapshotTick the tick at
+	// which it was sent.
 	snapshotIndex uint64
 	snapshotTick  uint64
-	// heard is the own tick at which the latest answered message was sent.
+	// ackedTick is the leader's tick at which it sent the latest message that was
+	// answered.
 	ackedTick uint64
-	// contact is the own tick at which any answer came, counted or not.
+	// lastReplyTick is the leader's tick of the latest reply, counted or not.
 	lastReplyTick uint64
-	// readRound is the latest read round that the member answered.
+	// readRound is the latest read round that the member confirmed.
 	readRound uint64
 	// recovering members hold entries but acknowledge nothing.
 	recovering bool
-	// lagging disk voters aren't waited for.
+	// lagging disk voters don't hold back commits.
 	lagging bool
 }
 
@@ -42,12 +44,12 @@
 	return &progress{next: next}
 }
 
-// forget drops what a forgotten incarnation had told.
+// resetForIncarnation drops the state that a superseded incarnation reported.
 func (p *progress) resetForIncarnation() {
 	*p = progress{next: p.match + 1, recovering: true, lagging: p.lagging}
 }
 
-// probe falls back to one append at a time from next on.
+// probe returns to one append at a time, from next on.
 func (p *progress) probe(next uint64) {
 	p.flow = probing
 	p.next = max(p.match+1, next)
@@ -55,7 +57,7 @@
 	p.inflight = nil
 }
 
-// matched notes that the member holds the log up to index.
+// matched records that the member holds the log up to index.
 func (p *progress) matched(index uint64) {
 	p.match = max(p.match, index)
 	p.next = max(p.next, p.match+1)
@@ -72,8 +74,8 @@
 	}
 }
 
-// refused handles a refusal of the append after index. Late refusals, of
-// something that has matched since, are ignored.
+// rejected handles the rejection of the append after index. It ignores delayed
+// rejections of entries that have matched since.
 func (p *progress) rejected(index, hint uint64) {
 	switch p.flow {
 	case streaming:
--- a/replica/random_test.go
+++ b/replica/random_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// randomGroups are the groups that the random runs cover.
+// randomGroups are the groups that TestRandom covers.
 var randomGroups = map[string]simOptions{
 	"1 disk":                    {voters: 1, disks: 1},
 	"2 voters, 1 disk":          {voters: 2, disks: 1},
@@ -29,7 +29,8 @@
 	"3 voters, changes, power":  {voters: 3, disks: 1, spares: 2, changes: true, powerLoss: true},
 }
 
-// faultRates are used in turn, from a storm to rare faults.
+// faultRates are the values of simOptions.faultOutcomes that the seeds use in turn,
+// from frequent to rare faults.
 var faultRates = []int{200, 500, 1000, 3000}
 
 func envInt(name string, otherwise int) int {
@@ -39,8 +40,8 @@
 	return otherwise
 }
 
-// TestRandom runs groups under random faults. REPLICA_SEEDS and REPLICA_STEPS
-// make it longer, REPLICA_FIRST sets the first seed.
+// TestRandom runs groups under random faults. REPLICA_SEEDS and REPLICA_STEPS set the
+// number of seeds and steps, REPLICA_FIRST the first seed.
 func TestRandom(t *testing.T) {
 	seeds, steps, first := envInt("REPLICA_SEEDS", 6), envInt("REPLICA_STEPS", 3000), envInt("REPLICA_FIRST", 1)
 	for name, opt := range randomGroups {
--- a/replica/read.go
+++ b/replica/read.go
@@ -2,24 +2,25 @@
 
 import "github.com/cockroachdb/errors"
 
-// readRounds groups read requests: those that come in between two Readys share
-// a round, which each append carries and each answer repeats.
+// readRounds groups read requests. Those that arrive between two Readys share a
+// round, which each append carries and each reply repeats.
 type readRounds struct {
 	round   uint64
 	due     bool
 	pending []pendingRead
 }
 
+// pendingRead is a read that waits for a majority to confirm its round.
 type pendingRead struct {
 	ReadState
 	round uint64
 }
 
-// ReadIndex asks for a linearizable read. Ready.Reads returns the token with
-// the index to wait for once a majority has confirmed, after this call, that
-// this member still leads. A leader that is deposed first never returns it:
-// the caller gives up when Status shows another role or term. ErrNotLeader
-// when this member isn't a leader that may decide.
+// ReadIndex requests a linearizable read. Ready.Reads returns the token with the
+// index to wait for once a majority has confirmed, after this call, that this member
+// still leads. A leader that is deposed first never returns it: the caller stops
+// waiting when Status shows another role or term. It returns ErrNotLeader when this
+// member isn't a leader that may decide.
 func (c *Core) ReadIndex(token uint64) error {
 	if !c.canDecide() {
 		return errors.Wrapf(ErrNotLeader, "leader is %q", c.leader)
@@ -34,7 +35,7 @@
 	return nil
 }
 
-// confirmReads hands out the reads of the rounds that a majority has answered.
+// confirmReads moves the reads of the rounds that a majority has confirmed to Ready.
 func (c *Core) confirmReads() {
 	r := &c.leaderState.reads
 	if len(r.pending) == 0 {
--- a/replica/ready.go
+++ b/replica/ready.go
@@ -6,8 +6,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// HasReady reports whether Ready would return work. It is false while a Ready
-// hasn't been advanced.
+// HasReady reports whether Ready would return work. It is false until the last Ready
+// was passed to Advance.
 func (c *Core) HasReady() bool {
 	if c.readyPending {
 		return false
@@ -19,9 +19,8 @@
 		hs.Commit != c.savedState.Commit || !hs.equalExceptCommit(&c.savedState)
 }
 
-// Ready returns the work to do. Each Ready must be handed to Advance, once its
-// work is done, before the next one is asked for; messages, ticks and
-// proposals may come in between.
+// Ready returns the work to do. Pass each Ready to Advance once its work is done,
+// before calling Ready again. Messages, ticks and proposals may come in between.
 func (c *Core) Ready() Ready {
 	invariant(!c.readyPending, "%s: Ready before Advance", c.cfg.ID)
 	c.flushAppends()
@@ -43,9 +42,10 @@
 	return r
 }
 
-// membershipCommittedAfter reports whether a membership was committed after index. A
-// restart has to know: until it learns that a removal is committed, the removed
-// member, which may never come back, must take part in a cold start.
+// membershipCommittedAfter reports whether a membership was committed after index.
+// The commit index must then be synced: until a restarted member learns that a
+// removal is committed, the removed member, which may never come back, must take part
+// in a cold start.
 func (c *Core) membershipCommittedAfter(index uint64) bool {
 	return c.members.indexAt(c.commit) > index
 }
@@ -60,7 +60,7 @@
 	return c.log.slice(from+1, c.commit)
 }
 
-// Advance says that the work of r is done: written, synced, sent and applied.
+// Advance reports that the work of r is done: written, synced, sent and applied.
 func (c *Core) Advance(r Ready) {
 	invariant(c.readyPending, "%s: Advance without Ready", c.cfg.ID)
 	c.readyPending = false
@@ -77,14 +77,14 @@
 	if n := len(r.Committed); n > 0 {
 		c.applied = max(c.applied, r.Committed[n-1].Index)
 	}
-	invariant(c.applied <= c.commit, "%s: applied %d after commit %d", c.cfg.ID, c.applied, c.commit)
+	invariant(c.applied <= c.commit, "%s: applied index %d is after commit index %d", c.cfg.ID, c.applied, c.commit)
 	if c.role == Leader {
 		c.onLogSynced()
 	}
 }
 
-// advanceStable notes what the caller has synced. The log may have been cut
-// and refilled meanwhile: only an entry that is still there counts.
+// advanceStable records the entries that the caller has synced. The log may have been
+// truncated and extended meanwhile, so only an entry that it still holds counts.
 func (c *Core) advanceStable(entries []Entry) {
 	for i := len(entries) - 1; i >= 0; i-- {
 		if c.log.matches(entries[i].Index, entries[i].Term) {
@@ -94,9 +94,9 @@
 	}
 }
 
-// SnapshotAt returns the snapshot to store for an applied index, with the term
-// and the membership of that index filled in. ErrBadSnapshot when index isn't
-// an applied index that the log still knows.
+// SnapshotAt returns the snapshot to store for an applied index, with the term and
+// the membership of that index. It returns ErrBadSnapshot when index isn't an applied
+// index that the log still holds.
 func (c *Core) SnapshotAt(index uint64, data []byte) (Snapshot, error) {
 	term, ok := c.log.term(index)
 	if !ok || index > c.applied {
@@ -109,10 +109,10 @@
 	return Snapshot{Index: index, Term: term, Members: list, Data: data}, nil
 }
 
-// Compact drops the entries that the caller's stored snapshot at s.Index
-// covers, but for the last Config.KeepEntries and KeepBytes. A snapshot older than the
-// current one, or not of an applied index, is ignored. Term and Members are
-// filled in when they are empty.
+// Compact drops the entries up to the caller's stored snapshot at s.Index, except for
+// the last ones within Config.KeepEntries and KeepBytes. It ignores a snapshot that
+// is older than the current one or not of an applied index. It fills in Term and
+// Members from the log.
 func (c *Core) Compact(s Snapshot) {
 	if s.Index <= c.snapshot.Index {
 		return
--- a/replica/recovery.go
+++ b/replica/recovery.go
@@ -1,28 +1,28 @@
 package replica
 
-// recovery is how a member that has forgotten its promises comes back.
+// recovery is the state of a member that has lost its state and rejoins the group.
 //
-// It gives its new incarnation to all members and waits for the answers of a
-// majority of the voters, none of them recovering, with that of the leader of
-// the highest term heard among them. Any quorum that its forgotten promises
-// helped to form shares a member with that majority. So it learns the highest
-// term in which it may have voted (there its vote counts as spent), and the
-// leader's last entry at its answer lies at or after all that it may have
-// acknowledged to that leader; what it acknowledged to earlier ones and was
-// committed is in that leader's log. It votes and acknowledges nothing before
-// it holds the leader's log up to there.
+// The member tells all members its new incarnation. It waits for the replies of a
+// majority of the voters, none of them recovering, including the leader of the
+// highest term reported in the replies. Any quorum that the member's lost votes and
+// acknowledgements helped to form shares a member with that majority. So it learns
+// the highest term in which it may have voted, and its vote of that term counts as
+// given. The leader's last entry in its reply is at or after everything that the
+// member may have acknowledged to that leader. Committed entries that it acknowledged
+// to earlier leaders are in that leader's log. The member votes and acknowledges
+// nothing before it holds the leader's log up to that entry.
 //
-// The majority must be one in each membership of the answering leader from its
-// last committed one on. A deposed leader may have proposed, and failed to
-// commit, the removal of the very member that leads by now; counted by that
-// proposal alone, the forgotten promises' quorum and the majority needn't share
-// a member, and two leaders in a term or a lost commit would follow. Whatever
-// came after the committed membership needed a quorum of it first, so a majority
-// of it meets every such quorum (searched in spec/membership.pml).
+// The majority must be one in each membership of the replying leader from its last
+// committed one on. A deposed leader may have proposed, and failed to commit, the
+// removal of the very member that leads now. Counted by that proposal alone, the
+// quorum of the lost votes and this majority needn't share a member, and two leaders
+// of one term or a lost commit would follow. Every change after the committed
+// membership needed a quorum of that membership first, so a majority of it meets
+// every such quorum (the model spec/membership.pml checks this).
 type recovery struct {
 	replies          map[string]stateReply
 	requestCountdown int
-	// memberships are those of the leader that answered.
+	// memberships are those of the leader that replied.
 	memberships [][]Member
 	source      recoverySource
 	// matched is the last index at which the log matches that of the leader of
@@ -31,14 +31,14 @@
 	matchedTerm uint64
 }
 
-// recoverySource is the leader whose log must be held up to target.
+// recoverySource is the leader whose log the member must hold up to requiredIndex.
 type recoverySource struct {
 	leader        string
 	term          uint64
 	requiredIndex uint64
 }
 
-// answer is what another member said of itself.
+// stateReply is the reply of another member to a state request.
 type stateReply struct {
 	receivedTick uint64
 	term         uint64
@@ -50,6 +50,8 @@
 	memberships [][]Member
 }
 
+// tickRecovering repeats the state requests and tries a cold start at each election
+// timeout.
 func (c *Core) tickRecovering() {
 	if !c.hasRecentLeader() {
 		c.leader = ""
@@ -65,16 +67,16 @@
 	}
 }
 
-// requestState asks everybody for their state.
+// requestState sends a state request to all other members.
 func (c *Core) requestState() {
 	for _, id := range c.peers() {
 		c.send(Message{Type: MsgState, To: id, Term: c.term, Recovering: c.role == Recovering})
 	}
 }
 
-// onState answers with the own state. The asker's incarnation was noted when
-// the message came in, and is synced with this Ready before the answer leaves:
-// from now on this member's messages reveal that earlier ones are dead.
+// onState replies with this member's state. The requester's incarnation was recorded
+// when the message arrived and is synced with this Ready before the reply is sent.
+// From then on this member's messages show that earlier incarnations are superseded.
 func (c *Core) onState(m Message) {
 	reply := Message{
 		Type: MsgStateReply, To: m.From, Term: c.term, Nonce: m.Incarnation,
@@ -90,6 +92,7 @@
 	c.notifyNonMember(m.From)
 }
 
+// onStateReply records the reply and tries to recover or to cold start.
 func (c *Core) onStateReply(m Message) {
 	if m.Nonce != c.incarnation || !c.incarnationsKnown(m) {
 		return
@@ -109,7 +112,7 @@
 	}
 }
 
-// tryRecover looks whether the answers suffice.
+// tryRecover chooses the leader to recover from once the replies suffice.
 func (c *Core) tryRecover() {
 	highest := c.term
 	for _, a := range c.recovery.replies {
@@ -136,6 +139,7 @@
 	c.tryEndRecovery()
 }
 
+// leaderReply returns the ID of the leader of term among the replies.
 func (c *Core) leaderReply(term uint64) (string, bool) {
 	for id, a := range c.recovery.replies {
 		if a.leader && a.term == term {
@@ -145,8 +149,9 @@
 	return "", false
 }
 
-// hasRecoveryQuorum: a majority of the voters of a membership, this member not among them; the
-// only other one in a group of two, since it is in every quorum.
+// hasRecoveryQuorum reports whether a majority of the voters of a membership replied
+// and isn't recovering, not counting this member. In a group of two the only other
+// voter suffices, since it is in every quorum.
 func (c *Core) hasRecoveryQuorum(list []Member) bool {
 	count, others := 0, 0
 	for _, m := range voters(list) {
@@ -161,7 +166,8 @@
 	return count >= min(majority(list), others)
 }
 
-// recordMatch: the log matches that of the current term's leader up to index.
+// recordMatch records that the log matches that of the current term's leader up to
+// index.
 func (c *Core) recordMatch(leader string, index uint64) {
 	if c.role != Recovering {
 		return
@@ -174,8 +180,8 @@
 	c.tryEndRecovery()
 }
 
-// tryEndRecovery makes the member a follower once it holds what it may have
-// promised to hold.
+// tryEndRecovery makes the member a follower once it holds everything that it may
+// have acknowledged before.
 func (c *Core) tryEndRecovery() {
 	r := &c.recovery
 	sameTerm := r.source.term == c.term && r.matchedTerm == c.term
--- a/replica/recovery_test.go
+++ b/replica/recovery_test.go
@@ -6,8 +6,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// deposed is a group of three of which n0 led and is cut off, with a removal of
-// n1 that only its own log holds; n1 leads the others and has committed since.
+// newSimWithDeposedLeader returns a group of three whose leader n0 is partitioned,
+// with a removal of n1 that only its own log holds. n1 leads the others and has
+// committed since.
 func newSimWithDeposedLeader(t *testing.T, opt simOptions, frozen bool) *sim {
 	s := newSimWithLeader(t, opt)
 	s.ensureLeader(t, "n0")
@@ -20,7 +21,7 @@
 	return s
 }
 
-// lead hands the leadership over to a member, if another one has it.
+// ensureLeader transfers the leadership to id unless id has it.
 func (s *sim) ensureLeader(t *testing.T, id string) {
 	t.Helper()
 	if l := s.leader(); l.id != id {
@@ -29,7 +30,7 @@
 	}
 }
 
-// restartN2WithoutState restarts n2 blank where it reaches n0 only.
+// restartN2WithoutState restarts n2 without state in a partition with n0 only.
 func (s *sim) restartN2WithoutState() {
 	s.inTransit = nil
 	clear(s.blockedLinks)
@@ -39,7 +40,8 @@
 	s.run(2)
 }
 
-// healed ends the cuts: what was committed must still be there.
+// checkHealed ends the partitions and checks that the committed entries are still
+// there.
 func (s *sim) checkHealed(t *testing.T) {
 	t.Helper()
 	last := s.lastApplied
@@ -51,11 +53,11 @@
 	must.GreaterEq(t, last, s.leader().core.applied)
 }
 
-// n0 leads, is cut off and proposes to remove n1; nobody else gets that entry.
-// n2 votes for n1, acknowledges what n1 commits, and restarts blank. n0, which
-// still takes itself for the leader, answers it. If n2 counted by the proposed
-// membership, in which it and n0 are alone, it would acknowledge to n0: users
-// would see work that was accepted by n1 disappear.
+// n0 leads, is partitioned and proposes to remove n1; no other member receives that
+// entry. n2 votes for n1, acknowledges n1's commits and restarts without state. n0,
+// which still believes that it leads, answers it. If n2 counted by the proposed
+// membership, whose only voters are n0 and n2, it would acknowledge entries to n0,
+// and work accepted by n1 would be lost.
 func TestRecoveryCountsCommittedMembership(t *testing.T) {
 	s := newSimWithDeposedLeader(t, simOptions{voters: 3}, true)
 	s.restartN2WithoutState()
@@ -66,8 +68,10 @@
 	s.checkHealed(t)
 }
 
-// The same with a disk on n0: it has stepped down and asks n2, blank, for a cold
-// start. Counted by the proposed membership that would be every voter.
+// n0, which has a disk, is partitioned as leader with an uncommitted removal of n1
+// and steps down. It asks n2, which has lost its state, for a cold start. Counted by
+// the proposed membership, n0 and n2 would be every voter, and work accepted by n1
+// would be lost.
 func TestColdStartCountsCommittedMembership(t *testing.T) {
 	s := newSimWithDeposedLeader(t, simOptions{voters: 3, disks: 1}, false)
 	s.restartN2WithoutState()
@@ -75,14 +79,14 @@
 	s.run(300)
 	must.SliceEmpty(t, s.violations, must.Sprint(s.violations))
 	must.Nil(t, s.leader())
-	must.Eq(t, term, s.nodes[0].core.term) // nor does waiting cost terms
+	must.Eq(t, term, s.nodes[0].core.term) // waiting must not raise the term
 	must.Eq(t, Recovering, roleOf(s.nodes[2]))
 	s.checkHealed(t)
 }
 
-// n0 holds an uncommitted membership with a fourth voter. The disks of n1 and n2,
-// a majority of the committed membership, are lost, and with them perhaps what
-// they had committed. That two of four are left mustn't let n0 lead.
+// n0 holds an uncommitted membership with a fourth voter. The disks of n1 and n2, a
+// majority of the committed membership, are lost, and possibly entries that they had
+// committed. n0 must not lead although two of four voters kept their state.
 func TestColdStartRuleHoldsInEachMembership(t *testing.T) {
 	for participated, role := range map[bool]Role{false: Leader, true: Candidate} {
 		c := candidateCore(t, "n0", "n1", "n2")
@@ -98,9 +102,9 @@
 	}
 }
 
-// A removal is committed and the power is lost before anything else is written.
-// If the disk didn't say that it is committed, the cold start would wait for the
-// removed member, which may be gone for good.
+// A removal is committed and the power is lost before the next write. Unless the disk
+// says that the removal is committed, the cold start waits for the removed member,
+// which may never come back.
 func TestCommittedMembershipIsSynced(t *testing.T) {
 	c := leaderCore(t, "n0", "n1", "n2")
 	ackAll(t, c, "n1", c.now)
@@ -114,11 +118,11 @@
 	must.True(t, c.Ready().MustSync)
 }
 
-// n0 has the disk and begins a fresh group by a cold start; its request and its
-// appends to n2 are doubled, and the doubles are late. n0 is cut off, n2 leads a
-// later term and commits with n1, then restarts blank and gets the doubles. If it
-// consented again it would come back with n0's old log and elect n0 in a term
-// that had a leader: accepted work would disappear.
+// n0 has the disk and starts a new group by a cold start. Its request and its appends
+// to n2 are duplicated, and the duplicates are delayed. n0 is partitioned, n2 leads a
+// later term and commits with n1, then n2 restarts without state and receives the
+// duplicates. If it granted the cold start again, it would recover with n0's old log
+// and elect n0 in a term that had a leader, and accepted work would be lost.
 func TestColdStartVoteIsBoundToIncarnation(t *testing.T) {
 	s := newSim(7, simOptions{voters: 3, disks: 1})
 	var delayed []Message
@@ -136,7 +140,7 @@
 	s.ensureLeader(t, "n2")
 	s.restartN2WithoutState()
 	s.run(2 * defaultElectionTicks)
-	withoutReceiver := delayed[0] // as a program sends it that doesn't know the key yet
+	withoutReceiver := delayed[0] // as an older version sends it
 	withoutReceiver.ReceiverIncarnation = 0
 	for _, m := range append([]Message{delayed[0], withoutReceiver}, delayed[1:4]...) {
 		s.inTransit = append(s.inTransit, simMessage{m, s.step})
@@ -149,10 +153,10 @@
 	s.checkHealed(t)
 }
 
-// n0 asks for votes in term 4, restarts blank, recovers by members that haven't
-// heard of term 4, and asks again in it. A vote for the earlier start was given
-// to another log; counted now, it would help to elect a leader that may lack
-// what the voter holds.
+// n0 requests votes in term 4, restarts without state, recovers with members that
+// don't know term 4, and requests votes in it again. A vote for the earlier
+// incarnation was given to another log. Counted now, it could elect a leader that
+// lacks entries of the voter.
 func TestVoteForEarlierIncarnationIsNotCounted(t *testing.T) {
 	c := candidateCore(t, "n0", "n1", "n2")
 	stepFromPeer(t, c, Message{Type: MsgPreVoteReply, From: "n1", Term: 4})
@@ -164,9 +168,9 @@
 	must.Eq(t, 1, c.messages[len(c.messages)-1].ReceiverIncarnation)
 }
 
-// A fresh group begins by a cold start, and the power is lost before the first
-// leader has synced that it leads. Had its appends told the others that it takes
-// part, they would hold its blank disk for a lost one and wait for an operator.
+// A new group begins with a cold start, and the power is lost before the first leader
+// has synced that it leads. If its appends had already told the others that it takes
+// part, they would treat its empty disk as a lost one and wait for an operator.
 func TestFirstLeaderSyncsBeforeItAppends(t *testing.T) {
 	list := []Member{{ID: "n0", HasDisk: true}, {ID: "n1"}, {ID: "n2"}}
 	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: list}, StoredState{})
--- a/replica/removed_test.go
+++ b/replica/removed_test.go
@@ -6,9 +6,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// A member is cut off while it is removed. Without being told it would ask for
-// votes as often as ever, and nothing would show why it is refused. Told, it says
-// so and asks seldom; added again, it takes part as before.
+// A member is removed while it is partitioned. Without notification it would request
+// votes as often as before, and nothing would show why it is rejected. A notified
+// member reports Outside and sends fewer requests; added again, it takes part as
+// before.
 func TestRemovedMemberIsNotified(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 4})
 	l := s.leader()
@@ -29,7 +30,7 @@
 		return false
 	}
 	s.run(400)
-	must.Between(t, 1, requests, 30) // three peers, two questions, about every 120 ticks
+	must.Between(t, 1, requests, 30) // three peers, two requests each, about every 120 ticks
 	must.True(t, l.core.Status().CanDecide)
 	_, _, err = l.core.ProposeMembership(append(withoutMember(all, n.id), Member{ID: n.id, Learner: true}))
 	must.NoError(t, err)
@@ -39,8 +40,8 @@
 	must.Greater(t, 0, n.core.applied)
 }
 
-// The notice of a removal is doubled and the double late: the member was added
-// again meanwhile, and its leader has died. It must stand for election as usual.
+// A duplicate of the MsgNotMember arrives late: the member was added again meanwhile,
+// and its leader has failed. The member must campaign as usual.
 func TestDelayedRemovalNoticeIsIgnored(t *testing.T) {
 	c := candidateCore(t, "n0", "n1", "n2")
 	notice := Message{Type: MsgNotMember, From: "n1", Term: 3, Index: 2}
--- a/replica/safety_test.go
+++ b/replica/safety_test.go
@@ -6,8 +6,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// candidateCore returns n0 of a group that restarts from disk at term 3 with
-// entries of terms 1 and 2, past the time in which it refuses votes.
+// candidateCore returns n0 of a group, restarted from disk at term 3 with entries of
+// terms 1 and 2, as a candidate after the time in which it refuses votes.
 func candidateCore(t *testing.T, ids ...string) *Core {
 	var list []Member
 	for _, id := range ids {
@@ -24,18 +24,19 @@
 	return c
 }
 
-// reply answers in the name of a peer that knows the same incarnations, plus extra.
+// stepFromPeer delivers m from a peer that knows the same incarnations as c, plus
+// extra.
 func stepFromPeer(t *testing.T, c *Core, m Message, extra ...MemberIncarnation) {
 	m.To, m.Incarnation = "n0", 1
 	m.KnownIncarnations = append([]MemberIncarnation{{ID: m.From, Incarnation: 1}}, extra...)
 	must.NoError(t, c.Step(m))
 }
 
-// n1 votes for n0 in term 4 and restarts blank; its vote is still on the way.
-// Meanwhile a majority that doesn't include n0 lets it recover, after which it
-// helps to elect n4 in term 4. n3 was part of that majority and votes for n0
-// afterwards. If n0 counted the late vote, term 4 would have two leaders, and
-// the same task could be started twice.
+// n1 votes for n0 in term 4 and restarts without state while its vote is in flight. A
+// majority that doesn't include n0 lets n1 recover, and n1 helps to elect n4 in term
+// 4. n3 was part of that majority and votes for n0 afterwards. If n0 counted the
+// delayed vote, term 4 would have two leaders, and the same task could be started
+// twice.
 func TestVoteOfSupersededIncarnationIsNotCounted(t *testing.T) {
 	for _, order := range [][]string{{"n1", "n3"}, {"n3", "n1"}} {
 		c := candidateCore(t, "n0", "n1", "n2", "n3", "n4")
@@ -57,20 +58,21 @@
 	}
 }
 
-// The same with an acknowledgement: it must not complete a quorum after the
-// leader has learned that its sender started anew.
+// An acknowledgement must not complete a quorum after the leader has learned that its
+// sender restarted without state.
 func TestAckOfSupersededIncarnationIsNotCounted(t *testing.T) {
 	c := leaderCore(t, "n0", "n1", "n2", "n3", "n4")
 	stepFromPeer(t, c, Message{Type: MsgAppendReply, From: "n1", Term: 4, Index: 3, Tick: c.now})
 	stepFromPeer(t, c, Message{Type: MsgAppendReply, From: "n3", Term: 4, Index: 3, Tick: c.now}, MemberIncarnation{ID: "n1", Incarnation: 2})
 	must.Eq(t, 0, c.commit)
 	m := Message{Type: MsgAppendReply, From: "n2", To: "n0", Incarnation: 1, Term: 4, Index: 3, Tick: c.now, IncarnationDigest: 12345}
-	must.NoError(t, c.Step(m)) // a vector that n0 can't judge
+	must.NoError(t, c.Step(m)) // n0 doesn't know the incarnations behind this digest
 	must.Eq(t, 0, c.commit)
 	stepFromPeer(t, c, Message{Type: MsgAppendReply, From: "n2", Term: 4, Index: 3, Tick: c.now})
 	must.Eq(t, 3, c.commit)
 }
 
+// leaderCore returns n0 as the leader of term 4, with its own entry 3 synced.
 func leaderCore(t *testing.T, ids ...string) *Core {
 	c := candidateCore(t, ids...)
 	for _, kind := range []MessageType{MsgPreVoteReply, MsgVoteReply} {
@@ -83,10 +85,10 @@
 	return c
 }
 
-// Entry 2 of an earlier term is on a majority, the leader's own entry isn't. A
-// member with a later term's entry at index 2 could still win the next
-// election and replace it; had it been reported as committed, a user would see
-// accepted work disappear.
+// Entry 2 of an earlier term is on a majority, but the leader's own entry isn't. A
+// member with an entry of a later term at index 2 could still win the next election
+// and replace entry 2. If entry 2 were reported as committed, accepted work would
+// disappear.
 func TestEarlierTermCommitsOnlyWithOwnTerm(t *testing.T) {
 	c := leaderCore(t, "n0", "n1", "n2")
 	stepFromPeer(t, c, Message{Type: MsgAppendReply, From: "n1", Term: 4, Index: 2, Tick: c.now})
@@ -97,9 +99,8 @@
 	must.True(t, c.Status().CanDecide)
 }
 
-// A member that was removed, or that can send but not receive, keeps asking
-// for votes. While the leader is heard, that neither changes a term nor gets a
-// vote.
+// A removed member, or one that can send but not receive, keeps requesting votes.
+// While the leader makes contact, that must neither change a term nor obtain a vote.
 func TestVotesRefusedWithRecentLeader(t *testing.T) {
 	c := candidateCore(t, "n0", "n1", "n2")
 	stepFromPeer(t, c, Message{Type: MsgAppend, From: "n1", Term: 4, Index: 2, LogTerm: 2})
@@ -112,8 +113,8 @@
 	must.Eq(t, "n2", c.vote)
 }
 
-// A heartbeat or append that arrives late and is shorter than the log cuts off
-// nothing; one that contradicts what is committed stops the process.
+// A delayed append that is shorter than the log must truncate nothing. An append that
+// contradicts a committed entry must stop the process.
 func TestLogConflicts(t *testing.T) {
 	c := candidateCore(t, "n0", "n1", "n2")
 	entries := []Entry{{Index: 3, Term: 4}, {Index: 4, Term: 4}}
@@ -126,7 +127,7 @@
 	must.ErrorIs(t, c.Step(Message{To: "n9", From: "n1"}), ErrBadMessage)
 }
 
-// Bad configurations and stored states are refused with their reason.
+// New must reject invalid configurations and stored states with the matching error.
 func TestNewRefuses(t *testing.T) {
 	one := []Member{{ID: "n0"}}
 	for _, cfg := range []Config{
@@ -140,8 +141,8 @@
 	must.ErrorIs(t, err, ErrStoredState)
 }
 
-// A snapshot arrives late, after entries beyond it were acknowledged. Starting
-// the log anew at the snapshot would forget them.
+// A delayed snapshot arrives after entries beyond it were acknowledged. Replacing the
+// log by the snapshot would lose them.
 func TestDelayedSnapshotTruncatesNothing(t *testing.T) {
 	c := candidateCore(t, "n0", "n1", "n2")
 	entries := []Entry{{Index: 3, Term: 4}, {Index: 4, Term: 4}}
@@ -152,8 +153,8 @@
 	must.Eq(t, 3, c.commit)
 }
 
-// A membership that was never committed is overwritten by the next leader. The
-// member must count quorums by the earlier one again.
+// The next leader overwrites a membership that was never committed. The member must
+// count quorums by the earlier membership again.
 func TestOverwrittenMembershipIsReverted(t *testing.T) {
 	c := candidateCore(t, "n0", "n1", "n2")
 	before := c.members.current()
@@ -164,9 +165,10 @@
 	must.Eq(t, before, c.members.current())
 }
 
-// n0 takes over a witness's log that parts from its own at entry 2. The first
-// batch ends right before. If n0 asked on from its own last entry, it would be
-// refused and begin again for ever, and a live majority would stand still.
+// n0 fetches a witness's log that diverges from its own at entry 2, and the first
+// batch ends right before that. If n0 continued from its own last entry, its request
+// would be rejected and it would start again for ever, so a live majority would have
+// no leader.
 func TestLogFetchContinuesFromMatch(t *testing.T) {
 	c := candidateCore(t, "n0", "n1", "n2")
 	lastFetch := func() Message {
@@ -183,7 +185,7 @@
 	stepFromPeer(t, c, batch)
 	must.Eq(t, 1, lastFetch().Index)
 	queued := len(c.messages)
-	stepFromPeer(t, c, batch) // a repeated answer starts no second round
+	stepFromPeer(t, c, batch) // a duplicate reply starts no second request
 	stepFromPeer(t, c, refusal)
 	must.Len(t, queued, c.messages)
 	stepFromPeer(t, c, Message{Type: MsgFetchReply, From: "n2", Index: 1, LogTerm: 1, Tick: 3, ReadRound: 3, Entries: []Entry{{Term: 3}, {}}})
--- a/replica/scenario_test.go
+++ b/replica/scenario_test.go
@@ -6,15 +6,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// calm returns a group without random faults that has a leader.
+// newSimWithLeader returns a group without random faults that has a leader.
 func newSimWithLeader(t *testing.T, opt simOptions) *sim {
 	s := newSim(7, opt)
 	s.waitForLeader(t)
 	return s
 }
 
-// settle runs until some member may decide and everything proposed so far had
-// time to spread.
+// waitForLeader runs until a member may decide and the entries proposed so far have
+// had time to replicate. It returns that leader.
 func (s *sim) waitForLeader(t *testing.T) *simNode {
 	t.Helper()
 	for range 400 {
@@ -30,7 +30,7 @@
 	return l
 }
 
-// isolate cuts a member off from all others.
+// isolate partitions a member from all others.
 func (s *sim) isolate(n *simNode) {
 	for _, o := range s.nodes {
 		s.blockedLinks[[2]string{n.id, o.id}] = true
@@ -38,7 +38,7 @@
 	}
 }
 
-// other returns a live member that isn't the leader.
+// liveFollower returns a live member other than the leader l.
 func (s *sim) liveFollower(l *simNode) *simNode {
 	for _, n := range s.nodes {
 		if n != l && n.core != nil {
@@ -48,9 +48,9 @@
 	return nil
 }
 
-// A member is cut off for a long time and comes back. If it had raised its
-// term at each timeout, its return would depose the working leader, and the
-// users would see a pause each time a network fault heals.
+// A member returns from a long partition. If it had raised its term at each election
+// timeout, its return would depose the working leader, and users would see a pause
+// each time a network fault ends.
 func TestLongPartitionDoesNotRaiseTerm(t *testing.T) {
 	for _, oneWay := range []bool{false, true} {
 		s := newSimWithLeader(t, simOptions{voters: 3, disks: 1})
@@ -73,9 +73,9 @@
 	}
 }
 
-// The leader is cut off but hears its clients. It must stop deciding before
-// another leader decides, else a client would be told of work that the rest of
-// the group gives to somebody else. The run checks at every step.
+// A partitioned leader still receives calls from its clients. It must stop deciding
+// before another leader decides. Otherwise it would confirm work to a client that the
+// rest of the group gives to another one. The simulation checks this at every step.
 func TestPartitionedLeaderStopsDecidingFirst(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 5})
 	for range 10 {
@@ -94,10 +94,10 @@
 	}
 }
 
-// Three members without disks; the third is cut off while the other two commit.
-// One of the two restarts blank just as the leader is cut off. If it voted at
-// once, it and the third would elect a leader without the committed entries,
-// and accepted work would vanish.
+// Of three diskless members one is partitioned while the other two commit. One of
+// these two restarts without state just as the leader is partitioned. If it voted at
+// once, it and the first partitioned member would elect a leader that lacks the
+// committed entries, and accepted work would be lost.
 func TestMemberWithoutStateDoesNotVoteBeforeRecovery(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3})
 	l := s.leader()
@@ -120,9 +120,9 @@
 	must.Eq(t, s.lastApplied, s.leader().core.applied)
 }
 
-// A power loss stops everything. The members come back one after the other;
-// the members without disks have forgotten all. What was committed is on the
-// disk, and the group must go on by itself with it.
+// A loss of power stops all members. They restart one after the other, and the
+// diskless ones have lost their state. The group must resume without an operator and
+// keep every committed entry that is on a disk.
 func TestColdStartAfterPowerLoss(t *testing.T) {
 	for _, opt := range []simOptions{{voters: 3, disks: 1}, {voters: 5, disks: 2}, {voters: 2, disks: 1}, {voters: 1, disks: 1}} {
 		s := newSimWithLeader(t, opt)
@@ -135,23 +135,23 @@
 	}
 }
 
-// The only disk is down during a power loss and comes back after the others.
-// If the others had started without it, what it holds would be lost.
+// The only disk member is down during a loss of power and returns after the others.
+// If the others started without it, the entries on its disk would be lost.
 func TestNoColdStartWithoutDiskMember(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3, disks: 1})
 	s.losePower()
 	s.nodes[0].downUntil = s.step + 1000
 	s.run(900)
 	must.Nil(t, s.leader())
-	must.Eq(t, 0, s.nodes[1].core.term) // nor does waiting cost terms
+	must.Eq(t, 0, s.nodes[1].core.term) // waiting must not raise the term
 	s.run(100)
 	s.waitForLeader(t)
 	must.SliceEmpty(t, s.violations)
 }
 
-// The disk of one of two disk members is lost together with the power. The
-// other disk may lack what only the lost one had synced, so nothing starts
-// until an operator decides.
+// The disk of one of two disk members is lost together with the power. The other disk
+// may lack entries that only the lost one had synced, so the group must not start
+// until an operator forces it.
 func TestForceStartAfterLostDisk(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3, disks: 2})
 	s.losePower()
@@ -170,9 +170,9 @@
 // roleOf returns the role of a live member.
 func roleOf(n *simNode) Role { return n.core.Status().Role }
 
-// While the disk member answers, nothing may be reported as committed that
-// isn't on a disk, or a power loss would take back an answer given to a user.
-// When it is gone the others go on, and say so.
+// While the disk member answers, no entry may be reported as committed that isn't on
+// a disk, or a loss of power would revoke an answer given to a user. When the disk
+// member is lost, the others must continue and report Degraded.
 func TestCommitWaitsForDiskVoter(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3, disks: 1})
 	l := s.leader()
@@ -182,7 +182,7 @@
 		l = s.waitForLeader(t)
 	}
 	must.False(t, l.core.Status().Degraded)
-	// The disk stalls for less than an election timeout.
+	// The disk member's replies are delayed for less than an election timeout.
 	s.intercept = func(m Message) bool { return m.From == disk.id && m.Type == MsgAppendReply }
 	onDisk := disk.core.log.last()
 	s.run(defaultElectionTicks - 4)
@@ -199,9 +199,9 @@
 	must.SliceEmpty(t, s.violations)
 }
 
-// The leader and the witness commit, then the leader dies. The other member
-// lacks the last entries and the witness never leads: without the hand-over a
-// live majority would stand still.
+// The leader and the witness commit entries, then the leader fails. The remaining
+// member lacks the last entries and the witness never leads. Unless the member
+// fetches the witness's log, a live majority has no leader.
 func TestCandidateFetchesLogFromWitness(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3, disks: 3, witness: true})
 	l := s.leader()
@@ -218,13 +218,13 @@
 	must.Eq(t, s.lastApplied, lagging.core.applied)
 }
 
-// A member is lost for good and replaced, by one change at a time, then one
-// more is lost right after the repair.
+// A failed member is replaced by one change at a time, and another member fails right
+// after the repair. Changes that aren't safe must be refused with their error.
 func TestReplaceLostMember(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3, disks: 1, spares: 1})
 	l := s.leader()
 	failedMember := s.liveFollower(l)
-	s.run(800) // hundreds of entries, compacted: the new one needs the snapshot
+	s.run(800) // hundreds of entries, compacted: the new member needs the snapshot
 	failedMember.crash(true)
 	failedMember.downUntil = s.step + 100000
 	s.run(50)
@@ -260,7 +260,7 @@
 	must.Eq(t, s.lastApplied, s.leader().core.applied)
 }
 
-// without returns a copy of list that lacks id.
+// withoutMember returns a copy of list without the member id.
 func withoutMember(list []Member, id string) []Member {
 	var out []Member
 	for _, m := range list {
@@ -271,8 +271,8 @@
 	return out
 }
 
-// The leadership is handed over on purpose. Nobody waits for a timeout, and
-// the old leader decides nothing from the moment it told the new one.
+// A leadership transfer must not wait for an election timeout, and the old leader
+// must decide nothing once it has told the new one to campaign.
 func TestTransfer(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3, witness: true})
 	l := s.leader()
@@ -286,7 +286,7 @@
 	must.SliceEmpty(t, s.violations)
 }
 
-// The message that tells the target to campaign is lost for long. The old
+// The message that tells the new leader to campaign is delayed for long. The old
 // leader must not resume in its term, because the message may still arrive.
 func TestTransferTimesOut(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3})
@@ -308,8 +308,8 @@
 	must.SliceEmpty(t, s.violations)
 }
 
-// The first leader of a fresh group is cut off before anybody heard it lead.
-// The others have promised nothing to anyone yet; when the cut heals, the
+// The first leader of a new group is partitioned before any other member receives an
+// append from it. The others haven't taken part yet. When the partition ends, the
 // group must start without an operator.
 func TestFirstLeaderPartitionedAtOnce(t *testing.T) {
 	for _, opt := range []simOptions{{voters: 3}, {voters: 5, disks: 2}} {
--- a/replica/sim_checks_test.go
+++ b/replica/sim_checks_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// observe checks what a member says of itself.
+// checkStatus checks that each term has one leader and records the commit index.
 func (n *simNode) checkStatus() {
 	if n.core == nil {
 		return
@@ -22,7 +22,7 @@
 	n.commit = st.Commit
 }
 
-// checkLease: an old leader decides nothing any more once another one does.
+// checkLease checks that an old leader no longer decides once another one does.
 func (s *sim) checkLease() {
 	var deciding []string
 	for _, n := range s.nodes {
@@ -31,12 +31,12 @@
 		}
 	}
 	if len(deciding) > 1 {
-		s.failf("%v decide at once", deciding)
+		s.failf("%v may decide at the same time", deciding)
 	}
 }
 
-// forgetful counts the members that have forgotten, or will have at their
-// next start, what they promised.
+// countRecovering counts the members that have lost their state, or will have at
+// their next start.
 func (s *sim) countRecovering() int {
 	count := 0
 	for _, n := range s.nodes {
@@ -52,7 +52,7 @@
 	return count
 }
 
-// isVoterAnywhere reports whether any live member takes id for a voter.
+// isVoterAnywhere reports whether id is a voter in the membership of any live member.
 func (s *sim) isVoterAnywhere(id string) bool {
 	for _, n := range s.nodes {
 		if n.core != nil && isVoter(n.core.members.current(), id) {
@@ -62,13 +62,13 @@
 	return isVoter(s.initialMembers(), id)
 }
 
-// checkProgress: after the faults, the group has a leader that commits.
+// checkProgress checks that the group has a leader that commits after the faults.
 func (s *sim) checkProgress() {
 	before := s.counts["committed"]
 	s.heal()
 	s.run(600)
 	if s.leader() == nil || s.counts["committed"] == before {
-		s.failf("no progress after the faults:%s", s.describe())
+		s.failf("no leader or no commit after the faults:%s", s.describe())
 	}
 	s.checkLogs()
 }
@@ -86,7 +86,8 @@
 	return out
 }
 
-// checkLogs: two logs with the same term at an index are equal up to there.
+// checkLogs checks log matching: two logs with the same term at an index are equal up
+// to it.
 func (s *sim) checkLogs() {
 	for _, a := range s.nodes {
 		for _, b := range s.nodes {
@@ -98,7 +99,7 @@
 				x, y := a.core.log.slice(i, i)[0], b.core.log.slice(i, i)[0]
 				equal := x.Term == y.Term && string(x.Data) == string(y.Data)
 				if same && !equal {
-					s.failf("%s and %s differ at %d", a.id, b.id, i)
+					s.failf("logs of %s and %s differ at index %d", a.id, b.id, i)
 				}
 				same = same || x.Term == y.Term
 			}
--- a/replica/sim_faults_test.go
+++ b/replica/sim_faults_test.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// fault lets something fail, within what the group promises to survive.
+// injectFault injects a random fault among those that the group must survive.
 func (s *sim) injectFault() {
 	n := s.nodes[s.rand.IntN(len(s.nodes))]
 	quorum := s.opt.voters/2 + 1
@@ -50,8 +50,9 @@
 	}
 }
 
-// change proposes a random change of one member. Without a disk among the voters
-// nothing would be promised in a loss of power.
+// proposeRandomChange proposes a random change of one member. It keeps disk members
+// when power losses are simulated: without a disk among the voters nothing survives
+// one.
 func (s *sim) proposeRandomChange() {
 	l := s.leader()
 	if l == nil || l.paused {
@@ -76,8 +77,8 @@
 	}
 }
 
-// losePower stops everything at once. What was committed while no disk voter
-// answered may be lost.
+// losePower stops all members at once. Entries committed while no disk voter answered
+// may be lost.
 func (s *sim) losePower() {
 	s.counts["power losses"]++
 	s.inTransit = nil
@@ -92,7 +93,7 @@
 	s.lastApplied = min(s.lastApplied, s.lastDurable)
 }
 
-// heal ends all faults and lets the group come to rest.
+// heal ends all faults.
 func (s *sim) heal() {
 	s.opt.faults = false
 	s.lossRate = 0
--- a/replica/sim_test.go
+++ b/replica/sim_test.go
@@ -10,19 +10,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// simOptions say what may happen in a run.
+// simOptions selects the group and the faults of a simulation.
 type simOptions struct {
 	voters, disks, spares int
 	witness               bool
 	steps                 int
-	faultOutcomes         int // a step draws one of so many outcomes, about 70 of them faults
+	faultOutcomes         int // outcomes drawn from at each step, about 70 of them faults
 	faults                bool
 	powerLoss             bool
 	changes               bool
 }
 
-// sim is a group on a network and on disks made of memory. All choices come
-// from one seed.
+// sim simulates a group on an in-memory network and in-memory disks. All random
+// choices come from one seed.
 type sim struct {
 	opt          simOptions
 	rand         *rand.Rand
@@ -33,22 +33,24 @@
 	lossRate     float64
 
 	leaders     map[uint64]string // term -> leader
-	stateHashes map[uint64]uint64 // index -> hash of the machine after it
-	reads       map[uint64]uint64 // token -> last index applied anywhere at the call
+	stateHashes map[uint64]uint64 // index -> hash of the state machine after it
+	reads       map[uint64]uint64 // token -> last index applied by any member at the call
 	intercept   func(Message) bool
 	intercepted []Message
-	lastApplied uint64 // last index applied anywhere
+	lastApplied uint64 // last index applied by any member
 	lastDurable uint64 // last index committed while a disk voter answered
 	counts      map[string]int
 	violations  []string
 	nextCommand uint64
 }
 
+// simMessage is a message in flight, delivered at step due.
 type simMessage struct {
 	m   Message
 	due int
 }
 
+// simNode is a member of the simulated group.
 type simNode struct {
 	s            *sim
 	id           string
@@ -57,7 +59,7 @@
 	incarnation  uint64
 	stored       StoredState
 	paused       bool
-	clockStopped bool // its clock stands still, which only the lease may mind
+	clockStopped bool // doesn't tick; only the lease may be affected
 	missedTicks  int
 	ready        *Ready
 	readyDoneAt  int
@@ -113,6 +115,8 @@
 	}
 }
 
+// crash stops the member. A disk may or may not have received the pending Ready;
+// loseDisk erases the disk.
 func (n *simNode) crash(loseDisk bool) {
 	if n.ready != nil && n.disk && n.s.chance(0.5) {
 		n.persist(*n.ready)
@@ -124,6 +128,7 @@
 	}
 }
 
+// persist writes a Ready to the simulated disk.
 func (n *simNode) persist(r Ready) {
 	if r.Snapshot != nil {
 		n.stored.Snapshot, n.stored.Entries = *r.Snapshot, nil
@@ -138,7 +143,7 @@
 	}
 }
 
-// pump begins the work of a Ready; it ends some steps later.
+// processReady starts the work of a Ready, which ends some steps later under faults.
 func (n *simNode) processReady() {
 	n.checkStatus()
 	if n.core == nil || n.paused {
@@ -165,6 +170,7 @@
 	}
 }
 
+// finishReady completes the pending Ready: sync, send, apply, advance, compact.
 func (n *simNode) finishReady() {
 	r := *n.ready
 	if n.disk {
@@ -182,7 +188,7 @@
 	for _, read := range r.Reads {
 		n.s.counts["reads"]++
 		if read.Index < n.s.reads[read.Token] {
-			n.s.failf("%s: read at %d, but %d was applied before it began", n.id, read.Index, n.s.reads[read.Token])
+			n.s.failf("%s: read at index %d, but %d was applied before it arrived", n.id, read.Index, n.s.reads[read.Token])
 		}
 	}
 	n.ready = nil
@@ -191,9 +197,9 @@
 	n.compact()
 }
 
-// applied checks state machine safety: after an index, every member ever has
-// the same state. A committed entry that is lost shows here too, because the
-// next one committed at its index differs.
+// checkApplied checks state machine safety: after an index, every member has the same
+// state. It also detects the loss of a committed entry, because the next one
+// committed at that index differs.
 func (n *simNode) checkApplied(index uint64) {
 	want, ok := n.s.stateHashes[index]
 	if !ok {
@@ -223,6 +229,7 @@
 	}
 }
 
+// sendAll sends the messages of r that go before the sync (early) or after it.
 func (n *simNode) sendAll(r Ready, early bool) {
 	for _, m := range r.Messages {
 		if m.BeforeSync() != early {
@@ -235,6 +242,7 @@
 	}
 }
 
+// transmit puts m on the network, with random loss and delay under faults.
 func (s *sim) transmit(m Message) {
 	if s.intercept != nil && s.intercept(m) {
 		s.intercepted = append(s.intercepted, m)
@@ -259,7 +267,7 @@
 	return nil
 }
 
-// run makes one step: deliveries, ticks, proposals, faults, checks.
+// run makes steps, each with deliveries, ticks, proposals, faults and checks.
 func (s *sim) run(steps int) {
 	for range steps {
 		if len(s.violations) > 0 {
@@ -303,7 +311,7 @@
 	}
 }
 
-// tick drives the clocks; under faults they drift by up to a tenth.
+// tick ticks a member or restarts it. Under faults clocks drift by up to a tenth.
 func (s *sim) tick(n *simNode) {
 	if n.core == nil {
 		if s.step >= n.downUntil {
@@ -321,7 +329,7 @@
 	n.core.Tick()
 }
 
-// resume ends a pause; the missed ticks come before anything else.
+// resume ends a pause. The missed ticks come before anything else.
 func (n *simNode) resume() {
 	n.paused = false
 	for range n.missedTicks {
--- a/replica/step.go
+++ b/replica/step.go
@@ -2,40 +2,43 @@
 
 import "github.com/cockroachdb/errors"
 
-// Step takes in a message from another member. Messages of dead incarnations,
-// for another incarnation of this member, and of past terms are dropped without
-// an error; ErrBadMessage is returned for one that isn't addressed to this member.
+// Step handles a message from another member. It drops messages of superseded
+// incarnations, for another incarnation of this member, and of past terms without an
+// error. It returns ErrBadMessage for a message that isn't addressed to this member
+// or has an unknown type.
 //
-// A message may be meant for an earlier incarnation, which has forgotten since,
-// and reach the present one. Whether that is harmful depends on its type:
+// A message may be meant for an earlier incarnation of this member, which has lost
+// its state since, and reach the present one. Each type is safe for a reason of its
+// own:
 //
 //   - MsgVote of a cold start and MsgVoteReply name the incarnation they are
-//     meant for (Receiver), MsgStateReply does so by its Nonce: the first brings a
-//     member out of its recovery, the others judged a log or answered a question
-//     that this incarnation may not have.
+//     meant for (ReceiverIncarnation), MsgStateReply does so by its Nonce. The
+//     first ends the recovery of a member; the others judge a log or answer a
+//     request that the present incarnation may not have.
 //   - Any other MsgVote and MsgPreVote are judged by the present log, term and
-//     vote, and the grant counts under the present incarnation; while it recovers
-//     it grants none.
+//     vote, and the grant counts under the present incarnation. A recovering
+//     member grants none.
 //   - MsgAppend and MsgSnapshot state facts of one leader's log in one term. The
-//     answer is under the present incarnation and true of its log; the tick and
-//     read round that it repeats are older, and the member refuses votes for a
-//     whole timeout after its start and after the answer.
-//   - MsgAppendReply counts on the leader of its term only. A later incarnation of
-//     that leader doesn't lead in the same term: it has learned of the term while
-//     recovering, since its majority shares a member with the one that elected it.
-//   - MsgTimeoutNow lets the member stand in a term whose leader decides nothing
-//     any more; its votes are judged as any others.
-//   - MsgPreVoteReply and MsgFetchReply lead to questions and to log entries that
-//     are acknowledged to nobody; MsgState and MsgFetch are questions; MsgNotMember
-//     is a hint.
+//     reply is sent under the present incarnation and is true of its log. The tick
+//     and read round that it repeats are older, but the member refuses votes for a
+//     whole election timeout after its start and after the reply.
+//   - MsgAppendReply counts only on the leader of its term. A later incarnation of
+//     that leader doesn't lead in the same term: it learned of the term while
+//     recovering, since the majority it asked shares a member with the majority
+//     that elected it.
+//   - MsgTimeoutNow lets the member campaign in a term whose leader no longer
+//     decides anything. Votes for it are judged like any others.
+//   - MsgPreVoteReply and MsgFetchReply lead only to requests and to log entries
+//     that aren't acknowledged to any member. MsgState and MsgFetch are requests.
+//     MsgNotMember is a hint.
 //
-// Terms and incarnations that a message tells of are facts for whoever reads it.
+// Terms and incarnations that a message carries are facts for any receiver.
 func (c *Core) Step(m Message) error {
 	if m.To != c.cfg.ID || m.From == "" || m.From == c.cfg.ID {
 		return errors.Wrapf(ErrBadMessage, "from %q to %q", m.From, m.To)
 	}
 	if m.Incarnation < c.incarnations.of(m.From) {
-		// The sender has forgotten what it promised under that incarnation.
+		// A later incarnation supersedes the sender's: the sender has lost its state.
 		return nil
 	}
 	c.recordIncarnations(m)
@@ -76,7 +79,7 @@
 	return nil
 }
 
-// recordIncarnations merges what the message tells about incarnations.
+// recordIncarnations merges the incarnations that the message carries.
 func (c *Core) recordIncarnations(m Message) {
 	c.recordIncarnation(MemberIncarnation{ID: m.From, Incarnation: m.Incarnation})
 	for _, k := range m.KnownIncarnations {
@@ -85,8 +88,8 @@
 	c.peerDigest[m.From] = m.IncarnationDigest
 }
 
-// recordIncarnation raises a known incarnation and discards all that the
-// forgotten one told this member.
+// recordIncarnation merges k. If it supersedes an incarnation, everything that the
+// superseded one told this member is discarded.
 func (c *Core) recordIncarnation(k MemberIncarnation) {
 	if k.ID == c.cfg.ID {
 		c.recordOwnIncarnation(k.Incarnation)
@@ -101,29 +104,30 @@
 	}
 }
 
-// recordOwnIncarnation: others know a later start of this member than the one it
-// runs under, for example because the wall clock that numbers the starts went
-// back. A recovering member has promised nothing yet and takes a later number;
-// for any other it means that the same ID runs twice.
+// recordOwnIncarnation handles a report of a later incarnation of this member than
+// the one it runs under. A wall clock that went back between two starts causes this.
+// A recovering member has given no vote or acknowledgement yet and takes a later
+// number. For any other member it means that the same ID runs twice, and the process
+// stops.
 func (c *Core) recordOwnIncarnation(incarnation uint64) {
 	if incarnation <= c.incarnation {
 		return
 	}
-	invariant(c.role == Recovering, "%s: incarnation %d runs while %d is known", c.cfg.ID, c.incarnation, incarnation)
+	invariant(c.role == Recovering, "%s: runs under incarnation %d, but incarnation %d is known: the ID may run twice", c.cfg.ID, c.incarnation, incarnation)
 	c.incarnation = incarnation + 1
 	c.incarnations.merge(MemberIncarnation{ID: c.cfg.ID, Incarnation: c.incarnation})
 	c.recovery = recovery{}
 	c.campaign = campaign{}
 }
 
-// incarnationsKnown reports whether all that the sender knew of incarnations is
-// known here too, so that its vote or acknowledgement may be counted.
+// incarnationsKnown reports whether this member knows all incarnations that the
+// sender knew. Only then may the sender's vote or acknowledgement be counted.
 func (c *Core) incarnationsKnown(m Message) bool {
 	return len(m.KnownIncarnations) > 0 || m.IncarnationDigest == c.incarnations.digest
 }
 
-// acceptTerm brings the member to the term of a message; false when the
-// message isn't to be handled further.
+// acceptTerm moves the member to the term of a message. It returns false when the
+// message must not be handled further.
 func (c *Core) acceptTerm(m Message) bool {
 	switch m.Type {
 	case MsgPreVote, MsgState, MsgStateReply, MsgFetch, MsgFetchReply, MsgNotMember:
@@ -155,7 +159,7 @@
 	return true
 }
 
-// replyToOldTerm tells a deposed leader of the newer term.
+// replyToOldTerm tells a deposed leader the newer term.
 func (c *Core) replyToOldTerm(m Message) {
 	if m.Type == MsgAppend || m.Type == MsgSnapshot {
 		c.send(Message{Type: MsgAppendReply, To: m.From, Term: c.term, Reject: true, Recovering: c.role == Recovering})
--- a/replica/transfer.go
+++ b/replica/transfer.go
@@ -2,18 +2,19 @@
 
 import "github.com/cockroachdb/errors"
 
-// transfer of the leadership. told is set once the target may campaign.
+// transfer is a pending leadership transfer. timeoutNowSent is set once the new
+// leader may campaign.
 type transfer struct {
 	to             string
 	startedTick    uint64
 	timeoutNowSent bool
 }
 
-// Transfer hands the leadership to another voter: no more proposals are taken,
-// and once the target holds the whole log it is told to campaign at once. It
-// is given up after an election timeout. Errors: ErrNotLeader,
-// ErrTransferring, and ErrBadTarget for a member that can't lead or doesn't
-// answer at present.
+// Transfer hands the leadership to another voter. The leader accepts no more
+// proposals, and once the other voter holds the whole log, the leader tells it to
+// campaign at once. The transfer expires after an election timeout. Errors:
+// ErrNotLeader, ErrTransferring, and ErrBadTarget for a member that can't lead or
+// isn't responsive.
 func (c *Core) Transfer(to string) error {
 	if err := c.checkCanPropose(); err != nil {
 		return err
@@ -30,9 +31,9 @@
 	return nil
 }
 
-// tryTransfer tells the target once it has caught up. From then on this leader
-// decides nothing any more: the target's votes pass the voters' refusal, so
-// the lease no longer protects.
+// tryTransfer tells the new leader to campaign once it has caught up. From then on
+// this leader decides nothing any more: the voters grant the forced votes in spite of
+// its lease, so the lease no longer protects it.
 func (c *Core) tryTransfer(from string) {
 	t := &c.leaderState.transfer
 	if c.role != Leader || t.to != from || t.timeoutNowSent {
@@ -45,8 +46,8 @@
 	c.send(Message{Type: MsgTimeoutNow, To: from, Term: c.term})
 }
 
-// tickTransfer gives a transfer up. A target that was told may still campaign
-// when the message is late, so this leader can't go on in the same term; it
+// tickTransfer expires a transfer. A member that was told to campaign may still do so
+// after a delay of the message, so this leader can't resume in the same term and
 // steps down.
 func (c *Core) tickTransfer() {
 	t := &c.leaderState.transfer
--- a/replica/types.go
+++ b/replica/types.go
@@ -1,7 +1,7 @@
-// Package replica is a replicated log with a deterministic core. The caller
-// feeds it messages, ticks and proposals, and carries out what Ready returns:
-// what to write and sync, what to send, what to apply. The core owns no
-// socket, file, clock or goroutine.
+// Package replica implements a replicated log with a deterministic core. The caller
+// feeds it messages, ticks and proposals, and carries out what Ready returns: data to
+// write and sync, messages to send, entries to apply. The core owns no socket, file,
+// clock or goroutine.
 package replica
 
 // Member is one voter or learner of a group.
@@ -15,12 +15,12 @@
 	Witness bool `cbor:"4,keyasint,omitempty"`
 	// Learner members receive the log and don't count for a quorum.
 	Learner bool `cbor:"5,keyasint,omitempty"`
-	// Incarnation is the latest known start of the member. What an earlier
-	// incarnation promised no longer counts for a quorum.
+	// Incarnation is the latest known start of the member without stored state. Votes
+	// and acknowledgements of earlier incarnations no longer count for a quorum.
 	Incarnation uint64 `cbor:"6,keyasint,omitempty"`
 }
 
-// EntryKind tells what an entry carries.
+// EntryKind says what an entry carries.
 type EntryKind uint8
 
 // Kinds of entries.
@@ -41,28 +41,29 @@
 	Data  []byte    `cbor:"4,keyasint,omitempty"`
 }
 
-// HardState is what must be synced before messages of the same Ready are sent.
+// HardState must be synced before the messages of the same Ready are sent.
 type HardState struct {
 	Term   uint64 `cbor:"1,keyasint"`
 	Vote   string `cbor:"2,keyasint,omitempty"`
 	Commit uint64 `cbor:"3,keyasint,omitempty"`
-	// Incarnation is the start since which this member has forgotten nothing.
-	// A restart that finds its state keeps it.
+	// Incarnation is the member's last start without stored state. A restart that
+	// finds its state keeps it.
 	Incarnation uint64 `cbor:"4,keyasint,omitempty"`
-	// Recovering says that the member started blank and may have made promises
-	// that it no longer knows.
+	// Recovering says that the member started without stored state and no longer
+	// knows which votes and acknowledgements it gave before.
 	Recovering bool `cbor:"5,keyasint,omitempty"`
-	// Known holds the latest incarnations heard of, ordered by ID.
+	// KnownIncarnations holds the latest known incarnation of each member, ordered by
+	// ID.
 	KnownIncarnations []MemberIncarnation `cbor:"6,keyasint,omitempty"`
 }
 
-// Known is the latest incarnation of a member that somebody has heard of.
+// MemberIncarnation is the latest known incarnation of a member.
 type MemberIncarnation struct {
 	ID          string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Held says that the member has taken part without having to recover,
-	// under this or an earlier incarnation: its disk may have been the one that
-	// held a committed entry.
+	// Participated says that the member has taken part without having to recover,
+	// under this or an earlier incarnation. Its disk may therefore have been the one
+	// that held a committed entry.
 	Participated bool `cbor:"3,keyasint,omitempty"`
 }
 
@@ -74,19 +75,19 @@
 	Data    []byte   `cbor:"4,keyasint,omitempty"`
 }
 
-// Stored is what a member with a disk finds at start. A diskless member, or
-// one whose disk is empty, starts from the zero value.
+// StoredState is the state that a member with a disk reads at start. A diskless
+// member, or one whose disk is empty, starts from the zero value.
 type StoredState struct {
 	HardState HardState
 	Snapshot  Snapshot
 	Entries   []Entry
 }
 
-// Role is what a member currently is in its group.
+// Role is the current role of a member in its group.
 type Role uint8
 
-// Roles. A Recovering member has forgotten its promises and neither votes nor
-// acknowledges until it holds what it may have acknowledged before.
+// Roles of a member. A Recovering member has lost its state. It neither votes nor
+// acknowledges until it holds everything that it may have acknowledged before.
 const (
 	Follower Role = iota
 	Candidate
@@ -100,33 +101,33 @@
 type Ready struct {
 	// HardState is nil when unchanged.
 	HardState *HardState
-	// Snapshot was received from a leader; nil when there is none.
+	// Snapshot was received from another member; nil when there is none.
 	Snapshot *Snapshot
-	// Entries are to be appended; an entry whose index is already in the file
-	// replaces that one and all later ones.
+	// Entries are to be appended. An entry whose index is already stored replaces
+	// that entry and all later ones.
 	Entries []Entry
 	// Committed entries are to be applied, in order, each exactly once.
 	Committed []Entry
-	// Messages are to be sent after the sync, but for those whose BeforeSync
-	// method says that they may go at once.
+	// Messages are to be sent after the sync, except those whose BeforeSync method
+	// reports true; these may be sent at once.
 	Messages []Message
 	// Reads are confirmed; each may be answered once Applied reaches its Index.
 	Reads []ReadState
-	// MustSync is false when nothing but the commit index changed, which a
-	// restart learns again from the leader, and no membership became committed.
+	// MustSync is false when only the commit index changed and no membership became
+	// committed. A restart learns the commit index again from the leader.
 	MustSync bool
 }
 
-// ReadState is a read request whose leadership a quorum has confirmed after
-// the request came in.
+// ReadState is a read request for which a quorum has confirmed, after the request
+// arrived, that this member still leads.
 type ReadState struct {
-	// Token is the value that the caller gave to ReadIndex.
+	// Token is the value that the caller passed to ReadIndex.
 	Token uint64
 	// Index must be applied before the read is answered.
 	Index uint64
 }
 
-// Status is a read-only view for logs, metrics and routing of calls.
+// Status is a read-only view for logs, metrics and the routing of calls.
 type Status struct {
 	ID      string
 	Role    Role
@@ -137,13 +138,15 @@
 	Last    uint64
 	First   uint64
 	Members []Member
-	// CanDecide is true only on a leader that has heard from a majority within
-	// its lease, counted by its own ticks, and has committed an entry of its term.
+	// CanDecide is true only on a leader that has committed an entry of its term and
+	// whose lease is valid: a majority answered a message sent within the lease,
+	// counted in the leader's own ticks.
 	CanDecide bool
-	// Degraded is true on a leader none of whose disk members acknowledges at
-	// present: what is committed now doesn't outlive a loss of power everywhere.
+	// Degraded is true on a leader when no voter with a disk acknowledges entries.
+	// Entries committed meanwhile don't survive a loss of power of all members.
 	Degraded bool
-	// Outside is true on a member that a leader has told that it isn't in the
-	// group, removed or not yet added, until a leader is heard again.
+	// Outside is true on a member that a leader has told that it isn't in the group,
+	// because it was removed or not yet added. It is cleared when a leader contacts
+	// the member again.
 	Outside bool
 }
