--- a/replica/errors.go
+++ b/replica/errors.go
@@ -17,8 +17,8 @@
 	ErrNotLeader = errors.New("replica: not a leader that may decide")
 	// ErrTransferring says that the leader is transferring its leadership.
 	ErrTransferring = errors.New("replica: leadership is being transferred")
-	// ErrBadTarget says that a member can't become leader by a transfer.
-	ErrBadTarget = errors.New("replica: member cannot lead")
+	// ErrBadTransferee says that a member can't become leader by a transfer.
+	ErrBadTransferee = errors.New("replica: member cannot lead")
 	// ErrChangePending says that an earlier membership change isn't committed yet.
 	ErrChangePending = errors.New("replica: a membership change is pending")
 	// ErrChangeTooLarge says that a new membership differs in more than one member.
--- a/replica/scenario_test.go
+++ b/replica/scenario_test.go
@@ -276,7 +276,7 @@
 func TestTransfer(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3, witness: true})
 	l := s.leader()
-	must.ErrorIs(t, l.core.Transfer("n2"), ErrBadTarget)
+	must.ErrorIs(t, l.core.Transfer("n2"), ErrBadTransferee)
 	to := s.liveFollower(l)
 	must.NoError(t, l.core.Transfer(to.id))
 	_, _, err := l.core.Propose([]byte("x"))
--- a/replica/transfer.go
+++ b/replica/transfer.go
@@ -13,7 +13,7 @@
 // Transfer hands the leadership to another voter. The leader accepts no more
 // proposals, and once the other voter holds the whole log, the leader tells it to
 // campaign at once. The transfer expires after an election timeout. Errors:
-// ErrNotLeader, ErrTransferring, and ErrBadTarget for a member that can't lead or
+// ErrNotLeader, ErrTransferring, and ErrBadTransferee for a member that can't lead or
 // isn't responsive.
 func (c *Core) Transfer(to string) error {
 	if err := c.checkCanPropose(); err != nil {
@@ -24,7 +24,7 @@
 	}
 	m, ok := c.members.find(to)
 	if !ok || m.Learner || m.Witness || !c.responsive(c.leaderState.progress[to]) {
-		return errors.Wrapf(ErrBadTarget, "member %q", to)
+		return errors.Wrapf(ErrBadTransferee, "member %q", to)
 	}
 	c.leaderState.transfer = transfer{to: to, startedTick: c.now}
 	c.tryTransfer(to)
