--- /dev/null
+++ b/replica/election_timeout.go
@@ -0,0 +1,40 @@
+package replica
+
+const (
+	// gapWindowTicks is the least number of ticks for which the widest gap between
+	// two messages of a leader is remembered: 200 ticks of 50 ms are 10 s.
+	gapWindowTicks = 200
+	// gapFactor times the widest gap, plus one tick, is the least election timeout.
+	gapFactor = 2
+	// maxTimeoutFactor bounds the least election timeout, in multiples of
+	// Config.ElectionTicks.
+	maxTimeoutFactor = 4
+)
+
+// heartbeatGaps holds the widest gaps between two messages of one leader, in ticks:
+// in the current window and in the previous one.
+type heartbeatGaps struct {
+	windowStart            uint64
+	widest, previousWidest int
+}
+
+// record adds the gap before a message of the leader, in ticks.
+func (g *heartbeatGaps) record(gap int, now uint64) {
+	if now-g.windowStart >= gapWindowTicks {
+		g.windowStart, g.previousWidest, g.widest = now, g.widest, 0
+	}
+	g.widest = max(g.widest, gap)
+}
+
+// minElectionTimeout returns the least election timeout in ticks. It is longer than
+// the recent gaps between the leader's messages after which the leader did continue.
+//
+// Without it, a leader under load that sends its heartbeats late is replaced. The new
+// leader's first work is the longest of all, so it is late even sooner, and elections
+// go on without end. The time for which votes are refused isn't extended, so no
+// leader's lease depends on this value.
+func (c *Core) minElectionTimeout() int {
+	base := c.cfg.ElectionTicks
+	widest := max(c.heartbeatGaps.widest, c.heartbeatGaps.previousWidest)
+	return min(max(base, gapFactor*widest+1), maxTimeoutFactor*base)
+}
