--- a/internal/peer/order.go
+++ b/internal/peer/sequencer.go
@@ -45,27 +45,27 @@
 
 // take takes in a call, now or when its turn comes. A call that came twice, or
 // from a process that has ended, is dropped.
-func (o *sequencer) accept(r *apiv1.ExchangeRequest) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if r.Session == o.previousSession {
-		o.drop(r)
+func (q *sequencer) accept(r *apiv1.ExchangeRequest) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if r.Session == q.previousSession {
+		q.drop(r)
 		return
 	}
-	if r.Session != o.session {
-		o.startSession(r)
+	if r.Session != q.session {
+		q.startSession(r)
 	}
 	switch {
-	case r.Sequence < o.nextSequence:
-		o.acceptLate(r)
-	case r.Sequence == o.nextSequence:
-		o.nextSequence++
-		o.deliver(r)
-		o.deliverFollowing()
-	case o.held[r.Sequence] != nil:
-		o.drop(r)
+	case r.Sequence < q.nextSequence:
+		q.acceptLate(r)
+	case r.Sequence == q.nextSequence:
+		q.nextSequence++
+		q.deliver(r)
+		q.deliverFollowing()
+	case q.held[r.Sequence] != nil:
+		q.drop(r)
 	default:
-		o.hold(r)
+		q.hold(r)
 	}
 }
 
@@ -73,84 +73,84 @@
 // new, or this process is. Calls made shortly before may still be on their way:
 // near the beginning of a session they are waited for, since a new sender's
 // first calls overtake each other too.
-func (o *sequencer) startSession(r *apiv1.ExchangeRequest) {
-	o.releaseAll()
-	o.previousSession, o.session = o.session, r.Session
-	o.missing = map[uint64]bool{}
-	o.nextSequence = r.Sequence - min(r.Sequence-1, maxHeldCalls)
-	if o.nextSequence > 1 {
-		o.skipTo(r.Sequence)
+func (q *sequencer) startSession(r *apiv1.ExchangeRequest) {
+	q.releaseAll()
+	q.previousSession, q.session = q.session, r.Session
+	q.missing = map[uint64]bool{}
+	q.nextSequence = r.Sequence - min(r.Sequence-1, maxHeldCalls)
+	if q.nextSequence > 1 {
+		q.skipTo(r.Sequence)
 	}
 }
 
 // acceptLate takes in a call whose turn has passed, unless it came already. That
 // isn't remembered of one that lags very far, and the logs bear a doubled call.
-func (o *sequencer) acceptLate(r *apiv1.ExchangeRequest) {
-	if !o.missing[r.Sequence] && r.Sequence+missingWindow >= o.nextSequence {
-		o.drop(r)
+func (q *sequencer) acceptLate(r *apiv1.ExchangeRequest) {
+	if !q.missing[r.Sequence] && r.Sequence+missingWindow >= q.nextSequence {
+		q.drop(r)
 		return
 	}
-	delete(o.missing, r.Sequence)
-	o.deliver(r)
+	delete(q.missing, r.Sequence)
+	q.deliver(r)
 }
 
 // deliverFollowing delivers the held calls whose turn has come.
-func (o *sequencer) deliverFollowing() {
-	for r := o.held[o.nextSequence]; r != nil; r = o.held[o.nextSequence] {
-		delete(o.held, o.nextSequence)
-		o.nextSequence++
-		o.deliver(r)
+func (q *sequencer) deliverFollowing() {
+	for r := q.held[q.nextSequence]; r != nil; r = q.held[q.nextSequence] {
+		delete(q.held, q.nextSequence)
+		q.nextSequence++
+		q.deliver(r)
 	}
-	if len(o.held) == 0 {
-		o.stopTimer()
+	if len(q.held) == 0 {
+		q.stopTimer()
 	}
 }
 
-func (o *sequencer) hold(r *apiv1.ExchangeRequest) {
-	if o.held == nil {
-		o.held = map[uint64]*apiv1.ExchangeRequest{}
+func (q *sequencer) hold(r *apiv1.ExchangeRequest) {
+	if q.held == nil {
+		q.held = map[uint64]*apiv1.ExchangeRequest{}
 	}
-	o.held[r.Sequence] = r
-	if len(o.held) > maxHeldCalls {
-		o.releaseAll()
+	q.held[r.Sequence] = r
+	if len(q.held) > maxHeldCalls {
+		q.releaseAll()
 		return
 	}
-	if o.holdTimer == nil {
-		o.holdTimer = time.AfterFunc(holdTime, o.releaseAfterTimeout)
+	if q.holdTimer == nil {
+		q.holdTimer = time.AfterFunc(holdTime, q.releaseAfterTimeout)
 	}
 }
 
 // release gives up what hasn't come before the calls held.
-func (o *sequencer) releaseAfterTimeout() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.releaseAll()
+func (q *sequencer) releaseAfterTimeout() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.releaseAll()
 }
 
-func (o *sequencer) releaseAll() {
-	for len(o.held) > 0 {
+func (q *sequencer) releaseAll() {
+	for len(q.held) > 0 {
 		lowest := ^uint64(0)
-		for sequence := range o.held {
+		for sequence := range q.held {
 			lowest = min(lowest, sequence)
 		}
-		o.skipTo(lowest)
-		o.deliverFollowing()
+		q.skipTo(lowest)
+		q.deliverFollowing()
 	}
-	o.stopTimer()
+	q.stopTimer()
 }
 
 // skipTo passes the turn to a later sequence.
-func (o *sequencer) skipTo(sequence uint64) {
-	maps.DeleteFunc(o.missing, func(s uint64, _ bool) bool { return s+missingWindow < sequence })
-	for s := max(o.nextSequence, sequence-min(sequence, missingWindow)); s < sequence; s++ {
-		o.missing[s] = true
+func (q *sequencer) skipTo(sequence uint64) {
+	maps.DeleteFunc(q.missing, func(s uint64, _ bool) bool { return s+missingWindow < sequence })
+	for s := max(q.nextSequence, sequence-min(sequence, missingWindow)); s < sequence; s++ {
+		q.missing[s] = true
 	}
-	o.nextSequence = sequence
+	q.nextSequence = sequence
 }
 
-func (o *sequencer) stopTimer() {
-	if o.holdTimer != nil {
-		o.holdTimer.Stop()
-		o.holdTimer = nil
+func (q *sequencer) stopTimer() {
+	if q.holdTimer != nil {
+		q.holdTimer.Stop()
+		q.holdTimer = nil
 	}
 }
