--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -11,53 +11,60 @@
 )
 
 const (
-	// collectHold is how long a question for outcomes waits for one. A carrier without
-	// outcomes answers as often as that, which shows the leader that it is there.
+	// collectHold is how long a collect call without outcomes is held open. An idle
+	// carrier therefore answers at this interval, which shows the leader that it is
+	// alive.
 	collectHold = 150 * time.Millisecond
-	// maxReplyOutcomes bounds the outcomes of one answer, and of those that wait for the
-	// leader to ask: three seconds of a thousand ends.
-	maxReplyOutcomes    = 512
+	// maxReplyOutcomes bounds the outcomes in one collect reply.
+	maxReplyOutcomes = 512
+	// maxBufferedOutcomes bounds the outcomes that wait to be collected, enough for
+	// three seconds at a thousand ended runs per second.
 	maxBufferedOutcomes = 4096
 )
 
-// CarrierConfig is the fixed part of a Carrier.
+// CarrierConfig configures a Carrier.
 type CarrierConfig struct {
-	// Workers calls workers from here.
+	// Workers makes the calls to workers from this instance.
 	Workers    control.Workers
 	DataCentre string
-	// CollectHeartbeats returns the heartbeats that this instance took and that the leader
-	// hasn't been told of.
+	// CollectHeartbeats returns the buffered heartbeats that this instance received and
+	// hasn't yet reported to the leader.
 	CollectHeartbeats func() []control.BufferedHeartbeat
 	Counters          control.Counters
 }
 
-// Carrier calls workers for whoever leads. It is safe for concurrent use.
+// Carrier makes calls to workers on behalf of the current leader. It is safe for
+// concurrent use.
 type Carrier struct {
-	cfg         CarrierConfig
+	cfg CarrierConfig
+	// incarnation identifies this Carrier. A restart picks another one.
 	incarnation uint64
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// term is the latest leader term seen.
 	term uint64
-	// outcomes are those that the leader hasn't confirmed; first is the number of the
-	// first of them.
+	// outcomes are those that the leader hasn't acknowledged. They are numbered
+	// consecutively; firstNumber is the number of outcomes[0].
 	outcomes    []Outcome
 	firstNumber uint64
-	// came is closed when an outcome comes up.
+	// outcomeAdded is closed, and replaced, when an outcome is added.
 	outcomeAdded chan struct{}
 }
 
-// NewCarrier returns a carrier without orders.
+// NewCarrier returns a Carrier that has no orders and has seen no leader.
 func NewCarrier(cfg CarrierConfig) *Carrier {
 	return &Carrier{cfg: cfg, incarnation: rand.Uint64() | 1, firstNumber: 1, outcomeAdded: make(chan struct{})}
 }
 
-// Register serves the carrier's calls on mux.
+// Register serves the carrier's methods on mux.
 func (c *Carrier) Register(mux *link.Mux) {
 	link.Handle(mux, MethodCarry, c.Carry)
 	link.Handle(mux, MethodCollect, c.Collect)
 }
 
-// Carry takes orders over and returns at once; their outcomes are collected.
+// Carry starts the orders of a call and returns at once; the leader fetches their
+// outcomes with Collect. If the carrier has seen a later term, it starts nothing and
+// returns that term.
 func (c *Carrier) Carry(ctx context.Context, call *CarryCall) (CarryReply, error) {
 	if current := c.adoptTerm(call.Term); current != call.Term {
 		return CarryReply{Term: current}, nil
@@ -70,12 +77,12 @@
 	return CarryReply{Term: call.Term}, nil
 }
 
-// holds returns the term under which the carrier acts from now on: the latest that it
-// has heard of. Outcomes of earlier terms are nobody's.
+// adoptTerm raises the carrier's term to term if that is later, and returns the term
+// now in force. A new term drops the outcomes of earlier ones.
 //
-// Failure guarded against: an instance that was cut off still takes itself for the
-// leader and hands over orders. Workers refuse them by their fence once the new leader
-// has looked at them; the carrier refuses them from its first message.
+// An instance that was partitioned may still send orders as the leader. Workers reject
+// them by their fence only after the new leader has polled them; the carrier rejects
+// them as soon as it has received one message of the new leader.
 func (c *Carrier) adoptTerm(term uint64) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,7 +93,7 @@
 	return c.term
 }
 
-// do makes one call of a worker.
+// execute makes the call to the worker and stores its outcome.
 func (c *Carrier) execute(ctx context.Context, term uint64, order *Order) {
 	ctx, cancel := context.WithTimeout(ctx, order.CallTimeout)
 	defer cancel()
@@ -96,6 +103,8 @@
 	c.addOutcome(term, outcome)
 }
 
+// addOutcome stores the outcome of an order given in term, unless a later term has
+// begun. It drops the oldest outcome if the buffer is full.
 func (c *Carrier) addOutcome(term uint64, outcome Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,7 +112,7 @@
 		return
 	}
 	if len(c.outcomes) >= maxBufferedOutcomes {
-		// The leader doesn't ask; it has given these orders up.
+		// The leader has stopped collecting, and these orders have timed out.
 		c.outcomes = c.outcomes[1:]
 		c.firstNumber++
 		c.cfg.Counters.Add("carried_outcomes_dropped", 1)
@@ -113,8 +122,9 @@
 	c.outcomeAdded = make(chan struct{})
 }
 
-// Collect returns outcomes as soon as there are any. A leader that doesn't know this
-// life of the carrier is answered at once.
+// Collect returns the outcomes that the leader hasn't acknowledged, and waits up to
+// collectHold for one. It answers at once if the call names another incarnation of the
+// carrier. Errors are those of ctx.
 func (c *Carrier) Collect(ctx context.Context, call *CollectCall) (CollectReply, error) {
 	current := c.adoptTerm(call.Term)
 	reply := CollectReply{Term: current, DataCentre: c.cfg.DataCentre, Incarnation: c.incarnation}
@@ -140,8 +150,9 @@
 	}
 }
 
-// after returns the outcomes after those that the leader has, and drops the latter;
-// came is closed when there is another one.
+// outcomesAfter drops the outcomes that the call acknowledges and returns the next
+// ones, the number of the last of them, and a channel that is closed when an outcome is
+// added.
 func (c *Carrier) outcomesAfter(call *CollectCall) (outcomes []Outcome, last uint64, added <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/carrier/carrier_test.go
+++ b/internal/carrier/carrier_test.go
@@ -45,8 +45,8 @@
 	})
 }
 
-// Guards against a new leader that calls workers by itself though its carrier has answered:
-// what the answer tells of heartbeats is taken in first.
+// A carrier answers a new leader, which is still processing the heartbeats of that
+// answer when it sends its first order. The leader must not call the worker directly.
 func TestFirstOrderOfNewLeaderGoesThroughResponsiveCarrier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
@@ -56,7 +56,7 @@
 		must.Eq(t, 1, c.startMany(1))
 		must.Eq(t, 1, c.workers["carrier-0"].started())
 		c.endTerm()
-		// What is being taken in ends too.
+		// Lets ApplyHeartbeats return.
 		time.Sleep(2 * networkDelay)
 	})
 }
@@ -85,9 +85,9 @@
 	})
 }
 
-// Eleven hundred workers are told to start something every second. The leader called
-// each of them itself, which took most of its processor; the messages to its carriers
-// are as many for a hundred workers as for a thousand.
+// 1100 workers get a start every second. A leader that calls each of them itself spends
+// most of its processor time on that. The number of messages to carriers must be about
+// the same for 100 workers and for 1100.
 func TestLeaderMessagesDoNotGrowWithWorkers(t *testing.T) {
 	messages := func(workers int) (sent int) {
 		synctest.Test(t, func(t *testing.T) {
@@ -113,8 +113,8 @@
 	must.LessEq(t, 2*few, many)
 }
 
-// A carrier is killed with orders on their way. Whoever waits learns soon that they may
-// have been carried out, and its workers are called by the others.
+// A carrier stops answering with orders in flight. Their callers must learn soon that
+// the orders may have been executed, and other carriers must call its workers.
 func TestWorkersOfUnresponsiveCarrierMoveToOtherCarriers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3)
@@ -123,20 +123,20 @@
 		started := time.Now()
 		answered := c.startMany(300)
 		must.Between(t, 150, answered, 250)
-		must.Less(t, 600*time.Millisecond, time.Since(started), must.Sprint("nobody waits for the whole time of a call"))
+		must.Less(t, 600*time.Millisecond, time.Since(started), must.Sprint("callers must not wait for the full call timeout"))
 		must.Eq(t, 300, c.startMany(300))
 		must.Eq(t, 0, c.workers["carrier-1"].started())
 
 		c.setFault(c.unresponsive, "carrier-1", false)
 		time.Sleep(time.Second)
 		must.Eq(t, 300, c.startMany(300))
-		must.Positive(t, c.workers["carrier-1"].started(), must.Sprint("a carrier that is back gets work"))
+		must.Positive(t, c.workers["carrier-1"].started(), must.Sprint("a recovered carrier must get orders"))
 		c.endTerm()
 	})
 }
 
-// A carrier's process is gone and its machine refuses connections: its orders can't have
-// arrived, and the leader carries them itself without anybody noticing.
+// A carrier's process has ended and its host refuses connections. The orders can't have
+// arrived, so the leader must call the workers itself and no order may fail.
 func TestOrdersThatCantHaveArrivedAreSentByTheLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
@@ -148,8 +148,9 @@
 	})
 }
 
-// The answer to a question for outcomes gets lost. They are listed again: without that
-// each order in it would count as perhaps carried out, and its worker as doubtful.
+// The reply to a collect call is lost. The carrier must list its outcomes again;
+// otherwise each of these orders counts as possibly executed, and its worker has an
+// overdue order.
 func TestLostOutcomesAreListedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		carrier := newTestCarrier(&fakeWorkers{}, "dc")
@@ -168,8 +169,9 @@
 	})
 }
 
-// A carrier is restarted and counts its outcomes from the beginning. A leader that told
-// it what it had seen before missed all of them until the count was as high again.
+// A carrier restarts and numbers its outcomes from 1 again. If the leader still
+// acknowledged numbers of the previous incarnation, it would miss all outcomes up to
+// that number.
 func TestOutcomesOfRestartedCarrierAreCollected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
@@ -183,8 +185,8 @@
 	})
 }
 
-// An instance that was cut off still takes itself for the leader. A carrier that has
-// heard of the next one carries nothing for it, and tells it the later term.
+// A partitioned instance still sends orders as the leader. A carrier that has heard
+// from the next leader must execute none of them and must return the later term.
 func TestCarrierRefusesEarlierTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		workers := &fakeWorkers{}
@@ -202,8 +204,9 @@
 	})
 }
 
-// An outcome of the last term reaches the leader of the next one, which has given an
-// order the same number.
+// A carrier holds an outcome of the previous term when the next leader collects. That
+// leader may have given the same ID to another order, so the carrier must drop the
+// outcome.
 func TestOutcomesOfEarlierTermAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		carrier := newTestCarrier(&fakeWorkers{}, "dc")
@@ -216,8 +219,8 @@
 	})
 }
 
-// A carrier takes orders, answers that it is there, and its workers get nothing: it is
-// behind. It gets no further orders until it has caught up.
+// A carrier accepts orders and answers collect calls, but its calls to workers hang. It
+// must get no further orders while its orders are overdue.
 func TestBackloggedCarrierGetsNoOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 2)
@@ -249,8 +252,8 @@
 	})
 }
 
-// The leadership passes back and forth, and the goroutine that kept the routes of an
-// earlier term takes away those of the present one.
+// An instance leads again while the goroutine of its earlier term is still ending. That
+// goroutine must not remove the routes of the current term.
 func TestEndOfTermKeepsRoutesOfNextTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 2)
@@ -266,10 +269,10 @@
 	})
 }
 
-// What a user sees: a task never runs, and its job isn't done.
-// Order: a look is held at a worker; the core instance that carries it leaves and comes
-// back within a term; a start goes the new way and hangs; the look is answered.
-// Cause: each way numbered its orders from 1, and the start got the look's outcome.
+// A worker holds a poll while its carrier leaves and returns within a term. A start
+// goes through the new route and hangs; then the poll is answered. If each route
+// numbered its orders from 1, the start would get the outcome of the poll, and the task
+// would never run.
 func TestOutcomeOfClosedRouteMatchesNoOtherOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
--- a/internal/carrier/direct_share.go
+++ b/internal/carrier/direct_share.go
@@ -10,31 +10,34 @@
 )
 
 const (
-	// maxDirectCallsPerSecond is how many calls of workers a second the leader makes by itself: they
-	// leave most of a small processor to its decisions.
+	// maxDirectCallsPerSecond bounds the calls to workers that the leader makes itself.
+	// This rate leaves most of a small processor for its decisions.
 	maxDirectCallsPerSecond = 500
-	// rateWeight is that of the latest count in the moving mean of orders a second.
+	// rateWeight is the weight of the latest value in the moving average of orders per
+	// second.
 	rateWeight = 0.3
 )
 
-// directShare tells which workers the leader calls by itself: all while there are few orders,
-// which then save the way through a carrier, and a smaller part the more orders there are.
+// directShare selects the workers that the leader calls directly: all of them while
+// orders are few, and a smaller share the more orders there are.
 //
-// Load that it answers: at some hundred orders a second the leader has time to spare, and
-// the longer way makes each start and each end later; at some thousands its calls would
-// take the time of its decisions.
+// At some hundred orders per second the leader has time to spare, and a carrier would
+// only delay starts and ends of runs. At some thousands, direct calls would take the
+// time that its decisions need.
 type directShare struct {
 	orderCount atomic.Int64
 
-	mu              sync.Mutex
+	mu sync.Mutex
+	// ordersPerSecond is a moving average.
 	ordersPerSecond float64
 	lastUpdate      time.Time
-	// bound is the part of the hashes of workers that the leader calls itself.
+	// hashLimit is the highest hash of the workers that the leader calls directly; 0
+	// means none.
 	hashLimit uint64
 }
 
-// begin begins a leadership with nothing of its own: what a new leader has to do first, a
-// look at each worker, is the most that it ever has to do at once.
+// reset starts a leader term without direct calls. A new leader polls every worker at
+// once, which is the highest load it ever has.
 func (s *directShare) reset(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,10 +45,10 @@
 	s.ordersPerSecond, s.lastUpdate, s.hashLimit = 0, now, 0
 }
 
-// countOrder counts an order.
+// countOrder counts an order, direct or forwarded.
 func (s *directShare) countOrder() { s.orderCount.Add(1) }
 
-// adapt takes the orders since the last time into account.
+// update sets the share by the rate of the orders since the last update.
 func (s *directShare) update(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,7 +68,7 @@
 	}
 }
 
-// has reports whether the leader calls a worker by itself.
+// includes reports whether the leader calls a worker directly.
 func (s *directShare) includes(worker string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/carrier/direct_share_test.go
+++ b/internal/carrier/direct_share_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// countDirectWorkers returns how many of a thousand workers a leader calls by itself after a while at a
-// rate of orders.
+// countDirectWorkers returns how many of 1000 workers the leader calls directly after
+// some time at a constant rate of orders.
 func countDirectWorkers(ordersPerSecond int) (direct int) {
 	var s directShare
 	now := time.Now()
@@ -29,9 +29,8 @@
 	return direct
 }
 
-// What a user sees: on a small deployment, urgent tasks begin and end later than before.
-// Order: fifty workers are called through other instances though the leader is idle.
-// Cause: orders were handed over whether or not the leader had too many.
+// A small deployment's leader forwards orders although it is idle, and urgent tasks
+// start and end later than they could.
 func TestLeaderWithFewOrdersCallsWorkersDirectly(t *testing.T) {
 	must.Eq(t, 1000, countDirectWorkers(400))
 	must.Between(t, 200, countDirectWorkers(2000), 300)
@@ -42,7 +41,7 @@
 	var s directShare
 	now := time.Now()
 	s.reset(now)
-	must.False(t, s.includes("w"), must.Sprint("a new leader hands its first looks over"))
+	must.False(t, s.includes("w"), must.Sprint("a new leader must forward its first polls"))
 	s.orderCount.Store(5000)
 	s.update(now.Add(time.Second))
 	must.Less(t, ^uint64(0)/5, s.hashLimit)
--- a/internal/carrier/fake_test.go
+++ b/internal/carrier/fake_test.go
@@ -18,10 +18,10 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// way is one way of a message between two instances.
+// networkDelay is the one-way delay of a message between two instances.
 const networkDelay = time.Millisecond
 
-// cluster is carriers and one leader's Spread on a network that can be cut.
+// cluster is a leader's Forwarder and several carriers on a simulated network.
 type cluster struct {
 	t         *testing.T
 	forwarder *Forwarder
@@ -31,8 +31,8 @@
 	members  []string
 	carriers map[string]*Carrier
 	workers  map[string]*fakeWorkers
-	// unreached refuse connections, silent take messages and answer nothing, losing
-	// answer nothing after having worked.
+	// refusing instances refuse connections, unresponsive ones accept messages and
+	// never answer, and those in droppingReplies process messages without answering.
 	refusing, unresponsive, droppingReplies map[string]bool
 	callCounts                              map[string]int
 }
@@ -57,7 +57,7 @@
 	return c
 }
 
-// restart gives an instance a carrier that knows nothing.
+// restart replaces an instance's carrier by one without orders or outcomes.
 func (c *cluster) restart(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,7 +70,7 @@
 	return slices.Clone(c.members)
 }
 
-// setMembers replaces the members, which the leader notices after a while.
+// setMembers replaces the members and waits until the leader has noticed.
 func (c *cluster) setMembers(members ...string) {
 	c.mu.Lock()
 	c.members = members
@@ -85,8 +85,8 @@
 	})
 }
 
-// lead begins a term; it ends with the test or the next one. The leader has so many orders
-// that it hands all of them over.
+// lead starts a leader term, which ends with the test or the next term. The simulated
+// load is so high that the leader forwards all orders.
 func (c *cluster) lead(term uint64) {
 	if c.endTerm != nil {
 		c.endTerm()
@@ -97,16 +97,18 @@
 	go c.simulateLoad(ctx)
 }
 
-// manyOrders is a rate at which the leader calls hardly any worker by itself.
+// manyOrders is a number of orders at which the leader calls almost no worker directly.
 const manyOrders = 1e9
 
-// simulateLoad lets the leader count so many orders that it hands all over.
+// simulateLoad raises the leader's order count so far that it forwards all orders.
 func (c *cluster) simulateLoad(ctx context.Context) {
 	for wait.For(ctx, membershipInterval/2) {
 		c.forwarder.direct.orderCount.Add(manyOrders)
 	}
 }
 
+// setFault starts or ends a fault of an instance; faults is one of the cluster's fault
+// maps.
 func (c *cluster) setFault(faults map[string]bool, name string, active bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,14 +121,14 @@
 	return faults[name]
 }
 
-// callsOf returns how many messages of a kind were sent.
+// callsOf returns the number of calls of a method.
 func (c *cluster) callsOf(method string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.callCounts[method]
 }
 
-// Call carries a message as the network does.
+// Call implements Transport with delays and the faults that are set.
 func (c *cluster) Call(ctx context.Context, address, method string, request, reply any) error {
 	c.mu.Lock()
 	carrier := c.carriers[address]
@@ -152,7 +154,7 @@
 	return copyMessage(answer, reply)
 }
 
-// serve hands a message to a carrier.
+// serve passes a call to a carrier.
 func serve(ctx context.Context, carrier *Carrier, method string, request any) (any, error) {
 	if method == MethodCarry {
 		var call CarryCall
@@ -168,7 +170,7 @@
 	return carrier.Collect(ctx, &call)
 }
 
-// copyMessage encodes and decodes a message as the network does.
+// copyMessage encodes from and decodes it into to, as a real transport does.
 func copyMessage(from, to any) error {
 	data, err := cbor.Marshal(from)
 	if err != nil {
@@ -177,21 +179,22 @@
 	return cbor.Unmarshal(data, to)
 }
 
-// fakeWorkers are workers as one instance reaches them.
+// fakeWorkers stands for all workers as one instance reaches them.
 type fakeWorkers struct {
 	mu     sync.Mutex
 	starts []control.StartOrder
-	// to counts the starts of each worker.
+	// startsByWorker counts the starts by worker.
 	startsByWorker map[string]int
-	// refuse is the answer to starts; nil takes them.
+	// startErr is the answer to starts; nil accepts them.
 	startErr error
 	polls    int
-	// pollHold is how long looks are held.
+	// pollHold is how long polls are held.
 	pollHold time.Duration
-	// hang keeps starts from being answered.
+	// hangStarts leaves starts unanswered.
 	hangStarts bool
 }
 
+// workerClockMS is the clock that fake workers report, in milliseconds.
 const workerClockMS = 77
 
 func (w *fakeWorkers) Start(ctx context.Context, to control.Target, order control.StartOrder) (int64, error) {
@@ -219,7 +222,7 @@
 	return workerClockMS, nil
 }
 
-// Look answers at once with one end.
+// Poll answers after pollHold with one ended and one running run.
 func (w *fakeWorkers) Poll(_ context.Context, _ control.Target, order control.PollOrder) (control.Report, error) {
 	time.Sleep(networkDelay + w.pollHold)
 	w.mu.Lock()
@@ -245,7 +248,7 @@
 func (noCounters) Set(string, int64)             {}
 func (noCounters) Observe(string, time.Duration) {}
 
-// start sends a start to a worker within the time that the leader allows.
+// start sends a start to a worker with a timeout of 600 ms.
 func (c *cluster) start(worker string) error {
 	ctx, cancel := context.WithTimeout(c.t.Context(), 600*time.Millisecond)
 	defer cancel()
@@ -253,7 +256,7 @@
 	return err
 }
 
-// startsByInstance returns how many starts each instance has sent.
+// startsByInstance returns the number of starts that each instance has sent.
 func (c *cluster) startsByInstance() map[string]int {
 	starts := map[string]int{}
 	for name, w := range c.workers {
@@ -262,7 +265,7 @@
 	return starts
 }
 
-// startsByWorker returns how many starts each worker was sent, by whomever.
+// startsByWorker returns the number of starts that each worker got from all instances.
 func (c *cluster) startsByWorker() map[string]int {
 	starts := map[string]int{}
 	for _, w := range c.workers {
@@ -275,7 +278,7 @@
 	return starts
 }
 
-// startMany sends starts to many workers at once and returns how many had no error.
+// startMany sends starts to many workers at once and returns how many succeeded.
 func (c *cluster) startMany(workers int) (answered int) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
@@ -292,7 +295,7 @@
 	return answered
 }
 
-// pendingOrders returns how many orders have no outcome.
+// pendingOrders returns the number of orders without an outcome.
 func (r *route) pendingOrders() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/carrier/forwarder.go
+++ b/internal/carrier/forwarder.go
@@ -16,57 +16,57 @@
 )
 
 const (
-	// membershipInterval is how often a leader looks for other members.
+	// membershipInterval is how often the leader checks for new and removed members.
 	membershipInterval = 500 * time.Millisecond
-	// baseMessageInterval times the number of carriers lies between two messages to one of
-	// them and between two from it, so that the leader's messages a second don't grow
-	// with the number of carriers or workers. What comes up meanwhile shares the next
-	// one; a message after a longer pause goes at once.
+	// baseMessageInterval times the number of carriers is the pause between two
+	// messages to a carrier, and between two from it. The leader's message rate
+	// therefore doesn't grow with the number of carriers or workers. Orders queued
+	// during the pause share the next message; an order after an idle time is sent at
+	// once.
 	baseMessageInterval = time.Millisecond
-	// firstContactTimeout bounds the wait of a new leader for its carriers: a few round trips.
+	// firstContactTimeout bounds a new leader's wait for its carriers: a few round
+	// trips.
 	firstContactTimeout = 60 * time.Millisecond
 )
 
-// Config is the fixed part of a Spread.
+// ForwarderConfig configures a Forwarder.
 type ForwarderConfig struct {
-	// Own is where other instances reach this one.
+	// OwnAddress is the address at which other instances reach this one.
 	OwnAddress string
-	// Members lists the core instances, this one included or not.
+	// Members lists the addresses of the core instances; this instance may be included.
 	Members   func() []string
 	Transport Transport
-	// Direct calls workers from here.
+	// DirectWorkers makes the calls to workers from this instance.
 	DirectWorkers control.Workers
-	// Heard takes in the heartbeats that other instances took.
+	// ApplyHeartbeats processes the heartbeats that other instances received.
 	ApplyHeartbeats func([]control.BufferedHeartbeat)
 	Logger          log.Logger
 	Counters        control.Counters
 }
 
-// Spread is the leader's way to workers: by its own calls while there are few, and
-// through carriers, where there are some, for what goes beyond. It is safe for concurrent
-// use.
+// Forwarder sends the leader's orders to workers, by direct calls while orders are few
+// and through carriers for the rest. It is safe for concurrent use.
 type Forwarder struct {
 	cfg ForwarderConfig
 
 	mu sync.RWMutex
-	// routes are those to the other members under the present term, none while this
-	// instance doesn't lead.
+	// routes lead to the other members in the current term; there are none while this
+	// instance isn't the leader.
 	routes []*route
-	// leading is the leadership that the routes belong to.
+	// current manages the routes of the latest leader term of this instance.
 	current *termRoutes
 	direct  directShare
-	// lastOrderID is the number of the last order.
+	// lastOrderID is the ID of the last order on any route.
 	lastOrderID atomic.Uint64
 }
 
-// NewForwarder returns a Spread of an instance that doesn't lead.
+// NewForwarder returns a Forwarder of an instance that isn't the leader.
 func NewForwarder(cfg ForwarderConfig) *Forwarder { return &Forwarder{cfg: cfg} }
 
-// Lead opens routes to the other members and returns when they have answered, or
-// after a moment. They are kept until ctx ends, as long as this instance leads.
-//
-// Failure guarded against: a new leader looks at all workers at once, and does so by
-// itself if no carrier has answered yet.
+// Lead opens routes to the other members for a leader term. The routes stay open until
+// ctx ends. Lead returns when each carrier has answered or failed to, after
+// firstContactTimeout at most: a new leader polls all workers at once and would call
+// them all directly if no carrier had answered yet.
 func (f *Forwarder) Lead(ctx context.Context, term uint64) {
 	t := &termRoutes{forwarder: f, ctx: ctx, term: term, routes: map[string]*openRoute{}}
 	f.mu.Lock()
@@ -78,7 +78,7 @@
 	go t.run()
 }
 
-// leadership keeps the routes of one term.
+// termRoutes manages the routes of one leader term.
 type termRoutes struct {
 	forwarder *Forwarder
 	ctx       context.Context
@@ -86,13 +86,14 @@
 	routes    map[string]*openRoute
 }
 
+// openRoute is a route with the function that stops its loops.
 type openRoute struct {
 	*route
 	close context.CancelFunc
 }
 
-// awaitContact waits until each carrier has answered or failed to, firstContactTimeout at
-// most.
+// awaitContact waits until each carrier has answered or failed to, firstContactTimeout
+// at most.
 func (t *termRoutes) awaitContact() {
 	ctx, cancel := context.WithTimeout(t.ctx, firstContactTimeout)
 	defer cancel()
@@ -101,6 +102,8 @@
 	}
 }
 
+// run keeps the routes and the direct share up to date until the term ends, and then
+// removes the routes.
 func (t *termRoutes) run() {
 	defer t.forwarder.setRoutes(t, nil)
 	for wait.For(t.ctx, membershipInterval) {
@@ -109,7 +112,7 @@
 	}
 }
 
-// refresh opens routes to new members and closes those to members that have left.
+// refresh opens routes to new members and closes those to removed members.
 func (t *termRoutes) refresh() {
 	members := t.forwarder.cfg.Members()
 	for address, r := range t.routes {
@@ -131,6 +134,7 @@
 	t.forwarder.setRoutes(t, routes)
 }
 
+// open starts a route to the carrier at address.
 func (t *termRoutes) open(address string) *openRoute {
 	r := newRoute(&t.forwarder.cfg, address, t.term, &t.forwarder.lastOrderID)
 	ctx, cancel := context.WithCancel(t.ctx)
@@ -139,7 +143,7 @@
 	return &openRoute{route: r, close: cancel}
 }
 
-// setRoutes replaces the routes, unless another leadership has begun.
+// setRoutes replaces the routes, unless a later term has begun.
 func (f *Forwarder) setRoutes(t *termRoutes, routes []*route) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -148,9 +152,9 @@
 	}
 }
 
-// routeTo returns the route by which a worker is called, nil where the leader calls it
-// itself. Workers are spread evenly over the carriers of their data centre, or over
-// all where it has none; when one comes or goes only its share moves.
+// routeTo returns the route for a worker, or nil if no carrier is usable. Rendezvous
+// hashing spreads workers evenly over the carriers of their data centre, or over all
+// carriers if it has none; when a carrier comes or goes, only its own workers move.
 func (f *Forwarder) routeTo(to control.Target) *route {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -172,41 +176,42 @@
 	return best
 }
 
-// Start sends a start.
+// Start sends a start order and returns the worker's clock in milliseconds.
 func (f *Forwarder) Start(ctx context.Context, to control.Target, order control.StartOrder) (int64, error) {
 	outcome, err := f.send(ctx, &Order{To: to, Start: &order})
 	return outcome.ClockMS, err
 }
 
-// Stop sends a stop.
+// Stop sends a stop order and returns the worker's clock in milliseconds.
 func (f *Forwarder) Stop(ctx context.Context, to control.Target, order control.StopOrder) (int64, error) {
 	outcome, err := f.send(ctx, &Order{To: to, Stop: &order})
 	return outcome.ClockMS, err
 }
 
-// Throttle sends a change of a run's share.
+// Throttle sends a change of the share of its speed that a run may use, and returns the
+// worker's clock in milliseconds.
 func (f *Forwarder) Throttle(ctx context.Context, to control.Target, order control.ThrottleOrder) (int64, error) {
 	outcome, err := f.send(ctx, &Order{To: to, Throttle: &order})
 	return outcome.ClockMS, err
 }
 
-// Look asks for a worker's lists.
+// Poll requests a worker's report.
 func (f *Forwarder) Poll(ctx context.Context, to control.Target, order control.PollOrder) (control.Report, error) {
 	outcome, err := f.send(ctx, &Order{To: to, Poll: &order})
 	switch {
 	case err != nil:
 		return control.Report{}, err
 	case outcome.Report == nil:
-		return control.Report{}, errors.Wrap(errNoAnswer, "a look without a report")
+		return control.Report{}, errors.Wrap(errNoAnswer, "the answer to a poll contains no report")
 	}
 	return *outcome.Report, nil
 }
 
-// errNotForwarded says that an order was handed to no carrier.
-var errNotForwarded = errors.New("no carrier has the order")
+// errNotForwarded says that no carrier can have received an order.
+var errNotForwarded = errors.New("no carrier received the order")
 
-// send hands an order over where the worker is called by a carrier. One that no carrier
-// has is sent from here.
+// send forwards an order to a carrier. It calls the worker directly if no carrier can
+// have received the order.
 func (f *Forwarder) send(ctx context.Context, order *Order) (Outcome, error) {
 	f.direct.countOrder()
 	outcome, err := f.forward(ctx, order)
@@ -216,7 +221,8 @@
 	return outcome, err
 }
 
-// carry hands an order over and waits for its outcome.
+// forward forwards an order and waits for its outcome. It returns errNotForwarded for a
+// worker that the leader calls directly.
 func (f *Forwarder) forward(ctx context.Context, order *Order) (Outcome, error) {
 	var r *route
 	if !f.direct.includes(order.To.Worker) {
--- a/internal/carrier/link_test.go
+++ b/internal/carrier/link_test.go
@@ -14,7 +14,7 @@
 	"github.com/bilberryferry/bilberryferry/internal/link"
 )
 
-// startCarrierServer serves a carrier as an instance does, and returns its address.
+// startCarrierServer serves a carrier over HTTP and returns its address.
 func startCarrierServer(t *testing.T, workers control.Workers) (address string, stop func()) {
 	mux := link.NewMux()
 	newTestCarrier(workers, "dc").Register(mux)
@@ -35,7 +35,7 @@
 	})
 	forwarder.Lead(t.Context(), 3)
 	to := control.Target{Worker: "w", Address: "a"}
-	// Until the carrier has answered the leader calls by itself.
+	// The leader calls workers directly until the carrier has answered.
 	must.Wait(t, wait.InitialSuccess(wait.Gap(time.Millisecond), wait.BoolFunc(func() bool { return forwarder.routeTo(to) != nil })))
 	clock, err := forwarder.Start(t.Context(), to, control.StartOrder{Fence: 3, Payload: "p"})
 	must.NoError(t, err)
--- a/internal/carrier/messages.go
+++ b/internal/carrier/messages.go
@@ -1,12 +1,12 @@
-// Package carrier spreads the calls of workers over the core instances. The leader
-// decides and commits; it hands its orders over in batches to carriers, which call the
-// workers and hand back what these answered. A carrier decides nothing, repeats
-// nothing, and keeps nothing that matters: it is a longer way to a worker, which may
-// delay an order, lose it, or lose its answer, as a network does.
+// Package carrier distributes the calls to workers over the core instances. The leader
+// decides and commits; it then forwards its orders in batches to carriers, which call
+// the workers and return their answers. A carrier makes no decisions, doesn't retry,
+// and holds no state that has to survive it: it is a longer network path to a worker,
+// which may delay an order, lose it, or lose its answer.
 //
-// Load that it answers: a leader that calls each worker itself does work for each of
-// them every second, most of its processor's, and holds some connections to each,
-// while the other instances idle.
+// Without carriers, the leader calls each worker every second and holds several
+// connections to each. That takes most of its processor time while the other instances
+// are idle.
 package carrier
 
 import (
@@ -18,32 +18,33 @@
 	"github.com/bilberryferry/bilberryferry/internal/control"
 )
 
-// Names of the calls between instances.
+// Names of the methods that instances call on each other.
 const (
 	MethodCarry   = "carry"
 	MethodCollect = "collect"
 )
 
-// Transport makes a call of another instance; *link.Client is one. An error marked
-// link.ErrUnsent says that the call can't have reached the other side.
+// Transport calls a method of another instance; *link.Client implements it. An error
+// marked link.ErrUnsent says that the call can't have reached the other side.
 type Transport interface {
 	Call(ctx context.Context, address, method string, request, reply any) error
 }
 
-// Order is one call of a worker. Exactly one of the orders is set.
+// Order is one call to a worker. Exactly one of Start, Stop, Throttle and Poll is set.
 type Order struct {
-	// ID names the order within its term.
+	// ID identifies the order within its leader term.
 	ID       uint64                 `cbor:"1,keyasint"`
 	To       control.Target         `cbor:"2,keyasint"`
 	Start    *control.StartOrder    `cbor:"3,keyasint,omitempty"`
 	Stop     *control.StopOrder     `cbor:"4,keyasint,omitempty"`
 	Throttle *control.ThrottleOrder `cbor:"5,keyasint,omitempty"`
 	Poll     *control.PollOrder     `cbor:"6,keyasint,omitempty"`
-	// Within is how long the carrier may wait for the worker's answer.
+	// CallTimeout is how long the carrier waits for the worker's answer.
 	CallTimeout time.Duration `cbor:"7,keyasint"`
 }
 
-// callWorker makes the call that the order stands for.
+// callWorker makes the order's call through workers. The error is the one that workers
+// returned.
 func (o *Order) callWorker(ctx context.Context, workers control.Workers) (outcome Outcome, err error) {
 	switch {
 	case o.Start != nil:
@@ -60,62 +61,64 @@
 	return outcome, err
 }
 
-// CarryCall hands orders over.
+// CarryCall forwards orders to a carrier.
 type CarryCall struct {
-	// Term is that of the leader who gives the orders.
+	// Term is the leader term in which the orders were given.
 	Term   uint64  `cbor:"1,keyasint"`
 	Orders []Order `cbor:"2,keyasint"`
 }
 
-// CarryReply names the term under which the carrier acts. If it is a later one than
-// the call's, none of the orders are carried.
+// CarryReply returns the carrier's term. If it is later than the call's, the carrier
+// executes none of the orders.
 type CarryReply struct {
 	Term uint64 `cbor:"1,keyasint"`
 }
 
-// CollectCall asks for the outcomes of orders.
+// CollectCall requests the outcomes of orders.
 type CollectCall struct {
 	Term uint64 `cbor:"1,keyasint"`
-	// Seen is the number of the last outcome that the leader has; the others are
-	// listed again, so that one that was lost on its way isn't missed.
+	// Acknowledged is the number of the last outcome that the leader has received.
+	// Later outcomes are listed again, so that one in a lost reply isn't missed.
 	Acknowledged uint64 `cbor:"2,keyasint"`
-	// Epoch is the carrier's own, as its last answer named it; Seen counts from there.
+	// Incarnation is the one that the carrier's last reply named, 0 before the first
+	// reply. Acknowledged is valid only for this incarnation.
 	Incarnation uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// CollectReply lists outcomes in the order in which they came up.
+// CollectReply lists outcomes in the order in which they were added.
 type CollectReply struct {
 	Term uint64 `cbor:"1,keyasint"`
-	// DataCentre is where the carrier runs.
+	// DataCentre is the carrier's data centre.
 	DataCentre string    `cbor:"2,keyasint,omitempty"`
 	Outcomes   []Outcome `cbor:"3,keyasint,omitempty"`
-	// Last is the number of the last outcome listed.
+	// Last is the number of the last outcome in Outcomes.
 	Last uint64 `cbor:"4,keyasint,omitempty"`
-	// Epoch names one life of the carrier. In another one it knows nothing of orders
-	// that were handed to it before.
+	// Incarnation identifies one process of the carrier. A new incarnation knows
+	// nothing of orders that were forwarded before it started.
 	Incarnation uint64 `cbor:"5,keyasint"`
-	// Heard are the heartbeats that the carrier's instance took.
+	// Heartbeats are those that the carrier's instance received from workers.
 	Heartbeats []control.BufferedHeartbeat `cbor:"6,keyasint,omitempty"`
 }
 
-// Outcome is what became of an order.
+// Outcome is the result of an order.
 type Outcome struct {
 	ID      uint64 `cbor:"1,keyasint"`
 	ClockMS int64  `cbor:"2,keyasint,omitempty"`
-	// Report answers a look.
+	// Report is the answer to a poll.
 	Report *control.Report `cbor:"3,keyasint,omitempty"`
-	// Refused is why the worker did nothing; empty where it did, or may have done.
+	// Refused is the reason why the worker did nothing; it is empty if the worker acted
+	// or may have acted.
 	Refused control.Refusal `cbor:"4,keyasint,omitempty"`
-	// OtherIncarnation says that the target's incarnation is over.
+	// OtherIncarnation says that the targeted incarnation of the worker has ended.
 	OtherIncarnation bool `cbor:"5,keyasint,omitempty"`
-	// NoAnswer says what went wrong with a call that may have been carried out.
+	// NoAnswer is the error of a call that may or may not have been executed.
 	NoAnswer string `cbor:"6,keyasint,omitempty"`
 }
 
-// errNoAnswer leaves open what became of an order.
+// errNoAnswer says that an order may or may not have been executed.
 var errNoAnswer = errors.New("no answer through the carrier")
 
-// err is the error that the outcome stands for.
+// err returns the error that the outcome stands for, nil if the worker acted.
 func (o *Outcome) err() error {
 	switch {
 	case o.OtherIncarnation:
@@ -129,7 +132,7 @@
 	}
 }
 
-// recordErr notes a worker's answer that is an error.
+// recordErr stores the error of a call to a worker in the outcome.
 func (o *Outcome) recordErr(err error) {
 	var refused *control.RefusedError
 	switch {
--- a/internal/carrier/random_test.go
+++ b/internal/carrier/random_test.go
@@ -12,14 +12,10 @@
 	"pgregory.net/rapid"
 )
 
-// What a user would see: a task is started, its worker says so, and the leader takes the
-// start for lost, or takes one that was never sent for begun.
-// Order: carriers are silenced, restarted and unreachable in turn while orders are handed
-// over.
-// Cause: an outcome given to another order, or an order that nobody waits for any more.
-//
-// Whatever happens on the way, an order ends in time, one that was answered was sent, and
-// one that was sent through a carrier was sent once.
+// Carriers stop answering, restart and refuse connections while orders are forwarded.
+// Every order must end in time, a successful one must have reached its worker, and no
+// order may reach a worker twice. If an outcome is matched to another order, the leader
+// takes an executed start for lost, or an unsent one for executed.
 func TestOrdersUnderFaultsEndInTimeAndAreSentOnce(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		seed := rapid.Uint64().Draw(r, "seed")
@@ -28,7 +24,7 @@
 	})
 }
 
-// disturb sends orders while a network of carriers is disturbed.
+// runWithFaults sends orders while faults are injected into carriers.
 func runWithFaults(t *testing.T, seed uint64, carriers int) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	c := newCluster(t, carriers)
@@ -63,7 +59,7 @@
 	}
 }
 
-// injectFault changes how one carrier behaves.
+// injectFault changes the behaviour of one random carrier.
 func (c *cluster) injectFault(random *rand.Rand, carriers int) {
 	name := fmt.Sprintf("carrier-%d", random.IntN(carriers))
 	switch random.IntN(4) {
--- a/internal/carrier/route.go
+++ b/internal/carrier/route.go
@@ -14,61 +14,67 @@
 )
 
 const (
-	// roundTripTimeout bounds a message's way to a carrier and back, and collectTimeout that
-	// of a question for outcomes, the hold included. A carrier that answers later is
-	// taken for silent.
+	// roundTripTimeout bounds a message to a carrier and its reply. A carrier that
+	// takes longer counts as unresponsive.
 	roundTripTimeout = 300 * time.Millisecond
-	collectTimeout   = collectHold + roundTripTimeout
-	// overdueAfter is how long an order may be without an outcome before its carrier
-	// gets no further ones, looks excepted, which are held: some round trips of the
-	// carrier and of the worker.
+	// collectTimeout bounds a collect call, including the time that the carrier holds
+	// it.
+	collectTimeout = collectHold + roundTripTimeout
+	// overdueAfter is the age at which an order without an outcome is overdue: several
+	// round trips to the carrier and the worker. Polls are never overdue because
+	// workers hold them.
 	overdueAfter = 120 * time.Millisecond
-	// overdueThreshold is how many must be so. One or two may be a worker's fault.
+	// overdueThreshold is the number of overdue orders at which a carrier gets no
+	// further ones. Fewer may be the fault of a single worker.
 	overdueThreshold = 4
-	// unresponsiveRetryInterval lies between two questions to a carrier that is silent.
+	// unresponsiveRetryInterval is the pause between collect calls to an unresponsive
+	// carrier.
 	unresponsiveRetryInterval = 250 * time.Millisecond
-	// maxBatch bounds the orders of one message.
+	// maxBatch bounds the orders in one carry call.
 	maxBatch = 256
 )
 
-// route is the way to one carrier under one term.
+// route forwards orders to one carrier in one leader term.
 type route struct {
 	cfg     *ForwarderConfig
 	address string
 	term    uint64
-	// ids numbers the orders of all routes.
+	// lastOrderID is the ID of the last order on any route.
 	//
-	// Failure guarded against: a member leaves and comes back within a term, and the
-	// carrier still holds outcomes of the route that was closed. Numbered from 1 again,
-	// an order would be given the outcome of another.
+	// IDs are shared because a member may leave and return within a term while the
+	// carrier still holds outcomes for the closed route. If each route counted from 1,
+	// a new order would get the outcome of an old one.
 	lastOrderID *atomic.Uint64
-	// queued has room for one: a set one means that orders are queued.
+	// wake has a buffer of one; a buffered value means that orders are queued.
 	wake chan struct{}
-	// answered is closed once the carrier has answered for the first time, or failed to.
+	// contacted is closed after the carrier's first answer or first failure to answer.
 	contacted     chan struct{}
 	contactedOnce sync.Once
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// interval is the pause between two messages in the same direction.
 	interval time.Duration
-	// present says that the carrier answers under this term; dataCentre is its own.
+	// responsive says that the carrier answers in this term; dataCentre is the
+	// carrier's.
 	responsive bool
 	dataCentre string
 	queue      []*Order
 	pending    map[uint64]*pendingOrder
-	// prompt holds the orders that a worker answers at once, the oldest first.
+	// immediate lists the pending orders other than polls, the oldest first. Workers
+	// answer them without a hold.
 	immediate *list.List
 }
 
 // pendingOrder is an order without an outcome.
 type pendingOrder struct {
 	enqueuedAt time.Time
-	// settled has room for one: the outcome, or why none will come.
+	// result has a buffer of one. It gets the outcome, or the reason why there is none.
 	result chan orderResult
-	// place is where it stands in prompt; nil for a look.
+	// element is the order's entry in immediate; nil for a poll.
 	element *list.Element
 }
 
-// settlement ends the wait for an order's outcome.
+// orderResult is the outcome of an order, or the error why there is none.
 type orderResult struct {
 	outcome Outcome
 	err     error
@@ -93,18 +99,18 @@
 	return r.interval
 }
 
-// usable reports whether the carrier may be given orders, and where it is.
-//
-// Failure guarded against: a carrier is frozen or behind, and each order handed to it
-// waits until the leader takes it for silent. Some orders that are overdue show it
-// earlier.
+// usable reports whether the carrier may be given orders, and returns its data centre.
+// A carrier with several overdue orders is unusable even while it answers: it may be
+// frozen or backlogged, and orders sent to it would wait until it counts as
+// unresponsive.
 func (r *route) usable(now time.Time) (usable bool, dataCentre string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.responsive && !r.backlogged(now), r.dataCentre
 }
 
-// behind reports whether several orders are overdue. r.mu is held.
+// backlogged reports whether at least overdueThreshold orders are overdue. r.mu is
+// held.
 func (r *route) backlogged(now time.Time) bool {
 	overdue := 0
 	for e := r.immediate.Front(); e != nil && overdue < overdueThreshold; e = e.Next() {
@@ -116,7 +122,9 @@
 	return overdue >= overdueThreshold
 }
 
-// carry queues an order and waits for its outcome.
+// forward queues an order and waits for its outcome. The error is errNotForwarded if
+// the order can't have reached the carrier, and errNoAnswer if it may have been
+// executed.
 func (r *route) forward(ctx context.Context, order *Order) (Outcome, error) {
 	p := r.enqueue(ctx, order)
 	select {
@@ -154,7 +162,8 @@
 	}
 }
 
-// settle ends the wait for an order, if anybody still waits. r.mu is held.
+// complete passes the result to the caller that waits for an order, if it is still
+// pending. r.mu is held.
 func (r *route) complete(id uint64, result orderResult) {
 	if p := r.pending[id]; p != nil {
 		p.result <- result
@@ -162,7 +171,7 @@
 	}
 }
 
-// forget drops an order that nobody waits for any more. r.mu is held.
+// remove drops an order from the pending ones. r.mu is held.
 func (r *route) remove(id uint64) {
 	p := r.pending[id]
 	if p == nil {
@@ -174,7 +183,7 @@
 	}
 }
 
-// send hands queued orders over until ctx ends.
+// sendLoop sends queued orders until ctx ends.
 func (r *route) sendLoop(ctx context.Context) {
 	for {
 		select {
@@ -193,8 +202,8 @@
 	}
 }
 
-// take takes the orders of the next message out of the queue, but for those that have
-// been given up.
+// nextBatch removes the orders of the next message from the queue. It leaves out those
+// that are no longer pending.
 func (r *route) nextBatch() []*Order {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -214,8 +223,9 @@
 	return batch
 }
 
-// sendBatch sends one message. Orders that can't have arrived go another way; those
-// that may have count as under way.
+// sendBatch sends one message. If it can't have arrived, its orders fail with
+// errNotForwarded, and the leader calls their workers itself. If it may have arrived,
+// they fail with errNoAnswer.
 func (r *route) sendBatch(ctx context.Context, batch []*Order) {
 	ctx, cancel := context.WithTimeout(ctx, roundTripTimeout)
 	defer cancel()
@@ -230,7 +240,7 @@
 	case err == nil && reply.Term == r.term:
 		return
 	case err == nil:
-		r.failBatch(batch, errors.Wrapf(errNoAnswer, "the carrier acts under term %d", reply.Term))
+		r.failBatch(batch, errors.Wrapf(errNoAnswer, "the carrier is in term %d", reply.Term))
 	case errors.Is(err, link.ErrUnsent):
 		r.failBatch(batch, errNotForwarded)
 	default:
@@ -241,6 +251,7 @@
 	}
 }
 
+// failBatch completes the orders of a batch with err.
 func (r *route) failBatch(batch []*Order, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -249,7 +260,8 @@
 	}
 }
 
-// collect takes in outcomes until ctx ends.
+// collectLoop collects outcomes and heartbeats until ctx ends. After a failure, or when
+// the carrier has restarted, all pending orders fail with errNoAnswer.
 func (r *route) collectLoop(ctx context.Context) {
 	var last CollectReply
 	for ctx.Err() == nil {
@@ -279,11 +291,15 @@
 	r.failPending(ctx.Err())
 }
 
-// markContacted lets a new leader that waits for the carrier's first answer go on.
+// markContacted ends a new leader's wait for the carrier's first answer.
 func (r *route) markContacted() { r.contactedOnce.Do(func() { close(r.contacted) }) }
 
+// errRestarted is the cause when pending orders fail because a new incarnation of the
+// carrier has answered.
 var errRestarted = errors.New("the carrier has started anew")
 
+// collectOnce makes one collect call that acknowledges the outcomes of last. It fails
+// if the carrier is in another term.
 func (r *route) collectOnce(ctx context.Context, last *CollectReply) (CollectReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
@@ -292,7 +308,7 @@
 	call := &CollectCall{Term: r.term, Acknowledged: last.Last, Incarnation: last.Incarnation}
 	err := r.cfg.Transport.Call(ctx, r.address, MethodCollect, call, &reply)
 	if err == nil && reply.Term != r.term {
-		err = errors.Newf("the carrier acts under term %d", reply.Term)
+		err = errors.Newf("the carrier is in term %d", reply.Term)
 	}
 	return reply, err
 }
@@ -311,7 +327,7 @@
 	r.dataCentre = dataCentre
 }
 
-// setResponsive notes whether the carrier answers.
+// setResponsive records whether the carrier answers, and logs a change.
 func (r *route) setResponsive(responsive bool, cause error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -322,8 +338,9 @@
 	_ = r.cfg.Logger.Log("event", "carrier", "carrier", r.address, "term", r.term, "present", responsive, "err", cause)
 }
 
-// failPending ends the wait for all outcomes. The orders may have been carried out; whoever
-// waits for them learns at once that no answer will come, and goes another way.
+// failPending completes all pending orders with errNoAnswer and drops the queue, so
+// that callers don't wait for an answer that won't come. Orders that were sent may have
+// been executed.
 func (r *route) failPending(cause error) {
 	err := errors.Wrap(errNoAnswer, cause.Error())
 	r.mu.Lock()
