--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -11,36 +11,37 @@
 	"github.com/bilberryferry/bilberryferry/internal/wait"
 )
 
-// attempt is one call on its way through the tries that it takes.
+// leaderCall is a call to the leader, which may take several tries.
 type leaderCall struct {
 	g       *Gateway
 	method  string
 	request any
-	// open says that some try may have been carried out.
+	// maybeExecuted says that some try may have been executed.
 	maybeExecuted bool
-	// version is that of the configuration by which the last try was answered, from is
-	// who answered; 0 and empty for nobody.
-	version    uint64
+	// version is the version of the configuration by which the last try was answered, 0
+	// for none.
+	version uint64
+	// answeredBy is the address to which the last try was sent.
 	answeredBy string
 }
 
-// Call makes a call of the leader within the time of ctx. It goes on to other
-// members while no leader answers. The error is of kind Unknown when some try
-// may have been carried out, and otherwise says that none was.
+// Call calls a method of the leader until ctx ends. It tries other members while no
+// leader answers. The error is of kind Unknown if some try may have been executed, and
+// otherwise says that none was.
 func Call[Reply any](ctx context.Context, g *Gateway, method string, request any) (Reply, error) {
 	return callUntilSettled[Reply](ctx, &leaderCall{g: g, method: method, request: request})
 }
 
-// CallForCaller is Call for a request that a caller made at begun, and whose outcome
-// shows the caller which version of the configuration was in force. One that would be
-// out of order is withheld; see WithholdOutOfOrder.
+// CallForCaller is Call on behalf of a caller's request that was received at receivedAt
+// and whose outcome reveals which version of the configuration is in force. An outcome
+// that contradicts the order of requests is withheld; see WithholdOutOfOrder.
 func CallForCaller[Reply any](ctx context.Context, g *Gateway, receivedAt time.Time, method string, request any) (Reply, error) {
 	c := &leaderCall{g: g, method: method, request: request}
 	reply, err := callUntilSettled[Reply](ctx, c)
 	return reply, g.WithholdOutOfOrder(Outcome{Method: method, ReceivedAt: receivedAt, Version: c.version, AnsweredBy: c.answeredBy, MaybeExecuted: c.maybeExecuted, Err: err})
 }
 
-// finish makes tries until one settles the call.
+// callUntilSettled makes tries until one settles the call or ctx ends.
 func callUntilSettled[Reply any](ctx context.Context, c *leaderCall) (Reply, error) {
 	var reply Reply
 	g := c.g
@@ -62,8 +63,8 @@
 	}
 }
 
-// tryLeader makes a try at the leader, and reports whether that settles the call.
-// A try without an answer ends when another leader is found.
+// tryLeader makes a try at the leader, and reports whether that settles the call. A
+// slow try is cancelled when another leader is found.
 func (c *leaderCall) tryLeader(ctx context.Context, leader string, leaderChanged <-chan struct{}, reply any) (settled bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -81,7 +82,8 @@
 	return settled, err
 }
 
-// follow goes on to the leader that a refusal names, or to a search.
+// followRefusal switches to the leader that a refusal names. If it names none, the
+// leader is unknown and has to be searched for.
 func (c *leaderCall) followRefusal(tried string, err error) {
 	hint := link.LeaderOf(err)
 	if hint != "" && hint != tried {
@@ -91,8 +93,8 @@
 	c.g.leaderLost(tried)
 }
 
-// find goes through the members, if no other call does; else it waits for what
-// that one finds.
+// searchLeader tries the members one after the other. One call at a time searches; the
+// others wait until it finds a leader.
 func (c *leaderCall) searchLeader(ctx context.Context, leaderChanged <-chan struct{}, reply any) (settled bool, err error) {
 	select {
 	case c.g.searchSlot <- struct{}{}:
@@ -121,12 +123,12 @@
 	return false, nil
 }
 
-// tryMember makes a try at a member that may lead. It ends when changed is closed
-// because another one is found to lead.
+// tryMember makes a try at a member that may lead, and cancels it when leaderChanged is
+// closed because another member leads.
 //
-// Failure guarded against: a member is cut off, another call learns who leads, and
-// this one waits on for each member that is cut off; it is answered after calls that
-// came later.
+// Without the cancellation, a call would wait for the timeout of each unreachable
+// member after another call has found the leader, and be answered after calls that came
+// later.
 func (c *leaderCall) tryMember(ctx context.Context, address string, leaderChanged <-chan struct{}, reply any) (settled bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -161,16 +163,18 @@
 	}
 }
 
-// settled is the error of a call that was refused. After a try that may have been
-// carried out, a refusal doesn't say that nothing was done.
+// finalError returns the error of a refused call. If an earlier try may have been
+// executed, a refusal of kind Unavailable or Overloaded doesn't mean that nothing was
+// done, and the kind becomes Unknown.
 func finalError(err error, maybeExecuted bool) error {
 	kind := fault.KindOf(err)
 	if maybeExecuted && (kind == fault.Unavailable || kind == fault.Overloaded) {
-		return fault.New(fault.Unknown, "an earlier try may have been carried out: %v", err)
+		return fault.New(fault.Unknown, "an earlier try may have been executed: %v", err)
 	}
 	return err
 }
 
+// timeoutError returns the error of a call whose time ended before a try settled it.
 func timeoutError(method string, maybeExecuted bool) error {
 	if maybeExecuted {
 		return fault.New(fault.Unknown, "%s: no answer from the leader", method)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway carries calls to the leader of the core from instances that
-// don't lead: it finds the leader, follows it when it changes, and tells a call
-// that nobody has carried out from one whose fate is open.
+// Package gateway calls the leader of the core from instances that don't lead. It finds
+// the leader, follows changes of it, and distinguishes calls that were certainly not
+// executed from those whose outcome is unknown.
 package gateway
 
 import (
@@ -18,45 +18,45 @@
 )
 
 const (
-	// tryTimeout bounds one try: a commit takes some tens of milliseconds, and a
-	// slow disk of a follower doesn't hold it up.
+	// tryTimeout bounds one try. A commit takes some tens of milliseconds, and a
+	// follower with a slow disk doesn't delay it.
 	tryTimeout = 900 * time.Millisecond
-	// searchTimeout bounds a try while the leader is searched for: a member that
-	// doesn't lead says so within some milliseconds.
+	// searchTimeout bounds a try during a search for the leader. A member that doesn't
+	// lead says so within some milliseconds.
 	searchTimeout = 250 * time.Millisecond
-	// searchInterval lies between two rounds through the members: a quarter of the shortest
-	// election.
+	// searchInterval is the pause between two rounds through the members: a quarter of
+	// the shortest election.
 	searchInterval = 60 * time.Millisecond
-	// probeAfter is how long a call waits before members are asked whether another
-	// one leads: several commits, and less than the shortest election.
+	// probeAfter is how long a call waits before members are asked for another leader:
+	// several commits, and less than the shortest election.
 	probeAfter = 200 * time.Millisecond
-	// announceInterval is the time between two announcements to the leader, unless it names
-	// another one.
+	// announceInterval is the time between two announcements to the leader, unless the
+	// leader sets another one.
 	announceInterval = 300 * time.Millisecond
-	// announceTimeout bounds one of them.
+	// announceTimeout bounds one announcement.
 	announceTimeout = 500 * time.Millisecond
-	// contactTimeout is how long after the leader's last answer this instance takes
-	// itself for connected: three announcements. The balancer needs two misses of
-	// a check a second besides.
+	// contactTimeout is how long after the leader's last answer this instance counts as
+	// in contact with it: three announcements. A load balancer takes longer, as it
+	// needs two failed checks at one per second.
 	contactTimeout = 1200 * time.Millisecond
-	// RetryAfter is when a caller is told to come back that was refused because no
-	// leader could be reached: an election later.
+	// RetryAfter is when callers are told to retry if no leader could be reached: the
+	// time of an election.
 	RetryAfter = time.Second
 )
 
-// Gateway finds the leader. It is safe for concurrent use.
+// Gateway finds and calls the leader. It is safe for concurrent use.
 //
-// Failure guarded against: a leader that is busy for a tenth of a second refuses
-// calls for that time, and each call, going through the members by itself every
-// 60 ms, becomes a hundred; all members are kept from electing anybody, for good. So
-// one call at a time searches, and the others wait for what it finds.
+// One call at a time searches for the leader, and the others wait for its result. If
+// each call searched, a leader that refuses calls for a tenth of a second would turn
+// each waiting call into a hundred, as each tries all members every 60 ms; that load
+// keeps the members from ever electing a leader.
 type Gateway struct {
 	client     *link.Client
 	ownAddress string
 	logger     log.Logger
-	// search has room for one: whoever fills it may go through the members.
+	// searchSlot has a buffer of one; the call that fills it may search for the leader.
 	searchSlot chan struct{}
-	// asking is held by the one call that asks members who leads.
+	// probing is held by the call that asks members for another leader.
 	probing      sync.Mutex
 	versionOrder versionOrder
 
@@ -64,17 +64,17 @@
 	seeds   []string
 	members []string
 	leader  string
-	// changed is closed when leader changes.
+	// leaderChanged is closed, and replaced, when leader changes.
 	leaderChanged chan struct{}
 	lastAnswer    time.Time
 	inContact     bool
-	// turn picks the member that is asked for jobs that have ended; those in
-	// unresponsiveUntil gave no answer lately.
+	// nextMember selects the member that is asked for ended jobs. Members in
+	// unresponsiveUntil gave no answer and aren't asked before that time.
 	nextMember        int
 	unresponsiveUntil map[string]time.Time
 }
 
-// New returns a gateway for the instance at address own that knows the core's
+// New returns a gateway for the instance at ownAddress that starts with the core's
 // seeds.
 func New(client *link.Client, ownAddress string, seeds []string, logger log.Logger) *Gateway {
 	return &Gateway{
@@ -85,21 +85,21 @@
 	}
 }
 
-// SetSeeds replaces the seeds, as new settings name them.
+// SetSeeds replaces the seeds.
 func (g *Gateway) SetSeeds(seeds []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.seeds = seeds
 }
 
-// InContact reports whether the leader has answered lately.
+// InContact reports whether the leader has answered within contactTimeout.
 func (g *Gateway) InContact() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return time.Since(g.lastAnswer) < contactTimeout
 }
 
-// targets lists where the leader may be, the likeliest first.
+// candidates lists the addresses at which the leader may be, the likeliest first.
 func (g *Gateway) candidates() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -112,7 +112,7 @@
 	return candidates
 }
 
-// known returns the leader, empty while it is searched for, and a channel that is
+// currentLeader returns the leader, empty while none is known, and a channel that is
 // closed when that changes.
 func (g *Gateway) currentLeader() (leader string, leaderChanged <-chan struct{}) {
 	g.mu.Lock()
@@ -120,7 +120,7 @@
 	return g.leader, g.leaderChanged
 }
 
-// setLeader takes an instance for the leader. g.mu is held.
+// setLeader records the leader's address, empty for none. g.mu is held.
 func (g *Gateway) setLeader(address string) {
 	if g.leader == address {
 		return
@@ -130,14 +130,14 @@
 	g.leaderChanged = make(chan struct{})
 }
 
-// Suggest takes in that a member of the log knows the leader.
+// SuggestLeader records the leader that a member names, before it has answered itself.
 func (g *Gateway) SuggestLeader(leader string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.setLeader(leader)
 }
 
-// recordLeader remembers which instance answered as the leader.
+// recordLeader records that an instance answered as the leader.
 func (g *Gateway) recordLeader(address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -145,8 +145,8 @@
 	g.setLeader(address)
 }
 
-// lost forgets a leader that gave no useful answer, and lets searches begin with
-// another member.
+// leaderLost forgets a leader that gave no useful answer, and moves it to the end of
+// the members, so that a search starts with another one.
 func (g *Gateway) leaderLost(address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -158,8 +158,8 @@
 	}
 }
 
-// Follow announces this instance to the leader until ctx ends, and so learns
-// who leads and who the members are.
+// AnnounceToLeader announces this instance to the leader until ctx ends, and so keeps
+// the leader and the members up to date. It always returns nil.
 func (g *Gateway) AnnounceToLeader(ctx context.Context) error {
 	for {
 		pause := g.announceOnce(ctx)
@@ -170,7 +170,8 @@
 	}
 }
 
-// announceOnce announces this instance once, and returns when to do so again.
+// announceOnce announces this instance once, and returns the pause before the next
+// announcement.
 func (g *Gateway) announceOnce(ctx context.Context) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
@@ -186,7 +187,7 @@
 	return cmp.Or(reply.Pause, announceInterval)
 }
 
-// logContact logs when the leader is lost or found again.
+// logContact logs when contact with the leader is lost or regained.
 func (g *Gateway) logContact() {
 	inContact := g.InContact()
 	g.mu.Lock()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -17,7 +17,7 @@
 	"github.com/bilberryferry/bilberryferry/internal/link"
 )
 
-// member serves cancels with answer.
+// startCancelServer serves cancel calls with answer and returns its address.
 func startCancelServer(t *testing.T, answer func() error) string {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodCancel, func(context.Context, *control.CancelCall) (control.Empty, error) {
@@ -28,6 +28,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
+// callCancel makes a cancel call through a new gateway that knows the members.
 func callCancel(t *testing.T, timeout time.Duration, members ...string) error {
 	g := New(link.NewClient(100), "own", members, log.NewNopLogger())
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
@@ -36,6 +37,7 @@
 	return err
 }
 
+// unreachable is an address that refuses connections.
 const unreachable = "127.0.0.1:1"
 
 func TestCallsFollowTheLeader(t *testing.T) {
@@ -56,10 +58,8 @@
 	must.Eq(t, RetryAfter, fault.From(err).RetryAfter)
 }
 
-// What a user sees: a job runs that was said not to run.
-// Order: a leader commits a job and is lost before it answers; the next instance
-// refuses for now.
-// Cause: the refusal of the second try was passed on for both.
+// A leader commits a job and is lost before it answers; the next instance refuses for
+// now. The caller must not be told that nothing was done, since the job will run.
 func TestRefusalAfterUnknownTryIsUnknown(t *testing.T) {
 	tries := 0
 	lost := startCancelServer(t, func() error {
@@ -88,12 +88,10 @@
 	must.False(t, g.InContact())
 }
 
-// What a user sees: with hundreds of workers the whole system stops serving and
-// doesn't come back.
-// Order: the leader is busy for a tenth of a second and refuses calls meanwhile;
-// each waiting call goes through all members every 60 ms; the members, busy with
-// that, are late with the log's heartbeats, and the next leader is refused sooner.
-// Cause: every call searched for the leader by itself.
+// A busy leader refuses calls for a tenth of a second. If each waiting call tries all
+// members every 60 ms, the members send the replicated log's heartbeats late and elect
+// new leaders again and again. With hundreds of workers, the system stops serving and
+// doesn't recover.
 func TestOneCallAtATimeSearchesLeader(t *testing.T) {
 	var tries atomic.Int64
 	var leads atomic.Bool
@@ -122,10 +120,9 @@
 	must.NoError(t, group.Wait())
 }
 
-// What a user sees: a quick job handed in while a leader vanishes is late.
-// Order: the leader vanishes without a word; the others elect another one at once;
-// the call waits for the vanished one until its own time is over.
-// Cause: only the end of a try made anybody ask who leads.
+// A leader vanishes without closing its connections and the others elect another one. A
+// call that asks for the leader only after its try has ended waits for the vanished one
+// until its own time is over, and a short job is late.
 func TestTryAtUnresponsiveLeaderEndsWhenAnotherIsFound(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -150,11 +147,9 @@
 	must.Eq(t, leader, current)
 }
 
-// What a user sees: a request that came while a leader was lost is answered late, by
-// a newer configuration than those that came after it, or not at all.
-// Order: no leader is known; the request searches and waits at a member that is cut
-// off; another call learns who leads; the request waits on.
-// Cause: a try of the search ended by its own time limit only.
+// A call searches for the leader and waits at an unreachable member while another call
+// learns who leads. If its try ended by its timeout only, the call would be answered
+// late, by a newer configuration than later calls, or not at all.
 func TestSearchEndsWhenAnotherCallFindsLeader(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -10,11 +10,12 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// probeForNewLeader asks members who leads while the leader takes long to answer, and
-// ends the calls under way there when it is another one by now.
+// probeForNewLeader asks the other members who leads until ctx ends or one of them
+// names another leader, which ends the calls in flight to leader. One call at a time
+// probes.
 //
-// Failure guarded against: a leader vanishes without a word, and calls wait for
-// it after the others have elected another one.
+// It runs while the leader is slow to answer: a leader may vanish without closing its
+// connections, and calls would wait for it after another one has been elected.
 func (g *Gateway) probeForNewLeader(ctx context.Context, leader string) {
 	if !g.probing.TryLock() {
 		return
@@ -36,7 +37,7 @@
 	}
 }
 
-// leaderKnownBy returns the leader that a member knows, empty for none.
+// leaderKnownBy returns the leader that a member names, empty for none.
 func (g *Gateway) leaderKnownBy(ctx context.Context, address string) string {
 	ctx, cancel := context.WithTimeout(ctx, searchTimeout)
 	defer cancel()
@@ -48,15 +49,16 @@
 	return link.LeaderOf(err)
 }
 
-// Version returns the highest version of the configuration that another instance has
-// answered by.
+// Version returns the highest version of the configuration that a reply of another
+// instance has named.
 func (g *Gateway) Version() uint64 { return g.client.Version() }
 
-// endedTimeout bounds a question to an instance that needn't lead; the leader knows too.
+// endedTimeout bounds a call to a follower. It is short because the leader can answer
+// too.
 const endedTimeout = 150 * time.Millisecond
 
-// Ended asks a member other than the leader for a job that may have ended, for a
-// request that a caller made at begun. Without an answer the leader has to be asked.
+// Ended asks a follower for the phase of a job that may have ended, on behalf of a
+// request received at receivedAt. If known is false, the caller has to ask the leader.
 func (g *Gateway) Ended(ctx context.Context, receivedAt time.Time, jobAddress control.JobAddress) (phase workflow.Phase, known bool) {
 	member := g.nextFollower()
 	if member == "" {
@@ -77,8 +79,8 @@
 	return reply.Phase, true
 }
 
-// other returns a member that doesn't lead and has answered lately, another one each
-// time; empty for none.
+// nextFollower returns the next responsive member that isn't the leader, in round
+// robin; empty for none.
 func (g *Gateway) nextFollower() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -93,10 +95,11 @@
 	return ""
 }
 
-// unresponsiveFor is how long a member that gave no answer isn't asked, as long as a
-// data centre's shortest cut.
+// unresponsiveFor is how long a member isn't asked after it gave no answer: as long as
+// the shortest partition of a data centre.
 const unresponsiveFor = 2 * time.Second
 
+// markUnresponsive excludes a member from nextFollower for unresponsiveFor.
 func (g *Gateway) markUnresponsive(member string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/version_order.go
+++ b/internal/gateway/version_order.go
@@ -13,63 +13,65 @@
 )
 
 const (
-	// overtaking is by how much a request may have begun before another one and be
-	// answered by a newer version of the configuration all the same. Callers take a
-	// request for a later one that is sent 250 ms later; this is less by what the way
-	// here may take. It costs little: 0 to 2 answers were withheld in each of seven plays
-	// of three days with trouble, of 62 s with 9 edges.
+	// reorderTolerance is how much earlier than another request a request may have been
+	// received and still be answered by a newer version of the configuration. Callers
+	// expect order between requests that are sent at least 250 ms apart; the rest of
+	// that time is left for the delay to this instance. The limit costs little, as few
+	// answers are withheld.
 	reorderTolerance = 100 * time.Millisecond
-	// maxVersionSpans bounds the versions that are remembered; a request lasts 10 s at most, in
-	// which few are committed.
+	// maxVersionSpans bounds the recorded versions. A request takes 10 s at most, and
+	// few versions are committed in that time.
 	maxVersionSpans = 8
 )
 
-// answers knows by which versions of the configuration this instance has answered
-// its callers, and keeps the answers in the order of the requests. It is safe for
-// concurrent use.
+// versionOrder records which versions of the configuration this instance has answered
+// its callers by, and withholds answers that contradict the order of the requests. It
+// is safe for concurrent use.
 //
-// Failure guarded against: a request is held at a leader that was cut off, and the
-// next leader answers it by a version that was committed meanwhile, while one that
-// came later was answered at once by the version before. It shows as an instance
-// that goes back to an older version: each answer is by the newest version of its
-// moment, but callers go by when they asked. The guard withholds the answer that
-// comes second, whichever it is; its caller asks again and gets one by the newest
-// version. Out-of-date leaders are covered as well: an answer by an older version
-// than an earlier request's is withheld.
+// Without it, a request may be held at a leader that was partitioned until the next
+// leader answers it by a version that was committed meanwhile, while a later request
+// was answered at once by the version before. Each answer is by the newest version of
+// its moment, but callers compare by the time of their requests and see the instance
+// return to an older version. Of two such answers, the one that comes second is
+// withheld; its caller retries and gets an answer by the newest version. An answer of
+// an out-of-date leader is withheld too if an earlier request was answered by a newer
+// version.
 type versionOrder struct {
 	logger log.Logger
 
 	mu sync.Mutex
-	// last is the version of the last answer.
+	// lastVersion is the version of the last answer.
 	lastVersion uint64
-	// spans are in the order of their versions.
+	// spans are sorted by version.
 	spans []versionSpan
 }
 
-// span is when the requests began that were answered by a version: the first one
-// and the last one of them.
+// versionSpan holds when the first and the last of the requests answered by a version
+// were received.
 type versionSpan struct {
 	version                     uint64
 	firstReceived, lastReceived time.Time
 }
 
-// Outcome is what became of a caller's request.
+// Outcome is the result of a caller's request.
 type Outcome struct {
 	Method string
-	// Begun is when the request came.
+	// ReceivedAt is when the request arrived at this instance.
 	ReceivedAt time.Time
-	// Version is that of the configuration by which it was answered, 0 for none, and
-	// From the address of the instance that did.
-	Version    uint64
+	// Version is the version of the configuration by which the request was answered, 0
+	// for none.
+	Version uint64
+	// AnsweredBy is the address of the instance that answered.
 	AnsweredBy string
-	// Open says that an earlier try may have been carried out.
+	// MaybeExecuted says that an earlier try may have been executed.
 	MaybeExecuted bool
 	// Err is nil for success.
 	Err error
 }
 
-// WithholdOutOfOrder returns the error of an outcome. It is another one when the outcome is
-// withheld because it would be out of order.
+// WithholdOutOfOrder returns the error of an outcome, or another one if the outcome is
+// withheld because its version contradicts the order of the requests. That error is of
+// kind Unavailable if nothing was done, and Unknown if a change may have been made.
 func (g *Gateway) WithholdOutOfOrder(o Outcome) error {
 	if o.Version == 0 || !revealsVersion(o.Err) {
 		return o.Err
@@ -85,8 +87,9 @@
 	}
 }
 
-// revealsVersion reports whether an outcome tells a caller which version was in force:
-// whether its queue is there. That nothing was done, or isn't known, tells nothing.
+// revealsVersion reports whether an outcome shows the caller which version is in force,
+// by whether its queue exists. Errors that say that nothing was done, or that this is
+// unknown, don't.
 func revealsVersion(err error) bool {
 	if err == nil {
 		return true
@@ -99,9 +102,10 @@
 	}
 }
 
-// take reports whether a request that began at begun may be answered by a version,
-// and takes in that it is. It logs when the version isn't that of the last answer;
-// from is the address of the instance that answered.
+// admit records the answer to a request by a version. The error is of kind Unavailable
+// if the answer contradicts the order of the requests; nothing is recorded then. A
+// change of version since the last answer is logged; answeredBy is the address of the
+// instance that answered.
 func (o *versionOrder) admit(version uint64, receivedAt time.Time, answeredBy string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -118,8 +122,8 @@
 	return nil
 }
 
-// conflict returns the version of an answer with which one by version would be in
-// the wrong order, 0 for none. a.mu is held.
+// conflictingVersion returns the version of an earlier answer that contradicts an
+// answer by version, 0 for none. o.mu is held.
 func (o *versionOrder) conflictingVersion(version uint64, receivedAt time.Time) uint64 {
 	for _, s := range o.spans {
 		laterByOlder := s.version < version && s.lastReceived.Sub(receivedAt) > reorderTolerance
@@ -131,7 +135,7 @@
 	return 0
 }
 
-// widen takes a request into its version's span. a.mu is held.
+// record adds a request to its version's span. o.mu is held.
 func (o *versionOrder) record(version uint64, receivedAt time.Time) {
 	i, known := slices.BinarySearchFunc(o.spans, version, func(s versionSpan, v uint64) int { return cmp.Compare(s.version, v) })
 	if !known {
@@ -142,20 +146,22 @@
 	o.spans[i].extend(receivedAt)
 }
 
-// forget drops the oldest version when there are too many.
+// dropOldest drops the span of the oldest version if there are more than
+// maxVersionSpans. o.mu is held.
 func (o *versionOrder) dropOldest() {
 	if len(o.spans) <= maxVersionSpans {
 		return
 	}
-	// Its last request still tells which answers by newer versions would be too late; its
-	// first one tells nothing of the next version.
+	// The last request of the oldest version still tells which answers by newer
+	// versions would be too late, so the next span takes it over. Its first request
+	// says nothing about the next version.
 	if oldest := o.spans[0]; oldest.lastReceived.After(o.spans[1].lastReceived) {
 		o.spans[1].lastReceived = oldest.lastReceived
 	}
 	o.spans = slices.Delete(o.spans, 0, 1)
 }
 
-// add takes in a request that began at begun.
+// extend adds a request to the span.
 func (s *versionSpan) extend(receivedAt time.Time) {
 	if receivedAt.Before(s.firstReceived) {
 		s.firstReceived = receivedAt
--- a/internal/gateway/version_order_test.go
+++ b/internal/gateway/version_order_test.go
@@ -16,8 +16,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/link"
 )
 
-// versioned serves questions for a queue with answer, which also says by which
-// version of the configuration.
+// startStateServer serves state calls with answer, which also returns the version of
+// the configuration that the reply names.
 func startStateServer(t *testing.T, answer func(queue string) (version uint64, err error)) string {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodState, func(ctx context.Context, r *control.StateCall) (control.StateReply, error) {
@@ -30,7 +30,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// callState asks for a queue as a caller's request that comes now.
+// callState makes a state call for a caller's request that is received now.
 func callState(ctx context.Context, g *Gateway, queue string) error {
 	call := &control.StateCall{Address: control.JobAddress{Queue: queue}}
 	_, err := CallForCaller[control.StateReply](ctx, g, time.Now(), control.MethodState, call)
@@ -52,8 +52,8 @@
 	must.StrContains(t, lines.String(), "event=answered_by version=65 before=62 from="+leader)
 }
 
-// startHeldLeader answers for the queue "added" by version 65, once released is closed,
-// and for all others by version 62 at once.
+// startHeldLeader serves state calls: for the queue "added" by version 65 after
+// released is closed, and for all others by version 62 at once.
 func startHeldLeader(t *testing.T, released <-chan struct{}) string {
 	return startStateServer(t, func(queue string) (uint64, error) {
 		if queue != "added" {
@@ -64,13 +64,11 @@
 	})
 }
 
-// What a user sees: the queue that a new configuration adds is there, and a request
-// sent 0.3 s later to the same instance still finds one that it drops.
-// Order: the leader's data centre is cut off; a request is held there; a later one
-// is answered by the next leader; the new configuration is committed; the first
-// request reaches the next leader and is answered by it.
-// Cause: each answer was by the newest version of its moment, in another order than
-// the requests came in.
+// The leader's data centre is partitioned and holds a request. A later request is
+// answered by the next leader, a new configuration is committed, and the first request
+// is then answered by the next leader too. The caller of the first sees a queue that
+// the new configuration adds, while the caller that asked 0.3 s later still saw one
+// that it drops.
 func TestEarlierRequestIsNotAnsweredByNewerVersion(t *testing.T) {
 	released := make(chan struct{})
 	g := New(link.NewClient(100), "own", []string{startHeldLeader(t, released)}, log.NewNopLogger())
@@ -85,23 +83,24 @@
 	must.Eq(t, RetryAfter, fault.From(err).RetryAfter)
 }
 
-// The order in which answers of two versions may be given: when the requests began,
-// and whether the second answer may follow the first one.
+// Each case gives two answers, the time between their requests, and whether the second
+// answer may follow the first.
 func TestVersionOrderFollowsRequestOrder(t *testing.T) {
 	start := time.Now()
 	for _, c := range []struct {
 		name          string
 		first, second uint64
-		// later is how much later than the first answer's the second one's request began.
+		// later is how long after the first answer's request the second one's was
+		// received.
 		later   time.Duration
 		allowed bool
 	}{
 		{"a newer version for a later request", 62, 65, time.Second, true},
-		{"a newer version for a request that came about then", 62, 65, -reorderTolerance, true},
+		{"a newer version for an earlier request within the tolerance", 62, 65, -reorderTolerance, true},
 		{"a newer version for an earlier request", 62, 65, -reorderTolerance - 1, false},
 		{"the same version for an earlier request", 62, 62, -time.Second, true},
 		{"an older version for an earlier request", 65, 62, -time.Second, true},
-		{"an older version for a request that came about then", 65, 62, reorderTolerance, true},
+		{"an older version for a later request within the tolerance", 65, 62, reorderTolerance, true},
 		{"an older version for a later request", 65, 62, reorderTolerance + 1, false},
 	} {
 		order := versionOrder{logger: log.NewNopLogger()}
@@ -111,7 +110,7 @@
 	}
 }
 
-// An answer that is withheld wasn't given, so that nothing is compared with it.
+// A withheld answer wasn't given, so later answers must not be compared with it.
 func TestWithheldAnswerIsNotRecorded(t *testing.T) {
 	start := time.Now()
 	order := versionOrder{logger: log.NewNopLogger()}
@@ -130,10 +129,9 @@
 	must.Error(t, order.admit(3*maxVersionSpans+1, start, "leader"))
 }
 
-// What a user sees: a job that was said not to run runs.
-// Order: the job is accepted; the answer is withheld, because one by an older version
-// has been given to a later request.
-// Cause: a withheld answer says that nothing was done, which doesn't hold for a change.
+// A job is accepted, and the answer is withheld because a later request was answered by
+// an older version. The error must not say that nothing was done, since the job will
+// run.
 func TestWithheldAnswerToChangeIsUnknown(t *testing.T) {
 	g := New(link.NewClient(100), "own", []string{startSubmitServer(t, 65)}, log.NewNopLogger())
 	must.NoError(t, g.versionOrder.admit(62, time.Now(), "leader"))
@@ -143,7 +141,7 @@
 	must.Eq(t, fault.Unknown, fault.KindOf(err))
 }
 
-// startSubmitServer takes all jobs by a version of the configuration.
+// startSubmitServer accepts all jobs by a version of the configuration.
 func startSubmitServer(t *testing.T, version uint64) string {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodSubmit, func(ctx context.Context, _ *control.SubmitCall) (control.SubmitReply, error) {
@@ -155,11 +153,9 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// What a user sees: a job's state by a queue that was dropped, right after an answer
-// that the queue isn't there.
-// Order: the leader answers a request by version 65; a member that is behind tells of
-// a job that has ended by version 62.
-// Cause: what has ended is told by any member.
+// The leader answers a request by version 65; then a member that lags behind reports an
+// ended job by version 62. The caller would see a job of a queue that it was just told
+// doesn't exist.
 func TestOutOfOrderEndedReplyIsIgnored(t *testing.T) {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodEnded, func(ctx context.Context, _ *control.EndedCall) (control.EndedReply, error) {
@@ -174,9 +170,9 @@
 	must.False(t, known)
 }
 
-// A caller's answer is withheld though all answers by newer versions went to later
-// requests: nine versions came in a few seconds, and the oldest one's first request
-// counted as the next one's.
+// Nine versions come within a few seconds, and the oldest span is dropped. If its first
+// request counted as the next version's, answers would be withheld although all answers
+// by newer versions went to later requests.
 func TestDroppedSpanDoesNotExtendNextSpan(t *testing.T) {
 	start := time.Now()
 	order := versionOrder{logger: log.NewNopLogger()}
