--- a/internal/peer/count.go
+++ b/internal/peer/count.go
@@ -9,22 +9,24 @@
 	"github.com/bilberryferry/bilberryferry/internal/rpc"
 )
 
+// counters are the running totals behind Stats.
 type counters struct {
 	bytesSent, bytesReceived, dials    atomic.Uint64
 	calls, failures, payloads, dropped atomic.Uint64
 }
 
-// Stats are totals of one peer, counted at the connections this instance opened.
+// Stats are totals for one peer, counted on the connections that this instance opened.
 type Stats struct {
-	// BytesSent and BytesReceived went through the sockets, all overhead of
-	// HTTP included and that of TCP and IP not.
+	// BytesSent and BytesReceived are the bytes that went through the sockets. They
+	// include the overhead of HTTP but not that of TCP and IP.
 	BytesSent, BytesReceived uint64
 	// Dials is the number of connections opened.
 	Dials uint64
-	// Calls were made, Failures of them failed.
+	// Calls is the number of calls made, Failures that of calls that failed.
 	Calls, Failures uint64
-	// Payloads arrived; Dropped didn't fit, or were in a call that failed and
-	// may or may not have arrived.
+	// Payloads is the number of payloads in successful calls. Dropped is the number
+	// that didn't fit into the queue, were for a blocked peer, or were in a failed
+	// call, which may or may not have arrived.
 	Payloads, Dropped uint64
 }
 
@@ -40,6 +42,7 @@
 	}
 }
 
+// countedConn counts the bytes of a connection.
 type countedConn struct {
 	net.Conn
 	sent, received *atomic.Uint64
@@ -63,7 +66,7 @@
 	sent, received atomic.Uint64
 }
 
-// CountListener wraps a listener.
+// CountListener returns a Listener that wraps l.
 func CountListener(l net.Listener) *Listener { return &Listener{Listener: l} }
 
 // Accept waits for the next connection.
@@ -75,7 +78,7 @@
 	return &countedConn{Conn: conn, sent: &l.sent, received: &l.received}, nil
 }
 
-// Bytes returns what went out and came in on accepted connections.
+// Bytes returns the bytes sent and received on accepted connections.
 func (l *Listener) Bytes() (sent, received uint64) {
 	return l.sent.Load(), l.received.Load()
 }
@@ -96,19 +99,19 @@
 	return &countedConn{Conn: conn, sent: &d.sent, received: &d.received}, nil
 }
 
-// Bytes returns what went out and came in on opened connections.
+// Bytes returns the bytes sent and received on opened connections.
 func (d *Dialer) Bytes() (sent, received uint64) {
 	return d.sent.Load(), d.received.Load()
 }
 
-// Blocks cuts an instance off from peers, both ways, so that tests can make
-// network partitions. Nothing that arrives over the network reaches it.
+// BlockedPeers blocks traffic from and to peers, so that tests can simulate network
+// partitions. It can't be changed over the network.
 type BlockedPeers struct {
 	mu    sync.Mutex
 	peers map[string]bool
 }
 
-// Block cuts the peer off, or connects it again.
+// SetBlocked blocks or unblocks a peer.
 func (b *BlockedPeers) SetBlocked(id string, blocked bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -13,13 +13,14 @@
 	"github.com/bilberryferry/bilberryferry/internal/wait"
 )
 
-// item is one payload in a queue.
+// queuedPayload is a payload for a group of the peer.
 type queuedPayload struct {
 	group   string
 	payload []byte
 }
 
-// link is the way to one peer: a queue and a few calls at a time.
+// peerLink sends payloads to one peer. It has a queue and makes up to maxCalls calls at
+// a time.
 type peerLink struct {
 	cfg  Config
 	id   string
@@ -31,15 +32,16 @@
 	address     string
 	client      apiv1.Peer
 
-	// session and sequence number the calls, inFlight counts those that haven't
-	// ended. They belong to run.
+	// session identifies this sender process, sequence is the number of its last call,
+	// and inFlight is the number of calls that haven't ended. Only run uses them.
 	session  uint32
 	sequence uint64
 	inFlight int
-	// done gets whether a call went well; it has room for all that may be under way.
+	// results gets whether a call succeeded. Its buffer holds the results of all calls
+	// in flight.
 	results chan bool
 
-	// wake has room for one: a set wake means that the queue isn't empty.
+	// wake has a buffer of one; a buffered value means that the queue isn't empty.
 	wake     chan struct{}
 	counters counters
 }
@@ -73,8 +75,8 @@
 	l.client = apiv1.NewPeerProtobufClient("http://"+address, l.http)
 }
 
-// push queues an item, at the cost of the oldest ones when there is no room:
-// what is old has most likely been overtaken.
+// enqueue adds a payload to the queue, and drops the oldest ones while the queue is
+// over its bounds: newer payloads have most likely superseded them.
 func (l *peerLink) enqueue(p queuedPayload) {
 	l.mu.Lock()
 	l.queue = append(l.queue, p)
@@ -96,7 +98,8 @@
 	}
 }
 
-// take returns the next batch and the client to send it with.
+// nextBatch removes the next batch from the queue. It returns the batch, its size in
+// bytes, and the client to send it with.
 func (l *peerLink) nextBatch() ([]queuedPayload, int, apiv1.Peer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,8 +119,8 @@
 	return batch, size, l.client
 }
 
-// run makes calls until ctx ends. While maxCalls are under way, what comes up
-// waits and shares the next one.
+// run makes calls until ctx ends. While maxCalls are in flight, payloads collect in the
+// queue and share the next call.
 func (l *peerLink) run(ctx context.Context) error {
 	defer l.http.CloseIdleConnections()
 	defer l.awaitInFlight()
@@ -147,10 +150,9 @@
 	}
 }
 
-// drain waits for the calls under way. After a failure no call may begin before
-// all have ended: a connection whose other end has vanished swallows one call
-// after the other, and only a connection without calls is closed, so that the
-// next call opens a new one.
+// awaitInFlight waits for the calls in flight and then closes idle connections. After a
+// failure no call may start before all have ended: a connection whose other end has
+// vanished swallows every call on it, and it can be closed only when no call uses it.
 func (l *peerLink) awaitInFlight() {
 	for ; l.inFlight > 0; l.inFlight-- {
 		<-l.results
@@ -158,7 +160,7 @@
 	l.http.CloseIdleConnections()
 }
 
-// start begins a call with the next batch, if there is one.
+// sendNext starts a call with the next batch, if there is one.
 func (l *peerLink) sendNext(ctx context.Context) {
 	batch, size, client := l.nextBatch()
 	if len(batch) == 0 {
@@ -175,8 +177,9 @@
 	go func() { l.results <- l.exchange(ctx, client, request, len(batch), size) }()
 }
 
-// exchange makes one call. After a failure its batch is given up: the logs
-// repeat what still matters, and a repeated old batch would only delay it.
+// exchange makes one call and reports whether it succeeded. The batch of a failed call
+// is dropped: the logs resend what still matters, and resending an old batch would only
+// delay that.
 func (l *peerLink) exchange(ctx context.Context, client apiv1.Peer, request *apiv1.ExchangeRequest, payloads, size int) bool {
 	limit := callTimeout + time.Duration(size)*time.Second/bytesPerSecond
 	ctx, cancel := context.WithTimeout(ctx, limit)
--- a/internal/peer/mux.go
+++ b/internal/peer/mux.go
@@ -9,12 +9,12 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-// PayloadHandler takes in a payload of a group. It must not block.
+// PayloadHandler processes a payload of a group. It must not block. A payload that it
+// returns an error for counts as refused.
 type PayloadHandler func(from string, payload []byte) error
 
-// Mux hands received payloads to the groups they are meant for. A daemon
-// embeds it in its implementation of apiv1.Peer, behind its check of bearer
-// tokens.
+// Mux passes received payloads to the handlers of their groups. A daemon embeds it in
+// its implementation of apiv1.Peer, behind its check of bearer tokens.
 type Mux struct {
 	id           string
 	clock        Clock
@@ -27,13 +27,13 @@
 	received, refused atomic.Uint64
 }
 
-// NewMux returns a mux without groups. ID, Stamper and Blocks of cfg are used.
+// NewMux returns a Mux without groups. It uses ID, Clock and BlockedPeers of cfg.
 func NewMux(cfg Config) *Mux {
 	return &Mux{id: cfg.ID, clock: cfg.Clock, blockedPeers: cfg.BlockedPeers, groups: map[string]PayloadHandler{}, sequencers: map[string]*sequencer{}}
 }
 
-// Register gives the payloads of a group to step, in place of an earlier one;
-// nil takes the group out.
+// Register sets the handler of a group and replaces an earlier one; nil removes the
+// group.
 func (m *Mux) Register(group string, handle PayloadHandler) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -44,14 +44,14 @@
 	m.groups[group] = handle
 }
 
-// Exchange takes in the payloads of one call, in the order of the sender's
-// calls where it can; it may return before its payloads' turn has come. Invalid
-// when the call is of another format version or meant for another instance, as
-// happens when an address passes to a new instance. Payloads of groups that
-// aren't here (yet) and those that a group refuses are counted and dropped.
+// Exchange accepts the payloads of one call and passes them on in the order of the
+// sender's calls where possible; it may return before they are passed on. The error is
+// Invalid if the call has another format version or is meant for another instance, as
+// happens when a new instance gets the address of an old one. Payloads of unknown
+// groups and those that a handler refuses are counted and dropped.
 func (m *Mux) Exchange(_ context.Context, r *apiv1.ExchangeRequest) (*apiv1.ExchangeResponse, error) {
 	if r.FormatVersion != FormatVersion {
-		return nil, fault.Field("format_version", "%d, this program speaks %d", r.FormatVersion, FormatVersion)
+		return nil, fault.Field("format_version", "%d, this program supports %d", r.FormatVersion, FormatVersion)
 	}
 	if r.To != m.id {
 		return nil, fault.Field("to", "meant for %q, this is %q", r.To, m.id)
@@ -64,6 +64,7 @@
 	return &apiv1.ExchangeResponse{}, nil
 }
 
+// sequencerOf returns the sequencer of a sender's calls.
 func (m *Mux) sequencerOf(from string) *sequencer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -75,7 +76,7 @@
 	return s
 }
 
-// deliverCall hands the payloads of a call whose turn has come to their groups.
+// deliverCall passes the payloads of a call to the handlers of their groups.
 func (m *Mux) deliverCall(r *apiv1.ExchangeRequest) {
 	if m.blockedPeers.blocked(r.From) {
 		return
@@ -88,12 +89,14 @@
 	}
 }
 
+// countRefused counts the payloads of a call as refused.
 func (m *Mux) countRefused(r *apiv1.ExchangeRequest) {
 	for _, g := range r.Groups {
 		m.refused.Add(uint64(len(g.Messages)))
 	}
 }
 
+// deliverGroup passes payloads to the handler of their group.
 func (m *Mux) deliverGroup(from string, g *apiv1.GroupMessages) {
 	m.mu.RLock()
 	handle := m.groups[g.Group]
@@ -107,8 +110,8 @@
 	}
 }
 
-// Counters returns how many payloads were handed to a group, and how many
-// were dropped because no group took them.
+// Counters returns how many payloads a handler accepted, and how many were dropped
+// because of an unknown group, a handler's error or a duplicate call.
 func (m *Mux) Counters() (received, refused uint64) {
 	return m.received.Load(), m.refused.Load()
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,11 +1,10 @@
-// Package peer carries messages of replicated logs between the instances of
-// the system, over HTTP/2 without TLS.
+// Package peer transports messages of replicated logs between the instances of the
+// system, over HTTP/2 without TLS.
 //
-// All groups that two instances share use one stream of calls: while maxCalls
-// of them are under way, whatever else is meant for that peer waits and goes
-// with the next one. The receiver takes the calls in in the order in which they
-// were made, but waits for a lost one for a moment only. A queue that is full drops its oldest payloads; the logs
-// send again what still matters.
+// All groups that two instances share use one sequence of calls. While maxCalls of them
+// are in flight, further payloads wait and share the next call. The receiver processes
+// calls in the order in which they were made, but waits only briefly for a lost one. A
+// full queue drops its oldest payloads; the logs resend what still matters.
 package peer
 
 import (
@@ -19,46 +18,47 @@
 	"github.com/bilberryferry/bilberryferry/internal/rpc"
 )
 
-// FormatVersion is the version of the payloads. Receivers refuse others.
+// FormatVersion is the version of the payload format. Receivers refuse others.
 const FormatVersion = 1
 
-// Bounds of a queue, a batch and a call.
+// Bounds on a queue, a batch and a call.
 const (
 	maxQueuePayloads = 4096
 	maxQueueBytes    = 8 << 20
-	// maxBatchBytes bounds the payloads of one Exchange, unless a single
-	// payload, such as a snapshot, is longer.
+	// maxBatchBytes bounds the payloads of one Exchange call, unless a single payload,
+	// such as a snapshot, is larger.
 	maxBatchBytes = 1 << 20
 
-	// maxCalls bounds the calls under way to one peer. With one, each message
-	// waits for the round trip of the call before it.
+	// maxCalls bounds the calls in flight to one peer. With one call, each message
+	// would wait for the round trip of the call before it.
 	maxCalls = 4
 
 	callTimeout = time.Second
-	// bytesPerSecond is the least speed a peer is given time for.
+	// bytesPerSecond is the lowest transfer rate that the timeout of a call allows for.
 	bytesPerSecond = 4 << 20
 
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = 400 * time.Millisecond
 )
 
-// Stamper gives and takes the hybrid logical clock stamps that each Exchange carries.
+// Clock issues and observes the hybrid logical clock timestamps that each Exchange
+// carries.
 type Clock interface {
 	Timestamp() (wallMS int64, logical uint32)
 	Observe(wallMS int64, logical uint32)
 }
 
-// Config is the fixed part of a Transport.
+// Config configures a Transport and a Mux.
 type Config struct {
-	// ID is this instance.
+	// ID identifies this instance.
 	ID string
 	// Bearer is the value of the Authorization header, such as "Bearer x".
 	Bearer string
-	// Stamper may be nil.
+	// Clock may be nil; calls then carry no timestamps.
 	Clock Clock
 	// Dial opens connections to peers; nil means TCP.
 	Dial rpc.Dial
-	// Blocks cuts peers off in tests; nil otherwise.
+	// BlockedPeers simulates partitions in tests; nil otherwise.
 	BlockedPeers *BlockedPeers
 }
 
@@ -77,8 +77,8 @@
 	return &Transport{cfg: cfg, links: map[string]*peerLink{}}
 }
 
-// SetPeer says where a peer is reached, as host:port. Setting another address
-// moves the peer; what is queued for it goes there.
+// SetPeer sets the address of a peer as host:port. A changed address also applies to
+// payloads that are already queued.
 func (t *Transport) SetPeer(id, address string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,7 +91,7 @@
 	l.setAddress(address)
 }
 
-// start runs a link once Run runs. t.mu is held.
+// start runs a link if Run is running. t.mu is held.
 func (t *Transport) start(l *peerLink) {
 	if t.running == nil {
 		return
@@ -100,10 +100,10 @@
 	t.running.Go(func() error { return l.run(ctx) })
 }
 
-// Run sends what is queued until ctx ends.
+// Run sends queued payloads until ctx ends.
 func (t *Transport) Run(ctx context.Context) error {
 	running, ctx := errgroup.WithContext(ctx)
-	// Keeps the group open for peers that are set later.
+	// Keeps the errgroup open for peers that are set later.
 	running.Go(func() error {
 		<-ctx.Done()
 		t.mu.Lock()
@@ -120,8 +120,8 @@
 	return running.Wait()
 }
 
-// Send queues a payload of a group for a peer. It doesn't block. Payloads for
-// a peer that isn't set are dropped.
+// Send queues a payload of a group for a peer. It doesn't block. Payloads for an
+// unknown peer are dropped.
 func (t *Transport) Send(group, to string, payload []byte) {
 	t.mu.Lock()
 	l := t.links[to]
@@ -131,7 +131,7 @@
 	}
 }
 
-// Stats returns the totals of each peer.
+// Stats returns the totals for each peer.
 func (t *Transport) Stats() map[string]Stats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -142,7 +142,7 @@
 	return all
 }
 
-// pack makes the request of a batch, the payloads of a group side by side.
+// pack returns the request for a batch, with payloads collected by group.
 func (c *Config) pack(to string, batch []queuedPayload) *apiv1.ExchangeRequest {
 	request := &apiv1.ExchangeRequest{FormatVersion: FormatVersion, From: c.ID, To: to}
 	byName := map[string]*apiv1.GroupMessages{}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -20,14 +20,14 @@
 
 const bearer = "Bearer peer"
 
-// instance is a transport and the server that its peers reach.
+// instance is a Transport and the server that its peers call.
 type instance struct {
 	*Transport
 	mux          *Mux
 	blockedPeers *BlockedPeers
 	listener     *Listener
 	server       *http.Server
-	// hold, when set, delays each Exchange until it returns.
+	// beforeExchange, if set, is called at the start of each Exchange and may delay it.
 	beforeExchange func()
 
 	mu       sync.Mutex
@@ -35,7 +35,7 @@
 	requests int
 }
 
-// service is what a daemon implements around a Mux.
+// service implements apiv1.Peer with a Mux, as a daemon does.
 type service struct {
 	apiv1.Peer
 	*instance
@@ -98,7 +98,7 @@
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !condition(); time.Sleep(time.Millisecond) {
-		must.True(t, time.Now().Before(end), must.Sprint("never came: "+what))
+		must.True(t, time.Now().Before(end), must.Sprint("timed out waiting for: "+what))
 	}
 }
 
@@ -119,15 +119,15 @@
 	must.Eq(t, 1, stats.Dials)
 	must.Positive(t, stats.BytesSent)
 	must.Positive(t, stats.BytesReceived)
-	// What the connection says after the answer, such as a larger window, may still be on its way.
+	// Frames that follow the response, such as a window update, may still be in flight.
 	eventually(t, "all bytes", func() bool {
 		_, in := b.listener.Bytes()
 		return a.Stats()["b"].BytesSent == in
 	})
 }
 
-// Story: a peer answers slowly. What comes up meanwhile must go in one call,
-// not in one each, or a slow peer costs more than a fast one.
+// A peer answers slowly. Payloads that are queued meanwhile must share one call; with
+// one call each, a slow peer would cost more than a fast one.
 func TestQueuedPayloadsShareOneCall(t *testing.T) {
 	a, b := newInstance(t, "a", Config{}), newInstance(t, "b", Config{})
 	release, entered := make(chan struct{}), make(chan struct{}, 100)
@@ -142,7 +142,7 @@
 	}
 	for range 100 {
 		a.Send("log", "b", []byte("more"))
-		// Time for a call too many to begin; nothing is asserted of it.
+		// Leaves time for a surplus call to start; the assertions don't depend on it.
 		time.Sleep(100 * time.Microsecond)
 	}
 	close(release)
@@ -150,9 +150,9 @@
 	must.Eq(t, maxCalls+1, b.requests)
 }
 
-// Story: a peer vanishes while several calls are under way to it. Each new call
-// would go into the same dead connection, which is kept as long as it carries
-// one. After a failure none may begin until all have ended.
+// A peer vanishes with several calls in flight. The dead connection stays open while
+// any call uses it, and a new call would go into it too. After a failure no call may
+// start until all have ended.
 func TestNoCallStartsAfterFailureUntilAllEnd(t *testing.T) {
 	a, b := newInstance(t, "a", Config{}), newInstance(t, "b", Config{})
 	entered, fail, finish := make(chan int, 100), make(chan struct{}), make(chan struct{})
@@ -176,7 +176,7 @@
 	close(fail)
 	eventually(t, "the failure", func() bool { return a.Stats()["b"].Failures == 1 })
 	a.Send("log", "b", []byte("waits"))
-	// Time for the fault to show; nothing is asserted of it.
+	// Leaves time for a premature call to start; the assertions don't depend on it.
 	time.Sleep(3 * minBackoff)
 	close(finish)
 	must.Eq(t, 3, <-entered)
@@ -184,8 +184,8 @@
 	must.Eq(t, 2, a.Stats()["b"].Dials)
 }
 
-// Story: a peer is away for long. The queue must stay bounded, and what is
-// dropped must be the oldest, which the logs have given up on already.
+// A peer is unreachable for a long time. The queue must stay bounded and drop the
+// oldest payloads first, which the logs no longer need.
 func TestFullQueueDropsTheOldest(t *testing.T) {
 	l := newPeerLink(Config{}, "b")
 	for i := range maxQueuePayloads + 3 {
@@ -202,8 +202,8 @@
 	must.Zero(t, l.queuedBytes)
 }
 
-// Story: a peer restarts. Calls to the old connection fail; the link must find
-// the new process by itself and not hammer it meanwhile.
+// A peer restarts, and calls on the old connection fail. The link must connect to the
+// new process without a busy retry loop.
 func TestLinkReconnectsAfterPeerRestart(t *testing.T) {
 	a, b := newInstance(t, "a", Config{}), newInstance(t, "b", Config{})
 	a.SetPeer("b", b.address())
@@ -236,8 +236,8 @@
 	must.Eq(t, []string{"a:open"}, b.delivered())
 }
 
-// Story: an address passes to another instance, or a program of another
-// version runs there. Its logs must not take in what isn't meant for them.
+// An address passes to another instance, or to a program with another format version.
+// Its logs must not accept payloads that aren't meant for them.
 func TestExchangeForOtherInstanceOrVersionIsRefused(t *testing.T) {
 	m := NewMux(Config{ID: "b"})
 	for _, r := range []*apiv1.ExchangeRequest{
--- a/internal/peer/sequencer.go
+++ b/internal/peer/sequencer.go
@@ -8,43 +8,45 @@
 	apiv1 "github.com/bilberryferry/bilberryferry/api/v1"
 )
 
-// Bounds of what a receiver holds back and remembers for one sender.
+// Bounds on the calls of one sender that a receiver holds and remembers.
 const (
-	// holdTime is how long a call waits at most for those before it. Calls of
-	// one connection overtake each other by the scheduling of the two
-	// processes, which takes some milliseconds on a busy machine.
+	// holdTime is how long a call waits at most for earlier ones. Calls on one
+	// connection overtake each other through process scheduling on both sides, which
+	// takes some milliseconds on a busy host.
 	holdTime     = 25 * time.Millisecond
 	maxHeldCalls = 16 * maxCalls
 	// missingWindow bounds the calls that are remembered as missing.
 	missingWindow = 4096
 )
 
-// order brings the calls of one sender back into the order in which they were
-// made. Calls that are under way together overtake each other, and a log
-// refuses an append that comes before its predecessor, which costs a round
-// trip. What comes too early is held back, but for holdTime at most, so that a
-// lost call delays the others by no more. A call that comes after its turn is
-// taken in all the same: a long snapshot may be late each time.
+// sequencer delivers the calls of one sender in the order in which they were made.
+// Concurrent calls overtake each other, and a log rejects an append that arrives before
+// its predecessor, which costs a round trip. A call that arrives too early is held for
+// holdTime at most, so a lost call delays later ones by no more than that. A call that
+// arrives after later ones were delivered is delivered too, since a large snapshot may
+// always be late.
 type sequencer struct {
-	// deliver takes in a call. It is called under mu, one call at a time.
+	// deliver processes a call. It is called under mu, one call at a time.
 	deliver func(*apiv1.ExchangeRequest)
-	// drop counts a call that isn't taken in.
+	// drop counts a call that isn't delivered.
 	drop func(*apiv1.ExchangeRequest)
 
 	mu sync.Mutex
-	// session is the sender's, former the one before, whose process has ended.
+	// session identifies the sender's process, previousSession the one before, which
+	// has ended.
 	session, previousSession uint32
-	// next is the sequence whose turn it is.
+	// nextSequence is the sequence number of the next call to deliver.
 	nextSequence uint64
 	held         map[uint64]*apiv1.ExchangeRequest
-	// missing are the sequences below next that haven't come, as far as missingWindow.
+	// missing holds the sequence numbers in the missingWindow below nextSequence whose
+	// calls haven't arrived.
 	missing map[uint64]bool
-	// timer releases what is held; nil while nothing is.
+	// holdTimer releases the held calls; nil while there are none.
 	holdTimer *time.Timer
 }
 
-// take takes in a call, now or when its turn comes. A call that came twice, or
-// from a process that has ended, is dropped.
+// accept delivers a call now or when the calls before it have arrived. It drops a
+// duplicate and a call of an ended process.
 func (q *sequencer) accept(r *apiv1.ExchangeRequest) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -69,10 +71,10 @@
 	}
 }
 
-// begin starts a session with the first call that comes of it: the sender is
-// new, or this process is. Calls made shortly before may still be on their way:
-// near the beginning of a session they are waited for, since a new sender's
-// first calls overtake each other too.
+// startSession starts a session with the first call that arrives of it, because either
+// the sender or this process is new. Earlier calls may still arrive. Near the start of
+// a session they are waited for, since the first calls of a new sender overtake each
+// other too.
 func (q *sequencer) startSession(r *apiv1.ExchangeRequest) {
 	q.releaseAll()
 	q.previousSession, q.session = q.session, r.Session
@@ -83,8 +85,8 @@
 	}
 }
 
-// acceptLate takes in a call whose turn has passed, unless it came already. That
-// isn't remembered of one that lags very far, and the logs bear a doubled call.
+// acceptLate delivers a call that later ones have overtaken, unless it is a duplicate.
+// Below the missingWindow duplicates aren't recognised; the logs tolerate them.
 func (q *sequencer) acceptLate(r *apiv1.ExchangeRequest) {
 	if !q.missing[r.Sequence] && r.Sequence+missingWindow >= q.nextSequence {
 		q.drop(r)
@@ -94,7 +96,7 @@
 	q.deliver(r)
 }
 
-// deliverFollowing delivers the held calls whose turn has come.
+// deliverFollowing delivers the held calls that directly follow the last delivered one.
 func (q *sequencer) deliverFollowing() {
 	for r := q.held[q.nextSequence]; r != nil; r = q.held[q.nextSequence] {
 		delete(q.held, q.nextSequence)
@@ -106,6 +108,8 @@
 	}
 }
 
+// hold keeps a call until the calls before it have arrived, holdTime has passed, or
+// more than maxHeldCalls are held.
 func (q *sequencer) hold(r *apiv1.ExchangeRequest) {
 	if q.held == nil {
 		q.held = map[uint64]*apiv1.ExchangeRequest{}
@@ -120,13 +124,14 @@
 	}
 }
 
-// release gives up what hasn't come before the calls held.
+// releaseAfterTimeout delivers all held calls without waiting for missing ones.
 func (q *sequencer) releaseAfterTimeout() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.releaseAll()
 }
 
+// releaseAll delivers all held calls in order and skips missing ones. q.mu is held.
 func (q *sequencer) releaseAll() {
 	for len(q.held) > 0 {
 		lowest := ^uint64(0)
@@ -139,7 +144,7 @@
 	q.stopTimer()
 }
 
-// skipTo passes the turn to a later sequence.
+// skipTo raises nextSequence to sequence and records the skipped numbers as missing.
 func (q *sequencer) skipTo(sequence uint64) {
 	maps.DeleteFunc(q.missing, func(s uint64, _ bool) bool { return s+missingWindow < sequence })
 	for s := max(q.nextSequence, sequence-min(sequence, missingWindow)); s < sequence; s++ {
@@ -148,6 +153,7 @@
 	q.nextSequence = sequence
 }
 
+// stopTimer cancels the release of held calls.
 func (q *sequencer) stopTimer() {
 	if q.holdTimer != nil {
 		q.holdTimer.Stop()
--- a/internal/peer/sequencer_test.go
+++ b/internal/peer/sequencer_test.go
@@ -15,7 +15,7 @@
 	apiv1 "github.com/bilberryferry/bilberryferry/api/v1"
 )
 
-// receiver is a mux that notes what its group is given.
+// receiver is a Mux that records the payloads delivered to its group.
 type receiver struct {
 	*Mux
 	mu       sync.Mutex
@@ -39,7 +39,7 @@
 	return r
 }
 
-// call hands over a call whose payload names its session and sequence.
+// call makes a call whose payload names its session and sequence number.
 func (r *receiver) call(t must.T, session uint32, sequence uint64) {
 	_, err := r.Exchange(context.Background(), &apiv1.ExchangeRequest{
 		FormatVersion: FormatVersion, From: "a", To: "b", Session: session, Sequence: sequence,
@@ -54,9 +54,9 @@
 	}
 }
 
-// Story: under load, commits take several round trips. Of the calls under way
-// a later one is served first, and the log refuses its entries because those
-// before are missing.
+// Under load a later one of several concurrent calls is served first. If it were
+// delivered at once, the log would reject its entries because earlier ones are missing,
+// and commits would take several round trips.
 func TestOvertakingCallsAreDeliveredInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReceiver()
@@ -68,10 +68,10 @@
 	})
 }
 
-// Story: a call is lost, and with it the group's heartbeats stop until the
-// connection is opened anew, because all later calls wait for it. They must
-// come through after holdTime, and later calls at once. A call that was only
-// slow, like a long snapshot, must not be lost for having been overtaken.
+// A call is lost. If all later calls waited for it, the group's heartbeats would stop
+// until a new connection is opened. Held calls must be delivered after holdTime, and
+// later ones at once. A call that is only slow, such as a large snapshot, must still be
+// delivered.
 func TestLostCallDelaysLaterCallsByHoldTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReceiver()
@@ -89,8 +89,8 @@
 	})
 }
 
-// Story: the HTTP client makes a call again after the connection broke, though
-// the first had arrived. Early, in turn or late, it must be taken in once.
+// The HTTP client repeats a call after the connection broke although the first had
+// arrived. It must be delivered once, whether it comes early, in order or late.
 func TestDuplicateCallIsDeliveredOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReceiver()
@@ -105,8 +105,8 @@
 	})
 }
 
-// Story: the sender restarts and counts from 1 again. Its calls must not be
-// taken for doubled ones, and what its former process sent is dropped.
+// The sender restarts and numbers its calls from 1 again. These must not be taken for
+// duplicates, and calls of the old process must be dropped.
 func TestRestartedSenderStartsNewSession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReceiver()
@@ -118,8 +118,8 @@
 	})
 }
 
-// Story: the receiver restarts in the middle of a session. The first call that
-// comes has overtaken others; neither it nor they may be lost or wait.
+// The receiver restarts in the middle of a session. The first call that arrives has
+// overtaken others; all of them must be delivered without delay.
 func TestRestartedReceiverDeliversCallsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReceiver()
@@ -128,8 +128,8 @@
 	})
 }
 
-// Story: a sender numbers its calls with gaps, and the receiver's memory grows
-// with what it holds and remembers.
+// A sender numbers its calls with gaps. The calls that the receiver holds and remembers
+// as missing must stay bounded.
 func TestHeldAndMissingCallsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReceiver()
@@ -148,14 +148,14 @@
 		}
 		must.Len(t, maxHeldCalls+5, r.delivered())
 		must.LessEq(t, missingWindow, len(r.sequencers["a"].missing))
-		// Too far behind to know whether it came already; a snapshot may be.
+		// This number is below the missingWindow, where duplicates aren't recognised.
 		r.call(t, 7, 2)
 		must.Len(t, maxHeldCalls+6, r.delivered())
 	})
 }
 
-// Calls that are lost, doubled, late and out of order: all that arrive are
-// taken in once, and in order wherever none before was given up.
+// Calls are lost, duplicated, late and out of order. Each call that arrives must be
+// delivered once, and in order unless the wait for an earlier one timed out.
 func TestRandomArrivalsAreDeliveredOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(*testing.T) {
@@ -188,9 +188,9 @@
 	})
 }
 
-// What a user sees: nothing; a log loses a round trip at the start of each process.
-// Order: a new sender's second call overtakes its first.
-// Cause: the receiver took the first call that came for the first that was made.
+// A new sender's second call overtakes its first. If the receiver took the first call
+// to arrive for the first one made, the log would lose a round trip at the start of
+// each process.
 func TestFirstCallsOfSessionAreDeliveredInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReceiver()
