--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,7 +1,6 @@
-// Package link carries calls between the system's own processes: one POST a
-// call, requests and replies as CBOR, over kept HTTP/1.1 connections. A call
-// that gets no answer in time closes its connection, so a connection that has
-// gone silent costs one call.
+// Package link makes calls between the system's own processes: one POST request per
+// call, with CBOR bodies, over persistent HTTP/1.1 connections. A call that gets no
+// answer in time closes its connection, so a dead connection costs one call.
 package link
 
 import (
@@ -22,12 +21,15 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection; a way within a region takes
-	// a few milliseconds, and the platform repeats a lost first packet after 1 s.
+	// dialTimeout bounds the opening of a connection. A round trip within a region
+	// takes a few milliseconds, and the operating system resends a lost first packet
+	// after 1 s.
 	dialTimeout = 500 * time.Millisecond
-	// maxBody bounds a request or reply: a configuration of some thousand routes.
+	// maxBody bounds the bytes of a request or reply; a configuration with some
+	// thousand routes fits.
 	maxBody = 8 << 20
-	// maxIdlePerHost keeps as many connections as calls usually run side by side.
+	// maxIdlePerHost is the number of idle connections kept per host: the usual number
+	// of concurrent calls.
 	maxIdlePerHost = 16
 	idleTimeout    = 30 * time.Second
 	pathPrefix     = "/link/"
@@ -37,21 +39,22 @@
 // ErrUnsent marks the error of a call that can't have reached the other side.
 var ErrUnsent = errors.New("not sent")
 
-// ErrNotLeader marks the refusal of an instance that doesn't lead. Nothing was
-// done; see LeaderOf.
+// ErrNotLeader marks the refusal of an instance that doesn't lead and did nothing;
+// LeaderOf returns the leader that it names.
 var ErrNotLeader = errors.New("not the leader")
 
 // Client makes calls. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
-	// version is the highest that an answer named.
+	// version is the highest that a reply has named.
 	version atomic.Uint64
 }
 
-// Version returns the highest version of the configuration that an answer to this
-// client was made by.
+// Version returns the highest version of the configuration that a reply to this client
+// has named, 0 for none.
 func (c *Client) Version() uint64 { return c.version.Load() }
 
+// raiseVersion records a version if it is the highest so far.
 func (c *Client) raiseVersion(version uint64) {
 	for {
 		current := c.version.Load()
@@ -61,7 +64,7 @@
 	}
 }
 
-// NewClient returns a client that has limit connections at most.
+// NewClient returns a client that opens at most limit connections.
 func NewClient(limit int) *Client {
 	connections := descriptors.NewOutboundLimiter(limit, dialTimeout)
 	return &Client{http: &http.Client{Transport: &http.Transport{
@@ -82,19 +85,19 @@
 	NotLeader  bool            `cbor:"5,keyasint,omitempty"`
 	Leader     string          `cbor:"6,keyasint,omitempty"`
 	Value      cbor.RawMessage `cbor:"7,keyasint,omitempty"`
-	// Version is that of the configuration by which the answer was made.
+	// Version is the version of the configuration by which the call was answered.
 	Version uint64 `cbor:"8,keyasint,omitempty"`
 }
 
-// Call makes a call and decodes the reply into reply. Errors are faults; those
-// marked ErrUnsent or ErrNotLeader say that nothing was done.
+// Call makes a call and decodes the reply into reply. Errors are faults; those marked
+// ErrUnsent or ErrNotLeader say that nothing was done.
 func (c *Client) Call(ctx context.Context, address, method string, request, reply any) error {
 	_, err := c.CallVersioned(ctx, address, method, request, reply)
 	return err
 }
 
-// CallVersioned is Call, and returns the version of the configuration that the
-// answer was made by, refusals included; 0 where none is named.
+// CallVersioned is Call, and also returns the version of the configuration by which the
+// call was answered, refusals included; 0 if the reply names none.
 func (c *Client) CallVersioned(ctx context.Context, address, method string, request, reply any) (version uint64, err error) {
 	e, err := c.exchange(ctx, address, method, request)
 	if err != nil {
@@ -107,7 +110,7 @@
 	return e.Version, errors.Wrapf(cbor.Unmarshal(e.Value, reply), "decode the answer of %s", method)
 }
 
-// exchange sends a call and reads the body of the answer.
+// exchange sends a call and reads the body of the reply.
 func (c *Client) exchange(ctx context.Context, address, method string, request any) (envelope, error) {
 	var e envelope
 	body, err := cbor.Marshal(request)
@@ -126,14 +129,16 @@
 	defer response.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxBody))
 	if err != nil {
-		return e, fault.New(fault.Unknown, "%s: the answer broke off: %v", method, err)
+		return e, fault.New(fault.Unknown, "%s: the answer was cut short: %v", method, err)
 	}
 	if err := cbor.Unmarshal(data, &e); err != nil {
-		return e, fault.New(fault.Unknown, "%s: answer %d can't be read: %v", method, response.StatusCode, err)
+		return e, fault.New(fault.Unknown, "%s: the answer with status %d can't be decoded: %v", method, response.StatusCode, err)
 	}
 	return e, nil
 }
 
+// callError converts an error of the HTTP client. If the connection wasn't opened, the
+// error is marked ErrUnsent and of kind Unavailable, and otherwise of kind Unknown.
 func callError(method string, err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -142,6 +147,7 @@
 	return fault.New(fault.Unknown, "%s: no answer: %v", method, err)
 }
 
+// err returns the error that a failed reply stands for.
 func (e *envelope) err() error {
 	err := errors.WithStack(&fault.Error{Kind: e.Kind, Message: e.Message, RetryAfter: e.RetryAfter})
 	if e.NotLeader {
@@ -150,6 +156,7 @@
 	return err
 }
 
+// notLeaderError is a refusal that names the leader.
 type notLeaderError struct {
 	leader string
 	cause  error
@@ -158,13 +165,13 @@
 func (e *notLeaderError) Error() string { return e.cause.Error() }
 func (e *notLeaderError) Unwrap() error { return e.cause }
 
-// NotLeader returns the error of an instance that doesn't lead; leader is the
-// address of the one that does, empty when it isn't known.
+// NotLeader returns the error of an instance that doesn't lead. leader is the address
+// of the one that does, empty if unknown.
 func NotLeader(leader string) error {
 	return errors.Mark(&notLeaderError{leader: leader, cause: fault.New(fault.Unavailable, "not the leader")}, ErrNotLeader)
 }
 
-// LeaderOf returns the leader's address that a refusal named.
+// LeaderOf returns the leader's address that a refusal names, empty for none.
 func LeaderOf(err error) string {
 	var e *notLeaderError
 	if errors.As(err, &e) {
@@ -173,7 +180,7 @@
 	return ""
 }
 
-// Mux serves calls.
+// Mux serves calls by method.
 type Mux struct {
 	http *http.ServeMux
 	// version is nil until SetVersion is called.
@@ -183,9 +190,9 @@
 // NewMux returns a Mux without methods.
 func NewMux() *Mux { return &Mux{http: http.NewServeMux()} }
 
-// SetVersion has each answer name a version of the configuration: the one that was
-// noted while the call was served, see RecordVersion, or else what version returned
-// before, which is never too high.
+// SetVersion makes each reply name a version of the configuration: the one recorded
+// with RecordVersion while the call was served, or else the result of version from
+// before the call, which is never too high.
 func (m *Mux) SetVersion(version func() uint64) { m.version.Store(&version) }
 
 func (m *Mux) currentVersion() uint64 {
@@ -198,10 +205,10 @@
 // ServeHTTP serves a call.
 func (m *Mux) ServeHTTP(w http.ResponseWriter, r *http.Request) { m.http.ServeHTTP(w, r) }
 
-// HandleHTTP serves other requests that arrive at the same address.
+// HandleHTTP serves other requests to the same address.
 func (m *Mux) HandleHTTP(pattern string, handler http.Handler) { m.http.Handle(pattern, handler) }
 
-// Handle serves a method by serve.
+// Handle serves the calls of a method with serve.
 func Handle[Request, Reply any](m *Mux, method string, serve func(context.Context, *Request) (Reply, error)) {
 	m.http.HandleFunc("POST "+pathPrefix+method, func(w http.ResponseWriter, r *http.Request) {
 		version := m.currentVersion()
@@ -212,6 +219,7 @@
 	})
 }
 
+// serveRequest decodes a request, serves it, and returns the body of the reply.
 func serveRequest[Request, Reply any](ctx context.Context, r *http.Request, serve func(context.Context, *Request) (Reply, error)) envelope {
 	data, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
 	if err != nil {
@@ -232,6 +240,7 @@
 	return envelope{Value: value}
 }
 
+// errorEnvelope returns the reply for an error.
 func errorEnvelope(err error) envelope {
 	e := envelope{Failed: true, Kind: fault.Internal, Message: err.Error()}
 	var f *fault.Error
@@ -244,6 +253,7 @@
 	return e
 }
 
+// writeReply writes the body of a reply.
 func writeReply(w http.ResponseWriter, e envelope) {
 	w.Header().Set("Content-Type", contentType)
 	data, err := cbor.Marshal(&e)
@@ -251,6 +261,6 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	// A write error means that the caller is gone; it learns nothing from us.
+	// A write error means that the caller has disconnected.
 	_, _ = w.Write(data)
 }
--- a/internal/link/version_test.go
+++ b/internal/link/version_test.go
@@ -11,7 +11,7 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-// serveVersions serves one method on a mux whose version was 62 when a call began.
+// serveVersions serves one method on a Mux whose version is 62 when a call starts.
 func serveVersions(t *testing.T, serve func(context.Context) error) (address string) {
 	mux := NewMux()
 	mux.SetVersion(func() uint64 { return 62 })
