--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire turns messages of the schema into the state's types and back,
-// and checks what arrives from outside before anything is stored.
+// Package wire converts messages of the API to and from the types of package state, and
+// checks requests before anything is stored.
 package wire
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
-// Bounds of what one task may ask for; larger numbers are mistakes of unit.
+// Bounds on the demand of one task. Larger numbers are most likely in a wrong unit.
 const (
 	maxCPU          = 1_000_000_000     // thousandths of a core
 	maxMemory       = 1 << 40           // MiB
@@ -27,7 +27,7 @@
 	maxAttempts     = 100
 )
 
-// CheckSpec checks a spec and returns it as the state keeps it. Errors are
+// CheckSpec checks a spec and converts it to the state's type. Errors are of kind
 // Invalid and name the field.
 func CheckSpec(s *apiv1.Spec, limits settings.Limits, now time.Time) (state.Spec, error) {
 	if s == nil {
@@ -115,7 +115,8 @@
 	return nil
 }
 
-// Request checks a request id and digests the content that goes with it.
+// Request checks a request ID and returns it with a digest of the request's content.
+// Errors are of kind Invalid and name the field.
 func Request(id, customer string, content proto.Message) (state.Request, error) {
 	if id == "" || len(id) > maxRequestID {
 		return state.Request{}, fault.Field("request_id", "must have 1 to %d bytes", maxRequestID)
@@ -127,7 +128,7 @@
 	return state.Request{ID: id, Customer: customer, Digest: xxhash.Sum64(data)}, nil
 }
 
-// SpecToAPI returns a spec as it crosses the wire.
+// SpecToAPI converts a spec to its API message.
 func SpecToAPI(s state.Spec, dataCentre string) *apiv1.Spec {
 	return &apiv1.Spec{
 		Name: s.Name, Policy: apiv1.Policy(s.Policy), Tasks: int32(s.Tasks), Need: ResourcesToAPI(s.Need),
@@ -136,7 +137,7 @@
 	}
 }
 
-// JobToAPI returns a job as callers see it.
+// JobToAPI converts a job to its API message, without the payload.
 func JobToAPI(j *state.Job, dataCentre string, withTasks bool) *apiv1.Job {
 	queued, running, ended := j.Counts()
 	job := &apiv1.Job{
@@ -169,28 +170,28 @@
 	return tasks
 }
 
-// RefToAPI returns an attempt's name as it crosses the wire.
+// RefToAPI converts a reference to an attempt to its API message.
 func RefToAPI(ref state.AttemptRef) *apiv1.AttemptRef {
 	return &apiv1.AttemptRef{Job: ref.Job, Task: ref.Task, Attempt: ref.Attempt}
 }
 
-// RefFromAPI reads an attempt's name.
+// RefFromAPI converts an API message to a reference to an attempt.
 func RefFromAPI(ref *apiv1.AttemptRef) state.AttemptRef {
 	return state.AttemptRef{Job: ref.GetJob(), Task: ref.GetTask(), Attempt: ref.GetAttempt()}
 }
 
-// ResourcesToAPI returns resources as they cross the wire.
+// ResourcesToAPI converts resources to their API message.
 func ResourcesToAPI(r placement.Resources) *apiv1.Resources {
 	return &apiv1.Resources{CpuMilli: r.CPU, MemoryMib: r.Memory, Accelerators: r.Accelerators}
 }
 
-// ResourcesFromAPI reads resources.
+// ResourcesFromAPI converts an API message to resources.
 func ResourcesFromAPI(r *apiv1.Resources) placement.Resources {
 	return placement.Resources{CPU: r.GetCpuMilli(), Memory: r.GetMemoryMib(), Accelerators: r.GetAccelerators()}
 }
 
-// LeaseOptions are the durations of slot leases, which the leader of a data
-// centre and its entry instances must read alike.
+// LeaseOptions returns the durations of slot leases. The leader of a data centre and
+// its entry instances must use the same ones.
 func LeaseOptions(t settings.Timing) routing.LeaseOptions {
 	options := routing.DefaultLeaseOptions()
 	options.Lease = time.Duration(t.SlotLease)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -76,8 +76,8 @@
 	must.Eq(t, "request_id", fault.From(err).Field)
 }
 
-// Whatever arrives as a submission is refused as Invalid or gives a spec that
-// keeps its bounds and survives the way back.
+// Any submission must either be refused as Invalid or give a spec within its bounds
+// that survives the conversion to the API and back.
 func FuzzSubmit(f *testing.F) {
 	seed, err := proto.Marshal(&apiv1.SubmitRequest{RequestId: "r", Spec: validSpec()})
 	must.NoError(f, err)
