--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,6 +1,6 @@
-// Package rpc holds what every daemon needs to serve and make twirp calls:
-// HTTP/2 without TLS on kept connections, bearer tokens, body limits, and the
-// translation of errors into the closed list.
+// Package rpc holds what all daemons use to serve and make Twirp calls: HTTP/2 without
+// TLS on persistent connections, bearer tokens, limits on request bodies, and the
+// conversion of errors to the kinds of package fault.
 package rpc
 
 import (
@@ -17,14 +17,14 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// Timeouts of connections. Calls have deadlines of their own.
+// Timeouts of connections. Calls have their own deadlines.
 const (
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 2 * time.Minute
 	// DialTimeout bounds the opening of a connection.
 	DialTimeout = time.Second
-	// pingAfter is after how long of silence a connection is probed, so that a
-	// peer that was cut off without a word is noticed while a call is held.
+	// pingAfter is how long a connection may receive nothing before it is probed, so
+	// that a partitioned peer is detected while a call is held.
 	pingAfter   = 4 * time.Second
 	pingTimeout = 2 * time.Second
 )
@@ -42,7 +42,7 @@
 	}
 }
 
-// Dial opens a connection. Where one is asked for, nil means TCP.
+// Dial opens a connection. Functions that take a Dial use TCP if it is nil.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 // NewClient returns a client that speaks HTTP/2 without TLS.
@@ -61,24 +61,25 @@
 
 type callerKey struct{}
 
-// Caller is who makes a call, and the bearer token that proves it.
+// Caller is the identity of a caller and the bearer token that proves it.
 type Caller struct {
 	settings.Identity
 	Bearer string
 }
 
-// CallerOf returns the caller of the call being served.
+// CallerOf returns the caller of the call that is served under ctx.
 func CallerOf(ctx context.Context) Caller {
 	caller, _ := ctx.Value(callerKey{}).(Caller)
 	return caller
 }
 
-// WithCaller returns a context in which calls are served for a caller.
+// WithCaller returns a context for serving a call of a caller.
 func WithCaller(ctx context.Context, caller Caller) context.Context {
 	return context.WithValue(ctx, callerKey{}, caller)
 }
 
-// Authenticate serves next for callers with a known token and bounds the body.
+// Authenticate serves requests with a known token by next, and refuses others. It
+// limits the request body to maxBody bytes.
 func Authenticate(tokens *settings.TokenSet, maxBody int64, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		bearer := r.Header.Get("Authorization")
@@ -97,19 +98,22 @@
 	})
 }
 
-// Forward returns a context that sends the caller's own token onwards.
+// Forward returns a context whose outgoing calls carry the token of the caller being
+// served.
 func Forward(ctx context.Context) (context.Context, error) {
 	return WithBearer(ctx, CallerOf(ctx).Bearer)
 }
 
-// WithBearer returns a context whose calls carry an Authorization header.
+// WithBearer returns a context whose outgoing calls carry bearer as their Authorization
+// header.
 func WithBearer(ctx context.Context, bearer string) (context.Context, error) {
 	header := make(http.Header)
 	header.Set("Authorization", bearer)
 	return twirp.WithHTTPRequestHeaders(ctx, header)
 }
 
-// Require fails with Denied unless the caller has one of the roles.
+// Require returns the caller. The error is of kind Denied unless the caller has one of
+// the roles.
 func Require(ctx context.Context, roles ...settings.Role) (Caller, error) {
 	caller := CallerOf(ctx)
 	for _, role := range roles {
@@ -120,8 +124,8 @@
 	return caller, fault.New(fault.Denied, "a token of role %s may not make this call", caller.Role)
 }
 
-// Errors is a twirp interceptor that gives every error its place in the
-// closed list before it crosses the wire.
+// Errors returns a Twirp interceptor that converts each error to one of the kinds of
+// package fault.
 func Errors() twirp.Interceptor {
 	return func(next twirp.Method) twirp.Method {
 		return func(ctx context.Context, request any) (any, error) {
@@ -137,24 +141,24 @@
 	}
 }
 
-// Keys of the twirp metadata with which an instance that isn't the leader names
-// the one that is, where it knows.
+// Keys of the Twirp metadata by which an instance that isn't the leader names the
+// leader, if it knows it.
 const (
 	leaderMeta        = "leader"
 	leaderAddressMeta = "leader_address"
 )
 
-// notLeaderMessage is the message of an instance that isn't the leader.
+// notLeaderMessage is the error message of an instance that isn't the leader.
 const notLeaderMessage = "not the leader"
 
-// Leader is where the leader of a group is reached.
+// Leader is the ID and address of a group's leader; empty fields are unknown.
 type Leader struct {
 	ID      string
 	Address string
 }
 
-// LeaderIn returns the leader that a member knows of. Its address comes from
-// the membership, so an instance that replaced another is found as well.
+// LeaderIn returns the leader that a member's status names. The address comes from the
+// membership, so that an instance that replaced another is found too.
 func LeaderIn(status replica.Status) Leader {
 	for _, member := range status.Members {
 		if member.ID == status.Leader {
@@ -170,8 +174,8 @@
 	return err.WithMeta(leaderMeta, leader.ID).WithMeta(leaderAddressMeta, leader.Address)
 }
 
-// LeaderOf returns the leader named by an error, and whether the error says
-// that the call reached an instance which isn't the leader and did nothing.
+// LeaderOf returns the leader that an error names, and whether the error says that the
+// call reached an instance that isn't the leader and did nothing.
 func LeaderOf(err error) (Leader, bool) {
 	var te twirp.Error
 	if !errors.As(err, &te) {
