--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -181,8 +181,8 @@
 // is dropped: the logs resend what still matters, and resending an old batch would only
 // delay that.
 func (l *peerLink) exchange(ctx context.Context, client apiv1.Peer, request *apiv1.ExchangeRequest, payloads, size int) bool {
-	limit := callTimeout + time.Duration(size)*time.Second/bytesPerSecond
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	timeout := callTimeout + time.Duration(size)*time.Second/bytesPerSecond
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	ctx, err := rpc.WithBearer(ctx, l.cfg.Bearer)
 	if err == nil {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -146,14 +146,14 @@
 func (c *Config) pack(to string, batch []queuedPayload) *apiv1.ExchangeRequest {
 	request := &apiv1.ExchangeRequest{FormatVersion: FormatVersion, From: c.ID, To: to}
 	byName := map[string]*apiv1.GroupMessages{}
-	for _, i := range batch {
-		g := byName[i.group]
+	for _, p := range batch {
+		g := byName[p.group]
 		if g == nil {
-			g = &apiv1.GroupMessages{Group: i.group}
-			byName[i.group] = g
+			g = &apiv1.GroupMessages{Group: p.group}
+			byName[p.group] = g
 			request.Groups = append(request.Groups, g)
 		}
-		g.Messages = append(g.Messages, i.payload)
+		g.Messages = append(g.Messages, p.payload)
 	}
 	if c.Clock != nil {
 		request.WallMs, request.Logical = c.Clock.Timestamp()
