--- a/internal/node/apply.go
+++ b/internal/node/apply.go
@@ -6,15 +6,15 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// waiter is a proposal on its way to being committed. The term tells it from
-// another leader's entry at the same index.
+// pendingProposal is a call whose command is in the log and not yet committed. The term
+// tells its entry from another leader's entry at the same index.
 type pendingProposal struct {
 	call *call
 	term uint64
 }
 
-// processCalls hands waiting calls to the core: all commands in one proposal, all
-// barriers under one token.
+// processCalls passes pending calls to the core: all commands in one proposal, all
+// barriers under one read token.
 func (g *Group) processCalls(pending []*call) {
 	var proposals, barriers []*call
 	for _, c := range pending {
@@ -65,7 +65,7 @@
 	index, term, err := g.core.ProposeMembership(c.members)
 	switch {
 	case errors.Is(err, replica.ErrNoChange):
-		// Asked for again after a lost answer.
+		// The change is in force already: the caller repeats it after a lost answer.
 		c.reply(nil, nil)
 	case err != nil:
 		c.reply(nil, g.coreFault(err))
@@ -91,14 +91,15 @@
 
 func (g *Group) trackProposal(index, term uint64, c *call) {
 	if old, ok := g.proposals[index]; ok {
-		// This member's log holds the older command no longer, but another
-		// member's may, and it may yet lead.
+		// This member's log no longer holds the older command, but another member's log
+		// may, and that member may become the leader and commit it.
 		old.call.reply(nil, outcomeUnknown("the leadership was lost"))
 	}
 	g.proposals[index] = pendingProposal{call: c, term: term}
 }
 
-// apply takes committed entries into the machine and answers who proposed them.
+// apply applies committed entries to the state machine and answers the callers that
+// proposed them.
 func (g *Group) apply(entries []replica.Entry) {
 	for _, e := range entries {
 		invariant(e.Index == g.applied+1, "entry %d applied after %d", e.Index, g.applied)
@@ -120,15 +121,15 @@
 	}
 	delete(g.proposals, e.Index)
 	if w.term != e.Term {
-		w.call.reply(nil, unavailable(ErrNotCommitted, "another leader replaced the command"))
+		w.call.reply(nil, unavailable(ErrNotCommitted, "another leader's entry replaced the command"))
 		return
 	}
 	w.call.reply(value, nil)
 }
 
-// install replaces the machine's state by a snapshot from a leader.
+// installSnapshot replaces the state of the state machine by a leader's snapshot.
 func (g *Group) installSnapshot(s *replica.Snapshot) error {
-	invariant(s.Index > g.applied, "snapshot of entry %d after entry %d was applied", s.Index, g.applied)
+	invariant(s.Index > g.applied, "snapshot of entry %d received after entry %d was applied", s.Index, g.applied)
 	if err := g.cfg.Machine.Restore(s.Data); err != nil {
 		return errors.Wrapf(err, "restore the snapshot of entry %d", s.Index)
 	}
@@ -139,15 +140,14 @@
 	return nil
 }
 
-// settle answers the calls that this member can no longer answer for: those of
-// a term in which it doesn't lead any more. Their entries may be committed by
-// the next leader or dropped by it.
+// failSupersededCalls fails the pending proposals and barriers of all terms but the one
+// that this member leads. The next leader may commit their entries or drop them.
 func (g *Group) failSupersededCalls(s replica.Status) {
 	g.counters.recordRole(s)
 	current := func(term uint64) bool { return s.Role == replica.Leader && s.Term == term }
 	g.failProposals(func(w pendingProposal) bool { return !current(w.term) }, "the leadership was lost")
-	// An error records the stack. Made in every round, though hardly ever used,
-	// it would be a fifteenth of what an idle leader does.
+	// An error records the stack. Creating this one in every round would take a
+	// fifteenth of an idle leader's processor time, though it is hardly ever used.
 	if len(g.barriers.byToken) > 0 {
 		g.barriers.failUnless(current, unavailable(ErrNotLeader, "not leader; the leadership was lost"))
 	}
--- a/internal/node/bytes_test.go
+++ b/internal/node/bytes_test.go
@@ -8,10 +8,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// A daemon's memory grows with each change of the configuration until the
-// machine kills it. Every change is a command of several kilobytes, the log
-// keeps thousands of entries before it makes a snapshot, and as many after it,
-// so that a few days' changes are all held at once.
+// Guards against a log of long commands that fills the memory until the operating
+// system kills the process. A change of the configuration is a command of several
+// kilobytes. Counted in entries alone, thousands of them stay in memory before a
+// snapshot and as many after it.
 func TestLogOfLongCommandsIsCompacted(t *testing.T) {
 	const size, bound, commands = 1 << 10, 16 << 10, 100
 	c := newCluster(t, "a", Config{SnapshotBytes: bound})
@@ -21,7 +21,7 @@
 	c.converged(3)
 	for _, m := range c.running() {
 		eventually(t, "a snapshot", func() bool { return m.Stats().Snapshots > 0 })
-		eventually(t, "old entries gone", func() bool {
+		eventually(t, "old entries to be dropped", func() bool {
 			s := m.Status()
 			return s.Last-s.First < 3*bound/size
 		})
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -11,18 +11,18 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// Errors that Propose, Barrier, ChangeMembership and Transfer mark, each on a
-// fault of kind Unavailable. Compare with errors.Is.
+// These errors mark the faults of kind Unavailable that Propose, Barrier,
+// ChangeMembership and Transfer return. Compare with errors.Is.
 var (
-	// ErrNotLeader: this member may not decide; nothing was proposed. Status
-	// names the leader, if one is known.
+	// ErrNotLeader means that this member may not decide; nothing was proposed. Status
+	// names the leader if one is known.
 	ErrNotLeader = errors.New("not leader")
-	// ErrOutcomeUnknown: the command was proposed, and whether it will be committed
-	// isn't known here.
+	// ErrOutcomeUnknown means that the command was proposed and this member can't tell
+	// whether it will be committed.
 	ErrOutcomeUnknown = errors.New("fate open")
-	// ErrNotCommitted: the command was proposed and will never be committed.
+	// ErrNotCommitted means that the command was proposed and will never be committed.
 	ErrNotCommitted = errors.New("not committed")
-	// ErrStopped: this member has stopped; nothing was proposed.
+	// ErrStopped means that this member has stopped; nothing was proposed.
 	ErrStopped = errors.New("member stopped")
 )
 
@@ -31,10 +31,10 @@
 }
 
 func outcomeUnknown(reason string) error {
-	return unavailable(ErrOutcomeUnknown, "%s; the fate of the command is open", reason)
+	return unavailable(ErrOutcomeUnknown, "%s; the command may or may not be committed", reason)
 }
 
-// outcome is the answer to a call.
+// outcome is the result of a call.
 type outcome struct {
 	value any
 	err   error
@@ -50,19 +50,19 @@
 	callForceStart
 )
 
-// call is one call on its way to the goroutine of Run.
+// call is a request to the goroutine of Run.
 type call struct {
 	kind    callKind
 	command []byte
 	members []replica.Member
 	target  string
-	// answer has room for the one outcome.
+	// answer has a buffer of one, so that reply never blocks.
 	answer chan outcome
 }
 
 func (c *call) reply(value any, err error) { c.answer <- outcome{value, err} }
 
-// calls is the queue between callers and Run.
+// callQueue holds the calls that Run hasn't taken yet.
 type callQueue struct {
 	mu      sync.Mutex
 	pending []*call
@@ -76,7 +76,7 @@
 	case q.stopped:
 		return unavailable(ErrStopped, "the member has stopped")
 	case len(q.pending) >= maxPendingCalls:
-		return fault.New(fault.Overloaded, "%d calls wait for the log already", maxPendingCalls)
+		return fault.New(fault.Overloaded, "the log has %d pending calls, the maximum", maxPendingCalls)
 	}
 	q.pending = append(q.pending, c)
 	return nil
@@ -96,7 +96,7 @@
 	return len(q.pending) == 0
 }
 
-// remove takes a call back; false when Run has it already.
+// remove removes a pending call. It returns false when Run has taken the call already.
 func (q *callQueue) remove(c *call) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -118,10 +118,10 @@
 	return taken
 }
 
-// do hands a call to Run and waits for its outcome.
+// do queues a call for Run and waits for its outcome.
 func (g *Group) do(ctx context.Context, c *call) (any, error) {
 	if err := ctx.Err(); err != nil {
-		return nil, unavailable(err, "the call ended before it was proposed: %v", err)
+		return nil, unavailable(err, "the context ended before the call was proposed: %v", err)
 	}
 	c.answer = make(chan outcome, 1)
 	if err := g.calls.push(c); err != nil {
@@ -134,44 +134,43 @@
 	case <-ctx.Done():
 	}
 	if g.calls.remove(c) {
-		return nil, unavailable(ctx.Err(), "the call ended before it was proposed: %v", ctx.Err())
+		return nil, unavailable(ctx.Err(), "the context ended before the call was proposed: %v", ctx.Err())
 	}
-	return nil, errors.Mark(outcomeUnknown("the call ended before the log answered"), ctx.Err())
+	return nil, errors.Mark(outcomeUnknown("the context ended before the log answered"), ctx.Err())
 }
 
-// Propose waits until the command is committed and applied on this member and
-// returns what Apply returned. All errors are faults: Overloaded when too many
-// calls wait, else Unavailable, marked with what is known of the command's fate.
+// Propose waits until the command is committed and applied on this member and returns
+// the result of Apply. All errors are faults: Overloaded when too many calls are
+// pending, else Unavailable, marked with what is known of the command's outcome.
 func (g *Group) Propose(ctx context.Context, command []byte) (any, error) {
 	g.counters.proposals.Add(1)
 	return g.do(ctx, &call{kind: callPropose, command: command})
 }
 
-// Barrier waits until this member has applied all that was committed before
-// the call and has proved that it still led after the call began.
+// Barrier waits until this member has applied everything that was committed before the
+// call and has confirmed that it still led after the call began.
 func (g *Group) Barrier(ctx context.Context) error {
 	_, err := g.do(ctx, &call{kind: callBarrier})
 	return err
 }
 
-// ChangeMembership proposes a membership that differs from the present one in
-// one member, and waits until it is committed. Faults: Invalid for a
-// membership that can't be, Conflict for one that can't be now, Unavailable as
-// for Propose.
+// ChangeMembership proposes a membership that differs from the current one in one
+// member, and waits until it is committed. Faults: Invalid for a membership that is
+// never allowed, Conflict for one that isn't allowed now, Unavailable as for Propose.
 func (g *Group) ChangeMembership(ctx context.Context, members []replica.Member) error {
 	_, err := g.do(ctx, &call{kind: callMembership, members: members})
 	return err
 }
 
-// ForceStart makes this member the only voter of the group; see
-// replica.Core.ForceStart for what that may lose. A refusal is a Conflict.
+// ForceStart makes this member the only voter of the group; see replica.Core.ForceStart
+// for what that may lose. A refusal is a fault of kind Conflict.
 func (g *Group) ForceStart(ctx context.Context) error {
 	_, err := g.do(ctx, &call{kind: callForceStart})
 	return err
 }
 
-// Transfer hands the leadership to another member and waits until one leads.
-// It returns at once on a member that doesn't lead while another does.
+// Transfer transfers the leadership to another member and waits until one leads. On a
+// member that doesn't lead it returns at once when another member leads.
 func (g *Group) Transfer(ctx context.Context) error {
 	var errs error
 	for {
@@ -190,13 +189,13 @@
 			return unavailable(ErrStopped, "the member has stopped")
 		case <-changed:
 		case <-time.After(g.cfg.TickInterval * time.Duration(g.cfg.ElectionTicks)):
-			// The core gives a handover up after this time, without a change
-			// of leadership that would wake this loop.
+			// The core abandons a transfer after this time, without a change of
+			// leadership that would wake this loop.
 		}
 	}
 }
 
-// transferToAny asks the members in turn until one can take over.
+// transferToAny tries the voters in turn until the core accepts a transfer to one.
 func (g *Group) transferToAny(ctx context.Context, s replica.Status) error {
 	var errs error
 	for _, m := range s.Members {
@@ -212,13 +211,13 @@
 	return errs
 }
 
-// refusal turns an error of the core into a fault. Nothing was proposed.
+// coreFault converts an error of the core into a fault. Nothing was proposed.
 func (g *Group) coreFault(err error) error {
 	switch {
 	case errors.Is(err, replica.ErrNotLeader):
 		return unavailable(ErrNotLeader, "not leader; the leader is %q", g.core.Status().Leader)
 	case errors.Is(err, replica.ErrTransferring):
-		return unavailable(ErrNotLeader, "not leader; the leadership is being handed over")
+		return unavailable(ErrNotLeader, "not leader; the leadership is being transferred")
 	case errors.Is(err, replica.ErrNotCaughtUp):
 		return errors.Mark(fault.New(fault.Conflict, "%v", err), replica.ErrNotCaughtUp)
 	case errors.Is(err, replica.ErrConfig), errors.Is(err, replica.ErrChangeTooLarge):
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -15,15 +15,15 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// patience bounds a wait that is expected to end; it isn't an assertion of speed.
+// waitTimeout bounds waits that are expected to end; it asserts no speed.
 const waitTimeout = 30 * time.Second
 
-// registers is a machine of named registers. A command sets one and returns
-// the value that it replaced.
+// registers is a state machine of named registers. A command sets one and returns the
+// value that it replaced.
 type registers struct {
 	mu     sync.Mutex
 	values map[string]string
-	// hold, when set, runs inside Apply.
+	// onApply, when set, runs inside Apply.
 	onApply func()
 }
 
@@ -70,14 +70,14 @@
 	return maps.Clone(r.values)
 }
 
-// network joins members in one process.
+// network connects members in one process.
 type network struct {
 	mu       sync.Mutex
 	steps    map[string]func(from string, payload []byte) error
 	isolated map[string]bool
 }
 
-// port is the Transport of one member.
+// memberTransport is the Transport of one member.
 type memberTransport struct {
 	net *network
 	id  string
@@ -101,7 +101,7 @@
 	n.steps[id] = step
 }
 
-// isolate cuts a member off from all others, or joins it again.
+// isolate disconnects a member from all others, or reconnects it.
 func (n *network) isolate(id string, isolated bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -116,7 +116,7 @@
 	runErr  chan error
 }
 
-// cluster is a group of three.
+// cluster is a group of three members.
 type cluster struct {
 	t       *testing.T
 	net     *network
@@ -127,7 +127,7 @@
 	starts  uint64
 }
 
-// newCluster starts members a, b and c; those in disks have one.
+// newCluster starts members a, b and c. The members named in disks have a disk.
 func newCluster(t *testing.T, disks string, config Config) *cluster {
 	c := &cluster{
 		t: t, folder: t.TempDir(), config: config, members: map[string]*member{},
@@ -209,11 +209,11 @@
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
-		must.True(t, time.Now().Before(end), must.Sprint("never came: "+what))
+		must.True(t, time.Now().Before(end), must.Sprint("timed out waiting for "+what))
 	}
 }
 
-// leader waits for a member that may decide.
+// leader waits for a member that may decide and returns it.
 func (c *cluster) leader() *member {
 	c.t.Helper()
 	var found *member
@@ -228,7 +228,7 @@
 	return found
 }
 
-// set writes through whoever leads until it is done.
+// set writes a register through the current leader and retries until it succeeds.
 func (c *cluster) set(key, value string) {
 	c.t.Helper()
 	eventually(c.t, "a write", func() bool {
@@ -246,7 +246,7 @@
 	}
 }
 
-// converged waits until all running members hold the same state.
+// converged waits until the given number of members run and all hold the same state.
 func (c *cluster) converged(members int) {
 	c.t.Helper()
 	eventually(c.t, "the same state everywhere", func() bool {
--- a/internal/node/inbox.go
+++ b/internal/node/inbox.go
@@ -20,13 +20,13 @@
 	return mode
 }
 
-// inbox is the queue between the transport and Run.
+// inbox holds received messages until Run takes them.
 type inbox struct {
 	mu       sync.Mutex
 	messages []replica.Message
 }
 
-// push drops what doesn't fit; the log sends it again.
+// push drops the messages that exceed the bound; the log sends them again.
 func (b *inbox) push(messages []replica.Message) (dropped int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -46,13 +46,13 @@
 	return taken
 }
 
-// Step takes in a payload that another member's Transport was given. It
-// returns an error for a payload that isn't one; the log itself is answered
-// by messages of its own.
+// Step queues a payload that another member's Transport sent. It returns an error for a
+// payload that can't be decoded or holds another member's messages. The log answers by
+// messages of its own.
 func (g *Group) Step(from string, payload []byte) error {
 	var messages []replica.Message
 	if err := payloadDecoder.Unmarshal(payload, &messages); err != nil {
-		return errors.Wrapf(err, "payload from %s", from)
+		return errors.Wrapf(err, "decode the payload from %s", from)
 	}
 	for _, m := range messages {
 		if m.From != from {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// send hands messages to the transport, one payload per member.
+// send passes messages to the transport, one payload per member.
 func (g *Group) send(messages []replica.Message) {
 	for len(messages) > 0 {
 		to := messages[0].To
--- a/internal/node/linear_test.go
+++ b/internal/node/linear_test.go
@@ -17,13 +17,13 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// access is a read of a register, or a write that returns what it replaced.
+// access is a read of a register, or a write that returns the value it replaced.
 type access struct {
 	key, value string
 	write      bool
 }
 
-// result is what an access returned; open when its fate isn't known.
+// result is what an access returned, or that the outcome of a write is unknown.
 type result struct {
 	old            string
 	outcomeUnknown bool
@@ -53,7 +53,7 @@
 	},
 }
 
-// history records accesses by concurrent clients.
+// history records the accesses of concurrent clients.
 type history struct {
 	mu                sync.Mutex
 	start             time.Time
@@ -77,8 +77,8 @@
 	}
 	end := int64(time.Since(h.start))
 	if err != nil {
-		// An error that isn't ErrOutcomeUnknown says that nothing was or will be
-		// written. It isn't recorded, so a write all the same breaks the model.
+		// Any error but ErrOutcomeUnknown says that nothing was or will be written.
+		// Such a write isn't recorded, so the model fails if it took effect.
 		if !in.write || !errors.Is(err, ErrOutcomeUnknown) {
 			return
 		}
@@ -91,7 +91,7 @@
 	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: in, Call: call, Output: out, Return: end})
 }
 
-// client makes accesses until enough were recorded by all.
+// client makes accesses until all clients together have recorded the target number.
 func (h *history) client(c *cluster, id int, random *rand.Rand, target int64) {
 	for n := 0; h.recorded.Load() < target; n++ {
 		in := access{key: fmt.Sprint(random.IntN(4)), value: fmt.Sprintf("%d.%d", id, n), write: random.IntN(2) == 0}
@@ -105,7 +105,7 @@
 	}
 }
 
-// disturb makes one fault, lets clients go on under it, and heals it.
+// injectFault injects one fault, waits while clients make more accesses, and heals it.
 func (h *history) injectFault(c *cluster, random *rand.Rand, extra int64) {
 	const wait = 500 * time.Millisecond
 	all := c.running()
@@ -131,7 +131,7 @@
 		waitForClients()
 		c.start(id)
 	}
-	eventually(c.t, "nobody recovers", func() bool {
+	eventually(c.t, "all members to recover", func() bool {
 		for _, m := range c.running() {
 			if m.Status().Role == replica.Recovering {
 				return false
@@ -143,10 +143,10 @@
 	waitForClients()
 }
 
-// Story: several clients read and write while leadership is handed over, the
-// network cuts members off, and members restart with and without a disk. Each
-// client must see a history in which every access took place at one moment
-// between its call and its answer, and a refused write never.
+// Guards against a history that isn't linearizable. Several clients read and write
+// while the leadership is transferred, members are partitioned, and members restart
+// with and without a disk. Every access must take effect at one moment between its call
+// and its answer, and a refused write never.
 func TestHistoryIsLinearizable(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -163,7 +163,7 @@
 				h.injectFault(c, random, 40)
 			}
 			group.Wait()
-			t.Logf("%d accesses, the fate of %d writes open", len(h.operations), h.unknown.Load())
+			t.Logf("%d accesses, %d writes with an unknown outcome", len(h.operations), h.unknown.Load())
 			got := porcupine.CheckOperationsTimeout(registerModel, h.operations, time.Minute)
 			must.Eq(t, porcupine.Ok, got)
 		})
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -12,16 +12,16 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// invariant panics when ok is false: going on would break a promise already
-// given to a caller.
+// invariant panics when ok is false: to continue would break what callers were
+// promised.
 func invariant(ok bool, format string, args ...any) {
 	if !ok {
 		panic("node: invariant broken: " + fmt.Sprintf(format, args...))
 	}
 }
 
-// Run drives the member until ctx ends, which is a clean stop and returns nil,
-// or until its disk fails. It may be called once.
+// Run drives the member until ctx ends or its disk fails. The end of ctx is a clean
+// stop and returns nil. Run may be called once.
 func (g *Group) Run(ctx context.Context) error {
 	g.clock = newClock(time.Now(), g.cfg.TickInterval)
 	g.runCtx = ctx
@@ -41,7 +41,7 @@
 			return err
 		}
 		if g.core.HasReady() {
-			// Come round again for it, but look at calls and messages first.
+			// Process it in the next round, after new calls and messages.
 			g.signal()
 		}
 		select {
@@ -57,9 +57,9 @@
 	}
 }
 
-// round takes in all that has come and carries out one Ready. Missed ticks go
-// first: a member that was paused must learn how late it is before it takes a
-// message for news or decides anything.
+// runRound processes ticks, messages, calls and one Ready. Missed ticks go first: a
+// member that was paused must know how much time has passed before it treats a message
+// as recent or decides anything.
 func (g *Group) runRound() error {
 	g.tick()
 	for _, m := range g.inbox.take() {
@@ -79,8 +79,8 @@
 	return g.maybeSnapshot()
 }
 
-// callsDue reports whether calls that wait are taken in now; if not, it has the
-// loop come round again when they are.
+// callsDue reports whether pending calls are to be processed now. If they have to wait,
+// it schedules a wake-up for when the interval is over.
 func (g *Group) callsDue(now time.Time) bool {
 	if g.calls.empty() {
 		return false
@@ -101,7 +101,7 @@
 	}
 }
 
-// processReady does the work of a Ready in the order that replica.Ready asks for.
+// processReady does the work of a Ready in the order that replica.Ready requires.
 func (g *Group) processReady(r replica.Ready) error {
 	beforeSync, afterSync := g.splitMessages(r)
 	g.send(beforeSync)
@@ -120,9 +120,9 @@
 	return nil
 }
 
-// split returns the messages that may go before the sync, so that followers
-// write while the leader does, and the others. None goes early when a new term
-// or vote waits for the same sync.
+// splitMessages separates the messages that may be sent before the sync, so that
+// followers write while the leader does, from the others. None is sent before a sync
+// that makes a new term or vote durable.
 func (g *Group) splitMessages(r replica.Ready) (beforeSync, afterSync []replica.Message) {
 	if hs := r.HardState; hs != nil && (hs.Term != g.savedHardState.Term || hs.Vote != g.savedHardState.Vote) {
 		return nil, r.Messages
@@ -137,7 +137,7 @@
 	return beforeSync, afterSync
 }
 
-// save writes what must survive a restart, and syncs it where the core says so.
+// save writes what must survive a restart, and syncs it when the core requires that.
 func (g *Group) save(r replica.Ready) error {
 	if g.wal != nil {
 		if err := g.write(r); err != nil {
@@ -160,9 +160,9 @@
 	return g.wal.Save(r.HardState, r.Entries, r.MustSync)
 }
 
-// saveSnapshot writes a snapshot from a leader. The term goes first, since no
-// entry may be of a later term than the member's. That it no longer recovers
-// must wait until the snapshot and the entries are durable.
+// saveSnapshot writes a snapshot from a leader. The term goes first, since no entry may
+// have a later term than the member. The record that the member has recovered must wait
+// until the snapshot and the entries are durable.
 func (g *Group) saveSnapshot(r replica.Ready) error {
 	if r.HardState != nil {
 		interim := *r.HardState
@@ -175,16 +175,16 @@
 	return g.wal.SaveSnapshot(*r.Snapshot)
 }
 
-// diskFullRetryInterval is the time between two tries to write to a full disk.
+// diskFullRetryInterval is the time between two attempts to write to a full disk.
 const diskFullRetryInterval = 100 * time.Millisecond
 
-// waitForDiskSpace waits before the next try to write to a full disk, and reports whether
-// there is to be one.
+// waitForDiskSpace waits before the next attempt to write to a full disk. It returns
+// false when the member isn't to try again.
 //
-// Failure guarded against: a disk is full for a while. A member that ends is started
-// again and ends again, ten times in 5 s, and what else its process does ends with it.
-// One that waits is mute: it acknowledges nothing, and the right to lead ends by its
-// own clock, as with a disk that stalls.
+// Failure guarded against: a disk is full for a while. A member that ends is restarted
+// and ends again, ten times in 5 s, and everything else in its process ends with it. A
+// member that waits acknowledges nothing, and its leader lease expires by its own
+// clock, as with a disk that stalls.
 func (g *Group) waitForDiskSpace() bool {
 	if g.runCtx == nil {
 		return false
@@ -196,7 +196,7 @@
 	return wait.For(g.runCtx, diskFullRetryInterval)
 }
 
-// recordDiskSpace takes in that a write to the disk went through.
+// recordDiskSpace logs that a write succeeded again after the disk was full.
 func (g *Group) recordDiskSpace() {
 	if g.diskFullSince.IsZero() {
 		return
@@ -205,7 +205,7 @@
 	g.diskFullSince = time.Time{}
 }
 
-// stop ends the member: open calls are answered, the log is synced and closed.
+// stop ends the member: pending calls fail, and the log is synced and closed.
 func (g *Group) stop() error {
 	g.stopOnce.Do(func() { close(g.done) })
 	for _, c := range g.calls.stop() {
@@ -218,7 +218,7 @@
 	return g.closeLog()
 }
 
-// stoppedStatus is what a member that has stopped shows: it leads no longer.
+// stoppedStatus returns the status that a stopped member shows: it no longer leads.
 func stoppedStatus(s replica.Status) replica.Status {
 	s.CanDecide = false
 	if s.Role == replica.Leader {
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -25,14 +25,14 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// loopback is a group of disk members that talk HTTP on 127.0.0.1.
+// httpCluster is a group of members with disks that talk HTTP on 127.0.0.1.
 type httpCluster struct {
 	instances []*httpInstance
 }
 
 type httpInstance struct {
 	*Group
-	// groups are all that run on this instance, the embedded one first.
+	// groups are all groups that run on this instance, the embedded one first.
 	groups    []*Group
 	transport *peer.Transport
 	listener  *peer.Listener
@@ -49,16 +49,16 @@
 	return e.mux.Exchange(ctx, r)
 }
 
-// counter is a machine that does next to nothing.
+// counter is a state machine that only counts its commands.
 type counter struct{ applied int }
 
 func (c *counter) Apply(uint64, []byte) any  { c.applied++; return nil }
 func (c *counter) Snapshot() ([]byte, error) { return fmt.Append(nil, c.applied), nil }
 func (c *counter) Restore([]byte) error      { return nil }
 
-// newHTTPCluster starts members; each call takes delay on the way in and out. Of
-// the groups, which are "bench" if none are named, each has a member on every
-// instance.
+// newHTTPCluster starts one instance for each member. Each HTTP call takes delay on the
+// way in and on the way out. Every instance has a member of each group; without named
+// groups there is one, "bench".
 func newHTTPCluster(t testing.TB, members int, delay time.Duration, groups ...string) *httpCluster {
 	if len(groups) == 0 {
 		groups = []string{"bench"}
@@ -128,12 +128,12 @@
 			}
 		}
 	}
-	t.Fatal("never came: a leader")
+	t.Fatal("timed out waiting for a leader")
 	return nil
 }
 
-// Story: three members talk over HTTP, the leader's process ends, and another
-// one takes over with all that was committed.
+// Guards against lost commits: three members talk over HTTP, the leader's process ends,
+// and another member must take over with everything that was committed.
 func TestGroupOverHTTP(t *testing.T) {
 	l := newHTTPCluster(t, 3, 0)
 	old := l.leader(t)
@@ -150,10 +150,10 @@
 	must.Positive(t, next.transport.Stats()[old.cfg.ID].BytesSent)
 }
 
-// BenchmarkCommit measures committed proposals of 60 bytes and the latency that
-// callers see. The delay is one way. With callers, each proposes again as soon
-// as it is answered; with a rate, proposals come at that rate whatever the
-// answers do, and their latency counts from when they were due.
+// BenchmarkCommit measures committed proposals of 60 bytes and the latency that callers
+// see. The delay is one way. Without a rate, each caller proposes again as soon as it
+// is answered. With a rate, proposals are sent at that rate whatever the answers do,
+// and their latency counts from when they were due.
 func BenchmarkCommit(b *testing.B) {
 	for _, c := range []struct {
 		members, callers, rate int
@@ -176,7 +176,7 @@
 	}
 }
 
-// meter makes proposals and records how long they take.
+// loadGenerator makes proposals and records their latency.
 type loadGenerator struct {
 	b       *testing.B
 	leader  *httpInstance
@@ -226,10 +226,9 @@
 	m.b.ReportMetric(float64(stats.Commits)/float64(max(1, stats.LogSyncs)), "entries/sync")
 }
 
-// BenchmarkIdle measures what members without work send and receive at the
-// socket, on connections opened and accepted, by the number of groups that the
-// instance leads, and the processor time of all together. One operation is a
-// second.
+// BenchmarkIdle measures the bytes that idle members send and receive at the socket, on
+// connections opened and accepted, by the number of groups that the instance leads, and
+// the processor time of all members together. One operation is a second.
 func BenchmarkIdle(b *testing.B) {
 	for _, groups := range [][]string{{"cell"}, {"cell", "configuration"}} {
 		b.Run(fmt.Sprintf("groups=%d", len(groups)), func(b *testing.B) {
@@ -251,7 +250,7 @@
 	}
 }
 
-// settle waits until each group has a leader and the connections are opened.
+// waitUntilReady waits until each group has a leader and the connections are open.
 func (l *httpCluster) waitUntilReady(t testing.TB, groups int) {
 	for end := time.Now().Add(waitTimeout); ; time.Sleep(5 * time.Millisecond) {
 		led := 0
@@ -261,7 +260,7 @@
 		if led == groups {
 			break
 		}
-		must.True(t, time.Now().Before(end), must.Sprint("never came: leaders"))
+		must.True(t, time.Now().Before(end), must.Sprint("timed out waiting for leaders"))
 	}
 	time.Sleep(2 * time.Second)
 }
@@ -276,7 +275,7 @@
 	return led
 }
 
-// cpuTime is that of this process so far.
+// cpuTime returns the processor time that this process has used so far.
 func cpuTime(t testing.TB) time.Duration {
 	var used syscall.Rusage
 	must.NoError(t, syscall.Getrusage(syscall.RUSAGE_SELF, &used))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,10 +1,10 @@
-// Package node drives one member of a replicated log: it owns the core of
-// package replica, its write-ahead log, its clock and a state machine, and
-// exchanges messages through a Transport.
+// Package node drives one member of a replicated log: it owns the core of package
+// replica, the write-ahead log, the clock and the state machine, and exchanges messages
+// through a Transport.
 //
-// One goroutine does it all, in Run. Whatever waits when it comes round, calls
-// and messages alike, goes into one write, one sync and one message per member;
-// that is the group commit.
+// One goroutine, Run, does all the work. It puts all calls and messages that are
+// pending in a round into one write, one sync and one message per member (group
+// commit).
 package node
 
 import (
@@ -19,10 +19,10 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// Machine is the state that the log builds up. Apply must depend on nothing
-// but the state and the command. All three are called from one goroutine.
+// Machine is the state machine that the log drives. Apply must be deterministic: it may
+// depend only on the state and the command. One goroutine makes all calls.
 type Machine interface {
-	// Apply takes in one committed command and returns what Propose hands back.
+	// Apply applies one committed command and returns the result for Propose.
 	Apply(index uint64, command []byte) any
 	// Snapshot encodes the state.
 	Snapshot() ([]byte, error)
@@ -30,34 +30,34 @@
 	Restore(data []byte) error
 }
 
-// Capturer is a Machine that can take a cheap copy of its state. The returned
-// function encodes the copy on another goroutine, while Apply goes on.
+// Capturer is a Machine that can copy its state cheaply. The function that Capture
+// returns encodes the copy on another goroutine, while Apply continues.
 type Capturer interface {
 	Capture() func() ([]byte, error)
 }
 
-// Transport carries payloads to other members of a group. Send must not block;
-// it may lose, repeat and reorder, which the log makes up for.
+// Transport carries payloads to other members of a group. Send must not block. It may
+// lose, repeat and reorder payloads, which the log tolerates.
 type Transport interface {
 	Send(group, to string, payload []byte)
 }
 
-// Log is a replicated log as its users see it. Group implements it.
+// Log is the interface of a replicated log for its users. Group implements it.
 type Log interface {
-	// Propose waits until the command is committed and applied on this member
-	// and returns what Apply returned. See ErrNotLeader and ErrOutcomeUnknown.
+	// Propose waits until the command is committed and applied on this member and
+	// returns the result of Apply. See ErrNotLeader and ErrOutcomeUnknown.
 	Propose(ctx context.Context, command []byte) (any, error)
-	// Barrier waits until this member has applied all that was committed
-	// before the call. It fails on a member that doesn't lead.
+	// Barrier waits until this member has applied everything that was committed before
+	// the call. It fails on a member that doesn't lead.
 	Barrier(ctx context.Context) error
 	Status() replica.Status
-	// Changed returns a channel that is closed when role, leader, term or
-	// CanDecide change next.
+	// Changed returns a channel that is closed at the next change of role, leader, term
+	// or CanDecide.
 	Changed() <-chan struct{}
 }
 
-// Defaults of Config. Ticks of 100 ms make heartbeats each 500 ms and election
-// timeouts from 1.5 s.
+// Defaults of Config. With ticks of 100 ms, heartbeats are sent every 500 ms and
+// election timeouts start at 1.5 s.
 const (
 	DefaultTickInterval   = 100 * time.Millisecond
 	DefaultElectionTicks  = 15
@@ -65,22 +65,22 @@
 	DefaultSnapshotEvery  = 20_000
 	DefaultSnapshotBytes  = 2 << 20
 
-	// maxInflightAppends bounds the appends under way to a member: 64 last for 25 ms or
-	// more when each carries what came up during one sync, so that neither a
-	// slow sync nor a slow way holds new ones back.
+	// maxInflightAppends bounds the appends in flight to a member. One append carries
+	// the commands of one sync, so 64 cover 25 ms or more, and neither a slow sync nor
+	// a slow network delays new ones.
 	maxInflightAppends  = 64
 	maxPendingCalls     = 16_384
 	maxInboxMessages    = 8_192
-	maxCatchUpElections = 4 // election timeouts
+	maxCatchUpElections = 4 // in election timeouts
 )
 
-// callIntervalPerFollower is how long after it has taken in calls a member waits before it
-// takes in more, for each other member of the group. With two followers that is less
-// than a sync of a slow disk. With more, a leader would spend a large part of a small
-// processor on messages of the log, some thousand a second, unless they come in batches.
+// callIntervalPerFollower is the minimum time between two rounds that process calls,
+// for each other member of the group. With two followers it is less than a sync of a
+// slow disk. With more, a leader would spend a large part of a small processor on log
+// messages, some thousand a second, unless they are sent in batches.
 const callIntervalPerFollower = 2 * time.Millisecond
 
-// Config is the fixed part of a Group.
+// Config holds the fixed settings of a Group.
 type Config struct {
 	// Group names the log; it is the same on all members.
 	Group string
@@ -100,28 +100,28 @@
 	HeartbeatTicks int
 	// SnapshotEvery is the number of entries between snapshots.
 	SnapshotEvery uint64
-	// SnapshotBytes is how many bytes of commands lie between snapshots, or as
-	// many as the latest snapshot has where that is more. Half of it stays in
-	// memory, at most, for members that lag.
+	// SnapshotBytes is the size in bytes of the commands between snapshots; the size of
+	// the latest snapshot counts if it is larger. At most half of SnapshotBytes stays
+	// in memory for members that lag.
 	//
-	// Failure guarded against: a log of long commands, such as whole documents of
-	// the configuration, outgrows the memory of the process long before it has
-	// SnapshotEvery entries.
+	// Failure guarded against: a log of long commands, such as whole configuration
+	// documents, outgrows the memory of the process long before it has SnapshotEvery
+	// entries.
 	SnapshotBytes int
-	// KeepEntries is how many entries before a snapshot stay in memory for
+	// KeepEntries is the number of entries before a snapshot that stay in memory for
 	// members that lag; 0 means SnapshotEvery.
 	KeepEntries int
-	// Seed of the election timeouts.
+	// Seed seeds the election timeouts.
 	Seed      uint64
 	Machine   Machine
 	Transport Transport
-	// Logger gets a line for each change of role; nil for none.
+	// Logger receives a line for each change of role; nil logs nothing.
 	Logger log.Logger
 }
 
 func (cfg *Config) fill() error {
 	if cfg.Machine == nil || cfg.Transport == nil || cfg.Group == "" {
-		return errors.New("group needs a name, a machine and a transport")
+		return errors.New("group needs a name, a state machine and a transport")
 	}
 	if cfg.Incarnation == 0 {
 		cfg.Incarnation = uint64(time.Now().UnixMilli())
@@ -154,19 +154,19 @@
 	core   *replica.Core
 	wal    *wal.WAL
 	logger log.Logger
-	// running ends when the member is to stop; nil until Run. diskFullSince is when the
-	// disk was found full, zero while it has room. Both belong to Run.
+	// runCtx ends when the member is to stop; nil until Run. diskFullSince is when the
+	// disk was found full, zero while it has free space. Both belong to Run.
 	runCtx        context.Context
 	diskFullSince time.Time
 
-	// wake has room for one: a set wake means that calls or inbox hold work.
+	// wake has a buffer of one. A value in it means that calls or inbox hold work.
 	wake  chan struct{}
 	calls callQueue
 	inbox inbox
 
-	// The rest belongs to the goroutine of Run.
+	// The fields from here to snapshots belong to the goroutine of Run.
 	clock clock
-	// callsProcessedAt is when calls were taken in last.
+	// callsProcessedAt is when calls were last processed.
 	callsProcessedAt time.Time
 	savedHardState   replica.HardState
 	proposals        map[uint64]pendingProposal
@@ -180,8 +180,8 @@
 	stopOnce  sync.Once
 }
 
-// Open reads the member's log, if it has one, and restores the machine from
-// the snapshot in it. The entries after the snapshot are applied by Run.
+// Open reads the member's log, if it has one, and restores the state machine from the
+// snapshot in it. Run applies the entries after the snapshot.
 func Open(cfg Config) (*Group, error) {
 	if err := cfg.fill(); err != nil {
 		return nil, err
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -17,8 +17,8 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// Story: the leader dies, then a follower is restarted. Callers see a short
-// gap and no lost write; the restarted members hold what everybody holds.
+// Guards against lost writes: the leader is lost, then a follower restarts. Writes must
+// continue, and restarted members must hold the state of the others.
 func TestLeaderLostAndFollowerRestarted(t *testing.T) {
 	c := newCluster(t, "ab", Config{})
 	c.setMany("before", 30)
@@ -37,9 +37,9 @@
 	must.Eq(t, "29", c.leader().machine.get("without9"))
 }
 
-// Story: a member without a disk is restarted after hundreds of entries. The
-// leader has dropped the oldest ones, so it must come back by a snapshot and
-// the entries after it, before it counts again.
+// Guards against a member that votes with an outdated log. A member without a disk
+// restarts after hundreds of entries, of which the leader has dropped the oldest. It
+// must recover by a snapshot and the entries after it before it votes again.
 func TestDisklessRestartCatchesUp(t *testing.T) {
 	c := newCluster(t, "a", Config{SnapshotEvery: 20, KeepEntries: 5})
 	c.setMany("x", 10)
@@ -56,8 +56,8 @@
 	c.converged(3)
 }
 
-// Story: everybody is stopped and started again. What was acknowledged is
-// there, read from the disk's snapshot and log.
+// Guards against lost commits when all members restart. The state must come back from
+// the snapshot and the log on the disk.
 func TestWholeGroupRestarts(t *testing.T) {
 	c := newCluster(t, "a", Config{SnapshotEvery: 20, KeepEntries: 5})
 	c.setMany("x", 95)
@@ -76,7 +76,7 @@
 		if m == leader {
 			continue
 		}
-		eventually(t, "the leader is known", func() bool { return m.Status().Leader == leader.cfg.ID })
+		eventually(t, "the leader to be known", func() bool { return m.Status().Leader == leader.cfg.ID })
 		_, err := m.Propose(t.Context(), set("k", "v"))
 		must.True(t, fault.Is(err, fault.Unavailable))
 		must.True(t, errors.Is(err, ErrNotLeader))
@@ -84,8 +84,9 @@
 	}
 }
 
-// Story: a leader is cut off while a command is under way. Its caller must be
-// told that the fate is open: the others may or may not have the command.
+// Guards against a wrong answer to a caller: a leader is partitioned while a command is
+// in flight. The other members may or may not have the command, so its outcome is
+// unknown.
 func TestLostLeadershipReportsUnknownOutcome(t *testing.T) {
 	c := newCluster(t, "a", Config{})
 	leader := c.leader()
@@ -93,16 +94,16 @@
 	_, err := leader.Propose(t.Context(), set("k", "v"))
 	must.True(t, fault.Is(err, fault.Unavailable))
 	must.True(t, errors.Is(err, ErrOutcomeUnknown), must.Sprint(err))
-	must.ErrorContains(t, err, "fate")
+	must.ErrorContains(t, err, "the command may or may not be committed")
 	must.True(t, errors.Is(leader.Barrier(t.Context()), ErrNotLeader))
 	c.set("k", "w")
 	c.net.isolate(leader.cfg.ID, false)
 	c.converged(3)
 }
 
-// Story: the leader's process is paused for longer than its lease. Whoever
-// asks it right after must not hear that it may decide. Here the pause is a
-// machine that holds the loop.
+// Guards against decisions after the lease expired: the leader's process is paused for
+// longer than its lease, and the first caller after that must not see that it may
+// decide. The test pauses the loop inside Apply.
 func TestPausedLeaderCannotDecide(t *testing.T) {
 	c := newCluster(t, "a", Config{})
 	leader := c.leader()
@@ -117,7 +118,7 @@
 		_, err := leader.Propose(context.Background(), set("k", "v"))
 		proposed <- err
 	}()
-	eventually(t, "the lease lapses", func() bool { return !leader.Status().CanDecide })
+	eventually(t, "the lease to expire", func() bool { return !leader.Status().CanDecide })
 	must.Eq(t, replica.Leader, leader.Status().Role)
 	release()
 	must.NoError(t, <-proposed)
@@ -157,17 +158,17 @@
 		next[i].Learner = true
 	}
 	err := leader.ChangeMembership(t.Context(), next)
-	must.True(t, fault.Is(err, fault.Invalid), must.Sprint("two at once: ", err))
+	must.True(t, fault.Is(err, fault.Invalid), must.Sprint("two changes at once: ", err))
 	next[others[1]].Learner = false
 	must.NoError(t, leader.ChangeMembership(t.Context(), next))
-	// A caller that lost the answer asks again.
+	// A caller that lost the answer repeats the call.
 	must.NoError(t, leader.ChangeMembership(t.Context(), next))
 	c.set("k", "v")
 	c.converged(3)
 }
 
-// Story: callers wait while the member is stopped. None may wait for ever, and
-// the log must be closed so that the next start can open it.
+// Guards against callers that wait for ever when the member stops, and against a log
+// that isn't closed, so that the next start can't open it.
 func TestStopAnswersAllCallers(t *testing.T) {
 	c := newCluster(t, "abc", Config{})
 	leader := c.leader()
@@ -180,7 +181,7 @@
 			must.Error(t, err)
 		})
 	}
-	eventually(t, "all commands are under way", func() bool { return leader.Stats().LogEntries >= before+20 })
+	eventually(t, "all commands to be in flight", func() bool { return leader.Stats().LogEntries >= before+20 })
 	c.stop(leader.cfg.ID)
 	group.Wait()
 	_, err := leader.Propose(t.Context(), set("k", "late"))
@@ -191,15 +192,15 @@
 	c.converged(3)
 }
 
-// Story: a member that forgot its promises gets a snapshot, and power fails
-// before the snapshot is durable. Were it to find on its disk that it no longer
-// recovers, it would vote without the entries that it had acknowledged.
+// Guards against a vote without the acknowledged entries. A member that lost its state
+// gets a snapshot, and power fails before the snapshot is durable. If its disk said
+// that it has recovered, it would vote without the entries that it had acknowledged.
 func TestCrashDuringRecoveryLeavesMemberRecovering(t *testing.T) {
 	folder := t.TempDir()
 	w, _, err := wal.Open(folder)
 	must.NoError(t, err)
 	g := &Group{wal: w, savedHardState: replica.HardState{Term: 1, Incarnation: 7, Recovering: true}}
-	// A folder in the way of the snapshot's temporary file stands for the crash.
+	// A folder at the path of the snapshot's temporary file simulates the crash.
 	must.NoError(t, os.Mkdir(filepath.Join(folder, fmt.Sprintf("%020d.snapshot.tmp", 10)), 0o700))
 	must.Error(t, g.save(replica.Ready{
 		HardState: &replica.HardState{Term: 5, Incarnation: 7, Commit: 11},
--- a/internal/node/reads.go
+++ b/internal/node/reads.go
@@ -2,7 +2,8 @@
 
 import "github.com/bilberryferry/bilberryferry/replica"
 
-// reads holds the barriers whose leadership isn't confirmed yet.
+// pendingBarriers holds, by read token, the barriers whose leadership isn't confirmed
+// yet.
 type pendingBarriers struct {
 	lastToken uint64
 	byToken   map[uint64]barrierBatch
@@ -25,15 +26,16 @@
 	r.byToken[token] = barrierBatch{term: term, calls: calls}
 }
 
-// confirm answers the barriers that the core has confirmed. A leader's commit
-// index at the time of the call is never beyond what the same Ready applies.
+// confirm answers the barriers that the core has confirmed. The read index, the
+// leader's commit index at the time of the call, is never beyond what the same Ready
+// applies.
 func (r *pendingBarriers) confirm(states []replica.ReadState, applied uint64) {
 	for _, s := range states {
 		o, ok := r.byToken[s.Token]
 		if !ok {
 			continue
 		}
-		invariant(s.Index <= applied, "read of entry %d confirmed when %d is applied", s.Index, applied)
+		invariant(s.Index <= applied, "read of entry %d confirmed when only %d entries are applied", s.Index, applied)
 		delete(r.byToken, s.Token)
 		replyAll(o.calls, nil)
 	}
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -10,23 +10,22 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// snapshotRetryDelay is how long after a snapshot that found the disk full the next one
-// is begun at the earliest.
+// snapshotRetryDelay is the minimum delay before the next snapshot after one that found
+// the disk full.
 const snapshotRetryDelay = time.Second
 
-// snapshotter makes one snapshot at a time. Encoding (of a Capturer) and
-// writing happen on a goroutine of their own, so that the log goes on
-// meanwhile; what follows from it happens in Run.
+// snapshotter takes one snapshot at a time. Encoding (of a Capturer) and writing run on
+// their own goroutine, so that the log continues; Run completes the snapshot.
 type snapshotter struct {
-	// last is the index of the latest snapshot.
+	// lastIndex is the index of the latest snapshot.
 	lastIndex uint64
-	// size is that of the latest snapshot, pending the bytes of the commands
-	// applied since one was begun.
+	// lastSize is the size of the latest snapshot, pendingBytes that of the commands
+	// applied since one was started, both in bytes.
 	lastSize, pendingBytes int
 
 	running bool
 	done    chan snapshotResult
-	// notBefore keeps the next one back after one found the disk full.
+	// notBefore is when the next snapshot may start after one found the disk full.
 	notBefore time.Time
 	writers   sync.WaitGroup
 }
@@ -38,7 +37,7 @@
 
 func (s *snapshotter) wait() { s.writers.Wait() }
 
-// maybeSnapshot begins a snapshot when enough entries were applied.
+// maybeSnapshot starts a snapshot when enough entries or bytes were applied.
 func (g *Group) maybeSnapshot() error {
 	if g.snapshots.running || !g.snapshotDue() || time.Now().Before(g.snapshots.notBefore) {
 		return nil
@@ -82,12 +81,13 @@
 	return snapshotResult{s, err}
 }
 
-// completeSnapshot lets go of what a durable snapshot covers. One that a
-// leader's snapshot has overtaken meanwhile is left alone.
+// completeSnapshot drops the entries that a durable snapshot covers. It ignores a
+// snapshot that is older than one from a leader.
 func (g *Group) completeSnapshot(r snapshotResult) error {
 	g.snapshots.running = false
 	if errors.Is(r.err, syscall.ENOSPC) {
-		// The log goes on without it. A later one needs no more room than this one.
+		// The log continues without this snapshot. A later one needs no more disk
+		// space.
 		_ = g.logger.Log("event", "snapshot", "outcome", "failed", "err", r.err)
 		g.snapshots.notBefore = time.Now().Add(snapshotRetryDelay)
 		return nil
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -23,17 +23,17 @@
 
 // Stats are totals since Open, in a form that expvar.Func can publish.
 type Stats struct {
-	// Proposals were asked for, Commits is the number of entries applied.
+	// Proposals counts the calls of Propose, Commits the entries applied.
 	Proposals, Commits uint64
-	// Elections is how often this member began to lead.
+	// Elections counts the terms that this member led.
 	Elections uint64
-	// Snapshots were made here, Restores came from a leader.
+	// Snapshots were taken here, Restores came from a leader.
 	Snapshots, Restores uint64
-	// MessagesSent and BytesSent were handed to the transport,
-	// MessagesReceived taken in, MessagesDropped refused or without room.
+	// MessagesSent and BytesSent were passed to the transport. MessagesReceived were
+	// queued; MessagesDropped were refused or exceeded the bound of the queue.
 	MessagesSent, BytesSent, MessagesReceived, MessagesDropped uint64
-	// LogBytes, LogEntries and LogSyncs are those of the write-ahead log,
-	// TornTails is 1 when its end was cut at Open. Zero without a disk.
+	// LogBytes, LogEntries and LogSyncs count the writes of the write-ahead log;
+	// TornTails is 1 when Open truncated its end. All are zero without a disk.
 	LogBytes, LogEntries, LogSyncs, TornTails uint64
 }
 
@@ -58,5 +58,5 @@
 	return s
 }
 
-// RoleName returns what the member is in the group at present, as logs show it.
+// RoleName returns the member's current role in the group, as logs name it.
 func (g *Group) RoleName() string { return roleName(g.Status().Role) }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -8,7 +8,7 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// published is the status as other goroutines read it.
+// publishedStatus is the status that other goroutines read.
 type publishedStatus struct {
 	mu         sync.Mutex
 	status     replica.Status
@@ -34,9 +34,9 @@
 	return !same
 }
 
-// Status returns the member's view of the group. CanDecide is also false when
-// Run hasn't come round in time: after a pause of the process, whoever asks
-// first must not be told of a lease that has ended meanwhile.
+// Status returns the member's view of the group. CanDecide is also false when Run
+// hasn't finished a round in time: after a pause of the process, the first caller must
+// not see a lease that has expired meanwhile.
 func (g *Group) Status() replica.Status {
 	p := &g.published
 	p.mu.Lock()
@@ -47,9 +47,9 @@
 	return s
 }
 
-// Changed returns a channel that is closed when role, leader, term or
-// CanDecide change next. Take the channel before reading Status, or a change
-// between the two is missed.
+// Changed returns a channel that is closed at the next change of role, leader, term or
+// CanDecide. Take the channel before reading Status, or a change between the two is
+// missed.
 func (g *Group) Changed() <-chan struct{} {
 	p := &g.published
 	p.mu.Lock()
