--- a/internal/cell/admit_test.go
+++ b/internal/cell/admit_test.go
@@ -16,7 +16,7 @@
 	"github.com/bilberryferry/bilberryferry/placement"
 )
 
-// newTestCell returns a cell over an unreplicated log, leading, with one worker.
+// newTestCell returns a leading cell with one worker over an unreplicated log.
 func newTestCell(t *testing.T) (*Cell, *leaderTerm) {
 	s := settings.Default()
 	s.Instances = []settings.Instance{{ID: "a", DataCentre: "hall", Cell: "127.0.0.1:1"}}
@@ -29,10 +29,10 @@
 	return c, c.newLeaderTerm(1)
 }
 
-// What a user sees: accepted work misses its deadline though nothing failed.
-// Order: two jobs arrive at once; each would take all workers until its
-// deadline; both are judged before either is committed.
-// Cause: both are admitted on the same free capacity.
+// Guards against accepted jobs that miss their deadline though nothing failed. Two jobs
+// arrive at once, each would take all workers until its deadline, and both are
+// evaluated before either is committed. They must not be admitted on the same free
+// capacity.
 func TestConcurrentSubmissionsReserveCapacity(t *testing.T) {
 	c, term := newTestCell(t)
 	now := c.now()
@@ -51,11 +51,10 @@
 	must.SliceEmpty(t, term.plan(now).Starts)
 }
 
-// What a user sees: a worker that runs work which the system has forgotten isn't
-// given more on top of it.
-// Order: starts are committed in memory only; the data centre loses its power
-// and forgets them, or the worker as well; the worker announces what it runs.
-// Cause: two failures, of the disk and then of the power.
+// Guards against giving new tasks to a worker that still runs tasks the system lost.
+// Starts are committed in memory only because the disk failed; then the data centre
+// loses power and loses the starts, or the worker's record as well. The worker
+// announces what it runs, and its incarnation must end before it gets a lease.
 func TestWorkerRunningUnknownAttemptsMustRestart(t *testing.T) {
 	c, term := newTestCell(t)
 	c.leaderTerm.Store(term)
--- a/internal/cell/adopt.go
+++ b/internal/cell/adopt.go
@@ -13,22 +13,22 @@
 	"github.com/bilberryferry/bilberryferry/internal/wait"
 )
 
-// Pace of adoption.
+// Timing of configuration adoption.
 const (
-	// fetchLongPoll is how long a voter holds a question for a newer version. The
-	// next question goes to the next voter, so a voter that is cut off from the
-	// others delays a version by no more than this.
+	// fetchLongPoll is how long a voter holds a request for a newer version. The next
+	// request goes to the next voter, so a voter that is partitioned from the others
+	// delays a version by no more than this.
 	fetchLongPoll = 1500 * time.Millisecond
-	// fetchGrace is how much longer than the hold an answer may take.
+	// fetchGrace is how long an answer may take beyond the long poll.
 	fetchGrace = 500 * time.Millisecond
-	// fetchRetryDelay is the wait after a voter couldn't be asked.
+	// fetchRetryDelay is the delay before the next request after a failure.
 	fetchRetryDelay = 500 * time.Millisecond
 )
 
-// adoptConfig brings each committed version of the shared configuration into
-// the log of this data centre. From there it is in force on every replica, and
-// because the log only grows, no instance of the data centre goes back behind
-// it, restarts without a disk included.
+// adoptConfig commits each version of the shared configuration to the log of this data
+// centre, which puts it in force on every replica. The log only grows, so no instance
+// of the data centre returns to an older version, not even one that restarts without a
+// disk.
 func (c *Cell) adoptConfig(ctx context.Context) {
 	voters := c.base.Settings.ConfigVoters()
 	for i := 0; ctx.Err() == nil; i++ {
@@ -45,7 +45,7 @@
 		}
 		limits, err := quotaConfig(version.Version, version.Document)
 		if err != nil {
-			c.base.Logger.Log("msg", "configuration can't be read", "version", version.Version, "err", err)
+			c.base.Logger.Log("msg", "configuration can't be read; the version in force stays", "version", version.Version, "err", err)
 			wait.For(ctx, fetchRetryDelay)
 			continue
 		}
@@ -78,10 +78,10 @@
 	})
 }
 
-// FetchConfig answers with the configuration once it is newer than what the
-// asker has. Voters answer from the configuration log: what they have applied
-// is committed. Entry instances ask the leader of their data centre, which
-// answers with what the data centre has adopted.
+// FetchConfig returns the configuration once it is newer than the caller's version, and
+// only the version when the long poll ends first. Voters answer from the configuration
+// log, where everything applied is committed. Entry instances ask the leader of their
+// data centre, which answers with what the data centre has adopted.
 func (p *peerServer) FetchConfig(ctx context.Context, r *apiv1.FetchConfigRequest) (*apiv1.Config, error) {
 	if _, err := rpc.Require(ctx, settings.Peer); err != nil {
 		return nil, err
@@ -107,9 +107,9 @@
 	}
 }
 
-// fetchAdopted answers only on a leader that has proved itself, so that an
-// entry instance that restarts is never handed an older version than the data
-// centre has in force.
+// fetchAdopted answers only on a leader that has confirmed its leadership, so that an
+// entry instance that restarts never receives an older version than the data centre has
+// in force.
 func (c *Cell) fetchAdopted(ctx, pollCtx context.Context, r *apiv1.FetchConfigRequest) (*apiv1.Config, error) {
 	if _, err := c.currentLeaderTerm(); err != nil {
 		return nil, err
@@ -129,11 +129,12 @@
 	}
 }
 
-// omitUnchanged leaves the version alone of a configuration that the asker has already.
+// omitUnchanged returns only the version of a configuration that the caller already
+// has.
 //
-// Failure guarded against: most held calls end without a change. Answered with
-// the whole document each time, they cost every instance its length every few
-// seconds, which is above what control may use where there are many customers.
+// Failure guarded against: most long polls end without a change. If each answer carried
+// the whole document, every instance would receive its length every few seconds, which
+// exceeds the limit of control traffic when there are many customers.
 func omitUnchanged(config *apiv1.Config, known uint64) *apiv1.Config {
 	if config.Version > known {
 		return config
--- a/internal/cell/adopt_test.go
+++ b/internal/cell/adopt_test.go
@@ -8,10 +8,9 @@
 	apiv1 "github.com/bilberryferry/bilberryferry/api/v1"
 )
 
-// An idle deployment with a hundred customers sends several kilobytes a second
-// between its instances. Each instance asks for a newer configuration, the call
-// is held until its time is over, and the answer carries the whole document that
-// the asker has already.
+// Guards against traffic of an idle deployment: several kilobytes a second with a
+// hundred customers. Each instance polls for a newer configuration, and when the long
+// poll ends, the answer must not carry the whole document that the caller already has.
 func TestUnchangedConfigOmitsDocument(t *testing.T) {
 	config := &apiv1.Config{Version: 7, Document: "document", Author: "operator", AcceptedUnixMs: 1}
 	must.True(t, config == omitUnchanged(config, 6))
--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -19,16 +19,16 @@
 	"github.com/bilberryferry/bilberryferry/placement"
 )
 
-// Logs are the replicated logs that a cell works on.
+// Logs are the replicated logs that a cell uses.
 type Logs struct {
-	// Home is the log of the data centre, and Machine the state it drives.
+	// Home is the log of the data centre, and Machine its state machine.
 	Home    Log
 	Machine *Machine
 	// Configuration and Register are set on voters of the configuration log.
 	Configuration Log
 	Register      *conf.Register
-	// Groups can have their members changed: the home log by the name of the
-	// data centre, and the configuration log.
+	// Groups are the logs whose members can be changed: the home log, by the name of
+	// the data centre, and the configuration log.
 	Groups map[string]Group
 }
 
@@ -42,7 +42,7 @@
 	groups    map[string]Group
 	groupName string
 
-	// slots divides the slots of the data centre's minions while this replica leads.
+	// slots allocates the slots of the data centre's minions while this replica leads.
 	slots      *proxy.Leader
 	stats      Stats
 	started    time.Time
@@ -62,10 +62,10 @@
 	return c
 }
 
-// now is the wall clock; it judges deadlines and dates events.
+// now returns the wall clock time, which deadlines and event timestamps use.
 func (c *Cell) now() time.Time { return time.Now() }
 
-// monotonic is the clock of leases. It goes on while the process is stopped.
+// monotonic returns the clock of leases. It continues while the process is paused.
 func (c *Cell) monotonic() time.Duration { return time.Since(c.started) }
 
 // Run leads the data centre whenever this replica is elected, until ctx ends.
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// BeginShutdown ends held calls, so that a shutdown waits for nothing that is idle.
+// BeginShutdown ends held calls, so that a shutdown doesn't wait for idle long polls.
 func (c *Cell) BeginShutdown() { c.drainOnce.Do(func() { close(c.draining) }) }
 
 // Handler serves the calls of entry instances and peers.
@@ -105,19 +105,19 @@
 	return mux
 }
 
-// maxPeerBody bounds what one instance sends another: a snapshot of a data
-// centre's state is far longer than what a caller may send, and an instance
-// that couldn't be sent one would never come back into service.
+// maxPeerBody bounds a request from another instance, in bytes. A snapshot of a data
+// centre's state is far longer than a caller's request may be, and an instance that
+// can't receive one never returns to service.
 const maxPeerBody = 256 << 20
 
-// placementOptions are the limits of placement from the settings.
+// placementOptions returns the limits of placement from the settings.
 func (c *Cell) placementOptions() placement.Options {
 	options := placement.DefaultOptions()
 	options.MaxQueue = c.base.Settings.Limits.Queue
 	return options
 }
 
-// recordQueueTime counts how long a job waited for its first start.
+// recordQueueTime records how long a job waited for its first start.
 func (c *Cell) recordQueueTime(j *state.Job) {
 	if j == nil || j.Started == 0 {
 		return
--- a/internal/cell/decide.go
+++ b/internal/cell/decide.go
@@ -13,16 +13,16 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// decide is the leader's loop: bring the caches up to date, end leases, make a
-// plan, commit it, send what was committed. It pauses while this replica may not
-// decide, and ends when another term may begin.
+// runDecisions is the leader's loop: it updates the caches, ends expired leases, makes
+// a plan, commits it, and sends what was committed. It pauses while this replica may
+// not decide, and returns when the term or the role changes.
 //
-// Failure guarded against: the leader loses touch with the others for a moment
-// and goes on in the same term. A tenure that began anew would number its
-// commands from 1 again, workers would refuse as many as they had processed as
-// repeats, and the tasks would be held for running for ever. Within a term the
-// replica is the only one that can have granted or commanded anything, so what
-// the tenure knows is still true when it may decide again.
+// Failure guarded against: the leader loses contact with the others for a moment and
+// continues in the same term. A new leaderTerm would number its commands from 1 again,
+// workers would refuse those they have processed as duplicates, and the tasks would
+// count as running for ever. Within a term no other replica can have granted or
+// commanded anything, so the content of the leaderTerm is still valid when this one may
+// decide again.
 func (c *Cell) runDecisions(ctx context.Context, t *leaderTerm) {
 	timer := time.NewTimer(leaseCheckInterval)
 	defer timer.Stop()
@@ -47,8 +47,8 @@
 	}
 }
 
-// recordDegraded tells operators when what is committed begins or ceases to
-// depend on memory alone.
+// recordDegraded records when committed commands begin or cease to depend on memory
+// alone.
 func (c *Cell) recordDegraded(t *leaderTerm, degraded bool) {
 	if degraded == t.degraded {
 		return
@@ -62,7 +62,7 @@
 	c.base.Logger.Log("msg", kind, "term", t.term)
 }
 
-// pass makes one round of decisions.
+// decideOnce makes and commits plans until one is empty or not full.
 func (c *Cell) decideOnce(ctx context.Context, t *leaderTerm) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -82,8 +82,8 @@
 	}
 }
 
-// endOverdueJobs gives the final answer to work whose deadline has passed while it
-// ran or waited: a late result is as bad as none, and its workers are needed.
+// endOverdueJobs refuses jobs whose deadline has passed while they ran or waited: a
+// late result is as bad as none, and other jobs need the workers.
 func (c *Cell) endOverdueJobs(ctx context.Context, t *leaderTerm) {
 	now := c.now()
 	if now.Before(t.nextOverdue) {
@@ -100,14 +100,14 @@
 	}
 }
 
-// endExpiredLeases commits the end of each worker incarnation whose lease is over. A
-// proposal that fails is made again in the next pass: until the end is
-// committed, the attempts of a dead worker are held for running.
+// endExpiredLeases commits the end of each worker incarnation whose lease has expired.
+// The next round repeats a proposal that fails: until the end is committed, the
+// attempts of a dead worker count as running.
 func (c *Cell) endExpiredLeases(ctx context.Context, t *leaderTerm) {
 	expired := c.expiredLeases(t)
 	for _, down := range expired {
 		if _, err := c.propose(ctx, &state.Command{WorkerDown: down}); err != nil {
-			c.base.Logger.Log("msg", "end of lease not committed", "worker", down.ID, "err", err)
+			c.base.Logger.Log("msg", "end of an expired lease not committed; trying again", "worker", down.ID, "err", err)
 		}
 	}
 	if len(expired) > 0 {
@@ -140,9 +140,9 @@
 	return plan
 }
 
-// commitPlan writes a plan to the log. Starts are sent once they are applied: a
-// leader that was deposed meanwhile can't have committed them, so it can't have
-// sent them either.
+// commitPlan writes a plan to the log. Starts are sent once they are applied: a leader
+// that was superseded meanwhile can't have committed them, so it can't have sent them
+// either.
 func (c *Cell) commitPlan(ctx context.Context, t *leaderTerm, plan placement.Plan) error {
 	for _, refusal := range plan.Refusals {
 		command := &state.Refuse{Job: refusal.Job, Kind: faultKind(refusal.Reason), Detail: refusal.Detail}
@@ -163,8 +163,8 @@
 	return err
 }
 
-// startItems turns the starts of a plan into those of a command, which names a
-// need only where it is above the declared one.
+// startItems converts the starts of a plan into those of a command, which names a
+// demand only where it is above the declared one.
 func (c *Cell) startItems(starts []placement.Start) []state.StartItem {
 	items := make([]state.StartItem, 0, len(starts))
 	c.machine.View(func(s *state.State) {
@@ -179,7 +179,7 @@
 	return items
 }
 
-// faultKind maps placement's reasons to the closed list.
+// faultKind maps placement's reasons to the closed list of fault kinds.
 func faultKind(reason placement.Reason) fault.Kind {
 	switch reason {
 	case placement.ReasonTooLarge, placement.ReasonTooMany:
@@ -194,13 +194,14 @@
 	return fault.Internal
 }
 
-// prune forgets ended jobs, answers and records that are older than a day.
+// prune removes ended jobs, first answers and records older than endedJobRetention, a
+// day.
 func (c *Cell) prune(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait.For(ctx, pruneInterval)
 		before := c.now().Add(-endedJobRetention).UnixMilli()
 		if _, err := c.propose(ctx, &state.Command{Prune: &state.Prune{Before: before}}); err != nil && ctx.Err() == nil {
-			c.base.Logger.Log("msg", "nothing pruned", "err", err)
+			c.base.Logger.Log("msg", "ended jobs not pruned; trying again at the next interval", "err", err)
 		}
 	}
 }
--- a/internal/cell/gateway.go
+++ b/internal/cell/gateway.go
@@ -15,7 +15,8 @@
 
 var _ apiv1.WorkerGateway = (*Cell)(nil)
 
-// leading returns the present tenure, or the error that names the leader.
+// currentLeaderTerm returns the current leader term, or the error that names the
+// leader.
 func (c *Cell) currentLeaderTerm() (*leaderTerm, error) {
 	status := c.log.Status()
 	t := c.leaderTerm.Load()
@@ -25,7 +26,7 @@
 	return t, nil
 }
 
-// Renew announces a worker or renews its lease, and is held for commands.
+// Renew registers a worker or renews its lease, and is held until there are commands.
 func (c *Cell) Renew(ctx context.Context, r *apiv1.RenewRequest) (*apiv1.RenewResponse, error) {
 	received := c.monotonic()
 	if _, err := rpc.Require(ctx, settings.Worker); err != nil {
@@ -60,7 +61,7 @@
 	return response, nil
 }
 
-// standing is what the committed state knows of a worker's incarnation.
+// incarnationStatus is what the committed state knows of a worker's incarnation.
 type incarnationStatus int
 
 const (
@@ -69,8 +70,8 @@
 	incarnationEnded
 )
 
-// registerWorker makes sure that the incarnation is committed, by its
-// announcement where it is new.
+// registerWorker commits an incarnation that announces itself for the first time, and
+// ends one that runs unknown attempts. It returns the status of the incarnation.
 func (c *Cell) registerWorker(ctx context.Context, r *apiv1.RenewRequest) (incarnationStatus, error) {
 	known := c.incarnationStatusOf(r.Worker, r.Incarnation)
 	if known == incarnationKnown && c.hasUnknownAttempts(r) {
@@ -86,8 +87,8 @@
 		return incarnationUnknown, nil
 	}
 	if len(a.Running) > 0 {
-		// A new incarnation begins with nothing running. This one was known once
-		// and has been forgotten with its attempts; see needsAnnouncement.
+		// A new incarnation starts with nothing running. This one was known before, and
+		// the state lost it with its attempts; see needsAnnouncement.
 		return incarnationEnded, nil
 	}
 	capacity := wire.ResourcesFromAPI(a.Capacity)
@@ -101,14 +102,14 @@
 	return c.incarnationStatusOf(r.Worker, r.Incarnation), nil
 }
 
-// needsAnnouncement says that a worker's first renewal in this tenure has to tell
-// what it runs.
+// needsAnnouncement reports whether the worker must announce what it runs: with the
+// first renewal of an incarnation in this leader term.
 //
-// Failure guarded against: the log went on without a disk, the whole data centre
-// lost its power, and starts that were committed in memory are forgotten while
-// their workers run them. Such a worker looks free and would be given more than
-// it has. What it runs and the state never heard of shows that; its incarnation
-// is then over, and it comes back with nothing running.
+// Failure guarded against: the log continued without a disk, the whole data centre lost
+// power, and starts that were committed in memory are lost while their workers run
+// them. Such a worker looks free and would get more tasks than fit. The attempts that
+// it announces and the state doesn't know reveal that; its incarnation ends, and the
+// worker returns with nothing running.
 func (c *Cell) needsAnnouncement(t *leaderTerm, r *apiv1.RenewRequest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -118,7 +119,7 @@
 }
 
 // hasUnknownAttempts reports whether a worker announces an attempt that was never
-// committed here. One whose end is committed already is no such attempt.
+// committed here. An attempt whose end is already committed is a known one.
 func (c *Cell) hasUnknownAttempts(r *apiv1.RenewRequest) bool {
 	unknown := false
 	c.machine.View(func(s *state.State) {
@@ -148,10 +149,10 @@
 	return found
 }
 
-// renew extends the lease and opens the outbox. It returns no outbox when the
-// renewal grants nothing. The caller has made sure, after the renewal was
-// received, that this replica may decide: a leader resumed after a pause must
-// not grant a lease that its successor doesn't wait out.
+// renew renews the lease and opens the outbox. It returns no outbox when the renewal
+// grants nothing. The caller has checked, after the renewal was received, that this
+// replica may decide: a leader that resumes after a pause must not grant a lease whose
+// expiry its successor doesn't wait for.
 func (c *Cell) renew(t *leaderTerm, r *apiv1.RenewRequest, received time.Duration) (*outbox, lease.Renewal) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -172,8 +173,8 @@
 	return box, renewal
 }
 
-// await holds a renewal until there are commands, the hold is over, or the
-// tenure ends.
+// awaitCommands holds a renewal until there are commands, the hold is over or the
+// leader term ends.
 func (c *Cell) awaitCommands(ctx context.Context, t *leaderTerm, box *outbox, r *apiv1.RenewRequest) []*apiv1.Command {
 	hold := min(time.Duration(r.HoldMs)*time.Millisecond, time.Duration(c.base.Settings.Timing.RenewHold))
 	timer := time.NewTimer(max(hold, 0))
@@ -201,7 +202,7 @@
 	}
 }
 
-// Report commits ends of attempts and acknowledges them.
+// Report commits the ends of attempts and acknowledges them.
 func (c *Cell) Report(ctx context.Context, r *apiv1.ReportRequest) (*apiv1.ReportResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Worker); err != nil {
 		return nil, err
@@ -255,8 +256,8 @@
 	t.leases.Leave(r.Worker, r.Incarnation)
 }
 
-// acknowledgement carries the place of the last command issued, read after the
-// ends were applied.
+// acknowledgement returns a response with the position of the last command issued, read
+// after the ends were applied.
 func (t *leaderTerm) acknowledgement(r *apiv1.ReportRequest) *apiv1.ReportResponse {
 	response := &apiv1.ReportResponse{UntilTerm: t.term}
 	t.mu.Lock()
--- a/internal/cell/handover.go
+++ b/internal/cell/handover.go
@@ -17,21 +17,21 @@
 	"github.com/bilberryferry/bilberryferry/internal/wire"
 )
 
-// Pace of handovers.
+// Timing of handovers.
 const (
-	// offerRetryInterval is the wait before an unanswered offer is made again.
+	// offerRetryInterval is the wait before an unanswered offer is sent again.
 	offerRetryInterval = 500 * time.Millisecond
-	// probeTimeout bounds the question whether another data centre would take a
-	// job; the caller is waiting.
+	// probeTimeout bounds the query whether another data centre would accept a job. The
+	// caller of the submission waits for it.
 	probeTimeout = 400 * time.Millisecond
-	// unreachableRetryDelay is how long a data centre that didn't answer isn't asked again by
-	// callers' submissions.
+	// unreachableRetryDelay is how long probes skip a data centre that didn't
+	// answer.
 	unreachableRetryDelay = 5 * time.Second
 )
 
-// findAcceptingDataCentre asks the other data centres in turn whether they would take a job
-// and returns the first that would, or "". Nothing is committed by it: the
-// question spares the log offers that would only be refused.
+// findAcceptingDataCentre queries the other data centres in turn and returns the first
+// that would accept a job, or "". It commits nothing: the query saves the log offers
+// that would only be refused.
 func (c *Cell) findAcceptingDataCentre(ctx context.Context, t *leaderTerm, probe *apiv1.OfferRequest, tried []string) string {
 	for _, dataCentre := range c.base.Settings.DataCentres() {
 		if dataCentre == c.base.Instance.DataCentre || slices.Contains(tried, dataCentre) || t.isUnreachable(dataCentre, c.now()) {
@@ -77,8 +77,8 @@
 	return answer, err
 }
 
-// handOver makes the offers that the log says are open, again and again until
-// the other data centre's committed answer is known, however long it is cut off.
+// handOver sends the offers that are pending in the log, and repeats each until the
+// other data centre's committed answer is known, however long that one is unreachable.
 func (c *Cell) handOver(ctx context.Context, t *leaderTerm) {
 	for ctx.Err() == nil {
 		changed := c.machine.Changed()
@@ -93,9 +93,9 @@
 	}
 }
 
-// sendPendingOffers makes every open offer, side by side to different data centres,
-// so that one which is cut off doesn't hold back the offers to another. It
-// returns false when an offer must be made again.
+// sendPendingOffers sends every pending offer, in parallel to different data centres,
+// so that an unreachable one doesn't delay the offers to another. It returns false when
+// an offer must be sent again.
 func (c *Cell) sendPendingOffers(ctx context.Context, t *leaderTerm) bool {
 	byDataCentre := make(map[string][]*state.Job)
 	for _, j := range c.pendingOffers() {
@@ -159,7 +159,7 @@
 
 var _ apiv1.Peer = (*peerServer)(nil)
 
-// Exchange hands messages to the replication groups.
+// Exchange passes messages to the replication groups.
 func (p *peerServer) Exchange(ctx context.Context, r *apiv1.ExchangeRequest) (*apiv1.ExchangeResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Peer); err != nil {
 		return nil, err
@@ -167,8 +167,8 @@
 	return p.exchange(ctx, r)
 }
 
-// Offer answers another data centre's handover, or only says what the answer
-// would be. The first committed answer for a job stands.
+// Offer answers another data centre's handover offer; for a probe it only says what the
+// answer would be. The first committed answer for a job stands.
 func (p *peerServer) Offer(ctx context.Context, r *apiv1.OfferRequest) (*apiv1.OfferResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Peer); err != nil {
 		return nil, err
@@ -193,8 +193,8 @@
 	return answer, nil
 }
 
-// withdraw cancels a job that was taken over, at the wish of its customer,
-// which reached the data centre that handed it over.
+// withdraw cancels an accepted job after its customer cancelled it in the data centre
+// that handed it over.
 func (p *peerServer) withdraw(ctx context.Context, r *apiv1.OfferRequest, answer *apiv1.OfferResponse) error {
 	if !r.Withdraw || !answer.Accepted {
 		return nil
@@ -210,12 +210,13 @@
 	return result.Err
 }
 
-// evaluateOffer says what the answer to an offer is, and books what it needs.
+// evaluateOffer decides the answer to an offer, and reserves capacity for an accepted
+// job until release is called.
 func (p *peerServer) evaluateOffer(t *leaderTerm, r *apiv1.OfferRequest) (command *state.AnswerHandoverOffer, release func()) {
 	command = &state.AnswerHandoverOffer{Job: r.Job, Customer: r.Customer, From: r.FromDataCentre, Submitted: r.SubmittedUnixMs}
 	spec, err := wire.CheckSpec(r.Spec, p.base.Settings.Limits, p.now())
 	if err != nil {
-		// The deadline may have passed while the offer was under way.
+		// The deadline may have passed while the offer was in flight.
 		command.Refused, command.Kind, command.Detail = true, fault.DeadlineUnreachable, fault.From(err).Error()
 		return command, func() {}
 	}
--- a/internal/cell/log.go
+++ b/internal/cell/log.go
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// leaderHint lets the caller of a member that doesn't lead find the one that does.
+// leaderHint replaces ErrNotLeader by the error that names the leader, if one is known.
 func leaderHint(l Log, err error) error {
 	if errors.Is(err, node.ErrNotLeader) {
 		return rpc.NotLeader(rpc.LeaderIn(l.Status()))
--- a/internal/cell/machine.go
+++ b/internal/cell/machine.go
@@ -1,6 +1,6 @@
-// Package cell is the daemon behind bilberry-celld: a replica of its data
-// centre's log and, where it is named as one, of the configuration log. The
-// leader of the data centre admits, places and leases.
+// Package cell implements bilberry-celld: a replica of its data centre's log and, on a
+// configuration voter, of the configuration log. The leader of the data centre admits
+// jobs, places tasks and grants leases.
 package cell
 
 import (
@@ -11,29 +11,29 @@
 	"github.com/bilberryferry/bilberryferry/internal/state"
 )
 
-// Machine is the state machine of a data centre's log, guarded for readers.
+// Machine is the state machine of a data centre's log. A lock guards it for readers.
 type Machine struct {
 	mu    sync.RWMutex
 	state *state.State
-	// changed is closed and replaced whenever a command was applied.
+	// changed is closed and replaced after each applied command.
 	changed chan struct{}
-	// collect keeps changes for the leader's caches; off on followers.
+	// collect keeps changes for the leader's caches; false on followers.
 	collect bool
 	pending state.Changes
 	events  *event.Recorder
 }
 
-// NewMachine returns the machine of an empty data centre.
+// NewMachine returns the state machine of a data centre without jobs and workers.
 func NewMachine(dataCentre string, events *event.Recorder) *Machine {
 	return &Machine{state: state.New(dataCentre), changed: make(chan struct{}), events: events}
 }
 
-// Apply carries out one committed command and returns its state.Result.
+// Apply applies one committed command and returns its state.Result.
 func (m *Machine) Apply(index uint64, data []byte) any {
 	command, err := state.Decode(data)
 	if err != nil {
-		// A committed command that can't be read was written by a later
-		// program. Going on without it would let replicas diverge.
+		// A newer program wrote this committed command. To skip it would let the
+		// replicas diverge.
 		panic("cell: " + err.Error())
 	}
 	m.mu.Lock()
@@ -45,9 +45,9 @@
 	return result
 }
 
-// gather hands the changes of one command to the caches and the time line.
-// Every replica records the same events under the proposer's stamp, so that
-// the story survives the loss of the instance that wrote it.
+// publishChanges passes the changes of one command to the leader's caches and to the
+// event timeline. Every replica records the same events under the proposer's timestamp,
+// so that they survive the loss of the instance that proposed the command.
 func (m *Machine) publishChanges(command *state.Command) {
 	c := m.state.TakeChanges()
 	stamp := hlc.Timestamp{Wall: command.Now, Logical: command.Logical}
@@ -75,14 +75,14 @@
 	}
 }
 
-// Snapshot writes the state.
+// Snapshot encodes the state.
 func (m *Machine) Snapshot() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state.Encode()
 }
 
-// Restore replaces the state by a snapshot's.
+// Restore replaces the state by that of a snapshot.
 func (m *Machine) Restore(data []byte) error {
 	s, err := state.DecodeState(data)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return state.Changes{Queues: make(map[string]struct{}), Workers: make(map[string]struct{})}
 }
 
-// View calls f with the state. f must neither keep nor change what it sees.
+// View calls f with the state under a read lock. f must neither keep nor change it.
 func (m *Machine) View(f func(*state.State)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -115,8 +115,8 @@
 	return m.changed
 }
 
-// Collect starts gathering changes and calls f with the state they start from,
-// so that no change falls between the two.
+// Collect starts to collect changes and calls f with the state from which they start,
+// so that no change is lost between the two.
 func (m *Machine) Collect(f func(*state.State)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -125,7 +125,7 @@
 	f(m.state)
 }
 
-// StopCollecting ends the gathering of changes.
+// StopCollecting drops the collected changes and collects no more.
 func (m *Machine) StopCollecting() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -133,7 +133,7 @@
 	m.pending = emptyChanges()
 }
 
-// TakeChanges returns what was gathered since the last call.
+// TakeChanges returns the changes collected since the last call.
 func (m *Machine) TakeChanges() state.Changes {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/cell/minions.go
+++ b/internal/cell/minions.go
@@ -8,7 +8,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
-// entryInstances are the instances whose claims on slots a new leader waits for.
+// entryInstances returns the entry instances of the data centre, for whose slot
+// requests a new leader waits.
 func (c *Cell) entryInstances() []string {
 	var entries []string
 	for _, instance := range c.base.Settings.InDataCentre(c.base.Instance.DataCentre) {
--- a/internal/cell/operations.go
+++ b/internal/cell/operations.go
@@ -19,7 +19,7 @@
 
 var _ apiv1.Operations = (*Cell)(nil)
 
-// Bounds of listing and held calls.
+// Bounds of lists and long polls.
 const (
 	maxEvents        = 5000
 	maxFetchLongPoll = 20 * time.Second
@@ -58,7 +58,7 @@
 	}
 }
 
-// Drain takes a worker out of placement or puts it back.
+// Drain stops the placement of tasks on a worker, or allows it again.
 func (c *Cell) Drain(ctx context.Context, r *apiv1.DrainRequest) (*apiv1.DrainResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Operator); err != nil {
 		return nil, err
@@ -86,7 +86,8 @@
 	return response, nil
 }
 
-// GetConfig returns the configuration that is in force on this instance.
+// GetConfig returns the latest committed configuration. Only configuration voters serve
+// it.
 func (c *Cell) GetConfig(ctx context.Context, _ *apiv1.GetConfigRequest) (*apiv1.Config, error) {
 	if _, err := rpc.Require(ctx, settings.Operator, settings.Peer); err != nil {
 		return nil, err
@@ -100,8 +101,8 @@
 	return configToAPI(c.register.Current()), nil
 }
 
-// configUnavailable says what a caller can rely on when no leader of the
-// configuration log is known: what is in force stays in force.
+// configUnavailable says what a caller can rely on when no leader of the configuration
+// log is known: the configuration in force stays.
 func configUnavailable(err error) error {
 	if leader, notLeader := rpc.LeaderOf(err); !notLeader || leader.ID != "" {
 		return err
@@ -109,7 +110,8 @@
 	return fault.New(fault.Unavailable, "no majority of the configuration voters is reachable; the configuration in force stays")
 }
 
-// SetConfig writes a version of the shared configuration, compare-and-set.
+// SetConfig writes a version of the shared configuration if the expected version is the
+// current one (compare-and-set).
 func (c *Cell) SetConfig(ctx context.Context, r *apiv1.SetConfigRequest) (*apiv1.Config, error) {
 	caller, err := rpc.Require(ctx, settings.Operator)
 	if err != nil {
@@ -126,8 +128,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// A resent write must get its first answer, so only a write that expects
-	// the current version is checked; any other has been decided already.
+	// A repeated write must get its first answer, so only a write that expects the
+	// current version is checked; any other has been decided already.
 	if current := c.register.Current(); current.Version == r.ExpectedVersion {
 		if err := checkQuota(current, r.Document); err != nil {
 			return nil, err
@@ -163,7 +165,7 @@
 	return response, nil
 }
 
-// ConfigStatus tells which version this instance applies.
+// ConfigStatus returns the versions that this instance has committed and adopted.
 func (c *Cell) ConfigStatus(ctx context.Context, _ *apiv1.ConfigStatusRequest) (*apiv1.ConfigStatusResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Operator); err != nil {
 		return nil, err
@@ -196,7 +198,7 @@
 	}}}, nil
 }
 
-// Events returns the events that this instance keeps.
+// Events returns the events that this instance retains.
 func (c *Cell) Events(ctx context.Context, r *apiv1.EventsRequest) (*apiv1.EventsResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Operator); err != nil {
 		return nil, err
--- a/internal/cell/outbox.go
+++ b/internal/cell/outbox.go
@@ -7,16 +7,16 @@
 	"github.com/bilberryferry/bilberryferry/lease"
 )
 
-// maxCommands bounds the commands of one answer.
+// maxCommands bounds the commands of one response.
 const maxCommands = 256
 
-// outbox holds the commands of one worker incarnation that it hasn't
-// acknowledged. Answers get lost with entry instances, so a command goes out
-// with each renewal's answer until the worker says that it has processed it.
+// outbox holds the commands that one worker incarnation hasn't acknowledged. Responses
+// get lost with entry instances, so each renewal's response carries a command until the
+// worker acknowledges that it has processed it.
 type outbox struct {
 	*lease.Outbox[*apiv1.Command]
 	incarnation uint64
-	// filled is closed and replaced when a command is added.
+	// changed is closed and replaced when a command is added or the leader term ends.
 	changed chan struct{}
 }
 
@@ -37,7 +37,7 @@
 	b.changed = make(chan struct{})
 }
 
-// commands returns what is to be sent with the next answer.
+// commands returns the commands for the next response.
 func (b *outbox) commands() []*apiv1.Command {
 	pending := b.Pending(maxCommands)
 	commands := make([]*apiv1.Command, 0, len(pending))
@@ -47,21 +47,21 @@
 	return commands
 }
 
-// send queues a command for a worker incarnation. The caller holds t.mu.
+// enqueueCommand adds a command for a worker incarnation. The caller holds t.mu.
 func (t *leaderTerm) enqueueCommand(worker string, incarnation uint64, command *apiv1.Command) {
 	box := t.outboxes[worker]
 	if box == nil || box.incarnation != incarnation {
-		// The worker hasn't renewed here yet. Its first renewal fills the
+		// The worker hasn't renewed in this leader term. Its first renewal fills the
 		// outbox from the committed state.
 		return
 	}
 	box.add(command)
 }
 
-// open returns the outbox of an incarnation, made and filled from the
-// committed state when the incarnation is new to this tenure. Every attempt
-// that occupies the worker is commanded again: the predecessor may have
-// committed a start and died before sending it. The worker refuses repeats.
+// openOutbox returns the outbox of an incarnation. For an incarnation that is new to
+// this leader term it fills one from the committed state: every attempt that occupies
+// the worker gets a command again, since the predecessor may have committed a start and
+// died before sending it. The worker refuses duplicates.
 func (t *leaderTerm) openOutbox(s *state.State, worker string, incarnation uint64) *outbox {
 	box := t.outboxes[worker]
 	if box != nil && box.incarnation == incarnation {
@@ -83,8 +83,8 @@
 	return box
 }
 
-// wakeHeldRenewals ends every held renewal of the tenure, so that workers look
-// for the next leader at once.
+// wakeHeldRenewals ends every held renewal of the leader term, so that workers look for
+// the next leader at once.
 func (t *leaderTerm) wakeHeldRenewals() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -98,8 +98,8 @@
 	return &apiv1.Command{Body: &apiv1.Command_Stop{Stop: &apiv1.StopTask{Attempt: wire.RefToAPI(ref)}}}
 }
 
-// startCommand builds the command for a committed attempt, or nil when the
-// attempt is over.
+// startCommand builds the start command of a committed attempt. It returns nil when the
+// attempt has ended.
 func startCommand(s *state.State, ref state.AttemptRef) *apiv1.Command {
 	j := s.Jobs[ref.Job]
 	if j == nil || j.Tasks[ref.Task].Attempt != ref.Attempt || j.Tasks[ref.Task].State != state.TaskRunning {
--- a/internal/cell/quota.go
+++ b/internal/cell/quota.go
@@ -21,17 +21,17 @@
 	"github.com/bilberryferry/bilberryferry/quota"
 )
 
-// Pace of quota transfers.
+// Timing and format of quota transfers.
 const (
-	// quotaTickInterval is the planner's idea of a second.
+	// quotaTickInterval is the interval of the planner's ticks, which count seconds.
 	quotaTickInterval = time.Second
-	// transferRequestTimeout bounds one ask of another data centre.
+	// transferRequestTimeout bounds one transfer request to another data centre.
 	transferRequestTimeout = 700 * time.Millisecond
 	// quotaFormat is the version of the encoded messages.
 	quotaFormat = 1
 )
 
-// quotaConfig reads the limits out of a configuration document. Without a division
+// quotaConfig reads the quotas from a configuration document. Without a quota division
 // nothing is limited.
 func quotaConfig(version uint64, document string) (quota.Config, error) {
 	parsed, err := conf.Parse(document)
@@ -50,8 +50,8 @@
 	return config, nil
 }
 
-// checkQuota refuses a document that would divide quotas otherwise than the
-// one in force without saying that they are divided anew.
+// checkQuota refuses a document whose quota division differs from the one in force
+// without a higher generation.
 func checkQuota(current conf.Config, document string) error {
 	before, err := quotaConfig(current.Version, current.Text)
 	if err != nil {
@@ -68,13 +68,13 @@
 		before.Version = 0
 	}
 	if err := before.Check(next); err != nil {
-		return fault.Field("quota", "%v; to divide the quotas anew, raise quota.generation", err)
+		return fault.Field("quota", "%v; to divide the quotas again, raise quota.generation", err)
 	}
 	return nil
 }
 
-// syncQuota tells placement what each customer may use here, and its weight.
-// The caller holds t.mu.
+// syncQuota updates each customer's allotment and weight in the placement cache. The
+// caller holds t.mu.
 func (t *leaderTerm) syncQuota(s *state.State) {
 	for name := range s.Customers() {
 		t.cluster.SetLimit(name, s.Allotment(name))
@@ -88,8 +88,9 @@
 	}
 }
 
-// limit is what a customer may use in all data centres together: what bounds a
-// job for good. What the data centre's allotment lacks is asked of the others.
+// customerLimit returns what a customer may use in all data centres together. That
+// bounds a job for good; what the allotment of this data centre lacks is requested from
+// the others.
 func (c *Cell) customerLimit(customer string) placement.Resources {
 	limit := placement.Resources{CPU: quota.Unlimited, Memory: quota.Unlimited, Accelerators: quota.Unlimited}
 	c.machine.View(func(s *state.State) {
@@ -100,8 +101,8 @@
 	return limit
 }
 
-// runQuotaTransfers asks the other data centres for what customers lack here, as long
-// as this replica leads.
+// runQuotaTransfers requests allotments from the other data centres for customers whose
+// demand exceeds their allotment here, while this replica leads.
 func (c *Cell) runQuotaTransfers(ctx context.Context, t *leaderTerm) {
 	ticker := time.NewTicker(quotaTickInterval)
 	defer ticker.Stop()
@@ -117,7 +118,8 @@
 	}
 }
 
-// planTransferRequests notes the demand of each customer and plans whom to ask.
+// planTransferRequests determines each customer's shortfall here and plans the transfer
+// requests for it.
 func (c *Cell) planTransferRequests(t *leaderTerm) []quota.TransferRequest {
 	var requests []quota.TransferRequest
 	t.plannerMu.Lock()
@@ -140,14 +142,15 @@
 	return requests
 }
 
-// demandOf returns what each customer's running and waiting work needs here,
-// which is kept when others ask.
+// demandOf returns the demand of each customer's running and waiting work here, which
+// is reserved when other data centres request a transfer.
 func demandOf(s *state.State) func(customer string) placement.Resources {
 	demand := s.Demand()
 	return func(customer string) placement.Resources { return demand[customer] }
 }
 
-// lacks returns how much a need is above an allotment.
+// shortfall returns how much a demand exceeds an allotment. Negative parts of an
+// allotment are unlimited.
 func shortfall(need, allotment placement.Resources) (missing placement.Resources, short bool) {
 	excess := func(amount, most int64) int64 {
 		if most < 0 || amount <= most {
@@ -162,7 +165,8 @@
 	return missing, short
 }
 
-// requestTransfer sends one ask, commits what comes back, and acknowledges it.
+// requestTransfer sends one transfer request, commits the transfer that it gets, and
+// acknowledges it.
 func (c *Cell) requestTransfer(ctx context.Context, t *leaderTerm, request quota.TransferRequest) {
 	reply, err := c.sendTransferRequest(ctx, request)
 	if err != nil {
@@ -181,7 +185,7 @@
 	t.wakeUp()
 	var acknowledgement quota.TransferRequest
 	c.machine.View(func(s *state.State) { acknowledgement = s.Quota().Request(request.To) })
-	// A lost acknowledgement is made up for by the next ask.
+	// The next request makes up for a lost acknowledgement.
 	_, _ = c.sendTransferRequest(ctx, acknowledgement)
 }
 
@@ -208,7 +212,7 @@
 	return reply, err
 }
 
-// MoveQuota answers another data centre's ask for allotments, or takes its
+// MoveQuota answers another data centre's transfer request, or records its
 // acknowledgement.
 func (p *peerServer) MoveQuota(ctx context.Context, r *apiv1.MoveQuotaRequest) (*apiv1.MoveQuotaResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Peer); err != nil {
@@ -220,7 +224,7 @@
 	}
 	var request quota.TransferRequest
 	if r.FormatVersion != quotaFormat {
-		return nil, fault.Field("format_version", "%d, this program speaks %d", r.FormatVersion, quotaFormat)
+		return nil, fault.Field("format_version", "is %d, this program supports %d", r.FormatVersion, quotaFormat)
 	}
 	if err := cbor.Unmarshal(r.Message, &request); err != nil {
 		return nil, fault.Field("message", "%v", err)
@@ -236,7 +240,8 @@
 	return &apiv1.MoveQuotaResponse{Message: message}, err
 }
 
-// applyTransferRequest commits what an ask acknowledges and what it is given.
+// applyTransferRequest commits the debit that a transfer request asks for, or the
+// acknowledgement alone if it asks for nothing.
 func (p *peerServer) applyTransferRequest(ctx context.Context, t *leaderTerm, request quota.TransferRequest) error {
 	step := &state.Quota{Forget: &request}
 	if len(request.Demands) > 0 {
@@ -246,7 +251,7 @@
 		t.plannerMu.Unlock()
 		step = &state.Quota{Give: &answer}
 	}
-	// The ledger's refusals, such as nothing to give, go into the reply.
+	// The reply tells of the ledger's refusals, such as nothing to transfer.
 	_, err := p.propose(ctx, &state.Command{Quota: step})
 	return err
 }
--- a/internal/cell/replace.go
+++ b/internal/cell/replace.go
@@ -15,10 +15,10 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// ReplaceInstance replaces a lost instance for good, by one that has a new
-// name and address and holds nothing. It goes one member at a time: the new one
-// learns the log, becomes a voter, and only then the old one goes, so that a
-// quorum is kept at each step. Called again it goes on where it was interrupted.
+// ReplaceInstance permanently replaces a lost instance by an empty one with a new name
+// and address. It changes one member at a time: the new one learns the log, becomes a
+// voter, and only then the old one is removed, so that a quorum exists at each step.
+// Called again, it continues where it was interrupted.
 func (c *Cell) ReplaceInstance(ctx context.Context, r *apiv1.ReplaceInstanceRequest) (*apiv1.ReplaceInstanceResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Operator); err != nil {
 		return nil, err
@@ -65,10 +65,12 @@
 	return response, nil
 }
 
-// learnerRetryInterval is the wait before a learner that lagged is tried again.
+// learnerRetryInterval is the wait before the promotion of a lagging learner is tried
+// again.
 const learnerRetryInterval = 100 * time.Millisecond
 
-// changeMembers makes one change, waiting for a learner to catch up first.
+// changeMembers makes one membership change. It retries while a learner has to catch
+// up.
 func changeMembers(ctx context.Context, group Group, members []replica.Member) error {
 	for {
 		err := group.ChangeMembership(ctx, members)
--- a/internal/cell/scheduler.go
+++ b/internal/cell/scheduler.go
@@ -21,14 +21,14 @@
 
 var _ apiv1.Scheduler = (*Cell)(nil)
 
-// Bounds of held and listing calls.
+// Bounds of long polls and lists.
 const (
 	maxWatchLongPoll = 20 * time.Second
 	defaultList      = 1000
 	handoverWait     = time.Second
 )
 
-// Home names this data centre.
+// Home returns the name of this data centre.
 func (c *Cell) Home(ctx context.Context, _ *apiv1.HomeRequest) (*apiv1.HomeResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Customer, settings.Operator); err != nil {
 		return nil, err
@@ -36,7 +36,7 @@
 	return &apiv1.HomeResponse{DataCentre: c.base.Instance.DataCentre}, nil
 }
 
-// Submit admits or refuses a job, and commits either.
+// Submit admits a job, hands it over or refuses it, and commits the decision.
 func (c *Cell) Submit(ctx context.Context, r *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
 	caller, err := rpc.Require(ctx, settings.Customer)
 	if err != nil {
@@ -77,8 +77,9 @@
 	return first, ok
 }
 
-// admit decides whether the job is taken here, offered elsewhere, or refused.
-// The capacity that it was admitted on is booked until release is called.
+// admitOrHandOver decides whether the job is admitted here, offered to another data
+// centre or refused. The capacity that it was admitted on is reserved until release is
+// called.
 func (c *Cell) admitOrHandOver(ctx context.Context, t *leaderTerm, submit *state.Submit, spec *apiv1.Spec) (release func()) {
 	verdict, release := c.admitAndReserve(t, submit.Customer, submit.Spec, c.now())
 	if verdict.Admitted {
@@ -101,17 +102,17 @@
 	return release
 }
 
-// reservationPrefix begins the ids of jobs that are being accepted. No committed
-// job has such an id.
+// reservationPrefix begins the IDs of jobs whose submission is in flight. No committed
+// job has such an ID.
 const reservationPrefix = "accepting."
 
-// judge asks admission whether a job would finish in time here, and books what
-// it needs until release is called.
+// admitAndReserve evaluates whether a job would finish in time here, and reserves the
+// capacity for it until release is called.
 //
-// Failure guarded against: many jobs are submitted at once, each is judged
-// before the others are committed, all are admitted on the same free capacity,
-// and accepted work misses its deadline. A booked job waits in the queue under an
-// id of its own, held back, until its proposal is decided.
+// Failure guarded against: many jobs are submitted at once, each is evaluated before
+// the others are committed, all are admitted on the same free capacity, and accepted
+// jobs miss their deadlines. A reservation is a job in the queue under an ID of its
+// own, which can't start before its proposal is decided.
 func (c *Cell) admitAndReserve(t *leaderTerm, customer string, spec state.Spec, now time.Time) (verdict placement.AdmissionDecision, release func()) {
 	job := placement.Job{
 		ID: reservationPrefix + strconv.FormatUint(t.reservations.Add(1), 10), Customer: customer, Name: spec.Name,
@@ -139,9 +140,9 @@
 	}
 }
 
-// submitted answers a submission from what is committed. A job that is being
-// offered elsewhere is waited for a little, so that most callers hear the end
-// of it at once.
+// awaitHandover answers a submission from the committed state. It waits up to
+// handoverWait for a job that is offered to another data centre, so that most callers
+// get the final answer at once.
 func (c *Cell) awaitHandover(ctx context.Context, result state.Result) (*apiv1.SubmitResponse, error) {
 	if result.Err != nil {
 		return nil, result.Err
@@ -152,7 +153,7 @@
 		changed := c.machine.Changed()
 		j := c.job(result.Job)
 		if j == nil {
-			return nil, fault.New(fault.NotFound, "job %s was forgotten after its end", result.Job)
+			return nil, fault.New(fault.NotFound, "the record of job %s was removed after its end", result.Job)
 		}
 		if j.State != state.JobPendingHandover || j.HandoverDone || !c.waitForChange(ctx, changed) {
 			return c.submitResponse(j)
@@ -160,7 +161,8 @@
 	}
 }
 
-// wait returns false when ctx ended first.
+// waitForChange waits for a change. It returns false when ctx or the service ends
+// first.
 func (c *Cell) waitForChange(ctx context.Context, changed <-chan struct{}) bool {
 	select {
 	case <-changed:
@@ -284,7 +286,7 @@
 	return &apiv1.ScaleResponse{Job: wire.JobToAPI(c.job(r.Id), c.base.Instance.DataCentre, false)}, nil
 }
 
-// Status tells of one job, or of all jobs of the caller's customer.
+// Status returns one job, or all jobs that the caller may see.
 func (c *Cell) Status(ctx context.Context, r *apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
 	caller, err := rpc.Require(ctx, settings.Customer, settings.Operator)
 	if err != nil {
@@ -302,7 +304,7 @@
 	return c.listJobs(caller, r), nil
 }
 
-// jobStatus answers for one job. Another customer's job reads as not found.
+// jobStatus returns one job. Another customer's job is not found.
 func (c *Cell) jobStatus(caller rpc.Caller, id string, withTasks bool) (*apiv1.StatusResponse, error) {
 	j := c.job(id)
 	if j == nil || !mayView(caller, j) {
@@ -338,7 +340,8 @@
 	return response
 }
 
-// Watch waits for a job to change.
+// Watch returns a job once it is newer than the caller's revision, or when the long
+// poll ends.
 func (c *Cell) Watch(ctx context.Context, r *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
 	caller, err := rpc.Require(ctx, settings.Customer, settings.Operator)
 	if err != nil {
--- a/internal/cell/serve.go
+++ b/internal/cell/serve.go
@@ -26,10 +26,10 @@
 	cellPrefix  = "cell."
 )
 
-// transferTimeout bounds the handing over of leadership at a shutdown.
+// transferTimeout bounds the leadership transfers at a shutdown.
 const transferTimeout = 5 * time.Second
 
-// process is one running bilberry-celld: its groups and what connects them.
+// process is one running bilberry-celld: its replication groups and their connections.
 type process struct {
 	base      *daemon.Base
 	transport *peer.Transport
@@ -60,8 +60,8 @@
 	})
 }
 
-// openGroups opens the log of the data centre, those it witnesses and, on a
-// voter, the configuration log.
+// openGroups opens the log of the data centre, the logs that this instance witnesses
+// and, on a configuration voter, the configuration log.
 func (p *process) openGroups() (*Cell, error) {
 	s, instance := p.base.Settings, p.base.Instance
 	machine := NewMachine(instance.DataCentre, p.base.Events)
@@ -114,8 +114,8 @@
 	return members(s.CellMembers(dataCentre), dataCentre)
 }
 
-// members describes instances as voters. Those of another data centre than the
-// one named are witnesses: they vote and hold the log, and never lead.
+// members describes instances as voters. Instances outside the given data centre are
+// witnesses: they vote and store the log, and never lead.
 func members(instances []settings.Instance, dataCentre string) []replica.Member {
 	var list []replica.Member
 	for _, instance := range instances {
@@ -145,11 +145,11 @@
 	return err
 }
 
-// forceStart makes this member lead the log of its data centre alone, with what
-// it holds. What only the lost members had is lost with them.
+// forceStart makes this member lead the log of its data centre alone, with the entries
+// that it has. Entries that only the lost members had are lost with them.
 func (p *process) forceStart(ctx context.Context) error {
 	group := p.groups[cellPrefix+p.base.Instance.DataCentre]
-	// The member must first have waited for a leader in vain.
+	// The core refuses until the member has waited for a leader in vain.
 	giveUpAt := time.Now().Add(forceStartTimeout)
 	for {
 		err := group.ForceStart(ctx)
@@ -162,18 +162,18 @@
 		wait.For(ctx, memberCheckInterval)
 	}
 	p.base.Events.Record("forced start", "", p.base.Instance.DataCentre, p.base.Instance.ID)
-	p.base.Logger.Log("msg", "forced to start alone", "data_centre", p.base.Instance.DataCentre)
+	p.base.Logger.Log("msg", "forced start: this member leads the log alone", "data_centre", p.base.Instance.DataCentre)
 	return nil
 }
 
-// forceStartTimeout bounds how long a forced start is tried for.
+// forceStartTimeout bounds how long a forced start is tried.
 const forceStartTimeout = 30 * time.Second
 
-// memberCheckInterval is how often memberships are looked through for new members.
+// memberCheckInterval is the interval of checks for members that joined.
 const memberCheckInterval = 500 * time.Millisecond
 
-// trackMembers makes members reachable that the settings of this process
-// don't name, because they joined after it was started.
+// trackMembers connects to members that the settings of this process don't name,
+// because they joined after it started.
 func (p *process) trackMembers(ctx context.Context) error {
 	for ctx.Err() == nil {
 		for _, group := range p.groups {
@@ -188,8 +188,8 @@
 	return nil
 }
 
-// beginShutdown hands leadership over while this process still answers its
-// peers, so that the others needn't wait for an election timeout.
+// beginShutdown transfers the leadership while this process still answers its peers, so
+// that the other members needn't wait for an election timeout.
 func (p *process) beginShutdown(c *Cell) {
 	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
@@ -198,7 +198,7 @@
 		transfers.Go(func() error { return group.Transfer(ctx) })
 	}
 	if err := transfers.Wait(); err != nil {
-		p.base.Logger.Log("msg", "leadership not handed over", "err", err)
+		p.base.Logger.Log("msg", "leadership not transferred; the other members wait for an election timeout", "err", err)
 	}
 	c.BeginShutdown()
 }
@@ -221,8 +221,8 @@
 	p.base.Metrics.Set("peers", expvar.Func(func() any { return p.transport.Stats() }))
 }
 
-// stamper gives the messages between instances the stamps of the process's
-// hybrid logical clock, so that what follows from a message is stamped later.
+// hybridClock adds timestamps of the process's hybrid logical clock to messages between
+// instances, so that whatever follows from a message has a later timestamp.
 type stamper struct{ base *daemon.Base }
 
 func (s stamper) Timestamp() (int64, uint32) {
--- a/internal/cell/solo.go
+++ b/internal/cell/solo.go
@@ -7,9 +7,9 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// Solo is a log of one member without a disk or peers: every proposal commits
-// at once and nothing survives the process. It is the baseline that the
-// replicated log is measured against.
+// UnreplicatedLog is a log of one member without a disk or peers: every proposal
+// commits at once, and nothing survives the process. It is the baseline for
+// measurements of the replicated log.
 type UnreplicatedLog struct {
 	mu      sync.Mutex
 	index   uint64
@@ -19,14 +19,14 @@
 	never chan struct{}
 }
 
-// NewUnreplicatedLog returns a log that applies to machine.
+// NewUnreplicatedLog returns a log that applies its commands to machine.
 func NewUnreplicatedLog(machine interface {
 	Apply(index uint64, command []byte) any
 }) *UnreplicatedLog {
 	return &UnreplicatedLog{machine: machine, never: make(chan struct{})}
 }
 
-// Propose applies the command.
+// Propose applies the command at once.
 func (l *UnreplicatedLog) Propose(_ context.Context, command []byte) (any, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,15 +34,15 @@
 	return l.machine.Apply(l.index, command), nil
 }
 
-// Barrier has nothing to wait for.
+// Barrier returns at once, since everything proposed is applied.
 func (l *UnreplicatedLog) Barrier(context.Context) error { return nil }
 
-// Status is that of a leader of term 1.
+// Status returns the status of the leader of term 1.
 func (l *UnreplicatedLog) Status() replica.Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return replica.Status{Role: replica.Leader, Term: 1, Commit: l.index, Applied: l.index, CanDecide: true, Degraded: true}
 }
 
-// Changed never fires: a lone member leads for good.
+// Changed returns a channel that is never closed: the only member always leads.
 func (l *UnreplicatedLog) Changed() <-chan struct{} { return l.never }
--- a/internal/cell/stats.go
+++ b/internal/cell/stats.go
@@ -8,7 +8,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the waiting time histogram, in microseconds.
+// Bounds of the waiting time histogram in microseconds, and its significant digits.
 const (
 	minWait       = 1
 	maxWait       = int64(24 * time.Hour / time.Microsecond)
@@ -25,20 +25,20 @@
 	s.Waits.histogram = hdrhistogram.New(minWait, maxWait, waitPrecision)
 }
 
-// Histogram is a histogram of durations that is safe for many goroutines.
+// Histogram is a histogram of durations that is safe for concurrent use.
 type Histogram struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
 }
 
-// Record counts one duration.
+// Record adds one duration.
 func (h *Histogram) Record(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_ = h.histogram.RecordValue(min(max(d.Microseconds(), minWait), maxWait))
 }
 
-// Summary returns the percentiles in ms that the metrics show.
+// Summary returns the count, the percentiles and the maximum, in ms, for the metrics.
 func (h *Histogram) Summary() map[string]any {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -46,7 +46,7 @@
 	return map[string]any{"count": h.histogram.TotalCount(), "p50_ms": ms(50), "p99_ms": ms(99), "max_ms": ms(100)}
 }
 
-// Publish puts the counters into a map of metrics.
+// Publish adds the counters to a map of metrics.
 func (c *Cell) Publish(metrics *expvar.Map) {
 	metrics.Set("submissions", &c.stats.Submissions)
 	metrics.Set("refusals", &c.stats.Refusals)
@@ -59,7 +59,7 @@
 	metrics.Set("log", expvar.Func(func() any { return c.log.Status() }))
 }
 
-// packing is the share of the workers' processors that running tasks hold.
+// packing returns the share of the workers' CPU that running tasks hold, from 0 to 1.
 func (c *Cell) packing() float64 {
 	t := c.leaderTerm.Load()
 	if t == nil {
--- a/internal/cell/tenure.go
+++ b/internal/cell/tenure.go
@@ -15,25 +15,25 @@
 	"github.com/bilberryferry/bilberryferry/quota"
 )
 
-// Pace of the leader's work.
+// Timing and bounds of the leader's work.
 const (
-	// maxStarts bounds the starts of one command, so that one command's bytes
-	// and its apply stay small beside the commit itself.
+	// maxStarts bounds the starts of one command, so that its size and the time to
+	// apply it stay small compared with the commit itself.
 	maxStarts = 512
-	// leaseCheckInterval is how often leases are checked for their end.
+	// leaseCheckInterval is the interval of checks for expired leases.
 	leaseCheckInterval = 100 * time.Millisecond
-	// overdueCheckInterval is how often deadlines are looked through.
+	// overdueCheckInterval is the interval of checks for deadlines that have passed.
 	overdueCheckInterval = 500 * time.Millisecond
-	// endedJobRetention is how long the ends of jobs and first answers are remembered.
+	// endedJobRetention is how long ended jobs and first answers are kept.
 	endedJobRetention = 24 * time.Hour
 	pruneInterval     = 10 * time.Minute
 	// proposeTimeout bounds how long the leader waits for its own commits.
 	proposeTimeout = 5 * time.Second
 )
 
-// tenure is what a leader holds beside the replicated state, from its election
-// until it is deposed: caches, leases and commands under way to workers. All
-// of it can be rebuilt from the state and from what workers say.
+// leaderTerm is what a leader holds besides the replicated state, from its election
+// until it loses the leadership: caches, leases and commands in flight to workers. All
+// of it can be rebuilt from the state and from the workers' renewals.
 type leaderTerm struct {
 	term uint64
 
@@ -41,23 +41,24 @@
 	cluster  *placement.Cluster
 	leases   *lease.Table
 	outboxes map[string]*outbox
-	// away holds data centres that can't be reached for handovers, until when.
+	// unreachableUntil is, by data centre, until when probes skip an unreachable
+	// one.
 	unreachableUntil map[string]time.Time
 
 	wake chan struct{}
-	// bookings numbers the jobs that are being accepted.
+	// reservations numbers the jobs whose submission is in flight.
 	reservations atomic.Uint64
-	// degraded is whether the log went on without a disk when it was last noted.
+	// degraded is whether the log continued without a disk when that was last recorded.
 	degraded bool
-	// nextOverdue is when the deadlines of accepted work are looked through next.
+	// nextOverdue is when deadlines are checked next.
 	nextOverdue time.Time
 
-	// planning guards the planner of quota transfers.
+	// plannerMu guards planner, which plans quota transfers.
 	plannerMu sync.Mutex
 	planner   *quota.Planner
 }
 
-// poke makes the leader look at its work again.
+// wakeUp makes the leader's loop start its next round at once.
 func (t *leaderTerm) wakeUp() {
 	select {
 	case t.wake <- struct{}{}:
@@ -65,8 +66,8 @@
 	}
 }
 
-// lead runs one tenure: it ends when the context does, or when this replica
-// may no longer decide.
+// runLeaderTerm leads for one term. It returns when ctx ends or the replica loses the
+// leadership.
 func (c *Cell) runLeaderTerm(ctx context.Context, term uint64) {
 	t := c.newLeaderTerm(term)
 	c.leaderTerm.Store(t)
@@ -106,8 +107,8 @@
 	return t
 }
 
-// takeOverLeases takes the leases over. Any worker that isn't known to be down may
-// hold one granted by a predecessor, so each is waited out unless it renews here
+// takeOverLeases takes over the predecessor's leases. Any worker that isn't known to be
+// down may hold one, so the leader waits until it expires unless the worker renews here
 // first.
 func (t *leaderTerm) takeOverLeases(s *state.State, now time.Duration) {
 	var workers []string
@@ -122,7 +123,7 @@
 	}
 }
 
-// load fills the placement cache from the replicated state.
+// rebuildCache fills a new placement cache from the replicated state.
 func (c *Cell) rebuildCache(t *leaderTerm, s *state.State, now time.Duration) {
 	t.cluster = placement.NewCluster(c.placementOptions())
 	for id := range s.Workers {
@@ -130,7 +131,7 @@
 	}
 	for _, placed := range s.Placed() {
 		if err := t.cluster.Place(placed); err != nil {
-			panic("cell: the state's account doesn't fit its workers: " + err.Error())
+			panic("cell: the committed tasks don't fit their workers: " + err.Error())
 		}
 	}
 	t.syncQuota(s)
@@ -165,7 +166,7 @@
 	t.cluster.Enqueue(queued)
 }
 
-// refresh brings the caches up to the applied state.
+// refresh applies the collected changes to the caches.
 func (c *Cell) refresh(t *leaderTerm) {
 	changes := c.machine.TakeChanges()
 	t.mu.Lock()
@@ -210,8 +211,8 @@
 	t.cluster.ReportSuccess(result.Worker, result.Job, now)
 }
 
-// running reports whether a start among the changes still stands: it may have
-// ended again within the same batch of changes.
+// stillRunning reports whether a start among the changes is still in effect. The
+// attempt may have ended within the same batch of changes.
 func stillRunning(s *state.State, p placement.Placed) bool {
 	j := s.Jobs[p.Job]
 	if j == nil || p.Task >= len(j.Tasks) {
@@ -221,28 +222,28 @@
 	return t.State == state.TaskRunning && t.Worker == p.Worker
 }
 
-// place notes a committed start in the cache. The caller holds t.mu. The same
-// task may be among the changes twice, when it ended and started again between
-// two refreshes; the later start is noted first and stands.
+// placeCommitted adds a committed start to the placement cache. The caller holds t.mu.
+// A task that ended and started again between two refreshes is among the changes twice;
+// the later start is added first and stands.
 //
-// The state's account has taken the start already, so a cache that refuses it
-// has drifted from the state and every later plan would be wrong: it is thrown
-// away and built anew from the state.
+// The replicated state has accepted the start, so a cache that refuses it has diverged
+// from the state, and every later plan would be wrong: the cache is rebuilt from the
+// state.
 func (c *Cell) placeCommitted(t *leaderTerm, s *state.State, p placement.Placed) {
 	err := t.cluster.Place(p)
 	if err == nil || errors.Is(err, placement.ErrPlacedTwice) {
 		return
 	}
 	c.stats.Rebuilds.Add(1)
-	c.base.Logger.Log("msg", "placement cache drifted, built anew", "job", p.Job, "worker", p.Worker, "err", err)
+	c.base.Logger.Log("msg", "placement cache diverged from the state; rebuilding it", "job", p.Job, "worker", p.Worker, "err", err)
 	c.rebuildCache(t, s, c.monotonic())
 }
 
-// command hands a committed start to its worker's outbox. The caller holds t.mu.
+// enqueueStart adds a committed start to its worker's outbox. The caller holds t.mu.
 //
-// Failure guarded against: the leader doesn't hear of its own commit in time, or
-// the proposal's answer is lost, and the attempt is committed but never sent.
-// Commands follow from what was applied, not from the answers of proposals.
+// Failure guarded against: the leader doesn't learn of its own commit in time, or the
+// proposal's answer is lost, and the attempt is committed but never sent. So commands
+// follow the applied log and not the answers of proposals.
 func (c *Cell) enqueueStart(t *leaderTerm, s *state.State, p placement.Placed) {
 	j := s.Jobs[p.Job]
 	task := &j.Tasks[p.Task]
