--- a/internal/cell/adopt.go
+++ b/internal/cell/adopt.go
@@ -135,8 +135,8 @@
 // Failure guarded against: most long polls end without a change. If each answer carried
 // the whole document, every instance would receive its length every few seconds, which
 // exceeds the limit of control traffic when there are many customers.
-func omitUnchanged(config *apiv1.Config, known uint64) *apiv1.Config {
-	if config.Version > known {
+func omitUnchanged(config *apiv1.Config, knownVersion uint64) *apiv1.Config {
+	if config.Version > knownVersion {
 		return config
 	}
 	return &apiv1.Config{Version: config.Version}
--- a/internal/cell/log.go
+++ b/internal/cell/log.go
@@ -32,8 +32,8 @@
 
 // propose writes one command to the log of the data centre.
 func (c *Cell) propose(ctx context.Context, command *state.Command) (state.Result, error) {
-	stamp := c.base.Clock.Now(c.now())
-	command.Now, command.Logical, command.Proposer = stamp.Wall, stamp.Logical, c.base.Instance.ID+"/cell"
+	timestamp := c.base.Clock.Now(c.now())
+	command.Now, command.Logical, command.Proposer = timestamp.Wall, timestamp.Logical, c.base.Instance.ID+"/cell"
 	command.Term = c.log.Status().Term
 	data, err := command.Encode()
 	if err != nil {
--- a/internal/cell/machine.go
+++ b/internal/cell/machine.go
@@ -50,9 +50,9 @@
 // so that they survive the loss of the instance that proposed the command.
 func (m *Machine) publishChanges(command *state.Command) {
 	c := m.state.TakeChanges()
-	stamp := hlc.Timestamp{Wall: command.Now, Logical: command.Logical}
+	timestamp := hlc.Timestamp{Wall: command.Now, Logical: command.Logical}
 	for _, e := range c.Events {
-		m.events.RecordAt(stamp, command.Proposer, e.Kind, e.Detail, e.Subjects...)
+		m.events.RecordAt(timestamp, command.Proposer, e.Kind, e.Detail, e.Subjects...)
 	}
 	if !m.collect {
 		return
--- a/internal/cell/quota.go
+++ b/internal/cell/quota.go
@@ -131,8 +131,8 @@
 		demand := s.Demand()
 		t.planner.Tick()
 		var shortfalls []quota.Demand
-		for customer, need := range demand {
-			if missing, short := shortfall(need, s.Allotment(customer)); short {
+		for customer, wanted := range demand {
+			if missing, short := shortfall(wanted, s.Allotment(customer)); short {
 				shortfalls = append(shortfalls, quota.Demand{Customer: customer, Amount: missing})
 			}
 		}
@@ -151,17 +151,17 @@
 
 // shortfall returns how much a demand exceeds an allotment. Negative parts of an
 // allotment are unlimited.
-func shortfall(need, allotment placement.Resources) (missing placement.Resources, short bool) {
-	excess := func(amount, most int64) int64 {
-		if most < 0 || amount <= most {
+func shortfall(demand, allotment placement.Resources) (missing placement.Resources, short bool) {
+	excess := func(amount, limit int64) int64 {
+		if limit < 0 || amount <= limit {
 			return 0
 		}
 		short = true
-		return amount - most
+		return amount - limit
 	}
-	missing.CPU = excess(need.CPU, allotment.CPU)
-	missing.Memory = excess(need.Memory, allotment.Memory)
-	missing.Accelerators = excess(need.Accelerators, allotment.Accelerators)
+	missing.CPU = excess(demand.CPU, allotment.CPU)
+	missing.Memory = excess(demand.Memory, allotment.Memory)
+	missing.Accelerators = excess(demand.Accelerators, allotment.Accelerators)
 	return missing, short
 }
 
--- a/internal/cell/serve.go
+++ b/internal/cell/serve.go
@@ -39,7 +39,7 @@
 
 // Serve runs bilberry-celld until ctx ends.
 func Serve(ctx context.Context, b *daemon.Base) error {
-	config := peer.Config{ID: b.Instance.ID, Bearer: "Bearer " + b.Tokens.Token(settings.Peer), Clock: stamper{b}, Dial: b.Dial}
+	config := peer.Config{ID: b.Instance.ID, Bearer: "Bearer " + b.Tokens.Token(settings.Peer), Clock: hybridClock{b}, Dial: b.Dial}
 	p := &process{base: b, transport: peer.New(config), mux: peer.NewMux(config), groups: make(map[string]*node.Group)}
 	for _, instance := range b.Settings.Instances {
 		if instance.Cell != "" && instance.ID != b.Instance.ID {
@@ -223,13 +223,13 @@
 
 // hybridClock adds timestamps of the process's hybrid logical clock to messages between
 // instances, so that whatever follows from a message has a later timestamp.
-type stamper struct{ base *daemon.Base }
+type hybridClock struct{ base *daemon.Base }
 
-func (s stamper) Timestamp() (int64, uint32) {
-	stamp := s.base.Clock.Now(time.Now())
-	return stamp.Wall, stamp.Logical
+func (s hybridClock) Timestamp() (int64, uint32) {
+	timestamp := s.base.Clock.Now(time.Now())
+	return timestamp.Wall, timestamp.Logical
 }
 
-func (s stamper) Observe(wall int64, logical uint32) {
+func (s hybridClock) Observe(wall int64, logical uint32) {
 	s.base.Clock.Observe(hlc.Timestamp{Wall: wall, Logical: logical}, time.Now())
 }
