--- a/internal/member/host.go
+++ b/internal/member/host.go
@@ -1,7 +1,6 @@
-// Package member runs one member of the log that all core instances share. The
-// instances are not listed anywhere: a new one asks its seeds for the leader,
-// the leader adds it to the membership, and the committed membership tells the
-// rest.
+// Package member runs one member of the log that all core instances share. No list
+// names the instances: a new one asks its seeds for the leader, the leader adds it to
+// the membership, and the committed membership tells the others.
 package member
 
 import (
@@ -29,10 +28,10 @@
 // GroupName names the log.
 const GroupName = "core"
 
-// Timing of the log. A leader sends a heartbeat each 50 ms; after 0.25 s without
-// one, at most 0.5 s by chance, a member stands for election, later where the leader
-// is often late (see replica.Core). A change of leader costs little here, since the
-// next one finds everything in the log, and each moment without one costs callers.
+// Timing of the log. A leader sends a heartbeat each 50 ms. A member stands for
+// election after 0.25 s to 0.5 s, chosen at random, without one; later where the leader
+// is often late (see replica.Core). A change of leader costs little, since the next one
+// finds everything in the log, while callers wait as long as there is none.
 const (
 	tickInterval   = 50 * time.Millisecond
 	electionTicks  = 5
@@ -43,13 +42,13 @@
 	announceInterval = 400 * time.Millisecond
 	// joinTimeout bounds one announcement.
 	joinTimeout = 600 * time.Millisecond
-	// transferTimeout bounds the handing over of the leadership at a stop.
+	// transferTimeout bounds the leadership transfer at a stop.
 	transferTimeout = 1500 * time.Millisecond
 )
 
 const membersFile = "members"
 
-// Config is the fixed part of a Host.
+// Config holds the fixed settings of a Host.
 type Config struct {
 	// ID is the instance's IP address; peers reach it at ID:Port.
 	ID   string
@@ -58,9 +57,9 @@
 	Seeds []string
 	// First says that the whole system starts for the first time.
 	First bool
-	// Folder is on a disk of the instance.
+	// Folder is a folder on a disk of the instance.
 	Folder string
-	// Voters is how many members vote once enough have joined.
+	// Voters is the number of voting members once enough have joined.
 	Voters  int
 	Machine node.Machine
 	Logger  log.Logger
@@ -79,7 +78,7 @@
 	stopping bool
 }
 
-// New returns a host that doesn't run yet, and registers what its peers call.
+// New returns a host that isn't running yet, and registers its handlers for peers.
 func New(cfg Config, client *link.Client, mux *link.Mux) *Host {
 	config := peer.Config{ID: cfg.ID}
 	h := &Host{cfg: cfg, client: client, transport: peer.New(config), mux: peer.NewMux(config)}
@@ -89,8 +88,8 @@
 	return h
 }
 
-// Open waits until the initial membership is known, which for an instance that
-// isn't a first one takes a leader, and opens the log.
+// Open waits until the initial membership is known and opens the log. An instance that
+// isn't one of the first needs a leader for it.
 func (h *Host) Open(ctx context.Context) (*node.Group, error) {
 	members, err := h.initialMembers(ctx)
 	if err != nil {
@@ -117,8 +116,8 @@
 	return group, nil
 }
 
-// Send hands a payload for a member to its connection. Members are named by
-// their IP addresses, so no list of them is needed.
+// Send passes a payload for a member to its connection. Members are named by their IP
+// addresses, so no list of addresses is needed.
 func (h *Host) Send(group, to string, payload []byte) {
 	h.transport.SetPeer(to, h.address(to))
 	h.transport.Send(group, to, payload)
@@ -126,7 +125,7 @@
 
 func (h *Host) address(id string) string { return net.JoinHostPort(id, h.cfg.Port) }
 
-// Run works until ctx ends.
+// Run runs the member until ctx ends or a part of it fails.
 func (h *Host) Run(ctx context.Context) error {
 	running, ctx := errgroup.WithContext(ctx)
 	running.Go(func() error { return h.transport.Run(ctx) })
@@ -136,7 +135,8 @@
 	return running.Wait()
 }
 
-// TransferLeadership moves the leadership to another member, as far as one can take it.
+// TransferLeadership transfers the leadership to another member if this one leads. It
+// logs a failure.
 func (h *Host) TransferLeadership(ctx context.Context) {
 	h.mu.Lock()
 	h.stopping = true
@@ -152,7 +152,7 @@
 	}
 }
 
-// Leader returns the address of the leader, empty while none is known.
+// Leader returns the address of the leader, or "" while none is known.
 func (h *Host) Leader() string {
 	group := h.currentGroup()
 	if group == nil {
@@ -165,7 +165,8 @@
 	return h.address(leader)
 }
 
-// Addresses returns where the members are reached that are known here.
+// Addresses returns the addresses of the known members, or of the seeds if none is
+// known.
 func (h *Host) Addresses() []string {
 	var list []string
 	if group := h.currentGroup(); group != nil {
@@ -187,9 +188,9 @@
 	return h.group
 }
 
-// initialMembers returns the membership that the log begins with. It is kept in
-// a file: settings name other seeds at a later start, and the log on disk would
-// then be read under a membership that was never in force.
+// initialMembers returns the membership that the log starts with. A file stores it: a
+// later start may have other seeds in its settings, and the log on disk would then be
+// read under a membership that was never in force.
 func (h *Host) initialMembers(ctx context.Context) ([]replica.Member, error) {
 	path := filepath.Join(h.cfg.Folder, membersFile)
 	if data, err := os.ReadFile(path); err == nil {
@@ -197,7 +198,7 @@
 		if err := cbor.Unmarshal(data, &members); err == nil && len(members) > 0 {
 			return members, nil
 		}
-		_ = h.cfg.Logger.Log("event", "members_file", "outcome", "unreadable, joining anew")
+		_ = h.cfg.Logger.Log("event", "members_file", "outcome", "unreadable, joining again")
 	}
 	members := h.seedMembers()
 	if members == nil {
@@ -209,7 +210,7 @@
 	return members, h.saveMembers(path, members)
 }
 
-// seedMembers are the seeds, on a seed at the very first start.
+// seedMembers returns the seeds, on a seed at the very first start, else nil.
 func (h *Host) seedMembers() []replica.Member {
 	if !h.cfg.First {
 		return nil
@@ -230,7 +231,7 @@
 	return replica.Member{ID: id, Address: h.address(id), HasDisk: true}
 }
 
-// saveMembers makes the file durable before the log is opened.
+// saveMembers writes and syncs the file before the log is opened.
 func (h *Host) saveMembers(path string, members []replica.Member) error {
 	if err := os.MkdirAll(h.cfg.Folder, 0o750); err != nil {
 		return errors.Wrap(err, "create the data folder")
@@ -252,13 +253,13 @@
 	return errors.Wrap(f.Close(), "close the file of members")
 }
 
-// exchangeOnly serves the messages of the log. The other calls between
-// instances belong to data centres with logs of their own.
+// exchangeOnly serves the messages of the log. The other calls between instances belong
+// to data centres with logs of their own.
 type exchangeOnly struct{ mux *peer.Mux }
 
 var errNotServed = twirp.NewError(twirp.Unimplemented, "not served by an instance of a shared log")
 
-// Exchange takes in messages of the log.
+// Exchange receives messages of the log.
 func (e exchangeOnly) Exchange(ctx context.Context, r *apiv1.ExchangeRequest) (*apiv1.ExchangeResponse, error) {
 	return e.mux.Exchange(ctx, r)
 }
--- a/internal/member/join.go
+++ b/internal/member/join.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// unresponsiveAfter is how long a member may fail to announce itself before another
-	// takes its place: five announcements, and well under the 4 s after which a
-	// successor is expected to count.
+	// unresponsiveAfter is how long a voter may fail to announce itself before a
+	// learner replaces it: five announcements, and well below the 4 s after which the
+	// successor is expected to vote.
 	unresponsiveAfter = 2 * time.Second
-	// learnerRemovalDelay is how long a silent learner stays in the membership.
+	// learnerRemovalDelay is how long an unresponsive learner stays in the membership.
 	learnerRemovalDelay = 10 * time.Second
-	// manageInterval is the time between two looks at the membership.
+	// manageInterval is the time between two checks of the membership.
 	manageInterval = 250 * time.Millisecond
 	// changeTimeout bounds one change of the membership.
 	changeTimeout = time.Second
@@ -31,16 +31,16 @@
 	ID string `cbor:"1,keyasint"`
 }
 
-// JoinReply is the membership that has the instance in it.
+// JoinReply is the membership that includes the instance.
 type JoinReply struct {
 	Members []replica.Member `cbor:"1,keyasint"`
 }
 
-// roster is when the leader last heard from each instance.
+// livenessTracker holds when the leader last heard from each instance.
 type livenessTracker struct {
 	mu       sync.Mutex
 	lastSeen map[string]time.Time
-	// since is when this member began to lead, zero while it doesn't.
+	// leaderSince is when this member became the leader, zero while it doesn't lead.
 	leaderSince time.Time
 }
 
@@ -50,7 +50,7 @@
 	r.lastSeen[id] = now
 }
 
-// lead notes whether this member leads.
+// setLeading records whether this member leads.
 func (r *livenessTracker) setLeading(leads bool, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,7 +62,8 @@
 	}
 }
 
-// silence is how long an instance has said nothing to this leader.
+// timeSinceSeen returns how long this leader hasn't heard from an instance. The time
+// before it became the leader doesn't count.
 func (r *livenessTracker) timeSinceSeen(id string, now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,7 +74,8 @@
 	return now.Sub(last)
 }
 
-// serveJoin adds an instance as a learner that isn't a member.
+// serveJoin records an announcement. It adds an instance that isn't a member as a
+// learner.
 func (h *Host) serveJoin(ctx context.Context, r *JoinRequest) (JoinReply, error) {
 	group := h.currentGroup()
 	if group == nil {
@@ -98,7 +100,7 @@
 	return JoinReply{Members: members}, nil
 }
 
-// join asks until a leader has this instance in its membership.
+// join repeats the request until a leader has this instance in its membership.
 func (h *Host) join(ctx context.Context) ([]replica.Member, error) {
 	targets := h.Addresses()
 	for i := 0; ctx.Err() == nil; i++ {
@@ -125,8 +127,8 @@
 	return reply, link.LeaderOf(err), err
 }
 
-// announce tells the leader that this instance is there, so that it is added
-// again after it was removed while it was cut off.
+// announce keeps announcing this instance to the leader, so that it is added again
+// after it was removed while unreachable.
 func (h *Host) announce(ctx context.Context) error {
 	for wait.For(ctx, announceInterval) {
 		targets := []string{h.Leader()}
@@ -137,8 +139,9 @@
 			continue
 		}
 		for _, address := range targets {
-			// A failure is repeated after announceInterval; the leader's view of who is
-			// silent is what gets logged.
+			// A failure isn't logged: the next announcement follows after
+			// announceInterval, and the leader logs which unresponsive members it
+			// removes.
 			if _, _, err := h.callJoin(ctx, address); err == nil {
 				break
 			}
@@ -147,8 +150,8 @@
 	return nil
 }
 
-// manage keeps Voters voters, on the leader: a member that has fallen silent
-// is replaced by a learner that has caught up.
+// manageMembership keeps cfg.Voters voters while this member leads: a learner that has
+// caught up replaces an unresponsive voter.
 func (h *Host) manageMembership(ctx context.Context) error {
 	for wait.For(ctx, manageInterval) {
 		status := h.group.Status()
@@ -171,7 +174,8 @@
 	return nil
 }
 
-// nextMembership returns the next change, one member at a time, or nil.
+// nextMembership returns the next membership, which differs in one member, and what
+// changes. It returns nil when no change is due.
 func (h *Host) nextMembership(status replica.Status, now time.Time) ([]replica.Member, string) {
 	voters, unresponsiveVoter, learner, staleLearner := 0, -1, -1, -1
 	for i, m := range status.Members {
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -24,15 +24,15 @@
 		want      []replica.Member
 	}{
 		{"nothing to do", []replica.Member{voter("own"), voter("b"), voter("c"), learner("d")}, nil, nil},
-		{"a learner takes the place of a silent voter", []replica.Member{voter("own"), voter("b"), voter("c"), learner("d")},
+		{"a learner replaces an unresponsive voter", []replica.Member{voter("own"), voter("b"), voter("c"), learner("d")},
 			map[string]time.Duration{"b": 3 * time.Second}, []replica.Member{voter("own"), voter("b"), voter("c"), voter("d")}},
-		{"then the silent voter goes", []replica.Member{voter("own"), voter("b"), voter("c"), voter("d")},
+		{"then the unresponsive voter is removed", []replica.Member{voter("own"), voter("b"), voter("c"), voter("d")},
 			map[string]time.Duration{"b": 3 * time.Second}, []replica.Member{voter("own"), voter("c"), voter("d")}},
-		{"a silent voter stays while nobody can take its place", []replica.Member{voter("own"), voter("b"), voter("c")},
+		{"an unresponsive voter stays while no learner can replace it", []replica.Member{voter("own"), voter("b"), voter("c")},
 			map[string]time.Duration{"b": time.Minute}, nil},
 		{"too few voters", []replica.Member{voter("own"), learner("b")}, nil, []replica.Member{voter("own"), voter("b")}},
-		{"a silent learner doesn't vote", []replica.Member{voter("own"), learner("b")}, map[string]time.Duration{"b": 3 * time.Second}, nil},
-		{"a learner that is gone is dropped", []replica.Member{voter("own"), voter("b"), voter("c"), learner("d")},
+		{"an unresponsive learner isn't promoted", []replica.Member{voter("own"), learner("b")}, map[string]time.Duration{"b": 3 * time.Second}, nil},
+		{"a learner that stays unresponsive is removed", []replica.Member{voter("own"), voter("b"), voter("c"), learner("d")},
 			map[string]time.Duration{"d": 11 * time.Second}, []replica.Member{voter("own"), voter("b"), voter("c")}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -50,10 +50,9 @@
 	}
 }
 
-// What a user sees: the core changes its members although nothing is wrong.
-// Order: an instance has just become the leader; it hasn't heard from anybody
-// yet.
-// Cause: silence counted from before the tenure.
+// Guards against membership changes although nothing is wrong: an instance has just
+// become the leader and hasn't heard from any member yet. The time before that must not
+// count.
 func TestNewLeaderDoesNotReplaceVotersItHasNotHeardFrom(t *testing.T) {
 	h := New(Config{ID: "own", Voters: 3, Logger: log.NewNopLogger()}, link.NewClient(100), link.NewMux())
 	now := time.Now()
