--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -72,9 +72,9 @@
 	return command
 }
 
-// Two operators have both read version 0 and write at the same time. One wins,
-// the other must be told the version that won; a resend of either must get its
-// first answer and write nothing again.
+// Guards against a lost update. Two operators have both read version 0 and write at the
+// same time. One write succeeds, the other is told the version that did; a repeat of
+// either gets its first answer and writes nothing again.
 func TestOnlyOneOfTwoConcurrentWritesSucceeds(t *testing.T) {
 	r := NewRegister()
 	changed := r.Changed()
@@ -88,7 +88,7 @@
 	must.True(t, fault.Is(lost.Err, fault.Conflict))
 	must.ErrorContains(t, lost.Err, "the current version is 1")
 
-	first.Accepted = time.UnixMilli(99) // a resend comes later
+	first.Accepted = time.UnixMilli(99) // a repeat comes later
 	must.Eq(t, uint64(1), r.Apply(3, encode(t, first)).(Outcome).Config.Version)
 	must.ErrorContains(t, r.Apply(4, encode(t, second)).(Outcome).Err, "the current version is 1")
 	second.Expected = 1
@@ -105,8 +105,8 @@
 	}
 }
 
-// An instance gets an old snapshot late, after it has applied newer versions.
-// The configuration in force must not go back.
+// Guards against a configuration in force that goes back: an instance gets an old
+// snapshot late, after it has applied newer versions.
 func TestVersionNeverGoesBack(t *testing.T) {
 	r := NewRegister()
 	r.Apply(1, encode(t, Write{RequestID: "a"}))
@@ -122,8 +122,9 @@
 	must.Eq(t, uint64(2), h.Current().Version)
 }
 
-// A newer program has written a document with a key that this program doesn't
-// know. The version counts, the last readable document stays in force.
+// Guards against losing the configuration in force: a newer program has written a
+// document with a key that this program doesn't know. The version counts, and the last
+// readable document stays in force.
 func TestUnreadableDocument(t *testing.T) {
 	var h Holder
 	must.True(t, h.Set(Config{Version: 1, Text: sample}))
@@ -133,9 +134,9 @@
 	must.Len(t, 2, h.Current().Document.Customers)
 }
 
-// Random writes, resends and restarts from snapshots: versions grow by one,
-// a resend never writes, a restored copy answers as the original, and memory
-// stays within its bounds.
+// Random writes, repeats and restarts from snapshots: versions grow by one, a repeat
+// never writes, a restored copy answers like the original, and memory stays within its
+// bounds.
 func TestRegisterRandom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewRegister()
--- a/internal/conf/document.go
+++ b/internal/conf/document.go
@@ -1,7 +1,7 @@
-// Package conf holds the configuration that all instances share: the document
-// that operators write while the system runs, and the register that keeps its
-// versions inside the replicated configuration log. What belongs to one
-// process and is read once is package settings.
+// Package conf holds the configuration that all instances share: the document that
+// operators write while the system runs, and the register that keeps its versions
+// inside the replicated configuration log. Package settings holds what belongs to one
+// process and is read once.
 package conf
 
 import (
@@ -24,26 +24,25 @@
 	maxCustomers  = 1000
 	maxWeight     = 1000
 	maxQuotaCount = 1_000_000
-	// maxDataCentres is far below the number of parts that a quota is dealt in.
+	// maxDataCentres is far below the number of parts into which a quota is split.
 	maxDataCentres = 64
 )
 
-// Unlimited stands for an absent limit.
+// Unlimited means that there is no limit.
 const Unlimited int64 = -1
 
-// Document is the shared configuration. A document is a value: readers share
-// it and nobody changes it.
+// Document is the shared configuration. Readers share it, so nobody may change it.
 type Document struct {
 	Customers []Customer
 	Quota     QuotaDivision
 }
 
-// Division says among which data centres quotas are divided. It belongs to the
-// shared configuration and not to the settings of processes: data centres that
+// QuotaDivision names the data centres among which quotas are divided. It belongs to
+// the shared configuration and not to the settings of processes: data centres that
 // divided quotas differently would together give a customer more than its limit.
 type QuotaDivision struct {
 	DataCentres []string
-	// Generation grows only when the quotas are to be divided anew.
+	// Generation grows only when the quotas are to be divided again.
 	Generation uint64
 }
 
@@ -56,11 +55,11 @@
 	Memory int64
 	// Accelerators is a count of devices, or Unlimited.
 	Accelerators int64
-	// Weight is the customer's share in contention, 1 by default.
+	// Weight is the customer's share under contention, 1 by default.
 	Weight int
 }
 
-// Customer finds a customer by name.
+// Customer returns the customer with the given name.
 func (d *Document) Customer(name string) (Customer, bool) {
 	if d == nil {
 		return Customer{}, false
@@ -73,8 +72,8 @@
 	return Customer{}, false
 }
 
-// rawDocument is the document as it is written. Amounts stay text until each
-// can be refused with its own line.
+// rawDocument is the document as it is written. Amounts stay text, so that the error
+// for an invalid one names its line.
 type rawDocument struct {
 	Customers []rawCustomer    `toml:"customer"`
 	Quota     rawQuotaDivision `toml:"quota"`
@@ -97,7 +96,7 @@
 // The empty text is a document without customers.
 func Parse(text string) (*Document, error) {
 	if len(text) > MaxDocument {
-		return nil, fault.New(fault.Invalid, "the configuration has %d bytes, at most %d are taken", len(text), MaxDocument)
+		return nil, fault.New(fault.Invalid, "the configuration has %d bytes, at most %d are allowed", len(text), MaxDocument)
 	}
 	var raw rawDocument
 	file, err := tomlfile.Decode("configuration", []byte(text), &raw)
@@ -203,7 +202,7 @@
 	return nil
 }
 
-// String writes the document as TOML that Parse reads back to the same document.
+// String returns the document as TOML, from which Parse returns the same document.
 func (d *Document) String() string {
 	var b bytes.Buffer
 	for i, c := range d.Customers {
--- a/internal/conf/holder.go
+++ b/internal/conf/holder.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// Holder keeps the configuration that is in force on one process. The version
-// only grows: an older or equal one that arrives late is ignored. The zero
-// Holder is ready and stands at version 0 with an empty document.
+// Holder keeps the configuration that is in force in one process. The version only
+// grows: an older or equal one that arrives late is ignored. The zero Holder is ready
+// to use and holds version 0 with an empty document.
 type Holder struct {
 	mu      sync.Mutex
 	current Config
@@ -21,7 +21,8 @@
 	return h.current
 }
 
-// Set puts a configuration in force and returns whether its version was newer.
+// Set puts a configuration in force. It returns false and changes nothing if the
+// version isn't newer.
 func (h *Holder) Set(config Config) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/conf/register.go
+++ b/internal/conf/register.go
@@ -13,21 +13,21 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-// format is the version of commands and snapshots. A program refuses formats
-// newer than its own.
+// formatVersion is the version of the encoding of commands and snapshots. Restore
+// refuses snapshots with a newer one.
 const formatVersion = 1
 
-// Bounds of the register's memory.
+// Bounds of what the register stores.
 const (
-	// maxHistory is the number of versions kept, the current one included.
+	// maxHistory is the number of versions kept, including the current one.
 	maxHistory = 64
 	// maxHistoryBytes bounds the documents of the kept versions together; the
 	// current one is always kept.
 	maxHistoryBytes = 1 << 20
-	// maxAnswers is the number of request ids whose first answer is kept.
+	// maxAnswers is the number of request IDs whose first answer is kept.
 	maxAnswers     = 1024
 	maxAuthorBytes = 256
-	// maxRequestIDBytes bounds a request id in bytes.
+	// maxRequestIDBytes bounds a request ID.
 	maxRequestIDBytes = 128
 )
 
@@ -37,10 +37,10 @@
 	Version uint64
 	// Text is the document as it was written.
 	Text string
-	// Document is Text as read by this program. A document that this program
-	// can't read, because a newer one wrote it, leaves the last readable one
-	// in force, and Unreadable says why. It is never nil in the configuration
-	// in force, and nil in older versions.
+	// Document is Text as read by this program. If this program can't read Text,
+	// because a newer one wrote it, the last readable document stays in force, and
+	// Unreadable says why. Document is never nil in the configuration in force, and nil
+	// in older versions.
 	Document   *Document
 	Unreadable string
 	Author     string
@@ -48,7 +48,8 @@
 	Accepted time.Time
 }
 
-// Write is the command that replaces the document, compare-and-set.
+// Write is the command that replaces the document if the current version is the
+// expected one (compare-and-set).
 type Write struct {
 	RequestID string
 	// Expected is the version that the writer has read.
@@ -67,18 +68,18 @@
 	AcceptedUnixMs int64  `cbor:"6,keyasint,omitempty"`
 }
 
-// Encode checks the write and returns its command. The document is parsed
-// here, before it enters the log, and not in Apply: two programs that disagree
-// on what a valid document is must still hold the same state.
+// Encode checks the write and returns its command. It parses the document here, before
+// the command enters the log, and not in Apply: two programs that disagree on what a
+// valid document is must still hold the same state.
 func (w Write) Encode() ([]byte, error) {
 	if w.RequestID == "" {
 		return nil, fault.Field("request_id", "is missing")
 	}
 	if len(w.RequestID) > maxRequestIDBytes {
-		return nil, fault.Field("request_id", "has %d bytes, at most %d are taken", len(w.RequestID), maxRequestIDBytes)
+		return nil, fault.Field("request_id", "has %d bytes, at most %d are allowed", len(w.RequestID), maxRequestIDBytes)
 	}
 	if len(w.Author) > maxAuthorBytes {
-		return nil, fault.Field("author", "has %d bytes, at most %d are taken", len(w.Author), maxAuthorBytes)
+		return nil, fault.Field("author", "has %d bytes, at most %d are allowed", len(w.Author), maxAuthorBytes)
 	}
 	if _, err := Parse(w.Document); err != nil {
 		return nil, err
@@ -93,26 +94,26 @@
 	})
 }
 
-// Outcome is what Apply returns: the accepted version, or the refusal.
+// Outcome is the result of Apply: the accepted version, or the refusal.
 type Outcome struct {
 	Config Config
 	// Err is a fault of kind Conflict or Invalid, or nil.
 	Err error
 }
 
-// answer is the first answer to a request id.
+// answer is the first answer to a request ID.
 type answer struct {
 	RequestID string `cbor:"1,keyasint"`
 	Digest    []byte `cbor:"2,keyasint"`
-	// Version is the version that the write made, 0 for a refusal.
+	// Version is the version that the write created, 0 for a refusal.
 	Version uint64     `cbor:"3,keyasint,omitempty"`
 	Kind    fault.Kind `cbor:"4,keyasint,omitempty"`
 	Message string     `cbor:"5,keyasint,omitempty"`
 }
 
-// Register is the deterministic state machine of the configuration log. Apply
-// and Restore are called by one goroutine; everything else may be called by
-// any at any time.
+// Register is the deterministic state machine of the configuration log. One goroutine
+// must make all calls of Apply and Restore; the other methods are safe for concurrent
+// use.
 type Register struct {
 	holder Holder
 
@@ -146,8 +147,8 @@
 	return versions
 }
 
-// Apply carries out one command of the log and returns an Outcome. An empty
-// command, which a new leader writes, changes nothing and returns nil.
+// Apply applies one command of the log and returns an Outcome. An empty command, which
+// a new leader writes, changes nothing and returns nil.
 func (r *Register) Apply(_ uint64, command []byte) any {
 	if len(command) == 0 {
 		return nil
@@ -165,8 +166,8 @@
 	return r.applyWrite(w, digest)
 }
 
-// digest stands for what a request id was first used with. The time is left
-// out: a resend carries a later one.
+// digest identifies the content with which a request ID was first used. It leaves out
+// the time, since a repeat carries a later one.
 func (w *wireWrite) digest() []byte {
 	hash := sha256.New()
 	var expected [8]byte
@@ -190,7 +191,7 @@
 			return Outcome{Config: config}
 		}
 	}
-	// The version has left the history; its number is the answer that counts.
+	// The history no longer has the version; its number is the answer that counts.
 	return Outcome{Config: Config{Version: first.Version}}
 }
 
@@ -220,7 +221,7 @@
 	return Outcome{Config: next}
 }
 
-// read fills the document of a version; see Config.Document.
+// withParsedDocument sets the document of a version; see Config.Document.
 func withParsedDocument(before, next Config) Config {
 	document, err := Parse(next.Text)
 	if err != nil {
@@ -273,7 +274,7 @@
 	Answers []answer     `cbor:"3,keyasint"`
 }
 
-// Snapshot returns the state. Equal states give equal bytes.
+// Snapshot encodes the state. Equal states give equal bytes.
 func (r *Register) Snapshot() ([]byte, error) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -284,8 +285,8 @@
 	return cbor.Marshal(snapshot)
 }
 
-// Restore replaces the state by a snapshot. It refuses, and changes nothing,
-// when the snapshot is damaged, newer in format, or would take the version back.
+// Restore replaces the state by a snapshot. It returns an error and changes nothing
+// when the snapshot is damaged, has a newer format or would lower the version.
 func (r *Register) Restore(data []byte) error {
 	var snapshot wireSnapshot
 	if err := cbor.Unmarshal(data, &snapshot); err != nil {
