--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory finds the leader of a data centre and makes calls on it.
-// It remembers who led last, follows what instances say of their leader, and
-// tries the others when an instance is silent.
+// Package directory finds the leader of a data centre and calls it. It remembers the
+// last leader, follows the leader that an instance names, and tries the other instances
+// when one doesn't answer.
 package directory
 
 import (
@@ -16,18 +16,18 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
-// Pace of the search for a leader.
+// Timing of the search for a leader.
 const (
-	// AttemptTimeout bounds one try of an ordinary call. A paused or cut-off
-	// instance keeps connections open and says nothing.
+	// AttemptTimeout bounds one attempt of an ordinary call. A paused or partitioned
+	// instance keeps its connections open and doesn't answer.
 	AttemptTimeout = time.Second
-	// roundDelay is the wait between two rounds over all instances; an election
+	// roundDelay is the mean delay between two rounds over all instances; an election
 	// takes some rounds.
 	roundDelay = 60 * time.Millisecond
 )
 
-// Configuration stands, in place of a data centre's name, for the voters of the
-// configuration log.
+// Configuration stands for the voters of the configuration log where a data centre is
+// named.
 const Configuration = ""
 
 // Directory knows the instances of every data centre.
@@ -53,31 +53,30 @@
 	return d
 }
 
-// Client is the HTTP client that calls go through.
+// Client returns the HTTP client for the calls.
 func (d *Directory) Client() *http.Client { return d.client }
 
-// Knows reports whether a data centre of that name exists.
+// HasDataCentre reports whether a data centre of that name exists.
 func (d *Directory) HasDataCentre(dataCentre string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.instances[dataCentre]) > 0
 }
 
-// Call is one call on the instance at a base URL.
+// Call makes one call to the instance at a base URL.
 type Call func(ctx context.Context, base string) error
 
-// Effort says how hard Leader tries.
+// CallOptions bound the search for a leader.
 type CallOptions struct {
-	// Patience is how long to go on looking for a leader; zero tries every
-	// instance once.
+	// SearchTimeout is how long to search for a leader; zero tries every instance once.
 	SearchTimeout time.Duration
-	// Attempt bounds one try; zero means AttemptTimeout.
+	// AttemptTimeout bounds one attempt; zero means the constant AttemptTimeout.
 	AttemptTimeout time.Duration
 }
 
-// Leader makes a call on the leader of a data centre. A call whose answer was
-// lost is made again, so it must be safe to repeat: every mutating call of the
-// schema is, by its request id or by the numbers it carries.
+// CallLeader makes a call to the leader of a data centre. It repeats a call whose
+// answer was lost, so the call must be idempotent: every mutating call of the schema
+// is, by its request ID or by the numbers it carries.
 func (d *Directory) CallLeader(ctx context.Context, dataCentre string, options CallOptions, call Call) error {
 	if options.AttemptTimeout == 0 {
 		options.AttemptTimeout = AttemptTimeout
@@ -118,7 +117,7 @@
 	return "data centre " + dataCentre
 }
 
-// pause waits between two rounds. It returns false when there is no time left.
+// waitForNextRound waits between two rounds. It returns false when no time is left.
 func waitForNextRound(ctx context.Context, deadline time.Time) bool {
 	wait := roundDelay/2 + rand.N(roundDelay)
 	if time.Now().Add(wait).After(deadline) {
@@ -138,7 +137,7 @@
 	return call(ctx, "http://"+instance.Cell)
 }
 
-// order lists the instances of a data centre, the last known leader first.
+// inCallOrder returns the instances of a data centre, the last known leader first.
 func (d *Directory) inCallOrder(dataCentre string) []settings.Instance {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -163,8 +162,8 @@
 	d.leader[dataCentre] = leader
 }
 
-// follow notes the leader that an error names. It returns true when that is
-// another one than was remembered, so that the next round begins with it.
+// followLeaderHint records the leader that an error names. It returns true when that is
+// another one than the known leader, so that the next round starts with it.
 func (d *Directory) followLeaderHint(dataCentre string, err error) bool {
 	leader, ok := rpc.LeaderOf(err)
 	if !ok || leader.ID == "" {
@@ -178,7 +177,7 @@
 	return changed
 }
 
-// learn adds a leader that the settings don't name: an instance that has
+// addUnknownLeader adds a leader that the settings don't name: an instance that has
 // replaced another since they were read.
 func (d *Directory) addUnknownLeader(dataCentre string, leader rpc.Leader) {
 	known := slices.ContainsFunc(d.instances[dataCentre], func(i settings.Instance) bool { return i.ID == leader.ID })
@@ -187,8 +186,8 @@
 	}
 }
 
-// Each makes a call on every instance of a data centre at once and returns the
-// errors by instance id; nil for those that answered.
+// CallEach calls every instance of a data centre at once and returns the errors by
+// instance ID; nil for those that succeeded.
 func (d *Directory) CallEach(ctx context.Context, dataCentre string, call func(ctx context.Context, instance settings.Instance, base string) error) map[string]error {
 	instances := d.inCallOrder(dataCentre)
 	results := make([]error, len(instances))
