--- a/internal/cell/handover.go
+++ b/internal/cell/handover.go
@@ -232,7 +232,7 @@
 	return command, release
 }
 
-// answered returns the committed answer to an offer.
+// committedAnswer returns the committed answer to an offer.
 func (c *Cell) committedAnswer(job string) (*apiv1.OfferResponse, bool) {
 	var record state.HandoverAnswerRecord
 	var ok bool
--- a/internal/cell/quota.go
+++ b/internal/cell/quota.go
@@ -23,7 +23,7 @@
 
 // Timing and format of quota transfers.
 const (
-	// quotaTickInterval is the interval of the planner's ticks, which count seconds.
+	// quotaTickInterval is the planner's tick; the planner expects one a second.
 	quotaTickInterval = time.Second
 	// transferRequestTimeout bounds one transfer request to another data centre.
 	transferRequestTimeout = 700 * time.Millisecond
@@ -142,15 +142,15 @@
 	return requests
 }
 
-// demandOf returns the demand of each customer's running and waiting work here, which
-// is reserved when other data centres request a transfer.
+// demandOf returns a function that gives the demand of a customer's running and waiting
+// work here. That much is reserved when other data centres request a transfer.
 func demandOf(s *state.State) func(customer string) placement.Resources {
 	demand := s.Demand()
 	return func(customer string) placement.Resources { return demand[customer] }
 }
 
-// shortfall returns how much a demand exceeds an allotment. Negative parts of an
-// allotment are unlimited.
+// shortfall returns how much a demand exceeds an allotment. A negative amount in an
+// allotment is unlimited.
 func shortfall(demand, allotment placement.Resources) (missing placement.Resources, short bool) {
 	excess := func(amount, limit int64) int64 {
 		if limit < 0 || amount <= limit {
