--- a/internal/conf/document.go
+++ b/internal/conf/document.go
@@ -129,7 +129,7 @@
 	return document, nil
 }
 
-// limited reports whether any customer has a quota.
+// hasQuotas reports whether any customer has a quota.
 func (d *Document) hasQuotas() bool {
 	return slices.ContainsFunc(d.Customers, func(c Customer) bool {
 		return c.CPU != Unlimited || c.Memory != Unlimited || c.Accelerators != Unlimited
