--- a/internal/conf/document.go
+++ b/internal/conf/document.go
@@ -191,12 +191,12 @@
 	return nil
 }
 
-func setCount(file *tomlfile.File, path string, raw *int64, least, most int64, target *int64) error {
+func setCount(file *tomlfile.File, path string, raw *int64, lowest, highest int64, target *int64) error {
 	if raw == nil {
 		return nil
 	}
-	if *raw < least || *raw > most {
-		return file.Errorf(path, "must be from %d to %d, is %d", least, most, *raw)
+	if *raw < lowest || *raw > highest {
+		return file.Errorf(path, "must be from %d to %d, is %d", lowest, highest, *raw)
 	}
 	*target = *raw
 	return nil
