--- a/internal/cell/adopt.go
+++ b/internal/cell/adopt.go
@@ -43,14 +43,14 @@
 		if version.Version <= c.adoptedConfig().ConfigVersion {
 			continue
 		}
-		limits, err := quotaConfig(version.Version, version.Document)
+		quotas, err := quotaConfig(version.Version, version.Document)
 		if err != nil {
 			c.base.Logger.Log("msg", "configuration can't be read; the version in force stays", "version", version.Version, "err", err)
 			wait.For(ctx, fetchRetryDelay)
 			continue
 		}
 		adopt := &state.AdoptConfig{
-			Quota: limits, ConfigVersion: version.Version, Document: version.Document,
+			Quota: quotas, ConfigVersion: version.Version, Document: version.Document,
 			Author: version.Author, Accepted: version.AcceptedUnixMs,
 		}
 		if _, err := c.propose(ctx, &state.Command{AdoptConfig: adopt}); err != nil {
--- a/internal/cell/handover.go
+++ b/internal/cell/handover.go
@@ -140,14 +140,14 @@
 		t.markUnreachable(j.HandoverDataCentre, c.now().Add(unreachableRetryDelay))
 		return err
 	}
-	offered := &state.RecordHandoverAnswer{Job: j.ID, To: j.HandoverDataCentre, Accepted: answer.Accepted, Withdrawn: request.Withdraw}
+	record := &state.RecordHandoverAnswer{Job: j.ID, To: j.HandoverDataCentre, Accepted: answer.Accepted, Withdrawn: request.Withdraw}
 	if !answer.Accepted && !request.Withdraw {
-		offered.Kind, _ = fault.Parse(answer.ReasonKind)
-		offered.Detail = answer.Reason
+		record.Kind, _ = fault.Parse(answer.ReasonKind)
+		record.Detail = answer.Reason
 		request.Probe = true
-		offered.Next = c.findAcceptingDataCentre(ctx, t, request, append(slices.Clone(j.RefusedBy), j.HandoverDataCentre))
+		record.Next = c.findAcceptingDataCentre(ctx, t, request, append(slices.Clone(j.RefusedBy), j.HandoverDataCentre))
 	}
-	_, err = c.propose(ctx, &state.Command{RecordHandoverAnswer: offered})
+	_, err = c.propose(ctx, &state.Command{RecordHandoverAnswer: record})
 	return err
 }
 
@@ -225,10 +225,10 @@
 		command.Refused, command.Kind, command.Detail = true, fault.Cancelled, "cancelled by the customer"
 		return command, func() {}
 	}
-	verdict, release := p.admitAndReserve(t, r.Customer, spec, p.now())
-	command.Refused = !verdict.Admitted
-	command.Kind = faultKind(verdict.Reason)
-	command.Detail = verdict.Detail
+	decision, release := p.admitAndReserve(t, r.Customer, spec, p.now())
+	command.Refused = !decision.Admitted
+	command.Kind = faultKind(decision.Reason)
+	command.Detail = decision.Detail
 	return command, release
 }
 
--- a/internal/cell/scheduler.go
+++ b/internal/cell/scheduler.go
@@ -81,8 +81,8 @@
 // centre or refused. The capacity that it was admitted on is reserved until release is
 // called.
 func (c *Cell) admitOrHandOver(ctx context.Context, t *leaderTerm, submit *state.Submit, spec *apiv1.Spec) (release func()) {
-	verdict, release := c.admitAndReserve(t, submit.Customer, submit.Spec, c.now())
-	if verdict.Admitted {
+	decision, release := c.admitAndReserve(t, submit.Customer, submit.Spec, c.now())
+	if decision.Admitted {
 		return release
 	}
 	if spec.DataCentre == "" {
@@ -96,9 +96,9 @@
 	}
 	c.stats.Refusals.Add(1)
 	submit.Refused = true
-	submit.Kind = faultKind(verdict.Reason)
-	submit.Detail = verdict.Detail
-	submit.RetryAfter = verdict.RetryAfter
+	submit.Kind = faultKind(decision.Reason)
+	submit.Detail = decision.Detail
+	submit.RetryAfter = decision.RetryAfter
 	return release
 }
 
@@ -113,7 +113,7 @@
 // the others are committed, all are admitted on the same free capacity, and accepted
 // jobs miss their deadlines. A reservation is a job in the queue under an ID of its
 // own, which can't start before its proposal is decided.
-func (c *Cell) admitAndReserve(t *leaderTerm, customer string, spec state.Spec, now time.Time) (verdict placement.AdmissionDecision, release func()) {
+func (c *Cell) admitAndReserve(t *leaderTerm, customer string, spec state.Spec, now time.Time) (decision placement.AdmissionDecision, release func()) {
 	job := placement.Job{
 		ID: reservationPrefix + strconv.FormatUint(t.reservations.Add(1), 10), Customer: customer, Name: spec.Name,
 		Policy: spec.Policy, Tasks: spec.Tasks, Need: spec.Need, Runtime: spec.Runtime, Submitted: now,
@@ -126,13 +126,13 @@
 	c.refresh(t)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	verdict = t.cluster.Admit(job, now, limit)
-	if !verdict.Admitted {
-		return verdict, func() {}
+	decision = t.cluster.Admit(job, now, limit)
+	if !decision.Admitted {
+		return decision, func() {}
 	}
 	job.NotBefore = now.Add(proposeTimeout)
 	t.cluster.Enqueue(job)
-	return verdict, func() {
+	return decision, func() {
 		c.refresh(t)
 		t.mu.Lock()
 		defer t.mu.Unlock()
--- a/internal/cell/unreplicated_log.go
+++ b/internal/cell/unreplicated_log.go
@@ -16,14 +16,14 @@
 	machine interface {
 		Apply(index uint64, command []byte) any
 	}
-	never chan struct{}
+	neverClosed chan struct{}
 }
 
 // NewUnreplicatedLog returns a log that applies its commands to machine.
 func NewUnreplicatedLog(machine interface {
 	Apply(index uint64, command []byte) any
 }) *UnreplicatedLog {
-	return &UnreplicatedLog{machine: machine, never: make(chan struct{})}
+	return &UnreplicatedLog{machine: machine, neverClosed: make(chan struct{})}
 }
 
 // Propose applies the command at once.
@@ -45,4 +45,4 @@
 }
 
 // Changed returns a channel that is never closed: the only member always leads.
-func (l *UnreplicatedLog) Changed() <-chan struct{} { return l.never }
+func (l *UnreplicatedLog) Changed() <-chan struct{} { return l.neverClosed }
