--- a/internal/node/linearizability_test.go
+++ b/internal/node/linearizability_test.go
@@ -109,8 +109,8 @@
 func (h *history) injectFault(c *cluster, random *rand.Rand, extra int64) {
 	const wait = 500 * time.Millisecond
 	all := c.running()
-	victim := all[random.IntN(len(all))]
-	id := victim.cfg.ID
+	affected := all[random.IntN(len(all))]
+	id := affected.cfg.ID
 	until := h.recorded.Load() + extra
 	waitForClients := func() {
 		for end := time.Now().Add(wait); h.recorded.Load() < until && time.Now().Before(end); {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -43,13 +43,13 @@
 func TestDisklessRestartCatchesUp(t *testing.T) {
 	c := newCluster(t, "a", Config{SnapshotEvery: 20, KeepEntries: 5})
 	c.setMany("x", 10)
-	victim := "c"
+	restarted := "c"
 	if c.leader().cfg.ID == "c" {
-		victim = "b"
+		restarted = "b"
 	}
-	c.stop(victim)
+	c.stop(restarted)
 	c.setMany("y", 200)
-	m := c.start(victim)
+	m := c.start(restarted)
 	c.converged(3)
 	must.Positive(t, m.Stats().Restores)
 	c.setMany("z", 30)
