--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -68,7 +68,8 @@
 
 // CallOptions bound the search for a leader.
 type CallOptions struct {
-	// SearchTimeout is how long to search for a leader; zero tries every instance once.
+	// SearchTimeout is how long to search for a leader; zero allows one round over the
+	// instances, which ends at the first that names another leader.
 	SearchTimeout time.Duration
 	// AttemptTimeout bounds one attempt; zero means the constant AttemptTimeout.
 	AttemptTimeout time.Duration
