--- a/internal/cell/log.go
+++ b/internal/cell/log.go
@@ -32,8 +32,8 @@
 
 // propose writes one command to the log of the data centre.
 func (c *Cell) propose(ctx context.Context, command *state.Command) (state.Result, error) {
-	stamp := c.base.Clock.Now(c.now())
-	command.Now, command.Logical, command.Proposer = stamp.Wall, stamp.Logical, c.base.Instance.ID+"/cell"
+	timestamp := c.base.Clock.Now(c.now())
+	command.Now, command.Logical, command.Proposer = timestamp.Wall, timestamp.Logical, c.base.Instance.ID+"/cell"
 	command.Term = c.log.Status().Term
 	data, err := command.Encode()
 	if err != nil {
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// leaderHint lets the caller of a member that doesn't lead find the one that does.
+// leaderHint replaces ErrNotLeader by the error that names the leader, if one is known.
 func leaderHint(l Log, err error) error {
 	if errors.Is(err, node.ErrNotLeader) {
 		return rpc.NotLeader(rpc.LeaderIn(l.Status()))
