--- a/dispatch/disabled.go
+++ b/dispatch/disabled.go
@@ -19,6 +19,6 @@
 	Lateness bool `toml:"lateness"`
 	// ResentStarts: a start whose answer is overdue is sent again.
 	ResentStarts bool `toml:"second_starts"`
-	// ShortLooks: long polls are held for a shorter time while calls get lost.
-	ShortLooks bool `toml:"short_looks"`
+	// ShortPolls: long polls are held for a shorter time while calls get lost.
+	ShortPolls bool `toml:"short_looks"`
 }
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -57,15 +57,15 @@
 		reason  Reason
 	}{
 		{name: "the fullest worker on which it fits", steps: []Step{step("a", 1, 2)}, workers: workers(16, 3), want: []string{"a/0@w1"}},
-		{name: "never beyond the free resources", steps: []Step{step("a", 3, 2)}, workers: workers(4), want: []string{"a/0@w0", "a/1@w0"}, reason: ReasonNoRoom},
+		{name: "never beyond the free resources", steps: []Step{step("a", 3, 2)}, workers: workers(4), want: []string{"a/0@w0", "a/1@w0"}, reason: ReasonNoCapacity},
 		{name: "more urgent step first", steps: []Step{
 			with(step("a", 1, 4), func(s *Step) { s.Priority = 1 }), step("b", 1, 4),
-		}, workers: workers(4), want: []string{"b/0@w0"}, reason: ReasonNoRoom},
+		}, workers: workers(4), want: []string{"b/0@w0"}, reason: ReasonNoCapacity},
 		{name: "late step last", steps: []Step{
 			with(step("a", 1, 4), func(s *Step) { s.Lateness = 1 }), with(step("b", 1, 4), func(s *Step) { s.Priority = 2 }),
-		}, workers: workers(4), want: []string{"b/0@w0"}, reason: ReasonNoRoom},
+		}, workers: workers(4), want: []string{"b/0@w0"}, reason: ReasonNoCapacity},
 		{name: "a gang starts whole", steps: []Step{gang(step("a", 3, 4))}, workers: workers(8, 4), want: []string{"a/0@w0", "a/1@w0", "a/2@w1"}},
-		{name: "a gang never starts in part", steps: []Step{gang(step("a", 3, 4))}, workers: workers(8), reason: ReasonNoRoom},
+		{name: "a gang never starts in part", steps: []Step{gang(step("a", 3, 4))}, workers: workers(8), reason: ReasonNoCapacity},
 		{name: "a gang within one rack", steps: []Step{with(gang(step("a", 2, 8)), func(s *Step) { s.Spec.SameRack = true })},
 			workers: workers(16, 0, 8, 8), want: []string{"a/0@w0", "a/1@w0"}},
 		{name: "maximum of tasks per worker", steps: []Step{with(step("a", 2, 1), func(s *Step) { s.Spec.MaxPerWorker = 1 })},
--- a/dispatch/reason.go
+++ b/dispatch/reason.go
@@ -18,7 +18,7 @@
 	if fitsOn(s, permitted, n, fitCountWithReserved) {
 		return ReasonReserved
 	}
-	return ReasonNoRoom
+	return ReasonNoCapacity
 }
 
 // unreservedGangReason says why a gang waits that has no reservation and can't query now.
@@ -112,7 +112,7 @@
 	case reason != "":
 		return reason
 	case !fits && !p.fitsUnreserved(s):
-		return ReasonNoRoom
+		return ReasonNoCapacity
 	case s.Spec.Gang:
 		return unreservedGangReason(s, p.permitted(s), left)
 	case !fits:
@@ -122,7 +122,7 @@
 	case p.fitsPermittedUnreserved(s):
 		return ReasonReserved
 	}
-	return ReasonNoRoom
+	return ReasonNoCapacity
 }
 
 // fitsPermittedUnreserved reports whether a task of s, which needs permits, would fit on a
--- a/dispatch/reason_test.go
+++ b/dispatch/reason_test.go
@@ -62,9 +62,9 @@
 		limits  Limits
 		want    Reason
 	}{
-		{"a task fits nowhere", []Step{step("a", 1, 4)}, workers(3, 2), limits, ReasonNoRoom},
-		{"a gang fits nowhere", []Step{waitingGang("a", 3, 4, both)}, workers(4, 4), limits, ReasonNoRoom},
-		{"a gang in free resources that are too fragmented", []Step{waitingGang("a", 2, 4, nil)}, workers(3, 3, 3), limits, ReasonNoRoom},
+		{"a task fits nowhere", []Step{step("a", 1, 4)}, workers(3, 2), limits, ReasonNoCapacity},
+		{"a gang fits nowhere", []Step{waitingGang("a", 3, 4, both)}, workers(4, 4), limits, ReasonNoCapacity},
+		{"a gang in free resources that are too fragmented", []Step{waitingGang("a", 2, 4, nil)}, workers(3, 3, 3), limits, ReasonNoCapacity},
 		{"a task in resources reserved for a gang", []Step{first, step("a", 1, 4)}, soon(workers(4, 4)), limits, ReasonReserved},
 		{"a gang in resources reserved for another gang", []Step{first, waitingGang("a", 2, 4, both)}, soon(workers(4, 4)), limits, ReasonReserved},
 		{"a gang after others that doesn't fit", append(gangsAhead(both), waitingGang("a", 9, 4, allExpired)), soon(workers(4, 0)), limits, ReasonGangCannotQuery},
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -138,7 +138,7 @@
 // Reasons, as explanations show them.
 const (
 	ReasonNoWorker      Reason = "no worker of the service meets the requirements"
-	ReasonNoRoom        Reason = "no room on a worker that may run the step"
+	ReasonNoCapacity    Reason = "no room on a worker that may run the step"
 	ReasonAwaitsAdviser Reason = "waiting for the adviser"
 	ReasonAllRefused    Reason = "the adviser permits no suitable worker"
 	ReasonMaxPerWorker  Reason = "each worker has as many tasks of the step as allowed"
--- a/internal/apiserver/apiserver_test.go
+++ b/internal/apiserver/apiserver_test.go
@@ -46,7 +46,7 @@
 			Crashes: []control.TaskCrashes{{Task: 2, Workers: []string{"w1", "w2"}, GivenUp: true}},
 		}},
 		Waiting: []control.StepExplanation{{
-			Key: key, Tasks: 1, Reason: dispatch.ReasonNoRoom, Permitted: 5, Refused: 6, Unknown: 7,
+			Key: key, Tasks: 1, Reason: dispatch.ReasonNoCapacity, Permitted: 5, Refused: 6, Unknown: 7,
 			Workers: []dispatch.ReasonCount{{Reason: dispatch.ReasonWorkerFull, Workers: 5, Example: "w1"}},
 		}},
 	}, f.err
@@ -140,7 +140,7 @@
 	must.Eq(t, int32(2), crashes.GetTask())
 	must.Eq(t, []string{"w1", "w2"}, crashes.GetWorkers())
 	must.True(t, crashes.GetGivenUp())
-	must.Eq(t, string(dispatch.ReasonNoRoom), explained.GetSteps()[0].GetReason())
+	must.Eq(t, string(dispatch.ReasonNoCapacity), explained.GetSteps()[0].GetReason())
 	must.Eq(t, int32(5), explained.GetSteps()[0].GetWorkers()[0].GetWorkers())
 	must.Eq(t, int32(7), explained.GetSteps()[0].GetUnknown())
 	queue, err := api.GetQueue(t.Context(), &apiv1.QueueRef{Queue: "q"})
--- a/internal/carrier/carrier_test.go
+++ b/internal/carrier/carrier_test.go
@@ -27,7 +27,7 @@
 		must.Eq(t, workerClockMS, clock)
 		must.Eq(t, []control.StartOrder{order}, c.workers["carrier-0"].starts)
 
-		report, err := c.forwarder.Poll(t.Context(), control.Target{Worker: "w"}, control.PollOrder{Seen: 41})
+		report, err := c.forwarder.Poll(t.Context(), control.Target{Worker: "w"}, control.PollOrder{LastEnd: 41})
 		must.NoError(t, err)
 		must.Eq(t, 42, report.Ended[0].Position)
 		must.Eq(t, workflow.OutcomeDone, report.Ended[0].Outcome)
--- a/internal/carrier/fake_test.go
+++ b/internal/carrier/fake_test.go
@@ -230,7 +230,7 @@
 	w.polls++
 	end := workflow.RunEnd{Task: workflow.TaskKey{StepKey: workflow.StepKey{Job: "j", Step: 1}, Index: 2}, Number: 3, Outcome: workflow.OutcomeDone}
 	return control.Report{
-		ClockMS: workerClockMS, Ended: []control.Ended{{Position: order.Seen + 1, RunEnd: end}},
+		ClockMS: workerClockMS, Ended: []control.Ended{{Position: order.LastEnd + 1, RunEnd: end}},
 		Running: []control.Running{{Task: workflow.TaskKey{StepKey: workflow.StepKey{Job: "k"}}, Number: 1, Percent: 40, Measured: 9}},
 	}, nil
 }
--- a/internal/cell/leader_term.go
+++ b/internal/cell/leader_term.go
@@ -192,7 +192,7 @@
 		}
 	})
 	for _, sample := range changes.Samples {
-		t.cluster.Learn(sample)
+		t.cluster.AddSample(sample)
 	}
 	for _, result := range changes.AttemptResults {
 		t.recordAttemptResult(result, c.now())
--- a/internal/cell/quota.go
+++ b/internal/cell/quota.go
@@ -178,7 +178,7 @@
 	if reply.Transfer.Sequence == 0 {
 		return
 	}
-	result, err := c.propose(ctx, &state.Command{Quota: &state.Quota{Take: &reply.Transfer}})
+	result, err := c.propose(ctx, &state.Command{Quota: &state.Quota{Credit: &reply.Transfer}})
 	if err != nil || result.Err != nil && !errors.Is(result.Err, quota.ErrDuplicate) {
 		return
 	}
@@ -243,13 +243,13 @@
 // applyTransferRequest commits the debit that a transfer request asks for, or the
 // acknowledgement alone if it asks for nothing.
 func (p *peerServer) applyTransferRequest(ctx context.Context, t *leaderTerm, request quota.TransferRequest) error {
-	step := &state.Quota{Forget: &request}
+	step := &state.Quota{Acknowledge: &request}
 	if len(request.Demands) > 0 {
 		var answer quota.DebitCommand
 		t.plannerMu.Lock()
 		p.machine.View(func(s *state.State) { answer = t.planner.DebitCommand(request, demandOf(s)) })
 		t.plannerMu.Unlock()
-		step = &state.Quota{Give: &answer}
+		step = &state.Quota{Debit: &answer}
 	}
 	// The reply tells of the ledger's refusals, such as nothing to transfer.
 	_, err := p.propose(ctx, &state.Command{Quota: step})
--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -15,7 +15,7 @@
 )
 
 // forwardInterval is how often a heartbeat that says nothing new goes on to the leader,
-// which would give a worker up after silentWorkerTimeout.
+// which would give a worker up after unresponsiveWorkerTimeout.
 const forwardInterval = 3 * time.Second
 
 // AnnounceKnown takes in a heartbeat on an instance that doesn't lead, and reports
@@ -34,7 +34,7 @@
 		return AnnouncementReply{}, false
 	}
 	now := time.Now()
-	if !c.heartbeatBuffer.buffer(r.Worker.ID, now) && !c.passedOn.recentlyForwarded(r.Worker.ID, now) {
+	if !c.heartbeatBuffer.buffer(r.Worker.ID, now) && !c.forwarded.recentlyForwarded(r.Worker.ID, now) {
 		return AnnouncementReply{}, false
 	}
 	return AnnouncementReply{HeartbeatAddress: c.cfg.Public}, true
@@ -55,7 +55,7 @@
 	if p.told.isRecent(worker, now) {
 		return true
 	}
-	p.told.note(worker, now)
+	p.told.record(worker, now)
 	return false
 }
 
@@ -97,7 +97,7 @@
 		t.logger.Log("event", "worker", "worker", r.Worker.ID, "address", r.Worker.Address,
 			"draining", r.Worker.Draining, "capacity", formatResources(r.Worker.Capacity), "sequence", r.Sequence, "labels", strings.Join(r.Worker.Labels, ","))
 	}
-	t.noteHeartbeat(&r.Worker, r.Remaining)
+	t.recordHeartbeat(&r.Worker, r.Remaining)
 	reply := AnnouncementReply{HeartbeatAddress: c.heartbeatAddress(r.Worker.ID)}
 	if c.heartbeats != nil && r.Report != nil && t.monitors(r.Worker.ID) {
 		orders := c.heartbeats.exchange(ctx, r.Worker.ID, t.fence, *r.Report)
@@ -133,6 +133,6 @@
 		return Empty{}, err
 	}
 	t.logger.Log("event", "worker_left", "worker", r.Worker)
-	t.noteLeaving(t.latestIncarnation(r.Worker, r.Name))
+	t.recordLeaving(t.latestIncarnation(r.Worker, r.Name))
 	return Empty{}, nil
 }
--- a/internal/control/calls.go
+++ b/internal/control/calls.go
@@ -148,7 +148,7 @@
 type TaskCrashes struct {
 	Task    int      `cbor:"1,keyasint"`
 	Workers []string `cbor:"2,keyasint"`
-	// GivenUp says that the job failed because of this task.
+	// Unmonitored says that the job failed because of this task.
 	GivenUp bool `cbor:"3,keyasint,omitempty"`
 }
 
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -75,7 +75,7 @@
 	log   node.Log
 	// heartbeats is nil if the leader calls workers.
 	heartbeats *heartbeatTransport
-	passedOn   forwardedHeartbeats
+	forwarded  forwardedHeartbeats
 	// heartbeatBuffer holds heartbeats that this instance received until the leader
 	// collects them.
 	heartbeatBuffer heartbeatBuffer
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -320,15 +320,15 @@
 		report.Running = append(report.Running, running)
 	}
 	for _, ended := range w.ended {
-		if ended.Position > order.Seen {
+		if ended.Position > order.LastEnd {
 			report.Ended = append(report.Ended, ended)
 		}
 	}
 	return report, nil
 }
 
-func (f *fakeWorkers) Ask(_ context.Context, call AskCall) (AskReply, error) {
-	reply := AskReply{Valid: time.Minute}
+func (f *fakeWorkers) Ask(_ context.Context, call AdviserQuery) (AdviserAnswer, error) {
+	reply := AdviserAnswer{Valid: time.Minute}
 	for _, worker := range call.Workers {
 		reply.Granted = append(reply.Granted, Grant{Worker: worker, Ticket: "t"})
 	}
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -203,7 +203,7 @@
 	}
 	t.mu.Unlock()
 	if err == nil && m.Worker != "" {
-		t.noteLeaving(m.Worker)
+		t.recordLeaving(m.Worker)
 	}
 	t.stepDownIfFenced(refused)
 }
--- a/internal/control/fresh_test.go
+++ b/internal/control/fresh_test.go
@@ -22,7 +22,7 @@
 	command.Submit.Policy.Advice = &workflow.AdvicePolicy{BaseMS: 1, PerWorkerMS: 0.1, TicketValidityMS: 2000}
 	_, err := ten.propose(command)
 	must.NoError(t, err)
-	ten.noteAccepted("a", time.Now())
+	ten.recordAccepted("a", time.Now())
 	for range 1000 {
 		started := 0
 		ten.c.state.read(func(s *workflow.State) { started = s.Task(task("a", 0)).Runs })
@@ -94,7 +94,7 @@
 	command.Submit.Policy.ObjectiveMS = objectiveMS
 	_, err := ten.propose(command)
 	must.NoError(t, err)
-	ten.noteAccepted(id, time.Now())
+	ten.recordAccepted(id, time.Now())
 }
 
 // runsOf counts the runs of a job's first task.
@@ -123,7 +123,7 @@
 func TestConstantLatencyToWorkersKeepsPollInterval(t *testing.T) {
 	ten := &leaderTerm{}
 	for range 200 {
-		ten.noteAnswerTime(20 * time.Millisecond)
+		ten.recordAnswerTime(20 * time.Millisecond)
 	}
 	must.Eq(t, pollPauseAfterEnds, (&workerSession{t: ten}).pauseAfterEnds())
 }
--- a/internal/control/heartbeat_buffer.go
+++ b/internal/control/heartbeat_buffer.go
@@ -46,14 +46,14 @@
 }
 
 // note records that the leader learns of a heartbeat now, and removes outdated entries.
-func (t *forwardTimes) note(worker string, now time.Time) {
+func (t *forwardTimes) record(worker string, now time.Time) {
 	if t.at == nil {
 		t.at = map[string]time.Time{}
 	}
 	t.at[worker] = now
-	if now.Sub(t.prunedAt) > silentWorkerTimeout {
+	if now.Sub(t.prunedAt) > unresponsiveWorkerTimeout {
 		t.prunedAt = now
-		maps.DeleteFunc(t.at, func(_ string, at time.Time) bool { return now.Sub(at) > silentWorkerTimeout })
+		maps.DeleteFunc(t.at, func(_ string, at time.Time) bool { return now.Sub(at) > unresponsiveWorkerTimeout })
 	}
 }
 
@@ -82,7 +82,7 @@
 	collected := make([]BufferedHeartbeat, 0, len(l.pending))
 	for worker, at := range l.pending {
 		collected = append(collected, BufferedHeartbeat{Worker: worker, Age: now.Sub(at)})
-		l.forwarded.note(worker, now)
+		l.forwarded.record(worker, now)
 	}
 	clear(l.pending)
 	return collected
@@ -129,6 +129,6 @@
 		}
 	})
 	if known != nil {
-		t.noteHeartbeat(known, 0)
+		t.recordHeartbeat(known, 0)
 	}
 }
--- a/internal/control/heartbeat_transport.go
+++ b/internal/control/heartbeat_transport.go
@@ -37,10 +37,10 @@
 	// answer.
 	Lease time.Duration `cbor:"1,keyasint,omitempty"`
 	// Seen is the position of the last end that the worker needn't list any more.
-	Seen   uint64         `cbor:"2,keyasint,omitempty"`
-	Fence  uint64         `cbor:"3,keyasint"`
-	Starts []StartOrder   `cbor:"4,keyasint,omitempty"`
-	Stops  []workflow.Run `cbor:"5,keyasint,omitempty"`
+	LastEnd uint64         `cbor:"2,keyasint,omitempty"`
+	Fence   uint64         `cbor:"3,keyasint"`
+	Starts  []StartOrder   `cbor:"4,keyasint,omitempty"`
+	Stops   []workflow.Run `cbor:"5,keyasint,omitempty"`
 	// NextIn is the time until the next heartbeat is due.
 	NextIn time.Duration `cbor:"6,keyasint"`
 }
@@ -188,7 +188,7 @@
 		box.fence, box.confirmed = fence, 0
 	}
 	box.answeredAt = now
-	orders := HeartbeatOrders{Fence: fence, Seen: box.poll.Seen, NextIn: heartbeatInterval}
+	orders := HeartbeatOrders{Fence: fence, LastEnd: box.poll.LastEnd, NextIn: heartbeatInterval}
 	if box.poll.LeaseEndMS > 0 {
 		lease := time.Duration(box.poll.LeaseEndMS-report.ClockMS)*time.Millisecond - heartbeatTimeout
 		orders.Lease = max(lease, 0)
--- a/internal/control/incarnations.go
+++ b/internal/control/incarnations.go
@@ -136,10 +136,10 @@
 	var stops errgroup.Group
 	stops.SetLimit(maxConcurrentStarts)
 	for _, run := range runs {
-		stops.Go(func() error { s.stopAtSuccessor(run, started.Add(silentWorkerTimeout)); return nil })
+		stops.Go(func() error { s.stopAtSuccessor(run, started.Add(unresponsiveWorkerTimeout)); return nil })
 	}
 	_ = stops.Wait()
-	listed := s.awaitSuccessorReport(started.Add(silentWorkerTimeout))
+	listed := s.awaitSuccessorReport(started.Add(unresponsiveWorkerTimeout))
 	s.t.logger.Log("event", "next_life", "worker", s.worker.ID, "runs", len(runs), "listed", listed,
 		"ms", time.Since(started).Milliseconds())
 }
--- a/internal/control/incarnations_test.go
+++ b/internal/control/incarnations_test.go
@@ -121,7 +121,7 @@
 	w.withWorker("n1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
 	w.eventually("the end is acknowledged", func() bool {
 		seen := false
-		w.withWorker("n1", func(f *fakeWorker) { seen = f.polls[len(f.polls)-1].Seen == 1 })
+		w.withWorker("n1", func(f *fakeWorker) { seen = f.polls[len(f.polls)-1].LastEnd == 1 })
 		return seen
 	})
 	w.withWorker("n1", func(f *fakeWorker) { f.answersLost = true })
@@ -131,7 +131,7 @@
 	w.eventually("the successor is monitored", func() bool { return w.isReady("n2") })
 	w.withWorker("n2", func(f *fakeWorker) {
 		for _, look := range f.polls {
-			must.Eq(t, 0, look.Seen)
+			must.Eq(t, 0, look.LastEnd)
 		}
 	})
 }
@@ -186,7 +186,7 @@
 	w.eventually("the successor is monitored", func() bool { return w.isReady("n2") })
 	w.withWorker("n2", func(f *fakeWorker) {
 		for _, look := range f.polls {
-			must.Eq(t, 0, look.Seen)
+			must.Eq(t, 0, look.LastEnd)
 		}
 	})
 }
--- a/internal/control/lanes.go
+++ b/internal/control/lanes.go
@@ -188,11 +188,11 @@
 	}
 }
 
-func (l *adviserPool) send(ctx context.Context, conn *adviserConn, call AskCall) (AskReply, error) {
+func (l *adviserPool) send(ctx context.Context, conn *adviserConn, call AdviserQuery) (AdviserAnswer, error) {
 	if conn.address == l.ownAddress {
 		return l.adviser.Ask(ctx, call)
 	}
-	var reply AskReply
+	var reply AdviserAnswer
 	err := l.client.Call(ctx, conn.address, MethodAsk, &call, &reply)
 	return reply, err
 }
--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -223,9 +223,9 @@
 	return s
 }
 
-// noteHeartbeat records a heartbeat of a worker and starts monitoring the worker if needed.
+// recordHeartbeat records a heartbeat of a worker and starts monitoring the worker if needed.
 // remaining is how long a draining worker keeps running at least, 0 if unknown.
-func (t *leaderTerm) noteHeartbeat(w *workflow.Worker, remaining time.Duration) {
+func (t *leaderTerm) recordHeartbeat(w *workflow.Worker, remaining time.Duration) {
 	gone := false
 	t.c.state.read(func(s *workflow.State) {
 		gone = s.Workers[w.ID] != nil && s.Workers[w.ID].Gone || s.Superseded(w)
@@ -268,8 +268,8 @@
 	}
 }
 
-// noteLeaving records that an incarnation announced its shutdown, and polls it at once.
-func (t *leaderTerm) noteLeaving(id string) {
+// recordLeaving records that an incarnation announced its shutdown, and polls it at once.
+func (t *leaderTerm) recordLeaving(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.sessions[id]; s != nil {
@@ -285,8 +285,8 @@
 	return t.startedJobs[job]
 }
 
-// noteAccepted records that a job was accepted and marks it as changed.
-func (t *leaderTerm) noteAccepted(job string, at time.Time) {
+// recordAccepted records that a job was accepted and marks it as changed.
+func (t *leaderTerm) recordAccepted(job string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.acceptedAt[job] = at
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -27,7 +27,7 @@
 	{dispatch.ReasonGangCannotQuery, "waiting_gangs_before"},
 	{dispatch.ReasonReserved, "waiting_kept"},
 	{dispatch.ReasonPreempting, "waiting_yielding"},
-	{dispatch.ReasonNoRoom, "waiting_room"},
+	{dispatch.ReasonNoCapacity, "waiting_room"},
 	{dispatch.ReasonNoWorker, "waiting_no_worker"},
 }
 
--- a/internal/control/load_test.go
+++ b/internal/control/load_test.go
@@ -64,7 +64,7 @@
 	v := &planInput{steps: []dispatch.Step{small, large, pendingStep("behind", 1, false)}, workers: fragmentedWorkers()}
 	v.workers[1].Free, v.workers[1].Reserved = workflow.Resources{MilliCPU: 1000, MemoryMB: 34_000, Accelerators: 1}, workflow.Resources{MilliCPU: 8000, MemoryMB: 16_000}
 	plan := &dispatch.Plan{BeyondBound: 1, Waiting: []dispatch.Waiting{
-		{Step: large.Key, Tasks: 9, Reason: dispatch.ReasonGangCannotQuery}, {Step: small.Key, Tasks: 2, Reason: dispatch.ReasonNoRoom},
+		{Step: large.Key, Tasks: 9, Reason: dispatch.ReasonGangCannotQuery}, {Step: small.Key, Tasks: 2, Reason: dispatch.ReasonNoCapacity},
 	}}
 	ten.updateWaiting(&dispatch.Plan{BeyondBound: 2, Waiting: plan.Waiting[:1]}, now)
 	now = now.Add(3 * time.Second)
@@ -136,7 +136,7 @@
 		ten.updateWaiting(plan, begin.Add(after))
 		return lines.String()
 	}
-	must.StrContains(t, at(0, dispatch.ReasonNoRoom, false), "waited_ms=0 earlier=\n")
+	must.StrContains(t, at(0, dispatch.ReasonNoCapacity, false), "waited_ms=0 earlier=\n")
 	must.Eq(t, "", at(100*time.Millisecond, dispatch.ReasonReserved, false), must.Sprint("a line was written just now"))
 	must.Eq(t, "", at(900*time.Millisecond, dispatch.ReasonAwaitsAdviser, false))
 	must.Eq(t, "", at(1100*time.Millisecond, dispatch.ReasonAwaitsAdviser, false), must.Sprint("each question is logged"))
--- a/internal/control/maintenance.go
+++ b/internal/control/maintenance.go
@@ -180,7 +180,7 @@
 		t.machines.maintenanceBegunAt[m.ID] = time.Now()
 		t.mu.Unlock()
 		if t.commitMaintenance(wave, m, workflow.MaintenanceBegun) == nil {
-			t.noteLeaving(m.Worker)
+			t.recordLeaving(m.Worker)
 		}
 	case !errors.As(err, &refused):
 	case refused.Reason == RefusedWave || refused.Reason == RefusedInvalid:
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -88,7 +88,7 @@
 		return
 	}
 	now := time.Now()
-	s.noteClock(clockMS, now)
+	s.recordClock(clockMS, now)
 	o := s.orders[run.Task]
 	if o != nil && o.run.Number == run.Number && o.stopAcked.IsZero() {
 		o.stopAcked = now
--- a/internal/control/permits.go
+++ b/internal/control/permits.go
@@ -75,7 +75,7 @@
 	ctx, cancel := context.WithTimeout(t.ctx, limit)
 	defer cancel()
 	start := time.Now()
-	reply, err := t.adviserConns.send(ctx, conn, AskCall{Step: question.Step, Workers: question.Workers})
+	reply, err := t.adviserConns.send(ctx, conn, AdviserQuery{Step: question.Step, Workers: question.Workers})
 	now := time.Now()
 	if reply.Valid == 0 {
 		reply.Valid = valid
@@ -127,7 +127,7 @@
 }
 
 // applyReport remembers an answer: whoever was asked about and isn't in it is refused.
-func (p *stepPermits) recordReply(asked []string, reply AskReply, expires time.Duration) {
+func (p *stepPermits) recordReply(asked []string, reply AdviserAnswer, expires time.Duration) {
 	known := maps.Clone(p.known)
 	for _, worker := range asked {
 		known[worker] = dispatch.Permit{}
--- a/internal/control/polls.go
+++ b/internal/control/polls.go
@@ -28,7 +28,7 @@
 // whenever its answer is lost. At four polls a second and worker, that would be two fifths
 // of the time.
 func (t *leaderTerm) losingCalls(now time.Time) bool {
-	return now.Sub(t.callLostAt) < lossWindow && !t.disabled.ShortLooks
+	return now.Sub(t.callLostAt) < lossWindow && !t.disabled.ShortPolls
 }
 
 // recordLostCall records that a call got no answer. The call counts as lost only if the
@@ -109,8 +109,8 @@
 	return min(max(least, overdueFactor*took), most)
 }
 
-// noteAnswerTime records how long a start took to be answered. t.mu is held.
-func (t *leaderTerm) noteAnswerTime(took time.Duration) {
+// recordAnswerTime records how long a start took to be answered. t.mu is held.
+func (t *leaderTerm) recordAnswerTime(took time.Duration) {
 	t.answerTime += time.Duration(answerTimeWeight * float64(took-t.answerTime))
 	if t.minAnswerTime == 0 || took < t.minAnswerTime {
 		t.minAnswerTime = took
--- a/internal/control/ports.go
+++ b/internal/control/ports.go
@@ -55,7 +55,7 @@
 type PollOrder struct {
 	Fence uint64 `cbor:"1,keyasint"`
 	// Seen is the position of the last end that the worker needn't list any more.
-	Seen uint64 `cbor:"2,keyasint,omitempty"`
+	LastEnd uint64 `cbor:"2,keyasint,omitempty"`
 	// LeaseEndMS extends the lease, in milliseconds on the worker's own clock; 0 leaves it
 	// unchanged.
 	LeaseEndMS int64 `cbor:"3,keyasint,omitempty"`
@@ -104,8 +104,8 @@
 	RefusedStaleRun Refusal = "old"
 	// RefusedLeaseExpired means that the lease in the order had expired.
 	RefusedLeaseExpired Refusal = "late"
-	// RefusedNoRoom means that the worker has too little free capacity.
-	RefusedNoRoom Refusal = "room"
+	// RefusedNoCapacity means that the worker has too little free capacity.
+	RefusedNoCapacity Refusal = "room"
 	// RefusedTicket means that the ticket isn't valid.
 	RefusedTicket Refusal = "ticket"
 	// RefusedInvalid means that the worker can't parse the order.
@@ -198,14 +198,14 @@
 	Ticket string `cbor:"2,keyasint"`
 }
 
-// AskCall is a query to the adviser. Any instance may send it.
-type AskCall struct {
+// AdviserQuery is a query to the adviser. Any instance may send it.
+type AdviserQuery struct {
 	Step    workflow.StepKey `cbor:"1,keyasint"`
 	Workers []string         `cbor:"2,keyasint"`
 }
 
-// AskReply lists the workers on which the step may run.
-type AskReply struct {
+// AdviserAnswer lists the workers on which the step may run.
+type AdviserAnswer struct {
 	Granted []Grant `cbor:"1,keyasint"`
 	// Valid is how long the tickets are valid, counted from the answer.
 	Valid time.Duration `cbor:"2,keyasint"`
@@ -214,7 +214,7 @@
 // Adviser permits steps to run on workers. It serves the calls of one machine one after
 // another.
 type Adviser interface {
-	Ask(ctx context.Context, call AskCall) (AskReply, error)
+	Ask(ctx context.Context, call AdviserQuery) (AdviserAnswer, error)
 }
 
 // Caller calls other instances; a link.Client is one.
--- a/internal/control/rough_test.go
+++ b/internal/control/rough_test.go
@@ -281,13 +281,13 @@
 		}
 		w.fence = o.Fence
 		w.extendLease(o.LeaseEndMS)
-		r.acknowledge(w, o.Seen)
+		r.acknowledge(w, o.LastEnd)
 		report = Report{}
 		for task, run := range w.running {
 			report.Running = append(report.Running, Running{Task: task, Number: run.number, Percent: r.random.IntN(100)})
 		}
 		for _, e := range w.ended {
-			if e.Position > o.Seen && len(report.Ended) < 20 {
+			if e.Position > o.LastEnd && len(report.Ended) < 20 {
 				report.Ended = append(report.Ended, e)
 			}
 		}
@@ -302,13 +302,13 @@
 	return answer, err
 }
 
-func (r *chaosWorkers) Ask(_ context.Context, call AskCall) (AskReply, error) {
+func (r *chaosWorkers) Ask(_ context.Context, call AdviserQuery) (AdviserAnswer, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.faultsOver && r.random.Float64() < 0.1 {
-		return AskReply{}, errInjected
+		return AdviserAnswer{}, errInjected
 	}
-	reply := AskReply{Valid: 200 * time.Millisecond}
+	reply := AdviserAnswer{Valid: 200 * time.Millisecond}
 	for _, worker := range call.Workers {
 		reply.Granted = append(reply.Granted, Grant{Worker: worker, Ticket: "t"})
 	}
--- a/internal/control/search_adviser_test.go
+++ b/internal/control/search_adviser_test.go
@@ -46,7 +46,7 @@
 }
 
 // Ask puts a question of the leader's own machine.
-func (a *simAdviser) Ask(ctx context.Context, call AskCall) (AskReply, error) {
+func (a *simAdviser) Ask(ctx context.Context, call AdviserQuery) (AdviserAnswer, error) {
 	return a.ask(ctx, ownAddress, call)
 }
 
@@ -55,15 +55,15 @@
 
 // Call puts a question through another instance.
 func (a *simAdviser) Call(ctx context.Context, address, _ string, request, reply any) error {
-	answer, err := a.ask(ctx, address, *request.(*AskCall))
-	*reply.(*AskReply) = answer
+	answer, err := a.ask(ctx, address, *request.(*AdviserQuery))
+	*reply.(*AdviserAnswer) = answer
 	return err
 }
 
-func (a *simAdviser) ask(ctx context.Context, lane string, call AskCall) (AskReply, error) {
+func (a *simAdviser) ask(ctx context.Context, lane string, call AdviserQuery) (AdviserAnswer, error) {
 	policy := a.policyOf(call.Step)
 	if policy == nil {
-		return AskReply{}, errNoAnswer
+		return AdviserAnswer{}, errNoAnswer
 	}
 	a.mu.Lock()
 	a.asked++
@@ -77,12 +77,12 @@
 	a.mu.Unlock()
 	if lost {
 		<-ctx.Done()
-		return AskReply{}, errNoAnswer
+		return AdviserAnswer{}, errNoAnswer
 	}
 	if !wait.For(ctx, time.Until(end)) {
-		return AskReply{}, errNoAnswer
+		return AdviserAnswer{}, errNoAnswer
 	}
-	reply := AskReply{Valid: time.Duration(policy.TicketValidityMS) * time.Millisecond}
+	reply := AdviserAnswer{Valid: time.Duration(policy.TicketValidityMS) * time.Millisecond}
 	for _, worker := range call.Workers {
 		if a.permits(call.Step, worker) {
 			reply.Granted = append(reply.Granted, Grant{Worker: worker, Ticket: ticketFor(call.Step, worker, time.Now().Add(reply.Valid))})
--- a/internal/control/search_look_test.go
+++ b/internal/control/search_look_test.go
@@ -32,7 +32,7 @@
 	}
 	r.holdPoll(ctx, changed, o.Wait)
 	r.mu.Lock()
-	gone, report := w.gone, r.report(w, o.Seen)
+	gone, report := w.gone, r.report(w, o.LastEnd)
 	r.mu.Unlock()
 	if f.unanswered || f.late > 0 || gone {
 		<-ctx.Done()
@@ -53,8 +53,8 @@
 	}
 	w.fence = o.Fence
 	w.extendLease(o.LeaseEndMS, time.Now())
-	r.acknowledge(w, o.Seen)
-	if uint64(len(w.ended)) > o.Seen {
+	r.acknowledge(w, o.LastEnd)
+	if uint64(len(w.ended)) > o.LastEnd {
 		return nil, nil
 	}
 	return w.changed, nil
--- a/internal/control/search_worker_test.go
+++ b/internal/control/search_worker_test.go
@@ -246,7 +246,7 @@
 	case !r.faultsOver && now.Before(w.refusingUntil):
 		return &RefusedError{RefusedUnhealthy}
 	case !r.faultsOver && seededFloat(r.seed, "refused", key, r.calls[key]) < r.params.faults.refused:
-		return &RefusedError{RefusedNoRoom}
+		return &RefusedError{RefusedNoCapacity}
 	case o.Ticket != "" && !ticketHolds(o.Ticket, task.StepKey, w.ID):
 		return &RefusedError{RefusedTicket}
 	}
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -125,7 +125,7 @@
 	}
 	known := result.Submit == workflow.SubmitKnown
 	if !known {
-		t.noteAccepted(id, start)
+		t.recordAccepted(id, start)
 		c.cfg.Counters.Add("jobs_accepted", 1)
 	}
 	t.logger.Log("event", "submit", "job", id, "queue", queue.Name, "outcome", "accepted", "known", known,
--- a/internal/control/session.go
+++ b/internal/control/session.go
@@ -33,9 +33,9 @@
 	commitRetryInterval = 50 * time.Millisecond
 	// retryInterval is the pause between two calls of a worker that doesn't answer.
 	retryInterval = 300 * time.Millisecond
-	// silentWorkerTimeout is how long after its last heartbeat an unresponsive worker
+	// unresponsiveWorkerTimeout is how long after its last heartbeat an unresponsive worker
 	// without runs is still monitored.
-	silentWorkerTimeout = 15 * time.Second
+	unresponsiveWorkerTimeout = 15 * time.Second
 )
 
 // workerSession monitors one incarnation of a worker during a leader term. Its goroutine
@@ -169,8 +169,8 @@
 	return end
 }
 
-// noteClock records the worker's clock from an answer that has just arrived. t.mu is held.
-func (s *workerSession) noteClock(clockMS int64, now time.Time) {
+// recordClock records the worker's clock from an answer that has just arrived. t.mu is held.
+func (s *workerSession) recordClock(clockMS int64, now time.Time) {
 	s.recordAnswer(now)
 	if s.clockJumped(clockMS, now) {
 		s.incarnationUnconfirmed = true
@@ -248,14 +248,14 @@
 	order := PollOrder{Fence: t.fence}
 	t.c.state.read(func(state *workflow.State) {
 		if w := state.Workers[s.worker.ID]; w != nil {
-			order.Seen = w.LastEnd
+			order.LastEnd = w.LastEnd
 		}
 	})
 	t.mu.Lock()
 	hold, slack := s.pollTimes(now)
 	if s.mayBeOtherIncarnation() {
 		// This incarnation hasn't reported any end yet, and its clock is a different one.
-		order.Seen = 0
+		order.LastEnd = 0
 	} else if s.ready && now.Sub(s.answeredAt) < callTimeout {
 		order.LeaseEndMS = s.leaseEndMS(now)
 		order.Wait = hold
@@ -278,7 +278,7 @@
 	t.mu.Lock()
 	wasReady, leaving := s.ready, s.leaving
 	leaseExpired := now.After(s.leaseEnd)
-	noHeartbeat := now.Sub(s.heartbeatAt) > silentWorkerTimeout
+	noHeartbeat := now.Sub(s.heartbeatAt) > unresponsiveWorkerTimeout
 	if now.Sub(s.answeredAt) > maxAnswerAge {
 		s.ready = false
 	}
@@ -299,7 +299,7 @@
 		return false
 	}
 	if unresolved := s.unresolvedRuns(); len(unresolved) > 0 {
-		t.commitWithRetry(&workflow.Command{Ends: &workflow.RunEnds{Worker: s.worker.ID, GivenUp: true}})
+		t.commitWithRetry(&workflow.Command{Ends: &workflow.RunEnds{Worker: s.worker.ID, Unmonitored: true}})
 		t.logEndedJobs(unresolved)
 	}
 	t.mu.Lock()
--- a/internal/control/settle_test.go
+++ b/internal/control/settle_test.go
@@ -215,7 +215,7 @@
 	term.mu.Lock()
 	s, o := term.sessions["w1"], term.sessions["w1"].orders[task("a", 0)]
 	term.mu.Unlock()
-	s.settleStartAttempts(o, []error{errNoAnswer, &RefusedError{RefusedNoRoom}})
+	s.settleStartAttempts(o, []error{errNoAnswer, &RefusedError{RefusedNoCapacity}})
 	runs := 0
 	w.c.state.read(func(s *workflow.State) { runs = len(s.Runs["w1"]) })
 	must.Eq(t, 1, runs)
@@ -260,15 +260,15 @@
 	term := &leaderTerm{}
 	must.Eq(t, minOverdueTime, term.overdueAfter())
 	for range 200 {
-		term.noteAnswerTime(5 * time.Millisecond)
+		term.recordAnswerTime(5 * time.Millisecond)
 	}
 	must.Eq(t, minOverdueTime, term.overdueAfter())
 	for range 200 {
-		term.noteAnswerTime(25 * time.Millisecond)
+		term.recordAnswerTime(25 * time.Millisecond)
 	}
 	must.Greater(t, 190*time.Millisecond, term.overdueAfter())
 	for range 200 {
-		term.noteAnswerTime(time.Second)
+		term.recordAnswerTime(time.Second)
 	}
 	must.Eq(t, callTimeout/2, term.overdueAfter())
 }
--- a/internal/control/starts.go
+++ b/internal/control/starts.go
@@ -226,8 +226,8 @@
 	if err != nil {
 		return err
 	}
-	s.noteClock(clockMS, now)
-	t.noteAnswerTime(now.Sub(sent))
+	s.recordClock(clockMS, now)
+	t.recordAnswerTime(now.Sub(sent))
 	o.unanswered = false
 	if o.startedAt.IsZero() {
 		o.startedAt = now
--- a/internal/control/throttle.go
+++ b/internal/control/throttle.go
@@ -139,7 +139,7 @@
 		t.logger.Log("event", "throttle", "task", o.run.Task, "run", o.run.Number, "worker", s.worker.ID, "share", share, "err", err)
 		return
 	}
-	s.noteClock(clockMS, time.Now())
+	s.recordClock(clockMS, time.Now())
 	o.share = share
 	if share > 0 {
 		o.pausedAt = time.Time{}
--- a/internal/instance/process.go
+++ b/internal/instance/process.go
@@ -182,7 +182,7 @@
 		internalAddress: s.internal(s.Address), client: link.NewClient(budget.ToInstances), mux: link.NewMux(),
 		deployment: newDeploymentClient(addresses),
 	}
-	link.Handle(n.mux, control.MethodAsk, func(ctx context.Context, call *control.AskCall) (control.AskReply, error) {
+	link.Handle(n.mux, control.MethodAsk, func(ctx context.Context, call *control.AdviserQuery) (control.AdviserAnswer, error) {
 		return n.deployment.Ask(ctx, *call)
 	})
 	n.gateway = gateway.New(n.client, n.internalAddress, s.seedAddresses(), p.logger)
--- a/internal/state/change.go
+++ b/internal/state/change.go
@@ -329,20 +329,20 @@
 func (s *State) applyQuota(c *Quota) Result {
 	s.changes.Quota = true
 	switch {
-	case c.Give != nil:
-		transfer, err := s.ledger.Debit(*c.Give, s.Used)
+	case c.Debit != nil:
+		transfer, err := s.ledger.Debit(*c.Debit, s.Used)
 		if err == nil {
 			s.recordEvent("quota given", fmt.Sprintf("transfer %d to %s", transfer.Sequence, transfer.To))
 		}
 		return Result{Err: err}
-	case c.Take != nil:
-		err := s.ledger.Credit(*c.Take)
+	case c.Credit != nil:
+		err := s.ledger.Credit(*c.Credit)
 		if err == nil {
-			s.recordEvent("quota taken", fmt.Sprintf("transfer %d from %s", c.Take.Sequence, c.Take.From))
+			s.recordEvent("quota taken", fmt.Sprintf("transfer %d from %s", c.Credit.Sequence, c.Credit.From))
 		}
 		return Result{Err: err}
-	case c.Forget != nil:
-		s.ledger.Acknowledge(*c.Forget)
+	case c.Acknowledge != nil:
+		s.ledger.Acknowledge(*c.Acknowledge)
 	}
 	return Result{}
 }
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -199,9 +199,9 @@
 	// Give debits this data centre for a transfer that another one requested,
 	// Take credits a received transfer, and Forget drops a transfer that the
 	// request acknowledges.
-	Give   *quota.DebitCommand    `cbor:"1,keyasint,omitempty"`
-	Take   *quota.Transfer        `cbor:"2,keyasint,omitempty"`
-	Forget *quota.TransferRequest `cbor:"3,keyasint,omitempty"`
+	Debit       *quota.DebitCommand    `cbor:"1,keyasint,omitempty"`
+	Credit      *quota.Transfer        `cbor:"2,keyasint,omitempty"`
+	Acknowledge *quota.TransferRequest `cbor:"3,keyasint,omitempty"`
 }
 
 // Prune deletes jobs, request records and handover answers that ended or were
--- a/placement/arrivals/replay.go
+++ b/placement/arrivals/replay.go
@@ -447,7 +447,7 @@
 // reportSample passes the measurements of a finished task to the cluster.
 func (r *replay) reportSample(j *job) {
 	a := j.arrival.Job
-	r.cluster.Learn(placement.Sample{Customer: a.Customer, Name: a.Name, Declared: a.Runtime, Measured: j.arrival.ActualRuntime, Need: a.Need, Peak: j.arrival.Peak})
+	r.cluster.AddSample(placement.Sample{Customer: a.Customer, Name: a.Name, Declared: a.Runtime, Measured: j.arrival.ActualRuntime, Need: a.Need, Peak: j.arrival.Peak})
 }
 
 // countUnfinished counts the jobs that are still unfinished as missed.
--- a/placement/cluster_test.go
+++ b/placement/cluster_test.go
@@ -358,14 +358,14 @@
 	addWorkers(c, 1, cores(8), 1)
 	j := newBatchJob("a", "x", 1, cores(2), time.Minute, time.Hour)
 	for range 100 {
-		c.Learn(Sample{Customer: "x", Name: "name", Declared: time.Minute, Measured: 4 * time.Minute, Need: cores(2), Peak: cores(3)})
+		c.AddSample(Sample{Customer: "x", Name: "name", Declared: time.Minute, Measured: 4 * time.Minute, Need: cores(2), Peak: cores(3)})
 	}
 	run := c.estimator.runtime("x", "name", time.Minute)
 	must.Between(t, 3.7, run.high.Minutes(), 4.3)
 	must.EqOp(t, cores(3), c.NeedOf(j))
 	must.EqOp(t, cores(2), c.NeedOf(Job{Customer: "x", Name: "other", Need: cores(2)}))
 	must.EqOp(t, cores(8), c.NeedOf(Job{Customer: "x", Name: "name", Need: cores(7)}))
-	c.Learn(Sample{Customer: "x", Name: "frugal", Declared: time.Minute, Measured: time.Minute, Need: cores(2), Peak: cores(1)})
+	c.AddSample(Sample{Customer: "x", Name: "frugal", Declared: time.Minute, Measured: time.Minute, Need: cores(2), Peak: cores(1)})
 	must.EqOp(t, cores(2), c.NeedOf(Job{Customer: "x", Name: "frugal", Need: cores(2)}))
 }
 
--- a/placement/estimate.go
+++ b/placement/estimate.go
@@ -105,7 +105,7 @@
 
 // Learn adds the measured run of a finished task to the estimates. Samples
 // without a declared run time are ignored.
-func (c *Cluster) Learn(s Sample) {
+func (c *Cluster) AddSample(s Sample) {
 	if s.Declared <= 0 || s.Measured < 0 {
 		return
 	}
--- a/placement/state_machine_test.go
+++ b/placement/state_machine_test.go
@@ -97,7 +97,7 @@
 
 func (m *stateMachine) Learn(t *rapid.T) {
 	need := m.amount(t, 4)
-	m.c.Learn(Sample{Customer: "a", Name: "n", Declared: time.Minute, Measured: time.Duration(rapid.IntRange(1, 600).Draw(t, "measured")) * time.Second,
+	m.c.AddSample(Sample{Customer: "a", Name: "n", Declared: time.Minute, Measured: time.Duration(rapid.IntRange(1, 600).Draw(t, "measured")) * time.Second,
 		Need: need, Peak: need.times(rapid.Int64Range(0, 2).Draw(t, "peak"))})
 }
 
--- a/workflow/apply.go
+++ b/workflow/apply.go
@@ -36,9 +36,9 @@
 	Ends    []RunEnd `cbor:"3,keyasint"`
 	// Returned says that the worker has answered again after its lease had expired.
 	Returned bool `cbor:"4,keyasint,omitempty"`
-	// GivenUp says that the worker has been unresponsive for so long that it is no longer
+	// Unmonitored says that the worker has been unresponsive for so long that it is no longer
 	// monitored: runs that ended with its lease count as ended by a crash.
-	GivenUp bool `cbor:"5,keyasint,omitempty"`
+	Unmonitored bool `cbor:"5,keyasint,omitempty"`
 }
 
 // Encode returns the command as the log stores it.
@@ -249,7 +249,7 @@
 		if e.Returned {
 			s.dropUnresolved(worker)
 		}
-		if e.GivenUp {
+		if e.Unmonitored {
 			s.countUnresolvedAsCrashes(worker)
 		}
 	}
--- a/workflow/crash_test.go
+++ b/workflow/crash_test.go
@@ -125,7 +125,7 @@
 	c.end(Run{Task: key(0, 0), Number: maxCrashes + 1, Worker: "w1"}, OutcomeCrashed, SuspicionWeak)
 	for _, run := range runs[1:] {
 		must.False(t, c.failed())
-		c.s.Apply(13, &Command{Ends: &RunEnds{Worker: run.Worker, GivenUp: true}})
+		c.s.Apply(13, &Command{Ends: &RunEnds{Worker: run.Worker, Unmonitored: true}})
 	}
 	must.True(t, c.failed())
 }
