--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -15,10 +15,10 @@
 // BenchmarkAddedLatency measures one caller after the other, to the minion
 // itself and through the handler.
 func BenchmarkAddedLatency(b *testing.B) {
-	h := startTestCluster(b, nil)
+	cluster := startTestCluster(b, nil)
 	m := startMinion(b, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
-	h.announce(m)
-	urls := map[string]string{"direct": m.server.URL, "proxied": h.server.URL + Prefix + testService}
+	cluster.announce(m)
+	urls := map[string]string{"direct": m.server.URL, "proxied": cluster.server.URL + Prefix + testService}
 	for _, route := range []string{"direct", "proxied"} {
 		b.Run(route, func(b *testing.B) {
 			times := hdrhistogram.New(1, time.Second.Microseconds(), 3)
@@ -38,18 +38,18 @@
 
 // BenchmarkThroughput measures many callers at once on ten minions.
 func BenchmarkThroughput(b *testing.B) {
-	h := startTestCluster(b, func(c *Config) {
-		c.Balancer = routing.NewBalancer(routing.Options{Entry: "e1", Incarnation: 1, MaxWait: 5 * time.Second})
+	cluster := startTestCluster(b, func(cfg *Config) {
+		cfg.Balancer = routing.NewBalancer(routing.Options{Entry: "e1", Incarnation: 1, MaxWait: 5 * time.Second})
 	})
 	for range 10 {
-		h.announce(startMinion(b, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }))
+		cluster.announce(startMinion(b, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }))
 	}
 	work := make(chan struct{})
 	var callers sync.WaitGroup
 	for range concurrentCallers {
 		callers.Go(func() {
 			for range work {
-				if got := h.do(nil, http.MethodGet, "/tag", nil); got.status != http.StatusOK {
+				if got := cluster.do(nil, http.MethodGet, "/tag", nil); got.status != http.StatusOK {
 					b.Error(got.status, got.err, got.body)
 				}
 			}
--- a/internal/proxy/cluster_test.go
+++ b/internal/proxy/cluster_test.go
@@ -22,41 +22,41 @@
 // request and says nothing. An idempotent one is answered by another minion,
 // the other gets its final answer by its deadline.
 func TestRequestToHangingMinionEndsByItsDeadline(t *testing.T) {
-	h := startTestCluster(t, nil)
+	cluster := startTestCluster(t, nil)
 	release := make(chan struct{})
 	defer close(release)
-	h.announce(startMinion(t, func(_ http.ResponseWriter, r *http.Request) {
+	cluster.announce(startMinion(t, func(_ http.ResponseWriter, r *http.Request) {
 		select {
 		case <-release:
 		case <-r.Context().Done():
 		}
 	}))
 	header := http.Header{HeaderDeadline: {"200"}}
-	must.Eq(t, fault.Unknown.String(), h.do(header, http.MethodGet, "/x", nil).kind)
-	h.announce(startMinion(t, func(http.ResponseWriter, *http.Request) {}))
+	must.Eq(t, fault.Unknown.String(), cluster.do(header, http.MethodGet, "/x", nil).kind)
+	cluster.announce(startMinion(t, func(http.ResponseWriter, *http.Request) {}))
 	header = http.Header{HeaderDeadline: {"4000"}, HeaderIdempotent: {"true"}}
 	for range 4 {
-		must.Eq(t, http.StatusOK, h.do(header, http.MethodGet, "/x", nil).status)
+		must.Eq(t, http.StatusOK, cluster.do(header, http.MethodGet, "/x", nil).status)
 	}
 }
 
 // Refused callers come back together and are refused together.
 func TestRetryAfterOfRefusedCallersIsSpread(t *testing.T) {
-	h := startTestCluster(t, func(c *Config) {
-		c.Balancer = routing.NewBalancer(routing.Options{Entry: "e1", Incarnation: 1, SlowStart: time.Nanosecond})
+	cluster := startTestCluster(t, func(cfg *Config) {
+		cfg.Balancer = routing.NewBalancer(routing.Options{Entry: "e1", Incarnation: 1, SlowStart: time.Nanosecond})
 	})
 	unblock := make(chan struct{})
-	h.announce(startMinion(t, func(http.ResponseWriter, *http.Request) { <-unblock }))
+	cluster.announce(startMinion(t, func(http.ResponseWriter, *http.Request) { <-unblock }))
 	var callers sync.WaitGroup
 	for range testSlots {
-		callers.Go(func() { h.do(nil, http.MethodGet, "/x", nil) })
+		callers.Go(func() { cluster.do(nil, http.MethodGet, "/x", nil) })
 	}
-	for h.handler.Stats().Running < testSlots {
+	for cluster.handler.Stats().Running < testSlots {
 		time.Sleep(time.Millisecond)
 	}
 	retryAfters := make(map[string]bool)
 	for range 10 {
-		req, err := http.NewRequest(http.MethodGet, h.server.URL+Prefix+testService+"/x", nil)
+		req, err := http.NewRequest(http.MethodGet, cluster.server.URL+Prefix+testService+"/x", nil)
 		must.NoError(t, err)
 		req.Header.Set(HeaderDeadline, "60")
 		resp, err := http.DefaultClient.Do(req)
@@ -81,24 +81,24 @@
 }
 
 func startEntryProcess(leader *Leader, id string, incarnation uint64) *entryProcess {
-	i := &entryProcess{handler: New(Config{
+	p := &entryProcess{handler: New(Config{
 		Balancer:     routing.NewBalancer(routing.Options{Entry: id, Incarnation: incarnation, Seed: incarnation}),
 		Authenticate: func(*http.Request) (string, error) { return "c", nil },
 	})}
-	i.server = httptest.NewServer(i.handler)
+	p.server = httptest.NewServer(p.handler)
 	ctx, stop := context.WithCancel(context.Background())
-	i.stop = stop
-	go i.handler.RenewSlotLeases(ctx, func(_ context.Context, r *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error) {
+	p.stop = stop
+	go p.handler.RenewSlotLeases(ctx, func(_ context.Context, r *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error) {
 		return leader.Allocate(r)
 	})
-	return i
+	return p
 }
 
 // kill ends an instance without a word to the leader.
-func (i *entryProcess) kill() {
-	i.server.CloseClientConnections()
-	i.stop()
-	i.server.Close()
+func (p *entryProcess) kill() {
+	p.server.CloseClientConnections()
+	p.stop()
+	p.server.Close()
 }
 
 // Entry instances are killed and started again under load, over real sockets.
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -37,43 +37,43 @@
 }
 
 // permit says whether the attempt may write to the connection.
-func (s *writeGuard) allowWrite(c *guardedConn) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.usedConn == c {
+func (g *writeGuard) allowWrite(c *guardedConn) error {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.usedConn == c {
 		return nil
 	}
-	if s.usedConn != nil {
+	if g.usedConn != nil {
 		return errAlreadySent
 	}
-	if s.now() >= s.validUntil {
-		s.expired = true
+	if g.now() >= g.validUntil {
+		g.expired = true
 		return errLeaseExpired
 	}
-	s.usedConn = c
+	g.usedConn = c
 	return nil
 }
 
 // wrote says whether any byte of the request may have left.
-func (s *writeGuard) wrote() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.usedConn != nil
+func (g *writeGuard) wrote() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.usedConn != nil
 }
 
 // expiredUnsent says whether the lease ended before the first byte.
-func (s *writeGuard) expiredUnsent() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.expired
+func (g *writeGuard) expiredUnsent() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.expired
 }
 
 // trace hands the connection that the transport picked to the sending.
-func (s *writeGuard) attachToConn(ctx context.Context) context.Context {
+func (g *writeGuard) attachToConn(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			if c, ok := info.Conn.(*guardedConn); ok {
-				c.guard.Store(s)
+				c.guard.Store(g)
 			}
 		},
 	})
@@ -89,11 +89,11 @@
 
 // Write writes for the attempt that holds the connection.
 func (c *guardedConn) Write(p []byte) (int, error) {
-	s := c.guard.Load()
-	if s == nil {
+	g := c.guard.Load()
+	if g == nil {
 		return 0, errNoRequest
 	}
-	if err := s.allowWrite(c); err != nil {
+	if err := g.allowWrite(c); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -72,48 +72,48 @@
 	if configure != nil {
 		configure(&cfg)
 	}
-	h := &testCluster{leader: NewLeader(routing.LeaseOptions{}, nil), handler: New(cfg)}
-	h.leader.Lead(1, nil)
-	h.leader.allocator.Lead(1, nil, -time.Hour) // nothing of a predecessor is left
-	h.server = httptest.NewServer(h.handler)
+	c := &testCluster{leader: NewLeader(routing.LeaseOptions{}, nil), handler: New(cfg)}
+	c.leader.Lead(1, nil)
+	c.leader.allocator.Lead(1, nil, -time.Hour) // nothing of a predecessor is left
+	c.server = httptest.NewServer(c.handler)
 	ctx, stop := context.WithCancel(context.Background())
-	h.stop = stop
-	h.ctx = ctx
-	h.background.Go(func() { h.handler.RenewSlotLeases(ctx, h.allocate) })
+	c.stop = stop
+	c.ctx = ctx
+	c.background.Go(func() { c.handler.RenewSlotLeases(ctx, c.allocate) })
 	tb.Cleanup(func() {
-		h.server.CloseClientConnections()
-		h.server.Close()
+		c.server.CloseClientConnections()
+		c.server.Close()
 		stop()
-		h.background.Wait()
+		c.background.Wait()
 	})
-	return h
+	return c
 }
 
-func (h *testCluster) allocate(_ context.Context, req *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error) {
-	return h.leader.Allocate(req)
+func (c *testCluster) allocate(_ context.Context, req *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error) {
+	return c.leader.Allocate(req)
 }
 
 // announce adds a minion and returns when its slots are granted.
-func (h *testCluster) announce(m *fakeMinion) {
-	h.minions++
+func (c *testCluster) announce(m *fakeMinion) {
+	c.minions++
 	a := &apiv1.AnnounceRequest{
-		Minion:         fmt.Sprintf("m%d", h.minions),
+		Minion:         fmt.Sprintf("m%d", c.minions),
 		Service:        testService,
 		Address:        m.address,
 		Slots:          testSlots,
 		MaxConnections: 60,
 		Incarnation:    1,
 	}
-	h.handler.Announce(a)
-	for h.handler.Stats().GrantedSlots < h.minions*testSlots {
+	c.handler.Announce(a)
+	for c.handler.Stats().GrantedSlots < c.minions*testSlots {
 		time.Sleep(time.Millisecond)
 	}
-	h.background.Go(func() {
-		for h.ctx.Err() == nil {
+	c.background.Go(func() {
+		for c.ctx.Err() == nil {
 			select {
-			case <-h.ctx.Done():
+			case <-c.ctx.Done():
 			case <-time.After(announceInterval):
-				h.handler.Announce(a)
+				c.handler.Announce(a)
 			}
 		}
 	})
@@ -129,8 +129,8 @@
 	err    error
 }
 
-func (h *testCluster) do(header http.Header, method, path string, body io.Reader) callerResponse {
-	req, err := http.NewRequest(method, h.server.URL+Prefix+testService+path, body)
+func (c *testCluster) do(header http.Header, method, path string, body io.Reader) callerResponse {
+	req, err := http.NewRequest(method, c.server.URL+Prefix+testService+path, body)
 	if err != nil {
 		return callerResponse{err: err}
 	}
@@ -147,14 +147,14 @@
 }
 
 func TestRequestReachesMinionWithoutToken(t *testing.T) {
-	h := startTestCluster(t, nil)
-	h.announce(startMinion(t, func(w http.ResponseWriter, r *http.Request) {
+	cluster := startTestCluster(t, nil)
+	cluster.announce(startMinion(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		fmt.Fprintf(w, "%s %s?%s %s token=%q customer=%q", r.Method, r.URL.EscapedPath(), r.URL.RawQuery, body,
 			r.Header.Get("Authorization"), r.Header.Get(HeaderCustomer))
 	}))
 	header := http.Header{"Authorization": {"rackwise"}, HeaderCustomer: {"forged"}}
-	got := h.do(header, http.MethodPost, "/tags/a%2Fb?x=1", strings.NewReader("hello"))
+	got := cluster.do(header, http.MethodPost, "/tags/a%2Fb?x=1", strings.NewReader("hello"))
 	must.NoError(t, got.err)
 	must.Eq(t, http.StatusOK, got.status)
 	must.Eq(t, `POST /tags/a%2Fb?x=1 hello token="" customer="rackwise"`, got.body)
@@ -164,9 +164,9 @@
 // after it has sent part of an answer, a short one with a length or a long one
 // in chunks.
 func TestTruncatedResponseNeverLooksComplete(t *testing.T) {
-	h := startTestCluster(t, nil)
+	cluster := startTestCluster(t, nil)
 	size := atomic.Int64{}
-	h.announce(startMinion(t, func(w http.ResponseWriter, _ *http.Request) {
+	cluster.announce(startMinion(t, func(w http.ResponseWriter, _ *http.Request) {
 		if size.Load() < defaultResponseBuffer {
 			w.Header().Set("Content-Length", fmt.Sprint(size.Load()))
 		}
@@ -175,19 +175,19 @@
 		panic(http.ErrAbortHandler)
 	}))
 	size.Store(100)
-	got := h.do(nil, http.MethodGet, "/report", nil)
+	got := cluster.do(nil, http.MethodGet, "/report", nil)
 	must.NoError(t, got.err)
 	must.Eq(t, fault.Unknown.String(), got.kind)
 	size.Store(8 * defaultResponseBuffer)
-	got = h.do(nil, http.MethodGet, "/report", nil)
+	got = cluster.do(nil, http.MethodGet, "/report", nil)
 	must.Error(t, got.err)
 }
 
 // The same with an answer that has neither length nor chunks: the end of the
 // connection is its only end, and a dying minion makes one too.
 func TestCloseDelimitedResponseCountsAsTruncated(t *testing.T) {
-	h := startTestCluster(t, nil)
-	h.announce(startMinion(t, func(w http.ResponseWriter, _ *http.Request) {
+	cluster := startTestCluster(t, nil)
+	cluster.announce(startMinion(t, func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
 			return
@@ -195,7 +195,7 @@
 		defer conn.Close()
 		_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf of it"))
 	}))
-	got := h.do(nil, http.MethodGet, "/report", nil)
+	got := cluster.do(nil, http.MethodGet, "/report", nil)
 	must.NoError(t, got.err)
 	must.Eq(t, fault.Unknown.String(), got.kind)
 }
@@ -204,7 +204,7 @@
 // and dies before it answers, and the HTTP transport sends the request again
 // by itself. GET is the worst case, since transports hold it for safe.
 func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
-	h := startTestCluster(t, nil)
+	cluster := startTestCluster(t, nil)
 	var dying atomic.Bool
 	m := startMinion(t, func(w http.ResponseWriter, _ *http.Request) {
 		if !dying.Load() {
@@ -215,30 +215,30 @@
 			conn.Close()
 		}
 	})
-	h.announce(m)
-	must.Eq(t, http.StatusOK, h.do(nil, http.MethodGet, "/checkin", nil).status)
+	cluster.announce(m)
+	must.Eq(t, http.StatusOK, cluster.do(nil, http.MethodGet, "/checkin", nil).status)
 	dying.Store(true)
 	before := m.served.Load()
 	for range 3 {
 		header := http.Header{"Idempotency-Key": {"k"}}
-		got := h.do(header, http.MethodGet, "/checkin", nil)
+		got := cluster.do(header, http.MethodGet, "/checkin", nil)
 		must.NoError(t, got.err)
 		must.StrContains(t, "Unknown Overloaded", got.kind)
 	}
 	must.LessEq(t, before+3, m.served.Load())
-	must.LessEq(t, int64(h.handler.Stats().Balancer.Started), m.served.Load())
+	must.LessEq(t, int64(cluster.handler.Stats().Balancer.Started), m.served.Load())
 }
 
 // A minion is gone but not yet known to be: connecting is refused. Nothing was
 // sent, so even a request that isn't idempotent goes on to another minion.
 func TestRefusedConnectionIsRetriedOnAnotherMinion(t *testing.T) {
-	h := startTestCluster(t, nil)
+	cluster := startTestCluster(t, nil)
 	dead := startMinion(t, func(http.ResponseWriter, *http.Request) {})
 	dead.server.Close()
-	h.announce(dead)
-	h.announce(startMinion(t, func(http.ResponseWriter, *http.Request) {}))
+	cluster.announce(dead)
+	cluster.announce(startMinion(t, func(http.ResponseWriter, *http.Request) {}))
 	for range 30 {
-		got := h.do(nil, http.MethodPost, "/tag", strings.NewReader("x"))
+		got := cluster.do(nil, http.MethodPost, "/tag", strings.NewReader("x"))
 		must.NoError(t, got.err)
 		must.Eq(t, http.StatusOK, got.status)
 	}
@@ -247,15 +247,15 @@
 // The caller hangs up while the minion works: the minion must see it, and no
 // answer goes anywhere else.
 func TestCallerDisconnectCancelsMinionRequest(t *testing.T) {
-	h := startTestCluster(t, nil)
+	cluster := startTestCluster(t, nil)
 	cancelled, started := make(chan struct{}), make(chan struct{})
-	h.announce(startMinion(t, func(_ http.ResponseWriter, r *http.Request) {
+	cluster.announce(startMinion(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(started)
 		<-r.Context().Done()
 		close(cancelled)
 	}))
 	ctx, hangUp := context.WithCancel(context.Background())
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, h.server.URL+Prefix+testService+"/x", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, cluster.server.URL+Prefix+testService+"/x", nil)
 	must.NoError(t, err)
 	go func() {
 		<-started
@@ -278,40 +278,40 @@
 // A rolling restart drops requests: the process exits while a minion still
 // works for a caller.
 func TestDrainFinishesRequestsInFlight(t *testing.T) {
-	h := startTestCluster(t, nil)
+	cluster := startTestCluster(t, nil)
 	started, unblock := make(chan struct{}), make(chan struct{})
-	h.announce(startMinion(t, func(w http.ResponseWriter, _ *http.Request) {
+	cluster.announce(startMinion(t, func(w http.ResponseWriter, _ *http.Request) {
 		close(started)
 		<-unblock
 		_, _ = io.WriteString(w, "whole")
 	}))
 	responses := make(chan callerResponse, 1)
-	go func() { responses <- h.do(nil, http.MethodGet, "/slow", nil) }()
+	go func() { responses <- cluster.do(nil, http.MethodGet, "/slow", nil) }()
 	waitFor(t, started)
-	h.handler.StopAccepting()
-	must.Eq(t, fault.Overloaded.String(), h.do(nil, http.MethodGet, "/new", nil).kind)
+	cluster.handler.StopAccepting()
+	must.Eq(t, fault.Overloaded.String(), cluster.do(nil, http.MethodGet, "/new", nil).kind)
 	short, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
-	must.Error(t, h.handler.Wait(short))
+	must.Error(t, cluster.handler.Wait(short))
 	close(unblock)
 	must.Eq(t, "whole", (<-responses).body)
-	must.NoError(t, h.handler.Wait(context.Background()))
-	h.stop()
-	h.background.Wait()
-	must.True(t, h.leader.allocator.Occupied("m1") == 0)
+	must.NoError(t, cluster.handler.Wait(context.Background()))
+	cluster.stop()
+	cluster.background.Wait()
+	must.True(t, cluster.leader.allocator.Occupied("m1") == 0)
 }
 
 // More requests than slots: the minion must never see more than its slots.
 func TestMinionNeverExceedsItsSlots(t *testing.T) {
-	h := startTestCluster(t, nil)
+	cluster := startTestCluster(t, nil)
 	m := startMinion(t, func(http.ResponseWriter, *http.Request) { time.Sleep(2 * time.Millisecond) })
-	h.announce(m)
+	cluster.announce(m)
 	var callers sync.WaitGroup
 	var answered atomic.Int64
 	for range 40 {
 		callers.Go(func() {
 			for range 10 {
-				if h.do(nil, http.MethodGet, "/x", nil).status == http.StatusOK {
+				if cluster.do(nil, http.MethodGet, "/x", nil).status == http.StatusOK {
 					answered.Add(1)
 				}
 			}
@@ -323,13 +323,13 @@
 }
 
 func TestOversizedBodiesAndInvalidHeadersAreRejected(t *testing.T) {
-	h := startTestCluster(t, func(c *Config) { c.MaxBody = 10 })
-	h.announce(startMinion(t, func(http.ResponseWriter, *http.Request) {}))
-	must.Eq(t, "Invalid", h.do(nil, http.MethodPost, "/x", strings.NewReader("longer than ten")).kind)
-	must.Eq(t, "Invalid", h.do(nil, http.MethodPost, "/x", struct{ io.Reader }{strings.NewReader("longer than ten")}).kind)
-	must.Eq(t, "Invalid", h.do(http.Header{HeaderDeadline: {"soon"}}, http.MethodGet, "/x", nil).kind)
-	must.Eq(t, "Invalid", h.do(http.Header{HeaderIdempotent: {"maybe"}}, http.MethodGet, "/x", nil).kind)
-	must.Eq(t, int64(0), h.handler.bufferedBytes.Load())
+	cluster := startTestCluster(t, func(cfg *Config) { cfg.MaxBody = 10 })
+	cluster.announce(startMinion(t, func(http.ResponseWriter, *http.Request) {}))
+	must.Eq(t, "Invalid", cluster.do(nil, http.MethodPost, "/x", strings.NewReader("longer than ten")).kind)
+	must.Eq(t, "Invalid", cluster.do(nil, http.MethodPost, "/x", struct{ io.Reader }{strings.NewReader("longer than ten")}).kind)
+	must.Eq(t, "Invalid", cluster.do(http.Header{HeaderDeadline: {"soon"}}, http.MethodGet, "/x", nil).kind)
+	must.Eq(t, "Invalid", cluster.do(http.Header{HeaderIdempotent: {"maybe"}}, http.MethodGet, "/x", nil).kind)
+	must.Eq(t, int64(0), cluster.handler.bufferedBytes.Load())
 }
 
 // A paused process wakes up after its slot lease ended and goes on to write
@@ -340,11 +340,11 @@
 	defer local.Close()
 	go func() { _, _ = io.Copy(io.Discard, remote) }()
 	now := time.Second
-	c := &guardedConn{Conn: local, onClose: func() {}}
-	s := &writeGuard{now: func() time.Duration { return now }, validUntil: time.Second}
-	c.guard.Store(s)
-	_, err := c.Write([]byte("GET"))
+	conn := &guardedConn{Conn: local, onClose: func() {}}
+	g := &writeGuard{now: func() time.Duration { return now }, validUntil: time.Second}
+	conn.guard.Store(g)
+	_, err := conn.Write([]byte("GET"))
 	must.ErrorIs(t, err, errLeaseExpired)
-	must.False(t, s.wrote())
-	must.True(t, s.expiredUnsent())
+	must.False(t, g.wrote())
+	must.True(t, g.expiredUnsent())
 }
