--- a/internal/instance/core.go
+++ b/internal/instance/core.go
@@ -112,12 +112,12 @@
 			Workers: n.deployment, DataCentre: p.settings.DataCentre, Counters: p.metrics,
 			CollectHeartbeats: func() []control.BufferedHeartbeat { return controller.CollectHeartbeats() },
 		})
-		spread := carrier.NewForwarder(carrier.ForwarderConfig{
+		forwarder := carrier.NewForwarder(carrier.ForwarderConfig{
 			OwnAddress: n.internalAddress, Members: cfg.Members, Transport: n.client, DirectWorkers: n.deployment,
-			ApplyHeartbeats: func(heard []control.BufferedHeartbeat) { controller.ApplyCollectedHeartbeats(heard) },
+			ApplyHeartbeats: func(heartbeats []control.BufferedHeartbeat) { controller.ApplyCollectedHeartbeats(heartbeats) },
 			Logger:          p.logger, Counters: p.metrics,
 		})
-		cfg.Workers, cfg.OnElected = spread, spread.Lead
+		cfg.Workers, cfg.OnElected = forwarder, forwarder.Lead
 	}
 	controller = control.New(cfg, machine, replicatedLog)
 	controller.Register(n.mux)
--- a/internal/instance/operations.go
+++ b/internal/instance/operations.go
@@ -37,9 +37,9 @@
 // shows the caller which version of the configuration was in force.
 func callForCaller[Request, Reply any](ctx context.Context, o *Operations, receivedAt time.Time, method string, request *Request,
 	callLocal func(*control.Controller, context.Context, *Request) (Reply, error)) (Reply, error) {
-	noteCtx, note := link.WithVersionRecorder(ctx)
-	if reply, err := tryLocal(noteCtx, o, request, callLocal); !errors.Is(err, link.ErrNotLeader) {
-		return reply, o.checkOrder(receivedAt, method, note.Version(), err)
+	recorderCtx, recorder := link.WithVersionRecorder(ctx)
+	if reply, err := tryLocal(recorderCtx, o, request, callLocal); !errors.Is(err, link.ErrNotLeader) {
+		return reply, o.checkOrder(receivedAt, method, recorder.Version(), err)
 	}
 	return gateway.CallForCaller[Reply](ctx, o.gateway, receivedAt, method, request)
 }
@@ -92,9 +92,9 @@
 	if c == nil {
 		return o.gateway.Ended(ctx, receivedAt, address)
 	}
-	noteCtx, note := link.WithVersionRecorder(ctx)
-	reply, err := c.Ended(noteCtx, &control.EndedCall{Address: address, Version: o.gateway.Version()})
-	known := err == nil && reply.Known && o.checkOrder(receivedAt, control.MethodState, note.Version(), nil) == nil
+	recorderCtx, recorder := link.WithVersionRecorder(ctx)
+	reply, err := c.Ended(recorderCtx, &control.EndedCall{Address: address, Version: o.gateway.Version()})
+	known := err == nil && reply.Known && o.checkOrder(receivedAt, control.MethodState, recorder.Version(), nil) == nil
 	return reply.Phase, known
 }
 
