--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -150,13 +150,13 @@
 }
 
 // forward makes the caller's call on the leader of a data centre.
-func forward[T any](ctx context.Context, e *Entry, dataCentre string, effort directory.CallOptions, call func(context.Context, clients) (T, error)) (T, error) {
+func forward[T any](ctx context.Context, e *Entry, dataCentre string, options directory.CallOptions, call func(context.Context, clients) (T, error)) (T, error) {
 	var answer T
 	ctx, err := rpc.Forward(ctx)
 	if err != nil {
 		return answer, err
 	}
-	err = e.base.Directory.CallLeader(ctx, dataCentre, effort, func(ctx context.Context, base string) error {
+	err = e.base.Directory.CallLeader(ctx, dataCentre, options, func(ctx context.Context, base string) error {
 		var err error
 		answer, err = call(ctx, e.clientsOf(base))
 		return err
@@ -207,8 +207,8 @@
 		if e.ready.Load() {
 			request.WaitMs = hold.Milliseconds()
 		}
-		effort := directory.CallOptions{AttemptTimeout: hold + holdMargin}
-		err = e.base.Directory.CallLeader(authCtx, e.base.Instance.DataCentre, effort, func(ctx context.Context, base string) error {
+		options := directory.CallOptions{AttemptTimeout: hold + holdMargin}
+		err = e.base.Directory.CallLeader(authCtx, e.base.Instance.DataCentre, options, func(ctx context.Context, base string) error {
 			var err error
 			adopted, err = e.clientsOf(base).peer.FetchConfig(ctx, request)
 			return err
--- a/internal/entry/gateway.go
+++ b/internal/entry/gateway.go
@@ -26,10 +26,10 @@
 	}
 	hold := min(time.Duration(r.HoldMs)*time.Millisecond, time.Duration(e.base.Settings.Timing.RenewHold))
 	holdUntil := time.Now().Add(hold)
-	effort := directory.CallOptions{SearchTimeout: electionTimeout, AttemptTimeout: hold + holdMargin}
+	options := directory.CallOptions{SearchTimeout: electionTimeout, AttemptTimeout: hold + holdMargin}
 	ctx, cancel := e.cancelOnDrain(ctx)
 	defer cancel()
-	return forward(ctx, e, e.base.Instance.DataCentre, effort, func(ctx context.Context, c clients) (*apiv1.RenewResponse, error) {
+	return forward(ctx, e, e.base.Instance.DataCentre, options, func(ctx context.Context, c clients) (*apiv1.RenewResponse, error) {
 		r.HoldMs = max(0, time.Until(holdUntil).Milliseconds())
 		return c.workers.Renew(ctx, r)
 	})
--- a/internal/entry/minions.go
+++ b/internal/entry/minions.go
@@ -52,8 +52,8 @@
 		return nil, err
 	}
 	var answer *apiv1.ShareSlotsResponse
-	effort := directory.CallOptions{AttemptTimeout: time.Duration(e.base.Settings.Timing.SlotLease) / 4}
-	err = e.base.Directory.CallLeader(ctx, e.base.Instance.DataCentre, effort, func(ctx context.Context, base string) error {
+	options := directory.CallOptions{AttemptTimeout: time.Duration(e.base.Settings.Timing.SlotLease) / 4}
+	err = e.base.Directory.CallLeader(ctx, e.base.Instance.DataCentre, options, func(ctx context.Context, base string) error {
 		var err error
 		answer, err = e.clientsOf(base).peer.ShareSlots(ctx, r)
 		return err
--- a/internal/entry/operations.go
+++ b/internal/entry/operations.go
@@ -133,8 +133,8 @@
 	for _, group := range groups {
 		request := proto.Clone(r).(*apiv1.ReplaceInstanceRequest)
 		request.Configuration = group == directory.Configuration
-		effort := directory.CallOptions{SearchTimeout: electionTimeout, AttemptTimeout: replaceAttemptTimeout}
-		answer, err := forward(ctx, e, group, effort, func(ctx context.Context, c clients) (*apiv1.ReplaceInstanceResponse, error) {
+		options := directory.CallOptions{SearchTimeout: electionTimeout, AttemptTimeout: replaceAttemptTimeout}
+		answer, err := forward(ctx, e, group, options, func(ctx context.Context, c clients) (*apiv1.ReplaceInstanceResponse, error) {
 			return c.operations.ReplaceInstance(ctx, request)
 		})
 		if err != nil {
--- a/internal/entry/scheduler.go
+++ b/internal/entry/scheduler.go
@@ -39,8 +39,8 @@
 	if err != nil {
 		return nil, err
 	}
-	effort := directory.CallOptions{SearchTimeout: electionTimeout, AttemptTimeout: submitAttemptTimeout}
-	return forward(ctx, e, home, effort, func(ctx context.Context, c clients) (*apiv1.SubmitResponse, error) {
+	options := directory.CallOptions{SearchTimeout: electionTimeout, AttemptTimeout: submitAttemptTimeout}
+	return forward(ctx, e, home, options, func(ctx context.Context, c clients) (*apiv1.SubmitResponse, error) {
 		return c.scheduler.Submit(ctx, r)
 	})
 }
@@ -90,20 +90,20 @@
 // Watch waits for a job to change.
 func (e *Entry) Watch(ctx context.Context, r *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
 	hold := time.Duration(r.WaitMs) * time.Millisecond
-	effort := directory.CallOptions{SearchTimeout: electionTimeout, AttemptTimeout: hold + directory.AttemptTimeout}
-	return callOwner(ctx, e, r.Id, effort, func(ctx context.Context, c clients) (*apiv1.StatusResponse, error) {
+	options := directory.CallOptions{SearchTimeout: electionTimeout, AttemptTimeout: hold + directory.AttemptTimeout}
+	return callOwner(ctx, e, r.Id, options, func(ctx context.Context, c clients) (*apiv1.StatusResponse, error) {
 		return c.scheduler.Watch(ctx, r)
 	})
 }
 
 // callOwner asks the data centre that an id was given in, and follows a job
 // that was handed over to the data centre where it lives now.
-func callOwner(ctx context.Context, e *Entry, id string, effort directory.CallOptions, call func(context.Context, clients) (*apiv1.StatusResponse, error)) (*apiv1.StatusResponse, error) {
+func callOwner(ctx context.Context, e *Entry, id string, options directory.CallOptions, call func(context.Context, clients) (*apiv1.StatusResponse, error)) (*apiv1.StatusResponse, error) {
 	home := state.HomeDataCentre(id)
 	if home == "" || !e.base.Directory.HasDataCentre(home) {
 		return nil, fault.New(fault.NotFound, "no job %q", id)
 	}
-	answer, err := forward(ctx, e, home, effort, call)
+	answer, err := forward(ctx, e, home, options, call)
 	if fault.Is(err, fault.Unavailable) {
 		return e.searchOtherDataCentres(ctx, home, err, call)
 	}
@@ -111,7 +111,7 @@
 		return nil, err
 	}
 	if owner := answer.Jobs[0].DataCentre; owner != home {
-		return forward(ctx, e, owner, effort, call)
+		return forward(ctx, e, owner, options, call)
 	}
 	return answer, nil
 }
@@ -197,8 +197,8 @@
 	for owner, ids := range owners {
 		request := proto.Clone(r).(*apiv1.CancelRequest)
 		request.Ids = ids
-		effort := directory.CallOptions{SearchTimeout: electionTimeout}
-		answer, err := forward(ctx, e, owner, effort, func(ctx context.Context, c clients) (*apiv1.CancelResponse, error) {
+		options := directory.CallOptions{SearchTimeout: electionTimeout}
+		answer, err := forward(ctx, e, owner, options, func(ctx context.Context, c clients) (*apiv1.CancelResponse, error) {
 			return c.scheduler.Cancel(ctx, request)
 		})
 		if err != nil {
