--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
-// BenchmarkAddedLatency measures one caller after the other, to the minion
-// itself and through the handler.
+// BenchmarkAddedLatency measures the latency of sequential requests, directly to
+// the minion and through the handler.
 func BenchmarkAddedLatency(b *testing.B) {
 	cluster := startTestCluster(b, nil)
 	m := startMinion(b, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
@@ -33,10 +33,11 @@
 	}
 }
 
-// concurrentCallers is under the slots of the minions.
+// concurrentCallers is less than the slots of the ten minions, so that no call
+// waits for a slot.
 const concurrentCallers = 48
 
-// BenchmarkThroughput measures many callers at once on ten minions.
+// BenchmarkThroughput measures concurrent callers on ten minions.
 func BenchmarkThroughput(b *testing.B) {
 	cluster := startTestCluster(b, func(cfg *Config) {
 		cfg.Balancer = routing.NewBalancer(routing.Options{Entry: "e1", Incarnation: 1, MaxWait: 5 * time.Second})
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -14,7 +14,7 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
-// call is one request of a caller.
+// call is one request of a caller, with all its attempts.
 type call struct {
 	h             *Handler
 	w             http.ResponseWriter
@@ -25,13 +25,15 @@
 	body          []byte
 	ticket        *routing.Ticket
 	waiter        *waiter
-	// sent says that any attempt wrote to a minion.
+	// sent is true once any attempt may have written to a minion.
 	sent bool
-	// patience ends the current attempt while no whole answer is there.
+	// attemptTimer cancels the current attempt if its response is not complete in
+	// time. It is stopped once the response is streamed.
 	attemptTimer *time.Timer
 }
 
-// newCall checks the request line and the headers.
+// newCall authenticates the caller, checks path and headers, and reserves memory
+// for the body. Its errors are faults.
 func (h *Handler) newCall(w http.ResponseWriter, r *http.Request) (*call, error) {
 	customer, err := h.cfg.Authenticate(r)
 	if err != nil {
@@ -60,9 +62,11 @@
 	return c, c.reserveBody()
 }
 
+// remaining returns the time until the deadline of the call.
 func (c *call) remaining() time.Duration { return c.request.Deadline - c.h.cfg.Now() }
 
-// reserve keeps room for the body, so that many large ones can't exhaust memory.
+// reserveBody reserves memory for the body within the limit of all bodies, so
+// that many large ones can't exhaust memory.
 func (c *call) reserveBody() error {
 	size := c.r.ContentLength
 	if size > c.h.cfg.MaxBody {
@@ -73,21 +77,24 @@
 	}
 	if c.h.bufferedBytes.Add(size) > c.h.cfg.MaxBuffered {
 		c.h.bufferedBytes.Add(-size)
-		return fault.Retry(fault.Overloaded, time.Second, "too many request bodies are held")
+		return fault.Retry(fault.Overloaded, time.Second, "the limit on memory for request bodies is reached")
 	}
 	c.reservedBytes = size
 	return nil
 }
 
+// releaseBody releases what reserveBody reserved.
 func (c *call) releaseBody() { c.h.bufferedBytes.Add(-c.reservedBytes) }
 
-// readBody reads the whole body within the time of the request.
+// readBody reads the whole body before the deadline of the call. Its errors are
+// faults.
 func (c *call) readBody() error {
 	if c.r.Body == nil || c.r.ContentLength == 0 {
 		return nil
 	}
 	control := http.NewResponseController(c.w)
-	// Test recorders have no deadlines; the limit on the body still holds.
+	// The ResponseWriter of a test may not support deadlines. The limit on the
+	// size of the body holds anyway.
 	_ = control.SetReadDeadline(time.Now().Add(c.remaining()))
 	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, c.h.cfg.MaxBody))
 	_ = control.SetReadDeadline(time.Time{})
@@ -98,10 +105,11 @@
 	if tooLarge := new(http.MaxBytesError); errors.As(err, &tooLarge) {
 		return fault.Field("body", "the limit is %d bytes", tooLarge.Limit)
 	}
-	return fault.Field("body", "not received whole")
+	return fault.Field("body", "incomplete: the connection ended or the deadline passed")
 }
 
-// serve queues the call, sends it to minions and answers.
+// serve queues the call, sends it to minions until an attempt is final, and
+// responds to the caller.
 func (c *call) serve(parent context.Context) {
 	c.h.withBalancer(func(b *routing.Balancer, now time.Duration) {
 		c.ticket = b.Submit(c.request, now)
@@ -119,8 +127,8 @@
 	}
 }
 
-// awaitSlot waits until the ticket is started. It returns false when the call
-// has had its final answer instead.
+// awaitSlot waits until the ticket is started. It returns false if the call was
+// rejected instead and the caller has the response.
 func (c *call) awaitSlot(ctx context.Context) bool {
 	for {
 		state, refusal, queueDeadline := c.ticketState()
@@ -146,14 +154,16 @@
 	}
 }
 
-// peek reads the ticket under the lock.
+// ticketState returns the state of the ticket, its refusal if any, and when it
+// must have left the queue.
 func (c *call) ticketState() (state routing.State, refusal *routing.Refusal, queueDeadline time.Duration) {
 	c.h.mu.Lock()
 	defer c.h.mu.Unlock()
 	return c.ticket.State(), c.ticket.Refusal(), c.h.balancer.QueueDeadline(c.ticket)
 }
 
-// cancelTicket ends the ticket of a caller that went away before anything was sent.
+// cancelTicket ends the ticket of a caller that disconnected while the call was
+// queued.
 func (c *call) cancelTicket() {
 	c.h.stats.callersGone.Add(1)
 	c.h.withBalancer(func(b *routing.Balancer, now time.Duration) {
@@ -162,21 +172,25 @@
 	})
 }
 
-// refuse answers with the reason of the refusal.
+// refuse responds with the reason of the refusal.
 func (c *call) refuse(refusal *routing.Refusal) {
 	if c.sent {
-		// An earlier attempt may have run, so this is no plain refusal.
+		// An earlier attempt may have run, so the caller must not learn that the
+		// request was rejected without effect.
 		c.h.fail(c.w, lostResponseFault(refusal.RetryAfter))
 		return
 	}
 	c.h.fail(c.w, refusalFault(refusal))
 }
 
-// lostResponseFault is the end of an idempotent request that may have run.
+// lostResponseFault is the error of an idempotent request that may have run and
+// has no response. The caller may retry it.
 func lostResponseFault(retryAfter time.Duration) error {
-	return fault.Retry(fault.Unavailable, retryAfter, "the answer was lost")
+	return fault.Retry(fault.Unavailable, retryAfter, "the response of the minion was lost")
 }
 
+// refusalFault returns the fault of a refused ticket: NotFound for an unknown
+// service, otherwise Overloaded.
 func refusalFault(refusal *routing.Refusal) error {
 	if refusal.Reason == routing.NoSuchService {
 		return fault.New(fault.NotFound, "%s", refusal.Error())
@@ -184,7 +198,8 @@
 	return fault.Retry(fault.Overloaded, refusal.RetryAfter, "%s", refusal.Error())
 }
 
-// try makes one attempt. It returns false when the call is queued again.
+// attempt makes one attempt on the minion of the ticket. It returns false if the
+// call is queued for a retry.
 func (c *call) attempt(parent context.Context) (done bool) {
 	var (
 		target   routing.Target
@@ -209,10 +224,10 @@
 	return c.forwardResponse(ctx, guard, resp)
 }
 
-// outgoing builds the request to the minion. It has no GetBody, so that the
-// transport can't rewind the body.
+// minionRequest builds the request to the minion. It has no GetBody, so that the
+// transport can't rewind the body and send it again.
 func (c *call) minionRequest(ctx context.Context, target routing.Target) *http.Request {
-	// The path was parsed before, so that it unescapes.
+	// The path is part of a parsed URL, so unescaping it does not fail.
 	unescaped, _ := url.PathUnescape(c.path)
 	out := &http.Request{
 		Method:     c.r.Method,
@@ -232,8 +247,9 @@
 	return out.WithContext(ctx)
 }
 
-// maxIdleConns is how many connections to the minion this entry instance may keep,
-// so that all entry instances together stay under the minion's limit.
+// maxIdleConns returns the number of connections to the minion above which this
+// entry instance closes a connection after its request, so that all entry
+// instances together stay under the minion's limit.
 func (h *Handler) maxIdleConns(target routing.Target) int {
 	if target.MaxConnections == 0 {
 		return defaultMaxIdleConns
@@ -241,11 +257,13 @@
 	return max(0, (target.MaxConnections-2*target.Slots)/h.cfg.MaxEntries)
 }
 
-// lost handles an attempt without an answer.
+// finishWithoutResponse ends an attempt that has no complete response. It returns
+// false if the call is queued for a retry.
 func (c *call) finishWithoutResponse(ctx context.Context, guard *writeGuard) (done bool) {
 	return c.finishOrRetry(c.failureOutcome(ctx, guard), guard.wrote())
 }
 
+// failureOutcome returns the outcome of an attempt without a complete response.
 func (c *call) failureOutcome(ctx context.Context, guard *writeGuard) routing.Outcome {
 	callerGone := c.r.Context().Err() != nil
 	wrote := guard.wrote()
@@ -263,8 +281,9 @@
 	}
 }
 
-// end finishes a failed attempt and tries again where that is safe: when no
-// byte of the request was written, or when the request is idempotent.
+// finishOrRetry ends a failed attempt. It returns false if it queued the call for
+// a retry, which is safe if no byte of the request was written or the request is
+// idempotent.
 func (c *call) finishOrRetry(o routing.Outcome, wrote bool) (done bool) {
 	callerGone := c.r.Context().Err() != nil
 	retried := false
@@ -286,7 +305,7 @@
 	return true
 }
 
-// failed answers a call whose last attempt failed.
+// answerFailure responds to a call whose last attempt failed.
 func (c *call) answerFailure() {
 	switch {
 	case !c.sent && c.refusal() != nil:
@@ -296,10 +315,11 @@
 	case c.request.Idempotent:
 		c.h.fail(c.w, lostResponseFault(time.Second))
 	default:
-		c.h.fail(c.w, fault.New(fault.Unknown, "the answer was lost; the request may have run"))
+		c.h.fail(c.w, fault.New(fault.Unknown, "the response of the minion was lost; the request may have run"))
 	}
 }
 
+// refusal returns the refusal of the ticket, nil for none.
 func (c *call) refusal() *routing.Refusal {
 	c.h.mu.Lock()
 	defer c.h.mu.Unlock()
--- a/internal/proxy/cluster_test.go
+++ b/internal/proxy/cluster_test.go
@@ -18,9 +18,9 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
-// An inspector waits for an answer that never comes: the minion accepts the
-// request and says nothing. An idempotent one is answered by another minion,
-// the other gets its final answer by its deadline.
+// Guards against a caller that waits without end: the minion accepts the request
+// and never responds. An idempotent request is retried on another minion, any
+// other gets its error by its deadline.
 func TestRequestToHangingMinionEndsByItsDeadline(t *testing.T) {
 	cluster := startTestCluster(t, nil)
 	release := make(chan struct{})
@@ -40,7 +40,8 @@
 	}
 }
 
-// Refused callers come back together and are refused together.
+// Guards against synchronized retries: rejected callers that all get the same
+// retry time come back at once and are rejected again.
 func TestRetryAfterOfRefusedCallersIsSpread(t *testing.T) {
 	cluster := startTestCluster(t, func(cfg *Config) {
 		cfg.Balancer = routing.NewBalancer(routing.Options{Entry: "e1", Incarnation: 1, SlowStart: time.Nanosecond})
@@ -73,7 +74,7 @@
 	callers.Wait()
 }
 
-// instance is one entry process of a cluster.
+// entryProcess is one entry instance of a data centre, which can be killed.
 type entryProcess struct {
 	handler *Handler
 	server  *httptest.Server
@@ -94,15 +95,16 @@
 	return p
 }
 
-// kill ends an instance without a word to the leader.
+// kill ends the process without releasing its slots at the leader.
 func (p *entryProcess) kill() {
 	p.server.CloseClientConnections()
 	p.stop()
 	p.server.Close()
 }
 
-// Entry instances are killed and started again under load, over real sockets.
-// No minion may ever see more requests than its slots.
+// Guards against overloaded minions after a crash: entry instances are killed and
+// restarted under load, over real sockets, and the slots of a killed instance must
+// not be allocated again while its requests still run.
 func TestEntryRestartsUnderLoadNeverExceedSlots(t *testing.T) {
 	const entries, minions, callersEach, restarts = 3, 4, 20, 3
 	leader := NewLeader(routing.LeaseOptions{}, nil)
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -13,30 +13,33 @@
 	"github.com/bilberryferry/bilberryferry/internal/rpc"
 )
 
-// Reasons for which a request was not written to a connection.
+// Errors of guardedConn.Write, which writes nothing then.
 var (
-	errLeaseExpired = errors.New("slot lease ended before the request was written")
+	errLeaseExpired = errors.New("slot lease expired before the request was written")
 	errAlreadySent  = errors.New("request was already written to another connection")
-	errNoRequest    = errors.New("connection is used by no request")
+	errNoRequest    = errors.New("no request is assigned to the connection")
 )
 
-// sending watches over the bytes of one attempt.
+// writeGuard decides whether the bytes of one attempt may be written to a
+// connection.
 //
-// Failure: the HTTP transport sends a request again by itself when a kept
-// connection turns out to be closed, and a paused process sends one long after
-// its slot lease ended. The minion then runs the request twice, or runs more
-// than its slots. Guard: every write of a request passes permit, which lets it
-// begin on one connection only and not after the lease.
+// Failure guarded against: the HTTP transport retries a request by itself when a
+// kept-alive connection turns out to be closed, and a process that was paused
+// sends a request long after its slot lease expired. The minion then runs the
+// request twice, or more requests than it has slots. So each write goes through
+// allowWrite, which allows one connection only, and no first write after the
+// lease expired.
 type writeGuard struct {
 	now        func() time.Duration
-	validUntil time.Duration
+	validUntil time.Duration // when the slot lease expires, by now
 
 	mu       sync.Mutex
-	usedConn *guardedConn
-	expired  bool
+	usedConn *guardedConn // the connection of the first write
+	expired  bool         // a first write was rejected because the lease had expired
 }
 
-// permit says whether the attempt may write to the connection.
+// allowWrite returns nil if the attempt may write to the connection, and binds
+// the attempt to it. Its errors are errAlreadySent and errLeaseExpired.
 func (g *writeGuard) allowWrite(c *guardedConn) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -54,21 +57,23 @@
 	return nil
 }
 
-// wrote says whether any byte of the request may have left.
+// wrote reports whether any byte of the request may have been sent.
 func (g *writeGuard) wrote() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.usedConn != nil
 }
 
-// expiredUnsent says whether the lease ended before the first byte.
+// expiredUnsent reports whether the slot lease expired before the first byte
+// was sent.
 func (g *writeGuard) expiredUnsent() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.expired
 }
 
-// trace hands the connection that the transport picked to the sending.
+// attachToConn returns a context for a request. The connection that the transport
+// picks for the request is guarded by g from then on.
 func (g *writeGuard) attachToConn(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
@@ -79,7 +84,8 @@
 	})
 }
 
-// guardedConn is a connection to a minion that asks before it writes.
+// guardedConn is a connection to a minion. Its writes need the permission of the
+// writeGuard of the request that uses it.
 type guardedConn struct {
 	net.Conn
 	guard   atomic.Pointer[writeGuard]
@@ -87,7 +93,7 @@
 	onClose func()
 }
 
-// Write writes for the attempt that holds the connection.
+// Write writes for the attempt that uses the connection, if its guard allows that.
 func (c *guardedConn) Write(p []byte) (int, error) {
 	g := c.guard.Load()
 	if g == nil {
@@ -99,13 +105,14 @@
 	return c.Conn.Write(p)
 }
 
-// Close closes the connection and counts it out.
+// Close closes the connection, which no longer counts as open then.
 func (c *guardedConn) Close() error {
 	c.closed.Do(c.onClose)
 	return c.Conn.Close()
 }
 
-// connCounter counts open connections by address.
+// connCounter counts the open connections by address. It is safe for concurrent
+// use.
 type connCounter struct {
 	mu   sync.Mutex
 	open map[string]int
@@ -130,7 +137,7 @@
 	return c.open[address]
 }
 
-// guard wraps the connections of a dialer.
+// guardDial returns a dial function whose connections are counted and guarded.
 func guardDial(dial rpc.Dial, counter *connCounter) rpc.Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
--- a/internal/proxy/header.go
+++ b/internal/proxy/header.go
@@ -10,22 +10,26 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-// Headers of the request path.
+// Headers of requests to services and of their responses.
 const (
-	// HeaderDeadline is the time left in milliseconds, or a Unix time in milliseconds.
+	// HeaderDeadline is the remaining time in milliseconds, or a Unix time in
+	// milliseconds.
 	HeaderDeadline = "Bilberry-Deadline"
-	// HeaderIdempotent is "true" on requests that may run more than once.
+	// HeaderIdempotent is "true" on requests that are safe to run more than once.
 	HeaderIdempotent = "Bilberry-Idempotent"
-	// HeaderCustomer tells the minion whose request it is. Callers can't set it.
+	// HeaderCustomer names the customer of the request to the minion. A value
+	// that the caller sends is replaced.
 	HeaderCustomer = "Bilberry-Customer"
-	// HeaderRetryAfterMs is Retry-After in milliseconds.
+	// HeaderRetryAfterMs is the value of Retry-After in milliseconds.
 	HeaderRetryAfterMs = "Bilberry-Retry-After-Ms"
 )
 
-// firstUnixMs is the smallest deadline that reads as a Unix time.
+// firstUnixMs is the smallest value of HeaderDeadline, in milliseconds, that is
+// taken as a Unix time.
 const firstUnixMs = 1_000_000_000_000
 
-// hopHeaders belong to one connection and are never passed on.
+// hopHeaders are the hop-by-hop headers: they apply to one connection and are
+// never forwarded.
 var hopHeaders = []string{
 	"Connection",
 	"Proxy-Connection",
@@ -39,7 +43,8 @@
 	"Expect",
 }
 
-// parseDeadline reads the deadline header. Without one the request gets fallback.
+// parseDeadline returns the time that HeaderDeadline leaves from wallNow on, or
+// fallback without the header. Its error is a fault.
 func parseDeadline(h http.Header, fallback time.Duration, wallNow time.Time) (time.Duration, error) {
 	text := h.Get(HeaderDeadline)
 	if text == "" {
@@ -55,7 +60,8 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// idempotent reads the idempotency header.
+// parseIdempotent reads HeaderIdempotent, which is false if absent. Its error is
+// a fault.
 func parseIdempotent(h http.Header) (bool, error) {
 	text := h.Get(HeaderIdempotent)
 	if text == "" {
@@ -68,7 +74,8 @@
 	return value, nil
 }
 
-// removeHopHeaders strips what belongs to one connection only.
+// removeHopHeaders removes the hop-by-hop headers, those that the Connection
+// header names included.
 func removeHopHeaders(h http.Header) {
 	for _, line := range h.Values("Connection") {
 		for name := range strings.SplitSeq(line, ",") {
@@ -80,8 +87,8 @@
 	}
 }
 
-// requestHeader returns what the minion gets of the caller's header. The
-// caller's token is for us and stays here.
+// requestHeader returns the header of the request to the minion. It lacks the
+// caller's token, which authenticates the caller to this system only.
 func requestHeader(r *http.Request, customer string, remaining time.Duration) http.Header {
 	h := r.Header.Clone()
 	removeHopHeaders(h)
@@ -89,7 +96,7 @@
 	h.Set(HeaderCustomer, customer)
 	h.Set(HeaderDeadline, strconv.FormatInt(max(0, remaining.Milliseconds()), 10))
 	if _, ok := h["User-Agent"]; !ok {
-		// An empty value keeps the transport from adding its own.
+		// The transport adds its own User-Agent unless an empty one is set.
 		h.Set("User-Agent", "")
 	}
 	if ip, _, err := net.SplitHostPort(r.RemoteAddr); err == nil {
@@ -98,7 +105,8 @@
 	return h
 }
 
-// writeFault answers with an error of the closed list.
+// writeFault responds with the fault of err: its kind in a header, its text as
+// the body.
 func writeFault(w http.ResponseWriter, err error) {
 	f := fault.From(err)
 	h := w.Header()
@@ -110,6 +118,7 @@
 		h.Set(HeaderRetryAfterMs, strconv.FormatInt(f.RetryAfter.Milliseconds(), 10))
 	}
 	w.WriteHeader(f.Kind.HTTPStatus())
-	// The caller may be gone; there is nobody else to tell.
+	// Write fails only if the caller has disconnected, and then nobody needs the
+	// response.
 	_, _ = w.Write([]byte(f.Error() + "\n"))
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,6 +1,6 @@
-// Package proxy carries the requests of callers to minions over HTTP. It is
-// the glue round package routing: routing decides, this package holds the
-// sockets, the timers and the lock.
+// Package proxy forwards the HTTP requests of callers to minions. Package
+// routing decides where each request goes; package proxy holds the connections,
+// the timers and the lock that guards the routing.Balancer.
 package proxy
 
 import (
@@ -19,10 +19,11 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
-// Prefix is the path under which services are reached.
+// Prefix begins the path of each request to a service: /s/<service>/<path>.
 const Prefix = "/s/"
 
-// Defaults of Config.
+// Defaults of Config, and limits of the connections to minions. Sizes are in
+// bytes.
 const (
 	defaultMaxBody        = 1 << 20
 	defaultMaxBuffered    = 16 << 20
@@ -34,25 +35,27 @@
 	maxHeaderBytes        = 64 << 10
 )
 
-// Config sets up a Handler. Balancer and Authenticate are required.
+// Config configures a Handler. Balancer and Authenticate are required, the
+// other fields have defaults.
 type Config struct {
 	Balancer   *routing.Balancer
 	DataCentre string
-	// Authenticate names the customer of a request; its errors are faults.
+	// Authenticate returns the customer of a request. Its errors are faults.
 	Authenticate func(*http.Request) (customer string, err error)
 	// MaxBody is the largest request body in bytes.
 	MaxBody int64
-	// MaxBuffered is how many bytes of request bodies are held in all.
+	// MaxBuffered limits the bytes of all request bodies in memory together.
 	MaxBuffered int64
-	// ResponseBuffer is how many bytes of an answer are held back until it is
-	// whole. A longer one is passed on while it arrives.
+	// ResponseBuffer is the size in bytes from which a minion's response is
+	// streamed to the caller. A shorter one is buffered until it is complete.
 	ResponseBuffer int
-	// MaxEntries is how many entry instances share the connections of a minion.
+	// MaxEntries is the number of entry instances among which the connections
+	// that a minion allows are divided.
 	MaxEntries int
-	// Timeout is the time of a request without a deadline.
+	// Timeout bounds a request that has no deadline header.
 	Timeout time.Duration
 	Logger  log.Logger
-	// Now is the monotonic clock of the Balancer.
+	// Now is the monotonic clock by which the Balancer is called.
 	Now func() time.Duration
 	// Dial opens connections to minions.
 	Dial rpc.Dial
@@ -86,31 +89,32 @@
 	return c
 }
 
-// MonotonicClock returns a clock that counts from the call on.
+// MonotonicClock returns a monotonic clock that starts at zero now.
 func MonotonicClock() func() time.Duration {
 	origin := time.Now()
 	return func() time.Duration { return time.Since(origin) }
 }
 
-// Handler serves /s/<service>/<path> from the minions of the service.
+// Handler forwards requests for /s/<service>/<path> to the minions of the
+// service. It is safe for concurrent use.
 type Handler struct {
 	cfg           Config
 	transport     *http.Transport
 	conns         *connCounter
 	bufferedBytes atomic.Int64
 	stats         *stats
-	wake          chan struct{}
-	// slotRequestsFailing says that the last slot request failed.
+	wake          chan struct{} // ends the wait of RenewSlotLeases for its next request
+	// slotRequestsFailing is true after the last slot request failed.
 	slotRequestsFailing atomic.Bool
 
 	mu       sync.Mutex // guards the Balancer and the fields below
 	balancer *routing.Balancer
 	active   int
-	drained  chan struct{} // closed when draining and nothing is active
+	drained  chan struct{} // closed while draining once no request is in flight
 	draining bool
 }
 
-// New returns a Handler.
+// New returns a Handler for a configuration.
 func New(cfg Config) *Handler {
 	cfg = cfg.withDefaults()
 	h := &Handler{
@@ -131,14 +135,15 @@
 	return h
 }
 
-// defaultMaxIdleConns bounds the idle connections of one minion where it names no limit.
+// defaultMaxIdleConns is the number of idle connections kept to a minion that
+// announces no limit of connections.
 const defaultMaxIdleConns = 8
 
-// waiter is woken when a ticket leaves the queue.
+// waiter wakes the goroutine of a call when its ticket leaves the queue.
 type waiter struct{ woken chan struct{} }
 
-// locked runs f on the Balancer, wakes whom it concerns and asks for slots if
-// f left that urgent.
+// withBalancer runs f on the Balancer under the lock. It then wakes the calls
+// whose tickets f changed, and the slot request loop if a request is due at once.
 func (h *Handler) withBalancer(f func(b *routing.Balancer, now time.Duration)) {
 	h.mu.Lock()
 	f(h.balancer, h.cfg.Now())
@@ -156,6 +161,7 @@
 	}
 }
 
+// wakeSlotRequests ends the wait of RenewSlotLeases for its next request.
 func (h *Handler) wakeSlotRequests() {
 	select {
 	case h.wake <- struct{}{}:
@@ -163,7 +169,7 @@
 	}
 }
 
-// ServeHTTP carries one request.
+// ServeHTTP forwards one request to a minion and its response to the caller.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.beginRequest()
 	defer h.endRequest()
@@ -180,12 +186,13 @@
 	c.serve(r.Context())
 }
 
-// fail answers with a fault and counts it.
+// fail responds with the fault of err and counts it.
 func (h *Handler) fail(w http.ResponseWriter, err error) {
 	h.stats.countFault(fault.KindOf(err))
 	writeFault(w, err)
 }
 
+// beginRequest counts a request as in flight until endRequest.
 func (h *Handler) beginRequest() {
 	h.mu.Lock()
 	h.active++
@@ -193,6 +200,7 @@
 	h.stats.requests.Add(1)
 }
 
+// endRequest ends what beginRequest began.
 func (h *Handler) endRequest() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -200,7 +208,8 @@
 	h.checkDrained()
 }
 
-// checkDrained closes drained once. The lock is held.
+// checkDrained closes drained if the handler is draining and no request is in
+// flight. The caller holds h.mu.
 func (h *Handler) checkDrained() {
 	if !h.draining || h.active > 0 {
 		return
@@ -212,7 +221,8 @@
 	}
 }
 
-// StopAccepting refuses new requests from now on; those in progress go on.
+// StopAccepting starts draining: new requests are rejected, requests in flight
+// continue.
 func (h *Handler) StopAccepting() {
 	h.withBalancer(func(b *routing.Balancer, _ time.Duration) { b.StopAccepting() })
 	h.mu.Lock()
@@ -221,8 +231,9 @@
 	h.checkDrained()
 }
 
-// Wait returns when StopAccepting was called and no request is in progress, or
-// with the error of ctx. The slots go back when the context of RenewSlotLeases ends.
+// Wait returns nil once StopAccepting was called and no request is in flight, or
+// the error of ctx if that ends first. The slots are released only when the
+// context of RenewSlotLeases ends.
 func (h *Handler) Wait(ctx context.Context) error {
 	select {
 	case <-h.drained:
@@ -232,11 +243,12 @@
 	}
 }
 
-// splitPath returns the service and the path on the minion, still escaped.
+// splitPath returns the service and the path on the minion, still escaped. Its
+// error is a fault: NotFound outside Prefix, Invalid without a service.
 func splitPath(r *http.Request) (service, path string, err error) {
 	rest, ok := strings.CutPrefix(r.URL.EscapedPath(), Prefix)
 	if !ok {
-		return "", "", fault.New(fault.NotFound, "no such path")
+		return "", "", fault.New(fault.NotFound, "no such path; requests to services begin with /s/")
 	}
 	service, path, _ = strings.Cut(rest, "/")
 	if service == "" {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -26,7 +26,8 @@
 	waitTimeout = 10 * time.Second
 )
 
-// fakeMinion is an HTTP server that counts the requests in progress.
+// fakeMinion is an HTTP server that counts its requests: served in all, running
+// now, and the maximum that ran at the same time.
 type fakeMinion struct {
 	server     *httptest.Server
 	address    string
@@ -53,7 +54,7 @@
 	return m
 }
 
-// hall is one data centre: a leader, one entry instance and its minions.
+// testCluster is one data centre with a leader, one entry instance and minions.
 type testCluster struct {
 	leader     *Leader
 	handler    *Handler
@@ -74,7 +75,7 @@
 	}
 	c := &testCluster{leader: NewLeader(routing.LeaseOptions{}, nil), handler: New(cfg)}
 	c.leader.Lead(1, nil)
-	c.leader.allocator.Lead(1, nil, -time.Hour) // nothing of a predecessor is left
+	c.leader.allocator.Lead(1, nil, -time.Hour) // the leases of a predecessor have expired
 	c.server = httptest.NewServer(c.handler)
 	ctx, stop := context.WithCancel(context.Background())
 	c.stop = stop
@@ -93,7 +94,8 @@
 	return c.leader.Allocate(req)
 }
 
-// announce adds a minion and returns when its slots are granted.
+// announce adds a minion, waits until its slots are granted, and renews its
+// announcement until the cluster stops.
 func (c *testCluster) announce(m *fakeMinion) {
 	c.minions++
 	a := &apiv1.AnnounceRequest{
@@ -121,7 +123,7 @@
 
 const announceInterval = 500 * time.Millisecond
 
-// answer is what a caller got.
+// callerResponse is the response that a caller received, or the error.
 type callerResponse struct {
 	status int
 	kind   string
@@ -160,8 +162,8 @@
 	must.Eq(t, `POST /tags/a%2Fb?x=1 hello token="" customer="rackwise"`, got.body)
 }
 
-// A caller would see half a report and take it for all of it. The minion dies
-// after it has sent part of an answer, a short one with a length or a long one
+// Guards against a caller that takes half a report for all of it: the minion dies
+// after it has sent part of its response, a short one with a length or a long one
 // in chunks.
 func TestTruncatedResponseNeverLooksComplete(t *testing.T) {
 	cluster := startTestCluster(t, nil)
@@ -183,8 +185,9 @@
 	must.Error(t, got.err)
 }
 
-// The same with an answer that has neither length nor chunks: the end of the
-// connection is its only end, and a dying minion makes one too.
+// Guards against a truncated response that looks complete: a response without
+// length and chunks ends with its connection, and the death of the minion closes
+// the connection in the same way.
 func TestCloseDelimitedResponseCountsAsTruncated(t *testing.T) {
 	cluster := startTestCluster(t, nil)
 	cluster.announce(startMinion(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -200,9 +203,10 @@
 	must.Eq(t, fault.Unknown.String(), got.kind)
 }
 
-// A guest is billed twice: the minion takes the check-in on a kept connection
-// and dies before it answers, and the HTTP transport sends the request again
-// by itself. GET is the worst case, since transports hold it for safe.
+// Guards against a request that runs twice, here a check-in that is billed twice:
+// the minion receives it on a kept-alive connection and dies before it responds,
+// and the HTTP transport retries the request by itself. Transports regard GET as
+// safe to retry, so the test uses GET.
 func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
 	cluster := startTestCluster(t, nil)
 	var dying atomic.Bool
@@ -229,8 +233,9 @@
 	must.LessEq(t, int64(cluster.handler.Stats().Balancer.Started), m.served.Load())
 }
 
-// A minion is gone but not yet known to be: connecting is refused. Nothing was
-// sent, so even a request that isn't idempotent goes on to another minion.
+// Guards against a request that fails because its minion has died and the entry
+// instance doesn't know yet: the connection is refused, so nothing was sent, and
+// even a request that isn't idempotent is retried on another minion.
 func TestRefusedConnectionIsRetriedOnAnotherMinion(t *testing.T) {
 	cluster := startTestCluster(t, nil)
 	dead := startMinion(t, func(http.ResponseWriter, *http.Request) {})
@@ -244,8 +249,8 @@
 	}
 }
 
-// The caller hangs up while the minion works: the minion must see it, and no
-// answer goes anywhere else.
+// Guards against a minion that goes on working for a caller that has
+// disconnected: the disconnect must cancel the request on the minion.
 func TestCallerDisconnectCancelsMinionRequest(t *testing.T) {
 	cluster := startTestCluster(t, nil)
 	cancelled, started := make(chan struct{}), make(chan struct{})
@@ -271,12 +276,12 @@
 	select {
 	case <-done:
 	case <-time.After(waitTimeout):
-		t.Fatal("never happened")
+		t.Fatal("timed out waiting for the minion")
 	}
 }
 
-// A rolling restart drops requests: the process exits while a minion still
-// works for a caller.
+// Guards against a rolling restart that drops requests: the process would exit
+// while a minion still works for a caller.
 func TestDrainFinishesRequestsInFlight(t *testing.T) {
 	cluster := startTestCluster(t, nil)
 	started, unblock := make(chan struct{}), make(chan struct{})
@@ -301,7 +306,8 @@
 	must.True(t, cluster.leader.allocator.Occupied("m1") == 0)
 }
 
-// More requests than slots: the minion must never see more than its slots.
+// Guards against an overloaded minion: with more concurrent requests than slots,
+// the minion must never run more requests than it has slots.
 func TestMinionNeverExceedsItsSlots(t *testing.T) {
 	cluster := startTestCluster(t, nil)
 	m := startMinion(t, func(http.ResponseWriter, *http.Request) { time.Sleep(2 * time.Millisecond) })
@@ -332,8 +338,9 @@
 	must.Eq(t, int64(0), cluster.handler.bufferedBytes.Load())
 }
 
-// A paused process wakes up after its slot lease ended and goes on to write
-// the request: the slot belongs to another entry instance by then.
+// Guards against a request without a slot: a process that was paused resumes after
+// its slot lease expired and writes the request, while the slot belongs to another
+// entry instance.
 func TestNothingIsWrittenAfterLeaseExpiry(t *testing.T) {
 	local, remote := net.Pipe()
 	defer remote.Close()
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -12,13 +12,14 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
-// answer passes the minion's answer on, whole or as an error.
+// forwardResponse sends the minion's response to the caller, complete or as an
+// error. It returns false if the call is queued for a retry instead.
 //
-// Failure: the minion dies in the middle of its answer and the caller takes the
-// first part for all of it. Guard: the answer is held back until it is whole;
-// one too long for that is passed on while it arrives, and the caller's
-// connection is aborted when it is cut. An answer whose end can't be told from
-// a broken connection counts as cut.
+// Failure guarded against: the minion dies in the middle of its response, and the
+// caller takes the first part for the whole. So the response is buffered until it
+// is complete. One that exceeds the buffer is streamed, and the caller's
+// connection is aborted if the response is truncated. A close-delimited response
+// counts as truncated, since its end looks like a broken connection.
 func (c *call) forwardResponse(ctx context.Context, guard *writeGuard, resp *http.Response) (done bool) {
 	if resp.StatusCode == http.StatusSwitchingProtocols || !isSelfDelimited(resp) {
 		return c.finishOrRetry(routing.Broken, true)
@@ -40,24 +41,27 @@
 		c.w.Header().Set("Content-Length", strconv.Itoa(len(prefix)))
 	}
 	c.w.WriteHeader(resp.StatusCode)
-	// An error means that the caller is gone.
+	// Write fails only if the caller has disconnected.
 	_, _ = c.w.Write(prefix)
 	return true
 }
 
-// isSelfDelimited says whether the end of the body is marked, by length or by chunks.
+// isSelfDelimited reports whether the response marks the end of its body: by a
+// length, by chunks, or by having no body.
 func isSelfDelimited(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || slices.Contains(resp.TransferEncoding, "chunked") ||
 		!bodyAllowed(resp.Request.Method, resp.StatusCode)
 }
 
+// bodyAllowed reports whether a response to the method may have a body.
 func bodyAllowed(method string, status int) bool {
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// isServerError says whether the status tells of a failure of the minion.
+// isServerError reports whether the status stands for a failure of the minion.
 func isServerError(status int) bool { return status >= http.StatusInternalServerError }
 
+// responseOutcome returns the outcome of an attempt with a complete response.
 func responseOutcome(status int) routing.Outcome {
 	if isServerError(status) {
 		return routing.AnsweredFailure
@@ -65,8 +69,8 @@
 	return routing.Answered
 }
 
-// retryUnavailable queues an idempotent call again when the minion says that it
-// can't serve. It returns false when the answer must be passed on.
+// retryUnavailable queues an idempotent call for a retry if the status says that
+// the minion can't serve it. It returns false if the response must be forwarded.
 func (c *call) retryUnavailable(status int) bool {
 	unavailable := status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 	if !unavailable || !c.request.Idempotent {
@@ -83,28 +87,30 @@
 	return retried
 }
 
-// finish frees the slot; a second call does nothing.
+// finish ends the attempt and frees its slot. A second call does nothing.
 func (c *call) finish(o routing.Outcome) {
 	c.h.withBalancer(func(b *routing.Balancer, now time.Duration) { b.Finish(c.ticket, o, now) })
 	c.h.stats.countOutcome(o)
 }
 
-// copyHeader copies the minion's headers.
+// copyHeader copies the end-to-end headers of the minion's response.
 func (c *call) copyHeader(resp *http.Response) {
 	h := c.w.Header()
 	for name, values := range resp.Header {
 		h[name] = values
 	}
 	removeHopHeaders(h)
-	// Only we speak of errors of the closed list.
+	// A minion must not pass its errors off as faults of this system.
 	h.Del(fault.HeaderKind)
 }
 
-// stream passes a long answer on while it arrives.
+// streamResponse forwards a response while it arrives; prefix is its part that
+// was read already. It aborts the connection to the caller if the response is
+// truncated.
 func (c *call) streamResponse(ctx context.Context, guard *writeGuard, resp *http.Response, prefix []byte) {
 	c.attemptTimer.Stop()
 	control := http.NewResponseController(c.w)
-	// Test recorders have no deadlines.
+	// The ResponseWriter of a test may not support deadlines.
 	_ = control.SetWriteDeadline(time.Now().Add(c.remaining()))
 	c.copyHeader(resp)
 	c.w.WriteHeader(resp.StatusCode)
@@ -123,7 +129,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// streamOutcome tells a minion that cut its answer from a caller that stopped reading.
+// streamOutcome returns the outcome of a truncated stream: it distinguishes a
+// minion that broke off its response from a caller that stopped reading.
 func (c *call) streamOutcome(ctx context.Context, guard *writeGuard, body *errRecordingReader) routing.Outcome {
 	if body.err != nil && body.err != io.EOF {
 		return c.failureOutcome(ctx, guard)
@@ -131,13 +138,13 @@
 	return routing.Abandoned
 }
 
-// errRecordingReader remembers the error of its reader.
+// errRecordingReader keeps the last error of the wrapped reader.
 type errRecordingReader struct {
 	io.Reader
 	err error
 }
 
-// Read reads and keeps the error.
+// Read reads from the wrapped reader and keeps its error.
 func (r *errRecordingReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if err != nil {
--- a/internal/proxy/slots.go
+++ b/internal/proxy/slots.go
@@ -10,19 +10,21 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
-// Times of the slot requests of an entry instance.
+// Times of the slot requests of an entry instance: the interval between regular
+// ones, the shortest backoff between urgent ones, and the timeout of one.
 const (
 	slotRequestInterval   = 500 * time.Millisecond
 	minSlotRequestBackoff = 100 * time.Millisecond
 	slotRequestTimeout    = time.Second
 )
 
-// SlotRequestFunc sends a slot request to the leader of the data centre.
+// SlotRequestFunc sends a slot request to the data centre's leader and returns
+// its response.
 type SlotRequestFunc func(ctx context.Context, req *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error)
 
-// RenewSlotLeases renews the slot leases until ctx ends, and hands the slots back
-// then if the handler is drained. After an error the next renewal follows in
-// its time.
+// RenewSlotLeases renews the slot leases until ctx ends. If the handler is
+// draining then, a last request releases the slots. After an error the next
+// renewal follows at the usual interval.
 func (h *Handler) RenewSlotLeases(ctx context.Context, call SlotRequestFunc) {
 	backoff := minSlotRequestBackoff
 	for ctx.Err() == nil {
@@ -38,15 +40,16 @@
 	h.requestSlots(finalCtx, call)
 }
 
+// isDraining reports whether StopAccepting was called.
 func (h *Handler) isDraining() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.draining
 }
 
-// nextBackoff makes urgent requests rarer while they bring nothing, as under
-// overload, where all slots are given out. One that brings slots makes the next
-// ones more frequent by the square of that.
+// nextBackoff doubles the backoff between urgent slot requests while they gain no
+// slots, as under overload, when all slots are allocated. A request that gains
+// slots divides the backoff by four.
 func nextBackoff(backoff time.Duration, grew bool) time.Duration {
 	if grew {
 		return max(minSlotRequestBackoff, backoff/4)
@@ -54,7 +57,8 @@
 	return min(slotRequestInterval, 2*backoff)
 }
 
-// pause waits for the next renewal, or for the gap when there is need earlier.
+// waitForNextRequest waits until the next regular slot request, or only for the
+// backoff if an urgent one becomes due. It returns at once if followUp is set.
 func (h *Handler) waitForNextRequest(ctx context.Context, followUp bool, backoff time.Duration) {
 	if followUp {
 		return
@@ -75,8 +79,8 @@
 	}
 }
 
-// requestSlots makes one slot request. It returns whether the next should follow
-// at once and whether the slots grew.
+// requestSlots sends one slot request. It returns whether a follow-up request is
+// due at once and whether the number of granted slots grew.
 func (h *Handler) requestSlots(ctx context.Context, call SlotRequestFunc) (followUp, grew bool) {
 	ctx, cancel := context.WithTimeout(ctx, slotRequestTimeout)
 	defer cancel()
@@ -88,7 +92,8 @@
 	return h.HandleSlotResponse(resp)
 }
 
-// logSlotRequestState logs when slot requests begin to fail and when they work again.
+// logSlotRequestState logs the first failure of slot requests in a row and the
+// first success after it.
 func (h *Handler) logSlotRequestState(err error) {
 	failing := err != nil
 	if h.slotRequestsFailing.Swap(failing) == failing {
@@ -98,19 +103,19 @@
 	if failing {
 		state = "failing"
 	}
-	// A log that can't be written has nowhere else to be told.
+	// There is no other place to report that the log can't be written.
 	_ = h.cfg.Logger.Log("event", "slot-leases", "state", state, "data_centre", h.cfg.DataCentre, "err", err)
 }
 
-// Demand builds the next slot request, to be sent at once.
+// NextSlotRequest builds the next slot request. The caller sends it at once.
 func (h *Handler) NextSlotRequest() *apiv1.ShareSlotsRequest {
 	var req routing.SlotRequest
 	h.withBalancer(func(b *routing.Balancer, now time.Duration) { req = b.NextSlotRequest(now) })
 	return RequestToWire(req)
 }
 
-// Granted takes the answer to a slot request. It returns whether the next
-// request should follow at once and whether the slots grew.
+// HandleSlotResponse applies the response to a slot request. It returns whether a
+// follow-up request is due at once and whether the number of granted slots grew.
 func (h *Handler) HandleSlotResponse(resp *apiv1.ShareSlotsResponse) (followUp, grew bool) {
 	h.withBalancer(func(b *routing.Balancer, now time.Duration) {
 		slotsBefore := b.GrantedSlots()
@@ -120,30 +125,32 @@
 	return followUp, grew
 }
 
-// Announce takes a minion's announcement; the leader gets it with the next
-// slot request.
+// Announce applies a minion's announcement. The next slot request passes it on to
+// the leader.
 func (h *Handler) Announce(a *apiv1.AnnounceRequest) {
 	h.withBalancer(func(b *routing.Balancer, now time.Duration) {
 		b.Announce(AnnouncementFromWire(a), now)
 	})
 }
 
-// Leave takes a minion out of use at once.
+// Leave stops sending requests to a minion at once.
 func (h *Handler) Leave(req *apiv1.LeaveMinionRequest) {
 	h.withBalancer(func(b *routing.Balancer, now time.Duration) {
 		b.Leave(req.GetMinion(), req.GetIncarnation(), now)
 	})
 }
 
-// Leader divides the slots of a data centre; it belongs to the leader's
-// process. It is safe for concurrent use.
+// Leader allocates the slots of a data centre's minions to its entry instances.
+// It runs in the process of the data centre's leader and is safe for concurrent
+// use.
 type Leader struct {
 	mu        sync.Mutex
 	allocator *routing.Allocator
 	now       func() time.Duration
 }
 
-// NewLeader returns a Leader that answers nothing until Lead.
+// NewLeader returns a Leader that rejects slot requests until Lead is called.
+// A nil now means MonotonicClock.
 func NewLeader(opts routing.LeaseOptions, now func() time.Duration) *Leader {
 	if now == nil {
 		now = MonotonicClock()
@@ -151,21 +158,22 @@
 	return &Leader{allocator: routing.NewAllocator(opts), now: now}
 }
 
-// Lead begins a leadership; see routing.Divider.Lead.
+// Lead starts a leader term; see routing.Allocator.Lead.
 func (l *Leader) Lead(term uint64, entries []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.allocator.Lead(term, entries, l.now())
 }
 
-// Resign ends the leadership.
+// Resign ends the leader term.
 func (l *Leader) Resign() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.allocator.Resign()
 }
 
-// Share answers a slot request. Its error is Unavailable.
+// Allocate responds to a slot request. Its error is a fault: Invalid without an
+// entry instance, Unavailable if the slots can't be allocated now.
 func (l *Leader) Allocate(req *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error) {
 	if req.GetEntry() == "" {
 		return nil, fault.Field("entry", "missing")
@@ -179,7 +187,7 @@
 	return ResponseToWire(resp), nil
 }
 
-// Minions returns the announcements of the minions in use.
+// Minions returns the announcements of the minions that may get requests.
 func (l *Leader) Minions() []routing.Announcement {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -11,12 +11,13 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
+// Range and precision of the histogram of waiting times.
 const (
 	maxRecordedWait       = time.Minute
 	waitSignificantDigits = 2
 )
 
-// stats counts what the Handler did.
+// stats holds the counters and waiting times of a Handler.
 type stats struct {
 	requests    atomic.Uint64
 	answered    atomic.Uint64
@@ -36,49 +37,53 @@
 	}
 }
 
+// countFault counts a response with a fault by its kind.
 func (s *stats) countFault(kind fault.Kind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults[kind.String()]++
 }
 
+// recordWait records how long a call waited in the queue.
 func (s *stats) recordWait(wait time.Duration) {
 	micros := min(max(1, wait.Microseconds()), maxRecordedWait.Microseconds())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// The value is within the bounds of the histogram, so there is no error.
+	// RecordValue fails only outside the range of the histogram.
 	_ = s.waits.RecordValue(micros)
 }
 
+// countOutcome counts an attempt that brought a complete response.
 func (s *stats) countOutcome(o routing.Outcome) {
 	if o == routing.Answered || o == routing.AnsweredFailure || o == routing.Streamed {
 		s.answered.Add(1)
 	}
 }
 
-// Stats is a snapshot of a Handler for expvar.Func.
+// Stats is a snapshot of the metrics of a Handler.
 type Stats struct {
 	Requests uint64
-	// Answered counts whole answers of minions, failure answers included.
+	// Answered counts complete responses of minions, server errors included.
 	Answered uint64
 	Retries  uint64
-	// CallersGone counts callers that went away before their answer.
+	// CallersGone counts callers that disconnected before their response.
 	CallersGone uint64
-	// Aborted counts answers that were cut while they were passed on.
+	// Aborted counts responses that were truncated while they were streamed.
 	Aborted uint64
-	// Faults counts answers by error kind.
+	// Faults counts responses with a fault, by its kind.
 	Faults    map[string]uint64
 	WaitP50Ms float64
 	WaitP99Ms float64
 	Queued    int
 	Running   int
-	// GrantedSlots is how many slots the adopted grants allow.
+	// GrantedSlots is the number of slots of all grants in force.
 	GrantedSlots int
 	OpenBreakers int
 	Balancer     routing.Counts
 }
 
-// Stats returns the counters and waiting times since the start.
+// Stats returns the counters and waiting times since the start, and the current
+// queue, load and slots.
 func (h *Handler) Stats() Stats {
 	out := Stats{
 		Requests:    h.stats.requests.Load(),
--- a/internal/proxy/wire.go
+++ b/internal/proxy/wire.go
@@ -7,7 +7,7 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
-// AnnouncementFromWire reads a minion's announcement.
+// AnnouncementFromWire converts a minion's announcement from its message.
 func AnnouncementFromWire(a *apiv1.AnnounceRequest) routing.Announcement {
 	return routing.Announcement{
 		Minion:         a.GetMinion(),
@@ -32,7 +32,7 @@
 	}
 }
 
-// RequestToWire writes a slot request.
+// RequestToWire converts a slot request to its message.
 func RequestToWire(r routing.SlotRequest) *apiv1.ShareSlotsRequest {
 	w := &apiv1.ShareSlotsRequest{
 		Entry:       r.Entry,
@@ -65,7 +65,7 @@
 	return w
 }
 
-// RequestFromWire reads a slot request.
+// RequestFromWire converts a slot request from its message.
 func RequestFromWire(w *apiv1.ShareSlotsRequest) routing.SlotRequest {
 	r := routing.SlotRequest{
 		Entry:       w.GetEntry(),
@@ -99,10 +99,10 @@
 	return r
 }
 
-// count reads a number of slots; a negative one reads as none.
+// nonNegative returns a number of slots, 0 for a negative one.
 func nonNegative(n int32) int { return int(max(0, n)) }
 
-// ResponseToWire writes the answer to a slot request.
+// ResponseToWire converts the response to a slot request to its message.
 func ResponseToWire(r routing.SlotResponse) *apiv1.ShareSlotsResponse {
 	w := &apiv1.ShareSlotsResponse{
 		LeaseMs:  r.Lease.Milliseconds(),
@@ -134,7 +134,7 @@
 	return w
 }
 
-// ResponseFromWire reads the answer to a slot request.
+// ResponseFromWire converts the response to a slot request from its message.
 func ResponseFromWire(w *apiv1.ShareSlotsResponse) routing.SlotResponse {
 	r := routing.SlotResponse{
 		Term:     w.GetTerm(),
