--- a/internal/instance/core.go
+++ b/internal/instance/core.go
@@ -14,33 +14,36 @@
 	replicatedlog "github.com/bilberryferry/bilberryferry/internal/node"
 )
 
-// Outside is how a deployment's workers, adviser and list of machines are spoken to.
+// DeploymentClient calls the workers, the adviser and the machine list of a
+// deployment in its own protocol.
 type DeploymentClient interface {
 	control.Workers
 	control.Adviser
 	control.Machines
 }
 
-// DeploymentAddresses are those of the deployment's own services, empty for none.
+// DeploymentAddresses are the addresses of a deployment's services, empty for none.
 type DeploymentAddresses struct {
 	Adviser, Machines string
-	// Connections is how many may be open to these and to workers.
+	// MaxConnections limits the open connections to these services and to workers.
 	MaxConnections int
 }
 
-// CoreAdapters translate between a deployment's own protocol and the core.
+// CoreAdapters translate between a deployment's protocol and a core instance.
 type CoreAdapters struct {
-	// Outside returns the client of the deployment.
+	// NewDeploymentClient returns the client of the deployment.
 	NewDeploymentClient func(DeploymentAddresses) DeploymentClient
-	// Control returns the handler of the control address.
+	// NewControlHandler returns the handler of the control address.
 	NewControlHandler func(operations *Operations, logger log.Logger) http.Handler
 }
 
-// NewCore returns the daemon of a core instance.
+// NewCore returns the daemon of a core instance, which has a disk and is a member
+// of the log.
 func NewCore(adapters CoreAdapters) Daemon {
 	return Daemon{"core", func(ctx context.Context, p *process) error { return p.runCore(ctx, adapters) }}
 }
 
+// runCore runs a core instance until ctx ends or a part of it fails.
 func (p *process) runCore(ctx context.Context, adapters CoreAdapters) error {
 	s := p.settings
 	budget, err := descriptors.ForCore(s.MaxFiles)
@@ -70,8 +73,9 @@
 	return group.Wait()
 }
 
-// runLogMember opens the log and runs this member of it until working ends. Opening
-// waits for a leader on an instance that joins; stopping ends the wait.
+// runLogMember opens the log and runs this member of it until workCtx ends. On an
+// instance that joins the log, opening waits for a leader; the end of stopCtx ends
+// that wait.
 func (p *process) runLogMember(stopCtx, workCtx context.Context, n *components, host *member.Host, machine *control.StateMachine) error {
 	openCtx, cancelOpen := context.WithCancel(workCtx)
 	defer cancelOpen()
@@ -102,8 +106,10 @@
 	return running.Wait()
 }
 
-// newController returns a controller that serves calls. Where workers are called, other
-// core instances do so while this one leads, and this one for whoever else does.
+// newController returns a controller that serves calls. Unless orders travel in the
+// answers to heartbeats, a leader sends them through all core instances: the
+// controller forwards its orders to their carriers, and the local carrier sends the
+// orders of whichever instance leads.
 func (p *process) newController(cfg control.Config, machine *control.StateMachine, replicatedLog replicatedlog.Log, n *components) *control.Controller {
 	var controller *control.Controller
 	var localCarrier *carrier.Carrier
@@ -127,6 +133,7 @@
 	return controller
 }
 
+// controlBounds returns the times of the settings that the controller needs.
 func (s *Settings) controlBounds() control.Bounds {
 	return control.Bounds{
 		MaxLease: s.Bounds.MaxLease.Std(), EndedJobRetention: s.Bounds.EndedJobRetention.Std(),
@@ -134,14 +141,14 @@
 	}
 }
 
-// stopCore hands the leadership over while the others are still answered, and
-// then ends the servers.
+// stopCore transfers the leadership while this instance still answers the others,
+// and then ends the servers.
 func (p *process) stopCore(host *member.Host, public *http.Server, n *components, stopWork func()) {
 	shutdownCtx, cancel := context.WithTimeout(context.Background(), p.settings.Bounds.Shutdown.Std()/2)
 	defer cancel()
 	host.TransferLeadership(shutdownCtx)
-	// Shutdown fails when the time is over; what is open then is cut off, as the
-	// end of the process would do.
+	// Shutdown fails if requests are still in flight at the time limit. The end of
+	// the process closes their connections.
 	_ = public.Shutdown(shutdownCtx)
 	stopWork()
 	n.close()
--- a/internal/instance/edge.go
+++ b/internal/instance/edge.go
@@ -13,28 +13,32 @@
 	"github.com/bilberryferry/bilberryferry/internal/wait"
 )
 
-// unreadyGrace is how long an instance that stops goes on taking connections:
-// the balancer needs two misses of a check a second.
+// unreadyGrace is how long a stopping instance still accepts connections. The
+// platform's balancer checks readiness once a second and removes the instance after
+// two failed checks.
 const unreadyGrace = 2200 * time.Millisecond
 
-// exitReserve is kept of the time for a shutdown, for what comes after the last
-// answer.
+// exitReserve is the part of the shutdown time that is reserved for the work after
+// the last response.
 const exitReserve = time.Second
 
-// EdgeAdapters translate between a deployment's own protocol and the product.
+// EdgeAdapters translate between a deployment's protocol and an edge instance.
 type EdgeAdapters struct {
+	// NewDeploymentClient returns the client of the deployment.
 	NewDeploymentClient func(DeploymentAddresses) DeploymentClient
-	// Entry returns the handler of the callers' address.
+	// NewEntryHandler returns the handler of the callers' address.
 	NewEntryHandler func(operations *Operations, logger log.Logger) http.Handler
-	// ReadinessPath is what the balancer asks for.
+	// ReadinessPath is the path of the readiness check of the platform's balancer.
 	ReadinessPath string
 }
 
-// NewEdge returns the daemon of an instance that faces callers.
+// NewEdge returns the daemon of an edge instance, which serves callers and has no
+// disk.
 func NewEdge(adapters EdgeAdapters) Daemon {
 	return Daemon{"edge", func(ctx context.Context, p *process) error { return p.runEdge(ctx, adapters) }}
 }
 
+// runEdge runs an edge instance until ctx ends or a part of it fails.
 func (p *process) runEdge(ctx context.Context, adapters EdgeAdapters) error {
 	s := p.settings
 	budget, err := descriptors.ForEdge(s.MaxFiles)
@@ -71,16 +75,19 @@
 	return group.Wait()
 }
 
-// stopEdge answers the requests in progress.
+// stopEdge stops accepting requests and waits until those in flight are answered or
+// the time for the shutdown is nearly over.
 func (p *process) stopEdge(entry *http.Server) {
 	timeout := p.settings.Bounds.Shutdown.Std() - unreadyGrace - exitReserve
 	shutdownCtx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	// Shutdown fails when the time is over; what is open then is cut off, as the
-	// end of the process would do.
+	// Shutdown fails if requests are still in flight at the time limit. The end of
+	// the process closes their connections.
 	_ = entry.Shutdown(shutdownCtx)
 }
 
+// readinessHandler answers the readiness check with status 200, or 503 while ready
+// returns false.
 func readinessHandler(path string, ready func() bool) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+path, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/instance/operations.go
+++ b/internal/instance/operations.go
@@ -14,17 +14,18 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// Operations makes the calls of the leader: directly where this instance leads,
-// through the gateway elsewhere.
+// Operations calls the leader: the local controller if this instance leads, otherwise
+// the leader that the gateway knows. It is safe for concurrent use.
 type Operations struct {
 	gateway *gateway.Gateway
 	local   atomic.Pointer[control.Controller]
 }
 
-// lead lets calls go to this instance's own controller.
+// setLocal makes calls try the controller of this instance first.
 func (o *Operations) setLocal(c *control.Controller) { o.local.Store(c) }
 
-// call tries the own controller first; it refuses at once where it doesn't lead.
+// call tries the local controller and then the gateway. A local controller that doesn't
+// lead rejects the call at once.
 func call[Request, Reply any](ctx context.Context, o *Operations, method string, request *Request,
 	callLocal func(*control.Controller, context.Context, *Request) (Reply, error)) (Reply, error) {
 	if reply, err := tryLocal(ctx, o, request, callLocal); !errors.Is(err, link.ErrNotLeader) {
@@ -33,8 +34,9 @@
 	return gateway.Call[Reply](ctx, o.gateway, method, request)
 }
 
-// callForCaller is call for a request that a caller made at begun, and whose outcome
-// shows the caller which version of the configuration was in force.
+// callForCaller is call for a request that was received at receivedAt and whose outcome
+// reveals to the caller which version of the configuration was in force. It withholds an
+// outcome that would make the configuration appear to go back.
 func callForCaller[Request, Reply any](ctx context.Context, o *Operations, receivedAt time.Time, method string, request *Request,
 	callLocal func(*control.Controller, context.Context, *Request) (Reply, error)) (Reply, error) {
 	recorderCtx, recorder := link.WithVersionRecorder(ctx)
@@ -44,16 +46,18 @@
 	return gateway.CallForCaller[Reply](ctx, o.gateway, receivedAt, method, request)
 }
 
-// checkOrder is the error of an outcome that this instance has made itself.
+// checkOrder returns err, or another error if the outcome of the local controller must
+// be withheld because its configuration version is out of order.
 func (o *Operations) checkOrder(receivedAt time.Time, method string, version uint64, err error) error {
 	return o.gateway.WithholdOutOfOrder(gateway.Outcome{Method: method, ReceivedAt: receivedAt, Version: version, AnsweredBy: fromSelf, Err: err})
 }
 
-// fromSelf stands in lines for the address of the instance that answered.
+// fromSelf stands in log lines for the address of this instance as the one that
+// answered.
 const fromSelf = "self"
 
-// tryLocal makes a call of the own controller. The error is marked ErrNotLeader where
-// another instance has to be asked.
+// tryLocal calls the local controller. Its error is marked ErrNotLeader if the call must
+// go to another instance.
 func tryLocal[Request, Reply any](ctx context.Context, o *Operations, request *Request,
 	callLocal func(*control.Controller, context.Context, *Request) (Reply, error)) (Reply, error) {
 	c := o.local.Load()
@@ -68,7 +72,7 @@
 	return reply, err
 }
 
-// Submit hands a job in. Without contact to the leader it refuses at once.
+// Submit submits a job. Without contact to the leader it fails at once.
 func (o *Operations) Submit(ctx context.Context, r *control.SubmitCall) (control.SubmitReply, error) {
 	receivedAt := time.Now()
 	if !o.gateway.InContact() {
@@ -77,8 +81,8 @@
 	return callForCaller(ctx, o, receivedAt, control.MethodSubmit, r, (*control.Controller).Submit)
 }
 
-// State asks for a job or a queue: first for one that has ended, which any instance
-// of the core can tell, then the leader.
+// State returns the state of a job or a queue. The state of an ended job comes from any
+// core instance, that of other jobs from the leader.
 func (o *Operations) State(ctx context.Context, r *control.StateCall) (control.StateReply, error) {
 	receivedAt := time.Now()
 	if phase, known := o.endedPhase(ctx, receivedAt, r.Address); known {
@@ -87,6 +91,7 @@
 	return callForCaller(ctx, o, receivedAt, control.MethodState, r, (*control.Controller).State)
 }
 
+// endedPhase returns the phase of a job if it is known to have ended.
 func (o *Operations) endedPhase(ctx context.Context, receivedAt time.Time, address control.JobAddress) (workflow.Phase, bool) {
 	c := o.local.Load()
 	if c == nil {
@@ -104,7 +109,8 @@
 	return err
 }
 
-// Announce passes a worker's heartbeat on, unless it says nothing new.
+// Announce forwards a worker's heartbeat to the leader. The local controller answers a
+// heartbeat without news by itself.
 func (o *Operations) Announce(ctx context.Context, r *control.Announcement) (control.AnnouncementReply, error) {
 	if c := o.local.Load(); c != nil {
 		if reply, ok := c.AnnounceKnown(r); ok {
@@ -114,30 +120,30 @@
 	return call(ctx, o, control.MethodAnnounce, r, (*control.Controller).Announce)
 }
 
-// Leave passes on that a worker ends.
+// Leave tells the leader that a worker shuts down.
 func (o *Operations) Leave(ctx context.Context, r *control.LeaveCall) error {
 	_, err := call(ctx, o, control.MethodLeave, r, (*control.Controller).Leave)
 	return err
 }
 
-// Configure hands a configuration in.
+// Configure submits a configuration.
 func (o *Operations) Configure(ctx context.Context, r *control.ConfigureCall) error {
 	_, err := call(ctx, o, control.MethodConfigure, r, (*control.Controller).Configure)
 	return err
 }
 
-// Explain tells what a job waits for.
+// Explain returns the progress of a job and why its steps wait.
 func (o *Operations) Explain(ctx context.Context, r *control.ExplainCall) (control.ExplainReply, error) {
 	return call(ctx, o, control.MethodExplain, r, (*control.Controller).Explain)
 }
 
-// StartWave starts a wave of maintenance.
+// StartWave starts a maintenance wave.
 func (o *Operations) StartWave(ctx context.Context, r *control.WaveCall) error {
 	_, err := call(ctx, o, control.MethodStartWave, r, (*control.Controller).StartWave)
 	return err
 }
 
-// WaveState returns how far a wave has come.
+// WaveState returns the progress of a maintenance wave.
 func (o *Operations) WaveState(ctx context.Context, r *control.WaveStateCall) (control.WaveStateReply, error) {
 	return call(ctx, o, control.MethodWaveState, r, (*control.Controller).WaveState)
 }
--- a/internal/instance/operations_test.go
+++ b/internal/instance/operations_test.go
@@ -24,7 +24,7 @@
 func (followerLog) Status() replica.Status                       { return replica.Status{Leader: "leader"} }
 func (followerLog) Changed() <-chan struct{}                     { return make(chan struct{}) }
 
-// follower is a controller whose state has come as far as the commands.
+// newFollower returns the controller of a follower that has applied the commands.
 func newFollower(t *testing.T, commands ...workflow.Command) *control.Controller {
 	machine := control.NewStateMachine()
 	for i := range commands {
@@ -36,7 +36,8 @@
 	return control.New(cfg, machine, followerLog{})
 }
 
-// startLeader answers all questions for jobs by a version of the configuration.
+// startLeader serves a leader that answers each query for a job under a version of the
+// configuration. It returns the address.
 func startLeader(t *testing.T, version uint64) string {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodState, func(ctx context.Context, _ *control.StateCall) (control.StateReply, error) {
@@ -52,12 +53,10 @@
 	Version: 62, Source: []byte("{}"), Queues: []workflow.Queue{{Name: "q", Policy: workflow.Policy{Service: "s"}}},
 }
 
-// What a user sees: a core instance tells of a job whose queue it has just said to be
-// dropped.
-// Order: the instance, which follows, is behind the leader; it passes a request on
-// and answers by the leader's newer configuration; then it tells by its own, older
-// one of a job that has ended.
-// Cause: its own state was asked without regard to what it had answered by.
+// Guards against answers that go back to an older configuration: a core instance that
+// lags behind the leader forwards a request and answers under the leader's newer
+// configuration, in which a queue is dropped. It then answered for an ended job of that
+// queue from its own older state, regardless of the version of its earlier answer.
 func TestLaggingFollowerDoesNotAnswerFromOlderConfiguration(t *testing.T) {
 	job := workflow.Submission{ID: "job", Queue: queueAt62.Queues[0].Identity(), Steps: []workflow.Step{{Count: 1}}}
 	local := newFollower(t, workflow.Command{Configuration: &queueAt62}, workflow.Command{Submit: &job}, workflow.Command{Cancel: "job"})
--- a/internal/instance/process.go
+++ b/internal/instance/process.go
@@ -25,20 +25,22 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
+// Limits of the servers and of the resources of a process.
 const (
 	headerTimeout = 3 * time.Second
 	idleTimeout   = 60 * time.Second
-	// reloadInterval is how often the settings file is looked at; it may change
-	// without a signal.
+	// reloadInterval is how often the settings file is checked for changes, which may
+	// come without a signal.
 	reloadInterval = time.Second
-	// memoryLimitPercent is the part of the machine's memory, in percent, from which on the
-	// collector works harder; stacks and what the system counts come on top.
+	// memoryLimitPercent is the soft memory limit of the garbage collector in percent of
+	// the memory that the machine allows. Stacks and the memory that only the operating
+	// system counts come on top.
 	memoryLimitPercent = 57
-	// gcPercent collects less often than the default: memory is cheaper here
-	// than processor time.
+	// gcPercent makes the garbage collector run less often than by default, since memory
+	// is cheaper here than processor time.
 	gcPercent = 300
-	// maxAuxiliaryConnections bounds those of metrics, readiness and the product's own
-	// interface each; they come out of the descriptors that are kept for files.
+	// maxAuxiliaryConnections limits the connections of each of the servers for metrics,
+	// readiness and the product API. They use descriptors that are reserved for files.
 	maxAuxiliaryConnections = 32
 )
 
@@ -49,7 +51,7 @@
 	ExitSettings = 2
 )
 
-// process is what both daemons have.
+// process holds the settings, the log and the metrics of a running daemon.
 type process struct {
 	settings *Settings
 	path     string
@@ -58,13 +60,14 @@
 	metrics  *oplog.Metrics
 }
 
-// Daemon is one of the two daemons.
+// Daemon is one of the two daemons, core or edge; see NewCore and NewEdge.
 type Daemon struct {
 	role string
 	run  func(context.Context, *process) error
 }
 
-// Main loads the settings, runs a daemon until SIGTERM and returns the exit code.
+// Main loads the settings, runs a daemon until SIGTERM or SIGINT and returns the exit
+// code. The path of the settings file is the first argument, or else SettingsEnv.
 func Main(d Daemon) int {
 	path := os.Getenv(SettingsEnv)
 	if len(os.Args) > 1 {
@@ -85,10 +88,11 @@
 	}
 }
 
+// errSettings marks errors of the settings file.
 var errSettings = errors.New("settings")
 
-// Run runs a daemon with the settings file at path until ctx ends. Its lines go
-// to out.
+// Run runs a daemon with the settings file at path until ctx ends. It writes its log to
+// out.
 func (d Daemon) Run(ctx context.Context, path string, out io.Writer) error {
 	settings, err := Load(path)
 	if err != nil {
@@ -108,20 +112,22 @@
 	return err
 }
 
+// newServer returns a server with time limits against stalled and idle connections.
 func newServer(address string, handler http.Handler) *http.Server {
 	return &http.Server{
 		Addr: address, Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 	}
 }
 
-// newInternalServer serves other instances, whose log messages come by HTTP/2.
+// newInternalServer returns a server for other instances, which send messages of the
+// replicated log over HTTP/2.
 func newInternalServer(address string, handler http.Handler) *http.Server {
 	server := rpc.NewServer(handler)
 	server.Addr = address
 	return server
 }
 
-// serve runs a server in group; it ends when Shutdown or Close is called.
+// serve runs a server in group until Shutdown or Close is called.
 func serve(group *errgroup.Group, server *http.Server) {
 	group.Go(func() error {
 		if err := server.ListenAndServe(); err != http.ErrServerClosed {
@@ -131,7 +137,8 @@
 	})
 }
 
-// serveMetrics serves the metrics, where the settings name an address.
+// serveMetrics serves the metrics if the settings name an address. It returns the server
+// in either case.
 func (p *process) serveMetrics(group *errgroup.Group) *http.Server {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", p.metrics)
@@ -143,7 +150,7 @@
 	return server
 }
 
-// serveAPI serves the product's own interface, where the settings name an address.
+// serveAPI serves the product API if the settings name an address.
 func (p *process) serveAPI(group *errgroup.Group, n *components) {
 	n.api = newInternalServer(p.settings.API, nil)
 	descriptors.LimitServer(n.api, "api", maxAuxiliaryConnections, false, p.metrics)
@@ -159,9 +166,9 @@
 	serve(group, n.api)
 }
 
-// node is what both daemons are made of.
+// components are the clients and servers that both daemons have.
 type components struct {
-	// own is where other instances reach this one.
+	// internalAddress is where other instances reach this one.
 	internalAddress string
 	client          *link.Client
 	mux             *link.Mux
@@ -173,8 +180,8 @@
 	api             *http.Server
 }
 
-// newComponents makes what both daemons are made of. Every instance puts questions to
-// the adviser for the leader.
+// newComponents returns the components of this process. Every instance queries the
+// adviser on behalf of the leader.
 func (p *process) newComponents(newDeploymentClient func(DeploymentAddresses) DeploymentClient, budget descriptors.Budget) *components {
 	s := p.settings
 	addresses := DeploymentAddresses{Adviser: s.Adviser, Machines: s.MachineList, MaxConnections: budget.ToExternal}
@@ -192,7 +199,8 @@
 	return n
 }
 
-// serveComponents serves other instances and the metrics, and follows the settings.
+// serveComponents serves other instances, the metrics and the product API, and applies
+// changed settings.
 func (p *process) serveComponents(ctx context.Context, group *errgroup.Group, n *components) {
 	serve(group, n.internal)
 	n.metrics = p.serveMetrics(group)
@@ -202,14 +210,15 @@
 	})
 }
 
-// close ends what serveComponents serves.
+// close ends the servers of serveComponents.
 func (n *components) close() {
 	_ = n.internal.Close()
 	_ = n.metrics.Close()
 	_ = n.api.Close()
 }
 
-// awaitStop returns when the process is told to stop or a part of it has failed.
+// awaitStop waits until the process is told to stop (ctx ends) or a part of it has failed
+// (workCtx ends).
 func awaitStop(ctx, workCtx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -217,8 +226,9 @@
 	}
 }
 
-// watchSettings calls changed with new settings, at SIGHUP and whenever the file
-// has changed. A file that can't be read or is wrong changes nothing.
+// watchSettings calls changed with the new settings when the file has changed. It checks
+// the file at SIGHUP and at each reloadInterval. A file that is unreadable or invalid
+// changes nothing.
 func (p *process) watchSettings(ctx context.Context, changed func(*Settings)) error {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -250,6 +260,7 @@
 	}
 }
 
+// logDropped logs how many log lines were dropped since the last call.
 func (p *process) logDropped() {
 	if n := p.sink.TakeDropped(); n > 0 {
 		_ = p.logger.Log("event", "log_lines_dropped", "lines", n)
--- a/internal/instance/settings.go
+++ b/internal/instance/settings.go
@@ -1,7 +1,7 @@
 // Package instance runs the two daemons of a cell whose data centres share one
 // log: bilberry-cored on instances with a disk, bilberry-edged on those that
-// face callers. It reads their settings, opens their sockets, and stops them
-// without cutting off a request.
+// serve callers. It reads their settings, opens their sockets, and shuts them
+// down gracefully, so that requests in flight are answered.
 package instance
 
 import (
@@ -18,68 +18,71 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
-// SettingsEnv names the variable that holds the path of the settings file.
+// SettingsEnv is the environment variable with the path of the settings file.
 const SettingsEnv = "BILBERRYFERRY_CONFIG"
 
-// Settings is one process's view of its deployment.
+// Settings are the settings of one process of a deployment.
 type Settings struct {
-	// Instance names this machine in logs.
+	// Instance is the name of this instance in logs.
 	Instance   string `toml:"instance"`
 	DataCentre string `toml:"data_centre"`
-	// Address is the machine's IP address.
+	// Address is the IP address of this machine.
 	Address string `toml:"address"`
-	// InternalPort is where instances reach each other, the same on all.
+	// InternalPort is the port for calls between instances, the same on all instances.
 	InternalPort string `toml:"internal_port"`
-	// MetricsAddress serves counters and histograms; empty for none.
+	// MetricsAddress is where counters and histograms are served; empty for none.
 	MetricsAddress string `toml:"metrics_address"`
 	// Entry, Readiness and Control are the addresses that the process serves.
 	Entry     string `toml:"entry"`
 	Readiness string `toml:"readiness"`
 	Control   string `toml:"control"`
-	// API serves the product's own interface, empty for none; its callers show the
-	// token in the file APIToken.
+	// API is the address of the product API, empty for none. APIToken is the file with
+	// the token that its callers must present.
 	API      string `toml:"api"`
 	APIToken string `toml:"api_token"`
-	// Seeds are control addresses of core instances.
+	// Seeds are the control addresses of core instances.
 	Seeds []string `toml:"seeds"`
-	// MemoryMB is what the machine lets the process use; 0 for no bound.
+	// MemoryMB is the memory in MB that the machine allows the process; 0 for no limit.
 	MemoryMB int `toml:"memory_mb"`
-	// MaxFiles is how many descriptors the machine lets the process have open; 0 for
-	// what the operating system says.
+	// MaxFiles is the number of file descriptors that the machine allows the process; 0
+	// for the limit of the operating system.
 	MaxFiles int `toml:"max_files"`
-	// FirstStart is true when the whole system starts for the first time.
+	// FirstStart is true if the whole system starts for the first time.
 	FirstStart bool `toml:"first_start"`
-	// DataFolder is on the machine's disk.
+	// DataFolder is the folder for the log on the machine's disk.
 	DataFolder string `toml:"data_folder"`
-	// Adviser is where questions about permits go; empty for none.
+	// Adviser is the address of the adviser, which answers queries for permits; empty for
+	// none.
 	Adviser string `toml:"adviser"`
-	// WorkerOrders is how workers get their orders: by calls, which is "push", or
-	// with the answers to their heartbeats, which is "heartbeat".
+	// WorkerOrders is how workers get their orders: "push" for calls to the workers,
+	// "heartbeat" for orders in the answers to heartbeats. Empty means "push".
 	WorkerOrders string `toml:"worker_orders"`
-	// MachineList is where the deployment's list of machines is; empty for none.
+	// MachineList is the address of the deployment's list of machines; empty for none.
 	MachineList string `toml:"machine_list"`
-	// ToleratedFailures is how many core instances may be lost at the same time.
+	// ToleratedFailures is how many core instances may fail at the same time.
 	ToleratedFailures int    `toml:"instances_lost"`
 	Bounds            Bounds `toml:"bounds"`
-	// Without switches mechanisms of deciding off, to measure what each is worth.
+	// DisabledMechanisms switches off mechanisms of the scheduler, to measure the effect
+	// of each.
 	DisabledMechanisms dispatch.Disabled `toml:"without"`
 }
 
-// Bounds are the deployment's times.
+// Bounds are the time limits of a deployment.
 type Bounds struct {
 	// MaxLease is the longest lease that a worker grants.
 	MaxLease settings.Duration `toml:"lease_max"`
-	// Shown is how long an ended job is shown at least.
+	// EndedJobRetention is the minimum time for which the state of an ended job is kept.
 	EndedJobRetention settings.Duration `toml:"shown"`
-	// MachineHandoverDelay is how long orders of two instances for one machine lie apart.
+	// MachineHandoverDelay is the minimum time between the orders of two instances for
+	// one machine.
 	MachineHandoverDelay settings.Duration `toml:"holder_pause"`
-	// Maintenance is how long a machine is down for its maintenance.
+	// MaintenanceDuration is how long a machine is down for its maintenance.
 	MaintenanceDuration settings.Duration `toml:"maintenance"`
-	// Shutdown is how long a process that is told to stop may go on.
+	// Shutdown is how long a process may take to shut down.
 	Shutdown settings.Duration `toml:"shutdown"`
 }
 
-// defaultBounds hold where the settings name nothing.
+// defaultBounds are the bounds that the settings file leaves out.
 var defaultBounds = Bounds{
 	MaxLease:             settings.Duration(6 * time.Second),
 	EndedJobRetention:    settings.Duration(120 * time.Second),
@@ -88,7 +91,7 @@
 	MaintenanceDuration:  settings.Duration(2 * time.Second),
 }
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -97,7 +100,8 @@
 	return Parse(string(data))
 }
 
-// Parse reads and checks settings.
+// Parse parses and validates settings in TOML. The error of an invalid setting is a fault
+// that names the field.
 func Parse(text string) (*Settings, error) {
 	s := &Settings{Bounds: defaultBounds}
 	meta, err := toml.Decode(text, s)
@@ -110,12 +114,13 @@
 	return s, s.check()
 }
 
+// check returns a fault that names the first invalid field.
 func (s *Settings) check() error {
 	if s.Instance == "" {
 		return fault.Field("instance", "missing")
 	}
 	if net.ParseIP(s.Address) == nil {
-		return fault.Field("address", "%q is no IP address", s.Address)
+		return fault.Field("address", "%q is not an IP address", s.Address)
 	}
 	if s.InternalPort == "" {
 		return fault.Field("internal_port", "missing")
@@ -130,7 +135,7 @@
 		return fault.Field("worker_orders", "%q is neither %q nor %q", s.WorkerOrders, ordersPush, ordersHeartbeat)
 	}
 	if s.API != "" && s.APIToken == "" {
-		return fault.Field("api_token", "missing: the file that holds the token of those who call the interface")
+		return fault.Field("api_token", "missing: want the file with the token that callers of the API present")
 	}
 	for name, address := range map[string]string{
 		"entry": s.Entry, "readiness": s.Readiness, "control": s.Control, "adviser": s.Adviser,
@@ -148,12 +153,13 @@
 	return nil
 }
 
-// Ways in which workers get their orders.
+// Values of Settings.WorkerOrders.
 const (
 	ordersPush      = "push"
 	ordersHeartbeat = "heartbeat"
 )
 
+// checkAddress returns a fault if an address is neither empty nor HOST:PORT.
 func checkAddress(field, address string) error {
 	if address == "" {
 		return nil
@@ -164,7 +170,7 @@
 	return nil
 }
 
-// seedHosts returns the IP addresses of the seeds.
+// seedHosts returns the IP addresses of the seeds, each once.
 func (s *Settings) seedHosts() []string {
 	var hosts []string
 	for _, seed := range s.Seeds {
@@ -176,10 +182,10 @@
 	return hosts
 }
 
-// internal returns where another instance is reached.
+// internal returns the internal address of the instance on a host.
 func (s *Settings) internal(host string) string { return net.JoinHostPort(host, s.InternalPort) }
 
-// seedAddresses returns where the seeds are reached by other instances.
+// seedAddresses returns the internal addresses of the seeds.
 func (s *Settings) seedAddresses() []string {
 	var addresses []string
 	for _, host := range s.seedHosts() {
@@ -188,5 +194,6 @@
 	return addresses
 }
 
-// votersFor is how many members must vote so that losing some leaves a majority.
+// votersFor returns the number of voting members that still have a majority after a
+// number of failures, at least 3.
 func votersFor(failures int) int { return 2*max(failures, 1) + 1 }
--- a/internal/instance/settings_test.go
+++ b/internal/instance/settings_test.go
@@ -61,8 +61,8 @@
 	must.Eq(t, 5, votersFor(2))
 }
 
-// The template that the deploy file names has every setting, so that what the
-// platform says isn't lost by a name that nobody reads.
+// Guards against a setting of the platform that is silently lost: the template that the
+// deploy file names lacks a setting, or has it under a name that no code reads.
 func TestTemplateHasEverySetting(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/settings.toml.tmpl")
 	must.NoError(t, err)
