--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,6 +1,7 @@
-// Package entry is the daemon behind bilberry-entryd: it faces callers,
-// operators, workers and minions, finds the owner of each call, and carries
-// requests to minions. Nothing it holds must survive it.
+// Package entry implements bilberry-entryd, the daemon that callers, operators,
+// workers and minions connect to. It forwards each call to the data centre that
+// owns the job or worker, and requests for services to minions. It keeps no
+// durable state.
 package entry
 
 import (
@@ -25,25 +26,26 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
-// Efforts of the calls that an entry instance forwards.
+// Time limits of the calls that an entry instance forwards.
 const (
-	// electionTimeout is how long a caller's call waits for a new leader: an
-	// election and the first round after it.
+	// electionTimeout is how long a forwarded call searches for a leader. It covers
+	// an election and the first round of the new leader.
 	electionTimeout = 4 * time.Second
-	// holdMargin is how much longer than its hold a held call may take.
+	// holdMargin is how much longer a held call may take than the leader may hold
+	// it.
 	holdMargin = 500 * time.Millisecond
-	// submitAttemptTimeout is longer than other calls', since a submission may wait
-	// for another data centre's answer.
+	// submitAttemptTimeout bounds one attempt of a submission. It is longer than for
+	// other calls, since a submission may wait for another data centre.
 	submitAttemptTimeout = 2500 * time.Millisecond
 )
 
-// Entry serves on one instance.
+// Entry is the entry process of one instance. It is safe for concurrent use.
 type Entry struct {
 	base    *daemon.Base
 	config  conf.Holder
 	started time.Time
 
-	// requests carries requests to minions.
+	// requestProxy forwards requests for services to minions.
 	requestProxy *proxy.Handler
 	stats        Stats
 
@@ -56,7 +58,7 @@
 	drainOnce sync.Once
 }
 
-// clients are the calls on one instance.
+// clients are the API clients for one process of an instance.
 type clients struct {
 	scheduler  apiv1.Scheduler
 	operations apiv1.Operations
@@ -64,7 +66,7 @@
 	peer       apiv1.Peer
 }
 
-// New returns an entry instance.
+// New returns an Entry that isn't running or ready yet.
 func New(b *daemon.Base) *Entry {
 	e := &Entry{
 		base: b, started: time.Now(), clients: make(map[string]clients), draining: make(chan struct{}),
@@ -77,7 +79,7 @@
 	return e
 }
 
-// Handler serves callers, operators, workers and minions.
+// Handler returns the handler for callers, operators, workers and minions.
 func (e *Entry) Handler() http.Handler {
 	hooks := twirp.WithServerInterceptors(rpc.Errors())
 	servers := []apiv1.TwirpServer{
@@ -96,6 +98,7 @@
 	return outer
 }
 
+// countCalls counts the calls that next serves.
 func (e *Entry) countCalls(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.stats.Calls.Add(1)
@@ -103,13 +106,12 @@
 	})
 }
 
-// Ready reports whether the instance may be sent callers: it knows the
-// configuration in force in its data centre and isn't shutting down.
+// Ready reports whether the instance may serve callers: it knows the configuration
+// in force in its data centre and isn't shutting down.
 func (e *Entry) Ready() bool { return e.ready.Load() }
 
-// BeginShutdown takes the instance out of service: readiness ends, and once the
-// platform's balancer has had time to notice, held calls answer. Requests in
-// progress go on.
+// BeginShutdown ends readiness, waits until the platform's balancer has had time to
+// notice, and then ends held calls. Requests in flight continue.
 func (e *Entry) BeginShutdown() {
 	e.drainOnce.Do(func() {
 		e.ready.Store(false)
@@ -132,6 +134,7 @@
 	return group.Wait()
 }
 
+// clientsOf returns the clients for the process at a base URL.
 func (e *Entry) clientsOf(base string) clients {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -149,7 +152,8 @@
 	return c
 }
 
-// forward makes the caller's call on the leader of a data centre.
+// forward makes a call on the leader of a data centre with the credentials of the
+// caller.
 func forward[T any](ctx context.Context, e *Entry, dataCentre string, options directory.CallOptions, call func(context.Context, clients) (T, error)) (T, error) {
 	var answer T
 	ctx, err := rpc.Forward(ctx)
@@ -164,8 +168,9 @@
 	return answer, err
 }
 
-// fanOut makes a call on the leader of every data centre at once. It returns
-// the answers, and the names of the data centres that couldn't be reached.
+// fanOut makes a call on the leaders of all data centres in parallel. It returns the
+// answers and the names of the data centres that were unreachable. Any other error
+// fails the whole call.
 func fanOut[T any](ctx context.Context, e *Entry, call func(context.Context, clients) (T, error)) ([]T, []string, error) {
 	names := e.base.Settings.DataCentres()
 	answers := make([]T, len(names))
@@ -190,10 +195,10 @@
 	return reached, unreachable, nil
 }
 
-// followConfig keeps the configuration that is in force here up to date. The
-// instance is ready only once the leader of its data centre has told it the
-// version in force: without a disk it can't know what it applied before it
-// restarted, and must not serve from something older.
+// followConfig keeps the configuration in force up to date by long polls of the
+// leader. The instance becomes ready only after the first answer: it has no disk, so
+// after a restart it doesn't know which version it applied before, and it must not
+// serve an older one.
 func (e *Entry) followConfig(ctx context.Context) {
 	hold := time.Duration(e.base.Settings.Timing.RenewHold)
 	for ctx.Err() == nil {
@@ -221,9 +226,11 @@
 	}
 }
 
-// configRetryDelay is the wait after no leader could be asked for the configuration.
+// configRetryDelay is the wait after a failed attempt to fetch the configuration.
 const configRetryDelay = 200 * time.Millisecond
 
+// applyConfig applies a configuration of the leader if it is newer than the current one.
+// The first call makes the instance ready.
 func (e *Entry) applyConfig(adopted *apiv1.Config) {
 	if adopted.Version > e.config.Current().Version {
 		e.setConfig(adopted)
@@ -234,6 +241,8 @@
 	})
 }
 
+// setConfig puts a configuration in force. If its document can't be parsed, the
+// document before stays, and the error is kept with the configuration.
 func (e *Entry) setConfig(adopted *apiv1.Config) {
 	document, err := conf.Parse(adopted.Document)
 	config := conf.Config{
--- a/internal/entry/gateway.go
+++ b/internal/entry/gateway.go
@@ -12,13 +12,13 @@
 
 var _ apiv1.WorkerGateway = (*Entry)(nil)
 
-// Renew carries a worker's renewal to the leader of this data centre.
+// Renew forwards a worker's renewal to the leader of this data centre.
 //
-// Failure guarded against: the leader is paused or cut off and the renewal
-// hangs; the worker hears nothing until its lease has ended, and work that
-// mustn't be repeated becomes unknown. The first try takes the hold and a little
-// more; what is tried after that is not held at all, so the answer of a new
-// leader goes out while the lease still lasts. Settings keep the lease longer
+// Failure guarded against: the leader is paused or partitioned and the renewal
+// hangs. Without an answer the worker's lease expires, and the outcome of tasks that
+// must not run twice becomes unknown. So the first attempt lasts for the hold plus
+// holdMargin at most, and attempts after that are not held at all: the answer of a new
+// leader arrives before the lease expires. The settings guarantee a lease that is longer
 // than that (see settings.Timing).
 func (e *Entry) Renew(ctx context.Context, r *apiv1.RenewRequest) (*apiv1.RenewResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Worker); err != nil {
@@ -35,8 +35,9 @@
 	})
 }
 
-// cancelOnDrain ends a held call when the instance drains: its worker renews at
-// another entry instance, and the shutdown waits for nothing that is idle.
+// cancelOnDrain returns a context that ends when the instance drains. A held call
+// then ends at once and doesn't delay the shutdown; its worker renews at another
+// entry instance.
 func (e *Entry) cancelOnDrain(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
@@ -49,7 +50,8 @@
 	return ctx, cancel
 }
 
-// Report carries ends of attempts to the leader of this data centre.
+// Report forwards a worker's report of ended attempts to the leader of this data
+// centre.
 func (e *Entry) Report(ctx context.Context, r *apiv1.ReportRequest) (*apiv1.ReportResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Worker); err != nil {
 		return nil, err
@@ -59,7 +61,8 @@
 	})
 }
 
-// LeaveWorker carries a worker's farewell to the leader of this data centre.
+// LeaveWorker forwards a worker's announcement that it shuts down to the leader of
+// this data centre.
 func (e *Entry) LeaveWorker(ctx context.Context, r *apiv1.LeaveWorkerRequest) (*apiv1.LeaveResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Worker); err != nil {
 		return nil, err
--- a/internal/entry/gateway_test.go
+++ b/internal/entry/gateway_test.go
@@ -17,7 +17,7 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
-// fakeGateway is a cell whose answer to a renewal is a function.
+// fakeGateway serves a cell whose answer to a renewal is a function.
 type fakeGateway struct {
 	apiv1.WorkerGateway
 	renew func(context.Context, *apiv1.RenewRequest) (*apiv1.RenewResponse, error)
@@ -27,6 +27,7 @@
 	return g.renew(ctx, r)
 }
 
+// startFakeCell serves a fakeGateway and returns its address.
 func startFakeCell(t *testing.T, renew func(context.Context, *apiv1.RenewRequest) (*apiv1.RenewResponse, error)) string {
 	server := httptest.NewUnstartedServer(apiv1.NewWorkerGatewayServer(&fakeGateway{renew: renew}))
 	server.Config = rpc.NewServer(server.Config.Handler)
@@ -35,10 +36,10 @@
 	return server.Listener.Addr().String()
 }
 
-// What a user sees: a check-in task becomes unknown though its worker was well.
-// Order: the leader freezes while it holds the worker's renewal; the entry
-// instance gives up and asks the new leader; that one holds the renewal again.
-// Cause: two holds in a row outlast the worker's lease.
+// Guards against a worker's lease that expires although the worker is healthy, which
+// makes the outcome of its tasks unknown: the leader freezes while it holds the
+// renewal, the entry instance retries at the new leader, and that one holds the
+// renewal again. Two holds in a row outlast the lease.
 func TestRetriedRenewalIsNotHeldAgain(t *testing.T) {
 	frozen := startFakeCell(t, func(ctx context.Context, _ *apiv1.RenewRequest) (*apiv1.RenewResponse, error) {
 		<-ctx.Done()
--- a/internal/entry/minions.go
+++ b/internal/entry/minions.go
@@ -17,14 +17,14 @@
 
 var _ apiv1.MinionGateway = (*Entry)(nil)
 
-// Bounds of what a minion may announce.
+// Limits of what a minion may announce; names are in bytes.
 const (
 	maxSlots       = 10_000
 	maxConnections = 100_000
 	maxNameLength  = 128
 )
 
-// routingOptions are the options of the request path from the settings.
+// routingOptions returns the options of the balancer for requests to minions.
 func (e *Entry) routingOptions() routing.Options {
 	options := routing.DefaultOptions()
 	options.Entry = e.base.Instance.ID
@@ -33,7 +33,8 @@
 	return options
 }
 
-// customerOf names the customer of a request to a service.
+// customerOf returns the customer of a request to a service by its token. Its error
+// is a fault.
 func (e *Entry) customerOf(r *http.Request) (string, error) {
 	identity, err := e.base.Tokens.Authenticate(r.Header.Get("Authorization"))
 	if err != nil {
@@ -45,7 +46,8 @@
 	return identity.Customer, nil
 }
 
-// renewSlotLeases renews the slot leases at the leader of this data centre.
+// renewSlotLeases sends a slot request to the leader of this data centre. An attempt
+// takes a quarter of the lease at most.
 func (e *Entry) renewSlotLeases(ctx context.Context, r *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error) {
 	ctx, err := rpc.WithBearer(ctx, "Bearer "+e.base.Tokens.Token(settings.Peer))
 	if err != nil {
@@ -61,8 +63,8 @@
 	return answer, err
 }
 
-// Announce takes a minion's announcement. The leader hears of it with the next
-// slot request.
+// Announce applies a minion's announcement. The next slot request passes it on to
+// the leader.
 func (e *Entry) Announce(ctx context.Context, r *apiv1.AnnounceRequest) (*apiv1.AnnounceResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Minion); err != nil {
 		return nil, err
@@ -74,6 +76,7 @@
 	return &apiv1.AnnounceResponse{TtlMs: time.Duration(e.base.Settings.Timing.MinionTTL).Milliseconds()}, nil
 }
 
+// checkAnnouncement returns a fault that names the first invalid field.
 func checkAnnouncement(r *apiv1.AnnounceRequest) error {
 	switch {
 	case r.Minion == "" || len(r.Minion) > maxNameLength:
@@ -89,12 +92,12 @@
 	}
 	host, _, err := net.SplitHostPort(r.Address)
 	if err != nil || net.ParseIP(host) == nil {
-		return fault.Field("address", "%q is no IP address with a port", r.Address)
+		return fault.Field("address", "%q is not an IP address with a port", r.Address)
 	}
 	return nil
 }
 
-// LeaveMinion takes a minion out of use at once.
+// LeaveMinion stops sending requests to a minion at once.
 func (e *Entry) LeaveMinion(ctx context.Context, r *apiv1.LeaveMinionRequest) (*apiv1.LeaveResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Minion); err != nil {
 		return nil, err
--- a/internal/entry/operations.go
+++ b/internal/entry/operations.go
@@ -19,11 +19,11 @@
 
 var _ apiv1.Operations = (*Entry)(nil)
 
-// replaceAttemptTimeout bounds the replacement of an instance, which waits for the new
-// one to catch up with the log.
+// replaceAttemptTimeout bounds the replacement of an instance in one log, which waits
+// until the new instance has caught up.
 const replaceAttemptTimeout = 30 * time.Second
 
-// maxEvents bounds what one call of Events returns.
+// maxEvents limits the events that one call of Events returns.
 const maxEvents = 5000
 
 // Workers lists the workers of one data centre, or of all.
@@ -48,8 +48,8 @@
 	return all, nil
 }
 
-// Drain takes a worker out of placement, in the data centre named or in the
-// one that knows the worker.
+// Drain stops the placement of tasks on a worker. Without a data centre in the
+// request it looks for the one that knows the worker.
 func (e *Entry) Drain(ctx context.Context, r *apiv1.DrainRequest) (*apiv1.DrainResponse, error) {
 	names := e.base.Settings.DataCentres()
 	if r.DataCentre != "" {
@@ -69,8 +69,8 @@
 		if !fault.Is(err, fault.NotFound) && !fault.Is(err, fault.Unavailable) {
 			return nil, err
 		}
-		// A data centre that can't be reached may know the worker, so it
-		// outweighs another's "not found".
+		// An unreachable data centre may know the worker, so Unavailable takes
+		// precedence over the NotFound of another one.
 		if lookupErr == nil || fault.Is(err, fault.Unavailable) {
 			lookupErr = err
 		}
@@ -78,29 +78,29 @@
 	return nil, lookupErr
 }
 
-// GetConfig returns the committed configuration. Cut off from the majority of
-// the voters it fails at once.
+// GetConfig returns the committed configuration. Partitioned from the majority of
+// the voters, it fails at once.
 func (e *Entry) GetConfig(ctx context.Context, r *apiv1.GetConfigRequest) (*apiv1.Config, error) {
 	return forward(ctx, e, directory.Configuration, directory.CallOptions{}, func(ctx context.Context, c clients) (*apiv1.Config, error) {
 		return c.operations.GetConfig(ctx, r)
 	})
 }
 
-// SetConfig writes the configuration, compare-and-set.
+// SetConfig replaces the configuration by compare-and-set on its version.
 func (e *Entry) SetConfig(ctx context.Context, r *apiv1.SetConfigRequest) (*apiv1.Config, error) {
 	return forward(ctx, e, directory.Configuration, directory.CallOptions{}, func(ctx context.Context, c clients) (*apiv1.Config, error) {
 		return c.operations.SetConfig(ctx, r)
 	})
 }
 
-// ConfigHistory lists committed versions.
+// ConfigHistory lists the committed versions of the configuration.
 func (e *Entry) ConfigHistory(ctx context.Context, r *apiv1.ConfigHistoryRequest) (*apiv1.ConfigHistoryResponse, error) {
 	return forward(ctx, e, directory.Configuration, directory.CallOptions{}, func(ctx context.Context, c clients) (*apiv1.ConfigHistoryResponse, error) {
 		return c.operations.ConfigHistory(ctx, r)
 	})
 }
 
-// Quotas lists quotas and allotments of every data centre.
+// Quotas lists the quotas and allotments of all data centres.
 func (e *Entry) Quotas(ctx context.Context, r *apiv1.QuotasRequest) (*apiv1.QuotasResponse, error) {
 	answers, unreachable, err := fanOut(ctx, e, func(ctx context.Context, c clients) (*apiv1.QuotasResponse, error) {
 		return c.operations.Quotas(ctx, r)
@@ -115,9 +115,9 @@
 	return all, nil
 }
 
-// ReplaceInstance gives the place of a lost instance to a new one in every log
-// that the lost one voted on: that of its data centre, those that it witnessed,
-// and the configuration log. Called again it goes on where it was interrupted.
+// ReplaceInstance replaces a lost instance by a new one in every log in which the
+// lost one was a voter: the log of its data centre, those of which it was a witness,
+// and the configuration log. After an error it can be called again and continues.
 func (e *Entry) ReplaceInstance(ctx context.Context, r *apiv1.ReplaceInstanceRequest) (*apiv1.ReplaceInstanceResponse, error) {
 	if !e.base.Directory.HasDataCentre(r.DataCentre) {
 		return nil, fault.Field("data_centre", "no data centre %q", r.DataCentre)
@@ -147,14 +147,14 @@
 	return homeResponse, nil
 }
 
-// process is one process of an instance, as the fan-out over all of them sees it.
+// process is one process of an instance, as a target of callAll.
 type process struct {
 	instance settings.Instance
 	name     string
 	base     string
 }
 
-// cells lists the processes of the deployment that hold logs.
+// cells lists the cell processes of the deployment, which hold the logs.
 func (e *Entry) cellProcesses() []process {
 	var cells []process
 	for _, instance := range e.base.Settings.Instances {
@@ -176,7 +176,8 @@
 	return entries
 }
 
-// callAll makes the caller's call on processes at once.
+// callAll makes a call on processes in parallel with the credentials of the caller.
+// It returns an answer or an error for each process.
 func callAll[T any](ctx context.Context, e *Entry, processes []process, call func(context.Context, clients) (T, error)) ([]T, []error) {
 	answers := make([]T, len(processes))
 	errs := make([]error, len(processes))
@@ -195,7 +196,7 @@
 	return answers, errs
 }
 
-// ConfigStatus tells which process applies which version.
+// ConfigStatus returns which version of the configuration each process applies.
 func (e *Entry) ConfigStatus(ctx context.Context, r *apiv1.ConfigStatusRequest) (*apiv1.ConfigStatusResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Operator); err != nil {
 		return nil, err
@@ -224,7 +225,7 @@
 	return response, nil
 }
 
-// Instances describes every instance.
+// Instances describes all instances. An unreachable one is described from the settings.
 func (e *Entry) Instances(ctx context.Context, r *apiv1.InstancesRequest) (*apiv1.InstancesResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Operator); err != nil {
 		return nil, err
@@ -247,7 +248,7 @@
 	return response, nil
 }
 
-// Events merges the events of all processes into one order.
+// Events returns the newest events of all processes, merged into one order.
 func (e *Entry) Events(ctx context.Context, r *apiv1.EventsRequest) (*apiv1.EventsResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Operator); err != nil {
 		return nil, err
--- a/internal/entry/scheduler.go
+++ b/internal/entry/scheduler.go
@@ -20,8 +20,8 @@
 
 var _ apiv1.Scheduler = (*Entry)(nil)
 
-// Submit sends a job to its home data centre: the one that is wished for, or
-// the entry instance's own.
+// Submit forwards a job to its home data centre: the one that the request names, or
+// that of this entry instance.
 func (e *Entry) Submit(ctx context.Context, r *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Customer); err != nil {
 		return nil, err
@@ -29,9 +29,9 @@
 	if r.RequestId == "" {
 		return nil, fault.Field("request_id", "missing")
 	}
-	// Checked here as well, so that bad input costs the leader nothing. The
-	// deadline is left to the leader: a resent request is answered even after
-	// its deadline.
+	// The leader checks the spec too. Checking it here keeps the load of invalid
+	// requests from the leader. The leader alone checks the deadline, since a retried
+	// request is answered even after its deadline.
 	if _, err := wire.CheckSpec(r.Spec, e.base.Settings.Limits, time.Time{}.Add(time.Hour)); err != nil && fault.From(err).Field != "deadline_unix_ms" {
 		return nil, err
 	}
@@ -45,7 +45,7 @@
 	})
 }
 
-// Home names the data centre of this entry instance.
+// Home returns the data centre of this entry instance.
 func (e *Entry) Home(ctx context.Context, _ *apiv1.HomeRequest) (*apiv1.HomeResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Customer, settings.Operator); err != nil {
 		return nil, err
@@ -53,20 +53,21 @@
 	return &apiv1.HomeResponse{DataCentre: e.base.Instance.DataCentre}, nil
 }
 
-// homeOf decides which data centre answers for a request id.
+// homeOf returns the home data centre of a submission, the one that deduplicates its
+// request id. Its error is a fault.
 //
-// Failure guarded against: the answer to a submission is lost, and the caller or
-// the platform's balancer repeats it at an entry instance of another data centre,
-// which has never seen the request id and accepts the work again. So the caller
-// names the home, and what must not run twice isn't taken without one. Work that
-// is idempotent may be: a second acceptance wastes time and does no harm.
+// Failure guarded against: the answer to a submission is lost, and the caller or the
+// platform's balancer retries it at an entry instance of another data centre, which
+// has never seen the request id and accepts the work again. So the caller names the
+// home, and work that must not run twice is rejected without one. Idempotent work is
+// accepted without: a duplicate wastes time and does no harm.
 func (e *Entry) homeOf(r *apiv1.SubmitRequest) (string, error) {
 	if r.Home != "" && r.Spec.DataCentre != "" && r.Home != r.Spec.DataCentre {
-		return "", fault.Field("home", "is %q and the spec names data centre %q", r.Home, r.Spec.DataCentre)
+		return "", fault.Field("home", "is %q, but the spec names data centre %q", r.Home, r.Spec.DataCentre)
 	}
 	home := cmp.Or(r.Home, r.Spec.DataCentre)
 	if home == "" && !r.Spec.Idempotent {
-		return "", fault.Field("home", "work that isn't idempotent needs one: ask Home once and name it in each repeat of the request")
+		return "", fault.Field("home", "work that isn't idempotent needs one: call Home once and send its answer in each retry of the request")
 	}
 	if home == "" {
 		home = e.base.Instance.DataCentre
@@ -77,7 +78,8 @@
 	return home, nil
 }
 
-// Status tells of one job, or of all jobs of the caller's customer everywhere.
+// Status returns the status of one job, or without an id of all jobs of the caller's
+// customer in all data centres.
 func (e *Entry) Status(ctx context.Context, r *apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
 	if r.Id == "" {
 		return e.listJobs(ctx, r)
@@ -87,7 +89,8 @@
 	})
 }
 
-// Watch waits for a job to change.
+// Watch waits until a job changes, for the time that the request names at most, and
+// returns its status.
 func (e *Entry) Watch(ctx context.Context, r *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
 	hold := time.Duration(r.WaitMs) * time.Millisecond
 	options := directory.CallOptions{SearchTimeout: electionTimeout, AttemptTimeout: hold + directory.AttemptTimeout}
@@ -96,8 +99,8 @@
 	})
 }
 
-// callOwner asks the data centre that an id was given in, and follows a job
-// that was handed over to the data centre where it lives now.
+// callOwner makes a call on the data centre that issued a job id. If the job was handed
+// over since, it makes the call on the data centre that owns the job now.
 func callOwner(ctx context.Context, e *Entry, id string, options directory.CallOptions, call func(context.Context, clients) (*apiv1.StatusResponse, error)) (*apiv1.StatusResponse, error) {
 	home := state.HomeDataCentre(id)
 	if home == "" || !e.base.Directory.HasDataCentre(home) {
@@ -116,9 +119,9 @@
 	return answer, nil
 }
 
-// searchOtherDataCentres looks for a job whose home can't be reached: it may have been
-// handed over before. Not finding it elsewhere says nothing, so the answer is
-// then that its home is unavailable.
+// searchOtherDataCentres looks for a job whose home is unreachable in the other data
+// centres, since the job may have been handed over. Not finding it there doesn't
+// prove that it doesn't exist, so the error is then that of the home.
 func (e *Entry) searchOtherDataCentres(ctx context.Context, home string, unavailable error, call func(context.Context, clients) (*apiv1.StatusResponse, error)) (*apiv1.StatusResponse, error) {
 	for _, name := range e.base.Settings.DataCentres() {
 		if name == home {
@@ -132,6 +135,8 @@
 	return nil, unavailable
 }
 
+// listJobs lists the jobs of the caller's customer in all data centres, the newest
+// first.
 func (e *Entry) listJobs(ctx context.Context, r *apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
 	answers, unreachable, err := fanOut(ctx, e, func(ctx context.Context, c clients) (*apiv1.StatusResponse, error) {
 		return c.scheduler.Status(ctx, r)
@@ -155,7 +160,7 @@
 	return all, nil
 }
 
-// Cancel ends jobs wherever they live.
+// Cancel cancels jobs in the data centres that own them.
 func (e *Entry) Cancel(ctx context.Context, r *apiv1.CancelRequest) (*apiv1.CancelResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Customer); err != nil {
 		return nil, err
@@ -172,6 +177,7 @@
 	return mergeCancelResponses(answers, unreachable), nil
 }
 
+// mergeCancelResponses merges the cancelled ids of several data centres.
 func mergeCancelResponses(answers []*apiv1.CancelResponse, unreachable []string) *apiv1.CancelResponse {
 	all := &apiv1.CancelResponse{UnreachableDataCentres: unreachable}
 	for _, answer := range answers {
@@ -181,6 +187,7 @@
 	return all
 }
 
+// cancelIDs cancels jobs by id, with one call for each data centre that owns any.
 func (e *Entry) cancelIDs(ctx context.Context, r *apiv1.CancelRequest) (*apiv1.CancelResponse, error) {
 	if r.Name != "" || r.AllOfCustomer {
 		return nil, fault.Field("selector", "exactly one of ids, name and all_of_customer is needed")
@@ -221,7 +228,7 @@
 	})
 }
 
-// Explain says why a job waits or how it ended.
+// Explain returns why a job waits or how it ended.
 func (e *Entry) Explain(ctx context.Context, r *apiv1.ExplainRequest) (*apiv1.ExplainResponse, error) {
 	owner, err := e.ownerOf(ctx, r.Id)
 	if err != nil {
@@ -232,10 +239,10 @@
 	})
 }
 
-// ownerOf names the data centre where a job lives.
+// ownerOf returns the data centre that owns a job.
 func (e *Entry) ownerOf(ctx context.Context, id string) (string, error) {
 	if id == "" {
-		// Asked of Status, no id would mean all jobs.
+		// Status takes an empty id for all jobs.
 		return "", fault.New(fault.NotFound, "no job %q", id)
 	}
 	status, err := e.Status(ctx, &apiv1.StatusRequest{Id: id})
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -16,10 +16,11 @@
 	})
 }
 
-// finish hands the slots of minions back once the last request is answered.
+// finish rejects new requests and waits for those in flight. The slots of minions are
+// released afterwards, when Run ends.
 func (e *Entry) finish(ctx context.Context) {
 	e.requestProxy.StopAccepting()
 	if err := e.requestProxy.Wait(ctx); err != nil {
-		e.base.Logger.Log("msg", "requests were still in progress", "err", err)
+		e.base.Logger.Log("msg", "the shutdown limit was reached with requests in flight", "err", err)
 	}
 }
--- a/internal/entry/stats.go
+++ b/internal/entry/stats.go
@@ -7,7 +7,8 @@
 	Calls expvar.Int
 }
 
-// Publish puts the counters into a map of metrics.
+// Publish adds the counters, the metrics of the request proxy and the version of the
+// configuration to a map of metrics.
 func (e *Entry) Publish(metrics *expvar.Map) {
 	metrics.Set("calls", &e.stats.Calls)
 	metrics.Set("requests", expvar.Func(func() any { return e.requestProxy.Stats() }))
