--- a/internal/apiserver/apiserver.go
+++ b/internal/apiserver/apiserver.go
@@ -1,6 +1,5 @@
-// Package apiserver serves the product's own interface of a cell whose log spans
-// its data centres: it checks and translates calls, and passes them on to the
-// leader.
+// Package apiserver serves the product API of a cell whose log spans its data
+// centres: it validates calls, translates them and forwards them to the leader.
 package apiserver
 
 import (
@@ -19,16 +18,17 @@
 )
 
 const (
-	// callTimeout bounds one call; a commit takes some tens of milliseconds, an
-	// election a second.
+	// callTimeout bounds one call. A commit takes some tens of milliseconds, an
+	// election takes a second.
 	callTimeout = 5 * time.Second
-	// maxBody bounds a call: the largest job has a thousand steps.
+	// maxBody is the largest request body in bytes. The largest job has a thousand
+	// steps.
 	maxBody = 1 << 20
-	// maxIDLength bounds the ID of a job in bytes.
+	// maxIDLength is the largest length of a job ID in bytes.
 	maxIDLength = 64
 )
 
-// Operations are the calls of the leader.
+// Operations are the calls that are forwarded to the leader.
 type Operations interface {
 	Submit(ctx context.Context, r *control.SubmitCall) (control.SubmitReply, error)
 	State(ctx context.Context, r *control.StateCall) (control.StateReply, error)
@@ -38,13 +38,14 @@
 	WaveState(ctx context.Context, r *control.WaveStateCall) (control.WaveStateReply, error)
 }
 
-// server implements the schema's Workflows.
+// server implements the service apiv1.Workflows.
 type server struct {
 	operations Operations
 	logger     log.Logger
 }
 
-// New returns the handler of the interface for callers that show token.
+// New returns the handler of the product API. A call without the bearer token is
+// rejected with status 401.
 func New(operations Operations, token string, logger log.Logger) http.Handler {
 	api := apiv1.NewWorkflowsServer(&server{operations: operations, logger: logger})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -60,7 +61,7 @@
 	})
 }
 
-// answer logs a refused call and turns its error into one of the schema's.
+// toAPIError logs a failed call and converts its error to one of the API.
 func (s *server) toAPIError(call, queue, id string, err error) error {
 	if err != nil {
 		_ = s.logger.Log("event", "api_request", "call", call, "queue", queue, "job", id, "outcome", fault.KindOf(err), "err", err)
@@ -70,6 +71,7 @@
 
 func jobAddress(queue, id string) control.JobAddress { return control.JobAddress{Queue: queue, ID: id} }
 
+// checkRef returns a fault that names the invalid field of a reference to a job.
 func checkRef(queue, id string) error {
 	switch {
 	case queue == "":
@@ -80,11 +82,13 @@
 	return nil
 }
 
+// SubmitWorkflow submits a job.
 func (s *server) SubmitWorkflow(ctx context.Context, r *apiv1.SubmitWorkflowRequest) (*apiv1.SubmitWorkflowResponse, error) {
 	reply, err := s.submit(ctx, r)
 	return &apiv1.SubmitWorkflowResponse{Known: reply.Known}, s.toAPIError("submit", r.GetQueue(), r.GetId(), err)
 }
 
+// submit validates and translates a job and submits it.
 func (s *server) submit(ctx context.Context, r *apiv1.SubmitWorkflowRequest) (control.SubmitReply, error) {
 	if err := checkRef(r.GetQueue(), r.GetId()); err != nil {
 		return control.SubmitReply{}, err
@@ -118,6 +122,7 @@
 	return step
 }
 
+// CancelWorkflow cancels a job.
 func (s *server) CancelWorkflow(ctx context.Context, r *apiv1.WorkflowRef) (*apiv1.CancelWorkflowResponse, error) {
 	err := checkRef(r.GetQueue(), r.GetId())
 	if err == nil {
@@ -126,11 +131,13 @@
 	return &apiv1.CancelWorkflowResponse{}, s.toAPIError("cancel", r.GetQueue(), r.GetId(), err)
 }
 
+// GetWorkflow returns the progress of a job.
 func (s *server) GetWorkflow(ctx context.Context, r *apiv1.WorkflowRef) (*apiv1.WorkflowStatus, error) {
 	reply, err := s.explain(ctx, r)
 	return statusToAPI(&reply), s.toAPIError("get", r.GetQueue(), r.GetId(), err)
 }
 
+// ExplainWorkflow returns the progress of a job and why its steps wait.
 func (s *server) ExplainWorkflow(ctx context.Context, r *apiv1.WorkflowRef) (*apiv1.ExplainWorkflowResponse, error) {
 	reply, err := s.explain(ctx, r)
 	return explanationToAPI(&reply), s.toAPIError("explain", r.GetQueue(), r.GetId(), err)
@@ -178,6 +185,7 @@
 	return answer
 }
 
+// GetQueue returns the state of a queue.
 func (s *server) GetQueue(ctx context.Context, r *apiv1.QueueRef) (*apiv1.QueueStatus, error) {
 	if r.GetQueue() == "" {
 		return nil, s.toAPIError("queue", "", "", fault.Field("queue", "missing"))
@@ -186,6 +194,7 @@
 	return &apiv1.QueueStatus{Waiting: int32(reply.Waiting)}, s.toAPIError("queue", r.GetQueue(), "", err)
 }
 
+// StartWave starts a maintenance wave and returns its progress.
 func (s *server) StartWave(ctx context.Context, r *apiv1.Wave) (*apiv1.WaveStatus, error) {
 	wave := workflow.Wave{ID: r.GetId(), Machines: r.GetMachines(), DurationMS: r.GetDurationMs(), MaxDown: int(r.GetMaxDown())}
 	if err := workflow.CheckWave(&wave); err != nil {
@@ -197,6 +206,7 @@
 	return s.GetWave(ctx, &apiv1.WaveRef{Id: r.GetId()})
 }
 
+// GetWave returns the progress of a maintenance wave.
 func (s *server) GetWave(ctx context.Context, r *apiv1.WaveRef) (*apiv1.WaveStatus, error) {
 	reply, err := s.operations.WaveState(ctx, &control.WaveStateCall{ID: r.GetId()})
 	status := &apiv1.WaveStatus{Id: r.GetId(), Done: reply.Done}
--- a/internal/apiserver/apiserver_test.go
+++ b/internal/apiserver/apiserver_test.go
@@ -19,7 +19,7 @@
 
 const token = "secret"
 
-// fakeLeader answers like the leader and keeps what it was asked.
+// fakeLeader implements Operations with fixed answers and keeps the last calls.
 type fakeLeader struct {
 	submitted *control.SubmitCall
 	wave      *control.WaveCall
@@ -61,7 +61,7 @@
 	return control.WaveStateReply{Done: true, Maintenances: []workflow.Maintenance{{Machine: "m1", Stage: workflow.MaintenanceBegun}}}, f.err
 }
 
-// serve serves a leader and returns a client that shows the given token.
+// newClient serves the API of a leader and returns a client that presents a token.
 func newClient(t *testing.T, f *fakeLeader, presented string) apiv1.Workflows {
 	server := httptest.NewServer(New(f, token, log.NewNopLogger()))
 	t.Cleanup(server.Close)
@@ -69,6 +69,7 @@
 	return apiv1.NewWorkflowsProtobufClient(server.URL, client)
 }
 
+// withToken is a transport that adds a bearer token to each request.
 type withToken string
 
 func (w withToken) RoundTrip(r *http.Request) (*http.Response, error) {
