--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon holds what the daemons share: flags, settings, logs, the
-// operators' port with metrics, health and profiles, and the order of start and
-// shutdown.
+// Package daemon implements what bilberry-entryd and bilberry-celld share: flags,
+// settings, logs, the admin port with metrics, health and profiles, and the order of
+// start and shutdown.
 package daemon
 
 import (
@@ -31,7 +31,7 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
-// cellRole is the role of the process that keeps the data centre's state.
+// cellRole is the role of the process that stores the state of its data centre.
 const cellRole = "cell"
 
 // Exit codes of the daemons.
@@ -41,13 +41,14 @@
 	ExitSettings = 2
 )
 
-// softMemoryLimit is the size from which on a daemon collects garbage earlier.
-// A daemon may use 64 MB; without a limit the collector lets garbage grow to the
-// size of what is in use, which passes that during bursts. A daemon that needs
-// more than this goes on, at the cost of processor time. GOMEMLIMIT overrides it.
+// softMemoryLimit is the memory in bytes above which the garbage collector runs more
+// often. A daemon may use 64 MB. Without the limit, garbage grows to the size of the
+// live heap, which exceeds 64 MB during bursts. A daemon that needs more than the limit
+// keeps running and uses more processor time. GOMEMLIMIT overrides the limit.
 const softMemoryLimit = 48 << 20
 
-// Base is what every process of the system is built on.
+// Base holds what each process of an instance needs: its settings, clients, logs and
+// metrics.
 type Base struct {
 	Settings  *settings.Settings
 	Instance  *settings.Instance
@@ -57,18 +58,17 @@
 	Events    *event.Recorder
 	Logger    log.Logger
 	Metrics   *expvar.Map
-	// Dial opens the connections of the process; nil means TCP.
+	// Dial opens the connections of the process; nil means plain TCP.
 	Dial rpc.Dial
-	// Listener, when set, is served instead of listening on the address in the
-	// settings.
+	// Listener, if set, is served in place of the address in the settings.
 	Listener net.Listener
-	// ForceStart is an operator's decision that the members of the data
-	// centre's log which aren't there won't come back.
+	// ForceStart is true if an operator has decided that the missing members of the
+	// data centre's log won't come back.
 	ForceStart bool
 }
 
-// NewBase prepares a process of an instance. role names the process in logs
-// and events, such as "entry"; dial opens its connections, nil means TCP.
+// NewBase returns the Base of a process of an instance. role names the process in logs
+// and events, such as "entry". dial opens its connections; nil means plain TCP.
 func NewBase(s *settings.Settings, instance, role string, logs io.Writer, dial rpc.Dial) (*Base, error) {
 	ownInstance, err := s.Instance(instance)
 	if err != nil {
@@ -100,16 +100,16 @@
 	return base, nil
 }
 
-// Traffic is what went through the sockets of one kind, overhead of HTTP
-// included and that of TCP and IP not.
+// Traffic is the traffic of one kind of connections, with the overhead of HTTP and
+// without that of TCP and IP.
 type Traffic struct {
 	BytesSent, BytesReceived uint64
 }
 
-// publishTraffic shows the traffic of a kind of sockets in the metrics. Accepted
-// connections are those of callers, workers and other instances; dialled ones
-// carry forwarded calls. Streams of replicated logs and requests to minions go
-// over connections of their own, which are counted where they are opened.
+// publishTraffic adds the traffic of a kind of connections to the metrics. Accepted
+// connections are those of callers, workers and other instances; dialled ones carry
+// forwarded calls. The streams of replicated logs and the requests to minions have
+// their own connections, which are counted where they are opened.
 func (b *Base) publishTraffic(kind string, bytes func() (sent, received uint64)) {
 	b.Metrics.Set(kind, expvar.Func(func() any {
 		sent, received := bytes()
@@ -117,17 +117,19 @@
 	}))
 }
 
-// openEvents opens the file of events of a process that has a disk.
-func openEvents(own *settings.Instance, role string) (*event.File, error) {
-	if own.DataFolder == "" || role != cellRole {
+// openEvents opens the event file of the cell process of an instance with a disk. It
+// returns nil for other processes.
+func openEvents(instance *settings.Instance, role string) (*event.File, error) {
+	if instance.DataFolder == "" || role != cellRole {
 		return nil, nil
 	}
-	if err := os.MkdirAll(own.DataFolder, 0o755); err != nil {
+	if err := os.MkdirAll(instance.DataFolder, 0o755); err != nil {
 		return nil, err
 	}
-	return event.OpenFile(filepath.Join(own.DataFolder, "events.jsonl"), event.DefaultFileBytes)
+	return event.OpenFile(filepath.Join(instance.DataFolder, "events.jsonl"), event.DefaultFileBytes)
 }
 
+// newLogger returns a logger for lines of a minimum level, each with time and name.
 func newLogger(w io.Writer, minimum, name string) log.Logger {
 	logger := log.NewLogfmtLogger(log.NewSyncWriter(w))
 	logger = level.NewFilter(logger, level.Allow(level.ParseDefault(minimum, level.InfoValue())))
@@ -135,24 +137,27 @@
 	return log.With(logger, "ts", log.DefaultTimestampUTC, "instance", name)
 }
 
-// Service is one process's work.
+// Service is what Serve runs in a process.
 type Service struct {
 	// Address is where Handler is served.
 	Address string
 	Handler http.Handler
-	// Admin is the operators' port.
+	// Admin is the address for metrics, health and profiles; empty for none.
 	Admin string
+	// Ready reports whether the process may serve callers.
 	Ready func() bool
-	// Run works until its context ends.
+	// Run does the background work of the process until its context ends.
 	Run func(context.Context) error
-	// BeginShutdown ends readiness and held calls.
+	// BeginShutdown ends readiness and held calls. Requests in flight continue.
 	BeginShutdown func()
-	// Finish is called after the last request has been answered.
+	// Finish, if set, is called after the server has shut down and before the context
+	// of Run ends.
 	Finish func(context.Context)
 }
 
-// Serve runs a service until ctx ends, then shuts it down without cutting off
-// a request in progress: readiness off, held calls answered, requests finished.
+// Serve runs a service until ctx ends or a part of it fails, and then shuts it down
+// gracefully: it ends readiness and held calls, and waits for the requests in flight up
+// to the shutdown limit of the settings.
 func (b *Base) Serve(ctx context.Context, s Service) error {
 	listener := b.Listener
 	if listener == nil {
@@ -190,14 +195,15 @@
 	return err
 }
 
-// closeEvents writes the last events. Nothing depends on them, so a failure is
-// logged and the process still ends well.
+// closeEvents writes the last events to the file. A failure is only logged, since
+// nothing depends on the events.
 func (b *Base) closeEvents() {
 	if err := b.Events.Close(); err != nil {
-		_ = b.Logger.Log("msg", "events are missing from the file", "err", err)
+		_ = b.Logger.Log("msg", "could not write the last events to the event file", "err", err)
 	}
 }
 
+// ignoreClosed returns err, or nil if the server was closed on purpose.
 func ignoreClosed(err error) error {
 	if err == http.ErrServerClosed {
 		return nil
@@ -205,8 +211,8 @@
 	return err
 }
 
-// serveAdmin serves metrics, health and profiles on a port of their own, so
-// that callers can't reach them.
+// serveAdmin serves metrics, health and profiles on a separate address, so that
+// callers can't reach them. It returns a function that closes the server.
 func (b *Base) serveAdmin(group *errgroup.Group, s Service) (stop func()) {
 	if s.Admin == "" {
 		return func() {}
@@ -216,6 +222,7 @@
 	return func() { _ = admin.Close() }
 }
 
+// adminHandler returns the handler for metrics, health, readiness and profiles.
 func (b *Base) adminHandler(ready func() bool) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/debug/vars", func(w http.ResponseWriter, _ *http.Request) {
@@ -237,7 +244,8 @@
 }
 
 // Main reads the flags of a daemon, loads its settings and runs it until
-// SIGTERM or SIGINT. It returns the exit code.
+// SIGTERM or SIGINT. It returns an exit code: ExitSettings for invalid flags or settings,
+// ExitFailed if the service failed.
 func Main(role string, run func(ctx context.Context, b *Base) error) int {
 	flags := flag.NewFlagSet("bilberry-"+role+"d", flag.ContinueOnError)
 	path := flags.String("settings", "", "settings file of the deployment (TOML)")
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -19,8 +19,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
-// A process was told to end, and the events of its last moments were missing from
-// its file: they were queued for the disk and nobody wrote them before the end.
+// Guards against lost events: the last events before a shutdown are queued for the disk,
+// and the process exits before they are written to the file.
 func TestLastEventsAreWrittenOnShutdown(t *testing.T) {
 	const events = 500
 	path := filepath.Join(t.TempDir(), "events.jsonl")
