--- a/internal/descriptors/budget.go
+++ b/internal/descriptors/budget.go
@@ -1,12 +1,11 @@
-// Package descriptors divides the file descriptors of a process by what they are
-// used for, and bounds each use.
+// Package descriptors allocates the file descriptors of a process to the files of the
+// log and to each kind of connection, and limits each use.
 //
-// Failure guarded against: a process runs out of descriptors. A storm of new
-// connections, from callers, workers or other instances, then keeps the log from
-// opening its files, which ends the process, and its successor meets the same storm.
-// Files of the log have descriptors that no connection can take; each kind of
-// connection has its own bound, at which the connection that has been idle for
-// longest makes room.
+// Failure guarded against: a process runs out of descriptors. In a storm of new
+// connections from callers, workers or other instances, the log can't open its files and
+// the process exits; after a restart it meets the same storm. So descriptors are reserved
+// for the files of the log, and each kind of connection has its own limit. At the limit of
+// a server, the connection that has been idle for longest is closed for a new one.
 package descriptors
 
 import (
@@ -17,17 +16,17 @@
 )
 
 const (
-	// reservedForFiles are kept for the log, its snapshots, the connections between logs, and
-	// what the runtime opens.
+	// reservedForFiles is the number of descriptors for the log, its snapshots, the
+	// connections between the members of the log, and the Go runtime.
 	reservedForFiles = 360
-	// minConnections is how many connections a process must be able to hold.
+	// minConnections is the least number of descriptors that must be left for connections.
 	minConnections = 152
-	// fewest is the smallest limit under which a process starts.
+	// minDescriptors is the smallest limit of descriptors with which a process starts.
 	minDescriptors = reservedForFiles + minConnections
 )
 
-// Shares of the descriptors that are left for connections, in percent. An instance
-// with a disk is called by workers and all instances, and calls workers.
+// Shares of the descriptors for connections, in percent. Workers and all instances call
+// a core instance, and it calls workers. An edge instance mainly serves callers.
 const (
 	coreFromInstancesPercent = 30
 	coreFromExternalPercent  = 20
@@ -40,31 +39,33 @@
 	edgeToExternalPercent    = 8
 )
 
-// Budget is how many connections of each kind a process may have open.
+// Budget is the maximum number of open connections of each kind.
 type Budget struct {
-	// FromInstances and ToInstances are those between the system's own processes.
+	// FromInstances and ToInstances are for connections between the instances.
 	FromInstances, ToInstances int
-	// FromExternal are those of callers, workers and operators.
+	// FromExternal is for connections from callers, workers and operators.
 	FromExternal int
-	// ToExternal are those to workers and to the deployment's own services.
+	// ToExternal is for connections to workers and to the services of the deployment.
 	ToExternal int
 }
 
-// ForCore divides the descriptors of an instance with a disk; limit is how many it
-// may have open, 0 for what the operating system says. It fails if they are too few.
+// ForCore returns the budget of a core instance, which has a disk. limit is the number of
+// descriptors that it may open, 0 for the limit of the operating system. The error is a
+// fault if the descriptors are too few.
 func ForCore(limit int) (Budget, error) {
 	return allocate(limit, coreFromInstancesPercent, coreFromExternalPercent, coreToInstancesPercent, coreToExternalPercent)
 }
 
-// ForEdge is ForCore for an instance that faces callers.
+// ForEdge is ForCore for an edge instance, which serves callers and has no disk.
 func ForEdge(limit int) (Budget, error) {
 	return allocate(limit, edgeFromInstancesPercent, edgeFromExternalPercent, edgeToInstancesPercent, edgeToExternalPercent)
 }
 
+// allocate returns the budget for a limit of descriptors and the shares in percent.
 func allocate(limit, fromInstancesPercent, fromExternalPercent, toInstancesPercent, toExternalPercent int) (Budget, error) {
 	limit = capToRlimit(limit)
 	if limit < minDescriptors {
-		return Budget{}, fault.Field("max_files", "%d, at least %d are needed", limit, minDescriptors)
+		return Budget{}, fault.Field("max_files", "the process may open %d descriptors, at least %d are needed", limit, minDescriptors)
 	}
 	forConnections := limit - reservedForFiles
 	return Budget{
@@ -75,7 +76,7 @@
 	}, nil
 }
 
-// capToRlimit returns limit, or the operating system's own where that is lower or
+// capToRlimit returns limit, or the limit of the operating system if that is lower or
 // limit is 0.
 func capToRlimit(limit int) int {
 	var rlimit syscall.Rlimit
--- a/internal/descriptors/inbound.go
+++ b/internal/descriptors/inbound.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// perHostDivisor is the part of a server's connections that one host may hold, where
-// hosts are told apart.
+// perHostDivisor is the divisor of a server's limit that gives the limit of one remote
+// host, if hosts are limited.
 const perHostDivisor = 8
 
 // Counter counts events by name.
@@ -16,38 +16,41 @@
 	Add(name string, n int64)
 }
 
-// Inbound bounds the connections of a server. At the bound the one that has been idle
-// for longest is closed for a new one; without an idle one the new one is closed.
+// InboundLimiter limits the open connections of a server. At the limit it closes the
+// connection that has been idle for longest when a new one comes, or the new one if
+// none is idle.
 type InboundLimiter struct {
-	// name begins the counters' names.
+	// name is the prefix of the counters' names.
 	name string
-	// limit bounds all connections, perHost those of one remote host.
+	// limit is for all connections, perHost for those of one remote host.
 	limit, perHost int
 	counters       Counter
 
 	mu    sync.Mutex
 	hosts map[string]*hostConns
-	// idle holds connections without a request, the longest idle first.
+	// idle lists the connections without a request, the longest idle first.
 	idle  *list.List
 	conns map[net.Conn]*inboundConn
 }
 
-// host is what one remote host holds.
+// hostConns are the connections of one remote host: their number and the idle ones, the
+// longest idle first.
 type hostConns struct {
 	conns int
 	idle  *list.List
 }
 
+// inboundConn is an open connection.
 type inboundConn struct {
 	remote string
-	// place and hostIdleElement are where the connection stands in the lists of idle ones;
-	// nil while it serves a request.
+	// idleElement and hostIdleElement are the elements of the connection in the idle lists
+	// of the server and of its host. They are nil while it serves a request.
 	idleElement, hostIdleElement *list.Element
 }
 
-// LimitServer bounds the connections of a server that isn't serving yet. Its counters
-// begin with name. telling says that its callers reach it from hosts of their own, so
-// that one that opens very many connections is held to a share of them.
+// LimitServer limits the connections of a server that isn't serving yet. name is the
+// prefix of its counters. limitPerHost also limits the connections of each remote host,
+// so that one host can't take all. It is for servers whose clients run on different hosts.
 func LimitServer(server *http.Server, name string, limit int, limitPerHost bool, counters Counter) *InboundLimiter {
 	in := &InboundLimiter{
 		name: name, limit: limit, perHost: limit, counters: counters,
@@ -60,7 +63,7 @@
 	return in
 }
 
-// note takes in a change of a connection's state. A server calls it for a new
+// onStateChange follows the state of a connection. The server calls it for a new
 // connection before it accepts the next one.
 func (in *InboundLimiter) onStateChange(conn net.Conn, state http.ConnState) {
 	switch state {
@@ -81,6 +84,8 @@
 	}
 }
 
+// admit counts a new connection as idle. At the limit of the server or of the host it
+// evicts another connection or rejects the new one.
 func (in *InboundLimiter) admit(conn net.Conn) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -105,7 +110,7 @@
 }
 
 // evictOrReject closes the connection of a list that has been idle for longest, or the new
-// one. in.mu is held.
+// one if the list is empty. The caller holds in.mu.
 func (in *InboundLimiter) evictOrReject(idle *list.List, newConn net.Conn) {
 	oldest := idle.Front()
 	if oldest == nil {
@@ -121,7 +126,7 @@
 	in.markIdle(newConn)
 }
 
-// markIdle puts a connection behind the idle ones. in.mu is held.
+// markIdle adds a connection to the end of the idle lists. The caller holds in.mu.
 func (in *InboundLimiter) markIdle(conn net.Conn) {
 	c := in.conns[conn]
 	if c == nil {
@@ -132,7 +137,7 @@
 	c.hostIdleElement = in.hosts[c.remote].idle.PushBack(conn)
 }
 
-// markActive takes a connection out of the idle ones. in.mu is held.
+// markActive removes a connection from the idle lists. The caller holds in.mu.
 func (in *InboundLimiter) markActive(conn net.Conn) {
 	c := in.conns[conn]
 	if c == nil || c.idleElement == nil {
@@ -143,7 +148,7 @@
 	c.idleElement, c.hostIdleElement = nil, nil
 }
 
-// forget drops a connection that is closed. in.mu is held.
+// remove stops counting a connection. The caller holds in.mu.
 func (in *InboundLimiter) remove(conn net.Conn) {
 	in.markActive(conn)
 	c := in.conns[conn]
@@ -158,6 +163,7 @@
 	}
 }
 
+// remoteHost returns the remote address of a connection without the port.
 func remoteHost(conn net.Conn) string {
 	address := conn.RemoteAddr().String()
 	name, _, err := net.SplitHostPort(address)
--- a/internal/descriptors/inbound_test.go
+++ b/internal/descriptors/inbound_test.go
@@ -13,7 +13,7 @@
 	"github.com/shoenig/test/wait"
 )
 
-// counts is a Counter for tests.
+// fakeCounter is a Counter that keeps its counts.
 type fakeCounter struct {
 	mu     sync.Mutex
 	counts map[string]int64
@@ -34,7 +34,8 @@
 	return c.counts[name]
 }
 
-// startLimitedServer serves / at once and /held until the test ends.
+// startLimitedServer starts a limited server that completes / at once and keeps requests
+// for /held open until the test ends.
 func startLimitedServer(t *testing.T, limit int, limitPerHost bool) (*httptest.Server, *InboundLimiter, *fakeCounter) {
 	released := make(chan struct{})
 	mux := http.NewServeMux()
@@ -53,8 +54,8 @@
 	return server, in, counter
 }
 
-// request makes one request on a new connection, which stays open, and returns whether
-// it was answered.
+// requestOnNewConn makes one request on a new connection from a local address. It returns
+// the connection, which stays open, and whether the request was answered.
 func requestOnNewConn(t *testing.T, server *httptest.Server, from, path string) (net.Conn, bool) {
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
 	conn, err := dialer.Dial("tcp", server.Listener.Addr().String())
@@ -63,6 +64,7 @@
 	return conn, requestOn(conn, path)
 }
 
+// requestOn makes one request on a connection and reports whether it was answered.
 func requestOn(conn net.Conn, path string) bool {
 	if _, err := conn.Write([]byte("GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n")); err != nil {
 		return false
@@ -74,9 +76,9 @@
 
 const local = "127.0.0.1"
 
-// After a cut a thousand callers connect again at once, and their old connections are
-// still open. The process had no descriptor left for its log and ended. Each of them is
-// now answered, at the cost of connections that nobody uses.
+// Guards against running out of descriptors: after a network partition a thousand callers
+// reconnect at once while their old connections are still open, the log can't open a file
+// and the process exits. Each new connection must be served and close an idle one.
 func TestNewConnectionClosesLongestIdleOne(t *testing.T) {
 	server, in, counter := startLimitedServer(t, 4, false)
 	for range 40 {
@@ -88,6 +90,8 @@
 	must.Eq(t, 36, counter.get("test_connections_closed_idle"))
 }
 
+// Guards against aborted requests: at the limit, with a request in flight on each
+// connection, the new connection must be closed and the others stay.
 func TestActiveConnectionIsNeverClosedForNewOne(t *testing.T) {
 	server, in, counter := startLimitedServer(t, 3, false)
 	for range 3 {
@@ -100,8 +104,8 @@
 	must.Eq(t, 3, in.open())
 }
 
-// One worker opens connections without end, and others lose theirs each time they have
-// been idle for a moment.
+// Guards against one host that takes all connections: a worker opens connections without
+// end, and the idle connections of others are closed for them.
 func TestHostAtItsLimitLosesOnlyItsOwnConnections(t *testing.T) {
 	server, in, counter := startLimitedServer(t, 16, true)
 	otherHost, answered := requestOnNewConn(t, server, "127.0.0.7", "/")
@@ -127,15 +131,15 @@
 	must.Eq(t, 0, in.idle.Len())
 }
 
-// open returns how many connections are open.
+// open returns the number of open connections.
 func (in *InboundLimiter) open() int {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return len(in.conns)
 }
 
-// awaitIdle waits until the server has noted that its requests are answered: a client
-// may read the answer before, and a connection that counts as busy isn't closed.
+// awaitIdle waits until the server counts all its connections as idle. A client may read
+// the response earlier, and a connection that counts as active isn't closed for a new one.
 func (in *InboundLimiter) awaitIdle(t *testing.T) {
 	must.Wait(t, wait.InitialSuccess(wait.Gap(time.Millisecond), wait.BoolFunc(func() bool {
 		in.mu.Lock()
--- a/internal/descriptors/outbound.go
+++ b/internal/descriptors/outbound.go
@@ -10,15 +10,16 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// idleDivisor is the part of its connections that a client keeps open without a call.
-// The others are for calls: while all of these are under way a further one waits.
+// idleDivisor is the divisor of a client's limit that gives the number of connections
+// that it keeps open without a call. The others are left for calls; a call waits while
+// all connections are in use.
 const idleDivisor = 4
 
-// ErrLimitReached says that no connection could be opened in time because as many as allowed
-// were open.
-var ErrLimitReached = errors.New("as many connections as allowed are open")
+// ErrLimitReached means that no connection could be opened in time because the limit of
+// open connections was reached.
+var ErrLimitReached = errors.New("the limit of open connections is reached")
 
-// Outbound bounds the connections that a client opens.
+// OutboundLimiter limits the open connections of a client. It is safe for concurrent use.
 type OutboundLimiter struct {
 	limit   int
 	slots   *semaphore.Weighted
@@ -26,18 +27,18 @@
 	dialer  net.Dialer
 }
 
-// NewOutboundLimiter returns the bound of a client that may have limit connections, none of
-// which may take longer than timeout to open, the wait for a place included.
+// NewOutboundLimiter returns a limiter for at most limit open connections. timeout bounds
+// the opening of one, including the wait at the limit.
 func NewOutboundLimiter(limit int, timeout time.Duration) *OutboundLimiter {
 	return &OutboundLimiter{limit: limit, slots: semaphore.NewWeighted(int64(limit)), timeout: timeout}
 }
 
-// Idle is how many connections a client keeps without a call; the least used one is
-// closed for another.
+// MaxIdle returns how many idle connections a client keeps. Beyond that it closes the
+// least recently used one.
 func (o *OutboundLimiter) MaxIdle() int { return max(o.limit/idleDivisor, 1) }
 
-// DialContext opens a connection once there is room for it. Those that wait get their
-// places in order.
+// DialContext opens a connection. At the limit it waits, first come first served, until
+// another connection is closed. An error of the wait matches ErrLimitReached.
 func (o *OutboundLimiter) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, o.timeout)
 	defer cancel()
@@ -52,7 +53,7 @@
 	return &outboundConn{Conn: conn, release: sync.OnceFunc(func() { o.slots.Release(1) })}, nil
 }
 
-// outboundConn gives its place back when it is closed.
+// outboundConn releases its slot of the limiter when it is closed.
 type outboundConn struct {
 	net.Conn
 	release func()
--- a/internal/descriptors/outbound_test.go
+++ b/internal/descriptors/outbound_test.go
@@ -9,6 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
+// listen returns the address of a listener that is closed with the test.
 func listen(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -16,8 +17,8 @@
 	return listener.Addr().String()
 }
 
-// A leader calls so many workers at once that it has no descriptor left, and its log
-// can't open a file. At the bound a call waits for another one's connection.
+// Guards against running out of descriptors: a leader calls so many workers at once that
+// its log can't open a file. At the limit a call must wait until a connection is closed.
 func TestDialWaitsAtTheConnectionLimit(t *testing.T) {
 	address := listen(t)
 	o := NewOutboundLimiter(2, 50*time.Millisecond)
@@ -36,7 +37,7 @@
 	_, err = o.DialContext(t.Context(), "tcp", address)
 	must.NoError(t, err)
 	_, err = o.DialContext(t.Context(), "tcp", address)
-	must.True(t, errors.Is(err, ErrLimitReached), must.Sprint("a place was given back twice"))
+	must.True(t, errors.Is(err, ErrLimitReached), must.Sprint("a slot was released twice"))
 }
 
 func TestFailedDialReleasesItsSlot(t *testing.T) {
--- a/internal/descriptors/process_test.go
+++ b/internal/descriptors/process_test.go
@@ -18,12 +18,13 @@
 
 const (
 	childEnv = "DESCRIPTORS_TEST_CHILD"
-	// childLimit is the child's own limit, pressing how many connections are opened to it.
-	childLimit        = 600
+	// childLimit is the descriptor limit of the child process.
+	childLimit = 600
+	// openedConnections is the number of connections that are opened to the child.
 	openedConnections = 900
-	// filesPerRequest is how many files the child opens at a time.
+	// filesPerRequest is how many files the child has open during a request.
 	filesPerRequest = 100
-	// requestTimeout is how long a request may take.
+	// requestTimeout bounds one request.
 	requestTimeout = 10 * time.Second
 )
 
@@ -38,8 +39,8 @@
 	os.Exit(m.Run())
 }
 
-// runChild serves under a low limit; each request opens files, as a log does. The
-// parent ends the process.
+// runChild serves with a low limit of descriptors. Each request opens files, as a log does.
+// The parent kills the process.
 func runChild(folder string) error {
 	limit := &syscall.Rlimit{Cur: childLimit, Max: childLimit}
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, limit); err != nil {
@@ -63,6 +64,7 @@
 	return server.Serve(listener)
 }
 
+// openFiles creates the files of one request and holds them open until it returns.
 func openFiles(folder string) error {
 	for i := range filesPerRequest {
 		file, err := os.Create(filepath.Join(folder, fmt.Sprint(i)))
@@ -74,8 +76,9 @@
 	return nil
 }
 
-// More callers connect to a leader than it has descriptors. It stopped accepting, and
-// ended when its log couldn't open the file of a snapshot.
+// Guards against running out of descriptors: more callers connect to a leader than it has
+// descriptors, it stops accepting connections, and it exits when its log can't open the
+// file of a snapshot.
 func TestProcessServesAndOpensFilesDuringConnectionStorm(t *testing.T) {
 	child := exec.Command(os.Args[0])
 	child.Env = append(os.Environ(), childEnv+"="+t.TempDir())
