--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -155,17 +155,17 @@
 // forward makes a call on the leader of a data centre with the credentials of the
 // caller.
 func forward[T any](ctx context.Context, e *Entry, dataCentre string, options directory.CallOptions, call func(context.Context, clients) (T, error)) (T, error) {
-	var answer T
+	var response T
 	ctx, err := rpc.Forward(ctx)
 	if err != nil {
-		return answer, err
+		return response, err
 	}
 	err = e.base.Directory.CallLeader(ctx, dataCentre, options, func(ctx context.Context, base string) error {
 		var err error
-		answer, err = call(ctx, e.clientsOf(base))
+		response, err = call(ctx, e.clientsOf(base))
 		return err
 	})
-	return answer, err
+	return response, err
 }
 
 // fanOut makes a call on the leaders of all data centres in parallel. It returns the
@@ -173,11 +173,11 @@
 // fails the whole call.
 func fanOut[T any](ctx context.Context, e *Entry, call func(context.Context, clients) (T, error)) ([]T, []string, error) {
 	names := e.base.Settings.DataCentres()
-	answers := make([]T, len(names))
+	responses := make([]T, len(names))
 	errs := make([]error, len(names))
 	var group sync.WaitGroup
 	for i, name := range names {
-		group.Go(func() { answers[i], errs[i] = forward(ctx, e, name, directory.CallOptions{}, call) })
+		group.Go(func() { responses[i], errs[i] = forward(ctx, e, name, directory.CallOptions{}, call) })
 	}
 	group.Wait()
 	var reached []T
@@ -185,7 +185,7 @@
 	for i, err := range errs {
 		switch {
 		case err == nil:
-			reached = append(reached, answers[i])
+			reached = append(reached, responses[i])
 		case fault.Is(err, fault.Unavailable):
 			unreachable = append(unreachable, names[i])
 		default:
--- a/internal/entry/gateway_test.go
+++ b/internal/entry/gateway_test.go
@@ -61,8 +61,8 @@
 		Clock: new(hlc.Clock), Logger: log.NewNopLogger(),
 	})
 	ctx := rpc.WithCaller(t.Context(), rpc.Caller{Identity: settings.Identity{Role: settings.Worker}, Bearer: "Bearer x"})
-	answer, err := e.Renew(ctx, &apiv1.RenewRequest{Worker: "w", Incarnation: 1, HoldMs: 10_000})
+	response, err := e.Renew(ctx, &apiv1.RenewRequest{Worker: "w", Incarnation: 1, HoldMs: 10_000})
 	must.NoError(t, err)
-	must.Eq(t, 2, answer.Term)
+	must.Eq(t, 2, response.Term)
 	must.Eq(t, 0, <-holds)
 }
--- a/internal/entry/minions.go
+++ b/internal/entry/minions.go
@@ -53,14 +53,14 @@
 	if err != nil {
 		return nil, err
 	}
-	var answer *apiv1.ShareSlotsResponse
+	var response *apiv1.ShareSlotsResponse
 	options := directory.CallOptions{AttemptTimeout: time.Duration(e.base.Settings.Timing.SlotLease) / 4}
 	err = e.base.Directory.CallLeader(ctx, e.base.Instance.DataCentre, options, func(ctx context.Context, base string) error {
 		var err error
-		answer, err = e.clientsOf(base).peer.ShareSlots(ctx, r)
+		response, err = e.clientsOf(base).peer.ShareSlots(ctx, r)
 		return err
 	})
-	return answer, err
+	return response, err
 }
 
 // Announce applies a minion's announcement. The next slot request passes it on to
--- a/internal/entry/operations.go
+++ b/internal/entry/operations.go
@@ -37,13 +37,13 @@
 		}
 		return forward(ctx, e, r.DataCentre, directory.CallOptions{SearchTimeout: electionTimeout}, listWorkers)
 	}
-	answers, unreachable, err := fanOut(ctx, e, listWorkers)
+	responses, unreachable, err := fanOut(ctx, e, listWorkers)
 	if err != nil {
 		return nil, err
 	}
 	all := &apiv1.WorkersResponse{UnreachableDataCentres: unreachable}
-	for _, answer := range answers {
-		all.Workers = append(all.Workers, answer.Workers...)
+	for _, response := range responses {
+		all.Workers = append(all.Workers, response.Workers...)
 	}
 	return all, nil
 }
@@ -60,11 +60,11 @@
 	}
 	var lookupErr error
 	for _, name := range names {
-		answer, err := forward(ctx, e, name, directory.CallOptions{SearchTimeout: electionTimeout}, func(ctx context.Context, c clients) (*apiv1.DrainResponse, error) {
+		response, err := forward(ctx, e, name, directory.CallOptions{SearchTimeout: electionTimeout}, func(ctx context.Context, c clients) (*apiv1.DrainResponse, error) {
 			return c.operations.Drain(ctx, r)
 		})
 		if err == nil {
-			return answer, nil
+			return response, nil
 		}
 		if !fault.Is(err, fault.NotFound) && !fault.Is(err, fault.Unavailable) {
 			return nil, err
@@ -102,15 +102,15 @@
 
 // Quotas lists the quotas and allotments of all data centres.
 func (e *Entry) Quotas(ctx context.Context, r *apiv1.QuotasRequest) (*apiv1.QuotasResponse, error) {
-	answers, unreachable, err := fanOut(ctx, e, func(ctx context.Context, c clients) (*apiv1.QuotasResponse, error) {
+	responses, unreachable, err := fanOut(ctx, e, func(ctx context.Context, c clients) (*apiv1.QuotasResponse, error) {
 		return c.operations.Quotas(ctx, r)
 	})
 	if err != nil {
 		return nil, err
 	}
 	all := &apiv1.QuotasResponse{UnreachableDataCentres: unreachable}
-	for _, answer := range answers {
-		all.Quotas = append(all.Quotas, answer.Quotas...)
+	for _, response := range responses {
+		all.Quotas = append(all.Quotas, response.Quotas...)
 	}
 	return all, nil
 }
@@ -134,14 +134,14 @@
 		request := proto.Clone(r).(*apiv1.ReplaceInstanceRequest)
 		request.Configuration = group == directory.Configuration
 		options := directory.CallOptions{SearchTimeout: electionTimeout, AttemptTimeout: replaceAttemptTimeout}
-		answer, err := forward(ctx, e, group, options, func(ctx context.Context, c clients) (*apiv1.ReplaceInstanceResponse, error) {
+		response, err := forward(ctx, e, group, options, func(ctx context.Context, c clients) (*apiv1.ReplaceInstanceResponse, error) {
 			return c.operations.ReplaceInstance(ctx, request)
 		})
 		if err != nil {
 			return nil, err
 		}
 		if homeResponse == nil {
-			homeResponse = answer
+			homeResponse = response
 		}
 	}
 	return homeResponse, nil
@@ -179,7 +179,7 @@
 // callAll makes a call on processes in parallel with the credentials of the caller.
 // It returns an answer or an error for each process.
 func callAll[T any](ctx context.Context, e *Entry, processes []process, call func(context.Context, clients) (T, error)) ([]T, []error) {
-	answers := make([]T, len(processes))
+	responses := make([]T, len(processes))
 	errs := make([]error, len(processes))
 	ctx, err := rpc.Forward(ctx)
 	var group sync.WaitGroup
@@ -188,12 +188,12 @@
 			ctx, cancel := context.WithTimeout(ctx, directory.AttemptTimeout)
 			defer cancel()
 			if errs[i] = err; err == nil {
-				answers[i], errs[i] = call(ctx, e.clientsOf(p.base))
+				responses[i], errs[i] = call(ctx, e.clientsOf(p.base))
 			}
 		})
 	}
 	group.Wait()
-	return answers, errs
+	return responses, errs
 }
 
 // ConfigStatus returns which version of the configuration each process applies.
@@ -210,14 +210,14 @@
 		return response, nil
 	}
 	processes := append(e.cellProcesses(), e.otherEntryProcesses()...)
-	answers, errs := callAll(ctx, e, processes, func(ctx context.Context, c clients) (*apiv1.ConfigStatusResponse, error) {
+	responses, errs := callAll(ctx, e, processes, func(ctx context.Context, c clients) (*apiv1.ConfigStatusResponse, error) {
 		return c.operations.ConfigStatus(ctx, &apiv1.ConfigStatusRequest{LocalOnly: true})
 	})
 	for i, p := range processes {
 		config := &apiv1.InstanceConfig{Instance: p.name, DataCentre: p.instance.DataCentre}
-		if errs[i] == nil && len(answers[i].Instances) > 0 {
-			config.Version, config.Reachable = answers[i].Instances[0].Version, true
-			response.CommittedVersion = max(response.CommittedVersion, answers[i].CommittedVersion)
+		if errs[i] == nil && len(responses[i].Instances) > 0 {
+			config.Version, config.Reachable = responses[i].Instances[0].Version, true
+			response.CommittedVersion = max(response.CommittedVersion, responses[i].CommittedVersion)
 		}
 		response.Instances = append(response.Instances, config)
 	}
@@ -231,13 +231,13 @@
 		return nil, err
 	}
 	processes := e.cellProcesses()
-	answers, errs := callAll(ctx, e, processes, func(ctx context.Context, c clients) (*apiv1.InstancesResponse, error) {
+	responses, errs := callAll(ctx, e, processes, func(ctx context.Context, c clients) (*apiv1.InstancesResponse, error) {
 		return c.operations.Instances(ctx, r)
 	})
 	response := &apiv1.InstancesResponse{}
 	for i, p := range processes {
 		if errs[i] == nil {
-			response.Instances = append(response.Instances, answers[i].Instances...)
+			response.Instances = append(response.Instances, responses[i].Instances...)
 			continue
 		}
 		response.Instances = append(response.Instances, &apiv1.Instance{
@@ -262,7 +262,7 @@
 		return &apiv1.EventsResponse{Events: event.ListToAPI(ownEvents)}, nil
 	}
 	processes := append(e.cellProcesses(), e.otherEntryProcesses()...)
-	answers, errs := callAll(ctx, e, processes, func(ctx context.Context, c clients) (*apiv1.EventsResponse, error) {
+	responses, errs := callAll(ctx, e, processes, func(ctx context.Context, c clients) (*apiv1.EventsResponse, error) {
 		return c.operations.Events(ctx, &apiv1.EventsRequest{Subject: r.Subject, SinceUnixMs: r.SinceUnixMs, Limit: int32(limit), LocalOnly: true})
 	})
 	response := &apiv1.EventsResponse{}
@@ -272,7 +272,7 @@
 			response.UnreachableInstances = append(response.UnreachableInstances, p.name)
 			continue
 		}
-		lists = append(lists, event.ListFromAPI(answers[i].Events))
+		lists = append(lists, event.ListFromAPI(responses[i].Events))
 	}
 	merged := event.Merge(lists...)
 	response.Events = event.ListToAPI(merged[max(0, len(merged)-limit):])
--- a/internal/entry/scheduler.go
+++ b/internal/entry/scheduler.go
@@ -106,17 +106,17 @@
 	if home == "" || !e.base.Directory.HasDataCentre(home) {
 		return nil, fault.New(fault.NotFound, "no job %q", id)
 	}
-	answer, err := forward(ctx, e, home, options, call)
+	response, err := forward(ctx, e, home, options, call)
 	if fault.Is(err, fault.Unavailable) {
 		return e.searchOtherDataCentres(ctx, home, err, call)
 	}
 	if err != nil {
 		return nil, err
 	}
-	if owner := answer.Jobs[0].DataCentre; owner != home {
+	if owner := response.Jobs[0].DataCentre; owner != home {
 		return forward(ctx, e, owner, options, call)
 	}
-	return answer, nil
+	return response, nil
 }
 
 // searchOtherDataCentres looks for a job whose home is unreachable in the other data
@@ -127,9 +127,9 @@
 		if name == home {
 			continue
 		}
-		answer, err := forward(ctx, e, name, directory.CallOptions{}, call)
+		response, err := forward(ctx, e, name, directory.CallOptions{}, call)
 		if err == nil {
-			return answer, nil
+			return response, nil
 		}
 	}
 	return nil, unavailable
@@ -138,15 +138,15 @@
 // listJobs lists the jobs of the caller's customer in all data centres, the newest
 // first.
 func (e *Entry) listJobs(ctx context.Context, r *apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
-	answers, unreachable, err := fanOut(ctx, e, func(ctx context.Context, c clients) (*apiv1.StatusResponse, error) {
+	responses, unreachable, err := fanOut(ctx, e, func(ctx context.Context, c clients) (*apiv1.StatusResponse, error) {
 		return c.scheduler.Status(ctx, r)
 	})
 	if err != nil {
 		return nil, err
 	}
 	all := &apiv1.StatusResponse{UnreachableDataCentres: unreachable}
-	for _, answer := range answers {
-		all.Jobs = append(all.Jobs, answer.Jobs...)
+	for _, response := range responses {
+		all.Jobs = append(all.Jobs, response.Jobs...)
 	}
 	slices.SortFunc(all.Jobs, func(a, b *apiv1.Job) int {
 		if a.SubmittedUnixMs != b.SubmittedUnixMs {
@@ -168,20 +168,20 @@
 	if len(r.Ids) > 0 {
 		return e.cancelIDs(ctx, r)
 	}
-	answers, unreachable, err := fanOut(ctx, e, func(ctx context.Context, c clients) (*apiv1.CancelResponse, error) {
+	responses, unreachable, err := fanOut(ctx, e, func(ctx context.Context, c clients) (*apiv1.CancelResponse, error) {
 		return c.scheduler.Cancel(ctx, r)
 	})
 	if err != nil {
 		return nil, err
 	}
-	return mergeCancelResponses(answers, unreachable), nil
+	return mergeCancelResponses(responses, unreachable), nil
 }
 
 // mergeCancelResponses merges the cancelled ids of several data centres.
-func mergeCancelResponses(answers []*apiv1.CancelResponse, unreachable []string) *apiv1.CancelResponse {
+func mergeCancelResponses(responses []*apiv1.CancelResponse, unreachable []string) *apiv1.CancelResponse {
 	all := &apiv1.CancelResponse{UnreachableDataCentres: unreachable}
-	for _, answer := range answers {
-		all.Ids = append(all.Ids, answer.Ids...)
+	for _, response := range responses {
+		all.Ids = append(all.Ids, response.Ids...)
 	}
 	slices.Sort(all.Ids)
 	return all
@@ -205,13 +205,13 @@
 		request := proto.Clone(r).(*apiv1.CancelRequest)
 		request.Ids = ids
 		options := directory.CallOptions{SearchTimeout: electionTimeout}
-		answer, err := forward(ctx, e, owner, options, func(ctx context.Context, c clients) (*apiv1.CancelResponse, error) {
+		response, err := forward(ctx, e, owner, options, func(ctx context.Context, c clients) (*apiv1.CancelResponse, error) {
 			return c.scheduler.Cancel(ctx, request)
 		})
 		if err != nil {
 			return nil, err
 		}
-		all.Ids = append(all.Ids, answer.Ids...)
+		all.Ids = append(all.Ids, response.Ids...)
 	}
 	slices.Sort(all.Ids)
 	return all, nil
