--- a/internal/instance/core.go
+++ b/internal/instance/core.go
@@ -50,24 +50,24 @@
 	if err != nil {
 		return err
 	}
-	n := p.newComponents(adapters.NewDeploymentClient, budget)
-	machine := control.NewStateMachine()
-	host := member.New(member.Config{
+	c := p.newComponents(adapters.NewDeploymentClient, budget)
+	stateMachine := control.NewStateMachine()
+	logMember := member.New(member.Config{
 		ID: s.Address, Port: s.InternalPort, Seeds: s.seedHosts(), First: s.FirstStart,
-		Folder: s.DataFolder, Voters: votersFor(s.ToleratedFailures), Machine: machine, Logger: p.logger,
-	}, n.client, n.mux)
-	public := newServer(s.Control, adapters.NewControlHandler(n.operations, p.logger))
-	descriptors.LimitServer(public, "control", budget.FromExternal, true, p.metrics)
+		Folder: s.DataFolder, Voters: votersFor(s.ToleratedFailures), Machine: stateMachine, Logger: p.logger,
+	}, c.client, c.mux)
+	controlServer := newServer(s.Control, adapters.NewControlHandler(c.operations, p.logger))
+	descriptors.LimitServer(controlServer, "control", budget.FromExternal, true, p.metrics)
 
 	workCtx, stopWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWork()
 	group, groupCtx := errgroup.WithContext(workCtx)
-	p.serveComponents(groupCtx, group, n)
-	serve(group, public)
-	group.Go(func() error { return p.runLogMember(ctx, groupCtx, n, host, machine) })
+	p.serveComponents(groupCtx, group, c)
+	serve(group, controlServer)
+	group.Go(func() error { return p.runLogMember(ctx, groupCtx, c, logMember, stateMachine) })
 	group.Go(func() error {
 		awaitStop(ctx, groupCtx)
-		p.stopCore(host, public, n, stopWork)
+		p.stopCore(logMember, controlServer, c, stopWork)
 		return nil
 	})
 	return group.Wait()
@@ -76,11 +76,11 @@
 // runLogMember opens the log and runs this member of it until workCtx ends. On an
 // instance that joins the log, opening waits for a leader; the end of stopCtx ends
 // that wait.
-func (p *process) runLogMember(stopCtx, workCtx context.Context, n *components, host *member.Host, machine *control.StateMachine) error {
+func (p *process) runLogMember(stopCtx, workCtx context.Context, c *components, logMember *member.Host, stateMachine *control.StateMachine) error {
 	openCtx, cancelOpen := context.WithCancel(workCtx)
 	defer cancelOpen()
 	detachStop := context.AfterFunc(stopCtx, cancelOpen)
-	replicatedLog, err := host.Open(openCtx)
+	replicatedLog, err := logMember.Open(openCtx)
 	if err != nil {
 		if stopCtx.Err() != nil {
 			return nil
@@ -90,45 +90,45 @@
 	detachStop()
 	s := p.settings
 	cfg := control.Config{
-		Address: n.internalAddress, Public: s.Control, Workers: n.deployment, Adviser: n.deployment, Client: n.client,
-		Logger: p.logger, Counters: p.metrics, Leader: host.Leader, Members: host.Addresses,
+		Address: c.internalAddress, Public: s.Control, Workers: c.deployment, Adviser: c.deployment, Client: c.client,
+		Logger: p.logger, Counters: p.metrics, Leader: logMember.Leader, Members: logMember.Addresses,
 		Bounds: s.controlBounds(), Disabled: s.DisabledMechanisms, Instance: s.Instance, OrdersByHeartbeat: s.WorkerOrders == ordersHeartbeat,
 	}
 	if s.MachineList != "" {
-		cfg.Machines = n.deployment
+		cfg.Machines = c.deployment
 	}
-	controller := p.newController(cfg, machine, replicatedLog, n)
-	n.operations.setLocal(controller)
-	running, ctx := errgroup.WithContext(workCtx)
-	running.Go(func() error { return controller.Run(ctx) })
-	running.Go(func() error { return n.gateway.AnnounceToLeader(ctx) })
-	running.Go(func() error { return host.Run(ctx) })
-	return running.Wait()
+	controller := p.newController(cfg, stateMachine, replicatedLog, c)
+	c.operations.setLocal(controller)
+	group, ctx := errgroup.WithContext(workCtx)
+	group.Go(func() error { return controller.Run(ctx) })
+	group.Go(func() error { return c.gateway.AnnounceToLeader(ctx) })
+	group.Go(func() error { return logMember.Run(ctx) })
+	return group.Wait()
 }
 
 // newController returns a controller that serves calls. Unless orders travel in the
 // answers to heartbeats, a leader sends them through all core instances: the
 // controller forwards its orders to their carriers, and the local carrier sends the
 // orders of whichever instance leads.
-func (p *process) newController(cfg control.Config, machine *control.StateMachine, replicatedLog replicatedlog.Log, n *components) *control.Controller {
+func (p *process) newController(cfg control.Config, stateMachine *control.StateMachine, replicatedLog replicatedlog.Log, c *components) *control.Controller {
 	var controller *control.Controller
 	var localCarrier *carrier.Carrier
 	if !cfg.OrdersByHeartbeat {
 		localCarrier = carrier.NewCarrier(carrier.CarrierConfig{
-			Workers: n.deployment, DataCentre: p.settings.DataCentre, Counters: p.metrics,
+			Workers: c.deployment, DataCentre: p.settings.DataCentre, Counters: p.metrics,
 			CollectHeartbeats: func() []control.BufferedHeartbeat { return controller.CollectHeartbeats() },
 		})
 		forwarder := carrier.NewForwarder(carrier.ForwarderConfig{
-			OwnAddress: n.internalAddress, Members: cfg.Members, Transport: n.client, DirectWorkers: n.deployment,
+			OwnAddress: c.internalAddress, Members: cfg.Members, Transport: c.client, DirectWorkers: c.deployment,
 			ApplyHeartbeats: func(heartbeats []control.BufferedHeartbeat) { controller.ApplyCollectedHeartbeats(heartbeats) },
 			Logger:          p.logger, Counters: p.metrics,
 		})
 		cfg.Workers, cfg.OnElected = forwarder, forwarder.Lead
 	}
-	controller = control.New(cfg, machine, replicatedLog)
-	controller.Register(n.mux)
+	controller = control.New(cfg, stateMachine, replicatedLog)
+	controller.Register(c.mux)
 	if localCarrier != nil {
-		localCarrier.Register(n.mux)
+		localCarrier.Register(c.mux)
 	}
 	return controller
 }
@@ -143,13 +143,13 @@
 
 // stopCore transfers the leadership while this instance still answers the others,
 // and then ends the servers.
-func (p *process) stopCore(host *member.Host, public *http.Server, n *components, stopWork func()) {
+func (p *process) stopCore(logMember *member.Host, controlServer *http.Server, c *components, stopWork func()) {
 	shutdownCtx, cancel := context.WithTimeout(context.Background(), p.settings.Bounds.Shutdown.Std()/2)
 	defer cancel()
-	host.TransferLeadership(shutdownCtx)
+	logMember.TransferLeadership(shutdownCtx)
 	// Shutdown fails if requests are still in flight at the time limit. The end of
 	// the process closes their connections.
-	_ = public.Shutdown(shutdownCtx)
+	_ = controlServer.Shutdown(shutdownCtx)
 	stopWork()
-	n.close()
+	c.close()
 }
--- a/internal/instance/edge.go
+++ b/internal/instance/edge.go
@@ -45,31 +45,31 @@
 	if err != nil {
 		return err
 	}
-	n := p.newComponents(adapters.NewDeploymentClient, budget)
+	c := p.newComponents(adapters.NewDeploymentClient, budget)
 	var stopping atomic.Bool
-	entry := newServer(s.Entry, adapters.NewEntryHandler(n.operations, p.logger))
-	descriptors.LimitServer(entry, "entry", budget.FromExternal, false, p.metrics)
-	readiness := newServer(s.Readiness, readinessHandler(adapters.ReadinessPath, func() bool {
-		return !stopping.Load() && n.gateway.InContact()
+	entryServer := newServer(s.Entry, adapters.NewEntryHandler(c.operations, p.logger))
+	descriptors.LimitServer(entryServer, "entry", budget.FromExternal, false, p.metrics)
+	readinessServer := newServer(s.Readiness, readinessHandler(adapters.ReadinessPath, func() bool {
+		return !stopping.Load() && c.gateway.InContact()
 	}))
-	descriptors.LimitServer(readiness, "readiness", maxAuxiliaryConnections, false, p.metrics)
+	descriptors.LimitServer(readinessServer, "readiness", maxAuxiliaryConnections, false, p.metrics)
 
 	workCtx, stopWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWork()
 	group, groupCtx := errgroup.WithContext(workCtx)
-	p.serveComponents(groupCtx, group, n)
-	serve(group, entry)
-	serve(group, readiness)
-	group.Go(func() error { return n.gateway.AnnounceToLeader(groupCtx) })
+	p.serveComponents(groupCtx, group, c)
+	serve(group, entryServer)
+	serve(group, readinessServer)
+	group.Go(func() error { return c.gateway.AnnounceToLeader(groupCtx) })
 	group.Go(func() error {
 		awaitStop(ctx, groupCtx)
 		stopping.Store(true)
 		_ = p.logger.Log("event", "unready", "cause", "stopping")
 		wait.For(groupCtx, unreadyGrace)
-		p.stopEdge(entry)
+		p.stopEdge(entryServer)
 		stopWork()
-		_ = readiness.Close()
-		n.close()
+		_ = readinessServer.Close()
+		c.close()
 		return nil
 	})
 	return group.Wait()
@@ -77,13 +77,13 @@
 
 // stopEdge stops accepting requests and waits until those in flight are answered or
 // the time for the shutdown is nearly over.
-func (p *process) stopEdge(entry *http.Server) {
+func (p *process) stopEdge(entryServer *http.Server) {
 	timeout := p.settings.Bounds.Shutdown.Std() - unreadyGrace - exitReserve
 	shutdownCtx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	// Shutdown fails if requests are still in flight at the time limit. The end of
 	// the process closes their connections.
-	_ = entry.Shutdown(shutdownCtx)
+	_ = entryServer.Shutdown(shutdownCtx)
 }
 
 // readinessHandler answers the readiness check with status 200, or 503 while ready
--- a/internal/instance/operations_test.go
+++ b/internal/instance/operations_test.go
@@ -26,14 +26,14 @@
 
 // newFollower returns the controller of a follower that has applied the commands.
 func newFollower(t *testing.T, commands ...workflow.Command) *control.Controller {
-	machine := control.NewStateMachine()
+	stateMachine := control.NewStateMachine()
 	for i := range commands {
 		data, err := commands[i].Encode()
 		must.NoError(t, err)
-		machine.Apply(uint64(i+1), data)
+		stateMachine.Apply(uint64(i+1), data)
 	}
 	cfg := control.Config{Logger: log.NewNopLogger(), Leader: func() string { return "" }}
-	return control.New(cfg, machine, followerLog{})
+	return control.New(cfg, stateMachine, followerLog{})
 }
 
 // startLeader serves a leader that answers each query for a job under a version of the
--- a/internal/instance/process.go
+++ b/internal/instance/process.go
@@ -151,9 +151,9 @@
 }
 
 // serveAPI serves the product API if the settings name an address.
-func (p *process) serveAPI(group *errgroup.Group, n *components) {
-	n.api = newInternalServer(p.settings.API, nil)
-	descriptors.LimitServer(n.api, "api", maxAuxiliaryConnections, false, p.metrics)
+func (p *process) serveAPI(group *errgroup.Group, c *components) {
+	c.api = newInternalServer(p.settings.API, nil)
+	descriptors.LimitServer(c.api, "api", maxAuxiliaryConnections, false, p.metrics)
 	if p.settings.API == "" {
 		return
 	}
@@ -162,8 +162,8 @@
 		group.Go(func() error { return err })
 		return
 	}
-	n.api.Handler = apiserver.New(n.operations, token, p.logger)
-	serve(group, n.api)
+	c.api.Handler = apiserver.New(c.operations, token, p.logger)
+	serve(group, c.api)
 }
 
 // components are the clients and servers that both daemons have.
@@ -185,36 +185,36 @@
 func (p *process) newComponents(newDeploymentClient func(DeploymentAddresses) DeploymentClient, budget descriptors.Budget) *components {
 	s := p.settings
 	addresses := DeploymentAddresses{Adviser: s.Adviser, Machines: s.MachineList, MaxConnections: budget.ToExternal}
-	n := &components{
+	c := &components{
 		internalAddress: s.internal(s.Address), client: link.NewClient(budget.ToInstances), mux: link.NewMux(),
 		deployment: newDeploymentClient(addresses),
 	}
-	link.Handle(n.mux, control.MethodAsk, func(ctx context.Context, call *control.AskCall) (control.AskReply, error) {
-		return n.deployment.Ask(ctx, *call)
+	link.Handle(c.mux, control.MethodAsk, func(ctx context.Context, call *control.AskCall) (control.AskReply, error) {
+		return c.deployment.Ask(ctx, *call)
 	})
-	n.gateway = gateway.New(n.client, n.internalAddress, s.seedAddresses(), p.logger)
-	n.operations = &Operations{gateway: n.gateway}
-	n.internal = newInternalServer(n.internalAddress, n.mux)
-	descriptors.LimitServer(n.internal, "internal", budget.FromInstances, true, p.metrics)
-	return n
+	c.gateway = gateway.New(c.client, c.internalAddress, s.seedAddresses(), p.logger)
+	c.operations = &Operations{gateway: c.gateway}
+	c.internal = newInternalServer(c.internalAddress, c.mux)
+	descriptors.LimitServer(c.internal, "internal", budget.FromInstances, true, p.metrics)
+	return c
 }
 
 // serveComponents serves other instances, the metrics and the product API, and applies
 // changed settings.
-func (p *process) serveComponents(ctx context.Context, group *errgroup.Group, n *components) {
-	serve(group, n.internal)
-	n.metrics = p.serveMetrics(group)
-	p.serveAPI(group, n)
+func (p *process) serveComponents(ctx context.Context, group *errgroup.Group, c *components) {
+	serve(group, c.internal)
+	c.metrics = p.serveMetrics(group)
+	p.serveAPI(group, c)
 	group.Go(func() error {
-		return p.watchSettings(ctx, func(next *Settings) { n.gateway.SetSeeds(next.seedAddresses()) })
+		return p.watchSettings(ctx, func(next *Settings) { c.gateway.SetSeeds(next.seedAddresses()) })
 	})
 }
 
 // close ends the servers of serveComponents.
-func (n *components) close() {
-	_ = n.internal.Close()
-	_ = n.metrics.Close()
-	_ = n.api.Close()
+func (c *components) close() {
+	_ = c.internal.Close()
+	_ = c.metrics.Close()
+	_ = c.api.Close()
 }
 
 // awaitStop waits until the process is told to stop (ctx ends) or a part of it has failed
