--- a/internal/descriptors/inbound.go
+++ b/internal/descriptors/inbound.go
@@ -52,114 +52,114 @@
 // prefix of its counters. limitPerHost also limits the connections of each remote host,
 // so that one host can't take all. It is for servers whose clients run on different hosts.
 func LimitServer(server *http.Server, name string, limit int, limitPerHost bool, counters Counter) *InboundLimiter {
-	in := &InboundLimiter{
+	l := &InboundLimiter{
 		name: name, limit: limit, perHost: limit, counters: counters,
 		hosts: map[string]*hostConns{}, idle: list.New(), conns: map[net.Conn]*inboundConn{},
 	}
 	if limitPerHost {
-		in.perHost = max(limit/perHostDivisor, 1)
+		l.perHost = max(limit/perHostDivisor, 1)
 	}
-	server.ConnState = in.onStateChange
-	return in
+	server.ConnState = l.onStateChange
+	return l
 }
 
 // onStateChange follows the state of a connection. The server calls it for a new
 // connection before it accepts the next one.
-func (in *InboundLimiter) onStateChange(conn net.Conn, state http.ConnState) {
+func (l *InboundLimiter) onStateChange(conn net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
-		in.admit(conn)
+		l.admit(conn)
 	case http.StateActive:
-		in.mu.Lock()
-		defer in.mu.Unlock()
-		in.markActive(conn)
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		l.markActive(conn)
 	case http.StateIdle:
-		in.mu.Lock()
-		defer in.mu.Unlock()
-		in.markIdle(conn)
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		l.markIdle(conn)
 	case http.StateClosed, http.StateHijacked:
-		in.mu.Lock()
-		defer in.mu.Unlock()
-		in.remove(conn)
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		l.remove(conn)
 	}
 }
 
 // admit counts a new connection as idle. At the limit of the server or of the host it
 // evicts another connection or rejects the new one.
-func (in *InboundLimiter) admit(conn net.Conn) {
-	in.mu.Lock()
-	defer in.mu.Unlock()
+func (l *InboundLimiter) admit(conn net.Conn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	remote := remoteHost(conn)
-	h := in.hosts[remote]
+	h := l.hosts[remote]
 	if h == nil {
 		h = &hostConns{idle: list.New()}
-		in.hosts[remote] = h
+		l.hosts[remote] = h
 	}
-	evictFrom := in.idle
-	if h.conns >= in.perHost {
+	evictFrom := l.idle
+	if h.conns >= l.perHost {
 		evictFrom = h.idle
 	}
-	full := h.conns >= in.perHost || len(in.conns) >= in.limit
+	full := h.conns >= l.perHost || len(l.conns) >= l.limit
 	h.conns++
-	in.conns[conn] = &inboundConn{remote: remote}
+	l.conns[conn] = &inboundConn{remote: remote}
 	if full {
-		in.evictOrReject(evictFrom, conn)
+		l.evictOrReject(evictFrom, conn)
 		return
 	}
-	in.markIdle(conn)
+	l.markIdle(conn)
 }
 
 // evictOrReject closes the connection of a list that has been idle for longest, or the new
 // one if the list is empty. The caller holds in.mu.
-func (in *InboundLimiter) evictOrReject(idle *list.List, newConn net.Conn) {
+func (l *InboundLimiter) evictOrReject(idle *list.List, newConn net.Conn) {
 	oldest := idle.Front()
 	if oldest == nil {
-		in.counters.Add(in.name+"_connections_refused", 1)
-		in.remove(newConn)
+		l.counters.Add(l.name+"_connections_refused", 1)
+		l.remove(newConn)
 		_ = newConn.Close()
 		return
 	}
 	conn := oldest.Value.(net.Conn)
-	in.counters.Add(in.name+"_connections_closed_idle", 1)
-	in.remove(conn)
+	l.counters.Add(l.name+"_connections_closed_idle", 1)
+	l.remove(conn)
 	_ = conn.Close()
-	in.markIdle(newConn)
+	l.markIdle(newConn)
 }
 
 // markIdle adds a connection to the end of the idle lists. The caller holds in.mu.
-func (in *InboundLimiter) markIdle(conn net.Conn) {
-	c := in.conns[conn]
+func (l *InboundLimiter) markIdle(conn net.Conn) {
+	c := l.conns[conn]
 	if c == nil {
 		return
 	}
-	in.markActive(conn)
-	c.idleElement = in.idle.PushBack(conn)
-	c.hostIdleElement = in.hosts[c.remote].idle.PushBack(conn)
+	l.markActive(conn)
+	c.idleElement = l.idle.PushBack(conn)
+	c.hostIdleElement = l.hosts[c.remote].idle.PushBack(conn)
 }
 
 // markActive removes a connection from the idle lists. The caller holds in.mu.
-func (in *InboundLimiter) markActive(conn net.Conn) {
-	c := in.conns[conn]
+func (l *InboundLimiter) markActive(conn net.Conn) {
+	c := l.conns[conn]
 	if c == nil || c.idleElement == nil {
 		return
 	}
-	in.idle.Remove(c.idleElement)
-	in.hosts[c.remote].idle.Remove(c.hostIdleElement)
+	l.idle.Remove(c.idleElement)
+	l.hosts[c.remote].idle.Remove(c.hostIdleElement)
 	c.idleElement, c.hostIdleElement = nil, nil
 }
 
 // remove stops counting a connection. The caller holds in.mu.
-func (in *InboundLimiter) remove(conn net.Conn) {
-	in.markActive(conn)
-	c := in.conns[conn]
+func (l *InboundLimiter) remove(conn net.Conn) {
+	l.markActive(conn)
+	c := l.conns[conn]
 	if c == nil {
 		return
 	}
-	delete(in.conns, conn)
-	h := in.hosts[c.remote]
+	delete(l.conns, conn)
+	h := l.hosts[c.remote]
 	h.conns--
 	if h.conns == 0 {
-		delete(in.hosts, c.remote)
+		delete(l.hosts, c.remote)
 	}
 }
 
--- a/internal/descriptors/inbound_test.go
+++ b/internal/descriptors/inbound_test.go
@@ -47,11 +47,11 @@
 	})
 	server := httptest.NewUnstartedServer(mux)
 	counter := &fakeCounter{}
-	in := LimitServer(server.Config, "test", limit, limitPerHost, counter)
+	limiter := LimitServer(server.Config, "test", limit, limitPerHost, counter)
 	server.Start()
 	t.Cleanup(server.Close)
 	t.Cleanup(func() { close(released) })
-	return server, in, counter
+	return server, limiter, counter
 }
 
 // requestOnNewConn makes one request on a new connection from a local address. It returns
@@ -80,20 +80,20 @@
 // reconnect at once while their old connections are still open, the log can't open a file
 // and the process exits. Each new connection must be served and close an idle one.
 func TestNewConnectionClosesLongestIdleOne(t *testing.T) {
-	server, in, counter := startLimitedServer(t, 4, false)
+	server, limiter, counter := startLimitedServer(t, 4, false)
 	for range 40 {
 		_, answered := requestOnNewConn(t, server, local, "/")
 		must.True(t, answered)
-		in.awaitIdle(t)
+		limiter.awaitIdle(t)
 	}
-	must.LessEq(t, 4, in.open())
+	must.LessEq(t, 4, limiter.open())
 	must.Eq(t, 36, counter.get("test_connections_closed_idle"))
 }
 
 // Guards against aborted requests: at the limit, with a request in flight on each
 // connection, the new connection must be closed and the others stay.
 func TestActiveConnectionIsNeverClosedForNewOne(t *testing.T) {
-	server, in, counter := startLimitedServer(t, 3, false)
+	server, limiter, counter := startLimitedServer(t, 3, false)
 	for range 3 {
 		_, answered := requestOnNewConn(t, server, local, "/held")
 		must.True(t, answered)
@@ -101,49 +101,49 @@
 	_, answered := requestOnNewConn(t, server, local, "/")
 	must.False(t, answered)
 	must.Eq(t, 1, counter.get("test_connections_refused"))
-	must.Eq(t, 3, in.open())
+	must.Eq(t, 3, limiter.open())
 }
 
 // Guards against one host that takes all connections: a worker opens connections without
 // end, and the idle connections of others are closed for them.
 func TestHostAtItsLimitLosesOnlyItsOwnConnections(t *testing.T) {
-	server, in, counter := startLimitedServer(t, 16, true)
+	server, limiter, counter := startLimitedServer(t, 16, true)
 	otherHost, answered := requestOnNewConn(t, server, "127.0.0.7", "/")
 	must.True(t, answered)
 	for range 50 {
 		_, answered = requestOnNewConn(t, server, "127.0.0.9", "/")
 		must.True(t, answered, must.Sprintf("refused: %d", counter.get("test_connections_refused")))
-		in.awaitIdle(t)
+		limiter.awaitIdle(t)
 	}
-	must.LessEq(t, 1+16/perHostDivisor, in.open())
+	must.LessEq(t, 1+16/perHostDivisor, limiter.open())
 	must.True(t, requestOn(otherHost, "/"))
 }
 
 func TestClosedConnectionsAreNoLongerCounted(t *testing.T) {
-	server, in, _ := startLimitedServer(t, 2, true)
+	server, limiter, _ := startLimitedServer(t, 2, true)
 	conn, answered := requestOnNewConn(t, server, local, "/")
 	must.True(t, answered)
 	must.NoError(t, conn.Close())
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return in.open() == 0 })))
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	must.MapEmpty(t, in.hosts)
-	must.Eq(t, 0, in.idle.Len())
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return limiter.open() == 0 })))
+	limiter.mu.Lock()
+	defer limiter.mu.Unlock()
+	must.MapEmpty(t, limiter.hosts)
+	must.Eq(t, 0, limiter.idle.Len())
 }
 
 // open returns the number of open connections.
-func (in *InboundLimiter) open() int {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	return len(in.conns)
+func (l *InboundLimiter) open() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.conns)
 }
 
 // awaitIdle waits until the server counts all its connections as idle. A client may read
 // the response earlier, and a connection that counts as active isn't closed for a new one.
-func (in *InboundLimiter) awaitIdle(t *testing.T) {
+func (l *InboundLimiter) awaitIdle(t *testing.T) {
 	must.Wait(t, wait.InitialSuccess(wait.Gap(time.Millisecond), wait.BoolFunc(func() bool {
-		in.mu.Lock()
-		defer in.mu.Unlock()
-		return in.idle.Len() == len(in.conns)
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		return l.idle.Len() == len(l.conns)
 	})))
 }
--- a/internal/descriptors/outbound.go
+++ b/internal/descriptors/outbound.go
@@ -35,22 +35,22 @@
 
 // MaxIdle returns how many idle connections a client keeps. Beyond that it closes the
 // least recently used one.
-func (o *OutboundLimiter) MaxIdle() int { return max(o.limit/idleDivisor, 1) }
+func (l *OutboundLimiter) MaxIdle() int { return max(l.limit/idleDivisor, 1) }
 
 // DialContext opens a connection. At the limit it waits, first come first served, until
 // another connection is closed. An error of the wait matches ErrLimitReached.
-func (o *OutboundLimiter) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, o.timeout)
+func (l *OutboundLimiter) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, l.timeout)
 	defer cancel()
-	if err := o.slots.Acquire(ctx, 1); err != nil {
+	if err := l.slots.Acquire(ctx, 1); err != nil {
 		return nil, &net.OpError{Op: "dial", Net: network, Err: errors.CombineErrors(ErrLimitReached, err)}
 	}
-	conn, err := o.dialer.DialContext(ctx, network, address)
+	conn, err := l.dialer.DialContext(ctx, network, address)
 	if err != nil {
-		o.slots.Release(1)
+		l.slots.Release(1)
 		return nil, err
 	}
-	return &outboundConn{Conn: conn, release: sync.OnceFunc(func() { o.slots.Release(1) })}, nil
+	return &outboundConn{Conn: conn, release: sync.OnceFunc(func() { l.slots.Release(1) })}, nil
 }
 
 // outboundConn releases its slot of the limiter when it is closed.
--- a/internal/descriptors/outbound_test.go
+++ b/internal/descriptors/outbound_test.go
@@ -21,32 +21,32 @@
 // its log can't open a file. At the limit a call must wait until a connection is closed.
 func TestDialWaitsAtTheConnectionLimit(t *testing.T) {
 	address := listen(t)
-	o := NewOutboundLimiter(2, 50*time.Millisecond)
-	first, err := o.DialContext(t.Context(), "tcp", address)
+	limiter := NewOutboundLimiter(2, 50*time.Millisecond)
+	first, err := limiter.DialContext(t.Context(), "tcp", address)
 	must.NoError(t, err)
-	_, err = o.DialContext(t.Context(), "tcp", address)
+	_, err = limiter.DialContext(t.Context(), "tcp", address)
 	must.NoError(t, err)
 
-	_, err = o.DialContext(t.Context(), "tcp", address)
+	_, err = limiter.DialContext(t.Context(), "tcp", address)
 	must.True(t, errors.Is(err, ErrLimitReached))
 
 	time.AfterFunc(10*time.Millisecond, func() {
 		_ = first.Close()
 		_ = first.Close()
 	})
-	_, err = o.DialContext(t.Context(), "tcp", address)
+	_, err = limiter.DialContext(t.Context(), "tcp", address)
 	must.NoError(t, err)
-	_, err = o.DialContext(t.Context(), "tcp", address)
+	_, err = limiter.DialContext(t.Context(), "tcp", address)
 	must.True(t, errors.Is(err, ErrLimitReached), must.Sprint("a slot was released twice"))
 }
 
 func TestFailedDialReleasesItsSlot(t *testing.T) {
-	o := NewOutboundLimiter(1, time.Second)
+	limiter := NewOutboundLimiter(1, time.Second)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	must.NoError(t, listener.Close())
 	for range 2 {
-		_, err := o.DialContext(t.Context(), "tcp", listener.Addr().String())
+		_, err := limiter.DialContext(t.Context(), "tcp", listener.Addr().String())
 		must.Error(t, err)
 		must.False(t, errors.Is(err, ErrLimitReached))
 	}
