--- a/internal/proxy/slots.go
+++ b/internal/proxy/slots.go
@@ -125,7 +125,7 @@
 	return followUp, grew
 }
 
-// Announce applies a minion's announcement. The next slot request passes it on to
+// Announce applies a minion's announcement. The next slot request forwards it to
 // the leader.
 func (h *Handler) Announce(a *apiv1.AnnounceRequest) {
 	h.withBalancer(func(b *routing.Balancer, now time.Duration) {
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -11,7 +11,8 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
-// Range and precision of the histogram of waiting times.
+// Range and precision of the histogram of waiting times. A longer wait is recorded as
+// maxRecordedWait.
 const (
 	maxRecordedWait       = time.Minute
 	waitSignificantDigits = 2
