--- a/internal/instance/settings.go
+++ b/internal/instance/settings.go
@@ -47,7 +47,7 @@
 	// MaxFiles is the number of file descriptors that the machine allows the process; 0
 	// for the limit of the operating system.
 	MaxFiles int `toml:"max_files"`
-	// FirstStart is true if the whole system starts for the first time.
+	// FirstStart is true on the first start of the whole system.
 	FirstStart bool `toml:"first_start"`
 	// DataFolder is the folder for the log on the machine's disk.
 	DataFolder string `toml:"data_folder"`
@@ -82,7 +82,7 @@
 	Shutdown settings.Duration `toml:"shutdown"`
 }
 
-// defaultBounds are the bounds that the settings file leaves out.
+// defaultBounds are used for the bounds that the settings file leaves out.
 var defaultBounds = Bounds{
 	MaxLease:             settings.Duration(6 * time.Second),
 	EndedJobRetention:    settings.Duration(120 * time.Second),
