--- a/internal/entry/minions.go
+++ b/internal/entry/minions.go
@@ -63,7 +63,7 @@
 	return response, err
 }
 
-// Announce applies a minion's announcement. The next slot request passes it on to
+// Announce applies a minion's announcement. The next slot request forwards it to
 // the leader.
 func (e *Entry) Announce(ctx context.Context, r *apiv1.AnnounceRequest) (*apiv1.AnnounceResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Minion); err != nil {
