--- a/boundary_test.go
+++ b/boundary_test.go
@@ -14,7 +14,7 @@
 )
 
 // cores are the packages that others embed and that tests drive step by step.
-var cores = []string{"dispatch", "fleet", "hlc", "lease", "placement", "quota", "maintenance", "replica", "routing", "workflow", "internal/state"}
+var corePackages = []string{"dispatch", "fleet", "hlc", "lease", "placement", "quota", "maintenance", "replica", "routing", "workflow", "internal/state"}
 
 // forbiddenImports would bring in sockets, files or the daemons.
 var forbiddenImports = []string{"net", "os", "syscall", "io/fs"}
@@ -23,22 +23,22 @@
 
 // The cores have no input or output, read no clock and start no goroutine, so
 // that a seed decides a whole run and the caller owns every failure.
-func TestCoresAreWithoutInputAndOutput(t *testing.T) {
-	for _, core := range cores {
+func TestCorePackagesDoNoIO(t *testing.T) {
+	for _, core := range corePackages {
 		for name, file := range parseCore(t, core) {
 			for _, imported := range file.Imports {
 				path, err := strconv.Unquote(imported.Path.Value)
 				must.NoError(t, err)
 				must.SliceNotContains(t, forbiddenImports, path, must.Sprint(name))
 				must.False(t, strings.HasPrefix(path, "net/"), must.Sprint(name, path))
-				inside := strings.HasPrefix(path, module+"internal/") || strings.HasPrefix(path, module+"cmd/")
-				must.False(t, inside && !strings.HasPrefix(core, "internal/"), must.Sprint(name, path))
+				isInternal := strings.HasPrefix(path, module+"internal/") || strings.HasPrefix(path, module+"cmd/")
+				must.False(t, isInternal && !strings.HasPrefix(core, "internal/"), must.Sprint(name, path))
 			}
 			ast.Inspect(file, func(n ast.Node) bool {
 				_, starts := n.(*ast.GoStmt)
 				must.False(t, starts, must.Sprintf("%s starts a goroutine", name))
-				if call, ok := n.(*ast.SelectorExpr); ok {
-					must.False(t, readsClock(call), must.Sprintf("%s reads the clock", name))
+				if selector, ok := n.(*ast.SelectorExpr); ok {
+					must.False(t, readsClock(selector), must.Sprintf("%s reads the clock", name))
 				}
 				return true
 			})
@@ -102,12 +102,12 @@
 	must.LessEq(t, maxPlatformLines, lines)
 }
 
-func readsClock(call *ast.SelectorExpr) bool {
-	of, ok := call.X.(*ast.Ident)
-	if !ok || of.Name != "time" {
+func readsClock(selector *ast.SelectorExpr) bool {
+	packageName, ok := selector.X.(*ast.Ident)
+	if !ok || packageName.Name != "time" {
 		return false
 	}
-	switch call.Sel.Name {
+	switch selector.Sel.Name {
 	case "Now", "Since", "Until", "Sleep", "After", "NewTimer", "NewTicker", "Tick", "AfterFunc":
 		return true
 	}
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -17,14 +17,14 @@
 
 // deployments are the examples and how many data centres and instances each has.
 var deployments = []struct {
-	name                                  string
-	dataCentres, instances, voters, disks int
+	name                                        string
+	dataCentres, instances, voters, dataFolders int
 }{
 	{"rackwise", 3, 9, 3, 3},
 	{"himalaya", 4, 8, 5, 4},
 }
 
-func TestSettingsAreSound(t *testing.T) {
+func TestSettingsAreValid(t *testing.T) {
 	for _, d := range deployments {
 		s, err := settings.Load(filepath.Join(d.name, d.name+".toml"))
 		must.NoError(t, err)
@@ -33,13 +33,13 @@
 		must.Len(t, d.instances, s.Instances)
 		must.Len(t, d.voters, s.ConfigVoters())
 		must.SliceEmpty(t, s.Warnings())
-		disks := 0
+		dataFolders := 0
 		for _, instance := range s.Instances {
 			if instance.DataFolder != "" {
-				disks++
+				dataFolders++
 			}
 		}
-		must.Eq(t, d.disks, disks)
+		must.Eq(t, d.dataFolders, dataFolders)
 		for _, dataCentre := range s.DataCentres() {
 			must.Len(t, 3, s.CellMembers(dataCentre))
 		}
@@ -47,7 +47,7 @@
 }
 
 // The two deployments can run side by side on one machine.
-func TestAddressesDiffer(t *testing.T) {
+func TestDeploymentsUseDifferentAddresses(t *testing.T) {
 	used := make(map[string]string)
 	for _, d := range deployments {
 		s, err := settings.Read(filepath.Join(d.name, d.name+".toml"))
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestJobsAreSound(t *testing.T) {
+func TestJobFilesAreValid(t *testing.T) {
 	for _, d := range deployments {
 		paths, err := fs.Glob(examples.Files, path.Join(d.name, "jobs", "*.toml"))
 		must.NoError(t, err)
--- a/fault/fault.go
+++ b/fault/fault.go
@@ -166,9 +166,9 @@
 	if errors.As(err, &f) {
 		return f
 	}
-	var te twirp.Error
-	if stderrors.As(err, &te) {
-		return fromTwirp(te)
+	var twirpErr twirp.Error
+	if stderrors.As(err, &twirpErr) {
+		return fromTwirp(twirpErr)
 	}
 	return &Error{Kind: Internal, Message: err.Error()}
 }
@@ -190,18 +190,18 @@
 		return wire
 	}
 	f := From(err)
-	te := twirp.NewError(f.Kind.TwirpCode(), f.Message).WithMeta(metaKind, f.Kind.String())
+	twirpErr := twirp.NewError(f.Kind.TwirpCode(), f.Message).WithMeta(metaKind, f.Kind.String())
 	if f.Field != "" {
-		te = te.WithMeta(metaField, f.Field)
+		twirpErr = twirpErr.WithMeta(metaField, f.Field)
 	}
 	if f.RetryAfter > 0 {
-		te = te.WithMeta(metaRetryAfter, f.RetryAfter.String())
+		twirpErr = twirpErr.WithMeta(metaRetryAfter, f.RetryAfter.String())
 	}
-	return te
+	return twirpErr
 }
 
-// kindOfCode maps codes that twirp itself raises, without our metadata.
-var kindOfCode = map[twirp.ErrorCode]Kind{
+// kindByTwirpCode maps codes that twirp itself raises, without our metadata.
+var kindByTwirpCode = map[twirp.ErrorCode]Kind{
 	twirp.InvalidArgument:  Invalid,
 	twirp.Malformed:        Invalid,
 	twirp.BadRoute:         NotFound,
@@ -214,22 +214,22 @@
 	twirp.Unknown:          Unavailable,
 }
 
-func fromTwirp(te twirp.Error) *Error {
-	f := &Error{Message: te.Msg(), Field: te.Meta(metaField)}
-	if after, err := time.ParseDuration(te.Meta(metaRetryAfter)); err == nil {
+func fromTwirp(twirpErr twirp.Error) *Error {
+	f := &Error{Message: twirpErr.Msg(), Field: twirpErr.Meta(metaField)}
+	if after, err := time.ParseDuration(twirpErr.Meta(metaRetryAfter)); err == nil {
 		f.RetryAfter = after
 	}
-	if kind, ok := Parse(te.Meta(metaKind)); ok {
+	if kind, ok := Parse(twirpErr.Meta(metaKind)); ok {
 		f.Kind = kind
 		return f
 	}
-	if kind, ok := kindOfCode[te.Code()]; ok {
+	if kind, ok := kindByTwirpCode[twirpErr.Code()]; ok {
 		f.Kind = kind
 		return f
 	}
 	// A transport error of the client arrives as Internal: the fate of the
 	// call is open, so it is told as Unavailable, never as a refusal.
-	if te.Code() == twirp.Internal {
+	if twirpErr.Code() == twirp.Internal {
 		f.Kind = Unavailable
 	}
 	return f
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -8,10 +8,10 @@
 )
 
 // pool has n free machines of 10 cores each.
-func pool(name string, n int, wanted int64) Pool {
-	p := Pool{Name: name, Capacity: int64(n) * 10_000, Wanted: wanted * 1000}
+func pool(name string, n int, demand int64) Pool {
+	p := Pool{Name: name, Capacity: int64(n) * 10_000, Demand: demand * 1000}
 	for i := range n {
-		p.Machines = append(p.Machines, Machine{ID: fmt.Sprint(name, i), MilliCPU: 10_000, Free: true})
+		p.Machines = append(p.Machines, Machine{ID: fmt.Sprint(name, i), MilliCPU: 10_000, Movable: true})
 	}
 	return p
 }
@@ -22,14 +22,14 @@
 	return p
 }
 
-func short(p Pool) Pool { p.ShortFor = shortTime; return p }
+func short(p Pool) Pool { p.ShortFor = minShortage; return p }
 
-func idle(p Pool) Pool { p.IdleFor = idleTime; return p }
+func idle(p Pool) Pool { p.IdleFor = minIdle; return p }
 
 func TestDecide(t *testing.T) {
 	busy := pool("b", 3, 25)
-	kept := standby(2)
-	kept.Machines[0].Free = false
+	partlyMovable := standby(2)
+	partlyMovable.Machines[0].Movable = false
 	for _, c := range []struct {
 		name  string
 		pools []Pool
@@ -40,7 +40,7 @@
 		{name: "not at once", pools: []Pool{pool("a", 1, 25), standby(5)}},
 		{name: "a bound of moves", pools: []Pool{short(pool("a", 1, 99)), standby(9)},
 			want: []Move{{"off0", "off", "a"}, {"off1", "off", "a"}, {"off2", "off", "a"}, {"off3", "off", "a"}}},
-		{name: "machines that may not be moved stay", pools: []Pool{short(pool("a", 1, 25)), kept},
+		{name: "machines that may not be moved stay", pools: []Pool{short(pool("a", 1, 25)), partlyMovable},
 			want: []Move{{"off1", "off", "a"}}},
 		{name: "from another pool that can spare one", pools: []Pool{short(pool("a", 1, 15)), pool("b", 3, 5)},
 			want: []Move{{"b0", "b", "a"}}},
@@ -51,8 +51,8 @@
 		{name: "not where pools don't exchange", pools: []Pool{short(pool("x", 1, 25)), standby(5)}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			may := func(_, to string) bool { return to != "x" }
-			must.Eq(t, c.want, Decide(c.pools, may))
+			allowed := func(_, to string) bool { return to != "x" }
+			must.Eq(t, c.want, Decide(c.pools, allowed))
 		})
 	}
 }
--- a/internal/cli/app.go
+++ b/internal/cli/app.go
@@ -60,62 +60,62 @@
 	s.globals.json = slices.Contains(args, "--json")
 	top := flag.NewFlagSet(programName, flag.ContinueOnError)
 	s.globals.bind(top)
-	before, rest, err := splitGlobal(top, args)
+	global, remaining, err := parseGlobalFlags(top, args)
 	if err != nil {
 		return s.fail(err)
 	}
-	if before.help || (len(rest) > 0 && rest[0] == "help") {
-		return s.help(rest)
+	if global.help || (len(remaining) > 0 && remaining[0] == "help") {
+		return s.help(remaining)
 	}
-	if len(rest) == 0 {
-		return s.fail(withNext(fault.New(fault.Invalid, "no command is given"), "run \"bilberry help\" for the list of commands"))
+	if len(remaining) == 0 {
+		return s.fail(withHint(fault.New(fault.Invalid, "no command is given"), "run \"bilberry help\" for the list of commands"))
 	}
-	command, err := a.find(rest[0])
+	command, err := a.find(remaining[0])
 	if err != nil {
 		return s.fail(err)
 	}
-	probe := flag.NewFlagSet(command.Name(), flag.ContinueOnError)
-	newSession(a).prepare(command, probe)
-	parsed, err := scan(probe, rest[1:])
+	commandFlags := flag.NewFlagSet(command.Name(), flag.ContinueOnError)
+	newSession(a).bindFlags(command, commandFlags)
+	parsed, err := parseArgs(commandFlags, remaining[1:])
 	if err != nil {
-		return s.fail(withUsage(err, command.Name()))
+		return s.fail(withUsageHint(err, command.Name()))
 	}
 	if parsed.help {
 		return s.help([]string{"help", command.Name()})
 	}
-	return s.dispatch(ctx, top, before, command, parsed)
+	return s.dispatch(ctx, top, global, command, parsed)
 }
 
 // dispatch hands arguments that have been checked already to the commander.
-func (s *session) dispatch(ctx context.Context, top *flag.FlagSet, before scanned, command subcommands.Command, parsed scanned) int {
-	line := append(before.flags, command.Name())
-	line = append(line, parsed.flags...)
-	line = append(line, "--")
-	line = append(line, parsed.positional...)
-	if err := top.Parse(line); err != nil {
+func (s *session) dispatch(ctx context.Context, top *flag.FlagSet, global parsedArgs, command subcommands.Command, parsed parsedArgs) int {
+	args := append(global.flags, command.Name())
+	args = append(args, parsed.flags...)
+	args = append(args, "--")
+	args = append(args, parsed.positional...)
+	if err := top.Parse(args); err != nil {
 		return s.fail(fault.New(fault.Invalid, "%v", err))
 	}
 	commander := subcommands.NewCommander(top, programName)
 	commander.Output = s.app.Stdout
 	commander.Error = s.app.Stderr
-	commander.Register(&bound{Command: command, session: s}, "")
+	commander.Register(&boundCommand{Command: command, session: s}, "")
 	return int(commander.Execute(ctx))
 }
 
 // bound is a command with the session that it runs in.
-type bound struct {
+type boundCommand struct {
 	subcommands.Command
 	session *session
 }
 
-func (b *bound) SetFlags(f *flag.FlagSet) { b.session.prepare(b.Command, f) }
+func (b *boundCommand) SetFlags(f *flag.FlagSet) { b.session.bindFlags(b.Command, f) }
 
-func (b *bound) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	own, ok := b.Command.(*command)
+func (b *boundCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+	builtin, ok := b.Command.(*command)
 	if !ok {
 		return b.Command.Execute(ctx, f)
 	}
-	return subcommands.ExitStatus(b.session.run(ctx, own, f.Args()))
+	return subcommands.ExitStatus(b.session.run(ctx, builtin, f.Args()))
 }
 
 // find returns a command by name.
@@ -129,15 +129,15 @@
 	}
 	err := fault.New(fault.Invalid, "unknown command %q", shorten(name))
 	if near := tomlfile.Nearest(name, names); near != "" {
-		return nil, withNext(err, fmt.Sprintf("did you mean %q?", near))
+		return nil, withHint(err, fmt.Sprintf("did you mean %q?", near))
 	}
-	return nil, withNext(err, "run \"bilberry help\" for the list of commands")
+	return nil, withHint(err, "run \"bilberry help\" for the list of commands")
 }
 
 // commands returns all commands, by name.
 func (a *App) commands() []subcommands.Command {
 	var all []subcommands.Command
-	for _, c := range ownCommands() {
+	for _, c := range builtinCommands() {
 		all = append(all, c)
 	}
 	all = append(all, a.Extra...)
@@ -150,8 +150,8 @@
 	return all
 }
 
-// ownCommands makes the commands anew, so that no flag outlives an invocation.
-func ownCommands() []*command {
+// builtinCommands makes the commands anew, so that no flag outlives an invocation.
+func builtinCommands() []*command {
 	return []*command{
 		submitCommand(), statusCommand(), watchCommand(), cancelCommand(), scaleCommand(), explainCommand(),
 		drainCommand(), undrainCommand(), configCommand(), quotaCommand(), workersCommand(), instancesCommand(),
--- a/internal/cli/args.go
+++ b/internal/cli/args.go
@@ -13,15 +13,15 @@
 // scanned are arguments taken apart: flags in the form --name=value, and the
 // rest. Package flag alone stops at the first argument that is no flag and lets
 // the last of doubled flags win without a word.
-type scanned struct {
+type parsedArgs struct {
 	flags      []string
 	positional []string
 	help       bool
 }
 
 // scan takes all arguments apart and checks each flag's value.
-func scan(set *flag.FlagSet, args []string) (scanned, error) {
-	var out scanned
+func parseArgs(set *flag.FlagSet, args []string) (parsedArgs, error) {
+	var out parsedArgs
 	seen := make(map[string]bool)
 	for len(args) > 0 {
 		if args[0] == "--" {
@@ -33,7 +33,7 @@
 			args = args[1:]
 			continue
 		}
-		rest, err := out.takeFlag(set, args, seen)
+		rest, err := out.parseFlag(set, args, seen)
 		if err != nil {
 			return out, err
 		}
@@ -42,14 +42,14 @@
 	return out, nil
 }
 
-// splitGlobal takes the global flags in front of the command's name.
-func splitGlobal(set *flag.FlagSet, args []string) (scanned, []string, error) {
-	var out scanned
+// parseGlobalFlags takes the global flags in front of the command's name.
+func parseGlobalFlags(set *flag.FlagSet, args []string) (parsedArgs, []string, error) {
+	var out parsedArgs
 	seen := make(map[string]bool)
 	for len(args) > 0 && isFlag(args[0]) && args[0] != "--" {
-		rest, err := out.takeFlag(set, args, seen)
+		rest, err := out.parseFlag(set, args, seen)
 		if err != nil {
-			return out, nil, withNext(err, "run \"bilberry help\" for the global flags")
+			return out, nil, withHint(err, "run \"bilberry help\" for the global flags")
 		}
 		args = rest
 	}
@@ -58,8 +58,8 @@
 
 func isFlag(arg string) bool { return len(arg) > 1 && arg[0] == '-' }
 
-// takeFlag takes one flag and its value and returns the arguments behind them.
-func (s *scanned) takeFlag(set *flag.FlagSet, args []string, seen map[string]bool) ([]string, error) {
+// parseFlag takes one flag and its value and returns the arguments behind them.
+func (s *parsedArgs) parseFlag(set *flag.FlagSet, args []string, seen map[string]bool) ([]string, error) {
 	name, value, hasValue := strings.Cut(strings.TrimPrefix(strings.TrimPrefix(args[0], "-"), "-"), "=")
 	rest := args[1:]
 	f := set.Lookup(name)
@@ -100,30 +100,30 @@
 	set.VisitAll(func(f *flag.Flag) { names = append(names, f.Name) })
 	err := fault.New(fault.Invalid, "unknown flag %q", "--"+shorten(name))
 	if near := tomlfile.Nearest(name, names); near != "" {
-		return withNext(err, "did you mean \"--"+near+"\"?")
+		return withHint(err, "did you mean \"--"+near+"\"?")
 	}
 	return err
 }
 
-// maxArgument bounds an id or name that goes to an instance, in bytes.
-const maxArgument = 256
+// maxArgumentBytes bounds an id or name that goes to an instance, in bytes.
+const maxArgumentBytes = 256
 
 // checkArgument refuses ids that no instance can hold, before anything is sent.
-func checkArgument(what, value string) error {
+func checkArgument(name, value string) error {
 	if value == "" {
-		return fault.Field(what, "is empty")
+		return fault.Field(name, "is empty")
 	}
-	if len(value) > maxArgument {
-		return fault.Field(what, "has %d bytes, at most %d are taken", len(value), maxArgument)
+	if len(value) > maxArgumentBytes {
+		return fault.Field(name, "has %d bytes, at most %d are taken", len(value), maxArgumentBytes)
 	}
 	if !utf8.ValidString(value) || strings.ContainsFunc(value, func(r rune) bool { return unicode.IsControl(r) || unicode.IsSpace(r) }) {
-		return fault.Field(what, "%q holds white space or control characters", shorten(value))
+		return fault.Field(name, "%q holds white space or control characters", shorten(value))
 	}
 	return nil
 }
 
-// wantArgs checks the number of arguments and each of them.
-func wantArgs(args []string, names ...string) error {
+// requireArgs checks the number of arguments and each of them.
+func requireArgs(args []string, names ...string) error {
 	if len(args) < len(names) {
 		return fault.Field(names[len(args)], "is missing")
 	}
@@ -138,15 +138,15 @@
 	return nil
 }
 
-// wantDistinct checks arguments of one kind and refuses doubled ones.
-func wantDistinct(what string, args []string) error {
+// requireDistinct checks arguments of one kind and refuses doubled ones.
+func requireDistinct(name string, args []string) error {
 	seen := make(map[string]bool)
 	for _, arg := range args {
-		if err := checkArgument(what, arg); err != nil {
+		if err := checkArgument(name, arg); err != nil {
 			return err
 		}
 		if seen[arg] {
-			return fault.Field(what, "%q is given twice", shorten(arg))
+			return fault.Field(name, "%q is given twice", shorten(arg))
 		}
 		seen[arg] = true
 	}
--- a/internal/cli/change.go
+++ b/internal/cli/change.go
@@ -15,17 +15,17 @@
 // maxScale is the largest number of tasks that scale takes.
 const maxScale = 100_000
 
-// openFate adds to an Unavailable error how the same call is sent again.
-func openFate(err error, id string) error {
+// withResendHint adds to an Unavailable error how the same call is sent again.
+func withResendHint(err error, id string) error {
 	if !fault.Is(err, fault.Unavailable) {
 		return err
 	}
-	return withNext(err, "the call may have been carried out; send it again with --request-id "+id)
+	return withHint(err, "the call may have been carried out; send it again with --request-id "+id)
 }
 
 // change makes a call that changes something, under a request id with which it can
 // be sent again when its answer gets lost.
-func change[A any](ctx context.Context, s *session, givenID string, send func(ctx context.Context, c *client, id string) (A, error)) (A, error) {
+func sendChange[A any](ctx context.Context, s *session, givenID string, send func(ctx context.Context, c *client, id string) (A, error)) (A, error) {
 	var none A
 	id, err := requestID(givenID)
 	if err != nil {
@@ -35,21 +35,21 @@
 	if err != nil {
 		return none, err
 	}
-	ctx, stop := s.bounded(ctx)
+	ctx, stop := s.withTimeout(ctx)
 	defer stop()
 	answer, err := send(ctx, c, id)
-	return answer, openFate(err, id)
+	return answer, withResendHint(err, id)
 }
 
 func cancelCommand() *command {
 	var name, id string
 	var all, dryRun bool
 	return &command{
-		name:     "cancel",
-		synopsis: "Cancel jobs by id, by name, or all of a customer",
-		usage:    "[--dry-run] id... | --name name | --all",
-		about:    "--all means all jobs of the token's customer. The exit code is not zero when a data\ncentre couldn't be reached, for its jobs go on.",
-		example:  "bilberry cancel --dry-run --name nightly-folio\nbilberry cancel naas-hall-1a2b naas-hall-1a2c",
+		name:        "cancel",
+		synopsis:    "Cancel jobs by id, by name, or all of a customer",
+		usage:       "[--dry-run] id... | --name name | --all",
+		description: "--all means all jobs of the token's customer. The exit code is not zero when a data\ncentre couldn't be reached, for its jobs go on.",
+		example:     "bilberry cancel --dry-run --name nightly-folio\nbilberry cancel naas-hall-1a2b naas-hall-1a2c",
 		flags: func(f *flag.FlagSet) {
 			f.StringVar(&name, "name", "", "cancel all jobs of this `name`")
 			f.BoolVar(&all, "all", false, "cancel all jobs of the customer")
@@ -81,11 +81,11 @@
 	if request.Name != "" {
 		return checkArgument("--name", request.Name)
 	}
-	return wantDistinct("id", request.Ids)
+	return requireDistinct("id", request.Ids)
 }
 
 func (s *session) cancel(ctx context.Context, request *apiv1.CancelRequest, givenID string) error {
-	answer, err := change(ctx, s, givenID, func(ctx context.Context, c *client, id string) (*apiv1.CancelResponse, error) {
+	answer, err := sendChange(ctx, s, givenID, func(ctx context.Context, c *client, id string) (*apiv1.CancelResponse, error) {
 		request.RequestId = id
 		return schedulerCall(ctx, c, request, func(api apiv1.Scheduler) func(context.Context, *apiv1.CancelRequest) (*apiv1.CancelResponse, error) {
 			return api.Cancel
@@ -98,7 +98,7 @@
 	if err != nil || len(answer.GetUnreachableDataCentres()) == 0 {
 		return err
 	}
-	return openFate(fault.New(fault.Unavailable, "not cancelled in data centres that weren't reached: %s",
+	return withResendHint(fault.New(fault.Unavailable, "not cancelled in data centres that weren't reached: %s",
 		strings.Join(answer.GetUnreachableDataCentres(), ", ")), request.RequestId)
 }
 
@@ -126,7 +126,7 @@
 		example:  "bilberry scale naas-hall-1a2b 12",
 		flags:    func(f *flag.FlagSet) { requestIDFlag(f, &id) },
 		run: func(ctx context.Context, s *session, args []string) error {
-			if err := wantArgs(args, "id", "tasks"); err != nil {
+			if err := requireArgs(args, "id", "tasks"); err != nil {
 				return err
 			}
 			tasks, err := strconv.Atoi(args[1])
@@ -139,7 +139,7 @@
 }
 
 func (s *session) scale(ctx context.Context, request *apiv1.ScaleRequest, givenID string) error {
-	answer, err := change(ctx, s, givenID, func(ctx context.Context, c *client, id string) (*apiv1.ScaleResponse, error) {
+	answer, err := sendChange(ctx, s, givenID, func(ctx context.Context, c *client, id string) (*apiv1.ScaleResponse, error) {
 		request.RequestId = id
 		return schedulerCall(ctx, c, request, func(api apiv1.Scheduler) func(context.Context, *apiv1.ScaleRequest) (*apiv1.ScaleResponse, error) {
 			return api.Scale
@@ -152,14 +152,14 @@
 }
 
 func drainCommand() *command {
-	return drainOrUndo("drain", "Give a worker no new tasks", false)
+	return newDrainCommand("drain", "Give a worker no new tasks", false)
 }
 
 func undrainCommand() *command {
-	return drainOrUndo("undrain", "Give a drained worker tasks again", true)
+	return newDrainCommand("undrain", "Give a drained worker tasks again", true)
 }
 
-func drainOrUndo(name, synopsis string, undo bool) *command {
+func newDrainCommand(name, synopsis string, undo bool) *command {
 	var id, dataCentre string
 	return &command{
 		name:     name,
@@ -171,7 +171,7 @@
 			requestIDFlag(f, &id)
 		},
 		run: func(ctx context.Context, s *session, args []string) error {
-			if err := wantArgs(args, "worker"); err != nil {
+			if err := requireArgs(args, "worker"); err != nil {
 				return err
 			}
 			return s.drain(ctx, &apiv1.DrainRequest{Worker: args[0], Undo: undo, DataCentre: dataCentre}, id)
@@ -180,7 +180,7 @@
 }
 
 func (s *session) drain(ctx context.Context, request *apiv1.DrainRequest, givenID string) error {
-	answer, err := change(ctx, s, givenID, func(ctx context.Context, c *client, id string) (*apiv1.DrainResponse, error) {
+	answer, err := sendChange(ctx, s, givenID, func(ctx context.Context, c *client, id string) (*apiv1.DrainResponse, error) {
 		request.RequestId = id
 		return operationsCall(ctx, c, request, func(api apiv1.Operations) func(context.Context, *apiv1.DrainRequest) (*apiv1.DrainResponse, error) {
 			return api.Drain
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -24,7 +24,7 @@
 
 // fake is an entry instance that answers as a test says and keeps what it was
 // asked. Calls that a test doesn't expect panic on the embedded nil interface.
-type fake struct {
+type fakeEntry struct {
 	apiv1.Scheduler
 	apiv1.Operations
 	submit  func(*apiv1.SubmitRequest) (*apiv1.SubmitResponse, error)
@@ -41,38 +41,38 @@
 	token string
 }
 
-func (f *fake) Home(context.Context, *apiv1.HomeRequest) (*apiv1.HomeResponse, error) {
+func (f *fakeEntry) Home(context.Context, *apiv1.HomeRequest) (*apiv1.HomeResponse, error) {
 	return &apiv1.HomeResponse{DataCentre: "hall"}, nil
 }
 
-func (f *fake) Submit(_ context.Context, q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
+func (f *fakeEntry) Submit(_ context.Context, q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
 	a, err := f.submit(q)
 	return a, fault.ToTwirp(err)
 }
-func (f *fake) Cancel(_ context.Context, q *apiv1.CancelRequest) (*apiv1.CancelResponse, error) {
+func (f *fakeEntry) Cancel(_ context.Context, q *apiv1.CancelRequest) (*apiv1.CancelResponse, error) {
 	a, err := f.cancel(q)
 	return a, fault.ToTwirp(err)
 }
-func (f *fake) Watch(_ context.Context, q *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
+func (f *fakeEntry) Watch(_ context.Context, q *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
 	a, err := f.watch(q)
 	return a, fault.ToTwirp(err)
 }
-func (f *fake) Status(_ context.Context, q *apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
+func (f *fakeEntry) Status(_ context.Context, q *apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
 	a, err := f.status(q)
 	return a, fault.ToTwirp(err)
 }
-func (f *fake) SetConfig(_ context.Context, q *apiv1.SetConfigRequest) (*apiv1.Config, error) {
+func (f *fakeEntry) SetConfig(_ context.Context, q *apiv1.SetConfigRequest) (*apiv1.Config, error) {
 	a, err := f.set(q)
 	return a, fault.ToTwirp(err)
 }
-func (f *fake) GetConfig(context.Context, *apiv1.GetConfigRequest) (*apiv1.Config, error) {
+func (f *fakeEntry) GetConfig(context.Context, *apiv1.GetConfigRequest) (*apiv1.Config, error) {
 	return f.config, nil
 }
-func (f *fake) Events(context.Context, *apiv1.EventsRequest) (*apiv1.EventsResponse, error) {
+func (f *fakeEntry) Events(context.Context, *apiv1.EventsRequest) (*apiv1.EventsResponse, error) {
 	return f.events, nil
 }
 
-func (f *fake) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *fakeEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
 	f.calls++
 	f.token = r.Header.Get("Authorization")
@@ -85,7 +85,7 @@
 }
 
 // start serves the fake on loopback over HTTP/2 without TLS.
-func (f *fake) start(t *testing.T) *fake {
+func (f *fakeEntry) start(t *testing.T) *fakeEntry {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -110,7 +110,7 @@
 	entries  []string
 }
 
-func newRunner(t *testing.T, fakes ...*fake) *runner {
+func newRunner(t *testing.T, fakes ...*fakeEntry) *runner {
 	t.Helper()
 	r := &runner{folder: t.TempDir()}
 	for _, f := range fakes {
@@ -141,23 +141,23 @@
 	return result{code, out.String(), errs.String()}
 }
 
-const job = "name = \"a\"\npolicy = \"batch\"\ncpu = \"1\"\nruntime = \"2s\"\ndeadline = \"+45s\"\n"
+const validJob = "name = \"a\"\npolicy = \"batch\"\ncpu = \"1\"\nruntime = \"2s\"\ndeadline = \"+45s\"\n"
 
 // An entry instance accepts a job and dies before its answer arrives. The
 // command must send the same request, id and deadline unchanged, to the next
 // entry instance, or the job runs twice.
 func TestLostAnswerIsResentWithTheSameID(t *testing.T) {
 	var sent []*apiv1.SubmitRequest
-	dying := (&fake{submit: func(q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
+	dying := (&fakeEntry{submit: func(q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
 		sent = append(sent, q)
 		panic(http.ErrAbortHandler)
 	}}).start(t)
-	next := (&fake{submit: func(q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
+	next := (&fakeEntry{submit: func(q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
 		sent = append(sent, q)
 		return &apiv1.SubmitResponse{Id: "dc-1", DataCentre: "dc", State: apiv1.JobState_JOB_STATE_QUEUED}, nil
 	}}).start(t)
 	r := newRunner(t, dying, next)
-	got := r.run("submit", r.write(t, "job.toml", job))
+	got := r.run("submit", r.write(t, "job.toml", validJob))
 	must.Eq(t, 0, got.code)
 	must.Eq(t, "dc-1 a in dc: queued\n", got.out)
 	must.Len(t, 2, sent)
@@ -169,14 +169,14 @@
 
 // No entry instance answers. The fate of the job is open, so the message must
 // say how to send the very same request again, and never that it wasn't run.
-func TestOpenFateSaysHowToResend(t *testing.T) {
+func TestUnknownOutcomeOfSubmitExplainsResend(t *testing.T) {
 	var id string
-	dying := (&fake{submit: func(q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
+	dying := (&fakeEntry{submit: func(q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
 		id = q.GetRequestId()
 		panic(http.ErrAbortHandler)
 	}}).start(t)
 	r := newRunner(t, dying)
-	got := r.run("submit", r.write(t, "job.toml", job))
+	got := r.run("submit", r.write(t, "job.toml", validJob))
 	must.Eq(t, fault.Unavailable.ExitCode(), got.code)
 	must.StrContains(t, got.err, "--home hall --request-id "+id+" --deadline 2")
 	must.StrNotContains(t, got.err, "secret")
@@ -184,9 +184,9 @@
 }
 
 // The same for changes other than a submit.
-func TestOpenFateOfOtherChanges(t *testing.T) {
+func TestUnknownOutcomeOfConfigSetExplainsResend(t *testing.T) {
 	var id string
-	f := (&fake{set: func(q *apiv1.SetConfigRequest) (*apiv1.Config, error) {
+	f := (&fakeEntry{set: func(q *apiv1.SetConfigRequest) (*apiv1.Config, error) {
 		id = q.GetRequestId()
 		panic(http.ErrAbortHandler)
 	}}).start(t)
@@ -196,17 +196,17 @@
 	must.StrContains(t, got.err, "may have been carried out; send it again with --request-id "+id)
 }
 
-func TestRefusalIsNotTriedElsewhere(t *testing.T) {
-	refusing := (&fake{status: func(*apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
+func TestRefusalIsNotRetriedElsewhere(t *testing.T) {
+	refusing := (&fakeEntry{status: func(*apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
 		return nil, fault.Retry(fault.Denied, 1500*time.Millisecond, "no\nsuch \x1b[2Jtoken")
 	}}).start(t)
-	other := (&fake{}).start(t)
+	other := (&fakeEntry{}).start(t)
 	got := newRunner(t, refusing, other).run("status")
 	must.Eq(t, fault.Denied.ExitCode(), got.code)
 	must.Eq(t, 0, other.calls)
 	must.StrHasPrefix(t, "bilberry: Denied: no such \uFFFD[2Jtoken (again in 1.5s)\n  next: ", got.err)
 	got = newRunner(t, refusing).run("--json", "status")
-	var shown map[string]shownError
+	var shown map[string]errorOutput
 	must.NoError(t, json.Unmarshal([]byte(got.err), &shown))
 	must.Eq(t, "Denied", shown["error"].Kind)
 	must.Eq(t, int64(1500), shown["error"].RetryAfterMs)
@@ -214,16 +214,16 @@
 
 // Slips of the hand and hostile arguments must be refused with one line, a
 // non-zero exit code and before any instance is called.
-func TestBadInputChangesNothing(t *testing.T) {
-	f := (&fake{}).start(t)
+func TestInvalidInputIsRejectedBeforeAnyCall(t *testing.T) {
+	f := (&fakeEntry{}).start(t)
 	r := newRunner(t, f)
-	good := r.write(t, "good.toml", job)
-	half := r.write(t, "half.toml", job[:len(job)-9])
+	good := r.write(t, "good.toml", validJob)
+	half := r.write(t, "half.toml", validJob[:len(validJob)-9])
 	conf := r.write(t, "conf.toml", "[[customer]]\nname = \"a\"\n")
 	versioned := r.write(t, "versioned.toml", "# version 4\n")
-	huge := r.write(t, "huge.toml", strings.Repeat("#", maxJobFile+1))
+	huge := r.write(t, "huge.toml", strings.Repeat("#", maxJobFileBytes+1))
 	empty := r.write(t, "empty", "")
-	long := strings.Repeat("x", maxArgument+1)
+	long := strings.Repeat("x", maxArgumentBytes+1)
 	lines := [][]string{
 		{}, {"nonsense"}, {"--nonsense"}, {"help", "nonsense"}, {"status", "--nonsense"}, {"status", "--limit"}, {"status", "--limit", "x"},
 		{"status", "--limit", "0"}, {"status", "--limit=1", "--limit=1"}, {"status", "a", "a"}, {"status", ""}, {"status", long}, {"status", "a\nb"}, {"status", "\xff"},
@@ -257,7 +257,7 @@
 
 func TestHelpOfEachCommandHasAnExample(t *testing.T) {
 	r := newRunner(t)
-	for _, c := range ownCommands() {
+	for _, c := range builtinCommands() {
 		for _, args := range [][]string{{c.name, "--help"}, {"help", c.name}, {c.name, "x", "-h"}} {
 			got := r.run(args...)
 			must.Eq(t, 0, got.code)
@@ -268,11 +268,11 @@
 	}
 }
 
-func watched(revision uint64, state apiv1.JobState, kind string) *apiv1.StatusResponse {
+func watchResponse(revision uint64, state apiv1.JobState, kind string) *apiv1.StatusResponse {
 	return &apiv1.StatusResponse{Jobs: []*apiv1.Job{{Id: "dc-1", Revision: revision, State: state, ReasonKind: kind, TasksEnded: int32(revision), TasksQueued: 4 - int32(revision)}}}
 }
 
-func TestWatchTellsTheEndByItsExitCode(t *testing.T) {
+func TestWatchExitCodes(t *testing.T) {
 	ends := map[string]struct {
 		state apiv1.JobState
 		kind  string
@@ -286,11 +286,11 @@
 	}
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
-			f := (&fake{watch: func(q *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
+			f := (&fakeEntry{watch: func(q *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
 				if q.GetAfterRevision() == 0 {
-					return watched(1, apiv1.JobState_JOB_STATE_RUNNING, ""), nil
+					return watchResponse(1, apiv1.JobState_JOB_STATE_RUNNING, ""), nil
 				}
-				return watched(2, end.state, end.kind), nil
+				return watchResponse(2, end.state, end.kind), nil
 			}}).start(t)
 			got := newRunner(t, f).run("watch", "dc-1")
 			must.Eq(t, end.code, got.code)
@@ -304,8 +304,8 @@
 }
 
 // A caller has named its job with terminal controls; an operator lists jobs.
-func TestTablesShowHostileTextAsText(t *testing.T) {
-	f := (&fake{status: func(*apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
+func TestTablesReplaceControlCharacters(t *testing.T) {
+	f := (&fakeEntry{status: func(*apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
 		return &apiv1.StatusResponse{Jobs: []*apiv1.Job{{Id: "a", Spec: &apiv1.Spec{Name: "\x1b[2Jx\ny"}}}, UnreachableDataCentres: []string{"dc2"}}, nil
 	}}).start(t)
 	r := newRunner(t, f)
@@ -319,8 +319,8 @@
 
 // Of three data centres one is cut off while an operator cancels everything.
 // The exit code must tell that some jobs go on.
-func TestPartlyCancelledIsAnError(t *testing.T) {
-	f := (&fake{cancel: func(q *apiv1.CancelRequest) (*apiv1.CancelResponse, error) {
+func TestPartialCancelIsAnError(t *testing.T) {
+	f := (&fakeEntry{cancel: func(q *apiv1.CancelRequest) (*apiv1.CancelResponse, error) {
 		return &apiv1.CancelResponse{Ids: []string{"a"}, UnreachableDataCentres: []string{"dc2"}}, nil
 	}}).start(t)
 	got := newRunner(t, f).run("cancel", "--all", "--dry-run")
@@ -331,9 +331,9 @@
 
 // Two operators read version 7 and write. What "get" printed carries the
 // version, so the second write is refused instead of undoing the first.
-func TestConfigSetWritesOnTheVersionThatWasRead(t *testing.T) {
+func TestConfigSetRejectsStaleVersion(t *testing.T) {
 	version := uint64(7)
-	f := (&fake{config: &apiv1.Config{Version: 7, Document: "# version 3, old\n[[customer]]\nname = \"a\"", Author: "op\nx"}}).start(t)
+	f := (&fakeEntry{config: &apiv1.Config{Version: 7, Document: "# version 3, old\n[[customer]]\nname = \"a\"", Author: "op\nx"}}).start(t)
 	f.set = func(q *apiv1.SetConfigRequest) (*apiv1.Config, error) {
 		if q.GetExpectedVersion() != version {
 			return nil, fault.New(fault.Conflict, "the current version is %d", version)
@@ -351,7 +351,7 @@
 }
 
 func TestTimeline(t *testing.T) {
-	f := (&fake{events: &apiv1.EventsResponse{
+	f := (&fakeEntry{events: &apiv1.EventsResponse{
 		Events:               []*apiv1.Event{{WallMs: 2, Instance: "b", Kind: "second"}, {WallMs: 1, Instance: "a", Kind: "first"}, {WallMs: 2, Instance: "b", Kind: "second"}},
 		UnreachableInstances: []string{"c"},
 	}}).start(t)
@@ -375,13 +375,13 @@
 }
 
 // The page on the command line is what scripts are written by.
-func TestPageNamesEveryExitCodeAndCommand(t *testing.T) {
+func TestCLIDocNamesEveryExitCodeAndCommand(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CLI.md")
 	must.NoError(t, err)
 	for _, kind := range fault.Kinds() {
 		must.StrContains(t, string(page), fmt.Sprintf("| %d | %s | ", kind.ExitCode(), kind))
 	}
-	for _, c := range ownCommands() {
+	for _, c := range builtinCommands() {
 		must.RegexMatch(t, regexp.MustCompile("`"+c.name+"[ `]"), string(page))
 	}
 }
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -17,8 +17,8 @@
 	// attemptTimeout bounds one call to one entry instance, so that a silent
 	// instance doesn't use up the time for all the others.
 	attemptTimeout = 8 * time.Second
-	// maxAnswer bounds an answer in bytes.
-	maxAnswer = 64 << 20
+	// maxResponseBytes bounds an answer in bytes.
+	maxResponseBytes = 64 << 20
 )
 
 // endpoint is one entry instance.
@@ -44,7 +44,7 @@
 		IdleConnTimeout: time.Minute,
 	}
 	httpClient := &http.Client{
-		Transport: &authorized{base: transport, token: token},
+		Transport: &bearerTransport{base: transport, token: token},
 		// A token must not follow a redirect to elsewhere.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
@@ -62,19 +62,19 @@
 }
 
 // authorized adds the bearer token and bounds answers.
-type authorized struct {
+type bearerTransport struct {
 	base  http.RoundTripper
 	token string
 }
 
-func (a *authorized) RoundTrip(r *http.Request) (*http.Response, error) {
+func (a *bearerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.Header.Set("Authorization", "Bearer "+a.token)
 	response, err := a.base.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
-	response.Body = &boundedBody{Reader: io.LimitReader(response.Body, maxAnswer), Closer: response.Body}
+	response.Body = &boundedBody{Reader: io.LimitReader(response.Body, maxResponseBytes), Closer: response.Body}
 	return response, nil
 }
 
@@ -87,18 +87,18 @@
 // an answer of its own. Unavailable means that nothing is known of the fate of
 // the call, so the same message, with the same request id, goes to the next.
 // An instance that has answered moves to the front for later calls.
-func call[Q, A any](ctx context.Context, c *client, attempt time.Duration, q Q, method func(*endpoint) func(context.Context, Q) (A, error)) (A, error) {
+func call[Q, A any](ctx context.Context, c *client, timeout time.Duration, q Q, method func(*endpoint) func(context.Context, Q) (A, error)) (A, error) {
 	var none A
 	var causes []string
 	for i, e := range c.endpoints {
-		answer, err := callOne(ctx, attempt, method(e), q)
+		answer, err := callOne(ctx, timeout, method(e), q)
 		if err == nil {
-			c.prefer(i)
+			c.moveToFront(i)
 			return answer, nil
 		}
 		f := fault.From(err)
 		if f.Kind != fault.Unavailable {
-			c.prefer(i)
+			c.moveToFront(i)
 			return none, f
 		}
 		causes = append(causes, e.address+": "+rootCause(f.Message))
@@ -109,13 +109,13 @@
 	return none, &fault.Error{Kind: fault.Unavailable, Message: strings.Join(causes, "; ")}
 }
 
-func callOne[Q, A any](ctx context.Context, attempt time.Duration, method func(context.Context, Q) (A, error), q Q) (A, error) {
-	ctx, cancel := context.WithTimeout(ctx, attempt)
+func callOne[Q, A any](ctx context.Context, timeout time.Duration, method func(context.Context, Q) (A, error), q Q) (A, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return method(ctx, q)
 }
 
-func (c *client) prefer(i int) {
+func (c *client) moveToFront(i int) {
 	chosen := c.endpoints[i]
 	copy(c.endpoints[1:i+1], c.endpoints[:i])
 	c.endpoints[0] = chosen
--- a/internal/cli/command.go
+++ b/internal/cli/command.go
@@ -17,10 +17,10 @@
 	// usage shows the arguments behind the name.
 	usage string
 	// about explains what the synopsis leaves open.
-	about   string
-	example string
-	flags   func(*flag.FlagSet)
-	run     func(ctx context.Context, s *session, args []string) error
+	description string
+	example     string
+	flags       func(*flag.FlagSet)
+	run         func(ctx context.Context, s *session, args []string) error
 }
 
 // Name, Synopsis, Usage, SetFlags and Execute make command a subcommands.Command.
@@ -30,8 +30,8 @@
 func (c *command) Usage() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s %s\n\n%s.\n", programName, c.name, c.usage, c.synopsis)
-	if c.about != "" {
-		fmt.Fprintf(&b, "%s\n", c.about)
+	if c.description != "" {
+		fmt.Fprintf(&b, "%s\n", c.description)
 	}
 	fmt.Fprintf(&b, "\nExample:\n  %s\n", strings.ReplaceAll(c.example, "\n", "\n  "))
 	return b.String()
@@ -50,7 +50,7 @@
 
 // prepare sets a command's own flags and, for ours, the global ones too, so
 // that they may stand before or behind the command.
-func (s *session) prepare(c subcommands.Command, f *flag.FlagSet) {
+func (s *session) bindFlags(c subcommands.Command, f *flag.FlagSet) {
 	c.SetFlags(f)
 	if _, ok := c.(*command); ok {
 		s.globals.bind(f)
@@ -69,9 +69,9 @@
 		return s.fail(err)
 	}
 	fmt.Fprintf(out, "Usage: %s", c.Usage())
-	own := flag.NewFlagSet(c.Name(), flag.ContinueOnError)
-	c.SetFlags(own)
-	printFlags(out, "Flags", own)
+	flags := flag.NewFlagSet(c.Name(), flag.ContinueOnError)
+	c.SetFlags(flags)
+	printFlags(out, "Flags", flags)
 	if _, ok := c.(*command); ok {
 		fmt.Fprintf(out, "\nGlobal flags: see \"%s help\".\n", programName)
 	}
--- a/internal/cli/completion.go
+++ b/internal/cli/completion.go
@@ -17,13 +17,13 @@
 		usage:    "bash",
 		example:  "source <(bilberry completion bash)",
 		run: func(_ context.Context, s *session, args []string) error {
-			if err := wantArgs(args, "shell"); err != nil {
+			if err := requireArgs(args, "shell"); err != nil {
 				return err
 			}
 			if args[0] != "bash" {
 				return fault.Field("shell", "%q isn't known; bash is", shorten(args[0]))
 			}
-			return s.writeBash(s.app.Stdout)
+			return s.writeBashCompletion(s.app.Stdout)
 		},
 	}
 }
@@ -31,13 +31,13 @@
 // actionsOf are the words that follow commands which have some.
 var actionsOf = map[string][]string{"config": configActions, "workflow": workflowActions, "wave": waveActions}
 
-// writeBash writes a script that completes commands, flags and, behind them, files.
-func (s *session) writeBash(out io.Writer) error {
+// writeBashCompletion writes a script that completes commands, flags and, behind them, files.
+func (s *session) writeBashCompletion(out io.Writer) error {
 	var names, cases strings.Builder
 	for _, c := range s.app.commands() {
 		fmt.Fprintf(&names, " %s", c.Name())
 		f := flag.NewFlagSet(c.Name(), flag.ContinueOnError)
-		newSession(s.app).prepare(c, f)
+		newSession(s.app).bindFlags(c, f)
 		words := flagNames(f)
 		if actions := actionsOf[c.Name()]; actions != nil {
 			words += " " + strings.Join(actions, " ")
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -24,22 +24,22 @@
 	id     string
 }
 
-// noVersion says that --expect isn't given.
-const noVersion = -1
+// versionUnset says that --expect isn't given.
+const versionUnset = -1
 
 func configCommand() *command {
-	flags := configFlags{expect: noVersion}
+	flags := configFlags{expect: versionUnset}
 	return &command{
 		name:     "config",
 		synopsis: "Read, write and follow the shared configuration",
 		usage:    "get | set file | status | history",
-		about: "\"get\" writes the document with its version in the first line. \"set\" takes that line,\n" +
+		description: "\"get\" writes the document with its version in the first line. \"set\" takes that line,\n" +
 			"or --expect, as the version that was read; when another write came between, it is\n" +
 			"refused with Conflict and changes nothing. \"status\" tells which instance applies\n" +
 			"which version.",
 		example: "bilberry config get > quotas.toml\nbilberry config set quotas.toml",
 		flags: func(f *flag.FlagSet) {
-			f.Int64Var(&flags.expect, "expect", noVersion, "set: the `version` that was read")
+			f.Int64Var(&flags.expect, "expect", versionUnset, "set: the `version` that was read")
 			f.IntVar(&flags.limit, "limit", 20, "history: show at most this `number` of versions")
 			requestIDFlag(f, &flags.id)
 		},
@@ -56,7 +56,7 @@
 	if action == "set" {
 		return s.configSet(ctx, flags, args)
 	}
-	if flags.expect != noVersion || flags.id != "" {
+	if flags.expect != versionUnset || flags.id != "" {
 		return fault.New(fault.Invalid, "--expect and --request-id belong to \"config set\"")
 	}
 	actions := map[string]func(context.Context, *client, *configFlags) error{
@@ -66,7 +66,7 @@
 	if !ok {
 		return unknownAction("config", action, configActions)
 	}
-	if err := wantArgs(args); err != nil {
+	if err := requireArgs(args); err != nil {
 		return err
 	}
 	if err := checkLimit(flags.limit); err != nil {
@@ -76,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := s.bounded(ctx)
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	return run(ctx, c, flags)
 }
@@ -96,7 +96,7 @@
 func writeDocument(out io.Writer, config *apiv1.Config) {
 	fmt.Fprintf(out, "# version %d", config.GetVersion())
 	if config.GetAuthor() != "" {
-		fmt.Fprintf(out, ", by %s at %s", oneLine(config.GetAuthor()), unixTime(config.GetAcceptedUnixMs()))
+		fmt.Fprintf(out, ", by %s at %s", oneLine(config.GetAuthor()), formatUnixTime(config.GetAcceptedUnixMs()))
 	}
 	fmt.Fprintln(out)
 	document := stripVersion(config.GetDocument())
@@ -114,7 +114,7 @@
 }
 
 func (s *session) configSet(ctx context.Context, flags *configFlags, args []string) error {
-	if err := wantArgs(args, "file"); err != nil {
+	if err := requireArgs(args, "file"); err != nil {
 		return err
 	}
 	data, err := s.readInput(args[0], conf.MaxDocument)
@@ -137,17 +137,17 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := s.bounded(ctx)
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	request := &apiv1.SetConfigRequest{RequestId: id, ExpectedVersion: expected, Document: document}
 	answer, err := operationsCall(ctx, c, request, func(api apiv1.Operations) func(context.Context, *apiv1.SetConfigRequest) (*apiv1.Config, error) {
 		return api.SetConfig
 	})
 	if fault.Is(err, fault.Conflict) {
-		return withNext(err, "read the current version with \"bilberry config get\" and make the change on it")
+		return withHint(err, "read the current version with \"bilberry config get\" and make the change on it")
 	}
 	if err != nil {
-		return openFate(err, id)
+		return withResendHint(err, id)
 	}
 	return s.show(answer, func(out io.Writer) { fmt.Fprintf(out, "version %d is accepted\n", answer.GetVersion()) })
 }
@@ -156,11 +156,11 @@
 // of the first line, which must agree when both are there.
 func expectedVersion(flags *configFlags, document string) (uint64, error) {
 	match := versionLine.FindStringSubmatch(document)
-	if flags.expect < noVersion {
+	if flags.expect < versionUnset {
 		return 0, fault.Field("--expect", "is negative")
 	}
-	if match == nil && flags.expect == noVersion {
-		return 0, withNext(fault.Field("--expect", "is missing, and the file doesn't begin with \"# version N\""),
+	if match == nil && flags.expect == versionUnset {
+		return 0, withHint(fault.Field("--expect", "is missing, and the file doesn't begin with \"# version N\""),
 			"see the current version with \"bilberry config get\"")
 	}
 	if match == nil {
@@ -170,7 +170,7 @@
 	if err != nil {
 		return 0, fault.New(fault.Invalid, "the file's version %s is too large", match[1])
 	}
-	if flags.expect != noVersion && uint64(flags.expect) != version {
+	if flags.expect != versionUnset && uint64(flags.expect) != version {
 		return 0, fault.Field("--expect", "is %d, but the file says version %d", flags.expect, version)
 	}
 	return version, nil
@@ -187,13 +187,13 @@
 		fmt.Fprintf(out, "committed version: %d\n", answer.GetCommittedVersion())
 		t := newTable("INSTANCE", "DATA CENTRE", "VERSION", "STATE")
 		for _, i := range answer.GetInstances() {
-			t.add(text("%s", i.GetInstance()), text("%s", i.GetDataCentre()), text("%d", i.GetVersion()), configState(answer, i))
+			t.add(textCell("%s", i.GetInstance()), textCell("%s", i.GetDataCentre()), textCell("%d", i.GetVersion()), configStateCell(answer, i))
 		}
 		t.print(s)
 	})
 }
 
-func configState(answer *apiv1.ConfigStatusResponse, i *apiv1.InstanceConfig) cell {
+func configStateCell(answer *apiv1.ConfigStatusResponse, i *apiv1.InstanceConfig) cell {
 	switch {
 	case !i.GetReachable():
 		return cell{"not reached", red}
@@ -215,8 +215,8 @@
 	return s.show(answer, func(io.Writer) {
 		t := newTable("VERSION", "ACCEPTED", "AUTHOR", "BYTES")
 		for _, version := range answer.GetVersions() {
-			t.add(text("%d", version.GetVersion()), text("%s", unixTime(version.GetAcceptedUnixMs())),
-				text("%s", version.GetAuthor()), text("%d", len(version.GetDocument())))
+			t.add(textCell("%d", version.GetVersion()), textCell("%s", formatUnixTime(version.GetAcceptedUnixMs())),
+				textCell("%s", version.GetAuthor()), textCell("%d", len(version.GetDocument())))
 		}
 		t.print(s)
 	})
--- a/internal/cli/errors.go
+++ b/internal/cli/errors.go
@@ -11,29 +11,29 @@
 	"github.com/bilberryferry/bilberryferry/internal/event"
 )
 
-// stepError is an error with the step that its reader may take next.
-type stepError struct {
+// hintedError is an error with the step that its reader may take next.
+type hintedError struct {
 	error
-	next string
+	hint string
 }
 
-func (e *stepError) Unwrap() error { return e.error }
+func (e *hintedError) Unwrap() error { return e.error }
 
-// withNext adds a next step to an error that has none yet.
-func withNext(err error, next string) error {
-	var step *stepError
-	if err == nil || errors.As(err, &step) {
+// withHint adds a next step to an error that has none yet.
+func withHint(err error, hint string) error {
+	var hinted *hintedError
+	if err == nil || errors.As(err, &hinted) {
 		return err
 	}
-	return &stepError{error: err, next: next}
+	return &hintedError{error: err, hint: hint}
 }
 
-func withUsage(err error, command string) error {
-	return withNext(err, fmt.Sprintf("run \"%s help %s\" for an example", programName, command))
+func withUsageHint(err error, command string) error {
+	return withHint(err, fmt.Sprintf("run \"%s help %s\" for an example", programName, command))
 }
 
-// nextOf is what to do about a kind when the command knows nothing better.
-var nextOf = map[fault.Kind]string{
+// defaultHints is what to do about a kind when the command knows nothing better.
+var defaultHints = map[fault.Kind]string{
 	fault.NotFound:            "check the id with \"bilberry status --ended\", \"bilberry workers\" or \"bilberry instances\"",
 	fault.Denied:              "check whose token is in use: customers change jobs (--customer name with --settings, or --token-file), operators run the system",
 	fault.Conflict:            "read the current state first, then decide again",
@@ -47,8 +47,8 @@
 	fault.Internal:            "look into the logs of the entry instance",
 }
 
-// shownError is an error as --json writes it.
-type shownError struct {
+// errorOutput is an error as --json writes it.
+type errorOutput struct {
 	Kind         string `json:"kind"`
 	Field        string `json:"field,omitempty"`
 	Message      string `json:"message"`
@@ -60,47 +60,47 @@
 // fail shows an error and returns its exit code.
 func (s *session) fail(err error) int {
 	f := fault.From(err)
-	shown := shownError{
+	output := errorOutput{
 		Kind:         f.Kind.String(),
 		Field:        f.Field,
 		Message:      oneLine(f.Message),
 		RetryAfterMs: f.RetryAfter.Milliseconds(),
-		Next:         nextOf[f.Kind],
+		Next:         defaultHints[f.Kind],
 		ExitCode:     f.Kind.ExitCode(),
 	}
-	var step *stepError
-	if errors.As(err, &step) {
-		shown.Next = step.next
+	var hinted *hintedError
+	if errors.As(err, &hinted) {
+		output.Next = hinted.hint
 	}
 	if s.globals.json {
-		s.failJSON(shown)
+		s.failJSON(output)
 	} else {
-		s.failText(shown)
+		s.failText(output)
 	}
-	return shown.ExitCode
+	return output.ExitCode
 }
 
-func (s *session) failJSON(shown shownError) {
-	text, err := json.Marshal(map[string]shownError{"error": shown})
+func (s *session) failJSON(output errorOutput) {
+	text, err := json.Marshal(map[string]errorOutput{"error": output})
 	if err != nil {
-		s.failText(shown)
+		s.failText(output)
 		return
 	}
 	fmt.Fprintln(s.app.Stderr, string(text))
 }
 
-func (s *session) failText(shown shownError) {
-	cause := shown.Message
-	if shown.Field != "" {
-		cause = event.Printable(shown.Field) + ": " + cause
+func (s *session) failText(output errorOutput) {
+	cause := output.Message
+	if output.Field != "" {
+		cause = event.Printable(output.Field) + ": " + cause
 	}
-	fmt.Fprintf(s.app.Stderr, "%s: %s: %s", programName, shown.Kind, cause)
-	if shown.RetryAfterMs > 0 {
-		fmt.Fprintf(s.app.Stderr, " (again in %s)", milliseconds(shown.RetryAfterMs))
+	fmt.Fprintf(s.app.Stderr, "%s: %s: %s", programName, output.Kind, cause)
+	if output.RetryAfterMs > 0 {
+		fmt.Fprintf(s.app.Stderr, " (again in %s)", formatMilliseconds(output.RetryAfterMs))
 	}
 	fmt.Fprintln(s.app.Stderr)
-	if shown.Next != "" {
-		fmt.Fprintf(s.app.Stderr, "  next: %s\n", event.Printable(shown.Next))
+	if output.Next != "" {
+		fmt.Fprintf(s.app.Stderr, "  next: %s\n", event.Printable(output.Next))
 	}
 }
 
--- a/internal/cli/local.go
+++ b/internal/cli/local.go
@@ -15,11 +15,11 @@
 func checkSettingsCommand() *command {
 	var printAll, noTokens bool
 	return &command{
-		name:     "check-settings",
-		synopsis: "Check a settings file and print every setting",
-		usage:    "[--print] [file]",
-		about:    "Without a file it checks that of --settings. It calls no instance.",
-		example:  "bilberry check-settings --print bilberry.toml",
+		name:        "check-settings",
+		synopsis:    "Check a settings file and print every setting",
+		usage:       "[--print] [file]",
+		description: "Without a file it checks that of --settings. It calls no instance.",
+		example:     "bilberry check-settings --print bilberry.toml",
 		flags: func(f *flag.FlagSet) {
 			f.BoolVar(&printAll, "print", false, "print all settings with their defaults")
 			f.BoolVar(&noTokens, "no-tokens", false, "don't look at the token files")
@@ -86,7 +86,7 @@
 		synopsis: "Print the version of this program",
 		example:  "bilberry version --json",
 		run: func(_ context.Context, s *session, args []string) error {
-			if err := wantArgs(args); err != nil {
+			if err := requireArgs(args); err != nil {
 				return err
 			}
 			v := readVersion()
--- a/internal/cli/logs.go
+++ b/internal/cli/logs.go
@@ -41,13 +41,13 @@
 	if err != nil {
 		return err
 	}
-	trace := jobtrace.Of(lines, job)
+	trace := jobtrace.Explain(lines, job)
 	out := s.app.Stdout
 	fmt.Fprintln(out, oneLine(trace.Verdict))
 	if len(trace.Spans) > 0 {
 		t := newTable("TIME", "SPENT")
 		for _, span := range trace.Spans {
-			t.add(text("%s", span.Took.Round(time.Millisecond)), text("%s", span.What))
+			t.add(textCell("%s", span.Duration.Round(time.Millisecond)), textCell("%s", span.Activity))
 		}
 		t.print(s)
 	}
@@ -61,14 +61,14 @@
 	if err != nil {
 		return err
 	}
-	var chosen []event.Event
+	var selected []event.Event
 	for _, e := range jobtrace.Events(lines) {
-		if e.Concerns(request.GetSubject()) && e.Stamp.Wall >= request.GetSinceUnixMs() {
-			chosen = append(chosen, e)
+		if e.Concerns(request.GetSubject()) && e.Timestamp.Wall >= request.GetSinceUnixMs() {
+			selected = append(selected, e)
 		}
 	}
-	if limit := int(request.GetLimit()); len(chosen) > limit {
-		chosen = chosen[len(chosen)-limit:]
+	if limit := int(request.GetLimit()); len(selected) > limit {
+		selected = selected[len(selected)-limit:]
 	}
-	return s.showTimeline(&apiv1.EventsResponse{Events: event.ListToAPI(chosen)}, subject, htmlFile)
+	return s.showTimeline(&apiv1.EventsResponse{Events: event.ListToAPI(selected)}, subject, htmlFile)
 }
--- a/internal/cli/operations.go
+++ b/internal/cli/operations.go
@@ -22,10 +22,10 @@
 			f.StringVar(&dataCentre, "data-centre", "", "show only this data centre (`name`)")
 		},
 		run: func(ctx context.Context, s *session, args []string) error {
-			if err := wantArgs(args); err != nil {
+			if err := requireArgs(args); err != nil {
 				return err
 			}
-			answer, err := ask(ctx, s, &apiv1.WorkersRequest{DataCentre: dataCentre}, func(api apiv1.Operations) func(context.Context, *apiv1.WorkersRequest) (*apiv1.WorkersResponse, error) {
+			answer, err := operationsCallWithTimeout(ctx, s, &apiv1.WorkersRequest{DataCentre: dataCentre}, func(api apiv1.Operations) func(context.Context, *apiv1.WorkersRequest) (*apiv1.WorkersResponse, error) {
 				return api.Workers
 			})
 			if err != nil {
@@ -38,13 +38,13 @@
 }
 
 // ask makes one call to the operators' service within --timeout.
-func ask[Q, A any](ctx context.Context, s *session, q Q, method func(apiv1.Operations) func(context.Context, Q) (A, error)) (A, error) {
+func operationsCallWithTimeout[Q, A any](ctx context.Context, s *session, q Q, method func(apiv1.Operations) func(context.Context, Q) (A, error)) (A, error) {
 	c, err := s.client()
 	if err != nil {
 		var none A
 		return none, err
 	}
-	ctx, cancel := s.bounded(ctx)
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	return operationsCall(ctx, c, q, method)
 }
@@ -53,20 +53,20 @@
 	t := newTable("WORKER", "RACK", "DATA CENTRE", "CORES", "MEMORY", "ACCELERATORS", "TASKS", "STATE")
 	for _, w := range workers {
 		used, all := w.GetUsed(), w.GetCapacity()
-		t.add(text("%s", w.GetId()), text("%s", w.GetRack()), text("%s", w.GetDataCentre()),
-			usage(used.GetCpuMilli(), all.GetCpuMilli(), units.FormatCores),
-			usage(used.GetMemoryMib(), all.GetMemoryMib(), formatMiB),
-			usage(used.GetAccelerators(), all.GetAccelerators(), formatCount),
-			text("%d", w.GetTasks()), workerState(w))
+		t.add(textCell("%s", w.GetId()), textCell("%s", w.GetRack()), textCell("%s", w.GetDataCentre()),
+			usageCell(used.GetCpuMilli(), all.GetCpuMilli(), units.FormatCores),
+			usageCell(used.GetMemoryMib(), all.GetMemoryMib(), formatMiB),
+			usageCell(used.GetAccelerators(), all.GetAccelerators(), formatCount),
+			textCell("%d", w.GetTasks()), workerStateCell(w))
 	}
 	t.print(s)
 }
 
-func usage(used, all int64, format func(int64) string) cell {
-	return text("%s of %s", amount(used, format), amount(all, format))
+func usageCell(used, all int64, format func(int64) string) cell {
+	return textCell("%s of %s", formatAmount(used, format), formatAmount(all, format))
 }
 
-func workerState(w *apiv1.WorkerInfo) cell {
+func workerStateCell(w *apiv1.WorkerInfo) cell {
 	switch {
 	case !w.GetConnected():
 		return cell{"lost", red}
@@ -85,10 +85,10 @@
 		synopsis: "Show quotas, how they are split over data centres, and their use",
 		example:  "bilberry quota --json",
 		run: func(ctx context.Context, s *session, args []string) error {
-			if err := wantArgs(args); err != nil {
+			if err := requireArgs(args); err != nil {
 				return err
 			}
-			answer, err := ask(ctx, s, &apiv1.QuotasRequest{}, func(api apiv1.Operations) func(context.Context, *apiv1.QuotasRequest) (*apiv1.QuotasResponse, error) {
+			answer, err := operationsCallWithTimeout(ctx, s, &apiv1.QuotasRequest{}, func(api apiv1.Operations) func(context.Context, *apiv1.QuotasRequest) (*apiv1.QuotasResponse, error) {
 				return api.Quotas
 			})
 			if err != nil {
@@ -103,8 +103,8 @@
 func (s *session) showQuotas(quotas []*apiv1.Quota) {
 	t := newTable("CUSTOMER", "DATA CENTRE", "LIMIT OVER ALL", "ALLOTTED HERE", "USED HERE")
 	for _, q := range quotas {
-		t.add(text("%s", q.GetCustomer()), text("%s", q.GetDataCentre()), text("%s", resources(q.GetLimit())),
-			text("%s", resources(q.GetAllotment())), text("%s", resources(q.GetUsed())))
+		t.add(textCell("%s", q.GetCustomer()), textCell("%s", q.GetDataCentre()), textCell("%s", formatResources(q.GetLimit())),
+			textCell("%s", formatResources(q.GetAllotment())), textCell("%s", formatResources(q.GetUsed())))
 	}
 	t.print(s)
 }
@@ -115,10 +115,10 @@
 		synopsis: "Show the instances of the system and who leads",
 		example:  "bilberry instances",
 		run: func(ctx context.Context, s *session, args []string) error {
-			if err := wantArgs(args); err != nil {
+			if err := requireArgs(args); err != nil {
 				return err
 			}
-			answer, err := ask(ctx, s, &apiv1.InstancesRequest{}, func(api apiv1.Operations) func(context.Context, *apiv1.InstancesRequest) (*apiv1.InstancesResponse, error) {
+			answer, err := operationsCallWithTimeout(ctx, s, &apiv1.InstancesRequest{}, func(api apiv1.Operations) func(context.Context, *apiv1.InstancesRequest) (*apiv1.InstancesResponse, error) {
 				return api.Instances
 			})
 			if err != nil {
@@ -136,8 +136,8 @@
 		if i.GetHasDisk() {
 			disk = "yes"
 		}
-		t.add(text("%s", i.GetId()), text("%s", i.GetDataCentre()), text("%s", i.GetAddress()), text("%s", i.GetRole()),
-			text("%d", i.GetTerm()), text("%d", i.GetCommitIndex()), text("%s", disk), instanceState(i))
+		t.add(textCell("%s", i.GetId()), textCell("%s", i.GetDataCentre()), textCell("%s", i.GetAddress()), textCell("%s", i.GetRole()),
+			textCell("%d", i.GetTerm()), textCell("%d", i.GetCommitIndex()), textCell("%s", disk), instanceStateCell(i))
 	}
 	t.print(s)
 }
@@ -151,12 +151,12 @@
 		if m.GetHasDisk() {
 			disk = "yes"
 		}
-		t.add(text("%s", m.GetId()), text("%s", m.GetAddress()), text("%s", disk))
+		t.add(textCell("%s", m.GetId()), textCell("%s", m.GetAddress()), textCell("%s", disk))
 	}
 	t.print(s)
 }
 
-func instanceState(i *apiv1.Instance) cell {
+func instanceStateCell(i *apiv1.Instance) cell {
 	switch {
 	case !i.GetReachable():
 		return cell{"not reached", red}
@@ -175,18 +175,18 @@
 	var id, dataCentre string
 	var disk bool
 	return &command{
-		name:     "replace-instance",
-		synopsis: "Replace a voter of a data centre's log by a new instance",
-		usage:    "--data-centre name [--disk] old new address",
-		about:    "The new instance must be started before. The change is refused when it would leave\nthe data centre without a majority.",
-		example:  "bilberry replace-instance --data-centre naas-hall --disk naas-2 naas-4 10.0.1.4:7402",
+		name:        "replace-instance",
+		synopsis:    "Replace a voter of a data centre's log by a new instance",
+		usage:       "--data-centre name [--disk] old new address",
+		description: "The new instance must be started before. The change is refused when it would leave\nthe data centre without a majority.",
+		example:     "bilberry replace-instance --data-centre naas-hall --disk naas-2 naas-4 10.0.1.4:7402",
 		flags: func(f *flag.FlagSet) {
 			f.StringVar(&dataCentre, "data-centre", "", "`name` of the data centre (needed)")
 			f.BoolVar(&disk, "disk", false, "the new instance keeps its log on disk")
 			requestIDFlag(f, &id)
 		},
 		run: func(ctx context.Context, s *session, args []string) error {
-			if err := wantArgs(args, "old", "new", "address"); err != nil {
+			if err := requireArgs(args, "old", "new", "address"); err != nil {
 				return err
 			}
 			if err := checkArgument("--data-centre", dataCentre); err != nil {
@@ -213,11 +213,11 @@
 		return err
 	}
 	request.RequestId = id
-	answer, err := ask(ctx, s, request, func(api apiv1.Operations) func(context.Context, *apiv1.ReplaceInstanceRequest) (*apiv1.ReplaceInstanceResponse, error) {
+	answer, err := operationsCallWithTimeout(ctx, s, request, func(api apiv1.Operations) func(context.Context, *apiv1.ReplaceInstanceRequest) (*apiv1.ReplaceInstanceResponse, error) {
 		return api.ReplaceInstance
 	})
 	if err != nil {
-		return openFate(err, id)
+		return withResendHint(err, id)
 	}
 	return s.show(answer, func(io.Writer) { s.showMembers(answer.GetInstances()) })
 }
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -31,13 +31,13 @@
 
 // colourful says whether colours may be written: only to a terminal that
 // knows them, and when nobody has asked for none.
-func (s *session) colourful() bool {
+func (s *session) useColours() bool {
 	return s.app.Terminal && !s.globals.noColour && !s.globals.json &&
 		s.app.Getenv(envNoColour) == "" && s.app.Getenv(envTerminal) != "dumb"
 }
 
 func (s *session) paint(c colour, text string) string {
-	if c == plain || !s.colourful() {
+	if c == plain || !s.useColours() {
 		return text
 	}
 	return string(c) + text + string(reset)
@@ -49,7 +49,7 @@
 	colour colour
 }
 
-func text(format string, args ...any) cell { return cell{text: fmt.Sprintf(format, args...)} }
+func textCell(format string, args ...any) cell { return cell{text: fmt.Sprintf(format, args...)} }
 
 // table is rows under a heading.
 type table struct {
@@ -77,11 +77,11 @@
 		}
 	}
 	for _, row := range rows {
-		fmt.Fprintln(s.app.Stdout, s.line(row, widths))
+		fmt.Fprintln(s.app.Stdout, s.formatRow(row, widths))
 	}
 }
 
-func (s *session) line(row []cell, widths []int) string {
+func (s *session) formatRow(row []cell, widths []int) string {
 	var b strings.Builder
 	for i, c := range row {
 		if i > 0 {
@@ -111,22 +111,22 @@
 }
 
 // show writes a message as JSON, or by a function for people.
-func (s *session) show(message proto.Message, people func(out io.Writer)) error {
+func (s *session) show(message proto.Message, writeText func(out io.Writer)) error {
 	if s.globals.json {
 		return s.printJSON(message)
 	}
-	people(s.app.Stdout)
+	writeText(s.app.Stdout)
 	return nil
 }
 
-func unixTime(ms int64) string {
+func formatUnixTime(ms int64) string {
 	if ms == 0 {
 		return "-"
 	}
 	return time.UnixMilli(ms).UTC().Format(time.RFC3339)
 }
 
-func milliseconds(ms int64) string {
+func formatMilliseconds(ms int64) string {
 	return (time.Duration(ms) * time.Millisecond).String()
 }
 
@@ -135,7 +135,7 @@
 	return strings.ToLower(strings.ReplaceAll(strings.TrimPrefix(name, prefix), "_", " "))
 }
 
-func jobState(state apiv1.JobState) cell {
+func jobStateCell(state apiv1.JobState) cell {
 	return cell{enumName(state.String(), "JOB_STATE_"), jobColours[state]}
 }
 
@@ -149,15 +149,15 @@
 }
 
 // resources writes amounts like "2 cores, 4GiB, 1 accelerators". Negative is unlimited.
-func resources(r *apiv1.Resources) string {
-	parts := []string{amount(r.GetCpuMilli(), units.FormatCores) + " cores", amount(r.GetMemoryMib(), formatMiB)}
+func formatResources(r *apiv1.Resources) string {
+	parts := []string{formatAmount(r.GetCpuMilli(), units.FormatCores) + " cores", formatAmount(r.GetMemoryMib(), formatMiB)}
 	if r.GetAccelerators() != 0 {
-		parts = append(parts, amount(r.GetAccelerators(), formatCount)+" accelerators")
+		parts = append(parts, formatAmount(r.GetAccelerators(), formatCount)+" accelerators")
 	}
 	return strings.Join(parts, ", ")
 }
 
-func amount(n int64, format func(int64) string) string {
+func formatAmount(n int64, format func(int64) string) string {
 	if n < 0 {
 		return "unlimited"
 	}
--- a/internal/cli/session.go
+++ b/internal/cli/session.go
@@ -64,11 +64,11 @@
 // run carries out one command and returns the exit code.
 func (s *session) run(ctx context.Context, c *command, args []string) int {
 	if s.globals.timeout <= 0 {
-		return s.fail(withUsage(fault.Field("--timeout", "must be above zero"), c.name))
+		return s.fail(withUsageHint(fault.Field("--timeout", "must be above zero"), c.name))
 	}
 	if err := c.run(ctx, s, args); err != nil {
 		if fault.Is(err, fault.Invalid) {
-			err = withUsage(err, c.name)
+			err = withUsageHint(err, c.name)
 		}
 		return s.fail(err)
 	}
@@ -76,7 +76,7 @@
 }
 
 // bounded returns a context that ends with --timeout.
-func (s *session) bounded(ctx context.Context) (context.Context, context.CancelFunc) {
+func (s *session) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, s.globals.timeout)
 }
 
@@ -89,7 +89,7 @@
 			return nil, err
 		}
 	}
-	entries, err := s.entries(loaded)
+	entries, err := s.entryAddresses(loaded)
 	if err != nil {
 		return nil, err
 	}
@@ -100,12 +100,12 @@
 	return newClient(entries, token), nil
 }
 
-func (s *session) entries(loaded *settings.Settings) ([]string, error) {
+func (s *session) entryAddresses(loaded *settings.Settings) ([]string, error) {
 	if s.globals.entry != "" {
 		return parseEntries(s.globals.entry)
 	}
 	if loaded == nil {
-		return nil, withNext(fault.New(fault.Invalid, "no entry instance is named"),
+		return nil, withHint(fault.New(fault.Invalid, "no entry instance is named"),
 			"give --entry ip:port or --settings file, or set $"+envEntry+" or $"+envSettings)
 	}
 	var entries []string
@@ -148,7 +148,7 @@
 		}
 	}
 	if path == "" {
-		return "", withNext(fault.New(fault.Invalid, "no token file is named"),
+		return "", withHint(fault.New(fault.Invalid, "no token file is named"),
 			"give --token-file file, or set $"+envTokenFile)
 	}
 	return settings.ReadToken(path)
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -16,10 +16,10 @@
 const (
 	defaultLimit = 200
 	maxLimit     = 100_000
-	// watchHold is how long an entry instance holds a watch without news.
-	watchHold = 20 * time.Second
-	// watchPause lies between attempts while no entry instance answers.
-	watchPause = 500 * time.Millisecond
+	// watchPollDuration is how long an entry instance holds a watch without news.
+	watchPollDuration = 20 * time.Second
+	// watchRetryDelay lies between attempts while no entry instance answers.
+	watchRetryDelay = 500 * time.Millisecond
 )
 
 func checkLimit(limit int) error {
@@ -33,11 +33,11 @@
 	var tasks, ended bool
 	var limit int
 	return &command{
-		name:     "status",
-		synopsis: "Show jobs and what has become of them",
-		usage:    "[--tasks] [--ended] [id...]",
-		about:    "Without ids it lists the jobs of the token's customer; of an operator's token, all.",
-		example:  "bilberry status --tasks naas-hall-1a2b",
+		name:        "status",
+		synopsis:    "Show jobs and what has become of them",
+		usage:       "[--tasks] [--ended] [id...]",
+		description: "Without ids it lists the jobs of the token's customer; of an operator's token, all.",
+		example:     "bilberry status --tasks naas-hall-1a2b",
 		flags: func(f *flag.FlagSet) {
 			f.BoolVar(&tasks, "tasks", false, "show each task")
 			f.BoolVar(&ended, "ended", false, "show ended jobs too")
@@ -47,7 +47,7 @@
 			if err := checkLimit(limit); err != nil {
 				return err
 			}
-			if err := wantDistinct("id", args); err != nil {
+			if err := requireDistinct("id", args); err != nil {
 				return err
 			}
 			request := &apiv1.StatusRequest{WithTasks: tasks, IncludeEnded: ended || len(args) > 0, Limit: int32(limit)}
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := s.bounded(ctx)
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	if len(ids) == 0 {
 		return statusOnce(ctx, c, request)
@@ -95,9 +95,9 @@
 	t := newTable("ID", "NAME", "CUSTOMER", "POLICY", "STATE", "TASKS", "DEADLINE", "REASON")
 	for _, job := range jobs {
 		spec := job.GetSpec()
-		t.add(text("%s", job.GetId()), text("%s", spec.GetName()), text("%s", job.GetCustomer()),
-			text("%s", enumName(spec.GetPolicy().String(), "POLICY_")), jobState(job.GetState()),
-			text("%s", progress(job)), text("%s", unixTime(spec.GetDeadlineUnixMs())), text("%s", reason(job)))
+		t.add(textCell("%s", job.GetId()), textCell("%s", spec.GetName()), textCell("%s", job.GetCustomer()),
+			textCell("%s", enumName(spec.GetPolicy().String(), "POLICY_")), jobStateCell(job.GetState()),
+			textCell("%s", formatProgress(job)), textCell("%s", formatUnixTime(spec.GetDeadlineUnixMs())), textCell("%s", formatReason(job)))
 	}
 	t.print(s)
 	if !tasks {
@@ -112,19 +112,19 @@
 func (s *session) showTasks(job *apiv1.Job) {
 	t := newTable("TASK", "STATE", "ATTEMPT", "WORKER", "STARTED", "ENDED")
 	for _, task := range job.GetTasks() {
-		t.add(text("%d", task.GetIndex()), text("%s", enumName(task.GetState().String(), "TASK_STATE_")),
-			text("%d", task.GetAttempt()), text("%s", task.GetWorker()),
-			text("%s", unixTime(task.GetStartedUnixMs())), text("%s", unixTime(task.GetEndedUnixMs())))
+		t.add(textCell("%d", task.GetIndex()), textCell("%s", enumName(task.GetState().String(), "TASK_STATE_")),
+			textCell("%d", task.GetAttempt()), textCell("%s", task.GetWorker()),
+			textCell("%s", formatUnixTime(task.GetStartedUnixMs())), textCell("%s", formatUnixTime(task.GetEndedUnixMs())))
 	}
 	t.print(s)
 }
 
 // progress writes a job's tasks as queued, running and ended.
-func progress(job *apiv1.Job) string {
+func formatProgress(job *apiv1.Job) string {
 	return fmt.Sprintf("%d queued, %d running, %d ended", job.GetTasksQueued(), job.GetTasksRunning(), job.GetTasksEnded())
 }
 
-func reason(job *apiv1.Job) string {
+func formatReason(job *apiv1.Job) string {
 	if job.GetReasonKind() == "" {
 		return job.GetReason()
 	}
@@ -133,13 +133,13 @@
 
 func watchCommand() *command {
 	return &command{
-		name:     "watch",
-		synopsis: "Follow a job until it has ended",
-		usage:    "id",
-		about:    "The exit code tells how the job ended. --timeout bounds only how long it goes on\nwhile no entry instance answers.",
-		example:  "bilberry watch naas-hall-1a2b",
+		name:        "watch",
+		synopsis:    "Follow a job until it has ended",
+		usage:       "id",
+		description: "The exit code tells how the job ended. --timeout bounds only how long it goes on\nwhile no entry instance answers.",
+		example:     "bilberry watch naas-hall-1a2b",
 		run: func(ctx context.Context, s *session, args []string) error {
-			if err := wantArgs(args, "id"); err != nil {
+			if err := requireArgs(args, "id"); err != nil {
 				return err
 			}
 			return s.watch(ctx, args[0])
@@ -154,16 +154,16 @@
 	if err != nil {
 		return err
 	}
-	request := &apiv1.WatchRequest{Id: id, WaitMs: watchHold.Milliseconds()}
-	silentSince := s.app.Now()
+	request := &apiv1.WatchRequest{Id: id, WaitMs: watchPollDuration.Milliseconds()}
+	lastAnswer := s.app.Now()
 	for {
 		job, err := watchOnce(ctx, c, request)
 		switch {
 		case err == nil:
-			silentSince = s.app.Now()
-		case !fault.Is(err, fault.Unavailable) || s.app.Now().Sub(silentSince) >= s.globals.timeout:
+			lastAnswer = s.app.Now()
+		case !fault.Is(err, fault.Unavailable) || s.app.Now().Sub(lastAnswer) >= s.globals.timeout:
 			return err
-		case !wait.For(ctx, watchPause):
+		case !wait.For(ctx, watchRetryDelay):
 			return fault.New(fault.Unavailable, "interrupted; the job goes on")
 		default:
 			continue
@@ -173,11 +173,11 @@
 				return err
 			}
 		}
-		if ended(job.GetState()) {
+		if hasEnded(job.GetState()) {
 			s.endProgress()
-			return outcome(job)
+			return outcomeError(job)
 		}
-		if job.GetRevision() <= request.AfterRevision && !wait.For(ctx, watchPause) {
+		if job.GetRevision() <= request.AfterRevision && !wait.For(ctx, watchRetryDelay) {
 			return fault.New(fault.Unavailable, "interrupted; the job goes on")
 		}
 		request.AfterRevision = max(request.AfterRevision, job.GetRevision())
@@ -185,7 +185,7 @@
 }
 
 func watchOnce(ctx context.Context, c *client, request *apiv1.WatchRequest) (*apiv1.Job, error) {
-	answer, err := call(ctx, c, watchHold+attemptTimeout, request, func(e *endpoint) func(context.Context, *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
+	answer, err := call(ctx, c, watchPollDuration+attemptTimeout, request, func(e *endpoint) func(context.Context, *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
 		return e.scheduler.Watch
 	})
 	if err != nil {
@@ -203,8 +203,8 @@
 	if s.globals.json {
 		return s.printJSON(job)
 	}
-	state := jobState(job.GetState())
-	line := fmt.Sprintf("%s  %s  %s", oneLine(job.GetId()), s.paint(state.colour, state.text), s.bar(job))
+	state := jobStateCell(job.GetState())
+	line := fmt.Sprintf("%s  %s  %s", oneLine(job.GetId()), s.paint(state.colour, state.text), s.progressBar(job))
 	if s.app.Terminal {
 		_, err := fmt.Fprintf(s.app.Stdout, "\r\x1b[K%s", line)
 		return err
@@ -222,29 +222,29 @@
 // barWidth is the width of the progress bar in characters.
 const barWidth = 20
 
-func (s *session) bar(job *apiv1.Job) string {
+func (s *session) progressBar(job *apiv1.Job) string {
 	all := job.GetTasksQueued() + job.GetTasksRunning() + job.GetTasksEnded()
 	if !s.app.Terminal || all <= 0 || job.GetTasksEnded() < 0 {
-		return progress(job)
+		return formatProgress(job)
 	}
 	full := int(int64(job.GetTasksEnded()) * barWidth / int64(all))
 	full = max(0, min(barWidth, full))
-	return "[" + strings.Repeat("#", full) + strings.Repeat(".", barWidth-full) + "] " + progress(job)
+	return "[" + strings.Repeat("#", full) + strings.Repeat(".", barWidth-full) + "] " + formatProgress(job)
 }
 
-func ended(state apiv1.JobState) bool {
-	return !openStates[state]
+func hasEnded(state apiv1.JobState) bool {
+	return !unfinishedStates[state]
 }
 
-var openStates = map[apiv1.JobState]bool{
+var unfinishedStates = map[apiv1.JobState]bool{
 	apiv1.JobState_JOB_STATE_UNSPECIFIED:      true,
 	apiv1.JobState_JOB_STATE_QUEUED:           true,
 	apiv1.JobState_JOB_STATE_PENDING_HANDOVER: true,
 	apiv1.JobState_JOB_STATE_RUNNING:          true,
 }
 
-// endKinds is the kind that stands for an end when the job names none.
-var endKinds = map[apiv1.JobState]fault.Kind{
+// endFaultKinds is the kind that stands for an end when the job names none.
+var endFaultKinds = map[apiv1.JobState]fault.Kind{
 	apiv1.JobState_JOB_STATE_FAILED:    fault.Failed,
 	apiv1.JobState_JOB_STATE_CANCELLED: fault.Cancelled,
 	apiv1.JobState_JOB_STATE_NOT_RUN:   fault.NotRun,
@@ -252,22 +252,22 @@
 }
 
 // outcome turns the end of a job into an error, or nil when it has finished.
-func outcome(job *apiv1.Job) error {
+func outcomeError(job *apiv1.Job) error {
 	if job.GetState() == apiv1.JobState_JOB_STATE_FINISHED {
 		return nil
 	}
 	kind, ok := fault.Parse(job.GetReasonKind())
 	if !ok {
-		kind, ok = endKinds[job.GetState()]
+		kind, ok = endFaultKinds[job.GetState()]
 	}
 	if !ok {
 		kind = fault.Unknown
 	}
 	message := job.GetReason()
 	if message == "" {
-		message = "the job has ended as " + jobState(job.GetState()).text
+		message = "the job has ended as " + jobStateCell(job.GetState()).text
 	}
-	return withNext(fault.New(kind, "%s: %s", job.GetId(), message), "bilberry timeline --job "+job.GetId()+" tells what happened")
+	return withHint(fault.New(kind, "%s: %s", job.GetId(), message), "bilberry timeline --job "+job.GetId()+" tells what happened")
 }
 
 func explainCommand() *command {
@@ -276,14 +276,14 @@
 		name:     "explain",
 		synopsis: "Tell why a job waits or was refused",
 		usage:    "[--log files] id",
-		about: "It names the reasons that ruled workers out, and how many each. With --log it tells from\n" +
+		description: "It names the reasons that ruled workers out, and how many each. With --log it tells from\n" +
 			"the instances' lines what became of a job and where its time went.",
 		example: "bilberry explain naas-hall-1a2b\nbilberry explain --log day.log 5c0e7a21d94b36f8",
 		flags: func(f *flag.FlagSet) {
 			f.StringVar(&logs, "log", "", "read the lines in these `files`, with commas between, and call no instance")
 		},
 		run: func(ctx context.Context, s *session, args []string) error {
-			if err := wantArgs(args, "id"); err != nil {
+			if err := requireArgs(args, "id"); err != nil {
 				return err
 			}
 			if logs != "" {
@@ -293,7 +293,7 @@
 			if err != nil {
 				return err
 			}
-			ctx, cancel := s.bounded(ctx)
+			ctx, cancel := s.withTimeout(ctx)
 			defer cancel()
 			request := &apiv1.ExplainRequest{Id: args[0]}
 			answer, err := schedulerCall(ctx, c, request, func(api apiv1.Scheduler) func(context.Context, *apiv1.ExplainRequest) (*apiv1.ExplainResponse, error) {
@@ -310,14 +310,14 @@
 func (s *session) showExplanation(out io.Writer, answer *apiv1.ExplainResponse) {
 	fmt.Fprintln(out, oneLine(answer.GetSummary()))
 	if answer.GetExpectedStartUnixMs() != 0 {
-		fmt.Fprintf(out, "expected start: %s\n", unixTime(answer.GetExpectedStartUnixMs()))
+		fmt.Fprintf(out, "expected start: %s\n", formatUnixTime(answer.GetExpectedStartUnixMs()))
 	}
 	if len(answer.GetFilters()) == 0 {
 		return
 	}
 	t := newTable("RULED OUT BY", "WORKERS", "FOR EXAMPLE")
 	for _, filter := range answer.GetFilters() {
-		t.add(text("%s", filter.GetFilter()), text("%d", filter.GetWorkers()), text("%s", filter.GetExampleWorker()))
+		t.add(textCell("%s", filter.GetFilter()), textCell("%d", filter.GetWorkers()), textCell("%s", filter.GetExampleWorker()))
 	}
 	t.print(s)
 }
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -13,8 +13,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/jobfile"
 )
 
-// maxJobFile bounds a job file in bytes.
-const maxJobFile = 1 << 20
+// maxJobFileBytes bounds a job file in bytes.
+const maxJobFileBytes = 1 << 20
 
 // stdinName stands for the standard input among file arguments.
 const stdinName = "-"
@@ -22,32 +22,32 @@
 func submitCommand() *command {
 	var wait bool
 	var deadline string
-	var resent resend
+	var earlier earlierCall
 	return &command{
 		name:     "submit",
 		synopsis: "Submit jobs described in TOML files",
 		usage:    "[--wait] [--deadline when] file...",
-		about: "All files are read and checked before the first is sent. The name \"-\" stands for\n" +
+		description: "All files are read and checked before the first is sent. The name \"-\" stands for\n" +
 			"the standard input. With --wait the exit code tells how the work ended.",
 		example: "bilberry submit --wait --deadline +10m recalculation.toml",
 		flags: func(f *flag.FlagSet) {
 			f.BoolVar(&wait, "wait", false, "wait until the jobs have ended")
 			f.StringVar(&deadline, "deadline", "", "`when` the work must be done: \"+45s\" or a time of RFC 3339; replaces the file's")
-			requestIDFlag(f, &resent.id)
-			f.StringVar(&resent.home, "home", "", "`data centre` that answers for the request id; goes with --request-id")
+			requestIDFlag(f, &earlier.id)
+			f.StringVar(&earlier.home, "home", "", "`data centre` that answers for the request id; goes with --request-id")
 		},
 		run: func(ctx context.Context, s *session, args []string) error {
 			specs, err := s.readJobs(args, deadline)
 			if err != nil {
 				return err
 			}
-			if resent.id != "" && len(specs) > 1 {
+			if earlier.id != "" && len(specs) > 1 {
 				return fault.Field("--request-id", "stands for one call; give one file")
 			}
-			if (resent.id == "") != (resent.home == "") {
+			if (earlier.id == "") != (earlier.home == "") {
 				return fault.Field("--home", "goes with --request-id: a request id is known in its home only")
 			}
-			accepted, err := s.submitAll(ctx, specs, resent)
+			accepted, err := s.submitAll(ctx, specs, earlier)
 			if err != nil || !wait {
 				return err
 			}
@@ -57,7 +57,7 @@
 }
 
 // resend names an earlier submission whose fate is open.
-type resend struct{ id, home string }
+type earlierCall struct{ id, home string }
 
 // readJobs reads and checks all files before anything is sent.
 func (s *session) readJobs(files []string, deadline string) ([]*apiv1.Spec, error) {
@@ -72,7 +72,7 @@
 			return nil, fault.Field("file", "%q is given twice", shorten(file))
 		}
 		seen[file] = true
-		data, err := s.readInput(file, maxJobFile)
+		data, err := s.readInput(file, maxJobFileBytes)
 		if err != nil {
 			return nil, err
 		}
@@ -113,18 +113,18 @@
 	return data, nil
 }
 
-func (s *session) submitAll(ctx context.Context, specs []*apiv1.Spec, resent resend) ([]*apiv1.SubmitResponse, error) {
+func (s *session) submitAll(ctx context.Context, specs []*apiv1.Spec, earlier earlierCall) ([]*apiv1.SubmitResponse, error) {
 	c, err := s.client()
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := s.bounded(ctx)
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	var accepted []*apiv1.SubmitResponse
 	for _, spec := range specs {
-		answer, err := submitOne(ctx, c, spec, resent)
+		answer, err := submitOne(ctx, c, spec, earlier)
 		if err != nil {
-			return accepted, s.partly(err, len(accepted), len(specs))
+			return accepted, s.warnPartial(err, len(accepted), len(specs))
 		}
 		accepted = append(accepted, answer)
 		if err := s.showAccepted(spec, answer); err != nil {
@@ -134,12 +134,12 @@
 	return accepted, nil
 }
 
-func submitOne(ctx context.Context, c *client, spec *apiv1.Spec, resent resend) (*apiv1.SubmitResponse, error) {
-	id, err := requestID(resent.id)
+func submitOne(ctx context.Context, c *client, spec *apiv1.Spec, earlier earlierCall) (*apiv1.SubmitResponse, error) {
+	id, err := requestID(earlier.id)
 	if err != nil {
 		return nil, err
 	}
-	request := &apiv1.SubmitRequest{RequestId: id, Spec: spec, Home: resent.home}
+	request := &apiv1.SubmitRequest{RequestId: id, Spec: spec, Home: earlier.home}
 	if request.Home == "" {
 		if request.Home, err = homeOf(ctx, c, spec); err != nil {
 			return nil, err
@@ -151,12 +151,12 @@
 	if err == nil || !fault.Is(err, fault.Unavailable) {
 		return answer, err
 	}
-	again := "the job may have been accepted; send it again with --home " + request.Home + " --request-id " + id
+	hint := "the job may have been accepted; send it again with --home " + request.Home + " --request-id " + id
 	if spec.DeadlineUnixMs != 0 {
 		// A relative deadline would move, and the resent call would differ.
-		again += " --deadline " + time.UnixMilli(spec.DeadlineUnixMs).UTC().Format(time.RFC3339Nano)
+		hint += " --deadline " + time.UnixMilli(spec.DeadlineUnixMs).UTC().Format(time.RFC3339Nano)
 	}
-	return nil, withNext(err, again)
+	return nil, withHint(err, hint)
 }
 
 // homeOf names the data centre that answers for the request id: the one that the
@@ -173,7 +173,7 @@
 }
 
 // partly says that some of several calls had succeeded before one failed.
-func (s *session) partly(err error, done, all int) error {
+func (s *session) warnPartial(err error, done, all int) error {
 	if done > 0 {
 		s.warn("%d of %d files were accepted before the error", done, all)
 	}
@@ -182,7 +182,7 @@
 
 func (s *session) showAccepted(spec *apiv1.Spec, answer *apiv1.SubmitResponse) error {
 	return s.show(answer, func(out io.Writer) {
-		state := jobState(answer.GetState())
+		state := jobStateCell(answer.GetState())
 		fmt.Fprintln(out, oneLine(fmt.Sprintf("%s %s in %s:", answer.GetId(), spec.GetName(), answer.GetDataCentre())), s.paint(state.colour, state.text))
 	})
 }
--- a/internal/cli/timeline.go
+++ b/internal/cli/timeline.go
@@ -33,11 +33,11 @@
 func timelineCommand() *command {
 	var flags timelineFlags
 	return &command{
-		name:     "timeline",
-		synopsis: "Show what happened on all instances, in causal order",
-		usage:    "[--job id | --request id | --worker id] [--since span] [--html file] [--log files]",
-		about:    "It names the instances that couldn't be reached; their events are missing.",
-		example:  "bilberry timeline --since 10m --html line.html\nbilberry timeline --job naas-hall-1a2b",
+		name:        "timeline",
+		synopsis:    "Show what happened on all instances, in causal order",
+		usage:       "[--job id | --request id | --worker id] [--since span] [--html file] [--log files]",
+		description: "It names the instances that couldn't be reached; their events are missing.",
+		example:     "bilberry timeline --since 10m --html line.html\nbilberry timeline --job naas-hall-1a2b",
 		flags: func(f *flag.FlagSet) {
 			f.StringVar(&flags.job, "job", "", "only events of this job (`id`)")
 			f.StringVar(&flags.request, "request", "", "only events of this request (`id`)")
@@ -48,7 +48,7 @@
 			f.StringVar(&flags.html, "html", "", "write one self-contained page to this `file` instead")
 		},
 		run: func(ctx context.Context, s *session, args []string) error {
-			if err := wantArgs(args); err != nil {
+			if err := requireArgs(args); err != nil {
 				return err
 			}
 			request, subject, err := flags.toRequest(s.app.Now())
@@ -93,7 +93,7 @@
 }
 
 func (s *session) timeline(ctx context.Context, request *apiv1.EventsRequest, subject, htmlFile string) error {
-	answer, err := ask(ctx, s, request, func(api apiv1.Operations) func(context.Context, *apiv1.EventsRequest) (*apiv1.EventsResponse, error) {
+	answer, err := operationsCallWithTimeout(ctx, s, request, func(api apiv1.Operations) func(context.Context, *apiv1.EventsRequest) (*apiv1.EventsResponse, error) {
 		return api.Events
 	})
 	if err != nil {
--- a/internal/cli/workflow.go
+++ b/internal/cli/workflow.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return none, err
 	}
-	ctx, cancel := s.bounded(ctx)
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	return call(ctx, c, attemptTimeout, q, func(e *endpoint) func(context.Context, Q) (A, error) { return method(e.workflows) })
 }
@@ -35,7 +35,7 @@
 		name:     "workflow",
 		synopsis: "Submit, follow and cancel jobs of dependent steps",
 		usage:    "submit file... | status queue id | cancel queue id | explain queue id | waiting queue",
-		about: "For cells whose log spans their data centres; --entry names their api addresses.\n" +
+		description: "For cells whose log spans their data centres; --entry names their api addresses.\n" +
 			"A file names queue, id and steps; the same id is the same job, so a submission\n" +
 			"without an answer is simply sent again.",
 		example: "bilberry workflow submit reports.toml\nbilberry workflow explain reports reports-7",
@@ -55,23 +55,23 @@
 	case "waiting":
 		return s.queueStatus(ctx, args)
 	}
-	runs := map[string]func(context.Context, *apiv1.WorkflowRef) error{
+	handlers := map[string]func(context.Context, *apiv1.WorkflowRef) error{
 		"status": s.workflowStatus, "cancel": s.cancelWorkflow, "explain": s.explainWorkflow,
 	}
-	run, ok := runs[action]
+	handler, ok := handlers[action]
 	if !ok {
 		return unknownAction("workflow", action, workflowActions)
 	}
-	if err := wantArgs(args, "queue", "id"); err != nil {
+	if err := requireArgs(args, "queue", "id"); err != nil {
 		return err
 	}
-	return run(ctx, &apiv1.WorkflowRef{Queue: args[0], Id: args[1]})
+	return handler(ctx, &apiv1.WorkflowRef{Queue: args[0], Id: args[1]})
 }
 
 func unknownAction(command, action string, known []string) error {
 	err := fault.New(fault.Invalid, "unknown action %q", shorten(action))
 	if near := tomlfile.Nearest(action, known); near != "" {
-		return withNext(err, fmt.Sprintf("did you mean \"%s %s %s\"?", programName, command, near))
+		return withHint(err, fmt.Sprintf("did you mean \"%s %s %s\"?", programName, command, near))
 	}
 	return err
 }
@@ -83,7 +83,7 @@
 	}
 	var requests []*apiv1.SubmitWorkflowRequest
 	for _, file := range files {
-		data, err := s.readInput(file, maxJobFile)
+		data, err := s.readInput(file, maxJobFileBytes)
 		if err != nil {
 			return err
 		}
@@ -98,10 +98,10 @@
 			return api.SubmitWorkflow
 		})
 		if fault.Is(err, fault.Unavailable) || fault.Is(err, fault.Unknown) {
-			err = withNext(err, "the job may have been accepted; the same file may be sent again, its id makes it one job")
+			err = withHint(err, "the job may have been accepted; the same file may be sent again, its id makes it one job")
 		}
 		if err != nil {
-			return s.partly(err, i, len(requests))
+			return s.warnPartial(err, i, len(requests))
 		}
 		if err := s.show(answer, func(out io.Writer) { showSubmitted(out, request, answer) }); err != nil {
 			return err
@@ -132,8 +132,8 @@
 	fmt.Fprintln(out, oneLine(fmt.Sprintf("%s in %s: %s", status.GetId(), status.GetQueue(), status.GetPhase())))
 	t := newTable("TIME", "STEP", "TASKS", "DONE", "RUNNING", "FAILURES")
 	for _, step := range status.GetSteps() {
-		t.add(text("%d", step.GetOccurrence()), text("%d", step.GetStep()), text("%d", step.GetTasks()),
-			text("%d", step.GetDone()), text("%d", step.GetRunning()), text("%d", step.GetFailures()))
+		t.add(textCell("%d", step.GetOccurrence()), textCell("%d", step.GetStep()), textCell("%d", step.GetTasks()),
+			textCell("%d", step.GetDone()), textCell("%d", step.GetRunning()), textCell("%d", step.GetFailures()))
 	}
 	t.print(s)
 	for _, step := range status.GetSteps() {
@@ -180,20 +180,20 @@
 		fmt.Fprintln(out, "no step waits")
 	}
 	for _, step := range answer.GetSteps() {
-		fmt.Fprintln(out, oneLine(fmt.Sprintf("\nstep %d: %d tasks could start; %s", step.GetStep(), step.GetTasks(), orNone(step.GetReason()))))
+		fmt.Fprintln(out, oneLine(fmt.Sprintf("\nstep %d: %d tasks could start; %s", step.GetStep(), step.GetTasks(), orNothing(step.GetReason()))))
 		if step.GetPermitted()+step.GetRefused() > 0 {
 			fmt.Fprintf(out, "adviser: %d workers permitted, %d refused, %d not asked about\n", step.GetPermitted(), step.GetRefused(), step.GetUnknown())
 		}
 		t := newTable("WORKERS", "KEPT BY", "FOR EXAMPLE")
 		for _, count := range step.GetWorkers() {
-			t.add(text("%d", count.GetWorkers()), text("%s", orNone(count.GetFilter())), text("%s", count.GetExampleWorker()))
+			t.add(textCell("%d", count.GetWorkers()), textCell("%s", orNothing(count.GetFilter())), textCell("%s", count.GetExampleWorker()))
 		}
 		t.print(s)
 	}
 }
 
-// orNone names an empty reason.
-func orNone(reason string) string {
+// orNothing names an empty reason.
+func orNothing(reason string) string {
 	if reason == "" {
 		return "nothing"
 	}
@@ -201,7 +201,7 @@
 }
 
 func (s *session) queueStatus(ctx context.Context, args []string) error {
-	if err := wantArgs(args, "queue"); err != nil {
+	if err := requireArgs(args, "queue"); err != nil {
 		return err
 	}
 	answer, err := workflowsCall(ctx, s, &apiv1.QueueRef{Queue: args[0]}, func(api apiv1.Workflows) func(context.Context, *apiv1.QueueRef) (*apiv1.QueueStatus, error) {
@@ -228,7 +228,7 @@
 		name:     "wave",
 		synopsis: "Take machines down for maintenance, a few at a time",
 		usage:    "start [flags] number | status number",
-		about: "Machines are cordoned first: they get nothing new, and what runs there ends or is\n" +
+		description: "Machines are cordoned first: they get nothing new, and what runs there ends or is\n" +
 			"moved while there is time. The same number is the same wave.",
 		example: "bilberry wave start --machines m-0a3f1,m-141e8 --duration 20m --max-down 1 7\nbilberry wave status 7",
 		flags: func(f *flag.FlagSet) {
@@ -249,7 +249,7 @@
 	if action != "start" && action != "status" {
 		return unknownAction("wave", action, waveActions)
 	}
-	if err := wantArgs(args, "number"); err != nil {
+	if err := requireArgs(args, "number"); err != nil {
 		return err
 	}
 	id, err := strconv.ParseInt(args[0], 10, 64)
@@ -261,7 +261,7 @@
 			return api.GetWave
 		}))
 	}
-	wave, err := flags.wave(id)
+	wave, err := flags.toRequest(id)
 	if err != nil {
 		return err
 	}
@@ -270,7 +270,7 @@
 	}))
 }
 
-func (f *waveFlags) wave(id int64) (*apiv1.Wave, error) {
+func (f *waveFlags) toRequest(id int64) (*apiv1.Wave, error) {
 	if f.machines == "" {
 		return nil, fault.Field("--machines", "is missing; name the machines")
 	}
@@ -296,7 +296,7 @@
 		fmt.Fprintf(out, "wave %d: %s\n", status.GetId(), what)
 		t := newTable("MACHINE", "UPKEEP")
 		for _, m := range status.GetMachines() {
-			t.add(text("%s", m.GetMachine()), text("%s", m.GetStage()))
+			t.add(textCell("%s", m.GetMachine()), textCell("%s", m.GetStage()))
 		}
 		t.print(s)
 	})
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -327,7 +327,7 @@
 	return report, nil
 }
 
-func (f *fakeWorkers) Ask(_ context.Context, call AdviserQuery) (AdviserAnswer, error) {
+func (f *fakeWorkers) Query(_ context.Context, call AdviserQuery) (AdviserAnswer, error) {
 	reply := AdviserAnswer{Valid: time.Minute}
 	for _, worker := range call.Workers {
 		reply.Granted = append(reply.Granted, Grant{Worker: worker, Ticket: "t"})
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -115,7 +115,7 @@
 
 // addMachines adds the machines of a pool, and those on their way to it. t.mu is held.
 func (t *leaderTerm) addMachines(view *fleet.Pool, s *workflow.State, wanted int64) {
-	view.Wanted = wanted
+	view.Demand = wanted
 	for id, m := range t.machines.list {
 		target, moving := t.fleet.moving[id]
 		if moving && m.Pool == target {
@@ -130,7 +130,7 @@
 		}
 		idle := m.State == MachineUp && len(s.Runs[m.Worker]) == 0 || view.Standby
 		free := idle && !t.machines.ordersInFlight[id] && m.State != MachineMoving && m.State != MachineInMaintenance
-		view.Machines = append(view.Machines, fleet.Machine{ID: id, MilliCPU: m.Capacity.MilliCPU, Free: free})
+		view.Machines = append(view.Machines, fleet.Machine{ID: id, MilliCPU: m.Capacity.MilliCPU, Movable: free})
 	}
 	sortMachines(view.Machines)
 }
--- a/internal/control/lanes.go
+++ b/internal/control/lanes.go
@@ -190,7 +190,7 @@
 
 func (l *adviserPool) send(ctx context.Context, conn *adviserConn, call AdviserQuery) (AdviserAnswer, error) {
 	if conn.address == l.ownAddress {
-		return l.adviser.Ask(ctx, call)
+		return l.adviser.Query(ctx, call)
 	}
 	var reply AdviserAnswer
 	err := l.client.Call(ctx, conn.address, MethodAsk, &call, &reply)
--- a/internal/control/maintenance.go
+++ b/internal/control/maintenance.go
@@ -50,7 +50,7 @@
 				t.logMaintenance(wave.ID, id, worker, "runs stopped")
 			}
 		}
-		for _, id := range plan.Order {
+		for _, id := range plan.TakeDown {
 			t.orderMaintenance(wave.ID, t.machines.list[id])
 		}
 		for _, m := range view.resend {
@@ -75,7 +75,7 @@
 	if !known {
 		passed = min(max(time.Duration(now.UnixMilli()-w.AcceptedAtMS)*time.Millisecond, 0), duration)
 	}
-	return maintenance.Wave{Remaining: duration - passed, Length: t.c.cfg.Bounds.MaintenanceDuration, MaxDown: w.MaxDown}
+	return maintenance.Wave{Remaining: duration - passed, MachineDowntime: t.c.cfg.Bounds.MaintenanceDuration, MaxDown: w.MaxDown}
 }
 
 // waveMachines are the machines of a wave whose maintenance isn't over.
@@ -108,7 +108,7 @@
 			default:
 				m := t.maintenanceMachine(s, listed, now)
 				view.machines = append(view.machines, m)
-				if m.Chosen {
+				if m.Cordoned {
 					keepCordoned[listed.Worker] = true
 				}
 			}
@@ -136,7 +136,7 @@
 	runs := s.Runs[listed.Worker]
 	m.Empty = len(runs) == 0
 	if state := t.machines.cordoned[listed.Worker]; state != nil {
-		m.Chosen, m.ChosenFor = true, now.Sub(state.since)
+		m.Cordoned, m.CordonedFor = true, now.Sub(state.since)
 	}
 	session := t.sessions[listed.Worker]
 	for task, run := range runs {
@@ -145,7 +145,7 @@
 			continue
 		}
 		spec := &job.Steps[task.Step]
-		m.Held = m.Held || spec.LongRunning
+		m.Uninterruptible = m.Uninterruptible || spec.LongRunning
 		m.EmptyIn = max(m.EmptyIn, session.expectedEnd(run, spec, now).Sub(now))
 	}
 	return m
--- a/internal/control/ports.go
+++ b/internal/control/ports.go
@@ -214,7 +214,7 @@
 // Adviser permits steps to run on workers. It serves the calls of one machine one after
 // another.
 type Adviser interface {
-	Ask(ctx context.Context, call AdviserQuery) (AdviserAnswer, error)
+	Query(ctx context.Context, call AdviserQuery) (AdviserAnswer, error)
 }
 
 // Caller calls other instances; a link.Client is one.
--- a/internal/control/rough_test.go
+++ b/internal/control/rough_test.go
@@ -302,7 +302,7 @@
 	return answer, err
 }
 
-func (r *chaosWorkers) Ask(_ context.Context, call AdviserQuery) (AdviserAnswer, error) {
+func (r *chaosWorkers) Query(_ context.Context, call AdviserQuery) (AdviserAnswer, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.faultsOver && r.random.Float64() < 0.1 {
--- a/internal/control/search_adviser_test.go
+++ b/internal/control/search_adviser_test.go
@@ -46,7 +46,7 @@
 }
 
 // Ask puts a question of the leader's own machine.
-func (a *simAdviser) Ask(ctx context.Context, call AdviserQuery) (AdviserAnswer, error) {
+func (a *simAdviser) Query(ctx context.Context, call AdviserQuery) (AdviserAnswer, error) {
 	return a.ask(ctx, ownAddress, call)
 }
 
--- a/internal/dev/command.go
+++ b/internal/dev/command.go
@@ -52,12 +52,12 @@
 	if c.verbose {
 		logs = os.Stderr
 	}
-	kept, err := Run(ctx, os.Stdout, logs, FullSize(), c.stay)
+	passed, err := Run(ctx, os.Stdout, logs, FullSize(), c.stay)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "bilberry dev: %v\n", err)
 		return subcommands.ExitFailure
 	}
-	if !kept {
+	if !passed {
 		return subcommands.ExitStatus(fault.Failed.ExitCode())
 	}
 	return subcommands.ExitSuccess
--- a/internal/dev/deployment.go
+++ b/internal/dev/deployment.go
@@ -31,12 +31,12 @@
 	// Folder holds the deployment's files and data.
 	Folder string
 
-	network Network
-	logs    io.Writer
-	mu      sync.Mutex
-	stops   map[string]func()
-	waiting sync.WaitGroup
-	failed  chan error
+	network   Network
+	logs      io.Writer
+	mu        sync.Mutex
+	stops     map[string]func()
+	processes sync.WaitGroup
+	failures  chan error
 }
 
 // Unpack writes one of the example deployments into a folder and loads it with
@@ -61,20 +61,20 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	listeners, err := relocate(s, folder, network)
+	listeners, err := assignListeners(s, folder, network)
 	if err != nil {
 		return nil, nil, err
 	}
 	d := &Deployment{
 		Name: name, Settings: s, Tokens: tokens, Folder: folder, network: network,
-		stops: make(map[string]func()), failed: make(chan error, len(listeners)),
+		stops: make(map[string]func()), failures: make(chan error, len(listeners)),
 	}
 	return d, listeners, nil
 }
 
 // relocate gives every process a listener of its own and notes its address in
 // the settings.
-func relocate(s *settings.Settings, folder string, network Network) (map[string]net.Listener, error) {
+func assignListeners(s *settings.Settings, folder string, network Network) (map[string]net.Listener, error) {
 	listeners := make(map[string]net.Listener)
 	for i := range s.Instances {
 		instance := &s.Instances[i]
@@ -129,10 +129,10 @@
 		<-done
 	}
 	d.mu.Unlock()
-	d.waiting.Go(func() {
+	d.processes.Go(func() {
 		defer close(done)
 		if err := serve(ctx, base); err != nil {
-			d.failed <- errors.Wrapf(err, "%s/%s", instance, role)
+			d.failures <- errors.Wrapf(err, "%s/%s", instance, role)
 		}
 	})
 	return nil
@@ -150,9 +150,9 @@
 
 // Wait returns when all processes have ended, with the first failure.
 func (d *Deployment) Wait() error {
-	d.waiting.Wait()
+	d.processes.Wait()
 	select {
-	case err := <-d.failed:
+	case err := <-d.failures:
 		return err
 	default:
 		return nil
@@ -160,25 +160,25 @@
 }
 
 // Sites are the data centres as stand-ins see them.
-func (d *Deployment) Sites() []standin.Site {
-	var sites []standin.Site
+func (d *Deployment) DataCentres() []standin.DataCentre {
+	var dataCentres []standin.DataCentre
 	for _, name := range d.Settings.DataCentres() {
-		site := standin.Site{DataCentre: name}
+		dataCentre := standin.DataCentre{Name: name}
 		for _, instance := range d.Settings.InDataCentre(name) {
 			if instance.Entry != "" {
-				site.Entries = append(site.Entries, instance.Entry)
+				dataCentre.Entries = append(dataCentre.Entries, instance.Entry)
 			}
 		}
-		sites = append(sites, site)
+		dataCentres = append(dataCentres, dataCentre)
 	}
-	return sites
+	return dataCentres
 }
 
 // Entries are the addresses of all entry instances.
 func (d *Deployment) Entries() []string {
 	var entries []string
-	for _, site := range d.Sites() {
-		entries = append(entries, site.Entries...)
+	for _, dataCentre := range d.DataCentres() {
+		entries = append(entries, dataCentre.Entries...)
 	}
 	return entries
 }
@@ -193,5 +193,5 @@
 	return "", errors.Newf("no customer %q in the settings", name)
 }
 
-// readyWithin bounds how long a deployment may take to elect its leaders.
-const readyWithin = 15 * time.Second
+// readyTimeout bounds how long a deployment may take to elect its leaders.
+const readyTimeout = 15 * time.Second
--- a/internal/dev/memory_test.go
+++ b/internal/dev/memory_test.go
@@ -25,8 +25,8 @@
 }
 
 const (
-	// firstPort is below the ports that are given out.
-	firstPort = 10_000
+	// basePort is below the ports that are given out.
+	basePort = 10_000
 	// backlog is how many connections wait to be accepted.
 	backlog = 1024
 	// hopDelay is how long a byte takes from one end of a connection to the other.
@@ -39,7 +39,7 @@
 	l := &memoryListener{
 		network: n,
 		address: n.newAddress(),
-		waiting: make(chan net.Conn, backlog),
+		pending: make(chan net.Conn, backlog),
 		closed:  make(chan struct{}),
 	}
 	n.listeners[l.address.String()] = l
@@ -55,10 +55,10 @@
 	if l == nil {
 		return nil, refused
 	}
-	near, far := connect(local, l.address)
+	client, server := newConnPair(local, l.address)
 	select {
-	case l.waiting <- far:
-		return near, nil
+	case l.pending <- server:
+		return client, nil
 	case <-l.closed:
 		return nil, refused
 	case <-ctx.Done():
@@ -69,14 +69,14 @@
 // newAddress returns an address that nobody has. The lock is held.
 func (n *memoryNetwork) newAddress() *net.TCPAddr {
 	n.ports++
-	return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: firstPort + n.ports}
+	return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: basePort + n.ports}
 }
 
 // memoryListener accepts connections of a memoryNetwork.
 type memoryListener struct {
 	network *memoryNetwork
 	address *net.TCPAddr
-	waiting chan net.Conn
+	pending chan net.Conn
 	closing sync.Once
 	closed  chan struct{}
 }
@@ -85,7 +85,7 @@
 
 func (l *memoryListener) Accept() (net.Conn, error) {
 	select {
-	case conn := <-l.waiting:
+	case conn := <-l.pending:
 		return conn, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
@@ -102,7 +102,7 @@
 	})
 	for {
 		select {
-		case conn := <-l.waiting:
+		case conn := <-l.pending:
 			_ = conn.Close()
 		default:
 			return nil
@@ -118,18 +118,18 @@
 
 // stream is one direction of a connection.
 type stream struct {
-	mu       sync.Mutex
-	chunks   []chunk
-	ended    bool // by the writer: what is there can still be read
-	closed   bool // by the reader
-	deadline time.Time
+	mu          sync.Mutex
+	chunks      []chunk
+	writeClosed bool // by the writer: what is there can still be read
+	readClosed  bool // by the reader
+	deadline    time.Time
 	// changed is closed and made anew with each change.
 	changed chan struct{}
 }
 
 func newStream() *stream { return &stream{changed: make(chan struct{})} }
 
-func (s *stream) change(f func()) {
+func (s *stream) update(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
@@ -142,8 +142,8 @@
 		return nil
 	}
 	var err error
-	s.change(func() {
-		if s.ended || s.closed {
+	s.update(func() {
+		if s.writeClosed || s.readClosed {
 			err = io.ErrClosedPipe
 			return
 		}
@@ -154,29 +154,29 @@
 
 func (s *stream) read(p []byte) (int, error) {
 	for {
-		n, until, changed, err := s.take(p)
+		n, until, changed, err := s.readArrived(p)
 		if n > 0 || err != nil || len(p) == 0 {
 			return n, err
 		}
-		await(changed, until)
+		waitForChange(changed, until)
 	}
 }
 
 // take reads what has arrived. With nothing there, it returns until when to wait
 // for it, zero for any time, and what tells of a change.
-func (s *stream) take(p []byte) (n int, until time.Time, changed <-chan struct{}, err error) {
+func (s *stream) readArrived(p []byte) (n int, until time.Time, changed <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	switch {
-	case s.closed:
+	case s.readClosed:
 		return 0, until, nil, net.ErrClosed
 	case !s.deadline.IsZero() && !now.Before(s.deadline):
 		return 0, until, nil, os.ErrDeadlineExceeded
-	case len(s.chunks) == 0 && s.ended:
+	case len(s.chunks) == 0 && s.writeClosed:
 		return 0, until, nil, io.EOF
 	case len(s.chunks) > 0 && !now.Before(s.chunks[0].at):
-		return s.takeFirst(p), until, nil, nil
+		return s.readFirstChunk(p), until, nil, nil
 	}
 	until = s.deadline
 	if len(s.chunks) > 0 && (until.IsZero() || s.chunks[0].at.Before(until)) {
@@ -185,8 +185,8 @@
 	return 0, until, s.changed, nil
 }
 
-// takeFirst reads from the first chunk. The lock is held.
-func (s *stream) takeFirst(p []byte) int {
+// readFirstChunk reads from the first chunk. The lock is held.
+func (s *stream) readFirstChunk(p []byte) int {
 	n := copy(p, s.chunks[0].bytes)
 	s.chunks[0].bytes = s.chunks[0].bytes[n:]
 	if len(s.chunks[0].bytes) == 0 {
@@ -196,7 +196,7 @@
 }
 
 // await waits for a change until a time, or for any time where that is zero.
-func await(changed <-chan struct{}, until time.Time) {
+func waitForChange(changed <-chan struct{}, until time.Time) {
 	if until.IsZero() {
 		<-changed
 		return
@@ -215,11 +215,11 @@
 	local, remote net.Addr
 }
 
-func connect(local, remote net.Addr) (near, far *memoryConn) {
-	there, back := newStream(), newStream()
-	near = &memoryConn{in: back, out: there, local: local, remote: remote}
-	far = &memoryConn{in: there, out: back, local: remote, remote: local}
-	return near, far
+func newConnPair(local, remote net.Addr) (client, server *memoryConn) {
+	toServer, toClient := newStream(), newStream()
+	client = &memoryConn{in: toClient, out: toServer, local: local, remote: remote}
+	server = &memoryConn{in: toServer, out: toClient, local: remote, remote: local}
+	return client, server
 }
 
 func (c *memoryConn) Read(p []byte) (int, error) { return c.in.read(p) }
@@ -232,8 +232,8 @@
 }
 
 func (c *memoryConn) Close() error {
-	c.in.change(func() { c.in.closed = true })
-	c.out.change(func() { c.out.ended = true })
+	c.in.update(func() { c.in.readClosed = true })
+	c.out.update(func() { c.out.writeClosed = true })
 	return nil
 }
 
@@ -243,7 +243,7 @@
 func (c *memoryConn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
 func (c *memoryConn) SetReadDeadline(t time.Time) error {
-	c.in.change(func() { c.in.deadline = t })
+	c.in.update(func() { c.in.deadline = t })
 	return nil
 }
 
--- a/internal/dev/print.go
+++ b/internal/dev/print.go
@@ -14,14 +14,14 @@
 
 // progress prints one line for each change of a job's state.
 type progress struct {
-	mu    sync.Mutex
-	out   io.Writer
-	began time.Time
-	last  map[string]string
+	mu        sync.Mutex
+	out       io.Writer
+	startedAt time.Time
+	last      map[string]string
 }
 
 func newProgress(out io.Writer) *progress {
-	return &progress{out: out, began: time.Now(), last: make(map[string]string)}
+	return &progress{out: out, startedAt: time.Now(), last: make(map[string]string)}
 }
 
 func (p *progress) job(deployment string, j standin.JobResult) {
@@ -32,7 +32,7 @@
 		return
 	}
 	p.last[key] = line
-	fmt.Fprintf(p.out, "%6.2fs  %-9s %-22s %s\n", time.Since(p.began).Seconds(), deployment, j.Name, line)
+	fmt.Fprintf(p.out, "%6.2fs  %-9s %-22s %s\n", time.Since(p.startedAt).Seconds(), deployment, j.Name, line)
 }
 
 func describe(j standin.JobResult) string {
@@ -54,15 +54,15 @@
 	table := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 	fmt.Fprintln(table, "  work\tcustomer\toutcome\twaited\tbefore deadline")
 	for _, j := range r.Jobs {
-		fmt.Fprintf(table, "  %s\t%s\t%s\t%s\t%s\n", j.Name, j.Customer, outcome(j), waited(j), slack(j))
+		fmt.Fprintf(table, "  %s\t%s\t%s\t%s\t%s\n", j.Name, j.Customer, outcome(j), waitingTime(j), timeBeforeDeadline(j))
 	}
 	table.Flush()
 	p := r.Report
 	fmt.Fprintf(out, "  jobs: %d accepted, %d in time, %d missed, refused %v; waiting time p50 %s p99 %s; submit call p50 %s p99 %s\n",
-		p.Accepted, p.Finished, p.Missed, p.Refused, micros(p.WaitP50), micros(p.WaitP99), micros(p.SubmitP50), micros(p.SubmitP99))
+		p.Accepted, p.MetDeadline, p.MissedDeadline, p.Refused, formatMicros(p.WaitP50), formatMicros(p.WaitP99), formatMicros(p.SubmitP50), formatMicros(p.SubmitP99))
 	q := r.Requests
 	fmt.Fprintf(out, "  requests: %d sent, %d whole answers, %d late, %d wrong, %d broken, refused %v; latency p50 %s p99 %s\n",
-		q.Calls-q.NotSent, q.Whole, q.Late, q.Wrong, q.Broken+q.TimedOut, q.Refused, micros(q.P50), micros(q.P99))
+		q.Calls-q.NotSent, q.Correct, q.Late, q.Wrong, q.Broken+q.TimedOut, q.Refused, formatMicros(q.P50), formatMicros(q.P99))
 	for _, v := range r.Violations {
 		fmt.Fprintf(out, "  VIOLATION %+v\n", v)
 	}
@@ -72,35 +72,35 @@
 	if !j.Accepted() {
 		return "refused: " + j.Kind
 	}
-	if j.Missed() {
+	if j.MissedDeadline() {
 		return "MISSED: " + standin.StateName(j.State)
 	}
 	return standin.StateName(j.State)
 }
 
-func waited(j standin.JobResult) string {
+func waitingTime(j standin.JobResult) string {
 	if j.Started.IsZero() {
 		return "-"
 	}
 	return j.Started.Sub(j.Submitted).Round(100 * time.Microsecond).String()
 }
 
-func slack(j standin.JobResult) string {
+func timeBeforeDeadline(j standin.JobResult) string {
 	if j.Ended.IsZero() || j.Deadline.IsZero() || !j.Accepted() {
 		return "-"
 	}
 	return j.Deadline.Sub(j.Ended).Round(10 * time.Millisecond).String()
 }
 
-func micros(us int64) string { return (time.Duration(us) * time.Microsecond).String() }
+func formatMicros(us int64) string { return (time.Duration(us) * time.Microsecond).String() }
 
 // cost measures what the whole process spends, stand-ins included.
-type cost struct {
-	began time.Time
-	cpu   time.Duration
+type usage struct {
+	startedAt time.Time
+	cpu       time.Duration
 }
 
-func startCost() cost { return cost{began: time.Now(), cpu: processorTime()} }
+func startUsage() usage { return usage{startedAt: time.Now(), cpu: processorTime()} }
 
 func processorTime() time.Duration {
 	var usage syscall.Rusage
@@ -110,10 +110,10 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-func (c cost) print(out io.Writer) {
+func (c usage) print(out io.Writer) {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	elapsed := time.Since(c.began)
+	elapsed := time.Since(c.startedAt)
 	fmt.Fprintf(out, "\ncontrol cost, all roles and stand-ins of both deployments in one process: %.2f cores, %d MiB heap, %.1fs in all\n",
 		float64(processorTime()-c.cpu)/float64(elapsed), memory.HeapInuse>>20, elapsed.Seconds())
 }
--- a/internal/dev/run.go
+++ b/internal/dev/run.go
@@ -25,11 +25,11 @@
 
 // Shape of the sample run.
 const (
-	requestTime   = 8 * time.Second
-	requestBudget = 500 * time.Millisecond
-	runtimeLow    = 0.8
-	runtimeHigh   = 1.2
-	pollEvery     = 50 * time.Millisecond
+	requestLoadDuration = 8 * time.Second
+	requestDeadline     = 500 * time.Millisecond
+	runtimeLow          = 0.8
+	runtimeHigh         = 1.2
+	pollInterval        = 50 * time.Millisecond
 )
 
 // Size is how much of each deployment's surroundings a run plays.
@@ -67,13 +67,13 @@
 
 // Kept reports whether every accepted piece of work met its deadline and no
 // promise was broken.
-func (r *Result) Kept() bool {
+func (r *Result) Passed() bool {
 	answered := r.Requests.Broken == 0 && r.Requests.TimedOut == 0 && r.Requests.Late == 0
-	return r.Report.Missed == 0 && r.Report.Unanswered == 0 && r.Report.Accepted > 0 && r.sound() && answered
+	return r.Report.MissedDeadline == 0 && r.Report.Unanswered == 0 && r.Report.Accepted > 0 && r.correct() && answered
 }
 
 // sound reports whether every promise was kept that has nothing to do with time.
-func (r *Result) sound() bool { return r.Requests.Wrong == 0 && len(r.Violations) == 0 }
+func (r *Result) correct() bool { return r.Requests.Wrong == 0 && len(r.Violations) == 0 }
 
 // run is one deployment with its stand-ins.
 type run struct {
@@ -99,21 +99,21 @@
 	group.Go(d.Wait)
 	r := &run{sample: s, size: size, deployment: d, ledger: standin.NewLedger()}
 	r.workers = standin.NewWorkers(standin.WorkersConfig{
-		Sites: d.Sites(), Count: size.Workers, PerRack: s.perRack, Capacity: s.capacity, Prefix: s.name,
+		DataCentres: d.DataCentres(), Count: size.Workers, PerRack: s.perRack, Capacity: s.capacity, Prefix: s.name,
 		Token: d.Tokens.Token(settings.Worker), RuntimeLow: runtimeLow, RuntimeHigh: runtimeHigh, Ledger: r.ledger,
 		Dial: network.Dial,
 	})
 	r.minions = standin.NewMinions(standin.MinionsConfig{
-		Sites: d.Sites(), Count: size.Minions, Service: s.service, Prefix: s.name,
+		DataCentres: d.DataCentres(), Count: size.Minions, Service: s.service, Prefix: s.name,
 		Token: d.Tokens.Token(settings.Minion), Ledger: r.ledger, Listen: network.Listen, Dial: network.Dial,
 	})
-	group.Go(func() error { return ended(ctx, r.workers.Run(ctx)) })
-	group.Go(func() error { return ended(ctx, r.minions.Run(ctx)) })
+	group.Go(func() error { return ignoreAfterCancel(ctx, r.workers.Run(ctx)) })
+	group.Go(func() error { return ignoreAfterCancel(ctx, r.minions.Run(ctx)) })
 	return r, r.awaitReady(ctx)
 }
 
 // ended drops the error of a part that was told to end.
-func ended(ctx context.Context, err error) error {
+func ignoreAfterCancel(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -122,14 +122,14 @@
 
 // awaitReady waits until every worker holds a lease and every minion is known.
 func (r *run) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for r.workers.Ready() < r.size.Workers || r.minions.Ready() < r.size.Minions {
 		select {
 		case <-ctx.Done():
 			return errors.Newf("%s: %d of %d workers and %d of %d minions were ready within %s",
-				r.name, r.workers.Ready(), r.size.Workers, r.minions.Ready(), r.size.Minions, readyWithin)
-		case <-time.After(pollEvery):
+				r.name, r.workers.Ready(), r.size.Workers, r.minions.Ready(), r.size.Minions, readyTimeout)
+		case <-time.After(pollInterval):
 		}
 	}
 	return r.awaitServing(ctx)
@@ -147,9 +147,9 @@
 	for _, address := range r.deployment.Entries() {
 		for !serves(ctx, client, address, r.service, token) {
 			if ctx.Err() != nil {
-				return errors.Newf("%s: entry %s carried no requests within %s", r.name, address, readyWithin)
+				return errors.Newf("%s: entry %s carried no requests within %s", r.name, address, readyTimeout)
 			}
-			time.Sleep(pollEvery)
+			time.Sleep(pollInterval)
 		}
 	}
 	return nil
@@ -184,18 +184,18 @@
 		return err
 	}
 	request := &apiv1.SetConfigRequest{RequestId: "dev-1", Document: string(document)}
-	until := time.Now().Add(readyWithin)
+	deadline := time.Now().Add(readyTimeout)
 	for {
 		_, err = operations.SetConfig(ctx, request)
-		if !fault.Is(err, fault.Unavailable) || time.Now().After(until) {
+		if !fault.Is(err, fault.Unavailable) || time.Now().After(deadline) {
 			return errors.Wrapf(err, "%s: configuration", r.name)
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
 // carry submits the sample work and the sample requests and waits for both.
-func (r *run) carry(ctx context.Context, onChange func(standin.JobResult)) error {
+func (r *run) runSampleWork(ctx context.Context, onChange func(standin.JobResult)) error {
 	arrivals, tokens, err := r.arrivals()
 	if err != nil {
 		return err
@@ -206,7 +206,7 @@
 	})
 	r.callers = standin.NewCallers(standin.CallersConfig{
 		Entries: r.deployment.Entries(), Service: r.service, Token: tokens[arrivals[0].Customer],
-		Rate: r.size.RequestRate, Duration: requestTime, Deadline: requestBudget, OnceShare: 0.2, Seed: 1, Ledger: r.ledger,
+		Rate: r.size.RequestRate, Duration: requestLoadDuration, Deadline: requestDeadline, NonIdempotentShare: 0.2, Seed: 1, Ledger: r.ledger,
 		Dial: r.deployment.network.Dial,
 	})
 	var work errgroup.Group
@@ -261,10 +261,10 @@
 // prints what became of it. It returns false when a promise was broken.
 func Run(ctx context.Context, out, logs io.Writer, size Size, stay bool) (bool, error) {
 	results, err := runOver(ctx, Loopback{}, out, logs, size, stay)
-	return err == nil && allOf(results, (*Result).Kept), err
+	return err == nil && allResults(results, (*Result).Passed), err
 }
 
-func allOf(results []Result, holds func(*Result) bool) bool {
+func allResults(results []Result, holds func(*Result) bool) bool {
 	for i := range results {
 		if !holds(&results[i]) {
 			return false
@@ -286,7 +286,7 @@
 		stop()
 		_ = group.Wait()
 	}()
-	cost := startCost()
+	usage := startUsage()
 	var runs []*run
 	for _, s := range samples {
 		r, err := start(ctx, group, s, size, network, filepath.Join(folder, s.name), logs)
@@ -296,7 +296,7 @@
 		fmt.Fprintf(out, "%-9s %d instances, %d workers, %d minions are up\n", s.name, len(r.deployment.Settings.Instances), size.Workers, size.Minions)
 		runs = append(runs, r)
 	}
-	results, err := carryAll(ctx, runs, out, cost)
+	results, err := runAllSampleWork(ctx, runs, out, usage)
 	if err != nil {
 		return nil, err
 	}
@@ -308,7 +308,7 @@
 	return results, group.Wait()
 }
 
-func carryAll(ctx context.Context, runs []*run, out io.Writer, cost cost) ([]Result, error) {
+func runAllSampleWork(ctx context.Context, runs []*run, out io.Writer, usage usage) ([]Result, error) {
 	progress := newProgress(out)
 	var work errgroup.Group
 	for _, r := range runs {
@@ -316,7 +316,7 @@
 			if err := r.configure(ctx); err != nil {
 				return err
 			}
-			return r.carry(ctx, func(j standin.JobResult) { progress.job(r.name, j) })
+			return r.runSampleWork(ctx, func(j standin.JobResult) { progress.job(r.name, j) })
 		})
 	}
 	if err := work.Wait(); err != nil {
@@ -328,6 +328,6 @@
 		printResult(out, &result)
 		results = append(results, result)
 	}
-	cost.print(out)
+	usage.print(out)
 	return results, nil
 }
--- a/internal/dev/run_test.go
+++ b/internal/dev/run_test.go
@@ -18,7 +18,7 @@
 // size is the size of the run. With the race detector both deployments and their
 // stand-ins, in one process, need most of a small machine at full size. The short
 // run carries a fifth of the load under the same check.
-func size() Size {
+func testSize() Size {
 	full := FullSize()
 	if testing.Short() {
 		return Size{Workers: full.Workers / 5, Minions: full.Minions / 5, RequestRate: full.RequestRate / 5}
@@ -29,29 +29,29 @@
 // Both example deployments carry their sample work in time, and what can't be done
 // is refused with its reason. Time is virtual: what is late here waited for the
 // deployments, and never for a processor that another process had.
-func TestSampleWorkIsInTime(t *testing.T) {
-	oneProcessor(t)
+func TestSampleWorkMeetsDeadlines(t *testing.T) {
+	useOneProcessor(t)
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
-		results, err := runOver(t.Context(), newMemoryNetwork(), &out, io.Discard, size(), false)
+		results, err := runOver(t.Context(), newMemoryNetwork(), &out, io.Discard, testSize(), false)
 		must.NoError(t, err)
-		must.True(t, allOf(results, (*Result).Kept), must.Sprint(out.String()))
-		must.True(t, allOf(results, answeredWhole), must.Sprint(out.String()))
-		mustRefuse(t, out.String())
+		must.True(t, allResults(results, (*Result).Passed), must.Sprint(out.String()))
+		must.True(t, allResults(results, allRequestsCorrect), must.Sprint(out.String()))
+		mustShowRefusals(t, out.String())
 	})
 }
 
-// answeredWhole reports whether no request was refused: nothing is short here.
-func answeredWhole(r *Result) bool { return r.Requests.Whole == r.Requests.Calls }
+// allRequestsCorrect reports whether no request was refused: nothing is short here.
+func allRequestsCorrect(r *Result) bool { return r.Requests.Correct == r.Requests.Calls }
 
-// oneProcessor keeps the timers of a bubble on one thread at a time: the race
+// useOneProcessor keeps the timers of a bubble on one thread at a time: the race
 // detector has one context for all of them and crashes when two threads use it.
-func oneProcessor(t *testing.T) {
+func useOneProcessor(t *testing.T) {
 	before := runtime.GOMAXPROCS(1)
 	t.Cleanup(func() { runtime.GOMAXPROCS(before) })
 }
 
-func mustRefuse(t *testing.T, out string) {
+func mustShowRefusals(t *testing.T, out string) {
 	for _, name := range []string{"refused: Infeasible", "refused: DeadlineUnreachable", "finished"} {
 		must.StrContains(t, out, name)
 	}
@@ -62,63 +62,63 @@
 // the same process and all the while, are quick. Where they aren't, only the promises
 // are judged that have nothing to do with time.
 func TestSampleWorkOverSockets(t *testing.T) {
-	machine := watchMachine(t)
+	baseline := startBaseline(t)
 	var out bytes.Buffer
-	results, err := runOver(t.Context(), Loopback{}, &out, io.Discard, size(), false)
-	serves := machine.end(t)
+	results, err := runOver(t.Context(), Loopback{}, &out, io.Discard, testSize(), false)
+	fast := baseline.stopAndCheck(t)
 	t.Log(out.String())
-	must.True(t, allOf(results, (*Result).sound))
-	if !serves {
+	must.True(t, allResults(results, (*Result).correct))
+	if !fast {
 		t.Logf("no deadline is judged on this machine, now: %v", err)
 		return
 	}
 	must.NoError(t, err)
-	must.True(t, allOf(results, (*Result).Kept))
-	mustRefuse(t, out.String())
+	must.True(t, allResults(results, (*Result).Passed))
+	mustShowRefusals(t, out.String())
 }
 
-// directBound is how long a call past the deployments takes at most on a machine
+// baselineMaxLatency is how long a call past the deployments takes at most on a machine
 // that serves: a request is handed on twice as often, there and back.
-const directBound = requestBudget / 2
+const baselineMaxLatency = requestDeadline / 2
 
 // machine is a load of calls that go straight to a minion of their own, and wait
 // for the processors as the requests do.
-type machine struct {
+type baseline struct {
 	callers *standin.Callers
-	// hangUp ends the callers, and stop the minion after their last call.
-	hangUp, stop     context.CancelFunc
-	calling, serving errgroup.Group
+	// stopCallers ends the callers, and stop the minion after their last call.
+	stopCallers, stopMinion  context.CancelFunc
+	callerGroup, minionGroup errgroup.Group
 }
 
-func watchMachine(t *testing.T) *machine {
-	calling, hangUp := context.WithCancel(t.Context())
-	serving, stop := context.WithCancel(t.Context())
-	m := &machine{hangUp: hangUp, stop: stop}
+func startBaseline(t *testing.T) *baseline {
+	callerCtx, stopCallers := context.WithCancel(t.Context())
+	minionCtx, stopMinion := context.WithCancel(t.Context())
+	m := &baseline{stopCallers: stopCallers, stopMinion: stopMinion}
 	minions := standin.NewMinions(standin.MinionsConfig{
-		Sites: []standin.Site{{}}, Count: 1,
+		DataCentres: []standin.DataCentre{{}}, Count: 1,
 		Slots: standin.DefaultMaxInFlight, MaxConnections: standin.DefaultMaxInFlight,
 	})
-	m.serving.Go(func() error { return ended(serving, minions.Run(serving)) })
+	m.minionGroup.Go(func() error { return ignoreAfterCancel(minionCtx, minions.Run(minionCtx)) })
 	minion := minions.All()[0]
 	for minion.Address() == "" {
 		time.Sleep(time.Millisecond)
 	}
 	m.callers = standin.NewCallers(standin.CallersConfig{
 		Entries: []string{minion.Address()}, Direct: true,
-		Rate: size().RequestRate, Deadline: requestBudget, Seed: 1,
+		Rate: testSize().RequestRate, Deadline: requestDeadline, Seed: 1,
 	})
-	m.calling.Go(func() error { return m.callers.Run(calling) })
+	m.callerGroup.Go(func() error { return m.callers.Run(callerCtx) })
 	return m
 }
 
 // end reports whether every call was quick.
-func (m *machine) end(t *testing.T) bool {
-	m.hangUp()
-	must.NoError(t, m.calling.Wait())
-	m.stop()
-	must.NoError(t, m.serving.Wait())
+func (m *baseline) stopAndCheck(t *testing.T) bool {
+	m.stopCallers()
+	must.NoError(t, m.callerGroup.Wait())
+	m.stopMinion()
+	must.NoError(t, m.minionGroup.Wait())
 	r := m.callers.Report()
 	t.Logf("straight to a minion: %d calls, %d whole, p50 %s p99 %s, slowest %s",
-		r.Calls, r.Whole, micros(r.P50), micros(r.P99), micros(r.Max))
-	return r.Whole == r.Calls && time.Duration(r.Max)*time.Microsecond <= directBound
+		r.Calls, r.Correct, formatMicros(r.P50), formatMicros(r.P99), formatMicros(r.Max))
+	return r.Correct == r.Calls && time.Duration(r.Max)*time.Microsecond <= baselineMaxLatency
 }
--- a/internal/e2e/bench_test.go
+++ b/internal/e2e/bench_test.go
@@ -8,14 +8,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// BenchmarkUrgentStartThroughLeaderLoss measures how long an urgent job waits,
+// BenchmarkUrgentStartAfterLeaderLoss measures how long an urgent job waits,
 // from its submission to its start on a worker, when the leader of the data
 // centre was killed the moment before.
-func BenchmarkUrgentStartThroughLeaderLoss(b *testing.B) {
+func BenchmarkUrgentStartAfterLeaderLoss(b *testing.B) {
 	c := newCluster(b, "rackwise", oneDataCentre)
 	c.workers(6)
-	u := c.customer(0)
-	dataCentre := c.d.Settings.DataCentres()[0]
+	customer := c.customer(0)
+	dataCentre := c.deployment.Settings.DataCentres()[0]
 	waits := hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
 	i := 0
 	for b.Loop() {
@@ -24,8 +24,8 @@
 		submitted := time.Now()
 		spec := batch("urgent", 1, 20, true)
 		spec.Urgent = true
-		id := u.submit(fmt.Sprint("urgent-", i), spec).Id
-		u.await(id)
+		id := customer.submit(fmt.Sprint("urgent-", i), spec).Id
+		customer.awaitEnd(id)
 		started, _ := c.ledger.FirstStart(id, 0)
 		_ = waits.RecordValue(started.Sub(submitted).Milliseconds())
 		c.start(leader, "cell")
@@ -41,12 +41,12 @@
 func BenchmarkSubmitToStart(b *testing.B) {
 	c := newCluster(b, "rackwise", oneDataCentre)
 	c.workers(6)
-	u := c.customer(0)
+	customer := c.customer(0)
 	waits := hdrhistogram.New(1, time.Minute.Microseconds(), 3)
 	i := 0
 	for b.Loop() {
 		submitted := time.Now()
-		id := u.submit(fmt.Sprint("small-", i), batch("small", 1, 1, true)).Id
+		id := customer.submit(fmt.Sprint("small-", i), batch("small", 1, 1, true)).Id
 		var started time.Time
 		c.eventually("the task starts", func() bool {
 			var ok bool
@@ -60,20 +60,20 @@
 	b.ReportMetric(float64(waits.ValueAtQuantile(99)), "p99-us")
 }
 
-// BenchmarkConfigurationInForce measures the time from the acceptance of a
+// BenchmarkConfigurationPropagation measures the time from the acceptance of a
 // configuration until every process of three data centres applies it. Versions
 // are asked for again and again, so the figure has the time of one round of
 // questions in it.
-func BenchmarkConfigurationInForce(b *testing.B) {
+func BenchmarkConfigurationPropagation(b *testing.B) {
 	c := newCluster(b, "rackwise", nil)
-	ctx, operations := c.operator()
+	ctx, operations := c.operatorClients()
 	times := hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
 	version := uint64(0)
 	for b.Loop() {
-		c.setConfig(ctx, operations, fmt.Sprint("change-", version), version, limits(100+int(version)))
+		c.setConfig(ctx, operations, fmt.Sprint("change-", version), version, configWithCPULimit(100+int(version)))
 		accepted := time.Now()
 		version++
-		c.eventually("the version is in force everywhere", func() bool { return c.lowestVersion(ctx, operations) == version })
+		c.eventually("the version is in force everywhere", func() bool { return c.lowestConfigVersion(ctx, operations) == version })
 		_ = times.RecordValue(time.Since(accepted).Milliseconds())
 	}
 	b.ReportMetric(float64(times.ValueAtQuantile(50)), "p50-ms")
--- a/internal/e2e/customer_test.go
+++ b/internal/e2e/customer_test.go
@@ -14,56 +14,56 @@
 )
 
 // customer is one caller of the system.
-type customer struct {
-	c         *cluster
-	ctx       context.Context
-	token     string
-	scheduler []apiv1.Scheduler
-	client    *http.Client
+type customerClient struct {
+	cluster    *cluster
+	ctx        context.Context
+	token      string
+	schedulers []apiv1.Scheduler
+	client     *http.Client
 }
 
-func (c *cluster) customer(index int) *customer {
-	token, err := settings.ReadToken(c.d.Settings.Tokens.Customers[index].File)
+func (c *cluster) customer(index int) *customerClient {
+	token, err := settings.ReadToken(c.deployment.Settings.Tokens.Customers[index].File)
 	must.NoError(c.t, err)
 	ctx, err := rpc.WithBearer(c.ctx, "Bearer "+token)
 	must.NoError(c.t, err)
-	u := &customer{c: c, ctx: ctx, token: token, client: rpc.NewClient(nil)}
-	for _, address := range c.d.Entries() {
-		u.scheduler = append(u.scheduler, apiv1.NewSchedulerProtobufClient("http://"+address, u.client))
+	cc := &customerClient{cluster: c, ctx: ctx, token: token, client: rpc.NewClient(nil)}
+	for _, address := range c.deployment.Entries() {
+		cc.schedulers = append(cc.schedulers, apiv1.NewSchedulerProtobufClient("http://"+address, cc.client))
 	}
-	return u
+	return cc
 }
 
 // only restricts a customer to the entry instances of one data centre.
-func (u *customer) only(dataCentre string) *customer {
-	restricted := *u
-	restricted.scheduler = nil
-	for _, instance := range u.c.d.Settings.InDataCentre(dataCentre) {
-		restricted.scheduler = append(restricted.scheduler, apiv1.NewSchedulerProtobufClient("http://"+instance.Entry, u.client))
+func (cc *customerClient) inDataCentre(dataCentre string) *customerClient {
+	restricted := *cc
+	restricted.schedulers = nil
+	for _, instance := range cc.cluster.deployment.Settings.InDataCentre(dataCentre) {
+		restricted.schedulers = append(restricted.schedulers, apiv1.NewSchedulerProtobufClient("http://"+instance.Entry, cc.client))
 	}
 	return &restricted
 }
 
 // operator returns calls on every entry instance with the operator's token.
-func (c *cluster) operator() (context.Context, []apiv1.Operations) {
-	ctx, err := rpc.WithBearer(c.ctx, "Bearer "+c.d.Tokens.Token(settings.Operator))
+func (c *cluster) operatorClients() (context.Context, []apiv1.Operations) {
+	ctx, err := rpc.WithBearer(c.ctx, "Bearer "+c.deployment.Tokens.Token(settings.Operator))
 	must.NoError(c.t, err)
 	client := rpc.NewClient(nil)
 	var operations []apiv1.Operations
-	for _, address := range c.d.Entries() {
+	for _, address := range c.deployment.Entries() {
 		operations = append(operations, apiv1.NewOperationsProtobufClient("http://"+address, client))
 	}
 	return ctx, operations
 }
 
 // served waits until every entry instance carries requests to a service.
-func (u *customer) served(service string) {
-	u.c.t.Helper()
-	for _, address := range u.c.d.Entries() {
-		u.c.eventually("requests through "+address, func() bool {
-			request, err := http.NewRequestWithContext(u.c.ctx, http.MethodGet, "http://"+address+"/s/"+service+"/", nil)
-			must.NoError(u.c.t, err)
-			request.Header.Set("Authorization", "Bearer "+u.token)
+func (cc *customerClient) awaitService(service string) {
+	cc.cluster.t.Helper()
+	for _, address := range cc.cluster.deployment.Entries() {
+		cc.cluster.eventually("requests through "+address, func() bool {
+			request, err := http.NewRequestWithContext(cc.cluster.ctx, http.MethodGet, "http://"+address+"/s/"+service+"/", nil)
+			must.NoError(cc.cluster.t, err)
+			request.Header.Set("Authorization", "Bearer "+cc.token)
 			response, err := http.DefaultClient.Do(request)
 			if err != nil {
 				return false
@@ -75,20 +75,20 @@
 }
 
 // tick is the pace at which lines fail and heal in a test.
-func (c *cluster) tick() <-chan time.Time { return time.After(150 * time.Millisecond) }
+func (c *cluster) partitionTick() <-chan time.Time { return time.After(150 * time.Millisecond) }
 
 // home asks for the data centre that is to answer for a request id.
-func (u *customer) home(spec *apiv1.Spec) string {
-	u.c.t.Helper()
+func (cc *customerClient) requestHome(spec *apiv1.Spec) string {
+	cc.cluster.t.Helper()
 	if spec.DataCentre != "" {
 		return spec.DataCentre
 	}
 	var home string
 	i := 0
-	u.c.eventually("an entry instance names a home", func() bool {
-		ctx, cancel := context.WithTimeout(u.ctx, time.Second)
+	cc.cluster.eventually("an entry instance names a home", func() bool {
+		ctx, cancel := context.WithTimeout(cc.ctx, time.Second)
 		defer cancel()
-		answer, err := u.scheduler[i%len(u.scheduler)].Home(ctx, &apiv1.HomeRequest{})
+		answer, err := cc.schedulers[i%len(cc.schedulers)].Home(ctx, &apiv1.HomeRequest{})
 		i++
 		home = answer.GetDataCentre()
 		return err == nil
@@ -97,17 +97,17 @@
 }
 
 // trySubmit sends a job until it is accepted or refused.
-func (u *customer) trySubmit(requestID string, spec *apiv1.Spec) (*apiv1.SubmitResponse, error) {
-	u.c.t.Helper()
+func (cc *customerClient) trySubmit(requestID string, spec *apiv1.Spec) (*apiv1.SubmitResponse, error) {
+	cc.cluster.t.Helper()
 	var answer *apiv1.SubmitResponse
 	var err error
-	home := u.home(spec)
+	home := cc.requestHome(spec)
 	i := 0
-	u.c.eventually("submission "+requestID+" is answered", func() bool {
-		ctx, cancel := context.WithTimeout(u.ctx, 5*time.Second)
+	cc.cluster.eventually("submission "+requestID+" is answered", func() bool {
+		ctx, cancel := context.WithTimeout(cc.ctx, 5*time.Second)
 		defer cancel()
 		request := &apiv1.SubmitRequest{RequestId: requestID, Spec: spec, Home: home}
-		answer, err = u.scheduler[i%len(u.scheduler)].Submit(ctx, request)
+		answer, err = cc.schedulers[i%len(cc.schedulers)].Submit(ctx, request)
 		i++
 		return !fault.Is(err, fault.Unavailable)
 	})
@@ -116,17 +116,17 @@
 
 // submit sends a job, again and again with the same request id until it is
 // answered, as callers are told to, over all entry instances in turn.
-func (u *customer) submit(requestID string, spec *apiv1.Spec) *apiv1.SubmitResponse {
-	u.c.t.Helper()
+func (cc *customerClient) submit(requestID string, spec *apiv1.Spec) *apiv1.SubmitResponse {
+	cc.cluster.t.Helper()
 	var answer *apiv1.SubmitResponse
-	home := u.home(spec)
+	home := cc.requestHome(spec)
 	i := 0
-	u.c.eventually("submission "+requestID+" is answered", func() bool {
-		ctx, cancel := context.WithTimeout(u.ctx, 5*time.Second)
+	cc.cluster.eventually("submission "+requestID+" is answered", func() bool {
+		ctx, cancel := context.WithTimeout(cc.ctx, 5*time.Second)
 		defer cancel()
 		var err error
 		request := &apiv1.SubmitRequest{RequestId: requestID, Spec: spec, Home: home}
-		answer, err = u.scheduler[i%len(u.scheduler)].Submit(ctx, request)
+		answer, err = cc.schedulers[i%len(cc.schedulers)].Submit(ctx, request)
 		i++
 		return err == nil
 	})
@@ -134,14 +134,14 @@
 }
 
 // status asks until some entry instance answers.
-func (u *customer) status(id string) *apiv1.Job {
-	u.c.t.Helper()
+func (cc *customerClient) status(id string) *apiv1.Job {
+	cc.cluster.t.Helper()
 	var job *apiv1.Job
 	i := 0
-	u.c.eventually("status of "+id, func() bool {
-		ctx, cancel := context.WithTimeout(u.ctx, 5*time.Second)
+	cc.cluster.eventually("status of "+id, func() bool {
+		ctx, cancel := context.WithTimeout(cc.ctx, 5*time.Second)
 		defer cancel()
-		answer, err := u.scheduler[i%len(u.scheduler)].Status(ctx, &apiv1.StatusRequest{Id: id, WithTasks: true})
+		answer, err := cc.schedulers[i%len(cc.schedulers)].Status(ctx, &apiv1.StatusRequest{Id: id, WithTasks: true})
 		i++
 		if err != nil {
 			return false
@@ -153,11 +153,11 @@
 }
 
 // await waits until a job has ended.
-func (u *customer) await(id string) *apiv1.Job {
-	u.c.t.Helper()
+func (cc *customerClient) awaitEnd(id string) *apiv1.Job {
+	cc.cluster.t.Helper()
 	var job *apiv1.Job
-	u.c.eventually("end of "+id, func() bool {
-		job = u.status(id)
+	cc.cluster.eventually("end of "+id, func() bool {
+		job = cc.status(id)
 		return job.State >= apiv1.JobState_JOB_STATE_FINISHED
 	})
 	return job
--- a/internal/e2e/end_test.go
+++ b/internal/e2e/end_test.go
@@ -14,18 +14,18 @@
 // Order: a job is accepted on its declared run time; it runs on; its deadline
 // passes; another job gets the workers.
 // Cause: declared run times are far off.
-func TestOverdueWorkIsEnded(t *testing.T) {
+func TestJobIsEndedAtItsDeadline(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(1)
-	u := c.customer(0)
+	customer := c.customer(0)
 	spec := batch("report", 16, 200, true)
 	spec.Payload = []byte(`{"runtime_ms": 600000}`)
 	spec.DeadlineUnixMs = time.Now().Add(3 * time.Second).UnixMilli()
-	job := u.await(u.submit("overdue", spec).Id)
+	job := customer.awaitEnd(customer.submit("overdue", spec).Id)
 	must.Eq(t, apiv1.JobState_JOB_STATE_FAILED, job.State)
 	must.Eq(t, "DeadlineUnreachable", job.ReasonKind)
-	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, u.await(u.submit("next", batch("report", 16, 50, true)).Id).State)
-	c.kept()
+	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(customer.submit("next", batch("report", 16, 50, true)).Id).State)
+	c.checkNoViolations()
 }
 
 // What a user sees: after the leader was lost, one line of events tells what
@@ -33,17 +33,17 @@
 // Order: a job starts; the leader is killed; the job ends under the next one;
 // an operator asks for the events of the job.
 // Cause: the instance that recorded the start took its memory with it.
-func TestTimeLineAfterALostLeader(t *testing.T) {
+func TestEventTimelineSurvivesLeaderLoss(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(2)
-	u := c.customer(0)
-	id := u.submit("told", batch("report", 1, 4000, true)).Id
-	c.eventually("the job runs", func() bool { return u.status(id).State == apiv1.JobState_JOB_STATE_RUNNING })
-	dataCentre := c.d.Settings.DataCentres()[0]
+	customer := c.customer(0)
+	id := customer.submit("told", batch("report", 1, 4000, true)).Id
+	c.eventually("the job runs", func() bool { return customer.status(id).State == apiv1.JobState_JOB_STATE_RUNNING })
+	dataCentre := c.deployment.Settings.DataCentres()[0]
 	lost := c.leader(dataCentre)
 	c.kill(lost + "/cell")
-	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, u.await(id).State)
-	ctx, operations := c.operator()
+	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(id).State)
+	ctx, operations := c.operatorClients()
 	events, err := operations[0].Events(ctx, &apiv1.EventsRequest{Subject: id})
 	must.NoError(t, err)
 	must.Eq(t, []string{lost + "/cell"}, events.UnreachableInstances)
--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -29,7 +29,7 @@
 
 // patience bounds every wait of these tests. Running out of it is a failure;
 // nothing is asserted about how much of it was used.
-const patience = 30 * time.Second
+const conditionTimeout = 30 * time.Second
 
 // raceVariable has the daemons built with the race detector. A race ends up in
 // their logs and in the exit code of a graceful stop.
@@ -59,12 +59,12 @@
 
 // cluster is a deployment of separate processes with stand-ins in this one.
 type cluster struct {
-	t       testing.TB
-	ctx     context.Context
-	d       *dev.Deployment
-	ledger  *standin.Ledger
-	client  *http.Client
-	network *network
+	t          testing.TB
+	ctx        context.Context
+	deployment *dev.Deployment
+	ledger     *standin.Ledger
+	client     *http.Client
+	network    *network
 	// settings are the files that the processes of each data centre read.
 	settings map[string]string
 
@@ -83,55 +83,55 @@
 
 // ports are ports that are held until the processes are started.
 type ports struct {
-	t    testing.TB
-	held []net.Listener
+	t         testing.TB
+	listeners []net.Listener
 }
 
 func newPorts(t testing.TB) *ports { return &ports{t: t} }
 
 // take holds a port that was free and returns its address.
-func (p *ports) take() string {
+func (p *ports) reserve() string {
 	for range highestPort - lowestPort {
 		address := fmt.Sprintf("127.0.0.1:%d", lowestPort+rand.IntN(highestPort-lowestPort))
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
 			continue
 		}
-		p.held = append(p.held, listener)
+		p.listeners = append(p.listeners, listener)
 		return address
 	}
 	p.t.Fatal("no port is free")
 	return ""
 }
 
-func (p *ports) free() {
-	for _, listener := range p.held {
+func (p *ports) release() {
+	for _, listener := range p.listeners {
 		must.NoError(p.t, listener.Close())
 	}
 }
 
 // newCluster starts one data centre's worth of an example, or all of it.
-func newCluster(t testing.TB, example string, change func(*settings.Settings)) *cluster {
+func newCluster(t testing.TB, example string, modify func(*settings.Settings)) *cluster {
 	ctx, cancel := context.WithCancel(context.Background())
-	d, listeners, err := dev.Unpack(example, t.TempDir())
+	deployment, listeners, err := dev.Unpack(example, t.TempDir())
 	must.NoError(t, err)
 	ports := newPorts(t)
-	for i := range d.Settings.Instances {
-		d.Settings.Instances[i].Entry, d.Settings.Instances[i].Cell = ports.take(), ports.take()
+	for i := range deployment.Settings.Instances {
+		deployment.Settings.Instances[i].Entry, deployment.Settings.Instances[i].Cell = ports.reserve(), ports.reserve()
 	}
 	for _, listener := range listeners {
 		must.NoError(t, listener.Close())
 	}
-	if change != nil {
-		change(d.Settings)
+	if modify != nil {
+		modify(deployment.Settings)
 	}
 	c := &cluster{
-		t: t, ctx: ctx, d: d, settings: make(map[string]string),
+		t: t, ctx: ctx, deployment: deployment, settings: make(map[string]string),
 		ledger: standin.NewLedger(), client: rpc.NewClient(nil), processes: make(map[string]*exec.Cmd),
 		network: &network{relays: make(map[[2]string][]*relay)},
 	}
-	for _, dataCentre := range d.Settings.DataCentres() {
-		c.settings[dataCentre] = c.writeSettings(dataCentre, c.network.between(c, dataCentre))
+	for _, dataCentre := range deployment.Settings.DataCentres() {
+		c.settings[dataCentre] = c.writeSettings(dataCentre, c.network.settingsSeenFrom(c, dataCentre))
 	}
 	t.Cleanup(func() {
 		cancel()
@@ -143,8 +143,8 @@
 			t.Log(c.logTail())
 		}
 	})
-	ports.free()
-	for _, instance := range d.Settings.Instances {
+	ports.release()
+	for _, instance := range deployment.Settings.Instances {
 		c.start(instance.ID, "cell")
 		c.start(instance.ID, "entry")
 	}
@@ -152,7 +152,7 @@
 }
 
 func (c *cluster) writeSettings(name string, s *settings.Settings) string {
-	path := filepath.Join(c.d.Folder, name+".processes.toml")
+	path := filepath.Join(c.deployment.Folder, name+".processes.toml")
 	file, err := os.Create(path)
 	must.NoError(c.t, err)
 	must.NoError(c.t, toml.NewEncoder(file).Encode(s))
@@ -167,24 +167,24 @@
 	return c.logs.Write(p)
 }
 
-const logTail = 200_000
+const logTailBytes = 200_000
 
 func (c *cluster) logTail() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := c.logs.String()
-	return all[max(0, len(all)-logTail):]
+	return all[max(0, len(all)-logTailBytes):]
 }
 
 // start runs one process of an instance.
 func (c *cluster) start(instance, role string) {
-	own, err := c.d.Settings.Instance(instance)
+	config, err := c.deployment.Settings.Instance(instance)
 	must.NoError(c.t, err)
-	c.run(instance, role, c.settings[own.DataCentre])
+	c.startWithSettings(instance, role, c.settings[config.DataCentre])
 }
 
-func (c *cluster) run(instance, role, path string, flags ...string) {
-	cmd := exec.Command(filepath.Join(binaries, "bilberry-"+role+"d"), append([]string{"--settings", path, "--instance", instance}, flags...)...)
+func (c *cluster) startWithSettings(instance, role, settingsPath string, flags ...string) {
+	cmd := exec.Command(filepath.Join(binaries, "bilberry-"+role+"d"), append([]string{"--settings", settingsPath, "--instance", instance}, flags...)...)
 	cmd.Stderr = c
 	must.NoError(c.t, cmd.Start())
 	c.mu.Lock()
@@ -203,16 +203,16 @@
 // kill ends a process at once, as kill -9 does.
 func (c *cluster) kill(process string) {
 	c.signal(process, syscall.SIGKILL)
-	_ = c.take(process).Wait()
+	_ = c.removeProcess(process).Wait()
 }
 
 // terminate ends a process gracefully and checks that it says so.
 func (c *cluster) terminate(process string) {
 	c.signal(process, syscall.SIGTERM)
-	must.NoError(c.t, c.take(process).Wait(), must.Sprint(process))
+	must.NoError(c.t, c.removeProcess(process).Wait(), must.Sprint(process))
 }
 
-func (c *cluster) take(process string) *exec.Cmd {
+func (c *cluster) removeProcess(process string) *exec.Cmd {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cmd := c.processes[process]
@@ -229,17 +229,17 @@
 	c.mu.Unlock()
 	for _, process := range running {
 		c.signal(process, syscall.SIGKILL)
-		_ = c.take(process).Wait()
+		_ = c.removeProcess(process).Wait()
 	}
 }
 
 // eventually waits for a condition.
-func (c *cluster) eventually(what string, condition func() bool) {
+func (c *cluster) eventually(description string, condition func() bool) {
 	c.t.Helper()
-	until := time.Now().Add(patience)
+	deadline := time.Now().Add(conditionTimeout)
 	for !condition() {
-		if time.Now().After(until) {
-			c.t.Fatalf("not within %s: %s", patience, what)
+		if time.Now().After(deadline) {
+			c.t.Fatalf("not within %s: %s", conditionTimeout, description)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -247,20 +247,20 @@
 
 // workers runs stand-in workers and waits until each holds a lease.
 func (c *cluster) workers(count int) *standin.Workers {
-	return c.workersIn(c.d.Settings.DataCentres(), count)
+	return c.workersIn(c.deployment.Settings.DataCentres(), count)
 }
 
 // workersIn runs stand-in workers in some of the data centres.
 func (c *cluster) workersIn(dataCentres []string, count int) *standin.Workers {
-	var sites []standin.Site
-	for _, site := range c.d.Sites() {
-		if slices.Contains(dataCentres, site.DataCentre) {
+	var sites []standin.DataCentre
+	for _, site := range c.deployment.DataCentres() {
+		if slices.Contains(dataCentres, site.Name) {
 			sites = append(sites, site)
 		}
 	}
 	w := standin.NewWorkers(standin.WorkersConfig{
-		Sites: sites, Count: count, PerRack: 4, Capacity: &apiv1.Resources{CpuMilli: 8000, MemoryMib: 32 << 10},
-		Token: c.d.Tokens.Token(settings.Worker), Ledger: c.ledger, Seed: 1,
+		DataCentres: sites, Count: count, PerRack: 4, Capacity: &apiv1.Resources{CpuMilli: 8000, MemoryMib: 32 << 10},
+		Token: c.deployment.Tokens.Token(settings.Worker), Ledger: c.ledger, Seed: 1,
 	})
 	go func() { _ = w.Run(c.ctx) }()
 	c.eventually("workers hold leases", func() bool { return w.Ready() == count })
@@ -270,7 +270,7 @@
 // minions runs stand-in minions and waits until they are known.
 func (c *cluster) minions(count int, service string) *standin.Minions {
 	m := standin.NewMinions(standin.MinionsConfig{
-		Sites: c.d.Sites(), Count: count, Service: service, Token: c.d.Tokens.Token(settings.Minion), Ledger: c.ledger,
+		DataCentres: c.deployment.DataCentres(), Count: count, Service: service, Token: c.deployment.Tokens.Token(settings.Minion), Ledger: c.ledger,
 	})
 	go func() { _ = m.Run(c.ctx) }()
 	c.eventually("minions are known", func() bool { return m.Ready() == count })
@@ -280,7 +280,7 @@
 // leader names the instance that leads a data centre.
 func (c *cluster) leader(dataCentre string) string {
 	c.t.Helper()
-	ctx, operations := c.operator()
+	ctx, operations := c.operatorClients()
 	var leader string
 	i := 0
 	c.eventually("a leader of "+dataCentre, func() bool {
@@ -301,7 +301,7 @@
 }
 
 // kept checks that the stand-ins saw no promise broken.
-func (c *cluster) kept() {
+func (c *cluster) checkNoViolations() {
 	c.t.Helper()
 	for _, violation := range c.ledger.Violations() {
 		c.t.Errorf("violation: %+v", violation)
--- a/internal/e2e/input_test.go
+++ b/internal/e2e/input_test.go
@@ -18,61 +18,61 @@
 
 // What a user sees: bad input gets an error that names what is wrong, nothing
 // is stored, and nobody learns of another customer's work.
-func TestBadInput(t *testing.T) {
+func TestInvalidInputIsRejected(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(2)
-	u, rival := c.customer(0), c.customer(1)
-	accepted := u.submit("known", batch("reports", 1, 50, true))
+	customer, otherCustomer := c.customer(0), c.customer(1)
+	accepted := customer.submit("known", batch("reports", 1, 50, true))
 
-	past := batch("reports", 1, 50, true)
-	past.DeadlineUnixMs = 1
-	_, err := u.trySubmit("past", past)
+	pastDeadline := batch("reports", 1, 50, true)
+	pastDeadline.DeadlineUnixMs = 1
+	_, err := customer.trySubmit("past", pastDeadline)
 	must.Eq(t, "deadline_unix_ms", fault.From(err).Field)
-	negative := batch("reports", 1, 50, true)
-	negative.Need.CpuMilli = -5
-	_, err = u.trySubmit("negative", negative)
+	negativeCPU := batch("reports", 1, 50, true)
+	negativeCPU.Need.CpuMilli = -5
+	_, err = customer.trySubmit("negative", negativeCPU)
 	must.Eq(t, "need.cpu_milli", fault.From(err).Field)
-	nowhere := batch("reports", 1, 50, true)
-	nowhere.DataCentre = "atlantis"
-	_, err = u.trySubmit("nowhere", nowhere)
+	unknownDataCentre := batch("reports", 1, 50, true)
+	unknownDataCentre.DataCentre = "atlantis"
+	_, err = customer.trySubmit("nowhere", unknownDataCentre)
 	must.Eq(t, "data_centre", fault.From(err).Field)
-	_, err = u.trySubmit("known", batch("other", 1, 50, true))
+	_, err = customer.trySubmit("known", batch("other", 1, 50, true))
 	must.True(t, fault.Is(err, fault.Conflict), must.Sprint(err))
 
 	for _, id := range []string{accepted.Id, "naas-hall.999", "nonsense", ""} {
-		_, err = rival.scheduler[0].Explain(rival.ctx, &apiv1.ExplainRequest{Id: id})
+		_, err = otherCustomer.schedulers[0].Explain(otherCustomer.ctx, &apiv1.ExplainRequest{Id: id})
 		must.True(t, fault.Is(err, fault.NotFound), must.Sprint(id, err))
-		_, err = rival.scheduler[0].Cancel(rival.ctx, &apiv1.CancelRequest{RequestId: "c" + id, Ids: []string{id}})
+		_, err = otherCustomer.schedulers[0].Cancel(otherCustomer.ctx, &apiv1.CancelRequest{RequestId: "c" + id, Ids: []string{id}})
 		must.True(t, fault.Is(err, fault.NotFound), must.Sprint(id, err))
 	}
-	listed, err := rival.scheduler[0].Status(rival.ctx, &apiv1.StatusRequest{IncludeEnded: true})
+	listed, err := otherCustomer.schedulers[0].Status(otherCustomer.ctx, &apiv1.StatusRequest{IncludeEnded: true})
 	must.NoError(t, err)
 	must.SliceEmpty(t, listed.Jobs)
-	listed, err = u.scheduler[0].Status(u.ctx, &apiv1.StatusRequest{IncludeEnded: true})
+	listed, err = customer.schedulers[0].Status(customer.ctx, &apiv1.StatusRequest{IncludeEnded: true})
 	must.NoError(t, err)
 	must.Len(t, 1, listed.Jobs)
 
-	stranger, err := rpc.WithBearer(c.ctx, "Bearer wrong")
+	wrongTokenCtx, err := rpc.WithBearer(c.ctx, "Bearer wrong")
 	must.NoError(t, err)
-	_, err = u.scheduler[0].Status(stranger, &apiv1.StatusRequest{})
+	_, err = customer.schedulers[0].Status(wrongTokenCtx, &apiv1.StatusRequest{})
 	must.True(t, fault.Is(err, fault.Denied), must.Sprint(err))
-	worker, err := rpc.WithBearer(c.ctx, "Bearer "+c.d.Tokens.Token(settings.Worker))
+	workerCtx, err := rpc.WithBearer(c.ctx, "Bearer "+c.deployment.Tokens.Token(settings.Worker))
 	must.NoError(t, err)
-	_, err = u.scheduler[0].Submit(worker, &apiv1.SubmitRequest{RequestId: "w", Spec: batch("reports", 1, 50, true)})
+	_, err = customer.schedulers[0].Submit(workerCtx, &apiv1.SubmitRequest{RequestId: "w", Spec: batch("reports", 1, 50, true)})
 	must.True(t, fault.Is(err, fault.Denied), must.Sprint(err))
-	must.Eq(t, http.StatusBadRequest, u.post(submitPath, []byte("\xff\xff not protobuf")))
-	must.Eq(t, http.StatusBadRequest, u.post(submitPath, bytes.Repeat([]byte{0x0a}, 2<<20)))
-	must.Eq(t, http.StatusNotFound, u.post("/twirp/bilberry.v1.Scheduler/Nothing", nil))
+	must.Eq(t, http.StatusBadRequest, customer.post(submitPath, []byte("\xff\xff not protobuf")))
+	must.Eq(t, http.StatusBadRequest, customer.post(submitPath, bytes.Repeat([]byte{0x0a}, 2<<20)))
+	must.Eq(t, http.StatusNotFound, customer.post("/twirp/bilberry.v1.Scheduler/Nothing", nil))
 }
 
 // post sends raw bytes as a call and returns the HTTP status.
-func (u *customer) post(path string, body []byte) int {
-	request, err := http.NewRequestWithContext(u.c.ctx, http.MethodPost, "http://"+u.c.d.Entries()[0]+path, bytes.NewReader(body))
-	must.NoError(u.c.t, err)
-	request.Header.Set("Authorization", "Bearer "+u.token)
+func (cc *customerClient) post(path string, body []byte) int {
+	request, err := http.NewRequestWithContext(cc.cluster.ctx, http.MethodPost, "http://"+cc.cluster.deployment.Entries()[0]+path, bytes.NewReader(body))
+	must.NoError(cc.cluster.t, err)
+	request.Header.Set("Authorization", "Bearer "+cc.token)
 	request.Header.Set("Content-Type", "application/protobuf")
 	response, err := http.DefaultClient.Do(request)
-	must.NoError(u.c.t, err)
+	must.NoError(cc.cluster.t, err)
 	defer response.Body.Close()
 	_, _ = io.Copy(io.Discard, response.Body)
 	return response.StatusCode
--- a/internal/e2e/leave_test.go
+++ b/internal/e2e/leave_test.go
@@ -17,14 +17,14 @@
 // Order: requests load all entry instances while two minions leave; a worker
 // is drained and another leaves while jobs go on.
 // Cause: targets are taken out of service every day.
-func TestLeavingMinionsAndWorkers(t *testing.T) {
+func TestLeavingMinionsAndWorkersLoseNoWork(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	workers := c.workers(4)
 	minions := c.minions(4, "inspect-hub")
-	u := c.customer(0)
-	u.served("inspect-hub")
+	customer := c.customer(0)
+	customer.awaitService("inspect-hub")
 	callers := standin.NewCallers(standin.CallersConfig{
-		Entries: c.d.Entries(), Service: "inspect-hub", Token: u.token, Rate: 200, Duration: 7 * time.Second,
+		Entries: c.deployment.Entries(), Service: "inspect-hub", Token: customer.token, Rate: 200, Duration: 7 * time.Second,
 		Deadline: 2 * time.Second, Seed: 3, Ledger: c.ledger,
 	})
 	done := make(chan error, 1)
@@ -32,23 +32,23 @@
 	for _, minion := range minions.All()[:2] {
 		go func() { _ = minion.Leave(c.ctx) }()
 	}
-	drained := c.drain()
+	drainedWorker := c.drainFirstWorker()
 	must.NoError(t, workers.All()[len(workers.All())-1].Leave(c.ctx))
-	job := u.await(u.submit("after", batch("reports", 12, 100, true)).Id)
+	job := customer.awaitEnd(customer.submit("after", batch("reports", 12, 100, true)).Id)
 	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, job.State)
 	for _, task := range job.Tasks {
-		must.NotEq(t, drained, task.Worker)
+		must.NotEq(t, drainedWorker, task.Worker)
 	}
 	must.NoError(t, <-done)
 	report := callers.Report()
-	must.Eq(t, report.Calls, report.Whole, must.Sprintf("%+v", report))
-	c.kept()
+	must.Eq(t, report.Calls, report.Correct, must.Sprintf("%+v", report))
+	c.checkNoViolations()
 }
 
 // drain takes the first worker out of placement and returns its id.
-func (c *cluster) drain() string {
-	ctx, operations := c.operator()
-	ctx, cancel := context.WithTimeout(ctx, patience)
+func (c *cluster) drainFirstWorker() string {
+	ctx, operations := c.operatorClients()
+	ctx, cancel := context.WithTimeout(ctx, conditionTimeout)
 	defer cancel()
 	listed, err := operations[0].Workers(ctx, &apiv1.WorkersRequest{})
 	must.NoError(c.t, err)
--- a/internal/e2e/member_test.go
+++ b/internal/e2e/member_test.go
@@ -21,31 +21,31 @@
 func TestInstanceReplacedThenAnotherLost(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
-	u := c.customer(0)
-	dataCentre := c.d.Settings.DataCentres()[0]
-	before := u.submit("before", batch("reports", 6, 400, true))
+	customer := c.customer(0)
+	dataCentre := c.deployment.Settings.DataCentres()[0]
+	before := customer.submit("before", batch("reports", 6, 400, true))
 	lost := c.follower(dataCentre)
 	c.kill(lost + "/cell")
 	c.kill(lost + "/entry")
-	added := c.add(settings.Instance{ID: "spare-1", DataCentre: dataCentre})
-	ctx, operations := c.operator()
+	added := c.startExtraInstance(settings.Instance{ID: "spare-1", DataCentre: dataCentre})
+	ctx, operations := c.operatorClients()
 	request := &apiv1.ReplaceInstanceRequest{
 		RequestId: "replace", DataCentre: dataCentre, OldInstance: lost, NewInstance: added.ID, NewAddress: added.Cell,
 	}
 	c.eventually("the instance is replaced", func() bool {
-		_, err := operations[c.entryOf(lost, false)].ReplaceInstance(ctx, request)
+		_, err := operations[c.entryIndex(lost, false)].ReplaceInstance(ctx, request)
 		must.False(t, err != nil && !fault.Is(err, fault.Unavailable), must.Sprint(err))
 		return err == nil
 	})
 	c.kill(c.leader(dataCentre) + "/cell")
 	var ids []string
 	for i := range 5 {
-		ids = append(ids, u.submit(fmt.Sprint("after-", i), batch("reports", 2, 100, false)).Id)
+		ids = append(ids, customer.submit(fmt.Sprint("after-", i), batch("reports", 2, 100, false)).Id)
 	}
 	for _, id := range append(ids, before.Id) {
-		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, u.await(id).State, must.Sprint(id))
+		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(id).State, must.Sprint(id))
 	}
-	c.kept()
+	c.checkNoViolations()
 }
 
 // What a user sees: nothing, though control instances without disks die and
@@ -53,50 +53,50 @@
 // Order: a diskless instance dies; hundreds of changes happen; it returns and
 // catches up; the others die one after the other and return as well.
 // Cause: processes restart after many changes have happened without them.
-func TestDisklessInstancesRestartBehind(t *testing.T) {
+func TestDisklessInstancesCatchUpAfterRestart(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
-	u := c.customer(0)
+	customer := c.customer(0)
 	var ids []string
-	for round, instance := range c.d.Settings.Instances {
+	for round, instance := range c.deployment.Settings.Instances {
 		c.kill(instance.ID + "/cell")
 		for i := range 30 {
-			ids = append(ids, u.submit(fmt.Sprint(round, "-", i), batch("reports", 4, 50, false)).Id)
+			ids = append(ids, customer.submit(fmt.Sprint(round, "-", i), batch("reports", 4, 50, false)).Id)
 		}
 		c.start(instance.ID, "cell")
 		c.caughtUp(instance.ID)
 	}
 	for _, id := range ids {
-		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, u.await(id).State, must.Sprint(id))
+		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(id).State, must.Sprint(id))
 	}
 	must.Eq(t, 4*len(ids), c.ledger.Starts())
-	c.kept()
+	c.checkNoViolations()
 }
 
 // caughtUp waits until an instance follows and has committed what the leader has.
 func (c *cluster) caughtUp(id string) {
 	c.t.Helper()
-	ctx, operations := c.operator()
+	ctx, operations := c.operatorClients()
 	c.eventually(id+" has caught up", func() bool {
 		answer, err := operations[0].Instances(ctx, &apiv1.InstancesRequest{})
 		if err != nil {
 			return false
 		}
-		var own, most uint64
+		var commitIndex, highest uint64
 		for _, instance := range answer.Instances {
-			most = max(most, instance.CommitIndex)
+			highest = max(highest, instance.CommitIndex)
 			if instance.Id == id && instance.Reachable && !instance.Recovering {
-				own = instance.CommitIndex
+				commitIndex = instance.CommitIndex
 			}
 		}
-		return own > 0 && own == most
+		return commitIndex > 0 && commitIndex == highest
 	})
 }
 
 // follower names an instance that doesn't lead its data centre.
 func (c *cluster) follower(dataCentre string) string {
 	leader := c.leader(dataCentre)
-	for _, instance := range c.d.Settings.InDataCentre(dataCentre) {
+	for _, instance := range c.deployment.Settings.InDataCentre(dataCentre) {
 		if instance.ID != leader {
 			return instance.ID
 		}
@@ -104,12 +104,12 @@
 	return ""
 }
 
-// entryOf is the index of an instance's entry process, or of another's.
-func (c *cluster) entryOf(id string, own bool) int {
-	instance, err := c.d.Settings.Instance(id)
+// entryIndex is the index of an instance's entry process, or of another's.
+func (c *cluster) entryIndex(id string, ofInstance bool) int {
+	instance, err := c.deployment.Settings.Instance(id)
 	must.NoError(c.t, err)
-	for i, address := range c.d.Entries() {
-		if (address == instance.Entry) == own {
+	for i, address := range c.deployment.Entries() {
+		if (address == instance.Entry) == ofInstance {
 			return i
 		}
 	}
@@ -117,15 +117,15 @@
 }
 
 // add starts an instance that the others' settings don't name.
-func (c *cluster) add(added settings.Instance) settings.Instance {
+func (c *cluster) startExtraInstance(added settings.Instance) settings.Instance {
 	ports := newPorts(c.t)
-	added.Entry, added.Cell = ports.take(), ports.take()
-	ports.free()
-	extended := *c.network.between(c, added.DataCentre)
+	added.Entry, added.Cell = ports.reserve(), ports.reserve()
+	ports.release()
+	extended := *c.network.settingsSeenFrom(c, added.DataCentre)
 	extended.Instances = append(extended.Instances, added)
-	path := c.writeSettings(added.ID, &extended)
-	c.run(added.ID, "cell", path)
-	c.run(added.ID, "entry", path)
+	settingsPath := c.writeSettings(added.ID, &extended)
+	c.startWithSettings(added.ID, "cell", settingsPath)
+	c.startWithSettings(added.ID, "entry", settingsPath)
 	return added
 }
 
@@ -136,29 +136,29 @@
 // Cause: hardware fails for good, twice in a row.
 func TestConfigurationVoterReplacedThenAnotherLost(t *testing.T) {
 	c := newCluster(t, "rackwise", nil)
-	ctx, operations := c.operator()
-	c.setConfig(ctx, operations, "first", 0, limits(100))
-	names := c.d.Settings.DataCentres()
-	lost := c.voter(names[0])
+	ctx, operations := c.operatorClients()
+	c.setConfig(ctx, operations, "first", 0, configWithCPULimit(100))
+	names := c.deployment.Settings.DataCentres()
+	lost := c.configVoter(names[0])
 	c.kill(lost + "/cell")
 	c.kill(lost + "/entry")
-	added := c.add(settings.Instance{ID: "spare-1", DataCentre: names[0], ConfigVoter: true})
+	added := c.startExtraInstance(settings.Instance{ID: "spare-1", DataCentre: names[0], ConfigVoter: true})
 	request := &apiv1.ReplaceInstanceRequest{
 		RequestId: "replace", DataCentre: names[0], OldInstance: lost, NewInstance: added.ID, NewAddress: added.Cell,
 	}
-	remaining := operations[c.entryOf(lost, false):]
+	remaining := operations[c.entryIndex(lost, false):]
 	c.eventually("the voter is replaced", func() bool {
 		_, err := remaining[0].ReplaceInstance(ctx, request)
 		must.False(t, err != nil && !fault.Is(err, fault.Unavailable), must.Sprint(err))
 		return err == nil
 	})
-	c.kill(c.voter(names[1]) + "/cell")
-	c.setConfig(ctx, remaining, "second", 1, limits(200))
+	c.kill(c.configVoter(names[1]) + "/cell")
+	c.setConfig(ctx, remaining, "second", 1, configWithCPULimit(200))
 }
 
 // voter names the instance of a data centre that votes on the configuration.
-func (c *cluster) voter(dataCentre string) string {
-	for _, instance := range c.d.Settings.InDataCentre(dataCentre) {
+func (c *cluster) configVoter(dataCentre string) string {
+	for _, instance := range c.deployment.Settings.InDataCentre(dataCentre) {
 		if instance.ConfigVoter {
 			return instance.ID
 		}
@@ -171,19 +171,19 @@
 // Order: services with large payloads are accepted; a diskless instance dies
 // and returns; what it is sent is longer than any caller may send.
 // Cause: one limit for the bodies of callers and of peers.
-func TestLargeStateCatchesUp(t *testing.T) {
+func TestLargeStateReachesRestartedInstance(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(4)
-	u := c.customer(0)
+	customer := c.customer(0)
 	for i := range 40 {
 		spec := batch(fmt.Sprint("service-", i), 1, 0, true)
 		spec.Policy, spec.DeadlineUnixMs = apiv1.Policy_POLICY_SERVICE, 0
 		spec.Payload = bytes.Repeat([]byte("x"), 60<<10)
-		u.submit(spec.Name, spec)
+		customer.submit(spec.Name, spec)
 	}
-	lost := c.follower(c.d.Settings.DataCentres()[0])
+	lost := c.follower(c.deployment.Settings.DataCentres()[0])
 	c.kill(lost + "/cell")
 	c.start(lost, "cell")
 	c.caughtUp(lost)
-	c.kept()
+	c.checkNoViolations()
 }
--- a/internal/e2e/network_test.go
+++ b/internal/e2e/network_test.go
@@ -26,64 +26,64 @@
 
 	mu      sync.Mutex
 	changed *sync.Cond
-	cut     bool
+	blocked bool
 	conns   []net.Conn
 }
 
 // between returns the settings as the processes of one data centre see them.
-func (n *network) between(c *cluster, home string) *settings.Settings {
-	seen := *c.d.Settings
-	seen.Instances = slices.Clone(seen.Instances)
-	for i := range seen.Instances {
-		instance := &seen.Instances[i]
-		if instance.DataCentre == home {
+func (n *network) settingsSeenFrom(c *cluster, dataCentre string) *settings.Settings {
+	adjusted := *c.deployment.Settings
+	adjusted.Instances = slices.Clone(adjusted.Instances)
+	for i := range adjusted.Instances {
+		instance := &adjusted.Instances[i]
+		if instance.DataCentre == dataCentre {
 			continue
 		}
-		line := [2]string{home, instance.DataCentre}
-		instance.Entry = n.relay(c, line, instance.Entry)
-		instance.Cell = n.relay(c, line, instance.Cell)
+		link := [2]string{dataCentre, instance.DataCentre}
+		instance.Entry = n.relay(c, link, instance.Entry)
+		instance.Cell = n.relay(c, link, instance.Cell)
 	}
-	return &seen
+	return &adjusted
 }
 
-func (n *network) relay(c *cluster, line [2]string, target string) string {
+func (n *network) relay(c *cluster, link [2]string, target string) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(c.t, err)
 	c.t.Cleanup(func() { _ = listener.Close() })
 	r := &relay{listener: listener, target: target}
 	r.changed = sync.NewCond(&r.mu)
 	n.mu.Lock()
-	n.relays[line] = append(n.relays[line], r)
+	n.relays[link] = append(n.relays[link], r)
 	n.mu.Unlock()
 	go r.accept()
 	return listener.Addr().String()
 }
 
 // set cuts a data centre off from all others, or heals the lines.
-func (n *network) set(dataCentre string, cut bool) {
+func (n *network) setPartitioned(dataCentre string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for line, relays := range n.relays {
-		if line[0] != dataCentre && line[1] != dataCentre {
+	for link, relays := range n.relays {
+		if link[0] != dataCentre && link[1] != dataCentre {
 			continue
 		}
 		for _, r := range relays {
-			r.set(cut)
+			r.setBlocked(partitioned)
 		}
 	}
 }
 
 // set holds back all bytes, or drops the connections that were held back.
-func (r *relay) set(cut bool) {
+func (r *relay) setBlocked(blocked bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cut && !cut {
+	if r.blocked && !blocked {
 		for _, conn := range r.conns {
 			_ = conn.Close()
 		}
 		r.conns = nil
 	}
-	r.cut = cut
+	r.blocked = blocked
 	r.changed.Broadcast()
 }
 
@@ -93,13 +93,13 @@
 		if err != nil {
 			return
 		}
-		go r.carry(conn)
+		go r.forward(conn)
 	}
 }
 
-func (r *relay) carry(from net.Conn) {
+func (r *relay) forward(from net.Conn) {
 	defer from.Close()
-	r.hold()
+	r.waitWhileBlocked()
 	to, err := net.Dial("tcp", r.target)
 	if err != nil {
 		return
@@ -109,29 +109,29 @@
 	r.conns = append(r.conns, from, to)
 	r.mu.Unlock()
 	go func() {
-		r.copy(to, from)
+		r.copyBytes(to, from)
 		_ = to.Close()
 	}()
-	r.copy(from, to)
+	r.copyBytes(from, to)
 }
 
 // copy forwards bytes one way until a side closes.
-func (r *relay) copy(to io.Writer, from io.Reader) {
+func (r *relay) copyBytes(to io.Writer, from io.Reader) {
 	buffer := make([]byte, 32<<10)
 	for {
 		count, err := from.Read(buffer)
-		r.hold()
-		if _, failed := to.Write(buffer[:count]); err != nil || failed != nil {
+		r.waitWhileBlocked()
+		if _, writeErr := to.Write(buffer[:count]); err != nil || writeErr != nil {
 			return
 		}
 	}
 }
 
 // hold waits while the line is cut.
-func (r *relay) hold() {
+func (r *relay) waitWhileBlocked() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for r.cut {
+	for r.blocked {
 		r.changed.Wait()
 	}
 }
--- a/internal/e2e/path_test.go
+++ b/internal/e2e/path_test.go
@@ -17,37 +17,37 @@
 // Order: callers load all entry instances; jobs run; one entry process is
 // killed; callers whose connection broke ask another instance.
 // Cause: the instance fails without a word, with answers under way.
-func TestEntryKilledInTheMiddle(t *testing.T) {
+func TestEntryInstanceKilledUnderLoad(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
 	c.minions(6, "inspect-hub")
-	u := c.customer(0)
-	u.served("inspect-hub")
-	first := u.submit("before", batch("reports", 12, 400, true))
+	customer := c.customer(0)
+	customer.awaitService("inspect-hub")
+	first := customer.submit("before", batch("reports", 12, 400, true))
 	callers := standin.NewCallers(standin.CallersConfig{
-		Entries: c.d.Entries(), Service: "inspect-hub", Token: u.token, Rate: 300, Duration: 3 * time.Second,
+		Entries: c.deployment.Entries(), Service: "inspect-hub", Token: customer.token, Rate: 300, Duration: 3 * time.Second,
 		Deadline: 2 * time.Second, Resend: true, Seed: 1, Ledger: c.ledger,
 	})
 	done := make(chan error, 1)
 	go func() { done <- callers.Run(c.ctx) }()
-	once := u.submit("once", batch("check-in", 4, 300, false))
-	c.kill(c.d.Settings.Instances[1].ID + "/entry")
-	last := u.submit("after", batch("reports", 12, 200, true))
+	nonIdempotent := customer.submit("once", batch("check-in", 4, 300, false))
+	c.kill(c.deployment.Settings.Instances[1].ID + "/entry")
+	last := customer.submit("after", batch("reports", 12, 200, true))
 	must.NoError(t, <-done)
-	for _, id := range []string{first.Id, once.Id, last.Id} {
-		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, u.await(id).State, must.Sprint(id))
+	for _, id := range []string{first.Id, nonIdempotent.Id, last.Id} {
+		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(id).State, must.Sprint(id))
 	}
 	report := callers.Report()
 	must.Eq(t, 0, report.Wrong)
 	must.Eq(t, 0, report.Late)
 	must.Eq(t, 0, report.TimedOut)
-	must.Eq(t, report.Calls, report.Whole+report.Broken+report.NotSent+refusals(report), must.Sprintf("%+v", report))
-	must.Positive(t, report.Whole)
-	c.kept()
+	must.Eq(t, report.Calls, report.Correct+report.Broken+report.NotSent+refusedCalls(report), must.Sprintf("%+v", report))
+	must.Positive(t, report.Correct)
+	c.checkNoViolations()
 }
 
 // refusals counts the calls that were told that they had not run.
-func refusals(report standin.CallersReport) int64 {
+func refusedCalls(report standin.CallersReport) int64 {
 	var sum int64
 	for _, count := range report.Refused {
 		sum += count
@@ -64,19 +64,19 @@
 func TestLeaderKilledUnderLoad(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
-	u := c.customer(0)
+	customer := c.customer(0)
 	var ids []string
 	for i := range 30 {
 		if i == 10 {
-			c.kill(c.leader(c.d.Settings.DataCentres()[0]) + "/cell")
+			c.kill(c.leader(c.deployment.Settings.DataCentres()[0]) + "/cell")
 		}
-		ids = append(ids, u.submit(fmt.Sprint("load-", i), batch("reports", 3, 150, i%2 == 0)).Id)
+		ids = append(ids, customer.submit(fmt.Sprint("load-", i), batch("reports", 3, 150, i%2 == 0)).Id)
 	}
 	for _, id := range ids {
-		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, u.await(id).State, must.Sprint(id))
+		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(id).State, must.Sprint(id))
 	}
 	must.Eq(t, 90, c.ledger.Starts())
-	c.kept()
+	c.checkNoViolations()
 }
 
 // What a user sees: nothing runs twice when a control instance freezes.
@@ -86,19 +86,19 @@
 func TestLeaderPausedPastItsLease(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
-	u := c.customer(0)
-	dataCentre := c.d.Settings.DataCentres()[0]
-	old := c.leader(dataCentre)
-	before := u.submit("before", batch("reports", 6, 300, false))
-	c.signal(old+"/cell", syscall.SIGSTOP)
-	during := u.submit("during", batch("reports", 6, 300, false))
-	must.NotEq(t, old, c.leader(dataCentre))
-	c.signal(old+"/cell", syscall.SIGCONT)
-	after := u.submit("after", batch("reports", 6, 300, false))
+	customer := c.customer(0)
+	dataCentre := c.deployment.Settings.DataCentres()[0]
+	pausedLeader := c.leader(dataCentre)
+	before := customer.submit("before", batch("reports", 6, 300, false))
+	c.signal(pausedLeader+"/cell", syscall.SIGSTOP)
+	during := customer.submit("during", batch("reports", 6, 300, false))
+	must.NotEq(t, pausedLeader, c.leader(dataCentre))
+	c.signal(pausedLeader+"/cell", syscall.SIGCONT)
+	after := customer.submit("after", batch("reports", 6, 300, false))
 	for _, id := range []string{before.Id, during.Id, after.Id} {
-		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, u.await(id).State, must.Sprint(id))
+		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(id).State, must.Sprint(id))
 	}
-	c.kept()
+	c.checkNoViolations()
 }
 
 // What a user sees: a release of the system goes by unnoticed.
@@ -109,18 +109,18 @@
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
 	c.minions(6, "inspect-hub")
-	u := c.customer(0)
-	u.served("inspect-hub")
+	customer := c.customer(0)
+	customer.awaitService("inspect-hub")
 	callers := standin.NewCallers(standin.CallersConfig{
-		Entries: c.d.Entries(), Service: "inspect-hub", Token: u.token, Rate: 100, Duration: 12 * time.Second,
+		Entries: c.deployment.Entries(), Service: "inspect-hub", Token: customer.token, Rate: 100, Duration: 12 * time.Second,
 		Deadline: 4 * time.Second, Resend: true, Seed: 2, Ledger: c.ledger,
 	})
 	done := make(chan error, 1)
 	go func() { done <- callers.Run(c.ctx) }()
 	var ids []string
-	for i, instance := range c.d.Settings.Instances {
+	for i, instance := range c.deployment.Settings.Instances {
 		for _, role := range []string{"cell", "entry"} {
-			ids = append(ids, u.submit(fmt.Sprint(role, i), batch("reports", 3, 200, false)).Id)
+			ids = append(ids, customer.submit(fmt.Sprint(role, i), batch("reports", 3, 200, false)).Id)
 			c.terminate(instance.ID + "/" + role)
 			c.start(instance.ID, role)
 			c.leader(instance.DataCentre)
@@ -128,12 +128,12 @@
 	}
 	must.NoError(t, <-done)
 	for _, id := range ids {
-		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, u.await(id).State, must.Sprint(id))
+		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(id).State, must.Sprint(id))
 	}
 	report := callers.Report()
 	must.Eq(t, 0, report.Wrong)
 	must.Eq(t, 0, report.Broken, must.Sprintf("%+v", report))
-	c.kept()
+	c.checkNoViolations()
 }
 
 // What a user sees: an accepted job that shows as running for ever.
@@ -141,24 +141,24 @@
 // timeout, again and again, and goes on leading in the same term; then jobs are
 // submitted.
 // Cause: commands numbered anew within a term, which workers take for repeats.
-func TestFollowersPausedForAMoment(t *testing.T) {
+func TestCommandsRunAfterBriefFollowerPauses(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(2)
-	u := c.customer(0)
-	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, u.await(u.submit("before", batch("reports", 8, 50, true)).Id).State)
-	leader := c.leader(c.d.Settings.DataCentres()[0])
+	customer := c.customer(0)
+	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(customer.submit("before", batch("reports", 8, 50, true)).Id).State)
+	leader := c.leader(c.deployment.Settings.DataCentres()[0])
 	for range 4 {
 		c.signalFollowers(leader, syscall.SIGSTOP)
 		time.Sleep(900 * time.Millisecond)
 		c.signalFollowers(leader, syscall.SIGCONT)
 		time.Sleep(900 * time.Millisecond)
 	}
-	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, u.await(u.submit("after", batch("reports", 6, 50, true)).Id).State)
-	c.kept()
+	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(customer.submit("after", batch("reports", 6, 50, true)).Id).State)
+	c.checkNoViolations()
 }
 
 func (c *cluster) signalFollowers(leader string, signal syscall.Signal) {
-	for _, instance := range c.d.Settings.Instances {
+	for _, instance := range c.deployment.Settings.Instances {
 		if instance.ID != leader {
 			c.signal(instance.ID+"/cell", signal)
 		}
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -14,7 +14,7 @@
 
 // Event is one change of state.
 type Event struct {
-	Stamp      hlc.Timestamp `cbor:"1,keyasint"`
+	Timestamp  hlc.Timestamp `cbor:"1,keyasint"`
 	Instance   string        `cbor:"2,keyasint"`
 	DataCentre string        `cbor:"3,keyasint,omitempty"`
 	// Kind is a short name of what happened, such as "leader" or "task started".
@@ -32,8 +32,8 @@
 // ToAPI returns the event as it crosses the wire.
 func (e *Event) ToAPI() *apiv1.Event {
 	return &apiv1.Event{
-		WallMs:     e.Stamp.Wall,
-		Logical:    e.Stamp.Logical,
+		WallMs:     e.Timestamp.Wall,
+		Logical:    e.Timestamp.Logical,
 		Instance:   e.Instance,
 		DataCentre: e.DataCentre,
 		Kind:       e.Kind,
@@ -45,7 +45,7 @@
 // FromAPI reads an event from the wire.
 func FromAPI(wire *apiv1.Event) Event {
 	return Event{
-		Stamp:      hlc.Timestamp{Wall: wire.GetWallMs(), Logical: wire.GetLogical()},
+		Timestamp:  hlc.Timestamp{Wall: wire.GetWallMs(), Logical: wire.GetLogical()},
 		Instance:   wire.GetInstance(),
 		DataCentre: wire.GetDataCentre(),
 		Kind:       wire.GetKind(),
@@ -82,12 +82,12 @@
 	for _, list := range lists {
 		all = append(all, list...)
 	}
-	slices.SortStableFunc(all, compare)
-	return slices.CompactFunc(all, same)
+	slices.SortStableFunc(all, compareEvents)
+	return slices.CompactFunc(all, equalEvents)
 }
 
-func compare(a, b Event) int {
-	if c := a.Stamp.Compare(b.Stamp); c != 0 {
+func compareEvents(a, b Event) int {
+	if c := a.Timestamp.Compare(b.Timestamp); c != 0 {
 		return c
 	}
 	return cmp.Or(
@@ -98,7 +98,7 @@
 	)
 }
 
-func same(a, b Event) bool { return compare(a, b) == 0 }
+func equalEvents(a, b Event) bool { return compareEvents(a, b) == 0 }
 
 // Ring keeps the last events of a process, bounded in number. It is safe for
 // use by many goroutines.
@@ -134,7 +134,7 @@
 	var found []Event
 	for i := len(r.events) - 1; i >= 0; i-- {
 		e := r.events[(r.next+i)%len(r.events)]
-		if e.Stamp.Wall < sinceMs || !e.Concerns(subject) {
+		if e.Timestamp.Wall < sinceMs || !e.Concerns(subject) {
 			continue
 		}
 		found = append(found, e)
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -14,44 +14,44 @@
 	"github.com/bilberryferry/bilberryferry/hlc"
 )
 
-func at(wall int64, logical uint32, instance, kind string, subjects ...string) Event {
-	return Event{Stamp: hlc.Timestamp{Wall: wall, Logical: logical}, Instance: instance, Kind: kind, Subjects: subjects}
+func eventAt(wall int64, logical uint32, instance, kind string, subjects ...string) Event {
+	return Event{Timestamp: hlc.Timestamp{Wall: wall, Logical: logical}, Instance: instance, Kind: kind, Subjects: subjects}
 }
 
 func TestRing(t *testing.T) {
 	r := NewRing(3)
 	for i := range int64(5) {
-		r.Append(at(i, 0, "a", "k", fmt.Sprint(i%2)))
+		r.Append(eventAt(i, 0, "a", "k", fmt.Sprint(i%2)))
 	}
 	must.Eq(t, 3, r.Len())
 	all := r.Since("", 0, 0)
-	must.Eq(t, []int64{2, 3, 4}, []int64{all[0].Stamp.Wall, all[1].Stamp.Wall, all[2].Stamp.Wall})
+	must.Eq(t, []int64{2, 3, 4}, []int64{all[0].Timestamp.Wall, all[1].Timestamp.Wall, all[2].Timestamp.Wall})
 	must.Len(t, 2, r.Since("0", 0, 0))
 	must.Len(t, 1, r.Since("0", 3, 0))
-	must.Eq(t, int64(4), r.Since("", 0, 1)[0].Stamp.Wall)
+	must.Eq(t, int64(4), r.Since("", 0, 1)[0].Timestamp.Wall)
 	must.SliceEmpty(t, r.Since("other", 0, 10))
 }
 
 // A leader is killed and another takes over; the instances' wall clocks differ
 // by seconds. The merged line must tell the loss before the election and the
 // election before the start that the new leader commands.
-func TestMergeTellsCausalOrder(t *testing.T) {
+func TestMergeKeepsCausalOrder(t *testing.T) {
 	wall := time.UnixMilli(1_000_000)
-	leader := NewRecorder(Config{Instance: "a", Clock: new(hlc.Clock), Wall: func() time.Time { return wall }})
-	follower, worker := new(hlc.Clock), new(hlc.Clock)
-	next := NewRecorder(Config{Instance: "b", Clock: follower, Wall: func() time.Time { return wall.Add(-3 * time.Second) }})
-	last := NewRecorder(Config{Instance: "c", Clock: worker, Wall: func() time.Time { return wall.Add(-5 * time.Second) }})
+	leaderRecorder := NewRecorder(Config{Instance: "a", Clock: new(hlc.Clock), Wall: func() time.Time { return wall }})
+	followerClock, workerClock := new(hlc.Clock), new(hlc.Clock)
+	followerRecorder := NewRecorder(Config{Instance: "b", Clock: followerClock, Wall: func() time.Time { return wall.Add(-3 * time.Second) }})
+	workerRecorder := NewRecorder(Config{Instance: "c", Clock: workerClock, Wall: func() time.Time { return wall.Add(-5 * time.Second) }})
 
-	leader.Record("leader", "term 1", "cell")
-	heartbeat := leader.Since("", 0, 0)[0].Stamp
-	follower.Observe(heartbeat, wall.Add(-3*time.Second))
-	next.Record("leader lost", "term 1", "cell")
-	next.Record("leader", "term 2", "cell")
-	command := next.Since("", 0, 0)[1].Stamp
-	worker.Observe(command, wall.Add(-5*time.Second))
-	last.Record("task started", "term 2", "job-1")
+	leaderRecorder.Record("leader", "term 1", "cell")
+	heartbeat := leaderRecorder.Since("", 0, 0)[0].Timestamp
+	followerClock.Observe(heartbeat, wall.Add(-3*time.Second))
+	followerRecorder.Record("leader lost", "term 1", "cell")
+	followerRecorder.Record("leader", "term 2", "cell")
+	command := followerRecorder.Since("", 0, 0)[1].Timestamp
+	workerClock.Observe(command, wall.Add(-5*time.Second))
+	workerRecorder.Record("task started", "term 2", "job-1")
 
-	merged := Merge(last.Since("", 0, 0), next.Since("", 0, 0), leader.Since("", 0, 0), next.Since("", 0, 0))
+	merged := Merge(workerRecorder.Since("", 0, 0), followerRecorder.Since("", 0, 0), leaderRecorder.Since("", 0, 0), followerRecorder.Since("", 0, 0))
 	var kinds []string
 	for _, e := range merged {
 		kinds = append(kinds, e.Instance+" "+e.Kind)
@@ -60,12 +60,12 @@
 	must.Eq(t, merged, ListFromAPI(ListToAPI(merged)))
 }
 
-func TestRecorderBoundsWhatItKeeps(t *testing.T) {
+func TestRecorderTruncatesLongFields(t *testing.T) {
 	r := NewRecorder(Config{Instance: "a", Clock: new(hlc.Clock)})
 	r.Record("k", strings.Repeat("é", 1000), make([]string, 100)...)
 	r.Record("k", "\xff\xfe", strings.Repeat("x", 1000))
 	for _, e := range r.Since("", 0, 0) {
-		must.LessEq(t, maxDetail, len(e.Detail))
+		must.LessEq(t, maxDetailBytes, len(e.Detail))
 		must.True(t, utf8.ValidString(e.Detail))
 	}
 	var none *Recorder
@@ -75,35 +75,35 @@
 
 // A process is killed while it writes an event. After the restart the earlier
 // events are there, the cut line is skipped and the next event isn't glued to it.
-func TestFileAfterCrash(t *testing.T) {
+func TestFileSkipsPartialLineAfterCrash(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "events")
 	f, err := OpenFile(path, 0)
 	must.NoError(t, err)
-	f.Append(at(1, 0, "a", "first", "x"))
+	f.Append(eventAt(1, 0, "a", "first", "x"))
 	must.NoError(t, f.Close())
-	cut, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
+	raw, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
 	must.NoError(t, err)
-	_, err = cut.WriteString(`{"format":1,"wall`)
+	_, err = raw.WriteString(`{"format":1,"wall`)
 	must.NoError(t, err)
-	must.NoError(t, cut.Close())
+	must.NoError(t, raw.Close())
 
 	f, err = OpenFile(path, 0)
 	must.NoError(t, err)
 	r := NewRecorder(Config{Clock: new(hlc.Clock), File: f})
-	must.Eq(t, []Event{at(1, 0, "a", "first", "x")}, r.Since("", 0, 0))
+	must.Eq(t, []Event{eventAt(1, 0, "a", "first", "x")}, r.Since("", 0, 0))
 	r.Record("second", "")
 	must.NoError(t, f.Close())
 	r.Record("after close", "")
 	must.Len(t, 2, readEvents(path))
 }
 
-func TestFileIsBounded(t *testing.T) {
+func TestFileRotationBoundsDiskUse(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "events")
 	const limit = 2000
 	for i := range int64(100) {
 		f, err := OpenFile(path, limit)
 		must.NoError(t, err)
-		f.Append(at(i, 0, "a", "k"))
+		f.Append(eventAt(i, 0, "a", "k"))
 		must.NoError(t, f.Close())
 	}
 	for _, name := range []string{path, path + previousSuffix} {
@@ -112,13 +112,13 @@
 		must.LessEq(t, int64(limit), info.Size())
 	}
 	events := append(readEvents(path+previousSuffix), readEvents(path)...)
-	must.Eq(t, int64(99), events[len(events)-1].Stamp.Wall)
+	must.Eq(t, int64(99), events[len(events)-1].Timestamp.Wall)
 }
 
 // A caller names its job with markup and terminal controls. Neither the page
 // nor the terminal of the operator who looks at the time line may act on them.
-func TestHostileTextIsShownAsText(t *testing.T) {
-	e := at(1, 1, "a", "<script>alert(1)</script>", "\"><img src=x onerror=alert(1)>", "\x1b[2J")
+func TestOutputEscapesMarkupAndControlCharacters(t *testing.T) {
+	e := eventAt(1, 1, "a", "<script>alert(1)</script>", "\"><img src=x onerror=alert(1)>", "\x1b[2J")
 	e.Detail = "first\nsecond\u202e"
 	var page, text strings.Builder
 	must.NoError(t, WriteHTML(&page, Page{Title: "<b>", Unreachable: []string{"<i>"}}, []Event{e}))
@@ -132,7 +132,7 @@
 	must.StrNotContains(t, text.String(), "\u202e")
 }
 
-func TestPageNeedsNoOtherFile(t *testing.T) {
+func TestHTMLPageIsSelfContained(t *testing.T) {
 	var page strings.Builder
 	must.NoError(t, WriteHTML(&page, Page{Title: "empty"}, nil))
 	for _, reference := range []string{"http://", "https://", "src=", "href=", "url(", "@import"} {
--- a/internal/event/file.go
+++ b/internal/event/file.go
@@ -12,8 +12,8 @@
 // DefaultFileBytes is the size at which the file of events is rotated.
 const DefaultFileBytes = 4 << 20
 
-// fileQueue is how many events wait for the disk at most.
-const fileQueue = 1024
+// maxQueuedEvents is how many events wait for the disk at most.
+const maxQueuedEvents = 1024
 
 // previousSuffix names the one older file that rotation keeps.
 const previousSuffix = ".1"
@@ -23,18 +23,18 @@
 // file serves people; nothing of the system's own state depends on it, so it
 // isn't synced, and an event that the disk is too slow for is left out of it.
 type File struct {
-	path    string
-	limit   int64
-	size    int64
-	file    *os.File
-	earlier []Event
-	queue   chan Event
-	done    chan struct{}
-
-	mu     sync.Mutex
-	closed bool
-	err    error
-	missed int
+	path   string
+	limit  int64
+	size   int64
+	file   *os.File
+	loaded []Event
+	queue  chan Event
+	done   chan struct{}
+
+	mu      sync.Mutex
+	closed  bool
+	err     error
+	dropped int
 }
 
 // fileEvent is the line format. Format guards against mixed programs.
@@ -57,8 +57,8 @@
 	if limit <= 0 {
 		limit = DefaultFileBytes
 	}
-	f := &File{path: path, limit: limit, queue: make(chan Event, fileQueue), done: make(chan struct{})}
-	f.earlier = append(readEvents(path+previousSuffix), readEvents(path)...)
+	f := &File{path: path, limit: limit, queue: make(chan Event, maxQueuedEvents), done: make(chan struct{})}
+	f.loaded = append(readEvents(path+previousSuffix), readEvents(path)...)
 	if err := f.open(); err != nil {
 		return nil, err
 	}
@@ -78,8 +78,8 @@
 			continue
 		}
 		e := Event{Instance: l.Instance, DataCentre: l.DataCentre, Kind: l.Kind, Subjects: l.Subjects, Detail: l.Detail}
-		e.Stamp.Wall = l.Wall
-		e.Stamp.Logical = l.Logical
+		e.Timestamp.Wall = l.Wall
+		e.Timestamp.Logical = l.Logical
 		events = append(events, e)
 	}
 	return events
@@ -118,7 +118,7 @@
 }
 
 // Earlier returns the events that the file held when it was opened.
-func (f *File) Earlier() []Event { return f.earlier }
+func (f *File) Loaded() []Event { return f.loaded }
 
 // Append queues an event for the disk and doesn't wait for it.
 func (f *File) Append(e Event) {
@@ -130,16 +130,16 @@
 	select {
 	case f.queue <- e:
 	default:
-		f.missed++
+		f.dropped++
 	}
 }
 
 // Missed returns how many events are not in the file because the disk was too
 // slow or refused them.
-func (f *File) Missed() int {
+func (f *File) Dropped() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.missed
+	return f.dropped
 }
 
 // Close writes what is queued, closes the file and returns the first error of writing.
@@ -158,7 +158,7 @@
 	defer close(f.done)
 	for e := range f.queue {
 		if err := f.write(e); err != nil {
-			f.miss(err)
+			f.recordDrop(err)
 		}
 	}
 	if f.file != nil {
@@ -168,10 +168,10 @@
 
 // miss counts an event that couldn't be written. A full disk may have room
 // again later, so the file is tried again with the next event.
-func (f *File) miss(err error) {
+func (f *File) recordDrop(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.missed++
+	f.dropped++
 	if f.err == nil {
 		f.err = err
 	}
@@ -179,7 +179,7 @@
 
 func (f *File) write(e Event) error {
 	line, err := json.Marshal(fileEvent{
-		Format: fileFormat, Wall: e.Stamp.Wall, Logical: e.Stamp.Logical, Instance: e.Instance,
+		Format: fileFormat, Wall: e.Timestamp.Wall, Logical: e.Timestamp.Logical, Instance: e.Instance,
 		DataCentre: e.DataCentre, Kind: e.Kind, Subjects: e.Subjects, Detail: e.Detail,
 	})
 	if err != nil {
@@ -193,11 +193,11 @@
 	return err
 }
 
-func (f *File) rotateIfFull(more int64) error {
+func (f *File) rotateIfFull(lineBytes int64) error {
 	if f.file == nil {
 		return f.open()
 	}
-	if f.size == 0 || f.size+more <= f.limit {
+	if f.size == 0 || f.size+lineBytes <= f.limit {
 		return nil
 	}
 	err := f.file.Close()
--- a/internal/event/html.go
+++ b/internal/event/html.go
@@ -59,24 +59,24 @@
 const (
 	// laneColours is the number of colours the page's style defines.
 	laneColours = 8
-	// lanesWidth is the width of all lanes together in pixels.
-	lanesWidth   = 336
-	minLaneWidth = 12
-	maxLaneWidth = 72
-	// shownGapMs is the shortest pause between two events that the page marks.
-	shownGapMs = 250
+	// maxLanesWidth is the width of all lanes together in pixels.
+	maxLanesWidth = 336
+	minLaneWidth  = 12
+	maxLaneWidth  = 72
+	// minShownGapMs is the shortest pause between two events that the page marks.
+	minShownGapMs = 250
 )
 
 // WriteHTML writes one page that needs no other file: a lane for each
 // instance, the events in order and a box to filter them.
 func WriteHTML(w io.Writer, page Page, events []Event) error {
 	data := pageData{Page: page, Count: len(events)}
-	first, last := span(events)
+	first, last := timeRange(events)
 	if len(events) > 0 {
 		data.From = first.Format(timeFormat)
 		data.To = last.Format(timeFormat)
 	}
-	data.Lanes, data.LaneWidth = lanesOf(events)
+	data.Lanes, data.LaneWidth = layOutLanes(events)
 	data.AllWidth = data.LaneWidth * len(data.Lanes)
 	index := make(map[string]lane, len(data.Lanes))
 	for _, l := range data.Lanes {
@@ -86,15 +86,15 @@
 	for i := range events {
 		gap := int64(0)
 		if i > 0 {
-			gap = events[i].Stamp.Wall - events[i-1].Stamp.Wall
+			gap = events[i].Timestamp.Wall - events[i-1].Timestamp.Wall
 		}
-		data.Rows = append(data.Rows, rowOf(&events[i], index[events[i].Instance], gap))
+		data.Rows = append(data.Rows, newRow(&events[i], index[events[i].Instance], gap))
 	}
 	return pageTemplate.Execute(w, data)
 }
 
-// lanesOf orders the instances by data centre and name.
-func lanesOf(events []Event) ([]lane, int) {
+// layOutLanes orders the instances by data centre and name.
+func layOutLanes(events []Event) ([]lane, int) {
 	seen := make(map[string]*lane)
 	for i := range events {
 		e := &events[i]
@@ -113,7 +113,7 @@
 		}
 		return strings.Compare(a.Name, b.Name)
 	})
-	width := max(minLaneWidth, min(maxLaneWidth, lanesWidth/max(1, len(lanes))))
+	width := max(minLaneWidth, min(maxLaneWidth, maxLanesWidth/max(1, len(lanes))))
 	for i := range lanes {
 		lanes[i].Colour = i % laneColours
 		lanes[i].X = i*width + width/2
@@ -121,9 +121,9 @@
 	return lanes, width
 }
 
-func rowOf(e *Event, l lane, gap int64) row {
+func newRow(e *Event, l lane, gap int64) row {
 	r := row{
-		Time:     e.Stamp.Time().UTC().Format("15:04:05.000"),
+		Time:     e.Timestamp.Time().UTC().Format("15:04:05.000"),
 		Colour:   l.Colour,
 		X:        l.X,
 		Instance: e.Instance,
@@ -131,10 +131,10 @@
 		Subjects: e.Subjects,
 		Detail:   e.Detail,
 	}
-	if e.Stamp.Logical > 0 {
-		r.Logical = fmt.Sprintf("+%d", e.Stamp.Logical)
+	if e.Timestamp.Logical > 0 {
+		r.Logical = fmt.Sprintf("+%d", e.Timestamp.Logical)
 	}
-	if gap >= shownGapMs {
+	if gap >= minShownGapMs {
 		r.Gap = fmt.Sprintf("%.1f s", float64(gap)/1000)
 	}
 	words := append([]string{e.Instance, e.DataCentre, e.Kind, e.Detail}, e.Subjects...)
--- a/internal/event/recorder.go
+++ b/internal/event/recorder.go
@@ -9,9 +9,9 @@
 
 // Bounds of one event: details may repeat what came from outside.
 const (
-	maxDetail   = 512
-	maxSubjects = 16
-	maxSubject  = 256
+	maxDetailBytes  = 512
+	maxSubjects     = 16
+	maxSubjectBytes = 256
 )
 
 // DefaultCapacity is the number of events that a daemon keeps.
@@ -52,7 +52,7 @@
 	}
 	r := &Recorder{config: config, ring: NewRing(config.Capacity)}
 	if config.File != nil {
-		for _, e := range config.File.Earlier() {
+		for _, e := range config.File.Loaded() {
 			r.ring.Append(e)
 		}
 	}
@@ -75,15 +75,15 @@
 		return
 	}
 	e := Event{
-		Stamp:      stamp,
+		Timestamp:  stamp,
 		Instance:   instance,
 		DataCentre: r.config.DataCentre,
-		Kind:       cut(kind, maxSubject),
-		Detail:     cut(detail, maxDetail),
+		Kind:       truncate(kind, maxSubjectBytes),
+		Detail:     truncate(detail, maxDetailBytes),
 	}
 	for _, subject := range subjects[:min(len(subjects), maxSubjects)] {
 		if subject != "" {
-			e.Subjects = append(e.Subjects, cut(subject, maxSubject))
+			e.Subjects = append(e.Subjects, truncate(subject, maxSubjectBytes))
 		}
 	}
 	r.ring.Append(e)
@@ -111,9 +111,9 @@
 
 // cut shortens a text to a number of bytes without splitting a character, and
 // replaces bytes that aren't UTF-8, which protobuf would refuse.
-func cut(text string, most int) string {
-	if len(text) > most {
-		text = text[:most]
+func truncate(text string, maxBytes int) string {
+	if len(text) > maxBytes {
+		text = text[:maxBytes]
 		for len(text) > 0 && !utf8.RuneStart(text[len(text)-1]) {
 			text = text[:len(text)-1]
 		}
--- a/internal/event/text.go
+++ b/internal/event/text.go
@@ -21,7 +21,7 @@
 	}
 	for i := range events {
 		e := &events[i]
-		fmt.Fprintf(out, "%s  %-*s  %s", e.when(), width, Printable(e.Instance), Printable(e.Kind))
+		fmt.Fprintf(out, "%s  %-*s  %s", e.formatTime(), width, Printable(e.Instance), Printable(e.Kind))
 		if len(e.Subjects) > 0 {
 			fmt.Fprintf(out, "  [%s]", Printable(strings.Join(e.Subjects, " ")))
 		}
@@ -35,10 +35,10 @@
 
 // when gives the time and, where it is needed to tell events apart, the
 // logical counter.
-func (e *Event) when() string {
-	text := e.Stamp.Time().UTC().Format(timeFormat)
-	if e.Stamp.Logical > 0 {
-		return fmt.Sprintf("%s+%-3d", text, e.Stamp.Logical)
+func (e *Event) formatTime() string {
+	text := e.Timestamp.Time().UTC().Format(timeFormat)
+	if e.Timestamp.Logical > 0 {
+		return fmt.Sprintf("%s+%-3d", text, e.Timestamp.Logical)
 	}
 	return text + "    "
 }
@@ -56,9 +56,9 @@
 }
 
 // span returns the first and last time of events in order.
-func span(events []Event) (first, last time.Time) {
+func timeRange(events []Event) (first, last time.Time) {
 	if len(events) == 0 {
 		return first, last
 	}
-	return events[0].Stamp.Time().UTC(), events[len(events)-1].Stamp.Time().UTC()
+	return events[0].Timestamp.Time().UTC(), events[len(events)-1].Timestamp.Time().UTC()
 }
--- a/internal/instance/process.go
+++ b/internal/instance/process.go
@@ -190,7 +190,7 @@
 		deployment: newDeploymentClient(addresses),
 	}
 	link.Handle(c.mux, control.MethodAsk, func(ctx context.Context, call *control.AdviserQuery) (control.AdviserAnswer, error) {
-		return c.deployment.Ask(ctx, *call)
+		return c.deployment.Query(ctx, *call)
 	})
 	c.gateway = gateway.New(c.client, c.internalAddress, s.seedAddresses(), p.logger)
 	c.operations = &Operations{gateway: c.gateway}
