--- a/internal/jobfile/jobfile.go
+++ b/internal/jobfile/jobfile.go
@@ -18,9 +18,9 @@
 	maxTasks        = 100_000
 	maxAccelerators = 100_000
 	maxAttempts     = 100
-	// maxAhead bounds deadlines and run times, and keeps sums of them far
+	// maxHorizon bounds deadlines and run times, and keeps sums of them far
 	// from overflow.
-	maxAhead = 366 * 24 * time.Hour
+	maxHorizon = 366 * 24 * time.Hour
 )
 
 // rawJob is the file as it is written.
@@ -84,8 +84,8 @@
 	if deadline != "" {
 		raw.Deadline = (*deadlineText)(&deadline)
 	}
-	r := reader{file: file, raw: &raw, spec: &apiv1.Spec{Need: &apiv1.Resources{}}}
-	for _, step := range []func() error{r.identity, r.serviceIdempotence, r.counts, r.need, r.times(now)} {
+	r := jobReader{file: file, raw: &raw, spec: &apiv1.Spec{Need: &apiv1.Resources{}}}
+	for _, step := range []func() error{r.identity, r.requireIdempotentService, r.counts, r.demand, r.runtimeAndDeadline(now)} {
 		if err := step(); err != nil {
 			return nil, err
 		}
@@ -93,13 +93,13 @@
 	return r.spec, nil
 }
 
-type reader struct {
+type jobReader struct {
 	file *tomlfile.File
 	raw  *rawJob
 	spec *apiv1.Spec
 }
 
-func (r *reader) identity() error {
+func (r *jobReader) identity() error {
 	if !settings.NamePattern.MatchString(r.raw.Name) {
 		return r.file.Errorf("name", "%q isn't a name (letters, digits, '_', '.', '-', at most 63)", r.raw.Name)
 	}
@@ -121,9 +121,9 @@
 	return nil
 }
 
-// serviceIdempotence makes a service idempotent, which it has to be: its tasks
+// requireIdempotentService makes a service idempotent, which it has to be: its tasks
 // are started again elsewhere when a worker is lost.
-func (r *reader) serviceIdempotence() error {
+func (r *jobReader) requireIdempotentService() error {
 	if r.spec.Policy != apiv1.Policy_POLICY_SERVICE {
 		return nil
 	}
@@ -134,7 +134,7 @@
 	return nil
 }
 
-func (r *reader) counts() error {
+func (r *jobReader) counts() error {
 	tasks := int64(1)
 	if r.raw.Tasks != nil {
 		tasks = *r.raw.Tasks
@@ -161,7 +161,7 @@
 	return nil
 }
 
-func (r *reader) need() error {
+func (r *jobReader) demand() error {
 	cpu, err := r.amount("cpu", r.raw.CPU, units.ParseCores)
 	if err != nil {
 		return err
@@ -178,7 +178,7 @@
 	return nil
 }
 
-func (r *reader) amount(key string, text *tomlfile.Text, parse func(string) (int64, error)) (int64, error) {
+func (r *jobReader) amount(key string, text *tomlfile.Text, parse func(string) (int64, error)) (int64, error) {
 	if text == nil {
 		return 0, nil
 	}
@@ -189,10 +189,10 @@
 	return amount, nil
 }
 
-func (r *reader) times(now time.Time) func() error {
+func (r *jobReader) runtimeAndDeadline(now time.Time) func() error {
 	return func() error {
 		if r.spec.Policy == apiv1.Policy_POLICY_SERVICE {
-			return r.noTimes()
+			return r.rejectTimes()
 		}
 		if r.raw.Runtime == nil {
 			return r.file.Errorf("runtime", "is missing; state how long one task runs, such as \"2s\"")
@@ -204,8 +204,8 @@
 		if err != nil {
 			return r.file.Errorf("runtime", "%v", err)
 		}
-		if runtime < time.Millisecond || runtime > maxAhead {
-			return r.file.Errorf("runtime", "must be from 1ms to %s, is %s", maxAhead, runtime)
+		if runtime < time.Millisecond || runtime > maxHorizon {
+			return r.file.Errorf("runtime", "must be from 1ms to %s, is %s", maxHorizon, runtime)
 		}
 		deadline, err := ParseDeadline(string(*r.raw.Deadline), now)
 		if err != nil {
@@ -217,7 +217,7 @@
 	}
 }
 
-func (r *reader) noTimes() error {
+func (r *jobReader) rejectTimes() error {
 	if r.raw.Runtime != nil {
 		return r.file.Errorf("runtime", "a service runs until it is stopped and has no run time")
 	}
@@ -235,7 +235,7 @@
 		if err != nil {
 			return time.Time{}, err
 		}
-		return checkDeadline(text, now.Add(min(d, 2*maxAhead)), now)
+		return checkDeadline(text, now.Add(min(d, 2*maxHorizon)), now)
 	}
 	deadline, err := time.Parse(time.RFC3339, text)
 	if err != nil {
@@ -248,7 +248,7 @@
 	switch ahead := deadline.Sub(now); {
 	case ahead <= 0:
 		return time.Time{}, deadlineError(quoted(text) + " has passed already")
-	case ahead > maxAhead:
+	case ahead > maxHorizon:
 		return time.Time{}, deadlineError(quoted(text) + " is more than a year ahead")
 	default:
 		return deadline, nil
--- a/internal/jobfile/jobfile_test.go
+++ b/internal/jobfile/jobfile_test.go
@@ -11,7 +11,7 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-const good = `name = "recalculation"
+const validJob = `name = "recalculation"
 policy = "batch"
 tasks = 3
 cpu = "0.5"
@@ -26,7 +26,7 @@
 var now = time.Date(2030, 1, 2, 3, 4, 5, 0, time.UTC)
 
 func TestParse(t *testing.T) {
-	s, err := Parse([]byte(good), now)
+	s, err := Parse([]byte(validJob), now)
 	must.NoError(t, err)
 	must.Eq(t, apiv1.Policy_POLICY_BATCH, s.Policy)
 	must.Eq(t, 3, s.Tasks)
@@ -36,7 +36,7 @@
 	must.Eq(t, now.Add(45*time.Second).UnixMilli(), s.DeadlineUnixMs)
 	must.Eq(t, "bay 7", string(s.Payload))
 	for _, deadline := range []string{`"2030-01-02T06:00:00+01:00"`, `2030-01-02T05:00:00Z`} {
-		s, err = Parse([]byte(strings.Replace(good, `"+45s"`, deadline, 1)), now)
+		s, err = Parse([]byte(strings.Replace(validJob, `"+45s"`, deadline, 1)), now)
 		must.NoError(t, err)
 		must.Eq(t, time.Date(2030, 1, 2, 5, 0, 0, 0, time.UTC).UnixMilli(), s.DeadlineUnixMs)
 	}
@@ -72,7 +72,7 @@
 		{"cpu = \"0.5\"\nmemory = \"4GiB\"\n", "", "cpu", "the job needs nothing"},
 	}
 	for _, c := range cases {
-		_, err := ParseNamed("f.toml", []byte(strings.Replace(good, c.old, c.with, 1)), now)
+		_, err := ParseNamed("f.toml", []byte(strings.Replace(validJob, c.old, c.with, 1)), now)
 		must.Error(t, err)
 		must.Eq(t, fault.Invalid, fault.KindOf(err))
 		must.Eq(t, c.field, fault.From(err).Field)
@@ -81,7 +81,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validJob))
 	f.Add([]byte("name = \"hub\"\npolicy = \"service\"\ncpu = 2\n"))
 	f.Add([]byte("deadline = 2030-01-02\n[a]\nb.c = 1"))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/jobfile/workflow.go
+++ b/internal/jobfile/workflow.go
@@ -123,20 +123,20 @@
 		}
 		*count.into = int32(count.value)
 	}
-	if err := r.sizes(raw, step, key); err != nil {
+	if err := r.demandAndTimes(raw, step, key); err != nil {
 		return nil, err
 	}
-	for _, before := range raw.After {
-		if before < 0 || before >= int64(index) {
-			return nil, r.file.Errorf(key("after"), "%d isn't an earlier step; steps count from 0", before)
+	for _, prerequisite := range raw.After {
+		if prerequisite < 0 || prerequisite >= int64(index) {
+			return nil, r.file.Errorf(key("after"), "%d isn't an earlier step; steps count from 0", prerequisite)
 		}
-		step.After = append(step.After, int32(before))
+		step.After = append(step.After, int32(prerequisite))
 	}
 	return step, nil
 }
 
 // sizes reads what a task needs and how long it takes.
-func (r *workflowReader) sizes(raw *rawStep, step *apiv1.Step, key func(string) string) (err error) {
+func (r *workflowReader) demandAndTimes(raw *rawStep, step *apiv1.Step, key func(string) string) (err error) {
 	if raw.CPU != nil {
 		if step.Need.CpuMilli, err = units.ParseCores(string(*raw.CPU)); err != nil {
 			return r.file.Errorf(key("cpu"), "%v", err)
--- a/internal/jobfile/workflow_test.go
+++ b/internal/jobfile/workflow_test.go
@@ -12,7 +12,7 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-const reports = `id = "reports-7"
+const validWorkflow = `id = "reports-7"
 queue = "reports"
 payload = "hall 3"
 
@@ -41,8 +41,8 @@
 max_per_worker = 2
 `
 
-func TestWorkflowFile(t *testing.T) {
-	got, err := ParseWorkflow("reports.toml", []byte(reports))
+func TestParseWorkflow(t *testing.T) {
+	got, err := ParseWorkflow("reports.toml", []byte(validWorkflow))
 	must.NoError(t, err)
 	want := &apiv1.SubmitWorkflowRequest{
 		Id: "reports-7", Queue: "reports", Payload: "hall 3",
@@ -56,7 +56,7 @@
 	must.True(t, proto.Equal(want, got), must.Sprint(got))
 }
 
-func TestWorkflowFileErrorsNameLineAndKey(t *testing.T) {
+func TestParseWorkflowErrorsNameLineAndKey(t *testing.T) {
 	for _, c := range []struct{ old, replacement, want string }{
 		{`id = "reports-7"`, ``, "id"},
 		{`queue = "reports"`, ``, "queue"},
@@ -69,7 +69,7 @@
 		{`times = 3`, `times = 0`, "repeat.times"},
 		{`copies = true`, `copys = true`, "copies"},
 	} {
-		_, err := ParseWorkflow("reports.toml", []byte(strings.Replace(reports, c.old, c.replacement, 1)))
+		_, err := ParseWorkflow("reports.toml", []byte(strings.Replace(validWorkflow, c.old, c.replacement, 1)))
 		must.ErrorContains(t, err, c.want, must.Sprint(c.replacement))
 		must.Eq(t, fault.Invalid, fault.KindOf(err))
 	}
--- a/internal/jobtrace/lines.go
+++ b/internal/jobtrace/lines.go
@@ -17,8 +17,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/event"
 )
 
-// maxLine bounds a line in bytes; longer ones end the reading.
-const maxLine = 1 << 20
+// maxLineBytes bounds a line in bytes; longer ones end the reading.
+const maxLineBytes = 1 << 20
 
 // Keys that every line has.
 const (
@@ -53,15 +53,15 @@
 // as a collector's own prefix, is left out, and so are lines of another form.
 func Read(r io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	var lines []Line
 	for scanner.Scan() {
 		text := scanner.Bytes()
-		begin := bytes.Index(text, []byte(keyTime+"="))
-		if begin < 0 {
+		start := bytes.Index(text, []byte(keyTime+"="))
+		if start < 0 {
 			continue
 		}
-		if line, ok := parse(text[begin:]); ok {
+		if line, ok := parseLine(text[start:]); ok {
 			lines = append(lines, line)
 		}
 	}
@@ -77,7 +77,7 @@
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
-func parse(text []byte) (Line, bool) {
+func parseLine(text []byte) (Line, bool) {
 	var line Line
 	decoder := logfmt.NewDecoder(bytes.NewReader(text))
 	if !decoder.ScanRecord() {
@@ -87,11 +87,11 @@
 		key, value := string(decoder.Key()), string(decoder.Value())
 		switch key {
 		case keyTime:
-			at, err := time.Parse(time.RFC3339Nano, value)
+			parsed, err := time.Parse(time.RFC3339Nano, value)
 			if err != nil {
 				return line, false
 			}
-			line.Time = at
+			line.Time = parsed
 		case keyInstance:
 			line.Instance = value
 		case keyEvent:
@@ -141,8 +141,8 @@
 			detail = append(detail, f.Key+"="+f.Value)
 		}
 		events = append(events, event.Event{
-			Stamp:    hlc.Timestamp{Wall: l.Time.UnixMilli(), Logical: uint32(l.Time.Nanosecond() % int(time.Millisecond))},
-			Instance: l.Instance, Kind: l.Event, Subjects: l.subjects(), Detail: strings.Join(detail, " "),
+			Timestamp: hlc.Timestamp{Wall: l.Time.UnixMilli(), Logical: uint32(l.Time.Nanosecond() % int(time.Millisecond))},
+			Instance:  l.Instance, Kind: l.Event, Subjects: l.subjects(), Detail: strings.Join(detail, " "),
 		})
 	}
 	return events
--- a/internal/jobtrace/trace.go
+++ b/internal/jobtrace/trace.go
@@ -11,8 +11,8 @@
 
 // Span is time that a job spent in one way.
 type Span struct {
-	What string
-	Took time.Duration
+	Activity string
+	Duration time.Duration
 }
 
 // Trace is what became of a job.
@@ -27,12 +27,12 @@
 
 // Ways in which a job spends its time.
 const (
-	spanCommit   = "being stored"
-	spanAdviser  = "waiting for the adviser"
-	spanNoLeader = "without a leader"
-	spanLost     = "in runs that came to nothing"
-	spanWork     = "in runs that did the work"
-	spanBetween  = "between decisions and their commits"
+	spanCommit           = "being stored"
+	spanAdviserWait      = "waiting for the adviser"
+	spanNoLeader         = "without a leader"
+	spanUnsuccessfulRuns = "in runs that came to nothing"
+	spanSuccessfulRuns   = "in runs that did the work"
+	spanDecisionToCommit = "between decisions and their commits"
 	// spanWaiting begins the name of a time in which a step waited for the reason
 	// that follows.
 	spanWaiting = "waiting: "
@@ -40,36 +40,36 @@
 
 // Of returns the trace of a job. Lines are those of all instances, in order of
 // time.
-func Of(lines []Line, job string) Trace {
-	var own []Line
+func Explain(lines []Line, job string) Trace {
+	var jobLines []Line
 	for i := range lines {
 		if lines[i].Concerns(job) {
-			own = append(own, lines[i])
+			jobLines = append(jobLines, lines[i])
 		}
 	}
-	t := Trace{Lines: own}
-	begun, ended := find(own, "submit", "accepted"), findEvent(own, "job_ended")
+	t := Trace{Lines: jobLines}
+	accepted, ended := findOutcome(jobLines, "submit", "accepted"), findEvent(jobLines, "job_ended")
 	switch {
-	case len(own) == 0:
+	case len(jobLines) == 0:
 		t.Verdict = "no line names the job"
 		return t
-	case begun < 0:
-		t.Verdict = refusal(lines, own)
+	case accepted < 0:
+		t.Verdict = describeRefusal(lines, jobLines)
 		return t
 	}
-	end := len(own) - 1
+	end := len(jobLines) - 1
 	if ended >= 0 {
 		end = ended
 	}
-	t.Spans = spans(lines, own[begun:end+1])
-	t.Verdict = verdict(own, begun, ended, t.Spans)
-	if len(t.Spans) > 0 && strings.HasPrefix(t.Spans[0].What, spanWaiting) {
-		t.Verdict += loadDuring(lines, own[begun].Time, own[end].Time)
+	t.Spans = sumSpans(lines, jobLines[accepted:end+1])
+	t.Verdict = describeOutcome(jobLines, accepted, ended, t.Spans)
+	if len(t.Spans) > 0 && strings.HasPrefix(t.Spans[0].Activity, spanWaiting) {
+		t.Verdict += describePeakLoad(lines, jobLines[accepted].Time, jobLines[end].Time)
 	}
 	return t
 }
 
-func find(lines []Line, event, outcome string) int {
+func findOutcome(lines []Line, event, outcome string) int {
 	return slices.IndexFunc(lines, func(l Line) bool { return l.Event == event && l.Get("outcome") == outcome })
 }
 
@@ -80,14 +80,14 @@
 // refusal explains a request that no leader said to have accepted: by the last
 // instance that answered it, and what that instance knew of the leader then. A
 // job that is worked on was stored all the same.
-func refusal(all, own []Line) string {
+func describeRefusal(allLines, jobLines []Line) string {
 	var last *Line
-	for i := range own {
-		if own[i].Event == "request" {
-			last = &own[i]
+	for i := range jobLines {
+		if jobLines[i].Event == "request" {
+			last = &jobLines[i]
 		}
 	}
-	stored := findEvent(own, "permit") >= 0 || findEvent(own, "run_started") >= 0
+	stored := findEvent(jobLines, "permit") >= 0 || findEvent(jobLines, "run_started") >= 0
 	switch {
 	case last == nil && stored:
 		return "stored, as later lines show; none shows who handed it in"
@@ -98,13 +98,13 @@
 	if stored {
 		return "stored, as later lines show, though its caller wasn't told: " + text
 	}
-	return "not accepted: " + text + contact(all, last)
+	return "not accepted: " + text + describeLostLeaderContact(allLines, last)
 }
 
 // contact tells since when the instance of a line had had no contact to a leader.
-func contact(all []Line, last *Line) string {
-	for i := len(all) - 1; i >= 0; i-- {
-		l := &all[i]
+func describeLostLeaderContact(allLines []Line, last *Line) string {
+	for i := len(allLines) - 1; i >= 0; i-- {
+		l := &allLines[i]
 		if l.Event != "leader_contact" || l.Instance != last.Instance || l.Time.After(last.Time) {
 			continue
 		}
@@ -116,56 +116,56 @@
 	return ""
 }
 
-func verdict(own []Line, begun, ended int, spans []Span) string {
+func describeOutcome(jobLines []Line, accepted, ended int, spans []Span) string {
 	if ended < 0 {
-		return unended(own, begun)
+		return describeUnfinished(jobLines, accepted)
 	}
-	end := own[ended]
-	took := end.Time.Sub(own[begun].Time).Round(time.Millisecond)
+	end := jobLines[ended]
+	took := end.Time.Sub(jobLines[accepted].Time).Round(time.Millisecond)
 	text := fmt.Sprintf("%s after %s, objective %s ms", end.Get("phase"), took, end.Get("objective_ms"))
 	if end.Get("phase") == "failed" {
-		return text + "; " + failures(own)
+		return text + "; " + describeFailures(jobLines)
 	}
 	if len(spans) == 0 {
 		return text
 	}
-	text += fmt.Sprintf("; longest: %s %s", spans[0].Took.Round(time.Millisecond), spans[0].What)
-	if spans[0].What == spanWork {
-		text += longestRun(own)
+	text += fmt.Sprintf("; longest: %s %s", spans[0].Duration.Round(time.Millisecond), spans[0].Activity)
+	if spans[0].Activity == spanSuccessfulRuns {
+		text += describeLongestRun(jobLines)
 	}
 	return text
 }
 
 // unended tells what is known of a job whose end no line shows.
-func unended(own []Line, begun int) string {
-	for i := range own {
-		if own[i].Event == "cancel" && own[i].Get("err") == "null" {
-			return fmt.Sprintf("cancelled by its caller %s after it was accepted", own[i].Time.Sub(own[begun].Time).Round(time.Millisecond))
+func describeUnfinished(jobLines []Line, accepted int) string {
+	for i := range jobLines {
+		if jobLines[i].Event == "cancel" && jobLines[i].Get("err") == "null" {
+			return fmt.Sprintf("cancelled by its caller %s after it was accepted", jobLines[i].Time.Sub(jobLines[accepted].Time).Round(time.Millisecond))
 		}
 	}
-	return "accepted; no line shows its end; last: " + own[len(own)-1].Event
+	return "accepted; no line shows its end; last: " + jobLines[len(jobLines)-1].Event
 }
 
-// loadDuring tells the load at its worst while a job waited: the line with the
+// describePeakLoad tells the load at its worst while a job waited: the line with the
 // most tasks waiting.
-func loadDuring(all []Line, from, to time.Time) string {
+func describePeakLoad(allLines []Line, from, to time.Time) string {
 	var worst *Line
-	most := -1
-	for i := range all {
-		l := &all[i]
+	maxTasks := -1
+	for i := range allLines {
+		l := &allLines[i]
 		if l.Event != "load" || l.Time.Before(from) || l.Time.After(to) {
 			continue
 		}
-		if tasks, err := strconv.Atoi(l.Get("tasks")); err == nil && tasks > most {
-			worst, most = l, tasks
+		if tasks, err := strconv.Atoi(l.Get("tasks")); err == nil && tasks > maxTasks {
+			worst, maxTasks = l, tasks
 		}
 	}
 	if worst == nil {
 		return ""
 	}
-	text := fmt.Sprintf("; meanwhile up to %d tasks waited for %s workers", most, worst.Get("usable_workers"))
-	if kept := worst.Get("kept_back"); kept != "" {
-		text += " (kept back: " + kept + ")"
+	text := fmt.Sprintf("; meanwhile up to %d tasks waited for %s workers", maxTasks, worst.Get("usable_workers"))
+	if keptBack := worst.Get("kept_back"); keptBack != "" {
+		text += " (kept back: " + keptBack + ")"
 	}
 	if waiting := worst.Get("waiting_by"); waiting != "" {
 		text += " (steps that waited: " + waiting + ")"
@@ -173,17 +173,17 @@
 	return text
 }
 
-// longestRun names the worker of the run that took longest and was done.
-func longestRun(own []Line) string {
-	begun := map[string]time.Time{}
+// describeLongestRun names the worker of the run that took longest and was done.
+func describeLongestRun(jobLines []Line) string {
+	started := map[string]time.Time{}
 	worker, longest := "", time.Duration(0)
-	for i := range own {
-		l := &own[i]
+	for i := range jobLines {
+		l := &jobLines[i]
 		switch {
 		case l.Event == "run_started":
-			begun[runKey(l)] = l.Time
-		case l.Event == "run_ended" && l.Get("outcome") == "done" && l.Time.Sub(begun[runKey(l)]) > longest && !begun[runKey(l)].IsZero():
-			worker, longest = l.Get("worker"), l.Time.Sub(begun[runKey(l)])
+			started[runKey(l)] = l.Time
+		case l.Event == "run_ended" && l.Get("outcome") == "done" && l.Time.Sub(started[runKey(l)]) > longest && !started[runKey(l)].IsZero():
+			worker, longest = l.Get("worker"), l.Time.Sub(started[runKey(l)])
 		}
 	}
 	if worker == "" {
@@ -193,11 +193,11 @@
 }
 
 // failures names the task that failed most often, and where.
-func failures(own []Line) string {
+func describeFailures(jobLines []Line) string {
 	workers := map[string][]string{}
 	worst := ""
-	for i := range own {
-		l := &own[i]
+	for i := range jobLines {
+		l := &jobLines[i]
 		if l.Event != "run_ended" || l.Get("outcome") != "failed" {
 			continue
 		}
@@ -210,9 +210,9 @@
 	if worst == "" {
 		return "no line shows a run that failed"
 	}
-	on := slices.Clone(workers[worst])
-	slices.Sort(on)
-	distinct := slices.Compact(on)
+	sorted := slices.Clone(workers[worst])
+	slices.Sort(sorted)
+	distinct := slices.Compact(sorted)
 	if len(distinct) == 1 {
 		return fmt.Sprintf("task %s failed %d times, each time on %s: look at that worker", worst, len(workers[worst]), distinct[0])
 	}
@@ -221,36 +221,36 @@
 }
 
 // sweep walks through a job's lines and adds up how it spends its time.
-type sweep struct {
+type spanAccumulator struct {
 	leaderless []interval
 	outcomes   map[string]string
-	took       map[string]time.Duration
+	durations  map[string]time.Duration
 	running    map[string]bool
 	waiting    string
-	stored     bool
+	permitted  bool
 }
 
 type interval struct{ from, to time.Time }
 
 // spans adds up the time between consecutive lines of a job by what it was
 // doing: running before asking before waiting.
-func spans(all, own []Line) []Span {
-	s := &sweep{leaderless: leaderless(all), outcomes: outcomes(own), took: map[string]time.Duration{}, running: map[string]bool{}}
-	s.took[spanCommit] = commitTime(&own[0])
-	for i := range own {
+func sumSpans(allLines, jobLines []Line) []Span {
+	s := &spanAccumulator{leaderless: leaderlessIntervals(allLines), outcomes: runOutcomes(jobLines), durations: map[string]time.Duration{}, running: map[string]bool{}}
+	s.durations[spanCommit] = commitTime(&jobLines[0])
+	for i := range jobLines {
 		if i > 0 {
-			s.account(own[i-1].Time, own[i].Time)
+			s.addInterval(jobLines[i-1].Time, jobLines[i].Time)
 		}
-		s.take(&own[i])
+		s.observe(&jobLines[i])
 	}
 	var list []Span
-	for what, took := range s.took {
+	for activity, took := range s.durations {
 		if took > 0 {
-			list = append(list, Span{what, took})
+			list = append(list, Span{activity, took})
 		}
 	}
 	slices.SortFunc(list, func(a, b Span) int {
-		return cmp.Or(cmp.Compare(b.Took, a.Took), cmp.Compare(a.What, b.What))
+		return cmp.Or(cmp.Compare(b.Duration, a.Duration), cmp.Compare(a.Activity, b.Activity))
 	})
 	return list
 }
@@ -266,22 +266,22 @@
 func runKey(l *Line) string { return l.Get("task") + " " + l.Get("run") }
 
 // outcomes returns how each run ended.
-func outcomes(own []Line) map[string]string {
+func runOutcomes(jobLines []Line) map[string]string {
 	ends := map[string]string{}
-	for i := range own {
-		if own[i].Event == "run_ended" {
-			ends[runKey(&own[i])] = own[i].Get("outcome")
+	for i := range jobLines {
+		if jobLines[i].Event == "run_ended" {
+			ends[runKey(&jobLines[i])] = jobLines[i].Get("outcome")
 		}
 	}
 	return ends
 }
 
 // leaderless returns the times between two tenures.
-func leaderless(all []Line) []interval {
+func leaderlessIntervals(allLines []Line) []interval {
 	var gaps []interval
 	var ended time.Time
-	for i := range all {
-		l := &all[i]
+	for i := range allLines {
+		l := &allLines[i]
 		if l.Event != "tenure" {
 			continue
 		}
@@ -300,7 +300,7 @@
 	return gaps
 }
 
-func (s *sweep) take(l *Line) {
+func (s *spanAccumulator) observe(l *Line) {
 	switch l.Event {
 	case "run_started":
 		s.running[runKey(l)] = true
@@ -310,21 +310,21 @@
 	case "step_waiting":
 		s.waiting = l.Get("reason")
 	case "permit":
-		s.stored = true
+		s.permitted = true
 	}
 }
 
 // account adds the time between two lines to what the job was doing.
-func (s *sweep) account(from, to time.Time) {
+func (s *spanAccumulator) addInterval(from, to time.Time) {
 	took := to.Sub(from)
 	if len(s.running) == 0 {
 		for _, gap := range s.leaderless {
-			missing := overlap(interval{from, to}, gap)
-			s.took[spanNoLeader] += missing
-			took -= missing
+			withoutLeader := overlap(interval{from, to}, gap)
+			s.durations[spanNoLeader] += withoutLeader
+			took -= withoutLeader
 		}
 	}
-	s.took[s.doing()] += took
+	s.durations[s.activity()] += took
 }
 
 func overlap(a, b interval) time.Duration {
@@ -338,19 +338,19 @@
 	return max(to.Sub(from), 0)
 }
 
-func (s *sweep) doing() string {
+func (s *spanAccumulator) activity() string {
 	for run := range s.running {
 		if s.outcomes[run] == "done" {
-			return spanWork
+			return spanSuccessfulRuns
 		}
 	}
 	switch {
 	case len(s.running) > 0:
-		return spanLost
+		return spanUnsuccessfulRuns
 	case s.waiting != "":
 		return spanWaiting + s.waiting
-	case !s.stored:
-		return spanAdviser
+	case !s.permitted:
+		return spanAdviserWait
 	}
-	return spanBetween
+	return spanDecisionToCommit
 }
--- a/internal/jobtrace/trace_test.go
+++ b/internal/jobtrace/trace_test.go
@@ -9,7 +9,7 @@
 )
 
 // day is a collection of lines, with a collector's prefix and out of order.
-const day = `
+const sampleLog = `
  1.0 edge-1 ts=2026-07-06T09:00:01.000Z instance=edge-1 event=leader_contact in_touch=false leader=
  1.1 core-1 ts=2026-07-06T09:00:01.500Z instance=core-1 event=tenure outcome=ended term=6
  1.2 edge-1 ts=2026-07-06T09:00:02.000Z instance=edge-1 event=request method=POST path=/q/refused1 outcome=Unavailable err="Unavailable: no leader is reached"
@@ -30,42 +30,42 @@
 no line of ours
 `
 
-func trace(t *testing.T, job string) Trace {
-	lines, err := Read(strings.NewReader(day))
+func explainSample(t *testing.T, job string) Trace {
+	lines, err := Read(strings.NewReader(sampleLog))
 	must.NoError(t, err)
 	must.SliceLen(t, 17, lines)
 	must.Eq(t, "tenure", lines[0].Event)
-	return Of(lines, job)
+	return Explain(lines, job)
 }
 
-func TestARefusedJob(t *testing.T) {
-	got := trace(t, "refused1")
+func TestVerdictOfRefusedJob(t *testing.T) {
+	got := explainSample(t, "refused1")
 	must.Eq(t, "not accepted: edge-1 answered Unavailable (Unavailable: no leader is reached); "+
 		"that instance had had no contact to a leader since 09:00:01", got.Verdict)
 }
 
-func TestALateJob(t *testing.T) {
-	got := trace(t, "late1")
+func TestSpansOfLateJobAddUp(t *testing.T) {
+	got := explainSample(t, "late1")
 	must.Eq(t, "done after 5.16s, objective 1500 ms; longest: 2.99s waiting: no room", got.Verdict)
 	total := time.Duration(0)
 	spans := map[string]time.Duration{}
 	for _, span := range got.Spans {
-		spans[span.What] = span.Took
-		total += span.Took
+		spans[span.Activity] = span.Duration
+		total += span.Duration
 	}
 	must.Eq(t, 5160*time.Millisecond+20*time.Millisecond, total)
-	must.Eq(t, time.Second, spans[spanLost])
-	must.Eq(t, time.Second, spans[spanWork])
-	must.Eq(t, 100*time.Millisecond, spans[spanAdviser])
+	must.Eq(t, time.Second, spans[spanUnsuccessfulRuns])
+	must.Eq(t, time.Second, spans[spanSuccessfulRuns])
+	must.Eq(t, 100*time.Millisecond, spans[spanAdviserWait])
 	must.SliceLen(t, 8, got.Lines)
 }
 
-func TestAFailedJob(t *testing.T) {
-	must.StrContains(t, trace(t, "bad1").Verdict, "task bad1/0/0/0 failed 2 times on 2 workers (i-1, i-3): the job itself")
-	must.Eq(t, "no line names the job", trace(t, "unknown").Verdict)
+func TestVerdictOfFailedJobNamesTask(t *testing.T) {
+	must.StrContains(t, explainSample(t, "bad1").Verdict, "task bad1/0/0/0 failed 2 times on 2 workers (i-1, i-3): the job itself")
+	must.Eq(t, "no line names the job", explainSample(t, "unknown").Verdict)
 }
 
-func TestAJobThatWasStoredThoughItsCallerWasNotTold(t *testing.T) {
+func TestVerdictOfJobStoredDespiteErrorAnswer(t *testing.T) {
 	lines, err := Read(strings.NewReader(`
 ts=2026-07-06T09:00:00.000Z instance=edge-1 event=request path=/q/a outcome=Unavailable err="no leader"
 ts=2026-07-06T09:00:00.500Z instance=edge-2 event=request path=/q/a outcome=Unknown err="no answer"
@@ -76,11 +76,11 @@
 ts=2026-07-06T09:00:08.200Z instance=core-1 event=job_ended job=b phase=done objective_ms=1500
 `))
 	must.NoError(t, err)
-	must.Eq(t, "stored, as later lines show, though its caller wasn't told: edge-2 answered Unknown (no answer)", Of(lines, "a").Verdict)
-	must.Eq(t, "done after 6.2s, objective 1500 ms; longest: 6s in runs that did the work, 6s of it on i-7: see that worker's time line", Of(lines, "b").Verdict)
+	must.Eq(t, "stored, as later lines show, though its caller wasn't told: edge-2 answered Unknown (no answer)", Explain(lines, "a").Verdict)
+	must.Eq(t, "done after 6.2s, objective 1500 ms; longest: 6s in runs that did the work, 6s of it on i-7: see that worker's time line", Explain(lines, "b").Verdict)
 }
 
-func TestACancelledJobAndALoad(t *testing.T) {
+func TestVerdictNamesCancelAndPeakLoad(t *testing.T) {
 	lines, err := Read(strings.NewReader(`
 ts=2026-07-06T09:00:00.000Z instance=core-1 event=submit job=a outcome=accepted
 ts=2026-07-06T09:00:00.500Z instance=core-1 event=cancel job=a err=null
@@ -91,13 +91,13 @@
 ts=2026-07-06T09:00:04.000Z instance=core-1 event=job_ended job=b phase=done objective_ms=1500
 `))
 	must.NoError(t, err)
-	must.Eq(t, "cancelled by its caller 500ms after it was accepted", Of(lines, "a").Verdict)
+	must.Eq(t, "cancelled by its caller 500ms after it was accepted", Explain(lines, "a").Verdict)
 	must.Eq(t, "done after 3s, objective 1500 ms; longest: 2.999s waiting: no room; "+
-		"meanwhile up to 90 tasks waited for 36 workers (kept back: 2: the worker leaves)", Of(lines, "b").Verdict)
+		"meanwhile up to 90 tasks waited for 36 workers (kept back: 2: the worker leaves)", Explain(lines, "b").Verdict)
 }
 
 // A gang that two limits held in turn, while the pool had room in pieces too small.
-func TestAGangThatWaitedForTwoReasons(t *testing.T) {
+func TestSpansOfGangWaitingForTwoReasons(t *testing.T) {
 	lines, err := Read(strings.NewReader(`
 ts=2026-07-06T09:00:00.000Z instance=core-1 event=submit job=g outcome=accepted
 ts=2026-07-06T09:00:00.000Z instance=core-1 event=step_waiting step=g/0/0 tasks=40 reason="behind the gangs that room is kept for" waited_ms=0 earlier=
@@ -108,17 +108,17 @@
 ts=2026-07-06T09:00:13.000Z instance=core-1 event=job_ended job=g phase=done objective_ms=1500
 `))
 	must.NoError(t, err)
-	got := Of(lines, "g")
+	got := Explain(lines, "g")
 	must.Eq(t, []Span{
 		{spanWaiting + "behind the gangs that room is kept for", 9 * time.Second},
-		{spanWaiting + "no room", 3 * time.Second}, {spanWork, time.Second},
+		{spanWaiting + "no room", 3 * time.Second}, {spanSuccessfulRuns, time.Second},
 	}, got.Spans)
 	must.Eq(t, "done after 13s, objective 1500 ms; longest: 9s waiting: behind the gangs that room is kept for; "+
 		"meanwhile up to 40 tasks waited for 350 workers "+
 		"(steps that waited: 30: behind the steps that one decision goes into; 1: no room)", got.Verdict)
 }
 
-func TestTimeWithoutALeader(t *testing.T) {
+func TestSpanWithoutLeader(t *testing.T) {
 	lines, err := Read(strings.NewReader(`
 ts=2026-07-06T09:00:00.000Z instance=core-1 event=submit job=a outcome=accepted
 ts=2026-07-06T09:00:01.000Z instance=core-1 event=tenure outcome=ended
@@ -126,11 +126,11 @@
 ts=2026-07-06T09:00:04.000Z instance=core-2 event=permit step=a/0/0
 `))
 	must.NoError(t, err)
-	must.Eq(t, []Span{{spanAdviser, 2 * time.Second}, {spanNoLeader, 2 * time.Second}}, Of(lines, "a").Spans)
+	must.Eq(t, []Span{{spanAdviserWait, 2 * time.Second}, {spanNoLeader, 2 * time.Second}}, Explain(lines, "a").Spans)
 }
 
-func TestLinesAsEvents(t *testing.T) {
-	lines, err := Read(strings.NewReader(day))
+func TestEventsFromLines(t *testing.T) {
+	lines, err := Read(strings.NewReader(sampleLog))
 	must.NoError(t, err)
 	events := Events(lines)
 	must.Eq(t, []string{"late1", "i-1"}, events[7].Subjects)
--- a/internal/measure/fit.go
+++ b/internal/measure/fit.go
@@ -80,7 +80,7 @@
 }
 
 // Sized is a measurement at one size of a load.
-type Sized struct {
+type Measurement struct {
 	Size   float64
 	Usages []Usage
 }
@@ -88,7 +88,7 @@
 // Line is a straight line through measured points.
 type Line struct {
 	// At0 is the value at size 0, Slope its growth for each unit of the size.
-	At0, Slope float64
+	Intercept, Slope float64
 	// Residual is the largest distance of a point from the line.
 	Residual float64
 }
@@ -96,20 +96,20 @@
 // FitLine lays a line through points by least squares. With fewer than two
 // sizes the slope is 0.
 func FitLine(x, y []float64) Line {
-	line := Line{At0: stat.Mean(y, nil)}
+	line := Line{Intercept: stat.Mean(y, nil)}
 	if len(x) > 1 && stat.Variance(x, nil) > 0 {
-		line.At0, line.Slope = stat.LinearRegression(x, y, nil, false)
+		line.Intercept, line.Slope = stat.LinearRegression(x, y, nil, false)
 	}
 	for i := range x {
-		line.Residual = max(line.Residual, math.Abs(y[i]-line.At0-line.Slope*x[i]))
+		line.Residual = max(line.Residual, math.Abs(y[i]-line.Intercept-line.Slope*x[i]))
 	}
 	return line
 }
 
 // quantity is something measured of each process.
 type quantity struct {
-	name string
-	of   func(Usage) float64
+	name  string
+	value func(Usage) float64
 }
 
 var quantities = []quantity{
@@ -121,26 +121,26 @@
 // WriteFit writes a Markdown table: for each class of processes and each
 // quantity its mean and largest value at every size, and the line through the
 // means.
-func WriteFit(w io.Writer, sized []Sized, class func(Usage) Class) error {
-	slices.SortFunc(sized, func(a, b Sized) int { return cmp.Compare(a.Size, b.Size) })
+func WriteFit(w io.Writer, measurements []Measurement, class func(Usage) Class) error {
+	slices.SortFunc(measurements, func(a, b Measurement) int { return cmp.Compare(a.Size, b.Size) })
 	table := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	fmt.Fprintf(table, "| process\t| quantity\t")
-	for _, s := range sized {
+	for _, s := range measurements {
 		fmt.Fprintf(table, "| at %g: mean (largest)\t", s.Size)
 	}
 	fmt.Fprintf(table, "| at 0\t| slope\t| largest residual\t|\n")
-	fmt.Fprintln(table, strings.Repeat("|---\t", len(sized)+5)+"|")
-	for _, c := range classes(sized, class) {
+	fmt.Fprintln(table, strings.Repeat("|---\t", len(measurements)+5)+"|")
+	for _, c := range classes(measurements, class) {
 		for _, q := range quantities {
-			writeFitRow(table, sized, c, class, q)
+			writeFitRow(table, measurements, c, class, q)
 		}
 	}
 	return table.Flush()
 }
 
-func classes(sized []Sized, class func(Usage) Class) []Class {
+func classes(measurements []Measurement, class func(Usage) Class) []Class {
 	var found []Class
-	for _, s := range sized {
+	for _, s := range measurements {
 		for _, u := range s.Usages {
 			if c := class(u); !slices.Contains(found, c) {
 				found = append(found, c)
@@ -151,14 +151,14 @@
 	return found
 }
 
-func writeFitRow(w io.Writer, sized []Sized, c Class, class func(Usage) Class, q quantity) {
+func writeFitRow(w io.Writer, measurements []Measurement, c Class, class func(Usage) Class, q quantity) {
 	var x, y []float64
 	fmt.Fprintf(w, "| %s\t| %s\t", c, q.name)
-	for _, s := range sized {
+	for _, s := range measurements {
 		var values []float64
 		for _, u := range s.Usages {
 			if class(u) == c {
-				values = append(values, q.of(u))
+				values = append(values, q.value(u))
 			}
 		}
 		if len(values) == 0 {
@@ -169,5 +169,5 @@
 		fmt.Fprintf(w, "| %.2f (%.2f)\t", stat.Mean(values, nil), slices.Max(values))
 	}
 	line := FitLine(x, y)
-	fmt.Fprintf(w, "| %.2f\t| %.4g\t| %.2g\t|\n", line.At0, line.Slope, line.Residual)
+	fmt.Fprintf(w, "| %.2f\t| %.4g\t| %.2g\t|\n", line.Intercept, line.Slope, line.Residual)
 }
--- a/internal/measure/fit_test.go
+++ b/internal/measure/fit_test.go
@@ -7,18 +7,18 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestFitLineTellsSlopeAndResidual(t *testing.T) {
+func TestFitLineSlopeAndResidual(t *testing.T) {
 	exact := FitLine([]float64{50, 150, 450}, []float64{2, 4, 10})
-	must.InDelta(t, 1, exact.At0, 1e-9)
+	must.InDelta(t, 1, exact.Intercept, 1e-9)
 	must.InDelta(t, 0.02, exact.Slope, 1e-9)
 	must.InDelta(t, 0, exact.Residual, 1e-9)
-	bent := FitLine([]float64{0, 1, 2}, []float64{0, 3, 0})
-	must.InDelta(t, 0, bent.Slope, 1e-9)
-	must.InDelta(t, 2, bent.Residual, 1e-9)
-	must.Eq(t, Line{At0: 7}, FitLine([]float64{5, 5}, []float64{7, 7}))
+	nonlinear := FitLine([]float64{0, 1, 2}, []float64{0, 3, 0})
+	must.InDelta(t, 0, nonlinear.Slope, 1e-9)
+	must.InDelta(t, 2, nonlinear.Residual, 1e-9)
+	must.Eq(t, Line{Intercept: 7}, FitLine([]float64{5, 5}, []float64{7, 7}))
 }
 
-func TestFitTellsRolesApart(t *testing.T) {
+func TestWriteFitSeparatesRoles(t *testing.T) {
 	leader := Usage{Name: "a/cell", CPUPercent: 4, Roles: map[string]string{"cell.x": "leader", "configuration": "follower"}}
 	follower := Usage{Name: "b/cell", CPUPercent: 1, Roles: map[string]string{"cell.x": "follower"}}
 	entry := Usage{Name: "b/entry", Counters: map[string]float64{"accepted.BytesSent": 30, "peers.*.BytesReceived": 12}}
@@ -29,6 +29,6 @@
 	must.Eq(t, ClassEntry, entry.CellClass())
 	must.Eq(t, 42, entry.SocketBytes())
 	var out strings.Builder
-	must.NoError(t, WriteFit(&out, []Sized{{Size: 1, Usages: []Usage{leader, follower, entry}}}, Usage.CellClass))
+	must.NoError(t, WriteFit(&out, []Measurement{{Size: 1, Usages: []Usage{leader, follower, entry}}}, Usage.CellClass))
 	must.StrContains(t, out.String(), "| cell leader   | cpu %      | 4.00 (4.00)")
 }
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -102,8 +102,8 @@
 		}
 		// Between one sample and itself nothing is used: a rate takes two, also when the
 		// first has taken the whole time.
-		over := !time.Now().Before(end) && round > 1
-		if over || !wait.For(ctx, min(cfg.Interval, time.Until(end))) {
+		done := !time.Now().Before(end) && round > 1
+		if done || !wait.For(ctx, min(cfg.Interval, time.Until(end))) {
 			break
 		}
 	}
@@ -111,16 +111,16 @@
 }
 
 func (cfg Config) usages(samples [][]sample) []Usage {
-	most := 0
+	maxSamples := 0
 	for _, list := range samples {
-		most = max(most, len(list))
+		maxSamples = max(maxSamples, len(list))
 	}
 	usages := make([]Usage, 0, len(samples))
 	for i, list := range samples {
 		u := usageOf(list)
 		u.Name = cfg.Targets[i].Name
 		u.PID = cfg.Targets[i].PID
-		u.Gone = len(list) < most
+		u.Gone = len(list) < maxSamples
 		usages = append(usages, u)
 	}
 	return usages
@@ -262,12 +262,12 @@
 	return roles
 }
 
-// anyKey stands for every key of a level in the name of a counter.
-const anyKey = "*"
+// wildcard stands for every key of a level in the name of a counter.
+const wildcard = "*"
 
-// lookUp finds a number by its path. Numbers found through anyKey are summed.
+// lookUp finds a number by its path. Numbers found through wildcard are summed.
 func lookUp(vars map[string]any, path []string) (float64, bool) {
-	if path[0] == anyKey {
+	if path[0] == wildcard {
 		sum, found := 0.0, false
 		for key := range vars {
 			value, ok := lookUp(vars, append([]string{key}, path[1:]...))
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -13,7 +13,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestMeasureOwnProcess(t *testing.T) {
+func TestRunMeasuresOwnProcess(t *testing.T) {
 	count := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		count++
@@ -41,7 +41,7 @@
 // What a user sees: a process that is busy is reported to use nothing.
 // Order: the machine is busy, and the first sample takes longer than the whole measurement.
 // Cause: the loop ended after it, and rates were taken between one sample and itself.
-func TestMeasureTakesTwoSamplesHoweverLongTheFirstTakes(t *testing.T) {
+func TestRunTakesTwoSamplesWhenFirstIsSlow(t *testing.T) {
 	usages, err := Run(t.Context(), Config{
 		Targets:  []Target{{Name: "self", PID: os.Getpid()}},
 		Interval: 5 * time.Millisecond,
@@ -51,7 +51,7 @@
 	must.Positive(t, usages[0].ReadBytes)
 }
 
-func TestMeasureNamesMissingProcess(t *testing.T) {
+func TestRunReportsMissingProcess(t *testing.T) {
 	_, err := Run(context.Background(), Config{Targets: []Target{{Name: "ghost", PID: -1}}})
 	must.ErrorContains(t, err, "ghost")
 }
--- a/internal/oplog/metrics.go
+++ b/internal/oplog/metrics.go
@@ -14,9 +14,9 @@
 // Bounds of the latency histograms, in microseconds: 10 µs to a minute with two
 // digits, about 20 KB each.
 const (
-	lowestMicros  = 10
-	highestMicros = 60_000_000
-	digits        = 2
+	lowestMicros      = 10
+	highestMicros     = 60_000_000
+	significantDigits = 2
 )
 
 // Metrics counts events and keeps latency histograms by name. It is safe for
@@ -53,7 +53,7 @@
 	defer m.mu.Unlock()
 	h := m.histograms[name]
 	if h == nil {
-		h = hdrhistogram.New(lowestMicros, highestMicros, digits)
+		h = hdrhistogram.New(lowestMicros, highestMicros, significantDigits)
 		m.histograms[name] = h
 	}
 	// The value is within the bounds, so recording can't fail.
--- a/internal/oplog/oplog.go
+++ b/internal/oplog/oplog.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// queueLines bounds the lines that wait for the writer: half a second of the
+	// maxQueuedLines bounds the lines that wait for the writer: half a second of the
 	// budget.
-	queueLines = 1024
+	maxQueuedLines = 1024
 	// linesPerSecond is the budget. A leader logs about six lines a job, so it
 	// covers 300 jobs a second; a line costs about 5 µs.
 	linesPerSecond = 2000
@@ -26,24 +26,24 @@
 	lines chan []byte
 	done  chan struct{}
 
-	mu      sync.Mutex
-	window  time.Time
-	used    int
-	dropped int
-	closed  bool
+	mu          sync.Mutex
+	windowStart time.Time
+	windowLines int
+	dropped     int
+	closed      bool
 }
 
 // NewSink returns a sink that writes to w. Close ends it.
 func NewSink(w io.Writer) *Sink {
-	s := &Sink{lines: make(chan []byte, queueLines), done: make(chan struct{})}
-	go s.drain(w)
+	s := &Sink{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
+	go s.writeLoop(w)
 	return s
 }
 
 // drain writes what is queued, as much as there is at a time: a leader of 350
 // workers logs 2000 lines a second, and a write costs more than to make a line. An
 // error of the writer can't be logged anywhere.
-func (s *Sink) drain(w io.Writer) {
+func (s *Sink) writeLoop(w io.Writer) {
 	defer close(s.done)
 	var batch []byte
 	for line := range s.lines {
@@ -60,16 +60,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if now.Sub(s.window) >= time.Second {
-		s.window, s.used = now, 0
+	if now.Sub(s.windowStart) >= time.Second {
+		s.windowStart, s.windowLines = now, 0
 	}
-	if s.closed || s.used >= linesPerSecond {
+	if s.closed || s.windowLines >= linesPerSecond {
 		s.dropped++
 		return len(line), nil
 	}
 	select {
 	case s.lines <- append([]byte(nil), line...):
-		s.used++
+		s.windowLines++
 	default:
 		s.dropped++
 	}
--- a/internal/oplog/oplog_test.go
+++ b/internal/oplog/oplog_test.go
@@ -10,10 +10,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// stuckWriter takes nothing until it is released.
-type stuckWriter struct{ release chan struct{} }
+// blockedWriter takes nothing until it is released.
+type blockedWriter struct{ release chan struct{} }
 
-func (w *stuckWriter) Write(p []byte) (int, error) {
+func (w *blockedWriter) Write(p []byte) (int, error) {
 	<-w.release
 	return len(p), nil
 }
@@ -22,14 +22,14 @@
 // Order: whoever reads the process's output stands still; the pipe fills; a
 // request logs its outcome.
 // Cause: a log line that waits for its reader.
-func TestAReaderThatStandsStillBlocksNobody(t *testing.T) {
-	w := &stuckWriter{make(chan struct{})}
+func TestBlockedReaderDoesNotBlockLogging(t *testing.T) {
+	w := &blockedWriter{make(chan struct{})}
 	s := NewSink(w)
 	logger := NewLogger(s, "i")
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for range 3 * queueLines {
+		for range 3 * maxQueuedLines {
 			must.NoError(t, logger.Log("event", "x"))
 		}
 	}()
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -95,11 +95,11 @@
 			if !key.admin && address.Addr().IsUnspecified() {
 				return file.Errorf(path, "%q can't be dialled by other instances; name one address of the machine", value)
 			}
-			scoped := scope(instance, address) + address.String()
-			if other, ok := used[scoped]; ok {
+			scopedAddress := addressScope(instance, address) + address.String()
+			if other, ok := used[scopedAddress]; ok {
 				return file.Errorf(path, "%q is already %s", value, other)
 			}
-			used[scoped] = path
+			used[scopedAddress] = path
 		}
 	}
 	return nil
@@ -108,7 +108,7 @@
 // scope keeps apart loopback and unspecified addresses of different machines:
 // the same 127.0.0.1 port may be taken on each. Machines are told apart by the
 // address that callers reach.
-func scope(instance *Instance, address netip.AddrPort) string {
+func addressScope(instance *Instance, address netip.AddrPort) string {
 	if !address.Addr().IsLoopback() && !address.Addr().IsUnspecified() {
 		return ""
 	}
@@ -148,26 +148,26 @@
 func (s *Settings) checkLocalMajority(file *tomlfile.File) error {
 	for _, dataCentre := range s.DataCentres() {
 		members := s.CellMembers(dataCentre)
-		own := 0
+		ownVoters := 0
 		for _, member := range members {
 			if member.DataCentre == dataCentre {
-				own++
+				ownVoters++
 			}
 		}
-		if own == 0 {
+		if ownVoters == 0 {
 			return file.Errorf("instance", "data centre %q has no instance with a cell address", dataCentre)
 		}
-		if 2*own <= len(members) {
+		if 2*ownVoters <= len(members) {
 			return file.Errorf("instance", "data centre %q has %d own instances and %d witnesses; cut off, it could decide nothing",
-				dataCentre, own, len(members)-own)
+				dataCentre, ownVoters, len(members)-ownVoters)
 		}
 	}
 	return nil
 }
 
-// spreadDataCentres is the number of data centres from which on the
+// minSpreadDataCentres is the number of data centres from which on the
 // configuration log must survive the loss of any one of them.
-const spreadDataCentres = 3
+const minSpreadDataCentres = 3
 
 func (s *Settings) checkConfigVoters(file *tomlfile.File) error {
 	perDataCentre := make(map[string]int)
@@ -185,7 +185,7 @@
 	if total == 0 {
 		return file.Errorf("instance", "at least one instance needs config_voter = true")
 	}
-	if len(s.DataCentres()) < spreadDataCentres {
+	if len(s.DataCentres()) < minSpreadDataCentres {
 		return nil
 	}
 	for _, dataCentre := range s.DataCentres() {
@@ -247,10 +247,10 @@
 	return nil
 }
 
-// renewSlack is what is left of a worker's lease, at the least, after one
+// minRenewSlack is what is left of a worker's lease, at the least, after one
 // renewal was held for commands and the next one was lost with the instance
 // that held it: time to find the new leader.
-const renewSlack = Duration(time.Second)
+const minRenewSlack = Duration(time.Second)
 
 func (s *Settings) checkTiming(file *tomlfile.File) error {
 	t := s.Timing
@@ -267,20 +267,20 @@
 			return file.Errorf("timing."+p.key, "must be above zero, is %s", p.value)
 		}
 	}
-	orders := []struct {
-		key             string
-		larger, smaller Duration
-		what            string
+	minimums := []struct {
+		key            string
+		value, minimum Duration
+		bound          string
 	}{
 		{"heartbeat", t.Heartbeat, t.Tick, "timing.tick"},
 		{"election", t.Election, 2 * t.Heartbeat, "twice timing.heartbeat"},
-		{"worker_lease", t.WorkerLease, 2*t.RenewHold + renewSlack, "twice timing.renew_hold and a second"},
+		{"worker_lease", t.WorkerLease, 2*t.RenewHold + minRenewSlack, "twice timing.renew_hold and a second"},
 		{"worker_lease", t.WorkerLease, t.Drift, "timing.drift"},
 		{"max_request", t.MaxRequest + 1, t.SlotLease, "or equal to timing.slot_lease"},
 	}
-	for _, o := range orders {
-		if o.larger <= o.smaller {
-			return file.Errorf("timing."+o.key, "is %s and must be longer than %s, %s", o.larger, o.what, o.smaller)
+	for _, o := range minimums {
+		if o.value <= o.minimum {
+			return file.Errorf("timing."+o.key, "is %s and must be longer than %s, %s", o.value, o.bound, o.minimum)
 		}
 	}
 	return nil
--- a/internal/settings/members.go
+++ b/internal/settings/members.go
@@ -52,10 +52,10 @@
 	})
 }
 
-func (s *Settings) instancesWhere(want func(*Instance) bool) []Instance {
+func (s *Settings) instancesWhere(match func(*Instance) bool) []Instance {
 	var found []Instance
 	for i := range s.Instances {
-		if want(&s.Instances[i]) {
+		if match(&s.Instances[i]) {
 			found = append(found, s.Instances[i])
 		}
 	}
--- a/internal/settings/print.go
+++ b/internal/settings/print.go
@@ -48,8 +48,8 @@
 			fmt.Fprintf(out, "%s = %s\n", key, value)
 			continue
 		}
-		byDefault, _ := formatValue(defaults.Field(i))
-		fmt.Fprintf(out, "%-14s = %s  # default %s\n", key, value, byDefault)
+		defaultValue, _ := formatValue(defaults.Field(i))
+		fmt.Fprintf(out, "%-14s = %s  # default %s\n", key, value, defaultValue)
 	}
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -15,7 +15,7 @@
 )
 
 // deployment writes a whole deployment of n data centres of three instances.
-func deployment(n int) string {
+func deploymentTOML(n int) string {
 	var b strings.Builder
 	b.WriteString("deployment = \"test\"\n")
 	for dc := range n {
@@ -45,7 +45,7 @@
 }
 
 func TestLoadFillsDefaultsAndResolvesPaths(t *testing.T) {
-	path := writeDeployment(t, deployment(3))
+	path := writeDeployment(t, deploymentTOML(3))
 	s, err := Load(path)
 	must.NoError(t, err)
 	must.Eq(t, Default().Timing, s.Timing)
@@ -60,9 +60,9 @@
 
 	tokens, err := s.LoadTokens()
 	must.NoError(t, err)
-	who, err := tokens.Authenticate("Bearer secret-cu")
+	identity, err := tokens.Authenticate("Bearer secret-cu")
 	must.NoError(t, err)
-	must.Eq(t, Identity{Role: Customer, Customer: "rackwise"}, who)
+	must.Eq(t, Identity{Role: Customer, Customer: "rackwise"}, identity)
 	must.Eq(t, "secret-pr", tokens.Token(Peer))
 	for _, wrong := range []string{"", "Bearer", "Bearer ", "secret-c", "secret-cu2", strings.Repeat("x", 1<<16)} {
 		_, err = tokens.Authenticate(wrong)
@@ -71,23 +71,23 @@
 	must.StrNotContains(t, fmt.Sprintf("%v %+v %#v", tokens, tokens, tokens), "secret")
 }
 
-func TestPrintReadsBack(t *testing.T) {
-	s, err := Load(writeDeployment(t, deployment(3)+"[timing]\ntick = \"20ms\"\n"))
+func TestPrintedSettingsParseUnchanged(t *testing.T) {
+	s, err := Load(writeDeployment(t, deploymentTOML(3)+"[timing]\ntick = \"20ms\"\n"))
 	must.NoError(t, err)
 	var first, second bytes.Buffer
 	must.NoError(t, s.Print(&first))
 	must.StrContains(t, first.String(), `tick           = "20ms"  # default "50ms"`)
 	must.StrNotContains(t, first.String(), "secret-")
-	again, err := Parse("printed", first.Bytes(), "/elsewhere")
+	reparsed, err := Parse("printed", first.Bytes(), "/elsewhere")
 	must.NoError(t, err)
-	must.NoError(t, again.Print(&second))
+	must.NoError(t, reparsed.Print(&second))
 	must.Eq(t, first.String(), second.String())
 }
 
 // A mistake in a file of settings must be found from the message alone: each
 // names the line, the key and what to write instead.
-func TestRefusals(t *testing.T) {
-	good := deployment(3)
+func TestParseRejectsMistakes(t *testing.T) {
+	good := deploymentTOML(3)
 	cases := []struct{ name, text, field, message string }{
 		{"unknown key", good + "[timing]\nheartbeet = \"1s\"\n", "timing.heartbeet", `line 71: unknown key; did you mean "heartbeat"?`},
 		{"unknown key of one instance", strings.Replace(good, "entry_admin", "entry_admni", 1), "instance.entry_admni", `line 6: unknown key; did you mean "entry_admin"?`},
@@ -129,8 +129,8 @@
 	}
 }
 
-func TestMajorityOfConfigVoters(t *testing.T) {
-	text := strings.Replace(deployment(3), "id = \"dc0-1\"\n", "id = \"dc0-1\"\nconfig_voter = true\n", 1)
+func TestNoDataCentreHoldsConfigMajority(t *testing.T) {
+	text := strings.Replace(deploymentTOML(3), "id = \"dc0-1\"\n", "id = \"dc0-1\"\nconfig_voter = true\n", 1)
 	_, err := Parse("x", []byte(text), "/")
 	must.NoError(t, err)
 	text = strings.Replace(text, "id = \"dc0-2\"\n", "id = \"dc0-2\"\nconfig_voter = true\n", 1)
@@ -138,8 +138,8 @@
 	must.ErrorContains(t, err, "no single one may hold a majority")
 }
 
-func TestWitness(t *testing.T) {
-	text := deployment(2)
+func TestWitnessesAreAMinority(t *testing.T) {
+	text := deploymentTOML(2)
 	text = strings.Replace(text, "cell = \"10.0.0.3:7402\"\n", "", 1)
 	s, err := Parse("x", []byte(text), "/")
 	must.NoError(t, err)
@@ -154,10 +154,10 @@
 	must.ErrorContains(t, err, "cut off, it could decide nothing")
 }
 
-func TestTokenFiles(t *testing.T) {
+func TestLoadRejectsBadFiles(t *testing.T) {
 	for name, content := range map[string]string{"empty": " \n", "two lines": "a\nb\n", "same": "secret-cu"} {
 		t.Run(name, func(t *testing.T) {
-			path := writeDeployment(t, deployment(3))
+			path := writeDeployment(t, deploymentTOML(3))
 			must.NoError(t, os.WriteFile(filepath.Join(filepath.Dir(path), "op"), []byte(content), 0o600))
 			_, err := Load(path)
 			must.True(t, fault.Is(err, fault.Invalid))
@@ -171,7 +171,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(deployment(1)))
+	f.Add([]byte(deploymentTOML(1)))
 	f.Add([]byte("deployment = \"x\"\n[timing]\ntick = \"1h\"\n"))
 	f.Add([]byte("[[instance]]\n[[instance.x]]\na.b = {c = [1,2]}\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/settings/tokens.go
+++ b/internal/settings/tokens.go
@@ -53,8 +53,8 @@
 	identity Identity
 }
 
-// maxToken bounds a token file; a token is a line, not a document.
-const maxToken = 4096
+// maxTokenBytes bounds a token file; a token is a line, not a document.
+const maxTokenBytes = 4096
 
 // LoadTokens reads the token files. A file that is missing, empty or holds
 // more than one line, and a token that stands for two identities, are Invalid.
@@ -94,7 +94,7 @@
 // ReadToken reads one token from a file: a single line, surrounding white
 // space dropped.
 func ReadToken(path string) (string, error) {
-	text, err := readBounded(path, maxToken)
+	text, err := readBounded(path, maxTokenBytes)
 	if err != nil {
 		return "", fault.New(fault.Invalid, "token file: %v", err)
 	}
@@ -147,7 +147,7 @@
 // Hashes of equal length are compared, every one of them each time, so that
 // the time taken tells a guesser nothing about the tokens.
 func (t *TokenSet) Authenticate(bearer string) (Identity, error) {
-	if len(bearer) > maxToken {
+	if len(bearer) > maxTokenBytes {
 		return Identity{}, fault.New(fault.Denied, "the token is too long")
 	}
 	if len(bearer) >= len(bearerScheme) && strings.EqualFold(bearer[:len(bearerScheme)], bearerScheme) {
--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -17,33 +17,33 @@
 	paramSize = "size"
 	// paramWork is the time that the request takes, in milliseconds.
 	paramWork = "work_ms"
-	// paramOnce marks a non-idempotent request.
-	paramOnce = "once"
+	// paramNonIdempotent marks a non-idempotent request.
+	paramNonIdempotent = "once"
 )
 
-// maxFiller bounds the filler that a request may ask for.
-const maxFiller = 16 << 20
+// maxFillerSize bounds the filler that a request may ask for.
+const maxFillerSize = 16 << 20
 
-// newAnswer makes the answer to a request: a line with the nonce, the checksum
+// newResponseBody makes the answer to a request: a line with the nonce, the checksum
 // of the request's body and the length and checksum of what follows, then that
 // many bytes of filler drawn from the nonce.
-func newAnswer(nonce string, body []byte, size int) []byte {
-	filler := fillerOf(nonce, min(max(size, 0), maxFiller))
+func newResponseBody(nonce string, body []byte, size int) []byte {
+	filler := newFiller(nonce, min(max(size, 0), maxFillerSize))
 	head := fmt.Sprintf("%s %016x %d %016x\n", strconv.Quote(nonce), xxhash.Sum64(body), len(filler), xxhash.Sum64(filler))
 	return append([]byte(head), filler...)
 }
 
-// checkAnswer holds an answer against the request that it is for.
-func checkAnswer(answer []byte, nonce string, body []byte, size int) error {
-	want := newAnswer(nonce, body, size)
-	if bytes.Equal(answer, want) {
+// checkResponseBody holds an answer against the request that it is for.
+func checkResponseBody(got []byte, nonce string, body []byte, size int) error {
+	want := newResponseBody(nonce, body, size)
+	if bytes.Equal(got, want) {
 		return nil
 	}
-	head, _, _ := bytes.Cut(answer, []byte("\n"))
-	return errors.Newf("answer of %d bytes begins %.80q, expected %d bytes for %q", len(answer), head, len(want), nonce)
+	head, _, _ := bytes.Cut(got, []byte("\n"))
+	return errors.Newf("answer of %d bytes begins %.80q, expected %d bytes for %q", len(got), head, len(want), nonce)
 }
 
-func fillerOf(nonce string, size int) []byte {
+func newFiller(nonce string, size int) []byte {
 	filler := make([]byte, 0, size+xxhashLength)
 	for block := uint64(0); len(filler) < size; block++ {
 		h := xxhash.NewWithSeed(block)
--- a/internal/standin/call.go
+++ b/internal/standin/call.go
@@ -24,9 +24,9 @@
 	headerIdempotent = "Bilberry-Idempotent"
 )
 
-// answerSlack is how much longer than its deadline a caller waits, so that a
+// lateResponseGrace is how much longer than its deadline a caller waits, so that a
 // late answer is seen as late and not as lost.
-const answerSlack = time.Second
+const lateResponseGrace = time.Second
 
 const callerDialTimeout = time.Second
 
@@ -37,27 +37,27 @@
 		MaxIdleConnsPerHost: cfg.MaxInFlight,
 		DisableCompression:  true,
 	}
-	return &http.Client{Transport: &bearer{token: cfg.Token, next: transport}}
+	return &http.Client{Transport: &bearerTransport{token: cfg.Token, next: transport}}
 }
 
 // call is one request of a load.
 type call struct {
-	nonce  string
-	once   bool
-	body   []byte
-	due    time.Time
-	target int
-	resent int
+	nonce         string
+	nonIdempotent bool
+	body          []byte
+	due           time.Time
+	target        int
+	resends       int
 }
 
 func (c *Callers) newCall(i int, due time.Time) *call {
 	nonce := fmt.Sprintf("%x-%d-%x", c.cfg.Seed, i, c.random.Uint64())
 	return &call{
-		nonce:  nonce,
-		once:   c.random.Float64() < c.cfg.OnceShare,
-		body:   fillerOf(nonce, c.cfg.BodySize),
-		due:    due,
-		target: c.random.IntN(len(c.cfg.Entries)),
+		nonce:         nonce,
+		nonIdempotent: c.random.Float64() < c.cfg.NonIdempotentShare,
+		body:          newFiller(nonce, c.cfg.BodySize),
+		due:           due,
+		target:        c.random.IntN(len(c.cfg.Entries)),
 	}
 }
 
@@ -66,16 +66,16 @@
 // send makes the call, again on another address where that is allowed. It
 // returns the error of the last try, or nil for a whole and right answer.
 func (c *Callers) send(ctx context.Context, k *call) error {
-	ctx, cancel := context.WithDeadline(ctx, k.deadline(c.cfg).Add(answerSlack))
+	ctx, cancel := context.WithDeadline(ctx, k.deadline(c.cfg).Add(lateResponseGrace))
 	defer cancel()
 	for {
 		err := c.try(ctx, k)
 		if !c.mayResend(ctx, k, err) {
 			return err
 		}
-		k.resent++
+		k.resends++
 		k.target = (k.target + 1) % len(c.cfg.Entries)
-		c.count(func(r *CallersReport) { r.Resent++ })
+		c.updateReport(func(r *CallersReport) { r.Resent++ })
 	}
 }
 
@@ -83,29 +83,29 @@
 // an idempotent call may be sent again then. A refused connection carried
 // nothing, so that any call may be.
 func (c *Callers) mayResend(ctx context.Context, k *call, err error) bool {
-	if !c.cfg.Resend || !errors.Is(err, errBroken) || ctx.Err() != nil {
+	if !c.cfg.Resend || !errors.Is(err, errConnectionBroken) || ctx.Err() != nil {
 		return false
 	}
-	if k.once && !notSent(err) {
+	if k.nonIdempotent && !failedToConnect(err) {
 		return false
 	}
-	return k.resent < 2*len(c.cfg.Entries) && time.Now().Before(k.deadline(c.cfg))
+	return k.resends < 2*len(c.cfg.Entries) && time.Now().Before(k.deadline(c.cfg))
 }
 
-func notSent(err error) bool {
+func failedToConnect(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
 var (
-	errBroken = errors.New("connection broke")
-	errWrong  = errors.New("wrong answer")
+	errConnectionBroken = errors.New("connection broke")
+	errWrongResponse    = errors.New("wrong answer")
 )
 
-// errRefused is an answer with an error status.
-type errRefused struct{ kind string }
+// refusedError is an answer with an error status.
+type refusedError struct{ kind string }
 
-func (e *errRefused) Error() string { return "refused: " + e.kind }
+func (e *refusedError) Error() string { return "refused: " + e.kind }
 
 func (c *Callers) try(ctx context.Context, k *call) error {
 	request, err := c.newRequest(ctx, k)
@@ -114,23 +114,23 @@
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		return errors.Mark(err, errBroken)
+		return errors.Mark(err, errConnectionBroken)
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(response.Body)
+	responseBody, err := io.ReadAll(response.Body)
 	if err != nil {
-		return errors.Mark(err, errBroken)
+		return errors.Mark(err, errConnectionBroken)
 	}
 	if response.StatusCode != http.StatusOK {
-		return &errRefused{kind: kindOf(response)}
+		return &refusedError{kind: errorKind(response)}
 	}
-	if err := checkAnswer(answer, k.nonce, k.body, c.cfg.Size); err != nil {
-		return errors.Mark(err, errWrong)
+	if err := checkResponseBody(responseBody, k.nonce, k.body, c.cfg.Size); err != nil {
+		return errors.Mark(err, errWrongResponse)
 	}
 	return nil
 }
 
-func kindOf(response *http.Response) string {
+func errorKind(response *http.Response) string {
 	if kind := response.Header.Get(fault.HeaderKind); kind != "" {
 		return kind
 	}
@@ -139,16 +139,16 @@
 
 func (c *Callers) newRequest(ctx context.Context, k *call) (*http.Request, error) {
 	method := http.MethodGet
-	if k.once || len(k.body) > 0 {
+	if k.nonIdempotent || len(k.body) > 0 {
 		method = http.MethodPost
 	}
 	request, err := http.NewRequestWithContext(ctx, method, c.url(k), bytes.NewReader(k.body))
 	if err != nil {
 		return nil, err
 	}
-	left := max(time.Until(k.deadline(c.cfg)).Milliseconds(), 1)
-	request.Header.Set(headerDeadline, strconv.FormatInt(left, 10))
-	request.Header.Set(headerIdempotent, strconv.FormatBool(!k.once))
+	remaining := max(time.Until(k.deadline(c.cfg)).Milliseconds(), 1)
+	request.Header.Set(headerDeadline, strconv.FormatInt(remaining, 10))
+	request.Header.Set(headerIdempotent, strconv.FormatBool(!k.nonIdempotent))
 	return request, nil
 }
 
@@ -160,8 +160,8 @@
 	if c.cfg.Work > 0 {
 		query.Set(paramWork, strconv.FormatInt(c.cfg.Work.Milliseconds(), 10))
 	}
-	if k.once {
-		query.Set(paramOnce, "1")
+	if k.nonIdempotent {
+		query.Set(paramNonIdempotent, "1")
 	}
 	path := "/s/" + url.PathEscape(c.cfg.Service) + "/work"
 	if c.cfg.Direct {
@@ -171,36 +171,36 @@
 }
 
 // finish counts the end of a call.
-func (c *Callers) finish(k *call, err error) {
-	took := time.Since(k.due)
-	if errors.Is(err, errWrong) {
-		c.cfg.Ledger.Add(WrongAnswer, k.nonce, err.Error())
+func (c *Callers) recordOutcome(k *call, err error) {
+	latency := time.Since(k.due)
+	if errors.Is(err, errWrongResponse) {
+		c.cfg.Ledger.Add(WrongResponse, k.nonce, err.Error())
 	}
-	c.count(func(r *CallersReport) {
+	c.updateReport(func(r *CallersReport) {
 		r.Calls++
-		c.countEnd(r, k, err, took)
+		c.countOutcome(r, k, err, latency)
 	})
 }
 
-func (c *Callers) countEnd(r *CallersReport, k *call, err error, took time.Duration) {
-	var refused *errRefused
+func (c *Callers) countOutcome(r *CallersReport, k *call, err error, latency time.Duration) {
+	var refused *refusedError
 	switch {
 	case err == nil:
-		r.Whole++
-		_ = c.latency.RecordValue(max(took.Microseconds(), latencyLeast))
-		if took > c.cfg.Deadline {
+		r.Correct++
+		_ = c.latency.RecordValue(max(latency.Microseconds(), latencyMin))
+		if latency > c.cfg.Deadline {
 			r.Late++
 		}
 	case errors.As(err, &refused):
 		r.Refused[refused.kind]++
-	case errors.Is(err, errWrong):
+	case errors.Is(err, errWrongResponse):
 		r.Wrong++
 	case errors.Is(err, context.DeadlineExceeded):
 		r.TimedOut++
 	default:
 		r.Broken++
-		if k.once {
-			r.BrokenOnce++
+		if k.nonIdempotent {
+			r.BrokenNonIdempotent++
 		}
 	}
 }
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -17,10 +17,10 @@
 
 // Defaults of CallersConfig.
 const (
-	DefaultCallRate    = 100.0
-	DefaultDeadline    = 2 * time.Second
-	DefaultAnswerSize  = 256
-	DefaultMaxInFlight = 4096
+	DefaultCallRate     = 100.0
+	DefaultDeadline     = 2 * time.Second
+	DefaultResponseSize = 256
+	DefaultMaxInFlight  = 4096
 )
 
 // CallersConfig describes an open-loop load of requests to one service: calls
@@ -43,10 +43,10 @@
 	Duration time.Duration
 	// Deadline is the time that each call has; 0 means DefaultDeadline.
 	Deadline time.Duration
-	// OnceShare is the share of calls that are non-idempotent, from 0 to 1.
-	OnceShare float64
+	// NonIdempotentShare is the share of calls that are non-idempotent, from 0 to 1.
+	NonIdempotentShare float64
 	// Size and BodySize are the bytes of filler in answers and requests; 0
-	// means DefaultAnswerSize for answers and no body.
+	// means DefaultResponseSize for answers and no body.
 	Size, BodySize int
 	// Work is the time that a minion takes for a call; 0 leaves it to the minion.
 	Work time.Duration
@@ -71,7 +71,7 @@
 	// Calls is the number of calls that were due.
 	Calls int64 `json:"calls"`
 	// Whole is the number of whole and right answers.
-	Whole int64 `json:"whole"`
+	Correct int64 `json:"whole"`
 	// Late is the number of whole answers that came after the deadline.
 	Late int64 `json:"late"`
 	// Refused counts error answers by the kind that they name; an answer with
@@ -79,8 +79,8 @@
 	Refused map[string]int64 `json:"refused"`
 	// Broken is the number of calls whose connection broke without an answer.
 	Broken int64 `json:"broken"`
-	// BrokenOnce is the part of Broken that was non-idempotent.
-	BrokenOnce int64 `json:"broken_once"`
+	// BrokenNonIdempotent is the part of Broken that was non-idempotent.
+	BrokenNonIdempotent int64 `json:"broken_once"`
 	// TimedOut is the number of calls without an answer in time.
 	TimedOut int64 `json:"timed_out"`
 	// Wrong is the number of answers that weren't the right ones.
@@ -97,10 +97,10 @@
 
 // Callers is a load of calls.
 type Callers struct {
-	cfg    CallersConfig
-	client *http.Client
-	random *rand.Rand
-	slots  chan struct{}
+	cfg      CallersConfig
+	client   *http.Client
+	random   *rand.Rand
+	inFlight chan struct{}
 
 	mu      sync.Mutex
 	report  CallersReport
@@ -109,8 +109,8 @@
 
 // Bounds of the latency histogram, in microseconds, and its precision.
 const (
-	latencyLeast  = 1
-	latencyMost   = int64(10 * time.Minute / time.Microsecond)
+	latencyMin    = 1
+	latencyMax    = int64(10 * time.Minute / time.Microsecond)
 	latencyDigits = 3
 )
 
@@ -118,12 +118,12 @@
 func NewCallers(cfg CallersConfig) *Callers {
 	cfg = cfg.withDefaults()
 	return &Callers{
-		cfg:     cfg,
-		client:  newCallerClient(cfg),
-		random:  rand.New(rand.NewPCG(cfg.Seed, 0)),
-		slots:   make(chan struct{}, cfg.MaxInFlight),
-		report:  CallersReport{Refused: make(map[string]int64)},
-		latency: hdrhistogram.New(latencyLeast, latencyMost, latencyDigits),
+		cfg:      cfg,
+		client:   newCallerClient(cfg),
+		random:   rand.New(rand.NewPCG(cfg.Seed, 0)),
+		inFlight: make(chan struct{}, cfg.MaxInFlight),
+		report:   CallersReport{Refused: make(map[string]int64)},
+		latency:  hdrhistogram.New(latencyMin, latencyMax, latencyDigits),
 	}
 }
 
@@ -135,7 +135,7 @@
 		cfg.Deadline = DefaultDeadline
 	}
 	if cfg.Size == 0 {
-		cfg.Size = DefaultAnswerSize
+		cfg.Size = DefaultResponseSize
 	}
 	if cfg.MaxInFlight == 0 {
 		cfg.MaxInFlight = DefaultMaxInFlight
@@ -168,26 +168,26 @@
 		if !sleepUntil(ctx, start.Add(due)) {
 			return nil
 		}
-		c.begin(ctx, &calls, c.newCall(i, start.Add(due)))
+		c.startCall(ctx, &calls, c.newCall(i, start.Add(due)))
 	}
 	return nil
 }
 
 // begin sends one call in the background unless too many are on their way.
-func (c *Callers) begin(ctx context.Context, calls *sync.WaitGroup, call *call) {
+func (c *Callers) startCall(ctx context.Context, calls *sync.WaitGroup, call *call) {
 	select {
-	case c.slots <- struct{}{}:
+	case c.inFlight <- struct{}{}:
 	default:
-		c.count(func(r *CallersReport) { r.Calls++; r.NotSent++ })
+		c.updateReport(func(r *CallersReport) { r.Calls++; r.NotSent++ })
 		return
 	}
 	calls.Go(func() {
-		defer func() { <-c.slots }()
-		c.finish(call, c.send(context.WithoutCancel(ctx), call))
+		defer func() { <-c.inFlight }()
+		c.recordOutcome(call, c.send(context.WithoutCancel(ctx), call))
 	})
 }
 
-func (c *Callers) count(change func(*CallersReport)) {
+func (c *Callers) updateReport(change func(*CallersReport)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change(&c.report)
--- a/internal/standin/changes.go
+++ b/internal/standin/changes.go
@@ -47,26 +47,26 @@
 }
 
 const (
-	changeTries   = 20
-	changeTimeout = 5 * time.Second
-	// settleTime is how long the last change may take to be seen everywhere.
-	settleTime = 30 * time.Second
+	maxChangeAttempts = 20
+	changeTimeout     = 5 * time.Second
+	// inForceTimeout is how long the last change may take to be seen everywhere.
+	inForceTimeout = 30 * time.Second
 )
 
 // changer writes the present document again with a comment of its own, so that
 // each change has the size of the real one.
-type changer struct {
-	cfg     ChangesConfig
-	clients []apiv1.Operations
-	runID   string
-	text    string
-	version uint64
-
-	mu       sync.Mutex
-	accepted map[uint64]time.Time
-	inForce  *hdrhistogram.Histogram
-	seen     map[string]uint64
-	report   ChangesReport
+type configWriter struct {
+	cfg      ChangesConfig
+	clients  []apiv1.Operations
+	runID    string
+	document string
+	version  uint64
+
+	mu           sync.Mutex
+	accepted     map[uint64]time.Time
+	inForce      *hdrhistogram.Histogram
+	lastVersions map[string]uint64
+	report       ChangesReport
 }
 
 // RunChanges makes the changes and reports on them. The error is that of the
@@ -74,17 +74,17 @@
 func RunChanges(ctx context.Context, cfg ChangesConfig) (ChangesReport, error) {
 	client := NewHTTPClient(cfg.Token, nil)
 	defer client.CloseIdleConnections()
-	c := &changer{
-		cfg:      cfg,
-		runID:    fmt.Sprintf("standin-%x", time.Now().UnixNano()),
-		accepted: make(map[uint64]time.Time),
-		inForce:  hdrhistogram.New(latencyLeast, latencyMost, latencyDigits),
-		seen:     make(map[string]uint64),
+	c := &configWriter{
+		cfg:          cfg,
+		runID:        fmt.Sprintf("standin-%x", time.Now().UnixNano()),
+		accepted:     make(map[uint64]time.Time),
+		inForce:      hdrhistogram.New(latencyMin, latencyMax, latencyDigits),
+		lastVersions: make(map[string]uint64),
 	}
-	c.clients = dialAll(cfg.Entries, func(base string) apiv1.Operations {
+	c.clients = newClients(cfg.Entries, func(base string) apiv1.Operations {
 		return apiv1.NewOperationsProtobufClient(base, client)
 	})
-	if err := c.read(ctx, 0); err != nil {
+	if err := c.readConfig(ctx, 0); err != nil {
 		return c.report, err
 	}
 	polling, stop := context.WithCancel(ctx)
@@ -93,7 +93,7 @@
 		polls.Go(func() { c.pollLoop(polling) })
 	}
 	c.writeAll(ctx)
-	c.settle(ctx)
+	c.awaitInForce(ctx)
 	stop()
 	polls.Wait()
 	c.report.InForce = c.inForce.TotalCount()
@@ -102,7 +102,7 @@
 	return c.report, nil
 }
 
-func (c *changer) read(ctx context.Context, i int) error {
+func (c *configWriter) readConfig(ctx context.Context, i int) error {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	current, err := c.clients[i%len(c.clients)].GetConfig(ctx, &apiv1.GetConfigRequest{})
@@ -110,59 +110,59 @@
 		return err
 	}
 	c.version = current.Version
-	if c.text == "" {
-		c.text = current.Document
+	if c.document == "" {
+		c.document = current.Document
 	}
 	return nil
 }
 
-func (c *changer) writeAll(ctx context.Context) {
-	times := hdrhistogram.New(latencyLeast, latencyMost, latencyDigits)
+func (c *configWriter) writeAll(ctx context.Context) {
+	writeTimes := hdrhistogram.New(latencyMin, latencyMax, latencyDigits)
 	start := time.Now()
 	for i := range c.cfg.Count {
 		at := start.Add(time.Duration(float64(i) / c.cfg.Rate * float64(time.Second)))
 		if !sleepUntil(ctx, at) {
 			break
 		}
-		begin := time.Now()
+		started := time.Now()
 		if c.write(ctx, i) {
-			record(times, time.Since(begin))
+			recordDuration(writeTimes, time.Since(started))
 		}
 	}
 	c.report.Seconds = time.Since(start).Seconds()
-	c.report.WriteP50 = times.ValueAtQuantile(50)
-	c.report.WriteMax = times.Max()
+	c.report.WriteP50 = writeTimes.ValueAtQuantile(50)
+	c.report.WriteMax = writeTimes.Max()
 }
 
 // write makes one change. A call whose fate is open is made again by the same
 // request id; a Conflict means that the version was read before another write.
-func (c *changer) write(ctx context.Context, i int) bool {
+func (c *configWriter) write(ctx context.Context, i int) bool {
 	request := &apiv1.SetConfigRequest{
 		RequestId: fmt.Sprintf("%s-%d", c.runID, i), ExpectedVersion: c.version,
-		Document: fmt.Sprintf("%s\n# change %d\n", c.text, i),
+		Document: fmt.Sprintf("%s\n# change %d\n", c.document, i),
 	}
 	var err error
-	for try := range changeTries {
+	for try := range maxChangeAttempts {
 		var config *apiv1.Config
-		one, cancel := context.WithTimeout(ctx, changeTimeout)
-		config, err = c.clients[(i+try)%len(c.clients)].SetConfig(one, request)
+		callCtx, cancel := context.WithTimeout(ctx, changeTimeout)
+		config, err = c.clients[(i+try)%len(c.clients)].SetConfig(callCtx, request)
 		cancel()
 		if err == nil {
-			c.note(config.Version)
+			c.recordAccepted(config.Version)
 			return true
 		}
 		if fault.KindOf(err).Advice() != fault.SameRequestID {
 			break
 		}
-		wait.For(ctx, backoffFirst)
+		wait.For(ctx, initialBackoff)
 	}
 	c.report.Failed++
 	c.report.LastError = err.Error()
-	_ = c.read(ctx, i)
+	_ = c.readConfig(ctx, i)
 	return false
 }
 
-func (c *changer) note(version uint64) {
+func (c *configWriter) recordAccepted(version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.version = version
@@ -170,50 +170,50 @@
 	c.accepted[version] = time.Now()
 }
 
-func (c *changer) pollLoop(ctx context.Context) {
+func (c *configWriter) pollLoop(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
-		one, cancel := context.WithTimeout(ctx, changeTimeout)
-		status, err := c.clients[i%len(c.clients)].ConfigStatus(one, &apiv1.ConfigStatusRequest{})
+		callCtx, cancel := context.WithTimeout(ctx, changeTimeout)
+		status, err := c.clients[i%len(c.clients)].ConfigStatus(callCtx, &apiv1.ConfigStatusRequest{})
 		cancel()
 		if err == nil {
-			c.take(status, time.Now())
+			c.recordStatus(status, time.Now())
 		}
 		wait.For(ctx, c.cfg.Poll)
 	}
 }
 
 // take notes which changes are in force on every instance.
-func (c *changer) take(status *apiv1.ConfigStatusResponse, now time.Time) {
+func (c *configWriter) recordStatus(status *apiv1.ConfigStatusResponse, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, i := range status.Instances {
 		if i.Reachable {
-			if i.Version < c.seen[i.Instance] {
+			if i.Version < c.lastVersions[i.Instance] {
 				c.report.Reverted++
 			}
-			c.seen[i.Instance] = i.Version
+			c.lastVersions[i.Instance] = i.Version
 		}
 	}
 	oldest := status.CommittedVersion
 	for _, i := range status.Instances {
-		oldest = min(oldest, c.seen[i.Instance])
+		oldest = min(oldest, c.lastVersions[i.Instance])
 	}
 	for version, at := range c.accepted {
 		if version <= oldest {
-			record(c.inForce, now.Sub(at))
+			recordDuration(c.inForce, now.Sub(at))
 			delete(c.accepted, version)
 		}
 	}
 }
 
 // settle waits until the polls have seen every change in force.
-func (c *changer) settle(ctx context.Context) {
-	deadline := time.Now().Add(settleTime)
+func (c *configWriter) awaitInForce(ctx context.Context) {
+	deadline := time.Now().Add(inForceTimeout)
 	for c.cfg.Poll > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
 		c.mu.Lock()
-		left := len(c.accepted)
+		pending := len(c.accepted)
 		c.mu.Unlock()
-		if left == 0 {
+		if pending == 0 {
 			return
 		}
 		wait.For(ctx, c.cfg.Poll)
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -8,9 +8,9 @@
 )
 
 // Site is one data centre as a stand-in sees it.
-type Site struct {
-	// DataCentre is the name of the data centre.
-	DataCentre string
+type DataCentre struct {
+	// Name is the name of the data centre.
+	Name string
 	// Entries are addresses (IP:port) of the entry instances of the data centre.
 	Entries []string
 }
@@ -20,17 +20,17 @@
 // own, as separate processes would. Dial opens them; nil means TCP.
 func NewHTTPClient(token string, dial rpc.Dial) *http.Client {
 	client := rpc.NewClient(dial)
-	client.Transport = &bearer{token: token, next: client.Transport}
+	client.Transport = &bearerTransport{token: token, next: client.Transport}
 	return client
 }
 
 // bearer adds the bearer token to each request.
-type bearer struct {
+type bearerTransport struct {
 	token string
 	next  http.RoundTripper
 }
 
-func (b *bearer) RoundTrip(r *http.Request) (*http.Response, error) {
+func (b *bearerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if b.token == "" {
 		return b.next.RoundTrip(r)
 	}
@@ -40,7 +40,7 @@
 }
 
 // CloseIdleConnections lets http.Client close the connections of the transport.
-func (b *bearer) CloseIdleConnections() {
+func (b *bearerTransport) CloseIdleConnections() {
 	if t, ok := b.next.(*http.Transport); ok {
 		t.CloseIdleConnections()
 	}
@@ -48,11 +48,11 @@
 
 func baseURL(address string) string { return "http://" + address }
 
-// dialAll returns one client per entry address.
-func dialAll[C any](entries []string, dial func(base string) C) []C {
+// newClients returns one client per entry address.
+func newClients[C any](entries []string, newClient func(base string) C) []C {
 	clients := make([]C, 0, len(entries))
 	for _, address := range entries {
-		clients = append(clients, dial(baseURL(address)))
+		clients = append(clients, newClient(baseURL(address)))
 	}
 	return clients
 }
@@ -60,18 +60,18 @@
 // rotation holds one client per entry address and the one in use. A failed call
 // moves on to the next address, so that the loss of an entry instance costs one
 // call.
-type rotation[C any] struct {
+type failover[C any] struct {
 	mu      sync.Mutex
 	clients []C
 	current int
 }
 
-func newRotation[C any](clients []C, first int) *rotation[C] {
-	return &rotation[C]{clients: clients, current: first % max(len(clients), 1)}
+func newFailover[C any](clients []C, first int) *failover[C] {
+	return &failover[C]{clients: clients, current: first % max(len(clients), 1)}
 }
 
 // pick returns the client in use and its index.
-func (r *rotation[C]) pick() (C, int) {
+func (r *failover[C]) pick() (C, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.clients[r.current], r.current
@@ -79,7 +79,7 @@
 
 // failed moves on from the client with the given index, unless another call has
 // moved on already.
-func (r *rotation[C]) failed(index int) {
+func (r *failover[C]) markFailed(index int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.current == index {
--- a/internal/standin/command/callers.go
+++ b/internal/standin/command/callers.go
@@ -18,9 +18,9 @@
 // callers runs a load of requests.
 type callers struct {
 	*base
-	target   target
-	cfg      standin.CallersConfig
-	customer string
+	deployment deploymentFlags
+	cfg        standin.CallersConfig
+	customer   string
 }
 
 func (*callers) Name() string     { return "callers" }
@@ -30,7 +30,7 @@
 }
 
 func (c *callers) SetFlags(f *flag.FlagSet) {
-	c.target.setFlags(f)
+	c.deployment.setFlags(f)
 	f.StringVar(&c.customer, "customer", "", "customer whose token is sent; empty: the first of the settings")
 	f.StringVar(&c.cfg.Service, "service", "", "name of the service")
 	f.BoolVar(&c.cfg.Direct, "direct", false, "the -entries are addresses of minions")
@@ -38,8 +38,8 @@
 	f.IntVar(&c.cfg.Count, "count", 0, "end after so many requests")
 	f.DurationVar(&c.cfg.Duration, "duration", 10*time.Second, "end after this time")
 	f.DurationVar(&c.cfg.Deadline, "deadline", standin.DefaultDeadline, "time that each request has")
-	f.Float64Var(&c.cfg.OnceShare, "once", 0, "share of non-idempotent requests")
-	f.IntVar(&c.cfg.Size, "size", standin.DefaultAnswerSize, "bytes of filler in each answer")
+	f.Float64Var(&c.cfg.NonIdempotentShare, "once", 0, "share of non-idempotent requests")
+	f.IntVar(&c.cfg.Size, "size", standin.DefaultResponseSize, "bytes of filler in each answer")
 	f.IntVar(&c.cfg.BodySize, "body", 0, "bytes in the body of each request")
 	f.DurationVar(&c.cfg.Work, "work", 0, "time that a minion takes; 0 leaves it to the minion")
 	f.BoolVar(&c.cfg.Resend, "resend", true, "send idempotent requests again when the connection breaks")
@@ -47,29 +47,29 @@
 }
 
 func (c *callers) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	load, err := c.load()
+	load, err := c.newLoad()
 	if err != nil {
-		return c.wrong(err)
+		return c.usageError(err)
 	}
 	err = load.Run(ctx)
 	encoder := json.NewEncoder(c.out)
 	encoder.SetIndent("", "  ")
 	_ = encoder.Encode(load.Report())
-	return c.end(load.Ledger(), err)
+	return c.exitStatus(load.Ledger(), err)
 }
 
-func (c *callers) load() (*standin.Callers, error) {
+func (c *callers) newLoad() (*standin.Callers, error) {
 	if c.cfg.Service == "" && !c.cfg.Direct {
 		return nil, errNoService
 	}
-	sites, s, err := c.target.load()
+	dataCentres, s, err := c.deployment.load()
 	if err != nil {
 		return nil, err
 	}
 	cfg := c.cfg
-	cfg.Entries = entriesOf(sites)
+	cfg.Entries = allEntries(dataCentres)
 	if !cfg.Direct {
-		cfg.Token, err = c.target.token(s, func(s *settings.Settings) string { return customerFile(s, c.customer) })
+		cfg.Token, err = c.deployment.token(s, func(s *settings.Settings) string { return customerFile(s, c.customer) })
 		if err != nil {
 			return nil, err
 		}
--- a/internal/standin/command/changes.go
+++ b/internal/standin/command/changes.go
@@ -16,8 +16,8 @@
 // changes writes the shared configuration again and again.
 type changes struct {
 	*base
-	target target
-	cfg    standin.ChangesConfig
+	deployment deploymentFlags
+	cfg        standin.ChangesConfig
 }
 
 func (*changes) Name() string     { return "changes" }
@@ -27,25 +27,25 @@
 }
 
 func (c *changes) SetFlags(f *flag.FlagSet) {
-	c.target.setFlags(f)
+	c.deployment.setFlags(f)
 	f.Float64Var(&c.cfg.Rate, "rate", 1, "changes in a second")
 	f.IntVar(&c.cfg.Count, "count", 10, "number of changes")
 	f.DurationVar(&c.cfg.Poll, "poll", 100*time.Millisecond, "how often to ask which version each instance applies; 0: never")
 }
 
 func (c *changes) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	sites, s, err := c.target.load()
+	dataCentres, s, err := c.deployment.load()
 	if err != nil {
-		return c.wrong(err)
+		return c.usageError(err)
 	}
-	c.cfg.Entries = entriesOf(sites)
-	c.cfg.Token, err = c.target.token(s, func(s *settings.Settings) string { return s.Tokens.Operator })
+	c.cfg.Entries = allEntries(dataCentres)
+	c.cfg.Token, err = c.deployment.token(s, func(s *settings.Settings) string { return s.Tokens.Operator })
 	if err != nil {
-		return c.wrong(err)
+		return c.usageError(err)
 	}
 	report, err := standin.RunChanges(ctx, c.cfg)
 	if err != nil {
-		fmt.Fprintln(c.problems, err)
+		fmt.Fprintln(c.errorOutput, err)
 		return subcommands.ExitFailure
 	}
 	encoder := json.NewEncoder(c.out)
--- a/internal/standin/command/command.go
+++ b/internal/standin/command/command.go
@@ -21,15 +21,15 @@
 
 // Main runs the subcommand named by the arguments and returns the exit code:
 // 0, or 1 when it failed or a violation was found, or 2 for wrong usage.
-func Main(args []string, out, problems io.Writer) int {
+func Main(args []string, out, errorOutput io.Writer) int {
 	flags := flag.NewFlagSet("bilberry-standin", flag.ContinueOnError)
-	flags.SetOutput(problems)
+	flags.SetOutput(errorOutput)
 	commander := subcommands.NewCommander(flags, "bilberry-standin")
 	commander.Output = out
-	commander.Error = problems
+	commander.Error = errorOutput
 	commander.Register(commander.HelpCommand(), "")
 	commander.Register(commander.FlagsCommand(), "")
-	base := &base{out: out, problems: problems}
+	base := &base{out: out, errorOutput: errorOutput}
 	commander.Register(&workers{base: base}, "")
 	commander.Register(&minions{base: base}, "")
 	commander.Register(&callers{base: base}, "")
@@ -47,12 +47,12 @@
 
 // base is what the subcommands share.
 type base struct {
-	out      io.Writer
-	problems io.Writer
+	out         io.Writer
+	errorOutput io.Writer
 }
 
 func (b *base) logger() log.Logger {
-	logger := log.NewLogfmtLogger(log.NewSyncWriter(b.problems))
+	logger := log.NewLogfmtLogger(log.NewSyncWriter(b.errorOutput))
 	return log.With(logger, "ts", log.DefaultTimestampUTC)
 }
 
@@ -60,15 +60,15 @@
 func (b *base) newLedger() *standin.Ledger {
 	ledger := standin.NewLedger()
 	ledger.OnViolation(func(v standin.Violation) {
-		fmt.Fprintf(b.problems, "VIOLATION %s\n", v)
+		fmt.Fprintf(b.errorOutput, "VIOLATION %s\n", v)
 	})
 	return ledger
 }
 
 // end turns the error and the violations of a run into the exit status.
-func (b *base) end(ledger *standin.Ledger, err error) subcommands.ExitStatus {
+func (b *base) exitStatus(ledger *standin.Ledger, err error) subcommands.ExitStatus {
 	if err != nil && !errors.Is(err, context.Canceled) {
-		fmt.Fprintln(b.problems, err)
+		fmt.Fprintln(b.errorOutput, err)
 		return subcommands.ExitFailure
 	}
 	violations := ledger.Violations()
@@ -79,20 +79,20 @@
 	return subcommands.ExitSuccess
 }
 
-func (b *base) wrong(err error) subcommands.ExitStatus {
-	fmt.Fprintln(b.problems, err)
+func (b *base) usageError(err error) subcommands.ExitStatus {
+	fmt.Fprintln(b.errorOutput, err)
 	return subcommands.ExitUsageError
 }
 
 // target is which entry instances a subcommand speaks to, and with which token.
-type target struct {
+type deploymentFlags struct {
 	settings   string
 	dataCentre string
 	entries    string
 	tokenFile  string
 }
 
-func (t *target) setFlags(f *flag.FlagSet) {
+func (t *deploymentFlags) setFlags(f *flag.FlagSet) {
 	f.StringVar(&t.settings, "settings", "", "settings `file` of the deployment")
 	f.StringVar(&t.dataCentre, "data-centre", "", "only this data centre; empty: all of the settings")
 	f.StringVar(&t.entries, "entries", "", "entry `addresses` in place of those of the settings, comma-separated")
@@ -100,10 +100,10 @@
 }
 
 // load returns the sites, and the settings where a file is named.
-func (t *target) load() ([]standin.Site, *settings.Settings, error) {
+func (t *deploymentFlags) load() ([]standin.DataCentre, *settings.Settings, error) {
 	if t.entries != "" {
-		site := standin.Site{DataCentre: t.dataCentre, Entries: strings.Split(t.entries, ",")}
-		return []standin.Site{site}, nil, nil
+		dataCentre := standin.DataCentre{Name: t.dataCentre, Entries: strings.Split(t.entries, ",")}
+		return []standin.DataCentre{dataCentre}, nil, nil
 	}
 	if t.settings == "" {
 		return nil, nil, errors.New("either -settings or -entries is needed")
@@ -112,40 +112,40 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	sites := sitesOf(s, t.dataCentre)
-	if len(sites) == 0 {
+	dataCentres := dataCentresOf(s, t.dataCentre)
+	if len(dataCentres) == 0 {
 		return nil, nil, errors.Newf("no instance is in data centre %q", t.dataCentre)
 	}
-	return sites, s, nil
+	return dataCentres, s, nil
 }
 
-// sitesOf returns the data centres with their entry addresses, or only one.
-func sitesOf(s *settings.Settings, only string) []standin.Site {
-	var sites []standin.Site
+// dataCentresOf returns the data centres with their entry addresses, or only one.
+func dataCentresOf(s *settings.Settings, only string) []standin.DataCentre {
+	var dataCentres []standin.DataCentre
 	for _, name := range s.DataCentres() {
 		if only != "" && name != only {
 			continue
 		}
-		site := standin.Site{DataCentre: name}
+		dataCentre := standin.DataCentre{Name: name}
 		for _, instance := range s.InDataCentre(name) {
-			site.Entries = append(site.Entries, instance.Entry)
+			dataCentre.Entries = append(dataCentre.Entries, instance.Entry)
 		}
-		sites = append(sites, site)
+		dataCentres = append(dataCentres, dataCentre)
 	}
-	return sites
+	return dataCentres
 }
 
-// entriesOf returns all entry addresses of the sites.
-func entriesOf(sites []standin.Site) []string {
+// allEntries returns all entry addresses of the sites.
+func allEntries(dataCentres []standin.DataCentre) []string {
 	var entries []string
-	for _, site := range sites {
-		entries = append(entries, site.Entries...)
+	for _, dataCentre := range dataCentres {
+		entries = append(entries, dataCentre.Entries...)
 	}
 	return entries
 }
 
 // token reads the token file of the flag, else the one of the settings.
-func (t *target) token(s *settings.Settings, choose func(*settings.Settings) string) (string, error) {
+func (t *deploymentFlags) token(s *settings.Settings, choose func(*settings.Settings) string) (string, error) {
 	switch {
 	case t.tokenFile != "":
 		return settings.ReadToken(t.tokenFile)
--- a/internal/standin/command/command_test.go
+++ b/internal/standin/command/command_test.go
@@ -14,7 +14,7 @@
 	apiv1 "github.com/bilberryferry/bilberryferry/api/v1"
 )
 
-func TestWrongUsage(t *testing.T) {
+func TestUsageErrorsExitWithCodeTwo(t *testing.T) {
 	for _, args := range [][]string{
 		{"nonsense"},
 		{"workers"},
--- a/internal/standin/command/fit.go
+++ b/internal/standin/command/fit.go
@@ -32,41 +32,41 @@
 }
 
 func (c *fit) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	var sized []measure.Sized
+	var sized []measure.Measurement
 	for _, arg := range f.Args() {
-		one, err := readSized(arg)
+		measurement, err := readMeasurement(arg)
 		if err != nil {
-			return c.wrong(err)
+			return c.usageError(err)
 		}
-		sized = append(sized, one)
+		sized = append(sized, measurement)
 	}
 	if len(sized) == 0 {
-		return c.wrong(errors.New("no measurement is named"))
+		return c.usageError(errors.New("no measurement is named"))
 	}
 	class := measure.Usage.CellClass
 	if c.configuration {
 		class = measure.Usage.ConfigClass
 	}
 	if err := measure.WriteFit(c.out, sized, class); err != nil {
-		fmt.Fprintln(c.problems, err)
+		fmt.Fprintln(c.errorOutput, err)
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
 }
 
-func readSized(arg string) (measure.Sized, error) {
+func readMeasurement(arg string) (measure.Measurement, error) {
 	size, path, _ := strings.Cut(arg, "=")
 	number, err := strconv.ParseFloat(size, 64)
 	if err != nil {
-		return measure.Sized{}, errors.Newf("%q isn't SIZE=FILE", arg)
+		return measure.Measurement{}, errors.Newf("%q isn't SIZE=FILE", arg)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return measure.Sized{}, err
+		return measure.Measurement{}, err
 	}
-	one := measure.Sized{Size: number}
-	if err := json.Unmarshal(text, &one.Usages); err != nil {
-		return measure.Sized{}, errors.Wrapf(err, "%s", path)
+	measurement := measure.Measurement{Size: number}
+	if err := json.Unmarshal(text, &measurement.Usages); err != nil {
+		return measure.Measurement{}, errors.Wrapf(err, "%s", path)
 	}
-	return one, nil
+	return measurement, nil
 }
--- a/internal/standin/command/jobs.go
+++ b/internal/standin/command/jobs.go
@@ -17,15 +17,15 @@
 // jobs submits jobs and follows them.
 type jobs struct {
 	*base
-	target   target
-	size     size
-	workers  int
-	cfg      standin.JobsConfig
-	customer string
-	rate     float64
-	count    int
-	seed     uint64
-	verbose  bool
+	deployment deploymentFlags
+	capacity   capacityFlags
+	workers    int
+	cfg        standin.JobsConfig
+	customer   string
+	rate       float64
+	count      int
+	seed       uint64
+	verbose    bool
 }
 
 func (*jobs) Name() string     { return "jobs" }
@@ -35,38 +35,38 @@
 }
 
 func (c *jobs) SetFlags(f *flag.FlagSet) {
-	c.target.setFlags(f)
-	c.size.setFlags(f)
+	c.deployment.setFlags(f)
+	c.capacity.setFlags(f)
 	f.IntVar(&c.workers, "workers", 0, "run so many workers in this process; waiting then counts up to the start on the worker")
 	f.StringVar(&c.customer, "customer", "", "customer who submits; empty: all of the settings in turn")
 	f.Float64Var(&c.rate, "rate", 10, "mean jobs in a second")
 	f.IntVar(&c.count, "count", 0, "number of jobs; 0: each file once")
 	f.Uint64Var(&c.seed, "seed", 1, "seed of the arrival list")
-	f.DurationVar(&c.cfg.Patience, "patience", standin.DefaultPatience, "how long to repeat a call that isn't answered")
+	f.DurationVar(&c.cfg.RetryTimeout, "patience", standin.DefaultRetryTimeout, "how long to repeat a call that isn't answered")
 	f.BoolVar(&c.cfg.KeepServices, "keep-services", false, "leave services running")
 	f.BoolVar(&c.verbose, "v", false, "print each job's result")
 }
 
 func (c *jobs) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	run, err := c.prepare(f.Args())
+	submitter, err := c.newSubmitter(f.Args())
 	if err != nil {
-		return c.wrong(err)
+		return c.usageError(err)
 	}
 	stop, err := c.startWorkers(ctx)
 	if err != nil {
-		return c.wrong(err)
+		return c.usageError(err)
 	}
-	err = run.Run(ctx)
+	err = submitter.Run(ctx)
 	stop()
 	if c.verbose {
-		c.printResults(run.Results())
+		c.printResults(submitter.Results())
 	}
-	report := run.Report()
+	report := submitter.Report()
 	encoder := json.NewEncoder(c.out)
 	encoder.SetIndent("", "  ")
 	_ = encoder.Encode(report)
-	status := c.end(run.Ledger(), err)
-	if report.Missed > 0 || report.Unanswered > 0 {
+	status := c.exitStatus(submitter.Ledger(), err)
+	if report.MissedDeadline > 0 || report.Unanswered > 0 {
 		return subcommands.ExitFailure
 	}
 	return status
@@ -78,15 +78,15 @@
 	if c.workers == 0 {
 		return func() {}, nil
 	}
-	t := c.target
+	t := c.deployment
 	t.tokenFile = ""
-	fleet, err := c.newFleet(standin.WorkersConfig{Count: c.workers, Ledger: c.cfg.Ledger}, &t, &c.size)
+	fleet, err := c.newFleet(standin.WorkersConfig{Count: c.workers, Ledger: c.cfg.Ledger}, &t, &c.capacity)
 	if err != nil {
 		return nil, err
 	}
-	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	fleetCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	done := make(chan error, 1)
-	go func() { done <- fleet.Run(running) }()
+	go func() { done <- fleet.Run(fleetCtx) }()
 	for fleet.Ready() < c.workers && ctx.Err() == nil {
 		time.Sleep(readyPoll)
 	}
@@ -106,21 +106,21 @@
 			waited = r.Started.Sub(r.Submitted).String()
 		}
 		fmt.Fprintf(c.out, "%s %s %s state=%s kind=%s waited=%s missed=%t %s\n",
-			r.Customer, r.Name, r.ID, standin.StateName(r.State), r.Kind, waited, r.Missed(), r.Reason)
+			r.Customer, r.Name, r.ID, standin.StateName(r.State), r.Kind, waited, r.MissedDeadline(), r.Reason)
 	}
 }
 
-func (c *jobs) prepare(files []string) (*standin.Jobs, error) {
+func (c *jobs) newSubmitter(files []string) (*standin.Jobs, error) {
 	if len(files) == 0 {
 		return nil, errors.New("no job file is named")
 	}
-	sites, s, err := c.target.load()
+	dataCentres, s, err := c.deployment.load()
 	if err != nil {
 		return nil, err
 	}
 	c.cfg.Ledger = c.newLedger()
 	cfg := c.cfg
-	cfg.Entries = entriesOf(sites)
+	cfg.Entries = allEntries(dataCentres)
 	cfg.Logger = c.logger()
 	customers, err := c.readTokens(s, &cfg)
 	if err != nil {
@@ -143,9 +143,9 @@
 
 func (c *jobs) arrivals(templates []standin.Arrival) []standin.Arrival {
 	if c.count > 0 {
-		return standin.Arrivals(c.seed, c.rate, c.count, templates)
+		return standin.RandomArrivals(c.seed, c.rate, c.count, templates)
 	}
-	arrivals := standin.Arrivals(c.seed, c.rate, len(templates), templates)
+	arrivals := standin.RandomArrivals(c.seed, c.rate, len(templates), templates)
 	for i := range arrivals {
 		at := arrivals[i].At
 		arrivals[i] = templates[i]
@@ -157,8 +157,8 @@
 // readTokens reads the tokens of the customers who submit and returns their names.
 func (c *jobs) readTokens(s *settings.Settings, cfg *standin.JobsConfig) ([]string, error) {
 	cfg.Tokens = make(map[string]string)
-	if s == nil || c.target.tokenFile != "" || c.customer != "" {
-		token, err := c.target.token(s, func(s *settings.Settings) string { return customerFile(s, c.customer) })
+	if s == nil || c.deployment.tokenFile != "" || c.customer != "" {
+		token, err := c.deployment.token(s, func(s *settings.Settings) string { return customerFile(s, c.customer) })
 		cfg.Tokens[c.customer] = token
 		return []string{c.customer}, err
 	}
--- a/internal/standin/command/measure.go
+++ b/internal/standin/command/measure.go
@@ -44,7 +44,7 @@
 func (c *measureCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	targets, err := c.targets(f.Args())
 	if err != nil {
-		return c.wrong(err)
+		return c.usageError(err)
 	}
 	c.cfg.Targets = targets
 	if c.counters != "" {
@@ -55,7 +55,7 @@
 		err = c.print(usages)
 	}
 	if err != nil {
-		fmt.Fprintln(c.problems, err)
+		fmt.Fprintln(c.errorOutput, err)
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
--- a/internal/standin/command/minions.go
+++ b/internal/standin/command/minions.go
@@ -16,9 +16,9 @@
 // minions runs a fleet of stand-in minions.
 type minions struct {
 	*base
-	target target
-	cfg    standin.MinionsConfig
-	linger time.Duration
+	deployment deploymentFlags
+	cfg        standin.MinionsConfig
+	linger     time.Duration
 }
 
 func (*minions) Name() string     { return "minions" }
@@ -28,7 +28,7 @@
 }
 
 func (c *minions) SetFlags(f *flag.FlagSet) {
-	c.target.setFlags(f)
+	c.deployment.setFlags(f)
 	f.IntVar(&c.cfg.Count, "count", 50, "number of minions, spread over the data centres")
 	f.StringVar(&c.cfg.Service, "service", "", "name of the service")
 	f.IntVar(&c.cfg.Slots, "slots", standin.DefaultSlots, "requests that a minion takes at once")
@@ -36,24 +36,24 @@
 	f.StringVar(&c.cfg.Prefix, "prefix", "", "beginning of the minions' ids")
 	f.DurationVar(&c.cfg.Work, "work", 5*time.Millisecond, "time that a request takes")
 	f.IntVar(&c.cfg.Faulty, "faulty", 0, "number of minions with the faults below")
-	f.DurationVar(&c.cfg.Faults.Slow, "slow", 0, "fault: time added to each request")
+	f.DurationVar(&c.cfg.Faults.Delay, "slow", 0, "fault: time added to each request")
 	f.BoolVar(&c.cfg.Faults.Hang, "hang", false, "fault: never answer")
 	f.BoolVar(&c.cfg.Faults.Fail, "fail", false, "fault: fail at once")
-	f.BoolVar(&c.cfg.Faults.Cut, "cut", false, "fault: break answers off")
+	f.BoolVar(&c.cfg.Faults.Truncate, "cut", false, "fault: break answers off")
 	f.DurationVar(&c.linger, "linger", 4*time.Second, "how long to serve on after the leave")
 }
 
 func (c *minions) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	fleet, err := c.fleet()
 	if err != nil {
-		return c.wrong(err)
+		return c.usageError(err)
 	}
-	running, stop := context.WithCancel(context.WithoutCancel(ctx))
+	fleetCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var group errgroup.Group
-	group.Go(func() error { return fleet.Run(running) })
+	group.Go(func() error { return fleet.Run(fleetCtx) })
 	<-ctx.Done()
-	if err := fleet.Leave(running); err != nil {
+	if err := fleet.Leave(fleetCtx); err != nil {
 		_ = c.logger().Log("event", "leave not answered", "error", err)
 	}
 	time.Sleep(c.linger)
@@ -61,24 +61,24 @@
 	err = group.Wait()
 	stats := fleet.Stats()
 	fmt.Fprintf(c.out, "requests: %d, most at once on one minion: %d, most connections of one minion: %d\n",
-		stats.Requests, stats.MaxInProgress, stats.MaxConnections)
-	return c.end(fleet.Ledger(), err)
+		stats.Requests, stats.MaxInFlight, stats.MaxConnections)
+	return c.exitStatus(fleet.Ledger(), err)
 }
 
 func (c *minions) fleet() (*standin.Minions, error) {
 	if c.cfg.Service == "" {
 		return nil, errNoService
 	}
-	sites, s, err := c.target.load()
+	dataCentres, s, err := c.deployment.load()
 	if err != nil {
 		return nil, err
 	}
-	token, err := c.target.token(s, func(s *settings.Settings) string { return s.Tokens.Minion })
+	token, err := c.deployment.token(s, func(s *settings.Settings) string { return s.Tokens.Minion })
 	if err != nil {
 		return nil, err
 	}
 	cfg := c.cfg
-	cfg.Sites = sites
+	cfg.DataCentres = dataCentres
 	cfg.Token = token
 	cfg.Ledger = c.newLedger()
 	cfg.Logger = c.logger()
--- a/internal/standin/command/workers.go
+++ b/internal/standin/command/workers.go
@@ -19,18 +19,18 @@
 const leaveTimeout = 5 * time.Second
 
 // size is what each worker has, as flags give it.
-type size struct {
+type capacityFlags struct {
 	cpu, memory  string
 	accelerators int64
 }
 
-func (z *size) setFlags(f *flag.FlagSet) {
+func (z *capacityFlags) setFlags(f *flag.FlagSet) {
 	f.StringVar(&z.cpu, "cpu", "64", "cores of each worker")
 	f.StringVar(&z.memory, "memory", "256GiB", "memory of each worker")
 	f.Int64Var(&z.accelerators, "accelerators", 0, "accelerators of each worker")
 }
 
-func (z *size) resources() (*apiv1.Resources, error) {
+func (z *capacityFlags) resources() (*apiv1.Resources, error) {
 	cpu, err := units.ParseCores(z.cpu)
 	if err != nil {
 		return nil, err
@@ -43,12 +43,12 @@
 }
 
 // newFleet fills in what a configuration of workers takes from flags and settings.
-func (b *base) newFleet(cfg standin.WorkersConfig, t *target, z *size) (*standin.Workers, error) {
-	sites, s, err := t.load()
+func (b *base) newFleet(cfg standin.WorkersConfig, t *deploymentFlags, z *capacityFlags) (*standin.Workers, error) {
+	dataCentres, s, err := t.load()
 	if err != nil {
 		return nil, err
 	}
-	cfg.Sites = sites
+	cfg.DataCentres = dataCentres
 	cfg.Token, err = t.token(s, func(s *settings.Settings) string { return s.Tokens.Worker })
 	if err != nil {
 		return nil, err
@@ -66,8 +66,8 @@
 // workers runs a fleet of stand-in workers.
 type workers struct {
 	*base
-	target       target
-	size         size
+	deployment   deploymentFlags
+	capacity     capacityFlags
 	cfg          standin.WorkersConfig
 	pauseEvery   time.Duration
 	pauseFor     time.Duration
@@ -81,19 +81,19 @@
 }
 
 func (c *workers) SetFlags(f *flag.FlagSet) {
-	c.target.setFlags(f)
-	c.size.setFlags(f)
+	c.deployment.setFlags(f)
+	c.capacity.setFlags(f)
 	f.IntVar(&c.cfg.Count, "count", 50, "number of workers, spread over the data centres")
 	f.IntVar(&c.cfg.PerRack, "per-rack", standin.DefaultPerRack, "workers in a rack")
 	f.StringVar(&c.cfg.Prefix, "prefix", "", "beginning of the workers' ids")
-	f.DurationVar(&c.cfg.Hold, "hold", standin.DefaultHold, "how long a renewal may be held")
+	f.DurationVar(&c.cfg.RenewHold, "hold", standin.DefaultRenewHold, "how long a renewal may be held")
 	f.Float64Var(&c.cfg.RuntimeLow, "runtime-low", 1, "least factor from declared to true run time")
 	f.Float64Var(&c.cfg.RuntimeHigh, "runtime-high", 1, "largest factor from declared to true run time")
 	f.Uint64Var(&c.cfg.Seed, "seed", 1, "seed of run times and faults")
 	f.IntVar(&c.cfg.Faulty, "faulty", 0, "number of workers with the faults below")
 	f.BoolVar(&c.cfg.Faults.FailAll, "fail-all", false, "fault: fail every task")
-	f.Float64Var(&c.cfg.Faults.LoseAnswers, "lose-answers", 0, "fault: share of answers that are lost")
-	f.BoolVar(&c.cfg.Faults.DoubleReports, "double-reports", false, "fault: send each report twice")
+	f.Float64Var(&c.cfg.Faults.LoseResponses, "lose-answers", 0, "fault: share of answers that are lost")
+	f.BoolVar(&c.cfg.Faults.DuplicateReports, "double-reports", false, "fault: send each report twice")
 	f.DurationVar(&c.cfg.Faults.ReportDelay, "report-delay", 0, "fault: hold each report back")
 	f.DurationVar(&c.pauseEvery, "pause-every", 0, "fault: pause a random worker at this interval")
 	f.DurationVar(&c.pauseFor, "pause-for", 10*time.Second, "length of a pause")
@@ -101,21 +101,21 @@
 }
 
 func (c *workers) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	fleet, err := c.newFleet(c.cfg, &c.target, &c.size)
+	fleet, err := c.newFleet(c.cfg, &c.deployment, &c.capacity)
 	if err != nil {
-		return c.wrong(err)
+		return c.usageError(err)
 	}
-	running, stop := context.WithCancel(context.WithoutCancel(ctx))
+	fleetCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var group errgroup.Group
-	group.Go(func() error { return fleet.Run(running) })
-	go c.disturb(running, fleet)
+	group.Go(func() error { return fleet.Run(fleetCtx) })
+	go c.injectFaults(fleetCtx, fleet)
 	<-ctx.Done()
 	c.leave(fleet)
 	stop()
 	err = group.Wait()
 	fmt.Fprintf(c.out, "starts: %d\n", fleet.Ledger().Starts())
-	return c.end(fleet.Ledger(), err)
+	return c.exitStatus(fleet.Ledger(), err)
 }
 
 // leave ends a fleet in order.
@@ -128,9 +128,9 @@
 }
 
 // disturb pauses and restarts random workers at the intervals of the flags.
-func (c *workers) disturb(ctx context.Context, fleet *standin.Workers) {
-	pause := tick(c.pauseEvery)
-	restart := tick(c.restartEvery)
+func (c *workers) injectFaults(ctx context.Context, fleet *standin.Workers) {
+	pause := newTick(c.pauseEvery)
+	restart := newTick(c.restartEvery)
 	random := rand.New(rand.NewPCG(c.cfg.Seed, 1))
 	for {
 		select {
@@ -147,7 +147,7 @@
 }
 
 // tick returns a channel that ticks at an interval, or never for 0.
-func tick(interval time.Duration) <-chan time.Time {
+func newTick(interval time.Duration) <-chan time.Time {
 	if interval <= 0 {
 		return nil
 	}
--- a/internal/standin/fake_test.go
+++ b/internal/standin/fake_test.go
@@ -34,48 +34,48 @@
 	ttl      time.Duration
 	commands map[string][]*apiv1.Command
 	// stale commands come before the others in every answer.
-	stale   []*apiv1.Command
-	changed chan struct{}
-	issued  map[string]lease.Position // by worker: incarnation and last number
-	last    map[string]*apiv1.RenewRequest
-	sizes   map[string]int64 // processors of the latest announcement
-	reports []*apiv1.AttemptReport
-	left    map[string]bool
+	staleCommands     []*apiv1.Command
+	changed           chan struct{}
+	issued            map[string]lease.Position // by worker: incarnation and last number
+	lastRenewals      map[string]*apiv1.RenewRequest
+	announcedCPUMilli map[string]int64 // processors of the latest announcement
+	reports           []*apiv1.AttemptReport
+	leftWorkers       map[string]bool
 	// overtaken counts reports that came after the announcement of a later
 	// incarnation.
-	overtaken int
+	lateReports int
 	// deaf is how many reports still come to nothing.
-	deaf int
+	reportsToIgnore int
 }
 
 func newFakeOwner(ttl time.Duration) *fakeOwner {
 	return &fakeOwner{
-		ttl:      ttl,
-		commands: make(map[string][]*apiv1.Command),
-		changed:  make(chan struct{}),
-		last:     make(map[string]*apiv1.RenewRequest),
-		sizes:    make(map[string]int64),
-		issued:   make(map[string]lease.Position),
-		left:     make(map[string]bool),
+		ttl:               ttl,
+		commands:          make(map[string][]*apiv1.Command),
+		changed:           make(chan struct{}),
+		lastRenewals:      make(map[string]*apiv1.RenewRequest),
+		announcedCPUMilli: make(map[string]int64),
+		issued:            make(map[string]lease.Position),
+		leftWorkers:       make(map[string]bool),
 	}
 }
 
 func (f *fakeOwner) Renew(ctx context.Context, r *apiv1.RenewRequest) (*apiv1.RenewResponse, error) {
 	f.mu.Lock()
-	f.last[r.Worker] = r
+	f.lastRenewals[r.Worker] = r
 	if r.Announcement != nil {
-		f.sizes[r.Worker] = r.Announcement.Capacity.CpuMilli
+		f.announcedCPUMilli[r.Worker] = r.Announcement.Capacity.CpuMilli
 	}
-	var kept []*apiv1.Command
+	var unacknowledged []*apiv1.Command
 	for _, c := range f.commands[r.Worker] {
 		if c.Number > r.CommandAck && c.Incarnation == r.Incarnation {
-			kept = append(kept, c)
+			unacknowledged = append(unacknowledged, c)
 		}
 	}
-	f.commands[r.Worker] = kept
+	f.commands[r.Worker] = unacknowledged
 	changed := f.changed
 	f.mu.Unlock()
-	if len(kept) == 0 && r.HoldMs > 0 {
+	if len(unacknowledged) == 0 && r.HoldMs > 0 {
 		select {
 		case <-changed:
 		case <-time.After(time.Duration(r.HoldMs) * time.Millisecond):
@@ -87,7 +87,7 @@
 	return &apiv1.RenewResponse{
 		Term:     1,
 		LeaseMs:  f.ttl.Milliseconds(),
-		Commands: append(f.stale[:len(f.stale):len(f.stale)], f.commands[r.Worker]...),
+		Commands: append(f.staleCommands[:len(f.staleCommands):len(f.staleCommands)], f.commands[r.Worker]...),
 		Sequence: r.Sequence,
 	}, nil
 }
@@ -97,12 +97,12 @@
 	defer f.mu.Unlock()
 	response := &apiv1.ReportResponse{UntilTerm: 1, UntilNumber: f.issued[r.Worker].Number}
 	for _, report := range r.Reports {
-		if f.last[r.Worker].GetIncarnation() > r.Incarnation {
-			f.overtaken++
+		if f.lastRenewals[r.Worker].GetIncarnation() > r.Incarnation {
+			f.lateReports++
 		}
 		f.reports = append(f.reports, report)
-		if f.deaf > 0 {
-			f.deaf--
+		if f.reportsToIgnore > 0 {
+			f.reportsToIgnore--
 			continue
 		}
 		response.Acknowledged = append(response.Acknowledged, report.Attempt)
@@ -113,39 +113,39 @@
 func (f *fakeOwner) LeaveWorker(_ context.Context, r *apiv1.LeaveWorkerRequest) (*apiv1.LeaveResponse, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.left[r.Worker] = true
+	f.leftWorkers[r.Worker] = true
 	return &apiv1.LeaveResponse{}, nil
 }
 
 // order queues a command for the incarnation that the worker last renewed with.
-func (f *fakeOwner) order(worker string, body *apiv1.Command) {
+func (f *fakeOwner) queueCommand(worker string, command *apiv1.Command) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	last := f.issued[worker]
-	if incarnation := f.last[worker].GetIncarnation(); last.Term != incarnation {
+	if incarnation := f.lastRenewals[worker].GetIncarnation(); last.Term != incarnation {
 		last = lease.Position{Term: incarnation}
 		f.commands[worker] = nil
 	}
 	last.Number++
 	f.issued[worker] = last
-	body.Number = last.Number
-	body.Term = 1
-	body.Incarnation = last.Term
-	f.commands[worker] = append(f.commands[worker], body)
+	command.Number = last.Number
+	command.Term = 1
+	command.Incarnation = last.Term
+	f.commands[worker] = append(f.commands[worker], command)
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-func (f *fakeOwner) start(worker, job string, attempt int32, payload string) {
-	f.order(worker, &apiv1.Command{Body: &apiv1.Command_Start{Start: &apiv1.StartTask{
+func (f *fakeOwner) queueStart(worker, job string, attempt int32, payload string) {
+	f.queueCommand(worker, &apiv1.Command{Body: &apiv1.Command_Start{Start: &apiv1.StartTask{
 		Attempt: &apiv1.AttemptRef{Job: job, Attempt: attempt},
 		Need:    &apiv1.Resources{CpuMilli: 1000, MemoryMib: 64},
 		Payload: []byte(payload),
 	}}})
 }
 
-func (f *fakeOwner) stop(worker, job string, attempt int32) {
-	f.order(worker, &apiv1.Command{Body: &apiv1.Command_Stop{Stop: &apiv1.StopTask{
+func (f *fakeOwner) queueStop(worker, job string, attempt int32) {
+	f.queueCommand(worker, &apiv1.Command{Body: &apiv1.Command_Stop{Stop: &apiv1.StopTask{
 		Attempt: &apiv1.AttemptRef{Job: job, Attempt: attempt},
 	}}})
 }
@@ -164,10 +164,10 @@
 
 // seen returns the incarnation of the latest renewal and the processors that
 // the worker last announced.
-func (f *fakeOwner) seen(worker string) (incarnation uint64, cpuMilli int64) {
+func (f *fakeOwner) lastSeen(worker string) (incarnation uint64, cpuMilli int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.last[worker].GetIncarnation(), f.sizes[worker]
+	return f.lastRenewals[worker].GetIncarnation(), f.announcedCPUMilli[worker]
 }
 
 // eventually waits for a condition that other goroutines bring about.
--- a/internal/standin/jobs.go
+++ b/internal/standin/jobs.go
@@ -30,7 +30,7 @@
 
 // Arrivals draws count arrivals at a mean rate per second from templates, whose
 // own At is ignored. The same seed gives the same list.
-func Arrivals(seed uint64, rate float64, count int, templates []Arrival) []Arrival {
+func RandomArrivals(seed uint64, rate float64, count int, templates []Arrival) []Arrival {
 	random := rand.New(rand.NewPCG(seed, 0))
 	arrivals := make([]Arrival, 0, count)
 	at := time.Duration(0)
@@ -55,8 +55,8 @@
 	// and learns which jobs are non-idempotent; nil means a new one.
 	Ledger *Ledger
 	// Patience is for how long a call is repeated while no entry instance
-	// answers it; 0 means DefaultPatience.
-	Patience time.Duration
+	// answers it; 0 means DefaultRetryTimeout.
+	RetryTimeout time.Duration
 	// KeepServices leaves services running at the end of the run.
 	KeepServices bool
 	// Dial opens connections; nil means TCP.
@@ -68,8 +68,8 @@
 	Logger log.Logger
 }
 
-// DefaultPatience is for how long calls are repeated.
-const DefaultPatience = 30 * time.Second
+// DefaultRetryTimeout is for how long calls are repeated.
+const DefaultRetryTimeout = 30 * time.Second
 
 // JobResult is what became of one arrival.
 type JobResult struct {
@@ -101,7 +101,7 @@
 
 // Settled reports whether nothing more is to be waited for: the job was
 // refused, has ended, or is a service that runs.
-func (r JobResult) Settled() bool {
+func (r JobResult) Done() bool {
 	if !r.Accepted() {
 		return r.Kind != ""
 	}
@@ -113,7 +113,7 @@
 
 // Missed reports whether an accepted job didn't finish by its deadline. A
 // service that was asked for must run or have run.
-func (r JobResult) Missed() bool {
+func (r JobResult) MissedDeadline() bool {
 	if !r.Accepted() {
 		return false
 	}
@@ -128,9 +128,9 @@
 	Arrived  int `json:"arrived"`
 	Accepted int `json:"accepted"`
 	// Finished counts accepted work that met its deadline, services included.
-	Finished int `json:"finished"`
+	MetDeadline int `json:"finished"`
 	// Missed counts accepted work that didn't.
-	Missed int `json:"missed"`
+	MissedDeadline int `json:"missed"`
 	// Refused counts refusals at submission by error kind.
 	Refused map[string]int `json:"refused"`
 	// Ended counts accepted work by its last state.
@@ -148,10 +148,10 @@
 
 // Jobs is a submitter of jobs.
 type Jobs struct {
-	cfg     JobsConfig
-	runID   string
-	clients map[string][]apiv1.Scheduler
-	http    []*http.Client
+	cfg         JobsConfig
+	runID       string
+	clients     map[string][]apiv1.Scheduler
+	httpClients []*http.Client
 
 	mu      sync.Mutex
 	results []JobResult
@@ -162,8 +162,8 @@
 	if cfg.Ledger == nil {
 		cfg.Ledger = NewLedger()
 	}
-	if cfg.Patience == 0 {
-		cfg.Patience = DefaultPatience
+	if cfg.RetryTimeout == 0 {
+		cfg.RetryTimeout = DefaultRetryTimeout
 	}
 	if cfg.Logger == nil {
 		cfg.Logger = log.NewNopLogger()
@@ -191,8 +191,8 @@
 		return
 	}
 	client := NewHTTPClient(j.cfg.Tokens[customer], j.cfg.Dial)
-	j.http = append(j.http, client)
-	j.clients[customer] = dialAll(j.cfg.Entries, func(base string) apiv1.Scheduler {
+	j.httpClients = append(j.httpClients, client)
+	j.clients[customer] = newClients(j.cfg.Entries, func(base string) apiv1.Scheduler {
 		return apiv1.NewSchedulerProtobufClient(base, client)
 	})
 }
@@ -201,7 +201,7 @@
 // services, unless they are to be kept.
 func (j *Jobs) Run(ctx context.Context) error {
 	defer func() {
-		for _, client := range j.http {
+		for _, client := range j.httpClients {
 			client.CloseIdleConnections()
 		}
 	}()
@@ -260,15 +260,15 @@
 // Report sums up the results so far.
 func (j *Jobs) Report() JobsReport {
 	report := JobsReport{Refused: make(map[string]int), Ended: make(map[string]int)}
-	waits := hdrhistogram.New(latencyLeast, latencyMost, latencyDigits)
-	calls := hdrhistogram.New(latencyLeast, latencyMost, latencyDigits)
+	waits := hdrhistogram.New(latencyMin, latencyMax, latencyDigits)
+	calls := hdrhistogram.New(latencyMin, latencyMax, latencyDigits)
 	for _, r := range j.Results() {
 		report.add(r)
 		if !r.Started.IsZero() {
-			record(waits, r.Started.Sub(r.Submitted))
+			recordDuration(waits, r.Started.Sub(r.Submitted))
 		}
 		if !r.Answered.IsZero() {
-			record(calls, r.Answered.Sub(r.Submitted))
+			recordDuration(calls, r.Answered.Sub(r.Submitted))
 		}
 	}
 	report.WaitP50 = waits.ValueAtQuantile(50)
@@ -279,8 +279,8 @@
 	return report
 }
 
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), latencyLeast), latencyMost))
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(min(max(d.Microseconds(), latencyMin), latencyMax))
 }
 
 func (r *JobsReport) add(result JobResult) {
@@ -296,9 +296,9 @@
 		r.Unanswered++
 		return
 	}
-	if result.Missed() {
-		r.Missed++
+	if result.MissedDeadline() {
+		r.MissedDeadline++
 	} else {
-		r.Finished++
+		r.MetDeadline++
 	}
 }
--- a/internal/standin/jobs_test.go
+++ b/internal/standin/jobs_test.go
@@ -20,8 +20,8 @@
 	requests  map[string]int
 	jobs      map[string]*apiv1.Job
 	cancelled []string
-	// loseFirst loses the first answer to each submission.
-	loseFirst bool
+	// loseFirstResponse loses the first answer to each submission.
+	loseFirstResponse bool
 }
 
 func (f *fakeScheduler) Home(context.Context, *apiv1.HomeRequest) (*apiv1.HomeResponse, error) {
@@ -47,7 +47,7 @@
 	case r.Spec.Policy == apiv1.Policy_POLICY_SERVICE:
 		f.jobs[r.RequestId].State = apiv1.JobState_JOB_STATE_RUNNING
 	}
-	if f.loseFirst && f.requests[r.RequestId] == 1 {
+	if f.loseFirstResponse && f.requests[r.RequestId] == 1 {
 		return nil, fault.ToTwirp(fault.New(fault.Unavailable, "answer lost"))
 	}
 	return &apiv1.SubmitResponse{Id: r.RequestId, State: apiv1.JobState_JOB_STATE_QUEUED}, nil
@@ -66,7 +66,7 @@
 	return &apiv1.CancelResponse{Ids: r.Ids}, nil
 }
 
-func template(name string, policy apiv1.Policy) Arrival {
+func newTemplate(name string, policy apiv1.Policy) Arrival {
 	return Arrival{
 		Customer: "north",
 		Spec:     &apiv1.Spec{Name: name, Policy: policy, Tasks: 1},
@@ -77,33 +77,33 @@
 // Every first answer is lost: each job is sent again with the same request id
 // and counts once. Refusals, misses and services are told apart.
 func TestJobsReport(t *testing.T) {
-	scheduler := &fakeScheduler{requests: make(map[string]int), jobs: make(map[string]*apiv1.Job), loseFirst: true}
+	scheduler := &fakeScheduler{requests: make(map[string]int), jobs: make(map[string]*apiv1.Job), loseFirstResponse: true}
 	jobs := NewJobs(JobsConfig{
 		Entries: []string{"127.0.0.1:1", serve(t, apiv1.NewSchedulerServer(scheduler))},
 		Arrivals: []Arrival{
-			template("good", apiv1.Policy_POLICY_BATCH),
-			template("never", apiv1.Policy_POLICY_GANG),
-			template("late", apiv1.Policy_POLICY_BATCH),
-			template("service", apiv1.Policy_POLICY_SERVICE),
+			newTemplate("good", apiv1.Policy_POLICY_BATCH),
+			newTemplate("never", apiv1.Policy_POLICY_GANG),
+			newTemplate("late", apiv1.Policy_POLICY_BATCH),
+			newTemplate("service", apiv1.Policy_POLICY_SERVICE),
 		},
 	})
 	must.NoError(t, jobs.Run(t.Context()))
 	report := jobs.Report()
 	must.Eq(t, 4, report.Arrived)
 	must.Eq(t, 3, report.Accepted)
-	must.Eq(t, 2, report.Finished)
-	must.Eq(t, 1, report.Missed)
+	must.Eq(t, 2, report.MetDeadline)
+	must.Eq(t, 1, report.MissedDeadline)
 	must.Eq(t, map[string]int{"Infeasible": 1}, report.Refused)
 	must.Eq(t, map[string]int{"finished": 2, "running": 1}, report.Ended)
 	must.MapLen(t, 4, scheduler.requests)
 	must.Eq(t, []string{jobs.Results()[3].ID}, scheduler.cancelled)
 }
 
-func TestArrivalsAreRepeatable(t *testing.T) {
-	templates := []Arrival{template("a", apiv1.Policy_POLICY_BATCH), template("b", apiv1.Policy_POLICY_GANG)}
-	first := Arrivals(7, 100, 500, templates)
+func TestRandomArrivalsAreRepeatable(t *testing.T) {
+	templates := []Arrival{newTemplate("a", apiv1.Policy_POLICY_BATCH), newTemplate("b", apiv1.Policy_POLICY_GANG)}
+	first := RandomArrivals(7, 100, 500, templates)
 	must.Eq(t, len(first), 500)
-	for i, a := range Arrivals(7, 100, 500, templates) {
+	for i, a := range RandomArrivals(7, 100, 500, templates) {
 		must.Eq(t, first[i].At, a.At)
 		must.Eq(t, first[i].Spec.Name, a.Spec.Name)
 	}
--- a/internal/standin/ledger_test.go
+++ b/internal/standin/ledger_test.go
@@ -9,30 +9,30 @@
 	apiv1 "github.com/bilberryferry/bilberryferry/api/v1"
 )
 
-func TestLedgerMeanUsed(t *testing.T) {
+func TestLedgerMeanUsage(t *testing.T) {
 	ledger := NewLedger()
 	from := time.Unix(1000, 0)
 	need := &apiv1.Resources{CpuMilli: 1000, MemoryMib: 100}
-	half := ledger.Start(Record{Job: "half", Need: need, Start: from.Add(-time.Second)}, false)
+	half := ledger.Start(RunRecord{Job: "half", Demand: need, Start: from.Add(-time.Second)}, false)
 	ledger.End(half, apiv1.Outcome_OUTCOME_FINISHED, from.Add(5*time.Second))
-	ledger.Start(Record{Job: "open", Need: need, Start: from.Add(5 * time.Second)}, false)
-	before := ledger.Start(Record{Job: "before", Need: need, Start: from.Add(-2 * time.Second)}, false)
+	ledger.Start(RunRecord{Job: "open", Demand: need, Start: from.Add(5 * time.Second)}, false)
+	before := ledger.Start(RunRecord{Job: "before", Demand: need, Start: from.Add(-2 * time.Second)}, false)
 	ledger.End(before, apiv1.Outcome_OUTCOME_FINISHED, from.Add(-time.Second))
-	used := ledger.MeanUsed(from, from.Add(10*time.Second))
+	used := ledger.MeanUsage(from, from.Add(10*time.Second))
 	must.Eq(t, 1000, used.CpuMilli)
 	must.Eq(t, 100, used.MemoryMib)
 }
 
 // A job turns out to be non-idempotent only when its submission is answered,
 // after its task has started twice: both starts count.
-func TestLedgerMarksLate(t *testing.T) {
+func TestLedgerCountsStartsBeforeMarkNonIdempotent(t *testing.T) {
 	ledger := NewLedger()
 	for range 2 {
-		run := ledger.Start(Record{Job: "issue", Start: time.Now()}, false)
+		run := ledger.Start(RunRecord{Job: "issue", Start: time.Now()}, false)
 		ledger.End(run, apiv1.Outcome_OUTCOME_FAILED, time.Now())
 	}
 	must.SliceEmpty(t, ledger.Violations())
-	ledger.MarkOnce("issue")
+	ledger.MarkNonIdempotent("issue")
 	must.Len(t, 1, ledger.Violations())
-	must.Eq(t, MoreThanOnce, ledger.Violations()[0].Kind)
+	must.Eq(t, DuplicateStart, ledger.Violations()[0].Kind)
 }
--- a/internal/standin/minion.go
+++ b/internal/standin/minion.go
@@ -21,11 +21,11 @@
 type MinionStats struct {
 	// Requests is the number of requests that arrived.
 	Requests int
-	// InProgress is the number of requests that are being served.
-	InProgress int
-	// MaxInProgress is the most requests ever in progress at once, those
+	// InFlight is the number of requests that are being served.
+	InFlight int
+	// MaxInFlight is the most requests ever in progress at once, those
 	// included whose caller had just given up.
-	MaxInProgress int
+	MaxInFlight int
 	// MaxConnections is the most connections ever open at once.
 	MaxConnections int
 	// Announced is the number of announcements that entry instances accepted.
@@ -34,43 +34,43 @@
 
 // Minion is one stand-in minion: an HTTP server that announces itself.
 type Minion struct {
-	cfg         MinionsConfig
-	site        Site
-	id          string
-	incarnation uint64
-	logger      log.Logger
-	gateways    []apiv1.MinionGateway
-	http        *http.Client
-	once        *onceSet
-
-	mu          sync.Mutex
-	faults      MinionFaults
-	silent      bool
-	leftAt      time.Time
-	address     string
-	stats       MinionStats
-	flights     map[*flight]struct{}
-	connections map[net.Conn]struct{}
+	cfg           MinionsConfig
+	dataCentre    DataCentre
+	id            string
+	incarnation   uint64
+	logger        log.Logger
+	gateways      []apiv1.MinionGateway
+	httpClient    *http.Client
+	nonIdempotent *nonIdempotentSet
+
+	mu                  sync.Mutex
+	faults              MinionFaults
+	announcementsPaused bool
+	leftAt              time.Time
+	address             string
+	stats               MinionStats
+	inFlight            map[*request]struct{}
+	connections         map[net.Conn]struct{}
 }
 
-func newMinion(cfg MinionsConfig, index int, once *onceSet) *Minion {
-	site, id := cfg.place(index)
+func newMinion(cfg MinionsConfig, index int, nonIdempotent *nonIdempotentSet) *Minion {
+	dataCentre, id := cfg.identity(index)
 	client := NewHTTPClient(cfg.Token, cfg.Dial)
 	m := &Minion{
-		cfg:         cfg,
-		site:        site,
-		id:          id,
-		incarnation: uint64(time.Now().UnixMilli()),
-		logger:      log.With(cfg.Logger, "minion", id),
-		http:        client,
-		once:        once,
-		flights:     make(map[*flight]struct{}),
-		connections: make(map[net.Conn]struct{}),
+		cfg:           cfg,
+		dataCentre:    dataCentre,
+		id:            id,
+		incarnation:   uint64(time.Now().UnixMilli()),
+		logger:        log.With(cfg.Logger, "minion", id),
+		httpClient:    client,
+		nonIdempotent: nonIdempotent,
+		inFlight:      make(map[*request]struct{}),
+		connections:   make(map[net.Conn]struct{}),
 	}
 	if index < cfg.Faulty {
 		m.faults = cfg.Faults
 	}
-	m.gateways = dialAll(site.Entries, func(base string) apiv1.MinionGateway {
+	m.gateways = newClients(dataCentre.Entries, func(base string) apiv1.MinionGateway {
 		return apiv1.NewMinionGatewayProtobufClient(base, client)
 	})
 	return m
@@ -91,7 +91,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	stats := m.stats
-	stats.InProgress = len(m.flights)
+	stats.InFlight = len(m.inFlight)
 	return stats
 }
 
@@ -102,11 +102,11 @@
 	m.faults = f
 }
 
-// SetSilent stops or resumes announcements; the minion goes on serving.
-func (m *Minion) SetSilent(silent bool) {
+// PauseAnnouncements stops or resumes announcements; the minion goes on serving.
+func (m *Minion) PauseAnnouncements(paused bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.silent = silent
+	m.announcementsPaused = paused
 }
 
 // Run listens, serves and announces until the
@@ -121,7 +121,7 @@
 	m.mu.Unlock()
 	_ = m.logger.Log("event", "listens", "address", listener.Addr())
 	server := rpc.NewServer(m)
-	server.ConnState = m.connState
+	server.ConnState = m.trackConnection
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
@@ -140,8 +140,8 @@
 	return group.Wait()
 }
 
-// connState counts open connections.
-func (m *Minion) connState(c net.Conn, state http.ConnState) {
+// trackConnection counts open connections.
+func (m *Minion) trackConnection(c net.Conn, state http.ConnState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch state {
@@ -156,16 +156,16 @@
 	}
 	m.stats.MaxConnections = open
 	if open > m.cfg.MaxConnections {
-		m.cfg.Ledger.Add(ConnectionsExceeded, m.id, countOf(open, "connections", m.cfg.MaxConnections))
+		m.cfg.Ledger.Add(ConnectionsExceeded, m.id, limitExceeded(open, "connections", m.cfg.MaxConnections))
 	}
 }
 
 func (m *Minion) announceLoop(ctx context.Context) {
-	defer m.http.CloseIdleConnections()
+	defer m.httpClient.CloseIdleConnections()
 	ticker := time.NewTicker(m.cfg.Announce)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		if m.announces() {
+		if m.announcing() {
 			m.announceAll(ctx)
 		}
 		select {
@@ -176,10 +176,10 @@
 }
 
 // announces reports whether the minion still announces itself.
-func (m *Minion) announces() bool {
+func (m *Minion) announcing() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return !m.silent && m.leftAt.IsZero()
+	return !m.announcementsPaused && m.leftAt.IsZero()
 }
 
 // announceAll announces the minion to every entry instance. One that doesn't
@@ -191,7 +191,7 @@
 		Address:        m.Address(),
 		Slots:          int32(m.cfg.Slots),
 		MaxConnections: int32(m.cfg.MaxConnections),
-		DataCentre:     m.site.DataCentre,
+		DataCentre:     m.dataCentre.Name,
 		Incarnation:    m.incarnation,
 	}
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
--- a/internal/standin/minions.go
+++ b/internal/standin/minions.go
@@ -23,19 +23,19 @@
 // MinionFaults says how a minion misbehaves. The zero value is a sound minion.
 type MinionFaults struct {
 	// Slow is added to the time that each request takes.
-	Slow time.Duration
+	Delay time.Duration
 	// Hang leaves each request without an answer until its caller gives up.
 	Hang bool
 	// Fail answers each request at once with status 500.
 	Fail bool
 	// Cut breaks each answer off in the middle of its body.
-	Cut bool
+	Truncate bool
 }
 
 // MinionsConfig describes a fleet of stand-in minions.
 type MinionsConfig struct {
 	// Sites are the data centres over which the minions are spread in turn.
-	Sites []Site
+	DataCentres []DataCentre
 	// Count is the number of minions in all.
 	Count int
 	// Service is the name of the service whose requests they take.
@@ -79,9 +79,9 @@
 func NewMinions(cfg MinionsConfig) *Minions {
 	cfg = cfg.withDefaults()
 	fleet := &Minions{ledger: cfg.Ledger}
-	once := newOnceSet(cfg.Ledger)
+	nonIdempotent := newNonIdempotentSet(cfg.Ledger)
 	for i := range cfg.Count {
-		fleet.minions = append(fleet.minions, newMinion(cfg, i, once))
+		fleet.minions = append(fleet.minions, newMinion(cfg, i, nonIdempotent))
 	}
 	return fleet
 }
@@ -112,9 +112,9 @@
 }
 
 // place returns the site and the id of minion number i.
-func (cfg MinionsConfig) place(i int) (Site, string) {
-	site := cfg.Sites[i%len(cfg.Sites)]
-	return site, fmt.Sprintf("%s%s-%s-m%03d", cfg.Prefix, site.DataCentre, cfg.Service, i/len(cfg.Sites))
+func (cfg MinionsConfig) identity(i int) (DataCentre, string) {
+	dataCentre := cfg.DataCentres[i%len(cfg.DataCentres)]
+	return dataCentre, fmt.Sprintf("%s%s-%s-m%03d", cfg.Prefix, dataCentre.Name, cfg.Service, i/len(cfg.DataCentres))
 }
 
 // Run serves and announces all minions until the context ends. Then they stop
@@ -160,9 +160,9 @@
 	for _, m := range f.minions {
 		s := m.Stats()
 		sum.Requests += s.Requests
-		sum.InProgress += s.InProgress
+		sum.InFlight += s.InFlight
 		sum.Announced += s.Announced
-		sum.MaxInProgress = max(sum.MaxInProgress, s.MaxInProgress)
+		sum.MaxInFlight = max(sum.MaxInFlight, s.MaxInFlight)
 		sum.MaxConnections = max(sum.MaxConnections, s.MaxConnections)
 	}
 	return sum
--- a/internal/standin/payload.go
+++ b/internal/standin/payload.go
@@ -24,7 +24,7 @@
 	// PeakMemoryMiB is the true peak usage; absent: what was declared.
 	PeakMemoryMiB *int64 `json:"peak_memory_mib" toml:"peak_memory_mib"`
 	// Once tells the ledger that the task is non-idempotent.
-	Once bool `json:"once" toml:"once"`
+	NonIdempotent bool `json:"once" toml:"once"`
 }
 
 // ParsePayload reads a payload. One that is neither JSON nor TOML reads as empty.
@@ -56,11 +56,11 @@
 }
 
 // peak returns the true peak usage of an attempt.
-func (p Payload) peak(need *apiv1.Resources) *apiv1.Resources {
+func (p Payload) peak(demand *apiv1.Resources) *apiv1.Resources {
 	usage := &apiv1.Resources{
-		CpuMilli:     need.GetCpuMilli(),
-		MemoryMib:    need.GetMemoryMib(),
-		Accelerators: need.GetAccelerators(),
+		CpuMilli:     demand.GetCpuMilli(),
+		MemoryMib:    demand.GetMemoryMib(),
+		Accelerators: demand.GetAccelerators(),
 	}
 	if p.PeakCPU != nil {
 		usage.CpuMilli = int64(*p.PeakCPU * 1000)
@@ -73,12 +73,12 @@
 
 // fraction maps a seed and an attempt to a number in [0, 1).
 func fraction(seed uint64, ref *apiv1.AttemptRef) float64 {
-	var fixed [16]byte
-	binary.LittleEndian.PutUint64(fixed[:], seed)
-	binary.LittleEndian.PutUint32(fixed[8:], uint32(ref.GetTask()))
-	binary.LittleEndian.PutUint32(fixed[12:], uint32(ref.GetAttempt()))
+	var key [16]byte
+	binary.LittleEndian.PutUint64(key[:], seed)
+	binary.LittleEndian.PutUint32(key[8:], uint32(ref.GetTask()))
+	binary.LittleEndian.PutUint32(key[12:], uint32(ref.GetAttempt()))
 	h := xxhash.New()
-	_, _ = h.Write(fixed[:])
+	_, _ = h.Write(key[:])
 	_, _ = h.WriteString(ref.GetJob())
 	return float64(h.Sum64()>>11) / (1 << 53)
 }
--- a/internal/standin/reports.go
+++ b/internal/standin/reports.go
@@ -12,12 +12,12 @@
 
 const (
 	// maxReports bounds the reports of one call.
-	maxReports    = 100
-	reportTimeout = 2 * time.Second
-	reportRepeat  = 250 * time.Millisecond
-	flushTimeout  = 3 * time.Second
+	maxReports       = 100
+	reportTimeout    = 2 * time.Second
+	reportRetryDelay = 250 * time.Millisecond
+	flushTimeout     = 3 * time.Second
 	// doubled is how often a report is sent by a worker that doubles them.
-	doubled = 2
+	duplicateSends = 2
 )
 
 // outbox holds the ends of attempts that are not yet acknowledged.
@@ -40,7 +40,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if delay <= 0 {
-		o.put(report)
+		o.putLocked(report)
 		return
 	}
 	o.delayed++
@@ -48,11 +48,11 @@
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		o.delayed--
-		o.put(report)
+		o.putLocked(report)
 	})
 }
 
-func (o *outbox) put(report *apiv1.AttemptReport) {
+func (o *outbox) putLocked(report *apiv1.AttemptReport) {
 	attempt := attemptOf(report.Attempt)
 	if o.reports[attempt] == nil {
 		o.reports[attempt] = report
@@ -101,17 +101,17 @@
 // reportLoop sends reports until the context ends, or until the lease has ended
 // and each report is acknowledged.
 func (s *session) reportLoop(ctx context.Context) {
-	over := s.over
+	leaseEnded := s.leaseEnded
 	for ctx.Err() == nil {
 		select {
 		case <-s.reports.wake:
-		case <-over:
-			over = nil
+		case <-leaseEnded:
+			leaseEnded = nil
 		case <-ctx.Done():
 			return
 		}
 		s.sendAll(ctx)
-		if over == nil && s.reports.empty() {
+		if leaseEnded == nil && s.reports.empty() {
 			return
 		}
 	}
@@ -125,7 +125,7 @@
 			return
 		}
 		if !s.reportOnce(ctx) {
-			wait.For(ctx, s.worker.jitter(reportRepeat))
+			wait.For(ctx, s.worker.jitter(reportRetryDelay))
 		}
 	}
 }
@@ -139,38 +139,38 @@
 	if len(batch) == 0 {
 		return true
 	}
-	copies := 1
-	if s.worker.currentFaults().DoubleReports {
-		copies = doubled
+	sends := 1
+	if s.worker.currentFaults().DuplicateReports {
+		sends = duplicateSends
 	}
-	all := true
-	for range copies {
-		all = s.sendReports(ctx, batch) && all
+	allAcknowledged := true
+	for range sends {
+		allAcknowledged = s.sendReports(ctx, batch) && allAcknowledged
 	}
-	return all
+	return allAcknowledged
 }
 
 func (s *session) sendReports(ctx context.Context, batch []*apiv1.AttemptReport) bool {
 	gateway, index := s.worker.gateway.pick()
-	call, cancel := context.WithTimeout(ctx, reportTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	response, err := gateway.Report(call, &apiv1.ReportRequest{
+	response, err := gateway.Report(callCtx, &apiv1.ReportRequest{
 		Worker:      s.worker.id,
 		Incarnation: s.incarnation,
 		Reports:     batch,
 	})
 	if err != nil {
-		s.worker.gateway.failed(index)
+		s.worker.gateway.markFailed(index)
 		return false
 	}
-	if s.worker.answerLost() {
+	if s.worker.loseResponse() {
 		return false
 	}
-	s.acknowledged(response)
+	s.recordAcknowledged(response)
 	return len(response.Acknowledged) >= len(batch)
 }
 
-func (s *session) acknowledged(response *apiv1.ReportResponse) {
+func (s *session) recordAcknowledged(response *apiv1.ReportResponse) {
 	var attempts []lease.Attempt
 	for _, ref := range response.Acknowledged {
 		attempts = append(attempts, attemptOf(ref))
--- a/internal/standin/requests_test.go
+++ b/internal/standin/requests_test.go
@@ -42,7 +42,7 @@
 	t.Helper()
 	gateway := newFakeGateway()
 	handler := apiv1.NewMinionGatewayServer(gateway)
-	cfg.Sites = []Site{{DataCentre: "hall", Entries: []string{serve(t, handler), serve(t, handler)}}}
+	cfg.DataCentres = []DataCentre{{Name: "hall", Entries: []string{serve(t, handler), serve(t, handler)}}}
 	cfg.Service = "hub"
 	fleet := NewMinions(cfg)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -56,7 +56,7 @@
 	return fleet, gateway
 }
 
-func load(t *testing.T, cfg CallersConfig) (CallersReport, []Violation) {
+func runCallers(t *testing.T, cfg CallersConfig) (CallersReport, []Violation) {
 	t.Helper()
 	cfg.Rate = 1000
 	callers := NewCallers(cfg)
@@ -64,13 +64,13 @@
 	return callers.Report(), callers.Ledger().Violations()
 }
 
-func TestCallersGetWholeAnswers(t *testing.T) {
+func TestCallersReceiveCorrectResponses(t *testing.T) {
 	fleet, _ := startMinions(t, MinionsConfig{Count: 1, Slots: 1000, MaxConnections: 1000})
-	report, violations := load(t, CallersConfig{
+	report, violations := runCallers(t, CallersConfig{
 		Entries: []string{fleet.All()[0].Address()}, Direct: true,
-		Count: 50, OnceShare: 0.5, BodySize: 100, Size: 5000,
+		Count: 50, NonIdempotentShare: 0.5, BodySize: 100, Size: 5000,
 	})
-	must.Eq(t, 50, report.Whole)
+	must.Eq(t, 50, report.Correct)
 	must.SliceEmpty(t, violations)
 	must.SliceEmpty(t, fleet.Ledger().Violations())
 }
@@ -79,28 +79,28 @@
 	fleet, _ := startMinions(t, MinionsConfig{Count: 1, Slots: 100, Faulty: 1, Faults: MinionFaults{Fail: true}})
 	minion := fleet.All()[0]
 	cfg := CallersConfig{Entries: []string{minion.Address()}, Direct: true, Count: 5, Deadline: 50 * time.Millisecond}
-	report, _ := load(t, cfg)
+	report, _ := runCallers(t, cfg)
 	must.Eq(t, 5, report.Refused["500"])
-	minion.SetFaults(MinionFaults{Cut: true})
-	report, violations := load(t, cfg)
+	minion.SetFaults(MinionFaults{Truncate: true})
+	report, violations := runCallers(t, cfg)
 	must.Eq(t, 5, report.Broken)
 	must.SliceEmpty(t, violations)
 	minion.SetFaults(MinionFaults{Hang: true})
-	report, _ = load(t, cfg)
+	report, _ = runCallers(t, cfg)
 	must.Eq(t, 5, report.TimedOut)
-	minion.SetFaults(MinionFaults{Slow: 60 * time.Millisecond})
-	report, _ = load(t, cfg)
+	minion.SetFaults(MinionFaults{Delay: 60 * time.Millisecond})
+	report, _ = runCallers(t, cfg)
 	must.Eq(t, 5, report.Late)
 }
 
 // A proxy in the middle ends a broken-off answer as if it were complete, or
 // hands one caller the answer of another. The caller must notice both.
-func TestCallersSeeCutAndSwappedAnswers(t *testing.T) {
-	whole := newAnswer("other", nil, DefaultAnswerSize)
-	for name, answer := range map[string][]byte{"swapped": whole, "cut": whole[:100], "empty": nil} {
+func TestCallersDetectTruncatedAndSwappedResponses(t *testing.T) {
+	complete := newResponseBody("other", nil, DefaultResponseSize)
+	for name, body := range map[string][]byte{"swapped": complete, "cut": complete[:100], "empty": nil} {
 		t.Run(name, func(t *testing.T) {
-			address := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(answer) }))
-			report, violations := load(t, CallersConfig{Entries: []string{address}, Count: 3})
+			address := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(body) }))
+			report, violations := runCallers(t, CallersConfig{Entries: []string{address}, Count: 3})
 			must.Eq(t, 3, report.Wrong)
 			must.Len(t, 3, violations)
 		})
@@ -109,38 +109,38 @@
 
 // An entry instance dies with requests on their way. Idempotent calls are sent
 // again elsewhere and get their answers; the others end as broken.
-func TestCallersResendIdempotentOnly(t *testing.T) {
+func TestCallersResendOnlyIdempotentRequests(t *testing.T) {
 	dying := serve(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	fleet, _ := startMinions(t, MinionsConfig{Count: 1, Slots: 100})
 	cfg := CallersConfig{Entries: []string{dying, fleet.All()[0].Address()}, Direct: true, Count: 20, Resend: true}
-	report, _ := load(t, cfg)
-	must.Eq(t, 20, report.Whole)
+	report, _ := runCallers(t, cfg)
+	must.Eq(t, 20, report.Correct)
 	must.Positive(t, report.Resent)
-	cfg.OnceShare = 1
-	report, _ = load(t, cfg)
-	must.Positive(t, report.BrokenOnce)
-	must.Eq(t, 20, report.Whole+report.BrokenOnce)
+	cfg.NonIdempotentShare = 1
+	report, _ = runCallers(t, cfg)
+	must.Positive(t, report.BrokenNonIdempotent)
+	must.Eq(t, 20, report.Correct+report.BrokenNonIdempotent)
 }
 
 // Requests above the slots are a violation, but not when the callers of those
 // below have given up a moment ago.
-func TestMinionChecksSlots(t *testing.T) {
+func TestMinionReportsSlotsExceeded(t *testing.T) {
 	ledger := NewLedger()
-	minion := newMinion(MinionsConfig{Sites: []Site{{}}, Slots: 1, Ledger: ledger}.withDefaults(), 0, newOnceSet(ledger))
-	first, _ := minion.enter()
-	minion.enter()
-	first.giveUp(minion)
-	minion.leave(first)
-	minion.enter()
+	minion := newMinion(MinionsConfig{DataCentres: []DataCentre{{}}, Slots: 1, Ledger: ledger}.withDefaults(), 0, newNonIdempotentSet(ledger))
+	first, _ := minion.beginRequest()
+	minion.beginRequest()
+	first.markDisconnected(minion)
+	minion.endRequest(first)
+	minion.beginRequest()
 	eventually(t, "the second excess is judged", func() bool { return len(ledger.Violations()) > 0 })
 	must.Len(t, 1, ledger.Violations())
 	must.Eq(t, SlotsExceeded, ledger.Violations()[0].Kind)
-	must.Eq(t, 2, minion.Stats().MaxInProgress)
+	must.Eq(t, 2, minion.Stats().MaxInFlight)
 }
 
 // A minion says that it leaves, and an entry instance that has missed it still
 // sends a request after the grace. A non-idempotent request also comes twice.
-func TestMinionSeesLateAndDoubledRequests(t *testing.T) {
+func TestMinionDetectsLateAndDuplicateRequests(t *testing.T) {
 	fleet, gateway := startMinions(t, MinionsConfig{Count: 1, LeaveGrace: time.Nanosecond})
 	minion := fleet.All()[0]
 	must.NoError(t, fleet.Leave(t.Context()))
@@ -153,5 +153,5 @@
 	for _, v := range fleet.Ledger().Violations() {
 		kinds[v.Kind]++
 	}
-	must.Eq(t, map[ViolationKind]int{LateRequest: 2, MoreThanOnce: 1}, kinds)
+	must.Eq(t, map[ViolationKind]int{RequestAfterLeave: 2, DuplicateStart: 1}, kinds)
 }
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -13,36 +13,36 @@
 	"github.com/bilberryferry/bilberryferry/internal/wait"
 )
 
-// excessGrace is how long a minion waits before it counts requests above its
+// slotCheckDelay is how long a minion waits before it counts requests above its
 // slots as a violation: one whose caller has given up has freed its slot, but
 // the minion learns of that a moment later.
-const excessGrace = 50 * time.Millisecond
+const slotCheckDelay = 50 * time.Millisecond
 
 // flight is one request in progress.
-type flight struct {
-	// givenUp says that the caller went away before the answer.
-	givenUp bool
+type request struct {
+	// callerDisconnected says that the caller went away before the answer.
+	callerDisconnected bool
 }
 
-func countOf(have int, what string, limit int) string {
+func limitExceeded(have int, what string, limit int) string {
 	return fmt.Sprintf("%d %s at once, the limit is %d", have, what, limit)
 }
 
 // ServeHTTP takes one request, plays its faults and answers it in a form that
 // the caller can check.
 func (m *Minion) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f, faults := m.enter()
-	defer m.leave(f)
-	work := m.workTime(r) + faults.Slow
+	f, faults := m.beginRequest()
+	defer m.endRequest(f)
+	work := m.workTime(r) + faults.Delay
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		f.giveUp(m)
+		f.markDisconnected(m)
 		return
 	}
 	query := r.URL.Query()
 	nonce := query.Get(paramNonce)
-	if query.Get(paramOnce) != "" {
-		m.once.add(nonce)
+	if query.Get(paramNonIdempotent) != "" {
+		m.nonIdempotent.add(nonce)
 	}
 	switch {
 	case faults.Fail:
@@ -54,22 +54,22 @@
 		wait.For(r.Context(), work)
 	}
 	if r.Context().Err() != nil {
-		f.giveUp(m)
+		f.markDisconnected(m)
 		return
 	}
 	size, _ := strconv.Atoi(query.Get(paramSize))
-	writeAnswer(w, newAnswer(nonce, body, size), faults.Cut)
+	writeResponse(w, newResponseBody(nonce, body, size), faults.Truncate)
 }
 
-// writeAnswer writes the answer; when it is to be cut, only half of the body.
-func writeAnswer(w http.ResponseWriter, answer []byte, cut bool) {
+// writeResponse writes the answer; when it is to be cut, only half of the body.
+func writeResponse(w http.ResponseWriter, body []byte, truncate bool) {
 	w.Header().Set("Content-Type", "application/octet-stream")
-	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
-	if !cut {
-		_, _ = w.Write(answer)
+	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	if !truncate {
+		_, _ = w.Write(body)
 		return
 	}
-	_, _ = w.Write(answer[:len(answer)/2])
+	_, _ = w.Write(body[:len(body)/2])
 	_ = http.NewResponseController(w).Flush()
 	panic(http.ErrAbortHandler)
 }
@@ -82,74 +82,74 @@
 }
 
 // enter counts a request in and checks it against the slots and the leave.
-func (m *Minion) enter() (*flight, MinionFaults) {
+func (m *Minion) beginRequest() (*request, MinionFaults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f := &flight{}
-	m.flights[f] = struct{}{}
+	f := &request{}
+	m.inFlight[f] = struct{}{}
 	m.stats.Requests++
-	m.stats.MaxInProgress = max(m.stats.MaxInProgress, len(m.flights))
-	if len(m.flights) > m.cfg.Slots {
-		m.checkLater()
+	m.stats.MaxInFlight = max(m.stats.MaxInFlight, len(m.inFlight))
+	if len(m.inFlight) > m.cfg.Slots {
+		m.checkSlotsLater()
 	}
-	if late := time.Since(m.leftAt); !m.leftAt.IsZero() && late > m.cfg.LeaveGrace {
-		m.cfg.Ledger.Add(LateRequest, m.id, fmt.Sprintf("new request %s after the leave", late.Round(time.Millisecond)))
+	if sinceLeave := time.Since(m.leftAt); !m.leftAt.IsZero() && sinceLeave > m.cfg.LeaveGrace {
+		m.cfg.Ledger.Add(RequestAfterLeave, m.id, fmt.Sprintf("new request %s after the leave", sinceLeave.Round(time.Millisecond)))
 	}
 	return f, m.faults
 }
 
-// checkLater judges the requests that are now above the slots once it is known
+// checkSlotsLater judges the requests that are now above the slots once it is known
 // whose caller had given up by then.
-func (m *Minion) checkLater() {
-	together := make([]*flight, 0, len(m.flights))
-	for f := range m.flights {
-		together = append(together, f)
+func (m *Minion) checkSlotsLater() {
+	concurrent := make([]*request, 0, len(m.inFlight))
+	for f := range m.inFlight {
+		concurrent = append(concurrent, f)
 	}
-	time.AfterFunc(excessGrace, func() {
+	time.AfterFunc(slotCheckDelay, func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		wanted := 0
-		for _, f := range together {
-			if !f.givenUp {
-				wanted++
+		active := 0
+		for _, f := range concurrent {
+			if !f.callerDisconnected {
+				active++
 			}
 		}
-		if wanted > m.cfg.Slots {
-			m.cfg.Ledger.Add(SlotsExceeded, m.id, countOf(wanted, "requests", m.cfg.Slots))
+		if active > m.cfg.Slots {
+			m.cfg.Ledger.Add(SlotsExceeded, m.id, limitExceeded(active, "requests", m.cfg.Slots))
 		}
 	})
 }
 
-func (f *flight) giveUp(m *Minion) {
+func (f *request) markDisconnected(m *Minion) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f.givenUp = true
+	f.callerDisconnected = true
 }
 
-func (m *Minion) leave(f *flight) {
+func (m *Minion) endRequest(f *request) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.flights, f)
+	delete(m.inFlight, f)
 }
 
-// onceSet remembers the non-idempotent requests that minions have run.
-type onceSet struct {
+// nonIdempotentSet remembers the non-idempotent requests that minions have run.
+type nonIdempotentSet struct {
 	ledger *Ledger
 	mu     sync.Mutex
 	seen   map[uint64]struct{}
 }
 
-func newOnceSet(ledger *Ledger) *onceSet {
-	return &onceSet{ledger: ledger, seen: make(map[uint64]struct{})}
+func newNonIdempotentSet(ledger *Ledger) *nonIdempotentSet {
+	return &nonIdempotentSet{ledger: ledger, seen: make(map[uint64]struct{})}
 }
 
-func (s *onceSet) add(nonce string) {
+func (s *nonIdempotentSet) add(nonce string) {
 	key := xxhash.Sum64String(nonce)
 	s.mu.Lock()
-	_, again := s.seen[key]
+	_, duplicate := s.seen[key]
 	s.seen[key] = struct{}{}
 	s.mu.Unlock()
-	if again {
-		s.ledger.Add(MoreThanOnce, nonce, "non-idempotent request ran again")
+	if duplicate {
+		s.ledger.Add(DuplicateStart, nonce, "non-idempotent request ran again")
 	}
 }
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	backoffFirst = 25 * time.Millisecond
-	backoffLast  = time.Second
+	initialBackoff = 25 * time.Millisecond
+	maxBackoff     = time.Second
 	// Bounds of how long past the hold time an answer to a renewal may take
 	// before the worker turns to another entry instance.
-	callSlackLeast = 300 * time.Millisecond
-	callSlackMost  = 2 * time.Second
+	minCallSlack = 300 * time.Millisecond
+	maxCallSlack = 2 * time.Second
 )
 
-// maxPreviousTries is how often an incarnation tries to have the reports of the
+// maxPreviousAttempts is how often an incarnation tries to have the reports of the
 // one before it acknowledged first.
-const maxPreviousTries = 5
+const maxPreviousAttempts = 5
 
 var (
-	errAnswerLost  = errors.New("answer lost on purpose")
-	errNotReported = errors.New("reports of the incarnation before are not acknowledged")
+	errResponseLost            = errors.New("answer lost on purpose")
+	errPreviousNotAcknowledged = errors.New("reports of the incarnation before are not acknowledged")
 )
 
 // session is one incarnation of a worker.
@@ -38,16 +38,16 @@
 	capacity    *apiv1.Resources
 	logger      log.Logger
 	// origin is where the session's lease clock starts.
-	origin time.Time
+	clockStart time.Time
 	// over is closed when the lease has ended.
-	over    chan struct{}
-	reports *outbox
+	leaseEnded chan struct{}
+	reports    *outbox
 	// reporting is held while a batch of reports is on its way.
 	reporting sync.Mutex
 	// previous is the incarnation whose lease has ended in this process, while
 	// its reports go first; only the renewing goroutine uses it.
-	previous      *session
-	previousTries int
+	previous         *session
+	previousAttempts int
 
 	mu         sync.Mutex
 	holder     lease.Holder
@@ -57,10 +57,10 @@
 	sequence   uint64
 	announce   bool
 	// shaken says that the last renewal wasn't answered.
-	shaken  bool
-	running map[lease.Attempt]*run
-	used    apiv1.Resources
-	leaving bool
+	lastRenewalFailed bool
+	running           map[lease.Attempt]*run
+	used              apiv1.Resources
+	leaving           bool
 	// closed says that the incarnation has ended: nothing starts or ends in it.
 	closed bool
 }
@@ -71,8 +71,8 @@
 		incarnation: incarnation,
 		capacity:    capacity,
 		logger:      log.With(w.logger, "incarnation", incarnation),
-		origin:      time.Now(),
-		over:        make(chan struct{}),
+		clockStart:  time.Now(),
+		leaseEnded:  make(chan struct{}),
 		reports:     newOutbox(),
 		guard:       lease.NewGuard(incarnation),
 		announce:    true,
@@ -88,13 +88,13 @@
 // everything is dropped, as by a crash. It answers whether the lease ended.
 func (s *session) run(ctx context.Context, background *sync.WaitGroup) bool {
 	background.Go(func() { s.reportLoop(ctx) })
-	renewing, cancel := context.WithCancel(ctx)
+	renewCtx, cancel := context.WithCancel(ctx)
 	var renewals sync.WaitGroup
-	renewals.Go(func() { s.renewLoop(renewing) })
+	renewals.Go(func() { s.renewLoop(renewCtx) })
 	defer renewals.Wait()
 	defer cancel()
 	select {
-	case <-s.over:
+	case <-s.leaseEnded:
 		return true
 	case <-ctx.Done():
 		s.crash()
@@ -102,7 +102,7 @@
 	}
 }
 
-func (s *session) clock() time.Duration { return time.Since(s.origin) }
+func (s *session) clock() time.Duration { return time.Since(s.clockStart) }
 
 func (s *session) holdsLease() bool {
 	s.mu.Lock()
@@ -118,40 +118,40 @@
 
 // renewLoop keeps one renewal on its way at any time.
 func (s *session) renewLoop(ctx context.Context) {
-	backoff := backoffFirst
+	backoff := initialBackoff
 	for ctx.Err() == nil {
 		s.worker.waitResumed(ctx)
 		err := s.renewOnce(ctx)
 		if err == nil {
-			backoff = backoffFirst
+			backoff = initialBackoff
 			continue
 		}
 		wait.For(ctx, s.worker.jitter(backoff))
-		backoff = min(2*backoff, backoffLast)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
 func (s *session) renewOnce(ctx context.Context) error {
 	if !s.reportPrevious(ctx) {
-		return errNotReported
+		return errPreviousNotAcknowledged
 	}
 	request, timeout := s.nextRenewal()
 	gateway, index := s.worker.gateway.pick()
-	call, cancel := context.WithTimeout(ctx, timeout)
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	response, err := gateway.Renew(call, request)
+	response, err := gateway.Renew(callCtx, request)
 	if err != nil {
-		s.worker.gateway.failed(index)
-	} else if s.worker.answerLost() {
-		err = errAnswerLost
+		s.worker.gateway.markFailed(index)
+	} else if s.worker.loseResponse() {
+		err = errResponseLost
 	}
-	s.noteAnswer(err)
+	s.recordRenewal(err)
 	if err != nil {
 		return err
 	}
 	// A paused worker doesn't see the answer before it is resumed.
 	s.worker.waitResumed(ctx)
-	s.take(request.Sequence, response)
+	s.applyResponse(request.Sequence, response)
 	return nil
 }
 
@@ -167,18 +167,18 @@
 	if s.previous == nil {
 		return true
 	}
-	s.previousTries++
-	if s.previous.reportOnce(ctx) || s.previousTries == maxPreviousTries {
+	s.previousAttempts++
+	if s.previous.reportOnce(ctx) || s.previousAttempts == maxPreviousAttempts {
 		s.previous = nil
 		return true
 	}
 	return false
 }
 
-func (s *session) noteAnswer(err error) {
+func (s *session) recordRenewal(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.shaken = err != nil
+	s.lastRenewalFailed = err != nil
 }
 
 // nextRenewal makes the next request and says how long its answer may take.
@@ -212,28 +212,28 @@
 // when the next answer is due.
 func (s *session) hold() time.Duration {
 	switch {
-	case s.announce || s.shaken:
+	case s.announce || s.lastRenewalFailed:
 		// The answer starts the lease, or is the last chance to keep it.
 		return 0
 	case s.ttl > 0:
-		return min(s.worker.cfg.Hold, s.ttl/3)
+		return min(s.worker.cfg.RenewHold, s.ttl/3)
 	default:
-		return s.worker.cfg.Hold
+		return s.worker.cfg.RenewHold
 	}
 }
 
 // callSlack leaves time for another try before the lease ends.
 func (s *session) callSlack(hold time.Duration) time.Duration {
 	if s.ttl == 0 {
-		return callSlackMost
+		return maxCallSlack
 	}
-	return min(max((s.ttl-hold)/3, callSlackLeast), callSlackMost)
+	return min(max((s.ttl-hold)/3, minCallSlack), maxCallSlack)
 }
 
 func (s *session) announcement() *apiv1.WorkerAnnouncement {
 	a := &apiv1.WorkerAnnouncement{
 		Rack:       s.worker.rack,
-		DataCentre: s.worker.site.DataCentre,
+		DataCentre: s.worker.dataCentre.Name,
 		Capacity:   s.capacity,
 	}
 	for _, attempt := range s.guard.Running() {
@@ -243,7 +243,7 @@
 }
 
 // take handles the answer to a renewal.
-func (s *session) take(sequence uint64, response *apiv1.RenewResponse) {
+func (s *session) applyResponse(sequence uint64, response *apiv1.RenewResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || s.guard.ObserveTerm(response.Term) != nil {
@@ -255,12 +255,12 @@
 	}
 	s.announce = response.Announce
 	if response.LeaseMs > 0 {
-		s.grant(sequence, time.Duration(response.LeaseMs)*time.Millisecond)
+		s.recordGrant(sequence, time.Duration(response.LeaseMs)*time.Millisecond)
 	}
-	s.takeCommands(response.Commands)
+	s.applyCommands(response.Commands)
 }
 
-func (s *session) grant(sequence uint64, ttl time.Duration) {
+func (s *session) recordGrant(sequence uint64, ttl time.Duration) {
 	now := s.clock()
 	s.ttl = ttl
 	s.holder.RecordGranted(sequence, ttl, now)
@@ -285,12 +285,12 @@
 // endLease stops all tasks and ends the incarnation. The owner counts the lease
 // from a later moment than the worker does, so that no task is started
 // elsewhere before it is stopped here.
-func (s *session) endLease(why string) {
-	_ = s.logger.Log("event", "lease ended", "why", why, "stopped", len(s.running))
+func (s *session) endLease(reason string) {
+	_ = s.logger.Log("event", "lease ended", "why", reason, "stopped", len(s.running))
 	s.stopAll("lease ended")
 	s.closed = true
 	s.leaseTimer.Stop()
-	close(s.over)
+	close(s.leaseEnded)
 }
 
 // crash ends the incarnation: tasks end where they are and no report is sent.
--- a/internal/standin/submit.go
+++ b/internal/standin/submit.go
@@ -16,7 +16,7 @@
 
 const (
 	submitTimeout = 5 * time.Second
-	watchHold     = 10 * time.Second
+	watchWait     = 10 * time.Second
 	watchSlack    = 2 * time.Second
 )
 
@@ -28,40 +28,40 @@
 // repeat makes a call until it is answered, first at entry address number i and
 // then at the next one each time that it isn't. Calls carry their request id, so that repeating is safe. The
 // first error that isn't about reaching the owner is returned.
-func (j *Jobs) repeat(ctx context.Context, customer string, i int, timeout time.Duration, call func(context.Context, apiv1.Scheduler) error) error {
+func (j *Jobs) callWithRetry(ctx context.Context, customer string, i int, timeout time.Duration, call func(context.Context, apiv1.Scheduler) error) error {
 	clients := j.clients[customer]
-	giveUp := time.Now().Add(j.cfg.Patience)
-	backoff := backoffFirst
+	retryUntil := time.Now().Add(j.cfg.RetryTimeout)
+	backoff := initialBackoff
 	for ; ; i++ {
-		one, cancel := context.WithTimeout(ctx, timeout)
-		err := call(one, clients[i%len(clients)])
+		callCtx, cancel := context.WithTimeout(ctx, timeout)
+		err := call(callCtx, clients[i%len(clients)])
 		cancel()
 		if err == nil || fault.KindOf(err).Advice() != fault.SameRequestID {
 			return err
 		}
-		if ctx.Err() != nil || time.Now().After(giveUp) {
-			return errors.Mark(err, errOpen)
+		if ctx.Err() != nil || time.Now().After(retryUntil) {
+			return errors.Mark(err, errOutcomeUnknown)
 		}
 		wait.For(ctx, backoff)
-		backoff = min(2*backoff, backoffLast)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// errOpen marks calls whose fate stayed open.
-var errOpen = errors.New("the fate of the call is open")
+// errOutcomeUnknown marks calls whose fate stayed open.
+var errOutcomeUnknown = errors.New("the fate of the call is open")
 
-// nameHome asks which data centre is to answer for the request id, so that every
+// resolveHome asks which data centre is to answer for the request id, so that every
 // repeat of the submission goes there, whichever entry instance takes it.
-func (j *Jobs) nameHome(ctx context.Context, i int, request *apiv1.SubmitRequest) error {
-	return j.repeat(ctx, j.cfg.Arrivals[i].Customer, i, submitTimeout, func(ctx context.Context, s apiv1.Scheduler) error {
+func (j *Jobs) resolveHome(ctx context.Context, i int, request *apiv1.SubmitRequest) error {
+	return j.callWithRetry(ctx, j.cfg.Arrivals[i].Customer, i, submitTimeout, func(ctx context.Context, s apiv1.Scheduler) error {
 		home, err := s.Home(ctx, &apiv1.HomeRequest{})
 		request.Home = cmp.Or(request.Spec.DataCentre, home.GetDataCentre())
 		return err
 	})
 }
 
-func (j *Jobs) send(ctx context.Context, i int, request *apiv1.SubmitRequest, response **apiv1.SubmitResponse) error {
-	return j.repeat(ctx, j.cfg.Arrivals[i].Customer, i, submitTimeout, func(ctx context.Context, s apiv1.Scheduler) (err error) {
+func (j *Jobs) sendSubmit(ctx context.Context, i int, request *apiv1.SubmitRequest, response **apiv1.SubmitResponse) error {
+	return j.callWithRetry(ctx, j.cfg.Arrivals[i].Customer, i, submitTimeout, func(ctx context.Context, s apiv1.Scheduler) (err error) {
 		*response, err = s.Submit(ctx, request)
 		return err
 	})
@@ -72,13 +72,13 @@
 func (j *Jobs) submit(ctx context.Context, i int, spec *apiv1.Spec) string {
 	request := &apiv1.SubmitRequest{RequestId: fmt.Sprintf("%s-%d", j.runID, i), Spec: spec}
 	var response *apiv1.SubmitResponse
-	err := j.nameHome(ctx, i, request)
+	err := j.resolveHome(ctx, i, request)
 	if err == nil {
-		err = j.send(ctx, i, request, &response)
+		err = j.sendSubmit(ctx, i, request, &response)
 	}
 	now := time.Now()
 	switch {
-	case errors.Is(err, errOpen):
+	case errors.Is(err, errOutcomeUnknown):
 		j.update(i, func(r *JobResult) { r.Reason = err.Error() })
 		return ""
 	case err != nil:
@@ -87,7 +87,7 @@
 		return ""
 	}
 	if !spec.Idempotent && spec.Policy != apiv1.Policy_POLICY_SERVICE {
-		j.cfg.Ledger.MarkOnce(response.Id)
+		j.cfg.Ledger.MarkNonIdempotent(response.Id)
 	}
 	j.update(i, func(r *JobResult) { r.Answered, r.ID, r.State = now, response.Id, response.State })
 	return response.Id
@@ -99,8 +99,8 @@
 	revision := uint64(0)
 	for ctx.Err() == nil {
 		var response *apiv1.StatusResponse
-		request := &apiv1.WatchRequest{Id: id, AfterRevision: revision, WaitMs: watchHold.Milliseconds()}
-		err := j.repeat(ctx, customer, i, watchHold+watchSlack, func(ctx context.Context, s apiv1.Scheduler) (err error) {
+		request := &apiv1.WatchRequest{Id: id, AfterRevision: revision, WaitMs: watchWait.Milliseconds()}
+		err := j.callWithRetry(ctx, customer, i, watchWait+watchSlack, func(ctx context.Context, s apiv1.Scheduler) (err error) {
 			response, err = s.Watch(ctx, request)
 			return err
 		})
@@ -112,15 +112,15 @@
 			continue
 		}
 		revision = response.Jobs[0].Revision
-		if j.note(i, response.Jobs[0]) {
+		if j.recordStatus(i, response.Jobs[0]) {
 			return
 		}
 	}
 }
 
 // note takes over what the system tells of a job, and answers whether it is settled.
-func (j *Jobs) note(i int, job *apiv1.Job) bool {
-	settled := false
+func (j *Jobs) recordStatus(i int, job *apiv1.Job) bool {
+	done := false
 	started, known := j.cfg.Ledger.FirstStart(job.Id, 0)
 	j.update(i, func(r *JobResult) {
 		r.State = job.State
@@ -135,9 +135,9 @@
 		if job.EndedUnixMs > 0 {
 			r.Ended = time.UnixMilli(job.EndedUnixMs)
 		}
-		settled = r.Settled()
+		done = r.Done()
 	})
-	return settled
+	return done
 }
 
 // cancelServices ends the services that still run, in one call per customer.
@@ -150,7 +150,7 @@
 	}
 	for customer, list := range ids {
 		request := &apiv1.CancelRequest{RequestId: j.runID + "-cancel-" + customer, Ids: list}
-		err := j.repeat(ctx, customer, 0, submitTimeout, func(ctx context.Context, s apiv1.Scheduler) error {
+		err := j.callWithRetry(ctx, customer, 0, submitTimeout, func(ctx context.Context, s apiv1.Scheduler) error {
 			_, err := s.Cancel(ctx, request)
 			return err
 		})
--- a/internal/standin/tasks.go
+++ b/internal/standin/tasks.go
@@ -29,30 +29,30 @@
 	attempt lease.Attempt
 	start   *apiv1.StartTask
 	payload Payload
-	record  *Record
+	record  *RunRecord
 	timer   *time.Timer
 }
 
-// takeCommands handles commands in order. Without a lease none is taken: an
+// applyCommands handles commands in order. Without a lease none is taken: an
 // answer that comes late may carry starts of attempts that the owner has
 // declared dead since.
-func (s *session) takeCommands(commands []*apiv1.Command) {
+func (s *session) applyCommands(commands []*apiv1.Command) {
 	for _, c := range commands {
 		if !s.holder.Valid(s.clock()) {
 			return
 		}
 		if start := c.GetStart(); start != nil {
-			s.takeStart(headerOf(c), start)
+			s.applyStart(headerOf(c), start)
 		}
 		if stop := c.GetStop(); stop != nil {
-			s.takeStop(headerOf(c), stop)
+			s.applyStop(headerOf(c), stop)
 		}
 	}
 }
 
-// takeStart starts an attempt unless the guard refuses it. A refused command is
+// applyStart starts an attempt unless the guard refuses it. A refused command is
 // either done with or comes again, as the guard's position tells the owner.
-func (s *session) takeStart(h lease.Header, start *apiv1.StartTask) {
+func (s *session) applyStart(h lease.Header, start *apiv1.StartTask) {
 	attempt := attemptOf(start.Attempt)
 	err := s.guard.Start(h, attempt)
 	switch {
@@ -63,57 +63,57 @@
 	case s.leaving:
 		s.refuse(attempt, "worker leaves")
 	case !s.fits(start.Need):
-		s.noteOvercommitted(attempt, start.Need)
+		s.recordOvercommitted(attempt, start.Need)
 		s.refuse(attempt, "does not fit")
 	default:
-		s.begin(attempt, start)
+		s.startRun(attempt, start)
 	}
 }
 
-func (s *session) fits(need *apiv1.Resources) bool {
-	return s.used.CpuMilli+need.GetCpuMilli() <= s.capacity.GetCpuMilli() &&
-		s.used.MemoryMib+need.GetMemoryMib() <= s.capacity.GetMemoryMib() &&
-		s.used.Accelerators+need.GetAccelerators() <= s.capacity.GetAccelerators()
+func (s *session) fits(demand *apiv1.Resources) bool {
+	return s.used.CpuMilli+demand.GetCpuMilli() <= s.capacity.GetCpuMilli() &&
+		s.used.MemoryMib+demand.GetMemoryMib() <= s.capacity.GetMemoryMib() &&
+		s.used.Accelerators+demand.GetAccelerators() <= s.capacity.GetAccelerators()
 }
 
-func (s *session) noteOvercommitted(attempt lease.Attempt, need *apiv1.Resources) {
+func (s *session) recordOvercommitted(attempt lease.Attempt, demand *apiv1.Resources) {
 	detail := fmt.Sprintf("%s needs cpu=%d memory=%d accelerators=%d, used cpu=%d memory=%d accelerators=%d",
-		attempt.Job, need.GetCpuMilli(), need.GetMemoryMib(), need.GetAccelerators(),
+		attempt.Job, demand.GetCpuMilli(), demand.GetMemoryMib(), demand.GetAccelerators(),
 		s.used.CpuMilli, s.used.MemoryMib, s.used.Accelerators)
 	s.worker.cfg.Ledger.Add(Overcommitted, s.worker.id, detail)
 }
 
 // refuse ends an attempt that the guard has let pass without ever running it.
-func (s *session) refuse(attempt lease.Attempt, why string) {
+func (s *session) refuse(attempt lease.Attempt, reason string) {
 	_ = s.guard.End(attempt)
-	s.reportNotStarted(attempt, why)
+	s.reportNotStarted(attempt, reason)
 }
 
-func (s *session) reportNotStarted(attempt lease.Attempt, why string) {
+func (s *session) reportNotStarted(attempt lease.Attempt, reason string) {
 	s.reports.add(&apiv1.AttemptReport{
 		Attempt: refOf(attempt),
 		Outcome: apiv1.Outcome_OUTCOME_NOT_STARTED,
-		Detail:  why,
+		Detail:  reason,
 	}, s.worker.currentFaults().ReportDelay)
 }
 
-func (s *session) begin(attempt lease.Attempt, start *apiv1.StartTask) {
+func (s *session) startRun(attempt lease.Attempt, start *apiv1.StartTask) {
 	payload := ParsePayload(start.Payload)
 	r := &run{attempt: attempt, start: start, payload: payload}
-	r.record = s.worker.cfg.Ledger.Start(Record{
+	r.record = s.worker.cfg.Ledger.Start(RunRecord{
 		Job:     attempt.Job,
 		Task:    attempt.Task,
 		Attempt: attempt.Attempt,
 		Worker:  s.worker.id,
-		Need:    start.Need,
+		Demand:  start.Need,
 		Start:   time.Now(),
-	}, payload.Once)
+	}, payload.NonIdempotent)
 	s.running[attempt] = r
-	s.use(start.Need, 1)
-	s.schedule(r)
+	s.adjustUsed(start.Need, 1)
+	s.scheduleEnd(r)
 }
 
-func (s *session) schedule(r *run) {
+func (s *session) scheduleEnd(r *run) {
 	cfg := s.worker.cfg
 	if s.worker.currentFaults().FailAll {
 		r.timer = time.AfterFunc(0, func() { s.finish(r, apiv1.Outcome_OUTCOME_FAILED, "fails everything") })
@@ -133,10 +133,10 @@
 	r.timer = time.AfterFunc(runtime, func() { s.finish(r, outcome, detail) })
 }
 
-func (s *session) use(need *apiv1.Resources, sign int64) {
-	s.used.CpuMilli += sign * need.GetCpuMilli()
-	s.used.MemoryMib += sign * need.GetMemoryMib()
-	s.used.Accelerators += sign * need.GetAccelerators()
+func (s *session) adjustUsed(demand *apiv1.Resources, sign int64) {
+	s.used.CpuMilli += sign * demand.GetCpuMilli()
+	s.used.MemoryMib += sign * demand.GetMemoryMib()
+	s.used.Accelerators += sign * demand.GetAccelerators()
 }
 
 func (s *session) finish(r *run, outcome apiv1.Outcome, detail string) {
@@ -147,16 +147,16 @@
 	if !s.holder.Valid(s.clock()) {
 		outcome, detail = apiv1.Outcome_OUTCOME_STOPPED, "lease ended"
 	}
-	s.end(r, outcome, detail)
+	s.endRun(r, outcome, detail)
 }
 
-func (s *session) end(r *run, outcome apiv1.Outcome, detail string) {
+func (s *session) endRun(r *run, outcome apiv1.Outcome, detail string) {
 	if s.closed || s.running[r.attempt] != r {
 		return
 	}
 	delete(s.running, r.attempt)
 	r.timer.Stop()
-	s.use(r.start.Need, -1)
+	s.adjustUsed(r.start.Need, -1)
 	now := time.Now()
 	s.worker.cfg.Ledger.End(r.record, outcome, now)
 	_ = s.guard.End(r.attempt)
@@ -169,10 +169,10 @@
 	}, s.worker.currentFaults().ReportDelay)
 }
 
-// takeStop stops an attempt that runs, and proves of one that never started
+// applyStop stops an attempt that runs, and proves of one that never started
 // that it never will. An end that is already reported is repeated until it is
 // acknowledged, so nothing is to be done for it.
-func (s *session) takeStop(h lease.Header, stop *apiv1.StopTask) {
+func (s *session) applyStop(h lease.Header, stop *apiv1.StopTask) {
 	attempt := attemptOf(stop.Attempt)
 	result, err := s.guard.Stop(h, attempt)
 	if err != nil {
@@ -180,7 +180,7 @@
 	}
 	switch result {
 	case lease.StopRunning:
-		s.end(s.running[attempt], apiv1.Outcome_OUTCOME_STOPPED, "stopped by command")
+		s.endRun(s.running[attempt], apiv1.Outcome_OUTCOME_STOPPED, "stopped by command")
 	case lease.StopBeforeStart:
 		s.reportNotStarted(attempt, "stopped before start")
 	}
@@ -194,8 +194,8 @@
 	s.stopAll("worker leaves")
 }
 
-func (s *session) stopAll(why string) {
+func (s *session) stopAll(reason string) {
 	for _, r := range s.running {
-		s.end(r, apiv1.Outcome_OUTCOME_STOPPED, why)
+		s.endRun(r, apiv1.Outcome_OUTCOME_STOPPED, reason)
 	}
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -16,11 +16,11 @@
 type WorkerFaults struct {
 	// FailAll makes every task fail as soon as it is started.
 	FailAll bool
-	// LoseAnswers is the share of answers that are lost after the entry instance
+	// LoseResponses is the share of answers that are lost after the entry instance
 	// has given them, from 0 to 1.
-	LoseAnswers float64
-	// DoubleReports sends every report twice.
-	DoubleReports bool
+	LoseResponses float64
+	// DuplicateReports sends every report twice.
+	DuplicateReports bool
 	// ReportDelay holds every report back.
 	ReportDelay time.Duration
 }
@@ -28,14 +28,14 @@
 // Worker is one stand-in worker. Its tasks are timers. It outlives its
 // incarnations: Restart ends one and begins the next.
 type Worker struct {
-	cfg     WorkersConfig
-	site    Site
-	id      string
-	rack    string
-	index   int
-	logger  log.Logger
-	gateway *rotation[apiv1.WorkerGateway]
-	http    *http.Client
+	cfg        WorkersConfig
+	dataCentre DataCentre
+	id         string
+	rack       string
+	index      int
+	logger     log.Logger
+	gateway    *failover[apiv1.WorkerGateway]
+	httpClient *http.Client
 
 	mu          sync.Mutex
 	random      *rand.Rand
@@ -50,42 +50,42 @@
 }
 
 func newWorker(cfg WorkersConfig, index int) *Worker {
-	site, id, rack := cfg.place(index)
+	dataCentre, id, rack := cfg.identity(index)
 	client := NewHTTPClient(cfg.Token, cfg.Dial)
 	w := &Worker{
-		cfg:      cfg,
-		site:     site,
-		id:       id,
-		rack:     rack,
-		index:    index,
-		logger:   log.With(cfg.Logger, "worker", id),
-		http:     client,
-		random:   rand.New(rand.NewPCG(cfg.Seed, uint64(index))),
-		capacity: cfg.Capacity,
-		resumed:  make(chan struct{}),
-		restart:  make(chan struct{}, 1),
+		cfg:        cfg,
+		dataCentre: dataCentre,
+		id:         id,
+		rack:       rack,
+		index:      index,
+		logger:     log.With(cfg.Logger, "worker", id),
+		httpClient: client,
+		random:     rand.New(rand.NewPCG(cfg.Seed, uint64(index))),
+		capacity:   cfg.Capacity,
+		resumed:    make(chan struct{}),
+		restart:    make(chan struct{}, 1),
 	}
 	close(w.resumed)
 	if index < cfg.Faulty {
 		w.faults = cfg.Faults
 	}
-	gateways := dialAll(site.Entries, func(base string) apiv1.WorkerGateway {
+	gateways := newClients(dataCentre.Entries, func(base string) apiv1.WorkerGateway {
 		return apiv1.NewWorkerGatewayProtobufClient(base, client)
 	})
-	w.gateway = newRotation(gateways, index/len(cfg.Sites))
+	w.gateway = newFailover(gateways, index/len(cfg.DataCentres))
 	return w
 }
 
 // ID returns the worker's id.
 func (w *Worker) ID() string { return w.id }
 
-// DataCentre returns the data centre that the worker stands in.
-func (w *Worker) DataCentre() string { return w.site.DataCentre }
+// Name returns the data centre that the worker stands in.
+func (w *Worker) DataCentre() string { return w.dataCentre.Name }
 
 // Run keeps the worker going, over all its incarnations, until the context ends.
 func (w *Worker) Run(ctx context.Context) error {
-	defer w.http.CloseIdleConnections()
-	for ctx.Err() == nil && !w.left() {
+	defer w.httpClient.CloseIdleConnections()
+	for ctx.Err() == nil && !w.isLeaving() {
 		w.runProcess(ctx)
 	}
 	return nil
@@ -130,7 +130,7 @@
 	return w.session
 }
 
-func (w *Worker) left() bool {
+func (w *Worker) isLeaving() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.leaving
@@ -230,22 +230,22 @@
 
 func (w *Worker) sendLeave(ctx context.Context, incarnation uint64) error {
 	var err error
-	for range w.site.Entries {
+	for range w.dataCentre.Entries {
 		gateway, index := w.gateway.pick()
 		_, err = gateway.LeaveWorker(ctx, &apiv1.LeaveWorkerRequest{Worker: w.id, Incarnation: incarnation})
 		if err == nil {
 			return nil
 		}
-		w.gateway.failed(index)
+		w.gateway.markFailed(index)
 	}
 	return err
 }
 
-// answerLost draws whether the answer that has just come is to be lost.
-func (w *Worker) answerLost() bool {
+// loseResponse draws whether the answer that has just come is to be lost.
+func (w *Worker) loseResponse() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.faults.LoseAnswers > 0 && w.random.Float64() < w.faults.LoseAnswers
+	return w.faults.LoseResponses > 0 && w.random.Float64() < w.faults.LoseResponses
 }
 
 // jitter returns a random time between half of d and d.
--- a/internal/standin/workers.go
+++ b/internal/standin/workers.go
@@ -14,14 +14,14 @@
 
 // Defaults of WorkersConfig.
 const (
-	DefaultHold    = 3 * time.Second
-	DefaultPerRack = 8
+	DefaultRenewHold = 3 * time.Second
+	DefaultPerRack   = 8
 )
 
 // WorkersConfig describes a fleet of stand-in workers.
 type WorkersConfig struct {
 	// Sites are the data centres over which the workers are spread in turn.
-	Sites []Site
+	DataCentres []DataCentre
 	// Count is the number of workers in all.
 	Count int
 	// PerRack is the number of workers in one rack; 0 means DefaultPerRack.
@@ -32,9 +32,9 @@
 	Token string
 	// Prefix begins the id of each worker, before the data centre and a number.
 	Prefix string
-	// Hold is how long a renewal may be held for commands; 0 means DefaultHold.
+	// Hold is how long a renewal may be held for commands; 0 means DefaultRenewHold.
 	// No renewal asks for more than a third of the lease last granted.
-	Hold time.Duration
+	RenewHold time.Duration
 	// RuntimeLow and RuntimeHigh bound the seeded factor from declared to true
 	// run time; both 0 mean that declarations are exact.
 	RuntimeLow, RuntimeHigh float64
@@ -72,8 +72,8 @@
 	if cfg.PerRack == 0 {
 		cfg.PerRack = DefaultPerRack
 	}
-	if cfg.Hold == 0 {
-		cfg.Hold = DefaultHold
+	if cfg.RenewHold == 0 {
+		cfg.RenewHold = DefaultRenewHold
 	}
 	if cfg.RuntimeHigh == 0 {
 		cfg.RuntimeLow, cfg.RuntimeHigh = 1, 1
@@ -88,12 +88,12 @@
 }
 
 // place returns the site, id and rack of worker number i.
-func (cfg WorkersConfig) place(i int) (site Site, id, rack string) {
-	site = cfg.Sites[i%len(cfg.Sites)]
-	number := i / len(cfg.Sites)
-	id = fmt.Sprintf("%s%s-w%03d", cfg.Prefix, site.DataCentre, number)
-	rack = fmt.Sprintf("%s%s-r%02d", cfg.Prefix, site.DataCentre, number/cfg.PerRack)
-	return site, id, rack
+func (cfg WorkersConfig) identity(i int) (dataCentre DataCentre, id, rack string) {
+	dataCentre = cfg.DataCentres[i%len(cfg.DataCentres)]
+	number := i / len(cfg.DataCentres)
+	id = fmt.Sprintf("%s%s-w%03d", cfg.Prefix, dataCentre.Name, number)
+	rack = fmt.Sprintf("%s%s-r%02d", cfg.Prefix, dataCentre.Name, number/cfg.PerRack)
+	return dataCentre, id, rack
 }
 
 // Run keeps all workers going until the context ends. Then their tasks are
--- a/internal/standin/workers_test.go
+++ b/internal/standin/workers_test.go
@@ -15,18 +15,18 @@
 // startWorkers runs count workers against owners, one entry address each.
 func startWorkers(t *testing.T, count int, faults WorkerFaults, owners ...*fakeOwner) *Workers {
 	t.Helper()
-	site := Site{DataCentre: "hall"}
+	dataCentre := DataCentre{Name: "hall"}
 	for _, owner := range owners {
-		site.Entries = append(site.Entries, serve(t, apiv1.NewWorkerGatewayServer(owner)))
+		dataCentre.Entries = append(dataCentre.Entries, serve(t, apiv1.NewWorkerGatewayServer(owner)))
 	}
 	fleet := NewWorkers(WorkersConfig{
-		Sites:    []Site{site},
-		Count:    count,
-		Capacity: &apiv1.Resources{CpuMilli: 2000, MemoryMib: 1024},
-		Hold:     100 * time.Millisecond,
-		Seed:     1,
-		Faults:   faults,
-		Faulty:   count,
+		DataCentres: []DataCentre{dataCentre},
+		Count:       count,
+		Capacity:    &apiv1.Resources{CpuMilli: 2000, MemoryMib: 1024},
+		RenewHold:   100 * time.Millisecond,
+		Seed:        1,
+		Faults:      faults,
+		Faulty:      count,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -42,8 +42,8 @@
 func TestWorkerRunsTaskAndReports(t *testing.T) {
 	owner := newFakeOwner(time.Second)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
-	owner.start(testWorker, "good", 1, `{"runtime_ms": 5}`)
-	owner.start(testWorker, "bad", 1, "runtime_ms = 5\nfail = true")
+	owner.queueStart(testWorker, "good", 1, `{"runtime_ms": 5}`)
+	owner.queueStart(testWorker, "bad", 1, "runtime_ms = 5\nfail = true")
 	eventually(t, "both reports", func() bool {
 		return len(owner.outcomes("good")) == 1 && len(owner.outcomes("bad")) == 1
 	})
@@ -54,15 +54,15 @@
 
 // A service task has no run time and ends only by a stop. A stop of an attempt
 // that never started is answered with proof, and its late start is refused.
-func TestWorkerStops(t *testing.T) {
+func TestWorkerHandlesStopCommands(t *testing.T) {
 	owner := newFakeOwner(time.Second)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
-	owner.start(testWorker, "service", 1, "")
+	owner.queueStart(testWorker, "service", 1, "")
 	eventually(t, "service runs", func() bool { return fleet.Running() == 1 })
-	owner.stop(testWorker, "service", 1)
-	owner.stop(testWorker, "never", 1)
-	owner.start(testWorker, "never", 1, "")
-	owner.start(testWorker, "last", 1, "runtime_ms = 1")
+	owner.queueStop(testWorker, "service", 1)
+	owner.queueStop(testWorker, "never", 1)
+	owner.queueStart(testWorker, "never", 1, "")
+	owner.queueStart(testWorker, "last", 1, "runtime_ms = 1")
 	eventually(t, "last report", func() bool { return len(owner.outcomes("last")) == 1 })
 	must.Eq(t, []apiv1.Outcome{apiv1.Outcome_OUTCOME_STOPPED}, owner.outcomes("service"))
 	must.Eq(t, []apiv1.Outcome{apiv1.Outcome_OUTCOME_NOT_STARTED}, owner.outcomes("never"))
@@ -74,13 +74,13 @@
 func TestPausedWorkerStopsAtLeaseEnd(t *testing.T) {
 	owner := newFakeOwner(300 * time.Millisecond)
 	fleet := startWorkers(t, 2, WorkerFaults{}, owner)
-	owner.start(testWorker, "report", 1, "")
+	owner.queueStart(testWorker, "report", 1, "")
 	eventually(t, "task runs", func() bool { return fleet.Running() == 1 })
 	fleet.All()[0].Pause()
 	eventually(t, "lease check stops the task", func() bool { return fleet.Running() == 0 })
 	must.False(t, fleet.All()[0].HoldsLease())
 	must.SliceEmpty(t, owner.outcomes("report"))
-	owner.start("hall-w001", "report", 2, "runtime_ms = 1")
+	owner.queueStart("hall-w001", "report", 2, "runtime_ms = 1")
 	eventually(t, "second attempt reported", func() bool { return len(owner.outcomes("report")) == 1 })
 	fleet.All()[0].Resume()
 	eventually(t, "stop reported on resume", func() bool { return len(owner.outcomes("report")) == 2 })
@@ -90,24 +90,24 @@
 
 // The owner counts wrongly and starts a task elsewhere while it runs: the ledger
 // must see it, and must see a second start of non-idempotent work.
-func TestLedgerSeesTwoAtOnce(t *testing.T) {
+func TestLedgerDetectsConcurrentRuns(t *testing.T) {
 	owner := newFakeOwner(time.Second)
 	fleet := startWorkers(t, 2, WorkerFaults{}, owner)
-	owner.start(testWorker, "issue", 1, "once = true")
+	owner.queueStart(testWorker, "issue", 1, "once = true")
 	eventually(t, "first runs", func() bool { return fleet.Running() == 1 })
-	owner.start("hall-w001", "issue", 2, "once = true")
+	owner.queueStart("hall-w001", "issue", 2, "once = true")
 	eventually(t, "second runs", func() bool { return fleet.Running() == 2 })
 	violations := fleet.Ledger().Violations()
 	must.Len(t, 2, violations)
-	must.Eq(t, TwoAtOnce, violations[0].Kind)
-	must.Eq(t, MoreThanOnce, violations[1].Kind)
+	must.Eq(t, ConcurrentRuns, violations[0].Kind)
+	must.Eq(t, DuplicateStart, violations[1].Kind)
 }
 
-func TestWorkerRefusesWhatDoesNotFit(t *testing.T) {
+func TestWorkerRefusesTaskBeyondCapacity(t *testing.T) {
 	owner := newFakeOwner(time.Second)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
 	for _, job := range []string{"a", "b", "c"} {
-		owner.start(testWorker, job, 1, "")
+		owner.queueStart(testWorker, job, 1, "")
 	}
 	eventually(t, "refusal", func() bool { return len(owner.outcomes("c")) == 1 })
 	must.Eq(t, apiv1.Outcome_OUTCOME_NOT_STARTED, owner.outcomes("c")[0])
@@ -116,23 +116,23 @@
 
 // A worker restarts: its tasks are gone without a report, it comes back smaller
 // and under a new incarnation, and a command for the old one starts nothing.
-func TestRestartedWorkerRefusesOldCommands(t *testing.T) {
+func TestRestartedWorkerIgnoresCommandsOfOldIncarnation(t *testing.T) {
 	owner := newFakeOwner(time.Second)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
-	old, _ := owner.seen(testWorker)
-	owner.start(testWorker, "lost", 1, "")
+	old, _ := owner.lastSeen(testWorker)
+	owner.queueStart(testWorker, "lost", 1, "")
 	eventually(t, "task runs", func() bool { return fleet.Running() == 1 })
 	fleet.All()[0].Restart(&apiv1.Resources{CpuMilli: 1000, MemoryMib: 512})
 	eventually(t, "new incarnation announces its size", func() bool {
-		incarnation, cpuMilli := owner.seen(testWorker)
+		incarnation, cpuMilli := owner.lastSeen(testWorker)
 		return incarnation > old && cpuMilli == 1000
 	})
 	owner.mu.Lock()
-	owner.stale = []*apiv1.Command{{Number: 1, Term: 1, Incarnation: old, Body: &apiv1.Command_Start{
+	owner.staleCommands = []*apiv1.Command{{Number: 1, Term: 1, Incarnation: old, Body: &apiv1.Command_Start{
 		Start: &apiv1.StartTask{Attempt: &apiv1.AttemptRef{Job: "stale", Attempt: 1}},
 	}}}
 	owner.mu.Unlock()
-	owner.start(testWorker, "fresh", 1, "runtime_ms = 1")
+	owner.queueStart(testWorker, "fresh", 1, "runtime_ms = 1")
 	eventually(t, "fresh report", func() bool { return len(owner.outcomes("fresh")) == 1 })
 	must.SliceEmpty(t, owner.outcomes("lost"))
 	must.SliceEmpty(t, owner.outcomes("stale"))
@@ -141,12 +141,12 @@
 
 // Half of all answers are lost and reports come twice and late. Each task still
 // runs once and its end is reported until it is acknowledged.
-func TestLostAnswersAndDoubledReports(t *testing.T) {
+func TestLostResponsesAndDuplicateReports(t *testing.T) {
 	owner := newFakeOwner(time.Minute)
-	faults := WorkerFaults{LoseAnswers: 0.5, DoubleReports: true, ReportDelay: 5 * time.Millisecond}
+	faults := WorkerFaults{LoseResponses: 0.5, DuplicateReports: true, ReportDelay: 5 * time.Millisecond}
 	fleet := startWorkers(t, 1, faults, owner)
 	for _, job := range []string{"a", "b", "c", "d"} {
-		owner.start(testWorker, job, 1, "runtime_ms = 1")
+		owner.queueStart(testWorker, job, 1, "runtime_ms = 1")
 		eventually(t, "report of "+job, func() bool { return len(owner.outcomes(job)) >= 2 })
 	}
 	session := fleet.All()[0].current()
@@ -155,42 +155,42 @@
 	must.SliceEmpty(t, fleet.Ledger().Violations())
 }
 
-func TestWorkerFailsOverAndLeaves(t *testing.T) {
+func TestWorkerFailsOverToNextEntryAndLeaves(t *testing.T) {
 	dead := "127.0.0.1:1"
 	owner := newFakeOwner(time.Second)
 	live := serve(t, apiv1.NewWorkerGatewayServer(owner))
 	fleet := NewWorkers(WorkersConfig{
-		Sites:    []Site{{DataCentre: "hall", Entries: []string{dead, live}}},
-		Count:    1,
-		Capacity: &apiv1.Resources{CpuMilli: 1000, MemoryMib: 64},
-		Faults:   WorkerFaults{FailAll: true},
-		Faulty:   1,
+		DataCentres: []DataCentre{{Name: "hall", Entries: []string{dead, live}}},
+		Count:       1,
+		Capacity:    &apiv1.Resources{CpuMilli: 1000, MemoryMib: 64},
+		Faults:      WorkerFaults{FailAll: true},
+		Faulty:      1,
 	})
 	done := make(chan error, 1)
 	go func() { done <- fleet.Run(t.Context()) }()
 	eventually(t, "lease through the second address", func() bool { return fleet.Ready() == 1 })
-	owner.start(testWorker, "job", 1, "")
+	owner.queueStart(testWorker, "job", 1, "")
 	eventually(t, "failure reported", func() bool { return len(owner.outcomes("job")) == 1 })
 	must.Eq(t, apiv1.Outcome_OUTCOME_FAILED, owner.outcomes("job")[0])
 	must.NoError(t, fleet.Leave(t.Context()))
 	must.NoError(t, <-done)
-	must.True(t, owner.left[testWorker])
+	must.True(t, owner.leftWorkers[testWorker])
 }
 
 // A worker hangs while a start is on its way to it. It reads the answer only
 // after its lease has ended and the owner has given the task away: the start
 // must not be carried out, neither then nor by the next incarnation.
-func TestStartReadAfterLeaseEndIsNotCarriedOut(t *testing.T) {
+func TestStartReceivedAfterLeaseEndIsIgnored(t *testing.T) {
 	owner := newFakeOwner(300 * time.Millisecond)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
 	worker := fleet.All()[0]
-	old, _ := owner.seen(testWorker)
+	old, _ := owner.lastSeen(testWorker)
 	worker.Pause()
-	owner.start(testWorker, "given-away", 1, "")
+	owner.queueStart(testWorker, "given-away", 1, "")
 	eventually(t, "lease ends", func() bool { return !worker.HoldsLease() })
 	worker.Resume()
 	eventually(t, "lease of a new incarnation", func() bool {
-		incarnation, _ := owner.seen(testWorker)
+		incarnation, _ := owner.lastSeen(testWorker)
 		return incarnation > old && worker.HoldsLease()
 	})
 	must.Zero(t, fleet.Ledger().Starts())
@@ -199,11 +199,11 @@
 
 // The owner takes a report in but dies before it has committed it, twice. The
 // worker must go on reporting, or the task would count as running for ever.
-func TestReportsAreRepeatedUntilAcknowledged(t *testing.T) {
+func TestReportsAreRetriedUntilAcknowledged(t *testing.T) {
 	owner := newFakeOwner(time.Minute)
-	owner.deaf = 2
+	owner.reportsToIgnore = 2
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
-	owner.start(testWorker, "job", 1, "runtime_ms = 1")
+	owner.queueStart(testWorker, "job", 1, "runtime_ms = 1")
 	eventually(t, "third report", func() bool { return len(owner.outcomes("job")) == 3 })
 	session := fleet.All()[0].current()
 	eventually(t, "acknowledged", func() bool { return session.reports.empty() })
@@ -214,17 +214,17 @@
 // ends, and a sound worker drops its tasks every few seconds. A renewal sent when
 // one answer comes must be answered before the lease of that answer ends, also
 // when its first try gets no answer.
-func TestHeldRenewalsLeaveTimeForTheNext(t *testing.T) {
-	worker := newWorker(WorkersConfig{Sites: []Site{{}}, Hold: time.Hour}.withDefaults(), 0)
+func TestRenewHoldLeavesTimeForNextRenewal(t *testing.T) {
+	worker := newWorker(WorkersConfig{DataCentres: []DataCentre{{}}, RenewHold: time.Hour}.withDefaults(), 0)
 	for _, ttl := range []time.Duration{300 * time.Millisecond, 6 * time.Second, time.Minute} {
 		s := newSession(worker, 1, nil)
-		s.take(1, &apiv1.RenewResponse{Term: 1, LeaseMs: ttl.Milliseconds()})
+		s.applyResponse(1, &apiv1.RenewResponse{Term: 1, LeaseMs: ttl.Milliseconds()})
 		held, timeout := s.nextRenewal()
 		hold := time.Duration(held.HoldMs) * time.Millisecond
 		must.Positive(t, hold)
 		must.LessEq(t, ttl, 2*hold+ttl/4)
-		must.Less(t, ttl+callSlackLeast, timeout)
-		s.noteAnswer(errAnswerLost)
+		must.Less(t, ttl+minCallSlack, timeout)
+		s.recordRenewal(errResponseLost)
 		again, _ := s.nextRenewal()
 		must.Zero(t, again.HoldMs)
 	}
@@ -233,18 +233,18 @@
 // A worker's task finishes while it is cut off, and its lease ends before the
 // report gets through. The report must reach the owner before the announcement
 // of the next incarnation, or the owner declares the finished attempt dead.
-func TestReportsComeBeforeTheNextIncarnation(t *testing.T) {
+func TestReportsPrecedeNextIncarnation(t *testing.T) {
 	for range 10 {
 		owner := newFakeOwner(150 * time.Millisecond)
 		fleet := startWorkers(t, 1, WorkerFaults{}, owner)
 		worker := fleet.All()[0]
-		owner.start(testWorker, "job", 1, "")
+		owner.queueStart(testWorker, "job", 1, "")
 		eventually(t, "task runs", func() bool { return fleet.Running() == 1 })
 		worker.Pause()
 		eventually(t, "lease ends", func() bool { return !worker.HoldsLease() })
 		worker.Resume()
 		eventually(t, "a lease again", worker.HoldsLease)
 		eventually(t, "report", func() bool { return len(owner.outcomes("job")) == 1 })
-		must.Zero(t, owner.overtaken)
+		must.Zero(t, owner.lateReports)
 	}
 }
--- a/internal/tomlfile/guard.go
+++ b/internal/tomlfile/guard.go
@@ -18,16 +18,16 @@
 // guard walks over a text before the library reads it. It follows the rules
 // of TOML for strings and comments; where a text breaks those rules, the
 // library stops with an error at that place and what comes after it can't harm.
-type guard struct {
+type nestingScanner struct {
 	text  []byte
 	pos   int
 	depth int
 	dots  int
 }
 
-// findHostile returns the line and nature of what the library can't bear, or "".
-func findHostile(text []byte) (line int, problem string) {
-	g := guard{text: text}
+// findExcessiveNesting returns the line and nature of what the library can't bear, or "".
+func findExcessiveNesting(text []byte) (line int, problem string) {
+	g := nestingScanner{text: text}
 	for g.pos < len(g.text) {
 		g.step()
 		switch {
@@ -43,7 +43,7 @@
 	return 0, ""
 }
 
-func (g *guard) step() {
+func (g *nestingScanner) step() {
 	c := g.text[g.pos]
 	switch c {
 	case '"', '\'':
@@ -67,7 +67,7 @@
 }
 
 // skipString passes over a string that begins at the current position.
-func (g *guard) skipString(quote byte) {
+func (g *nestingScanner) skipString(quote byte) {
 	triple := bytes.Repeat([]byte{quote}, 3)
 	if !bytes.HasPrefix(g.text[g.pos:], triple) {
 		g.pos++
@@ -85,7 +85,7 @@
 	}
 }
 
-func (g *guard) skipLineString(quote byte) {
+func (g *nestingScanner) skipLineString(quote byte) {
 	for g.pos < len(g.text) && g.text[g.pos] != quote && g.text[g.pos] != '\n' {
 		g.skipCharacter(quote)
 	}
@@ -96,14 +96,14 @@
 
 // skipCharacter passes over one character, or two after a backslash, which
 // escapes in double quotes only. An escaped end of line stays in its string.
-func (g *guard) skipCharacter(quote byte) {
+func (g *nestingScanner) skipCharacter(quote byte) {
 	if quote == '"' && g.text[g.pos] == '\\' {
 		g.pos++
 	}
 	g.pos++
 }
 
-func (g *guard) skipTo(end byte) {
+func (g *nestingScanner) skipTo(end byte) {
 	i := bytes.IndexByte(g.text[g.pos:], end)
 	if i < 0 {
 		g.pos = len(g.text)
--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -10,43 +10,43 @@
 // form of TOML, one key or table header a line, and serves error messages
 // only: for keys in inline tables it answers with no line.
 type lineIndex struct {
-	lines  map[string]int
-	plain  map[string][]int
-	counts map[string]int
+	lines    map[string]int
+	byKey    map[string][]int
+	elements map[string]int
 }
 
 var (
 	arrayHeader = regexp.MustCompile(`^\[\[\s*([^\]]+?)\s*\]\]`)
 	tableHeader = regexp.MustCompile(`^\[\s*([^\]]+?)\s*\]`)
-	keyOfLine   = regexp.MustCompile(`^([A-Za-z0-9_."' -]+?)\s*=`)
+	keyLine     = regexp.MustCompile(`^([A-Za-z0-9_."' -]+?)\s*=`)
 	unquoter    = strings.NewReplacer(`"`, "", `'`, "", " ", "")
 )
 
 func newLineIndex(text []byte) *lineIndex {
-	x := &lineIndex{lines: make(map[string]int), plain: make(map[string][]int), counts: make(map[string]int)}
+	x := &lineIndex{lines: make(map[string]int), byKey: make(map[string][]int), elements: make(map[string]int)}
 	table := ""
 	for i, raw := range strings.Split(string(text), "\n") {
-		table = x.add(i+1, strings.TrimSpace(raw), table)
+		table = x.addLine(i+1, strings.TrimSpace(raw), table)
 	}
 	return x
 }
 
 // add reads one line and returns the path of the table that the next line is in.
-func (x *lineIndex) add(number int, line, table string) string {
+func (x *lineIndex) addLine(number int, line, table string) string {
 	if m := arrayHeader.FindStringSubmatch(line); m != nil {
 		name := x.resolve(unquoter.Replace(m[1]))
-		path := name + "[" + strconv.Itoa(x.counts[name]) + "]"
-		x.counts[name]++
-		x.put(path, number)
+		path := name + "[" + strconv.Itoa(x.elements[name]) + "]"
+		x.elements[name]++
+		x.record(path, number)
 		return path
 	}
 	if m := tableHeader.FindStringSubmatch(line); m != nil {
 		path := x.resolve(unquoter.Replace(m[1]))
-		x.put(path, number)
+		x.record(path, number)
 		return path
 	}
-	if m := keyOfLine.FindStringSubmatch(line); m != nil {
-		x.put(joinPath(table, unquoter.Replace(m[1])), number)
+	if m := keyLine.FindStringSubmatch(line); m != nil {
+		x.record(joinPath(table, unquoter.Replace(m[1])), number)
 	}
 	return table
 }
@@ -58,7 +58,7 @@
 	path := ""
 	for i, part := range parts {
 		path = joinPath(path, part)
-		count := x.counts[path]
+		count := x.elements[path]
 		if count > 0 && i < len(parts)-1 {
 			path += "[" + strconv.Itoa(count-1) + "]"
 		}
@@ -66,12 +66,12 @@
 	return path
 }
 
-func (x *lineIndex) put(path string, number int) {
+func (x *lineIndex) record(path string, number int) {
 	if _, ok := x.lines[path]; !ok {
 		x.lines[path] = number
 	}
 	key := stripNumbers(path)
-	x.plain[key] = append(x.plain[key], number)
+	x.byKey[key] = append(x.byKey[key], number)
 }
 
 // line returns the line of a path, or that of the nearest parent, or 0.
@@ -86,12 +86,12 @@
 }
 
 // candidates returns every line on which a key without element numbers stands.
-func (x *lineIndex) candidates(key string) []int { return x.plain[key] }
+func (x *lineIndex) candidates(key string) []int { return x.byKey[key] }
 
 // inArray says whether a key without element numbers stands in an array of tables.
 func (x *lineIndex) inArray(key string) bool {
 	for table := parentPath(key); table != ""; table = parentPath(table) {
-		if x.counts[table] > 0 {
+		if x.elements[table] > 0 {
 			return true
 		}
 	}
--- a/internal/tomlfile/nearest.go
+++ b/internal/tomlfile/nearest.go
@@ -47,16 +47,16 @@
 	return path[strings.LastIndexByte(path, '.')+1:]
 }
 
-// maxCompared bounds the length of a key that is compared with others: the
+// maxComparedBytes bounds the length of a key that is compared with others: the
 // comparison is quadratic and the key comes from outside.
-const maxCompared = 64
+const maxComparedBytes = 64
 
 // Nearest returns the word of a list closest to a mistyped one, or "" when
 // none is close: at most a third of the word edited, and three edits.
 func Nearest(word string, words []string) string { return nearest(word, words) }
 
 func nearest(word string, words []string) string {
-	if len(word) > maxCompared {
+	if len(word) > maxComparedBytes {
 		return ""
 	}
 	best, bestDistance := "", 1+max(1, min(3, len(word)/3))
@@ -72,7 +72,7 @@
 // editDistance counts insertions, deletions, replacements and swaps of
 // neighbours that turn a into b.
 func editDistance(a, b string) int {
-	before, previous := make([]int, len(b)+1), make([]int, len(b)+1)
+	beforePrevious, previous := make([]int, len(b)+1), make([]int, len(b)+1)
 	for j := range previous {
 		previous[j] = j
 	}
@@ -86,10 +86,10 @@
 			}
 			current[j] = min(previous[j]+1, current[j-1]+1, previous[j-1]+cost)
 			if i > 1 && j > 1 && a[i-1] == b[j-2] && a[i-2] == b[j-1] {
-				current[j] = min(current[j], before[j-2]+1)
+				current[j] = min(current[j], beforePrevious[j-2]+1)
 			}
 		}
-		before, previous = previous, current
+		beforePrevious, previous = previous, current
 	}
 	return previous[len(b)]
 }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -29,7 +29,7 @@
 	if len(text) > MaxBytes {
 		return nil, fault.New(fault.Invalid, "%s: %d bytes are too many, at most %d", name, len(text), MaxBytes)
 	}
-	if line, problem := findHostile(text); problem != "" {
+	if line, problem := findExcessiveNesting(text); problem != "" {
 		return nil, file.errorAt("", line, "%s", problem)
 	}
 	file.index = newLineIndex(text)
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -18,7 +18,7 @@
 	} `toml:"item"`
 }
 
-func TestErrorsNameTheLineOfTheElement(t *testing.T) {
+func TestErrorsNameLineOfArrayElement(t *testing.T) {
 	var v sample
 	f, err := Decode("f", []byte("name = \"x\"\n[[item]]\nsize = 1\n\n[[item]]\nsize = 0.5\n"), &v)
 	must.NoError(t, err)
@@ -35,7 +35,7 @@
 // nests thousands of brackets. The library's work on it is quadratic or runs
 // out of stack, and the daemon dies of memory. Such text must be refused
 // before the library sees it, and text that only looks like it must not.
-func TestHostileText(t *testing.T) {
+func TestExcessiveNestingIsRejected(t *testing.T) {
 	const n = 30_000
 	refused := map[string]string{
 		"dots":      "a" + strings.Repeat(".a", n) + "=1",
--- a/internal/wait/wait_test.go
+++ b/internal/wait/wait_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestForEndsWithTheTimeOrTheContext(t *testing.T) {
+func TestForEndsAfterDurationOrCancellation(t *testing.T) {
 	must.True(t, For(context.Background(), time.Millisecond))
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/maintenance/maintenance_test.go
+++ b/maintenance/maintenance_test.go
@@ -9,20 +9,22 @@
 
 func idle(id string) Machine { return Machine{ID: id, Up: true, Empty: true} }
 
-func busy(id string, for_ time.Duration) Machine { return Machine{ID: id, Up: true, EmptyIn: for_} }
+func busy(id string, remaining time.Duration) Machine {
+	return Machine{ID: id, Up: true, EmptyIn: remaining}
+}
 
-func chosen(m Machine, since time.Duration) Machine {
-	m.Chosen, m.ChosenFor = true, since
+func cordoned(m Machine, since time.Duration) Machine {
+	m.Cordoned, m.CordonedFor = true, since
 	return m
 }
 
 func TestDecide(t *testing.T) {
-	long := Wave{Remaining: 60 * time.Second, Length: 2 * time.Second, MaxDown: 3}
-	short := Wave{Remaining: 8 * time.Second, Length: 2 * time.Second, MaxDown: 2}
-	late := Wave{Remaining: -time.Second, Length: 2 * time.Second, MaxDown: 2}
+	long := Wave{Remaining: 60 * time.Second, MachineDowntime: 2 * time.Second, MaxDown: 3}
+	short := Wave{Remaining: 8 * time.Second, MachineDowntime: 2 * time.Second, MaxDown: 2}
+	late := Wave{Remaining: -time.Second, MachineDowntime: 2 * time.Second, MaxDown: 2}
 	down := Machine{ID: "down", Down: true}
-	held := busy("held", time.Second)
-	held.Held = true
+	uninterruptible := busy("held", time.Second)
+	uninterruptible.Uninterruptible = true
 	for _, c := range []struct {
 		name     string
 		wave     Wave
@@ -37,14 +39,14 @@
 		{name: "all that is allowed once it is late", wave: late,
 			machines: []Machine{idle("a"), idle("b"), idle("c")}, want: Plan{Cordon: []string{"a", "b"}}},
 		{name: "an empty machine goes down", wave: long,
-			machines: []Machine{chosen(idle("a"), time.Second), idle("b")}, want: Plan{Order: []string{"a"}}},
-		{name: "a busy one is waited for", wave: long, machines: []Machine{chosen(busy("a", 5*time.Second), 10*time.Second)}},
+			machines: []Machine{cordoned(idle("a"), time.Second), idle("b")}, want: Plan{TakeDown: []string{"a"}}},
+		{name: "a busy one is waited for", wave: long, machines: []Machine{cordoned(busy("a", 5*time.Second), 10*time.Second)}},
 		{name: "its runs are stopped when time is short", wave: short,
-			machines: []Machine{chosen(busy("a", 5*time.Second), 5*time.Second)}, want: Plan{Stop: []string{"a"}}},
+			machines: []Machine{cordoned(busy("a", 5*time.Second), 5*time.Second)}, want: Plan{Stop: []string{"a"}}},
 		{name: "a worker that doesn't answer goes down as it is", wave: late,
-			machines: []Machine{chosen(busy("a", 5*time.Second), 2*time.Second)}, want: Plan{Order: []string{"a"}}},
+			machines: []Machine{cordoned(busy("a", 5*time.Second), 2*time.Second)}, want: Plan{TakeDown: []string{"a"}}},
 		{name: "never over a task that can't be interrupted", wave: late,
-			machines: []Machine{chosen(held, 9*time.Second)}, want: Plan{Stop: []string{"held"}}},
+			machines: []Machine{cordoned(uninterruptible, 9*time.Second)}, want: Plan{Stop: []string{"held"}}},
 		{name: "machines that aren't up wait", wave: late, machines: []Machine{{ID: "a", Empty: true}}},
 	} {
 		t.Run(c.name, func(t *testing.T) { must.Eq(t, c.want, Decide(c.wave, c.machines)) })
