--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,6 +1,6 @@
-// Package event keeps what has happened on a process: changes of state with a
-// hybrid logical clock stamp and the ids that they concern. The events of all
-// processes together, sorted by stamp, are the time line of the system.
+// Package event records the state changes of a process, each with a hybrid
+// logical clock timestamp and the ids that it concerns. The events of all
+// processes, sorted by timestamp, are the event timeline of the system.
 package event
 
 import (
@@ -17,19 +17,19 @@
 	Timestamp  hlc.Timestamp `cbor:"1,keyasint"`
 	Instance   string        `cbor:"2,keyasint"`
 	DataCentre string        `cbor:"3,keyasint,omitempty"`
-	// Kind is a short name of what happened, such as "leader" or "task started".
+	// Kind is a short name for the change, such as "leader" or "task started".
 	Kind string `cbor:"4,keyasint"`
-	// Subjects are the ids of jobs, requests, workers, minions and versions concerned.
+	// Subjects are the ids of the jobs, requests, workers, minions and versions concerned.
 	Subjects []string `cbor:"5,keyasint,omitempty"`
 	Detail   string   `cbor:"6,keyasint,omitempty"`
 }
 
-// Concerns says whether the event has the subject. The empty subject stands for all.
+// Concerns reports whether the event has the subject. The empty subject matches every event.
 func (e *Event) Concerns(subject string) bool {
 	return subject == "" || slices.Contains(e.Subjects, subject)
 }
 
-// ToAPI returns the event as it crosses the wire.
+// ToAPI converts the event to its wire format.
 func (e *Event) ToAPI() *apiv1.Event {
 	return &apiv1.Event{
 		WallMs:     e.Timestamp.Wall,
@@ -42,7 +42,7 @@
 	}
 }
 
-// FromAPI reads an event from the wire.
+// FromAPI converts an event from its wire format.
 func FromAPI(wire *apiv1.Event) Event {
 	return Event{
 		Timestamp:  hlc.Timestamp{Wall: wire.GetWallMs(), Logical: wire.GetLogical()},
@@ -54,7 +54,7 @@
 	}
 }
 
-// ListToAPI returns events as they cross the wire.
+// ListToAPI converts events to their wire format.
 func ListToAPI(events []Event) []*apiv1.Event {
 	wire := make([]*apiv1.Event, len(events))
 	for i := range events {
@@ -63,7 +63,7 @@
 	return wire
 }
 
-// ListFromAPI reads events from the wire. Missing elements are left out.
+// ListFromAPI converts events from their wire format. It skips nil elements.
 func ListFromAPI(wire []*apiv1.Event) []Event {
 	events := make([]Event, 0, len(wire))
 	for _, w := range wire {
@@ -74,9 +74,9 @@
 	return events
 }
 
-// Merge puts the events of many instances into one causal order: by stamp, and
-// by instance where stamps are equal, which only unrelated events can be.
-// Events that came twice, asked for on two ways, are kept once.
+// Merge sorts the events of many instances into causal order: by timestamp, then
+// by instance. Only causally unrelated events can have equal timestamps. Merge
+// removes duplicates, which occur when two instances return the same event.
 func Merge(lists ...[]Event) []Event {
 	var all []Event
 	for _, list := range lists {
@@ -86,6 +86,7 @@
 	return slices.CompactFunc(all, equalEvents)
 }
 
+// compareEvents orders events by timestamp, then by their remaining fields.
 func compareEvents(a, b Event) int {
 	if c := a.Timestamp.Compare(b.Timestamp); c != 0 {
 		return c
@@ -98,22 +99,23 @@
 	)
 }
 
+// equalEvents reports whether two events are duplicates.
 func equalEvents(a, b Event) bool { return compareEvents(a, b) == 0 }
 
-// Ring keeps the last events of a process, bounded in number. It is safe for
-// use by many goroutines.
+// Ring is a ring buffer of a process's newest events. It is safe for concurrent
+// use.
 type Ring struct {
 	mu     sync.Mutex
 	events []Event
 	next   int
 }
 
-// NewRing returns a ring of a capacity of at least one event.
+// NewRing returns an empty ring for capacity events, at least one.
 func NewRing(capacity int) *Ring {
 	return &Ring{events: make([]Event, 0, max(1, capacity))}
 }
 
-// Append adds an event and drops the oldest when the ring is full.
+// Append adds an event. It overwrites the oldest event when the ring is full.
 func (r *Ring) Append(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,9 +127,10 @@
 	r.next = (r.next + 1) % len(r.events)
 }
 
-// Since returns the events that concern a subject (all for the empty one) and
-// whose wall time is sinceMs or later, in order. Of more than limit the newest
-// are kept; a limit of zero or less stands for no limit.
+// Since returns, oldest first, the events that concern subject and have a wall
+// time of sinceMs (Unix milliseconds) or later. The empty subject matches every
+// event. If there are more than limit, Since returns the newest limit events; a
+// limit of zero or less means no limit.
 func (r *Ring) Since(subject string, sinceMs int64, limit int) []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -146,7 +149,7 @@
 	return found
 }
 
-// Len returns the number of events kept.
+// Len returns the number of events in the ring.
 func (r *Ring) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -14,6 +14,7 @@
 	"github.com/bilberryferry/bilberryferry/hlc"
 )
 
+// eventAt returns an event with a timestamp of wall milliseconds and logical counter.
 func eventAt(wall int64, logical uint32, instance, kind string, subjects ...string) Event {
 	return Event{Timestamp: hlc.Timestamp{Wall: wall, Logical: logical}, Instance: instance, Kind: kind, Subjects: subjects}
 }
@@ -32,9 +33,9 @@
 	must.SliceEmpty(t, r.Since("other", 0, 10))
 }
 
-// A leader is killed and another takes over; the instances' wall clocks differ
-// by seconds. The merged line must tell the loss before the election and the
-// election before the start that the new leader commands.
+// A leader dies and another instance is elected while the instances' wall clocks
+// differ by seconds. The merged timeline must show the loss before the election
+// and the election before the task start that the new leader orders.
 func TestMergeKeepsCausalOrder(t *testing.T) {
 	wall := time.UnixMilli(1_000_000)
 	leaderRecorder := NewRecorder(Config{Instance: "a", Clock: new(hlc.Clock), Wall: func() time.Time { return wall }})
@@ -73,8 +74,9 @@
 	must.SliceEmpty(t, none.Since("", 0, 0))
 }
 
-// A process is killed while it writes an event. After the restart the earlier
-// events are there, the cut line is skipped and the next event isn't glued to it.
+// A process dies while it writes an event and leaves a truncated last line. After
+// the restart the earlier events must load, the truncated line must be skipped, and
+// the next event must begin on a line of its own.
 func TestFileSkipsPartialLineAfterCrash(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "events")
 	f, err := OpenFile(path, 0)
@@ -115,8 +117,9 @@
 	must.Eq(t, int64(99), events[len(events)-1].Timestamp.Wall)
 }
 
-// A caller names its job with markup and terminal controls. Neither the page
-// nor the terminal of the operator who looks at the time line may act on them.
+// A caller puts markup and terminal control characters into its job's name. The
+// timeline page must escape the markup and the text output must replace the
+// control characters, or they take effect in the operator's browser or terminal.
 func TestOutputEscapesMarkupAndControlCharacters(t *testing.T) {
 	e := eventAt(1, 1, "a", "<script>alert(1)</script>", "\"><img src=x onerror=alert(1)>", "\x1b[2J")
 	e.Detail = "first\nsecond\u202e"
@@ -132,6 +135,8 @@
 	must.StrNotContains(t, text.String(), "\u202e")
 }
 
+// The timeline page must refer to no other file or server, so that it can be
+// opened from any folder and without a network.
 func TestHTMLPageIsSelfContained(t *testing.T) {
 	var page strings.Builder
 	must.NoError(t, WriteHTML(&page, Page{Title: "empty"}, nil))
--- a/internal/event/file.go
+++ b/internal/event/file.go
@@ -9,19 +9,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// DefaultFileBytes is the size at which the file of events is rotated.
+// DefaultFileBytes is the size in bytes at which an events file is rotated.
 const DefaultFileBytes = 4 << 20
 
-// maxQueuedEvents is how many events wait for the disk at most.
+// maxQueuedEvents bounds the events that wait to be written to disk.
 const maxQueuedEvents = 1024
 
-// previousSuffix names the one older file that rotation keeps.
+// previousSuffix is the name suffix of the one older file that rotation keeps.
 const previousSuffix = ".1"
 
-// File keeps events on disk as JSON lines. It holds at most two files of a
-// given size: when the current one is full it replaces the previous one. The
-// file serves people; nothing of the system's own state depends on it, so it
-// isn't synced, and an event that the disk is too slow for is left out of it.
+// File writes events to disk as JSON lines. It keeps at most two files of a
+// given size: when the current file is full, it replaces the previous one. Only
+// people read the files and no state of the system depends on them. They
+// therefore aren't synced, and events are dropped when the disk is too slow.
 type File struct {
 	path   string
 	limit  int64
@@ -37,7 +37,8 @@
 	dropped int
 }
 
-// fileEvent is the line format. Format guards against mixed programs.
+// fileEvent is the JSON of one line. Format is the version of the line format; a
+// program skips lines of a version that it doesn't know.
 type fileEvent struct {
 	Format     int      `json:"format"`
 	Wall       int64    `json:"wall_ms"`
@@ -49,10 +50,12 @@
 	Detail     string   `json:"detail,omitempty"`
 }
 
+// fileFormat is the current version of the line format.
 const fileFormat = 1
 
-// OpenFile opens a file of events for appending and reads what it holds. Lines
-// that a crash has cut are skipped. limit is in bytes, DefaultFileBytes when zero.
+// OpenFile opens an events file for appending and loads its events. It skips
+// lines that a crash truncated. The file is rotated at limit bytes, or at
+// DefaultFileBytes when limit isn't positive.
 func OpenFile(path string, limit int64) (*File, error) {
 	if limit <= 0 {
 		limit = DefaultFileBytes
@@ -66,6 +69,8 @@
 	return f, nil
 }
 
+// readEvents returns the events of a file, without lines that it can't parse. It
+// returns nil when the file can't be read.
 func readEvents(path string) []Event {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -85,6 +90,7 @@
 	return events
 }
 
+// open opens the current file for appending.
 func (f *File) open() error {
 	file, err := os.OpenFile(f.path, os.O_CREATE|os.O_RDWR|os.O_APPEND, 0o600)
 	if err != nil {
@@ -99,8 +105,9 @@
 	return nil
 }
 
-// endWithNewline ends a line that a crash has cut, so that the next event
-// isn't glued to it and lost with it. It returns the file's size.
+// endWithNewline terminates a line that a crash truncated. Otherwise the next
+// event would be appended to that line and lost with it. It returns the file's
+// size in bytes.
 func endWithNewline(file *os.File) (int64, error) {
 	info, err := file.Stat()
 	if err != nil || info.Size() == 0 {
@@ -117,10 +124,11 @@
 	return info.Size() + 1, err
 }
 
-// Earlier returns the events that the file held when it was opened.
+// Loaded returns the events that the file held when it was opened.
 func (f *File) Loaded() []Event { return f.loaded }
 
-// Append queues an event for the disk and doesn't wait for it.
+// Append queues an event for writing and returns at once. It drops the event when
+// the queue is full or the file is closed.
 func (f *File) Append(e Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -134,15 +142,15 @@
 	}
 }
 
-// Missed returns how many events are not in the file because the disk was too
-// slow or refused them.
+// Dropped returns how many events weren't written because the queue was full or a
+// write failed.
 func (f *File) Dropped() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.dropped
 }
 
-// Close writes what is queued, closes the file and returns the first error of writing.
+// Close writes the queued events, closes the file and returns the first write error.
 func (f *File) Close() error {
 	f.mu.Lock()
 	if !f.closed {
@@ -154,6 +162,7 @@
 	return f.err
 }
 
+// run writes queued events until Close is called, and then closes the file.
 func (f *File) run() {
 	defer close(f.done)
 	for e := range f.queue {
@@ -166,8 +175,8 @@
 	}
 }
 
-// miss counts an event that couldn't be written. A full disk may have room
-// again later, so the file is tried again with the next event.
+// recordDrop counts an event that couldn't be written. A full disk may have free
+// space again later, so the next event is attempted all the same.
 func (f *File) recordDrop(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -177,6 +186,7 @@
 	}
 }
 
+// write appends one event to the current file.
 func (f *File) write(e Event) error {
 	line, err := json.Marshal(fileEvent{
 		Format: fileFormat, Wall: e.Timestamp.Wall, Logical: e.Timestamp.Logical, Instance: e.Instance,
@@ -193,6 +203,8 @@
 	return err
 }
 
+// rotateIfFull starts a new file when a line of lineBytes doesn't fit into the
+// current one. It reopens the file when an earlier rotation has failed.
 func (f *File) rotateIfFull(lineBytes int64) error {
 	if f.file == nil {
 		return f.open()
--- a/internal/event/html.go
+++ b/internal/event/html.go
@@ -14,14 +14,14 @@
 
 var pageTemplate = template.Must(template.New("timeline").Parse(pageText))
 
-// Page is what the HTML time line tells besides the events.
+// Page is what the HTML timeline shows besides the events.
 type Page struct {
 	Title string
-	// Unreachable names the instances that gave no events.
+	// Unreachable names the instances whose events are missing because they didn't answer.
 	Unreachable []string
 }
 
-// pageData is what the template reads.
+// pageData is the input of the page template.
 type pageData struct {
 	Page
 	From, To  string
@@ -33,18 +33,20 @@
 	Rows     []row
 }
 
+// lane is the column of one instance.
 type lane struct {
 	Name       string
 	DataCentre string
 	Colour     int
 	Count      int
-	// X is the middle of the lane in pixels.
+	// X is the horizontal position of the lane's middle in pixels.
 	X int
 }
 
+// row is one event on the page.
 type row struct {
 	Time, Logical string
-	// Gap is the time since the event before, when it is long enough to show.
+	// Gap is the time since the previous event; empty below minShownGapMs.
 	Gap      string
 	Colour   int
 	X        int
@@ -52,23 +54,25 @@
 	Kind     string
 	Subjects []string
 	Detail   string
-	// Search is what the filter looks through, in lower case.
+	// Search is the lower-case text that the page's filter searches.
 	Search string
 }
 
 const (
-	// laneColours is the number of colours the page's style defines.
+	// laneColours is the number of lane colours that the page's style sheet defines.
 	laneColours = 8
-	// maxLanesWidth is the width of all lanes together in pixels.
+	// maxLanesWidth is the width in pixels that the lanes share. Lanes of minLaneWidth
+	// may exceed it together.
 	maxLanesWidth = 336
 	minLaneWidth  = 12
 	maxLaneWidth  = 72
-	// minShownGapMs is the shortest pause between two events that the page marks.
+	// minShownGapMs is the shortest time between two events that the page shows, in
+	// milliseconds.
 	minShownGapMs = 250
 )
 
-// WriteHTML writes one page that needs no other file: a lane for each
-// instance, the events in order and a box to filter them.
+// WriteHTML writes a self-contained page with a lane for each instance, the
+// events in the order given and a filter box.
 func WriteHTML(w io.Writer, page Page, events []Event) error {
 	data := pageData{Page: page, Count: len(events)}
 	first, last := timeRange(events)
@@ -93,7 +97,8 @@
 	return pageTemplate.Execute(w, data)
 }
 
-// layOutLanes orders the instances by data centre and name.
+// layOutLanes returns a lane for each instance, ordered by data centre and name, and
+// the width of a lane in pixels.
 func layOutLanes(events []Event) ([]lane, int) {
 	seen := make(map[string]*lane)
 	for i := range events {
@@ -121,6 +126,8 @@
 	return lanes, width
 }
 
+// newRow returns the row of an event that follows the previous one after gap
+// milliseconds.
 func newRow(e *Event, l lane, gap int64) row {
 	r := row{
 		Time:     e.Timestamp.Time().UTC().Format("15:04:05.000"),
--- a/internal/event/recorder.go
+++ b/internal/event/recorder.go
@@ -7,17 +7,17 @@
 	"github.com/bilberryferry/bilberryferry/hlc"
 )
 
-// Bounds of one event: details may repeat what came from outside.
+// Bounds of one event. A detail may repeat a caller's text, which has any length.
 const (
 	maxDetailBytes  = 512
 	maxSubjects     = 16
 	maxSubjectBytes = 256
 )
 
-// DefaultCapacity is the number of events that a daemon keeps.
+// DefaultCapacity is the number of events that a daemon keeps in memory.
 const DefaultCapacity = 5000
 
-// Clock gives stamps; hlc.Clock does.
+// Clock returns timestamps. hlc.Clock implements it.
 type Clock interface {
 	Now(wall time.Time) hlc.Timestamp
 }
@@ -27,22 +27,22 @@
 	Instance   string
 	DataCentre string
 	Clock      Clock
-	// Wall reads the wall clock; time.Now when nil.
+	// Wall returns the wall clock time; nil means time.Now.
 	Wall func() time.Time
-	// Capacity of the ring; DefaultCapacity when zero.
+	// Capacity is the number of events kept in memory; DefaultCapacity when it isn't positive.
 	Capacity int
-	// File also keeps the events on disk; nil for none.
+	// File writes the events to disk; nil means that they are kept in memory only.
 	File *File
 }
 
-// Recorder stamps events and keeps them. It is safe for use by many goroutines.
+// Recorder timestamps events and keeps them. It is safe for concurrent use.
 type Recorder struct {
 	config Config
 	ring   *Ring
 }
 
-// NewRecorder returns a recorder. Events that the file still holds from before
-// a restart are put back into the ring.
+// NewRecorder returns a recorder that already holds the events that the file has
+// loaded, so that a restart doesn't lose them.
 func NewRecorder(config Config) *Recorder {
 	if config.Wall == nil {
 		config.Wall = time.Now
@@ -59,7 +59,8 @@
 	return r
 }
 
-// Record keeps one event. Long texts are cut. A nil Recorder records nothing.
+// Record timestamps and keeps one event. It truncates long texts and drops
+// subjects beyond maxSubjects. A nil Recorder records nothing.
 func (r *Recorder) Record(kind, detail string, subjects ...string) {
 	if r == nil {
 		return
@@ -67,9 +68,10 @@
 	r.RecordAt(r.config.Clock.Now(r.config.Wall()), r.config.Instance, kind, detail, subjects...)
 }
 
-// RecordAt keeps an event that another process of the data centre has stamped:
-// a committed change, which every replica records under its proposer's name and
-// stamp, so that the event outlives the proposer and Merge keeps it once.
+// RecordAt keeps an event that another process of the data centre has
+// timestamped. Every replica records a committed change with its proposer's name
+// and timestamp. The event thus survives the loss of the proposer, and Merge
+// recognises the duplicates.
 func (r *Recorder) RecordAt(stamp hlc.Timestamp, instance, kind, detail string, subjects ...string) {
 	if r == nil {
 		return
@@ -92,8 +94,8 @@
 	}
 }
 
-// Close writes to the file what is queued for it and closes it. Later events
-// are in the ring only.
+// Close writes the queued events to the file and closes it. Later events are
+// kept in memory only.
 func (r *Recorder) Close() error {
 	if r == nil || r.config.File == nil {
 		return nil
@@ -101,7 +103,7 @@
 	return r.config.File.Close()
 }
 
-// Since returns kept events; see Ring.Since.
+// Since returns the kept events that match; see Ring.Since. A nil Recorder has none.
 func (r *Recorder) Since(subject string, sinceMs int64, limit int) []Event {
 	if r == nil {
 		return nil
@@ -109,8 +111,8 @@
 	return r.ring.Since(subject, sinceMs, limit)
 }
 
-// cut shortens a text to a number of bytes without splitting a character, and
-// replaces bytes that aren't UTF-8, which protobuf would refuse.
+// truncate shortens a text to at most maxBytes without splitting a character. It
+// replaces invalid UTF-8, which protobuf refuses to encode.
 func truncate(text string, maxBytes int) string {
 	if len(text) > maxBytes {
 		text = text[:maxBytes]
--- a/internal/event/text.go
+++ b/internal/event/text.go
@@ -9,10 +9,10 @@
 	"unicode"
 )
 
-// timeFormat is how the time of an event reads, in UTC.
+// timeFormat is the layout of an event's time, which is shown in UTC.
 const timeFormat = "2006-01-02 15:04:05.000"
 
-// WriteText writes events, one a line, in the order given.
+// WriteText writes one line for each event, in the order given.
 func WriteText(w io.Writer, events []Event) error {
 	out := bufio.NewWriter(w)
 	width := 0
@@ -33,8 +33,7 @@
 	return out.Flush()
 }
 
-// when gives the time and, where it is needed to tell events apart, the
-// logical counter.
+// formatTime returns the event's time, with the logical counter where it isn't zero.
 func (e *Event) formatTime() string {
 	text := e.Timestamp.Time().UTC().Format(timeFormat)
 	if e.Timestamp.Logical > 0 {
@@ -43,9 +42,9 @@
 	return text + "    "
 }
 
-// Printable replaces control characters. Names and details come from callers;
-// written raw they could move the cursor of an operator's terminal, or forge
-// lines.
+// Printable replaces control and format characters. Names and details come from
+// callers, whose control characters could move the cursor of an operator's
+// terminal or forge lines.
 func Printable(text string) string {
 	return strings.Map(func(r rune) rune {
 		if unicode.IsControl(r) || unicode.Is(unicode.Cf, r) {
@@ -55,7 +54,8 @@
 	}, text)
 }
 
-// span returns the first and last time of events in order.
+// timeRange returns the times of the first and last event of a sorted list, in UTC;
+// zero times when the list is empty.
 func timeRange(events []Event) (first, last time.Time) {
 	if len(events) == 0 {
 		return first, last
