--- a/internal/jobtrace/lines.go
+++ b/internal/jobtrace/lines.go
@@ -1,5 +1,5 @@
-// Package jobtrace reads the structured lines of all instances from files and
-// tells what became of one job, and why.
+// Package jobtrace reads the structured log lines of all instances and explains
+// how one job ended and where its time went.
 package jobtrace
 
 import (
@@ -17,29 +17,29 @@
 	"github.com/bilberryferry/bilberryferry/internal/event"
 )
 
-// maxLineBytes bounds a line in bytes; longer ones end the reading.
+// maxLineBytes bounds a line in bytes. Read fails on a longer one.
 const maxLineBytes = 1 << 20
 
-// Keys that every line has.
+// Keys that every log line has.
 const (
 	keyTime     = "ts"
 	keyInstance = "instance"
 	keyEvent    = "event"
 )
 
-// Line is one structured line.
+// Line is one structured log line.
 type Line struct {
 	Time     time.Time
 	Instance string
 	Event    string
-	// Fields are the others, in the order of the line.
+	// Fields are the remaining keys and values, in the order of the line.
 	Fields []Field
 }
 
-// Field is one key with its value.
+// Field is one key of a line with its value.
 type Field struct{ Key, Value string }
 
-// Get returns the value of a key, empty when the line has none.
+// Get returns the value of a key, or "" when the line doesn't have the key.
 func (l *Line) Get(key string) string {
 	for _, f := range l.Fields {
 		if f.Key == key {
@@ -49,8 +49,8 @@
 	return ""
 }
 
-// Read reads lines in order of time. What stands before the time in a line, such
-// as a collector's own prefix, is left out, and so are lines of another form.
+// Read reads log lines and sorts them by time. It ignores text before the time of
+// a line, such as a log collector's prefix, and skips lines of another format.
 func Read(r io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
@@ -66,17 +66,19 @@
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		return nil, errors.Wrap(err, "read the lines")
+		return nil, errors.Wrap(err, "read log lines")
 	}
 	Sort(lines)
 	return lines, nil
 }
 
-// Sort puts lines of several instances into order of time.
+// Sort sorts the lines of several instances by time.
 func Sort(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
+// parseLine parses one logfmt line. It returns false unless the line has an event and
+// its time is valid.
 func parseLine(text []byte) (Line, bool) {
 	var line Line
 	decoder := logfmt.NewDecoder(bytes.NewReader(text))
@@ -103,11 +105,12 @@
 	return line, decoder.Err() == nil && line.Event != ""
 }
 
-// subjectKeys hold IDs: of jobs, also as the first part of a step or a task, of
-// workers and machines, and at the end of a request's path.
+// subjectKeys are the keys whose values name a subject: the id of a job, worker
+// or machine, a step or task, whose first part is the job's id, or a request path,
+// whose last part is the job's id.
 var subjectKeys = []string{"job", "step", "task", "worker", "beside", "for", "machine", "path"}
 
-// subjects returns what a line concerns.
+// subjects returns the ids of the jobs, workers and machines that a line concerns.
 func (l *Line) subjects() []string {
 	var list []string
 	for _, f := range l.Fields {
@@ -128,10 +131,10 @@
 	return list
 }
 
-// Concerns reports whether a line has the subject.
+// Concerns reports whether the line has the subject.
 func (l *Line) Concerns(subject string) bool { return slices.Contains(l.subjects(), subject) }
 
-// Events returns lines as events of the time line.
+// Events converts log lines to events of the event timeline.
 func Events(lines []Line) []event.Event {
 	events := make([]event.Event, 0, len(lines))
 	for i := range lines {
--- a/internal/jobtrace/trace.go
+++ b/internal/jobtrace/trace.go
@@ -9,23 +9,24 @@
 	"time"
 )
 
-// Span is time that a job spent in one way.
+// Span is the total time that a job spent in one activity.
 type Span struct {
 	Activity string
 	Duration time.Duration
 }
 
-// Trace is what became of a job.
+// Trace is the outcome of a job and how it spent its time.
 type Trace struct {
-	// Verdict is one sentence: what the caller saw, and the largest cause.
+	// Verdict is one sentence: the outcome that the caller saw and its largest cause.
 	Verdict string
-	// Spans add up to the time from acceptance to the end, the longest first.
+	// Spans are the job's activities, longest first. They add up to the time from the
+	// submission's commit to the end.
 	Spans []Span
-	// Lines are those that concern the job.
+	// Lines are the log lines that concern the job.
 	Lines []Line
 }
 
-// Ways in which a job spends its time.
+// Activities in which a job spends its time.
 const (
 	spanCommit           = "being stored"
 	spanAdviserWait      = "waiting for the adviser"
@@ -33,13 +34,13 @@
 	spanUnsuccessfulRuns = "in runs that came to nothing"
 	spanSuccessfulRuns   = "in runs that did the work"
 	spanDecisionToCommit = "between decisions and their commits"
-	// spanWaiting begins the name of a time in which a step waited for the reason
-	// that follows.
+	// spanWaiting is the prefix of the activity of a waiting step. The reason for the
+	// wait follows it.
 	spanWaiting = "waiting: "
 )
 
-// Of returns the trace of a job. Lines are those of all instances, in order of
-// time.
+// Explain returns the trace of a job from the log lines of all instances, which must
+// be sorted by time.
 func Explain(lines []Line, job string) Trace {
 	var jobLines []Line
 	for i := range lines {
@@ -69,17 +70,19 @@
 	return t
 }
 
+// findOutcome returns the index of the first line with an event and outcome, or -1.
 func findOutcome(lines []Line, event, outcome string) int {
 	return slices.IndexFunc(lines, func(l Line) bool { return l.Event == event && l.Get("outcome") == outcome })
 }
 
+// findEvent returns the index of the first line with an event, or -1.
 func findEvent(lines []Line, event string) int {
 	return slices.IndexFunc(lines, func(l Line) bool { return l.Event == event })
 }
 
-// refusal explains a request that no leader said to have accepted: by the last
-// instance that answered it, and what that instance knew of the leader then. A
-// job that is worked on was stored all the same.
+// describeRefusal describes a job without an accepted submission: the answer of the last
+// instance to its request and that instance's contact to a leader. A job with
+// later lines was stored even though its caller got an error.
 func describeRefusal(allLines, jobLines []Line) string {
 	var last *Line
 	for i := range jobLines {
@@ -90,9 +93,9 @@
 	stored := findEvent(jobLines, "permit") >= 0 || findEvent(jobLines, "run_started") >= 0
 	switch {
 	case last == nil && stored:
-		return "stored, as later lines show; none shows who handed it in"
+		return "stored, as later lines show; no line shows its submission"
 	case last == nil:
-		return "no line shows that the job was handed in"
+		return "no line shows a submission of the job"
 	}
 	text := fmt.Sprintf("%s answered %s (%s)", last.Instance, last.Get("outcome"), last.Get("err"))
 	if stored {
@@ -101,7 +104,8 @@
 	return "not accepted: " + text + describeLostLeaderContact(allLines, last)
 }
 
-// contact tells since when the instance of a line had had no contact to a leader.
+// describeLostLeaderContact returns since when the instance of last had no contact to a
+// leader, or "" when it had contact.
 func describeLostLeaderContact(allLines []Line, last *Line) string {
 	for i := len(allLines) - 1; i >= 0; i-- {
 		l := &allLines[i]
@@ -116,6 +120,8 @@
 	return ""
 }
 
+// describeOutcome describes how an accepted job ended and the largest cause of its
+// duration or failure.
 func describeOutcome(jobLines []Line, accepted, ended int, spans []Span) string {
 	if ended < 0 {
 		return describeUnfinished(jobLines, accepted)
@@ -136,7 +142,7 @@
 	return text
 }
 
-// unended tells what is known of a job whose end no line shows.
+// describeUnfinished describes a job that no line shows to have ended.
 func describeUnfinished(jobLines []Line, accepted int) string {
 	for i := range jobLines {
 		if jobLines[i].Event == "cancel" && jobLines[i].Get("err") == "null" {
@@ -146,8 +152,8 @@
 	return "accepted; no line shows its end; last: " + jobLines[len(jobLines)-1].Event
 }
 
-// describePeakLoad tells the load at its worst while a job waited: the line with the
-// most tasks waiting.
+// describePeakLoad describes the "load" line with the most waiting tasks between two
+// times, or returns "" when there is none.
 func describePeakLoad(allLines []Line, from, to time.Time) string {
 	var worst *Line
 	maxTasks := -1
@@ -173,7 +179,7 @@
 	return text
 }
 
-// describeLongestRun names the worker of the run that took longest and was done.
+// describeLongestRun names the duration and worker of the longest successful run.
 func describeLongestRun(jobLines []Line) string {
 	started := map[string]time.Time{}
 	worker, longest := "", time.Duration(0)
@@ -192,7 +198,8 @@
 	return fmt.Sprintf(", %s of it on %s: see that worker's time line", longest.Round(time.Millisecond), worker)
 }
 
-// failures names the task that failed most often, and where.
+// describeFailures names the task that failed most often and the workers of its runs. One
+// worker points to a fault of the worker, several point to the job.
 func describeFailures(jobLines []Line) string {
 	workers := map[string][]string{}
 	worst := ""
@@ -220,7 +227,7 @@
 		strings.Join(distinct, ", "))
 }
 
-// sweep walks through a job's lines and adds up how it spends its time.
+// spanAccumulator goes through a job's lines and adds up the time of each activity.
 type spanAccumulator struct {
 	leaderless []interval
 	outcomes   map[string]string
@@ -230,10 +237,11 @@
 	permitted  bool
 }
 
+// interval is the time between two lines.
 type interval struct{ from, to time.Time }
 
-// spans adds up the time between consecutive lines of a job by what it was
-// doing: running before asking before waiting.
+// sumSpans adds up the time between consecutive lines of a job by its activity. Runs
+// have priority over waiting, and waiting over the adviser.
 func sumSpans(allLines, jobLines []Line) []Span {
 	s := &spanAccumulator{leaderless: leaderlessIntervals(allLines), outcomes: runOutcomes(jobLines), durations: map[string]time.Duration{}, running: map[string]bool{}}
 	s.durations[spanCommit] = commitTime(&jobLines[0])
@@ -255,6 +263,7 @@
 	return list
 }
 
+// commitTime returns how long the commit of an accepted submission took.
 func commitTime(l *Line) time.Duration {
 	took, err := time.ParseDuration(l.Get("commit_ms") + "ms")
 	if err != nil {
@@ -263,9 +272,10 @@
 	return took
 }
 
+// runKey identifies the run of a line.
 func runKey(l *Line) string { return l.Get("task") + " " + l.Get("run") }
 
-// outcomes returns how each run ended.
+// runOutcomes returns the outcome of each run, by runKey.
 func runOutcomes(jobLines []Line) map[string]string {
 	ends := map[string]string{}
 	for i := range jobLines {
@@ -276,7 +286,7 @@
 	return ends
 }
 
-// leaderless returns the times between two tenures.
+// leaderlessIntervals returns the intervals between two leader terms.
 func leaderlessIntervals(allLines []Line) []interval {
 	var gaps []interval
 	var ended time.Time
@@ -300,6 +310,7 @@
 	return gaps
 }
 
+// observe updates the job's state by one line.
 func (s *spanAccumulator) observe(l *Line) {
 	switch l.Event {
 	case "run_started":
@@ -314,7 +325,8 @@
 	}
 }
 
-// account adds the time between two lines to what the job was doing.
+// addInterval adds the time between two lines to the job's activity. Time without a
+// leader counts separately unless a run was in flight.
 func (s *spanAccumulator) addInterval(from, to time.Time) {
 	took := to.Sub(from)
 	if len(s.running) == 0 {
@@ -327,6 +339,7 @@
 	s.durations[s.activity()] += took
 }
 
+// overlap returns how long two intervals overlap.
 func overlap(a, b interval) time.Duration {
 	from, to := a.from, a.to
 	if b.from.After(from) {
@@ -338,6 +351,7 @@
 	return max(to.Sub(from), 0)
 }
 
+// activity returns the present activity of the job.
 func (s *spanAccumulator) activity() string {
 	for run := range s.running {
 		if s.outcomes[run] == "done" {
--- a/internal/jobtrace/trace_test.go
+++ b/internal/jobtrace/trace_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// day is a collection of lines, with a collector's prefix and out of order.
+// sampleLog holds log lines out of order, each with a log collector's prefix.
 const sampleLog = `
  1.0 edge-1 ts=2026-07-06T09:00:01.000Z instance=edge-1 event=leader_contact in_touch=false leader=
  1.1 core-1 ts=2026-07-06T09:00:01.500Z instance=core-1 event=tenure outcome=ended term=6
@@ -30,6 +30,7 @@
 no line of ours
 `
 
+// explainSample returns the trace of a job from sampleLog.
 func explainSample(t *testing.T, job string) Trace {
 	lines, err := Read(strings.NewReader(sampleLog))
 	must.NoError(t, err)
@@ -96,7 +97,8 @@
 		"meanwhile up to 90 tasks waited for 36 workers (kept back: 2: the worker leaves)", Explain(lines, "b").Verdict)
 }
 
-// A gang that two limits held in turn, while the pool had room in pieces too small.
+// A gang waits first behind gangs with reserved resources and then for free
+// resources. The trace must show both times with their reasons.
 func TestSpansOfGangWaitingForTwoReasons(t *testing.T) {
 	lines, err := Read(strings.NewReader(`
 ts=2026-07-06T09:00:00.000Z instance=core-1 event=submit job=g outcome=accepted
