--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -11,14 +11,14 @@
 	"github.com/bilberryferry/bilberryferry/internal/tomlfile"
 )
 
-// NamePattern is what identifiers of instances, data centres and customers
-// look like. They stand in job ids, paths and log lines.
+// NamePattern matches the names of instances, data centres and customers. They
+// occur in job ids, paths and log lines and so exclude separators.
 var NamePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_.-]{0,62}$`)
 
-// LogLevels are the levels that log.level takes.
+// LogLevels are the valid values of log.level.
 var LogLevels = []string{"debug", "info", "warn", "error"}
 
-// check runs every check that needs nothing but the settings themselves.
+// check validates the settings without reading any other file.
 func (s *Settings) check(file *tomlfile.File) error {
 	checks := []func(*tomlfile.File) error{
 		s.checkNames, s.checkAddresses, s.checkMembers, s.checkConfigVoters,
@@ -32,6 +32,8 @@
 	return nil
 }
 
+// instancePath returns the path of a key of the instance with index i, such as
+// "instance[1].entry", or of the instance itself for an empty key.
 func instancePath(i int, key string) string {
 	path := "instance[" + strconv.Itoa(i) + "]"
 	if key == "" {
@@ -40,6 +42,7 @@
 	return path + "." + key
 }
 
+// checkNames rejects invalid names and duplicate ids of instances.
 func (s *Settings) checkNames(file *tomlfile.File) error {
 	if !NamePattern.MatchString(s.Deployment) {
 		return file.Errorf("deployment", "%q isn't a name (letters, digits, '_', '.', '-', at most 63)", s.Deployment)
@@ -63,11 +66,13 @@
 	return nil
 }
 
+// addressKey is a settings key of an instance that holds an address.
 type addressKey struct {
 	key      string
 	value    func(*Instance) string
 	required bool
-	// admin addresses are never dialled by other instances.
+	// admin is true for an address that other instances never dial, so that it may
+	// be unspecified, such as 0.0.0.0.
 	admin bool
 }
 
@@ -78,6 +83,7 @@
 	{"cell_admin", func(i *Instance) string { return i.CellAdmin }, false, true},
 }
 
+// checkAddresses rejects invalid addresses and those that two processes share.
 func (s *Settings) checkAddresses(file *tomlfile.File) error {
 	used := make(map[string]string)
 	for i := range s.Instances {
@@ -105,9 +111,9 @@
 	return nil
 }
 
-// scope keeps apart loopback and unspecified addresses of different machines:
-// the same 127.0.0.1 port may be taken on each. Machines are told apart by the
-// address that callers reach.
+// addressScope returns a prefix that distinguishes loopback and unspecified addresses
+// of different machines, because each machine may use the same 127.0.0.1 port.
+// The prefix is the machine's entry address. It is empty for other addresses.
 func addressScope(instance *Instance, address netip.AddrPort) string {
 	if !address.Addr().IsLoopback() && !address.Addr().IsUnspecified() {
 		return ""
@@ -119,6 +125,9 @@
 	return entry.Addr().String() + " "
 }
 
+// checkMembers rejects data folders and witness roles of instances without a cell
+// address, and witnesses of data centres that are the instance's own, unknown or
+// named twice.
 func (s *Settings) checkMembers(file *tomlfile.File) error {
 	dataCentres := s.DataCentres()
 	for i, instance := range s.Instances {
@@ -143,8 +152,9 @@
 	return s.checkLocalMajority(file)
 }
 
-// checkLocalMajority holds that the own instances of each data centre are a
-// majority of its log's voters, so that it goes on deciding when it is cut off.
+// checkLocalMajority ensures that the instances of each data centre are a majority
+// of its log's voters, so that the data centre still commits when it is partitioned
+// from the others.
 func (s *Settings) checkLocalMajority(file *tomlfile.File) error {
 	for _, dataCentre := range s.DataCentres() {
 		members := s.CellMembers(dataCentre)
@@ -165,10 +175,12 @@
 	return nil
 }
 
-// minSpreadDataCentres is the number of data centres from which on the
+// minSpreadDataCentres is the smallest number of data centres with which the
 // configuration log must survive the loss of any one of them.
 const minSpreadDataCentres = 3
 
+// checkConfigVoters ensures that the configuration log has voters and, with
+// minSpreadDataCentres or more, that no data centre holds a majority of them.
 func (s *Settings) checkConfigVoters(file *tomlfile.File) error {
 	perDataCentre := make(map[string]int)
 	total := 0
@@ -197,6 +209,7 @@
 	return nil
 }
 
+// checkTokens rejects missing token files and invalid or duplicate customers.
 func (s *Settings) checkTokens(file *tomlfile.File) error {
 	seen := make(map[string]bool)
 	for i, customer := range s.Tokens.Customers {
@@ -226,6 +239,7 @@
 	return nil
 }
 
+// checkLimits rejects limits out of range and unknown log levels.
 func (s *Settings) checkLimits(file *tomlfile.File) error {
 	limits := []struct {
 		key        string
@@ -247,11 +261,13 @@
 	return nil
 }
 
-// minRenewSlack is what is left of a worker's lease, at the least, after one
-// renewal was held for commands and the next one was lost with the instance
-// that held it: time to find the new leader.
+// minRenewSlack is the least time that must remain of a worker's lease after one
+// renewal has been held as a long poll and the next one was lost together with
+// the instance that held it. The worker needs that time to find the new leader.
 const minRenewSlack = Duration(time.Second)
 
+// checkTiming rejects durations that aren't positive and those too short relative to
+// others.
 func (s *Settings) checkTiming(file *tomlfile.File) error {
 	t := s.Timing
 	positive := []struct {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -12,7 +12,7 @@
 	"github.com/bilberryferry/bilberryferry/internal/units"
 )
 
-// Default returns the settings that hold where a file says nothing.
+// Default returns the settings whose values apply to keys that a file leaves out.
 func Default() Settings {
 	return Settings{
 		Limits: Limits{
@@ -38,8 +38,8 @@
 	}
 }
 
-// Load reads and checks a settings file for a daemon, token files included.
-// Errors are of kind Invalid and name file, line and key.
+// Load reads and checks a daemon's settings file and its token files. Errors are
+// of kind Invalid and name file, line and key.
 func Load(path string) (*Settings, error) {
 	s, err := Read(path)
 	if err != nil {
@@ -51,8 +51,8 @@
 	return s, nil
 }
 
-// Read is Load without the token files, for programs that hold no tokens of
-// the daemons.
+// Read is Load without the token files, for programs that have no access to the
+// daemons' tokens.
 func Read(path string) (*Settings, error) {
 	text, err := readBounded(path, tomlfile.MaxBytes)
 	if err != nil {
@@ -65,8 +65,8 @@
 	return Parse(path, text, folder)
 }
 
-// Parse reads and checks settings from text. name stands for the text in
-// errors; relative paths resolve against folder.
+// Parse reads and checks settings from text. Errors call the text name. Relative
+// paths resolve against folder.
 func Parse(name string, text []byte, folder string) (*Settings, error) {
 	s := Default()
 	file, err := tomlfile.Decode(name, text, &s)
@@ -81,21 +81,23 @@
 	return &s, nil
 }
 
+// readBounded reads a regular file of at most limit bytes.
 func readBounded(path string, limit int64) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
-	// A device or a pipe would never end or never begin.
+	// Reading a device may never end, and reading a pipe may block forever.
 	if !info.Mode().IsRegular() {
 		return nil, errors.Newf("%s isn't a regular file", path)
 	}
 	if info.Size() > limit {
-		return nil, errors.Newf("%s has %d bytes, at most %d are read", path, info.Size(), limit)
+		return nil, errors.Newf("%s has %d bytes, at most %d are allowed", path, info.Size(), limit)
 	}
 	return os.ReadFile(path)
 }
 
+// resolvePaths makes the relative paths of the settings absolute.
 func (s *Settings) resolvePaths(folder string) {
 	resolve := func(path *string) {
 		if *path != "" && !filepath.IsAbs(*path) {
--- a/internal/settings/members.go
+++ b/internal/settings/members.go
@@ -7,7 +7,7 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-// Instance returns the instance with an id, or NotFound.
+// Instance returns the instance with the id, or a NotFound error.
 func (s *Settings) Instance(id string) (*Instance, error) {
 	ids := make([]string, 0, len(s.Instances))
 	for i := range s.Instances {
@@ -16,7 +16,7 @@
 		}
 		ids = append(ids, s.Instances[i].ID)
 	}
-	return nil, fault.New(fault.NotFound, "the settings hold no instance %q; they hold %q", id, ids)
+	return nil, fault.New(fault.NotFound, "the settings contain no instance %q; they contain %q", id, ids)
 }
 
 // DataCentres returns the names of the data centres, sorted.
@@ -52,6 +52,7 @@
 	})
 }
 
+// instancesWhere returns the instances that match, in the file's order.
 func (s *Settings) instancesWhere(match func(*Instance) bool) []Instance {
 	var found []Instance
 	for i := range s.Instances {
@@ -62,10 +63,11 @@
 	return found
 }
 
-// Warnings returns what is allowed but leaves less than one may expect, one
-// sentence each.
+// Warnings returns a sentence for each setting that is valid but tolerates fewer
+// failures than one may expect.
 func (s *Settings) Warnings() []string { return slices.Clone(s.warnings) }
 
+// findWarnings returns the warnings about the voters of all logs.
 func (s *Settings) findWarnings() []string {
 	var warnings []string
 	warn := func(format string, args ...any) {
@@ -75,12 +77,12 @@
 		members := s.CellMembers(dataCentre)
 		switch {
 		case len(members) == 1:
-			warn("data centre %q has a single voter: it decides nothing while that one is down", dataCentre)
+			warn("data centre %q has a single voter: it commits nothing while that voter is down", dataCentre)
 		case len(members)%2 == 0:
-			warn("data centre %q has an even number of voters, %d: a witness elsewhere would let it bear one more loss", dataCentre, len(members))
+			warn("data centre %q has an even number of voters, %d: with a witness in another data centre it would tolerate one more loss", dataCentre, len(members))
 		}
 		if !slices.ContainsFunc(members, func(i Instance) bool { return i.DataFolder != "" }) {
-			warn("data centre %q has no voter with a disk: a power cut of all its voters loses its accepted work", dataCentre)
+			warn("data centre %q has no voter with a disk: a power failure of all its voters loses its accepted jobs", dataCentre)
 		}
 	}
 	voters := s.ConfigVoters()
@@ -88,7 +90,7 @@
 		warn("the configuration log has an even number of voters, %d", len(voters))
 	}
 	if !slices.ContainsFunc(voters, func(i Instance) bool { return i.DataFolder != "" }) {
-		warn("no voter of the configuration log has a disk: a power cut of all voters loses the configuration")
+		warn("no voter of the configuration log has a disk: a power failure of all voters loses the configuration")
 	}
 	return warnings
 }
--- a/internal/settings/print.go
+++ b/internal/settings/print.go
@@ -9,9 +9,9 @@
 	"strings"
 )
 
-// Print writes every setting in force as TOML, each of limits, timing and log
-// with its default. What it writes reads back as the same settings. Token
-// files are named, their content isn't read.
+// Print writes all effective settings as TOML. Those of instances, limits, timing
+// and log carry their default in a comment. Parsing the output gives the same
+// settings. Print names the token files but doesn't read them.
 func (s *Settings) Print(w io.Writer) error {
 	out := bufio.NewWriter(w)
 	fmt.Fprintf(out, "deployment = %s\n", quote(s.Deployment))
@@ -35,8 +35,8 @@
 	return out.Flush()
 }
 
-// printTable writes the scalar keys of one table. The default stands behind
-// each key unless defaults is the zero Value.
+// printTable writes the scalar keys of one table, each followed by its default
+// unless defaults is the zero Value.
 func printTable(out io.Writer, table, defaults reflect.Value) {
 	for i := range table.NumField() {
 		key := table.Type().Field(i).Tag.Get("toml")
@@ -53,6 +53,8 @@
 	}
 }
 
+// formatValue returns a scalar or a list of strings as TOML, and false for values
+// of other types.
 func formatValue(v reflect.Value) (string, bool) {
 	if text, ok := v.Interface().(fmt.Stringer); ok {
 		return quote(text.String()), true
@@ -79,7 +81,8 @@
 	}
 }
 
-// quote writes a TOML basic string. Control characters can't be written raw.
+// quote returns text as a TOML basic string, in which control characters must be
+// escaped.
 func quote(text string) string {
 	var b strings.Builder
 	b.WriteByte('"')
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
 // Package settings reads and checks the TOML settings of the daemons. One file
-// describes a whole deployment; each process is told which instance it is.
-// Settings belong to a process and are read once; what operators change while
-// the system runs is shared configuration (package conf).
+// describes a whole deployment; a flag tells each process which instance it is.
+// A process reads its settings once at its start. Values that operators change
+// at run time are in the shared configuration (package conf).
 package settings
 
 import (
@@ -10,9 +10,9 @@
 	"github.com/bilberryferry/bilberryferry/internal/units"
 )
 
-// Settings is one deployment as its processes see it.
+// Settings describes one deployment.
 type Settings struct {
-	// Deployment names the installation, in logs and events.
+	// Deployment is the name of the deployment in logs and events.
 	Deployment string     `toml:"deployment"`
 	Instances  []Instance `toml:"instance"`
 	Tokens     Tokens     `toml:"tokens"`
@@ -23,29 +23,30 @@
 	warnings []string
 }
 
-// Instance is one machine of ours, with the addresses of the processes on it.
+// Instance is one machine of the system with the addresses of its processes.
 type Instance struct {
 	ID         string `toml:"id"`
 	DataCentre string `toml:"data_centre"`
-	// Entry is the IP address and port on which callers, workers, minions and
+	// Entry is the IP address and port at which callers, workers, minions and
 	// operators reach bilberry-entryd.
 	Entry string `toml:"entry"`
-	// EntryAdmin serves metrics, health and profiles of bilberry-entryd.
+	// EntryAdmin is the address of bilberry-entryd's metrics, health and profiles.
 	EntryAdmin string `toml:"entry_admin"`
-	// Cell is where peers reach bilberry-celld. Empty: the instance runs none.
+	// Cell is the address at which peers reach bilberry-celld; empty when the
+	// instance doesn't run it.
 	Cell string `toml:"cell"`
-	// CellAdmin serves metrics, health and profiles of bilberry-celld.
+	// CellAdmin is the address of bilberry-celld's metrics, health and profiles.
 	CellAdmin string `toml:"cell_admin"`
-	// DataFolder is where bilberry-celld keeps its log. Empty: no disk.
+	// DataFolder holds the log of bilberry-celld; empty for an instance without a disk.
 	DataFolder string `toml:"data_folder"`
-	// ConfigVoter says that the instance votes on the configuration log.
+	// ConfigVoter makes the instance a voter of the configuration log.
 	ConfigVoter bool `toml:"config_voter"`
-	// WitnessFor lists other data centres whose log this instance votes on
-	// without ever leading it.
+	// WitnessFor lists other data centres of whose logs this instance is a voter
+	// that never becomes leader.
 	WitnessFor []string `toml:"witness_for"`
 }
 
-// Tokens names the files that hold bearer tokens, one token a file.
+// Tokens names the files that hold the bearer tokens, one token in each file.
 type Tokens struct {
 	Customers []CustomerToken `toml:"customer"`
 	Operator  string          `toml:"operator_file"`
@@ -60,49 +61,50 @@
 	File string `toml:"file"`
 }
 
-// Limits bound what a process takes from outside.
+// Limits bound the input that a process accepts.
 type Limits struct {
-	// Body is the largest request body.
+	// Body is the largest size of a request body.
 	Body Size `toml:"body"`
-	// Payload is the largest payload of one job.
+	// Payload is the largest size of a job's payload.
 	Payload Size `toml:"payload"`
-	// Queue is the largest number of tasks that wait in one data centre.
+	// Queue is the largest number of queued tasks in one data centre.
 	Queue int `toml:"queue"`
 	// MaxTasks is the largest number of tasks of one job.
 	MaxTasks int `toml:"max_tasks"`
 }
 
-// Timing holds the durations that shape leases, elections and retries.
+// Timing holds the durations of leases, elections and retries.
 type Timing struct {
-	// Tick is the step of replication timers.
+	// Tick is the resolution of the replication timers.
 	Tick Duration `toml:"tick"`
-	// Heartbeat is how often a leader speaks to a quiet member.
+	// Heartbeat is the interval at which a leader sends heartbeats to an idle member.
 	Heartbeat Duration `toml:"heartbeat"`
-	// Election is after how long without a leader a member stands for election.
+	// Election is the time without a leader after which a member starts an election.
 	Election Duration `toml:"election"`
-	// WorkerLease is how long a worker may run on without a renewal.
+	// WorkerLease is how long a worker may keep running tasks without a renewal.
 	WorkerLease Duration `toml:"worker_lease"`
-	// RenewHold is how long a renewal is held for commands.
+	// RenewHold is how long a lease renewal is held as a long poll for commands.
 	RenewHold Duration `toml:"renew_hold"`
-	// Drift bounds how much two monotonic clocks differ over one lease.
+	// Drift bounds how far two monotonic clocks diverge during one lease.
 	Drift Duration `toml:"drift"`
-	// MinionTTL is after how long without an announcement a minion is gone.
+	// MinionTTL is the time without an announcement after which a minion is
+	// considered gone.
 	MinionTTL Duration `toml:"minion_ttl"`
-	// SlotLease is how long an entry instance may use granted slots.
+	// SlotLease is how long an entry instance may use the slots granted to it.
 	SlotLease Duration `toml:"slot_lease"`
-	// MaxRequest bounds the time of one request to a service. The slots of an
-	// entry instance that is lost without a word stay withheld for as long after
-	// its lease.
+	// MaxRequest bounds the duration of one request to a service. When an entry
+	// instance is lost, its slots stay withheld for this time after its lease
+	// expires, because its requests may still be in flight.
 	MaxRequest Duration `toml:"max_request"`
-	// UnreadyGrace is how long an entry instance that is told to stop goes on
-	// serving after it has said that it isn't ready, so that the platform's
-	// balancer notices before connections are refused.
+	// UnreadyGrace is how long an entry instance that stops keeps serving after its
+	// readiness check fails, so that the platform's load balancer notices before
+	// connections are refused.
 	UnreadyGrace Duration `toml:"unready_grace"`
-	// Shutdown bounds how long a daemon waits for requests in progress.
+	// Shutdown bounds how long a stopping daemon waits for requests in flight.
 	Shutdown Duration `toml:"shutdown"`
 }
 
-// Log sets the daemon's log.
+// Log configures a daemon's log.
 type Log struct {
 	// Level is debug, info, warn or error.
 	Level string `toml:"level"`
@@ -111,7 +113,7 @@
 // Duration is a time span written like "1500ms".
 type Duration time.Duration
 
-// UnmarshalText reads a time span with its unit.
+// UnmarshalText parses a time span with its unit.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := units.ParseDuration(string(text))
 	if err != nil {
@@ -121,19 +123,19 @@
 	return nil
 }
 
-// MarshalText writes the time span with its unit.
+// MarshalText returns the time span with its unit.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// String writes the time span with its unit.
+// String returns the time span with its unit.
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// Std returns the time span as the standard library's type.
+// Std returns the time span as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
 // Size is a number of bytes written like "64KiB".
 type Size int64
 
-// UnmarshalText reads a number of bytes with its unit.
+// UnmarshalText parses a number of bytes with its unit.
 func (s *Size) UnmarshalText(text []byte) error {
 	parsed, err := units.ParseSize(string(text))
 	if err != nil {
@@ -143,8 +145,8 @@
 	return nil
 }
 
-// MarshalText writes the number of bytes with its unit.
+// MarshalText returns the number of bytes with its unit.
 func (s Size) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// String writes the number of bytes with its unit.
+// String returns the number of bytes with its unit.
 func (s Size) String() string { return units.FormatSize(int64(s)) }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -14,7 +14,8 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-// deployment writes a whole deployment of n data centres of three instances.
+// deploymentTOML returns the settings of a deployment of n data centres with three
+// instances each.
 func deploymentTOML(n int) string {
 	var b strings.Builder
 	b.WriteString("deployment = \"test\"\n")
@@ -33,6 +34,8 @@
 	return b.String()
 }
 
+// writeDeployment writes a settings file and its token files to a new folder and
+// returns the settings file's path.
 func writeDeployment(t *testing.T, text string) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -84,8 +87,8 @@
 	must.Eq(t, first.String(), second.String())
 }
 
-// A mistake in a file of settings must be found from the message alone: each
-// names the line, the key and what to write instead.
+// The message alone must let an operator correct a settings file: it must name
+// the line and the key and say what is wrong.
 func TestParseRejectsMistakes(t *testing.T) {
 	good := deploymentTOML(3)
 	cases := []struct{ name, text, field, message string }{
@@ -103,7 +106,7 @@
 		{"doubled address", strings.Replace(good, "10.0.1.1:7400", "10.0.0.1:7402", 1), "instance[3].entry", "is already instance[0].cell"},
 		{"host name", strings.Replace(good, "10.0.0.1:7400", "localhost:7400", 1), "instance[0].entry", "isn't an IP address with a port"},
 		{"every address", strings.Replace(good, "10.0.0.1:7400", "0.0.0.0:7400", 1), "instance[0].entry", "can't be dialled"},
-		{"hostile id", strings.Replace(good, "dc0-0", "../etc", 1), "instance[0].id", "isn't a name"},
+		{"path as id", strings.Replace(good, "dc0-0", "../etc", 1), "instance[0].id", "isn't a name"},
 		{"short election", good + "[timing]\nelection = \"1s\"\n", "timing.election", "must be longer than twice timing.heartbeat"},
 		{"lease below hold", good + "[timing]\nworker_lease = \"3s\"\n", "timing.worker_lease", "must be longer than twice timing.renew_hold and a second"},
 		{"negative", good + "[timing]\ndrift = \"-1s\"\n", "timing.drift", "is negative"},
--- a/internal/settings/tokens.go
+++ b/internal/settings/tokens.go
@@ -8,10 +8,10 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-// Role is what a bearer token lets its holder do.
+// Role determines which calls the holder of a bearer token may make.
 type Role uint8
 
-// Roles.
+// Roles of token holders.
 const (
 	Customer Role = iota + 1
 	Operator
@@ -30,34 +30,36 @@
 	return roleNames[0]
 }
 
-// Identity is who a token stands for. Customer is set for the role Customer.
+// Identity is the holder of a token. Customer is the customer's name in the role
+// Customer and empty otherwise.
 type Identity struct {
 	Role     Role
 	Customer string
 }
 
-// Credential is one token and whom it stands for.
+// Credential is one token with its holder.
 type Credential struct {
 	Token    string
 	Identity Identity
 }
 
-// TokenSet knows the tokens of a deployment. Its text form shows none of them.
+// TokenSet holds the tokens of a deployment. Formatting it reveals none of them.
 type TokenSet struct {
 	entries []tokenEntry
 	byRole  map[Role]string
 }
 
+// tokenEntry is the hash of a token with its holder.
 type tokenEntry struct {
 	hash     [sha256.Size]byte
 	identity Identity
 }
 
-// maxTokenBytes bounds a token file; a token is a line, not a document.
+// maxTokenBytes bounds the size of a token file, which holds a single line.
 const maxTokenBytes = 4096
 
-// LoadTokens reads the token files. A file that is missing, empty or holds
-// more than one line, and a token that stands for two identities, are Invalid.
+// LoadTokens reads the token files. It returns an Invalid error when a file is
+// missing, empty or has more than one line, and when two identities share a token.
 func (s *Settings) LoadTokens() (*TokenSet, error) {
 	var credentials []Credential
 	add := func(path, key string, identity Identity) error {
@@ -91,8 +93,8 @@
 	return NewTokenSet(credentials)
 }
 
-// ReadToken reads one token from a file: a single line, surrounding white
-// space dropped.
+// ReadToken reads one token from a file of a single line, without surrounding
+// white space. Errors are Invalid.
 func ReadToken(path string) (string, error) {
 	text, err := readBounded(path, maxTokenBytes)
 	if err != nil {
@@ -108,6 +110,7 @@
 	return token, nil
 }
 
+// isTokenText reports whether a token consists of printable ASCII without spaces.
 func isTokenText(token string) bool {
 	for _, c := range []byte(token) {
 		if c <= ' ' || c > '~' {
@@ -117,8 +120,8 @@
 	return true
 }
 
-// NewTokenSet makes a token set. Two credentials with one token are refused,
-// for then a token wouldn't say who holds it.
+// NewTokenSet returns a set of the credentials. It returns an Invalid error when
+// two credentials share a token, because such a token wouldn't identify its holder.
 func NewTokenSet(credentials []Credential) (*TokenSet, error) {
 	set := &TokenSet{byRole: make(map[Role]string)}
 	seen := make(map[string]Identity)
@@ -138,14 +141,15 @@
 	return set, nil
 }
 
-// bearerScheme is the scheme of the Authorization header.
+// bearerScheme is the scheme of the Authorization header in lower case, with the
+// space that separates it from the token.
 const bearerScheme = "bearer "
 
-// Authenticate finds whom a token stands for. It takes the bare token or the
-// value of an Authorization header. Unknown tokens are Denied.
+// Authenticate returns the holder of a token, which is given bare or as the value
+// of an Authorization header. It returns a Denied error for an unknown token.
 //
-// Hashes of equal length are compared, every one of them each time, so that
-// the time taken tells a guesser nothing about the tokens.
+// It always compares the hashes of all tokens in constant time, so that the
+// response time reveals nothing about the tokens.
 func (t *TokenSet) Authenticate(bearer string) (Identity, error) {
 	if len(bearer) > maxTokenBytes {
 		return Identity{}, fault.New(fault.Denied, "the token is too long")
@@ -166,17 +170,17 @@
 	return found, nil
 }
 
-// Token returns the token of a role other than Customer, for calls that this
-// process makes itself; empty when the set holds none.
+// Token returns the token of a role other than Customer, which this process uses
+// for its own calls, or "" when the set has none.
 func (t *TokenSet) Token(role Role) string { return t.byRole[role] }
 
-// String shows how many tokens there are, and none of them.
+// String returns a fixed text that reveals no token.
 func (t *TokenSet) String() string { return "[tokens redacted]" }
 
-// GoString is String, so that no verb of fmt prints a token.
+// GoString returns the same text as String, so that %#v prints no token either.
 func (t *TokenSet) GoString() string { return t.String() }
 
-// String names the identity for logs and errors.
+// String returns the role, followed by the customer's name if there is one.
 func (i Identity) String() string {
 	if i.Customer != "" {
 		return i.Role.String() + " " + i.Customer
