--- a/internal/tomlfile/guard.go
+++ b/internal/tomlfile/guard.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// maxNesting bounds how deep arrays and inline tables nest. The TOML
-	// library recurses once a level: a file of a million opening brackets
-	// would end the process by its stack, which can't be recovered from.
+	// maxNesting bounds the nesting depth of arrays and inline tables. The TOML
+	// library recurses once per level, so a file of a million opening brackets
+	// would overflow the stack, which ends the process and can't be recovered.
 	maxNesting = 64
-	// maxDots bounds the dots of one key. The library's work is quadratic in
-	// them and more: one key of 30,000 dots in 60 KB of text allocated 33 GB.
+	// maxDots bounds the dots of one key. The library's work grows faster than
+	// quadratically with them: one key of 30,000 dots in 60 KB of text allocated
+	// 33 GB.
 	maxDots = 16
 )
 
-// guard walks over a text before the library reads it. It follows the rules
-// of TOML for strings and comments; where a text breaks those rules, the
-// library stops with an error at that place and what comes after it can't harm.
+// nestingScanner scans a text for excessive nesting before the library decodes it.
+// It follows TOML's rules for strings and comments. Where a text breaks them, the
+// library stops with an error, so text after that place is harmless.
 type nestingScanner struct {
 	text  []byte
 	pos   int
@@ -25,7 +26,8 @@
 	dots  int
 }
 
-// findExcessiveNesting returns the line and nature of what the library can't bear, or "".
+// findExcessiveNesting returns the line and description of the first key or value that
+// would exhaust the library's stack or memory, or an empty description.
 func findExcessiveNesting(text []byte) (line int, problem string) {
 	g := nestingScanner{text: text}
 	for g.pos < len(g.text) {
@@ -43,6 +45,7 @@
 	return 0, ""
 }
 
+// step advances past one character, string or comment.
 func (g *nestingScanner) step() {
 	c := g.text[g.pos]
 	switch c {
@@ -66,7 +69,7 @@
 	g.pos++
 }
 
-// skipString passes over a string that begins at the current position.
+// skipString skips the string that begins at the current position.
 func (g *nestingScanner) skipString(quote byte) {
 	triple := bytes.Repeat([]byte{quote}, 3)
 	if !bytes.HasPrefix(g.text[g.pos:], triple) {
@@ -79,12 +82,13 @@
 		g.skipCharacter(quote)
 	}
 	g.pos += len(triple)
-	// Up to two quotes right before the closing three belong to the string.
+	// TOML counts up to two quotes right before the closing three as part of the string.
 	for extra := 0; extra < 2 && g.pos < len(g.text) && g.text[g.pos] == quote; extra++ {
 		g.pos++
 	}
 }
 
+// skipLineString skips the rest of a single-line string with its closing quote.
 func (g *nestingScanner) skipLineString(quote byte) {
 	for g.pos < len(g.text) && g.text[g.pos] != quote && g.text[g.pos] != '\n' {
 		g.skipCharacter(quote)
@@ -94,8 +98,9 @@
 	}
 }
 
-// skipCharacter passes over one character, or two after a backslash, which
-// escapes in double quotes only. An escaped end of line stays in its string.
+// skipCharacter skips one character, or a backslash and the character that it
+// escapes. A backslash escapes only within double quotes. An escaped line break
+// doesn't end the string.
 func (g *nestingScanner) skipCharacter(quote byte) {
 	if quote == '"' && g.text[g.pos] == '\\' {
 		g.pos++
@@ -103,6 +108,7 @@
 	g.pos++
 }
 
+// skipTo advances to the next end character, or to the end of the text.
 func (g *nestingScanner) skipTo(end byte) {
 	i := bytes.IndexByte(g.text[g.pos:], end)
 	if i < 0 {
--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -6,11 +6,13 @@
 	"strings"
 )
 
-// lineIndex knows on which line each key of a text stands. It reads the plain
-// form of TOML, one key or table header a line, and serves error messages
-// only: for keys in inline tables it answers with no line.
+// lineIndex maps the keys of a text to their lines, for error messages. It
+// understands one key or table header per line and doesn't find keys in inline
+// tables.
 type lineIndex struct {
-	lines    map[string]int
+	// lines maps a path with element numbers, such as "a[2].b", to its first line.
+	lines map[string]int
+	// byKey maps a path without element numbers to all its lines.
 	byKey    map[string][]int
 	elements map[string]int
 }
@@ -22,6 +24,7 @@
 	unquoter    = strings.NewReplacer(`"`, "", `'`, "", " ", "")
 )
 
+// newLineIndex returns the index of a text.
 func newLineIndex(text []byte) *lineIndex {
 	x := &lineIndex{lines: make(map[string]int), byKey: make(map[string][]int), elements: make(map[string]int)}
 	table := ""
@@ -31,7 +34,8 @@
 	return x
 }
 
-// add reads one line and returns the path of the table that the next line is in.
+// addLine indexes one line and returns the path of the table that contains the next
+// line.
 func (x *lineIndex) addLine(number int, line, table string) string {
 	if m := arrayHeader.FindStringSubmatch(line); m != nil {
 		name := x.resolve(unquoter.Replace(m[1]))
@@ -51,8 +55,8 @@
 	return table
 }
 
-// resolve puts the current element's number behind each parent that is an
-// array of tables: "a.b" inside the third "[[a]]" reads "a[2].b".
+// resolve appends the current element's number to each parent that is an array of
+// tables: "a.b" inside the third "[[a]]" becomes "a[2].b".
 func (x *lineIndex) resolve(name string) string {
 	parts := strings.Split(name, ".")
 	path := ""
@@ -66,6 +70,7 @@
 	return path
 }
 
+// record stores the line number of a path.
 func (x *lineIndex) record(path string, number int) {
 	if _, ok := x.lines[path]; !ok {
 		x.lines[path] = number
@@ -74,7 +79,8 @@
 	x.byKey[key] = append(x.byKey[key], number)
 }
 
-// line returns the line of a path, or that of the nearest parent, or 0.
+// line returns the line of a path or of its nearest parent, or 0 when neither is
+// indexed.
 func (x *lineIndex) line(path string) int {
 	for path != "" {
 		if number, ok := x.lines[path]; ok {
@@ -85,10 +91,12 @@
 	return 0
 }
 
-// candidates returns every line on which a key without element numbers stands.
+// candidates returns all lines of a key, whose path is given without element
+// numbers.
 func (x *lineIndex) candidates(key string) []int { return x.byKey[key] }
 
-// inArray says whether a key without element numbers stands in an array of tables.
+// inArray reports whether a key, whose path is given without element numbers, is
+// in an array of tables.
 func (x *lineIndex) inArray(key string) bool {
 	for table := parentPath(key); table != ""; table = parentPath(table) {
 		if x.elements[table] > 0 {
@@ -105,6 +113,7 @@
 	return table + "." + key
 }
 
+// parentPath returns the path of the table that contains a key, or "".
 func parentPath(path string) string {
 	if i := strings.LastIndexByte(path, '.'); i >= 0 {
 		return path[:i]
--- a/internal/tomlfile/nearest.go
+++ b/internal/tomlfile/nearest.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// hint tells what the writer of an unknown key may have meant: the nearest
-// key of the same table, or of the whole file, or the list of the table's keys.
+// hint suggests a known key for an unknown one: the nearest key of the same table
+// or else of the whole file. Without a near key it lists the keys of the table.
 func hint(path string, known map[string]bool) string {
 	parent := parentPath(path)
 	siblings := keysOf(parent, known)
@@ -32,6 +32,7 @@
 	return "known keys here are " + strings.Join(siblings, ", ")
 }
 
+// keysOf returns the names of a table's known keys, sorted.
 func keysOf(table string, known map[string]bool) []string {
 	var keys []string
 	for key := range known {
@@ -43,18 +44,21 @@
 	return keys
 }
 
+// lastPart returns the name of a key without its table.
 func lastPart(path string) string {
 	return path[strings.LastIndexByte(path, '.')+1:]
 }
 
-// maxComparedBytes bounds the length of a key that is compared with others: the
-// comparison is quadratic and the key comes from outside.
+// maxComparedBytes bounds the length of a compared word. The comparison takes
+// quadratic time and the word comes from a user.
 const maxComparedBytes = 64
 
-// Nearest returns the word of a list closest to a mistyped one, or "" when
-// none is close: at most a third of the word edited, and three edits.
+// Nearest returns the word of a list with the smallest edit distance to a mistyped
+// word. It returns "" when that takes more than three edits or edits of more than a
+// third of the word; one edit is always allowed.
 func Nearest(word string, words []string) string { return nearest(word, words) }
 
+// nearest implements Nearest.
 func nearest(word string, words []string) string {
 	if len(word) > maxComparedBytes {
 		return ""
@@ -69,8 +73,8 @@
 	return best
 }
 
-// editDistance counts insertions, deletions, replacements and swaps of
-// neighbours that turn a into b.
+// editDistance returns the number of insertions, deletions, replacements and swaps
+// of adjacent characters that turn a into b.
 func editDistance(a, b string) int {
 	beforePrevious, previous := make([]int, len(b)+1), make([]int, len(b)+1)
 	for j := range previous {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile decodes TOML strictly: unknown keys, wrong types and wrong
-// units are refused with the file, the line and the nearest known key.
+// Package tomlfile decodes TOML strictly. It rejects unknown keys, wrong types and
+// wrong units with an error that names the file, the line and the nearest known key.
 package tomlfile
 
 import (
@@ -13,21 +13,21 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-// MaxBytes bounds the text that Decode takes.
+// MaxBytes bounds the size of a text that Decode accepts.
 const MaxBytes = 1 << 20
 
-// File is a decoded text that can say where its keys stand.
+// File is a decoded text with the lines of its keys.
 type File struct {
 	name  string
 	index *lineIndex
 }
 
-// Decode reads text into the struct that into points to. name stands for the
-// text in errors. Errors are of kind fault.Invalid.
+// Decode decodes text into the struct that into points to. Errors call the text
+// name and are of kind fault.Invalid.
 func Decode(name string, text []byte, into any) (*File, error) {
 	file := &File{name: name}
 	if len(text) > MaxBytes {
-		return nil, fault.New(fault.Invalid, "%s: %d bytes are too many, at most %d", name, len(text), MaxBytes)
+		return nil, fault.New(fault.Invalid, "%s: %d bytes are too many, at most %d are allowed", name, len(text), MaxBytes)
 	}
 	if line, problem := findExcessiveNesting(text); problem != "" {
 		return nil, file.errorAt("", line, "%s", problem)
@@ -43,12 +43,13 @@
 	return file, nil
 }
 
-// Errorf returns an Invalid error about a key, with file and line. The path
-// names elements of arrays of tables by number: "instance[1].entry".
+// Errorf returns an Invalid error about a key that names the file and the line. The
+// path gives the index of an element of an array of tables: "instance[1].entry".
 func (f *File) Errorf(path, format string, args ...any) error {
 	return f.errorAt(path, f.index.line(path), format, args...)
 }
 
+// errorAt returns an Invalid error about a field on a line. An empty field and line 0/are left out of the message.
 func (f *File) errorAt(field string, line int, format string, args ...any) error {
 	message := shorten(errors.Newf(format, args...).Error())
 	field = shorten(field)
@@ -62,9 +63,9 @@
 	return fault.Field(field, "%s: %s", where, message)
 }
 
-// parseError turns an error of the TOML library into ours. The library keeps
-// one position for all elements of an array of tables, so for these every
-// candidate line is named.
+// parseError converts an error of the TOML library to an Invalid error. The library
+// keeps one position for all elements of an array of tables, so the error names
+// every candidate line of a key in such an array.
 func (f *File) parseError(err error) error {
 	var parse toml.ParseError
 	if !errors.As(err, &parse) {
@@ -81,6 +82,7 @@
 	return f.errorAt(parse.LastKey, parse.Position.Line, "%s", message)
 }
 
+// checkKeys returns an error for the first key of the text that isn't known.
 func (f *File) checkKeys(keys []toml.Key, known map[string]bool) error {
 	for _, key := range keys {
 		path := strings.Join(key, ".")
@@ -99,13 +101,14 @@
 
 var textUnmarshaler = reflect.TypeFor[interface{ UnmarshalText([]byte) error }]()
 
-// knownKeys lists the dotted keys that decode into the struct behind into.
+// knownKeys returns the dotted keys of the struct that into points to.
 func knownKeys(into any) map[string]bool {
 	known := make(map[string]bool)
 	addKeys(known, "", reflect.TypeOf(into))
 	return known
 }
 
+// addKeys adds the dotted keys of a type to known, each with the prefix.
 func addKeys(known map[string]bool, prefix string, t reflect.Type) {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
 		t = t.Elem()
@@ -124,9 +127,10 @@
 	}
 }
 
-// maxMessage bounds what an error repeats of a text that comes from outside.
+// maxMessage bounds the bytes of a user's text that an error repeats.
 const maxMessage = 300
 
+// shorten truncates a text to maxMessage bytes.
 func shorten(text string) string {
 	if len(text) <= maxMessage {
 		return text
@@ -134,6 +138,7 @@
 	return strings.ToValidUTF8(text[:maxMessage], "") + "..."
 }
 
+// oneLine joins the words of a text with single spaces and truncates it.
 func oneLine(text string) string {
 	return shorten(strings.Join(strings.Fields(text), " "))
 }
@@ -146,12 +151,12 @@
 	return strings.Join(texts, ", ")
 }
 
-// Text is a string, or a number written without quotes. Its owner reads it
-// after decoding, when a wrong value can be refused with the line of its own
+// Text is a string or a number without quotes. The caller of Decode parses it
+// afterwards, so that an error about a wrong value can name the line of the array
 // element.
 type Text string
 
-// UnmarshalText keeps the text as it stands.
+// UnmarshalText stores the text unchanged.
 func (t *Text) UnmarshalText(text []byte) error {
 	*t = Text(text)
 	return nil
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -31,10 +31,10 @@
 	must.Error(t, err)
 }
 
-// Someone submits a configuration of 60 KB whose one key has 30,000 dots, or
-// nests thousands of brackets. The library's work on it is quadratic or runs
-// out of stack, and the daemon dies of memory. Such text must be refused
-// before the library sees it, and text that only looks like it must not.
+// A text of 60 KB with one key of 30,000 dots, or with thousands of nested
+// brackets, makes the TOML library exhaust memory or stack, and the daemon dies.
+// Such text must be rejected before the library decodes it. Dots and brackets
+// within strings and comments must be accepted.
 func TestExcessiveNestingIsRejected(t *testing.T) {
 	const n = 30_000
 	refused := map[string]string{
@@ -54,7 +54,7 @@
 		t.Run(name, func(t *testing.T) {
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
-			_, err := Decode("hostile", []byte(text), &sample{})
+			_, err := Decode("nested", []byte(text), &sample{})
 			runtime.ReadMemStats(&after)
 			must.True(t, fault.Is(err, fault.Invalid))
 			must.Less(t, 1000, len(err.Error()))
