--- a/internal/jobfile/jobfile.go
+++ b/internal/jobfile/jobfile.go
@@ -1,4 +1,4 @@
-// Package jobfile reads the TOML files in which people describe a job.
+// Package jobfile parses the TOML files in which users describe a job.
 package jobfile
 
 import (
@@ -18,12 +18,12 @@
 	maxTasks        = 100_000
 	maxAccelerators = 100_000
 	maxAttempts     = 100
-	// maxHorizon bounds deadlines and run times, and keeps sums of them far
-	// from overflow.
+	// maxHorizon bounds run times and the time until a deadline. It keeps sums of
+	// them far from overflow.
 	maxHorizon = 366 * 24 * time.Hour
 )
 
-// rawJob is the file as it is written.
+// rawJob is a decoded job file before its values are checked.
 type rawJob struct {
 	Name         string         `toml:"name"`
 	Policy       string         `toml:"policy"`
@@ -40,10 +40,10 @@
 	MaxAttempts  int64          `toml:"max_attempts"`
 }
 
-// deadlineText takes a TOML date-time without quotes as well as a string.
+// deadlineText accepts a TOML date-time without quotes as well as a string.
 type deadlineText string
 
-// UnmarshalTOML keeps the deadline as text.
+// UnmarshalTOML stores the deadline as text.
 func (d *deadlineText) UnmarshalTOML(value any) error {
 	switch v := value.(type) {
 	case string:
@@ -56,25 +56,26 @@
 	return nil
 }
 
+// policies maps the values of "policy" to those of the schema.
 var policies = map[string]apiv1.Policy{
 	"service": apiv1.Policy_POLICY_SERVICE,
 	"batch":   apiv1.Policy_POLICY_BATCH,
 	"gang":    apiv1.Policy_POLICY_GANG,
 }
 
-// Parse reads one job file. Relative deadlines count from now. Errors are
+// Parse parses one job file. Relative deadlines count from now. Errors are
 // Invalid and name line and key.
 func Parse(data []byte, now time.Time) (*apiv1.Spec, error) {
 	return ParseNamed("job file", data, now)
 }
 
-// ParseNamed is Parse with a name that stands for the text in errors.
+// ParseNamed is Parse with the name of the file for errors.
 func ParseNamed(name string, data []byte, now time.Time) (*apiv1.Spec, error) {
 	return ParseWithDeadline(name, data, "", now)
 }
 
-// ParseWithDeadline is ParseNamed with a deadline that replaces the file's,
-// unless it is empty.
+// ParseWithDeadline is ParseNamed with a deadline that replaces the file's unless
+// it is empty.
 func ParseWithDeadline(name string, data []byte, deadline string, now time.Time) (*apiv1.Spec, error) {
 	var raw rawJob
 	file, err := tomlfile.Decode(name, data, &raw)
@@ -93,12 +94,14 @@
 	return r.spec, nil
 }
 
+// jobReader checks a rawJob and converts it to a Spec.
 type jobReader struct {
 	file *tomlfile.File
 	raw  *rawJob
 	spec *apiv1.Spec
 }
 
+// identity checks and converts name, policy, data centre, flags and payload.
 func (r *jobReader) identity() error {
 	if !settings.NamePattern.MatchString(r.raw.Name) {
 		return r.file.Errorf("name", "%q isn't a name (letters, digits, '_', '.', '-', at most 63)", r.raw.Name)
@@ -121,19 +124,20 @@
 	return nil
 }
 
-// requireIdempotentService makes a service idempotent, which it has to be: its tasks
-// are started again elsewhere when a worker is lost.
+// requireIdempotentService marks a service as idempotent and rejects a file that denies
+// it. The tasks of a service are restarted on other workers when a worker is lost.
 func (r *jobReader) requireIdempotentService() error {
 	if r.spec.Policy != apiv1.Policy_POLICY_SERVICE {
 		return nil
 	}
 	if r.raw.Idempotent != nil && !*r.raw.Idempotent {
-		return r.file.Errorf("idempotent", "tasks of a service are started again after a loss, so a service is always idempotent")
+		return r.file.Errorf("idempotent", "tasks of a service are restarted when a worker is lost, so a service is always idempotent")
 	}
 	r.spec.Idempotent = true
 	return nil
 }
 
+// counts checks and converts the numbers of tasks, accelerators and attempts.
 func (r *jobReader) counts() error {
 	tasks := int64(1)
 	if r.raw.Tasks != nil {
@@ -153,7 +157,7 @@
 		}
 	}
 	if r.raw.MaxAttempts > 1 && !r.spec.Idempotent {
-		return r.file.Errorf("max_attempts", "only work with idempotent = true may be tried more than once")
+		return r.file.Errorf("max_attempts", "only work with idempotent = true may have more than one attempt")
 	}
 	r.spec.Tasks = int32(tasks)
 	r.spec.Need.Accelerators = r.raw.Accelerators
@@ -161,6 +165,7 @@
 	return nil
 }
 
+// demand checks and converts the resources of one task.
 func (r *jobReader) demand() error {
 	cpu, err := r.amount("cpu", r.raw.CPU, units.ParseCores)
 	if err != nil {
@@ -171,13 +176,14 @@
 		return err
 	}
 	if cpu == 0 && memory == 0 && r.raw.Accelerators == 0 {
-		return r.file.Errorf("cpu", "the job needs nothing; state cpu, memory or accelerators of one task")
+		return r.file.Errorf("cpu", "the job needs nothing; state the cpu, memory or accelerators of one task")
 	}
 	r.spec.Need.CpuMilli = cpu
 	r.spec.Need.MemoryMib = memory
 	return nil
 }
 
+// amount parses the value of a key. It returns 0 when the key is missing.
 func (r *jobReader) amount(key string, text *tomlfile.Text, parse func(string) (int64, error)) (int64, error) {
 	if text == nil {
 		return 0, nil
@@ -189,6 +195,7 @@
 	return amount, nil
 }
 
+// runtimeAndDeadline returns a function that checks and converts run time and deadline.
 func (r *jobReader) runtimeAndDeadline(now time.Time) func() error {
 	return func() error {
 		if r.spec.Policy == apiv1.Policy_POLICY_SERVICE {
@@ -217,6 +224,7 @@
 	}
 }
 
+// rejectTimes returns an error when a service has a run time or a deadline.
 func (r *jobReader) rejectTimes() error {
 	if r.raw.Runtime != nil {
 		return r.file.Errorf("runtime", "a service runs until it is stopped and has no run time")
@@ -227,8 +235,8 @@
 	return nil
 }
 
-// ParseDeadline reads "+45s", which counts from now, or a time of RFC 3339.
-// A time that has passed, or lies more than a year ahead, is refused.
+// ParseDeadline parses a span such as "+45s", which counts from now, or an RFC 3339
+// time. It returns an error for a time in the past or more than a year ahead.
 func ParseDeadline(text string, now time.Time) (time.Time, error) {
 	if span, ok := strings.CutPrefix(text, "+"); ok {
 		d, err := units.ParseDuration(span)
@@ -244,6 +252,7 @@
 	return checkDeadline(text, deadline, now)
 }
 
+// checkDeadline returns an error unless the deadline is after now and within maxHorizon.
 func checkDeadline(text string, deadline, now time.Time) (time.Time, error) {
 	switch ahead := deadline.Sub(now); {
 	case ahead <= 0:
@@ -255,7 +264,7 @@
 	}
 }
 
-// deadlineError says what is wrong with a deadline.
+// deadlineError is the error of an invalid deadline.
 type deadlineError string
 
 func (e deadlineError) Error() string { return string(e) }
@@ -264,7 +273,7 @@
 	return deadlineError(quoted(text) + " is neither a span such as \"+45s\" nor a time such as \"2030-01-02T06:00:00Z\"")
 }
 
-// maxQuoted bounds how much of a bad value an error repeats.
+// maxQuoted bounds the bytes of an invalid value that an error repeats.
 const maxQuoted = 40
 
 func quoted(text string) string {
--- a/internal/jobfile/workflow.go
+++ b/internal/jobfile/workflow.go
@@ -10,7 +10,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/units"
 )
 
-// rawWorkflow is the file of a job of dependent steps as it is written.
+// rawWorkflow is a decoded workflow file before its values are checked. A workflow
+// is a job of dependent steps.
 type rawWorkflow struct {
 	ID      string    `toml:"id"`
 	Queue   string    `toml:"queue"`
@@ -19,13 +20,14 @@
 	Steps   []rawStep `toml:"step"`
 }
 
+// rawRepeat is the repetition of a job in the file.
 type rawRepeat struct {
 	First string `toml:"first"`
 	Every string `toml:"every"`
 	Times int64  `toml:"times"`
 }
 
-// rawStep is a step; its keys are those of the schema's Step.
+// rawStep is a step of the file. Its keys are those of the schema's Step.
 type rawStep struct {
 	Tasks            *int64         `toml:"tasks"`
 	CPU              *tomlfile.Text `toml:"cpu"`
@@ -47,8 +49,8 @@
 	LatencyObjective string         `toml:"latency_objective"`
 }
 
-// ParseWorkflow reads the file of a job of dependent steps. Errors are Invalid
-// and name line and key; name stands for the file in them.
+// ParseWorkflow parses the file of a job of dependent steps. Errors are Invalid
+// and name the file by name, the line and the key.
 func ParseWorkflow(name string, data []byte) (*apiv1.SubmitWorkflowRequest, error) {
 	var raw rawWorkflow
 	file, err := tomlfile.Decode(name, data, &raw)
@@ -59,11 +61,11 @@
 	request := &apiv1.SubmitWorkflowRequest{Id: raw.ID, Queue: raw.Queue, Payload: raw.Payload}
 	switch {
 	case raw.ID == "":
-		return nil, file.Errorf("id", "is missing; choose one, the same id is the same job")
+		return nil, file.Errorf("id", "is missing; choose one: submissions with the same id are the same job")
 	case raw.Queue == "":
 		return nil, file.Errorf("queue", "is missing; name a queue of the configuration")
 	case len(raw.Steps) == 0:
-		return nil, file.Errorf("step", "is missing; a job has one [[step]] at least")
+		return nil, file.Errorf("step", "is missing; a job has at least one [[step]]")
 	}
 	if request.Repeat, err = r.repeat(&raw.Repeat); err != nil {
 		return nil, err
@@ -78,9 +80,12 @@
 	return request, nil
 }
 
+// workflowReader checks the parts of a rawWorkflow and converts them to the schema's
+// messages.
 type workflowReader struct{ file *tomlfile.File }
 
-// repeat reads the times of a job that is repeated; nil for one that isn't.
+// repeat converts the times of a repeated job. It returns nil for a job that isn't
+// repeated.
 func (r *workflowReader) repeat(raw *rawRepeat) (*apiv1.Repeat, error) {
 	if *raw == (rawRepeat{}) {
 		return nil, nil
@@ -94,11 +99,12 @@
 		return nil, r.file.Errorf("repeat.every", "%v", err)
 	}
 	if raw.Times < 1 || raw.Times > math.MaxInt32 {
-		return nil, r.file.Errorf("repeat.times", "must be 1 at least, is %d", raw.Times)
+		return nil, r.file.Errorf("repeat.times", "must be from 1 to 2147483647, is %d", raw.Times)
 	}
 	return &apiv1.Repeat{FirstUnixMs: first.UnixMilli(), EveryMs: every.Milliseconds(), Times: int32(raw.Times)}, nil
 }
 
+// step checks and converts the step with the index.
 func (r *workflowReader) step(raw *rawStep, index int) (*apiv1.Step, error) {
 	key := func(name string) string { return fmt.Sprintf("step[%d].%s", index, name) }
 	step := &apiv1.Step{
@@ -135,7 +141,7 @@
 	return step, nil
 }
 
-// sizes reads what a task needs and how long it takes.
+// demandAndTimes converts the resources that a task needs and its run times.
 func (r *workflowReader) demandAndTimes(raw *rawStep, step *apiv1.Step, key func(string) string) (err error) {
 	if raw.CPU != nil {
 		if step.Need.CpuMilli, err = units.ParseCores(string(*raw.CPU)); err != nil {
