--- a/internal/oplog/metrics.go
+++ b/internal/oplog/metrics.go
@@ -11,15 +11,15 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the latency histograms, in microseconds: 10 µs to a minute with two
-// digits, about 20 KB each.
+// Bounds of the latency histograms, in microseconds: from 10 µs to one minute with
+// two significant digits. A histogram then takes about 20 KB.
 const (
 	lowestMicros      = 10
 	highestMicros     = 60_000_000
 	significantDigits = 2
 )
 
-// Metrics counts events and keeps latency histograms by name. It is safe for
+// Metrics holds counters, gauges and latency histograms by name. It is safe for
 // concurrent use.
 type Metrics struct {
 	mu         sync.Mutex
@@ -28,26 +28,27 @@
 	histograms map[string]*hdrhistogram.Histogram
 }
 
-// NewMetrics returns empty metrics.
+// NewMetrics returns Metrics without any values.
 func NewMetrics() *Metrics {
 	return &Metrics{counters: map[string]int64{}, gauges: map[string]int64{}, histograms: map[string]*hdrhistogram.Histogram{}}
 }
 
-// Add adds n to a counter.
+// Add adds n to the counter of a name.
 func (m *Metrics) Add(name string, n int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.counters[name] += n
 }
 
-// Set sets a gauge.
+// Set sets the gauge of a name to n.
 func (m *Metrics) Set(name string, n int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.gauges[name] = n
 }
 
-// Observe adds a duration to a histogram.
+// Observe records a duration in the histogram of a name. It clamps durations to the
+// histogram's bounds.
 func (m *Metrics) Observe(name string, d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -60,9 +61,10 @@
 	_ = h.RecordValue(min(max(d.Microseconds(), lowestMicros), highestMicros))
 }
 
+// quantiles are the quantiles of a histogram that write shows, in per cent.
 var quantiles = []float64{50, 90, 99, 100}
 
-// WriteTo writes all metrics as text, one a line.
+// write writes all metrics as text, one per line and sorted by name.
 func (m *Metrics) write(w io.Writer) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -104,6 +106,6 @@
 // ServeHTTP serves the metrics as text.
 func (m *Metrics) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	// A write error means that the reader is gone.
+	// A write error means that the client has disconnected.
 	_ = m.write(w)
 }
--- a/internal/oplog/oplog.go
+++ b/internal/oplog/oplog.go
@@ -1,6 +1,6 @@
-// Package oplog writes a process's structured lines to standard output without
-// ever blocking who logs, within a budget of lines a second. Lines that don't
-// fit are dropped and counted, and the count is logged.
+// Package oplog writes a process's structured log lines to standard output without
+// blocking the goroutine that logs. It limits the lines per second and drops and
+// counts the lines beyond that limit. The process logs the count.
 package oplog
 
 import (
@@ -12,16 +12,16 @@
 )
 
 const (
-	// maxQueuedLines bounds the lines that wait for the writer: half a second of the
-	// budget.
+	// maxQueuedLines bounds the lines that wait for the writer, which is half a second
+	// at linesPerSecond.
 	maxQueuedLines = 1024
-	// linesPerSecond is the budget. A leader logs about six lines a job, so it
-	// covers 300 jobs a second; a line costs about 5 µs.
+	// linesPerSecond is the largest rate of lines. A leader logs about six lines for
+	// each job, so the limit covers 300 jobs per second. A line costs about 5 µs.
 	linesPerSecond = 2000
 )
 
-// Sink is an io.Writer that hands lines to a writer of its own. It is safe for
-// concurrent use.
+// Sink is an io.Writer that queues lines for a goroutine that writes them. It is
+// safe for concurrent use.
 type Sink struct {
 	lines chan []byte
 	done  chan struct{}
@@ -33,16 +33,16 @@
 	closed      bool
 }
 
-// NewSink returns a sink that writes to w. Close ends it.
+// NewSink returns a sink that writes to w until Close is called.
 func NewSink(w io.Writer) *Sink {
 	s := &Sink{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go s.writeLoop(w)
 	return s
 }
 
-// drain writes what is queued, as much as there is at a time: a leader of 350
-// workers logs 2000 lines a second, and a write costs more than to make a line. An
-// error of the writer can't be logged anywhere.
+// writeLoop writes all queued lines with one call, because a leader of 350 workers
+// logs 2000 lines per second and a write costs more than formatting a line. It
+// ignores write errors, because there is no other place to log them.
 func (s *Sink) writeLoop(w io.Writer) {
 	defer close(s.done)
 	var batch []byte
@@ -55,7 +55,8 @@
 	}
 }
 
-// Write queues one line, or drops it when the budget is spent or the queue full.
+// Write queues one line. It drops the line when the rate limit is reached, the
+// queue is full or the sink is closed. It never returns an error.
 func (s *Sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +77,7 @@
 	return len(line), nil
 }
 
-// TakeDropped returns how many lines were dropped since it was last called.
+// TakeDropped returns the number of lines dropped since the last call and resets it.
 func (s *Sink) TakeDropped() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,10 +86,11 @@
 	return n
 }
 
-// closeTimeout bounds how long Close waits for a reader that stands still.
+// closeTimeout bounds how long Close waits for a blocked writer.
 const closeTimeout = 200 * time.Millisecond
 
-// Close writes what is queued, as far as the writer takes it in time.
+// Close ends the sink. It waits until the queued lines are written, at most for
+// closeTimeout.
 func (s *Sink) Close() {
 	s.mu.Lock()
 	if !s.closed {
@@ -102,7 +104,7 @@
 	}
 }
 
-// NewLogger returns a logger of logfmt lines on s.
+// NewLogger returns a logger that writes logfmt lines with time and instance to s.
 func NewLogger(s *Sink, instance string) log.Logger {
 	return log.With(log.NewLogfmtLogger(s), "ts", log.DefaultTimestampUTC, "instance", instance)
 }
--- a/internal/oplog/oplog_test.go
+++ b/internal/oplog/oplog_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// blockedWriter takes nothing until it is released.
+// blockedWriter blocks every write until release is closed.
 type blockedWriter struct{ release chan struct{} }
 
 func (w *blockedWriter) Write(p []byte) (int, error) {
@@ -18,10 +18,9 @@
 	return len(p), nil
 }
 
-// What a user sees: requests hang although the system is idle.
-// Order: whoever reads the process's output stands still; the pipe fills; a
-// request logs its outcome.
-// Cause: a log line that waits for its reader.
+// The reader of the process's output blocks and the pipe fills. If logging waited
+// for the reader, every request that logs its outcome would hang although the
+// system is idle.
 func TestBlockedReaderDoesNotBlockLogging(t *testing.T) {
 	w := &blockedWriter{make(chan struct{})}
 	s := NewSink(w)
@@ -36,7 +35,7 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("a line waited for its reader")
+		t.Fatal("logging waited for the blocked reader")
 	}
 	must.Positive(t, s.TakeDropped())
 	must.Eq(t, 0, s.TakeDropped())
