--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -1,6 +1,6 @@
-// Package units reads and writes the quantities that people put into files and
-// flags: time spans, sizes in bytes and processor amounts. A bare number is
-// refused wherever it would leave the unit open.
+// Package units parses and formats the quantities in files and flags: time spans,
+// sizes in bytes and processor amounts. It rejects a number without a unit where
+// the unit would be ambiguous.
 package units
 
 import (
@@ -21,12 +21,16 @@
 )
 
 const (
+	// milliPerCore is the number of thousandths in a core.
 	milliPerCore = 1000
+	// coreDecimals is the number of decimal places of a core that ParseCores accepts.
 	coreDecimals = 3
-	// maxCores keeps sums over many tasks far from overflow.
+	// maxCores bounds a number of cores and keeps sums over many tasks far from
+	// overflow.
 	maxCores = 1_000_000
 )
 
+// sizeUnit is a suffix of sizes with its number of bytes.
 type sizeUnit struct {
 	suffix string
 	bytes  int64
@@ -37,7 +41,8 @@
 	{"TiB", TiB}, {"GiB", GiB}, {"MiB", MiB}, {"KiB", KiB}, {"B", 1},
 }
 
-// ParseDuration reads a time span that isn't negative, such as "1500ms" or "2m30s".
+// ParseDuration parses a time span such as "1500ms" or "2m30s". It returns an error
+// for a negative one.
 func ParseDuration(text string) (time.Duration, error) {
 	d, err := time.ParseDuration(text)
 	if err != nil {
@@ -49,7 +54,7 @@
 	return d, nil
 }
 
-// ParseSize reads a whole number of bytes with a unit, such as "64KiB".
+// ParseSize parses a size such as "64KiB" and returns bytes.
 func ParseSize(text string) (int64, error) {
 	for _, unit := range sizeUnits {
 		digits, ok := strings.CutSuffix(text, unit.suffix)
@@ -72,7 +77,7 @@
 	return errors.Newf("%q isn't a size with a unit, such as \"64KiB\", \"16MiB\" or \"4GiB\"", shorten(text))
 }
 
-// FormatSize writes a number of bytes with the largest unit that divides it.
+// FormatSize formats a number of bytes with the largest unit that divides it.
 func FormatSize(bytes int64) string {
 	for _, unit := range sizeUnits {
 		if bytes != 0 && bytes%unit.bytes == 0 {
@@ -82,7 +87,8 @@
 	return strconv.FormatInt(bytes, 10) + "B"
 }
 
-// ParseMiB reads a size and returns it in MiB. Parts of a MiB are refused.
+// ParseMiB parses a size and returns MiB. It returns an error unless the size is a
+// whole number of MiB.
 func ParseMiB(text string) (int64, error) {
 	n, err := ParseSize(text)
 	if err != nil {
@@ -94,7 +100,8 @@
 	return n / MiB, nil
 }
 
-// ParseCores reads processors, such as "2" or "0.5", and returns thousandths of a core.
+// ParseCores parses a number of cores, such as "2" or "0.5", and returns thousandths
+// of a core.
 func ParseCores(text string) (int64, error) {
 	whole, fraction, hasPoint := strings.Cut(text, ".")
 	if len(fraction) > coreDecimals {
@@ -119,7 +126,7 @@
 	return int64(cores)*milliPerCore + int64(milli), nil
 }
 
-// FormatCores writes thousandths of a core as cores.
+// FormatCores formats thousandths of a core as a number of cores.
 func FormatCores(milli int64) string {
 	if milli < 0 {
 		return "-" + FormatCores(-milli)
@@ -133,9 +140,10 @@
 	return text + "." + strings.TrimRight(fraction, "0")
 }
 
-// maxQuoted bounds how much of a bad value an error repeats.
+// maxQuoted bounds the bytes of an invalid value that an error repeats.
 const maxQuoted = 40
 
+// shorten truncates a text to maxQuoted bytes.
 func shorten(text string) string {
 	if len(text) <= maxQuoted {
 		return text
