--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait waits for a time that a context can cut short.
+// Package wait provides waits that end early when a context ends.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d or until ctx ends, and reports whether the whole time passed.
+// For waits for d or until ctx ends. It reports whether the full time has passed.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -18,7 +18,7 @@
 	}
 }
 
-// Closed waits until done is closed or ctx ends, and reports whether done was.
+// Closed waits until done is closed or ctx ends. It reports whether done was closed.
 func Closed(ctx context.Context, done <-chan struct{}) bool {
 	select {
 	case <-ctx.Done():
