--- a/internal/measure/fit.go
+++ b/internal/measure/fit.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Class is a kind of process, as capacity is planned for it.
+// Class is a kind of process for capacity planning.
 type Class string
 
 // Classes of processes.
@@ -25,7 +25,7 @@
 	ClassConfigReader Class = "configuration reader"
 )
 
-// Names under which daemons show their roles.
+// Names in the roles and process names of daemons.
 const (
 	configurationLog = "configuration"
 	cellLogPrefix    = "cell."
@@ -33,8 +33,9 @@
 	entrySuffix      = "/entry"
 )
 
-// CellClass tells what the process is in the log of its data centre. A process
-// that leads none follows: one that is only a witness elsewhere doesn't exist.
+// CellClass returns the class of the process by its role in the log of its data
+// centre. Every cell process is a member of that log, so one that leads no log is
+// a follower.
 func (u Usage) CellClass() Class {
 	if strings.HasSuffix(u.Name, entrySuffix) {
 		return ClassEntry
@@ -47,7 +48,7 @@
 	return ClassFollower
 }
 
-// ConfigClass tells what the process is in the configuration log.
+// ConfigClass returns the class of the process by its role in the configuration log.
 func (u Usage) ConfigClass() Class {
 	role, votes := u.Roles[configurationLog]
 	switch {
@@ -62,8 +63,8 @@
 	}
 }
 
-// SocketBytes is what went through the process's sockets in a second, both ways
-// together. Zero when the measurement named none of the counters.
+// SocketBytes returns the bytes per second through the process's sockets, sent and
+// received together. It returns zero when SocketCounters weren't measured.
 func (u Usage) SocketBytes() float64 {
 	total := 0.0
 	for _, name := range SocketCounters {
@@ -72,28 +73,28 @@
 	return total
 }
 
-// SocketCounters are the counters of bytes that daemons show.
+// SocketCounters are the daemons' counters of bytes on sockets.
 var SocketCounters = []string{
 	"accepted.BytesSent", "accepted.BytesReceived",
 	"dialled.BytesSent", "dialled.BytesReceived",
 	"peers.*.BytesSent", "peers.*.BytesReceived",
 }
 
-// Sized is a measurement at one size of a load.
+// Measurement holds the usages of all processes at one load size.
 type Measurement struct {
 	Size   float64
 	Usages []Usage
 }
 
-// Line is a straight line through measured points.
+// Line is a straight line fitted to measured points.
 type Line struct {
-	// At0 is the value at size 0, Slope its growth for each unit of the size.
+	// Intercept is the value at size 0, Slope the growth per unit of the size.
 	Intercept, Slope float64
-	// Residual is the largest distance of a point from the line.
+	// Residual is the largest vertical distance of a point from the line.
 	Residual float64
 }
 
-// FitLine lays a line through points by least squares. With fewer than two
+// FitLine fits a line to points by least squares. With fewer than two different
 // sizes the slope is 0.
 func FitLine(x, y []float64) Line {
 	line := Line{Intercept: stat.Mean(y, nil)}
@@ -106,7 +107,7 @@
 	return line
 }
 
-// quantity is something measured of each process.
+// quantity is a value that is measured for each process.
 type quantity struct {
 	name  string
 	value func(Usage) float64
@@ -118,9 +119,8 @@
 	{"socket B/s", Usage.SocketBytes},
 }
 
-// WriteFit writes a Markdown table: for each class of processes and each
-// quantity its mean and largest value at every size, and the line through the
-// means.
+// WriteFit writes a Markdown table with a row for each class of processes and each
+// quantity: the mean and largest value at each size and the line fitted to the means.
 func WriteFit(w io.Writer, measurements []Measurement, class func(Usage) Class) error {
 	slices.SortFunc(measurements, func(a, b Measurement) int { return cmp.Compare(a.Size, b.Size) })
 	table := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
@@ -138,6 +138,7 @@
 	return table.Flush()
 }
 
+// classes returns the classes of all measured processes, sorted.
 func classes(measurements []Measurement, class func(Usage) Class) []Class {
 	var found []Class
 	for _, s := range measurements {
@@ -151,6 +152,7 @@
 	return found
 }
 
+// writeFitRow writes the row of a class and a quantity.
 func writeFitRow(w io.Writer, measurements []Measurement, c Class, class func(Usage) Class, q quantity) {
 	var x, y []float64
 	fmt.Fprintf(w, "| %s\t| %s\t", c, q.name)
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,5 +1,5 @@
-// Package measure samples what running daemons use, from the outside, and fits how
-// that grows with the size of a deployment.
+// Package measure samples the resource usage of running daemons from outside the
+// processes and fits its growth with the size of a deployment.
 package measure
 
 import (
@@ -22,11 +22,12 @@
 	"github.com/bilberryferry/bilberryferry/internal/wait"
 )
 
-// Target is one process to be measured.
+// Target is one process to measure.
 type Target struct {
 	Name string
 	PID  int
-	// Admin is the address that serves /debug/vars; empty: no counters are read.
+	// Admin is the address that serves /debug/vars. No counters are read when it is
+	// empty.
 	Admin string
 }
 
@@ -37,35 +38,36 @@
 	Interval time.Duration
 	// Duration is the time from the first to the last sample.
 	Duration time.Duration
-	// Counters are names of counters under /debug/vars whose rates are wanted,
-	// with dots between levels; a "*" sums over all keys of a level.
+	// Counters names the counters under /debug/vars to measure. Dots separate levels;
+	// a "*" sums over all keys of a level.
 	Counters []string
 }
 
-// DefaultInterval is the time between samples.
+// DefaultInterval is the time between samples when a Config sets none.
 const DefaultInterval = time.Second
 
-// Usage is what one process used over a measurement.
+// Usage is the resource usage of one process during a measurement.
 type Usage struct {
 	Name    string  `json:"name"`
 	PID     int     `json:"pid"`
 	Seconds float64 `json:"seconds"`
-	// CPUPercent is processor time in per cent of one core.
+	// CPUPercent is the mean processor time in per cent of one core.
 	CPUPercent float64 `json:"cpu_percent"`
-	// PeakCPUPercent is that of the interval with the most.
+	// PeakCPUPercent is the processor time of the busiest interval in per cent of one
+	// core.
 	PeakCPUPercent float64 `json:"peak_cpu_percent"`
-	// MemoryMiB is the largest resident memory seen.
+	// MemoryMiB is the largest resident memory of all samples.
 	MemoryMiB float64 `json:"memory_mib"`
-	// ReadBytes and WrittenBytes are bytes in a second through read and write
-	// calls: those of sockets, and of files where the process has any.
+	// ReadBytes and WrittenBytes are bytes per second through read and write calls on
+	// sockets and files.
 	ReadBytes    float64 `json:"read_bytes_per_second"`
 	WrittenBytes float64 `json:"written_bytes_per_second"`
-	// Counters holds the rate per second of each counter that was found.
+	// Counters holds the rate per second of each counter that the process serves.
 	Counters map[string]float64 `json:"counters,omitempty"`
-	// Roles are what the process was in each replicated log at the last sample.
+	// Roles maps each replicated log to the process's role in it at the last sample.
 	Roles map[string]string `json:"roles,omitempty"`
-	// Gone says that the process ended during the measurement; the other values
-	// are those until then.
+	// Gone is true when the process ended during the measurement. The other values
+	// then cover the time until its end.
 	Gone bool `json:"gone,omitempty"`
 }
 
@@ -79,12 +81,15 @@
 	roles         map[string]string
 }
 
-// ticksPerSecond is the unit of processor times under /proc.
+// ticksPerSecond is the number of clock ticks per second in processor times under
+// /proc.
 const ticksPerSecond = 100
 
+// adminTimeout bounds one request for the counters of a target.
 const adminTimeout = 2 * time.Second
 
-// Run samples the targets and returns what each used, in their order.
+// Run samples the targets for cfg.Duration and returns the usage of each, in their
+// order. It returns an error when a target can't be sampled the first time.
 func Run(ctx context.Context, cfg Config) ([]Usage, error) {
 	if cfg.Interval == 0 {
 		cfg.Interval = DefaultInterval
@@ -100,8 +105,8 @@
 				return nil, errors.Wrapf(err, "process %s (%d)", target.Name, target.PID)
 			}
 		}
-		// Between one sample and itself nothing is used: a rate takes two, also when the
-		// first has taken the whole time.
+		// A rate needs two samples, even when the first one took longer than the whole
+		// measurement.
 		done := !time.Now().Before(end) && round > 1
 		if done || !wait.For(ctx, min(cfg.Interval, time.Until(end))) {
 			break
@@ -110,6 +115,7 @@
 	return cfg.usages(samples), nil
 }
 
+// usages returns the usage of each target from its samples.
 func (cfg Config) usages(samples [][]sample) []Usage {
 	maxSamples := 0
 	for _, list := range samples {
@@ -126,6 +132,7 @@
 	return usages
 }
 
+// usageOf returns the usage between the first and last sample of a process.
 func usageOf(list []sample) Usage {
 	first, last := list[0], list[len(list)-1]
 	seconds := last.at.Sub(first.at).Seconds()
@@ -150,6 +157,7 @@
 	return u
 }
 
+// cpuPercent returns the processor time between two samples in per cent of one core.
 func cpuPercent(from, to sample) float64 {
 	seconds := to.at.Sub(from.at).Seconds()
 	if seconds <= 0 {
@@ -158,6 +166,7 @@
 	return 100 * float64(to.ticks-from.ticks) / ticksPerSecond / seconds
 }
 
+// sample takes one sample of a target.
 func (cfg Config) sample(ctx context.Context, target Target) (sample, error) {
 	folder := filepath.Join("/proc", strconv.Itoa(target.PID))
 	s := sample{at: time.Now()}
@@ -176,7 +185,8 @@
 	return s, nil
 }
 
-// Fields of /proc/<pid>/stat, counted from after the command's closing bracket.
+// Indexes of the fields of /proc/<pid>/stat, counted from 0 after the closing
+// bracket of the command.
 const (
 	fieldUserTicks   = 11
 	fieldSystemTicks = 12
@@ -202,7 +212,7 @@
 	return values[0] + values[1], values[2] * int64(os.Getpagesize()), nil
 }
 
-// readIO returns the bytes that went through read and write calls.
+// readIO returns the bytes that the process has passed through read and write calls.
 func readIO(folder string) (read, written int64, err error) {
 	text, err := os.ReadFile(filepath.Join(folder, "io"))
 	if err != nil {
@@ -221,7 +231,7 @@
 	return read, written, nil
 }
 
-// readVars returns the metrics that the address serves, nothing when it doesn't.
+// readVars returns the metrics that the address serves, or nil when it serves none.
 func readVars(ctx context.Context, address string) map[string]any {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
@@ -241,6 +251,7 @@
 	return vars
 }
 
+// countersIn returns the values of the named counters that vars contains.
 func countersIn(vars map[string]any, names []string) map[string]float64 {
 	found := make(map[string]float64)
 	for _, name := range names {
@@ -251,6 +262,7 @@
 	return found
 }
 
+// rolesIn returns the role in each replicated log that vars contains.
 func rolesIn(vars map[string]any) map[string]string {
 	roles := make(map[string]string)
 	groups, _ := vars["roles"].(map[string]any)
@@ -262,10 +274,11 @@
 	return roles
 }
 
-// wildcard stands for every key of a level in the name of a counter.
+// wildcard matches every key of a level in the name of a counter.
 const wildcard = "*"
 
-// lookUp finds a number by its path. Numbers found through wildcard are summed.
+// lookUp returns the number at a path, or the sum of all numbers that a path with
+// a wildcard matches.
 func lookUp(vars map[string]any, path []string) (float64, bool) {
 	if path[0] == wildcard {
 		sum, found := 0.0, false
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -38,9 +38,9 @@
 	must.StrContains(t, text.String(), "peers.*.sent/s")
 }
 
-// What a user sees: a process that is busy is reported to use nothing.
-// Order: the machine is busy, and the first sample takes longer than the whole measurement.
-// Cause: the loop ended after it, and rates were taken between one sample and itself.
+// On a busy machine the first sample takes longer than the whole measurement. If
+// Run ended after it, all rates would be zero and a busy process would be reported
+// as idle.
 func TestRunTakesTwoSamplesWhenFirstIsSlow(t *testing.T) {
 	usages, err := Run(t.Context(), Config{
 		Targets:  []Target{{Name: "self", PID: os.Getpid()}},
