--- a/internal/cli/app.go
+++ b/internal/cli/app.go
@@ -1,6 +1,6 @@
-// Package cli is the operators' command line: it reads arguments, calls the
-// entry instances and shows what they answer, as tables for people or as JSON
-// for programs. Exit codes come from the table of package fault.
+// Package cli implements the operators' command line. It parses arguments, calls
+// the entry instances and prints their responses as tables for people or as JSON
+// for programs. Package fault defines the exit codes.
 package cli
 
 import (
@@ -25,17 +25,19 @@
 	Stdin  io.Reader
 	Stdout io.Writer
 	Stderr io.Writer
-	// Getenv reads the environment.
+	// Getenv returns the value of an environment variable.
 	Getenv func(string) string
-	// Now reads the wall clock, for relative deadlines and time spans.
+	// Now returns the wall clock time, from which relative deadlines and time spans
+	// count.
 	Now func() time.Time
-	// Terminal says that Stdout is a terminal: colours and live progress.
+	// Terminal is true when Stdout is a terminal. It enables colours and progress
+	// that is updated in place.
 	Terminal bool
-	// Extra are commands that other packages add.
+	// Extra holds commands of other packages.
 	Extra []subcommands.Command
 }
 
-// New returns an App on the process's own streams.
+// New returns an App that uses the process's standard streams and environment.
 func New() *App {
 	return &App{
 		Stdin:    os.Stdin,
@@ -52,11 +54,11 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// Run carries out one command line, the program's name left out, and returns
-// the exit code.
+// Run executes one command line, given without the program's name, and returns the
+// exit code.
 func (a *App) Run(ctx context.Context, args []string) int {
 	s := newSession(a)
-	// Errors that are found while the flags are read are JSON too.
+	// Errors in the flags themselves must be printed as JSON too.
 	s.globals.json = slices.Contains(args, "--json")
 	top := flag.NewFlagSet(programName, flag.ContinueOnError)
 	s.globals.bind(top)
@@ -86,7 +88,8 @@
 	return s.dispatch(ctx, top, global, command, parsed)
 }
 
-// dispatch hands arguments that have been checked already to the commander.
+// dispatch executes a command with arguments that have been checked and returns the
+// exit code.
 func (s *session) dispatch(ctx context.Context, top *flag.FlagSet, global parsedArgs, command subcommands.Command, parsed parsedArgs) int {
 	args := append(global.flags, command.Name())
 	args = append(args, parsed.flags...)
@@ -102,14 +105,16 @@
 	return int(commander.Execute(ctx))
 }
 
-// bound is a command with the session that it runs in.
+// boundCommand is a command with the session in which it runs.
 type boundCommand struct {
 	subcommands.Command
 	session *session
 }
 
+// SetFlags adds the flags of the command and of the session to f.
 func (b *boundCommand) SetFlags(f *flag.FlagSet) { b.session.bindFlags(b.Command, f) }
 
+// Execute runs the command in its session.
 func (b *boundCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	builtin, ok := b.Command.(*command)
 	if !ok {
@@ -118,7 +123,8 @@
 	return subcommands.ExitStatus(b.session.run(ctx, builtin, f.Args()))
 }
 
-// find returns a command by name.
+// find returns the command with a name, or an Invalid error that suggests a similar
+// name.
 func (a *App) find(name string) (subcommands.Command, error) {
 	var names []string
 	for _, c := range a.commands() {
@@ -134,7 +140,7 @@
 	return nil, withHint(err, "run \"bilberry help\" for the list of commands")
 }
 
-// commands returns all commands, by name.
+// commands returns all commands, sorted by name.
 func (a *App) commands() []subcommands.Command {
 	var all []subcommands.Command
 	for _, c := range builtinCommands() {
@@ -150,7 +156,8 @@
 	return all
 }
 
-// builtinCommands makes the commands anew, so that no flag outlives an invocation.
+// builtinCommands returns new commands on each call, so that no flag value is kept
+// between invocations.
 func builtinCommands() []*command {
 	return []*command{
 		submitCommand(), statusCommand(), watchCommand(), cancelCommand(), scaleCommand(), explainCommand(),
--- a/internal/cli/args.go
+++ b/internal/cli/args.go
@@ -10,16 +10,16 @@
 	"github.com/bilberryferry/bilberryferry/internal/tomlfile"
 )
 
-// scanned are arguments taken apart: flags in the form --name=value, and the
-// rest. Package flag alone stops at the first argument that is no flag and lets
-// the last of doubled flags win without a word.
+// parsedArgs holds arguments split into flags, in the form --name=value, and
+// positional arguments. Package flag isn't enough: it stops at the first positional
+// argument and silently takes the last of duplicate flags.
 type parsedArgs struct {
 	flags      []string
 	positional []string
 	help       bool
 }
 
-// scan takes all arguments apart and checks each flag's value.
+// parseArgs splits all arguments and checks each flag's value.
 func parseArgs(set *flag.FlagSet, args []string) (parsedArgs, error) {
 	var out parsedArgs
 	seen := make(map[string]bool)
@@ -42,7 +42,8 @@
 	return out, nil
 }
 
-// parseGlobalFlags takes the global flags in front of the command's name.
+// parseGlobalFlags parses the global flags before the command's name and returns the
+// arguments after them.
 func parseGlobalFlags(set *flag.FlagSet, args []string) (parsedArgs, []string, error) {
 	var out parsedArgs
 	seen := make(map[string]bool)
@@ -58,7 +59,7 @@
 
 func isFlag(arg string) bool { return len(arg) > 1 && arg[0] == '-' }
 
-// parseFlag takes one flag and its value and returns the arguments behind them.
+// parseFlag parses one flag with its value and returns the arguments after them.
 func (s *parsedArgs) parseFlag(set *flag.FlagSet, args []string, seen map[string]bool) ([]string, error) {
 	name, value, hasValue := strings.Cut(strings.TrimPrefix(strings.TrimPrefix(args[0], "-"), "-"), "=")
 	rest := args[1:]
@@ -95,6 +96,7 @@
 	return ok && b.IsBoolFlag()
 }
 
+// unknownFlag returns an error that suggests a flag with a similar name.
 func unknownFlag(set *flag.FlagSet, name string) error {
 	var names []string
 	set.VisitAll(func(f *flag.Flag) { names = append(names, f.Name) })
@@ -105,24 +107,24 @@
 	return err
 }
 
-// maxArgumentBytes bounds an id or name that goes to an instance, in bytes.
+// maxArgumentBytes bounds the size of an id or name that is sent to an instance.
 const maxArgumentBytes = 256
 
-// checkArgument refuses ids that no instance can hold, before anything is sent.
+// checkArgument rejects ids and names that no instance accepts, before any call.
 func checkArgument(name, value string) error {
 	if value == "" {
 		return fault.Field(name, "is empty")
 	}
 	if len(value) > maxArgumentBytes {
-		return fault.Field(name, "has %d bytes, at most %d are taken", len(value), maxArgumentBytes)
+		return fault.Field(name, "has %d bytes, at most %d are allowed", len(value), maxArgumentBytes)
 	}
 	if !utf8.ValidString(value) || strings.ContainsFunc(value, func(r rune) bool { return unicode.IsControl(r) || unicode.IsSpace(r) }) {
-		return fault.Field(name, "%q holds white space or control characters", shorten(value))
+		return fault.Field(name, "%q contains white space or control characters", shorten(value))
 	}
 	return nil
 }
 
-// requireArgs checks the number of arguments and each of them.
+// requireArgs checks that there is one valid argument for each name.
 func requireArgs(args []string, names ...string) error {
 	if len(args) < len(names) {
 		return fault.Field(names[len(args)], "is missing")
@@ -138,7 +140,7 @@
 	return nil
 }
 
-// requireDistinct checks arguments of one kind and refuses doubled ones.
+// requireDistinct checks arguments of one kind and rejects duplicates.
 func requireDistinct(name string, args []string) error {
 	seen := make(map[string]bool)
 	for _, arg := range args {
@@ -153,9 +155,10 @@
 	return nil
 }
 
-// maxQuoted bounds how much of a bad argument an error repeats.
+// maxQuoted bounds the bytes of an invalid argument that an error repeats.
 const maxQuoted = 60
 
+// shorten truncates a text to maxQuoted bytes.
 func shorten(text string) string {
 	if len(text) <= maxQuoted {
 		return text
--- a/internal/cli/change.go
+++ b/internal/cli/change.go
@@ -12,10 +12,10 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-// maxScale is the largest number of tasks that scale takes.
+// maxScale is the largest number of tasks that the scale command accepts.
 const maxScale = 100_000
 
-// withResendHint adds to an Unavailable error how the same call is sent again.
+// withResendHint adds to an Unavailable error how to send the same call again.
 func withResendHint(err error, id string) error {
 	if !fault.Is(err, fault.Unavailable) {
 		return err
@@ -23,8 +23,8 @@
 	return withHint(err, "the call may have been carried out; send it again with --request-id "+id)
 }
 
-// change makes a call that changes something, under a request id with which it can
-// be sent again when its answer gets lost.
+// sendChange sends a call that changes state. The call has a request id, with which it
+// can be sent again when its response is lost.
 func sendChange[A any](ctx context.Context, s *session, givenID string, send func(ctx context.Context, c *client, id string) (A, error)) (A, error) {
 	var none A
 	id, err := requestID(givenID)
@@ -48,7 +48,7 @@
 		name:        "cancel",
 		synopsis:    "Cancel jobs by id, by name, or all of a customer",
 		usage:       "[--dry-run] id... | --name name | --all",
-		description: "--all means all jobs of the token's customer. The exit code is not zero when a data\ncentre couldn't be reached, for its jobs go on.",
+		description: "--all means all jobs of the token's customer. The exit code is not zero when a data\ncentre couldn't be reached, because its jobs continue.",
 		example:     "bilberry cancel --dry-run --name nightly-folio\nbilberry cancel naas-hall-1a2b naas-hall-1a2c",
 		flags: func(f *flag.FlagSet) {
 			f.StringVar(&name, "name", "", "cancel all jobs of this `name`")
@@ -66,8 +66,8 @@
 	}
 }
 
-// checkSelectors holds that exactly one selector is given: a slip such as an
-// empty shell variable before --all must not widen what is cancelled.
+// checkSelectors requires exactly one selector, so that a mistake such as an empty
+// shell variable before --all doesn't cancel more jobs than intended.
 func checkSelectors(request *apiv1.CancelRequest) error {
 	selectors := 0
 	for _, given := range []bool{len(request.Ids) > 0, request.Name != "", request.AllOfCustomer} {
@@ -159,6 +159,7 @@
 	return newDrainCommand("undrain", "Give a drained worker tasks again", true)
 }
 
+// newDrainCommand returns the drain command, or undrain when undo is true.
 func newDrainCommand(name, synopsis string, undo bool) *command {
 	var id, dataCentre string
 	return &command{
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -22,8 +22,8 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-// fake is an entry instance that answers as a test says and keeps what it was
-// asked. Calls that a test doesn't expect panic on the embedded nil interface.
+// fakeEntry is an entry instance that responds as a test specifies and counts its
+// requests. Calls that a test doesn't expect panic on the embedded nil interface.
 type fakeEntry struct {
 	apiv1.Scheduler
 	apiv1.Operations
@@ -84,7 +84,7 @@
 	apiv1.NewOperationsServer(f).ServeHTTP(w, r)
 }
 
-// start serves the fake on loopback over HTTP/2 without TLS.
+// start serves the fake entry instance on loopback over HTTP/2 without TLS.
 func (f *fakeEntry) start(t *testing.T) *fakeEntry {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -98,12 +98,13 @@
 	return f
 }
 
-// result is what one command line gave.
+// result is the exit code and output of one command line.
 type result struct {
 	code     int
 	out, err string
 }
 
+// runner runs command lines against entry instances, with files in a folder.
 type runner struct {
 	folder   string
 	terminal bool
@@ -143,9 +144,9 @@
 
 const validJob = "name = \"a\"\npolicy = \"batch\"\ncpu = \"1\"\nruntime = \"2s\"\ndeadline = \"+45s\"\n"
 
-// An entry instance accepts a job and dies before its answer arrives. The
-// command must send the same request, id and deadline unchanged, to the next
-// entry instance, or the job runs twice.
+// An entry instance accepts a job and dies before its response arrives. The command
+// must send the same request with the same id and deadline to the next entry
+// instance, or the job runs twice.
 func TestLostAnswerIsResentWithTheSameID(t *testing.T) {
 	var sent []*apiv1.SubmitRequest
 	dying := (&fakeEntry{submit: func(q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
@@ -167,8 +168,9 @@
 	must.Eq(t, "Bearer secret-token", next.token)
 }
 
-// No entry instance answers. The fate of the job is open, so the message must
-// say how to send the very same request again, and never that it wasn't run.
+// No entry instance answers, so the outcome of the submission is unknown. The message
+// must say how to send the same request again and must not claim that the job wasn't
+// run.
 func TestUnknownOutcomeOfSubmitExplainsResend(t *testing.T) {
 	var id string
 	dying := (&fakeEntry{submit: func(q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
@@ -183,7 +185,8 @@
 	must.Eq(t, "", got.out)
 }
 
-// The same for changes other than a submit.
+// An entry instance dies during "config set". The message must say that the call may
+// have been carried out and how to send the same request again.
 func TestUnknownOutcomeOfConfigSetExplainsResend(t *testing.T) {
 	var id string
 	f := (&fakeEntry{set: func(q *apiv1.SetConfigRequest) (*apiv1.Config, error) {
@@ -196,6 +199,8 @@
 	must.StrContains(t, got.err, "may have been carried out; send it again with --request-id "+id)
 }
 
+// An entry instance refuses a call. The command must report the refusal with its
+// retry time and not try the next instance.
 func TestRefusalIsNotRetriedElsewhere(t *testing.T) {
 	refusing := (&fakeEntry{status: func(*apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
 		return nil, fault.Retry(fault.Denied, 1500*time.Millisecond, "no\nsuch \x1b[2Jtoken")
@@ -212,8 +217,8 @@
 	must.Eq(t, int64(1500), shown["error"].RetryAfterMs)
 }
 
-// Slips of the hand and hostile arguments must be refused with one line, a
-// non-zero exit code and before any instance is called.
+// Typing errors and malicious arguments must be rejected with one line and a non-zero
+// exit code before any instance is called.
 func TestInvalidInputIsRejectedBeforeAnyCall(t *testing.T) {
 	f := (&fakeEntry{}).start(t)
 	r := newRunner(t, f)
@@ -268,6 +273,7 @@
 	}
 }
 
+// watchResponse returns a job of four tasks of which as many have ended as the revision.
 func watchResponse(revision uint64, state apiv1.JobState, kind string) *apiv1.StatusResponse {
 	return &apiv1.StatusResponse{Jobs: []*apiv1.Job{{Id: "dc-1", Revision: revision, State: state, ReasonKind: kind, TasksEnded: int32(revision), TasksQueued: 4 - int32(revision)}}}
 }
@@ -303,7 +309,8 @@
 	}
 }
 
-// A caller has named its job with terminal controls; an operator lists jobs.
+// A caller puts terminal control characters into its job's name. Listing jobs must
+// replace them, or they take effect in the operator's terminal.
 func TestTablesReplaceControlCharacters(t *testing.T) {
 	f := (&fakeEntry{status: func(*apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
 		return &apiv1.StatusResponse{Jobs: []*apiv1.Job{{Id: "a", Spec: &apiv1.Spec{Name: "\x1b[2Jx\ny"}}}, UnreachableDataCentres: []string{"dc2"}}, nil
@@ -317,8 +324,8 @@
 	must.True(t, json.Valid([]byte(r.run("status", "--json").out)))
 }
 
-// Of three data centres one is cut off while an operator cancels everything.
-// The exit code must tell that some jobs go on.
+// One of three data centres is unreachable while an operator cancels all jobs. The
+// exit code must show that some jobs continue.
 func TestPartialCancelIsAnError(t *testing.T) {
 	f := (&fakeEntry{cancel: func(q *apiv1.CancelRequest) (*apiv1.CancelResponse, error) {
 		return &apiv1.CancelResponse{Ids: []string{"a"}, UnreachableDataCentres: []string{"dc2"}}, nil
@@ -329,8 +336,8 @@
 	must.StrContains(t, got.err, "dc2")
 }
 
-// Two operators read version 7 and write. What "get" printed carries the
-// version, so the second write is refused instead of undoing the first.
+// Two operators read version 7 and write. The output of "get" contains the version,
+// so the second write must be refused and must not undo the first.
 func TestConfigSetRejectsStaleVersion(t *testing.T) {
 	version := uint64(7)
 	f := (&fakeEntry{config: &apiv1.Config{Version: 7, Document: "# version 3, old\n[[customer]]\nname = \"a\"", Author: "op\nx"}}).start(t)
@@ -366,7 +373,7 @@
 	must.NoError(t, err)
 	must.StrContains(t, string(content), "</html>")
 	must.Eq(t, fault.Invalid.ExitCode(), r.run("timeline", "--html", r.folder).code)
-	pipe := filepath.Join(r.folder, "pipe") // stands for a device, such as /dev/null
+	pipe := filepath.Join(r.folder, "pipe") // represents a device such as /dev/null
 	must.NoError(t, syscall.Mkfifo(pipe, 0o600))
 	must.Eq(t, fault.Invalid.ExitCode(), r.run("timeline", "--html", pipe).code)
 	left, err := filepath.Glob(filepath.Join(r.folder, ".bilberry-*"))
@@ -374,7 +381,8 @@
 	must.SliceEmpty(t, left)
 }
 
-// The page on the command line is what scripts are written by.
+// Authors of scripts rely on the command line's page, so it must list every exit code
+// and command.
 func TestCLIDocNamesEveryExitCodeAndCommand(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CLI.md")
 	must.NoError(t, err)
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -13,15 +13,16 @@
 )
 
 const (
+	// dialTimeout bounds the time to connect to an entry instance.
 	dialTimeout = 2 * time.Second
-	// attemptTimeout bounds one call to one entry instance, so that a silent
-	// instance doesn't use up the time for all the others.
+	// attemptTimeout bounds one call to one entry instance, so that an unresponsive
+	// instance doesn't use up the time for the others.
 	attemptTimeout = 8 * time.Second
-	// maxResponseBytes bounds an answer in bytes.
+	// maxResponseBytes bounds the size of a response body.
 	maxResponseBytes = 64 << 20
 )
 
-// endpoint is one entry instance.
+// endpoint is one entry instance with a client for each service.
 type endpoint struct {
 	address    string
 	scheduler  apiv1.Scheduler
@@ -29,11 +30,12 @@
 	workflows  apiv1.Workflows
 }
 
-// client calls entry instances, one after the other until one answers.
+// client calls the entry instances one after the other until one answers.
 type client struct {
 	endpoints []*endpoint
 }
 
+// newClient returns a client for the entry addresses. It speaks HTTP/2 without TLS.
 func newClient(entries []string, token string) *client {
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
@@ -45,7 +47,7 @@
 	}
 	httpClient := &http.Client{
 		Transport: &bearerTransport{base: transport, token: token},
-		// A token must not follow a redirect to elsewhere.
+		// Following a redirect would send the token to another server.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 	c := &client{}
@@ -61,12 +63,13 @@
 	return c
 }
 
-// authorized adds the bearer token and bounds answers.
+// bearerTransport adds the bearer token to requests and bounds response bodies.
 type bearerTransport struct {
 	base  http.RoundTripper
 	token string
 }
 
+// RoundTrip implements http.RoundTripper.
 func (a *bearerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.Header.Set("Authorization", "Bearer "+a.token)
@@ -78,15 +81,17 @@
 	return response, nil
 }
 
+// boundedBody is a response body of bounded size.
 type boundedBody struct {
 	io.Reader
 	io.Closer
 }
 
-// call sends one call to the entry instances in turn until one of them gives
-// an answer of its own. Unavailable means that nothing is known of the fate of
-// the call, so the same message, with the same request id, goes to the next.
-// An instance that has answered moves to the front for later calls.
+// call sends a call to one entry instance after the other until one returns a
+// result or an error other than Unavailable. Unavailable means that the outcome of
+// the call is unknown, so the next instance gets the same message with the same
+// request id. The instance that answered is called first next time. The error is
+// Unavailable and lists all causes when no instance answered.
 func call[Q, A any](ctx context.Context, c *client, timeout time.Duration, q Q, method func(*endpoint) func(context.Context, Q) (A, error)) (A, error) {
 	var none A
 	var causes []string
@@ -109,19 +114,21 @@
 	return none, &fault.Error{Kind: fault.Unavailable, Message: strings.Join(causes, "; ")}
 }
 
+// callOne sends a call to one entry instance and waits at most for timeout.
 func callOne[Q, A any](ctx context.Context, timeout time.Duration, method func(context.Context, Q) (A, error), q Q) (A, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return method(ctx, q)
 }
 
+// moveToFront makes endpoint i the first one that later calls use.
 func (c *client) moveToFront(i int) {
 	chosen := c.endpoints[i]
 	copy(c.endpoints[1:i+1], c.endpoints[:i])
 	c.endpoints[0] = chosen
 }
 
-// rootCause takes the wrapping of HTTP and twirp off a transport error.
+// rootCause removes the prefixes that HTTP and twirp add to a transport error.
 func rootCause(message string) string {
 	for _, marker := range []string{"failed to do request: ", "connect: "} {
 		if i := strings.LastIndex(message, marker); i >= 0 {
@@ -134,11 +141,12 @@
 	return message
 }
 
-// schedulerCall and operationsCall are call for one of the two services.
+// schedulerCall is call for a method of the Scheduler service.
 func schedulerCall[Q, A any](ctx context.Context, c *client, q Q, method func(apiv1.Scheduler) func(context.Context, Q) (A, error)) (A, error) {
 	return call(ctx, c, attemptTimeout, q, func(e *endpoint) func(context.Context, Q) (A, error) { return method(e.scheduler) })
 }
 
+// operationsCall is call for a method of the Operations service.
 func operationsCall[Q, A any](ctx context.Context, c *client, q Q, method func(apiv1.Operations) func(context.Context, Q) (A, error)) (A, error) {
 	return call(ctx, c, attemptTimeout, q, func(e *endpoint) func(context.Context, Q) (A, error) { return method(e.operations) })
 }
--- a/internal/cli/command.go
+++ b/internal/cli/command.go
@@ -10,23 +10,26 @@
 	"github.com/google/subcommands"
 )
 
-// command is one subcommand of ours.
+// command is one subcommand of this package.
 type command struct {
 	name     string
 	synopsis string
-	// usage shows the arguments behind the name.
+	// usage shows the arguments after the name.
 	usage string
-	// about explains what the synopsis leaves open.
+	// description explains details that the synopsis leaves out.
 	description string
 	example     string
 	flags       func(*flag.FlagSet)
 	run         func(ctx context.Context, s *session, args []string) error
 }
 
-// Name, Synopsis, Usage, SetFlags and Execute make command a subcommands.Command.
-func (c *command) Name() string     { return c.name }
+// Name returns the name of the command.
+func (c *command) Name() string { return c.name }
+
+// Synopsis returns a description of one line.
 func (c *command) Synopsis() string { return c.synopsis }
 
+// Usage returns the help text without the flags.
 func (c *command) Usage() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s %s\n\n%s.\n", programName, c.name, c.usage, c.synopsis)
@@ -37,19 +40,21 @@
 	return b.String()
 }
 
+// SetFlags adds the command's own flags to f.
 func (c *command) SetFlags(f *flag.FlagSet) {
 	if c.flags != nil {
 		c.flags(f)
 	}
 }
 
-// Execute is never reached: bound runs the command in its session.
+// Execute completes subcommands.Command. It is never called, because boundCommand
+// runs the command in its session.
 func (c *command) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	return subcommands.ExitFailure
 }
 
-// prepare sets a command's own flags and, for ours, the global ones too, so
-// that they may stand before or behind the command.
+// bindFlags adds a command's own flags to f. For commands of this package it adds the
+// global flags too, so that these may come before or after the command's name.
 func (s *session) bindFlags(c subcommands.Command, f *flag.FlagSet) {
 	c.SetFlags(f)
 	if _, ok := c.(*command); ok {
@@ -57,7 +62,8 @@
 	}
 }
 
-// help prints the help of the program, or of the command named behind "help".
+// help prints the help of the program, or of the command whose name follows "help",
+// and returns the exit code.
 func (s *session) help(args []string) int {
 	out := s.app.Stdout
 	if len(args) < 2 {
@@ -78,6 +84,7 @@
 	return 0
 }
 
+// overview prints the commands and the global flags.
 func (s *session) overview(out io.Writer) {
 	fmt.Fprintf(out, "Usage: %s [global flags] command [flags] [arguments]\n\nCommands:\n", programName)
 	for _, c := range s.app.commands() {
@@ -89,6 +96,7 @@
 	fmt.Fprintf(out, "\nRun \"%s help command\" for one command, with an example.\n", programName)
 }
 
+// printFlags prints the flags of a set under a title.
 func printFlags(out io.Writer, title string, set *flag.FlagSet) {
 	first := true
 	set.VisitAll(func(f *flag.Flag) {
--- a/internal/cli/completion.go
+++ b/internal/cli/completion.go
@@ -21,17 +21,18 @@
 				return err
 			}
 			if args[0] != "bash" {
-				return fault.Field("shell", "%q isn't known; bash is", shorten(args[0]))
+				return fault.Field("shell", "%q isn't supported; use bash", shorten(args[0]))
 			}
 			return s.writeBashCompletion(s.app.Stdout)
 		},
 	}
 }
 
-// actionsOf are the words that follow commands which have some.
+// actionsOf maps commands to the action words that may follow them.
 var actionsOf = map[string][]string{"config": configActions, "workflow": workflowActions, "wave": waveActions}
 
-// writeBashCompletion writes a script that completes commands, flags and, behind them, files.
+// writeBashCompletion writes a script that completes commands, flags, action words and
+// file names.
 func (s *session) writeBashCompletion(out io.Writer) error {
 	var names, cases strings.Builder
 	for _, c := range s.app.commands() {
@@ -50,14 +51,16 @@
 	return err
 }
 
+// flagNames returns the flags of a set, separated by spaces.
 func flagNames(f *flag.FlagSet) string {
 	names := []string{"--help"}
 	f.VisitAll(func(f *flag.Flag) { names = append(names, "--"+f.Name) })
 	return strings.Join(names, " ")
 }
 
-// bashScript takes the commands, a case for each and the global flags. The
-// command is the first word that is a command's name.
+// bashScript is the format of the completion script. Its arguments are the names of
+// the commands, a case for each command and the global flags. The script takes the
+// first word that is a command's name as the command.
 const bashScript = `# bash completion for bilberry
 _bilberry() {
   local current="${COMP_WORDS[COMP_CWORD]}" commands="help%[1]s" command="" words="" i
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -14,7 +14,7 @@
 	"github.com/bilberryferry/bilberryferry/internal/conf"
 )
 
-// configActions are the words that may follow "bilberry config".
+// configActions are the action words of "bilberry config".
 var configActions = []string{"get", "set", "status", "history"}
 
 // configFlags are the flags of "bilberry config".
@@ -24,7 +24,7 @@
 	id     string
 }
 
-// versionUnset says that --expect isn't given.
+// versionUnset is the value of --expect when the flag isn't given.
 const versionUnset = -1
 
 func configCommand() *command {
@@ -34,9 +34,9 @@
 		synopsis: "Read, write and follow the shared configuration",
 		usage:    "get | set file | status | history",
 		description: "\"get\" writes the document with its version in the first line. \"set\" takes that line,\n" +
-			"or --expect, as the version that was read; when another write came between, it is\n" +
-			"refused with Conflict and changes nothing. \"status\" tells which instance applies\n" +
-			"which version.",
+			"or --expect, as the version that the change is based on. If another write has\n" +
+			"happened since, it is refused with Conflict and changes nothing. \"status\" shows the\n" +
+			"version that each instance applies.",
 		example: "bilberry config get > quotas.toml\nbilberry config set quotas.toml",
 		flags: func(f *flag.FlagSet) {
 			f.Int64Var(&flags.expect, "expect", versionUnset, "set: the `version` that was read")
@@ -52,6 +52,7 @@
 	}
 }
 
+// config executes one action of "bilberry config".
 func (s *session) config(ctx context.Context, flags *configFlags, action string, args []string) error {
 	if action == "set" {
 		return s.configSet(ctx, flags, args)
@@ -91,8 +92,8 @@
 	return s.show(answer, func(out io.Writer) { writeDocument(out, answer) })
 }
 
-// writeDocument writes the version in a first line that "config set" reads
-// back, and the document as it stands.
+// writeDocument writes a first line with the version, which "config set" reads,
+// and the document unchanged.
 func writeDocument(out io.Writer, config *apiv1.Config) {
 	fmt.Fprintf(out, "# version %d", config.GetVersion())
 	if config.GetAuthor() != "" {
@@ -106,13 +107,15 @@
 	}
 }
 
+// versionLine matches the first line that writeDocument writes.
 var versionLine = regexp.MustCompile(`\A# version (\d{1,19})\b[^\n]*(\n|\z)`)
 
-// stripVersion takes the version line off a document.
+// stripVersion returns a document without its version line.
 func stripVersion(document string) string {
 	return document[len(versionLine.FindString(document)):]
 }
 
+// configSet checks a document and writes it if the expected version is still current.
 func (s *session) configSet(ctx context.Context, flags *configFlags, args []string) error {
 	if err := requireArgs(args, "file"); err != nil {
 		return err
@@ -144,7 +147,7 @@
 		return api.SetConfig
 	})
 	if fault.Is(err, fault.Conflict) {
-		return withHint(err, "read the current version with \"bilberry config get\" and make the change on it")
+		return withHint(err, "read the current version with \"bilberry config get\" and repeat the change on it")
 	}
 	if err != nil {
 		return withResendHint(err, id)
@@ -152,8 +155,9 @@
 	return s.show(answer, func(out io.Writer) { fmt.Fprintf(out, "version %d is accepted\n", answer.GetVersion()) })
 }
 
-// expectedVersion is the version that the writer has read: the flag's, or that
-// of the first line, which must agree when both are there.
+// expectedVersion returns the version on which a new document is based: the value
+// of --expect or of the document's first line. It returns an Invalid error when
+// both are missing or when they differ.
 func expectedVersion(flags *configFlags, document string) (uint64, error) {
 	match := versionLine.FindStringSubmatch(document)
 	if flags.expect < versionUnset {
--- a/internal/cli/errors.go
+++ b/internal/cli/errors.go
@@ -11,7 +11,7 @@
 	"github.com/bilberryferry/bilberryferry/internal/event"
 )
 
-// hintedError is an error with the step that its reader may take next.
+// hintedError is an error with a hint for the user what to do about it.
 type hintedError struct {
 	error
 	hint string
@@ -19,7 +19,7 @@
 
 func (e *hintedError) Unwrap() error { return e.error }
 
-// withHint adds a next step to an error that has none yet.
+// withHint adds a hint to an error that has none yet.
 func withHint(err error, hint string) error {
 	var hinted *hintedError
 	if err == nil || errors.As(err, &hinted) {
@@ -28,14 +28,16 @@
 	return &hintedError{error: err, hint: hint}
 }
 
+// withUsageHint adds a hint to the help of a command.
 func withUsageHint(err error, command string) error {
 	return withHint(err, fmt.Sprintf("run \"%s help %s\" for an example", programName, command))
 }
 
-// defaultHints is what to do about a kind when the command knows nothing better.
+// defaultHints are the hints for errors of a kind to which the command adds no hint of
+// its own.
 var defaultHints = map[fault.Kind]string{
 	fault.NotFound:            "check the id with \"bilberry status --ended\", \"bilberry workers\" or \"bilberry instances\"",
-	fault.Denied:              "check whose token is in use: customers change jobs (--customer name with --settings, or --token-file), operators run the system",
+	fault.Denied:              "check whose token is used: customers change jobs (--customer name with --settings, or --token-file), operators run the system",
 	fault.Conflict:            "read the current state first, then decide again",
 	fault.Infeasible:          "make the job fit a worker: fewer processors, less memory or fewer tasks at once; see \"bilberry workers\"",
 	fault.DeadlineUnreachable: "give a later deadline or fewer tasks, or come back later",
@@ -43,11 +45,11 @@
 	fault.Overloaded:          "come back later",
 	fault.Unavailable:         "check the addresses and \"bilberry instances\"; the same call may be sent again",
 	fault.NotRun:              "submit the job again",
-	fault.Unknown:             "find out at the worker whether the work was done before doing it again",
-	fault.Internal:            "look into the logs of the entry instance",
+	fault.Unknown:             "check on the worker whether the work was done before you repeat it",
+	fault.Internal:            "check the logs of the entry instance",
 }
 
-// errorOutput is an error as --json writes it.
+// errorOutput is an error with its exit code as --json prints it.
 type errorOutput struct {
 	Kind         string `json:"kind"`
 	Field        string `json:"field,omitempty"`
@@ -57,7 +59,7 @@
 	ExitCode     int    `json:"exit_code"`
 }
 
-// fail shows an error and returns its exit code.
+// fail prints an error and returns its exit code.
 func (s *session) fail(err error) int {
 	f := fault.From(err)
 	output := errorOutput{
@@ -104,17 +106,21 @@
 	}
 }
 
-// warn tells on the error stream what an answer leaves out.
+// warn prints a warning to the error stream.
 func (s *session) warn(format string, args ...any) {
 	fmt.Fprintf(s.app.Stderr, "%s: warning: %s\n", programName, oneLine(fmt.Sprintf(format, args...)))
 }
 
+// warnUnreachable warns about the data centres or instances, as what calls them,
+// that are missing from an answer.
 func (s *session) warnUnreachable(what string, names []string) {
 	if len(names) > 0 {
 		s.warn("%s not reached, the answer leaves them out: %s", what, strings.Join(names, ", "))
 	}
 }
 
+// oneLine joins the words of a text with single spaces and replaces its control
+// characters.
 func oneLine(text string) string {
 	return event.Printable(strings.Join(strings.Fields(text), " "))
 }
--- a/internal/cli/local.go
+++ b/internal/cli/local.go
@@ -18,11 +18,11 @@
 		name:        "check-settings",
 		synopsis:    "Check a settings file and print every setting",
 		usage:       "[--print] [file]",
-		description: "Without a file it checks that of --settings. It calls no instance.",
+		description: "Without a file it checks the one of --settings. It calls no instance.",
 		example:     "bilberry check-settings --print bilberry.toml",
 		flags: func(f *flag.FlagSet) {
 			f.BoolVar(&printAll, "print", false, "print all settings with their defaults")
-			f.BoolVar(&noTokens, "no-tokens", false, "don't look at the token files")
+			f.BoolVar(&noTokens, "no-tokens", false, "don't read the token files")
 		},
 		run: func(_ context.Context, s *session, args []string) error {
 			if len(args) == 0 && s.globals.settings != "" {
@@ -36,7 +36,7 @@
 	}
 }
 
-// checkedSettings is what check-settings writes as JSON.
+// checkedSettings is the JSON output of check-settings.
 type checkedSettings struct {
 	Deployment  string   `json:"deployment"`
 	Instances   int      `json:"instances"`
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// buildVersion is what version writes as JSON.
+// buildVersion is the JSON output of the version command.
 type buildVersion struct {
 	Version  string `json:"version"`
 	Revision string `json:"revision"`
@@ -103,7 +103,8 @@
 	}
 }
 
-// readVersion reads what the Go tool has built into the program.
+// readVersion returns the version information that the Go tool has embedded in the
+// program.
 func readVersion() buildVersion {
 	v := buildVersion{Version: "unknown", Revision: "unknown", Go: runtime.Version(), Platform: runtime.GOOS + "/" + runtime.GOARCH}
 	info, ok := debug.ReadBuildInfo()
--- a/internal/cli/logs.go
+++ b/internal/cli/logs.go
@@ -12,7 +12,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/jobtrace"
 )
 
-// readLogs reads the lines of all files in order of time.
+// readLogs reads the log lines of files, whose names are separated by commas, and
+// sorts them by time.
 func readLogs(files string) ([]jobtrace.Line, error) {
 	var lines []jobtrace.Line
 	for _, name := range strings.Split(files, ",") {
@@ -26,6 +27,7 @@
 	return lines, nil
 }
 
+// readLog reads the log lines of one file.
 func readLog(name string) ([]jobtrace.Line, error) {
 	file, err := os.Open(name)
 	if err != nil {
@@ -35,7 +37,8 @@
 	return jobtrace.Read(file)
 }
 
-// explainFromLogs tells what became of a job, and where its time went.
+// explainFromLogs prints the outcome of a job, how it spent its time and its events,
+// from the instances' log files.
 func (s *session) explainFromLogs(files, job string) error {
 	lines, err := readLogs(files)
 	if err != nil {
@@ -55,7 +58,7 @@
 	return nil
 }
 
-// timelineOfLogs shows the events that the lines of files tell of.
+// timelineOfLogs shows the events of the log lines in files that match the request.
 func (s *session) timelineOfLogs(files string, request *apiv1.EventsRequest, subject, htmlFile string) error {
 	lines, err := readLogs(files)
 	if err != nil {
--- a/internal/cli/operations.go
+++ b/internal/cli/operations.go
@@ -15,7 +15,7 @@
 	var dataCentre string
 	return &command{
 		name:     "workers",
-		synopsis: "Show the workers, what they have and what is used",
+		synopsis: "Show the workers with their capacity and its use",
 		usage:    "[--data-centre name]",
 		example:  "bilberry workers --data-centre naas-hall",
 		flags: func(f *flag.FlagSet) {
@@ -37,7 +37,8 @@
 	}
 }
 
-// ask makes one call to the operators' service within --timeout.
+// operationsCallWithTimeout is operationsCall with a new client and the time
+// limit of --timeout.
 func operationsCallWithTimeout[Q, A any](ctx context.Context, s *session, q Q, method func(apiv1.Operations) func(context.Context, Q) (A, error)) (A, error) {
 	c, err := s.client()
 	if err != nil {
@@ -142,8 +143,8 @@
 	t.print(s)
 }
 
-// showMembers lists the members of a log. The answer to a change of members
-// says who they are, and nothing of their state.
+// showMembers prints the members of a log. The response to a membership change
+// holds their addresses but not their state, so the table has no column for it.
 func (s *session) showMembers(members []*apiv1.Instance) {
 	t := newTable("MEMBER", "ADDRESS", "DISK")
 	for _, m := range members {
@@ -178,7 +179,7 @@
 		name:        "replace-instance",
 		synopsis:    "Replace a voter of a data centre's log by a new instance",
 		usage:       "--data-centre name [--disk] old new address",
-		description: "The new instance must be started before. The change is refused when it would leave\nthe data centre without a majority.",
+		description: "Start the new instance first. The change is refused when it would leave the data\ncentre without a majority.",
 		example:     "bilberry replace-instance --data-centre naas-hall --disk naas-2 naas-4 10.0.1.4:7402",
 		flags: func(f *flag.FlagSet) {
 			f.StringVar(&dataCentre, "data-centre", "", "`name` of the data centre (needed)")
@@ -200,6 +201,7 @@
 	}
 }
 
+// replaceInstance checks the request, sends it and prints the new members.
 func (s *session) replaceInstance(ctx context.Context, request *apiv1.ReplaceInstanceRequest, givenID string) error {
 	if request.OldInstance == request.NewInstance {
 		return fault.Field("new", "%q is the old instance", shorten(request.NewInstance))
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -17,7 +17,7 @@
 	"github.com/bilberryferry/bilberryferry/internal/units"
 )
 
-// colour is an escape sequence of terminals.
+// colour is a terminal escape sequence.
 type colour string
 
 const (
@@ -29,13 +29,14 @@
 	reset  colour = "\x1b[0m"
 )
 
-// colourful says whether colours may be written: only to a terminal that
-// knows them, and when nobody has asked for none.
+// useColours reports whether to print colours: only on a terminal that supports them,
+// and not with --no-colour, --json or $NO_COLOR.
 func (s *session) useColours() bool {
 	return s.app.Terminal && !s.globals.noColour && !s.globals.json &&
 		s.app.Getenv(envNoColour) == "" && s.app.Getenv(envTerminal) != "dumb"
 }
 
+// paint returns text in a colour, or unchanged when colours are off.
 func (s *session) paint(c colour, text string) string {
 	if c == plain || !s.useColours() {
 		return text
@@ -49,9 +50,10 @@
 	colour colour
 }
 
+// textCell returns an uncoloured cell with a formatted text.
 func textCell(format string, args ...any) cell { return cell{text: fmt.Sprintf(format, args...)} }
 
-// table is rows under a heading.
+// table is a table with a heading.
 type table struct {
 	heading []string
 	rows    [][]cell
@@ -61,8 +63,8 @@
 
 func (t *table) add(cells ...cell) { t.rows = append(t.rows, cells) }
 
-// print writes the table, columns aligned. Fields come from outside, so
-// control characters are replaced.
+// print writes the table with aligned columns. It replaces control characters,
+// because callers choose some of the texts.
 func (t *table) print(s *session) {
 	widths := make([]int, len(t.heading))
 	heading := make([]cell, len(t.heading))
@@ -81,6 +83,7 @@
 	}
 }
 
+// formatRow returns one line of a table whose columns have the widths.
 func (s *session) formatRow(row []cell, widths []int) string {
 	var b strings.Builder
 	for i, c := range row {
@@ -95,13 +98,14 @@
 	return strings.TrimRight(b.String(), " ")
 }
 
-// printJSON writes a message of the schema, with the schema's field names.
+// printJSON prints a message of the schema as one line of JSON with the schema's
+// field names.
 func (s *session) printJSON(message proto.Message) error {
 	raw, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(message)
 	if err != nil {
 		return err
 	}
-	// protojson varies its white space on purpose; programs compare output.
+	// protojson varies its white space at random, but programs compare the output.
 	var compact bytes.Buffer
 	if err := json.Compact(&compact, raw); err != nil {
 		return err
@@ -110,7 +114,7 @@
 	return err
 }
 
-// show writes a message as JSON, or by a function for people.
+// show prints a message as JSON with --json, and calls writeText otherwise.
 func (s *session) show(message proto.Message, writeText func(out io.Writer)) error {
 	if s.globals.json {
 		return s.printJSON(message)
@@ -119,6 +123,7 @@
 	return nil
 }
 
+// formatUnixTime returns a time as RFC 3339 in UTC, or "-" for 0.
 func formatUnixTime(ms int64) string {
 	if ms == 0 {
 		return "-"
@@ -130,7 +135,8 @@
 	return (time.Duration(ms) * time.Millisecond).String()
 }
 
-// enumName turns JOB_STATE_NOT_RUN into "not run".
+// enumName returns the name of an enum value for people: "not run" for
+// JOB_STATE_NOT_RUN.
 func enumName(name, prefix string) string {
 	return strings.ToLower(strings.ReplaceAll(strings.TrimPrefix(name, prefix), "_", " "))
 }
@@ -139,6 +145,7 @@
 	return cell{enumName(state.String(), "JOB_STATE_"), jobColours[state]}
 }
 
+// jobColours are the colours of job states; the others are plain.
 var jobColours = map[apiv1.JobState]colour{
 	apiv1.JobState_JOB_STATE_PENDING_HANDOVER: yellow,
 	apiv1.JobState_JOB_STATE_RUNNING:          green,
@@ -148,7 +155,8 @@
 	apiv1.JobState_JOB_STATE_UNKNOWN:          red,
 }
 
-// resources writes amounts like "2 cores, 4GiB, 1 accelerators". Negative is unlimited.
+// formatResources returns a text like "2 cores, 4GiB, 1 accelerators". A negative
+// amount means unlimited.
 func formatResources(r *apiv1.Resources) string {
 	parts := []string{formatAmount(r.GetCpuMilli(), units.FormatCores) + " cores", formatAmount(r.GetMemoryMib(), formatMiB)}
 	if r.GetAccelerators() != 0 {
@@ -157,6 +165,7 @@
 	return strings.Join(parts, ", ")
 }
 
+// formatAmount formats an amount of a resource. A negative amount is unlimited.
 func formatAmount(n int64, format func(int64) string) string {
 	if n < 0 {
 		return "unlimited"
--- a/internal/cli/session.go
+++ b/internal/cli/session.go
@@ -13,7 +13,7 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
-// Environment variables that stand in for global flags.
+// Environment variables with defaults of global flags.
 const (
 	envSettings  = "BILBERRY_SETTINGS"
 	envEntry     = "BILBERRY_ENTRY"
@@ -25,7 +25,7 @@
 // defaultTimeout bounds a command other than watch.
 const defaultTimeout = 30 * time.Second
 
-// globals are the flags that every command takes.
+// globals are the flags that every command accepts.
 type globals struct {
 	settings  string
 	entry     string
@@ -36,13 +36,14 @@
 	timeout   time.Duration
 }
 
+// bind adds the global flags to f, with their present values as defaults.
 func (g *globals) bind(f *flag.FlagSet) {
-	f.StringVar(&g.settings, "settings", g.settings, "settings `file`; names the entry instances and token files ($"+envSettings+")")
-	f.StringVar(&g.entry, "entry", g.entry, "entry `addresses`, ip:port[,ip:port], tried in turn ($"+envEntry+")")
+	f.StringVar(&g.settings, "settings", g.settings, "settings `file` with the entry instances and token files ($"+envSettings+")")
+	f.StringVar(&g.entry, "entry", g.entry, "entry `addresses`, ip:port[,ip:port], tried one after the other ($"+envEntry+")")
 	f.StringVar(&g.tokenFile, "token-file", g.tokenFile, "`file` that holds the bearer token ($"+envTokenFile+")")
 	f.StringVar(&g.customer, "customer", g.customer, "with --settings: act as this customer (`name`) instead of as operator")
 	f.BoolVar(&g.json, "json", g.json, "print JSON for programs")
-	f.BoolVar(&g.noColour, "no-colour", g.noColour, "no colours on a terminal either ($"+envNoColour+")")
+	f.BoolVar(&g.noColour, "no-colour", g.noColour, "no colours, not even on a terminal ($"+envNoColour+")")
 	f.DurationVar(&g.timeout, "timeout", g.timeout, "give up after this `time`")
 }
 
@@ -52,6 +53,7 @@
 	globals globals
 }
 
+// newSession returns a session whose flags have their defaults from the environment.
 func newSession(a *App) *session {
 	return &session{app: a, globals: globals{
 		settings:  a.Getenv(envSettings),
@@ -61,7 +63,7 @@
 	}}
 }
 
-// run carries out one command and returns the exit code.
+// run executes one command and returns the exit code.
 func (s *session) run(ctx context.Context, c *command, args []string) int {
 	if s.globals.timeout <= 0 {
 		return s.fail(withUsageHint(fault.Field("--timeout", "must be above zero"), c.name))
@@ -75,12 +77,13 @@
 	return 0
 }
 
-// bounded returns a context that ends with --timeout.
+// withTimeout returns a context that ends after --timeout.
 func (s *session) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, s.globals.timeout)
 }
 
-// client returns the client for the entry instances that the flags name.
+// client returns a client for the entry instances that the flags or the settings
+// name.
 func (s *session) client() (*client, error) {
 	var loaded *settings.Settings
 	if s.globals.settings != "" {
@@ -100,6 +103,7 @@
 	return newClient(entries, token), nil
 }
 
+// entryAddresses returns the addresses of --entry, or those in the settings.
 func (s *session) entryAddresses(loaded *settings.Settings) ([]string, error) {
 	if s.globals.entry != "" {
 		return parseEntries(s.globals.entry)
@@ -118,10 +122,11 @@
 // maxEntries bounds the list of entry addresses.
 const maxEntries = 64
 
+// parseEntries splits and checks the value of --entry.
 func parseEntries(list string) ([]string, error) {
 	entries := strings.Split(list, ",")
 	if len(entries) > maxEntries {
-		return nil, fault.Field("--entry", "names %d addresses, at most %d are taken", len(entries), maxEntries)
+		return nil, fault.Field("--entry", "names %d addresses, at most %d are allowed", len(entries), maxEntries)
 	}
 	seen := make(map[string]bool)
 	for i, entry := range entries {
@@ -139,6 +144,8 @@
 	return entries, nil
 }
 
+// token returns the token of --token-file, or that of the operator or --customer in the
+// settings.
 func (s *session) token(loaded *settings.Settings) (string, error) {
 	path := s.globals.tokenFile
 	if path == "" && loaded != nil {
@@ -154,6 +161,7 @@
 	return settings.ReadToken(path)
 }
 
+// tokenPath returns the settings' token file of --customer, or of the operator.
 func (s *session) tokenPath(loaded *settings.Settings) (string, error) {
 	if s.globals.customer == "" {
 		return loaded.Tokens.Operator, nil
@@ -163,10 +171,10 @@
 			return customer.File, nil
 		}
 	}
-	return "", fault.Field("--customer", "the settings hold no customer %q", shorten(s.globals.customer))
+	return "", fault.Field("--customer", "the settings contain no customer %q", shorten(s.globals.customer))
 }
 
-// requestID returns the id given by flag, or a new one.
+// requestID returns the id that --request-id gives, or a new random id.
 func requestID(given string) (string, error) {
 	if given != "" {
 		return given, checkArgument("--request-id", given)
@@ -178,6 +186,7 @@
 	return "cli-" + hex.EncodeToString(random), nil
 }
 
+// requestIDFlag adds the flag --request-id to f.
 func requestIDFlag(f *flag.FlagSet, into *string) {
-	f.StringVar(into, "request-id", "", "`id` of an earlier call whose fate is open; resends that call")
+	f.StringVar(into, "request-id", "", "`id` of an earlier call whose outcome is unknown; sends that call again")
 }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -14,11 +14,14 @@
 )
 
 const (
+	// defaultLimit and maxLimit are the default and largest value of --limit.
 	defaultLimit = 200
 	maxLimit     = 100_000
-	// watchPollDuration is how long an entry instance holds a watch without news.
+	// watchPollDuration is how long an entry instance holds a watch call as a long poll
+	// when the job doesn't change.
 	watchPollDuration = 20 * time.Second
-	// watchRetryDelay lies between attempts while no entry instance answers.
+	// watchRetryDelay is the delay before the next watch call when no entry instance
+	// answers or the job hasn't changed.
 	watchRetryDelay = 500 * time.Millisecond
 )
 
@@ -34,9 +37,9 @@
 	var limit int
 	return &command{
 		name:        "status",
-		synopsis:    "Show jobs and what has become of them",
+		synopsis:    "Show jobs and their state",
 		usage:       "[--tasks] [--ended] [id...]",
-		description: "Without ids it lists the jobs of the token's customer; of an operator's token, all.",
+		description: "Without ids it lists the jobs of the token's customer, or all jobs for an operator.",
 		example:     "bilberry status --tasks naas-hall-1a2b",
 		flags: func(f *flag.FlagSet) {
 			f.BoolVar(&tasks, "tasks", false, "show each task")
@@ -61,7 +64,8 @@
 	}
 }
 
-// status asks once for all jobs, or once for each id, and joins the answers.
+// status makes one call for all jobs, or one call for each id, and joins the
+// responses.
 func (s *session) status(ctx context.Context, request *apiv1.StatusRequest, ids []string) (*apiv1.StatusResponse, error) {
 	c, err := s.client()
 	if err != nil {
@@ -119,11 +123,12 @@
 	t.print(s)
 }
 
-// progress writes a job's tasks as queued, running and ended.
+// formatProgress returns the numbers of a job's queued, running and ended tasks.
 func formatProgress(job *apiv1.Job) string {
 	return fmt.Sprintf("%d queued, %d running, %d ended", job.GetTasksQueued(), job.GetTasksRunning(), job.GetTasksEnded())
 }
 
+// formatReason returns the reason of a job's state, with its kind in front.
 func formatReason(job *apiv1.Job) string {
 	if job.GetReasonKind() == "" {
 		return job.GetReason()
@@ -136,7 +141,7 @@
 		name:        "watch",
 		synopsis:    "Follow a job until it has ended",
 		usage:       "id",
-		description: "The exit code tells how the job ended. --timeout bounds only how long it goes on\nwhile no entry instance answers.",
+		description: "The exit code tells how the job ended. --timeout bounds only the time during which\nno entry instance answers.",
 		example:     "bilberry watch naas-hall-1a2b",
 		run: func(ctx context.Context, s *session, args []string) error {
 			if err := requireArgs(args, "id"); err != nil {
@@ -147,8 +152,8 @@
 	}
 }
 
-// watch follows one job. It returns nil when the job has finished, and a fault
-// that tells how it ended otherwise.
+// watch prints the progress of one job until it has ended. It returns nil when the
+// job has finished successfully, and otherwise a fault that describes its end.
 func (s *session) watch(ctx context.Context, id string) error {
 	c, err := s.client()
 	if err != nil {
@@ -164,7 +169,7 @@
 		case !fault.Is(err, fault.Unavailable) || s.app.Now().Sub(lastAnswer) >= s.globals.timeout:
 			return err
 		case !wait.For(ctx, watchRetryDelay):
-			return fault.New(fault.Unavailable, "interrupted; the job goes on")
+			return fault.New(fault.Unavailable, "interrupted; the job continues")
 		default:
 			continue
 		}
@@ -178,12 +183,13 @@
 			return outcomeError(job)
 		}
 		if job.GetRevision() <= request.AfterRevision && !wait.For(ctx, watchRetryDelay) {
-			return fault.New(fault.Unavailable, "interrupted; the job goes on")
+			return fault.New(fault.Unavailable, "interrupted; the job continues")
 		}
 		request.AfterRevision = max(request.AfterRevision, job.GetRevision())
 	}
 }
 
+// watchOnce makes one watch call and returns the job.
 func watchOnce(ctx context.Context, c *client, request *apiv1.WatchRequest) (*apiv1.Job, error) {
 	answer, err := call(ctx, c, watchPollDuration+attemptTimeout, request, func(e *endpoint) func(context.Context, *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
 		return e.scheduler.Watch
@@ -197,8 +203,8 @@
 	return answer.GetJobs()[0], nil
 }
 
-// showProgress writes one line for each revision; on a terminal the line is
-// written over.
+// showProgress prints one line for a revision of the job. On a terminal it overwrites
+// the previous line.
 func (s *session) showProgress(job *apiv1.Job) error {
 	if s.globals.json {
 		return s.printJSON(job)
@@ -213,6 +219,7 @@
 	return err
 }
 
+// endProgress ends the line that showProgress overwrites on a terminal.
 func (s *session) endProgress() {
 	if s.app.Terminal && !s.globals.json {
 		fmt.Fprintln(s.app.Stdout)
@@ -222,6 +229,7 @@
 // barWidth is the width of the progress bar in characters.
 const barWidth = 20
 
+// progressBar returns a bar of the ended tasks on a terminal, and the numbers of tasks.
 func (s *session) progressBar(job *apiv1.Job) string {
 	all := job.GetTasksQueued() + job.GetTasksRunning() + job.GetTasksEnded()
 	if !s.app.Terminal || all <= 0 || job.GetTasksEnded() < 0 {
@@ -236,6 +244,7 @@
 	return !unfinishedStates[state]
 }
 
+// unfinishedStates are the states of jobs that haven't ended.
 var unfinishedStates = map[apiv1.JobState]bool{
 	apiv1.JobState_JOB_STATE_UNSPECIFIED:      true,
 	apiv1.JobState_JOB_STATE_QUEUED:           true,
@@ -243,7 +252,8 @@
 	apiv1.JobState_JOB_STATE_RUNNING:          true,
 }
 
-// endFaultKinds is the kind that stands for an end when the job names none.
+// endFaultKinds maps the states of ended jobs to the kind of fault for jobs that name no
+// reason.
 var endFaultKinds = map[apiv1.JobState]fault.Kind{
 	apiv1.JobState_JOB_STATE_FAILED:    fault.Failed,
 	apiv1.JobState_JOB_STATE_CANCELLED: fault.Cancelled,
@@ -251,7 +261,8 @@
 	apiv1.JobState_JOB_STATE_UNKNOWN:   fault.Unknown,
 }
 
-// outcome turns the end of a job into an error, or nil when it has finished.
+// outcomeError returns an error that describes how a job ended, or nil when it has
+// finished successfully.
 func outcomeError(job *apiv1.Job) error {
 	if job.GetState() == apiv1.JobState_JOB_STATE_FINISHED {
 		return nil
@@ -267,20 +278,20 @@
 	if message == "" {
 		message = "the job has ended as " + jobStateCell(job.GetState()).text
 	}
-	return withHint(fault.New(kind, "%s: %s", job.GetId(), message), "bilberry timeline --job "+job.GetId()+" tells what happened")
+	return withHint(fault.New(kind, "%s: %s", job.GetId(), message), "run \"bilberry timeline --job "+job.GetId()+"\" for the events of the job")
 }
 
 func explainCommand() *command {
 	var logs string
 	return &command{
 		name:     "explain",
-		synopsis: "Tell why a job waits or was refused",
+		synopsis: "Explain why a job waits or was refused",
 		usage:    "[--log files] id",
-		description: "It names the reasons that ruled workers out, and how many each. With --log it tells from\n" +
-			"the instances' lines what became of a job and where its time went.",
+		description: "It lists the reasons that exclude workers and how many workers each excludes. With --log it\n" +
+			"shows from the instances' log lines how a job ended and where its time went.",
 		example: "bilberry explain naas-hall-1a2b\nbilberry explain --log day.log 5c0e7a21d94b36f8",
 		flags: func(f *flag.FlagSet) {
-			f.StringVar(&logs, "log", "", "read the lines in these `files`, with commas between, and call no instance")
+			f.StringVar(&logs, "log", "", "read log lines from these `files`, separated by commas, and call no instance")
 		},
 		run: func(ctx context.Context, s *session, args []string) error {
 			if err := requireArgs(args, "id"); err != nil {
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -13,10 +13,10 @@
 	"github.com/bilberryferry/bilberryferry/internal/jobfile"
 )
 
-// maxJobFileBytes bounds a job file in bytes.
+// maxJobFileBytes bounds the size of a job file.
 const maxJobFileBytes = 1 << 20
 
-// stdinName stands for the standard input among file arguments.
+// stdinName is the file argument for the standard input.
 const stdinName = "-"
 
 func submitCommand() *command {
@@ -27,14 +27,14 @@
 		name:     "submit",
 		synopsis: "Submit jobs described in TOML files",
 		usage:    "[--wait] [--deadline when] file...",
-		description: "All files are read and checked before the first is sent. The name \"-\" stands for\n" +
-			"the standard input. With --wait the exit code tells how the work ended.",
+		description: "All files are read and checked before the first is sent. The name \"-\" means the\n" +
+			"standard input. With --wait the exit code tells how the jobs ended.",
 		example: "bilberry submit --wait --deadline +10m recalculation.toml",
 		flags: func(f *flag.FlagSet) {
 			f.BoolVar(&wait, "wait", false, "wait until the jobs have ended")
-			f.StringVar(&deadline, "deadline", "", "`when` the work must be done: \"+45s\" or a time of RFC 3339; replaces the file's")
+			f.StringVar(&deadline, "deadline", "", "`when` the work must be done: \"+45s\" or an RFC 3339 time; replaces the file's")
 			requestIDFlag(f, &earlier.id)
-			f.StringVar(&earlier.home, "home", "", "`data centre` that answers for the request id; goes with --request-id")
+			f.StringVar(&earlier.home, "home", "", "`data centre` that handles the request id; use it with --request-id")
 		},
 		run: func(ctx context.Context, s *session, args []string) error {
 			specs, err := s.readJobs(args, deadline)
@@ -42,10 +42,10 @@
 				return err
 			}
 			if earlier.id != "" && len(specs) > 1 {
-				return fault.Field("--request-id", "stands for one call; give one file")
+				return fault.Field("--request-id", "is the id of one call; give one file")
 			}
 			if (earlier.id == "") != (earlier.home == "") {
-				return fault.Field("--home", "goes with --request-id: a request id is known in its home only")
+				return fault.Field("--home", "must be given together with --request-id, because only the home data centre knows a request id")
 			}
 			accepted, err := s.submitAll(ctx, specs, earlier)
 			if err != nil || !wait {
@@ -56,7 +56,7 @@
 	}
 }
 
-// resend names an earlier submission whose fate is open.
+// earlierCall identifies an earlier submission whose outcome is unknown.
 type earlierCall struct{ id, home string }
 
 // readJobs reads and checks all files before anything is sent.
@@ -85,7 +85,7 @@
 	return specs, nil
 }
 
-// readInput reads a file, or the standard input for "-", up to a limit.
+// readInput reads a file of at most limit bytes, or the standard input for "-".
 func (s *session) readInput(name string, limit int64) ([]byte, error) {
 	in := s.app.Stdin
 	if name != stdinName {
@@ -113,6 +113,8 @@
 	return data, nil
 }
 
+// submitAll submits jobs one after the other and stops at the first error. It returns
+// the responses of the accepted ones.
 func (s *session) submitAll(ctx context.Context, specs []*apiv1.Spec, earlier earlierCall) ([]*apiv1.SubmitResponse, error) {
 	c, err := s.client()
 	if err != nil {
@@ -134,6 +136,8 @@
 	return accepted, nil
 }
 
+// submitOne submits one job. When the outcome is unknown, the error's hint tells how
+// to send the same request again.
 func submitOne(ctx context.Context, c *client, spec *apiv1.Spec, earlier earlierCall) (*apiv1.SubmitResponse, error) {
 	id, err := requestID(earlier.id)
 	if err != nil {
@@ -153,15 +157,16 @@
 	}
 	hint := "the job may have been accepted; send it again with --home " + request.Home + " --request-id " + id
 	if spec.DeadlineUnixMs != 0 {
-		// A relative deadline would move, and the resent call would differ.
+		// A relative deadline would be later in the second call, and the calls would
+		// differ.
 		hint += " --deadline " + time.UnixMilli(spec.DeadlineUnixMs).UTC().Format(time.RFC3339Nano)
 	}
 	return nil, withHint(err, hint)
 }
 
-// homeOf names the data centre that answers for the request id: the one that the
-// file wants, or that of the first entry instance that answers. The submission
-// may then be sent to any of them, again and again.
+// homeOf returns the data centre that handles a submission's request id: the one in
+// the job file, or that of the first entry instance that answers. The submission may
+// then be retried at any entry instance.
 func homeOf(ctx context.Context, c *client, spec *apiv1.Spec) (string, error) {
 	if spec.DataCentre != "" {
 		return spec.DataCentre, nil
@@ -172,7 +177,7 @@
 	return answer.GetDataCentre(), err
 }
 
-// partly says that some of several calls had succeeded before one failed.
+// warnPartial warns that some files were accepted before the error, which it returns.
 func (s *session) warnPartial(err error, done, all int) error {
 	if done > 0 {
 		s.warn("%d of %d files were accepted before the error", done, all)
@@ -187,7 +192,8 @@
 	})
 }
 
-// waitAll watches jobs one after the other; each goes on meanwhile.
+// waitAll watches the jobs, which run concurrently, one after the other. It returns
+// the first error.
 func (s *session) waitAll(ctx context.Context, accepted []*apiv1.SubmitResponse) error {
 	var first error
 	for _, answer := range accepted {
--- a/internal/cli/timeline.go
+++ b/internal/cli/timeline.go
@@ -23,7 +23,8 @@
 	since                time.Duration
 	limit                int
 	html                 string
-	// logs are files of lines that stand in for the instances.
+	// logs names log files, separated by commas, that are read instead of calling the
+	// instances.
 	logs string
 }
 
@@ -36,15 +37,15 @@
 		name:        "timeline",
 		synopsis:    "Show what happened on all instances, in causal order",
 		usage:       "[--job id | --request id | --worker id] [--since span] [--html file] [--log files]",
-		description: "It names the instances that couldn't be reached; their events are missing.",
+		description: "It warns about instances that couldn't be reached, whose events are missing.",
 		example:     "bilberry timeline --since 10m --html line.html\nbilberry timeline --job naas-hall-1a2b",
 		flags: func(f *flag.FlagSet) {
 			f.StringVar(&flags.job, "job", "", "only events of this job (`id`)")
 			f.StringVar(&flags.request, "request", "", "only events of this request (`id`)")
 			f.StringVar(&flags.worker, "worker", "", "only events of this worker (`id`)")
 			f.DurationVar(&flags.since, "since", 0, "only events of this last `span`, such as 10m")
-			f.IntVar(&flags.limit, "limit", defaultTimelineLimit, "the newest events, at most this `number` from each instance")
-			f.StringVar(&flags.logs, "log", "", "read the lines in these `files`, with commas between, and call no instance")
+			f.IntVar(&flags.limit, "limit", defaultTimelineLimit, "show the newest events, at most this `number` from each instance")
+			f.StringVar(&flags.logs, "log", "", "read log lines from these `files`, separated by commas, and call no instance")
 			f.StringVar(&flags.html, "html", "", "write one self-contained page to this `file` instead")
 		},
 		run: func(ctx context.Context, s *session, args []string) error {
@@ -63,7 +64,8 @@
 	}
 }
 
-// toRequest checks the flags. The second result names the subject for people.
+// toRequest checks the flags and converts them to a request. The second result
+// describes the subject for people, such as "job a-1".
 func (f *timelineFlags) toRequest(now time.Time) (*apiv1.EventsRequest, string, error) {
 	if err := checkLimit(f.limit); err != nil {
 		return nil, "", err
@@ -92,6 +94,7 @@
 	return request, subject, nil
 }
 
+// timeline fetches the events from the instances and shows them.
 func (s *session) timeline(ctx context.Context, request *apiv1.EventsRequest, subject, htmlFile string) error {
 	answer, err := operationsCallWithTimeout(ctx, s, request, func(api apiv1.Operations) func(context.Context, *apiv1.EventsRequest) (*apiv1.EventsResponse, error) {
 		return api.Events
@@ -103,14 +106,15 @@
 	return s.showTimeline(answer, subject, htmlFile)
 }
 
-// showTimeline shows the events of an answer in causal order, or writes them to a page.
+// showTimeline prints the events of a response in causal order, or writes them to an
+// HTML file.
 func (s *session) showTimeline(answer *apiv1.EventsResponse, subject, htmlFile string) error {
 	events := event.Merge(event.ListFromAPI(answer.GetEvents()))
 	if htmlFile == "" {
 		answer.Events = event.ListToAPI(events)
 		return s.show(answer, func(out io.Writer) { s.writeEvents(out, events) })
 	}
-	page := event.Page{Title: strings.TrimSpace("Time line " + subject), Unreachable: answer.GetUnreachableInstances()}
+	page := event.Page{Title: strings.TrimSpace("Timeline " + subject), Unreachable: answer.GetUnreachableInstances()}
 	err := replaceFile(htmlFile, func(w io.Writer) error { return event.WriteHTML(w, page, events) })
 	if err != nil {
 		return fault.Field("--html", "%v", err)
@@ -121,6 +125,7 @@
 	return nil
 }
 
+// writeEvents prints events as text, or "no events".
 func (s *session) writeEvents(out io.Writer, events []event.Event) {
 	if len(events) == 0 {
 		fmt.Fprintln(out, "no events")
@@ -131,10 +136,10 @@
 	}
 }
 
-// replaceFile writes a file beside its place and puts it there when it is
-// whole: a full disk or an interruption leaves what was there before.
+// replaceFile writes a temporary file in the same folder and renames it to path when
+// it is complete. A full disk or an interruption leaves the old file unchanged.
 func replaceFile(path string, write func(io.Writer) error) (err error) {
-	// Renaming over a device, such as /dev/null, would replace it for everyone.
+	// Renaming over a device such as /dev/null would replace the device for all programs.
 	if info, statErr := os.Stat(path); statErr == nil && !info.Mode().IsRegular() {
 		return errors.Newf("%s exists and isn't a regular file", path)
 	}
--- a/internal/cli/workflow.go
+++ b/internal/cli/workflow.go
@@ -15,7 +15,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/units"
 )
 
-// workflowsCall is call for the interface of a cell whose log spans its data centres.
+// workflowsCall is call for a method of the Workflows service, which cells offer whose
+// log spans their data centres. It uses a new client and the time limit of --timeout.
 func workflowsCall[Q, A any](ctx context.Context, s *session, q Q, method func(apiv1.Workflows) func(context.Context, Q) (A, error)) (A, error) {
 	var none A
 	c, err := s.client()
@@ -27,7 +28,7 @@
 	return call(ctx, c, attemptTimeout, q, func(e *endpoint) func(context.Context, Q) (A, error) { return method(e.workflows) })
 }
 
-// workflowActions are the words that may follow "bilberry workflow".
+// workflowActions are the action words of "bilberry workflow".
 var workflowActions = []string{"submit", "status", "cancel", "explain", "waiting"}
 
 func workflowCommand() *command {
@@ -35,9 +36,9 @@
 		name:     "workflow",
 		synopsis: "Submit, follow and cancel jobs of dependent steps",
 		usage:    "submit file... | status queue id | cancel queue id | explain queue id | waiting queue",
-		description: "For cells whose log spans their data centres; --entry names their api addresses.\n" +
-			"A file names queue, id and steps; the same id is the same job, so a submission\n" +
-			"without an answer is simply sent again.",
+		description: "For cells whose log spans their data centres; --entry takes their api addresses.\n" +
+			"A file holds queue, id and steps. Submissions with the same id are the same job, so\n" +
+			"one without an answer is simply sent again.",
 		example: "bilberry workflow submit reports.toml\nbilberry workflow explain reports reports-7",
 		run: func(ctx context.Context, s *session, args []string) error {
 			if len(args) == 0 {
@@ -48,6 +49,7 @@
 	}
 }
 
+// workflow executes one action of "bilberry workflow".
 func (s *session) workflow(ctx context.Context, action string, args []string) error {
 	switch action {
 	case "submit":
@@ -68,6 +70,7 @@
 	return handler(ctx, &apiv1.WorkflowRef{Queue: args[0], Id: args[1]})
 }
 
+// unknownAction returns an error that suggests a similar action of the command.
 func unknownAction(command, action string, known []string) error {
 	err := fault.New(fault.Invalid, "unknown action %q", shorten(action))
 	if near := tomlfile.Nearest(action, known); near != "" {
@@ -98,7 +101,7 @@
 			return api.SubmitWorkflow
 		})
 		if fault.Is(err, fault.Unavailable) || fault.Is(err, fault.Unknown) {
-			err = withHint(err, "the job may have been accepted; the same file may be sent again, its id makes it one job")
+			err = withHint(err, "the job may have been accepted; send the same file again, its id prevents a duplicate")
 		}
 		if err != nil {
 			return s.warnPartial(err, i, len(requests))
@@ -128,6 +131,7 @@
 	return s.show(answer, func(out io.Writer) { s.showWorkflow(out, answer) })
 }
 
+// showWorkflow prints the steps of a workflow and the workers that crashed.
 func (s *session) showWorkflow(out io.Writer, status *apiv1.WorkflowStatus) {
 	fmt.Fprintln(out, oneLine(fmt.Sprintf("%s in %s: %s", status.GetId(), status.GetQueue(), status.GetPhase())))
 	t := newTable("TIME", "STEP", "TASKS", "DONE", "RUNNING", "FAILURES")
@@ -143,12 +147,12 @@
 	}
 }
 
-// describeCrashes says which workers crashed under a task, and whether the workflow was
-// given up for it.
+// describeCrashes returns a line with the workers that crashed while they ran a task,
+// and whether the job was given up because of it.
 func describeCrashes(step *apiv1.StepStatus, crashes *apiv1.TaskCrashes) string {
-	line := fmt.Sprintf("step %d, task %d: workers crashed under it: %s", step.GetStep(), crashes.GetTask(), strings.Join(crashes.GetWorkers(), ", "))
+	line := fmt.Sprintf("step %d, task %d: workers that crashed while running it: %s", step.GetStep(), crashes.GetTask(), strings.Join(crashes.GetWorkers(), ", "))
 	if crashes.GetGivenUp() {
-		line += "; given up for that"
+		line += "; the job was given up because of it"
 	}
 	return line
 }
@@ -173,7 +177,8 @@
 	return s.show(answer, func(out io.Writer) { s.showWaiting(out, answer) })
 }
 
-// showWaiting shows, for each step that could go on, what keeps the workers.
+// showWaiting prints, for each step with tasks that could start, the reasons that
+// exclude workers.
 func (s *session) showWaiting(out io.Writer, answer *apiv1.ExplainWorkflowResponse) {
 	s.showWorkflow(out, answer.GetStatus())
 	if len(answer.GetSteps()) == 0 {
@@ -182,7 +187,7 @@
 	for _, step := range answer.GetSteps() {
 		fmt.Fprintln(out, oneLine(fmt.Sprintf("\nstep %d: %d tasks could start; %s", step.GetStep(), step.GetTasks(), orNothing(step.GetReason()))))
 		if step.GetPermitted()+step.GetRefused() > 0 {
-			fmt.Fprintf(out, "adviser: %d workers permitted, %d refused, %d not asked about\n", step.GetPermitted(), step.GetRefused(), step.GetUnknown())
+			fmt.Fprintf(out, "adviser: %d workers permitted, %d refused, %d not queried\n", step.GetPermitted(), step.GetRefused(), step.GetUnknown())
 		}
 		t := newTable("WORKERS", "KEPT BY", "FOR EXAMPLE")
 		for _, count := range step.GetWorkers() {
@@ -192,7 +197,7 @@
 	}
 }
 
-// orNothing names an empty reason.
+// orNothing returns a reason, or "nothing" for an empty one.
 func orNothing(reason string) string {
 	if reason == "" {
 		return "nothing"
@@ -213,7 +218,7 @@
 	return s.show(answer, func(out io.Writer) { fmt.Fprintf(out, "%d jobs wait\n", answer.GetWaiting()) })
 }
 
-// waveActions are the words that may follow "bilberry wave".
+// waveActions are the action words of "bilberry wave".
 var waveActions = []string{"start", "status"}
 
 // waveFlags are the flags of "bilberry wave start".
@@ -228,11 +233,11 @@
 		name:     "wave",
 		synopsis: "Take machines down for maintenance, a few at a time",
 		usage:    "start [flags] number | status number",
-		description: "Machines are cordoned first: they get nothing new, and what runs there ends or is\n" +
-			"moved while there is time. The same number is the same wave.",
+		description: "Machines are cordoned first: they get no new tasks, and their running tasks end or\n" +
+			"are moved while there is time. The number identifies the wave.",
 		example: "bilberry wave start --machines m-0a3f1,m-141e8 --duration 20m --max-down 1 7\nbilberry wave status 7",
 		flags: func(f *flag.FlagSet) {
-			f.StringVar(&flags.machines, "machines", "", "start: the `names` of the machines, with commas between")
+			f.StringVar(&flags.machines, "machines", "", "start: the `names` of the machines, separated by commas")
 			f.StringVar(&flags.duration, "duration", "", "start: the `time` that the whole wave may take, such as 20m")
 			f.IntVar(&flags.maxDown, "max-down", 1, "start: at most this `number` of machines are down at a time")
 		},
@@ -245,6 +250,7 @@
 	}
 }
 
+// wave executes one action of "bilberry wave".
 func (s *session) wave(ctx context.Context, flags *waveFlags, action string, args []string) error {
 	if action != "start" && action != "status" {
 		return unknownAction("wave", action, waveActions)
@@ -270,6 +276,7 @@
 	}))
 }
 
+// toRequest checks the flags and converts them to a wave with the id.
 func (f *waveFlags) toRequest(id int64) (*apiv1.Wave, error) {
 	if f.machines == "" {
 		return nil, fault.Field("--machines", "is missing; name the machines")
@@ -284,6 +291,7 @@
 	return &apiv1.Wave{Id: id, Machines: strings.Split(f.machines, ","), DurationMs: duration.Milliseconds(), MaxDown: int32(f.maxDown)}, nil
 }
 
+// showWave prints the state of a wave's machines, or returns err.
 func (s *session) showWave(status *apiv1.WaveStatus, err error) error {
 	if err != nil {
 		return err
