--- a/internal/event/html.go
+++ b/internal/event/html.go
@@ -24,6 +24,7 @@
 // pageData is the input of the page template.
 type pageData struct {
 	Page
+	// From and To are the times of the first and last event.
 	From, To  string
 	Count     int
 	Lanes     []lane
--- a/internal/jobtrace/trace.go
+++ b/internal/jobtrace/trace.go
@@ -104,8 +104,8 @@
 	return "not accepted: " + text + describeLostLeaderContact(allLines, last)
 }
 
-// describeLostLeaderContact returns since when the instance of last had no contact to a
-// leader, or "" when it had contact.
+// describeLostLeaderContact returns a text with the time at which the instance of last
+// lost contact to a leader, or "" when it was in contact.
 func describeLostLeaderContact(allLines []Line, last *Line) string {
 	for i := len(allLines) - 1; i >= 0; i-- {
 		l := &allLines[i]
@@ -230,11 +230,16 @@
 // spanAccumulator goes through a job's lines and adds up the time of each activity.
 type spanAccumulator struct {
 	leaderless []interval
-	outcomes   map[string]string
-	durations  map[string]time.Duration
-	running    map[string]bool
-	waiting    string
-	permitted  bool
+	// outcomes holds the outcome of each run, by runKey.
+	outcomes map[string]string
+	// durations holds the time of each activity.
+	durations map[string]time.Duration
+	// running holds the runs in flight, by runKey.
+	running map[string]bool
+	// waiting is the reason for which a step waits, empty when none does.
+	waiting string
+	// permitted is true once the adviser has answered for a step.
+	permitted bool
 }
 
 // interval is the time between two lines.
@@ -310,7 +315,7 @@
 	return gaps
 }
 
-// observe updates the job's state by one line.
+// observe updates the runs in flight and the waiting reason from one line.
 func (s *spanAccumulator) observe(l *Line) {
 	switch l.Event {
 	case "run_started":
@@ -351,7 +356,7 @@
 	return max(to.Sub(from), 0)
 }
 
-// activity returns the present activity of the job.
+// activity returns the activity of the job after the lines observed so far.
 func (s *spanAccumulator) activity() string {
 	for run := range s.running {
 		if s.outcomes[run] == "done" {
--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -13,7 +13,8 @@
 	// lines maps a path with element numbers, such as "a[2].b", to its first line.
 	lines map[string]int
 	// byKey maps a path without element numbers to all its lines.
-	byKey    map[string][]int
+	byKey map[string][]int
+	// elements counts the elements of each array of tables.
 	elements map[string]int
 }
 
