--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -19,7 +19,7 @@
 	return Event{Timestamp: hlc.Timestamp{Wall: wall, Logical: logical}, Instance: instance, Kind: kind, Subjects: subjects}
 }
 
-func TestRing(t *testing.T) {
+func TestRingKeepsNewestEvents(t *testing.T) {
 	r := NewRing(3)
 	for i := range int64(5) {
 		r.Append(eventAt(i, 0, "a", "k", fmt.Sprint(i%2)))
@@ -77,7 +77,7 @@
 // A process dies while it writes an event and leaves a truncated last line. After
 // the restart the earlier events must load, the truncated line must be skipped, and
 // the next event must begin on a line of its own.
-func TestFileSkipsPartialLineAfterCrash(t *testing.T) {
+func TestFileSkipsTruncatedLineAfterCrash(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "events")
 	f, err := OpenFile(path, 0)
 	must.NoError(t, err)
--- a/internal/event/recorder.go
+++ b/internal/event/recorder.go
@@ -72,12 +72,12 @@
 // timestamped. Every replica records a committed change with its proposer's name
 // and timestamp. The event thus survives the loss of the proposer, and Merge
 // recognises the duplicates.
-func (r *Recorder) RecordAt(stamp hlc.Timestamp, instance, kind, detail string, subjects ...string) {
+func (r *Recorder) RecordAt(timestamp hlc.Timestamp, instance, kind, detail string, subjects ...string) {
 	if r == nil {
 		return
 	}
 	e := Event{
-		Timestamp:  stamp,
+		Timestamp:  timestamp,
 		Instance:   instance,
 		DataCentre: r.config.DataCentre,
 		Kind:       truncate(kind, maxSubjectBytes),
