--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -37,7 +37,7 @@
 // within strings and comments must be accepted.
 func TestExcessiveNestingIsRejected(t *testing.T) {
 	const n = 30_000
-	refused := map[string]string{
+	rejected := map[string]string{
 		"dots":      "a" + strings.Repeat(".a", n) + "=1",
 		"spaced":    "a" + strings.Repeat(" . a", n) + "=1",
 		"quoted":    "a" + strings.Repeat(".\"a\"", n) + "=1",
@@ -50,7 +50,7 @@
 		"digits":    "x = " + strings.Repeat("1", n),
 		"key":       strings.Repeat("k", n) + " = 1",
 	}
-	for name, text := range refused {
+	for name, text := range rejected {
 		t.Run(name, func(t *testing.T) {
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
