--- a/internal/units/units_test.go
+++ b/internal/units/units_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestSizes(t *testing.T) {
+func TestParseAndFormatSize(t *testing.T) {
 	for text, want := range map[string]int64{"0B": 0, "1B": 1, "64KiB": 64 * KiB, "3MiB": 3 * MiB, "4GiB": 4 * GiB, "2TiB": 2 * TiB} {
 		got, err := ParseSize(text)
 		must.NoError(t, err)
@@ -24,7 +24,7 @@
 	must.Error(t, err)
 }
 
-func TestCores(t *testing.T) {
+func TestParseAndFormatCores(t *testing.T) {
 	for text, want := range map[string]int64{"0": 0, "2": 2000, "0.5": 500, "1.025": 1025, "0.500000": 500} {
 		got, err := ParseCores(text)
 		must.NoError(t, err)
@@ -39,7 +39,7 @@
 	must.Eq(t, "-1.5", FormatCores(-1500))
 }
 
-func TestDurations(t *testing.T) {
+func TestParseDuration(t *testing.T) {
 	for _, text := range []string{"", "50", "-1s", "1 s", "1d", "99999999999h"} {
 		_, err := ParseDuration(text)
 		must.Error(t, err)
