--- a/internal/cli/change.go
+++ b/internal/cli/change.go
@@ -103,18 +103,18 @@
 }
 
 func showCancelled(out io.Writer, answer *apiv1.CancelResponse, dryRun bool) {
-	what := "cancelled"
-	jobs := "jobs"
+	outcome := "cancelled"
+	noun := "jobs"
 	if len(answer.GetIds()) == 1 {
-		jobs = "job"
+		noun = "job"
 	}
 	if dryRun {
-		what = "would be cancelled"
+		outcome = "would be cancelled"
 	}
 	for _, id := range answer.GetIds() {
 		fmt.Fprintln(out, oneLine(id))
 	}
-	fmt.Fprintf(out, "%d %s %s\n", len(answer.GetIds()), jobs, what)
+	fmt.Fprintf(out, "%d %s %s\n", len(answer.GetIds()), noun, outcome)
 }
 
 func scaleCommand() *command {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -149,7 +149,7 @@
 // instance, or the job runs twice.
 func TestLostAnswerIsResentWithTheSameID(t *testing.T) {
 	var sent []*apiv1.SubmitRequest
-	dying := (&fakeEntry{submit: func(q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
+	crashing := (&fakeEntry{submit: func(q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
 		sent = append(sent, q)
 		panic(http.ErrAbortHandler)
 	}}).start(t)
@@ -157,7 +157,7 @@
 		sent = append(sent, q)
 		return &apiv1.SubmitResponse{Id: "dc-1", DataCentre: "dc", State: apiv1.JobState_JOB_STATE_QUEUED}, nil
 	}}).start(t)
-	r := newRunner(t, dying, next)
+	r := newRunner(t, crashing, next)
 	got := r.run("submit", r.write(t, "job.toml", validJob))
 	must.Eq(t, 0, got.code)
 	must.Eq(t, "dc-1 a in dc: queued\n", got.out)
@@ -173,11 +173,11 @@
 // run.
 func TestUnknownOutcomeOfSubmitExplainsResend(t *testing.T) {
 	var id string
-	dying := (&fakeEntry{submit: func(q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
+	crashing := (&fakeEntry{submit: func(q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
 		id = q.GetRequestId()
 		panic(http.ErrAbortHandler)
 	}}).start(t)
-	r := newRunner(t, dying)
+	r := newRunner(t, crashing)
 	got := r.run("submit", r.write(t, "job.toml", validJob))
 	must.Eq(t, fault.Unavailable.ExitCode(), got.code)
 	must.StrContains(t, got.err, "--home hall --request-id "+id+" --deadline 2")
@@ -223,7 +223,7 @@
 	f := (&fakeEntry{}).start(t)
 	r := newRunner(t, f)
 	good := r.write(t, "good.toml", validJob)
-	half := r.write(t, "half.toml", validJob[:len(validJob)-9])
+	truncated := r.write(t, "half.toml", validJob[:len(validJob)-9])
 	conf := r.write(t, "conf.toml", "[[customer]]\nname = \"a\"\n")
 	versioned := r.write(t, "versioned.toml", "# version 4\n")
 	huge := r.write(t, "huge.toml", strings.Repeat("#", maxJobFileBytes+1))
@@ -233,8 +233,8 @@
 		{}, {"nonsense"}, {"--nonsense"}, {"help", "nonsense"}, {"status", "--nonsense"}, {"status", "--limit"}, {"status", "--limit", "x"},
 		{"status", "--limit", "0"}, {"status", "--limit=1", "--limit=1"}, {"status", "a", "a"}, {"status", ""}, {"status", long}, {"status", "a\nb"}, {"status", "\xff"},
 		{"status", "--timeout", "0s"}, {"status", "--timeout", "5"}, {"status", "--entry", "localhost:1"}, {"status", "--entry", ","},
-		{"status", "--entry", "127.0.0.1:1,127.0.0.1:1"}, {"status", "--token-file", empty}, {"status", "--token-file", r.folder}, {"status", "--settings", half},
-		{"submit"}, {"submit", "absent.toml"}, {"submit", r.folder}, {"submit", half}, {"submit", good, half}, {"submit", good, good}, {"submit", huge}, {"submit", "-"},
+		{"status", "--entry", "127.0.0.1:1,127.0.0.1:1"}, {"status", "--token-file", empty}, {"status", "--token-file", r.folder}, {"status", "--settings", truncated},
+		{"submit"}, {"submit", "absent.toml"}, {"submit", r.folder}, {"submit", truncated}, {"submit", good, truncated}, {"submit", good, good}, {"submit", huge}, {"submit", "-"},
 		{"submit", "--deadline", "-1s", good}, {"submit", "--deadline", "2001-01-01T00:00:00Z", good}, {"submit", "--request-id", "a b", good},
 		{"watch"}, {"watch", "a", "b"}, {"explain"}, {"explain", "--", "--x", "y"},
 		{"cancel"}, {"cancel", "--all", "a"}, {"cancel", "--all", "--name", "a"}, {"cancel", "--name", "", "--dry-run"}, {"cancel", ""}, {"cancel", "a", "a"},
@@ -243,7 +243,7 @@
 		{"config", "set", versioned, "--expect", "5"}, {"config", "set", conf, "--expect", "-2"}, {"config", "history", "--limit", "-1"},
 		{"quota", "x"}, {"workers", "x"}, {"instances", "x"}, {"version", "x"}, {"completion"}, {"completion", "fish"},
 		{"timeline", "--job", "a", "--worker", "b"}, {"timeline", "--since", "-1s"}, {"timeline", "--since", "10"}, {"timeline", "x"},
-		{"check-settings"}, {"check-settings", "absent"}, {"check-settings", half}, {"check-settings", good, good},
+		{"check-settings"}, {"check-settings", "absent"}, {"check-settings", truncated}, {"check-settings", good, good},
 		{"replace-instance", "--data-centre", "d", "a", "b"}, {"replace-instance", "a", "b", "10.0.0.1:1"}, {"replace-instance", "--data-centre", "d", "a", "a", "10.0.0.1:1"},
 		{"replace-instance", "--data-centre", "d", "a", "b", "host:1"}, {"replace-instance", "--data-centre", "d", "a", "b", "0.0.0.0:1"},
 	}
@@ -357,7 +357,7 @@
 	must.StrContains(t, got.err, "the current version is 8")
 }
 
-func TestTimeline(t *testing.T) {
+func TestTimelineSortsAndDeduplicatesEvents(t *testing.T) {
 	f := (&fakeEntry{events: &apiv1.EventsResponse{
 		Events:               []*apiv1.Event{{WallMs: 2, Instance: "b", Kind: "second"}, {WallMs: 1, Instance: "a", Kind: "first"}, {WallMs: 2, Instance: "b", Kind: "second"}},
 		UnreachableInstances: []string{"c"},
@@ -376,9 +376,9 @@
 	pipe := filepath.Join(r.folder, "pipe") // represents a device such as /dev/null
 	must.NoError(t, syscall.Mkfifo(pipe, 0o600))
 	must.Eq(t, fault.Invalid.ExitCode(), r.run("timeline", "--html", pipe).code)
-	left, err := filepath.Glob(filepath.Join(r.folder, ".bilberry-*"))
+	leftovers, err := filepath.Glob(filepath.Join(r.folder, ".bilberry-*"))
 	must.NoError(t, err)
-	must.SliceEmpty(t, left)
+	must.SliceEmpty(t, leftovers)
 }
 
 // Authors of scripts rely on the command line's page, so it must list every exit code
--- a/internal/cli/errors.go
+++ b/internal/cli/errors.go
@@ -111,11 +111,11 @@
 	fmt.Fprintf(s.app.Stderr, "%s: warning: %s\n", programName, oneLine(fmt.Sprintf(format, args...)))
 }
 
-// warnUnreachable warns about the data centres or instances, as what calls them,
+// warnUnreachable warns about the data centres or instances, as kind calls them,
 // that are missing from an answer.
-func (s *session) warnUnreachable(what string, names []string) {
+func (s *session) warnUnreachable(kind string, names []string) {
 	if len(names) > 0 {
-		s.warn("%s not reached, the answer leaves them out: %s", what, strings.Join(names, ", "))
+		s.warn("%s not reached, the answer leaves them out: %s", kind, strings.Join(names, ", "))
 	}
 }
 
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -235,9 +235,9 @@
 	if !s.app.Terminal || all <= 0 || job.GetTasksEnded() < 0 {
 		return formatProgress(job)
 	}
-	full := int(int64(job.GetTasksEnded()) * barWidth / int64(all))
-	full = max(0, min(barWidth, full))
-	return "[" + strings.Repeat("#", full) + strings.Repeat(".", barWidth-full) + "] " + formatProgress(job)
+	filled := int(int64(job.GetTasksEnded()) * barWidth / int64(all))
+	filled = max(0, min(barWidth, filled))
+	return "[" + strings.Repeat("#", filled) + strings.Repeat(".", barWidth-filled) + "] " + formatProgress(job)
 }
 
 func hasEnded(state apiv1.JobState) bool {
--- a/internal/cli/workflow.go
+++ b/internal/cli/workflow.go
@@ -114,11 +114,11 @@
 }
 
 func showSubmitted(out io.Writer, request *apiv1.SubmitWorkflowRequest, answer *apiv1.SubmitWorkflowResponse) {
-	what := "accepted"
+	outcome := "accepted"
 	if answer.GetKnown() {
-		what = "was accepted before"
+		outcome = "was accepted before"
 	}
-	fmt.Fprintln(out, oneLine(fmt.Sprintf("%s in %s: %s", request.GetId(), request.GetQueue(), what)))
+	fmt.Fprintln(out, oneLine(fmt.Sprintf("%s in %s: %s", request.GetId(), request.GetQueue(), outcome)))
 }
 
 func (s *session) workflowStatus(ctx context.Context, ref *apiv1.WorkflowRef) error {
@@ -297,11 +297,11 @@
 		return err
 	}
 	return s.show(status, func(out io.Writer) {
-		what := "active"
+		state := "active"
 		if status.GetDone() {
-			what = "done"
+			state = "done"
 		}
-		fmt.Fprintf(out, "wave %d: %s\n", status.GetId(), what)
+		fmt.Fprintf(out, "wave %d: %s\n", status.GetId(), state)
 		t := newTable("MACHINE", "UPKEEP")
 		for _, m := range status.GetMachines() {
 			t.add(textCell("%s", m.GetMachine()), textCell("%s", m.GetStage()))
