--- a/internal/cli/operations.go
+++ b/internal/cli/operations.go
@@ -177,12 +177,12 @@
 	var disk bool
 	return &command{
 		name:        "replace-instance",
-		synopsis:    "Replace a voter of a data centre's log by a new instance",
+		synopsis:    "Replace a voter of a data centre's log with a new instance",
 		usage:       "--data-centre name [--disk] old new address",
 		description: "Start the new instance first. The change is refused when it would leave the data\ncentre without a majority.",
 		example:     "bilberry replace-instance --data-centre naas-hall --disk naas-2 naas-4 10.0.1.4:7402",
 		flags: func(f *flag.FlagSet) {
-			f.StringVar(&dataCentre, "data-centre", "", "`name` of the data centre (needed)")
+			f.StringVar(&dataCentre, "data-centre", "", "`name` of the data centre (required)")
 			f.BoolVar(&disk, "disk", false, "the new instance keeps its log on disk")
 			requestIDFlag(f, &id)
 		},
--- a/internal/event/html.go
+++ b/internal/event/html.go
@@ -65,6 +65,7 @@
 	// maxLanesWidth is the width in pixels that the lanes share. Lanes of minLaneWidth
 	// may exceed it together.
 	maxLanesWidth = 336
+	// minLaneWidth and maxLaneWidth bound the width of one lane in pixels.
 	minLaneWidth  = 12
 	maxLaneWidth  = 72
 	// minShownGapMs is the shortest time between two events that the page shows, in
