--- a/internal/event/html.go
+++ b/internal/event/html.go
@@ -66,8 +66,8 @@
 	// may exceed it together.
 	maxLanesWidth = 336
 	// minLaneWidth and maxLaneWidth bound the width of one lane in pixels.
-	minLaneWidth  = 12
-	maxLaneWidth  = 72
+	minLaneWidth = 12
+	maxLaneWidth = 72
 	// minShownGapMs is the shortest time between two events that the page shows, in
 	// milliseconds.
 	minShownGapMs = 250
