--- a/internal/e2e/bench_test.go
+++ b/internal/e2e/bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// BenchmarkUrgentStartAfterLeaderLoss measures how long an urgent job waits,
-// from its submission to its start on a worker, when the leader of the data
-// centre was killed the moment before.
+// BenchmarkUrgentStartAfterLeaderLoss measures the time from the submission of an
+// urgent job to its start on a worker, when the leader of the data centre was
+// killed immediately before the submission.
 func BenchmarkUrgentStartAfterLeaderLoss(b *testing.B) {
 	c := newCluster(b, "rackwise", oneDataCentre)
 	c.workers(6)
@@ -36,8 +36,8 @@
 	b.ReportMetric(float64(waits.Max()), "max-ms")
 }
 
-// BenchmarkSubmitToStart measures the wait of a small job on an idle data
-// centre, from its submission to its start on a worker.
+// BenchmarkSubmitToStart measures the time from the submission of a small job to its
+// start on a worker in an idle data centre.
 func BenchmarkSubmitToStart(b *testing.B) {
 	c := newCluster(b, "rackwise", oneDataCentre)
 	c.workers(6)
@@ -61,9 +61,8 @@
 }
 
 // BenchmarkConfigurationPropagation measures the time from the acceptance of a
-// configuration until every process of three data centres applies it. Versions
-// are asked for again and again, so the figure has the time of one round of
-// questions in it.
+// configuration until every process of three data centres applies it. The versions
+// are polled, so the result includes the duration of one poll of all processes.
 func BenchmarkConfigurationPropagation(b *testing.B) {
 	c := newCluster(b, "rackwise", nil)
 	ctx, operations := c.operatorClients()
--- a/internal/e2e/chaos_test.go
+++ b/internal/e2e/chaos_test.go
@@ -18,16 +18,20 @@
 	"github.com/bilberryferry/bilberryferry/internal/standin"
 )
 
-// Length and seed of the random faults; the environment makes longer runs.
+// Environment variables for the duration and seed of the random faults, and their
+// defaults.
 const (
 	chaosSecondsVariable = "BILBERRY_CHAOS_SECONDS"
 	chaosSeedVariable    = "BILBERRY_CHAOS_SEED"
 	chaosSeconds         = 20
 	chaosSeed            = 1
-	chaosJobsPerSecond   = 8.0
+	// chaosJobsPerSecond is the rate of job submissions while faults occur.
+	chaosJobsPerSecond = 8.0
 )
 
-// chaos makes random faults, one after the other and some at a time.
+// faultInjector injects random faults one after the other; several may be present at
+// a time. The keys of down and paused are process names such as naas-1/cell, those
+// of partitioned are data centres.
 type faultInjector struct {
 	cluster     *cluster
 	random      *rand.Rand
@@ -43,10 +47,10 @@
 	return all[f.random.IntN(len(all))]
 }
 
-// step makes one fault, or mends one. Of one data centre's control processes
-// at most one is down, paused or still without the memory that it lost at a time:
-// when all of them lose their memory, one after the other before the first has
-// recovered, and the disk is among them, more is lost than the system bears.
+// injectOrEndFault injects or ends one random fault. In each data centre at most one
+// control process at a time is down, paused or recovering its state. If all of them,
+// the one with the disk included, lost their memory before the first had recovered,
+// the data centre would lose more state than the system tolerates.
 func (f *faultInjector) injectOrEndFault() {
 	instance := f.randomInstance()
 	cell, entry := instance.ID+"/cell", instance.ID+"/entry"
@@ -73,6 +77,7 @@
 	}
 }
 
+// hasFault reports whether a process of a data centre is down, paused or recovering.
 func (f *faultInjector) hasFault(dataCentre string) bool {
 	for _, instance := range f.cluster.deployment.Settings.InDataCentre(dataCentre) {
 		for _, role := range []string{"/cell", "/entry"} {
@@ -112,11 +117,11 @@
 	f.partitioned[dataCentre] = !f.partitioned[dataCentre]
 	f.cluster.network.setPartitioned(dataCentre, f.partitioned[dataCentre])
 	if f.partitioned[dataCentre] {
-		f.faultCounts["data centre cut off"]++
+		f.faultCounts["data centre partitioned"]++
 	}
 }
 
-// mend ends every fault.
+// endAll ends every fault.
 func (f *faultInjector) endAll() {
 	for dataCentre, isPartitioned := range f.partitioned {
 		if isPartitioned {
@@ -138,8 +143,8 @@
 	}
 }
 
-// recovered reports whether every control process of a data centre holds what is
-// committed. While one of them is away, the answer is no.
+// recovered reports whether every control process of a data centre is reachable and
+// has recovered, one of them leads, and their commit indexes are close together.
 func (c *cluster) recovered(dataCentre string) bool {
 	ctx, _ := c.operatorClients()
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
@@ -168,6 +173,8 @@
 	return hasLeader && highest-lowest < 100
 }
 
+// environmentInt returns an environment variable as an integer, or fallback if it is
+// unset or not a number.
 func environmentInt(name string, fallback int) int {
 	if value, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return value
@@ -175,12 +182,11 @@
 	return fallback
 }
 
-// What a user sees: whatever fails, alone, together and twice, nothing runs
-// twice, no answer is wrong, and every accepted piece of work gets one end.
-// Order: random, by a seed: control processes killed, paused and restarted,
-// data centres cut off and healed, workers paused and restarted, while jobs and
-// requests go on; then all is mended and the ends are read.
-// Cause: everything that the system is built to bear.
+// TestRandomFaults guards against tasks that run twice, wrong responses and jobs
+// without exactly one outcome under combined faults. Control processes are killed,
+// paused and restarted, data centres are partitioned, and workers are paused and
+// restarted, in a random order given by the seed, while jobs and requests continue.
+// The outcomes are checked after every fault has ended.
 func TestRandomFaults(t *testing.T) {
 	seed := uint64(environmentInt(chaosSeedVariable, chaosSeed))
 	length := time.Duration(environmentInt(chaosSecondsVariable, chaosSeconds)) * time.Second
@@ -220,13 +226,14 @@
 		if !result.Accepted() || !result.MissedDeadline() {
 			continue
 		}
-		// A worker that was lost takes the fate of non-idempotent work with it.
+		// If a worker is lost, the outcome of its non-idempotent runs is unknown.
 		must.Eq(t, apiv1.JobState_JOB_STATE_UNKNOWN, result.State, must.Sprintf("%+v", result))
 	}
 	c.checkNoViolations()
 }
 
-// chaosJobs are the kinds of jobs that random faults are made under.
+// chaosJobs returns the job templates of TestRandomFaults: batch jobs and gangs, both
+// idempotent and not.
 func chaosJobs() []standin.Arrival {
 	var templates []standin.Arrival
 	for i, policy := range []apiv1.Policy{apiv1.Policy_POLICY_BATCH, apiv1.Policy_POLICY_BATCH, apiv1.Policy_POLICY_GANG} {
--- a/internal/e2e/customer_test.go
+++ b/internal/e2e/customer_test.go
@@ -13,7 +13,7 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
-// customer is one caller of the system.
+// customerClient calls the system with the token of one customer.
 type customerClient struct {
 	cluster    *cluster
 	ctx        context.Context
@@ -22,6 +22,7 @@
 	client     *http.Client
 }
 
+// customer returns a client of the customer at an index of the settings.
 func (c *cluster) customer(index int) *customerClient {
 	token, err := settings.ReadToken(c.deployment.Settings.Tokens.Customers[index].File)
 	must.NoError(c.t, err)
@@ -34,7 +35,8 @@
 	return cc
 }
 
-// only restricts a customer to the entry instances of one data centre.
+// inDataCentre returns a copy of the client that calls the entry instances of one data
+// centre only.
 func (cc *customerClient) inDataCentre(dataCentre string) *customerClient {
 	restricted := *cc
 	restricted.schedulers = nil
@@ -44,7 +46,8 @@
 	return &restricted
 }
 
-// operator returns calls on every entry instance with the operator's token.
+// operatorClients returns a context with the operator's token and one client for each
+// entry instance.
 func (c *cluster) operatorClients() (context.Context, []apiv1.Operations) {
 	ctx, err := rpc.WithBearer(c.ctx, "Bearer "+c.deployment.Tokens.Token(settings.Operator))
 	must.NoError(c.t, err)
@@ -56,7 +59,7 @@
 	return ctx, operations
 }
 
-// served waits until every entry instance carries requests to a service.
+// awaitService waits until every entry instance forwards requests to a service.
 func (cc *customerClient) awaitService(service string) {
 	cc.cluster.t.Helper()
 	for _, address := range cc.cluster.deployment.Entries() {
@@ -74,10 +77,11 @@
 	}
 }
 
-// tick is the pace at which lines fail and heal in a test.
+// partitionTick fires after the interval at which a test cuts and restores network links.
 func (c *cluster) partitionTick() <-chan time.Time { return time.After(150 * time.Millisecond) }
 
-// home asks for the data centre that is to answer for a request id.
+// requestHome returns the data centre that stores the request id of a submission: that
+// of the spec, or the one that an entry instance names.
 func (cc *customerClient) requestHome(spec *apiv1.Spec) string {
 	cc.cluster.t.Helper()
 	if spec.DataCentre != "" {
@@ -96,7 +100,8 @@
 	return home
 }
 
-// trySubmit sends a job until it is accepted or refused.
+// trySubmit retries a submission over all entry instances until it is accepted or
+// refused. It returns the refusal.
 func (cc *customerClient) trySubmit(requestID string, spec *apiv1.Spec) (*apiv1.SubmitResponse, error) {
 	cc.cluster.t.Helper()
 	var answer *apiv1.SubmitResponse
@@ -114,8 +119,8 @@
 	return answer, err
 }
 
-// submit sends a job, again and again with the same request id until it is
-// answered, as callers are told to, over all entry instances in turn.
+// submit retries a submission with the same request id over all entry instances until
+// it is accepted, as callers are told to.
 func (cc *customerClient) submit(requestID string, spec *apiv1.Spec) *apiv1.SubmitResponse {
 	cc.cluster.t.Helper()
 	var answer *apiv1.SubmitResponse
@@ -133,7 +138,7 @@
 	return answer
 }
 
-// status asks until some entry instance answers.
+// status returns the status of a job. It retries over all entry instances.
 func (cc *customerClient) status(id string) *apiv1.Job {
 	cc.cluster.t.Helper()
 	var job *apiv1.Job
@@ -152,7 +157,7 @@
 	return job
 }
 
-// await waits until a job has ended.
+// awaitEnd waits until a job has ended and returns its final status.
 func (cc *customerClient) awaitEnd(id string) *apiv1.Job {
 	cc.cluster.t.Helper()
 	var job *apiv1.Job
@@ -163,7 +168,9 @@
 	return job
 }
 
-// batch is a job of tasks that each take some milliseconds.
+// batch returns the spec of a batch job whose tasks declare a run time in milliseconds.
+// The payload of a non-idempotent job tells the stand-ins' ledger so, which then
+// records a second start as a violation.
 func batch(name string, tasks int, milliseconds int64, idempotent bool) *apiv1.Spec {
 	spec := &apiv1.Spec{
 		Name: name, Policy: apiv1.Policy_POLICY_BATCH, Tasks: int32(tasks), Idempotent: idempotent,
--- a/internal/e2e/cut_test.go
+++ b/internal/e2e/cut_test.go
@@ -14,12 +14,10 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
-// What a user sees: a hall that is cut off from the others goes on accepting
-// and finishing work; an operator there is told at once that configuration
-// can't be written, and the old one stays in force until the line is back.
-// Order: one data centre is cut off; work is submitted on both sides; a
-// configuration is written on each side; the line is healed.
-// Cause: the lines between data centres fail without a word.
+// TestPartitionedDataCentreKeepsWorking guards against a data centre that stops
+// accepting and finishing jobs when the network partitions it from all others. On the
+// partitioned side, writing the configuration must fail with Unavailable, and the old
+// version stays in force until the partition ends.
 func TestPartitionedDataCentreKeepsWorking(t *testing.T) {
 	c := newCluster(t, "rackwise", nil)
 	c.workers(6)
@@ -37,7 +35,7 @@
 	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, partitioned.awaitEnd(partitionedJob.Id).State)
 	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, connected.awaitEnd(connectedJob.Id).State)
 	c.setConfig(ctx, operations[3:], "second", 1, configWithCPULimit(2000))
-	c.eventually("the cut-off side says that it can't write", func() bool {
+	c.eventually("a write on the partitioned side fails with Unavailable", func() bool {
 		_, err := operations[0].SetConfig(ctx, &apiv1.SetConfigRequest{RequestId: "third", ExpectedVersion: 1, Document: configWithCPULimit(3000)})
 		return fault.Is(err, fault.Unavailable)
 	})
@@ -50,11 +48,9 @@
 	c.checkNoViolations()
 }
 
-// What a user sees: a job that its hall can't hold runs in another hall, once,
-// though the line fails while it is handed over.
-// Order: a data centre without workers takes jobs and hands them over, while
-// its lines are cut and healed again and again; then all ends are read.
-// Cause: offers and their answers are lost on the way.
+// TestHandoverRunsOnceDuringNetworkPartitions guards against handed-over jobs that are
+// lost or run twice. A data centre without workers hands over its jobs while its
+// network links fail again and again, so that offers and their responses get lost.
 func TestHandoverRunsOnceDuringNetworkPartitions(t *testing.T) {
 	c := newCluster(t, "rackwise", nil)
 	names := c.deployment.Settings.DataCentres()
@@ -77,7 +73,7 @@
 	for i := range 40 {
 		answer, err := source.trySubmit(fmt.Sprint("handover-", i), batch("reports", 2, 100, false))
 		if err != nil {
-			// Refused as no data centre could be asked: nothing was accepted.
+			// Refused because no other data centre could be reached; the job wasn't accepted.
 			must.False(t, fault.Is(err, fault.Unavailable), must.Sprint(err))
 			continue
 		}
@@ -96,12 +92,11 @@
 	c.checkNoViolations()
 }
 
-// What a user sees: a check-in that was sent again after its answer was lost, and
-// reached another data centre, is the same check-in.
-// Order: a submission is accepted; the same request arrives at entry instances of
-// the other data centres; one without a home is refused before it is stored.
-// Cause: request ids are known in one data centre, and the platform's balancer
-// knows nothing of that.
+// TestResentSubmissionIsDeduplicatedAcrossDataCentres guards against a second job when
+// the response to a submission is lost and the retry reaches another data centre.
+// Request ids are stored in the home data centre only, and the load balancer in front
+// of the entry instances doesn't know it. A non-idempotent submission without a home is
+// refused before it is stored.
 func TestResentSubmissionIsDeduplicatedAcrossDataCentres(t *testing.T) {
 	c := newCluster(t, "rackwise", nil)
 	c.workers(6)
@@ -129,10 +124,9 @@
 	c.checkNoViolations()
 }
 
-// What a user sees: work that was accepted survives a power failure of the hall.
-// Order: long tasks are accepted and run; every control process of the data
-// centre dies at once; all come back, one of them with its disk.
-// Cause: the power of the data centre's control instances fails.
+// TestAcceptedJobsSurviveDataCentrePowerLoss guards against the loss of accepted jobs
+// when all control processes of a data centre are killed at once while tasks run. All
+// of them restart, only one with the data on its disk.
 func TestAcceptedJobsSurviveDataCentrePowerLoss(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
@@ -153,11 +147,9 @@
 	c.checkNoViolations()
 }
 
-// What a user sees: a hall that lost two of its three control instances for good
-// serves again once an operator says so, with the work it had accepted.
-// Order: work is accepted; all control processes die; only the one with the disk
-// comes back, and waits; it is started again with the operator's word.
-// Cause: most of a data centre's control instances are destroyed.
+// TestForcedStartKeepsAcceptedJobs guards against a data centre that can't serve again
+// after two of its three control instances are destroyed. Only the instance with the
+// disk restarts, with --force-start, and must keep the accepted jobs.
 func TestForcedStartKeepsAcceptedJobs(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(4)
@@ -176,11 +168,10 @@
 	c.checkNoViolations()
 }
 
-// What a user sees: of operators who write the same version, one wins and the
-// others are told the current version; a resent write gets its first answer.
-// Order: many operators read a version and write, all at once, over all entry
-// instances; the winner's write is sent again.
-// Cause: operators race each other, and answers get lost.
+// TestConcurrentConfigurationWrites guards against lost updates of the configuration.
+// Several operators write with the same expected version over all entry instances at
+// once: one write succeeds, the others fail with Conflict. A retry of the successful
+// write, as after a lost response, succeeds again and changes nothing.
 func TestConcurrentConfigurationWrites(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	ctx, operations := c.operatorClients()
@@ -217,6 +208,8 @@
 	must.Eq(t, configWithCPULimit(200+winner), current.Document)
 }
 
+// configWithCPULimit returns a configuration document that limits a customer to a number
+// of cores.
 func configWithCPULimit(cores int) string {
 	return fmt.Sprintf(`[[customer]]
 name = "curragh-racking"
@@ -232,7 +225,8 @@
 	return err
 }
 
-// setConfig writes a version, through whichever entry instance reaches the voters.
+// setConfig writes a configuration. It retries over the given entry instances until one
+// reaches the voters.
 func (c *cluster) setConfig(ctx context.Context, operations []apiv1.Operations, requestID string, expectedVersion uint64, document string) {
 	c.t.Helper()
 	i := 0
@@ -244,7 +238,8 @@
 	})
 }
 
-// lowestConfigVersion is the lowest version in force on any process.
+// lowestConfigVersion returns the lowest version in force on any process, or 0 if the
+// status is unavailable.
 func (c *cluster) lowestConfigVersion(ctx context.Context, operations []apiv1.Operations) uint64 {
 	status, err := operations[0].ConfigStatus(ctx, &apiv1.ConfigStatusRequest{})
 	if err != nil {
--- a/internal/e2e/doc.go
+++ b/internal/e2e/doc.go
@@ -1,4 +1,5 @@
-// Package e2e tests the daemons as separate processes over loopback sockets,
-// while some of them are killed, paused and restarted. Stand-ins run inside the
-// test process, and their ledger checks from outside what the system promises.
+// Package e2e tests the daemons as separate processes that talk over loopback
+// sockets, while processes are killed, paused and restarted and network links are
+// cut. Stand-in workers, minions and callers run inside the test process; their
+// ledger records each violation of the system's guarantees.
 package e2e
--- a/internal/e2e/end_test.go
+++ b/internal/e2e/end_test.go
@@ -9,11 +9,9 @@
 	apiv1 "github.com/bilberryferry/bilberryferry/api/v1"
 )
 
-// What a user sees: work that runs far longer than declared gets its final
-// answer when its deadline passes, and its workers are free again.
-// Order: a job is accepted on its declared run time; it runs on; its deadline
-// passes; another job gets the workers.
-// Cause: declared run times are far off.
+// TestJobIsEndedAtItsDeadline guards against tasks that run far longer than declared and
+// occupy their workers past the job's deadline. The job must fail at its deadline, and
+// the next job gets the workers.
 func TestJobIsEndedAtItsDeadline(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(1)
@@ -28,11 +26,9 @@
 	c.checkNoViolations()
 }
 
-// What a user sees: after the leader was lost, one line of events tells what
-// became of a job, in causal order, the start before its loss included.
-// Order: a job starts; the leader is killed; the job ends under the next one;
-// an operator asks for the events of the job.
-// Cause: the instance that recorded the start took its memory with it.
+// TestEventTimelineSurvivesLeaderLoss guards against gaps in the event timeline of a job
+// when the leader that recorded its start is killed with its memory. The timeline must
+// contain the start and the later events of the next leader, in causal order.
 func TestEventTimelineSurvivesLeaderLoss(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(2)
--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -27,14 +27,15 @@
 	"github.com/bilberryferry/bilberryferry/internal/standin"
 )
 
-// patience bounds every wait of these tests. Running out of it is a failure;
-// nothing is asserted about how much of it was used.
+// conditionTimeout bounds every wait for a condition. A timeout fails the test; no test
+// asserts how long a wait takes.
 const conditionTimeout = 30 * time.Second
 
-// raceVariable has the daemons built with the race detector. A race ends up in
-// their logs and in the exit code of a graceful stop.
+// raceVariable is the environment variable that builds the daemons with the race
+// detector. A data race appears in their logs and in the exit code after SIGTERM.
 const raceVariable = "BILBERRY_RACE"
 
+// binaries is the folder of the built daemons.
 var binaries string
 
 func TestMain(m *testing.M) {
@@ -57,7 +58,8 @@
 	os.Exit(code)
 }
 
-// cluster is a deployment of separate processes with stand-ins in this one.
+// cluster is a deployment whose daemons run as separate processes, with stand-ins in the
+// test process.
 type cluster struct {
 	t          testing.TB
 	ctx        context.Context
@@ -65,7 +67,7 @@
 	ledger     *standin.Ledger
 	client     *http.Client
 	network    *network
-	// settings are the files that the processes of each data centre read.
+	// settings holds the path of the settings file by data centre.
 	settings map[string]string
 
 	mu        sync.Mutex
@@ -73,15 +75,15 @@
 	logs      bytes.Buffer
 }
 
-// Ports of the processes lie below the range from which systems take the ports
-// of outgoing connections: while a killed process is away, its port must not be
-// taken by a connection of some other process.
+// Bounds of the daemons' ports. They lie below the ephemeral port range of common
+// systems, so that no outgoing connection of another process takes the port of a
+// killed daemon before it restarts.
 const (
 	lowestPort  = 11_000
 	highestPort = 31_000
 )
 
-// ports are ports that are held until the processes are started.
+// ports reserves free ports by listening on them until the daemons are started.
 type ports struct {
 	t         testing.TB
 	listeners []net.Listener
@@ -89,7 +91,7 @@
 
 func newPorts(t testing.TB) *ports { return &ports{t: t} }
 
-// take holds a port that was free and returns its address.
+// reserve picks a free port, listens on it and returns its address.
 func (p *ports) reserve() string {
 	for range highestPort - lowestPort {
 		address := fmt.Sprintf("127.0.0.1:%d", lowestPort+rand.IntN(highestPort-lowestPort))
@@ -100,17 +102,19 @@
 		p.listeners = append(p.listeners, listener)
 		return address
 	}
-	p.t.Fatal("no port is free")
+	p.t.Fatal("no free port for a daemon")
 	return ""
 }
 
+// release closes the listeners so that the daemons can take the ports.
 func (p *ports) release() {
 	for _, listener := range p.listeners {
 		must.NoError(p.t, listener.Close())
 	}
 }
 
-// newCluster starts one data centre's worth of an example, or all of it.
+// newCluster starts the daemons of an example deployment. modify, if not nil, changes its
+// settings first.
 func newCluster(t testing.TB, example string, modify func(*settings.Settings)) *cluster {
 	ctx, cancel := context.WithCancel(context.Background())
 	deployment, listeners, err := dev.Unpack(example, t.TempDir())
@@ -160,13 +164,14 @@
 	return path
 }
 
-// Write collects the logs of all processes.
+// Write appends to the combined log of all processes.
 func (c *cluster) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.logs.Write(p)
 }
 
+// logTailBytes is the length of the log that a failed test prints.
 const logTailBytes = 200_000
 
 func (c *cluster) logTail() string {
@@ -176,13 +181,14 @@
 	return all[max(0, len(all)-logTailBytes):]
 }
 
-// start runs one process of an instance.
+// start starts the daemon of an instance for a role, "cell" or "entry".
 func (c *cluster) start(instance, role string) {
 	config, err := c.deployment.Settings.Instance(instance)
 	must.NoError(c.t, err)
 	c.startWithSettings(instance, role, c.settings[config.DataCentre])
 }
 
+// startWithSettings starts a daemon with a settings file and further flags.
 func (c *cluster) startWithSettings(instance, role, settingsPath string, flags ...string) {
 	cmd := exec.Command(filepath.Join(binaries, "bilberry-"+role+"d"), append([]string{"--settings", settingsPath, "--instance", instance}, flags...)...)
 	cmd.Stderr = c
@@ -200,18 +206,19 @@
 	must.NoError(c.t, cmd.Process.Signal(signal))
 }
 
-// kill ends a process at once, as kill -9 does.
+// kill sends SIGKILL to a process and waits for its exit.
 func (c *cluster) kill(process string) {
 	c.signal(process, syscall.SIGKILL)
 	_ = c.removeProcess(process).Wait()
 }
 
-// terminate ends a process gracefully and checks that it says so.
+// terminate sends SIGTERM to a process and checks that it exits with code 0.
 func (c *cluster) terminate(process string) {
 	c.signal(process, syscall.SIGTERM)
 	must.NoError(c.t, c.removeProcess(process).Wait(), must.Sprint(process))
 }
 
+// removeProcess removes a process from the running ones and returns it.
 func (c *cluster) removeProcess(process string) *exec.Cmd {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -233,24 +240,25 @@
 	}
 }
 
-// eventually waits for a condition.
+// eventually polls a condition and fails the test after conditionTimeout.
 func (c *cluster) eventually(description string, condition func() bool) {
 	c.t.Helper()
 	deadline := time.Now().Add(conditionTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			c.t.Fatalf("not within %s: %s", conditionTimeout, description)
+			c.t.Fatalf("condition not met within %s: %s", conditionTimeout, description)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// workers runs stand-in workers and waits until each holds a lease.
+// workers runs stand-in workers in all data centres and waits until each holds a lease.
 func (c *cluster) workers(count int) *standin.Workers {
 	return c.workersIn(c.deployment.Settings.DataCentres(), count)
 }
 
-// workersIn runs stand-in workers in some of the data centres.
+// workersIn runs stand-in workers in the given data centres and waits until each holds a
+// lease.
 func (c *cluster) workersIn(dataCentres []string, count int) *standin.Workers {
 	var sites []standin.DataCentre
 	for _, site := range c.deployment.DataCentres() {
@@ -267,23 +275,23 @@
 	return w
 }
 
-// minions runs stand-in minions and waits until they are known.
+// minions runs stand-in minions of a service and waits until each is announced.
 func (c *cluster) minions(count int, service string) *standin.Minions {
 	m := standin.NewMinions(standin.MinionsConfig{
 		DataCentres: c.deployment.DataCentres(), Count: count, Service: service, Token: c.deployment.Tokens.Token(settings.Minion), Ledger: c.ledger,
 	})
 	go func() { _ = m.Run(c.ctx) }()
-	c.eventually("minions are known", func() bool { return m.Ready() == count })
+	c.eventually("minions are announced", func() bool { return m.Ready() == count })
 	return m
 }
 
-// leader names the instance that leads a data centre.
+// leader waits until a data centre has a leader and returns its instance id.
 func (c *cluster) leader(dataCentre string) string {
 	c.t.Helper()
 	ctx, operations := c.operatorClients()
 	var leader string
 	i := 0
-	c.eventually("a leader of "+dataCentre, func() bool {
+	c.eventually("a leader is elected in "+dataCentre, func() bool {
 		answer, err := operations[i%len(operations)].Instances(ctx, &apiv1.InstancesRequest{})
 		i++
 		if err != nil {
@@ -300,7 +308,7 @@
 	return leader
 }
 
-// kept checks that the stand-ins saw no promise broken.
+// checkNoViolations fails the test for each violation in the stand-ins' ledger.
 func (c *cluster) checkNoViolations() {
 	c.t.Helper()
 	for _, violation := range c.ledger.Violations() {
--- a/internal/e2e/input_test.go
+++ b/internal/e2e/input_test.go
@@ -16,8 +16,8 @@
 
 const submitPath = "/twirp/bilberry.v1.Scheduler/Submit"
 
-// What a user sees: bad input gets an error that names what is wrong, nothing
-// is stored, and nobody learns of another customer's work.
+// TestInvalidInputIsRejected guards against invalid requests that are stored or get an
+// unspecific error, and against customers that see or cancel jobs of another customer.
 func TestInvalidInputIsRejected(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(2)
@@ -65,7 +65,7 @@
 	must.Eq(t, http.StatusNotFound, customer.post("/twirp/bilberry.v1.Scheduler/Nothing", nil))
 }
 
-// post sends raw bytes as a call and returns the HTTP status.
+// post sends a raw body to an RPC path and returns the HTTP status.
 func (cc *customerClient) post(path string, body []byte) int {
 	request, err := http.NewRequestWithContext(cc.cluster.ctx, http.MethodPost, "http://"+cc.cluster.deployment.Entries()[0]+path, bytes.NewReader(body))
 	must.NoError(cc.cluster.t, err)
--- a/internal/e2e/leave_test.go
+++ b/internal/e2e/leave_test.go
@@ -11,12 +11,10 @@
 	"github.com/bilberryferry/bilberryferry/internal/standin"
 )
 
-// What a user sees: a minion that says it leaves gets nothing new a few seconds
-// later at any entry instance, and no request fails for it; a worker that is
-// drained gets no new task, and one that leaves takes no work with it.
-// Order: requests load all entry instances while two minions leave; a worker
-// is drained and another leaves while jobs go on.
-// Cause: targets are taken out of service every day.
+// TestLeavingMinionsAndWorkersLoseNoWork guards against requests that fail because a
+// minion leaves, and tasks that are lost or placed wrongly because a worker leaves or is
+// drained. Two minions leave under load at all entry instances, one worker is drained
+// and another leaves.
 func TestLeavingMinionsAndWorkersLoseNoWork(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	workers := c.workers(4)
@@ -45,7 +43,7 @@
 	c.checkNoViolations()
 }
 
-// drain takes the first worker out of placement and returns its id.
+// drainFirstWorker drains the first listed worker and returns its id.
 func (c *cluster) drainFirstWorker() string {
 	ctx, operations := c.operatorClients()
 	ctx, cancel := context.WithTimeout(ctx, conditionTimeout)
--- a/internal/e2e/member_test.go
+++ b/internal/e2e/member_test.go
@@ -12,12 +12,10 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
-// What a user sees: an instance that is lost for good is replaced by a new one
-// while work goes on, and then the next loss does no harm either.
-// Order: an instance dies; an operator starts another with a new name, address
-// and empty memory and gives it the place; a second instance is lost right
-// after the repair; the work that was accepted before and after finishes.
-// Cause: hardware fails for good, twice in a row.
+// TestInstanceReplacedThenAnotherLost guards against a replaced instance that doesn't
+// count toward the quorum. An instance is lost for good, a new one with another name,
+// address and empty memory replaces it, and the leader is killed right afterwards. Jobs
+// accepted before and after must finish.
 func TestInstanceReplacedThenAnotherLost(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
@@ -48,11 +46,9 @@
 	c.checkNoViolations()
 }
 
-// What a user sees: nothing, though control instances without disks die and
-// come back, each having forgotten everything, hundreds of entries behind.
-// Order: a diskless instance dies; hundreds of changes happen; it returns and
-// catches up; the others die one after the other and return as well.
-// Cause: processes restart after many changes have happened without them.
+// TestDisklessInstancesCatchUpAfterRestart guards against lost or repeated tasks when
+// diskless control instances restart with empty memory. Each instance in turn is killed,
+// misses hundreds of log entries, restarts and catches up.
 func TestDisklessInstancesCatchUpAfterRestart(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
@@ -73,7 +69,7 @@
 	c.checkNoViolations()
 }
 
-// caughtUp waits until an instance follows and has committed what the leader has.
+// caughtUp waits until an instance has recovered and reached the highest commit index.
 func (c *cluster) caughtUp(id string) {
 	c.t.Helper()
 	ctx, operations := c.operatorClients()
@@ -93,7 +89,7 @@
 	})
 }
 
-// follower names an instance that doesn't lead its data centre.
+// follower returns an instance that doesn't lead its data centre.
 func (c *cluster) follower(dataCentre string) string {
 	leader := c.leader(dataCentre)
 	for _, instance := range c.deployment.Settings.InDataCentre(dataCentre) {
@@ -104,7 +100,8 @@
 	return ""
 }
 
-// entryIndex is the index of an instance's entry process, or of another's.
+// entryIndex returns the index of an instance's entry address, or of any other entry
+// address if ofInstance is false.
 func (c *cluster) entryIndex(id string, ofInstance bool) int {
 	instance, err := c.deployment.Settings.Instance(id)
 	must.NoError(c.t, err)
@@ -116,7 +113,7 @@
 	return 0
 }
 
-// add starts an instance that the others' settings don't name.
+// startExtraInstance starts an instance that is missing from the settings of the others.
 func (c *cluster) startExtraInstance(added settings.Instance) settings.Instance {
 	ports := newPorts(c.t)
 	added.Entry, added.Cell = ports.reserve(), ports.reserve()
@@ -129,11 +126,9 @@
 	return added
 }
 
-// What a user sees: configuration can be written although voters were lost, one
-// after the other, since the first was replaced in between.
-// Order: a voter of the configuration log is lost for good; an operator gives
-// its places to a new instance; another voter is lost; a version is written.
-// Cause: hardware fails for good, twice in a row.
+// TestConfigurationVoterReplacedThenAnotherLost guards against a replaced voter of the
+// configuration log that doesn't count toward the quorum. A voter is lost for good, a new
+// instance replaces it, another voter is lost, and a version is written.
 func TestConfigurationVoterReplacedThenAnotherLost(t *testing.T) {
 	c := newCluster(t, "rackwise", nil)
 	ctx, operations := c.operatorClients()
@@ -156,7 +151,7 @@
 	c.setConfig(ctx, remaining, "second", 1, configWithCPULimit(200))
 }
 
-// voter names the instance of a data centre that votes on the configuration.
+// configVoter returns the instance of a data centre that votes on the configuration log.
 func (c *cluster) configVoter(dataCentre string) string {
 	for _, instance := range c.deployment.Settings.InDataCentre(dataCentre) {
 		if instance.ConfigVoter {
@@ -166,11 +161,9 @@
 	return ""
 }
 
-// What a user sees: a control instance that restarts without its memory comes
-// back into service although the state of the data centre is large.
-// Order: services with large payloads are accepted; a diskless instance dies
-// and returns; what it is sent is longer than any caller may send.
-// Cause: one limit for the bodies of callers and of peers.
+// TestLargeStateReachesRestartedInstance guards against a restarted diskless instance
+// that never recovers because the state sent to it exceeds the size limit for request
+// bodies of callers. Services with large payloads make the state that large.
 func TestLargeStateReachesRestartedInstance(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(4)
--- a/internal/e2e/network_test.go
+++ b/internal/e2e/network_test.go
@@ -11,15 +11,15 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
-// network lies between data centres: each sees the instances of the others at
-// the addresses of relays, so that a test can cut two data centres apart
-// without a word, as a failed line between them would.
+// network routes the connections between data centres through relays, so that a test can
+// partition a data centre. A partition is silent: no connection is closed or refused.
+// The keys of relays are links, each from one data centre to another.
 type network struct {
 	mu     sync.Mutex
 	relays map[[2]string][]*relay
 }
 
-// relay forwards connections to one instance while its line holds.
+// relay forwards connections to one instance. While blocked, it forwards nothing.
 type relay struct {
 	listener net.Listener
 	target   string
@@ -30,7 +30,8 @@
 	conns   []net.Conn
 }
 
-// between returns the settings as the processes of one data centre see them.
+// settingsSeenFrom returns the settings for the processes of a data centre, with the
+// addresses of all other data centres replaced by those of relays.
 func (n *network) settingsSeenFrom(c *cluster, dataCentre string) *settings.Settings {
 	adjusted := *c.deployment.Settings
 	adjusted.Instances = slices.Clone(adjusted.Instances)
@@ -46,6 +47,7 @@
 	return &adjusted
 }
 
+// relay starts a relay to target on a link and returns its address.
 func (n *network) relay(c *cluster, link [2]string, target string) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(c.t, err)
@@ -59,7 +61,7 @@
 	return listener.Addr().String()
 }
 
-// set cuts a data centre off from all others, or heals the lines.
+// setPartitioned starts or ends the partition of a data centre from all others.
 func (n *network) setPartitioned(dataCentre string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -73,7 +75,8 @@
 	}
 }
 
-// set holds back all bytes, or drops the connections that were held back.
+// setBlocked starts or ends the blocking of all bytes. At the end it closes the
+// connections that were blocked.
 func (r *relay) setBlocked(blocked bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,7 +118,7 @@
 	r.copyBytes(from, to)
 }
 
-// copy forwards bytes one way until a side closes.
+// copyBytes forwards bytes in one direction until either side is closed.
 func (r *relay) copyBytes(to io.Writer, from io.Reader) {
 	buffer := make([]byte, 32<<10)
 	for {
@@ -127,7 +130,7 @@
 	}
 }
 
-// hold waits while the line is cut.
+// waitWhileBlocked returns once the relay isn't blocked.
 func (r *relay) waitWhileBlocked() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/e2e/path_test.go
+++ b/internal/e2e/path_test.go
@@ -12,11 +12,9 @@
 	"github.com/bilberryferry/bilberryferry/internal/standin"
 )
 
-// What a user sees: an inspector's request and a report build go on as if
-// nothing had happened when an entry instance dies in the middle.
-// Order: callers load all entry instances; jobs run; one entry process is
-// killed; callers whose connection broke ask another instance.
-// Cause: the instance fails without a word, with answers under way.
+// TestEntryInstanceKilledUnderLoad guards against wrong, late or unanswered requests and
+// lost jobs when an entry instance is killed with responses in flight. Callers whose
+// connection broke retry at another instance.
 func TestEntryInstanceKilledUnderLoad(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
@@ -46,7 +44,7 @@
 	c.checkNoViolations()
 }
 
-// refusals counts the calls that were told that they had not run.
+// refusedCalls returns the number of calls that were refused without having run.
 func refusedCalls(report standin.CallersReport) int64 {
 	var sum int64
 	for _, count := range report.Refused {
@@ -55,12 +53,9 @@
 	return sum
 }
 
-// What a user sees: a report build that was accepted finishes once although
-// the leader of the data centre dies while its tasks run.
-// Order: jobs are submitted without a pause; the leading process is killed;
-// another one is elected and takes the workers over; submissions whose answer
-// was lost are sent again.
-// Cause: the leader fails with commits and commands under way.
+// TestLeaderKilledUnderLoad guards against lost or repeated tasks when the leader of a
+// data centre is killed with commits and commands in flight. The next leader takes the
+// workers over, and submissions whose response was lost are retried.
 func TestLeaderKilledUnderLoad(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
@@ -79,10 +74,9 @@
 	c.checkNoViolations()
 }
 
-// What a user sees: nothing runs twice when a control instance freezes.
-// Order: the leader is stopped by a signal for longer than its lease; another
-// is elected and goes on; the old one is resumed and finds itself deposed.
-// Cause: a paused process doesn't know that time has passed.
+// TestLeaderPausedPastItsLease guards against tasks that run twice when a leader is
+// stopped by a signal for longer than its lease. It resumes without knowing that time
+// has passed and that another leader was elected.
 func TestLeaderPausedPastItsLease(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
@@ -101,10 +95,9 @@
 	c.checkNoViolations()
 }
 
-// What a user sees: a release of the system goes by unnoticed.
-// Order: every process is told to stop and started again, one after the other,
-// while jobs and requests go on.
-// Cause: an operator rolls out a new version.
+// TestRollingRestartUnderLoad guards against broken connections, wrong responses and
+// lost jobs while an operator rolls out a new version: every process is terminated and
+// restarted, one after the other, under load.
 func TestRollingRestartUnderLoad(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
@@ -136,11 +129,10 @@
 	c.checkNoViolations()
 }
 
-// What a user sees: an accepted job that shows as running for ever.
-// Order: the leader loses touch with its followers for less than their election
-// timeout, again and again, and goes on leading in the same term; then jobs are
-// submitted.
-// Cause: commands numbered anew within a term, which workers take for repeats.
+// TestCommandsRunAfterBriefFollowerPauses guards against accepted jobs that show as
+// running for ever. A leader loses contact with its followers again and again for less
+// than their election timeout and keeps its term. If it restarts the numbering of its
+// commands within the term, workers discard the new commands as duplicates.
 func TestCommandsRunAfterBriefFollowerPauses(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(2)
