--- a/internal/e2e/bench_test.go
+++ b/internal/e2e/bench_test.go
@@ -66,15 +66,15 @@
 func BenchmarkConfigurationPropagation(b *testing.B) {
 	c := newCluster(b, "rackwise", nil)
 	ctx, operations := c.operatorClients()
-	times := hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
+	delays := hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
 	version := uint64(0)
 	for b.Loop() {
 		c.setConfig(ctx, operations, fmt.Sprint("change-", version), version, configWithCPULimit(100+int(version)))
 		accepted := time.Now()
 		version++
 		c.eventually("the version is in force everywhere", func() bool { return c.lowestConfigVersion(ctx, operations) == version })
-		_ = times.RecordValue(time.Since(accepted).Milliseconds())
+		_ = delays.RecordValue(time.Since(accepted).Milliseconds())
 	}
-	b.ReportMetric(float64(times.ValueAtQuantile(50)), "p50-ms")
-	b.ReportMetric(float64(times.Max()), "max-ms")
+	b.ReportMetric(float64(delays.ValueAtQuantile(50)), "p50-ms")
+	b.ReportMetric(float64(delays.Max()), "max-ms")
 }
--- a/internal/e2e/chaos_test.go
+++ b/internal/e2e/chaos_test.go
@@ -175,8 +175,8 @@
 
 // environmentInt returns an environment variable as an integer, or fallback if it is
 // unset or not a number.
-func environmentInt(name string, fallback int) int {
-	if value, err := strconv.Atoi(os.Getenv(name)); err == nil {
+func environmentInt(variable string, fallback int) int {
+	if value, err := strconv.Atoi(os.Getenv(variable)); err == nil {
 		return value
 	}
 	return fallback
--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -35,15 +35,15 @@
 // detector. A data race appears in their logs and in the exit code after SIGTERM.
 const raceVariable = "BILBERRY_RACE"
 
-// binaries is the folder of the built daemons.
-var binaries string
+// binaryFolder is the folder of the built daemons.
+var binaryFolder string
 
 func TestMain(m *testing.M) {
 	folder, err := os.MkdirTemp("", "bilberry-e2e-")
 	if err != nil {
 		panic(err)
 	}
-	binaries = folder
+	binaryFolder = folder
 	arguments := []string{"build", "-o", folder}
 	if os.Getenv(raceVariable) != "" {
 		arguments = append(arguments, "-race")
@@ -190,7 +190,7 @@
 
 // startWithSettings starts a daemon with a settings file and further flags.
 func (c *cluster) startWithSettings(instance, role, settingsPath string, flags ...string) {
-	cmd := exec.Command(filepath.Join(binaries, "bilberry-"+role+"d"), append([]string{"--settings", settingsPath, "--instance", instance}, flags...)...)
+	cmd := exec.Command(filepath.Join(binaryFolder, "bilberry-"+role+"d"), append([]string{"--settings", settingsPath, "--instance", instance}, flags...)...)
 	cmd.Stderr = c
 	must.NoError(c.t, cmd.Start())
 	c.mu.Lock()
@@ -260,29 +260,29 @@
 // workersIn runs stand-in workers in the given data centres and waits until each holds a
 // lease.
 func (c *cluster) workersIn(dataCentres []string, count int) *standin.Workers {
-	var sites []standin.DataCentre
-	for _, site := range c.deployment.DataCentres() {
-		if slices.Contains(dataCentres, site.Name) {
-			sites = append(sites, site)
+	var selected []standin.DataCentre
+	for _, dataCentre := range c.deployment.DataCentres() {
+		if slices.Contains(dataCentres, dataCentre.Name) {
+			selected = append(selected, dataCentre)
 		}
 	}
-	w := standin.NewWorkers(standin.WorkersConfig{
-		DataCentres: sites, Count: count, PerRack: 4, Capacity: &apiv1.Resources{CpuMilli: 8000, MemoryMib: 32 << 10},
+	workers := standin.NewWorkers(standin.WorkersConfig{
+		DataCentres: selected, Count: count, PerRack: 4, Capacity: &apiv1.Resources{CpuMilli: 8000, MemoryMib: 32 << 10},
 		Token: c.deployment.Tokens.Token(settings.Worker), Ledger: c.ledger, Seed: 1,
 	})
-	go func() { _ = w.Run(c.ctx) }()
-	c.eventually("workers hold leases", func() bool { return w.Ready() == count })
-	return w
+	go func() { _ = workers.Run(c.ctx) }()
+	c.eventually("workers hold leases", func() bool { return workers.Ready() == count })
+	return workers
 }
 
 // minions runs stand-in minions of a service and waits until each is announced.
 func (c *cluster) minions(count int, service string) *standin.Minions {
-	m := standin.NewMinions(standin.MinionsConfig{
+	minions := standin.NewMinions(standin.MinionsConfig{
 		DataCentres: c.deployment.DataCentres(), Count: count, Service: service, Token: c.deployment.Tokens.Token(settings.Minion), Ledger: c.ledger,
 	})
-	go func() { _ = m.Run(c.ctx) }()
-	c.eventually("minions are announced", func() bool { return m.Ready() == count })
-	return m
+	go func() { _ = minions.Run(c.ctx) }()
+	c.eventually("minions are announced", func() bool { return minions.Ready() == count })
+	return minions
 }
 
 // leader waits until a data centre has a leader and returns its instance id.
--- a/internal/e2e/member_test.go
+++ b/internal/e2e/membership_test.go
@@ -133,13 +133,13 @@
 	c := newCluster(t, "rackwise", nil)
 	ctx, operations := c.operatorClients()
 	c.setConfig(ctx, operations, "first", 0, configWithCPULimit(100))
-	names := c.deployment.Settings.DataCentres()
-	lost := c.configVoter(names[0])
+	dataCentres := c.deployment.Settings.DataCentres()
+	lost := c.configVoter(dataCentres[0])
 	c.kill(lost + "/cell")
 	c.kill(lost + "/entry")
-	added := c.startExtraInstance(settings.Instance{ID: "spare-1", DataCentre: names[0], ConfigVoter: true})
+	added := c.startExtraInstance(settings.Instance{ID: "spare-1", DataCentre: dataCentres[0], ConfigVoter: true})
 	request := &apiv1.ReplaceInstanceRequest{
-		RequestId: "replace", DataCentre: names[0], OldInstance: lost, NewInstance: added.ID, NewAddress: added.Cell,
+		RequestId: "replace", DataCentre: dataCentres[0], OldInstance: lost, NewInstance: added.ID, NewAddress: added.Cell,
 	}
 	remaining := operations[c.entryIndex(lost, false):]
 	c.eventually("the voter is replaced", func() bool {
@@ -147,7 +147,7 @@
 		must.False(t, err != nil && !fault.Is(err, fault.Unavailable), must.Sprint(err))
 		return err == nil
 	})
-	c.kill(c.configVoter(names[1]) + "/cell")
+	c.kill(c.configVoter(dataCentres[1]) + "/cell")
 	c.setConfig(ctx, remaining, "second", 1, configWithCPULimit(200))
 }
 
--- a/internal/e2e/cut_test.go
+++ b/internal/e2e/partition_test.go
@@ -22,16 +22,16 @@
 	c := newCluster(t, "rackwise", nil)
 	c.workers(6)
 	customer := c.customer(0)
-	names := c.deployment.Settings.DataCentres()
-	partitioned, connected := customer.inDataCentre(names[0]), customer.inDataCentre(names[1])
+	dataCentres := c.deployment.Settings.DataCentres()
+	partitioned, connected := customer.inDataCentre(dataCentres[0]), customer.inDataCentre(dataCentres[1])
 	ctx, operations := c.operatorClients()
 	c.setConfig(ctx, operations, "first", 0, configWithCPULimit(1000))
 	c.eventually("version 1 is in force everywhere", func() bool { return c.lowestConfigVersion(ctx, operations) == 1 })
 
-	c.network.setPartitioned(names[0], true)
+	c.network.setPartitioned(dataCentres[0], true)
 	partitionedJob := partitioned.submit("inside", batch("reports", 6, 200, false))
 	connectedJob := connected.submit("outside", batch("reports", 6, 200, false))
-	must.Eq(t, names[0], partitionedJob.DataCentre)
+	must.Eq(t, dataCentres[0], partitionedJob.DataCentre)
 	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, partitioned.awaitEnd(partitionedJob.Id).State)
 	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, connected.awaitEnd(connectedJob.Id).State)
 	c.setConfig(ctx, operations[3:], "second", 1, configWithCPULimit(2000))
@@ -43,7 +43,7 @@
 	must.NoError(t, err)
 	must.Eq(t, 1, status.Instances[0].Version)
 
-	c.network.setPartitioned(names[0], false)
+	c.network.setPartitioned(dataCentres[0], false)
 	c.eventually("version 2 is in force everywhere", func() bool { return c.lowestConfigVersion(ctx, operations) == 2 })
 	c.checkNoViolations()
 }
@@ -53,19 +53,19 @@
 // network links fail again and again, so that offers and their responses get lost.
 func TestHandoverRunsOnceDuringNetworkPartitions(t *testing.T) {
 	c := newCluster(t, "rackwise", nil)
-	names := c.deployment.Settings.DataCentres()
-	c.workersIn(names[1:], 6)
+	dataCentres := c.deployment.Settings.DataCentres()
+	c.workersIn(dataCentres[1:], 6)
 	customer := c.customer(0)
-	source := customer.inDataCentre(names[0])
+	source := customer.inDataCentre(dataCentres[0])
 	stop := make(chan struct{})
-	var toggling sync.WaitGroup
-	toggling.Go(func() {
+	var toggler sync.WaitGroup
+	toggler.Go(func() {
 		for partitioned := true; ; partitioned = !partitioned {
 			select {
 			case <-stop:
 				return
 			case <-c.partitionTick():
-				c.network.setPartitioned(names[0], partitioned)
+				c.network.setPartitioned(dataCentres[0], partitioned)
 			}
 		}
 	})
@@ -80,12 +80,12 @@
 		ids[answer.Id] = true
 	}
 	close(stop)
-	toggling.Wait()
-	c.network.setPartitioned(names[0], false)
+	toggler.Wait()
+	c.network.setPartitioned(dataCentres[0], false)
 	for id := range ids {
 		job := customer.awaitEnd(id)
 		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, job.State, must.Sprintf("%s: %s %s", id, job.ReasonKind, job.Reason))
-		must.NotEq(t, names[0], job.DataCentre)
+		must.NotEq(t, dataCentres[0], job.DataCentre)
 	}
 	must.Positive(t, len(ids))
 	must.Eq(t, 2*len(ids), c.ledger.Starts())
@@ -101,11 +101,11 @@
 	c := newCluster(t, "rackwise", nil)
 	c.workers(6)
 	customer := c.customer(0)
-	names := c.deployment.Settings.DataCentres()
+	dataCentres := c.deployment.Settings.DataCentres()
 	spec := batch("check-in", 2, 100, false)
-	request := &apiv1.SubmitRequest{RequestId: "lost-answer", Spec: spec, Home: names[0]}
+	request := &apiv1.SubmitRequest{RequestId: "lost-answer", Spec: spec, Home: dataCentres[0]}
 	ids := make(map[string]bool)
-	for _, name := range names {
+	for _, name := range dataCentres {
 		c.eventually("the submission is answered through "+name, func() bool {
 			answer, err := customer.inDataCentre(name).schedulers[0].Submit(customer.ctx, request)
 			must.False(t, err != nil && !fault.Is(err, fault.Unavailable), must.Sprint(err))
