--- a/spec/carrier.pml
+++ b/spec/carrier.pml
@@ -1,23 +1,24 @@
 /*
- * Orders that leaders hand over to a carrier, across a change of leader.
+ * Orders that two successive leaders send to a worker through one carrier.
  *
- * Leader 1 gives orders for one worker until it learns that its right to decide has
- * ended, at most PRED after leader 2 has begun. Both reach the worker through one
- * carrier. Orders and outcomes may be delayed for as long as may be, and get lost. An
- * order prolongs the worker's lease to an end that the leader has written into it;
- * each leader counts with its own bound on that end. Time goes on in steps; the drift
- * of clocks is a factor that the program adds to every bound and is left out here.
+ * Leader 1 issues orders until it learns that its leadership has ended, at most PRED
+ * ticks after leader 2 begins. Orders and outcomes may be delayed without bound or
+ * lost. An order extends the worker's lease to an absolute end that the leader wrote
+ * into it; each leader keeps its own upper bound of that end. Time advances in ticks.
+ * Clock drift is left out: the program multiplies every bound by a drift factor.
  *
  * Asserted:
- * 1. from when leader 2 has begun, the lease ends no later than its bound says, so
- *    that a run which it takes for over isn't alive;
- * 2. the carrier sends no order of leader 1 once it has heard of leader 2;
- * 3. a leader takes in outcomes of its own orders only: both number them from 1.
+ * 1. once leader 2 has begun, the worker's lease ends no later than leader 2's bound,
+ *    so that a run which leader 2 takes to be over isn't alive;
+ * 2. the carrier sends no order of leader 1 once it has received one of leader 2;
+ * 3. a leader records outcomes of its own orders only, since both leaders number their
+ *    orders from 1.
  *
- * Mutants: RELATIVE (the carrier writes the end of the lease when it sends the order),
- * RENEWS (it prolongs the lease by itself while it hears a leader), NO_TERM (it carries
- * orders of any term), KEEPS_OUTCOMES (outcomes of an earlier term are handed to the
- * next leader), NO_PREDECESSOR (leader 2 counts only with its own orders).
+ * Mutants: RELATIVE (the carrier computes the end of the lease when it sends the order),
+ * RENEWS (the carrier extends the lease by itself while it hears from a leader), NO_TERM
+ * (the carrier forwards orders of any term), KEEPS_OUTCOMES (the carrier hands outcomes
+ * of an earlier term to the next leader), NO_PREDECESSOR (leader 2's bound covers only
+ * its own orders).
  */
 #ifndef LAST
 #define LAST 7
@@ -28,14 +29,14 @@
 byte now = 0;
 byte leaseEnd = 0;
 byte bound2 = 0;
-/* begun2 is when leader 2 begins; LAST + 1 before. */
+/* begun2 is the tick at which leader 2 begins; LAST + 1 until then. */
 byte begun2 = LAST + 1;
 byte carrierTerm = 0;
 
-/* An order: its term, and the end of the lease that it carries. */
+/* An order: its term and the lease end written into it. */
 chan toCarrier = [2] of { byte, byte };
 chan toWorker = [2] of { byte, byte };
-/* Outcomes that the carrier holds, by the term of their order. */
+/* Outcomes buffered at the carrier, each by the term of its order. */
 chan outcomes = [2] of { byte };
 
 #define over (now >= LAST)
@@ -126,13 +127,13 @@
 		:: else ->
 			fence = term;
 			if
-			/* An order whose lease has ended prolongs nothing. */
+			/* An order whose lease end has passed doesn't extend the lease. */
 			:: until > now && until > leaseEnd -> leaseEnd = until
 			:: else
 			fi;
 			checkBound;
 			if
-			/* The carrier drops outcomes of terms that it doesn't act under. */
+			/* The carrier drops outcomes of every term but its current one. */
 #ifdef MUTANT_KEEPS_OUTCOMES
 			:: nfull(outcomes) -> outcomes!term
 #else
--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,13 +1,13 @@
 #!/bin/bash
-# check.sh runs every model and mutant of this directory through Spin and prints
-# a table. It fails when a model shows a violation, when a mutant shows none, or
-# when a search did not finish within its depth and memory.
+# check.sh verifies every model and mutant of this directory with Spin and prints a
+# table. It fails when a model violates an assertion, when a mutant violates none, or
+# when a search ends before it is exhaustive (depth, memory or time limit).
 #
 #   spec/check.sh          all runs
 #   spec/check.sh quick    the runs marked quick, for CI
 #
-# Searches are exhaustive (-DSAFETY, with lossless -DCOLLAPSE compression). Each
-# may take 3000 MB; three run at a time.
+# Searches are exhaustive (-DSAFETY, with lossless -DCOLLAPSE compression). Each may
+# use 3000 MB of memory; three run in parallel.
 set -u
 cd "$(dirname "$0")" || exit 2
 for tool in spin gcc; do
@@ -22,10 +22,11 @@
 PARALLEL=3
 LIMIT=150
 
-# Runs: mark | model | mutant or - | bounds. "quick" runs are for CI too. An
-# "open" run is a guard without which no violation is found at that bound. A
-# WITNESS in the place of a mutant is an assertion that a state which the model is
-# about is out of reach; it must fail, or the model would hold for want of it.
+# runs prints the runs, one a line: mark | model | mutant or - | bounds. CI runs those
+# marked "quick". An "open" run removes a guard whose absence causes no violation within
+# these bounds. A WITNESS in the mutant column is an assertion that a state of interest
+# is unreachable. It must fail; otherwise the model would hold only because it never
+# reaches that state.
 runs() {
 	local three="-DTERMS=3 -DLEN=1 -DCRASHES=1"
 	local four="-DTERMS=4 -DLEN=1 -DCRASHES=0"
@@ -126,7 +127,7 @@
 	done
 }
 
-# verdict says whether a finished search is what its run should give.
+# verdict prints the result of a search: lower case as expected, capitals otherwise.
 verdict() { # mark mutant output
 	if ! grep -q "errors:" <<<"$3"; then
 		echo "NOT FINISHED"
@@ -151,7 +152,7 @@
 	fi
 }
 
-# run checks one line of runs and prints one row of the table.
+# run verifies one line of runs and prints its row of the table.
 run() {
 	local number mark model mutant bounds
 	IFS='|' read -r number mark model mutant bounds <<<"$1"
@@ -165,7 +166,7 @@
 	cp ./*.pml ./*.inc "$dir"
 	cd "$dir" || return 1
 	began=$(date +%s.%N)
-	# Flags are words of their own.
+	# $flags is split into words on purpose.
 	# shellcheck disable=SC2086
 	out=$(spin -a $flags "$model.pml" 2>&1 &&
 		gcc -O2 -w -DSAFETY -DCOLLAPSE -DMEMLIM=$MEMORY -DVECTORSZ=2048 $flags -o pan pan.c 2>&1 &&
--- a/spec/config.pml
+++ b/spec/config.pml
@@ -1,13 +1,14 @@
 /*
- * Versions of the configuration: committed in a log for all, adopted into the
- * log of one data centre, applied by its diskless instances. Both logs are taken
- * as log.pml proves them. Pushes of a version and answers stay readable for ever.
+ * Versions of the configuration: committed in the global configuration log, adopted
+ * into the log of one data centre, applied by the diskless instances of that data
+ * centre. Both logs are assumed to behave as log.pml verifies. Pushed versions and
+ * answers stay readable for ever.
  *
- * An instance applies only what its data centre has adopted. After a restart it
- * serves only once its data centre's leader, having confirmed that it leads, has
- * answered a question of this incarnation.
+ * An instance applies only versions that its data centre has adopted. After a restart
+ * it serves only once the leader of its data centre, having confirmed its leadership,
+ * has answered a query of this incarnation.
  *
- * Safety: the version that an instance serves never falls, restarts included.
+ * Safety: the version that an instance serves never decreases, also across restarts.
  */
 #ifndef VERSIONS
 #define VERSIONS 3
@@ -20,9 +21,9 @@
 #endif
 #define ANS(i, k) ((i) * (RESTARTS + 1) + (k))
 
-byte committed;      /* latest version in the log for all */
+byte committed;      /* latest version in the global configuration log */
 byte adopted;        /* latest version in the data centre's log */
-byte stale;          /* what a deposed leader of the data centre still knows */
+byte stale;          /* latest version known to a deposed leader of the data centre */
 
 byte applied[INSTANCES];
 bit serving[INSTANCES];
@@ -53,7 +54,7 @@
 #define PUSHED adopted
 #endif
 
-/* A push of any version ever adopted may arrive at any time. */
+/* A push of any version that was ever adopted may arrive at any time. */
 #define PUSH(v) \
 	:: d_step { v <= VERSIONS && v <= PUSHED && serving[i] && NEWER(i, v) -> \
 		printf("instance %d applies %d\n", i, v); applied[i] = v; serve(i); skip }
@@ -96,7 +97,7 @@
 #define ADOPTABLE(v) (v > adopted)
 #endif
 
-/* The data centre's leaders hear of committed versions late and in any order. */
+/* The data centre's leaders learn of committed versions late and in any order. */
 #define ADOPT(v) \
 	:: d_step { v <= VERSIONS && v <= committed && ADOPTABLE(v) -> printf("adopted %d\n", v); adopted = v }
 
--- a/spec/handover.pml
+++ b/spec/handover.pml
@@ -1,14 +1,15 @@
 /*
- * A job handed from one data centre to another and back. The log of each data
- * centre is taken as log.pml proves it: committed state survives every crash,
- * what a data centre has only decided in memory is lost in a crash.
+ * Handover of a job from one data centre to another and back. The log of each data
+ * centre is assumed to behave as log.pml verifies: committed state survives every
+ * crash, and an uncommitted decision is lost in a crash.
  *
- * Messages, once sent, stay readable for ever: lost, late, reordered and doubled
- * messages are covered. Each offer of the job carries a hop number above all
- * earlier ones; a data centre keeps the highest hop that it has answered, also
- * after it has forgotten the job.
+ * Messages, once sent, stay readable for ever: this covers lost, delayed, reordered
+ * and duplicated messages. Each offer of the job carries a hop number above all
+ * earlier ones; a data centre stores the highest hop that it has answered and keeps
+ * it after it has deleted the job.
  *
- * Safety: the job is never startable at both, never lost, and runs once.
+ * Safety: the job is never startable in both data centres, never lost, and runs at
+ * most once.
  */
 #ifndef HOPS
 #define HOPS 4
@@ -17,7 +18,7 @@
 /* Committed state by data centre. */
 #define ABSENT  0
 #define OWNED   1  /* may be started */
-#define OFFERED 2  /* handed over, pending */
+#define OFFERED 2  /* offered to the other data centre, answer pending */
 #define RUNNING 3
 byte state[2];
 byte hop[2];
@@ -29,7 +30,7 @@
 #define REFUSED  2
 byte answer[HOPS + 1];
 
-/* Memory: an answer decided but not committed. */
+/* In memory only: an answer that is decided but not committed. */
 byte decided[2];
 byte decidedHop[2];
 
@@ -68,7 +69,7 @@
 	:: d_step { h <= HOPS && offer[h] == 2 - s && MAYANSWER(s, h, REFUSED) && !refused[h] -> \
 		printf("%d sends its refusal of hop %d\n", s, h); refused[h] = 1 } \
 	:: d_step { h <= HOPS && offer[h] == s + 1 && state[s] == OFFERED && CURRENT(s, h) && accepted[h] -> \
-		printf("%d forgets the job after hop %d\n", s, h); state[s] = ABSENT; check() } \
+		printf("%d deletes the job after hop %d\n", s, h); state[s] = ABSENT; check() } \
 	:: d_step { h <= HOPS && offer[h] == s + 1 && state[s] == OFFERED && CURRENT(s, h) && refused[h] -> \
 		printf("%d takes the job back from hop %d\n", s, h); state[s] = OWNED; check() }
 
@@ -93,7 +94,7 @@
 	:: d_step { state[s] == OFFERED -> printf("%d takes the job back\n", s); state[s] = OWNED; check() }
 #endif
 #ifdef MUTANT_FORGET_ON_SENDING
-	:: d_step { state[s] == OFFERED && offer[hop[s]] -> printf("%d forgets the job\n", s); state[s] = ABSENT; check() }
+	:: d_step { state[s] == OFFERED && offer[hop[s]] -> printf("%d deletes the job\n", s); state[s] = ABSENT; check() }
 #endif
 	RECEIVE(1) RECEIVE(2) RECEIVE(3) RECEIVE(4) RECEIVE(5)
 	:: d_step { decided[s] == ACCEPTED ->
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -2,24 +2,24 @@
  * One task, two leaders of the data centre's log and a worker with a lease:
  * starts, expiry, cancellation, and the answers "not run" and "unknown".
  *
- * The log is taken as log.pml proves it: what is committed is one shared state,
- * and a leader of an old term can commit nothing. The old leader may be paused
- * at any moment and go on later with what it knew. Starts, stops and reports
- * stay readable for ever; one renewal is in flight, which may be delayed or lost.
+ * The log is assumed to behave as log.pml verifies: committed state is one shared
+ * state, and a leader of an old term can't commit. The old leader may be paused at
+ * any moment and continue later with outdated state. Starts, stops and reports stay
+ * readable for ever; one renewal is in flight, which may be delayed or lost.
  *
  * Time is a global tick. The worker's clock may lose up to DRIFT ticks between
- * sending a renewal and the end of the lease that it brings. The worker counts
- * its lease from the sending of the renewal, the owner from its receipt. At the
- * end of its lease the worker stops its task and begins a new incarnation in the
- * same step; a restart does the same.
+ * sending a renewal and the end of the lease that the renewal brings. The worker
+ * counts its lease from sending the renewal, the leader from receiving it. When its
+ * lease ends, the worker stops its task and begins a new incarnation in the same
+ * step; a restart does the same.
  *
- * Attempt 1 goes to this worker. Attempt 2 goes to another one, which is kept
- * simple: it always has a lease. It may also be the first attempt made.
+ * Attempt 1 goes to this worker. Attempt 2 goes to another worker, which is kept
+ * simple: it always has a lease. Attempt 2 may also be the first attempt made.
  *
  * Assumption: a leader's own lease ends before the next leader begins to decide.
  *
- * Safety: the task never runs in two places; non-idempotent work runs at most
- * once; "not run" is never said of a task that ran or runs later.
+ * Safety: the task never runs on two workers at a time; non-idempotent work runs at
+ * most once; "not run" is never answered for a task that ran or runs later.
  */
 #ifndef TTL
 #define TTL 2
@@ -49,8 +49,8 @@
 /* Committed state of the task. */
 byte attempt;          /* latest committed attempt, 0 for none */
 byte onInc;            /* incarnation that attempt 1 was given to */
-byte goneInc;          /* incarnation that was taken for gone */
-byte inTerm;           /* term that committed attempt 1 */
+byte goneInc;          /* incarnation that was declared gone */
+byte inTerm;           /* term in which attempt 1 was committed */
 bit over;              /* the latest attempt does not run and will not start */
 bit mayHaveRun;        /* some attempt may have run */
 bit cancelled;
@@ -59,7 +59,7 @@
 /* Leaders. Arrays are indexed by term. */
 byte term;             /* the only term that can commit */
 bit deciding[3];       /* the leader's own lease holds */
-byte left[3];          /* ticks until the worker's lease has surely ended */
+byte left[3];          /* ticks until the worker's lease has certainly ended */
 byte knownInc[3];      /* incarnation that renewed with this leader */
 
 /* Messages. */
@@ -69,7 +69,7 @@
 bit stopped;           /* report: attempt 1 stopped after its start */
 bit ended;             /* report: attempt 1 ended by itself */
 byte renewInc;         /* renewal in flight: incarnation, 0 for none */
-byte renewTerm;        /* ... latest term heard */
+byte renewTerm;        /* ... latest term the worker has received */
 bit renewSeen;         /* ... whether attempt 1 was started */
 byte grantTerm;        /* grant in flight: term, 0 for none */
 byte age;              /* local ticks since the renewal was sent */
@@ -77,11 +77,11 @@
 
 /* The worker. */
 byte inc;
-byte heard;            /* latest term heard */
+byte heard;            /* latest term received */
 byte lease;            /* local ticks left */
 byte leaseSlow;
 bit seen;              /* attempt 1 was started */
-bit tomb;              /* attempt 1 is refused for ever */
+bit tomb;              /* tombstone: attempt 1 is refused for ever */
 bit running;
 
 /* The other worker. */
@@ -108,7 +108,8 @@
 #endif
 }
 
-/* The step of a clock that may stand still for one tick. */
+/* The worker's clock may lose a tick, at most DRIFT of them between the sending of a
+ * renewal and the end of its lease. */
 #define CANBESLOW ((renewInc || grantTerm || lease) && ageSlow < DRIFT && leaseSlow < DRIFT)
 
 inline tick(slow) {
@@ -207,7 +208,7 @@
 	START(1)
 	START(2)
 	:: d_step { stopSent && onInc == inc && !tomb ->
-		printf("the worker takes the stop\n");
+		printf("the worker accepts the stop\n");
 		tomb = 1;
 		if
 		:: !seen -> tombstoned = 1
@@ -229,11 +230,11 @@
 	:: d_step { otherRunning -> otherRunning = 0 }
 	/* Time. */
 	:: d_step { true -> tick(0); skip }
-	:: d_step { CANBESLOW -> printf("a slow tick\n"); tick(1); skip }
+	:: d_step { CANBESLOW -> printf("the worker's clock loses a tick\n"); tick(1); skip }
 	od
 }
 
-/* gone records that the latest attempt has surely stopped, if it ever ran. */
+/* gone records that the latest attempt isn't running any more and may have run. */
 inline gone() {
 	over = 1;
 	goneInc = onInc;
@@ -250,13 +251,12 @@
 #define MAYGRANT(t) (deciding[t])
 #endif
 
-/* A leader grants no lease to an incarnation that was taken for gone. That it was
- * is committed with the loss of the attempt: a leader that goes by its own memory
- * would take a first renewal of that incarnation for a live worker's. The
- * renewal also tells it what became of attempt 1: a later incarnation runs
- * nothing of an earlier one, and a worker that has heard of the second term
- * without having started the attempt will not start it on the first leader's
- * word. */
+/* A leader grants no lease to an incarnation that was declared gone. The declaration
+ * is committed together with the loss of the attempt: a leader that relied on its own
+ * memory would take the first renewal it sees of that incarnation for a live worker's.
+ * A renewal also tells the outcome of attempt 1: a later incarnation runs nothing of an
+ * earlier one, and a worker that has received the second term without having started
+ * the attempt refuses the first leader's start from then on. */
 #ifdef MUTANT_GONE_IN_MEMORY
 #define NOTGONE(t) (left[t] > 0 || renewInc > knownInc[t])
 #else
@@ -278,8 +278,8 @@
 		renewInc = 0 \
 	}
 
-/* Another attempt is committed only when the one before is over, and after one
- * that may have run only for idempotent work. */
+/* Attempt 2 is committed only when attempt 1 is over. If attempt 1 may have run, the
+ * work must be idempotent. */
 #ifdef MUTANT_RETRY_NON_IDEMPOTENT
 #define RETRY 1
 #else
@@ -309,12 +309,12 @@
 	} \
 	:: d_step { \
 		t == term && deciding[t] && attempt == 1 && !over && left[t] == 0 -> \
-		printf("leader %d takes attempt 1 for gone\n", t); \
+		printf("leader %d declares attempt 1 gone\n", t); \
 		gone() \
 	}
 
-/* The first leader sends what its term committed, however late; the second
- * what it finds committed and not over. */
+/* The first leader sends a start that its term committed, however late; the second
+ * sends the start of a committed attempt that isn't over. */
 #define SEND1 (attempt > 0 && inTerm == 1)
 #define SEND2 (OPEN(2) && attempt == 1 && !over)
 
--- a/spec/log.pml
+++ b/spec/log.pml
@@ -1,29 +1,29 @@
 /*
  * The replicated log of one group: elections, replication, commit, and the
- * return of a voter that has forgotten everything.
+ * recovery of a voter that restarted with an empty memory.
  *
- * The network is a set of facts that only grows. A message, once sent, may be
- * read by anyone at any later time, any number of times, or never: this covers
- * loss, delay, reordering and duplication, and what was sent before a crash
- * stays readable after it.
+ * The network is a set of messages that only grows. A message, once sent, may be
+ * read by any member at any later time, any number of times, or never. This covers
+ * loss, delay, reordering and duplication; a message sent before a crash stays
+ * readable after it.
  *
- * Every step of a member is indivisible. An append carries the whole
- * prefix of the leader's log up to some index. Entries are told apart by index
- * and term, which suffices while a term has one leader; that is asserted.
+ * Every step of a member is atomic. An append carries the whole prefix of the
+ * leader's log up to some index. Entries are identified by index and term, which is
+ * unique while a term has at most one leader; that is asserted.
  *
  * Bounds come from the command line:
  *   N        members                 TERMS    highest term
  *   LEN      longest log             CRASHES  restarts of single members
  *   DISKS    bit mask of members whose acknowledged state survives a restart
  *   START    bit mask of the voters at the start
- * Narrowing (for runs of more voters):
+ * Restrictions (for runs with more voters):
  *   CAMPAIGNERS, CRASHERS  bit masks of members that may campaign or crash
  *   LOST                   bit mask of members that never act
- *   CAMP2, CAMP3, CAMP4    the same for campaigns in one term
+ *   CAMP2, CAMP3, CAMP4    as CAMPAIGNERS, for the campaigns in one term
  * Parts: COLD_START (see power.pml), MEMBERSHIP (see membership.pml).
  *
- * Member LEAD leads term 1 at the start and nothing is written yet; with SETTLED
- * every voter already holds a first entry of term 1, which is committed.
+ * Member LEAD leads term 1 at the start, and all logs are empty; with SETTLED every
+ * voter already holds a first entry of term 1, which is committed.
  */
 #ifndef VOTERS
 #define VOTERS 3
@@ -93,29 +93,29 @@
 
 /* Members. */
 byte term[N];
-bit voted[N];      /* the vote of the current term is given away */
+bit voted[N];      /* has voted in the current term */
 byte role[N];
-byte inc[N];       /* incarnation: counts the restarts that forgot */
+byte inc[N];       /* incarnation: number of restarts that lost the memory */
 byte size[N];
 byte lt[N * LEN];  /* terms of the entries */
 byte com[N];       /* a leader's commit index */
-short kn[N];       /* latest known incarnation of each member */
+short kn[N];       /* known incarnations: the latest of each member */
 
-/* Messages. Terms are counted from 0 in indices of arrays. */
+/* Messages. Array indices count terms from 0. */
 byte rqlen[TERMS * N];  /* vote request: length of the log + 1, 0 for none */
 byte rqlt[TERMS * N];   /* ... and the term of its last entry */
 byte vt[TERMS * N * INCS];   /* vote: candidate + 1 */
-short vv[TERMS * N * INCS];  /* ... and the voter's vector */
+short vv[TERMS * N * INCS];  /* ... and the voter's known incarnations */
 byte ldr[TERMS];        /* leader + 1 */
-byte glen[TERMS];       /* what the leader of the term has sent */
+byte glen[TERMS];       /* length of the log that the leader of the term sends */
 byte gt[TERMS * LEN];
-byte elen[TERMS];       /* length of its log when elected (history variable) */
+byte elen[TERMS];       /* length of its log when it was elected (history) */
 bit ak[TERMS * N * INCS * LEN];   /* acknowledgement of a prefix */
 short av[TERMS * N * INCS * LEN];
 byte rat[N * N];  /* answer to a recovering member: term, 0 for none */
-byte ral[N * N];  /* ... log length + 1 if the answering member leads */
+byte ral[N * N];  /* ... log length + 1 if the answering member is the leader */
 
-/* History of what was committed: term of the entry, term of the leader. */
+/* History of committed entries: term of the entry, term of the leader that committed it. */
 byte ct[LEN];
 byte cb[LEN];
 byte crashes;
@@ -126,26 +126,26 @@
 byte rac[N * N];   /* answer to a recovering member: the leader's commit index */
 #endif
 #ifdef COLD_START
-bit dur[LEN];           /* reported as surviving a loss of power everywhere */
-byte losses;            /* losses of power */
+bit dur[LEN];           /* entry reported to survive a power loss of all members */
+byte losses;            /* power losses of all members */
 byte rqi[TERMS * N];    /* incarnation of a candidate */
 byte ldi[TERMS];        /* incarnation of a leader */
-byte ldg[TERMS];        /* losses of memory before its election (history) */
-byte lost;              /* times that no diskless voter remembered anything */
-byte gr[TERMS * N];     /* blank voter joins a cold start: code of candidate and own incarnation */
-bit cq[TERMS * N];      /* candidate asks all for a confirmation */
-short cv[TERMS * N];    /* ... with the incarnations that joined */
-byte cc[TERMS * N];     /* confirmation: same code */
+byte ldg[TERMS];        /* value of lost at its election (history) */
+byte lost;              /* number of times that every diskless voter had lost its state */
+byte gr[TERMS * N];     /* vote of a blank voter for a cold start: code of candidate and own incarnation */
+bit cq[TERMS * N];      /* candidate asks every voter for confirmation */
+short cv[TERMS * N];    /* ... and the incarnations that joined */
+byte cc[TERMS * N];     /* confirmation of a cold start: same code */
 #ifdef ANSWERS_FIRST
-byte said[N];           /* incarnation that said that it is blank */
+byte said[N];           /* latest incarnation that reported to be blank */
 #endif
-bit cold[TERMS];        /* the leader began by a cold start */
+bit cold[TERMS];        /* the leader of the term was elected by a cold start */
 #endif
 
 hidden byte x, y, z, m;
 
 c_code {
-/* config returns the voters by the latest membership in a log. */
+/* config returns the bit mask of voters by the latest membership in i's log. */
 static int config(int i) {
 	int mask = START;
 #ifdef MEMBERSHIP
@@ -165,11 +165,11 @@
 }
 
 /*
- * quorum tells whether messages from a majority of i's voters stand together.
- * kind 0: votes for i in term index t; kind n > 0: acknowledgements of the
- * prefix of n entries. No message may come from an incarnation that another
- * member of the quorum knows to be dead. need restricts the quorum to those
- * that contain a member of that mask (0 for no restriction).
+ * quorum reports whether consistent messages from a majority of i's voters exist.
+ * kind 0: votes for i in term index t; kind n > 0: acknowledgements of the prefix
+ * of n entries. No message may come from an incarnation that another member of the
+ * quorum knows to be superseded. If need isn't 0, the quorum must contain a member
+ * of that bit mask.
  */
 static int quorum(int i, int t, int kind, int need) {
 	int mask = config(i), combos = 1, combo, j, a, b;
@@ -215,12 +215,13 @@
 	return 0;
 }
 
-/* inconfig tells whether i is a voter by its own log. */
+/* inconfig reports whether i is a voter by its own log. */
 static int inconfig(int i) {
 	return HAS(config(i), i);
 }
 
-/* best returns the answering leader of the highest term answered, or -1. */
+/* best returns the leader of the highest term among the answers to r, or -1 if that
+ * leader hasn't answered. */
 static int best(int r) {
 	int j, high = now.term[r], who = -1;
 	for (j = 0; j < N; j++)
@@ -232,7 +233,8 @@
 	return who;
 }
 
-/* majority tells whether r has answers from a majority of mask without r. */
+/* majority reports whether r has answers from a majority of the members of mask, r
+ * excluded. */
 static int majority(int r, int mask) {
 	int have = 0, j;
 	mask &= ~(1 << r);
@@ -243,10 +245,10 @@
 }
 
 /*
- * answered tells whether recovering member r has the answers it needs: one from
- * the leader of the highest term heard, and one from a majority of the other
- * voters. With changes of membership the majority is needed in each membership
- * of that leader's log from its last committed one on.
+ * answered reports whether recovering member r has the answers that it needs: one
+ * from the leader of the highest term among the answers, and answers from a majority
+ * of the other voters. With membership changes, r needs the majority in each membership
+ * of that leader's log, from the last committed one on.
  */
 static int answered(int r) {
 	int who = best(r), mask = START;
@@ -271,8 +273,8 @@
 	return majority(r, mask);
 }
 
-/* holds tells whether a log of the given terms contains all that was committed
- * by a leader of an earlier term than t. */
+/* holds reports whether i's log contains every entry that was committed by a leader
+ * of a term before t. */
 static int holds(int i, int t) {
 	int k;
 	for (k = 0; k < LEN; k++)
@@ -281,8 +283,8 @@
 	return 1;
 }
 
-/* committed returns how much of i's log is committed, the most that it may have
- * learned from earlier leaders. */
+/* committed returns the number of committed entries at the start of i's log, the highest
+ * commit index that i may have learned from earlier leaders. */
 static int committed(int i) {
 	int k;
 	for (k = 0; k < now.size[i] && now.ct[k]; k++)
@@ -290,7 +292,8 @@
 	return k;
 }
 
-/* elected tells whether a term index has a leader that is not forgotten. */
+/* elected reports whether term index u has a leader whose log hasn't been lost with the
+ * state of all diskless voters. */
 static int elected(int u) {
 	if (!now.ldr[u])
 		return 0;
@@ -301,8 +304,8 @@
 #endif
 }
 
-/* later tells whether every leader elected after term t began with the first
- * n entries of member i. */
+/* later reports whether the log of every leader elected after term t began with the
+ * first n entries of member i. */
 static int later(int i, int t, int n) {
 	int u, k;
 	for (u = t; u < TERMS; u++)
@@ -312,8 +315,8 @@
 	return 1;
 }
 
-/* extends tells whether i's log begins with the first n entries sent in term
- * index t, so that an append need not cut it. */
+/* extends reports whether i's log begins with the first n entries sent in term index t,
+ * so that an append doesn't truncate it. */
 static int extends(int i, int t, int n) {
 	int k;
 	if (now.size[i] < n)
@@ -349,7 +352,7 @@
 
 inline becomeLeader(i, t) {
 #ifdef COLD_START
-	/* At most one leader in a term, but for those whose incarnation is gone. */
+	/* At most one leader in a term, except for leaders whose incarnation is superseded. */
 	assert(ldr[t] == 0 || inc[ldr[t] - 1] > ldi[t]);
 	ldi[t] = inc[i];
 	ldg[t] = lost;
@@ -418,7 +421,8 @@
 #define UPTODATE(i, t, c) (rqlt[REQ(t, c)] > LASTTERM(i) || (rqlt[REQ(t, c)] == LASTTERM(i) && rqlen[REQ(t, c)] - 1 >= size[i]))
 #endif
 
-/* What was committed matters only while it is not known to be lost. */
+/* record marks the first n entries of i's log as committed. ct and cb hold committed
+ * entries only until MEMORYLOST clears those that are lost. */
 inline record(i, n) {
 	for (x : 0 .. n - 1) {
 		assert(ct[x] == 0 || ct[x] == lt[AT(i, x)]);
@@ -431,7 +435,7 @@
 	com[i] = n;
 }
 
-/* An append that acknowledges only what is settled is a mere heartbeat. */
+/* An append that acknowledges nothing beyond the settled first entry is a heartbeat. */
 #ifdef SETTLED
 #define ACKED(n) (n > 1)
 #else
@@ -488,7 +492,7 @@
 	:: d_step { \
 		t <= TERMS && n <= LEN && ldr[t - 1] > 0 && ldr[t - 1] != i + 1 && n <= glen[t - 1] && \
 		role[i] != RECOVERING && term[i] <= t && LIVELEADER(t) && FRESH(t, n) -> \
-		printf("%d takes %d entries of term %d\n", i, n, t); \
+		printf("%d appends %d entries of term %d\n", i, n, t); \
 		if \
 		:: term[i] < t -> term[i] = t; voted[i] = 0 \
 		:: else \
@@ -538,7 +542,8 @@
 #define INCONFIG 1
 #endif
 
-/* recovered brings a member back with the term spent and the leader's log. */
+/* recovered ends i's recovery with the leader's log. The vote of the term counts as
+ * given, since an earlier incarnation may have voted. */
 inline recovered(i) {
 	y = c_expr { best (PMember->i) };
 	term[i] = rat[ANS(i, y)];
--- a/spec/maintenance.pml
+++ b/spec/maintenance.pml
@@ -1,19 +1,19 @@
-/* maintenance.pml: a wave of maintenance of MACHINES machines, of which one may be down at a
- * time, under two leaders one after the other.
+/* maintenance.pml: a maintenance wave over MACHINES machines, of which one may be down at
+ * a time, under two successive leaders.
  *
- * An order that was sent stays in the network for good: it may be carried out at
- * any later time, and its answer may be lost. The deployment carries an order for
- * a machine out once a wave, and answers a repeated one as it did the first. The
- * list of machines lags: it is read piece by piece, at any time, and a machine that
- * has just gone down may be shown as up. A machine comes back as another
- * incarnation; with RESTARTS it may also do so by itself.
+ * A sent order stays in the network for good: it may be executed at any later time, and
+ * its answer may be lost. The deployment executes at most one order for a machine in a
+ * wave, and repeats its first answer to a duplicate. The list of machines is stale: it
+ * is read machine by machine, at any time, and may show a machine as up that has just
+ * gone down. A machine comes back as a new incarnation; with RESTARTS it may also
+ * restart by itself.
  *
- * The leader commits an order before it sends it. A machine counts as down from
- * then on, until its maintenance has begun by an answer, the time of a maintenance has
- * passed since, and the list shows another incarnation on it.
+ * The leader commits an order before it sends it. A machine counts as down from the
+ * commit until its maintenance is known to have begun, the duration of a maintenance has
+ * passed since then, and the list shows a new incarnation of it.
  *
  * Safety: no maintenance begins while another machine of the wave is down for its own;
- * a wave that is said to be done has begun on each machine.
+ * a wave that is reported as done has begun on each machine.
  *
  * Mutants: SEND_BEFORE_COMMIT, ORDERED_IS_UP, UP_IS_BACK, NO_TIME (with RESTARTS),
  * DONE_WHEN_ORDERED.
@@ -25,18 +25,19 @@
 #define RESTARTS 0
 #endif
 
-/* The log: stage of each machine (1 ordered, 2 begun) and the incarnation that the
- * order was made up for. */
+/* Committed state: stage of each machine (1 ordered, 2 begun) and the incarnation that
+ * the order was issued for. */
 byte stage[MACHINES];
 byte orderedLife[MACHINES];
 
-/* The leader: an order that was sent and isn't committed (mutant only), 0 for none,
- * and whether the time of a maintenance has passed since it began. */
+/* In the leader's memory: machine + 1 of an order that was sent but isn't committed
+ * (mutant only), 0 for none; whether the duration of a maintenance has passed since the
+ * maintenance began; whether the second leader has taken over. */
 byte uncommitted = 0;
 bool passed[MACHINES];
 bool second = false;
 
-/* The list as the leader read it. */
+/* The list of machines as the leader last read it. */
 bool shownUp[MACHINES];
 byte shownLife[MACHINES];
 
@@ -79,7 +80,7 @@
 	orderedLife[m] = shownLife[m]
 }
 
-/* carryOut is what the deployment does with an order. */
+/* carryOut is the deployment's execution of an order; a duplicate has no effect. */
 inline carryOut(m) {
 	if
 	:: !did[m] && !down[m] ->
@@ -129,7 +130,7 @@
 		od
 	}
 	do
-	/* The leader orders a machine that it takes for up. */
+	/* The leader commits an order for a machine that it takes to be up. */
 	:: atomic { select(m : 0 .. MACHINES - 1); countDown(n);
 		if
 		:: n == 0 && stage[m] == 0 && shownUp[m] && uncommitted == 0 ->
@@ -144,7 +145,7 @@
 #ifdef MUTANT_SEND_BEFORE_COMMIT
 	:: atomic { uncommitted > 0; commit(uncommitted - 1); uncommitted = 0 }
 #endif
-	/* It sends what is committed, again and again until it is answered. */
+	/* The leader sends a committed order and repeats it until it is answered. */
 	:: atomic { select(m : 0 .. MACHINES - 1);
 		if
 		:: stage[m] == 1 ->
@@ -154,7 +155,7 @@
 #endif
 		:: else -> skip
 		fi; checkDone() }
-	/* An order is carried out, and answered or not. */
+	/* The deployment executes an order; its answer arrives or is lost. */
 	:: atomic { select(m : 0 .. MACHINES - 1);
 		if
 		:: sent[m] ->
@@ -165,7 +166,7 @@
 			fi
 		:: else -> skip
 		fi; checkDone() }
-	/* A machine comes back; the time of a maintenance has passed by then, not before. */
+	/* A machine comes back; the duration of its maintenance has passed only after that. */
 	:: atomic { select(m : 0 .. MACHINES - 1);
 		if
 		:: down[m] -> down[m] = false; life[m] = life[m] + 1
@@ -178,7 +179,7 @@
 		:: else -> skip
 		fi }
 	:: atomic { select(m : 0 .. MACHINES - 1); read(m) }
-	/* Another leader knows the log only, and counts time from its beginning. */
+	/* The second leader knows committed state only, and measures durations afresh. */
 	:: atomic { !second; second = true; uncommitted = 0;
 		i = 0;
 		do
--- a/spec/membership.pml
+++ b/spec/membership.pml
@@ -1,6 +1,6 @@
 /*
- * Changes of membership, one voter at a time: replacing a lost member, and the
- * loss of a second member right after; the log itself is in log.pml.
+ * Membership changes, one voter at a time: the replacement of a lost member and the
+ * loss of a second member right after it. The log itself is in log.pml.
  *
  * CHANGEABLE is the bit mask of members that may be added or removed.
  */
--- a/spec/order.pml
+++ b/spec/order.pml
@@ -1,18 +1,18 @@
-/* order.pml: the runs of one task under orders that may be carried out late.
+/* order.pml: the runs of one task under orders that may be executed late.
  *
- * Two workers, two leaders one after the other, RUNS runs of one task. A start
- * that was sent stays in the network for good: it may be carried out at any
- * later time, also after newer calls, and more than once. A leader begins a run
- * only when every earlier one is settled. A run is settled by
- *  - an end that the worker lists,
- *  - a look that lists it nowhere, when the look was sent after the worker had
+ * Two workers, two successive leaders, RUNS runs of one task. A sent start stays in the
+ * network for good: the worker may execute it at any later time, also after newer calls,
+ * and more than once. A leader begins a run only when every earlier run is settled. A run
+ * is settled by one of
+ *  - its end in a report of the worker,
+ *  - a report without the run, if the leader sent the poll after the worker had
  *    acknowledged a stop of the run,
- *  - a look that lists it nowhere, when the run is an earlier leader's: the look
- *    carries the fence, and the worker refuses lower ones from then on,
- *  - the end of the worker's lease, after which it refuses orders made up before.
+ *  - a report without the run, if an earlier leader began the run: the poll carries the
+ *    fence, and the worker refuses lower fences from then on,
+ *  - the end of the worker's lease, after which it refuses orders issued before.
  *
  * Safety: the task never runs on both workers, and no run begins after another has
- * ended as done, unless the lease of that one's worker has lapsed since.
+ * ended as done, unless the lease of that run's worker has expired since.
  *
  * Mutants: NO_FENCE_IN_LOOK, SETTLE_WITHOUT_STOP, STOP_AFTER_SENDING, NO_TOMBSTONE,
  * SETTLE_WITHOUT_LEASE.
@@ -22,31 +22,31 @@
 #endif
 #define WORKERS 2
 
-/* The leader: its fence, and what it knows of each run (numbered from 1). */
+/* The leader: its fence, and its state of each run (numbered from 1). */
 byte fence = 1;
 byte begun = 0;                 /* runs committed so far */
 byte at[RUNS + 1];              /* worker of a run */
 bool settled[RUNS + 1];
-bool own[RUNS + 1];             /* begun by the present leader */
-bool acked[RUNS + 1];           /* its stop was acknowledged */
-bool taken = false;             /* an end as done was taken in */
+bool own[RUNS + 1];             /* begun by the current leader */
+bool acked[RUNS + 1];           /* the worker has acknowledged its stop */
+bool taken = false;             /* the leader has recorded an end as done */
 
-/* A look under way: none, sent, or answered. */
+/* The poll of each worker: 0 none in flight, 1 sent, 2 answered. */
 byte look[WORKERS];
 byte lookFence[WORKERS];
-bool lookAcked[WORKERS * (RUNS + 1)];   /* stops acknowledged when it was sent */
-byte listed[WORKERS];                   /* the run that the answer lists */
-byte listedDone[WORKERS];               /* the run that the answer lists as done */
+bool lookAcked[WORKERS * (RUNS + 1)];   /* stops acknowledged when the poll was sent */
+byte listed[WORKERS];                   /* running in the report, 0 for none */
+byte listedDone[WORKERS];               /* ended as done in the report, 0 for none */
 
-/* Orders in the network: the fence that a start carries, 0 for none. */
+/* Orders in the network: the fence of the start of each run, 0 for none. */
 byte order[RUNS + 1];
 
 /* Workers. */
-byte seen[WORKERS];             /* highest fence */
+byte seen[WORKERS];             /* highest fence received */
 byte running[WORKERS];          /* run that is alive, 0 for none */
 byte barred[WORKERS];           /* highest run stopped or ended */
 byte done[WORKERS];             /* run that ended as done */
-bool counts[WORKERS];           /* ghost: that end counts, its lease hasn't lapsed */
+bool counts[WORKERS];           /* history: that end counts, the lease hasn't expired since */
 
 inline check() {
 	assert(!(running[0] != 0 && running[1] != 0));
@@ -62,7 +62,7 @@
 	order[begun] = fence;
 }
 
-/* carryOut is what a worker does with a start. */
+/* carryOut executes the start of run r on its worker. */
 inline carryOut(r) {
 	if
 	:: order[r] >= seen[at[r]] ->
@@ -143,7 +143,7 @@
 	look[w] = 0
 }
 
-/* lapse: the lease of a worker has ended; it refuses what was made up before. */
+/* lapse ends the lease of worker w, which refuses orders issued before. */
 inline lapse(w) {
 #ifndef MUTANT_SETTLE_WITHOUT_LEASE
 	running[w] = 0;
--- a/spec/power.pml
+++ b/spec/power.pml
@@ -1,11 +1,11 @@
 /*
- * Loss of power to every member and the cold start after it; the log itself is
- * in log.pml. Member 0 has the only disk and member 1 leads at the start unless
- * the command line says otherwise.
+ * Power loss of all members and the cold start after it; the log itself is in
+ * log.pml. Member 0 has the only disk and member 1 leads at the start unless the
+ * command line says otherwise.
  *
- * Safety, beside that of log.pml: an entry that was reported as synced to a
- * disk is in the log of every later leader, also after a loss of power; an
- * entry that was not is lost only when no diskless voter remembers anything.
+ * Safety, in addition to that of log.pml: an entry that was reported as synced to a
+ * disk is in the log of every later leader, also after a power loss; any other entry
+ * is lost only when every diskless voter has lost its state.
  */
 #define COLD_START
 #ifndef DISKS
