--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures what the daemons need at the size that docs/CAPACITY.md plans for,
-# with stand-in workers and loads on this machine.
+# Measures the resources that the daemons use at the size that docs/CAPACITY.md plans
+# for, with stand-in workers and loads on this machine.
 #
 #   scripts/capacity.sh [STAGE ...]   all stages, or those named:
 #
@@ -10,12 +10,12 @@
 #   changes     1, 5 and 20 changes of the configuration a second
 #   day         4,400 jobs and 1,900 changes in a short time; memory as state grows
 #   faults      urgent jobs through the loss of a leader, and while every process
-#               of one data centre stands still for 10 s
+#               of one data centre is stopped (SIGSTOP) for 10 s
 #
 # The table goes to docs/measurements/capacity.md (or $CAPACITY_OUT), and raw
 # samples to a run folder, data/capacity under the repository (or $BILBERRY_RUN).
-# Ports from $CAPACITY_PORT (17400) on are used, on the loopback alone. Only
-# processes that this script started are signalled.
+# Daemons listen on loopback ports from $CAPACITY_PORT (17400) on. Only processes that
+# this script started are signalled.
 set -euo pipefail
 
 root=$(cd "$(dirname "$0")/.." && pwd)
@@ -25,8 +25,8 @@
 bin=$run/bin
 settings=$run/capacity.toml
 list=$run/processes
-seconds=${CAPACITY_SECONDS:-20}           # of each measurement
-peak_seconds=${CAPACITY_PEAK_SECONDS:-60} # of the measurement at the peak
+seconds=${CAPACITY_SECONDS:-20}           # duration of each measurement
+peak_seconds=${CAPACITY_PEAK_SECONDS:-60} # duration of the measurement at the peak rate
 ready_within=30
 customers=100
 accelerators_each=5 # 194 workers with 5 are 970 accelerators
@@ -35,10 +35,10 @@
 
 declare -A daemons=() # process ids by name
 declare -A admins=()  # admin addresses by name
-fleets=()             # process ids of workers
+fleets=()             # process ids of the stand-in worker processes
 
-# instance writes one instance of the settings: its number, data centre, and
-# the lines that only it has.
+# instance NUMBER DATA_CENTRE LINE... writes the settings of one instance; the lines are
+# added to the common ones.
 instance() {
 	local base=$((port + 4 * $1)) id=i$1
 	cat <<-END
@@ -56,8 +56,8 @@
 	admins[$id/cell]=127.0.0.1:$((base + 3))
 }
 
-# instances writes the instances of a deployment of 4, 7 or 9. A data centre
-# with two has a witness elsewhere; one with one decides alone.
+# instances COUNT writes the settings of 4, 7 or 9 instances. A data centre with two
+# instances has a witness in another one; a single instance is its own quorum.
 instances() {
 	local voter
 	voter='config_voter = true'
@@ -119,7 +119,7 @@
 	} >"$run/config.toml"
 }
 
-# job writes a job file: name, policy, tasks, run time, and further lines.
+# job NAME POLICY TASKS RUNTIME LINE... writes a job file; a run time of "-" leaves it out.
 job() {
 	local file=$run/jobs/$1.toml
 	printf 'name = "%s"\npolicy = "%s"\ntasks = %d\ncpu = "1"\nmemory = "1GiB"\nidempotent = true\n' "$1" "$2" "$3" >"$file"
@@ -128,8 +128,8 @@
 	[ $# -eq 0 ] || printf '%s\n' "$@" >>"$file"
 }
 
-# 1,440 tasks run at 320 starts a second when each runs for 4.5 s; with 360 tasks
-# of services that is 1,800, a fifth of them services.
+# write_jobs writes the job files. At 320 starts a second and a run time of 4.5 s, 1,440
+# tasks run at a time; with 360 tasks of services that is 1,800, a fifth of them services.
 write_jobs() {
 	job report batch "$tasks_of_a_job" 4500ms 'deadline = "+60s"'
 	job scan batch "$tasks_of_a_job" 4500ms 'deadline = "+120s"'
@@ -149,7 +149,7 @@
 	curl -sf -m 2 "http://${admins[$1]}/readyz" >/dev/null 2>&1
 }
 
-# await_ready waits for the named daemons.
+# await_ready waits until the named daemons are ready.
 await_ready() {
 	local name deadline=$((SECONDS + ready_within))
 	for name in "$@"; do
@@ -184,7 +184,7 @@
 	done
 }
 
-# end signals processes of this script and waits for them.
+# end terminates processes of this script and waits for them.
 end() {
 	local pid
 	for pid in "$@"; do
@@ -214,8 +214,8 @@
 	daemons=()
 }
 
-# abandon ends what still runs when the script fails; a process that was stopped
-# is let go on first, or it couldn't end.
+# abandon kills the processes that still run when the script exits. It resumes stopped
+# processes first so that they can end.
 abandon() {
 	local pid
 	for pid in "${daemons[@]}" "${fleets[@]}"; do
@@ -225,7 +225,7 @@
 }
 trap abandon EXIT
 
-# start_workers runs so many workers in two processes, 43 % of them with
+# start_workers COUNT runs stand-in workers in two processes, 43 % of them with
 # accelerators, and waits until all hold a lease.
 start_workers() {
 	local with=$((($1 * 194 + 225) / 450)) log
@@ -245,7 +245,7 @@
 	done
 }
 
-# measure samples the daemons for some seconds into raw/NAME.json.
+# measure NAME SECONDS samples the daemons into raw/NAME.json.
 measure() {
 	local name
 	for name in "${!daemons[@]}"; do
@@ -293,7 +293,7 @@
 	loads workers-50 workers-150 workers-450
 }
 
-# jobs runs a load of jobs; its report goes to raw/NAME.jobs.
+# jobs_load NAME ARGUMENT... submits jobs; the report goes to raw/NAME.jobs.
 jobs_load() {
 	local name=$1
 	shift
@@ -349,11 +349,11 @@
 	done
 }
 
-# violations tells whether a stand-in worker saw a broken promise.
+# violations prints the number of violations that the stand-in workers logged.
 violations() {
 	local found
 	found=$(cat "$run"/logs/workers-*.log | grep -c '^VIOLATION' || true)
-	printf '\nBroken promises that the stand-in workers saw: %s.\n' "$found"
+	printf '\nViolations that the stand-in workers logged: %s.\n' "$found"
 }
 
 stage_changes() {
@@ -404,7 +404,7 @@
 	violations
 }
 
-# leader_of prints the instance that leads a data centre.
+# leader_of DATA_CENTRE prints the id of the instance that leads it.
 leader_of() {
 	local name
 	for name in "${!daemons[@]}"; do
@@ -416,8 +416,8 @@
 	done
 }
 
-# urgent_load submits urgent jobs in all data centres for 30 s with workers in
-# the same process, so that waiting counts up to the start on the worker.
+# urgent_load NAME submits urgent jobs in all data centres for 30 s. The workers are in
+# the same process, so that the wait is measured up to the start on the worker.
 urgent_load() {
 	jobs_load "$1" -v -workers 450 -rate 20 -count 600 "$run/jobs/urgent.toml"
 }
@@ -454,11 +454,11 @@
 	for name in "${frozen[@]}"; do kill -CONT "${daemons[$name]}"; done
 	wait "$load"
 	down
-	heading "Urgent jobs through faults (30 s of 20 a second, on 450 workers)"
+	heading "Urgent jobs during faults (30 s of 20 a second, on 450 workers)"
 	for name in urgent-quiet urgent-kill urgent-cut; do
 		printf '%s: `%s`\n\n' "$name" "$(grep -v 'state=' "$run/raw/$name.jobs" | tr -s ' \n' ' ')"
 	done
-	# Submissions go to the seven entry instances in turn; numbers 5 and 6 stood still.
+	# Submissions go to the seven entry instances in turn; numbers 5 and 6 were stopped.
 	awk '/state=/ {
 		sub(/.*waited=/, ""); sub(/ .*/, "")
 		wait = $0; scale = 1
@@ -470,10 +470,10 @@
 		if (n * scale > most[where]) most[where] = n * scale
 		i++
 	}
-	END { printf "urgent-cut: longest wait %.2f s of jobs sent to the other data centres, %.2f s of those sent to the one that stood still.\n\n", most[0], most[1] }' \
+	END { printf "urgent-cut: longest wait %.2f s of jobs sent to the other data centres, %.2f s of those sent to the stopped one.\n\n", most[0], most[1] }' \
 		"$run/raw/urgent-cut.jobs"
 	echo "urgent-kill: the leader of east-a, $leader, was killed and not started again within the load."
-	echo "urgent-cut: all processes of west-a stood still (SIGSTOP) for 10 s."
+	echo "urgent-cut: all processes of west-a were stopped (SIGSTOP) for 10 s."
 }
 
 stages=("$@")
--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -16,16 +16,16 @@
 root=$(cd "$(dirname "$0")/.." && pwd)
 bin=$root/bin
 ready_within=${READY_WITHIN:-30} # seconds
-stop_within=30                   # seconds; above the daemons' own limit
-conflict=5                       # exit code of bilberry: somebody else was first
-unavailable=11                   # exit code of bilberry: nobody could decide
+stop_within=30                   # seconds; longer than the daemons' own shutdown timeout
+conflict=5                       # exit code of bilberry: another write came first
+unavailable=11                   # exit code of bilberry: the service is unavailable
 
 usage() {
 	sed -n '2,14s/^# \{0,1\}//p' "$0" >&2
 	exit 2
 }
 
-# deployment sets what differs between the examples.
+# deployment sets the variables that depend on the example.
 deployment() {
 	case $1 in
 	rackwise)
@@ -44,7 +44,7 @@
 	list=$run/processes
 }
 
-# field prints the value of a key of one instance of the settings.
+# field INSTANCE KEY prints a value from the settings of one instance.
 field() {
 	awk -v id="$1" -v key="$2" -F' = ' '
 		$1 == "id" { current = $2 }
@@ -56,23 +56,23 @@
 	sed -n 's/^id = "\(.*\)"$/\1/p' "$settings"
 }
 
-# started_at prints when a process started, in clock ticks since boot. With the
-# process id it names one process for good, although ids are used again.
+# started_at prints the start time of a process in clock ticks since boot. Process ids
+# are reused; id and start time together identify one process.
 started_at() {
 	local stat
 	stat=$(cat "/proc/$1/stat" 2>/dev/null) || return 1
-	# shellcheck disable=SC2086 # the fields are to be split
+	# shellcheck disable=SC2086 # word splitting separates the fields
 	set -- ${stat##*) }
 	echo "${20}"
 }
 
-# alive tells whether a listed process is still the one that was started.
+# alive PID START reports whether the process that was started still runs.
 alive() {
 	[ "$(started_at "$1" || true)" = "$2" ]
 }
 
-# launch starts a command in the background and notes it in the list. Fields:
-# name, process id, admin address or "-", start time.
+# launch NAME ADMIN COMMAND... starts a command in the background and adds it to the
+# list. Fields: name, process id, admin address or "-", start time.
 launch() {
 	local process=$1 admin=$2 log pid
 	shift 2
@@ -89,7 +89,7 @@
 	launch "$1" "${admin:--}" "$bin/bilberry-${role}d" --settings "$settings" --instance "$instance"
 }
 
-# answers_ready asks a daemon's admin port whether it is ready.
+# answers_ready reports whether GET /readyz on an admin address returns status 200.
 answers_ready() {
 	local host=${1%:*} port=${1##*:} status
 	exec 3<>"/dev/tcp/$host/$port" || return 1
@@ -99,7 +99,7 @@
 	[[ $status == *" 200 "* ]]
 }
 
-# state prints what is known of one process.
+# state prints whether one process runs and is ready.
 state() {
 	local pid=$1 admin=$2 start=$3
 	if ! alive "$pid" "$start"; then
@@ -156,9 +156,9 @@
 	status
 }
 
-# set_config writes the shared configuration of the example, unless an earlier
-# run's data hold one already. Ready daemons may still be electing the leader of
-# the configuration log, so the write is repeated, each time by the same id.
+# set_config writes the shared configuration of the example, unless the data of an
+# earlier run contain one. Ready daemons may still be electing the leader of the
+# configuration log, so the write is retried with the same request id.
 set_config() {
 	local deadline=$((SECONDS + ready_within)) code
 	while :; do
@@ -203,8 +203,8 @@
 	echo "logs:     $run/logs"
 }
 
-# signal_all sends a signal to the listed processes that still run and whose
-# name matches a pattern.
+# signal_all SIGNAL PATTERN signals the listed processes that still run and whose name
+# matches a pattern.
 signal_all() {
 	local signal=$1 pattern=$2 process pid admin start
 	while read -r process pid admin start; do
@@ -215,7 +215,8 @@
 	done <"$list"
 }
 
-# await_end waits until no process that matches runs any more.
+# await_end waits until no process whose name matches a pattern runs, for at most
+# stop_within seconds.
 await_end() {
 	local pattern=$1 deadline=$((SECONDS + stop_within)) process pid admin start
 	while read -r process pid admin start; do
@@ -232,8 +233,8 @@
 		echo "$name isn't up"
 		return
 	fi
-	# Stand-ins leave in order, which needs the daemons; entry processes finish
-	# their requests, which needs the cells.
+	# Stand-ins are stopped first: they deregister, which needs the daemons. Entry
+	# processes come next: they finish their requests, which needs the cells.
 	local pattern
 	for pattern in workers minions '*/entry' '*/cell'; do
 		signal_all TERM "$pattern"
@@ -241,7 +242,7 @@
 	done
 	await_end '*'
 	if any_alive; then
-		echo "some processes didn't stop in time and are killed" >&2
+		echo "some processes didn't stop within $stop_within s; killing them" >&2
 		signal_all KILL '*'
 		await_end '*'
 	fi
@@ -249,7 +250,8 @@
 	report_violations
 }
 
-# report_violations fails when a stand-in saw a broken promise in this run.
+# report_violations prints the violations that stand-ins logged in this run and fails if
+# there are any.
 report_violations() {
 	local log broken=0
 	for log in "$run"/logs/workers.log "$run"/logs/minions.log; do
@@ -264,7 +266,7 @@
 	return "$broken"
 }
 
-# entry_of prints the line of the list that names a process.
+# entry_of prints the line of the list for a process name.
 entry_of() {
 	awk -v name="$1" '$1 == name' "$list"
 }
--- a/scripts/days.sh
+++ b/scripts/days.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# days.sh SITE FOLDER: makes whole days of the fragments in deploy/days, one for
-# each kind of disruption, with the traffic of the first day of a site file. The
-# days are written to FOLDER, outside the repository, to be played on the bench.
+# days.sh SITE FOLDER: completes the fragments in deploy/days, one for each kind of
+# disruption, to whole days with the traffic of the first day of a site file. The days
+# are written to FOLDER, outside the repository, and can be played on the bench.
 set -euo pipefail
 if [ $# -ne 2 ]; then
   echo "usage: $0 SITE FOLDER" >&2
--- a/scripts/landing.sh
+++ b/scripts/landing.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# landing.sh BENCH FOLDER [JOBS]: the regression runs before a landing, on the bench at
-# BENCH and the site files under FOLDER: the standard days of each deployment, then hunted
-# days, 40 of a small deployment and 8 of a large one. One deployment after the other; what
-# each prints goes to target/landing/. It takes hours on a small machine.
+# landing.sh BENCH FOLDER [JOBS]: runs the regression tests before a landing, with the
+# bench program at BENCH and the site files under FOLDER. Each deployment plays its standard
+# days, then hunted days: 40 of a small deployment, 8 of a large one. Deployments run one
+# after the other; their output goes to target/landing/. Takes hours on a small machine.
 set -euo pipefail
 if [ $# -lt 2 ]; then
   echo "usage: $0 BENCH FOLDER [JOBS]" >&2
@@ -12,7 +12,7 @@
 cd "$(dirname "$0")/.."
 mkdir -p target/landing
 
-# Site file, hunted days. The large deployment has taken the place of the two oldest.
+# Site file and number of hunted days of each deployment.
 deployments="large/rackwise-shared-large 8
 further/sea-fanarchiv 40
 further-grown/sea-fanarchiv-grown 8
--- a/scripts/sites.sh
+++ b/scripts/sites.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# sites.sh SITE FOLDER: derives deployments of our own from a site file, one for
-# each thing that the site itself doesn't have. They are written to FOLDER, outside
-# the repository, with the site's wire.json beside them.
+# sites.sh SITE FOLDER: derives variants of a site file, one for each feature that the
+# site itself doesn't have. They are written to FOLDER, outside the repository, together
+# with the site's wire.json.
 set -euo pipefail
 if [ $# -ne 2 ]; then
   echo "usage: $0 SITE FOLDER" >&2
@@ -11,7 +11,7 @@
 mkdir -p "$folder"
 cp "$(dirname "$site")/wire.json" "$folder/"
 
-# derive NAME EXPRESSION...: the site under another name, changed by sed.
+# derive NAME EXPRESSION... writes the site as own-NAME, changed by sed expressions.
 derive() {
   local name=$1 args=()
   shift
@@ -19,19 +19,20 @@
   sed -E -e "0,/^name = /s/^name = .*/name = \"own-$name\"/" "${args[@]}" "$site" > "$folder/own-$name.toml"
 }
 
-# Workers get their orders with the answers to their heartbeats.
+# Workers receive orders in the responses to their heartbeats.
 derive beats 's/^by_beat = false/by_beat = true/'
-# The second class's tasks run until they are cancelled, and few may be away.
+# Tasks of report-build and id-scan-batch are long-running: they run until cancelled.
+# Few of them may be missing at a time.
 derive lasting '/^  \{ name = "(report-build|id-scan-batch)"/ { s/needs = 0.0/needs = 0.0, lasts = true, may_miss = 1.0/; s/twice = [0-9.]+/twice = 0.0/ }' \
   's/(report-build|id-scan-batch) = [0-9.]+/\1 = 0.25/g'
-# Gangs that want one rack, data near racks.
+# Some gangs prefer a single rack; some data is close to certain racks.
 derive racks 's/tight = 0.0/tight = 0.5/g' 's/near = 0.0/near = 0.4/g'
-# Jobs that are repeated at set times.
+# Some jobs recur at set times.
 derive timed 's/timed = 0.0/timed = 0.1/g'
-# Workers refuse what doesn't fit, and orders for machines are checked for fences.
+# Workers refuse tasks that don't fit, and orders for machines carry a checked fence.
 derive guarded 's/guards = false/guards = true/' 's/^fenced = false/fenced = true/'
-# Leases of three seconds at most.
+# Leases last at most 3 s.
 derive short 's/^hold_max_ms = .*/hold_max_ms = 3000.0/'
-# More instances with a disk: two in each data centre.
+# Two instances with a disk in each data centre instead of one.
 derive disks 's/(class = "core".*) count = 1/\1 count = 2/'
 ls "$folder"/own-*.toml | wc -l
