--- a/internal/e2e/chaos_test.go
+++ b/internal/e2e/chaos_test.go
@@ -62,7 +62,7 @@
 	case 2:
 		f.pauseOrResume(cell, f.hasFault(instance.DataCentre))
 	case 3:
-		f.partitionOrHeal(instance.DataCentre)
+		f.startOrEndPartition(instance.DataCentre)
 	case 4:
 		worker := f.workers.All()[f.random.IntN(len(f.workers.All()))]
 		worker.Restart(nil)
@@ -113,7 +113,7 @@
 	}
 }
 
-func (f *faultInjector) partitionOrHeal(dataCentre string) {
+func (f *faultInjector) startOrEndPartition(dataCentre string) {
 	f.partitioned[dataCentre] = !f.partitioned[dataCentre]
 	f.cluster.network.setPartitioned(dataCentre, f.partitioned[dataCentre])
 	if f.partitioned[dataCentre] {
@@ -144,7 +144,8 @@
 }
 
 // recovered reports whether every control process of a data centre is reachable and
-// has recovered, one of them leads, and their commit indexes are close together.
+// has recovered, a leader commits with a disk, and their commit indexes differ by less
+// than 100 entries.
 func (c *cluster) recovered(dataCentre string) bool {
 	ctx, _ := c.operatorClients()
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
