--- a/internal/e2e/bench_test.go
+++ b/internal/e2e/bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// BenchmarkUrgentStartAfterLeaderLoss measures how long an urgent job waits,
-// from its submission to its start on a worker, when the leader of the data
-// centre was killed the moment before.
+// BenchmarkUrgentStartAfterLeaderLoss measures the time from the submission of an
+// urgent job to its start on a worker, when the leader of the data centre was
+// killed immediately before the submission.
 func BenchmarkUrgentStartAfterLeaderLoss(b *testing.B) {
 	c := newCluster(b, "rackwise", oneDataCentre)
 	c.workers(6)
@@ -36,8 +36,8 @@
 	b.ReportMetric(float64(waits.Max()), "max-ms")
 }
 
-// BenchmarkSubmitToStart measures the wait of a small job on an idle data
-// centre, from its submission to its start on a worker.
+// BenchmarkSubmitToStart measures the time from the submission of a small job to its
+// start on a worker in an idle data centre.
 func BenchmarkSubmitToStart(b *testing.B) {
 	c := newCluster(b, "rackwise", oneDataCentre)
 	c.workers(6)
@@ -61,21 +61,20 @@
 }
 
 // BenchmarkConfigurationPropagation measures the time from the acceptance of a
-// configuration until every process of three data centres applies it. Versions
-// are asked for again and again, so the figure has the time of one round of
-// questions in it.
+// configuration until every process of three data centres applies it. The versions
+// are polled, so the result includes the duration of one poll of all processes.
 func BenchmarkConfigurationPropagation(b *testing.B) {
 	c := newCluster(b, "rackwise", nil)
 	ctx, operations := c.operatorClients()
-	times := hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
+	delays := hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
 	version := uint64(0)
 	for b.Loop() {
 		c.setConfig(ctx, operations, fmt.Sprint("change-", version), version, configWithCPULimit(100+int(version)))
 		accepted := time.Now()
 		version++
 		c.eventually("the version is in force everywhere", func() bool { return c.lowestConfigVersion(ctx, operations) == version })
-		_ = times.RecordValue(time.Since(accepted).Milliseconds())
+		_ = delays.RecordValue(time.Since(accepted).Milliseconds())
 	}
-	b.ReportMetric(float64(times.ValueAtQuantile(50)), "p50-ms")
-	b.ReportMetric(float64(times.Max()), "max-ms")
+	b.ReportMetric(float64(delays.ValueAtQuantile(50)), "p50-ms")
+	b.ReportMetric(float64(delays.Max()), "max-ms")
 }
--- a/internal/e2e/cut_test.go
+++ b/internal/e2e/partition_test.go
@@ -14,30 +14,28 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
-// What a user sees: a hall that is cut off from the others goes on accepting
-// and finishing work; an operator there is told at once that configuration
-// can't be written, and the old one stays in force until the line is back.
-// Order: one data centre is cut off; work is submitted on both sides; a
-// configuration is written on each side; the line is healed.
-// Cause: the lines between data centres fail without a word.
+// TestPartitionedDataCentreKeepsWorking guards against a data centre that stops
+// accepting and finishing jobs when the network partitions it from all others. On the
+// partitioned side, writing the configuration must fail with Unavailable, and the old
+// version stays in force until the partition ends.
 func TestPartitionedDataCentreKeepsWorking(t *testing.T) {
 	c := newCluster(t, "rackwise", nil)
 	c.workers(6)
 	customer := c.customer(0)
-	names := c.deployment.Settings.DataCentres()
-	partitioned, connected := customer.inDataCentre(names[0]), customer.inDataCentre(names[1])
+	dataCentres := c.deployment.Settings.DataCentres()
+	partitioned, connected := customer.inDataCentre(dataCentres[0]), customer.inDataCentre(dataCentres[1])
 	ctx, operations := c.operatorClients()
 	c.setConfig(ctx, operations, "first", 0, configWithCPULimit(1000))
 	c.eventually("version 1 is in force everywhere", func() bool { return c.lowestConfigVersion(ctx, operations) == 1 })
 
-	c.network.setPartitioned(names[0], true)
+	c.network.setPartitioned(dataCentres[0], true)
 	partitionedJob := partitioned.submit("inside", batch("reports", 6, 200, false))
 	connectedJob := connected.submit("outside", batch("reports", 6, 200, false))
-	must.Eq(t, names[0], partitionedJob.DataCentre)
+	must.Eq(t, dataCentres[0], partitionedJob.DataCentre)
 	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, partitioned.awaitEnd(partitionedJob.Id).State)
 	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, connected.awaitEnd(connectedJob.Id).State)
 	c.setConfig(ctx, operations[3:], "second", 1, configWithCPULimit(2000))
-	c.eventually("the cut-off side says that it can't write", func() bool {
+	c.eventually("a write on the partitioned side fails with Unavailable", func() bool {
 		_, err := operations[0].SetConfig(ctx, &apiv1.SetConfigRequest{RequestId: "third", ExpectedVersion: 1, Document: configWithCPULimit(3000)})
 		return fault.Is(err, fault.Unavailable)
 	})
@@ -45,31 +43,29 @@
 	must.NoError(t, err)
 	must.Eq(t, 1, status.Instances[0].Version)
 
-	c.network.setPartitioned(names[0], false)
+	c.network.setPartitioned(dataCentres[0], false)
 	c.eventually("version 2 is in force everywhere", func() bool { return c.lowestConfigVersion(ctx, operations) == 2 })
 	c.checkNoViolations()
 }
 
-// What a user sees: a job that its hall can't hold runs in another hall, once,
-// though the line fails while it is handed over.
-// Order: a data centre without workers takes jobs and hands them over, while
-// its lines are cut and healed again and again; then all ends are read.
-// Cause: offers and their answers are lost on the way.
+// TestHandoverRunsOnceDuringNetworkPartitions guards against handed-over jobs that are
+// lost or run twice. A data centre without workers hands over its jobs while its
+// network links fail again and again, so that offers and their responses get lost.
 func TestHandoverRunsOnceDuringNetworkPartitions(t *testing.T) {
 	c := newCluster(t, "rackwise", nil)
-	names := c.deployment.Settings.DataCentres()
-	c.workersIn(names[1:], 6)
+	dataCentres := c.deployment.Settings.DataCentres()
+	c.workersIn(dataCentres[1:], 6)
 	customer := c.customer(0)
-	source := customer.inDataCentre(names[0])
+	source := customer.inDataCentre(dataCentres[0])
 	stop := make(chan struct{})
-	var toggling sync.WaitGroup
-	toggling.Go(func() {
+	var toggler sync.WaitGroup
+	toggler.Go(func() {
 		for partitioned := true; ; partitioned = !partitioned {
 			select {
 			case <-stop:
 				return
 			case <-c.partitionTick():
-				c.network.setPartitioned(names[0], partitioned)
+				c.network.setPartitioned(dataCentres[0], partitioned)
 			}
 		}
 	})
@@ -77,40 +73,39 @@
 	for i := range 40 {
 		answer, err := source.trySubmit(fmt.Sprint("handover-", i), batch("reports", 2, 100, false))
 		if err != nil {
-			// Refused as no data centre could be asked: nothing was accepted.
+			// Refused because no other data centre could be reached; the job wasn't accepted.
 			must.False(t, fault.Is(err, fault.Unavailable), must.Sprint(err))
 			continue
 		}
 		ids[answer.Id] = true
 	}
 	close(stop)
-	toggling.Wait()
-	c.network.setPartitioned(names[0], false)
+	toggler.Wait()
+	c.network.setPartitioned(dataCentres[0], false)
 	for id := range ids {
 		job := customer.awaitEnd(id)
 		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, job.State, must.Sprintf("%s: %s %s", id, job.ReasonKind, job.Reason))
-		must.NotEq(t, names[0], job.DataCentre)
+		must.NotEq(t, dataCentres[0], job.DataCentre)
 	}
 	must.Positive(t, len(ids))
 	must.Eq(t, 2*len(ids), c.ledger.Starts())
 	c.checkNoViolations()
 }
 
-// What a user sees: a check-in that was sent again after its answer was lost, and
-// reached another data centre, is the same check-in.
-// Order: a submission is accepted; the same request arrives at entry instances of
-// the other data centres; one without a home is refused before it is stored.
-// Cause: request ids are known in one data centre, and the platform's balancer
-// knows nothing of that.
+// TestResentSubmissionIsDeduplicatedAcrossDataCentres guards against a second job when
+// the response to a submission is lost and the retry reaches another data centre.
+// Request ids are stored in the home data centre only, and the load balancer in front
+// of the entry instances doesn't know it. A non-idempotent submission without a home is
+// refused before it is stored.
 func TestResentSubmissionIsDeduplicatedAcrossDataCentres(t *testing.T) {
 	c := newCluster(t, "rackwise", nil)
 	c.workers(6)
 	customer := c.customer(0)
-	names := c.deployment.Settings.DataCentres()
+	dataCentres := c.deployment.Settings.DataCentres()
 	spec := batch("check-in", 2, 100, false)
-	request := &apiv1.SubmitRequest{RequestId: "lost-answer", Spec: spec, Home: names[0]}
+	request := &apiv1.SubmitRequest{RequestId: "lost-answer", Spec: spec, Home: dataCentres[0]}
 	ids := make(map[string]bool)
-	for _, name := range names {
+	for _, name := range dataCentres {
 		c.eventually("the submission is answered through "+name, func() bool {
 			answer, err := customer.inDataCentre(name).schedulers[0].Submit(customer.ctx, request)
 			must.False(t, err != nil && !fault.Is(err, fault.Unavailable), must.Sprint(err))
@@ -129,10 +124,9 @@
 	c.checkNoViolations()
 }
 
-// What a user sees: work that was accepted survives a power failure of the hall.
-// Order: long tasks are accepted and run; every control process of the data
-// centre dies at once; all come back, one of them with its disk.
-// Cause: the power of the data centre's control instances fails.
+// TestAcceptedJobsSurviveDataCentrePowerLoss guards against the loss of accepted jobs
+// when all control processes of a data centre are killed at once while tasks run. All
+// of them restart, only one with the data on its disk.
 func TestAcceptedJobsSurviveDataCentrePowerLoss(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
@@ -153,11 +147,9 @@
 	c.checkNoViolations()
 }
 
-// What a user sees: a hall that lost two of its three control instances for good
-// serves again once an operator says so, with the work it had accepted.
-// Order: work is accepted; all control processes die; only the one with the disk
-// comes back, and waits; it is started again with the operator's word.
-// Cause: most of a data centre's control instances are destroyed.
+// TestForcedStartKeepsAcceptedJobs guards against a data centre that can't serve again
+// after two of its three control instances are destroyed. Only the instance with the
+// disk restarts, with --force-start, and must keep the accepted jobs.
 func TestForcedStartKeepsAcceptedJobs(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(4)
@@ -176,11 +168,10 @@
 	c.checkNoViolations()
 }
 
-// What a user sees: of operators who write the same version, one wins and the
-// others are told the current version; a resent write gets its first answer.
-// Order: many operators read a version and write, all at once, over all entry
-// instances; the winner's write is sent again.
-// Cause: operators race each other, and answers get lost.
+// TestConcurrentConfigurationWrites guards against lost updates of the configuration.
+// Several operators write with the same expected version over all entry instances at
+// once: one write succeeds, the others fail with Conflict. A retry of the successful
+// write, as after a lost response, succeeds again and changes nothing.
 func TestConcurrentConfigurationWrites(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	ctx, operations := c.operatorClients()
@@ -217,6 +208,8 @@
 	must.Eq(t, configWithCPULimit(200+winner), current.Document)
 }
 
+// configWithCPULimit returns a configuration document that limits a customer to a number
+// of cores.
 func configWithCPULimit(cores int) string {
 	return fmt.Sprintf(`[[customer]]
 name = "curragh-racking"
@@ -232,7 +225,8 @@
 	return err
 }
 
-// setConfig writes a version, through whichever entry instance reaches the voters.
+// setConfig writes a configuration. It retries over the given entry instances until one
+// reaches the voters.
 func (c *cluster) setConfig(ctx context.Context, operations []apiv1.Operations, requestID string, expectedVersion uint64, document string) {
 	c.t.Helper()
 	i := 0
@@ -244,7 +238,8 @@
 	})
 }
 
-// lowestConfigVersion is the lowest version in force on any process.
+// lowestConfigVersion returns the lowest version in force on any process, or 0 if the
+// status is unavailable.
 func (c *cluster) lowestConfigVersion(ctx context.Context, operations []apiv1.Operations) uint64 {
 	status, err := operations[0].ConfigStatus(ctx, &apiv1.ConfigStatusRequest{})
 	if err != nil {
