--- a/api/v1/bilberry.twirp.go
+++ b/api/v1/bilberry.twirp.go
@@ -31,14 +31,14 @@
 // Scheduler Interface
 // ===================
 
-// Scheduler is what operators and callers use. Any entry instance of any data
-// centre takes any call and finds the owner. Mutating calls carry a request id;
-// the same id with the same content gets the first answer again, the same id
-// with other content gets Conflict.
+// Scheduler serves operators and callers. Every entry instance of every data centre
+// accepts every call and forwards it to the data centre that owns the job. Mutating
+// calls carry a request id as idempotency key: a repeat with the same content gets the
+// first answer, a repeat with different content gets Conflict.
 type Scheduler interface {
-	// Home names the data centre of the entry instance that answers. A caller asks
-	// once before it submits, and names that home in the submission and in every
-	// repeat of it: request ids are known in their home only.
+	// Home returns the data centre of the entry instance that answers. A caller calls it
+	// once before it submits, and names that home in the submission and in every retry:
+	// request ids are stored in their home only.
 	Home(context.Context, *HomeRequest) (*HomeResponse, error)
 
 	Submit(context.Context, *SubmitRequest) (*SubmitResponse, error)
@@ -49,7 +49,8 @@
 
 	Status(context.Context, *StatusRequest) (*StatusResponse, error)
 
-	// Watch answers when a job's revision passes after_revision, or after wait_ms.
+	// Watch is a long poll: it answers when a job's revision exceeds after_revision, or
+	// after wait_ms.
 	Watch(context.Context, *WatchRequest) (*StatusResponse, error)
 
 	Explain(context.Context, *ExplainRequest) (*ExplainResponse, error)
@@ -2207,7 +2208,7 @@
 // Operations Interface
 // ====================
 
-// Operations is what the operators of the system itself use.
+// Operations serves the operators of the system.
 type Operations interface {
 	Workers(context.Context, *WorkersRequest) (*WorkersResponse, error)
 
@@ -2215,8 +2216,8 @@
 
 	GetConfig(context.Context, *GetConfigRequest) (*Config, error)
 
-	// SetConfig writes compare-and-set: it fails with Conflict unless
-	// expected_version is the current version.
+	// SetConfig is a compare-and-set: it fails with Conflict unless expected_version is
+	// the current version.
 	SetConfig(context.Context, *SetConfigRequest) (*Config, error)
 
 	ConfigStatus(context.Context, *ConfigStatusRequest) (*ConfigStatusResponse, error)
@@ -5215,14 +5216,14 @@
 // WorkerGateway Interface
 // =======================
 
-// WorkerGateway is what workers call, at any entry instance of their data centre.
+// WorkerGateway serves workers. They call any entry instance of their data centre.
 type WorkerGateway interface {
-	// Renew announces a worker or renews its lease. The call is held until there
-	// are commands or hold_ms has passed. An empty answer still renews.
+	// Renew announces a worker or renews its lease. It is a long poll: it answers when
+	// there are commands or after hold_ms. An empty answer also renews the lease.
 	Renew(context.Context, *RenewRequest) (*RenewResponse, error)
 
-	// Report delivers ends of attempts. A worker repeats a report until the
-	// answer acknowledges it.
+	// Report delivers the outcomes of attempts. A worker retries a report until the answer
+	// acknowledges it.
 	Report(context.Context, *ReportRequest) (*ReportResponse, error)
 
 	LeaveWorker(context.Context, *LeaveWorkerRequest) (*LeaveResponse, error)
@@ -6272,7 +6273,7 @@
 // MinionGateway Interface
 // =======================
 
-// MinionGateway is what minions call, at every entry instance of their data centre.
+// MinionGateway serves minions. They call every entry instance of their data centre.
 type MinionGateway interface {
 	Announce(context.Context, *AnnounceRequest) (*AnnounceResponse, error)
 
@@ -7046,24 +7047,25 @@
 // Peer Interface
 // ==============
 
-// Peer is what instances of the system call on each other.
+// Peer serves the other instances of the system.
 type Peer interface {
-	// Exchange carries messages of replication groups. Payloads are encoded by
-	// the sender's replica transport; format_version guards mixed programs.
+	// Exchange carries messages of replication groups. The sender's replica transport
+	// encodes the payloads; format_version tells instances of different program versions
+	// apart.
 	Exchange(context.Context, *ExchangeRequest) (*ExchangeResponse, error)
 
-	// Offer proposes a handover of one job to the receiving data centre, or asks
-	// again for the committed outcome of an earlier offer.
+	// Offer proposes the handover of one job to the receiving data centre. A repeat gets
+	// the committed outcome of the earlier offer.
 	Offer(context.Context, *OfferRequest) (*OfferResponse, error)
 
-	// FetchConfig answers with the committed configuration once its version
-	// passes after_version, or after wait_ms with the version unchanged.
+	// FetchConfig is a long poll for the committed configuration: it answers once the
+	// version exceeds after_version, or after wait_ms with the version unchanged.
 	FetchConfig(context.Context, *FetchConfigRequest) (*Config, error)
 
 	// MoveQuota carries one message of a quota transfer between data centres.
 	MoveQuota(context.Context, *MoveQuotaRequest) (*MoveQuotaResponse, error)
 
-	// ShareSlots divides the slots of minions among the entry instances of a data centre.
+	// ShareSlots allocates the slots of minions to the entry instances of a data centre.
 	ShareSlots(context.Context, *ShareSlotsRequest) (*ShareSlotsResponse, error)
 }
 
--- a/api/v1/workflow.twirp.go
+++ b/api/v1/workflow.twirp.go
@@ -26,22 +26,22 @@
 // Workflows Interface
 // ===================
 
-// Workflows is served by every instance, which passes calls on to the leader.
+// Workflows is served by every instance; followers forward calls to the leader.
 type Workflows interface {
-	// SubmitWorkflow answers once a majority of the disks has the job. The same id
-	// is the same job, however often it is sent.
+	// SubmitWorkflow answers once the job is stored on a majority of the disks. The id is
+	// the idempotency key: a repeated submission refers to the same job.
 	SubmitWorkflow(context.Context, *SubmitWorkflowRequest) (*SubmitWorkflowResponse, error)
 
 	CancelWorkflow(context.Context, *WorkflowRef) (*CancelWorkflowResponse, error)
 
 	GetWorkflow(context.Context, *WorkflowRef) (*WorkflowStatus, error)
 
-	// ExplainWorkflow tells what each step waits for, as the last decision saw it.
+	// ExplainWorkflow returns what each step waits for, as of the last scheduling decision.
 	ExplainWorkflow(context.Context, *WorkflowRef) (*ExplainWorkflowResponse, error)
 
 	GetQueue(context.Context, *QueueRef) (*QueueStatus, error)
 
-	// StartWave answers once a majority of the disks has the wave.
+	// StartWave answers once the wave is stored on a majority of the disks.
 	StartWave(context.Context, *Wave) (*WaveStatus, error)
 
 	GetWave(context.Context, *WaveRef) (*WaveStatus, error)
