--- a/internal/standin/command/callers.go
+++ b/internal/standin/command/callers.go
@@ -13,9 +13,9 @@
 	"github.com/bilberryferry/bilberryferry/internal/standin"
 )
 
-var errNoService = errors.New("-service is needed")
+var errNoService = errors.New("flag -service is missing")
 
-// callers runs a load of requests.
+// callers is the subcommand that sends a load of requests to a service.
 type callers struct {
 	*base
 	deployment deploymentFlags
@@ -24,26 +24,26 @@
 }
 
 func (*callers) Name() string     { return "callers" }
-func (*callers) Synopsis() string { return "send a seeded load of requests and check each answer" }
+func (*callers) Synopsis() string { return "send a seeded load of requests and check each response" }
 func (*callers) Usage() string {
-	return "callers -settings FILE -service NAME [flags]:\n  Send requests at a rate, print counts and latencies (in microseconds) as JSON.\n  Exit 1 if an answer was wrong.\n"
+	return "callers -settings FILE -service NAME [flags]:\n  Send requests at a rate, print counts and latencies (in microseconds) as JSON.\n  Exit 1 if a response was wrong.\n"
 }
 
 func (c *callers) SetFlags(f *flag.FlagSet) {
 	c.deployment.setFlags(f)
-	f.StringVar(&c.customer, "customer", "", "customer whose token is sent; empty: the first of the settings")
+	f.StringVar(&c.customer, "customer", "", "customer whose token is sent; empty: the first in the settings")
 	f.StringVar(&c.cfg.Service, "service", "", "name of the service")
 	f.BoolVar(&c.cfg.Direct, "direct", false, "the -entries are addresses of minions")
-	f.Float64Var(&c.cfg.Rate, "rate", standin.DefaultCallRate, "mean requests in a second")
-	f.IntVar(&c.cfg.Count, "count", 0, "end after so many requests")
-	f.DurationVar(&c.cfg.Duration, "duration", 10*time.Second, "end after this time")
-	f.DurationVar(&c.cfg.Deadline, "deadline", standin.DefaultDeadline, "time that each request has")
+	f.Float64Var(&c.cfg.Rate, "rate", standin.DefaultCallRate, "mean requests per second")
+	f.IntVar(&c.cfg.Count, "count", 0, "number of requests after which to end; 0 means no bound")
+	f.DurationVar(&c.cfg.Duration, "duration", 10*time.Second, "time after which to end; 0 means no bound")
+	f.DurationVar(&c.cfg.Deadline, "deadline", standin.DefaultDeadline, "time from the scheduled send of a request to its deadline")
 	f.Float64Var(&c.cfg.NonIdempotentShare, "once", 0, "share of non-idempotent requests")
-	f.IntVar(&c.cfg.Size, "size", standin.DefaultResponseSize, "bytes of filler in each answer")
+	f.IntVar(&c.cfg.Size, "size", standin.DefaultResponseSize, "bytes of filler in each response")
 	f.IntVar(&c.cfg.BodySize, "body", 0, "bytes in the body of each request")
-	f.DurationVar(&c.cfg.Work, "work", 0, "time that a minion takes; 0 leaves it to the minion")
+	f.DurationVar(&c.cfg.Work, "work", 0, "service time of a request; 0 leaves it to the minion")
 	f.BoolVar(&c.cfg.Resend, "resend", true, "send idempotent requests again when the connection breaks")
-	f.Uint64Var(&c.cfg.Seed, "seed", 1, "seed of times and targets")
+	f.Uint64Var(&c.cfg.Seed, "seed", 1, "seed of send times and entry addresses")
 }
 
 func (c *callers) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
--- a/internal/standin/command/changes.go
+++ b/internal/standin/command/changes.go
@@ -13,24 +13,26 @@
 	"github.com/bilberryferry/bilberryferry/internal/standin"
 )
 
-// changes writes the shared configuration again and again.
+// changes is the subcommand that changes the configuration at a rate.
 type changes struct {
 	*base
 	deployment deploymentFlags
 	cfg        standin.ChangesConfig
 }
 
-func (*changes) Name() string     { return "changes" }
-func (*changes) Synopsis() string { return "change the configuration and time until it is in force" }
+func (*changes) Name() string { return "changes" }
+func (*changes) Synopsis() string {
+	return "change the configuration and measure how long until it is in force"
+}
 func (*changes) Usage() string {
-	return "changes -settings FILE [flags]:\n  Write the configuration in force again with a new comment, at a rate. Print\n  counts and times (in microseconds) as JSON. Exit 1 if a change failed or an\n  instance went back to an older version.\n"
+	return "changes -settings FILE [flags]:\n  Write the configuration in force again, each time with a new comment, at a\n  rate. Print counts and times (in microseconds) as JSON. Exit 1 if a change\n  failed or an instance went back to an older version.\n"
 }
 
 func (c *changes) SetFlags(f *flag.FlagSet) {
 	c.deployment.setFlags(f)
-	f.Float64Var(&c.cfg.Rate, "rate", 1, "changes in a second")
+	f.Float64Var(&c.cfg.Rate, "rate", 1, "changes per second")
 	f.IntVar(&c.cfg.Count, "count", 10, "number of changes")
-	f.DurationVar(&c.cfg.Poll, "poll", 100*time.Millisecond, "how often to ask which version each instance applies; 0: never")
+	f.DurationVar(&c.cfg.Poll, "poll", 100*time.Millisecond, "interval at which to query the version in force on each instance; 0: never")
 }
 
 func (c *changes) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
--- a/internal/standin/command/command.go
+++ b/internal/standin/command/command.go
@@ -19,8 +19,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/standin"
 )
 
-// Main runs the subcommand named by the arguments and returns the exit code:
-// 0, or 1 when it failed or a violation was found, or 2 for wrong usage.
+// Main runs the subcommand named by the arguments and returns the exit code: 0 on
+// success, 1 after a failure or a violation, 2 for a usage error.
 func Main(args []string, out, errorOutput io.Writer) int {
 	flags := flag.NewFlagSet("bilberry-standin", flag.ContinueOnError)
 	flags.SetOutput(errorOutput)
@@ -45,7 +45,7 @@
 	return int(commander.Execute(ctx))
 }
 
-// base is what the subcommands share.
+// base holds the outputs that the subcommands share.
 type base struct {
 	out         io.Writer
 	errorOutput io.Writer
@@ -65,7 +65,8 @@
 	return ledger
 }
 
-// end turns the error and the violations of a run into the exit status.
+// exitStatus prints the error or the number of violations of a run and returns the
+// exit status.
 func (b *base) exitStatus(ledger *standin.Ledger, err error) subcommands.ExitStatus {
 	if err != nil && !errors.Is(err, context.Canceled) {
 		fmt.Fprintln(b.errorOutput, err)
@@ -79,12 +80,13 @@
 	return subcommands.ExitSuccess
 }
 
+// usageError prints an error of the arguments and returns the exit status.
 func (b *base) usageError(err error) subcommands.ExitStatus {
 	fmt.Fprintln(b.errorOutput, err)
 	return subcommands.ExitUsageError
 }
 
-// target is which entry instances a subcommand speaks to, and with which token.
+// deploymentFlags are the flags that name the entry instances and the token.
 type deploymentFlags struct {
 	settings   string
 	dataCentre string
@@ -94,19 +96,20 @@
 
 func (t *deploymentFlags) setFlags(f *flag.FlagSet) {
 	f.StringVar(&t.settings, "settings", "", "settings `file` of the deployment")
-	f.StringVar(&t.dataCentre, "data-centre", "", "only this data centre; empty: all of the settings")
-	f.StringVar(&t.entries, "entries", "", "entry `addresses` in place of those of the settings, comma-separated")
-	f.StringVar(&t.tokenFile, "token-file", "", "token `file` in place of that of the settings")
+	f.StringVar(&t.dataCentre, "data-centre", "", "only this data centre; empty: all in the settings")
+	f.StringVar(&t.entries, "entries", "", "entry `addresses` instead of those in the settings, comma-separated")
+	f.StringVar(&t.tokenFile, "token-file", "", "token `file` instead of that in the settings")
 }
 
-// load returns the sites, and the settings where a file is named.
+// load returns the data centres with their entry addresses. It also returns the
+// settings, unless -entries names the addresses.
 func (t *deploymentFlags) load() ([]standin.DataCentre, *settings.Settings, error) {
 	if t.entries != "" {
 		dataCentre := standin.DataCentre{Name: t.dataCentre, Entries: strings.Split(t.entries, ",")}
 		return []standin.DataCentre{dataCentre}, nil, nil
 	}
 	if t.settings == "" {
-		return nil, nil, errors.New("either -settings or -entries is needed")
+		return nil, nil, errors.New("flag -settings or -entries is missing")
 	}
 	s, err := settings.Read(t.settings)
 	if err != nil {
@@ -114,12 +117,13 @@
 	}
 	dataCentres := dataCentresOf(s, t.dataCentre)
 	if len(dataCentres) == 0 {
-		return nil, nil, errors.Newf("no instance is in data centre %q", t.dataCentre)
+		return nil, nil, errors.Newf("the settings name no instance in data centre %q", t.dataCentre)
 	}
 	return dataCentres, s, nil
 }
 
-// dataCentresOf returns the data centres with their entry addresses, or only one.
+// dataCentresOf returns the data centres with their entry addresses: all of them, or
+// the one named by only.
 func dataCentresOf(s *settings.Settings, only string) []standin.DataCentre {
 	var dataCentres []standin.DataCentre
 	for _, name := range s.DataCentres() {
@@ -135,7 +139,7 @@
 	return dataCentres
 }
 
-// allEntries returns all entry addresses of the sites.
+// allEntries returns the entry addresses of all data centres.
 func allEntries(dataCentres []standin.DataCentre) []string {
 	var entries []string
 	for _, dataCentre := range dataCentres {
@@ -144,7 +148,8 @@
 	return entries
 }
 
-// token reads the token file of the flag, else the one of the settings.
+// token returns the token in the file named by -token-file, or else in the file that
+// choose picks from the settings.
 func (t *deploymentFlags) token(s *settings.Settings, choose func(*settings.Settings) string) (string, error) {
 	switch {
 	case t.tokenFile != "":
@@ -152,11 +157,12 @@
 	case s != nil:
 		return settings.ReadToken(choose(s))
 	default:
-		return "", errors.New("-token-file is needed with -entries")
+		return "", errors.New("flag -token-file is missing; -entries requires it")
 	}
 }
 
-// customerFile returns the token file of a customer, the first one for "".
+// customerFile returns the token file of a customer, or of the first customer if
+// name is empty. It returns "" for an unknown name.
 func customerFile(s *settings.Settings, name string) string {
 	for _, c := range s.Tokens.Customers {
 		if name == "" || c.Name == name {
--- a/internal/standin/command/fit.go
+++ b/internal/standin/command/fit.go
@@ -15,20 +15,20 @@
 	"github.com/bilberryferry/bilberryferry/internal/measure"
 )
 
-// fit lays lines through measurements at several sizes.
+// fit is the subcommand that fits lines to measurements at several sizes of a load.
 type fit struct {
 	*base
 	configuration bool
 }
 
 func (*fit) Name() string     { return "fit" }
-func (*fit) Synopsis() string { return "lay lines through measurements at several sizes" }
+func (*fit) Synopsis() string { return "fit lines to measurements at several sizes of a load" }
 func (*fit) Usage() string {
-	return "fit [flags] SIZE=FILE ...:\n  Read what \"measure -json\" wrote at several sizes of a load and print, for each\n  kind of process, the measured values and the line through them, as Markdown.\n"
+	return "fit [flags] SIZE=FILE ...:\n  Read the output of \"measure -json\" at several sizes of a load and print, for each\n  kind of process, the measured values and the fitted line, as Markdown.\n"
 }
 
 func (c *fit) SetFlags(f *flag.FlagSet) {
-	f.BoolVar(&c.configuration, "configuration", false, "tell processes apart by their role in the configuration log")
+	f.BoolVar(&c.configuration, "configuration", false, "group processes by their role in the configuration log")
 }
 
 func (c *fit) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -41,7 +41,7 @@
 		sized = append(sized, measurement)
 	}
 	if len(sized) == 0 {
-		return c.usageError(errors.New("no measurement is named"))
+		return c.usageError(errors.New("the arguments name no measurement"))
 	}
 	class := measure.Usage.CellClass
 	if c.configuration {
@@ -54,11 +54,12 @@
 	return subcommands.ExitSuccess
 }
 
+// readMeasurement reads the measurement named by an argument SIZE=FILE.
 func readMeasurement(arg string) (measure.Measurement, error) {
 	size, path, _ := strings.Cut(arg, "=")
 	number, err := strconv.ParseFloat(size, 64)
 	if err != nil {
-		return measure.Measurement{}, errors.Newf("%q isn't SIZE=FILE", arg)
+		return measure.Measurement{}, errors.Newf("argument %q doesn't have the form SIZE=FILE with a number as SIZE", arg)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -66,7 +67,7 @@
 	}
 	measurement := measure.Measurement{Size: number}
 	if err := json.Unmarshal(text, &measurement.Usages); err != nil {
-		return measure.Measurement{}, errors.Wrapf(err, "%s", path)
+		return measure.Measurement{}, errors.Wrapf(err, "parse measurement %s", path)
 	}
 	return measurement, nil
 }
--- a/internal/standin/command/jobs.go
+++ b/internal/standin/command/jobs.go
@@ -14,7 +14,7 @@
 	"github.com/bilberryferry/bilberryferry/internal/standin"
 )
 
-// jobs submits jobs and follows them.
+// jobs is the subcommand that submits jobs and follows them until they end.
 type jobs struct {
 	*base
 	deployment deploymentFlags
@@ -28,21 +28,23 @@
 	verbose    bool
 }
 
-func (*jobs) Name() string     { return "jobs" }
-func (*jobs) Synopsis() string { return "submit jobs and report waiting times, misses and refusals" }
+func (*jobs) Name() string { return "jobs" }
+func (*jobs) Synopsis() string {
+	return "submit jobs and report waiting times, missed deadlines and refusals"
+}
 func (*jobs) Usage() string {
-	return "jobs -settings FILE [flags] JOBFILE ...:\n  Submit each job file once, or with -count so many jobs drawn from the files at\n  a rate. Print counts and times (in microseconds) as JSON. Exit 1 if accepted\n  work missed its deadline or a submission was never answered.\n"
+	return "jobs -settings FILE [flags] JOBFILE ...:\n  Submit each job file once, or with -count that number of jobs chosen at random\n  from the files, at a rate. Print counts and times (in microseconds) as JSON.\n  Exit 1 if an accepted job missed its deadline or a submission was never answered.\n"
 }
 
 func (c *jobs) SetFlags(f *flag.FlagSet) {
 	c.deployment.setFlags(f)
 	c.capacity.setFlags(f)
-	f.IntVar(&c.workers, "workers", 0, "run so many workers in this process; waiting then counts up to the start on the worker")
-	f.StringVar(&c.customer, "customer", "", "customer who submits; empty: all of the settings in turn")
-	f.Float64Var(&c.rate, "rate", 10, "mean jobs in a second")
+	f.IntVar(&c.workers, "workers", 0, "number of workers to run in this process; waiting times then end at the start on the worker")
+	f.StringVar(&c.customer, "customer", "", "customer who submits; empty: all in the settings, in round robin")
+	f.Float64Var(&c.rate, "rate", 10, "mean jobs per second")
 	f.IntVar(&c.count, "count", 0, "number of jobs; 0: each file once")
-	f.Uint64Var(&c.seed, "seed", 1, "seed of the arrival list")
-	f.DurationVar(&c.cfg.RetryTimeout, "patience", standin.DefaultRetryTimeout, "how long to repeat a call that isn't answered")
+	f.Uint64Var(&c.seed, "seed", 1, "seed of the arrival times and of the choice of files")
+	f.DurationVar(&c.cfg.RetryTimeout, "patience", standin.DefaultRetryTimeout, "how long to retry a call whose outcome is unknown")
 	f.BoolVar(&c.cfg.KeepServices, "keep-services", false, "leave services running")
 	f.BoolVar(&c.verbose, "v", false, "print each job's result")
 }
@@ -72,8 +74,8 @@
 	return status
 }
 
-// startWorkers runs the workers of the flag, waits until all hold a lease and
-// returns the function that ends them.
+// startWorkers runs as many workers as the flag -workers says, waits until all hold
+// a lease and returns the function that ends them.
 func (c *jobs) startWorkers(ctx context.Context) (stop func(), err error) {
 	if c.workers == 0 {
 		return func() {}, nil
@@ -97,6 +99,7 @@
 	}, nil
 }
 
+// readyPoll is the interval at which startWorkers checks the leases.
 const readyPoll = 20 * time.Millisecond
 
 func (c *jobs) printResults(results []standin.JobResult) {
@@ -110,9 +113,11 @@
 	}
 }
 
+// newSubmitter returns a submitter of the jobs in the files. Customers submit in
+// round robin.
 func (c *jobs) newSubmitter(files []string) (*standin.Jobs, error) {
 	if len(files) == 0 {
-		return nil, errors.New("no job file is named")
+		return nil, errors.New("the arguments name no job file")
 	}
 	dataCentres, s, err := c.deployment.load()
 	if err != nil {
@@ -141,6 +146,8 @@
 	return standin.NewJobs(cfg), nil
 }
 
+// arrivals returns -count random arrivals, or with -count 0 one of each template, in
+// order.
 func (c *jobs) arrivals(templates []standin.Arrival) []standin.Arrival {
 	if c.count > 0 {
 		return standin.RandomArrivals(c.seed, c.rate, c.count, templates)
@@ -154,7 +161,8 @@
 	return arrivals
 }
 
-// readTokens reads the tokens of the customers who submit and returns their names.
+// readTokens reads the tokens of the submitting customers into cfg and returns their
+// names.
 func (c *jobs) readTokens(s *settings.Settings, cfg *standin.JobsConfig) ([]string, error) {
 	cfg.Tokens = make(map[string]string)
 	if s == nil || c.deployment.tokenFile != "" || c.customer != "" {
--- a/internal/standin/command/measure.go
+++ b/internal/standin/command/measure.go
@@ -16,7 +16,7 @@
 	"github.com/bilberryferry/bilberryferry/internal/measure"
 )
 
-// measure measures what daemons use.
+// measureCommand is the subcommand that measures the resource usage of daemons.
 type measureCommand struct {
 	*base
 	cfg       measure.Config
@@ -27,17 +27,17 @@
 
 func (*measureCommand) Name() string { return "measure" }
 func (*measureCommand) Synopsis() string {
-	return "measure processor time, memory and bytes of running daemons"
+	return "measure CPU time, memory and bytes of running daemons"
 }
 func (*measureCommand) Usage() string {
-	return "measure [flags] [NAME=PID[@ADMIN] ...]:\n  Sample processes and print what each used. With -processes they are read from a\n  file with lines NAME PID [ADMIN], as scripts/cluster.sh writes it.\n"
+	return "measure [flags] [NAME=PID[@ADMIN] ...]:\n  Sample processes and print the usage of each. With -processes, also read them from\n  a file with lines NAME PID [ADMIN], as scripts/cluster.sh writes it.\n"
 }
 
 func (c *measureCommand) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.processes, "processes", "", "`file` with one process a line")
+	f.StringVar(&c.processes, "processes", "", "`file` with one process per line")
 	f.DurationVar(&c.cfg.Interval, "interval", measure.DefaultInterval, "time between samples")
 	f.DurationVar(&c.cfg.Duration, "duration", 10*time.Second, "time from first to last sample")
-	f.StringVar(&c.counters, "counters", "", "`names` of expvar counters whose rates are wanted, comma-separated, levels joined by dots, * for all keys of a level")
+	f.StringVar(&c.counters, "counters", "", "`names` of expvar counters whose rates to print, comma-separated, levels joined by dots, * for all keys of a level")
 	f.BoolVar(&c.json, "json", false, "print JSON")
 }
 
@@ -70,6 +70,7 @@
 	return encoder.Encode(usages)
 }
 
+// targets returns the processes that the arguments and the file of -processes name.
 func (c *measureCommand) targets(args []string) ([]measure.Target, error) {
 	var targets []measure.Target
 	for _, arg := range args {
@@ -89,11 +90,12 @@
 		targets = append(targets, listed...)
 	}
 	if len(targets) == 0 {
-		return nil, errors.New("no process is named")
+		return nil, errors.New("neither the arguments nor -processes name a process")
 	}
 	return targets, nil
 }
 
+// newTarget returns a process to measure. It fails unless pid is a positive number.
 func newTarget(name, pid, admin string) (measure.Target, error) {
 	number, err := strconv.Atoi(pid)
 	if err != nil || number <= 0 {
@@ -102,6 +104,7 @@
 	return measure.Target{Name: name, PID: number, Admin: admin}, nil
 }
 
+// readProcesses reads a file with lines NAME PID [ADMIN]; an ADMIN of "-" means none.
 func readProcesses(path string) ([]measure.Target, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/standin/command/minions.go
+++ b/internal/standin/command/minions.go
@@ -13,7 +13,7 @@
 	"github.com/bilberryferry/bilberryferry/internal/standin"
 )
 
-// minions runs a fleet of stand-in minions.
+// minions is the subcommand that runs a fleet of stand-in minions.
 type minions struct {
 	*base
 	deployment deploymentFlags
@@ -24,23 +24,23 @@
 func (*minions) Name() string     { return "minions" }
 func (*minions) Synopsis() string { return "run stand-in minions of a service" }
 func (*minions) Usage() string {
-	return "minions -settings FILE -service NAME [flags]:\n  Run stand-in minions until SIGTERM. Exit 1 if a promise was broken.\n"
+	return "minions -settings FILE -service NAME [flags]:\n  Run stand-in minions until SIGTERM. Exit 1 after a violation.\n"
 }
 
 func (c *minions) SetFlags(f *flag.FlagSet) {
 	c.deployment.setFlags(f)
-	f.IntVar(&c.cfg.Count, "count", 50, "number of minions, spread over the data centres")
+	f.IntVar(&c.cfg.Count, "count", 50, "number of minions, assigned to the data centres in round robin")
 	f.StringVar(&c.cfg.Service, "service", "", "name of the service")
-	f.IntVar(&c.cfg.Slots, "slots", standin.DefaultSlots, "requests that a minion takes at once")
-	f.IntVar(&c.cfg.MaxConnections, "max-connections", standin.DefaultMaxConnections, "cap on connections of a minion")
-	f.StringVar(&c.cfg.Prefix, "prefix", "", "beginning of the minions' ids")
-	f.DurationVar(&c.cfg.Work, "work", 5*time.Millisecond, "time that a request takes")
-	f.IntVar(&c.cfg.Faulty, "faulty", 0, "number of minions with the faults below")
+	f.IntVar(&c.cfg.Slots, "slots", standin.DefaultSlots, "requests that a minion serves at a time")
+	f.IntVar(&c.cfg.MaxConnections, "max-connections", standin.DefaultMaxConnections, "limit of open connections of a minion")
+	f.StringVar(&c.cfg.Prefix, "prefix", "", "prefix of the minions' ids")
+	f.DurationVar(&c.cfg.Work, "work", 5*time.Millisecond, "service time of a request")
+	f.IntVar(&c.cfg.Faulty, "faulty", 0, "number of minions with the faults that other flags name")
 	f.DurationVar(&c.cfg.Faults.Delay, "slow", 0, "fault: time added to each request")
-	f.BoolVar(&c.cfg.Faults.Hang, "hang", false, "fault: never answer")
-	f.BoolVar(&c.cfg.Faults.Fail, "fail", false, "fault: fail at once")
-	f.BoolVar(&c.cfg.Faults.Truncate, "cut", false, "fault: break answers off")
-	f.DurationVar(&c.linger, "linger", 4*time.Second, "how long to serve on after the leave")
+	f.BoolVar(&c.cfg.Faults.Hang, "hang", false, "fault: send no response")
+	f.BoolVar(&c.cfg.Faults.Fail, "fail", false, "fault: respond at once with status 500")
+	f.BoolVar(&c.cfg.Faults.Truncate, "cut", false, "fault: truncate responses")
+	f.DurationVar(&c.linger, "linger", 4*time.Second, "how long to continue to serve after leaving")
 }
 
 func (c *minions) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
--- a/internal/standin/command/template.go
+++ b/internal/standin/command/template.go
@@ -8,8 +8,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/standin"
 )
 
-// readTemplate reads a job file. Its deadline is taken as a span from now, also
-// where the file names a time: each submission gets the same span.
+// readTemplate reads a job file. A deadline in the file, also an absolute one, becomes
+// the time from now to it; each submission gets a deadline that much later.
 func readTemplate(path string) (standin.Arrival, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/standin/command/workers.go
+++ b/internal/standin/command/workers.go
@@ -16,9 +16,10 @@
 	"github.com/bilberryferry/bilberryferry/internal/units"
 )
 
+// leaveTimeout bounds the graceful shutdown of a fleet.
 const leaveTimeout = 5 * time.Second
 
-// size is what each worker has, as flags give it.
+// capacityFlags are the flags that set the capacity of each worker.
 type capacityFlags struct {
 	cpu, memory  string
 	accelerators int64
@@ -42,7 +43,8 @@
 	return &apiv1.Resources{CpuMilli: cpu, MemoryMib: memory, Accelerators: z.accelerators}, nil
 }
 
-// newFleet fills in what a configuration of workers takes from flags and settings.
+// newFleet returns a fleet with cfg and the data centres, token and capacity from the
+// flags and the settings.
 func (b *base) newFleet(cfg standin.WorkersConfig, t *deploymentFlags, z *capacityFlags) (*standin.Workers, error) {
 	dataCentres, s, err := t.load()
 	if err != nil {
@@ -63,7 +65,7 @@
 	return standin.NewWorkers(cfg), nil
 }
 
-// workers runs a fleet of stand-in workers.
+// workers is the subcommand that runs a fleet of stand-in workers.
 type workers struct {
 	*base
 	deployment   deploymentFlags
@@ -77,26 +79,26 @@
 func (*workers) Name() string     { return "workers" }
 func (*workers) Synopsis() string { return "run stand-in workers and check their runs" }
 func (*workers) Usage() string {
-	return "workers -settings FILE [flags]:\n  Run stand-in workers until SIGTERM. Exit 1 if a promise was broken.\n"
+	return "workers -settings FILE [flags]:\n  Run stand-in workers until SIGTERM. Exit 1 after a violation.\n"
 }
 
 func (c *workers) SetFlags(f *flag.FlagSet) {
 	c.deployment.setFlags(f)
 	c.capacity.setFlags(f)
-	f.IntVar(&c.cfg.Count, "count", 50, "number of workers, spread over the data centres")
+	f.IntVar(&c.cfg.Count, "count", 50, "number of workers, assigned to the data centres in round robin")
 	f.IntVar(&c.cfg.PerRack, "per-rack", standin.DefaultPerRack, "workers in a rack")
-	f.StringVar(&c.cfg.Prefix, "prefix", "", "beginning of the workers' ids")
-	f.DurationVar(&c.cfg.RenewHold, "hold", standin.DefaultRenewHold, "how long a renewal may be held")
-	f.Float64Var(&c.cfg.RuntimeLow, "runtime-low", 1, "least factor from declared to true run time")
-	f.Float64Var(&c.cfg.RuntimeHigh, "runtime-high", 1, "largest factor from declared to true run time")
+	f.StringVar(&c.cfg.Prefix, "prefix", "", "prefix of the workers' ids")
+	f.DurationVar(&c.cfg.RenewHold, "hold", standin.DefaultRenewHold, "how long an entry instance may hold a renewal for commands")
+	f.Float64Var(&c.cfg.RuntimeLow, "runtime-low", 1, "smallest ratio of true to declared run time")
+	f.Float64Var(&c.cfg.RuntimeHigh, "runtime-high", 1, "largest ratio of true to declared run time")
 	f.Uint64Var(&c.cfg.Seed, "seed", 1, "seed of run times and faults")
-	f.IntVar(&c.cfg.Faulty, "faulty", 0, "number of workers with the faults below")
+	f.IntVar(&c.cfg.Faulty, "faulty", 0, "number of workers with the faults that other flags name")
 	f.BoolVar(&c.cfg.Faults.FailAll, "fail-all", false, "fault: fail every task")
-	f.Float64Var(&c.cfg.Faults.LoseResponses, "lose-answers", 0, "fault: share of answers that are lost")
+	f.Float64Var(&c.cfg.Faults.LoseResponses, "lose-answers", 0, "fault: share of responses that are lost")
 	f.BoolVar(&c.cfg.Faults.DuplicateReports, "double-reports", false, "fault: send each report twice")
-	f.DurationVar(&c.cfg.Faults.ReportDelay, "report-delay", 0, "fault: hold each report back")
+	f.DurationVar(&c.cfg.Faults.ReportDelay, "report-delay", 0, "fault: delay of each report")
 	f.DurationVar(&c.pauseEvery, "pause-every", 0, "fault: pause a random worker at this interval")
-	f.DurationVar(&c.pauseFor, "pause-for", 10*time.Second, "length of a pause")
+	f.DurationVar(&c.pauseFor, "pause-for", 10*time.Second, "duration of a pause")
 	f.DurationVar(&c.restartEvery, "restart-every", 0, "fault: restart a random worker at this interval")
 }
 
@@ -118,7 +120,7 @@
 	return c.exitStatus(fleet.Ledger(), err)
 }
 
-// leave ends a fleet in order.
+// leave shuts a fleet down gracefully within leaveTimeout.
 func (b *base) leave(fleet *standin.Workers) {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
@@ -127,7 +129,7 @@
 	}
 }
 
-// disturb pauses and restarts random workers at the intervals of the flags.
+// injectFaults pauses and restarts random workers at the intervals that the flags set.
 func (c *workers) injectFaults(ctx context.Context, fleet *standin.Workers) {
 	pause := newTick(c.pauseEvery)
 	restart := newTick(c.restartEvery)
@@ -146,7 +148,7 @@
 	}
 }
 
-// tick returns a channel that ticks at an interval, or never for 0.
+// newTick returns a channel that ticks at an interval; for 0 it is nil and never ticks.
 func newTick(interval time.Duration) <-chan time.Time {
 	if interval <= 0 {
 		return nil
