--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -9,40 +9,42 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Query parameters by which callers tell minions what to do.
+// Query parameters that callers send to minions.
 const (
-	// paramNonce is echoed in the answer.
+	// paramNonce identifies the request; the response repeats it.
 	paramNonce = "nonce"
-	// paramSize is the size of the filler in the answer, in bytes.
+	// paramSize is the size of the filler in the response, in bytes.
 	paramSize = "size"
-	// paramWork is the time that the request takes, in milliseconds.
+	// paramWork is the service time of the request, in milliseconds.
 	paramWork = "work_ms"
 	// paramNonIdempotent marks a non-idempotent request.
 	paramNonIdempotent = "once"
 )
 
-// maxFillerSize bounds the filler that a request may ask for.
+// maxFillerSize bounds the filler in a response, in bytes (16 MiB).
 const maxFillerSize = 16 << 20
 
-// newResponseBody makes the answer to a request: a line with the nonce, the checksum
-// of the request's body and the length and checksum of what follows, then that
-// many bytes of filler drawn from the nonce.
+// newResponseBody returns the body of the response to a request: a line with the
+// nonce, the checksum of the request's body and the length and checksum of the
+// filler, followed by the filler, which is derived from the nonce.
 func newResponseBody(nonce string, body []byte, size int) []byte {
 	filler := newFiller(nonce, min(max(size, 0), maxFillerSize))
 	head := fmt.Sprintf("%s %016x %d %016x\n", strconv.Quote(nonce), xxhash.Sum64(body), len(filler), xxhash.Sum64(filler))
 	return append([]byte(head), filler...)
 }
 
-// checkResponseBody holds an answer against the request that it is for.
+// checkResponseBody compares a response body with the one that the request
+// expects and returns an error when they differ.
 func checkResponseBody(got []byte, nonce string, body []byte, size int) error {
 	want := newResponseBody(nonce, body, size)
 	if bytes.Equal(got, want) {
 		return nil
 	}
 	head, _, _ := bytes.Cut(got, []byte("\n"))
-	return errors.Newf("answer of %d bytes begins %.80q, expected %d bytes for %q", len(got), head, len(want), nonce)
+	return errors.Newf("response of %d bytes begins with %.80q, expected %d bytes for request %q", len(got), head, len(want), nonce)
 }
 
+// newFiller returns size pseudorandom bytes that depend only on the nonce.
 func newFiller(nonce string, size int) []byte {
 	filler := make([]byte, 0, size+xxhashLength)
 	for block := uint64(0); len(filler) < size; block++ {
@@ -53,4 +55,5 @@
 	return filler[:size]
 }
 
+// xxhashLength is the length of one xxhash checksum, in bytes.
 const xxhashLength = 8
--- a/internal/standin/call.go
+++ b/internal/standin/call.go
@@ -16,18 +16,19 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-// Headers of the request path.
+// Request headers that entry instances read.
 const (
-	// headerDeadline carries the milliseconds that are left.
+	// headerDeadline carries the remaining time, in milliseconds.
 	headerDeadline = "Bilberry-Deadline"
-	// headerIdempotent says that a request may be run again.
+	// headerIdempotent tells whether a request may be executed again.
 	headerIdempotent = "Bilberry-Idempotent"
 )
 
-// lateResponseGrace is how much longer than its deadline a caller waits, so that a
-// late answer is seen as late and not as lost.
+// lateResponseGrace is how long a caller waits beyond the deadline, so that a late
+// response counts as late and not as timed out.
 const lateResponseGrace = time.Second
 
+// callerDialTimeout bounds the opening of a connection by a caller.
 const callerDialTimeout = time.Second
 
 func newCallerClient(cfg CallersConfig) *http.Client {
@@ -40,14 +41,16 @@
 	return &http.Client{Transport: &bearerTransport{token: cfg.Token, next: transport}}
 }
 
-// call is one request of a load.
+// call is one request of a load, with all its tries.
 type call struct {
 	nonce         string
 	nonIdempotent bool
 	body          []byte
-	due           time.Time
-	target        int
-	resends       int
+	// due is the scheduled send time; deadline and latency count from it.
+	due time.Time
+	// target is the index of the entry address to which the next try goes.
+	target  int
+	resends int
 }
 
 func (c *Callers) newCall(i int, due time.Time) *call {
@@ -63,8 +66,8 @@
 
 func (k *call) deadline(cfg CallersConfig) time.Time { return k.due.Add(cfg.Deadline) }
 
-// send makes the call, again on another address where that is allowed. It
-// returns the error of the last try, or nil for a whole and right answer.
+// send sends the call, and sends it again to the next address where mayResend
+// allows it. It returns the error of the last try, or nil for a correct response.
 func (c *Callers) send(ctx context.Context, k *call) error {
 	ctx, cancel := context.WithDeadline(ctx, k.deadline(c.cfg).Add(lateResponseGrace))
 	defer cancel()
@@ -79,9 +82,9 @@
 	}
 }
 
-// mayResend: only a broken connection leaves a call without an answer, and only
-// an idempotent call may be sent again then. A refused connection carried
-// nothing, so that any call may be.
+// mayResend reports whether the call may be sent again after err. A connection
+// that broke may have delivered the request, so only an idempotent call is sent
+// again. A connection that was never opened delivered nothing, so any call may be.
 func (c *Callers) mayResend(ctx context.Context, k *call, err error) bool {
 	if !c.cfg.Resend || !errors.Is(err, errConnectionBroken) || ctx.Err() != nil {
 		return false
@@ -92,21 +95,26 @@
 	return k.resends < 2*len(c.cfg.Entries) && time.Now().Before(k.deadline(c.cfg))
 }
 
+// failedToConnect reports whether err arose before the connection was open.
 func failedToConnect(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
+// Marks of the errors that a try can return.
 var (
 	errConnectionBroken = errors.New("connection broke")
-	errWrongResponse    = errors.New("wrong answer")
+	errWrongResponse    = errors.New("wrong response")
 )
 
-// refusedError is an answer with an error status.
+// refusedError is a response with an error status. kind is the value of
+// fault.HeaderKind, or the status code where that header is missing.
 type refusedError struct{ kind string }
 
 func (e *refusedError) Error() string { return "refused: " + e.kind }
 
+// try sends the request once and checks the response. It returns a refusedError for an
+// error status, and marks other errors with errConnectionBroken or errWrongResponse.
 func (c *Callers) try(ctx context.Context, k *call) error {
 	request, err := c.newRequest(ctx, k)
 	if err != nil {
@@ -130,6 +138,7 @@
 	return nil
 }
 
+// errorKind returns the error kind that a response names, or else its status code.
 func errorKind(response *http.Response) string {
 	if kind := response.Header.Get(fault.HeaderKind); kind != "" {
 		return kind
@@ -170,7 +179,8 @@
 	return baseURL(c.cfg.Entries[k.target]) + path + "?" + query.Encode()
 }
 
-// finish counts the end of a call.
+// recordOutcome counts the outcome of a call and records a wrong response as a
+// violation.
 func (c *Callers) recordOutcome(k *call, err error) {
 	latency := time.Since(k.due)
 	if errors.Is(err, errWrongResponse) {
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -17,89 +17,96 @@
 
 // Defaults of CallersConfig.
 const (
-	DefaultCallRate     = 100.0
+	DefaultCallRate     = 100.0 // calls per second
 	DefaultDeadline     = 2 * time.Second
-	DefaultResponseSize = 256
-	DefaultMaxInFlight  = 4096
+	DefaultResponseSize = 256  // bytes
+	DefaultMaxInFlight  = 4096 // calls
 )
 
-// CallersConfig describes an open-loop load of requests to one service: calls
-// begin at seeded random times, whether or not earlier ones are answered.
+// CallersConfig describes an open-loop load of requests to one service: calls are
+// sent at seeded random times, whether or not earlier calls have ended.
 type CallersConfig struct {
-	// Entries are addresses (IP:port) over which the calls are spread at random.
+	// Entries are the addresses (IP:port) among which each call picks one at random.
 	Entries []string
-	// Direct sends the calls straight to minions, whose addresses Entries then
-	// holds; it gives the base line for what the request path adds.
+	// Direct sends the calls straight to minions; Entries then holds the minions'
+	// addresses. It measures the baseline without the latency of the request path.
 	Direct bool
 	// Service is the name of the service.
 	Service string
 	// Token is the customer's bearer token.
 	Token string
-	// Rate is the mean number of calls in a second; 0 means DefaultCallRate.
+	// Rate is the mean number of calls per second; 0 means DefaultCallRate.
 	Rate float64
-	// Count ends the load after so many calls; 0 means no bound.
+	// Count is the number of calls after which the load ends; 0 means no bound.
 	Count int
-	// Duration ends the load after a time; 0 means no bound.
+	// Duration is the time after which the load ends; 0 means no bound.
 	Duration time.Duration
-	// Deadline is the time that each call has; 0 means DefaultDeadline.
+	// Deadline is the time from the scheduled send of a call to its deadline; 0
+	// means DefaultDeadline.
 	Deadline time.Duration
 	// NonIdempotentShare is the share of calls that are non-idempotent, from 0 to 1.
 	NonIdempotentShare float64
-	// Size and BodySize are the bytes of filler in answers and requests; 0
-	// means DefaultResponseSize for answers and no body.
+	// Size and BodySize are the bytes of filler in responses and requests; 0
+	// means DefaultResponseSize for responses and no body for requests.
 	Size, BodySize int
-	// Work is the time that a minion takes for a call; 0 leaves it to the minion.
+	// Work is the service time that a call requests; 0 leaves it to the minion.
 	Work time.Duration
-	// Resend sends idempotent calls again, to another address, when the
-	// connection breaks, as a balancer before the entry instances would.
+	// Resend makes callers retry on the next address as a load balancer in front of
+	// the entry instances would: any call when no connection opens, an idempotent
+	// call also when its connection breaks.
 	Resend bool
-	// MaxInFlight bounds the calls on their way; calls above it are counted as
-	// not sent. 0 means DefaultMaxInFlight.
+	// MaxInFlight bounds the calls in flight; a call beyond the bound is counted in
+	// NotSent. 0 means DefaultMaxInFlight.
 	MaxInFlight int
 	// Dial opens connections; nil means TCP.
 	Dial rpc.Dial
-	// Seed makes times, targets and nonces repeatable.
+	// Seed makes send times, target addresses and nonces repeatable.
 	Seed uint64
-	// Ledger takes violations; nil means a new one.
+	// Ledger records violations; nil means a new one.
 	Ledger *Ledger
-	// Logger takes lines for changes of state; nil means none.
+	// Logger receives the log lines; nil means none.
 	Logger log.Logger
 }
 
-// CallersReport sums up a load.
+// CallersReport summarizes a load. Each call counts in Calls and in exactly one of
+// Correct, Refused, Broken, TimedOut, Wrong and NotSent.
 type CallersReport struct {
-	// Calls is the number of calls that were due.
+	// Calls is the number of calls that were due and have ended or weren't sent.
 	Calls int64 `json:"calls"`
-	// Whole is the number of whole and right answers.
+	// Correct is the number of complete and correct responses.
 	Correct int64 `json:"whole"`
-	// Late is the number of whole answers that came after the deadline.
+	// Late is the number of correct responses that arrived after the deadline.
 	Late int64 `json:"late"`
-	// Refused counts error answers by the kind that they name; an answer with
-	// an error status and no kind counts under its status.
+	// Refused counts responses with an error status by their error kind, or by
+	// the status code where the response names no kind.
 	Refused map[string]int64 `json:"refused"`
-	// Broken is the number of calls whose connection broke without an answer.
+	// Broken is the number of calls whose connection broke before the response.
 	Broken int64 `json:"broken"`
-	// BrokenNonIdempotent is the part of Broken that was non-idempotent.
+	// BrokenNonIdempotent is the number of non-idempotent calls in Broken.
 	BrokenNonIdempotent int64 `json:"broken_once"`
-	// TimedOut is the number of calls without an answer in time.
+	// TimedOut is the number of calls without a response until one second after
+	// the deadline.
 	TimedOut int64 `json:"timed_out"`
-	// Wrong is the number of answers that weren't the right ones.
+	// Wrong is the number of responses that were altered, truncated or swapped.
 	Wrong int64 `json:"wrong"`
-	// NotSent is the number of calls above MaxInFlight.
+	// NotSent is the number of calls that weren't sent because MaxInFlight calls
+	// were in flight.
 	NotSent int64 `json:"not_sent"`
-	// Resent is the number of calls that were sent again.
+	// Resent is the number of retries.
 	Resent int64 `json:"resent"`
-	// Latency in microseconds from when a call was due to its whole answer.
+	// P50, P99 and Max are latencies in microseconds from when a call was due to
+	// its correct response.
 	P50 int64 `json:"latency_p50_us"`
 	P99 int64 `json:"latency_p99_us"`
 	Max int64 `json:"latency_max_us"`
 }
 
-// Callers is a load of calls.
+// Callers generates a load of calls.
 type Callers struct {
-	cfg      CallersConfig
-	client   *http.Client
-	random   *rand.Rand
+	cfg    CallersConfig
+	client *http.Client
+	random *rand.Rand
+	// inFlight is a semaphore of MaxInFlight calls.
 	inFlight chan struct{}
 
 	mu      sync.Mutex
@@ -107,14 +114,15 @@
 	latency *hdrhistogram.Histogram
 }
 
-// Bounds of the latency histogram, in microseconds, and its precision.
+// Bounds of the latency histogram, in microseconds, and its precision in
+// significant digits.
 const (
 	latencyMin    = 1
 	latencyMax    = int64(10 * time.Minute / time.Microsecond)
 	latencyDigits = 3
 )
 
-// NewCallers makes a load. Nothing is sent before Run.
+// NewCallers returns a load generator that sends nothing before Run.
 func NewCallers(cfg CallersConfig) *Callers {
 	cfg = cfg.withDefaults()
 	return &Callers{
@@ -152,8 +160,8 @@
 	return cfg
 }
 
-// Run sends calls until the count, the duration or the context ends, then waits
-// for those on their way.
+// Run sends calls until the count or the duration is reached or the context ends,
+// then waits for the calls in flight. The error is always nil.
 func (c *Callers) Run(ctx context.Context) error {
 	defer c.client.CloseIdleConnections()
 	var calls sync.WaitGroup
@@ -173,7 +181,7 @@
 	return nil
 }
 
-// begin sends one call in the background unless too many are on their way.
+// startCall sends one call in the background unless MaxInFlight calls are in flight.
 func (c *Callers) startCall(ctx context.Context, calls *sync.WaitGroup, call *call) {
 	select {
 	case c.inFlight <- struct{}{}:
@@ -193,7 +201,7 @@
 	change(&c.report)
 }
 
-// Report returns the sums so far.
+// Report returns the counts and latencies so far.
 func (c *Callers) Report() CallersReport {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -208,10 +216,10 @@
 	return report
 }
 
-// Ledger returns the ledger that takes violations.
+// Ledger returns the ledger that records violations.
 func (c *Callers) Ledger() *Ledger { return c.cfg.Ledger }
 
-// sleepUntil waits for a time and reports whether the context outlived it.
+// sleepUntil waits until at and reports whether the context is still active then.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	if d := time.Until(at); d > 0 {
 		wait.For(ctx, d)
--- a/internal/standin/changes.go
+++ b/internal/standin/changes.go
@@ -15,46 +15,51 @@
 
 // ChangesConfig describes a load of configuration changes.
 type ChangesConfig struct {
-	// Entries are addresses (IP:port) over which writes are spread in turn.
+	// Entries are the addresses (IP:port) to which writes go in round robin.
 	Entries []string
 	// Token is the operators' bearer token.
 	Token string
-	// Rate is the number of changes in a second, Count their total.
+	// Rate is the number of changes per second, Count their total.
 	Rate  float64
 	Count int
-	// Poll is how often the versions in force are asked for; 0: never.
+	// Poll is the interval at which the versions in force are queried; 0 means never.
 	Poll time.Duration
 }
 
-// ChangesReport sums up a load of configuration changes.
+// ChangesReport summarizes a load of configuration changes.
 type ChangesReport struct {
 	Accepted int `json:"accepted"`
-	// Failed counts changes that weren't accepted after all tries.
+	// Failed counts changes that weren't accepted after maxChangeAttempts tries, or
+	// that were refused with an error that no retry can mend.
 	Failed    int    `json:"failed"`
 	LastError string `json:"last_error,omitempty"`
-	// Seconds is how long the load lasted.
+	// Seconds is the duration of the load.
 	Seconds float64 `json:"seconds"`
-	// WriteP50 and so on are times of the writing call, in microseconds.
+	// WriteP50 and WriteMax are durations of an accepted write with its retries, in
+	// microseconds.
 	WriteP50 int64 `json:"write_p50_us"`
 	WriteMax int64 `json:"write_max_us"`
-	// InForce counts changes that were seen in force on every instance; the
-	// times are from the acceptance, up to one poll too long, in microseconds.
+	// InForce counts changes that a poll has found in force on every instance.
+	// InForceP50 and InForceMax are the times from the acceptance to that poll, in
+	// microseconds: up to one poll interval more than the true time.
 	InForce    int64 `json:"in_force"`
 	InForceP50 int64 `json:"in_force_p50_us"`
 	InForceMax int64 `json:"in_force_max_us"`
-	// Reverted counts polls that saw an instance with an older version than before.
+	// Reverted counts polled instances whose version was older than at an earlier poll.
 	Reverted int `json:"reverted"`
 }
 
 const (
+	// maxChangeAttempts bounds the tries of one change.
 	maxChangeAttempts = 20
-	changeTimeout     = 5 * time.Second
-	// inForceTimeout is how long the last change may take to be seen everywhere.
+	// changeTimeout bounds one try, one read and one poll.
+	changeTimeout = 5 * time.Second
+	// inForceTimeout bounds the wait until all changes are in force everywhere.
 	inForceTimeout = 30 * time.Second
 )
 
-// changer writes the present document again with a comment of its own, so that
-// each change has the size of the real one.
+// configWriter writes the current document again and again, each time with another
+// comment at its end, so that each change is as large as the real document.
 type configWriter struct {
 	cfg      ChangesConfig
 	clients  []apiv1.Operations
@@ -62,15 +67,18 @@
 	document string
 	version  uint64
 
-	mu           sync.Mutex
-	accepted     map[uint64]time.Time
-	inForce      *hdrhistogram.Histogram
+	mu sync.Mutex
+	// accepted holds when each version was accepted that isn't yet in force on
+	// every instance.
+	accepted map[uint64]time.Time
+	inForce  *hdrhistogram.Histogram
+	// lastVersions holds the last polled version of each instance.
 	lastVersions map[string]uint64
 	report       ChangesReport
 }
 
-// RunChanges makes the changes and reports on them. The error is that of the
-// first read of the configuration.
+// RunChanges makes the changes and reports on them. It returns an error only when
+// the first read of the configuration fails.
 func RunChanges(ctx context.Context, cfg ChangesConfig) (ChangesReport, error) {
 	client := NewHTTPClient(cfg.Token, nil)
 	defer client.CloseIdleConnections()
@@ -102,6 +110,8 @@
 	return c.report, nil
 }
 
+// readConfig reads the version in force from entry address number i, and the
+// document on the first read.
 func (c *configWriter) readConfig(ctx context.Context, i int) error {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
@@ -116,6 +126,7 @@
 	return nil
 }
 
+// writeAll makes the changes at the configured rate.
 func (c *configWriter) writeAll(ctx context.Context) {
 	writeTimes := hdrhistogram.New(latencyMin, latencyMax, latencyDigits)
 	start := time.Now()
@@ -134,8 +145,9 @@
 	c.report.WriteMax = writeTimes.Max()
 }
 
-// write makes one change. A call whose fate is open is made again by the same
-// request id; a Conflict means that the version was read before another write.
+// write makes one change and reports whether it was accepted. A call whose outcome
+// is unknown is retried with the same request id. Any other error, such as a
+// Conflict after a write by someone else, ends the change and reads the version anew.
 func (c *configWriter) write(ctx context.Context, i int) bool {
 	request := &apiv1.SetConfigRequest{
 		RequestId: fmt.Sprintf("%s-%d", c.runID, i), ExpectedVersion: c.version,
@@ -182,7 +194,8 @@
 	}
 }
 
-// take notes which changes are in force on every instance.
+// recordStatus finds the changes that are in force on every instance and records
+// how long they took. An unreachable instance counts with its last known version.
 func (c *configWriter) recordStatus(status *apiv1.ConfigStatusResponse, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -206,7 +219,8 @@
 	}
 }
 
-// settle waits until the polls have seen every change in force.
+// awaitInForce waits until polls have found every accepted change in force, for
+// inForceTimeout at most.
 func (c *configWriter) awaitInForce(ctx context.Context) {
 	deadline := time.Now().Add(inForceTimeout)
 	for c.cfg.Poll > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -7,24 +7,25 @@
 	"github.com/bilberryferry/bilberryferry/internal/rpc"
 )
 
-// Site is one data centre as a stand-in sees it.
+// DataCentre is the name of a data centre and the addresses by which stand-ins
+// reach it.
 type DataCentre struct {
 	// Name is the name of the data centre.
 	Name string
-	// Entries are addresses (IP:port) of the entry instances of the data centre.
+	// Entries are the addresses (IP:port) of its entry instances.
 	Entries []string
 }
 
 // NewHTTPClient returns a client that speaks HTTP/2 without TLS and sends token
-// as the bearer token of each request. Every client keeps connections of its
-// own, as separate processes would. Dial opens them; nil means TCP.
+// as the bearer token of each request. Clients share no connections, as if each
+// were a separate process. dial opens the connections; nil means TCP.
 func NewHTTPClient(token string, dial rpc.Dial) *http.Client {
 	client := rpc.NewClient(dial)
 	client.Transport = &bearerTransport{token: token, next: client.Transport}
 	return client
 }
 
-// bearer adds the bearer token to each request.
+// bearerTransport adds the bearer token to each request; an empty token adds none.
 type bearerTransport struct {
 	token string
 	next  http.RoundTripper
@@ -39,7 +40,8 @@
 	return b.next.RoundTrip(r)
 }
 
-// CloseIdleConnections lets http.Client close the connections of the transport.
+// CloseIdleConnections closes the idle connections of the transport; http.Client
+// calls it from its method of the same name.
 func (b *bearerTransport) CloseIdleConnections() {
 	if t, ok := b.next.(*http.Transport); ok {
 		t.CloseIdleConnections()
@@ -57,9 +59,9 @@
 	return clients
 }
 
-// rotation holds one client per entry address and the one in use. A failed call
-// moves on to the next address, so that the loss of an entry instance costs one
-// call.
+// failover holds one client per entry address and selects one of them. A failed
+// call selects the next address, so that the loss of an entry instance fails only
+// the calls in flight to it.
 type failover[C any] struct {
 	mu      sync.Mutex
 	clients []C
@@ -70,15 +72,15 @@
 	return &failover[C]{clients: clients, current: first % max(len(clients), 1)}
 }
 
-// pick returns the client in use and its index.
+// pick returns the selected client and its index.
 func (r *failover[C]) pick() (C, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.clients[r.current], r.current
 }
 
-// failed moves on from the client with the given index, unless another call has
-// moved on already.
+// markFailed selects the next client if the one with the given index is selected.
+// Concurrent failures of one client thus skip no other.
 func (r *failover[C]) markFailed(index int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,7 +1,7 @@
-// Package standin plays the parties that bilberryferry serves: workers, minions,
+// Package standin simulates the clients of bilberryferry: workers, minions,
 // callers of services and submitters of jobs. They speak the real protocols over
-// real sockets, can be told to fail in set ways, and check from outside what
-// the system promises: no task in two places at once, no worker given more than
-// it has, no answer wrong, cut or swapped. The package is for trying out,
-// testing and measuring; no daemon needs it.
+// real sockets, inject configured faults, and check the system's guarantees from
+// outside: no task runs twice at the same time, no worker gets more than its
+// capacity, no response is altered, truncated or swapped. The package is for
+// trials, tests and measurements; no daemon needs it.
 package standin
--- a/internal/standin/fake_test.go
+++ b/internal/standin/fake_test.go
@@ -16,8 +16,8 @@
 	"github.com/bilberryferry/bilberryferry/lease"
 )
 
-// serve answers with the handler over HTTP/1 and HTTP/2 without TLS and returns
-// the address.
+// serve runs the handler as a server of HTTP/1 and HTTP/2 without TLS on a free
+// port and returns its address.
 func serve(t *testing.T, handler http.Handler) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,23 +28,24 @@
 	return listener.Addr().String()
 }
 
-// fakeOwner is a gateway that hands out commands and takes reports.
+// fakeOwner is an entry instance and the owner of the workers' leases in one: it
+// grants leases, sends commands and records reports.
 type fakeOwner struct {
 	mu       sync.Mutex
 	ttl      time.Duration
 	commands map[string][]*apiv1.Command
-	// stale commands come before the others in every answer.
+	// staleCommands precede the other commands in every response.
 	staleCommands     []*apiv1.Command
 	changed           chan struct{}
-	issued            map[string]lease.Position // by worker: incarnation and last number
+	issued            map[string]lease.Position // by worker: incarnation (as Term) and last command number
 	lastRenewals      map[string]*apiv1.RenewRequest
-	announcedCPUMilli map[string]int64 // processors of the latest announcement
+	announcedCPUMilli map[string]int64 // by worker, of the latest announcement
 	reports           []*apiv1.AttemptReport
 	leftWorkers       map[string]bool
-	// overtaken counts reports that came after the announcement of a later
+	// lateReports counts reports that arrived after a renewal of a later
 	// incarnation.
 	lateReports int
-	// deaf is how many reports still come to nothing.
+	// reportsToIgnore is how many more reports are recorded but not acknowledged.
 	reportsToIgnore int
 }
 
@@ -117,7 +118,7 @@
 	return &apiv1.LeaveResponse{}, nil
 }
 
-// order queues a command for the incarnation that the worker last renewed with.
+// queueCommand queues a command for the incarnation of the worker's last renewal.
 func (f *fakeOwner) queueCommand(worker string, command *apiv1.Command) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -162,15 +163,15 @@
 	return outcomes
 }
 
-// seen returns the incarnation of the latest renewal and the processors that
-// the worker last announced.
+// lastSeen returns the incarnation of the worker's last renewal and the CPU capacity
+// that it last announced.
 func (f *fakeOwner) lastSeen(worker string) (incarnation uint64, cpuMilli int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lastRenewals[worker].GetIncarnation(), f.announcedCPUMilli[worker]
 }
 
-// eventually waits for a condition that other goroutines bring about.
+// eventually waits for a condition and fails the test after 10 seconds.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	must.Wait(t, wait.InitialSuccess(
--- a/internal/standin/jobs.go
+++ b/internal/standin/jobs.go
@@ -17,19 +17,21 @@
 	"github.com/bilberryferry/bilberryferry/internal/rpc"
 )
 
-// Arrival is one job and when it is submitted.
+// Arrival is one job and the time of its submission.
 type Arrival struct {
-	// At counts from the start of the run.
+	// At is the time of the submission, counted from the start of the run.
 	At time.Duration
-	// Customer submits the job, with its own token.
+	// Customer is the name of the customer who submits the job; the submission
+	// carries this customer's token.
 	Customer string
 	Spec     *apiv1.Spec
-	// Deadline counts from the submission; 0 keeps the one in the spec.
+	// Deadline is the job's deadline, counted from the submission; 0 means the
+	// deadline in the spec.
 	Deadline time.Duration
 }
 
-// Arrivals draws count arrivals at a mean rate per second from templates, whose
-// own At is ignored. The same seed gives the same list.
+// RandomArrivals returns count arrivals at a mean rate per second. Each is a copy of
+// a random template with another At. The same seed gives the same list.
 func RandomArrivals(seed uint64, rate float64, count int, templates []Arrival) []Arrival {
 	random := rand.New(rand.NewPCG(seed, 0))
 	arrivals := make([]Arrival, 0, count)
@@ -45,62 +47,63 @@
 
 // JobsConfig describes a submitter of jobs.
 type JobsConfig struct {
-	// Entries are addresses (IP:port) over which submissions are spread in turn.
+	// Entries are the addresses (IP:port) to which submissions go in round robin.
 	Entries []string
 	// Tokens are the bearer tokens of customers, by name.
 	Tokens map[string]string
-	// Arrivals are the jobs, ordered by At.
+	// Arrivals are the jobs, sorted by At.
 	Arrivals []Arrival
-	// Ledger gives the true starts when the workers run in the same process,
-	// and learns which jobs are non-idempotent; nil means a new one.
+	// Ledger supplies the start times by the workers' clocks when the workers share
+	// the ledger, and is told which jobs are non-idempotent; nil means a new one.
 	Ledger *Ledger
-	// Patience is for how long a call is repeated while no entry instance
-	// answers it; 0 means DefaultRetryTimeout.
+	// RetryTimeout bounds the retries of a call whose outcome is unknown; 0 means
+	// DefaultRetryTimeout.
 	RetryTimeout time.Duration
-	// KeepServices leaves services running at the end of the run.
+	// KeepServices leaves services running after the run.
 	KeepServices bool
 	// Dial opens connections; nil means TCP.
 	Dial rpc.Dial
-	// OnChange is called with each new result; it may be nil. Calls come from
-	// many goroutines.
+	// OnChange is called with each changed result, from many goroutines at once; it
+	// may be nil.
 	OnChange func(JobResult)
-	// Logger takes lines for changes of state; nil means none.
+	// Logger receives the log lines; nil means none.
 	Logger log.Logger
 }
 
-// DefaultRetryTimeout is for how long calls are repeated.
+// DefaultRetryTimeout is the default of JobsConfig.RetryTimeout.
 const DefaultRetryTimeout = 30 * time.Second
 
-// JobResult is what became of one arrival.
+// JobResult is the state of one arrival's job.
 type JobResult struct {
-	// Index is the place in the list of arrivals.
+	// Index is the index in JobsConfig.Arrivals.
 	Index    int
 	Customer string
 	Name     string
 	Policy   apiv1.Policy
-	// ID is empty when the job was refused.
+	// ID is empty until the job is accepted.
 	ID string
-	// State is the last one known; unspecified when the job was refused.
+	// State is the last known state; unspecified until the job is accepted.
 	State apiv1.JobState
-	// Kind and Reason tell of a refusal or of an end other than finished.
+	// Kind and Reason explain a refusal or an end other than finished.
 	Kind   string
 	Reason string
-	// Submitted is when the submission was first sent; Answered when its answer came.
+	// Submitted is when the submission was first sent, Answered when it was
+	// accepted or refused.
 	Submitted, Answered time.Time
-	// Started is when the first task started: by the ledger where it knows, else
-	// as the system tells. Zero when nothing started.
+	// Started is when the first task started, by the ledger if it has the start,
+	// else by the job's status. It is zero until a task starts.
 	Started time.Time
-	// Ended is as the system tells.
+	// Ended is the end in the job's status.
 	Ended time.Time
 	// Deadline is zero for services.
 	Deadline time.Time
 }
 
-// Accepted reports whether the system took the job.
+// Accepted reports whether the job was accepted.
 func (r JobResult) Accepted() bool { return r.ID != "" }
 
-// Settled reports whether nothing more is to be waited for: the job was
-// refused, has ended, or is a service that runs.
+// Done reports whether the run needn't wait for the job any longer: it was refused,
+// has ended, or is a running service.
 func (r JobResult) Done() bool {
 	if !r.Accepted() {
 		return r.Kind != ""
@@ -111,8 +114,8 @@
 	return r.State >= apiv1.JobState_JOB_STATE_FINISHED
 }
 
-// Missed reports whether an accepted job didn't finish by its deadline. A
-// service that was asked for must run or have run.
+// MissedDeadline reports whether an accepted job didn't finish by its deadline. A
+// service, which has no deadline, misses it when it never started.
 func (r JobResult) MissedDeadline() bool {
 	if !r.Accepted() {
 		return false
@@ -123,25 +126,28 @@
 	return r.State != apiv1.JobState_JOB_STATE_FINISHED || r.Ended.After(r.Deadline)
 }
 
-// JobsReport sums up a run.
+// JobsReport summarizes a run.
 type JobsReport struct {
 	Arrived  int `json:"arrived"`
 	Accepted int `json:"accepted"`
-	// Finished counts accepted work that met its deadline, services included.
+	// MetDeadline counts accepted jobs that met their deadline, and services that
+	// started.
 	MetDeadline int `json:"finished"`
-	// Missed counts accepted work that didn't.
+	// MissedDeadline counts the other accepted jobs.
 	MissedDeadline int `json:"missed"`
-	// Refused counts refusals at submission by error kind.
+	// Refused counts refused submissions by error kind.
 	Refused map[string]int `json:"refused"`
-	// Ended counts accepted work by its last state.
+	// Ended counts accepted jobs by their last known state.
 	Ended map[string]int `json:"ended"`
-	// Unanswered counts submissions whose fate stayed open.
+	// Unanswered counts submissions whose outcome is unknown.
 	Unanswered int `json:"unanswered"`
-	// Waiting from submission to the first start, in microseconds.
+	// WaitP50, WaitP99 and WaitMax are the times from the submission to the first
+	// start, in microseconds.
 	WaitP50 int64 `json:"wait_p50_us"`
 	WaitP99 int64 `json:"wait_p99_us"`
 	WaitMax int64 `json:"wait_max_us"`
-	// Time of the submitting call, in microseconds.
+	// SubmitP50 and SubmitP99 are the durations of a submission with its retries, in
+	// microseconds.
 	SubmitP50 int64 `json:"submit_p50_us"`
 	SubmitP99 int64 `json:"submit_p99_us"`
 }
@@ -157,7 +163,7 @@
 	results []JobResult
 }
 
-// NewJobs makes a submitter. Nothing is sent before Run.
+// NewJobs returns a submitter that sends nothing before Run.
 func NewJobs(cfg JobsConfig) *Jobs {
 	if cfg.Ledger == nil {
 		cfg.Ledger = NewLedger()
@@ -170,7 +176,8 @@
 	}
 	j := &Jobs{
 		cfg: cfg,
-		// Request ids of one run must not meet those of an earlier one.
+		// With the request ids of an earlier run, a submission would return that
+		// run's jobs and start nothing.
 		runID:   fmt.Sprintf("standin-%x", time.Now().UnixNano()),
 		clients: make(map[string][]apiv1.Scheduler),
 	}
@@ -197,8 +204,8 @@
 	})
 }
 
-// Run submits all arrivals, waits until each is settled and then cancels the
-// services, unless they are to be kept.
+// Run submits all arrivals, waits until each is done and then cancels the services
+// unless KeepServices is set. The error is always nil.
 func (j *Jobs) Run(ctx context.Context) error {
 	defer func() {
 		for _, client := range j.httpClients {
@@ -220,6 +227,7 @@
 	return nil
 }
 
+// runJob submits one job and follows it until it is done.
 func (j *Jobs) runJob(ctx context.Context, i int, a Arrival) {
 	now := time.Now()
 	spec := proto.Clone(a.Spec).(*apiv1.Spec)
@@ -247,7 +255,7 @@
 	}
 }
 
-// Results returns what became of each arrival so far.
+// Results returns the current result of each arrival.
 func (j *Jobs) Results() []JobResult {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -257,7 +265,7 @@
 // Ledger returns the ledger that the run uses.
 func (j *Jobs) Ledger() *Ledger { return j.cfg.Ledger }
 
-// Report sums up the results so far.
+// Report summarizes the results so far.
 func (j *Jobs) Report() JobsReport {
 	report := JobsReport{Refused: make(map[string]int), Ended: make(map[string]int)}
 	waits := hdrhistogram.New(latencyMin, latencyMax, latencyDigits)
@@ -279,6 +287,7 @@
 	return report
 }
 
+// recordDuration adds d to the histogram, limited to the histogram's bounds.
 func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(d.Microseconds(), latencyMin), latencyMax))
 }
--- a/internal/standin/jobs_test.go
+++ b/internal/standin/jobs_test.go
@@ -12,15 +12,16 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-// fakeScheduler accepts jobs and finishes them at once, but refuses those named
-// "never" and finishes those named "late" after their deadline.
+// fakeScheduler accepts jobs and finishes them at once. It refuses jobs named
+// "never", and finishes jobs named "late" one millisecond after their deadline.
 type fakeScheduler struct {
 	apiv1.Scheduler
 	mu        sync.Mutex
 	requests  map[string]int
 	jobs      map[string]*apiv1.Job
 	cancelled []string
-	// loseFirstResponse loses the first answer to each submission.
+	// loseFirstResponse answers the first try of each submission as Unavailable
+	// although the job was accepted.
 	loseFirstResponse bool
 }
 
@@ -48,7 +49,7 @@
 		f.jobs[r.RequestId].State = apiv1.JobState_JOB_STATE_RUNNING
 	}
 	if f.loseFirstResponse && f.requests[r.RequestId] == 1 {
-		return nil, fault.ToTwirp(fault.New(fault.Unavailable, "answer lost"))
+		return nil, fault.ToTwirp(fault.New(fault.Unavailable, "response lost"))
 	}
 	return &apiv1.SubmitResponse{Id: r.RequestId, State: apiv1.JobState_JOB_STATE_QUEUED}, nil
 }
@@ -74,8 +75,9 @@
 	}
 }
 
-// Every first answer is lost: each job is sent again with the same request id
-// and counts once. Refusals, misses and services are told apart.
+// The first response to every submission is lost. A retry with another request id
+// would submit the job twice. The report must also tell refused jobs, missed
+// deadlines and services apart.
 func TestJobsReport(t *testing.T) {
 	scheduler := &fakeScheduler{requests: make(map[string]int), jobs: make(map[string]*apiv1.Job), loseFirstResponse: true}
 	jobs := NewJobs(JobsConfig{
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -8,31 +8,34 @@
 	apiv1 "github.com/bilberryferry/bilberryferry/api/v1"
 )
 
-// ViolationKind names a broken promise.
+// ViolationKind names the guarantee that a violation breaks.
 type ViolationKind string
 
-// Violations that stand-ins can see.
+// Violations that stand-ins can detect.
 const (
-	// ConcurrentRuns: a task ran in two places at the same time.
+	// ConcurrentRuns means that two attempts of a task ran at the same time.
 	ConcurrentRuns ViolationKind = "two-at-once"
-	// DuplicateStart: a non-idempotent task or request started more than once.
+	// DuplicateStart means that a non-idempotent task or request started more than
+	// once.
 	DuplicateStart ViolationKind = "more-than-once"
-	// Overcommitted: a worker was told to run more than it has.
+	// Overcommitted means that the demands of a worker's tasks exceeded its capacity.
 	Overcommitted ViolationKind = "overcommitted"
-	// SlotsExceeded: a minion was given more requests at once than its slots.
+	// SlotsExceeded means that a minion had more requests in flight than slots.
 	SlotsExceeded ViolationKind = "slots-exceeded"
-	// ConnectionsExceeded: a minion was given more connections than its cap.
+	// ConnectionsExceeded means that a minion had more open connections than its limit.
 	ConnectionsExceeded ViolationKind = "connections-exceeded"
-	// RequestAfterLeave: a minion got new work long after it said that it leaves.
+	// RequestAfterLeave means that a minion received a new request later than
+	// LeaveGrace after it announced that it leaves.
 	RequestAfterLeave ViolationKind = "late-request"
-	// WrongResponse: an answer was altered, cut short or belongs to another request.
+	// WrongResponse means that a response was altered, truncated, or belongs to
+	// another request.
 	WrongResponse ViolationKind = "wrong-answer"
 )
 
-// Violation is one broken promise.
+// Violation is one breach of a guarantee.
 type Violation struct {
 	Kind ViolationKind
-	// Subject is the task, worker, minion or request that it concerns.
+	// Subject names the task, worker, minion or request.
 	Subject string
 	Detail  string
 	At      time.Time
@@ -43,8 +46,8 @@
 	return fmt.Sprintf("%s %s: %s", v.Kind, v.Subject, v.Detail)
 }
 
-// maxRecords bounds the records of runs that a ledger keeps; counts per task are
-// kept for all.
+// maxRecords bounds the run records that a ledger holds. Counts per task cover all
+// runs.
 const maxRecords = 100_000
 
 // Record is one run of one attempt on one worker.
@@ -53,10 +56,10 @@
 	Task    int32
 	Attempt int32
 	Worker  string
-	// Need is what the run was given.
+	// Demand is the resources that the run occupies.
 	Demand *apiv1.Resources
 	Start  time.Time
-	// End is zero while the run goes on.
+	// End is zero until the run ends.
 	End     time.Time
 	Outcome apiv1.Outcome
 }
@@ -68,6 +71,7 @@
 
 func (k taskKey) String() string { return fmt.Sprintf("%s/%d", k.job, k.task) }
 
+// taskHistory counts the starts of one task and holds its running attempts.
 type taskHistory struct {
 	starts        int
 	running       map[*RunRecord]struct{}
@@ -75,9 +79,9 @@
 	nonIdempotent bool
 }
 
-// Ledger holds every run of every task across the stand-in workers of one
-// process and asserts that no task runs in two places at once, and that tasks
-// of non-idempotent work start at most once. It is safe for concurrent use.
+// Ledger records the runs of all tasks on the stand-in workers of one process. It
+// reports a violation when two attempts of a task run at the same time or a
+// non-idempotent task starts twice. It is safe for concurrent use.
 type Ledger struct {
 	mu                sync.Mutex
 	tasks             map[taskKey]*taskHistory
@@ -97,14 +101,15 @@
 }
 
 // OnViolation sets a function that is called with each violation as it is found.
+// The function must not call the ledger, whose lock is held.
 func (l *Ledger) OnViolation(f func(Violation)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.onViolation = f
 }
 
-// MarkNonIdempotent says that the tasks of a job must start at most once ever. Starts
-// from before the call count too.
+// MarkNonIdempotent declares that each task of the job must start at most once.
+// Starts before the call count as well.
 func (l *Ledger) MarkNonIdempotent(job string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,7 +125,8 @@
 	}
 }
 
-// Start notes the start of a run. Once says that the task is non-idempotent.
+// Start records the start of a run. nonIdempotent tells that the task must start at
+// most once. The result identifies the run in End.
 func (l *Ledger) Start(r RunRecord, nonIdempotent bool) *RunRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -158,7 +164,7 @@
 	l.records = append(l.records, run)
 }
 
-// End notes the end of a run. A second end of the same run is ignored.
+// End records the end of a run. A second end of the same run is ignored.
 func (l *Ledger) End(run *RunRecord, outcome apiv1.Outcome, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -170,7 +176,7 @@
 	delete(l.tasks[taskKey{run.Job, run.Task}].running, run)
 }
 
-// Add notes a violation that another check has found.
+// Add records a violation that a check outside the ledger has found.
 func (l *Ledger) Add(kind ViolationKind, subject, detail string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -192,8 +198,8 @@
 	return append([]Violation(nil), l.violations...)
 }
 
-// Records returns copies of the runs, oldest first: all of them up to the first
-// hundred thousand, then at least the latest fifty thousand.
+// Records returns copies of the runs, oldest first: all of them up to maxRecords
+// (100,000), later at least the latest 50,000.
 func (l *Ledger) Records() []RunRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -204,8 +210,8 @@
 	return records
 }
 
-// MeanUsage returns the resources that runs held on average between two times,
-// for the packing of the workers. It counts the runs that Records returns.
+// MeanUsage returns the mean resources that runs occupied between two times, as a
+// measure of how densely workers are packed. It counts the runs that Records returns.
 func (l *Ledger) MeanUsage(from, to time.Time) *apiv1.Resources {
 	var cpu, memory, accelerators float64
 	window := to.Sub(from).Seconds()
@@ -240,7 +246,8 @@
 	return l.starts
 }
 
-// FirstStart returns when a task of a job first started, as its worker saw it.
+// FirstStart returns when a task of a job first started, by its worker's clock, and
+// false when it hasn't started.
 func (l *Ledger) FirstStart(job string, task int32) (time.Time, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/ledger_test.go
+++ b/internal/standin/ledger_test.go
@@ -9,6 +9,8 @@
 	apiv1 "github.com/bilberryferry/bilberryferry/api/v1"
 )
 
+// Runs that overlap a period only in part, or not at all, must count in its mean usage
+// with just the overlap: here half of the period each for two runs, and none for one.
 func TestLedgerMeanUsage(t *testing.T) {
 	ledger := NewLedger()
 	from := time.Unix(1000, 0)
@@ -23,8 +25,8 @@
 	must.Eq(t, 100, used.MemoryMib)
 }
 
-// A job turns out to be non-idempotent only when its submission is answered,
-// after its task has started twice: both starts count.
+// The submitter learns the job's id, and marks the job as non-idempotent, only after
+// its task has started twice. The two starts must still count as a violation.
 func TestLedgerCountsStartsBeforeMarkNonIdempotent(t *testing.T) {
 	ledger := NewLedger()
 	for range 2 {
--- a/internal/standin/minion.go
+++ b/internal/standin/minion.go
@@ -15,24 +15,27 @@
 	"github.com/bilberryferry/bilberryferry/internal/rpc"
 )
 
+// announceTimeout bounds one round of announcements, or of leave messages, to all
+// entry instances.
 const announceTimeout = 2 * time.Second
 
-// MinionStats are counts of one minion or a fleet.
+// MinionStats holds counts of one minion or of a fleet.
 type MinionStats struct {
 	// Requests is the number of requests that arrived.
 	Requests int
-	// InFlight is the number of requests that are being served.
+	// InFlight is the number of requests in flight.
 	InFlight int
-	// MaxInFlight is the most requests ever in progress at once, those
-	// included whose caller had just given up.
+	// MaxInFlight is the largest number of requests in flight so far, including
+	// requests whose caller had just disconnected.
 	MaxInFlight int
-	// MaxConnections is the most connections ever open at once.
+	// MaxConnections is the largest number of open connections so far.
 	MaxConnections int
 	// Announced is the number of announcements that entry instances accepted.
 	Announced int
 }
 
-// Minion is one stand-in minion: an HTTP server that announces itself.
+// Minion is one stand-in minion: an HTTP server that announces itself to the entry
+// instances.
 type Minion struct {
 	cfg           MinionsConfig
 	dataCentre    DataCentre
@@ -79,7 +82,7 @@
 // ID returns the minion's id.
 func (m *Minion) ID() string { return m.id }
 
-// Address returns where the minion listens; empty before Run.
+// Address returns the address on which the minion listens; empty before Run.
 func (m *Minion) Address() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -95,22 +98,23 @@
 	return stats
 }
 
-// SetFaults changes how the minion misbehaves from now on.
+// SetFaults replaces the injected faults for new requests.
 func (m *Minion) SetFaults(f MinionFaults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faults = f
 }
 
-// PauseAnnouncements stops or resumes announcements; the minion goes on serving.
+// PauseAnnouncements stops announcements, or resumes them if paused is false. The
+// minion continues to serve requests.
 func (m *Minion) PauseAnnouncements(paused bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.announcementsPaused = paused
 }
 
-// Run listens, serves and announces until the
-// context ends.
+// Run listens, serves and announces the minion until the context ends. It returns an
+// error when listening or serving fails.
 func (m *Minion) Run(ctx context.Context) error {
 	listener, err := m.cfg.Listen()
 	if err != nil {
@@ -140,7 +144,8 @@
 	return group.Wait()
 }
 
-// trackConnection counts open connections.
+// trackConnection counts the open connections and records a violation for each new
+// maximum above the limit.
 func (m *Minion) trackConnection(c net.Conn, state http.ConnState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -175,15 +180,16 @@
 	}
 }
 
-// announces reports whether the minion still announces itself.
+// announcing reports whether the minion announces itself: until it leaves, unless
+// announcements are paused.
 func (m *Minion) announcing() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return !m.announcementsPaused && m.leftAt.IsZero()
 }
 
-// announceAll announces the minion to every entry instance. One that doesn't
-// answer must not hold up the others.
+// announceAll announces the minion to all entry instances at the same time, so that
+// an unresponsive instance doesn't delay the announcements to the others.
 func (m *Minion) announceAll(ctx context.Context) {
 	request := &apiv1.AnnounceRequest{
 		Minion:         m.id,
@@ -215,7 +221,8 @@
 }
 
 // Leave tells every entry instance that the minion leaves, and ends its
-// announcements. It goes on serving, and notes requests that come too late.
+// announcements. The minion continues to serve requests and records a violation for
+// each one that arrives later than LeaveGrace. It returns the first failed call's error.
 func (m *Minion) Leave(ctx context.Context) error {
 	m.mu.Lock()
 	m.leftAt = time.Now()
--- a/internal/standin/minions.go
+++ b/internal/standin/minions.go
@@ -14,58 +14,60 @@
 
 // Defaults of MinionsConfig.
 const (
-	DefaultSlots          = 8
-	DefaultMaxConnections = 60
+	DefaultSlots          = 8  // requests of one minion
+	DefaultMaxConnections = 60 // connections of one minion
 	DefaultAnnounce       = time.Second
 	DefaultLeaveGrace     = 3 * time.Second
 )
 
-// MinionFaults says how a minion misbehaves. The zero value is a sound minion.
+// MinionFaults are the faults that a minion injects. The zero value injects none.
 type MinionFaults struct {
-	// Slow is added to the time that each request takes.
+	// Delay is added to the service time of each request.
 	Delay time.Duration
-	// Hang leaves each request without an answer until its caller gives up.
+	// Hang sends no response to any request.
 	Hang bool
-	// Fail answers each request at once with status 500.
+	// Fail responds to each request at once with status 500.
 	Fail bool
-	// Cut breaks each answer off in the middle of its body.
+	// Truncate breaks the connection after half of each response.
 	Truncate bool
 }
 
 // MinionsConfig describes a fleet of stand-in minions.
 type MinionsConfig struct {
-	// Sites are the data centres over which the minions are spread in turn.
+	// DataCentres are the data centres to which the minions are assigned in round robin.
 	DataCentres []DataCentre
-	// Count is the number of minions in all.
+	// Count is the total number of minions.
 	Count int
-	// Service is the name of the service whose requests they take.
+	// Service is the name of the service whose requests the minions serve.
 	Service string
-	// Slots is how many requests a minion takes at once; 0 means DefaultSlots.
+	// Slots is how many requests one minion serves at a time; 0 means DefaultSlots.
 	Slots int
-	// MaxConnections is the cap on connections; 0 means DefaultMaxConnections.
+	// MaxConnections bounds the open connections of one minion; 0 means
+	// DefaultMaxConnections.
 	MaxConnections int
 	// Token is the bearer token of minions.
 	Token string
-	// Prefix begins the id of each minion, before the data centre and a number.
+	// Prefix starts the id of each minion; the data centre, the service and a
+	// number follow it.
 	Prefix string
 	// Announce is the interval of announcements; 0 means DefaultAnnounce.
 	Announce time.Duration
-	// LeaveGrace is for how long after its leave a minion may still get new
-	// requests; 0 means DefaultLeaveGrace. Later ones are violations.
+	// LeaveGrace is how long after a minion leaves new requests may still arrive at
+	// it; 0 means DefaultLeaveGrace. Later requests are violations.
 	LeaveGrace time.Duration
-	// Work is the time that a request takes unless it says so itself.
+	// Work is the service time of requests that name none.
 	Work time.Duration
-	// Faults is how the first Faulty minions behave at the start.
+	// Faults are injected by the first Faulty minions from the start.
 	Faults MinionFaults
-	// Faulty is the number of minions with Faults.
+	// Faulty is the number of minions that inject Faults.
 	Faulty int
-	// Listen opens the socket of a minion; nil means a free port of 127.0.0.1.
+	// Listen opens the listener of a minion; nil means a free port of 127.0.0.1.
 	Listen func() (net.Listener, error)
 	// Dial opens connections; nil means TCP.
 	Dial rpc.Dial
-	// Ledger takes violations; nil means a new one.
+	// Ledger records violations; nil means a new one.
 	Ledger *Ledger
-	// Logger takes lines for changes of state; nil means none.
+	// Logger receives the log lines; nil means none.
 	Logger log.Logger
 }
 
@@ -75,7 +77,7 @@
 	minions []*Minion
 }
 
-// NewMinions makes a fleet. Nothing listens before Run.
+// NewMinions returns a fleet of minions that don't listen before Run.
 func NewMinions(cfg MinionsConfig) *Minions {
 	cfg = cfg.withDefaults()
 	fleet := &Minions{ledger: cfg.Ledger}
@@ -111,14 +113,14 @@
 	return cfg
 }
 
-// place returns the site and the id of minion number i.
+// identity returns the data centre and the id of minion number i.
 func (cfg MinionsConfig) identity(i int) (DataCentre, string) {
 	dataCentre := cfg.DataCentres[i%len(cfg.DataCentres)]
 	return dataCentre, fmt.Sprintf("%s%s-%s-m%03d", cfg.Prefix, dataCentre.Name, cfg.Service, i/len(cfg.DataCentres))
 }
 
-// Run serves and announces all minions until the context ends. Then they stop
-// without a word; use Leave first for an orderly end.
+// Run serves and announces all minions until the context ends. They then stop
+// without notice to the entry instances; call Leave first for a graceful shutdown.
 func (f *Minions) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, m := range f.minions {
@@ -127,7 +129,8 @@
 	return group.Wait()
 }
 
-// Leave tells the entry instances that all minions leave. They go on serving.
+// Leave tells the entry instances that all minions leave. The minions continue to
+// serve requests. It returns the first error.
 func (f *Minions) Leave(ctx context.Context) error {
 	var group errgroup.Group
 	for _, m := range f.minions {
@@ -136,14 +139,14 @@
 	return group.Wait()
 }
 
-// All returns the minions, in the order of their numbers.
+// All returns the minions by number.
 func (f *Minions) All() []*Minion { return f.minions }
 
 // Ledger returns the ledger of the fleet.
 func (f *Minions) Ledger() *Ledger { return f.ledger }
 
-// Ready reports how many minions have an announcement accepted by an entry
-// instance.
+// Ready returns the number of minions of which an entry instance has accepted an
+// announcement.
 func (f *Minions) Ready() int {
 	ready := 0
 	for _, m := range f.minions {
@@ -154,7 +157,8 @@
 	return ready
 }
 
-// Stats sums up the counts of all minions; the maxima are those of one minion.
+// Stats returns the sums of the minions' counts, and the largest MaxInFlight and
+// MaxConnections of any one minion.
 func (f *Minions) Stats() MinionStats {
 	var sum MinionStats
 	for _, m := range f.minions {
--- a/internal/standin/payload.go
+++ b/internal/standin/payload.go
@@ -11,23 +11,24 @@
 	apiv1 "github.com/bilberryferry/bilberryferry/api/v1"
 )
 
-// Payload is what a stand-in worker understands of a task's payload, written as
-// JSON or TOML. Keys that it doesn't know are left alone.
+// Payload holds the keys of a task's payload that a stand-in worker reads. The
+// payload is JSON or TOML; unknown keys are ignored.
 type Payload struct {
-	// RuntimeMS is the true run time in milliseconds; absent: worked out from
-	// the declared one.
+	// RuntimeMS is the true run time in milliseconds; if absent, the run time is
+	// derived from the declared one.
 	RuntimeMS *int64 `json:"runtime_ms" toml:"runtime_ms"`
 	// Fail makes the task fail at its end.
 	Fail bool `json:"fail" toml:"fail"`
-	// PeakCPU is the true peak usage in cores; absent: what was declared.
+	// PeakCPU is the true peak usage in cores; if absent, the declared demand.
 	PeakCPU *float64 `json:"peak_cpu" toml:"peak_cpu"`
-	// PeakMemoryMiB is the true peak usage; absent: what was declared.
+	// PeakMemoryMiB is the true peak usage in MiB; if absent, the declared demand.
 	PeakMemoryMiB *int64 `json:"peak_memory_mib" toml:"peak_memory_mib"`
-	// Once tells the ledger that the task is non-idempotent.
+	// NonIdempotent tells the ledger that the task must start at most once.
 	NonIdempotent bool `json:"once" toml:"once"`
 }
 
-// ParsePayload reads a payload. One that is neither JSON nor TOML reads as empty.
+// ParsePayload parses a payload. Data that is neither JSON nor TOML gives an empty
+// Payload.
 func ParsePayload(data []byte) Payload {
 	var p Payload
 	if len(data) == 0 {
@@ -43,9 +44,9 @@
 	return p
 }
 
-// runtime returns the true run time of an attempt: that of the payload, or the
-// declared one times a factor between low and high that follows from the seed
-// and the attempt alone. Zero means that the task runs until it is stopped.
+// runtime returns the true run time of an attempt: the payload's, or else the
+// declared one times a factor between low and high that depends only on the seed
+// and the attempt. Zero means that the task runs until it is stopped.
 func (p Payload) runtime(start *apiv1.StartTask, seed uint64, low, high float64) time.Duration {
 	if p.RuntimeMS != nil {
 		return time.Duration(*p.RuntimeMS) * time.Millisecond
@@ -55,7 +56,7 @@
 	return time.Duration(float64(declared) * factor)
 }
 
-// peak returns the true peak usage of an attempt.
+// peak returns the true peak usage of an attempt: the payload's, or else its demand.
 func (p Payload) peak(demand *apiv1.Resources) *apiv1.Resources {
 	usage := &apiv1.Resources{
 		CpuMilli:     demand.GetCpuMilli(),
--- a/internal/standin/reports.go
+++ b/internal/standin/reports.go
@@ -11,21 +11,27 @@
 )
 
 const (
-	// maxReports bounds the reports of one call.
-	maxReports       = 100
-	reportTimeout    = 2 * time.Second
+	// maxReports bounds the reports in one call.
+	maxReports = 100
+	// reportTimeout bounds one call.
+	reportTimeout = 2 * time.Second
+	// reportRetryDelay is the delay before a call is retried, with jitter.
 	reportRetryDelay = 250 * time.Millisecond
-	flushTimeout     = 3 * time.Second
-	// doubled is how often a report is sent by a worker that doubles them.
+	// flushTimeout bounds the wait for acknowledgements when a worker leaves.
+	flushTimeout = 3 * time.Second
+	// duplicateSends is how often a worker with the fault DuplicateReports sends
+	// each report.
 	duplicateSends = 2
 )
 
-// outbox holds the ends of attempts that are not yet acknowledged.
+// outbox holds the reports of ended attempts that are not yet acknowledged.
 type outbox struct {
 	mu      sync.Mutex
 	reports map[lease.Attempt]*apiv1.AttemptReport
+	// delayed is the number of reports held back by the fault ReportDelay.
 	delayed int
-	wake    chan struct{}
+	// wake receives a value when a report is added.
+	wake chan struct{}
 }
 
 func newOutbox() *outbox {
@@ -35,7 +41,8 @@
 	}
 }
 
-// add puts a report in, after the delay. The first report of an attempt stands.
+// add adds a report after the delay, unless the outbox already holds one of the
+// same attempt.
 func (o *outbox) add(report *apiv1.AttemptReport, delay time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -52,6 +59,7 @@
 	})
 }
 
+// putLocked adds a report and signals wake. The caller holds the lock.
 func (o *outbox) putLocked(report *apiv1.AttemptReport) {
 	attempt := attemptOf(report.Attempt)
 	if o.reports[attempt] == nil {
@@ -63,6 +71,7 @@
 	}
 }
 
+// batch returns up to maxReports unacknowledged reports.
 func (o *outbox) batch() []*apiv1.AttemptReport {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -84,14 +93,14 @@
 	}
 }
 
-// idle reports whether nothing waits to be sent now.
+// idle reports whether no report can be sent now; delayed ones may still come.
 func (o *outbox) idle() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.reports) == 0
 }
 
-// empty reports whether nothing waits, and nothing is delayed.
+// empty reports whether no report is unacknowledged or delayed.
 func (o *outbox) empty() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -99,7 +108,7 @@
 }
 
 // reportLoop sends reports until the context ends, or until the lease has ended
-// and each report is acknowledged.
+// and all reports are acknowledged.
 func (s *session) reportLoop(ctx context.Context) {
 	leaseEnded := s.leaseEnded
 	for ctx.Err() == nil {
@@ -117,7 +126,7 @@
 	}
 }
 
-// sendAll repeats the reports that wait until each is acknowledged.
+// sendAll sends the reports in the outbox and retries until all are acknowledged.
 func (s *session) sendAll(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.worker.waitResumed(ctx)
@@ -130,8 +139,8 @@
 	}
 }
 
-// reportOnce sends one batch and answers whether all of it was acknowledged.
-// One batch is on its way at a time, so that no report is sent twice for nothing.
+// reportOnce sends one batch and reports whether all of it was acknowledged. Only
+// one batch is in flight at a time; concurrent ones would carry the same reports.
 func (s *session) reportOnce(ctx context.Context) bool {
 	s.reporting.Lock()
 	defer s.reporting.Unlock()
@@ -150,6 +159,8 @@
 	return allAcknowledged
 }
 
+// sendReports sends a batch to an entry instance and reports whether all of it was
+// acknowledged.
 func (s *session) sendReports(ctx context.Context, batch []*apiv1.AttemptReport) bool {
 	gateway, index := s.worker.gateway.pick()
 	callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
@@ -170,6 +181,8 @@
 	return len(response.Acknowledged) >= len(batch)
 }
 
+// recordAcknowledged removes acknowledged reports and allows the guard to drop its
+// records of the attempts.
 func (s *session) recordAcknowledged(response *apiv1.ReportResponse) {
 	var attempts []lease.Attempt
 	for _, ref := range response.Acknowledged {
@@ -181,7 +194,7 @@
 	s.guard.Acknowledge(attempts, lease.Position{Term: response.UntilTerm, Number: response.UntilNumber})
 }
 
-// flush tries for a short time to get all reports acknowledged.
+// flush sends the reports until all are acknowledged, for flushTimeout at most.
 func (s *session) flush(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
--- a/internal/standin/requests_test.go
+++ b/internal/standin/requests_test.go
@@ -13,7 +13,7 @@
 	apiv1 "github.com/bilberryferry/bilberryferry/api/v1"
 )
 
-// fakeGateway takes announcements of minions.
+// fakeGateway is an entry instance that counts announcements and leaves of minions.
 type fakeGateway struct {
 	mu        sync.Mutex
 	announced map[string]int
@@ -75,6 +75,8 @@
 	must.SliceEmpty(t, fleet.Ledger().Violations())
 }
 
+// Each injected fault of a minion must appear in the callers' report under its own
+// count. A connection that breaks within a response is not a wrong response.
 func TestMinionFaultsReachCallers(t *testing.T) {
 	fleet, _ := startMinions(t, MinionsConfig{Count: 1, Slots: 100, Faulty: 1, Faults: MinionFaults{Fail: true}})
 	minion := fleet.All()[0]
@@ -93,8 +95,8 @@
 	must.Eq(t, 5, report.Late)
 }
 
-// A proxy in the middle ends a broken-off answer as if it were complete, or
-// hands one caller the answer of another. The caller must notice both.
+// A proxy ends a truncated response as if it were complete, or sends a caller the
+// response to another request. The caller must detect both.
 func TestCallersDetectTruncatedAndSwappedResponses(t *testing.T) {
 	complete := newResponseBody("other", nil, DefaultResponseSize)
 	for name, body := range map[string][]byte{"swapped": complete, "cut": complete[:100], "empty": nil} {
@@ -107,8 +109,8 @@
 	}
 }
 
-// An entry instance dies with requests on their way. Idempotent calls are sent
-// again elsewhere and get their answers; the others end as broken.
+// An entry instance dies with requests in flight. Idempotent calls must be sent again
+// to another instance; non-idempotent calls might run twice and must end as broken.
 func TestCallersResendOnlyIdempotentRequests(t *testing.T) {
 	dying := serve(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	fleet, _ := startMinions(t, MinionsConfig{Count: 1, Slots: 100})
@@ -122,8 +124,8 @@
 	must.Eq(t, 20, report.Correct+report.BrokenNonIdempotent)
 }
 
-// Requests above the slots are a violation, but not when the callers of those
-// below have given up a moment ago.
+// Two requests in flight on one slot are a violation, but not when the first one's
+// caller has disconnected and the minion notices it only after the second arrives.
 func TestMinionReportsSlotsExceeded(t *testing.T) {
 	ledger := NewLedger()
 	minion := newMinion(MinionsConfig{DataCentres: []DataCentre{{}}, Slots: 1, Ledger: ledger}.withDefaults(), 0, newNonIdempotentSet(ledger))
@@ -132,14 +134,14 @@
 	first.markDisconnected(minion)
 	minion.endRequest(first)
 	minion.beginRequest()
-	eventually(t, "the second excess is judged", func() bool { return len(ledger.Violations()) > 0 })
+	eventually(t, "violation of the third request", func() bool { return len(ledger.Violations()) > 0 })
 	must.Len(t, 1, ledger.Violations())
 	must.Eq(t, SlotsExceeded, ledger.Violations()[0].Kind)
 	must.Eq(t, 2, minion.Stats().MaxInFlight)
 }
 
-// A minion says that it leaves, and an entry instance that has missed it still
-// sends a request after the grace. A non-idempotent request also comes twice.
+// An entry instance that missed a minion's leave still sends requests after
+// LeaveGrace, and sends a non-idempotent request twice. The minion must report both.
 func TestMinionDetectsLateAndDuplicateRequests(t *testing.T) {
 	fleet, gateway := startMinions(t, MinionsConfig{Count: 1, LeaveGrace: time.Nanosecond})
 	minion := fleet.All()[0]
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -13,23 +13,24 @@
 	"github.com/bilberryferry/bilberryferry/internal/wait"
 )
 
-// slotCheckDelay is how long a minion waits before it counts requests above its
-// slots as a violation: one whose caller has given up has freed its slot, but
-// the minion learns of that a moment later.
+// slotCheckDelay is how long a minion waits before it reports requests above its
+// slots as a violation. A request whose caller has disconnected no longer occupies a
+// slot, but the minion notices the disconnect a moment later.
 const slotCheckDelay = 50 * time.Millisecond
 
-// flight is one request in progress.
+// request is one request in flight.
 type request struct {
-	// callerDisconnected says that the caller went away before the answer.
+	// callerDisconnected is set when the caller disconnects before the response.
 	callerDisconnected bool
 }
 
+// limitExceeded describes a violation of a limit of what, for instance requests.
 func limitExceeded(have int, what string, limit int) string {
 	return fmt.Sprintf("%d %s at once, the limit is %d", have, what, limit)
 }
 
-// ServeHTTP takes one request, plays its faults and answers it in a form that
-// the caller can check.
+// ServeHTTP serves one request with the injected faults. The caller can verify the
+// response with checkResponseBody.
 func (m *Minion) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f, faults := m.beginRequest()
 	defer m.endRequest(f)
@@ -46,7 +47,7 @@
 	}
 	switch {
 	case faults.Fail:
-		http.Error(w, "fails on purpose", http.StatusInternalServerError)
+		http.Error(w, "injected fault: every request fails", http.StatusInternalServerError)
 		return
 	case faults.Hang:
 		<-r.Context().Done()
@@ -61,7 +62,8 @@
 	writeResponse(w, newResponseBody(nonce, body, size), faults.Truncate)
 }
 
-// writeResponse writes the answer; when it is to be cut, only half of the body.
+// writeResponse writes the body. If truncate is set, it writes half of the body and
+// breaks the connection.
 func writeResponse(w http.ResponseWriter, body []byte, truncate bool) {
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -81,7 +83,8 @@
 	return m.cfg.Work
 }
 
-// enter counts a request in and checks it against the slots and the leave.
+// beginRequest registers a request and checks it against the slots and, once the
+// minion has left, against LeaveGrace. It returns the faults to inject.
 func (m *Minion) beginRequest() (*request, MinionFaults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -98,8 +101,9 @@
 	return f, m.faults
 }
 
-// checkSlotsLater judges the requests that are now above the slots once it is known
-// whose caller had given up by then.
+// checkSlotsLater checks the current requests against the slots after
+// slotCheckDelay, without those whose caller has disconnected by then. The caller
+// holds the lock.
 func (m *Minion) checkSlotsLater() {
 	concurrent := make([]*request, 0, len(m.inFlight))
 	for f := range m.inFlight {
@@ -132,7 +136,8 @@
 	delete(m.inFlight, f)
 }
 
-// nonIdempotentSet remembers the non-idempotent requests that minions have run.
+// nonIdempotentSet holds the non-idempotent requests that the minions of a fleet
+// have executed, by the hash of the nonce, and reports duplicates.
 type nonIdempotentSet struct {
 	ledger *Ledger
 	mu     sync.Mutex
@@ -150,6 +155,6 @@
 	s.seen[key] = struct{}{}
 	s.mu.Unlock()
 	if duplicate {
-		s.ledger.Add(DuplicateStart, nonce, "non-idempotent request ran again")
+		s.ledger.Add(DuplicateStart, nonce, "non-idempotent request was executed again")
 	}
 }
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -14,21 +14,22 @@
 )
 
 const (
+	// Bounds of the exponential backoff between failed calls.
 	initialBackoff = 25 * time.Millisecond
 	maxBackoff     = time.Second
-	// Bounds of how long past the hold time an answer to a renewal may take
-	// before the worker turns to another entry instance.
+	// Bounds of how long after its hold time a renewal may stay unanswered before
+	// the worker turns to another entry instance.
 	minCallSlack = 300 * time.Millisecond
 	maxCallSlack = 2 * time.Second
 )
 
-// maxPreviousAttempts is how often an incarnation tries to have the reports of the
-// one before it acknowledged first.
+// maxPreviousAttempts is how often an incarnation tries to deliver the reports of
+// the previous incarnation before it announces itself without their acknowledgement.
 const maxPreviousAttempts = 5
 
 var (
-	errResponseLost            = errors.New("answer lost on purpose")
-	errPreviousNotAcknowledged = errors.New("reports of the incarnation before are not acknowledged")
+	errResponseLost            = errors.New("injected fault: response lost")
+	errPreviousNotAcknowledged = errors.New("reports of the previous incarnation are not acknowledged")
 )
 
 // session is one incarnation of a worker.
@@ -37,15 +38,15 @@
 	incarnation uint64
 	capacity    *apiv1.Resources
 	logger      log.Logger
-	// origin is where the session's lease clock starts.
+	// clockStart is the zero of the session's lease clock.
 	clockStart time.Time
-	// over is closed when the lease has ended.
+	// leaseEnded is closed when the lease ends.
 	leaseEnded chan struct{}
 	reports    *outbox
-	// reporting is held while a batch of reports is on its way.
+	// reporting is held while a batch of reports is in flight.
 	reporting sync.Mutex
-	// previous is the incarnation whose lease has ended in this process, while
-	// its reports go first; only the renewing goroutine uses it.
+	// previous is the previous incarnation in this process until its reports are
+	// acknowledged or given up; only the renewing goroutine uses it.
 	previous         *session
 	previousAttempts int
 
@@ -56,12 +57,12 @@
 	ttl        time.Duration
 	sequence   uint64
 	announce   bool
-	// shaken says that the last renewal wasn't answered.
+	// lastRenewalFailed is set while the last renewal has no response.
 	lastRenewalFailed bool
 	running           map[lease.Attempt]*run
 	used              apiv1.Resources
 	leaving           bool
-	// closed says that the incarnation has ended: nothing starts or ends in it.
+	// closed is set when the incarnation ends; no task starts or ends after that.
 	closed bool
 }
 
@@ -83,9 +84,9 @@
 	return s
 }
 
-// run renews until the context or the lease ends. Reports go on in the
-// background until all are acknowledged or the context ends. With the context
-// everything is dropped, as by a crash. It answers whether the lease ended.
+// run renews the lease until the lease or the context ends, and reports whether the
+// lease ended. After the lease ends, the background group still delivers reports.
+// The end of the context drops all tasks and reports, as a crash would.
 func (s *session) run(ctx context.Context, background *sync.WaitGroup) bool {
 	background.Go(func() { s.reportLoop(ctx) })
 	renewCtx, cancel := context.WithCancel(ctx)
@@ -116,7 +117,7 @@
 	return len(s.running)
 }
 
-// renewLoop keeps one renewal on its way at any time.
+// renewLoop keeps one renewal in flight at any time, with a backoff after failures.
 func (s *session) renewLoop(ctx context.Context) {
 	backoff := initialBackoff
 	for ctx.Err() == nil {
@@ -131,6 +132,9 @@
 	}
 }
 
+// renewOnce sends one renewal and applies the response. It returns an error when
+// the reports of the previous incarnation must be retried first, or when the
+// response is missing.
 func (s *session) renewOnce(ctx context.Context) error {
 	if !s.reportPrevious(ctx) {
 		return errPreviousNotAcknowledged
@@ -149,20 +153,20 @@
 	if err != nil {
 		return err
 	}
-	// A paused worker doesn't see the answer before it is resumed.
+	// A paused worker doesn't read the response before it is resumed.
 	s.worker.waitResumed(ctx)
 	s.applyResponse(request.Sequence, response)
 	return nil
 }
 
-// reportPrevious tries to get the ends of the incarnation before this one
-// acknowledged, and answers whether this one may be announced now.
+// reportPrevious sends the reports of the previous incarnation and reports whether
+// the new one may announce itself: when all are acknowledged, or after
+// maxPreviousAttempts.
 //
-// Failure guarded against: a task has finished, but its report can't be
-// delivered before the lease ends. An announcement that overtakes the report
-// makes the owner declare the attempt dead: it runs again, or, non-idempotent,
-// ends as unknown although it has finished. After a few tries the announcement
-// goes out all the same.
+// It guards against a task that finishes but whose report isn't delivered before
+// the lease ends. If the announcement arrives first, the lease's owner declares the
+// attempt dead: an idempotent task runs again, and a non-idempotent one ends with an
+// unknown outcome although it has finished.
 func (s *session) reportPrevious(ctx context.Context) bool {
 	if s.previous == nil {
 		return true
@@ -181,7 +185,7 @@
 	s.lastRenewalFailed = err != nil
 }
 
-// nextRenewal makes the next request and says how long its answer may take.
+// nextRenewal returns the next renewal and the timeout of its call.
 func (s *session) nextRenewal() (*apiv1.RenewRequest, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,17 +207,18 @@
 	return request, hold + s.callSlack(hold)
 }
 
-// hold is how long the next renewal may be held.
+// hold returns how long the entry instance may hold the next renewal for commands:
+// a third of the last lease at most.
 //
-// Failure guarded against: each lease counts from when its renewal was sent, so
-// that a renewal which is held for half of the lease is answered at the very
-// moment when the lease granted by the one before it ends: a sound worker loses
-// its lease and its tasks. With a third of the lease at most, a third is left
-// when the next answer is due.
+// It guards against a healthy worker that loses its lease and its tasks. A lease
+// counts from the send of its renewal. Two renewals held for half of the lease each
+// use up the lease that the first one granted. With a third each, a third is left
+// when the second response is due.
 func (s *session) hold() time.Duration {
 	switch {
 	case s.announce || s.lastRenewalFailed:
-		// The answer starts the lease, or is the last chance to keep it.
+		// The response starts the lease, or may be the last one before the lease
+		// ends, so it must not be held.
 		return 0
 	case s.ttl > 0:
 		return min(s.worker.cfg.RenewHold, s.ttl/3)
@@ -222,7 +227,9 @@
 	}
 }
 
-// callSlack leaves time for another try before the lease ends.
+// callSlack returns how long after its hold time a renewal may stay unanswered: a
+// third of the remaining lease, within bounds, so that there is time for another
+// try before the lease ends.
 func (s *session) callSlack(hold time.Duration) time.Duration {
 	if s.ttl == 0 {
 		return maxCallSlack
@@ -230,6 +237,7 @@
 	return min(max((s.ttl-hold)/3, minCallSlack), maxCallSlack)
 }
 
+// announcement returns the worker's data centre, rack, capacity and running attempts.
 func (s *session) announcement() *apiv1.WorkerAnnouncement {
 	a := &apiv1.WorkerAnnouncement{
 		Rack:       s.worker.rack,
@@ -242,7 +250,8 @@
 	return a
 }
 
-// take handles the answer to a renewal.
+// applyResponse applies the response to a renewal. It ignores a response to an
+// incarnation that has ended or from an older term.
 func (s *session) applyResponse(sequence uint64, response *apiv1.RenewResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -267,7 +276,8 @@
 	s.leaseTimer.Reset(s.holder.ExpiresAt() - now)
 }
 
-// checkLease runs when the lease should have ended.
+// checkLease ends the incarnation unless the lease was extended since its timer was
+// set.
 func (s *session) checkLease() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -282,9 +292,8 @@
 	s.endLease("no renewal in time")
 }
 
-// endLease stops all tasks and ends the incarnation. The owner counts the lease
-// from a later moment than the worker does, so that no task is started
-// elsewhere before it is stopped here.
+// endLease stops all tasks and ends the incarnation. The owner counts the lease from
+// a later time than the worker, so no task starts elsewhere before it stops here.
 func (s *session) endLease(reason string) {
 	_ = s.logger.Log("event", "lease ended", "why", reason, "stopped", len(s.running))
 	s.stopAll("lease ended")
@@ -293,7 +302,7 @@
 	close(s.leaseEnded)
 }
 
-// crash ends the incarnation: tasks end where they are and no report is sent.
+// crash ends the incarnation and all tasks at once, without reports.
 func (s *session) crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/submit.go
+++ b/internal/standin/submit.go
@@ -15,19 +15,25 @@
 )
 
 const (
+	// submitTimeout bounds one try of a call other than Watch.
 	submitTimeout = 5 * time.Second
-	watchWait     = 10 * time.Second
-	watchSlack    = 2 * time.Second
+	// watchWait is how long a Watch may wait for a change of the job.
+	watchWait = 10 * time.Second
+	// watchSlack is how long after watchWait the response may still arrive.
+	watchSlack = 2 * time.Second
 )
 
-// StateName returns the name of a job's state as reports show it.
+// StateName returns the name of a job's state in lower case, without the prefix of
+// the enum.
 func StateName(s apiv1.JobState) string {
 	return strings.ToLower(strings.TrimPrefix(s.String(), "JOB_STATE_"))
 }
 
-// repeat makes a call until it is answered, first at entry address number i and
-// then at the next one each time that it isn't. Calls carry their request id, so that repeating is safe. The
-// first error that isn't about reaching the owner is returned.
+// callWithRetry calls entry address number i and, while the outcome is unknown,
+// retries on the next address with an exponential backoff. A call either only reads
+// or carries the same request id in all tries, so retries are safe. callWithRetry
+// returns the first error that tells the outcome, or after RetryTimeout the last
+// error marked with errOutcomeUnknown.
 func (j *Jobs) callWithRetry(ctx context.Context, customer string, i int, timeout time.Duration, call func(context.Context, apiv1.Scheduler) error) error {
 	clients := j.clients[customer]
 	retryUntil := time.Now().Add(j.cfg.RetryTimeout)
@@ -47,11 +53,12 @@
 	}
 }
 
-// errOutcomeUnknown marks calls whose fate stayed open.
-var errOutcomeUnknown = errors.New("the fate of the call is open")
+// errOutcomeUnknown marks the error of a call that may have been executed or not.
+var errOutcomeUnknown = errors.New("the outcome of the call is unknown")
 
-// resolveHome asks which data centre is to answer for the request id, so that every
-// repeat of the submission goes there, whichever entry instance takes it.
+// resolveHome sets the home data centre of the submission, which deduplicates it by
+// its request id: the data centre in the spec, or else that of the entry instance.
+// Retries through other entry instances thus reach the same home.
 func (j *Jobs) resolveHome(ctx context.Context, i int, request *apiv1.SubmitRequest) error {
 	return j.callWithRetry(ctx, j.cfg.Arrivals[i].Customer, i, submitTimeout, func(ctx context.Context, s apiv1.Scheduler) error {
 		home, err := s.Home(ctx, &apiv1.HomeRequest{})
@@ -67,8 +74,8 @@
 	})
 }
 
-// submit returns the id of the job, or nothing when it was refused or its fate
-// stayed open.
+// submit submits a job and returns its id, or "" when it was refused or the outcome
+// is unknown.
 func (j *Jobs) submit(ctx context.Context, i int, spec *apiv1.Spec) string {
 	request := &apiv1.SubmitRequest{RequestId: fmt.Sprintf("%s-%d", j.runID, i), Spec: spec}
 	var response *apiv1.SubmitResponse
@@ -93,7 +100,7 @@
 	return response.Id
 }
 
-// watch follows a job until it is settled.
+// watch follows a job by long polls until it is done or a poll fails.
 func (j *Jobs) watch(ctx context.Context, i int, id string) {
 	customer := j.cfg.Arrivals[i].Customer
 	revision := uint64(0)
@@ -118,7 +125,7 @@
 	}
 }
 
-// note takes over what the system tells of a job, and answers whether it is settled.
+// recordStatus updates a result from the job's status and reports whether it is done.
 func (j *Jobs) recordStatus(i int, job *apiv1.Job) bool {
 	done := false
 	started, known := j.cfg.Ledger.FirstStart(job.Id, 0)
@@ -140,7 +147,7 @@
 	return done
 }
 
-// cancelServices ends the services that still run, in one call per customer.
+// cancelServices cancels the running services with one call per customer.
 func (j *Jobs) cancelServices(ctx context.Context) {
 	ids := make(map[string][]string)
 	for _, r := range j.Results() {
--- a/internal/standin/tasks.go
+++ b/internal/standin/tasks.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// run is one attempt that runs on a worker.
+// run is one running attempt.
 type run struct {
 	attempt lease.Attempt
 	start   *apiv1.StartTask
@@ -33,9 +33,9 @@
 	timer   *time.Timer
 }
 
-// applyCommands handles commands in order. Without a lease none is taken: an
-// answer that comes late may carry starts of attempts that the owner has
-// declared dead since.
+// applyCommands executes commands in order while the worker holds its lease. After
+// the lease ends, a late response may carry starts of attempts that the owner has
+// declared dead in the meantime.
 func (s *session) applyCommands(commands []*apiv1.Command) {
 	for _, c := range commands {
 		if !s.holder.Valid(s.clock()) {
@@ -50,8 +50,9 @@
 	}
 }
 
-// applyStart starts an attempt unless the guard refuses it. A refused command is
-// either done with or comes again, as the guard's position tells the owner.
+// applyStart starts an attempt, or reports it as not started when it was stopped
+// before, the worker leaves or the capacity is exceeded. It ignores commands that the
+// guard refuses otherwise: the guard's position tells the owner whether to resend them.
 func (s *session) applyStart(h lease.Header, start *apiv1.StartTask) {
 	attempt := attemptOf(start.Attempt)
 	err := s.guard.Start(h, attempt)
@@ -64,7 +65,7 @@
 		s.refuse(attempt, "worker leaves")
 	case !s.fits(start.Need):
 		s.recordOvercommitted(attempt, start.Need)
-		s.refuse(attempt, "does not fit")
+		s.refuse(attempt, "demand exceeds the worker's free capacity")
 	default:
 		s.startRun(attempt, start)
 	}
@@ -77,13 +78,13 @@
 }
 
 func (s *session) recordOvercommitted(attempt lease.Attempt, demand *apiv1.Resources) {
-	detail := fmt.Sprintf("%s needs cpu=%d memory=%d accelerators=%d, used cpu=%d memory=%d accelerators=%d",
+	detail := fmt.Sprintf("%s demands cpu_milli=%d memory_mib=%d accelerators=%d, running tasks use cpu_milli=%d memory_mib=%d accelerators=%d",
 		attempt.Job, demand.GetCpuMilli(), demand.GetMemoryMib(), demand.GetAccelerators(),
 		s.used.CpuMilli, s.used.MemoryMib, s.used.Accelerators)
 	s.worker.cfg.Ledger.Add(Overcommitted, s.worker.id, detail)
 }
 
-// refuse ends an attempt that the guard has let pass without ever running it.
+// refuse ends an attempt that the guard accepted, without running it.
 func (s *session) refuse(attempt lease.Attempt, reason string) {
 	_ = s.guard.End(attempt)
 	s.reportNotStarted(attempt, reason)
@@ -97,6 +98,8 @@
 	}, s.worker.currentFaults().ReportDelay)
 }
 
+// startRun records the start of an attempt and schedules its end. The caller holds
+// the lock.
 func (s *session) startRun(attempt lease.Attempt, start *apiv1.StartTask) {
 	payload := ParsePayload(start.Payload)
 	r := &run{attempt: attempt, start: start, payload: payload}
@@ -113,6 +116,8 @@
 	s.scheduleEnd(r)
 }
 
+// scheduleEnd sets the timer that ends a run after its true run time, or at once
+// with the fault FailAll.
 func (s *session) scheduleEnd(r *run) {
 	cfg := s.worker.cfg
 	if s.worker.currentFaults().FailAll {
@@ -121,7 +126,7 @@
 	}
 	runtime := r.payload.runtime(r.start, cfg.Seed, cfg.RuntimeLow, cfg.RuntimeHigh)
 	if runtime <= 0 {
-		// A service runs until it is stopped; the timer is never set.
+		// A service runs until it is stopped: its timer exists, but never fires.
 		r.timer = time.AfterFunc(time.Hour, func() {})
 		r.timer.Stop()
 		return
@@ -133,6 +138,8 @@
 	r.timer = time.AfterFunc(runtime, func() { s.finish(r, outcome, detail) })
 }
 
+// adjustUsed adds the demand of a run to the used resources, or subtracts it with
+// sign -1.
 func (s *session) adjustUsed(demand *apiv1.Resources, sign int64) {
 	s.used.CpuMilli += sign * demand.GetCpuMilli()
 	s.used.MemoryMib += sign * demand.GetMemoryMib()
@@ -142,14 +149,16 @@
 func (s *session) finish(r *run, outcome apiv1.Outcome, detail string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// A task whose lease has ended may have been started elsewhere: its end
-	// comes too late to count, so it is told as a stop.
+	// After the lease ends, the owner may have started the task elsewhere. An end
+	// this late must not count as the task's result; it is reported as a stop.
 	if !s.holder.Valid(s.clock()) {
 		outcome, detail = apiv1.Outcome_OUTCOME_STOPPED, "lease ended"
 	}
 	s.endRun(r, outcome, detail)
 }
 
+// endRun ends a run and queues its report, unless it has ended before. The caller
+// holds the lock.
 func (s *session) endRun(r *run, outcome apiv1.Outcome, detail string) {
 	if s.closed || s.running[r.attempt] != r {
 		return
@@ -169,9 +178,9 @@
 	}, s.worker.currentFaults().ReportDelay)
 }
 
-// applyStop stops an attempt that runs, and proves of one that never started
-// that it never will. An end that is already reported is repeated until it is
-// acknowledged, so nothing is to be done for it.
+// applyStop stops a running attempt. It reports an attempt that never started as not
+// started; the guard then refuses its start for ever. An attempt that has ended
+// needs no action: its report is retried until it is acknowledged.
 func (s *session) applyStop(h lease.Header, stop *apiv1.StopTask) {
 	attempt := attemptOf(stop.Attempt)
 	result, err := s.guard.Stop(h, attempt)
@@ -186,7 +195,7 @@
 	}
 }
 
-// leave stops all tasks and starts no more.
+// leave stops all tasks and makes the session refuse further starts.
 func (s *session) leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -194,6 +203,7 @@
 	s.stopAll("worker leaves")
 }
 
+// stopAll ends all runs as stopped. The caller holds the lock.
 func (s *session) stopAll(reason string) {
 	for _, r := range s.running {
 		s.endRun(r, apiv1.Outcome_OUTCOME_STOPPED, reason)
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -12,21 +12,21 @@
 	apiv1 "github.com/bilberryferry/bilberryferry/api/v1"
 )
 
-// WorkerFaults says how a worker misbehaves. The zero value is a sound worker.
+// WorkerFaults are the faults that a worker injects. The zero value injects none.
 type WorkerFaults struct {
 	// FailAll makes every task fail as soon as it is started.
 	FailAll bool
-	// LoseResponses is the share of answers that are lost after the entry instance
-	// has given them, from 0 to 1.
+	// LoseResponses is the share of responses from entry instances that the worker
+	// drops, from 0 to 1.
 	LoseResponses float64
 	// DuplicateReports sends every report twice.
 	DuplicateReports bool
-	// ReportDelay holds every report back.
+	// ReportDelay delays every report.
 	ReportDelay time.Duration
 }
 
-// Worker is one stand-in worker. Its tasks are timers. It outlives its
-// incarnations: Restart ends one and begins the next.
+// Worker is one stand-in worker, whose tasks are timers. It runs one incarnation
+// after the other: a Restart or the end of the lease starts a new one.
 type Worker struct {
 	cfg        WorkersConfig
 	dataCentre DataCentre
@@ -45,6 +45,7 @@
 	session     *session
 	// resumed is closed unless the worker is paused.
 	resumed chan struct{}
+	// restart receives a value when the process is to restart.
 	restart chan struct{}
 	leaving bool
 }
@@ -79,10 +80,11 @@
 // ID returns the worker's id.
 func (w *Worker) ID() string { return w.id }
 
-// Name returns the data centre that the worker stands in.
+// DataCentre returns the name of the worker's data centre.
 func (w *Worker) DataCentre() string { return w.dataCentre.Name }
 
-// Run keeps the worker going, over all its incarnations, until the context ends.
+// Run runs the worker's incarnations until the context ends or the worker has left.
+// The error is always nil.
 func (w *Worker) Run(ctx context.Context) error {
 	defer w.httpClient.CloseIdleConnections()
 	for ctx.Err() == nil && !w.isLeaving() {
@@ -91,8 +93,8 @@
 	return nil
 }
 
-// runProcess plays one process of the worker, until Restart or the end of the
-// context. Each lease that ends costs the process an incarnation.
+// runProcess simulates one process of the worker until Restart or the end of the
+// context. The process starts a new incarnation each time its lease ends.
 func (w *Worker) runProcess(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	var background sync.WaitGroup
@@ -111,13 +113,13 @@
 	}
 }
 
-// newSession begins an incarnation. previous is the one of the same process
-// whose lease has ended, if any.
+// newSession starts an incarnation. previous is the incarnation of the same process
+// whose lease has ended, or nil.
 func (w *Worker) newSession(previous *session) *session {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	// The clock makes incarnations grow over restarts of the process, the
-	// previous one makes them grow over restarts within one millisecond.
+	// The clock makes incarnations increase across restarts of this program, the
+	// last incarnation makes them increase within one millisecond.
 	w.incarnation = max(w.incarnation+1, uint64(time.Now().UnixMilli()))
 	w.session = newSession(w, w.incarnation, w.capacity)
 	w.session.previous = previous
@@ -142,7 +144,7 @@
 	return s != nil && s.holdsLease()
 }
 
-// Running returns the number of tasks that run.
+// Running returns the number of running tasks.
 func (w *Worker) Running() int {
 	s := w.current()
 	if s == nil {
@@ -151,8 +153,8 @@
 	return s.runningCount()
 }
 
-// Pause stops renewals and reports until Resume, as a process that hangs. Tasks
-// go on until the worker's own lease check stops them.
+// Pause stops renewals and reports until Resume, as in a process that hangs. Tasks
+// continue until the worker's lease check stops them.
 func (w *Worker) Pause() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -184,8 +186,8 @@
 	}
 }
 
-// Restart ends the incarnation as by a crash: tasks end, unsent reports are
-// lost. The next incarnation has the given capacity; nil keeps the last one.
+// Restart ends the incarnation as a crash would: tasks end, unacknowledged reports
+// are lost. The next incarnation has the given capacity; nil keeps the last one.
 func (w *Worker) Restart(capacity *apiv1.Resources) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -198,7 +200,7 @@
 	}
 }
 
-// SetFaults changes how the worker misbehaves from now on.
+// SetFaults replaces the injected faults.
 func (w *Worker) SetFaults(f WorkerFaults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -211,8 +213,9 @@
 	return w.faults
 }
 
-// Leave ends the worker in order: tasks are stopped, then the entry instances
-// are told. Run returns after it.
+// Leave shuts the worker down gracefully: it stops the tasks, flushes their reports
+// and tells an entry instance that the worker leaves. Run then returns. The error is
+// that of the last try to tell an entry instance.
 func (w *Worker) Leave(ctx context.Context) error {
 	w.mu.Lock()
 	w.leaving = true
@@ -228,6 +231,7 @@
 	return err
 }
 
+// sendLeave tells an entry instance that the worker leaves, with one try per address.
 func (w *Worker) sendLeave(ctx context.Context, incarnation uint64) error {
 	var err error
 	for range w.dataCentre.Entries {
@@ -241,14 +245,14 @@
 	return err
 }
 
-// loseResponse draws whether the answer that has just come is to be lost.
+// loseResponse decides at random whether to drop the response that has just arrived.
 func (w *Worker) loseResponse() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.faults.LoseResponses > 0 && w.random.Float64() < w.faults.LoseResponses
 }
 
-// jitter returns a random time between half of d and d.
+// jitter returns a random duration between d/2 and d.
 func (w *Worker) jitter(d time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standin/workers.go
+++ b/internal/standin/workers.go
@@ -15,40 +15,40 @@
 // Defaults of WorkersConfig.
 const (
 	DefaultRenewHold = 3 * time.Second
-	DefaultPerRack   = 8
+	DefaultPerRack   = 8 // workers
 )
 
 // WorkersConfig describes a fleet of stand-in workers.
 type WorkersConfig struct {
-	// Sites are the data centres over which the workers are spread in turn.
+	// DataCentres are the data centres to which the workers are assigned in round robin.
 	DataCentres []DataCentre
-	// Count is the number of workers in all.
+	// Count is the total number of workers.
 	Count int
 	// PerRack is the number of workers in one rack; 0 means DefaultPerRack.
 	PerRack int
-	// Capacity is what each worker has.
+	// Capacity is the resources of each worker.
 	Capacity *apiv1.Resources
 	// Token is the bearer token of workers.
 	Token string
-	// Prefix begins the id of each worker, before the data centre and a number.
+	// Prefix starts the id of each worker; the data centre and a number follow it.
 	Prefix string
-	// Hold is how long a renewal may be held for commands; 0 means DefaultRenewHold.
-	// No renewal asks for more than a third of the lease last granted.
+	// RenewHold is how long an entry instance may hold a renewal for commands; 0
+	// means DefaultRenewHold. No renewal allows more than a third of the last lease.
 	RenewHold time.Duration
-	// RuntimeLow and RuntimeHigh bound the seeded factor from declared to true
-	// run time; both 0 mean that declarations are exact.
+	// RuntimeLow and RuntimeHigh bound the random ratio of true to declared run
+	// time; if RuntimeHigh is 0, both are 1 and declarations are exact.
 	RuntimeLow, RuntimeHigh float64
 	// Seed makes run times, backoffs and faults repeatable.
 	Seed uint64
-	// Faults is how the first Faulty workers behave at the start.
+	// Faults are injected by the first Faulty workers from the start.
 	Faults WorkerFaults
-	// Faulty is the number of workers with Faults.
+	// Faulty is the number of workers that inject Faults.
 	Faulty int
 	// Dial opens connections; nil means TCP.
 	Dial rpc.Dial
-	// Ledger takes the runs and checks them; nil means a new one.
+	// Ledger records and checks the runs; nil means a new one.
 	Ledger *Ledger
-	// Logger takes lines for changes of state; nil means none.
+	// Logger receives the log lines; nil means none.
 	Logger log.Logger
 }
 
@@ -58,7 +58,7 @@
 	workers []*Worker
 }
 
-// NewWorkers makes a fleet. Nothing is sent before Run.
+// NewWorkers returns a fleet of workers that send nothing before Run.
 func NewWorkers(cfg WorkersConfig) *Workers {
 	cfg = cfg.withDefaults()
 	fleet := &Workers{ledger: cfg.Ledger}
@@ -87,7 +87,7 @@
 	return cfg
 }
 
-// place returns the site, id and rack of worker number i.
+// identity returns the data centre, id and rack of worker number i.
 func (cfg WorkersConfig) identity(i int) (dataCentre DataCentre, id, rack string) {
 	dataCentre = cfg.DataCentres[i%len(cfg.DataCentres)]
 	number := i / len(cfg.DataCentres)
@@ -96,8 +96,8 @@
 	return dataCentre, id, rack
 }
 
-// Run keeps all workers going until the context ends. Then their tasks are
-// stopped as by a crash; use Leave first for an orderly end.
+// Run runs all workers until the context ends. Their tasks then end as in a crash;
+// call Leave first for a graceful shutdown.
 func (f *Workers) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, w := range f.workers {
@@ -106,7 +106,7 @@
 	return group.Wait()
 }
 
-// Leave tells the entry instances that all workers leave.
+// Leave shuts all workers down gracefully and returns the first error.
 func (f *Workers) Leave(ctx context.Context) error {
 	var group errgroup.Group
 	for _, w := range f.workers {
@@ -115,13 +115,13 @@
 	return group.Wait()
 }
 
-// All returns the workers, in the order of their numbers.
+// All returns the workers by number.
 func (f *Workers) All() []*Worker { return f.workers }
 
 // Ledger returns the ledger of the fleet.
 func (f *Workers) Ledger() *Ledger { return f.ledger }
 
-// Ready reports how many workers hold a lease.
+// Ready returns the number of workers that hold a lease.
 func (f *Workers) Ready() int {
 	ready := 0
 	for _, w := range f.workers {
@@ -132,7 +132,7 @@
 	return ready
 }
 
-// Running returns the number of tasks that run on all workers.
+// Running returns the number of running tasks on all workers.
 func (f *Workers) Running() int {
 	running := 0
 	for _, w := range f.workers {
--- a/internal/standin/workers_test.go
+++ b/internal/standin/workers_test.go
@@ -12,7 +12,8 @@
 
 const testWorker = "hall-w000"
 
-// startWorkers runs count workers against owners, one entry address each.
+// startWorkers runs count workers whose entry addresses are those of the owners, and
+// waits until all hold a lease.
 func startWorkers(t *testing.T, count int, faults WorkerFaults, owners ...*fakeOwner) *Workers {
 	t.Helper()
 	dataCentre := DataCentre{Name: "hall"}
@@ -52,8 +53,9 @@
 	must.SliceEmpty(t, fleet.Ledger().Violations())
 }
 
-// A service task has no run time and ends only by a stop. A stop of an attempt
-// that never started is answered with proof, and its late start is refused.
+// A service's task has no run time and must end when it is stopped. A stop that
+// arrives before its start must be reported as not started, and the later start
+// must be ignored.
 func TestWorkerHandlesStopCommands(t *testing.T) {
 	owner := newFakeOwner(time.Second)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
@@ -69,8 +71,9 @@
 	must.Eq(t, 2, fleet.Ledger().Starts())
 }
 
-// A worker process hangs while its task runs. Its lease ends, the owner gives
-// the task to another worker, and the first one's task must have stopped before.
+// A worker process hangs while its task runs. Its lease ends and the owner starts the
+// task on another worker. The first worker must have stopped its task by then, or two
+// attempts run at the same time.
 func TestPausedWorkerStopsAtLeaseEnd(t *testing.T) {
 	owner := newFakeOwner(300 * time.Millisecond)
 	fleet := startWorkers(t, 2, WorkerFaults{}, owner)
@@ -88,8 +91,8 @@
 	must.SliceEmpty(t, fleet.Ledger().Violations())
 }
 
-// The owner counts wrongly and starts a task elsewhere while it runs: the ledger
-// must see it, and must see a second start of non-idempotent work.
+// A faulty owner starts a second attempt of a non-idempotent task while the first one
+// runs. The ledger must report both the concurrent runs and the duplicate start.
 func TestLedgerDetectsConcurrentRuns(t *testing.T) {
 	owner := newFakeOwner(time.Second)
 	fleet := startWorkers(t, 2, WorkerFaults{}, owner)
@@ -103,6 +106,8 @@
 	must.Eq(t, DuplicateStart, violations[1].Kind)
 }
 
+// An owner overcommits a worker: it starts three tasks where two fit. The worker must
+// report the third as not started, and the ledger must record a violation.
 func TestWorkerRefusesTaskBeyondCapacity(t *testing.T) {
 	owner := newFakeOwner(time.Second)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
@@ -114,8 +119,9 @@
 	must.Eq(t, Overcommitted, fleet.Ledger().Violations()[0].Kind)
 }
 
-// A worker restarts: its tasks are gone without a report, it comes back smaller
-// and under a new incarnation, and a command for the old one starts nothing.
+// A worker crashes and restarts with less capacity. It must announce a new
+// incarnation, send no reports of its lost tasks, and ignore commands that were
+// addressed to the old incarnation.
 func TestRestartedWorkerIgnoresCommandsOfOldIncarnation(t *testing.T) {
 	owner := newFakeOwner(time.Second)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
@@ -139,8 +145,8 @@
 	must.Eq(t, 2, fleet.Ledger().Starts())
 }
 
-// Half of all answers are lost and reports come twice and late. Each task still
-// runs once and its end is reported until it is acknowledged.
+// Half of all responses are lost, and reports are sent twice and with a delay. Each
+// task must still run once, and its report must be retried until it is acknowledged.
 func TestLostResponsesAndDuplicateReports(t *testing.T) {
 	owner := newFakeOwner(time.Minute)
 	faults := WorkerFaults{LoseResponses: 0.5, DuplicateReports: true, ReportDelay: 5 * time.Millisecond}
@@ -155,6 +161,8 @@
 	must.SliceEmpty(t, fleet.Ledger().Violations())
 }
 
+// The first entry address refuses connections. The worker must get its lease, report
+// its task and leave through the second one.
 func TestWorkerFailsOverToNextEntryAndLeaves(t *testing.T) {
 	dead := "127.0.0.1:1"
 	owner := newFakeOwner(time.Second)
@@ -177,9 +185,9 @@
 	must.True(t, owner.leftWorkers[testWorker])
 }
 
-// A worker hangs while a start is on its way to it. It reads the answer only
-// after its lease has ended and the owner has given the task away: the start
-// must not be carried out, neither then nor by the next incarnation.
+// A worker hangs while a start command is in flight to it. It reads the command only
+// after its lease has ended, when the owner may have started the task elsewhere.
+// Neither this incarnation nor the next may execute the command.
 func TestStartReceivedAfterLeaseEndIsIgnored(t *testing.T) {
 	owner := newFakeOwner(300 * time.Millisecond)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
@@ -197,8 +205,8 @@
 	must.SliceEmpty(t, owner.outcomes("given-away"))
 }
 
-// The owner takes a report in but dies before it has committed it, twice. The
-// worker must go on reporting, or the task would count as running for ever.
+// The owner crashes twice after it received a report and before it committed it.
+// The worker must retry the report, or the task counts as running for ever.
 func TestReportsAreRetriedUntilAcknowledged(t *testing.T) {
 	owner := newFakeOwner(time.Minute)
 	owner.reportsToIgnore = 2
@@ -209,11 +217,10 @@
 	eventually(t, "acknowledged", func() bool { return session.reports.empty() })
 }
 
-// Renewals are held for half of the lease. The lease counts from when a renewal
-// was sent, so the answer to each comes just as the lease of the one before it
-// ends, and a sound worker drops its tasks every few seconds. A renewal sent when
-// one answer comes must be answered before the lease of that answer ends, also
-// when its first try gets no answer.
+// A lease counts from the send of its renewal. If renewals are held for half of the
+// lease, each response arrives just as the previous lease ends, and a healthy worker
+// drops its tasks every few seconds. A renewal that follows a response at once must
+// be answered before that response's lease ends, also if its first try is lost.
 func TestRenewHoldLeavesTimeForNextRenewal(t *testing.T) {
 	worker := newWorker(WorkersConfig{DataCentres: []DataCentre{{}}, RenewHold: time.Hour}.withDefaults(), 0)
 	for _, ttl := range []time.Duration{300 * time.Millisecond, 6 * time.Second, time.Minute} {
@@ -230,9 +237,9 @@
 	}
 }
 
-// A worker's task finishes while it is cut off, and its lease ends before the
-// report gets through. The report must reach the owner before the announcement
-// of the next incarnation, or the owner declares the finished attempt dead.
+// A worker's lease ends while it can't deliver the report of a task. The report must
+// reach the owner before the announcement of the next incarnation, or the owner
+// declares an attempt dead that has ended.
 func TestReportsPrecedeNextIncarnation(t *testing.T) {
 	for range 10 {
 		owner := newFakeOwner(150 * time.Millisecond)
