--- a/examples/embed.go
+++ b/examples/embed.go
@@ -1,11 +1,11 @@
-// Package examples holds two whole deployments with their settings, shared
-// configuration and sample work. The files are part of the programs, so that
-// `bilberry dev` needs nothing beside itself.
+// Package examples holds two example deployments with their settings, shared
+// configuration and sample jobs. The files are embedded, so that `bilberry dev` needs
+// no files besides its program.
 package examples
 
 import "embed"
 
-// Files are the deployments, one folder each.
+// Files holds the deployments, one folder each.
 //
 //go:embed rackwise himalaya
 var Files embed.FS
--- a/examples/embedding/main_test.go
+++ b/examples/embedding/main_test.go
@@ -15,8 +15,8 @@
 	// register: bay 7: offload
 }
 
-// The page shows this program; a change of one without the other would teach
-// an interface that no longer is.
+// docs/EMBEDDING.md shows this program. If only one of them changes, readers learn an
+// interface that doesn't exist.
 func TestPageShowsThisProgram(t *testing.T) {
 	program, err := os.ReadFile("main.go")
 	must.NoError(t, err)
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -15,7 +15,7 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
-// deployments are the examples and how many data centres and instances each has.
+// deployments holds the expected counts of each example deployment.
 var deployments = []struct {
 	name                                        string
 	dataCentres, instances, voters, dataFolders int
@@ -46,7 +46,7 @@
 	}
 }
 
-// The two deployments can run side by side on one machine.
+// Two deployments with a common address can't run on one machine at the same time.
 func TestDeploymentsUseDifferentAddresses(t *testing.T) {
 	used := make(map[string]string)
 	for _, d := range deployments {
