--- a/cmd/bilberry-cored/main.go
+++ b/cmd/bilberry-cored/main.go
@@ -1,5 +1,5 @@
-// Command bilberry-cored runs a core instance: a member of the shared log that
-// takes in heartbeats and configuration, and schedules while it leads.
+// Command bilberry-cored runs a core instance: a member of the replicated log that
+// receives heartbeats and configuration, and schedules jobs while it is the leader.
 package main
 
 import (
--- a/cmd/bilberry-edged/main.go
+++ b/cmd/bilberry-edged/main.go
@@ -1,5 +1,5 @@
-// Command bilberry-edged runs an instance that faces callers: it passes their
-// requests on to the leader and puts questions to the adviser for it.
+// Command bilberry-edged runs an edge instance: it forwards callers' requests to the
+// leader and queries the adviser on the leader's behalf.
 package main
 
 import (
--- a/cmd/bilberry-standin/main.go
+++ b/cmd/bilberry-standin/main.go
@@ -1,5 +1,5 @@
-// Command bilberry-standin plays workers, minions, callers and submitters of
-// jobs, to try the system out and to measure it.
+// Command bilberry-standin simulates workers, minions, callers and submitters of
+// jobs, for trials and measurements of the system.
 package main
 
 import (
--- a/cmd/bilberry/main.go
+++ b/cmd/bilberry/main.go
@@ -22,7 +22,7 @@
 	os.Exit(code)
 }
 
-// extraCommands are the commands that stand in packages of their own.
+// extraCommands returns the subcommands that packages other than cli implement.
 func extraCommands() []subcommands.Command {
 	return []subcommands.Command{dev.Command()}
 }
