--- a/internal/dev/deployment.go
+++ b/internal/dev/deployment.go
@@ -34,8 +34,8 @@
 	network Network
 	logs    io.Writer
 	mu      sync.Mutex
-	// stops holds a function that stops each process, by instance ID and role.
-	stops     map[string]func()
+	// stopFuncs holds a function that stops each process, by instance ID and role.
+	stopFuncs map[string]func()
 	processes sync.WaitGroup
 	failures  chan error
 }
@@ -69,7 +69,7 @@
 	}
 	d := &Deployment{
 		Name: name, Settings: s, Tokens: tokens, Folder: folder, network: network,
-		stops: make(map[string]func()), failures: make(chan error, len(listeners)),
+		stopFuncs: make(map[string]func()), failures: make(chan error, len(listeners)),
 	}
 	return d, listeners, nil
 }
@@ -127,7 +127,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	d.mu.Lock()
-	d.stops[instance+"/"+role] = func() {
+	d.stopFuncs[instance+"/"+role] = func() {
 		cancel()
 		<-done
 	}
@@ -144,7 +144,7 @@
 // Stop shuts one process, named INSTANCE/ROLE, down gracefully and waits for its end.
 func (d *Deployment) Stop(process string) {
 	d.mu.Lock()
-	stop := d.stops[process]
+	stop := d.stopFuncs[process]
 	d.mu.Unlock()
 	if stop != nil {
 		stop()
--- a/internal/dev/print.go
+++ b/internal/dev/print.go
@@ -17,22 +17,22 @@
 	mu        sync.Mutex
 	out       io.Writer
 	startedAt time.Time
-	last      map[string]string
+	lastLines map[string]string
 }
 
 func newProgress(out io.Writer) *progress {
-	return &progress{out: out, startedAt: time.Now(), last: make(map[string]string)}
+	return &progress{out: out, startedAt: time.Now(), lastLines: make(map[string]string)}
 }
 
-// job prints the state of a job unless it was the last one printed.
-func (p *progress) job(deployment string, j standin.JobResult) {
+// printJob prints the state of a job unless it was the last one printed.
+func (p *progress) printJob(deployment string, j standin.JobResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	key, line := deployment+"/"+j.Name, describe(j)
-	if line == p.last[key] || line == "" {
+	if line == p.lastLines[key] || line == "" {
 		return
 	}
-	p.last[key] = line
+	p.lastLines[key] = line
 	fmt.Fprintf(p.out, "%6.2fs  %-9s %-22s %s\n", time.Since(p.startedAt).Seconds(), deployment, j.Name, line)
 }
 
@@ -115,12 +115,12 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-func (c usage) print(out io.Writer) {
+func (u usage) print(out io.Writer) {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	elapsed := time.Since(c.startedAt)
+	elapsed := time.Since(u.startedAt)
 	fmt.Fprintf(out, "\nresource usage of all roles and stand-ins of both deployments in this process: %.2f cores, %d MiB heap, for %.1fs\n",
-		float64(processorTime()-c.cpu)/float64(elapsed), memory.HeapInuse>>20, elapsed.Seconds())
+		float64(processorTime()-u.cpu)/float64(elapsed), memory.HeapInuse>>20, elapsed.Seconds())
 }
 
 // printStay prints commands that reach the running deployments.
--- a/internal/dev/run.go
+++ b/internal/dev/run.go
@@ -55,6 +55,7 @@
 	perRack  int
 }
 
+// samples are the example deployments, by folder name.
 var samples = []sample{
 	{"rackwise", "inspect-hub", &apiv1.Resources{CpuMilli: 64_000, MemoryMib: 256 << 10}, 8},
 	{"himalaya", "guest-desk", &apiv1.Resources{CpuMilli: 32_000, MemoryMib: 128 << 10}, 6},
@@ -333,7 +334,7 @@
 			if err := r.configure(ctx); err != nil {
 				return err
 			}
-			return r.runSampleWork(ctx, func(j standin.JobResult) { progress.job(r.name, j) })
+			return r.runSampleWork(ctx, func(j standin.JobResult) { progress.printJob(r.name, j) })
 		})
 	}
 	if err := work.Wait(); err != nil {
--- a/internal/dev/run_test.go
+++ b/internal/dev/run_test.go
@@ -98,32 +98,32 @@
 func startBaseline(t *testing.T) *baseline {
 	callerCtx, stopCallers := context.WithCancel(t.Context())
 	minionCtx, stopMinion := context.WithCancel(t.Context())
-	m := &baseline{stopCallers: stopCallers, stopMinion: stopMinion}
+	b := &baseline{stopCallers: stopCallers, stopMinion: stopMinion}
 	minions := standin.NewMinions(standin.MinionsConfig{
 		DataCentres: []standin.DataCentre{{}}, Count: 1,
 		Slots: standin.DefaultMaxInFlight, MaxConnections: standin.DefaultMaxInFlight,
 	})
-	m.minionGroup.Go(func() error { return ignoreAfterCancel(minionCtx, minions.Run(minionCtx)) })
+	b.minionGroup.Go(func() error { return ignoreAfterCancel(minionCtx, minions.Run(minionCtx)) })
 	minion := minions.All()[0]
 	for minion.Address() == "" {
 		time.Sleep(time.Millisecond)
 	}
-	m.callers = standin.NewCallers(standin.CallersConfig{
+	b.callers = standin.NewCallers(standin.CallersConfig{
 		Entries: []string{minion.Address()}, Direct: true,
 		Rate: testSize().RequestRate, Deadline: requestDeadline, Seed: 1,
 	})
-	m.callerGroup.Go(func() error { return m.callers.Run(callerCtx) })
-	return m
+	b.callerGroup.Go(func() error { return b.callers.Run(callerCtx) })
+	return b
 }
 
 // stopAndCheck ends the load and reports whether every call got a correct response
 // within baselineMaxLatency.
-func (m *baseline) stopAndCheck(t *testing.T) bool {
-	m.stopCallers()
-	must.NoError(t, m.callerGroup.Wait())
-	m.stopMinion()
-	must.NoError(t, m.minionGroup.Wait())
-	r := m.callers.Report()
+func (b *baseline) stopAndCheck(t *testing.T) bool {
+	b.stopCallers()
+	must.NoError(t, b.callerGroup.Wait())
+	b.stopMinion()
+	must.NoError(t, b.minionGroup.Wait())
+	r := b.callers.Report()
 	t.Logf("calls straight to a minion: %d, correct responses %d, latency p50 %s p99 %s max %s",
 		r.Calls, r.Correct, formatMicros(r.P50), formatMicros(r.P99), formatMicros(r.Max))
 	return r.Correct == r.Calls && time.Duration(r.Max)*time.Microsecond <= baselineMaxLatency
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -73,18 +73,18 @@
 }
 
 // pick returns the selected client and its index.
-func (r *failover[C]) pick() (C, int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.clients[r.current], r.current
+func (f *failover[C]) pick() (C, int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.clients[f.current], f.current
 }
 
 // markFailed selects the next client if the one with the given index is selected.
 // Concurrent failures of one client thus skip no other.
-func (r *failover[C]) markFailed(index int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.current == index {
-		r.current = (r.current + 1) % len(r.clients)
+func (f *failover[C]) markFailed(index int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.current == index {
+		f.current = (f.current + 1) % len(f.clients)
 	}
 }
--- a/internal/standin/command/command.go
+++ b/internal/standin/command/command.go
@@ -94,30 +94,30 @@
 	tokenFile  string
 }
 
-func (t *deploymentFlags) setFlags(f *flag.FlagSet) {
-	f.StringVar(&t.settings, "settings", "", "settings `file` of the deployment")
-	f.StringVar(&t.dataCentre, "data-centre", "", "only this data centre; empty: all in the settings")
-	f.StringVar(&t.entries, "entries", "", "entry `addresses` instead of those in the settings, comma-separated")
-	f.StringVar(&t.tokenFile, "token-file", "", "token `file` instead of that in the settings")
+func (d *deploymentFlags) setFlags(f *flag.FlagSet) {
+	f.StringVar(&d.settings, "settings", "", "settings `file` of the deployment")
+	f.StringVar(&d.dataCentre, "data-centre", "", "only this data centre; empty: all in the settings")
+	f.StringVar(&d.entries, "entries", "", "entry `addresses` instead of those in the settings, comma-separated")
+	f.StringVar(&d.tokenFile, "token-file", "", "token `file` instead of that in the settings")
 }
 
 // load returns the data centres with their entry addresses. It also returns the
 // settings, unless -entries names the addresses.
-func (t *deploymentFlags) load() ([]standin.DataCentre, *settings.Settings, error) {
-	if t.entries != "" {
-		dataCentre := standin.DataCentre{Name: t.dataCentre, Entries: strings.Split(t.entries, ",")}
+func (d *deploymentFlags) load() ([]standin.DataCentre, *settings.Settings, error) {
+	if d.entries != "" {
+		dataCentre := standin.DataCentre{Name: d.dataCentre, Entries: strings.Split(d.entries, ",")}
 		return []standin.DataCentre{dataCentre}, nil, nil
 	}
-	if t.settings == "" {
+	if d.settings == "" {
 		return nil, nil, errors.New("flag -settings or -entries is missing")
 	}
-	s, err := settings.Read(t.settings)
+	s, err := settings.Read(d.settings)
 	if err != nil {
 		return nil, nil, err
 	}
-	dataCentres := dataCentresOf(s, t.dataCentre)
+	dataCentres := dataCentresOf(s, d.dataCentre)
 	if len(dataCentres) == 0 {
-		return nil, nil, errors.Newf("the settings name no instance in data centre %q", t.dataCentre)
+		return nil, nil, errors.Newf("the settings name no instance in data centre %q", d.dataCentre)
 	}
 	return dataCentres, s, nil
 }
@@ -150,10 +150,10 @@
 
 // token returns the token in the file named by -token-file, or else in the file that
 // choose picks from the settings.
-func (t *deploymentFlags) token(s *settings.Settings, choose func(*settings.Settings) string) (string, error) {
+func (d *deploymentFlags) token(s *settings.Settings, choose func(*settings.Settings) string) (string, error) {
 	switch {
-	case t.tokenFile != "":
-		return settings.ReadToken(t.tokenFile)
+	case d.tokenFile != "":
+		return settings.ReadToken(d.tokenFile)
 	case s != nil:
 		return settings.ReadToken(choose(s))
 	default:
--- a/internal/standin/command/jobs.go
+++ b/internal/standin/command/jobs.go
@@ -80,9 +80,10 @@
 	if c.workers == 0 {
 		return func() {}, nil
 	}
-	t := c.deployment
-	t.tokenFile = ""
-	fleet, err := c.newFleet(standin.WorkersConfig{Count: c.workers, Ledger: c.cfg.Ledger}, &t, &c.capacity)
+	deployment := c.deployment
+	// -token-file names a customer's token; the workers' token is in the settings.
+	deployment.tokenFile = ""
+	fleet, err := c.newFleet(standin.WorkersConfig{Count: c.workers, Ledger: c.cfg.Ledger}, &deployment, &c.capacity)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/standin/command/workers.go
+++ b/internal/standin/command/workers.go
@@ -25,37 +25,37 @@
 	accelerators int64
 }
 
-func (z *capacityFlags) setFlags(f *flag.FlagSet) {
-	f.StringVar(&z.cpu, "cpu", "64", "cores of each worker")
-	f.StringVar(&z.memory, "memory", "256GiB", "memory of each worker")
-	f.Int64Var(&z.accelerators, "accelerators", 0, "accelerators of each worker")
+func (c *capacityFlags) setFlags(f *flag.FlagSet) {
+	f.StringVar(&c.cpu, "cpu", "64", "cores of each worker")
+	f.StringVar(&c.memory, "memory", "256GiB", "memory of each worker")
+	f.Int64Var(&c.accelerators, "accelerators", 0, "accelerators of each worker")
 }
 
-func (z *capacityFlags) resources() (*apiv1.Resources, error) {
-	cpu, err := units.ParseCores(z.cpu)
+func (c *capacityFlags) resources() (*apiv1.Resources, error) {
+	cpu, err := units.ParseCores(c.cpu)
 	if err != nil {
 		return nil, err
 	}
-	memory, err := units.ParseMiB(z.memory)
+	memory, err := units.ParseMiB(c.memory)
 	if err != nil {
 		return nil, err
 	}
-	return &apiv1.Resources{CpuMilli: cpu, MemoryMib: memory, Accelerators: z.accelerators}, nil
+	return &apiv1.Resources{CpuMilli: cpu, MemoryMib: memory, Accelerators: c.accelerators}, nil
 }
 
 // newFleet returns a fleet with cfg and the data centres, token and capacity from the
 // flags and the settings.
-func (b *base) newFleet(cfg standin.WorkersConfig, t *deploymentFlags, z *capacityFlags) (*standin.Workers, error) {
-	dataCentres, s, err := t.load()
+func (b *base) newFleet(cfg standin.WorkersConfig, deployment *deploymentFlags, capacity *capacityFlags) (*standin.Workers, error) {
+	dataCentres, s, err := deployment.load()
 	if err != nil {
 		return nil, err
 	}
 	cfg.DataCentres = dataCentres
-	cfg.Token, err = t.token(s, func(s *settings.Settings) string { return s.Tokens.Worker })
+	cfg.Token, err = deployment.token(s, func(s *settings.Settings) string { return s.Tokens.Worker })
 	if err != nil {
 		return nil, err
 	}
-	if cfg.Capacity, err = z.resources(); err != nil {
+	if cfg.Capacity, err = capacity.resources(); err != nil {
 		return nil, err
 	}
 	if cfg.Ledger == nil {
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -50,7 +50,7 @@
 // runs.
 const maxRecords = 100_000
 
-// Record is one run of one attempt on one worker.
+// RunRecord records the run of one attempt on one worker.
 type RunRecord struct {
 	Job     string
 	Task    int32
--- a/internal/standin/requests_test.go
+++ b/internal/standin/requests_test.go
@@ -15,26 +15,26 @@
 
 // fakeGateway is an entry instance that counts announcements and leaves of minions.
 type fakeGateway struct {
-	mu        sync.Mutex
-	announced map[string]int
-	left      map[string]int
+	mu            sync.Mutex
+	announcements map[string]int
+	leftMinions   map[string]int
 }
 
 func newFakeGateway() *fakeGateway {
-	return &fakeGateway{announced: make(map[string]int), left: make(map[string]int)}
+	return &fakeGateway{announcements: make(map[string]int), leftMinions: make(map[string]int)}
 }
 
 func (f *fakeGateway) Announce(_ context.Context, r *apiv1.AnnounceRequest) (*apiv1.AnnounceResponse, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.announced[r.Minion]++
+	f.announcements[r.Minion]++
 	return &apiv1.AnnounceResponse{TtlMs: 2500}, nil
 }
 
 func (f *fakeGateway) LeaveMinion(_ context.Context, r *apiv1.LeaveMinionRequest) (*apiv1.LeaveResponse, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.left[r.Minion]++
+	f.leftMinions[r.Minion]++
 	return &apiv1.LeaveResponse{}, nil
 }
 
@@ -146,7 +146,7 @@
 	fleet, gateway := startMinions(t, MinionsConfig{Count: 1, LeaveGrace: time.Nanosecond})
 	minion := fleet.All()[0]
 	must.NoError(t, fleet.Leave(t.Context()))
-	must.Eq(t, 2, gateway.left[minion.ID()])
+	must.Eq(t, 2, gateway.leftMinions[minion.ID()])
 	for range 2 {
 		request := httptest.NewRequest(http.MethodPost, "/work?once=1&nonce=n", nil)
 		minion.ServeHTTP(httptest.NewRecorder(), request)
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -32,12 +32,12 @@
 // ServeHTTP serves one request with the injected faults. The caller can verify the
 // response with checkResponseBody.
 func (m *Minion) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f, faults := m.beginRequest()
-	defer m.endRequest(f)
+	req, faults := m.beginRequest()
+	defer m.endRequest(req)
 	work := m.workTime(r) + faults.Delay
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		f.markDisconnected(m)
+		req.markDisconnected(m)
 		return
 	}
 	query := r.URL.Query()
@@ -55,7 +55,7 @@
 		wait.For(r.Context(), work)
 	}
 	if r.Context().Err() != nil {
-		f.markDisconnected(m)
+		req.markDisconnected(m)
 		return
 	}
 	size, _ := strconv.Atoi(query.Get(paramSize))
@@ -88,8 +88,8 @@
 func (m *Minion) beginRequest() (*request, MinionFaults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f := &request{}
-	m.inFlight[f] = struct{}{}
+	req := &request{}
+	m.inFlight[req] = struct{}{}
 	m.stats.Requests++
 	m.stats.MaxInFlight = max(m.stats.MaxInFlight, len(m.inFlight))
 	if len(m.inFlight) > m.cfg.Slots {
@@ -98,7 +98,7 @@
 	if sinceLeave := time.Since(m.leftAt); !m.leftAt.IsZero() && sinceLeave > m.cfg.LeaveGrace {
 		m.cfg.Ledger.Add(RequestAfterLeave, m.id, fmt.Sprintf("new request %s after the leave", sinceLeave.Round(time.Millisecond)))
 	}
-	return f, m.faults
+	return req, m.faults
 }
 
 // checkSlotsLater checks the current requests against the slots after
@@ -106,15 +106,15 @@
 // holds the lock.
 func (m *Minion) checkSlotsLater() {
 	concurrent := make([]*request, 0, len(m.inFlight))
-	for f := range m.inFlight {
-		concurrent = append(concurrent, f)
+	for req := range m.inFlight {
+		concurrent = append(concurrent, req)
 	}
 	time.AfterFunc(slotCheckDelay, func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		active := 0
-		for _, f := range concurrent {
-			if !f.callerDisconnected {
+		for _, req := range concurrent {
+			if !req.callerDisconnected {
 				active++
 			}
 		}
@@ -124,16 +124,16 @@
 	})
 }
 
-func (f *request) markDisconnected(m *Minion) {
+func (r *request) markDisconnected(m *Minion) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f.callerDisconnected = true
+	r.callerDisconnected = true
 }
 
-func (m *Minion) endRequest(f *request) {
+func (m *Minion) endRequest(req *request) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.inFlight, f)
+	delete(m.inFlight, req)
 }
 
 // nonIdempotentSet holds the non-idempotent requests that the minions of a fleet
