--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -32,7 +32,8 @@
 	errPreviousNotAcknowledged = errors.New("reports of the previous incarnation are not acknowledged")
 )
 
-// session is one incarnation of a worker.
+// session is one incarnation of a worker. The owner of its lease is the leader that
+// grants the lease and sends commands through the entry instances.
 type session struct {
 	worker      *Worker
 	incarnation uint64
@@ -54,9 +55,12 @@
 	holder     lease.Holder
 	guard      *lease.Guard
 	leaseTimer *time.Timer
-	ttl        time.Duration
-	sequence   uint64
-	announce   bool
+	// ttl is the duration of the last granted lease; 0 before the first grant.
+	ttl time.Duration
+	// sequence numbers the renewals.
+	sequence uint64
+	// announce is set when the next renewal must carry an announcement.
+	announce bool
 	// lastRenewalFailed is set while the last renewal has no response.
 	lastRenewalFailed bool
 	running           map[lease.Attempt]*run
@@ -228,8 +232,8 @@
 }
 
 // callSlack returns how long after its hold time a renewal may stay unanswered: a
-// third of the remaining lease, within bounds, so that there is time for another
-// try before the lease ends.
+// third of the rest of the lease, but at least minCallSlack and at most maxCallSlack.
+// This leaves time for another try before the lease ends.
 func (s *session) callSlack(hold time.Duration) time.Duration {
 	if s.ttl == 0 {
 		return maxCallSlack
@@ -269,6 +273,7 @@
 	s.applyCommands(response.Commands)
 }
 
+// recordGrant extends the lease and its timer. The caller holds the lock.
 func (s *session) recordGrant(sequence uint64, ttl time.Duration) {
 	now := s.clock()
 	s.ttl = ttl
--- a/internal/standin/tasks.go
+++ b/internal/standin/tasks.go
@@ -71,12 +71,15 @@
 	}
 }
 
+// fits reports whether the worker has free capacity for the demand. The caller holds
+// the lock.
 func (s *session) fits(demand *apiv1.Resources) bool {
 	return s.used.CpuMilli+demand.GetCpuMilli() <= s.capacity.GetCpuMilli() &&
 		s.used.MemoryMib+demand.GetMemoryMib() <= s.capacity.GetMemoryMib() &&
 		s.used.Accelerators+demand.GetAccelerators() <= s.capacity.GetAccelerators()
 }
 
+// recordOvercommitted records a violation by a start beyond the free capacity.
 func (s *session) recordOvercommitted(attempt lease.Attempt, demand *apiv1.Resources) {
 	detail := fmt.Sprintf("%s demands cpu_milli=%d memory_mib=%d accelerators=%d, running tasks use cpu_milli=%d memory_mib=%d accelerators=%d",
 		attempt.Job, demand.GetCpuMilli(), demand.GetMemoryMib(), demand.GetAccelerators(),
@@ -90,6 +93,7 @@
 	s.reportNotStarted(attempt, reason)
 }
 
+// reportNotStarted queues a report that the attempt never started.
 func (s *session) reportNotStarted(attempt lease.Attempt, reason string) {
 	s.reports.add(&apiv1.AttemptReport{
 		Attempt: refOf(attempt),
@@ -146,6 +150,7 @@
 	s.used.Accelerators += sign * demand.GetAccelerators()
 }
 
+// finish ends a run when its timer fires.
 func (s *session) finish(r *run, outcome apiv1.Outcome, detail string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
