--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -13,30 +13,31 @@
 	"github.com/bilberryferry/bilberryferry/internal/wait"
 )
 
-// slotCheckDelay is how long a minion waits before it counts requests above its
-// slots as a violation: one whose caller has given up has freed its slot, but
-// the minion learns of that a moment later.
+// slotCheckDelay is how long a minion waits before it reports requests above its
+// slots as a violation. A request whose caller has disconnected no longer occupies a
+// slot, but the minion notices the disconnect a moment later.
 const slotCheckDelay = 50 * time.Millisecond
 
-// flight is one request in progress.
+// request is one request in flight.
 type request struct {
-	// callerDisconnected says that the caller went away before the answer.
+	// callerDisconnected is set when the caller disconnects before the response.
 	callerDisconnected bool
 }
 
+// limitExceeded describes a violation of a limit of what, for instance requests.
 func limitExceeded(have int, what string, limit int) string {
 	return fmt.Sprintf("%d %s at once, the limit is %d", have, what, limit)
 }
 
-// ServeHTTP takes one request, plays its faults and answers it in a form that
-// the caller can check.
+// ServeHTTP serves one request with the injected faults. The caller can verify the
+// response with checkResponseBody.
 func (m *Minion) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f, faults := m.beginRequest()
-	defer m.endRequest(f)
+	req, faults := m.beginRequest()
+	defer m.endRequest(req)
 	work := m.workTime(r) + faults.Delay
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		f.markDisconnected(m)
+		req.markDisconnected(m)
 		return
 	}
 	query := r.URL.Query()
@@ -46,7 +47,7 @@
 	}
 	switch {
 	case faults.Fail:
-		http.Error(w, "fails on purpose", http.StatusInternalServerError)
+		http.Error(w, "injected fault: every request fails", http.StatusInternalServerError)
 		return
 	case faults.Hang:
 		<-r.Context().Done()
@@ -54,14 +55,15 @@
 		wait.For(r.Context(), work)
 	}
 	if r.Context().Err() != nil {
-		f.markDisconnected(m)
+		req.markDisconnected(m)
 		return
 	}
 	size, _ := strconv.Atoi(query.Get(paramSize))
 	writeResponse(w, newResponseBody(nonce, body, size), faults.Truncate)
 }
 
-// writeResponse writes the answer; when it is to be cut, only half of the body.
+// writeResponse writes the body. If truncate is set, it writes half of the body and
+// breaks the connection.
 func writeResponse(w http.ResponseWriter, body []byte, truncate bool) {
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -81,12 +83,13 @@
 	return m.cfg.Work
 }
 
-// enter counts a request in and checks it against the slots and the leave.
+// beginRequest registers a request and checks it against the slots and, once the
+// minion has left, against LeaveGrace. It returns the faults to inject.
 func (m *Minion) beginRequest() (*request, MinionFaults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f := &request{}
-	m.inFlight[f] = struct{}{}
+	req := &request{}
+	m.inFlight[req] = struct{}{}
 	m.stats.Requests++
 	m.stats.MaxInFlight = max(m.stats.MaxInFlight, len(m.inFlight))
 	if len(m.inFlight) > m.cfg.Slots {
@@ -95,22 +98,23 @@
 	if sinceLeave := time.Since(m.leftAt); !m.leftAt.IsZero() && sinceLeave > m.cfg.LeaveGrace {
 		m.cfg.Ledger.Add(RequestAfterLeave, m.id, fmt.Sprintf("new request %s after the leave", sinceLeave.Round(time.Millisecond)))
 	}
-	return f, m.faults
+	return req, m.faults
 }
 
-// checkSlotsLater judges the requests that are now above the slots once it is known
-// whose caller had given up by then.
+// checkSlotsLater checks the current requests against the slots after
+// slotCheckDelay, without those whose caller has disconnected by then. The caller
+// holds the lock.
 func (m *Minion) checkSlotsLater() {
 	concurrent := make([]*request, 0, len(m.inFlight))
-	for f := range m.inFlight {
-		concurrent = append(concurrent, f)
+	for req := range m.inFlight {
+		concurrent = append(concurrent, req)
 	}
 	time.AfterFunc(slotCheckDelay, func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		active := 0
-		for _, f := range concurrent {
-			if !f.callerDisconnected {
+		for _, req := range concurrent {
+			if !req.callerDisconnected {
 				active++
 			}
 		}
@@ -120,19 +124,20 @@
 	})
 }
 
-func (f *request) markDisconnected(m *Minion) {
+func (r *request) markDisconnected(m *Minion) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f.callerDisconnected = true
+	r.callerDisconnected = true
 }
 
-func (m *Minion) endRequest(f *request) {
+func (m *Minion) endRequest(req *request) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.inFlight, f)
+	delete(m.inFlight, req)
 }
 
-// nonIdempotentSet remembers the non-idempotent requests that minions have run.
+// nonIdempotentSet holds the non-idempotent requests that the minions of a fleet
+// have executed, by the hash of the nonce, and reports duplicates.
 type nonIdempotentSet struct {
 	ledger *Ledger
 	mu     sync.Mutex
@@ -150,6 +155,6 @@
 	s.seen[key] = struct{}{}
 	s.mu.Unlock()
 	if duplicate {
-		s.ledger.Add(DuplicateStart, nonce, "non-idempotent request ran again")
+		s.ledger.Add(DuplicateStart, nonce, "non-idempotent request was executed again")
 	}
 }
