--- a/examples/embedding/main.go
+++ b/examples/embedding/main.go
@@ -10,17 +10,17 @@
 
 // member is one replica: the core, and the register that its log drives.
 type member struct {
-	core     *replica.Core
-	stopped  bool
-	register string
-	answers  map[uint64]string // of reads, by token
+	core        *replica.Core
+	stopped     bool
+	register    string
+	readResults map[uint64]string // of reads, by token
 }
 
 // group holds the members by ID and is their transport and their clock.
 type group map[string]*member
 
 // run ticks all members until done holds for a leader, and returns that one.
-func (g group) run(done func(*member) bool) *member {
+func (g group) tickUntil(done func(*member) bool) *member {
 	for {
 		for _, m := range g {
 			if m.stopped {
@@ -28,7 +28,7 @@
 			}
 			m.core.Tick()
 			for m.core.HasReady() {
-				g.carryOut(m, m.core.Ready())
+				g.handleReady(m, m.core.Ready())
 			}
 			if m.core.Status().CanDecide && done(m) {
 				return m
@@ -37,9 +37,9 @@
 	}
 }
 
-// carryOut does the work of one Ready. A member with a disk would first write
+// handleReady does the work of one Ready. A member with a disk would first write
 // and sync Snapshot, Entries and HardState.
-func (g group) carryOut(m *member, ready replica.Ready) {
+func (g group) handleReady(m *member, ready replica.Ready) {
 	for _, message := range ready.Messages {
 		if to := g[message.To]; !to.stopped {
 			_ = to.core.Step(message) // a refused message counts as lost
@@ -51,7 +51,7 @@
 		}
 	}
 	for _, read := range ready.Reads { // all up to read.Index is applied by now
-		m.answers[read.Token] = m.register
+		m.readResults[read.Token] = m.register
 	}
 	m.core.Advance(ready)
 }
@@ -64,18 +64,18 @@
 		if err != nil {
 			panic(err)
 		}
-		g[m.ID] = &member{core: core, answers: map[uint64]string{}}
+		g[m.ID] = &member{core: core, readResults: map[uint64]string{}}
 	}
-	leader := g.run(func(m *member) bool {
+	leader := g.tickUntil(func(m *member) bool {
 		_, _, err := m.core.Propose([]byte("bay 7: offload"))
 		return err == nil
 	})
-	g.run(func(m *member) bool { return m.register != "" })
+	g.tickUntil(func(m *member) bool { return m.register != "" })
 	leader.stopped = true
 
 	const token = 1
-	next := g.run(func(m *member) bool { return m.core.ReadIndex(token) == nil })
-	g.run(func(m *member) bool { return m.answers[token] != "" })
+	next := g.tickUntil(func(m *member) bool { return m.core.ReadIndex(token) == nil })
+	g.tickUntil(func(m *member) bool { return m.readResults[token] != "" })
 	fmt.Println("another leader:", next != leader)
-	fmt.Println("register:", next.answers[token])
+	fmt.Println("register:", next.readResults[token])
 }
