--- a/internal/control/admit_test.go
+++ b/internal/control/admit_test.go
@@ -15,17 +15,17 @@
 // is accepted can't be in time any more.
 // Cause: every job was accepted, however long the queue.
 func TestAdmitRefusesNewJobWhenQueueIsFull(t *testing.T) {
-	ten := loadedTerm(t, benchmarkLoad{workers: 1})
-	_, err := ten.propose(submission("a"))
+	term := loadedTerm(t, benchmarkLoad{workers: 1})
+	_, err := term.propose(submission("a"))
 	must.NoError(t, err)
-	ten.incompleteSteps = maxQueuedSteps
-	refused := ten.admit("b")
+	term.incompleteSteps = maxQueuedSteps
+	refused := term.admit("b")
 	must.Eq(t, fault.Overloaded, fault.KindOf(refused))
 	must.Eq(t, queueFullRetryAfter, fault.From(refused).RetryAfter)
-	must.NoError(t, ten.admit("a"), must.Sprint("a known job is answered as such"))
-	ten.c.state.read(func(s *workflow.State) { must.MapNotContainsKey(t, s.Jobs, "b") })
-	ten.decide()
-	must.NoError(t, ten.admit("b"), must.Sprint("the next decision finds the queue short"))
+	must.NoError(t, term.admit("a"), must.Sprint("a known job is answered as such"))
+	term.c.state.read(func(s *workflow.State) { must.MapNotContainsKey(t, s.Jobs, "b") })
+	term.decide()
+	must.NoError(t, term.admit("b"), must.Sprint("the next decision finds the queue short"))
 }
 
 // What a user sees: a job runs that it was told had been refused.
@@ -34,7 +34,7 @@
 // Cause: only jobs that were committed counted as known.
 func TestAdmitAcceptsJobWhoseCommitIsInFlight(t *testing.T) {
 	w := newTestCluster(t, nil)
-	ten, err := w.c.currentLeaderTerm(context.Background())
+	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	call := func() error {
 		_, err := w.c.Submit(context.Background(), &SubmitCall{
@@ -50,15 +50,15 @@
 			return
 		}
 		first = false
-		ten.mu.Lock()
-		ten.incompleteSteps = maxQueuedSteps
-		ten.mu.Unlock()
+		term.mu.Lock()
+		term.incompleteSteps = maxQueuedSteps
+		term.mu.Unlock()
 		again <- call()
 	}
 	w.log.mu.Unlock()
 	must.NoError(t, call())
 	must.NoError(t, <-again)
-	ten.mu.Lock()
-	defer ten.mu.Unlock()
-	must.MapEmpty(t, ten.pendingSubmits)
+	term.mu.Lock()
+	defer term.mu.Unlock()
+	must.MapEmpty(t, term.pendingSubmits)
 }
--- a/internal/control/lanes.go
+++ b/internal/control/adviser_pool.go
@@ -90,16 +90,16 @@
 
 // present returns the lanes that can be reached, in a fixed order. l.mu is held.
 func (l *adviserPool) reachable(now time.Time) []*adviserConn {
-	var present []*adviserConn
+	var usable []*adviserConn
 	maxAge := maxMissedAnnouncements * l.announceIntervalFor(len(l.conns))
 	for _, candidate := range l.conns {
 		heard := candidate.address == l.ownAddress || now.Sub(candidate.lastAnnounced) < maxAge
 		if heard && now.After(candidate.backoffUntil) {
-			present = append(present, candidate)
+			usable = append(usable, candidate)
 		}
 	}
-	slices.SortFunc(present, func(a, b *adviserConn) int { return cmp.Compare(a.address, b.address) })
-	return present
+	slices.SortFunc(usable, func(a, b *adviserConn) int { return cmp.Compare(a.address, b.address) })
+	return usable
 }
 
 // full reports whether no further question may be put on the lane.
@@ -109,9 +109,9 @@
 func (l *adviserPool) available(now time.Time) (all, long int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	present := l.reachable(now)
-	reserved := l.reservedForShort(now, len(present))
-	for i, candidate := range present {
+	usable := l.reachable(now)
+	reserved := l.reservedForShort(now, len(usable))
+	for i, candidate := range usable {
 		if candidate.full() {
 			continue
 		}
@@ -124,8 +124,8 @@
 }
 
 // recordShortQuery takes in that a short question is put. l.mu is held.
-func (l *adviserPool) recordShortQuery(now time.Time, length time.Duration) {
-	l.shortLoad = l.shortLoadAt(now) + length.Seconds()/shortLoadWindow.Seconds()
+func (l *adviserPool) recordShortQuery(now time.Time, duration time.Duration) {
+	l.shortLoad = l.shortLoadAt(now) + duration.Seconds()/shortLoadWindow.Seconds()
 	l.shortAt = now
 }
 
@@ -157,21 +157,21 @@
 
 // take picks the lane that will be free first, and returns when the question will
 // have been answered there. Short questions prefer the lanes that long ones leave.
-func (l *adviserPool) acquire(now time.Time, length time.Duration) (*adviserConn, time.Time) {
+func (l *adviserPool) acquire(now time.Time, duration time.Duration) (*adviserConn, time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	candidates := l.reachable(now)
-	if length > longQuery {
+	if duration > longQuery {
 		candidates = candidates[l.reservedForShort(now, len(candidates)):]
 	} else {
-		l.recordShortQuery(now, length)
+		l.recordShortQuery(now, duration)
 	}
 	candidates = slices.DeleteFunc(candidates, (*adviserConn).full)
 	if len(candidates) == 0 {
 		return nil, now
 	}
 	chosen := slices.MinFunc(candidates, func(a, b *adviserConn) int { return a.freeAt(now).Compare(b.freeAt(now)) })
-	chosen.busyUntil = chosen.freeAt(now).Add(length)
+	chosen.busyUntil = chosen.freeAt(now).Add(duration)
 	chosen.inFlight++
 	return chosen, chosen.busyUntil
 }
--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -43,8 +43,8 @@
 // forwardedHeartbeats is when heartbeats of each worker last went on to a leader that doesn't ask
 // for them.
 type forwardedHeartbeats struct {
-	mu   sync.Mutex
-	told forwardTimes
+	mu    sync.Mutex
+	times forwardTimes
 }
 
 // recently reports whether a heartbeat of the worker went on lately; else this one
@@ -52,10 +52,10 @@
 func (p *forwardedHeartbeats) recentlyForwarded(worker string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.told.isRecent(worker, now) {
+	if p.times.isRecent(worker, now) {
 		return true
 	}
-	p.told.note(worker, now)
+	p.times.note(worker, now)
 	return false
 }
 
--- a/internal/control/random_test.go
+++ b/internal/control/chaos_test.go
@@ -91,7 +91,7 @@
 	case 0:
 		chosen.gone = true
 	case 1:
-		chosen.cutUntil = time.Now().Add(time.Duration(100+x.random.IntN(900)) * time.Millisecond)
+		chosen.cutOffUntil = time.Now().Add(time.Duration(100+x.random.IntN(900)) * time.Millisecond)
 	}
 	r.mu.Unlock()
 	switch kind {
--- a/internal/control/rough_test.go
+++ b/internal/control/chaos_workers_test.go
@@ -40,8 +40,8 @@
 	// seen is the last end that a leader has acknowledged.
 	acknowledged uint64
 	// cutOffUntil is until when no call gets through.
-	cutUntil time.Time
-	gone     bool
+	cutOffUntil time.Time
+	gone        bool
 }
 
 type chaosWorkerRun struct {
@@ -109,7 +109,7 @@
 // fate decides what happens to a call: whether it is carried out now, later, or
 // never, and whether its answer gets through.
 func (r *chaosWorkers) drawOutcome(w *chaosWorker) (now, later, answered bool) {
-	if w.gone || time.Now().Before(w.cutUntil) {
+	if w.gone || time.Now().Before(w.cutOffUntil) {
 		return false, false, false
 	}
 	if r.faultsOver {
@@ -128,17 +128,17 @@
 }
 
 // call carries an order out as fate has it.
-func (r *chaosWorkers) call(id string, carryOut func(*chaosWorker) error) (int64, error) {
+func (r *chaosWorkers) call(id string, apply func(*chaosWorker) error) (int64, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.all[id]
-	if w.gone && !time.Now().Before(w.cutUntil) {
+	if w.gone && !time.Now().Before(w.cutOffUntil) {
 		return 0, ErrOtherIncarnation
 	}
 	now, later, answered := r.drawOutcome(w)
 	var err error
 	if now {
-		err = carryOut(w)
+		err = apply(w)
 	}
 	if later {
 		delay := time.Duration(20+r.random.IntN(300)) * time.Millisecond
@@ -146,7 +146,7 @@
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			if !w.gone {
-				_ = carryOut(w)
+				_ = apply(w)
 			}
 		})
 	}
--- a/internal/control/copies.go
+++ b/internal/control/copies.go
@@ -86,8 +86,8 @@
 	for key, workers := range avoid {
 		job := s.Jobs[key.Job]
 		pending := slices.Sorted(maps.Keys(workers))
-		placed := v.runsPerWorkerOf(t, s, key, &job.Steps[key.Step])
-		step := t.dispatchStep(job, key, pending, t.acceptedAt[job.ID], objectiveOf(job), now, placed)
+		runsPerWorker := v.runsPerWorkerOf(t, s, key, &job.Steps[key.Step])
+		step := t.dispatchStep(job, key, pending, t.acceptedAt[job.ID], objectiveOf(job), now, runsPerWorker)
 		step.Copy, step.Avoid = true, workers
 		v.steps = append(v.steps, step)
 	}
--- a/internal/control/copies_test.go
+++ b/internal/control/copies_test.go
@@ -23,11 +23,11 @@
 	step.Speculative, step.Count = true, 2
 	w.submit("a", step)
 	w.eventually("the tasks start", func() bool { return w.started("w1") == 2 })
-	ten, err := w.c.currentLeaderTerm(context.Background())
+	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
-	ten.mu.Lock()
-	ten.sessions["w1"].leaseEnd = time.Now().Add(time.Hour)
-	ten.mu.Unlock()
+	term.mu.Lock()
+	term.sessions["w1"].leaseEnd = time.Now().Add(time.Hour)
+	term.mu.Unlock()
 	w.withWorker("w1", func(f *fakeWorker) { f.answersLost = true })
 	w.workers.add("w2")
 	w.announce("w2")
@@ -55,10 +55,10 @@
 	step.Count, step.Speculative = 2, true
 	w.submit("a", step)
 	w.eventually("the tasks start", func() bool { return w.started("w1") == 2 })
-	ten, err := w.c.currentLeaderTerm(context.Background())
+	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	copied := workflow.Run{Task: task("a", 0), Number: 2, Worker: "w2"}
-	o, _, _ := ten.newOrder(copied, "")
+	o, _, _ := term.newOrder(copied, "")
 	must.NotNil(t, o)
 	w.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
 	w.eventually("it is done", func() bool {
@@ -66,7 +66,7 @@
 		w.c.state.read(func(s *workflow.State) { done = s.Task(task("a", 0)).Done })
 		return done
 	})
-	o, _, _ = ten.newOrder(copied, "")
+	o, _, _ = term.newOrder(copied, "")
 	must.Nil(t, o)
 }
 
@@ -82,15 +82,15 @@
 	step.Count, step.Speculative, step.MaxPerWorker = 2, true, 1
 	w.submit("a", step)
 	w.eventually("a task starts", func() bool { return w.started("w1") == 1 })
-	ten, err := w.c.currentLeaderTerm(context.Background())
+	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	key := task("a", 0).StepKey
 	v := &planInput{runsPerWorker: map[workflow.StepKey]map[string]int{}, copyCandidates: map[workflow.TaskKey]copyCandidate{task("a", 0): {worker: "w1"}}}
-	ten.mu.Lock()
-	defer ten.mu.Unlock()
+	term.mu.Lock()
+	defer term.mu.Unlock()
 	w.c.state.read(func(s *workflow.State) {
-		ten.gatherSteps(v, s, s.Jobs["a"], time.Now())
-		ten.addCopySteps(v, s, time.Now())
+		term.gatherSteps(v, s, s.Jobs["a"], time.Now())
+		term.addCopySteps(v, s, time.Now())
 	})
 	must.SliceLen(t, 2, v.steps)
 	v.steps[0].Placed["w2"]++
--- a/internal/control/explain.go
+++ b/internal/control/explain.go
@@ -106,7 +106,7 @@
 // held.
 func (t *leaderTerm) unschedulableWorkers(service string, now time.Time) []dispatch.ReasonCount {
 	counts := map[dispatch.Reason]*dispatch.ReasonCount{}
-	suspects := t.suspectedDataCentres(now)
+	suspected := t.suspectedDataCentres(now)
 	runs := map[string]int{}
 	t.c.state.read(func(s *workflow.State) {
 		for id := range t.sessions {
@@ -114,7 +114,7 @@
 		}
 	})
 	for id, session := range t.sessions {
-		reason := session.unschedulableReason(now, suspects, runs[id])
+		reason := session.unschedulableReason(now, suspected, runs[id])
 		if reason == "" || service != anyService && session.worker.Service != service {
 			continue
 		}
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -49,8 +49,8 @@
 // that are given nothing new.
 func (t *leaderTerm) moveMachines(services []workflow.Service, keepCordoned map[string]bool, now time.Time) {
 	p := t.fleet
-	views := t.poolViews(services, now)
-	for _, move := range fleet.Decide(views, t.mayMove) {
+	states := t.poolStates(services, now)
+	for _, move := range fleet.Decide(states, t.mayMove) {
 		if _, known := p.planned[move.Machine]; !known && len(p.planned) < maxConcurrentMoves {
 			p.planned[move.Machine] = move
 			t.logger.Log("event", "move", "machine", move.Machine, "from", move.From, "to", move.To, "outcome", "cordoned")
@@ -95,50 +95,50 @@
 	return empty
 }
 
-// poolViews views each pool as the list of machines and the log show it.
-func (t *leaderTerm) poolViews(services []workflow.Service, now time.Time) []fleet.Pool {
+// poolStates views each pool as the list of machines and the log show it.
+func (t *leaderTerm) poolStates(services []workflow.Service, now time.Time) []fleet.Pool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	views := make([]fleet.Pool, 0, len(services))
+	states := make([]fleet.Pool, 0, len(services))
 	for _, service := range services {
-		views = append(views, fleet.Pool{Name: service.Name, Standby: service.Standby})
+		states = append(states, fleet.Pool{Name: service.Name, Standby: service.Standby})
 	}
 	t.c.state.read(func(s *workflow.State) {
-		wanted := t.demandByService(s, now)
-		for i := range views {
-			t.addMachines(&views[i], s, wanted[views[i].Name])
-			t.fleet.updateDurations(&views[i], now)
+		demand := t.demandByService(s, now)
+		for i := range states {
+			t.addMachines(&states[i], s, demand[states[i].Name])
+			t.fleet.updateDurations(&states[i], now)
 		}
 	})
-	return views
+	return states
 }
 
 // addMachines adds the machines of a pool, and those on their way to it. t.mu is held.
-func (t *leaderTerm) addMachines(view *fleet.Pool, s *workflow.State, wanted int64) {
-	view.Wanted = wanted
+func (t *leaderTerm) addMachines(pool *fleet.Pool, s *workflow.State, demand int64) {
+	pool.Wanted = demand
 	for id, m := range t.machines.list {
 		target, moving := t.fleet.moving[id]
 		if moving && m.Pool == target {
 			delete(t.fleet.moving, id)
 			moving = false
 		}
-		if moving && target == view.Name || !moving && m.Pool == view.Name {
-			view.Capacity += m.Capacity.MilliCPU
+		if moving && target == pool.Name || !moving && m.Pool == pool.Name {
+			pool.Capacity += m.Capacity.MilliCPU
 		}
-		if moving || m.Pool != view.Name {
+		if moving || m.Pool != pool.Name {
 			continue
 		}
-		idle := m.State == MachineUp && len(s.Runs[m.Worker]) == 0 || view.Standby
+		idle := m.State == MachineUp && len(s.Runs[m.Worker]) == 0 || pool.Standby
 		free := idle && !t.machines.ordersInFlight[id] && m.State != MachineMoving && m.State != MachineInMaintenance
-		view.Machines = append(view.Machines, fleet.Machine{ID: id, MilliCPU: m.Capacity.MilliCPU, Free: free})
+		pool.Machines = append(pool.Machines, fleet.Machine{ID: id, MilliCPU: m.Capacity.MilliCPU, Free: free})
 	}
-	sortMachines(view.Machines)
+	sortMachines(pool.Machines)
 }
 
 // wanted is what the tasks of each service need that run or could run now. t.mu
 // is held.
 func (t *leaderTerm) demandByService(s *workflow.State, now time.Time) map[string]int64 {
-	wanted := map[string]int64{}
+	demand := map[string]int64{}
 	for _, job := range s.OpenJobs() {
 		for occurrence := range job.Occurrences {
 			if !job.Due(occurrence, now) {
@@ -150,17 +150,17 @@
 				}
 				state := &job.Occurrences[occurrence][step]
 				left := int64(len(state.Tasks) - state.Done)
-				wanted[job.Policy.Service] += left * job.Steps[step].Demand().MilliCPU
+				demand[job.Policy.Service] += left * job.Steps[step].Demand().MilliCPU
 			}
 		}
 	}
-	return wanted
+	return demand
 }
 
 // since notes for how long a pool has been short or idle.
-func (p *pools) updateDurations(view *fleet.Pool, now time.Time) {
-	view.ShortFor = heldFor(p.shortSince, view.Name, view.Short(), now)
-	view.IdleFor = heldFor(p.idleSince, view.Name, view.Idle(), now)
+func (p *pools) updateDurations(pool *fleet.Pool, now time.Time) {
+	pool.ShortFor = heldFor(p.shortSince, pool.Name, pool.Short(), now)
+	pool.IdleFor = heldFor(p.idleSince, pool.Name, pool.Idle(), now)
 }
 
 // lasted returns for how long a condition has held without a break.
--- a/internal/control/tasks.go
+++ b/internal/control/goroutines.go
@@ -11,17 +11,17 @@
 	group  sync.WaitGroup
 }
 
-func (t *goroutineGroup) start(f func()) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if !t.closed {
-		t.group.Go(f)
+func (g *goroutineGroup) start(f func()) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if !g.closed {
+		g.group.Go(f)
 	}
 }
 
-func (t *goroutineGroup) wait() {
-	t.mu.Lock()
-	t.closed = true
-	t.mu.Unlock()
-	t.group.Wait()
+func (g *goroutineGroup) wait() {
+	g.mu.Lock()
+	g.closed = true
+	g.mu.Unlock()
+	g.group.Wait()
 }
--- a/internal/control/fresh.go
+++ b/internal/control/incremental.go
@@ -43,8 +43,8 @@
 // two decisions: one that asks for its permits, one that starts it. Waiting for whole
 // ones would be half of the time from acceptance to the first start, while most of the
 // room that fresh jobs need is free.
-func (t *leaderTerm) planChangedJobs(d time.Duration) {
-	end := time.NewTimer(d)
+func (t *leaderTerm) planChangedJobs(duration time.Duration) {
+	end := time.NewTimer(duration)
 	defer end.Stop()
 	for {
 		select {
--- a/internal/control/fresh_test.go
+++ b/internal/control/incremental_test.go
@@ -15,17 +15,17 @@
 // comes, its permits are to be asked for, then it is to be started.
 // Cause: each of the two steps waited for the next whole decision.
 func TestChangedJobStartsBeforeNextFullPass(t *testing.T) {
-	ten := loadedTerm(t, benchmarkLoad{workers: 8})
-	ten.decide()
-	go ten.planChangedJobs(time.Minute)
+	term := loadedTerm(t, benchmarkLoad{workers: 8})
+	term.decide()
+	go term.planChangedJobs(time.Minute)
 	command := submission("a")
 	command.Submit.Policy.Advice = &workflow.AdvicePolicy{BaseMS: 1, PerWorkerMS: 0.1, TicketValidityMS: 2000}
-	_, err := ten.propose(command)
+	_, err := term.propose(command)
 	must.NoError(t, err)
-	ten.noteAccepted("a", time.Now())
+	term.noteAccepted("a", time.Now())
 	for range 1000 {
 		started := 0
-		ten.c.state.read(func(s *workflow.State) { started = s.Task(task("a", 0)).Runs })
+		term.c.state.read(func(s *workflow.State) { started = s.Task(task("a", 0)).Runs })
 		if started == 1 {
 			return
 		}
@@ -39,10 +39,10 @@
 // Cause guarded against: the newest job would be offered room before those that no
 // decision has come to yet.
 func TestIncrementalPassYieldsToBacklog(t *testing.T) {
-	ten := &leaderTerm{wakePlanner: make(chan struct{}, 1), backlog: true, leftoverAt: time.Now(), changedJobs: map[string]bool{"a": true}}
-	ten.decideIncrementally(time.Now())
-	must.MapLen(t, 1, ten.changedJobs)
-	must.Eq(t, 1, len(ten.wakePlanner), must.Sprint("a whole decision is asked for"))
+	term := &leaderTerm{wakePlanner: make(chan struct{}, 1), backlog: true, leftoverAt: time.Now(), changedJobs: map[string]bool{"a": true}}
+	term.decideIncrementally(time.Now())
+	must.MapLen(t, 1, term.changedJobs)
+	must.Eq(t, 1, len(term.wakePlanner), must.Sprint("a whole decision is asked for"))
 }
 
 // What a user sees: after a burst urgent jobs are late for the rest of the day, beside a
@@ -51,11 +51,11 @@
 // Cause: it waited for one whole decision to ask for its permits and for another one to
 // start, and so did each one after it.
 func TestUrgentChangedJobStartsDespiteBacklog(t *testing.T) {
-	ten := backloggedTenure(t)
-	go ten.planChangedJobs(time.Minute)
-	submitAdvised(t, ten, "a", 1_000)
+	term := backloggedTerm(t)
+	go term.planChangedJobs(time.Minute)
+	submitAdvised(t, term, "a", 1_000)
 	for range 1000 {
-		if runsOf(ten, "a") == 1 {
+		if runsOf(term, "a") == 1 {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -68,38 +68,38 @@
 // some that it had no place for.
 // Cause guarded against: the job would be offered room before those.
 func TestLessUrgentChangedJobWaitsBehindBacklog(t *testing.T) {
-	ten := backloggedTenure(t)
-	submitAdvised(t, ten, "a", 1_000_000)
-	ten.decideIncrementally(time.Now())
-	must.Eq(t, 0, ten.permitsOf(workflow.StepKey{Job: "a"}).inFlight)
-	must.Eq(t, 0, runsOf(ten, "a"))
-	must.Eq(t, 1, len(ten.wakePlanner), must.Sprint("a whole decision is asked for"))
+	term := backloggedTerm(t)
+	submitAdvised(t, term, "a", 1_000_000)
+	term.decideIncrementally(time.Now())
+	must.Eq(t, 0, term.permitsOf(workflow.StepKey{Job: "a"}).inFlight)
+	must.Eq(t, 0, runsOf(term, "a"))
+	must.Eq(t, 1, len(term.wakePlanner), must.Sprint("a whole decision is asked for"))
 }
 
-// backloggedTenure has decided once about more steps than one decision goes into.
-func backloggedTenure(t *testing.T) *leaderTerm {
-	ten := loadedTerm(t, benchmarkLoad{workers: 8, queued: maxPlannedSteps + 50})
-	ten.decide()
-	must.True(t, ten.backlog)
-	for len(ten.wakePlanner) > 0 {
-		<-ten.wakePlanner
+// backloggedTerm has decided once about more steps than one decision goes into.
+func backloggedTerm(t *testing.T) *leaderTerm {
+	term := loadedTerm(t, benchmarkLoad{workers: 8, queued: maxPlannedSteps + 50})
+	term.decide()
+	must.True(t, term.backlog)
+	for len(term.wakePlanner) > 0 {
+		<-term.wakePlanner
 	}
-	return ten
+	return term
 }
 
 // submitAdvised hands in a job that needs permits and has an objective.
-func submitAdvised(t *testing.T, ten *leaderTerm, id string, objectiveMS int64) {
+func submitAdvised(t *testing.T, term *leaderTerm, id string, objectiveMS int64) {
 	command := submission(id)
 	command.Submit.Policy.Advice = &workflow.AdvicePolicy{BaseMS: 1, PerWorkerMS: 0.1, TicketValidityMS: 2000}
 	command.Submit.Policy.ObjectiveMS = objectiveMS
-	_, err := ten.propose(command)
+	_, err := term.propose(command)
 	must.NoError(t, err)
-	ten.noteAccepted(id, time.Now())
+	term.noteAccepted(id, time.Now())
 }
 
 // runsOf counts the runs of a job's first task.
-func runsOf(ten *leaderTerm, id string) (runs int) {
-	ten.c.state.read(func(s *workflow.State) { runs = s.Task(task(id, 0)).Runs })
+func runsOf(term *leaderTerm, id string) (runs int) {
+	term.c.state.read(func(s *workflow.State) { runs = s.Task(task(id, 0)).Runs })
 	return runs
 }
 
@@ -121,9 +121,9 @@
 // quickest as well.
 // Cause: the length of the way was taken for a delay of the leader's.
 func TestConstantLatencyToWorkersKeepsPollInterval(t *testing.T) {
-	ten := &leaderTerm{}
+	term := &leaderTerm{}
 	for range 200 {
-		ten.noteAnswerTime(20 * time.Millisecond)
+		term.noteAnswerTime(20 * time.Millisecond)
 	}
-	must.Eq(t, pollPauseAfterEnds, (&workerSession{t: ten}).pauseAfterEnds())
+	must.Eq(t, pollPauseAfterEnds, (&workerSession{t: term}).pauseAfterEnds())
 }
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -69,7 +69,7 @@
 		}
 	}
 	byReason := waitingByReason(plan)
-	line := []any{
+	fields := []any{
 		"event", "load", "usable_workers", len(v.workers), "milli_cpu", r.capacity.MilliCPU, "free_milli_cpu", r.free.MilliCPU,
 		"memory_mb", r.capacity.MemoryMB, "free_memory_mb", r.free.MemoryMB,
 		"accelerators", r.capacity.Accelerators, "free_accelerators", r.free.Accelerators,
@@ -77,11 +77,11 @@
 		"steps", len(v.steps), "tasks", tasks, "gangs", gangs, "started", len(plan.Starts), "waiting", len(plan.Waiting),
 		"behind", plan.BeyondBound, "waiting_by", formatWaiting(byReason),
 	}
-	line = append(line, t.waitingLogFields(v, plan, r.capacity, now)...)
-	line = append(line, "kept_back", t.keptBack(now))
+	fields = append(fields, t.waitingLogFields(v, plan, r.capacity, now)...)
+	fields = append(fields, "kept_back", t.formatUnschedulable(now))
 	runs := t.currentRunCounts()
-	line = append(line, "runs_alive", runs.alive, "runs_unaccounted", runs.unaccounted, "longest_unaccounted_ms", runs.longest.Milliseconds())
-	t.logger.Log(line...)
+	fields = append(fields, "runs_alive", runs.alive, "runs_unaccounted", runs.unaccounted, "longest_unaccounted_ms", runs.longest.Milliseconds())
+	t.logger.Log(fields...)
 	t.setLoadGauges(v, &r, tasks)
 	t.setRunGauges(runs)
 	t.c.cfg.Counters.Set("waiting_steps", int64(len(plan.Waiting)+plan.BeyondBound))
@@ -161,10 +161,10 @@
 		}
 	}
 	fields := []any{"waiting_gangs", waitingGangs}
-	pieces, age := 0, time.Duration(0)
+	fitCount, age := 0, time.Duration(0)
 	if largest != nil {
 		all, permitted := dispatch.FitCounts(largest, v.workers)
-		pieces = all
+		fitCount = all
 		fields = append(fields, "largest_gang", largest.Key, "largest_gang_tasks", len(largest.Pending),
 			"largest_gang_each", formatResources(largest.Spec.Demand()), "free_pieces", all, "permitted_pieces", permitted)
 	}
@@ -176,21 +176,21 @@
 			"oldest_pieces", all, "oldest_permitted_pieces", permitted)
 	}
 	t.c.cfg.Counters.Set("waiting_gangs", int64(waitingGangs))
-	t.c.cfg.Counters.Set("free_pieces", int64(pieces))
+	t.c.cfg.Counters.Set("free_pieces", int64(fitCount))
 	t.c.cfg.Counters.Set("oldest_waiting_ms", age.Milliseconds())
 	return fields
 }
 
 // demand is the largest share of a resource that the pending tasks of s need.
 func dominantShare(s *dispatch.Step, capacity workflow.Resources) float64 {
-	need := s.Spec.Demand().Times(int64(len(s.Pending)))
-	share := func(need, capacity int64) float64 { return float64(need) / float64(max(capacity, 1)) }
-	return max(share(need.MilliCPU, capacity.MilliCPU), share(need.MemoryMB, capacity.MemoryMB),
-		share(need.Accelerators, capacity.Accelerators))
+	demand := s.Spec.Demand().Times(int64(len(s.Pending)))
+	share := func(demand, capacity int64) float64 { return float64(demand) / float64(max(capacity, 1)) }
+	return max(share(demand.MilliCPU, capacity.MilliCPU), share(demand.MemoryMB, capacity.MemoryMB),
+		share(demand.Accelerators, capacity.Accelerators))
 }
 
-// keptBack counts the workers that get nothing new, by why.
-func (t *leaderTerm) keptBack(now time.Time) string {
+// formatUnschedulable counts the workers that get nothing new, by why.
+func (t *leaderTerm) formatUnschedulable(now time.Time) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []string
--- a/internal/control/load_test.go
+++ b/internal/control/load_test.go
@@ -20,8 +20,8 @@
 func (g gauges) Set(name string, n int64)    { g[name] = n }
 func (gauges) Observe(string, time.Duration) {}
 
-// observedTenure is a tenure of which a test reads the lines and the gauges.
-func observedTenure() (*leaderTerm, *bytes.Buffer, gauges) {
+// observedTerm is a tenure of which a test reads the lines and the gauges.
+func observedTerm() (*leaderTerm, *bytes.Buffer, gauges) {
 	lines, counters := &bytes.Buffer{}, gauges{}
 	t := &leaderTerm{
 		c:      New(Config{Counters: counters, Logger: log.NewNopLogger()}, NewStateMachine(), nil),
@@ -57,7 +57,7 @@
 }
 
 func TestLoadReportShowsFragmentationAndWaitingSteps(t *testing.T) {
-	ten, lines, counters := observedTenure()
+	term, lines, counters := observedTerm()
 	now := time.Now()
 	small, large := pendingStep("small", 2, true), pendingStep("large", 9, true)
 	large.NeedsPermit, large.Permits = true, map[string]dispatch.Permit{"w2": {Granted: true}, "w1": {}}
@@ -66,11 +66,11 @@
 	plan := &dispatch.Plan{BeyondBound: 1, Waiting: []dispatch.Waiting{
 		{Step: large.Key, Tasks: 9, Reason: dispatch.ReasonGangCannotQuery}, {Step: small.Key, Tasks: 2, Reason: dispatch.ReasonNoRoom},
 	}}
-	ten.updateWaiting(&dispatch.Plan{BeyondBound: 2, Waiting: plan.Waiting[:1]}, now)
+	term.updateWaiting(&dispatch.Plan{BeyondBound: 2, Waiting: plan.Waiting[:1]}, now)
 	now = now.Add(3 * time.Second)
-	ten.updateWaiting(plan, now)
+	term.updateWaiting(plan, now)
 	lines.Reset()
-	ten.reportLoad(v, plan, now)
+	term.reportLoad(v, plan, now)
 	for _, want := range []string{
 		"milli_cpu=48000 free_milli_cpu=18000 memory_mb=192000 free_memory_mb=109000 accelerators=6 free_accelerators=1",
 		"kept_milli_cpu=8000 kept_memory_mb=16000 largest_free=9000/50000/1",
@@ -88,60 +88,60 @@
 		must.Eq(t, want, counters[name], must.Sprint(name))
 	}
 	lines.Reset()
-	ten.reportLoad(v, plan, now.Add(loadLogInterval/2))
+	term.reportLoad(v, plan, now.Add(loadLogInterval/2))
 	must.Eq(t, "", lines.String(), must.Sprint("once a second"))
 }
 
 func TestLoadReportOfEmptyQueue(t *testing.T) {
-	ten, lines, counters := observedTenure()
+	term, lines, counters := observedTerm()
 	counters["oldest_waiting_ms"], counters["waiting_room"] = 5, 5
-	ten.updateWaiting(&dispatch.Plan{}, time.Now())
-	ten.reportLoad(&planInput{workers: fragmentedWorkers()}, &dispatch.Plan{}, time.Now())
+	term.updateWaiting(&dispatch.Plan{}, time.Now())
+	term.reportLoad(&planInput{workers: fragmentedWorkers()}, &dispatch.Plan{}, time.Now())
 	must.StrContains(t, lines.String(), "waiting=0 behind=0 waiting_by= waiting_gangs=0 kept_back=")
 	must.Eq(t, int64(0), counters["oldest_waiting_ms"])
 	must.Eq(t, int64(0), counters["waiting_room"])
 }
 
 func TestBacklogStepsAreLoggedUntilConsidered(t *testing.T) {
-	ten, lines, _ := observedTenure()
+	term, lines, _ := observedTerm()
 	now := time.Now()
 	v := &planInput{}
 	for i := range 3 * maxBacklogLogLines {
 		v.steps = append(v.steps, pendingStep(fmt.Sprint("j", i), 1, false))
 	}
 	plan := &dispatch.Plan{BeyondBound: len(v.steps), Starts: []dispatch.Start{{Task: workflow.TaskKey{StepKey: v.steps[0].Key}}}}
-	ten.updateWaiting(plan, now)
-	ten.reportLoad(v, plan, now)
+	term.updateWaiting(plan, now)
+	term.reportLoad(v, plan, now)
 	must.Eq(t, maxBacklogLogLines, bytes.Count(lines.Bytes(), []byte(`reason="behind the steps that one decision goes into"`))-1,
 		must.Sprint("one line is the load's"))
-	must.Eq(t, dispatch.ReasonBeyondBound, ten.waitingReason(v.steps[5].Key))
-	must.MapLen(t, len(v.steps)-1, ten.waiting, must.Sprint("what has started doesn't wait"))
+	must.Eq(t, dispatch.ReasonBeyondBound, term.waitingReason(v.steps[5].Key))
+	must.MapLen(t, len(v.steps)-1, term.waiting, must.Sprint("what has started doesn't wait"))
 	v.steps = v.steps[:2]
-	ten.reportLoad(v, &dispatch.Plan{BeyondBound: 1}, now.Add(2*loadLogInterval))
-	must.MapLen(t, 2, ten.waiting)
-	ten.updateWaiting(&dispatch.Plan{}, now)
-	must.MapLen(t, 0, ten.waiting)
-	must.Eq(t, "", ten.waitingReason(v.steps[1].Key))
+	term.reportLoad(v, &dispatch.Plan{BeyondBound: 1}, now.Add(2*loadLogInterval))
+	must.MapLen(t, 2, term.waiting)
+	term.updateWaiting(&dispatch.Plan{}, now)
+	must.MapLen(t, 0, term.waiting)
+	must.Eq(t, "", term.waitingReason(v.steps[1].Key))
 }
 
 func TestWaitingLogShowsEarlierReasons(t *testing.T) {
-	ten, lines, _ := observedTenure()
+	term, lines, _ := observedTerm()
 	begin := time.Now()
-	at := func(after time.Duration, reason dispatch.Reason, started bool) string {
+	update := func(after time.Duration, reason dispatch.Reason, started bool) string {
 		lines.Reset()
 		plan := &dispatch.Plan{Waiting: []dispatch.Waiting{{Step: workflow.StepKey{Job: "a"}, Tasks: 4, Reason: reason}}}
 		if started {
 			plan.Starts = []dispatch.Start{{Task: workflow.TaskKey{StepKey: workflow.StepKey{Job: "a"}}}}
 		}
-		ten.updateWaiting(plan, begin.Add(after))
+		term.updateWaiting(plan, begin.Add(after))
 		return lines.String()
 	}
-	must.StrContains(t, at(0, dispatch.ReasonNoRoom, false), "waited_ms=0 earlier=\n")
-	must.Eq(t, "", at(100*time.Millisecond, dispatch.ReasonReserved, false), must.Sprint("a line was written just now"))
-	must.Eq(t, "", at(900*time.Millisecond, dispatch.ReasonAwaitsAdviser, false))
-	must.Eq(t, "", at(1100*time.Millisecond, dispatch.ReasonAwaitsAdviser, false), must.Sprint("each question is logged"))
-	must.StrContains(t, at(1500*time.Millisecond, dispatch.ReasonReserved, false), "waited_ms=1500 "+
+	must.StrContains(t, update(0, dispatch.ReasonNoRoom, false), "waited_ms=0 earlier=\n")
+	must.Eq(t, "", update(100*time.Millisecond, dispatch.ReasonReserved, false), must.Sprint("a line was written just now"))
+	must.Eq(t, "", update(900*time.Millisecond, dispatch.ReasonAwaitsAdviser, false))
+	must.Eq(t, "", update(1100*time.Millisecond, dispatch.ReasonAwaitsAdviser, false), must.Sprint("each question is logged"))
+	must.StrContains(t, update(1500*time.Millisecond, dispatch.ReasonReserved, false), "waited_ms=1500 "+
 		`earlier="100 ms: no room on a worker that may run the step; 800 ms: the room that would do is kept for steps before it; 600 ms: waiting for the adviser"`)
-	must.Eq(t, "", at(3*time.Second, dispatch.ReasonReserved, true), must.Sprint("nothing new"))
-	must.StrContains(t, at(4*time.Second, dispatch.ReasonReserved, false), "waited_ms=1000 earlier=\n", must.Sprint("from its last start"))
+	must.Eq(t, "", update(3*time.Second, dispatch.ReasonReserved, true), must.Sprint("nothing new"))
+	must.StrContains(t, update(4*time.Second, dispatch.ReasonReserved, false), "waited_ms=1000 earlier=\n", must.Sprint("from its last start"))
 }
--- a/internal/control/machines.go
+++ b/internal/control/machines.go
@@ -106,9 +106,9 @@
 func (t *leaderTerm) readMachines(now time.Time) {
 	m := t.machines
 	list, err := t.listMachines()
-	if lost := err != nil; lost != m.listFailed {
-		m.listFailed = lost
-		t.logger.Log("event", "machine_list", "lost", lost, "err", err)
+	if failed := err != nil; failed != m.listFailed {
+		m.listFailed = failed
+		t.logger.Log("event", "machine_list", "lost", failed, "err", err)
 	}
 	if err == nil {
 		m.list, m.listedAt = list, now
--- a/internal/control/maintenance.go
+++ b/internal/control/maintenance.go
@@ -36,8 +36,8 @@
 // that are given nothing new.
 func (t *leaderTerm) processWaves(waves []workflow.WaveState, keepCordoned map[string]bool, now time.Time) {
 	for _, wave := range waves {
-		view := t.waveMachines(&wave, keepCordoned, now)
-		plan := maintenance.Decide(t.waveView(&wave, now), view.machines)
+		input := t.waveMachines(&wave, keepCordoned, now)
+		plan := maintenance.Decide(t.waveTimes(&wave, now), input.machines)
 		for _, id := range plan.Cordon {
 			worker := t.machines.list[id].Worker
 			keepCordoned[worker] = true
@@ -53,7 +53,7 @@
 		for _, id := range plan.Order {
 			t.orderMaintenance(wave.ID, t.machines.list[id])
 		}
-		for _, m := range view.resend {
+		for _, m := range input.resend {
 			t.orderMaintenance(wave.ID, m)
 		}
 		t.dropRemovedMachines(&wave)
@@ -64,18 +64,18 @@
 	t.logger.Log("event", "maintenance", "wave", wave, "machine", machine, "worker", worker, "outcome", outcome)
 }
 
-// waveView is how much time a wave has left. A leader that didn't accept it goes
+// waveTimes is how much time a wave has left. A leader that didn't accept it goes
 // by the time of day, which may be off by some seconds.
-func (t *leaderTerm) waveView(w *workflow.WaveState, now time.Time) maintenance.Wave {
+func (t *leaderTerm) waveTimes(w *workflow.WaveState, now time.Time) maintenance.Wave {
 	t.mu.Lock()
 	acceptedAt, known := t.machines.waveAcceptedAt[w.ID]
 	t.mu.Unlock()
 	duration := time.Duration(w.DurationMS) * time.Millisecond
-	passed := now.Sub(acceptedAt)
+	elapsed := now.Sub(acceptedAt)
 	if !known {
-		passed = min(max(time.Duration(now.UnixMilli()-w.AcceptedAtMS)*time.Millisecond, 0), duration)
+		elapsed = min(max(time.Duration(now.UnixMilli()-w.AcceptedAtMS)*time.Millisecond, 0), duration)
 	}
-	return maintenance.Wave{Remaining: duration - passed, Length: t.c.cfg.Bounds.MaintenanceDuration, MaxDown: w.MaxDown}
+	return maintenance.Wave{Remaining: duration - elapsed, Length: t.c.cfg.Bounds.MaintenanceDuration, MaxDown: w.MaxDown}
 }
 
 // waveMachines are the machines of a wave whose maintenance isn't over.
@@ -91,7 +91,7 @@
 func (t *leaderTerm) waveMachines(w *workflow.WaveState, keepCordoned map[string]bool, now time.Time) waveMachines {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var view waveMachines
+	var input waveMachines
 	t.c.state.read(func(s *workflow.State) {
 		for _, id := range w.Machines {
 			listed, exists := t.machines.list[id]
@@ -100,21 +100,21 @@
 			case !exists || recorded.Stage == workflow.MaintenanceNotNeeded, recorded.Stage == workflow.MaintenanceBegun && t.backFromMaintenance(listed, recorded, now):
 			case recorded.Stage != 0:
 				// An order without an answer may be carried out at any time.
-				view.machines = append(view.machines, maintenance.Machine{ID: id, Down: true})
+				input.machines = append(input.machines, maintenance.Machine{ID: id, Down: true})
 				keepCordoned[recorded.Worker] = true
 				if recorded.Stage == workflow.MaintenanceOrdered {
-					view.resend = append(view.resend, ListedMachine{ID: id, Worker: recorded.Worker})
+					input.resend = append(input.resend, ListedMachine{ID: id, Worker: recorded.Worker})
 				}
 			default:
 				m := t.maintenanceMachine(s, listed, now)
-				view.machines = append(view.machines, m)
+				input.machines = append(input.machines, m)
 				if m.Chosen {
 					keepCordoned[listed.Worker] = true
 				}
 			}
 		}
 	})
-	return view
+	return input
 }
 
 // backFromMaintenance reports whether a machine has come back from its maintenance: the time of one
--- a/internal/control/maintenance_test.go
+++ b/internal/control/maintenance_test.go
@@ -63,8 +63,8 @@
 }
 
 func (f *fakeMachines) Maintenance(_ context.Context, order MachineOrder, _ int64) error {
-	f.enter(order.Machine)
-	defer f.exit(order.Machine)
+	f.beginCall(order.Machine)
+	defer f.endCall(order.Machine)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fences = append(f.fences, order.Fence)
@@ -93,7 +93,7 @@
 }
 
 // enter counts a call under way and takes its time.
-func (f *fakeMachines) enter(machine string) {
+func (f *fakeMachines) beginCall(machine string) {
 	f.mu.Lock()
 	f.inFlight[machine]++
 	f.maxInFlight = max(f.maxInFlight, f.inFlight[machine])
@@ -101,7 +101,7 @@
 	time.Sleep(f.callDuration)
 }
 
-func (f *fakeMachines) exit(machine string) {
+func (f *fakeMachines) endCall(machine string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.inFlight[machine]--
@@ -213,20 +213,20 @@
 // Cause: another incarnation was taken for proof that the machine is back.
 func TestMachineIsBackOnlyAfterMaintenanceTime(t *testing.T) {
 	w := newTestCluster(t, nil)
-	ten, err := w.c.currentLeaderTerm(context.Background())
+	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
-	ten.c.cfg.Bounds.MaintenanceDuration = time.Hour
+	term.c.cfg.Bounds.MaintenanceDuration = time.Hour
 	listed := ListedMachine{ID: "m1", State: MachineUp, Worker: "m1-1"}
-	done := workflow.Maintenance{Wave: 1, Machine: "m1", Stage: workflow.MaintenanceBegun, Worker: "m1-0"}
-	begun := time.Now()
-	ten.mu.Lock()
-	defer ten.mu.Unlock()
-	must.False(t, ten.backFromMaintenance(listed, done, begun), must.Sprint("begun under an earlier leader"))
-	ten.machines.maintenanceBegunAt["m1"] = begun
-	must.False(t, ten.backFromMaintenance(listed, done, begun.Add(time.Minute)))
-	must.True(t, ten.backFromMaintenance(listed, done, begun.Add(time.Hour)))
+	recorded := workflow.Maintenance{Wave: 1, Machine: "m1", Stage: workflow.MaintenanceBegun, Worker: "m1-0"}
+	begunAt := time.Now()
+	term.mu.Lock()
+	defer term.mu.Unlock()
+	must.False(t, term.backFromMaintenance(listed, recorded, begunAt), must.Sprint("begun under an earlier leader"))
+	term.machines.maintenanceBegunAt["m1"] = begunAt
+	must.False(t, term.backFromMaintenance(listed, recorded, begunAt.Add(time.Minute)))
+	must.True(t, term.backFromMaintenance(listed, recorded, begunAt.Add(time.Hour)))
 	listed.Worker = "m1-0"
-	must.False(t, ten.backFromMaintenance(listed, done, begun.Add(time.Hour)), must.Sprint("the same incarnation"))
+	must.False(t, term.backFromMaintenance(listed, recorded, begunAt.Add(time.Hour)), must.Sprint("the same incarnation"))
 }
 
 // What an operator sees: one machine gets orders twice, or from two instances.
@@ -237,13 +237,13 @@
 	machines := newFakeMachines("m1", "m2")
 	machines.callDuration = 3 * machineLoopInterval
 	w := machineWorld(t, machines)
-	ten, err := w.c.currentLeaderTerm(context.Background())
+	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
-	must.True(t, ten.beginOrder("m9"))
-	must.False(t, ten.beginOrder("m9"))
-	ten.c.cfg.Bounds.MachineHandoverDelay = time.Hour
-	must.False(t, ten.beginOrder("m8"), must.Sprint("the predecessor's orders may be on their way"))
-	ten.c.cfg.Bounds.MachineHandoverDelay = 0
+	must.True(t, term.beginOrder("m9"))
+	must.False(t, term.beginOrder("m9"))
+	term.c.cfg.Bounds.MachineHandoverDelay = time.Hour
+	must.False(t, term.beginOrder("m8"), must.Sprint("the predecessor's orders may be on their way"))
+	term.c.cfg.Bounds.MachineHandoverDelay = 0
 	w.startWave(workflow.Wave{ID: 1, Machines: []string{"m1", "m2"}, DurationMS: 60_000, MaxDown: 1})
 	w.eventually("the wave is done", func() bool { return w.waveDone(1) })
 	must.Eq(t, 1, machines.maxInFlight)
@@ -262,21 +262,21 @@
 	step := workflow.Step{Count: 2, Need: workflow.Resources{MilliCPU: 6000}, LongRunning: true, MaxUnavailable: 1}
 	w.submit("a", step)
 	w.eventually("both tasks run", func() bool { return w.started("w1") == 1 && w.started("w2") == 1 })
-	ten, err := w.c.currentLeaderTerm(context.Background())
+	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
-	ten.mu.Lock()
-	defer ten.mu.Unlock()
+	term.mu.Lock()
+	defer term.mu.Unlock()
 	w.c.state.read(func(s *workflow.State) {
 		var runs []workflow.Run
 		for _, id := range []string{"w1", "w2"} {
 			for key, run := range s.Runs[id] {
-				ten.sessions[id].orders[key] = &runOrder{run: run, listed: true, percent: completePercent}
+				term.sessions[id].orders[key] = &runOrder{run: run, listed: true, percent: completePercent}
 				runs = append(runs, run)
 			}
 		}
-		must.True(t, ten.disruptionAllowed(s, runs[1], &step))
-		ten.sessions["w1"].orders[runs[0].Task].stopSent = time.Now()
-		must.False(t, ten.disruptionAllowed(s, runs[1], &step))
+		must.True(t, term.disruptionAllowed(s, runs[1], &step))
+		term.sessions["w1"].orders[runs[0].Task].stopSent = time.Now()
+		must.False(t, term.disruptionAllowed(s, runs[1], &step))
 	})
 }
 
@@ -285,24 +285,24 @@
 // two looks for runs to stop; one of them may be away.
 // Cause: the stops of one look were noted after all its runs had been judged.
 func TestStopsOfOneSweepCountAgainstMaxUnavailable(t *testing.T) {
-	ten := loadedTerm(t, benchmarkLoad{workers: 2})
+	term := loadedTerm(t, benchmarkLoad{workers: 2})
 	service := submission("service")
 	service.Submit.Steps[0] = workflow.Step{Count: 2, Need: workflow.Resources{MilliCPU: 6000}, LongRunning: true, MaxUnavailable: 1}
 	starts := &workflow.Command{Start: []workflow.Run{
 		{Task: task("service", 0), Worker: "w0"}, {Task: task("service", 1), Worker: "w1"},
 	}}
 	for _, command := range []*workflow.Command{service, starts} {
-		_, err := ten.propose(command)
+		_, err := term.propose(command)
 		must.NoError(t, err)
 	}
 	for i, id := range []string{"w0", "w1"} {
-		session := ten.sessions[id]
+		session := term.sessions[id]
 		session.worker.Draining = true
 		run := workflow.Run{Task: task("service", i), Worker: id, Number: 1}
 		session.orders[run.Task] = &runOrder{run: run, listed: true, percent: completePercent}
 	}
-	must.SliceLen(t, 1, ten.gatherPlanInput(time.Now()).stops)
-	must.SliceEmpty(t, ten.gatherPlanInput(time.Now().Add(stopRetryInterval/2)).stops, must.Sprint("the other one stays until the first is at work elsewhere"))
+	must.SliceLen(t, 1, term.gatherPlanInput(time.Now()).stops)
+	must.SliceEmpty(t, term.gatherPlanInput(time.Now().Add(stopRetryInterval/2)).stops, must.Sprint("the other one stays until the first is at work elsewhere"))
 }
 
 // What a user sees: a machine is taken from under a task.
@@ -310,13 +310,13 @@
 // Cause: only committed runs were looked at.
 func TestMachineWithProposedStartIsNotEmpty(t *testing.T) {
 	w := newTestCluster(t, nil)
-	ten, err := w.c.currentLeaderTerm(context.Background())
+	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
-	must.True(t, ten.isEmpty("w1"))
-	ten.mu.Lock()
-	ten.proposedStarts[task("a", 0)] = "w1"
-	ten.mu.Unlock()
-	must.False(t, ten.isEmpty("w1"))
+	must.True(t, term.isEmpty("w1"))
+	term.mu.Lock()
+	term.proposedStarts[task("a", 0)] = "w1"
+	term.mu.Unlock()
+	must.False(t, term.isEmpty("w1"))
 }
 
 // What a user sees: a service with too few of its tasks at work.
@@ -338,7 +338,7 @@
 		}
 		return ids
 	}
-	atWork := func(id string) {
+	markReady := func(id string) {
 		w.withWorker(id, func(f *fakeWorker) {
 			for key, r := range f.running {
 				r.Percent = completePercent
@@ -348,13 +348,13 @@
 	}
 	w.eventually("both tasks run", func() bool { return len(running()) == 2 })
 	first := running()
-	atWork(first[0])
+	markReady(first[0])
 	w.startWave(workflow.Wave{ID: 1, Machines: []string{first[0][:2], first[1][:2]}, DurationMS: 1000, MaxDown: 2})
 	time.Sleep(400 * time.Millisecond)
 	must.SliceContains(t, running(), first[0], must.Sprint("the other one isn't at work yet"))
 	for !w.waveDone(1) {
 		for _, id := range running() {
-			atWork(id)
+			markReady(id)
 		}
 		must.SliceNotEmpty(t, running(), must.Sprint("no task is there"))
 		time.Sleep(10 * time.Millisecond)
@@ -404,14 +404,14 @@
 // Cause: a machine whose entry couldn't be read counted as gone for good.
 func TestMachineWithUnreadableEntryIsKept(t *testing.T) {
 	w := newTestCluster(t, nil)
-	ten, err := w.c.currentLeaderTerm(context.Background())
+	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
-	ten.machines.list = map[string]ListedMachine{"m-1": {ID: "m-1"}, "m-2": {ID: "m-2"}}
+	term.machines.list = map[string]ListedMachine{"m-1": {ID: "m-1"}, "m-2": {ID: "m-2"}}
 	list := map[string]ListedMachine{"m-1": {ID: "m-1", State: MachineUp}}
-	ten.keepUnreadable(list, 1)
+	term.keepUnreadable(list, 1)
 	must.MapContainsKey(t, list, "m-2")
 	must.Eq(t, MachineUp, list["m-1"].State)
 	list = map[string]ListedMachine{"m-1": {ID: "m-1"}}
-	ten.keepUnreadable(list, 0)
+	term.keepUnreadable(list, 0)
 	must.MapNotContainsKey(t, list, "m-2")
 }
--- a/internal/control/permits.go
+++ b/internal/control/permits.go
@@ -50,32 +50,32 @@
 
 // ask puts a question about a step of a queue's job to the adviser and takes in the
 // answer.
-func (t *leaderTerm) queryAdviser(question dispatch.Query, queue string, policy *workflow.AdvicePolicy) {
-	duration := queryDuration(policy, len(question.Workers))
+func (t *leaderTerm) queryAdviser(query dispatch.Query, queue string, policy *workflow.AdvicePolicy) {
+	duration := queryDuration(policy, len(query.Workers))
 	now := time.Now()
 	conn, answerDue := t.adviserConns.acquire(now, duration)
 	if conn == nil {
 		return
 	}
 	t.mu.Lock()
-	p := t.permitsOf(question.Step)
+	p := t.permitsOf(query.Step)
 	p.inFlight++
 	p.lastQueryAt = now.Sub(t.started)
-	if question.Renewal {
-		p.renewing = slices.Concat(p.renewing, question.Workers)
+	if query.Renewal {
+		p.renewing = slices.Concat(p.renewing, query.Workers)
 	}
 	t.mu.Unlock()
 	valid := time.Duration(policy.TicketValidityMS) * time.Millisecond
-	t.spawn(func() { t.queryAdviserVia(conn, question, queue, valid, time.Until(answerDue)+queryTimeoutMargin) })
+	t.spawn(func() { t.queryAdviserVia(conn, query, queue, valid, time.Until(answerDue)+queryTimeoutMargin) })
 }
 
 // queryAdviserVia asks on a lane; valid is how long a ticket holds by the policy,
 // where the answer doesn't say.
-func (t *leaderTerm) queryAdviserVia(conn *adviserConn, question dispatch.Query, queue string, valid, limit time.Duration) {
+func (t *leaderTerm) queryAdviserVia(conn *adviserConn, query dispatch.Query, queue string, valid, limit time.Duration) {
 	ctx, cancel := context.WithTimeout(t.ctx, limit)
 	defer cancel()
 	start := time.Now()
-	reply, err := t.adviserConns.send(ctx, conn, AskCall{Step: question.Step, Workers: question.Workers})
+	reply, err := t.adviserConns.send(ctx, conn, AskCall{Step: query.Step, Workers: query.Workers})
 	now := time.Now()
 	if reply.Valid == 0 {
 		reply.Valid = valid
@@ -83,19 +83,19 @@
 	t.adviserConns.release(conn, now, err != nil)
 	t.c.cfg.Counters.Add("asks", 1)
 	t.c.cfg.Counters.Observe("ask", now.Sub(start))
-	t.logger.Log("event", "permit", "step", question.Step, "through", conn.address, "asked", len(question.Workers),
-		"granted", len(reply.Granted), "renewal", question.Renewal, "ms", now.Sub(start).Milliseconds(), "err", err)
+	t.logger.Log("event", "permit", "step", query.Step, "through", conn.address, "asked", len(query.Workers),
+		"granted", len(reply.Granted), "renewal", query.Renewal, "ms", now.Sub(start).Milliseconds(), "err", err)
 	t.mu.Lock()
-	p := t.permitsOf(question.Step)
+	p := t.permitsOf(query.Step)
 	p.inFlight--
 	if p.inFlight == 0 {
 		p.renewing = nil
 	}
 	if err == nil {
-		t.updateGrantShare(queue, p, question.Workers, reply.Granted)
-		p.recordReply(question.Workers, reply, now.Add(reply.Valid).Sub(t.started))
+		t.updateGrantShare(queue, p, query.Workers, reply.Granted)
+		p.recordReply(query.Workers, reply, now.Add(reply.Valid).Sub(t.started))
 	}
-	t.markChanged(question.Step.Job)
+	t.markChanged(query.Step.Job)
 	t.mu.Unlock()
 }
 
@@ -105,9 +105,9 @@
 
 // updateGrantShare takes in what share of the workers that nothing was known of has been
 // permitted. t.mu is held.
-func (t *leaderTerm) updateGrantShare(queue string, p *stepPermits, asked []string, granted []Grant) {
-	unknown := make(map[string]bool, len(asked))
-	for _, worker := range asked {
+func (t *leaderTerm) updateGrantShare(queue string, p *stepPermits, queried []string, granted []Grant) {
+	unknown := make(map[string]bool, len(queried))
+	for _, worker := range queried {
 		if _, known := p.known[worker]; !known {
 			unknown[worker] = true
 		}
@@ -127,9 +127,9 @@
 }
 
 // applyReport remembers an answer: whoever was asked about and isn't in it is refused.
-func (p *stepPermits) recordReply(asked []string, reply AskReply, expires time.Duration) {
+func (p *stepPermits) recordReply(queried []string, reply AskReply, expires time.Duration) {
 	known := maps.Clone(p.known)
-	for _, worker := range asked {
+	for _, worker := range queried {
 		known[worker] = dispatch.Permit{}
 	}
 	for _, grant := range reply.Granted {
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -93,9 +93,9 @@
 
 // applyPlan puts the questions of a plan, and commits and sends its starts.
 func (t *leaderTerm) applyPlan(plan *dispatch.Plan, copies map[workflow.TaskKey]copyCandidate) {
-	for _, question := range plan.Queries {
-		if queue, policy := t.advicePolicy(question.Step); policy != nil {
-			t.queryAdviser(question, queue, policy)
+	for _, query := range plan.Queries {
+		if queue, policy := t.advicePolicy(query.Step); policy != nil {
+			t.queryAdviser(query, queue, policy)
 		}
 	}
 	if len(plan.Starts) > 0 {
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -42,13 +42,13 @@
 
 // addressed returns the tenure that decides on what a place names, with the queue
 // and the rest of the path, which is a job's id or empty.
-func (c *Controller) resolveOnLeader(ctx context.Context, place JobAddress) (*leaderTerm, workflow.Queue, string, error) {
+func (c *Controller) resolveOnLeader(ctx context.Context, address JobAddress) (*leaderTerm, workflow.Queue, string, error) {
 	t, err := c.currentLeaderTerm(ctx)
 	if err != nil {
 		return nil, workflow.Queue{}, "", err
 	}
-	queue, rest, err := c.resolve(ctx, place)
-	return t, queue, rest, err
+	queue, id, err := c.resolve(ctx, address)
+	return t, queue, id, err
 }
 
 // catchUp waits until all that was committed before the call is applied here.
@@ -61,38 +61,38 @@
 
 // resolve finds the queue of a place. NotFound is said only after the log has
 // shown that the configuration here is the newest.
-func (c *Controller) resolve(ctx context.Context, place JobAddress) (workflow.Queue, string, error) {
-	queue, rest, err := c.lookUp(ctx, place)
+func (c *Controller) resolve(ctx context.Context, address JobAddress) (workflow.Queue, string, error) {
+	queue, id, err := c.lookUp(ctx, address)
 	if !fault.Is(err, fault.NotFound) {
-		return queue, rest, err
+		return queue, id, err
 	}
 	if err := c.catchUp(ctx); err != nil {
 		return workflow.Queue{}, "", err
 	}
-	return c.lookUp(ctx, place)
+	return c.lookUp(ctx, address)
 }
 
 // lookUp finds the queue of a place in the configuration here, and notes by which
 // version it answers.
-func (c *Controller) lookUp(ctx context.Context, place JobAddress) (found workflow.Queue, rest string, err error) {
+func (c *Controller) lookUp(ctx context.Context, address JobAddress) (found workflow.Queue, id string, err error) {
 	c.state.read(func(s *workflow.State) {
 		if s.Configuration.Source == nil {
 			err = fault.Retry(fault.Unavailable, noConfigurationRetryAfter, "no configuration yet")
 			return
 		}
 		link.NoteVersion(ctx, s.Configuration.Version)
-		queue, remaining, ok := s.Configuration.Resolve(place.Host, place.Path)
-		if place.Queue != "" {
-			queue, ok = s.Configuration.Queue(place.Queue)
-			remaining = place.ID
+		queue, remaining, ok := s.Configuration.Resolve(address.Host, address.Path)
+		if address.Queue != "" {
+			queue, ok = s.Configuration.Queue(address.Queue)
+			remaining = address.ID
 		}
 		if !ok {
-			err = fault.New(fault.NotFound, "no queue at %s%s%s", place.Host, place.Path, place.Queue)
+			err = fault.New(fault.NotFound, "no queue at %s%s%s", address.Host, address.Path, address.Queue)
 			return
 		}
-		found, rest = *queue, remaining
+		found, id = *queue, remaining
 	})
-	return found, rest, err
+	return found, id, err
 }
 
 // Submit stores a job. It returns once a majority of the disks has it.
--- a/internal/control/search_verdict_test.go
+++ b/internal/control/simulation_checks_test.go
@@ -55,20 +55,20 @@
 	notRunning []int
 	placeable  bool
 	// room is how many of its tasks fit now, twice over or not.
-	room int
+	fitCount int
 }
 
 // verdict watches the calm until all work that can be done has been, and returns what
 // waits for longer than it may.
 func (x *simulation) awaitCompletion() []string {
-	calm := time.Now()
-	work, asks := x.outstanding()
+	start := time.Now()
+	work, asks := x.estimateRemaining()
 	// What ran on lost workers is free for others only when their leases have ended; some
 	// workers are set aside.
 	settled := 2*x.params.lease + predecessorSlack + quarantineFor + stalledRunTimeout
 	drained := settled + work + asks
-	last := calm.Add(2*drained + 30*time.Second)
-	idle := map[workflow.StepKey]time.Time{}
+	deadline := start.Add(2*drained + 30*time.Second)
+	waitingSince := map[workflow.StepKey]time.Time{}
 	x.lines.logf("settled after %v, drained after %v", settled, drained)
 	for {
 		time.Sleep(checkInterval)
@@ -80,17 +80,17 @@
 		if len(left) == 0 {
 			return nil
 		}
-		if time.Now().After(last) {
+		if time.Now().After(deadline) {
 			return x.describe("isn't done long after the calm began:", left)
 		}
-		if found := x.starvedSteps(left, idle, usedMost, calm.Add(drained)); len(found) > 0 {
+		if found := x.starvedSteps(left, waitingSince, usedMost, start.Add(drained)); len(found) > 0 {
 			return x.describe("has room and nothing takes it up:", found)
 		}
 	}
 }
 
 // starvedSteps returns the steps that have had room twice over for too long without a start.
-func (x *simulation) starvedSteps(steps []openStep, idle map[workflow.StepKey]time.Time, usedMost bool, from time.Time) (found []openStep) {
+func (x *simulation) starvedSteps(steps []openStep, waitingSince map[workflow.StepKey]time.Time, usedMost bool, checkFrom time.Time) (found []openStep) {
 	now := time.Now()
 	waiting := map[workflow.StepKey]bool{}
 	for _, s := range steps {
@@ -98,22 +98,22 @@
 		if s.spec.Gang {
 			least *= s.spec.Count
 		}
-		if x.mayWaitForever(s.key.Job) || len(s.notRunning) == 0 || s.room < least || usedMost || now.Before(from) {
+		if x.containsCrashingTask(s.key.Job) || len(s.notRunning) == 0 || s.fitCount < least || usedMost || now.Before(checkFrom) {
 			continue
 		}
 		waiting[s.key] = true
 		x.workers.mu.Lock()
 		started := x.workers.lastStart[s.key]
 		x.workers.mu.Unlock()
-		if since, ok := idle[s.key]; !ok || since.Before(started) {
-			idle[s.key] = now
+		if since, ok := waitingSince[s.key]; !ok || since.Before(started) {
+			waitingSince[s.key] = now
 		} else if now.Sub(since) > x.maxWait(&s) {
 			found = append(found, s)
 		}
 	}
-	for key := range idle {
+	for key := range waitingSince {
 		if !waiting[key] {
-			delete(idle, key)
+			delete(waitingSince, key)
 		}
 	}
 	return found
@@ -132,7 +132,7 @@
 
 // outstanding bounds how long what is open when the calm begins takes: its work on a part
 // of the cores, and its questions.
-func (x *simulation) outstanding() (work, asks time.Duration) {
+func (x *simulation) estimateRemaining() (work, asks time.Duration) {
 	open, _ := x.openSteps()
 	cores := float64(x.params.workers) * float64(x.params.capacity.MilliCPU) * x.params.permittedShare / 4
 	longest := time.Duration(0)
@@ -181,12 +181,12 @@
 	x.workers.mu.Lock()
 	defer x.workers.mu.Unlock()
 	for i := range open {
-		x.workers.measureRoom(&open[i], x.adviser, x.advised(open[i].queue))
+		x.workers.measureRoom(&open[i], x.adviser, x.needsPermit(open[i].queue))
 	}
 	return open, x.workers.mostlyUsed()
 }
 
-func (x *simulation) advised(queue string) bool {
+func (x *simulation) needsPermit(queue string) bool {
 	for i := range x.params.queues {
 		if q := &x.params.queues[i]; q.Identity() == queue {
 			return q.Policy.Advice != nil
@@ -226,7 +226,7 @@
 			bound = s.spec.MaxPerWorker
 		}
 		empty += min(s.spec.Demand().FitCount(w.Capacity), bound)
-		s.room += min(s.spec.Demand().FitCount(w.Capacity.Minus(w.used())), max(bound-placed, 0))
+		s.fitCount += min(s.spec.Demand().FitCount(w.Capacity.Minus(w.used())), max(bound-placed, 0))
 	}
 	s.notRunning = slices.DeleteFunc(s.notRunning, func(index int) bool { return live[index] })
 	if s.spec.Gang && len(live) > 0 {
@@ -257,7 +257,7 @@
 			})
 			t.mu.Unlock()
 		}
-		found = append(found, fmt.Sprintf("%s/ %s unbegun %v, room for %d, %+v, reason %q, runs:live%s", s.key, what, s.notRunning, s.room, s.spec, reason, runs))
+		found = append(found, fmt.Sprintf("%s/ %s unbegun %v, room for %d, %+v, reason %q, runs:live%s", s.key, what, s.notRunning, s.fitCount, s.spec, reason, runs))
 	}
 	return append(found, fmt.Sprintf("%d steps in all", len(steps)))
 }
--- a/internal/control/search_crash_test.go
+++ b/internal/control/simulation_crash_test.go
@@ -117,8 +117,8 @@
 	return false
 }
 
-// mayWaitForever reports whether a job may wait: it has a task that crashes its workers.
-func (x *simulation) mayWaitForever(id string) (held bool) {
+// containsCrashingTask reports whether a job may wait: it has a task that crashes its workers.
+func (x *simulation) containsCrashingTask(id string) (held bool) {
 	x.state.read(func(s *workflow.State) {
 		job := s.Jobs[id]
 		held = job != nil && x.workers.hasCrashingTask(job)
--- a/internal/control/search_disturb_test.go
+++ b/internal/control/simulation_faults_test.go
@@ -14,11 +14,11 @@
 // disturbed lets traffic come in and disturbances happen, and returns what was found
 // meanwhile.
 func (x *simulation) runWithFaults() []string {
-	begun := time.Now()
-	next := begun.Add(randomDuration(x.random, 0, x.params.faultInterval))
-	for time.Since(begun) < x.params.faultPeriod {
+	start := time.Now()
+	next := start.Add(randomDuration(x.random, 0, x.params.faultInterval))
+	for time.Since(start) < x.params.faultPeriod {
 		time.Sleep(simTick)
-		x.submitLoad(time.Since(begun))
+		x.submitLoad(time.Since(start))
 		if time.Now().After(next) {
 			x.injectFault()
 			next = time.Now().Add(randomDuration(x.random, 0, 2*x.params.faultInterval))
@@ -53,9 +53,9 @@
 // disturb makes one fault.
 func (x *simulation) injectFault() {
 	kind := x.random.IntN(15)
-	spell := randomDuration(x.random, 30*time.Millisecond, maxFaultDuration)
-	until := time.Now().Add(spell)
-	x.lines.logf("disturbance %d for %v", kind, spell)
+	duration := randomDuration(x.random, 30*time.Millisecond, maxFaultDuration)
+	until := time.Now().Add(duration)
+	x.lines.logf("disturbance %d for %v", kind, duration)
 	switch kind {
 	case 0, 1:
 		x.crashOne()
--- a/internal/control/search_look_test.go
+++ b/internal/control/simulation_poll_test.go
@@ -76,19 +76,19 @@
 	for task, run := range w.running {
 		percent := 0
 		if !run.gang || r.completeGangs[gangRun{task.StepKey, run.number}] {
-			percent = int(min(99, 100*now.Sub(run.begun)/max(run.duration, 1)))
+			percent = int(min(99, 100*now.Sub(run.startedAt)/max(run.duration, 1)))
 		}
 		report.Running = append(report.Running, Running{Task: task, Number: run.number, Percent: percent})
 	}
-	most := maxEndsPerReport
+	limit := maxEndsPerReport
 	if !r.faultsOver && now.Before(w.partialReportsUntil) {
-		most, report.Partial = 1, true
+		limit, report.Partial = 1, true
 	}
 	for _, e := range w.ended {
 		if e.Position <= seen {
 			continue
 		}
-		if len(report.Ended) == most {
+		if len(report.Ended) == limit {
 			report.Partial = true
 			break
 		}
@@ -131,7 +131,7 @@
 				case now.After(w.leaseEnd):
 					r.finish(w, task, workflow.OutcomeLeaseExpired)
 				case !r.gangComplete(task, run, present, now):
-				case now.Sub(run.begun) < run.duration:
+				case now.Sub(run.startedAt) < run.duration:
 				case run.fails:
 					r.finish(w, task, workflow.OutcomeFailed)
 				default:
@@ -167,7 +167,7 @@
 		return true
 	}
 	if present[gang] < run.step.Count {
-		run.begun = now
+		run.startedAt = now
 		return false
 	}
 	r.completeGangs[gang] = true
--- a/internal/control/search_log_test.go
+++ b/internal/control/simulation_replica_test.go
@@ -26,9 +26,9 @@
 	// the leader leads, fullUntil until when too many calls wait.
 	slowUntil, heldUntil, fullUntil time.Time
 	// open are the commands whose fate was open when their leader lost the leadership.
-	open [][]byte
+	unknownOutcome [][]byte
 	// refused counts what the log refused, opened what it left open.
-	refused, leftOpen int
+	refused, unknownOutcomes int
 }
 
 // commitAt is when a command that is proposed now is committed.
@@ -45,17 +45,17 @@
 	return at
 }
 
-// settleOpen lets half of the commands whose fate is open be committed.
-func (s *simStore) settleOpen() {
+// resolveUnknownOutcomes lets half of the commands whose fate is open be committed.
+func (s *simStore) resolveUnknownOutcomes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, data := range s.open {
+	for _, data := range s.unknownOutcome {
 		if oneIn(s.random, 2) {
 			s.index++
 			s.state.Apply(s.index, data)
 		}
 	}
-	s.open = nil
+	s.unknownOutcome = nil
 }
 
 // simReplica is the log of one leader.
@@ -66,7 +66,7 @@
 	lost chan struct{}
 }
 
-func (l *simReplica) over() bool {
+func (l *simReplica) leadershipLost() bool {
 	select {
 	case <-l.lost:
 		return true
@@ -82,7 +82,7 @@
 // refusal is why nothing may be proposed now. The store's lock is held.
 func (l *simReplica) refusal(now time.Time) error {
 	switch {
-	case l.over():
+	case l.leadershipLost():
 		return notProposed(node.ErrNotLeader)
 	case now.Before(l.store.fullUntil):
 		l.store.refused++
@@ -116,9 +116,9 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l.over() || ctx.Err() != nil {
-		s.open = append(s.open, data)
-		s.leftOpen++
+	if l.leadershipLost() || ctx.Err() != nil {
+		s.unknownOutcome = append(s.unknownOutcome, data)
+		s.unknownOutcomes++
 		return nil, errors.Mark(fault.New(fault.Unavailable, "the fate of the command is open"), node.ErrFateOpen)
 	}
 	s.index++
@@ -134,14 +134,14 @@
 		return err
 	}
 	wait.For(ctx, max(held, 0)+time.Millisecond)
-	if l.over() {
+	if l.leadershipLost() {
 		return notProposed(node.ErrNotLeader)
 	}
 	return ctx.Err()
 }
 
 func (l *simReplica) Status() replica.Status {
-	if l.over() {
+	if l.leadershipLost() {
 		return replica.Status{Role: replica.Follower, Term: l.term + 1}
 	}
 	l.store.mu.Lock()
@@ -150,7 +150,7 @@
 }
 
 func (l *simReplica) Changed() <-chan struct{} {
-	if l.over() {
+	if l.leadershipLost() {
 		return make(chan struct{})
 	}
 	return l.lost
--- a/internal/control/search_test.go
+++ b/internal/control/simulation_test.go
@@ -17,17 +17,17 @@
 
 // search is one seeded run.
 type simulation struct {
-	t       *testing.T
-	seed    uint64
-	params  *simParams
-	random  *rand.Rand
-	state   *StateMachine
-	store   *simStore
-	workers *simWorkers
-	adviser *simAdviser
-	lines   *simLog
-	begun   time.Time
-	jobs    int
+	t         *testing.T
+	seed      uint64
+	params    *simParams
+	random    *rand.Rand
+	state     *StateMachine
+	store     *simStore
+	workers   *simWorkers
+	adviser   *simAdviser
+	lines     *simLog
+	startedAt time.Time
+	jobs      int
 	// work and asks are what traffic may bring of each by now.
 	workBudget, adviserBudget float64
 	// behind is the most steps that a decision didn't go into.
@@ -46,7 +46,7 @@
 	random := rand.New(rand.NewPCG(seed, 3))
 	x := &simulation{
 		t: t, seed: seed, params: drawParams(random), random: random, state: NewStateMachine(), lines: &simLog{},
-		begun: time.Now(), steps: map[string][]workflow.Step{},
+		startedAt: time.Now(), steps: map[string][]workflow.Step{},
 	}
 	x.store = &simStore{random: rand.New(rand.NewPCG(seed, 4)), state: x.state}
 	x.workers = &simWorkers{
@@ -95,7 +95,7 @@
 
 // lead lets a new leader begin.
 func (x *simulation) startLeader() {
-	x.store.settleOpen()
+	x.store.resolveUnknownOutcomes()
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.term++
@@ -252,11 +252,11 @@
 //
 // BILBERRY_SEEDS names how many seeds are run, BILBERRY_SEED the first.
 func TestSimulationStartsAllPlaceableWork(t *testing.T) {
-	few := 6
+	defaultSeeds := 6
 	if testing.Short() {
-		few = 2
+		defaultSeeds = 2
 	}
-	seeds, first := envNumber("BILBERRY_SEEDS", few), envNumber("BILBERRY_SEED", 1)
+	seeds, first := envNumber("BILBERRY_SEEDS", defaultSeeds), envNumber("BILBERRY_SEED", 1)
 	for seed := first; seed < first+seeds; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
@@ -280,7 +280,7 @@
 	crashers, others := x.countGivenUp()
 	x.t.Logf("crashers %.4f, shrinks %t, same names %t; given up %d crashers, %d others; workers %d, lanes %d, share %.2f, lease %v, load %.2f, burst %.2f, hopeless %d, refused %d, faults %+v; jobs %d, starts %d, questions %d, leaders %d, most behind %d, log refused %d, left open %d, virtual %v",
 		d.crashingTaskChance, d.shrinks, d.sameNames, crashers, others, d.workers, d.adviserConns, d.permittedShare, d.lease, d.load, d.burst, d.unplaceable, d.refused, d.faults, x.jobs, x.workers.starts, x.adviser.asked, x.term, x.maxBacklog,
-		x.store.refused, x.store.leftOpen, time.Since(x.begun).Round(time.Millisecond))
+		x.store.refused, x.store.unknownOutcomes, time.Since(x.startedAt).Round(time.Millisecond))
 }
 
 // jobsNamedIn returns the jobs that findings name.
--- a/internal/control/search_worker_test.go
+++ b/internal/control/simulation_worker_test.go
@@ -37,12 +37,12 @@
 }
 
 type simRun struct {
-	number   int
-	step     *workflow.Step
-	begun    time.Time
-	duration time.Duration
-	fails    bool
-	gang     bool
+	number    int
+	step      *workflow.Step
+	startedAt time.Time
+	duration  time.Duration
+	fails     bool
+	gang      bool
 }
 
 // simWorkers are all workers, with the ledger of what must never be seen.
@@ -116,20 +116,20 @@
 func (w *simWorker) reachable(now time.Time) bool { return !w.gone && !now.Before(w.cutOffUntil) }
 
 // fate is what becomes of a call.
-type callFate struct {
+type callOutcome struct {
 	requestDelay, replyDelay time.Duration
 	// lost ones never arrive, late ones do after their caller has given up.
 	lost, unanswered, misdirected bool
 	late                          time.Duration
 }
 
-// drawFate draws the fate of a call; r.mu is held.
-func (r *simWorkers) drawFate(kind string, w *simWorker, run workflow.Run) callFate {
+// drawCallOutcome draws the fate of a call; r.mu is held.
+func (r *simWorkers) drawCallOutcome(kind string, w *simWorker, run workflow.Run) callOutcome {
 	key := fmt.Sprint(kind, w.ID, run)
 	r.calls[key]++
 	n := r.calls[key]
 	draw := func(what string) float64 { return seededFloat(r.seed, what, key, n) }
-	f := callFate{requestDelay: time.Duration((0.3 + draw("way")) * float64(time.Millisecond)), replyDelay: time.Duration((0.3 + draw("back")) * float64(time.Millisecond))}
+	f := callOutcome{requestDelay: time.Duration((0.3 + draw("way")) * float64(time.Millisecond)), replyDelay: time.Duration((0.3 + draw("back")) * float64(time.Millisecond))}
 	if r.faultsOver {
 		return f
 	}
@@ -153,7 +153,7 @@
 }
 
 // deliver carries an order out as its fate has it.
-func (r *simWorkers) deliver(ctx context.Context, kind string, to Target, run workflow.Run, carryOut func(*simWorker) error) (int64, error) {
+func (r *simWorkers) deliver(ctx context.Context, kind string, to Target, run workflow.Run, apply func(*simWorker) error) (int64, error) {
 	w, f, err := r.reach(ctx, kind, to, run)
 	if err != nil {
 		return 0, err
@@ -167,7 +167,7 @@
 				w = r.current[to.Address]
 			}
 			if w != nil && !w.gone {
-				_ = carryOut(w)
+				_ = apply(w)
 			}
 		})
 		<-ctx.Done()
@@ -177,7 +177,7 @@
 	// It may have crashed while the call was on its way.
 	gone := w.gone
 	if !gone {
-		err = carryOut(w)
+		err = apply(w)
 	}
 	clock := w.clockMS(time.Now())
 	r.mu.Unlock()
@@ -191,15 +191,15 @@
 }
 
 // reach finds the worker that a call arrives at.
-func (r *simWorkers) reach(ctx context.Context, kind string, to Target, run workflow.Run) (*simWorker, callFate, error) {
+func (r *simWorkers) reach(ctx context.Context, kind string, to Target, run workflow.Run) (*simWorker, callOutcome, error) {
 	r.mu.Lock()
 	w := r.current[to.Address]
 	if w == nil || !w.reachable(time.Now()) {
 		r.mu.Unlock()
 		<-ctx.Done()
-		return nil, callFate{}, errNoAnswer
+		return nil, callOutcome{}, errNoAnswer
 	}
-	f := r.drawFate(kind, w, run)
+	f := r.drawCallOutcome(kind, w, run)
 	if f.misdirected {
 		r.allowedClaims[claimKey(run)] = true
 	}
@@ -263,7 +263,7 @@
 	drawn := outcomeKey(run.Task, *step)
 	takes := (0.5 + seededFloat(r.seed, "takes", drawn, run.Number)) * float64(step.EstimateMS)
 	return &simRun{
-		number: run.Number, step: step, begun: now, gang: step.Gang,
+		number: run.Number, step: step, startedAt: now, gang: step.Gang,
 		duration: time.Duration(takes * float64(time.Millisecond)),
 		fails:    !r.faultsOver && seededFloat(r.seed, "fails", drawn, run.Number) < r.params.faults.failed,
 	}
--- a/internal/control/suspect.go
+++ b/internal/control/suspect.go
@@ -18,18 +18,18 @@
 // swallows a task before its own answer is overdue. Those tasks are blocked
 // until the leases end.
 func (t *leaderTerm) suspectedDataCentres(now time.Time) map[string]bool {
-	suspects := map[string]bool{}
+	suspected := map[string]bool{}
 	silent := t.silentDataCentres(now)
 	if t.disabled.Suspicion || len(silent) == 0 {
-		return suspects
+		return suspected
 	}
 	for _, s := range t.sessions {
 		dataCentre := s.worker.DataCentre
 		if silent[dataCentre] && s.ready && s.hasOverdueOrder(now) {
-			suspects[dataCentre] = true
+			suspected[dataCentre] = true
 		}
 	}
-	return suspects
+	return suspected
 }
 
 // silentDataCentres returns those of which no worker has answered lately. A worker that
@@ -50,8 +50,8 @@
 
 // updateSuspected logs which data centres the leader begins or ends to take for cut
 // off. t.mu is held.
-func (t *leaderTerm) updateSuspected(suspects map[string]bool, now time.Time) {
-	for dataCentre := range suspects {
+func (t *leaderTerm) updateSuspected(suspected map[string]bool, now time.Time) {
+	for dataCentre := range suspected {
 		if t.dataCentreSuspectedAt[dataCentre].IsZero() {
 			t.logger.Log("event", "data_centre_contact", "data_centre", dataCentre, "outcome", "lost",
 				"silent_ms", now.Sub(t.dataCentreAnsweredAt[dataCentre]).Milliseconds())
--- a/internal/control/suspect_test.go
+++ b/internal/control/suspect_test.go
@@ -17,33 +17,33 @@
 // Cause: each worker was judged by its own answers alone.
 func TestSilentDataCentreIsSuspected(t *testing.T) {
 	now := time.Now()
-	ten := &leaderTerm{sessions: map[string]*workerSession{}, dataCentreAnsweredAt: map[string]time.Time{}}
+	term := &leaderTerm{sessions: map[string]*workerSession{}, dataCentreAnsweredAt: map[string]time.Time{}}
 	add := func(id, dataCentre string) *workerSession {
-		s := &workerSession{t: ten, ready: true, answeredAt: now, orders: map[workflow.TaskKey]*runOrder{}}
+		s := &workerSession{t: term, ready: true, answeredAt: now, orders: map[workflow.TaskKey]*runOrder{}}
 		s.worker = workflow.Worker{ID: id, DataCentre: dataCentre}
-		ten.sessions[id] = s
+		term.sessions[id] = s
 		return s
 	}
 	add("a1", "a").orders[task("j", 0)] = &runOrder{sentAt: now.Add(-2 * minOverdueTime)}
 	add("a2", "a")
 	add("b1", "b").orders[task("k", 0)] = &runOrder{unanswered: true}
 	add("c1", "c")
-	ten.dataCentreAnsweredAt["a"] = now.Add(-2 * dataCentreSilenceTimeout)
-	ten.dataCentreAnsweredAt["b"] = now.Add(-dataCentreSilenceTimeout / 2)
-	ten.dataCentreAnsweredAt["c"] = now.Add(-2 * dataCentreSilenceTimeout)
-	must.Eq(t, map[string]bool{"a": true}, ten.suspectedDataCentres(now))
+	term.dataCentreAnsweredAt["a"] = now.Add(-2 * dataCentreSilenceTimeout)
+	term.dataCentreAnsweredAt["b"] = now.Add(-dataCentreSilenceTimeout / 2)
+	term.dataCentreAnsweredAt["c"] = now.Add(-2 * dataCentreSilenceTimeout)
+	must.Eq(t, map[string]bool{"a": true}, term.suspectedDataCentres(now))
 }
 
 func TestDataCentreContactIsLoggedOncePerChange(t *testing.T) {
 	var lines bytes.Buffer
 	now := time.Now()
-	ten := &leaderTerm{dataCentreSuspectedAt: map[string]time.Time{}, dataCentreAnsweredAt: map[string]time.Time{"a": now}, logger: log.NewLogfmtLogger(&lines)}
-	cut := map[string]bool{"a": true}
+	term := &leaderTerm{dataCentreSuspectedAt: map[string]time.Time{}, dataCentreAnsweredAt: map[string]time.Time{"a": now}, logger: log.NewLogfmtLogger(&lines)}
+	unreachable := map[string]bool{"a": true}
 	for _, step := range []struct {
 		at       time.Duration
 		suspects map[string]bool
-	}{{0, cut}, {200 * time.Millisecond, nil}, {400 * time.Millisecond, cut}, {time.Second, nil}, {3 * time.Second, nil}, {4 * time.Second, nil}} {
-		ten.updateSuspected(step.suspects, now.Add(step.at))
+	}{{0, unreachable}, {200 * time.Millisecond, nil}, {400 * time.Millisecond, unreachable}, {time.Second, nil}, {3 * time.Second, nil}, {4 * time.Second, nil}} {
+		term.updateSuspected(step.suspects, now.Add(step.at))
 	}
 	must.Eq(t, "event=data_centre_contact data_centre=a outcome=lost silent_ms=0\n"+
 		"event=data_centre_contact data_centre=a outcome=regained silent_ms=3000\n", lines.String())
--- a/internal/control/waiting.go
+++ b/internal/control/waiting.go
@@ -55,14 +55,14 @@
 	w.reason, w.reasonAt = reason, now
 }
 
-func (w *waitingStep) addWait(reason dispatch.Reason, took time.Duration) {
+func (w *waitingStep) addWait(reason dispatch.Reason, duration time.Duration) {
 	for i := range w.earlierWaits {
 		if w.earlierWaits[i].reason == reason {
-			w.earlierWaits[i].duration += took
+			w.earlierWaits[i].duration += duration
 			return
 		}
 	}
-	w.earlierWaits = append(w.earlierWaits, waitPeriod{reason, took})
+	w.earlierWaits = append(w.earlierWaits, waitPeriod{reason, duration})
 }
 
 // restart takes in that a task of the step has started while others wait on.
@@ -90,14 +90,14 @@
 func (t *leaderTerm) updateWaiting(plan *dispatch.Plan, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	before := t.waiting
+	previous := t.waiting
 	t.stepsBeyondBound = plan.BeyondBound
-	if plan.BeyondBound == 0 || before == nil {
+	if plan.BeyondBound == 0 || previous == nil {
 		t.waiting = make(map[workflow.StepKey]*waitingStep, len(plan.Waiting))
 	}
 	for i := range plan.Waiting {
 		w := &plan.Waiting[i]
-		known := before[w.Step]
+		known := previous[w.Step]
 		if known == nil {
 			known = newWaitingStep(w.Reason, now)
 		}
