--- a/internal/control/admit.go
+++ b/internal/control/admit.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// maxQueuedSteps is how many steps may be queued when a further job is accepted: as
-	// many as eight decisions go into, and more than bursts of twice the usual load bring.
+	// maxQueuedSteps is the number of queued steps from which on new jobs are refused:
+	// eight times the bound of one decision. Bursts of twice the usual load stay below it.
 	maxQueuedSteps = 8 * maxPlannedSteps
-	// queueFullRetryAfter is when a caller is told to come back that was refused for the
-	// queue's sake: late enough for the queue to be drained, soon enough for a caller
-	// that waits for 3 s in all.
+	// queueFullRetryAfter is the retry delay sent with a refusal because of a full queue.
+	// It is long enough for the queue to drain and short enough for a caller whose total
+	// timeout is 3 s.
 	queueFullRetryAfter = 2 * time.Second
 )
 
-// setQueueLength takes in how many steps a decision found.
+// setQueueLength records how many steps the last decision found queued, speculative copies
+// excluded.
 func (t *leaderTerm) setQueueLength(v *planInput) {
 	queued := 0
 	for i := range v.steps {
@@ -30,7 +31,8 @@
 	t.incompleteSteps = queued
 }
 
-// beginSubmission notes that a job is being committed, until done is called.
+// beginSubmission records that a job is being committed until the returned function is
+// called.
 func (t *leaderTerm) beginSubmission(job string) (done func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -45,17 +47,17 @@
 	}
 }
 
-// admit refuses a new job while the queue is longer than decisions can go through.
-// A job that is known already, or that is being committed, is never refused.
+// admit returns an Overloaded fault for a new job while the queue is full. It never
+// refuses a job that is already committed or whose commit is in flight.
 //
-// Failure guarded against: a caller's first call is slow, and it calls again at
-// another entry while the first one's commit is under way. Told that the job was
-// refused, it takes it for one that never runs, and it runs.
+// Failure guarded against: a caller's first call is slow, so the caller repeats it through
+// another entry point while the commit of the first call is in flight. If the second call
+// were refused, the caller would conclude that the job never runs, although it does.
 //
-// Load that it answers: more jobs than the leader can place, after an outage or in
-// a burst. Each job that is accepted then makes decisions longer and all others
-// later, and with 8500 queued steps nothing was served for the rest of the day. A
-// caller that is refused knows at once and may come back.
+// Reason for the bound: after an outage or in a burst more jobs arrive than the leader can
+// place. Each accepted job makes decisions longer and delays all other jobs; with 8500
+// queued steps no job was served for the rest of the day. A refused caller knows at once
+// and can retry.
 func (t *leaderTerm) admit(id string) error {
 	t.mu.Lock()
 	queued, beingCommitted := t.incompleteSteps, t.pendingSubmits[id] > 0
@@ -63,7 +65,7 @@
 	if queued < maxQueuedSteps || beingCommitted {
 		return nil
 	}
-	// What was being committed a moment ago is known by now.
+	// A commit that was in flight at the check above may have finished since.
 	known := false
 	t.c.state.read(func(s *workflow.State) { known = s.Jobs[id] != nil })
 	if known {
--- a/internal/control/admit_test.go
+++ b/internal/control/admit_test.go
@@ -10,10 +10,9 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// What a user sees: after an outage nothing is served for the rest of the day.
-// Order: thousands of steps are queued; each further job makes decisions longer; what
-// is accepted can't be in time any more.
-// Cause: every job was accepted, however long the queue.
+// Guards against accepting every job however long the queue is: after an outage thousands
+// of steps are queued, each further job makes decisions longer, and no job can be in time
+// for the rest of the day.
 func TestAdmitRefusesNewJobWhenQueueIsFull(t *testing.T) {
 	term := loadedTerm(t, benchmarkLoad{workers: 1})
 	_, err := term.propose(submission("a"))
@@ -22,16 +21,15 @@
 	refused := term.admit("b")
 	must.Eq(t, fault.Overloaded, fault.KindOf(refused))
 	must.Eq(t, queueFullRetryAfter, fault.From(refused).RetryAfter)
-	must.NoError(t, term.admit("a"), must.Sprint("a known job is answered as such"))
+	must.NoError(t, term.admit("a"), must.Sprint("a known job is never refused"))
 	term.c.state.read(func(s *workflow.State) { must.MapNotContainsKey(t, s.Jobs, "b") })
 	term.decide()
-	must.NoError(t, term.admit("b"), must.Sprint("the next decision finds the queue short"))
+	must.NoError(t, term.admit("b"), must.Sprint("the next decision finds a short queue"))
 }
 
-// What a user sees: a job runs that it was told had been refused.
-// Order: a call's commit takes long; the caller calls again, at another entry; the
-// queue has become too long meanwhile; the first commit succeeds.
-// Cause: only jobs that were committed counted as known.
+// Guards against running a job whose caller was told that it was refused: the commit of
+// the first call is slow, the caller repeats the call through another entry point, and the
+// queue has filled up meanwhile. The job must count as known from the start of its commit.
 func TestAdmitAcceptsJobWhoseCommitIsInFlight(t *testing.T) {
 	w := newTestCluster(t, nil)
 	term, err := w.c.currentLeaderTerm(context.Background())
--- a/internal/control/adviser_pool.go
+++ b/internal/control/adviser_pool.go
@@ -12,42 +12,45 @@
 )
 
 const (
-	// instanceAnnounceInterval is the time between two announcements of an instance. From announceScaleInstances
-	// instances on it grows with their number, up to maxInstanceAnnounceInterval: many that announce
-	// themselves often would be a large part of the calls that their leader serves.
+	// instanceAnnounceInterval is the time between two announcements of an instance to the
+	// leader. From announceScaleInstances instances on it grows in proportion to their
+	// number, up to maxInstanceAnnounceInterval: frequent announcements of many instances
+	// would be a large part of the calls that the leader serves.
 	instanceAnnounceInterval    = 300 * time.Millisecond
 	announceScaleInstances      = 16
 	maxInstanceAnnounceInterval = 600 * time.Millisecond
-	// maxMissedAnnouncements is how many announcements an instance may miss before it is
-	// asked no more to put questions.
+	// maxMissedAnnouncements is how many announcements an instance may miss before queries
+	// are no longer sent through it.
 	maxMissedAnnouncements = 3
-	// adviserConnBackoff is how long a lane is left alone after a question without an answer.
+	// adviserConnBackoff is how long a connection stays unused after a failed query.
 	adviserConnBackoff = time.Second
-	// longQuery is the length from which on a question leaves some lanes to short ones,
-	// so that none of these waits behind it.
+	// longQuery is the duration above which a query is long. Long queries leave some
+	// connections to short ones to prevent head-of-line blocking.
 	longQuery = 150 * time.Millisecond
-	// shortLoadWindow is the time over which short questions are counted for that, and
-	// shortLoadDeviations how many lanes more they get than they keep busy on average, in
-	// multiples of the square root: that of a random arrival's spread, twice.
+	// shortLoadWindow is the time constant of the decaying mean load of short queries.
+	// shortLoadDeviations is how many standard deviations above that mean are reserved;
+	// the standard deviation of random arrivals is the square root of their mean.
 	shortLoadWindow     = 3 * time.Second
 	shortLoadDeviations = 2
-	// maxInFlightPerConn bounds the questions under way on one lane.
+	// maxInFlightPerConn bounds the queries in flight on one connection.
 	maxInFlightPerConn = 3
 )
 
-// lane is one instance that puts questions to the adviser, which serves the
-// questions of one machine one after the other.
+// adviserConn is an instance through which queries reach the adviser. The adviser serves
+// the queries of one instance one after the other.
 type adviserConn struct {
-	address       string
+	address string
+	// lastAnnounced is the last announcement of the instance.
 	lastAnnounced time.Time
-	// backoffUntil keeps a lane unused that failed.
+	// backoffUntil is when the connection may be used again after a failed query.
 	backoffUntil time.Time
-	// busyUntil is when the questions under way will have been answered.
+	// busyUntil is when the queries in flight are expected to be answered.
 	busyUntil time.Time
 	inFlight  int
 }
 
-// lanes spreads questions over the instances.
+// adviserPool distributes queries over the instances. ownAddress is the leader's own,
+// which is always usable.
 type adviserPool struct {
 	ownAddress string
 	adviser    Adviser
@@ -55,8 +58,8 @@
 
 	mu    sync.Mutex
 	conns map[string]*adviserConn
-	// shortLoad is how many lanes short questions have kept busy of late, as it was at
-	// shortAt.
+	// shortLoad is the decaying mean number of connections kept busy by short queries, as
+	// of shortAt.
 	shortLoad float64
 	shortAt   time.Time
 }
@@ -65,7 +68,7 @@
 	return &adviserPool{ownAddress: own, adviser: adviser, client: client, conns: map[string]*adviserConn{own: {address: own}}}
 }
 
-// pause is the time between two announcements of an instance.
+// announceInterval returns the time between two announcements of an instance.
 func (l *adviserPool) announceInterval() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,7 +79,7 @@
 	return min(max(instanceAnnounceInterval, instanceAnnounceInterval*time.Duration(instances)/announceScaleInstances), maxInstanceAnnounceInterval)
 }
 
-// note takes in that an instance is there.
+// recordAnnouncement records that an instance is reachable.
 func (l *adviserPool) recordAnnouncement(address string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,7 +91,8 @@
 	known.lastAnnounced = now
 }
 
-// present returns the lanes that can be reached, in a fixed order. l.mu is held.
+// reachable returns the connections that are announced and not backing off, ordered by
+// address. l.mu must be held.
 func (l *adviserPool) reachable(now time.Time) []*adviserConn {
 	var usable []*adviserConn
 	maxAge := maxMissedAnnouncements * l.announceIntervalFor(len(l.conns))
@@ -102,10 +106,10 @@
 	return usable
 }
 
-// full reports whether no further question may be put on the lane.
+// full reports whether the connection has the maximum number of queries in flight.
 func (l *adviserConn) full() bool { return l.inFlight >= maxInFlightPerConn }
 
-// free returns how many questions may be put now, and how many of them may be long.
+// available returns how many queries may be sent now, and how many of them may be long.
 func (l *adviserPool) available(now time.Time) (all, long int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -123,31 +127,32 @@
 	return all, long
 }
 
-// recordShortQuery takes in that a short question is put. l.mu is held.
+// recordShortQuery adds a short query to the load. l.mu must be held.
 func (l *adviserPool) recordShortQuery(now time.Time, duration time.Duration) {
 	l.shortLoad = l.shortLoadAt(now) + duration.Seconds()/shortLoadWindow.Seconds()
 	l.shortAt = now
 }
 
-// shortLoadAt returns how many lanes short questions keep busy. l.mu is held.
+// shortLoadAt returns how many connections short queries keep busy on average. l.mu must
+// be held.
 func (l *adviserPool) shortLoadAt(now time.Time) float64 {
 	return l.shortLoad * math.Exp(-now.Sub(l.shortAt).Seconds()/shortLoadWindow.Seconds())
 }
 
-// reservedForShort returns how many of n lanes long questions leave to short ones: as many as
-// these have needed of late, half at the most. l.mu is held.
+// reservedForShort returns how many of n connections long queries leave to short ones: as
+// many as the recent load needs, at most half. l.mu must be held.
 //
-// Load that it answers: large gangs, whose questions take over a second, and a hundred
-// urgent jobs a second, whose questions take some milliseconds and keep a few lanes busy.
-// With half of the lanes left to these the gangs' questions wait for each other; with
-// none, urgent jobs wait behind them at a higher load.
+// Reason: with large gangs, whose queries take over a second, and a hundred urgent jobs a
+// second, whose queries take some milliseconds, the short queries keep only a few
+// connections busy. If half of the connections are reserved, the queries of the gangs wait
+// for each other. If none is, urgent jobs wait behind them under high load.
 func (l *adviserPool) reservedForShort(now time.Time, n int) int {
 	load := l.shortLoadAt(now)
 	return min(int(math.Ceil(load+shortLoadDeviations*math.Sqrt(load)))+1, n/2)
 }
 
-// freeAt is when a question that is put now is begun. Idle lanes are equal, so that
-// short questions keep to the first ones.
+// freeAt returns when a query that is sent now would be served. All idle connections
+// return now, so that short queries prefer the first ones, which are reserved for them.
 func (l *adviserConn) freeAt(now time.Time) time.Time {
 	if l.busyUntil.Before(now) {
 		return now
@@ -155,8 +160,9 @@
 	return l.busyUntil
 }
 
-// take picks the lane that will be free first, and returns when the question will
-// have been answered there. Short questions prefer the lanes that long ones leave.
+// acquire picks the connection that is free first, and returns it with the expected time
+// of the answer. Short queries prefer the connections that are reserved for them. It
+// returns nil when no connection is available.
 func (l *adviserPool) acquire(now time.Time, duration time.Duration) (*adviserConn, time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -176,6 +182,7 @@
 	return chosen, chosen.busyUntil
 }
 
+// release records that a query has been answered or has failed.
 func (l *adviserPool) release(conn *adviserConn, now time.Time, failed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -188,6 +195,8 @@
 	}
 }
 
+// send sends a query to the adviser, through another instance unless the connection is the
+// leader's own.
 func (l *adviserPool) send(ctx context.Context, conn *adviserConn, call AskCall) (AskReply, error) {
 	if conn.address == l.ownAddress {
 		return l.adviser.Ask(ctx, call)
@@ -197,7 +206,8 @@
 	return reply, err
 }
 
-// queryDuration is how long the adviser takes to answer.
+// queryDuration returns how long the adviser takes to answer a query about a number of
+// workers.
 func queryDuration(policy *workflow.AdvicePolicy, workers int) time.Duration {
 	return time.Duration((policy.BaseMS + policy.PerWorkerMS*float64(workers)) * float64(time.Millisecond))
 }
--- a/internal/control/adviser_pool_test.go
+++ b/internal/control/adviser_pool_test.go
@@ -8,7 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// newTestAdviserPool returns n lanes, the own one among them, at the time now.
+// newTestAdviserPool returns a pool of n connections, the own one included, all announced
+// at the time now.
 func newTestAdviserPool(n int, now time.Time) *adviserPool {
 	l := newAdviserPool("own", nil, nil)
 	for i := 1; i < n; i++ {
@@ -17,8 +18,8 @@
 	return l
 }
 
-// acquireLong puts long questions on all lanes that they may use, one each, and returns
-// how many that were.
+// acquireLong acquires every connection that long queries may use, and returns their
+// number.
 func acquireLong(l *adviserPool, now time.Time) int {
 	used := map[string]bool{}
 	for {
@@ -30,8 +31,8 @@
 	}
 }
 
-// A user's gang waits for its permits though half of the instances that could ask for
-// them are idle: these were left to short questions, of which there were few.
+// Guards against delaying the queries of gangs while half of the connections are idle
+// because they are reserved for short queries, of which there are few.
 func TestLongRequestsLeaveConnsForShortOnes(t *testing.T) {
 	start := time.Now()
 	must.Eq(t, 43, acquireLong(newTestAdviserPool(44, start), start))
@@ -54,7 +55,8 @@
 	}
 }
 
-// An urgent job is late though lanes are idle: its question waits behind a gang's.
+// Guards against head-of-line blocking: the query of an urgent job must not wait behind
+// one of a gang while other connections are idle.
 func TestShortRequestsUseReservedConns(t *testing.T) {
 	now := time.Now()
 	l := newTestAdviserPool(8, now)
--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -14,16 +14,17 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// forwardInterval is how often a heartbeat that says nothing new goes on to the leader,
-// which would give a worker up after silentWorkerTimeout.
+// forwardInterval is the time between two unchanged heartbeats of a worker that a follower
+// forwards to the leader. The leader stops monitoring a worker after silentWorkerTimeout
+// without a heartbeat.
 const forwardInterval = 3 * time.Second
 
-// AnnounceKnown takes in a heartbeat on an instance that doesn't lead, and reports
-// whether that will do: the log has the worker as it announces itself, and a
-// leader is known.
+// AnnounceKnown handles a heartbeat on a follower, and reports whether the follower may
+// acknowledge it: the log has the worker as announced, and a leader is known. Otherwise
+// the heartbeat has to be forwarded to the leader.
 //
-// Load that it answers: hundreds of workers send a heartbeat each every second, and
-// hardly any of them says anything new.
+// Reason: hundreds of workers send a heartbeat every second, and almost none of them
+// contains anything new.
 func (c *Controller) AnnounceKnown(r *Announcement) (AnnouncementReply, bool) {
 	r.Worker.Sequence = r.Sequence
 	if c.heartbeats != nil || r.Worker.Draining || c.needsCommit(&r.Worker) {
@@ -40,15 +41,15 @@
 	return AnnouncementReply{HeartbeatAddress: c.cfg.Public}, true
 }
 
-// forwardedHeartbeats is when heartbeats of each worker last went on to a leader that doesn't ask
-// for them.
+// forwardedHeartbeats records when a heartbeat of each worker was last forwarded to a
+// leader that doesn't collect buffered ones.
 type forwardedHeartbeats struct {
 	mu    sync.Mutex
 	times forwardTimes
 }
 
-// recently reports whether a heartbeat of the worker went on lately; else this one
-// is noted as doing so.
+// recentlyForwarded reports whether a heartbeat of the worker was forwarded within
+// forwardInterval. Otherwise it records that this one is forwarded now.
 func (p *forwardedHeartbeats) recentlyForwarded(worker string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,8 +60,8 @@
 	return false
 }
 
-// heartbeatAddress is where a worker sends its next heartbeats: to the leader where
-// it gets its orders with the answers, else to any other instance.
+// heartbeatAddress returns the address for a worker's next heartbeats: the leader's if
+// orders are delivered with its answers, else that of another instance.
 func (c *Controller) heartbeatAddress(worker string) string {
 	if c.heartbeats != nil {
 		return c.cfg.Public
@@ -80,8 +81,8 @@
 	return net.JoinHostPort(member, port)
 }
 
-// Announce takes in a worker's heartbeat. One that says something new is
-// acknowledged only once that is committed, so that the next leader knows it.
+// Announce handles a worker's heartbeat on the leader. It acknowledges a heartbeat with
+// new content only after committing it, so that the next leader knows it too.
 func (c *Controller) Announce(ctx context.Context, r *Announcement) (AnnouncementReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -106,10 +107,9 @@
 	return reply, nil
 }
 
-// news reports whether the log doesn't have the worker as it announces itself.
-// An incarnation that is over stays over, and one that drains doesn't come back:
-// such a heartbeat was delayed on its way, as was one with a lower sequence, or of a life
-// before the latest one.
+// needsCommit reports whether a heartbeat differs from what the log has about the worker.
+// It ignores delayed heartbeats: those of an incarnation that is gone, draining or
+// superseded, and those with a lower sequence number.
 func (c *Controller) needsCommit(w *workflow.Worker) (isNew bool) {
 	c.state.read(func(s *workflow.State) {
 		known := s.Workers[w.ID]
@@ -125,8 +125,8 @@
 	return isNew
 }
 
-// Leave takes note that an incarnation says that it ends. It counts as ended once
-// a look shows it.
+// Leave handles the announcement of an incarnation that it ends. The incarnation counts as
+// ended only once a poll confirms it.
 func (c *Controller) Leave(ctx context.Context, r *LeaveCall) (Empty, error) {
 	t, err := c.currentLeaderTerm(ctx)
 	if err != nil {
--- a/internal/control/chaos_test.go
+++ b/internal/control/chaos_test.go
@@ -16,7 +16,7 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// rough is one seeded run.
+// chaosRun is one seeded run with random faults.
 type chaosRun struct {
 	t            *testing.T
 	random       *rand.Rand
@@ -28,11 +28,12 @@
 	stop         func()
 }
 
-// sinceStart stamps lines with the milliseconds since the test program started.
+// sinceStart returns the milliseconds since the start of the test program, for log lines.
 func sinceStart() any { return time.Since(programStart).Milliseconds() }
 
 var programStart = time.Now()
 
+// startLeader starts a controller in the next term and waits until it leads.
 func (x *chaosRun) startLeader() {
 	x.term++
 	replicated := &termedLog{fakeLog: fakeLog{state: x.state}, term: x.term}
@@ -58,7 +59,7 @@
 	}
 }
 
-// addWorker adds an incarnation and announces it.
+// addWorker adds a worker incarnation and announces it.
 func (x *chaosRun) addWorker() {
 	x.incarnations++
 	id := fmt.Sprint("w", x.incarnations)
@@ -75,7 +76,8 @@
 	must.NoError(x.t, err)
 }
 
-// disturb makes one fault.
+// injectFault injects one random fault: a crash, an unreachable worker, a leader change,
+// or none.
 func (x *chaosRun) injectFault() {
 	r := x.workers
 	r.mu.Lock()
@@ -103,7 +105,7 @@
 	}
 }
 
-// randomStep are a plain step, a gang, and one whose tasks may be copied.
+// randomStep returns a plain step, a gang, or a step that allows copies.
 func randomStep(random *rand.Rand) workflow.Step {
 	step := workflow.Step{
 		Count:      1 + random.IntN(4),
@@ -119,12 +121,12 @@
 	return step
 }
 
-// What a user sees: nothing. Orders get lost, are carried out late and twice,
-// answers get lost, workers crash, are cut off and come back, leaders change; no
-// task runs twice at a time or after it is done, no worker holds more than it has,
-// and once the faults are over every job ends.
+// Checks the invariants under random faults: orders are lost, delayed and carried out
+// twice, answers are lost, workers crash and become unreachable, and leaders change. No
+// task may run twice at a time or after it is done, no worker may hold more than its
+// capacity, and all jobs must end once the faults are over.
 //
-// BILBERRY_SEEDS names how many seeds are run, BILBERRY_SEED the first.
+// BILBERRY_SEEDS sets the number of seeds, BILBERRY_SEED the first one.
 func TestRandomFaults(t *testing.T) {
 	seeds, first := envNumber("BILBERRY_SEEDS", 3), envNumber("BILBERRY_SEED", 1)
 	for seed := first; seed < first+seeds; seed++ {
@@ -194,7 +196,8 @@
 	must.NoError(x.t, err)
 }
 
-// awaitAllEnded waits until no job is open, with heartbeats of the workers that are up.
+// awaitAllEnded waits until no job is open, and sends the heartbeats of the running
+// workers.
 func (x *chaosRun) awaitAllEnded() {
 	var open []string
 	for range 200 {
--- a/internal/control/chaos_workers_test.go
+++ b/internal/control/chaos_workers_test.go
@@ -14,7 +14,7 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// termedLog is a fakeLog whose term grows from one leader to the next.
+// termedLog is a fakeLog whose term grows from leader to leader.
 type termedLog struct {
 	fakeLog
 	term uint64
@@ -24,8 +24,8 @@
 	return replica.Status{Role: replica.Leader, Term: l.term, CanDecide: true}
 }
 
-// chaosWorker is a worker whose calls get lost, carried out late or twice, and
-// that holds leases by its own clock.
+// chaosWorker is a worker whose calls are lost, delayed or answered without effect. It
+// expires leases by its own clock.
 type chaosWorker struct {
 	id       string
 	capacity workflow.Resources
@@ -35,11 +35,11 @@
 	ended    []Ended
 	endedAt  []time.Time
 	leaseEnd time.Time
-	// leaseExpiredAt is when its lease lapsed last.
+	// leaseExpiredAt is when its lease last expired.
 	leaseExpiredAt time.Time
-	// seen is the last end that a leader has acknowledged.
+	// acknowledged is the position of the last end that a leader has acknowledged.
 	acknowledged uint64
-	// cutOffUntil is until when no call gets through.
+	// cutOffUntil is when calls get through again.
 	cutOffUntil time.Time
 	gone        bool
 }
@@ -50,28 +50,29 @@
 	need   workflow.Resources
 }
 
-// chaosWorkers are all workers, with the ledger of what users must never see.
+// chaosWorkers holds all workers and the record of violated invariants.
 type chaosWorkers struct {
 	t      *testing.T
 	mu     sync.Mutex
 	random *rand.Rand
-	// calm ends all faults.
+	// faultsOver switches off all faults.
 	faultsOver bool
 	all        map[string]*chaosWorker
 	specs      map[string]workflow.Step
-	// startedAt are all starts of a task, doneAt is when it ended as done, once a
-	// leader has acknowledged that.
+	// startedAt holds all start times of a task. doneAt is when a task was done, set once
+	// a leader has acknowledged that end.
 	startedAt map[workflow.TaskKey][]time.Time
 	doneAt    map[workflow.TaskKey]time.Time
-	// broken lists what must not have happened.
+	// violations lists the violated invariants.
 	violations []string
-	// complete are the runs of gangs all of whose members have been there together.
+	// completeGangs are the gang runs whose members have all been running at the same
+	// time.
 	completeGangs map[gangRun]bool
-	// lines are those of the controllers and of the workers.
+	// lines holds the log lines of the controllers and the workers.
 	lines chaosLog
 }
 
-// chaosLog keeps lines until a run has failed.
+// chaosLog keeps log lines to print them if a run fails.
 type chaosLog struct {
 	mu   sync.Mutex
 	text []string
@@ -88,7 +89,7 @@
 	_, _ = fmt.Fprintf(l, "ms=%d worker=%s %s task=%s run=%d\n", sinceStart(), w.id, event, task, run)
 }
 
-// of returns the lines about the jobs that the faults name.
+// of returns the lines about the jobs that the violations name.
 func (l *chaosLog) of(broken []string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,8 +107,8 @@
 
 var errInjected = fmt.Errorf("no answer: %w", errNoAnswer)
 
-// fate decides what happens to a call: whether it is carried out now, later, or
-// never, and whether its answer gets through.
+// drawOutcome decides whether a call takes effect now, later or never, and whether its
+// answer gets through.
 func (r *chaosWorkers) drawOutcome(w *chaosWorker) (now, later, answered bool) {
 	if w.gone || time.Now().Before(w.cutOffUntil) {
 		return false, false, false
@@ -127,7 +128,7 @@
 	}
 }
 
-// call carries an order out as fate has it.
+// call applies an order with the outcome that drawOutcome draws for it.
 func (r *chaosWorkers) call(id string, apply func(*chaosWorker) error) (int64, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -185,7 +186,7 @@
 	return nil
 }
 
-// check records what a start must never bring about.
+// recordViolations records the invariants that a start violates.
 func (r *chaosWorkers) recordViolations(w *chaosWorker, task workflow.TaskKey, spec workflow.Step) {
 	key := outcomeKey(task, spec)
 	r.startedAt[key] = append(r.startedAt[key], time.Now())
@@ -210,8 +211,8 @@
 	}
 }
 
-// outcomeKey is the task that an end as done counts for: that of a gang's member counts
-// for all.
+// outcomeKey returns the task for which a done end counts: the end of a gang member counts
+// for all members.
 func outcomeKey(task workflow.TaskKey, spec workflow.Step) workflow.TaskKey {
 	if spec.Gang {
 		task.Index = 0
@@ -219,8 +220,8 @@
 	return task
 }
 
-// acknowledge takes in that a leader has seen ends. One that it acknowledges stands
-// for good, unless the lease lapsed between the end and that.
+// acknowledge records that a leader has acknowledged ends. An acknowledged end is final,
+// unless the lease expired between the end and the acknowledgement.
 func (r *chaosWorkers) acknowledge(w *chaosWorker, seen uint64) {
 	for ; w.acknowledged < seen; w.acknowledged++ {
 		e, at := w.ended[w.acknowledged], w.endedAt[w.acknowledged]
@@ -294,7 +295,7 @@
 		report.Partial = len(report.Ended) == 20
 		return nil
 	})
-	// A look that is carried out late makes its lists under the lock as well.
+	// A delayed poll also writes the report under the lock.
 	r.mu.Lock()
 	answer := report
 	r.mu.Unlock()
@@ -315,7 +316,7 @@
 	return reply, nil
 }
 
-// work ends runs whose time or lease is over, until ctx ends.
+// runTasks ends runs whose duration or lease is over, until ctx ends.
 func (r *chaosWorkers) runTasks(ctx context.Context) {
 	for wait.For(ctx, 2*time.Millisecond) {
 		r.mu.Lock()
@@ -335,8 +336,8 @@
 	}
 }
 
-// together reports whether a run may end by itself: a gang's members work only once
-// all of them have begun, so none is done before.
+// gangComplete reports whether a run may end by itself: the members of a gang work only
+// once all of them have started, so none is done before.
 func (r *chaosWorkers) gangComplete(task workflow.TaskKey, run int) bool {
 	spec := r.specs[task.Job]
 	if !spec.Gang || r.completeGangs[gangRun{task.StepKey, run}] {
@@ -354,13 +355,13 @@
 	return len(present) == spec.Count
 }
 
-// gangRun is one run of a gang.
+// gangRun identifies one run of a gang.
 type gangRun struct {
 	step   workflow.StepKey
 	number int
 }
 
-// end ends a run by itself; one in twenty fails.
+// endRun ends a run by itself; one in twenty fails.
 func (r *chaosWorkers) endRun(w *chaosWorker, task workflow.TaskKey) {
 	outcome := workflow.OutcomeDone
 	if r.random.IntN(20) == 0 {
--- a/internal/control/copies.go
+++ b/internal/control/copies.go
@@ -11,15 +11,15 @@
 
 const (
 	// copySilenceTimeout is how long a worker may give no answer before its tasks count as
-	// out of reach: a held look and a prompt answer.
+	// unreachable: a long poll and a prompt answer.
 	copySilenceTimeout = pollHold + minOverdueTime
-	// copySlowFactor is how many whole runs the rest of a run on a slow worker must be
-	// expected to take before a new run beside it is worth its processors. A run that
-	// takes long on a sound worker would take as long elsewhere.
+	// copySlowFactor is how many expected run times the rest of a run on a slow worker
+	// must take before a speculative copy is worth its resources. A run that takes long on
+	// a healthy worker would take as long elsewhere.
 	copySlowFactor = 1.5
 )
 
-// copyCause is why a second run of a task is worth some idle room.
+// copyCause is the reason why a task gets a speculative copy on idle resources.
 type copyCause string
 
 const (
@@ -29,12 +29,13 @@
 	copySlow         copyCause = "the worker is slow"
 )
 
-// copyCauseOf returns why a run is worth a copy of its task, where its step
-// allows copies. t.mu is held.
+// copyCauseOf returns why the task of a run should get a speculative copy, copyNone if it
+// shouldn't. The caller checks that the step allows copies. t.mu must be held.
 //
-// Failure guarded against: a worker is cut off or turns slow, and its tasks wait
-// until its lease has ended, or for as long as it takes. Where the job says that
-// two runs do no harm, the second one needn't wait for proof about the first.
+// Failure guarded against: a worker becomes unreachable or slow, and its tasks wait until
+// its lease has expired, or until the slow runs end. If the job declares that two
+// concurrent runs are harmless, the second run needn't wait until the first is known to be
+// over.
 func (s *workerSession) copyCauseOf(run workflow.Run, step *workflow.Step, now time.Time) copyCause {
 	if s.isUnresponsive(now) {
 		return copyUnresponsive
@@ -53,7 +54,7 @@
 	return copyNone
 }
 
-// addCopyCandidate takes a run in whose task is worth a copy. t.mu is held.
+// addCopyCandidate adds a run whose task should get a speculative copy. t.mu must be held.
 func (v *planInput) addCopyCandidate(t *leaderTerm, s *workflow.State, run workflow.Run, session *workerSession, now time.Time) {
 	job := s.Jobs[run.Task.Job]
 	spec := &job.Steps[run.Task.Step]
@@ -68,13 +69,14 @@
 	}
 }
 
-// copyCandidate is a run that is worth a copy.
+// copyCandidate is a run whose task should get a speculative copy on another worker.
 type copyCandidate struct {
 	worker string
 	cause  copyCause
 }
 
-// addCopySteps adds the steps of which tasks are worth a copy. t.mu is held.
+// addCopySteps adds steps for the tasks that should get a speculative copy. Such a step
+// excludes the workers of the existing runs. t.mu must be held.
 func (t *leaderTerm) addCopySteps(v *planInput, s *workflow.State, now time.Time) {
 	avoid := map[workflow.StepKey]map[int]string{}
 	for task, c := range v.copyCandidates {
@@ -93,7 +95,8 @@
 	}
 }
 
-// logCopies logs which of the planned starts are copies, and why.
+// logCopies logs which of the planned starts are speculative copies, and the cause of
+// each.
 func (t *leaderTerm) logCopies(starts []dispatch.Start, copies map[workflow.TaskKey]copyCandidate) {
 	for _, start := range starts {
 		if c, ok := copies[start.Task]; ok {
--- a/internal/control/copies_test.go
+++ b/internal/control/copies_test.go
@@ -10,11 +10,9 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// What a user sees: a report whose copies are allowed is late by the lease of a
-// worker that was cut off.
-// Order: its task starts; the worker is cut off; another worker is idle; the copy
-// there ends; the first worker comes back.
-// Cause: the second run waited for proof that the first one is over.
+// Guards against delaying a task that allows copies until the lease of its unreachable
+// worker has expired: its copy runs on an idle worker at once, and the other run is
+// stopped when it is reachable again.
 func TestSpeculativeTaskIsCopiedBeforeLeaseExpires(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -43,10 +41,9 @@
 	w.withWorker("w1", func(f *fakeWorker) { must.MapContainsKey(t, f.running, task("a", 1)) })
 }
 
-// What a user sees: a task begins again after it was done.
-// Order: a copy's start is being committed; the other run's end is; the start is
-// sent.
-// Cause: only the job's end was looked at.
+// Guards against restarting a done task: the other run's end is committed while the start
+// of a copy is being committed. The job is still active then, so the task itself must be
+// checked.
 func TestCopyOfDoneTaskIsNotSent(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -61,7 +58,7 @@
 	o, _, _ := term.newOrder(copied, "")
 	must.NotNil(t, o)
 	w.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
-	w.eventually("it is done", func() bool {
+	w.eventually("the task is done", func() bool {
 		done := false
 		w.c.state.read(func(s *workflow.State) { done = s.Task(task("a", 0)).Done })
 		return done
@@ -70,10 +67,9 @@
 	must.Nil(t, o)
 }
 
-// What a user sees: two tasks of a step on one worker, though it allows one.
-// Order: a task of the step stands still and is worth a copy; another one waits to
-// start; one decision places both on the same idle worker.
-// Cause: the step and the copies of its tasks were counted apart.
+// Guards against exceeding MaxPerWorker: a stalled task of a step gets a copy while
+// another task of the step is pending, and one decision could place both on the same idle
+// worker if it counted the step and its copies separately.
 func TestMaxPerWorkerCountsCopiesAndPendingTasks(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -101,10 +97,9 @@
 	}())
 }
 
-// What a user sees: reports cost twice the room that they need.
-// Order: a worker reports an end; the next look at it begins after a pause and is held
-// for its whole time; the last answer is older than a held look takes.
-// Cause: the time since the last answer counted, not that since the look was sent.
+// Guards against needless copies: after a report of an end the next poll starts after a
+// pause and may be held for its full time, so the last answer can be older than one long
+// poll. The timeout must count from the deadline of the poll.
 func TestWorkerIsUnresponsiveOnlyAfterPollDeadline(t *testing.T) {
 	now := time.Now()
 	s := &workerSession{t: &leaderTerm{started: now.Add(-time.Hour)}, answeredAt: now.Add(-copySilenceTimeout - maxPollPauseAfterEnds)}
--- a/internal/control/disruption.go
+++ b/internal/control/disruption.go
@@ -6,14 +6,15 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// checkpointLead is how long before its worker leaves a run is stopped so that it saves
-// where it is: a stop takes up to 400 ms, and the heartbeat that tells the time may
-// be old.
+// checkpointLead is how long before the shutdown of its worker a run is stopped to save a
+// checkpoint. A stop takes up to 400 ms, and the heartbeat that announced the shutdown
+// time may be old.
 const checkpointLead = 700 * time.Millisecond
 
-// leaves reports whether a run is to be stopped because its worker leaves. A
-// long-running task moves as soon as its step can spare it; one with checkpoints
-// just before the worker may go, unless it will have ended. t.mu is held.
+// stopForDrain reports whether a run is to be stopped because its worker drains. A
+// long-running task is stopped as soon as its step may be disrupted. A task with
+// checkpoints is stopped shortly before the worker may shut down, unless it is expected to
+// end before. t.mu must be held.
 func (t *leaderTerm) stopForDrain(s *workflow.State, session *workerSession, run workflow.Run, now time.Time) bool {
 	if !session.worker.Draining {
 		return false
@@ -26,12 +27,13 @@
 	return spec.Checkpointing && !leavesAt.IsZero() && now.After(leavesAt.Add(-checkpointLead)) && session.expectedEnd(run, spec, now).After(leavesAt)
 }
 
-// completePercent is what a long-running task shows that is at work.
+// completePercent is 100 %; a long-running task reports it once it is ready to serve.
 const completePercent = 100
 
-// evacuated reports whether a run is to be stopped because its machine goes
-// down. A long-running task is moved as soon as its step can spare it, others
-// only once their time is up. t.mu is held.
+// stopForMaintenance reports whether a run is to be stopped because its machine goes down
+// for maintenance or moves. A long-running task is stopped as soon as its step may be
+// disrupted, others only when the runs of the machine are to be stopped. t.mu must be
+// held.
 func (t *leaderTerm) stopForMaintenance(s *workflow.State, run workflow.Run, now time.Time) bool {
 	state := t.machines.cordoned[run.Worker]
 	if state == nil {
@@ -44,26 +46,26 @@
 	return state.stop
 }
 
-// spared reports whether a long-running task may be interrupted now: fewer others
-// of its step are away than the job allows. t.mu is held.
+// disruptionAllowed reports whether a long-running task may be interrupted now: fewer
+// other tasks of its step are unavailable than the job allows. t.mu must be held.
 //
-// Failure guarded against: tasks that serve users are moved off several machines
-// at once, or off one while another is still starting, and too few of them are at
-// work. A task counts as away until its worker shows it at work, so one that was
-// stopped a moment ago, or whose worker is silent, counts as well.
+// Failure guarded against: serving tasks are moved off several machines at once, or off
+// one while a moved task is still starting, and too few tasks are ready. A task counts as
+// unavailable until its worker reports it as ready, so a task that has just been stopped,
+// or whose worker is unresponsive, counts as well.
 func (t *leaderTerm) disruptionAllowed(s *workflow.State, run workflow.Run, spec *workflow.Step) bool {
 	if o := t.sessions[run.Worker].orders[run.Task]; o != nil && !o.stopSent.IsZero() {
 		return true
 	}
-	// What matters of this run itself is that it will be away.
+	// The run itself becomes unavailable, whatever its state is now.
 	ready := t.readyTasks(s, run.Task.StepKey)
 	delete(ready, run.Task.Index)
 	unavailable := spec.Count - 1 - len(ready)
 	return unavailable < max(spec.MaxUnavailable, 1)
 }
 
-// readyTasks returns the tasks of a long-running step that their workers show at
-// work, and that nobody has asked to stop. t.mu is held.
+// readyTasks returns the tasks of a long-running step that are reported as ready and
+// haven't been ordered to stop. t.mu must be held.
 func (t *leaderTerm) readyTasks(s *workflow.State, key workflow.StepKey) map[int]bool {
 	ready := map[int]bool{}
 	for id, session := range t.sessions {
--- a/internal/control/explain.go
+++ b/internal/control/explain.go
@@ -10,8 +10,8 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// Explain tells how far a job is and what its ready steps wait for, by the same
-// snapshot and the same filters that the next decision uses.
+// Explain returns the progress of a job and why its ready steps wait. It uses the same
+// planning input and the same filters as the next decision.
 func (c *Controller) Explain(ctx context.Context, r *ExplainCall) (ExplainReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -37,6 +37,7 @@
 	return reply, nil
 }
 
+// progressOf returns the progress of every step of a job.
 func progressOf(job *workflow.Job) []StepProgress {
 	var steps []StepProgress
 	for occurrence, states := range job.Occurrences {
@@ -56,7 +57,7 @@
 	return steps
 }
 
-// crashesOf returns the tasks of a step that workers have crashed under.
+// crashesOf returns the tasks of a step under which workers have crashed.
 func crashesOf(job *workflow.Job, key workflow.StepKey, state *workflow.StepState) []TaskCrashes {
 	var crashes []TaskCrashes
 	for i := range state.Tasks {
@@ -71,7 +72,7 @@
 	return crashes
 }
 
-// explain explains the ready steps of a job that have tasks left to start.
+// explain returns why the ready steps of a job wait that have tasks left to start.
 func (t *leaderTerm) explain(id string, now time.Time) []StepExplanation {
 	v := t.gatherPlanInput(now)
 	t.mu.Lock()
@@ -99,11 +100,11 @@
 	return list
 }
 
-// anyService stands for the workers of all services.
+// anyService selects the workers of all services.
 const anyService = ""
 
-// obstacles counts the workers of a service that get nothing new, by why. t.mu is
-// held.
+// unschedulableWorkers counts the workers of a service that get no new tasks, by reason.
+// t.mu must be held.
 func (t *leaderTerm) unschedulableWorkers(service string, now time.Time) []dispatch.ReasonCount {
 	counts := map[dispatch.Reason]*dispatch.ReasonCount{}
 	suspected := t.suspectedDataCentres(now)
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -12,17 +12,18 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// pools is what a tenure remembers of the pools that machines move between. It
-// belongs to the machine loop, but for the fields named.
+// pools is the state of the moves of machines between pools in one leader term. Only the
+// machine loop uses it, except for the fields marked as guarded by t.mu.
 type pools struct {
-	// shortSince and idleSince are when a pool began to have too little or too much.
+	// shortSince and idleSince are when a pool became short of machines or idle.
 	shortSince, idleSince map[string]time.Time
-	// bound are the machines that are cordoned for a move, with its target.
+	// planned maps the machines that are cordoned for a move to that move.
 	planned map[string]fleet.Move
-	// refused are the pairs of pools that don't exchange machines. Guarded by t.mu.
+	// refusedPairs are the pairs of source and target pool between which the deployment
+	// refuses moves. Guarded by t.mu.
 	refusedPairs map[[2]string]bool
-	// moving are the machines whose move was ordered, with the pool they go to, until
-	// the list shows them there. Guarded by t.mu.
+	// moving maps each machine whose move was ordered to its target pool, until the
+	// machine list shows it there. Guarded by t.mu.
 	moving map[string]string
 }
 
@@ -33,8 +34,8 @@
 	}
 }
 
-// services returns the pools that the configuration names, nil when none of them
-// is on standby: then no machine is to be moved.
+// services returns the configured pools, nil when none of them is on standby: then no
+// machine is ever moved.
 func (t *leaderTerm) services() (services []workflow.Service) {
 	t.c.state.read(func(s *workflow.State) {
 		if slices.ContainsFunc(s.Configuration.Services, func(service workflow.Service) bool { return service.Standby }) {
@@ -44,9 +45,9 @@
 	return services
 }
 
-// moveMachines decides on moves and carries them out: a machine is given nothing
-// new first, and ordered away once nothing runs there. kept gets the workers
-// that are given nothing new.
+// moveMachines decides on moves and carries them out: it cordons the worker of a machine
+// first and orders the move once nothing runs there. It adds the cordoned workers to
+// keepCordoned.
 func (t *leaderTerm) moveMachines(services []workflow.Service, keepCordoned map[string]bool, now time.Time) {
 	p := t.fleet
 	states := t.poolStates(services, now)
@@ -74,16 +75,18 @@
 	}
 }
 
-// maxConcurrentMoves bounds the machines that are on their way at the same time.
+// maxConcurrentMoves bounds the machines that are being moved at the same time.
 const maxConcurrentMoves = 8
 
+// mayMove reports whether the deployment hasn't refused a move between two pools.
 func (t *leaderTerm) mayMove(from, to string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.fleet.refusedPairs[[2]string{from, to}]
 }
 
-// isEmpty reports whether no run may be alive on a worker and none is being begun.
+// isEmpty reports whether a worker has no run that may be alive and no start that is being
+// committed.
 func (t *leaderTerm) isEmpty(worker string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,7 +98,7 @@
 	return empty
 }
 
-// poolStates views each pool as the list of machines and the log show it.
+// poolStates returns the state of each pool by the machine list and the log.
 func (t *leaderTerm) poolStates(services []workflow.Service, now time.Time) []fleet.Pool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -113,7 +116,8 @@
 	return states
 }
 
-// addMachines adds the machines of a pool, and those on their way to it. t.mu is held.
+// addMachines adds the machines of a pool and the capacity of machines that move to it.
+// t.mu must be held.
 func (t *leaderTerm) addMachines(pool *fleet.Pool, s *workflow.State, demand int64) {
 	pool.Wanted = demand
 	for id, m := range t.machines.list {
@@ -135,8 +139,8 @@
 	sortMachines(pool.Machines)
 }
 
-// wanted is what the tasks of each service need that run or could run now. t.mu
-// is held.
+// demandByService returns the CPU demand, in millicores, of the tasks of each service that
+// run or could run now. t.mu must be held.
 func (t *leaderTerm) demandByService(s *workflow.State, now time.Time) map[string]int64 {
 	demand := map[string]int64{}
 	for _, job := range s.OpenJobs() {
@@ -157,13 +161,13 @@
 	return demand
 }
 
-// since notes for how long a pool has been short or idle.
+// updateDurations records for how long a pool has been short of machines or idle.
 func (p *pools) updateDurations(pool *fleet.Pool, now time.Time) {
 	pool.ShortFor = heldFor(p.shortSince, pool.Name, pool.Short(), now)
 	pool.IdleFor = heldFor(p.idleSince, pool.Name, pool.Idle(), now)
 }
 
-// lasted returns for how long a condition has held without a break.
+// heldFor returns for how long a condition has held without interruption.
 func heldFor(since map[string]time.Time, name string, holds bool, now time.Time) time.Duration {
 	if !holds {
 		delete(since, name)
@@ -175,8 +179,8 @@
 	return now.Sub(since[name])
 }
 
-// orderMove orders a machine to another pool. What the list shows afterwards
-// tells whether it went; an order without an answer is given again.
+// orderMove orders a machine to move to another pool. The machine list shows later whether
+// it moved; an order without an answer is repeated.
 func (t *leaderTerm) orderMove(m ListedMachine, move fleet.Move) {
 	if !t.beginOrder(m.ID) {
 		return
@@ -192,6 +196,7 @@
 	})
 }
 
+// recordMove records the outcome of a move order.
 func (t *leaderTerm) recordMove(m ListedMachine, move fleet.Move, err error) {
 	var refused *RefusedError
 	t.mu.Lock()
--- a/internal/control/goroutines.go
+++ b/internal/control/goroutines.go
@@ -2,15 +2,16 @@
 
 import "sync"
 
-// tasks are the goroutines of a tenure. Once wait has been called none is begun:
-// a heartbeat that comes in while a tenure ends would otherwise add to a wait
-// group that is being waited for.
+// goroutineGroup runs the goroutines of a leader term. After wait has been called it
+// starts no more: otherwise a heartbeat that arrives while the term ends would add to a
+// sync.WaitGroup that is being waited for.
 type goroutineGroup struct {
 	mu     sync.Mutex
 	closed bool
 	group  sync.WaitGroup
 }
 
+// start runs f in a goroutine, unless wait has been called.
 func (g *goroutineGroup) start(f func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -19,6 +20,7 @@
 	}
 }
 
+// wait waits until all goroutines have returned.
 func (g *goroutineGroup) wait() {
 	g.mu.Lock()
 	g.closed = true
--- a/internal/control/goroutines_test.go
+++ b/internal/control/goroutines_test.go
@@ -7,10 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// What a user sees: the leader's process ends by itself at a change of leader.
-// Order: a tenure ends and waits for its goroutines; a worker's heartbeat comes
-// in and begins another one.
-// Cause: a goroutine was added to a group that was being waited for.
+// Guards against a crash of the leader's process when the leader changes: a leader term
+// ends and waits for its goroutines, and a heartbeat arrives and starts another one.
+// Adding to a sync.WaitGroup that is being waited for panics.
 func TestGoroutineGroupStartsNothingAfterWait(t *testing.T) {
 	var running goroutineGroup
 	ended := false
--- a/internal/control/incremental.go
+++ b/internal/control/incremental.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// incrementalPauseFactor is how many times as long as a decision about fresh jobs took it is
-	// left alone afterwards.
+	// incrementalPauseFactor times the duration of an incremental decision is the pause
+	// after it.
 	incrementalPauseFactor = 10
-	// maxLeftoverAge is how old what a decision has left over of the workers' room may be.
-	// Room that has come free since isn't in it; a worker that has fallen silent since
-	// is, as it is in any plan whose starts are being committed.
+	// maxLeftoverAge is the maximum age of the free resources that the last full decision
+	// left over. Resources that were freed since then are missing from them. A worker that
+	// became unresponsive since then is still included, as it is in any plan whose starts
+	// are being committed.
 	maxLeftoverAge = 200 * time.Millisecond
 )
 
-// markChanged takes in that something has come up for a job that needn't wait for the
-// next whole decision: it has been accepted, or the adviser has answered. t.mu is
-// held.
+// markChanged requests an incremental decision about a job that was accepted or about
+// which the adviser has answered. t.mu must be held.
 func (t *leaderTerm) markChanged(job string) {
 	t.changedJobs[job] = true
 	select {
@@ -30,19 +30,20 @@
 	}
 }
 
-// takeChanged returns the fresh jobs and forgets them. t.mu is held.
+// takeChanged returns the changed jobs and clears the set. t.mu must be held.
 func (t *leaderTerm) takeChanged() map[string]bool {
 	changed := t.changedJobs
 	t.changedJobs = map[string]bool{}
 	return changed
 }
 
-// rest waits for d between two whole decisions and decides about fresh jobs only.
+// planChangedJobs makes incremental decisions about changed jobs for a duration, between
+// two full decisions.
 //
-// Load that it answers: hundreds of workers and over a hundred jobs a second. A job needs
-// two decisions: one that asks for its permits, one that starts it. Waiting for whole
-// ones would be half of the time from acceptance to the first start, while most of the
-// room that fresh jobs need is free.
+// Reason: with hundreds of workers and over a hundred jobs a second, a job needs two
+// decisions: one that sends its adviser queries and one that starts it. Waiting for full
+// decisions would take half of the time from acceptance to the first start, although most
+// of the resources that changed jobs need are free.
 func (t *leaderTerm) planChangedJobs(duration time.Duration) {
 	end := time.NewTimer(duration)
 	defer end.Stop()
@@ -54,7 +55,7 @@
 			return
 		case <-t.jobsChanged:
 		}
-		// What comes up together is decided together.
+		// Batches changes that arrive together.
 		wait.For(t.ctx, minPlanInterval)
 		start := time.Now()
 		t.decideIncrementally(start)
@@ -62,11 +63,11 @@
 	}
 }
 
-// decideIncrementally plans the fresh jobs with the room that the last whole decision has
-// left over. What waits has been offered that room before, and what is kept for
-// gangs isn't in it, so nothing is taken from a step that could use it now. Where
-// the whole decision couldn't go into all that waits, the room is theirs before that of
-// fresh jobs that are less urgent. Nothing is stopped here.
+// decideIncrementally plans the changed jobs with the free resources that the last full
+// decision left over. The full decision has already offered these resources to the waiting
+// steps, and they exclude what is reserved for gangs, so no step loses resources that it
+// could use now. If the full decision didn't consider all waiting steps, the skipped ones
+// go before changed jobs that are less urgent. An incremental decision preempts nothing.
 func (t *leaderTerm) decideIncrementally(now time.Time) {
 	if t.backlog && t.nextUrgentStep == nil || now.Sub(t.leftoverAt) > maxLeftoverAge {
 		t.wake()
@@ -86,12 +87,13 @@
 	t.applyPlan(&plan, nil)
 }
 
-// dropLessUrgent leaves the fresh steps that go before all that the last whole decision
-// had no place for. The others wait for the next whole one.
+// dropLessUrgent keeps only the changed steps that go before every step skipped by the
+// last full decision. The others wait for the next full decision.
 //
-// Failure guarded against: a burst makes the queue longer than a decision goes into, and
-// each fresh job waits for two whole decisions, of which the leader makes a few a second.
-// Less starts than comes in, so the queue stays when the burst is over, while cores are free.
+// Failure guarded against: a burst makes the queue longer than one decision considers, and
+// each changed job waits for two full decisions, of which the leader makes a few a second.
+// Fewer jobs start than arrive, so the queue remains after the burst although cores are
+// free.
 func (t *leaderTerm) dropLessUrgent(v *planInput) {
 	total := len(v.steps)
 	v.steps = slices.DeleteFunc(v.steps, func(s dispatch.Step) bool { return !dispatch.Before(&s, t.nextUrgentStep) })
@@ -100,7 +102,7 @@
 	}
 }
 
-// changedPlanInput holds the ready steps of the fresh jobs.
+// changedPlanInput returns the ready steps of the changed jobs.
 func (t *leaderTerm) changedPlanInput(now time.Time) planInput {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/control/incremental_test.go
+++ b/internal/control/incremental_test.go
@@ -9,11 +9,10 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// What a user sees: urgent jobs begin 50 ms late and more on a large deployment with
-// room.
-// Order: a whole decision has taken long, and the planner rests in proportion; a job
-// comes, its permits are to be asked for, then it is to be started.
-// Cause: each of the two steps waited for the next whole decision.
+// Guards against delaying urgent jobs by 50 ms and more in a large deployment with free
+// resources: after a long full decision the planner pauses in proportion, and a new job
+// needs two decisions, one for its adviser queries and one for its start. Neither may wait
+// for the next full decision.
 func TestChangedJobStartsBeforeNextFullPass(t *testing.T) {
 	term := loadedTerm(t, benchmarkLoad{workers: 8})
 	term.decide()
@@ -34,22 +33,18 @@
 	t.Fatal("the job wasn't started")
 }
 
-// What a user sees: older jobs wait on while newer ones start.
-// Order: more steps wait than a decision goes into; a job comes.
-// Cause guarded against: the newest job would be offered room before those that no
-// decision has come to yet.
+// Guards against starting the newest job before steps that no decision has considered yet,
+// while more steps wait than one decision considers.
 func TestIncrementalPassYieldsToBacklog(t *testing.T) {
 	term := &leaderTerm{wakePlanner: make(chan struct{}, 1), backlog: true, leftoverAt: time.Now(), changedJobs: map[string]bool{"a": true}}
 	term.decideIncrementally(time.Now())
 	must.MapLen(t, 1, term.changedJobs)
-	must.Eq(t, 1, len(term.wakePlanner), must.Sprint("a whole decision is asked for"))
+	must.Eq(t, 1, len(term.wakePlanner), must.Sprint("a full decision is requested"))
 }
 
-// What a user sees: after a burst urgent jobs are late for the rest of the day, beside a
-// fifth of the cores that is free.
-// Order: more steps wait than a decision goes into; an urgent job comes.
-// Cause: it waited for one whole decision to ask for its permits and for another one to
-// start, and so did each one after it.
+// Guards against a queue that remains after a burst although a fifth of the cores is free:
+// more steps wait than one decision considers, and each urgent job waits for one full
+// decision to query the adviser and for another one to start.
 func TestUrgentChangedJobStartsDespiteBacklog(t *testing.T) {
 	term := backloggedTerm(t)
 	go term.planChangedJobs(time.Minute)
@@ -63,20 +58,19 @@
 	t.Fatal("the job wasn't started")
 }
 
-// What a user sees: older and more urgent jobs wait on while newer ones start.
-// Order: more steps wait than a decision goes into; a job comes that is less urgent than
-// some that it had no place for.
-// Cause guarded against: the job would be offered room before those.
+// Guards against starting a changed job before more urgent steps that the last full
+// decision skipped.
 func TestLessUrgentChangedJobWaitsBehindBacklog(t *testing.T) {
 	term := backloggedTerm(t)
 	submitAdvised(t, term, "a", 1_000_000)
 	term.decideIncrementally(time.Now())
 	must.Eq(t, 0, term.permitsOf(workflow.StepKey{Job: "a"}).inFlight)
 	must.Eq(t, 0, runsOf(term, "a"))
-	must.Eq(t, 1, len(term.wakePlanner), must.Sprint("a whole decision is asked for"))
+	must.Eq(t, 1, len(term.wakePlanner), must.Sprint("a full decision is requested"))
 }
 
-// backloggedTerm has decided once about more steps than one decision goes into.
+// backloggedTerm returns a leader term that has made one full decision with more steps
+// than one decision considers.
 func backloggedTerm(t *testing.T) *leaderTerm {
 	term := loadedTerm(t, benchmarkLoad{workers: 8, queued: maxPlannedSteps + 50})
 	term.decide()
@@ -87,7 +81,7 @@
 	return term
 }
 
-// submitAdvised hands in a job that needs permits and has an objective.
+// submitAdvised submits a job that needs permits and has an objective.
 func submitAdvised(t *testing.T, term *leaderTerm, id string, objectiveMS int64) {
 	command := submission(id)
 	command.Submit.Policy.Advice = &workflow.AdvicePolicy{BaseMS: 1, PerWorkerMS: 0.1, TicketValidityMS: 2000}
@@ -97,15 +91,14 @@
 	term.noteAccepted(id, time.Now())
 }
 
-// runsOf counts the runs of a job's first task.
+// runsOf returns how many runs a job's first task has had.
 func runsOf(term *leaderTerm, id string) (runs int) {
 	term.c.state.read(func(s *workflow.State) { runs = s.Task(task(id, 0)).Runs })
 	return runs
 }
 
-// What a user sees: a leader that is behind falls further behind.
-// Order: answers to its calls are read late, as its processor is full.
-// Cause: it looked at each worker again as soon as before.
+// Guards against overloading a leader further: when its processor is busy it reads the
+// answers of workers late, so it must poll them less often.
 func TestPollIntervalGrowsWithAnswerTime(t *testing.T) {
 	s := &workerSession{t: &leaderTerm{}}
 	must.Eq(t, pollPauseAfterEnds, s.pauseAfterEnds())
@@ -115,11 +108,9 @@
 	must.Eq(t, maxPollPauseAfterEnds, s.pauseAfterEnds())
 }
 
-// What a user sees: urgent tasks have ended, and their callers are told a quarter of a
-// second later.
-// Order: workers are called through another instance, and each answer takes 20 ms, the
-// quickest as well.
-// Cause: the length of the way was taken for a delay of the leader's.
+// Guards against reporting ends up to a quarter of a second late: workers are called
+// through another instance, and even the fastest answer takes 20 ms. This constant latency
+// must not count as a delay of the leader.
 func TestConstantLatencyToWorkersKeepsPollInterval(t *testing.T) {
 	term := &leaderTerm{}
 	for range 200 {
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -10,11 +10,11 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// loadLogInterval is the time between two lines on the load.
+// loadLogInterval is the time between two log lines about the load.
 const loadLogInterval = time.Second
 
-// waitingGauges are the gauges of waiting steps by what holds them, in the order in
-// which a step meets it.
+// waitingGauges maps the reasons why steps wait to their gauges, in the order in which a
+// step can meet them.
 var waitingGauges = []struct {
 	reason dispatch.Reason
 	name   string
@@ -31,14 +31,16 @@
 	{dispatch.ReasonNoWorker, "waiting_no_worker"},
 }
 
-// room is what the workers of a decision have: before it, and after it what is kept
-// for steps that it couldn't start.
+// clusterResources sums up the resources of the workers of a decision. free is as of
+// before the decision. reserved is the part of it that the decision reserved for steps
+// that it couldn't start.
 type clusterResources struct {
 	capacity, free, reserved workflow.Resources
-	// largest is the largest free piece in each resource.
+	// largestFree is the largest amount of each resource that is free on a single worker.
 	largestFree workflow.Resources
 }
 
+// sumResources sums up the resources of workers after a decision.
 func sumResources(workers []dispatch.Worker) clusterResources {
 	var r clusterResources
 	for i := range workers {
@@ -46,15 +48,17 @@
 		r.capacity = r.capacity.Plus(w.Capacity)
 		r.free = r.free.Plus(w.FreeBeforePlan)
 		r.largestFree = r.largestFree.Max(w.FreeBeforePlan)
-		// Room of runs that haven't ended is kept as well; only what is free counts.
+		// A reservation may include resources of runs that haven't ended; only free ones
+		// count.
 		r.reserved = r.reserved.Plus(w.Free.Plus(w.Reserved).Minus(w.Free.Max(workflow.Resources{})))
 	}
 	return r
 }
 
-// reportLoad logs and counts, once a second, how much room the workers have, how it is
-// cut up, and what waits for which reason: whether a late job met a full cluster or one
-// with room that it couldn't use. Only planLoop calls it.
+// reportLoad logs the load once a second and sets its gauges: the workers' resources,
+// their fragmentation, and how many steps wait for which reason. It shows whether a late
+// job met a full cluster or one with free resources that the job couldn't use. Only
+// planLoop calls it.
 func (t *leaderTerm) reportLoad(v *planInput, plan *dispatch.Plan, now time.Time) {
 	if now.Sub(t.loadLoggedAt) < loadLogInterval {
 		return
@@ -90,6 +94,7 @@
 	}
 }
 
+// setLoadGauges sets the gauges of the workers' resources and of the waiting tasks.
 func (t *leaderTerm) setLoadGauges(v *planInput, r *clusterResources, tasks int) {
 	counters := t.c.cfg.Counters
 	counters.Set("usable_workers", int64(len(v.workers)))
@@ -100,13 +105,14 @@
 	counters.Set("waiting_tasks", int64(tasks))
 }
 
-// currentRunCounts returns the runs as the last sweep counted them.
+// currentRunCounts returns the counts of the last run check.
 func (t *leaderTerm) currentRunCounts() runCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.runCounts
 }
 
+// setRunGauges sets the gauges of live and unaccounted runs.
 func (t *leaderTerm) setRunGauges(runs runCounts) {
 	counters := t.c.cfg.Counters
 	counters.Set("runs_alive", int64(runs.alive))
@@ -114,7 +120,7 @@
 	counters.Set("longest_unaccounted_ms", runs.longest.Milliseconds())
 }
 
-// waitingByReason counts the steps that a plan left by what they wait for.
+// waitingByReason counts the steps that a plan left waiting, by reason.
 func waitingByReason(plan *dispatch.Plan) map[dispatch.Reason]int {
 	counts := map[dispatch.Reason]int{}
 	for i := range plan.Waiting {
@@ -126,6 +132,7 @@
 	return counts
 }
 
+// formatWaiting lists the counts of waiting steps in the order of waitingGauges.
 func formatWaiting(counts map[dispatch.Reason]int) string {
 	var list []string
 	for _, gauge := range waitingGauges {
@@ -136,14 +143,15 @@
 	return strings.Join(list, "; ")
 }
 
-// describe writes room as thousandths of a core, mega bytes and accelerators.
+// formatResources formats resources as millicores/megabytes/accelerators.
 func formatResources(r workflow.Resources) string {
 	return fmt.Sprintf("%d/%d/%d", r.MilliCPU, r.MemoryMB, r.Accelerators)
 }
 
-// waitingLogFields tells of the waiting gangs the largest, and of all waiting steps the
-// oldest, each with how many of its tasks the free room holds, kept room included: in
-// its pool, and where it is permitted.
+// waitingLogFields returns the log fields about the largest waiting gang and the oldest
+// waiting step: how many tasks of each fit into the free resources of its pool, reserved
+// ones included, and how many of these on permitted workers. It also sets the gauges for
+// them.
 func (t *leaderTerm) waitingLogFields(v *planInput, plan *dispatch.Plan, capacity workflow.Resources, now time.Time) []any {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -181,7 +189,8 @@
 	return fields
 }
 
-// demand is the largest share of a resource that the pending tasks of s need.
+// dominantShare returns the largest share of any resource that the pending tasks of s
+// need.
 func dominantShare(s *dispatch.Step, capacity workflow.Resources) float64 {
 	demand := s.Spec.Demand().Times(int64(len(s.Pending)))
 	share := func(demand, capacity int64) float64 { return float64(demand) / float64(max(capacity, 1)) }
@@ -189,7 +198,7 @@
 		share(demand.Accelerators, capacity.Accelerators))
 }
 
-// formatUnschedulable counts the workers that get nothing new, by why.
+// formatUnschedulable lists how many workers get no new tasks, by reason.
 func (t *leaderTerm) formatUnschedulable(now time.Time) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/control/load_test.go
+++ b/internal/control/load_test.go
@@ -13,14 +13,15 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// gauges keeps what gauges were set to.
+// gauges records the values of gauges.
 type gauges map[string]int64
 
 func (gauges) Add(string, int64)             {}
 func (g gauges) Set(name string, n int64)    { g[name] = n }
 func (gauges) Observe(string, time.Duration) {}
 
-// observedTerm is a tenure of which a test reads the lines and the gauges.
+// observedTerm returns a leader term with the buffer that its log lines go to and its
+// gauges.
 func observedTerm() (*leaderTerm, *bytes.Buffer, gauges) {
 	lines, counters := &bytes.Buffer{}, gauges{}
 	t := &leaderTerm{
@@ -30,8 +31,8 @@
 	return t, lines, counters
 }
 
-// pendingStep is a step of which all tasks wait, each of which needs 4 cores and
-// 8000 MB.
+// pendingStep returns a step whose tasks are all pending. Each task needs 4 cores and 8000
+// MB.
 func pendingStep(job string, tasks int, gang bool) dispatch.Step {
 	s := dispatch.Step{
 		Key: workflow.StepKey{Job: job}, Service: "s",
@@ -43,8 +44,8 @@
 	return s
 }
 
-// fragmentedWorkers are three workers with 3, 9 and 6 cores free, the last one with too little
-// memory for a second task.
+// fragmentedWorkers returns three workers with 3, 9 and 6 free cores. The last one has too
+// little memory for a second task.
 func fragmentedWorkers() []dispatch.Worker {
 	var list []dispatch.Worker
 	for i, free := range []workflow.Resources{{MilliCPU: 3000, MemoryMB: 50_000}, {MilliCPU: 9000, MemoryMB: 50_000, Accelerators: 1}, {MilliCPU: 6000, MemoryMB: 9000}} {
@@ -56,6 +57,9 @@
 	return list
 }
 
+// Checks that the load line and the gauges show the fragmentation of the free resources
+// and what waits, so that an operator can tell a full cluster from one whose free
+// resources do not fit.
 func TestLoadReportShowsFragmentationAndWaitingSteps(t *testing.T) {
 	term, lines, counters := observedTerm()
 	now := time.Now()
@@ -89,9 +93,10 @@
 	}
 	lines.Reset()
 	term.reportLoad(v, plan, now.Add(loadLogInterval/2))
-	must.Eq(t, "", lines.String(), must.Sprint("once a second"))
+	must.Eq(t, "", lines.String(), must.Sprint("at most one line a second"))
 }
 
+// Checks that the gauges of waiting steps are reset once nothing waits.
 func TestLoadReportOfEmptyQueue(t *testing.T) {
 	term, lines, counters := observedTerm()
 	counters["oldest_waiting_ms"], counters["waiting_room"] = 5, 5
@@ -102,6 +107,8 @@
 	must.Eq(t, int64(0), counters["waiting_room"])
 }
 
+// Checks that steps beyond the bound of a decision are logged, at most maxBacklogLogLines
+// a second, and forgotten once they no longer wait.
 func TestBacklogStepsAreLoggedUntilConsidered(t *testing.T) {
 	term, lines, _ := observedTerm()
 	now := time.Now()
@@ -113,9 +120,9 @@
 	term.updateWaiting(plan, now)
 	term.reportLoad(v, plan, now)
 	must.Eq(t, maxBacklogLogLines, bytes.Count(lines.Bytes(), []byte(`reason="behind the steps that one decision goes into"`))-1,
-		must.Sprint("one line is the load's"))
+		must.Sprint("one of the lines is the load line"))
 	must.Eq(t, dispatch.ReasonBeyondBound, term.waitingReason(v.steps[5].Key))
-	must.MapLen(t, len(v.steps)-1, term.waiting, must.Sprint("what has started doesn't wait"))
+	must.MapLen(t, len(v.steps)-1, term.waiting, must.Sprint("the started step is not waiting"))
 	v.steps = v.steps[:2]
 	term.reportLoad(v, &dispatch.Plan{BeyondBound: 1}, now.Add(2*loadLogInterval))
 	must.MapLen(t, 2, term.waiting)
@@ -124,6 +131,8 @@
 	must.Eq(t, "", term.waitingReason(v.steps[1].Key))
 }
 
+// Checks that the log line of a waiting step lists for how long it waited for each earlier
+// reason.
 func TestWaitingLogShowsEarlierReasons(t *testing.T) {
 	term, lines, _ := observedTerm()
 	begin := time.Now()
@@ -137,11 +146,11 @@
 		return lines.String()
 	}
 	must.StrContains(t, update(0, dispatch.ReasonNoRoom, false), "waited_ms=0 earlier=\n")
-	must.Eq(t, "", update(100*time.Millisecond, dispatch.ReasonReserved, false), must.Sprint("a line was written just now"))
+	must.Eq(t, "", update(100*time.Millisecond, dispatch.ReasonReserved, false), must.Sprint("the previous line is less than a second old"))
 	must.Eq(t, "", update(900*time.Millisecond, dispatch.ReasonAwaitsAdviser, false))
 	must.Eq(t, "", update(1100*time.Millisecond, dispatch.ReasonAwaitsAdviser, false), must.Sprint("each question is logged"))
 	must.StrContains(t, update(1500*time.Millisecond, dispatch.ReasonReserved, false), "waited_ms=1500 "+
 		`earlier="100 ms: no room on a worker that may run the step; 800 ms: the room that would do is kept for steps before it; 600 ms: waiting for the adviser"`)
-	must.Eq(t, "", update(3*time.Second, dispatch.ReasonReserved, true), must.Sprint("nothing new"))
-	must.StrContains(t, update(4*time.Second, dispatch.ReasonReserved, false), "waited_ms=1000 earlier=\n", must.Sprint("from its last start"))
+	must.Eq(t, "", update(3*time.Second, dispatch.ReasonReserved, true), must.Sprint("the reason is unchanged"))
+	must.StrContains(t, update(4*time.Second, dispatch.ReasonReserved, false), "waited_ms=1000 earlier=\n", must.Sprint("the wait counts from the last start of a task"))
 }
--- a/internal/control/machines.go
+++ b/internal/control/machines.go
@@ -14,39 +14,43 @@
 const (
 	// machineLoopInterval is the time between two decisions on waves and moves.
 	machineLoopInterval = 250 * time.Millisecond
-	// machineListInterval is the time between two readings of the list of machines while
-	// there is something to decide. The deployment allows some tens of calls a second.
+	// machineListInterval is the time between two reads of the machine list while there is
+	// something to decide. The deployment allows a few dozen calls a second.
 	machineListInterval = 750 * time.Millisecond
-	// maxMachineListAge is the age from which on the list is too old to act on.
+	// maxMachineListAge is the age from which on the machine list is too old to act on.
 	maxMachineListAge = 3 * time.Second
-	// machineCallTimeout bounds a call to the list of machines, which may be slow.
+	// machineCallTimeout bounds a call to the deployment's machine service, which may be
+	// slow.
 	machineCallTimeout = 2 * time.Second
 )
 
-// cordoned is a worker that is given nothing new because its machine goes down.
+// cordonState is the state of a worker that gets no new tasks because its machine goes
+// down or moves.
 type cordonState struct {
 	since time.Time
-	// stop says that its runs are to be stopped.
+	// stop is set when the runs of the worker are to be stopped.
 	stop bool
 }
 
-// machines is what a tenure does about machines. Its fields are guarded by t.mu,
-// but for those of the loop.
+// machines is the machine management state of one leader term. Its fields are guarded by
+// t.mu, except for those that only the machine loop uses.
 type machines struct {
-	// cordoned holds the cordoned workers, by incarnation.
+	// cordoned maps the incarnations of cordoned workers to their state.
 	cordoned map[string]*cordonState
-	// ordering are the machines with an order under way.
+	// ordersInFlight are the machines that have an order in flight.
 	ordersInFlight map[string]bool
-	// maintenanceBegunAt is when this tenure learnt that a machine's maintenance has begun.
+	// maintenanceBegunAt is when this leader term learnt that a machine's maintenance had
+	// begun.
 	maintenanceBegunAt map[string]time.Time
-	// waveAcceptedAt is when this tenure accepted a wave.
+	// waveAcceptedAt is when this leader term accepted a wave.
 	waveAcceptedAt map[int64]time.Time
 
-	// list is the deployment's as it was read at listedAt; both belong to the loop.
+	// list is the deployment's machine list as read at listedAt. Only the machine loop
+	// uses both.
 	list     map[string]ListedMachine
 	listedAt time.Time
-	// lost says that the last reading failed, unreadable counts the entries of it that
-	// named no machine to use.
+	// listFailed is set when the last read failed. unreadable counts the entries of the
+	// last read that named no usable machine.
 	listFailed bool
 	unreadable int
 }
@@ -57,10 +61,11 @@
 	}
 }
 
-// isCordoned reports whether a worker gets nothing new for its machine's sake. t.mu is held.
+// isCordoned reports whether a worker gets no new tasks because its machine goes down or
+// moves. t.mu must be held.
 func (m *machines) isCordoned(worker string) bool { return m != nil && m.cordoned[worker] != nil }
 
-// machineLoop works on waves and moves until the tenure ends.
+// machineLoop works on waves and moves until the leader term ends.
 func (t *leaderTerm) machineLoop() {
 	for wait.For(t.ctx, machineLoopInterval) {
 		waves, services := t.openWaves(), t.services()
@@ -77,7 +82,8 @@
 	}
 }
 
-// decideMachines calls decide with a list that is new enough.
+// decideMachines calls decide if the machine list is recent enough, after reading it again
+// if needed.
 func (t *leaderTerm) decideMachines(decide func(now time.Time)) {
 	now := time.Now()
 	if now.Sub(t.machines.listedAt) > machineListInterval {
@@ -89,8 +95,8 @@
 	}
 }
 
-// setLatestIncarnations takes for the worker on each machine its latest life, since the list names
-// workers only, and is some time old.
+// setLatestIncarnations sets the worker of each machine to its latest incarnation by the
+// log: the list gives only the worker's name, and it lags.
 func (m *machines) setLatestIncarnations(state *StateMachine) {
 	state.read(func(s *workflow.State) {
 		for id, listed := range m.list {
@@ -102,7 +108,8 @@
 	})
 }
 
-// readMachines reads the whole list. What it doesn't hold has left for good.
+// readMachines reads the whole machine list. A machine that isn't in it has left the
+// deployment for good.
 func (t *leaderTerm) readMachines(now time.Time) {
 	m := t.machines
 	list, err := t.listMachines()
@@ -115,6 +122,7 @@
 	}
 }
 
+// listMachines returns the machines of all pages of the list, by id.
 func (t *leaderTerm) listMachines() (map[string]ListedMachine, error) {
 	ctx, cancel := context.WithTimeout(t.ctx, machineCallTimeout)
 	defer cancel()
@@ -138,11 +146,11 @@
 	}
 }
 
-// keepUnreadable keeps what was known of machines that a list doesn't hold, when entries
-// of it couldn't be read: theirs may be among them.
+// keepUnreadable adds the known machines that a list lacks if some of its entries couldn't
+// be read: the missing machines may be among them.
 //
-// Failure guarded against: one entry is damaged, its machine counts as gone for good,
-// and a wave is said to be done without it.
+// Failure guarded against: one entry is damaged, its machine counts as gone for good, and
+// a wave is reported as done without it.
 func (t *leaderTerm) keepUnreadable(list map[string]ListedMachine, unreadable int) {
 	if unreadable != t.machines.unreadable {
 		t.machines.unreadable = unreadable
@@ -158,7 +166,7 @@
 	}
 }
 
-// cordon gives a worker nothing new, and reports whether that is a change.
+// cordon stops new tasks for a worker, and reports whether that is a change.
 func (t *leaderTerm) cordon(worker string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -169,8 +177,8 @@
 	return true
 }
 
-// stopRunsOn lets the runs of a worker be stopped, and reports whether that is a
-// change.
+// stopRunsOn marks the runs of a cordoned worker to be stopped, and reports whether that
+// is a change.
 func (t *leaderTerm) stopRunsOn(worker string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -183,7 +191,7 @@
 	return true
 }
 
-// uncordonOthers gives work again to all workers but those kept.
+// uncordonOthers uncordons all workers except those in keepCordoned.
 func (t *leaderTerm) uncordonOthers(keepCordoned map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -194,9 +202,10 @@
 	}
 }
 
-// beginOrder reports whether an order for a machine may be given now, and notes
-// that one is under way. A machine that another instance may have given orders
-// for a moment ago waits.
+// beginOrder reports whether an order for a machine may be sent now, and marks it as in
+// flight. It returns false while another order is in flight, and for MachineHandoverDelay
+// after the start of the leader term, since orders of the previous leader may still be on
+// their way.
 func (t *leaderTerm) beginOrder(machine string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -207,7 +216,7 @@
 	return true
 }
 
-// callMachine makes one call that orders something of a machine.
+// callMachine makes one call that gives a machine an order.
 func (t *leaderTerm) callMachine(machine string, call func(context.Context, MachineOrder) error) error {
 	ctx, cancel := context.WithTimeout(t.ctx, machineCallTimeout)
 	defer cancel()
@@ -216,13 +225,15 @@
 	return err
 }
 
+// endOrder marks the order of a machine as no longer in flight.
 func (t *leaderTerm) endOrder(machine string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.machines.ordersInFlight, machine)
 }
 
-// stepDownIfFenced ends the tenure when an order was refused for a later leader's sake.
+// stepDownIfFenced ends the leader term if an order was refused because a later leader has
+// already sent orders to the machine.
 func (t *leaderTerm) stepDownIfFenced(refused *RefusedError) {
 	if refused != nil && refused.Reason == RefusedStaleFence {
 		t.logger.Log("event", "tenure", "outcome", "given up", "cause", "a machine has orders of a later leader")
@@ -230,7 +241,7 @@
 	}
 }
 
-// sortMachines puts the machines of a pool into a fixed order.
+// sortMachines sorts the machines of a pool by id.
 func sortMachines(list []fleet.Machine) {
 	slices.SortFunc(list, func(a, b fleet.Machine) int { return cmp.Compare(a.ID, b.ID) })
 }
--- a/internal/control/maintenance.go
+++ b/internal/control/maintenance.go
@@ -11,6 +11,7 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
+// recordWaveAccepted records when this leader term first accepted a wave.
 func (t *leaderTerm) recordWaveAccepted(id int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -32,8 +33,8 @@
 	return open
 }
 
-// processWaves decides on each wave and carries the decisions out. kept gets the workers
-// that are given nothing new.
+// processWaves decides on each wave and carries the decisions out. It adds the cordoned
+// workers to keepCordoned.
 func (t *leaderTerm) processWaves(waves []workflow.WaveState, keepCordoned map[string]bool, now time.Time) {
 	for _, wave := range waves {
 		input := t.waveMachines(&wave, keepCordoned, now)
@@ -60,12 +61,13 @@
 	}
 }
 
+// logMaintenance logs the outcome of a step of a machine's maintenance.
 func (t *leaderTerm) logMaintenance(wave int64, machine, worker, outcome string) {
 	t.logger.Log("event", "maintenance", "wave", wave, "machine", machine, "worker", worker, "outcome", outcome)
 }
 
-// waveTimes is how much time a wave has left. A leader that didn't accept it goes
-// by the time of day, which may be off by some seconds.
+// waveTimes returns the remaining time and the limits of a wave. A leader that didn't
+// accept the wave itself uses the wall clock, which may be off by some seconds.
 func (t *leaderTerm) waveTimes(w *workflow.WaveState, now time.Time) maintenance.Wave {
 	t.mu.Lock()
 	acceptedAt, known := t.machines.waveAcceptedAt[w.ID]
@@ -81,13 +83,13 @@
 // waveMachines are the machines of a wave whose maintenance isn't over.
 type waveMachines struct {
 	machines []maintenance.Machine
-	// again are those whose order got no answer. It is repeated, also an order of
-	// an earlier leader: it succeeds when it has been carried out.
+	// resend are the machines whose order got no answer. The order is repeated, even if an
+	// earlier leader sent it: the repetition succeeds if the order has been carried out.
 	resend []ListedMachine
 }
 
-// waveMachines views the machines of a wave, and adds to kept the workers that
-// are given nothing new.
+// waveMachines returns the state of the machines of a wave, and adds to keepCordoned the
+// workers that must get no new tasks.
 func (t *leaderTerm) waveMachines(w *workflow.WaveState, keepCordoned map[string]bool, now time.Time) waveMachines {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -99,7 +101,8 @@
 			switch {
 			case !exists || recorded.Stage == workflow.MaintenanceNotNeeded, recorded.Stage == workflow.MaintenanceBegun && t.backFromMaintenance(listed, recorded, now):
 			case recorded.Stage != 0:
-				// An order without an answer may be carried out at any time.
+				// An order without an answer may still be carried out, so the machine
+				// counts as down.
 				input.machines = append(input.machines, maintenance.Machine{ID: id, Down: true})
 				keepCordoned[recorded.Worker] = true
 				if recorded.Stage == workflow.MaintenanceOrdered {
@@ -117,11 +120,10 @@
 	return input
 }
 
-// backFromMaintenance reports whether a machine has come back from its maintenance: the time of one
-// has passed since it began, and another incarnation lives on the machine. The
-// list may lag, so that it is up isn't enough; and the worker may have restarted
-// before the order was carried out, so that another one is shown isn't either.
-// t.mu is held.
+// backFromMaintenance reports whether a machine is back from its maintenance: the duration
+// of a maintenance has passed since it began, and another incarnation runs on the machine.
+// Neither is sufficient alone: the list may lag and still show the machine as up, and the
+// worker may have restarted before the order was carried out. t.mu must be held.
 func (t *leaderTerm) backFromMaintenance(m ListedMachine, recorded workflow.Maintenance, now time.Time) bool {
 	begunAt, known := t.machines.maintenanceBegunAt[m.ID]
 	if !known {
@@ -130,7 +132,8 @@
 	return now.Sub(begunAt) >= t.c.cfg.Bounds.MaintenanceDuration && m.State == MachineUp && m.Worker != "" && m.Worker != recorded.Worker
 }
 
-// maintenanceMachine is the view of a machine that hasn't been ordered down. t.mu is held.
+// maintenanceMachine returns the state of a machine that hasn't been ordered down. t.mu
+// must be held.
 func (t *leaderTerm) maintenanceMachine(s *workflow.State, listed ListedMachine, now time.Time) maintenance.Machine {
 	m := maintenance.Machine{ID: listed.ID, Up: listed.State == MachineUp}
 	runs := s.Runs[listed.Worker]
@@ -151,7 +154,8 @@
 	return m
 }
 
-// orderMaintenance commits that a machine goes down and then orders it.
+// orderMaintenance commits that a machine goes down and then sends the order, in the
+// background.
 func (t *leaderTerm) orderMaintenance(wave int64, m ListedMachine) {
 	if !t.beginOrder(m.ID) {
 		return
@@ -164,6 +168,8 @@
 	})
 }
 
+// sendMaintenance commits and sends a maintenance order, and commits its outcome. If the
+// deployment refuses the wave or the machine, the maintenance is recorded as not needed.
 func (t *leaderTerm) sendMaintenance(wave int64, m ListedMachine, listAge time.Duration) {
 	if t.commitMaintenance(wave, m, workflow.MaintenanceOrdered) != nil {
 		return
@@ -190,13 +196,14 @@
 	}
 }
 
+// commitMaintenance commits the stage of a machine's maintenance.
 func (t *leaderTerm) commitMaintenance(wave int64, m ListedMachine, stage workflow.MaintenanceStage) error {
 	_, err := t.propose(&workflow.Command{Maintenance: &workflow.Maintenance{Wave: wave, Machine: m.ID, Stage: stage, Worker: m.Worker}})
 	return err
 }
 
-// dropRemovedMachines settles the machines of a wave that have left the deployment: the list
-// was read whole and doesn't hold them.
+// dropRemovedMachines records that machines which have left the deployment need no
+// maintenance any more. The list was read completely and doesn't contain them.
 func (t *leaderTerm) dropRemovedMachines(w *workflow.WaveState) {
 	for _, id := range w.Machines {
 		_, exists := t.machines.list[id]
--- a/internal/control/maintenance_test.go
+++ b/internal/control/maintenance_test.go
@@ -13,27 +13,28 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// fakeMachines is a deployment whose machines go down for maintenance and come back
-// with another incarnation of their worker.
+// fakeMachines is a deployment whose machines go down for maintenance and come back with
+// another incarnation of their worker.
 type fakeMachines struct {
 	world *testCluster
-	// length is how long a machine is down, lag how long the list shows it as before.
+	// downtime is how long a machine is down, listDelay how long the list still shows it
+	// as up.
 	downtime, listDelay time.Duration
-	// slow is how long a call takes; calls and maxInFlight count those under way for
-	// one machine.
+	// callDuration is how long a call takes. inFlight and maxInFlight count the calls in
+	// flight per machine.
 	callDuration time.Duration
 	inFlight     map[string]int
 	maxInFlight  int
 
 	mu   sync.Mutex
 	list map[string]*ListedMachine
-	// lives counts the incarnations of a machine's worker.
+	// incarnations counts the later incarnations of each machine's worker.
 	incarnations map[string]int
-	// down and maxDown count machines that are down.
+	// down and maxDown count the machines that are down.
 	down, maxDown int
 	fences        []uint64
 	moves         []string
-	// silent orders are carried out without an answer.
+	// loseAnswer makes the next maintenance order succeed without an answer.
 	loseAnswer bool
 }
 
@@ -45,7 +46,7 @@
 	return f
 }
 
-// List lists one machine a page.
+// List returns one machine per page.
 func (f *fakeMachines) List(_ context.Context, page string) (MachinePage, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// enter counts a call under way and takes its time.
+// beginCall counts a call in flight and waits for its duration.
 func (f *fakeMachines) beginCall(machine string) {
 	f.mu.Lock()
 	f.inFlight[machine]++
@@ -107,6 +108,7 @@
 	f.inFlight[machine]--
 }
 
+// takeDown ends the worker of a machine and schedules its return. f.mu must be held.
 func (f *fakeMachines) takeDown(m *ListedMachine) {
 	old := m.Worker
 	f.world.withWorker(old, func(w *fakeWorker) { w.superseded = true; clear(w.running) })
@@ -122,7 +124,8 @@
 	f.scheduleReturn(m)
 }
 
-// scheduleReturn lets the next incarnation of a machine's worker appear. f.mu is held.
+// scheduleReturn starts the next incarnation of a machine's worker after the downtime.
+// f.mu must be held.
 func (f *fakeMachines) scheduleReturn(m *ListedMachine) {
 	f.incarnations[m.ID]++
 	next := fmt.Sprint(m.ID, "-", f.incarnations[m.ID])
@@ -134,12 +137,12 @@
 		}
 		m.State, m.Worker = MachineUp, next
 		f.mu.Unlock()
-		// The test may have ended; then nobody is there to hear it.
+		// The test may have ended; the heartbeat has no receiver then.
 		_, _ = f.world.c.Announce(context.Background(), &Announcement{Worker: worker(next)})
 	})
 }
 
-// machineWorld is a leader with machines and one worker on each.
+// machineWorld returns a leader with machines and one worker on each.
 func machineWorld(t *testing.T, machines *fakeMachines) *testCluster {
 	w := newTestCluster(t, func(w *testCluster) {
 		machines.world = w
@@ -164,7 +167,7 @@
 	return reply.Done
 }
 
-// What a user sees: nothing, though all machines have their maintenance: the job that
+// Checks that a wave takes down at most MaxDown machines at a time, and that a job which
 // ran when the wave began ends before its machine goes down.
 func TestWaveRespectsMaxDownAndWaitsForRuns(t *testing.T) {
 	machines := newFakeMachines("m1", "m2", "m3")
@@ -195,9 +198,9 @@
 	must.Eq(t, 1, machines.maxDown)
 }
 
-// What an operator sees: more machines are down than the wave allows.
-// Order: an order for a machine is carried out and its answer is lost.
-// Cause: a machine counted as up while its order was open.
+// Guards against taking down more machines than the wave allows: an order is carried out
+// and its answer is lost. The machine must count as down while the outcome of its order is
+// unknown.
 func TestMachineWithUnansweredOrderCountsAsDown(t *testing.T) {
 	machines := newFakeMachines("m1", "m2", "m3")
 	machines.loseAnswer, machines.downtime, machines.listDelay = true, 600*time.Millisecond, 300*time.Millisecond
@@ -207,10 +210,10 @@
 	must.Eq(t, 1, machines.maxDown)
 }
 
-// What an operator sees: more machines are down than the wave allows.
-// Order: a worker restarts; its machine is ordered down by a list that shows its
-// earlier incarnation; the next list, which lags, shows the later one as up.
-// Cause: another incarnation was taken for proof that the machine is back.
+// Guards against taking down more machines than the wave allows: a worker restarts, its
+// machine is ordered down based on a list with the earlier incarnation, and the next list,
+// which lags, shows the later incarnation as up. Another incarnation alone doesn't prove
+// that the machine is back.
 func TestMachineIsBackOnlyAfterMaintenanceTime(t *testing.T) {
 	w := newTestCluster(t, nil)
 	term, err := w.c.currentLeaderTerm(context.Background())
@@ -221,7 +224,7 @@
 	begunAt := time.Now()
 	term.mu.Lock()
 	defer term.mu.Unlock()
-	must.False(t, term.backFromMaintenance(listed, recorded, begunAt), must.Sprint("begun under an earlier leader"))
+	must.False(t, term.backFromMaintenance(listed, recorded, begunAt), must.Sprint("the maintenance began under an earlier leader"))
 	term.machines.maintenanceBegunAt["m1"] = begunAt
 	must.False(t, term.backFromMaintenance(listed, recorded, begunAt.Add(time.Minute)))
 	must.True(t, term.backFromMaintenance(listed, recorded, begunAt.Add(time.Hour)))
@@ -229,10 +232,8 @@
 	must.False(t, term.backFromMaintenance(listed, recorded, begunAt.Add(time.Hour)), must.Sprint("the same incarnation"))
 }
 
-// What an operator sees: one machine gets orders twice, or from two instances.
-// Order: an order takes long, and the next decision comes before its answer; a
-// leader begins right after another one gave orders.
-// Cause: nothing held orders for one machine apart.
+// Guards against concurrent orders for one machine: an order takes longer than the time to
+// the next decision, or a new leader starts right after the previous one sent orders.
 func TestOrdersForOneMachineNeverOverlap(t *testing.T) {
 	machines := newFakeMachines("m1", "m2")
 	machines.callDuration = 3 * machineLoopInterval
@@ -242,17 +243,16 @@
 	must.True(t, term.beginOrder("m9"))
 	must.False(t, term.beginOrder("m9"))
 	term.c.cfg.Bounds.MachineHandoverDelay = time.Hour
-	must.False(t, term.beginOrder("m8"), must.Sprint("the predecessor's orders may be on their way"))
+	must.False(t, term.beginOrder("m8"), must.Sprint("orders of the previous leader may be in flight"))
 	term.c.cfg.Bounds.MachineHandoverDelay = 0
 	w.startWave(workflow.Wave{ID: 1, Machines: []string{"m1", "m2"}, DurationMS: 60_000, MaxDown: 1})
 	w.eventually("the wave is done", func() bool { return w.waveDone(1) })
 	must.Eq(t, 1, machines.maxInFlight)
 }
 
-// What a user sees: a service with too few of its tasks at work.
-// Order: two machines are cordoned by one decision; a task of the same step runs on
-// each; one of them may be away.
-// Cause: the first stop didn't count before it was carried out.
+// Guards against too few ready tasks of a service: one decision cordons two machines that
+// each run a task of the step, and one task may be unavailable. The first stop must count
+// from when it is ordered, not only once it has been carried out.
 func TestStoppingTaskCountsAsUnavailable(t *testing.T) {
 	w := newTestCluster(t, nil)
 	for _, id := range []string{"w1", "w2"} {
@@ -280,10 +280,9 @@
 	})
 }
 
-// What a user sees: a service with none of its tasks at work.
-// Order: both of its workers are to leave; both tasks turn out to be at work between
-// two looks for runs to stop; one of them may be away.
-// Cause: the stops of one look were noted after all its runs had been judged.
+// Guards against a service without any ready task: both of its workers drain, and both
+// tasks become ready between two run checks, while one may be unavailable. A stop must
+// count for the runs that the same run check examines after it.
 func TestStopsOfOneSweepCountAgainstMaxUnavailable(t *testing.T) {
 	term := loadedTerm(t, benchmarkLoad{workers: 2})
 	service := submission("service")
@@ -302,12 +301,11 @@
 		session.orders[run.Task] = &runOrder{run: run, listed: true, percent: completePercent}
 	}
 	must.SliceLen(t, 1, term.gatherPlanInput(time.Now()).stops)
-	must.SliceEmpty(t, term.gatherPlanInput(time.Now().Add(stopRetryInterval/2)).stops, must.Sprint("the other one stays until the first is at work elsewhere"))
+	must.SliceEmpty(t, term.gatherPlanInput(time.Now().Add(stopRetryInterval/2)).stops, must.Sprint("the other task stays until the first is ready elsewhere"))
 }
 
-// What a user sees: a machine is taken from under a task.
-// Order: a machine is chosen for a move; a start on it is being committed.
-// Cause: only committed runs were looked at.
+// Guards against moving a machine away from a task: the machine is chosen for a move while
+// a start on it is being committed. Proposed starts must count as well as committed runs.
 func TestMachineWithProposedStartIsNotEmpty(t *testing.T) {
 	w := newTestCluster(t, nil)
 	term, err := w.c.currentLeaderTerm(context.Background())
@@ -319,10 +317,9 @@
 	must.False(t, term.isEmpty("w1"))
 }
 
-// What a user sees: a service with too few of its tasks at work.
-// Order: two tasks serve on two machines; one of them may be away; both machines
-// are to go down; the moved task takes its time to be at work again.
-// Cause: a task counted as at work once its start was sent.
+// Guards against too few ready tasks of a service: two tasks serve on two machines that
+// both go down, one may be unavailable, and the moved task takes time to become ready. A
+// task must not count as ready just because its start was sent.
 func TestLongRunningTasksMoveWithinMaxUnavailable(t *testing.T) {
 	machines := newFakeMachines("m1", "m2", "m3")
 	w := machineWorld(t, machines)
@@ -351,19 +348,18 @@
 	markReady(first[0])
 	w.startWave(workflow.Wave{ID: 1, Machines: []string{first[0][:2], first[1][:2]}, DurationMS: 1000, MaxDown: 2})
 	time.Sleep(400 * time.Millisecond)
-	must.SliceContains(t, running(), first[0], must.Sprint("the other one isn't at work yet"))
+	must.SliceContains(t, running(), first[0], must.Sprint("the other task is not ready yet"))
 	for !w.waveDone(1) {
 		for _, id := range running() {
 			markReady(id)
 		}
-		must.SliceNotEmpty(t, running(), must.Sprint("no task is there"))
+		must.SliceNotEmpty(t, running(), must.Sprint("no task is running"))
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// What a user sees: jobs wait though machines stand by.
-// Order: a job needs more than the service's one machine has; others are off in a
-// standby pool.
+// Checks that a machine moves from a standby pool to the pool of a service whose job needs
+// more than the one machine of that pool.
 func TestStandbyMachineMovesToPoolWithPendingWork(t *testing.T) {
 	machines := newFakeMachines("m1", "m2", "m3")
 	for _, id := range []string{"m2", "m3"} {
@@ -399,9 +395,9 @@
 	must.Eq(t, []string{"m2 to s"}, machines.moves)
 }
 
-// What a user sees: a wave is said to be done, and a machine of it wasn't taken down.
-// Order: the list is read whole; then an entry of it is damaged.
-// Cause: a machine whose entry couldn't be read counted as gone for good.
+// Guards against reporting a wave as done without the maintenance of one machine: the list
+// is read completely first, then one of its entries is damaged. The machine of an
+// unreadable entry must not count as gone.
 func TestMachineWithUnreadableEntryIsKept(t *testing.T) {
 	w := newTestCluster(t, nil)
 	term, err := w.c.currentLeaderTerm(context.Background())
--- a/internal/control/permits.go
+++ b/internal/control/permits.go
@@ -10,24 +10,29 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// queryTimeoutMargin is added to the time that the adviser says a question takes.
+// queryTimeoutMargin is added to the expected duration of a query to get its timeout.
 const queryTimeoutMargin = 800 * time.Millisecond
 
-// stepPermits is what is known of the permissions of one step.
+// stepPermits holds the adviser's answers about one step.
 type stepPermits struct {
-	// known is replaced, never changed: decisions read it without the lock.
+	// known maps workers to their permits. The map is replaced, never modified: decisions
+	// read it without the lock.
 	known map[string]dispatch.Permit
-	// asking counts the questions under way.
+	// inFlight counts the queries in flight.
 	inFlight int
-	// asked is when the last one was put, or since when the step waits for its first, on
-	// the tenure's clock; 0 before that.
+	// lastQueryAt is when the last query was sent, or since when the step has waited for
+	// its first, relative to the start of the leader term. 0 means that the step hasn't
+	// waited yet.
 	lastQueryAt time.Duration
-	renewing    []string
-	// ticketsExpire is when the last ticket ends, on the tenure's clock.
+	// renewing lists the workers whose tickets the queries in flight renew.
+	renewing []string
+	// ticketsExpire is when the last ticket expires, relative to the start of the leader
+	// term.
 	ticketsExpire time.Duration
 }
 
-// permitsOf returns what is known of a step's permissions. t.mu is held.
+// permitsOf returns the permits of a step and creates the entry if there is none. t.mu
+// must be held.
 func (t *leaderTerm) permitsOf(key workflow.StepKey) *stepPermits {
 	p := t.permits[key]
 	if p == nil {
@@ -37,7 +42,8 @@
 	return p
 }
 
-// invalidateTicket makes the next start of the step on the worker ask again. t.mu is held.
+// invalidateTicket marks a ticket as expired, so that the next start of the step on the
+// worker needs a new query. t.mu must be held.
 func (t *leaderTerm) invalidateTicket(key workflow.StepKey, worker string) {
 	p := t.permitsOf(key)
 	if permit, ok := p.known[worker]; ok {
@@ -48,8 +54,8 @@
 	}
 }
 
-// ask puts a question about a step of a queue's job to the adviser and takes in the
-// answer.
+// queryAdviser sends a query about a step to the adviser in the background. It does
+// nothing when no adviser connection is free.
 func (t *leaderTerm) queryAdviser(query dispatch.Query, queue string, policy *workflow.AdvicePolicy) {
 	duration := queryDuration(policy, len(query.Workers))
 	now := time.Now()
@@ -69,8 +75,8 @@
 	t.spawn(func() { t.queryAdviserVia(conn, query, queue, valid, time.Until(answerDue)+queryTimeoutMargin) })
 }
 
-// queryAdviserVia asks on a lane; valid is how long a ticket holds by the policy,
-// where the answer doesn't say.
+// queryAdviserVia sends a query through conn and records the reply. valid is the ticket
+// validity by the policy, used when the reply has none.
 func (t *leaderTerm) queryAdviserVia(conn *adviserConn, query dispatch.Query, queue string, valid, limit time.Duration) {
 	ctx, cancel := context.WithTimeout(t.ctx, limit)
 	defer cancel()
@@ -99,12 +105,12 @@
 	t.mu.Unlock()
 }
 
-// grantShareSmoothing is that of the latest answer in the moving mean of what the adviser
-// permits: some 20 answers count.
+// grantShareSmoothing is the weight of the latest reply in the moving mean of the granted
+// share: about 20 replies count.
 const grantShareSmoothing = 0.05
 
-// updateGrantShare takes in what share of the workers that nothing was known of has been
-// permitted. t.mu is held.
+// updateGrantShare adds a reply to the queue's mean share of granted workers. It counts
+// only workers without an earlier answer for the step. t.mu must be held.
 func (t *leaderTerm) updateGrantShare(queue string, p *stepPermits, queried []string, granted []Grant) {
 	unknown := make(map[string]bool, len(queried))
 	for _, worker := range queried {
@@ -126,7 +132,8 @@
 	t.grantShares[queue] = share
 }
 
-// applyReport remembers an answer: whoever was asked about and isn't in it is refused.
+// recordReply stores the permits of a reply. Workers that were queried and aren't granted
+// are refused.
 func (p *stepPermits) recordReply(queried []string, reply AskReply, expires time.Duration) {
 	known := maps.Clone(p.known)
 	for _, worker := range queried {
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -9,40 +9,43 @@
 )
 
 const (
-	// workersPerQuery is how many workers one question names: objectives allow for a
-	// question about 30 a step.
+	// workersPerQuery is the number of workers that one adviser query names. Job
+	// objectives allow for about one query per 30 workers and step.
 	workersPerQuery = 30
-	// gangWorkersPerQuery: a gang is permitted on a third of the workers and needs room on many
-	// of them at once. It is the most that a question may name; the same workers in two
-	// questions keep lanes busy for a third longer.
+	// gangWorkersPerQuery is the number of workers that a query for a gang names, and the
+	// maximum of any query. A gang is permitted on a third of the workers and needs free
+	// resources on many of them at once. Splitting the same workers into two queries keeps
+	// adviser connections busy for a third longer.
 	gangWorkersPerQuery = 100
-	// ticketMargin is what a ticket must hold still when a start is planned: the
-	// commit of the start and its way to the worker.
+	// ticketMargin is the remaining validity that a ticket needs when a start is planned:
+	// enough to commit the start and deliver it to the worker.
 	ticketMargin = 150 * time.Millisecond
-	// minPlanInterval is the least time between two decisions, so that what comes up
-	// together is decided together.
+	// minPlanInterval is the minimum time between two decisions. It batches events that
+	// arrive together.
 	minPlanInterval = 2 * time.Millisecond
-	// planPauseFactor is how many times as long as a whole decision took the planner rests
-	// after it, maxPlanPause for how long at most: a decision that others hold up seems
-	// long. Fresh jobs don't wait for the next one.
+	// planPauseFactor times the duration of a full decision is the pause after it, at most
+	// maxPlanPause, since a decision that was held up by other goroutines appears long.
+	// Changed jobs don't wait for the next full decision.
 	//
 	// Failure guarded against: with many workers and a queue a decision takes
-	// milliseconds. Made one after the other they hold the only processor of the leader,
-	// the log's heartbeats come late, and each next leader meets a longer queue.
+	// milliseconds. Without pauses, decisions occupy the only processor of the leader, the
+	// heartbeats of the log are late, and each following leader finds a longer queue.
 	planPauseFactor = 10
 	maxPlanPause    = 100 * time.Millisecond
 )
 
-// maxPlannedSteps is how many queued steps one decision goes into, so that a long queue
-// makes no decision long.
+// maxPlannedSteps bounds the queued steps that one decision considers, so that a long
+// queue doesn't make decisions long.
 const maxPlannedSteps = 128
 
-// planLimits bound one plan but for the questions that may be put.
+// planLimits are the fixed limits of a plan. The number of queries depends on the free
+// adviser connections; see limits.
 var planLimits = dispatch.Limits{
 	WorkersPerQuery: workersPerQuery, WorkersPerGangQuery: gangWorkersPerQuery, Steps: maxPlannedSteps, TicketMargin: ticketMargin, LongQueryTime: longQuery,
 }
 
-// planLoop decides whenever something has changed, until the tenure ends.
+// planLoop makes a decision whenever something has changed, and at least every
+// planInterval, until the leader term ends.
 func (t *leaderTerm) planLoop() {
 	for t.ctx.Err() == nil {
 		timer := time.NewTimer(planInterval)
@@ -62,7 +65,8 @@
 	}
 }
 
-// decide makes one plan, commits its starts and sends them.
+// decide makes a full decision: it plans all ready steps, sends the queries and stops, and
+// commits and sends the starts.
 func (t *leaderTerm) decide() {
 	start := time.Now()
 	v := t.gatherPlanInput(start)
@@ -83,7 +87,7 @@
 	t.applyPlan(&plan, v.copyCandidates)
 }
 
-// limits bound a plan that is made now.
+// limits returns the limits of a plan that is made now.
 func (t *leaderTerm) limits(now time.Time) dispatch.Limits {
 	limits := planLimits
 	limits.Queries, limits.LongQueries = t.adviserConns.available(now)
@@ -91,7 +95,7 @@
 	return limits
 }
 
-// applyPlan puts the questions of a plan, and commits and sends its starts.
+// applyPlan sends the adviser queries of a plan, and commits and sends its starts.
 func (t *leaderTerm) applyPlan(plan *dispatch.Plan, copies map[workflow.TaskKey]copyCandidate) {
 	for _, query := range plan.Queries {
 		if queue, policy := t.advicePolicy(query.Step); policy != nil {
@@ -105,6 +109,7 @@
 	}
 }
 
+// recordEarmarks replaces the set of workers that the last decision earmarked for gangs.
 func (t *leaderTerm) recordEarmarks(workers []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -114,8 +119,8 @@
 	}
 }
 
-// advicePolicy returns a step's queue and its policy of the adviser, nil when its job has
-// been forgotten meanwhile.
+// advicePolicy returns the queue of a step and its adviser policy. The policy is nil when
+// the job has been dropped from the state in the meantime.
 func (t *leaderTerm) advicePolicy(step workflow.StepKey) (queue string, policy *workflow.AdvicePolicy) {
 	t.c.state.read(func(s *workflow.State) {
 		if job := s.Jobs[step.Job]; job != nil {
@@ -125,9 +130,9 @@
 	return queue, policy
 }
 
-// markProposed keeps the tasks and the room of starts that are being committed
-// out of the decisions made meanwhile. Waiting for each commit before the next
-// decision instead would delay starts by half a commit on average.
+// markProposed excludes the tasks of starts that are being committed, and the resources
+// that they take, from the decisions made in the meantime. Waiting for each commit before
+// the next decision would delay starts by half a commit on average.
 func (t *leaderTerm) markProposed(starts []dispatch.Start) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -136,7 +141,7 @@
 	}
 }
 
-// start commits starts and then sends them.
+// commitStarts commits starts in one command and then sends them to the workers.
 func (t *leaderTerm) commitStarts(starts []dispatch.Start) {
 	command := &workflow.Command{}
 	tickets := make(map[workflow.TaskKey]string, len(starts))
@@ -158,11 +163,11 @@
 	}
 }
 
-// sendCommittedStart sends a committed start, unless it serves nobody any more.
+// sendCommittedStart sends a committed start. If its job has ended or its worker is no
+// longer monitored, it commits the run as not started instead.
 //
-// Failure guarded against: a job ends while its start is being committed. Its
-// payload is dropped with it, and the worker would be told to run a task with
-// an empty one.
+// Failure guarded against: a job ends while its start is being committed. Its payload is
+// dropped with it, and the worker would be told to run a task with an empty payload.
 func (t *leaderTerm) sendCommittedStart(run workflow.Run, ticket string) {
 	o, payload, checkpoint := t.newOrder(run, ticket)
 	t.mu.Lock()
@@ -185,8 +190,9 @@
 	t.spawn(func() { s.sendStart(o, payload, checkpoint) })
 }
 
-// newOrder makes up the order of a committed start; nil when its job has ended, or
-// a copy of its task.
+// newOrder returns the order for a committed start with the payload and the checkpoint to
+// resume from. The order is nil when the job has ended or another run has completed the
+// task.
 func (t *leaderTerm) newOrder(run workflow.Run, ticket string) (o *runOrder, payload, checkpoint string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -196,7 +202,7 @@
 			return
 		}
 		payload = job.Payload
-		// A copy goes on from what the other run has reported.
+		// A speculative copy resumes from the last checkpoint of the other run.
 		checkpoint = cmp.Or(t.checkpoints[run.Task], s.Task(run.Task).Checkpoint)
 		estimate := time.Duration(job.Steps[run.Task.Step].EstimateMS) * time.Millisecond
 		o = &runOrder{
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -9,15 +9,15 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// commitTimeout bounds a call that waits for the log. A commit takes one sync,
-// and a client waits for 3 s in all.
+// commitTimeout bounds a call that waits for the log. A commit takes one disk sync, and
+// the total timeout of a client is 3 s.
 const commitTimeout = 2 * time.Second
 
-// noConfigurationRetryAfter is when a caller is told to come back that met no configuration:
-// the first version is sent again until it is accepted.
+// noConfigurationRetryAfter is the retry delay sent to callers before the first
+// configuration has been committed. Its sender repeats it until it is accepted.
 const noConfigurationRetryAfter = time.Second
 
-// Register serves the controller's calls on mux.
+// Register registers the handlers of the controller's calls on mux.
 func (c *Controller) Register(mux *link.Mux) {
 	link.Handle(mux, MethodSubmit, c.Submit)
 	link.Handle(mux, MethodState, c.State)
@@ -34,14 +34,14 @@
 	mux.SetVersion(c.version)
 }
 
-// version is that of the configuration here.
+// version returns the version of the configuration that has been applied here.
 func (c *Controller) version() (version uint64) {
 	c.state.read(func(s *workflow.State) { version = s.Configuration.Version })
 	return version
 }
 
-// addressed returns the tenure that decides on what a place names, with the queue
-// and the rest of the path, which is a job's id or empty.
+// resolveOnLeader returns the current leader term, with the queue that address names and
+// the id of its job; the id is empty when address names a queue only.
 func (c *Controller) resolveOnLeader(ctx context.Context, address JobAddress) (*leaderTerm, workflow.Queue, string, error) {
 	t, err := c.currentLeaderTerm(ctx)
 	if err != nil {
@@ -51,7 +51,8 @@
 	return t, queue, id, err
 }
 
-// catchUp waits until all that was committed before the call is applied here.
+// catchUp waits until every command that was committed before the call has been applied
+// here. It returns a not-leader error when the log can't confirm the leadership.
 func (c *Controller) catchUp(ctx context.Context) error {
 	if err := c.log.Barrier(ctx); err != nil {
 		return link.NotLeader(c.cfg.Leader())
@@ -59,8 +60,8 @@
 	return nil
 }
 
-// resolve finds the queue of a place. NotFound is said only after the log has
-// shown that the configuration here is the newest.
+// resolve returns the queue and the job id that address names. It returns NotFound only
+// after a log barrier has shown that the local configuration is the newest.
 func (c *Controller) resolve(ctx context.Context, address JobAddress) (workflow.Queue, string, error) {
 	queue, id, err := c.lookUp(ctx, address)
 	if !fault.Is(err, fault.NotFound) {
@@ -72,8 +73,8 @@
 	return c.lookUp(ctx, address)
 }
 
-// lookUp finds the queue of a place in the configuration here, and notes by which
-// version it answers.
+// lookUp returns the queue and the job id that address names by the local configuration,
+// and records the version of that configuration for the answer.
 func (c *Controller) lookUp(ctx context.Context, address JobAddress) (found workflow.Queue, id string, err error) {
 	c.state.read(func(s *workflow.State) {
 		if s.Configuration.Source == nil {
@@ -95,7 +96,7 @@
 	return found, id, err
 }
 
-// Submit stores a job. It returns once a majority of the disks has it.
+// Submit stores a job. It returns once a majority of the replicas has the job on disk.
 func (c *Controller) Submit(ctx context.Context, r *SubmitCall) (SubmitReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -133,7 +134,7 @@
 	return SubmitReply{Known: known}, nil
 }
 
-// State returns the phase of a job, or how many jobs of a queue wait.
+// State returns the phase of a job, or the number of waiting jobs of a queue.
 func (c *Controller) State(ctx context.Context, r *StateCall) (StateReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -154,18 +155,18 @@
 	return StateReply{Phase: phase}, nil
 }
 
-// Ended returns the phase of a job that has ended, on any instance that hears a
-// leader: what has ended stays so.
+// Ended returns the phase of a job that has ended. Any instance that knows a leader can
+// answer, since the phase of an ended job never changes.
 //
-// Load that it answers: callers ask for their jobs two or three times as often as
-// they hand one in, mostly after the end.
+// Reason: callers ask for the state of their jobs two or three times as often as they
+// submit one, mostly after the end.
 func (c *Controller) Ended(ctx context.Context, r *EndedCall) (EndedReply, error) {
 	if c.log.Status().Leader == "" || c.version() < r.Version {
 		return EndedReply{}, nil
 	}
 	queue, id, err := c.lookUp(ctx, r.Address)
 	if err != nil || id == "" {
-		// The leader says so, with proof.
+		// The leader answers this after a log barrier.
 		return EndedReply{}, nil
 	}
 	phase, ok := c.phase(id, queue.Identity())
@@ -175,8 +176,8 @@
 	return EndedReply{Known: true, Phase: phase}, nil
 }
 
-// confirmedPhase returns the phase of a queue's job. That it isn't known is said
-// only after the log has shown that nothing is missing here.
+// confirmedPhase returns the phase of a job of a queue. It reports the job as unknown only
+// after a log barrier has shown that the local state is up to date.
 func (c *Controller) confirmedPhase(ctx context.Context, id, queue string) (workflow.Phase, error) {
 	if phase, ok := c.phase(id, queue); ok {
 		return phase, nil
@@ -191,8 +192,11 @@
 	return phase, nil
 }
 
+// unknownJob is the error for a job that doesn't exist.
 func unknownJob(id string) error { return fault.New(fault.Cancelled, "no job %s", id) }
 
+// phase returns the phase of a job by the local state; ok is false when the queue has no
+// such job.
 func (c *Controller) phase(id, queue string) (phase workflow.Phase, ok bool) {
 	c.state.read(func(s *workflow.State) {
 		job := s.Jobs[id]
@@ -203,7 +207,8 @@
 	return phase, ok
 }
 
-// waiting counts the accepted jobs of a queue of which no worker has begun a task.
+// countWaitingJobs counts the accepted jobs of a queue of which no task has started on a
+// worker.
 func (c *Controller) countWaitingJobs(t *leaderTerm, queue string) (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -217,7 +222,8 @@
 	return n
 }
 
-// Cancel ends a job. The answer comes after the commit; runs are stopped then.
+// Cancel cancels a job. It returns after the commit; the runs of the job are stopped
+// afterwards.
 func (c *Controller) Cancel(ctx context.Context, r *CancelCall) (Empty, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -233,7 +239,7 @@
 	return Empty{}, err
 }
 
-// Configure stores a version of the configuration.
+// Configure commits a version of the configuration.
 func (c *Controller) Configure(ctx context.Context, r *ConfigureCall) (Empty, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -246,7 +252,8 @@
 	return Empty{}, err
 }
 
-// Configuration returns the newest version, after the log has shown that it is.
+// Configuration returns the newest configuration, after a log barrier has shown that it
+// is.
 func (c *Controller) Configuration(ctx context.Context, _ *Empty) (ConfigurationReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -266,7 +273,8 @@
 	return reply, nil
 }
 
-// StartWave stores a wave of maintenance; its machines go down one after the other.
+// StartWave commits a maintenance wave. Its machines go down in turn, at most MaxDown at a
+// time.
 func (c *Controller) StartWave(ctx context.Context, r *WaveCall) (Empty, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -283,8 +291,8 @@
 	return Empty{}, err
 }
 
-// WaveState returns how far a wave has come. That it isn't known is said only
-// after the log has shown that nothing is missing here.
+// WaveState returns the progress of a wave. It reports a wave as unknown only after a log
+// barrier has shown that the local state is up to date.
 func (c *Controller) WaveState(ctx context.Context, r *WaveStateCall) (WaveStateReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -311,7 +319,8 @@
 	return reply, nil
 }
 
-// Follow answers an instance that stays in touch.
+// Follow records the announcement of an instance and returns what the instance has to
+// know: the members, the configuration version and the time until its next announcement.
 func (c *Controller) Follow(ctx context.Context, r *FollowCall) (FollowReply, error) {
 	t, err := c.currentLeaderTerm(ctx)
 	if err != nil {
--- a/internal/control/simulation_adviser_test.go
+++ b/internal/control/simulation_adviser_test.go
@@ -13,39 +13,40 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// simAdviser permits each step on a fixed part of the workers. It serves each lane's
-// questions one after the other, and makes calls of other instances.
+// simAdviser permits each step on a fixed part of the workers. It serves the queries of
+// each connection one after the other. It also implements Caller for queries through other
+// instances.
 type simAdviser struct {
 	params *simParams
 	seed   uint64
-	// policyOf names the advice of a step's queue.
+	// policyOf returns the adviser policy of a step's queue.
 	policyOf func(workflow.StepKey) *workflow.AdvicePolicy
 	stepOf   func(workflow.TaskKey) *workflow.Step
-	// calm reports whether all faults are over.
+	// faultsOver reports whether all faults are over.
 	faultsOver func() bool
 
 	mu     sync.Mutex
 	random *rand.Rand
 	busy   map[string]time.Time
-	// cutOffUntil is until when a lane's instance can't be reached.
+	// cutOffUntil is when the instance of a connection is reachable again.
 	cutOffUntil map[string]time.Time
 	asked       int
 }
 
-// chance is a number from 0 to 1 that follows from the seed and the words.
+// seededFloat returns a number from 0 to 1 that depends only on the seed and the words.
 func seededFloat(seed uint64, words ...any) float64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprint(h, seed, words)
 	return rand.New(rand.NewPCG(seed, h.Sum64())).Float64()
 }
 
-// permits reports whether a step may run on a worker, which never changes.
+// permits reports whether a step may run on a worker. The answer never changes.
 func (a *simAdviser) permits(step workflow.StepKey, worker string) bool {
 	spec := a.stepOf(workflow.TaskKey{StepKey: step})
 	return spec != nil && spec.Image != refusedImage && seededFloat(a.seed, "permit", step, worker) < a.params.permittedShare
 }
 
-// Ask puts a question of the leader's own machine.
+// Ask serves a query from the leader's own machine.
 func (a *simAdviser) Ask(ctx context.Context, call AskCall) (AskReply, error) {
 	return a.ask(ctx, ownAddress, call)
 }
@@ -53,7 +54,7 @@
 // ownAddress is the leader's own address.
 const ownAddress = "own"
 
-// Call puts a question through another instance.
+// Call serves a query through another instance.
 func (a *simAdviser) Call(ctx context.Context, address, _ string, request, reply any) error {
 	answer, err := a.ask(ctx, address, *request.(*AskCall))
 	*reply.(*AskReply) = answer
@@ -91,7 +92,7 @@
 	return reply, nil
 }
 
-// cut lets a lane's instance be out of reach for a time.
+// cutOff makes the instance of a connection unreachable for a time.
 func (a *simAdviser) cutOff(lane string, until time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -104,7 +105,7 @@
 	return time.Now().Before(a.cutOffUntil[lane])
 }
 
-// ticketFor is a ticket that names what it permits and when it ends.
+// ticketFor returns a ticket that contains what it permits and when it expires.
 func ticketFor(step workflow.StepKey, worker string, ends time.Time) string {
 	return fmt.Sprint(step, " ", worker, " ", ends.UnixNano())
 }
--- a/internal/control/simulation_checks_test.go
+++ b/internal/control/simulation_checks_test.go
@@ -9,18 +9,19 @@
 )
 
 const (
-	// maxReadyWait is how long a ready task with room twice over may wait.
+	// maxReadyWait is how long a ready task may wait while free resources hold it twice
+	// over.
 	maxReadyWait = 3 * time.Second
-	// maxUnaccounted is how long a run may be without an owner: its end may have to wait for
-	// a log that takes nothing.
+	// maxUnaccounted is how long a run may be unaccounted for: its end may have to wait
+	// while the log accepts nothing.
 	maxUnaccounted = maxReadyWait + maxFaultDuration
-	// checkInterval is the time between two looks at what waits.
+	// checkInterval is the time between two checks of the waiting steps.
 	checkInterval = 50 * time.Millisecond
-	// spareRoomFactor is how many times over a task must have room.
+	// spareRoomFactor is how many times over a task must fit before it has to start.
 	spareRoomFactor = 2
 )
 
-// always returns what must not be at any time.
+// invariantViolations returns the violations of what must hold at any time.
 func (x *simulation) invariantViolations() []string {
 	x.workers.mu.Lock()
 	found := append(slices.Clone(x.workers.violations), x.lines.claims(x.workers.allowedClaims)...)
@@ -41,35 +42,36 @@
 	}
 	for run, since := range t.unaccountedSince {
 		if age := time.Since(since); age >= maxUnaccounted {
-			found = append(found, fmt.Sprintf("nothing tells the end of %s run %d on %s for %v", run.Task, run.Number, run.Worker, age))
+			found = append(found, fmt.Sprintf("%s run %d on %s is unaccounted for, age %v", run.Task, run.Number, run.Worker, age))
 		}
 	}
 	return found
 }
 
-// openStep is a ready step of which a task isn't done.
+// openStep is a ready step with a task that isn't done.
 type openStep struct {
 	key        workflow.StepKey
 	queue      string
 	spec       workflow.Step
 	notRunning []int
 	placeable  bool
-	// room is how many of its tasks fit now, twice over or not.
+	// fitCount is how many of its tasks fit now, counted up to spareRoomFactor times its
+	// tasks.
 	fitCount int
 }
 
-// verdict watches the calm until all work that can be done has been, and returns what
-// waits for longer than it may.
+// awaitCompletion waits after the end of the faults until all work that can be done is
+// done, and returns the steps that wait for too long.
 func (x *simulation) awaitCompletion() []string {
 	start := time.Now()
 	work, asks := x.estimateRemaining()
-	// What ran on lost workers is free for others only when their leases have ended; some
-	// workers are set aside.
+	// The resources of runs on lost workers become free only when their leases expire, and
+	// some workers are quarantined.
 	settled := 2*x.params.lease + predecessorSlack + quarantineFor + stalledRunTimeout
 	drained := settled + work + asks
 	deadline := start.Add(2*drained + 30*time.Second)
 	waitingSince := map[workflow.StepKey]time.Time{}
-	x.lines.logf("settled after %v, drained after %v", settled, drained)
+	x.lines.logf("leases expire within %v, open work ends within %v", settled, drained)
 	for {
 		time.Sleep(checkInterval)
 		if found := x.invariantViolations(); len(found) > 0 {
@@ -81,15 +83,15 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return x.describe("isn't done long after the calm began:", left)
+			return x.describe("isn't done long after the faults ended:", left)
 		}
 		if found := x.starvedSteps(left, waitingSince, usedMost, start.Add(drained)); len(found) > 0 {
-			return x.describe("has room and nothing takes it up:", found)
+			return x.describe("fits into free resources but does not start:", found)
 		}
 	}
 }
 
-// starvedSteps returns the steps that have had room twice over for too long without a start.
+// starvedSteps returns the steps that have fitted twice over for too long without a start.
 func (x *simulation) starvedSteps(steps []openStep, waitingSince map[workflow.StepKey]time.Time, usedMost bool, checkFrom time.Time) (found []openStep) {
 	now := time.Now()
 	waiting := map[workflow.StepKey]bool{}
@@ -119,8 +121,8 @@
 	return found
 }
 
-// maxWait is how long a step may wait: what the users grant, and the questions that it
-// may have to put one after the other.
+// maxWait returns how long a step may wait: what users allow, and the queries that it may
+// have to send in turn.
 func (x *simulation) maxWait(s *openStep) time.Duration {
 	for i := range x.params.queues {
 		if q := &x.params.queues[i]; q.Identity() == s.queue {
@@ -130,8 +132,8 @@
 	return maxReadyWait
 }
 
-// outstanding bounds how long what is open when the calm begins takes: its work on a part
-// of the cores, and its questions.
+// estimateRemaining returns an upper bound of the time that the open work takes on a part
+// of the cores, and of the time that its queries take.
 func (x *simulation) estimateRemaining() (work, asks time.Duration) {
 	open, _ := x.openSteps()
 	cores := float64(x.params.workers) * float64(x.params.capacity.MilliCPU) * x.params.permittedShare / 4
@@ -158,7 +160,7 @@
 }
 
 // openSteps returns the ready steps that aren't done, and whether half of the cores or
-// more are in use, by what runs on workers.
+// more are in use on the workers.
 func (x *simulation) openSteps() (open []openStep, usedMost bool) {
 	x.state.read(func(s *workflow.State) {
 		for _, job := range s.OpenJobs() {
@@ -195,7 +197,7 @@
 	return false
 }
 
-// mostlyUsed reports whether half of the cores or more are in use; r.mu is held.
+// mostlyUsed reports whether half of the cores or more are in use. r.mu must be held.
 func (r *simWorkers) mostlyUsed() bool {
 	used, all := int64(0), int64(0)
 	for _, w := range r.current {
@@ -205,8 +207,8 @@
 	return 2*used >= all
 }
 
-// measure takes in which of a step's tasks run nowhere, how many fit now, and whether all
-// fit on the step's workers if these were empty; r.mu is held.
+// measureRoom determines which tasks of a step run nowhere, how many fit now, and whether
+// all would fit on empty workers. r.mu must be held.
 func (r *simWorkers) measureRoom(s *openStep, adviser *simAdviser, advised bool) {
 	empty := 0
 	live := map[int]bool{}
@@ -238,7 +240,7 @@
 	}
 }
 
-// describe says what waits, and what the leader knows of it.
+// describe returns what waits, and what the leader knows about it.
 func (x *simulation) describe(what string, steps []openStep) (found []string) {
 	c := x.controller()
 	c.mu.Lock()
@@ -257,7 +259,7 @@
 			})
 			t.mu.Unlock()
 		}
-		found = append(found, fmt.Sprintf("%s/ %s unbegun %v, room for %d, %+v, reason %q, runs:live%s", s.key, what, s.notRunning, s.fitCount, s.spec, reason, runs))
+		found = append(found, fmt.Sprintf("%s/ %s tasks not running %v, fit count %d, %+v, reason %q, runs:live%s", s.key, what, s.notRunning, s.fitCount, s.spec, reason, runs))
 	}
 	return append(found, fmt.Sprintf("%d steps in all", len(steps)))
 }
--- a/internal/control/simulation_crash_test.go
+++ b/internal/control/simulation_crash_test.go
@@ -8,25 +8,26 @@
 )
 
 const (
-	// maxStartsAfterThirdCrash is how many starts of a task that crashes its workers may follow the
-	// third crash.
+	// maxStartsAfterThirdCrash bounds the starts of a crashing task after its third crash.
 	maxStartsAfterThirdCrash = 2
-	// minCrashedWorkers is how many workers must have crashed under a task that is given up.
+	// minCrashedWorkers is how many workers must have crashed under a task before its job
+	// may be given up.
 	minCrashedWorkers = 2
-	// shrinkGrace is how long after a change of its capacity the larger one may be used: the
-	// longest that the users grant until the change is known, and two heartbeats.
+	// shrinkGrace is how long after a capacity change the larger capacity may still be
+	// used: the longest time that users allow until the change is known, and two
+	// heartbeats.
 	shrinkGrace = 3*time.Second + 2*simHeartbeatInterval*heartbeatGroups
-	// maxCrashDowntime bounds how long a worker stays away that a task has crashed.
+	// maxCrashDowntime bounds how long a worker stays down after a task has crashed it.
 	maxCrashDowntime = 8 * time.Second
 )
 
-// isCrashingTask reports whether a task crashes each worker that begins it.
+// isCrashingTask reports whether a task crashes each worker that starts it.
 func (r *simWorkers) isCrashingTask(task workflow.TaskKey) bool {
 	return seededFloat(r.seed, "crasher", task) < r.params.crashingTaskChance
 }
 
-// scheduleCrash lets the worker crash some milliseconds after it has begun a task that crashes
-// its workers; r.mu is held.
+// scheduleCrash makes a worker crash some milliseconds after it has started a crashing
+// task. r.mu must be held.
 func (r *simWorkers) scheduleCrash(w *simWorker, run workflow.Run) {
 	if !r.isCrashingTask(run.Task) {
 		return
@@ -49,7 +50,7 @@
 	})
 }
 
-// scheduleReturn lets the next incarnation of a worker begin after a time.
+// scheduleReturn starts the next incarnation of a worker after a downtime.
 func (r *simWorkers) scheduleReturn(w *simWorker, away time.Duration) {
 	life := 0
 	if _, err := fmt.Sscanf(w.ID, w.Address+".%d", &life); err != nil {
@@ -58,8 +59,8 @@
 	time.AfterFunc(away, func() { r.add(w.Address, life+1) })
 }
 
-// allowedCapacity is the most that a worker may be filled up to: a change counts once it could
-// be known.
+// allowedCapacity returns the maximum resources that runs may occupy on the worker. A
+// reduced capacity counts only once the leader can know it.
 func (w *simWorker) allowedCapacity(now time.Time) workflow.Resources {
 	if now.Sub(w.changedAt) < shrinkGrace {
 		return w.Capacity.Max(w.previousCapacity)
@@ -73,7 +74,7 @@
 	w.Capacity, w.previousCapacity, w.changedAt = capacity, had, now
 }
 
-// shrinkSome lets a third of the workers have a part of their capacity.
+// shrinkSome reduces the capacity of a third of the workers.
 func (x *simulation) shrinkSome() {
 	share := 0.2 + 0.8*x.random.Float64()
 	x.changeSome(func(w *simWorker) {
@@ -83,15 +84,15 @@
 	})
 }
 
-// restoreCapacities gives all workers their whole capacity; r.mu is held.
+// restoreCapacities gives all workers their full capacity back. r.mu must be held.
 func (r *simWorkers) restoreCapacities() {
 	for _, w := range r.all {
 		w.resize(r.params.capacity, time.Now())
 	}
 }
 
-// wronglyGivenUp returns the jobs that were given up for a task that hardly a worker has
-// crashed under.
+// wronglyGivenUp returns the jobs that were given up because of a task under which fewer
+// than minCrashedWorkers workers have crashed.
 func (x *simulation) wronglyGivenUp() (found []string) {
 	x.workers.mu.Lock()
 	defer x.workers.mu.Unlock()
@@ -117,7 +118,8 @@
 	return false
 }
 
-// containsCrashingTask reports whether a job may wait: it has a task that crashes its workers.
+// containsCrashingTask reports whether a job has a task that crashes its workers. Such a
+// job may wait without bound.
 func (x *simulation) containsCrashingTask(id string) (held bool) {
 	x.state.read(func(s *workflow.State) {
 		job := s.Jobs[id]
@@ -126,8 +128,7 @@
 	return held
 }
 
-// countGivenUp counts the jobs that were given up and have a task that crashes its workers, and
-// the others that were given up.
+// countGivenUp counts the given up jobs with a crashing task and those without one.
 func (x *simulation) countGivenUp() (crashers, others int) {
 	x.state.read(func(s *workflow.State) {
 		for _, job := range s.Jobs {
--- a/internal/control/simulation_faults_test.go
+++ b/internal/control/simulation_faults_test.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// simTick is the time between two looks at the day.
+// simTick is the time between two steps of the simulated load.
 const simTick = 25 * time.Millisecond
 
-// maxFaultDuration bounds a disturbance of the log or of a worker that comes back.
+// maxFaultDuration bounds a fault of the log, of an instance, or of a worker that stays
+// up.
 const maxFaultDuration = 1500 * time.Millisecond
 
-// disturbed lets traffic come in and disturbances happen, and returns what was found
-// meanwhile.
+// runWithFaults submits load and injects faults, and returns the violations found
+// meanwhile, nil for none.
 func (x *simulation) runWithFaults() []string {
 	start := time.Now()
 	next := start.Add(randomDuration(x.random, 0, x.params.faultInterval))
@@ -30,7 +31,7 @@
 	return nil
 }
 
-// traffic hands in as many jobs as the load allows for, no more than the adviser can
+// submitLoad submits as many jobs as the load allows, but no more than the adviser can
 // answer for in twice the time.
 func (x *simulation) submitLoad(age time.Duration) {
 	load := x.params.load
@@ -50,12 +51,12 @@
 	}
 }
 
-// disturb makes one fault.
+// injectFault injects one random fault.
 func (x *simulation) injectFault() {
 	kind := x.random.IntN(15)
 	duration := randomDuration(x.random, 30*time.Millisecond, maxFaultDuration)
 	until := time.Now().Add(duration)
-	x.lines.logf("disturbance %d for %v", kind, duration)
+	x.lines.logf("injected fault %d for %v", kind, duration)
 	switch kind {
 	case 0, 1:
 		x.crashOne()
@@ -70,7 +71,7 @@
 	case 12:
 		x.adviser.cutOff(fmt.Sprint("lane", x.random.IntN(x.params.adviserConns)), until)
 	case 14:
-		// Around the length of a lease: what runs there goes on, or has lapsed.
+		// Lasts about as long as a lease: the runs there continue, or their lease expires.
 		lease := x.params.lease
 		x.cutOffSome(time.Now().Add(randomDuration(x.random, lease*2/5, lease*13/10)))
 	case 13:
@@ -82,6 +83,7 @@
 	}
 }
 
+// injectLogFault makes the log slow, delayed or full for a time.
 func (x *simulation) injectLogFault(kind int, until time.Time) {
 	x.store.mu.Lock()
 	defer x.store.mu.Unlock()
@@ -95,7 +97,7 @@
 	}
 }
 
-// each changes one in three of the workers.
+// changeSome changes one in three of the workers.
 func (x *simulation) changeSome(change func(*simWorker)) {
 	x.workers.mu.Lock()
 	defer x.workers.mu.Unlock()
@@ -106,7 +108,7 @@
 	}
 }
 
-// cutOffSome cuts one worker off, or a third of them.
+// cutOffSome makes one worker unreachable, or a third of them.
 func (x *simulation) cutOffSome(until time.Time) {
 	if oneIn(x.random, 2) {
 		x.changeSome(func(w *simWorker) { w.cutOffUntil = until })
@@ -117,10 +119,10 @@
 	x.workers.all[x.random.IntN(len(x.workers.all))].cutOffUntil = until
 }
 
-// neverReturnsOneIn is one in how many crashed workers stays away.
+// neverReturnsOneIn: one in this many crashed workers never returns.
 const neverReturnsOneIn = 2
 
-// crashOne ends a worker, which comes back under another incarnation or never.
+// crashOne crashes a worker, which returns as another incarnation or never.
 func (x *simulation) crashOne() {
 	away, back := randomDuration(x.random, 50*time.Millisecond, 4*time.Second), !oneIn(x.random, neverReturnsOneIn)
 	x.workers.mu.Lock()
--- a/internal/control/simulation_lines_test.go
+++ b/internal/control/simulation_lines_test.go
@@ -9,19 +9,19 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// simLog keeps the lines of the leaders and of the workers until a search has found
-// something.
+// simLog keeps the log lines of the leaders and the workers to print them if the
+// simulation fails.
 type simLog struct {
 	mu   sync.Mutex
 	text []string
-	// read is how many of them were looked through for claims.
+	// scanned is how many lines have been searched for claims of unaccounted runs.
 	scanned int
 }
 
-// virtualMS is the virtual time in milliseconds.
+// virtualMS returns the virtual time since the start of the simulation in milliseconds.
 func virtualMS() any { return time.Now().UnixMilli() - simEpochMS }
 
-// simEpochMS is when virtual time begins.
+// simEpochMS is when virtual time starts.
 var simEpochMS = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC).UnixMilli()
 
 func (l *simLog) Write(line []byte) (int, error) {
@@ -39,10 +39,10 @@
 	_, _ = fmt.Fprintf(l, "ms=%d "+format+"\n", append([]any{virtualMS()}, args...)...)
 }
 
-// maxShownLines is how many lines a failure shows.
+// maxShownLines is how many lines a failure prints.
 const maxShownLines = 60
 
-// about returns the last lines that hold one of the words.
+// linesAbout returns the last lines that contain one of the words.
 func (l *simLog) linesAbout(words ...string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,13 +58,12 @@
 	return strings.Join(found[max(0, len(found)-maxShownLines):], "")
 }
 
-// claimKey names a run as the line does that it was found to have no owner.
+// claimKey returns the text by which a log line names a run that was found to be orphaned.
 func claimKey(run workflow.Run) string {
 	return fmt.Sprintf("event=run_claimed task=%s run=%d worker=%s ", run.Task, run.Number, run.Worker)
 }
 
-// claims returns the lines on runs that were found to have no owner, but for those that
-// may be.
+// claims returns the new lines about orphaned runs that are not in allowed.
 func (l *simLog) claims(allowed map[string]bool) (found []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/control/simulation_params_test.go
+++ b/internal/control/simulation_params_test.go
@@ -9,64 +9,70 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// simParams is what a seed draws: how large the site is, what comes in and what goes
-// wrong.
+// simParams are the parameters that a seed draws: the size of the cluster, the load and
+// the faults.
 type simParams struct {
 	workers int
-	// capacity is that of each worker.
+	// capacity is the capacity of each worker.
 	capacity workflow.Resources
-	// lanes is how many instances put questions, share what part of the workers is
-	// permitted to a step.
+	// adviserConns is the number of instances through which queries reach the adviser.
+	// permittedShare is the share of the workers on which a step is permitted.
 	adviserConns   int
 	permittedShare float64
 	lease          time.Duration
-	// widest bounds the tasks of a step, longest the estimates in milliseconds.
+	// maxTasks bounds the tasks of a step, maxEstimateMS the estimates in milliseconds.
 	maxTasks, maxEstimateMS float64
-	// queues differ in priority, objective and adviser.
+	// queues differ in priority, objective and adviser policy.
 	queues []workflow.Queue
-	// disturbed is how long traffic and disturbances last.
+	// faultPeriod is how long load is submitted and faults are injected.
 	faultPeriod time.Duration
-	// load is the traffic in multiples of the capacity, burst that from burstAt on for
-	// burstFor.
+	// load is the submitted work as a multiple of the capacity. burst replaces it from
+	// burstAt on for burstFor, if it is higher.
 	load, burst       float64
 	burstAt, burstFor time.Duration
-	// hopeless is how many steps come first that no worker can take, refused how many that
-	// the adviser permits nowhere.
+	// unplaceable is how many steps are submitted first that no worker can run, refused
+	// how many that the adviser permits on no worker.
 	unplaceable, refused int
-	// faults are the chances of a call, spells the mean time between two disturbances.
+	// faults are the fault rates of single calls, faultInterval is the mean time between
+	// two other faults.
 	faults        faultRates
 	faultInterval time.Duration
-	// crashers is the chance of a task to crash each worker that begins it, shrinks says
-	// that capacities change.
+	// crashingTaskChance is the probability that a task crashes each worker that starts
+	// it. shrinks enables changes of the workers' capacity.
 	crashingTaskChance float64
 	shrinks            bool
-	// sameNames says that a worker that comes back has the name that it had.
+	// sameNames makes a worker return under its previous name.
 	sameNames bool
 }
 
-// faultRates are the chances of one call.
+// faultRates are the probabilities of the faults of one call.
 type faultRates struct {
 	lost, unanswered, late, slow, refused, misdirected, askLost, failed float64
 }
 
 const (
 	simHost = "h"
-	// minWorkers and maxWorkers bound the usual site, largeClusterWorkers is one in largeClusterOneIn.
+	// minWorkers and maxWorkers bound the usual cluster size. One in largeClusterOneIn
+	// clusters has largeClusterWorkers workers.
 	minWorkers, maxWorkers                 = 8, 60
 	largeClusterWorkers, largeClusterOneIn = 350, 25
 )
 
-// logUniform draws between low and high so that each order of magnitude is as likely.
+// logUniform draws a number between low and high; all orders of magnitude are equally
+// likely.
 func logUniform(random *rand.Rand, low, high float64) float64 {
 	return low * math.Pow(high/low, random.Float64())
 }
 
+// randomDuration draws a duration between low and high.
 func randomDuration(random *rand.Rand, low, high time.Duration) time.Duration {
 	return low + time.Duration(random.Float64()*float64(high-low))
 }
 
+// oneIn is true with probability 1/n.
 func oneIn(random *rand.Rand, n int) bool { return random.IntN(n) == 0 }
 
+// drawParams draws the parameters of a simulation.
 func drawParams(random *rand.Rand) *simParams {
 	d := &simParams{
 		workers:        minWorkers + random.IntN(maxWorkers-minWorkers+1),
@@ -105,7 +111,7 @@
 	return d
 }
 
-// drawFaults makes each kind of fault frequent in some worlds and absent in others.
+// drawFaults makes each kind of fault frequent in some simulations and absent in others.
 func (d *simParams) drawFaults(random *rand.Rand) {
 	chance := func(most float64) float64 {
 		if oneIn(random, 2) {
@@ -135,7 +141,7 @@
 	return q
 }
 
-// drawJob draws the steps of a job, of which the second depends on the first.
+// drawJob draws the steps of a job; a second step depends on the first.
 func (d *simParams) drawJob(random *rand.Rand) []workflow.Step {
 	steps := []workflow.Step{d.drawStep(random)}
 	if oneIn(random, 4) {
@@ -157,7 +163,8 @@
 	switch random.IntN(6) {
 	case 0, 1:
 		step.Gang = true
-		// Wider ones have no room twice over and are never looked for.
+		// Gangs with more tasks never have free resources twice over, so no check would
+		// apply to them.
 		step.Count = min(step.Count, max(1, d.workers/3))
 	case 2:
 		step.Speculative = true
@@ -168,20 +175,20 @@
 }
 
 const (
-	// nowhere is a label that no worker carries, refusedImage an image that the adviser
-	// permits nowhere.
+	// unknownLabel is a label that no worker has, refusedImage an image that the adviser
+	// refuses everywhere.
 	unknownLabel = "nowhere"
 	refusedImage = "refused"
 )
 
-// undoable returns a step that nothing can be done for.
+// unplaceableSteps returns the single step of a job that no worker may run.
 func unplaceableSteps(label, image string) []workflow.Step {
 	return []workflow.Step{{
 		Count: 1, Need: workflow.Resources{MilliCPU: 500, MemoryMB: 10}, EstimateMS: 60_000, Label: label, Image: image,
 	}}
 }
 
-// workOf is the thousandths of cores times milliseconds of a job's tasks.
+// workOf returns the work of the tasks of a job, in millicores times milliseconds.
 func workOf(steps []workflow.Step) float64 {
 	work := 0.0
 	for i := range steps {
@@ -190,11 +197,11 @@
 	return work
 }
 
-// queriesPerStep is how many questions a step is allowed for: each names workersPerQuery of
-// all workers, and some are put again for tickets.
+// queriesPerStep returns the number of queries that a step may need: each names
+// workersPerQuery of all workers, and some are repeated to renew tickets.
 func (d *simParams) queriesPerStep() int { return (d.workers+workersPerQuery-1)/workersPerQuery + 2 }
 
-// adviserTime is how long the adviser is kept busy for a step at most.
+// adviserTime returns the longest time for which a step occupies the adviser.
 func (d *simParams) adviserTime(q *workflow.Queue, step *workflow.Step) time.Duration {
 	if q.Policy.Advice == nil {
 		return 0
--- a/internal/control/simulation_poll_test.go
+++ b/internal/control/simulation_poll_test.go
@@ -9,13 +9,13 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// maxEndsPerReport is how many ends one list holds.
+// maxEndsPerReport bounds the ends in one report.
 const maxEndsPerReport = 20
 
-// callGap passes between two calls of a caller: nothing happens at one instant.
+// callGap separates two calls of a caller in virtual time.
 const callGap = time.Microsecond
 
-// Look is answered once a run has ended or the wait is over.
+// Look answers a poll once a run has ended or the wait is over.
 func (r *simWorkers) Poll(ctx context.Context, to Target, o PollOrder) (Report, error) {
 	defer time.Sleep(callGap)
 	w, f, err := r.reach(ctx, "look", to, workflow.Run{})
@@ -27,7 +27,7 @@
 		return Report{}, err
 	}
 	if w.ID != to.Worker {
-		// Its lists say which life they are of.
+		// The report names the incarnation that it is from.
 		return Report{}, ErrOtherIncarnation
 	}
 	r.holdPoll(ctx, changed, o.Wait)
@@ -43,8 +43,8 @@
 	return report, nil
 }
 
-// applyPoll takes in what a look carries, and returns what is closed when a run ends, nil
-// where ends are to be listed already.
+// applyPoll applies the contents of a poll. It returns a channel that is closed when a run
+// ends, nil if there are ends to report already.
 func (r *simWorkers) applyPoll(w *simWorker, o PollOrder) (<-chan struct{}, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,7 +69,7 @@
 	wait.Closed(ctx, changed)
 }
 
-// list makes up a worker's lists; r.mu is held.
+// report returns the report of a worker. r.mu must be held.
 func (r *simWorkers) report(w *simWorker, seen uint64) Report {
 	now := time.Now()
 	report := Report{ClockMS: w.clockMS(now)}
@@ -97,8 +97,8 @@
 	return report
 }
 
-// acknowledge takes in that a leader has seen ends. One that it acknowledges stands
-// for good, unless the lease lapsed between the end and that; r.mu is held.
+// acknowledge records that a leader has acknowledged ends. An acknowledged end is final,
+// unless the lease expired between the end and the acknowledgement. r.mu must be held.
 func (r *simWorkers) acknowledge(w *simWorker, seen uint64) {
 	w.highestSeen = max(w.highestSeen, seen)
 	for ; w.acknowledged < min(seen, uint64(len(w.ended))); w.acknowledged++ {
@@ -117,10 +117,11 @@
 	}
 }
 
-// simRunInterval is how exactly runs end.
+// simRunInterval is the time between two checks for runs that are over, and so the
+// precision of their ends.
 const simRunInterval = 4 * time.Millisecond
 
-// work ends runs whose time or lease is over, until ctx ends.
+// runTasks ends runs whose duration or lease is over, until ctx ends.
 func (r *simWorkers) runTasks(ctx context.Context) {
 	for wait.For(ctx, simRunInterval) {
 		r.mu.Lock()
@@ -143,7 +144,7 @@
 	}
 }
 
-// gangsPresent counts the members of each run of a gang that are there; r.mu is held.
+// gangsPresent counts the running members of each run of a gang. r.mu must be held.
 func (r *simWorkers) gangsPresent() map[gangRun]int {
 	present := map[gangRun]int{}
 	for _, w := range r.all {
@@ -156,8 +157,8 @@
 	return present
 }
 
-// together reports whether a run is at work: a gang's members are only once all of them
-// have begun. r.mu is held.
+// gangComplete reports whether a run makes progress: the members of a gang do only once
+// all of them have started. r.mu must be held.
 func (r *simWorkers) gangComplete(task workflow.TaskKey, run *simRun, present map[gangRun]int, now time.Time) bool {
 	if !run.gang {
 		return true
--- a/internal/control/simulation_replica_test.go
+++ b/internal/control/simulation_replica_test.go
@@ -14,24 +14,25 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// simStore is what all leaders' logs have in common.
+// simStore is the state that the logs of all leaders share.
 type simStore struct {
 	mu     sync.Mutex
 	random *rand.Rand
 	state  *StateMachine
 	index  uint64
-	// lastAt is when the last command is committed; they are in order.
+	// lastAt is when the last command is committed. Commands are committed in order.
 	lastAt time.Time
-	// slowUntil is until when commits take long, delayedUntil until when nothing shows that
-	// the leader leads, fullUntil until when too many calls wait.
+	// slowUntil is when commits are fast again, delayedUntil when the log can confirm the
+	// leadership again, fullUntil when it accepts calls again.
 	slowUntil, heldUntil, fullUntil time.Time
-	// open are the commands whose fate was open when their leader lost the leadership.
+	// unknownOutcome holds the commands whose outcome was unknown when their leader lost
+	// the leadership.
 	unknownOutcome [][]byte
-	// refused counts what the log refused, opened what it left open.
+	// refused counts the refused commands, unknownOutcomes those with an unknown outcome.
 	refused, unknownOutcomes int
 }
 
-// commitAt is when a command that is proposed now is committed.
+// commitAt returns when a command that is proposed now is committed. s.mu must be held.
 func (s *simStore) commitAt(now time.Time) time.Time {
 	took := randomDuration(s.random, time.Millisecond, 5*time.Millisecond)
 	if now.Before(s.slowUntil) {
@@ -45,7 +46,8 @@
 	return at
 }
 
-// resolveUnknownOutcomes lets half of the commands whose fate is open be committed.
+// resolveUnknownOutcomes commits half of the commands with an unknown outcome and drops
+// the others.
 func (s *simStore) resolveUnknownOutcomes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,11 +60,11 @@
 	s.unknownOutcome = nil
 }
 
-// simReplica is the log of one leader.
+// simReplica is the log as one leader sees it.
 type simReplica struct {
 	store *simStore
 	term  uint64
-	// lost is closed when the leadership is.
+	// lost is closed when the leadership is lost.
 	lost chan struct{}
 }
 
@@ -79,7 +81,8 @@
 	return errors.Mark(fault.New(fault.Unavailable, "nothing was proposed"), mark)
 }
 
-// refusal is why nothing may be proposed now. The store's lock is held.
+// refusal returns why nothing may be proposed now, nil if commands are accepted. The lock
+// of the store must be held.
 func (l *simReplica) refusal(now time.Time) error {
 	switch {
 	case l.leadershipLost():
@@ -119,7 +122,7 @@
 	if l.leadershipLost() || ctx.Err() != nil {
 		s.unknownOutcome = append(s.unknownOutcome, data)
 		s.unknownOutcomes++
-		return nil, errors.Mark(fault.New(fault.Unavailable, "the fate of the command is open"), node.ErrFateOpen)
+		return nil, errors.Mark(fault.New(fault.Unavailable, "the outcome of the command is unknown"), node.ErrFateOpen)
 	}
 	s.index++
 	return s.state.Apply(s.index, data), nil
--- a/internal/control/simulation_test.go
+++ b/internal/control/simulation_test.go
@@ -15,7 +15,7 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// search is one seeded run.
+// simulation is one seeded run in virtual time.
 type simulation struct {
 	t         *testing.T
 	seed      uint64
@@ -28,9 +28,10 @@
 	lines     *simLog
 	startedAt time.Time
 	jobs      int
-	// work and asks are what traffic may bring of each by now.
+	// workBudget and adviserBudget are how much work and adviser time the load may still
+	// use.
 	workBudget, adviserBudget float64
-	// behind is the most steps that a decision didn't go into.
+	// maxBacklog is the largest number of steps that a decision did not consider.
 	maxBacklog int
 
 	mu         sync.Mutex
@@ -86,14 +87,14 @@
 	return x.faultsOver
 }
 
-// controller returns the present leader's.
+// controller returns the current leader's controller.
 func (x *simulation) controller() *Controller {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.c
 }
 
-// lead lets a new leader begin.
+// startLeader starts the next leader.
 func (x *simulation) startLeader() {
 	x.store.resolveUnknownOutcomes()
 	x.mu.Lock()
@@ -115,7 +116,7 @@
 	x.stop = func() { cancel(); <-done }
 }
 
-// changeLeader lets the leader lose its leadership, which it notices a little later.
+// changeLeader makes the leader lose its leadership, which it notices a little later.
 func (x *simulation) changeLeader() {
 	close(x.log.lost)
 	time.Sleep(randomDuration(x.random, 0, statusPollInterval))
@@ -124,7 +125,8 @@
 	x.startLeader()
 }
 
-// present keeps the instances that put questions and the workers announced, until ctx ends.
+// sendHeartbeats sends the heartbeats of the reachable instances and workers until ctx
+// ends.
 func (x *simulation) sendHeartbeats(ctx context.Context) {
 	for beat := 0; ctx.Err() == nil; beat++ {
 		c := x.controller()
@@ -153,13 +155,13 @@
 }
 
 const (
-	// simHeartbeatInterval is the time between two rounds of heartbeats, of which each worker takes
-	// part in one of heartbeatGroups.
+	// simHeartbeatInterval is the time between two rounds of heartbeats. Each worker takes
+	// part in one of heartbeatGroups rounds.
 	simHeartbeatInterval = 250 * time.Millisecond
 	heartbeatGroups      = 4
 )
 
-// submit hands a job in to a queue.
+// submit submits a job to a queue.
 func (x *simulation) submit(queue *workflow.Queue, steps []workflow.Step) {
 	x.jobs++
 	id := fmt.Sprint("j", x.jobs, "-", queue.Name)
@@ -172,7 +174,7 @@
 	}()
 }
 
-// configure stores the queues.
+// configure commits the queues.
 func (x *simulation) configure() {
 	document := &workflow.Document{Version: 1, Source: []byte("{}"), Queues: x.params.queues}
 	data, err := (&workflow.Command{Configuration: document}).Encode()
@@ -182,7 +184,7 @@
 	x.state.Apply(0, data)
 }
 
-// play lets the seed's day pass, and returns what was found.
+// run runs the simulation, and returns the violations found, nil for none.
 func (x *simulation) run() []string {
 	x.configure()
 	for i := range x.params.workers {
@@ -191,7 +193,7 @@
 	x.startLeader()
 	defer func() {
 		x.stop()
-		// Calls under way end before the world does.
+		// Calls in flight end before the simulation does.
 		time.Sleep(2 * commitTimeout)
 	}()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -214,7 +216,7 @@
 	return x.awaitCompletion()
 }
 
-// advisedQueue returns the first queue that needs permits, nil for none.
+// advisedQueue returns the first queue that needs permits, nil if there is none.
 func (x *simulation) advisedQueue() *workflow.Queue {
 	for i := range x.params.queues {
 		if x.params.queues[i].Policy.Advice != nil {
@@ -224,7 +226,7 @@
 	return nil
 }
 
-// settle ends traffic and disturbances.
+// endFaults ends the load and all faults.
 func (x *simulation) endFaults() {
 	x.mu.Lock()
 	x.faultsOver = true
@@ -236,21 +238,21 @@
 	x.store.mu.Lock()
 	x.store.slowUntil, x.store.heldUntil, x.store.fullUntil = time.Time{}, time.Time{}, time.Time{}
 	x.store.mu.Unlock()
-	x.lines.logf("calm")
+	x.lines.logf("faults over")
 }
 
-// What a user sees: accepted work that nothing takes up while room is free.
-// Order: drawn. Calls of workers get lost, are answered late, refused, misdirected and
-// carried out late; workers crash, are cut off and refuse; lists aren't whole; leaders
-// change; the log is slow, held up or full and leaves commands open; more comes in than
-// fits. Then all that ends, and within a bound each ready task that has room twice over
-// has to begin.
+// Checks that the leader starts all accepted work for which resources are free. The
+// parameters are drawn. Calls of workers are lost, refused, misdirected, answered late and
+// carried out late; workers crash, become unreachable and refuse starts; reports are
+// partial; leaders change; the log is slow, delayed or full and leaves the outcome of
+// commands unknown; more work arrives than fits. Then all faults end, and each ready task
+// with free resources for it twice over has to start within a bound.
 //
-// What becomes of each call follows from the seed and the call alone, time is virtual,
-// and all bounds are far from what sound code takes. The order in which goroutines run at
-// one moment isn't drawn, so two runs of a seed differ in their details.
+// The outcome of each call depends only on the seed and the call, time is virtual, and all
+// bounds are far above what correct code needs. The order of goroutines at one moment
+// isn't drawn, so two runs of a seed differ in their details.
 //
-// BILBERRY_SEEDS names how many seeds are run, BILBERRY_SEED the first.
+// BILBERRY_SEEDS sets the number of seeds, BILBERRY_SEED the first one.
 func TestSimulationStartsAllPlaceableWork(t *testing.T) {
 	defaultSeeds := 6
 	if testing.Short() {
@@ -272,18 +274,18 @@
 	}
 }
 
-// logFigures says what the seed has drawn and how much happened.
+// logFigures logs the drawn parameters of the seed and what happened.
 func (x *simulation) logFigures() {
 	x.workers.mu.Lock()
 	defer x.workers.mu.Unlock()
 	d := x.params
 	crashers, others := x.countGivenUp()
-	x.t.Logf("crashers %.4f, shrinks %t, same names %t; given up %d crashers, %d others; workers %d, lanes %d, share %.2f, lease %v, load %.2f, burst %.2f, hopeless %d, refused %d, faults %+v; jobs %d, starts %d, questions %d, leaders %d, most behind %d, log refused %d, left open %d, virtual %v",
+	x.t.Logf("crashing task chance %.4f, shrinks %t, same names %t; jobs given up: %d with a crashing task, %d without; workers %d, adviser connections %d, permitted share %.2f, lease %v, load %.2f, burst %.2f, unplaceable %d, refused %d, faults %+v; jobs %d, starts %d, queries %d, leaders %d, largest backlog %d, commands refused %d, with unknown outcome %d, virtual time %v",
 		d.crashingTaskChance, d.shrinks, d.sameNames, crashers, others, d.workers, d.adviserConns, d.permittedShare, d.lease, d.load, d.burst, d.unplaceable, d.refused, d.faults, x.jobs, x.workers.starts, x.adviser.asked, x.term, x.maxBacklog,
 		x.store.refused, x.store.unknownOutcomes, time.Since(x.startedAt).Round(time.Millisecond))
 }
 
-// jobsNamedIn returns the jobs that findings name.
+// jobsNamedIn returns the words by which log lines name the jobs of the findings.
 func jobsNamedIn(found []string) []string {
 	var jobs []string
 	for _, f := range found {
--- a/internal/control/simulation_worker_test.go
+++ b/internal/control/simulation_worker_test.go
@@ -10,26 +10,27 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// simWorker is one incarnation of a worker. It carries out orders as a real one does,
-// with leases by its own clock.
+// simWorker is one incarnation of a worker. It carries out orders as a real worker does,
+// and expires leases by its own clock.
 type simWorker struct {
 	workflow.Worker
-	// offset is by how much its clock differs.
+	// clockOffset is how far its clock is ahead.
 	clockOffset time.Duration
 	fence       uint64
 	running     map[workflow.TaskKey]*simRun
 	stopped     map[workflow.TaskKey]int
 	ended       []Ended
 	endedAt     []time.Time
-	// seen is the last end that was taken note of, told the last that looks named.
+	// acknowledged is the position of the last end that the worker has recorded as
+	// acknowledged, highestSeen the highest position that a poll named.
 	acknowledged, highestSeen uint64
 	leaseEnd                  time.Time
 	leaseExpiredAt            time.Time
-	// cutOffUntil is until when no call gets through, refusingUntil until when it refuses starts,
-	// partialReportsUntil until when its lists aren't whole.
+	// cutOffUntil is when calls get through again, refusingUntil when the worker accepts
+	// starts again, partialReportsUntil when its reports are complete again.
 	cutOffUntil, refusingUntil, partialReportsUntil time.Time
 	gone                                            bool
-	// had is what its capacity was before it last changed, at changedAt.
+	// previousCapacity is the capacity before the last change, at changedAt.
 	previousCapacity workflow.Resources
 	changedAt        time.Time
 	// changed is closed when a run ends.
@@ -45,40 +46,40 @@
 	gang      bool
 }
 
-// simWorkers are all workers, with the ledger of what must never be seen.
+// simWorkers holds all workers and the record of violated invariants.
 type simWorkers struct {
 	params *simParams
 	seed   uint64
-	// stepOf finds a task's step, nil when its job isn't known.
+	// stepOf returns the step of a task, nil when its job isn't known.
 	stepOf func(workflow.TaskKey) *workflow.Step
-	// lines are those of the leaders and of the workers.
+	// lines holds the log lines of the leaders and the workers.
 	lines *simLog
 
 	mu         sync.Mutex
 	faultsOver bool
 	all        []*simWorker
-	// at is the present incarnation at each address.
+	// current is the current incarnation at each address.
 	current map[string]*simWorker
-	// calls counts the calls of each kind for a run on a worker, so that what becomes of one
-	// doesn't depend on the order of others.
+	// calls counts the calls of each kind for a run on a worker, so that the outcome of a
+	// call doesn't depend on the order of other calls.
 	calls map[string]int
-	// startedAt, doneAt and complete are those of chaosWorkers.
+	// startedAt, doneAt and completeGangs mean the same as in chaosWorkers.
 	startedAt     map[workflow.TaskKey][]time.Time
 	doneAt        map[workflow.TaskKey]time.Time
 	completeGangs map[gangRun]bool
 	violations    []string
 	starts        int
-	// lastStart is when a task of a step last began.
+	// lastStart is when a task of a step last started.
 	lastStart map[workflow.StepKey]time.Time
-	// allowedClaims are the runs that a leader may find without an owner: those whose start was
-	// misdirected.
+	// allowedClaims are the runs that a leader may find to be orphaned: those whose start
+	// was misdirected.
 	allowedClaims map[string]bool
-	// crashes counts the workers that crashed under a task, startsAfterThirdCrash the starts of a task
-	// that crashes its workers after the third of them.
+	// crashes counts the workers that crashed under a task, startsAfterThirdCrash the
+	// starts of a crashing task after the third crash.
 	crashes, startsAfterThirdCrash map[workflow.TaskKey]int
 }
 
-// add lets an incarnation begin at an address.
+// add starts an incarnation of a worker at an address.
 func (r *simWorkers) add(address string, life int) *simWorker {
 	w := &simWorker{
 		Worker:      workflow.Worker{ID: fmt.Sprint(address, ".", life), Service: "s", Address: address, Capacity: r.params.capacity},
@@ -95,7 +96,7 @@
 	return w
 }
 
-// crash ends an incarnation and what runs there.
+// crash ends an incarnation and its runs. r.mu must be held.
 func (r *simWorkers) crash(w *simWorker) {
 	w.gone = true
 	for task := range w.running {
@@ -115,15 +116,15 @@
 
 func (w *simWorker) reachable(now time.Time) bool { return !w.gone && !now.Before(w.cutOffUntil) }
 
-// fate is what becomes of a call.
+// callOutcome is the drawn outcome of one call.
 type callOutcome struct {
 	requestDelay, replyDelay time.Duration
-	// lost ones never arrive, late ones do after their caller has given up.
+	// lost calls never arrive, late ones arrive after their caller has given up.
 	lost, unanswered, misdirected bool
 	late                          time.Duration
 }
 
-// drawCallOutcome draws the fate of a call; r.mu is held.
+// drawCallOutcome draws the outcome of a call. r.mu must be held.
 func (r *simWorkers) drawCallOutcome(kind string, w *simWorker, run workflow.Run) callOutcome {
 	key := fmt.Sprint(kind, w.ID, run)
 	r.calls[key]++
@@ -152,7 +153,7 @@
 	return f
 }
 
-// deliver carries an order out as its fate has it.
+// deliver applies an order with its drawn outcome.
 func (r *simWorkers) deliver(ctx context.Context, kind string, to Target, run workflow.Run, apply func(*simWorker) error) (int64, error) {
 	w, f, err := r.reach(ctx, kind, to, run)
 	if err != nil {
@@ -163,7 +164,8 @@
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			if w.gone && r.params.sameNames {
-				// The next life can't tell that it wasn't meant.
+				// The next incarnation can't tell that the order was meant for an earlier
+				// one.
 				w = r.current[to.Address]
 			}
 			if w != nil && !w.gone {
@@ -174,7 +176,7 @@
 		return 0, errNoAnswer
 	}
 	r.mu.Lock()
-	// It may have crashed while the call was on its way.
+	// The worker may have crashed while the call was on its way.
 	gone := w.gone
 	if !gone {
 		err = apply(w)
@@ -190,7 +192,7 @@
 	return clock, err
 }
 
-// reach finds the worker that a call arrives at.
+// reach returns the worker at which a call arrives, and the drawn outcome of the call.
 func (r *simWorkers) reach(ctx context.Context, kind string, to Target, run workflow.Run) (*simWorker, callOutcome, error) {
 	r.mu.Lock()
 	w := r.current[to.Address]
@@ -223,7 +225,7 @@
 	})
 }
 
-// begin carries a start out; r.mu is held.
+// startRun carries a start out. r.mu must be held.
 func (r *simWorkers) startRun(w *simWorker, o StartOrder) error {
 	if o.Fence < w.fence {
 		return &RefusedError{RefusedStaleFence}
@@ -258,7 +260,8 @@
 	return nil
 }
 
-// newRun draws how long a run takes and whether it fails; members of a gang share that.
+// newRun draws the duration of a run and whether it fails; the members of a gang share
+// both.
 func (r *simWorkers) newRun(run workflow.Run, step *workflow.Step, now time.Time) *simRun {
 	drawn := outcomeKey(run.Task, *step)
 	takes := (0.5 + seededFloat(r.seed, "takes", drawn, run.Number)) * float64(step.EstimateMS)
@@ -269,7 +272,7 @@
 	}
 }
 
-// check records what a start must never bring about; r.mu is held.
+// recordViolations records the invariants that a start violates. r.mu must be held.
 func (r *simWorkers) recordViolations(w *simWorker, task workflow.TaskKey, step *workflow.Step) {
 	key := outcomeKey(task, *step)
 	r.startedAt[key] = append(r.startedAt[key], time.Now())
@@ -290,7 +293,7 @@
 	}
 }
 
-// maxRunsOfTask is how many runs a speculative task may have at a time.
+// maxRunsOfTask is how many concurrent runs a task that allows copies may have.
 const maxRunsOfTask = 2
 
 func (w *simWorker) used() (used workflow.Resources) {
@@ -327,7 +330,7 @@
 	return 0, nil
 }
 
-// finish ends a run; r.mu is held.
+// finish ends a run. r.mu must be held.
 func (r *simWorkers) finish(w *simWorker, task workflow.TaskKey, outcome workflow.Outcome) {
 	run := w.running[task]
 	delete(w.running, task)
--- a/internal/control/suspect.go
+++ b/internal/control/suspect.go
@@ -2,21 +2,23 @@
 
 import "time"
 
-// dataCentreSilenceTimeout is how long none of a data centre's workers may answer
-// while one of them is overdue, before all of them count as cut off. Sixteen
-// busy workers answer some fifty calls a second.
+// dataCentreSilenceTimeout is how long no worker of a data centre may answer, while one of
+// them has an overdue order, before the whole data centre is suspected to be unreachable.
+// Sixteen busy workers answer about fifty calls a second.
 const dataCentreSilenceTimeout = 200 * time.Millisecond
 
-// recordAnswer takes in that a worker has answered. t.mu is held.
+// recordAnswer records the time of the last answer from the worker's data centre. t.mu
+// must be held.
 func (s *workerSession) recordAnswer(now time.Time) {
 	s.t.dataCentreAnsweredAt[s.worker.DataCentre] = now
 }
 
-// suspects returns the data centres that seem to be cut off. t.mu is held.
+// suspectedDataCentres returns the data centres that are suspected to be unreachable. t.mu
+// must be held.
 //
-// Failure guarded against: a data centre is cut off, and each of its workers
-// swallows a task before its own answer is overdue. Those tasks are blocked
-// until the leases end.
+// Failure guarded against: a data centre becomes unreachable, and each of its workers is
+// sent another task before its own answer is overdue. Those tasks are blocked until the
+// leases expire.
 func (t *leaderTerm) suspectedDataCentres(now time.Time) map[string]bool {
 	suspected := map[string]bool{}
 	silent := t.silentDataCentres(now)
@@ -32,8 +34,8 @@
 	return suspected
 }
 
-// silentDataCentres returns those of which no worker has answered lately. A worker that
-// is ready has answered before. t.mu is held.
+// silentDataCentres returns the data centres in which no worker has answered within
+// dataCentreSilenceTimeout. A worker that is ready has answered before. t.mu must be held.
 func (t *leaderTerm) silentDataCentres(now time.Time) map[string]bool {
 	silent := map[string]bool{}
 	for dataCentre, last := range t.dataCentreAnsweredAt {
@@ -44,12 +46,12 @@
 	return silent
 }
 
-// suspicionHold is how long a data centre must not be suspected before that is
-// said: between two overdue answers it isn't for moments.
+// suspicionHold is how long a data centre must not be suspected before the contact counts
+// as regained. Between two overdue answers the suspicion disappears for moments.
 const suspicionHold = time.Second
 
-// updateSuspected logs which data centres the leader begins or ends to take for cut
-// off. t.mu is held.
+// updateSuspected records the suspected data centres and logs each change. t.mu must be
+// held.
 func (t *leaderTerm) updateSuspected(suspected map[string]bool, now time.Time) {
 	for dataCentre := range suspected {
 		if t.dataCentreSuspectedAt[dataCentre].IsZero() {
--- a/internal/control/suspect_test.go
+++ b/internal/control/suspect_test.go
@@ -11,10 +11,9 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// What a user sees: in the second after a data centre is cut off, one task after
-// the other disappears on its workers.
-// Order: no worker of a data centre answers any more; one start is overdue.
-// Cause: each worker was judged by its own answers alone.
+// Guards against losing one task after another in the second after a data centre becomes
+// unreachable: no worker of the data centre answers, and one start is overdue. Workers
+// that are judged only by their own overdue orders would all get another task.
 func TestSilentDataCentreIsSuspected(t *testing.T) {
 	now := time.Now()
 	term := &leaderTerm{sessions: map[string]*workerSession{}, dataCentreAnsweredAt: map[string]time.Time{}}
@@ -34,6 +33,8 @@
 	must.Eq(t, map[string]bool{"a": true}, term.suspectedDataCentres(now))
 }
 
+// Checks that a lost contact is logged once although the suspicion disappears for moments,
+// and that the regained contact is logged once.
 func TestDataCentreContactIsLoggedOncePerChange(t *testing.T) {
 	var lines bytes.Buffer
 	now := time.Now()
--- a/internal/control/throttle.go
+++ b/internal/control/throttle.go
@@ -8,42 +8,45 @@
 )
 
 const (
-	// fullShare is the share at which a task works that nobody throttles, in percent.
+	// fullShare is the CPU share of a task that isn't throttled, in percent.
 	fullShare = 100
-	// initialShare is what tasks on spare processors get beside serving ones until
-	// the latency of those has been seen.
+	// initialShare is the CPU share in percent that tasks on spare CPU get beside serving
+	// tasks until a report shows the latency of the serving tasks.
 	initialShare = 30
-	// minShare is the least share that does some work; below it they pause.
+	// minShare is the minimum useful CPU share in percent; below it tasks are paused.
 	minShare = 5
-	// shareIncrement is by how much the share rises while latency is low.
+	// shareIncrement is how many percentage points the share rises at a time while latency
+	// is low.
 	shareIncrement = 10
-	// Above highLatencyRatio of the objective the share is halved, above the whole
-	// objective it falls to a quarter, below lowLatencyRatio it rises. Latency must not
-	// be over its objective for some seconds on end; from 30 % it takes two changes
-	// to pause.
+	// The ratios are latency divided by its objective. Above highLatencyRatio the share is
+	// halved, above 1 it is divided by four, below lowLatencyRatio it rises. Latency must
+	// not exceed its objective for several seconds in a row; from 30 % it takes two
+	// changes to pause.
 	highLatencyRatio = 0.9
 	lowLatencyRatio  = 0.7
-	// throttleInterval is the time between two changes: the worker's figures cover
-	// half a second, and a change takes a tenth of one to have its effect.
+	// throttleInterval is the minimum time between two changes of the share: the figures
+	// of a worker cover half a second, and a change takes effect within a tenth of a
+	// second.
 	throttleInterval = 700 * time.Millisecond
-	// throttledPollWait holds a look at a worker whose tasks are throttled.
+	// throttledPollWait is how long a worker with throttled tasks may hold a poll.
 	throttledPollWait = 300 * time.Millisecond
 )
 
-// throttle is the share of a worker's tasks on spare processors. All of them get
-// the same: which of them disturbs the serving tasks isn't known.
+// throttle controls the CPU share of the tasks on spare CPU of one worker. All of them get
+// the same share, since it isn't known which of them slows the serving tasks down.
 type throttle struct {
 	share     int
 	changedAt time.Time
-	// serving and spare say what the last report listed.
+	// serving and spare report whether the last report listed tasks with a latency
+	// objective and tasks on spare CPU.
 	serving, spare bool
 }
 
-// watched reports whether the worker needs to be looked at often.
+// active reports whether the worker runs both kinds of tasks and has to be polled often.
 func (h *throttle) active() bool { return h.serving && h.spare }
 
-// next returns the share after a report in which latency was ratio times its
-// objective at worst.
+// nextShare returns the share after a report. ratio is the worst latency divided by its
+// objective.
 func (h *throttle) nextShare(ratio float64, now time.Time) int {
 	switch {
 	case !h.active():
@@ -62,7 +65,7 @@
 	return h.share
 }
 
-// pauseBelowMin pauses tasks whose share is too small to get anything done.
+// pauseBelowMin returns 0, which pauses tasks, for a share below minShare.
 func pauseBelowMin(share int) int {
 	if share < minShare {
 		return 0
@@ -70,20 +73,20 @@
 	return share
 }
 
-// beginSpare takes in that a task on spare processors begins beside serving ones.
+// beginSpare records that a task on spare CPU starts beside serving tasks.
 func (h *throttle) beginSpare(now time.Time) {
 	if !h.spare {
 		h.spare, h.share, h.changedAt = true, initialShare, now
 	}
 }
 
-// updateThrottle takes in what a report says of tasks with a latency objective, and
-// throttles the tasks on spare processors beside them. t.mu is held.
+// updateThrottle adjusts the CPU share of the tasks on spare CPU to the latency that a
+// report shows for the tasks with a latency objective. t.mu must be held.
 //
-// Failure guarded against: tasks on spare processors slow the serving tasks on
-// their worker down, by amounts that differ from task to task and change within
-// seconds; users of those wait too long. The serving tasks' own figures say so,
-// and the share falls at once and rises slowly.
+// Failure guarded against: tasks on spare CPU slow down the serving tasks on their worker,
+// by amounts that differ from task to task and change within seconds, and users of the
+// service wait too long. The reported latency shows the slowdown; the share then falls at
+// once and rises slowly.
 func (s *workerSession) updateThrottle(state *workflow.State, report Report, now time.Time) {
 	worstRatio := 0.0
 	s.throttle.serving, s.throttle.spare = false, false
@@ -114,8 +117,8 @@
 	}
 }
 
-// applyShare sends the worker's share for one run where it has another one.
-// t.mu is held.
+// applyShare sends the worker's current share for a run that has another one. t.mu must be
+// held.
 func (s *workerSession) applyShare(o *runOrder) {
 	if o.share == s.throttle.share || o.shareChanging {
 		return
@@ -125,6 +128,7 @@
 	s.t.spawn(func() { s.sendShare(o, share) })
 }
 
+// sendShare orders the worker to give a run a CPU share. A failure is logged.
 func (s *workerSession) sendShare(o *runOrder, share int) {
 	t := s.t
 	clockMS, err := s.call(func(ctx context.Context, to Target) (int64, error) {
@@ -135,7 +139,7 @@
 	defer t.mu.Unlock()
 	o.shareChanging = false
 	if err != nil {
-		// The next report sends it again.
+		// The next report triggers another attempt.
 		t.logger.Log("event", "throttle", "task", o.run.Task, "run", o.run.Number, "worker", s.worker.ID, "share", share, "err", err)
 		return
 	}
@@ -148,8 +152,8 @@
 	}
 }
 
-// paused reports whether a run has been paused for so long that it is better
-// carried on elsewhere, which only a checkpoint makes worth it.
+// pausedTooLong reports whether a run has been paused for so long that it should continue
+// on another worker. That is worthwhile only for tasks with checkpoints.
 func (o *runOrder) pausedTooLong(step *workflow.Step, now time.Time) bool {
 	return step.Checkpointing && !o.pausedAt.IsZero() && now.Sub(o.pausedAt) > stalledRunTimeout
 }
--- a/internal/control/throttle_test.go
+++ b/internal/control/throttle_test.go
@@ -9,6 +9,7 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
+// Checks every case in which the CPU share changes or stays.
 func TestNextShareFollowsLatency(t *testing.T) {
 	now := time.Now()
 	old := now.Add(-throttleInterval)
@@ -31,10 +32,9 @@
 	}
 }
 
-// What a user sees: a service is slow for seconds, beside a batch job that works
-// on spare processors.
-// Order: both run on one worker; the service's latency rises over its objective.
-// Cause: nothing throttled the batch job's tasks.
+// Guards against a service that is slow for seconds because a batch job uses spare CPU on
+// the same worker: when the latency of the service exceeds its objective, the batch task
+// must be throttled.
 func TestSpareTaskIsThrottledForLatency(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -42,7 +42,7 @@
 	serving := workflow.Step{Count: 1, Need: workflow.Resources{MilliCPU: 4000, MemoryMB: 10}, LongRunning: true, LatencyObjectiveMS: 50}
 	spare := workflow.Step{Count: 1, Need: workflow.Resources{MilliCPU: 9000, MemoryMB: 10}, EstimateMS: 60_000, UsesSpare: true}
 	w.submit("a", serving)
-	w.eventually("it serves", func() bool { return w.started("w1") == 1 })
+	w.eventually("the service starts", func() bool { return w.started("w1") == 1 })
 	w.submit("b", spare)
 	share := func() (n int) {
 		w.withWorker("w1", func(f *fakeWorker) {
@@ -53,7 +53,7 @@
 		})
 		return n
 	}
-	w.eventually("it begins at a small share", func() bool { return share() == initialShare })
+	w.eventually("the batch task starts at a small share", func() bool { return share() == initialShare })
 	latency := func(ms int64) {
 		w.withWorker("w1", func(f *fakeWorker) {
 			r := f.running[task("a", 0)]
@@ -62,8 +62,8 @@
 		})
 	}
 	latency(70)
-	w.eventually("it pauses", func() bool { return share() == 0 })
+	w.eventually("the batch task pauses", func() bool { return share() == 0 })
 	latency(10)
-	w.eventually("it goes on", func() bool { return share() >= shareIncrement })
-	must.Eq(t, 2, w.started("w1"), must.Sprint("it wasn't moved"))
+	w.eventually("the batch task continues", func() bool { return share() >= shareIncrement })
+	must.Eq(t, 2, w.started("w1"), must.Sprint("the batch task was not moved"))
 }
--- a/internal/control/waiting.go
+++ b/internal/control/waiting.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// waitingLogInterval is the least time between two lines on what one step waits for:
-	// reasons may change with each of ten decisions a second.
+	// waitingLogInterval is the minimum time between two log lines about one waiting step.
+	// Its reason may change with each of ten decisions a second.
 	waitingLogInterval = time.Second
-	// maxBacklogLogLines is how many steps at most are logged each second as not yet gone into: a
-	// twentieth of the lines that a process may write.
+	// maxBacklogLogLines bounds the log lines per second about steps that no decision has
+	// considered yet: a twentieth of the lines that a process may write.
 	maxBacklogLogLines = 100
 )
 
-// waitingStep is what is known of a step that waits.
+// waitingStep is the waiting state of one step.
 type waitingStep struct {
-	// reason is that of the last decision that went into the step, reasonAt when it
-	// began to be.
+	// reason is the reason found by the last decision that considered the step, reasonAt
+	// when it was first found.
 	reason   dispatch.Reason
 	reasonAt time.Time
-	// since is when the step was first found waiting, or a task of it last started.
+	// since is when the step was first found waiting, or when a task of it last started.
 	since time.Time
-	// seenAt is the last decision that found it waiting.
+	// seenAt is the time of the last decision that found the step waiting.
 	seenAt time.Time
-	// spent is how long it has waited by each earlier reason.
+	// earlierWaits is the time that the step has waited for each earlier reason.
 	earlierWaits []waitPeriod
-	// logged is the reason that was logged last, loggedAt when.
+	// loggedReason is the reason that was logged last, loggedAt when.
 	loggedReason dispatch.Reason
 	loggedAt     time.Time
 }
 
-// spell is time waited for one reason.
+// waitPeriod is the total time waited for one reason.
 type waitPeriod struct {
 	reason   dispatch.Reason
 	duration time.Duration
@@ -45,7 +45,7 @@
 	return &waitingStep{reason: reason, reasonAt: now, since: now, seenAt: now}
 }
 
-// note takes in what a decision found.
+// update records the reason that a decision found.
 func (w *waitingStep) update(reason dispatch.Reason, now time.Time) {
 	w.seenAt = now
 	if reason == w.reason {
@@ -55,6 +55,7 @@
 	w.reason, w.reasonAt = reason, now
 }
 
+// addWait adds to the time waited for a reason.
 func (w *waitingStep) addWait(reason dispatch.Reason, duration time.Duration) {
 	for i := range w.earlierWaits {
 		if w.earlierWaits[i].reason == reason {
@@ -65,18 +66,19 @@
 	w.earlierWaits = append(w.earlierWaits, waitPeriod{reason, duration})
 }
 
-// restart takes in that a task of the step has started while others wait on.
+// restart resets the waiting times after a task of the step has started while others still
+// wait.
 func (w *waitingStep) restart(now time.Time) {
 	w.since, w.reasonAt, w.earlierWaits, w.loggedReason = now, now, nil, ""
 }
 
-// logDue reports whether the reason is to be logged. That the adviser is asked isn't:
-// each question is.
+// logDue reports whether the reason needs a log line. Waiting for the adviser needs none,
+// since each query is logged.
 func (w *waitingStep) logDue(now time.Time) bool {
 	return w.reason != dispatch.ReasonAwaitsAdviser && w.reason != w.loggedReason && now.Sub(w.loggedAt) >= waitingLogInterval
 }
 
-// earlier tells how long the step has waited for earlier reasons.
+// formatEarlierWaits lists the time that the step has waited for each earlier reason.
 func (w *waitingStep) formatEarlierWaits() string {
 	list := make([]string, len(w.earlierWaits))
 	for i, s := range w.earlierWaits {
@@ -85,8 +87,8 @@
 	return strings.Join(list, "; ")
 }
 
-// updateWaiting takes in why steps wait, and logs it for each new reason of a step.
-// Where the decision went into all steps, those that it doesn't name wait no more.
+// updateWaiting records why steps wait, and logs each new reason of a step. If the
+// decision considered all steps, a step that the plan doesn't name no longer waits.
 func (t *leaderTerm) updateWaiting(plan *dispatch.Plan, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -117,6 +119,7 @@
 	}
 }
 
+// logWaiting logs why a step waits, if a line is due.
 func (t *leaderTerm) logWaiting(w *dispatch.Waiting, known *waitingStep, now time.Time) {
 	if !known.logDue(now) {
 		return
@@ -126,7 +129,7 @@
 		"waited_ms", now.Sub(known.since).Milliseconds(), "earlier", known.formatEarlierWaits())
 }
 
-// waitingReason says why a step waits. t.mu is held.
+// waitingReason returns why a step waits, or "" when it doesn't. t.mu must be held.
 func (t *leaderTerm) waitingReason(key workflow.StepKey) dispatch.Reason {
 	if known := t.waiting[key]; known != nil {
 		return known.reason
@@ -137,9 +140,9 @@
 	return ""
 }
 
-// addBacklog finds the steps that no decision has gone into yet, and forgets those
-// that wait no more. It looks at all steps: once a second, and only while decisions
-// don't go into all of them. t.mu is held.
+// addBacklog adds the steps that no decision has considered yet, and removes those that no
+// longer wait. It scans all steps, so it runs once a second and only while decisions don't
+// consider all of them. t.mu must be held.
 func (t *leaderTerm) addBacklog(v *planInput, plan *dispatch.Plan, now time.Time) {
 	if plan.BeyondBound == 0 {
 		return
@@ -170,8 +173,8 @@
 	}
 }
 
-// oldestWaiting returns the step that has waited longest of those that a decision
-// left, nil when none waits. t.mu is held.
+// oldestWaiting returns the step that has waited longest, nil when none waits. t.mu must
+// be held.
 func (t *leaderTerm) oldestWaiting(v *planInput) (*dispatch.Step, *waitingStep) {
 	var oldest *dispatch.Step
 	var known *waitingStep
