--- a/internal/control/admit.go
+++ b/internal/control/admit.go
@@ -19,10 +19,10 @@
 
 // setQueueLength records how many steps the last decision found queued, speculative copies
 // excluded.
-func (t *leaderTerm) setQueueLength(v *planInput) {
+func (t *leaderTerm) setQueueLength(input *planInput) {
 	queued := 0
-	for i := range v.steps {
-		if !v.steps[i].Copy {
+	for i := range input.steps {
+		if !input.steps[i].Copy {
 			queued++
 		}
 	}
--- a/internal/control/adviser_pool.go
+++ b/internal/control/adviser_pool.go
@@ -97,8 +97,8 @@
 	var usable []*adviserConn
 	maxAge := maxMissedAnnouncements * l.announceIntervalFor(len(l.conns))
 	for _, candidate := range l.conns {
-		heard := candidate.address == l.ownAddress || now.Sub(candidate.lastAnnounced) < maxAge
-		if heard && now.After(candidate.backoffUntil) {
+		announced := candidate.address == l.ownAddress || now.Sub(candidate.lastAnnounced) < maxAge
+		if announced && now.After(candidate.backoffUntil) {
 			usable = append(usable, candidate)
 		}
 	}
--- a/internal/control/chaos_workers_test.go
+++ b/internal/control/chaos_workers_test.go
@@ -90,13 +90,13 @@
 }
 
 // of returns the lines about the jobs that the violations name.
-func (l *chaosLog) of(broken []string) string {
+func (l *chaosLog) of(violations []string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var found strings.Builder
 	for _, line := range l.text {
-		for _, fault := range broken {
-			if job, _, ok := strings.Cut(fault, "/"); ok && strings.Contains(line, job+"/") {
+		for _, violation := range violations {
+			if job, _, ok := strings.Cut(violation, "/"); ok && strings.Contains(line, job+"/") {
 				found.WriteString(line)
 				break
 			}
--- a/internal/control/copies.go
+++ b/internal/control/copies.go
@@ -55,7 +55,7 @@
 }
 
 // addCopyCandidate adds a run whose task should get a speculative copy. t.mu must be held.
-func (v *planInput) addCopyCandidate(t *leaderTerm, s *workflow.State, run workflow.Run, session *workerSession, now time.Time) {
+func (input *planInput) addCopyCandidate(t *leaderTerm, s *workflow.State, run workflow.Run, session *workerSession, now time.Time) {
 	job := s.Jobs[run.Task.Job]
 	spec := &job.Steps[run.Task.Step]
 	if task := s.Task(run.Task); !spec.AllowsCopies() || task.Live != 1 || task.Suspect() {
@@ -65,7 +65,7 @@
 		return
 	}
 	if cause := session.copyCauseOf(run, spec, now); cause != copyNone {
-		v.copyCandidates[run.Task] = copyCandidate{worker: run.Worker, cause: cause}
+		input.copyCandidates[run.Task] = copyCandidate{worker: run.Worker, cause: cause}
 	}
 }
 
@@ -77,9 +77,9 @@
 
 // addCopySteps adds steps for the tasks that should get a speculative copy. Such a step
 // excludes the workers of the existing runs. t.mu must be held.
-func (t *leaderTerm) addCopySteps(v *planInput, s *workflow.State, now time.Time) {
+func (t *leaderTerm) addCopySteps(input *planInput, s *workflow.State, now time.Time) {
 	avoid := map[workflow.StepKey]map[int]string{}
-	for task, c := range v.copyCandidates {
+	for task, c := range input.copyCandidates {
 		if avoid[task.StepKey] == nil {
 			avoid[task.StepKey] = map[int]string{}
 		}
@@ -88,10 +88,10 @@
 	for key, workers := range avoid {
 		job := s.Jobs[key.Job]
 		pending := slices.Sorted(maps.Keys(workers))
-		runsPerWorker := v.runsPerWorkerOf(t, s, key, &job.Steps[key.Step])
+		runsPerWorker := input.runsPerWorkerOf(t, s, key, &job.Steps[key.Step])
 		step := t.dispatchStep(job, key, pending, t.acceptedAt[job.ID], objectiveOf(job), now, runsPerWorker)
 		step.Copy, step.Avoid = true, workers
-		v.steps = append(v.steps, step)
+		input.steps = append(input.steps, step)
 	}
 }
 
--- a/internal/control/copies_test.go
+++ b/internal/control/copies_test.go
@@ -81,16 +81,16 @@
 	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	key := task("a", 0).StepKey
-	v := &planInput{runsPerWorker: map[workflow.StepKey]map[string]int{}, copyCandidates: map[workflow.TaskKey]copyCandidate{task("a", 0): {worker: "w1"}}}
+	input := &planInput{runsPerWorker: map[workflow.StepKey]map[string]int{}, copyCandidates: map[workflow.TaskKey]copyCandidate{task("a", 0): {worker: "w1"}}}
 	term.mu.Lock()
 	defer term.mu.Unlock()
 	w.c.state.read(func(s *workflow.State) {
-		term.gatherSteps(v, s, s.Jobs["a"], time.Now())
-		term.addCopySteps(v, s, time.Now())
+		term.gatherSteps(input, s, s.Jobs["a"], time.Now())
+		term.addCopySteps(input, s, time.Now())
 	})
-	must.SliceLen(t, 2, v.steps)
-	v.steps[0].Placed["w2"]++
-	must.Eq(t, 1, v.steps[1].Placed["w2"])
+	must.SliceLen(t, 2, input.steps)
+	input.steps[0].Placed["w2"]++
+	must.Eq(t, 1, input.steps[1].Placed["w2"])
 	must.Eq(t, map[string]int{"w1": 1}, func() (placed map[string]int) {
 		w.c.state.read(func(s *workflow.State) { placed = s.Placed(key) })
 		return placed
--- a/internal/control/explain.go
+++ b/internal/control/explain.go
@@ -74,17 +74,17 @@
 
 // explain returns why the ready steps of a job wait that have tasks left to start.
 func (t *leaderTerm) explain(id string, now time.Time) []StepExplanation {
-	v := t.gatherPlanInput(now)
+	input := t.gatherPlanInput(now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []StepExplanation
-	for i := range v.steps {
-		step := &v.steps[i]
+	for i := range input.steps {
+		step := &input.steps[i]
 		if step.Key.Job != id || step.Copy {
 			continue
 		}
 		e := StepExplanation{Key: step.Key, Tasks: len(step.Pending), Reason: t.waitingReason(step.Key)}
-		e.Workers = append(t.unschedulableWorkers(step.Service, now), dispatch.Explain(now.Sub(t.started), step, v.workers, planLimits)...)
+		e.Workers = append(t.unschedulableWorkers(step.Service, now), dispatch.Explain(now.Sub(t.started), step, input.workers, planLimits)...)
 		for _, permit := range step.Permits {
 			if permit.Granted {
 				e.Permitted++
@@ -93,7 +93,7 @@
 			}
 		}
 		if step.NeedsPermit {
-			e.Unknown = max(len(v.workers)-e.Permitted-e.Refused, 0)
+			e.Unknown = max(len(input.workers)-e.Permitted-e.Refused, 0)
 		}
 		list = append(list, e)
 	}
--- a/internal/control/incremental.go
+++ b/internal/control/incremental.go
@@ -73,16 +73,16 @@
 		t.wake()
 		return
 	}
-	v := t.changedPlanInput(now)
+	input := t.changedPlanInput(now)
 	if t.backlog {
-		t.dropLessUrgent(&v)
+		t.dropLessUrgent(&input)
 	}
-	if len(v.steps) == 0 {
+	if len(input.steps) == 0 {
 		return
 	}
 	limits := t.limits(now)
 	limits.Disabled.Preemption = true
-	plan := dispatch.Decide(now.Sub(t.started), v.steps, t.leftoverWorkers, limits)
+	plan := dispatch.Decide(now.Sub(t.started), input.steps, t.leftoverWorkers, limits)
 	t.c.cfg.Counters.Observe("decide_fresh", time.Since(now))
 	t.applyPlan(&plan, nil)
 }
@@ -94,10 +94,10 @@
 // each changed job waits for two full decisions, of which the leader makes a few a second.
 // Fewer jobs start than arrive, so the queue remains after the burst although cores are
 // free.
-func (t *leaderTerm) dropLessUrgent(v *planInput) {
-	total := len(v.steps)
-	v.steps = slices.DeleteFunc(v.steps, func(s dispatch.Step) bool { return !dispatch.Before(&s, t.nextUrgentStep) })
-	if len(v.steps) < total {
+func (t *leaderTerm) dropLessUrgent(input *planInput) {
+	total := len(input.steps)
+	input.steps = slices.DeleteFunc(input.steps, func(s dispatch.Step) bool { return !dispatch.Before(&s, t.nextUrgentStep) })
+	if len(input.steps) < total {
 		t.wake()
 	}
 }
@@ -106,15 +106,15 @@
 func (t *leaderTerm) changedPlanInput(now time.Time) planInput {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	v := planInput{runsPerWorker: map[workflow.StepKey]map[string]int{}}
+	input := planInput{runsPerWorker: map[workflow.StepKey]map[string]int{}}
 	changed := t.takeChanged()
 	t.c.state.read(func(s *workflow.State) {
 		open := s.OpenJobs()
 		for id := range changed {
 			if job := open[id]; job != nil {
-				t.gatherSteps(&v, s, job, now)
+				t.gatherSteps(&input, s, job, now)
 			}
 		}
 	})
-	return v
+	return input
 }
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -59,34 +59,34 @@
 // their fragmentation, and how many steps wait for which reason. It shows whether a late
 // job met a full cluster or one with free resources that the job couldn't use. Only
 // planLoop calls it.
-func (t *leaderTerm) reportLoad(v *planInput, plan *dispatch.Plan, now time.Time) {
+func (t *leaderTerm) reportLoad(input *planInput, plan *dispatch.Plan, now time.Time) {
 	if now.Sub(t.loadLoggedAt) < loadLogInterval {
 		return
 	}
 	t.loadLoggedAt = now
-	r := sumResources(v.workers)
+	r := sumResources(input.workers)
 	tasks, gangs := 0, 0
-	for i := range v.steps {
-		tasks += len(v.steps[i].Pending)
-		if v.steps[i].Spec.Gang {
+	for i := range input.steps {
+		tasks += len(input.steps[i].Pending)
+		if input.steps[i].Spec.Gang {
 			gangs++
 		}
 	}
 	byReason := waitingByReason(plan)
 	fields := []any{
-		"event", "load", "usable_workers", len(v.workers), "milli_cpu", r.capacity.MilliCPU, "free_milli_cpu", r.free.MilliCPU,
+		"event", "load", "usable_workers", len(input.workers), "milli_cpu", r.capacity.MilliCPU, "free_milli_cpu", r.free.MilliCPU,
 		"memory_mb", r.capacity.MemoryMB, "free_memory_mb", r.free.MemoryMB,
 		"accelerators", r.capacity.Accelerators, "free_accelerators", r.free.Accelerators,
 		"kept_milli_cpu", r.reserved.MilliCPU, "kept_memory_mb", r.reserved.MemoryMB, "largest_free", formatResources(r.largestFree),
-		"steps", len(v.steps), "tasks", tasks, "gangs", gangs, "started", len(plan.Starts), "waiting", len(plan.Waiting),
+		"steps", len(input.steps), "tasks", tasks, "gangs", gangs, "started", len(plan.Starts), "waiting", len(plan.Waiting),
 		"behind", plan.BeyondBound, "waiting_by", formatWaiting(byReason),
 	}
-	fields = append(fields, t.waitingLogFields(v, plan, r.capacity, now)...)
+	fields = append(fields, t.waitingLogFields(input, plan, r.capacity, now)...)
 	fields = append(fields, "kept_back", t.formatUnschedulable(now))
 	runs := t.currentRunCounts()
 	fields = append(fields, "runs_alive", runs.alive, "runs_unaccounted", runs.unaccounted, "longest_unaccounted_ms", runs.longest.Milliseconds())
 	t.logger.Log(fields...)
-	t.setLoadGauges(v, &r, tasks)
+	t.setLoadGauges(input, &r, tasks)
 	t.setRunGauges(runs)
 	t.c.cfg.Counters.Set("waiting_steps", int64(len(plan.Waiting)+plan.BeyondBound))
 	for _, gauge := range waitingGauges {
@@ -95,9 +95,9 @@
 }
 
 // setLoadGauges sets the gauges of the workers' resources and of the waiting tasks.
-func (t *leaderTerm) setLoadGauges(v *planInput, r *clusterResources, tasks int) {
+func (t *leaderTerm) setLoadGauges(input *planInput, r *clusterResources, tasks int) {
 	counters := t.c.cfg.Counters
-	counters.Set("usable_workers", int64(len(v.workers)))
+	counters.Set("usable_workers", int64(len(input.workers)))
 	counters.Set("free_milli_cpu", r.free.MilliCPU)
 	counters.Set("free_memory_mb", r.free.MemoryMB)
 	counters.Set("free_accelerators", r.free.Accelerators)
@@ -152,14 +152,14 @@
 // waiting step: how many tasks of each fit into the free resources of its pool, reserved
 // ones included, and how many of these on permitted workers. It also sets the gauges for
 // them.
-func (t *leaderTerm) waitingLogFields(v *planInput, plan *dispatch.Plan, capacity workflow.Resources, now time.Time) []any {
+func (t *leaderTerm) waitingLogFields(input *planInput, plan *dispatch.Plan, capacity workflow.Resources, now time.Time) []any {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.addBacklog(v, plan, now)
+	t.addBacklog(input, plan, now)
 	var largest *dispatch.Step
 	waitingGangs := 0
-	for i := range v.steps {
-		s := &v.steps[i]
+	for i := range input.steps {
+		s := &input.steps[i]
 		if !s.Spec.Gang || s.Copy || t.waiting[s.Key] == nil {
 			continue
 		}
@@ -171,14 +171,14 @@
 	fields := []any{"waiting_gangs", waitingGangs}
 	fitCount, age := 0, time.Duration(0)
 	if largest != nil {
-		all, permitted := dispatch.FitCounts(largest, v.workers)
+		all, permitted := dispatch.FitCounts(largest, input.workers)
 		fitCount = all
 		fields = append(fields, "largest_gang", largest.Key, "largest_gang_tasks", len(largest.Pending),
 			"largest_gang_each", formatResources(largest.Spec.Demand()), "free_pieces", all, "permitted_pieces", permitted)
 	}
-	if s, known := t.oldestWaiting(v); s != nil {
+	if s, known := t.oldestWaiting(input); s != nil {
 		age = now.Sub(known.since)
-		all, permitted := dispatch.FitCounts(s, v.workers)
+		all, permitted := dispatch.FitCounts(s, input.workers)
 		fields = append(fields, "oldest", s.Key, "oldest_ms", age.Milliseconds(), "oldest_reason", known.reason,
 			"oldest_tasks", len(s.Pending), "oldest_gang", s.Spec.Gang, "oldest_each", formatResources(s.Spec.Demand()),
 			"oldest_pieces", all, "oldest_permitted_pieces", permitted)
--- a/internal/control/load_test.go
+++ b/internal/control/load_test.go
@@ -65,8 +65,8 @@
 	now := time.Now()
 	small, large := pendingStep("small", 2, true), pendingStep("large", 9, true)
 	large.NeedsPermit, large.Permits = true, map[string]dispatch.Permit{"w2": {Granted: true}, "w1": {}}
-	v := &planInput{steps: []dispatch.Step{small, large, pendingStep("behind", 1, false)}, workers: fragmentedWorkers()}
-	v.workers[1].Free, v.workers[1].Reserved = workflow.Resources{MilliCPU: 1000, MemoryMB: 34_000, Accelerators: 1}, workflow.Resources{MilliCPU: 8000, MemoryMB: 16_000}
+	input := &planInput{steps: []dispatch.Step{small, large, pendingStep("behind", 1, false)}, workers: fragmentedWorkers()}
+	input.workers[1].Free, input.workers[1].Reserved = workflow.Resources{MilliCPU: 1000, MemoryMB: 34_000, Accelerators: 1}, workflow.Resources{MilliCPU: 8000, MemoryMB: 16_000}
 	plan := &dispatch.Plan{BeyondBound: 1, Waiting: []dispatch.Waiting{
 		{Step: large.Key, Tasks: 9, Reason: dispatch.ReasonGangCannotQuery}, {Step: small.Key, Tasks: 2, Reason: dispatch.ReasonNoRoom},
 	}}
@@ -74,7 +74,7 @@
 	now = now.Add(3 * time.Second)
 	term.updateWaiting(plan, now)
 	lines.Reset()
-	term.reportLoad(v, plan, now)
+	term.reportLoad(input, plan, now)
 	for _, want := range []string{
 		"milli_cpu=48000 free_milli_cpu=18000 memory_mb=192000 free_memory_mb=109000 accelerators=6 free_accelerators=1",
 		"kept_milli_cpu=8000 kept_memory_mb=16000 largest_free=9000/50000/1",
@@ -92,7 +92,7 @@
 		must.Eq(t, want, counters[name], must.Sprint(name))
 	}
 	lines.Reset()
-	term.reportLoad(v, plan, now.Add(loadLogInterval/2))
+	term.reportLoad(input, plan, now.Add(loadLogInterval/2))
 	must.Eq(t, "", lines.String(), must.Sprint("at most one line a second"))
 }
 
@@ -112,23 +112,23 @@
 func TestBacklogStepsAreLoggedUntilConsidered(t *testing.T) {
 	term, lines, _ := observedTerm()
 	now := time.Now()
-	v := &planInput{}
+	input := &planInput{}
 	for i := range 3 * maxBacklogLogLines {
-		v.steps = append(v.steps, pendingStep(fmt.Sprint("j", i), 1, false))
+		input.steps = append(input.steps, pendingStep(fmt.Sprint("j", i), 1, false))
 	}
-	plan := &dispatch.Plan{BeyondBound: len(v.steps), Starts: []dispatch.Start{{Task: workflow.TaskKey{StepKey: v.steps[0].Key}}}}
+	plan := &dispatch.Plan{BeyondBound: len(input.steps), Starts: []dispatch.Start{{Task: workflow.TaskKey{StepKey: input.steps[0].Key}}}}
 	term.updateWaiting(plan, now)
-	term.reportLoad(v, plan, now)
+	term.reportLoad(input, plan, now)
 	must.Eq(t, maxBacklogLogLines, bytes.Count(lines.Bytes(), []byte(`reason="behind the steps that one decision goes into"`))-1,
 		must.Sprint("one of the lines is the load line"))
-	must.Eq(t, dispatch.ReasonBeyondBound, term.waitingReason(v.steps[5].Key))
-	must.MapLen(t, len(v.steps)-1, term.waiting, must.Sprint("the started step is not waiting"))
-	v.steps = v.steps[:2]
-	term.reportLoad(v, &dispatch.Plan{BeyondBound: 1}, now.Add(2*loadLogInterval))
+	must.Eq(t, dispatch.ReasonBeyondBound, term.waitingReason(input.steps[5].Key))
+	must.MapLen(t, len(input.steps)-1, term.waiting, must.Sprint("the started step is not waiting"))
+	input.steps = input.steps[:2]
+	term.reportLoad(input, &dispatch.Plan{BeyondBound: 1}, now.Add(2*loadLogInterval))
 	must.MapLen(t, 2, term.waiting)
 	term.updateWaiting(&dispatch.Plan{}, now)
 	must.MapLen(t, 0, term.waiting)
-	must.Eq(t, "", term.waitingReason(v.steps[1].Key))
+	must.Eq(t, "", term.waitingReason(input.steps[1].Key))
 }
 
 // Checks that the log line of a waiting step lists for how long it waited for each earlier
--- a/internal/control/maintenance_test.go
+++ b/internal/control/maintenance_test.go
@@ -16,7 +16,7 @@
 // fakeMachines is a deployment whose machines go down for maintenance and come back with
 // another incarnation of their worker.
 type fakeMachines struct {
-	world *testCluster
+	cluster *testCluster
 	// downtime is how long a machine is down, listDelay how long the list still shows it
 	// as up.
 	downtime, listDelay time.Duration
@@ -111,7 +111,7 @@
 // takeDown ends the worker of a machine and schedules its return. f.mu must be held.
 func (f *fakeMachines) takeDown(m *ListedMachine) {
 	old := m.Worker
-	f.world.withWorker(old, func(w *fakeWorker) { w.superseded = true; clear(w.running) })
+	f.cluster.withWorker(old, func(w *fakeWorker) { w.superseded = true; clear(w.running) })
 	time.AfterFunc(f.listDelay, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -130,7 +130,7 @@
 	f.incarnations[m.ID]++
 	next := fmt.Sprint(m.ID, "-", f.incarnations[m.ID])
 	time.AfterFunc(f.downtime, func() {
-		f.world.workers.add(next)
+		f.cluster.workers.add(next)
 		f.mu.Lock()
 		if m.State != MachineMoving {
 			f.down--
@@ -138,14 +138,14 @@
 		m.State, m.Worker = MachineUp, next
 		f.mu.Unlock()
 		// The test may have ended; the heartbeat has no receiver then.
-		_, _ = f.world.c.Announce(context.Background(), &Announcement{Worker: worker(next)})
+		_, _ = f.cluster.c.Announce(context.Background(), &Announcement{Worker: worker(next)})
 	})
 }
 
 // machineWorld returns a leader with machines and one worker on each.
 func machineWorld(t *testing.T, machines *fakeMachines) *testCluster {
 	w := newTestCluster(t, func(w *testCluster) {
-		machines.world = w
+		machines.cluster = w
 		w.c.cfg.Machines = machines
 		w.c.cfg.Bounds.MaintenanceDuration = machines.downtime
 	})
@@ -369,7 +369,7 @@
 		m.Capacity = tenCores
 	}
 	w := newTestCluster(t, func(w *testCluster) {
-		machines.world = w
+		machines.cluster = w
 		w.c.cfg.Machines = machines
 		w.commit(&workflow.Command{Configuration: &workflow.Document{
 			Version: 2, Source: []byte("{}"), Services: []workflow.Service{{Name: "s"}, {Name: "off", Standby: true}},
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -69,22 +69,22 @@
 // commits and sends the starts.
 func (t *leaderTerm) decide() {
 	start := time.Now()
-	v := t.gatherPlanInput(start)
-	t.sendStops(v.stops)
+	input := t.gatherPlanInput(start)
+	t.sendStops(input.stops)
 	limits := t.limits(start)
 	t.decisions++
 	limits.Round = t.decisions
-	plan := dispatch.Decide(start.Sub(t.started), v.steps, v.workers, limits)
-	t.leftoverWorkers, t.leftoverAt, t.backlog, t.nextUrgentStep = v.workers, start, len(v.steps) > maxPlannedSteps, plan.FirstSkipped
+	plan := dispatch.Decide(start.Sub(t.started), input.steps, input.workers, limits)
+	t.leftoverWorkers, t.leftoverAt, t.backlog, t.nextUrgentStep = input.workers, start, len(input.steps) > maxPlannedSteps, plan.FirstSkipped
 	t.c.cfg.Counters.Observe("decide", time.Since(start))
 	if len(plan.Preemptions) > 0 {
 		t.preempt(plan.Preemptions, start)
 	}
 	t.recordEarmarks(plan.Earmarks)
 	t.updateWaiting(&plan, start)
-	t.reportLoad(&v, &plan, start)
-	t.setQueueLength(&v)
-	t.applyPlan(&plan, v.copyCandidates)
+	t.reportLoad(&input, &plan, start)
+	t.setQueueLength(&input)
+	t.applyPlan(&plan, input.copyCandidates)
 }
 
 // limits returns the limits of a plan that is made now.
--- a/internal/control/simulation_adviser_test.go
+++ b/internal/control/simulation_adviser_test.go
@@ -25,12 +25,12 @@
 	// faultsOver reports whether all faults are over.
 	faultsOver func() bool
 
-	mu     sync.Mutex
-	random *rand.Rand
-	busy   map[string]time.Time
+	mu        sync.Mutex
+	random    *rand.Rand
+	busyUntil map[string]time.Time
 	// cutOffUntil is when the instance of a connection is reachable again.
 	cutOffUntil map[string]time.Time
-	asked       int
+	queries     int
 }
 
 // seededFloat returns a number from 0 to 1 that depends only on the seed and the words.
@@ -48,7 +48,7 @@
 
 // Ask serves a query from the leader's own machine.
 func (a *simAdviser) Ask(ctx context.Context, call AskCall) (AskReply, error) {
-	return a.ask(ctx, ownAddress, call)
+	return a.answer(ctx, ownAddress, call)
 }
 
 // ownAddress is the leader's own address.
@@ -56,25 +56,25 @@
 
 // Call serves a query through another instance.
 func (a *simAdviser) Call(ctx context.Context, address, _ string, request, reply any) error {
-	answer, err := a.ask(ctx, address, *request.(*AskCall))
+	answer, err := a.answer(ctx, address, *request.(*AskCall))
 	*reply.(*AskReply) = answer
 	return err
 }
 
-func (a *simAdviser) ask(ctx context.Context, lane string, call AskCall) (AskReply, error) {
+func (a *simAdviser) answer(ctx context.Context, address string, call AskCall) (AskReply, error) {
 	policy := a.policyOf(call.Step)
 	if policy == nil {
 		return AskReply{}, errNoAnswer
 	}
 	a.mu.Lock()
-	a.asked++
-	lost := a.random.Float64() < a.params.faults.askLost && !a.faultsOver() || time.Now().Before(a.cutOffUntil[lane])
+	a.queries++
+	lost := a.random.Float64() < a.params.faults.queryLost && !a.faultsOver() || time.Now().Before(a.cutOffUntil[address])
 	end := time.Now()
-	if a.busy[lane].After(end) {
-		end = a.busy[lane]
+	if a.busyUntil[address].After(end) {
+		end = a.busyUntil[address]
 	}
 	end = end.Add(queryDuration(policy, len(call.Workers)))
-	a.busy[lane] = end
+	a.busyUntil[address] = end
 	a.mu.Unlock()
 	if lost {
 		<-ctx.Done()
@@ -93,16 +93,16 @@
 }
 
 // cutOff makes the instance of a connection unreachable for a time.
-func (a *simAdviser) cutOff(lane string, until time.Time) {
+func (a *simAdviser) cutOff(address string, until time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.cutOffUntil[lane] = until
+	a.cutOffUntil[address] = until
 }
 
-func (a *simAdviser) isCutOff(lane string) bool {
+func (a *simAdviser) isCutOff(address string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return time.Now().Before(a.cutOffUntil[lane])
+	return time.Now().Before(a.cutOffUntil[address])
 }
 
 // ticketFor returns a ticket that contains what it permits and when it expires.
--- a/internal/control/simulation_checks_test.go
+++ b/internal/control/simulation_checks_test.go
@@ -64,20 +64,20 @@
 // done, and returns the steps that wait for too long.
 func (x *simulation) awaitCompletion() []string {
 	start := time.Now()
-	work, asks := x.estimateRemaining()
+	work, queryTime := x.estimateRemaining()
 	// The resources of runs on lost workers become free only when their leases expire, and
 	// some workers are quarantined.
-	settled := 2*x.params.lease + predecessorSlack + quarantineFor + stalledRunTimeout
-	drained := settled + work + asks
+	recoveryTime := 2*x.params.lease + predecessorSlack + quarantineFor + stalledRunTimeout
+	drained := recoveryTime + work + queryTime
 	deadline := start.Add(2*drained + 30*time.Second)
 	waitingSince := map[workflow.StepKey]time.Time{}
-	x.lines.logf("leases expire within %v, open work ends within %v", settled, drained)
+	x.lines.logf("leases expire within %v, open work ends within %v", recoveryTime, drained)
 	for {
 		time.Sleep(checkInterval)
 		if found := x.invariantViolations(); len(found) > 0 {
 			return found
 		}
-		open, usedMost := x.openSteps()
+		open, mostlyUsed := x.openSteps()
 		left := slices.DeleteFunc(open, func(s openStep) bool { return !s.placeable })
 		if len(left) == 0 {
 			return nil
@@ -85,14 +85,14 @@
 		if time.Now().After(deadline) {
 			return x.describe("isn't done long after the faults ended:", left)
 		}
-		if found := x.starvedSteps(left, waitingSince, usedMost, start.Add(drained)); len(found) > 0 {
+		if found := x.starvedSteps(left, waitingSince, mostlyUsed, start.Add(drained)); len(found) > 0 {
 			return x.describe("fits into free resources but does not start:", found)
 		}
 	}
 }
 
 // starvedSteps returns the steps that have fitted twice over for too long without a start.
-func (x *simulation) starvedSteps(steps []openStep, waitingSince map[workflow.StepKey]time.Time, usedMost bool, checkFrom time.Time) (found []openStep) {
+func (x *simulation) starvedSteps(steps []openStep, waitingSince map[workflow.StepKey]time.Time, mostlyUsed bool, checkFrom time.Time) (found []openStep) {
 	now := time.Now()
 	waiting := map[workflow.StepKey]bool{}
 	for _, s := range steps {
@@ -100,7 +100,7 @@
 		if s.spec.Gang {
 			least *= s.spec.Count
 		}
-		if x.containsCrashingTask(s.key.Job) || len(s.notRunning) == 0 || s.fitCount < least || usedMost || now.Before(checkFrom) {
+		if x.containsCrashingTask(s.key.Job) || len(s.notRunning) == 0 || s.fitCount < least || mostlyUsed || now.Before(checkFrom) {
 			continue
 		}
 		waiting[s.key] = true
@@ -134,13 +134,13 @@
 
 // estimateRemaining returns an upper bound of the time that the open work takes on a part
 // of the cores, and of the time that its queries take.
-func (x *simulation) estimateRemaining() (work, asks time.Duration) {
+func (x *simulation) estimateRemaining() (work, queryTime time.Duration) {
 	open, _ := x.openSteps()
 	cores := float64(x.params.workers) * float64(x.params.capacity.MilliCPU) * x.params.permittedShare / 4
 	longest := time.Duration(0)
 	for i := range open {
 		s := &open[i]
-		asks += x.maxWait(s) - maxReadyWait
+		queryTime += x.maxWait(s) - maxReadyWait
 		if !s.placeable {
 			continue
 		}
@@ -150,7 +150,7 @@
 			longest = max(longest, 2*time.Duration(job[j].EstimateMS*int64(job[j].Count))*time.Millisecond)
 		}
 	}
-	return work + longest, 2 * asks / time.Duration(x.params.adviserConns)
+	return work + longest, 2 * queryTime / time.Duration(x.params.adviserConns)
 }
 
 func (x *simulation) stepsOf(job string) []workflow.Step {
@@ -161,7 +161,7 @@
 
 // openSteps returns the ready steps that aren't done, and whether half of the cores or
 // more are in use on the workers.
-func (x *simulation) openSteps() (open []openStep, usedMost bool) {
+func (x *simulation) openSteps() (open []openStep, mostlyUsed bool) {
 	x.state.read(func(s *workflow.State) {
 		for _, job := range s.OpenJobs() {
 			for i := range job.Steps {
@@ -209,8 +209,8 @@
 
 // measureRoom determines which tasks of a step run nowhere, how many fit now, and whether
 // all would fit on empty workers. r.mu must be held.
-func (r *simWorkers) measureRoom(s *openStep, adviser *simAdviser, advised bool) {
-	empty := 0
+func (r *simWorkers) measureRoom(s *openStep, adviser *simAdviser, needsPermit bool) {
+	fitWhenEmpty := 0
 	live := map[int]bool{}
 	for _, w := range r.current {
 		placed := 0
@@ -220,23 +220,23 @@
 				placed++
 			}
 		}
-		if s.spec.Label != "" || advised && !adviser.permits(s.key, w.ID) {
+		if s.spec.Label != "" || needsPermit && !adviser.permits(s.key, w.ID) {
 			continue
 		}
 		bound := s.spec.Count * spareRoomFactor
 		if s.spec.MaxPerWorker > 0 {
 			bound = s.spec.MaxPerWorker
 		}
-		empty += min(s.spec.Demand().FitCount(w.Capacity), bound)
+		fitWhenEmpty += min(s.spec.Demand().FitCount(w.Capacity), bound)
 		s.fitCount += min(s.spec.Demand().FitCount(w.Capacity.Minus(w.used())), max(bound-placed, 0))
 	}
 	s.notRunning = slices.DeleteFunc(s.notRunning, func(index int) bool { return live[index] })
 	if s.spec.Gang && len(live) > 0 {
 		s.notRunning = nil
 	}
-	s.placeable = empty > 0
+	s.placeable = fitWhenEmpty > 0
 	if s.spec.Gang {
-		s.placeable = empty >= s.spec.Count
+		s.placeable = fitWhenEmpty >= s.spec.Count
 	}
 }
 
--- a/internal/control/simulation_crash_test.go
+++ b/internal/control/simulation_crash_test.go
@@ -51,12 +51,12 @@
 }
 
 // scheduleReturn starts the next incarnation of a worker after a downtime.
-func (r *simWorkers) scheduleReturn(w *simWorker, away time.Duration) {
-	life := 0
-	if _, err := fmt.Sscanf(w.ID, w.Address+".%d", &life); err != nil {
+func (r *simWorkers) scheduleReturn(w *simWorker, downtime time.Duration) {
+	incarnation := 0
+	if _, err := fmt.Sscanf(w.ID, w.Address+".%d", &incarnation); err != nil {
 		return
 	}
-	time.AfterFunc(away, func() { r.add(w.Address, life+1) })
+	time.AfterFunc(downtime, func() { r.add(w.Address, incarnation+1) })
 }
 
 // allowedCapacity returns the maximum resources that runs may occupy on the worker. A
@@ -129,17 +129,17 @@
 }
 
 // countGivenUp counts the given up jobs with a crashing task and those without one.
-func (x *simulation) countGivenUp() (crashers, others int) {
+func (x *simulation) countGivenUp() (withCrashingTask, withoutCrashingTask int) {
 	x.state.read(func(s *workflow.State) {
 		for _, job := range s.Jobs {
 			switch {
 			case job.CrashingTask == nil:
 			case x.workers.hasCrashingTask(job):
-				crashers++
+				withCrashingTask++
 			default:
-				others++
+				withoutCrashingTask++
 			}
 		}
 	})
-	return crashers, others
+	return withCrashingTask, withoutCrashingTask
 }
--- a/internal/control/simulation_faults_test.go
+++ b/internal/control/simulation_faults_test.go
@@ -124,7 +124,7 @@
 
 // crashOne crashes a worker, which returns as another incarnation or never.
 func (x *simulation) crashOne() {
-	away, back := randomDuration(x.random, 50*time.Millisecond, 4*time.Second), !oneIn(x.random, neverReturnsOneIn)
+	downtime, returns := randomDuration(x.random, 50*time.Millisecond, 4*time.Second), !oneIn(x.random, neverReturnsOneIn)
 	x.workers.mu.Lock()
 	defer x.workers.mu.Unlock()
 	w := x.workers.all[x.random.IntN(len(x.workers.all))]
@@ -132,7 +132,7 @@
 		return
 	}
 	x.workers.crash(w)
-	if back {
-		x.workers.scheduleReturn(w, away)
+	if returns {
+		x.workers.scheduleReturn(w, downtime)
 	}
 }
--- a/internal/control/simulation_params_test.go
+++ b/internal/control/simulation_params_test.go
@@ -47,7 +47,7 @@
 
 // faultRates are the probabilities of the faults of one call.
 type faultRates struct {
-	lost, unanswered, late, slow, refused, misdirected, askLost, failed float64
+	lost, unanswered, late, slow, refused, misdirected, queryLost, failed float64
 }
 
 const (
@@ -121,7 +121,7 @@
 	}
 	d.faults = faultRates{
 		lost: chance(0.1), unanswered: chance(0.1), late: chance(0.1), slow: chance(0.2), refused: chance(0.2),
-		misdirected: chance(0.03), askLost: chance(0.1), failed: chance(0.2),
+		misdirected: chance(0.03), queryLost: chance(0.1), failed: chance(0.2),
 	}
 }
 
--- a/internal/control/simulation_test.go
+++ b/internal/control/simulation_test.go
@@ -57,7 +57,7 @@
 		crashes: map[workflow.TaskKey]int{}, startsAfterThirdCrash: map[workflow.TaskKey]int{},
 	}
 	x.adviser = &simAdviser{
-		params: x.params, seed: seed, policyOf: x.adviceOf, stepOf: x.stepOf, faultsOver: x.areFaultsOver, random: rand.New(rand.NewPCG(seed, 5)), busy: map[string]time.Time{}, cutOffUntil: map[string]time.Time{},
+		params: x.params, seed: seed, policyOf: x.adviceOf, stepOf: x.stepOf, faultsOver: x.areFaultsOver, random: rand.New(rand.NewPCG(seed, 5)), busyUntil: map[string]time.Time{}, cutOffUntil: map[string]time.Time{},
 	}
 	return x
 }
@@ -128,23 +128,23 @@
 // sendHeartbeats sends the heartbeats of the reachable instances and workers until ctx
 // ends.
 func (x *simulation) sendHeartbeats(ctx context.Context) {
-	for beat := 0; ctx.Err() == nil; beat++ {
+	for round := 0; ctx.Err() == nil; round++ {
 		c := x.controller()
 		for i := 1; i < x.params.adviserConns; i++ {
-			if lane := fmt.Sprint("lane", i); !x.adviser.isCutOff(lane) {
-				_, _ = c.Follow(ctx, &FollowCall{Address: lane})
+			if address := fmt.Sprint("lane", i); !x.adviser.isCutOff(address) {
+				_, _ = c.Follow(ctx, &FollowCall{Address: address})
 			}
 		}
 		x.workers.mu.Lock()
-		var heard []*Announcement
+		var announcements []*Announcement
 		for i, w := range x.workers.all {
-			if w.reachable(time.Now()) && i%heartbeatGroups == beat%heartbeatGroups {
+			if w.reachable(time.Now()) && i%heartbeatGroups == round%heartbeatGroups {
 				w.Sequence++
-				heard = append(heard, &Announcement{Worker: w.Worker, Sequence: w.Sequence})
+				announcements = append(announcements, &Announcement{Worker: w.Worker, Sequence: w.Sequence})
 			}
 		}
 		x.workers.mu.Unlock()
-		for _, call := range heard {
+		for _, call := range announcements {
 			go func() { _, _ = c.Announce(ctx, call) }()
 		}
 		select {
@@ -279,9 +279,9 @@
 	x.workers.mu.Lock()
 	defer x.workers.mu.Unlock()
 	d := x.params
-	crashers, others := x.countGivenUp()
+	withCrashingTask, withoutCrashingTask := x.countGivenUp()
 	x.t.Logf("crashing task chance %.4f, shrinks %t, same names %t; jobs given up: %d with a crashing task, %d without; workers %d, adviser connections %d, permitted share %.2f, lease %v, load %.2f, burst %.2f, unplaceable %d, refused %d, faults %+v; jobs %d, starts %d, queries %d, leaders %d, largest backlog %d, commands refused %d, with unknown outcome %d, virtual time %v",
-		d.crashingTaskChance, d.shrinks, d.sameNames, crashers, others, d.workers, d.adviserConns, d.permittedShare, d.lease, d.load, d.burst, d.unplaceable, d.refused, d.faults, x.jobs, x.workers.starts, x.adviser.asked, x.term, x.maxBacklog,
+		d.crashingTaskChance, d.shrinks, d.sameNames, withCrashingTask, withoutCrashingTask, d.workers, d.adviserConns, d.permittedShare, d.lease, d.load, d.burst, d.unplaceable, d.refused, d.faults, x.jobs, x.workers.starts, x.adviser.queries, x.term, x.maxBacklog,
 		x.store.refused, x.store.unknownOutcomes, time.Since(x.startedAt).Round(time.Millisecond))
 }
 
--- a/internal/control/simulation_worker_test.go
+++ b/internal/control/simulation_worker_test.go
@@ -80,14 +80,14 @@
 }
 
 // add starts an incarnation of a worker at an address.
-func (r *simWorkers) add(address string, life int) *simWorker {
+func (r *simWorkers) add(address string, incarnation int) *simWorker {
 	w := &simWorker{
-		Worker:      workflow.Worker{ID: fmt.Sprint(address, ".", life), Service: "s", Address: address, Capacity: r.params.capacity},
-		clockOffset: time.Duration(seededFloat(r.seed, "clock", address, life) * float64(time.Hour)),
+		Worker:      workflow.Worker{ID: fmt.Sprint(address, ".", incarnation), Service: "s", Address: address, Capacity: r.params.capacity},
+		clockOffset: time.Duration(seededFloat(r.seed, "clock", address, incarnation) * float64(time.Hour)),
 		running:     map[workflow.TaskKey]*simRun{}, stopped: map[workflow.TaskKey]int{}, changed: make(chan struct{}),
 	}
 	if r.params.sameNames {
-		w.Name, w.StartedAtMS = address, int64(life)
+		w.Name, w.StartedAtMS = address, int64(incarnation)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -263,12 +263,12 @@
 // newRun draws the duration of a run and whether it fails; the members of a gang share
 // both.
 func (r *simWorkers) newRun(run workflow.Run, step *workflow.Step, now time.Time) *simRun {
-	drawn := outcomeKey(run.Task, *step)
-	takes := (0.5 + seededFloat(r.seed, "takes", drawn, run.Number)) * float64(step.EstimateMS)
+	key := outcomeKey(run.Task, *step)
+	durationMS := (0.5 + seededFloat(r.seed, "takes", key, run.Number)) * float64(step.EstimateMS)
 	return &simRun{
 		number: run.Number, step: step, startedAt: now, gang: step.Gang,
-		duration: time.Duration(takes * float64(time.Millisecond)),
-		fails:    !r.faultsOver && seededFloat(r.seed, "fails", drawn, run.Number) < r.params.faults.failed,
+		duration: time.Duration(durationMS * float64(time.Millisecond)),
+		fails:    !r.faultsOver && seededFloat(r.seed, "fails", key, run.Number) < r.params.faults.failed,
 	}
 }
 
--- a/internal/control/waiting.go
+++ b/internal/control/waiting.go
@@ -143,7 +143,7 @@
 // addBacklog adds the steps that no decision has considered yet, and removes those that no
 // longer wait. It scans all steps, so it runs once a second and only while decisions don't
 // consider all of them. t.mu must be held.
-func (t *leaderTerm) addBacklog(v *planInput, plan *dispatch.Plan, now time.Time) {
+func (t *leaderTerm) addBacklog(input *planInput, plan *dispatch.Plan, now time.Time) {
 	if plan.BeyondBound == 0 {
 		return
 	}
@@ -151,10 +151,10 @@
 	for i := range plan.Starts {
 		started[plan.Starts[i].Task.StepKey] = true
 	}
-	ready := make(map[workflow.StepKey]bool, len(v.steps))
+	ready := make(map[workflow.StepKey]bool, len(input.steps))
 	lines := 0
-	for i := range v.steps {
-		s := &v.steps[i]
+	for i := range input.steps {
+		s := &input.steps[i]
 		ready[s.Key] = true
 		if s.Copy || started[s.Key] || t.waiting[s.Key] != nil {
 			continue
@@ -175,11 +175,11 @@
 
 // oldestWaiting returns the step that has waited longest, nil when none waits. t.mu must
 // be held.
-func (t *leaderTerm) oldestWaiting(v *planInput) (*dispatch.Step, *waitingStep) {
+func (t *leaderTerm) oldestWaiting(input *planInput) (*dispatch.Step, *waitingStep) {
 	var oldest *dispatch.Step
 	var known *waitingStep
-	for i := range v.steps {
-		s := &v.steps[i]
+	for i := range input.steps {
+		s := &input.steps[i]
 		w := t.waiting[s.Key]
 		if s.Copy || w == nil {
 			continue
