--- a/internal/control/adviser_pool.go
+++ b/internal/control/adviser_pool.go
@@ -50,7 +50,7 @@
 }
 
 // adviserPool distributes queries over the instances. ownAddress is the leader's own,
-// which is always usable.
+// which needs no announcements.
 type adviserPool struct {
 	ownAddress string
 	adviser    Adviser
@@ -64,6 +64,7 @@
 	shortAt   time.Time
 }
 
+// newAdviserPool returns a pool that contains only the own instance.
 func newAdviserPool(own string, adviser Adviser, client Caller) *adviserPool {
 	return &adviserPool{ownAddress: own, adviser: adviser, client: client, conns: map[string]*adviserConn{own: {address: own}}}
 }
@@ -75,6 +76,7 @@
 	return l.announceIntervalFor(len(l.conns))
 }
 
+// announceIntervalFor returns the announcement interval for a number of instances.
 func (l *adviserPool) announceIntervalFor(instances int) time.Duration {
 	return min(max(instanceAnnounceInterval, instanceAnnounceInterval*time.Duration(instances)/announceScaleInstances), maxInstanceAnnounceInterval)
 }
--- a/internal/control/chaos_test.go
+++ b/internal/control/chaos_test.go
@@ -223,5 +223,5 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	x.t.Fatalf("jobs never end: %v", open)
+	x.t.Fatalf("jobs that have not ended: %v", open)
 }
--- a/internal/control/chaos_workers_test.go
+++ b/internal/control/chaos_workers_test.go
@@ -24,7 +24,7 @@
 	return replica.Status{Role: replica.Leader, Term: l.term, CanDecide: true}
 }
 
-// chaosWorker is a worker whose calls are lost, delayed or answered without effect. It
+// chaosWorker is a worker whose calls are lost, or are carried out late or twice. It
 // expires leases by its own clock.
 type chaosWorker struct {
 	id       string
@@ -239,6 +239,7 @@
 	}
 }
 
+// extendLease extends the lease, and records the time if it had expired before.
 func (w *chaosWorker) extendLease(leaseEndMS int64) {
 	if now := time.Now(); now.After(w.leaseEnd) {
 		w.leaseExpiredAt = now
--- a/internal/control/goroutines_test.go
+++ b/internal/control/goroutines_test.go
@@ -19,6 +19,6 @@
 	})
 	running.wait()
 	must.True(t, ended)
-	running.start(func() { t.Error("begun after the end") })
+	running.start(func() { t.Error("a goroutine started after wait") })
 	running.wait()
 }
--- a/internal/control/load_test.go
+++ b/internal/control/load_test.go
@@ -148,7 +148,7 @@
 	must.StrContains(t, update(0, dispatch.ReasonNoRoom, false), "waited_ms=0 earlier=\n")
 	must.Eq(t, "", update(100*time.Millisecond, dispatch.ReasonReserved, false), must.Sprint("the previous line is less than a second old"))
 	must.Eq(t, "", update(900*time.Millisecond, dispatch.ReasonAwaitsAdviser, false))
-	must.Eq(t, "", update(1100*time.Millisecond, dispatch.ReasonAwaitsAdviser, false), must.Sprint("each question is logged"))
+	must.Eq(t, "", update(1100*time.Millisecond, dispatch.ReasonAwaitsAdviser, false), must.Sprint("each query is logged anyway"))
 	must.StrContains(t, update(1500*time.Millisecond, dispatch.ReasonReserved, false), "waited_ms=1500 "+
 		`earlier="100 ms: no room on a worker that may run the step; 800 ms: the room that would do is kept for steps before it; 600 ms: waiting for the adviser"`)
 	must.Eq(t, "", update(3*time.Second, dispatch.ReasonReserved, true), must.Sprint("the reason is unchanged"))
--- a/internal/control/simulation_checks_test.go
+++ b/internal/control/simulation_checks_test.go
@@ -55,8 +55,7 @@
 	spec       workflow.Step
 	notRunning []int
 	placeable  bool
-	// fitCount is how many of its tasks fit now, counted up to spareRoomFactor times its
-	// tasks.
+	// fitCount is how many of its tasks fit now. It may exceed their number.
 	fitCount int
 }
 
@@ -71,7 +70,7 @@
 	drained := recoveryTime + work + queryTime
 	deadline := start.Add(2*drained + 30*time.Second)
 	waitingSince := map[workflow.StepKey]time.Time{}
-	x.lines.logf("leases expire within %v, open work ends within %v", recoveryTime, drained)
+	x.lines.logf("workers recover within %v, open work ends within %v", recoveryTime, drained)
 	for {
 		time.Sleep(checkInterval)
 		if found := x.invariantViolations(); len(found) > 0 {
@@ -153,6 +152,7 @@
 	return work + longest, 2 * queryTime / time.Duration(x.params.adviserConns)
 }
 
+// stepsOf returns the steps of a job.
 func (x *simulation) stepsOf(job string) []workflow.Step {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -188,6 +188,7 @@
 	return open, x.workers.mostlyUsed()
 }
 
+// needsPermit reports whether the steps of a queue need permits.
 func (x *simulation) needsPermit(queue string) bool {
 	for i := range x.params.queues {
 		if q := &x.params.queues[i]; q.Identity() == queue {
--- a/internal/control/simulation_faults_test.go
+++ b/internal/control/simulation_faults_test.go
@@ -69,7 +69,7 @@
 	case 6, 7:
 		x.changeLeader()
 	case 12:
-		x.adviser.cutOff(fmt.Sprint("lane", x.random.IntN(x.params.adviserConns)), until)
+		x.adviser.cutOff(fmt.Sprint("instance", x.random.IntN(x.params.adviserConns)), until)
 	case 14:
 		// Lasts about as long as a lease: the runs there continue, or their lease expires.
 		lease := x.params.lease
--- a/internal/control/simulation_poll_test.go
+++ b/internal/control/simulation_poll_test.go
@@ -60,6 +60,7 @@
 	return w.changed, nil
 }
 
+// holdPoll waits until a run ends or hold has passed.
 func (r *simWorkers) holdPoll(ctx context.Context, changed <-chan struct{}, hold time.Duration) {
 	if changed == nil {
 		return
--- a/internal/control/simulation_replica_test.go
+++ b/internal/control/simulation_replica_test.go
@@ -68,6 +68,7 @@
 	lost chan struct{}
 }
 
+// leadershipLost reports whether the leader has lost its leadership.
 func (l *simReplica) leadershipLost() bool {
 	select {
 	case <-l.lost:
@@ -77,6 +78,7 @@
 	}
 }
 
+// notProposed returns an error for a command that had no effect.
 func notProposed(mark error) error {
 	return errors.Mark(fault.New(fault.Unavailable, "nothing was proposed"), mark)
 }
--- a/internal/control/simulation_test.go
+++ b/internal/control/simulation_test.go
@@ -131,7 +131,7 @@
 	for round := 0; ctx.Err() == nil; round++ {
 		c := x.controller()
 		for i := 1; i < x.params.adviserConns; i++ {
-			if address := fmt.Sprint("lane", i); !x.adviser.isCutOff(address) {
+			if address := fmt.Sprint("instance", i); !x.adviser.isCutOff(address) {
 				_, _ = c.Follow(ctx, &FollowCall{Address: address})
 			}
 		}
--- a/internal/control/simulation_worker_test.go
+++ b/internal/control/simulation_worker_test.go
@@ -107,6 +107,7 @@
 	w.notifyChanged()
 }
 
+// notifyChanged wakes the polls that wait for a run to end.
 func (w *simWorker) notifyChanged() {
 	close(w.changed)
 	w.changed = make(chan struct{})
@@ -296,6 +297,7 @@
 // maxRunsOfTask is how many concurrent runs a task that allows copies may have.
 const maxRunsOfTask = 2
 
+// used returns the resources that the runs of the worker occupy.
 func (w *simWorker) used() (used workflow.Resources) {
 	for _, run := range w.running {
 		used = used.Plus(run.step.Demand())
@@ -303,6 +305,7 @@
 	return used
 }
 
+// extendLease extends the lease, and records the time if it had expired before.
 func (w *simWorker) extendLease(leaseEndMS int64, now time.Time) {
 	if now.After(w.leaseEnd) {
 		w.leaseExpiredAt = now
