--- a/internal/control/adviser_pool_test.go
+++ b/internal/control/adviser_pool_test.go
@@ -33,7 +33,7 @@
 
 // Guards against delaying the queries of gangs while half of the connections are idle
 // because they are reserved for short queries, of which there are few.
-func TestLongRequestsLeaveConnsForShortOnes(t *testing.T) {
+func TestLongQueriesLeaveConnsForShortOnes(t *testing.T) {
 	start := time.Now()
 	must.Eq(t, 43, acquireLong(newTestAdviserPool(44, start), start))
 	must.Eq(t, 1, acquireLong(newTestAdviserPool(2, start), start))
@@ -57,7 +57,7 @@
 
 // Guards against head-of-line blocking: the query of an urgent job must not wait behind
 // one of a gang while other connections are idle.
-func TestShortRequestsUseReservedConns(t *testing.T) {
+func TestShortQueriesUseReservedConns(t *testing.T) {
 	now := time.Now()
 	l := newTestAdviserPool(8, now)
 	for range 100 {
--- a/internal/control/incremental_test.go
+++ b/internal/control/incremental_test.go
@@ -13,7 +13,7 @@
 // resources: after a long full decision the planner pauses in proportion, and a new job
 // needs two decisions, one for its adviser queries and one for its start. Neither may wait
 // for the next full decision.
-func TestChangedJobStartsBeforeNextFullPass(t *testing.T) {
+func TestChangedJobStartsBeforeNextFullDecision(t *testing.T) {
 	term := loadedTerm(t, benchmarkLoad{workers: 8})
 	term.decide()
 	go term.planChangedJobs(time.Minute)
@@ -35,7 +35,7 @@
 
 // Guards against starting the newest job before steps that no decision has considered yet,
 // while more steps wait than one decision considers.
-func TestIncrementalPassYieldsToBacklog(t *testing.T) {
+func TestIncrementalDecisionYieldsToBacklog(t *testing.T) {
 	term := &leaderTerm{wakePlanner: make(chan struct{}, 1), backlog: true, leftoverAt: time.Now(), changedJobs: map[string]bool{"a": true}}
 	term.decideIncrementally(time.Now())
 	must.MapLen(t, 1, term.changedJobs)
--- a/internal/control/maintenance_test.go
+++ b/internal/control/maintenance_test.go
@@ -142,8 +142,8 @@
 	})
 }
 
-// machineWorld returns a leader with machines and one worker on each.
-func machineWorld(t *testing.T, machines *fakeMachines) *testCluster {
+// newMachineCluster returns a leader with machines and one worker on each.
+func newMachineCluster(t *testing.T, machines *fakeMachines) *testCluster {
 	w := newTestCluster(t, func(w *testCluster) {
 		machines.cluster = w
 		w.c.cfg.Machines = machines
@@ -171,7 +171,7 @@
 // ran when the wave began ends before its machine goes down.
 func TestWaveRespectsMaxDownAndWaitsForRuns(t *testing.T) {
 	machines := newFakeMachines("m1", "m2", "m3")
-	w := machineWorld(t, machines)
+	w := newMachineCluster(t, machines)
 	w.submit("a", oneTask)
 	var on string
 	w.eventually("the task starts", func() bool {
@@ -204,7 +204,7 @@
 func TestMachineWithUnansweredOrderCountsAsDown(t *testing.T) {
 	machines := newFakeMachines("m1", "m2", "m3")
 	machines.loseAnswer, machines.downtime, machines.listDelay = true, 600*time.Millisecond, 300*time.Millisecond
-	w := machineWorld(t, machines)
+	w := newMachineCluster(t, machines)
 	w.startWave(workflow.Wave{ID: 1, Machines: []string{"m1", "m2", "m3"}, DurationMS: 60_000, MaxDown: 1})
 	w.eventually("the wave is done", func() bool { return w.waveDone(1) })
 	must.Eq(t, 1, machines.maxDown)
@@ -237,7 +237,7 @@
 func TestOrdersForOneMachineNeverOverlap(t *testing.T) {
 	machines := newFakeMachines("m1", "m2")
 	machines.callDuration = 3 * machineLoopInterval
-	w := machineWorld(t, machines)
+	w := newMachineCluster(t, machines)
 	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	must.True(t, term.beginOrder("m9"))
@@ -283,7 +283,7 @@
 // Guards against a service without any ready task: both of its workers drain, and both
 // tasks become ready between two run checks, while one may be unavailable. A stop must
 // count for the runs that the same run check examines after it.
-func TestStopsOfOneSweepCountAgainstMaxUnavailable(t *testing.T) {
+func TestStopsOfOneRunCheckCountAgainstMaxUnavailable(t *testing.T) {
 	term := loadedTerm(t, benchmarkLoad{workers: 2})
 	service := submission("service")
 	service.Submit.Steps[0] = workflow.Step{Count: 2, Need: workflow.Resources{MilliCPU: 6000}, LongRunning: true, MaxUnavailable: 1}
@@ -322,7 +322,7 @@
 // task must not count as ready just because its start was sent.
 func TestLongRunningTasksMoveWithinMaxUnavailable(t *testing.T) {
 	machines := newFakeMachines("m1", "m2", "m3")
-	w := machineWorld(t, machines)
+	w := newMachineCluster(t, machines)
 	step := workflow.Step{Count: 2, Need: workflow.Resources{MilliCPU: 6000, MemoryMB: 10}, LongRunning: true, MaxUnavailable: 1, MaxPerWorker: 1}
 	w.submit("a", step)
 	running := func() (ids []string) {
--- a/internal/control/simulation_params_test.go
+++ b/internal/control/simulation_params_test.go
@@ -207,9 +207,9 @@
 		return 0
 	}
 	if step.Gang {
-		named := min(d.workers, gangWorkersPerQuery)
-		parts := (d.workers + gangWorkersPerQuery - 1) / gangWorkersPerQuery
-		return time.Duration(3*parts) * queryDuration(q.Policy.Advice, named)
+		workers := min(d.workers, gangWorkersPerQuery)
+		queries := (d.workers + gangWorkersPerQuery - 1) / gangWorkersPerQuery
+		return time.Duration(3*queries) * queryDuration(q.Policy.Advice, workers)
 	}
 	return time.Duration(d.queriesPerStep()) * queryDuration(q.Policy.Advice, min(workersPerQuery, d.workers))
 }
