--- a/internal/control/admit_test.go
+++ b/internal/control/admit_test.go
@@ -10,31 +10,29 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// What a user sees: after an outage nothing is served for the rest of the day.
-// Order: thousands of steps are queued; each further job makes decisions longer; what
-// is accepted can't be in time any more.
-// Cause: every job was accepted, however long the queue.
+// Guards against accepting every job however long the queue is: after an outage thousands
+// of steps are queued, each further job makes decisions longer, and no job can be in time
+// for the rest of the day.
 func TestAdmitRefusesNewJobWhenQueueIsFull(t *testing.T) {
-	ten := loadedTerm(t, benchmarkLoad{workers: 1})
-	_, err := ten.propose(submission("a"))
+	term := loadedTerm(t, benchmarkLoad{workers: 1})
+	_, err := term.propose(submission("a"))
 	must.NoError(t, err)
-	ten.incompleteSteps = maxQueuedSteps
-	refused := ten.admit("b")
+	term.incompleteSteps = maxQueuedSteps
+	refused := term.admit("b")
 	must.Eq(t, fault.Overloaded, fault.KindOf(refused))
 	must.Eq(t, queueFullRetryAfter, fault.From(refused).RetryAfter)
-	must.NoError(t, ten.admit("a"), must.Sprint("a known job is answered as such"))
-	ten.c.state.read(func(s *workflow.State) { must.MapNotContainsKey(t, s.Jobs, "b") })
-	ten.decide()
-	must.NoError(t, ten.admit("b"), must.Sprint("the next decision finds the queue short"))
+	must.NoError(t, term.admit("a"), must.Sprint("a known job is never refused"))
+	term.c.state.read(func(s *workflow.State) { must.MapNotContainsKey(t, s.Jobs, "b") })
+	term.decide()
+	must.NoError(t, term.admit("b"), must.Sprint("the next decision finds a short queue"))
 }
 
-// What a user sees: a job runs that it was told had been refused.
-// Order: a call's commit takes long; the caller calls again, at another entry; the
-// queue has become too long meanwhile; the first commit succeeds.
-// Cause: only jobs that were committed counted as known.
+// Guards against running a job whose caller was told that it was refused: the commit of
+// the first call is slow, the caller repeats the call through another entry point, and the
+// queue has filled up meanwhile. The job must count as known from the start of its commit.
 func TestAdmitAcceptsJobWhoseCommitIsInFlight(t *testing.T) {
 	w := newTestCluster(t, nil)
-	ten, err := w.c.currentLeaderTerm(context.Background())
+	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	call := func() error {
 		_, err := w.c.Submit(context.Background(), &SubmitCall{
@@ -50,15 +48,15 @@
 			return
 		}
 		first = false
-		ten.mu.Lock()
-		ten.incompleteSteps = maxQueuedSteps
-		ten.mu.Unlock()
+		term.mu.Lock()
+		term.incompleteSteps = maxQueuedSteps
+		term.mu.Unlock()
 		again <- call()
 	}
 	w.log.mu.Unlock()
 	must.NoError(t, call())
 	must.NoError(t, <-again)
-	ten.mu.Lock()
-	defer ten.mu.Unlock()
-	must.MapEmpty(t, ten.pendingSubmits)
+	term.mu.Lock()
+	defer term.mu.Unlock()
+	must.MapEmpty(t, term.pendingSubmits)
 }
--- /dev/null
+++ b/internal/control/adviser_pool.go
@@ -0,0 +1,215 @@
+package control
+
+import (
+	"cmp"
+	"context"
+	"math"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/bilberryferry/bilberryferry/workflow"
+)
+
+const (
+	// instanceAnnounceInterval is the time between two announcements of an instance to the
+	// leader. From announceScaleInstances instances on it grows in proportion to their
+	// number, up to maxInstanceAnnounceInterval: frequent announcements of many instances
+	// would be a large part of the calls that the leader serves.
+	instanceAnnounceInterval    = 300 * time.Millisecond
+	announceScaleInstances      = 16
+	maxInstanceAnnounceInterval = 600 * time.Millisecond
+	// maxMissedAnnouncements is how many announcements an instance may miss before queries
+	// are no longer sent through it.
+	maxMissedAnnouncements = 3
+	// adviserConnBackoff is how long a connection stays unused after a failed query.
+	adviserConnBackoff = time.Second
+	// longQuery is the duration above which a query is long. Long queries leave some
+	// connections to short ones to prevent head-of-line blocking.
+	longQuery = 150 * time.Millisecond
+	// shortLoadWindow is the time constant of the decaying mean load of short queries.
+	// shortLoadDeviations is how many standard deviations above that mean are reserved;
+	// the standard deviation of random arrivals is the square root of their mean.
+	shortLoadWindow     = 3 * time.Second
+	shortLoadDeviations = 2
+	// maxInFlightPerConn bounds the queries in flight on one connection.
+	maxInFlightPerConn = 3
+)
+
+// adviserConn is an instance through which queries reach the adviser. The adviser serves
+// the queries of one instance one after the other.
+type adviserConn struct {
+	address string
+	// lastAnnounced is the last announcement of the instance.
+	lastAnnounced time.Time
+	// backoffUntil is when the connection may be used again after a failed query.
+	backoffUntil time.Time
+	// busyUntil is when the queries in flight are expected to be answered.
+	busyUntil time.Time
+	inFlight  int
+}
+
+// adviserPool distributes queries over the instances. ownAddress is the leader's own,
+// which needs no announcements.
+type adviserPool struct {
+	ownAddress string
+	adviser    Adviser
+	client     Caller
+
+	mu    sync.Mutex
+	conns map[string]*adviserConn
+	// shortLoad is the decaying mean number of connections kept busy by short queries, as
+	// of shortAt.
+	shortLoad float64
+	shortAt   time.Time
+}
+
+// newAdviserPool returns a pool that contains only the own instance.
+func newAdviserPool(own string, adviser Adviser, client Caller) *adviserPool {
+	return &adviserPool{ownAddress: own, adviser: adviser, client: client, conns: map[string]*adviserConn{own: {address: own}}}
+}
+
+// announceInterval returns the time between two announcements of an instance.
+func (l *adviserPool) announceInterval() time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.announceIntervalFor(len(l.conns))
+}
+
+// announceIntervalFor returns the announcement interval for a number of instances.
+func (l *adviserPool) announceIntervalFor(instances int) time.Duration {
+	return min(max(instanceAnnounceInterval, instanceAnnounceInterval*time.Duration(instances)/announceScaleInstances), maxInstanceAnnounceInterval)
+}
+
+// recordAnnouncement records that an instance is reachable.
+func (l *adviserPool) recordAnnouncement(address string, now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	known := l.conns[address]
+	if known == nil {
+		known = &adviserConn{address: address}
+		l.conns[address] = known
+	}
+	known.lastAnnounced = now
+}
+
+// reachable returns the connections that are announced and not backing off, ordered by
+// address. l.mu must be held.
+func (l *adviserPool) reachable(now time.Time) []*adviserConn {
+	var usable []*adviserConn
+	maxAge := maxMissedAnnouncements * l.announceIntervalFor(len(l.conns))
+	for _, candidate := range l.conns {
+		announced := candidate.address == l.ownAddress || now.Sub(candidate.lastAnnounced) < maxAge
+		if announced && now.After(candidate.backoffUntil) {
+			usable = append(usable, candidate)
+		}
+	}
+	slices.SortFunc(usable, func(a, b *adviserConn) int { return cmp.Compare(a.address, b.address) })
+	return usable
+}
+
+// full reports whether the connection has the maximum number of queries in flight.
+func (l *adviserConn) full() bool { return l.inFlight >= maxInFlightPerConn }
+
+// available returns how many queries may be sent now, and how many of them may be long.
+func (l *adviserPool) available(now time.Time) (all, long int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	usable := l.reachable(now)
+	reserved := l.reservedForShort(now, len(usable))
+	for i, candidate := range usable {
+		if candidate.full() {
+			continue
+		}
+		all++
+		if i >= reserved {
+			long++
+		}
+	}
+	return all, long
+}
+
+// recordShortQuery adds a short query to the load. l.mu must be held.
+func (l *adviserPool) recordShortQuery(now time.Time, duration time.Duration) {
+	l.shortLoad = l.shortLoadAt(now) + duration.Seconds()/shortLoadWindow.Seconds()
+	l.shortAt = now
+}
+
+// shortLoadAt returns how many connections short queries keep busy on average. l.mu must
+// be held.
+func (l *adviserPool) shortLoadAt(now time.Time) float64 {
+	return l.shortLoad * math.Exp(-now.Sub(l.shortAt).Seconds()/shortLoadWindow.Seconds())
+}
+
+// reservedForShort returns how many of n connections long queries leave to short ones: as
+// many as the recent load needs, at most half. l.mu must be held.
+//
+// Reason: with large gangs, whose queries take over a second, and a hundred urgent jobs a
+// second, whose queries take some milliseconds, the short queries keep only a few
+// connections busy. If half of the connections are reserved, the queries of the gangs wait
+// for each other. If none is, urgent jobs wait behind them under high load.
+func (l *adviserPool) reservedForShort(now time.Time, n int) int {
+	load := l.shortLoadAt(now)
+	return min(int(math.Ceil(load+shortLoadDeviations*math.Sqrt(load)))+1, n/2)
+}
+
+// freeAt returns when a query that is sent now would be served. All idle connections
+// return now, so that short queries prefer the first ones, which are reserved for them.
+func (l *adviserConn) freeAt(now time.Time) time.Time {
+	if l.busyUntil.Before(now) {
+		return now
+	}
+	return l.busyUntil
+}
+
+// acquire picks the connection that is free first, and returns it with the expected time
+// of the answer. Short queries prefer the connections that are reserved for them. It
+// returns nil when no connection is available.
+func (l *adviserPool) acquire(now time.Time, duration time.Duration) (*adviserConn, time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	candidates := l.reachable(now)
+	if duration > longQuery {
+		candidates = candidates[l.reservedForShort(now, len(candidates)):]
+	} else {
+		l.recordShortQuery(now, duration)
+	}
+	candidates = slices.DeleteFunc(candidates, (*adviserConn).full)
+	if len(candidates) == 0 {
+		return nil, now
+	}
+	chosen := slices.MinFunc(candidates, func(a, b *adviserConn) int { return a.freeAt(now).Compare(b.freeAt(now)) })
+	chosen.busyUntil = chosen.freeAt(now).Add(duration)
+	chosen.inFlight++
+	return chosen, chosen.busyUntil
+}
+
+// release records that a query has been answered or has failed.
+func (l *adviserPool) release(conn *adviserConn, now time.Time, failed bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	conn.inFlight--
+	if conn.inFlight == 0 {
+		conn.busyUntil = now
+	}
+	if failed {
+		conn.backoffUntil = now.Add(adviserConnBackoff)
+	}
+}
+
+// send sends a query to the adviser, through another instance unless the connection is the
+// leader's own.
+func (l *adviserPool) send(ctx context.Context, conn *adviserConn, call AdviserQuery) (AdviserAnswer, error) {
+	if conn.address == l.ownAddress {
+		return l.adviser.Query(ctx, call)
+	}
+	var reply AdviserAnswer
+	err := l.client.Call(ctx, conn.address, MethodAsk, &call, &reply)
+	return reply, err
+}
+
+// queryDuration returns how long the adviser takes to answer a query about a number of
+// workers.
+func queryDuration(policy *workflow.AdvicePolicy, workers int) time.Duration {
+	return time.Duration((policy.BaseMS + policy.PerWorkerMS*float64(workers)) * float64(time.Millisecond))
+}
--- a/internal/control/copies.go
+++ b/internal/control/copies.go
@@ -11,15 +11,15 @@
 
 const (
 	// copySilenceTimeout is how long a worker may give no answer before its tasks count as
-	// out of reach: a held look and a prompt answer.
+	// unreachable: a long poll and a prompt answer.
 	copySilenceTimeout = pollHold + minOverdueTime
-	// copySlowFactor is how many whole runs the rest of a run on a slow worker must be
-	// expected to take before a new run beside it is worth its processors. A run that
-	// takes long on a sound worker would take as long elsewhere.
+	// copySlowFactor is how many expected run times the rest of a run on a slow worker
+	// must take before a speculative copy is worth its resources. A run that takes long on
+	// a healthy worker would take as long elsewhere.
 	copySlowFactor = 1.5
 )
 
-// copyCause is why a second run of a task is worth some idle room.
+// copyCause is the reason why a task gets a speculative copy on idle resources.
 type copyCause string
 
 const (
@@ -29,12 +29,13 @@
 	copySlow         copyCause = "the worker is slow"
 )
 
-// copyCauseOf returns why a run is worth a copy of its task, where its step
-// allows copies. t.mu is held.
+// copyCauseOf returns why the task of a run should get a speculative copy, copyNone if it
+// shouldn't. The caller checks that the step allows copies. t.mu must be held.
 //
-// Failure guarded against: a worker is cut off or turns slow, and its tasks wait
-// until its lease has ended, or for as long as it takes. Where the job says that
-// two runs do no harm, the second one needn't wait for proof about the first.
+// Failure guarded against: a worker becomes unreachable or slow, and its tasks wait until
+// its lease has expired, or until the slow runs end. If the job declares that two
+// concurrent runs are harmless, the second run needn't wait until the first is known to be
+// over.
 func (s *workerSession) copyCauseOf(run workflow.Run, step *workflow.Step, now time.Time) copyCause {
 	if s.isUnresponsive(now) {
 		return copyUnresponsive
@@ -53,8 +54,8 @@
 	return copyNone
 }
 
-// addCopyCandidate takes a run in whose task is worth a copy. t.mu is held.
-func (v *planInput) addCopyCandidate(t *leaderTerm, s *workflow.State, run workflow.Run, session *workerSession, now time.Time) {
+// addCopyCandidate adds a run whose task should get a speculative copy. t.mu must be held.
+func (input *planInput) addCopyCandidate(t *leaderTerm, s *workflow.State, run workflow.Run, session *workerSession, now time.Time) {
 	job := s.Jobs[run.Task.Job]
 	spec := &job.Steps[run.Task.Step]
 	if task := s.Task(run.Task); !spec.AllowsCopies() || task.Live != 1 || task.Suspect() {
@@ -64,20 +65,21 @@
 		return
 	}
 	if cause := session.copyCauseOf(run, spec, now); cause != copyNone {
-		v.copyCandidates[run.Task] = copyCandidate{worker: run.Worker, cause: cause}
+		input.copyCandidates[run.Task] = copyCandidate{worker: run.Worker, cause: cause}
 	}
 }
 
-// copyCandidate is a run that is worth a copy.
+// copyCandidate is a run whose task should get a speculative copy on another worker.
 type copyCandidate struct {
 	worker string
 	cause  copyCause
 }
 
-// addCopySteps adds the steps of which tasks are worth a copy. t.mu is held.
-func (t *leaderTerm) addCopySteps(v *planInput, s *workflow.State, now time.Time) {
+// addCopySteps adds steps for the tasks that should get a speculative copy. Such a step
+// excludes the workers of the existing runs. t.mu must be held.
+func (t *leaderTerm) addCopySteps(input *planInput, s *workflow.State, now time.Time) {
 	avoid := map[workflow.StepKey]map[int]string{}
-	for task, c := range v.copyCandidates {
+	for task, c := range input.copyCandidates {
 		if avoid[task.StepKey] == nil {
 			avoid[task.StepKey] = map[int]string{}
 		}
@@ -86,14 +88,15 @@
 	for key, workers := range avoid {
 		job := s.Jobs[key.Job]
 		pending := slices.Sorted(maps.Keys(workers))
-		placed := v.runsPerWorkerOf(t, s, key, &job.Steps[key.Step])
-		step := t.dispatchStep(job, key, pending, t.acceptedAt[job.ID], objectiveOf(job), now, placed)
+		runsPerWorker := input.runsPerWorkerOf(t, s, key, &job.Steps[key.Step])
+		step := t.dispatchStep(job, key, pending, t.acceptedAt[job.ID], objectiveOf(job), now, runsPerWorker)
 		step.Copy, step.Avoid = true, workers
-		v.steps = append(v.steps, step)
+		input.steps = append(input.steps, step)
 	}
 }
 
-// logCopies logs which of the planned starts are copies, and why.
+// logCopies logs which of the planned starts are speculative copies, and the cause of
+// each.
 func (t *leaderTerm) logCopies(starts []dispatch.Start, copies map[workflow.TaskKey]copyCandidate) {
 	for _, start := range starts {
 		if c, ok := copies[start.Task]; ok {
--- a/internal/control/explain.go
+++ b/internal/control/explain.go
@@ -10,8 +10,8 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// Explain tells how far a job is and what its ready steps wait for, by the same
-// snapshot and the same filters that the next decision uses.
+// Explain returns the progress of a job and why its ready steps wait. It uses the same
+// planning input and the same filters as the next decision.
 func (c *Controller) Explain(ctx context.Context, r *ExplainCall) (ExplainReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -37,6 +37,7 @@
 	return reply, nil
 }
 
+// progressOf returns the progress of every step of a job.
 func progressOf(job *workflow.Job) []StepProgress {
 	var steps []StepProgress
 	for occurrence, states := range job.Occurrences {
@@ -56,7 +57,7 @@
 	return steps
 }
 
-// crashesOf returns the tasks of a step that workers have crashed under.
+// crashesOf returns the tasks of a step under which workers have crashed.
 func crashesOf(job *workflow.Job, key workflow.StepKey, state *workflow.StepState) []TaskCrashes {
 	var crashes []TaskCrashes
 	for i := range state.Tasks {
@@ -71,19 +72,19 @@
 	return crashes
 }
 
-// explain explains the ready steps of a job that have tasks left to start.
+// explain returns why the ready steps of a job wait that have tasks left to start.
 func (t *leaderTerm) explain(id string, now time.Time) []StepExplanation {
-	v := t.gatherPlanInput(now)
+	input := t.gatherPlanInput(now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []StepExplanation
-	for i := range v.steps {
-		step := &v.steps[i]
+	for i := range input.steps {
+		step := &input.steps[i]
 		if step.Key.Job != id || step.Copy {
 			continue
 		}
 		e := StepExplanation{Key: step.Key, Tasks: len(step.Pending), Reason: t.waitingReason(step.Key)}
-		e.Workers = append(t.unschedulableWorkers(step.Service, now), dispatch.Explain(now.Sub(t.started), step, v.workers, planLimits)...)
+		e.Workers = append(t.unschedulableWorkers(step.Service, now), dispatch.Explain(now.Sub(t.started), step, input.workers, planLimits)...)
 		for _, permit := range step.Permits {
 			if permit.Granted {
 				e.Permitted++
@@ -92,21 +93,21 @@
 			}
 		}
 		if step.NeedsPermit {
-			e.Unknown = max(len(v.workers)-e.Permitted-e.Refused, 0)
+			e.Unknown = max(len(input.workers)-e.Permitted-e.Refused, 0)
 		}
 		list = append(list, e)
 	}
 	return list
 }
 
-// anyService stands for the workers of all services.
+// anyService selects the workers of all services.
 const anyService = ""
 
-// obstacles counts the workers of a service that get nothing new, by why. t.mu is
-// held.
+// unschedulableWorkers counts the workers of a service that get no new tasks, by reason.
+// t.mu must be held.
 func (t *leaderTerm) unschedulableWorkers(service string, now time.Time) []dispatch.ReasonCount {
 	counts := map[dispatch.Reason]*dispatch.ReasonCount{}
-	suspects := t.suspectedDataCentres(now)
+	suspected := t.suspectedDataCentres(now)
 	runs := map[string]int{}
 	t.c.state.read(func(s *workflow.State) {
 		for id := range t.sessions {
@@ -114,7 +115,7 @@
 		}
 	})
 	for id, session := range t.sessions {
-		reason := session.unschedulableReason(now, suspects, runs[id])
+		reason := session.unschedulableReason(now, suspected, runs[id])
 		if reason == "" || service != anyService && session.worker.Service != service {
 			continue
 		}
--- /dev/null
+++ b/internal/control/goroutines.go
@@ -0,0 +1,29 @@
+package control
+
+import "sync"
+
+// goroutineGroup runs the goroutines of a leader term. After wait has been called it
+// starts no more: otherwise a heartbeat that arrives while the term ends would add to a
+// sync.WaitGroup that is being waited for.
+type goroutineGroup struct {
+	mu     sync.Mutex
+	closed bool
+	group  sync.WaitGroup
+}
+
+// start runs f in a goroutine, unless wait has been called.
+func (g *goroutineGroup) start(f func()) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if !g.closed {
+		g.group.Go(f)
+	}
+}
+
+// wait waits until all goroutines have returned.
+func (g *goroutineGroup) wait() {
+	g.mu.Lock()
+	g.closed = true
+	g.mu.Unlock()
+	g.group.Wait()
+}
--- /dev/null
+++ b/internal/control/incremental.go
@@ -0,0 +1,120 @@
+package control
+
+import (
+	"slices"
+	"time"
+
+	"github.com/bilberryferry/bilberryferry/dispatch"
+	"github.com/bilberryferry/bilberryferry/internal/wait"
+	"github.com/bilberryferry/bilberryferry/workflow"
+)
+
+const (
+	// incrementalPauseFactor times the duration of an incremental decision is the pause
+	// after it.
+	incrementalPauseFactor = 10
+	// maxLeftoverAge is the maximum age of the free resources that the last full decision
+	// left over. Resources that were freed since then are missing from them. A worker that
+	// became unresponsive since then is still included, as it is in any plan whose starts
+	// are being committed.
+	maxLeftoverAge = 200 * time.Millisecond
+)
+
+// markChanged requests an incremental decision about a job that was accepted or about
+// which the adviser has answered. t.mu must be held.
+func (t *leaderTerm) markChanged(job string) {
+	t.changedJobs[job] = true
+	select {
+	case t.jobsChanged <- struct{}{}:
+	default:
+	}
+}
+
+// takeChanged returns the changed jobs and clears the set. t.mu must be held.
+func (t *leaderTerm) takeChanged() map[string]bool {
+	changed := t.changedJobs
+	t.changedJobs = map[string]bool{}
+	return changed
+}
+
+// planChangedJobs makes incremental decisions about changed jobs for a duration, between
+// two full decisions.
+//
+// Reason: with hundreds of workers and over a hundred jobs a second, a job needs two
+// decisions: one that sends its adviser queries and one that starts it. Waiting for full
+// decisions would take half of the time from acceptance to the first start, although most
+// of the resources that changed jobs need are free.
+func (t *leaderTerm) planChangedJobs(duration time.Duration) {
+	end := time.NewTimer(duration)
+	defer end.Stop()
+	for {
+		select {
+		case <-t.ctx.Done():
+			return
+		case <-end.C:
+			return
+		case <-t.jobsChanged:
+		}
+		// Batches changes that arrive together.
+		wait.For(t.ctx, minPlanInterval)
+		start := time.Now()
+		t.decideIncrementally(start)
+		wait.For(t.ctx, min(incrementalPauseFactor*time.Since(start), maxPlanPause))
+	}
+}
+
+// decideIncrementally plans the changed jobs with the free resources that the last full
+// decision left over. The full decision has already offered these resources to the waiting
+// steps, and they exclude what is reserved for gangs, so no step loses resources that it
+// could use now. If the full decision didn't consider all waiting steps, the skipped ones
+// go before changed jobs that are less urgent. An incremental decision preempts nothing.
+func (t *leaderTerm) decideIncrementally(now time.Time) {
+	if t.backlog && t.nextUrgentStep == nil || now.Sub(t.leftoverAt) > maxLeftoverAge {
+		t.wake()
+		return
+	}
+	input := t.changedPlanInput(now)
+	if t.backlog {
+		t.dropLessUrgent(&input)
+	}
+	if len(input.steps) == 0 {
+		return
+	}
+	limits := t.limits(now)
+	limits.Disabled.Preemption = true
+	plan := dispatch.Decide(now.Sub(t.started), input.steps, t.leftoverWorkers, limits)
+	t.c.cfg.Counters.Observe("decide_fresh", time.Since(now))
+	t.applyPlan(&plan, nil)
+}
+
+// dropLessUrgent keeps only the changed steps that go before every step skipped by the
+// last full decision. The others wait for the next full decision.
+//
+// Failure guarded against: a burst makes the queue longer than one decision considers, and
+// each changed job waits for two full decisions, of which the leader makes a few a second.
+// Fewer jobs start than arrive, so the queue remains after the burst although cores are
+// free.
+func (t *leaderTerm) dropLessUrgent(input *planInput) {
+	total := len(input.steps)
+	input.steps = slices.DeleteFunc(input.steps, func(s dispatch.Step) bool { return !dispatch.Before(&s, t.nextUrgentStep) })
+	if len(input.steps) < total {
+		t.wake()
+	}
+}
+
+// changedPlanInput returns the ready steps of the changed jobs.
+func (t *leaderTerm) changedPlanInput(now time.Time) planInput {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	input := planInput{runsPerWorker: map[workflow.StepKey]map[string]int{}}
+	changed := t.takeChanged()
+	t.c.state.read(func(s *workflow.State) {
+		open := s.OpenJobs()
+		for id := range changed {
+			if job := open[id]; job != nil {
+				t.gatherSteps(&input, s, job, now)
+			}
+		}
+	})
+	return input
+}
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -10,11 +10,11 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// loadLogInterval is the time between two lines on the load.
+// loadLogInterval is the time between two log lines about the load.
 const loadLogInterval = time.Second
 
-// waitingGauges are the gauges of waiting steps by what holds them, in the order in
-// which a step meets it.
+// waitingGauges maps the reasons why steps wait to their gauges, in the order in which a
+// step can meet them.
 var waitingGauges = []struct {
 	reason dispatch.Reason
 	name   string
@@ -31,14 +31,16 @@
 	{dispatch.ReasonNoWorker, "waiting_no_worker"},
 }
 
-// room is what the workers of a decision have: before it, and after it what is kept
-// for steps that it couldn't start.
+// clusterResources sums up the resources of the workers of a decision. free is as of
+// before the decision. reserved is the part of it that the decision reserved for steps
+// that it couldn't start.
 type clusterResources struct {
 	capacity, free, reserved workflow.Resources
-	// largest is the largest free piece in each resource.
+	// largestFree is the largest amount of each resource that is free on a single worker.
 	largestFree workflow.Resources
 }
 
+// sumResources sums up the resources of workers after a decision.
 func sumResources(workers []dispatch.Worker) clusterResources {
 	var r clusterResources
 	for i := range workers {
@@ -46,43 +48,45 @@
 		r.capacity = r.capacity.Plus(w.Capacity)
 		r.free = r.free.Plus(w.FreeBeforePlan)
 		r.largestFree = r.largestFree.Max(w.FreeBeforePlan)
-		// Room of runs that haven't ended is kept as well; only what is free counts.
+		// A reservation may include resources of runs that haven't ended; only free ones
+		// count.
 		r.reserved = r.reserved.Plus(w.Free.Plus(w.Reserved).Minus(w.Free.Max(workflow.Resources{})))
 	}
 	return r
 }
 
-// reportLoad logs and counts, once a second, how much room the workers have, how it is
-// cut up, and what waits for which reason: whether a late job met a full cluster or one
-// with room that it couldn't use. Only planLoop calls it.
-func (t *leaderTerm) reportLoad(v *planInput, plan *dispatch.Plan, now time.Time) {
+// reportLoad logs the load once a second and sets its gauges: the workers' resources,
+// their fragmentation, and how many steps wait for which reason. It shows whether a late
+// job met a full cluster or one with free resources that the job couldn't use. Only
+// planLoop calls it.
+func (t *leaderTerm) reportLoad(input *planInput, plan *dispatch.Plan, now time.Time) {
 	if now.Sub(t.loadLoggedAt) < loadLogInterval {
 		return
 	}
 	t.loadLoggedAt = now
-	r := sumResources(v.workers)
+	r := sumResources(input.workers)
 	tasks, gangs := 0, 0
-	for i := range v.steps {
-		tasks += len(v.steps[i].Pending)
-		if v.steps[i].Spec.Gang {
+	for i := range input.steps {
+		tasks += len(input.steps[i].Pending)
+		if input.steps[i].Spec.Gang {
 			gangs++
 		}
 	}
 	byReason := waitingByReason(plan)
-	line := []any{
-		"event", "load", "usable_workers", len(v.workers), "milli_cpu", r.capacity.MilliCPU, "free_milli_cpu", r.free.MilliCPU,
+	fields := []any{
+		"event", "load", "usable_workers", len(input.workers), "milli_cpu", r.capacity.MilliCPU, "free_milli_cpu", r.free.MilliCPU,
 		"memory_mb", r.capacity.MemoryMB, "free_memory_mb", r.free.MemoryMB,
 		"accelerators", r.capacity.Accelerators, "free_accelerators", r.free.Accelerators,
 		"kept_milli_cpu", r.reserved.MilliCPU, "kept_memory_mb", r.reserved.MemoryMB, "largest_free", formatResources(r.largestFree),
-		"steps", len(v.steps), "tasks", tasks, "gangs", gangs, "started", len(plan.Starts), "waiting", len(plan.Waiting),
+		"steps", len(input.steps), "tasks", tasks, "gangs", gangs, "started", len(plan.Starts), "waiting", len(plan.Waiting),
 		"behind", plan.BeyondBound, "waiting_by", formatWaiting(byReason),
 	}
-	line = append(line, t.waitingLogFields(v, plan, r.capacity, now)...)
-	line = append(line, "kept_back", t.keptBack(now))
+	fields = append(fields, t.waitingLogFields(input, plan, r.capacity, now)...)
+	fields = append(fields, "kept_back", t.formatUnschedulable(now))
 	runs := t.currentRunCounts()
-	line = append(line, "runs_alive", runs.alive, "runs_unaccounted", runs.unaccounted, "longest_unaccounted_ms", runs.longest.Milliseconds())
-	t.logger.Log(line...)
-	t.setLoadGauges(v, &r, tasks)
+	fields = append(fields, "runs_alive", runs.alive, "runs_unaccounted", runs.unaccounted, "longest_unaccounted_ms", runs.longest.Milliseconds())
+	t.logger.Log(fields...)
+	t.setLoadGauges(input, &r, tasks)
 	t.setRunGauges(runs)
 	t.c.cfg.Counters.Set("waiting_steps", int64(len(plan.Waiting)+plan.BeyondBound))
 	for _, gauge := range waitingGauges {
@@ -90,9 +94,10 @@
 	}
 }
 
-func (t *leaderTerm) setLoadGauges(v *planInput, r *clusterResources, tasks int) {
+// setLoadGauges sets the gauges of the workers' resources and of the waiting tasks.
+func (t *leaderTerm) setLoadGauges(input *planInput, r *clusterResources, tasks int) {
 	counters := t.c.cfg.Counters
-	counters.Set("usable_workers", int64(len(v.workers)))
+	counters.Set("usable_workers", int64(len(input.workers)))
 	counters.Set("free_milli_cpu", r.free.MilliCPU)
 	counters.Set("free_memory_mb", r.free.MemoryMB)
 	counters.Set("free_accelerators", r.free.Accelerators)
@@ -100,13 +105,14 @@
 	counters.Set("waiting_tasks", int64(tasks))
 }
 
-// currentRunCounts returns the runs as the last sweep counted them.
+// currentRunCounts returns the counts of the last run check.
 func (t *leaderTerm) currentRunCounts() runCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.runCounts
 }
 
+// setRunGauges sets the gauges of live and unaccounted runs.
 func (t *leaderTerm) setRunGauges(runs runCounts) {
 	counters := t.c.cfg.Counters
 	counters.Set("runs_alive", int64(runs.alive))
@@ -114,7 +120,7 @@
 	counters.Set("longest_unaccounted_ms", runs.longest.Milliseconds())
 }
 
-// waitingByReason counts the steps that a plan left by what they wait for.
+// waitingByReason counts the steps that a plan left waiting, by reason.
 func waitingByReason(plan *dispatch.Plan) map[dispatch.Reason]int {
 	counts := map[dispatch.Reason]int{}
 	for i := range plan.Waiting {
@@ -126,6 +132,7 @@
 	return counts
 }
 
+// formatWaiting lists the counts of waiting steps in the order of waitingGauges.
 func formatWaiting(counts map[dispatch.Reason]int) string {
 	var list []string
 	for _, gauge := range waitingGauges {
@@ -136,22 +143,23 @@
 	return strings.Join(list, "; ")
 }
 
-// describe writes room as thousandths of a core, mega bytes and accelerators.
+// formatResources formats resources as millicores/megabytes/accelerators.
 func formatResources(r workflow.Resources) string {
 	return fmt.Sprintf("%d/%d/%d", r.MilliCPU, r.MemoryMB, r.Accelerators)
 }
 
-// waitingLogFields tells of the waiting gangs the largest, and of all waiting steps the
-// oldest, each with how many of its tasks the free room holds, kept room included: in
-// its pool, and where it is permitted.
-func (t *leaderTerm) waitingLogFields(v *planInput, plan *dispatch.Plan, capacity workflow.Resources, now time.Time) []any {
+// waitingLogFields returns the log fields about the largest waiting gang and the oldest
+// waiting step: how many tasks of each fit into the free resources of its pool, reserved
+// ones included, and how many of these on permitted workers. It also sets the gauges for
+// them.
+func (t *leaderTerm) waitingLogFields(input *planInput, plan *dispatch.Plan, capacity workflow.Resources, now time.Time) []any {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.addBacklog(v, plan, now)
+	t.addBacklog(input, plan, now)
 	var largest *dispatch.Step
 	waitingGangs := 0
-	for i := range v.steps {
-		s := &v.steps[i]
+	for i := range input.steps {
+		s := &input.steps[i]
 		if !s.Spec.Gang || s.Copy || t.waiting[s.Key] == nil {
 			continue
 		}
@@ -161,36 +169,37 @@
 		}
 	}
 	fields := []any{"waiting_gangs", waitingGangs}
-	pieces, age := 0, time.Duration(0)
+	fitCount, age := 0, time.Duration(0)
 	if largest != nil {
-		all, permitted := dispatch.FitCounts(largest, v.workers)
-		pieces = all
+		all, permitted := dispatch.FitCounts(largest, input.workers)
+		fitCount = all
 		fields = append(fields, "largest_gang", largest.Key, "largest_gang_tasks", len(largest.Pending),
 			"largest_gang_each", formatResources(largest.Spec.Demand()), "free_pieces", all, "permitted_pieces", permitted)
 	}
-	if s, known := t.oldestWaiting(v); s != nil {
+	if s, known := t.oldestWaiting(input); s != nil {
 		age = now.Sub(known.since)
-		all, permitted := dispatch.FitCounts(s, v.workers)
+		all, permitted := dispatch.FitCounts(s, input.workers)
 		fields = append(fields, "oldest", s.Key, "oldest_ms", age.Milliseconds(), "oldest_reason", known.reason,
 			"oldest_tasks", len(s.Pending), "oldest_gang", s.Spec.Gang, "oldest_each", formatResources(s.Spec.Demand()),
 			"oldest_pieces", all, "oldest_permitted_pieces", permitted)
 	}
 	t.c.cfg.Counters.Set("waiting_gangs", int64(waitingGangs))
-	t.c.cfg.Counters.Set("free_pieces", int64(pieces))
+	t.c.cfg.Counters.Set("free_pieces", int64(fitCount))
 	t.c.cfg.Counters.Set("oldest_waiting_ms", age.Milliseconds())
 	return fields
 }
 
-// demand is the largest share of a resource that the pending tasks of s need.
+// dominantShare returns the largest share of any resource that the pending tasks of s
+// need.
 func dominantShare(s *dispatch.Step, capacity workflow.Resources) float64 {
-	need := s.Spec.Demand().Times(int64(len(s.Pending)))
-	share := func(need, capacity int64) float64 { return float64(need) / float64(max(capacity, 1)) }
-	return max(share(need.MilliCPU, capacity.MilliCPU), share(need.MemoryMB, capacity.MemoryMB),
-		share(need.Accelerators, capacity.Accelerators))
+	demand := s.Spec.Demand().Times(int64(len(s.Pending)))
+	share := func(demand, capacity int64) float64 { return float64(demand) / float64(max(capacity, 1)) }
+	return max(share(demand.MilliCPU, capacity.MilliCPU), share(demand.MemoryMB, capacity.MemoryMB),
+		share(demand.Accelerators, capacity.Accelerators))
 }
 
-// keptBack counts the workers that get nothing new, by why.
-func (t *leaderTerm) keptBack(now time.Time) string {
+// formatUnschedulable lists how many workers get no new tasks, by reason.
+func (t *leaderTerm) formatUnschedulable(now time.Time) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []string
--- a/internal/control/load_test.go
+++ b/internal/control/load_test.go
@@ -13,15 +13,16 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// gauges keeps what gauges were set to.
+// gauges records the values of gauges.
 type gauges map[string]int64
 
 func (gauges) Add(string, int64)             {}
 func (g gauges) Set(name string, n int64)    { g[name] = n }
 func (gauges) Observe(string, time.Duration) {}
 
-// observedTenure is a tenure of which a test reads the lines and the gauges.
-func observedTenure() (*leaderTerm, *bytes.Buffer, gauges) {
+// observedTerm returns a leader term with the buffer that its log lines go to and its
+// gauges.
+func observedTerm() (*leaderTerm, *bytes.Buffer, gauges) {
 	lines, counters := &bytes.Buffer{}, gauges{}
 	t := &leaderTerm{
 		c:      New(Config{Counters: counters, Logger: log.NewNopLogger()}, NewStateMachine(), nil),
@@ -30,8 +31,8 @@
 	return t, lines, counters
 }
 
-// pendingStep is a step of which all tasks wait, each of which needs 4 cores and
-// 8000 MB.
+// pendingStep returns a step whose tasks are all pending. Each task needs 4 cores and 8000
+// MB.
 func pendingStep(job string, tasks int, gang bool) dispatch.Step {
 	s := dispatch.Step{
 		Key: workflow.StepKey{Job: job}, Service: "s",
@@ -43,8 +44,8 @@
 	return s
 }
 
-// fragmentedWorkers are three workers with 3, 9 and 6 cores free, the last one with too little
-// memory for a second task.
+// fragmentedWorkers returns three workers with 3, 9 and 6 free cores. The last one has too
+// little memory for a second task.
 func fragmentedWorkers() []dispatch.Worker {
 	var list []dispatch.Worker
 	for i, free := range []workflow.Resources{{MilliCPU: 3000, MemoryMB: 50_000}, {MilliCPU: 9000, MemoryMB: 50_000, Accelerators: 1}, {MilliCPU: 6000, MemoryMB: 9000}} {
@@ -56,21 +57,24 @@
 	return list
 }
 
+// Checks that the load line and the gauges show the fragmentation of the free resources
+// and what waits, so that an operator can tell a full cluster from one whose free
+// resources do not fit.
 func TestLoadReportShowsFragmentationAndWaitingSteps(t *testing.T) {
-	ten, lines, counters := observedTenure()
+	term, lines, counters := observedTerm()
 	now := time.Now()
 	small, large := pendingStep("small", 2, true), pendingStep("large", 9, true)
 	large.NeedsPermit, large.Permits = true, map[string]dispatch.Permit{"w2": {Granted: true}, "w1": {}}
-	v := &planInput{steps: []dispatch.Step{small, large, pendingStep("behind", 1, false)}, workers: fragmentedWorkers()}
-	v.workers[1].Free, v.workers[1].Reserved = workflow.Resources{MilliCPU: 1000, MemoryMB: 34_000, Accelerators: 1}, workflow.Resources{MilliCPU: 8000, MemoryMB: 16_000}
+	input := &planInput{steps: []dispatch.Step{small, large, pendingStep("behind", 1, false)}, workers: fragmentedWorkers()}
+	input.workers[1].Free, input.workers[1].Reserved = workflow.Resources{MilliCPU: 1000, MemoryMB: 34_000, Accelerators: 1}, workflow.Resources{MilliCPU: 8000, MemoryMB: 16_000}
 	plan := &dispatch.Plan{BeyondBound: 1, Waiting: []dispatch.Waiting{
 		{Step: large.Key, Tasks: 9, Reason: dispatch.ReasonGangCannotQuery}, {Step: small.Key, Tasks: 2, Reason: dispatch.ReasonNoCapacity},
 	}}
-	ten.updateWaiting(&dispatch.Plan{BeyondBound: 2, Waiting: plan.Waiting[:1]}, now)
+	term.updateWaiting(&dispatch.Plan{BeyondBound: 2, Waiting: plan.Waiting[:1]}, now)
 	now = now.Add(3 * time.Second)
-	ten.updateWaiting(plan, now)
+	term.updateWaiting(plan, now)
 	lines.Reset()
-	ten.reportLoad(v, plan, now)
+	term.reportLoad(input, plan, now)
 	for _, want := range []string{
 		"milli_cpu=48000 free_milli_cpu=18000 memory_mb=192000 free_memory_mb=109000 accelerators=6 free_accelerators=1",
 		"kept_milli_cpu=8000 kept_memory_mb=16000 largest_free=9000/50000/1",
@@ -88,60 +92,65 @@
 		must.Eq(t, want, counters[name], must.Sprint(name))
 	}
 	lines.Reset()
-	ten.reportLoad(v, plan, now.Add(loadLogInterval/2))
-	must.Eq(t, "", lines.String(), must.Sprint("once a second"))
+	term.reportLoad(input, plan, now.Add(loadLogInterval/2))
+	must.Eq(t, "", lines.String(), must.Sprint("at most one line a second"))
 }
 
+// Checks that the gauges of waiting steps are reset once nothing waits.
 func TestLoadReportOfEmptyQueue(t *testing.T) {
-	ten, lines, counters := observedTenure()
+	term, lines, counters := observedTerm()
 	counters["oldest_waiting_ms"], counters["waiting_room"] = 5, 5
-	ten.updateWaiting(&dispatch.Plan{}, time.Now())
-	ten.reportLoad(&planInput{workers: fragmentedWorkers()}, &dispatch.Plan{}, time.Now())
+	term.updateWaiting(&dispatch.Plan{}, time.Now())
+	term.reportLoad(&planInput{workers: fragmentedWorkers()}, &dispatch.Plan{}, time.Now())
 	must.StrContains(t, lines.String(), "waiting=0 behind=0 waiting_by= waiting_gangs=0 kept_back=")
 	must.Eq(t, int64(0), counters["oldest_waiting_ms"])
 	must.Eq(t, int64(0), counters["waiting_room"])
 }
 
+// Checks that steps beyond the bound of a decision are logged, at most maxBacklogLogLines
+// a second, and forgotten once they no longer wait.
 func TestBacklogStepsAreLoggedUntilConsidered(t *testing.T) {
-	ten, lines, _ := observedTenure()
+	term, lines, _ := observedTerm()
 	now := time.Now()
-	v := &planInput{}
+	input := &planInput{}
 	for i := range 3 * maxBacklogLogLines {
-		v.steps = append(v.steps, pendingStep(fmt.Sprint("j", i), 1, false))
+		input.steps = append(input.steps, pendingStep(fmt.Sprint("j", i), 1, false))
 	}
-	plan := &dispatch.Plan{BeyondBound: len(v.steps), Starts: []dispatch.Start{{Task: workflow.TaskKey{StepKey: v.steps[0].Key}}}}
-	ten.updateWaiting(plan, now)
-	ten.reportLoad(v, plan, now)
+	plan := &dispatch.Plan{BeyondBound: len(input.steps), Starts: []dispatch.Start{{Task: workflow.TaskKey{StepKey: input.steps[0].Key}}}}
+	term.updateWaiting(plan, now)
+	term.reportLoad(input, plan, now)
 	must.Eq(t, maxBacklogLogLines, bytes.Count(lines.Bytes(), []byte(`reason="behind the steps that one decision goes into"`))-1,
-		must.Sprint("one line is the load's"))
-	must.Eq(t, dispatch.ReasonBeyondBound, ten.waitingReason(v.steps[5].Key))
-	must.MapLen(t, len(v.steps)-1, ten.waiting, must.Sprint("what has started doesn't wait"))
-	v.steps = v.steps[:2]
-	ten.reportLoad(v, &dispatch.Plan{BeyondBound: 1}, now.Add(2*loadLogInterval))
-	must.MapLen(t, 2, ten.waiting)
-	ten.updateWaiting(&dispatch.Plan{}, now)
-	must.MapLen(t, 0, ten.waiting)
-	must.Eq(t, "", ten.waitingReason(v.steps[1].Key))
+		must.Sprint("one of the lines is the load line"))
+	must.Eq(t, dispatch.ReasonBeyondBound, term.waitingReason(input.steps[5].Key))
+	must.MapLen(t, len(input.steps)-1, term.waiting, must.Sprint("the started step is not waiting"))
+	input.steps = input.steps[:2]
+	term.reportLoad(input, &dispatch.Plan{BeyondBound: 1}, now.Add(2*loadLogInterval))
+	must.MapLen(t, 2, term.waiting)
+	term.updateWaiting(&dispatch.Plan{}, now)
+	must.MapLen(t, 0, term.waiting)
+	must.Eq(t, "", term.waitingReason(input.steps[1].Key))
 }
 
+// Checks that the log line of a waiting step lists for how long it waited for each earlier
+// reason.
 func TestWaitingLogShowsEarlierReasons(t *testing.T) {
-	ten, lines, _ := observedTenure()
+	term, lines, _ := observedTerm()
 	begin := time.Now()
-	at := func(after time.Duration, reason dispatch.Reason, started bool) string {
+	update := func(after time.Duration, reason dispatch.Reason, started bool) string {
 		lines.Reset()
 		plan := &dispatch.Plan{Waiting: []dispatch.Waiting{{Step: workflow.StepKey{Job: "a"}, Tasks: 4, Reason: reason}}}
 		if started {
 			plan.Starts = []dispatch.Start{{Task: workflow.TaskKey{StepKey: workflow.StepKey{Job: "a"}}}}
 		}
-		ten.updateWaiting(plan, begin.Add(after))
+		term.updateWaiting(plan, begin.Add(after))
 		return lines.String()
 	}
-	must.StrContains(t, at(0, dispatch.ReasonNoCapacity, false), "waited_ms=0 earlier=\n")
-	must.Eq(t, "", at(100*time.Millisecond, dispatch.ReasonReserved, false), must.Sprint("a line was written just now"))
-	must.Eq(t, "", at(900*time.Millisecond, dispatch.ReasonAwaitsAdviser, false))
-	must.Eq(t, "", at(1100*time.Millisecond, dispatch.ReasonAwaitsAdviser, false), must.Sprint("each question is logged"))
-	must.StrContains(t, at(1500*time.Millisecond, dispatch.ReasonReserved, false), "waited_ms=1500 "+
+	must.StrContains(t, update(0, dispatch.ReasonNoCapacity, false), "waited_ms=0 earlier=\n")
+	must.Eq(t, "", update(100*time.Millisecond, dispatch.ReasonReserved, false), must.Sprint("the previous line is less than a second old"))
+	must.Eq(t, "", update(900*time.Millisecond, dispatch.ReasonAwaitsAdviser, false))
+	must.Eq(t, "", update(1100*time.Millisecond, dispatch.ReasonAwaitsAdviser, false), must.Sprint("each query is logged anyway"))
+	must.StrContains(t, update(1500*time.Millisecond, dispatch.ReasonReserved, false), "waited_ms=1500 "+
 		`earlier="100 ms: no room on a worker that may run the step; 800 ms: the room that would do is kept for steps before it; 600 ms: waiting for the adviser"`)
-	must.Eq(t, "", at(3*time.Second, dispatch.ReasonReserved, true), must.Sprint("nothing new"))
-	must.StrContains(t, at(4*time.Second, dispatch.ReasonReserved, false), "waited_ms=1000 earlier=\n", must.Sprint("from its last start"))
+	must.Eq(t, "", update(3*time.Second, dispatch.ReasonReserved, true), must.Sprint("the reason is unchanged"))
+	must.StrContains(t, update(4*time.Second, dispatch.ReasonReserved, false), "waited_ms=1000 earlier=\n", must.Sprint("the wait counts from the last start of a task"))
 }
--- a/internal/control/maintenance_test.go
+++ b/internal/control/maintenance_test.go
@@ -13,27 +13,28 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// fakeMachines is a deployment whose machines go down for maintenance and come back
-// with another incarnation of their worker.
+// fakeMachines is a deployment whose machines go down for maintenance and come back with
+// another incarnation of their worker.
 type fakeMachines struct {
-	world *testCluster
-	// length is how long a machine is down, lag how long the list shows it as before.
+	cluster *testCluster
+	// downtime is how long a machine is down, listDelay how long the list still shows it
+	// as up.
 	downtime, listDelay time.Duration
-	// slow is how long a call takes; calls and maxInFlight count those under way for
-	// one machine.
+	// callDuration is how long a call takes. inFlight and maxInFlight count the calls in
+	// flight per machine.
 	callDuration time.Duration
 	inFlight     map[string]int
 	maxInFlight  int
 
 	mu   sync.Mutex
 	list map[string]*ListedMachine
-	// lives counts the incarnations of a machine's worker.
+	// incarnations counts the later incarnations of each machine's worker.
 	incarnations map[string]int
-	// down and maxDown count machines that are down.
+	// down and maxDown count the machines that are down.
 	down, maxDown int
 	fences        []uint64
 	moves         []string
-	// silent orders are carried out without an answer.
+	// loseAnswer makes the next maintenance order succeed without an answer.
 	loseAnswer bool
 }
 
@@ -45,7 +46,7 @@
 	return f
 }
 
-// List lists one machine a page.
+// List returns one machine per page.
 func (f *fakeMachines) List(_ context.Context, page string) (MachinePage, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -63,8 +64,8 @@
 }
 
 func (f *fakeMachines) Maintenance(_ context.Context, order MachineOrder, _ int64) error {
-	f.enter(order.Machine)
-	defer f.exit(order.Machine)
+	f.beginCall(order.Machine)
+	defer f.endCall(order.Machine)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fences = append(f.fences, order.Fence)
@@ -92,8 +93,8 @@
 	return nil
 }
 
-// enter counts a call under way and takes its time.
-func (f *fakeMachines) enter(machine string) {
+// beginCall counts a call in flight and waits for its duration.
+func (f *fakeMachines) beginCall(machine string) {
 	f.mu.Lock()
 	f.inFlight[machine]++
 	f.maxInFlight = max(f.maxInFlight, f.inFlight[machine])
@@ -101,15 +102,16 @@
 	time.Sleep(f.callDuration)
 }
 
-func (f *fakeMachines) exit(machine string) {
+func (f *fakeMachines) endCall(machine string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.inFlight[machine]--
 }
 
+// takeDown ends the worker of a machine and schedules its return. f.mu must be held.
 func (f *fakeMachines) takeDown(m *ListedMachine) {
 	old := m.Worker
-	f.world.withWorker(old, func(w *fakeWorker) { w.superseded = true; clear(w.running) })
+	f.cluster.withWorker(old, func(w *fakeWorker) { w.superseded = true; clear(w.running) })
 	time.AfterFunc(f.listDelay, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -122,27 +124,28 @@
 	f.scheduleReturn(m)
 }
 
-// scheduleReturn lets the next incarnation of a machine's worker appear. f.mu is held.
+// scheduleReturn starts the next incarnation of a machine's worker after the downtime.
+// f.mu must be held.
 func (f *fakeMachines) scheduleReturn(m *ListedMachine) {
 	f.incarnations[m.ID]++
 	next := fmt.Sprint(m.ID, "-", f.incarnations[m.ID])
 	time.AfterFunc(f.downtime, func() {
-		f.world.workers.add(next)
+		f.cluster.workers.add(next)
 		f.mu.Lock()
 		if m.State != MachineMoving {
 			f.down--
 		}
 		m.State, m.Worker = MachineUp, next
 		f.mu.Unlock()
-		// The test may have ended; then nobody is there to hear it.
-		_, _ = f.world.c.Announce(context.Background(), &Announcement{Worker: worker(next)})
+		// The test may have ended; the heartbeat has no receiver then.
+		_, _ = f.cluster.c.Announce(context.Background(), &Announcement{Worker: worker(next)})
 	})
 }
 
-// machineWorld is a leader with machines and one worker on each.
-func machineWorld(t *testing.T, machines *fakeMachines) *testCluster {
+// newMachineCluster returns a leader with machines and one worker on each.
+func newMachineCluster(t *testing.T, machines *fakeMachines) *testCluster {
 	w := newTestCluster(t, func(w *testCluster) {
-		machines.world = w
+		machines.cluster = w
 		w.c.cfg.Machines = machines
 		w.c.cfg.Bounds.MaintenanceDuration = machines.downtime
 	})
@@ -164,11 +167,11 @@
 	return reply.Done
 }
 
-// What a user sees: nothing, though all machines have their maintenance: the job that
+// Checks that a wave takes down at most MaxDown machines at a time, and that a job which
 // ran when the wave began ends before its machine goes down.
 func TestWaveRespectsMaxDownAndWaitsForRuns(t *testing.T) {
 	machines := newFakeMachines("m1", "m2", "m3")
-	w := machineWorld(t, machines)
+	w := newMachineCluster(t, machines)
 	w.submit("a", oneTask)
 	var on string
 	w.eventually("the task starts", func() bool {
@@ -195,64 +198,61 @@
 	must.Eq(t, 1, machines.maxDown)
 }
 
-// What an operator sees: more machines are down than the wave allows.
-// Order: an order for a machine is carried out and its answer is lost.
-// Cause: a machine counted as up while its order was open.
+// Guards against taking down more machines than the wave allows: an order is carried out
+// and its answer is lost. The machine must count as down while the outcome of its order is
+// unknown.
 func TestMachineWithUnansweredOrderCountsAsDown(t *testing.T) {
 	machines := newFakeMachines("m1", "m2", "m3")
 	machines.loseAnswer, machines.downtime, machines.listDelay = true, 600*time.Millisecond, 300*time.Millisecond
-	w := machineWorld(t, machines)
+	w := newMachineCluster(t, machines)
 	w.startWave(workflow.Wave{ID: 1, Machines: []string{"m1", "m2", "m3"}, DurationMS: 60_000, MaxDown: 1})
 	w.eventually("the wave is done", func() bool { return w.waveDone(1) })
 	must.Eq(t, 1, machines.maxDown)
 }
 
-// What an operator sees: more machines are down than the wave allows.
-// Order: a worker restarts; its machine is ordered down by a list that shows its
-// earlier incarnation; the next list, which lags, shows the later one as up.
-// Cause: another incarnation was taken for proof that the machine is back.
+// Guards against taking down more machines than the wave allows: a worker restarts, its
+// machine is ordered down based on a list with the earlier incarnation, and the next list,
+// which lags, shows the later incarnation as up. Another incarnation alone doesn't prove
+// that the machine is back.
 func TestMachineIsBackOnlyAfterMaintenanceTime(t *testing.T) {
 	w := newTestCluster(t, nil)
-	ten, err := w.c.currentLeaderTerm(context.Background())
+	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
-	ten.c.cfg.Bounds.MaintenanceDuration = time.Hour
+	term.c.cfg.Bounds.MaintenanceDuration = time.Hour
 	listed := ListedMachine{ID: "m1", State: MachineUp, Worker: "m1-1"}
-	done := workflow.Maintenance{Wave: 1, Machine: "m1", Stage: workflow.MaintenanceBegun, Worker: "m1-0"}
-	begun := time.Now()
-	ten.mu.Lock()
-	defer ten.mu.Unlock()
-	must.False(t, ten.backFromMaintenance(listed, done, begun), must.Sprint("begun under an earlier leader"))
-	ten.machines.maintenanceBegunAt["m1"] = begun
-	must.False(t, ten.backFromMaintenance(listed, done, begun.Add(time.Minute)))
-	must.True(t, ten.backFromMaintenance(listed, done, begun.Add(time.Hour)))
+	recorded := workflow.Maintenance{Wave: 1, Machine: "m1", Stage: workflow.MaintenanceBegun, Worker: "m1-0"}
+	begunAt := time.Now()
+	term.mu.Lock()
+	defer term.mu.Unlock()
+	must.False(t, term.backFromMaintenance(listed, recorded, begunAt), must.Sprint("the maintenance began under an earlier leader"))
+	term.machines.maintenanceBegunAt["m1"] = begunAt
+	must.False(t, term.backFromMaintenance(listed, recorded, begunAt.Add(time.Minute)))
+	must.True(t, term.backFromMaintenance(listed, recorded, begunAt.Add(time.Hour)))
 	listed.Worker = "m1-0"
-	must.False(t, ten.backFromMaintenance(listed, done, begun.Add(time.Hour)), must.Sprint("the same incarnation"))
+	must.False(t, term.backFromMaintenance(listed, recorded, begunAt.Add(time.Hour)), must.Sprint("the same incarnation"))
 }
 
-// What an operator sees: one machine gets orders twice, or from two instances.
-// Order: an order takes long, and the next decision comes before its answer; a
-// leader begins right after another one gave orders.
-// Cause: nothing held orders for one machine apart.
+// Guards against concurrent orders for one machine: an order takes longer than the time to
+// the next decision, or a new leader starts right after the previous one sent orders.
 func TestOrdersForOneMachineNeverOverlap(t *testing.T) {
 	machines := newFakeMachines("m1", "m2")
 	machines.callDuration = 3 * machineLoopInterval
-	w := machineWorld(t, machines)
-	ten, err := w.c.currentLeaderTerm(context.Background())
+	w := newMachineCluster(t, machines)
+	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
-	must.True(t, ten.beginOrder("m9"))
-	must.False(t, ten.beginOrder("m9"))
-	ten.c.cfg.Bounds.MachineHandoverDelay = time.Hour
-	must.False(t, ten.beginOrder("m8"), must.Sprint("the predecessor's orders may be on their way"))
-	ten.c.cfg.Bounds.MachineHandoverDelay = 0
+	must.True(t, term.beginOrder("m9"))
+	must.False(t, term.beginOrder("m9"))
+	term.c.cfg.Bounds.MachineHandoverDelay = time.Hour
+	must.False(t, term.beginOrder("m8"), must.Sprint("orders of the previous leader may be in flight"))
+	term.c.cfg.Bounds.MachineHandoverDelay = 0
 	w.startWave(workflow.Wave{ID: 1, Machines: []string{"m1", "m2"}, DurationMS: 60_000, MaxDown: 1})
 	w.eventually("the wave is done", func() bool { return w.waveDone(1) })
 	must.Eq(t, 1, machines.maxInFlight)
 }
 
-// What a user sees: a service with too few of its tasks at work.
-// Order: two machines are cordoned by one decision; a task of the same step runs on
-// each; one of them may be away.
-// Cause: the first stop didn't count before it was carried out.
+// Guards against too few ready tasks of a service: one decision cordons two machines that
+// each run a task of the step, and one task may be unavailable. The first stop must count
+// from when it is ordered, not only once it has been carried out.
 func TestStoppingTaskCountsAsUnavailable(t *testing.T) {
 	w := newTestCluster(t, nil)
 	for _, id := range []string{"w1", "w2"} {
@@ -262,70 +262,67 @@
 	step := workflow.Step{Count: 2, Need: workflow.Resources{MilliCPU: 6000}, LongRunning: true, MaxUnavailable: 1}
 	w.submit("a", step)
 	w.eventually("both tasks run", func() bool { return w.started("w1") == 1 && w.started("w2") == 1 })
-	ten, err := w.c.currentLeaderTerm(context.Background())
+	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
-	ten.mu.Lock()
-	defer ten.mu.Unlock()
+	term.mu.Lock()
+	defer term.mu.Unlock()
 	w.c.state.read(func(s *workflow.State) {
 		var runs []workflow.Run
 		for _, id := range []string{"w1", "w2"} {
 			for key, run := range s.Runs[id] {
-				ten.sessions[id].orders[key] = &runOrder{run: run, listed: true, percent: completePercent}
+				term.sessions[id].orders[key] = &runOrder{run: run, listed: true, percent: completePercent}
 				runs = append(runs, run)
 			}
 		}
-		must.True(t, ten.disruptionAllowed(s, runs[1], &step))
-		ten.sessions["w1"].orders[runs[0].Task].stopSent = time.Now()
-		must.False(t, ten.disruptionAllowed(s, runs[1], &step))
+		must.True(t, term.disruptionAllowed(s, runs[1], &step))
+		term.sessions["w1"].orders[runs[0].Task].stopSent = time.Now()
+		must.False(t, term.disruptionAllowed(s, runs[1], &step))
 	})
 }
 
-// What a user sees: a service with none of its tasks at work.
-// Order: both of its workers are to leave; both tasks turn out to be at work between
-// two looks for runs to stop; one of them may be away.
-// Cause: the stops of one look were noted after all its runs had been judged.
-func TestStopsOfOneSweepCountAgainstMaxUnavailable(t *testing.T) {
-	ten := loadedTerm(t, benchmarkLoad{workers: 2})
+// Guards against a service without any ready task: both of its workers drain, and both
+// tasks become ready between two run checks, while one may be unavailable. A stop must
+// count for the runs that the same run check examines after it.
+func TestStopsOfOneRunCheckCountAgainstMaxUnavailable(t *testing.T) {
+	term := loadedTerm(t, benchmarkLoad{workers: 2})
 	service := submission("service")
 	service.Submit.Steps[0] = workflow.Step{Count: 2, Need: workflow.Resources{MilliCPU: 6000}, LongRunning: true, MaxUnavailable: 1}
 	starts := &workflow.Command{Start: []workflow.Run{
 		{Task: task("service", 0), Worker: "w0"}, {Task: task("service", 1), Worker: "w1"},
 	}}
 	for _, command := range []*workflow.Command{service, starts} {
-		_, err := ten.propose(command)
+		_, err := term.propose(command)
 		must.NoError(t, err)
 	}
 	for i, id := range []string{"w0", "w1"} {
-		session := ten.sessions[id]
+		session := term.sessions[id]
 		session.worker.Draining = true
 		run := workflow.Run{Task: task("service", i), Worker: id, Number: 1}
 		session.orders[run.Task] = &runOrder{run: run, listed: true, percent: completePercent}
 	}
-	must.SliceLen(t, 1, ten.gatherPlanInput(time.Now()).stops)
-	must.SliceEmpty(t, ten.gatherPlanInput(time.Now().Add(stopRetryInterval/2)).stops, must.Sprint("the other one stays until the first is at work elsewhere"))
+	must.SliceLen(t, 1, term.gatherPlanInput(time.Now()).stops)
+	must.SliceEmpty(t, term.gatherPlanInput(time.Now().Add(stopRetryInterval/2)).stops, must.Sprint("the other task stays until the first is ready elsewhere"))
 }
 
-// What a user sees: a machine is taken from under a task.
-// Order: a machine is chosen for a move; a start on it is being committed.
-// Cause: only committed runs were looked at.
+// Guards against moving a machine away from a task: the machine is chosen for a move while
+// a start on it is being committed. Proposed starts must count as well as committed runs.
 func TestMachineWithProposedStartIsNotEmpty(t *testing.T) {
 	w := newTestCluster(t, nil)
-	ten, err := w.c.currentLeaderTerm(context.Background())
+	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
-	must.True(t, ten.isEmpty("w1"))
-	ten.mu.Lock()
-	ten.proposedStarts[task("a", 0)] = "w1"
-	ten.mu.Unlock()
-	must.False(t, ten.isEmpty("w1"))
+	must.True(t, term.isEmpty("w1"))
+	term.mu.Lock()
+	term.proposedStarts[task("a", 0)] = "w1"
+	term.mu.Unlock()
+	must.False(t, term.isEmpty("w1"))
 }
 
-// What a user sees: a service with too few of its tasks at work.
-// Order: two tasks serve on two machines; one of them may be away; both machines
-// are to go down; the moved task takes its time to be at work again.
-// Cause: a task counted as at work once its start was sent.
+// Guards against too few ready tasks of a service: two tasks serve on two machines that
+// both go down, one may be unavailable, and the moved task takes time to become ready. A
+// task must not count as ready just because its start was sent.
 func TestLongRunningTasksMoveWithinMaxUnavailable(t *testing.T) {
 	machines := newFakeMachines("m1", "m2", "m3")
-	w := machineWorld(t, machines)
+	w := newMachineCluster(t, machines)
 	step := workflow.Step{Count: 2, Need: workflow.Resources{MilliCPU: 6000, MemoryMB: 10}, LongRunning: true, MaxUnavailable: 1, MaxPerWorker: 1}
 	w.submit("a", step)
 	running := func() (ids []string) {
@@ -338,7 +335,7 @@
 		}
 		return ids
 	}
-	atWork := func(id string) {
+	markReady := func(id string) {
 		w.withWorker(id, func(f *fakeWorker) {
 			for key, r := range f.running {
 				r.Percent = completePercent
@@ -348,22 +345,21 @@
 	}
 	w.eventually("both tasks run", func() bool { return len(running()) == 2 })
 	first := running()
-	atWork(first[0])
+	markReady(first[0])
 	w.startWave(workflow.Wave{ID: 1, Machines: []string{first[0][:2], first[1][:2]}, DurationMS: 1000, MaxDown: 2})
 	time.Sleep(400 * time.Millisecond)
-	must.SliceContains(t, running(), first[0], must.Sprint("the other one isn't at work yet"))
+	must.SliceContains(t, running(), first[0], must.Sprint("the other task is not ready yet"))
 	for !w.waveDone(1) {
 		for _, id := range running() {
-			atWork(id)
+			markReady(id)
 		}
-		must.SliceNotEmpty(t, running(), must.Sprint("no task is there"))
+		must.SliceNotEmpty(t, running(), must.Sprint("no task is running"))
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// What a user sees: jobs wait though machines stand by.
-// Order: a job needs more than the service's one machine has; others are off in a
-// standby pool.
+// Checks that a machine moves from a standby pool to the pool of a service whose job needs
+// more than the one machine of that pool.
 func TestStandbyMachineMovesToPoolWithPendingWork(t *testing.T) {
 	machines := newFakeMachines("m1", "m2", "m3")
 	for _, id := range []string{"m2", "m3"} {
@@ -373,7 +369,7 @@
 		m.Capacity = tenCores
 	}
 	w := newTestCluster(t, func(w *testCluster) {
-		machines.world = w
+		machines.cluster = w
 		w.c.cfg.Machines = machines
 		w.commit(&workflow.Command{Configuration: &workflow.Document{
 			Version: 2, Source: []byte("{}"), Services: []workflow.Service{{Name: "s"}, {Name: "off", Standby: true}},
@@ -399,19 +395,19 @@
 	must.Eq(t, []string{"m2 to s"}, machines.moves)
 }
 
-// What a user sees: a wave is said to be done, and a machine of it wasn't taken down.
-// Order: the list is read whole; then an entry of it is damaged.
-// Cause: a machine whose entry couldn't be read counted as gone for good.
+// Guards against reporting a wave as done without the maintenance of one machine: the list
+// is read completely first, then one of its entries is damaged. The machine of an
+// unreadable entry must not count as gone.
 func TestMachineWithUnreadableEntryIsKept(t *testing.T) {
 	w := newTestCluster(t, nil)
-	ten, err := w.c.currentLeaderTerm(context.Background())
+	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
-	ten.machines.list = map[string]ListedMachine{"m-1": {ID: "m-1"}, "m-2": {ID: "m-2"}}
+	term.machines.list = map[string]ListedMachine{"m-1": {ID: "m-1"}, "m-2": {ID: "m-2"}}
 	list := map[string]ListedMachine{"m-1": {ID: "m-1", State: MachineUp}}
-	ten.keepUnreadable(list, 1)
+	term.keepUnreadable(list, 1)
 	must.MapContainsKey(t, list, "m-2")
 	must.Eq(t, MachineUp, list["m-1"].State)
 	list = map[string]ListedMachine{"m-1": {ID: "m-1"}}
-	ten.keepUnreadable(list, 0)
+	term.keepUnreadable(list, 0)
 	must.MapNotContainsKey(t, list, "m-2")
 }
--- a/internal/control/search_verdict_test.go
+++ b/internal/control/simulation_checks_test.go
@@ -9,18 +9,19 @@
 )
 
 const (
-	// maxReadyWait is how long a ready task with room twice over may wait.
+	// maxReadyWait is how long a ready task may wait while free resources hold it twice
+	// over.
 	maxReadyWait = 3 * time.Second
-	// maxUnaccounted is how long a run may be without an owner: its end may have to wait for
-	// a log that takes nothing.
+	// maxUnaccounted is how long a run may be unaccounted for: its end may have to wait
+	// while the log accepts nothing.
 	maxUnaccounted = maxReadyWait + maxFaultDuration
-	// checkInterval is the time between two looks at what waits.
+	// checkInterval is the time between two checks of the waiting steps.
 	checkInterval = 50 * time.Millisecond
-	// spareRoomFactor is how many times over a task must have room.
+	// spareRoomFactor is how many times over a task must fit before it has to start.
 	spareRoomFactor = 2
 )
 
-// always returns what must not be at any time.
+// invariantViolations returns the violations of what must hold at any time.
 func (x *simulation) invariantViolations() []string {
 	x.workers.mu.Lock()
 	found := append(slices.Clone(x.workers.violations), x.lines.claims(x.workers.allowedClaims)...)
@@ -41,56 +42,56 @@
 	}
 	for run, since := range t.unaccountedSince {
 		if age := time.Since(since); age >= maxUnaccounted {
-			found = append(found, fmt.Sprintf("nothing tells the end of %s run %d on %s for %v", run.Task, run.Number, run.Worker, age))
+			found = append(found, fmt.Sprintf("%s run %d on %s is unaccounted for, age %v", run.Task, run.Number, run.Worker, age))
 		}
 	}
 	return found
 }
 
-// openStep is a ready step of which a task isn't done.
+// openStep is a ready step with a task that isn't done.
 type openStep struct {
 	key        workflow.StepKey
 	queue      string
 	spec       workflow.Step
 	notRunning []int
 	placeable  bool
-	// room is how many of its tasks fit now, twice over or not.
-	room int
+	// fitCount is how many of its tasks fit now. It may exceed their number.
+	fitCount int
 }
 
-// verdict watches the calm until all work that can be done has been, and returns what
-// waits for longer than it may.
+// awaitCompletion waits after the end of the faults until all work that can be done is
+// done, and returns the steps that wait for too long.
 func (x *simulation) awaitCompletion() []string {
-	calm := time.Now()
-	work, asks := x.outstanding()
-	// What ran on lost workers is free for others only when their leases have ended; some
-	// workers are set aside.
-	settled := 2*x.params.lease + predecessorSlack + quarantineFor + stalledRunTimeout
-	drained := settled + work + asks
-	last := calm.Add(2*drained + 30*time.Second)
-	idle := map[workflow.StepKey]time.Time{}
-	x.lines.logf("settled after %v, drained after %v", settled, drained)
+	start := time.Now()
+	work, queryTime := x.estimateRemaining()
+	// The resources of runs on lost workers become free only when their leases expire, and
+	// some workers are quarantined.
+	recoveryTime := 2*x.params.lease + predecessorSlack + quarantineFor + stalledRunTimeout
+	drained := recoveryTime + work + queryTime
+	deadline := start.Add(2*drained + 30*time.Second)
+	waitingSince := map[workflow.StepKey]time.Time{}
+	x.lines.logf("workers recover within %v, open work ends within %v", recoveryTime, drained)
 	for {
 		time.Sleep(checkInterval)
 		if found := x.invariantViolations(); len(found) > 0 {
 			return found
 		}
-		open, usedMost := x.openSteps()
+		open, mostlyUsed := x.openSteps()
 		left := slices.DeleteFunc(open, func(s openStep) bool { return !s.placeable })
 		if len(left) == 0 {
 			return nil
 		}
-		if time.Now().After(last) {
-			return x.describe("isn't done long after the calm began:", left)
+		if time.Now().After(deadline) {
+			return x.describe("isn't done long after the faults ended:", left)
 		}
-		if found := x.starvedSteps(left, idle, usedMost, calm.Add(drained)); len(found) > 0 {
-			return x.describe("has room and nothing takes it up:", found)
+		if found := x.starvedSteps(left, waitingSince, mostlyUsed, start.Add(drained)); len(found) > 0 {
+			return x.describe("fits into free resources but does not start:", found)
 		}
 	}
 }
 
-// starvedSteps returns the steps that have had room twice over for too long without a start.
-func (x *simulation) starvedSteps(steps []openStep, idle map[workflow.StepKey]time.Time, usedMost bool, from time.Time) (found []openStep) {
+// starvedSteps returns the steps that have fitted twice over for too long without a start.
+func (x *simulation) starvedSteps(steps []openStep, waitingSince map[workflow.StepKey]time.Time, mostlyUsed bool, checkFrom time.Time) (found []openStep) {
 	now := time.Now()
 	waiting := map[workflow.StepKey]bool{}
 	for _, s := range steps {
@@ -98,29 +99,29 @@
 		if s.spec.Gang {
 			least *= s.spec.Count
 		}
-		if x.mayWaitForever(s.key.Job) || len(s.notRunning) == 0 || s.room < least || usedMost || now.Before(from) {
+		if x.containsCrashingTask(s.key.Job) || len(s.notRunning) == 0 || s.fitCount < least || mostlyUsed || now.Before(checkFrom) {
 			continue
 		}
 		waiting[s.key] = true
 		x.workers.mu.Lock()
 		started := x.workers.lastStart[s.key]
 		x.workers.mu.Unlock()
-		if since, ok := idle[s.key]; !ok || since.Before(started) {
-			idle[s.key] = now
+		if since, ok := waitingSince[s.key]; !ok || since.Before(started) {
+			waitingSince[s.key] = now
 		} else if now.Sub(since) > x.maxWait(&s) {
 			found = append(found, s)
 		}
 	}
-	for key := range idle {
+	for key := range waitingSince {
 		if !waiting[key] {
-			delete(idle, key)
+			delete(waitingSince, key)
 		}
 	}
 	return found
 }
 
-// maxWait is how long a step may wait: what the users grant, and the questions that it
-// may have to put one after the other.
+// maxWait returns how long a step may wait: what users allow, and the queries that it may
+// have to send in turn.
 func (x *simulation) maxWait(s *openStep) time.Duration {
 	for i := range x.params.queues {
 		if q := &x.params.queues[i]; q.Identity() == s.queue {
@@ -130,15 +131,15 @@
 	return maxReadyWait
 }
 
-// outstanding bounds how long what is open when the calm begins takes: its work on a part
-// of the cores, and its questions.
-func (x *simulation) outstanding() (work, asks time.Duration) {
+// estimateRemaining returns an upper bound of the time that the open work takes on a part
+// of the cores, and of the time that its queries take.
+func (x *simulation) estimateRemaining() (work, queryTime time.Duration) {
 	open, _ := x.openSteps()
 	cores := float64(x.params.workers) * float64(x.params.capacity.MilliCPU) * x.params.permittedShare / 4
 	longest := time.Duration(0)
 	for i := range open {
 		s := &open[i]
-		asks += x.maxWait(s) - maxReadyWait
+		queryTime += x.maxWait(s) - maxReadyWait
 		if !s.placeable {
 			continue
 		}
@@ -148,9 +149,10 @@
 			longest = max(longest, 2*time.Duration(job[j].EstimateMS*int64(job[j].Count))*time.Millisecond)
 		}
 	}
-	return work + longest, 2 * asks / time.Duration(x.params.adviserConns)
+	return work + longest, 2 * queryTime / time.Duration(x.params.adviserConns)
 }
 
+// stepsOf returns the steps of a job.
 func (x *simulation) stepsOf(job string) []workflow.Step {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -158,8 +160,8 @@
 }
 
 // openSteps returns the ready steps that aren't done, and whether half of the cores or
-// more are in use, by what runs on workers.
-func (x *simulation) openSteps() (open []openStep, usedMost bool) {
+// more are in use on the workers.
+func (x *simulation) openSteps() (open []openStep, mostlyUsed bool) {
 	x.state.read(func(s *workflow.State) {
 		for _, job := range s.OpenJobs() {
 			for i := range job.Steps {
@@ -181,12 +183,13 @@
 	x.workers.mu.Lock()
 	defer x.workers.mu.Unlock()
 	for i := range open {
-		x.workers.measureRoom(&open[i], x.adviser, x.advised(open[i].queue))
+		x.workers.measureRoom(&open[i], x.adviser, x.needsPermit(open[i].queue))
 	}
 	return open, x.workers.mostlyUsed()
 }
 
-func (x *simulation) advised(queue string) bool {
+// needsPermit reports whether the steps of a queue need permits.
+func (x *simulation) needsPermit(queue string) bool {
 	for i := range x.params.queues {
 		if q := &x.params.queues[i]; q.Identity() == queue {
 			return q.Policy.Advice != nil
@@ -195,7 +198,7 @@
 	return false
 }
 
-// mostlyUsed reports whether half of the cores or more are in use; r.mu is held.
+// mostlyUsed reports whether half of the cores or more are in use. r.mu must be held.
 func (r *simWorkers) mostlyUsed() bool {
 	used, all := int64(0), int64(0)
 	for _, w := range r.current {
@@ -205,10 +208,10 @@
 	return 2*used >= all
 }
 
-// measure takes in which of a step's tasks run nowhere, how many fit now, and whether all
-// fit on the step's workers if these were empty; r.mu is held.
-func (r *simWorkers) measureRoom(s *openStep, adviser *simAdviser, advised bool) {
-	empty := 0
+// measureRoom determines which tasks of a step run nowhere, how many fit now, and whether
+// all would fit on empty workers. r.mu must be held.
+func (r *simWorkers) measureRoom(s *openStep, adviser *simAdviser, needsPermit bool) {
+	fitWhenEmpty := 0
 	live := map[int]bool{}
 	for _, w := range r.current {
 		placed := 0
@@ -218,27 +221,27 @@
 				placed++
 			}
 		}
-		if s.spec.Label != "" || advised && !adviser.permits(s.key, w.ID) {
+		if s.spec.Label != "" || needsPermit && !adviser.permits(s.key, w.ID) {
 			continue
 		}
 		bound := s.spec.Count * spareRoomFactor
 		if s.spec.MaxPerWorker > 0 {
 			bound = s.spec.MaxPerWorker
 		}
-		empty += min(s.spec.Demand().FitCount(w.Capacity), bound)
-		s.room += min(s.spec.Demand().FitCount(w.Capacity.Minus(w.used())), max(bound-placed, 0))
+		fitWhenEmpty += min(s.spec.Demand().FitCount(w.Capacity), bound)
+		s.fitCount += min(s.spec.Demand().FitCount(w.Capacity.Minus(w.used())), max(bound-placed, 0))
 	}
 	s.notRunning = slices.DeleteFunc(s.notRunning, func(index int) bool { return live[index] })
 	if s.spec.Gang && len(live) > 0 {
 		s.notRunning = nil
 	}
-	s.placeable = empty > 0
+	s.placeable = fitWhenEmpty > 0
 	if s.spec.Gang {
-		s.placeable = empty >= s.spec.Count
+		s.placeable = fitWhenEmpty >= s.spec.Count
 	}
 }
 
-// describe says what waits, and what the leader knows of it.
+// describe returns what waits, and what the leader knows about it.
 func (x *simulation) describe(what string, steps []openStep) (found []string) {
 	c := x.controller()
 	c.mu.Lock()
@@ -257,7 +260,7 @@
 			})
 			t.mu.Unlock()
 		}
-		found = append(found, fmt.Sprintf("%s/ %s unbegun %v, room for %d, %+v, reason %q, runs:live%s", s.key, what, s.notRunning, s.room, s.spec, reason, runs))
+		found = append(found, fmt.Sprintf("%s/ %s tasks not running %v, fit count %d, %+v, reason %q, runs:live%s", s.key, what, s.notRunning, s.fitCount, s.spec, reason, runs))
 	}
 	return append(found, fmt.Sprintf("%d steps in all", len(steps)))
 }
--- a/internal/control/search_log_test.go
+++ b/internal/control/simulation_replica_test.go
@@ -14,24 +14,25 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// simStore is what all leaders' logs have in common.
+// simStore is the state that the logs of all leaders share.
 type simStore struct {
 	mu     sync.Mutex
 	random *rand.Rand
 	state  *StateMachine
 	index  uint64
-	// lastAt is when the last command is committed; they are in order.
+	// lastAt is when the last command is committed. Commands are committed in order.
 	lastAt time.Time
-	// slowUntil is until when commits take long, delayedUntil until when nothing shows that
-	// the leader leads, fullUntil until when too many calls wait.
+	// slowUntil is when commits are fast again, delayedUntil when the log can confirm the
+	// leadership again, fullUntil when it accepts calls again.
 	slowUntil, heldUntil, fullUntil time.Time
-	// open are the commands whose fate was open when their leader lost the leadership.
-	open [][]byte
-	// refused counts what the log refused, opened what it left open.
-	refused, leftOpen int
+	// unknownOutcome holds the commands whose outcome was unknown when their leader lost
+	// the leadership.
+	unknownOutcome [][]byte
+	// refused counts the refused commands, unknownOutcomes those with an unknown outcome.
+	refused, unknownOutcomes int
 }
 
-// commitAt is when a command that is proposed now is committed.
+// commitAt returns when a command that is proposed now is committed. s.mu must be held.
 func (s *simStore) commitAt(now time.Time) time.Time {
 	took := randomDuration(s.random, time.Millisecond, 5*time.Millisecond)
 	if now.Before(s.slowUntil) {
@@ -45,28 +46,30 @@
 	return at
 }
 
-// settleOpen lets half of the commands whose fate is open be committed.
-func (s *simStore) settleOpen() {
+// resolveUnknownOutcomes commits half of the commands with an unknown outcome and drops
+// the others.
+func (s *simStore) resolveUnknownOutcomes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, data := range s.open {
+	for _, data := range s.unknownOutcome {
 		if oneIn(s.random, 2) {
 			s.index++
 			s.state.Apply(s.index, data)
 		}
 	}
-	s.open = nil
+	s.unknownOutcome = nil
 }
 
-// simReplica is the log of one leader.
+// simReplica is the log as one leader sees it.
 type simReplica struct {
 	store *simStore
 	term  uint64
-	// lost is closed when the leadership is.
+	// lost is closed when the leadership is lost.
 	lost chan struct{}
 }
 
-func (l *simReplica) over() bool {
+// leadershipLost reports whether the leader has lost its leadership.
+func (l *simReplica) leadershipLost() bool {
 	select {
 	case <-l.lost:
 		return true
@@ -75,14 +78,16 @@
 	}
 }
 
+// notProposed returns an error for a command that had no effect.
 func notProposed(mark error) error {
 	return errors.Mark(fault.New(fault.Unavailable, "nothing was proposed"), mark)
 }
 
-// refusal is why nothing may be proposed now. The store's lock is held.
+// refusal returns why nothing may be proposed now, nil if commands are accepted. The lock
+// of the store must be held.
 func (l *simReplica) refusal(now time.Time) error {
 	switch {
-	case l.over():
+	case l.leadershipLost():
 		return notProposed(node.ErrNotLeader)
 	case now.Before(l.store.fullUntil):
 		l.store.refused++
@@ -116,10 +121,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l.over() || ctx.Err() != nil {
-		s.open = append(s.open, data)
-		s.leftOpen++
-		return nil, errors.Mark(fault.New(fault.Unavailable, "the fate of the command is open"), node.ErrOutcomeUnknown)
+	if l.leadershipLost() || ctx.Err() != nil {
+		s.unknownOutcome = append(s.unknownOutcome, data)
+		s.unknownOutcomes++
+		return nil, errors.Mark(fault.New(fault.Unavailable, "the outcome of the command is unknown"), node.ErrOutcomeUnknown)
 	}
 	s.index++
 	return s.state.Apply(s.index, data), nil
@@ -134,14 +139,14 @@
 		return err
 	}
 	wait.For(ctx, max(held, 0)+time.Millisecond)
-	if l.over() {
+	if l.leadershipLost() {
 		return notProposed(node.ErrNotLeader)
 	}
 	return ctx.Err()
 }
 
 func (l *simReplica) Status() replica.Status {
-	if l.over() {
+	if l.leadershipLost() {
 		return replica.Status{Role: replica.Follower, Term: l.term + 1}
 	}
 	l.store.mu.Lock()
@@ -150,7 +155,7 @@
 }
 
 func (l *simReplica) Changed() <-chan struct{} {
-	if l.over() {
+	if l.leadershipLost() {
 		return make(chan struct{})
 	}
 	return l.lost
