--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -19,13 +19,13 @@
 // without a heartbeat.
 const forwardInterval = 3 * time.Second
 
-// AnnounceKnown handles a heartbeat on a follower, and reports whether the follower may
+// AcknowledgeHeartbeat handles a heartbeat on a follower, and reports whether the follower may
 // acknowledge it: the log has the worker as announced, and a leader is known. Otherwise
 // the heartbeat has to be forwarded to the leader.
 //
 // Reason: hundreds of workers send a heartbeat every second, and almost none of them
 // contains anything new.
-func (c *Controller) AnnounceKnown(r *Announcement) (AnnouncementReply, bool) {
+func (c *Controller) AcknowledgeHeartbeat(r *Announcement) (AnnouncementReply, bool) {
 	r.Worker.Sequence = r.Sequence
 	if c.heartbeats != nil || r.Worker.Draining || c.needsCommit(&r.Worker) {
 		return AnnouncementReply{}, false
--- a/internal/instance/operations.go
+++ b/internal/instance/operations.go
@@ -113,7 +113,7 @@
 // heartbeat without news by itself.
 func (o *Operations) Announce(ctx context.Context, r *control.Announcement) (control.AnnouncementReply, error) {
 	if c := o.local.Load(); c != nil {
-		if reply, ok := c.AnnounceKnown(r); ok {
+		if reply, ok := c.AcknowledgeHeartbeat(r); ok {
 			return reply, nil
 		}
 	}
