--- a/placement/admit.go
+++ b/placement/admit.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// minRetryAfter is the shortest retry delay that a refusal names. It keeps
-	// refused callers from resending at once.
+	// minRetryAfter is the shortest retry delay that a refusal names. It
+	// prevents refused callers from resending immediately.
 	minRetryAfter = time.Second
 	// minShareHorizon is the shortest period over which a customer's share of
 	// the capacity is computed. Over a shorter one, a few jobs with close
@@ -36,14 +36,14 @@
 		c.admitDeadline,
 	}
 	e := c.newEntry(j)
-	v := AdmissionDecision{Admitted: true}
+	decision := AdmissionDecision{Admitted: true}
 	for _, check := range checks {
-		v = check(e, now, available)
-		if !v.Admitted {
-			return v
+		decision = check(e, now, available)
+		if !decision.Admitted {
+			return decision
 		}
 	}
-	return v
+	return decision
 }
 
 // refuse returns a refusal that names a reason, a retry delay (zero: never
@@ -127,11 +127,11 @@
 	horizon := laterOf(laterOf(e.job.Deadline, e.account.horizon), now.Add(minShareHorizon))
 	horizonSeconds := horizon.Sub(now).Seconds()
 	shareRate := c.capacityRate().times(c.opts.Efficiency * c.opts.MaxCustomerShare)
-	booked := e.account.queuedDemand.plus(e.expectedDemand())
-	if !booked.exceeds(shareRate.times(horizonSeconds), e.need) {
+	customerDemand := e.account.queuedDemand.plus(e.expectedDemand())
+	if !customerDemand.exceeds(shareRate.times(horizonSeconds), e.need) {
 		return AdmissionDecision{Admitted: true}
 	}
-	retry := overrun(booked, shareRate, e.need, horizonSeconds)
+	retry := overrun(customerDemand, shareRate, e.need, horizonSeconds)
 	return refuse(ReasonQueueFull, max(minRetryAfter, retry), "the customer's queued work exceeds its share of the workers until %s",
 		horizon.UTC().Format(time.RFC3339))
 }
@@ -219,14 +219,14 @@
 func (p *projection) checkDeadlines(c *Cluster, key int64, overhead float64) (time.Duration, time.Time) {
 	p.runningWalk = c.running.walk(p.now)
 	checked := false
-	c.demand.buckets.Scan(func(bucketKey int64, s *demandBucket) bool {
+	c.demand.buckets.Scan(func(bucketKey int64, bucket *demandBucket) bool {
 		if !checked && bucketKey > key {
 			checked = true
 			if !p.fitsBefore(key) {
 				return false
 			}
 		}
-		p.queuedDemand = p.queuedDemand.plus(s.demand.times(overhead))
+		p.queuedDemand = p.queuedDemand.plus(bucket.demand.times(overhead))
 		return bucketKey < key || p.fitsBefore(bucketKey)
 	})
 	if !checked && p.lateBy == 0 {
@@ -280,11 +280,11 @@
 	}
 	ahead := resourceSeconds{}
 	limit := e.job.Deadline.Unix()
-	c.demand.buckets.Scan(func(k int64, s *demandBucket) bool {
-		if !e.job.Deadline.IsZero() && k > limit {
+	c.demand.buckets.Scan(func(key int64, bucket *demandBucket) bool {
+		if !e.job.Deadline.IsZero() && key > limit {
 			return false
 		}
-		ahead = ahead.plus(s.demand)
+		ahead = ahead.plus(bucket.demand)
 		return true
 	})
 	seconds := max(ahead.cpu/rate.cpu, 0)
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -92,7 +92,7 @@
 }
 
 // BenchmarkEvaluate measures the end of some tasks, the evaluation after it and
-// its commits, with the queue kept at 10,000 tasks. It reports starts per
+// its commits, with the queue held at 10,000 tasks. It reports starts per
 // second over all of this and the 99th percentile of the evaluation alone.
 //
 // Several ends per evaluation, as under group commit, share the fixed cost of
--- a/placement/cluster.go
+++ b/placement/cluster.go
@@ -40,7 +40,8 @@
 	// reservedJobs are the IDs of the jobs that got a reservation in the last
 	// evaluation.
 	reservedJobs []string
-	// forecasts counts the forecasts; like evaluations, it tells stale marks.
+	// forecasts counts the forecasts. Like evaluations, it identifies stale
+	// marks.
 	forecasts uint64
 	// unboundedUsage is what tasks without an expected end use of the
 	// schedulable workers. Projections never count it as released.
@@ -89,17 +90,17 @@
 // SetWorker adds a worker or replaces its description. The tasks placed on it
 // stay.
 func (c *Cluster) SetWorker(w Worker) {
-	entry := c.workerFor(w.ID)
-	c.free.remove(entry)
-	wasSchedulable := entry.schedulable()
-	c.countCapacity(entry, -1)
-	entry.Worker = w
-	entry.announced = true
-	entry.free = w.Capacity.minus(entry.used)
-	c.countCapacity(entry, 1)
-	c.free.add(entry)
-	if entry.schedulable() || wasSchedulable {
-		c.queue.unblock(entry.free)
+	record := c.workerFor(w.ID)
+	c.free.remove(record)
+	wasSchedulable := record.schedulable()
+	c.countCapacity(record, -1)
+	record.Worker = w
+	record.announced = true
+	record.free = w.Capacity.minus(record.used)
+	c.countCapacity(record, 1)
+	c.free.add(record)
+	if record.schedulable() || wasSchedulable {
+		c.queue.unblock(record.free)
 	}
 }
 
@@ -115,7 +116,7 @@
 	w.announced = false
 	w.Capacity = Resources{}
 	w.free = Resources{}.minus(w.used)
-	c.forgetWorker(w)
+	c.dropIdleWorker(w)
 }
 
 // countCapacity adds (sign 1) or subtracts (sign -1) the worker in the totals
@@ -165,9 +166,9 @@
 	return w
 }
 
-// forgetWorker deletes the record of a worker that is not announced and has no
-// tasks.
-func (c *Cluster) forgetWorker(w *worker) {
+// dropIdleWorker deletes the record of a worker that is not announced and has
+// no tasks.
+func (c *Cluster) dropIdleWorker(w *worker) {
 	if w.announced || len(w.tasks) > 0 {
 		return
 	}
@@ -223,12 +224,12 @@
 	}
 	c.trackUnplaced(t, w)
 	c.release(w, t.Need)
-	c.forgetWorker(w)
+	c.dropIdleWorker(w)
 }
 
-// MarkStopping records that a running task was told to stop. Later evaluations
-// count its resources as about to be free and preempt no further task for them.
-// Unknown tasks are ignored.
+// MarkStopping records that a stop of a running task was ordered. Later
+// evaluations count its resources as about to be free and preempt no further
+// task for them. Unknown tasks are ignored.
 func (c *Cluster) MarkStopping(job string, task int) {
 	t, found := c.placed[taskKey{job: job, task: task}]
 	if !found || !t.preemptible() {
--- a/placement/cluster_test.go
+++ b/placement/cluster_test.go
@@ -179,7 +179,7 @@
 // A large task of a customer with a high share has a reservation. Once the
 // reserved resources are free, the fair order gives them to the small tasks of
 // a customer with nothing running, and the large task starves.
-func TestReservedRoomGoesToItsJobBeforeFairShare(t *testing.T) {
+func TestReservedResourcesGoToTheirJobBeforeFairShare(t *testing.T) {
 	o := DefaultOptions()
 	o.FairReservations = 0
 	c := NewCluster(o)
@@ -292,7 +292,7 @@
 }
 
 // A probe fails, and the caller unplaces it before it reports the failure.
-// Without the backoff the next probe would follow at once.
+// Without the backoff the next probe would follow immediately.
 func TestFailedProbeBacksOffWhenUnplacedFirst(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(4), 1)
--- a/placement/demand.go
+++ b/placement/demand.go
@@ -63,6 +63,7 @@
 	entries int
 }
 
+// newDemand returns a demand without entries.
 func newDemand() demand { return demand{} }
 
 // add adds (sign 1) or removes (sign -1) an entry. Entries without a deadline
@@ -74,14 +75,14 @@
 	if sign > 0 {
 		e.demandBucketKey = bucketOf(e.job.Deadline, e.job.Submitted)
 	}
-	s, found := d.buckets.Get(e.demandBucketKey)
+	bucket, found := d.buckets.Get(e.demandBucketKey)
 	if !found {
-		s = &demandBucket{}
-		d.buckets.Set(e.demandBucketKey, s)
+		bucket = &demandBucket{}
+		d.buckets.Set(e.demandBucketKey, bucket)
 	}
-	s.entries += int(sign)
+	bucket.entries += int(sign)
 	d.adjust(e, sign)
-	if s.entries == 0 {
+	if bucket.entries == 0 {
 		d.buckets.Delete(e.demandBucketKey)
 	}
 	if d.buckets.Len() == 0 {
@@ -115,13 +116,13 @@
 	if e.job.Policy == Service || e.job.Deadline.IsZero() {
 		return
 	}
-	s, found := d.buckets.Get(e.demandBucketKey)
+	bucket, found := d.buckets.Get(e.demandBucketKey)
 	if !found {
 		return
 	}
-	w := e.expectedDemand().times(sign)
-	s.demand = s.demand.plus(w)
-	d.total = d.total.plus(w)
+	work := e.expectedDemand().times(sign)
+	bucket.demand = bucket.demand.plus(work)
+	d.total = d.total.plus(work)
 }
 
 // bucketOf returns the bucket of a deadline: the deadline rounded down, in Unix
--- a/placement/estimate.go
+++ b/placement/estimate.go
@@ -41,7 +41,8 @@
 }
 
 // runtimeHistory holds two generations of ratios of measured to declared run
-// times, and the peak use of resources.
+// times, and the peak use of resources. low, mean and high describe the
+// distribution of the ratios, and samples is their number.
 type runtimeHistory struct {
 	current  *hdrhistogram.Histogram
 	previous *hdrhistogram.Histogram
@@ -103,8 +104,8 @@
 	return estimator{disabled: opts.NoCorrection, customers: map[string]*customerHistory{}}
 }
 
-// Learn adds the measured run of a finished task to the estimates. Samples
-// without a declared run time are ignored.
+// AddSample adds the measured run of a finished task to the estimates. It
+// ignores samples without a declared run time.
 func (c *Cluster) AddSample(s Sample) {
 	if s.Declared <= 0 || s.Measured < 0 {
 		return
--- a/placement/evaluate.go
+++ b/placement/evaluate.go
@@ -76,7 +76,7 @@
 }
 
 // refuseInfeasible refuses accepted jobs that can no longer meet their
-// deadline. Their customers learn of it at once and other jobs get the
+// deadline. Their customers are informed immediately and other jobs get the
 // resources.
 func (p *planner) refuseInfeasible() {
 	p.cluster.queue.byLastFeasibleStart.Scan(func(e *entry) bool {
@@ -191,8 +191,8 @@
 
 // serveDue starts jobs whose latest start time is near before the fair order is
 // applied: keeping an accepted deadline has priority over fair shares. A job
-// that does not fit gets a reservation. Without it small tasks would keep
-// taking all free resources and starve it.
+// that does not fit gets a reservation. Without it small tasks would take all
+// resources as soon as they are free, and starve it.
 func (p *planner) serveDue() {
 	horizon := p.now.Add(p.cluster.opts.DueWindow)
 	visits := 0
--- a/placement/example_test.go
+++ b/placement/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/bilberryferry/bilberryferry/placement"
 )
 
-// A job is admitted, planned and started. Another one, which is too large for
-// every worker, is refused with a reason.
+// ExampleCluster admits, plans and starts a job. It refuses another one, which
+// is too large for every worker, with a reason.
 func ExampleCluster() {
 	now := time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 	c := placement.NewCluster(placement.DefaultOptions())
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -41,8 +41,8 @@
 // filterFailedHere names the filter for workers on which the job failed before.
 const filterFailedHere = "the job failed here before"
 
-// rejectFailedHere sends a retried job to a worker on which it has not failed
-// yet, as long as there is one.
+// rejectFailedHere rejects a worker on which the job failed before, unless it
+// has failed on all workers.
 func rejectFailedHere(r *request, w *worker) bool {
 	if r.record == nil || !r.record.failedOn[w.ID] {
 		return false
--- a/placement/gang.go
+++ b/placement/gang.go
@@ -82,8 +82,8 @@
 		if f.tasksLeft == 0 {
 			return false
 		}
-		o := p.cluster.workerForecastOf(t.worker)
-		o.released = o.released.plus(t.Need)
+		onWorker := p.cluster.workerForecastOf(t.worker)
+		onWorker.released = onWorker.released.plus(t.Need)
 		if p.addCandidate(f, e, t.worker) {
 			f.at = laterOf(t.expectedEnd, p.now.Add(overdueRemaining))
 		}
--- a/placement/health.go
+++ b/placement/health.go
@@ -174,7 +174,7 @@
 // postponeProbe doubles the backoff after a failed probe. Failures of tasks
 // that started before the quarantine are not probes. The start time decides,
 // not the probing mark: the caller may have unplaced the probe already, and if
-// its failure did not count, the next probe would follow at once.
+// its failure did not count, the next probe would follow immediately.
 func (c *Cluster) postponeProbe(w *worker, job string, now time.Time) {
 	if w.startOf(job, now).Before(w.health.quarantinedAt) {
 		return
--- a/placement/preempt.go
+++ b/placement/preempt.go
@@ -8,8 +8,8 @@
 
 // preemptFor plans preemptions so that an urgent entry can start. Resources of
 // tasks that are already stopping count first, so that evaluations before those
-// tasks have ended preempt no more of them. It reports whether all tasks of the
-// entry will get resources.
+// tasks have ended preempt no further tasks. It reports whether all tasks of
+// the entry will get resources.
 func (p *planner) preemptFor(e *entry) bool {
 	for n := p.unplannedTasks(e); n > 0; n-- {
 		w, victims := p.cheapestVictims(e)
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -135,7 +135,7 @@
 	class      class
 	shapeState *shapeState
 	entries    *btree.BTreeG[*entry]
-	// doneEval is the last evaluation that gave up on the subqueue.
+	// doneEval is the last evaluation that stopped serving the subqueue.
 	doneEval uint64
 	// cursor is the position of the evaluation numbered cursorEval.
 	cursor     *entry
--- a/placement/reserve.go
+++ b/placement/reserve.go
@@ -29,12 +29,12 @@
 	p.reservations--
 	p.cluster.reservedJobs = append(p.cluster.reservedJobs, e.job.ID)
 	for _, w := range f.chosen {
-		o := p.cluster.workerForecastOf(w)
+		onWorker := p.cluster.workerForecastOf(w)
 		w.reservedEval = p.evaluation
 		w.reservation = reservation{
 			entry:     e,
 			at:        f.at,
-			remaining: w.free.plus(o.released).minus(e.need.times(int64(o.tasks))),
+			remaining: w.free.plus(onWorker.released).minus(e.need.times(int64(onWorker.tasks))),
 		}
 	}
 }
@@ -67,19 +67,19 @@
 // addCandidate adds to the forecast the tasks that fit on the worker with the
 // resources released so far. It reports whether any more fit.
 func (p *planner) addCandidate(f *forecast, e *entry, w *worker) bool {
-	o := p.cluster.workerForecastOf(w)
-	free := w.free.plus(o.released)
+	onWorker := p.cluster.workerForecastOf(w)
+	free := w.free.plus(onWorker.released)
 	if !e.need.within(free) || !w.schedulable() || w.reservedEval == p.evaluation {
 		return false
 	}
-	more := min(free.fitCount(e.need, o.tasks+f.tasksLeft)-o.tasks, f.tasksLeft)
+	more := min(free.fitCount(e.need, onWorker.tasks+f.tasksLeft)-onWorker.tasks, f.tasksLeft)
 	if more <= 0 {
 		return false
 	}
-	if o.tasks == 0 {
+	if onWorker.tasks == 0 {
 		f.chosen = append(f.chosen, w)
 	}
-	o.tasks += more
+	onWorker.tasks += more
 	f.tasksLeft -= more
 	return true
 }
@@ -145,8 +145,8 @@
 }
 
 // reserveLarge reserves resources for the large tasks that were submitted
-// first. In a full cluster a worker rarely has that much free at once, so they
-// would all starve until they are due, whatever the share of their customer.
+// first. In a full cluster a worker rarely has that much free, so they would
+// all starve until they are due, whatever the share of their customer.
 func (p *planner) reserveLarge() {
 	p.reservations += p.cluster.opts.LargeReservations
 	reserved, visits := 0, 0
@@ -178,8 +178,8 @@
 		least = least[:min(n, len(least))]
 	}
 	list := make([]*customer, len(least))
-	for i, t := range least {
-		list[i] = t.customer
+	for i, item := range least {
+		list[i] = item.customer
 	}
 	return list
 }
--- a/placement/serve.go
+++ b/placement/serve.go
@@ -13,18 +13,18 @@
 // own customer.
 type shareHeap []shareItem
 
-func (t shareHeap) Len() int      { return len(t) }
-func (t shareHeap) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
-func (t shareHeap) Less(i, j int) bool {
-	if t[i].share != t[j].share {
-		return t[i].share < t[j].share
+func (h shareHeap) Len() int      { return len(h) }
+func (h shareHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h shareHeap) Less(i, j int) bool {
+	if h[i].share != h[j].share {
+		return h[i].share < h[j].share
 	}
-	return t[i].customer.name < t[j].customer.name
+	return h[i].customer.name < h[j].customer.name
 }
-func (t *shareHeap) Push(x any) { *t = append(*t, x.(shareItem)) }
-func (t *shareHeap) Pop() any {
-	last := (*t)[len(*t)-1]
-	*t = (*t)[:len(*t)-1]
+func (h *shareHeap) Push(x any) { *h = append(*h, x.(shareItem)) }
+func (h *shareHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
@@ -74,7 +74,8 @@
 }
 
 // nextSubqueue returns the customer's subqueue whose head has the earliest
-// latest start, or nil. It drops subqueues that this evaluation is done with.
+// latest start, or nil. It drops subqueues from which this evaluation can start
+// nothing more.
 func (p *planner) nextSubqueue(c *customer) *subqueue {
 	var best *subqueue
 	var first *entry
@@ -138,7 +139,7 @@
 
 // serveSubqueue tries to place the head of a subqueue, and plans preemptions if
 // it is urgent. An entry that fails is skipped for the rest of the evaluation.
-// If it fits only into reserved resources, nextSubqueue goes on with later
+// If it fits only into reserved resources, nextSubqueue continues with later
 // entries that have shorter run times.
 func (p *planner) serveSubqueue(sq *subqueue) {
 	e := p.head(sq)
--- a/placement/state_machine_test.go
+++ b/placement/state_machine_test.go
@@ -26,10 +26,13 @@
 	}
 }
 
+// workerID draws the ID of a worker.
 func workerID(t *rapid.T) string { return fmt.Sprintf("w%d", rapid.IntRange(0, 5).Draw(t, "worker")) }
 
+// jobID draws the ID of a job.
 func jobID(t *rapid.T) string { return fmt.Sprintf("j%d", rapid.IntRange(0, 9).Draw(t, "job")) }
 
+// SetWorker adds a random worker or changes one.
 func (m *stateMachine) SetWorker(t *rapid.T) {
 	id := workerID(t)
 	capacity := m.amount(t, 8)
@@ -43,8 +46,10 @@
 	})
 }
 
+// RemoveWorker removes a worker, which may not exist.
 func (m *stateMachine) RemoveWorker(t *rapid.T) { m.c.RemoveWorker(workerID(t)) }
 
+// Enqueue queues a random job, sometimes also one that admission refuses.
 func (m *stateMachine) Enqueue(t *rapid.T) {
 	run := time.Duration(rapid.IntRange(1, 600).Draw(t, "seconds")) * time.Second
 	j := Job{
@@ -61,8 +66,10 @@
 	}
 }
 
+// Dequeue removes a job from the queue.
 func (m *stateMachine) Dequeue(t *rapid.T) { m.c.Dequeue(jobID(t)) }
 
+// Unplace ends the first placed task of a job.
 func (m *stateMachine) Unplace(t *rapid.T) {
 	id := jobID(t)
 	for n := 1; n <= m.nextTask[id]; n++ {
@@ -73,20 +80,23 @@
 	}
 }
 
+// Place places a task on a worker. On an announced worker it fails unless
+// exactly the tasks that fit are accepted.
 func (m *stateMachine) Place(t *rapid.T) {
 	id := jobID(t)
 	m.nextTask[id]++
 	w := workerID(t)
 	need := m.amount(t, 4)
-	account, found := m.c.workers[w]
-	fits := found && account.announced && need.within(account.free)
+	record, found := m.c.workers[w]
+	fits := found && record.announced && need.within(record.free)
 	err := m.c.Place(Placed{Job: id, Task: m.nextTask[id], Worker: w, Customer: "a", Name: "n", Policy: Batch, Need: need, Started: m.now, Runtime: time.Minute,
 		Idempotent: rapid.Bool().Draw(t, "idempotent")})
-	if found && account.announced {
+	if found && record.announced {
 		must.EqOp(t, fits, err == nil)
 	}
 }
 
+// Report reports the success or failure of a job on a worker.
 func (m *stateMachine) Report(t *rapid.T) {
 	if rapid.IntRange(0, 2).Draw(t, "success") == 0 {
 		m.c.ReportSuccess(workerID(t), jobID(t), m.now)
@@ -95,16 +105,19 @@
 	m.c.ReportFailure(workerID(t), jobID(t), m.now)
 }
 
+// Learn adds a random sample.
 func (m *stateMachine) Learn(t *rapid.T) {
 	need := m.amount(t, 4)
 	m.c.AddSample(Sample{Customer: "a", Name: "n", Declared: time.Minute, Measured: time.Duration(rapid.IntRange(1, 600).Draw(t, "measured")) * time.Second,
 		Need: need, Peak: need.times(rapid.Int64Range(0, 2).Draw(t, "peak"))})
 }
 
+// SetLimit limits the CPU of one customer.
 func (m *stateMachine) SetLimit(t *rapid.T) {
 	m.c.SetLimit("b", Resources{CPU: rapid.Int64Range(-1, 8000).Draw(t, "limit"), Memory: -1, Accelerators: -1})
 }
 
+// Pass advances the time.
 func (m *stateMachine) Pass(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "pass")) * time.Second)
 }
@@ -114,16 +127,16 @@
 	before := m.recount()
 	plan := m.c.Evaluate(m.now, rapid.IntRange(1, 30).Draw(t, "max"))
 	must.Eq(t, before, m.recount())
-	taken := map[string]Resources{}
+	allocated := map[string]Resources{}
 	starts := map[string]int{}
 	for _, s := range plan.Starts {
-		taken[s.Worker] = taken[s.Worker].plus(s.Need)
+		allocated[s.Worker] = allocated[s.Worker].plus(s.Need)
 		starts[s.Job]++
 		w := m.c.workers[s.Worker]
 		must.True(t, w.announced && w.Live && !w.Draining)
 		must.True(t, !w.health.quarantined || !w.health.probing)
 	}
-	for id, need := range taken {
+	for id, need := range allocated {
 		must.True(t, need.within(m.c.workers[id].free), must.Sprintf("plan overloads worker %s", id))
 	}
 	for id, n := range starts {
@@ -160,18 +173,18 @@
 // recountedState is the totals of a cluster, recounted from its workers, placed
 // tasks and entries.
 type recountedState struct {
-	Capacity, Endless, Running, ServiceNeed Resources
-	Used, Leaving, Stoppable                map[string]Resources
-	Customers                               map[string]Resources
-	Entries                                 map[string]int
-	Queued, Indexed, Ends                   int
+	Capacity, Unbounded, Running, ServiceNeed Resources
+	Used, Stopping, Preemptible               map[string]Resources
+	Customers                                 map[string]Resources
+	Entries                                   map[string]int
+	Queued, Indexed, ExpectedEnds             int
 }
 
 // recount computes the totals.
 func (m *stateMachine) recount() recountedState {
-	a := recountedState{Used: map[string]Resources{}, Leaving: map[string]Resources{}, Stoppable: map[string]Resources{}, Customers: map[string]Resources{}, Entries: map[string]int{}}
+	a := recountedState{Used: map[string]Resources{}, Stopping: map[string]Resources{}, Preemptible: map[string]Resources{}, Customers: map[string]Resources{}, Entries: map[string]int{}}
 	for id, w := range m.c.workers {
-		a.Used[id], a.Leaving[id], a.Stoppable[id] = Resources{}, Resources{}, Resources{}
+		a.Used[id], a.Stopping[id], a.Preemptible[id] = Resources{}, Resources{}, Resources{}
 		if w.schedulable() {
 			a.Capacity = a.Capacity.plus(w.Capacity)
 			a.Indexed++
@@ -180,21 +193,21 @@
 	for _, p := range m.c.placed {
 		a.Used[p.Worker] = a.Used[p.Worker].plus(p.Need)
 		a.Customers[p.Customer] = a.Customers[p.Customer].plus(p.Need)
-		open := m.c.workers[p.Worker].schedulable()
+		schedulable := m.c.workers[p.Worker].schedulable()
 		switch {
-		case p.unbounded && open:
-			a.Endless = a.Endless.plus(p.Need)
-		case !p.unbounded && open:
+		case p.unbounded && schedulable:
+			a.Unbounded = a.Unbounded.plus(p.Need)
+		case !p.unbounded && schedulable:
 			a.Running = a.Running.plus(p.Need)
 		}
 		if !p.unbounded {
-			a.Ends++
+			a.ExpectedEnds++
 		}
 		if p.stopping {
-			a.Leaving[p.Worker] = a.Leaving[p.Worker].plus(p.Need)
+			a.Stopping[p.Worker] = a.Stopping[p.Worker].plus(p.Need)
 		}
 		if p.preemptible() {
-			a.Stoppable[p.Worker] = a.Stoppable[p.Worker].plus(p.Need)
+			a.Preemptible[p.Worker] = a.Preemptible[p.Worker].plus(p.Need)
 		}
 	}
 	for _, e := range m.c.queue.entries {
@@ -207,20 +220,20 @@
 	return a
 }
 
-// Check compares the recount with the totals that the cluster keeps.
+// Check compares the recount with the totals of the cluster.
 func (m *stateMachine) Check(t *rapid.T) {
 	a := m.recount()
 	must.EqOp(t, a.Capacity, m.c.capacity)
-	must.EqOp(t, a.Endless, m.c.unboundedUsage)
+	must.EqOp(t, a.Unbounded, m.c.unboundedUsage)
 	must.EqOp(t, a.Running, m.c.running.need)
 	must.EqOp(t, a.ServiceNeed, m.c.queue.serviceNeed)
 	must.EqOp(t, a.Queued, m.c.queue.tasks)
 	must.EqOp(t, a.Indexed, m.c.free.withoutAccelerators.Len()+m.c.free.withAccelerators.Len())
-	must.EqOp(t, a.Ends, m.c.byExpectedEnd.Len())
+	must.EqOp(t, a.ExpectedEnds, m.c.byExpectedEnd.Len())
 	for id, w := range m.c.workers {
 		must.EqOp(t, a.Used[id], w.used)
-		must.EqOp(t, a.Leaving[id], w.stopping)
-		must.EqOp(t, a.Stoppable[id], w.preemptible)
+		must.EqOp(t, a.Stopping[id], w.stopping)
+		must.EqOp(t, a.Preemptible[id], w.preemptible)
 		must.EqOp(t, w.Capacity.minus(w.used), w.free)
 		must.EqOp(t, w.schedulable(), w.indexed)
 	}
