--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -259,7 +259,7 @@
 	return text
 }
 
-// closeJob begins to end a job: it ends the queued tasks and stops the running
+// closeJob starts to end a job: it ends the queued tasks and stops the running
 // ones.
 func (s *State) closeJob(j *Job, kind fault.Kind, reason string) {
 	if j.Closing || j.State.Ended() {
--- a/internal/state/change.go
+++ b/internal/state/change.go
@@ -396,8 +396,9 @@
 	return within(used.CPU, limit.CPU) && within(used.Memory, limit.Memory) && within(used.Accelerators, limit.Accelerators)
 }
 
-// prune deletes what ended before a time. A job that was handed over is kept
-// until its deadline has passed, so that callers are redirected to its owner.
+// prune deletes the jobs that ended and the records that were made before a
+// time. A job that was handed over stays until its deadline has passed, so that
+// callers are redirected to its owner.
 func (s *State) prune(c *Prune) Result {
 	for id, j := range s.Jobs {
 		ended := j.State.Ended() && j.Ended < c.Before
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -58,7 +58,7 @@
 
 // Submit records the admission or refusal of a job. Refusals are recorded too:
 // a delayed duplicate of a refused request must not be accepted after its
-// sender was told that nothing will run.
+// sender got the answer that nothing will run.
 type Submit struct {
 	Request    Request       `cbor:"1,keyasint"`
 	Spec       Spec          `cbor:"2,keyasint"`
@@ -196,9 +196,9 @@
 
 // Quota is one step of a quota transfer. Exactly one of the pointers is set.
 type Quota struct {
-	// Give debits this data centre for a transfer that another one requested,
-	// Take credits a received transfer, and Forget drops a transfer that the
-	// request acknowledges.
+	// Debit debits this data centre for a transfer that another one requested,
+	// Credit credits a received transfer, and Acknowledge drops a transfer that
+	// the request acknowledges.
 	Debit       *quota.DebitCommand    `cbor:"1,keyasint,omitempty"`
 	Credit      *quota.Transfer        `cbor:"2,keyasint,omitempty"`
 	Acknowledge *quota.TransferRequest `cbor:"3,keyasint,omitempty"`
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -39,240 +39,243 @@
 // newStateHarness returns a harness with three workers, one customer with a
 // quota limit and one without.
 func newStateHarness(t *rapid.T) *stateHarness {
-	w := &stateHarness{t: t, a: New("home"), b: New("home"), now: 1_000, fakeWorkers: make(map[string]*fakeWorker), startCounts: make(map[string]int)}
+	h := &stateHarness{t: t, a: New("home"), b: New("home"), now: 1_000, fakeWorkers: make(map[string]*fakeWorker), startCounts: make(map[string]int)}
 	limits := map[string]placement.Resources{"c0": {CPU: 6000, Memory: -1, Accelerators: -1}, "c1": {CPU: -1, Memory: -1, Accelerators: -1}}
-	w.apply(&Command{AdoptConfig: &AdoptConfig{ConfigVersion: 1, Quota: quota.Config{Version: 1, InitialOwners: []string{"home"}, Limits: limits}}})
+	h.apply(&Command{AdoptConfig: &AdoptConfig{ConfigVersion: 1, Quota: quota.Config{Version: 1, InitialOwners: []string{"home"}, Limits: limits}}})
 	for i := range 3 {
-		w.startWorker(fmt.Sprint("w", i))
+		h.startWorker(fmt.Sprint("w", i))
 	}
-	return w
+	return h
 }
 
 // apply applies a command to both replicas and fails if their results differ.
-func (w *stateHarness) apply(c *Command) Result {
-	w.index++
-	w.now += 10
-	c.Now = w.now
+func (h *stateHarness) apply(c *Command) Result {
+	h.index++
+	h.now += 10
+	c.Now = h.now
 	data, err := c.Encode()
-	must.NoError(w.t, err)
+	must.NoError(h.t, err)
 	first, err := Decode(data)
-	must.NoError(w.t, err)
+	must.NoError(h.t, err)
 	second, err := Decode(data)
-	must.NoError(w.t, err)
-	result := w.a.Apply(w.index, first)
-	other := w.b.Apply(w.index, second)
-	must.Eq(w.t, result.Started, other.Started)
-	must.Eq(w.t, result.Job, other.Job)
-	w.a.TakeChanges()
-	w.b.TakeChanges()
+	must.NoError(h.t, err)
+	result := h.a.Apply(h.index, first)
+	other := h.b.Apply(h.index, second)
+	must.Eq(h.t, result.Started, other.Started)
+	must.Eq(h.t, result.Job, other.Job)
+	h.a.TakeChanges()
+	h.b.TakeChanges()
 	return result
 }
 
 // startWorker starts the next incarnation of a worker, with the same or less
 // capacity.
-func (w *stateHarness) startWorker(id string) {
-	h := w.fakeWorkers[id]
-	if h == nil {
-		h = &fakeWorker{}
-		w.fakeWorkers[id] = h
+func (h *stateHarness) startWorker(id string) {
+	w := h.fakeWorkers[id]
+	if w == nil {
+		w = &fakeWorker{}
+		h.fakeWorkers[id] = w
 	}
-	h.incarnation++
-	h.running, h.stopped, h.ended = make(map[AttemptRef]bool), make(map[AttemptRef]bool), make(map[AttemptRef]bool)
+	w.incarnation++
+	w.running, w.stopped, w.ended = make(map[AttemptRef]bool), make(map[AttemptRef]bool), make(map[AttemptRef]bool)
 	capacity := placement.Resources{CPU: 4000, Memory: 4096}
-	if rapid.Bool().Draw(w.t, "smaller") {
+	if rapid.Bool().Draw(h.t, "smaller") {
 		capacity.CPU = 2000
 	}
-	w.apply(&Command{WorkerUp: &WorkerUp{ID: id, Incarnation: h.incarnation, Capacity: capacity}})
+	h.apply(&Command{WorkerUp: &WorkerUp{ID: id, Incarnation: w.incarnation, Capacity: capacity}})
 }
 
 // submit submits a random job twice and fails if the duplicate gets another
 // answer.
-func (w *stateHarness) submit() {
-	w.request++
+func (h *stateHarness) submit() {
+	h.request++
 	policies := []placement.Policy{placement.Service, placement.Batch, placement.Gang}
 	spec := Spec{
-		Name: "n", Policy: rapid.SampledFrom(policies).Draw(w.t, "policy"), Tasks: rapid.IntRange(1, 3).Draw(w.t, "tasks"),
+		Name: "n", Policy: rapid.SampledFrom(policies).Draw(h.t, "policy"), Tasks: rapid.IntRange(1, 3).Draw(h.t, "tasks"),
 		Need: placement.Resources{CPU: 1000, Memory: 512}, MaxAttempts: 3,
 	}
-	spec.Idempotent = spec.Policy == placement.Service || rapid.Bool().Draw(w.t, "idempotent")
-	customer := rapid.SampledFrom([]string{"c0", "c1"}).Draw(w.t, "customer")
-	submit := &Submit{Request: Request{ID: fmt.Sprint(w.request), Customer: customer, Digest: 1}, Customer: customer, Spec: spec}
-	if rapid.IntRange(0, 4).Draw(w.t, "away") == 0 {
+	spec.Idempotent = spec.Policy == placement.Service || rapid.Bool().Draw(h.t, "idempotent")
+	customer := rapid.SampledFrom([]string{"c0", "c1"}).Draw(h.t, "customer")
+	submit := &Submit{Request: Request{ID: fmt.Sprint(h.request), Customer: customer, Digest: 1}, Customer: customer, Spec: spec}
+	if rapid.IntRange(0, 4).Draw(h.t, "away") == 0 {
 		submit.HandoverTo = "other"
 	}
-	result := w.apply(&Command{Submit: submit})
-	must.NoError(w.t, result.Err)
-	again := w.apply(&Command{Submit: submit})
-	must.Eq(w.t, result.Job, again.Job)
-	w.jobs = append(w.jobs, result.Job)
+	result := h.apply(&Command{Submit: submit})
+	must.NoError(h.t, result.Err)
+	again := h.apply(&Command{Submit: submit})
+	must.Eq(h.t, result.Job, again.Job)
+	h.jobs = append(h.jobs, result.Job)
 }
 
 // job draws the ID of a submitted job.
-func (w *stateHarness) job() string {
-	if len(w.jobs) == 0 {
+func (h *stateHarness) job() string {
+	if len(h.jobs) == 0 {
 		return "none"
 	}
-	return rapid.SampledFrom(w.jobs).Draw(w.t, "job")
+	return rapid.SampledFrom(h.jobs).Draw(h.t, "job")
 }
 
 // worker draws the ID of a worker.
-func (w *stateHarness) worker() string {
-	return fmt.Sprint("w", rapid.IntRange(0, 2).Draw(w.t, "worker"))
+func (h *stateHarness) worker() string {
+	return fmt.Sprint("w", rapid.IntRange(0, 2).Draw(h.t, "worker"))
 }
 
 // applyRandomPlan applies a plan that ignores capacities, limits and the state
 // of jobs and workers.
-func (w *stateHarness) applyRandomPlan() {
+func (h *stateHarness) applyRandomPlan() {
 	var items []StartItem
-	for range rapid.IntRange(1, 8).Draw(w.t, "items") {
-		item := StartItem{Job: w.job(), Worker: w.worker()}
-		if rapid.IntRange(0, 3).Draw(w.t, "raised") == 0 {
+	for range rapid.IntRange(1, 8).Draw(h.t, "items") {
+		item := StartItem{Job: h.job(), Worker: h.worker()}
+		if rapid.IntRange(0, 3).Draw(h.t, "raised") == 0 {
 			item.RaisedNeed = &placement.Resources{CPU: 1500, Memory: 100}
 		}
 		items = append(items, item)
 	}
-	result := w.apply(&Command{Start: &Start{Items: items}})
-	w.undelivered = append(w.undelivered, result.Started...)
+	result := h.apply(&Command{Start: &Start{Items: items}})
+	h.undelivered = append(h.undelivered, result.Started...)
 }
 
 // deliver delivers an order to its worker. The worker rejects orders for
 // another incarnation, duplicates, and attempts that it has ended or proved
 // never to start.
-func (w *stateHarness) deliver() {
-	if len(w.undelivered) == 0 {
+func (h *stateHarness) deliver() {
+	if len(h.undelivered) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.undelivered)-1).Draw(w.t, "command")
-	c := w.undelivered[i]
-	if rapid.Bool().Draw(w.t, "once") {
-		w.undelivered = append(w.undelivered[:i:i], w.undelivered[i+1:]...)
+	i := rapid.IntRange(0, len(h.undelivered)-1).Draw(h.t, "command")
+	c := h.undelivered[i]
+	if rapid.Bool().Draw(h.t, "once") {
+		h.undelivered = append(h.undelivered[:i:i], h.undelivered[i+1:]...)
 	}
-	h := w.fakeWorkers[c.Worker]
-	if h.incarnation != c.Incarnation || h.running[c.Ref] || h.stopped[c.Ref] || h.ended[c.Ref] {
+	w := h.fakeWorkers[c.Worker]
+	if w.incarnation != c.Incarnation || w.running[c.Ref] || w.stopped[c.Ref] || w.ended[c.Ref] {
 		return
 	}
-	w.mustNotRunElsewhere(c.Ref)
-	h.running[c.Ref] = true
+	h.mustNotRunElsewhere(c.Ref)
+	w.running[c.Ref] = true
 	key := fmt.Sprint(c.Ref.Job, "/", c.Ref.Task)
-	w.startCounts[key]++
-	if j := w.a.Jobs[c.Ref.Job]; j != nil && !j.Spec.Idempotent {
-		must.Eq(w.t, 1, w.startCounts[key], must.Sprint("non-idempotent task ran more than once: ", key))
+	h.startCounts[key]++
+	if j := h.a.Jobs[c.Ref.Job]; j != nil && !j.Spec.Idempotent {
+		must.Eq(h.t, 1, h.startCounts[key], must.Sprint("non-idempotent task ran more than once: ", key))
 	}
 }
 
 // mustNotRunElsewhere fails if a worker runs an attempt of the same task.
-func (w *stateHarness) mustNotRunElsewhere(ref AttemptRef) {
-	for id, h := range w.fakeWorkers {
-		for other := range h.running {
-			must.False(w.t, other.Job == ref.Job && other.Task == ref.Task, must.Sprintf("%v is already running on %s", ref, id))
+func (h *stateHarness) mustNotRunElsewhere(ref AttemptRef) {
+	for id, w := range h.fakeWorkers {
+		for other := range w.running {
+			must.False(h.t, other.Job == ref.Job && other.Task == ref.Task, must.Sprintf("%v is already running on %s", ref, id))
 		}
 	}
 }
 
 // report reports the end of an attempt, or the proof that it never starts,
 // followed by a contradicting duplicate.
-func (w *stateHarness) report() {
-	id := w.worker()
-	h := w.fakeWorkers[id]
-	refs := w.a.AttemptsOnWorker(id)
+func (h *stateHarness) report() {
+	id := h.worker()
+	w := h.fakeWorkers[id]
+	refs := h.a.AttemptsOnWorker(id)
 	if len(refs) == 0 {
 		return
 	}
 	ref := refs[0]
 	outcome := NotStarted
 	switch {
-	case h.running[ref]:
-		outcome = rapid.SampledFrom([]Outcome{Finished, Failed, Stopped}).Draw(w.t, "outcome")
-		delete(h.running, ref)
-		h.ended[ref] = true
-	case h.ended[ref]:
+	case w.running[ref]:
+		outcome = rapid.SampledFrom([]Outcome{Finished, Failed, Stopped}).Draw(h.t, "outcome")
+		delete(w.running, ref)
+		w.ended[ref] = true
+	case w.ended[ref]:
 		outcome = Finished
 	default:
-		h.stopped[ref] = true
+		w.stopped[ref] = true
 	}
-	end := &End{Worker: id, Incarnation: h.incarnation, Reports: []Report{{Ref: ref, Outcome: outcome}, {Ref: ref, Outcome: Failed}}}
-	w.apply(&Command{End: end})
+	end := &End{Worker: id, Incarnation: w.incarnation, Reports: []Report{{Ref: ref, Outcome: outcome}, {Ref: ref, Outcome: Failed}}}
+	h.apply(&Command{End: end})
 }
 
 // expireLease ends the lease of a worker, which has stopped all its attempts by
 // then, and starts its next incarnation.
-func (w *stateHarness) expireLease() {
-	id := w.worker()
-	h := w.fakeWorkers[id]
-	h.running = make(map[AttemptRef]bool)
-	w.apply(&Command{WorkerDown: &WorkerDown{ID: id, Incarnation: h.incarnation}})
-	if rapid.Bool().Draw(w.t, "late announcement") {
-		result := w.apply(&Command{WorkerUp: &WorkerUp{ID: id, Incarnation: h.incarnation, Capacity: placement.Resources{CPU: 9000, Memory: 9000}}})
-		must.True(w.t, fault.Is(result.Err, fault.Conflict))
+func (h *stateHarness) expireLease() {
+	id := h.worker()
+	w := h.fakeWorkers[id]
+	w.running = make(map[AttemptRef]bool)
+	h.apply(&Command{WorkerDown: &WorkerDown{ID: id, Incarnation: w.incarnation}})
+	if rapid.Bool().Draw(h.t, "late announcement") {
+		result := h.apply(&Command{WorkerUp: &WorkerUp{ID: id, Incarnation: w.incarnation, Capacity: placement.Resources{CPU: 9000, Memory: 9000}}})
+		must.True(h.t, fault.Is(result.Err, fault.Conflict))
 	}
-	w.startWorker(id)
+	h.startWorker(id)
 }
 
-func (w *stateHarness) cancel() {
-	id := w.job()
-	j := w.a.Jobs[id]
+// cancel cancels a job on request of its customer.
+func (h *stateHarness) cancel() {
+	id := h.job()
+	j := h.a.Jobs[id]
 	if j == nil {
 		return
 	}
-	w.request++
-	w.apply(&Command{Cancel: &Cancel{Request: Request{ID: fmt.Sprint(w.request), Customer: j.Customer}, Customer: j.Customer, IDs: []string{id}}})
+	h.request++
+	h.apply(&Command{Cancel: &Cancel{Request: Request{ID: fmt.Sprint(h.request), Customer: j.Customer}, Customer: j.Customer, IDs: []string{id}}})
 }
 
-func (w *stateHarness) handover() {
-	accepted := rapid.Bool().Draw(w.t, "accepted")
-	w.apply(&Command{RecordHandoverAnswer: &RecordHandoverAnswer{Job: w.job(), To: "other", Accepted: accepted, Kind: fault.Infeasible}})
+// handover applies an answer of the other data centre to the offer of a job.
+func (h *stateHarness) handover() {
+	accepted := rapid.Bool().Draw(h.t, "accepted")
+	h.apply(&Command{RecordHandoverAnswer: &RecordHandoverAnswer{Job: h.job(), To: "other", Accepted: accepted, Kind: fault.Infeasible}})
 }
 
-func (w *stateHarness) preempt() {
-	id := w.job()
-	w.apply(&Command{Preempt: &Preempt{Items: []placement.Preemption{{Job: id, Task: 0, Worker: w.worker()}}}})
+// preempt preempts the first task of a job on a random worker.
+func (h *stateHarness) preempt() {
+	id := h.job()
+	h.apply(&Command{Preempt: &Preempt{Items: []placement.Preemption{{Job: id, Task: 0, Worker: h.worker()}}}})
 }
 
 // snapshot replaces the second replica by one restored from a snapshot of the
 // first.
-func (w *stateHarness) snapshot() {
-	data, err := w.a.Encode()
-	must.NoError(w.t, err)
-	w.b, err = DecodeState(data)
-	must.NoError(w.t, err)
+func (h *stateHarness) snapshot() {
+	data, err := h.a.Encode()
+	must.NoError(h.t, err)
+	h.b, err = DecodeState(data)
+	must.NoError(h.t, err)
 }
 
 // check checks the invariants after every step.
-func (w *stateHarness) check() {
+func (h *stateHarness) check() {
 	used := make(map[string]int64)
-	for id, worker := range w.a.Workers {
+	for id, worker := range h.a.Workers {
 		var sum placement.Resources
-		for _, ref := range w.a.AttemptsOnWorker(id) {
-			held := w.a.Jobs[ref.Job].HeldResources(int(ref.Task))
+		for _, ref := range h.a.AttemptsOnWorker(id) {
+			held := h.a.Jobs[ref.Job].HeldResources(int(ref.Task))
 			sum = add(sum, held)
-			used[w.a.Jobs[ref.Job].Customer] += held.CPU
+			used[h.a.Jobs[ref.Job].Customer] += held.CPU
 		}
-		must.Eq(w.t, worker.Used, sum)
-		must.True(w.t, fits(sum, worker.Capacity))
+		must.Eq(h.t, worker.Used, sum)
+		must.True(h.t, fits(sum, worker.Capacity))
 	}
-	must.LessEq(w.t, 6000, used["c0"])
-	for id, h := range w.fakeWorkers {
-		for ref := range h.running {
-			j, task := w.a.latestAttempt(ref)
-			must.True(w.t, j != nil && task != nil && task.Worker == id, must.Sprintf("%v runs on %s although the state does not place it there", ref, id))
+	must.LessEq(h.t, 6000, used["c0"])
+	for id, w := range h.fakeWorkers {
+		for ref := range w.running {
+			j, task := h.a.latestAttempt(ref)
+			must.True(h.t, j != nil && task != nil && task.Worker == id, must.Sprintf("%v runs on %s although the state does not place it there", ref, id))
 		}
 	}
-	for _, j := range w.a.Jobs {
-		w.checkJob(j)
+	for _, j := range h.a.Jobs {
+		h.checkJob(j)
 	}
 }
 
 // checkJob fails if a task that is reported as not run, or was handed over, did
 // run, or if an ended job has queued or running tasks.
-func (w *stateHarness) checkJob(j *Job) {
+func (h *stateHarness) checkJob(j *Job) {
 	for i := range j.Tasks {
 		if j.Tasks[i].State == TaskNotRun || j.State == JobNotRun || j.HandoverDataCentre != "" {
-			must.Eq(w.t, 0, w.startCounts[fmt.Sprint(j.ID, "/", i)], must.Sprintf("task %[2]d of %[1]s ran, but the state says that it did not", j.ID, i))
+			must.Eq(h.t, 0, h.startCounts[fmt.Sprint(j.ID, "/", i)], must.Sprintf("task %[2]d of %[1]s ran, but the state says that it did not", j.ID, i))
 		}
 	}
 	if j.State.Ended() {
 		queued, running, _ := j.Counts()
-		must.Eq(w.t, 0, queued+running)
+		must.Eq(h.t, 0, queued+running)
 	}
 }
 
@@ -282,12 +285,12 @@
 // and handovers race with starts, and replicas are restored from snapshots.
 func TestRandomCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newStateHarness(t)
-		steps := map[string]func(*rapid.T){"": func(*rapid.T) { w.check() }}
+		h := newStateHarness(t)
+		steps := map[string]func(*rapid.T){"": func(*rapid.T) { h.check() }}
 		for name, step := range map[string]func(){
-			"submit": w.submit, "plan": w.applyRandomPlan, "deliver": w.deliver, "report": w.report, "lose": w.expireLease,
-			"restart": func() { w.startWorker(w.worker()) }, "cancel": w.cancel, "handover": w.handover,
-			"preempt": w.preempt, "snapshot": w.snapshot,
+			"submit": h.submit, "plan": h.applyRandomPlan, "deliver": h.deliver, "report": h.report, "lose": h.expireLease,
+			"restart": func() { h.startWorker(h.worker()) }, "cancel": h.cancel, "handover": h.handover,
+			"preempt": h.preempt, "snapshot": h.snapshot,
 		} {
 			steps[name] = func(*rapid.T) { step() }
 		}
--- a/internal/state/types.go
+++ b/internal/state/types.go
@@ -157,7 +157,8 @@
 // Result is the result of a command, returned to its proposer.
 type Result struct {
 	Err error
-	// Job is the id of the job a submission made, or that the command concerns.
+	// Job is the ID of the submitted job, or of the job that the command
+	// concerns.
 	Job string
 	// Jobs are the IDs of the jobs that a cancellation selected.
 	Jobs []string
