--- a/routing/admit.go
+++ b/routing/admit.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// minRetryAfter and maxRetryAfter bound the retry delay that a refused caller
-	// is told.
+	// minRetryAfter and maxRetryAfter bound the retry delay that a refusal
+	// names.
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = 15 * time.Second
 	// returningCapacityShare is the share of a service's capacity that scheduled
@@ -16,9 +16,9 @@
 // requests, if the queue can't start it in time.
 //
 // Guards against congestion collapse: under overload every request of a long
-// queue misses its deadline, and the work done for it is wasted. The measured
-// service times tell which requests can't start in time; these are refused
-// before they use a slot.
+// queue misses its deadline, and the work done for it is wasted. Requests that
+// can't start in time by the measured service times are refused before they use
+// a slot.
 func (b *Balancer) admit(s *service, t *Ticket, now time.Duration) {
 	s.serviceTimes.refresh(now)
 	slots := b.usableSlots(s, now)
--- a/routing/allocate.go
+++ b/routing/allocate.go
@@ -94,9 +94,9 @@
 	return e.claimed && !e.draining && now-e.lastRequestAt < a.opts.Lease
 }
 
-// unmetMinimum returns how many slots the other entry instances lack of their
-// minimum shares after all free slots are granted. Only that many are taken
-// away, so that small changes of demand cause no messages.
+// unmetMinimum returns by how many slots the other entry instances fall short
+// of their minimum shares after all free slots are granted. Only that many are
+// taken away, so that small changes of demand cause no messages.
 func (a *Allocator) unmetMinimum(e *entryRecord, g *serviceGroup, now time.Duration) int {
 	unmet := 0
 	for _, id := range a.order {
--- a/routing/allocator.go
+++ b/routing/allocator.go
@@ -22,9 +22,10 @@
 // process's connections by then; minions need this long to notice.
 const restartLinger = time.Second
 
-// forgetAfter is how long a minion that left stays recorded, so that delayed
-// duplicates of its announcements don't bring it back.
-const forgetAfter = 10 * time.Minute
+// recordRetention is how long a minion that left stays recorded, so that
+// delayed duplicates of its announcements don't bring it back. It is also how
+// long a Balancer retains a service without minions.
+const recordRetention = 10 * time.Minute
 
 // Allocator allocates the slots of one data centre's minions to its entry
 // instances. It runs on the leader of the data centre and is not safe for
@@ -56,10 +57,10 @@
 type minionRecord struct {
 	Announcement
 	number uint32
-	// announced is false for a minion known from claims only.
-	announced   bool
-	lastHeardAt time.Duration
-	gone        bool
+	// announced is false for a minion that only claims have named.
+	announced  bool
+	lastSeenAt time.Duration
+	gone       bool
 	// version grows with each change that entry instances must learn of.
 	version uint64
 	// occupied is the sum of the occupied slots of all entry instances.
@@ -90,15 +91,16 @@
 	a.unclaimed = make(map[string]bool)
 }
 
-// Lead begins the leadership of a term. The caller must make sure that no leader
-// of an earlier term grants slots from now on. entries lists the entry instances
-// of the data centre; the reservation ends early once all of them have claimed.
-// With an empty list it lasts its whole time.
+// Lead starts the leadership of a term. The caller must make sure that no
+// leader of an earlier term grants slots from now on. entries lists the entry
+// instances of the data centre; the reservation ends early once all of them
+// have claimed. With an empty list it lasts for its full time.
 //
-// Guards against overload of a minion: a new leader that grants slots granted to
-// another entry instance by the previous leader would exceed the minion's slots.
-// Slots that nobody has claimed stay reserved until the last lease of the
-// previous leader has expired and the requests started under it have ended.
+// Guards against overload of a minion: a new leader that grants slots granted
+// to another entry instance by the previous leader would exceed the minion's
+// slots. Slots that no entry instance has claimed stay reserved until the last
+// lease of the previous leader has expired and the requests started under it
+// have ended.
 func (a *Allocator) Lead(term uint64, entries []string, now time.Duration) {
 	a.reset()
 	a.leading = true
@@ -130,7 +132,7 @@
 	addedSlots := announcement.Slots - m.Slots
 	m.Announcement = announcement
 	m.announced = true
-	m.lastHeardAt = now
+	m.lastSeenAt = now
 	m.gone = announcement.Leaving
 	if changed {
 		m.version++
@@ -159,7 +161,7 @@
 	}
 	m.Incarnation = incarnation
 	m.Leaving = true
-	m.lastHeardAt = now
+	m.lastSeenAt = now
 	a.retire(m)
 }
 
@@ -178,7 +180,7 @@
 		return m
 	}
 	a.lastNumber++
-	m := &minionRecord{number: a.lastNumber, lastHeardAt: now}
+	m := &minionRecord{number: a.lastNumber, lastSeenAt: now}
 	m.Minion = name
 	a.minions[name] = m
 	a.byNumber[m.number] = m
@@ -261,7 +263,7 @@
 	for _, number := range numbers {
 		m, ok := a.byNumber[number]
 		if ok && m.usable() {
-			m.lastHeardAt = now
+			m.lastSeenAt = now
 		}
 	}
 }
@@ -343,11 +345,11 @@
 		if !reserved {
 			m.reserved = 0
 		}
-		if m.announced && now-m.lastHeardAt > a.opts.MinionTTL {
+		if m.announced && now-m.lastSeenAt > a.opts.MinionTTL {
 			a.retire(m)
 		}
-		if !m.usable() && m.occupied == 0 && now-m.lastHeardAt > forgetAfter {
-			a.forget(m)
+		if !m.usable() && m.occupied == 0 && now-m.lastSeenAt > recordRetention {
+			a.deleteMinion(m)
 			continue
 		}
 		kept = append(kept, m)
@@ -356,8 +358,8 @@
 	a.list = kept
 }
 
-// forget deletes the record of a minion.
-func (a *Allocator) forget(m *minionRecord) {
+// deleteMinion deletes the record of a minion.
+func (a *Allocator) deleteMinion(m *minionRecord) {
 	delete(a.minions, m.Minion)
 	delete(a.byNumber, m.number)
 	for _, e := range a.entries {
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -4,9 +4,9 @@
 
 // Finish ends an attempt and releases its slot.
 //
-// Guards against overload of the minion: when a caller goes away or an attempt
-// times out, the minion isn't told and still works on the request. The slot of
-// such an attempt is held until the request has probably ended.
+// Guards against overload of the minion: when a caller disconnects or an
+// attempt times out, the minion isn't notified and still works on the request.
+// The slot of such an attempt is held until the request has probably ended.
 func (b *Balancer) Finish(t *Ticket, o Outcome, now time.Duration) {
 	if t.state != Started {
 		return
@@ -71,7 +71,7 @@
 
 // minAttemptFactor times the tail service time is the shortest attempt whose
 // timeout counts as a failure of the minion. A shorter attempt started close to
-// its deadline and says nothing about the minion.
+// its deadline and is no evidence against the minion.
 const minAttemptFactor = 2
 
 // Retry queues a finished request again. It returns false if the retry budget,
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -17,7 +17,7 @@
 	services map[string]*service
 
 	draining bool
-	// slotRequestDue reports whether a slot request should be sent at once.
+	// slotRequestDue reports whether a slot request should be sent immediately.
 	slotRequestDue   bool
 	lastTicketNumber uint64
 	// retryBudget is the number of retries allowed now. Each request adds a
@@ -88,8 +88,8 @@
 }
 
 // maxUnknownServices bounds the services that callers may name before a leader
-// has told which services exist. Without the bound, invented names could fill
-// the memory.
+// has reported which services exist. Without the bound, invented names could
+// fill the memory.
 const maxUnknownServices = 64
 
 // enqueue queues the ticket, assigns free slots and then refuses what the queue
@@ -108,8 +108,8 @@
 	b.admit(s, t, now)
 }
 
-// Cancel removes a queued request whose caller has gone away. A started request
-// ends by Finish with Abandoned instead.
+// Cancel removes a queued request whose caller has disconnected. A started
+// request ends by Finish with Abandoned instead.
 func (b *Balancer) Cancel(t *Ticket, now time.Duration) {
 	if t.state != Queued {
 		return
@@ -166,7 +166,7 @@
 	return changed
 }
 
-// SlotRequestDue reports whether a slot request should be sent at once.
+// SlotRequestDue reports whether a slot request should be sent immediately.
 func (b *Balancer) SlotRequestDue() bool { return b.slotRequestDue }
 
 // StopAccepting makes the Balancer refuse every new request. Queued and started
@@ -312,7 +312,7 @@
 	b.changed = append(b.changed, t)
 }
 
-// refuse gives the final answer to a ticket that is in no queue.
+// refuse refuses a ticket that is in no queue, with a reason and a retry delay.
 func (b *Balancer) refuse(s *service, t *Ticket, reason Reason, now time.Duration) {
 	t.state = Refused
 	t.refusal = &Refusal{Reason: reason, RetryAfter: b.retryAfter(s, reason, now)}
--- a/routing/breaker.go
+++ b/routing/breaker.go
@@ -81,10 +81,10 @@
 // of the service's minions; mayTripOnRate allows the breaker to open because of
 // its failure rate. It returns whether the breaker has just closed.
 //
-// Guards against two faults of a minion. One that fails at once is always free
-// and would attract all requests. One that is slow or never answers would hold
-// its slots and the requests in them. Either opens the breaker; then only single
-// probes reach the minion until one succeeds in the typical time.
+// Guards against two faults of a minion. One that fails immediately is always
+// free and would attract all requests. One that is slow or never answers would
+// hold its slots and the requests in them. Either opens the breaker; then only
+// single probes reach the minion until one succeeds in the typical time.
 func (b *breaker) observe(a attempt, typicalTime time.Duration, mayTripOnRate bool, now time.Duration) (closed bool) {
 	if b.open {
 		return a.probe && b.finishProbe(a, typicalTime, now)
--- a/routing/estimate.go
+++ b/routing/estimate.go
@@ -57,7 +57,7 @@
 }
 
 // refresh recomputes mean and tail from new samples if estimateInterval has
-// passed, or at once while they rest on fewer than 20 samples.
+// passed, or immediately while they rest on fewer than 20 samples.
 func (e *estimator) refresh(now time.Duration) {
 	early := e.samples < 20 && e.unread
 	if now-e.readAt < estimateInterval && !early {
--- a/routing/load_cases_test.go
+++ b/routing/load_cases_test.go
@@ -15,7 +15,7 @@
 	r.at(r.now+time.Second, func() { r.startEntry(e) })
 }
 
-// loseEntry stops an entry instance for good.
+// loseEntry stops an entry instance permanently.
 func loseEntry(r *loadRun) { r.entries[0].up = false }
 
 // loseLeader stops the leader; after 3 s a new leader without state takes over.
--- a/routing/model_test.go
+++ b/routing/model_test.go
@@ -18,7 +18,7 @@
 	entries   []*modelEntry
 	minions   []Announcement
 	requests  []SlotRequest
-	answers   []modelAnswer
+	responses []modelResponse
 	// orphans are the requests of terminated processes that a minion may still be
 	// processing.
 	orphans []orphan
@@ -35,8 +35,8 @@
 	running     []*Ticket
 }
 
-// modelAnswer is a slot response on its way to an entry process.
-type modelAnswer struct {
+// modelResponse is a slot response on its way to an entry process.
+type modelResponse struct {
 	to          int
 	incarnation uint64
 	resp        SlotResponse
@@ -198,18 +198,18 @@
 	if err != nil {
 		return
 	}
-	w.deliverAnswer(e, resp)
+	w.deliverResponse(e, resp)
 }
 
-// deliverAnswer delivers a slot response to an entry process.
-func (w *model) deliverAnswer(e *modelEntry, resp SlotResponse) {
+// deliverResponse delivers a slot response to an entry process.
+func (w *model) deliverResponse(e *modelEntry, resp SlotResponse) {
 	e.balancer.HandleSlotResponse(resp, w.clock(e))
 	w.collect(e)
 	w.granted += e.balancer.GrantedSlots()
 }
 
-// toLeader delivers any earlier slot request to the leader and keeps a copy of
-// it.
+// toLeader delivers any earlier slot request to the leader. The request stays
+// in the network, so that it may be delivered again.
 func (w *model) toLeader(t *rapid.T) {
 	if len(w.requests) == 0 {
 		t.Skip()
@@ -221,20 +221,20 @@
 	}
 	for i, e := range w.entries {
 		if e.id == req.Entry {
-			w.answers = append(w.answers, modelAnswer{to: i, incarnation: req.Incarnation, resp: resp})
+			w.responses = append(w.responses, modelResponse{to: i, incarnation: req.Incarnation, resp: resp})
 		}
 	}
 }
 
-// toEntry delivers any earlier slot response to the process that asked for it.
+// toEntry delivers any earlier slot response to the process that requested it.
 func (w *model) toEntry(t *rapid.T) {
-	if len(w.answers) == 0 {
+	if len(w.responses) == 0 {
 		t.Skip()
 	}
-	a := w.answers[rapid.IntRange(0, len(w.answers)-1).Draw(t, "answer")]
+	a := w.responses[rapid.IntRange(0, len(w.responses)-1).Draw(t, "answer")]
 	e := w.entries[a.to]
 	if e.incarnation == a.incarnation {
-		w.deliverAnswer(e, a.resp)
+		w.deliverResponse(e, a.resp)
 	}
 }
 
--- a/routing/occupied.go
+++ b/routing/occupied.go
@@ -145,15 +145,15 @@
 // those that are released by now.
 func (a *Allocator) addTerminated(e *entryRecord, occupied map[uint32]int, now time.Duration) {
 	kept := e.terminated[:0]
-	for _, r := range e.terminated {
-		if r.freeAt <= now {
+	for _, process := range e.terminated {
+		if process.freeAt <= now {
 			continue
 		}
-		for number, slots := range r.occupied {
+		for number, slots := range process.occupied {
 			occupied[number] += slots
 		}
-		e.nextFreeAt = min(e.nextFreeAt, r.freeAt)
-		kept = append(kept, r)
+		e.nextFreeAt = min(e.nextFreeAt, process.freeAt)
+		kept = append(kept, process)
 	}
 	e.terminated = kept
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -96,8 +96,8 @@
 	must.Eq(t, 0, f.balancer.GrantedSlots())
 }
 
-// Two entry instances use the same slot: a new leader doesn't know what the
-// previous one granted to an entry instance that it can't reach.
+// Two entry instances use the same slot: a new leader has no record of what the
+// previous one granted to an entry instance that is unreachable.
 func TestNewLeaderReservesUnclaimedSlots(t *testing.T) {
 	f := newFixture(1, 8)
 	f.allocator = NewAllocator(LeaseOptions{})
@@ -136,8 +136,8 @@
 }
 
 // A request that can't be answered by its deadline is started and wastes work.
-// It must be refused at once, with a jittered retry delay.
-func TestUnreachableDeadlineIsRefusedAtOnce(t *testing.T) {
+// It must be refused immediately, with a jittered retry delay.
+func TestUnreachableDeadlineIsRefusedImmediately(t *testing.T) {
 	f := newFixture(1, 2)
 	for range 40 {
 		f.finish(f.submit(time.Second), 100*time.Millisecond, Answered)
@@ -160,7 +160,7 @@
 	must.Greater(t, 15, len(retryDelays))
 }
 
-// A minion that fails at once is always free and attracts all requests.
+// A minion that fails immediately is always free and attracts all requests.
 func TestBreakerOpensOnFailingMinion(t *testing.T) {
 	for _, o := range []Outcome{AnsweredFailure, NotSent, Broken} {
 		f := newFixture(4, 8)
@@ -267,8 +267,8 @@
 	}
 }
 
-// The slot of a request whose caller went away is reused while the minion, which
-// isn't told, still works on the request.
+// The slot of a request whose caller disconnected is reused while the minion,
+// which isn't notified, still works on the request.
 func TestAbandonedRequestKeepsItsSlot(t *testing.T) {
 	f := newFixture(1, 1)
 	f.finish(f.submit(time.Second), 0, Abandoned)
--- a/routing/service.go
+++ b/routing/service.go
@@ -30,8 +30,7 @@
 	// medianTime is the median of the minions' average service times.
 	medianTime   time.Duration
 	medianReadAt time.Duration
-	// lastReturnAt is the latest time at which a refused caller was told to
-	// retry.
+	// lastReturnAt is the latest retry time that a refusal has named.
 	lastReturnAt time.Duration
 	// lastPopulatedAt is when the service last had a minion.
 	lastPopulatedAt time.Duration
--- a/routing/slot_lease.go
+++ b/routing/slot_lease.go
@@ -53,13 +53,13 @@
 		return
 	}
 	if m.gone {
-		// The leader learns from the next request that the minion is back.
+		// The next request reports to the leader that the minion is back.
 		b.slotRequestDue = true
 	}
 	b.dispatchAllServices(now)
 }
 
-// Leave takes a minion out of use at once.
+// Leave takes a minion out of use immediately.
 func (b *Balancer) Leave(name string, incarnation uint64, now time.Duration) {
 	m, ok := b.minions[name]
 	if !ok || incarnation < m.Incarnation {
@@ -108,8 +108,8 @@
 	s.minions = append(s.minions, m)
 }
 
-// NextSlotRequest builds the next slot request. The caller must send it at once,
-// because the lease in the response counts from now.
+// NextSlotRequest builds the next slot request. The caller must send it
+// immediately, because the lease in the response counts from now.
 func (b *Balancer) NextSlotRequest(now time.Duration) SlotRequest {
 	b.releaseLingering(now)
 	l := &b.lease
@@ -176,8 +176,9 @@
 	}
 }
 
-// addAnnouncement tells the leader that a minion has announced itself: by number
-// if the leader has the same announcement, otherwise with the announcement.
+// addAnnouncement reports to the leader that a minion has announced itself: by
+// number if the leader has the same announcement, otherwise with the
+// announcement.
 func (b *Balancer) addAnnouncement(req *SlotRequest, m *minion) {
 	if !m.announcedSinceRequest {
 		return
@@ -192,9 +193,9 @@
 	m.announcedSinceRequest = m.Leaving && !acknowledged
 }
 
-// addClaim tells a new leader which slots of a minion are held. Slots of an
-// expired lease aren't used any more, but they are claimed until the previous
-// leader could have granted them to another entry instance.
+// addClaim reports to a new leader which slots of a minion are held. Slots of
+// an expired lease aren't used any more, but they are claimed until the
+// previous leader could have granted them to another entry instance.
 func (b *Balancer) addClaim(req *SlotRequest, m *minion, inFlight int, claimable bool) {
 	held := m.slots
 	if !claimable {
@@ -208,7 +209,7 @@
 }
 
 // HandleSlotResponse processes the response to a slot request. It returns
-// whether the next request must follow at once.
+// whether the next request must follow immediately.
 //
 // Guards against using slots that others hold: responses may be delayed,
 // duplicated and reordered, and may come from a replaced leader. Only a response
@@ -279,8 +280,8 @@
 }
 
 // adopt starts to use the grants of a response. It returns whether any of them
-// shrank: the leader can grant the difference to others once it knows of the
-// adoption.
+// shrank: the leader can grant the difference to others once the next request
+// reports the adoption.
 func (b *Balancer) adopt(resp SlotResponse, sent, now time.Duration) (shrunk bool) {
 	l := &b.lease
 	if resp.Base == 0 {
@@ -307,7 +308,7 @@
 	l.expiresAt = sent + resp.Lease
 	l.fullRequestNeeded = false
 	l.everAnswered = true
-	b.forgetGone(now)
+	b.deleteGoneMinions(now)
 	return shrunk
 }
 
@@ -333,8 +334,9 @@
 	b.setAnnouncement(m, g.Announcement, now)
 }
 
-// forgetGone deletes the records of minions that left and have no requests.
-func (b *Balancer) forgetGone(now time.Duration) {
+// deleteGoneMinions deletes the records of minions that left and have no
+// requests.
+func (b *Balancer) deleteGoneMinions(now time.Duration) {
 	ttl := b.opts.Lease.MinionTTL
 	for name, m := range b.minions {
 		recentlyAnnounced := m.announced && now < m.announcedAt+ttl
@@ -347,20 +349,20 @@
 			s.minions = slices.DeleteFunc(s.minions, func(other *minion) bool { return other == m })
 		}
 	}
-	b.forgetServices(now)
+	b.deleteEmptyServices(now)
 }
 
-// forgetServices deletes services that never had a minion, or have had none for
-// forgetAfter. Until then requests for a service without minions are queued, not
-// refused as NoSuchService.
-func (b *Balancer) forgetServices(now time.Duration) {
+// deleteEmptyServices deletes services that never had a minion, or have had
+// none for recordRetention. Until then requests for a service without minions
+// are queued, not refused as NoSuchService.
+func (b *Balancer) deleteEmptyServices(now time.Duration) {
 	for name, s := range b.services {
 		if len(s.minions) > 0 {
 			s.lastPopulatedAt = now
 			s.everPopulated = true
 			continue
 		}
-		if s.everPopulated && now-s.lastPopulatedAt < forgetAfter {
+		if s.everPopulated && now-s.lastPopulatedAt < recordRetention {
 			continue
 		}
 		for len(s.queue) > 0 {
--- a/routing/ticket.go
+++ b/routing/ticket.go
@@ -77,7 +77,7 @@
 	// failed.
 	AnsweredFailure
 	// Streamed: the complete answer arrived at the pace of the caller, so its
-	// duration says nothing about the minion.
+	// duration is no measure of the minion.
 	Streamed
 	// NotSent: the minion was unreachable, and no byte of the request was
 	// written.
@@ -89,7 +89,7 @@
 	Broken
 	// TimedOut: the answer was not complete in time.
 	TimedOut
-	// Abandoned: the caller went away.
+	// Abandoned: the caller disconnected.
 	Abandoned
 )
 
--- a/routing/types.go
+++ b/routing/types.go
@@ -42,7 +42,8 @@
 	InFlight int
 }
 
-// Claim is what an entry instance holds of a minion. It tells a new leader.
+// Claim reports to a new leader the slots of a minion that an entry instance
+// holds and its requests in flight there.
 type Claim struct {
 	Minion   string
 	Service  string
@@ -61,7 +62,8 @@
 	Term uint64
 	// Adopted is the sequence of the response whose grants are in use.
 	Adopted uint64
-	// Full reports whether Claims has everything that the entry instance holds.
+	// Full reports whether Claims lists everything that the entry instance
+	// holds.
 	Full    bool
 	Demands []ServiceDemand
 	// Loads lists the minions with requests in flight, by their numbers of Term.
