--- a/quota/config.go
+++ b/quota/config.go
@@ -16,9 +16,9 @@
 	// Version increases with each accepted configuration.
 	Version uint64 `cbor:"1,keyasint"`
 	// Generation counts the initial allocations of slots. It grows only when an
-	// operator has the slots allocated again, because a data centre was added for
-	// good or lost with its state. All ownership and transfers of earlier
-	// generations are then invalid.
+	// operator has the slots allocated again, because a data centre was added
+	// permanently or lost with its state. All ownership and transfers of
+	// earlier generations are then invalid.
 	Generation uint64 `cbor:"2,keyasint,omitempty"`
 	// InitialOwners are the data centres among which the slots are divided at
 	// first, in any order. They must be the same in every version of a
@@ -30,7 +30,7 @@
 	Limits map[string]placement.Resources `cbor:"4,keyasint,omitempty"`
 }
 
-// Errors of Check and Configure. The list is complete.
+// Errors of Check and Configure. They return no others.
 var (
 	// ErrOldVersion: the version is lower than the one in force.
 	ErrOldVersion = errors.New("quota: configuration version is older than the one in force")
--- a/quota/demand_test.go
+++ b/quota/demand_test.go
@@ -38,13 +38,13 @@
 	name         string
 	pool, static bool
 	// proportional sets shares by demand, which all data centres exchange each
-	// epoch. The other strategies request what is lacking.
+	// epoch. The other strategies request their shortfall.
 	proportional bool
-	// keepWaiting makes a donor keep what its waiting work needs. average is the
-	// fraction of the moving average of demand that a donor keeps.
-	keepWaiting bool
-	average     float64
-	// checkInterval is the number of ticks between two checks for lacking units.
+	// reserveQueued makes a donor reserve what its queued tasks need. average
+	// is the fraction of the moving average of demand that a donor reserves.
+	reserveQueued bool
+	average       float64
+	// checkInterval is the number of ticks between two checks for shortfalls.
 	checkInterval int
 	// partition separates data centre 0 from the others for two minutes.
 	partition bool
@@ -244,8 +244,8 @@
 	}
 }
 
-// fairShare returns a data centre's share by the averages of demand. One core is
-// added for each data centre, so that idle ones keep a share.
+// fairShare returns a data centre's share by the averages of demand. One core
+// is added for each data centre, so that idle ones have a share.
 func (m *simulation) fairShare(i, customer int) int64 {
 	var sum float64
 	for _, c := range m.centres {
@@ -254,15 +254,15 @@
 	return int64(simLimit * (m.centres[i].demand[customer] + taskCPU) / sum)
 }
 
-// reserved returns what a donor keeps of each customer's allotment.
+// reserved returns what a donor reserves of each customer's allotment.
 func (m *simulation) reserved(c *centre) func(string) placement.Resources {
 	return func(id string) placement.Resources {
 		customer := slices.Index(m.customerIDs, id)
-		keep := c.used[customer]
-		if m.keepWaiting {
-			keep += int64(len(c.queue[customer])) * taskCPU
+		reserve := c.used[customer]
+		if m.reserveQueued {
+			reserve += int64(len(c.queue[customer])) * taskCPU
 		}
-		return placement.Resources{CPU: max(keep, int64(m.average*c.demand[customer]))}
+		return placement.Resources{CPU: max(reserve, int64(m.average*c.demand[customer]))}
 	}
 }
 
@@ -303,7 +303,7 @@
 		{name: "ask-0.1s", checkInterval: 1},
 		{name: "ask-1s", checkInterval: 10},
 		{name: "ask-2s", checkInterval: 20},
-		{name: "ask-1s-waiting", checkInterval: 10, keepWaiting: true},
+		{name: "ask-1s-waiting", checkInterval: 10, reserveQueued: true},
 		{name: "ask-1s-average", checkInterval: 10, average: 1},
 		{name: "proportional-cut", proportional: true, partition: true},
 		{name: "ask-1s-cut", checkInterval: 10, partition: true},
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -1,7 +1,7 @@
 // Package quota splits the limits of customers over data centres, so that each
-// data centre can decide alone, also while it is partitioned from the others, and
-// all of them together never allow a customer more than its limit. It does no
-// input or output, reads no clock and starts no goroutine.
+// data centre can decide on its own, also while it is partitioned from the
+// others, and all of them together never allow a customer more than its limit.
+// It does no input or output, reads no clock and starts no goroutine.
 //
 // # Slots
 //
--- a/quota/example_test.go
+++ b/quota/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/bilberryferry/bilberryferry/quota"
 )
 
-// A data centre that lacks two accelerators gets them from another.
+// ExampleLedger transfers accelerators to a data centre that needs two more.
 func ExampleLedger() {
 	config := quota.Config{
 		Version: 1, InitialOwners: []string{"naas-hall", "swords-hall"},
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -10,7 +10,7 @@
 	"github.com/bilberryferry/bilberryferry/placement"
 )
 
-// Errors of Debit and Credit. The list is complete.
+// Errors of Debit and Credit. They return no others.
 var (
 	// ErrNoSpare: the donor has no spare slots for any demand of the request.
 	ErrNoSpare = errors.New("quota: no spare units for the request")
@@ -31,7 +31,7 @@
 	ErrWrongDataCentre = errors.New("quota: message is for another data centre")
 )
 
-// Demand is what a data centre lacks for one customer.
+// Demand is a data centre's shortfall for one customer.
 type Demand struct {
 	Customer string `cbor:"1,keyasint"`
 	// Amount is what waiting work needs beyond the allotment.
@@ -54,8 +54,8 @@
 // It carries the reserved units, which only the leader knows.
 type DebitCommand struct {
 	Request TransferRequest `cbor:"1,keyasint"`
-	// Reserve has, for each demand of the request, the units that the donor
-	// keeps.
+	// Reserve has, for each demand of the request, the units that must stay
+	// with the donor.
 	Reserve []placement.Resources `cbor:"2,keyasint,omitempty"`
 }
 
@@ -89,8 +89,8 @@
 type state struct {
 	Self   string `cbor:"1,keyasint"`
 	Config Config `cbor:"2,keyasint"`
-	// Owned has the customers whose slots transfers have changed. A customer that
-	// leaves the configuration keeps its entry, because it may return.
+	// Owned has the customers whose slots transfers have changed. The entry of
+	// a customer that leaves the configuration stays, because it may return.
 	Owned map[string]*ownedSlots `cbor:"3,keyasint,omitempty"`
 	// LastSent has the last sequence number of the transfers sent to each data
 	// centre, and LastReceived the last one credited from it.
@@ -271,12 +271,12 @@
 func (l *Ledger) debitAll(command DebitCommand, used func(customer string) placement.Resources) []CustomerSlots {
 	var customers []CustomerSlots
 	for i, demand := range command.Request.Demands {
-		keep := used(demand.Customer)
+		reserve := used(demand.Customer)
 		if i < len(command.Reserve) {
-			keep = maxResources(keep, command.Reserve[i])
+			reserve = maxResources(reserve, command.Reserve[i])
 		}
-		if p, ok := l.debitCustomer(demand, keep); ok {
-			customers = append(customers, p)
+		if slots, ok := l.debitCustomer(demand, reserve); ok {
+			customers = append(customers, slots)
 		}
 	}
 	return customers
@@ -293,30 +293,30 @@
 
 // debitCustomer removes the demanded and spare slots of one customer from the
 // owned slots. It returns false if there are none.
-func (l *Ledger) debitCustomer(demand Demand, keep placement.Resources) (CustomerSlots, bool) {
+func (l *Ledger) debitCustomer(demand Demand, reserve placement.Resources) (CustomerSlots, bool) {
 	limit := l.Limit(demand.Customer)
 	allotment := l.Allotment(demand.Customer)
 	slots := l.owned(demand.Customer)
-	p := CustomerSlots{
+	debited := CustomerSlots{
 		Customer:     demand.Customer,
-		CPU:          slots.CPU.selectUnits(limit.CPU, demand.Amount.CPU, allotment.CPU-keep.CPU),
-		Memory:       slots.Memory.selectUnits(limit.Memory, demand.Amount.Memory, allotment.Memory-keep.Memory),
-		Accelerators: slots.Accelerators.selectUnits(limit.Accelerators, demand.Amount.Accelerators, allotment.Accelerators-keep.Accelerators),
+		CPU:          slots.CPU.selectUnits(limit.CPU, demand.Amount.CPU, allotment.CPU-reserve.CPU),
+		Memory:       slots.Memory.selectUnits(limit.Memory, demand.Amount.Memory, allotment.Memory-reserve.Memory),
+		Accelerators: slots.Accelerators.selectUnits(limit.Accelerators, demand.Amount.Accelerators, allotment.Accelerators-reserve.Accelerators),
 	}
-	if p.empty() {
+	if debited.empty() {
 		return CustomerSlots{}, false
 	}
-	slots.CPU.remove(p.CPU)
-	slots.Memory.remove(p.Memory)
-	slots.Accelerators.remove(p.Accelerators)
+	slots.CPU.remove(debited.CPU)
+	slots.Memory.remove(debited.Memory)
+	slots.Accelerators.remove(debited.Accelerators)
 	l.state.Owned[demand.Customer] = &slots
 	l.refreshCustomer(demand.Customer)
-	return p, true
+	return debited, true
 }
 
 // empty reports whether there is no slot.
-func (p *CustomerSlots) empty() bool {
-	return p.CPU == SlotSet{} && p.Memory == SlotSet{} && p.Accelerators == SlotSet{}
+func (s *CustomerSlots) empty() bool {
+	return s.CPU == SlotSet{} && s.Memory == SlotSet{} && s.Accelerators == SlotSet{}
 }
 
 // Credit commits a received transfer. On nil and on ErrDuplicate the caller sends
@@ -341,22 +341,22 @@
 		return ErrSequenceGap
 	}
 	l.state.LastReceived[t.From] = t.Sequence
-	for _, p := range t.Customers {
-		l.creditCustomer(p)
+	for _, slots := range t.Customers {
+		l.creditCustomer(slots)
 	}
 	return nil
 }
 
 // creditCustomer adds the slots of one customer to the owned slots.
-func (l *Ledger) creditCustomer(p CustomerSlots) {
-	slots := l.owned(p.Customer)
-	overlap := slots.CPU.overlaps(p.CPU) || slots.Memory.overlaps(p.Memory) || slots.Accelerators.overlaps(p.Accelerators)
-	invariant(!overlap, "a transfer has a slot of customer %s that is already owned", p.Customer)
-	slots.CPU.addAll(p.CPU)
-	slots.Memory.addAll(p.Memory)
-	slots.Accelerators.addAll(p.Accelerators)
-	l.state.Owned[p.Customer] = &slots
-	l.refreshCustomer(p.Customer)
+func (l *Ledger) creditCustomer(credited CustomerSlots) {
+	slots := l.owned(credited.Customer)
+	overlap := slots.CPU.overlaps(credited.CPU) || slots.Memory.overlaps(credited.Memory) || slots.Accelerators.overlaps(credited.Accelerators)
+	invariant(!overlap, "a transfer has a slot of customer %s that is already owned", credited.Customer)
+	slots.CPU.addAll(credited.CPU)
+	slots.Memory.addAll(credited.Memory)
+	slots.Accelerators.addAll(credited.Accelerators)
+	l.state.Owned[credited.Customer] = &slots
+	l.refreshCustomer(credited.Customer)
 }
 
 // Acknowledge commits the acknowledgement that every request carries.
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -232,9 +232,9 @@
 	}
 }
 
-// A customer gets more than its limit, or part of the limit is lost for good.
-// Transfers are lost, duplicated, delayed and reordered while limits change, and
-// data centres skip versions and restart from snapshots.
+// A customer gets more than its limit, or part of the limit is lost
+// permanently. Transfers are lost, duplicated, delayed and reordered while
+// limits change, and data centres skip versions and restart from snapshots.
 func TestAllotmentsNeverExceedLimit(t *testing.T) {
 	results := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
--- a/quota/planner.go
+++ b/quota/planner.go
@@ -81,10 +81,10 @@
 // Requests returns the requests to send now, at most one to each other data
 // centre. Each demand goes to the data centre most likely to have enough to
 // spare, among those without an unanswered request. The caller calls it again
-// while something is lacking.
-func (p *Planner) Requests(l *Ledger, lacking []Demand) []TransferRequest {
+// while a shortfall remains.
+func (p *Planner) Requests(l *Ledger, shortfalls []Demand) []TransferRequest {
 	demands := map[string][]Demand{}
-	for _, demand := range lacking {
+	for _, demand := range shortfalls {
 		to, found := p.bestDonor(demand)
 		if !found {
 			continue
@@ -160,9 +160,9 @@
 	return min(field(spare.CPU, need.CPU), field(spare.Memory, need.Memory), field(spare.Accelerators, need.Accelerators))
 }
 
-// DebitCommand builds the command that answers a request. required returns what a
-// customer uses and what its waiting work needs, as known to the leader; the
-// donor keeps that much.
+// DebitCommand builds the command that answers a request. required returns what
+// a customer uses and what its waiting work needs, as known to the leader; that
+// much stays with the donor.
 func (p *Planner) DebitCommand(request TransferRequest, required func(customer string) placement.Resources) DebitCommand {
 	command := DebitCommand{Request: request, Reserve: make([]placement.Resources, len(request.Demands))}
 	for i, demand := range request.Demands {
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -31,8 +31,8 @@
 	return a, b
 }
 
-// A customer gets more than a lowered limit: one data centre has given half of
-// the old limit away and misses the version that lowered it.
+// A customer gets more than a lowered limit: one data centre has transferred
+// its half of the old limit and misses the version that lowered it.
 func TestLoweredLimitAfterTransfer(t *testing.T) {
 	a, b := newLedgerPair(100)
 	half := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(50)})
@@ -133,9 +133,9 @@
 	must.NoError(t, b.Configure(config(2, 3)))
 }
 
-// Work waits forever although another data centre has a free allotment: all
-// reports are outdated when the next request is due, and the same data centre,
-// which has nothing, is asked each time.
+// Work waits forever although another data centre has spare units: all reports
+// are outdated when the next request is due, and each request goes to the same
+// data centre, which has nothing.
 func TestPlannerRotatesDonors(t *testing.T) {
 	names := []string{"a", "b", "c", "d"}
 	planner := quota.NewPlanner("a", names)
