--- a/lease/doc.go
+++ b/lease/doc.go
@@ -1,7 +1,7 @@
-// Package lease keeps a task from running in two places at once although
-// workers, their owner and the network pause, restart, and lose, duplicate,
-// delay and reorder messages. It does no input or output, reads no clock and
-// starts no goroutine.
+// Package lease prevents a task from running in two places at the same time,
+// although workers, their owner and the network pause, restart, and lose,
+// duplicate, delay and reorder messages. It does no input or output, reads no
+// clock and starts no goroutine.
 //
 // There is one lease per worker. Clocks aren't synchronised: every time.Duration
 // named now is counted on the caller's own monotonic clock, from any origin, and
@@ -15,7 +15,7 @@
 //
 // # The worker
 //
-// The worker keeps a [Holder], which knows how long its lease lasts, and a
+// The worker keeps a [Holder], which records until when its lease lasts, and a
 // [Guard], which decides on every command. The worker must do the following:
 //
 //   - Count the lease from when it sent the renewal, and call [Holder.Valid]
--- a/lease/guard.go
+++ b/lease/guard.go
@@ -11,7 +11,8 @@
 // ended attempts.
 const MaxAttemptRecords = 4096
 
-// Refusal is why a Guard refuses a command. The list is complete.
+// Refusal is why a Guard refuses a command. There are no other refusals than
+// the constants below.
 type Refusal uint8
 
 // The refusals.
@@ -102,10 +103,10 @@
 // attemptRecord is a Guard's record of one attempt.
 type attemptRecord struct {
 	phase phase
-	// acknowledged reports whether the owner has committed the end. forgetAfter
-	// is then the highest command that the owner had issued.
+	// acknowledged reports whether the owner has committed the end. dropAfter
+	// is then the position of the last command that the owner had issued.
 	acknowledged bool
-	forgetAfter  Position
+	dropAfter    Position
 }
 
 // Guard decides, on a worker, which commands are executed. It is not safe for
@@ -123,9 +124,9 @@
 	return &Guard{incarnation: incarnation, attempts: map[Attempt]*attemptRecord{}}
 }
 
-// Restart begins a higher incarnation. The caller must have stopped all tasks.
-// The attempt records are dropped: commands of the old incarnation, against which
-// they guarded, are now refused by their incarnation.
+// Restart starts a higher incarnation. The caller must have stopped all tasks.
+// The attempt records are dropped: commands of the old incarnation, against
+// which they guarded, are now refused by their incarnation.
 func (g *Guard) Restart(incarnation uint64) {
 	invariant(incarnation > g.incarnation, "incarnation %d is not higher than %d", incarnation, g.incarnation)
 	*g = *NewGuard(incarnation)
@@ -148,7 +149,7 @@
 //
 // A renewal that carries the leader's own term proves that no command of an
 // earlier term will be accepted any more. Only an announcement sent with such a
-// renewal tells the leader which attempts may still start.
+// renewal shows the leader which attempts may still start.
 func (g *Guard) ObserveTerm(term uint64) error {
 	if term < g.position.Term {
 		return ErrOldTerm
@@ -269,7 +270,7 @@
 			continue
 		}
 		record.acknowledged = true
-		record.forgetAfter = until
+		record.dropAfter = until
 		g.acknowledged++
 	}
 	// The acknowledgement was sent by the leader of until.Term.
@@ -277,18 +278,18 @@
 		g.advance(Position{Term: until.Term})
 		return
 	}
-	g.dropForgettable()
+	g.dropObsoleteRecords()
 }
 
 // Running returns the running attempts, sorted, for an announcement.
 func (g *Guard) Running() []Attempt {
-	return g.attemptsWhere(func(m *attemptRecord) bool { return m.phase == running })
+	return g.attemptsWhere(func(record *attemptRecord) bool { return record.phase == running })
 }
 
 // Unacknowledged returns, sorted, the ended and stopped attempts whose reports
 // the owner has not acknowledged.
 func (g *Guard) Unacknowledged() []Attempt {
-	return g.attemptsWhere(func(m *attemptRecord) bool { return m.phase != running && !m.acknowledged })
+	return g.attemptsWhere(func(record *attemptRecord) bool { return record.phase != running && !record.acknowledged })
 }
 
 // AttemptCount returns the number of recorded attempts.
@@ -334,17 +335,17 @@
 func (g *Guard) advance(to Position) {
 	invariant(to.Compare(g.position) > 0, "the guard's position moved back")
 	g.position = to
-	g.dropForgettable()
+	g.dropObsoleteRecords()
 }
 
-// dropForgettable drops the acknowledged attempts all of whose commands are
-// refused by position.
-func (g *Guard) dropForgettable() {
+// dropObsoleteRecords drops the records of acknowledged attempts all of whose
+// commands are refused by position.
+func (g *Guard) dropObsoleteRecords() {
 	if g.acknowledged == 0 {
 		return
 	}
 	for a, record := range g.attempts {
-		if record.acknowledged && record.forgetAfter.Compare(g.position) <= 0 {
+		if record.acknowledged && record.dropAfter.Compare(g.position) <= 0 {
 			delete(g.attempts, a)
 			g.acknowledged--
 		}
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -40,12 +40,13 @@
 // RecordGranted records the owner's answer to a renewal, received at now. The
 // lease lasts for ttl from when that renewal was sent.
 //
-// Guards against two faults. If the answer takes longer than the lease, a worker
-// that counts from its arrival runs on after the owner has declared the lease
-// over and started the tasks elsewhere. And a process that was stopped past the
-// end of its lease may first see the answer of a new leader, which doesn't know
-// that the previous leader declared the lease over; accepting it would let the
-// tasks run on. A lease can therefore be extended only while it is held.
+// Guards against two faults. If the answer takes longer than the lease, a
+// worker that counts from its arrival still runs its tasks after the owner has
+// declared the lease ended and started the tasks elsewhere. And a process that
+// was stopped past the end of its lease may first see the answer of a new
+// leader, which doesn't know that the previous leader declared the lease ended;
+// accepting it would let the tasks continue. A lease can therefore be extended
+// only while it is held.
 //
 // Duplicated and reordered answers never change the end of the lease. The caller
 // must not process commands from an answer if Valid is false after RecordGranted.
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -23,9 +23,10 @@
 // task is the attempt that most tests use.
 var task = lease.Attempt{Job: "folio", Attempt: 1}
 
-// A task runs on after it was started elsewhere. The worker's process is paused,
-// its lease expires, and the owner declares it over and dies. The process resumes
-// and renews, and the new leader, which doesn't know of the end, grants.
+// A task still runs after it was started elsewhere. The worker's process is
+// paused, its lease expires, and the owner declares it ended and dies. The
+// process resumes and renews, and the new leader, which doesn't know of the
+// end, grants.
 func TestGrantAfterExpiryIsIgnored(t *testing.T) {
 	for _, sentAt := range []float64{9, 13} {
 		var h lease.Holder
@@ -38,8 +39,8 @@
 	}
 }
 
-// A task runs on after it was started elsewhere: the answer to a renewal takes
-// longer than the lease, and the worker counts from its arrival.
+// A task still runs after it was started elsewhere: the answer to a renewal
+// takes longer than the lease, and the worker counts from its arrival.
 func TestLeaseCountsFromSending(t *testing.T) {
 	var h lease.Holder
 	h.RecordSent(1, at(0))
@@ -84,8 +85,9 @@
 	must.True(t, table.Fenced("w", 3))
 }
 
-// A task runs twice: its worker's lease was declared over, the task was started
-// elsewhere, and a delayed renewal makes the old incarnation live again.
+// A task runs twice: its worker's lease was declared ended, the task was
+// started elsewhere, and a delayed renewal makes the old incarnation live
+// again.
 func TestEndedIncarnationStaysEnded(t *testing.T) {
 	table := lease.NewTable(ttl, drift)
 	table.Renew("w", 3, 1, at(0))
@@ -105,22 +107,22 @@
 
 // A new leader starts a task elsewhere that a worker of the previous leader still
 // runs.
-func TestNewLeaderWaitsForUnheardWorkers(t *testing.T) {
+func TestNewLeaderWaitsForWorkersThatHaveNotRenewed(t *testing.T) {
 	table := lease.NewTable(ttl, drift)
-	table.TakeOver(at(100), []string{"heard", "silent"})
-	table.RecordIncarnation("heard", 6)
-	table.RecordIncarnation("silent", 6)
-	must.True(t, table.Renew("heard", 5, 1, at(101)).Stale, must.Sprint("incarnation 6 is committed"))
-	must.False(t, table.Live("heard", at(101)))
-	must.True(t, table.Renew("heard", 6, 1, at(101)).Unknown)
-	must.True(t, table.Live("heard", at(101)))
-	must.False(t, table.Fenced("silent", 6))
+	table.TakeOver(at(100), []string{"renewed", "unresponsive"})
+	table.RecordIncarnation("renewed", 6)
+	table.RecordIncarnation("unresponsive", 6)
+	must.True(t, table.Renew("renewed", 5, 1, at(101)).Stale, must.Sprint("incarnation 6 is committed"))
+	must.False(t, table.Live("renewed", at(101)))
+	must.True(t, table.Renew("renewed", 6, 1, at(101)).Unknown)
+	must.True(t, table.Live("renewed", at(101)))
+	must.False(t, table.Fenced("unresponsive", 6))
 	must.SliceEmpty(t, table.Expired(at(111.9)))
 	next, open := table.NextExpiry()
 	must.True(t, open)
 	must.Eq(t, at(112), next)
-	must.Eq(t, []string{"silent"}, table.Expired(at(112)))
-	must.True(t, table.Fenced("silent", 6))
+	must.Eq(t, []string{"unresponsive"}, table.Expired(at(112)))
+	must.True(t, table.Fenced("unresponsive", 6))
 	must.False(t, table.Fenced("never seen", 1))
 }
 
--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -28,7 +28,7 @@
 	attempt lease.Attempt
 }
 
-// message is a message in flight. kind tells which fields are set.
+// message is a message in flight. kind determines which fields are set.
 type message struct {
 	kind        string
 	worker      int
@@ -271,7 +271,7 @@
 }
 
 // commitLost commits the attempts of fenced incarnations as lost, so that their
-// tasks are tried elsewhere.
+// tasks can start elsewhere.
 func (w *model) commitLost() {
 	for _, r := range w.records {
 		if r.state == "assigned" && w.table.Fenced(names(3)[r.worker], r.incarnation) {
--- a/lease/seed_test.go
+++ b/lease/seed_test.go
@@ -2,5 +2,6 @@
 
 import "flag"
 
-// A fixed seed gives every run the same result. -rapid.seed=0 draws a new one.
+// init fixes the seed, so that every run gives the same result. The flag
+// -rapid.seed=0 draws a new seed for each run.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/lease/table.go
+++ b/lease/table.go
@@ -20,7 +20,7 @@
 	// owner needs the worker's announcement.
 	Unknown bool
 	// Ended reports whether the lease of this incarnation has been declared
-	// over. The worker must stop all tasks and return with a higher
+	// ended. The worker must stop all tasks and return with a higher
 	// incarnation.
 	Ended bool
 }
@@ -41,7 +41,7 @@
 	expiresAt time.Duration
 	// granted reports whether this table has granted a lease.
 	granted bool
-	// ended reports whether the lease was declared over; that can't be undone
+	// ended reports whether the lease was declared ended; that can't be undone
 	// for the same incarnation.
 	ended bool
 }
@@ -57,8 +57,8 @@
 
 // NewTable returns an empty table that grants leases for ttl. drift is the most
 // that a worker's clock may lose against the owner's over ttl+drift. If ttl is
-// lowered between two leaders, the new one must use the old ttl until the leases
-// of the previous leader are over.
+// lowered between two leaders, the new one must use the old ttl until the
+// leases of the previous leader have expired.
 func NewTable(ttl, drift time.Duration) *Table {
 	return &Table{ttl: ttl, drift: drift, workers: map[string]*leaseRecord{}}
 }
@@ -72,11 +72,11 @@
 // caller has become the only one that may decide.
 //
 // Guards against running a task twice: a new leader that considers a worker
-// free because it has not heard from it would start the worker's tasks
-// elsewhere, while the worker runs on under a lease that the previous leader
-// granted a moment ago. Each worker is therefore assumed to hold a lease until
-// now+ttl+drift; the package comment says why that is enough. A worker that
-// renews here is live at once.
+// free because it has received no renewal would start the worker's tasks
+// elsewhere, while the worker still runs them under a lease that the previous
+// leader granted a moment ago. Each worker is therefore assumed to hold a lease
+// until now+ttl+drift; the package comment says why that is enough. A worker
+// that renews here is live immediately.
 func (t *Table) TakeOver(now time.Duration, workers []string) {
 	t.advanceClock(now)
 	for _, w := range workers {
@@ -104,8 +104,8 @@
 // Guards against three faults: a duplicated renewal extends the lease of a dead
 // worker again and again; a renewal that arrives after its worker's restart
 // brings the old incarnation back; a renewal that arrives after the lease was
-// declared over makes the incarnation live again, although its attempts may run
-// elsewhere by then. A renewal therefore counts only once, only if its
+// declared ended makes the incarnation live again, although its attempts may
+// run elsewhere by then. A renewal therefore counts only once, only if its
 // (incarnation, sequence) is higher than any before, and not for an incarnation
 // that has ended.
 func (t *Table) Renew(worker string, incarnation, sequence uint64, now time.Duration) Renewal {
@@ -193,7 +193,7 @@
 }
 
 // Fenced reports whether it is proven that no attempt of a worker's incarnation
-// runs or can start: the lease was declared over, or the worker announced a
+// runs or can start: the lease was declared ended, or the worker announced a
 // higher incarnation. An unknown worker is no proof.
 func (t *Table) Fenced(worker string, incarnation uint64) bool {
 	record := t.workers[worker]
@@ -216,9 +216,9 @@
 	return true
 }
 
-// Forget deletes the record of a worker that is gone for good. Don't call it
-// while a delayed renewal may still be in flight: the renewal would bring the
-// worker back for one ttl.
+// Forget deletes the record of a worker that never returns. Don't call it while
+// a delayed renewal may still be in flight: the renewal would bring the worker
+// back for one ttl.
 func (t *Table) Forget(worker string) {
 	delete(t.workers, worker)
 }
