--- a/placement/arrivals/generate.go
+++ b/placement/arrivals/generate.go
@@ -68,7 +68,7 @@
 	Peak placement.Resources
 }
 
-// epoch is the wall clock time at which a simulation begins.
+// epoch is the wall clock time at which a simulation starts.
 var epoch = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
 // namesPerCustomer is the number of recurring jobs of each customer.
@@ -186,16 +186,16 @@
 // newArrival draws one job. Its deadline is relative to the zero time until
 // resolveTimes.
 func (g *generator) newArrival(n int) Arrival {
-	k := g.templates[g.rand.IntN(len(g.templates))]
-	run := time.Duration(math.Exp(g.rand.NormFloat64()*0.25) * float64(k.median))
+	template := g.templates[g.rand.IntN(len(g.templates))]
+	run := time.Duration(math.Exp(g.rand.NormFloat64()*0.25) * float64(template.median))
 	run = min(max(run, 5*time.Second), time.Hour)
 	j := placement.Job{
 		ID:         fmt.Sprintf("j%06d", n),
-		Customer:   fmt.Sprintf("c%03d", k.customer),
-		Name:       k.name,
+		Customer:   fmt.Sprintf("c%03d", template.customer),
+		Name:       template.name,
 		Policy:     placement.Batch,
 		Tasks:      1 + int(g.rand.ExpFloat64()*6),
-		Need:       k.need,
+		Need:       template.need,
 		Idempotent: g.rand.Float64() >= g.workload.NotIdempotent,
 	}
 	draw := g.rand.Float64()
@@ -213,9 +213,9 @@
 		j.Tasks = 4 + g.rand.IntN(13)
 		slack += 30 * time.Minute
 	}
-	j.Runtime = g.declaredRuntime(run, k.declarationBias)
+	j.Runtime = g.declaredRuntime(run, template.declarationBias)
 	j.Deadline = time.Time{}.Add(run + slack)
-	peak := placement.Resources{CPU: int64(float64(j.Need.CPU) * k.peakRatio), Memory: int64(float64(j.Need.Memory) * k.peakRatio)}
+	peak := placement.Resources{CPU: int64(float64(j.Need.CPU) * template.peakRatio), Memory: int64(float64(j.Need.Memory) * template.peakRatio)}
 	return Arrival{Job: j, ActualRuntime: run, Peak: peak}
 }
 
--- a/placement/arrivals/measure_test.go
+++ b/placement/arrivals/measure_test.go
@@ -115,10 +115,10 @@
 			workload.TightDeadlines = 0
 			workload.UrgentNeed = resources(4, 8)
 			base := run(site, workload, placement.BaselineOptions())
-			own := run(site, workload, placement.DefaultOptions())
+			scheduled := run(site, workload, placement.DefaultOptions())
 			fmt.Printf("%s seed %d baseline urgent p50 %v p99 %v | placement urgent p50 %v p99 %v preempted %d missed %.3f%% refused %.2f%%\n",
 				site.Name, seed, base.Urgent.Quantile(0.5), base.Urgent.Quantile(0.99),
-				own.Urgent.Quantile(0.5), own.Urgent.Quantile(0.99), own.preempted, 100*own.MissRate(), 100*own.RefusalRate())
+				scheduled.Urgent.Quantile(0.5), scheduled.Urgent.Quantile(0.99), scheduled.preempted, 100*scheduled.MissRate(), 100*scheduled.RefusalRate())
 		}
 	}
 }
@@ -154,8 +154,8 @@
 			quarantineOff.NoQuarantine = true
 			base := run(site, workload, placement.BaselineOptions(), faults...)
 			unquarantined := run(site, workload, quarantineOff, faults...)
-			own := run(site, workload, placement.DefaultOptions(), faults...)
-			for name, r := range map[string]*Report{"baseline": base, "no quarantine": unquarantined, "placement": own} {
+			scheduled := run(site, workload, placement.DefaultOptions(), faults...)
+			for name, r := range map[string]*Report{"baseline": base, "no quarantine": unquarantined, "placement": scheduled} {
 				fmt.Printf("%s seed %d %-13s failures %d missed %.3f%% %v refused %.2f%%\n", site.Name, seed, name, r.failures, 100*r.MissRate(), r.missed, 100*r.RefusalRate())
 			}
 		}
--- a/placement/arrivals/replay.go
+++ b/placement/arrivals/replay.go
@@ -52,7 +52,7 @@
 const (
 	eventArrival eventKind = iota
 	eventEnd
-	eventLearn
+	eventSample
 	eventWake
 )
 
@@ -226,7 +226,7 @@
 		return r.handleArrival(e.job)
 	case eventEnd:
 		return r.endAttempt(e)
-	case eventLearn:
+	case eventSample:
 		r.reportSample(e.job)
 		return false
 	default:
@@ -238,12 +238,12 @@
 func (r *replay) handleArrival(j *job) bool {
 	r.jobs[j.arrival.Job.ID] = j
 	begin := r.stopwatchTime()
-	v := r.cluster.Admit(j.arrival.Job, r.wallClock(), placement.Resources{CPU: -1, Memory: -1, Accelerators: -1})
+	decision := r.cluster.Admit(j.arrival.Job, r.wallClock(), placement.Resources{CPU: -1, Memory: -1, Accelerators: -1})
 	r.report.recordAdmission(r.stopwatchTime() - begin)
 	r.report.submitted++
-	if !v.Admitted {
+	if !decision.Admitted {
 		j.refused = true
-		r.report.recordRefusal(j, v)
+		r.report.recordRefusal(j, decision)
 		return false
 	}
 	j.tasks = make([]task, j.arrival.Job.Tasks)
@@ -390,7 +390,7 @@
 		r.cluster.ReportSuccess(t.worker, id, r.wallClock())
 		j.windowWork = j.windowWork.plus(r.workInWindow(j, t.started))
 		r.completeTask(j)
-		r.schedule(event{at: r.now + reportLag, kind: eventLearn, job: j})
+		r.schedule(event{at: r.now + reportLag, kind: eventSample, job: j})
 	}
 	return true
 }
--- a/placement/arrivals/report.go
+++ b/placement/arrivals/report.go
@@ -121,10 +121,10 @@
 }
 
 // recordRefusal counts a job that was refused at submission.
-func (r *Report) recordRefusal(j *job, v placement.AdmissionDecision) {
-	r.refused[v.Reason]++
+func (r *Report) recordRefusal(j *job, decision placement.AdmissionDecision) {
+	r.refused[decision.Reason]++
 	r.refusedBy[j.arrival.Job.Customer]++
-	if v.RetryAfter == 0 {
+	if decision.RetryAfter == 0 {
 		r.refusedWithoutRetry++
 	}
 	if j.arrival.At < time.Hour {
