--- a/placement/estimate.go
+++ b/placement/estimate.go
@@ -110,11 +110,11 @@
 	if s.Declared <= 0 || s.Measured < 0 {
 		return
 	}
-	c.estimator.learn(s)
+	c.estimator.addSample(s)
 }
 
-// learn adds a sample to the histories of its customer and its job name.
-func (m *estimator) learn(s Sample) {
+// addSample adds a sample to the histories of its customer and its job name.
+func (m *estimator) addSample(s Sample) {
 	customerHist, found := m.customers[s.Customer]
 	if !found {
 		customerHist = &customerHistory{all: newHistory(), names: map[string]*runtimeHistory{}}
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -85,8 +85,9 @@
 	return a.job.ID < b.job.ID
 }
 
-// shape is the equivalence class of entries that fit or do not fit together:
-// the need of one task and, for gangs, the number of tasks.
+// shape is an equivalence class of entries: at any time either all of them fit
+// on the workers or none does. It is the need of one task and, for gangs, the
+// number of tasks.
 type shape struct {
 	need Resources
 	gang int
--- a/quota/demand_test.go
+++ b/quota/demand_test.go
@@ -35,7 +35,9 @@
 
 // strategy is one way of adapting allotments to demand.
 type strategy struct {
-	name         string
+	name string
+	// pool lets every data centre start tasks up to the limit of the customer
+	// over all data centres. static never transfers slots.
 	pool, static bool
 	// proportional sets shares by demand, which all data centres exchange each
 	// epoch. The other strategies request their shortfall.
@@ -189,6 +191,7 @@
 	}
 	for customer := range simCustomers {
 		currentDemand := float64(c.used[customer]) + float64(len(c.queue[customer]))*taskCPU
+		// The newest value has a weight of 0.02 in the moving average.
 		c.demand[customer] += 0.02 * (currentDemand - c.demand[customer])
 	}
 	if m.proportional {
--- a/routing/types.go
+++ b/routing/types.go
@@ -66,11 +66,11 @@
 	// holds.
 	Full    bool
 	Demands []ServiceDemand
-	// Loads lists the minions with requests in flight, by their numbers of Term.
+	// Loads lists the minions with requests in flight, by their numbers in Term.
 	Loads  []MinionLoad
 	Claims []Claim
 	// Alive lists the minions that announced themselves since the last request,
-	// by their numbers of Term.
+	// by their numbers in Term.
 	Alive []uint32
 	// Announcements lists the announcements that the leader may not have.
 	Announcements []Announcement
