--- a/placement/queue.go
+++ b/placement/queue.go
@@ -85,8 +85,9 @@
 	return a.job.ID < b.job.ID
 }
 
-// shape is the equivalence class of entries that fit or do not fit together:
-// the need of one task and, for gangs, the number of tasks.
+// shape is an equivalence class of entries: at any time either all of them fit
+// on the workers or none does. It is the need of one task and, for gangs, the
+// number of tasks.
 type shape struct {
 	need Resources
 	gang int
@@ -135,7 +136,7 @@
 	class      class
 	shapeState *shapeState
 	entries    *btree.BTreeG[*entry]
-	// doneEval is the last evaluation that gave up on the subqueue.
+	// doneEval is the last evaluation that stopped serving the subqueue.
 	doneEval uint64
 	// cursor is the position of the evaluation numbered cursorEval.
 	cursor     *entry
