--- a/internal/cell/operations.go
+++ b/internal/cell/operations.go
@@ -21,9 +21,9 @@
 
 // Bounds of lists and long polls.
 const (
-	maxEvents        = 5000
-	maxFetchLongPoll = 20 * time.Second
-	defaultVersions  = 20
+	maxEvents           = 5000
+	maxFetchLongPoll    = 20 * time.Second
+	defaultHistoryLimit = 20
 )
 
 // Workers lists the workers of this data centre.
@@ -156,7 +156,7 @@
 	}
 	limit := int(r.Limit)
 	if limit <= 0 {
-		limit = defaultVersions
+		limit = defaultHistoryLimit
 	}
 	response := &apiv1.ConfigHistoryResponse{}
 	for _, version := range c.register.History(limit) {
--- a/internal/cell/scheduler.go
+++ b/internal/cell/scheduler.go
@@ -24,7 +24,7 @@
 // Bounds of long polls and lists.
 const (
 	maxWatchLongPoll = 20 * time.Second
-	defaultList      = 1000
+	maxListedJobs    = 1000
 	handoverWait     = time.Second
 )
 
@@ -333,8 +333,8 @@
 		return strings.Compare(a.Id, b.Id)
 	})
 	limit := int(r.Limit)
-	if limit <= 0 || limit > defaultList {
-		limit = defaultList
+	if limit <= 0 || limit > maxListedJobs {
+		limit = maxListedJobs
 	}
 	response.Jobs = response.Jobs[:min(limit, len(response.Jobs))]
 	return response
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -28,9 +28,9 @@
 
 // Time limits of the calls that an entry instance forwards.
 const (
-	// electionTimeout is how long a forwarded call searches for a leader. It covers
+	// leaderSearchTimeout is how long a forwarded call searches for a leader. It covers
 	// an election and the first round of the new leader.
-	electionTimeout = 4 * time.Second
+	leaderSearchTimeout = 4 * time.Second
 	// holdMargin is how much longer a held call may take than the leader may hold
 	// it.
 	holdMargin = 500 * time.Millisecond
--- a/internal/entry/gateway.go
+++ b/internal/entry/gateway.go
@@ -26,7 +26,7 @@
 	}
 	hold := min(time.Duration(r.HoldMs)*time.Millisecond, time.Duration(e.base.Settings.Timing.RenewHold))
 	holdUntil := time.Now().Add(hold)
-	options := directory.CallOptions{SearchTimeout: electionTimeout, AttemptTimeout: hold + holdMargin}
+	options := directory.CallOptions{SearchTimeout: leaderSearchTimeout, AttemptTimeout: hold + holdMargin}
 	ctx, cancel := e.cancelOnDrain(ctx)
 	defer cancel()
 	return forward(ctx, e, e.base.Instance.DataCentre, options, func(ctx context.Context, c clients) (*apiv1.RenewResponse, error) {
@@ -56,7 +56,7 @@
 	if _, err := rpc.Require(ctx, settings.Worker); err != nil {
 		return nil, err
 	}
-	return forward(ctx, e, e.base.Instance.DataCentre, directory.CallOptions{SearchTimeout: electionTimeout}, func(ctx context.Context, c clients) (*apiv1.ReportResponse, error) {
+	return forward(ctx, e, e.base.Instance.DataCentre, directory.CallOptions{SearchTimeout: leaderSearchTimeout}, func(ctx context.Context, c clients) (*apiv1.ReportResponse, error) {
 		return c.workers.Report(ctx, r)
 	})
 }
@@ -67,7 +67,7 @@
 	if _, err := rpc.Require(ctx, settings.Worker); err != nil {
 		return nil, err
 	}
-	return forward(ctx, e, e.base.Instance.DataCentre, directory.CallOptions{SearchTimeout: electionTimeout}, func(ctx context.Context, c clients) (*apiv1.LeaveResponse, error) {
+	return forward(ctx, e, e.base.Instance.DataCentre, directory.CallOptions{SearchTimeout: leaderSearchTimeout}, func(ctx context.Context, c clients) (*apiv1.LeaveResponse, error) {
 		return c.workers.LeaveWorker(ctx, r)
 	})
 }
--- a/internal/entry/operations.go
+++ b/internal/entry/operations.go
@@ -35,7 +35,7 @@
 		if !e.base.Directory.HasDataCentre(r.DataCentre) {
 			return nil, fault.Field("data_centre", "no data centre %q", r.DataCentre)
 		}
-		return forward(ctx, e, r.DataCentre, directory.CallOptions{SearchTimeout: electionTimeout}, listWorkers)
+		return forward(ctx, e, r.DataCentre, directory.CallOptions{SearchTimeout: leaderSearchTimeout}, listWorkers)
 	}
 	responses, unreachable, err := fanOut(ctx, e, listWorkers)
 	if err != nil {
@@ -60,7 +60,7 @@
 	}
 	var lookupErr error
 	for _, name := range names {
-		response, err := forward(ctx, e, name, directory.CallOptions{SearchTimeout: electionTimeout}, func(ctx context.Context, c clients) (*apiv1.DrainResponse, error) {
+		response, err := forward(ctx, e, name, directory.CallOptions{SearchTimeout: leaderSearchTimeout}, func(ctx context.Context, c clients) (*apiv1.DrainResponse, error) {
 			return c.operations.Drain(ctx, r)
 		})
 		if err == nil {
@@ -133,7 +133,7 @@
 	for _, group := range groups {
 		request := proto.Clone(r).(*apiv1.ReplaceInstanceRequest)
 		request.Configuration = group == directory.Configuration
-		options := directory.CallOptions{SearchTimeout: electionTimeout, AttemptTimeout: replaceAttemptTimeout}
+		options := directory.CallOptions{SearchTimeout: leaderSearchTimeout, AttemptTimeout: replaceAttemptTimeout}
 		response, err := forward(ctx, e, group, options, func(ctx context.Context, c clients) (*apiv1.ReplaceInstanceResponse, error) {
 			return c.operations.ReplaceInstance(ctx, request)
 		})
--- a/internal/entry/scheduler.go
+++ b/internal/entry/scheduler.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	options := directory.CallOptions{SearchTimeout: electionTimeout, AttemptTimeout: submitAttemptTimeout}
+	options := directory.CallOptions{SearchTimeout: leaderSearchTimeout, AttemptTimeout: submitAttemptTimeout}
 	return forward(ctx, e, home, options, func(ctx context.Context, c clients) (*apiv1.SubmitResponse, error) {
 		return c.scheduler.Submit(ctx, r)
 	})
@@ -84,7 +84,7 @@
 	if r.Id == "" {
 		return e.listJobs(ctx, r)
 	}
-	return callOwner(ctx, e, r.Id, directory.CallOptions{SearchTimeout: electionTimeout}, func(ctx context.Context, c clients) (*apiv1.StatusResponse, error) {
+	return callOwner(ctx, e, r.Id, directory.CallOptions{SearchTimeout: leaderSearchTimeout}, func(ctx context.Context, c clients) (*apiv1.StatusResponse, error) {
 		return c.scheduler.Status(ctx, r)
 	})
 }
@@ -93,7 +93,7 @@
 // returns its status.
 func (e *Entry) Watch(ctx context.Context, r *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
 	hold := time.Duration(r.WaitMs) * time.Millisecond
-	options := directory.CallOptions{SearchTimeout: electionTimeout, AttemptTimeout: hold + directory.AttemptTimeout}
+	options := directory.CallOptions{SearchTimeout: leaderSearchTimeout, AttemptTimeout: hold + directory.AttemptTimeout}
 	return callOwner(ctx, e, r.Id, options, func(ctx context.Context, c clients) (*apiv1.StatusResponse, error) {
 		return c.scheduler.Watch(ctx, r)
 	})
@@ -204,7 +204,7 @@
 	for owner, ids := range owners {
 		request := proto.Clone(r).(*apiv1.CancelRequest)
 		request.Ids = ids
-		options := directory.CallOptions{SearchTimeout: electionTimeout}
+		options := directory.CallOptions{SearchTimeout: leaderSearchTimeout}
 		response, err := forward(ctx, e, owner, options, func(ctx context.Context, c clients) (*apiv1.CancelResponse, error) {
 			return c.scheduler.Cancel(ctx, request)
 		})
@@ -223,7 +223,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return forward(ctx, e, owner, directory.CallOptions{SearchTimeout: electionTimeout}, func(ctx context.Context, c clients) (*apiv1.ScaleResponse, error) {
+	return forward(ctx, e, owner, directory.CallOptions{SearchTimeout: leaderSearchTimeout}, func(ctx context.Context, c clients) (*apiv1.ScaleResponse, error) {
 		return c.scheduler.Scale(ctx, r)
 	})
 }
@@ -234,7 +234,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return forward(ctx, e, owner, directory.CallOptions{SearchTimeout: electionTimeout}, func(ctx context.Context, c clients) (*apiv1.ExplainResponse, error) {
+	return forward(ctx, e, owner, directory.CallOptions{SearchTimeout: leaderSearchTimeout}, func(ctx context.Context, c clients) (*apiv1.ExplainResponse, error) {
 		return c.scheduler.Explain(ctx, r)
 	})
 }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -53,7 +53,7 @@
 // Guards against membership changes although nothing is wrong: an instance has just
 // become the leader and hasn't heard from any member yet. The time before that must not
 // count.
-func TestNewLeaderDoesNotReplaceVotersItHasNotHeardFrom(t *testing.T) {
+func TestNewLeaderDoesNotReplaceVotersBeforeTheyAnnounce(t *testing.T) {
 	h := New(Config{ID: "own", Voters: 3, Logger: log.NewNopLogger()}, link.NewClient(100), link.NewMux())
 	now := time.Now()
 	h.liveness.setLeading(true, now)
@@ -61,7 +61,7 @@
 	must.Nil(t, members)
 }
 
-func TestInitialMembersAreKept(t *testing.T) {
+func TestInitialMembersSurviveRestart(t *testing.T) {
 	folder := t.TempDir()
 	first := New(Config{ID: "10.0.0.1", Port: "7", Seeds: []string{"10.0.0.1", "10.0.0.2"}, First: true, Folder: folder, Logger: log.NewNopLogger()}, link.NewClient(100), link.NewMux())
 	members, err := first.initialMembers(t.Context())
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -165,7 +165,7 @@
 // cancelTicket ends the ticket of a caller that disconnected while the call was
 // queued.
 func (c *call) cancelTicket() {
-	c.h.stats.callersGone.Add(1)
+	c.h.stats.callersDisconnected.Add(1)
 	c.h.withBalancer(func(b *routing.Balancer, now time.Duration) {
 		b.Cancel(c.ticket, now)
 		b.Finish(c.ticket, routing.LeaseEnded, now)
@@ -265,14 +265,14 @@
 
 // failureOutcome returns the outcome of an attempt without a complete response.
 func (c *call) failureOutcome(ctx context.Context, guard *writeGuard) routing.Outcome {
-	callerGone := c.r.Context().Err() != nil
+	callerDisconnected := c.r.Context().Err() != nil
 	wrote := guard.wrote()
 	switch {
-	case !wrote && (callerGone || guard.expiredUnsent()):
+	case !wrote && (callerDisconnected || guard.expiredUnsent()):
 		return routing.LeaseEnded
 	case !wrote:
 		return routing.NotSent
-	case callerGone:
+	case callerDisconnected:
 		return routing.Abandoned
 	case ctx.Err() != nil:
 		return routing.TimedOut
@@ -285,11 +285,11 @@
 // a retry, which is safe if no byte of the request was written or the request is
 // idempotent.
 func (c *call) finishOrRetry(o routing.Outcome, wrote bool) (done bool) {
-	callerGone := c.r.Context().Err() != nil
+	callerDisconnected := c.r.Context().Err() != nil
 	retried := false
 	c.h.withBalancer(func(b *routing.Balancer, now time.Duration) {
 		b.Finish(c.ticket, o, now)
-		if !callerGone && (!wrote || c.request.Idempotent) {
+		if !callerDisconnected && (!wrote || c.request.Idempotent) {
 			retried = b.Retry(c.ticket, o, now)
 		}
 	})
@@ -297,8 +297,8 @@
 		c.h.stats.retries.Add(1)
 		return false
 	}
-	if callerGone {
-		c.h.stats.callersGone.Add(1)
+	if callerDisconnected {
+		c.h.stats.callersDisconnected.Add(1)
 		panic(http.ErrAbortHandler)
 	}
 	c.answerFailure()
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -259,12 +259,12 @@
 		<-r.Context().Done()
 		close(cancelled)
 	}))
-	ctx, hangUp := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, cluster.server.URL+Prefix+testService+"/x", nil)
 	must.NoError(t, err)
 	go func() {
 		<-started
-		hangUp()
+		disconnect()
 	}()
 	_, err = http.DefaultClient.Do(req)
 	must.ErrorIs(t, err, context.Canceled)
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -20,11 +20,11 @@
 
 // stats holds the counters and waiting times of a Handler.
 type stats struct {
-	requests    atomic.Uint64
-	answered    atomic.Uint64
-	retries     atomic.Uint64
-	callersGone atomic.Uint64
-	aborted     atomic.Uint64
+	requests            atomic.Uint64
+	answered            atomic.Uint64
+	retries             atomic.Uint64
+	callersDisconnected atomic.Uint64
+	aborted             atomic.Uint64
 
 	mu     sync.Mutex
 	faults map[string]uint64
@@ -90,7 +90,7 @@
 		Requests:    h.stats.requests.Load(),
 		Answered:    h.stats.answered.Load(),
 		Retries:     h.stats.retries.Load(),
-		CallersGone: h.stats.callersGone.Load(),
+		CallersGone: h.stats.callersDisconnected.Load(),
 		Aborted:     h.stats.aborted.Load(),
 		Faults:      make(map[string]uint64),
 	}
