--- a/internal/cell/admit_test.go
+++ b/internal/cell/admit_test.go
@@ -30,7 +30,7 @@
 }
 
 // Guards against accepted jobs that miss their deadline though nothing failed. Two jobs
-// arrive at once, each would take all workers until its deadline, and both are
+// arrive together, each would take all workers until its deadline, and both are
 // evaluated before either is committed. They must not be admitted on the same free
 // capacity.
 func TestConcurrentSubmissionsReserveCapacity(t *testing.T) {
--- a/internal/cell/gateway.go
+++ b/internal/cell/gateway.go
@@ -26,7 +26,8 @@
 	return t, nil
 }
 
-// Renew registers a worker or renews its lease, and is held until there are commands.
+// Renew registers a worker or renews its lease. The call is held until there are
+// commands or its hold time ends.
 func (c *Cell) Renew(ctx context.Context, r *apiv1.RenewRequest) (*apiv1.RenewResponse, error) {
 	received := c.monotonic()
 	if _, err := rpc.Require(ctx, settings.Worker); err != nil {
--- a/internal/cell/handover.go
+++ b/internal/cell/handover.go
@@ -24,8 +24,7 @@
 	// probeTimeout bounds the query whether another data centre would accept a job. The
 	// caller of the submission waits for it.
 	probeTimeout = 400 * time.Millisecond
-	// unreachableRetryDelay is how long probes skip a data centre that didn't
-	// answer.
+	// unreachableRetryDelay is how long probes skip a data centre that didn't answer.
 	unreachableRetryDelay = 5 * time.Second
 )
 
--- a/internal/cell/leader_term.go
+++ b/internal/cell/leader_term.go
@@ -41,8 +41,7 @@
 	cluster  *placement.Cluster
 	leases   *lease.Table
 	outboxes map[string]*outbox
-	// unreachableUntil is, by data centre, until when probes skip an unreachable
-	// one.
+	// unreachableUntil holds, by data centre, the time until which probes skip it.
 	unreachableUntil map[string]time.Time
 
 	wake chan struct{}
@@ -58,7 +57,7 @@
 	planner   *quota.Planner
 }
 
-// wakeUp makes the leader's loop start its next round at once.
+// wakeUp makes the leader's loop start its next round immediately.
 func (t *leaderTerm) wakeUp() {
 	select {
 	case t.wake <- struct{}{}:
--- a/internal/cell/machine.go
+++ b/internal/cell/machine.go
@@ -17,7 +17,7 @@
 	state *state.State
 	// changed is closed and replaced after each applied command.
 	changed chan struct{}
-	// collect keeps changes for the leader's caches; false on followers.
+	// collect is true while this replica leads and its caches need the changes.
 	collect bool
 	pending state.Changes
 	events  *event.Recorder
--- a/internal/cell/outbox.go
+++ b/internal/cell/outbox.go
@@ -83,8 +83,8 @@
 	return box
 }
 
-// wakeHeldRenewals ends every held renewal of the leader term, so that workers look for
-// the next leader at once.
+// wakeHeldRenewals ends every held renewal of the leader term, so that workers
+// search for the next leader immediately.
 func (t *leaderTerm) wakeHeldRenewals() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/cell/quota.go
+++ b/internal/cell/quota.go
@@ -88,9 +88,9 @@
 	}
 }
 
-// customerLimit returns what a customer may use in all data centres together. That
-// bounds a job for good; what the allotment of this data centre lacks is requested from
-// the others.
+// customerLimit returns what a customer may use in all data centres together. A job that
+// needs more can never run. What only the allotment of this data centre lacks is
+// requested from the others.
 func (c *Cell) customerLimit(customer string) placement.Resources {
 	limit := placement.Resources{CPU: quota.Unlimited, Memory: quota.Unlimited, Accelerators: quota.Unlimited}
 	c.machine.View(func(s *state.State) {
@@ -251,7 +251,7 @@
 		t.plannerMu.Unlock()
 		step = &state.Quota{Debit: &answer}
 	}
-	// The reply tells of the ledger's refusals, such as nothing to transfer.
+	// The reply reports the ledger's refusals, such as nothing to transfer.
 	_, err := p.propose(ctx, &state.Command{Quota: step})
 	return err
 }
--- a/internal/cell/scheduler.go
+++ b/internal/cell/scheduler.go
@@ -109,7 +109,7 @@
 // admitAndReserve evaluates whether a job would finish in time here, and reserves the
 // capacity for it until release is called.
 //
-// Failure guarded against: many jobs are submitted at once, each is evaluated before
+// Failure guarded against: many jobs are submitted together, each is evaluated before
 // the others are committed, all are admitted on the same free capacity, and accepted
 // jobs miss their deadlines. A reservation is a job in the queue under an ID of its
 // own, which can't start before its proposal is decided.
@@ -142,7 +142,7 @@
 
 // awaitHandover answers a submission from the committed state. It waits up to
 // handoverWait for a job that is offered to another data centre, so that most callers
-// get the final answer at once.
+// get the final answer immediately.
 func (c *Cell) awaitHandover(ctx context.Context, result state.Result) (*apiv1.SubmitResponse, error) {
 	if result.Err != nil {
 		return nil, result.Err
@@ -161,7 +161,7 @@
 	}
 }
 
-// waitForChange waits for a change. It returns false when ctx or the service ends
+// waitForChange waits for a change. It returns false if ctx ends or the service drains
 // first.
 func (c *Cell) waitForChange(ctx context.Context, changed <-chan struct{}) bool {
 	select {
--- a/internal/cell/unreplicated_log.go
+++ b/internal/cell/unreplicated_log.go
@@ -8,7 +8,7 @@
 )
 
 // UnreplicatedLog is a log of one member without a disk or peers: every proposal
-// commits at once, and nothing survives the process. It is the baseline for
+// commits immediately, and nothing survives the process. It is the baseline for
 // measurements of the replicated log.
 type UnreplicatedLog struct {
 	mu      sync.Mutex
@@ -26,7 +26,7 @@
 	return &UnreplicatedLog{machine: machine, neverClosed: make(chan struct{})}
 }
 
-// Propose applies the command at once.
+// Propose applies the command immediately.
 func (l *UnreplicatedLog) Propose(_ context.Context, command []byte) (any, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,7 +34,7 @@
 	return l.machine.Apply(l.index, command), nil
 }
 
-// Barrier returns at once, since everything proposed is applied.
+// Barrier returns immediately, since everything proposed is applied.
 func (l *UnreplicatedLog) Barrier(context.Context) error { return nil }
 
 // Status returns the status of the leader of term 1.
