--- a/internal/proxy/cluster_test.go
+++ b/internal/proxy/cluster_test.go
@@ -18,7 +18,7 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
-// Guards against a caller that waits without end: the minion accepts the request
+// Guards against a caller that waits indefinitely: the minion accepts the request
 // and never responds. An idempotent request is retried on another minion, any
 // other gets its error by its deadline.
 func TestRequestToHangingMinionEndsByItsDeadline(t *testing.T) {
@@ -41,7 +41,7 @@
 }
 
 // Guards against synchronized retries: rejected callers that all get the same
-// retry time come back at once and are rejected again.
+// retry time come back together and are rejected again.
 func TestRetryAfterOfRefusedCallersIsSpread(t *testing.T) {
 	cluster := startTestCluster(t, func(cfg *Config) {
 		cfg.Balancer = routing.NewBalancer(routing.Options{Entry: "e1", Incarnation: 1, SlowStart: time.Nanosecond})
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -55,7 +55,7 @@
 	// Timeout bounds a request that has no deadline header.
 	Timeout time.Duration
 	Logger  log.Logger
-	// Now is the monotonic clock by which the Balancer is called.
+	// Now is the monotonic clock whose time is passed to the Balancer.
 	Now func() time.Duration
 	// Dial opens connections to minions.
 	Dial rpc.Dial
@@ -143,7 +143,7 @@
 type waiter struct{ woken chan struct{} }
 
 // withBalancer runs f on the Balancer under the lock. It then wakes the calls
-// whose tickets f changed, and the slot request loop if a request is due at once.
+// whose tickets f changed, and the slot request loop if a request is due immediately.
 func (h *Handler) withBalancer(f func(b *routing.Balancer, now time.Duration)) {
 	h.mu.Lock()
 	f(h.balancer, h.cfg.Now())
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -162,7 +162,7 @@
 	must.Eq(t, `POST /tags/a%2Fb?x=1 hello token="" customer="rackwise"`, got.body)
 }
 
-// Guards against a caller that takes half a report for all of it: the minion dies
+// Guards against a caller that takes half a response for the whole: the minion dies
 // after it has sent part of its response, a short one with a length or a long one
 // in chunks.
 func TestTruncatedResponseNeverLooksComplete(t *testing.T) {
@@ -249,7 +249,7 @@
 	}
 }
 
-// Guards against a minion that goes on working for a caller that has
+// Guards against a minion that keeps working for a caller that has
 // disconnected: the disconnect must cancel the request on the minion.
 func TestCallerDisconnectCancelsMinionRequest(t *testing.T) {
 	cluster := startTestCluster(t, nil)
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -87,7 +87,8 @@
 	return retried
 }
 
-// finish ends the attempt and frees its slot. A second call does nothing.
+// finish ends the attempt, frees its slot and counts its outcome. If the attempt has
+// ended already, it only counts the outcome.
 func (c *call) finish(o routing.Outcome) {
 	c.h.withBalancer(func(b *routing.Balancer, now time.Duration) { b.Finish(c.ticket, o, now) })
 	c.h.stats.countOutcome(o)
@@ -138,13 +139,13 @@
 	return routing.Abandoned
 }
 
-// errRecordingReader keeps the last error of the wrapped reader.
+// errRecordingReader records the last error of the wrapped reader.
 type errRecordingReader struct {
 	io.Reader
 	err error
 }
 
-// Read reads from the wrapped reader and keeps its error.
+// Read reads from the wrapped reader and records its error.
 func (r *errRecordingReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if err != nil {
--- a/internal/proxy/slots.go
+++ b/internal/proxy/slots.go
@@ -58,7 +58,8 @@
 }
 
 // waitForNextRequest waits until the next regular slot request, or only for the
-// backoff if an urgent one becomes due. It returns at once if followUp is set.
+// backoff if an urgent one becomes due. It returns immediately
+// if followUp is set.
 func (h *Handler) waitForNextRequest(ctx context.Context, followUp bool, backoff time.Duration) {
 	if followUp {
 		return
@@ -80,7 +81,7 @@
 }
 
 // requestSlots sends one slot request. It returns whether a follow-up request is
-// due at once and whether the number of granted slots grew.
+// due immediately and whether the number of granted slots grew.
 func (h *Handler) requestSlots(ctx context.Context, call SlotRequestFunc) (followUp, grew bool) {
 	ctx, cancel := context.WithTimeout(ctx, slotRequestTimeout)
 	defer cancel()
@@ -107,7 +108,7 @@
 	_ = h.cfg.Logger.Log("event", "slot-leases", "state", state, "data_centre", h.cfg.DataCentre, "err", err)
 }
 
-// NextSlotRequest builds the next slot request. The caller sends it at once.
+// NextSlotRequest builds the next slot request. The caller sends it immediately.
 func (h *Handler) NextSlotRequest() *apiv1.ShareSlotsRequest {
 	var req routing.SlotRequest
 	h.withBalancer(func(b *routing.Balancer, now time.Duration) { req = b.NextSlotRequest(now) })
@@ -115,7 +116,7 @@
 }
 
 // HandleSlotResponse applies the response to a slot request. It returns whether a
-// follow-up request is due at once and whether the number of granted slots grew.
+// follow-up request is due immediately and whether the number of granted slots grew.
 func (h *Handler) HandleSlotResponse(resp *apiv1.ShareSlotsResponse) (followUp, grew bool) {
 	h.withBalancer(func(b *routing.Balancer, now time.Duration) {
 		slotsBefore := b.GrantedSlots()
@@ -133,7 +134,7 @@
 	})
 }
 
-// Leave stops sending requests to a minion at once.
+// Leave stops sending requests to a minion immediately.
 func (h *Handler) Leave(req *apiv1.LeaveMinionRequest) {
 	h.withBalancer(func(b *routing.Balancer, now time.Duration) {
 		b.Leave(req.GetMinion(), req.GetIncarnation(), now)
