--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -35,7 +35,7 @@
 	// it.
 	holdMargin = 500 * time.Millisecond
 	// submitAttemptTimeout bounds one attempt of a submission. It is longer than for
-	// other calls, since a submission may wait for another data centre.
+	// other calls, since a submission may wait for another data centre's answer.
 	submitAttemptTimeout = 2500 * time.Millisecond
 )
 
@@ -242,7 +242,7 @@
 }
 
 // setConfig puts a configuration in force. If its document can't be parsed, the
-// document before stays, and the error is kept with the configuration.
+// previous document stays in force, and the configuration records the error.
 func (e *Entry) setConfig(adopted *apiv1.Config) {
 	document, err := conf.Parse(adopted.Document)
 	config := conf.Config{
--- a/internal/entry/minions.go
+++ b/internal/entry/minions.go
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// LeaveMinion stops sending requests to a minion at once.
+// LeaveMinion stops sending requests to a minion immediately.
 func (e *Entry) LeaveMinion(ctx context.Context, r *apiv1.LeaveMinionRequest) (*apiv1.LeaveResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Minion); err != nil {
 		return nil, err
--- a/internal/entry/operations.go
+++ b/internal/entry/operations.go
@@ -49,7 +49,7 @@
 }
 
 // Drain stops the placement of tasks on a worker. Without a data centre in the
-// request it looks for the one that knows the worker.
+// request it tries all data centres until one knows the worker.
 func (e *Entry) Drain(ctx context.Context, r *apiv1.DrainRequest) (*apiv1.DrainResponse, error) {
 	names := e.base.Settings.DataCentres()
 	if r.DataCentre != "" {
@@ -79,7 +79,7 @@
 }
 
 // GetConfig returns the committed configuration. Partitioned from the majority of
-// the voters, it fails at once.
+// the voters, it fails immediately.
 func (e *Entry) GetConfig(ctx context.Context, r *apiv1.GetConfigRequest) (*apiv1.Config, error) {
 	return forward(ctx, e, directory.Configuration, directory.CallOptions{}, func(ctx context.Context, c clients) (*apiv1.Config, error) {
 		return c.operations.GetConfig(ctx, r)
@@ -154,7 +154,7 @@
 	base     string
 }
 
-// cells lists the cell processes of the deployment, which hold the logs.
+// cellProcesses returns the cell processes of the deployment, which hold the logs.
 func (e *Entry) cellProcesses() []process {
 	var cells []process
 	for _, instance := range e.base.Settings.Instances {
@@ -165,7 +165,7 @@
 	return cells
 }
 
-// entries lists the other entry processes.
+// otherEntryProcesses returns the entry processes of the other instances.
 func (e *Entry) otherEntryProcesses() []process {
 	var entries []process
 	for _, instance := range e.base.Settings.Instances {
--- a/internal/entry/scheduler.go
+++ b/internal/entry/scheduler.go
@@ -30,7 +30,7 @@
 		return nil, fault.Field("request_id", "missing")
 	}
 	// The leader checks the spec too. Checking it here keeps the load of invalid
-	// requests from the leader. The leader alone checks the deadline, since a retried
+	// requests off the leader. The leader alone checks the deadline, since a retried
 	// request is answered even after its deadline.
 	if _, err := wire.CheckSpec(r.Spec, e.base.Settings.Limits, time.Time{}.Add(time.Hour)); err != nil && fault.From(err).Field != "deadline_unix_ms" {
 		return nil, err
@@ -60,7 +60,7 @@
 // platform's balancer retries it at an entry instance of another data centre, which
 // has never seen the request id and accepts the work again. So the caller names the
 // home, and work that must not run twice is rejected without one. Idempotent work is
-// accepted without: a duplicate wastes time and does no harm.
+// accepted without a home: a duplicate wastes time and does no harm.
 func (e *Entry) homeOf(r *apiv1.SubmitRequest) (string, error) {
 	if r.Home != "" && r.Spec.DataCentre != "" && r.Home != r.Spec.DataCentre {
 		return "", fault.Field("home", "is %q, but the spec names data centre %q", r.Home, r.Spec.DataCentre)
@@ -242,7 +242,7 @@
 // ownerOf returns the data centre that owns a job.
 func (e *Entry) ownerOf(ctx context.Context, id string) (string, error) {
 	if id == "" {
-		// Status takes an empty id for all jobs.
+		// Status would return all jobs for an empty id.
 		return "", fault.New(fault.NotFound, "no job %q", id)
 	}
 	status, err := e.Status(ctx, &apiv1.StatusRequest{Id: id})
