--- a/internal/instance/operations.go
+++ b/internal/instance/operations.go
@@ -25,7 +25,7 @@
 func (o *Operations) setLocal(c *control.Controller) { o.local.Store(c) }
 
 // call tries the local controller and then the gateway. A local controller that doesn't
-// lead rejects the call at once.
+// lead rejects the call immediately.
 func call[Request, Reply any](ctx context.Context, o *Operations, method string, request *Request,
 	callLocal func(*control.Controller, context.Context, *Request) (Reply, error)) (Reply, error) {
 	if reply, err := tryLocal(ctx, o, request, callLocal); !errors.Is(err, link.ErrNotLeader) {
@@ -72,7 +72,7 @@
 	return reply, err
 }
 
-// Submit submits a job. Without contact to the leader it fails at once.
+// Submit submits a job. Without contact to the leader it fails immediately.
 func (o *Operations) Submit(ctx context.Context, r *control.SubmitCall) (control.SubmitReply, error) {
 	receivedAt := time.Now()
 	if !o.gateway.InContact() {
@@ -109,8 +109,8 @@
 	return err
 }
 
-// Announce forwards a worker's heartbeat to the leader. The local controller answers a
-// heartbeat without news by itself.
+// Announce forwards a worker's heartbeat to the leader. The local controller itself
+// answers a heartbeat that reports nothing new.
 func (o *Operations) Announce(ctx context.Context, r *control.Announcement) (control.AnnouncementReply, error) {
 	if c := o.local.Load(); c != nil {
 		if reply, ok := c.AnnounceKnown(r); ok {
@@ -120,7 +120,7 @@
 	return call(ctx, o, control.MethodAnnounce, r, (*control.Controller).Announce)
 }
 
-// Leave tells the leader that a worker shuts down.
+// Leave forwards a worker's announcement that it shuts down to the leader.
 func (o *Operations) Leave(ctx context.Context, r *control.LeaveCall) error {
 	_, err := call(ctx, o, control.MethodLeave, r, (*control.Controller).Leave)
 	return err
--- a/internal/instance/operations_test.go
+++ b/internal/instance/operations_test.go
@@ -55,8 +55,8 @@
 
 // Guards against answers that go back to an older configuration: a core instance that
 // lags behind the leader forwards a request and answers under the leader's newer
-// configuration, in which a queue is dropped. It then answered for an ended job of that
-// queue from its own older state, regardless of the version of its earlier answer.
+// configuration, in which a queue is dropped. After that it must not answer for an
+// ended job of that queue from its own, older state.
 func TestLaggingFollowerDoesNotAnswerFromOlderConfiguration(t *testing.T) {
 	job := workflow.Submission{ID: "job", Queue: queueAt62.Queues[0].Identity(), Steps: []workflow.Step{{Count: 1}}}
 	local := newFollower(t, workflow.Command{Configuration: &queueAt62}, workflow.Command{Submit: &job}, workflow.Command{Cancel: "job"})
--- a/internal/instance/process.go
+++ b/internal/instance/process.go
@@ -217,7 +217,7 @@
 	_ = c.api.Close()
 }
 
-// awaitStop waits until the process is told to stop (ctx ends) or a part of it has failed
+// awaitStop waits until the process is asked to stop (ctx ends) or a part of it has failed
 // (workCtx ends).
 func awaitStop(ctx, workCtx context.Context) {
 	select {
