--- a/internal/member/host.go
+++ b/internal/member/host.go
@@ -28,10 +28,11 @@
 // GroupName names the log.
 const GroupName = "core"
 
-// Timing of the log. A leader sends a heartbeat each 50 ms. A member stands for
-// election after 0.25 s to 0.5 s, chosen at random, without one; later where the leader
-// is often late (see replica.Core). A change of leader costs little, since the next one
-// finds everything in the log, while callers wait as long as there is none.
+// Timing of the log. A leader sends a heartbeat each 50 ms. A member starts an
+// election after 0.25 s to 0.5 s without one, chosen at random, and later if the leader's
+// heartbeats are often late (see replica.Core). The timeout is short because callers wait
+// while there is no leader, whereas a change of leader costs little: the next one finds
+// everything in the log.
 const (
 	tickInterval   = 50 * time.Millisecond
 	electionTicks  = 5
--- a/internal/member/join.go
+++ b/internal/member/join.go
@@ -36,7 +36,7 @@
 	Members []replica.Member `cbor:"1,keyasint"`
 }
 
-// livenessTracker holds when the leader last heard from each instance.
+// livenessTracker holds when each instance last announced itself to this leader.
 type livenessTracker struct {
 	mu       sync.Mutex
 	lastSeen map[string]time.Time
@@ -62,8 +62,8 @@
 	}
 }
 
-// timeSinceSeen returns how long this leader hasn't heard from an instance. The time
-// before it became the leader doesn't count.
+// timeSinceSeen returns the time since the last announcement of an instance to this
+// leader. The time before it became the leader doesn't count.
 func (r *livenessTracker) timeSinceSeen(id string, now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -51,8 +51,8 @@
 }
 
 // Guards against membership changes although nothing is wrong: an instance has just
-// become the leader and hasn't heard from any member yet. The time before that must not
-// count.
+// become the leader and no member has announced itself to it yet. The time
+// before that must not count.
 func TestNewLeaderDoesNotReplaceVotersBeforeTheyAnnounce(t *testing.T) {
 	h := New(Config{ID: "own", Voters: 3, Logger: log.NewNopLogger()}, link.NewClient(100), link.NewMux())
 	now := time.Now()
