--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -73,7 +73,7 @@
 }
 
 // Guards against a lost update. Two operators have both read version 0 and write at the
-// same time. One write succeeds, the other is told the version that did; a repeat of
+// same time. One write succeeds, the other's error names the current version; a repeat of
 // either gets its first answer and writes nothing again.
 func TestOnlyOneOfTwoConcurrentWritesSucceeds(t *testing.T) {
 	r := NewRegister()
--- a/internal/conf/seed_test.go
+++ b/internal/conf/seed_test.go
@@ -2,5 +2,6 @@
 
 import "flag"
 
-// A fixed seed gives every run the same result. -rapid.seed=0 draws a new one.
+// init sets a fixed seed, so that every run has the same result. -rapid.seed=0 draws a
+// new one.
 func init() { _ = flag.Set("rapid.seed", "1") }
