--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -187,7 +187,7 @@
 	}
 }
 
-// CallEach calls every instance of a data centre at once and returns the errors by
+// CallEach calls every instance of a data centre in parallel and returns the errors by
 // instance ID; nil for those that succeeded.
 func (d *Directory) CallEach(ctx context.Context, dataCentre string, call func(ctx context.Context, instance settings.Instance, base string) error) map[string]error {
 	instances := d.inCallOrder(dataCentre)
