--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -60,7 +60,7 @@
 	Metrics   *expvar.Map
 	// Dial opens the connections of the process; nil means plain TCP.
 	Dial rpc.Dial
-	// Listener, if set, is served in place of the address in the settings.
+	// Listener, if set, is served instead of the address in the settings.
 	Listener net.Listener
 	// ForceStart is true if an operator has decided that the missing members of the
 	// data centre's log won't come back.
