--- a/internal/descriptors/inbound.go
+++ b/internal/descriptors/inbound.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// perHostDivisor is the divisor of a server's limit that gives the limit of one remote
-// host, if hosts are limited.
+// perHostDivisor divides the limit of a server, which gives the limit of one remote host
+// on servers that limit each host.
 const perHostDivisor = 8
 
 // Counter counts events by name.
@@ -63,7 +63,7 @@
 	return l
 }
 
-// onStateChange follows the state of a connection. The server calls it for a new
+// onStateChange tracks the state of a connection. The server calls it for a new
 // connection before it accepts the next one.
 func (l *InboundLimiter) onStateChange(conn net.Conn, state http.ConnState) {
 	switch state {
@@ -110,7 +110,7 @@
 }
 
 // evictOrReject closes the connection of a list that has been idle for longest, or the new
-// one if the list is empty. The caller holds in.mu.
+// one if the list is empty. The caller holds l.mu.
 func (l *InboundLimiter) evictOrReject(idle *list.List, newConn net.Conn) {
 	oldest := idle.Front()
 	if oldest == nil {
@@ -126,7 +126,7 @@
 	l.markIdle(newConn)
 }
 
-// markIdle adds a connection to the end of the idle lists. The caller holds in.mu.
+// markIdle adds a connection to the end of the idle lists. The caller holds l.mu.
 func (l *InboundLimiter) markIdle(conn net.Conn) {
 	c := l.conns[conn]
 	if c == nil {
@@ -137,7 +137,7 @@
 	c.hostIdleElement = l.hosts[c.remote].idle.PushBack(conn)
 }
 
-// markActive removes a connection from the idle lists. The caller holds in.mu.
+// markActive removes a connection from the idle lists. The caller holds l.mu.
 func (l *InboundLimiter) markActive(conn net.Conn) {
 	c := l.conns[conn]
 	if c == nil || c.idleElement == nil {
@@ -148,7 +148,7 @@
 	c.idleElement, c.hostIdleElement = nil, nil
 }
 
-// remove stops counting a connection. The caller holds in.mu.
+// remove stops counting a connection. The caller holds l.mu.
 func (l *InboundLimiter) remove(conn net.Conn) {
 	l.markActive(conn)
 	c := l.conns[conn]
--- a/internal/descriptors/inbound_test.go
+++ b/internal/descriptors/inbound_test.go
@@ -34,7 +34,7 @@
 	return c.counts[name]
 }
 
-// startLimitedServer starts a limited server that completes / at once and keeps requests
+// startLimitedServer starts a limited server that completes / immediately and keeps requests
 // for /held open until the test ends.
 func startLimitedServer(t *testing.T, limit int, limitPerHost bool) (*httptest.Server, *InboundLimiter, *fakeCounter) {
 	released := make(chan struct{})
@@ -77,7 +77,7 @@
 const local = "127.0.0.1"
 
 // Guards against running out of descriptors: after a network partition a thousand callers
-// reconnect at once while their old connections are still open, the log can't open a file
+// reconnect together while their old connections are still open, the log can't open a file
 // and the process exits. Each new connection must be served and close an idle one.
 func TestNewConnectionClosesLongestIdleOne(t *testing.T) {
 	server, limiter, counter := startLimitedServer(t, 4, false)
@@ -104,8 +104,8 @@
 	must.Eq(t, 3, limiter.open())
 }
 
-// Guards against one host that takes all connections: a worker opens connections without
-// end, and the idle connections of others are closed for them.
+// Guards against one host that takes all connections: a worker opens more and
+// more connections, and the idle connections of others are closed for them.
 func TestHostAtItsLimitLosesOnlyItsOwnConnections(t *testing.T) {
 	server, limiter, counter := startLimitedServer(t, 16, true)
 	otherHost, answered := requestOnNewConn(t, server, "127.0.0.7", "/")
--- a/internal/descriptors/outbound.go
+++ b/internal/descriptors/outbound.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// idleDivisor is the divisor of a client's limit that gives the number of connections
-// that it keeps open without a call. The others are left for calls; a call waits while
-// all connections are in use.
+// idleDivisor divides the limit of a client, which gives the number of connections that
+// it keeps open without a call. The others are left for calls; a call waits while all
+// connections are in use.
 const idleDivisor = 4
 
 // ErrLimitReached means that no connection could be opened in time because the limit of
