--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -168,7 +168,7 @@
 			return file.Errorf("instance", "data centre %q has no instance with a cell address", dataCentre)
 		}
 		if 2*ownVoters <= len(members) {
-			return file.Errorf("instance", "data centre %q has %d own instances and %d witnesses; cut off, it could decide nothing",
+			return file.Errorf("instance", "data centre %q has %d own instances and %d witnesses; partitioned from the others, it could commit nothing",
 				dataCentre, ownVoters, len(members)-ownVoters)
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -100,10 +100,10 @@
 		{"wrong unit", good + "[limits]\nbody = \"1ms\"\n", "limits.body", `line 71: "1ms" isn't a size with a unit`},
 		{"wrong type", good + "[limits]\nqueue = \"20k\"\n", "", `line 71`},
 		{"not TOML", "deployment = \n", "deployment", "line 1"},
-		{"doubled key", good + "[log]\nlevel = \"info\"\nlevel = \"info\"\n", "", "line 72: Key 'log.level' has already been defined"},
+		{"duplicate key", good + "[log]\nlevel = \"info\"\nlevel = \"info\"\n", "", "line 72: Key 'log.level' has already been defined"},
 		{"half-written file", good[:len(good)-20], "", "line"},
-		{"doubled id", strings.Replace(good, "dc1-0", "dc0-0", 1), "instance[3].id", `line 23: "dc0-0" is already the id of instance[0]`},
-		{"doubled address", strings.Replace(good, "10.0.1.1:7400", "10.0.0.1:7402", 1), "instance[3].entry", "is already instance[0].cell"},
+		{"duplicate id", strings.Replace(good, "dc1-0", "dc0-0", 1), "instance[3].id", `line 23: "dc0-0" is already the id of instance[0]`},
+		{"duplicate address", strings.Replace(good, "10.0.1.1:7400", "10.0.0.1:7402", 1), "instance[3].entry", "is already instance[0].cell"},
 		{"host name", strings.Replace(good, "10.0.0.1:7400", "localhost:7400", 1), "instance[0].entry", "isn't an IP address with a port"},
 		{"every address", strings.Replace(good, "10.0.0.1:7400", "0.0.0.0:7400", 1), "instance[0].entry", "can't be dialled"},
 		{"path as id", strings.Replace(good, "dc0-0", "../etc", 1), "instance[0].id", "isn't a name"},
@@ -154,7 +154,7 @@
 	must.StrNotContains(t, strings.Join(s.Warnings(), "\n"), `"dc0"`)
 	twoWitnesses := strings.Replace(withWitness, "id = \"dc1-1\"\n", "id = \"dc1-1\"\nwitness_for = [\"dc0\"]\n", 1)
 	_, err = Parse("x", []byte(twoWitnesses), "/")
-	must.ErrorContains(t, err, "cut off, it could decide nothing")
+	must.ErrorContains(t, err, "partitioned from the others, it could commit nothing")
 }
 
 func TestLoadRejectsBadFiles(t *testing.T) {
