--- a/internal/jobtrace/trace.go
+++ b/internal/jobtrace/trace.go
@@ -28,10 +28,10 @@
 
 // Activities in which a job spends its time.
 const (
-	spanCommit           = "being stored"
+	spanCommit           = "in the commit of the submission"
 	spanAdviserWait      = "waiting for the adviser"
 	spanNoLeader         = "without a leader"
-	spanUnsuccessfulRuns = "in runs that came to nothing"
+	spanUnsuccessfulRuns = "in unsuccessful runs"
 	spanSuccessfulRuns   = "in runs that did the work"
 	spanDecisionToCommit = "between decisions and their commits"
 	// spanWaiting is the prefix of the activity of a waiting step. The reason for the
@@ -81,7 +81,7 @@
 }
 
 // describeRefusal describes a job without an accepted submission: the answer of the last
-// instance to its request and that instance's contact to a leader. A job with
+// instance to its request and that instance's contact with a leader. A job with
 // later lines was stored even though its caller got an error.
 func describeRefusal(allLines, jobLines []Line) string {
 	var last *Line
@@ -105,7 +105,7 @@
 }
 
 // describeLostLeaderContact returns a text with the time at which the instance of last
-// lost contact to a leader, or "" when it was in contact.
+// lost contact with a leader, or "" when it was in contact.
 func describeLostLeaderContact(allLines []Line, last *Line) string {
 	for i := len(allLines) - 1; i >= 0; i-- {
 		l := &allLines[i]
@@ -115,7 +115,7 @@
 		if l.Get("in_touch") != "false" {
 			return ""
 		}
-		return fmt.Sprintf("; that instance had had no contact to a leader since %s", l.Time.Format(time.TimeOnly))
+		return fmt.Sprintf("; that instance had had no contact with a leader since %s", l.Time.Format(time.TimeOnly))
 	}
 	return ""
 }
@@ -195,7 +195,7 @@
 	if worker == "" {
 		return ""
 	}
-	return fmt.Sprintf(", %s of it on %s: see that worker's time line", longest.Round(time.Millisecond), worker)
+	return fmt.Sprintf(", %s of it on %s: see that worker's timeline", longest.Round(time.Millisecond), worker)
 }
 
 // describeFailures names the task that failed most often and the workers of its runs. One
@@ -221,9 +221,9 @@
 	slices.Sort(sorted)
 	distinct := slices.Compact(sorted)
 	if len(distinct) == 1 {
-		return fmt.Sprintf("task %s failed %d times, each time on %s: look at that worker", worst, len(workers[worst]), distinct[0])
+		return fmt.Sprintf("task %s failed %d times, each time on %s: check that worker", worst, len(workers[worst]), distinct[0])
 	}
-	return fmt.Sprintf("task %s failed %d times on %d workers (%s): the job itself", worst, len(workers[worst]), len(distinct),
+	return fmt.Sprintf("task %s failed %d times on %d workers (%s): the job itself is the likely cause", worst, len(workers[worst]), len(distinct),
 		strings.Join(distinct, ", "))
 }
 
--- a/internal/jobtrace/trace_test.go
+++ b/internal/jobtrace/trace_test.go
@@ -42,7 +42,7 @@
 func TestVerdictOfRefusedJob(t *testing.T) {
 	got := explainSample(t, "refused1")
 	must.Eq(t, "not accepted: edge-1 answered Unavailable (Unavailable: no leader is reached); "+
-		"that instance had had no contact to a leader since 09:00:01", got.Verdict)
+		"that instance had had no contact with a leader since 09:00:01", got.Verdict)
 }
 
 func TestSpansOfLateJobAddUp(t *testing.T) {
@@ -62,7 +62,7 @@
 }
 
 func TestVerdictOfFailedJobNamesTask(t *testing.T) {
-	must.StrContains(t, explainSample(t, "bad1").Verdict, "task bad1/0/0/0 failed 2 times on 2 workers (i-1, i-3): the job itself")
+	must.StrContains(t, explainSample(t, "bad1").Verdict, "task bad1/0/0/0 failed 2 times on 2 workers (i-1, i-3): the job itself is the likely cause")
 	must.Eq(t, "no line names the job", explainSample(t, "unknown").Verdict)
 }
 
@@ -78,7 +78,7 @@
 `))
 	must.NoError(t, err)
 	must.Eq(t, "stored, as later lines show, though its caller wasn't told: edge-2 answered Unknown (no answer)", Explain(lines, "a").Verdict)
-	must.Eq(t, "done after 6.2s, objective 1500 ms; longest: 6s in runs that did the work, 6s of it on i-7: see that worker's time line", Explain(lines, "b").Verdict)
+	must.Eq(t, "done after 6.2s, objective 1500 ms; longest: 6s in runs that did the work, 6s of it on i-7: see that worker's timeline", Explain(lines, "b").Verdict)
 }
 
 func TestVerdictNamesCancelAndPeakLoad(t *testing.T) {
