--- a/internal/event/file.go
+++ b/internal/event/file.go
@@ -127,7 +127,7 @@
 // Loaded returns the events that the file held when it was opened.
 func (f *File) Loaded() []Event { return f.loaded }
 
-// Append queues an event for writing and returns at once. It drops the event when
+// Append queues an event for writing and returns immediately. It drops the event when
 // the queue is full or the file is closed.
 func (f *File) Append(e Event) {
 	f.mu.Lock()
