--- a/internal/descriptors/outbound_test.go
+++ b/internal/descriptors/outbound_test.go
@@ -17,7 +17,7 @@
 	return listener.Addr().String()
 }
 
-// Guards against running out of descriptors: a leader calls so many workers together that
+// Guards against running out of descriptors: a leader calls so many workers in parallel that
 // its log can't open a file. At the limit a call must wait until a connection is closed.
 func TestDialWaitsAtTheConnectionLimit(t *testing.T) {
 	address := listen(t)
