--- a/internal/cell/scheduler.go
+++ b/internal/cell/scheduler.go
@@ -24,7 +24,7 @@
 // Bounds of long polls and lists.
 const (
 	maxWatchLongPoll = 20 * time.Second
-	defaultList      = 1000
+	maxListedJobs    = 1000
 	handoverWait     = time.Second
 )
 
@@ -109,7 +109,7 @@
 // admitAndReserve evaluates whether a job would finish in time here, and reserves the
 // capacity for it until release is called.
 //
-// Failure guarded against: many jobs are submitted at once, each is evaluated before
+// Failure guarded against: many jobs are submitted together, each is evaluated before
 // the others are committed, all are admitted on the same free capacity, and accepted
 // jobs miss their deadlines. A reservation is a job in the queue under an ID of its
 // own, which can't start before its proposal is decided.
@@ -142,7 +142,7 @@
 
 // awaitHandover answers a submission from the committed state. It waits up to
 // handoverWait for a job that is offered to another data centre, so that most callers
-// get the final answer at once.
+// get the final answer immediately.
 func (c *Cell) awaitHandover(ctx context.Context, result state.Result) (*apiv1.SubmitResponse, error) {
 	if result.Err != nil {
 		return nil, result.Err
@@ -161,7 +161,7 @@
 	}
 }
 
-// waitForChange waits for a change. It returns false when ctx or the service ends
+// waitForChange waits for a change. It returns false if ctx ends or the service drains
 // first.
 func (c *Cell) waitForChange(ctx context.Context, changed <-chan struct{}) bool {
 	select {
@@ -333,8 +333,8 @@
 		return strings.Compare(a.Id, b.Id)
 	})
 	limit := int(r.Limit)
-	if limit <= 0 || limit > defaultList {
-		limit = defaultList
+	if limit <= 0 || limit > maxListedJobs {
+		limit = maxListedJobs
 	}
 	response.Jobs = response.Jobs[:min(limit, len(response.Jobs))]
 	return response
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -28,14 +28,14 @@
 
 // Time limits of the calls that an entry instance forwards.
 const (
-	// electionTimeout is how long a forwarded call searches for a leader. It covers
+	// leaderSearchTimeout is how long a forwarded call searches for a leader. It covers
 	// an election and the first round of the new leader.
-	electionTimeout = 4 * time.Second
+	leaderSearchTimeout = 4 * time.Second
 	// holdMargin is how much longer a held call may take than the leader may hold
 	// it.
 	holdMargin = 500 * time.Millisecond
 	// submitAttemptTimeout bounds one attempt of a submission. It is longer than for
-	// other calls, since a submission may wait for another data centre.
+	// other calls, since a submission may wait for another data centre's answer.
 	submitAttemptTimeout = 2500 * time.Millisecond
 )
 
@@ -242,7 +242,7 @@
 }
 
 // setConfig puts a configuration in force. If its document can't be parsed, the
-// document before stays, and the error is kept with the configuration.
+// previous document stays in force, and the configuration records the error.
 func (e *Entry) setConfig(adopted *apiv1.Config) {
 	document, err := conf.Parse(adopted.Document)
 	config := conf.Config{
--- a/internal/entry/operations.go
+++ b/internal/entry/operations.go
@@ -35,7 +35,7 @@
 		if !e.base.Directory.HasDataCentre(r.DataCentre) {
 			return nil, fault.Field("data_centre", "no data centre %q", r.DataCentre)
 		}
-		return forward(ctx, e, r.DataCentre, directory.CallOptions{SearchTimeout: electionTimeout}, listWorkers)
+		return forward(ctx, e, r.DataCentre, directory.CallOptions{SearchTimeout: leaderSearchTimeout}, listWorkers)
 	}
 	responses, unreachable, err := fanOut(ctx, e, listWorkers)
 	if err != nil {
@@ -49,7 +49,7 @@
 }
 
 // Drain stops the placement of tasks on a worker. Without a data centre in the
-// request it looks for the one that knows the worker.
+// request it tries all data centres until one knows the worker.
 func (e *Entry) Drain(ctx context.Context, r *apiv1.DrainRequest) (*apiv1.DrainResponse, error) {
 	names := e.base.Settings.DataCentres()
 	if r.DataCentre != "" {
@@ -60,7 +60,7 @@
 	}
 	var lookupErr error
 	for _, name := range names {
-		response, err := forward(ctx, e, name, directory.CallOptions{SearchTimeout: electionTimeout}, func(ctx context.Context, c clients) (*apiv1.DrainResponse, error) {
+		response, err := forward(ctx, e, name, directory.CallOptions{SearchTimeout: leaderSearchTimeout}, func(ctx context.Context, c clients) (*apiv1.DrainResponse, error) {
 			return c.operations.Drain(ctx, r)
 		})
 		if err == nil {
@@ -79,7 +79,7 @@
 }
 
 // GetConfig returns the committed configuration. Partitioned from the majority of
-// the voters, it fails at once.
+// the voters, it fails immediately.
 func (e *Entry) GetConfig(ctx context.Context, r *apiv1.GetConfigRequest) (*apiv1.Config, error) {
 	return forward(ctx, e, directory.Configuration, directory.CallOptions{}, func(ctx context.Context, c clients) (*apiv1.Config, error) {
 		return c.operations.GetConfig(ctx, r)
@@ -133,7 +133,7 @@
 	for _, group := range groups {
 		request := proto.Clone(r).(*apiv1.ReplaceInstanceRequest)
 		request.Configuration = group == directory.Configuration
-		options := directory.CallOptions{SearchTimeout: electionTimeout, AttemptTimeout: replaceAttemptTimeout}
+		options := directory.CallOptions{SearchTimeout: leaderSearchTimeout, AttemptTimeout: replaceAttemptTimeout}
 		response, err := forward(ctx, e, group, options, func(ctx context.Context, c clients) (*apiv1.ReplaceInstanceResponse, error) {
 			return c.operations.ReplaceInstance(ctx, request)
 		})
@@ -154,7 +154,7 @@
 	base     string
 }
 
-// cells lists the cell processes of the deployment, which hold the logs.
+// cellProcesses returns the cell processes of the deployment, which hold the logs.
 func (e *Entry) cellProcesses() []process {
 	var cells []process
 	for _, instance := range e.base.Settings.Instances {
@@ -165,7 +165,7 @@
 	return cells
 }
 
-// entries lists the other entry processes.
+// otherEntryProcesses returns the entry processes of the other instances.
 func (e *Entry) otherEntryProcesses() []process {
 	var entries []process
 	for _, instance := range e.base.Settings.Instances {
--- a/internal/entry/scheduler.go
+++ b/internal/entry/scheduler.go
@@ -30,7 +30,7 @@
 		return nil, fault.Field("request_id", "missing")
 	}
 	// The leader checks the spec too. Checking it here keeps the load of invalid
-	// requests from the leader. The leader alone checks the deadline, since a retried
+	// requests off the leader. The leader alone checks the deadline, since a retried
 	// request is answered even after its deadline.
 	if _, err := wire.CheckSpec(r.Spec, e.base.Settings.Limits, time.Time{}.Add(time.Hour)); err != nil && fault.From(err).Field != "deadline_unix_ms" {
 		return nil, err
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	options := directory.CallOptions{SearchTimeout: electionTimeout, AttemptTimeout: submitAttemptTimeout}
+	options := directory.CallOptions{SearchTimeout: leaderSearchTimeout, AttemptTimeout: submitAttemptTimeout}
 	return forward(ctx, e, home, options, func(ctx context.Context, c clients) (*apiv1.SubmitResponse, error) {
 		return c.scheduler.Submit(ctx, r)
 	})
@@ -60,7 +60,7 @@
 // platform's balancer retries it at an entry instance of another data centre, which
 // has never seen the request id and accepts the work again. So the caller names the
 // home, and work that must not run twice is rejected without one. Idempotent work is
-// accepted without: a duplicate wastes time and does no harm.
+// accepted without a home: a duplicate wastes time and does no harm.
 func (e *Entry) homeOf(r *apiv1.SubmitRequest) (string, error) {
 	if r.Home != "" && r.Spec.DataCentre != "" && r.Home != r.Spec.DataCentre {
 		return "", fault.Field("home", "is %q, but the spec names data centre %q", r.Home, r.Spec.DataCentre)
@@ -84,7 +84,7 @@
 	if r.Id == "" {
 		return e.listJobs(ctx, r)
 	}
-	return callOwner(ctx, e, r.Id, directory.CallOptions{SearchTimeout: electionTimeout}, func(ctx context.Context, c clients) (*apiv1.StatusResponse, error) {
+	return callOwner(ctx, e, r.Id, directory.CallOptions{SearchTimeout: leaderSearchTimeout}, func(ctx context.Context, c clients) (*apiv1.StatusResponse, error) {
 		return c.scheduler.Status(ctx, r)
 	})
 }
@@ -93,7 +93,7 @@
 // returns its status.
 func (e *Entry) Watch(ctx context.Context, r *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
 	hold := time.Duration(r.WaitMs) * time.Millisecond
-	options := directory.CallOptions{SearchTimeout: electionTimeout, AttemptTimeout: hold + directory.AttemptTimeout}
+	options := directory.CallOptions{SearchTimeout: leaderSearchTimeout, AttemptTimeout: hold + directory.AttemptTimeout}
 	return callOwner(ctx, e, r.Id, options, func(ctx context.Context, c clients) (*apiv1.StatusResponse, error) {
 		return c.scheduler.Watch(ctx, r)
 	})
@@ -204,7 +204,7 @@
 	for owner, ids := range owners {
 		request := proto.Clone(r).(*apiv1.CancelRequest)
 		request.Ids = ids
-		options := directory.CallOptions{SearchTimeout: electionTimeout}
+		options := directory.CallOptions{SearchTimeout: leaderSearchTimeout}
 		response, err := forward(ctx, e, owner, options, func(ctx context.Context, c clients) (*apiv1.CancelResponse, error) {
 			return c.scheduler.Cancel(ctx, request)
 		})
@@ -223,7 +223,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return forward(ctx, e, owner, directory.CallOptions{SearchTimeout: electionTimeout}, func(ctx context.Context, c clients) (*apiv1.ScaleResponse, error) {
+	return forward(ctx, e, owner, directory.CallOptions{SearchTimeout: leaderSearchTimeout}, func(ctx context.Context, c clients) (*apiv1.ScaleResponse, error) {
 		return c.scheduler.Scale(ctx, r)
 	})
 }
@@ -234,7 +234,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return forward(ctx, e, owner, directory.CallOptions{SearchTimeout: electionTimeout}, func(ctx context.Context, c clients) (*apiv1.ExplainResponse, error) {
+	return forward(ctx, e, owner, directory.CallOptions{SearchTimeout: leaderSearchTimeout}, func(ctx context.Context, c clients) (*apiv1.ExplainResponse, error) {
 		return c.scheduler.Explain(ctx, r)
 	})
 }
@@ -242,7 +242,7 @@
 // ownerOf returns the data centre that owns a job.
 func (e *Entry) ownerOf(ctx context.Context, id string) (string, error) {
 	if id == "" {
-		// Status takes an empty id for all jobs.
+		// Status would return all jobs for an empty id.
 		return "", fault.New(fault.NotFound, "no job %q", id)
 	}
 	status, err := e.Status(ctx, &apiv1.StatusRequest{Id: id})
