--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -37,7 +37,8 @@
 // concurrent use.
 type Carrier struct {
 	cfg CarrierConfig
-	// incarnation identifies this Carrier. A restart picks another one.
+	// incarnation identifies this Carrier. A restart picks another one; 0 is never
+	// picked, since a CollectCall uses it for none.
 	incarnation uint64
 
 	mu sync.Mutex
@@ -62,7 +63,7 @@
 	link.Handle(mux, MethodCollect, c.Collect)
 }
 
-// Carry starts the orders of a call and returns at once; the leader fetches their
+// Carry starts the orders of a call and returns immediately; the leader fetches their
 // outcomes with Collect. If the carrier has seen a later term, it starts nothing and
 // returns that term.
 func (c *Carrier) Carry(ctx context.Context, call *CarryCall) (CarryReply, error) {
@@ -103,8 +104,8 @@
 	c.addOutcome(term, outcome)
 }
 
-// addOutcome stores the outcome of an order given in term, unless a later term has
-// begun. It drops the oldest outcome if the buffer is full.
+// addOutcome stores the outcome of an order sent in term, unless a later term has
+// started. It drops the oldest outcome if the buffer is full.
 func (c *Carrier) addOutcome(term uint64, outcome Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,8 +124,8 @@
 }
 
 // Collect returns the outcomes that the leader hasn't acknowledged, and waits up to
-// collectHold for one. It answers at once if the call names another incarnation of the
-// carrier. Errors are those of ctx.
+// collectHold for one. It answers immediately if the call names another incarnation of
+// the carrier. Errors are those of ctx.
 func (c *Carrier) Collect(ctx context.Context, call *CollectCall) (CollectReply, error) {
 	current := c.adoptTerm(call.Term)
 	reply := CollectReply{Term: current, DataCentre: c.cfg.DataCentre, Incarnation: c.incarnation}
--- a/internal/carrier/carrier_test.go
+++ b/internal/carrier/carrier_test.go
@@ -185,8 +185,9 @@
 	})
 }
 
-// A partitioned instance still sends orders as the leader. A carrier that has heard
-// from the next leader must execute none of them and must return the later term.
+// A partitioned instance still sends orders as the leader. A carrier that has received
+// a message of the next leader must execute none of them and must return the later
+// term.
 func TestCarrierRefusesEarlierTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		workers := &fakeWorkers{}
--- a/internal/carrier/direct_share.go
+++ b/internal/carrier/direct_share.go
@@ -21,8 +21,8 @@
 // directShare selects the workers that the leader calls directly: all of them while
 // orders are few, and a smaller share the more orders there are.
 //
-// At some hundred orders per second the leader has time to spare, and a carrier would
-// only delay starts and ends of runs. At some thousands, direct calls would take the
+// At a few hundred orders per second the leader has time to spare, and a carrier would
+// only delay starts and ends of runs. At several thousand, direct calls would take the
 // time that its decisions need.
 type directShare struct {
 	orderCount atomic.Int64
@@ -36,8 +36,8 @@
 	hashLimit uint64
 }
 
-// reset starts a leader term without direct calls. A new leader polls every worker at
-// once, which is the highest load it ever has.
+// reset starts a leader term without direct calls. A new leader polls all workers at
+// the same time, which is the highest load it ever has.
 func (s *directShare) reset(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/carrier/direct_share_test.go
+++ b/internal/carrier/direct_share_test.go
@@ -29,8 +29,8 @@
 	return direct
 }
 
-// A small deployment's leader forwards orders although it is idle, and urgent tasks
-// start and end later than they could.
+// The leader of a small deployment must not forward orders while it is idle, or urgent
+// tasks would start and end later than necessary.
 func TestLeaderWithFewOrdersCallsWorkersDirectly(t *testing.T) {
 	must.Eq(t, 1000, countDirectWorkers(400))
 	must.Between(t, 200, countDirectWorkers(2000), 300)
--- a/internal/carrier/fake_test.go
+++ b/internal/carrier/fake_test.go
@@ -278,7 +278,7 @@
 	return starts
 }
 
-// startMany sends starts to many workers at once and returns how many succeeded.
+// startMany sends starts to many workers concurrently and returns how many succeeded.
 func (c *cluster) startMany(workers int) (answered int) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
--- a/internal/carrier/forwarder.go
+++ b/internal/carrier/forwarder.go
@@ -21,8 +21,8 @@
 	// baseMessageInterval times the number of carriers is the pause between two
 	// messages to a carrier, and between two from it. The leader's message rate
 	// therefore doesn't grow with the number of carriers or workers. Orders queued
-	// during the pause share the next message; an order after an idle time is sent at
-	// once.
+	// during the pause share the next message; an order after an idle time is sent
+	// immediately.
 	baseMessageInterval = time.Millisecond
 	// firstContactTimeout bounds a new leader's wait for its carriers: a few round
 	// trips.
@@ -65,8 +65,8 @@
 
 // Lead opens routes to the other members for a leader term. The routes stay open until
 // ctx ends. Lead returns when each carrier has answered or failed to, after
-// firstContactTimeout at most: a new leader polls all workers at once and would call
-// them all directly if no carrier had answered yet.
+// firstContactTimeout at most: a new leader polls all workers at the same time and
+// would call them all directly if no carrier had answered yet.
 func (f *Forwarder) Lead(ctx context.Context, term uint64) {
 	t := &termRoutes{forwarder: f, ctx: ctx, term: term, routes: map[string]*openRoute{}}
 	f.mu.Lock()
@@ -143,7 +143,7 @@
 	return &openRoute{route: r, close: cancel}
 }
 
-// setRoutes replaces the routes, unless a later term has begun.
+// setRoutes replaces the routes, unless a later term has started.
 func (f *Forwarder) setRoutes(t *termRoutes, routes []*route) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/carrier/messages.go
+++ b/internal/carrier/messages.go
@@ -1,8 +1,8 @@
 // Package carrier distributes the calls to workers over the core instances. The leader
 // decides and commits; it then forwards its orders in batches to carriers, which call
 // the workers and return their answers. A carrier makes no decisions, doesn't retry,
-// and holds no state that has to survive it: it is a longer network path to a worker,
-// which may delay an order, lose it, or lose its answer.
+// and holds no state that must survive a restart: it is a longer network path to a
+// worker, which may delay an order, lose it, or lose its answer.
 //
 // Without carriers, the leader calls each worker every second and holds several
 // connections to each. That takes most of its processor time while the other instances
@@ -63,7 +63,7 @@
 
 // CarryCall forwards orders to a carrier.
 type CarryCall struct {
-	// Term is the leader term in which the orders were given.
+	// Term is the leader term in which the orders are sent.
 	Term   uint64  `cbor:"1,keyasint"`
 	Orders []Order `cbor:"2,keyasint"`
 }
