--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -145,8 +145,8 @@
 	g.setLeader(address)
 }
 
-// leaderLost forgets a leader that gave no useful answer, and moves it to the end of
-// the members, so that a search starts with another one.
+// leaderLost clears a leader that gave no useful answer, and moves it to the end of the
+// members, so that a search starts with another one.
 func (g *Gateway) leaderLost(address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -58,8 +58,9 @@
 	must.Eq(t, RetryAfter, fault.From(err).RetryAfter)
 }
 
-// A leader commits a job and is lost before it answers; the next instance refuses for
-// now. The caller must not be told that nothing was done, since the job will run.
+// A leader commits a job and is lost before it answers; the next instance refuses it
+// temporarily. The caller must not be told that nothing was done, since the job will
+// run.
 func TestRefusalAfterUnknownTryIsUnknown(t *testing.T) {
 	tries := 0
 	lost := startCancelServer(t, func() error {
@@ -122,7 +123,7 @@
 
 // A leader vanishes without closing its connections and the others elect another one. A
 // call that asks for the leader only after its try has ended waits for the vanished one
-// until its own time is over, and a short job is late.
+// until its own deadline, and a short job is late.
 func TestTryAtUnresponsiveLeaderEndsWhenAnotherIsFound(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
--- a/internal/gateway/version_order.go
+++ b/internal/gateway/version_order.go
@@ -30,11 +30,11 @@
 //
 // Without it, a request may be held at a leader that was partitioned until the next
 // leader answers it by a version that was committed meanwhile, while a later request
-// was answered at once by the version before. Each answer is by the newest version of
-// its moment, but callers compare by the time of their requests and see the instance
-// return to an older version. Of two such answers, the one that comes second is
-// withheld; its caller retries and gets an answer by the newest version. An answer of
-// an out-of-date leader is withheld too if an earlier request was answered by a newer
+// was answered immediately by the version before. Each answer is by the version that is
+// newest when it is given, but callers compare by the time of their requests and see
+// the instance return to an older version. The second of two such answers is withheld;
+// its caller retries and gets an answer by the newest version. An answer of an
+// out-of-date leader is withheld too if an earlier request was answered by a newer
 // version.
 type versionOrder struct {
 	logger log.Logger
@@ -111,7 +111,7 @@
 	defer o.mu.Unlock()
 	if other := o.conflictingVersion(version, receivedAt); other != 0 {
 		return fault.Retry(fault.Unavailable, RetryAfter,
-			"an answer by version %d is withheld after one by %d to another request", version, other)
+			"the answer by configuration version %d is withheld, because another request was answered by version %d", version, other)
 	}
 	o.record(version, receivedAt)
 	if version != o.lastVersion {
--- a/internal/gateway/version_order_test.go
+++ b/internal/gateway/version_order_test.go
@@ -53,7 +53,7 @@
 }
 
 // startHeldLeader serves state calls: for the queue "added" by version 65 after
-// released is closed, and for all others by version 62 at once.
+// released is closed, and for all others by version 62 immediately.
 func startHeldLeader(t *testing.T, released <-chan struct{}) string {
 	return startStateServer(t, func(queue string) (uint64, error) {
 		if queue != "added" {
