--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -236,8 +236,8 @@
 	must.Eq(t, []string{"a:open"}, b.delivered())
 }
 
-// An address passes to another instance, or to a program with another format version.
-// Its logs must not accept payloads that aren't meant for them.
+// An address is reassigned to another instance, or to a program with another format
+// version. Its logs must not accept payloads that aren't meant for them.
 func TestExchangeForOtherInstanceOrVersionIsRefused(t *testing.T) {
 	m := NewMux(Config{ID: "b"})
 	for _, r := range []*apiv1.ExchangeRequest{
--- a/internal/peer/sequencer_test.go
+++ b/internal/peer/sequencer_test.go
@@ -55,8 +55,8 @@
 }
 
 // Under load a later one of several concurrent calls is served first. If it were
-// delivered at once, the log would reject its entries because earlier ones are missing,
-// and commits would take several round trips.
+// delivered immediately, the log would reject its entries because earlier ones are
+// missing, and commits would take several round trips.
 func TestOvertakingCallsAreDeliveredInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReceiver()
@@ -70,8 +70,8 @@
 
 // A call is lost. If all later calls waited for it, the group's heartbeats would stop
 // until a new connection is opened. Held calls must be delivered after holdTime, and
-// later ones at once. A call that is only slow, such as a large snapshot, must still be
-// delivered.
+// later ones immediately. A call that is only slow, such as a large snapshot, must
+// still be delivered.
 func TestLostCallDelaysLaterCallsByHoldTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReceiver()
