--- a/replica/coldstart.go
+++ b/replica/coldstart.go
@@ -22,10 +22,10 @@
 // ForceStart. The leader's log must hold at least as much as that of each member of
 // N.
 //
-// All this must hold in each membership from the last committed one that the
-// candidate knows to its latest. A deposed leader may have proposed, and failed to
-// commit, the removal of the member that leads now. Without that member the others
-// would be every voter, and two leaders and a lost commit would follow.
+// All this must hold in each membership from the last committed one that the candidate
+// knows to its latest. A deposed leader may have proposed, and failed to commit, the
+// removal of the member that leads now. Without that member the others would be all
+// voters, and two leaders and a lost commit would follow.
 
 // voterState is the state of a voter that matters for a cold start.
 type voterState struct {
@@ -179,9 +179,9 @@
 	}
 }
 
-// coldStartStillAllowed checks the rule again with the states that the voters
-// reported with their votes, because a voter may have restarted since its state
-// reply.
+// coldStartStillAllowed checks the rule of coldStartAllowed again with the states that
+// the voters reported with their votes, because a voter may have restarted since its
+// state reply.
 func (c *Core) coldStartStillAllowed() bool {
 	var lists [][]voterState
 	for _, members := range c.members.since(c.commit) {
@@ -250,10 +250,10 @@
 
 // ForceStart makes this member the only voter of its group and its leader. The other
 // voters become learners, to be promoted again once they have caught up. It is an
-// operator's last resort: committed entries that only other members hold are lost,
-// and the other members must not continue on their own. It is allowed on a member
-// with a disk, and on an only voter without state, that hasn't heard from a leader
-// for an election timeout; otherwise it returns ErrForceStart. A member whose log
+// operator's last resort: committed entries that only other members hold are lost, and
+// the other members must not continue on their own. It is allowed on a member with a
+// disk, and on an only voter without state, that has had no contact with a leader for
+// an election timeout; otherwise it returns ErrForceStart. A member whose log
 // contradicts the new one stops with a broken invariant when it rejoins: it must be
 // started without stored state.
 func (c *Core) ForceStart() error {
--- a/replica/election.go
+++ b/replica/election.go
@@ -183,7 +183,7 @@
 	}
 }
 
-// onTimeoutNow campaigns at once because the leader transfers its leadership.
+// onTimeoutNow campaigns immediately because the leader transfers its leadership.
 func (c *Core) onTimeoutNow(m Message) {
 	if c.role != Follower || c.leader != m.From || !c.mayLead() {
 		return
--- a/replica/election_timeout.go
+++ b/replica/election_timeout.go
@@ -30,9 +30,9 @@
 // the recent gaps between the leader's messages after which the leader did continue.
 //
 // Without it, a leader under load that sends its heartbeats late is replaced. The new
-// leader's first work is the longest of all, so it is late even sooner, and elections
-// go on without end. The time for which votes are refused isn't extended, so no
-// leader's lease depends on this value.
+// leader has the most work right after its election, so its heartbeats are late even
+// sooner, and elections never stop. The time for which votes are refused isn't
+// extended, so no leader's lease depends on this value.
 func (c *Core) minElectionTimeout() int {
 	base := c.cfg.ElectionTicks
 	widest := max(c.heartbeatGaps.widest, c.heartbeatGaps.previousWidest)
--- a/replica/leader.go
+++ b/replica/leader.go
@@ -194,8 +194,8 @@
 // diskVoterAvailable reports whether commits can wait for a disk voter: one that
 // answered within the election timeout and isn't catching up with entries that were
 // committed without it. A new leader gives the disk voters one heartbeat interval for
-// their first reply. A live one answers its first append at once, and if the previous
-// leader was the only disk voter, all commits wait for that long.
+// their first reply. A live one answers its first append immediately, and if the
+// previous leader was the only disk voter, all commits wait for that long.
 func (c *Core) diskVoterAvailable() bool {
 	for _, m := range voters(c.members.current()) {
 		if !m.HasDisk {
--- a/replica/lease_test.go
+++ b/replica/lease_test.go
@@ -11,10 +11,9 @@
 	stepFromPeer(t, c, Message{Type: MsgAppendReply, From: from, Term: c.term, Index: c.log.last(), Tick: tick, ReadRound: c.leaderState.reads.round})
 }
 
-// A leader must not decide any more once its followers may elect another one. The
-// lease runs from the sending of the last answered heartbeat and ends at least two
-// ticks, one for the phase of each clock, before a follower that received it at once
-// may vote.
+// A leader must not decide any more once its followers may elect another one. The lease
+// runs from the sending of the last answered heartbeat and ends at least two ticks, one
+// for the phase of each clock, before a follower that received it immediately may vote.
 func TestLeaseEndsBeforeVotes(t *testing.T) {
 	for _, age := range []uint64{0, 3} {
 		c := leaderCore(t, "n0", "n1", "n2")
@@ -32,7 +31,7 @@
 	}
 }
 
-// A member answers a heartbeat, restarts at once and receives a vote request. The
+// A member answers a heartbeat, restarts immediately and receives a vote request. The
 // leader's lease still counts on it, so it must refuse for a whole election timeout.
 func TestRestartedMemberRefusesVotes(t *testing.T) {
 	list := []Member{{ID: "n0", HasDisk: true}, {ID: "n1"}, {ID: "n2"}}
--- a/replica/not_member.go
+++ b/replica/not_member.go
@@ -5,7 +5,7 @@
 // why. The leader therefore replies to such a request with MsgNotMember.
 //
 // The message is a hint: its receiver sends requests less often but doesn't stop, so
-// that a delayed or wrong one can't take the last candidate from a group.
+// that a delayed or wrong one can't leave a group without a candidate.
 
 // nonMemberIntervalFactor multiplies the request interval and the election timeout of
 // a member that isn't in the group.
--- a/replica/recovery_test.go
+++ b/replica/recovery_test.go
@@ -40,9 +40,9 @@
 	s.run(2)
 }
 
-// checkHealed ends the partitions and checks that the committed entries are still
+// endPartitionsAndCheck ends the partitions and checks that the committed entries are still
 // there.
-func (s *sim) checkHealed(t *testing.T) {
+func (s *sim) endPartitionsAndCheck(t *testing.T) {
 	t.Helper()
 	last := s.lastApplied
 	for n := s.nodes[0]; n.clockStopped; n.clockStopped = n.core.Status().CanDecide {
@@ -65,13 +65,13 @@
 	must.SliceEmpty(t, s.violations, must.Sprint(s.violations))
 	must.Eq(t, Leader, roleOf(s.nodes[0]))
 	must.Eq(t, Recovering, roleOf(s.nodes[2]))
-	s.checkHealed(t)
+	s.endPartitionsAndCheck(t)
 }
 
-// n0, which has a disk, is partitioned as leader with an uncommitted removal of n1
-// and steps down. It asks n2, which has lost its state, for a cold start. Counted by
-// the proposed membership, n0 and n2 would be every voter, and work accepted by n1
-// would be lost.
+// n0, which has a disk, is partitioned as leader with an uncommitted removal of n1 and
+// steps down. It asks n2, which has lost its state, for a cold start. Counted by the
+// proposed membership, n0 and n2 would be all voters, and work accepted by n1 would be
+// lost.
 func TestColdStartCountsCommittedMembership(t *testing.T) {
 	s := newSimWithDeposedLeader(t, simOptions{voters: 3, disks: 1}, false)
 	s.restartN2WithoutState()
@@ -81,7 +81,7 @@
 	must.Nil(t, s.leader())
 	must.Eq(t, term, s.nodes[0].core.term) // waiting must not raise the term
 	must.Eq(t, Recovering, roleOf(s.nodes[2]))
-	s.checkHealed(t)
+	s.endPartitionsAndCheck(t)
 }
 
 // n0 holds an uncommitted membership with a fourth voter. The disks of n1 and n2, a
@@ -150,7 +150,7 @@
 	must.SliceEmpty(t, s.violations, must.Sprint(s.violations))
 	must.Nil(t, s.leader())
 	must.Eq(t, Recovering, roleOf(s.nodes[2]))
-	s.checkHealed(t)
+	s.endPartitionsAndCheck(t)
 }
 
 // n0 requests votes in term 4, restarts without state, recovers with members that
--- a/replica/safety_test.go
+++ b/replica/safety_test.go
@@ -165,10 +165,9 @@
 	must.Eq(t, before, c.members.current())
 }
 
-// n0 fetches a witness's log that diverges from its own at entry 2, and the first
-// batch ends right before that. If n0 continued from its own last entry, its request
-// would be rejected and it would start again for ever, so a live majority would have
-// no leader.
+// n0 fetches a witness's log that diverges from its own at entry 2, and the first batch
+// ends right before that. If n0 continued from its own last entry, its request would be
+// rejected and it would start again forever, so a live majority would have no leader.
 func TestLogFetchContinuesFromMatch(t *testing.T) {
 	c := candidateCore(t, "n0", "n1", "n2")
 	lastFetch := func() Message {
--- a/replica/scenario_test.go
+++ b/replica/scenario_test.go
@@ -94,9 +94,9 @@
 	}
 }
 
-// Of three diskless members one is partitioned while the other two commit. One of
-// these two restarts without state just as the leader is partitioned. If it voted at
-// once, it and the first partitioned member would elect a leader that lacks the
+// Of three diskless members one is partitioned while the other two commit. One of these
+// two restarts without state just as the leader is partitioned. If it voted
+// immediately, it and the first partitioned member would elect a leader that lacks the
 // committed entries, and accepted work would be lost.
 func TestMemberWithoutStateDoesNotVoteBeforeRecovery(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3})
@@ -311,7 +311,7 @@
 // The first leader of a new group is partitioned before any other member receives an
 // append from it. The others haven't taken part yet. When the partition ends, the
 // group must start without an operator.
-func TestFirstLeaderPartitionedAtOnce(t *testing.T) {
+func TestFirstLeaderPartitionedBeforeFirstAppend(t *testing.T) {
 	for _, opt := range []simOptions{{voters: 3}, {voters: 5, disks: 2}} {
 		s := newSim(7, opt)
 		s.intercept = func(m Message) bool { return m.Type == MsgAppend }
--- a/replica/sim_checks_test.go
+++ b/replica/sim_checks_test.go
@@ -65,7 +65,7 @@
 // checkProgress checks that the group has a leader that commits after the faults.
 func (s *sim) checkProgress() {
 	before := s.counts["committed"]
-	s.heal()
+	s.endFaults()
 	s.run(600)
 	if s.leader() == nil || s.counts["committed"] == before {
 		s.failf("no leader or no commit after the faults:%s", s.describe())
--- a/replica/sim_faults_test.go
+++ b/replica/sim_faults_test.go
@@ -28,7 +28,7 @@
 	case kind < 24 && n.paused:
 		n.resume()
 	case kind < 30:
-		s.counts["cuts"]++
+		s.counts["partitions"]++
 		for _, o := range s.nodes {
 			s.blockedLinks[[2]string{n.id, o.id}] = true
 			s.blockedLinks[[2]string{o.id, n.id}] = s.chance(0.8)
@@ -77,8 +77,8 @@
 	}
 }
 
-// losePower stops all members at once. Entries committed while no disk voter answered
-// may be lost.
+// losePower stops all members at the same time. Entries committed while no disk voter
+// answered may be lost.
 func (s *sim) losePower() {
 	s.counts["power losses"]++
 	s.inTransit = nil
@@ -93,8 +93,8 @@
 	s.lastApplied = min(s.lastApplied, s.lastDurable)
 }
 
-// heal ends all faults.
-func (s *sim) heal() {
+// endFaults ends all faults.
+func (s *sim) endFaults() {
 	s.opt.faults = false
 	s.lossRate = 0
 	clear(s.blockedLinks)
--- a/replica/step.go
+++ b/replica/step.go
@@ -7,19 +7,18 @@
 // error. It returns ErrBadMessage for a message that isn't addressed to this member
 // or has an unknown type.
 //
-// A message may be meant for an earlier incarnation of this member, which has lost
-// its state since, and reach the present one. Each type is safe for a reason of its
-// own:
+// A message may be meant for an earlier incarnation of this member, which has lost its
+// state since, and reach the current one. Each type is safe for its own reason:
 //
 //   - MsgVote of a cold start and MsgVoteReply name the incarnation they are
 //     meant for (ReceiverIncarnation), MsgStateReply does so by its Nonce. The
 //     first ends the recovery of a member; the others judge a log or answer a
-//     request that the present incarnation may not have.
-//   - Any other MsgVote and MsgPreVote are judged by the present log, term and
-//     vote, and the grant counts under the present incarnation. A recovering
+//     request that the current incarnation may not have.
+//   - Any other MsgVote and MsgPreVote are judged by the current log, term and
+//     vote, and the grant counts under the current incarnation. A recovering
 //     member grants none.
 //   - MsgAppend and MsgSnapshot state facts of one leader's log in one term. The
-//     reply is sent under the present incarnation and is true of its log. The tick
+//     reply is sent under the current incarnation and is true of its log. The tick
 //     and read round that it repeats are older, but the member refuses votes for a
 //     whole election timeout after its start and after the reply.
 //   - MsgAppendReply counts only on the leader of its term. A later incarnation of
@@ -89,7 +88,7 @@
 }
 
 // recordIncarnation merges k. If it supersedes an incarnation, everything that the
-// superseded one told this member is discarded.
+// superseded one reported to this member is discarded.
 func (c *Core) recordIncarnation(k MemberIncarnation) {
 	if k.ID == c.cfg.ID {
 		c.recordOwnIncarnation(k.Incarnation)
--- a/replica/transfer.go
+++ b/replica/transfer.go
@@ -10,9 +10,9 @@
 	timeoutNowSent bool
 }
 
-// Transfer hands the leadership to another voter. The leader accepts no more
+// Transfer transfers the leadership to another voter. The leader accepts no more
 // proposals, and once the other voter holds the whole log, the leader tells it to
-// campaign at once. The transfer expires after an election timeout. Errors:
+// campaign immediately. The transfer expires after an election timeout. Errors:
 // ErrNotLeader, ErrTransferring, and ErrBadTransferee for a member that can't lead or
 // isn't responsive.
 func (c *Core) Transfer(to string) error {
--- a/replica/types.go
+++ b/replica/types.go
@@ -109,7 +109,7 @@
 	// Committed entries are to be applied, in order, each exactly once.
 	Committed []Entry
 	// Messages are to be sent after the sync, except those whose BeforeSync method
-	// reports true; these may be sent at once.
+	// reports true; these may be sent immediately.
 	Messages []Message
 	// Reads are confirmed; each may be answered once Applied reaches its Index.
 	Reads []ReadState
