--- a/internal/node/apply.go
+++ b/internal/node/apply.go
@@ -7,7 +7,7 @@
 )
 
 // pendingProposal is a call whose command is in the log and not yet committed. The term
-// tells its entry from another leader's entry at the same index.
+// distinguishes its entry from another leader's entry at the same index.
 type pendingProposal struct {
 	call *call
 	term uint64
@@ -127,7 +127,8 @@
 	w.call.reply(value, nil)
 }
 
-// installSnapshot replaces the state of the state machine by a leader's snapshot.
+// installSnapshot replaces the state of the state machine by a snapshot from another
+// member.
 func (g *Group) installSnapshot(s *replica.Snapshot) error {
 	invariant(s.Index > g.applied, "snapshot of entry %d received after entry %d was applied", s.Index, g.applied)
 	if err := g.cfg.Machine.Restore(s.Data); err != nil {
@@ -147,7 +148,8 @@
 	current := func(term uint64) bool { return s.Role == replica.Leader && s.Term == term }
 	g.failProposals(func(w pendingProposal) bool { return !current(w.term) }, "the leadership was lost")
 	// An error records the stack. Creating this one in every round would take a
-	// fifteenth of an idle leader's processor time, though it is hardly ever used.
+	// noticeable part of an idle leader's processor time, though it is hardly ever
+	// used.
 	if len(g.barriers.byToken) > 0 {
 		g.barriers.failUnless(current, unavailable(ErrNotLeader, "not leader; the leadership was lost"))
 	}
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -148,7 +148,7 @@
 }
 
 // Barrier waits until this member has applied everything that was committed before the
-// call and has confirmed that it still led after the call began.
+// call and has confirmed that it still led after the call started.
 func (g *Group) Barrier(ctx context.Context) error {
 	_, err := g.do(ctx, &call{kind: callBarrier})
 	return err
@@ -170,7 +170,7 @@
 }
 
 // Transfer transfers the leadership to another member and waits until one leads. On a
-// member that doesn't lead it returns at once when another member leads.
+// member that doesn't lead it returns immediately when another member leads.
 func (g *Group) Transfer(ctx context.Context) error {
 	var errs error
 	for {
--- a/internal/node/http_test.go
+++ b/internal/node/http_test.go
@@ -56,9 +56,9 @@
 func (c *counter) Snapshot() ([]byte, error) { return fmt.Append(nil, c.applied), nil }
 func (c *counter) Restore([]byte) error      { return nil }
 
-// newHTTPCluster starts one instance for each member. Each HTTP call takes delay on the
-// way in and on the way out. Every instance has a member of each group; without named
-// groups there is one, "bench".
+// newHTTPCluster starts one instance for each member. Each HTTP call waits for delay
+// before and after it is served. Every instance has a member of each group; without
+// named groups there is one, "bench".
 func newHTTPCluster(t testing.TB, members int, delay time.Duration, groups ...string) *httpCluster {
 	if len(groups) == 0 {
 		groups = []string{"bench"}
@@ -152,7 +152,7 @@
 
 // BenchmarkCommit measures committed proposals of 60 bytes and the latency that callers
 // see. The delay is one way. Without a rate, each caller proposes again as soon as it
-// is answered. With a rate, proposals are sent at that rate whatever the answers do,
+// is answered. With a rate, proposals are sent at that rate regardless of the answers,
 // and their latency counts from when they were due.
 func BenchmarkCommit(b *testing.B) {
 	for _, c := range []struct {
@@ -209,9 +209,9 @@
 
 func (m *loadGenerator) openLoop(rate int) {
 	var group sync.WaitGroup
-	begin := time.Now()
+	start := time.Now()
 	for i := range m.b.N {
-		due := begin.Add(time.Duration(i) * time.Second / time.Duration(rate))
+		due := start.Add(time.Duration(i) * time.Second / time.Duration(rate))
 		time.Sleep(time.Until(due))
 		group.Go(func() { m.propose(due) })
 	}
--- a/internal/node/inbox.go
+++ b/internal/node/inbox.go
@@ -47,8 +47,8 @@
 }
 
 // Step queues a payload that another member's Transport sent. It returns an error for a
-// payload that can't be decoded or holds another member's messages. The log answers by
-// messages of its own.
+// payload that can't be decoded or holds another member's messages. The log replies
+// with its own messages.
 func (g *Group) Step(from string, payload []byte) error {
 	var messages []replica.Message
 	if err := payloadDecoder.Unmarshal(payload, &messages); err != nil {
--- a/internal/node/linearizability_test.go
+++ b/internal/node/linearizability_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// injectFault injects one fault, waits while clients make more accesses, and heals it.
+// injectFault injects one fault, waits while clients make more accesses, and ends it.
 func (h *history) injectFault(c *cluster, random *rand.Rand, extra int64) {
 	const wait = 500 * time.Millisecond
 	all := c.running()
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -12,8 +12,8 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// invariant panics when ok is false: to continue would break what callers were
-// promised.
+// invariant panics when ok is false: continuing would break a guarantee already given
+// to a caller.
 func invariant(ok bool, format string, args ...any) {
 	if !ok {
 		panic("node: invariant broken: " + fmt.Sprintf(format, args...))
@@ -160,9 +160,9 @@
 	return g.wal.Save(r.HardState, r.Entries, r.MustSync)
 }
 
-// saveSnapshot writes a snapshot from a leader. The term goes first, since no entry may
-// have a later term than the member. The record that the member has recovered must wait
-// until the snapshot and the entries are durable.
+// saveSnapshot writes a snapshot from another member. The term goes first, since no
+// entry may have a later term than the member. The record that the member has recovered
+// must wait until the snapshot and the entries are durable.
 func (g *Group) saveSnapshot(r replica.Ready) error {
 	if r.HardState != nil {
 		interim := *r.HardState
@@ -181,8 +181,8 @@
 // waitForDiskSpace waits before the next attempt to write to a full disk. It returns
 // false when the member isn't to try again.
 //
-// Failure guarded against: a disk is full for a while. A member that ends is restarted
-// and ends again, ten times in 5 s, and everything else in its process ends with it. A
+// A disk may be full only for a short time. A member that stopped would be restarted
+// and stop again, ten times in 5 s, and everything else in its process with it. A
 // member that waits acknowledges nothing, and its leader lease expires by its own
 // clock, as with a disk that stalls.
 func (g *Group) waitForDiskSpace() bool {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -77,7 +77,7 @@
 // callIntervalPerFollower is the minimum time between two rounds that process calls,
 // for each other member of the group. With two followers it is less than a sync of a
 // slow disk. With more, a leader would spend a large part of a small processor on log
-// messages, some thousand a second, unless they are sent in batches.
+// messages, several thousand per second, unless they are sent in batches.
 const callIntervalPerFollower = 2 * time.Millisecond
 
 // Config holds the fixed settings of a Group.
@@ -104,7 +104,7 @@
 	// the latest snapshot counts if it is larger. At most half of SnapshotBytes stays
 	// in memory for members that lag.
 	//
-	// Failure guarded against: a log of long commands, such as whole configuration
+	// Without this bound, a log of long commands, such as whole configuration
 	// documents, outgrows the memory of the process long before it has SnapshotEvery
 	// entries.
 	SnapshotBytes int
@@ -164,7 +164,7 @@
 	calls callQueue
 	inbox inbox
 
-	// The fields from here to snapshots belong to the goroutine of Run.
+	// clock and the fields after it, up to snapshots, belong to the goroutine of Run.
 	clock clock
 	// callsProcessedAt is when calls were last processed.
 	callsProcessedAt time.Time
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -158,7 +158,7 @@
 		next[i].Learner = true
 	}
 	err := leader.ChangeMembership(t.Context(), next)
-	must.True(t, fault.Is(err, fault.Invalid), must.Sprint("two changes at once: ", err))
+	must.True(t, fault.Is(err, fault.Invalid), must.Sprint("two changes in one call: ", err))
 	next[others[1]].Learner = false
 	must.NoError(t, leader.ChangeMembership(t.Context(), next))
 	// A caller that lost the answer repeats the call.
@@ -167,7 +167,7 @@
 	c.converged(3)
 }
 
-// Guards against callers that wait for ever when the member stops, and against a log
+// Guards against callers that wait forever when the member stops, and against a log
 // that isn't closed, so that the next start can't open it.
 func TestStopAnswersAllCallers(t *testing.T) {
 	c := newCluster(t, "abc", Config{})
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -82,7 +82,7 @@
 }
 
 // completeSnapshot drops the entries that a durable snapshot covers. It ignores a
-// snapshot that is older than one from a leader.
+// snapshot that is older than one received from another member.
 func (g *Group) completeSnapshot(r snapshotResult) error {
 	g.snapshots.running = false
 	if errors.Is(r.err, syscall.ENOSPC) {
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -27,10 +27,12 @@
 	Proposals, Commits uint64
 	// Elections counts the terms that this member led.
 	Elections uint64
-	// Snapshots were taken here, Restores came from a leader.
+	// Snapshots counts the snapshots taken by this member, Restores those installed
+	// from another member.
 	Snapshots, Restores uint64
-	// MessagesSent and BytesSent were passed to the transport. MessagesReceived were
-	// queued; MessagesDropped were refused or exceeded the bound of the queue.
+	// MessagesSent and BytesSent count what was passed to the transport,
+	// MessagesReceived the messages queued, and MessagesDropped those refused or beyond
+	// the bound of the queue.
 	MessagesSent, BytesSent, MessagesReceived, MessagesDropped uint64
 	// LogBytes, LogEntries and LogSyncs count the writes of the write-ahead log;
 	// TornTails is 1 when Open truncated its end. All are zero without a disk.
