--- a/internal/wal/counters.go
+++ b/internal/wal/counters.go
@@ -31,11 +31,11 @@
 // withoutData returns copies of entries without their data. The open log keeps only
 // index and term of its entries in memory.
 func withoutData(entries []replica.Entry) []replica.Entry {
-	bare := make([]replica.Entry, len(entries))
+	stripped := make([]replica.Entry, len(entries))
 	for i, e := range entries {
-		bare[i] = replica.Entry{Index: e.Index, Term: e.Term}
+		stripped[i] = replica.Entry{Index: e.Index, Term: e.Term}
 	}
-	return bare
+	return stripped
 }
 
 // dropData drops the data of the entries.
--- a/internal/wal/format_test.go
+++ b/internal/wal/format_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// A member is upgraded and must read the files of the previous version. An entry read
-// wrongly breaks an acknowledgement.
+// A member is upgraded and must read the files of the previous version. A misread entry
+// would lose acknowledged data.
 func TestFilesOfVersion1AreRead(t *testing.T) {
 	if *writeTestdata {
 		writeSample(t, "testdata/v1")
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -230,8 +230,8 @@
 			w.counters.bytes.Add(uint64(n))
 			return nil
 		}
-		if cut := w.truncateFailedWrite(); cut != nil {
-			return w.setErr(errors.CombineErrors(errors.Wrap(err, "write to the log"), cut))
+		if truncateErr := w.truncateFailedWrite(); truncateErr != nil {
+			return w.setErr(errors.CombineErrors(errors.Wrap(err, "write to the log"), truncateErr))
 		}
 		if err := w.retry(err); err != nil {
 			return w.setErr(errors.Wrap(err, "write to the log"))
@@ -299,8 +299,8 @@
 func (w *WAL) firstRecord() *record {
 	base, hs := w.state.last(), w.state.hardState
 	r := &record{HardState: &hs, Base: &base}
-	if mark := w.state.snapshot; mark.Index > 0 {
-		r.Snapshot = &mark
+	if snapshot := w.state.snapshot; snapshot.Index > 0 {
+		r.Snapshot = &snapshot
 	}
 	return r
 }
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -150,7 +150,7 @@
 // the log there would silently lose committed entries. Open must fail, name the
 // location, and leave the files unchanged for a repair.
 func TestDamagedSyncedRecordIsRefused(t *testing.T) {
-	folder, damagedFolder := t.TempDir(), filepath.Join(t.TempDir(), "hurt")
+	folder, damagedFolder := t.TempDir(), filepath.Join(t.TempDir(), "damaged")
 	w, _ := mustOpen(t, folder, 512)
 	saveOneByOne(t, w, nil, entryRange(1, 30, 1))
 	segments := len(w.segments)
@@ -215,14 +215,14 @@
 	// The caller is assumed to know everything except the salt, even the offset.
 	var outer, inner bytes.Buffer
 	placeholder := bytes.Repeat([]byte{0xee}, 17)
-	carrier := func(data []byte) *record {
+	outerRecord := func(data []byte) *record {
 		return &record{Entries: []replica.Entry{{Index: 2, Term: 1, Data: data}}, Synced: w.synced, PreviousTerm: 1}
 	}
-	must.NoError(t, encodeFrame(&outer, carrier(placeholder), w.salt, start))
+	must.NoError(t, encodeFrame(&outer, outerRecord(placeholder), w.salt, start))
 	at := start + int64(bytes.Index(outer.Bytes(), placeholder))
 	must.NoError(t, encodeFrame(&inner, &record{Synced: 1 << 15}, 0, at))
 	must.Len(t, len(placeholder), inner.Bytes())
-	must.NoError(t, w.Save(nil, carrier(inner.Bytes()).Entries, false))
+	must.NoError(t, w.Save(nil, outerRecord(inner.Bytes()).Entries, false))
 	must.NoError(t, w.Close())
 	path := lastSegment(t, folder)
 	whole, err := os.ReadFile(path)
