--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -25,7 +25,7 @@
 	// takes a few milliseconds, and the operating system resends a lost first packet
 	// after 1 s.
 	dialTimeout = 500 * time.Millisecond
-	// maxBody bounds the bytes of a request or reply; a configuration with some
+	// maxBody bounds the bytes of a request or reply; a configuration with several
 	// thousand routes fits.
 	maxBody = 8 << 20
 	// maxIdlePerHost is the number of idle connections kept per host: the usual number
@@ -129,7 +129,7 @@
 	defer response.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxBody))
 	if err != nil {
-		return e, fault.New(fault.Unknown, "%s: the answer was cut short: %v", method, err)
+		return e, fault.New(fault.Unknown, "%s: the answer is incomplete: %v", method, err)
 	}
 	if err := cbor.Unmarshal(data, &e); err != nil {
 		return e, fault.New(fault.Unknown, "%s: the answer with status %d can't be decoded: %v", method, response.StatusCode, err)
