--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -78,7 +78,7 @@
 	return context.WithValue(ctx, callerKey{}, caller)
 }
 
-// Authenticate serves requests with a known token by next, and refuses others. It
+// Authenticate passes requests with a known token to next, and refuses others. It
 // limits the request body to maxBody bytes.
 func Authenticate(tokens *settings.TokenSet, maxBody int64, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -134,7 +134,7 @@
 				return response, nil
 			}
 			if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled) {
-				err = fault.New(fault.Unavailable, "no answer within the time of the call; its fate is open")
+				err = fault.New(fault.Unavailable, "no answer within the time of the call; its outcome is unknown")
 			}
 			return nil, fault.ToTwirp(err)
 		}
@@ -158,7 +158,7 @@
 }
 
 // LeaderIn returns the leader that a member's status names. The address comes from the
-// membership, so that an instance that replaced another is found too.
+// membership, so that an instance that replaced another is also found.
 func LeaderIn(status replica.Status) Leader {
 	for _, member := range status.Members {
 		if member.ID == status.Leader {
