--- a/internal/gateway/version_order.go
+++ b/internal/gateway/version_order.go
@@ -152,9 +152,9 @@
 	if len(o.spans) <= maxVersionSpans {
 		return
 	}
-	// The last request of the oldest version still tells which answers by newer
-	// versions would be too late, so the next span takes it over. Its first request
-	// says nothing about the next version.
+	// The last request of the oldest version still shows which answers by newer
+	// versions would contradict the order of the requests, so the next span is extended
+	// by it. Its first request says nothing about the next version.
 	if oldest := o.spans[0]; oldest.lastReceived.After(o.spans[1].lastReceived) {
 		o.spans[1].lastReceived = oldest.lastReceived
 	}
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -28,8 +28,8 @@
 	// maxBody bounds the bytes of a request or reply; a configuration with several
 	// thousand routes fits.
 	maxBody = 8 << 20
-	// maxIdlePerHost is the number of idle connections kept per host: the usual number
-	// of concurrent calls.
+	// maxIdlePerHost is the number of idle connections kept open per host: the usual
+	// number of concurrent calls.
 	maxIdlePerHost = 16
 	idleTimeout    = 30 * time.Second
 	pathPrefix     = "/link/"
