--- a/replica/coldstart.go
+++ b/replica/coldstart.go
@@ -139,9 +139,9 @@
 	if m.ID == c.cfg.ID {
 		return voterState{m, c.role == Recovering, c.incarnations.participated(m.ID), c.log.last(), c.log.lastTerm()}, true
 	}
-	a, ok := c.recovery.replies[m.ID]
-	recent := c.now-a.receivedTick < 2*uint64(c.cfg.ElectionTicks)
-	return voterState{m, a.recovering, c.incarnations.participated(m.ID), a.index, a.logTerm}, ok && recent && !a.leader
+	reply, ok := c.recovery.replies[m.ID]
+	recent := c.now-reply.receivedTick < 2*uint64(c.cfg.ElectionTicks)
+	return voterState{m, reply.recovering, c.incarnations.participated(m.ID), reply.index, reply.logTerm}, ok && recent && !reply.leader
 }
 
 // coldStartLeader returns the ID of the voter with the most complete log among those
@@ -240,8 +240,8 @@
 	if c.role == Recovering {
 		return true
 	}
-	for _, a := range c.recovery.replies {
-		if a.recovering {
+	for _, reply := range c.recovery.replies {
+		if reply.recovering {
 			return true
 		}
 	}
@@ -282,8 +282,8 @@
 // highestReportedTerm returns the highest term of this member and of the replies.
 func (c *Core) highestReportedTerm() uint64 {
 	highest := c.term
-	for _, a := range c.recovery.replies {
-		highest = max(highest, a.term)
+	for _, reply := range c.recovery.replies {
+		highest = max(highest, reply.term)
 	}
 	return highest
 }
--- a/replica/recovery.go
+++ b/replica/recovery.go
@@ -115,34 +115,34 @@
 // tryRecover chooses the leader to recover from once the replies suffice.
 func (c *Core) tryRecover() {
 	highest := c.term
-	for _, a := range c.recovery.replies {
-		highest = max(highest, a.term)
+	for _, reply := range c.recovery.replies {
+		highest = max(highest, reply.term)
 	}
 	leader, ok := c.leaderReply(highest)
 	if !ok || c.recovery.source.term >= highest {
 		return
 	}
-	a := c.recovery.replies[leader]
-	c.recovery.memberships = a.memberships
-	latest := a.memberships[len(a.memberships)-1]
+	reply := c.recovery.replies[leader]
+	c.recovery.memberships = reply.memberships
+	latest := reply.memberships[len(reply.memberships)-1]
 	if _, member := findMember(latest, c.cfg.ID); !member {
 		return
 	}
-	for _, list := range a.memberships {
+	for _, list := range reply.memberships {
 		if !c.hasRecoveryQuorum(list) {
 			return
 		}
 	}
 	c.setTerm(highest)
 	c.vote = leader
-	c.recovery.source = recoverySource{leader: leader, term: highest, requiredIndex: a.index}
+	c.recovery.source = recoverySource{leader: leader, term: highest, requiredIndex: reply.index}
 	c.tryEndRecovery()
 }
 
 // leaderReply returns the ID of the leader of term among the replies.
 func (c *Core) leaderReply(term uint64) (string, bool) {
-	for id, a := range c.recovery.replies {
-		if a.leader && a.term == term {
+	for id, reply := range c.recovery.replies {
+		if reply.leader && reply.term == term {
 			return id, true
 		}
 	}
@@ -159,7 +159,7 @@
 			continue
 		}
 		others++
-		if a, ok := c.recovery.replies[m.ID]; ok && !a.recovering {
+		if reply, ok := c.recovery.replies[m.ID]; ok && !reply.recovering {
 			count++
 		}
 	}
