--- a/internal/node/apply.go
+++ b/internal/node/apply.go
@@ -115,16 +115,16 @@
 }
 
 func (g *Group) completeProposal(e replica.Entry, value any) {
-	w, ok := g.proposals[e.Index]
+	proposal, ok := g.proposals[e.Index]
 	if !ok {
 		return
 	}
 	delete(g.proposals, e.Index)
-	if w.term != e.Term {
-		w.call.reply(nil, unavailable(ErrNotCommitted, "another leader's entry replaced the command"))
+	if proposal.term != e.Term {
+		proposal.call.reply(nil, unavailable(ErrNotCommitted, "another leader's entry replaced the command"))
 		return
 	}
-	w.call.reply(value, nil)
+	proposal.call.reply(value, nil)
 }
 
 // installSnapshot replaces the state of the state machine by a snapshot from another
@@ -146,7 +146,7 @@
 func (g *Group) failSupersededCalls(s replica.Status) {
 	g.counters.recordRole(s)
 	current := func(term uint64) bool { return s.Role == replica.Leader && s.Term == term }
-	g.failProposals(func(w pendingProposal) bool { return !current(w.term) }, "the leadership was lost")
+	g.failProposals(func(p pendingProposal) bool { return !current(p.term) }, "the leadership was lost")
 	// An error records the stack. Creating this one in every round would take a
 	// noticeable part of an idle leader's processor time, though it is hardly ever
 	// used.
@@ -156,10 +156,10 @@
 }
 
 func (g *Group) failProposals(match func(pendingProposal) bool, reason string) {
-	for index, w := range g.proposals {
-		if match(w) {
+	for index, proposal := range g.proposals {
+		if match(proposal) {
 			delete(g.proposals, index)
-			w.call.reply(nil, outcomeUnknown(reason))
+			proposal.call.reply(nil, outcomeUnknown(reason))
 		}
 	}
 }
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -100,8 +100,8 @@
 func (q *callQueue) remove(c *call) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for i, w := range q.pending {
-		if w == c {
+	for i, queued := range q.pending {
+		if queued == c {
 			q.pending = append(q.pending[:i:i], q.pending[i+1:]...)
 			return true
 		}
--- a/internal/node/http_test.go
+++ b/internal/node/http_test.go
@@ -63,7 +63,7 @@
 	if len(groups) == 0 {
 		groups = []string{"bench"}
 	}
-	l := &httpCluster{}
+	h := &httpCluster{}
 	var list []replica.Member
 	listeners := make([]*peer.Listener, members)
 	for i := range members {
@@ -76,9 +76,9 @@
 	for i, m := range list {
 		n := startInstance(t, m, list, filepath.Join(folder, m.ID), listeners[i], delay, groups)
 		t.Cleanup(n.stop)
-		l.instances = append(l.instances, n)
+		h.instances = append(h.instances, n)
 	}
-	return l
+	return h
 }
 
 func startInstance(t testing.TB, self replica.Member, list []replica.Member, folder string, listener *peer.Listener, delay time.Duration, groups []string) *httpInstance {
@@ -120,9 +120,9 @@
 	return &httpInstance{Group: opened[0], groups: opened, transport: transport, listener: listener, stop: stop}
 }
 
-func (l *httpCluster) leader(t testing.TB) *httpInstance {
+func (h *httpCluster) leader(t testing.TB) *httpInstance {
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		for _, n := range l.instances {
+		for _, n := range h.instances {
 			if n.Status().CanDecide {
 				return n
 			}
@@ -135,15 +135,15 @@
 // Guards against lost commits: three members talk over HTTP, the leader's process ends,
 // and another member must take over with everything that was committed.
 func TestGroupOverHTTP(t *testing.T) {
-	l := newHTTPCluster(t, 3, 0)
-	old := l.leader(t)
+	h := newHTTPCluster(t, 3, 0)
+	old := h.leader(t)
 	for range 100 {
 		_, err := old.Propose(t.Context(), []byte("command"))
 		must.NoError(t, err)
 	}
 	committed := old.Status().Commit
 	old.stop()
-	next := l.leader(t)
+	next := h.leader(t)
 	must.NotEq(t, old.cfg.ID, next.cfg.ID)
 	must.NoError(t, next.Barrier(t.Context()))
 	must.GreaterEq(t, committed, next.Status().Applied)
@@ -163,15 +163,15 @@
 		{3, 1, 0, time.Millisecond}, {3, 64, 0, time.Millisecond}, {3, 0, 5000, time.Millisecond},
 	} {
 		b.Run(fmt.Sprintf("members=%d/callers=%d/rate=%d/delay=%v", c.members, c.callers, c.rate, c.delay), func(b *testing.B) {
-			l := newHTTPCluster(b, c.members, c.delay)
-			m := &loadGenerator{b: b, leader: l.leader(b), latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+			h := newHTTPCluster(b, c.members, c.delay)
+			generator := &loadGenerator{b: b, leader: h.leader(b), latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 			b.ResetTimer()
 			if c.rate > 0 {
-				m.openLoop(c.rate)
+				generator.openLoop(c.rate)
 			} else {
-				m.closedLoop(c.callers)
+				generator.closedLoop(c.callers)
 			}
-			m.report()
+			generator.report()
 		})
 	}
 }
@@ -184,46 +184,46 @@
 	latency *hdrhistogram.Histogram
 }
 
-func (m *loadGenerator) propose(due time.Time) {
-	_, err := m.leader.Propose(context.Background(), make([]byte, 60))
+func (g *loadGenerator) propose(due time.Time) {
+	_, err := g.leader.Propose(context.Background(), make([]byte, 60))
 	took := time.Since(due)
-	must.NoError(m.b, err)
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	_ = m.latency.RecordValue(took.Microseconds())
+	must.NoError(g.b, err)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	_ = g.latency.RecordValue(took.Microseconds())
 }
 
-func (m *loadGenerator) closedLoop(callers int) {
+func (g *loadGenerator) closedLoop(callers int) {
 	var left atomic.Int64
-	left.Store(int64(m.b.N))
+	left.Store(int64(g.b.N))
 	var group sync.WaitGroup
 	for range callers {
 		group.Go(func() {
 			for left.Add(-1) >= 0 {
-				m.propose(time.Now())
+				g.propose(time.Now())
 			}
 		})
 	}
 	group.Wait()
 }
 
-func (m *loadGenerator) openLoop(rate int) {
+func (g *loadGenerator) openLoop(rate int) {
 	var group sync.WaitGroup
 	start := time.Now()
-	for i := range m.b.N {
+	for i := range g.b.N {
 		due := start.Add(time.Duration(i) * time.Second / time.Duration(rate))
 		time.Sleep(time.Until(due))
-		group.Go(func() { m.propose(due) })
+		group.Go(func() { g.propose(due) })
 	}
 	group.Wait()
 }
 
-func (m *loadGenerator) report() {
-	stats := m.leader.Stats()
-	m.b.ReportMetric(float64(m.b.N)/m.b.Elapsed().Seconds(), "commits/s")
-	m.b.ReportMetric(float64(m.latency.ValueAtQuantile(50))/1000, "p50-ms")
-	m.b.ReportMetric(float64(m.latency.ValueAtQuantile(99))/1000, "p99-ms")
-	m.b.ReportMetric(float64(stats.Commits)/float64(max(1, stats.LogSyncs)), "entries/sync")
+func (g *loadGenerator) report() {
+	stats := g.leader.Stats()
+	g.b.ReportMetric(float64(g.b.N)/g.b.Elapsed().Seconds(), "commits/s")
+	g.b.ReportMetric(float64(g.latency.ValueAtQuantile(50))/1000, "p50-ms")
+	g.b.ReportMetric(float64(g.latency.ValueAtQuantile(99))/1000, "p99-ms")
+	g.b.ReportMetric(float64(stats.Commits)/float64(max(1, stats.LogSyncs)), "entries/sync")
 }
 
 // BenchmarkIdle measures the bytes that idle members send and receive at the socket, on
@@ -232,10 +232,10 @@
 func BenchmarkIdle(b *testing.B) {
 	for _, groups := range [][]string{{"cell"}, {"cell", "configuration"}} {
 		b.Run(fmt.Sprintf("groups=%d", len(groups)), func(b *testing.B) {
-			l := newHTTPCluster(b, 3, 0, groups...)
-			l.waitUntilReady(b, len(groups))
-			before := make([]uint64, len(l.instances))
-			for i, n := range l.instances {
+			h := newHTTPCluster(b, 3, 0, groups...)
+			h.waitUntilReady(b, len(groups))
+			before := make([]uint64, len(h.instances))
+			for i, n := range h.instances {
 				before[i] = n.socketBytes()
 			}
 			processor := cpuTime(b)
@@ -243,7 +243,7 @@
 			time.Sleep(time.Duration(b.N) * time.Second)
 			seconds := b.Elapsed().Seconds()
 			b.ReportMetric(float64((cpuTime(b)-processor).Microseconds())/1000/seconds, "cpu-ms/s")
-			for i, n := range l.instances {
+			for i, n := range h.instances {
 				b.ReportMetric(float64(n.socketBytes()-before[i])/seconds, fmt.Sprintf("leads%d-B/s", n.ledGroups()))
 			}
 		})
@@ -251,10 +251,10 @@
 }
 
 // waitUntilReady waits until each group has a leader and the connections are open.
-func (l *httpCluster) waitUntilReady(t testing.TB, groups int) {
+func (h *httpCluster) waitUntilReady(t testing.TB, groups int) {
 	for end := time.Now().Add(waitTimeout); ; time.Sleep(5 * time.Millisecond) {
 		led := 0
-		for _, n := range l.instances {
+		for _, n := range h.instances {
 			led += n.ledGroups()
 		}
 		if led == groups {
--- a/internal/node/reads.go
+++ b/internal/node/reads.go
@@ -14,42 +14,42 @@
 	calls []*call
 }
 
-func (r *pendingBarriers) nextToken() uint64 {
-	r.lastToken++
-	return r.lastToken
+func (b *pendingBarriers) nextToken() uint64 {
+	b.lastToken++
+	return b.lastToken
 }
 
-func (r *pendingBarriers) add(token, term uint64, calls []*call) {
-	if r.byToken == nil {
-		r.byToken = map[uint64]barrierBatch{}
+func (b *pendingBarriers) add(token, term uint64, calls []*call) {
+	if b.byToken == nil {
+		b.byToken = map[uint64]barrierBatch{}
 	}
-	r.byToken[token] = barrierBatch{term: term, calls: calls}
+	b.byToken[token] = barrierBatch{term: term, calls: calls}
 }
 
 // confirm answers the barriers that the core has confirmed. The read index, the
 // leader's commit index at the time of the call, is never beyond what the same Ready
 // applies.
-func (r *pendingBarriers) confirm(states []replica.ReadState, applied uint64) {
+func (b *pendingBarriers) confirm(states []replica.ReadState, applied uint64) {
 	for _, s := range states {
-		o, ok := r.byToken[s.Token]
+		batch, ok := b.byToken[s.Token]
 		if !ok {
 			continue
 		}
 		invariant(s.Index <= applied, "read of entry %d confirmed when only %d entries are applied", s.Index, applied)
-		delete(r.byToken, s.Token)
-		replyAll(o.calls, nil)
+		delete(b.byToken, s.Token)
+		replyAll(batch.calls, nil)
 	}
 }
 
-func (r *pendingBarriers) failUnless(current func(term uint64) bool, err error) {
-	for token, o := range r.byToken {
-		if !current(o.term) {
-			delete(r.byToken, token)
-			replyAll(o.calls, err)
+func (b *pendingBarriers) failUnless(current func(term uint64) bool, err error) {
+	for token, batch := range b.byToken {
+		if !current(batch.term) {
+			delete(b.byToken, token)
+			replyAll(batch.calls, err)
 		}
 	}
 }
 
-func (r *pendingBarriers) failAll(err error) {
-	r.failUnless(func(uint64) bool { return false }, err)
+func (b *pendingBarriers) failAll(err error) {
+	b.failUnless(func(uint64) bool { return false }, err)
 }
