--- a/internal/wal/counters.go
+++ b/internal/wal/counters.go
@@ -39,4 +39,4 @@
 }
 
 // dropData drops the data of the entries.
-func (m *logState) dropData() { m.entries = withoutData(m.entries) }
+func (s *logState) dropData() { s.entries = withoutData(s.entries) }
--- a/internal/wal/recover.go
+++ b/internal/wal/recover.go
@@ -118,7 +118,7 @@
 // reconcileSnapshot applies the newest snapshot to the log and checks that no file
 // between them is missing.
 func (r *recoveredLog) reconcileSnapshot() error {
-	m := &r.state
+	state := &r.state
 	if len(r.segments) == 0 {
 		if r.snapshot.Index > 0 {
 			return damaged(r.snapshotPath, 0, errors.New("there is a snapshot but no segment"))
@@ -127,18 +127,18 @@
 	}
 	first := r.segments[0].path
 	at := position{r.snapshot.Index, r.snapshot.Term}
-	if m.snapshot.Index > at.Index {
-		return damaged(first, 0, errors.Newf("snapshot of entry %d is missing", m.snapshot.Index))
+	if state.snapshot.Index > at.Index {
+		return damaged(first, 0, errors.Newf("snapshot of entry %d is missing", state.snapshot.Index))
 	}
-	if m.base.Index > at.Index {
-		return damaged(first, 0, errors.Newf("entries before %d are missing", m.base.Index+1))
+	if state.base.Index > at.Index {
+		return damaged(first, 0, errors.Newf("entries before %d are missing", state.base.Index+1))
 	}
 	// A crash between the rename of a snapshot and the record that names it leaves a
 	// snapshot that no record names. It is valid all the same.
 	if at.Index > 0 {
-		m.applySnapshot(at)
+		state.applySnapshot(at)
 	}
-	m.hardState.Commit = max(m.hardState.Commit, at.Index)
-	m.hardState.Commit = min(m.hardState.Commit, m.last().Index)
+	state.hardState.Commit = max(state.hardState.Commit, at.Index)
+	state.hardState.Commit = min(state.hardState.Commit, state.last().Index)
 	return nil
 }
