--- a/replica/coldstart.go
+++ b/replica/coldstart.go
@@ -22,10 +22,10 @@
 // ForceStart. The leader's log must hold at least as much as that of each member of
 // N.
 //
-// All this must hold in each membership from the last committed one that the
-// candidate knows to its latest. A deposed leader may have proposed, and failed to
-// commit, the removal of the member that leads now. Without that member the others
-// would be every voter, and two leaders and a lost commit would follow.
+// All this must hold in each membership from the last committed one that the candidate
+// knows to its latest. A deposed leader may have proposed, and failed to commit, the
+// removal of the member that leads now. Without that member the others would be all
+// voters, and two leaders and a lost commit would follow.
 
 // voterState is the state of a voter that matters for a cold start.
 type voterState struct {
@@ -139,9 +139,9 @@
 	if m.ID == c.cfg.ID {
 		return voterState{m, c.role == Recovering, c.incarnations.participated(m.ID), c.log.last(), c.log.lastTerm()}, true
 	}
-	a, ok := c.recovery.replies[m.ID]
-	recent := c.now-a.receivedTick < 2*uint64(c.cfg.ElectionTicks)
-	return voterState{m, a.recovering, c.incarnations.participated(m.ID), a.index, a.logTerm}, ok && recent && !a.leader
+	reply, ok := c.recovery.replies[m.ID]
+	recent := c.now-reply.receivedTick < 2*uint64(c.cfg.ElectionTicks)
+	return voterState{m, reply.recovering, c.incarnations.participated(m.ID), reply.index, reply.logTerm}, ok && recent && !reply.leader
 }
 
 // coldStartLeader returns the ID of the voter with the most complete log among those
@@ -179,9 +179,9 @@
 	}
 }
 
-// coldStartStillAllowed checks the rule again with the states that the voters
-// reported with their votes, because a voter may have restarted since its state
-// reply.
+// coldStartStillAllowed checks the rule of coldStartAllowed again with the states that
+// the voters reported with their votes, because a voter may have restarted since its
+// state reply.
 func (c *Core) coldStartStillAllowed() bool {
 	var lists [][]voterState
 	for _, members := range c.members.since(c.commit) {
@@ -240,8 +240,8 @@
 	if c.role == Recovering {
 		return true
 	}
-	for _, a := range c.recovery.replies {
-		if a.recovering {
+	for _, reply := range c.recovery.replies {
+		if reply.recovering {
 			return true
 		}
 	}
@@ -250,10 +250,10 @@
 
 // ForceStart makes this member the only voter of its group and its leader. The other
 // voters become learners, to be promoted again once they have caught up. It is an
-// operator's last resort: committed entries that only other members hold are lost,
-// and the other members must not continue on their own. It is allowed on a member
-// with a disk, and on an only voter without state, that hasn't heard from a leader
-// for an election timeout; otherwise it returns ErrForceStart. A member whose log
+// operator's last resort: committed entries that only other members hold are lost, and
+// the other members must not continue on their own. It is allowed on a member with a
+// disk, and on an only voter without state, that has had no contact with a leader for
+// an election timeout; otherwise it returns ErrForceStart. A member whose log
 // contradicts the new one stops with a broken invariant when it rejoins: it must be
 // started without stored state.
 func (c *Core) ForceStart() error {
@@ -282,8 +282,8 @@
 // highestReportedTerm returns the highest term of this member and of the replies.
 func (c *Core) highestReportedTerm() uint64 {
 	highest := c.term
-	for _, a := range c.recovery.replies {
-		highest = max(highest, a.term)
+	for _, reply := range c.recovery.replies {
+		highest = max(highest, reply.term)
 	}
 	return highest
 }
