--- a/dispatch/disabled.go
+++ b/dispatch/disabled.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// Disabled lists the mechanisms that are switched off. The zero value has all of them on. Each
-// switch serves to measure what the mechanism is worth.
+// Disabled lists the mechanisms that are switched off. The zero value has all of them on. The
+// switches serve to measure the effect of each mechanism.
 type Disabled struct {
 	// Copies: speculative copies of tasks whose run is unreachable, stalled or slow.
 	Copies bool `toml:"copies"`
--- a/dispatch/gang.go
+++ b/dispatch/gang.go
@@ -91,7 +91,7 @@
 	// are free.
 	wantedEmptyFactor = 8
 	// wantedFreeFactor times its tasks is how many tasks the queried workers of a gang must be
-	// expected to hold now: the grants differ from the average, and other steps take resources
+	// expected to hold now: grants differ from the average, and other steps take resources
 	// until the answer arrives.
 	wantedFreeFactor = 2.5
 	// maxGangQueries bounds the queries that a gang sends in parallel. Each occupies an adviser
@@ -158,8 +158,8 @@
 	worker *Worker
 }
 
-// earmarkAhead is how long before a gang is expected to fit other steps begin to avoid its
-// workers.
+// earmarkAhead is how long before a gang's expected fit its workers are earmarked, so that
+// other steps avoid them.
 const earmarkAhead = time.Second
 
 // gangReservation describes the resources that a gang waits for.
--- a/dispatch/load_test.go
+++ b/dispatch/load_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-var replaySeeds = flag.Int("replay.seeds", 0, "how many seeds of the replayed load to play for its figures")
-var replayLoad = flag.Float64("replay.load", 1, "the replayed load, in multiples of the usual one")
+var replaySeeds = flag.Int("replay.seeds", 0, "number of seeds for which the figures of the replayed load are printed")
+var replayLoad = flag.Float64("replay.load", 1, "the replayed load as a multiple of the usual one")
 
 // mixedLoad is the load of a pool of 350 workers: large gangs, builds with checkpoints and
 // urgent lookups, which take 0.88 of its cores on average.
@@ -38,28 +38,28 @@
 			r.decision = 50 * time.Millisecond
 			r.play(40*time.Second, 0)
 			steps, gangs := r.waiting()
-			free, asked := r.freeSum/float64(r.decisions), r.queries
+			free, queriesSent := r.freeSum/float64(r.decisions), r.queries
 			r.play(40*time.Second, drainTime)
 			stepsLeft, gangsLeft := r.waiting()
-			var owed, got float64
+			var total, earned float64
 			worst, line := 1.0, ""
 			for _, k := range kinds {
 				o, g, shares := k.earned()
-				owed, got = owed+o, got+g
+				total, earned = total+o, earned+g
 				worst = min(worst, shares[0], shares[1], shares[2])
 				line += fmt.Sprintf("%s in time %.3f late %.3f value %.3f | ", k.name,
 					float64(k.inTime)/float64(len(k.all)), float64(k.late)/float64(len(k.all)), shares)
 			}
 			t.Logf("%svalue %.3f worst %.3f free %.3f waiting %d gangs %d, 14 s later %d %d, free %.2f | queries %d %d preempted %d longest decision %v",
-				line, got/owed, worst, free, steps, gangs, stepsLeft, gangsLeft, r.freeShare(), asked, r.queries-asked, r.preemptions, r.longestDecision)
+				line, earned/total, worst, free, steps, gangs, stepsLeft, gangsLeft, r.freeShare(), queriesSent, r.queries-queriesSent, r.preemptions, r.longestDecision)
 		})
 	}
 }
 
 // Guards against a failed job that doesn't run again although more than a third of the pool
-// stays free: 39 gangs waited with 55 % of the cores free ("event=load free_milli_cpu=11918650
-// steps=39 tasks=1176 gangs=39"). The first twelve reserved resources by expected ends that
-// runs didn't keep, and the gangs after them could not renew their tickets.
+// stays free: 39 gangs with 1,176 tasks waited while 55 % of the cores were free. The first
+// twelve held reservations until the expected ends of runs, the runs lasted longer, and the
+// gangs after them could not renew their tickets.
 func TestGangsStartWhenTwiceTheirDemandIsFree(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -87,8 +87,8 @@
 )
 
 // Guards against steps beyond the bound whose tickets always expire unused. Hundreds of steps
-// wait behind others that fit nowhere. Each is considered every two seconds, queries, and is
-// considered again after its tickets have expired: none of 600 starts within a minute on an
+// wait behind others that fit nowhere. Each is considered every two seconds, sends a query, and
+// is considered again only after its tickets have expired: none of 600 starts within a minute on an
 // empty pool, and 19,200 queries are sent.
 func TestStepsBeyondBoundStartBeforeTicketsExpire(t *testing.T) {
 	for _, waiting := range []int{40, 600, 900} {
--- a/dispatch/permits.go
+++ b/dispatch/permits.go
@@ -141,9 +141,9 @@
 	return chosen
 }
 
-// queryInParallel sends queries about the workers in parallel. Without it a step that one
-// worker in a hundred is permitted for queries a few at a time, and waits ten times as long in
-// a pool ten times as large.
+// queryInParallel sends queries about the workers in parallel. With one query at a time, a step
+// that is permitted on one worker in a hundred waits ten times as long in a pool ten times as
+// large.
 func (p *planner) queryInParallel(s *Step, workers []*Worker) {
 	for part := range slices.Chunk(workers, p.limits.WorkersPerQuery) {
 		p.query(s, part, false)
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -83,8 +83,8 @@
 	return order
 }
 
-// roundRobinDivisor is the divisor of a decision's bound that gives the number of steps taken
-// round robin instead of by urgency.
+// roundRobinDivisor is the divisor of a decision's bound that gives the number of steps
+// chosen round robin instead of by urgency.
 const roundRobinDivisor = 4
 
 // selectSteps returns the steps that the decision considers. If there are more than its bound,
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -122,31 +122,31 @@
 		step    Step
 		workers []Worker
 		want    []string
-		ask     []string
+		query   []string
 		renewal bool
 	}{
 		{name: "no permit known: query workers with most free resources first", step: needsPermit(step("a", 1, 2), nil),
-			workers: workers(0, 4, 8), ask: []string{"w2", "w1", "w0"}},
+			workers: workers(0, 4, 8), query: []string{"w2", "w1", "w0"}},
 		{name: "a valid ticket is used", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": valid}),
 			workers: workers(4, 9), want: []string{"a/0@w0"}},
 		{name: "a refused worker gets no task", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": {}, "w1": {}}),
 			workers: workers(4, 9)},
 		{name: "an expired ticket is renewed where the task fits", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": expired, "w1": expired}),
-			workers: workers(1, 9), ask: []string{"w1"}, renewal: true},
+			workers: workers(1, 9), query: []string{"w1"}, renewal: true},
 		{name: "no ticket is renewed where the task doesn't fit", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": expired}),
 			workers: workers(1)},
 		{name: "unknown workers are queried where the task fits", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": expired}),
-			workers: workers(1, 5), ask: []string{"w1"}},
+			workers: workers(1, 5), query: []string{"w1"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			plan := Decide(0, []Step{c.step}, c.workers, limits)
 			must.Eq(t, c.want, started(plan))
-			if c.ask == nil {
+			if c.query == nil {
 				must.SliceEmpty(t, plan.Queries)
 				return
 			}
 			must.SliceLen(t, 1, plan.Queries)
-			must.Eq(t, c.ask, plan.Queries[0].Workers)
+			must.Eq(t, c.query, plan.Queries[0].Workers)
 			must.Eq(t, c.renewal, plan.Queries[0].Renewal)
 		})
 	}
@@ -312,8 +312,8 @@
 		steps = append(steps, s)
 	}
 	seen := map[string]bool{}
-	for turn := range 100 {
-		bounded.Round = turn
+	for round := range 100 {
+		bounded.Round = round
 		plan := Decide(0, steps, workers(4), bounded)
 		must.Eq(t, []string{"j00/0@w0"}, started(plan), must.Sprint("the most urgent step starts"))
 		must.SliceLen(t, bounded.Steps-1, plan.Waiting)
--- a/dispatch/preempt.go
+++ b/dispatch/preempt.go
@@ -12,8 +12,8 @@
 	// minPreemptWait is the shortest wait for runs to end that makes a gang preempt less urgent
 	// runs: a stop itself takes a fraction of a second.
 	minPreemptWait = 600 * time.Millisecond
-	// StopTime is the time from a decision until the resources of a stopped run are free: the
-	// stop on the worker, the commit of the end and the call.
+	// StopTime is the time from a decision until the resources of a stopped run are free. It
+	// covers the call, the stop on the worker and the commit of the end.
 	StopTime = 300 * time.Millisecond
 	// minRemaining is the expected remaining run time below which a run isn't preempted.
 	minRemaining = 400 * time.Millisecond
@@ -112,8 +112,8 @@
 	return list
 }
 
-// fitOneMore takes resources for one more task of s out of scratch and, if they don't suffice,
-// of runs in preemptible. It returns the runs and their cost, nil if the task doesn't fit.
+// fitOneMore takes resources for one more task of s from scratch and, if they don't suffice,
+// from runs in preemptible. It returns the runs and their cost, nil if the task doesn't fit.
 func (p *planner) fitOneMore(s *Step, w, scratch *Worker, preemptible *[]*Release, placed int) *victimSet {
 	v := &victimSet{worker: w, needsTicket: !p.mayStartOn(s, w)}
 	if s.Spec.MaxPerWorker > 0 && s.Placed[w.ID]+placed >= s.Spec.MaxPerWorker {
--- a/dispatch/preempt_test.go
+++ b/dispatch/preempt_test.go
@@ -77,11 +77,11 @@
 }
 
 // Guards against steps that are never considered: alongside hundreds of steps beyond the bound,
-// many with useless tickets, the offset of the round robin skipped most of the others for good.
+// many with useless tickets, the offset of the round robin permanently skipped most of the others.
 func TestRoundRobinReachesAllSteps(t *testing.T) {
 	for _, ticketed := range []int{0, 16, 24, 31, 200} {
 		seen := map[string]bool{}
-		for turn := range 200 {
+		for round := range 200 {
 			var order []*Step
 			for i := range ticketed + 96 {
 				s := step(fmt.Sprintf("s%03d", i), 1, 4)
@@ -90,7 +90,7 @@
 				}
 				order = append(order, &s)
 			}
-			p := &planner{now: time.Minute, limits: Limits{Round: turn, TicketMargin: limits.TicketMargin}}
+			p := &planner{now: time.Minute, limits: Limits{Round: round, TicketMargin: limits.TicketMargin}}
 			for _, s := range p.roundRobin(order, 32) {
 				if s.TicketsExpire == 0 {
 					seen[s.Key.Job] = true
--- a/dispatch/query_test.go
+++ b/dispatch/query_test.go
@@ -20,11 +20,11 @@
 	}
 }
 
-// waitUntilAllStart plays until each job of the kind has started or a minute has passed, with
-// the usual submissions, and returns the time that passed.
+// waitUntilAllStart runs the replay with its usual submissions until each job of the kind has
+// started, for a minute at most, and returns the simulated time that this took.
 func waitUntilAllStart(r *replay, k *replayKind) time.Duration {
-	begun := r.now
-	for r.now < begun+time.Minute {
+	start := r.now
+	for r.now < start+time.Minute {
 		waits := slices.ContainsFunc(k.all, func(j *replayJob) bool { return j.step == 0 && len(j.pending[0]) == j.specs[0].Count })
 		if !waits {
 			break
@@ -33,11 +33,11 @@
 		r.decide()
 		r.advance()
 	}
-	return r.now - begun
+	return r.now - start
 }
 
 // waitBehindRefused submits ten jobs, permitted on a quarter of an empty pool, 10 s after
-// urgent jobs that no worker is permitted for. It returns how long the last of the ten waits.
+// urgent jobs that are permitted on no worker. It returns how long the last of the ten waits.
 func waitBehindRefused(pool, ahead int) time.Duration {
 	refused, others := slowQueryKind("refused", 0, 0), slowQueryKind("others", 1, 0.25)
 	r := newReplay(1, pool, 44, refused, others)
@@ -51,9 +51,9 @@
 	return waitUntilAllStart(r, others)
 }
 
-// Guards against urgent steps that no worker is permitted for and whose queries, 30 workers at
-// a time, occupy every adviser connection: other steps wait behind them on an empty pool, for
-// longer the more workers there are.
+// Guards against urgent steps that are permitted on no worker and whose queries, 30 workers at
+// a time, occupy every adviser connection. Other steps wait behind them on an empty pool, and
+// the more workers there are, the longer they wait.
 func TestRefusedUrgentStepsLeaveQueriesToOthers(t *testing.T) {
 	for _, pool := range []int{350, 1100, 3000} {
 		t.Run(fmt.Sprint(pool), func(t *testing.T) {
@@ -63,8 +63,8 @@
 	}
 }
 
-// Guards against refused urgent steps that occupy every adviser connection, where there are
-// more of them than one decision considers: other steps wait behind them on an empty pool.
+// Guards against refused urgent steps, more than one decision considers, whose queries occupy
+// every adviser connection: other steps wait behind them on an empty pool.
 func TestUrgentStepsBeyondTheBoundLeaveOthersQuestions(t *testing.T) {
 	for _, pool := range []int{350, 1100, 3000} {
 		t.Run(fmt.Sprint(pool), func(t *testing.T) {
@@ -74,14 +74,14 @@
 	}
 }
 
-// Guards against steps that always want to query and leave others less than a third of the
-// queries, with one query per decision or many.
+// Guards against steps that always need a query and leave less than a third of the queries to
+// others, whether a decision has one query or many.
 func TestRoundRobinStepsGetTheirShareOfQueries(t *testing.T) {
 	for _, queries := range []int{1, 2, 5} {
 		sent := 0
-		for turn := range 60 {
+		for round := range 60 {
 			bounded := limits
-			bounded.Queries, bounded.Round = queries, turn
+			bounded.Queries, bounded.Round = queries, round
 			steps := []Step{}
 			for i := range 20 {
 				urgent := needsPermit(step(fmt.Sprintf("urgent%02d", i), 1, 2), map[string]Permit{"w0": {}})
@@ -92,8 +92,8 @@
 			plan := Decide(0, steps, workers(9, 9), bounded)
 			must.SliceLen(t, queries, plan.Queries, must.Sprint("no query is left unused"))
 			must.SliceLen(t, len(steps), plan.Waiting)
-			for _, a := range plan.Queries {
-				if strings.HasPrefix(a.Step.Job, "other") {
+			for _, query := range plan.Queries {
+				if strings.HasPrefix(query.Step.Job, "other") {
 					sent++
 				}
 			}
@@ -106,9 +106,9 @@
 // counted as unavailable.
 func TestAllQueriesAreSentOnFullPool(t *testing.T) {
 	for _, queries := range []int{1, 2, 5} {
-		for turn := range roundRobinQueryDivisor {
+		for round := range roundRobinQueryDivisor {
 			bounded := limits
-			bounded.Queries, bounded.Round = queries, turn
+			bounded.Queries, bounded.Round = queries, round
 			var steps []Step
 			for i := range 20 {
 				steps = append(steps, needsPermit(step(fmt.Sprintf("s%02d", i), 1, 4), nil))
@@ -121,9 +121,9 @@
 // Guards against unused long queries: those held back for round-robin use weren't offered to
 // steps that could send a short query about a few workers but need many.
 func TestAllLongQueriesAreSent(t *testing.T) {
-	for turn := range roundRobinQueryDivisor {
+	for round := range roundRobinQueryDivisor {
 		bounded := limits
-		bounded.Queries, bounded.LongQueries, bounded.LongQueryTime, bounded.Round = 8, 1, 150*time.Millisecond, turn
+		bounded.Queries, bounded.LongQueries, bounded.LongQueryTime, bounded.Round = 8, 1, 150*time.Millisecond, round
 		var steps []Step
 		for i := range 20 {
 			s := needsPermit(step(fmt.Sprintf("s%02d", i), 1, 4), nil)
@@ -131,8 +131,8 @@
 			steps = append(steps, s)
 		}
 		long := 0
-		for _, a := range Decide(0, steps, workers(9, 9, 9, 9, 9, 9, 9, 9), bounded).Queries {
-			if len(a.Workers) == limits.WorkersPerQuery {
+		for _, query := range Decide(0, steps, workers(9, 9, 9, 9, 9, 9, 9, 9), bounded).Queries {
+			if len(query.Workers) == limits.WorkersPerQuery {
 				long++
 			}
 		}
@@ -156,8 +156,8 @@
 	}
 }
 
-// Guards against a late job that never gets a query: it goes after all others, and urgent jobs
-// that are refused keep arriving.
+// Guards against a late job that never gets a query: it is considered after all others, and
+// urgent jobs that are refused keep arriving.
 func TestLateJobQueriesBesideRefusedUrgentJobs(t *testing.T) {
 	refused, late := slowQueryKind("refused", 0, 0), slowQueryKind("late", 1, 0.25)
 	late.objective, refused.rate = 0, 5
@@ -169,8 +169,8 @@
 	must.LessEq(t, maxIdleWait, waitUntilAllStart(r, late))
 }
 
-// Guards against a step that one worker in a hundred is permitted for and that queries 30
-// workers at a time, one query after the other: the larger the empty pool, the longer it waits.
+// Guards against a step that is permitted on one worker in a hundred and queries 30 workers at
+// a time, one query after the other: the larger the empty pool, the longer it waits.
 func TestAStepThatIsPermittedHardlyAnywhereFindsItsWorkers(t *testing.T) {
 	for _, pool := range []int{350, 1100, 3000} {
 		t.Run(fmt.Sprint(pool), func(t *testing.T) {
@@ -187,8 +187,9 @@
 	}
 }
 
-// Guards against queries one by one for a step that every queried worker refuses: it needs one
-// query per 30 workers, so with ten times the workers it waits ten times as long.
+// Guards against queries one after the other for a step that is refused on every queried
+// worker: it needs one query per 30 workers, so with ten times the workers it waits ten times
+// as long.
 func TestRefusedStepDoublesQueriedWorkers(t *testing.T) {
 	pool := workers(make([]int64, 640)...)
 	for i := range pool {
@@ -202,9 +203,9 @@
 		plan := Decide(0, []Step{s}, slices.Clone(pool), bounded)
 		must.Positive(t, len(plan.Queries))
 		rounds++
-		for _, a := range plan.Queries {
-			must.LessEq(t, bounded.WorkersPerQuery, len(a.Workers))
-			for _, w := range a.Workers {
+		for _, query := range plan.Queries {
+			must.LessEq(t, bounded.WorkersPerQuery, len(query.Workers))
+			for _, w := range query.Workers {
 				must.MapNotContainsKey(t, s.Permits, w, must.Sprint("queried twice"))
 				s.Permits[w] = Permit{}
 			}
@@ -224,7 +225,8 @@
 }
 
 // Guards against gangs that are submitted together on an empty pool and query the same hundred
-// workers: these hold a third of the gangs, and the others query a second and a third time.
+// workers: these hold a third of the gangs, and the others must query a second and a third
+// time.
 func TestGangsThatComeTogetherAskAboutDifferentWorkers(t *testing.T) {
 	gangs := wideGangs(20, 18)
 	r := newReplay(0, 1100, 44, gangs)
@@ -259,7 +261,7 @@
 // reservedCPU is the CPU that a decision reserves for a job, in thousandths of a core.
 func (r *replay) reservedCPU(j *replayJob) (milliCPU int64) {
 	s, _ := r.step(j)
-	list := r.view()
+	list := r.planningInput()
 	Decide(r.now, []Step{s}, list, r.limits)
 	for i := range list {
 		milliCPU += list[i].Reserved.MilliCPU
--- a/dispatch/reason.go
+++ b/dispatch/reason.go
@@ -103,8 +103,8 @@
 }
 
 // skipReason says why a step waits that the decision skips: its tasks fit on no worker, or it
-// can't query now. On a full cluster that is nearly every step, so skipReason looks at few
-// workers again.
+// can't query now. On a full cluster that is nearly every step, so skipReason checks few
+// workers individually.
 func (p *planner) skipReason(s *Step, left int) Reason {
 	reason := p.permitReason(s)
 	fits := s.Spec.Demand().Fits(p.headroomOf(s.Service))
--- a/dispatch/reason_test.go
+++ b/dispatch/reason_test.go
@@ -53,8 +53,8 @@
 		}
 		return list
 	}
-	asking := waitingGang("a", 2, 4, allExpired)
-	asking.AwaitsAnswer = true
+	querying := waitingGang("a", 2, 4, allExpired)
+	querying.AwaitsAnswer = true
 	for _, c := range []struct {
 		name    string
 		steps   []Step
@@ -79,7 +79,7 @@
 		{"no connection to renew the ticket of a task", []Step{needsPermit(step("a", 1, 4), allExpired)}, workers(9), noQueries, ReasonNoConnection},
 		{"no connection to query for a gang", []Step{waitingGang("a", 2, 4, allExpired)}, workers(4, 4), noQueries, ReasonNoConnection},
 		{"a query is sent", []Step{waitingGang("a", 2, 4, allExpired)}, workers(4, 4), limits, ReasonAwaitsAdviser},
-		{"a query is in flight", []Step{asking}, workers(4, 4), noQueries, ReasonAwaitsAdviser},
+		{"a query is in flight", []Step{querying}, workers(4, 4), noQueries, ReasonAwaitsAdviser},
 		{"refused", []Step{needsPermit(step("a", 1, 4), map[string]Permit{"w0": {}})}, workers(9), limits, ReasonAllRefused},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/dispatch/replay_jobs_test.go
+++ b/dispatch/replay_jobs_test.go
@@ -56,7 +56,7 @@
 	works   []time.Duration
 	pending [][]int
 	left    []int
-	// saved is the share of a task's work that is in the checkpoint of a preempted run.
+	// saved is the share of a task's work that the checkpoint of a preempted run holds.
 	saved map[workflow.TaskKey]float64
 	// These fields hold what is known of the permits of the current step.
 	permits        map[string]Permit
@@ -67,16 +67,17 @@
 	// ended is when the job ended, earnedShare the share of its value that it earned.
 	ended       time.Duration
 	earnedShare float64
-	// idleSince is since when the job has had no run although twice its resources are free; -1
-	// if it isn't so.
+	// idleSince is when the job began to have no run although twice its resources were free; -1
+	// while this isn't so.
 	idleSince time.Duration
 }
 
-// logNormal draws a positive figure with a mean and a coefficient of variation, at most most.
-func (r *replay) logNormal(mean, cv, most float64) float64 {
+// logNormal draws a log-normal random number with a mean and a coefficient of variation; it
+// returns limit if the number is larger.
+func (r *replay) logNormal(mean, cv, limit float64) float64 {
 	sigma := math.Sqrt(math.Log(1 + cv*cv))
 	x := mean * math.Exp(sigma*r.random.NormFloat64()-sigma*sigma/2)
-	return min(x, most)
+	return min(x, limit)
 }
 
 // submit submits a job of the kind.
@@ -129,25 +130,25 @@
 
 // earned returns the total value of the kind's jobs, the value that they earned, and the shares
 // earned by all of them, the largest tenth and the next fifth. A larger job has more value.
-func (k *replayKind) earned() (owed, got float64, shares [3]float64) {
+func (k *replayKind) earned() (total, earned float64, shares [3]float64) {
 	all, n := k.all, len(k.all)
 	slices.SortFunc(all, func(a, b *replayJob) int { return cmp.Compare(b.coreTime(), a.coreTime()) })
 	mean := 0.0
 	for _, j := range all {
 		mean += j.coreTime() / float64(n)
 	}
-	sum := func(jobs []*replayJob) (owed, got float64) {
+	sum := func(jobs []*replayJob) (total, earned float64) {
 		for _, j := range jobs {
 			value := k.value * min(4, 0.3+0.7*j.coreTime()/mean)
-			owed += value
-			got += value * j.earnedShare
+			total += value
+			earned += value * j.earnedShare
 		}
-		return owed, got
+		return total, earned
 	}
 	for i, part := range [][]*replayJob{all, all[:n/10], all[n/10 : n*3/10]} {
 		o, g := sum(part)
 		shares[i] = g / o
 	}
-	owed, got = sum(all)
-	return owed, got, shares
+	total, earned = sum(all)
+	return total, earned, shares
 }
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -49,7 +49,8 @@
 	job    *replayJob
 	task   workflow.TaskKey
 	worker int
-	// end is when the run ends, expected when its estimate says so, duration how long it takes.
+	// end is when the run ends, expected when it would end by its estimate, and duration how
+	// long it takes.
 	begin, end, expected, duration time.Duration
 	fails, stops                   bool
 }
@@ -78,7 +79,7 @@
 	return r
 }
 
-// permits is the decision of the adviser, which never changes for a step and a worker.
+// permits reports whether the adviser permits a step on a worker. The answer never changes.
 func (r *replay) permits(key workflow.StepKey, worker string, share float64) bool {
 	h := fnv.New32a()
 	_, _ = fmt.Fprint(h, key, worker)
@@ -121,12 +122,12 @@
 	limits.Queries, limits.LongQueries = r.freeConnections()
 	r.round++
 	limits.Round = r.round
-	begun := time.Now()
-	r.remaining, r.changed = r.view(), map[string]bool{}
+	start := time.Now()
+	r.remaining, r.changed = r.planningInput(), map[string]bool{}
 	plan := Decide(r.now, steps, r.remaining, limits)
 	r.firstSkipped = plan.FirstSkipped
 	r.recordEarmarks(plan.Earmarks)
-	r.longestDecision = max(r.longestDecision, time.Since(begun))
+	r.longestDecision = max(r.longestDecision, time.Since(start))
 	r.decisions++
 	r.preemptions += len(plan.Preemptions)
 	for _, p := range plan.Preemptions {
@@ -140,8 +141,8 @@
 
 // apply sends the queries of a plan and starts its tasks.
 func (r *replay) apply(plan *Plan, jobs map[workflow.StepKey]*replayJob) {
-	for _, a := range plan.Queries {
-		r.query(jobs[a.Step], a)
+	for _, query := range plan.Queries {
+		r.query(jobs[query.Step], query)
 	}
 	for _, s := range plan.Starts {
 		r.start(jobs[s.Task.StepKey], s)
@@ -170,8 +171,8 @@
 	r.apply(&plan, jobs)
 }
 
-// playIncremental submits jobs until a time, with incremental decisions every tick between full
-// ones.
+// playIncremental runs the replay with submissions until a time, with incremental decisions
+// every tick between full ones.
 func (r *replay) playIncremental(until, tick time.Duration) {
 	fullInterval := r.decision
 	defer func() { r.decision = fullInterval }()
@@ -194,11 +195,11 @@
 	}
 }
 
-// view returns the workers as a decision gets them.
-func (r *replay) view() []Worker {
-	view := slices.Clone(r.workers)
-	for i := range view {
-		view[i].FreeBeforePlan, view[i].Releases, view[i].Earmarked = view[i].Free, nil, r.earmarked[view[i].ID]
+// planningInput returns the workers as a decision gets them.
+func (r *replay) planningInput() []Worker {
+	input := slices.Clone(r.workers)
+	for i := range input {
+		input[i].FreeBeforePlan, input[i].Releases, input[i].Earmarked = input[i].Free, nil, r.earmarked[input[i].ID]
 	}
 	for _, run := range r.runs {
 		spec := run.job.specs[run.task.Step]
@@ -207,17 +208,18 @@
 		if run.stops {
 			release.At, release.Stopping = r.now+StopTime/2, true
 		}
-		view[run.worker].Releases = append(view[run.worker].Releases, release)
+		input[run.worker].Releases = append(input[run.worker].Releases, release)
 	}
-	for i := range view {
-		slices.SortFunc(view[i].Releases, func(a, b Release) int {
+	for i := range input {
+		slices.SortFunc(input[i].Releases, func(a, b Release) int {
 			return cmp.Or(cmp.Compare(a.At, b.At), workflow.CompareTasks(a.Task, b.Task))
 		})
 	}
-	return view
+	return input
 }
 
-// freeConnections returns how many queries may be sent now, and how many of them may be long.
+// freeConnections returns how many queries may be sent now, and how many of them may be long. A
+// connection counts as free if it becomes so within a second.
 func (r *replay) freeConnections() (all, long int) {
 	for i, until := range r.connections {
 		if until >= r.now+time.Second {
@@ -236,9 +238,9 @@
 const shortQueryDivisor = 6
 
 // query sends a query on the connection that becomes free first.
-func (r *replay) query(j *replayJob, a Query) {
+func (r *replay) query(j *replayJob, query Query) {
 	r.queries++
-	length := j.kind.baseLatency + time.Duration(len(a.Workers))*j.kind.perWorkerLatency
+	length := j.kind.baseLatency + time.Duration(len(query.Workers))*j.kind.perWorkerLatency
 	usable := r.connections
 	if length > 150*time.Millisecond {
 		usable = usable[len(usable)/shortQueryDivisor:]
@@ -252,10 +254,10 @@
 	usable[first] = max(usable[first], r.now) + length
 	j.pendingQueries++
 	j.lastQuery = r.now
-	if a.Renewal {
-		j.renewing = a.Workers
+	if query.Renewal {
+		j.renewing = query.Workers
 	}
-	r.answers = append(r.answers, replayAnswer{at: usable[first] + 5*time.Millisecond, job: j, key: a.Step, query: a})
+	r.answers = append(r.answers, replayAnswer{at: usable[first] + 5*time.Millisecond, job: j, key: query.Step, query: query})
 }
 
 // applyAnswer applies an answer of the adviser.
@@ -399,7 +401,7 @@
 	return float64(free) / float64(all)
 }
 
-// play submits jobs for traffic and none for rest.
+// play runs the replay for traffic with submissions and then for rest without any.
 func (r *replay) play(traffic, rest time.Duration) {
 	for r.now < traffic+rest {
 		if r.now < traffic {
@@ -410,7 +412,7 @@
 	}
 }
 
-// waiting counts the jobs that wait for a start, and the gangs among them.
+// waiting counts the jobs whose current step has tasks to start, and the gangs among them.
 func (r *replay) waiting() (steps, gangs int) {
 	for _, j := range r.jobs {
 		if s, ok := r.step(j); ok {
--- a/dispatch/roundrobin.go
+++ b/dispatch/roundrobin.go
@@ -12,8 +12,8 @@
 // queryWaiter is a step that waits for a query.
 type queryWaiter struct {
 	step *Step
-	// left is the number of tasks that were not started, reason what they wait for if no query
-	// is sent.
+	// left is the number of tasks that were not started. reason is what they wait for if no
+	// query is sent.
 	left   int
 	reason Reason
 }
@@ -30,9 +30,9 @@
 	return s.NeedsPermit && !s.Spec.Gang && p.reservedLongQueries > 0 && !p.mayQuery(s, p.limits.WorkersPerQuery)
 }
 
-// queryRoundRobin gives the remaining queries to the steps that wait for one. Without it urgent
-// steps that hardly any worker is permitted for use all queries, and other steps get none
-// although the pool is empty, for longer the larger the pool is.
+// queryRoundRobin gives the remaining queries to the steps that wait for one. Without it,
+// urgent steps that are permitted on hardly any worker use all queries. Other steps then get
+// none although the pool is empty, and the larger the pool, the longer they wait.
 func (p *planner) queryRoundRobin() {
 	slices.SortStableFunc(p.queryWaiters, func(a, b queryWaiter) int { return compareQueryOrder(a.step, b.step) })
 	for _, waiter := range p.queryWaiters {
@@ -44,8 +44,8 @@
 	}
 }
 
-// compareQueryOrder puts steps that know of no worker first, since a first query tells the
-// most, then those whose last query is the longest ago.
+// compareQueryOrder puts steps that know of no worker first, since a first query
+// yields the most information, then those whose last query is the oldest.
 func compareQueryOrder(a, b *Step) int {
 	return cmp.Or(compareBools(len(a.Permits) > 0, len(b.Permits) > 0), cmp.Compare(a.LastQuery, b.LastQuery))
 }
--- a/dispatch/select.go
+++ b/dispatch/select.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// filters are the requirements of a step that a worker meets or not, whatever else runs there.
+// filters are the requirements of a step that don't depend on what else runs on a worker.
 var filters = []struct {
 	reason Reason
 	passes func(s *Step, w *Worker) bool
@@ -73,7 +73,7 @@
 	return 0
 }
 
-// best returns the first worker in the order among those that are ok, nil if there is none.
+// best returns the first worker in the given order for which ok is true, nil if there is none.
 func best(s *Step, workers []*Worker, order func(s *Step, a, b *Worker) int, ok func(*Worker) bool) *Worker {
 	var chosen *Worker
 	for _, w := range workers {
@@ -107,7 +107,8 @@
 // runCount counts the runs on w and those that the plan starts there.
 func (w *Worker) runCount() int { return len(w.Releases) + w.plannedStarts }
 
-// distance is 0 in the rack that holds the data of s, 1 elsewhere.
+// distance is 0 in the rack that holds the data of s, 1 elsewhere; 0 everywhere if s names no
+// such rack.
 func distance(s *Step, w *Worker) int {
 	if s.Spec.DataRack == "" || s.Spec.DataRack == w.Rack {
 		return 0
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -51,7 +51,7 @@
 	Priority int
 	// Preemptible says that a more urgent step may stop the run: it resumes from a checkpoint.
 	Preemptible bool
-	// Stopping says that the run has been told to stop.
+	// Stopping says that a stop of the run has been ordered.
 	Stopping bool
 }
 
@@ -191,7 +191,8 @@
 	LongQueryTime time.Duration
 	// Steps is the most steps that one decision considers; 0 for no bound.
 	Steps int
-	// Round is the number of the decision. It rotates the steps beyond the bound.
+	// Round is the number of the decision. The steps that are chosen from beyond the bound
+	// rotate with it.
 	Round int
 	// Disabled are the mechanisms that are switched off.
 	Disabled Disabled
