--- a/workflow/apply.go
+++ b/workflow/apply.go
@@ -31,7 +31,7 @@
 // RunEnds are ends of runs on one worker.
 type RunEnds struct {
 	Worker string `cbor:"1,keyasint"`
-	// LastEnd is the highest number of an end reported by the worker that these ends include.
+	// LastEnd is the highest number that the worker has given to an end among these.
 	LastEnd uint64   `cbor:"2,keyasint,omitempty"`
 	Ends    []RunEnd `cbor:"3,keyasint"`
 	// Returned says that the worker has answered again after its lease had expired.
@@ -259,7 +259,8 @@
 }
 
 // endRun applies the end of a run that may be alive. It ignores other ends: they are
-// duplicates, or belong to runs that already count as lost because their lease expired.
+// duplicates, or belong to runs that already count as lost because the lease of their worker
+// expired.
 func (s *State) endRun(worker string, end RunEnd) {
 	run, ok := s.Runs[worker][end.Task]
 	if !ok || run.Number != end.Number {
--- a/workflow/capacity_test.go
+++ b/workflow/capacity_test.go
@@ -13,17 +13,17 @@
 	}})
 }
 
-// Guards against a worker that is loaded beyond its capacity (LIMIT): its capacity shrank
-// between the decision on a start and the commit.
+// Guards against a worker that is loaded beyond its capacity, which a soak test reports as a
+// violation of LIMIT: its capacity shrank between the decision on a start and the commit.
 func TestStartBeyondShrunkCapacityIsRejected(t *testing.T) {
 	s := newState(t, smallStep(4))
 	s.announceCapacity(1, 2500)
-	must.SliceLen(t, 2, s.begin("w1", key(0, 0), key(0, 1), key(0, 2)))
-	must.SliceLen(t, 1, s.begin("w2", key(0, 2)))
+	must.SliceLen(t, 2, s.startRuns("w1", key(0, 0), key(0, 1), key(0, 2)))
+	must.SliceLen(t, 1, s.startRuns("w2", key(0, 2)))
 	s.announceCapacity(2, 500)
-	must.SliceEmpty(t, s.begin("w1", key(0, 3)))
+	must.SliceEmpty(t, s.startRuns("w1", key(0, 3)))
 	s.announceCapacity(3, 8000)
-	must.SliceLen(t, 1, s.begin("w1", key(0, 3)))
+	must.SliceLen(t, 1, s.startRuns("w1", key(0, 3)))
 }
 
 // Guards against a gang that starts in part, or on a worker whose capacity has shrunk and
@@ -33,9 +33,9 @@
 	gang.Gang = true
 	s := newState(t, gang)
 	s.announceCapacity(1, 2500)
-	must.SliceEmpty(t, s.begin("w1", key(0, 0), key(0, 1), key(0, 2)))
+	must.SliceEmpty(t, s.startRuns("w1", key(0, 0), key(0, 1), key(0, 2)))
 	s.announceCapacity(2, 3000)
-	must.SliceLen(t, 3, s.begin("w1", key(0, 0), key(0, 1), key(0, 2)))
+	must.SliceLen(t, 3, s.startRuns("w1", key(0, 0), key(0, 1), key(0, 2)))
 }
 
 // Guards against an older heartbeat that is committed after a newer one and overwrites it.
--- a/workflow/configuration.go
+++ b/workflow/configuration.go
@@ -35,7 +35,7 @@
 	Policy Policy `cbor:"4,keyasint"`
 }
 
-// Identity names the queue as long as its host and prefix stay the same.
+// Identity identifies the queue by its host and prefix, whatever its name.
 func (q *Queue) Identity() string { return q.Host + q.Prefix }
 
 // Service is a pool of workers.
@@ -55,7 +55,7 @@
 	Services []Service `cbor:"4,keyasint,omitempty"`
 }
 
-// Queue returns the queue with a name.
+// Queue returns the queue with a name; ok is false if there is none.
 func (d *Document) Queue(name string) (queue *Queue, ok bool) {
 	for i := range d.Queues {
 		if d.Queues[i].Name == name {
@@ -65,8 +65,8 @@
 	return nil, false
 }
 
-// Resolve returns the queue with the longest prefix of path, and the rest of the path after the
-// prefix.
+// Resolve returns the queue of the host with the longest prefix of path, and the rest of the
+// path after the prefix; ok is false if there is none.
 func (d *Document) Resolve(host, path string) (queue *Queue, rest string, ok bool) {
 	for i := range d.Queues {
 		q := &d.Queues[i]
--- a/workflow/crash.go
+++ b/workflow/crash.go
@@ -8,7 +8,7 @@
 	// SuspicionNone: the run hadn't started, or had run for so long that it isn't taken for the
 	// cause of the crash.
 	SuspicionNone Suspicion = iota
-	// SuspicionWeak: the run was on the worker, as other runs may have been.
+	// SuspicionWeak: the run was on the worker when it crashed, as other runs may have been.
 	SuspicionWeak
 	// SuspicionStrong: the worker crashed right after it was told to start the run.
 	SuspicionStrong
@@ -27,10 +27,10 @@
 // Suspect reports whether a worker has crashed under the task.
 func (t *Task) Suspect() bool { return len(t.CrashedOn) > 0 }
 
-// AwaitsCrashVerdict reports whether the task must not start until it is known of enough
-// workers whether they have crashed. Otherwise, while workers stay away for longer than their
-// leases, the task would start on the next workers and crash them before its earlier crashes
-// are known.
+// AwaitsCrashVerdict reports whether the task must not start yet: its crashes and its
+// unresolved runs together reach maxCrashes. Otherwise, while workers are unreachable for
+// longer than their leases, the task would start on further workers and crash them before its
+// earlier crashes are known.
 func (t *Task) AwaitsCrashVerdict() bool {
 	return t.Unresolved > 0 && len(t.CrashedOn)+t.Unresolved >= maxCrashes
 }
@@ -61,7 +61,7 @@
 	}
 }
 
-// dropUnresolved forgets the runs that ended with the lease of a worker that hasn't crashed.
+// dropUnresolved removes the runs that ended with the lease of a worker and counts no crash.
 func (s *State) dropUnresolved(worker *WorkerState) {
 	for _, end := range worker.Unresolved {
 		if task := s.Task(end.Task); task != nil {
--- a/workflow/crash_test.go
+++ b/workflow/crash_test.go
@@ -23,7 +23,7 @@
 	c.workers++
 	id := fmt.Sprint("c", c.workers)
 	c.s.Apply(10, &Command{Worker: &Worker{ID: id, Service: "s", Address: id, Capacity: Resources{MilliCPU: 8000, MemoryMB: 800}}})
-	runs := c.s.begin(id, key(0, 0))
+	runs := c.s.startRuns(id, key(0, 0))
 	must.SliceLen(c.t, 1, runs)
 	return runs[0]
 }
@@ -38,9 +38,9 @@
 
 // Guards against a task that crashes one worker after the other without end.
 func TestJobFailsAfterRepeatedWorkerCrashes(t *testing.T) {
-	for suspicion, most := range map[Suspicion]int{SuspicionStrong: maxStrongCrashes, SuspicionWeak: maxCrashes} {
+	for suspicion, limit := range map[Suspicion]int{SuspicionStrong: maxStrongCrashes, SuspicionWeak: maxCrashes} {
 		c := newCrashSequence(t, smallStep(2))
-		for n := 1; n <= most; n++ {
+		for n := 1; n <= limit; n++ {
 			must.False(t, c.failed())
 			c.end(c.startOnNewWorker(), OutcomeCrashed, suspicion)
 		}
@@ -106,7 +106,7 @@
 	c := newCrashSequence(t, step)
 	c.startOnNewWorker()
 	c.end(c.startOnNewWorker(), OutcomeCrashed, SuspicionWeak)
-	must.SliceEmpty(t, c.s.begin("w1", key(0, 0)))
+	must.SliceEmpty(t, c.s.startRuns("w1", key(0, 0)))
 }
 
 // Guards against a task that crashes further workers while it isn't known yet whether the
@@ -119,9 +119,9 @@
 		c.end(run, OutcomeLost, SuspicionWeak)
 		runs = append(runs, run)
 	}
-	must.SliceEmpty(t, c.s.begin("w1", key(0, 0)))
+	must.SliceEmpty(t, c.s.startRuns("w1", key(0, 0)))
 	c.s.Apply(12, &Command{Ends: &RunEnds{Worker: runs[0].Worker, Returned: true}})
-	must.SliceLen(t, 1, c.s.begin("w1", key(0, 0)))
+	must.SliceLen(t, 1, c.s.startRuns("w1", key(0, 0)))
 	c.end(Run{Task: key(0, 0), Number: maxCrashes + 1, Worker: "w1"}, OutcomeCrashed, SuspicionWeak)
 	for _, run := range runs[1:] {
 		must.False(t, c.failed())
--- a/workflow/job.go
+++ b/workflow/job.go
@@ -95,7 +95,8 @@
 	MaxUnavailable int `cbor:"14,keyasint,omitempty"`
 	// Image names what the tasks run; tasks with equal images behave alike.
 	Image string `cbor:"15,keyasint,omitempty"`
-	// LatencyObjectiveMS is the tail latency that a serving task must keep, in milliseconds.
+	// LatencyObjectiveMS bounds the tail latency of a serving task, in milliseconds; 0 if the
+	// task has no latency objective.
 	LatencyObjectiveMS int64 `cbor:"16,keyasint,omitempty"`
 }
 
@@ -112,7 +113,8 @@
 	return demand
 }
 
-// Schedule repeats a job at fixed times. The zero value means once, now.
+// Schedule repeats a job at fixed times. The zero value starts the job once,
+// immediately.
 type Schedule struct {
 	// FirstAtMS is the due time of the first occurrence, in Unix milliseconds.
 	FirstAtMS int64 `cbor:"1,keyasint,omitempty"`
@@ -133,7 +135,7 @@
 	ID string `cbor:"1,keyasint"`
 	// Queue is the identity of the queue that the job was submitted to.
 	Queue string `cbor:"2,keyasint"`
-	// Payload is passed to the tasks unread.
+	// Payload is passed to the tasks without being interpreted.
 	Payload  string   `cbor:"3,keyasint,omitempty"`
 	Steps    []Step   `cbor:"4,keyasint"`
 	Schedule Schedule `cbor:"5,keyasint,omitempty"`
--- a/workflow/state.go
+++ b/workflow/state.go
@@ -21,8 +21,8 @@
 	// with SuspicionStrong.
 	CrashedOn     []string `cbor:"6,keyasint,omitempty"`
 	StrongCrashes int      `cbor:"7,keyasint,omitempty"`
-	// Unresolved counts the runs of the task that ended with the lease of a worker of which it
-	// is unknown whether it has crashed.
+	// Unresolved counts the runs of the task that ended with the lease of their worker while it
+	// is unknown whether the worker has crashed.
 	Unresolved int `cbor:"8,keyasint,omitempty"`
 }
 
@@ -108,7 +108,7 @@
 	}
 }
 
-// Due reports whether an occurrence may start, by the wall clock.
+// Due reports whether an occurrence may start at now, a wall clock time.
 func (j *Job) Due(occurrence int, now time.Time) bool {
 	if j.Schedule.Times == 0 {
 		return true
@@ -134,7 +134,8 @@
 	// Runs holds the runs that may be alive, by worker.
 	Runs          map[string]map[TaskKey]Run `cbor:"-"`
 	Configuration Document                   `cbor:"3,keyasint"`
-	RunList       []Run                      `cbor:"4,keyasint"`
+	// RunList holds Runs as a snapshot stores them; it is empty otherwise.
+	RunList []Run `cbor:"4,keyasint"`
 	// Waves are the maintenance waves of the operator, by ID.
 	Waves map[int64]*WaveState `cbor:"5,keyasint,omitempty"`
 
--- a/workflow/wave.go
+++ b/workflow/wave.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Wave requests that each of some machines is taken down for maintenance within a time.
+// Wave requests that each of some machines is taken down for maintenance within DurationMS.
 type Wave struct {
 	// ID is chosen by the operator and serves as an idempotency key: the same ID is the same
 	// wave.
--- a/workflow/workflow_test.go
+++ b/workflow/workflow_test.go
@@ -26,7 +26,7 @@
 	return TaskKey{StepKey: StepKey{Job: "j", Step: step}, Index: index}
 }
 
-func (s *State) begin(worker string, keys ...TaskKey) []Run {
+func (s *State) startRuns(worker string, keys ...TaskKey) []Run {
 	var runs []Run
 	for _, k := range keys {
 		runs = append(runs, Run{Task: k, Worker: worker})
@@ -51,12 +51,12 @@
 	second := smallStep(1)
 	second.DependsOn = []int{0}
 	s := newState(t, smallStep(2), second)
-	must.SliceEmpty(t, s.begin("w1", key(1, 0)))
-	for _, run := range s.begin("w1", key(0, 0), key(0, 1)) {
-		must.SliceEmpty(t, s.begin("w2", key(1, 0)))
+	must.SliceEmpty(t, s.startRuns("w1", key(1, 0)))
+	for _, run := range s.startRuns("w1", key(0, 0), key(0, 1)) {
+		must.SliceEmpty(t, s.startRuns("w2", key(1, 0)))
 		s.finishRun(run, OutcomeDone)
 	}
-	must.SliceLen(t, 1, s.begin("w2", key(1, 0)))
+	must.SliceLen(t, 1, s.startRuns("w2", key(1, 0)))
 }
 
 // Guards against a task that runs twice: a second decision, made from an older snapshot, starts
@@ -64,12 +64,12 @@
 // is applied.
 func TestNoSecondRunWhileFirstMayBeAlive(t *testing.T) {
 	s := newState(t, smallStep(2))
-	first := s.begin("w1", key(0, 0))
+	first := s.startRuns("w1", key(0, 0))
 	must.SliceLen(t, 1, first)
-	must.SliceEmpty(t, s.begin("w2", key(0, 0)))
+	must.SliceEmpty(t, s.startRuns("w2", key(0, 0)))
 	s.finishRun(first[0], OutcomeDone)
-	must.SliceEmpty(t, s.begin("w2", key(0, 0)), must.Sprint("the task is done, though its job isn't"))
-	s.finishRun(s.begin("w2", key(0, 1))[0], OutcomeDone)
+	must.SliceEmpty(t, s.startRuns("w2", key(0, 0)), must.Sprint("the task is done, though its job isn't"))
+	s.finishRun(s.startRuns("w2", key(0, 1))[0], OutcomeDone)
 	must.Eq(t, PhaseDone, s.Jobs["j"].Phase())
 }
 
@@ -80,15 +80,15 @@
 	step := smallStep(2)
 	step.Speculative = true
 	s := newState(t, step)
-	first := s.begin("w1", key(0, 0))[0]
-	must.SliceEmpty(t, s.begin("w1", key(0, 0)), must.Sprint("a copy on the same worker"))
-	second := s.begin("w2", key(0, 0))
+	first := s.startRuns("w1", key(0, 0))[0]
+	must.SliceEmpty(t, s.startRuns("w1", key(0, 0)), must.Sprint("a copy on the same worker"))
+	second := s.startRuns("w2", key(0, 0))
 	must.SliceLen(t, 1, second)
 	must.Eq(t, 2, second[0].Number)
 	s.Apply(5, &Command{Worker: &Worker{ID: "w3", Service: "s"}})
-	must.SliceEmpty(t, s.begin("w3", key(0, 0)), must.Sprint("a third run"))
+	must.SliceEmpty(t, s.startRuns("w3", key(0, 0)), must.Sprint("a third run"))
 	s.finishRun(second[0], OutcomeDone)
-	must.SliceEmpty(t, s.begin("w2", key(0, 0)), must.Sprint("the task is done"))
+	must.SliceEmpty(t, s.startRuns("w2", key(0, 0)), must.Sprint("the task is done"))
 	s.finishRun(first, OutcomeFailed)
 	must.Eq(t, 0, s.Task(key(0, 0)).Failures, must.Sprint("a failure after the task is done doesn't count"))
 	must.Eq(t, 1, s.Jobs["j"].Unfinished)
@@ -99,9 +99,9 @@
 // lost run.
 func TestEndOfLostRunIsIgnored(t *testing.T) {
 	s := newState(t, smallStep(1))
-	first := s.begin("w1", key(0, 0))[0]
+	first := s.startRuns("w1", key(0, 0))[0]
 	s.finishRun(first, OutcomeLost)
-	second := s.begin("w1", key(0, 0))[0]
+	second := s.startRuns("w1", key(0, 0))[0]
 	must.Eq(t, 2, second.Number)
 	s.finishRun(first, OutcomeDone)
 	must.Eq(t, PhasePending, s.Jobs["j"].Phase())
@@ -112,27 +112,27 @@
 func TestOnlyFailedRunsCountAsAttempts(t *testing.T) {
 	s := newState(t, smallStep(1))
 	for _, outcome := range []Outcome{OutcomeStopped, OutcomeLeaseExpired, OutcomeLost, OutcomeNotStarted, OutcomeFailed} {
-		s.finishRun(s.begin("w1", key(0, 0))[0], outcome)
+		s.finishRun(s.startRuns("w1", key(0, 0))[0], outcome)
 		must.Eq(t, PhaseActive, s.Jobs["j"].Phase(), must.Sprint(outcome))
 	}
-	s.finishRun(s.begin("w1", key(0, 0))[0], OutcomeFailed)
+	s.finishRun(s.startRuns("w1", key(0, 0))[0], OutcomeFailed)
 	must.Eq(t, PhaseFailed, s.Jobs["j"].Phase())
-	must.SliceEmpty(t, s.begin("w1", key(0, 0)))
+	must.SliceEmpty(t, s.startRuns("w1", key(0, 0)))
 }
 
 func TestGangStartsWholeAndEndsOnce(t *testing.T) {
 	gang := smallStep(2)
 	gang.Gang = true
 	s := newState(t, gang)
-	must.SliceEmpty(t, s.begin("w1", key(0, 0)))
-	runs := s.begin("w1", key(0, 0), key(0, 1))
+	must.SliceEmpty(t, s.startRuns("w1", key(0, 0)))
+	runs := s.startRuns("w1", key(0, 0), key(0, 1))
 	must.SliceLen(t, 2, runs)
 	must.Eq(t, runs[0].Number, runs[1].Number)
 	s.finishRun(runs[0], OutcomeFailed)
-	must.SliceEmpty(t, s.begin("w2", key(0, 0), key(0, 1)), must.Sprint("a member of the gang may still be alive"))
+	must.SliceEmpty(t, s.startRuns("w2", key(0, 0), key(0, 1)), must.Sprint("a member of the gang may still be alive"))
 	s.finishRun(runs[1], OutcomeFailed)
 	must.Eq(t, 1, s.Jobs["j"].Occurrences[0][0].GangFailures)
-	runs = s.begin("w2", key(0, 0), key(0, 1))
+	runs = s.startRuns("w2", key(0, 0), key(0, 1))
 	must.Eq(t, 2, runs[0].Number)
 	s.finishRun(runs[0], OutcomeDone)
 	must.Eq(t, PhaseDone, s.Jobs["j"].Phase())
@@ -143,7 +143,7 @@
 	longRunning.LongRunning = true
 	s := newState(t, longRunning)
 	for range 4 {
-		s.finishRun(s.begin("w1", key(0, 0))[0], OutcomeFailed)
+		s.finishRun(s.startRuns("w1", key(0, 0))[0], OutcomeFailed)
 	}
 	must.Eq(t, PhaseActive, s.Jobs["j"].Phase())
 	must.True(t, s.Apply(9, &Command{Cancel: "j"}).Found)
@@ -154,7 +154,7 @@
 // cancellation, and the count of unfinished tasks reaches zero.
 func TestCancelledJobStaysCancelled(t *testing.T) {
 	s := newState(t, smallStep(1))
-	run := s.begin("w1", key(0, 0))[0]
+	run := s.startRuns("w1", key(0, 0))[0]
 	s.Apply(5, &Command{Cancel: "j"})
 	s.finishRun(run, OutcomeDone)
 	must.Eq(t, PhaseCancelled, s.Jobs["j"].Phase())
@@ -200,7 +200,7 @@
 				if step < 2 {
 					keys = append(keys, key(step, 1))
 				}
-				live = append(live, s.begin(worker, keys...)...)
+				live = append(live, s.startRuns(worker, keys...)...)
 			case 2, 3:
 				if len(live) > 0 {
 					run := rapid.SampledFrom(live).Draw(rt, "run")
@@ -237,11 +237,11 @@
 			for i := range steps {
 				for index, task := range steps[i].Tasks {
 					k := TaskKey{StepKey{id, occurrence, i}, index}
-					most := 1
+					maxLive := 1
 					if job.Steps[i].Speculative {
-						most = 2
+						maxLive = 2
 					}
-					if task.Live != live[k] || task.Live > most || task.Live < 0 {
+					if task.Live != live[k] || task.Live > maxLive || task.Live < 0 {
 						t.Fatalf("task %s counts %d live runs, the state lists %d", k, task.Live, live[k])
 					}
 					if !task.Done {
@@ -261,10 +261,10 @@
 func TestJobIsPendingUntilARunBegins(t *testing.T) {
 	s := newState(t, smallStep(1))
 	for _, outcome := range []Outcome{OutcomeNotStarted, OutcomeLost} {
-		s.finishRun(s.begin("w1", key(0, 0))[0], outcome)
+		s.finishRun(s.startRuns("w1", key(0, 0))[0], outcome)
 		must.Eq(t, PhasePending, s.Jobs["j"].Phase(), must.Sprint(outcome))
 	}
-	s.finishRun(s.begin("w1", key(0, 0))[0], OutcomeStopped)
+	s.finishRun(s.startRuns("w1", key(0, 0))[0], OutcomeStopped)
 	must.Eq(t, PhaseActive, s.Jobs["j"].Phase())
 }
 
