--- a/internal/e2e/bench_test.go
+++ b/internal/e2e/bench_test.go
@@ -29,7 +29,7 @@
 		started, _ := c.ledger.FirstStart(id, 0)
 		_ = waits.RecordValue(started.Sub(submitted).Milliseconds())
 		c.start(leader, "cell")
-		c.caughtUp(leader)
+		c.awaitCatchUp(leader)
 		i++
 	}
 	b.ReportMetric(float64(waits.ValueAtQuantile(50)), "p50-ms")
--- a/internal/e2e/chaos_test.go
+++ b/internal/e2e/chaos_test.go
@@ -29,9 +29,9 @@
 	chaosJobsPerSecond = 8.0
 )
 
-// faultInjector injects random faults one after the other; several may be present at
-// a time. The keys of down and paused are process names such as naas-1/cell, those
-// of partitioned are data centres.
+// faultInjector injects random faults one after the other; several may be active at
+// the same time. The keys of down and paused are process names such as naas-1/cell,
+// those of partitioned are data centres.
 type faultInjector struct {
 	cluster     *cluster
 	random      *rand.Rand
--- a/internal/e2e/customer_test.go
+++ b/internal/e2e/customer_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// partitionTick fires after the interval at which a test cuts and restores network links.
+// partitionTick fires after the interval at which a test starts and ends partitions.
 func (c *cluster) partitionTick() <-chan time.Time { return time.After(150 * time.Millisecond) }
 
 // requestHome returns the data centre that stores the request id of a submission: that
@@ -120,7 +120,7 @@
 }
 
 // submit retries a submission with the same request id over all entry instances until
-// it is accepted, as callers are told to.
+// it is accepted, as callers should.
 func (cc *customerClient) submit(requestID string, spec *apiv1.Spec) *apiv1.SubmitResponse {
 	cc.cluster.t.Helper()
 	var answer *apiv1.SubmitResponse
@@ -169,8 +169,8 @@
 }
 
 // batch returns the spec of a batch job whose tasks declare a run time in milliseconds.
-// The payload of a non-idempotent job tells the stand-ins' ledger so, which then
-// records a second start as a violation.
+// The payload of a non-idempotent job makes the stand-ins' ledger record a second start
+// as a violation.
 func batch(name string, tasks int, milliseconds int64, idempotent bool) *apiv1.Spec {
 	spec := &apiv1.Spec{
 		Name: name, Policy: apiv1.Policy_POLICY_BATCH, Tasks: int32(tasks), Idempotent: idempotent,
--- a/internal/e2e/doc.go
+++ b/internal/e2e/doc.go
@@ -1,5 +1,5 @@
 // Package e2e tests the daemons as separate processes that talk over loopback
-// sockets, while processes are killed, paused and restarted and network links are
-// cut. Stand-in workers, minions and callers run inside the test process; their
+// sockets, while processes are killed, paused and restarted and data centres are
+// partitioned. Stand-in workers, minions and callers run inside the test process; their
 // ledger records each violation of the system's guarantees.
 package e2e
--- a/internal/e2e/failover_test.go
+++ b/internal/e2e/failover_test.go
@@ -130,7 +130,7 @@
 }
 
 // TestCommandsRunAfterBriefFollowerPauses guards against accepted jobs that show as
-// running for ever. A leader loses contact with its followers again and again for less
+// running forever. A leader loses contact with its followers again and again for less
 // than their election timeout and keeps its term. If it restarts the numbering of its
 // commands within the term, workers discard the new commands as duplicates.
 func TestCommandsRunAfterBriefFollowerPauses(t *testing.T) {
--- a/internal/e2e/membership_test.go
+++ b/internal/e2e/membership_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestInstanceReplacedThenAnotherLost guards against a replaced instance that doesn't
-// count toward the quorum. An instance is lost for good, a new one with another name,
+// count toward the quorum. An instance is lost permanently, a new one with another name,
 // address and empty memory replaces it, and the leader is killed right afterwards. Jobs
 // accepted before and after must finish.
 func TestInstanceReplacedThenAnotherLost(t *testing.T) {
@@ -60,7 +60,7 @@
 			ids = append(ids, customer.submit(fmt.Sprint(round, "-", i), batch("reports", 4, 50, false)).Id)
 		}
 		c.start(instance.ID, "cell")
-		c.caughtUp(instance.ID)
+		c.awaitCatchUp(instance.ID)
 	}
 	for _, id := range ids {
 		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(id).State, must.Sprint(id))
@@ -69,8 +69,8 @@
 	c.checkNoViolations()
 }
 
-// caughtUp waits until an instance has recovered and reached the highest commit index.
-func (c *cluster) caughtUp(id string) {
+// awaitCatchUp waits until an instance has recovered and reached the highest commit index.
+func (c *cluster) awaitCatchUp(id string) {
 	c.t.Helper()
 	ctx, operations := c.operatorClients()
 	c.eventually(id+" has caught up", func() bool {
@@ -127,8 +127,8 @@
 }
 
 // TestConfigurationVoterReplacedThenAnotherLost guards against a replaced voter of the
-// configuration log that doesn't count toward the quorum. A voter is lost for good, a new
-// instance replaces it, another voter is lost, and a version is written.
+// configuration log that doesn't count toward the quorum. A voter is lost permanently, a
+// new instance replaces it, another voter is lost, and a version is written.
 func TestConfigurationVoterReplacedThenAnotherLost(t *testing.T) {
 	c := newCluster(t, "rackwise", nil)
 	ctx, operations := c.operatorClients()
@@ -177,6 +177,6 @@
 	lost := c.follower(c.deployment.Settings.DataCentres()[0])
 	c.kill(lost + "/cell")
 	c.start(lost, "cell")
-	c.caughtUp(lost)
+	c.awaitCatchUp(lost)
 	c.checkNoViolations()
 }
--- a/internal/e2e/network_test.go
+++ b/internal/e2e/network_test.go
@@ -12,8 +12,8 @@
 )
 
 // network routes the connections between data centres through relays, so that a test can
-// partition a data centre. A partition is silent: no connection is closed or refused.
-// The keys of relays are links, each from one data centre to another.
+// partition a data centre. During a partition no connection is closed or refused, but
+// none carries bytes. The keys of relays are links, each from one data centre to another.
 type network struct {
 	mu     sync.Mutex
 	relays map[[2]string][]*relay
--- a/internal/e2e/partition_test.go
+++ b/internal/e2e/partition_test.go
@@ -125,8 +125,8 @@
 }
 
 // TestAcceptedJobsSurviveDataCentrePowerLoss guards against the loss of accepted jobs
-// when all control processes of a data centre are killed at once while tasks run. All
-// of them restart, only one with the data on its disk.
+// when all control processes of a data centre are killed at the same time while tasks
+// run. All of them restart, only one with the data on its disk.
 func TestAcceptedJobsSurviveDataCentrePowerLoss(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
@@ -170,8 +170,8 @@
 
 // TestConcurrentConfigurationWrites guards against lost updates of the configuration.
 // Several operators write with the same expected version over all entry instances at
-// once: one write succeeds, the others fail with Conflict. A retry of the successful
-// write, as after a lost response, succeeds again and changes nothing.
+// the same time: one write succeeds, the others fail with Conflict. A retry of the
+// successful write, as after a lost response, succeeds again and changes nothing.
 func TestConcurrentConfigurationWrites(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	ctx, operations := c.operatorClients()
