--- a/internal/cli/change.go
+++ b/internal/cli/change.go
@@ -168,7 +168,7 @@
 		usage:    "[--data-centre name] worker",
 		example:  "bilberry " + name + " --data-centre naas-hall naas-w07",
 		flags: func(f *flag.FlagSet) {
-			f.StringVar(&dataCentre, "data-centre", "", "`name` of the worker's data centre; found by asking all when left out")
+			f.StringVar(&dataCentre, "data-centre", "", "`name` of the worker's data centre; found by querying all data centres if left out")
 			requestIDFlag(f, &id)
 		},
 		run: func(ctx context.Context, s *session, args []string) error {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -147,7 +147,7 @@
 // An entry instance accepts a job and dies before its response arrives. The command
 // must send the same request with the same id and deadline to the next entry
 // instance, or the job runs twice.
-func TestLostAnswerIsResentWithTheSameID(t *testing.T) {
+func TestLostResponseIsResentWithTheSameID(t *testing.T) {
 	var sent []*apiv1.SubmitRequest
 	crashing := (&fakeEntry{submit: func(q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
 		sent = append(sent, q)
--- a/internal/cli/workflow.go
+++ b/internal/cli/workflow.go
@@ -15,8 +15,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/units"
 )
 
-// workflowsCall is call for a method of the Workflows service, which cells offer whose
-// log spans their data centres. It uses a new client and the time limit of --timeout.
+// workflowsCall is call for a method of the Workflows service, which is offered by cells
+// whose log spans their data centres. It uses a new client and the time limit of --timeout.
 func workflowsCall[Q, A any](ctx context.Context, s *session, q Q, method func(apiv1.Workflows) func(context.Context, Q) (A, error)) (A, error) {
 	var none A
 	c, err := s.client()
@@ -148,11 +148,11 @@
 }
 
 // describeCrashes returns a line with the workers that crashed while they ran a task,
-// and whether the job was given up because of it.
+// and whether the job failed because of that.
 func describeCrashes(step *apiv1.StepStatus, crashes *apiv1.TaskCrashes) string {
 	line := fmt.Sprintf("step %d, task %d: workers that crashed while running it: %s", step.GetStep(), crashes.GetTask(), strings.Join(crashes.GetWorkers(), ", "))
 	if crashes.GetGivenUp() {
-		line += "; the job was given up because of it"
+		line += "; the job failed because of that"
 	}
 	return line
 }
