--- a/internal/standin/call.go
+++ b/internal/standin/call.go
@@ -101,7 +101,7 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// Marks of the errors that a try can return.
+// Errors that mark why a try failed.
 var (
 	errConnectionBroken = errors.New("connection broke")
 	errWrongResponse    = errors.New("wrong response")
--- a/internal/standin/jobs.go
+++ b/internal/standin/jobs.go
@@ -54,7 +54,7 @@
 	// Arrivals are the jobs, sorted by At.
 	Arrivals []Arrival
 	// Ledger supplies the start times by the workers' clocks when the workers share
-	// the ledger, and is told which jobs are non-idempotent; nil means a new one.
+	// the ledger, and records which jobs are non-idempotent; nil means a new one.
 	Ledger *Ledger
 	// RetryTimeout bounds the retries of a call whose outcome is unknown; 0 means
 	// DefaultRetryTimeout.
@@ -63,8 +63,8 @@
 	KeepServices bool
 	// Dial opens connections; nil means TCP.
 	Dial rpc.Dial
-	// OnChange is called with each changed result, from many goroutines at once; it
-	// may be nil.
+	// OnChange is called with each changed result, concurrently from many goroutines;
+	// it may be nil.
 	OnChange func(JobResult)
 	// Logger receives the log lines; nil means none.
 	Logger log.Logger
--- a/internal/standin/jobs_test.go
+++ b/internal/standin/jobs_test.go
@@ -12,7 +12,7 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-// fakeScheduler accepts jobs and finishes them at once. It refuses jobs named
+// fakeScheduler accepts jobs and finishes them immediately. It refuses jobs named
 // "never", and finishes jobs named "late" one millisecond after their deadline.
 type fakeScheduler struct {
 	apiv1.Scheduler
--- a/internal/standin/minions.go
+++ b/internal/standin/minions.go
@@ -26,7 +26,7 @@
 	Delay time.Duration
 	// Hang sends no response to any request.
 	Hang bool
-	// Fail responds to each request at once with status 500.
+	// Fail responds to each request immediately with status 500.
 	Fail bool
 	// Truncate breaks the connection after half of each response.
 	Truncate bool
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -26,7 +26,7 @@
 
 // limitExceeded describes a violation of a limit of what, for instance requests.
 func limitExceeded(have int, what string, limit int) string {
-	return fmt.Sprintf("%d %s at once, the limit is %d", have, what, limit)
+	return fmt.Sprintf("%d %s at the same time, the limit is %d", have, what, limit)
 }
 
 // ServeHTTP serves one request with the injected faults. The caller can verify the
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -47,7 +47,7 @@
 	// reporting is held while a batch of reports is in flight.
 	reporting sync.Mutex
 	// previous is the previous incarnation in this process until its reports are
-	// acknowledged or given up; only the renewing goroutine uses it.
+	// acknowledged or maxPreviousAttempts is reached; only the renewing goroutine uses it.
 	previous         *session
 	previousAttempts int
 
@@ -212,7 +212,7 @@
 }
 
 // hold returns how long the entry instance may hold the next renewal for commands:
-// a third of the last lease at most.
+// a third of the last lease at most. The caller holds the lock.
 //
 // It guards against a healthy worker that loses its lease and its tasks. A lease
 // counts from the send of its renewal. Two renewals held for half of the lease each
@@ -298,7 +298,8 @@
 }
 
 // endLease stops all tasks and ends the incarnation. The owner counts the lease from
-// a later time than the worker, so no task starts elsewhere before it stops here.
+// a later time than the worker, so no task starts elsewhere before it stops here. The
+// caller holds the lock.
 func (s *session) endLease(reason string) {
 	_ = s.logger.Log("event", "lease ended", "why", reason, "stopped", len(s.running))
 	s.stopAll("lease ended")
@@ -307,7 +308,7 @@
 	close(s.leaseEnded)
 }
 
-// crash ends the incarnation and all tasks at once, without reports.
+// crash ends the incarnation and all tasks immediately, without reports.
 func (s *session) crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/tasks.go
+++ b/internal/standin/tasks.go
@@ -35,7 +35,7 @@
 
 // applyCommands executes commands in order while the worker holds its lease. After
 // the lease ends, a late response may carry starts of attempts that the owner has
-// declared dead in the meantime.
+// declared dead in the meantime. The caller holds the lock.
 func (s *session) applyCommands(commands []*apiv1.Command) {
 	for _, c := range commands {
 		if !s.holder.Valid(s.clock()) {
@@ -120,8 +120,8 @@
 	s.scheduleEnd(r)
 }
 
-// scheduleEnd sets the timer that ends a run after its true run time, or at once
-// with the fault FailAll.
+// scheduleEnd sets the timer that ends a run after its true run time, or
+// immediately with the fault FailAll.
 func (s *session) scheduleEnd(r *run) {
 	cfg := s.worker.cfg
 	if s.worker.currentFaults().FailAll {
@@ -184,7 +184,7 @@
 }
 
 // applyStop stops a running attempt. It reports an attempt that never started as not
-// started; the guard then refuses its start for ever. An attempt that has ended
+// started; the guard then refuses its start forever. An attempt that has ended
 // needs no action: its report is retried until it is acknowledged.
 func (s *session) applyStop(h lease.Header, stop *apiv1.StopTask) {
 	attempt := attemptOf(stop.Attempt)
--- a/internal/standin/workers_test.go
+++ b/internal/standin/workers_test.go
@@ -206,7 +206,7 @@
 }
 
 // The owner crashes twice after it received a report and before it committed it.
-// The worker must retry the report, or the task counts as running for ever.
+// The worker must retry the report, or the task counts as running forever.
 func TestReportsAreRetriedUntilAcknowledged(t *testing.T) {
 	owner := newFakeOwner(time.Minute)
 	owner.reportsToIgnore = 2
@@ -219,8 +219,8 @@
 
 // A lease counts from the send of its renewal. If renewals are held for half of the
 // lease, each response arrives just as the previous lease ends, and a healthy worker
-// drops its tasks every few seconds. A renewal that follows a response at once must
-// be answered before that response's lease ends, also if its first try is lost.
+// drops its tasks every few seconds. A renewal right after a response must be answered
+// before that response's lease ends, also if its first try is lost.
 func TestRenewHoldLeavesTimeForNextRenewal(t *testing.T) {
 	worker := newWorker(WorkersConfig{DataCentres: []DataCentre{{}}, RenewHold: time.Hour}.withDefaults(), 0)
 	for _, ttl := range []time.Duration{300 * time.Millisecond, 6 * time.Second, time.Minute} {
