--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -307,10 +307,10 @@
 		if len(t.proposedStarts) > 0 {
 			_, proposed = t.proposedStarts[workflow.TaskKey{StepKey: key, Index: i}]
 		}
-		if spec.Gang && (proposed || task.AwaitsCrashVerdict()) {
+		if spec.Gang && (proposed || task.AwaitsCrashOutcome()) {
 			return nil
 		}
-		if !task.Done && !task.AwaitsCrashVerdict() && task.Live == 0 && !proposed {
+		if !task.Done && !task.AwaitsCrashOutcome() && task.Live == 0 && !proposed {
 			pending = append(pending, i)
 		}
 	}
--- a/workflow/apply.go
+++ b/workflow/apply.go
@@ -212,7 +212,7 @@
 		return false
 	}
 	task := &step.Tasks[run.Task.Index]
-	if task.Done || task.AwaitsCrashVerdict() {
+	if task.Done || task.AwaitsCrashOutcome() {
 		return false
 	}
 	_, runsThere := s.Runs[run.Worker][run.Task]
--- a/workflow/crash.go
+++ b/workflow/crash.go
@@ -27,11 +27,11 @@
 // Suspect reports whether a worker has crashed under the task.
 func (t *Task) Suspect() bool { return len(t.CrashedOn) > 0 }
 
-// AwaitsCrashVerdict reports whether the task must not start yet: its crashes and its
+// AwaitsCrashOutcome reports whether the task must not start yet: its crashes and its
 // unresolved runs together reach maxCrashes. Otherwise, while workers are unreachable for
 // longer than their leases, the task would start on further workers and crash them before its
 // earlier crashes are known.
-func (t *Task) AwaitsCrashVerdict() bool {
+func (t *Task) AwaitsCrashOutcome() bool {
 	return t.Unresolved > 0 && len(t.CrashedOn)+t.Unresolved >= maxCrashes
 }
 
