--- a/internal/control/admit.go
+++ b/internal/control/admit.go
@@ -28,7 +28,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.incompleteSteps = queued
+	t.queuedSteps = queued
 }
 
 // beginSubmission records that a job is being committed until the returned function is
@@ -50,17 +50,17 @@
 // admit returns an Overloaded fault for a new job while the queue is full. It never
 // refuses a job that is already committed or whose commit is in flight.
 //
-// Failure guarded against: a caller's first call is slow, so the caller repeats it through
-// another entry point while the commit of the first call is in flight. If the second call
-// were refused, the caller would conclude that the job never runs, although it does.
+// A caller whose first call is slow repeats it through another entry point while the
+// commit of the first call is in flight. If the second call were refused, the caller would
+// conclude that the job never runs, although it does.
 //
-// Reason for the bound: after an outage or in a burst more jobs arrive than the leader can
-// place. Each accepted job makes decisions longer and delays all other jobs; with 8500
-// queued steps no job was served for the rest of the day. A refused caller knows at once
-// and can retry.
+// After an outage or in a burst, more jobs arrive than the leader can place. Each accepted
+// job makes decisions longer and delays all other jobs; with 8500 queued steps no job was
+// served for the rest of the day. A refused caller learns immediately that it has to
+// retry.
 func (t *leaderTerm) admit(id string) error {
 	t.mu.Lock()
-	queued, beingCommitted := t.incompleteSteps, t.pendingSubmits[id] > 0
+	queued, beingCommitted := t.queuedSteps, t.pendingSubmits[id] > 0
 	t.mu.Unlock()
 	if queued < maxQueuedSteps || beingCommitted {
 		return nil
--- a/internal/control/admit_test.go
+++ b/internal/control/admit_test.go
@@ -17,7 +17,7 @@
 	term := loadedTerm(t, benchmarkLoad{workers: 1})
 	_, err := term.propose(submission("a"))
 	must.NoError(t, err)
-	term.incompleteSteps = maxQueuedSteps
+	term.queuedSteps = maxQueuedSteps
 	refused := term.admit("b")
 	must.Eq(t, fault.Overloaded, fault.KindOf(refused))
 	must.Eq(t, queueFullRetryAfter, fault.From(refused).RetryAfter)
@@ -27,9 +27,9 @@
 	must.NoError(t, term.admit("b"), must.Sprint("the next decision finds a short queue"))
 }
 
-// Guards against running a job whose caller was told that it was refused: the commit of
-// the first call is slow, the caller repeats the call through another entry point, and the
-// queue has filled up meanwhile. The job must count as known from the start of its commit.
+// Guards against running a job whose caller received a refusal: the commit of the first
+// call is slow, the caller repeats the call through another entry point, and the queue has
+// filled up meanwhile. The job must count as known from the start of its commit.
 func TestAdmitAcceptsJobWhoseCommitIsInFlight(t *testing.T) {
 	w := newTestCluster(t, nil)
 	term, err := w.c.currentLeaderTerm(context.Background())
@@ -49,7 +49,7 @@
 		}
 		first = false
 		term.mu.Lock()
-		term.incompleteSteps = maxQueuedSteps
+		term.queuedSteps = maxQueuedSteps
 		term.mu.Unlock()
 		again <- call()
 	}
--- a/internal/control/adviser_pool.go
+++ b/internal/control/adviser_pool.go
@@ -37,7 +37,7 @@
 )
 
 // adviserConn is an instance through which queries reach the adviser. The adviser serves
-// the queries of one instance one after the other.
+// the queries of one instance one after another.
 type adviserConn struct {
 	address string
 	// lastAnnounced is the last announcement of the instance.
@@ -70,36 +70,36 @@
 }
 
 // announceInterval returns the time between two announcements of an instance.
-func (l *adviserPool) announceInterval() time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.announceIntervalFor(len(l.conns))
+func (p *adviserPool) announceInterval() time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.announceIntervalFor(len(p.conns))
 }
 
 // announceIntervalFor returns the announcement interval for a number of instances.
-func (l *adviserPool) announceIntervalFor(instances int) time.Duration {
+func (p *adviserPool) announceIntervalFor(instances int) time.Duration {
 	return min(max(instanceAnnounceInterval, instanceAnnounceInterval*time.Duration(instances)/announceScaleInstances), maxInstanceAnnounceInterval)
 }
 
 // recordAnnouncement records that an instance is reachable.
-func (l *adviserPool) recordAnnouncement(address string, now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	known := l.conns[address]
+func (p *adviserPool) recordAnnouncement(address string, now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	known := p.conns[address]
 	if known == nil {
 		known = &adviserConn{address: address}
-		l.conns[address] = known
+		p.conns[address] = known
 	}
 	known.lastAnnounced = now
 }
 
 // reachable returns the connections that are announced and not backing off, ordered by
-// address. l.mu must be held.
-func (l *adviserPool) reachable(now time.Time) []*adviserConn {
+// address. p.mu must be held.
+func (p *adviserPool) reachable(now time.Time) []*adviserConn {
 	var usable []*adviserConn
-	maxAge := maxMissedAnnouncements * l.announceIntervalFor(len(l.conns))
-	for _, candidate := range l.conns {
-		announced := candidate.address == l.ownAddress || now.Sub(candidate.lastAnnounced) < maxAge
+	maxAge := maxMissedAnnouncements * p.announceIntervalFor(len(p.conns))
+	for _, candidate := range p.conns {
+		announced := candidate.address == p.ownAddress || now.Sub(candidate.lastAnnounced) < maxAge
 		if announced && now.After(candidate.backoffUntil) {
 			usable = append(usable, candidate)
 		}
@@ -109,14 +109,14 @@
 }
 
 // full reports whether the connection has the maximum number of queries in flight.
-func (l *adviserConn) full() bool { return l.inFlight >= maxInFlightPerConn }
+func (c *adviserConn) full() bool { return c.inFlight >= maxInFlightPerConn }
 
 // available returns how many queries may be sent now, and how many of them may be long.
-func (l *adviserPool) available(now time.Time) (all, long int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	usable := l.reachable(now)
-	reserved := l.reservedForShort(now, len(usable))
+func (p *adviserPool) available(now time.Time) (all, long int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	usable := p.reachable(now)
+	reserved := p.reservedForShort(now, len(usable))
 	for i, candidate := range usable {
 		if candidate.full() {
 			continue
@@ -129,50 +129,50 @@
 	return all, long
 }
 
-// recordShortQuery adds a short query to the load. l.mu must be held.
-func (l *adviserPool) recordShortQuery(now time.Time, duration time.Duration) {
-	l.shortLoad = l.shortLoadAt(now) + duration.Seconds()/shortLoadWindow.Seconds()
-	l.shortAt = now
+// recordShortQuery adds a short query to the load. p.mu must be held.
+func (p *adviserPool) recordShortQuery(now time.Time, duration time.Duration) {
+	p.shortLoad = p.shortLoadAt(now) + duration.Seconds()/shortLoadWindow.Seconds()
+	p.shortAt = now
 }
 
-// shortLoadAt returns how many connections short queries keep busy on average. l.mu must
+// shortLoadAt returns how many connections short queries keep busy on average. p.mu must
 // be held.
-func (l *adviserPool) shortLoadAt(now time.Time) float64 {
-	return l.shortLoad * math.Exp(-now.Sub(l.shortAt).Seconds()/shortLoadWindow.Seconds())
+func (p *adviserPool) shortLoadAt(now time.Time) float64 {
+	return p.shortLoad * math.Exp(-now.Sub(p.shortAt).Seconds()/shortLoadWindow.Seconds())
 }
 
 // reservedForShort returns how many of n connections long queries leave to short ones: as
-// many as the recent load needs, at most half. l.mu must be held.
+// many as the recent load needs, at most half. p.mu must be held.
 //
-// Reason: with large gangs, whose queries take over a second, and a hundred urgent jobs a
-// second, whose queries take some milliseconds, the short queries keep only a few
-// connections busy. If half of the connections are reserved, the queries of the gangs wait
-// for each other. If none is, urgent jobs wait behind them under high load.
-func (l *adviserPool) reservedForShort(now time.Time, n int) int {
-	load := l.shortLoadAt(now)
+// Large gangs, whose queries take over a second, compete with a hundred urgent jobs a
+// second, whose queries take some milliseconds and keep only a few connections busy. If
+// half of the connections are reserved, the queries of the gangs wait for each other. If
+// none is, urgent jobs wait behind them under high load.
+func (p *adviserPool) reservedForShort(now time.Time, n int) int {
+	load := p.shortLoadAt(now)
 	return min(int(math.Ceil(load+shortLoadDeviations*math.Sqrt(load)))+1, n/2)
 }
 
 // freeAt returns when a query that is sent now would be served. All idle connections
 // return now, so that short queries prefer the first ones, which are reserved for them.
-func (l *adviserConn) freeAt(now time.Time) time.Time {
-	if l.busyUntil.Before(now) {
+func (c *adviserConn) freeAt(now time.Time) time.Time {
+	if c.busyUntil.Before(now) {
 		return now
 	}
-	return l.busyUntil
+	return c.busyUntil
 }
 
 // acquire picks the connection that is free first, and returns it with the expected time
 // of the answer. Short queries prefer the connections that are reserved for them. It
 // returns nil when no connection is available.
-func (l *adviserPool) acquire(now time.Time, duration time.Duration) (*adviserConn, time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	candidates := l.reachable(now)
+func (p *adviserPool) acquire(now time.Time, duration time.Duration) (*adviserConn, time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	candidates := p.reachable(now)
 	if duration > longQuery {
-		candidates = candidates[l.reservedForShort(now, len(candidates)):]
+		candidates = candidates[p.reservedForShort(now, len(candidates)):]
 	} else {
-		l.recordShortQuery(now, duration)
+		p.recordShortQuery(now, duration)
 	}
 	candidates = slices.DeleteFunc(candidates, (*adviserConn).full)
 	if len(candidates) == 0 {
@@ -185,9 +185,9 @@
 }
 
 // release records that a query has been answered or has failed.
-func (l *adviserPool) release(conn *adviserConn, now time.Time, failed bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (p *adviserPool) release(conn *adviserConn, now time.Time, failed bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	conn.inFlight--
 	if conn.inFlight == 0 {
 		conn.busyUntil = now
@@ -199,12 +199,12 @@
 
 // send sends a query to the adviser, through another instance unless the connection is the
 // leader's own.
-func (l *adviserPool) send(ctx context.Context, conn *adviserConn, call AdviserQuery) (AdviserAnswer, error) {
-	if conn.address == l.ownAddress {
-		return l.adviser.Query(ctx, call)
+func (p *adviserPool) send(ctx context.Context, conn *adviserConn, call AdviserQuery) (AdviserAnswer, error) {
+	if conn.address == p.ownAddress {
+		return p.adviser.Query(ctx, call)
 	}
 	var reply AdviserAnswer
-	err := l.client.Call(ctx, conn.address, MethodAsk, &call, &reply)
+	err := p.client.Call(ctx, conn.address, MethodAsk, &call, &reply)
 	return reply, err
 }
 
--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -15,16 +15,16 @@
 )
 
 // forwardInterval is the time between two unchanged heartbeats of a worker that a follower
-// forwards to the leader. The leader stops monitoring a worker after silentWorkerTimeout
-// without a heartbeat.
+// forwards to the leader. The leader stops monitoring a worker without runs after
+// unresponsiveWorkerTimeout without a heartbeat.
 const forwardInterval = 3 * time.Second
 
 // AnnounceKnown handles a heartbeat on a follower, and reports whether the follower may
 // acknowledge it: the log has the worker as announced, and a leader is known. Otherwise
 // the heartbeat has to be forwarded to the leader.
 //
-// Reason: hundreds of workers send a heartbeat every second, and almost none of them
-// contains anything new.
+// Hundreds of workers send a heartbeat every second, and almost none of them contains
+// anything new.
 func (c *Controller) AnnounceKnown(r *Announcement) (AnnouncementReply, bool) {
 	r.Worker.Sequence = r.Sequence
 	if c.heartbeats != nil || r.Worker.Draining || c.needsCommit(&r.Worker) {
@@ -50,13 +50,13 @@
 
 // recentlyForwarded reports whether a heartbeat of the worker was forwarded within
 // forwardInterval. Otherwise it records that this one is forwarded now.
-func (p *forwardedHeartbeats) recentlyForwarded(worker string, now time.Time) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.times.isRecent(worker, now) {
+func (f *forwardedHeartbeats) recentlyForwarded(worker string, now time.Time) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.times.isRecent(worker, now) {
 		return true
 	}
-	p.times.record(worker, now)
+	f.times.record(worker, now)
 	return false
 }
 
@@ -82,7 +82,7 @@
 }
 
 // Announce handles a worker's heartbeat on the leader. It acknowledges a heartbeat with
-// new content only after committing it, so that the next leader knows it too.
+// new content only after committing it, so that the next leader has it too.
 func (c *Controller) Announce(ctx context.Context, r *Announcement) (AnnouncementReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -14,8 +14,8 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// benchmarkLoad is the size of a benchmark. noPermits says that the adviser hasn't been
-// asked about the queued steps yet.
+// benchmarkLoad is the size of a benchmark. noPermits says that no adviser query about the
+// queued steps has been sent yet.
 type benchmarkLoad struct {
 	workers, queued, runs int
 	noPermits             bool
@@ -94,8 +94,8 @@
 			took := hdrhistogram.New(1, int64(time.Second), 3)
 			for b.Loop() {
 				start := time.Now()
-				v := t.gatherPlanInput(now)
-				dispatch.Decide(now.Sub(t.started), v.steps, v.workers, planLimits)
+				input := t.gatherPlanInput(now)
+				dispatch.Decide(now.Sub(t.started), input.steps, input.workers, planLimits)
 				must.NoError(b, took.RecordValue(int64(time.Since(start))))
 			}
 			b.ReportMetric(float64(took.ValueAtPercentile(99)), "p99-ns")
@@ -137,7 +137,7 @@
 	limits.Queries = 30
 	for b.Loop() {
 		now := time.Now()
-		v := t.gatherPlanInput(now)
-		dispatch.Decide(now.Sub(t.started), v.steps, v.workers, limits)
+		input := t.gatherPlanInput(now)
+		dispatch.Decide(now.Sub(t.started), input.steps, input.workers, limits)
 	}
 }
--- a/internal/control/calls.go
+++ b/internal/control/calls.go
@@ -88,7 +88,7 @@
 // LeaveCall announces that an incarnation shuts down.
 type LeaveCall struct {
 	Worker string `cbor:"1,keyasint"`
-	// Name is the worker's name. It stands for the latest incarnation if the call doesn't
+	// Name is the worker's name. It means the latest incarnation if Worker doesn't
 	// identify one.
 	Name string `cbor:"2,keyasint,omitempty"`
 }
@@ -104,8 +104,8 @@
 	Source  []byte `cbor:"2,keyasint"`
 }
 
-// FollowCall registers an instance that serves callers with the leader, and offers it for
-// sending queries to the adviser.
+// FollowCall announces an instance that serves callers to the leader. The leader may send
+// adviser queries through it from then on.
 type FollowCall struct {
 	Address string `cbor:"1,keyasint"`
 }
@@ -114,7 +114,7 @@
 type FollowReply struct {
 	Members []string `cbor:"1,keyasint"`
 	Version uint64   `cbor:"2,keyasint"`
-	// Pause is the time until the instance is to register again.
+	// Pause is the time until the next announcement of the instance is due.
 	Pause time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
@@ -148,7 +148,7 @@
 type TaskCrashes struct {
 	Task    int      `cbor:"1,keyasint"`
 	Workers []string `cbor:"2,keyasint"`
-	// Unmonitored says that the job failed because of this task.
+	// GivenUp says that the job failed because of this task.
 	GivenUp bool `cbor:"3,keyasint,omitempty"`
 }
 
--- a/internal/control/capacity_test.go
+++ b/internal/control/capacity_test.go
@@ -38,8 +38,8 @@
 	return w
 }
 
-// Failure: a worker gets more tasks than fit (LIMIT), because the leader uses the capacity
-// from its first heartbeat after it has shrunk.
+// Guards against this failure: a worker gets more tasks than fit (LIMIT), because the
+// leader uses the capacity from its first heartbeat after it has shrunk.
 func TestWorkerWithReducedCapacityIsNotOvercommitted(t *testing.T) {
 	w := clusterWithReducedCapacity(t)
 	w.submitOneCoreJobs("b", 5)
@@ -48,7 +48,8 @@
 	must.Eq(t, 4, w.started("w1"))
 }
 
-// Failure: capacity stays unused after a worker has shrunk and grown again.
+// Guards against this failure: capacity stays unused after a worker has shrunk and grown
+// again.
 func TestWorkerWithRestoredCapacityIsUsed(t *testing.T) {
 	w := clusterWithReducedCapacity(t)
 	w.submitOneCoreJobs("b", 5)
@@ -56,8 +57,8 @@
 	w.eventually("all tasks run", func() bool { return w.started("w1") == 7 })
 }
 
-// Failure: a worker gets more tasks than fit (LIMIT), because a delayed heartbeat from
-// before it shrank restores its old capacity.
+// Guards against this failure: a worker gets more tasks than fit (LIMIT), because a
+// delayed heartbeat from before it shrank restores its old capacity.
 func TestStaleHeartbeatDoesNotRestoreCapacity(t *testing.T) {
 	w := clusterWithReducedCapacity(t)
 	w.announceCapacity(1, 10)
@@ -67,8 +68,8 @@
 	must.Eq(t, 4, w.started("w1"))
 }
 
-// Failure: a worker gets more tasks than fit (LIMIT), because it shrinks while starts are
-// being committed that were decided before.
+// Guards against this failure: a worker gets more tasks than fit (LIMIT), because it
+// shrinks while starts are being committed that were decided before.
 func TestStartsCommittedAfterCapacityReductionAreDropped(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
--- a/internal/control/chaos_test.go
+++ b/internal/control/chaos_test.go
@@ -36,7 +36,7 @@
 // startLeader starts a controller in the next term and waits until it leads.
 func (x *chaosRun) startLeader() {
 	x.term++
-	replicated := &termedLog{fakeLog: fakeLog{state: x.state}, term: x.term}
+	replicated := &fakeTermLog{fakeLog: fakeLog{state: x.state}, term: x.term}
 	x.c = New(Config{
 		Address: "own", Bounds: Bounds{MaxLease: 700 * time.Millisecond, EndedJobRetention: time.Minute}, Workers: x.workers, Adviser: x.workers,
 		Client: link.NewClient(100), Logger: log.With(log.NewLogfmtLogger(&x.workers.lines), "ms", log.Valuer(sinceStart), "term", x.term), Counters: noCounters{},
@@ -93,7 +93,7 @@
 	case 0:
 		chosen.gone = true
 	case 1:
-		chosen.cutOffUntil = time.Now().Add(time.Duration(100+x.random.IntN(900)) * time.Millisecond)
+		chosen.unreachableUntil = time.Now().Add(time.Duration(100+x.random.IntN(900)) * time.Millisecond)
 	}
 	r.mu.Unlock()
 	switch kind {
--- a/internal/control/chaos_workers_test.go
+++ b/internal/control/chaos_workers_test.go
@@ -14,13 +14,13 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// termedLog is a fakeLog whose term grows from leader to leader.
-type termedLog struct {
+// fakeTermLog is a fakeLog with its own term, which increases from leader to leader.
+type fakeTermLog struct {
 	fakeLog
 	term uint64
 }
 
-func (l *termedLog) Status() replica.Status {
+func (l *fakeTermLog) Status() replica.Status {
 	return replica.Status{Role: replica.Leader, Term: l.term, CanDecide: true}
 }
 
@@ -39,9 +39,9 @@
 	leaseExpiredAt time.Time
 	// acknowledged is the position of the last end that a leader has acknowledged.
 	acknowledged uint64
-	// cutOffUntil is when calls get through again.
-	cutOffUntil time.Time
-	gone        bool
+	// unreachableUntil is when calls get through again.
+	unreachableUntil time.Time
+	gone             bool
 }
 
 type chaosWorkerRun struct {
@@ -85,7 +85,7 @@
 	return len(line), nil
 }
 
-func (l *chaosLog) note(event string, w *chaosWorker, task workflow.TaskKey, run int) {
+func (l *chaosLog) logRun(event string, w *chaosWorker, task workflow.TaskKey, run int) {
 	_, _ = fmt.Fprintf(l, "ms=%d worker=%s %s task=%s run=%d\n", sinceStart(), w.id, event, task, run)
 }
 
@@ -110,7 +110,7 @@
 // drawOutcome decides whether a call takes effect now, later or never, and whether its
 // answer gets through.
 func (r *chaosWorkers) drawOutcome(w *chaosWorker) (now, later, answered bool) {
-	if w.gone || time.Now().Before(w.cutOffUntil) {
+	if w.gone || time.Now().Before(w.unreachableUntil) {
 		return false, false, false
 	}
 	if r.faultsOver {
@@ -133,7 +133,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.all[id]
-	if w.gone && !time.Now().Before(w.cutOffUntil) {
+	if w.gone && !time.Now().Before(w.unreachableUntil) {
 		return 0, ErrOtherIncarnation
 	}
 	now, later, answered := r.drawOutcome(w)
@@ -181,7 +181,7 @@
 	}
 	spec := r.specs[task.Job]
 	w.running[task] = &chaosWorkerRun{number: o.Run.Number, need: spec.Need, ends: time.Now().Add(time.Duration(10+r.random.IntN(60)) * time.Millisecond)}
-	r.lines.note("begins", w, task, o.Run.Number)
+	r.lines.logRun("begins", w, task, o.Run.Number)
 	r.recordViolations(w, task, spec)
 	return nil
 }
@@ -222,8 +222,8 @@
 
 // acknowledge records that a leader has acknowledged ends. An acknowledged end is final,
 // unless the lease expired between the end and the acknowledgement.
-func (r *chaosWorkers) acknowledge(w *chaosWorker, seen uint64) {
-	for ; w.acknowledged < seen; w.acknowledged++ {
+func (r *chaosWorkers) acknowledge(w *chaosWorker, lastEnd uint64) {
+	for ; w.acknowledged < lastEnd; w.acknowledged++ {
 		e, at := w.ended[w.acknowledged], w.endedAt[w.acknowledged]
 		spec := r.specs[e.Task.Job]
 		if e.Outcome != workflow.OutcomeDone || w.leaseExpiredAt.After(at) {
@@ -326,7 +326,7 @@
 				switch {
 				case w.gone:
 				case time.Now().After(w.leaseEnd):
-					r.lines.note("lapses", w, task, run.number)
+					r.lines.logRun("lapses", w, task, run.number)
 					w.finish(task, workflow.OutcomeLeaseExpired)
 				case time.Now().After(run.ends) && r.gangComplete(task, run.number):
 					r.endRun(w, task)
@@ -337,8 +337,8 @@
 	}
 }
 
-// gangComplete reports whether a run may end by itself: the members of a gang work only
-// once all of them have started, so none is done before.
+// gangComplete reports whether a run may end without a stop: the members of a gang work
+// only once all of them have started, so none is done before.
 func (r *chaosWorkers) gangComplete(task workflow.TaskKey, run int) bool {
 	spec := r.specs[task.Job]
 	if !spec.Gang || r.completeGangs[gangRun{task.StepKey, run}] {
@@ -362,12 +362,12 @@
 	number int
 }
 
-// endRun ends a run by itself; one in twenty fails.
+// endRun ends a run as done or failed; one in twenty fails.
 func (r *chaosWorkers) endRun(w *chaosWorker, task workflow.TaskKey) {
 	outcome := workflow.OutcomeDone
 	if r.random.IntN(20) == 0 {
 		outcome = workflow.OutcomeFailed
 	}
-	r.lines.note("ends "+outcome.String(), w, task, w.running[task].number)
+	r.lines.logRun("ends "+outcome.String(), w, task, w.running[task].number)
 	w.finish(task, outcome)
 }
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -171,8 +171,8 @@
 //
 // A delay of the log's goroutine by a tenth of a second makes CanDecide false although the
 // member still leads. An immediate NotLeader would then send every caller round all
-// members. The barrier waits until the log confirms the leadership, and fails at once if it
-// is lost.
+// members. The barrier waits until the log confirms the leadership, and fails immediately
+// if it is lost.
 func (c *Controller) currentLeaderTerm(ctx context.Context) (*leaderTerm, error) {
 	c.mu.Lock()
 	t := c.leaderTerm
--- a/internal/control/copies.go
+++ b/internal/control/copies.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// copySilenceTimeout is how long a worker may give no answer before its tasks count as
-	// unreachable: a long poll and a prompt answer.
-	copySilenceTimeout = pollHold + minOverdueTime
+	// workerAnswerTimeout is how long a worker may give no answer before it counts as
+	// unresponsive: a long poll and a prompt answer.
+	workerAnswerTimeout = pollHold + minOverdueTime
 	// copySlowFactor is how many expected run times the rest of a run on a slow worker
 	// must take before a speculative copy is worth its resources. A run that takes long on
 	// a healthy worker would take as long elsewhere.
@@ -32,10 +32,9 @@
 // copyCauseOf returns why the task of a run should get a speculative copy, copyNone if it
 // shouldn't. The caller checks that the step allows copies. t.mu must be held.
 //
-// Failure guarded against: a worker becomes unreachable or slow, and its tasks wait until
-// its lease has expired, or until the slow runs end. If the job declares that two
-// concurrent runs are harmless, the second run needn't wait until the first is known to be
-// over.
+// Without a copy, the tasks of a worker that becomes unreachable or slow wait until its
+// lease has expired, or until the slow runs end. If the job declares that two concurrent
+// runs are harmless, the second run needn't wait until the first is known to be over.
 func (s *workerSession) copyCauseOf(run workflow.Run, step *workflow.Step, now time.Time) copyCause {
 	if s.isUnresponsive(now) {
 		return copyUnresponsive
--- a/internal/control/copies_test.go
+++ b/internal/control/copies_test.go
@@ -11,7 +11,7 @@
 )
 
 // Guards against delaying a task that allows copies until the lease of its unreachable
-// worker has expired: its copy runs on an idle worker at once, and the other run is
+// worker has expired: its copy runs on an idle worker immediately, and the other run is
 // stopped when it is reachable again.
 func TestSpeculativeTaskIsCopiedBeforeLeaseExpires(t *testing.T) {
 	w := newTestCluster(t, nil)
@@ -32,7 +32,7 @@
 	w.eventually("the copies run", func() bool { return w.started("w2") == 2 })
 	w.withWorker("w2", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
 	w.withWorker("w1", func(f *fakeWorker) { f.answersLost = false })
-	w.eventually("the run beside the copy that ended is stopped", func() bool {
+	w.eventually("the other run of the task whose copy ended is stopped", func() bool {
 		stopped := 0
 		w.withWorker("w1", func(f *fakeWorker) { stopped = f.stopped[task("a", 0)] })
 		return stopped == 1
@@ -102,7 +102,7 @@
 // poll. The timeout must count from the deadline of the poll.
 func TestWorkerIsUnresponsiveOnlyAfterPollDeadline(t *testing.T) {
 	now := time.Now()
-	s := &workerSession{t: &leaderTerm{started: now.Add(-time.Hour)}, answeredAt: now.Add(-copySilenceTimeout - maxPollPauseAfterEnds)}
+	s := &workerSession{t: &leaderTerm{started: now.Add(-time.Hour)}, answeredAt: now.Add(-workerAnswerTimeout - maxPollPauseAfterEnds)}
 	run, step := workflow.Run{Task: task("a", 0)}, oneTask
 	s.pollDue = now.Add(time.Millisecond)
 	must.Eq(t, copyNone, s.copyCauseOf(run, &step, now))
--- a/internal/control/crash.go
+++ b/internal/control/crash.go
@@ -20,8 +20,8 @@
 	probationPeriod = 500 * time.Millisecond
 )
 
-// hasCrashed reports whether a worker that has gone crashed: it neither announced its
-// shutdown nor was its machine about to go down.
+// hasCrashed reports whether the worker, which is gone, has crashed: it neither announced
+// its shutdown nor was its machine about to go down.
 func (s *workerSession) hasCrashed() bool {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
@@ -29,7 +29,7 @@
 }
 
 // suspicion returns how strongly a run is suspected of having crashed its worker, if the
-// worker has crashed. t.mu is held.
+// worker has crashed. t.mu must be held.
 func (s *workerSession) suspicion(run workflow.Run) workflow.Suspicion {
 	o := s.orders[run.Task]
 	if o == nil || o.run.Number != run.Number {
@@ -48,7 +48,7 @@
 }
 
 // aliveFor returns for how long the worker is known to have answered during a run, 0 if no
-// answer has shown the run. t.mu is held.
+// answer has shown the run. t.mu must be held.
 func (s *workerSession) aliveFor(o *runOrder) time.Duration {
 	since := o.startedAt
 	if since.IsZero() {
@@ -60,7 +60,8 @@
 	return max(s.lastAnswerAt().Sub(since), 0)
 }
 
-// lastAnswerAt returns when the worker last answered a call of any kind. t.mu is held.
+// lastAnswerAt returns when the worker last answered a call of any kind. t.mu must be
+// held.
 func (s *workerSession) lastAnswerAt() time.Time {
 	if s.clockAt.After(s.answeredAt) {
 		return s.clockAt
@@ -74,10 +75,10 @@
 }
 
 // onProbation reports whether a run of a crash suspect started on the worker less than
-// probationPeriod ago. t.mu is held.
+// probationPeriod ago. t.mu must be held.
 //
-// A task that crashes its workers would otherwise also end the runs that were placed beside
-// it.
+// A task that crashes its workers would otherwise also end the runs that are placed on
+// them at the same time.
 func (s *workerSession) onProbation() bool {
 	for _, o := range s.orders {
 		if o.crashSuspect && (o.startedAt.IsZero() || s.lastAnswerAt().Sub(o.startedAt) < probationPeriod) {
@@ -88,8 +89,8 @@
 }
 
 // logLostRuns logs for each run that ended with its worker how old it was when the worker
-// last answered. The same task in these lines again and again, always young, crashes its
-// workers.
+// last answered. A task that appears in these lines repeatedly, each time with a young
+// run, crashes its workers.
 func (s *workerSession) logLostRuns(ends []workflow.RunEnd, cause string) {
 	t := s.t
 	t.mu.Lock()
@@ -123,8 +124,8 @@
 	s.t.commitWithRetry(&workflow.Command{Ends: &workflow.RunEnds{Worker: s.worker.ID, Returned: true}})
 }
 
-// logCrashingTask logs a job that failed because one of its tasks crashed its workers. t.mu
-// is held.
+// logCrashingTask logs a job that failed because one of its tasks crashed its workers.
+// t.mu must be held.
 func (t *leaderTerm) logCrashingTask(s *workflow.State, job *workflow.Job) {
 	if job.CrashingTask == nil {
 		return
--- a/internal/control/crash_test.go
+++ b/internal/control/crash_test.go
@@ -16,7 +16,7 @@
 const maxCrashes = 5
 
 // crashingTask makes the only task of job a crash each worker that starts it. Another
-// incarnation of the worker comes back each time.
+// incarnation of the worker starts each time.
 type crashingTask struct {
 	w       *testCluster
 	crashed int
@@ -53,7 +53,7 @@
 	return false
 }
 
-// Failure: a task crashes one worker after another without end.
+// Guards against this failure: a task crashes one worker after another without end.
 func TestJobFailsWhenItsTaskKeepsCrashingWorkers(t *testing.T) {
 	c := newCrashingTask(t)
 	for !c.crashNext(0) {
@@ -61,7 +61,8 @@
 	}
 }
 
-// Failure: a job fails because its task crashed workers, and its owner can't find out why.
+// Guards against this failure: a job fails because its task crashed workers, and its owner
+// can't find out why.
 func TestExplainNamesWorkersThatTaskCrashed(t *testing.T) {
 	c := newCrashingTask(t)
 	for !c.crashNext(0) {
@@ -71,8 +72,8 @@
 	must.Eq(t, []TaskCrashes{{Task: 0, Workers: []string{"w1", "w2", "w3"}, GivenUp: true}}, reply.Steps[0].Crashes)
 }
 
-// Failure: a crash doesn't count if the lease, and with it the run, ended before another
-// incarnation answered. The task then crashes workers without end.
+// Guards against this failure: a crash doesn't count if the lease, and with it the run,
+// ended before another incarnation answered. The task then crashes workers without end.
 func TestCrashDetectedAfterLeaseExpiryCounts(t *testing.T) {
 	c := newCrashingTask(t)
 	for !c.crashNext(time.Second) {
@@ -80,8 +81,9 @@
 	}
 }
 
-// Failure: a task that crashes its workers also ends the runs beside it, because the worker
-// gets other tasks before it has answered for a while with the suspect run.
+// Guards against this failure: a task that crashes its workers also ends other runs on the
+// worker, because the worker gets other tasks before it has answered for a while with the
+// suspect run.
 func TestWorkerWithNewCrashSuspectGetsNoOtherTask(t *testing.T) {
 	now := time.Now()
 	o := &runOrder{run: workflow.Run{Task: task("a", 0), Number: 2, Worker: "w1"}, crashSuspect: true}
@@ -95,8 +97,8 @@
 	must.False(t, s.onProbation())
 }
 
-// Failure: a job fails for crashes that its long-running task didn't cause, or a job whose
-// task does crash its workers doesn't fail.
+// Guards against this failure: a job fails for crashes that its long-running task didn't
+// cause, or a job whose task does crash its workers doesn't fail.
 func TestCrashSuspicionOfRun(t *testing.T) {
 	now := time.Now()
 	run := workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}
@@ -123,9 +125,9 @@
 	must.Eq(t, workflow.SuspicionWeak, (&workerSession{}).suspicion(run), must.Sprint("ordered by an earlier leader"))
 }
 
-// Failure: a rack loses power, and the jobs on its workers fail as if their tasks had
-// caused the crash. Most of these tasks had been running for a while, and none has crashed
-// a worker before.
+// Guards against this failure: a rack loses power, and the jobs on its workers fail as if
+// their tasks had caused the crash. Most of these tasks had been running for a while, and
+// none has crashed a worker before.
 func TestTasksRunAgainAfterPowerLossOfRack(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
--- a/internal/control/disruption.go
+++ b/internal/control/disruption.go
@@ -49,10 +49,10 @@
 // disruptionAllowed reports whether a long-running task may be interrupted now: fewer
 // other tasks of its step are unavailable than the job allows. t.mu must be held.
 //
-// Failure guarded against: serving tasks are moved off several machines at once, or off
-// one while a moved task is still starting, and too few tasks are ready. A task counts as
-// unavailable until its worker reports it as ready, so a task that has just been stopped,
-// or whose worker is unresponsive, counts as well.
+// If serving tasks were moved off several machines at the same time, or off one while a
+// moved task is still starting, too few tasks would be ready. A task counts as unavailable
+// until its worker reports it as ready, so a task that has just been stopped, or whose
+// worker is unresponsive, counts as well.
 func (t *leaderTerm) disruptionAllowed(s *workflow.State, run workflow.Run, spec *workflow.Step) bool {
 	if o := t.sessions[run.Worker].orders[run.Task]; o != nil && !o.stopSent.IsZero() {
 		return true
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -17,7 +17,8 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// fakeLog is the log of a single member that always leads and commits each command at once.
+// fakeLog is the log of a single member that always leads and commits each command
+// immediately.
 type fakeLog struct {
 	state *StateMachine
 	mu    sync.Mutex
@@ -129,7 +130,7 @@
 	stopped map[workflow.TaskKey]int
 	// answersLost says that calls arrive and their answers are lost.
 	answersLost bool
-	// delayStarts says that starts get no answer and are kept in delayedStarts.
+	// delayStarts says that starts get no answer and are added to delayedStarts.
 	delayStarts   bool
 	delayedStarts []StartOrder
 	// refuseNextStart is the reason for which the next start after a delayed one is
@@ -172,7 +173,7 @@
 // slowRefusalDelay is longer than a start may go unanswered before it is sent again.
 const slowRefusalDelay = callTimeout / 2
 
-// fakeWorkers serves all workers, and stands in for the adviser.
+// fakeWorkers implements Workers for all workers, and the adviser.
 type fakeWorkers struct {
 	mu  sync.Mutex
 	all map[string]*fakeWorker
@@ -187,7 +188,7 @@
 }
 
 func (f *fakeWorkers) Start(ctx context.Context, to Target, order StartOrder) (int64, error) {
-	if f.takeHang(to.Worker) {
+	if f.takeHangingStart(to.Worker) {
 		<-ctx.Done()
 		return 0, errNoAnswer
 	}
@@ -210,7 +211,7 @@
 		w.refuseNextStart = ""
 		return 0, &RefusedError{reason}
 	}
-	if err := w.begin(order); err != nil {
+	if err := w.startRun(order); err != nil {
 		return 0, err
 	}
 	if w.answersLost {
@@ -219,7 +220,7 @@
 	return 1000, nil
 }
 
-func (f *fakeWorkers) takeHang(worker string) bool {
+func (f *fakeWorkers) takeHangingStart(worker string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.all[worker]
@@ -242,7 +243,7 @@
 	return late && wait.For(ctx, slowRefusalDelay)
 }
 
-func (w *fakeWorker) begin(order StartOrder) error {
+func (w *fakeWorker) startRun(order StartOrder) error {
 	if order.Fence < w.fence {
 		return &RefusedError{RefusedStaleFence}
 	}
--- a/internal/control/health.go
+++ b/internal/control/health.go
@@ -26,12 +26,14 @@
 	slowFactor = 2.5
 	// slowSamples is the least number of runs for that comparison.
 	slowSamples = 3
-	// Weights of the latest run in the moving means of one worker and of all workers.
+	// workerPaceWeight and overallPaceWeight are the weights of the latest run in the
+	// moving means of one worker and of all workers.
 	workerPaceWeight  = 0.3
 	overallPaceWeight = 0.02
 )
 
-// recordHealth records what the end of a run says about the worker's health. t.mu is held.
+// recordHealth records what the end of a run says about the worker's health. t.mu must be
+// held.
 func (s *workerSession) recordHealth(end workflow.RunEnd, now time.Time) {
 	switch end.Outcome {
 	case workflow.OutcomeDone:
@@ -71,7 +73,7 @@
 	}
 }
 
-// penalty returns how far decisions rank the worker behind others. t.mu is held.
+// penalty returns how far decisions rank the worker behind others. t.mu must be held.
 func (s *workerSession) penalty() int {
 	if s.t.disabled.Health {
 		return 0
@@ -80,20 +82,20 @@
 }
 
 // isSlow reports whether the worker's runs take much longer than those of other workers.
-// t.mu is held.
+// t.mu must be held.
 func (s *workerSession) isSlow() bool {
 	return s.pace.samples >= slowSamples && s.pace.mean > slowFactor*s.t.pace.mean
 }
 
 // isStalled reports whether the worker answers but none of its runs advances: its last
 // report shows the same percentages as one that is older by stallTimeout. The times of the
-// reports count, not the current time, because no progress can be seen between two reports.
-// t.mu is held.
+// reports count, not the current time, because no progress can be seen between two
+// reports. t.mu must be held.
 func (s *workerSession) isStalled() bool {
 	return s.busy && s.answeredAt.Sub(s.advancedAt) > stallTimeout
 }
 
-// recordAdvance records whether a report showed progress. t.mu is held.
+// recordAdvance records whether a report showed progress. t.mu must be held.
 func (s *workerSession) recordAdvance(report Report, advanced bool, now time.Time) {
 	s.busy = len(report.Running) > 0
 	if advanced || len(report.Ended) > 0 || !s.busy {
@@ -102,7 +104,7 @@
 }
 
 // recordProgress records the progress of a run, and reports whether it has advanced. t.mu
-// is held.
+// must be held.
 func (o *runOrder) recordProgress(percent int, now time.Time) bool {
 	advanced := !o.listed || percent > o.percent
 	if advanced {
@@ -116,9 +118,9 @@
 	return advanced
 }
 
-// isStalledTooLong reports whether a run has made no progress for so long that it should be
-// restarted elsewhere. Runs of a gang are exempt, because a gang can only move as a whole.
-// t.mu is held.
+// isStalledTooLong reports whether a run has made no progress for so long that it should
+// be restarted elsewhere. Runs of a gang are exempt, because a gang can only move as a
+// whole. t.mu must be held.
 func (o *runOrder) isStalledTooLong(step *workflow.Step) bool {
 	return o.listed && !step.Gang && !step.LongRunning && o.share != 0 && o.progressAt.Sub(o.advancedAt) > stalledRunTimeout
 }
--- a/internal/control/health_test.go
+++ b/internal/control/health_test.go
@@ -9,8 +9,8 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// Failure: a stalled worker answers every poll and gets more and more tasks, none of which
-// advances.
+// Guards against this failure: a stalled worker answers every poll and gets more and more
+// tasks, none of which advances.
 func TestStalledWorkerGetsNoNewTask(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	time.Sleep(stallTimeout + 200*time.Millisecond)
@@ -23,8 +23,8 @@
 	w.eventually("the worker is used again once its run advances", func() bool { return w.started("w1") == 2 })
 }
 
-// Failure: a task makes no progress for seconds and isn't restarted although another worker
-// has capacity.
+// Guards against this failure: a task makes no progress for seconds and isn't restarted
+// although another worker has capacity.
 func TestStalledTaskIsRestartedElsewhere(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	w.workers.add("w2")
@@ -33,8 +33,8 @@
 	w.withWorker("w1", func(f *fakeWorker) { must.MapEmpty(t, f.running) })
 }
 
-// Failure: a slow worker isn't detected, a healthy one counts as slow, or a worker that is
-// fast again still counts as slow.
+// Guards against this failure: a slow worker isn't detected, a healthy one counts as slow,
+// or a worker that is fast again still counts as slow.
 func TestSlowWorkerIsDetectedByComparison(t *testing.T) {
 	now := time.Now()
 	term := &leaderTerm{logger: nopLogger{}}
--- a/internal/control/heartbeat_buffer.go
+++ b/internal/control/heartbeat_buffer.go
@@ -19,23 +19,23 @@
 	Age    time.Duration `cbor:"2,keyasint"`
 }
 
-// heartbeatBuffer holds heartbeats without news until the leader collects them.
+// heartbeatBuffer holds unchanged heartbeats until the leader collects them.
 //
 // A thousand workers send hundreds of heartbeats a second. Without the buffer, each would
 // be a call to the leader.
 type heartbeatBuffer struct {
 	mu sync.Mutex
-	// pending is when a heartbeat of each worker arrived that the leader doesn't know of
-	// yet.
+	// pending maps each worker with an uncollected heartbeat to the arrival time of the
+	// latest one.
 	pending     map[string]time.Time
 	forwarded   forwardTimes
 	collectedAt time.Time
 }
 
-// forwardTimes is when the leader last learned of a heartbeat of each worker.
+// forwardTimes records when the leader last learned of a heartbeat of each worker.
 type forwardTimes struct {
 	at map[string]time.Time
-	// prunedAt is when entries of workers that are long gone were last removed.
+	// prunedAt is when outdated entries were last removed.
 	prunedAt time.Time
 }
 
@@ -45,7 +45,7 @@
 	return now.Sub(t.at[worker]) < forwardInterval
 }
 
-// note records that the leader learns of a heartbeat now, and removes outdated entries.
+// record records that the leader learns of a heartbeat now, and removes outdated entries.
 func (t *forwardTimes) record(worker string, now time.Time) {
 	if t.at == nil {
 		t.at = map[string]time.Time{}
@@ -59,32 +59,32 @@
 
 // buffer stores a heartbeat for the next collection. It reports false if the leader doesn't
 // collect here, so that the heartbeat has to be forwarded.
-func (l *heartbeatBuffer) buffer(worker string, now time.Time) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if now.Sub(l.collectedAt) > collectTimeout {
+func (b *heartbeatBuffer) buffer(worker string, now time.Time) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if now.Sub(b.collectedAt) > collectTimeout {
 		return false
 	}
-	if l.pending == nil {
-		l.pending = map[string]time.Time{}
+	if b.pending == nil {
+		b.pending = map[string]time.Time{}
 	}
-	if !l.forwarded.isRecent(worker, now) {
-		l.pending[worker] = now
+	if !b.forwarded.isRecent(worker, now) {
+		b.pending[worker] = now
 	}
 	return true
 }
 
 // collect returns and removes the heartbeats that the leader doesn't know of yet.
-func (l *heartbeatBuffer) collect(now time.Time) []BufferedHeartbeat {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.collectedAt = now
-	collected := make([]BufferedHeartbeat, 0, len(l.pending))
-	for worker, at := range l.pending {
+func (b *heartbeatBuffer) collect(now time.Time) []BufferedHeartbeat {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.collectedAt = now
+	collected := make([]BufferedHeartbeat, 0, len(b.pending))
+	for worker, at := range b.pending {
 		collected = append(collected, BufferedHeartbeat{Worker: worker, Age: now.Sub(at)})
-		l.forwarded.record(worker, now)
+		b.forwarded.record(worker, now)
 	}
-	clear(l.pending)
+	clear(b.pending)
 	return collected
 }
 
--- a/internal/control/heartbeat_buffer_test.go
+++ b/internal/control/heartbeat_buffer_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Failure: a heartbeat of each worker goes to the leader every time, or none does after the
-// leader has stopped collecting.
+// Guards against this failure: a heartbeat of each worker goes to the leader every time,
+// or none does after the leader has stopped collecting.
 func TestHeartbeatBufferLimitsForwardRate(t *testing.T) {
 	var l heartbeatBuffer
 	now := time.Now()
@@ -22,9 +22,9 @@
 	must.False(t, l.buffer("w", now.Add(time.Second+2*collectTimeout)), must.Sprint("the leader has stopped collecting"))
 }
 
-// Failure: the leader stops monitoring a worker that it couldn't reach, while another
-// instance still receives the worker's heartbeats. The worker stays unused if a collected
-// heartbeat doesn't make the leader monitor it again.
+// Guards against this failure: the leader stops monitoring a worker that it couldn't
+// reach, while another instance still receives the worker's heartbeats. The worker stays
+// unused if a collected heartbeat doesn't make the leader monitor it again.
 func TestCollectedHeartbeatResumesMonitoring(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	w.c.mu.Lock()
--- a/internal/control/heartbeat_transport.go
+++ b/internal/control/heartbeat_transport.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// heartbeatHold is how long the answer to a heartbeat waits for an order, so that a new
-	// order is sent at once.
+	// heartbeatHold is how long the answer to a heartbeat waits for an order, so that a
+	// new order is sent immediately.
 	heartbeatHold = 100 * time.Millisecond
 	// heartbeatInterval is the time from an answer to the worker's next heartbeat. Together
 	// with the hold, an end is seen after 75 ms on average.
@@ -36,7 +36,7 @@
 	// Lease is how long runs on the worker may continue, counted from the arrival of the
 	// answer.
 	Lease time.Duration `cbor:"1,keyasint,omitempty"`
-	// Seen is the position of the last end that the worker needn't list any more.
+	// LastEnd is the position of the last end that the worker needn't list any more.
 	LastEnd uint64         `cbor:"2,keyasint,omitempty"`
 	Fence   uint64         `cbor:"3,keyasint"`
 	Starts  []StartOrder   `cbor:"4,keyasint,omitempty"`
@@ -92,39 +92,40 @@
 	delivered chan struct{}
 }
 
-// mailboxOf returns the mailbox of a worker, which it creates if needed. b.mu is held.
-func (b *heartbeatTransport) mailboxOf(worker string) *mailbox {
-	box := b.mailboxes[worker]
+// mailboxOf returns the mailbox of a worker, which it creates if needed. h.mu must be
+// held.
+func (h *heartbeatTransport) mailboxOf(worker string) *mailbox {
+	box := h.mailboxes[worker]
 	if box == nil {
 		box = &mailbox{
 			starts: map[workflow.TaskKey]*heartbeatOrder{}, stops: map[workflow.Run]*heartbeatOrder{},
 			orderAdded: make(chan struct{}), heartbeatReceived: make(chan struct{}),
 		}
-		b.mailboxes[worker] = box
+		h.mailboxes[worker] = box
 	}
 	return box
 }
 
 // forget removes the mailboxes of workers for which exists returns false.
-func (b *heartbeatTransport) forget(exists func(worker string) bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for worker := range b.mailboxes {
+func (h *heartbeatTransport) forget(exists func(worker string) bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for worker := range h.mailboxes {
 		if !exists(worker) {
-			delete(b.mailboxes, worker)
+			delete(h.mailboxes, worker)
 		}
 	}
 }
 
 // exchange records the report of a heartbeat and returns the orders for its answer. It
 // waits up to heartbeatHold for an order if there is none.
-func (b *heartbeatTransport) exchange(ctx context.Context, worker string, fence uint64, report Report) HeartbeatOrders {
-	b.mu.Lock()
-	box := b.mailboxOf(worker)
+func (h *heartbeatTransport) exchange(ctx context.Context, worker string, fence uint64, report Report) HeartbeatOrders {
+	h.mu.Lock()
+	box := h.mailboxOf(worker)
 	box.recordHeartbeat(report, time.Now())
 	idle := len(box.starts) == 0 && len(box.stops) == 0
 	orderAdded := box.orderAdded
-	b.mu.Unlock()
+	h.mu.Unlock()
 	if idle {
 		hold, cancel := context.WithTimeout(ctx, heartbeatHold)
 		defer cancel()
@@ -133,8 +134,8 @@
 		case <-hold.Done():
 		}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	return box.makeAnswer(fence, report, time.Now())
 }
 
@@ -206,21 +207,21 @@
 
 // Poll waits for the first heartbeat after the worker has accepted this leader's fence, and
 // returns its report. The worker refuses orders of earlier leaders from then on.
-func (b *heartbeatTransport) Poll(ctx context.Context, to Target, order PollOrder) (Report, error) {
+func (h *heartbeatTransport) Poll(ctx context.Context, to Target, order PollOrder) (Report, error) {
 	for {
-		b.mu.Lock()
-		box := b.mailboxOf(to.Worker)
+		h.mu.Lock()
+		box := h.mailboxOf(to.Worker)
 		box.poll = order
 		received := box.heartbeatReceived
-		b.mu.Unlock()
+		h.mu.Unlock()
 		select {
 		case <-ctx.Done():
 			return Report{}, ctx.Err()
 		case <-received:
 		}
-		b.mu.Lock()
+		h.mu.Lock()
 		report, confirmed := box.report, box.fence == order.Fence && box.confirmed >= requiredConfirmations
-		b.mu.Unlock()
+		h.mu.Unlock()
 		if confirmed {
 			return report, nil
 		}
@@ -232,34 +233,34 @@
 const clockUnknown = 0
 
 // Start returns nil once a heartbeat lists the run, and errUnconfirmed if ctx ends first.
-func (b *heartbeatTransport) Start(ctx context.Context, to Target, order StartOrder) (int64, error) {
-	return clockUnknown, deliver(ctx, b, to, order.Run.Task, &heartbeatOrder{start: order},
+func (h *heartbeatTransport) Start(ctx context.Context, to Target, order StartOrder) (int64, error) {
+	return clockUnknown, deliver(ctx, h, to, order.Run.Task, &heartbeatOrder{start: order},
 		func(box *mailbox) map[workflow.TaskKey]*heartbeatOrder { return box.starts })
 }
 
 // Stop returns nil once heartbeats prove that the order arrived, and errUnconfirmed if ctx
 // ends first.
-func (b *heartbeatTransport) Stop(ctx context.Context, to Target, order StopOrder) (int64, error) {
-	return clockUnknown, deliver(ctx, b, to, order.Run, &heartbeatOrder{},
+func (h *heartbeatTransport) Stop(ctx context.Context, to Target, order StopOrder) (int64, error) {
+	return clockUnknown, deliver(ctx, h, to, order.Run, &heartbeatOrder{},
 		func(box *mailbox) map[workflow.Run]*heartbeatOrder { return box.stops })
 }
 
 // deliver adds an order to one of the worker's lists, under key, and sends it repeatedly
 // until a heartbeat proves that it arrived. When ctx ends first, it removes the order,
 // unless a newer one has replaced it, and returns errUnconfirmed.
-func deliver[Key comparable](ctx context.Context, b *heartbeatTransport, to Target, key Key, order *heartbeatOrder,
+func deliver[Key comparable](ctx context.Context, h *heartbeatTransport, to Target, key Key, order *heartbeatOrder,
 	list func(*mailbox) map[Key]*heartbeatOrder) error {
 	order.delivered = make(chan struct{})
-	b.mu.Lock()
-	box := b.mailboxOf(to.Worker)
+	h.mu.Lock()
+	box := h.mailboxOf(to.Worker)
 	list(box)[key] = order
 	box.wake()
-	b.mu.Unlock()
+	h.mu.Unlock()
 	if wait.Closed(ctx, order.delivered) {
 		return nil
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	if list(box)[key] == order {
 		delete(list(box), key)
 	}
@@ -267,11 +268,11 @@
 }
 
 // Throttle calls the worker directly, because heartbeats don't carry this order.
-func (b *heartbeatTransport) Throttle(ctx context.Context, to Target, order ThrottleOrder) (int64, error) {
-	return b.direct.Throttle(ctx, to, order)
+func (h *heartbeatTransport) Throttle(ctx context.Context, to Target, order ThrottleOrder) (int64, error) {
+	return h.direct.Throttle(ctx, to, order)
 }
 
-// wake makes a held heartbeat be answered.
+// wake ends the hold of a heartbeat, so that it is answered immediately.
 func (box *mailbox) wake() {
 	close(box.orderAdded)
 	box.orderAdded = make(chan struct{})
--- a/internal/control/heartbeat_transport_test.go
+++ b/internal/control/heartbeat_transport_test.go
@@ -14,8 +14,8 @@
 // heartbeatWorker is a worker that receives its orders in the answers to its heartbeats.
 type heartbeatWorker struct {
 	*fakeWorker
-	// loseAnswers is how many answers are dropped before they are carried out; lostAnswers
-	// keeps them.
+	// loseAnswers is how many further answers are dropped before they are carried out;
+	// lostAnswers holds the dropped ones.
 	loseAnswers int
 	lostAnswers []HeartbeatOrders
 }
@@ -57,7 +57,7 @@
 	}
 	for _, start := range orders.Starts {
 		// The missing run in the next report shows a refusal.
-		_ = b.begin(start)
+		_ = b.startRun(start)
 	}
 	if orders.Lease > 0 {
 		b.leases = append(b.leases, orders.Lease.Milliseconds())
@@ -89,8 +89,8 @@
 	return w, all
 }
 
-// Failure: a job doesn't run, or a cancelled one isn't stopped, because the orders don't
-// reach a worker that the leader can't call.
+// Guards against this failure: a job doesn't run, or a cancelled one isn't stopped,
+// because the orders don't reach a worker that the leader can't call.
 func TestHeartbeatAnswersCarryOrders(t *testing.T) {
 	w, _ := heartbeatCluster(t, "w1")
 	w.submit("a", oneTask)
@@ -118,9 +118,10 @@
 	})
 }
 
-// Failure: a task runs twice. The answer with a start is lost, and so is the answer with
-// the stop of its run. If the next heartbeat counts as proof that the stop arrived, the
-// task starts elsewhere, and the worker carries out the first answer late.
+// Guards against this failure: a task runs twice. The answer with a start is lost, and so
+// is the answer with the stop of its run. If the next heartbeat counts as proof that the
+// stop arrived, the task starts elsewhere, and the worker carries out the first answer
+// late.
 func TestStopIsDeliveredAfterTwoPromptHeartbeats(t *testing.T) {
 	b := newHeartbeatTransport(nil)
 	run := workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}
@@ -145,9 +146,10 @@
 	must.NoError(t, <-stopped)
 }
 
-// Failure: a task runs twice after a change of leader. A new leader receives a heartbeat
-// whose report was made before the worker had the new fence. If it answers a poll with that
-// report, the worker may still carry out a start of the old leader after it.
+// Guards against this failure: a task runs twice after a change of leader. A new leader
+// receives a heartbeat whose report was made before the worker had the new fence. If it
+// answers a poll with that report, the worker may still carry out a start of the old
+// leader after it.
 func TestPollNeedsTwoHeartbeatsUnderItsFence(t *testing.T) {
 	b := newHeartbeatTransport(nil)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
--- a/internal/control/incarnations.go
+++ b/internal/control/incarnations.go
@@ -40,7 +40,8 @@
 }
 
 // linkToSuccessor marks s as superseded if a later incarnation of its worker is known, and
-// hands its runs to the session of the latest one. t.mu is held, or t isn't shared yet.
+// makes the session of the latest one take over its runs. t.mu must be held, or t isn't
+// shared yet.
 func (t *leaderTerm) linkToSuccessor(s *workerSession, state *workflow.State) {
 	if !state.Superseded(&s.worker) {
 		return
@@ -52,7 +53,7 @@
 }
 
 // takeOverPredecessors makes the session of a worker's latest incarnation take over from
-// the sessions of all earlier ones. t.mu is held.
+// the sessions of all earlier ones. t.mu must be held.
 func (t *leaderTerm) takeOverPredecessors(latest *workerSession) {
 	for _, s := range t.sessions {
 		if latest.worker.Supersedes(&s.worker) {
@@ -62,7 +63,7 @@
 }
 
 // takeOver ends the session of an earlier incarnation of the worker; the reports of this
-// incarnation settle its runs. t.mu is held, or the leader term isn't shared yet.
+// incarnation settle its runs. t.mu must be held, or the leader term isn't shared yet.
 func (s *workerSession) takeOver(earlier *workerSession) {
 	earlier.superseded = true
 	s.predecessors = append(s.predecessors, earlier)
@@ -82,7 +83,7 @@
 }
 
 // revokeLeaving clears leaving if a worker keeps sending heartbeats after an announced
-// shutdown: the announcement came from an earlier incarnation. t.mu is held.
+// shutdown: the announcement came from an earlier incarnation. t.mu must be held.
 func (s *workerSession) revokeLeaving(w *workflow.Worker) {
 	if s.worker.StartedAtMS > 0 && s.leaving && !w.Draining && time.Since(s.leavingSince) > leavingRevokedAfter && !s.t.machines.isCordoned(w.ID) {
 		s.leaving = false
@@ -90,7 +91,7 @@
 }
 
 // mayBeOtherIncarnation reports whether another incarnation of the worker may answer the
-// next call. t.mu is held.
+// next call. t.mu must be held.
 //
 // A poll acknowledges the listed ends by their highest position. A new incarnation that
 // received the position of its predecessor would never list its own first ends.
@@ -98,8 +99,8 @@
 	return s.worker.StartedAtMS > 0 && (s.incarnationUnconfirmed || s.superseded)
 }
 
-// clockJumped reports whether a clock reading can't come from the incarnation that gave the
-// earlier readings. t.mu is held.
+// clockJumped reports whether a clock reading can't come from the incarnation that gave
+// the earlier readings. t.mu must be held.
 func (s *workerSession) clockJumped(clockMS int64, now time.Time) bool {
 	if s.worker.StartedAtMS == 0 || clockMS <= 0 || s.clockAt.IsZero() {
 		return false
@@ -113,8 +114,8 @@
 // started. It stops each run there, and accepts what the successor has reported by then.
 //
 // A start that got no answer before the worker crashed may reach the next incarnation
-// seconds later. That one has the same address and has seen no fence yet, and would run the
-// task a second time beside the run that was started elsewhere meanwhile.
+// seconds later. That one has the same address and has seen no fence yet, and would run
+// the task a second time while the run that was started elsewhere is alive.
 func (s *workerSession) settleWithSuccessor(cause string, outcome workflow.Outcome) {
 	if s.worker.StartedAtMS == 0 {
 		return
@@ -144,8 +145,8 @@
 		"ms", time.Since(started).Milliseconds())
 }
 
-// startConfirmed reports whether this incarnation has certainly started the run and no call
-// of its start is unanswered. t.mu is held.
+// startConfirmed reports whether this incarnation has certainly started the run and no
+// call of its start is unanswered. t.mu must be held.
 func (s *workerSession) startConfirmed(run workflow.Run) bool {
 	o := s.orders[run.Task]
 	return o != nil && o.run.Number == run.Number && o.openCalls == 0 && !o.startedAt.IsZero() && s.fullReportSentAt.After(o.startedAt)
@@ -189,7 +190,8 @@
 	return false
 }
 
-// interruptSuccessorPoll makes the successor be polled at once.
+// interruptSuccessorPoll ends the held poll of the successor, so that the next one is sent
+// immediately.
 func (s *workerSession) interruptSuccessorPoll() {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
@@ -198,7 +200,7 @@
 	}
 }
 
-// successor returns the session that took over from this one, or nil. t.mu is held.
+// successor returns the session that took over from this one, or nil. t.mu must be held.
 func (s *workerSession) successor() *workerSession {
 	for _, next := range s.t.sessions {
 		if slices.Contains(next.predecessors, s) {
--- a/internal/control/incarnations_test.go
+++ b/internal/control/incarnations_test.go
@@ -12,15 +12,15 @@
 
 // incarnation returns the heartbeat of an incarnation of worker n. All incarnations share
 // the name and address.
-func incarnation(id string, born int64) *Announcement {
+func incarnation(id string, startedAtMS int64) *Announcement {
 	w := worker(id)
-	w.Name, w.Address, w.StartedAtMS = "n", "n", born
+	w.Name, w.Address, w.StartedAtMS = "n", "n", startedAtMS
 	return &Announcement{Worker: w}
 }
 
 // announceIncarnation sends a heartbeat of an incarnation of worker n.
-func (w *testCluster) announceIncarnation(id string, born int64) {
-	_, err := w.c.Announce(context.Background(), incarnation(id, born))
+func (w *testCluster) announceIncarnation(id string, startedAtMS int64) {
+	_, err := w.c.Announce(context.Background(), incarnation(id, startedAtMS))
 	must.NoError(w.t, err)
 }
 
@@ -62,24 +62,24 @@
 func (w *testCluster) deliverDelayedStart() (err error) {
 	w.withWorker("n1", func(f *fakeWorker) {
 		delayed := f.delayedStarts[0]
-		err = f.successor.begin(delayed)
+		err = f.successor.startRun(delayed)
 	})
 	return err
 }
 
-// Failure: a task runs twice (TWICE). The worker's next incarnation carries out a start
-// that got no answer, while another run of the task is in progress.
+// Guards against this failure: a task runs twice (TWICE). The worker's next incarnation
+// carries out a start that got no answer, while another run of the task is in progress.
 func TestUnansweredStartIsSettledWithSuccessor(t *testing.T) {
 	w := clusterWithUnansweredStart(t)
 	w.workers.add("w2")
 	w.announce("w2")
 	w.announceIncarnation("n2", 2)
 	w.eventually("the task runs again", func() bool { return w.started("w2")+w.started("n2") == 1 })
-	must.Error(t, w.deliverDelayedStart(), must.Sprint("carried out late, beside the second run"))
+	must.Error(t, w.deliverDelayedStart(), must.Sprint("carried out late, while the second run is alive"))
 }
 
-// Failure: a task runs twice (TWICE). The worker's next incarnation has carried out, and
-// ended, a start that got no answer.
+// Guards against this failure: a task runs twice (TWICE). The worker's next incarnation
+// has carried out, and ended, a start that got no answer.
 func TestRunDoneBySuccessorIsNotRepeated(t *testing.T) {
 	w := clusterWithUnansweredStart(t)
 	must.NoError(t, w.deliverDelayedStart())
@@ -89,8 +89,8 @@
 	must.Eq(t, 1, w.started("n2"))
 }
 
-// Failure: a task never runs again (LOST). The runs of an ended incarnation count as alive
-// because its worker answers.
+// Guards against this failure: a task never runs again (LOST). The runs of an ended
+// incarnation count as alive because its worker answers.
 func TestRunsOfSupersededIncarnationRestart(t *testing.T) {
 	w := clusterWithIncarnation(t)
 	w.restart("n1", "n2")
@@ -98,8 +98,8 @@
 	w.eventually("the task starts again", func() bool { return w.started("n2") == 1 })
 }
 
-// Failure: a worker isn't used any more because a delayed heartbeat of an ended incarnation
-// replaces the current one.
+// Guards against this failure: a worker isn't used any more because a delayed heartbeat of
+// an ended incarnation replaces the current one.
 func TestStaleHeartbeatOfSupersededIncarnationIsIgnored(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("n2")
@@ -114,8 +114,8 @@
 	})
 }
 
-// Failure: ends are acknowledged before a report has shown them. A poll carries the position
-// of the previous incarnation's last end to a new incarnation.
+// Guards against this failure: ends are acknowledged before a report has shown them. A
+// poll carries the position of the previous incarnation's last end to a new incarnation.
 func TestPollOfUnconfirmedIncarnationAcknowledgesNoEnds(t *testing.T) {
 	w := clusterWithIncarnation(t)
 	w.withWorker("n1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
@@ -130,15 +130,15 @@
 	w.announceIncarnation("n2", 2)
 	w.eventually("the successor is monitored", func() bool { return w.isReady("n2") })
 	w.withWorker("n2", func(f *fakeWorker) {
-		for _, look := range f.polls {
-			must.Eq(t, 0, look.LastEnd)
+		for _, poll := range f.polls {
+			must.Eq(t, 0, poll.LastEnd)
 		}
 	})
 }
 
-// Failure: a maintenance wave never ends, or a worker gets tasks while its machine goes
-// down. The list of machines names a worker, which has to be resolved to its latest
-// incarnation.
+// Guards against this failure: a maintenance wave never ends, or a worker gets tasks while
+// its machine goes down. The list of machines names a worker, which has to be resolved to
+// its latest incarnation.
 func TestWorkerNameResolvesToLatestIncarnation(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("n1")
@@ -151,8 +151,8 @@
 	must.Eq(t, "unknown", term.latestIncarnation("unknown", "unknown"))
 }
 
-// Failure: a lease end is computed from a clock that belongs to an earlier incarnation of
-// the worker.
+// Guards against this failure: a lease end is computed from a clock that belongs to an
+// earlier incarnation of the worker.
 func TestClockJumpShowsOtherIncarnation(t *testing.T) {
 	now := time.Now()
 	s := &workerSession{worker: incarnation("n1", 1).Worker, clockMS: 50_000, clockAt: now}
@@ -163,8 +163,8 @@
 	must.False(t, s.clockJumped(300, now.Add(time.Second)))
 }
 
-// Failure: a task runs twice (TWICE). An unreachable worker counts as empty before its
-// lease has expired.
+// Guards against this failure: a task runs twice (TWICE). An unreachable worker counts as
+// empty before its lease has expired.
 func TestLeaseEndAllowsForClockDrift(t *testing.T) {
 	now := time.Now()
 	s := &workerSession{t: &leaderTerm{lease: 4 * time.Second}, clockMS: 50_000, clockAt: now.Add(-time.Second)}
@@ -173,8 +173,8 @@
 	must.LessEq(t, s.leaseEnd.Sub(s.clockAt), slowest, must.Sprint("a worker's clock may run 2% slow"))
 }
 
-// Failure: ends are acknowledged before a report has shown them. A new leader doesn't know
-// that a worker has restarted since the log last recorded its ends.
+// Guards against this failure: ends are acknowledged before a report has shown them. A new
+// leader doesn't know that a worker has restarted since the log last recorded its ends.
 func TestFirstPollOfNewLeaderAcknowledgesNoEnds(t *testing.T) {
 	w := newTestCluster(t, func(w *testCluster) {
 		w.workers.add("n1")
@@ -185,15 +185,15 @@
 	w.announceIncarnation("n2", 2)
 	w.eventually("the successor is monitored", func() bool { return w.isReady("n2") })
 	w.withWorker("n2", func(f *fakeWorker) {
-		for _, look := range f.polls {
-			must.Eq(t, 0, look.LastEnd)
+		for _, poll := range f.polls {
+			must.Eq(t, 0, poll.LastEnd)
 		}
 	})
 }
 
-// Failure: a task waits for an earlier incarnation of its worker. Its run is found when no
-// session monitors that incarnation any more, and the resumed session isn't linked to the
-// successor.
+// Guards against this failure: a task waits for an earlier incarnation of its worker. Its
+// run is found when no session monitors that incarnation any more, and the resumed session
+// isn't linked to the successor.
 func TestResumedPredecessorIsSettledWithSuccessor(t *testing.T) {
 	w := clusterWithIncarnation(t)
 	term := w.currentTerm()
--- a/internal/control/incremental.go
+++ b/internal/control/incremental.go
@@ -40,10 +40,10 @@
 // planChangedJobs makes incremental decisions about changed jobs for a duration, between
 // two full decisions.
 //
-// Reason: with hundreds of workers and over a hundred jobs a second, a job needs two
-// decisions: one that sends its adviser queries and one that starts it. Waiting for full
-// decisions would take half of the time from acceptance to the first start, although most
-// of the resources that changed jobs need are free.
+// With hundreds of workers and over a hundred jobs a second, a job needs two decisions:
+// one that sends its adviser queries and one that starts it. Waiting for full decisions
+// would take half of the time from acceptance to the first start, although most of the
+// resources that changed jobs need are free.
 func (t *leaderTerm) planChangedJobs(duration time.Duration) {
 	end := time.NewTimer(duration)
 	defer end.Stop()
@@ -90,10 +90,10 @@
 // dropLessUrgent keeps only the changed steps that go before every step skipped by the
 // last full decision. The others wait for the next full decision.
 //
-// Failure guarded against: a burst makes the queue longer than one decision considers, and
-// each changed job waits for two full decisions, of which the leader makes a few a second.
-// Fewer jobs start than arrive, so the queue remains after the burst although cores are
-// free.
+// If all changed steps waited whenever a burst has made the queue longer than one decision
+// considers, each changed job would wait for two full decisions, of which the leader makes
+// a few a second. Fewer jobs would start than arrive, so the queue would remain after the
+// burst although cores are free.
 func (t *leaderTerm) dropLessUrgent(input *planInput) {
 	total := len(input.steps)
 	input.steps = slices.DeleteFunc(input.steps, func(s dispatch.Step) bool { return !dispatch.Before(&s, t.nextUrgentStep) })
--- a/internal/control/incremental_test.go
+++ b/internal/control/incremental_test.go
@@ -33,7 +33,7 @@
 	t.Fatal("the job wasn't started")
 }
 
-// Guards against starting the newest job before steps that no decision has considered yet,
+// Guards against starting a changed job before steps that no decision has considered yet,
 // while more steps wait than one decision considers.
 func TestIncrementalDecisionYieldsToBacklog(t *testing.T) {
 	term := &leaderTerm{wakePlanner: make(chan struct{}, 1), backlog: true, leftoverAt: time.Now(), changedJobs: map[string]bool{"a": true}}
--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -51,12 +51,12 @@
 	wakePlanner     chan struct{}
 	// jobsChanged signals that changedJobs isn't empty.
 	jobsChanged chan struct{}
-	tasks       goroutineGroup
+	goroutines  goroutineGroup
 	// The following fields belong to planLoop. loadLoggedAt is when the load was last
 	// logged, decisions counts the decisions. leftoverWorkers holds the workers with the
 	// capacity that the last full decision left free, leftoverAt is its time. backlog says
 	// that more steps waited than that decision considered. nextUrgentStep is the most
-	// urgent step that it couldn't place.
+	// urgent step that it didn't consider.
 	loadLoggedAt    time.Time
 	decisions       int
 	leftoverWorkers []dispatch.Worker
@@ -65,9 +65,9 @@
 	nextUrgentStep  *dispatch.Step
 
 	mu sync.Mutex
-	// incompleteSteps is how many steps were ready but not fully placed at the last
-	// decision.
-	incompleteSteps int
+	// queuedSteps is how many ready steps had tasks to start at the last full decision,
+	// speculative copies excluded.
+	queuedSteps int
 	// answerTime is a moving mean of the time until a start is answered, minAnswerTime the
 	// shortest such time.
 	answerTime, minAnswerTime time.Duration
@@ -86,8 +86,8 @@
 	grantShares map[string]movingMean
 	// dataCentreAnsweredAt is when any worker of each data centre last answered.
 	dataCentreAnsweredAt map[string]time.Time
-	// dataCentreSuspectedAt is when each data centre that the last log line named as
-	// unreachable was last suspected of it.
+	// dataCentreSuspectedAt maps each data centre whose contact was logged as lost and not
+	// yet as regained to the time when it was last suspected to be unreachable.
 	dataCentreSuspectedAt map[string]time.Time
 	// acceptedAt is when each job was accepted. Jobs accepted in earlier leader terms count
 	// from the start of this one, in log order.
@@ -164,10 +164,10 @@
 // less the slack. With a long lease, runs survive a network partition and their ends still
 // count when it heals. Tasks on a worker that never returns stay blocked for that time. A
 // worker that crashed usually returns earlier as another incarnation, which settles its
-// runs at once.
+// runs immediately.
 func leaseLength(b Bounds) time.Duration { return b.MaxLease - leaseSlack }
 
-// leaseUpperBound returns how long a lease lasts at most by this process's clock if the
+// leaseUpperBound returns the longest duration of a lease by this process's clock if the
 // worker measures it by its own clock.
 func leaseUpperBound(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease)*driftFactor) + leaseSlack
@@ -185,11 +185,11 @@
 		t.spawn(t.machineLoop)
 	}
 	t.planLoop()
-	t.tasks.wait()
+	t.goroutines.wait()
 }
 
 // spawn runs f in a goroutine that run waits for.
-func (t *leaderTerm) spawn(f func()) { t.tasks.start(f) }
+func (t *leaderTerm) spawn(f func()) { t.goroutines.start(f) }
 
 // wake makes the planner decide again.
 func (t *leaderTerm) wake() {
@@ -200,7 +200,7 @@
 }
 
 // addSession starts monitoring a worker. inherited are its runs that earlier leaders may
-// have ordered. t.mu is held, or t isn't shared yet.
+// have ordered. t.mu must be held, or t isn't shared yet.
 func (t *leaderTerm) addSession(w workflow.Worker, inherited map[workflow.TaskKey]workflow.Run) *workerSession {
 	s := &workerSession{
 		t: t, worker: w,
@@ -258,8 +258,8 @@
 	return t.sessions[worker] != nil
 }
 
-// probeAddress polls all other incarnations at the worker's address at once, so that their
-// sessions notice that they have ended. t.mu is held.
+// probeAddress polls all other incarnations at the worker's address immediately, so that
+// their sessions notice that these incarnations have ended. t.mu must be held.
 func (t *leaderTerm) probeAddress(w *workflow.Worker) {
 	for _, other := range t.sessions {
 		if other.worker.Address == w.Address && other.worker.ID != w.ID {
@@ -268,7 +268,8 @@
 	}
 }
 
-// recordLeaving records that an incarnation announced its shutdown, and polls it at once.
+// recordLeaving records that an incarnation announced its shutdown, and polls it
+// immediately.
 func (t *leaderTerm) recordLeaving(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -312,7 +313,7 @@
 }
 
 // confirmLeadership waits until the log knows whether this member leads, and reports
-// whether this leader term still lasts.
+// whether this leader term is still current.
 func (t *leaderTerm) confirmLeadership() bool {
 	if t.c.catchUp(t.ctx) != nil {
 		return false
--- a/internal/control/leader_term_test.go
+++ b/internal/control/leader_term_test.go
@@ -11,8 +11,9 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// Failure: a task is started on a worker that is about to shut down. An older heartbeat,
-// from before the worker announced that it drains, arrives after that announcement.
+// Guards against this failure: a task is started on a worker that is about to shut down.
+// An older heartbeat, from before the worker announced that it drains, arrives after that
+// announcement.
 func TestDrainingWorkerGetsNoNewTask(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -31,7 +32,8 @@
 	w.eventually("the task starts elsewhere", func() bool { return w.started("w2") == 1 })
 }
 
-// Failure: one faulty worker fails job after job while a healthy one has capacity.
+// Guards against this failure: one faulty worker fails job after job while a healthy one
+// has capacity.
 func TestWorkerThatFailsAllRunsIsQuarantined(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -62,9 +64,9 @@
 	w.eventually("a new job runs on the healthy worker", func() bool { return onHealthy("d") })
 }
 
-// Failure: a queue reports no waiting jobs although jobs wait, because a job counts as
-// started from the commit of its start. Its worker doesn't answer the start, and carries it
-// out later or never.
+// Guards against this failure: a queue reports no waiting jobs although jobs wait, because
+// a job counts as started from the commit of its start. Its worker doesn't answer the
+// start, and carries it out later or never.
 func TestJobCountsAsWaitingUntilWorkerStartsIt(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1").delayStarts = true
@@ -85,9 +87,9 @@
 	})
 }
 
-// Failure: a task runs twice. A leader's machine is suspended; another leader takes over
-// and waits for a lease to expire; the first leader resumes and extends that lease, since
-// its monotonic clock doesn't count the suspension.
+// Guards against this failure: a task runs twice. A leader's machine is suspended; another
+// leader takes over and waits for a lease to expire; the first leader resumes and extends
+// that lease, since its monotonic clock doesn't count the suspension.
 func TestLeaderTermEndsAfterMachineSuspend(t *testing.T) {
 	ended := false
 	w := newTestCluster(t, nil)
@@ -102,8 +104,8 @@
 	must.True(t, ended)
 }
 
-// Failure: the leader runs out of memory. It keeps the state of ended jobs, each with the
-// adviser's answers for 48 workers, for the whole leader term.
+// Guards against this failure: the leader runs out of memory. It keeps the state of ended
+// jobs, each with the adviser's answers for 48 workers, for the whole leader term.
 func TestStateOfEndedJobsIsReleased(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	term, err := w.c.currentLeaderTerm(context.Background())
@@ -121,8 +123,8 @@
 	must.MapEmpty(t, term.acceptedAt)
 }
 
-// Failure: a worker gets more tasks than fit, because a second decision is made while
-// starts are being committed and doesn't count their capacity.
+// Guards against this failure: a worker gets more tasks than fit, because a second
+// decision is made while starts are being committed and doesn't count their capacity.
 func TestProposedStartsReserveCapacity(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -139,13 +141,14 @@
 	term.mu.Lock()
 	term.proposedStarts[task("b", 0)] = "w1"
 	term.mu.Unlock()
-	v := term.gatherPlanInput(time.Now())
-	must.Eq(t, int64(2000), v.workers[0].Free.MilliCPU)
-	must.Eq(t, []int{1}, v.steps[0].Pending)
+	input := term.gatherPlanInput(time.Now())
+	must.Eq(t, int64(2000), input.workers[0].Free.MilliCPU)
+	must.Eq(t, []int{1}, input.steps[0].Pending)
 }
 
-// Failure: a worker gets more tasks than fit right after a change of leader, because the
-// new leader doesn't know what runs there before the worker's first answer.
+// Guards against this failure: a worker gets more tasks than fit right after a change of
+// leader, because the new leader doesn't know what runs there before the worker's first
+// answer.
 func TestUnconfirmedWorkerGetsNoTask(t *testing.T) {
 	now := time.Now()
 	s := &workerSession{t: &leaderTerm{}, answeredAt: now}
@@ -154,9 +157,9 @@
 	must.Eq(t, "", s.unschedulableReason(now, nil, 0))
 }
 
-// Failure: a leader refuses calls, and all instances search for another leader. The log's
-// goroutine is delayed by a tenth of a second and can't confirm the leadership, although
-// the member still leads.
+// Guards against this failure: a leader refuses calls, and all instances search for
+// another leader. The log's goroutine is delayed by a tenth of a second and can't confirm
+// the leadership, although the member still leads.
 func TestLeaderWaitsForDelayedLogInsteadOfRefusing(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -176,9 +179,9 @@
 	return nil
 }
 
-// Failure: a new leader crashes with a concurrent map access. The log line at the start of
-// the leader term counts its workers without the lock while the first heartbeat adds a
-// worker. The race detector finds this.
+// Guards against this failure: a new leader crashes with a concurrent map access. The log
+// line at the start of the leader term counts its workers without the lock while the first
+// heartbeat adds a worker. The race detector finds this.
 func TestSharedLeaderTermIsReadUnderLock(t *testing.T) {
 	w := newTestCluster(t, func(w *testCluster) { w.c.cfg.Logger = slowLogger{} })
 	w.workers.add("w1")
--- a/internal/control/machines.go
+++ b/internal/control/machines.go
@@ -39,7 +39,7 @@
 	cordoned map[string]*cordonState
 	// ordersInFlight are the machines that have an order in flight.
 	ordersInFlight map[string]bool
-	// maintenanceBegunAt is when this leader term learnt that a machine's maintenance had
+	// maintenanceBegunAt is when this leader term learned that a machine's maintenance had
 	// begun.
 	maintenanceBegunAt map[string]time.Time
 	// waveAcceptedAt is when this leader term accepted a wave.
@@ -109,7 +109,7 @@
 }
 
 // readMachines reads the whole machine list. A machine that isn't in it has left the
-// deployment for good.
+// deployment permanently.
 func (t *leaderTerm) readMachines(now time.Time) {
 	m := t.machines
 	list, err := t.listMachines()
@@ -149,8 +149,8 @@
 // keepUnreadable adds the known machines that a list lacks if some of its entries couldn't
 // be read: the missing machines may be among them.
 //
-// Failure guarded against: one entry is damaged, its machine counts as gone for good, and
-// a wave is reported as done without it.
+// Otherwise the machine of a damaged entry would count as removed, and a wave would be
+// reported as done without it.
 func (t *leaderTerm) keepUnreadable(list map[string]ListedMachine, unreadable int) {
 	if unreadable != t.machines.unreadable {
 		t.machines.unreadable = unreadable
--- a/internal/control/maintenance_test.go
+++ b/internal/control/maintenance_test.go
@@ -13,7 +13,7 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// fakeMachines is a deployment whose machines go down for maintenance and come back with
+// fakeMachines is a deployment whose machines go down for maintenance and return with
 // another incarnation of their worker.
 type fakeMachines struct {
 	cluster *testCluster
@@ -397,7 +397,7 @@
 
 // Guards against reporting a wave as done without the maintenance of one machine: the list
 // is read completely first, then one of its entries is damaged. The machine of an
-// unreadable entry must not count as gone.
+// unreadable entry must not count as removed.
 func TestMachineWithUnreadableEntryIsKept(t *testing.T) {
 	w := newTestCluster(t, nil)
 	term, err := w.c.currentLeaderTerm(context.Background())
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -64,9 +64,9 @@
 	longRunning bool
 	// crashSuspect says that a worker has crashed under the task before.
 	crashSuspect bool
-	// usesSpare says that the task uses processor time that others leave idle. share is the
-	// share in percent that the worker last acknowledged, shareChanging says that a change
-	// is in flight, pausedAt is since when the share is 0.
+	// usesSpare says that the task runs on spare CPU: time that other tasks leave idle.
+	// share is the share in percent that the worker last acknowledged, shareChanging says
+	// that a change is in flight, pausedAt is since when the share is 0.
 	usesSpare     bool
 	share         int
 	shareChanging bool
--- a/internal/control/orphans.go
+++ b/internal/control/orphans.go
@@ -19,7 +19,7 @@
 }
 
 // countRuns counts all runs that may be alive and records which are unaccounted for. t.mu
-// is held.
+// must be held.
 func (t *leaderTerm) countRuns(s *workflow.State, now time.Time) {
 	for _, session := range t.sessions {
 		session.dropStaleOrders(s)
@@ -45,10 +45,10 @@
 	t.unaccountedSince, t.runCounts = unaccounted, counts
 }
 
-// accountsFor reports whether a pending event will report the end of a run: the answer to a
-// start, a report that lists the run, a stop that is sent repeatedly, the first complete
+// accountsFor reports whether a pending event will report the end of a run: the answer to
+// a start, a report that lists the run, a stop that is sent repeatedly, the first complete
 // report of a worker for an inherited run, or the expiry of the lease of a worker that
-// doesn't answer. t.mu is held.
+// doesn't answer. t.mu must be held.
 func (s *workerSession) accountsFor(run workflow.Run, now time.Time) bool {
 	if !s.ready {
 		return true
@@ -71,7 +71,7 @@
 }
 
 // isOrphaned reports whether a run has been unaccounted for so long that the leader has to
-// stop it. t.mu is held.
+// stop it. t.mu must be held.
 //
 // A run whose end is never reported would stay alive until the leadership changes, and its
 // task would never run again although capacity is free. A stop that is repeated until the
@@ -83,8 +83,8 @@
 }
 
 // adoptWorkers starts monitoring workers that no session monitors although runs of theirs
-// may be alive. Workers that don't answer lose their runs when their lease expires. t.mu is
-// held.
+// may be alive. Workers that don't answer lose their runs when their lease expires. t.mu
+// must be held.
 func (t *leaderTerm) adoptWorkers(s *workflow.State, now time.Time) {
 	for run := range t.unaccountedSince {
 		state := s.Workers[run.Worker]
@@ -104,14 +104,14 @@
 	})
 }
 
-// recordOrphan counts and logs an orphaned run. t.mu is held.
+// recordOrphan counts and logs an orphaned run. t.mu must be held.
 func (t *leaderTerm) recordOrphan(run workflow.Run, now time.Time) {
 	t.c.cfg.Counters.Add("runs_claimed", 1)
 	t.logger.Log("event", "run_claimed", "task", run.Task, "run", run.Number, "worker", run.Worker,
 		"unaccounted_ms", now.Sub(t.unaccountedSince[run]).Milliseconds(), "looked_after", t.sessions[run.Worker] != nil)
 }
 
-// dropStaleOrders removes orders whose runs the log no longer has. t.mu is held.
+// dropStaleOrders removes orders whose runs the log no longer has. t.mu must be held.
 //
 // The lease of a worker may expire between the commit of a start and the creation of its
 // order. That order would never be answered, and the worker would get no task when it
--- a/internal/control/orphans_test.go
+++ b/internal/control/orphans_test.go
@@ -21,8 +21,8 @@
 	return term.runCounts
 }
 
-// Failure: the counts miss a run that is in the log but in no report of its worker, and
-// that no pending event will end.
+// Guards against this failure: the counts miss a run that is in the log but in no report
+// of its worker, and that no pending event will end.
 func TestOrphanedRunIsCountedAsUnaccounted(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	w.eventually("the run is reported", func() bool { c := w.currentRunCounts(); return c.alive == 1 && c.unaccounted == 0 })
@@ -30,8 +30,8 @@
 	w.eventually("no report shows the run", func() bool { c := w.currentRunCounts(); return c.unaccounted == 1 && c.longest > 0 })
 }
 
-// Failure: a run on a worker that doesn't answer is counted as unaccounted for, and
-// stopped, although the expiry of its lease will end it.
+// Guards against this failure: a run on a worker that doesn't answer is counted as
+// unaccounted for, and stopped, although the expiry of its lease will end it.
 func TestRunOnUnresponsiveWorkerIsAccountedFor(t *testing.T) {
 	w := clusterWithInheritedRun(t, func(f *fakeWorker) { f.answersLost = true })
 	c := w.currentRunCounts()
@@ -39,8 +39,8 @@
 	must.Eq(t, 0, c.unaccounted)
 }
 
-// Failure: a run whose stop was acknowledged is counted as unaccounted for while the poll
-// that will settle it is held.
+// Guards against this failure: a run whose stop was acknowledged is counted as unaccounted
+// for while the poll that will settle it is held.
 func TestRunWithAcknowledgedStopIsAccountedFor(t *testing.T) {
 	now := time.Now()
 	run := workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}
@@ -51,8 +51,8 @@
 	must.False(t, s.accountsFor(run, now))
 }
 
-// Failure: ended runs are stopped again. The log accepts no command for a while, so that
-// their ends are reported repeatedly and not committed.
+// Guards against this failure: ended runs are stopped again. The log accepts no command
+// for a while, so that their ends are reported repeatedly and not committed.
 func TestRunWhoseEndIsNotCommittedIsAccountedFor(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	w.eventually("the run is reported", func() bool { return w.currentRunCounts().unaccounted == 0 })
@@ -70,8 +70,9 @@
 	w.eventually("the job is done", func() bool { return w.phase("a") == workflow.PhaseDone })
 }
 
-// Failure: a worker never gets a task again. It has an unanswered order whose run isn't in
-// the log, for example because the run was lost while the order was created.
+// Guards against this failure: a worker never gets a task again. It has an unanswered
+// order whose run isn't in the log, for example because the run was lost while the order
+// was created.
 func TestOrderWithoutRunInLogIsDropped(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	term := w.currentTerm()
@@ -86,8 +87,9 @@
 	})
 }
 
-// Failure: an orphaned run is stopped only every other second, and counted as orphaned each
-// time. Its stop is lost, but the run counts as accounted for after each stop sent.
+// Guards against this failure: an orphaned run is stopped only every other second, and
+// counted as orphaned each time. Its stop is lost, but the run counts as accounted for
+// after each stop sent.
 func TestOrphanedRunIsUnaccountedUntilStopIsAcknowledged(t *testing.T) {
 	now := time.Now()
 	run := workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -14,8 +14,8 @@
 	workersPerQuery = 30
 	// gangWorkersPerQuery is the number of workers that a query for a gang names, and the
 	// maximum of any query. A gang is permitted on a third of the workers and needs free
-	// resources on many of them at once. Splitting the same workers into two queries keeps
-	// adviser connections busy for a third longer.
+	// resources on many of them at the same time. Splitting the same workers into two
+	// queries keeps adviser connections busy for a third longer.
 	gangWorkersPerQuery = 100
 	// ticketMargin is the remaining validity that a ticket needs when a start is planned:
 	// enough to commit the start and deliver it to the worker.
@@ -27,9 +27,9 @@
 	// maxPlanPause, since a decision that was held up by other goroutines appears long.
 	// Changed jobs don't wait for the next full decision.
 	//
-	// Failure guarded against: with many workers and a queue a decision takes
-	// milliseconds. Without pauses, decisions occupy the only processor of the leader, the
-	// heartbeats of the log are late, and each following leader finds a longer queue.
+	// With many workers and a queue, a decision takes milliseconds. Without pauses,
+	// decisions would occupy the only processor of the leader, the heartbeats of the log
+	// would be late, and each following leader would find a longer queue.
 	planPauseFactor = 10
 	maxPlanPause    = 100 * time.Millisecond
 )
@@ -166,8 +166,8 @@
 // sendCommittedStart sends a committed start. If its job has ended or its worker is no
 // longer monitored, it commits the run as not started instead.
 //
-// Failure guarded against: a job ends while its start is being committed. Its payload is
-// dropped with it, and the worker would be told to run a task with an empty payload.
+// A job may end while its start is being committed. Its payload is dropped with it, and
+// the worker would be ordered to run a task with an empty payload.
 func (t *leaderTerm) sendCommittedStart(run workflow.Run, ticket string) {
 	o, payload, checkpoint := t.newOrder(run, ticket)
 	t.mu.Lock()
--- a/internal/control/polls.go
+++ b/internal/control/polls.go
@@ -10,8 +10,8 @@
 	// allowed for its round trip. Together they bound how late the end of a run is noticed.
 	lossyPollHold  = 250 * time.Millisecond
 	lossyPollSlack = 200 * time.Millisecond
-	// maxLossyPolls bounds the polls per second to all workers during the loss window: each
-	// costs the leader some 0.3 ms.
+	// maxLossyPolls bounds the polls per second to all workers during the loss window:
+	// each costs the leader about 0.3 ms.
 	maxLossyPolls = 200
 	// overdueFactor times the mean answer time makes an answer overdue. The same multiple
 	// of the answer delay is the pause between a report with ended runs and the next poll.
@@ -21,8 +21,8 @@
 	answerTimeWeight = 0.05
 )
 
-// losingCalls reports whether a call to a reachable worker was lost within the loss window.
-// t.mu is held.
+// losingCalls reports whether a call to a reachable worker was lost within the loss
+// window. t.mu must be held.
 //
 // If one call in twenty is lost, a poll held for 1.5 s hides the ends of its worker for 2 s
 // whenever its answer is lost. At four polls a second and worker, that would be two fifths
@@ -32,7 +32,7 @@
 }
 
 // recordLostCall records that a call got no answer. The call counts as lost only if the
-// worker has answered another one since it was sent. t.mu is held.
+// worker has answered another one since it was sent. t.mu must be held.
 func (s *workerSession) recordLostCall(sent, now time.Time) {
 	s.incarnationUnconfirmed = true
 	if !s.answeredAt.After(sent) && !s.clockAt.After(sent) {
@@ -45,7 +45,7 @@
 }
 
 // pollTimes returns how long the worker may hold the next poll, and how much longer its
-// answer may take. t.mu is held.
+// answer may take. t.mu must be held.
 func (s *workerSession) pollTimes(now time.Time) (hold, slack time.Duration) {
 	hold, slack = pollHold, callTimeout
 	if s.t.losingCalls(now) {
@@ -70,7 +70,7 @@
 
 // pollSettlesStop reports whether the next report settles a stopped run: the worker
 // acknowledged the stop and has never reported the run, so no end of the run would end a
-// held poll. t.mu is held.
+// held poll. t.mu must be held.
 func (s *workerSession) pollSettlesStop() bool {
 	for _, o := range s.orders {
 		if !o.stopAcked.IsZero() && !o.listed {
@@ -88,7 +88,7 @@
 // pause grows with the answer delay, so that more ends share a poll.
 //
 // An overloaded leader reads answers late. Half of its calls are polls, and each end that
-// it sees at once costs another decision and commit.
+// it sees immediately costs another decision and commit.
 func (s *workerSession) pauseAfterEnds() time.Duration {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
@@ -99,7 +99,7 @@
 }
 
 // scaledAnswerTime returns overdueFactor times the mean answer time, limited to least and
-// most. t.mu is held.
+// most. t.mu must be held.
 func (t *leaderTerm) scaledAnswerTime(least, most time.Duration) time.Duration {
 	return boundedMultiple(t.answerTime, least, most)
 }
@@ -109,7 +109,7 @@
 	return min(max(least, overdueFactor*took), most)
 }
 
-// recordAnswerTime records how long a start took to be answered. t.mu is held.
+// recordAnswerTime records how long a start took to be answered. t.mu must be held.
 func (t *leaderTerm) recordAnswerTime(took time.Duration) {
 	t.answerTime += time.Duration(answerTimeWeight * float64(took-t.answerTime))
 	if t.minAnswerTime == 0 || took < t.minAnswerTime {
@@ -118,7 +118,7 @@
 }
 
 // overdueAfter returns how long an order may stay unanswered before it counts as overdue.
-// The time grows with the mean answer time. t.mu is held.
+// The time grows with the mean answer time. t.mu must be held.
 //
 // An overloaded leader sees answers late. With a fixed time it would take them for lost,
 // send each order again and give the workers nothing, which would add to the load.
@@ -127,11 +127,11 @@
 }
 
 // isUnresponsive reports whether a poll has gone unanswered for longer than its hold
-// allows. t.mu is held.
+// allows. t.mu must be held.
 //
 // The time since the last answer alone isn't enough: a poll that is sent late, after a
 // report with ended runs, would make a healthy worker seem unreachable.
 func (s *workerSession) isUnresponsive(now time.Time) bool {
-	noRecentAnswer := now.Sub(s.answeredAt) > copySilenceTimeout && now.Sub(s.t.started) > copySilenceTimeout
+	noRecentAnswer := now.Sub(s.answeredAt) > workerAnswerTimeout && now.Sub(s.t.started) > workerAnswerTimeout
 	return noRecentAnswer && now.After(s.pollDue)
 }
--- a/internal/control/ports.go
+++ b/internal/control/ports.go
@@ -1,8 +1,8 @@
-// Package control does the work of the core's leader: it accepts jobs and the heartbeats of
-// workers, decides which tasks start where, commits these decisions and only then sends
-// orders, holds the workers under leases, and records how tasks end. A value of type
-// leaderTerm holds the state of one leadership. Nothing in it outlives the leadership;
-// everything that must is in the replicated log.
+// Package control does the work of the core's leader: it accepts jobs and the heartbeats
+// of workers, decides which tasks start where, commits these decisions and only then sends
+// orders, grants leases to workers, and records how tasks end. A value of type leaderTerm
+// holds the state of one period of leadership and ends with it. Everything that must
+// persist is in the replicated log.
 package control
 
 import (
@@ -54,7 +54,7 @@
 // PollOrder asks a worker for its report.
 type PollOrder struct {
 	Fence uint64 `cbor:"1,keyasint"`
-	// Seen is the position of the last end that the worker needn't list any more.
+	// LastEnd is the position of the last end that the worker needn't list any more.
 	LastEnd uint64 `cbor:"2,keyasint,omitempty"`
 	// LeaseEndMS extends the lease, in milliseconds on the worker's own clock; 0 leaves it
 	// unchanged.
@@ -211,7 +211,7 @@
 	Valid time.Duration `cbor:"2,keyasint"`
 }
 
-// Adviser permits steps to run on workers. It serves the calls of one machine one after
+// Adviser permits steps to run on workers. It serves the queries of one machine one after
 // another.
 type Adviser interface {
 	Query(ctx context.Context, call AdviserQuery) (AdviserAnswer, error)
--- a/internal/control/report.go
+++ b/internal/control/report.go
@@ -18,13 +18,12 @@
 	t.mu.Lock()
 	first := !s.ready
 	s.ready = true
-	cameBack := first && len(s.unresolvedRuns()) > 0
+	returned := first && len(s.unresolvedRuns()) > 0
 	s.recordReport(report.ClockMS, now)
-	ends, seen := s.listedEnds(report, now)
+	ends, lastEnd := s.listedEnds(report, now)
 	ends = append(ends, s.neverStarted(report, ends, sent)...)
 	unknown := s.recordRunning(report, sent, now)
-	// Marked while the report is applied, so that the runs are accounted for at every
-	// moment.
+	// Marked while the report is applied, so that the runs never count as unaccounted for.
 	s.markKnownEnds(ends)
 	if !report.Partial {
 		s.fullReportSentAt = sent
@@ -38,20 +37,20 @@
 	for _, run := range unknown {
 		t.spawn(func() { s.stopUnknownRun(run) })
 	}
-	if cameBack {
-		// Only this report shows that the worker has come back; no later one repeats it.
+	if returned {
+		// Only this report shows that the worker answers again; no later one repeats it.
 		t.spawn(s.commitReturned)
 	}
-	if seen > 0 || len(ends) > 0 {
+	if lastEnd > 0 || len(ends) > 0 {
 		s.logEnds(ends)
-		s.commitEnds(seen, ends)
+		s.commitEnds(lastEnd, ends)
 	} else if first {
 		t.wake()
 	}
 }
 
 // recordReport records that this incarnation of the worker has just answered a poll. t.mu
-// is held.
+// must be held.
 func (s *workerSession) recordReport(clockMS int64, now time.Time) {
 	s.answeredAt, s.incarnationUnconfirmed = now, false
 	s.recordAnswer(now)
@@ -91,18 +90,19 @@
 	})
 }
 
-// listedEnds returns the ends in a report and the highest of their positions. t.mu is held.
-func (s *workerSession) listedEnds(report Report, now time.Time) (ends []workflow.RunEnd, seen uint64) {
+// listedEnds returns the ends in a report and the highest of their positions. t.mu must be
+// held.
+func (s *workerSession) listedEnds(report Report, now time.Time) (ends []workflow.RunEnd, lastEnd uint64) {
 	for _, e := range report.Ended {
-		seen = max(seen, e.Position)
+		lastEnd = max(lastEnd, e.Position)
 		ends = append(ends, e.RunEnd)
 		s.recordHealth(e.RunEnd, now)
 	}
-	return ends, seen
+	return ends, lastEnd
 }
 
 // recordRunning records progress and checkpoints of the live runs in a report. It returns
-// the runs that the log doesn't have. t.mu is held.
+// the runs that the log doesn't have. t.mu must be held.
 func (s *workerSession) recordRunning(report Report, sent, now time.Time) []workflow.Run {
 	var unknown []workflow.Run
 	advanced := false
@@ -142,7 +142,7 @@
 }
 
 // neverStarted returns the runs that this report proves never to have started and never to
-// start. t.mu is held.
+// start. t.mu must be held.
 //
 // A missing run alone proves nothing: an unanswered order may be carried out seconds later,
 // and a second start would run the task twice. An inherited run is settled because the
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -158,8 +158,8 @@
 // Ended returns the phase of a job that has ended. Any instance that knows a leader can
 // answer, since the phase of an ended job never changes.
 //
-// Reason: callers ask for the state of their jobs two or three times as often as they
-// submit one, mostly after the end.
+// Callers ask for the state of their jobs two or three times as often as they submit one,
+// mostly after the end.
 func (c *Controller) Ended(ctx context.Context, r *EndedCall) (EndedReply, error) {
 	if c.log.Status().Leader == "" || c.version() < r.Version {
 		return EndedReply{}, nil
--- a/internal/control/serve_version_test.go
+++ b/internal/control/serve_version_test.go
@@ -10,11 +10,11 @@
 
 // Checks that a reply reports the configuration version by which its queue was looked up,
 // also when there is no such queue.
-func TestReplyNotesConfigurationVersion(t *testing.T) {
+func TestReplyReportsConfigurationVersion(t *testing.T) {
 	w := newTestCluster(t, nil)
-	ctx, note := link.WithVersionRecorder(t.Context())
+	ctx, recorder := link.WithVersionRecorder(t.Context())
 	_, err := w.c.State(ctx, &StateCall{Address: JobAddress{Host: "nowhere", Path: "/x/"}})
 	must.Error(t, err)
-	must.Eq(t, w.c.version(), note.Version())
-	must.Positive(t, note.Version())
+	must.Eq(t, w.c.version(), recorder.Version())
+	must.Positive(t, recorder.Version())
 }
--- a/internal/control/session.go
+++ b/internal/control/session.go
@@ -117,7 +117,7 @@
 )
 
 // unschedulableReason returns why the worker gets no new task, or "" if it may get one.
-// runs is the number of its runs that may be alive. t.mu is held.
+// runs is the number of its runs that may be alive. t.mu must be held.
 func (s *workerSession) unschedulableReason(now time.Time, suspects map[string]bool, runs int) dispatch.Reason {
 	switch {
 	case s.leaving || s.worker.Draining:
@@ -147,7 +147,7 @@
 
 // hasOverdueOrder reports whether an order has been unanswered for longer than a reachable
 // worker takes. The worker may be unreachable, and a task given to it now would be blocked
-// until the lease expires. t.mu is held.
+// until the lease expires. t.mu must be held.
 func (s *workerSession) hasOverdueOrder(now time.Time) bool {
 	for _, o := range s.orders {
 		if o.unanswered || !o.sentAt.IsZero() && now.Sub(o.sentAt) > s.t.overdueAfter() {
@@ -158,7 +158,7 @@
 }
 
 // leaseEndMS returns the end of a lease that begins now, in milliseconds on the worker's
-// clock. It moves leaseEnd accordingly. t.mu is held.
+// clock. It moves leaseEnd accordingly. t.mu must be held.
 func (s *workerSession) leaseEndMS(now time.Time) int64 {
 	elapsed := now.Sub(s.clockAt)
 	end := s.clockMS + (elapsed + s.t.lease).Milliseconds()
@@ -169,7 +169,8 @@
 	return end
 }
 
-// recordClock records the worker's clock from an answer that has just arrived. t.mu is held.
+// recordClock records the worker's clock from an answer that has just arrived. t.mu must
+// be held.
 func (s *workerSession) recordClock(clockMS int64, now time.Time) {
 	s.recordAnswer(now)
 	if s.clockJumped(clockMS, now) {
@@ -182,7 +183,8 @@
 	}
 }
 
-// interruptPoll ends a held poll so that the next one is sent at once. t.mu is held.
+// interruptPoll ends a held poll so that the next one is sent immediately. t.mu must be
+// held.
 func (s *workerSession) interruptPoll() {
 	if s.cancelPoll != nil {
 		s.pollInterrupted = true
@@ -190,7 +192,8 @@
 	}
 }
 
-// takePollInterrupted reports whether the last poll was interrupted, and resets the mark.
+// takePollInterrupted reports whether interruptPoll ended the last poll, and resets
+// pollInterrupted.
 func (s *workerSession) takePollInterrupted() bool {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
@@ -237,8 +240,8 @@
 }
 
 // poll asks the worker for its report. It extends the lease only while the worker answers.
-// A worker that receives polls but whose answers are lost would otherwise keep its runs for
-// ever, and the leader could never tell when they end.
+// A worker that receives polls but whose answers are lost would otherwise keep its runs
+// indefinitely, and the leader could never tell when they end.
 func (s *workerSession) poll(now time.Time) (Report, error) {
 	t := s.t
 	if t.wasSuspended() {
@@ -364,15 +367,15 @@
 	return ends
 }
 
-// commitEnds commits ends of runs. seen is the position of the last of them in the worker's
-// list of ends, 0 if the worker lists none of them.
+// commitEnds commits ends of runs. lastEnd is the position of the last of them in the
+// worker's list of ends, 0 if the worker lists none of them.
 //
 // A worker lists its ends until they are committed, so those are proposed only once. No
 // worker repeats the others, so they are proposed until they are committed.
-func (s *workerSession) commitEnds(seen uint64, ends []workflow.RunEnd) {
-	command := &workflow.Command{Ends: &workflow.RunEnds{Worker: s.worker.ID, LastEnd: seen, Ends: ends}}
+func (s *workerSession) commitEnds(lastEnd uint64, ends []workflow.RunEnd) {
+	command := &workflow.Command{Ends: &workflow.RunEnds{Worker: s.worker.ID, LastEnd: lastEnd, Ends: ends}}
 	s.recordKnownEnds(ends)
-	if seen > 0 {
+	if lastEnd > 0 {
 		if _, err := s.t.propose(command); err != nil {
 			return
 		}
@@ -424,7 +427,7 @@
 
 // forgetRun removes what is known of a run that has ended. It keeps the order of a later
 // run of the same task, since a worker may list an end while the next run is in progress,
-// and nobody could stop that run without its order. t.mu is held.
+// and nobody could stop that run without its order. t.mu must be held.
 func (s *workerSession) forgetRun(end workflow.RunEnd) {
 	if o := s.orders[end.Task]; o != nil && o.run.Number > end.Number {
 		return
--- a/internal/control/settle_test.go
+++ b/internal/control/settle_test.go
@@ -11,9 +11,9 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// Failure: a task runs twice. A worker doesn't answer a start, the leader takes that for
-// not carried out and starts the task elsewhere, and the first worker carries out the start
-// after all.
+// Guards against this failure: a task runs twice. A worker doesn't answer a start, the
+// leader assumes that it wasn't carried out and starts the task elsewhere, and the first
+// worker carries out the start after all.
 func TestUnansweredStartIsSettledBeforeRestartElsewhere(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1").delayStarts = true
@@ -29,15 +29,15 @@
 	w.eventually("the task runs on the other worker", func() bool { return w.started("w2") == 1 })
 	w.withWorker("w1", func(f *fakeWorker) {
 		for _, order := range f.delayedStarts {
-			must.Error(t, f.begin(order), must.Sprint("carried out late, beside the run on w2"))
+			must.Error(t, f.startRun(order), must.Sprint("carried out late, while the run on w2 is alive"))
 		}
 	})
 }
 
-// Failure: a job never ends although most workers are idle. A worker doesn't answer a
-// start, and refuses the second attempt because its ticket has expired. The refusal settles
-// nothing while the first call is open, so a stop has to follow, as after two unanswered
-// calls.
+// Guards against this failure: a job never ends although most workers are idle. A worker
+// doesn't answer a start, and refuses the second attempt because its ticket has expired.
+// The refusal settles nothing while the first call is open, so a stop has to follow, as
+// after two unanswered calls.
 func TestRefusalAfterUnansweredStartIsSettledByStop(t *testing.T) {
 	w := newTestCluster(t, nil)
 	first := w.workers.add("w1")
@@ -47,13 +47,13 @@
 	w.eventually("the task runs again", func() bool { return w.started("w1") == 1 })
 	w.withWorker("w1", func(f *fakeWorker) {
 		must.Eq(t, 2, f.starts[0].Run.Number)
-		must.Error(t, f.begin(f.delayedStarts[0]), must.Sprint("carried out late, beside the second run"))
+		must.Error(t, f.startRun(f.delayedStarts[0]), must.Sprint("carried out late, while the second run is alive"))
 	})
 }
 
-// Failure: a task runs on two workers. A worker receives polls but its answers are lost. If
-// unanswered polls extend its lease, its runs continue after the leader takes the lease for
-// expired and starts the task elsewhere.
+// Guards against this failure: a task runs on two workers. A worker receives polls but its
+// answers are lost. If unanswered polls extend its lease, its runs continue after the
+// leader takes the lease for expired and starts the task elsewhere.
 func TestUnansweredPollsDoNotExtendLease(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	w.withWorker("w1", func(f *fakeWorker) { f.answersLost = true })
@@ -66,21 +66,21 @@
 	w.withWorker("w1", func(f *fakeWorker) { must.Eq(t, before, len(f.leases)) })
 }
 
-// Failure: a job is stuck, or its task runs twice, after a change of leader. The old leader
-// commits a start and loses the leadership before the worker has the order, so the new
-// leader doesn't know whether it is in flight. The poll of the new leader carries its fence
-// to the worker, which refuses the old order from then on.
+// Guards against this failure: a job is stuck, or its task runs twice, after a change of
+// leader. The old leader commits a start and loses the leadership before the worker has
+// the order, so the new leader doesn't know whether it is in flight. The poll of the new
+// leader carries its fence to the worker, which refuses the old order from then on.
 func TestInheritedRunThatNeverStartedRunsAgain(t *testing.T) {
 	w := clusterWithInheritedRun(t, func(*fakeWorker) {})
 	w.eventually("the task starts", func() bool { return w.started("w1") == 1 })
 	w.withWorker("w1", func(f *fakeWorker) {
 		must.Eq(t, 2, f.starts[0].Run.Number)
-		must.Error(t, f.begin(StartOrder{Run: workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}, Fence: 6}))
+		must.Error(t, f.startRun(StartOrder{Run: workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}, Fence: 6}))
 	})
 }
 
-// Failure: a run that is in progress when the leader changes is restarted, although the
-// worker reports it to the new leader as alive.
+// Guards against this failure: a run that is in progress when the leader changes is
+// restarted, although the worker reports it to the new leader as alive.
 func TestInheritedLiveRunContinues(t *testing.T) {
 	w := clusterWithInheritedRun(t, func(f *fakeWorker) {
 		f.running[task("a", 0)] = Running{Task: task("a", 0), Number: 1}
@@ -91,9 +91,10 @@
 	must.Eq(t, 0, w.started("w1"))
 }
 
-// Failure: a worker that crashed and came back blocks its tasks until its lease expires,
-// although the answer of its next incarnation proves that the old one has ended.
-func TestTasksOfReplacedIncarnationRunAgainAtOnce(t *testing.T) {
+// Guards against this failure: a worker that crashed and restarted blocks its tasks until
+// its lease expires, although the answer of its next incarnation proves that the old one
+// has ended.
+func TestTasksOfReplacedIncarnationRunAgainImmediately(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	w.workers.add("w2")
 	w.announce("w2")
@@ -103,9 +104,9 @@
 	must.Less(t, 400*time.Millisecond, time.Since(start), must.Sprint("a lease is 400 ms"))
 }
 
-// Failure: the task of a cancelled job keeps running. A worker lists the end of the first
-// run late, while it executes the second one, and the leader drops the order of the second
-// run because of that end.
+// Guards against this failure: the task of a cancelled job keeps running. A worker lists
+// the end of the first run late, while it executes the second one, and the leader drops
+// the order of the second run because of that end.
 func TestLateEndOfEarlierRunKeepsOrderOfNextRun(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	w.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeFailed) })
@@ -125,8 +126,8 @@
 	})
 }
 
-// Failure: a task waits for the end of a held poll although its run is known never to
-// start. The stop was acknowledged just before the poll was sent.
+// Guards against this failure: a task waits for the end of a held poll although its run is
+// known never to start. The stop was acknowledged just before the poll was sent.
 func TestPollThatSettlesStopIsNotHeld(t *testing.T) {
 	now := time.Now()
 	s := &workerSession{t: &leaderTerm{c: &Controller{}}, orders: map[workflow.TaskKey]*runOrder{}}
@@ -155,9 +156,9 @@
 	})
 }
 
-// Failure: a task runs twice after a change of leader. The new leader's poll doesn't carry
-// the fence that blocks old orders, the report shows no run, and the old leader's start
-// arrives afterwards.
+// Guards against this failure: a task runs twice after a change of leader. The new
+// leader's poll doesn't carry the fence that blocks old orders, the report shows no run,
+// and the old leader's start arrives afterwards.
 func TestPollCarriesFence(t *testing.T) {
 	w := clusterWithInheritedRun(t, func(f *fakeWorker) { f.delayStarts = true })
 	w.eventually("the run is settled", func() bool {
@@ -166,13 +167,14 @@
 		return runs > 1
 	})
 	w.withWorker("w1", func(f *fakeWorker) {
-		err := f.begin(StartOrder{Run: workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}, Fence: 6})
+		err := f.startRun(StartOrder{Run: workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}, Fence: 6})
 		must.ErrorContains(t, err, string(RefusedStaleFence))
 	})
 }
 
-// Failure: a task runs twice. A worker has more ends to list than one answer holds, and the
-// leader takes a run that is missing in a partial report for never started.
+// Guards against this failure: a task runs twice. A worker has more ends to list than one
+// answer holds, and the leader takes a run that is missing in a partial report for never
+// started.
 func TestPartialReportSettlesNoRun(t *testing.T) {
 	w := clusterWithInheritedRun(t, func(f *fakeWorker) { f.partial = true })
 	time.Sleep(100 * time.Millisecond)
@@ -196,8 +198,9 @@
 	return len(s.neverStarted(Report{}, nil, sent))
 }
 
-// Failure: a task runs twice. A stop is acknowledged while a poll is in flight, and the
-// report, which was made before the stop, counts as proof that the run never starts.
+// Guards against this failure: a task runs twice. A stop is acknowledged while a poll is
+// in flight, and the report, which was made before the stop, counts as proof that the run
+// never starts.
 func TestOnlyPollSentAfterStopSettlesRun(t *testing.T) {
 	now := time.Now()
 	stopped := func(o *runOrder) { o.stopAcked = now }
@@ -206,8 +209,9 @@
 	must.Eq(t, 0, settledRuns(t, now, func(*runOrder) {}), must.Sprint("an order without a stop"))
 }
 
-// Failure: a task runs twice. A start gets no answer, its second attempt is refused, the
-// refusal settles both calls, and the first one is carried out later.
+// Guards against this failure: a task runs twice. A start gets no answer, its second
+// attempt is refused, the refusal settles both calls, and the first one is carried out
+// later.
 func TestRefusalSettlesNothingWhileEarlierCallIsOpen(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	term, err := w.c.currentLeaderTerm(context.Background())
@@ -221,9 +225,10 @@
 	must.Eq(t, 1, runs)
 }
 
-// Failure: urgent jobs end late although their tasks ran in time. Some calls are lost: a
-// worker answers a start, but the answer to a poll sent earlier is lost. The leader doesn't
-// see the end of a run meanwhile if polls are held for 1.5 s and time out after 2 s.
+// Guards against this failure: urgent jobs end late although their tasks ran in time. Some
+// calls are lost: a worker answers a start, but the answer to a poll sent earlier is lost.
+// The leader doesn't see the end of a run meanwhile if polls are held for 1.5 s and time
+// out after 2 s.
 func TestPollHoldIsShorterWhileCallsAreLost(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	term, err := w.c.currentLeaderTerm(context.Background())
@@ -254,8 +259,9 @@
 	}
 }
 
-// Failure: an overloaded leader slows down further. It reads answers 0.2 s late and takes
-// each for lost, if the overdue time doesn't grow with the answer time.
+// Guards against this failure: an overloaded leader slows down further. It reads answers
+// 0.2 s late and takes each for lost, if the overdue time doesn't grow with the answer
+// time.
 func TestOverdueTimeFollowsAnswerTime(t *testing.T) {
 	term := &leaderTerm{}
 	must.Eq(t, minOverdueTime, term.overdueAfter())
@@ -273,8 +279,8 @@
 	must.Eq(t, callTimeout/2, term.overdueAfter())
 }
 
-// Failure: a task never runs again. An overdue start is sent a second time concurrently,
-// and the worker refuses both.
+// Guards against this failure: a task never runs again. An overdue start is sent a second
+// time concurrently, and the worker refuses both.
 func TestConcurrentlyRefusedStartsSettleRun(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1").slowRefusals = 2
--- a/internal/control/simulation_adviser_test.go
+++ b/internal/control/simulation_adviser_test.go
@@ -14,7 +14,7 @@
 )
 
 // simAdviser permits each step on a fixed part of the workers. It serves the queries of
-// each connection one after the other. It also implements Caller for queries through other
+// each connection one after another. It also implements Caller for queries through other
 // instances.
 type simAdviser struct {
 	params *simParams
@@ -28,9 +28,9 @@
 	mu        sync.Mutex
 	random    *rand.Rand
 	busyUntil map[string]time.Time
-	// cutOffUntil is when the instance of a connection is reachable again.
-	cutOffUntil map[string]time.Time
-	queries     int
+	// unreachableUntil is when the instance of a connection is reachable again.
+	unreachableUntil map[string]time.Time
+	queries          int
 }
 
 // seededFloat returns a number from 0 to 1 that depends only on the seed and the words.
@@ -46,7 +46,7 @@
 	return spec != nil && spec.Image != refusedImage && seededFloat(a.seed, "permit", step, worker) < a.params.permittedShare
 }
 
-// Ask serves a query from the leader's own machine.
+// Query serves a query from the leader's own machine.
 func (a *simAdviser) Query(ctx context.Context, call AdviserQuery) (AdviserAnswer, error) {
 	return a.answer(ctx, ownAddress, call)
 }
@@ -68,7 +68,7 @@
 	}
 	a.mu.Lock()
 	a.queries++
-	lost := a.random.Float64() < a.params.faults.queryLost && !a.faultsOver() || time.Now().Before(a.cutOffUntil[address])
+	lost := a.random.Float64() < a.params.faults.queryLost && !a.faultsOver() || time.Now().Before(a.unreachableUntil[address])
 	end := time.Now()
 	if a.busyUntil[address].After(end) {
 		end = a.busyUntil[address]
@@ -92,17 +92,17 @@
 	return reply, nil
 }
 
-// cutOff makes the instance of a connection unreachable for a time.
-func (a *simAdviser) cutOff(address string, until time.Time) {
+// disconnect makes the instance of a connection unreachable for a time.
+func (a *simAdviser) disconnect(address string, until time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.cutOffUntil[address] = until
+	a.unreachableUntil[address] = until
 }
 
-func (a *simAdviser) isCutOff(address string) bool {
+func (a *simAdviser) isUnreachable(address string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return time.Now().Before(a.cutOffUntil[address])
+	return time.Now().Before(a.unreachableUntil[address])
 }
 
 // ticketFor returns a ticket that contains what it permits and when it expires.
--- a/internal/control/simulation_checks_test.go
+++ b/internal/control/simulation_checks_test.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// maxReadyWait is how long a ready task may wait while free resources hold it twice
-	// over.
+	// maxReadyWait is how long a ready task may wait while free resources would hold it
+	// twice.
 	maxReadyWait = 3 * time.Second
 	// maxUnaccounted is how long a run may be unaccounted for: its end may have to wait
 	// while the log accepts nothing.
 	maxUnaccounted = maxReadyWait + maxFaultDuration
 	// checkInterval is the time between two checks of the waiting steps.
 	checkInterval = 50 * time.Millisecond
-	// spareRoomFactor is how many times over a task must fit before it has to start.
-	spareRoomFactor = 2
+	// spareCapacityFactor is how many times a task must fit before it has to start.
+	spareCapacityFactor = 2
 )
 
 // invariantViolations returns the violations of what must hold at any time.
 func (x *simulation) invariantViolations() []string {
 	x.workers.mu.Lock()
-	found := append(slices.Clone(x.workers.violations), x.lines.claims(x.workers.allowedClaims)...)
+	found := append(slices.Clone(x.workers.violations), x.lines.unexpectedOrphans(x.workers.allowedOrphans)...)
 	x.workers.mu.Unlock()
 	found = append(found, x.wronglyGivenUp()...)
 	c := x.controller()
@@ -95,7 +95,7 @@
 	now := time.Now()
 	waiting := map[workflow.StepKey]bool{}
 	for _, s := range steps {
-		least := spareRoomFactor
+		least := spareCapacityFactor
 		if s.spec.Gang {
 			least *= s.spec.Count
 		}
@@ -183,7 +183,7 @@
 	x.workers.mu.Lock()
 	defer x.workers.mu.Unlock()
 	for i := range open {
-		x.workers.measureRoom(&open[i], x.adviser, x.needsPermit(open[i].queue))
+		x.workers.measureFit(&open[i], x.adviser, x.needsPermit(open[i].queue))
 	}
 	return open, x.workers.mostlyUsed()
 }
@@ -208,9 +208,9 @@
 	return 2*used >= all
 }
 
-// measureRoom determines which tasks of a step run nowhere, how many fit now, and whether
+// measureFit determines which tasks of a step run nowhere, how many fit now, and whether
 // all would fit on empty workers. r.mu must be held.
-func (r *simWorkers) measureRoom(s *openStep, adviser *simAdviser, needsPermit bool) {
+func (r *simWorkers) measureFit(s *openStep, adviser *simAdviser, needsPermit bool) {
 	fitWhenEmpty := 0
 	live := map[int]bool{}
 	for _, w := range r.current {
@@ -224,7 +224,7 @@
 		if s.spec.Label != "" || needsPermit && !adviser.permits(s.key, w.ID) {
 			continue
 		}
-		bound := s.spec.Count * spareRoomFactor
+		bound := s.spec.Count * spareCapacityFactor
 		if s.spec.MaxPerWorker > 0 {
 			bound = s.spec.MaxPerWorker
 		}
--- a/internal/control/simulation_crash_test.go
+++ b/internal/control/simulation_crash_test.go
@@ -44,7 +44,7 @@
 		if at := w.running[run.Task]; at == nil || at.number != run.Number {
 			return
 		}
-		r.lines.note("crashes", w, run, nil)
+		r.lines.logRun("crashes", w, run, nil)
 		r.crash(w)
 		r.scheduleReturn(w, time.Duration((0.1+draw("back after"))*float64(maxCrashDowntime)))
 	})
@@ -60,7 +60,7 @@
 }
 
 // allowedCapacity returns the maximum resources that runs may occupy on the worker. A
-// reduced capacity counts only once the leader can know it.
+// reduced capacity counts only once a heartbeat may have reported it.
 func (w *simWorker) allowedCapacity(now time.Time) workflow.Resources {
 	if now.Sub(w.changedAt) < shrinkGrace {
 		return w.Capacity.Max(w.previousCapacity)
@@ -120,12 +120,12 @@
 
 // containsCrashingTask reports whether a job has a task that crashes its workers. Such a
 // job may wait without bound.
-func (x *simulation) containsCrashingTask(id string) (held bool) {
+func (x *simulation) containsCrashingTask(id string) (found bool) {
 	x.state.read(func(s *workflow.State) {
 		job := s.Jobs[id]
-		held = job != nil && x.workers.hasCrashingTask(job)
+		found = job != nil && x.workers.hasCrashingTask(job)
 	})
-	return held
+	return found
 }
 
 // countGivenUp counts the given up jobs with a crashing task and those without one.
--- a/internal/control/simulation_faults_test.go
+++ b/internal/control/simulation_faults_test.go
@@ -61,7 +61,7 @@
 	case 0, 1:
 		x.crashOne()
 	case 2:
-		x.cutOffSome(until)
+		x.disconnectSome(until)
 	case 3:
 		x.changeSome(func(w *simWorker) { w.refusingUntil = until })
 	case 4, 5:
@@ -69,11 +69,11 @@
 	case 6, 7:
 		x.changeLeader()
 	case 12:
-		x.adviser.cutOff(fmt.Sprint("instance", x.random.IntN(x.params.adviserConns)), until)
+		x.adviser.disconnect(fmt.Sprint("instance", x.random.IntN(x.params.adviserConns)), until)
 	case 14:
 		// Lasts about as long as a lease: the runs there continue, or their lease expires.
 		lease := x.params.lease
-		x.cutOffSome(time.Now().Add(randomDuration(x.random, lease*2/5, lease*13/10)))
+		x.disconnectSome(time.Now().Add(randomDuration(x.random, lease*2/5, lease*13/10)))
 	case 13:
 		if x.params.shrinks {
 			x.shrinkSome()
@@ -91,7 +91,7 @@
 	case 8:
 		x.store.slowUntil = until
 	case 9:
-		x.store.heldUntil = until
+		x.store.delayedUntil = until
 	default:
 		x.store.fullUntil = until
 	}
@@ -108,15 +108,15 @@
 	}
 }
 
-// cutOffSome makes one worker unreachable, or a third of them.
-func (x *simulation) cutOffSome(until time.Time) {
+// disconnectSome makes one worker unreachable, or a third of them.
+func (x *simulation) disconnectSome(until time.Time) {
 	if oneIn(x.random, 2) {
-		x.changeSome(func(w *simWorker) { w.cutOffUntil = until })
+		x.changeSome(func(w *simWorker) { w.unreachableUntil = until })
 		return
 	}
 	x.workers.mu.Lock()
 	defer x.workers.mu.Unlock()
-	x.workers.all[x.random.IntN(len(x.workers.all))].cutOffUntil = until
+	x.workers.all[x.random.IntN(len(x.workers.all))].unreachableUntil = until
 }
 
 // neverReturnsOneIn: one in this many crashed workers never returns.
--- a/internal/control/simulation_lines_test.go
+++ b/internal/control/simulation_lines_test.go
@@ -14,7 +14,7 @@
 type simLog struct {
 	mu   sync.Mutex
 	text []string
-	// scanned is how many lines have been searched for claims of unaccounted runs.
+	// scanned is how many lines have been searched for orphaned runs.
 	scanned int
 }
 
@@ -31,7 +31,7 @@
 	return len(line), nil
 }
 
-func (l *simLog) note(event string, w *simWorker, run workflow.Run, err error) {
+func (l *simLog) logRun(event string, w *simWorker, run workflow.Run, err error) {
 	_, _ = fmt.Fprintf(l, "ms=%d worker=%s %s task=%s run=%d err=%v\n", virtualMS(), w.ID, event, run.Task, run.Number, err)
 }
 
@@ -58,13 +58,13 @@
 	return strings.Join(found[max(0, len(found)-maxShownLines):], "")
 }
 
-// claimKey returns the text by which a log line names a run that was found to be orphaned.
-func claimKey(run workflow.Run) string {
+// orphanKey returns the text by which a log line names a run that was found to be orphaned.
+func orphanKey(run workflow.Run) string {
 	return fmt.Sprintf("event=run_claimed task=%s run=%d worker=%s ", run.Task, run.Number, run.Worker)
 }
 
-// claims returns the new lines about orphaned runs that are not in allowed.
-func (l *simLog) claims(allowed map[string]bool) (found []string) {
+// unexpectedOrphans returns the new lines about orphaned runs that are not in allowed.
+func (l *simLog) unexpectedOrphans(allowed map[string]bool) (found []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for ; l.scanned < len(l.text); l.scanned++ {
--- a/internal/control/simulation_poll_test.go
+++ b/internal/control/simulation_poll_test.go
@@ -15,7 +15,7 @@
 // callGap separates two calls of a caller in virtual time.
 const callGap = time.Microsecond
 
-// Look answers a poll once a run has ended or the wait is over.
+// Poll answers a poll once a run has ended or the wait is over.
 func (r *simWorkers) Poll(ctx context.Context, to Target, o PollOrder) (Report, error) {
 	defer time.Sleep(callGap)
 	w, f, err := r.reach(ctx, "look", to, workflow.Run{})
@@ -71,7 +71,7 @@
 }
 
 // report returns the report of a worker. r.mu must be held.
-func (r *simWorkers) report(w *simWorker, seen uint64) Report {
+func (r *simWorkers) report(w *simWorker, lastEnd uint64) Report {
 	now := time.Now()
 	report := Report{ClockMS: w.clockMS(now)}
 	for task, run := range w.running {
@@ -86,7 +86,7 @@
 		limit, report.Partial = 1, true
 	}
 	for _, e := range w.ended {
-		if e.Position <= seen {
+		if e.Position <= lastEnd {
 			continue
 		}
 		if len(report.Ended) == limit {
@@ -100,9 +100,9 @@
 
 // acknowledge records that a leader has acknowledged ends. An acknowledged end is final,
 // unless the lease expired between the end and the acknowledgement. r.mu must be held.
-func (r *simWorkers) acknowledge(w *simWorker, seen uint64) {
-	w.highestSeen = max(w.highestSeen, seen)
-	for ; w.acknowledged < min(seen, uint64(len(w.ended))); w.acknowledged++ {
+func (r *simWorkers) acknowledge(w *simWorker, lastEnd uint64) {
+	w.highestSeen = max(w.highestSeen, lastEnd)
+	for ; w.acknowledged < min(lastEnd, uint64(len(w.ended))); w.acknowledged++ {
 		e, at := w.ended[w.acknowledged], w.endedAt[w.acknowledged]
 		step := r.stepOf(e.Task)
 		if e.Outcome != workflow.OutcomeDone || w.leaseExpiredAt.After(at) || step == nil {
@@ -126,7 +126,7 @@
 func (r *simWorkers) runTasks(ctx context.Context) {
 	for wait.For(ctx, simRunInterval) {
 		r.mu.Lock()
-		now, present := time.Now(), r.gangsPresent()
+		now, present := time.Now(), r.runningGangMembers()
 		for _, w := range r.all {
 			for task, run := range w.running {
 				switch {
@@ -145,8 +145,8 @@
 	}
 }
 
-// gangsPresent counts the running members of each run of a gang. r.mu must be held.
-func (r *simWorkers) gangsPresent() map[gangRun]int {
+// runningGangMembers counts the running members of each run of a gang. r.mu must be held.
+func (r *simWorkers) runningGangMembers() map[gangRun]int {
 	present := map[gangRun]int{}
 	for _, w := range r.all {
 		for task, run := range w.running {
--- a/internal/control/simulation_replica_test.go
+++ b/internal/control/simulation_replica_test.go
@@ -24,7 +24,7 @@
 	lastAt time.Time
 	// slowUntil is when commits are fast again, delayedUntil when the log can confirm the
 	// leadership again, fullUntil when it accepts calls again.
-	slowUntil, heldUntil, fullUntil time.Time
+	slowUntil, delayedUntil, fullUntil time.Time
 	// unknownOutcome holds the commands whose outcome was unknown when their leader lost
 	// the leadership.
 	unknownOutcome [][]byte
@@ -100,7 +100,7 @@
 	s, now := l.store, time.Now()
 	s.mu.Lock()
 	err := l.refusal(now)
-	if err == nil && now.Before(s.heldUntil) {
+	if err == nil && now.Before(s.delayedUntil) {
 		s.refused++
 		err = notProposed(node.ErrNotLeader)
 	}
@@ -133,12 +133,12 @@
 func (l *simReplica) Barrier(ctx context.Context) error {
 	l.store.mu.Lock()
 	err := l.refusal(time.Now())
-	held := time.Until(l.store.heldUntil)
+	delay := time.Until(l.store.delayedUntil)
 	l.store.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	wait.For(ctx, max(held, 0)+time.Millisecond)
+	wait.For(ctx, max(delay, 0)+time.Millisecond)
 	if l.leadershipLost() {
 		return notProposed(node.ErrNotLeader)
 	}
@@ -151,7 +151,7 @@
 	}
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
-	return replica.Status{Role: replica.Leader, Term: l.term, CanDecide: !time.Now().Before(l.store.heldUntil)}
+	return replica.Status{Role: replica.Leader, Term: l.term, CanDecide: !time.Now().Before(l.store.delayedUntil)}
 }
 
 func (l *simReplica) Changed() <-chan struct{} {
--- a/internal/control/simulation_test.go
+++ b/internal/control/simulation_test.go
@@ -53,11 +53,11 @@
 	x.workers = &simWorkers{
 		params: x.params, seed: seed, stepOf: x.stepOf, lines: x.lines, current: map[string]*simWorker{}, calls: map[string]int{},
 		startedAt: map[workflow.TaskKey][]time.Time{}, doneAt: map[workflow.TaskKey]time.Time{}, completeGangs: map[gangRun]bool{},
-		lastStart: map[workflow.StepKey]time.Time{}, allowedClaims: map[string]bool{},
+		lastStart: map[workflow.StepKey]time.Time{}, allowedOrphans: map[string]bool{},
 		crashes: map[workflow.TaskKey]int{}, startsAfterThirdCrash: map[workflow.TaskKey]int{},
 	}
 	x.adviser = &simAdviser{
-		params: x.params, seed: seed, policyOf: x.adviceOf, stepOf: x.stepOf, faultsOver: x.areFaultsOver, random: rand.New(rand.NewPCG(seed, 5)), busyUntil: map[string]time.Time{}, cutOffUntil: map[string]time.Time{},
+		params: x.params, seed: seed, policyOf: x.adviceOf, stepOf: x.stepOf, faultsOver: x.areFaultsOver, random: rand.New(rand.NewPCG(seed, 5)), busyUntil: map[string]time.Time{}, unreachableUntil: map[string]time.Time{},
 	}
 	return x
 }
@@ -131,7 +131,7 @@
 	for round := 0; ctx.Err() == nil; round++ {
 		c := x.controller()
 		for i := 1; i < x.params.adviserConns; i++ {
-			if address := fmt.Sprint("instance", i); !x.adviser.isCutOff(address) {
+			if address := fmt.Sprint("instance", i); !x.adviser.isUnreachable(address) {
 				_, _ = c.Follow(ctx, &FollowCall{Address: address})
 			}
 		}
@@ -236,7 +236,7 @@
 	x.workers.restoreCapacities()
 	x.workers.mu.Unlock()
 	x.store.mu.Lock()
-	x.store.slowUntil, x.store.heldUntil, x.store.fullUntil = time.Time{}, time.Time{}, time.Time{}
+	x.store.slowUntil, x.store.delayedUntil, x.store.fullUntil = time.Time{}, time.Time{}, time.Time{}
 	x.store.mu.Unlock()
 	x.lines.logf("faults over")
 }
@@ -246,11 +246,11 @@
 // carried out late; workers crash, become unreachable and refuse starts; reports are
 // partial; leaders change; the log is slow, delayed or full and leaves the outcome of
 // commands unknown; more work arrives than fits. Then all faults end, and each ready task
-// with free resources for it twice over has to start within a bound.
+// with free resources for twice its demand has to start within a bound.
 //
 // The outcome of each call depends only on the seed and the call, time is virtual, and all
-// bounds are far above what correct code needs. The order of goroutines at one moment
-// isn't drawn, so two runs of a seed differ in their details.
+// bounds are far above what correct code needs. The order of goroutines that run at the
+// same virtual time isn't seeded, so two runs of a seed differ in their details.
 //
 // BILBERRY_SEEDS sets the number of seeds, BILBERRY_SEED the first one.
 func TestSimulationStartsAllPlaceableWork(t *testing.T) {
--- a/internal/control/simulation_worker_test.go
+++ b/internal/control/simulation_worker_test.go
@@ -26,10 +26,10 @@
 	acknowledged, highestSeen uint64
 	leaseEnd                  time.Time
 	leaseExpiredAt            time.Time
-	// cutOffUntil is when calls get through again, refusingUntil when the worker accepts
+	// unreachableUntil is when calls get through again, refusingUntil when the worker accepts
 	// starts again, partialReportsUntil when its reports are complete again.
-	cutOffUntil, refusingUntil, partialReportsUntil time.Time
-	gone                                            bool
+	unreachableUntil, refusingUntil, partialReportsUntil time.Time
+	gone                                                 bool
 	// previousCapacity is the capacity before the last change, at changedAt.
 	previousCapacity workflow.Resources
 	changedAt        time.Time
@@ -71,9 +71,9 @@
 	starts        int
 	// lastStart is when a task of a step last started.
 	lastStart map[workflow.StepKey]time.Time
-	// allowedClaims are the runs that a leader may find to be orphaned: those whose start
+	// allowedOrphans are the runs that a leader may find to be orphaned: those whose start
 	// was misdirected.
-	allowedClaims map[string]bool
+	allowedOrphans map[string]bool
 	// crashes counts the workers that crashed under a task, startsAfterThirdCrash the
 	// starts of a crashing task after the third crash.
 	crashes, startsAfterThirdCrash map[workflow.TaskKey]int
@@ -115,7 +115,7 @@
 
 func (w *simWorker) clockMS(at time.Time) int64 { return at.Add(w.clockOffset).UnixMilli() }
 
-func (w *simWorker) reachable(now time.Time) bool { return !w.gone && !now.Before(w.cutOffUntil) }
+func (w *simWorker) reachable(now time.Time) bool { return !w.gone && !now.Before(w.unreachableUntil) }
 
 // callOutcome is the drawn outcome of one call.
 type callOutcome struct {
@@ -204,7 +204,7 @@
 	}
 	f := r.drawCallOutcome(kind, w, run)
 	if f.misdirected {
-		r.allowedClaims[claimKey(run)] = true
+		r.allowedOrphans[orphanKey(run)] = true
 	}
 	r.mu.Unlock()
 	wait.For(ctx, f.requestDelay)
@@ -221,7 +221,7 @@
 func (r *simWorkers) Start(ctx context.Context, to Target, o StartOrder) (int64, error) {
 	return r.deliver(ctx, "start", to, o.Run, func(w *simWorker) error {
 		err := r.startRun(w, o)
-		r.lines.note("start", w, o.Run, err)
+		r.lines.logRun("start", w, o.Run, err)
 		return err
 	})
 }
@@ -342,6 +342,6 @@
 		RunEnd: workflow.RunEnd{Task: task, Number: run.number, Outcome: outcome}})
 	w.endedAt = append(w.endedAt, time.Now())
 	r.acknowledge(w, w.highestSeen)
-	r.lines.note("ends "+outcome.String(), w, workflow.Run{Task: task, Number: run.number}, nil)
+	r.lines.logRun("ends "+outcome.String(), w, workflow.Run{Task: task, Number: run.number}, nil)
 	w.notifyChanged()
 }
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -29,8 +29,8 @@
 }
 
 const (
-	// extraStepCapacity is how many more steps than at the last decision the list is
-	// allocated for.
+	// extraStepCapacity is how many steps the list has capacity for beyond the number of
+	// steps that waited at the last decision.
 	extraStepCapacity = 64
 	// runCheckInterval is the time between two checks of all runs for stops and copies. It
 	// takes a run seconds to need one.
@@ -49,25 +49,25 @@
 	// A full decision covers the changed jobs as well.
 	t.takeChanged()
 	// The number of waiting steps at the last decision estimates the current number.
-	v := planInput{copyCandidates: map[workflow.TaskKey]copyCandidate{}, runsPerWorker: map[workflow.StepKey]map[string]int{}, steps: make([]dispatch.Step, 0, len(t.waiting)+extraStepCapacity)}
+	input := planInput{copyCandidates: map[workflow.TaskKey]copyCandidate{}, runsPerWorker: map[workflow.StepKey]map[string]int{}, steps: make([]dispatch.Step, 0, len(t.waiting)+extraStepCapacity)}
 	t.c.state.read(func(s *workflow.State) {
 		if now.Sub(t.runsCheckedAt) >= runCheckInterval {
 			t.runsCheckedAt = now
 			t.countRuns(s, now)
 			t.adoptWorkers(s, now)
-			t.checkRuns(s, now, &v)
+			t.checkRuns(s, now, &input)
 		}
-		v.workers = t.gatherWorkers(s, now)
+		input.workers = t.gatherWorkers(s, now)
 		for _, job := range s.OpenJobs() {
-			t.gatherSteps(&v, s, job, now)
+			t.gatherSteps(&input, s, job, now)
 		}
-		t.addCopySteps(&v, s, now)
+		t.addCopySteps(&input, s, now)
 	})
-	return v
+	return input
 }
 
 // checkRuns finds the runs that are to be stopped and those worth a copy.
-func (t *leaderTerm) checkRuns(s *workflow.State, now time.Time, v *planInput) {
+func (t *leaderTerm) checkRuns(s *workflow.State, now time.Time, input *planInput) {
 	for id, runs := range s.Runs {
 		session := t.sessions[id]
 		if session == nil {
@@ -77,27 +77,28 @@
 			cause := t.stopCauseOf(s, run, session, now)
 			if cause == stopNone {
 				if !t.disabled.Copies {
-					v.addCopyCandidate(t, s, run, session, now)
+					input.addCopyCandidate(t, s, run, session, now)
 				}
 			} else if session.stopDue(run, cause, now) {
 				stop := pendingStop{session, run, cause}
-				// Recorded at once, because it affects the runs that are checked after this
+				// Recorded now, because it affects the runs that are checked after this
 				// one.
 				session.recordStop(stop, now)
-				v.stops = append(v.stops, stop)
+				input.stops = append(input.stops, stop)
 			}
 		}
 	}
 }
 
-// runsPerWorkerOf counts the runs of a step on each worker, including starts that are being
-// committed. It returns nil if the step doesn't limit its tasks per worker. The step and
-// the copies of its tasks share the counts, so that one decision counts both. t.mu is held.
-func (v *planInput) runsPerWorkerOf(t *leaderTerm, s *workflow.State, key workflow.StepKey, spec *workflow.Step) map[string]int {
+// runsPerWorkerOf counts the runs of a step on each worker, including starts that are
+// being committed. It returns nil if the step doesn't limit its tasks per worker. The step
+// and the copies of its tasks share the counts, so that one decision counts both. t.mu
+// must be held.
+func (input *planInput) runsPerWorkerOf(t *leaderTerm, s *workflow.State, key workflow.StepKey, spec *workflow.Step) map[string]int {
 	if spec.MaxPerWorker == 0 {
 		return nil
 	}
-	if counts := v.runsPerWorker[key]; counts != nil {
+	if counts := input.runsPerWorker[key]; counts != nil {
 		return counts
 	}
 	counts := map[string]int{}
@@ -107,12 +108,12 @@
 			counts[worker]++
 		}
 	}
-	v.runsPerWorker[key] = counts
+	input.runsPerWorker[key] = counts
 	return counts
 }
 
 // gatherWorkers returns the workers that may get tasks, sorted by ID, with their free
-// capacity. t.mu is held.
+// capacity. t.mu must be held.
 func (t *leaderTerm) gatherWorkers(s *workflow.State, now time.Time) []dispatch.Worker {
 	workers := make([]dispatch.Worker, 0, len(t.sessions))
 	proposed := map[string]workflow.Resources{}
@@ -152,7 +153,7 @@
 }
 
 // summarizeRuns returns the summary of the runs on a worker, cached if it is recent. t.mu
-// is held.
+// must be held.
 func (t *leaderTerm) summarizeRuns(s *workflow.State, session *workerSession, changes uint64, now time.Time) runSummary {
 	if cached := session.runSummary; cached.changes == changes && now.Sub(cached.at) < maxReleasesAge {
 		return cached
@@ -180,7 +181,7 @@
 const unpreemptibleRun = 4
 
 // runRelease returns when a run is expected to release its capacity, and whether it can be
-// preempted. t.mu is held.
+// preempted. t.mu must be held.
 func (t *leaderTerm) runRelease(session *workerSession, job *workflow.Job, run workflow.Run, now time.Time) dispatch.Release {
 	spec := &job.Steps[run.Task.Step]
 	r := dispatch.Release{
@@ -204,7 +205,8 @@
 
 // expectedEnd estimates when a run ends: from its progress if the worker has reported
 // enough of it, else from the job's estimate. A run whose start time isn't known counts as
-// half done. A run past its estimate is expected to take another tenth of it. t.mu is held.
+// half done. A run past its estimate is expected to take another tenth of it. t.mu must be
+// held.
 func (s *workerSession) expectedEnd(run workflow.Run, step *workflow.Step, now time.Time) time.Time {
 	estimate := time.Duration(step.EstimateMS) * time.Millisecond
 	o := s.orders[run.Task]
@@ -221,8 +223,8 @@
 	return o.startedAt.Add(max(rest, elapsed+estimate/10))
 }
 
-// gatherSteps adds the ready steps of a job that have tasks to start. t.mu is held.
-func (t *leaderTerm) gatherSteps(v *planInput, s *workflow.State, job *workflow.Job, now time.Time) {
+// gatherSteps adds the ready steps of a job that have tasks to start. t.mu must be held.
+func (t *leaderTerm) gatherSteps(input *planInput, s *workflow.State, job *workflow.Job, now time.Time) {
 	accepted, ok := t.acceptedAt[job.ID]
 	if !ok {
 		accepted = t.started
@@ -245,17 +247,17 @@
 			if len(pending) == 0 || !job.StepReady(occurrence, step) {
 				continue
 			}
-			placed := v.runsPerWorkerOf(t, s, key, &job.Steps[step])
+			placed := input.runsPerWorkerOf(t, s, key, &job.Steps[step])
 			ready := t.dispatchStep(job, key, pending, objectiveStart, objective, now, placed)
 			ready.Suspects = suspectsAmong(state, pending)
-			v.steps = append(v.steps, ready)
+			input.steps = append(input.steps, ready)
 		}
 	}
 }
 
 // dispatchStep describes a ready step for a decision. The objective counts from
 // objectiveStart. Lateness is 2 for a job that has no value any more, and 1 for one that
-// can't meet its objective any more. t.mu is held.
+// can't meet its objective any more. t.mu must be held.
 func (t *leaderTerm) dispatchStep(job *workflow.Job, key workflow.StepKey, pending []int, objectiveStart time.Time,
 	objective time.Duration, now time.Time, placed map[string]int) dispatch.Step {
 	step := dispatch.Step{
@@ -289,13 +291,13 @@
 const minEstimateShare = 0.6
 
 // minRemainingTime returns the least time that a step takes. Under overload, a job that
-// can't meet its objective any more yields to one that still can.
+// can't meet its objective any more goes after one that still can.
 func minRemainingTime(spec *workflow.Step) time.Duration {
 	return time.Duration(minEstimateShare * float64(spec.EstimateMS) * float64(time.Millisecond))
 }
 
 // pendingTasks returns the tasks of a step that may be started; for a gang all or none.
-// t.mu is held.
+// t.mu must be held.
 func (t *leaderTerm) pendingTasks(key workflow.StepKey, spec *workflow.Step, state *workflow.StepState) []int {
 	if spec.Gang && (state.Live() > 0 || state.Done > 0) {
 		return nil
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -10,8 +10,8 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// Failure: a job doesn't run to its end. It is submitted, started on the only worker, ends
-// there, and has to be reported as done.
+// Guards against this failure: a job doesn't run to its end. It is submitted, started on
+// the only worker, ends there, and has to be reported as done.
 func TestJobRunsToItsEnd(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	w.withWorker("w1", func(f *fakeWorker) {
@@ -22,8 +22,9 @@
 	w.eventually("the job is done", func() bool { return w.phase("a") == workflow.PhaseDone })
 }
 
-// Failure: a worker is told to run a task without its payload. The job is cancelled, which
-// drops the payload, between the commit of the start and the creation of the order.
+// Guards against this failure: a worker is ordered to run a task without its payload. The
+// job is cancelled, which drops the payload, between the commit of the start and the
+// creation of the order.
 func TestNoStartIsSentForJobCancelledDuringCommit(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -46,8 +47,8 @@
 	must.Eq(t, 0, w.started("w1"))
 }
 
-// Failure: an urgent task is late although its worker is idle. Its start is lost, and the
-// second attempt waits for the timeout of the first.
+// Guards against this failure: an urgent task is late although its worker is idle. Its
+// start is lost, and the second attempt waits for the timeout of the first.
 func TestOverdueStartIsSentAgainConcurrently(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1").hangingStarts = 1
@@ -64,10 +65,10 @@
 	w.c.state.read(func(s *workflow.State) { must.Eq(t, 1, s.Task(task("a", 0)).Runs) })
 }
 
-// Failure: tasks wait for the lease of a worker that became unreachable before their starts
-// were sent. A step's tasks are assigned to one worker, which doesn't answer the first
-// starts. If the remaining starts are sent all the same, their tasks can't move to an idle
-// worker.
+// Guards against this failure: tasks wait for the lease of a worker that became
+// unreachable before their starts were sent. A step's tasks are assigned to one worker,
+// which doesn't answer the first starts. If the remaining starts are sent all the same,
+// their tasks can't move to an idle worker.
 func TestStartsQueuedBehindOverdueStartMoveElsewhere(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1").hangingStarts = 1000
--- a/internal/control/starts.go
+++ b/internal/control/starts.go
@@ -11,8 +11,8 @@
 )
 
 // maxConcurrentStarts is how many starts to one worker may be in flight. A step with many
-// tasks is assigned to few workers. If all were sent at once, each start would open its own
-// connection, which costs the caller more than the start itself.
+// tasks is assigned to few workers. If all were sent concurrently, each start would open
+// its own connection, which costs the caller more than the start itself.
 const maxConcurrentStarts = 3
 
 // sendStart sends a committed start until the worker has answered, and stops the run if it
@@ -166,7 +166,7 @@
 
 func (s *workerSession) releaseStartSlot() { <-s.startSlots }
 
-// taskPending reports whether the run's task still has to be done. t.mu is held.
+// taskPending reports whether the run's task still has to be done. t.mu must be held.
 func (t *leaderTerm) taskPending(run workflow.Run) (pending bool) {
 	t.c.state.read(func(s *workflow.State) {
 		job := s.Jobs[run.Task.Job]
--- a/internal/control/stops.go
+++ b/internal/control/stops.go
@@ -31,7 +31,8 @@
 	cause   stopCause
 }
 
-// stopCauseOf returns why a run is to be stopped, or stopNone if it isn't. t.mu is held.
+// stopCauseOf returns why a run is to be stopped, or stopNone if it isn't. t.mu must be
+// held.
 func (t *leaderTerm) stopCauseOf(s *workflow.State, run workflow.Run, session *workerSession, now time.Time) stopCause {
 	if t.isOrphaned(run, now) {
 		// Checked first: the other causes assume that the run's end will be reported.
@@ -70,7 +71,7 @@
 }
 
 // stopDue reports whether a stop of the run is to be sent now. Without an order of this
-// leader term, that holds for orphaned and inherited runs only. t.mu is held.
+// leader term, that holds for orphaned and inherited runs only. t.mu must be held.
 func (s *workerSession) stopDue(run workflow.Run, cause stopCause, now time.Time) bool {
 	o := s.orders[run.Task]
 	if o == nil || o.run.Number != run.Number {
@@ -81,7 +82,7 @@
 
 // recordStop records that a stop is sent. The first stop of a stalled run counts as a
 // failure of its worker, because the worker, idle again, would otherwise be the first
-// choice for the same task. t.mu is held.
+// choice for the same task. t.mu must be held.
 func (s *workerSession) recordStop(stop pendingStop, now time.Time) {
 	o := s.orders[stop.run.Task]
 	if o == nil || o.run.Number != stop.run.Number {
--- a/internal/control/stops_test.go
+++ b/internal/control/stops_test.go
@@ -10,10 +10,10 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// Failure: an urgent gang waits behind a batch job, or the batch job restarts from nothing.
-// A batch task with checkpoints fills the worker when the gang arrives. It has to be
-// preempted, its stop has to be repeated after the first one is lost, and it has to resume
-// from its checkpoint after the gang has ended.
+// Guards against this failure: an urgent gang waits behind a batch job, or the batch job
+// restarts from nothing. A batch task with checkpoints fills the worker when the gang
+// arrives. It has to be preempted, its stop has to be repeated after the first one is
+// lost, and it has to resume from its checkpoint after the gang has ended.
 func TestBatchTaskIsPreemptedByGangAndResumes(t *testing.T) {
 	w := newTestCluster(t, func(w *testCluster) {
 		w.commit(&workflow.Command{Configuration: &workflow.Document{Version: 2, Source: []byte("{}"), Queues: []workflow.Queue{
@@ -51,7 +51,7 @@
 	w.withWorker("w1", func(f *fakeWorker) { must.Eq(t, "half", f.starts[3].Checkpoint) })
 }
 
-// Failure: the run of a cancelled job keeps using capacity.
+// Guards against this failure: the run of a cancelled job keeps using capacity.
 func TestRunsOfCancelledJobAreStopped(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	_, err := w.c.Cancel(context.Background(), &CancelCall{Address: JobAddress{Host: "h", Path: "/q/a"}})
@@ -62,12 +62,13 @@
 		w.c.state.read(func(s *workflow.State) { n = len(s.Runs["w1"]) })
 		return n == 0
 	})
-	must.Less(t, time.Second, time.Since(start), must.Sprint("its stop is sent at once"))
+	must.Less(t, time.Second, time.Since(start), must.Sprint("its stop is sent immediately"))
 	must.Eq(t, workflow.PhaseCancelled, w.phase("a"))
 }
 
-// Failure: members of a gang wait for one that never starts. The gang starts on two
-// workers, and one of them refuses its member. The other run has to be stopped.
+// Guards against this failure: members of a gang wait for one that never starts. The gang
+// starts on two workers, and one of them refuses its member. The other run has to be
+// stopped.
 func TestGangMembersAreStoppedWhenOneEnds(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -91,10 +92,10 @@
 	must.Less(t, time.Second, time.Since(start))
 }
 
-// Failure: a batch job restarts from nothing when its worker shuts down. A task with
-// checkpoints, whose end is far off, runs on a draining worker that may soon go. It has to
-// be stopped in time so that it saves its state, while the task without checkpoints beside
-// it runs on.
+// Guards against this failure: a batch job restarts from nothing when its worker shuts
+// down. A task with checkpoints, whose end is far off, runs on a draining worker that may
+// soon shut down. It has to be stopped in time so that it saves its state, while the task
+// without checkpoints on the same worker continues.
 func TestCheckpointingTaskIsStoppedBeforeWorkerLeaves(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
--- a/internal/control/suspect.go
+++ b/internal/control/suspect.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// dataCentreSilenceTimeout is how long no worker of a data centre may answer, while one of
+// dataCentreAnswerTimeout is how long no worker of a data centre may answer, while one of
 // them has an overdue order, before the whole data centre is suspected to be unreachable.
 // Sixteen busy workers answer about fifty calls a second.
-const dataCentreSilenceTimeout = 200 * time.Millisecond
+const dataCentreAnswerTimeout = 200 * time.Millisecond
 
 // recordAnswer records the time of the last answer from the worker's data centre. t.mu
 // must be held.
@@ -16,38 +16,38 @@
 // suspectedDataCentres returns the data centres that are suspected to be unreachable. t.mu
 // must be held.
 //
-// Failure guarded against: a data centre becomes unreachable, and each of its workers is
-// sent another task before its own answer is overdue. Those tasks are blocked until the
+// When a data centre becomes unreachable, each of its workers would otherwise be sent
+// another task before its own answer is overdue. Those tasks would be blocked until the
 // leases expire.
 func (t *leaderTerm) suspectedDataCentres(now time.Time) map[string]bool {
 	suspected := map[string]bool{}
-	silent := t.silentDataCentres(now)
-	if t.disabled.Suspicion || len(silent) == 0 {
+	unresponsive := t.unresponsiveDataCentres(now)
+	if t.disabled.Suspicion || len(unresponsive) == 0 {
 		return suspected
 	}
 	for _, s := range t.sessions {
 		dataCentre := s.worker.DataCentre
-		if silent[dataCentre] && s.ready && s.hasOverdueOrder(now) {
+		if unresponsive[dataCentre] && s.ready && s.hasOverdueOrder(now) {
 			suspected[dataCentre] = true
 		}
 	}
 	return suspected
 }
 
-// silentDataCentres returns the data centres in which no worker has answered within
-// dataCentreSilenceTimeout. A worker that is ready has answered before. t.mu must be held.
-func (t *leaderTerm) silentDataCentres(now time.Time) map[string]bool {
-	silent := map[string]bool{}
+// unresponsiveDataCentres returns the data centres in which no worker has answered within
+// dataCentreAnswerTimeout. A worker that is ready has answered before. t.mu must be held.
+func (t *leaderTerm) unresponsiveDataCentres(now time.Time) map[string]bool {
+	unresponsive := map[string]bool{}
 	for dataCentre, last := range t.dataCentreAnsweredAt {
-		if now.Sub(last) > dataCentreSilenceTimeout {
-			silent[dataCentre] = true
+		if now.Sub(last) > dataCentreAnswerTimeout {
+			unresponsive[dataCentre] = true
 		}
 	}
-	return silent
+	return unresponsive
 }
 
 // suspicionHold is how long a data centre must not be suspected before the contact counts
-// as regained. Between two overdue answers the suspicion disappears for moments.
+// as regained. Between two overdue answers the suspicion disappears briefly.
 const suspicionHold = time.Second
 
 // updateSuspected records the suspected data centres and logs each change. t.mu must be
--- a/internal/control/suspect_test.go
+++ b/internal/control/suspect_test.go
@@ -14,7 +14,7 @@
 // Guards against losing one task after another in the second after a data centre becomes
 // unreachable: no worker of the data centre answers, and one start is overdue. Workers
 // that are judged only by their own overdue orders would all get another task.
-func TestSilentDataCentreIsSuspected(t *testing.T) {
+func TestUnresponsiveDataCentreIsSuspected(t *testing.T) {
 	now := time.Now()
 	term := &leaderTerm{sessions: map[string]*workerSession{}, dataCentreAnsweredAt: map[string]time.Time{}}
 	add := func(id, dataCentre string) *workerSession {
@@ -27,14 +27,14 @@
 	add("a2", "a")
 	add("b1", "b").orders[task("k", 0)] = &runOrder{unanswered: true}
 	add("c1", "c")
-	term.dataCentreAnsweredAt["a"] = now.Add(-2 * dataCentreSilenceTimeout)
-	term.dataCentreAnsweredAt["b"] = now.Add(-dataCentreSilenceTimeout / 2)
-	term.dataCentreAnsweredAt["c"] = now.Add(-2 * dataCentreSilenceTimeout)
+	term.dataCentreAnsweredAt["a"] = now.Add(-2 * dataCentreAnswerTimeout)
+	term.dataCentreAnsweredAt["b"] = now.Add(-dataCentreAnswerTimeout / 2)
+	term.dataCentreAnsweredAt["c"] = now.Add(-2 * dataCentreAnswerTimeout)
 	must.Eq(t, map[string]bool{"a": true}, term.suspectedDataCentres(now))
 }
 
-// Checks that a lost contact is logged once although the suspicion disappears for moments,
-// and that the regained contact is logged once.
+// Checks that a lost contact is logged once although the suspicion disappears briefly, and
+// that the regained contact is logged once.
 func TestDataCentreContactIsLoggedOncePerChange(t *testing.T) {
 	var lines bytes.Buffer
 	now := time.Now()
--- a/internal/control/throttle.go
+++ b/internal/control/throttle.go
@@ -10,8 +10,8 @@
 const (
 	// fullShare is the CPU share of a task that isn't throttled, in percent.
 	fullShare = 100
-	// initialShare is the CPU share in percent that tasks on spare CPU get beside serving
-	// tasks until a report shows the latency of the serving tasks.
+	// initialShare is the CPU share in percent that tasks on spare CPU get on a worker
+	// with serving tasks until a report shows the latency of the serving tasks.
 	initialShare = 30
 	// minShare is the minimum useful CPU share in percent; below it tasks are paused.
 	minShare = 5
@@ -73,7 +73,7 @@
 	return share
 }
 
-// beginSpare records that a task on spare CPU starts beside serving tasks.
+// beginSpare records that a task on spare CPU starts on a worker with serving tasks.
 func (h *throttle) beginSpare(now time.Time) {
 	if !h.spare {
 		h.spare, h.share, h.changedAt = true, initialShare, now
@@ -83,10 +83,10 @@
 // updateThrottle adjusts the CPU share of the tasks on spare CPU to the latency that a
 // report shows for the tasks with a latency objective. t.mu must be held.
 //
-// Failure guarded against: tasks on spare CPU slow down the serving tasks on their worker,
-// by amounts that differ from task to task and change within seconds, and users of the
-// service wait too long. The reported latency shows the slowdown; the share then falls at
-// once and rises slowly.
+// Tasks on spare CPU slow down the serving tasks on their worker, by amounts that differ
+// from task to task and change within seconds, so that users of the service would wait too
+// long. The reported latency shows the slowdown; the share then falls immediately and
+// rises slowly.
 func (s *workerSession) updateThrottle(state *workflow.State, report Report, now time.Time) {
 	worstRatio := 0.0
 	s.throttle.serving, s.throttle.spare = false, false
--- a/internal/control/throttle_test.go
+++ b/internal/control/throttle_test.go
@@ -19,12 +19,12 @@
 		ratio float64
 		want  int
 	}{
-		{"nobody is disturbed", throttle{share: 40, spare: true}, 9, fullShare},
-		{"the first report beside serving tasks", throttle{share: fullShare, serving: true, spare: true}, 0, initialShare},
-		{"a change is given time", throttle{share: 40, serving: true, spare: true, changedAt: now}, 2, 40},
+		{"no serving task on the worker", throttle{share: 40, spare: true}, 9, fullShare},
+		{"the first report with serving tasks", throttle{share: fullShare, serving: true, spare: true}, 0, initialShare},
+		{"too soon after the last change", throttle{share: 40, serving: true, spare: true, changedAt: now}, 2, 40},
 		{"over the objective", throttle{share: 40, serving: true, spare: true, changedAt: old}, 1.2, 10},
 		{"near the objective", throttle{share: 40, serving: true, spare: true, changedAt: old}, 0.95, 20},
-		{"too little to work with", throttle{share: 10, serving: true, spare: true, changedAt: old}, 1.2, 0},
+		{"below the minimum share", throttle{share: 10, serving: true, spare: true, changedAt: old}, 1.2, 0},
 		{"well below", throttle{share: 95, serving: true, spare: true, changedAt: old}, 0.2, fullShare},
 		{"between", throttle{share: 40, serving: true, spare: true, changedAt: old}, 0.8, 40},
 	} {
--- a/internal/control/unreported_runs_test.go
+++ b/internal/control/unreported_runs_test.go
@@ -17,8 +17,8 @@
 	return term
 }
 
-// Failure: a task never runs again. Its start is answered as by another incarnation, and
-// the worker's reports continue as before.
+// Guards against this failure: a task never runs again. Its start is answered as by
+// another incarnation, and the worker's reports continue as before.
 func TestMisdirectedStartIsSettled(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1").misdirected = 1
@@ -27,16 +27,16 @@
 	w.eventually("the task runs", func() bool { return w.started("w1") == 1 })
 }
 
-// Failure: a task never runs again. Its run started, and then appears in no report of the
-// worker, neither as alive nor as ended.
+// Guards against this failure: a task never runs again. Its run started, and then appears
+// in no report of the worker, neither as alive nor as ended.
 func TestRunMissingFromReportsIsSettled(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	w.withWorker("w1", func(f *fakeWorker) { clear(f.running) })
 	w.eventually("the task runs again", func() bool { return w.started("w1") == 2 })
 }
 
-// Failure: a task never runs again. Its start is committed just after the leader stopped
-// monitoring its worker, and the commit of that end fails.
+// Guards against this failure: a task never runs again. Its start is committed just after
+// the leader stopped monitoring its worker, and the commit of that end fails.
 func TestRunOnUnmonitoredWorkerIsSettled(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -64,8 +64,8 @@
 	w.eventually("the task runs elsewhere", func() bool { return w.started("w2") == 1 })
 }
 
-// Failure: a task never runs again after a change of leader. The end of its first run is in
-// a partial report, and the second run never started.
+// Guards against this failure: a task never runs again after a change of leader. The end
+// of its first run is in a partial report, and the second run never started.
 func TestLateEndKeepsLaterInheritedRun(t *testing.T) {
 	w := newTestCluster(t, func(w *testCluster) {
 		w1 := worker("w1")
@@ -103,8 +103,8 @@
 	return w
 }
 
-// Failure: the end of a run is never seen. Its worker is healthy and the leader doesn't
-// monitor it.
+// Guards against this failure: the end of a run is never seen. Its worker is healthy and
+// the leader doesn't monitor it.
 func TestUnmonitoredWorkerWithRunsIsMonitoredAgain(t *testing.T) {
 	w := clusterWithUnmonitoredWorker(t)
 	w.eventually("the worker is monitored", func() bool { return w.currentTerm().monitors("w1") })
@@ -116,8 +116,8 @@
 	must.Eq(t, 0, w.started("w1"))
 }
 
-// Failure: a task never runs again. Its worker is unreachable and the leader doesn't
-// monitor it.
+// Guards against this failure: a task never runs again. Its worker is unreachable and the
+// leader doesn't monitor it.
 func TestRunsOnUnreachableUnmonitoredWorkerAreLost(t *testing.T) {
 	w := clusterWithUnmonitoredWorker(t)
 	w.withWorker("w1", func(f *fakeWorker) { f.answersLost = true })
@@ -126,8 +126,8 @@
 	w.eventually("the task runs elsewhere", func() bool { return w.started("w2") == 1 })
 }
 
-// Failure: a gang never runs again. No pending event will report the end of one member's
-// run, and another member has ended.
+// Guards against this failure: a gang never runs again. No pending event will report the
+// end of one member's run, and another member has ended.
 func TestOrphanedGangRunIsSettledAfterAnotherMemberEnded(t *testing.T) {
 	w := newTestCluster(t, nil)
 	for _, id := range []string{"w1", "w2"} {
