--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet decides which machines move between pools of workers. Decide is a
-// function of a snapshot; it reads no clock and keeps nothing between calls.
+// Package fleet decides which machines move between pools of workers. Decide is a pure
+// function of a snapshot: it reads no clock and keeps no state between calls.
 package fleet
 
 import (
@@ -9,62 +9,63 @@
 )
 
 const (
-	// minShortage is how long a pool must have had too little before it gets a
-	// machine: a burst of a second is over before a machine has come.
+	// minShortage is how long a pool must be short of capacity before it gets a machine: a
+	// burst of 1 s ends before a machine arrives.
 	minShortage = time.Second
-	// minIdle is how long a pool must have had too much before it gives a machine
-	// up: a move costs about as much as a machine for eight seconds, and is needed
-	// twice when the work comes back.
+	// minIdle is how long a pool must have spare capacity before it releases a machine: a move
+	// costs about as much as a machine does in 8 s, and a second move is needed when the load
+	// returns.
 	minIdle = 20 * time.Second
-	// reserveFactor times what a pool wants it keeps when it gives a machine up.
+	// reserveFactor is the capacity, as a multiple of its demand, that a pool must keep when
+	// it releases a machine.
 	reserveFactor = 1.5
-	// maxMoves bounds one decision; the next one sees what these changed.
+	// maxMoves bounds the moves of one decision; the next decision sees their effect.
 	maxMoves = 4
 )
 
-// Machine is a machine that lives in a pool.
+// Machine is a machine in a pool.
 type Machine struct {
 	ID       string
 	MilliCPU int64
-	// Free says that nothing runs there and that it may be moved.
+	// Movable says that nothing runs on the machine and that it may be moved.
 	Movable bool
 }
 
-// Pool is a service's machines and what its tasks need.
+// Pool is the machines of a service and the demand of its tasks.
 type Pool struct {
 	Name string
 	// Standby pools run nothing, and their machines cost nothing.
 	Standby bool
-	// Capacity is what its machines have, those on their way to it included, and
-	// Wanted what its tasks need that run or could; both in thousandths of a core.
+	// Capacity is that of the pool's machines, including those on their way to it; Demand is
+	// that of its running and pending tasks. Both are in thousandths of a core.
 	Capacity, Demand int64
-	// ShortFor and IdleFor are how long it has had too little, or far too much.
+	// ShortFor and IdleFor are how long Short and Idle have held.
 	ShortFor, IdleFor time.Duration
 	Machines          []Machine
 }
 
-// Short reports whether the pool has less than its tasks need.
+// Short reports whether the pool has less capacity than demand.
 func (p *Pool) Short() bool { return !p.Standby && p.Demand > p.Capacity }
 
-// Idle reports whether the pool could spare one of its machines.
+// Idle reports whether the pool can spare one of its machines.
 func (p *Pool) Idle() bool {
 	return !p.Standby && slices.ContainsFunc(p.Machines, p.canSpare)
 }
 
-// spares reports whether the pool keeps enough without m.
+// canSpare reports whether m is movable and the pool keeps its reserve without it.
 func (p *Pool) canSpare(m Machine) bool {
 	return m.Movable && float64(p.Capacity-m.MilliCPU) >= reserveFactor*float64(p.Demand)
 }
 
-// Move gives a machine to another pool.
+// Move is the move of a machine to another pool.
 type Move struct {
 	Machine  string
 	From, To string
 }
 
-// Decide plans moves: to pools that are short, from standby ones before others
-// that can spare a machine; and to a standby pool from one that has far too much.
-// May says whether machines of a pool may go to another one.
+// Decide plans moves to pools that are short, from standby pools first and then from pools
+// that can spare a machine, and from idle pools to a standby pool. Allowed reports whether
+// machines of one pool may go to another one.
 func Decide(pools []Pool, allowed func(from, to string) bool) []Move {
 	p := planner{pools: slices.Clone(pools), allowed: allowed}
 	slices.SortFunc(p.pools, func(a, b Pool) int {
@@ -95,7 +96,7 @@
 	moves   []Move
 }
 
-// fill moves machines to a pool until it has enough.
+// fillShortage moves machines to a pool until it has enough capacity.
 func (p *planner) fillShortage(short *Pool) {
 	for i := range p.pools {
 		from := &p.pools[i]
@@ -110,7 +111,7 @@
 	}
 }
 
-// release gives one machine of a pool to a standby pool.
+// releaseMachine moves one machine of an idle pool to a standby pool.
 func (p *planner) releaseMachine(idle *Pool) {
 	for i := range p.pools {
 		to := &p.pools[i]
@@ -120,7 +121,8 @@
 	}
 }
 
-// moveOne moves the first machine that from can spare.
+// moveOne moves the first machine that from can spare. It returns false if there is none or
+// the decision has maxMoves moves.
 func (p *planner) moveOne(from, to *Pool) bool {
 	index := slices.IndexFunc(from.Machines, func(m Machine) bool {
 		return m.Movable && (from.Standby || from.canSpare(m))
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// pool has n free machines of 10 cores each.
+// pool returns a pool of n movable machines of 10 cores each; demand is in cores.
 func pool(name string, n int, demand int64) Pool {
 	p := Pool{Name: name, Capacity: int64(n) * 10_000, Demand: demand * 1000}
 	for i := range n {
@@ -35,20 +35,20 @@
 		pools []Pool
 		want  []Move
 	}{
-		{name: "a pool that is short gets as many as it needs", pools: []Pool{short(pool("a", 1, 25)), standby(5)},
+		{name: "a short pool gets as many machines as it needs", pools: []Pool{short(pool("a", 1, 25)), standby(5)},
 			want: []Move{{"off0", "off", "a"}, {"off1", "off", "a"}}},
-		{name: "not at once", pools: []Pool{pool("a", 1, 25), standby(5)}},
-		{name: "a bound of moves", pools: []Pool{short(pool("a", 1, 99)), standby(9)},
+		{name: "a pool that just became short gets none", pools: []Pool{pool("a", 1, 25), standby(5)}},
+		{name: "a decision has a limit of moves", pools: []Pool{short(pool("a", 1, 99)), standby(9)},
 			want: []Move{{"off0", "off", "a"}, {"off1", "off", "a"}, {"off2", "off", "a"}, {"off3", "off", "a"}}},
-		{name: "machines that may not be moved stay", pools: []Pool{short(pool("a", 1, 25)), partlyMovable},
+		{name: "machines that aren't movable stay", pools: []Pool{short(pool("a", 1, 25)), partlyMovable},
 			want: []Move{{"off1", "off", "a"}}},
-		{name: "from another pool that can spare one", pools: []Pool{short(pool("a", 1, 15)), pool("b", 3, 5)},
+		{name: "a short pool gets a machine that another pool can spare", pools: []Pool{short(pool("a", 1, 15)), pool("b", 3, 5)},
 			want: []Move{{"b0", "b", "a"}}},
-		{name: "not from one that can't", pools: []Pool{short(pool("a", 1, 15)), busy}},
-		{name: "a pool with far too much gives one up", pools: []Pool{idle(pool("a", 4, 10)), standby(0)},
+		{name: "a pool that can't spare a machine keeps it", pools: []Pool{short(pool("a", 1, 15)), busy}},
+		{name: "an idle pool releases one machine", pools: []Pool{idle(pool("a", 4, 10)), standby(0)},
 			want: []Move{{"a0", "a", "off"}}},
-		{name: "but keeps a reserve", pools: []Pool{idle(pool("a", 2, 10)), standby(0)}},
-		{name: "not where pools don't exchange", pools: []Pool{short(pool("x", 1, 25)), standby(5)}},
+		{name: "an idle pool keeps its reserve", pools: []Pool{idle(pool("a", 2, 10)), standby(0)}},
+		{name: "no move between pools that don't allow it", pools: []Pool{short(pool("x", 1, 25)), standby(5)}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			allowed := func(_, to string) bool { return to != "x" }
