--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -1,6 +1,6 @@
-// Package maintenance decides which machines of a wave are cordoned and go down now.
-// Decide is a function of a snapshot; it reads no clock and keeps nothing between
-// calls. The caller commits each order before it sends it.
+// Package maintenance decides which machines of a maintenance wave to cordon and to take down.
+// Decide is a pure function of a snapshot: it reads no clock and keeps no state between calls.
+// The caller must commit each order before it sends it.
 package maintenance
 
 import (
@@ -11,57 +11,58 @@
 )
 
 const (
-	// drainGrace is how long a machine is given for its tasks to end by
-	// themselves while the wave has time to spare: most tasks run for less.
+	// drainGrace is how long the tasks of a cordoned machine may take to end by themselves
+	// while the wave has time left; most tasks run for less.
 	drainGrace = 4 * time.Second
-	// orderMargin is kept for noticing that a machine is empty or back, for the
-	// commit and for the order: a reading of the list takes up to a second.
+	// orderMargin is reserved per machine for detecting that it is empty or back, for the
+	// commit and for the order. Reading the list of machines takes up to 1 s.
 	orderMargin = 1200 * time.Millisecond
-	// stopTimeout is how long stops may take before a worker that doesn't answer is
-	// taken down as it is.
+	// stopTimeout is how long stops may take before the machine of an unresponsive worker is
+	// taken down anyway.
 	stopTimeout = 1500 * time.Millisecond
 )
 
-// Machine is a machine of a wave whose maintenance isn't over.
+// Machine is a machine of a wave whose maintenance isn't complete.
 type Machine struct {
 	ID string
-	// Down says that its maintenance was ordered and it isn't back.
+	// Down says that its maintenance was ordered and that it isn't back.
 	Down bool
-	// Up says that it may be ordered down.
+	// Up says that it may be taken down.
 	Up bool
-	// Chosen says that it is cordoned, for CordonedFor by now.
+	// Cordoned says that it is cordoned, and CordonedFor how long.
 	Cordoned    bool
 	CordonedFor time.Duration
-	// Empty says that no run may be alive there.
+	// Empty says that no run on it can be alive.
 	Empty bool
-	// EmptyIn is how long what runs there is expected to go on.
+	// EmptyIn is the expected time until its runs have ended.
 	EmptyIn time.Duration
-	// Held says that a long-running task there can't be interrupted at present.
+	// Uninterruptible says that a long-running task on it can't be interrupted at present.
 	Uninterruptible bool
 }
 
-// Wave is what a decision needs to know of a wave.
+// Wave is the input of a decision about a wave.
 type Wave struct {
-	// Remaining is the time left for the whole wave.
+	// Remaining is the time left for the whole wave; negative when it is late.
 	Remaining time.Duration
-	// Length is how long a machine is down.
+	// MachineDowntime is how long a machine is down for its maintenance.
 	MachineDowntime time.Duration
-	// MaxDown is how many machines may be down at the same time.
+	// MaxDown is the maximum number of machines that are down at the same time.
 	MaxDown int
 }
 
-// Plan lists machines by ID.
+// Plan lists the IDs of machines by what to do with them now.
 type Plan struct {
-	// Cordon are to be given nothing new from now on.
+	// Cordon are the machines to cordon: they get no new runs.
 	Cordon []string
-	// Stop are those whose runs are to be stopped now.
+	// Stop are the machines whose runs to stop.
 	Stop []string
-	// Order are to go down now.
+	// TakeDown are the machines to take down.
 	TakeDown []string
 }
 
-// Decide plans for one wave. It takes as few machines as time allows at once, so
-// that the others go on serving, and first those that are empty soonest.
+// Decide plans for one wave. It takes as few machines at the same time as the remaining time
+// allows, so that the others keep serving, and starts with those that are expected to be empty
+// first.
 func Decide(w Wave, machines []Machine) Plan {
 	var plan Plan
 	var waiting, cordoned []Machine
@@ -96,8 +97,8 @@
 	return plan
 }
 
-// parallel is how many machines are taken at once so that n of them are through
-// in time.
+// concurrency returns how many machines to take at the same time so that n machines are
+// finished in the remaining time.
 func concurrency(w Wave, n int) int {
 	if w.Remaining <= 0 {
 		return w.MaxDown
@@ -107,7 +108,7 @@
 	return min(max(needed, 1), w.MaxDown)
 }
 
-// patience is how long a machine may stay cordoned before its runs are stopped.
+// drainTimeout returns how long a machine may stay cordoned before its runs are stopped.
 func (w Wave) drainTimeout(n, concurrent int) time.Duration {
 	if n == 0 || concurrent == 0 {
 		return 0
--- a/maintenance/maintenance_test.go
+++ b/maintenance/maintenance_test.go
@@ -31,23 +31,23 @@
 		machines []Machine
 		want     Plan
 	}{
-		{name: "one at a time while there is time, the one that is empty soonest", wave: long,
+		{name: "one at a time while there is time, the first to be empty first", wave: long,
 			machines: []Machine{busy("a", 5*time.Second), busy("b", time.Second)}, want: Plan{Cordon: []string{"b"}}},
-		{name: "nothing beside one that is down", wave: long, machines: []Machine{down, idle("a")}},
-		{name: "more at once when time is short, never more than allowed", wave: short,
+		{name: "none while one is down", wave: long, machines: []Machine{down, idle("a")}},
+		{name: "more at the same time when time is short, up to MaxDown", wave: short,
 			machines: []Machine{down, idle("a"), idle("b")}, want: Plan{Cordon: []string{"a"}}},
-		{name: "all that is allowed once it is late", wave: late,
+		{name: "MaxDown machines once the wave is late", wave: late,
 			machines: []Machine{idle("a"), idle("b"), idle("c")}, want: Plan{Cordon: []string{"a", "b"}}},
-		{name: "an empty machine goes down", wave: long,
+		{name: "an empty machine is taken down", wave: long,
 			machines: []Machine{cordoned(idle("a"), time.Second), idle("b")}, want: Plan{TakeDown: []string{"a"}}},
-		{name: "a busy one is waited for", wave: long, machines: []Machine{cordoned(busy("a", 5*time.Second), 10*time.Second)}},
-		{name: "its runs are stopped when time is short", wave: short,
+		{name: "a busy machine drains first", wave: long, machines: []Machine{cordoned(busy("a", 5*time.Second), 10*time.Second)}},
+		{name: "runs are stopped when time is short", wave: short,
 			machines: []Machine{cordoned(busy("a", 5*time.Second), 5*time.Second)}, want: Plan{Stop: []string{"a"}}},
-		{name: "a worker that doesn't answer goes down as it is", wave: late,
+		{name: "the machine of an unresponsive worker is taken down", wave: late,
 			machines: []Machine{cordoned(busy("a", 5*time.Second), 2*time.Second)}, want: Plan{TakeDown: []string{"a"}}},
-		{name: "never over a task that can't be interrupted", wave: late,
+		{name: "a machine with an uninterruptible task isn't taken down", wave: late,
 			machines: []Machine{cordoned(uninterruptible, 9*time.Second)}, want: Plan{Stop: []string{"held"}}},
-		{name: "machines that aren't up wait", wave: late, machines: []Machine{{ID: "a", Empty: true}}},
+		{name: "a machine that isn't up is left alone", wave: late, machines: []Machine{{ID: "a", Empty: true}}},
 	} {
 		t.Run(c.name, func(t *testing.T) { must.Eq(t, c.want, Decide(c.wave, c.machines)) })
 	}
