--- a/fault/fault.go
+++ b/fault/fault.go
@@ -1,6 +1,6 @@
-// Package fault holds the closed list of error kinds that callers, operators,
-// workers and minions may see, and the one table that says how each kind is
-// answered: HTTP status, twirp code, exit code and retry advice.
+// Package fault defines the fixed set of error kinds that callers, operators, workers and
+// minions see, and how each kind is answered: HTTP status, twirp code, exit code and retry
+// advice.
 package fault
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/twitchtv/twirp"
 )
 
-// Kind is one entry of the closed list of error kinds.
+// Kind is an error kind of the fixed set.
 type Kind uint8
 
-// The closed list. NotRun is said only with proof that no attempt started.
+// The error kinds. NotRun is used only with proof that no attempt started.
 const (
 	Internal Kind = iota
 	Invalid
@@ -37,16 +37,19 @@
 // Advice says whether and when a caller may send the same call again.
 type Advice uint8
 
-// Advice values.
+// Retry advice.
 const (
-	// Never: the same call will fail again.
+	// Never means that the same call fails again.
 	Never Advice = iota
-	// Later: the same call may be sent again after the delay that the error names.
+	// Later means that the same call may be sent again after the delay that the error names.
 	Later
-	// SameRequestID: the fate of the call is open; resend it with its request id.
+	// SameRequestID means that the outcome of the call is unknown; send it again with the same
+	// request ID.
 	SameRequestID
 )
 
+// answer says how an error kind is answered: the name that users see, the HTTP status, the
+// twirp code, the exit code of the command line and the retry advice.
 type answer struct {
 	name   string
 	status int
@@ -55,7 +58,7 @@
 	advice Advice
 }
 
-// answers is the table from kind to answer.
+// answers has the answer to each kind.
 var answers = [kindCount]answer{
 	Internal:            {"Internal", http.StatusInternalServerError, twirp.Internal, 10, SameRequestID},
 	Invalid:             {"Invalid", http.StatusBadRequest, twirp.InvalidArgument, 2, Never},
@@ -73,19 +76,19 @@
 	Unknown:             {"Unknown", http.StatusGatewayTimeout, twirp.Unknown, 15, Never},
 }
 
-// Names of the twirp metadata and HTTP headers that carry a fault.
+// Names of the twirp metadata and HTTP headers that carry an error.
 const (
 	metaKind       = "kind"
 	metaField      = "field"
 	metaRetryAfter = "retry_after"
 
-	// HeaderKind carries the error kind on answers of the request path.
+	// HeaderKind carries the error kind in HTTP responses of the proxy.
 	HeaderKind = "Bilberry-Error"
-	// HeaderRetryAfter is HTTP's header; whole seconds, rounded up.
+	// HeaderRetryAfter is the HTTP header Retry-After, in whole seconds, rounded up.
 	HeaderRetryAfter = "Retry-After"
 )
 
-// String returns the name of the kind as users see it.
+// String returns the name of the kind as users see it; that of Internal for an unknown kind.
 func (k Kind) String() string {
 	if k >= kindCount {
 		return answers[Internal].name
@@ -93,19 +96,19 @@
 	return answers[k].name
 }
 
-// HTTPStatus returns the HTTP status that answers the kind.
+// HTTPStatus returns the HTTP status for the kind.
 func (k Kind) HTTPStatus() int { return answers[k%kindCount].status }
 
-// TwirpCode returns the twirp code that answers the kind.
+// TwirpCode returns the twirp code for the kind.
 func (k Kind) TwirpCode() twirp.ErrorCode { return answers[k%kindCount].code }
 
 // ExitCode returns the exit code of the command line for the kind.
 func (k Kind) ExitCode() int { return answers[k%kindCount].exit }
 
-// Advice returns whether the call may be sent again.
+// Advice returns whether and when the call may be sent again.
 func (k Kind) Advice() Advice { return answers[k%kindCount].advice }
 
-// Parse finds a kind by its name. An unknown name reads as Internal and false.
+// Parse returns the kind of a name, or Internal and false for an unknown name.
 func Parse(name string) (Kind, bool) {
 	for k := Kind(0); k < kindCount; k++ {
 		if answers[k].name == name {
@@ -115,7 +118,7 @@
 	return Internal, false
 }
 
-// Kinds returns the closed list in order.
+// Kinds returns all kinds in the order of their constants.
 func Kinds() []Kind {
 	kinds := make([]Kind, 0, kindCount)
 	for k := Kind(0); k < kindCount; k++ {
@@ -124,8 +127,8 @@
 	return kinds
 }
 
-// Error is an error of the closed list. Field names the offending field of bad
-// input; RetryAfter is set when coming back later makes sense.
+// Error is an error with a kind. Field names the offending field of invalid input; RetryAfter
+// is the delay before a retry, or 0 if the error names none.
 type Error struct {
 	Kind       Kind
 	Field      string
@@ -141,7 +144,7 @@
 	return e.Kind.String() + ": " + e.Message
 }
 
-// New returns an error of a kind. The stack is kept for logs.
+// New returns an error of a kind. It records the stack for logs.
 func New(kind Kind, format string, args ...any) error {
 	return errors.WithStackDepth(&Error{Kind: kind, Message: errors.Newf(format, args...).Error()}, 1)
 }
@@ -151,13 +154,13 @@
 	return errors.WithStackDepth(&Error{Kind: Invalid, Field: field, Message: errors.Newf(format, args...).Error()}, 1)
 }
 
-// Retry returns an error of a kind that says when to come back.
+// Retry returns an error of a kind that names the delay before a retry.
 func Retry(kind Kind, after time.Duration, format string, args ...any) error {
 	return errors.WithStackDepth(&Error{Kind: kind, RetryAfter: after, Message: errors.Newf(format, args...).Error()}, 1)
 }
 
-// From finds the fault in an error chain. An error that carries none, twirp
-// errors of the wire included, reads as the kind its code stands for.
+// From returns the Error in the chain of err, or nil for nil. It converts a twirp error by its
+// metadata or code, and any other error to Internal.
 func From(err error) *Error {
 	if err == nil {
 		return nil
@@ -173,14 +176,14 @@
 	return &Error{Kind: Internal, Message: err.Error()}
 }
 
-// KindOf returns the kind of an error. It must not be called with nil.
+// KindOf returns the kind of err, which must not be nil.
 func KindOf(err error) Kind { return From(err).Kind }
 
 // Is reports whether err carries the kind.
 func Is(err error, kind Kind) bool { return err != nil && KindOf(err) == kind }
 
-// ToTwirp turns an error into the twirp error that crosses the wire. An error
-// that came over the wire already is passed on as it is.
+// ToTwirp converts err to a twirp error for the wire. A twirp error that carries a kind
+// already is returned unchanged.
 func ToTwirp(err error) error {
 	if err == nil {
 		return nil
@@ -200,7 +203,8 @@
 	return twirpErr
 }
 
-// kindByTwirpCode maps codes that twirp itself raises, without our metadata.
+// kindByTwirpCode maps the codes of errors that twirp itself raises, which carry no kind in
+// their metadata.
 var kindByTwirpCode = map[twirp.ErrorCode]Kind{
 	twirp.InvalidArgument:  Invalid,
 	twirp.Malformed:        Invalid,
@@ -214,6 +218,7 @@
 	twirp.Unknown:          Unavailable,
 }
 
+// fromTwirp converts a twirp error. An error that carries no kind gets that of its code.
 func fromTwirp(twirpErr twirp.Error) *Error {
 	f := &Error{Message: twirpErr.Msg(), Field: twirpErr.Meta(metaField)}
 	if after, err := time.ParseDuration(twirpErr.Meta(metaRetryAfter)); err == nil {
@@ -227,8 +232,8 @@
 		f.Kind = kind
 		return f
 	}
-	// A transport error of the client arrives as Internal: the fate of the
-	// call is open, so it is told as Unavailable, never as a refusal.
+	// Twirp reports a transport error of the client as Internal. The outcome of the call is
+	// unknown, so the kind is Unavailable, never a refusal.
 	if twirpErr.Code() == twirp.Internal {
 		f.Kind = Unavailable
 	}
