--- a/boundary_test.go
+++ b/boundary_test.go
@@ -13,16 +13,17 @@
 	"github.com/shoenig/test/must"
 )
 
-// cores are the packages that others embed and that tests drive step by step.
+// corePackages are the packages that other programs embed and that tests drive step by step.
 var corePackages = []string{"dispatch", "fleet", "hlc", "lease", "placement", "quota", "maintenance", "replica", "routing", "workflow", "internal/state"}
 
-// forbiddenImports would bring in sockets, files or the daemons.
+// forbiddenImports give access to sockets, files and the operating system.
 var forbiddenImports = []string{"net", "os", "syscall", "io/fs"}
 
 const module = "github.com/bilberryferry/bilberryferry/"
 
-// The cores have no input or output, read no clock and start no goroutine, so
-// that a seed decides a whole run and the caller owns every failure.
+// Guards against core packages that do I/O, read a clock or start a goroutine: a seed must
+// decide a whole simulated run, and the embedding program must control every source of
+// failure.
 func TestCorePackagesDoNoIO(t *testing.T) {
 	for _, core := range corePackages {
 		for name, file := range parseCore(t, core) {
@@ -46,11 +47,11 @@
 	}
 }
 
-// platformFolder is the only place that knows the names of the users' platform.
+// platformFolder is the only folder that knows the names of the platform's messages.
 const platformFolder = "platform/"
 
-// platformNames stand on the platform's wire and nowhere in the product. Names
-// that the product uses for something of its own aren't listed.
+// platformNames are names that occur in the platform's messages and nowhere else in the
+// module. Names that the module also uses for something of its own aren't listed.
 var platformNames = []string{
 	"run-start", "run-stop", "/-/hold", "/-/advise", "/-/config", "/-/instances", "/-/readiness", "wave-start", "wave-get",
 	"/-/machines", "/-/pace", "machine-move", "machine-upkeep", "X-Holder-Id", "max_count", "duration_s", "next_token", "page_token",
@@ -59,8 +60,8 @@
 	"start_at_ms", "hold_ms", "repeat_count", "drain_remaining_ms",
 }
 
-// Only the platform's folder knows its names, and it is used by programs alone:
-// the product doesn't depend on it.
+// Guards against a scheduler that depends on one platform: only the platform folder knows its
+// names, and only the programs under cmd import it.
 func TestPlatformNamesStayInTheirFolder(t *testing.T) {
 	must.NoError(t, fs.WalkDir(os.DirFS("."), ".", func(path string, entry fs.DirEntry, err error) error {
 		must.NoError(t, err)
@@ -75,18 +76,19 @@
 		}
 		for _, name := range platformNames {
 			must.False(t, strings.Contains(string(text), `"`+name) || strings.Contains(string(text), name+`"`),
-				must.Sprintf("%s knows the platform's name %s", path, name))
+				must.Sprintf("%s contains the platform's name %s", path, name))
 		}
 		if !strings.HasPrefix(path, "cmd/") {
-			must.False(t, strings.Contains(string(text), module+`platform"`), must.Sprintf("%s uses the platform", path))
+			must.False(t, strings.Contains(string(text), module+`platform"`), must.Sprintf("%s imports package platform", path))
 		}
 		return nil
 	}))
 }
 
-// maxPlatformLines is the aim for the folder without its tests.
+// maxPlatformLines bounds the lines of the platform folder without its tests.
 const maxPlatformLines = 1500
 
+// Guards against logic that moves into the translation layer: the folder stays small.
 func TestPlatformFolderStaysSmall(t *testing.T) {
 	lines := 0
 	entries, err := fs.ReadDir(os.DirFS("."), "platform")
@@ -102,6 +104,8 @@
 	must.LessEq(t, maxPlatformLines, lines)
 }
 
+// readsClock reports whether a selector is a function of package time that depends on the
+// clock.
 func readsClock(selector *ast.SelectorExpr) bool {
 	packageName, ok := selector.X.(*ast.Ident)
 	if !ok || packageName.Name != "time" {
@@ -114,6 +118,7 @@
 	return false
 }
 
+// parseCore parses the files of a package, without its tests.
 func parseCore(t *testing.T, folder string) map[string]*ast.File {
 	entries, err := fs.ReadDir(os.DirFS(folder), ".")
 	must.NoError(t, err)
