--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// drainGrace is how long the tasks of a cordoned machine may take to end by themselves
+	// drainGrace is how long the tasks of a cordoned machine may take to end on their own
 	// while the wave has time left; most tasks run for less.
 	drainGrace = 4 * time.Second
 	// orderMargin is reserved per machine for detecting that it is empty or back, for the
