--- a/internal/carrier/direct_share_test.go
+++ b/internal/carrier/direct_share_test.go
@@ -29,8 +29,9 @@
 	return direct
 }
 
-// The leader of a small deployment must not forward orders while it is idle, or urgent
-// tasks would start and end later than necessary.
+// The leader must not forward orders while they are few, or urgent tasks would start and
+// end later than necessary. At higher rates it must make about 500 calls per second
+// itself.
 func TestLeaderWithFewOrdersCallsWorkersDirectly(t *testing.T) {
 	must.Eq(t, 1000, countDirectWorkers(400))
 	must.Between(t, 200, countDirectWorkers(2000), 300)
--- a/internal/carrier/fake_test.go
+++ b/internal/carrier/fake_test.go
@@ -70,7 +70,7 @@
 	return slices.Clone(c.members)
 }
 
-// setMembers replaces the members and waits until the leader has noticed.
+// setMembers replaces the members and waits until the leader has applied the change.
 func (c *cluster) setMembers(members ...string) {
 	c.mu.Lock()
 	c.members = members
