--- a/internal/cli/change.go
+++ b/internal/cli/change.go
@@ -37,8 +37,8 @@
 	}
 	ctx, stop := s.withTimeout(ctx)
 	defer stop()
-	answer, err := send(ctx, c, id)
-	return answer, withResendHint(err, id)
+	response, err := send(ctx, c, id)
+	return response, withResendHint(err, id)
 }
 
 func cancelCommand() *command {
@@ -85,7 +85,7 @@
 }
 
 func (s *session) cancel(ctx context.Context, request *apiv1.CancelRequest, givenID string) error {
-	answer, err := sendChange(ctx, s, givenID, func(ctx context.Context, c *client, id string) (*apiv1.CancelResponse, error) {
+	response, err := sendChange(ctx, s, givenID, func(ctx context.Context, c *client, id string) (*apiv1.CancelResponse, error) {
 		request.RequestId = id
 		return schedulerCall(ctx, c, request, func(api apiv1.Scheduler) func(context.Context, *apiv1.CancelRequest) (*apiv1.CancelResponse, error) {
 			return api.Cancel
@@ -94,27 +94,27 @@
 	if err != nil {
 		return err
 	}
-	err = s.show(answer, func(out io.Writer) { showCancelled(out, answer, request.DryRun) })
-	if err != nil || len(answer.GetUnreachableDataCentres()) == 0 {
+	err = s.show(response, func(out io.Writer) { showCancelled(out, response, request.DryRun) })
+	if err != nil || len(response.GetUnreachableDataCentres()) == 0 {
 		return err
 	}
 	return withResendHint(fault.New(fault.Unavailable, "not cancelled in data centres that weren't reached: %s",
-		strings.Join(answer.GetUnreachableDataCentres(), ", ")), request.RequestId)
+		strings.Join(response.GetUnreachableDataCentres(), ", ")), request.RequestId)
 }
 
-func showCancelled(out io.Writer, answer *apiv1.CancelResponse, dryRun bool) {
+func showCancelled(out io.Writer, response *apiv1.CancelResponse, dryRun bool) {
 	outcome := "cancelled"
 	noun := "jobs"
-	if len(answer.GetIds()) == 1 {
+	if len(response.GetIds()) == 1 {
 		noun = "job"
 	}
 	if dryRun {
 		outcome = "would be cancelled"
 	}
-	for _, id := range answer.GetIds() {
+	for _, id := range response.GetIds() {
 		fmt.Fprintln(out, oneLine(id))
 	}
-	fmt.Fprintf(out, "%d %s %s\n", len(answer.GetIds()), noun, outcome)
+	fmt.Fprintf(out, "%d %s %s\n", len(response.GetIds()), noun, outcome)
 }
 
 func scaleCommand() *command {
@@ -139,7 +139,7 @@
 }
 
 func (s *session) scale(ctx context.Context, request *apiv1.ScaleRequest, givenID string) error {
-	answer, err := sendChange(ctx, s, givenID, func(ctx context.Context, c *client, id string) (*apiv1.ScaleResponse, error) {
+	response, err := sendChange(ctx, s, givenID, func(ctx context.Context, c *client, id string) (*apiv1.ScaleResponse, error) {
 		request.RequestId = id
 		return schedulerCall(ctx, c, request, func(api apiv1.Scheduler) func(context.Context, *apiv1.ScaleRequest) (*apiv1.ScaleResponse, error) {
 			return api.Scale
@@ -148,7 +148,7 @@
 	if err != nil {
 		return err
 	}
-	return s.show(answer, func(out io.Writer) { s.showJobs(out, []*apiv1.Job{answer.GetJob()}, false) })
+	return s.show(response, func(out io.Writer) { s.showJobs(out, []*apiv1.Job{response.GetJob()}, false) })
 }
 
 func drainCommand() *command {
@@ -181,7 +181,7 @@
 }
 
 func (s *session) drain(ctx context.Context, request *apiv1.DrainRequest, givenID string) error {
-	answer, err := sendChange(ctx, s, givenID, func(ctx context.Context, c *client, id string) (*apiv1.DrainResponse, error) {
+	response, err := sendChange(ctx, s, givenID, func(ctx context.Context, c *client, id string) (*apiv1.DrainResponse, error) {
 		request.RequestId = id
 		return operationsCall(ctx, c, request, func(api apiv1.Operations) func(context.Context, *apiv1.DrainRequest) (*apiv1.DrainResponse, error) {
 			return api.Drain
@@ -190,5 +190,5 @@
 	if err != nil {
 		return err
 	}
-	return s.show(answer, func(io.Writer) { s.showWorkers([]*apiv1.WorkerInfo{answer.GetWorker()}) })
+	return s.show(response, func(io.Writer) { s.showWorkers([]*apiv1.WorkerInfo{response.GetWorker()}) })
 }
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -92,14 +92,14 @@
 // the call is unknown, so the next instance gets the same message with the same
 // request id. The instance that answered is called first next time. The error is
 // Unavailable and lists all causes when no instance answered.
-func call[Q, A any](ctx context.Context, c *client, timeout time.Duration, q Q, method func(*endpoint) func(context.Context, Q) (A, error)) (A, error) {
+func call[Q, A any](ctx context.Context, c *client, timeout time.Duration, request Q, method func(*endpoint) func(context.Context, Q) (A, error)) (A, error) {
 	var none A
 	var causes []string
 	for i, e := range c.endpoints {
-		answer, err := callOne(ctx, timeout, method(e), q)
+		response, err := callOne(ctx, timeout, method(e), request)
 		if err == nil {
 			c.moveToFront(i)
-			return answer, nil
+			return response, nil
 		}
 		f := fault.From(err)
 		if f.Kind != fault.Unavailable {
@@ -115,10 +115,10 @@
 }
 
 // callOne sends a call to one entry instance and waits at most for timeout.
-func callOne[Q, A any](ctx context.Context, timeout time.Duration, method func(context.Context, Q) (A, error), q Q) (A, error) {
+func callOne[Q, A any](ctx context.Context, timeout time.Duration, method func(context.Context, Q) (A, error), request Q) (A, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return method(ctx, q)
+	return method(ctx, request)
 }
 
 // moveToFront makes endpoint i the first one that later calls use.
@@ -136,17 +136,17 @@
 		}
 	}
 	if strings.Contains(message, context.DeadlineExceeded.Error()) {
-		return "no answer in time"
+		return "no response in time"
 	}
 	return message
 }
 
 // schedulerCall is call for a method of the Scheduler service.
-func schedulerCall[Q, A any](ctx context.Context, c *client, q Q, method func(apiv1.Scheduler) func(context.Context, Q) (A, error)) (A, error) {
-	return call(ctx, c, attemptTimeout, q, func(e *endpoint) func(context.Context, Q) (A, error) { return method(e.scheduler) })
+func schedulerCall[Q, A any](ctx context.Context, c *client, request Q, method func(apiv1.Scheduler) func(context.Context, Q) (A, error)) (A, error) {
+	return call(ctx, c, attemptTimeout, request, func(e *endpoint) func(context.Context, Q) (A, error) { return method(e.scheduler) })
 }
 
 // operationsCall is call for a method of the Operations service.
-func operationsCall[Q, A any](ctx context.Context, c *client, q Q, method func(apiv1.Operations) func(context.Context, Q) (A, error)) (A, error) {
-	return call(ctx, c, attemptTimeout, q, func(e *endpoint) func(context.Context, Q) (A, error) { return method(e.operations) })
+func operationsCall[Q, A any](ctx context.Context, c *client, request Q, method func(apiv1.Operations) func(context.Context, Q) (A, error)) (A, error) {
+	return call(ctx, c, attemptTimeout, request, func(e *endpoint) func(context.Context, Q) (A, error) { return method(e.operations) })
 }
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -83,13 +83,13 @@
 }
 
 func (s *session) configGet(ctx context.Context, c *client, _ *configFlags) error {
-	answer, err := operationsCall(ctx, c, &apiv1.GetConfigRequest{}, func(api apiv1.Operations) func(context.Context, *apiv1.GetConfigRequest) (*apiv1.Config, error) {
+	response, err := operationsCall(ctx, c, &apiv1.GetConfigRequest{}, func(api apiv1.Operations) func(context.Context, *apiv1.GetConfigRequest) (*apiv1.Config, error) {
 		return api.GetConfig
 	})
 	if err != nil {
 		return err
 	}
-	return s.show(answer, func(out io.Writer) { writeDocument(out, answer) })
+	return s.show(response, func(out io.Writer) { writeDocument(out, response) })
 }
 
 // writeDocument writes a first line with the version, which "config set" reads,
@@ -143,7 +143,7 @@
 	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	request := &apiv1.SetConfigRequest{RequestId: id, ExpectedVersion: expected, Document: document}
-	answer, err := operationsCall(ctx, c, request, func(api apiv1.Operations) func(context.Context, *apiv1.SetConfigRequest) (*apiv1.Config, error) {
+	response, err := operationsCall(ctx, c, request, func(api apiv1.Operations) func(context.Context, *apiv1.SetConfigRequest) (*apiv1.Config, error) {
 		return api.SetConfig
 	})
 	if fault.Is(err, fault.Conflict) {
@@ -152,7 +152,7 @@
 	if err != nil {
 		return withResendHint(err, id)
 	}
-	return s.show(answer, func(out io.Writer) { fmt.Fprintf(out, "version %d is accepted\n", answer.GetVersion()) })
+	return s.show(response, func(out io.Writer) { fmt.Fprintf(out, "version %d is accepted\n", response.GetVersion()) })
 }
 
 // expectedVersion returns the version on which a new document is based: the value
@@ -181,27 +181,27 @@
 }
 
 func (s *session) configStatus(ctx context.Context, c *client, _ *configFlags) error {
-	answer, err := operationsCall(ctx, c, &apiv1.ConfigStatusRequest{}, func(api apiv1.Operations) func(context.Context, *apiv1.ConfigStatusRequest) (*apiv1.ConfigStatusResponse, error) {
+	response, err := operationsCall(ctx, c, &apiv1.ConfigStatusRequest{}, func(api apiv1.Operations) func(context.Context, *apiv1.ConfigStatusRequest) (*apiv1.ConfigStatusResponse, error) {
 		return api.ConfigStatus
 	})
 	if err != nil {
 		return err
 	}
-	return s.show(answer, func(out io.Writer) {
-		fmt.Fprintf(out, "committed version: %d\n", answer.GetCommittedVersion())
+	return s.show(response, func(out io.Writer) {
+		fmt.Fprintf(out, "committed version: %d\n", response.GetCommittedVersion())
 		t := newTable("INSTANCE", "DATA CENTRE", "VERSION", "STATE")
-		for _, i := range answer.GetInstances() {
-			t.add(textCell("%s", i.GetInstance()), textCell("%s", i.GetDataCentre()), textCell("%d", i.GetVersion()), configStateCell(answer, i))
+		for _, i := range response.GetInstances() {
+			t.add(textCell("%s", i.GetInstance()), textCell("%s", i.GetDataCentre()), textCell("%d", i.GetVersion()), configStateCell(response, i))
 		}
 		t.print(s)
 	})
 }
 
-func configStateCell(answer *apiv1.ConfigStatusResponse, i *apiv1.InstanceConfig) cell {
+func configStateCell(response *apiv1.ConfigStatusResponse, i *apiv1.InstanceConfig) cell {
 	switch {
 	case !i.GetReachable():
 		return cell{"not reached", red}
-	case i.GetVersion() < answer.GetCommittedVersion():
+	case i.GetVersion() < response.GetCommittedVersion():
 		return cell{"behind", yellow}
 	default:
 		return cell{"in force", green}
@@ -210,15 +210,15 @@
 
 func (s *session) configHistory(ctx context.Context, c *client, flags *configFlags) error {
 	request := &apiv1.ConfigHistoryRequest{Limit: int32(flags.limit)}
-	answer, err := operationsCall(ctx, c, request, func(api apiv1.Operations) func(context.Context, *apiv1.ConfigHistoryRequest) (*apiv1.ConfigHistoryResponse, error) {
+	response, err := operationsCall(ctx, c, request, func(api apiv1.Operations) func(context.Context, *apiv1.ConfigHistoryRequest) (*apiv1.ConfigHistoryResponse, error) {
 		return api.ConfigHistory
 	})
 	if err != nil {
 		return err
 	}
-	return s.show(answer, func(io.Writer) {
+	return s.show(response, func(io.Writer) {
 		t := newTable("VERSION", "ACCEPTED", "AUTHOR", "BYTES")
-		for _, version := range answer.GetVersions() {
+		for _, version := range response.GetVersions() {
 			t.add(textCell("%d", version.GetVersion()), textCell("%s", formatUnixTime(version.GetAcceptedUnixMs())),
 				textCell("%s", version.GetAuthor()), textCell("%d", len(version.GetDocument())))
 		}
--- a/internal/cli/errors.go
+++ b/internal/cli/errors.go
@@ -111,8 +111,8 @@
 	fmt.Fprintf(s.app.Stderr, "%s: warning: %s\n", programName, oneLine(fmt.Sprintf(format, args...)))
 }
 
-// warnUnreachable warns about the data centres or instances, as kind calls them,
-// that are missing from an answer.
+// warnUnreachable warns about the data centres or instances, which kind names,
+// that are missing from a response.
 func (s *session) warnUnreachable(kind string, names []string) {
 	if len(names) > 0 {
 		s.warn("%s not reached, the answer leaves them out: %s", kind, strings.Join(names, ", "))
--- a/internal/cli/operations.go
+++ b/internal/cli/operations.go
@@ -25,21 +25,21 @@
 			if err := requireArgs(args); err != nil {
 				return err
 			}
-			answer, err := operationsCallWithTimeout(ctx, s, &apiv1.WorkersRequest{DataCentre: dataCentre}, func(api apiv1.Operations) func(context.Context, *apiv1.WorkersRequest) (*apiv1.WorkersResponse, error) {
+			response, err := operationsCallWithTimeout(ctx, s, &apiv1.WorkersRequest{DataCentre: dataCentre}, func(api apiv1.Operations) func(context.Context, *apiv1.WorkersRequest) (*apiv1.WorkersResponse, error) {
 				return api.Workers
 			})
 			if err != nil {
 				return err
 			}
-			s.warnUnreachable("data centres", answer.GetUnreachableDataCentres())
-			return s.show(answer, func(io.Writer) { s.showWorkers(answer.GetWorkers()) })
+			s.warnUnreachable("data centres", response.GetUnreachableDataCentres())
+			return s.show(response, func(io.Writer) { s.showWorkers(response.GetWorkers()) })
 		},
 	}
 }
 
 // operationsCallWithTimeout is operationsCall with a new client and the time
 // limit of --timeout.
-func operationsCallWithTimeout[Q, A any](ctx context.Context, s *session, q Q, method func(apiv1.Operations) func(context.Context, Q) (A, error)) (A, error) {
+func operationsCallWithTimeout[Q, A any](ctx context.Context, s *session, request Q, method func(apiv1.Operations) func(context.Context, Q) (A, error)) (A, error) {
 	c, err := s.client()
 	if err != nil {
 		var none A
@@ -47,7 +47,7 @@
 	}
 	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
-	return operationsCall(ctx, c, q, method)
+	return operationsCall(ctx, c, request, method)
 }
 
 func (s *session) showWorkers(workers []*apiv1.WorkerInfo) {
@@ -89,14 +89,14 @@
 			if err := requireArgs(args); err != nil {
 				return err
 			}
-			answer, err := operationsCallWithTimeout(ctx, s, &apiv1.QuotasRequest{}, func(api apiv1.Operations) func(context.Context, *apiv1.QuotasRequest) (*apiv1.QuotasResponse, error) {
+			response, err := operationsCallWithTimeout(ctx, s, &apiv1.QuotasRequest{}, func(api apiv1.Operations) func(context.Context, *apiv1.QuotasRequest) (*apiv1.QuotasResponse, error) {
 				return api.Quotas
 			})
 			if err != nil {
 				return err
 			}
-			s.warnUnreachable("data centres", answer.GetUnreachableDataCentres())
-			return s.show(answer, func(io.Writer) { s.showQuotas(answer.GetQuotas()) })
+			s.warnUnreachable("data centres", response.GetUnreachableDataCentres())
+			return s.show(response, func(io.Writer) { s.showQuotas(response.GetQuotas()) })
 		},
 	}
 }
@@ -119,13 +119,13 @@
 			if err := requireArgs(args); err != nil {
 				return err
 			}
-			answer, err := operationsCallWithTimeout(ctx, s, &apiv1.InstancesRequest{}, func(api apiv1.Operations) func(context.Context, *apiv1.InstancesRequest) (*apiv1.InstancesResponse, error) {
+			response, err := operationsCallWithTimeout(ctx, s, &apiv1.InstancesRequest{}, func(api apiv1.Operations) func(context.Context, *apiv1.InstancesRequest) (*apiv1.InstancesResponse, error) {
 				return api.Instances
 			})
 			if err != nil {
 				return err
 			}
-			return s.show(answer, func(io.Writer) { s.showInstances(answer.GetInstances()) })
+			return s.show(response, func(io.Writer) { s.showInstances(response.GetInstances()) })
 		},
 	}
 }
@@ -215,11 +215,11 @@
 		return err
 	}
 	request.RequestId = id
-	answer, err := operationsCallWithTimeout(ctx, s, request, func(api apiv1.Operations) func(context.Context, *apiv1.ReplaceInstanceRequest) (*apiv1.ReplaceInstanceResponse, error) {
+	response, err := operationsCallWithTimeout(ctx, s, request, func(api apiv1.Operations) func(context.Context, *apiv1.ReplaceInstanceRequest) (*apiv1.ReplaceInstanceResponse, error) {
 		return api.ReplaceInstance
 	})
 	if err != nil {
 		return withResendHint(err, id)
 	}
-	return s.show(answer, func(io.Writer) { s.showMembers(answer.GetInstances()) })
+	return s.show(response, func(io.Writer) { s.showMembers(response.GetInstances()) })
 }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -54,12 +54,12 @@
 				return err
 			}
 			request := &apiv1.StatusRequest{WithTasks: tasks, IncludeEnded: ended || len(args) > 0, Limit: int32(limit)}
-			answer, err := s.status(ctx, request, args)
+			response, err := s.status(ctx, request, args)
 			if err != nil {
 				return err
 			}
-			s.warnUnreachable("data centres", answer.GetUnreachableDataCentres())
-			return s.show(answer, func(out io.Writer) { s.showJobs(out, answer.GetJobs(), tasks) })
+			s.warnUnreachable("data centres", response.GetUnreachableDataCentres())
+			return s.show(response, func(out io.Writer) { s.showJobs(out, response.GetJobs(), tasks) })
 		},
 	}
 }
@@ -79,12 +79,12 @@
 	joined := &apiv1.StatusResponse{}
 	for _, id := range ids {
 		request.Id = id
-		answer, err := statusOnce(ctx, c, request)
+		response, err := statusOnce(ctx, c, request)
 		if err != nil {
 			return nil, err
 		}
-		joined.Jobs = append(joined.Jobs, answer.GetJobs()...)
-		joined.UnreachableDataCentres = answer.GetUnreachableDataCentres()
+		joined.Jobs = append(joined.Jobs, response.GetJobs()...)
+		joined.UnreachableDataCentres = response.GetUnreachableDataCentres()
 	}
 	return joined, nil
 }
@@ -160,13 +160,13 @@
 		return err
 	}
 	request := &apiv1.WatchRequest{Id: id, WaitMs: watchPollDuration.Milliseconds()}
-	lastAnswer := s.app.Now()
+	lastResponse := s.app.Now()
 	for {
 		job, err := watchOnce(ctx, c, request)
 		switch {
 		case err == nil:
-			lastAnswer = s.app.Now()
-		case !fault.Is(err, fault.Unavailable) || s.app.Now().Sub(lastAnswer) >= s.globals.timeout:
+			lastResponse = s.app.Now()
+		case !fault.Is(err, fault.Unavailable) || s.app.Now().Sub(lastResponse) >= s.globals.timeout:
 			return err
 		case !wait.For(ctx, watchRetryDelay):
 			return fault.New(fault.Unavailable, "interrupted; the job continues")
@@ -191,16 +191,16 @@
 
 // watchOnce makes one watch call and returns the job.
 func watchOnce(ctx context.Context, c *client, request *apiv1.WatchRequest) (*apiv1.Job, error) {
-	answer, err := call(ctx, c, watchPollDuration+attemptTimeout, request, func(e *endpoint) func(context.Context, *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
+	response, err := call(ctx, c, watchPollDuration+attemptTimeout, request, func(e *endpoint) func(context.Context, *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
 		return e.scheduler.Watch
 	})
 	if err != nil {
 		return nil, err
 	}
-	if len(answer.GetJobs()) != 1 {
-		return nil, fault.New(fault.Unavailable, "the answer holds %d jobs instead of one", len(answer.GetJobs()))
+	if len(response.GetJobs()) != 1 {
+		return nil, fault.New(fault.Unavailable, "the response contains %d jobs instead of one", len(response.GetJobs()))
 	}
-	return answer.GetJobs()[0], nil
+	return response.GetJobs()[0], nil
 }
 
 // showProgress prints one line for a revision of the job. On a terminal it overwrites
@@ -307,27 +307,27 @@
 			ctx, cancel := s.withTimeout(ctx)
 			defer cancel()
 			request := &apiv1.ExplainRequest{Id: args[0]}
-			answer, err := schedulerCall(ctx, c, request, func(api apiv1.Scheduler) func(context.Context, *apiv1.ExplainRequest) (*apiv1.ExplainResponse, error) {
+			response, err := schedulerCall(ctx, c, request, func(api apiv1.Scheduler) func(context.Context, *apiv1.ExplainRequest) (*apiv1.ExplainResponse, error) {
 				return api.Explain
 			})
 			if err != nil {
 				return err
 			}
-			return s.show(answer, func(out io.Writer) { s.showExplanation(out, answer) })
+			return s.show(response, func(out io.Writer) { s.showExplanation(out, response) })
 		},
 	}
 }
 
-func (s *session) showExplanation(out io.Writer, answer *apiv1.ExplainResponse) {
-	fmt.Fprintln(out, oneLine(answer.GetSummary()))
-	if answer.GetExpectedStartUnixMs() != 0 {
-		fmt.Fprintf(out, "expected start: %s\n", formatUnixTime(answer.GetExpectedStartUnixMs()))
+func (s *session) showExplanation(out io.Writer, response *apiv1.ExplainResponse) {
+	fmt.Fprintln(out, oneLine(response.GetSummary()))
+	if response.GetExpectedStartUnixMs() != 0 {
+		fmt.Fprintf(out, "expected start: %s\n", formatUnixTime(response.GetExpectedStartUnixMs()))
 	}
-	if len(answer.GetFilters()) == 0 {
+	if len(response.GetFilters()) == 0 {
 		return
 	}
 	t := newTable("RULED OUT BY", "WORKERS", "FOR EXAMPLE")
-	for _, filter := range answer.GetFilters() {
+	for _, filter := range response.GetFilters() {
 		t.add(textCell("%s", filter.GetFilter()), textCell("%d", filter.GetWorkers()), textCell("%s", filter.GetExampleWorker()))
 	}
 	t.print(s)
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -124,12 +124,12 @@
 	defer cancel()
 	var accepted []*apiv1.SubmitResponse
 	for _, spec := range specs {
-		answer, err := submitOne(ctx, c, spec, earlier)
+		response, err := submitOne(ctx, c, spec, earlier)
 		if err != nil {
 			return accepted, s.warnPartial(err, len(accepted), len(specs))
 		}
-		accepted = append(accepted, answer)
-		if err := s.showAccepted(spec, answer); err != nil {
+		accepted = append(accepted, response)
+		if err := s.showAccepted(spec, response); err != nil {
 			return accepted, err
 		}
 	}
@@ -149,11 +149,11 @@
 			return nil, err
 		}
 	}
-	answer, err := schedulerCall(ctx, c, request, func(api apiv1.Scheduler) func(context.Context, *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
+	response, err := schedulerCall(ctx, c, request, func(api apiv1.Scheduler) func(context.Context, *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
 		return api.Submit
 	})
 	if err == nil || !fault.Is(err, fault.Unavailable) {
-		return answer, err
+		return response, err
 	}
 	hint := "the job may have been accepted; send it again with --home " + request.Home + " --request-id " + id
 	if spec.DeadlineUnixMs != 0 {
@@ -171,10 +171,10 @@
 	if spec.DataCentre != "" {
 		return spec.DataCentre, nil
 	}
-	answer, err := schedulerCall(ctx, c, &apiv1.HomeRequest{}, func(api apiv1.Scheduler) func(context.Context, *apiv1.HomeRequest) (*apiv1.HomeResponse, error) {
+	response, err := schedulerCall(ctx, c, &apiv1.HomeRequest{}, func(api apiv1.Scheduler) func(context.Context, *apiv1.HomeRequest) (*apiv1.HomeResponse, error) {
 		return api.Home
 	})
-	return answer.GetDataCentre(), err
+	return response.GetDataCentre(), err
 }
 
 // warnPartial warns that some files were accepted before the error, which it returns.
@@ -185,10 +185,10 @@
 	return err
 }
 
-func (s *session) showAccepted(spec *apiv1.Spec, answer *apiv1.SubmitResponse) error {
-	return s.show(answer, func(out io.Writer) {
-		state := jobStateCell(answer.GetState())
-		fmt.Fprintln(out, oneLine(fmt.Sprintf("%s %s in %s:", answer.GetId(), spec.GetName(), answer.GetDataCentre())), s.paint(state.colour, state.text))
+func (s *session) showAccepted(spec *apiv1.Spec, response *apiv1.SubmitResponse) error {
+	return s.show(response, func(out io.Writer) {
+		state := jobStateCell(response.GetState())
+		fmt.Fprintln(out, oneLine(fmt.Sprintf("%s %s in %s:", response.GetId(), spec.GetName(), response.GetDataCentre())), s.paint(state.colour, state.text))
 	})
 }
 
@@ -196,8 +196,8 @@
 // the first error.
 func (s *session) waitAll(ctx context.Context, accepted []*apiv1.SubmitResponse) error {
 	var first error
-	for _, answer := range accepted {
-		if err := s.watch(ctx, answer.GetId()); err != nil && first == nil {
+	for _, response := range accepted {
+		if err := s.watch(ctx, response.GetId()); err != nil && first == nil {
 			first = err
 		}
 	}
--- a/internal/cli/timeline.go
+++ b/internal/cli/timeline.go
@@ -96,25 +96,25 @@
 
 // timeline fetches the events from the instances and shows them.
 func (s *session) timeline(ctx context.Context, request *apiv1.EventsRequest, subject, htmlFile string) error {
-	answer, err := operationsCallWithTimeout(ctx, s, request, func(api apiv1.Operations) func(context.Context, *apiv1.EventsRequest) (*apiv1.EventsResponse, error) {
+	response, err := operationsCallWithTimeout(ctx, s, request, func(api apiv1.Operations) func(context.Context, *apiv1.EventsRequest) (*apiv1.EventsResponse, error) {
 		return api.Events
 	})
 	if err != nil {
 		return err
 	}
-	s.warnUnreachable("instances", answer.GetUnreachableInstances())
-	return s.showTimeline(answer, subject, htmlFile)
+	s.warnUnreachable("instances", response.GetUnreachableInstances())
+	return s.showTimeline(response, subject, htmlFile)
 }
 
 // showTimeline prints the events of a response in causal order, or writes them to an
 // HTML file.
-func (s *session) showTimeline(answer *apiv1.EventsResponse, subject, htmlFile string) error {
-	events := event.Merge(event.ListFromAPI(answer.GetEvents()))
+func (s *session) showTimeline(response *apiv1.EventsResponse, subject, htmlFile string) error {
+	events := event.Merge(event.ListFromAPI(response.GetEvents()))
 	if htmlFile == "" {
-		answer.Events = event.ListToAPI(events)
-		return s.show(answer, func(out io.Writer) { s.writeEvents(out, events) })
+		response.Events = event.ListToAPI(events)
+		return s.show(response, func(out io.Writer) { s.writeEvents(out, events) })
 	}
-	page := event.Page{Title: strings.TrimSpace("Timeline " + subject), Unreachable: answer.GetUnreachableInstances()}
+	page := event.Page{Title: strings.TrimSpace("Timeline " + subject), Unreachable: response.GetUnreachableInstances()}
 	err := replaceFile(htmlFile, func(w io.Writer) error { return event.WriteHTML(w, page, events) })
 	if err != nil {
 		return fault.Field("--html", "%v", err)
--- a/internal/cli/workflow.go
+++ b/internal/cli/workflow.go
@@ -17,7 +17,7 @@
 
 // workflowsCall is call for a method of the Workflows service, which is offered by cells
 // whose log spans their data centres. It uses a new client and the time limit of --timeout.
-func workflowsCall[Q, A any](ctx context.Context, s *session, q Q, method func(apiv1.Workflows) func(context.Context, Q) (A, error)) (A, error) {
+func workflowsCall[Q, A any](ctx context.Context, s *session, request Q, method func(apiv1.Workflows) func(context.Context, Q) (A, error)) (A, error) {
 	var none A
 	c, err := s.client()
 	if err != nil {
@@ -25,7 +25,7 @@
 	}
 	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
-	return call(ctx, c, attemptTimeout, q, func(e *endpoint) func(context.Context, Q) (A, error) { return method(e.workflows) })
+	return call(ctx, c, attemptTimeout, request, func(e *endpoint) func(context.Context, Q) (A, error) { return method(e.workflows) })
 }
 
 // workflowActions are the action words of "bilberry workflow".
@@ -97,7 +97,7 @@
 		requests = append(requests, request)
 	}
 	for i, request := range requests {
-		answer, err := workflowsCall(ctx, s, request, func(api apiv1.Workflows) func(context.Context, *apiv1.SubmitWorkflowRequest) (*apiv1.SubmitWorkflowResponse, error) {
+		response, err := workflowsCall(ctx, s, request, func(api apiv1.Workflows) func(context.Context, *apiv1.SubmitWorkflowRequest) (*apiv1.SubmitWorkflowResponse, error) {
 			return api.SubmitWorkflow
 		})
 		if fault.Is(err, fault.Unavailable) || fault.Is(err, fault.Unknown) {
@@ -106,29 +106,29 @@
 		if err != nil {
 			return s.warnPartial(err, i, len(requests))
 		}
-		if err := s.show(answer, func(out io.Writer) { showSubmitted(out, request, answer) }); err != nil {
+		if err := s.show(response, func(out io.Writer) { showSubmitted(out, request, response) }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func showSubmitted(out io.Writer, request *apiv1.SubmitWorkflowRequest, answer *apiv1.SubmitWorkflowResponse) {
+func showSubmitted(out io.Writer, request *apiv1.SubmitWorkflowRequest, response *apiv1.SubmitWorkflowResponse) {
 	outcome := "accepted"
-	if answer.GetKnown() {
+	if response.GetKnown() {
 		outcome = "was accepted before"
 	}
 	fmt.Fprintln(out, oneLine(fmt.Sprintf("%s in %s: %s", request.GetId(), request.GetQueue(), outcome)))
 }
 
 func (s *session) workflowStatus(ctx context.Context, ref *apiv1.WorkflowRef) error {
-	answer, err := workflowsCall(ctx, s, ref, func(api apiv1.Workflows) func(context.Context, *apiv1.WorkflowRef) (*apiv1.WorkflowStatus, error) {
+	response, err := workflowsCall(ctx, s, ref, func(api apiv1.Workflows) func(context.Context, *apiv1.WorkflowRef) (*apiv1.WorkflowStatus, error) {
 		return api.GetWorkflow
 	})
 	if err != nil {
 		return err
 	}
-	return s.show(answer, func(out io.Writer) { s.showWorkflow(out, answer) })
+	return s.show(response, func(out io.Writer) { s.showWorkflow(out, response) })
 }
 
 // showWorkflow prints the steps of a workflow and the workers that crashed.
@@ -158,33 +158,33 @@
 }
 
 func (s *session) cancelWorkflow(ctx context.Context, ref *apiv1.WorkflowRef) error {
-	answer, err := workflowsCall(ctx, s, ref, func(api apiv1.Workflows) func(context.Context, *apiv1.WorkflowRef) (*apiv1.CancelWorkflowResponse, error) {
+	response, err := workflowsCall(ctx, s, ref, func(api apiv1.Workflows) func(context.Context, *apiv1.WorkflowRef) (*apiv1.CancelWorkflowResponse, error) {
 		return api.CancelWorkflow
 	})
 	if err != nil {
 		return err
 	}
-	return s.show(answer, func(out io.Writer) { fmt.Fprintln(out, oneLine(ref.GetId()), "cancelled") })
+	return s.show(response, func(out io.Writer) { fmt.Fprintln(out, oneLine(ref.GetId()), "cancelled") })
 }
 
 func (s *session) explainWorkflow(ctx context.Context, ref *apiv1.WorkflowRef) error {
-	answer, err := workflowsCall(ctx, s, ref, func(api apiv1.Workflows) func(context.Context, *apiv1.WorkflowRef) (*apiv1.ExplainWorkflowResponse, error) {
+	response, err := workflowsCall(ctx, s, ref, func(api apiv1.Workflows) func(context.Context, *apiv1.WorkflowRef) (*apiv1.ExplainWorkflowResponse, error) {
 		return api.ExplainWorkflow
 	})
 	if err != nil {
 		return err
 	}
-	return s.show(answer, func(out io.Writer) { s.showWaiting(out, answer) })
+	return s.show(response, func(out io.Writer) { s.showWaiting(out, response) })
 }
 
 // showWaiting prints, for each step with tasks that could start, the reasons that
 // exclude workers.
-func (s *session) showWaiting(out io.Writer, answer *apiv1.ExplainWorkflowResponse) {
-	s.showWorkflow(out, answer.GetStatus())
-	if len(answer.GetSteps()) == 0 {
+func (s *session) showWaiting(out io.Writer, response *apiv1.ExplainWorkflowResponse) {
+	s.showWorkflow(out, response.GetStatus())
+	if len(response.GetSteps()) == 0 {
 		fmt.Fprintln(out, "no step waits")
 	}
-	for _, step := range answer.GetSteps() {
+	for _, step := range response.GetSteps() {
 		fmt.Fprintln(out, oneLine(fmt.Sprintf("\nstep %d: %d tasks could start; %s", step.GetStep(), step.GetTasks(), orNothing(step.GetReason()))))
 		if step.GetPermitted()+step.GetRefused() > 0 {
 			fmt.Fprintf(out, "adviser: %d workers permitted, %d refused, %d not queried\n", step.GetPermitted(), step.GetRefused(), step.GetUnknown())
@@ -209,13 +209,13 @@
 	if err := requireArgs(args, "queue"); err != nil {
 		return err
 	}
-	answer, err := workflowsCall(ctx, s, &apiv1.QueueRef{Queue: args[0]}, func(api apiv1.Workflows) func(context.Context, *apiv1.QueueRef) (*apiv1.QueueStatus, error) {
+	response, err := workflowsCall(ctx, s, &apiv1.QueueRef{Queue: args[0]}, func(api apiv1.Workflows) func(context.Context, *apiv1.QueueRef) (*apiv1.QueueStatus, error) {
 		return api.GetQueue
 	})
 	if err != nil {
 		return err
 	}
-	return s.show(answer, func(out io.Writer) { fmt.Fprintf(out, "%d jobs wait\n", answer.GetWaiting()) })
+	return s.show(response, func(out io.Writer) { fmt.Fprintf(out, "%d jobs wait\n", response.GetWaiting()) })
 }
 
 // waveActions are the action words of "bilberry wave".
