--- a/internal/standin/changes.go
+++ b/internal/standin/changes.go
@@ -30,7 +30,7 @@
 type ChangesReport struct {
 	Accepted int `json:"accepted"`
 	// Failed counts changes that weren't accepted after maxChangeAttempts tries, or
-	// that were refused with an error that no retry can mend.
+	// that failed with an error after which a retry doesn't help.
 	Failed    int    `json:"failed"`
 	LastError string `json:"last_error,omitempty"`
 	// Seconds is the duration of the load.
@@ -147,7 +147,7 @@
 
 // write makes one change and reports whether it was accepted. A call whose outcome
 // is unknown is retried with the same request id. Any other error, such as a
-// Conflict after a write by someone else, ends the change and reads the version anew.
+// Conflict after a write by another client, ends the change and reads the version anew.
 func (c *configWriter) write(ctx context.Context, i int) bool {
 	request := &apiv1.SetConfigRequest{
 		RequestId: fmt.Sprintf("%s-%d", c.runID, i), ExpectedVersion: c.version,
--- a/internal/standin/command/minions.go
+++ b/internal/standin/command/minions.go
@@ -38,7 +38,7 @@
 	f.IntVar(&c.cfg.Faulty, "faulty", 0, "number of minions with the faults that other flags name")
 	f.DurationVar(&c.cfg.Faults.Delay, "slow", 0, "fault: time added to each request")
 	f.BoolVar(&c.cfg.Faults.Hang, "hang", false, "fault: send no response")
-	f.BoolVar(&c.cfg.Faults.Fail, "fail", false, "fault: respond at once with status 500")
+	f.BoolVar(&c.cfg.Faults.Fail, "fail", false, "fault: respond immediately with status 500")
 	f.BoolVar(&c.cfg.Faults.Truncate, "cut", false, "fault: truncate responses")
 	f.DurationVar(&c.linger, "linger", 4*time.Second, "how long to continue to serve after leaving")
 }
@@ -60,7 +60,7 @@
 	stop()
 	err = group.Wait()
 	stats := fleet.Stats()
-	fmt.Fprintf(c.out, "requests: %d, most at once on one minion: %d, most connections of one minion: %d\n",
+	fmt.Fprintf(c.out, "requests: %d, most in flight on one minion: %d, most connections of one minion: %d\n",
 		stats.Requests, stats.MaxInFlight, stats.MaxConnections)
 	return c.exitStatus(fleet.Ledger(), err)
 }
--- a/internal/standin/minions.go
+++ b/internal/standin/minions.go
@@ -24,7 +24,8 @@
 type MinionFaults struct {
 	// Delay is added to the service time of each request.
 	Delay time.Duration
-	// Hang sends no response to any request.
+	// Hang sends no response to any request, which stays in flight until its caller
+	// disconnects.
 	Hang bool
 	// Fail responds to each request immediately with status 500.
 	Fail bool
--- a/internal/standin/requests_test.go
+++ b/internal/standin/requests_test.go
@@ -112,9 +112,9 @@
 // An entry instance dies with requests in flight. Idempotent calls must be sent again
 // to another instance; non-idempotent calls might run twice and must end as broken.
 func TestCallersResendOnlyIdempotentRequests(t *testing.T) {
-	dying := serve(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
+	crashing := serve(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	fleet, _ := startMinions(t, MinionsConfig{Count: 1, Slots: 100})
-	cfg := CallersConfig{Entries: []string{dying, fleet.All()[0].Address()}, Direct: true, Count: 20, Resend: true}
+	cfg := CallersConfig{Entries: []string{crashing, fleet.All()[0].Address()}, Direct: true, Count: 20, Resend: true}
 	report, _ := runCallers(t, cfg)
 	must.Eq(t, 20, report.Correct)
 	must.Positive(t, report.Resent)
--- a/internal/standin/workers_test.go
+++ b/internal/standin/workers_test.go
@@ -129,7 +129,7 @@
 	owner.queueStart(testWorker, "lost", 1, "")
 	eventually(t, "task runs", func() bool { return fleet.Running() == 1 })
 	fleet.All()[0].Restart(&apiv1.Resources{CpuMilli: 1000, MemoryMib: 512})
-	eventually(t, "new incarnation announces its size", func() bool {
+	eventually(t, "new incarnation announces its capacity", func() bool {
 		incarnation, cpuMilli := owner.lastSeen(testWorker)
 		return incarnation > old && cpuMilli == 1000
 	})
@@ -164,11 +164,11 @@
 // The first entry address refuses connections. The worker must get its lease, report
 // its task and leave through the second one.
 func TestWorkerFailsOverToNextEntryAndLeaves(t *testing.T) {
-	dead := "127.0.0.1:1"
+	unreachable := "127.0.0.1:1"
 	owner := newFakeOwner(time.Second)
-	live := serve(t, apiv1.NewWorkerGatewayServer(owner))
+	reachable := serve(t, apiv1.NewWorkerGatewayServer(owner))
 	fleet := NewWorkers(WorkersConfig{
-		DataCentres: []DataCentre{{Name: "hall", Entries: []string{dead, live}}},
+		DataCentres: []DataCentre{{Name: "hall", Entries: []string{unreachable, reachable}}},
 		Count:       1,
 		Capacity:    &apiv1.Resources{CpuMilli: 1000, MemoryMib: 64},
 		Faults:      WorkerFaults{FailAll: true},
@@ -194,7 +194,7 @@
 	worker := fleet.All()[0]
 	old, _ := owner.lastSeen(testWorker)
 	worker.Pause()
-	owner.queueStart(testWorker, "given-away", 1, "")
+	owner.queueStart(testWorker, "reassigned", 1, "")
 	eventually(t, "lease ends", func() bool { return !worker.HoldsLease() })
 	worker.Resume()
 	eventually(t, "lease of a new incarnation", func() bool {
@@ -202,7 +202,7 @@
 		return incarnation > old && worker.HoldsLease()
 	})
 	must.Zero(t, fleet.Ledger().Starts())
-	must.SliceEmpty(t, owner.outcomes("given-away"))
+	must.SliceEmpty(t, owner.outcomes("reassigned"))
 }
 
 // The owner crashes twice after it received a report and before it committed it.
