--- a/internal/dev/run.go
+++ b/internal/dev/run.go
@@ -70,11 +70,12 @@
 	Violations []standin.Violation
 }
 
-// Passed reports whether all accepted jobs and all requests met their deadlines and
-// no violation was found. Refused requests don't count against it.
+// Passed reports whether at least one job was accepted, every submission got a
+// response, all accepted jobs and all requests met their deadlines, and no violation
+// was found. Refused jobs and requests don't count against it.
 func (r *Result) Passed() bool {
-	answered := r.Requests.Broken == 0 && r.Requests.TimedOut == 0 && r.Requests.Late == 0
-	return r.Report.MissedDeadline == 0 && r.Report.Unanswered == 0 && r.Report.Accepted > 0 && r.correct() && answered
+	allInTime := r.Requests.Broken == 0 && r.Requests.TimedOut == 0 && r.Requests.Late == 0
+	return r.Report.MissedDeadline == 0 && r.Report.Unanswered == 0 && r.Report.Accepted > 0 && r.correct() && allInTime
 }
 
 // correct reports whether no violation was found and no response was wrong. Unlike
--- a/internal/dev/run_test.go
+++ b/internal/dev/run_test.go
@@ -41,8 +41,8 @@
 	})
 }
 
-// allRequestsCorrect reports whether all requests got a correct response. No slots are
-// short in this test, so no request may be refused either.
+// allRequestsCorrect reports whether all requests got a correct response. The minions
+// have enough slots for the load, so no request may be refused either.
 func allRequestsCorrect(r *Result) bool { return r.Requests.Correct == r.Requests.Calls }
 
 // useOneProcessor limits the test to one thread at a time. The race detector has one
@@ -52,8 +52,8 @@
 	t.Cleanup(func() { runtime.GOMAXPROCS(before) })
 }
 
-// mustShowRefusals checks that the output names the refusals that the sample jobs
-// must meet, and finished jobs.
+// mustShowRefusals checks that the output shows finished jobs and both refusals that
+// the sample jobs cause: one infeasible job and one with an unreachable deadline.
 func mustShowRefusals(t *testing.T, out string) {
 	for _, name := range []string{"refused: Infeasible", "refused: DeadlineUnreachable", "finished"} {
 		must.StrContains(t, out, name)
