--- a/internal/oplog/oplog.go
+++ b/internal/oplog/oplog.go
@@ -20,7 +20,7 @@
 	linesPerSecond = 2000
 )
 
-// Sink is an io.Writer that queues lines for a goroutine that writes them. It is
+// Sink is an io.Writer that queues lines, which a separate goroutine writes. It is
 // safe for concurrent use.
 type Sink struct {
 	lines chan []byte
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -49,7 +49,8 @@
 	return f.errorAt(path, f.index.line(path), format, args...)
 }
 
-// errorAt returns an Invalid error about a field on a line. An empty field and line 0/are left out of the message.
+// errorAt returns an Invalid error about a field on a line. It leaves out an empty
+// field and line 0.
 func (f *File) errorAt(field string, line int, format string, args ...any) error {
 	message := shorten(errors.Newf(format, args...).Error())
 	field = shorten(field)
