--- a/cmd/bilberry-celld/main.go
+++ b/cmd/bilberry-celld/main.go
@@ -1,4 +1,5 @@
-// Command bilberry-celld runs the cell process of one instance.
+// Command bilberry-celld runs the cell process of one instance: a replica of its data
+// centre's log, which schedules jobs and grants leases while it is the leader.
 package main
 
 import (
--- a/cmd/bilberry-entryd/main.go
+++ b/cmd/bilberry-entryd/main.go
@@ -1,4 +1,5 @@
-// Command bilberry-entryd runs the entry process of one instance.
+// Command bilberry-entryd runs the entry process of one instance: callers, operators,
+// workers and minions connect to it, and it forwards their calls and requests.
 package main
 
 import (
