--- a/internal/cli/args.go
+++ b/internal/cli/args.go
@@ -60,13 +60,13 @@
 func isFlag(arg string) bool { return len(arg) > 1 && arg[0] == '-' }
 
 // parseFlag parses one flag with its value and returns the arguments after them.
-func (s *parsedArgs) parseFlag(set *flag.FlagSet, args []string, seen map[string]bool) ([]string, error) {
+func (p *parsedArgs) parseFlag(set *flag.FlagSet, args []string, seen map[string]bool) ([]string, error) {
 	name, value, hasValue := strings.Cut(strings.TrimPrefix(strings.TrimPrefix(args[0], "-"), "-"), "=")
 	rest := args[1:]
 	f := set.Lookup(name)
 	if f == nil {
 		if name == "help" || name == "h" {
-			s.help = true
+			p.help = true
 			return rest, nil
 		}
 		return nil, unknownFlag(set, name)
@@ -87,7 +87,7 @@
 	if err := set.Set(name, value); err != nil {
 		return nil, fault.Field("--"+name, "%q isn't a valid value: %v", shorten(value), err)
 	}
-	s.flags = append(s.flags, "--"+name+"="+value)
+	p.flags = append(p.flags, "--"+name+"="+value)
 	return rest, nil
 }
 
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -70,10 +70,10 @@
 }
 
 // RoundTrip implements http.RoundTripper.
-func (a *bearerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+func (t *bearerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
-	r.Header.Set("Authorization", "Bearer "+a.token)
-	response, err := a.base.RoundTrip(r)
+	r.Header.Set("Authorization", "Bearer "+t.token)
+	response, err := t.base.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
