--- a/internal/tomlfile/nesting.go
+++ b/internal/tomlfile/nesting.go
@@ -29,91 +29,91 @@
 // findExcessiveNesting returns the line and description of the first key or value that
 // would exhaust the library's stack or memory, or an empty description.
 func findExcessiveNesting(text []byte) (line int, problem string) {
-	g := nestingScanner{text: text}
-	for g.pos < len(g.text) {
-		g.step()
+	s := nestingScanner{text: text}
+	for s.pos < len(s.text) {
+		s.step()
 		switch {
-		case g.depth > maxNesting:
+		case s.depth > maxNesting:
 			problem = fmt.Sprintf("brackets nest deeper than %d", maxNesting)
-		case g.dots > maxDots:
+		case s.dots > maxDots:
 			problem = fmt.Sprintf("a key has more than %d dots", maxDots)
 		default:
 			continue
 		}
-		return 1 + bytes.Count(text[:min(g.pos, len(text))], []byte{'\n'}), problem
+		return 1 + bytes.Count(text[:min(s.pos, len(text))], []byte{'\n'}), problem
 	}
 	return 0, ""
 }
 
 // step advances past one character, string or comment.
-func (g *nestingScanner) step() {
-	c := g.text[g.pos]
+func (s *nestingScanner) step() {
+	c := s.text[s.pos]
 	switch c {
 	case '"', '\'':
-		g.skipString(c)
+		s.skipString(c)
 		return
 	case '#':
-		g.skipTo('\n')
+		s.skipTo('\n')
 		return
 	case '.':
-		g.dots++
+		s.dots++
 	case '[', '{':
-		g.depth++
-		g.dots = 0
+		s.depth++
+		s.dots = 0
 	case ']', '}':
-		g.depth = max(g.depth-1, 0)
-		g.dots = 0
+		s.depth = max(s.depth-1, 0)
+		s.dots = 0
 	case '\n', '=', ',':
-		g.dots = 0
+		s.dots = 0
 	}
-	g.pos++
+	s.pos++
 }
 
 // skipString skips the string that begins at the current position.
-func (g *nestingScanner) skipString(quote byte) {
+func (s *nestingScanner) skipString(quote byte) {
 	triple := bytes.Repeat([]byte{quote}, 3)
-	if !bytes.HasPrefix(g.text[g.pos:], triple) {
-		g.pos++
-		g.skipLineString(quote)
+	if !bytes.HasPrefix(s.text[s.pos:], triple) {
+		s.pos++
+		s.skipLineString(quote)
 		return
 	}
-	g.pos += len(triple)
-	for g.pos < len(g.text) && !bytes.HasPrefix(g.text[g.pos:], triple) {
-		g.skipCharacter(quote)
+	s.pos += len(triple)
+	for s.pos < len(s.text) && !bytes.HasPrefix(s.text[s.pos:], triple) {
+		s.skipCharacter(quote)
 	}
-	g.pos += len(triple)
+	s.pos += len(triple)
 	// TOML counts up to two quotes right before the closing three as part of the string.
-	for extra := 0; extra < 2 && g.pos < len(g.text) && g.text[g.pos] == quote; extra++ {
-		g.pos++
+	for extra := 0; extra < 2 && s.pos < len(s.text) && s.text[s.pos] == quote; extra++ {
+		s.pos++
 	}
 }
 
 // skipLineString skips the rest of a single-line string with its closing quote.
-func (g *nestingScanner) skipLineString(quote byte) {
-	for g.pos < len(g.text) && g.text[g.pos] != quote && g.text[g.pos] != '\n' {
-		g.skipCharacter(quote)
+func (s *nestingScanner) skipLineString(quote byte) {
+	for s.pos < len(s.text) && s.text[s.pos] != quote && s.text[s.pos] != '\n' {
+		s.skipCharacter(quote)
 	}
-	if g.pos < len(g.text) && g.text[g.pos] == quote {
-		g.pos++
+	if s.pos < len(s.text) && s.text[s.pos] == quote {
+		s.pos++
 	}
 }
 
 // skipCharacter skips one character, or a backslash and the character that it
 // escapes. A backslash escapes only within double quotes. An escaped line break
 // doesn't end the string.
-func (g *nestingScanner) skipCharacter(quote byte) {
-	if quote == '"' && g.text[g.pos] == '\\' {
-		g.pos++
+func (s *nestingScanner) skipCharacter(quote byte) {
+	if quote == '"' && s.text[s.pos] == '\\' {
+		s.pos++
 	}
-	g.pos++
+	s.pos++
 }
 
 // skipTo advances to the next end character, or to the end of the text.
-func (g *nestingScanner) skipTo(end byte) {
-	i := bytes.IndexByte(g.text[g.pos:], end)
+func (s *nestingScanner) skipTo(end byte) {
+	i := bytes.IndexByte(s.text[s.pos:], end)
 	if i < 0 {
-		g.pos = len(g.text)
+		s.pos = len(s.text)
 		return
 	}
-	g.pos += i
+	s.pos += i
 }
