--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -66,8 +66,9 @@
 	Counters map[string]float64 `json:"counters,omitempty"`
 	// Roles maps each replicated log to the process's role in it at the last sample.
 	Roles map[string]string `json:"roles,omitempty"`
-	// Gone is true when the process ended during the measurement. The other values
-	// then cover the time until its end.
+	// Gone is true when the process couldn't be sampled to the end of the measurement,
+	// as a rule because it ended. The other values then cover the time until its last
+	// sample.
 	Gone bool `json:"gone,omitempty"`
 }
 
