--- a/dispatch/gang.go
+++ b/dispatch/gang.go
@@ -26,7 +26,7 @@
 	switch {
 	case reservation.preempted:
 		return ReasonPreempting
-	case s.AwaitsAnswer:
+	case s.AwaitsResponse:
 		return ReasonAwaitsAdviser
 	case p.gangQueriesMore(s, granted, unknown, left, reservation):
 		p.queryInParts(s, p.gangWorkersToQuery(s, granted, unknown, left), false)
@@ -42,7 +42,7 @@
 // queries more workers than the gang needs, since steps that precede it may take some of the
 // resources meanwhile.
 func (p *planner) renewGangTickets(s *Step, granted []*Worker, left int) Reason {
-	if s.AwaitsAnswer {
+	if s.AwaitsResponse {
 		p.reserve(s, fewestWorkersFor(s, withIDs(granted, s.Renewing), left), left)
 		return ReasonAwaitsAdviser
 	}
@@ -140,7 +140,7 @@
 // when the gang fits. A later query would leave the resources idle for as long as the adviser
 // takes, half a second and more.
 func (p *planner) ticketsDue(s *Step, chosen []*Worker, when time.Duration) bool {
-	answered := p.now + s.AnswerTime(len(chosen))
+	answered := p.now + s.ResponseTime(len(chosen))
 	if answered+p.limits.TicketMargin < when {
 		return false
 	}
--- a/dispatch/permits.go
+++ b/dispatch/permits.go
@@ -15,7 +15,7 @@
 	if s.Spec.Gang {
 		return p.prepareGang(s, granted, unknown, left)
 	}
-	if s.AwaitsAnswer {
+	if s.AwaitsResponse {
 		p.reserve(s, withIDs(granted, s.Renewing), left)
 		return ReasonAwaitsAdviser
 	}
@@ -157,7 +157,7 @@
 
 // isLong reports whether the adviser takes long to answer a query of s about n workers.
 func (p *planner) isLong(s *Step, n int) bool {
-	return p.limits.LongQueryTime > 0 && s.AnswerTime(n) > p.limits.LongQueryTime
+	return p.limits.LongQueryTime > 0 && s.ResponseTime(n) > p.limits.LongQueryTime
 }
 
 // query plans a query if a connection is left for it, and reports whether it does.
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -123,7 +123,7 @@
 		switch {
 		case p.holdsTickets(s):
 			ticketed = append(ticketed, s)
-		case s.AwaitsAnswer:
+		case s.AwaitsResponse:
 		case s.NeedsPermit && len(s.Permits) == 0:
 			unqueried = append(unqueried, s)
 		default:
@@ -208,7 +208,7 @@
 	}
 	queriesBefore := len(p.plan.Queries)
 	reason := p.preparePermits(s, suitable, left)
-	if reason == ReasonAwaitsAdviser && !s.AwaitsAnswer && len(p.plan.Queries) == queriesBefore {
+	if reason == ReasonAwaitsAdviser && !s.AwaitsResponse && len(p.plan.Queries) == queriesBefore {
 		reason = ReasonNoConnection
 	}
 	p.addWaiting(s, left, reason)
@@ -281,7 +281,7 @@
 	switch {
 	case !slices.ContainsFunc(p.byService[s.Service], func(w *Worker) bool { return eligible(s, w) }):
 		return ReasonNoWorker
-	case s.AwaitsAnswer:
+	case s.AwaitsResponse:
 		return ReasonAwaitsAdviser
 	case s.NeedsPermit && len(s.Permits) == 0:
 		return ReasonNoConnection
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -27,7 +27,7 @@
 	s := Step{
 		Key:  workflow.StepKey{Job: job},
 		Spec: &workflow.Step{Count: count, Need: cores(need)}, Service: "s",
-		AnswerTime: func(int) time.Duration { return 500 * time.Millisecond },
+		ResponseTime: func(int) time.Duration { return 500 * time.Millisecond },
 	}
 	for i := range count {
 		s.Pending = append(s.Pending, i)
--- a/dispatch/preempt.go
+++ b/dispatch/preempt.go
@@ -148,7 +148,7 @@
 // resources. It queries first if tickets would expire before the runs have stopped. It reports
 // whether it has handled the gang.
 func (p *planner) preemptForGang(s *Step, granted []*Worker, n int) bool {
-	if p.limits.Disabled.Preemption || s.Lateness > 0 || s.AwaitsAnswer || p.preemptiblePriority[s.Service] <= s.Priority {
+	if p.limits.Disabled.Preemption || s.Lateness > 0 || s.AwaitsResponse || p.preemptiblePriority[s.Service] <= s.Priority {
 		return false
 	}
 	chosen := p.findVictims(s, granted, n)
--- a/dispatch/preempt_test.go
+++ b/dispatch/preempt_test.go
@@ -111,7 +111,7 @@
 	gang := waitingGang("gang", 4, 4, expired)
 	short := needsPermit(step("short", 1, 4), nil)
 	short.Priority = 1
-	short.AnswerTime = func(int) time.Duration { return 20 * time.Millisecond }
+	short.ResponseTime = func(int) time.Duration { return 20 * time.Millisecond }
 	plan := Decide(0, []Step{gang, short}, workers(8, 8), bound)
 	must.SliceLen(t, 1, plan.Queries)
 	must.Eq(t, "short", plan.Queries[0].Step.Job)
--- a/dispatch/query_test.go
+++ b/dispatch/query_test.go
@@ -127,7 +127,7 @@
 		var steps []Step
 		for i := range 20 {
 			s := needsPermit(step(fmt.Sprintf("s%02d", i), 1, 4), nil)
-			s.AnswerTime = func(n int) time.Duration { return time.Duration(50+40*n) * time.Millisecond }
+			s.ResponseTime = func(n int) time.Duration { return time.Duration(50+40*n) * time.Millisecond }
 			steps = append(steps, s)
 		}
 		long := 0
--- a/dispatch/reason_test.go
+++ b/dispatch/reason_test.go
@@ -54,7 +54,7 @@
 		return list
 	}
 	querying := waitingGang("a", 2, 4, allExpired)
-	querying.AwaitsAnswer = true
+	querying.AwaitsResponse = true
 	for _, c := range []struct {
 		name    string
 		steps   []Step
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -28,7 +28,7 @@
 	runs     map[workflow.TaskKey]*replayRun
 	// connections holds when each adviser connection becomes free.
 	connections []time.Duration
-	answers     []replayAnswer
+	answers     []replayResponse
 	earmarked   map[string]bool
 	// remaining are the workers as the last full decision left them, firstSkipped is the first
 	// step beyond its bound, and changed are the jobs with a change since then; see
@@ -55,8 +55,8 @@
 	fails, stops                   bool
 }
 
-// replayAnswer is an answer of the adviser that is in flight.
-type replayAnswer struct {
+// replayResponse is an answer of the adviser that is in flight.
+type replayResponse struct {
 	at    time.Duration
 	job   *replayJob
 	key   workflow.StepKey
@@ -96,8 +96,8 @@
 	s := Step{
 		Key: workflow.StepKey{Job: j.id, Step: j.step}, Spec: spec, Service: "s", Priority: k.priority, Due: j.begin + j.objective,
 		Pending: slices.Clone(j.pending[j.step]), NeedsPermit: true, Permits: j.permits, TicketsExpire: j.ticketsExpire, GrantRate: k.grantRate,
-		AwaitsAnswer: j.pendingQueries > 0, Renewing: j.renewing, LastQuery: j.lastQuery,
-		AnswerTime: func(n int) time.Duration { return k.baseLatency + time.Duration(n)*k.perWorkerLatency },
+		AwaitsResponse: j.pendingQueries > 0, Renewing: j.renewing, LastQuery: j.lastQuery,
+		ResponseTime: func(n int) time.Duration { return k.baseLatency + time.Duration(n)*k.perWorkerLatency },
 	}
 	switch age := r.now - j.begin; {
 	case age > 3*j.objective:
@@ -257,11 +257,11 @@
 	if query.Renewal {
 		j.renewing = query.Workers
 	}
-	r.answers = append(r.answers, replayAnswer{at: usable[first] + 5*time.Millisecond, job: j, key: query.Step, query: query})
+	r.answers = append(r.answers, replayResponse{at: usable[first] + 5*time.Millisecond, job: j, key: query.Step, query: query})
 }
 
-// applyAnswer applies an answer of the adviser.
-func (r *replay) applyAnswer(a replayAnswer) {
+// applyResponse applies an answer of the adviser.
+func (r *replay) applyResponse(a replayResponse) {
 	j, k := a.job, a.job.kind
 	if j.ended > 0 || j.step != a.key.Step {
 		return
@@ -370,11 +370,11 @@
 // advance moves the clock to the next decision and applies what happens until then.
 func (r *replay) advance() {
 	r.now += r.decision
-	r.answers = slices.DeleteFunc(r.answers, func(a replayAnswer) bool {
+	r.answers = slices.DeleteFunc(r.answers, func(a replayResponse) bool {
 		if a.at > r.now {
 			return false
 		}
-		r.applyAnswer(a)
+		r.applyResponse(a)
 		return true
 	})
 	var ended []*replayRun
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -89,15 +89,15 @@
 	// LastQuery is when the step's last query was sent, on the monotonic clock of the caller.
 	// Before the first one it is when the step began to wait for a query.
 	LastQuery time.Duration
-	// AnswerTime returns how long the adviser takes to answer a query about n workers.
-	AnswerTime func(n int) time.Duration
+	// ResponseTime returns how long the adviser takes to answer a query about n workers.
+	ResponseTime func(n int) time.Duration
 	// GrantRate is the share of the queried workers that the adviser has recently permitted for
 	// the step's queue; 0 while it is unknown.
 	GrantRate float64
-	// AwaitsAnswer says that a query of the step is in flight. Renewing names the workers in it
+	// AwaitsResponse says that a query of the step is in flight. Renewing names the workers in it
 	// whose grant is known already.
-	AwaitsAnswer bool
-	Renewing     []string
+	AwaitsResponse bool
+	Renewing       []string
 	// Placed counts the step's live runs by worker. It is set only where Spec bounds them.
 	Placed map[string]int
 	// Copy says that the pending tasks already run, on the workers that Avoid names by task
--- a/internal/apiserver/apiserver.go
+++ b/internal/apiserver/apiserver.go
@@ -168,7 +168,7 @@
 }
 
 func explanationToAPI(reply *control.ExplainReply) *apiv1.ExplainWorkflowResponse {
-	answer := &apiv1.ExplainWorkflowResponse{Status: statusToAPI(reply)}
+	response := &apiv1.ExplainWorkflowResponse{Status: statusToAPI(reply)}
 	for _, waiting := range reply.Waiting {
 		step := &apiv1.StepExplanation{
 			Occurrence: int32(waiting.Key.Occurrence), Step: int32(waiting.Key.Step), Tasks: int32(waiting.Tasks),
@@ -180,9 +180,9 @@
 				Filter: string(count.Reason), Workers: int32(count.Workers), ExampleWorker: count.Example,
 			})
 		}
-		answer.Steps = append(answer.Steps, step)
+		response.Steps = append(response.Steps, step)
 	}
-	return answer
+	return response
 }
 
 // GetQueue returns the state of a queue.
--- a/internal/apiserver/apiserver_test.go
+++ b/internal/apiserver/apiserver_test.go
@@ -58,7 +58,7 @@
 }
 
 func (f *fakeLeader) WaveState(context.Context, *control.WaveStateCall) (control.WaveStateReply, error) {
-	return control.WaveStateReply{Done: true, Maintenances: []workflow.Maintenance{{Machine: "m1", Stage: workflow.MaintenanceBegun}}}, f.err
+	return control.WaveStateReply{Done: true, Maintenances: []workflow.Maintenance{{Machine: "m1", Stage: workflow.MaintenanceStarted}}}, f.err
 }
 
 // newClient serves the API of a leader and returns a client that presents a token.
@@ -87,7 +87,7 @@
 
 func TestSubmissionIsTranslated(t *testing.T) {
 	f := &fakeLeader{}
-	answer, err := newClient(t, f, token).SubmitWorkflow(t.Context(), &apiv1.SubmitWorkflowRequest{
+	response, err := newClient(t, f, token).SubmitWorkflow(t.Context(), &apiv1.SubmitWorkflowRequest{
 		Id: "a", Queue: "q", Payload: "p", Repeat: &apiv1.Repeat{FirstUnixMs: 5, EveryMs: 6, Times: 2},
 		Steps: []*apiv1.Step{{Tasks: 1, EstimateMs: 9}, {
 			Tasks: 2, Need: &apiv1.Resources{CpuMilli: 500, MemoryMib: 64, Accelerators: 1}, EstimateMs: 10, After: []int32{0}, Gang: true,
@@ -96,7 +96,7 @@
 		}},
 	})
 	must.NoError(t, err)
-	must.True(t, answer.GetKnown())
+	must.True(t, response.GetKnown())
 	must.Eq(t, &control.SubmitCall{
 		Address: control.JobAddress{Queue: "q", ID: "a"}, Payload: "p", Schedule: workflow.Schedule{FirstAtMS: 5, EveryMS: 6, Times: 2},
 		Steps: []workflow.Step{{Count: 1, EstimateMS: 9}, {
--- a/internal/carrier/carrier_test.go
+++ b/internal/carrier/carrier_test.go
@@ -246,7 +246,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 		defer cancel()
 		_, err := c.forwarder.Start(ctx, control.Target{Worker: "w"}, control.StartOrder{})
-		must.True(t, errors.Is(err, errNoAnswer))
+		must.True(t, errors.Is(err, errNoResponse))
 		must.Eq(t, 0, c.forwarder.routes[0].pendingOrders())
 		time.Sleep(time.Second)
 		c.endTerm()
@@ -288,7 +288,7 @@
 		c.setMembers("leader")
 		c.setMembers("leader", "carrier-0")
 		workers.hangStarts = true
-		must.True(t, errors.Is(c.start("hangs"), errNoAnswer))
+		must.True(t, errors.Is(c.start("hangs"), errNoResponse))
 		time.Sleep(10 * membershipInterval)
 		c.endTerm()
 		time.Sleep(time.Second)
--- a/internal/carrier/forwarder.go
+++ b/internal/carrier/forwarder.go
@@ -202,7 +202,7 @@
 	case err != nil:
 		return control.Report{}, err
 	case outcome.Report == nil:
-		return control.Report{}, errors.Wrap(errNoAnswer, "the answer to a poll contains no report")
+		return control.Report{}, errors.Wrap(errNoResponse, "the answer to a poll contains no report")
 	}
 	return *outcome.Report, nil
 }
--- a/internal/carrier/messages.go
+++ b/internal/carrier/messages.go
@@ -111,12 +111,12 @@
 	Refused control.Refusal `cbor:"4,keyasint,omitempty"`
 	// OtherIncarnation says that the targeted incarnation of the worker has ended.
 	OtherIncarnation bool `cbor:"5,keyasint,omitempty"`
-	// NoAnswer is the error of a call that may or may not have been executed.
-	NoAnswer string `cbor:"6,keyasint,omitempty"`
+	// NoResponse is the error of a call that may or may not have been executed.
+	NoResponse string `cbor:"6,keyasint,omitempty"`
 }
 
-// errNoAnswer says that an order may or may not have been executed.
-var errNoAnswer = errors.New("no answer through the carrier")
+// errNoResponse says that an order may or may not have been executed.
+var errNoResponse = errors.New("no answer through the carrier")
 
 // err returns the error that the outcome stands for, nil if the worker acted.
 func (o *Outcome) err() error {
@@ -125,8 +125,8 @@
 		return control.ErrOtherIncarnation
 	case o.Refused != "":
 		return &control.RefusedError{Reason: o.Refused}
-	case o.NoAnswer != "":
-		return errors.Wrap(errNoAnswer, o.NoAnswer)
+	case o.NoResponse != "":
+		return errors.Wrap(errNoResponse, o.NoResponse)
 	default:
 		return nil
 	}
@@ -142,6 +142,6 @@
 	case errors.As(err, &refused):
 		o.Refused = refused.Reason
 	default:
-		o.NoAnswer = err.Error()
+		o.NoResponse = err.Error()
 	}
 }
--- a/internal/carrier/route.go
+++ b/internal/carrier/route.go
@@ -123,7 +123,7 @@
 }
 
 // forward queues an order and waits for its outcome. The error is errNotForwarded if
-// the order can't have reached the carrier, and errNoAnswer if it may have been
+// the order can't have reached the carrier, and errNoResponse if it may have been
 // executed.
 func (r *route) forward(ctx context.Context, order *Order) (Outcome, error) {
 	p := r.enqueue(ctx, order)
@@ -134,7 +134,7 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.remove(order.ID)
-		return Outcome{}, errors.Wrap(errNoAnswer, ctx.Err().Error())
+		return Outcome{}, errors.Wrap(errNoResponse, ctx.Err().Error())
 	}
 }
 
@@ -225,7 +225,7 @@
 
 // sendBatch sends one message. If it can't have arrived, its orders fail with
 // errNotForwarded, and the leader calls their workers itself. If it may have arrived,
-// they fail with errNoAnswer.
+// they fail with errNoResponse.
 func (r *route) sendBatch(ctx context.Context, batch []*Order) {
 	ctx, cancel := context.WithTimeout(ctx, roundTripTimeout)
 	defer cancel()
@@ -240,11 +240,11 @@
 	case err == nil && reply.Term == r.term:
 		return
 	case err == nil:
-		r.failBatch(batch, errors.Wrapf(errNoAnswer, "the carrier is in term %d", reply.Term))
+		r.failBatch(batch, errors.Wrapf(errNoResponse, "the carrier is in term %d", reply.Term))
 	case errors.Is(err, link.ErrUnsent):
 		r.failBatch(batch, errNotForwarded)
 	default:
-		r.failBatch(batch, errors.Wrap(errNoAnswer, err.Error()))
+		r.failBatch(batch, errors.Wrap(errNoResponse, err.Error()))
 	}
 	if err != nil {
 		r.setResponsive(false, err)
@@ -261,7 +261,7 @@
 }
 
 // collectLoop collects outcomes and heartbeats until ctx ends. After a failure, or when
-// the carrier has restarted, all pending orders fail with errNoAnswer.
+// the carrier has restarted, all pending orders fail with errNoResponse.
 func (r *route) collectLoop(ctx context.Context) {
 	var last CollectReply
 	for ctx.Err() == nil {
@@ -338,11 +338,11 @@
 	_ = r.cfg.Logger.Log("event", "carrier", "carrier", r.address, "term", r.term, "present", responsive, "err", cause)
 }
 
-// failPending completes all pending orders with errNoAnswer and drops the queue, so
+// failPending completes all pending orders with errNoResponse and drops the queue, so
 // that callers don't wait for an answer that won't come. Orders that were sent may have
 // been executed.
 func (r *route) failPending(cause error) {
-	err := errors.Wrap(errNoAnswer, cause.Error())
+	err := errors.Wrap(errNoResponse, cause.Error())
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id := range r.pending {
--- a/internal/cell/scheduler.go
+++ b/internal/cell/scheduler.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if first, ok := c.firstAnswer(request); ok {
+	if first, ok := c.firstResponse(request); ok {
 		return c.awaitHandover(ctx, first)
 	}
 	spec, err := wire.CheckSpec(r.Spec, c.base.Settings.Limits, c.now())
@@ -72,8 +72,8 @@
 	return c.awaitHandover(ctx, result)
 }
 
-func (c *Cell) firstAnswer(request state.Request) (first state.Result, ok bool) {
-	c.machine.View(func(s *state.State) { first, ok = s.FirstAnswer(request) })
+func (c *Cell) firstResponse(request state.Request) (first state.Result, ok bool) {
+	c.machine.View(func(s *state.State) { first, ok = s.FirstResponse(request) })
 	return first, ok
 }
 
--- a/internal/cli/logs.go
+++ b/internal/cli/logs.go
@@ -46,7 +46,7 @@
 	}
 	trace := jobtrace.Explain(lines, job)
 	out := s.app.Stdout
-	fmt.Fprintln(out, oneLine(trace.Verdict))
+	fmt.Fprintln(out, oneLine(trace.Outcome))
 	if len(trace.Spans) > 0 {
 		t := newTable("TIME", "SPENT")
 		for _, span := range trace.Spans {
--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -190,15 +190,15 @@
 	must.Len(t, maxHistoryBytes/MaxDocument, r.History(maxHistory))
 }
 
-func TestAnswersAreBounded(t *testing.T) {
+func TestRecordedResponsesAreBounded(t *testing.T) {
 	r := NewRegister()
-	for i := range maxAnswers + 10 {
+	for i := range maxResponses + 10 {
 		r.Apply(uint64(i), encode(t, Write{RequestID: fmt.Sprint(i), Expected: uint64(i)}))
 	}
-	must.Len(t, maxAnswers, r.answers)
-	must.MapLen(t, maxAnswers, r.byID)
-	last := r.Apply(0, encode(t, Write{RequestID: fmt.Sprint(maxAnswers), Expected: maxAnswers})).(Outcome)
-	must.Eq(t, uint64(maxAnswers+1), last.Config.Version)
+	must.Len(t, maxResponses, r.responses)
+	must.MapLen(t, maxResponses, r.byID)
+	last := r.Apply(0, encode(t, Write{RequestID: fmt.Sprint(maxResponses), Expected: maxResponses})).(Outcome)
+	must.Eq(t, uint64(maxResponses+1), last.Config.Version)
 }
 
 func FuzzParse(f *testing.F) {
--- a/internal/conf/register.go
+++ b/internal/conf/register.go
@@ -24,8 +24,8 @@
 	// maxHistoryBytes bounds the documents of the kept versions together; the
 	// current one is always kept.
 	maxHistoryBytes = 1 << 20
-	// maxAnswers is the number of request IDs whose first answer is kept.
-	maxAnswers     = 1024
+	// maxResponses is the number of request IDs whose first answer is kept.
+	maxResponses   = 1024
 	maxAuthorBytes = 256
 	// maxRequestIDBytes bounds a request ID.
 	maxRequestIDBytes = 128
@@ -102,7 +102,7 @@
 }
 
 // answer is the first answer to a request ID.
-type answer struct {
+type recordedResponse struct {
 	RequestID string `cbor:"1,keyasint"`
 	Digest    []byte `cbor:"2,keyasint"`
 	// Version is the version that the write created, 0 for a refusal.
@@ -117,11 +117,11 @@
 type Register struct {
 	holder Holder
 
-	mu             sync.RWMutex
-	history        []Config // oldest first, the current version last
-	answers        []answer // oldest first
-	byID           map[string]int
-	droppedAnswers int // answers dropped so far; byID counts from the first ever
+	mu               sync.RWMutex
+	history          []Config           // oldest first, the current version last
+	responses        []recordedResponse // oldest first
+	byID             map[string]int
+	droppedResponses int // answers dropped so far; byID counts from the first ever
 }
 
 // NewRegister returns a register at version 0 with an empty document.
@@ -161,7 +161,7 @@
 	defer r.mu.Unlock()
 	digest := w.digest()
 	if i, ok := r.byID[w.RequestID]; ok {
-		return r.duplicateOutcome(r.answers[i-r.droppedAnswers], digest)
+		return r.duplicateOutcome(r.responses[i-r.droppedResponses], digest)
 	}
 	return r.applyWrite(w, digest)
 }
@@ -179,7 +179,7 @@
 	return hash.Sum(nil)
 }
 
-func (r *Register) duplicateOutcome(first answer, digest []byte) Outcome {
+func (r *Register) duplicateOutcome(first recordedResponse, digest []byte) Outcome {
 	if string(first.Digest) != string(digest) {
 		return Outcome{Err: fault.New(fault.Conflict, "request id %q was used before with other content", first.RequestID)}
 	}
@@ -197,7 +197,7 @@
 
 func (r *Register) applyWrite(w wireWrite, digest []byte) Outcome {
 	current := r.holder.Current()
-	first := answer{RequestID: w.RequestID, Digest: digest}
+	first := recordedResponse{RequestID: w.RequestID, Digest: digest}
 	switch {
 	case len(w.Document) > MaxDocument || len(w.RequestID) > maxRequestIDBytes || len(w.Author) > maxAuthorBytes:
 		return Outcome{Err: fault.New(fault.Invalid, "the configuration command is too large")}
@@ -205,7 +205,7 @@
 		err := fault.New(fault.Conflict, "expected version %d, the current version is %d", w.Expected, current.Version)
 		first.Kind = fault.Conflict
 		first.Message = fault.From(err).Message
-		r.recordAnswer(first)
+		r.recordResponse(first)
 		return Outcome{Err: err}
 	}
 	next := withParsedDocument(current, Config{
@@ -217,7 +217,7 @@
 	r.appendHistory(next.withoutDocument())
 	r.holder.Set(next)
 	first.Version = next.Version
-	r.recordAnswer(first)
+	r.recordResponse(first)
 	return Outcome{Config: next}
 }
 
@@ -247,18 +247,18 @@
 	r.history = append([]Config(nil), r.history[oldestKept:]...)
 }
 
-func (r *Register) recordAnswer(first answer) {
+func (r *Register) recordResponse(first recordedResponse) {
 	if first.RequestID == "" {
 		return
 	}
-	r.byID[first.RequestID] = r.droppedAnswers + len(r.answers)
-	r.answers = append(r.answers, first)
-	if len(r.answers) <= maxAnswers {
+	r.byID[first.RequestID] = r.droppedResponses + len(r.responses)
+	r.responses = append(r.responses, first)
+	if len(r.responses) <= maxResponses {
 		return
 	}
-	delete(r.byID, r.answers[0].RequestID)
-	r.answers = r.answers[1:]
-	r.droppedAnswers++
+	delete(r.byID, r.responses[0].RequestID)
+	r.responses = r.responses[1:]
+	r.droppedResponses++
 }
 
 type wireConfig struct {
@@ -269,16 +269,16 @@
 }
 
 type wireSnapshot struct {
-	Format  uint32       `cbor:"1,keyasint"`
-	History []wireConfig `cbor:"2,keyasint"`
-	Answers []answer     `cbor:"3,keyasint"`
+	Format  uint32             `cbor:"1,keyasint"`
+	History []wireConfig       `cbor:"2,keyasint"`
+	Answers []recordedResponse `cbor:"3,keyasint"`
 }
 
 // Snapshot encodes the state. Equal states give equal bytes.
 func (r *Register) Snapshot() ([]byte, error) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	snapshot := wireSnapshot{Format: formatVersion, Answers: r.answers}
+	snapshot := wireSnapshot{Format: formatVersion, Answers: r.responses}
 	for _, c := range r.history {
 		snapshot.History = append(snapshot.History, wireConfig{c.Version, c.Text, c.Author, c.Accepted.UnixMilli()})
 	}
@@ -306,10 +306,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history = history
-	r.answers = snapshot.Answers
-	r.droppedAnswers = 0
-	r.byID = make(map[string]int, len(r.answers))
-	for i, a := range r.answers {
+	r.responses = snapshot.Answers
+	r.droppedResponses = 0
+	r.byID = make(map[string]int, len(r.responses))
+	for i, a := range r.responses {
 		r.byID[a.RequestID] = i
 	}
 	if len(history) > 0 {
--- a/internal/control/adviser_pool.go
+++ b/internal/control/adviser_pool.go
@@ -199,12 +199,12 @@
 
 // send sends a query to the adviser, through another instance unless the connection is the
 // leader's own.
-func (p *adviserPool) send(ctx context.Context, conn *adviserConn, call AdviserQuery) (AdviserAnswer, error) {
+func (p *adviserPool) send(ctx context.Context, conn *adviserConn, call AdviserQuery) (AdviserReply, error) {
 	if conn.address == p.ownAddress {
 		return p.adviser.Query(ctx, call)
 	}
-	var reply AdviserAnswer
-	err := p.client.Call(ctx, conn.address, MethodAsk, &call, &reply)
+	var reply AdviserReply
+	err := p.client.Call(ctx, conn.address, MethodQueryAdviser, &call, &reply)
 	return reply, err
 }
 
--- a/internal/control/adviser_pool_test.go
+++ b/internal/control/adviser_pool_test.go
@@ -61,9 +61,9 @@
 	now := time.Now()
 	l := newTestAdviserPool(8, now)
 	for range 100 {
-		conn, answerDue := l.acquire(now, 17*time.Millisecond)
+		conn, responseDue := l.acquire(now, 17*time.Millisecond)
 		must.Eq(t, "10.1.0.01", conn.address)
-		must.Eq(t, now.Add(17*time.Millisecond), answerDue)
+		must.Eq(t, now.Add(17*time.Millisecond), responseDue)
 		now = now.Add(17 * time.Millisecond)
 		l.release(conn, now, false)
 		l.recordAnnouncement("10.1.0.01", now)
--- a/internal/control/calls.go
+++ b/internal/control/calls.go
@@ -104,14 +104,14 @@
 	Source  []byte `cbor:"2,keyasint"`
 }
 
-// FollowCall announces an instance that serves callers to the leader. The leader may send
+// AnnounceInstanceCall announces an instance that serves callers to the leader. The leader may send
 // adviser queries through it from then on.
-type FollowCall struct {
+type AnnounceInstanceCall struct {
 	Address string `cbor:"1,keyasint"`
 }
 
-// FollowReply names the core members and the version of the configuration that is in force.
-type FollowReply struct {
+// AnnounceInstanceReply names the core members and the version of the configuration that is in force.
+type AnnounceInstanceReply struct {
 	Members []string `cbor:"1,keyasint"`
 	Version uint64   `cbor:"2,keyasint"`
 	// Pause is the time until the next announcement of the instance is due.
@@ -187,17 +187,17 @@
 
 // Method names of the calls between instances.
 const (
-	MethodSubmit        = "submit"
-	MethodState         = "state"
-	MethodEnded         = "ended"
-	MethodCancel        = "cancel"
-	MethodAnnounce      = "announce"
-	MethodLeave         = "leave"
-	MethodConfigure     = "configure"
-	MethodConfiguration = "configuration"
-	MethodFollow        = "follow"
-	MethodAsk           = "ask"
-	MethodStartWave     = "start_wave"
-	MethodWaveState     = "wave_state"
-	MethodExplain       = "explain"
+	MethodSubmit           = "submit"
+	MethodState            = "state"
+	MethodEnded            = "ended"
+	MethodCancel           = "cancel"
+	MethodAnnounce         = "announce"
+	MethodLeave            = "leave"
+	MethodConfigure        = "configure"
+	MethodConfiguration    = "configuration"
+	MethodAnnounceInstance = "follow"
+	MethodQueryAdviser     = "ask"
+	MethodStartWave        = "start_wave"
+	MethodWaveState        = "wave_state"
+	MethodExplain          = "explain"
 )
--- a/internal/control/chaos_workers_test.go
+++ b/internal/control/chaos_workers_test.go
@@ -105,7 +105,7 @@
 	return found.String()
 }
 
-var errInjected = fmt.Errorf("no answer: %w", errNoAnswer)
+var errInjected = fmt.Errorf("no answer: %w", errNoResponse)
 
 // drawOutcome decides whether a call takes effect now, later or never, and whether its
 // answer gets through.
@@ -298,19 +298,19 @@
 	})
 	// A delayed poll also writes the report under the lock.
 	r.mu.Lock()
-	answer := report
+	response := report
 	r.mu.Unlock()
-	answer.ClockMS = clock
-	return answer, err
+	response.ClockMS = clock
+	return response, err
 }
 
-func (r *chaosWorkers) Query(_ context.Context, call AdviserQuery) (AdviserAnswer, error) {
+func (r *chaosWorkers) Query(_ context.Context, call AdviserQuery) (AdviserReply, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.faultsOver && r.random.Float64() < 0.1 {
-		return AdviserAnswer{}, errInjected
+		return AdviserReply{}, errInjected
 	}
-	reply := AdviserAnswer{Valid: 200 * time.Millisecond}
+	reply := AdviserReply{Valid: 200 * time.Millisecond}
 	for _, worker := range call.Workers {
 		reply.Granted = append(reply.Granted, Grant{Worker: worker, Ticket: "t"})
 	}
--- a/internal/control/copies.go
+++ b/internal/control/copies.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// workerAnswerTimeout is how long a worker may give no answer before it counts as
+	// workerResponseTimeout is how long a worker may give no answer before it counts as
 	// unresponsive: a long poll and a prompt answer.
-	workerAnswerTimeout = pollHold + minOverdueTime
+	workerResponseTimeout = pollHold + minOverdueTime
 	// copySlowFactor is how many expected run times the rest of a run on a slow worker
 	// must take before a speculative copy is worth its resources. A run that takes long on
 	// a healthy worker would take as long elsewhere.
--- a/internal/control/copies_test.go
+++ b/internal/control/copies_test.go
@@ -26,12 +26,12 @@
 	term.mu.Lock()
 	term.sessions["w1"].leaseEnd = time.Now().Add(time.Hour)
 	term.mu.Unlock()
-	w.withWorker("w1", func(f *fakeWorker) { f.answersLost = true })
+	w.withWorker("w1", func(f *fakeWorker) { f.responsesLost = true })
 	w.workers.add("w2")
 	w.announce("w2")
 	w.eventually("the copies run", func() bool { return w.started("w2") == 2 })
 	w.withWorker("w2", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
-	w.withWorker("w1", func(f *fakeWorker) { f.answersLost = false })
+	w.withWorker("w1", func(f *fakeWorker) { f.responsesLost = false })
 	w.eventually("the other run of the task whose copy ended is stopped", func() bool {
 		stopped := 0
 		w.withWorker("w1", func(f *fakeWorker) { stopped = f.stopped[task("a", 0)] })
@@ -102,7 +102,7 @@
 // poll. The timeout must count from the deadline of the poll.
 func TestWorkerIsUnresponsiveOnlyAfterPollDeadline(t *testing.T) {
 	now := time.Now()
-	s := &workerSession{t: &leaderTerm{started: now.Add(-time.Hour)}, answeredAt: now.Add(-workerAnswerTimeout - maxPollPauseAfterEnds)}
+	s := &workerSession{t: &leaderTerm{started: now.Add(-time.Hour)}, answeredAt: now.Add(-workerResponseTimeout - maxPollPauseAfterEnds)}
 	run, step := workflow.Run{Task: task("a", 0)}, oneTask
 	s.pollDue = now.Add(time.Millisecond)
 	must.Eq(t, copyNone, s.copyCauseOf(run, &step, now))
--- a/internal/control/crash.go
+++ b/internal/control/crash.go
@@ -57,12 +57,12 @@
 	if since.IsZero() {
 		return 0
 	}
-	return max(s.lastAnswerAt().Sub(since), 0)
+	return max(s.lastResponseAt().Sub(since), 0)
 }
 
-// lastAnswerAt returns when the worker last answered a call of any kind. t.mu must be
+// lastResponseAt returns when the worker last answered a call of any kind. t.mu must be
 // held.
-func (s *workerSession) lastAnswerAt() time.Time {
+func (s *workerSession) lastResponseAt() time.Time {
 	if s.clockAt.After(s.answeredAt) {
 		return s.clockAt
 	}
@@ -81,7 +81,7 @@
 // them at the same time.
 func (s *workerSession) onProbation() bool {
 	for _, o := range s.orders {
-		if o.crashSuspect && (o.startedAt.IsZero() || s.lastAnswerAt().Sub(o.startedAt) < probationPeriod) {
+		if o.crashSuspect && (o.startedAt.IsZero() || s.lastResponseAt().Sub(o.startedAt) < probationPeriod) {
 			return true
 		}
 	}
--- a/internal/control/crash_test.go
+++ b/internal/control/crash_test.go
@@ -46,7 +46,7 @@
 		return true
 	}
 	c.crashed++
-	c.w.withWorker(worker, func(f *fakeWorker) { f.answersLost = true })
+	c.w.withWorker(worker, func(f *fakeWorker) { f.responsesLost = true })
 	c.w.workers.add(c.currentWorker())
 	c.w.announce(c.currentWorker())
 	time.AfterFunc(knownAfter, func() { c.w.withWorker(worker, func(f *fakeWorker) { f.superseded = true }) })
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -118,7 +118,7 @@
 
 func (l *fakeLog) Changed() <-chan struct{} { return make(chan struct{}) }
 
-var errNoAnswer = errors.New("no answer")
+var errNoResponse = errors.New("no answer")
 
 // fakeWorker is one incarnation of a worker, with its report.
 type fakeWorker struct {
@@ -128,8 +128,8 @@
 	ended   []Ended
 	// stopped is the highest run number of each task that was stopped or has ended.
 	stopped map[workflow.TaskKey]int
-	// answersLost says that calls arrive and their answers are lost.
-	answersLost bool
+	// responsesLost says that calls arrive and their answers are lost.
+	responsesLost bool
 	// delayStarts says that starts get no answer and are added to delayedStarts.
 	delayStarts   bool
 	delayedStarts []StartOrder
@@ -190,7 +190,7 @@
 func (f *fakeWorkers) Start(ctx context.Context, to Target, order StartOrder) (int64, error) {
 	if f.takeHangingStart(to.Worker) {
 		<-ctx.Done()
-		return 0, errNoAnswer
+		return 0, errNoResponse
 	}
 	if f.refusesSlowly(ctx, to.Worker) {
 		return 0, &RefusedError{RefusedTicket}
@@ -205,7 +205,7 @@
 	if w.delayStarts {
 		w.delayedStarts = append(w.delayedStarts, order)
 		w.delayStarts = w.refuseNextStart == ""
-		return 0, errNoAnswer
+		return 0, errNoResponse
 	}
 	if reason := w.refuseNextStart; reason != "" {
 		w.refuseNextStart = ""
@@ -214,8 +214,8 @@
 	if err := w.startRun(order); err != nil {
 		return 0, err
 	}
-	if w.answersLost {
-		return 0, errNoAnswer
+	if w.responsesLost {
+		return 0, errNoResponse
 	}
 	return 1000, nil
 }
@@ -265,14 +265,14 @@
 	w := f.all[to.Worker].current()
 	if w.lostStops > 0 {
 		w.lostStops--
-		return 0, errNoAnswer
+		return 0, errNoResponse
 	}
 	w.stopped[order.Run.Task] = max(w.stopped[order.Run.Task], order.Run.Number)
 	if running, ok := w.running[order.Run.Task]; ok && running.Number == order.Run.Number {
 		w.finish(order.Run.Task, workflow.OutcomeStopped)
 	}
-	if w.answersLost {
-		return 0, errNoAnswer
+	if w.responsesLost {
+		return 0, errNoResponse
 	}
 	return 1000, nil
 }
@@ -313,8 +313,8 @@
 	if order.LeaseEndMS > 0 {
 		w.leases = append(w.leases, order.LeaseEndMS)
 	}
-	if w.answersLost {
-		return Report{}, errNoAnswer
+	if w.responsesLost {
+		return Report{}, errNoResponse
 	}
 	report := Report{ClockMS: 1000, Partial: w.partial}
 	for _, running := range w.running {
@@ -328,8 +328,8 @@
 	return report, nil
 }
 
-func (f *fakeWorkers) Query(_ context.Context, call AdviserQuery) (AdviserAnswer, error) {
-	reply := AdviserAnswer{Valid: time.Minute}
+func (f *fakeWorkers) Query(_ context.Context, call AdviserQuery) (AdviserReply, error) {
+	reply := AdviserReply{Valid: time.Minute}
 	for _, worker := range call.Workers {
 		reply.Granted = append(reply.Granted, Grant{Worker: worker, Ticket: "t"})
 	}
--- a/internal/control/heartbeat_transport.go
+++ b/internal/control/heartbeat_transport.go
@@ -107,7 +107,7 @@
 }
 
 // forget removes the mailboxes of workers for which exists returns false.
-func (h *heartbeatTransport) forget(exists func(worker string) bool) {
+func (h *heartbeatTransport) removeMailboxes(exists func(worker string) bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for worker := range h.mailboxes {
@@ -136,7 +136,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return box.makeAnswer(fence, report, time.Now())
+	return box.makeResponse(fence, report, time.Now())
 }
 
 // recordHeartbeat records a heartbeat. A report without a run says nothing about a start
@@ -181,10 +181,10 @@
 	}
 }
 
-// makeAnswer builds an answer. The leader sets the end of a lease on the worker's clock,
+// makeResponse builds an answer. The leader sets the end of a lease on the worker's clock,
 // but the worker counts from the arrival of the answer. The arrival may be as late as the
 // worker's timeout, which is subtracted.
-func (box *mailbox) makeAnswer(fence uint64, report Report, now time.Time) HeartbeatOrders {
+func (box *mailbox) makeResponse(fence uint64, report Report, now time.Time) HeartbeatOrders {
 	if box.fence != fence {
 		box.fence, box.confirmed = fence, 0
 	}
--- a/internal/control/heartbeat_transport_test.go
+++ b/internal/control/heartbeat_transport_test.go
@@ -14,10 +14,10 @@
 // heartbeatWorker is a worker that receives its orders in the answers to its heartbeats.
 type heartbeatWorker struct {
 	*fakeWorker
-	// loseAnswers is how many further answers are dropped before they are carried out;
-	// lostAnswers holds the dropped ones.
-	loseAnswers int
-	lostAnswers []HeartbeatOrders
+	// loseResponses is how many further answers are dropped before they are carried out;
+	// lostResponses holds the dropped ones.
+	loseResponses int
+	lostResponses []HeartbeatOrders
 }
 
 // sendHeartbeat sends one heartbeat with the worker's report and carries out the answer.
@@ -34,9 +34,9 @@
 	if reply.Orders == nil {
 		return
 	}
-	if b.loseAnswers > 0 {
-		b.loseAnswers--
-		b.lostAnswers = append(b.lostAnswers, *reply.Orders)
+	if b.loseResponses > 0 {
+		b.loseResponses--
+		b.lostResponses = append(b.lostResponses, *reply.Orders)
 		return
 	}
 	w.workers.mu.Lock()
@@ -91,7 +91,7 @@
 
 // Guards against this failure: a job doesn't run, or a cancelled one isn't stopped,
 // because the orders don't reach a worker that the leader can't call.
-func TestHeartbeatAnswersCarryOrders(t *testing.T) {
+func TestHeartbeatResponsesCarryOrders(t *testing.T) {
 	w, _ := heartbeatCluster(t, "w1")
 	w.submit("a", oneTask)
 	w.eventually("the task starts", func() bool { return w.started("w1") == 1 })
--- a/internal/control/incarnations_test.go
+++ b/internal/control/incarnations_test.go
@@ -124,7 +124,7 @@
 		w.withWorker("n1", func(f *fakeWorker) { seen = f.polls[len(f.polls)-1].LastEnd == 1 })
 		return seen
 	})
-	w.withWorker("n1", func(f *fakeWorker) { f.answersLost = true })
+	w.withWorker("n1", func(f *fakeWorker) { f.responsesLost = true })
 	time.Sleep(10 * fakePollHold)
 	w.restart("n1", "n2")
 	w.announceIncarnation("n2", 2)
--- a/internal/control/incremental_test.go
+++ b/internal/control/incremental_test.go
@@ -99,12 +99,12 @@
 
 // Guards against overloading a leader further: when its processor is busy it reads the
 // answers of workers late, so it must poll them less often.
-func TestPollIntervalGrowsWithAnswerTime(t *testing.T) {
+func TestPollIntervalGrowsWithResponseTime(t *testing.T) {
 	s := &workerSession{t: &leaderTerm{}}
 	must.Eq(t, pollPauseAfterEnds, s.pauseAfterEnds())
-	s.t.answerTime = 20 * time.Millisecond
+	s.t.responseTime = 20 * time.Millisecond
 	must.Eq(t, 160*time.Millisecond, s.pauseAfterEnds())
-	s.t.answerTime = time.Second
+	s.t.responseTime = time.Second
 	must.Eq(t, maxPollPauseAfterEnds, s.pauseAfterEnds())
 }
 
@@ -114,7 +114,7 @@
 func TestConstantLatencyToWorkersKeepsPollInterval(t *testing.T) {
 	term := &leaderTerm{}
 	for range 200 {
-		term.recordAnswerTime(20 * time.Millisecond)
+		term.recordResponseTime(20 * time.Millisecond)
 	}
 	must.Eq(t, pollPauseAfterEnds, (&workerSession{t: term}).pauseAfterEnds())
 }
--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -68,9 +68,9 @@
 	// queuedSteps is how many ready steps had tasks to start at the last full decision,
 	// speculative copies excluded.
 	queuedSteps int
-	// answerTime is a moving mean of the time until a start is answered, minAnswerTime the
+	// responseTime is a moving mean of the time until a start is answered, minResponseTime the
 	// shortest such time.
-	answerTime, minAnswerTime time.Duration
+	responseTime, minResponseTime time.Duration
 	// callLostAt is when a call was last found to have been lost.
 	callLostAt time.Time
 	// runsCheckedAt is when all runs were last checked for stops and copies.
@@ -325,18 +325,18 @@
 func (t *leaderTerm) forgetLoop() {
 	for wait.For(t.ctx, forgetInterval) {
 		if t.c.heartbeats != nil {
-			t.c.heartbeats.forget(t.monitors)
+			t.c.heartbeats.removeMailboxes(t.monitors)
 		}
-		if old := t.forget(time.Now()); len(old) > 0 {
+		if old := t.expireEndedJobs(time.Now()); len(old) > 0 {
 			// propose logs the failure, and the next round finds the jobs again.
-			_, _ = t.propose(&workflow.Command{Forget: old})
+			_, _ = t.propose(&workflow.Command{DeleteJobs: old})
 		}
 	}
 }
 
 // forget removes the permits of ended jobs, which take most of the memory that a leader
 // term uses for a job. It returns the jobs whose retention has expired.
-func (t *leaderTerm) forget(now time.Time) (old []string) {
+func (t *leaderTerm) expireEndedJobs(now time.Time) (old []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.c.state.read(func(s *workflow.State) {
--- a/internal/control/leader_term_test.go
+++ b/internal/control/leader_term_test.go
@@ -113,13 +113,13 @@
 	term.mu.Lock()
 	term.permitsOf(workflow.StepKey{Job: "a"})
 	term.mu.Unlock()
-	must.SliceEmpty(t, term.forget(time.Now()))
+	must.SliceEmpty(t, term.expireEndedJobs(time.Now()))
 	must.MapLen(t, 1, term.permits)
 	w.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
 	w.eventually("the job is done", func() bool { return w.phase("a") == workflow.PhaseDone })
-	must.SliceEmpty(t, term.forget(time.Now()))
+	must.SliceEmpty(t, term.expireEndedJobs(time.Now()))
 	must.MapEmpty(t, term.permits)
-	must.Eq(t, []string{"a"}, term.forget(time.Now().Add(time.Hour)))
+	must.Eq(t, []string{"a"}, term.expireEndedJobs(time.Now().Add(time.Hour)))
 	must.MapEmpty(t, term.acceptedAt)
 }
 
--- a/internal/control/machines.go
+++ b/internal/control/machines.go
@@ -39,9 +39,9 @@
 	cordoned map[string]*cordonState
 	// ordersInFlight are the machines that have an order in flight.
 	ordersInFlight map[string]bool
-	// maintenanceBegunAt is when this leader term learned that a machine's maintenance had
+	// maintenanceStartedAt is when this leader term learned that a machine's maintenance had
 	// begun.
-	maintenanceBegunAt map[string]time.Time
+	maintenanceStartedAt map[string]time.Time
 	// waveAcceptedAt is when this leader term accepted a wave.
 	waveAcceptedAt map[int64]time.Time
 
@@ -57,7 +57,7 @@
 
 func newMachines() *machines {
 	return &machines{
-		cordoned: map[string]*cordonState{}, ordersInFlight: map[string]bool{}, maintenanceBegunAt: map[string]time.Time{}, waveAcceptedAt: map[int64]time.Time{},
+		cordoned: map[string]*cordonState{}, ordersInFlight: map[string]bool{}, maintenanceStartedAt: map[string]time.Time{}, waveAcceptedAt: map[int64]time.Time{},
 	}
 }
 
@@ -130,19 +130,19 @@
 	unreadable := 0
 	for page := ""; ; {
 		t.c.cfg.Counters.Add("machine_lists", 1)
-		answer, err := t.c.cfg.Machines.List(ctx, page)
+		response, err := t.c.cfg.Machines.List(ctx, page)
 		if err != nil {
 			return nil, err
 		}
-		for _, m := range answer.Machines {
+		for _, m := range response.Machines {
 			list[m.ID] = m
 		}
-		unreadable += answer.Unreadable
-		if answer.Next == "" {
+		unreadable += response.Unreadable
+		if response.Next == "" {
 			t.keepUnreadable(list, unreadable)
 			return list, nil
 		}
-		page = answer.Next
+		page = response.Next
 	}
 }
 
--- a/internal/control/maintenance.go
+++ b/internal/control/maintenance.go
@@ -99,7 +99,7 @@
 			listed, exists := t.machines.list[id]
 			recorded := w.Maintenances[id]
 			switch {
-			case !exists || recorded.Stage == workflow.MaintenanceNotNeeded, recorded.Stage == workflow.MaintenanceBegun && t.backFromMaintenance(listed, recorded, now):
+			case !exists || recorded.Stage == workflow.MaintenanceNotNeeded, recorded.Stage == workflow.MaintenanceStarted && t.backFromMaintenance(listed, recorded, now):
 			case recorded.Stage != 0:
 				// An order without an answer may still be carried out, so the machine
 				// counts as down.
@@ -125,11 +125,11 @@
 // Neither is sufficient alone: the list may lag and still show the machine as up, and the
 // worker may have restarted before the order was carried out. t.mu must be held.
 func (t *leaderTerm) backFromMaintenance(m ListedMachine, recorded workflow.Maintenance, now time.Time) bool {
-	begunAt, known := t.machines.maintenanceBegunAt[m.ID]
+	startedAt, known := t.machines.maintenanceStartedAt[m.ID]
 	if !known {
-		begunAt = t.started
+		startedAt = t.started
 	}
-	return now.Sub(begunAt) >= t.c.cfg.Bounds.MaintenanceDuration && m.State == MachineUp && m.Worker != "" && m.Worker != recorded.Worker
+	return now.Sub(startedAt) >= t.c.cfg.Bounds.MaintenanceDuration && m.State == MachineUp && m.Worker != "" && m.Worker != recorded.Worker
 }
 
 // maintenanceMachine returns the state of a machine that hasn't been ordered down. t.mu
@@ -183,9 +183,9 @@
 	switch {
 	case err == nil:
 		t.mu.Lock()
-		t.machines.maintenanceBegunAt[m.ID] = time.Now()
+		t.machines.maintenanceStartedAt[m.ID] = time.Now()
 		t.mu.Unlock()
-		if t.commitMaintenance(wave, m, workflow.MaintenanceBegun) == nil {
+		if t.commitMaintenance(wave, m, workflow.MaintenanceStarted) == nil {
 			t.recordLeaving(m.Worker)
 		}
 	case !errors.As(err, &refused):
@@ -207,7 +207,7 @@
 func (t *leaderTerm) dropRemovedMachines(w *workflow.WaveState) {
 	for _, id := range w.Machines {
 		_, exists := t.machines.list[id]
-		if !exists && w.Maintenances[id].Stage < workflow.MaintenanceBegun {
+		if !exists && w.Maintenances[id].Stage < workflow.MaintenanceStarted {
 			t.logMaintenance(w.ID, id, "", "left")
 			_ = t.commitMaintenance(w.ID, ListedMachine{ID: id}, workflow.MaintenanceNotNeeded)
 		}
--- a/internal/control/maintenance_test.go
+++ b/internal/control/maintenance_test.go
@@ -34,8 +34,8 @@
 	down, maxDown int
 	fences        []uint64
 	moves         []string
-	// loseAnswer makes the next maintenance order succeed without an answer.
-	loseAnswer bool
+	// loseResponse makes the next maintenance order succeed without an answer.
+	loseResponse bool
 }
 
 func newFakeMachines(ids ...string) *fakeMachines {
@@ -56,11 +56,11 @@
 	}
 	slices.Sort(ids)
 	at := max(slices.Index(ids, page), 0)
-	answer := MachinePage{Machines: []ListedMachine{*f.list[ids[at]]}}
+	response := MachinePage{Machines: []ListedMachine{*f.list[ids[at]]}}
 	if at+1 < len(ids) {
-		answer.Next = ids[at+1]
+		response.Next = ids[at+1]
 	}
-	return answer, nil
+	return response, nil
 }
 
 func (f *fakeMachines) Maintenance(_ context.Context, order MachineOrder, _ int64) error {
@@ -73,9 +73,9 @@
 	if m.State == MachineUp && f.incarnations[m.ID] == 0 {
 		f.takeDown(m)
 	}
-	if f.loseAnswer {
-		f.loseAnswer = false
-		return errNoAnswer
+	if f.loseResponse {
+		f.loseResponse = false
+		return errNoResponse
 	}
 	return nil
 }
@@ -203,7 +203,7 @@
 // unknown.
 func TestMachineWithUnansweredOrderCountsAsDown(t *testing.T) {
 	machines := newFakeMachines("m1", "m2", "m3")
-	machines.loseAnswer, machines.downtime, machines.listDelay = true, 600*time.Millisecond, 300*time.Millisecond
+	machines.loseResponse, machines.downtime, machines.listDelay = true, 600*time.Millisecond, 300*time.Millisecond
 	w := newMachineCluster(t, machines)
 	w.startWave(workflow.Wave{ID: 1, Machines: []string{"m1", "m2", "m3"}, DurationMS: 60_000, MaxDown: 1})
 	w.eventually("the wave is done", func() bool { return w.waveDone(1) })
@@ -220,16 +220,16 @@
 	must.NoError(t, err)
 	term.c.cfg.Bounds.MaintenanceDuration = time.Hour
 	listed := ListedMachine{ID: "m1", State: MachineUp, Worker: "m1-1"}
-	recorded := workflow.Maintenance{Wave: 1, Machine: "m1", Stage: workflow.MaintenanceBegun, Worker: "m1-0"}
-	begunAt := time.Now()
+	recorded := workflow.Maintenance{Wave: 1, Machine: "m1", Stage: workflow.MaintenanceStarted, Worker: "m1-0"}
+	startedAt := time.Now()
 	term.mu.Lock()
 	defer term.mu.Unlock()
-	must.False(t, term.backFromMaintenance(listed, recorded, begunAt), must.Sprint("the maintenance began under an earlier leader"))
-	term.machines.maintenanceBegunAt["m1"] = begunAt
-	must.False(t, term.backFromMaintenance(listed, recorded, begunAt.Add(time.Minute)))
-	must.True(t, term.backFromMaintenance(listed, recorded, begunAt.Add(time.Hour)))
+	must.False(t, term.backFromMaintenance(listed, recorded, startedAt), must.Sprint("the maintenance began under an earlier leader"))
+	term.machines.maintenanceStartedAt["m1"] = startedAt
+	must.False(t, term.backFromMaintenance(listed, recorded, startedAt.Add(time.Minute)))
+	must.True(t, term.backFromMaintenance(listed, recorded, startedAt.Add(time.Hour)))
 	listed.Worker = "m1-0"
-	must.False(t, term.backFromMaintenance(listed, recorded, begunAt.Add(time.Hour)), must.Sprint("the same incarnation"))
+	must.False(t, term.backFromMaintenance(listed, recorded, startedAt.Add(time.Hour)), must.Sprint("the same incarnation"))
 }
 
 // Guards against concurrent orders for one machine: an order takes longer than the time to
--- a/internal/control/orphans_test.go
+++ b/internal/control/orphans_test.go
@@ -33,7 +33,7 @@
 // Guards against this failure: a run on a worker that doesn't answer is counted as
 // unaccounted for, and stopped, although the expiry of its lease will end it.
 func TestRunOnUnresponsiveWorkerIsAccountedFor(t *testing.T) {
-	w := clusterWithInheritedRun(t, func(f *fakeWorker) { f.answersLost = true })
+	w := clusterWithInheritedRun(t, func(f *fakeWorker) { f.responsesLost = true })
 	c := w.currentRunCounts()
 	must.Eq(t, 1, c.alive)
 	must.Eq(t, 0, c.unaccounted)
--- a/internal/control/permits.go
+++ b/internal/control/permits.go
@@ -59,7 +59,7 @@
 func (t *leaderTerm) queryAdviser(query dispatch.Query, queue string, policy *workflow.AdvicePolicy) {
 	duration := queryDuration(policy, len(query.Workers))
 	now := time.Now()
-	conn, answerDue := t.adviserConns.acquire(now, duration)
+	conn, responseDue := t.adviserConns.acquire(now, duration)
 	if conn == nil {
 		return
 	}
@@ -72,7 +72,7 @@
 	}
 	t.mu.Unlock()
 	valid := time.Duration(policy.TicketValidityMS) * time.Millisecond
-	t.spawn(func() { t.queryAdviserVia(conn, query, queue, valid, time.Until(answerDue)+queryTimeoutMargin) })
+	t.spawn(func() { t.queryAdviserVia(conn, query, queue, valid, time.Until(responseDue)+queryTimeoutMargin) })
 }
 
 // queryAdviserVia sends a query through conn and records the reply. valid is the ticket
@@ -134,7 +134,7 @@
 
 // recordReply stores the permits of a reply. Workers that were queried and aren't granted
 // are refused.
-func (p *stepPermits) recordReply(queried []string, reply AdviserAnswer, expires time.Duration) {
+func (p *stepPermits) recordReply(queried []string, reply AdviserReply, expires time.Duration) {
 	known := maps.Clone(p.known)
 	for _, worker := range queried {
 		known[worker] = dispatch.Permit{}
--- a/internal/control/polls.go
+++ b/internal/control/polls.go
@@ -16,9 +16,9 @@
 	// overdueFactor times the mean answer time makes an answer overdue. The same multiple
 	// of the answer delay is the pause between a report with ended runs and the next poll.
 	overdueFactor = 8
-	// answerTimeWeight is the weight of the latest sample in the moving mean of answer
+	// responseTimeWeight is the weight of the latest sample in the moving mean of answer
 	// times.
-	answerTimeWeight = 0.05
+	responseTimeWeight = 0.05
 )
 
 // losingCalls reports whether a call to a reachable worker was lost within the loss
@@ -51,7 +51,7 @@
 	if s.t.losingCalls(now) {
 		minHold := time.Duration(len(s.t.sessions)) * time.Second / maxLossyPolls
 		hold = min(max(lossyPollHold, minHold), pollHold)
-		slack = s.t.scaledAnswerTime(lossyPollSlack, callTimeout)
+		slack = s.t.scaledResponseTime(lossyPollSlack, callTimeout)
 	}
 	if s.isStalled() {
 		hold = min(hold, stalledPollHold)
@@ -92,16 +92,16 @@
 func (s *workerSession) pauseAfterEnds() time.Duration {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
-	// minAnswerTime approximates the network round trip alone, which is longer if another
+	// minResponseTime approximates the network round trip alone, which is longer if another
 	// instance relays the call.
-	delay := s.t.answerTime - s.t.minAnswerTime
+	delay := s.t.responseTime - s.t.minResponseTime
 	return boundedMultiple(delay, pollPauseAfterEnds, maxPollPauseAfterEnds)
 }
 
-// scaledAnswerTime returns overdueFactor times the mean answer time, limited to least and
+// scaledResponseTime returns overdueFactor times the mean answer time, limited to least and
 // most. t.mu must be held.
-func (t *leaderTerm) scaledAnswerTime(least, most time.Duration) time.Duration {
-	return boundedMultiple(t.answerTime, least, most)
+func (t *leaderTerm) scaledResponseTime(least, most time.Duration) time.Duration {
+	return boundedMultiple(t.responseTime, least, most)
 }
 
 // boundedMultiple returns overdueFactor times took, limited to least and most.
@@ -109,11 +109,11 @@
 	return min(max(least, overdueFactor*took), most)
 }
 
-// recordAnswerTime records how long a start took to be answered. t.mu must be held.
-func (t *leaderTerm) recordAnswerTime(took time.Duration) {
-	t.answerTime += time.Duration(answerTimeWeight * float64(took-t.answerTime))
-	if t.minAnswerTime == 0 || took < t.minAnswerTime {
-		t.minAnswerTime = took
+// recordResponseTime records how long a start took to be answered. t.mu must be held.
+func (t *leaderTerm) recordResponseTime(took time.Duration) {
+	t.responseTime += time.Duration(responseTimeWeight * float64(took-t.responseTime))
+	if t.minResponseTime == 0 || took < t.minResponseTime {
+		t.minResponseTime = took
 	}
 }
 
@@ -123,7 +123,7 @@
 // An overloaded leader sees answers late. With a fixed time it would take them for lost,
 // send each order again and give the workers nothing, which would add to the load.
 func (t *leaderTerm) overdueAfter() time.Duration {
-	return t.scaledAnswerTime(minOverdueTime, callTimeout/2)
+	return t.scaledResponseTime(minOverdueTime, callTimeout/2)
 }
 
 // isUnresponsive reports whether a poll has gone unanswered for longer than its hold
@@ -132,6 +132,6 @@
 // The time since the last answer alone isn't enough: a poll that is sent late, after a
 // report with ended runs, would make a healthy worker seem unreachable.
 func (s *workerSession) isUnresponsive(now time.Time) bool {
-	noRecentAnswer := now.Sub(s.answeredAt) > workerAnswerTimeout && now.Sub(s.t.started) > workerAnswerTimeout
-	return noRecentAnswer && now.After(s.pollDue)
+	noRecentResponse := now.Sub(s.answeredAt) > workerResponseTimeout && now.Sub(s.t.started) > workerResponseTimeout
+	return noRecentResponse && now.After(s.pollDue)
 }
--- a/internal/control/ports.go
+++ b/internal/control/ports.go
@@ -204,8 +204,8 @@
 	Workers []string         `cbor:"2,keyasint"`
 }
 
-// AdviserAnswer lists the workers on which the step may run.
-type AdviserAnswer struct {
+// AdviserReply lists the workers on which the step may run.
+type AdviserReply struct {
 	Granted []Grant `cbor:"1,keyasint"`
 	// Valid is how long the tickets are valid, counted from the answer.
 	Valid time.Duration `cbor:"2,keyasint"`
@@ -214,7 +214,7 @@
 // Adviser permits steps to run on workers. It serves the queries of one machine one after
 // another.
 type Adviser interface {
-	Query(ctx context.Context, call AdviserQuery) (AdviserAnswer, error)
+	Query(ctx context.Context, call AdviserQuery) (AdviserReply, error)
 }
 
 // Caller calls other instances; a link.Client is one.
--- a/internal/control/report.go
+++ b/internal/control/report.go
@@ -53,7 +53,7 @@
 // must be held.
 func (s *workerSession) recordReport(clockMS int64, now time.Time) {
 	s.answeredAt, s.incarnationUnconfirmed = now, false
-	s.recordAnswer(now)
+	s.recordResponse(now)
 	if clockMS > 0 {
 		// The report identifies the incarnation, so its clock is valid even if it seems to
 		// jump.
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -27,7 +27,7 @@
 	link.Handle(mux, MethodLeave, c.Leave)
 	link.Handle(mux, MethodConfigure, c.Configure)
 	link.Handle(mux, MethodConfiguration, c.Configuration)
-	link.Handle(mux, MethodFollow, c.Follow)
+	link.Handle(mux, MethodAnnounceInstance, c.AnnounceInstance)
 	link.Handle(mux, MethodStartWave, c.StartWave)
 	link.Handle(mux, MethodWaveState, c.WaveState)
 	link.Handle(mux, MethodExplain, c.Explain)
@@ -214,7 +214,7 @@
 	defer t.mu.Unlock()
 	c.state.read(func(s *workflow.State) {
 		for id, job := range s.OpenJobs() {
-			if job.Queue == queue && !job.Begun && !t.startedJobs[id] {
+			if job.Queue == queue && !job.Started && !t.startedJobs[id] {
 				n++
 			}
 		}
@@ -321,11 +321,11 @@
 
 // Follow records the announcement of an instance and returns what the instance has to
 // know: the members, the configuration version and the time until its next announcement.
-func (c *Controller) Follow(ctx context.Context, r *FollowCall) (FollowReply, error) {
+func (c *Controller) AnnounceInstance(ctx context.Context, r *AnnounceInstanceCall) (AnnounceInstanceReply, error) {
 	t, err := c.currentLeaderTerm(ctx)
 	if err != nil {
-		return FollowReply{}, err
+		return AnnounceInstanceReply{}, err
 	}
 	t.adviserConns.recordAnnouncement(r.Address, time.Now())
-	return FollowReply{Members: c.cfg.Members(), Version: c.version(), Pause: t.adviserConns.announceInterval()}, nil
+	return AnnounceInstanceReply{Members: c.cfg.Members(), Version: c.version(), Pause: t.adviserConns.announceInterval()}, nil
 }
--- a/internal/control/session.go
+++ b/internal/control/session.go
@@ -22,9 +22,9 @@
 	// overdue. A reachable worker answers within some round trips of 2 ms and its own
 	// scheduling delay.
 	minOverdueTime = 100 * time.Millisecond
-	// maxAnswerAge is how long after its last answer a worker still gets new tasks: one
+	// maxResponseAge is how long after its last answer a worker still gets new tasks: one
 	// held poll and one call.
-	maxAnswerAge = pollHold + callTimeout
+	maxResponseAge = pollHold + callTimeout
 	// pollPauseAfterEnds is the shortest pause between a report with ended runs and the
 	// next poll. Runs that end meanwhile share that poll, but are seen a little later.
 	pollPauseAfterEnds = 80 * time.Millisecond
@@ -122,7 +122,7 @@
 	switch {
 	case s.leaving || s.worker.Draining:
 		return reasonLeaving
-	case !s.ready || now.Sub(s.answeredAt) >= maxAnswerAge:
+	case !s.ready || now.Sub(s.answeredAt) >= maxResponseAge:
 		return reasonUnresponsive
 	case s.t.machines.isCordoned(s.worker.ID):
 		return reasonCordoned
@@ -172,7 +172,7 @@
 // recordClock records the worker's clock from an answer that has just arrived. t.mu must
 // be held.
 func (s *workerSession) recordClock(clockMS int64, now time.Time) {
-	s.recordAnswer(now)
+	s.recordResponse(now)
 	if s.clockJumped(clockMS, now) {
 		s.incarnationUnconfirmed = true
 		s.interruptPoll()
@@ -282,7 +282,7 @@
 	wasReady, leaving := s.ready, s.leaving
 	leaseExpired := now.After(s.leaseEnd)
 	noHeartbeat := now.Sub(s.heartbeatAt) > unresponsiveWorkerTimeout
-	if now.Sub(s.answeredAt) > maxAnswerAge {
+	if now.Sub(s.answeredAt) > maxResponseAge {
 		s.ready = false
 	}
 	nowReady := s.ready
--- a/internal/control/settle_test.go
+++ b/internal/control/settle_test.go
@@ -56,7 +56,7 @@
 // leader takes the lease for expired and starts the task elsewhere.
 func TestUnansweredPollsDoNotExtendLease(t *testing.T) {
 	w := clusterWithStartedTask(t)
-	w.withWorker("w1", func(f *fakeWorker) { f.answersLost = true })
+	w.withWorker("w1", func(f *fakeWorker) { f.responsesLost = true })
 	w.workers.add("w2")
 	w.announce("w2")
 	w.eventually("the task runs elsewhere", func() bool { return w.started("w2") == 1 })
@@ -219,7 +219,7 @@
 	term.mu.Lock()
 	s, o := term.sessions["w1"], term.sessions["w1"].orders[task("a", 0)]
 	term.mu.Unlock()
-	s.settleStartAttempts(o, []error{errNoAnswer, &RefusedError{RefusedNoCapacity}})
+	s.settleStartAttempts(o, []error{errNoResponse, &RefusedError{RefusedNoCapacity}})
 	runs := 0
 	w.c.state.read(func(s *workflow.State) { runs = len(s.Runs["w1"]) })
 	must.Eq(t, 1, runs)
@@ -262,19 +262,19 @@
 // Guards against this failure: an overloaded leader slows down further. It reads answers
 // 0.2 s late and takes each for lost, if the overdue time doesn't grow with the answer
 // time.
-func TestOverdueTimeFollowsAnswerTime(t *testing.T) {
+func TestOverdueTimeFollowsResponseTime(t *testing.T) {
 	term := &leaderTerm{}
 	must.Eq(t, minOverdueTime, term.overdueAfter())
 	for range 200 {
-		term.recordAnswerTime(5 * time.Millisecond)
+		term.recordResponseTime(5 * time.Millisecond)
 	}
 	must.Eq(t, minOverdueTime, term.overdueAfter())
 	for range 200 {
-		term.recordAnswerTime(25 * time.Millisecond)
+		term.recordResponseTime(25 * time.Millisecond)
 	}
 	must.Greater(t, 190*time.Millisecond, term.overdueAfter())
 	for range 200 {
-		term.recordAnswerTime(time.Second)
+		term.recordResponseTime(time.Second)
 	}
 	must.Eq(t, callTimeout/2, term.overdueAfter())
 }
--- a/internal/control/simulation_adviser_test.go
+++ b/internal/control/simulation_adviser_test.go
@@ -47,7 +47,7 @@
 }
 
 // Query serves a query from the leader's own machine.
-func (a *simAdviser) Query(ctx context.Context, call AdviserQuery) (AdviserAnswer, error) {
+func (a *simAdviser) Query(ctx context.Context, call AdviserQuery) (AdviserReply, error) {
 	return a.answer(ctx, ownAddress, call)
 }
 
@@ -56,15 +56,15 @@
 
 // Call serves a query through another instance.
 func (a *simAdviser) Call(ctx context.Context, address, _ string, request, reply any) error {
-	answer, err := a.answer(ctx, address, *request.(*AdviserQuery))
-	*reply.(*AdviserAnswer) = answer
+	response, err := a.answer(ctx, address, *request.(*AdviserQuery))
+	*reply.(*AdviserReply) = response
 	return err
 }
 
-func (a *simAdviser) answer(ctx context.Context, address string, call AdviserQuery) (AdviserAnswer, error) {
+func (a *simAdviser) answer(ctx context.Context, address string, call AdviserQuery) (AdviserReply, error) {
 	policy := a.policyOf(call.Step)
 	if policy == nil {
-		return AdviserAnswer{}, errNoAnswer
+		return AdviserReply{}, errNoResponse
 	}
 	a.mu.Lock()
 	a.queries++
@@ -78,12 +78,12 @@
 	a.mu.Unlock()
 	if lost {
 		<-ctx.Done()
-		return AdviserAnswer{}, errNoAnswer
+		return AdviserReply{}, errNoResponse
 	}
 	if !wait.For(ctx, time.Until(end)) {
-		return AdviserAnswer{}, errNoAnswer
+		return AdviserReply{}, errNoResponse
 	}
-	reply := AdviserAnswer{Valid: time.Duration(policy.TicketValidityMS) * time.Millisecond}
+	reply := AdviserReply{Valid: time.Duration(policy.TicketValidityMS) * time.Millisecond}
 	for _, worker := range call.Workers {
 		if a.permits(call.Step, worker) {
 			reply.Granted = append(reply.Granted, Grant{Worker: worker, Ticket: ticketFor(call.Step, worker, time.Now().Add(reply.Valid))})
--- a/internal/control/simulation_poll_test.go
+++ b/internal/control/simulation_poll_test.go
@@ -38,7 +38,7 @@
 		<-ctx.Done()
 	}
 	if !wait.For(ctx, f.replyDelay) || ctx.Err() != nil {
-		return Report{}, errNoAnswer
+		return Report{}, errNoResponse
 	}
 	return report, nil
 }
--- a/internal/control/simulation_test.go
+++ b/internal/control/simulation_test.go
@@ -132,7 +132,7 @@
 		c := x.controller()
 		for i := 1; i < x.params.adviserConns; i++ {
 			if address := fmt.Sprint("instance", i); !x.adviser.isUnreachable(address) {
-				_, _ = c.Follow(ctx, &FollowCall{Address: address})
+				_, _ = c.AnnounceInstance(ctx, &AnnounceInstanceCall{Address: address})
 			}
 		}
 		x.workers.mu.Lock()
--- a/internal/control/simulation_worker_test.go
+++ b/internal/control/simulation_worker_test.go
@@ -174,7 +174,7 @@
 			}
 		})
 		<-ctx.Done()
-		return 0, errNoAnswer
+		return 0, errNoResponse
 	}
 	r.mu.Lock()
 	// The worker may have crashed while the call was on its way.
@@ -188,7 +188,7 @@
 		<-ctx.Done()
 	}
 	if !wait.For(ctx, f.replyDelay) || ctx.Err() != nil {
-		return 0, errNoAnswer
+		return 0, errNoResponse
 	}
 	return clock, err
 }
@@ -200,7 +200,7 @@
 	if w == nil || !w.reachable(time.Now()) {
 		r.mu.Unlock()
 		<-ctx.Done()
-		return nil, callOutcome{}, errNoAnswer
+		return nil, callOutcome{}, errNoResponse
 	}
 	f := r.drawCallOutcome(kind, w, run)
 	if f.misdirected {
@@ -211,7 +211,7 @@
 	switch {
 	case f.lost:
 		<-ctx.Done()
-		return nil, f, errNoAnswer
+		return nil, f, errNoResponse
 	case f.misdirected || w.ID != to.Worker && !r.params.sameNames:
 		return nil, f, ErrOtherIncarnation
 	}
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -279,9 +279,9 @@
 	}
 	step.NeedsPermit, step.LastQuery = true, p.lastQueryAt
 	advice := *job.Policy.Advice
-	step.AnswerTime = func(n int) time.Duration { return queryDuration(&advice, n) }
+	step.ResponseTime = func(n int) time.Duration { return queryDuration(&advice, n) }
 	step.GrantRate = t.grantShares[job.Queue].mean
-	step.AwaitsAnswer, step.Renewing = p.inFlight > 0, p.renewing
+	step.AwaitsResponse, step.Renewing = p.inFlight > 0, p.renewing
 	step.Permits, step.TicketsExpire = p.known, p.ticketsExpire
 	return step
 }
--- a/internal/control/starts.go
+++ b/internal/control/starts.go
@@ -227,7 +227,7 @@
 		return err
 	}
 	s.recordClock(clockMS, now)
-	t.recordAnswerTime(now.Sub(sent))
+	t.recordResponseTime(now.Sub(sent))
 	o.unanswered = false
 	if o.startedAt.IsZero() {
 		o.startedAt = now
--- a/internal/control/suspect.go
+++ b/internal/control/suspect.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// dataCentreAnswerTimeout is how long no worker of a data centre may answer, while one of
+// dataCentreResponseTimeout is how long no worker of a data centre may answer, while one of
 // them has an overdue order, before the whole data centre is suspected to be unreachable.
 // Sixteen busy workers answer about fifty calls a second.
-const dataCentreAnswerTimeout = 200 * time.Millisecond
+const dataCentreResponseTimeout = 200 * time.Millisecond
 
-// recordAnswer records the time of the last answer from the worker's data centre. t.mu
+// recordResponse records the time of the last answer from the worker's data centre. t.mu
 // must be held.
-func (s *workerSession) recordAnswer(now time.Time) {
+func (s *workerSession) recordResponse(now time.Time) {
 	s.t.dataCentreAnsweredAt[s.worker.DataCentre] = now
 }
 
@@ -35,11 +35,11 @@
 }
 
 // unresponsiveDataCentres returns the data centres in which no worker has answered within
-// dataCentreAnswerTimeout. A worker that is ready has answered before. t.mu must be held.
+// dataCentreResponseTimeout. A worker that is ready has answered before. t.mu must be held.
 func (t *leaderTerm) unresponsiveDataCentres(now time.Time) map[string]bool {
 	unresponsive := map[string]bool{}
 	for dataCentre, last := range t.dataCentreAnsweredAt {
-		if now.Sub(last) > dataCentreAnswerTimeout {
+		if now.Sub(last) > dataCentreResponseTimeout {
 			unresponsive[dataCentre] = true
 		}
 	}
--- a/internal/control/suspect_test.go
+++ b/internal/control/suspect_test.go
@@ -27,9 +27,9 @@
 	add("a2", "a")
 	add("b1", "b").orders[task("k", 0)] = &runOrder{unanswered: true}
 	add("c1", "c")
-	term.dataCentreAnsweredAt["a"] = now.Add(-2 * dataCentreAnswerTimeout)
-	term.dataCentreAnsweredAt["b"] = now.Add(-dataCentreAnswerTimeout / 2)
-	term.dataCentreAnsweredAt["c"] = now.Add(-2 * dataCentreAnswerTimeout)
+	term.dataCentreAnsweredAt["a"] = now.Add(-2 * dataCentreResponseTimeout)
+	term.dataCentreAnsweredAt["b"] = now.Add(-dataCentreResponseTimeout / 2)
+	term.dataCentreAnsweredAt["c"] = now.Add(-2 * dataCentreResponseTimeout)
 	must.Eq(t, map[string]bool{"a": true}, term.suspectedDataCentres(now))
 }
 
--- a/internal/control/unreported_runs_test.go
+++ b/internal/control/unreported_runs_test.go
@@ -120,7 +120,7 @@
 // leader doesn't monitor it.
 func TestRunsOnUnreachableUnmonitoredWorkerAreLost(t *testing.T) {
 	w := clusterWithUnmonitoredWorker(t)
-	w.withWorker("w1", func(f *fakeWorker) { f.answersLost = true })
+	w.withWorker("w1", func(f *fakeWorker) { f.responsesLost = true })
 	w.workers.add("w2")
 	w.announce("w2")
 	w.eventually("the task runs elsewhere", func() bool { return w.started("w2") == 1 })
--- a/internal/e2e/chaos_test.go
+++ b/internal/e2e/chaos_test.go
@@ -153,11 +153,11 @@
 	var instances []*apiv1.Instance
 	for _, instance := range c.deployment.Settings.InDataCentre(dataCentre) {
 		operations := apiv1.NewOperationsProtobufClient("http://"+instance.Cell, c.client)
-		answer, err := operations.Instances(ctx, &apiv1.InstancesRequest{})
+		response, err := operations.Instances(ctx, &apiv1.InstancesRequest{})
 		if err != nil {
 			return false
 		}
-		instances = append(instances, answer.Instances...)
+		instances = append(instances, response.Instances...)
 	}
 	return allRecovered(instances)
 }
--- a/internal/e2e/customer_test.go
+++ b/internal/e2e/customer_test.go
@@ -92,9 +92,9 @@
 	cc.cluster.eventually("an entry instance names a home", func() bool {
 		ctx, cancel := context.WithTimeout(cc.ctx, time.Second)
 		defer cancel()
-		answer, err := cc.schedulers[i%len(cc.schedulers)].Home(ctx, &apiv1.HomeRequest{})
+		response, err := cc.schedulers[i%len(cc.schedulers)].Home(ctx, &apiv1.HomeRequest{})
 		i++
-		home = answer.GetDataCentre()
+		home = response.GetDataCentre()
 		return err == nil
 	})
 	return home
@@ -104,7 +104,7 @@
 // refused. It returns the refusal.
 func (cc *customerClient) trySubmit(requestID string, spec *apiv1.Spec) (*apiv1.SubmitResponse, error) {
 	cc.cluster.t.Helper()
-	var answer *apiv1.SubmitResponse
+	var response *apiv1.SubmitResponse
 	var err error
 	home := cc.requestHome(spec)
 	i := 0
@@ -112,18 +112,18 @@
 		ctx, cancel := context.WithTimeout(cc.ctx, 5*time.Second)
 		defer cancel()
 		request := &apiv1.SubmitRequest{RequestId: requestID, Spec: spec, Home: home}
-		answer, err = cc.schedulers[i%len(cc.schedulers)].Submit(ctx, request)
+		response, err = cc.schedulers[i%len(cc.schedulers)].Submit(ctx, request)
 		i++
 		return !fault.Is(err, fault.Unavailable)
 	})
-	return answer, err
+	return response, err
 }
 
 // submit retries a submission with the same request id over all entry instances until
 // it is accepted, as callers should.
 func (cc *customerClient) submit(requestID string, spec *apiv1.Spec) *apiv1.SubmitResponse {
 	cc.cluster.t.Helper()
-	var answer *apiv1.SubmitResponse
+	var response *apiv1.SubmitResponse
 	home := cc.requestHome(spec)
 	i := 0
 	cc.cluster.eventually("submission "+requestID+" is answered", func() bool {
@@ -131,11 +131,11 @@
 		defer cancel()
 		var err error
 		request := &apiv1.SubmitRequest{RequestId: requestID, Spec: spec, Home: home}
-		answer, err = cc.schedulers[i%len(cc.schedulers)].Submit(ctx, request)
+		response, err = cc.schedulers[i%len(cc.schedulers)].Submit(ctx, request)
 		i++
 		return err == nil
 	})
-	return answer
+	return response
 }
 
 // status returns the status of a job. It retries over all entry instances.
@@ -146,12 +146,12 @@
 	cc.cluster.eventually("status of "+id, func() bool {
 		ctx, cancel := context.WithTimeout(cc.ctx, 5*time.Second)
 		defer cancel()
-		answer, err := cc.schedulers[i%len(cc.schedulers)].Status(ctx, &apiv1.StatusRequest{Id: id, WithTasks: true})
+		response, err := cc.schedulers[i%len(cc.schedulers)].Status(ctx, &apiv1.StatusRequest{Id: id, WithTasks: true})
 		i++
 		if err != nil {
 			return false
 		}
-		job = answer.Jobs[0]
+		job = response.Jobs[0]
 		return true
 	})
 	return job
--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -292,12 +292,12 @@
 	var leader string
 	i := 0
 	c.eventually("a leader is elected in "+dataCentre, func() bool {
-		answer, err := operations[i%len(operations)].Instances(ctx, &apiv1.InstancesRequest{})
+		response, err := operations[i%len(operations)].Instances(ctx, &apiv1.InstancesRequest{})
 		i++
 		if err != nil {
 			return false
 		}
-		for _, instance := range answer.Instances {
+		for _, instance := range response.Instances {
 			if instance.DataCentre == dataCentre && instance.Leader {
 				leader = instance.Id
 				return true
--- a/internal/e2e/membership_test.go
+++ b/internal/e2e/membership_test.go
@@ -74,12 +74,12 @@
 	c.t.Helper()
 	ctx, operations := c.operatorClients()
 	c.eventually(id+" has caught up", func() bool {
-		answer, err := operations[0].Instances(ctx, &apiv1.InstancesRequest{})
+		response, err := operations[0].Instances(ctx, &apiv1.InstancesRequest{})
 		if err != nil {
 			return false
 		}
 		var commitIndex, highest uint64
-		for _, instance := range answer.Instances {
+		for _, instance := range response.Instances {
 			highest = max(highest, instance.CommitIndex)
 			if instance.Id == id && instance.Reachable && !instance.Recovering {
 				commitIndex = instance.CommitIndex
--- a/internal/e2e/partition_test.go
+++ b/internal/e2e/partition_test.go
@@ -71,13 +71,13 @@
 	})
 	ids := make(map[string]bool)
 	for i := range 40 {
-		answer, err := source.trySubmit(fmt.Sprint("handover-", i), batch("reports", 2, 100, false))
+		response, err := source.trySubmit(fmt.Sprint("handover-", i), batch("reports", 2, 100, false))
 		if err != nil {
 			// Refused because no other data centre could be reached; the job wasn't accepted.
 			must.False(t, fault.Is(err, fault.Unavailable), must.Sprint(err))
 			continue
 		}
-		ids[answer.Id] = true
+		ids[response.Id] = true
 	}
 	close(stop)
 	toggler.Wait()
@@ -107,9 +107,9 @@
 	ids := make(map[string]bool)
 	for _, name := range dataCentres {
 		c.eventually("the submission is answered through "+name, func() bool {
-			answer, err := customer.inDataCentre(name).schedulers[0].Submit(customer.ctx, request)
+			response, err := customer.inDataCentre(name).schedulers[0].Submit(customer.ctx, request)
 			must.False(t, err != nil && !fault.Is(err, fault.Unavailable), must.Sprint(err))
-			ids[answer.GetId()] = true
+			ids[response.GetId()] = true
 			return err == nil
 		})
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -66,7 +66,7 @@
 	leader  string
 	// leaderChanged is closed, and replaced, when leader changes.
 	leaderChanged chan struct{}
-	lastAnswer    time.Time
+	lastResponse  time.Time
 	inContact     bool
 	// nextMember selects the member that is asked for ended jobs. Members in
 	// unresponsiveUntil gave no answer and aren't asked before that time.
@@ -96,7 +96,7 @@
 func (g *Gateway) InContact() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return time.Since(g.lastAnswer) < contactTimeout
+	return time.Since(g.lastResponse) < contactTimeout
 }
 
 // candidates lists the addresses at which the leader may be, the likeliest first.
@@ -141,7 +141,7 @@
 func (g *Gateway) recordLeader(address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.lastAnswer = time.Now()
+	g.lastResponse = time.Now()
 	g.setLeader(address)
 }
 
@@ -175,7 +175,7 @@
 func (g *Gateway) announceOnce(ctx context.Context) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	reply, err := Call[control.FollowReply](ctx, g, control.MethodFollow, &control.FollowCall{Address: g.ownAddress})
+	reply, err := Call[control.AnnounceInstanceReply](ctx, g, control.MethodAnnounceInstance, &control.AnnounceInstanceCall{Address: g.ownAddress})
 	if err != nil {
 		return announceInterval
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -18,10 +18,10 @@
 )
 
 // startCancelServer serves cancel calls with answer and returns its address.
-func startCancelServer(t *testing.T, answer func() error) string {
+func startCancelServer(t *testing.T, response func() error) string {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodCancel, func(context.Context, *control.CancelCall) (control.Empty, error) {
-		return control.Empty{}, answer()
+		return control.Empty{}, response()
 	})
 	server := httptest.NewServer(mux)
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
@@ -75,8 +75,8 @@
 
 func TestInContactWhileLeaderAnswers(t *testing.T) {
 	mux := link.NewMux()
-	link.Handle(mux, control.MethodFollow, func(context.Context, *control.FollowCall) (control.FollowReply, error) {
-		return control.FollowReply{Members: []string{"m"}}, nil
+	link.Handle(mux, control.MethodAnnounceInstance, func(context.Context, *control.AnnounceInstanceCall) (control.AnnounceInstanceReply, error) {
+		return control.AnnounceInstanceReply{Members: []string{"m"}}, nil
 	})
 	server := httptest.NewServer(mux)
 	g := New(link.NewClient(100), "own", []string{strings.TrimPrefix(server.URL, "http://")}, log.NewNopLogger())
@@ -131,8 +131,8 @@
 	leader := startCancelServer(t, func() error { return nil })
 	follower := func() string {
 		mux := link.NewMux()
-		link.Handle(mux, control.MethodFollow, func(context.Context, *control.FollowCall) (control.FollowReply, error) {
-			return control.FollowReply{}, link.NotLeader(leader)
+		link.Handle(mux, control.MethodAnnounceInstance, func(context.Context, *control.AnnounceInstanceCall) (control.AnnounceInstanceReply, error) {
+			return control.AnnounceInstanceReply{}, link.NotLeader(leader)
 		})
 		server := httptest.NewServer(mux)
 		t.Cleanup(server.Close)
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -41,8 +41,8 @@
 func (g *Gateway) leaderKnownBy(ctx context.Context, address string) string {
 	ctx, cancel := context.WithTimeout(ctx, searchTimeout)
 	defer cancel()
-	var reply control.FollowReply
-	err := g.client.Call(ctx, address, control.MethodFollow, &control.FollowCall{Address: g.ownAddress}, &reply)
+	var reply control.AnnounceInstanceReply
+	err := g.client.Call(ctx, address, control.MethodAnnounceInstance, &control.AnnounceInstanceCall{Address: g.ownAddress}, &reply)
 	if err == nil {
 		return address
 	}
--- a/internal/gateway/version_order_test.go
+++ b/internal/gateway/version_order_test.go
@@ -18,10 +18,10 @@
 
 // startStateServer serves state calls with answer, which also returns the version of
 // the configuration that the reply names.
-func startStateServer(t *testing.T, answer func(queue string) (version uint64, err error)) string {
+func startStateServer(t *testing.T, response func(queue string) (version uint64, err error)) string {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodState, func(ctx context.Context, r *control.StateCall) (control.StateReply, error) {
-		version, err := answer(r.Address.Queue)
+		version, err := response(r.Address.Queue)
 		link.RecordVersion(ctx, version)
 		return control.StateReply{Queue: true}, err
 	})
@@ -111,7 +111,7 @@
 }
 
 // A withheld answer wasn't given, so later answers must not be compared with it.
-func TestWithheldAnswerIsNotRecorded(t *testing.T) {
+func TestWithheldResponseIsNotRecorded(t *testing.T) {
 	start := time.Now()
 	order := versionOrder{logger: log.NewNopLogger()}
 	must.NoError(t, order.admit(62, start.Add(time.Second), "leader"))
@@ -132,7 +132,7 @@
 // A job is accepted, and the answer is withheld because a later request was answered by
 // an older version. The error must not say that nothing was done, since the job will
 // run.
-func TestWithheldAnswerToChangeIsUnknown(t *testing.T) {
+func TestWithheldResponseToChangeIsUnknown(t *testing.T) {
 	g := New(link.NewClient(100), "own", []string{startSubmitServer(t, 65)}, log.NewNopLogger())
 	must.NoError(t, g.versionOrder.admit(62, time.Now(), "leader"))
 	call := &control.SubmitCall{}
--- a/internal/instance/process.go
+++ b/internal/instance/process.go
@@ -189,7 +189,7 @@
 		internalAddress: s.internal(s.Address), client: link.NewClient(budget.ToInstances), mux: link.NewMux(),
 		deployment: newDeploymentClient(addresses),
 	}
-	link.Handle(c.mux, control.MethodAsk, func(ctx context.Context, call *control.AdviserQuery) (control.AdviserAnswer, error) {
+	link.Handle(c.mux, control.MethodQueryAdviser, func(ctx context.Context, call *control.AdviserQuery) (control.AdviserReply, error) {
 		return c.deployment.Query(ctx, *call)
 	})
 	c.gateway = gateway.New(c.client, c.internalAddress, s.seedAddresses(), p.logger)
--- a/internal/jobtrace/trace.go
+++ b/internal/jobtrace/trace.go
@@ -18,7 +18,7 @@
 // Trace is the outcome of a job and how it spent its time.
 type Trace struct {
 	// Verdict is one sentence: the outcome that the caller saw and its largest cause.
-	Verdict string
+	Outcome string
 	// Spans are the job's activities, longest first. They add up to the time from the
 	// submission's commit to the end.
 	Spans []Span
@@ -52,10 +52,10 @@
 	accepted, ended := findOutcome(jobLines, "submit", "accepted"), findEvent(jobLines, "job_ended")
 	switch {
 	case len(jobLines) == 0:
-		t.Verdict = "no line names the job"
+		t.Outcome = "no line names the job"
 		return t
 	case accepted < 0:
-		t.Verdict = describeRefusal(lines, jobLines)
+		t.Outcome = describeRefusal(lines, jobLines)
 		return t
 	}
 	end := len(jobLines) - 1
@@ -63,9 +63,9 @@
 		end = ended
 	}
 	t.Spans = sumSpans(lines, jobLines[accepted:end+1])
-	t.Verdict = describeOutcome(jobLines, accepted, ended, t.Spans)
+	t.Outcome = describeOutcome(jobLines, accepted, ended, t.Spans)
 	if len(t.Spans) > 0 && strings.HasPrefix(t.Spans[0].Activity, spanWaiting) {
-		t.Verdict += describePeakLoad(lines, jobLines[accepted].Time, jobLines[end].Time)
+		t.Outcome += describePeakLoad(lines, jobLines[accepted].Time, jobLines[end].Time)
 	}
 	return t
 }
--- a/internal/jobtrace/trace_test.go
+++ b/internal/jobtrace/trace_test.go
@@ -39,15 +39,15 @@
 	return Explain(lines, job)
 }
 
-func TestVerdictOfRefusedJob(t *testing.T) {
+func TestOutcomeOfRefusedJob(t *testing.T) {
 	got := explainSample(t, "refused1")
 	must.Eq(t, "not accepted: edge-1 answered Unavailable (Unavailable: no leader is reached); "+
-		"that instance had had no contact with a leader since 09:00:01", got.Verdict)
+		"that instance had had no contact with a leader since 09:00:01", got.Outcome)
 }
 
 func TestSpansOfLateJobAddUp(t *testing.T) {
 	got := explainSample(t, "late1")
-	must.Eq(t, "done after 5.16s, objective 1500 ms; longest: 2.99s waiting: no room", got.Verdict)
+	must.Eq(t, "done after 5.16s, objective 1500 ms; longest: 2.99s waiting: no room", got.Outcome)
 	total := time.Duration(0)
 	spans := map[string]time.Duration{}
 	for _, span := range got.Spans {
@@ -61,12 +61,12 @@
 	must.SliceLen(t, 8, got.Lines)
 }
 
-func TestVerdictOfFailedJobNamesTask(t *testing.T) {
-	must.StrContains(t, explainSample(t, "bad1").Verdict, "task bad1/0/0/0 failed 2 times on 2 workers (i-1, i-3): the job itself is the likely cause")
-	must.Eq(t, "no line names the job", explainSample(t, "unknown").Verdict)
+func TestOutcomeOfFailedJobNamesTask(t *testing.T) {
+	must.StrContains(t, explainSample(t, "bad1").Outcome, "task bad1/0/0/0 failed 2 times on 2 workers (i-1, i-3): the job itself is the likely cause")
+	must.Eq(t, "no line names the job", explainSample(t, "unknown").Outcome)
 }
 
-func TestVerdictOfJobStoredDespiteErrorAnswer(t *testing.T) {
+func TestOutcomeOfJobStoredDespiteErrorResponse(t *testing.T) {
 	lines, err := Read(strings.NewReader(`
 ts=2026-07-06T09:00:00.000Z instance=edge-1 event=request path=/q/a outcome=Unavailable err="no leader"
 ts=2026-07-06T09:00:00.500Z instance=edge-2 event=request path=/q/a outcome=Unknown err="no answer"
@@ -77,11 +77,11 @@
 ts=2026-07-06T09:00:08.200Z instance=core-1 event=job_ended job=b phase=done objective_ms=1500
 `))
 	must.NoError(t, err)
-	must.Eq(t, "stored, as later lines show, though its caller wasn't told: edge-2 answered Unknown (no answer)", Explain(lines, "a").Verdict)
-	must.Eq(t, "done after 6.2s, objective 1500 ms; longest: 6s in runs that did the work, 6s of it on i-7: see that worker's timeline", Explain(lines, "b").Verdict)
+	must.Eq(t, "stored, as later lines show, though its caller wasn't told: edge-2 answered Unknown (no answer)", Explain(lines, "a").Outcome)
+	must.Eq(t, "done after 6.2s, objective 1500 ms; longest: 6s in runs that did the work, 6s of it on i-7: see that worker's timeline", Explain(lines, "b").Outcome)
 }
 
-func TestVerdictNamesCancelAndPeakLoad(t *testing.T) {
+func TestOutcomeNamesCancelAndPeakLoad(t *testing.T) {
 	lines, err := Read(strings.NewReader(`
 ts=2026-07-06T09:00:00.000Z instance=core-1 event=submit job=a outcome=accepted
 ts=2026-07-06T09:00:00.500Z instance=core-1 event=cancel job=a err=null
@@ -92,9 +92,9 @@
 ts=2026-07-06T09:00:04.000Z instance=core-1 event=job_ended job=b phase=done objective_ms=1500
 `))
 	must.NoError(t, err)
-	must.Eq(t, "cancelled by its caller 500ms after it was accepted", Explain(lines, "a").Verdict)
+	must.Eq(t, "cancelled by its caller 500ms after it was accepted", Explain(lines, "a").Outcome)
 	must.Eq(t, "done after 3s, objective 1500 ms; longest: 2.999s waiting: no room; "+
-		"meanwhile up to 90 tasks waited for 36 workers (kept back: 2: the worker leaves)", Explain(lines, "b").Verdict)
+		"meanwhile up to 90 tasks waited for 36 workers (kept back: 2: the worker leaves)", Explain(lines, "b").Outcome)
 }
 
 // A gang waits first behind gangs with reserved resources and then for free
@@ -117,7 +117,7 @@
 	}, got.Spans)
 	must.Eq(t, "done after 13s, objective 1500 ms; longest: 9s waiting: behind the gangs that room is kept for; "+
 		"meanwhile up to 40 tasks waited for 350 workers "+
-		"(steps that waited: 30: behind the steps that one decision goes into; 1: no room)", got.Verdict)
+		"(steps that waited: 30: behind the steps that one decision goes into; 1: no room)", got.Outcome)
 }
 
 func TestSpanWithoutLeader(t *testing.T) {
--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -64,10 +64,10 @@
 	return Result{Err: fault.New(fault.Internal, "command of an unknown type")}
 }
 
-// firstAnswer returns the recorded answer to a request, if there is one, and a
+// firstResponse returns the recorded answer to a request, if there is one, and a
 // Conflict if the ID was used with other content. It prevents a caller whose
 // answer was lost from creating the work twice by resending the request.
-func (s *State) firstAnswer(r Request) (Result, bool) {
+func (s *State) firstResponse(r Request) (Result, bool) {
 	record, ok := s.Requests[r.key()]
 	if !ok {
 		return Result{}, false
@@ -82,16 +82,16 @@
 	return Result{Job: record.Job, Jobs: record.Jobs}, true
 }
 
-// FirstAnswer returns the recorded answer to a request, if there is one, before
+// FirstResponse returns the recorded answer to a request, if there is one, before
 // any command is proposed.
-func (s *State) FirstAnswer(r Request) (Result, bool) { return s.firstAnswer(r) }
+func (s *State) FirstResponse(r Request) (Result, bool) { return s.firstResponse(r) }
 
 // key returns the key of the idempotency record: request IDs are unique per
 // customer.
 func (r Request) key() string { return r.Customer + "\x00" + r.ID }
 
-// recordAnswer stores the first answer to a request.
-func (s *State) recordAnswer(r Request, now int64, record RequestRecord) {
+// recordResponse stores the first answer to a request.
+func (s *State) recordResponse(r Request, now int64, record RequestRecord) {
 	record.Digest = r.Digest
 	record.At = now
 	s.Requests[r.key()] = record
@@ -99,12 +99,12 @@
 
 // submit records an admitted or refused job and returns its ID, or the refusal.
 func (s *State) submit(now int64, c *Submit) Result {
-	if first, ok := s.firstAnswer(c.Request); ok {
+	if first, ok := s.firstResponse(c.Request); ok {
 		return first
 	}
 	if c.Refused {
 		f := &FaultRecord{Kind: c.Kind, Detail: c.Detail, RetryAfter: int64(c.RetryAfter)}
-		s.recordAnswer(c.Request, now, RequestRecord{Fault: f})
+		s.recordResponse(c.Request, now, RequestRecord{Fault: f})
 		s.recordEvent("job refused", c.Kind.String()+": "+c.Detail, c.Customer, c.Spec.Name)
 		return Result{Err: fault.Retry(c.Kind, c.RetryAfter, "%s", c.Detail)}
 	}
@@ -114,7 +114,7 @@
 		j.HandoverDataCentre = c.HandoverTo
 		s.recordEvent("job offered", "to "+c.HandoverTo, j.ID, j.Customer)
 	}
-	s.recordAnswer(c.Request, now, RequestRecord{Job: j.ID})
+	s.recordResponse(c.Request, now, RequestRecord{Job: j.ID})
 	s.recordEvent("job accepted", c.Spec.Name, j.ID, j.Customer)
 	return Result{Job: j.ID}
 }
--- a/internal/state/change.go
+++ b/internal/state/change.go
@@ -87,7 +87,7 @@
 
 // drain takes a worker out of placement or puts it back.
 func (s *State) drain(now int64, c *Drain) Result {
-	if first, ok := s.firstAnswer(c.Request); ok {
+	if first, ok := s.firstResponse(c.Request); ok {
 		return first
 	}
 	w := s.Workers[c.Worker]
@@ -96,14 +96,14 @@
 	}
 	w.Draining = !c.Undo
 	s.changes.Workers[c.Worker] = struct{}{}
-	s.recordAnswer(c.Request, now, RequestRecord{})
+	s.recordResponse(c.Request, now, RequestRecord{})
 	s.recordEvent("worker draining", fmt.Sprint(w.Draining), c.Worker)
 	return Result{}
 }
 
 // cancel cancels the selected jobs and returns their IDs.
 func (s *State) cancel(now int64, c *Cancel) Result {
-	if first, ok := s.firstAnswer(c.Request); ok {
+	if first, ok := s.firstResponse(c.Request); ok {
 		return first
 	}
 	jobs, err := s.SelectForCancel(c)
@@ -115,7 +115,7 @@
 		ids = append(ids, j.ID)
 		s.cancelJob(now, j)
 	}
-	s.recordAnswer(c.Request, now, RequestRecord{Jobs: ids})
+	s.recordResponse(c.Request, now, RequestRecord{Jobs: ids})
 	return Result{Jobs: ids}
 }
 
@@ -168,7 +168,7 @@
 
 // scale changes the number of tasks of a service.
 func (s *State) scale(now int64, c *Scale) Result {
-	if first, ok := s.firstAnswer(c.Request); ok {
+	if first, ok := s.firstResponse(c.Request); ok {
 		return first
 	}
 	j := s.Jobs[c.Job]
@@ -179,7 +179,7 @@
 		return Result{Err: fault.New(fault.Conflict, "job %s is not a running service", c.Job)}
 	}
 	s.resize(j, c.Tasks)
-	s.recordAnswer(c.Request, now, RequestRecord{Job: j.ID})
+	s.recordResponse(c.Request, now, RequestRecord{Job: j.ID})
 	s.recordEvent("service scaled", fmt.Sprintf("to %d", c.Tasks), j.ID)
 	s.updateJobState(now, j, "")
 	return Result{Job: j.ID}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -352,7 +352,7 @@
 // A resent request creates its job although the first copy was refused, or a
 // request with other content is taken for a duplicate because it has the same
 // ID.
-func TestResentRequestGetsFirstAnswer(t *testing.T) {
+func TestResentRequestGetsFirstResponse(t *testing.T) {
 	s := New("home")
 	refused := &Submit{Request: Request{ID: "r", Digest: 1}, Customer: "c", Refused: true, Kind: fault.Infeasible, Detail: "no"}
 	must.True(t, fault.Is(s.Apply(1, &Command{Submit: refused}).Err, fault.Infeasible))
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -56,7 +56,7 @@
 
 // A worker assumes a lease that the owner didn't grant: a delayed answer to a
 // renewal of its old incarnation is taken for a grant to the new one.
-func TestAnswerToEarlierIncarnationIsIgnored(t *testing.T) {
+func TestResponseToEarlierIncarnationIsIgnored(t *testing.T) {
 	var h lease.Holder
 	h.RecordSent(1, at(0))
 	h.Reset()
--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -209,7 +209,7 @@
 		w.handleReport(m)
 	case "answer":
 		if m.process == p.id {
-			w.handleAnswer(p, m)
+			w.handleResponse(p, m)
 		}
 	case "acknowledgement":
 		if m.process == p.id && m.incarnation == p.guard.Incarnation() {
@@ -232,16 +232,16 @@
 		w.resend(m.worker)
 	}
 	w.commitLost()
-	answer := message{
+	response := message{
 		kind: "answer", worker: m.worker, process: m.process, incarnation: m.incarnation,
 		sequence: m.sequence, granted: r.Grants(), ended: r.Ended, position: lease.Position{Term: w.term},
 	}
 	if r.Accepted {
 		outbox := w.outboxes[m.worker]
 		outbox.Acknowledge(m.position)
-		answer.commands = slices.Clone(outbox.Pending(4))
+		response.commands = slices.Clone(outbox.Pending(4))
 	}
-	w.send(answer)
+	w.send(response)
 }
 
 // resend starts or stops again the attempts assigned to a worker's incarnation:
@@ -300,8 +300,8 @@
 	w.send(ack)
 }
 
-// handleAnswer handles the answer to a renewal at the worker.
-func (w *model) handleAnswer(p *process, m message) {
+// handleResponse handles the answer to a renewal at the worker.
+func (w *model) handleResponse(p *process, m message) {
 	if p.guard.ObserveTerm(m.position.Term) != nil {
 		return
 	}
--- a/lease/table.go
+++ b/lease/table.go
@@ -219,7 +219,7 @@
 // Forget deletes the record of a worker that never returns. Don't call it while
 // a delayed renewal may still be in flight: the renewal would bring the worker
 // back for one ttl.
-func (t *Table) Forget(worker string) {
+func (t *Table) Remove(worker string) {
 	delete(t.workers, worker)
 }
 
--- a/workflow/apply.go
+++ b/workflow/apply.go
@@ -22,7 +22,7 @@
 	// Crashed says that the worker named by Gone has crashed.
 	Crashed bool `cbor:"11,keyasint,omitempty"`
 	// Forget lists ended jobs to delete.
-	Forget        []string     `cbor:"7,keyasint,omitempty"`
+	DeleteJobs    []string     `cbor:"7,keyasint,omitempty"`
 	Configuration *Document    `cbor:"8,keyasint,omitempty"`
 	Wave          *Wave        `cbor:"9,keyasint,omitempty"`
 	Maintenance   *Maintenance `cbor:"10,keyasint,omitempty"`
@@ -93,8 +93,8 @@
 		s.announce(c.Worker)
 	case c.Gone != "":
 		s.workerGone(c.Gone, c.Crashed)
-	case len(c.Forget) > 0:
-		s.forget(c.Forget)
+	case len(c.DeleteJobs) > 0:
+		s.deleteJobs(c.DeleteJobs)
 	case c.Configuration != nil:
 		s.configure(c.Configuration)
 		return Result{InForce: s.Configuration}
@@ -277,7 +277,7 @@
 	if end.Checkpoint != "" {
 		task.Checkpoint = end.Checkpoint
 	}
-	job.Begun = job.Begun || end.Outcome.provesStart()
+	job.Started = job.Started || end.Outcome.provesStart()
 	s.recordLoss(worker, job, task, end)
 	if spec.Gang {
 		s.endGangMember(job, spec, step, end)
@@ -387,7 +387,7 @@
 }
 
 // forget deletes ended jobs.
-func (s *State) forget(ids []string) {
+func (s *State) deleteJobs(ids []string) {
 	for _, id := range ids {
 		if job := s.Jobs[id]; job != nil && job.Ended() {
 			delete(s.Jobs, id)
--- a/workflow/state.go
+++ b/workflow/state.go
@@ -59,7 +59,7 @@
 	Failed      bool          `cbor:"8,keyasint,omitempty"`
 	// Begun says that a run has ended that a worker had started. The commit of a start doesn't
 	// set it, since the worker may never carry out the order.
-	Begun bool `cbor:"9,keyasint,omitempty"`
+	Started bool `cbor:"9,keyasint,omitempty"`
 	// Unfinished counts the tasks that aren't done.
 	Unfinished int `cbor:"10,keyasint,omitempty"`
 	// Index is the log index of the acceptance, which orders jobs by age.
@@ -101,7 +101,7 @@
 		return PhaseCancelled
 	case j.Unfinished == 0:
 		return PhaseDone
-	case j.Begun:
+	case j.Started:
 		return PhaseActive
 	default:
 		return PhasePending
--- a/workflow/wave.go
+++ b/workflow/wave.go
@@ -27,8 +27,8 @@
 const (
 	// MaintenanceOrdered: the order may have been sent; whether it is carried out is unknown.
 	MaintenanceOrdered MaintenanceStage = iota + 1
-	// MaintenanceBegun: the machine has gone down for maintenance.
-	MaintenanceBegun
+	// MaintenanceStarted: the machine has gone down for maintenance.
+	MaintenanceStarted
 	// MaintenanceNotNeeded: the machine has left, or the deployment reports that it isn't part
 	// of the wave.
 	MaintenanceNotNeeded
@@ -61,7 +61,7 @@
 // Done reports whether the maintenance of every machine has begun or isn't needed.
 func (w *WaveState) Done() bool {
 	return !slices.ContainsFunc(w.Machines, func(machine string) bool {
-		return w.Maintenances[machine].Stage < MaintenanceBegun
+		return w.Maintenances[machine].Stage < MaintenanceStarted
 	})
 }
 
