--- a/internal/standin/fake_test.go
+++ b/internal/standin/fake_test.go
@@ -47,6 +47,8 @@
 	lateReports int
 	// reportsToIgnore is how many more reports are recorded but not acknowledged.
 	reportsToIgnore int
+	// reportGate blocks reports until it is closed; nil blocks none.
+	reportGate chan struct{}
 }
 
 func newFakeOwner(ttl time.Duration) *fakeOwner {
@@ -93,7 +95,8 @@
 	}, nil
 }
 
-func (f *fakeOwner) Report(_ context.Context, r *apiv1.ReportRequest) (*apiv1.ReportResponse, error) {
+func (f *fakeOwner) Report(ctx context.Context, r *apiv1.ReportRequest) (*apiv1.ReportResponse, error) {
+	f.waitReportGate(ctx)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	response := &apiv1.ReportResponse{UntilTerm: 1, UntilNumber: f.issued[r.Worker].Number}
@@ -111,6 +114,35 @@
 	return response, nil
 }
 
+// blockReports makes reports wait, unrecorded, until the returned function is called.
+func (f *fakeOwner) blockReports() (release func()) {
+	gate := make(chan struct{})
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.reportGate = gate
+	return func() { close(gate) }
+}
+
+func (f *fakeOwner) waitReportGate(ctx context.Context) {
+	f.mu.Lock()
+	gate := f.reportGate
+	f.mu.Unlock()
+	if gate == nil {
+		return
+	}
+	select {
+	case <-gate:
+	case <-ctx.Done():
+	}
+}
+
+// processedAll reports whether the worker's last renewal acknowledges all its commands.
+func (f *fakeOwner) processedAll(worker string) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.lastRenewals[worker].GetCommandAck() == f.issued[worker].Number
+}
+
 func (f *fakeOwner) LeaveWorker(_ context.Context, r *apiv1.LeaveWorkerRequest) (*apiv1.LeaveResponse, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standin/workers_test.go
+++ b/internal/standin/workers_test.go
@@ -55,15 +55,19 @@
 
 // A service's task has no run time and must end when it is stopped. A stop that
 // arrives before its start must be reported as not started, and the later start
-// must be ignored.
+// must neither run nor be reported beside it. Reports are blocked until the start has
+// been processed: an owner issues no start of an attempt whose end it has acknowledged.
 func TestWorkerHandlesStopCommands(t *testing.T) {
 	owner := newFakeOwner(time.Second)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
 	owner.queueStart(testWorker, "service", 1, "")
 	eventually(t, "service runs", func() bool { return fleet.Running() == 1 })
+	release := owner.blockReports()
 	owner.queueStop(testWorker, "service", 1)
 	owner.queueStop(testWorker, "never", 1)
 	owner.queueStart(testWorker, "never", 1, "")
+	eventually(t, "all commands processed", func() bool { return owner.processedAll(testWorker) })
+	release()
 	owner.queueStart(testWorker, "last", 1, "runtime_ms = 1")
 	eventually(t, "last report", func() bool { return len(owner.outcomes("last")) == 1 })
 	must.Eq(t, []apiv1.Outcome{apiv1.Outcome_OUTCOME_STOPPED}, owner.outcomes("service"))
