--- a/dispatch/backlog_test.go
+++ b/dispatch/backlog_test.go
@@ -31,7 +31,7 @@
 	const burstStart, burstEnd, usualRate, end = 8 * time.Second, 12 * time.Second, 156, 16 * time.Second
 	recalc, build, lookup := largeLoad()
 	r := newReplay(1, 1100, 152, recalc, build, lookup)
-	r.decision = 150 * time.Millisecond
+	r.decisionInterval = 150 * time.Millisecond
 	r.playIncremental(burstStart, incrementalTick)
 	lookup.rate = 2 * usualRate
 	r.playIncremental(burstEnd, incrementalTick)
--- a/dispatch/gang.go
+++ b/dispatch/gang.go
@@ -140,12 +140,12 @@
 // when the gang fits. A later query would leave the resources idle for as long as the adviser
 // takes, half a second and more.
 func (p *planner) ticketsDue(s *Step, chosen []*Worker, when time.Duration) bool {
-	answered := p.now + s.ResponseTime(len(chosen))
-	if answered+p.limits.TicketMargin < when {
+	responseAt := p.now + s.ResponseTime(len(chosen))
+	if responseAt+p.limits.TicketMargin < when {
 		return false
 	}
 	for _, w := range chosen {
-		if s.Permits[w.ID].Expires < max(answered, when)+p.limits.TicketMargin {
+		if s.Permits[w.ID].Expires < max(responseAt, when)+p.limits.TicketMargin {
 			return true
 		}
 	}
@@ -241,20 +241,20 @@
 
 // expectedFits lists when each of up to n tasks of s will fit on w.
 func (p *planner) expectedFits(s *Step, w *Worker, n int) []expectedFit {
-	var list []expectedFit
-	free := *w
+	var fits []expectedFit
+	scratch := *w
 	add := func(at time.Duration) {
-		for len(list) < min(fitCount(s, &free), n) {
-			list = append(list, expectedFit{at: at, worker: w})
+		for len(fits) < min(fitCount(s, &scratch), n) {
+			fits = append(fits, expectedFit{at: at, worker: w})
 		}
 	}
 	add(p.now)
 	for _, r := range w.Releases {
-		if len(list) >= n {
+		if len(fits) >= n {
 			break
 		}
-		free.Free = free.Free.Plus(r.Resources)
+		scratch.Free = scratch.Free.Plus(r.Resources)
 		add(max(r.At, p.now))
 	}
-	return list
+	return fits
 }
--- a/dispatch/gang_test.go
+++ b/dispatch/gang_test.go
@@ -33,7 +33,7 @@
 }
 
 // answer applies the answers to the queries of a plan to the permits of s.
-func (a *adviser) answer(s *Step, plan Plan) {
+func (a *adviser) respond(s *Step, plan Plan) {
 	for _, query := range plan.Queries {
 		a.queries++
 		for _, worker := range query.Workers {
@@ -74,7 +74,7 @@
 				if len(plan.Starts) == tasks {
 					break
 				}
-				a.answer(&gang, plan)
+				a.respond(&gang, plan)
 			}
 			must.LessEq(t, 2, rounds, must.Sprintf("seed %d, %d tasks", seed, tasks))
 			must.LessEq(t, 2*maxGangQueries, a.queries)
--- a/dispatch/load_test.go
+++ b/dispatch/load_test.go
@@ -35,7 +35,7 @@
 			t.Parallel()
 			kinds := mixedLoad(*replayLoad)
 			r := newReplay(uint64(seed), 350, 44, kinds...)
-			r.decision = 50 * time.Millisecond
+			r.decisionInterval = 50 * time.Millisecond
 			r.play(40*time.Second, 0)
 			steps, gangs := r.waiting()
 			free, queriesSent := r.freeSum/float64(r.decisions), r.queries
@@ -44,11 +44,11 @@
 			var total, earned float64
 			worst, line := 1.0, ""
 			for _, k := range kinds {
-				o, g, shares := k.earned()
-				total, earned = total+o, earned+g
+				value, earnedValue, shares := k.earned()
+				total, earned = total+value, earned+earnedValue
 				worst = min(worst, shares[0], shares[1], shares[2])
 				line += fmt.Sprintf("%s in time %.3f late %.3f value %.3f | ", k.name,
-					float64(k.inTime)/float64(len(k.all)), float64(k.late)/float64(len(k.all)), shares)
+					float64(k.inTime)/float64(len(k.jobs)), float64(k.late)/float64(len(k.jobs)), shares)
 			}
 			t.Logf("%svalue %.3f worst %.3f free %.3f waiting %d gangs %d, 14 s later %d %d, free %.2f | queries %d %d preempted %d longest decision %v",
 				line, earned/total, worst, free, steps, gangs, stepsLeft, gangsLeft, r.freeShare(), queriesSent, r.queries-queriesSent, r.preemptions, r.longestDecision)
@@ -65,7 +65,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			r := newReplay(seed, 350, 44, mixedLoad(1)...)
-			r.decision = 50 * time.Millisecond
+			r.decisionInterval = 50 * time.Millisecond
 			r.play(30*time.Second, 0)
 			longest := time.Duration(0)
 			for r.now < 30*time.Second+drainTime {
--- a/dispatch/permits.go
+++ b/dispatch/permits.go
@@ -83,13 +83,13 @@
 
 // fitting returns the workers on which a task of s fits now.
 func fitting(s *Step, workers []*Worker) []*Worker {
-	var out []*Worker
+	var chosen []*Worker
 	for _, w := range workers {
 		if fitCount(s, w) > 0 {
-			out = append(out, w)
+			chosen = append(chosen, w)
 		}
 	}
-	return out
+	return chosen
 }
 
 // worthQuerying reports whether a query about the workers of unknown permission is worthwhile.
@@ -179,11 +179,11 @@
 
 // withIDs returns the workers whose IDs are listed.
 func withIDs(workers []*Worker, ids []string) []*Worker {
-	var out []*Worker
+	var found []*Worker
 	for _, w := range workers {
 		if slices.Contains(ids, w.ID) {
-			out = append(out, w)
+			found = append(found, w)
 		}
 	}
-	return out
+	return found
 }
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -227,17 +227,17 @@
 
 // candidates returns the workers on which a task of s fits and a start would be accepted now.
 func (p *planner) candidates(s *Step) []*Worker {
-	var list []*Worker
+	var usable []*Worker
 	add := func(w *Worker) {
 		if eligible(s, w) && fitCount(s, w) > 0 {
-			list = append(list, w)
+			usable = append(usable, w)
 		}
 	}
 	if !s.NeedsPermit {
 		for _, w := range p.byService[s.Service] {
 			add(w)
 		}
-		return list
+		return usable
 	}
 	p.fitsWithoutTicket = false
 	for id, permit := range s.Permits {
@@ -249,7 +249,7 @@
 			p.fitsWithoutTicket = eligible(s, w) && fitCount(s, w) > 0
 		}
 	}
-	return list
+	return usable
 }
 
 // unschedulable reports whether nothing can be done for s because its tasks fit on no worker
@@ -265,8 +265,8 @@
 
 // headroomOf returns the largest free amount of each resource on any worker of a pool.
 func (p *planner) headroomOf(service string) workflow.Resources {
-	headroom, counted := p.headroom[service]
-	if counted {
+	headroom, cached := p.headroom[service]
+	if cached {
 		return headroom
 	}
 	for _, w := range p.byService[service] {
@@ -326,7 +326,9 @@
 
 // outlastsStart reports whether a ticket that expires at end is valid until a start has reached
 // the worker.
-func (p *planner) outlastsStart(end time.Duration) bool { return end >= p.now+p.limits.TicketMargin }
+func (p *planner) outlastsStart(expires time.Duration) bool {
+	return expires >= p.now+p.limits.TicketMargin
+}
 
 // fitCount returns how many more tasks of s fit on w.
 func fitCount(s *Step, w *Worker) int { return fitCountIn(s, w, w.Free) }
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -114,7 +114,7 @@
 	return s
 }
 
-func TestPermits(t *testing.T) {
+func TestPermitsDecideStartsAndQueries(t *testing.T) {
 	valid := Permit{Granted: true, Ticket: "t", Expires: time.Second}
 	expired := Permit{Granted: true, Ticket: "t"}
 	for _, c := range []struct {
@@ -328,14 +328,14 @@
 // Guards against decisions that take seconds while the adviser is busy: hundreds of steps need
 // a query, none may be sent, and each step was still matched against all workers.
 func TestStepThatCannotQueryIsSkipped(t *testing.T) {
-	none := limits
-	none.Queries = 0
+	noQueries := limits
+	noQueries.Queries = 0
 	s := needsPermit(step("a", 1, 2), nil)
-	plan := Decide(0, []Step{s}, workers(9), none)
+	plan := Decide(0, []Step{s}, workers(9), noQueries)
 	must.SliceEmpty(t, plan.Queries)
 	must.Eq(t, ReasonNoConnection, plan.Waiting[0].Reason)
 	valid := needsPermit(step("b", 1, 2), map[string]Permit{"w0": {Granted: true, Expires: time.Second}})
-	must.Eq(t, []string{"b/0@w0"}, started(Decide(0, []Step{s, valid}, workers(9), none)))
+	must.Eq(t, []string{"b/0@w0"}, started(Decide(0, []Step{s, valid}, workers(9), noQueries)))
 }
 
 // Guards against a wide step that takes a minute while half of the workers are free. It is
--- a/dispatch/preempt.go
+++ b/dispatch/preempt.go
@@ -99,17 +99,17 @@
 
 // preemptible returns the runs on w that s may preempt, the smallest first.
 func (p *planner) preemptible(s *Step, w *Worker) []*Release {
-	var list []*Release
+	var runs []*Release
 	for i := range w.Releases {
 		r := &w.Releases[i]
 		if r.Preemptible && r.Priority > s.Priority && r.At > p.now+minRemaining && !p.stopping[r.Task] {
-			list = append(list, r)
+			runs = append(runs, r)
 		}
 	}
-	slices.SortFunc(list, func(a, b *Release) int {
+	slices.SortFunc(runs, func(a, b *Release) int {
 		return cmp.Or(cmp.Compare(a.Resources.MilliCPU, b.Resources.MilliCPU), workflow.CompareTasks(a.Task, b.Task))
 	})
-	return list
+	return runs
 }
 
 // fitOneMore takes resources for one more task of s from scratch and, if they don't suffice,
--- a/dispatch/preempt_test.go
+++ b/dispatch/preempt_test.go
@@ -32,8 +32,8 @@
 }
 
 // markStopping marks the preempted runs of a pool as stopping.
-func markStopping(pool []Worker, preempts []Preemption) {
-	for _, p := range preempts {
+func markStopping(pool []Worker, preemptions []Preemption) {
+	for _, p := range preemptions {
 		for i := range pool {
 			for k := range pool[i].Releases {
 				if r := &pool[i].Releases[k]; r.Task == p.Task {
--- a/dispatch/query_test.go
+++ b/dispatch/query_test.go
@@ -25,11 +25,11 @@
 func waitUntilAllStart(r *replay, k *replayKind) time.Duration {
 	start := r.now
 	for r.now < start+time.Minute {
-		waits := slices.ContainsFunc(k.all, func(j *replayJob) bool { return j.step == 0 && len(j.pending[0]) == j.specs[0].Count })
+		waits := slices.ContainsFunc(k.jobs, func(j *replayJob) bool { return j.step == 0 && len(j.pending[0]) == j.specs[0].Count })
 		if !waits {
 			break
 		}
-		r.arrive(r.decision)
+		r.arrive(r.decisionInterval)
 		r.decide()
 		r.advance()
 	}
@@ -230,7 +230,7 @@
 func TestGangsThatComeTogetherAskAboutDifferentWorkers(t *testing.T) {
 	gangs := wideGangs(20, 18)
 	r := newReplay(0, 1100, 44, gangs)
-	r.decision = 50 * time.Millisecond
+	r.decisionInterval = 50 * time.Millisecond
 	for range 30 {
 		r.submit(gangs)
 	}
@@ -245,17 +245,17 @@
 	long.width, long.maxWidth, long.cores, long.maxCores, long.work = 130, 130, 60, 60, 2*time.Minute
 	gang, small := wideGangs(60, 60), slowQueryKind("small", 2, 0.25)
 	r := newReplay(0, 350, 44, long, gang, small)
-	r.decision = 50 * time.Millisecond
+	r.decisionInterval = 50 * time.Millisecond
 	r.submit(long)
 	r.play(5*time.Second, 0)
 	r.submit(gang)
 	r.play(10*time.Second, 0)
-	must.Greater(t, 50*60_000, r.reservedCPU(gang.all[0]))
+	must.Greater(t, 50*60_000, r.reservedCPU(gang.jobs[0]))
 	for range 40 {
 		r.submit(small)
 	}
 	must.LessEq(t, maxIdleWait, waitUntilAllStart(r, small))
-	must.SliceLen(t, 60, gang.all[0].pending[0], must.Sprint("the gang still waits"))
+	must.SliceLen(t, 60, gang.jobs[0].pending[0], must.Sprint("the gang still waits"))
 }
 
 // reservedCPU is the CPU that a decision reserves for a job, in thousandths of a core.
--- a/dispatch/reason.go
+++ b/dispatch/reason.go
@@ -73,13 +73,13 @@
 	if !s.NeedsPermit {
 		return filter(p.byService[s.Service], s)
 	}
-	var list []*Worker
+	var workers []*Worker
 	for id, permit := range s.Permits {
 		if w := p.byID[id]; permit.Granted && eligible(s, w) {
-			list = append(list, w)
+			workers = append(workers, w)
 		}
 	}
-	return list
+	return workers
 }
 
 // fitsUnreserved reports whether a task of s might fit on a worker of its pool if nothing were
@@ -91,8 +91,8 @@
 // unreservedHeadroomOf returns the largest amount of each resource that would be free on any
 // worker of a pool if nothing were reserved.
 func (p *planner) unreservedHeadroomOf(service string) workflow.Resources {
-	headroom, counted := p.unreservedHeadroom[service]
-	if counted {
+	headroom, cached := p.unreservedHeadroom[service]
+	if cached {
 		return headroom
 	}
 	for _, w := range p.byService[service] {
--- a/dispatch/reason_test.go
+++ b/dispatch/reason_test.go
@@ -38,7 +38,7 @@
 }
 
 // Guards against waiting steps that are listed under a wrong reason.
-func TestWaitingReasons(t *testing.T) {
+func TestWaitingStepsReportTheirReason(t *testing.T) {
 	valid := Permit{Granted: true, Expires: time.Hour}
 	expired := Permit{Granted: true}
 	noQueries := limits
@@ -89,7 +89,7 @@
 }
 
 // Guards against a gang that is listed as waiting for free resources while runs are preempted for it.
-func TestPreemptionReason(t *testing.T) {
+func TestGangReportsPreemptionAsReason(t *testing.T) {
 	list := workers(0)
 	for range 4 {
 		list[0].Releases = append(list[0].Releases, Release{At: 9 * time.Second, Resources: cores(4), Priority: 2, Preemptible: true})
--- a/dispatch/replay_jobs_test.go
+++ b/dispatch/replay_jobs_test.go
@@ -41,7 +41,7 @@
 	grantRate, grantSamples float64
 	// all are the jobs submitted so far; inTime and late count those that ended in time or
 	// late.
-	all          []*replayJob
+	jobs         []*replayJob
 	inTime, late int
 }
 
@@ -51,11 +51,11 @@
 	id               string
 	begin, objective time.Duration
 	// step is the index of the current step; specs, works, pending and left are by step.
-	step    int
-	specs   []*workflow.Step
-	works   []time.Duration
-	pending [][]int
-	left    []int
+	step       int
+	specs      []*workflow.Step
+	works      []time.Duration
+	pending    [][]int
+	unfinished []int
 	// saved is the share of a task's work that the checkpoint of a preempted run holds.
 	saved map[workflow.TaskKey]float64
 	// These fields hold what is known of the permits of the current step.
@@ -82,7 +82,7 @@
 
 // submit submits a job of the kind.
 func (r *replay) submit(k *replayKind) *replayJob {
-	j := &replayJob{kind: k, id: fmt.Sprintf("%s%06d", k.name, len(k.all)), begin: r.now, lastQuery: r.now, saved: map[workflow.TaskKey]float64{},
+	j := &replayJob{kind: k, id: fmt.Sprintf("%s%06d", k.name, len(k.jobs)), begin: r.now, lastQuery: r.now, saved: map[workflow.TaskKey]float64{},
 		permits: map[string]Permit{}, idleSince: -1}
 	chain := time.Duration(0)
 	for range max(1, int(math.Round(r.logNormal(k.steps, 0.4, 3*k.steps)))) {
@@ -97,13 +97,13 @@
 		for i := range indexes {
 			indexes[i] = i
 		}
-		j.specs, j.works, j.pending, j.left = append(j.specs, spec), append(j.works, work), append(j.pending, indexes), append(j.left, count)
+		j.specs, j.works, j.pending, j.unfinished = append(j.specs, spec), append(j.works, work), append(j.pending, indexes), append(j.unfinished, count)
 		chain += work
 	}
 	j.objective = time.Duration(k.stretch*float64(chain)) + k.objective
 	r.jobs = append(r.jobs, j)
 	r.markChanged(j)
-	k.all = append(k.all, j)
+	k.jobs = append(k.jobs, j)
 	return j
 }
 
@@ -121,17 +121,17 @@
 
 // coreTime is the work of the job in thousandths of a core times nanoseconds.
 func (j *replayJob) coreTime() float64 {
-	a := 0.0
+	total := 0.0
 	for i, s := range j.specs {
-		a += float64(s.Count) * float64(s.Need.MilliCPU) * float64(j.works[i])
+		total += float64(s.Count) * float64(s.Need.MilliCPU) * float64(j.works[i])
 	}
-	return a
+	return total
 }
 
 // earned returns the total value of the kind's jobs, the value that they earned, and the shares
 // earned by all of them, the largest tenth and the next fifth. A larger job has more value.
 func (k *replayKind) earned() (total, earned float64, shares [3]float64) {
-	all, n := k.all, len(k.all)
+	all, n := k.jobs, len(k.jobs)
 	slices.SortFunc(all, func(a, b *replayJob) int { return cmp.Compare(b.coreTime(), a.coreTime()) })
 	mean := 0.0
 	for _, j := range all {
@@ -146,8 +146,8 @@
 		return total, earned
 	}
 	for i, part := range [][]*replayJob{all, all[:n/10], all[n/10 : n*3/10]} {
-		o, g := sum(part)
-		shares[i] = g / o
+		partTotal, partEarned := sum(part)
+		shares[i] = partEarned / partTotal
 	}
 	total, earned = sum(all)
 	return total, earned, shares
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -19,16 +19,16 @@
 	random *rand.Rand
 	now    time.Duration
 	// decision is the interval between two decisions.
-	decision time.Duration
-	limits   Limits
-	round    int
-	workers  []Worker
-	kinds    []*replayKind
-	jobs     []*replayJob
-	runs     map[workflow.TaskKey]*replayRun
+	decisionInterval time.Duration
+	limits           Limits
+	round            int
+	workers          []Worker
+	kinds            []*replayKind
+	jobs             []*replayJob
+	runs             map[workflow.TaskKey]*replayRun
 	// connections holds when each adviser connection becomes free.
 	connections []time.Duration
-	answers     []replayResponse
+	responses   []replayResponse
 	earmarked   map[string]bool
 	// remaining are the workers as the last full decision left them, firstSkipped is the first
 	// step beyond its bound, and changed are the jobs with a change since then; see
@@ -67,7 +67,7 @@
 func newReplay(seed uint64, n, connections int, kinds ...*replayKind) *replay {
 	r := &replay{
 		random: rand.New(rand.NewPCG(seed, 7)), kinds: kinds, connections: make([]time.Duration, connections),
-		runs: map[workflow.TaskKey]*replayRun{}, decision: 100 * time.Millisecond,
+		runs: map[workflow.TaskKey]*replayRun{}, decisionInterval: 100 * time.Millisecond,
 		limits: Limits{WorkersPerQuery: 30, WorkersPerGangQuery: 100, Steps: 128, TicketMargin: 150 * time.Millisecond, LongQueryTime: 150 * time.Millisecond},
 	}
 	for i := range n {
@@ -174,9 +174,9 @@
 // playIncremental runs the replay with submissions until a time, with incremental decisions
 // every tick between full ones.
 func (r *replay) playIncremental(until, tick time.Duration) {
-	fullInterval := r.decision
-	defer func() { r.decision = fullInterval }()
-	r.decision = tick
+	fullInterval := r.decisionInterval
+	defer func() { r.decisionInterval = fullInterval }()
+	r.decisionInterval = tick
 	for next := r.now; r.now < until; r.advance() {
 		r.arrive(tick)
 		if r.now < next {
@@ -257,13 +257,13 @@
 	if query.Renewal {
 		j.renewing = query.Workers
 	}
-	r.answers = append(r.answers, replayResponse{at: usable[first] + 5*time.Millisecond, job: j, key: query.Step, query: query})
+	r.responses = append(r.responses, replayResponse{at: usable[first] + 5*time.Millisecond, job: j, key: query.Step, query: query})
 }
 
 // applyResponse applies an answer of the adviser.
-func (r *replay) applyResponse(a replayResponse) {
-	j, k := a.job, a.job.kind
-	if j.ended > 0 || j.step != a.key.Step {
+func (r *replay) applyResponse(response replayResponse) {
+	j, k := response.job, response.job.kind
+	if j.ended > 0 || j.step != response.key.Step {
 		return
 	}
 	j.pendingQueries--
@@ -271,16 +271,16 @@
 	j.renewing = nil
 	known := maps.Clone(j.permits)
 	unknown, granted := 0, 0
-	for _, w := range a.query.Workers {
+	for _, w := range response.query.Workers {
 		_, knownBefore := j.permits[w]
-		ok := r.permits(a.key, w, k.grantedShare)
-		if ok {
-			j.ticketsExpire = a.at + k.ticketValidity
+		permitted := r.permits(response.key, w, k.grantedShare)
+		if permitted {
+			j.ticketsExpire = response.at + k.ticketValidity
 		}
-		known[w] = Permit{Granted: ok, Ticket: "t", Expires: a.at + k.ticketValidity}
+		known[w] = Permit{Granted: permitted, Ticket: "t", Expires: response.at + k.ticketValidity}
 		if !knownBefore {
 			unknown++
-			if ok {
+			if permitted {
 				granted++
 			}
 		}
@@ -347,8 +347,8 @@
 		j.pending[step] = append(j.pending[step], run.task.Index)
 		return
 	}
-	j.left[step]--
-	if j.left[step] > 0 {
+	j.unfinished[step]--
+	if j.unfinished[step] > 0 {
 		return
 	}
 	j.step++
@@ -369,12 +369,12 @@
 
 // advance moves the clock to the next decision and applies what happens until then.
 func (r *replay) advance() {
-	r.now += r.decision
-	r.answers = slices.DeleteFunc(r.answers, func(a replayResponse) bool {
-		if a.at > r.now {
+	r.now += r.decisionInterval
+	r.responses = slices.DeleteFunc(r.responses, func(response replayResponse) bool {
+		if response.at > r.now {
 			return false
 		}
-		r.applyResponse(a)
+		r.applyResponse(response)
 		return true
 	})
 	var ended []*replayRun
@@ -402,10 +402,10 @@
 }
 
 // play runs the replay for traffic with submissions and then for rest without any.
-func (r *replay) play(traffic, rest time.Duration) {
-	for r.now < traffic+rest {
-		if r.now < traffic {
-			r.arrive(r.decision)
+func (r *replay) play(until, quiet time.Duration) {
+	for r.now < until+quiet {
+		if r.now < until {
+			r.arrive(r.decisionInterval)
 		}
 		r.decide()
 		r.advance()
--- a/dispatch/select.go
+++ b/dispatch/select.go
@@ -13,19 +13,19 @@
 	passes func(s *Step, w *Worker) bool
 }{
 	{ReasonLabel, hasLabel},
-	{ReasonSize, bigEnough},
+	{ReasonSize, hasCapacity},
 	{ReasonSpareShare, enoughSpareShare},
 }
 
 // filter returns the workers that could run tasks of s if they were empty.
 func filter(workers []*Worker, s *Step) []*Worker {
-	out := make([]*Worker, 0, len(workers))
+	passing := make([]*Worker, 0, len(workers))
 	for _, w := range workers {
 		if rejection(s, w) == "" {
-			out = append(out, w)
+			passing = append(passing, w)
 		}
 	}
-	return out
+	return passing
 }
 
 // eligible reports whether w is in the pool of s and could run its tasks if it were empty. A
@@ -48,7 +48,7 @@
 	return s.Spec.Label == "" || slices.Contains(w.Labels, s.Spec.Label)
 }
 
-func bigEnough(s *Step, w *Worker) bool { return s.Spec.Demand().Fits(w.Capacity) }
+func hasCapacity(s *Step, w *Worker) bool { return s.Spec.Demand().Fits(w.Capacity) }
 
 // minSpareShare is the CPU percentage that serving tasks must leave on a worker for another
 // task that uses spare CPU to start there.
--- a/workflow/apply.go
+++ b/workflow/apply.go
@@ -378,12 +378,12 @@
 // sortedRuns returns runs in the order of their tasks, so that every replica applies them
 // alike.
 func sortedRuns(runs map[TaskKey]Run) []Run {
-	list := make([]Run, 0, len(runs))
+	sorted := make([]Run, 0, len(runs))
 	for _, run := range runs {
-		list = append(list, run)
+		sorted = append(sorted, run)
 	}
-	slices.SortFunc(list, func(a, b Run) int { return CompareTasks(a.Task, b.Task) })
-	return list
+	slices.SortFunc(sorted, func(a, b Run) int { return CompareTasks(a.Task, b.Task) })
+	return sorted
 }
 
 // forget deletes ended jobs.
--- a/workflow/check.go
+++ b/workflow/check.go
@@ -78,9 +78,9 @@
 	case s.MaxPerWorker < 0 || s.MaxUnavailable < 0 || s.LatencyObjectiveMS < 0:
 		return checkErrorf(FieldMaxPerWorker, "step %d has a negative limit of tasks per worker or of unavailable tasks, or a negative latency objective", index)
 	}
-	for _, before := range s.DependsOn {
-		if before < 0 || before >= index {
-			return checkErrorf(FieldAfter, "step %d depends on %d, which isn't an earlier step", index, before)
+	for _, dependency := range s.DependsOn {
+		if dependency < 0 || dependency >= index {
+			return checkErrorf(FieldAfter, "step %d depends on %d, which isn't an earlier step", index, dependency)
 		}
 	}
 	return nil
--- a/workflow/crash_test.go
+++ b/workflow/crash_test.go
@@ -10,31 +10,31 @@
 // crashSequence lets workers crash one after the other under the first task of a job.
 type crashSequence struct {
 	t       *testing.T
-	s       *State
+	state   *State
 	workers int
 }
 
 func newCrashSequence(t *testing.T, steps ...Step) *crashSequence {
-	return &crashSequence{t: t, s: newState(t, steps...)}
+	return &crashSequence{t: t, state: newState(t, steps...)}
 }
 
 // startOnNewWorker starts the task on a new worker.
 func (c *crashSequence) startOnNewWorker() Run {
 	c.workers++
 	id := fmt.Sprint("c", c.workers)
-	c.s.Apply(10, &Command{Worker: &Worker{ID: id, Service: "s", Address: id, Capacity: Resources{MilliCPU: 8000, MemoryMB: 800}}})
-	runs := c.s.startRuns(id, key(0, 0))
+	c.state.Apply(10, &Command{Worker: &Worker{ID: id, Service: "s", Address: id, Capacity: Resources{MilliCPU: 8000, MemoryMB: 800}}})
+	runs := c.state.startRuns(id, key(0, 0))
 	must.SliceLen(c.t, 1, runs)
 	return runs[0]
 }
 
 func (c *crashSequence) end(run Run, outcome Outcome, suspicion Suspicion) {
-	c.s.Apply(11, &Command{Ends: &RunEnds{Worker: run.Worker, Ends: []RunEnd{
+	c.state.Apply(11, &Command{Ends: &RunEnds{Worker: run.Worker, Ends: []RunEnd{
 		{Task: run.Task, Number: run.Number, Outcome: outcome, Suspicion: suspicion},
 	}}})
 }
 
-func (c *crashSequence) failed() bool { return c.s.Jobs["j"].Phase() == PhaseFailed }
+func (c *crashSequence) failed() bool { return c.state.Jobs["j"].Phase() == PhaseFailed }
 
 // Guards against a task that crashes one worker after the other without end.
 func TestJobFailsAfterRepeatedWorkerCrashes(t *testing.T) {
@@ -45,7 +45,7 @@
 			c.end(c.startOnNewWorker(), OutcomeCrashed, suspicion)
 		}
 		must.True(t, c.failed())
-		must.Eq(t, key(0, 0), *c.s.Jobs["j"].CrashingTask)
+		must.Eq(t, key(0, 0), *c.state.Jobs["j"].CrashingTask)
 	}
 }
 
@@ -56,12 +56,12 @@
 	for range 2 * maxCrashes {
 		run := c.startOnNewWorker()
 		c.end(run, OutcomeLost, SuspicionStrong)
-		c.s.Apply(12, &Command{Ends: &RunEnds{Worker: run.Worker, Returned: true}})
-		c.s.Apply(13, &Command{Gone: run.Worker, Crashed: true})
+		c.state.Apply(12, &Command{Ends: &RunEnds{Worker: run.Worker, Returned: true}})
+		c.state.Apply(13, &Command{Gone: run.Worker, Crashed: true})
 		c.end(c.startOnNewWorker(), OutcomeCrashed, SuspicionNone)
 	}
 	must.False(t, c.failed())
-	must.False(t, c.s.Task(key(0, 0)).Suspect())
+	must.False(t, c.state.Task(key(0, 0)).Suspect())
 }
 
 // Guards against a snapshot that loses crashes: those counted already and those of workers
@@ -75,13 +75,13 @@
 		c.end(run, OutcomeLost, SuspicionStrong)
 		unresolved = append(unresolved, run)
 	}
-	data, err := c.s.Snapshot()
+	data, err := c.state.Snapshot()
 	must.NoError(t, err)
-	c.s, err = Restore(data)
+	c.state, err = Restore(data)
 	must.NoError(t, err)
 	for _, run := range unresolved {
 		must.False(t, c.failed())
-		c.s.Apply(12, &Command{Gone: run.Worker, Crashed: true})
+		c.state.Apply(12, &Command{Gone: run.Worker, Crashed: true})
 	}
 	must.True(t, c.failed())
 }
@@ -106,7 +106,7 @@
 	c := newCrashSequence(t, step)
 	c.startOnNewWorker()
 	c.end(c.startOnNewWorker(), OutcomeCrashed, SuspicionWeak)
-	must.SliceEmpty(t, c.s.startRuns("w1", key(0, 0)))
+	must.SliceEmpty(t, c.state.startRuns("w1", key(0, 0)))
 }
 
 // Guards against a task that crashes further workers while it isn't known yet whether the
@@ -119,13 +119,13 @@
 		c.end(run, OutcomeLost, SuspicionWeak)
 		runs = append(runs, run)
 	}
-	must.SliceEmpty(t, c.s.startRuns("w1", key(0, 0)))
-	c.s.Apply(12, &Command{Ends: &RunEnds{Worker: runs[0].Worker, Returned: true}})
-	must.SliceLen(t, 1, c.s.startRuns("w1", key(0, 0)))
+	must.SliceEmpty(t, c.state.startRuns("w1", key(0, 0)))
+	c.state.Apply(12, &Command{Ends: &RunEnds{Worker: runs[0].Worker, Returned: true}})
+	must.SliceLen(t, 1, c.state.startRuns("w1", key(0, 0)))
 	c.end(Run{Task: key(0, 0), Number: maxCrashes + 1, Worker: "w1"}, OutcomeCrashed, SuspicionWeak)
 	for _, run := range runs[1:] {
 		must.False(t, c.failed())
-		c.s.Apply(13, &Command{Ends: &RunEnds{Worker: run.Worker, Unmonitored: true}})
+		c.state.Apply(13, &Command{Ends: &RunEnds{Worker: run.Worker, Unmonitored: true}})
 	}
 	must.True(t, c.failed())
 }
--- a/workflow/keys_test.go
+++ b/workflow/keys_test.go
@@ -13,30 +13,30 @@
 func TestCBORKeysAreUniquePerStruct(t *testing.T) {
 	seen := map[reflect.Type]bool{}
 	var check func(reflect.Type)
-	check = func(of reflect.Type) {
-		switch of.Kind() {
+	check = func(typ reflect.Type) {
+		switch typ.Kind() {
 		case reflect.Pointer, reflect.Slice, reflect.Array:
-			check(of.Elem())
+			check(typ.Elem())
 			return
 		case reflect.Map:
-			check(of.Key())
-			check(of.Elem())
+			check(typ.Key())
+			check(typ.Elem())
 			return
 		case reflect.Struct:
 		default:
 			return
 		}
-		if seen[of] {
+		if seen[typ] {
 			return
 		}
-		seen[of] = true
+		seen[typ] = true
 		keys := map[string]string{}
-		for _, field := range reflect.VisibleFields(of) {
+		for _, field := range reflect.VisibleFields(typ) {
 			tag, _, _ := strings.Cut(field.Tag.Get("cbor"), ",")
 			if field.Anonymous || tag == "" || tag == "-" {
 				continue
 			}
-			must.Eq(t, "", keys[tag], must.Sprintf("CBOR key %s of %s is used by %s and %s", tag, of, keys[tag], field.Name))
+			must.Eq(t, "", keys[tag], must.Sprintf("CBOR key %s of %s is used by %s and %s", tag, typ, keys[tag], field.Name))
 			keys[tag] = field.Name
 			check(field.Type)
 		}
--- a/workflow/state.go
+++ b/workflow/state.go
@@ -119,8 +119,8 @@
 // StepReady reports whether all steps that step depends on have ended.
 func (j *Job) StepReady(occurrence, step int) bool {
 	states := j.Occurrences[occurrence]
-	for _, before := range j.Steps[step].DependsOn {
-		if states[before].Done < len(states[before].Tasks) {
+	for _, dependency := range j.Steps[step].DependsOn {
+		if states[dependency].Done < len(states[dependency].Tasks) {
 			return false
 		}
 	}
--- a/workflow/workflow_test.go
+++ b/workflow/workflow_test.go
@@ -76,7 +76,7 @@
 // Guards against a speculative task that waits for an unreachable worker, and against two
 // copies on one worker, a third run, and a failure of the first run that counts after the copy
 // has finished the task.
-func TestSpeculativeCopy(t *testing.T) {
+func TestTaskHasAtMostOneCopyOnAnotherWorker(t *testing.T) {
 	step := smallStep(2)
 	step.Speculative = true
 	s := newState(t, step)
@@ -179,17 +179,17 @@
 	must.False(t, ok)
 }
 
-// TestRandomCommands applies random commands and checks that the counters of the state match
+// TestCountersMatchAfterRandomCommands applies random commands and checks that the counters of the state match
 // what they count, also after a snapshot is restored.
-func TestRandomCommands(t *testing.T) {
+func TestCountersMatchAfterRandomCommands(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		gang := smallStep(2)
 		gang.Gang = true
-		after := smallStep(1)
-		after.DependsOn = []int{0}
+		dependent := smallStep(1)
+		dependent.DependsOn = []int{0}
 		copied := smallStep(1)
 		copied.Speculative = true
-		s := newState(t, smallStep(2), gang, after, copied)
+		s := newState(t, smallStep(2), gang, dependent, copied)
 		var live []Run
 		for range rapid.IntRange(1, 60).Draw(rt, "commands") {
 			worker := rapid.SampledFrom([]string{"w1", "w2"}).Draw(rt, "worker")
