--- a/dispatch/backlog_test.go
+++ b/dispatch/backlog_test.go
@@ -7,8 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// largeLoad is the load of a pool of 1,100 workers: large gangs, builds with checkpoints and
-// urgent lookups, which take 0.88 of its cores on average.
+// largeLoad returns the kinds of jobs that load a pool of 1,100 workers: large gangs,
+// builds with checkpoints and urgent lookups, which together occupy 0.88 of its cores on
+// average.
 func largeLoad() (recalc, build, lookup *replayKind) {
 	ms := time.Millisecond
 	recalc = &replayKind{name: "recalc", value: 9.18, rate: 7.46, steps: 1.2, width: 32, widthCV: 0.6, maxWidth: 160, cores: 18, coresCV: 0.4, maxCores: 30,
@@ -23,10 +24,10 @@
 	return recalc, build, lookup
 }
 
-// Guards against a backlog that outlives its burst: with lookups coming at twice the rate for
-// four seconds, full decisions every 150 ms and a bound of 128 steps, each changed job beyond
-// the bound waited for two full decisions. Urgent jobs then stayed late although a quarter of
-// the cores was free.
+// Guards against a backlog that remains after the burst that caused it. Lookups arrive at
+// twice the usual rate for four seconds; full decisions come every 150 ms and consider 128
+// steps. If each changed job beyond the bound waits for two full decisions, urgent jobs
+// stay late although a quarter of the cores is free.
 func TestBacklogOfBurstDrains(t *testing.T) {
 	const burstStart, burstEnd, usualRate, end = 8 * time.Second, 12 * time.Second, 156, 16 * time.Second
 	recalc, build, lookup := largeLoad()
@@ -43,5 +44,5 @@
 	must.Less(t, 0.2, r.freeShare(), must.Sprint("the load fills the pool"))
 }
 
-// incrementalTick is the time between two incremental decisions.
+// incrementalTick is the interval between two incremental decisions.
 const incrementalTick = 15 * time.Millisecond
--- a/dispatch/disabled.go
+++ b/dispatch/disabled.go
@@ -17,7 +17,7 @@
 	Health bool `toml:"health"`
 	// Lateness: jobs that can no longer meet their objective go after jobs that can.
 	Lateness bool `toml:"lateness"`
-	// ResentStarts: a start whose answer is overdue is sent again.
+	// ResentStarts: a start whose response is overdue is sent again.
 	ResentStarts bool `toml:"second_starts"`
 	// ShortPolls: long polls are held for a shorter time while calls get lost.
 	ShortPolls bool `toml:"short_looks"`
--- a/dispatch/gang.go
+++ b/dispatch/gang.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// maxReservedGangs is how many gangs of a pool that don't fit now get a reservation, which
-// follows the expected ends of runs. Resources reserved for more gangs would lie idle while
-// runs outlast their expected ends.
+// maxReservedGangs is how many gangs of a pool that don't fit now get a reservation of
+// resources that runs are expected to release. Resources reserved for more gangs would lie
+// idle while runs outlast their expected ends.
 //
 // Dozens of gangs may wait among hundreds of workers whose runs end much earlier or later than
 // expected. With reservations for many of them a large part of the cores is always free, and
@@ -54,10 +54,13 @@
 	return ReasonAwaitsAdviser
 }
 
-// gangQueriesMore reports whether a gang queries workers of unknown permission. It does while
-// its permitted workers would hardly hold it if they were empty; while others have free
-// resources and its reservation is far off, or it has none and knows few workers; and if the
-// others are likely to hold it now.
+// gangQueriesMore reports whether a gang queries workers of unknown permission. It does in
+// three cases:
+//
+//   - Its permitted workers would hardly hold it even if they were empty.
+//   - Other workers have free resources, and its reservation is far off, or it has none and
+//     is known to be permitted on few workers.
+//   - It is likely to fit now if it queries the others.
 func (p *planner) gangQueriesMore(s *Step, granted, unknown []*Worker, left int, reservation gangReservation) bool {
 	if len(unknown) == 0 {
 		return false
@@ -70,9 +73,9 @@
 	return far && worthQuerying(s, unknown) || likelyFits(s, granted, unknown, left)
 }
 
-// likelyFits reports whether the gang fits into the free resources of the permitted workers and
-// the share of those on unknown workers that the grant rate suggests. It is false while no rate
-// is known.
+// likelyFits reports whether the gang fits into the free resources of the permitted workers
+// and the share of the free resources on unknown workers that the grant rate suggests. It
+// is false while no rate is known.
 func likelyFits(s *Step, granted, unknown []*Worker, left int) bool {
 	if s.GrantRate == 0 {
 		return false
@@ -82,30 +85,31 @@
 }
 
 const (
-	// minEmptyFactor times its tasks is what the permitted workers of a gang must hold if they
-	// were empty; otherwise the gang queries more workers. Other steps run on them too.
+	// minEmptyFactor is how many times its tasks the permitted workers of a gang must hold
+	// if they were empty; otherwise the gang queries more workers. Other steps run on them
+	// too.
 	minEmptyFactor = 2
-	// wantedEmptyFactor times its tasks is what the permitted workers of a gang should hold if
-	// they were empty while other workers have free resources. A query occupies an adviser
-	// connection for a second, but a gang that knows few workers waits for them while others
-	// are free.
+	// wantedEmptyFactor is how many times its tasks the permitted workers of a gang should
+	// hold if they were empty, as long as other workers have free resources. A query
+	// occupies an adviser connection for a second, but a gang that knows few workers waits
+	// for these while others are free.
 	wantedEmptyFactor = 8
-	// wantedFreeFactor times its tasks is how many tasks the queried workers of a gang must be
+	// wantedFreeFactor is how many times its tasks the queried workers of a gang must be
 	// expected to hold now: grants differ from the average, and other steps take resources
-	// until the answer arrives.
+	// until the response arrives.
 	wantedFreeFactor = 2.5
 	// maxGangQueries bounds the queries that a gang sends in parallel. Each occupies an adviser
 	// connection for half a second and more.
 	maxGangQueries = 6
 )
 
-// gangWorkersToQuery returns the workers that a gang queries: permitted ones on which it fits,
-// then unknown ones, those with the most free resources first, until the expected grants hold
-// the gang.
+// gangWorkersToQuery returns the workers that a gang queries: permitted ones on which it
+// fits, then unknown ones, those with the most free resources first, until the workers
+// expected to be permitted hold the gang.
 //
-// With gangs of dozens of tasks among hundreds of workers, a quarter of them permitted and a
-// quarter free, few of the workers in one query are both. A gang that sends its queries one by
-// one never finds enough of them free at the same time.
+// If a gang of dozens of tasks is permitted on a quarter of hundreds of workers, and a
+// quarter of the workers is free, few workers of one query are both. A gang that sends its
+// queries one by one never finds enough permitted workers free at the same time.
 func (p *planner) gangWorkersToQuery(s *Step, granted, unknown []*Worker, left int) []*Worker {
 	chosen := fewestWorkersFor(s, granted, left)
 	freeFits, emptyFits := float64(totalFitCount(s, chosen)), float64(totalEmptyFitCount(s, granted))
@@ -166,22 +170,23 @@
 type gangReservation struct {
 	// preempted says that other runs are being stopped for the gang.
 	preempted bool
-	// reserved says that the gang is among those that get a reservation. It is expected to fit
-	// on workers from at on; at is 0 if that can't be predicted.
+	// reserved says that the gang is among those that get a reservation. From at on, the
+	// gang is expected to fit on workers; at is 0 if that can't be predicted.
 	reserved bool
 	workers  []*Worker
 	at       time.Duration
 }
 
-// farOff reports whether a gang with a reservation won't fit soon.
+// farOff reports whether the gang has a reservation and isn't expected to fit soon.
 func (r gangReservation) farOff(now time.Duration) bool {
 	return r.reserved && (r.at == 0 || r.at > now+minPreemptWait)
 }
 
-// reserveOrPreempt reserves resources that come free for the first gangs that don't fit now or,
-// where that takes long, stops less urgent runs for them. Preempting for all waiting gangs
-// would start more of them and cost the leader more than it gains: a hundred stops and restarts
-// a second.
+// reserveOrPreempt reserves resources that runs will release for a gang that doesn't fit
+// now, or preempts less urgent runs if the gang would wait long for them. At most
+// maxReservedGangs gangs of a pool get either. Preempting for all waiting gangs would start
+// more of them, but cost the leader more than is gained: a hundred stops and restarts a
+// second.
 func (p *planner) reserveOrPreempt(s *Step, workers []*Worker, n int) gangReservation {
 	if p.reservedGangs[s.Service] >= maxReservedGangs {
 		return gangReservation{}
--- a/dispatch/gang_test.go
+++ b/dispatch/gang_test.go
@@ -8,14 +8,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// adviser answers the queries of a plan from a fixed set of permitted workers.
+// adviser is an adviser that permits a fixed set of workers and counts the queries.
 type adviser struct {
 	permitted map[string]bool
 	queries   int
 }
 
-// randomAdviser permits a random share of the workers, drawn until the tasks of the step fit on
-// them.
+// randomAdviser returns an adviser that permits a random share of the workers, drawn again
+// until the tasks of the step fit on them.
 func randomAdviser(random *rand.Rand, share float64, s *Step, pool []Worker, tasks int) *adviser {
 	for {
 		a := &adviser{permitted: map[string]bool{}}
@@ -32,7 +32,7 @@
 	}
 }
 
-// answer applies the answers to the queries of a plan to the permits of s.
+// respond adds the responses to the queries of a plan to the permits of s.
 func (a *adviser) respond(s *Step, plan Plan) {
 	for _, query := range plan.Queries {
 		a.queries++
@@ -45,10 +45,11 @@
 	}
 }
 
-// Guards against gangs that start late with a quarter of the pool free. Three quarters of 350
-// workers are occupied, in fragments, and a gang of 30 to 60 tasks is permitted on a quarter of
-// them. It queried 60 workers at a time, 0.9 s each, and no more once its 15 permitted ones
-// were expected to come free soon; one gang in five was late.
+// Guards against gangs that start late with a quarter of the pool free. Of 350 workers
+// three quarters are occupied, the free resources are fragmented, and a gang of 30 to 60
+// tasks is permitted on a quarter of the workers. If the gang queries 60 workers at a time,
+// 0.9 s each, and none once its 15 permitted workers are expected to come free soon, one
+// gang in five is late.
 func TestLargeGangQueriesEnoughWorkersInParallel(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -67,7 +68,7 @@
 			for ; rounds < 4; rounds++ {
 				list := workers(free...)
 				for i := range list {
-					// The runs there are expected to end soon, but keep running.
+					// The runs on the worker are expected to end soon, but keep running.
 					list[i].Releases = []Release{{At: 300 * time.Millisecond, Resources: cores(16 - free[i])}}
 				}
 				plan := Decide(0, []Step{gang}, list, bounds)
--- a/dispatch/load_test.go
+++ b/dispatch/load_test.go
@@ -12,8 +12,9 @@
 var replaySeeds = flag.Int("replay.seeds", 0, "number of seeds for which the figures of the replayed load are printed")
 var replayLoad = flag.Float64("replay.load", 1, "the replayed load as a multiple of the usual one")
 
-// mixedLoad is the load of a pool of 350 workers: large gangs, builds with checkpoints and
-// urgent lookups, which take 0.88 of its cores on average.
+// mixedLoad returns the kinds of jobs that load a pool of 350 workers: large gangs, builds
+// with checkpoints and urgent lookups. With load 1 they occupy 0.88 of its cores on
+// average.
 func mixedLoad(load float64) []*replayKind {
 	ms := time.Millisecond
 	return []*replayKind{
@@ -26,9 +27,9 @@
 	}
 }
 
-// Prints figures of the mixed load for each seed: the share of jobs of each kind in time and
-// late; the shares of their value that all jobs, the largest tenth and the next fifth earned;
-// and the waiting steps when submissions end and 14 s later.
+// Prints figures of the mixed load for each of the -replay.seeds: the share of jobs of each
+// kind that end in time or late; the shares of their value that all jobs, the largest tenth
+// and the next fifth earn; and the waiting steps when submissions end and 14 s later.
 func TestMixedLoadFigures(t *testing.T) {
 	for seed := range *replaySeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -56,10 +57,10 @@
 	}
 }
 
-// Guards against a failed job that doesn't run again although more than a third of the pool
-// stays free: 39 gangs with 1,176 tasks waited while 55 % of the cores were free. The first
-// twelve held reservations until the expected ends of runs, the runs lasted longer, and the
-// gangs after them could not renew their tickets.
+// Guards against gangs, also of failed jobs that must run again, that wait while more than
+// a third of the pool stays free. If twelve gangs hold reservations until the expected ends
+// of runs, the runs last longer, and the gangs after these twelve can't renew their
+// tickets: 39 gangs with 1,176 tasks wait while 55 % of the cores are free.
 func TestGangsStartWhenTwiceTheirDemandIsFree(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -79,17 +80,17 @@
 }
 
 const (
-	// drainTime is how long after the last submission every job that fits must be running.
-	// maxIdleWait is how long a job may have no run while twice the resources of its tasks are
-	// free.
+	// drainTime is the time after the last submission within which every job that fits must
+	// run. maxIdleWait is the longest time that a job may have no run while twice the
+	// resources of its tasks are free.
 	drainTime   = 14 * time.Second
 	maxIdleWait = 3 * time.Second
 )
 
-// Guards against steps beyond the bound whose tickets always expire unused. Hundreds of steps
-// wait behind others that fit nowhere. Each is considered every two seconds, sends a query, and
-// is considered again only after its tickets have expired: none of 600 starts within a minute on an
-// empty pool, and 19,200 queries are sent.
+// Guards against steps beyond the bound whose tickets always expire unused. Hundreds of
+// steps wait behind others that fit nowhere. If each is considered every two seconds, sends
+// a query, and is considered again only after its tickets have expired, none of 600 starts
+// within a minute on an empty pool, and 19,200 queries are sent.
 func TestStepsBeyondBoundStartBeforeTicketsExpire(t *testing.T) {
 	for _, waiting := range []int{40, 600, 900} {
 		kind := &replayKind{name: "behind", priority: 1, steps: 1, width: 1, maxWidth: 1, cores: 1, maxCores: 1, gb: 1, maxGB: 1, work: time.Second,
--- a/dispatch/permits.go
+++ b/dispatch/permits.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// preparePermits plans the queries for the remaining tasks of s, reserves resources for them
-// where that helps, and returns what they wait for.
+// preparePermits plans the queries for the remaining tasks of s, reserves the resources on
+// which they fit once their tickets are renewed, and returns what they wait for.
 func (p *planner) preparePermits(s *Step, suitable []*Worker, left int) Reason {
 	if !s.NeedsPermit {
 		if s.Spec.Gang && p.reserveOrPreempt(s, suitable, left).preempted {
@@ -56,9 +56,9 @@
 	return granted, unknown
 }
 
-// fewestWorkersFor returns permitted workers on which n tasks of s fit now, those with the most
-// free resources first, or all on which a task fits if that isn't enough. A start there still
-// needs a valid ticket.
+// fewestWorkersFor returns permitted workers on which n tasks of s fit now, those with the
+// most free resources first. If n tasks don't fit, it returns all workers on which a task
+// fits. A start there still needs a valid ticket.
 func fewestWorkersFor(s *Step, granted []*Worker, n int) []*Worker {
 	var chosen []*Worker
 	fits := 0
@@ -92,7 +92,8 @@
 	return chosen
 }
 
-// worthQuerying reports whether a query about the workers of unknown permission is worthwhile.
+// worthQuerying reports whether s should query workers of unknown permission: before its
+// first response always, later only if one of its tasks fits on one of them now.
 func worthQuerying(s *Step, unknown []*Worker) bool {
 	if len(s.Permits) == 0 {
 		return len(unknown) > 0
@@ -119,9 +120,9 @@
 	return n
 }
 
-// workersToQuery returns the workers to query: permitted ones that the remaining tasks need,
-// then unknown ones, those with the most free resources first. If all queried workers refused
-// the step, it queries as many again.
+// workersToQuery returns the workers to query: permitted ones that the remaining tasks
+// need, then unknown ones, those with the most free resources first. If the step was
+// refused on all workers queried so far, it queries as many again.
 //
 // A step of dozens of tasks may be permitted on a dozen workers, most of them full. If it
 // queried only a permitted worker that fits a single task, it would renew that ticket, start
@@ -160,7 +161,7 @@
 	return p.limits.LongQueryTime > 0 && s.ResponseTime(n) > p.limits.LongQueryTime
 }
 
-// query plans a query if a connection is left for it, and reports whether it does.
+// query plans a query if an adviser connection is left for it, and reports whether one is.
 func (p *planner) query(s *Step, workers []*Worker, renewal bool) bool {
 	if !p.mayQuery(s, len(workers)) {
 		return false
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -15,11 +15,10 @@
 	// byService holds the workers of each pool. Their Free shrinks as the plan grows.
 	byService map[string][]*Worker
 	byID      map[string]*Worker
-	// headroom is the largest free amount of each resource on any worker of a pool. A missing
-	// entry is computed again.
+	// headroom caches the largest free amount of each resource on any worker of a pool.
 	headroom map[string]workflow.Resources
-	// unreservedHeadroom is the largest amount of each resource that would be free on any
-	// worker of a pool if nothing were reserved.
+	// unreservedHeadroom caches the largest amount of each resource that would be free on
+	// any worker of a pool if nothing were reserved.
 	unreservedHeadroom map[string]workflow.Resources
 	// hasReservations says that the plan has reserved resources.
 	hasReservations bool
@@ -32,16 +31,18 @@
 	stopping map[workflow.TaskKey]bool
 	// preemptiblePriority is the least urgent priority of the preemptible runs of each pool.
 	preemptiblePriority map[string]int
-	// queryWaiters are the steps that wait for a query, in order. reservedQueries of the
-	// queries, of which reservedLongQueries may be long, are held back for them.
+	// queryWaiters are the steps that wait for a query, in order. reservedQueries is the
+	// number of queries that are held back for them, and reservedLongQueries is how many of
+	// these may be long.
 	queryWaiters                         []queryWaiter
 	reservedQueries, reservedLongQueries int
 	plan                                 Plan
 }
 
-// Decide plans starts and queries for steps on workers. Steps are considered in the order of
-// lateness, priority and objective, speculative copies last. What a step takes or reserves
-// isn't available to later ones. Decide changes the Free and Reserved fields of workers.
+// Decide plans starts and queries for steps on workers. Steps are considered in the order
+// of lateness, priority and objective, speculative copies last. What a step takes or
+// reserves isn't available to later ones. Decide changes the Free, Reserved, Serving and
+// SpareRuns fields of workers and the Placed field of steps by what it plans.
 func Decide(now time.Duration, steps []Step, workers []Worker, limits Limits) Plan {
 	p := &planner{
 		now: now, limits: limits, byService: map[string][]*Worker{}, byID: make(map[string]*Worker, len(workers)), headroom: map[string]workflow.Resources{},
@@ -83,8 +84,8 @@
 	return order
 }
 
-// roundRobinDivisor is the divisor of a decision's bound that gives the number of steps
-// chosen round robin instead of by urgency.
+// roundRobinDivisor divides Limits.Steps: that part of the steps of a decision is chosen
+// round robin instead of by urgency.
 const roundRobinDivisor = 4
 
 // selectSteps returns the steps that the decision considers. If there are more than its bound,
@@ -110,13 +111,15 @@
 	return chosen
 }
 
-// roundRobin returns up to n steps from beyond the bound: up to half of them hold tickets,
-// those whose tickets expire soonest first; a quarter know of no worker yet; the rest have no
-// query in flight. The last two groups rotate.
+// roundRobin returns up to n of the steps beyond the bound of a decision: up to half of
+// them hold tickets, those whose tickets expire soonest first; a quarter have had no
+// response of the adviser yet; the rest are other steps without a query in flight. Steps of
+// the last two groups take turns.
 //
-// Without the slots for ticket holders, each of 900 steps beyond the bound is considered every
-// 3 s, queries, and is considered again when its tickets of 1.5 s have expired, so that hardly
-// any starts on an empty pool. With them the next decision uses an answer.
+// Without the slots for ticket holders, each of 900 steps beyond the bound is considered
+// every 3 s, queries, and is considered again when its tickets of 1.5 s have expired, so
+// that hardly any starts on an empty pool. With them the next decision uses the tickets of
+// a response.
 func (p *planner) roundRobin(rest []*Step, n int) []*Step {
 	var ticketed, unqueried, others []*Step
 	for _, s := range rest {
@@ -217,9 +220,9 @@
 // blocked reports whether nothing more can be done for s in this decision: it needs a query,
 // none may be sent now, and s can't get a reservation.
 //
-// Without this check, while all queries or all long queries of gangs are in flight, a decision
-// spends its time on hundreds of workers for each step that can't query, others start later,
-// and the backlog keeps growing.
+// Without this check, while all queries or all long queries of gangs are in flight, a
+// decision spends its time on hundreds of workers for each step that can't query, other
+// steps start later, and the backlog keeps growing.
 func (p *planner) blocked(s *Step) bool {
 	mayReserve := s.Spec.Gang && (p.reservedGangs[s.Service] < maxReservedGangs && len(s.Permits) > 0 || len(s.Renewing) > 0 || p.holdsTickets(s))
 	return s.NeedsPermit && !p.mayQuery(s, 1) && !mayReserve
@@ -276,7 +279,9 @@
 	return headroom
 }
 
-// permitReason says why s has no permitted worker; empty when it has one or needs none.
+// permitReason says why s waits if no worker is eligible, a query of s is in flight, s has
+// had no response of the adviser, or s is refused on all queried workers. It is empty
+// otherwise.
 func (p *planner) permitReason(s *Step) Reason {
 	switch {
 	case !slices.ContainsFunc(p.byService[s.Service], func(w *Worker) bool { return eligible(s, w) }):
@@ -321,11 +326,12 @@
 	return permit.Granted && p.outlastsStart(permit.Expires)
 }
 
-// holdsTickets reports whether one of the tickets of s may be valid.
+// holdsTickets reports whether the ticket of s that expires last is valid until a start has
+// reached the worker.
 func (p *planner) holdsTickets(s *Step) bool { return p.outlastsStart(s.TicketsExpire) }
 
-// outlastsStart reports whether a ticket that expires at end is valid until a start has reached
-// the worker.
+// outlastsStart reports whether a ticket that expires at the given time is valid until a
+// start has reached the worker.
 func (p *planner) outlastsStart(expires time.Duration) bool {
 	return expires >= p.now+p.limits.TicketMargin
 }
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -10,8 +10,11 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
+// cores returns the demand of a task of n cores and 1,000 MB.
 func cores(n int64) workflow.Resources { return workflow.Resources{MilliCPU: n * 1000, MemoryMB: 1000} }
 
+// workers returns a pool of workers w0, w1 and so on, each with 16 cores, of which the
+// given number is free. Two workers each share one of the racks r0, r1 and so on.
 func workers(free ...int64) []Worker {
 	var list []Worker
 	for i, f := range free {
@@ -23,6 +26,8 @@
 	return list
 }
 
+// step returns a step of count tasks that need that many cores each. Queries of the step
+// take 500 ms.
 func step(job string, count int, need int64) Step {
 	s := Step{
 		Key:  workflow.StepKey{Job: job},
@@ -35,6 +40,7 @@
 	return s
 }
 
+// limits are the limits of decisions, unless a test sets others.
 var limits = Limits{WorkersPerQuery: 4, WorkersPerGangQuery: 8, Queries: 8, TicketMargin: 100 * time.Millisecond}
 
 // started lists JOB/INDEX@WORKER of each start.
@@ -109,6 +115,7 @@
 	}
 }
 
+// needsPermit returns s with the permits, as a step that the adviser decides on.
 func needsPermit(s Step, permits map[string]Permit) Step {
 	s.NeedsPermit, s.Permits = true, permits
 	return s
@@ -170,9 +177,9 @@
 	must.Eq(t, ReasonCount{"", 3, "w3"}, Explain(0, &s, list, limits)[0])
 }
 
-// Guards against a gang that waits forever alongside small tasks. It needs two workers, of which
-// one is free now and one soon; small tasks arrive all the time and took each free resource,
-// since nothing was reserved for the gang.
+// Guards against a gang that waits forever alongside small tasks. The gang needs two
+// workers, of which one is free now and one soon. Unless resources are reserved for the
+// gang, small tasks, which arrive all the time, take them as they come free.
 func TestResourcesAreReservedForWaitingGang(t *testing.T) {
 	list := workers(4, 0)
 	list[1].Releases = []Release{{At: time.Second, Resources: cores(4)}}
@@ -184,8 +191,8 @@
 }
 
 // Guards against workers that idle for half a second before each gang. The gang fits in a
-// second and its tickets have expired; the adviser takes half a second, but was queried only
-// once the gang fit.
+// second, its tickets have expired, and the adviser takes half a second, but is queried
+// only once the gang fits.
 func TestGangTicketsAreRenewedBeforeItFits(t *testing.T) {
 	gang := needsPermit(step("gang", 2, 4), map[string]Permit{"w0": {Granted: true}, "w1": {Granted: true}})
 	gang.Spec.Gang = true
@@ -198,10 +205,10 @@
 	must.Eq(t, 1, countQueries(500*time.Millisecond))
 }
 
-// Guards against a late gang that never starts although most workers are idle. The first query
-// of a new leader names the two workers that have answered it. One is permitted and large
-// enough, but never empty, and the gang queried others only if its permitted workers were too
-// small.
+// Guards against a late gang that never starts although most workers are idle. A new
+// leader's first query names only the two workers that have responded to that leader so
+// far. One is permitted and large enough, but never empty, and the gang queries others only
+// if its permitted workers are too small.
 func TestGangQueriesIdleWorkersWhilePermittedOnesStayBusy(t *testing.T) {
 	gang := func() Step {
 		s := needsPermit(step("gang", 2, 4), map[string]Permit{"w0": {Granted: true}})
@@ -223,9 +230,9 @@
 	must.True(t, plan.Queries[0].Renewal, must.Sprint("the gang fits soon"))
 }
 
-// Guards against a gang that keeps waiting after runs were preempted for it. Its resources come
-// free one by one, and small urgent tasks took them as the best fit although they fit on
-// another worker.
+// Guards against a gang that keeps waiting after runs were preempted for it. The resources
+// of these runs come free one by one, and small urgent tasks take them as the best fit
+// although the tasks fit on another worker.
 func TestSmallTasksAvoidEarmarkedWorkers(t *testing.T) {
 	list := workers(3, 9)
 	must.Eq(t, []string{"a/0@w0"}, started(Decide(0, []Step{step("a", 1, 2)}, list, limits)))
@@ -242,8 +249,8 @@
 }
 
 // Guards against an urgent gang that waits many seconds while a batch job that could resume
-// later occupies the workers. The gang has three tasks, of which one fits; two workers are full
-// of runs with checkpoints, and nothing was preempted.
+// later occupies the workers. The gang has three tasks, of which one fits. Two workers are
+// full of runs with checkpoints, and none of these is preempted.
 func TestGangPreemptsRunsWithCheckpoints(t *testing.T) {
 	full := func(change func(*Release)) []Worker {
 		list := workers(4, 0, 0)
@@ -299,9 +306,10 @@
 	}
 }
 
-// Guards against a standstill after an outage: one decision considered thousands of queued
-// steps, each with queries about hundreds of workers, and took so long that the tickets expired
-// before the next one. Each step must still be considered at some point.
+// Guards against a standstill after an outage: one decision considers thousands of queued
+// steps, each with queries about hundreds of workers, and takes so long that the tickets
+// expire before the next decision. Although a decision considers a bounded number of steps,
+// every step must be considered at some point.
 func TestDecisionConsidersBoundedNumberOfSteps(t *testing.T) {
 	bounded := limits
 	bounded.Steps = 8
@@ -325,8 +333,9 @@
 	must.MapLen(t, 99, seen, must.Sprint("each step is considered"))
 }
 
-// Guards against decisions that take seconds while the adviser is busy: hundreds of steps need
-// a query, none may be sent, and each step was still matched against all workers.
+// Guards against decisions that take seconds while the adviser is busy: hundreds of steps
+// need a query, none may be sent, and each step is matched against all workers
+// nevertheless.
 func TestStepThatCannotQueryIsSkipped(t *testing.T) {
 	noQueries := limits
 	noQueries.Queries = 0
@@ -338,10 +347,10 @@
 	must.Eq(t, []string{"b/0@w0"}, started(Decide(0, []Step{s, valid}, workers(9), noQueries)))
 }
 
-// Guards against a wide step that takes a minute while half of the workers are free. It is
-// permitted on a few workers, nearly all full; one fits a single task, but its ticket has
-// expired. The step renewed only that ticket, and again when the next task had ended there,
-// instead of querying the empty workers too.
+// Guards against a wide step that takes a minute while half of the workers are free. The
+// step is permitted on a few workers, nearly all full. One of them has resources for a
+// single task, but the ticket has expired. The step renews only that ticket, and again
+// after each task there, instead of querying the empty workers too.
 func TestStepWithTooFewPermittedResourcesQueriesMoreWorkers(t *testing.T) {
 	s := step("wide", 10, 4)
 	s.NeedsPermit = true
--- a/dispatch/preempt.go
+++ b/dispatch/preempt.go
@@ -28,12 +28,12 @@
 	Preemptor workflow.StepKey
 }
 
-// victimSet is what must be stopped on a worker so that one more task fits there.
+// victimSet is a set of runs to stop on a worker so that one more task fits there.
 type victimSet struct {
 	worker *Worker
 	runs   []*Release
-	// cost is the CPU of the runs in thousandths of a core. needsTicket says that the worker
-	// must be queried for a ticket first.
+	// cost is the CPU of the runs in thousandths of a core. needsTicket says that a ticket
+	// for the worker must be queried first.
 	cost        int64
 	needsTicket bool
 }
@@ -85,9 +85,9 @@
 		cmp.Compare(a.worker.Penalty, b.worker.Penalty), cmp.Compare(a.worker.ID, b.worker.ID))
 }
 
-// stoppingResources returns the resources on w of runs that are being stopped. A stop takes a
-// third of a second; if these weren't counted, each decision until then would stop further runs
-// for the same gang, twelve instead of two.
+// stoppingResources returns the resources on w of runs that are being stopped. A stop takes
+// a third of a second; if these resources weren't counted, each decision until then would
+// stop further runs for the same gang: twelve instead of two in all.
 func (p *planner) stoppingResources(w *Worker) (total workflow.Resources) {
 	for i := range w.Releases {
 		if w.Releases[i].Stopping {
@@ -134,8 +134,8 @@
 	return v
 }
 
-// recordPreemptible records whether a pool has preemptible runs, so that pools without any
-// aren't searched.
+// recordPreemptible records the least urgent priority of the preemptible runs on w, so that
+// pools without runs to preempt aren't searched.
 func (p *planner) recordPreemptible(w *Worker) {
 	for i := range w.Releases {
 		if r := &w.Releases[i]; r.Preemptible {
@@ -145,8 +145,8 @@
 }
 
 // preemptForGang stops less urgent runs for a gang that won't fit soon and reserves their
-// resources. It queries first if tickets would expire before the runs have stopped. It reports
-// whether it has handled the gang.
+// resources. It queries first if tickets would expire before the runs have stopped. It
+// reports whether it found enough runs to stop.
 func (p *planner) preemptForGang(s *Step, granted []*Worker, n int) bool {
 	if p.limits.Disabled.Preemption || s.Lateness > 0 || s.AwaitsResponse || p.preemptiblePriority[s.Service] <= s.Priority {
 		return false
--- a/dispatch/preempt_test.go
+++ b/dispatch/preempt_test.go
@@ -22,7 +22,7 @@
 	return list
 }
 
-// permittedOn permits all workers of a pool.
+// permittedOn returns granted permits with valid tickets for all workers of a pool.
 func permittedOn(pool []Worker) map[string]Permit {
 	permits := map[string]Permit{}
 	for i := range pool {
@@ -44,8 +44,8 @@
 	}
 }
 
-// Guards against dozens of preempted batch runs for one gang of three tasks: until the first
-// runs had stopped, each decision preempted further ones.
+// Guards against dozens of preempted batch runs for one gang of three tasks: until the
+// first runs have stopped, each decision preempts further ones.
 func TestStoppingRunsCountForTheirGang(t *testing.T) {
 	pool := preemptiblePool(6)
 	gang := waitingGang("gang", 3, 4, permittedOn(pool))
@@ -59,7 +59,8 @@
 	must.Eq(t, 3, stops)
 }
 
-// Guards against a run that is preempted, and counted, twice because two gangs can preempt it.
+// Guards against a plan that preempts, and counts, a run twice because two gangs can
+// preempt it.
 func TestRunIsPreemptedOncePerPlan(t *testing.T) {
 	pool := preemptiblePool(3)
 	var steps []Step
@@ -76,8 +77,9 @@
 	must.MapNotEmpty(t, seen)
 }
 
-// Guards against steps that are never considered: alongside hundreds of steps beyond the bound,
-// many with useless tickets, the offset of the round robin permanently skipped most of the others.
+// Guards against steps that are never considered: alongside hundreds of steps beyond the
+// bound, many of them with tickets that can't be used, the offset of the round robin skips
+// most other steps in every decision.
 func TestRoundRobinReachesAllSteps(t *testing.T) {
 	for _, ticketed := range []int{0, 16, 24, 31, 200} {
 		seen := map[string]bool{}
@@ -101,9 +103,9 @@
 	}
 }
 
-// Guards against the plan of a long query for a gang while no connection takes long ones: the
-// query was dropped, resources were still reserved for the gang, and the short queries after it
-// weren't sent.
+// Guards against a decision that plans a long query for a gang while no adviser connection
+// takes long queries: the query is dropped, resources are reserved for the gang
+// nevertheless, and the short queries after it aren't sent.
 func TestLongQueryNeedsLongQueryBudget(t *testing.T) {
 	bound := limits
 	bound.Queries, bound.LongQueries, bound.LongQueryTime = 1, 0, 150*time.Millisecond
@@ -118,8 +120,8 @@
 	must.Eq(t, ReasonNoConnection, reasons(plan)["gang"])
 }
 
-// Guards against small tasks that take the resources a gang waits for: a more urgent gang that
-// no worker can run held the only reservation of the pool.
+// Guards against small tasks that take the resources that a gang waits for, because a more
+// urgent gang that no worker can run holds the only reservation of the pool.
 func TestGangThatCannotReserveLeavesReservationToNext(t *testing.T) {
 	valid := Permit{Granted: true, Expires: time.Hour}
 	refused := waitingGang("refused", 9, 16, map[string]Permit{"w0": {}, "w1": {}, "w2": valid})
--- a/dispatch/query_test.go
+++ b/dispatch/query_test.go
@@ -11,7 +11,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// slowQueryKind is a kind of small jobs whose queries take over a second.
+// slowQueryKind returns a kind of small jobs whose queries about 30 workers take 1.1 s.
+// Such a job is permitted on the given share of the workers.
 func slowQueryKind(name string, priority int, permitted float64) *replayKind {
 	return &replayKind{
 		name: name, priority: priority, steps: 1, width: 1, maxWidth: 1, cores: 4, maxCores: 4, gb: 4, maxGB: 4, work: 2 * time.Second,
@@ -20,8 +21,9 @@
 	}
 }
 
-// waitUntilAllStart runs the replay with its usual submissions until each job of the kind has
-// started, for a minute at most, and returns the simulated time that this took.
+// waitUntilAllStart runs the replay with its usual submissions until each job of the kind
+// has started, for a minute of simulated time at most, and returns the simulated time that
+// has passed.
 func waitUntilAllStart(r *replay, k *replayKind) time.Duration {
 	start := r.now
 	for r.now < start+time.Minute {
@@ -51,9 +53,9 @@
 	return waitUntilAllStart(r, others)
 }
 
-// Guards against urgent steps that are permitted on no worker and whose queries, 30 workers at
-// a time, occupy every adviser connection. Other steps wait behind them on an empty pool, and
-// the more workers there are, the longer they wait.
+// Guards against urgent steps that are permitted on no worker and whose queries, 30 workers
+// at a time, occupy every adviser connection. Other steps wait on an empty pool, and the
+// more workers there are, the longer they wait.
 func TestRefusedUrgentStepsLeaveQueriesToOthers(t *testing.T) {
 	for _, pool := range []int{350, 1100, 3000} {
 		t.Run(fmt.Sprint(pool), func(t *testing.T) {
@@ -103,7 +105,7 @@
 }
 
 // Guards against unused queries on a full pool: the queries held back for round-robin use
-// counted as unavailable.
+// count as unavailable.
 func TestAllQueriesAreSentOnFullPool(t *testing.T) {
 	for _, queries := range []int{1, 2, 5} {
 		for round := range roundRobinQueryDivisor {
@@ -118,8 +120,8 @@
 	}
 }
 
-// Guards against unused long queries: those held back for round-robin use weren't offered to
-// steps that could send a short query about a few workers but need many.
+// Guards against unused long queries: those held back for round-robin use aren't offered to
+// steps that could send a short query about a few workers, but need a long one about many.
 func TestAllLongQueriesAreSent(t *testing.T) {
 	for round := range roundRobinQueryDivisor {
 		bounded := limits
@@ -156,8 +158,8 @@
 	}
 }
 
-// Guards against a late job that never gets a query: it is considered after all others, and
-// urgent jobs that are refused keep arriving.
+// Guards against a late job that never gets a query: it is considered after all other jobs,
+// and urgent jobs that are permitted on no worker keep arriving.
 func TestLateJobQueriesBesideRefusedUrgentJobs(t *testing.T) {
 	refused, late := slowQueryKind("refused", 0, 0), slowQueryKind("late", 1, 0.25)
 	late.objective, refused.rate = 0, 5
@@ -187,9 +189,8 @@
 	}
 }
 
-// Guards against queries one after the other for a step that is refused on every queried
-// worker: it needs one query per 30 workers, so with ten times the workers it waits ten times
-// as long.
+// Guards against a step that is refused on every queried worker and sends one query about
+// 30 workers after the other: with ten times the workers it waits ten times as long.
 func TestRefusedStepDoublesQueriedWorkers(t *testing.T) {
 	pool := workers(make([]int64, 640)...)
 	for i := range pool {
@@ -214,8 +215,8 @@
 	must.LessEq(t, 1+bits.Len(uint(len(pool)/bounded.WorkersPerQuery)), rounds)
 }
 
-// wideGangs is a kind of gangs that are permitted on a quarter of the workers. A query about a
-// hundred of them takes 1.7 s.
+// wideGangs returns a kind of gangs that are permitted on a quarter of the workers. A query
+// about a hundred workers takes 1.7 s.
 func wideGangs(width, cores float64) *replayKind {
 	return &replayKind{
 		name: "gang", priority: 1, gangShare: 1, steps: 1, width: width, maxWidth: width, cores: cores, maxCores: cores, gb: 16, maxGB: 16,
@@ -224,9 +225,9 @@
 	}
 }
 
-// Guards against gangs that are submitted together on an empty pool and query the same hundred
-// workers: these hold a third of the gangs, and the others must query a second and a third
-// time.
+// Guards against gangs that are submitted together on an empty pool and query the same
+// hundred workers: these workers hold a third of the gangs, and the others must query a
+// second and a third time.
 func TestGangsThatComeTogetherAskAboutDifferentWorkers(t *testing.T) {
 	gangs := wideGangs(20, 18)
 	r := newReplay(0, 1100, 44, gangs)
@@ -258,7 +259,7 @@
 	must.SliceLen(t, 60, gang.jobs[0].pending[0], must.Sprint("the gang still waits"))
 }
 
-// reservedCPU is the CPU that a decision reserves for a job, in thousandths of a core.
+// reservedCPU returns the CPU that a decision reserves for a job, in thousandths of a core.
 func (r *replay) reservedCPU(j *replayJob) (milliCPU int64) {
 	s, _ := r.step(j)
 	list := r.planningInput()
--- a/dispatch/reason.go
+++ b/dispatch/reason.go
@@ -9,8 +9,9 @@
 	p.takeResources(w, reserved)
 }
 
-// capacityReason says why s doesn't start on its permitted workers: free capacity is lacking or
-// reserved. A gang must fit with all its n remaining tasks, another step with one.
+// capacityReason says why s doesn't start on its permitted workers: free resources are
+// lacking or reserved. A gang must fit with all its n remaining tasks, another step with
+// one.
 func capacityReason(s *Step, permitted []*Worker, n int) Reason {
 	if !s.Spec.Gang {
 		n = 1
@@ -49,9 +50,9 @@
 	return fitCountIn(s, w, w.Free.Plus(w.Reserved))
 }
 
-// FitCounts returns how many pending tasks of s fit into what a plan has left on the workers of
-// its pool, reserved resources included. The second count takes only workers on which s is
-// known to be permitted.
+// FitCounts returns how many pending tasks of s fit into the resources that a plan has left
+// free on the workers of its pool, including reserved ones: on all workers, and on those on
+// which s is known to be permitted or needs no permit.
 func FitCounts(s *Step, workers []Worker) (all, permitted int) {
 	for i := range workers {
 		w := &workers[i]
--- a/dispatch/reason_test.go
+++ b/dispatch/reason_test.go
@@ -17,6 +17,8 @@
 	return found
 }
 
+// waitingGang returns a gang of count tasks that need that many cores each. With nil
+// permits it may run on any worker.
 func waitingGang(job string, count int, need int64, permits map[string]Permit) Step {
 	s := step(job, count, need)
 	s.Spec.Gang = true
@@ -26,7 +28,8 @@
 	return s
 }
 
-// gangsAhead returns as many gangs as get a reservation, each with two tasks of four cores.
+// gangsAhead returns urgent gangs, as many as get a reservation, each with two tasks of
+// four cores.
 func gangsAhead(permits map[string]Permit) []Step {
 	var list []Step
 	for i := range maxReservedGangs {
@@ -88,7 +91,8 @@
 	}
 }
 
-// Guards against a gang that is listed as waiting for free resources while runs are preempted for it.
+// Guards against a gang that is listed as waiting for free resources while runs are
+// preempted for the gang.
 func TestGangReportsPreemptionAsReason(t *testing.T) {
 	list := workers(0)
 	for range 4 {
--- a/dispatch/replay_jobs_test.go
+++ b/dispatch/replay_jobs_test.go
@@ -10,34 +10,37 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// replayKind is a kind of job: how often it is submitted, what its steps need, and how the
-// adviser answers about them. Sizes are means; each CV is a coefficient of variation.
+// replayKind is a kind of job: how often it is submitted, what its steps need, and on which
+// share of the workers the adviser permits them. Sizes are means; each CV is a coefficient
+// of variation.
 type replayKind struct {
 	name string
-	// rate is in jobs per second; steps is the number of steps of a job, width of tasks of a
-	// step.
-	rate, steps, width     float64
+	// rate is in jobs per second. steps is the number of steps of a job, width the number
+	// of tasks of a step.
+	rate, steps, width float64
+	// cores and gb are the cores and GiB of memory of a task, work is its run time.
 	cores, gb              float64
 	work                   time.Duration
 	widthCV, coresCV, gbCV float64
 	workCV                 float64
 	maxWidth               float64
 	maxCores, maxGB        float64
-	// A job may take stretch times its longest chain of work plus objective.
+	// stretch and objective define how long a job may take: stretch times the summed run
+	// times of its steps, plus objective.
 	stretch   float64
 	objective time.Duration
 	priority  int
-	// value is that of a job of mean size.
+	// value is the value of a job of mean size.
 	value float64
-	// gangShare and checkpointingShare are shares of the steps, grantedShare is one of the
-	// workers, failingShare one of the runs.
+	// gangShare and checkpointingShare are shares of the steps, grantedShare is a share of
+	// the workers, failingShare a share of the runs.
 	gangShare, checkpointingShare, grantedShare, failingShare float64
-	// A query takes baseLatency plus perWorkerLatency for each worker; tickets are valid for
-	// ticketValidity.
+	// baseLatency plus perWorkerLatency for each worker is the time that a query takes;
+	// tickets are valid for ticketValidity.
 	baseLatency, perWorkerLatency, ticketValidity time.Duration
 
 	// grantRate is the moving mean of the share of workers that the adviser permits, over
-	// grantSamples answers.
+	// grantSamples responses.
 	grantRate, grantSamples float64
 	// all are the jobs submitted so far; inTime and late count those that ended in time or
 	// late.
@@ -50,7 +53,9 @@
 	kind             *replayKind
 	id               string
 	begin, objective time.Duration
-	// step is the index of the current step; specs, works, pending and left are by step.
+	// step is the index of the current step. By step, specs are the specifications, works
+	// the run times of a task, pending the tasks to start and unfinished the numbers of
+	// tasks that haven't ended.
 	step       int
 	specs      []*workflow.Step
 	works      []time.Duration
@@ -58,22 +63,24 @@
 	unfinished []int
 	// saved is the share of a task's work that the checkpoint of a preempted run holds.
 	saved map[workflow.TaskKey]float64
-	// These fields hold what is known of the permits of the current step.
+	// permits and the four fields after it are the permits, queries and tickets of the
+	// current step.
 	permits        map[string]Permit
 	pendingQueries int
 	lastQuery      time.Duration
 	renewing       []string
 	ticketsExpire  time.Duration
-	// ended is when the job ended, earnedShare the share of its value that it earned.
+	// ended is when the job ended, 0 before. earnedShare is the share of its value that it
+	// earned.
 	ended       time.Duration
 	earnedShare float64
-	// idleSince is when the job began to have no run although twice its resources were free; -1
-	// while this isn't so.
+	// idleSince is the time from which on the job has had no run although twice its
+	// resources were free; -1 while it has a run or they aren't free.
 	idleSince time.Duration
 }
 
-// logNormal draws a log-normal random number with a mean and a coefficient of variation; it
-// returns limit if the number is larger.
+// logNormal draws a log-normal random number with a mean and a coefficient of variation,
+// but returns at most limit.
 func (r *replay) logNormal(mean, cv, limit float64) float64 {
 	sigma := math.Sqrt(math.Log(1 + cv*cv))
 	x := mean * math.Exp(sigma*r.random.NormFloat64()-sigma*sigma/2)
@@ -119,7 +126,7 @@
 	}
 }
 
-// coreTime is the work of the job in thousandths of a core times nanoseconds.
+// coreTime returns the work of the job in thousandths of a core times nanoseconds.
 func (j *replayJob) coreTime() float64 {
 	total := 0.0
 	for i, s := range j.specs {
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -12,9 +12,9 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// replay simulates the load of a large pool against Decide on a virtual clock: jobs arrive, an
-// adviser answers with a delay, runs take longer or shorter than estimated, some fail.
-// Everything follows from the seed.
+// replay simulates a loaded pool whose tasks Decide places, on a virtual clock: jobs
+// arrive, an adviser responds with a delay, runs take longer or shorter than estimated,
+// some fail. The simulation follows from the seed alone.
 type replay struct {
 	random *rand.Rand
 	now    time.Duration
@@ -30,32 +30,33 @@
 	connections []time.Duration
 	responses   []replayResponse
 	earmarked   map[string]bool
-	// remaining are the workers as the last full decision left them, firstSkipped is the first
-	// step beyond its bound, and changed are the jobs with a change since then; see
-	// playIncremental.
+	// remaining are the workers as the last full decision left them, firstSkipped is the
+	// first step beyond its bound, and changed are the jobs with a change since then.
+	// Incremental decisions use them.
 	remaining    []Worker
 	firstSkipped *Step
 	changed      map[string]bool
 
-	// These are figures for the output: queries, preemptions and decisions, the longest
-	// decision, and the sum over the decisions of the share of cores that are free.
+	// queries, preemptions and decisions are totals for the output. longestDecision is the
+	// longest time that a decision took, in real time. freeSum is the sum over the
+	// decisions of the share of cores that are free.
 	queries, preemptions, decisions int
 	longestDecision                 time.Duration
 	freeSum                         float64
 }
 
-// replayRun is a live run.
+// replayRun is a live run of a task on the worker with an index.
 type replayRun struct {
 	job    *replayJob
 	task   workflow.TaskKey
 	worker int
-	// end is when the run ends, expected when it would end by its estimate, and duration how
-	// long it takes.
+	// end is when the run ends, expected is when it would end by its estimate, and duration
+	// is how long it takes unless it fails or is stopped.
 	begin, end, expected, duration time.Duration
 	fails, stops                   bool
 }
 
-// replayResponse is an answer of the adviser that is in flight.
+// replayResponse is a response of the adviser that is in flight and arrives at a time.
 type replayResponse struct {
 	at    time.Duration
 	job   *replayJob
@@ -79,7 +80,8 @@
 	return r
 }
 
-// permits reports whether the adviser permits a step on a worker. The answer never changes.
+// permits reports whether the adviser permits a step on a worker, pseudo-randomly for a
+// share of the workers. The result never changes.
 func (r *replay) permits(key workflow.StepKey, worker string, share float64) bool {
 	h := fnv.New32a()
 	_, _ = fmt.Fprint(h, key, worker)
@@ -149,9 +151,9 @@
 	}
 }
 
-// decideIncremental makes a decision for the changed jobs alone, with the resources that the
-// last full one left. Jobs that don't precede the first step beyond its bound wait for the next
-// full decision.
+// decideIncremental makes a decision for the changed jobs alone, with the resources that
+// the last full decision left. Jobs that don't precede the first step beyond the bound of
+// that decision wait for the next full decision.
 func (r *replay) decideIncremental() {
 	var steps []Step
 	jobs := map[workflow.StepKey]*replayJob{}
@@ -188,6 +190,7 @@
 	}
 }
 
+// recordEarmarks keeps the earmarks of a plan for the next decision.
 func (r *replay) recordEarmarks(workers []string) {
 	r.earmarked = map[string]bool{}
 	for _, id := range workers {
@@ -233,8 +236,7 @@
 	return all, long
 }
 
-// shortQueryDivisor is the divisor of the connections that gives those reserved for short
-// queries.
+// shortQueryDivisor divides the connections: that part is reserved for short queries.
 const shortQueryDivisor = 6
 
 // query sends a query on the connection that becomes free first.
@@ -260,7 +262,7 @@
 	r.responses = append(r.responses, replayResponse{at: usable[first] + 5*time.Millisecond, job: j, key: query.Step, query: query})
 }
 
-// applyResponse applies an answer of the adviser.
+// applyResponse applies a response of the adviser.
 func (r *replay) applyResponse(response replayResponse) {
 	j, k := response.job, response.job.kind
 	if j.ended > 0 || j.step != response.key.Step {
@@ -299,7 +301,7 @@
 	}
 }
 
-// start starts a task.
+// start starts a task. On every third worker tasks take 1.3 times as long.
 func (r *replay) start(j *replayJob, s Start) {
 	spec, work := j.specs[s.Task.Step], j.works[s.Task.Step]
 	w := slices.IndexFunc(r.workers, func(w Worker) bool { return w.ID == s.Worker })
@@ -401,7 +403,8 @@
 	return float64(free) / float64(all)
 }
 
-// play runs the replay for traffic with submissions and then for rest without any.
+// play runs the replay with submissions until a time and without any for the time quiet
+// after that.
 func (r *replay) play(until, quiet time.Duration) {
 	for r.now < until+quiet {
 		if r.now < until {
@@ -425,8 +428,9 @@
 	return steps, gangs
 }
 
-// longestIdleWait records since when each job without a run would find twice its resources on
-// permitted workers, alongside all such jobs before it, and returns the longest of these times.
+// longestIdleWait updates idleSince of all jobs and returns the longest time that a job has
+// been idle. A job is idle if it has no run although twice its resources are free on
+// permitted workers, besides those of the idle jobs before it.
 func (r *replay) longestIdleWait() time.Duration {
 	longest := time.Duration(0)
 	free := slices.Clone(r.workers)
--- a/dispatch/roundrobin.go
+++ b/dispatch/roundrobin.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// roundRobinQueryDivisor is the divisor of the queries of a decision that gives those held back
-// for round-robin use.
+// roundRobinQueryDivisor divides the queries of a decision: that part is held back and
+// given to waiting steps round robin.
 const roundRobinQueryDivisor = 3
 
 // queryWaiter is a step that waits for a query.
 type queryWaiter struct {
 	step *Step
-	// left is the number of tasks that were not started. reason is what they wait for if no
+	// left is the number of tasks that were not started. reason is why they wait if no
 	// query is sent.
 	left   int
 	reason Reason
--- a/dispatch/select.go
+++ b/dispatch/select.go
@@ -7,7 +7,8 @@
 	"slices"
 )
 
-// filters are the requirements of a step that don't depend on what else runs on a worker.
+// filters are the requirements that a worker must meet for a step, whatever its free
+// resources.
 var filters = []struct {
 	reason Reason
 	passes func(s *Step, w *Worker) bool
@@ -17,7 +18,8 @@
 	{ReasonSpareShare, enoughSpareShare},
 }
 
-// filter returns the workers that could run tasks of s if they were empty.
+// filter returns the workers that meet the requirements of s, whatever their free
+// resources.
 func filter(workers []*Worker, s *Step) []*Worker {
 	passing := make([]*Worker, 0, len(workers))
 	for _, w := range workers {
@@ -28,13 +30,13 @@
 	return passing
 }
 
-// eligible reports whether w is in the pool of s and could run its tasks if it were empty. A
-// nil worker isn't eligible.
+// eligible reports whether w is in the pool of s and meets its requirements, whatever its
+// free resources. A nil worker isn't eligible.
 func eligible(s *Step, w *Worker) bool {
 	return w != nil && w.Service == s.Service && rejection(s, w) == ""
 }
 
-// rejection returns why w can't run tasks of s at all, empty if it can.
+// rejection returns the first requirement of s that w doesn't meet, empty for none.
 func rejection(s *Step, w *Worker) Reason {
 	for i := range filters {
 		if !filters[i].passes(s, w) {
@@ -44,10 +46,12 @@
 	return ""
 }
 
+// hasLabel reports whether w has the label that s requires; true if s requires none.
 func hasLabel(s *Step, w *Worker) bool {
 	return s.Spec.Label == "" || slices.Contains(w.Labels, s.Spec.Label)
 }
 
+// hasCapacity reports whether a task of s would fit on w if nothing else ran there.
 func hasCapacity(s *Step, w *Worker) bool { return s.Spec.Demand().Fits(w.Capacity) }
 
 // minSpareShare is the CPU percentage that serving tasks must leave on a worker for another
@@ -138,8 +142,9 @@
 	return a.worker.rank - b.worker.rank
 }
 
-// byFree yields the workers on which the most tasks of s fit first, so that a gang spreads over
-// few workers. It sorts lazily with a heap, since gangs and queries need only the first few
+// byFree yields the workers in the order of compareFree: among equally healthy and near
+// ones, those on which the most tasks of s fit come first, so that a gang spreads over few
+// workers. It sorts lazily with a heap, since gangs and queries need only the first few
 // dozen of a thousand workers.
 func byFree(s *Step, workers []*Worker) iter.Seq[*Worker] {
 	order := make(freeHeap, len(workers))
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -1,12 +1,12 @@
-// Package dispatch decides which ready tasks start on which worker and which queries go to the
-// adviser. Decide is a pure function of a snapshot: it reads no clock and keeps nothing between
-// calls. The caller commits the planned starts, which checks them again, and then sends them to
-// the workers.
+// Package dispatch decides which ready tasks start on which worker and which queries go to
+// the adviser. Decide depends only on its arguments: it reads no clock and keeps nothing
+// between calls. The caller commits the planned starts, where each is checked again, and
+// sends the committed ones to the workers.
 //
-// The adviser is an external service that decides for a queue which workers may run a step. Its
-// permission never changes, but a start also needs its ticket, which expires. A gang is a step
-// whose tasks start together or not at all. An earmark is a soft reservation: other steps
-// prefer other workers.
+// The adviser is an external service that decides for a queue which workers may run a step.
+// Its permission never changes, but a start also needs its ticket, which expires. A gang is
+// a step whose tasks start together or not at all. An earmark is a soft reservation of a
+// worker: other steps prefer workers without one.
 package dispatch
 
 import (
@@ -18,11 +18,12 @@
 // Worker is a worker that may be given tasks now.
 type Worker struct {
 	workflow.Worker
-	// Free is the capacity that no run occupies; a run that may be alive occupies its
-	// resources. A plan takes from Free. FreeBeforePlan is the value before the plan.
+	// Free are the resources that no run occupies. A run occupies its resources while it
+	// may be alive. Decide subtracts what it plans from Free; FreeBeforePlan keeps the
+	// value from before.
 	Free, FreeBeforePlan workflow.Resources
-	// Reserved are resources that the plan reserves, now or once runs end, for steps that it
-	// couldn't start. They aren't in Free.
+	// Reserved are resources that the plan reserves for steps that it couldn't start, free
+	// now or once runs end. They are subtracted from Free, which can become negative.
 	Reserved workflow.Resources
 	// Releases are the expected ends of the runs on the worker, the soonest first.
 	Releases []Release
@@ -30,12 +31,14 @@
 	plannedStarts int
 	// Serving says that tasks with a latency objective run on the worker.
 	Serving bool
-	// SpareRuns counts the runs on the worker that use spare CPU. SpareShare is the percentage
-	// of the CPU that they may use alongside serving tasks.
+	// SpareRuns counts the runs on the worker that use only spare CPU, which the other runs
+	// leave idle. SpareShare is the percentage of the CPU that they may use alongside
+	// serving tasks.
 	SpareRuns, SpareShare int
 	// Earmarked says that the last decision reserved resources here for a gang that fits soon.
 	Earmarked bool
-	// Penalty ranks workers lower that failed or stalled recently; 0 is healthy.
+	// Penalty is higher for workers that failed or stalled recently, which are chosen after
+	// the others; 0 is healthy.
 	Penalty int
 	// rank is the position of the worker in the order of IDs; it breaks ties.
 	rank int
@@ -47,7 +50,7 @@
 	At        time.Duration
 	Resources workflow.Resources
 	Task      workflow.TaskKey
-	// Priority is that of the run's queue.
+	// Priority is that of the run's queue; 0 is the most urgent.
 	Priority int
 	// Preemptible says that a more urgent step may stop the run: it resumes from a checkpoint.
 	Preemptible bool
@@ -55,16 +58,17 @@
 	Stopping bool
 }
 
-// Permit is the adviser's known answer on whether a step may run on a worker.
+// Permit is the adviser's decision on whether a step may run on a worker.
 type Permit struct {
-	// Granted never changes for a step and a worker.
+	// Granted says that the step may run there. It never changes for a step and a worker.
+	// Ticket must accompany a start.
 	Granted bool
 	Ticket  string
 	// Expires is when the ticket expires, on the monotonic clock of the caller.
 	Expires time.Duration
 }
 
-// Step is a step whose dependencies have ended, with what a decision needs to know of it.
+// Step is the input of a decision about a step whose dependencies have ended.
 type Step struct {
 	Key  workflow.StepKey
 	Spec *workflow.Step
@@ -75,13 +79,14 @@
 	// Lateness is 0 while the job can meet its objective, 1 while it is late but still has some
 	// value, and 2 after that.
 	Lateness int
-	// Due is when the job's objective ends, on the monotonic clock of the caller.
+	// Due is when the job must end to meet its objective, on the monotonic clock of the
+	// caller.
 	Due time.Duration
-	// Pending are the indexes of the tasks that may be started.
+	// Pending are the indexes of the tasks to start.
 	Pending []int
 	// NeedsPermit says that the adviser decides which workers may run the step.
 	NeedsPermit bool
-	// Permits are the known answers of the adviser, by worker ID.
+	// Permits are the decisions of the adviser known so far, by worker ID.
 	Permits map[string]Permit
 	// TicketsExpire is when the last of the step's tickets expires, on the monotonic clock of
 	// the caller; 0 for none.
@@ -94,17 +99,19 @@
 	// GrantRate is the share of the queried workers that the adviser has recently permitted for
 	// the step's queue; 0 while it is unknown.
 	GrantRate float64
-	// AwaitsResponse says that a query of the step is in flight. Renewing names the workers in it
-	// whose grant is known already.
+	// AwaitsResponse says that a query of the step is in flight. Renewing are the workers
+	// of that query on which the step is known to be permitted, so that only tickets are
+	// awaited.
 	AwaitsResponse bool
 	Renewing       []string
-	// Placed counts the step's live runs by worker. It is set only where Spec bounds them.
+	// Placed counts the step's live runs by worker. It is set only if Spec.MaxPerWorker is.
 	Placed map[string]int
-	// Copy says that the pending tasks already run, on the workers that Avoid names by task
-	// index, and that a speculative copy of each is worth idle resources.
+	// Copy says that the pending tasks already run and that each may get a speculative copy
+	// on idle resources. Avoid is the worker that runs the task, by task index.
 	Copy  bool
 	Avoid map[int]string
-	// Suspects are the pending tasks under whose runs workers have crashed.
+	// Suspects are the indexes of the pending tasks that are crash suspects: a worker has
+	// crashed while it ran the task.
 	Suspects map[int]bool
 }
 
@@ -135,7 +142,7 @@
 // Reason says why tasks of a step were not started.
 type Reason string
 
-// Reasons, as explanations show them.
+// Reasons, with the texts that logs and explanations show.
 const (
 	ReasonNoWorker      Reason = "no worker of the service meets the requirements"
 	ReasonNoCapacity    Reason = "no room on a worker that may run the step"
@@ -151,19 +158,21 @@
 	ReasonNotQueried    Reason = "the adviser wasn't asked about the worker"
 	ReasonTicketExpired Reason = "the ticket for the worker has ended"
 
-	// ReasonBeyondBound: the step is beyond the bound of the decision. Plans only count such
-	// steps.
+	// ReasonBeyondBound: more than Limits.Steps steps wait, and the decision didn't
+	// consider this one. A plan only counts such steps, in BeyondBound.
 	ReasonBeyondBound Reason = "behind the steps that one decision goes into"
 	// ReasonNoConnection: the step needs a query and no adviser connection is free for it.
 	ReasonNoConnection Reason = "no lane to the adviser is free"
-	// ReasonTicketsExpired: a gang fits on permitted workers, and no query may be sent now.
+	// ReasonTicketsExpired: a gang fits on permitted workers whose tickets have expired,
+	// and no query may be sent now.
 	ReasonTicketsExpired Reason = "fits on permitted workers, whose tickets have ended"
 	// ReasonReserved: the step would fit if no resources were reserved for other steps.
 	ReasonReserved Reason = "the room that would do is kept for steps before it"
 	// ReasonGangCannotQuery: a gang doesn't fit on the workers known to be permitted and may
 	// send no query now.
 	ReasonGangCannotQuery Reason = "doesn't fit on the workers it knows of, and can't ask now"
-	// ReasonPreempting: runs are being stopped for the step, or tickets are queried first.
+	// ReasonPreempting: less urgent runs are being stopped for the step, or its tickets are
+	// renewed before that.
 	ReasonPreempting Reason = "less urgent runs give way to it"
 )
 
@@ -191,8 +200,8 @@
 	LongQueryTime time.Duration
 	// Steps is the most steps that one decision considers; 0 for no bound.
 	Steps int
-	// Round is the number of the decision. The steps that are chosen from beyond the bound
-	// rotate with it.
+	// Round is the sequence number of the decision. It selects which of the steps beyond
+	// the bound are considered, so that all of them take turns.
 	Round int
 	// Disabled are the mechanisms that are switched off.
 	Disabled Disabled
@@ -206,11 +215,12 @@
 	Starts  []Start
 	Queries []Query
 	Waiting []Waiting
-	// BeyondBound counts the steps that the decision didn't consider. They wait for
-	// ReasonBeyondBound and aren't in Waiting.
+	// BeyondBound counts the steps that the decision didn't consider. Their reason is
+	// ReasonBeyondBound, and Waiting doesn't list them.
 	BeyondBound int
-	// FirstSkipped is the most urgent step beyond the bound of the decision: steps that precede
-	// it were all considered. It is nil if the decision considered all steps.
+	// FirstSkipped is the first step, in order of urgency, that the decision didn't choose
+	// for its urgency: all steps that precede it were considered. It is nil if the decision
+	// considered all steps.
 	FirstSkipped *Step
 	// Earmarks are the workers on which resources are reserved for a gang that fits soon.
 	Earmarks []string
