--- a/workflow/apply.go
+++ b/workflow/apply.go
@@ -7,7 +7,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Command is one change of the state. Exactly one field is set; only Crashed accompanies Gone.
+// Command is one change of the state. Exactly one field is set, except that Crashed
+// accompanies Gone.
 type Command struct {
 	Submit *Submission `cbor:"1,keyasint,omitempty"`
 	// Cancel is the ID of the job to cancel.
@@ -15,29 +16,30 @@
 	// Start holds runs to start; Apply sets their Number.
 	Start []Run    `cbor:"3,keyasint,omitempty"`
 	Ends  *RunEnds `cbor:"4,keyasint,omitempty"`
-	// Worker announces an incarnation of a worker.
+	// Worker is an incarnation of a worker that announces itself.
 	Worker *Worker `cbor:"5,keyasint,omitempty"`
 	// Gone is the ID of an incarnation that has ended.
 	Gone string `cbor:"6,keyasint,omitempty"`
 	// Crashed says that the worker named by Gone has crashed.
 	Crashed bool `cbor:"11,keyasint,omitempty"`
-	// Forget lists ended jobs to delete.
+	// DeleteJobs are the IDs of ended jobs to delete.
 	DeleteJobs    []string     `cbor:"7,keyasint,omitempty"`
 	Configuration *Document    `cbor:"8,keyasint,omitempty"`
 	Wave          *Wave        `cbor:"9,keyasint,omitempty"`
 	Maintenance   *Maintenance `cbor:"10,keyasint,omitempty"`
 }
 
-// RunEnds are ends of runs on one worker.
+// RunEnds are the ends of runs on one worker.
 type RunEnds struct {
 	Worker string `cbor:"1,keyasint"`
-	// LastEnd is the highest number that the worker has given to an end among these.
+	// LastEnd is the highest sequence number of Ends; the worker numbers the ends that it
+	// reports.
 	LastEnd uint64   `cbor:"2,keyasint,omitempty"`
 	Ends    []RunEnd `cbor:"3,keyasint"`
-	// Returned says that the worker has answered again after its lease had expired.
+	// Returned says that the worker is responsive again after its lease had expired.
 	Returned bool `cbor:"4,keyasint,omitempty"`
-	// Unmonitored says that the worker has been unresponsive for so long that it is no longer
-	// monitored: runs that ended with its lease count as ended by a crash.
+	// Unmonitored says that the worker has been unresponsive for so long that it is no
+	// longer monitored: runs that ended with its lease now count as ended by a crash.
 	Unmonitored bool `cbor:"5,keyasint,omitempty"`
 }
 
@@ -78,7 +80,7 @@
 	InForce Document
 }
 
-// Apply applies one committed command.
+// Apply applies one committed command, whose log index is given.
 func (s *State) Apply(index uint64, c *Command) Result {
 	switch {
 	case c.Submit != nil:
@@ -201,11 +203,11 @@
 // allowed.
 const maxLiveRuns = 2
 
-// mayStart reports whether a run may start. It refuses a second run alongside one that may be
-// alive, unless the step allows speculative copies, the other run is on another worker and no
-// worker has crashed under the task. It also refuses a worker that is gone or lacks free
-// capacity: a worker may announce less capacity while starts decided before are being
-// committed, which would overcommit it.
+// mayStart reports whether a run may start. It refuses a second run alongside one that may
+// be alive, unless the step allows speculative copies, the other run is on another worker
+// and no worker has crashed under the task. It also refuses a worker that is gone or lacks
+// free resources: a worker may announce less capacity while starts that were decided
+// earlier are being committed, which would overcommit the worker.
 func (s *State) mayStart(spec *Step, step *StepState, run Run) bool {
 	worker := s.Workers[run.Worker]
 	if worker == nil || worker.Gone || run.Task.Index >= len(step.Tasks) || s.fitCountOn(worker, spec) == 0 {
@@ -286,7 +288,7 @@
 	switch {
 	case spec.LongRunning:
 	case task.Done:
-		// A speculative copy finished the task before.
+		// Another run has already finished the task.
 	case end.Outcome == OutcomeDone:
 		s.finishTask(job, step, task)
 	case end.Outcome == OutcomeFailed:
@@ -296,7 +298,7 @@
 }
 
 // endGangMember applies the end of a member of a gang. One member that is done finishes all
-// tasks, and a failed run counts as one failure, however many members report it.
+// tasks. A failed run of the gang counts as one failure, however many of its members fail.
 func (s *State) endGangMember(job *Job, spec *Step, step *StepState, end RunEnd) {
 	if end.Outcome != OutcomeDone {
 		step.GangEndedRun = max(step.GangEndedRun, end.Number)
@@ -319,7 +321,7 @@
 	}
 }
 
-// finishTask marks a task as done, and closes the job with its last task.
+// finishTask marks a task as done, and closes the job if no unfinished task is left.
 func (s *State) finishTask(job *Job, step *StepState, task *Task) {
 	if task.Done {
 		return
@@ -342,8 +344,8 @@
 }
 
 // announce records a worker. A new incarnation doesn't replace an earlier one at the same
-// address; only Gone ends that one. Of two heartbeats of an incarnation that are committed out
-// of order the one with the higher sequence wins.
+// address; only Gone ends that one. If heartbeats of an incarnation are committed out of
+// order, the one with the highest Sequence is kept.
 func (s *State) announce(w *Worker) {
 	known := s.Workers[w.ID]
 	if known == nil {
@@ -386,7 +388,7 @@
 	return sorted
 }
 
-// forget deletes ended jobs.
+// deleteJobs deletes the listed jobs that have ended.
 func (s *State) deleteJobs(ids []string) {
 	for _, id := range ids {
 		if job := s.Jobs[id]; job != nil && job.Ended() {
--- a/workflow/capacity_test.go
+++ b/workflow/capacity_test.go
@@ -6,15 +6,16 @@
 	"github.com/shoenig/test/must"
 )
 
-// announceCapacity lets worker w1 announce a capacity in thousandths of a core.
+// announceCapacity lets worker w1 announce a capacity in thousandths of a core, with the
+// heartbeat of the given sequence number.
 func (s *State) announceCapacity(sequence uint64, milliCPU int64) {
 	s.Apply(20, &Command{Worker: &Worker{
 		ID: "w1", Service: "s", Address: "w1", Capacity: Resources{MilliCPU: milliCPU, MemoryMB: 800}, Sequence: sequence,
 	}})
 }
 
-// Guards against a worker that is loaded beyond its capacity, which a soak test reports as a
-// violation of LIMIT: its capacity shrank between the decision on a start and the commit.
+// Guards against a worker that is loaded beyond its capacity because it announces a smaller
+// one between the decision on a start and the commit of the start.
 func TestStartBeyondShrunkCapacityIsRejected(t *testing.T) {
 	s := newState(t, smallStep(4))
 	s.announceCapacity(1, 2500)
@@ -27,7 +28,7 @@
 }
 
 // Guards against a gang that starts in part, or on a worker whose capacity has shrunk and
-// doesn't hold all members placed on it.
+// no longer holds all members placed there.
 func TestGangBeyondShrunkCapacityIsRejected(t *testing.T) {
 	gang := smallStep(3)
 	gang.Gang = true
--- a/workflow/check.go
+++ b/workflow/check.go
@@ -41,7 +41,8 @@
 	return &CheckError{Field: field, Message: fmt.Sprintf(format, args...)}
 }
 
-// Check returns a *CheckError if a job can't be accepted, nil otherwise.
+// Check returns a *CheckError for the first field for which a job can't be accepted, nil if
+// there is none.
 func Check(payload string, steps []Step, schedule Schedule) error {
 	switch {
 	case len(payload) > MaxPayload:
--- a/workflow/configuration.go
+++ b/workflow/configuration.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// AdvicePolicy describes the adviser of a queue: an answer takes BaseMS and PerWorkerMS for
-// each worker in the query, and a ticket is valid for TicketValidityMS. All are in
+// AdvicePolicy describes the adviser of a queue: a response takes BaseMS plus PerWorkerMS
+// for each worker of the query, and a ticket is valid for TicketValidityMS. All are in
 // milliseconds.
 type AdvicePolicy struct {
 	BaseMS           float64 `cbor:"1,keyasint"`
@@ -19,11 +19,12 @@
 	Priority int `cbor:"2,keyasint,omitempty"`
 	// MaxAttempts is how many runs of a task may fail before its job fails; 0 for no limit.
 	MaxAttempts int `cbor:"3,keyasint,omitempty"`
-	// A job meets its objective if it takes at most Stretch times its longest chain of work
-	// plus ObjectiveMS milliseconds.
+	// Stretch and ObjectiveMS define the objective of a job: it takes at most Stretch times
+	// its longest chain of dependent work plus ObjectiveMS milliseconds.
 	Stretch     float64 `cbor:"4,keyasint,omitempty"`
 	ObjectiveMS int64   `cbor:"5,keyasint,omitempty"`
-	// Advice is nil if any worker of the service may run any step.
+	// Advice describes the adviser that decides which workers may run a step; nil if any
+	// worker of the service may run any step.
 	Advice *AdvicePolicy `cbor:"6,keyasint,omitempty"`
 }
 
@@ -35,13 +36,15 @@
 	Policy Policy `cbor:"4,keyasint"`
 }
 
-// Identity identifies the queue by its host and prefix, whatever its name.
+// Identity returns host and prefix of the queue, which identify it even if its name
+// changes.
 func (q *Queue) Identity() string { return q.Host + q.Prefix }
 
 // Service is a pool of workers.
 type Service struct {
 	Name string `cbor:"1,keyasint"`
-	// Standby pools run nothing: their machines are off until they are moved to another pool.
+	// Standby says that the pool runs nothing: its machines are off until they are moved to
+	// another pool.
 	Standby bool `cbor:"2,keyasint,omitempty"`
 }
 
@@ -51,7 +54,7 @@
 	// Source is the document as it was submitted, nil before the first one.
 	Source []byte  `cbor:"2,keyasint"`
 	Queues []Queue `cbor:"3,keyasint"`
-	// Services are the pools of workers that queues name.
+	// Services are the pools of workers that the policies of queues name.
 	Services []Service `cbor:"4,keyasint,omitempty"`
 }
 
--- a/workflow/crash.go
+++ b/workflow/crash.go
@@ -5,8 +5,8 @@
 
 // Suspicions of runs that ended with their workers.
 const (
-	// SuspicionNone: the run hadn't started, or had run for so long that it isn't taken for the
-	// cause of the crash.
+	// SuspicionNone: the run hadn't started, or had run for too long to count as the cause
+	// of the crash.
 	SuspicionNone Suspicion = iota
 	// SuspicionWeak: the run was on the worker when it crashed, as other runs may have been.
 	SuspicionWeak
@@ -19,8 +19,8 @@
 	// that loses power crashes under many tasks, but hardly ever three times under the same
 	// one.
 	maxStrongCrashes = 3
-	// maxCrashes is how many crashes of any suspicion fail the job of a task: three that show
-	// the cause, and those of the two starts that may follow them.
+	// maxCrashes is how many crashes of any suspicion fail the job of a task: three that
+	// show the cause, and two by starts that may follow before the three are known.
 	maxCrashes = 5
 )
 
@@ -35,8 +35,9 @@
 	return t.Unresolved > 0 && len(t.CrashedOn)+t.Unresolved >= maxCrashes
 }
 
-// recordLoss records what the end of a run says about crashes. A run that ended with the lease
-// of its worker counts only once it is known that the worker has crashed.
+// recordLoss records that a run ended with a crash or with the lease of its worker. A run
+// that ended with the lease of its worker counts only once it is known that the worker has
+// crashed.
 func (s *State) recordLoss(worker string, job *Job, task *Task, end RunEnd) {
 	switch {
 	case end.Suspicion == SuspicionNone:
--- a/workflow/crash_test.go
+++ b/workflow/crash_test.go
@@ -14,6 +14,7 @@
 	workers int
 }
 
+// newCrashSequence returns a crashSequence for a job of the given steps.
 func newCrashSequence(t *testing.T, steps ...Step) *crashSequence {
 	return &crashSequence{t: t, state: newState(t, steps...)}
 }
@@ -28,12 +29,14 @@
 	return runs[0]
 }
 
+// end reports the end of a run, with its outcome and suspicion.
 func (c *crashSequence) end(run Run, outcome Outcome, suspicion Suspicion) {
 	c.state.Apply(11, &Command{Ends: &RunEnds{Worker: run.Worker, Ends: []RunEnd{
 		{Task: run.Task, Number: run.Number, Outcome: outcome, Suspicion: suspicion},
 	}}})
 }
 
+// failed reports whether the job has failed.
 func (c *crashSequence) failed() bool { return c.state.Jobs["j"].Phase() == PhaseFailed }
 
 // Guards against a task that crashes one worker after the other without end.
@@ -64,8 +67,8 @@
 	must.False(t, c.state.Task(key(0, 0)).Suspect())
 }
 
-// Guards against a snapshot that loses crashes: those counted already and those of workers
-// whose crash isn't known yet.
+// Guards against a snapshot that loses crashes: those counted already, and runs that ended
+// with the lease of a worker that is later known to have crashed.
 func TestCrashCountsSurviveSnapshot(t *testing.T) {
 	c := newCrashSequence(t, smallStep(1))
 	c.end(c.startOnNewWorker(), OutcomeCrashed, SuspicionStrong)
@@ -109,8 +112,8 @@
 	must.SliceEmpty(t, c.state.startRuns("w1", key(0, 0)))
 }
 
-// Guards against a task that crashes further workers while it isn't known yet whether the
-// earlier ones have crashed.
+// Guards against a task that crashes further workers while it isn't known yet whether its
+// earlier workers have crashed.
 func TestTaskWaitsForUnresolvedCrashes(t *testing.T) {
 	c := newCrashSequence(t, smallStep(1))
 	var runs []Run
--- a/workflow/job.go
+++ b/workflow/job.go
@@ -70,9 +70,10 @@
 	Need  Resources `cbor:"2,keyasint"`
 	// EstimateMS is a rough estimate of the run time of one task, in milliseconds.
 	EstimateMS int64 `cbor:"3,keyasint,omitempty"`
-	// DependsOn lists earlier steps, counted from 0.
+	// DependsOn are the indexes, from 0, of the steps that must end first; all are earlier
+	// steps of the job.
 	DependsOn []int `cbor:"4,keyasint,omitempty"`
-	// Gang says that all tasks run at the same time or none does.
+	// Gang says that all tasks run at the same time or none of them does.
 	Gang bool `cbor:"5,keyasint,omitempty"`
 	// SameRack says that the gang runs faster within one rack.
 	SameRack bool `cbor:"6,keyasint,omitempty"`
@@ -84,11 +85,13 @@
 	MaxPerWorker int `cbor:"9,keyasint,omitempty"`
 	// Speculative says that a speculative copy of a task may run alongside the first run.
 	Speculative bool `cbor:"10,keyasint,omitempty"`
-	// LongRunning tasks run until the job is cancelled and are restarted however they end.
+	// LongRunning says that the tasks run until the job is cancelled and are restarted
+	// however they end.
 	LongRunning bool `cbor:"11,keyasint,omitempty"`
 	// Checkpointing says that tasks report checkpoints to resume from.
 	Checkpointing bool `cbor:"12,keyasint,omitempty"`
-	// UsesSpare says that the tasks reserve no CPU and use only what others leave idle.
+	// UsesSpare says that the tasks reserve no CPU and use only CPU that other runs leave
+	// idle.
 	UsesSpare bool `cbor:"13,keyasint,omitempty"`
 	// MaxUnavailable bounds how many long-running tasks the system itself may interrupt at the
 	// same time.
@@ -104,7 +107,7 @@
 // run as a whole, and a long-running task has a single run.
 func (s *Step) AllowsCopies() bool { return s.Speculative && !s.Gang && !s.LongRunning }
 
-// Demand returns what a task of the step occupies of the capacity of its worker.
+// Demand returns the resources of its worker that a task of the step occupies.
 func (s *Step) Demand() Resources {
 	demand := s.Need
 	if s.UsesSpare {
@@ -113,8 +116,7 @@
 	return demand
 }
 
-// Schedule repeats a job at fixed times. The zero value starts the job once,
-// immediately.
+// Schedule repeats a job at fixed times. The zero value starts the job once, immediately.
 type Schedule struct {
 	// FirstAtMS is the due time of the first occurrence, in Unix milliseconds.
 	FirstAtMS int64 `cbor:"1,keyasint,omitempty"`
@@ -139,7 +141,7 @@
 	Payload  string   `cbor:"3,keyasint,omitempty"`
 	Steps    []Step   `cbor:"4,keyasint"`
 	Schedule Schedule `cbor:"5,keyasint,omitempty"`
-	// Policy is that of the queue when the job was accepted.
+	// Policy is the policy of the queue when the job was accepted.
 	Policy Policy `cbor:"12,keyasint"`
 }
 
@@ -208,7 +210,7 @@
 	return "unknown"
 }
 
-// provesStart reports whether the outcome proves that a worker had started the run.
+// provesStart reports whether the outcome proves that the worker had started the run.
 func (o Outcome) provesStart() bool {
 	return o != OutcomeNotStarted && o != OutcomeLost && o != OutcomeCrashed
 }
@@ -229,8 +231,9 @@
 	// ID names the incarnation; a restarted worker has a new one.
 	ID string `cbor:"1,keyasint"`
 	// Name is the name of the worker, which its incarnations may share. StartedAtMS is when
-	// this incarnation started, in Unix milliseconds: of two with the same name the later one
-	// supersedes the other. Both are empty if each incarnation has a name of its own.
+	// this incarnation started, in Unix milliseconds: of two incarnations with the same
+	// name the later one supersedes the other. Both are unset if incarnations share no
+	// name.
 	Name        string `cbor:"14,keyasint,omitempty"`
 	StartedAtMS int64  `cbor:"15,keyasint,omitempty"`
 	// Service is the pool that the worker runs tasks for.
@@ -240,7 +243,7 @@
 	Rack       string    `cbor:"5,keyasint,omitempty"`
 	Labels     []string  `cbor:"6,keyasint,omitempty"`
 	Capacity   Resources `cbor:"7,keyasint"`
-	// Draining workers finish what they run and get no new tasks.
+	// Draining says that the worker finishes its runs and gets no new ones.
 	Draining bool `cbor:"10,keyasint,omitempty"`
 	// Sequence is the number of the heartbeat that carried these fields; it grows with each
 	// heartbeat of the incarnation.
@@ -250,7 +253,8 @@
 // WorkerState is the replicated state of a worker.
 type WorkerState struct {
 	Worker
-	// LastEnd is the highest number of an end applied from its reports.
+	// LastEnd is the highest sequence number of a run end that was applied from the
+	// worker's reports.
 	LastEnd uint64 `cbor:"8,keyasint,omitempty"`
 	// Gone says that this incarnation runs nothing and never will again.
 	Gone bool `cbor:"9,keyasint,omitempty"`
--- a/workflow/keys_test.go
+++ b/workflow/keys_test.go
@@ -8,8 +8,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against a field that a snapshot or the log silently drops: of two fields of a struct
-// with the same CBOR key, embedded ones included, only one is encoded.
+// Guards against a field that a snapshot or the log silently drops: if two fields of a
+// struct have the same CBOR key, those of embedded structs included, at most one of them is
+// encoded.
 func TestCBORKeysAreUniquePerStruct(t *testing.T) {
 	seen := map[reflect.Type]bool{}
 	var check func(reflect.Type)
--- a/workflow/load.go
+++ b/workflow/load.go
@@ -1,7 +1,7 @@
 package workflow
 
-// workerLoad is what the runs that may be alive on a worker occupy. It is derived from the
-// runs, so that decisions needn't sum them up.
+// workerLoad is what the runs that may be alive on a worker occupy. It is updated with each
+// start and end, so that decisions needn't sum up the runs.
 type workerLoad struct {
 	used    Resources
 	demands map[TaskKey]Resources
@@ -19,8 +19,8 @@
 	return load.used, load.changes
 }
 
-// Placed returns the number of runs that may be alive by worker, for a step with MaxPerWorker;
-// nil for other steps. The caller must not change the map.
+// Placed returns how many runs of a step may be alive on each worker, by worker ID, if the
+// step has a MaxPerWorker; nil for other steps. The caller must not change the map.
 func (s *State) Placed(step StepKey) map[string]int { return s.placed[step] }
 
 // addRun records that a run may be alive.
--- a/workflow/state.go
+++ b/workflow/state.go
@@ -10,7 +10,7 @@
 // Task is the replicated state of a task.
 type Task struct {
 	Done bool `cbor:"1,keyasint,omitempty"`
-	// Runs counts the starts.
+	// Runs counts the runs that were started.
 	Runs int `cbor:"2,keyasint,omitempty"`
 	// Live counts the runs that may still be alive.
 	Live int `cbor:"3,keyasint,omitempty"`
@@ -31,13 +31,14 @@
 	Tasks []Task `cbor:"1,keyasint"`
 	// Done counts the tasks that are done.
 	Done int `cbor:"2,keyasint,omitempty"`
-	// GangRun is the number of the latest run of a gang. GangFailures counts the failed runs,
-	// once for all members.
+	// GangRun is the number of the latest run of a gang. GangFailures counts its failed
+	// runs; a run counts once, however many members fail.
 	GangRun      int `cbor:"3,keyasint,omitempty"`
 	GangFailures int `cbor:"4,keyasint,omitempty"`
-	// GangFailedRun is the latest run that was counted as failed.
+	// GangFailedRun is the number of the latest run of a gang that was counted as failed.
 	GangFailedRun int `cbor:"5,keyasint,omitempty"`
-	// GangEndedRun is the latest run of which a member ended without being done.
+	// GangEndedRun is the number of the latest run of a gang of which a member ended
+	// without being done.
 	GangEndedRun int `cbor:"6,keyasint,omitempty"`
 }
 
@@ -57,12 +58,12 @@
 	Occurrences [][]StepState `cbor:"6,keyasint"`
 	Cancelled   bool          `cbor:"7,keyasint,omitempty"`
 	Failed      bool          `cbor:"8,keyasint,omitempty"`
-	// Begun says that a run has ended that a worker had started. The commit of a start doesn't
-	// set it, since the worker may never carry out the order.
+	// Started says that a run that a worker had started has ended. The commit of a start
+	// doesn't set it, since the worker may never carry out the order.
 	Started bool `cbor:"9,keyasint,omitempty"`
 	// Unfinished counts the tasks that aren't done.
 	Unfinished int `cbor:"10,keyasint,omitempty"`
-	// Index is the log index of the acceptance, which orders jobs by age.
+	// Index is the log index of the submission; jobs with lower indexes are older.
 	Index uint64 `cbor:"11,keyasint"`
 	// CrashingTask is the task whose worker crashes failed the job, nil for none.
 	CrashingTask *TaskKey `cbor:"13,keyasint,omitempty"`
@@ -108,7 +109,7 @@
 	}
 }
 
-// Due reports whether an occurrence may start at now, a wall clock time.
+// Due reports whether an occurrence may start at the wall clock time now.
 func (j *Job) Due(occurrence int, now time.Time) bool {
 	if j.Schedule.Times == 0 {
 		return true
@@ -134,7 +135,7 @@
 	// Runs holds the runs that may be alive, by worker.
 	Runs          map[string]map[TaskKey]Run `cbor:"-"`
 	Configuration Document                   `cbor:"3,keyasint"`
-	// RunList holds Runs as a snapshot stores them; it is empty otherwise.
+	// RunList is the encoded form of Runs in a snapshot; it is empty outside of snapshots.
 	RunList []Run `cbor:"4,keyasint"`
 	// Waves are the maintenance waves of the operator, by ID.
 	Waves map[int64]*WaveState `cbor:"5,keyasint,omitempty"`
--- a/workflow/wave.go
+++ b/workflow/wave.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Wave requests that each of some machines is taken down for maintenance within DurationMS.
+// Wave is a request to take each of the Machines down for maintenance within DurationMS.
 type Wave struct {
 	// ID is chosen by the operator and serves as an idempotency key: the same ID is the same
 	// wave.
@@ -15,8 +15,8 @@
 	DurationMS int64 `cbor:"3,keyasint"`
 	// MaxDown is how many of the machines may be down at the same time.
 	MaxDown int `cbor:"4,keyasint"`
-	// AcceptedAtMS is the wall clock time of the accepting leader, in Unix milliseconds. It
-	// tells later leaders roughly how much time is left.
+	// AcceptedAtMS is the wall clock time of the accepting leader, in Unix milliseconds.
+	// Later leaders derive from it roughly how much time is left.
 	AcceptedAtMS int64 `cbor:"5,keyasint"`
 }
 
@@ -52,13 +52,14 @@
 	Worker string `cbor:"4,keyasint,omitempty"`
 }
 
-// WaveState is a wave and the progress of its machines.
+// WaveState is a wave and the progress of its machines, by name; a machine without an entry
+// waits.
 type WaveState struct {
 	Wave
 	Maintenances map[string]Maintenance `cbor:"6,keyasint,omitempty"`
 }
 
-// Done reports whether the maintenance of every machine has begun or isn't needed.
+// Done reports whether the maintenance of every machine has started or isn't needed.
 func (w *WaveState) Done() bool {
 	return !slices.ContainsFunc(w.Machines, func(machine string) bool {
 		return w.Maintenances[machine].Stage < MaintenanceStarted
@@ -75,8 +76,8 @@
 	}
 }
 
-// recordMaintenance records the progress of a maintenance; a delayed duplicate never sets it
-// back.
+// recordMaintenance records the progress of a maintenance. A delayed older update never
+// sets the stage back.
 func (s *State) recordMaintenance(update *Maintenance) {
 	wave := s.Waves[update.Wave]
 	if wave == nil || !slices.Contains(wave.Machines, update.Machine) || update.Stage <= wave.Maintenances[update.Machine].Stage {
--- a/workflow/wave_test.go
+++ b/workflow/wave_test.go
@@ -6,13 +6,14 @@
 	"github.com/shoenig/test/must"
 )
 
+// recordMaintenance applies the progress of a machine in wave 3.
 func recordMaintenance(s *State, machine string, stage MaintenanceStage) {
 	s.Apply(1, &Command{Maintenance: &Maintenance{Wave: 3, Machine: machine, Stage: stage, Worker: "w-" + machine}})
 }
 
-// Guards against a maintenance wave that is reported as done while a machine still waits: an
-// order without an answer counted as begun, or a delayed duplicate of an older update set a
-// stage back.
+// Guards against a maintenance wave that is reported as done while a machine still waits:
+// an order without a response counts as started maintenance, or a delayed older update sets
+// a stage back.
 func TestWaveIsDoneOnceEachMachineIsInMaintenanceOrGone(t *testing.T) {
 	s := NewState()
 	wave := Wave{ID: 3, Machines: []string{"m1", "m2"}, DurationMS: 20_000, MaxDown: 1}
--- a/workflow/workflow_test.go
+++ b/workflow/workflow_test.go
@@ -8,10 +8,13 @@
 	"pgregory.net/rapid"
 )
 
+// smallStep returns a step whose tasks need one core each.
 func smallStep(count int) Step {
 	return Step{Count: count, Need: Resources{MilliCPU: 1000, MemoryMB: 10}, EstimateMS: 100}
 }
 
+// newState returns a state with the workers w1 and w2 of eight cores each, and a job j that
+// fails after two failed runs of a task.
 func newState(t testing.TB, steps ...Step) *State {
 	s := NewState()
 	for _, id := range []string{"w1", "w2"} {
@@ -22,10 +25,13 @@
 	return s
 }
 
+// key returns the key of a task of job j.
 func key(step, index int) TaskKey {
 	return TaskKey{StepKey: StepKey{Job: "j", Step: step}, Index: index}
 }
 
+// startRuns commits starts of the tasks on a worker and returns the runs that the state
+// allows.
 func (s *State) startRuns(worker string, keys ...TaskKey) []Run {
 	var runs []Run
 	for _, k := range keys {
@@ -34,11 +40,12 @@
 	return s.Apply(3, &Command{Start: runs}).Started
 }
 
+// finishRun applies the end of a run.
 func (s *State) finishRun(run Run, outcome Outcome) {
 	s.Apply(4, &Command{Ends: &RunEnds{Worker: run.Worker, Ends: []RunEnd{{Task: run.Task, Number: run.Number, Outcome: outcome}}}})
 }
 
-// Guards against a second job for a repeated submission.
+// Guards against a repeated submission that is accepted as a second job.
 func TestSubmissionIsIdempotent(t *testing.T) {
 	s := newState(t, smallStep(1))
 	again := Submission{ID: "j", Queue: "q", Steps: []Step{smallStep(1)}}
@@ -59,9 +66,9 @@
 	must.SliceLen(t, 1, s.startRuns("w2", key(1, 0)))
 }
 
-// Guards against a task that runs twice: a second decision, made from an older snapshot, starts
-// a task elsewhere whose committed run hasn't ended, and the start isn't checked again when it
-// is applied.
+// Guards against a task that runs twice: a second decision, made from an older snapshot,
+// starts a task on another worker although its first run hasn't ended, and the start isn't
+// checked again when it is applied.
 func TestNoSecondRunWhileFirstMayBeAlive(t *testing.T) {
 	s := newState(t, smallStep(2))
 	first := s.startRuns("w1", key(0, 0))
@@ -73,9 +80,9 @@
 	must.Eq(t, PhaseDone, s.Jobs["j"].Phase())
 }
 
-// Guards against a speculative task that waits for an unreachable worker, and against two
-// copies on one worker, a third run, and a failure of the first run that counts after the copy
-// has finished the task.
+// Guards against a speculative task that waits for an unreachable worker instead of getting
+// a copy elsewhere. Also guards against two runs on one worker, a third run, and a failure
+// of the first run that counts after the copy has finished the task.
 func TestTaskHasAtMostOneCopyOnAnotherWorker(t *testing.T) {
 	step := smallStep(2)
 	step.Speculative = true
@@ -109,6 +116,7 @@
 	must.Eq(t, PhaseDone, s.Jobs["j"].Phase())
 }
 
+// Guards against a job that fails because its runs were stopped, lost or never started.
 func TestOnlyFailedRunsCountAsAttempts(t *testing.T) {
 	s := newState(t, smallStep(1))
 	for _, outcome := range []Outcome{OutcomeStopped, OutcomeLeaseExpired, OutcomeLost, OutcomeNotStarted, OutcomeFailed} {
@@ -120,6 +128,8 @@
 	must.SliceEmpty(t, s.startRuns("w1", key(0, 0)))
 }
 
+// Guards against a gang of which a part starts, or that starts again while a member may be
+// alive; and against a failed run of a gang that counts once for each member.
 func TestGangStartsWholeAndEndsOnce(t *testing.T) {
 	gang := smallStep(2)
 	gang.Gang = true
@@ -138,6 +148,8 @@
 	must.Eq(t, PhaseDone, s.Jobs["j"].Phase())
 }
 
+// Guards against a long-running task that stays down, and whose job fails, once its runs
+// have failed as often as the job's attempt limit.
 func TestLongRunningTaskRestartsAfterAnyEnd(t *testing.T) {
 	longRunning := smallStep(1)
 	longRunning.LongRunning = true
@@ -179,8 +191,8 @@
 	must.False(t, ok)
 }
 
-// TestCountersMatchAfterRandomCommands applies random commands and checks that the counters of the state match
-// what they count, also after a snapshot is restored.
+// Guards against counters of live runs and unfinished tasks that differ from the runs and
+// tasks in the state after random commands and restored snapshots.
 func TestCountersMatchAfterRandomCommands(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		gang := smallStep(2)
@@ -220,7 +232,8 @@
 	})
 }
 
-// checkCounts compares the counters with what they count.
+// checkCounts compares the counters of live runs and unfinished tasks with the runs and
+// tasks in the state.
 func (s *State) checkCounts(t *rapid.T) {
 	live := map[TaskKey]int{}
 	for worker, runs := range s.Runs {
@@ -256,8 +269,8 @@
 	}
 }
 
-// Guards against a job that is shown as active, so that its queue reports no waiting jobs, from
-// the commit of its start on: the worker may never carry out the order.
+// Guards against a job that is shown as active from the commit of its start on, so that its
+// queue reports no waiting jobs, although the worker may never carry out the order.
 func TestJobIsPendingUntilARunBegins(t *testing.T) {
 	s := newState(t, smallStep(1))
 	for _, outcome := range []Outcome{OutcomeNotStarted, OutcomeLost} {
@@ -268,8 +281,8 @@
 	must.Eq(t, PhaseActive, s.Jobs["j"].Phase())
 }
 
-// Guards against used resources and per-worker counts that don't follow the starts and ends of
-// runs, or a snapshot.
+// Guards against used resources and per-worker counts that aren't updated when runs start
+// or end, or are lost in a snapshot.
 func TestUsedResourcesFollowRuns(t *testing.T) {
 	s := NewState()
 	worker := Worker{ID: "w", Service: "s", Capacity: Resources{MilliCPU: 10}}
