--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -74,13 +74,13 @@
 		{name: "a gang never starts in part", steps: []Step{gang(step("a", 3, 4))}, workers: workers(8), reason: ReasonNoCapacity},
 		{name: "a gang within one rack", steps: []Step{with(gang(step("a", 2, 8)), func(s *Step) { s.Spec.SameRack = true })},
 			workers: workers(16, 0, 8, 8), want: []string{"a/0@w0", "a/1@w0"}},
-		{name: "maximum of tasks per worker", steps: []Step{with(step("a", 2, 1), func(s *Step) { s.Spec.MaxPerWorker = 1 })},
+		{name: "no more tasks on a worker than MaxPerWorker", steps: []Step{with(step("a", 2, 1), func(s *Step) { s.Spec.MaxPerWorker = 1 })},
 			workers: workers(8, 9), want: []string{"a/0@w0", "a/1@w1"}},
-		{name: "worker near the data", steps: []Step{with(step("a", 1, 1), func(s *Step) { s.Spec.DataRack = "r1" })},
+		{name: "the worker in the rack of the data", steps: []Step{with(step("a", 1, 1), func(s *Step) { s.Spec.DataRack = "r1" })},
 			workers: workers(2, 2, 9), want: []string{"a/0@w2"}},
 		{name: "no worker has the label", steps: []Step{with(step("a", 1, 1), func(s *Step) { s.Spec.Label = "gpu" })},
 			workers: workers(9), reason: ReasonNoWorker},
-		{name: "workers of another service", steps: []Step{with(step("a", 1, 1), func(s *Step) { s.Service = "t" })},
+		{name: "no worker of the service", steps: []Step{with(step("a", 1, 1), func(s *Step) { s.Service = "t" })},
 			workers: workers(9), reason: ReasonNoWorker},
 		{name: "demand exceeds every worker", steps: []Step{step("a", 1, 17)}, workers: workers(16), reason: ReasonNoWorker},
 		{name: "a copy runs on another worker than its task", steps: []Step{
@@ -90,17 +90,17 @@
 			with(step("a", 1, 4), func(s *Step) { s.Copy = true }),
 			with(step("b", 1, 4), func(s *Step) { s.Priority, s.Lateness = 9, 2 }),
 		}, workers: workers(4), want: []string{"b/0@w0"}},
-		{name: "spare CPU costs no capacity", steps: []Step{with(step("a", 1, 9), func(s *Step) { s.Spec.UsesSpare = true })},
+		{name: "a task that uses spare CPU starts without free CPU", steps: []Step{with(step("a", 1, 9), func(s *Step) { s.Spec.UsesSpare = true })},
 			workers: workers(0), want: []string{"a/0@w0"}},
-		{name: "spare CPU users apart from serving tasks while other workers are free", steps: []Step{
+		{name: "tasks that use spare CPU apart from serving tasks while other workers are free", steps: []Step{
 			with(step("a", 1, 1), func(s *Step) { s.Spec.LatencyObjectiveMS = 50 }),
 			with(step("b", 2, 1), func(s *Step) { s.Spec.UsesSpare = true }),
 			with(step("c", 1, 1), func(s *Step) { s.Spec.LatencyObjectiveMS = 50 }),
 		}, workers: workers(9, 10), want: []string{"a/0@w0", "b/0@w1", "b/1@w1", "c/0@w0"}},
-		{name: "no spare CPU user where serving tasks leave nothing", steps: []Step{
+		{name: "no task that uses spare CPU where serving tasks leave too little CPU", steps: []Step{
 			with(step("b", 1, 1), func(s *Step) { s.Spec.UsesSpare = true }),
 		}, workers: []Worker{{Worker: workers(9)[0].Worker, Free: cores(9), Serving: true, SpareShare: 9}}, reason: ReasonNoWorker},
-		{name: "spare CPU user where most CPU is free", steps: []Step{
+		{name: "a task that uses spare CPU goes where most CPU is free", steps: []Step{
 			with(step("b", 1, 1), func(s *Step) { s.Spec.UsesSpare = true }),
 		}, workers: workers(3, 9), want: []string{"b/0@w1"}},
 	} {
--- a/dispatch/reason_test.go
+++ b/dispatch/reason_test.go
@@ -74,7 +74,7 @@
 		{"a gang after others that would fit into reserved resources", append(gangsAhead(both), waitingGang("a", 1, 4, allExpired)), soon(workers(4, 0)), limits, ReasonReserved},
 		{"a gang after others that fits without tickets", append(gangsAhead(map[string]Permit{"w2": valid}), waitingGang("a", 2, 4, allExpired)),
 			workers(4, 4, 0), limits, ReasonAwaitsAdviser},
-		{"the same while no query may be sent", append(gangsAhead(map[string]Permit{"w2": valid}), waitingGang("a", 2, 4, allExpired)),
+		{"a gang after others that fits without tickets while no query may be sent", append(gangsAhead(map[string]Permit{"w2": valid}), waitingGang("a", 2, 4, allExpired)),
 			workers(4, 4, 0), noQueries, ReasonNoConnection},
 		{"a gang after others that fits only with reserved resources", append(gangsAhead(map[string]Permit{"w0": valid}), waitingGang("a", 3, 4, allExpired)),
 			soon(workers(4, 9)), limits, ReasonReserved},
--- a/workflow/check.go
+++ b/workflow/check.go
@@ -99,7 +99,7 @@
 func CheckWave(w *Wave) *CheckError {
 	switch {
 	case w.ID <= 0:
-		return &CheckError{FieldWaveID, "it is missing or not above 0"}
+		return &CheckError{FieldWaveID, "the ID is missing or not above 0"}
 	case len(w.Machines) == 0 || len(w.Machines) > MaxTasks:
 		return &CheckError{FieldWaveMachines, fmt.Sprintf("%d machines, 1 to %d are allowed", len(w.Machines), MaxTasks)}
 	case w.DurationMS <= 0:
