--- a/dispatch/backlog_test.go
+++ b/dispatch/backlog_test.go
@@ -30,8 +30,10 @@
 // stay late although a quarter of the cores is free.
 func TestBacklogOfBurstDrains(t *testing.T) {
 	const burstStart, burstEnd, usualRate, end = 8 * time.Second, 12 * time.Second, 156, 16 * time.Second
+	// maxFreeShare bounds the free share of the cores at the end, so that the load fills the pool.
+	const maxFreeShare = 0.2
 	recalc, build, lookup := largeLoad()
-	r := newReplay(1, 1100, 152, recalc, build, lookup)
+	r := newReplay(1, largePool, largePoolConnections, recalc, build, lookup)
 	r.decisionInterval = 150 * time.Millisecond
 	r.playIncremental(burstStart, incrementalTick)
 	lookup.rate = 2 * usualRate
@@ -41,7 +43,7 @@
 	steps, gangs := r.waiting()
 	t.Logf("waiting %d, gangs %d, free %.2f", steps, gangs, r.freeShare())
 	must.Less(t, r.limits.Steps, steps)
-	must.Less(t, 0.2, r.freeShare(), must.Sprint("the load fills the pool"))
+	must.Less(t, maxFreeShare, r.freeShare(), must.Sprint("the load fills the pool"))
 }
 
 // incrementalTick is the interval between two incremental decisions.
--- a/dispatch/gang_test.go
+++ b/dispatch/gang_test.go
@@ -51,6 +51,14 @@
 // 0.9 s each, and none once its 15 permitted workers are expected to come free soon, one
 // gang in five is late.
 func TestLargeGangQueriesEnoughWorkersInParallel(t *testing.T) {
+	const (
+		// grantedShare is the share of the workers on which a gang is permitted.
+		grantedShare = 0.25
+		// triedRounds is the number of decisions after which a gang that hasn't started is
+		// given up; maxRounds is how many decisions may pass before the gang starts.
+		triedRounds = 4
+		maxRounds   = 2
+	)
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		for _, tasks := range []int{30, 60} {
@@ -61,11 +69,11 @@
 				}
 			}
 			gang := step("a", tasks, 4)
-			gang.Spec.Gang, gang.NeedsPermit, gang.Permits, gang.GrantRate = true, true, map[string]Permit{}, 0.25
-			a := randomAdviser(random, 0.25, &gang, workers(free...), tasks)
+			gang.Spec.Gang, gang.NeedsPermit, gang.Permits, gang.GrantRate = true, true, map[string]Permit{}, grantedShare
+			a := randomAdviser(random, grantedShare, &gang, workers(free...), tasks)
 			bounds := Limits{WorkersPerQuery: 30, WorkersPerGangQuery: 60, Queries: 40, TicketMargin: 100 * time.Millisecond}
 			rounds := 0
-			for ; rounds < 4; rounds++ {
+			for ; rounds < triedRounds; rounds++ {
 				list := workers(free...)
 				for i := range list {
 					// The runs on the worker are expected to end soon, but keep running.
@@ -77,7 +85,7 @@
 				}
 				a.respond(&gang, plan)
 			}
-			must.LessEq(t, 2, rounds, must.Sprintf("seed %d, %d tasks", seed, tasks))
+			must.LessEq(t, maxRounds, rounds, must.Sprintf("seed %d, %d tasks", seed, tasks))
 			must.LessEq(t, 2*maxGangQueries, a.queries)
 		}
 	}
--- a/dispatch/load_test.go
+++ b/dispatch/load_test.go
@@ -31,16 +31,18 @@
 // kind that end in time or late; the shares of their value that all jobs, the largest tenth
 // and the next fifth earn; and the waiting steps when submissions end and 14 s later.
 func TestMixedLoadFigures(t *testing.T) {
+	// submissionTime is how long jobs are submitted.
+	const submissionTime = 40 * time.Second
 	for seed := range *replaySeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			kinds := mixedLoad(*replayLoad)
-			r := newReplay(uint64(seed), 350, 44, kinds...)
+			r := newReplay(uint64(seed), mixedPool, usualConnections, kinds...)
 			r.decisionInterval = 50 * time.Millisecond
-			r.play(40*time.Second, 0)
+			r.play(submissionTime, 0)
 			steps, gangs := r.waiting()
 			free, queriesSent := r.freeSum/float64(r.decisions), r.queries
-			r.play(40*time.Second, drainTime)
+			r.play(submissionTime, drainTime)
 			stepsLeft, gangsLeft := r.waiting()
 			var total, earned float64
 			worst, line := 1.0, ""
@@ -65,7 +67,7 @@
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			r := newReplay(seed, 350, 44, mixedLoad(1)...)
+			r := newReplay(seed, mixedPool, usualConnections, mixedLoad(1)...)
 			r.decisionInterval = 50 * time.Millisecond
 			r.play(30*time.Second, 0)
 			longest := time.Duration(0)
@@ -92,23 +94,25 @@
 // a query, and is considered again only after its tickets have expired, none of 600 starts
 // within a minute on an empty pool, and 19,200 queries are sent.
 func TestStepsBeyondBoundStartBeforeTicketsExpire(t *testing.T) {
+	// hugeSteps is the number of steps that fit nowhere: the most urgent steps of each decision.
+	const hugeSteps = 96
 	for _, waiting := range []int{40, 600, 900} {
 		kind := &replayKind{name: "behind", priority: 1, steps: 1, width: 1, maxWidth: 1, cores: 1, maxCores: 1, gb: 1, maxGB: 1, work: time.Second,
 			baseLatency: 195 * time.Millisecond, ticketValidity: 1500 * time.Millisecond, grantedShare: 0.25, stretch: 1}
 		huge := &replayKind{name: "ahead", steps: 1, width: 1, maxWidth: 1, cores: 65, maxCores: 65, gb: 1, maxGB: 1, work: time.Second,
 			baseLatency: 195 * time.Millisecond, ticketValidity: 1500 * time.Millisecond, grantedShare: 0.25, stretch: 1, objective: time.Hour}
-		r := newReplay(1, 350, 1000, kind, huge)
+		r := newReplay(1, mixedPool, 1000, kind, huge)
 		r.limits.Steps = 128
-		for range 96 {
+		for range hugeSteps {
 			r.submit(huge)
 		}
 		for range waiting {
 			r.submit(kind)
 		}
-		for r.now < time.Minute && len(r.jobs) > 96 {
+		for r.now < time.Minute && len(r.jobs) > hugeSteps {
 			r.decide()
 			r.advance()
 		}
-		must.SliceLen(t, 96, r.jobs, must.Sprintf("%d steps beyond the bound, %d queries", waiting, r.queries))
+		must.SliceLen(t, hugeSteps, r.jobs, must.Sprintf("%d steps beyond the bound, %d queries", waiting, r.queries))
 	}
 }
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -111,6 +111,10 @@
 	return chosen
 }
 
+// unqueriedDivisor divides the steps that roundRobin chooses: that part goes to steps that have
+// had no response of the adviser yet.
+const unqueriedDivisor = 4
+
 // roundRobin returns up to n of the steps beyond the bound of a decision: up to half of
 // them hold tickets, those whose tickets expire soonest first; a quarter have had no
 // response of the adviser yet; the rest are other steps without a query in flight. Steps of
@@ -135,10 +139,10 @@
 	}
 	slices.SortStableFunc(ticketed, func(a, b *Step) int { return cmp.Compare(a.TicketsExpire, b.TicketsExpire) })
 	chosen := slices.Clip(ticketed[:min(n/2, len(ticketed))])
-	chosen = append(chosen, takeCircular(unqueried, n/4*p.limits.Round, n-n/4-len(chosen))...)
+	chosen = append(chosen, takeCircular(unqueried, n/unqueriedDivisor*p.limits.Round, n-n/unqueriedDivisor-len(chosen))...)
 	// At least a quarter of n goes to the others, so an offset that advances by that much per
 	// decision skips none of them.
-	return append(chosen, takeCircular(others, (n-n/2-n/4)*p.limits.Round, n-len(chosen))...)
+	return append(chosen, takeCircular(others, (n-n/2-n/unqueriedDivisor)*p.limits.Round, n-len(chosen))...)
 }
 
 // takeCircular returns up to n of the steps, beginning at index first and wrapping around.
--- a/dispatch/preempt_test.go
+++ b/dispatch/preempt_test.go
@@ -81,11 +81,14 @@
 // bound, many of them with tickets that can't be used, the offset of the round robin skips
 // most other steps in every decision.
 func TestRoundRobinReachesAllSteps(t *testing.T) {
+	// otherSteps is the number of steps without tickets; chosenSteps is how many of all steps
+	// beyond the bound each decision considers.
+	const otherSteps, chosenSteps = 96, 32
 	for _, ticketed := range []int{0, 16, 24, 31, 200} {
 		seen := map[string]bool{}
 		for round := range 200 {
 			var order []*Step
-			for i := range ticketed + 96 {
+			for i := range ticketed + otherSteps {
 				s := step(fmt.Sprintf("s%03d", i), 1, 4)
 				if i < ticketed {
 					s.TicketsExpire = time.Hour
@@ -93,13 +96,13 @@
 				order = append(order, &s)
 			}
 			p := &planner{now: time.Minute, limits: Limits{Round: round, TicketMargin: limits.TicketMargin}}
-			for _, s := range p.roundRobin(order, 32) {
+			for _, s := range p.roundRobin(order, chosenSteps) {
 				if s.TicketsExpire == 0 {
 					seen[s.Key.Job] = true
 				}
 			}
 		}
-		must.MapLen(t, 96, seen, must.Sprintf("%d steps with tickets", ticketed))
+		must.MapLen(t, otherSteps, seen, must.Sprintf("%d steps with tickets", ticketed))
 	}
 }
 
--- a/dispatch/query_test.go
+++ b/dispatch/query_test.go
@@ -42,7 +42,7 @@
 // urgent jobs that are permitted on no worker. It returns how long the last of the ten waits.
 func waitBehindRefused(pool, ahead int) time.Duration {
 	refused, others := slowQueryKind("refused", 0, 0), slowQueryKind("others", 1, 0.25)
-	r := newReplay(1, pool, 44, refused, others)
+	r := newReplay(1, pool, usualConnections, refused, others)
 	for range ahead {
 		r.submit(refused)
 	}
@@ -57,7 +57,7 @@
 // at a time, occupy every adviser connection. Other steps wait on an empty pool, and the
 // more workers there are, the longer they wait.
 func TestRefusedUrgentStepsLeaveQueriesToOthers(t *testing.T) {
-	for _, pool := range []int{350, 1100, 3000} {
+	for _, pool := range []int{mixedPool, largePool, 3000} {
 		t.Run(fmt.Sprint(pool), func(t *testing.T) {
 			t.Parallel()
 			must.LessEq(t, maxIdleWait, waitBehindRefused(pool, 90))
@@ -68,7 +68,7 @@
 // Guards against refused urgent steps, more than one decision considers, whose queries occupy
 // every adviser connection: other steps wait behind them on an empty pool.
 func TestUrgentStepsBeyondTheBoundLeaveOthersQuestions(t *testing.T) {
-	for _, pool := range []int{350, 1100, 3000} {
+	for _, pool := range []int{mixedPool, largePool, 3000} {
 		t.Run(fmt.Sprint(pool), func(t *testing.T) {
 			t.Parallel()
 			must.LessEq(t, maxIdleWait, waitBehindRefused(pool, 300))
@@ -79,9 +79,11 @@
 // Guards against steps that always need a query and leave less than a third of the queries to
 // others, whether a decision has one query or many.
 func TestRoundRobinStepsGetTheirShareOfQueries(t *testing.T) {
+	// rounds is the number of decisions over which the queries are counted.
+	const rounds = 60
 	for _, queries := range []int{1, 2, 5} {
 		sent := 0
-		for round := range 60 {
+		for round := range rounds {
 			bounded := limits
 			bounded.Queries, bounded.Round = queries, round
 			steps := []Step{}
@@ -100,7 +102,7 @@
 				}
 			}
 		}
-		must.Eq(t, 60*queries/roundRobinQueryDivisor, sent)
+		must.Eq(t, rounds*queries/roundRobinQueryDivisor, sent)
 	}
 }
 
@@ -163,7 +165,7 @@
 func TestLateJobQueriesBesideRefusedUrgentJobs(t *testing.T) {
 	refused, late := slowQueryKind("refused", 0, 0), slowQueryKind("late", 1, 0.25)
 	late.objective, refused.rate = 0, 5
-	r := newReplay(1, 1100, 44, refused, late)
+	r := newReplay(1, largePool, usualConnections, refused, late)
 	r.play(30*time.Second, 0)
 	for range 5 {
 		r.submit(late).begin = -time.Minute
@@ -174,13 +176,13 @@
 // Guards against a step that is permitted on one worker in a hundred and queries 30 workers at
 // a time, one query after the other: the larger the empty pool, the longer it waits.
 func TestAStepThatIsPermittedHardlyAnywhereFindsItsWorkers(t *testing.T) {
-	for _, pool := range []int{350, 1100, 3000} {
+	for _, pool := range []int{mixedPool, largePool, 3000} {
 		t.Run(fmt.Sprint(pool), func(t *testing.T) {
 			t.Parallel()
 			longest := time.Duration(0)
 			for seed := range uint64(20) {
 				rare := slowQueryKind(fmt.Sprint("rare", seed), 0, 0.01)
-				r := newReplay(seed, pool, 44, rare)
+				r := newReplay(seed, pool, usualConnections, rare)
 				r.submit(rare)
 				longest = max(longest, waitUntilAllStart(r, rare))
 			}
@@ -230,7 +232,7 @@
 // second and a third time.
 func TestGangsThatComeTogetherAskAboutDifferentWorkers(t *testing.T) {
 	gangs := wideGangs(20, 18)
-	r := newReplay(0, 1100, 44, gangs)
+	r := newReplay(0, largePool, usualConnections, gangs)
 	r.decisionInterval = 50 * time.Millisecond
 	for range 30 {
 		r.submit(gangs)
@@ -242,16 +244,18 @@
 // resources of nearly all its permitted workers for the duration of a long run. Small jobs that
 // are permitted there must query other workers instead.
 func TestSmallJobsStartBesideGangReservation(t *testing.T) {
+	// minReservedCPU is that of 50 of the gang's 60 tasks, in thousandths of a core.
+	const minReservedCPU = 50 * 60_000
 	long := slowQueryKind("long", 0, 1)
 	long.width, long.maxWidth, long.cores, long.maxCores, long.work = 130, 130, 60, 60, 2*time.Minute
 	gang, small := wideGangs(60, 60), slowQueryKind("small", 2, 0.25)
-	r := newReplay(0, 350, 44, long, gang, small)
+	r := newReplay(0, mixedPool, usualConnections, long, gang, small)
 	r.decisionInterval = 50 * time.Millisecond
 	r.submit(long)
 	r.play(5*time.Second, 0)
 	r.submit(gang)
 	r.play(10*time.Second, 0)
-	must.Greater(t, 50*60_000, r.reservedCPU(gang.jobs[0]))
+	must.Greater(t, minReservedCPU, r.reservedCPU(gang.jobs[0]))
 	for range 40 {
 		r.submit(small)
 	}
--- a/dispatch/replay_jobs_test.go
+++ b/dispatch/replay_jobs_test.go
@@ -87,16 +87,28 @@
 	return min(x, limit)
 }
 
+const (
+	// stepsCV is the coefficient of variation of the number of steps of a job.
+	stepsCV = 0.4
+	// maxStepsFactor and maxWorkFactor bound the number of steps of a job and the run time of
+	// a task, as multiples of their means.
+	maxStepsFactor = 3
+	maxWorkFactor  = 2.5
+	// minEstimateFactor is the smallest ratio of an estimated run time to the real one; the
+	// largest ratio is 1 more.
+	minEstimateFactor = 0.5
+)
+
 // submit submits a job of the kind.
 func (r *replay) submit(k *replayKind) *replayJob {
 	j := &replayJob{kind: k, id: fmt.Sprintf("%s%06d", k.name, len(k.jobs)), begin: r.now, lastQuery: r.now, saved: map[workflow.TaskKey]float64{},
 		permits: map[string]Permit{}, idleSince: -1}
 	chain := time.Duration(0)
-	for range max(1, int(math.Round(r.logNormal(k.steps, 0.4, 3*k.steps)))) {
+	for range max(1, int(math.Round(r.logNormal(k.steps, stepsCV, maxStepsFactor*k.steps)))) {
 		count := max(1, int(math.Round(r.logNormal(k.width, k.widthCV, k.maxWidth))))
-		work := time.Duration(r.logNormal(float64(k.work), k.workCV, 2.5*float64(k.work)))
+		work := time.Duration(r.logNormal(float64(k.work), k.workCV, maxWorkFactor*float64(k.work)))
 		spec := &workflow.Step{
-			Count: count, EstimateMS: int64(float64(work.Milliseconds()) * (0.5 + r.random.Float64())),
+			Count: count, EstimateMS: int64(float64(work.Milliseconds()) * (minEstimateFactor + r.random.Float64())),
 			Need: workflow.Resources{MilliCPU: int64(1000 * r.logNormal(k.cores, k.coresCV, k.maxCores)), MemoryMB: int64(1024 * r.logNormal(k.gb, k.gbCV, k.maxGB))},
 			Gang: r.random.Float64() < k.gangShare, Checkpointing: r.random.Float64() < k.checkpointingShare,
 		}
@@ -135,6 +147,15 @@
 	return total
 }
 
+const (
+	// fixedValueShare is the share of a job's value that doesn't depend on its size, and
+	// sizeValueShare is the share that grows with the size, for a job of mean size.
+	fixedValueShare = 0.3
+	sizeValueShare  = 0.7
+	// maxRelativeValue bounds the value of a job, as a multiple of that of a job of mean size.
+	maxRelativeValue = 4
+)
+
 // earned returns the total value of the kind's jobs, the value that they earned, and the shares
 // earned by all of them, the largest tenth and the next fifth. A larger job has more value.
 func (k *replayKind) earned() (total, earned float64, shares [3]float64) {
@@ -146,7 +167,7 @@
 	}
 	sum := func(jobs []*replayJob) (total, earned float64) {
 		for _, j := range jobs {
-			value := k.value * min(4, 0.3+0.7*j.coreTime()/mean)
+			value := k.value * min(maxRelativeValue, fixedValueShare+sizeValueShare*j.coreTime()/mean)
 			total += value
 			earned += value * j.earnedShare
 		}
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -64,17 +64,46 @@
 	query Query
 }
 
+const (
+	// mixedPool and largePool are numbers of workers.
+	mixedPool = 350
+	largePool = 1100
+	// usualConnections and largePoolConnections are numbers of adviser connections.
+	usualConnections     = 44
+	largePoolConnections = 152
+	// rackSize is the number of workers in a rack.
+	rackSize = 12
+	// longQueryTime is the duration beyond which a query is long.
+	longQueryTime = 150 * time.Millisecond
+	// responseDelay is the time from the end of a query until its response is applied.
+	responseDelay = 5 * time.Millisecond
+	// worthlessAfter is the multiple of its objective after which a job has no value left, and
+	// lateEarnedShare is the share of its value that a late job earns until then.
+	worthlessAfter  = 3
+	lateEarnedShare = 0.2
+	// minRunTimeFactor is the share of the estimated run time of its current step that a job
+	// must have left to count as in time.
+	minRunTimeFactor = 0.6
+	// minRemainingDivisor divides the duration of a run: at least that part of it is expected
+	// to remain.
+	minRemainingDivisor = 10
+	// minGrantRateWeight is the smallest weight of a response in the mean grant rate.
+	minGrantRateWeight = 0.05
+	// slowWorkerFactor is the ratio of run times on every third worker to those on others.
+	slowWorkerFactor = 1.3
+)
+
 // newReplay returns a pool of n workers with 64 cores and 256 GiB each, without load.
 func newReplay(seed uint64, n, connections int, kinds ...*replayKind) *replay {
 	r := &replay{
 		random: rand.New(rand.NewPCG(seed, 7)), kinds: kinds, connections: make([]time.Duration, connections),
 		runs: map[workflow.TaskKey]*replayRun{}, decisionInterval: 100 * time.Millisecond,
-		limits: Limits{WorkersPerQuery: 30, WorkersPerGangQuery: 100, Steps: 128, TicketMargin: 150 * time.Millisecond, LongQueryTime: 150 * time.Millisecond},
+		limits: Limits{WorkersPerQuery: 30, WorkersPerGangQuery: 100, Steps: 128, TicketMargin: 150 * time.Millisecond, LongQueryTime: longQueryTime},
 	}
 	for i := range n {
 		capacity := workflow.Resources{MilliCPU: 64_000, MemoryMB: 262_144}
 		r.workers = append(r.workers, Worker{
-			Worker: workflow.Worker{ID: fmt.Sprintf("w%03d", i), Service: "s", Rack: fmt.Sprint("r", i/12), Capacity: capacity}, Free: capacity,
+			Worker: workflow.Worker{ID: fmt.Sprintf("w%03d", i), Service: "s", Rack: fmt.Sprint("r", i/rackSize), Capacity: capacity}, Free: capacity,
 		})
 	}
 	return r
@@ -102,9 +131,9 @@
 		ResponseTime: func(n int) time.Duration { return k.baseLatency + time.Duration(n)*k.perWorkerLatency },
 	}
 	switch age := r.now - j.begin; {
-	case age > 3*j.objective:
+	case age > worthlessAfter*j.objective:
 		s.Lateness = 2
-	case age+time.Duration(0.6*float64(spec.EstimateMS)*1e6) > j.objective:
+	case age+time.Duration(minRunTimeFactor*float64(spec.EstimateMS)*1e6) > j.objective:
 		s.Lateness = 1
 	}
 	return s, true
@@ -206,7 +235,7 @@
 	}
 	for _, run := range r.runs {
 		spec := run.job.specs[run.task.Step]
-		release := Release{At: max(run.expected, r.now+run.duration/10), Resources: spec.Demand(), Task: run.task, Priority: run.job.kind.priority,
+		release := Release{At: max(run.expected, r.now+run.duration/minRemainingDivisor), Resources: spec.Demand(), Task: run.task, Priority: run.job.kind.priority,
 			Preemptible: spec.Checkpointing && !spec.Gang && !run.stops}
 		if run.stops {
 			release.At, release.Stopping = r.now+StopTime/2, true
@@ -244,7 +273,7 @@
 	r.queries++
 	length := j.kind.baseLatency + time.Duration(len(query.Workers))*j.kind.perWorkerLatency
 	usable := r.connections
-	if length > 150*time.Millisecond {
+	if length > longQueryTime {
 		usable = usable[len(usable)/shortQueryDivisor:]
 	}
 	first := 0
@@ -259,7 +288,7 @@
 	if query.Renewal {
 		j.renewing = query.Workers
 	}
-	r.responses = append(r.responses, replayResponse{at: usable[first] + 5*time.Millisecond, job: j, key: query.Step, query: query})
+	r.responses = append(r.responses, replayResponse{at: usable[first] + responseDelay, job: j, key: query.Step, query: query})
 }
 
 // applyResponse applies a response of the adviser.
@@ -289,7 +318,7 @@
 	}
 	if unknown > 0 {
 		k.grantSamples++
-		k.grantRate += max(0.05, 1/k.grantSamples) * (float64(granted)/float64(unknown) - k.grantRate)
+		k.grantRate += max(minGrantRateWeight, 1/k.grantSamples) * (float64(granted)/float64(unknown) - k.grantRate)
 	}
 	j.permits = known
 }
@@ -301,13 +330,13 @@
 	}
 }
 
-// start starts a task. On every third worker tasks take 1.3 times as long.
+// start starts a task.
 func (r *replay) start(j *replayJob, s Start) {
 	spec, work := j.specs[s.Task.Step], j.works[s.Task.Step]
 	w := slices.IndexFunc(r.workers, func(w Worker) bool { return w.ID == s.Worker })
 	r.workers[w].Free = r.workers[w].Free.Minus(spec.Demand())
 	remaining := 1 - j.saved[s.Task]
-	runTime := time.Duration(remaining * float64(work) * []float64{1, 1, 1.3}[w%3])
+	runTime := time.Duration(remaining * float64(work) * []float64{1, 1, slowWorkerFactor}[w%3])
 	run := &replayRun{job: j, task: s.Task, worker: w, begin: r.now, end: r.now + runTime, duration: runTime,
 		expected: r.now + time.Duration(remaining*float64(spec.EstimateMS)*1e6)}
 	if !spec.Gang && r.random.Float64() < j.kind.failingShare {
@@ -363,9 +392,9 @@
 	case age <= j.objective:
 		j.kind.inTime++
 		j.earnedShare = 1
-	case age <= 3*j.objective:
+	case age <= worthlessAfter*j.objective:
 		j.kind.late++
-		j.earnedShare = 0.2
+		j.earnedShare = lateEarnedShare
 	}
 }
 
