--- a/dispatch/disabled.go
+++ b/dispatch/disabled.go
@@ -11,7 +11,7 @@
 	Reservation bool `toml:"reservation"`
 	// Earmarks: other steps prefer workers that no gang is about to fill.
 	Earmarks bool `toml:"earmarks"`
-	// Suspicion: a data centre in which no worker answers gets no new tasks.
+	// Suspicion: a data centre in which no worker responds gets no new tasks.
 	Suspicion bool `toml:"suspicion"`
 	// Health: workers that fail, stall or are slow are ranked lower or quarantined.
 	Health bool `toml:"health"`
--- a/dispatch/gang.go
+++ b/dispatch/gang.go
@@ -91,8 +91,8 @@
 	minEmptyFactor = 2
 	// wantedEmptyFactor is how many times its tasks the permitted workers of a gang should
 	// hold if they were empty, as long as other workers have free resources. A query
-	// occupies an adviser connection for a second, but a gang that knows few workers waits
-	// for these while others are free.
+	// occupies an adviser connection for a second, but a gang that is known to be permitted
+	// on few workers waits for these while others are free.
 	wantedEmptyFactor = 8
 	// wantedFreeFactor is how many times its tasks the queried workers of a gang must be
 	// expected to hold now: grants differ from the average, and other steps take resources
@@ -170,8 +170,9 @@
 type gangReservation struct {
 	// preempted says that other runs are being stopped for the gang.
 	preempted bool
-	// reserved says that the gang is among those that get a reservation. From at on, the
-	// gang is expected to fit on workers; at is 0 if that can't be predicted.
+	// reserved says that the gang may get a reservation. From at on, the gang is expected
+	// to fit on workers; both are zero if that can't be predicted or runs are being
+	// stopped.
 	reserved bool
 	workers  []*Worker
 	at       time.Duration
--- a/dispatch/permits.go
+++ b/dispatch/permits.go
@@ -58,7 +58,7 @@
 
 // fewestWorkersFor returns permitted workers on which n tasks of s fit now, those with the
 // most free resources first. If n tasks don't fit, it returns all workers on which a task
-// fits. A start there still needs a valid ticket.
+// fits. A start on such a worker still needs a valid ticket.
 func fewestWorkersFor(s *Step, granted []*Worker, n int) []*Worker {
 	var chosen []*Worker
 	fits := 0
@@ -156,7 +156,8 @@
 	return p.limits.Queries > 0 && (p.limits.LongQueries > 0 || !p.isLong(s, n))
 }
 
-// isLong reports whether the adviser takes long to answer a query of s about n workers.
+// isLong reports whether the adviser takes more than Limits.LongQueryTime to respond to a
+// query of s about n workers.
 func (p *planner) isLong(s *Step, n int) bool {
 	return p.limits.LongQueryTime > 0 && s.ResponseTime(n) > p.limits.LongQueryTime
 }
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -120,10 +120,10 @@
 // response of the adviser yet; the rest are other steps without a query in flight. Steps of
 // the last two groups take turns.
 //
-// Without the slots for ticket holders, each of 900 steps beyond the bound is considered
-// every 3 s, queries, and is considered again when its tickets of 1.5 s have expired, so
-// that hardly any starts on an empty pool. With them the next decision uses the tickets of
-// a response.
+// If steps with tickets had no part of their own, each of 900 steps beyond the bound would
+// be considered every 3 s, would query, and would be considered again when its tickets of
+// 1.5 s have expired, so that hardly any would start on an empty pool. With their own part,
+// the next decision uses the tickets of a response.
 func (p *planner) roundRobin(rest []*Step, n int) []*Step {
 	var ticketed, unqueried, others []*Step
 	for _, s := range rest {
--- a/dispatch/preempt.go
+++ b/dispatch/preempt.go
@@ -45,6 +45,9 @@
 // runs that can resume from a checkpoint hold them. Those lose no work, so stopping them costs
 // little.
 func (p *planner) findVictims(s *Step, workers []*Worker, n int) []victimSet {
+	// candidate is a worker with the resources and preemptible runs that the chosen sets
+	// leave on it. next is the set for one more task, nil before it is found or if there is
+	// none.
 	type candidate struct {
 		scratch     Worker
 		worker      *Worker
@@ -112,8 +115,9 @@
 	return runs
 }
 
-// fitOneMore takes resources for one more task of s from scratch and, if they don't suffice,
-// from runs in preemptible. It returns the runs and their cost, nil if the task doesn't fit.
+// fitOneMore takes resources for one more task of s from those free on scratch, a copy of
+// w, and, if they don't suffice, from runs in preemptible. It returns the runs and their
+// cost, nil if the task doesn't fit.
 func (p *planner) fitOneMore(s *Step, w, scratch *Worker, preemptible *[]*Release, placed int) *victimSet {
 	v := &victimSet{worker: w, needsTicket: !p.mayStartOn(s, w)}
 	if s.Spec.MaxPerWorker > 0 && s.Placed[w.ID]+placed >= s.Spec.MaxPerWorker {
--- a/dispatch/preempt_test.go
+++ b/dispatch/preempt_test.go
@@ -79,7 +79,7 @@
 
 // Guards against steps that are never considered: alongside hundreds of steps beyond the
 // bound, many of them with tickets that can't be used, the offset of the round robin skips
-// most other steps in every decision.
+// the same other steps in every decision.
 func TestRoundRobinReachesAllSteps(t *testing.T) {
 	// otherSteps is the number of steps without tickets; chosenSteps is how many of all steps
 	// beyond the bound each decision considers.
--- a/dispatch/query_test.go
+++ b/dispatch/query_test.go
@@ -38,8 +38,9 @@
 	return r.now - start
 }
 
-// waitBehindRefused submits ten jobs, permitted on a quarter of an empty pool, 10 s after
-// urgent jobs that are permitted on no worker. It returns how long the last of the ten waits.
+// waitBehindRefused submits the number ahead of urgent jobs that are permitted on no worker
+// and, 10 s later, ten jobs that are permitted on a quarter of an empty pool. It returns
+// how long the last of the ten waits.
 func waitBehindRefused(pool, ahead int) time.Duration {
 	refused, others := slowQueryKind("refused", 0, 0), slowQueryKind("others", 1, 0.25)
 	r := newReplay(1, pool, usualConnections, refused, others)
@@ -244,7 +245,7 @@
 // resources of nearly all its permitted workers for the duration of a long run. Small jobs that
 // are permitted there must query other workers instead.
 func TestSmallJobsStartBesideGangReservation(t *testing.T) {
-	// minReservedCPU is that of 50 of the gang's 60 tasks, in thousandths of a core.
+	// minReservedCPU is the CPU of 50 of the gang's 60 tasks, in thousandths of a core.
 	const minReservedCPU = 50 * 60_000
 	long := slowQueryKind("long", 0, 1)
 	long.width, long.maxWidth, long.cores, long.maxCores, long.work = 130, 130, 60, 60, 2*time.Minute
--- a/dispatch/reason_test.go
+++ b/dispatch/reason_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// Guards against reserved resources that are counted as taken by starts.
+// Guards against reserved resources that are counted as occupied by runs.
 func TestReservedResourcesAreSeparateFromFree(t *testing.T) {
 	list := workers(8, 4)
 	Decide(0, []Step{step("a", 1, 4), waitingGang("gang", 3, 4, nil)}, list, limits)
--- a/dispatch/replay_jobs_test.go
+++ b/dispatch/replay_jobs_test.go
@@ -42,7 +42,7 @@
 	// grantRate is the moving mean of the share of workers that the adviser permits, over
 	// grantSamples responses.
 	grantRate, grantSamples float64
-	// all are the jobs submitted so far; inTime and late count those that ended in time or
+	// jobs are the jobs submitted so far; inTime and late count those that ended in time or
 	// late.
 	jobs         []*replayJob
 	inTime, late int
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -18,7 +18,7 @@
 type replay struct {
 	random *rand.Rand
 	now    time.Duration
-	// decision is the interval between two decisions.
+	// decisionInterval is the time between two decisions.
 	decisionInterval time.Duration
 	limits           Limits
 	round            int
@@ -422,7 +422,7 @@
 	r.freeSum += r.freeShare()
 }
 
-// freeShare is the share of the pool's cores that no run occupies.
+// freeShare returns the share of the pool's cores that no run occupies.
 func (r *replay) freeShare() float64 {
 	free, all := int64(0), int64(0)
 	for i := range r.workers {
--- a/dispatch/roundrobin.go
+++ b/dispatch/roundrobin.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// compareQueryOrder puts steps that know of no worker first, since a first query
-// yields the most information, then those whose last query is the oldest.
+// compareQueryOrder puts steps that have had no response of the adviser first, since a
+// first query yields the most information, then steps whose last query is the oldest.
 func compareQueryOrder(a, b *Step) int {
 	return cmp.Or(compareBools(len(a.Permits) > 0, len(b.Permits) > 0), cmp.Compare(a.LastQuery, b.LastQuery))
 }
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -94,7 +94,8 @@
 	// LastQuery is when the step's last query was sent, on the monotonic clock of the caller.
 	// Before the first one it is when the step began to wait for a query.
 	LastQuery time.Duration
-	// ResponseTime returns how long the adviser takes to answer a query about n workers.
+	// ResponseTime returns how long the adviser takes to respond to a query about n
+	// workers.
 	ResponseTime func(n int) time.Duration
 	// GrantRate is the share of the queried workers that the adviser has recently permitted for
 	// the step's queue; 0 while it is unknown.
--- a/workflow/job.go
+++ b/workflow/job.go
@@ -103,8 +103,8 @@
 	LatencyObjectiveMS int64 `cbor:"16,keyasint,omitempty"`
 }
 
-// AllowsCopies reports whether a speculative copy of a task may run alongside the first run. Gangs
-// run as a whole, and a long-running task has a single run.
+// AllowsCopies reports whether a speculative copy of a task may run alongside the first
+// run. Gangs run as a whole, and a long-running task has a single run.
 func (s *Step) AllowsCopies() bool { return s.Speculative && !s.Gang && !s.LongRunning }
 
 // Demand returns the resources of its worker that a task of the step occupies.
--- a/workflow/state.go
+++ b/workflow/state.go
@@ -17,8 +17,8 @@
 	// Failures counts the runs that failed.
 	Failures   int    `cbor:"4,keyasint,omitempty"`
 	Checkpoint string `cbor:"5,keyasint,omitempty"`
-	// CrashedOn are the workers that crashed under runs of the task. StrongCrashes counts those
-	// with SuspicionStrong.
+	// CrashedOn are the workers that crashed while they ran the task. StrongCrashes counts
+	// those with SuspicionStrong.
 	CrashedOn     []string `cbor:"6,keyasint,omitempty"`
 	StrongCrashes int      `cbor:"7,keyasint,omitempty"`
 	// Unresolved counts the runs of the task that ended with the lease of their worker while it
@@ -77,6 +77,8 @@
 
 // Phases of a job.
 const (
+	// PhasePending: no run that a worker had started has ended yet. PhaseActive: such a run
+	// has ended.
 	PhasePending Phase = iota + 1
 	PhaseActive
 	PhaseDone
--- a/workflow/workflow_test.go
+++ b/workflow/workflow_test.go
@@ -270,8 +270,9 @@
 }
 
 // Guards against a job that is shown as active from the commit of its start on, so that its
-// queue reports no waiting jobs, although the worker may never carry out the order.
-func TestJobIsPendingUntilARunBegins(t *testing.T) {
+// queue reports no waiting jobs, although the worker may never carry out the order. The end
+// of a run can prove that it was started.
+func TestJobIsPendingUntilAnEndProvesAStart(t *testing.T) {
 	s := newState(t, smallStep(1))
 	for _, outcome := range []Outcome{OutcomeNotStarted, OutcomeLost} {
 		s.finishRun(s.startRuns("w1", key(0, 0))[0], outcome)
