--- a/dispatch/disabled.go
+++ b/dispatch/disabled.go
@@ -11,13 +11,13 @@
 	Reservation bool `toml:"reservation"`
 	// Earmarks: other steps prefer workers that no gang is about to fill.
 	Earmarks bool `toml:"earmarks"`
-	// Suspicion: a data centre in which no worker answers gets no new tasks.
+	// Suspicion: a data centre in which no worker responds gets no new tasks.
 	Suspicion bool `toml:"suspicion"`
 	// Health: workers that fail, stall or are slow are ranked lower or quarantined.
 	Health bool `toml:"health"`
 	// Lateness: jobs that can no longer meet their objective go after jobs that can.
 	Lateness bool `toml:"lateness"`
-	// ResentStarts: a start whose answer is overdue is sent again.
+	// ResentStarts: a start whose response is overdue is sent again.
 	ResentStarts bool `toml:"second_starts"`
 	// ShortPolls: long polls are held for a shorter time while calls get lost.
 	ShortPolls bool `toml:"short_looks"`
--- a/dispatch/load_test.go
+++ b/dispatch/load_test.go
@@ -12,8 +12,9 @@
 var replaySeeds = flag.Int("replay.seeds", 0, "number of seeds for which the figures of the replayed load are printed")
 var replayLoad = flag.Float64("replay.load", 1, "the replayed load as a multiple of the usual one")
 
-// mixedLoad is the load of a pool of 350 workers: large gangs, builds with checkpoints and
-// urgent lookups, which take 0.88 of its cores on average.
+// mixedLoad returns the kinds of jobs that load a pool of 350 workers: large gangs, builds
+// with checkpoints and urgent lookups. With load 1 they occupy 0.88 of its cores on
+// average.
 func mixedLoad(load float64) []*replayKind {
 	ms := time.Millisecond
 	return []*replayKind{
@@ -26,29 +27,31 @@
 	}
 }
 
-// Prints figures of the mixed load for each seed: the share of jobs of each kind in time and
-// late; the shares of their value that all jobs, the largest tenth and the next fifth earned;
-// and the waiting steps when submissions end and 14 s later.
+// Prints figures of the mixed load for each of the -replay.seeds: the share of jobs of each
+// kind that end in time or late; the shares of their value that all jobs, the largest tenth
+// and the next fifth earn; and the waiting steps when submissions end and 14 s later.
 func TestMixedLoadFigures(t *testing.T) {
+	// submissionTime is how long jobs are submitted.
+	const submissionTime = 40 * time.Second
 	for seed := range *replaySeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			kinds := mixedLoad(*replayLoad)
-			r := newReplay(uint64(seed), 350, 44, kinds...)
-			r.decision = 50 * time.Millisecond
-			r.play(40*time.Second, 0)
+			r := newReplay(uint64(seed), mixedPool, usualConnections, kinds...)
+			r.decisionInterval = 50 * time.Millisecond
+			r.play(submissionTime, 0)
 			steps, gangs := r.waiting()
 			free, queriesSent := r.freeSum/float64(r.decisions), r.queries
-			r.play(40*time.Second, drainTime)
+			r.play(submissionTime, drainTime)
 			stepsLeft, gangsLeft := r.waiting()
 			var total, earned float64
 			worst, line := 1.0, ""
 			for _, k := range kinds {
-				o, g, shares := k.earned()
-				total, earned = total+o, earned+g
+				value, earnedValue, shares := k.earned()
+				total, earned = total+value, earned+earnedValue
 				worst = min(worst, shares[0], shares[1], shares[2])
 				line += fmt.Sprintf("%s in time %.3f late %.3f value %.3f | ", k.name,
-					float64(k.inTime)/float64(len(k.all)), float64(k.late)/float64(len(k.all)), shares)
+					float64(k.inTime)/float64(len(k.jobs)), float64(k.late)/float64(len(k.jobs)), shares)
 			}
 			t.Logf("%svalue %.3f worst %.3f free %.3f waiting %d gangs %d, 14 s later %d %d, free %.2f | queries %d %d preempted %d longest decision %v",
 				line, earned/total, worst, free, steps, gangs, stepsLeft, gangsLeft, r.freeShare(), queriesSent, r.queries-queriesSent, r.preemptions, r.longestDecision)
@@ -56,16 +59,16 @@
 	}
 }
 
-// Guards against a failed job that doesn't run again although more than a third of the pool
-// stays free: 39 gangs with 1,176 tasks waited while 55 % of the cores were free. The first
-// twelve held reservations until the expected ends of runs, the runs lasted longer, and the
-// gangs after them could not renew their tickets.
+// Guards against gangs, also of failed jobs that must run again, that wait while more than
+// a third of the pool stays free. If twelve gangs hold reservations until the expected ends
+// of runs, the runs last longer, and the gangs after these twelve can't renew their
+// tickets: 39 gangs with 1,176 tasks wait while 55 % of the cores are free.
 func TestGangsStartWhenTwiceTheirDemandIsFree(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			r := newReplay(seed, 350, 44, mixedLoad(1)...)
-			r.decision = 50 * time.Millisecond
+			r := newReplay(seed, mixedPool, usualConnections, mixedLoad(1)...)
+			r.decisionInterval = 50 * time.Millisecond
 			r.play(30*time.Second, 0)
 			longest := time.Duration(0)
 			for r.now < 30*time.Second+drainTime {
@@ -79,35 +82,37 @@
 }
 
 const (
-	// drainTime is how long after the last submission every job that fits must be running.
-	// maxIdleWait is how long a job may have no run while twice the resources of its tasks are
-	// free.
+	// drainTime is the time after the last submission within which every job that fits must
+	// run. maxIdleWait is the longest time that a job may have no run while twice the
+	// resources of its tasks are free.
 	drainTime   = 14 * time.Second
 	maxIdleWait = 3 * time.Second
 )
 
-// Guards against steps beyond the bound whose tickets always expire unused. Hundreds of steps
-// wait behind others that fit nowhere. Each is considered every two seconds, sends a query, and
-// is considered again only after its tickets have expired: none of 600 starts within a minute on an
-// empty pool, and 19,200 queries are sent.
+// Guards against steps beyond the bound whose tickets always expire unused. Hundreds of
+// steps wait behind others that fit nowhere. If each is considered every two seconds, sends
+// a query, and is considered again only after its tickets have expired, none of 600 starts
+// within a minute on an empty pool, and 19,200 queries are sent.
 func TestStepsBeyondBoundStartBeforeTicketsExpire(t *testing.T) {
+	// hugeSteps is the number of steps that fit nowhere: the most urgent steps of each decision.
+	const hugeSteps = 96
 	for _, waiting := range []int{40, 600, 900} {
 		kind := &replayKind{name: "behind", priority: 1, steps: 1, width: 1, maxWidth: 1, cores: 1, maxCores: 1, gb: 1, maxGB: 1, work: time.Second,
 			baseLatency: 195 * time.Millisecond, ticketValidity: 1500 * time.Millisecond, grantedShare: 0.25, stretch: 1}
 		huge := &replayKind{name: "ahead", steps: 1, width: 1, maxWidth: 1, cores: 65, maxCores: 65, gb: 1, maxGB: 1, work: time.Second,
 			baseLatency: 195 * time.Millisecond, ticketValidity: 1500 * time.Millisecond, grantedShare: 0.25, stretch: 1, objective: time.Hour}
-		r := newReplay(1, 350, 1000, kind, huge)
+		r := newReplay(1, mixedPool, 1000, kind, huge)
 		r.limits.Steps = 128
-		for range 96 {
+		for range hugeSteps {
 			r.submit(huge)
 		}
 		for range waiting {
 			r.submit(kind)
 		}
-		for r.now < time.Minute && len(r.jobs) > 96 {
+		for r.now < time.Minute && len(r.jobs) > hugeSteps {
 			r.decide()
 			r.advance()
 		}
-		must.SliceLen(t, 96, r.jobs, must.Sprintf("%d steps beyond the bound, %d queries", waiting, r.queries))
+		must.SliceLen(t, hugeSteps, r.jobs, must.Sprintf("%d steps beyond the bound, %d queries", waiting, r.queries))
 	}
 }
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -10,8 +10,11 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
+// cores returns the demand of a task of n cores and 1,000 MB.
 func cores(n int64) workflow.Resources { return workflow.Resources{MilliCPU: n * 1000, MemoryMB: 1000} }
 
+// workers returns a pool of workers w0, w1 and so on, each with 16 cores, of which the
+// given number is free. Two workers each share one of the racks r0, r1 and so on.
 func workers(free ...int64) []Worker {
 	var list []Worker
 	for i, f := range free {
@@ -23,6 +26,8 @@
 	return list
 }
 
+// step returns a step of count tasks that need that many cores each. Queries of the step
+// take 500 ms.
 func step(job string, count int, need int64) Step {
 	s := Step{
 		Key:  workflow.StepKey{Job: job},
@@ -35,6 +40,7 @@
 	return s
 }
 
+// limits are the limits of decisions, unless a test sets others.
 var limits = Limits{WorkersPerQuery: 4, WorkersPerGangQuery: 8, Queries: 8, TicketMargin: 100 * time.Millisecond}
 
 // started lists JOB/INDEX@WORKER of each start.
@@ -68,13 +74,13 @@
 		{name: "a gang never starts in part", steps: []Step{gang(step("a", 3, 4))}, workers: workers(8), reason: ReasonNoCapacity},
 		{name: "a gang within one rack", steps: []Step{with(gang(step("a", 2, 8)), func(s *Step) { s.Spec.SameRack = true })},
 			workers: workers(16, 0, 8, 8), want: []string{"a/0@w0", "a/1@w0"}},
-		{name: "maximum of tasks per worker", steps: []Step{with(step("a", 2, 1), func(s *Step) { s.Spec.MaxPerWorker = 1 })},
+		{name: "no more tasks on a worker than MaxPerWorker", steps: []Step{with(step("a", 2, 1), func(s *Step) { s.Spec.MaxPerWorker = 1 })},
 			workers: workers(8, 9), want: []string{"a/0@w0", "a/1@w1"}},
-		{name: "worker near the data", steps: []Step{with(step("a", 1, 1), func(s *Step) { s.Spec.DataRack = "r1" })},
+		{name: "the worker in the rack of the data", steps: []Step{with(step("a", 1, 1), func(s *Step) { s.Spec.DataRack = "r1" })},
 			workers: workers(2, 2, 9), want: []string{"a/0@w2"}},
 		{name: "no worker has the label", steps: []Step{with(step("a", 1, 1), func(s *Step) { s.Spec.Label = "gpu" })},
 			workers: workers(9), reason: ReasonNoWorker},
-		{name: "workers of another service", steps: []Step{with(step("a", 1, 1), func(s *Step) { s.Service = "t" })},
+		{name: "no worker of the service", steps: []Step{with(step("a", 1, 1), func(s *Step) { s.Service = "t" })},
 			workers: workers(9), reason: ReasonNoWorker},
 		{name: "demand exceeds every worker", steps: []Step{step("a", 1, 17)}, workers: workers(16), reason: ReasonNoWorker},
 		{name: "a copy runs on another worker than its task", steps: []Step{
@@ -84,17 +90,17 @@
 			with(step("a", 1, 4), func(s *Step) { s.Copy = true }),
 			with(step("b", 1, 4), func(s *Step) { s.Priority, s.Lateness = 9, 2 }),
 		}, workers: workers(4), want: []string{"b/0@w0"}},
-		{name: "spare CPU costs no capacity", steps: []Step{with(step("a", 1, 9), func(s *Step) { s.Spec.UsesSpare = true })},
+		{name: "a task that uses spare CPU starts without free CPU", steps: []Step{with(step("a", 1, 9), func(s *Step) { s.Spec.UsesSpare = true })},
 			workers: workers(0), want: []string{"a/0@w0"}},
-		{name: "spare CPU users apart from serving tasks while other workers are free", steps: []Step{
+		{name: "tasks that use spare CPU apart from serving tasks while other workers are free", steps: []Step{
 			with(step("a", 1, 1), func(s *Step) { s.Spec.LatencyObjectiveMS = 50 }),
 			with(step("b", 2, 1), func(s *Step) { s.Spec.UsesSpare = true }),
 			with(step("c", 1, 1), func(s *Step) { s.Spec.LatencyObjectiveMS = 50 }),
 		}, workers: workers(9, 10), want: []string{"a/0@w0", "b/0@w1", "b/1@w1", "c/0@w0"}},
-		{name: "no spare CPU user where serving tasks leave nothing", steps: []Step{
+		{name: "no task that uses spare CPU where serving tasks leave too little CPU", steps: []Step{
 			with(step("b", 1, 1), func(s *Step) { s.Spec.UsesSpare = true }),
 		}, workers: []Worker{{Worker: workers(9)[0].Worker, Free: cores(9), Serving: true, SpareShare: 9}}, reason: ReasonNoWorker},
-		{name: "spare CPU user where most CPU is free", steps: []Step{
+		{name: "a task that uses spare CPU goes where most CPU is free", steps: []Step{
 			with(step("b", 1, 1), func(s *Step) { s.Spec.UsesSpare = true }),
 		}, workers: workers(3, 9), want: []string{"b/0@w1"}},
 	} {
@@ -109,12 +115,13 @@
 	}
 }
 
+// needsPermit returns s with the permits, as a step that the adviser decides on.
 func needsPermit(s Step, permits map[string]Permit) Step {
 	s.NeedsPermit, s.Permits = true, permits
 	return s
 }
 
-func TestPermits(t *testing.T) {
+func TestPermitsDecideStartsAndQueries(t *testing.T) {
 	valid := Permit{Granted: true, Ticket: "t", Expires: time.Second}
 	expired := Permit{Granted: true, Ticket: "t"}
 	for _, c := range []struct {
@@ -170,9 +177,9 @@
 	must.Eq(t, ReasonCount{"", 3, "w3"}, Explain(0, &s, list, limits)[0])
 }
 
-// Guards against a gang that waits forever alongside small tasks. It needs two workers, of which
-// one is free now and one soon; small tasks arrive all the time and took each free resource,
-// since nothing was reserved for the gang.
+// Guards against a gang that waits forever alongside small tasks. The gang needs two
+// workers, of which one is free now and one soon. Unless resources are reserved for the
+// gang, small tasks, which arrive all the time, take them as they come free.
 func TestResourcesAreReservedForWaitingGang(t *testing.T) {
 	list := workers(4, 0)
 	list[1].Releases = []Release{{At: time.Second, Resources: cores(4)}}
@@ -184,8 +191,8 @@
 }
 
 // Guards against workers that idle for half a second before each gang. The gang fits in a
-// second and its tickets have expired; the adviser takes half a second, but was queried only
-// once the gang fit.
+// second, its tickets have expired, and the adviser takes half a second, but is queried
+// only once the gang fits.
 func TestGangTicketsAreRenewedBeforeItFits(t *testing.T) {
 	gang := needsPermit(step("gang", 2, 4), map[string]Permit{"w0": {Granted: true}, "w1": {Granted: true}})
 	gang.Spec.Gang = true
@@ -198,10 +205,10 @@
 	must.Eq(t, 1, countQueries(500*time.Millisecond))
 }
 
-// Guards against a late gang that never starts although most workers are idle. The first query
-// of a new leader names the two workers that have answered it. One is permitted and large
-// enough, but never empty, and the gang queried others only if its permitted workers were too
-// small.
+// Guards against a late gang that never starts although most workers are idle. A new
+// leader's first query names only the two workers that have responded to that leader so
+// far. One is permitted and large enough, but never empty, and the gang queries others only
+// if its permitted workers are too small.
 func TestGangQueriesIdleWorkersWhilePermittedOnesStayBusy(t *testing.T) {
 	gang := func() Step {
 		s := needsPermit(step("gang", 2, 4), map[string]Permit{"w0": {Granted: true}})
@@ -223,9 +230,9 @@
 	must.True(t, plan.Queries[0].Renewal, must.Sprint("the gang fits soon"))
 }
 
-// Guards against a gang that keeps waiting after runs were preempted for it. Its resources come
-// free one by one, and small urgent tasks took them as the best fit although they fit on
-// another worker.
+// Guards against a gang that keeps waiting after runs were preempted for it. The resources
+// of these runs come free one by one, and small urgent tasks take them as the best fit
+// although the tasks fit on another worker.
 func TestSmallTasksAvoidEarmarkedWorkers(t *testing.T) {
 	list := workers(3, 9)
 	must.Eq(t, []string{"a/0@w0"}, started(Decide(0, []Step{step("a", 1, 2)}, list, limits)))
@@ -242,8 +249,8 @@
 }
 
 // Guards against an urgent gang that waits many seconds while a batch job that could resume
-// later occupies the workers. The gang has three tasks, of which one fits; two workers are full
-// of runs with checkpoints, and nothing was preempted.
+// later occupies the workers. The gang has three tasks, of which one fits. Two workers are
+// full of runs with checkpoints, and none of these is preempted.
 func TestGangPreemptsRunsWithCheckpoints(t *testing.T) {
 	full := func(change func(*Release)) []Worker {
 		list := workers(4, 0, 0)
@@ -299,9 +306,10 @@
 	}
 }
 
-// Guards against a standstill after an outage: one decision considered thousands of queued
-// steps, each with queries about hundreds of workers, and took so long that the tickets expired
-// before the next one. Each step must still be considered at some point.
+// Guards against a standstill after an outage: one decision considers thousands of queued
+// steps, each with queries about hundreds of workers, and takes so long that the tickets
+// expire before the next decision. Although a decision considers a bounded number of steps,
+// every step must be considered at some point.
 func TestDecisionConsidersBoundedNumberOfSteps(t *testing.T) {
 	bounded := limits
 	bounded.Steps = 8
@@ -325,23 +333,24 @@
 	must.MapLen(t, 99, seen, must.Sprint("each step is considered"))
 }
 
-// Guards against decisions that take seconds while the adviser is busy: hundreds of steps need
-// a query, none may be sent, and each step was still matched against all workers.
+// Guards against decisions that take seconds while the adviser is busy: hundreds of steps
+// need a query, none may be sent, and each step is matched against all workers
+// nevertheless.
 func TestStepThatCannotQueryIsSkipped(t *testing.T) {
-	none := limits
-	none.Queries = 0
+	noQueries := limits
+	noQueries.Queries = 0
 	s := needsPermit(step("a", 1, 2), nil)
-	plan := Decide(0, []Step{s}, workers(9), none)
+	plan := Decide(0, []Step{s}, workers(9), noQueries)
 	must.SliceEmpty(t, plan.Queries)
 	must.Eq(t, ReasonNoConnection, plan.Waiting[0].Reason)
 	valid := needsPermit(step("b", 1, 2), map[string]Permit{"w0": {Granted: true, Expires: time.Second}})
-	must.Eq(t, []string{"b/0@w0"}, started(Decide(0, []Step{s, valid}, workers(9), none)))
+	must.Eq(t, []string{"b/0@w0"}, started(Decide(0, []Step{s, valid}, workers(9), noQueries)))
 }
 
-// Guards against a wide step that takes a minute while half of the workers are free. It is
-// permitted on a few workers, nearly all full; one fits a single task, but its ticket has
-// expired. The step renewed only that ticket, and again when the next task had ended there,
-// instead of querying the empty workers too.
+// Guards against a wide step that takes a minute while half of the workers are free. The
+// step is permitted on a few workers, nearly all full. One of them has resources for a
+// single task, but the ticket has expired. The step renews only that ticket, and again
+// after each task there, instead of querying the empty workers too.
 func TestStepWithTooFewPermittedResourcesQueriesMoreWorkers(t *testing.T) {
 	s := step("wide", 10, 4)
 	s.NeedsPermit = true
--- a/dispatch/preempt.go
+++ b/dispatch/preempt.go
@@ -28,12 +28,12 @@
 	Preemptor workflow.StepKey
 }
 
-// victimSet is what must be stopped on a worker so that one more task fits there.
+// victimSet is a set of runs to stop on a worker so that one more task fits there.
 type victimSet struct {
 	worker *Worker
 	runs   []*Release
-	// cost is the CPU of the runs in thousandths of a core. needsTicket says that the worker
-	// must be queried for a ticket first.
+	// cost is the CPU of the runs in thousandths of a core. needsTicket says that a ticket
+	// for the worker must be queried first.
 	cost        int64
 	needsTicket bool
 }
@@ -45,6 +45,9 @@
 // runs that can resume from a checkpoint hold them. Those lose no work, so stopping them costs
 // little.
 func (p *planner) findVictims(s *Step, workers []*Worker, n int) []victimSet {
+	// candidate is a worker with the resources and preemptible runs that the chosen sets
+	// leave on it. next is the set for one more task, nil before it is found or if there is
+	// none.
 	type candidate struct {
 		scratch     Worker
 		worker      *Worker
@@ -85,9 +88,9 @@
 		cmp.Compare(a.worker.Penalty, b.worker.Penalty), cmp.Compare(a.worker.ID, b.worker.ID))
 }
 
-// stoppingResources returns the resources on w of runs that are being stopped. A stop takes a
-// third of a second; if these weren't counted, each decision until then would stop further runs
-// for the same gang, twelve instead of two.
+// stoppingResources returns the resources on w of runs that are being stopped. A stop takes
+// a third of a second; if these resources weren't counted, each decision until then would
+// stop further runs for the same gang: twelve instead of two in all.
 func (p *planner) stoppingResources(w *Worker) (total workflow.Resources) {
 	for i := range w.Releases {
 		if w.Releases[i].Stopping {
@@ -99,21 +102,22 @@
 
 // preemptible returns the runs on w that s may preempt, the smallest first.
 func (p *planner) preemptible(s *Step, w *Worker) []*Release {
-	var list []*Release
+	var runs []*Release
 	for i := range w.Releases {
 		r := &w.Releases[i]
 		if r.Preemptible && r.Priority > s.Priority && r.At > p.now+minRemaining && !p.stopping[r.Task] {
-			list = append(list, r)
+			runs = append(runs, r)
 		}
 	}
-	slices.SortFunc(list, func(a, b *Release) int {
+	slices.SortFunc(runs, func(a, b *Release) int {
 		return cmp.Or(cmp.Compare(a.Resources.MilliCPU, b.Resources.MilliCPU), workflow.CompareTasks(a.Task, b.Task))
 	})
-	return list
+	return runs
 }
 
-// fitOneMore takes resources for one more task of s from scratch and, if they don't suffice,
-// from runs in preemptible. It returns the runs and their cost, nil if the task doesn't fit.
+// fitOneMore takes resources for one more task of s from those free on scratch, a copy of
+// w, and, if they don't suffice, from runs in preemptible. It returns the runs and their
+// cost, nil if the task doesn't fit.
 func (p *planner) fitOneMore(s *Step, w, scratch *Worker, preemptible *[]*Release, placed int) *victimSet {
 	v := &victimSet{worker: w, needsTicket: !p.mayStartOn(s, w)}
 	if s.Spec.MaxPerWorker > 0 && s.Placed[w.ID]+placed >= s.Spec.MaxPerWorker {
@@ -134,8 +138,8 @@
 	return v
 }
 
-// recordPreemptible records whether a pool has preemptible runs, so that pools without any
-// aren't searched.
+// recordPreemptible records the least urgent priority of the preemptible runs on w, so that
+// pools without runs to preempt aren't searched.
 func (p *planner) recordPreemptible(w *Worker) {
 	for i := range w.Releases {
 		if r := &w.Releases[i]; r.Preemptible {
@@ -145,8 +149,8 @@
 }
 
 // preemptForGang stops less urgent runs for a gang that won't fit soon and reserves their
-// resources. It queries first if tickets would expire before the runs have stopped. It reports
-// whether it has handled the gang.
+// resources. It queries first if tickets would expire before the runs have stopped. It
+// reports whether it found enough runs to stop.
 func (p *planner) preemptForGang(s *Step, granted []*Worker, n int) bool {
 	if p.limits.Disabled.Preemption || s.Lateness > 0 || s.AwaitsResponse || p.preemptiblePriority[s.Service] <= s.Priority {
 		return false
--- a/dispatch/query_test.go
+++ b/dispatch/query_test.go
@@ -11,7 +11,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// slowQueryKind is a kind of small jobs whose queries take over a second.
+// slowQueryKind returns a kind of small jobs whose queries about 30 workers take 1.1 s.
+// Such a job is permitted on the given share of the workers.
 func slowQueryKind(name string, priority int, permitted float64) *replayKind {
 	return &replayKind{
 		name: name, priority: priority, steps: 1, width: 1, maxWidth: 1, cores: 4, maxCores: 4, gb: 4, maxGB: 4, work: 2 * time.Second,
@@ -20,27 +21,29 @@
 	}
 }
 
-// waitUntilAllStart runs the replay with its usual submissions until each job of the kind has
-// started, for a minute at most, and returns the simulated time that this took.
+// waitUntilAllStart runs the replay with its usual submissions until each job of the kind
+// has started, for a minute of simulated time at most, and returns the simulated time that
+// has passed.
 func waitUntilAllStart(r *replay, k *replayKind) time.Duration {
 	start := r.now
 	for r.now < start+time.Minute {
-		waits := slices.ContainsFunc(k.all, func(j *replayJob) bool { return j.step == 0 && len(j.pending[0]) == j.specs[0].Count })
+		waits := slices.ContainsFunc(k.jobs, func(j *replayJob) bool { return j.step == 0 && len(j.pending[0]) == j.specs[0].Count })
 		if !waits {
 			break
 		}
-		r.arrive(r.decision)
+		r.arrive(r.decisionInterval)
 		r.decide()
 		r.advance()
 	}
 	return r.now - start
 }
 
-// waitBehindRefused submits ten jobs, permitted on a quarter of an empty pool, 10 s after
-// urgent jobs that are permitted on no worker. It returns how long the last of the ten waits.
+// waitBehindRefused submits the number ahead of urgent jobs that are permitted on no worker
+// and, 10 s later, ten jobs that are permitted on a quarter of an empty pool. It returns
+// how long the last of the ten waits.
 func waitBehindRefused(pool, ahead int) time.Duration {
 	refused, others := slowQueryKind("refused", 0, 0), slowQueryKind("others", 1, 0.25)
-	r := newReplay(1, pool, 44, refused, others)
+	r := newReplay(1, pool, usualConnections, refused, others)
 	for range ahead {
 		r.submit(refused)
 	}
@@ -51,11 +54,11 @@
 	return waitUntilAllStart(r, others)
 }
 
-// Guards against urgent steps that are permitted on no worker and whose queries, 30 workers at
-// a time, occupy every adviser connection. Other steps wait behind them on an empty pool, and
-// the more workers there are, the longer they wait.
+// Guards against urgent steps that are permitted on no worker and whose queries, 30 workers
+// at a time, occupy every adviser connection. Other steps wait on an empty pool, and the
+// more workers there are, the longer they wait.
 func TestRefusedUrgentStepsLeaveQueriesToOthers(t *testing.T) {
-	for _, pool := range []int{350, 1100, 3000} {
+	for _, pool := range []int{mixedPool, largePool, 3000} {
 		t.Run(fmt.Sprint(pool), func(t *testing.T) {
 			t.Parallel()
 			must.LessEq(t, maxIdleWait, waitBehindRefused(pool, 90))
@@ -66,7 +69,7 @@
 // Guards against refused urgent steps, more than one decision considers, whose queries occupy
 // every adviser connection: other steps wait behind them on an empty pool.
 func TestUrgentStepsBeyondTheBoundLeaveOthersQuestions(t *testing.T) {
-	for _, pool := range []int{350, 1100, 3000} {
+	for _, pool := range []int{mixedPool, largePool, 3000} {
 		t.Run(fmt.Sprint(pool), func(t *testing.T) {
 			t.Parallel()
 			must.LessEq(t, maxIdleWait, waitBehindRefused(pool, 300))
@@ -77,9 +80,11 @@
 // Guards against steps that always need a query and leave less than a third of the queries to
 // others, whether a decision has one query or many.
 func TestRoundRobinStepsGetTheirShareOfQueries(t *testing.T) {
+	// rounds is the number of decisions over which the queries are counted.
+	const rounds = 60
 	for _, queries := range []int{1, 2, 5} {
 		sent := 0
-		for round := range 60 {
+		for round := range rounds {
 			bounded := limits
 			bounded.Queries, bounded.Round = queries, round
 			steps := []Step{}
@@ -98,12 +103,12 @@
 				}
 			}
 		}
-		must.Eq(t, 60*queries/roundRobinQueryDivisor, sent)
+		must.Eq(t, rounds*queries/roundRobinQueryDivisor, sent)
 	}
 }
 
 // Guards against unused queries on a full pool: the queries held back for round-robin use
-// counted as unavailable.
+// count as unavailable.
 func TestAllQueriesAreSentOnFullPool(t *testing.T) {
 	for _, queries := range []int{1, 2, 5} {
 		for round := range roundRobinQueryDivisor {
@@ -118,8 +123,8 @@
 	}
 }
 
-// Guards against unused long queries: those held back for round-robin use weren't offered to
-// steps that could send a short query about a few workers but need many.
+// Guards against unused long queries: those held back for round-robin use aren't offered to
+// steps that could send a short query about a few workers, but need a long one about many.
 func TestAllLongQueriesAreSent(t *testing.T) {
 	for round := range roundRobinQueryDivisor {
 		bounded := limits
@@ -156,12 +161,12 @@
 	}
 }
 
-// Guards against a late job that never gets a query: it is considered after all others, and
-// urgent jobs that are refused keep arriving.
+// Guards against a late job that never gets a query: it is considered after all other jobs,
+// and urgent jobs that are permitted on no worker keep arriving.
 func TestLateJobQueriesBesideRefusedUrgentJobs(t *testing.T) {
 	refused, late := slowQueryKind("refused", 0, 0), slowQueryKind("late", 1, 0.25)
 	late.objective, refused.rate = 0, 5
-	r := newReplay(1, 1100, 44, refused, late)
+	r := newReplay(1, largePool, usualConnections, refused, late)
 	r.play(30*time.Second, 0)
 	for range 5 {
 		r.submit(late).begin = -time.Minute
@@ -172,13 +177,13 @@
 // Guards against a step that is permitted on one worker in a hundred and queries 30 workers at
 // a time, one query after the other: the larger the empty pool, the longer it waits.
 func TestAStepThatIsPermittedHardlyAnywhereFindsItsWorkers(t *testing.T) {
-	for _, pool := range []int{350, 1100, 3000} {
+	for _, pool := range []int{mixedPool, largePool, 3000} {
 		t.Run(fmt.Sprint(pool), func(t *testing.T) {
 			t.Parallel()
 			longest := time.Duration(0)
 			for seed := range uint64(20) {
 				rare := slowQueryKind(fmt.Sprint("rare", seed), 0, 0.01)
-				r := newReplay(seed, pool, 44, rare)
+				r := newReplay(seed, pool, usualConnections, rare)
 				r.submit(rare)
 				longest = max(longest, waitUntilAllStart(r, rare))
 			}
@@ -187,9 +192,8 @@
 	}
 }
 
-// Guards against queries one after the other for a step that is refused on every queried
-// worker: it needs one query per 30 workers, so with ten times the workers it waits ten times
-// as long.
+// Guards against a step that is refused on every queried worker and sends one query about
+// 30 workers after the other: with ten times the workers it waits ten times as long.
 func TestRefusedStepDoublesQueriedWorkers(t *testing.T) {
 	pool := workers(make([]int64, 640)...)
 	for i := range pool {
@@ -214,8 +218,8 @@
 	must.LessEq(t, 1+bits.Len(uint(len(pool)/bounded.WorkersPerQuery)), rounds)
 }
 
-// wideGangs is a kind of gangs that are permitted on a quarter of the workers. A query about a
-// hundred of them takes 1.7 s.
+// wideGangs returns a kind of gangs that are permitted on a quarter of the workers. A query
+// about a hundred workers takes 1.7 s.
 func wideGangs(width, cores float64) *replayKind {
 	return &replayKind{
 		name: "gang", priority: 1, gangShare: 1, steps: 1, width: width, maxWidth: width, cores: cores, maxCores: cores, gb: 16, maxGB: 16,
@@ -224,13 +228,13 @@
 	}
 }
 
-// Guards against gangs that are submitted together on an empty pool and query the same hundred
-// workers: these hold a third of the gangs, and the others must query a second and a third
-// time.
+// Guards against gangs that are submitted together on an empty pool and query the same
+// hundred workers: these workers hold a third of the gangs, and the others must query a
+// second and a third time.
 func TestGangsThatComeTogetherAskAboutDifferentWorkers(t *testing.T) {
 	gangs := wideGangs(20, 18)
-	r := newReplay(0, 1100, 44, gangs)
-	r.decision = 50 * time.Millisecond
+	r := newReplay(0, largePool, usualConnections, gangs)
+	r.decisionInterval = 50 * time.Millisecond
 	for range 30 {
 		r.submit(gangs)
 	}
@@ -241,24 +245,26 @@
 // resources of nearly all its permitted workers for the duration of a long run. Small jobs that
 // are permitted there must query other workers instead.
 func TestSmallJobsStartBesideGangReservation(t *testing.T) {
+	// minReservedCPU is the CPU of 50 of the gang's 60 tasks, in thousandths of a core.
+	const minReservedCPU = 50 * 60_000
 	long := slowQueryKind("long", 0, 1)
 	long.width, long.maxWidth, long.cores, long.maxCores, long.work = 130, 130, 60, 60, 2*time.Minute
 	gang, small := wideGangs(60, 60), slowQueryKind("small", 2, 0.25)
-	r := newReplay(0, 350, 44, long, gang, small)
-	r.decision = 50 * time.Millisecond
+	r := newReplay(0, mixedPool, usualConnections, long, gang, small)
+	r.decisionInterval = 50 * time.Millisecond
 	r.submit(long)
 	r.play(5*time.Second, 0)
 	r.submit(gang)
 	r.play(10*time.Second, 0)
-	must.Greater(t, 50*60_000, r.reservedCPU(gang.all[0]))
+	must.Greater(t, minReservedCPU, r.reservedCPU(gang.jobs[0]))
 	for range 40 {
 		r.submit(small)
 	}
 	must.LessEq(t, maxIdleWait, waitUntilAllStart(r, small))
-	must.SliceLen(t, 60, gang.all[0].pending[0], must.Sprint("the gang still waits"))
+	must.SliceLen(t, 60, gang.jobs[0].pending[0], must.Sprint("the gang still waits"))
 }
 
-// reservedCPU is the CPU that a decision reserves for a job, in thousandths of a core.
+// reservedCPU returns the CPU that a decision reserves for a job, in thousandths of a core.
 func (r *replay) reservedCPU(j *replayJob) (milliCPU int64) {
 	s, _ := r.step(j)
 	list := r.planningInput()
--- a/dispatch/reason_test.go
+++ b/dispatch/reason_test.go
@@ -17,6 +17,8 @@
 	return found
 }
 
+// waitingGang returns a gang of count tasks that need that many cores each. With nil
+// permits it may run on any worker.
 func waitingGang(job string, count int, need int64, permits map[string]Permit) Step {
 	s := step(job, count, need)
 	s.Spec.Gang = true
@@ -26,7 +28,8 @@
 	return s
 }
 
-// gangsAhead returns as many gangs as get a reservation, each with two tasks of four cores.
+// gangsAhead returns urgent gangs, as many as get a reservation, each with two tasks of
+// four cores.
 func gangsAhead(permits map[string]Permit) []Step {
 	var list []Step
 	for i := range maxReservedGangs {
@@ -38,7 +41,7 @@
 }
 
 // Guards against waiting steps that are listed under a wrong reason.
-func TestWaitingReasons(t *testing.T) {
+func TestWaitingStepsReportTheirReason(t *testing.T) {
 	valid := Permit{Granted: true, Expires: time.Hour}
 	expired := Permit{Granted: true}
 	noQueries := limits
@@ -71,7 +74,7 @@
 		{"a gang after others that would fit into reserved resources", append(gangsAhead(both), waitingGang("a", 1, 4, allExpired)), soon(workers(4, 0)), limits, ReasonReserved},
 		{"a gang after others that fits without tickets", append(gangsAhead(map[string]Permit{"w2": valid}), waitingGang("a", 2, 4, allExpired)),
 			workers(4, 4, 0), limits, ReasonAwaitsAdviser},
-		{"the same while no query may be sent", append(gangsAhead(map[string]Permit{"w2": valid}), waitingGang("a", 2, 4, allExpired)),
+		{"a gang after others that fits without tickets while no query may be sent", append(gangsAhead(map[string]Permit{"w2": valid}), waitingGang("a", 2, 4, allExpired)),
 			workers(4, 4, 0), noQueries, ReasonNoConnection},
 		{"a gang after others that fits only with reserved resources", append(gangsAhead(map[string]Permit{"w0": valid}), waitingGang("a", 3, 4, allExpired)),
 			soon(workers(4, 9)), limits, ReasonReserved},
@@ -88,8 +91,9 @@
 	}
 }
 
-// Guards against a gang that is listed as waiting for free resources while runs are preempted for it.
-func TestPreemptionReason(t *testing.T) {
+// Guards against a gang that is listed as waiting for free resources while runs are
+// preempted for the gang.
+func TestGangReportsPreemptionAsReason(t *testing.T) {
 	list := workers(0)
 	for range 4 {
 		list[0].Releases = append(list[0].Releases, Release{At: 9 * time.Second, Resources: cores(4), Priority: 2, Preemptible: true})
@@ -101,7 +105,7 @@
 	}
 }
 
-// Guards against reserved resources that are counted as taken by starts.
+// Guards against reserved resources that are counted as occupied by runs.
 func TestReservedResourcesAreSeparateFromFree(t *testing.T) {
 	list := workers(8, 4)
 	Decide(0, []Step{step("a", 1, 4), waitingGang("gang", 3, 4, nil)}, list, limits)
--- a/dispatch/replay_jobs_test.go
+++ b/dispatch/replay_jobs_test.go
@@ -10,38 +10,41 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// replayKind is a kind of job: how often it is submitted, what its steps need, and how the
-// adviser answers about them. Sizes are means; each CV is a coefficient of variation.
+// replayKind is a kind of job: how often it is submitted, what its steps need, and on which
+// share of the workers the adviser permits them. Sizes are means; each CV is a coefficient
+// of variation.
 type replayKind struct {
 	name string
-	// rate is in jobs per second; steps is the number of steps of a job, width of tasks of a
-	// step.
-	rate, steps, width     float64
+	// rate is in jobs per second. steps is the number of steps of a job, width the number
+	// of tasks of a step.
+	rate, steps, width float64
+	// cores and gb are the cores and GiB of memory of a task, work is its run time.
 	cores, gb              float64
 	work                   time.Duration
 	widthCV, coresCV, gbCV float64
 	workCV                 float64
 	maxWidth               float64
 	maxCores, maxGB        float64
-	// A job may take stretch times its longest chain of work plus objective.
+	// stretch and objective define how long a job may take: stretch times the summed run
+	// times of its steps, plus objective.
 	stretch   float64
 	objective time.Duration
 	priority  int
-	// value is that of a job of mean size.
+	// value is the value of a job of mean size.
 	value float64
-	// gangShare and checkpointingShare are shares of the steps, grantedShare is one of the
-	// workers, failingShare one of the runs.
+	// gangShare and checkpointingShare are shares of the steps, grantedShare is a share of
+	// the workers, failingShare a share of the runs.
 	gangShare, checkpointingShare, grantedShare, failingShare float64
-	// A query takes baseLatency plus perWorkerLatency for each worker; tickets are valid for
-	// ticketValidity.
+	// baseLatency plus perWorkerLatency for each worker is the time that a query takes;
+	// tickets are valid for ticketValidity.
 	baseLatency, perWorkerLatency, ticketValidity time.Duration
 
 	// grantRate is the moving mean of the share of workers that the adviser permits, over
-	// grantSamples answers.
+	// grantSamples responses.
 	grantRate, grantSamples float64
-	// all are the jobs submitted so far; inTime and late count those that ended in time or
+	// jobs are the jobs submitted so far; inTime and late count those that ended in time or
 	// late.
-	all          []*replayJob
+	jobs         []*replayJob
 	inTime, late int
 }
 
@@ -50,46 +53,62 @@
 	kind             *replayKind
 	id               string
 	begin, objective time.Duration
-	// step is the index of the current step; specs, works, pending and left are by step.
-	step    int
-	specs   []*workflow.Step
-	works   []time.Duration
-	pending [][]int
-	left    []int
+	// step is the index of the current step. By step, specs are the specifications, works
+	// the run times of a task, pending the tasks to start and unfinished the numbers of
+	// tasks that haven't ended.
+	step       int
+	specs      []*workflow.Step
+	works      []time.Duration
+	pending    [][]int
+	unfinished []int
 	// saved is the share of a task's work that the checkpoint of a preempted run holds.
 	saved map[workflow.TaskKey]float64
-	// These fields hold what is known of the permits of the current step.
+	// permits and the four fields after it are the permits, queries and tickets of the
+	// current step.
 	permits        map[string]Permit
 	pendingQueries int
 	lastQuery      time.Duration
 	renewing       []string
 	ticketsExpire  time.Duration
-	// ended is when the job ended, earnedShare the share of its value that it earned.
+	// ended is when the job ended, 0 before. earnedShare is the share of its value that it
+	// earned.
 	ended       time.Duration
 	earnedShare float64
-	// idleSince is when the job began to have no run although twice its resources were free; -1
-	// while this isn't so.
+	// idleSince is the time from which on the job has had no run although twice its
+	// resources were free; -1 while it has a run or they aren't free.
 	idleSince time.Duration
 }
 
-// logNormal draws a log-normal random number with a mean and a coefficient of variation; it
-// returns limit if the number is larger.
+// logNormal draws a log-normal random number with a mean and a coefficient of variation,
+// but returns at most limit.
 func (r *replay) logNormal(mean, cv, limit float64) float64 {
 	sigma := math.Sqrt(math.Log(1 + cv*cv))
 	x := mean * math.Exp(sigma*r.random.NormFloat64()-sigma*sigma/2)
 	return min(x, limit)
 }
 
+const (
+	// stepsCV is the coefficient of variation of the number of steps of a job.
+	stepsCV = 0.4
+	// maxStepsFactor and maxWorkFactor bound the number of steps of a job and the run time of
+	// a task, as multiples of their means.
+	maxStepsFactor = 3
+	maxWorkFactor  = 2.5
+	// minEstimateFactor is the smallest ratio of an estimated run time to the real one; the
+	// largest ratio is 1 more.
+	minEstimateFactor = 0.5
+)
+
 // submit submits a job of the kind.
 func (r *replay) submit(k *replayKind) *replayJob {
-	j := &replayJob{kind: k, id: fmt.Sprintf("%s%06d", k.name, len(k.all)), begin: r.now, lastQuery: r.now, saved: map[workflow.TaskKey]float64{},
+	j := &replayJob{kind: k, id: fmt.Sprintf("%s%06d", k.name, len(k.jobs)), begin: r.now, lastQuery: r.now, saved: map[workflow.TaskKey]float64{},
 		permits: map[string]Permit{}, idleSince: -1}
 	chain := time.Duration(0)
-	for range max(1, int(math.Round(r.logNormal(k.steps, 0.4, 3*k.steps)))) {
+	for range max(1, int(math.Round(r.logNormal(k.steps, stepsCV, maxStepsFactor*k.steps)))) {
 		count := max(1, int(math.Round(r.logNormal(k.width, k.widthCV, k.maxWidth))))
-		work := time.Duration(r.logNormal(float64(k.work), k.workCV, 2.5*float64(k.work)))
+		work := time.Duration(r.logNormal(float64(k.work), k.workCV, maxWorkFactor*float64(k.work)))
 		spec := &workflow.Step{
-			Count: count, EstimateMS: int64(float64(work.Milliseconds()) * (0.5 + r.random.Float64())),
+			Count: count, EstimateMS: int64(float64(work.Milliseconds()) * (minEstimateFactor + r.random.Float64())),
 			Need: workflow.Resources{MilliCPU: int64(1000 * r.logNormal(k.cores, k.coresCV, k.maxCores)), MemoryMB: int64(1024 * r.logNormal(k.gb, k.gbCV, k.maxGB))},
 			Gang: r.random.Float64() < k.gangShare, Checkpointing: r.random.Float64() < k.checkpointingShare,
 		}
@@ -97,13 +116,13 @@
 		for i := range indexes {
 			indexes[i] = i
 		}
-		j.specs, j.works, j.pending, j.left = append(j.specs, spec), append(j.works, work), append(j.pending, indexes), append(j.left, count)
+		j.specs, j.works, j.pending, j.unfinished = append(j.specs, spec), append(j.works, work), append(j.pending, indexes), append(j.unfinished, count)
 		chain += work
 	}
 	j.objective = time.Duration(k.stretch*float64(chain)) + k.objective
 	r.jobs = append(r.jobs, j)
 	r.markChanged(j)
-	k.all = append(k.all, j)
+	k.jobs = append(k.jobs, j)
 	return j
 }
 
@@ -119,19 +138,28 @@
 	}
 }
 
-// coreTime is the work of the job in thousandths of a core times nanoseconds.
+// coreTime returns the work of the job in thousandths of a core times nanoseconds.
 func (j *replayJob) coreTime() float64 {
-	a := 0.0
+	total := 0.0
 	for i, s := range j.specs {
-		a += float64(s.Count) * float64(s.Need.MilliCPU) * float64(j.works[i])
+		total += float64(s.Count) * float64(s.Need.MilliCPU) * float64(j.works[i])
 	}
-	return a
+	return total
 }
 
+const (
+	// fixedValueShare is the share of a job's value that doesn't depend on its size, and
+	// sizeValueShare is the share that grows with the size, for a job of mean size.
+	fixedValueShare = 0.3
+	sizeValueShare  = 0.7
+	// maxRelativeValue bounds the value of a job, as a multiple of that of a job of mean size.
+	maxRelativeValue = 4
+)
+
 // earned returns the total value of the kind's jobs, the value that they earned, and the shares
 // earned by all of them, the largest tenth and the next fifth. A larger job has more value.
 func (k *replayKind) earned() (total, earned float64, shares [3]float64) {
-	all, n := k.all, len(k.all)
+	all, n := k.jobs, len(k.jobs)
 	slices.SortFunc(all, func(a, b *replayJob) int { return cmp.Compare(b.coreTime(), a.coreTime()) })
 	mean := 0.0
 	for _, j := range all {
@@ -139,15 +167,15 @@
 	}
 	sum := func(jobs []*replayJob) (total, earned float64) {
 		for _, j := range jobs {
-			value := k.value * min(4, 0.3+0.7*j.coreTime()/mean)
+			value := k.value * min(maxRelativeValue, fixedValueShare+sizeValueShare*j.coreTime()/mean)
 			total += value
 			earned += value * j.earnedShare
 		}
 		return total, earned
 	}
 	for i, part := range [][]*replayJob{all, all[:n/10], all[n/10 : n*3/10]} {
-		o, g := sum(part)
-		shares[i] = g / o
+		partTotal, partEarned := sum(part)
+		shares[i] = partEarned / partTotal
 	}
 	total, earned = sum(all)
 	return total, earned, shares
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -12,50 +12,51 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// replay simulates the load of a large pool against Decide on a virtual clock: jobs arrive, an
-// adviser answers with a delay, runs take longer or shorter than estimated, some fail.
-// Everything follows from the seed.
+// replay simulates a loaded pool whose tasks Decide places, on a virtual clock: jobs
+// arrive, an adviser responds with a delay, runs take longer or shorter than estimated,
+// some fail. The simulation follows from the seed alone.
 type replay struct {
 	random *rand.Rand
 	now    time.Duration
-	// decision is the interval between two decisions.
-	decision time.Duration
-	limits   Limits
-	round    int
-	workers  []Worker
-	kinds    []*replayKind
-	jobs     []*replayJob
-	runs     map[workflow.TaskKey]*replayRun
+	// decisionInterval is the time between two decisions.
+	decisionInterval time.Duration
+	limits           Limits
+	round            int
+	workers          []Worker
+	kinds            []*replayKind
+	jobs             []*replayJob
+	runs             map[workflow.TaskKey]*replayRun
 	// connections holds when each adviser connection becomes free.
 	connections []time.Duration
-	answers     []replayResponse
+	responses   []replayResponse
 	earmarked   map[string]bool
-	// remaining are the workers as the last full decision left them, firstSkipped is the first
-	// step beyond its bound, and changed are the jobs with a change since then; see
-	// playIncremental.
+	// remaining are the workers as the last full decision left them, firstSkipped is the
+	// first step beyond its bound, and changed are the jobs with a change since then.
+	// Incremental decisions use them.
 	remaining    []Worker
 	firstSkipped *Step
 	changed      map[string]bool
 
-	// These are figures for the output: queries, preemptions and decisions, the longest
-	// decision, and the sum over the decisions of the share of cores that are free.
+	// queries, preemptions and decisions are totals for the output. longestDecision is the
+	// longest time that a decision took, in real time. freeSum is the sum over the
+	// decisions of the share of cores that are free.
 	queries, preemptions, decisions int
 	longestDecision                 time.Duration
 	freeSum                         float64
 }
 
-// replayRun is a live run.
+// replayRun is a live run of a task on the worker with an index.
 type replayRun struct {
 	job    *replayJob
 	task   workflow.TaskKey
 	worker int
-	// end is when the run ends, expected when it would end by its estimate, and duration how
-	// long it takes.
+	// end is when the run ends, expected is when it would end by its estimate, and duration
+	// is how long it takes unless it fails or is stopped.
 	begin, end, expected, duration time.Duration
 	fails, stops                   bool
 }
 
-// replayResponse is an answer of the adviser that is in flight.
+// replayResponse is a response of the adviser that is in flight and arrives at a time.
 type replayResponse struct {
 	at    time.Duration
 	job   *replayJob
@@ -63,23 +64,53 @@
 	query Query
 }
 
+const (
+	// mixedPool and largePool are numbers of workers.
+	mixedPool = 350
+	largePool = 1100
+	// usualConnections and largePoolConnections are numbers of adviser connections.
+	usualConnections     = 44
+	largePoolConnections = 152
+	// rackSize is the number of workers in a rack.
+	rackSize = 12
+	// longQueryTime is the duration beyond which a query is long.
+	longQueryTime = 150 * time.Millisecond
+	// responseDelay is the time from the end of a query until its response is applied.
+	responseDelay = 5 * time.Millisecond
+	// worthlessAfter is the multiple of its objective after which a job has no value left, and
+	// lateEarnedShare is the share of its value that a late job earns until then.
+	worthlessAfter  = 3
+	lateEarnedShare = 0.2
+	// minRunTimeFactor is the share of the estimated run time of its current step that a job
+	// must have left to count as in time.
+	minRunTimeFactor = 0.6
+	// minRemainingDivisor divides the duration of a run: at least that part of it is expected
+	// to remain.
+	minRemainingDivisor = 10
+	// minGrantRateWeight is the smallest weight of a response in the mean grant rate.
+	minGrantRateWeight = 0.05
+	// slowWorkerFactor is the ratio of run times on every third worker to those on others.
+	slowWorkerFactor = 1.3
+)
+
 // newReplay returns a pool of n workers with 64 cores and 256 GiB each, without load.
 func newReplay(seed uint64, n, connections int, kinds ...*replayKind) *replay {
 	r := &replay{
 		random: rand.New(rand.NewPCG(seed, 7)), kinds: kinds, connections: make([]time.Duration, connections),
-		runs: map[workflow.TaskKey]*replayRun{}, decision: 100 * time.Millisecond,
-		limits: Limits{WorkersPerQuery: 30, WorkersPerGangQuery: 100, Steps: 128, TicketMargin: 150 * time.Millisecond, LongQueryTime: 150 * time.Millisecond},
+		runs: map[workflow.TaskKey]*replayRun{}, decisionInterval: 100 * time.Millisecond,
+		limits: Limits{WorkersPerQuery: 30, WorkersPerGangQuery: 100, Steps: 128, TicketMargin: 150 * time.Millisecond, LongQueryTime: longQueryTime},
 	}
 	for i := range n {
 		capacity := workflow.Resources{MilliCPU: 64_000, MemoryMB: 262_144}
 		r.workers = append(r.workers, Worker{
-			Worker: workflow.Worker{ID: fmt.Sprintf("w%03d", i), Service: "s", Rack: fmt.Sprint("r", i/12), Capacity: capacity}, Free: capacity,
+			Worker: workflow.Worker{ID: fmt.Sprintf("w%03d", i), Service: "s", Rack: fmt.Sprint("r", i/rackSize), Capacity: capacity}, Free: capacity,
 		})
 	}
 	return r
 }
 
-// permits reports whether the adviser permits a step on a worker. The answer never changes.
+// permits reports whether the adviser permits a step on a worker, pseudo-randomly for a
+// share of the workers. The result never changes.
 func (r *replay) permits(key workflow.StepKey, worker string, share float64) bool {
 	h := fnv.New32a()
 	_, _ = fmt.Fprint(h, key, worker)
@@ -100,9 +131,9 @@
 		ResponseTime: func(n int) time.Duration { return k.baseLatency + time.Duration(n)*k.perWorkerLatency },
 	}
 	switch age := r.now - j.begin; {
-	case age > 3*j.objective:
+	case age > worthlessAfter*j.objective:
 		s.Lateness = 2
-	case age+time.Duration(0.6*float64(spec.EstimateMS)*1e6) > j.objective:
+	case age+time.Duration(minRunTimeFactor*float64(spec.EstimateMS)*1e6) > j.objective:
 		s.Lateness = 1
 	}
 	return s, true
@@ -149,9 +180,9 @@
 	}
 }
 
-// decideIncremental makes a decision for the changed jobs alone, with the resources that the
-// last full one left. Jobs that don't precede the first step beyond its bound wait for the next
-// full decision.
+// decideIncremental makes a decision for the changed jobs alone, with the resources that
+// the last full decision left. Jobs that don't precede the first step beyond the bound of
+// that decision wait for the next full decision.
 func (r *replay) decideIncremental() {
 	var steps []Step
 	jobs := map[workflow.StepKey]*replayJob{}
@@ -174,9 +205,9 @@
 // playIncremental runs the replay with submissions until a time, with incremental decisions
 // every tick between full ones.
 func (r *replay) playIncremental(until, tick time.Duration) {
-	fullInterval := r.decision
-	defer func() { r.decision = fullInterval }()
-	r.decision = tick
+	fullInterval := r.decisionInterval
+	defer func() { r.decisionInterval = fullInterval }()
+	r.decisionInterval = tick
 	for next := r.now; r.now < until; r.advance() {
 		r.arrive(tick)
 		if r.now < next {
@@ -188,6 +219,7 @@
 	}
 }
 
+// recordEarmarks keeps the earmarks of a plan for the next decision.
 func (r *replay) recordEarmarks(workers []string) {
 	r.earmarked = map[string]bool{}
 	for _, id := range workers {
@@ -203,7 +235,7 @@
 	}
 	for _, run := range r.runs {
 		spec := run.job.specs[run.task.Step]
-		release := Release{At: max(run.expected, r.now+run.duration/10), Resources: spec.Demand(), Task: run.task, Priority: run.job.kind.priority,
+		release := Release{At: max(run.expected, r.now+run.duration/minRemainingDivisor), Resources: spec.Demand(), Task: run.task, Priority: run.job.kind.priority,
 			Preemptible: spec.Checkpointing && !spec.Gang && !run.stops}
 		if run.stops {
 			release.At, release.Stopping = r.now+StopTime/2, true
@@ -233,8 +265,7 @@
 	return all, long
 }
 
-// shortQueryDivisor is the divisor of the connections that gives those reserved for short
-// queries.
+// shortQueryDivisor divides the connections: that part is reserved for short queries.
 const shortQueryDivisor = 6
 
 // query sends a query on the connection that becomes free first.
@@ -242,7 +273,7 @@
 	r.queries++
 	length := j.kind.baseLatency + time.Duration(len(query.Workers))*j.kind.perWorkerLatency
 	usable := r.connections
-	if length > 150*time.Millisecond {
+	if length > longQueryTime {
 		usable = usable[len(usable)/shortQueryDivisor:]
 	}
 	first := 0
@@ -257,13 +288,13 @@
 	if query.Renewal {
 		j.renewing = query.Workers
 	}
-	r.answers = append(r.answers, replayResponse{at: usable[first] + 5*time.Millisecond, job: j, key: query.Step, query: query})
+	r.responses = append(r.responses, replayResponse{at: usable[first] + responseDelay, job: j, key: query.Step, query: query})
 }
 
-// applyResponse applies an answer of the adviser.
-func (r *replay) applyResponse(a replayResponse) {
-	j, k := a.job, a.job.kind
-	if j.ended > 0 || j.step != a.key.Step {
+// applyResponse applies a response of the adviser.
+func (r *replay) applyResponse(response replayResponse) {
+	j, k := response.job, response.job.kind
+	if j.ended > 0 || j.step != response.key.Step {
 		return
 	}
 	j.pendingQueries--
@@ -271,23 +302,23 @@
 	j.renewing = nil
 	known := maps.Clone(j.permits)
 	unknown, granted := 0, 0
-	for _, w := range a.query.Workers {
+	for _, w := range response.query.Workers {
 		_, knownBefore := j.permits[w]
-		ok := r.permits(a.key, w, k.grantedShare)
-		if ok {
-			j.ticketsExpire = a.at + k.ticketValidity
+		permitted := r.permits(response.key, w, k.grantedShare)
+		if permitted {
+			j.ticketsExpire = response.at + k.ticketValidity
 		}
-		known[w] = Permit{Granted: ok, Ticket: "t", Expires: a.at + k.ticketValidity}
+		known[w] = Permit{Granted: permitted, Ticket: "t", Expires: response.at + k.ticketValidity}
 		if !knownBefore {
 			unknown++
-			if ok {
+			if permitted {
 				granted++
 			}
 		}
 	}
 	if unknown > 0 {
 		k.grantSamples++
-		k.grantRate += max(0.05, 1/k.grantSamples) * (float64(granted)/float64(unknown) - k.grantRate)
+		k.grantRate += max(minGrantRateWeight, 1/k.grantSamples) * (float64(granted)/float64(unknown) - k.grantRate)
 	}
 	j.permits = known
 }
@@ -305,7 +336,7 @@
 	w := slices.IndexFunc(r.workers, func(w Worker) bool { return w.ID == s.Worker })
 	r.workers[w].Free = r.workers[w].Free.Minus(spec.Demand())
 	remaining := 1 - j.saved[s.Task]
-	runTime := time.Duration(remaining * float64(work) * []float64{1, 1, 1.3}[w%3])
+	runTime := time.Duration(remaining * float64(work) * []float64{1, 1, slowWorkerFactor}[w%3])
 	run := &replayRun{job: j, task: s.Task, worker: w, begin: r.now, end: r.now + runTime, duration: runTime,
 		expected: r.now + time.Duration(remaining*float64(spec.EstimateMS)*1e6)}
 	if !spec.Gang && r.random.Float64() < j.kind.failingShare {
@@ -347,8 +378,8 @@
 		j.pending[step] = append(j.pending[step], run.task.Index)
 		return
 	}
-	j.left[step]--
-	if j.left[step] > 0 {
+	j.unfinished[step]--
+	if j.unfinished[step] > 0 {
 		return
 	}
 	j.step++
@@ -361,20 +392,20 @@
 	case age <= j.objective:
 		j.kind.inTime++
 		j.earnedShare = 1
-	case age <= 3*j.objective:
+	case age <= worthlessAfter*j.objective:
 		j.kind.late++
-		j.earnedShare = 0.2
+		j.earnedShare = lateEarnedShare
 	}
 }
 
 // advance moves the clock to the next decision and applies what happens until then.
 func (r *replay) advance() {
-	r.now += r.decision
-	r.answers = slices.DeleteFunc(r.answers, func(a replayResponse) bool {
-		if a.at > r.now {
+	r.now += r.decisionInterval
+	r.responses = slices.DeleteFunc(r.responses, func(response replayResponse) bool {
+		if response.at > r.now {
 			return false
 		}
-		r.applyResponse(a)
+		r.applyResponse(response)
 		return true
 	})
 	var ended []*replayRun
@@ -391,7 +422,7 @@
 	r.freeSum += r.freeShare()
 }
 
-// freeShare is the share of the pool's cores that no run occupies.
+// freeShare returns the share of the pool's cores that no run occupies.
 func (r *replay) freeShare() float64 {
 	free, all := int64(0), int64(0)
 	for i := range r.workers {
@@ -401,11 +432,12 @@
 	return float64(free) / float64(all)
 }
 
-// play runs the replay for traffic with submissions and then for rest without any.
-func (r *replay) play(traffic, rest time.Duration) {
-	for r.now < traffic+rest {
-		if r.now < traffic {
-			r.arrive(r.decision)
+// play runs the replay with submissions until a time and without any for the time quiet
+// after that.
+func (r *replay) play(until, quiet time.Duration) {
+	for r.now < until+quiet {
+		if r.now < until {
+			r.arrive(r.decisionInterval)
 		}
 		r.decide()
 		r.advance()
@@ -425,8 +457,9 @@
 	return steps, gangs
 }
 
-// longestIdleWait records since when each job without a run would find twice its resources on
-// permitted workers, alongside all such jobs before it, and returns the longest of these times.
+// longestIdleWait updates idleSince of all jobs and returns the longest time that a job has
+// been idle. A job is idle if it has no run although twice its resources are free on
+// permitted workers, besides those of the idle jobs before it.
 func (r *replay) longestIdleWait() time.Duration {
 	longest := time.Duration(0)
 	free := slices.Clone(r.workers)
--- a/workflow/check.go
+++ b/workflow/check.go
@@ -41,7 +41,8 @@
 	return &CheckError{Field: field, Message: fmt.Sprintf(format, args...)}
 }
 
-// Check returns a *CheckError if a job can't be accepted, nil otherwise.
+// Check returns a *CheckError for the first field for which a job can't be accepted, nil if
+// there is none.
 func Check(payload string, steps []Step, schedule Schedule) error {
 	switch {
 	case len(payload) > MaxPayload:
@@ -78,9 +79,9 @@
 	case s.MaxPerWorker < 0 || s.MaxUnavailable < 0 || s.LatencyObjectiveMS < 0:
 		return checkErrorf(FieldMaxPerWorker, "step %d has a negative limit of tasks per worker or of unavailable tasks, or a negative latency objective", index)
 	}
-	for _, before := range s.DependsOn {
-		if before < 0 || before >= index {
-			return checkErrorf(FieldAfter, "step %d depends on %d, which isn't an earlier step", index, before)
+	for _, dependency := range s.DependsOn {
+		if dependency < 0 || dependency >= index {
+			return checkErrorf(FieldAfter, "step %d depends on %d, which isn't an earlier step", index, dependency)
 		}
 	}
 	return nil
@@ -98,7 +99,7 @@
 func CheckWave(w *Wave) *CheckError {
 	switch {
 	case w.ID <= 0:
-		return &CheckError{FieldWaveID, "it is missing or not above 0"}
+		return &CheckError{FieldWaveID, "the ID is missing or not above 0"}
 	case len(w.Machines) == 0 || len(w.Machines) > MaxTasks:
 		return &CheckError{FieldWaveMachines, fmt.Sprintf("%d machines, 1 to %d are allowed", len(w.Machines), MaxTasks)}
 	case w.DurationMS <= 0:
--- a/workflow/state.go
+++ b/workflow/state.go
@@ -10,15 +10,15 @@
 // Task is the replicated state of a task.
 type Task struct {
 	Done bool `cbor:"1,keyasint,omitempty"`
-	// Runs counts the starts.
+	// Runs counts the runs that were started.
 	Runs int `cbor:"2,keyasint,omitempty"`
 	// Live counts the runs that may still be alive.
 	Live int `cbor:"3,keyasint,omitempty"`
 	// Failures counts the runs that failed.
 	Failures   int    `cbor:"4,keyasint,omitempty"`
 	Checkpoint string `cbor:"5,keyasint,omitempty"`
-	// CrashedOn are the workers that crashed under runs of the task. StrongCrashes counts those
-	// with SuspicionStrong.
+	// CrashedOn are the workers that crashed while they ran the task. StrongCrashes counts
+	// those with SuspicionStrong.
 	CrashedOn     []string `cbor:"6,keyasint,omitempty"`
 	StrongCrashes int      `cbor:"7,keyasint,omitempty"`
 	// Unresolved counts the runs of the task that ended with the lease of their worker while it
@@ -31,13 +31,14 @@
 	Tasks []Task `cbor:"1,keyasint"`
 	// Done counts the tasks that are done.
 	Done int `cbor:"2,keyasint,omitempty"`
-	// GangRun is the number of the latest run of a gang. GangFailures counts the failed runs,
-	// once for all members.
+	// GangRun is the number of the latest run of a gang. GangFailures counts its failed
+	// runs; a run counts once, however many members fail.
 	GangRun      int `cbor:"3,keyasint,omitempty"`
 	GangFailures int `cbor:"4,keyasint,omitempty"`
-	// GangFailedRun is the latest run that was counted as failed.
+	// GangFailedRun is the number of the latest run of a gang that was counted as failed.
 	GangFailedRun int `cbor:"5,keyasint,omitempty"`
-	// GangEndedRun is the latest run of which a member ended without being done.
+	// GangEndedRun is the number of the latest run of a gang of which a member ended
+	// without being done.
 	GangEndedRun int `cbor:"6,keyasint,omitempty"`
 }
 
@@ -57,12 +58,12 @@
 	Occurrences [][]StepState `cbor:"6,keyasint"`
 	Cancelled   bool          `cbor:"7,keyasint,omitempty"`
 	Failed      bool          `cbor:"8,keyasint,omitempty"`
-	// Begun says that a run has ended that a worker had started. The commit of a start doesn't
-	// set it, since the worker may never carry out the order.
+	// Started says that a run that a worker had started has ended. The commit of a start
+	// doesn't set it, since the worker may never carry out the order.
 	Started bool `cbor:"9,keyasint,omitempty"`
 	// Unfinished counts the tasks that aren't done.
 	Unfinished int `cbor:"10,keyasint,omitempty"`
-	// Index is the log index of the acceptance, which orders jobs by age.
+	// Index is the log index of the submission; jobs with lower indexes are older.
 	Index uint64 `cbor:"11,keyasint"`
 	// CrashingTask is the task whose worker crashes failed the job, nil for none.
 	CrashingTask *TaskKey `cbor:"13,keyasint,omitempty"`
@@ -76,6 +77,8 @@
 
 // Phases of a job.
 const (
+	// PhasePending: no run that a worker had started has ended yet. PhaseActive: such a run
+	// has ended.
 	PhasePending Phase = iota + 1
 	PhaseActive
 	PhaseDone
@@ -108,7 +111,7 @@
 	}
 }
 
-// Due reports whether an occurrence may start at now, a wall clock time.
+// Due reports whether an occurrence may start at the wall clock time now.
 func (j *Job) Due(occurrence int, now time.Time) bool {
 	if j.Schedule.Times == 0 {
 		return true
@@ -119,8 +122,8 @@
 // StepReady reports whether all steps that step depends on have ended.
 func (j *Job) StepReady(occurrence, step int) bool {
 	states := j.Occurrences[occurrence]
-	for _, before := range j.Steps[step].DependsOn {
-		if states[before].Done < len(states[before].Tasks) {
+	for _, dependency := range j.Steps[step].DependsOn {
+		if states[dependency].Done < len(states[dependency].Tasks) {
 			return false
 		}
 	}
@@ -134,7 +137,7 @@
 	// Runs holds the runs that may be alive, by worker.
 	Runs          map[string]map[TaskKey]Run `cbor:"-"`
 	Configuration Document                   `cbor:"3,keyasint"`
-	// RunList holds Runs as a snapshot stores them; it is empty otherwise.
+	// RunList is the encoded form of Runs in a snapshot; it is empty outside of snapshots.
 	RunList []Run `cbor:"4,keyasint"`
 	// Waves are the maintenance waves of the operator, by ID.
 	Waves map[int64]*WaveState `cbor:"5,keyasint,omitempty"`
