--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -18,8 +18,8 @@
 	incarnation uint64
 	running     map[AttemptRef]bool
 	// stopped are the attempts that it has proved never to start.
-	stopped map[AttemptRef]bool
-	ended   map[AttemptRef]bool
+	notStarted map[AttemptRef]bool
+	ended      map[AttemptRef]bool
 }
 
 // stateHarness applies random commands, among them late, duplicate and invalid
@@ -77,7 +77,7 @@
 		h.fakeWorkers[id] = w
 	}
 	w.incarnation++
-	w.running, w.stopped, w.ended = make(map[AttemptRef]bool), make(map[AttemptRef]bool), make(map[AttemptRef]bool)
+	w.running, w.notStarted, w.ended = make(map[AttemptRef]bool), make(map[AttemptRef]bool), make(map[AttemptRef]bool)
 	capacity := placement.Resources{CPU: 4000, Memory: 4096}
 	if rapid.Bool().Draw(h.t, "smaller") {
 		capacity.CPU = 2000
@@ -148,7 +148,7 @@
 		h.undelivered = append(h.undelivered[:i:i], h.undelivered[i+1:]...)
 	}
 	w := h.fakeWorkers[c.Worker]
-	if w.incarnation != c.Incarnation || w.running[c.Ref] || w.stopped[c.Ref] || w.ended[c.Ref] {
+	if w.incarnation != c.Incarnation || w.running[c.Ref] || w.notStarted[c.Ref] || w.ended[c.Ref] {
 		return
 	}
 	h.mustNotRunElsewhere(c.Ref)
@@ -188,7 +188,7 @@
 	case w.ended[ref]:
 		outcome = Finished
 	default:
-		w.stopped[ref] = true
+		w.notStarted[ref] = true
 	}
 	end := &End{Worker: id, Incarnation: w.incarnation, Reports: []Report{{Ref: ref, Outcome: outcome}, {Ref: ref, Outcome: Failed}}}
 	h.apply(&Command{End: end})
--- a/placement/admit.go
+++ b/placement/admit.go
@@ -96,8 +96,8 @@
 		return AdmissionDecision{Admitted: true}
 	}
 	limit := int(float64(c.opts.MaxQueue) * c.opts.MaxCustomerShare)
-	if len(c.queue.customers) > 1 && e.account.tasks+e.job.Tasks > limit {
-		return refuse(ReasonQueueFull, c.backlogRetryAfter(), "%d tasks of the customer are queued and the limit is %d", e.account.tasks, limit)
+	if len(c.queue.customers) > 1 && e.customer.tasks+e.job.Tasks > limit {
+		return refuse(ReasonQueueFull, c.backlogRetryAfter(), "%d tasks of the customer are queued and the limit is %d", e.customer.tasks, limit)
 	}
 	if c.queue.tasks+e.job.Tasks <= c.opts.MaxQueue {
 		return AdmissionDecision{Admitted: true}
@@ -124,10 +124,10 @@
 	if len(c.queue.customers) < 2 || e.job.Deadline.IsZero() || e.job.Policy == Service || e.job.Urgent {
 		return AdmissionDecision{Admitted: true}
 	}
-	horizon := laterOf(laterOf(e.job.Deadline, e.account.horizon), now.Add(minShareHorizon))
+	horizon := laterOf(laterOf(e.job.Deadline, e.customer.horizon), now.Add(minShareHorizon))
 	horizonSeconds := horizon.Sub(now).Seconds()
 	shareRate := c.capacityRate().times(c.opts.Efficiency * c.opts.MaxCustomerShare)
-	customerDemand := e.account.queuedDemand.plus(e.expectedDemand())
+	customerDemand := e.customer.queuedDemand.plus(e.expectedDemand())
 	if !customerDemand.exceeds(shareRate.times(horizonSeconds), e.need) {
 		return AdmissionDecision{Admitted: true}
 	}
--- a/placement/arrivals/generate.go
+++ b/placement/arrivals/generate.go
@@ -100,21 +100,21 @@
 	g.makeTemplates()
 	rate := workload.Load - workload.Services
 	budget := rate * workload.Duration.Seconds()
-	var list []Arrival
+	var arrivals []Arrival
 	var at float64
 	var generated siteSeconds
 	for n := 0; generated.largest() < budget; n++ {
 		a := g.newArrival(n)
 		generated = generated.plus(siteSecondsOf(a, site.total()))
 		at += g.rand.ExpFloat64()
-		list = append(list, a)
-		list[n].At = time.Duration(at * float64(time.Second))
+		arrivals = append(arrivals, a)
+		arrivals[n].At = time.Duration(at * float64(time.Second))
 	}
 	stretch := workload.Duration.Seconds() / at
-	for i := range list {
-		list[i].resolveTimes(stretch)
+	for i := range arrivals {
+		arrivals[i].resolveTimes(stretch)
 	}
-	return list
+	return arrivals
 }
 
 // resolveTimes scales the arrival time and makes the relative deadline
@@ -252,7 +252,7 @@
 const floodTaskRuntime = 3 * time.Minute
 
 // Add returns the arrivals merged with the jobs of the flood, ordered by time.
-func (f Flood) Add(site Site, list []Arrival) []Arrival {
+func (f Flood) Add(site Site, arrivals []Arrival) []Arrival {
 	need := resources(4, 12)
 	const tasks = 10
 	perJob := floodTaskRuntime.Seconds() * tasks * float64(need.CPU) / float64(site.total().CPU)
@@ -260,11 +260,11 @@
 	for i := range count {
 		at := f.From + (f.Until-f.From)*time.Duration(i)/time.Duration(count)
 		now := epoch.Add(at)
-		list = append(list, Arrival{At: at, ActualRuntime: floodTaskRuntime, Job: placement.Job{
+		arrivals = append(arrivals, Arrival{At: at, ActualRuntime: floodTaskRuntime, Job: placement.Job{
 			ID: fmt.Sprintf("f%06d", i), Customer: f.Customer, Name: "flood", Policy: placement.Batch, Tasks: tasks,
 			Need: need, Runtime: floodTaskRuntime, Submitted: now, Deadline: now.Add(12 * time.Hour), Idempotent: true,
 		}})
 	}
-	slices.SortStableFunc(list, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
-	return list
+	slices.SortStableFunc(arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
+	return arrivals
 }
--- a/placement/arrivals/measure_test.go
+++ b/placement/arrivals/measure_test.go
@@ -55,13 +55,13 @@
 
 // sites returns the sites that the flag -only selects.
 func sites() []Site {
-	var list []Site
+	var selected []Site
 	for _, s := range []Site{Rackwise(), Himalaya(), GrowthTarget()} {
 		if *only == "" || *only == s.Name {
-			list = append(list, s)
+			selected = append(selected, s)
 		}
 	}
-	return list
+	return selected
 }
 
 // TestLoad prints the reports of the baseline, the scheduler and the oracle at
@@ -131,9 +131,9 @@
 		for seed := uint64(1); seed <= *seeds; seed++ {
 			for _, size := range []float64{0, 0.5, 1, 2, 5} {
 				workload := DefaultWorkload(seed, 0.6)
-				list := Flood{Customer: "flood", Load: size, From: time.Hour, Until: 3 * time.Hour}.Add(site, Generate(site, workload))
+				arrivals := Flood{Customer: "flood", Load: size, From: time.Hour, Until: 3 * time.Hour}.Add(site, Generate(site, workload))
 				for name, o := range map[string]placement.Options{"baseline": placement.BaselineOptions(), "placement": placement.DefaultOptions()} {
-					r := Replay(Config{Site: site, Options: o, Services: workload.Services}, list)
+					r := Replay(Config{Site: site, Options: o, Services: workload.Services}, arrivals)
 					fmt.Printf("%s seed %d flood %.1f %-9s others p50 %v p90 %v p99 %v refused %d | refused %.2f%% missed %.3f%%\n", site.Name, seed, size, name,
 						r.OthersWait("flood", 0.5), r.OthersWait("flood", 0.9), r.OthersWait("flood", 0.99).Round(time.Second), r.Refused()-r.refusedBy["flood"], 100*r.RefusalRate(), 100*r.MissRate())
 				}
--- a/placement/arrivals/plot_test.go
+++ b/placement/arrivals/plot_test.go
@@ -24,9 +24,9 @@
 	p.Y.Label.Text = "useful work, percent of the capacity"
 	p.Legend.Top, p.Legend.Left = true, true
 	base, scheduled := make(plotter.XYs, len(points)), make(plotter.XYs, len(points))
-	for i, x := range points {
-		base[i].X, base[i].Y = x.load, x.baseline
-		scheduled[i].X, scheduled[i].Y = x.load, x.scheduled
+	for i, point := range points {
+		base[i].X, base[i].Y = point.load, point.baseline
+		scheduled[i].X, scheduled[i].Y = point.load, point.scheduled
 	}
 	must.NoError(t, plotutil.AddLinePoints(p, "placement", scheduled, "first come, first fit", base))
 	must.NoError(t, p.Save(14*vg.Centimeter, 9*vg.Centimeter, file))
--- a/placement/arrivals/site.go
+++ b/placement/arrivals/site.go
@@ -48,19 +48,19 @@
 // workers returns the workers of the site, all live.
 func (s Site) workers() []placement.Worker {
 	left := s.Accelerators
-	list := make([]placement.Worker, s.Workers)
-	for i := range list {
+	workers := make([]placement.Worker, s.Workers)
+	for i := range workers {
 		capacity := s.Capacity
 		capacity.Accelerators = int64(min(left, acceleratorsPerWorker))
 		left -= int(capacity.Accelerators)
-		list[i] = placement.Worker{
+		workers[i] = placement.Worker{
 			ID:       fmt.Sprintf("w%03d", i),
 			Rack:     fmt.Sprintf("r%02d", i/s.WorkersPerRack),
 			Capacity: capacity,
 			Live:     true,
 		}
 	}
-	return list
+	return workers
 }
 
 // total returns the capacity of all workers.
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -130,16 +130,16 @@
 // tasks.
 func BenchmarkAdmit(b *testing.B) {
 	g := newBenchCluster(b)
-	took := hdrhistogram.New(1, int64(time.Second), 3)
+	durations := hdrhistogram.New(1, int64(time.Second), 3)
 	j := g.enqueueJob()
 	b.ResetTimer()
 	for b.Loop() {
 		j.Deadline = g.now.Add(time.Duration(1+g.rand.IntN(20)) * time.Hour)
 		begin := time.Now()
 		g.cluster.Admit(j, g.now, unlimited)
-		_ = took.RecordValue(int64(time.Since(begin)))
+		_ = durations.RecordValue(int64(time.Since(begin)))
 	}
-	b.ReportMetric(float64(took.ValueAtQuantile(99))/1000, "p99-µs")
+	b.ReportMetric(float64(durations.ValueAtQuantile(99))/1000, "p99-µs")
 }
 
 // BenchmarkDequeueAll measures the removal of all jobs of a queue of 10,000
--- a/placement/cluster.go
+++ b/placement/cluster.go
@@ -342,9 +342,9 @@
 // SetLimit bounds what the running tasks of a customer may use at once. A
 // negative field means unlimited. Customers are unlimited by default.
 func (c *Cluster) SetLimit(customer string, limit Resources) {
-	account := c.queue.customer(customer)
-	account.limited = true
-	account.limit = limit
+	record := c.queue.customer(customer)
+	record.limited = true
+	record.limit = limit
 }
 
 // SetWeight sets the weight of a customer, by which contended capacity is
--- a/placement/cluster_test.go
+++ b/placement/cluster_test.go
@@ -229,10 +229,10 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := NewCluster(small)
 			addWorkers(c, 4, cores(4), 2)
-			v := c.Admit(tc.job, start, tc.avail)
-			must.EqOp(t, tc.want, v.Reason, must.Sprint(v.Detail))
-			must.EqOp(t, tc.want == ReasonNone, v.Admitted)
-			must.EqOp(t, tc.retry, v.RetryAfter > 0)
+			decision := c.Admit(tc.job, start, tc.avail)
+			must.EqOp(t, tc.want, decision.Reason, must.Sprint(decision.Detail))
+			must.EqOp(t, tc.want == ReasonNone, decision.Admitted)
+			must.EqOp(t, tc.retry, decision.RetryAfter > 0)
 		})
 	}
 	must.EqOp(t, ReasonNoWorkers, NewCluster(small).Admit(gang(1), start, unlimited).Reason)
@@ -253,9 +253,9 @@
 		}
 	}
 	must.Between(t, 10, admitted, 999)
-	v := c.Admit(newBatchJob("f", "loud", 10, cores(1), 10*time.Minute, 12*time.Hour), start, unlimited)
-	must.EqOp(t, ReasonQueueFull, v.Reason)
-	must.Positive(t, v.RetryAfter)
+	decision := c.Admit(newBatchJob("f", "loud", 10, cores(1), 10*time.Minute, 12*time.Hour), start, unlimited)
+	must.EqOp(t, ReasonQueueFull, decision.Reason)
+	must.Positive(t, decision.RetryAfter)
 	must.True(t, c.Admit(newBatchJob("q", "quiet", 10, cores(1), 10*time.Minute, 2*time.Hour), start, unlimited).Admitted)
 }
 
--- a/placement/demand.go
+++ b/placement/demand.go
@@ -43,9 +43,9 @@
 	// minBucketSeconds is the width, in seconds, of the buckets for the closest
 	// deadlines.
 	minBucketSeconds = 1
-	// bucketsPerOctave limits the width of a bucket to 1/32 of the time to the
+	// maxBucketsToDeadline limits the width of a bucket to 1/32 of the time to the
 	// deadline.
-	bucketsPerOctave = 32
+	maxBucketsToDeadline = 32
 )
 
 // demand sums the estimated work of the queue by deadline. Deadlines are
@@ -130,7 +130,7 @@
 func bucketOf(deadline, submitted time.Time) int64 {
 	distance := int64(deadline.Sub(submitted) / time.Second)
 	width := int64(minBucketSeconds)
-	for width*bucketsPerOctave < distance {
+	for width*maxBucketsToDeadline < distance {
 		width *= 2
 	}
 	return deadline.Unix() / width * width
--- a/placement/enqueue.go
+++ b/placement/enqueue.go
@@ -15,7 +15,7 @@
 	e := c.newEntry(j)
 	c.queue.add(e)
 	c.demand.add(e, 1)
-	e.account.countQueued(e, 1)
+	e.customer.countQueued(e, 1)
 }
 
 // updateRemaining handles the most frequent replacement cheaply: the same batch
@@ -31,10 +31,10 @@
 		return false
 	}
 	c.demand.adjust(e, -1)
-	e.account.countQueued(e, -1)
+	e.customer.countQueued(e, -1)
 	c.queue.setRemaining(e, j.Tasks)
 	c.demand.adjust(e, 1)
-	e.account.countQueued(e, 1)
+	e.customer.countQueued(e, 1)
 	return true
 }
 
@@ -68,7 +68,7 @@
 	}
 	c.queue.remove(e)
 	c.demand.add(e, -1)
-	e.account.countQueued(e, -1)
+	e.customer.countQueued(e, -1)
 }
 
 // Queued returns the number of queued tasks.
@@ -77,7 +77,7 @@
 // newEntry computes the queue entry of a job. It does not enqueue it.
 func (c *Cluster) newEntry(j Job) *entry {
 	run := c.estimator.runtime(j.Customer, j.Name, j.Runtime)
-	e := &entry{job: j, need: c.NeedOf(j), runtime: run, class: c.classOf(j), account: c.queue.customer(j.Customer)}
+	e := &entry{job: j, need: c.NeedOf(j), runtime: run, class: c.classOf(j), customer: c.queue.customer(j.Customer)}
 	e.latestStart = farFuture
 	e.lastFeasibleStart = farFuture
 	if !j.Deadline.IsZero() && j.Policy != Service {
--- a/placement/explain.go
+++ b/placement/explain.go
@@ -49,14 +49,14 @@
 	for _, f := range counts {
 		rejected += f.Workers
 	}
-	account := c.queue.customer(e.job.Customer)
+	record := c.queue.customer(e.job.Customer)
 	switch {
 	case e.delayed:
 		return fmt.Sprintf("in backoff until %s after a failed attempt", e.job.NotBefore.UTC().Format(time.RFC3339))
 	case c.JobSuspect(e.job.ID):
 		return fmt.Sprintf("the job failed on %d workers and succeeded on none: the job is probably at fault, not the workers", len(c.jobs[e.job.ID].failedOn))
-	case !account.allows(e.need):
-		return fmt.Sprintf("the customer's running tasks use up its limit of %v", account.limit)
+	case !record.allows(e.need):
+		return fmt.Sprintf("the customer's running tasks use up its limit of %v", record.limit)
 	case len(c.byID) == 0:
 		return "no worker is known"
 	case rejected == len(c.byID):
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -35,7 +35,7 @@
 	submittedMicros   int64
 	// large marks a batch job whose tasks need a large share of a worker.
 	large    bool
-	account  *customer
+	customer *customer
 	subqueue *subqueue
 	// delayed is set while the entry waits for its NotBefore.
 	delayed bool
--- a/placement/reserve.go
+++ b/placement/reserve.go
@@ -177,11 +177,11 @@
 		}
 		least = least[:min(n, len(least))]
 	}
-	list := make([]*customer, len(least))
+	customers := make([]*customer, len(least))
 	for i, item := range least {
-		list[i] = item.customer
+		customers[i] = item.customer
 	}
-	return list
+	return customers
 }
 
 // blockedBatchHead returns the batch entry of the customer with the earliest
--- a/placement/state_machine_test.go
+++ b/placement/state_machine_test.go
@@ -106,7 +106,7 @@
 }
 
 // Learn adds a random sample.
-func (m *stateMachine) Learn(t *rapid.T) {
+func (m *stateMachine) MeasureTask(t *rapid.T) {
 	need := m.amount(t, 4)
 	m.c.AddSample(Sample{Customer: "a", Name: "n", Declared: time.Minute, Measured: time.Duration(rapid.IntRange(1, 600).Draw(t, "measured")) * time.Second,
 		Need: need, Peak: need.times(rapid.Int64Range(0, 2).Draw(t, "peak"))})
@@ -118,7 +118,7 @@
 }
 
 // Pass advances the time.
-func (m *stateMachine) Pass(t *rapid.T) {
+func (m *stateMachine) PassTime(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "pass")) * time.Second)
 }
 
