--- a/placement/admit.go
+++ b/placement/admit.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// minRetryAfter is the shortest retry delay that a refusal names. It
+	// minRetryAfter is the shortest retry delay that a refusal names. The bound
 	// prevents refused callers from resending immediately.
 	minRetryAfter = time.Second
 	// minShareHorizon is the shortest period over which a customer's share of
@@ -21,9 +21,9 @@
 // Admit decides whether a job can be accepted now. available is the rest of the
 // customer's quota allotment; a negative field means unlimited.
 //
-// Without a limit (see SetLimit) the whole job must fit into available. A batch
-// job of a customer with a limit only needs enough for one task, since Evaluate
-// holds the customer's running tasks to the limit.
+// Without a limit (see SetLimit) the whole job must fit into available. A batch job
+// of a customer with a limit only needs enough for one task, since Evaluate keeps
+// the customer's running tasks within the limit.
 func (c *Cluster) Admit(j Job, now time.Time, available Resources) AdmissionDecision {
 	if c.opts.NoAdmission {
 		return AdmissionDecision{Admitted: true, ExpectedStart: now}
@@ -89,8 +89,8 @@
 	return refuse(ReasonQuota, c.backlogRetryAfter(), "the job needs %v and the customer's allotment has %v left", need, available)
 }
 
-// admitQueue refuses a job that exceeds the queue limit. Once several customers
-// are known, it also holds each one to its share of the queue.
+// admitQueue refuses a job that exceeds the queue limit. Once several customers are
+// known, it also limits each of them to its share of the queue.
 func (c *Cluster) admitQueue(e *entry, _ time.Time, _ Resources) AdmissionDecision {
 	if c.opts.MaxQueue <= 0 {
 		return AdmissionDecision{Admitted: true}
@@ -142,14 +142,14 @@
 	return resourceSecondsOf(c.capacity.minus(c.unboundedUsage), 1)
 }
 
-// admitDeadline projects the use of the capacity into the future. For the job's
-// own deadline and every later one, the accepted work due by then must fit into
-// the capacity up to then, less what running tasks still use.
+// admitDeadline projects the use of the capacity into the future. For the job's own
+// deadline and every later one, the accepted work due by then must fit into the
+// capacity up to then, less what running tasks still use.
 //
 // The projection treats work as divisible and all workers as one. Its errors:
-// deadlines are rounded down by up to 1/32 of their distance, free resources
-// spread over several workers count as contiguous (Options.Efficiency makes up
-// for it), and run times are mean estimates from the time of acceptance.
+// deadlines are rounded down by up to 1/16 of their distance, free resources spread
+// over several workers count as contiguous (Options.Efficiency makes up for this),
+// and run times are mean estimates from the time of acceptance.
 func (c *Cluster) admitDeadline(e *entry, now time.Time, _ Resources) AdmissionDecision {
 	if e.job.Policy == Service {
 		return c.admitService(e, now)
@@ -181,8 +181,8 @@
 // firstDeadlineOverrun returns the first deadline that would be missed if the
 // entry were accepted, and by how much; zero if none is missed.
 func (c *Cluster) firstDeadlineOverrun(e *entry, now time.Time) (time.Duration, time.Time) {
-	// Running tasks are placed already; queued tasks will lose some capacity to
-	// fragmentation.
+	// The overhead applies to queued work only: running tasks have their
+	// resources, while queued tasks will lose some capacity to fragmentation.
 	overhead := 1 / c.opts.Efficiency
 	p := projection{
 		rate:         c.capacityRate(),
@@ -201,20 +201,26 @@
 // projection compares the accumulated demand with the capacity, one deadline
 // after the other.
 type projection struct {
-	rate         resourceSeconds
-	now          time.Time
+	// rate is the capacity per second for work that has an expected end.
+	rate resourceSeconds
+	now  time.Time
+	// need is the need of one task of the new job. Only the resources that it
+	// contains are compared.
 	need         Resources
 	newJobDemand resourceSeconds
 	// queuedDemand is the demand of the queued entries with deadlines up to the
 	// one being checked.
-	queuedDemand   resourceSeconds
-	runningWalk    *profileWalk
+	queuedDemand resourceSeconds
+	// runningWalk returns what the running tasks still use up to a deadline.
+	runningWalk *profileWalk
+	// lateBy is how long after missedDeadline, the first deadline by which the
+	// work does not fit, that work would be done; zero if all work fits.
 	lateBy         time.Duration
 	missedDeadline time.Time
 }
 
-// checkDeadlines checks the deadline of the new job, whose bucket is key, and
-// all later ones. Earlier deadlines are not affected: work that is due earlier
+// checkDeadlines checks the deadline of the new job, whose bucket is key, and all
+// later ones. Earlier deadlines are not affected, since work that is due earlier
 // runs first.
 func (p *projection) checkDeadlines(c *Cluster, key int64, overhead float64) (time.Duration, time.Time) {
 	p.runningWalk = c.running.walk(p.now)
@@ -235,8 +241,8 @@
 	return p.lateBy, p.missedDeadline
 }
 
-// fitsBefore reports whether all work due by the deadline (Unix seconds) fits.
-// If not, it records the deadline and the overrun.
+// fitsBefore reports whether all work due by the deadline (Unix seconds) fits into
+// the capacity up to then. If not, it sets missedDeadline and lateBy.
 func (p *projection) fitsBefore(deadline int64) bool {
 	seconds := float64(deadline) - float64(p.now.UnixMilli())/1000
 	if seconds <= 0 {
@@ -271,8 +277,10 @@
 	return time.Duration((longest - seconds) * float64(time.Second))
 }
 
-// expectedStart estimates when the entry starts: now if the queue is empty,
-// otherwise when the queued work with earlier deadlines is done.
+// expectedStart estimates when the entry starts: when the CPU and memory demand of
+// the queued work with the same or an earlier deadline is served. An entry without
+// a deadline starts after all queued work that has one. The estimate is now if the
+// queue is empty or no CPU capacity is left.
 func (c *Cluster) expectedStart(e *entry, now time.Time) time.Time {
 	rate := c.capacityRate()
 	if rate.cpu <= 0 || c.queue.tasks == 0 {
--- a/placement/arrivals/generate.go
+++ b/placement/arrivals/generate.go
@@ -33,9 +33,9 @@
 	// DeclarationNoise is the standard deviation of the logarithm of a random
 	// error on every declared run time.
 	DeclarationNoise float64
-	// Services is the share of the capacity that services hold throughout.
+	// Services is the share of the capacity that services occupy throughout.
 	Services float64
-	// NotIdempotent is the share of the batch jobs that may run only once.
+	// NotIdempotent is the share of the jobs whose tasks may run only once.
 	NotIdempotent float64
 	// TightDeadlines is the share of the jobs that must start within a few run
 	// times; the others have one to six hours.
@@ -93,8 +93,8 @@
 	templates []jobTemplate
 }
 
-// Generate returns the arrivals at a site, ordered by time. It scales the time
-// between them so that the actual work matches the load.
+// Generate returns the arrivals at a site, ordered by time. The times between
+// arrivals are scaled so that the actual work matches the load.
 func Generate(site Site, workload Workload) []Arrival {
 	g := &generator{site: site, workload: workload, rand: rand.New(rand.NewPCG(workload.Seed, 1))}
 	g.makeTemplates()
@@ -126,7 +126,8 @@
 	a.Job.Deadline = now.Add(a.Job.Deadline.Sub(time.Time{}))
 }
 
-// siteSeconds is an amount of work by resource, in seconds of the whole site.
+// siteSeconds is an amount of work by resource. The unit is one second of all
+// workers of the site.
 type siteSeconds struct{ cpu, memory, accelerators float64 }
 
 // siteSecondsOf returns the work of all tasks of an arrival.
@@ -160,8 +161,8 @@
 	}
 }
 
-// newTemplate draws recurring job n of a customer. wrong makes its declared run
-// times wrong.
+// newTemplate draws recurring job n of a customer. If wrong is set, its declared
+// run times are wrong.
 func (g *generator) newTemplate(customer, n int, wrong bool) jobTemplate {
 	bias := 1.0
 	if wrong || g.rand.Float64() < g.workload.MisdeclaredNames {
@@ -227,9 +228,9 @@
 	return time.Hour + time.Duration(g.rand.Float64()*5*float64(time.Hour))
 }
 
-// declaredRuntime draws the declared run time for an actual one. It draws the
-// random error even if it is not used, so that both cases give the same
-// arrivals.
+// declaredRuntime draws the declared run time for an actual one. The random error
+// is drawn even if ExactDeclarations leaves it out, so that the arrivals are the
+// same otherwise.
 func (g *generator) declaredRuntime(run time.Duration, bias float64) time.Duration {
 	noise := math.Exp(g.rand.NormFloat64() * g.workload.DeclarationNoise)
 	if g.workload.ExactDeclarations {
--- a/placement/arrivals/measure_test.go
+++ b/placement/arrivals/measure_test.go
@@ -21,16 +21,16 @@
 	only          = flag.String("only", "", "site to run; empty for all")
 )
 
-// stopwatch returns a function for the time since the call.
+// stopwatch returns a function that returns the time since the call of stopwatch.
 func stopwatch() func() time.Duration {
 	begin := time.Now()
 	return func() time.Duration { return time.Since(begin) }
 }
 
-// oracleOptions are the options of an oracle scheduler. With exact declarations
-// it knows the run times, starts the job with the earliest latest start on the
-// first worker that fits, and refuses exactly the jobs that cannot meet their
-// deadlines.
+// oracleOptions returns the options of an oracle scheduler. With exact declarations
+// this scheduler knows the run times, starts the job with the earliest latest start
+// on the first worker that fits, and refuses a job only once it can no longer meet
+// its deadline.
 func oracleOptions() placement.Options {
 	o := placement.DefaultOptions()
 	o.DueWindow = 1000 * time.Hour
@@ -85,7 +85,8 @@
 	}
 }
 
-// TestPacking prints the work done in time at a range of loads.
+// TestPacking prints the work that the baseline and the scheduler do in time, by
+// load.
 func TestPacking(t *testing.T) {
 	skipUnlessSelected(t, "packing")
 	for _, site := range sites() {
@@ -123,8 +124,8 @@
 	}
 }
 
-// TestFlood prints the waiting times of all other customers while one customer
-// floods the queue for two hours, by size of the flood.
+// TestFlood prints the waiting times of all other customers for floods of several
+// sizes. A flood is two hours of extra jobs of one customer.
 func TestFlood(t *testing.T) {
 	skipUnlessSelected(t, "flood")
 	for _, site := range sites() {
--- a/placement/arrivals/replay.go
+++ b/placement/arrivals/replay.go
@@ -19,11 +19,11 @@
 type Config struct {
 	Site    Site
 	Options placement.Options
-	// Services is the share of the CPU capacity that services hold throughout.
+	// Services is the share of the CPU capacity that services occupy throughout.
 	Services float64
 	Faults   []WorkerFault
-	// Stopwatch returns an increasing time with which scheduling decisions are
-	// timed. If it is nil, they are not timed.
+	// Stopwatch returns the time since some start. Admission checks and
+	// evaluations are timed with it; if it is nil, their durations are zero.
 	Stopwatch func() time.Duration
 }
 
@@ -31,7 +31,8 @@
 	// reportLag is the delay until the measurements of a task reach the
 	// scheduler.
 	reportLag = 10 * time.Second
-	// preemptionDelay is the time that a preempted task takes to stop.
+	// preemptionDelay is the time from the preemption of a task until it has
+	// stopped.
 	preemptionDelay = 2 * time.Second
 	// faultyTaskRuntime is the run time of a task on a faulty worker.
 	faultyTaskRuntime = time.Second
@@ -50,22 +51,26 @@
 type eventKind uint8
 
 const (
+	// eventArrival is the submission of a job.
 	eventArrival eventKind = iota
+	// eventEnd is the end of an attempt.
 	eventEnd
+	// eventSample is the arrival of the measurements of a finished task.
 	eventSample
+	// eventWake is an evaluation that the last plan asked for.
 	eventWake
 )
 
-// event is something that happens at a time of the simulation. Events of the
-// same time are handled in order of their sequence numbers.
+// event is an event of the simulation at a time from its start. Events of the same
+// time are handled in order of their sequence numbers.
 type event struct {
 	at       time.Duration
 	sequence int
 	kind     eventKind
 	job      *job
 	task     int
-	// attempt is the number of the attempt that ends. The event is stale if the
-	// task has a later attempt.
+	// attempt is the attempt number of the task when the event was scheduled. The
+	// end of an attempt is stale if the task has another number by then.
 	attempt int
 	failed  bool
 }
@@ -92,6 +97,8 @@
 type job struct {
 	arrival Arrival
 	tasks   []task
+	// waiting holds the numbers of the tasks that wait for a start, and done is
+	// how many have finished.
 	waiting []int
 	done    int
 	// windowWork is the work done up to the last arrival.
@@ -106,22 +113,26 @@
 	worker      string
 	started     time.Duration
 	everStarted bool
-	attempt     int
-	failures    int
+	// attempt is raised by two with each start and by one with each preemption and
+	// each stop after it. It is odd while a preempted attempt stops.
+	attempt  int
+	failures int
 }
 
-// replay is the state of one simulation.
+// replay is the state of one simulation. Times are from its start.
 type replay struct {
-	config         Config
-	cluster        *placement.Cluster
-	now            time.Duration
-	events         events
-	sequence       int
-	jobs           map[string]*job
-	report         *Report
+	config   Config
+	cluster  *placement.Cluster
+	now      time.Duration
+	events   events
+	sequence int
+	jobs     map[string]*job
+	report   *Report
+	// nextWake is the time of the last scheduled eventWake; negative for none.
 	nextWake       time.Duration
 	faultsByWorker map[string][]WorkerFault
-	used           placement.Resources
+	// used is the sum of the allocated resources.
+	used placement.Resources
 }
 
 // Replay simulates the arrivals until drainTime after the last deadline and
@@ -154,14 +165,14 @@
 	return r.report
 }
 
-// schedule adds an event.
+// schedule adds an event with the next sequence number.
 func (r *replay) schedule(e event) {
 	r.sequence++
 	e.sequence = r.sequence
 	heap.Push(&r.events, e)
 }
 
-// wallClock is the simulated time.
+// wallClock returns the simulated time as a wall clock time.
 func (r *replay) wallClock() time.Time { return epoch.Add(r.now) }
 
 // placeServices starts services, which never end, on the configured share of
@@ -204,7 +215,8 @@
 	}
 }
 
-// run handles the events up to the time stop.
+// run handles the events up to the time stop, in order, with the evaluations that
+// they cause.
 func (r *replay) run(stop time.Duration) {
 	for len(r.events) > 0 {
 		e := heap.Pop(&r.events).(event)
@@ -219,7 +231,7 @@
 	}
 }
 
-// handle handles one event and reports whether an evaluation must follow.
+// handle applies one event and reports whether an evaluation must follow.
 func (r *replay) handle(e event) bool {
 	switch e.kind {
 	case eventArrival:
@@ -270,7 +282,7 @@
 	return r.config.Stopwatch()
 }
 
-// evaluate commits plans until one starts and refuses nothing.
+// evaluate commits plans until a plan has neither starts nor refusals.
 func (r *replay) evaluate() {
 	for {
 		begin := r.stopwatchTime()
@@ -284,8 +296,8 @@
 	}
 }
 
-// scheduleWake schedules the next evaluation at a time of the simulation; the
-// zero time means none.
+// scheduleWake schedules an evaluation at a wall clock time; the zero time means
+// none.
 func (r *replay) scheduleWake(at time.Time) {
 	if at.IsZero() {
 		return
@@ -294,7 +306,7 @@
 	r.schedule(event{at: r.nextWake, kind: eventWake})
 }
 
-// commit applies a plan.
+// commit applies a plan to the cluster and the committed state.
 func (r *replay) commit(plan placement.Plan) {
 	for _, f := range plan.Refusals {
 		r.refuseAccepted(r.jobs[f.Job])
@@ -344,7 +356,7 @@
 	r.schedule(event{at: r.now + run, kind: eventEnd, job: j, task: i, attempt: t.attempt, failed: failed})
 }
 
-// updateQueueEntry updates the queue entry of a job after a start.
+// updateQueueEntry updates the queue entry of a job after one of its tasks started.
 func (r *replay) updateQueueEntry(j *job) {
 	if j.refused {
 		return
@@ -374,7 +386,7 @@
 	if t.attempt != e.attempt {
 		return false
 	}
-	// Even attempt numbers are starts, odd ones stops.
+	// An odd attempt number means that the attempt was preempted (see task).
 	preempted := e.attempt%2 == 1
 	id := j.arrival.Job.ID
 	need := r.cluster.Placed(id, e.task).Need
@@ -414,8 +426,8 @@
 	r.enqueue(j, notBefore)
 }
 
-// failTask reports a failure. It retries an idempotent task up to maxAttempts
-// failures and otherwise ends the job.
+// failTask reports a failed attempt to the cluster. It queues an idempotent task
+// again until the task has failed maxAttempts times, and otherwise ends the job.
 func (r *replay) failTask(j *job, i int) {
 	t := &j.tasks[i]
 	r.report.failures++
@@ -433,7 +445,8 @@
 	r.cluster.Dequeue(j.arrival.Job.ID)
 }
 
-// completeTask counts a finished task of a job, and the job with its last task.
+// completeTask counts a finished task of a job, and the job as finished with its
+// last task.
 func (r *replay) completeTask(j *job) {
 	j.done++
 	j.lastEnd = r.now
--- a/placement/arrivals/report.go
+++ b/placement/arrivals/report.go
@@ -15,8 +15,8 @@
 const (
 	// missLate is a job that finished after its deadline.
 	missLate missKind = iota
-	// missInfeasible is a job that the scheduler refused after it had accepted
-	// it.
+	// missInfeasible is a job that the scheduler accepted and later refused as
+	// infeasible.
 	missInfeasible
 	// missFailed is a job with a task that failed too often.
 	missFailed
@@ -49,13 +49,15 @@
 // Report is the result of a simulation.
 type Report struct {
 	site Site
-	// arrivalWindow is the time of the last arrival.
+	// arrivalWindow is the time of the last arrival, from the start of the
+	// simulation.
 	arrivalWindow time.Duration
 
 	submitted int
 	refused   map[placement.Reason]int
-	// refusedWithoutRetry counts refusals without a retry delay: the estimated
-	// run time alone exceeds the time to the deadline.
+	// refusedWithoutRetry counts refusals without a retry delay: the job could not
+	// be accepted later either, for example because the estimated run time exceeds
+	// the time to the deadline.
 	refusedWithoutRetry int
 	// refusedFirstHour counts refusals in the first hour, while the scheduler
 	// has few measured run times.
@@ -64,25 +66,28 @@
 	refusedBy map[string]int
 	missed    [missKindCount]int
 	inTime    int
-	// inTimeWork is the work done for jobs that finished in time, usedWork the
+	// inTimeWork is the work done for jobs that finished in time, and usedWork the
 	// work of all allocated resources, both up to the last arrival.
 	inTimeWork siteSeconds
 	usedWork   siteSeconds
 	preempted  int
 	failures   int
 
-	// Normal, Urgent and Gangs are the waiting times of tasks by kind of job,
-	// Customer those of the normal tasks by customer.
+	// Normal, Urgent and Gangs are the waiting times of tasks by kind of job.
+	// Customer holds those of the normal tasks by customer.
 	Normal   *WaitTimes
 	Urgent   *WaitTimes
 	Gangs    *WaitTimes
 	Customer map[string]*WaitTimes
 
+	// evaluations and admissions are the durations of evaluations and of admission
+	// checks, in nanoseconds.
 	evaluations *hdrhistogram.Histogram
 	admissions  *hdrhistogram.Histogram
 	// schedulingTime is the total time of admission checks and evaluations.
 	schedulingTime time.Duration
-	starts         int
+	// starts is the number of started attempts.
+	starts int
 }
 
 // newReport returns an empty report.
--- a/placement/arrivals/site.go
+++ b/placement/arrivals/site.go
@@ -14,7 +14,7 @@
 	// Capacity is the capacity of every worker, without accelerators.
 	Capacity placement.Resources
 	// Accelerators is the total number of accelerators. The first workers get
-	// acceleratorsPerWorker each and the next one the rest.
+	// acceleratorsPerWorker each, and the worker after them the rest.
 	Accelerators int
 	Customers    int
 }
@@ -31,8 +31,8 @@
 	return Site{Name: "himalaya", Workers: 50, WorkersPerRack: 6, Capacity: resources(32, 128), Customers: 6}
 }
 
-// GrowthTarget returns a site of the size to grow to: 450 workers, 970
-// accelerators and 100 customers.
+// GrowthTarget returns a site of the planned size: 450 workers with 32 cores and
+// 128 GB each, 8 to a rack, 970 accelerators and 100 customers.
 func GrowthTarget() Site {
 	return Site{Name: "later", Workers: 450, WorkersPerRack: 8, Capacity: resources(32, 128), Accelerators: 970, Customers: 100}
 }
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -26,7 +26,7 @@
 	benchCustomers   = 100
 )
 
-// newBenchCluster fills the workers and the queue.
+// newBenchCluster returns a benchCluster whose workers and queue are full.
 func newBenchCluster(b testing.TB) *benchCluster {
 	o := DefaultOptions()
 	o.MaxQueue = 0
@@ -65,7 +65,7 @@
 	return j
 }
 
-// evaluateAndPlace commits the starts of one evaluation and returns their
+// evaluateAndPlace runs one evaluation, places the planned tasks and returns their
 // number.
 func (g *benchCluster) evaluateAndPlace(b testing.TB, max int) int {
 	plan := g.cluster.Evaluate(g.now, max)
@@ -91,18 +91,20 @@
 	g.cluster.Unplace(p.Job, p.Task)
 }
 
-// BenchmarkEvaluate measures the end of some tasks, the evaluation after it and
-// its commits, with the queue held at 10,000 tasks. It reports starts per
-// second over all of this and the 99th percentile of the evaluation alone.
+// BenchmarkEvaluate measures rounds in which some tasks end, new jobs fill the
+// queue up to 10,000 tasks, and one evaluation is computed and its starts are
+// placed. It reports starts per second over all of this, the 99th percentile of
+// evaluating and placing, and the number of running tasks.
 //
-// Several ends per evaluation, as under group commit, share the fixed cost of
-// an evaluation.
+// With several ends per evaluation, as under group commit, the fixed cost of an
+// evaluation is shared.
 func BenchmarkEvaluate(b *testing.B) {
 	for _, ends := range []int{1, 8} {
 		b.Run(fmt.Sprintf("ends=%d", ends), func(b *testing.B) { benchmarkEvaluate(b, ends) })
 	}
 }
 
+// benchmarkEvaluate runs BenchmarkEvaluate with that many ends per evaluation.
 func benchmarkEvaluate(b *testing.B, ends int) {
 	g := newBenchCluster(b)
 	durations := hdrhistogram.New(1, int64(time.Second), 3)
--- a/placement/cluster.go
+++ b/placement/cluster.go
@@ -17,31 +17,35 @@
 	ErrPlacedTwice = errors.New("placement: task is already placed")
 )
 
-// Cluster is an incremental cache of the workers, the tasks placed on them and
-// the queue. It is not safe for concurrent use: one goroutine owns it. All of
-// it is derived from the owner's committed state and can be rebuilt from that
-// at any time.
+// Cluster is an incremental cache of the workers, the tasks placed on them and the
+// queue. It is not safe for concurrent use: one goroutine owns it. The whole cache
+// is derived from the owner's committed state and can be rebuilt from that state at
+// any time.
 type Cluster struct {
-	opts          Options
-	workers       map[string]*worker
-	byID          []*worker
-	free          freeIndex
+	opts    Options
+	workers map[string]*worker
+	// byID holds all workers, sorted by ID.
+	byID []*worker
+	free freeIndex
+	// capacity is the sum over the workers that count for admission.
 	capacity      Resources
 	placed        map[taskKey]*placedTask
 	jobs          map[string]*jobRecord
 	byExpectedEnd *btree.BTreeG[*placedTask]
 	queue         queue
 	demand        demand
-	running       profile
-	estimator     estimator
-	// evaluations counts the calls of Evaluate. A mark that carries the number
-	// of an earlier evaluation is stale, so marks need no clearing.
+	// running is the usage of the running tasks with an expected end.
+	running   profile
+	estimator estimator
+	// evaluations counts the calls of Evaluate. A value that is valid in one
+	// evaluation only is stored with the number of that evaluation, in a field
+	// named ...Eval, so that it needs no reset.
 	evaluations uint64
 	// reservedJobs are the IDs of the jobs that got a reservation in the last
 	// evaluation.
 	reservedJobs []string
-	// forecasts counts the forecasts. Like evaluations, it identifies stale
-	// marks.
+	// forecasts counts the calls of planner.forecast. The forecast of a worker is
+	// valid in the call whose number is its forecastID.
 	forecasts uint64
 	// unboundedUsage is what tasks without an expected end use of the
 	// schedulable workers. Projections never count it as released.
@@ -119,8 +123,8 @@
 	c.dropIdleWorker(w)
 }
 
-// countCapacity adds (sign 1) or subtracts (sign -1) the worker in the totals
-// that admission uses, if it counts for admission.
+// countCapacity adds (sign 1) or subtracts (sign -1) the worker in the totals that
+// admission uses, if the worker counts for admission.
 func (c *Cluster) countCapacity(w *worker, sign int64) {
 	if !w.countsForAdmission() {
 		return
@@ -134,8 +138,8 @@
 	}
 }
 
-// countRunning adds (sign 1) or subtracts (sign -1) a task with an expected end
-// in the usage profile.
+// countRunning adds (sign 1) or subtracts (sign -1) a task with an expected end in
+// the usage profile, if its worker counts for admission.
 func (c *Cluster) countRunning(t *placedTask, sign int64) {
 	if t.worker.countsForAdmission() {
 		c.running.add(t, sign)
@@ -151,8 +155,8 @@
 	}
 }
 
-// workerFor returns the record of a worker and creates it if there is none, as
-// for a worker that so far only a task has named.
+// workerFor returns the record of a worker and creates it if there is none: a task
+// may be placed on a worker that has not been announced yet.
 func (c *Cluster) workerFor(id string) *worker {
 	if w, found := c.workers[id]; found {
 		return w
@@ -177,10 +181,10 @@
 	c.byID = append(c.byID[:at], c.byID[at+1:]...)
 }
 
-// Place records that a task occupies a worker. It checks a planned start
-// against the committed state: on an error nothing is recorded and the start
-// must not be committed. Capacity is not checked on a worker that has not been
-// announced yet.
+// Place records that a task occupies a worker. It checks a planned start against
+// the committed state: with ErrPlacedTwice or ErrOverCommit nothing is recorded and
+// the start must not be committed. Capacity is not checked on a worker that has not
+// been announced yet.
 func (c *Cluster) Place(p Placed) error {
 	key := taskKey{job: p.Job, task: p.Task}
 	if _, found := c.placed[key]; found {
@@ -204,7 +208,8 @@
 	return nil
 }
 
-// Unplace records the committed end of a task. Unknown tasks are ignored.
+// Unplace records that a task no longer occupies its worker, after its end is
+// committed. Unknown tasks are ignored.
 func (c *Cluster) Unplace(job string, task int) {
 	key := taskKey{job: job, task: task}
 	t, found := c.placed[key]
@@ -227,9 +232,9 @@
 	c.dropIdleWorker(w)
 }
 
-// MarkStopping records that a stop of a running task was ordered. Later
-// evaluations count its resources as about to be free and preempt no further
-// task for them. Unknown tasks are ignored.
+// MarkStopping records that a stop of a running task was ordered. Later evaluations
+// count the resources of the task as about to be free and preempt no further task
+// for them. Tasks that are unknown or must not be preempted are ignored.
 func (c *Cluster) MarkStopping(job string, task int) {
 	t, found := c.placed[taskKey{job: job, task: task}]
 	if !found || !t.preemptible() {
@@ -242,7 +247,7 @@
 }
 
 // setExpectedEnd sets the expected end from the high estimate of the run time.
-// Services and tasks without a declared run time have none.
+// Services and tasks without a declared run time have no expected end.
 func (c *Cluster) setExpectedEnd(t *placedTask) {
 	t.unbounded = t.Policy == Service || t.Runtime <= 0
 	if t.unbounded {
@@ -339,23 +344,24 @@
 	delete(c.jobs, job)
 }
 
-// SetLimit bounds what the running tasks of a customer may use at once. A
-// negative field means unlimited. Customers are unlimited by default.
+// SetLimit limits the resources that the running tasks of a customer may use at
+// once. A negative field means unlimited. Customers are unlimited by default.
 func (c *Cluster) SetLimit(customer string, limit Resources) {
 	record := c.queue.customer(customer)
 	record.limited = true
 	record.limit = limit
 }
 
-// SetWeight sets the weight of a customer, by which contended capacity is
-// shared. The weight must be positive and is 1 by default.
+// SetWeight sets the weight of a customer. Under contention the shares of the
+// customers are in the ratio of their weights. The weight must be positive and is 1
+// by default.
 func (c *Cluster) SetWeight(customer string, weight int) {
 	invariant(weight > 0, "weight %d of customer %s", weight, customer)
 	c.queue.customer(customer).weight = float64(weight)
 }
 
-// Used returns what the placed tasks use of the schedulable workers, and the
-// capacity that admission counts on.
+// Used returns the resources that placed tasks use on the schedulable workers, and
+// the capacity of the workers that count for admission.
 func (c *Cluster) Used() (used, capacity Resources) {
 	for _, w := range c.byID {
 		if w.schedulable() {
--- a/placement/cluster_test.go
+++ b/placement/cluster_test.go
@@ -32,7 +32,7 @@
 }
 
 // commit places the starts of a plan, as the owner of the committed state does.
-// next is the number of the next task by job.
+// next holds the number of the next task of each job.
 func commit(t testing.TB, c *Cluster, plan Plan, now time.Time, next map[string]int) {
 	for _, s := range plan.Starts {
 		e := c.queue.entries[s.Job]
@@ -57,8 +57,8 @@
 	must.NoError(t, c.Place(Placed{Job: "b", Worker: "w000", Need: cores(4), Policy: Batch, Runtime: time.Minute, Started: start}))
 }
 
-// Two tasks of a service share a rack while another rack has none, so that the
-// loss of one rack stops more of the service than necessary.
+// Tasks of a service must not share a rack while another rack has none: the loss of
+// one rack would stop more of the service than necessary.
 func TestServiceSpreadsOverRacks(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 8, cores(8), 2)
@@ -106,9 +106,9 @@
 	must.SliceLen(t, 2, c.Evaluate(start, 100).Starts)
 }
 
-// A long task takes the resources that are reserved for a blocked gang and
-// delays it. A short task that ends before the reserved start time may use
-// them.
+// A long task must not take the resources that are reserved for a blocked gang,
+// since the gang would be delayed. A short task that ends before the reserved start
+// time may use them.
 func TestBackfillEndsBeforeReservedStart(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 2, cores(4), 2)
@@ -125,8 +125,8 @@
 	must.EqOp(t, "short", plan.Starts[0].Job)
 }
 
-// An urgent task preempts a task that must not run twice, or one of a service
-// or a gang.
+// An urgent task must preempt neither a task that must not run twice nor a task of
+// a service or a gang.
 func TestUrgentPreemptsOnlyIdempotentBatch(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -159,8 +159,8 @@
 	}
 }
 
-// A task that was preempted for urgent work takes a while to stop, and each
-// evaluation until then preempts another one.
+// A task that was preempted for urgent work takes a while to stop. The evaluations
+// until then must not preempt another task for the same work.
 func TestPreemptionIsNotRepeatedWhileTaskStops(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(4), 1)
@@ -176,9 +176,9 @@
 	must.SliceEmpty(t, c.Evaluate(start, 100).Preemptions)
 }
 
-// A large task of a customer with a high share has a reservation. Once the
-// reserved resources are free, the fair order gives them to the small tasks of
-// a customer with nothing running, and the large task starves.
+// A large task of a customer with a high share has a reservation. Once the reserved
+// resources are free, the fair order alone would give them to the small tasks of a
+// customer with nothing running, and the large task would starve.
 func TestReservedResourcesGoToTheirJobBeforeFairShare(t *testing.T) {
 	o := DefaultOptions()
 	o.FairReservations = 0
@@ -199,8 +199,8 @@
 	must.EqOp(t, "large", plan.Starts[0].Job)
 }
 
-// A job is refused for the wrong reason, or with a retry delay although it can
-// never be accepted.
+// A refusal must name the right reason, and a retry delay only if the job may be
+// accepted later.
 func TestAdmitReasons(t *testing.T) {
 	small := DefaultOptions()
 	small.MaxQueue = 10
@@ -259,7 +259,8 @@
 	must.True(t, c.Admit(newBatchJob("q", "quiet", 10, cores(1), 10*time.Minute, 2*time.Hour), start, unlimited).Admitted)
 }
 
-// An accepted job that can no longer meet its deadline stays queued.
+// An accepted job that can no longer meet its deadline must be refused. Otherwise
+// it would stay queued.
 func TestInfeasibleJobIsRefused(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(1), 1)
@@ -270,8 +271,10 @@
 	must.EqOp(t, ReasonDeadline, plan.Refusals[0].Reason)
 }
 
-// A worker fails every task within a second of its start. It therefore always
-// has the most free resources and attracts all tasks.
+// A worker fails every task within a second of its start. It therefore soon has
+// free resources again and attracts all tasks. It must be quarantined, get one task
+// at a time as a probe, with a longer delay after a failed one, and return to
+// service after a successful one.
 func TestFailingWorkerIsQuarantinedAndProbed(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 2, cores(4), 1)
@@ -291,8 +294,9 @@
 	must.SliceEmpty(t, c.Quarantined())
 }
 
-// A probe fails, and the caller unplaces it before it reports the failure.
-// Without the backoff the next probe would follow immediately.
+// A probe fails, and the caller unplaces it before reporting the failure. The
+// backoff must be doubled all the same, otherwise the next probe would follow
+// immediately.
 func TestFailedProbeBacksOffWhenUnplacedFirst(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(4), 1)
@@ -351,8 +355,8 @@
 	must.SliceEmpty(t, c.Quarantined())
 }
 
-// Estimates ignore the measurements, apply those of another job name, or fall
-// below the declared need.
+// Estimates must follow the measurements of earlier tasks of the same job name, and
+// no others. The estimated need must not fall below the declared one.
 func TestCorrectedRuntimeAndNeed(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(8), 1)
@@ -369,7 +373,7 @@
 	must.EqOp(t, cores(2), c.NeedOf(Job{Customer: "x", Name: "frugal", Need: cores(2)}))
 }
 
-// A customer with a long queue gets more than one with a short queue.
+// A customer with a long queue must not get more than one with a short queue.
 func TestCustomersGetEqualShares(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(10), 1)
--- a/placement/demand.go
+++ b/placement/demand.go
@@ -40,16 +40,16 @@
 }
 
 const (
-	// minBucketSeconds is the width, in seconds, of the buckets for the closest
-	// deadlines.
+	// minBucketSeconds is the width of the buckets for the closest deadlines.
 	minBucketSeconds = 1
-	// maxBucketsToDeadline limits the width of a bucket to 1/32 of the time to the
-	// deadline.
+	// maxBucketsToDeadline is the maximum number of bucket widths between the
+	// submission and the deadline. A bucket wider than minBucketSeconds thus spans
+	// 1/32 to 1/16 of that time.
 	maxBucketsToDeadline = 32
 )
 
-// demand sums the estimated work of the queue by deadline. Deadlines are
-// rounded down to buckets that widen with their distance, so the number of
+// demand sums the estimated work of the queue by deadline. Deadlines are rounded
+// down to buckets, which are wider for more distant deadlines, so the number of
 // buckets stays small however long the queue is.
 type demand struct {
 	buckets btree.Map[int64, *demandBucket]
@@ -66,8 +66,8 @@
 // newDemand returns a demand without entries.
 func newDemand() demand { return demand{} }
 
-// add adds (sign 1) or removes (sign -1) an entry. Entries without a deadline
-// and services are ignored.
+// add adds (sign 1) or removes (sign -1) an entry. It ignores services and entries
+// without a deadline.
 func (d *demand) add(e *entry, sign float64) {
 	if e.job.Policy == Service || e.job.Deadline.IsZero() {
 		return
@@ -125,8 +125,8 @@
 	d.total = d.total.plus(work)
 }
 
-// bucketOf returns the bucket of a deadline: the deadline rounded down, in Unix
-// seconds.
+// bucketOf returns the key of the bucket of a deadline: the deadline rounded down
+// to the width of the bucket, in Unix seconds.
 func bucketOf(deadline, submitted time.Time) int64 {
 	distance := int64(deadline.Sub(submitted) / time.Second)
 	width := int64(minBucketSeconds)
--- a/placement/enqueue.go
+++ b/placement/enqueue.go
@@ -1,7 +1,7 @@
 package placement
 
-// Enqueue adds a job of which Tasks tasks are still to be placed, or replaces
-// the entry with the same ID. A job without tasks left is removed.
+// Enqueue adds a job to the queue, or replaces the entry with the same ID. j.Tasks
+// is the number of tasks that are still to be placed; a job with none is removed.
 func (c *Cluster) Enqueue(j Job) {
 	if c.updateRemaining(j) {
 		return
@@ -18,8 +18,9 @@
 	e.customer.countQueued(e, 1)
 }
 
-// updateRemaining handles the most frequent replacement cheaply: the same batch
-// job with some of its tasks started. It reports whether it did.
+// updateRemaining replaces a queued batch job of which only the number of tasks has
+// changed, and reports whether it did. This is the most frequent replacement, and
+// it needs no new entry.
 func (c *Cluster) updateRemaining(j Job) bool {
 	e, found := c.queue.entries[j.ID]
 	if !found || j.Tasks <= 0 || j.Policy != Batch || e.delayed {
@@ -74,7 +75,7 @@
 // Queued returns the number of queued tasks.
 func (c *Cluster) Queued() int { return c.queue.tasks }
 
-// newEntry computes the queue entry of a job. It does not enqueue it.
+// newEntry computes the queue entry of a job without adding it to the queue.
 func (c *Cluster) newEntry(j Job) *entry {
 	run := c.estimator.runtime(j.Customer, j.Name, j.Runtime)
 	e := &entry{job: j, need: c.NeedOf(j), runtime: run, class: c.classOf(j), customer: c.queue.customer(j.Customer)}
@@ -90,8 +91,8 @@
 	return e
 }
 
-// isLarge reports whether one task needs a large share of an average
-// schedulable worker.
+// isLarge reports whether one task needs at least largeTaskShare of an average
+// worker.
 func (c *Cluster) isLarge(need Resources) bool {
 	return need.share(c.capacity)*float64(len(c.byID)) >= largeTaskShare
 }
--- a/placement/estimate.go
+++ b/placement/estimate.go
@@ -10,8 +10,8 @@
 	// ratioUnit is the histogram value of a measured run time equal to the
 	// declared one. The resolution is 1/50.
 	ratioUnit = 50
-	// maxRatioValue is the largest ratio that a histogram records: 40 times the
-	// declaration.
+	// maxRatioValue is the largest histogram value. It stands for a run time of 40
+	// times the declared one.
 	maxRatioValue = 40 * ratioUnit
 	// ratioDigits is the number of significant digits of a histogram. With 1 a
 	// histogram takes about 1 KB and a bucket is at most 6% wide.
@@ -104,8 +104,8 @@
 	return estimator{disabled: opts.NoCorrection, customers: map[string]*customerHistory{}}
 }
 
-// AddSample adds the measured run of a finished task to the estimates. It
-// ignores samples without a declared run time.
+// AddSample adds the measured run of a finished task to the histories on which the
+// estimates are based. It ignores samples without a declared run time.
 func (c *Cluster) AddSample(s Sample) {
 	if s.Declared <= 0 || s.Measured < 0 {
 		return
@@ -144,15 +144,16 @@
 	return float64(peak) / float64(need)
 }
 
-// runtime estimates a run time. It starts from the declaration, blends in the
-// history of all the customer's jobs and then the history of the job's name.
+// runtime estimates a run time. The declaration is combined with the history of all
+// the customer's jobs, and the result with the history of the job's name.
 func (m *estimator) runtime(customer, name string, declared time.Duration) estimate {
 	result := estimate{low: declared, mean: declared, high: declared}
 	if m.disabled || declared <= 0 {
 		return result
 	}
-	// Without any history, low is a fifth of the declaration: a job is
-	// infeasible only if it needed to run five times faster than declared.
+	// Without any history, low is a fifth of the declaration: a job is refused as
+	// infeasible only if it would have to run more than five times faster than
+	// declared.
 	result.low = declared / 5
 	customerHist, found := m.customers[customer]
 	if !found {
--- a/placement/evaluate.go
+++ b/placement/evaluate.go
@@ -7,10 +7,10 @@
 
 const (
 	// lookahead is how many entries of one subqueue, and of one shape, an
-	// evaluation examines once a reservation has blocked one of them.
+	// evaluation tries once one of them fits only into reserved resources.
 	lookahead = 6
-	// maxDueVisits bounds the entries that serveDue and probeFor visit in one
-	// evaluation.
+	// maxDueVisits bounds the entries that one call of serveDue or probeFor
+	// visits.
 	maxDueVisits = 256
 	// maxGangVisits bounds the gangs that an evaluation visits to reserve
 	// resources for them.
@@ -23,9 +23,9 @@
 	largeTaskShare = 0.15
 )
 
-// planner computes the plan of one evaluation. It allocates resources
-// tentatively in the cluster, so that each decision sees the earlier ones, and
-// rolls all of it back at the end.
+// planner computes the plan of one evaluation. It allocates resources tentatively
+// in the cluster, so that each decision sees the earlier ones, and rolls all
+// allocations back at the end.
 type planner struct {
 	cluster    *Cluster
 	now        time.Time
@@ -34,7 +34,8 @@
 	budget int
 	plan   Plan
 	// reservations is how many more reservations this evaluation may make.
-	reservations   int
+	reservations int
+	// scratchRequest is the memory of the result of the method request.
 	scratchRequest request
 	// previouslyReserved are the IDs of the jobs that had a reservation in the
 	// last evaluation.
@@ -75,9 +76,9 @@
 	p.probe()
 }
 
-// refuseInfeasible refuses accepted jobs that can no longer meet their
-// deadline. Their customers are informed immediately and other jobs get the
-// resources.
+// refuseInfeasible refuses accepted jobs that can no longer meet their deadline.
+// Their customers need not wait for the deadline to learn of the refusal, and other
+// jobs get the resources.
 func (p *planner) refuseInfeasible() {
 	p.cluster.queue.byLastFeasibleStart.Scan(func(e *entry) bool {
 		if p.budget == 0 || !e.lastFeasibleStart.Before(p.now) {
@@ -104,8 +105,8 @@
 	})
 }
 
-// remaining returns how many tasks of the entry this evaluation can still
-// start; zero if it skips the entry.
+// remaining returns how many tasks of the entry this evaluation can still start;
+// zero if the evaluation skips the entry.
 func (p *planner) remaining(e *entry) int {
 	if e.skippedEval == p.evaluation {
 		return 0
@@ -123,9 +124,9 @@
 	return &p.scratchRequest
 }
 
-// place starts one task of the entry, or all tasks of a gang, and reports
-// whether it did. If no worker has enough free resources, it blocks the shape;
-// quota limits and reservations do not block it.
+// place starts one task of the entry, or all tasks of a gang, and reports whether
+// it did. If no worker has enough free resources, it blocks the shape of the entry.
+// Quota limits and reservations do not block a shape.
 func (p *planner) place(e *entry) bool {
 	if p.budget == 0 || e.subqueue.shapeState.blocked {
 		return false
@@ -189,10 +190,11 @@
 	}
 }
 
-// serveDue starts jobs whose latest start time is near before the fair order is
-// applied: keeping an accepted deadline has priority over fair shares. A job
-// that does not fit gets a reservation. Without it small tasks would take all
-// resources as soon as they are free, and starve it.
+// serveDue starts the jobs whose latest start time is less than Options.DueWindow
+// away. It runs before the fair order is applied, since keeping an accepted
+// deadline has priority over fair shares. A job that does not fit gets a
+// reservation. Without one, small tasks would take all resources as soon as they
+// are free, and the job would starve.
 func (p *planner) serveDue() {
 	horizon := p.now.Add(p.cluster.opts.DueWindow)
 	visits := 0
@@ -243,8 +245,9 @@
 	return found
 }
 
-// setReevaluateAt sets the next time at which the plan changes without any
-// event.
+// setReevaluateAt sets ReevaluateAt of the plan: the next time at which an
+// evaluation may decide something else although nothing was reported to the
+// cluster.
 func (p *planner) setReevaluateAt() {
 	if p.budget == 0 {
 		p.plan.ReevaluateAt = p.now
--- a/placement/explain.go
+++ b/placement/explain.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// Explain reports why a job is queued and how many workers each filter rejects.
-// It reads the whole cluster and is meant for people, not for the scheduling
-// path.
+// Explain reports why a job is queued and how many workers each filter rejects. It
+// visits all workers, so it is meant for requests of users, not for scheduling.
 func (c *Cluster) Explain(job string, now time.Time) Explanation {
 	e, found := c.queue.entries[job]
 	if !found {
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -21,8 +21,8 @@
 	rejects func(*request, *worker) bool
 }
 
-// filters are applied in this order. Explain counts a worker for the first
-// filter that rejects it. The names are shown to clients.
+// filters lists the filters in the order in which they are applied. Explain counts
+// a worker for the first filter that rejects it and shows the names to clients.
 var filters = []filter{
 	{name: "not announced", rejects: func(_ *request, w *worker) bool { return !w.announced }},
 	{name: "lease not held", rejects: func(_ *request, w *worker) bool { return !w.Live }},
@@ -50,9 +50,9 @@
 	return len(r.record.failedOn) < len(r.cluster.byID)
 }
 
-// rejectReserved protects the reservation of another entry. A task may only
-// start on the worker if it ends before the reserved start time or fits beside
-// the reserved resources.
+// rejectReserved protects the reservation of another entry. A task may start on the
+// worker only if the task ends by the reserved start time or fits beside the
+// reserved resources.
 func rejectReserved(r *request, w *worker) bool {
 	if w.reservedEval != r.evaluation || r.entry == w.reservation.entry {
 		return false
@@ -63,8 +63,8 @@
 	return !r.entry.need.within(w.reservation.remaining)
 }
 
-// rejectedBy returns the name of the first filter that rejects the worker, or
-// "".
+// rejectedBy returns the name of the first filter that rejects the worker, or "" if
+// none does.
 func (r *request) rejectedBy(w *worker) string {
 	for _, f := range filters {
 		if f.rejects(r, w) {
--- a/placement/gang.go
+++ b/placement/gang.go
@@ -54,7 +54,7 @@
 }
 
 // hasSlotsFor reports whether that many tasks of the entry fit now. It stops
-// counting once they do.
+// counting at that number.
 func (p *planner) hasSlotsFor(e *entry, tasks int) bool {
 	found := 0
 	p.cluster.free.ascend(e.need, func(w *worker) bool {
@@ -64,10 +64,10 @@
 	return found >= tasks
 }
 
-// forecast predicts when the entry can start by releasing running tasks in
-// order of their expected ends until it fits. It leaves out workers with the
+// forecast predicts when the entry can start by releasing running tasks in order of
+// their expected ends until the entry fits. It leaves out workers with the
 // reservation of another entry. It returns nil if the entry does not fit even
-// then.
+// without the running tasks.
 func (p *planner) forecast(e *entry) *forecast {
 	p.cluster.forecasts++
 	f := &forecast{at: p.now, tasksLeft: 1}
--- a/placement/health.go
+++ b/placement/health.go
@@ -12,13 +12,13 @@
 
 // health is the failure record of a worker.
 type health struct {
-	// failures counts the failed starts since the last success, by job.
+	// failures counts the failed attempts since the last success, by job ID.
 	failures map[string]int
 	// firstFailureAt is the time of the first failure since the last success.
 	firstFailureAt time.Time
 	quarantined    bool
-	// probeAt is the earliest time of the next probe, backoff the current pause
-	// between probes.
+	// probeAt is the earliest time of the next probe, and backoff the current
+	// delay between probes.
 	probeAt time.Time
 	backoff time.Duration
 	// quarantinedAt is when the worker was quarantined.
@@ -28,8 +28,8 @@
 }
 
 // ReportFailure records that a job failed to run on a worker. A worker on which
-// different jobs fail is quarantined. A job that fails on every worker does not
-// count against the workers.
+// different jobs fail is quarantined. The failures of a job that failed on several
+// workers and succeeded on none (see JobSuspect) do not count against the workers.
 func (c *Cluster) ReportFailure(workerID, job string, now time.Time) {
 	w, found := c.workers[workerID]
 	if !found || c.opts.NoQuarantine {
@@ -50,10 +50,10 @@
 }
 
 // ReportSuccess records that a task succeeded on a worker and ends the worker's
-// quarantine. It may be called before or after Unplace. The success of a task
-// that started before the first failure is ignored: it does not show that the
-// worker can start tasks now, and a broken worker would return to service each
-// time one of its older tasks ends.
+// quarantine. It may be called before or after Unplace. The success of a task that
+// started before the first failure is ignored: it does not show that the worker can
+// start tasks now, and a broken worker would otherwise return to service each time
+// one of its older tasks ends.
 func (c *Cluster) ReportSuccess(workerID, job string, now time.Time) {
 	if r, found := c.jobs[job]; found {
 		r.succeeded = true
@@ -148,8 +148,8 @@
 	return found && r.suspect()
 }
 
-// discountFailures removes the failures of a job that was itself at fault from
-// the records of the workers.
+// discountFailures removes the failures of a suspect job from the failure records
+// of the workers.
 func (c *Cluster) discountFailures(job string, r *jobRecord) {
 	if !r.suspect() {
 		return
@@ -171,10 +171,11 @@
 	w.health.probeAt = now.Add(w.health.backoff)
 }
 
-// postponeProbe doubles the backoff after a failed probe. Failures of tasks
-// that started before the quarantine are not probes. The start time decides,
-// not the probing mark: the caller may have unplaced the probe already, and if
-// its failure did not count, the next probe would follow immediately.
+// postponeProbe doubles the backoff after a failed probe. Failures of tasks that
+// started before the quarantine are not probes. The start time of the task decides,
+// not the field probing, which Unplace may clear: a caller may unplace the probe
+// before it reports the failure, and if that failure did not count, the next probe
+// would follow immediately.
 func (c *Cluster) postponeProbe(w *worker, job string, now time.Time) {
 	if w.startOf(job, now).Before(w.health.quarantinedAt) {
 		return
--- a/placement/options.go
+++ b/placement/options.go
@@ -20,13 +20,14 @@
 	// LargeReservations is how many large tasks may hold a reservation, in
 	// order of submission.
 	LargeReservations int
-	// Efficiency is the share of the free capacity that admission expects
-	// queued work to get. It accounts for fragmentation, errors of estimated
-	// run times and the fair order between customers. A lower value causes
-	// earlier refusals under overload, of large jobs before small ones.
+	// Efficiency is the share of the capacity, beside running tasks, that
+	// admission expects queued work to get. It accounts for fragmentation, errors
+	// of estimated run times and the fair order between customers. A lower value
+	// causes earlier refusals under overload, of large jobs before small ones.
 	Efficiency float64
-	// MaxCustomerShare is the largest share of the queue, and of the capacity
-	// that admission counts on, that the queued work of one customer may take.
+	// MaxCustomerShare is the largest share of the queue, and of the capacity that
+	// admission expects queued work to get, that the queued work of one customer
+	// may take.
 	MaxCustomerShare float64
 	// FailuresBeforeQuarantine is the number of consecutive failures after
 	// which a worker is quarantined.
@@ -47,11 +48,11 @@
 	NoAdmission bool
 	// NoCorrection uses declared run times and needs without estimates.
 	NoCorrection bool
-	// NoQuarantine keeps using workers on which everything fails.
+	// NoQuarantine keeps starting tasks on workers on which every task fails.
 	NoQuarantine bool
 }
 
-// DefaultOptions returns the default settings.
+// DefaultOptions returns the default options.
 func DefaultOptions() Options {
 	return Options{
 		MaxQueue:                 50_000,
@@ -67,8 +68,8 @@
 	}
 }
 
-// BaselineOptions returns the settings of a plain first come, first served
-// scheduler with first fit.
+// BaselineOptions returns the options of the baseline: a plain first come, first
+// served scheduler with first fit.
 func BaselineOptions() Options {
 	o := DefaultOptions()
 	o.MaxQueue = 0
--- a/placement/preempt.go
+++ b/placement/preempt.go
@@ -38,9 +38,9 @@
 	return w.free.plus(w.stopping)
 }
 
-// cheapestVictims chooses the worker on which preemption loses the least work,
-// and the tasks to preempt there. The worker is nil if no preemption frees
-// enough.
+// cheapestVictims chooses the worker on which preemption loses the least work, and
+// the tasks to preempt there; none if the worker has enough expected free resources
+// without preemption. The worker is nil if no preemption frees enough.
 func (p *planner) cheapestVictims(e *entry) (*worker, []*placedTask) {
 	var best *worker
 	var victims []*placedTask
--- a/placement/profile.go
+++ b/placement/profile.go
@@ -11,14 +11,15 @@
 // step.
 const profileStepSeconds = 4
 
-// profile is the usage of running tasks on the workers that count for
-// admission, by expected end. It is updated with every start and end of a task,
-// so admission only walks its steps.
+// profile is the usage of running tasks on the workers that count for admission, by
+// expected end. It is updated with every start and end of a task, so that an
+// admission check visits its steps instead of all tasks.
 type profile struct {
+	// steps holds the cells by profileKey, and need is the sum of their needs.
 	steps btree.Map[int64, *profileCell]
 	need  Resources
-	// firstMoment is the sum of need times expected end, in seconds after
-	// origin.
+	// firstMoment is the sum over all tasks of need times expected end, in seconds
+	// after origin (Unix seconds).
 	firstMoment resourceSeconds
 	origin      int64
 }
@@ -58,9 +59,9 @@
 	}
 }
 
-// upperBound is the work that running tasks will still use, at most. Overdue
-// tasks count with overdueRemaining from now on, so the result is never below
-// that of walk. It needs no walk over the steps in the future.
+// upperBound is the work that running tasks will still use, at most. Overdue tasks
+// count with overdueRemaining from now on, so the result is never below that of a
+// walk. Only the steps in the past are visited.
 func (p *profile) upperBound(now time.Time) resourceSeconds {
 	elapsed := float64(now.Unix()-p.origin) - overdueRemaining.Seconds()
 	left := p.firstMoment.plus(resourceSecondsOf(p.need, -elapsed))
@@ -74,16 +75,19 @@
 	return left
 }
 
-// profileWalk reads a profile at increasing times.
+// profileWalk computes the work in a profile up to increasing times.
 type profileWalk struct {
-	steps    btree.MapIter[int64, *profileCell]
-	more     bool
-	now      float64
+	steps btree.MapIter[int64, *profileCell]
+	more  bool
+	// now is the start of the walk in Unix seconds.
+	now float64
+	// finished is the work of the tasks that end up to the current time, and
+	// active the usage of all others.
 	finished resourceSeconds
 	active   Resources
 }
 
-// walk starts a walk at now.
+// walk returns a walk that starts at now.
 func (p *profile) walk(now time.Time) *profileWalk {
 	w := &profileWalk{steps: p.steps.Iter(), active: p.need, now: float64(now.UnixMilli()) / 1000}
 	w.more = w.steps.First()
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -43,12 +43,13 @@
 	// starts.
 	planned     int
 	plannedEval uint64
-	// skippedEval is the last evaluation that made no more attempts for the
-	// entry, refusedEval the one that refused it.
+	// skippedEval is the number of the last evaluation that stopped trying to
+	// start the entry, and refusedEval that of the evaluation that refused the
+	// job.
 	skippedEval uint64
 	refusedEval uint64
-	// reservedEval is the last evaluation that tried to reserve resources for
-	// the entry.
+	// reservedEval is the number of the last evaluation that tried to reserve
+	// resources for the entry.
 	reservedEval    uint64
 	demandBucketKey int64
 }
@@ -93,9 +94,10 @@
 	gang int
 }
 
-// shapeState is the state that all entries of a shape share. blocked is set
-// when a search finds no worker with enough free resources and cleared once one
-// task fits on some worker. Thus a full cluster costs nothing per queued entry.
+// shapeState is the state that all entries of a shape share. blocked is set when a
+// search finds no worker with enough free resources and cleared once one task fits
+// on some worker. Evaluations try no worker for the entries of a blocked shape, so
+// a long queue costs little while the cluster is full.
 type shapeState struct {
 	shape     shape
 	subqueues []*subqueue
@@ -118,8 +120,8 @@
 	s.minReservedMissRun = min(s.minReservedMissRun, runtime)
 }
 
-// exhausted reports whether the evaluation has tried enough entries of the
-// shape.
+// exhausted reports whether more than lookahead entries of the shape fitted only
+// into reserved resources in this evaluation.
 func (s *shapeState) exhausted(evaluation uint64) bool {
 	return s.reservedMissEval == evaluation && s.reservedMisses > lookahead
 }
@@ -136,9 +138,11 @@
 	class      class
 	shapeState *shapeState
 	entries    *btree.BTreeG[*entry]
-	// doneEval is the last evaluation that stopped serving the subqueue.
+	// doneEval is the number of the last evaluation that stopped serving the
+	// subqueue.
 	doneEval uint64
-	// cursor is the position of the evaluation numbered cursorEval.
+	// cursor is the entry that the evaluation numbered cursorEval has reached; nil
+	// at the end.
 	cursor     *entry
 	cursorEval uint64
 }
@@ -146,18 +150,20 @@
 // customer is the record of one customer: usage, limit, weight and queued
 // entries.
 type customer struct {
-	name    string
-	used    Resources
+	name string
+	used Resources
+	// limit is the maximum of used; it applies only if limited is set.
 	limited bool
 	limit   Resources
-	// weight divides the used share in the fair order; zero stands for one.
+	// weight divides the share of the customer in the fair order; zero stands for
+	// one.
 	weight    float64
 	subqueues [classCount]map[shape]*subqueue
 	// readyEntries is the number of queued entries that are not delayed.
 	readyEntries int
 	// queuedDemand is the work of the customer's queued entries. horizon is the
-	// latest of their deadlines, and those of earlier entries, since the
-	// customer last had none queued.
+	// latest deadline of all entries that were queued since the customer last had
+	// none in the queue.
 	queuedDemand resourceSeconds
 	entries      int
 	tasks        int
@@ -198,12 +204,14 @@
 // unlimited.
 func withinLimit(amount, limit int64) bool { return limit < 0 || amount <= limit }
 
-// queue holds the entries in all orders that an evaluation walks.
+// queue holds the queued entries, in every order in which an evaluation visits
+// them.
 type queue struct {
 	entries   map[string]*entry
 	tasks     int
 	customers map[string]*customer
-	blocked   []*shapeState
+	// blocked holds the shapes marked as blocked.
+	blocked []*shapeState
 	// serviceNeed is the need of all queued services.
 	serviceNeed         Resources
 	shapes              map[shape]*shapeState
@@ -232,7 +240,7 @@
 	}
 }
 
-// newOrder returns an empty ordered set without locks, since one goroutine owns
+// newOrder returns an empty ordered set. It has no locks, since one goroutine owns
 // the queue.
 func newOrder(less func(a, b *entry) bool) *btree.BTreeG[*entry] {
 	return btree.NewBTreeGOptions(less, btree.Options{NoLocks: true})
@@ -301,7 +309,7 @@
 	e.job.Tasks = tasks
 }
 
-// remove removes an entry from all orders.
+// remove removes an entry from the queue.
 func (q *queue) remove(e *entry) {
 	delete(q.entries, e.job.ID)
 	q.tasks -= e.job.Tasks
@@ -391,7 +399,7 @@
 	return list[:last]
 }
 
-// block marks a shape that no worker can hold now.
+// block marks a shape as fitting on no worker now.
 func (q *queue) block(s *shapeState) {
 	if s.blocked {
 		return
--- a/placement/reserve.go
+++ b/placement/reserve.go
@@ -2,21 +2,20 @@
 
 import "time"
 
-// reservation reserves resources on a worker for an entry that is expected to
-// start there at a computed time. It lasts for one evaluation, and the next one
-// computes it anew. A task that ends early or late thus moves it, and nothing
-// needs to be withdrawn.
+// reservation reserves resources on a worker for an entry that is expected to start
+// there at a computed time. It lasts for one evaluation. The next evaluation
+// computes it anew, which accounts for tasks that end early or late.
 type reservation struct {
 	entry *entry
 	at    time.Time
-	// remaining is what is expected to be free beside the reserved resources at
-	// that time.
+	// remaining is what is expected to be free on the worker when the entry
+	// starts, besides the reserved resources.
 	remaining Resources
 }
 
 // reserve forecasts when the entry can start and reserves the resources that it
-// needs then. Other tasks may use them until then (backfill), so a reservation
-// leaves nothing idle.
+// needs then. Until then other tasks may use these resources (backfill), so a
+// reservation leaves nothing idle.
 func (p *planner) reserve(e *entry) {
 	if p.reservations == 0 || e.reservedEval == p.evaluation || !e.subqueue.customer.allows(e.need) {
 		return
@@ -39,15 +38,15 @@
 	}
 }
 
-// workerForecast is the forecast for one worker: the resources released by then
-// and the number of the entry's tasks that fit.
+// workerForecast is the part of a forecast for one worker: the resources released
+// by the predicted start and the number of the entry's tasks that fit.
 type workerForecast struct {
 	released Resources
 	tasks    int
 }
 
-// workerForecastOf returns the worker's part of the current forecast. It resets
-// what an earlier forecast left.
+// workerForecastOf returns the worker's part of the current forecast. A part that
+// an earlier forecast computed is reset first.
 func (c *Cluster) workerForecastOf(w *worker) *workerForecast {
 	if w.forecastID != c.forecasts {
 		w.forecastID = c.forecasts
@@ -65,7 +64,7 @@
 }
 
 // addCandidate adds to the forecast the tasks that fit on the worker with the
-// resources released so far. It reports whether any more fit.
+// resources released so far. It reports whether it added any.
 func (p *planner) addCandidate(f *forecast, e *entry, w *worker) bool {
 	onWorker := p.cluster.workerForecastOf(w)
 	free := w.free.plus(onWorker.released)
@@ -92,8 +91,9 @@
 	return b
 }
 
-// chargeReservation subtracts a start that outlasts the worker's reservation
-// from what remains beside the reservation.
+// chargeReservation subtracts the need of a started task from what remains beside
+// the reservation of the worker. A task that ends by the reserved start time is not
+// subtracted.
 func (c *Cluster) chargeReservation(evaluation uint64, e *entry, w *worker, now time.Time) {
 	if w.reservedEval != evaluation || w.reservation.entry == e {
 		return
@@ -105,8 +105,8 @@
 }
 
 // startPreviouslyReserved starts the jobs that had a reservation in the last
-// evaluation. Once the reserved resources are free, other customers have
-// smaller shares and the fair order would give the resources to them.
+// evaluation. Once the reserved resources are free, another customer may have a
+// smaller share, and the fair order would give the resources to that customer.
 func (p *planner) startPreviouslyReserved() {
 	for _, id := range p.previouslyReserved {
 		if e := p.cluster.queue.entries[id]; e != nil && !e.delayed && p.remaining(e) > 0 {
@@ -131,10 +131,10 @@
 	})
 }
 
-// reserveLeastServed reserves resources for the customers with the smallest
-// shares whose next task fits no worker. Without it a flood of small tasks
-// takes resources as soon as they are free, and a larger task of another
-// customer starves until it is due.
+// reserveLeastServed reserves resources for the customers with the smallest shares
+// whose next task fits no worker. Without the reservation a flood of small tasks
+// would take resources as soon as they are free, and a larger task of another
+// customer would starve until it is due.
 func (p *planner) reserveLeastServed() {
 	p.reservations += p.cluster.opts.FairReservations
 	for _, c := range p.leastServed(p.cluster.opts.FairReservations) {
@@ -144,9 +144,10 @@
 	}
 }
 
-// reserveLarge reserves resources for the large tasks that were submitted
-// first. In a full cluster a worker rarely has that much free, so they would
-// all starve until they are due, whatever the share of their customer.
+// reserveLarge reserves resources for the large tasks that were submitted first. In
+// a full cluster a worker rarely has enough free resources for a large task, so
+// without reservations all of these tasks would starve until they are due, whatever
+// the share of their customer.
 func (p *planner) reserveLarge() {
 	p.reservations += p.cluster.opts.LargeReservations
 	reserved, visits := 0, 0
--- a/placement/score.go
+++ b/placement/score.go
@@ -1,7 +1,7 @@
 package placement
 
 // score rates a worker that passed the filters; higher is better. Every rate is
-// between 0 and 1, so only the weights decide which score dominates.
+// between 0 and 1, so the weights alone decide which score dominates.
 type score struct {
 	name   string
 	weight float64
@@ -54,7 +54,8 @@
 	return 1
 }
 
-// rateRack falls with the number of the job's tasks in the rack of the worker.
+// rateRack is 1 for a rack without tasks of the job and lower the more of them run
+// in the rack.
 func rateRack(r *request, w *worker) float64 {
 	if r.record == nil {
 		return 1
@@ -62,7 +63,8 @@
 	return 1 / float64(1+r.record.racks[w.Rack])
 }
 
-// rateWorker falls with the number of the job's tasks on the worker.
+// rateWorker is 1 for a worker without tasks of the job and lower the more of them
+// run on the worker.
 func rateWorker(r *request, w *worker) float64 {
 	if r.record == nil {
 		return 1
@@ -87,10 +89,11 @@
 // search is the result of the search for a worker for one task.
 type search struct {
 	worker *worker
-	// anyFits is set if the task fits on some schedulable worker, whatever the
-	// filters say.
+	// anyFits is set if the task fits on some schedulable worker, even if a filter
+	// rejects that worker.
 	anyFits bool
-	// reserved is set if a reservation excluded such a worker.
+	// reserved is set if a worker on which the task fits was rejected because of a
+	// reservation.
 	reserved bool
 }
 
--- a/placement/serve.go
+++ b/placement/serve.go
@@ -9,8 +9,8 @@
 }
 
 // shareHeap is a heap with the smallest weighted share on top. Shares depend on
-// what a customer runs, not on how much it queues, so a flood only delays its
-// own customer.
+// what a customer runs, not on how much it queues, so a flood of jobs delays only
+// the jobs of its own customer.
 type shareHeap []shareItem
 
 func (h shareHeap) Len() int      { return len(h) }
@@ -49,9 +49,10 @@
 	}
 }
 
-// readyCustomers returns the customers with a subqueue whose shape is not
-// blocked; for urgent entries, blocked ones count too. A full cluster has few
-// unblocked shapes, however many customers and entries are queued.
+// readyCustomers returns the customers with a subqueue of the class whose shape is
+// not blocked, and sets their readySubqueues. For the urgent class, blocked shapes
+// count too, since urgent entries may preempt. A full cluster has few unblocked
+// shapes, however many customers and entries are queued.
 func (p *planner) readyCustomers(k class) []*customer {
 	var ready []*customer
 	for _, s := range p.cluster.queue.shapeList {
@@ -120,9 +121,10 @@
 	return sq.cursor
 }
 
-// skipReservedEntries moves the cursor to an entry that is short enough to end
-// before the reservation that excludes the head. It examines up to lookahead
-// entries and reports whether it found one.
+// skipReservedEntries moves the cursor to the next entry that is not known to fit
+// only into reserved resources: one with a shorter run time, which may end by the
+// reserved start time. It examines up to lookahead entries and reports whether it
+// found one.
 func (p *planner) skipReservedEntries(sq *subqueue) bool {
 	visits := 0
 	found := false
@@ -137,10 +139,10 @@
 	return found
 }
 
-// serveSubqueue tries to place the head of a subqueue, and plans preemptions if
-// it is urgent. An entry that fails is skipped for the rest of the evaluation.
-// If it fits only into reserved resources, nextSubqueue continues with later
-// entries that have shorter run times.
+// serveSubqueue tries to place the head of a subqueue, and plans preemptions if the
+// entry is urgent. An entry that cannot be placed is skipped for the rest of the
+// evaluation. If it fits only into reserved resources, nextSubqueue continues with
+// later entries that have shorter run times.
 func (p *planner) serveSubqueue(sq *subqueue) {
 	e := p.head(sq)
 	if p.place(e) {
--- a/placement/state_machine_test.go
+++ b/placement/state_machine_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// stateMachine calls a cluster at random. After each call it compares the
-// totals that the cluster updates incrementally with a recount.
+// stateMachine is a rapid state machine that calls methods of a cluster in random
+// order. After each call it compares the totals that the cluster updates
+// incrementally with a recount.
 type stateMachine struct {
 	c        *Cluster
 	now      time.Time
@@ -49,7 +50,8 @@
 // RemoveWorker removes a worker, which may not exist.
 func (m *stateMachine) RemoveWorker(t *rapid.T) { m.c.RemoveWorker(workerID(t)) }
 
-// Enqueue queues a random job, sometimes also one that admission refuses.
+// Enqueue queues a random job if admission accepts it, and sometimes even if
+// admission refuses it.
 func (m *stateMachine) Enqueue(t *rapid.T) {
 	run := time.Duration(rapid.IntRange(1, 600).Draw(t, "seconds")) * time.Second
 	j := Job{
@@ -80,8 +82,8 @@
 	}
 }
 
-// Place places a task on a worker. On an announced worker it fails unless
-// exactly the tasks that fit are accepted.
+// Place places a random task on a worker. On an announced worker the cluster must
+// accept the task if the task fits there, and only then.
 func (m *stateMachine) Place(t *rapid.T) {
 	id := jobID(t)
 	m.nextTask[id]++
@@ -105,24 +107,25 @@
 	m.c.ReportFailure(workerID(t), jobID(t), m.now)
 }
 
-// Learn adds a random sample.
+// MeasureTask adds the sample of a random finished task.
 func (m *stateMachine) MeasureTask(t *rapid.T) {
 	need := m.amount(t, 4)
 	m.c.AddSample(Sample{Customer: "a", Name: "n", Declared: time.Minute, Measured: time.Duration(rapid.IntRange(1, 600).Draw(t, "measured")) * time.Second,
 		Need: need, Peak: need.times(rapid.Int64Range(0, 2).Draw(t, "peak"))})
 }
 
-// SetLimit limits the CPU of one customer.
+// SetLimit sets a random CPU limit, or none, for one customer.
 func (m *stateMachine) SetLimit(t *rapid.T) {
 	m.c.SetLimit("b", Resources{CPU: rapid.Int64Range(-1, 8000).Draw(t, "limit"), Memory: -1, Accelerators: -1})
 }
 
-// Pass advances the time.
+// PassTime advances the time by up to 400 s.
 func (m *stateMachine) PassTime(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "pass")) * time.Second)
 }
 
-// Evaluate checks a plan against the cluster and commits or drops it.
+// Evaluate plans with a random number of decisions, checks the plan against the
+// cluster and commits or drops the plan.
 func (m *stateMachine) Evaluate(t *rapid.T) {
 	before := m.recount()
 	plan := m.c.Evaluate(m.now, rapid.IntRange(1, 30).Draw(t, "max"))
@@ -180,7 +183,7 @@
 	Queued, Indexed, ExpectedEnds             int
 }
 
-// recount computes the totals.
+// recount computes the totals from the workers, placed tasks and entries.
 func (m *stateMachine) recount() recountedState {
 	a := recountedState{Used: map[string]Resources{}, Stopping: map[string]Resources{}, Preemptible: map[string]Resources{}, Customers: map[string]Resources{}, Entries: map[string]int{}}
 	for id, w := range m.c.workers {
@@ -268,8 +271,9 @@
 	must.True(t, slots < max(1, s.shape.gang), must.Sprintf("shape %v is blocked although %d tasks fit", s.shape, slots))
 }
 
-// The totals of a cluster drift from its tasks and workers after some sequence
-// of calls, a plan overloads a worker, or a shape that fits stays blocked.
+// After any sequence of calls the totals of a cluster must match its workers, tasks
+// and queue, no plan may overload a worker, and no shape that fits may stay
+// blocked.
 func TestClusterStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &stateMachine{c: NewCluster(DefaultOptions()), now: start, nextTask: map[string]int{}}
--- a/placement/types.go
+++ b/placement/types.go
@@ -1,6 +1,7 @@
-// Package placement decides which task starts on which worker and which jobs
-// are admitted or refused. Its decisions are functions of a snapshot: it does
-// no input or output, reads no clock and starts no goroutine.
+// Package placement decides which task starts on which worker and which jobs are
+// admitted or refused. Its decisions depend only on the reported state and the time
+// that the caller passes: the package does no input or output, reads no clock and
+// starts no goroutine.
 package placement
 
 import "time"
@@ -18,7 +19,7 @@
 // Policy is how the tasks of a job are placed.
 type Policy uint8
 
-// The policies.
+// The placement policies.
 const (
 	// Service tasks run until they are stopped and are spread over racks.
 	Service Policy = iota + 1
@@ -41,9 +42,13 @@
 	// Runtime is the declared run time of one task; zero for services.
 	Runtime time.Duration
 	// Deadline is zero for services.
-	Deadline   time.Time
-	Submitted  time.Time
-	Urgent     bool
+	Deadline  time.Time
+	Submitted time.Time
+	// Urgent jobs are started before all others and may preempt idempotent batch
+	// tasks.
+	Urgent bool
+	// Idempotent is set if a task may run more than once. Only such tasks are
+	// preempted, and only such tasks probe quarantined workers.
 	Idempotent bool
 	// NotBefore is when the backoff of a retried task ends; zero for none.
 	NotBefore time.Time
@@ -104,7 +109,7 @@
 // Reason is why a job is refused.
 type Reason uint8
 
-// The reasons.
+// The reasons of refusals.
 const (
 	// ReasonNone means that the job is not refused.
 	ReasonNone Reason = iota
@@ -124,7 +129,8 @@
 	ReasonQueueFull
 )
 
-// Refusal is the decision to end an accepted job that has become infeasible.
+// Refusal is the decision to end an accepted job that can no longer meet its
+// deadline.
 type Refusal struct {
 	Job    string
 	Reason Reason
@@ -169,14 +175,14 @@
 	ExpectedStart time.Time
 }
 
-// Sample is the measured run of one finished task. It arrives some time after
+// Sample is the measured run of one finished task. It may be added some time after
 // the end of the task.
 type Sample struct {
 	Customer string
 	Name     string
 	Declared time.Duration
 	Measured time.Duration
-	// Need is the declared need, Peak the maximum use.
+	// Need is the declared need, and Peak the maximum use.
 	Need Resources
 	Peak Resources
 }
--- a/placement/worker.go
+++ b/placement/worker.go
@@ -16,10 +16,12 @@
 type placedTask struct {
 	Placed
 	expectedEnd time.Time
-	unbounded   bool
-	worker      *worker
-	rack        string
-	stopping    bool
+	// unbounded is set if the task has no expected end.
+	unbounded bool
+	worker    *worker
+	// rack is the rack of the worker when the task was placed.
+	rack     string
+	stopping bool
 	// preemptedEval is the last evaluation that planned to preempt the task.
 	preemptedEval uint64
 }
@@ -33,7 +35,8 @@
 // worker is the cluster's record of one worker.
 type worker struct {
 	Worker
-	// announced is unset while only placed tasks name the worker.
+	// announced is set from SetWorker to RemoveWorker. Without it, the record
+	// exists only for tasks that are placed on the worker.
 	announced bool
 	used      Resources
 	// free is the capacity less used. It is stored because freeIndex sorts by
@@ -48,8 +51,9 @@
 	// expected end.
 	unboundedUsage Resources
 	tasks          map[taskKey]*placedTask
-	indexed        bool
-	health         health
+	// indexed is set while the worker is in the freeIndex.
+	indexed bool
+	health  health
 	// lastEnded is the task that was unplaced last.
 	lastEnded Placed
 	// reservation is valid in the evaluation numbered reservedEval.
@@ -71,8 +75,8 @@
 }
 
 // freeIndex orders the schedulable workers by free resources: free accelerators
-// first where the worker has any, then CPU. One descent finds the tightest
-// worker with enough of the first resource.
+// first where the worker has any, then CPU. One descent of a tree finds the worker
+// with the least, but enough, of the first resource.
 type freeIndex struct {
 	withoutAccelerators *btree.BTreeG[*worker]
 	withAccelerators    *btree.BTreeG[*worker]
@@ -137,7 +141,7 @@
 }
 
 // ascend visits the schedulable workers on which need fits, tightest fit first,
-// until visit returns false. If need has no accelerators, workers with
+// until visit returns false. If need contains no accelerators, workers with
 // accelerators come last.
 func (x freeIndex) ascend(need Resources, visit func(*worker) bool) {
 	x.pivot.free = need
