--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -25,7 +25,8 @@
 	return t.UnixMilli()
 }
 
-// Apply applies the committed command at that log index.
+// Apply applies the committed command at a log index and returns the result for its
+// proposer.
 func (s *State) Apply(index uint64, c *Command) Result {
 	s.Applied = index
 	s.Term = max(s.Term, c.Term)
@@ -64,9 +65,9 @@
 	return Result{Err: fault.New(fault.Internal, "command of an unknown type")}
 }
 
-// firstResponse returns the recorded answer to a request, if there is one, and a
-// Conflict if the ID was used with other content. It prevents a caller whose
-// answer was lost from creating the work twice by resending the request.
+// firstResponse returns the recorded response to a request, if there is one, and a
+// Conflict if the ID was used with other content. The record prevents a caller
+// whose response was lost from creating the work twice by resending the request.
 func (s *State) firstResponse(r Request) (Result, bool) {
 	record, ok := s.Requests[r.key()]
 	if !ok {
@@ -82,22 +83,24 @@
 	return Result{Job: record.Job, Jobs: record.Jobs}, true
 }
 
-// FirstResponse returns the recorded answer to a request, if there is one, before
-// any command is proposed.
+// FirstResponse returns the recorded response to a request, if there is one, and a
+// Conflict if the ID was used with other content. Proposers call it before they
+// propose a command.
 func (s *State) FirstResponse(r Request) (Result, bool) { return s.firstResponse(r) }
 
-// key returns the key of the idempotency record: request IDs are unique per
-// customer.
+// key returns the key of the idempotency record of the request. It contains the
+// customer, since request IDs are unique per customer only.
 func (r Request) key() string { return r.Customer + "\x00" + r.ID }
 
-// recordResponse stores the first answer to a request.
+// recordResponse stores the first response to a request, made at now (Unix ms).
 func (s *State) recordResponse(r Request, now int64, record RequestRecord) {
 	record.Digest = r.Digest
 	record.At = now
 	s.Requests[r.key()] = record
 }
 
-// submit records an admitted or refused job and returns its ID, or the refusal.
+// submit records the admission or refusal of a job and returns the job ID, or the
+// refusal as an error.
 func (s *State) submit(now int64, c *Submit) Result {
 	if first, ok := s.firstResponse(c.Request); ok {
 		return first
@@ -131,9 +134,9 @@
 	return j
 }
 
-// endAttempts applies the reports of a worker. A report counts once, for the
-// latest attempt on that worker and incarnation. Late and duplicate reports are
-// only acknowledged.
+// endAttempts applies the reports of a worker. A report counts once, and only for
+// the latest attempt of its task on that worker and incarnation. Late and duplicate
+// reports are acknowledged without effect.
 func (s *State) endAttempts(now int64, c *End) Result {
 	var r Result
 	for _, report := range c.Reports {
@@ -176,8 +179,9 @@
 // outcomeNames are the names of the outcomes in events.
 var outcomeNames = [...]string{"failed", "finished", "failed", "stopped", "not started"}
 
-// finalStateWithoutRun is the final state of a task whose last attempt never
-// ran: cancelled if an earlier one may have run.
+// finalStateWithoutRun returns the final state of a task whose last attempt never
+// ran, or that has none: cancelled if an earlier attempt may have run, otherwise
+// not run.
 func finalStateWithoutRun(t *Task) TaskState {
 	if t.Runs > 0 {
 		return TaskCancelled
@@ -185,9 +189,9 @@
 	return TaskNotRun
 }
 
-// requeueOrEnd queues a task again that was stopped or never started. It gives
-// the task its final state instead if the job is closing or the task may not
-// run again.
+// requeueOrEnd queues a task again whose attempt was stopped, lost or never
+// started. If the job is closing, the customer cancelled the task or the task may
+// not run again, it gets the state final instead.
 func (s *State) requeueOrEnd(now int64, j *Job, t *Task, final TaskState) {
 	cancelled := t.Stopping && !t.Preempted
 	requeue := !j.Closing && !cancelled && (j.Spec.Idempotent || t.Runs == 0)
@@ -219,7 +223,7 @@
 	t.NotBefore = now + min(backoff, maxRetryBackoffMillis)
 }
 
-// releaseWorker frees the resources of running task i.
+// releaseWorker frees the resources that running task i has reserved on its worker.
 func (s *State) releaseWorker(j *Job, i int) {
 	t := &j.Tasks[i]
 	delete(s.onWorker[t.Worker], j.attemptRef(i))
@@ -259,8 +263,8 @@
 	return text
 }
 
-// closeJob starts to end a job: it ends the queued tasks and stops the running
-// ones.
+// closeJob ends the queued tasks of a job and starts to stop the running ones. kind
+// and reason say why the job ends.
 func (s *State) closeJob(j *Job, kind fault.Kind, reason string) {
 	if j.Closing || j.State.Ended() {
 		return
@@ -304,7 +308,7 @@
 		}
 	}
 	j.Ended = now
-	j.Spec.Payload = nil // No later attempt needs it.
+	j.Spec.Payload = nil // No later attempt needs the payload.
 	switch {
 	case finished == len(j.Tasks):
 		j.State, j.Kind, j.Reason = JobFinished, fault.Internal, ""
@@ -335,7 +339,7 @@
 // sub returns a less b.
 func sub(a, b placement.Resources) placement.Resources { return add(a, times(b, -1)) }
 
-// times returns n times an amount.
+// times multiplies each resource by n.
 func times(a placement.Resources, n int) placement.Resources {
 	m := int64(n)
 	return placement.Resources{CPU: a.CPU * m, Memory: a.Memory * m, Accelerators: a.Accelerators * m}
--- a/internal/state/change.go
+++ b/internal/state/change.go
@@ -9,10 +9,10 @@
 	"github.com/bilberryferry/bilberryferry/quota"
 )
 
-// workerUp applies the announcement of a worker. A higher incarnation proves
-// that the earlier process is gone, so its attempts have ended. An incarnation
-// whose lease has expired never returns: a delayed duplicate of its
-// announcement must not revive it.
+// workerUp applies the announcement of a worker. A higher incarnation proves that
+// the process of the earlier one has ended, and its attempts with it. An
+// incarnation that is down never returns: a delayed duplicate of its announcement
+// must not revive it.
 func (s *State) workerUp(now int64, c *WorkerUp) Result {
 	w := s.Workers[c.ID]
 	if w != nil && (c.Incarnation < w.Incarnation || c.Incarnation == w.Incarnation && w.Down) {
@@ -32,8 +32,8 @@
 	return Result{}
 }
 
-// workerDown ends an incarnation and its attempts. An incarnation that is not
-// the current one is ignored.
+// workerDown ends an incarnation and its attempts. A command for an incarnation
+// that is not the current one is ignored.
 func (s *State) workerDown(now int64, c *WorkerDown) Result {
 	w := s.Workers[c.ID]
 	if w == nil || w.Incarnation != c.Incarnation || w.Down {
@@ -51,9 +51,9 @@
 }
 
 // loseAttempts ends every attempt of an incarnation that has ended. Idempotent
-// tasks are queued again. The outcome of non-idempotent ones is unknown: the
-// start may or may not have reached the worker. crashed adds to the crash
-// counts of the tasks.
+// tasks are queued again. The outcome of non-idempotent ones is unknown: the start
+// may or may not have reached the worker. If crashed is set, the crash counts of
+// the tasks are raised.
 func (s *State) loseAttempts(now int64, w *Worker, detail string, crashed bool) {
 	for _, ref := range s.AttemptsOnWorker(w.ID) {
 		j, t := s.latestAttempt(ref)
@@ -74,7 +74,8 @@
 	}
 }
 
-// maxTaskCrashes is how many worker restarts during its attempts end a task.
+// maxTaskCrashes is the number of worker restarts during the attempts of a task
+// after which the task fails.
 const maxTaskCrashes = 5
 
 // crashLimitReached reports whether the task fails because too many workers
@@ -120,7 +121,7 @@
 }
 
 // SelectForCancel returns the unfinished jobs that a cancellation selects. It
-// returns NotFound for the job of another customer.
+// returns NotFound if a listed ID is unknown or belongs to another customer.
 func (s *State) SelectForCancel(c *Cancel) ([]*Job, error) {
 	if len(c.IDs) > 0 {
 		return s.selectIDs(c)
@@ -136,8 +137,8 @@
 	return jobs, nil
 }
 
-// selectIDs returns the unfinished jobs with the given IDs, or NotFound if one
-// of them is unknown.
+// selectIDs returns the unfinished jobs with the listed IDs, or NotFound if one of
+// the IDs is unknown or belongs to another customer.
 func (s *State) selectIDs(c *Cancel) ([]*Job, error) {
 	var jobs []*Job
 	for _, id := range c.IDs {
@@ -153,7 +154,7 @@
 }
 
 // cancelJob ends a job on request of its customer. While the job is offered to
-// another data centre, it only records the request: the job cannot end before
+// another data centre, only the cancellation is recorded: the job cannot end before
 // that data centre has answered.
 func (s *State) cancelJob(now int64, j *Job) {
 	s.recordEvent("job cancelled", "", j.ID, j.Customer)
@@ -185,8 +186,8 @@
 	return Result{Job: j.ID}
 }
 
-// resize adds queued tasks or ends surplus ones, queued tasks before running
-// ones.
+// resize changes the number of tasks of a service. It adds queued tasks or ends
+// surplus ones, queued tasks before running ones.
 func (s *State) resize(j *Job, tasks int) {
 	active := 0
 	for i := range j.Tasks {
@@ -212,7 +213,8 @@
 	j.Spec.Tasks = tasks
 }
 
-// refuse ends an accepted job that can no longer meet its deadline.
+// refuse ends an accepted job that can no longer meet its deadline. Jobs that are
+// closing, ended or pending handover are ignored.
 func (s *State) refuse(now int64, c *Refuse) Result {
 	j := s.Jobs[c.Job]
 	if j == nil || j.Closing || j.State.Ended() || j.State == JobPendingHandover {
@@ -306,9 +308,9 @@
 	return Result{Err: fault.New(r.Kind, "%s", r.Detail)}
 }
 
-// adoptConfig puts a configuration version into force. It ignores lower and
-// equal versions, so the version never decreases, in whatever order copies
-// arrive.
+// adoptConfig puts a configuration version into force. It ignores versions up to
+// the one in force, so the version never decreases if commands are late or
+// duplicated.
 func (s *State) adoptConfig(c *AdoptConfig) Result {
 	if c.ConfigVersion <= s.Config.ConfigVersion {
 		return Result{}
@@ -347,7 +349,7 @@
 	return Result{}
 }
 
-// Used returns the resources reserved for the running tasks of a customer in
+// Used returns the resources that the running tasks of a customer have reserved in
 // this data centre.
 func (s *State) Used(customer string) placement.Resources { return s.used[customer] }
 
@@ -379,8 +381,8 @@
 // Quota returns the quota ledger. Callers must not modify it.
 func (s *State) Quota() *quota.Ledger { return s.ledger }
 
-// Allotment returns what this data centre may let a customer use at once. It is
-// unlimited before the first configuration.
+// Allotment returns the resources that a customer may use at once in this data
+// centre. They are unlimited before the first configuration.
 func (s *State) Allotment(customer string) placement.Resources {
 	if s.ledger.Version() == 0 {
 		return placement.Resources{CPU: quota.Unlimited, Memory: quota.Unlimited, Accelerators: quota.Unlimited}
@@ -396,9 +398,9 @@
 	return within(used.CPU, limit.CPU) && within(used.Memory, limit.Memory) && within(used.Accelerators, limit.Accelerators)
 }
 
-// prune deletes the jobs that ended and the records that were made before a
-// time. A job that was handed over stays until its deadline has passed, so that
-// callers are redirected to its owner.
+// prune deletes the jobs that ended, and the request records and handover answers
+// that were made, before c.Before. A job that was handed over stays until its
+// deadline has passed, so that callers are redirected to its owner.
 func (s *State) prune(c *Prune) Result {
 	for id, j := range s.Jobs {
 		ended := j.State.Ended() && j.Ended < c.Before
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -19,9 +19,9 @@
 // set.
 type Command struct {
 	Version uint32 `cbor:"1,keyasint"`
-	// Now is the proposer's wall clock in Unix ms. It decides about deadlines
-	// and gives events their time. No protection against running a task twice
-	// depends on it.
+	// Now is the proposer's wall clock in Unix ms. Deadlines and backoffs are
+	// compared with this time, and events get it. No protection against running a
+	// task twice depends on the clock.
 	Now int64 `cbor:"2,keyasint"`
 	// Proposer and Logical complete the timestamp (hybrid logical clock) of
 	// events.
@@ -49,16 +49,17 @@
 }
 
 // Request identifies a mutating call, so that a resent call gets the first
-// answer. Digest detects other content under the same ID.
+// response. Digest is a hash of the content, with which other content under the
+// same ID is detected.
 type Request struct {
 	ID       string `cbor:"1,keyasint"`
 	Customer string `cbor:"2,keyasint,omitempty"`
 	Digest   uint64 `cbor:"3,keyasint"`
 }
 
-// Submit records the admission or refusal of a job. Refusals are recorded too:
-// a delayed duplicate of a refused request must not be accepted after its
-// sender got the answer that nothing will run.
+// Submit records the admission or refusal of a job. Refusals are recorded too: a
+// delayed duplicate of a refused request must not be accepted after its sender got
+// the response that nothing will run.
 type Submit struct {
 	Request    Request       `cbor:"1,keyasint"`
 	Spec       Spec          `cbor:"2,keyasint"`
@@ -66,8 +67,10 @@
 	Kind       fault.Kind    `cbor:"4,keyasint,omitempty"`
 	Detail     string        `cbor:"5,keyasint,omitempty"`
 	RetryAfter time.Duration `cbor:"6,keyasint,omitempty"`
-	HandoverTo string        `cbor:"7,keyasint,omitempty"`
-	Customer   string        `cbor:"8,keyasint"`
+	// HandoverTo is the data centre that the job is offered to; empty to queue the
+	// job in this one.
+	HandoverTo string `cbor:"7,keyasint,omitempty"`
+	Customer   string `cbor:"8,keyasint"`
 }
 
 // Start starts attempts.
@@ -79,7 +82,8 @@
 type StartItem struct {
 	Job    string `cbor:"1,keyasint"`
 	Worker string `cbor:"2,keyasint"`
-	// RaisedNeed is set if more than the declared need is to be reserved.
+	// RaisedNeed is the amount to reserve if that is more than the declared need;
+	// nil otherwise.
 	RaisedNeed *placement.Resources `cbor:"3,keyasint,omitempty"`
 }
 
@@ -107,12 +111,14 @@
 	Capacity    placement.Resources `cbor:"4,keyasint"`
 }
 
-// WorkerDown records that the lease of an incarnation has expired, with an
-// allowance for clock drift, or that the worker left with nothing running.
+// WorkerDown records that an incarnation has ended: its lease expired, with an
+// allowance for clock drift, the worker left with nothing running, or it runs
+// attempts that the state does not know.
 type WorkerDown struct {
 	ID          string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
-	Left        bool   `cbor:"3,keyasint,omitempty"`
+	// Left is set if the worker left.
+	Left bool `cbor:"3,keyasint,omitempty"`
 }
 
 // Drain takes a worker out of placement or, with Undo, puts it back.
@@ -159,8 +165,8 @@
 	Accepted bool       `cbor:"3,keyasint,omitempty"`
 	Kind     fault.Kind `cbor:"4,keyasint,omitempty"`
 	Detail   string     `cbor:"5,keyasint,omitempty"`
-	// Withdrawn is set once the other data centre knows of the customer's
-	// cancellation.
+	// Withdrawn is set if the offer was sent again to withdraw the job, after the
+	// customer cancelled it. The other data centre thus knows of the cancellation.
 	Withdrawn bool `cbor:"7,keyasint,omitempty"`
 	// Next is the data centre that gets the next offer after a refusal. If it
 	// is empty, the job ends.
@@ -171,10 +177,11 @@
 // another one. The first answer for a job also answers every duplicate of the
 // offer.
 type AnswerHandoverOffer struct {
-	Job       string     `cbor:"1,keyasint"`
-	Customer  string     `cbor:"2,keyasint"`
-	From      string     `cbor:"3,keyasint"`
-	Spec      Spec       `cbor:"4,keyasint"`
+	Job      string `cbor:"1,keyasint"`
+	Customer string `cbor:"2,keyasint"`
+	From     string `cbor:"3,keyasint"`
+	Spec     Spec   `cbor:"4,keyasint"`
+	// Submitted is when the customer submitted the job, in Unix ms.
 	Submitted int64      `cbor:"5,keyasint"`
 	Refused   bool       `cbor:"6,keyasint,omitempty"`
 	Kind      fault.Kind `cbor:"7,keyasint,omitempty"`
@@ -187,25 +194,26 @@
 	ConfigVersion uint64 `cbor:"1,keyasint"`
 	Document      string `cbor:"2,keyasint"`
 	Author        string `cbor:"3,keyasint,omitempty"`
-	Accepted      int64  `cbor:"4,keyasint,omitempty"`
-	// Quota is what the proposer parsed from the document. It is part of the
-	// command so that replicas running different program versions hold the same
-	// ledger.
+	// Accepted is when the version was accepted, in Unix ms.
+	Accepted int64 `cbor:"4,keyasint,omitempty"`
+	// Quota is the quota section that the proposer parsed from the document. It is
+	// part of the command so that replicas running different program versions hold
+	// the same ledger.
 	Quota quota.Config `cbor:"5,keyasint,omitempty"`
 }
 
 // Quota is one step of a quota transfer. Exactly one of the pointers is set.
 type Quota struct {
 	// Debit debits this data centre for a transfer that another one requested,
-	// Credit credits a received transfer, and Acknowledge drops a transfer that
+	// Credit credits a received transfer, and Acknowledge removes a transfer that
 	// the request acknowledges.
 	Debit       *quota.DebitCommand    `cbor:"1,keyasint,omitempty"`
 	Credit      *quota.Transfer        `cbor:"2,keyasint,omitempty"`
 	Acknowledge *quota.TransferRequest `cbor:"3,keyasint,omitempty"`
 }
 
-// Prune deletes jobs, request records and handover answers that ended or were
-// made before Before (Unix ms).
+// Prune deletes the jobs that ended, and the request records and handover answers
+// that were made, before Before (Unix ms).
 type Prune struct {
 	Before int64 `cbor:"1,keyasint"`
 }
--- a/internal/state/start.go
+++ b/internal/state/start.go
@@ -7,10 +7,10 @@
 	"github.com/bilberryferry/bilberryferry/placement"
 )
 
-// start starts attempts of queued tasks. Each item is checked against the
-// committed state again, since the plan was made from an earlier one: nothing
-// is started of a job that was cancelled meanwhile, or on a worker that went
-// down or filled up.
+// start starts attempts of queued tasks. Each item is checked against the committed
+// state again, since the plan was made from an earlier one: no task is started of a
+// job that was cancelled meanwhile, or on a worker that has gone down or has too
+// few free resources left.
 func (s *State) start(now int64, c *Start) Result {
 	var r Result
 	gangs := make(map[string]bool)
@@ -30,8 +30,8 @@
 	return r
 }
 
-// startGang starts all queued tasks of a gang on the workers of the plan, or
-// none. A part of a gang would occupy workers while it waits for the rest.
+// startGang starts all queued tasks of a gang on the workers of the plan, or none.
+// A part of a gang would occupy workers while the rest waits for resources.
 func (s *State) startGang(now int64, j *Job, items []StartItem) []StartedAttempt {
 	var gangItems []StartItem
 	for _, item := range items {
@@ -86,7 +86,7 @@
 	return !j.Closing && !j.State.Ended() && j.State != JobPendingHandover
 }
 
-// fitsOn reports whether the worker can take tasks and has need free.
+// fitsOn reports whether the worker accepts tasks and has at least need free.
 func (s *State) fitsOn(w *Worker, need placement.Resources) bool {
 	return w != nil && !w.Down && !w.Draining && fits(add(w.Used, need), w.Capacity)
 }
@@ -99,8 +99,9 @@
 	return atLeast(j.Spec.Need, *item.RaisedNeed)
 }
 
-// startTask starts the first queued task of the job that is past its backoff,
-// if the job, the worker and the quota allow it. It reports whether it did.
+// startTask starts the first queued task of the job that is past its backoff, if
+// the job, the worker and the quota allow a start. It reports whether it started
+// one.
 func (s *State) startTask(now int64, j *Job, item StartItem) (StartedAttempt, bool) {
 	worker, need := item.Worker, j.need(item)
 	w := s.Workers[worker]
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -14,7 +14,7 @@
 	"github.com/bilberryferry/bilberryferry/quota"
 )
 
-// Retry settings.
+// Retries of failed attempts.
 const (
 	// DefaultMaxAttempts is the maximum number of attempts of an idempotent
 	// task whose spec sets none.
@@ -33,16 +33,17 @@
 	// Sequence is the number in the last job ID.
 	Sequence uint64 `cbor:"3,keyasint"`
 	// Revision increases with every change of a job.
-	Revision uint64                   `cbor:"4,keyasint"`
-	Jobs     map[string]*Job          `cbor:"5,keyasint"`
-	Workers  map[string]*Worker       `cbor:"6,keyasint"`
+	Revision uint64             `cbor:"4,keyasint"`
+	Jobs     map[string]*Job    `cbor:"5,keyasint"`
+	Workers  map[string]*Worker `cbor:"6,keyasint"`
+	// Requests holds the idempotency records, by customer and request ID.
 	Requests map[string]RequestRecord `cbor:"7,keyasint"`
-	// HandoverAnswers holds the answers to handover offers of other data
-	// centres, by job.
+	// HandoverAnswers holds the answers to handover offers of other data centres,
+	// by job ID.
 	HandoverAnswers map[string]HandoverAnswerRecord `cbor:"8,keyasint"`
 	// Config is the adopted configuration.
 	Config AdoptConfig `cbor:"9,keyasint"`
-	// Applied is the index of the last applied command.
+	// Applied is the log index of the last applied command.
 	Applied uint64 `cbor:"10,keyasint"`
 	// Ledger is the encoded quota ledger.
 	Ledger []byte `cbor:"11,keyasint,omitempty"`
@@ -54,13 +55,14 @@
 	onWorker map[string]map[AttemptRef]struct{}
 	// used is the sum of resources reserved for the running tasks of each
 	// customer. It is derived from the jobs.
-	used    map[string]placement.Resources
+	used map[string]placement.Resources
+	// ledger is the quota ledger; Ledger holds its encoded form in snapshots.
 	ledger  *quota.Ledger
 	changes Changes
 }
 
-// RequestRecord is the idempotency record of a request: the digest of its
-// content and the first answer. At is in Unix ms.
+// RequestRecord is the idempotency record of a request: the digest of its content
+// and the first response, made at At (Unix ms).
 type RequestRecord struct {
 	Digest uint64       `cbor:"1,keyasint"`
 	At     int64        `cbor:"2,keyasint"`
@@ -85,21 +87,20 @@
 	At       int64      `cbor:"4,keyasint"`
 }
 
-// Changes is what a series of commands has changed. It updates caches and the
-// event timeline.
+// Changes is what a series of commands has changed. Callers update their caches and
+// the event timeline from it.
 type Changes struct {
 	Placed   []placement.Placed
 	Unplaced []Unplaced
-	// Queues holds the IDs of jobs whose number of queued tasks may have
-	// changed.
+	// Queues holds the IDs of the changed jobs. Their numbers of queued tasks may
+	// have changed.
 	Queues map[string]struct{}
 	// Workers holds the IDs of workers that may have changed.
 	Workers map[string]struct{}
 	// Stops are the attempts that their workers must stop.
 	Stops   []StartedAttempt
 	Samples []placement.Sample
-	// AttemptResults are the attempts that a worker finished, successfully or
-	// not.
+	// AttemptResults are the attempts that finished or failed on their workers.
 	AttemptResults []AttemptResult
 	Events         []Event
 	// Quota is set if allotments may have changed.
@@ -133,7 +134,7 @@
 	return s
 }
 
-// Encode writes a snapshot of the state.
+// Encode returns a snapshot of the state.
 func (s *State) Encode() ([]byte, error) {
 	ledger, err := s.ledger.MarshalBinary()
 	if err != nil {
@@ -144,7 +145,8 @@
 	return data, errors.Wrap(err, "encode state")
 }
 
-// DecodeState reads a snapshot of this or an earlier format version.
+// DecodeState restores the state from a snapshot of this or an earlier format
+// version. It returns an error for a later one.
 func DecodeState(data []byte) (*State, error) {
 	s := new(State)
 	if err := cbor.Unmarshal(data, s); err != nil {
@@ -191,7 +193,7 @@
 	}
 }
 
-// resetChanges discards the recorded changes.
+// resetChanges removes the recorded changes.
 func (s *State) resetChanges() {
 	s.changes = Changes{Queues: make(map[string]struct{}), Workers: make(map[string]struct{})}
 }
@@ -269,7 +271,7 @@
 }
 
 // PlacementJob returns the job with its queued tasks in the form that package
-// placement uses, and whether any can be placed.
+// placement uses, and whether any of these tasks may be placed.
 func (j *Job) PlacementJob() (placement.Job, bool) {
 	queued, _, _ := j.Counts()
 	p := j.placementJob(queued)
@@ -277,7 +279,7 @@
 }
 
 // placementJob returns the job with that many tasks in the form that package
-// placement uses. Its NotBefore is the latest of the queued tasks.
+// placement uses. Its NotBefore is the latest NotBefore of the queued tasks.
 func (j *Job) placementJob(tasks int) placement.Job {
 	p := placement.Job{
 		ID: j.ID, Customer: j.Customer, Name: j.Spec.Name, Policy: j.Spec.Policy, Tasks: tasks,
@@ -302,8 +304,8 @@
 	}
 }
 
-// HeldResources is the amount reserved on the worker for running task i: the
-// declared need, or more if earlier runs used more.
+// HeldResources returns the resources reserved on the worker for running task i:
+// the declared need, or more if earlier runs used more.
 func (j *Job) HeldResources(i int) placement.Resources {
 	return atLeast(j.Spec.Need, j.Tasks[i].RaisedNeed)
 }
@@ -321,8 +323,8 @@
 	return all
 }
 
-// OverdueJobs returns the IDs of the unfinished jobs whose deadline has passed,
-// sorted.
+// OverdueJobs returns the IDs of the unfinished jobs of this data centre whose
+// deadline has passed at now (Unix ms), sorted.
 func (s *State) OverdueJobs(now int64) []string {
 	var overdue []string
 	for id, j := range s.Jobs {
@@ -334,7 +336,7 @@
 	return overdue
 }
 
-// markChanged gives the job a new revision and records the change.
+// markChanged gives the job the next revision and records the job in the changes.
 func (s *State) markChanged(j *Job) {
 	s.Revision++
 	j.Revision = s.Revision
@@ -346,15 +348,15 @@
 	s.changes.Events = append(s.changes.Events, Event{Kind: kind, Subjects: subjects, Detail: detail})
 }
 
-// newID returns the ID of the next job. It contains the home data centre, so
-// that any instance that gets a request can find the owner of the job, and the
-// leader term.
+// newID returns the ID of the next job. The ID contains the leader term and the
+// home data centre, from which any instance that gets a request finds the owner of
+// the job.
 //
-// The term prevents the reuse of an ID: if the log runs without a disk and the
-// data centre loses power, jobs accepted in memory are lost together with the
-// sequence number. A new job with the ID of a lost one could be mistaken for it
-// by its customer, or by a worker that still reports on it. Terms increase even
-// across such a loss.
+// The term prevents the reuse of an ID: if the log runs without a disk and the data
+// centre loses power, jobs accepted in memory are lost together with the sequence
+// number. A new job with the ID of a lost one could be mistaken for it by its
+// customer, or by a worker that still reports on it. Terms increase even across
+// such a loss.
 func (s *State) newID() string {
 	s.Sequence++
 	sequence := strconv.FormatUint(s.Sequence, 10)
@@ -377,9 +379,9 @@
 	return id[:dot]
 }
 
-// assertWithinCapacity panics if more than the capacity of a worker, or less
-// than nothing, is reserved. Every start is checked before, so this is a defect
-// of this package, which must not go unnoticed.
+// assertWithinCapacity panics if more than the capacity of a worker, or less than
+// nothing, is reserved. Every start is checked before it is applied, so such a
+// state is a defect of this package, which must not go unnoticed.
 func (w *Worker) assertWithinCapacity() {
 	over := w.Used.CPU > w.Capacity.CPU || w.Used.Memory > w.Capacity.Memory || w.Used.Accelerators > w.Capacity.Accelerators
 	if over || w.Used.CPU < 0 || w.Used.Memory < 0 || w.Used.Accelerators < 0 {
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -17,21 +17,22 @@
 type fakeWorker struct {
 	incarnation uint64
 	running     map[AttemptRef]bool
-	// stopped are the attempts that it has proved never to start.
+	// notStarted are the attempts of which the worker has reported that they never
+	// start.
 	notStarted map[AttemptRef]bool
 	ended      map[AttemptRef]bool
 }
 
 // stateHarness applies random commands, among them late, duplicate and invalid
-// ones, to two replicas of a state and simulates the workers.
+// ones, to two replicas (a and b) of a state and simulates the workers.
 type stateHarness struct {
 	t           *rapid.T
 	a, b        *State
 	index       uint64
 	now         int64
 	fakeWorkers map[string]*fakeWorker
-	undelivered []StartedAttempt // orders in flight; delivered late, twice or never
-	startCounts map[string]int   // job/task -> attempts that ran
+	undelivered []StartedAttempt // orders in flight, which arrive late, twice or never
+	startCounts map[string]int   // by job and task, the number of attempts that ran
 	jobs        []string
 	request     int
 }
@@ -86,7 +87,7 @@
 }
 
 // submit submits a random job twice and fails if the duplicate gets another
-// answer.
+// response.
 func (h *stateHarness) submit() {
 	h.request++
 	policies := []placement.Policy{placement.Service, placement.Batch, placement.Gang}
@@ -120,8 +121,8 @@
 	return fmt.Sprint("w", rapid.IntRange(0, 2).Draw(h.t, "worker"))
 }
 
-// applyRandomPlan applies a plan that ignores capacities, limits and the state
-// of jobs and workers.
+// applyRandomPlan applies a random plan, which ignores capacities, limits and the
+// state of jobs and workers.
 func (h *stateHarness) applyRandomPlan() {
 	var items []StartItem
 	for range rapid.IntRange(1, 8).Draw(h.t, "items") {
@@ -135,9 +136,9 @@
 	h.undelivered = append(h.undelivered, result.Started...)
 }
 
-// deliver delivers an order to its worker. The worker rejects orders for
-// another incarnation, duplicates, and attempts that it has ended or proved
-// never to start.
+// deliver delivers an order to its worker. The worker rejects orders for another
+// incarnation, duplicates, and orders for attempts that have ended there or that it
+// has reported as never started.
 func (h *stateHarness) deliver() {
 	if len(h.undelivered) == 0 {
 		return
@@ -169,8 +170,8 @@
 	}
 }
 
-// report reports the end of an attempt, or the proof that it never starts,
-// followed by a contradicting duplicate.
+// report reports that an attempt ended or never starts, and then reports the same
+// attempt as failed. Only the first report must count.
 func (h *stateHarness) report() {
 	id := h.worker()
 	w := h.fakeWorkers[id]
@@ -194,8 +195,9 @@
 	h.apply(&Command{End: end})
 }
 
-// expireLease ends the lease of a worker, which has stopped all its attempts by
-// then, and starts its next incarnation.
+// expireLease ends the lease of a worker, which has stopped all its attempts
+// before, and starts the next incarnation of the worker. In some cases a delayed
+// announcement of the ended incarnation arrives in between and must be refused.
 func (h *stateHarness) expireLease() {
 	id := h.worker()
 	w := h.fakeWorkers[id]
@@ -265,8 +267,8 @@
 	}
 }
 
-// checkJob fails if a task that is reported as not run, or was handed over, did
-// run, or if an ended job has queued or running tasks.
+// checkJob fails if a task ran although it is reported as not run or its job was
+// handed over, or if an ended job has queued or running tasks.
 func (h *stateHarness) checkJob(j *Job) {
 	for i := range j.Tasks {
 		if j.Tasks[i].State == TaskNotRun || j.State == JobNotRun || j.HandoverDataCentre != "" {
@@ -279,10 +281,11 @@
 	}
 }
 
-// A task runs twice, a worker or customer gets more than its capacity or quota,
-// or a task that ran is reported as not run. Orders are delivered late, twice
-// or never, workers are lost and restarted with less capacity, cancellations
-// and handovers race with starts, and replicas are restored from snapshots.
+// No task may run on two workers at once, no non-idempotent task may run twice, no
+// worker or customer may get more than its capacity or quota, and no task that ran
+// may be reported as not run. Orders are delivered late, twice or never, workers
+// are lost and restarted with less capacity, cancellations and handovers race with
+// starts, and replicas are restored from snapshots.
 func TestRandomCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newStateHarness(t)
@@ -298,9 +301,9 @@
 	})
 }
 
-// A non-idempotent job whose worker became unreachable is reported as cancelled
-// or not run, though its start may have reached the worker. The task starts, in
-// one case the customer cancels the job, and then the lease expires.
+// A non-idempotent job whose worker became unreachable must not be reported as
+// cancelled or not run, since its start may have reached the worker. The task
+// starts, in one case the customer cancels the job, and then the lease expires.
 func TestLostNonIdempotentWorkIsUnknown(t *testing.T) {
 	for _, cancelled := range []bool{false, true} {
 		s := New("home")
@@ -317,7 +320,8 @@
 	}
 }
 
-// A task that crashes every worker that starts it is queued again forever.
+// A task that crashes every worker that starts it must fail after some crashes.
+// Otherwise it would be queued again forever.
 func TestTaskFailsAfterCrashingTooManyWorkers(t *testing.T) {
 	s := New("home")
 	up := func(incarnation uint64) {
@@ -333,10 +337,10 @@
 	}
 }
 
-// A job that its customer cancelled during a handover keeps running in the
+// A job that its customer cancelled during a handover must not keep running in the
 // other data centre. The job is offered, the customer cancels it, and then the
-// acceptance of the offer arrives. The handover must not be done before the
-// other data centre has answered the withdrawal.
+// acceptance of the offer arrives. The handover must not be done before the other
+// data centre has answered the withdrawal.
 func TestCancelDuringHandoverKeepsJobPendingUntilWithdrawn(t *testing.T) {
 	s := New("home")
 	spec := Spec{Name: "check-in", Policy: placement.Batch, Tasks: 1, Need: placement.Resources{CPU: 1, Memory: 1}}
@@ -349,9 +353,8 @@
 	must.True(t, s.Jobs[job].HandoverDone)
 }
 
-// A resent request creates its job although the first copy was refused, or a
-// request with other content is taken for a duplicate because it has the same
-// ID.
+// A resent request must not create its job if the first copy was refused. A request
+// with other content must not be taken for a duplicate because it has the same ID.
 func TestResentRequestGetsFirstResponse(t *testing.T) {
 	s := New("home")
 	refused := &Submit{Request: Request{ID: "r", Digest: 1}, Customer: "c", Refused: true, Kind: fault.Infeasible, Detail: "no"}
@@ -363,8 +366,8 @@
 	must.MapEmpty(t, s.Jobs)
 }
 
-// A snapshot written by a later program version is decoded as if the format
-// were known.
+// A snapshot written by a later program version must be refused and not be decoded
+// as if its format were known.
 func TestNewerFormatVersionIsRefused(t *testing.T) {
 	s := New("home")
 	s.Format = FormatVersion + 1
--- a/internal/state/types.go
+++ b/internal/state/types.go
@@ -14,16 +14,18 @@
 
 // Spec is the specification of a job, as its customer submits it.
 type Spec struct {
-	Name        string              `cbor:"1,keyasint"`
-	Policy      placement.Policy    `cbor:"2,keyasint"`
-	Tasks       int                 `cbor:"3,keyasint"`
-	Need        placement.Resources `cbor:"4,keyasint"`
-	Runtime     time.Duration       `cbor:"5,keyasint,omitempty"`
-	Deadline    int64               `cbor:"6,keyasint,omitempty"` // Unix ms
-	Idempotent  bool                `cbor:"7,keyasint,omitempty"`
-	Urgent      bool                `cbor:"8,keyasint,omitempty"`
-	Payload     []byte              `cbor:"9,keyasint,omitempty"`
-	MaxAttempts int                 `cbor:"10,keyasint,omitempty"`
+	Name       string              `cbor:"1,keyasint"`
+	Policy     placement.Policy    `cbor:"2,keyasint"`
+	Tasks      int                 `cbor:"3,keyasint"`
+	Need       placement.Resources `cbor:"4,keyasint"`
+	Runtime    time.Duration       `cbor:"5,keyasint,omitempty"`
+	Deadline   int64               `cbor:"6,keyasint,omitempty"` // Unix ms
+	Idempotent bool                `cbor:"7,keyasint,omitempty"`
+	Urgent     bool                `cbor:"8,keyasint,omitempty"`
+	Payload    []byte              `cbor:"9,keyasint,omitempty"`
+	// MaxAttempts is the maximum number of failures of a task; zero means
+	// DefaultMaxAttempts.
+	MaxAttempts int `cbor:"10,keyasint,omitempty"`
 }
 
 // JobState is the state of a job. The values match JobState of api/v1.
@@ -76,10 +78,10 @@
 	Ended       int64     `cbor:"6,keyasint,omitempty"`
 	NotBefore   int64     `cbor:"7,keyasint,omitempty"`
 	Failures    int       `cbor:"8,keyasint,omitempty"`
-	// Stopping is set once the worker is to stop the attempt.
+	// Stopping is set once a stop of the attempt is committed.
 	Stopping bool `cbor:"9,keyasint,omitempty"`
-	// Preempted is set if the attempt is stopped for urgent work. The task is
-	// then queued again and the stop does not count as a failure.
+	// Preempted is set if the attempt is stopped in favour of an urgent task. The
+	// task is queued again afterwards, and the stop does not count as a failure.
 	Preempted bool `cbor:"10,keyasint,omitempty"`
 	// Runs counts the attempts that may have run: the committed starts, less
 	// those that the worker has proved never to have run.
@@ -87,7 +89,8 @@
 	// RaisedNeed is the amount reserved for the attempt if earlier runs used
 	// more than the declared need; zero otherwise.
 	RaisedNeed placement.Resources `cbor:"12,keyasint,omitempty"`
-	// Crashes counts the worker restarts during attempts of the task.
+	// Crashes counts the worker restarts during attempts of the task, except those
+	// of workers that were draining or down.
 	Crashes int `cbor:"13,keyasint,omitempty"`
 }
 
@@ -103,8 +106,8 @@
 	Ended     int64    `cbor:"8,keyasint,omitempty"`
 	// Revision is the revision of the state at the last change of the job.
 	Revision uint64 `cbor:"9,keyasint"`
-	// Closing is set once the job is to end: its queued tasks are ended and its
-	// running ones are being stopped. Kind and Reason say why.
+	// Closing is set once the job is to end: its queued tasks have ended and its
+	// running tasks are being stopped. Kind and Reason say why.
 	Closing bool       `cbor:"10,keyasint,omitempty"`
 	Kind    fault.Kind `cbor:"11,keyasint,omitempty"`
 	Reason  string     `cbor:"12,keyasint,omitempty"`
@@ -129,8 +132,8 @@
 	Capacity    placement.Resources `cbor:"4,keyasint"`
 	Used        placement.Resources `cbor:"5,keyasint,omitempty"`
 	Draining    bool                `cbor:"6,keyasint,omitempty"`
-	// Down is set once this incarnation can never run tasks again: its lease
-	// expired or it left.
+	// Down is set once this incarnation has ended (see WorkerDown) and can never
+	// run tasks again.
 	Down bool `cbor:"7,keyasint,omitempty"`
 }
 
@@ -169,8 +172,8 @@
 	Acknowledged []AttemptRef
 }
 
-// StartedAttempt is a committed attempt and the worker incarnation that gets
-// the order.
+// StartedAttempt is a committed attempt and the worker incarnation that the order
+// to start or stop it goes to.
 type StartedAttempt struct {
 	Ref         AttemptRef
 	Worker      string
