--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -172,10 +172,13 @@
 		s.changes.AttemptResults = append(s.changes.AttemptResults, AttemptResult{Worker: t.Worker, Job: j.ID, Failed: true})
 		s.failTask(now, j, t)
 	}
-	s.recordEvent("attempt ended", fmt.Sprintf("task %d attempt %d: %s %s", i, t.Attempt, outcomeNames[report.Outcome%5], report.Detail), j.ID, t.Worker)
+	s.recordEvent("attempt ended", fmt.Sprintf("task %d attempt %d: %s %s", i, t.Attempt, outcomeNames[report.Outcome%outcomeNameCount], report.Detail), j.ID, t.Worker)
 	s.updateJobState(now, j, report.Detail)
 }
 
+// outcomeNameCount is the length of outcomeNames.
+const outcomeNameCount = 5
+
 // outcomeNames are the names of the outcomes in events.
 var outcomeNames = [...]string{"failed", "finished", "failed", "stopped", "not started"}
 
@@ -219,7 +222,7 @@
 		return
 	}
 	t.State = TaskQueued
-	backoff := int64(retryBackoffMillis) << min(t.Failures-1, 10)
+	backoff := int64(retryBackoffMillis) << min(t.Failures-1, maxBackoffDoublings)
 	t.NotBefore = now + min(backoff, maxRetryBackoffMillis)
 }
 
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -24,6 +24,9 @@
 	retryBackoffMillis = 250
 	// maxRetryBackoffMillis is the maximum backoff.
 	maxRetryBackoffMillis = 30_000
+	// maxBackoffDoublings bounds the doublings, so that the backoff does not overflow
+	// before maxRetryBackoffMillis applies.
+	maxBackoffDoublings = 10
 )
 
 // State is the state of one data centre that results from its log.
--- a/placement/admit.go
+++ b/placement/admit.go
@@ -16,6 +16,12 @@
 	// noWorkersRetryAfter is the retry delay while no worker is announced:
 	// about the time that workers take to find a new leader.
 	noWorkersRetryAfter = 5 * time.Second
+	// backlogRetryDivisor divides the time that the workers need for the queued CPU
+	// demand. The quotient is the retry delay under a backlog.
+	backlogRetryDivisor = 20
+	// overrunWithoutCapacity is the assumed overrun if no capacity is left of the
+	// resource that is short.
+	overrunWithoutCapacity = time.Hour
 )
 
 // Admit decides whether a job can be accepted now. available is the rest of the
@@ -111,7 +117,7 @@
 	seconds := 0.0
 	supply := c.capacityRate()
 	if supply.cpu > 0 {
-		seconds = c.demand.total.cpu / supply.cpu / 20
+		seconds = c.demand.total.cpu / supply.cpu / backlogRetryDivisor
 	}
 	return max(minRetryAfter, time.Duration(seconds*float64(time.Second)))
 }
@@ -258,8 +264,8 @@
 }
 
 // overrun returns how long after the deadline, which is seconds away, the
-// needed work would be done. Only resources that need asks for count. It
-// returns an hour if no such resource exceeds the deadline.
+// needed work would be done. Only resources that need asks for count. It returns
+// overrunWithoutCapacity if the work on those with capacity left is done by then.
 func overrun(needed, rate resourceSeconds, need Resources, seconds float64) time.Duration {
 	longest := 0.0
 	if need.CPU > 0 && rate.cpu > 0 {
@@ -272,7 +278,7 @@
 		longest = max(longest, needed.accelerators/rate.accelerators)
 	}
 	if longest <= seconds {
-		return time.Hour
+		return overrunWithoutCapacity
 	}
 	return time.Duration((longest - seconds) * float64(time.Second))
 }
--- a/placement/arrivals/generate.go
+++ b/placement/arrivals/generate.go
@@ -74,6 +74,46 @@
 // namesPerCustomer is the number of recurring jobs of each customer.
 const namesPerCustomer = 8
 
+// Parameters of the random jobs. A ...Range is the width of a uniform distribution that
+// begins at the value named before it.
+const (
+	// maxDeclarationFactor bounds the factor of wrong declarations, which lies between
+	// 1/maxDeclarationFactor and maxDeclarationFactor.
+	maxDeclarationFactor = 5
+	// acceleratorShare is the share of the recurring jobs that need accelerators, at a
+	// site that has some.
+	acceleratorShare = 0.25
+	// typicalRuntime is the median of the median run times of all recurring jobs.
+	typicalRuntime = 4 * time.Minute
+	// medianSpread is the standard deviation of the logarithm of those medians, and
+	// runtimeSpread that of the run times of one recurring job.
+	medianSpread  = 0.7
+	runtimeSpread = 0.25
+	minRuntime    = 5 * time.Second
+	maxRuntime    = time.Hour
+	// minPeakRatio is the lowest peak use as a fraction of the need.
+	minPeakRatio   = 0.4
+	peakRatioRange = 0.7
+	// meanExtraTasks is the mean number of tasks of a job beyond the first one, before
+	// rounding down.
+	meanExtraTasks = 6
+	minGangTasks   = 4
+	gangTasksRange = 13
+	// minUrgentSeconds is the shortest run time of an urgent task.
+	minUrgentSeconds   = 3
+	urgentSecondsRange = 12
+	// urgentSlack is the time from the earliest end of an urgent job to its deadline,
+	// and gangExtraSlack what gangs get in addition to the slack of other jobs.
+	urgentSlack    = 2 * time.Minute
+	gangExtraSlack = 30 * time.Minute
+	// A tight deadline leaves minTightSlack and, in addition, between 1 and
+	// 1+tightRunsRange run times. Any other leaves minLooseSlack or more.
+	minTightSlack   = 2 * time.Minute
+	tightRunsRange  = 5
+	minLooseSlack   = time.Hour
+	looseHoursRange = 5
+)
+
 // jobTemplate is a recurring job of a customer: its name, need, median run
 // time, factor of its declared run times and peak use relative to its need.
 type jobTemplate struct {
@@ -166,21 +206,21 @@
 func (g *generator) newTemplate(customer, n int, wrong bool) jobTemplate {
 	bias := 1.0
 	if wrong || g.rand.Float64() < g.workload.MisdeclaredNames {
-		bias = math.Exp((2*g.rand.Float64() - 1) * math.Log(5))
+		bias = math.Exp((2*g.rand.Float64() - 1) * math.Log(maxDeclarationFactor))
 	}
 	cpu := []int64{1, 2, 2, 4, 4, 6, 8, 12}[g.rand.IntN(8)]
 	gigabytes := cpu * []int64{2, 3, 4, 5}[g.rand.IntN(4)]
 	need := resources(cpu, gigabytes)
-	if g.site.Accelerators > 0 && g.rand.Float64() < 0.25 {
+	if g.site.Accelerators > 0 && g.rand.Float64() < acceleratorShare {
 		need.Accelerators = 1 + g.rand.Int64N(2)
 	}
 	return jobTemplate{
 		customer:        customer,
 		name:            fmt.Sprintf("job-%d", n),
 		need:            need,
-		median:          time.Duration(math.Exp(g.rand.NormFloat64()*0.7) * float64(4*time.Minute)),
+		median:          time.Duration(math.Exp(g.rand.NormFloat64()*medianSpread) * float64(typicalRuntime)),
 		declarationBias: bias,
-		peakRatio:       0.4 + 0.7*g.rand.Float64(),
+		peakRatio:       minPeakRatio + peakRatioRange*g.rand.Float64(),
 	}
 }
 
@@ -188,14 +228,14 @@
 // resolveTimes.
 func (g *generator) newArrival(n int) Arrival {
 	template := g.templates[g.rand.IntN(len(g.templates))]
-	run := time.Duration(math.Exp(g.rand.NormFloat64()*0.25) * float64(template.median))
-	run = min(max(run, 5*time.Second), time.Hour)
+	run := time.Duration(math.Exp(g.rand.NormFloat64()*runtimeSpread) * float64(template.median))
+	run = min(max(run, minRuntime), maxRuntime)
 	j := placement.Job{
 		ID:         fmt.Sprintf("j%06d", n),
 		Customer:   fmt.Sprintf("c%03d", template.customer),
 		Name:       template.name,
 		Policy:     placement.Batch,
-		Tasks:      1 + int(g.rand.ExpFloat64()*6),
+		Tasks:      1 + int(g.rand.ExpFloat64()*meanExtraTasks),
 		Need:       template.need,
 		Idempotent: g.rand.Float64() >= g.workload.NotIdempotent,
 	}
@@ -207,12 +247,12 @@
 		j.Tasks = 1
 		j.Need = g.workload.UrgentNeed
 		j.Name += "-urgent"
-		run = time.Duration((3 + 12*g.rand.Float64()) * float64(time.Second))
-		slack = 2 * time.Minute
+		run = time.Duration((minUrgentSeconds + urgentSecondsRange*g.rand.Float64()) * float64(time.Second))
+		slack = urgentSlack
 	case draw < g.workload.Urgent+g.workload.Gangs:
 		j.Policy = placement.Gang
-		j.Tasks = 4 + g.rand.IntN(13)
-		slack += 30 * time.Minute
+		j.Tasks = minGangTasks + g.rand.IntN(gangTasksRange)
+		slack += gangExtraSlack
 	}
 	j.Runtime = g.declaredRuntime(run, template.declarationBias)
 	j.Deadline = time.Time{}.Add(run + slack)
@@ -223,9 +263,9 @@
 // slack draws the time from the earliest end to the deadline.
 func (g *generator) slack(run time.Duration) time.Duration {
 	if g.rand.Float64() < g.workload.TightDeadlines {
-		return 2*time.Minute + time.Duration((1+5*g.rand.Float64())*float64(run))
+		return minTightSlack + time.Duration((1+tightRunsRange*g.rand.Float64())*float64(run))
 	}
-	return time.Hour + time.Duration(g.rand.Float64()*5*float64(time.Hour))
+	return minLooseSlack + time.Duration(g.rand.Float64()*looseHoursRange*float64(time.Hour))
 }
 
 // declaredRuntime draws the declared run time for an actual one. The random error
--- a/placement/arrivals/measure_test.go
+++ b/placement/arrivals/measure_test.go
@@ -32,8 +32,10 @@
 // on the first worker that fits, and refuses a job only once it can no longer meet
 // its deadline.
 func oracleOptions() placement.Options {
+	// beyondDeadlines is longer than the time to any deadline, so that every job is due.
+	const beyondDeadlines = 1000 * time.Hour
 	o := placement.DefaultOptions()
-	o.DueWindow = 1000 * time.Hour
+	o.DueWindow = beyondDeadlines
 	o.FirstFit = true
 	o.NoAdmission = true
 	o.NoCorrection = true
@@ -89,10 +91,11 @@
 // load.
 func TestPacking(t *testing.T) {
 	skipUnlessSelected(t, "packing")
+	const lowestLoad, loadStep, loads = 0.75, 0.05, 10
 	for _, site := range sites() {
 		var points []packingPoint
-		for step := range 10 {
-			workload := DefaultWorkload(1, 0.75+0.05*float64(step))
+		for step := range loads {
+			workload := DefaultWorkload(1, lowestLoad+loadStep*float64(step))
 			base := run(site, workload, placement.BaselineOptions())
 			scheduled := run(site, workload, placement.DefaultOptions())
 			fmt.Printf("%s seed 1 load %.2f baseline goodput %.1f%% not in time %.2f%% | placement goodput %.1f%% not in time %.2f%% refused %.2f%% missed %.3f%%\n",
@@ -110,9 +113,10 @@
 // jobs arrive at a load above the capacity.
 func TestUrgent(t *testing.T) {
 	skipUnlessSelected(t, "urgent")
+	const overload = 1.3
 	for _, site := range sites() {
 		for seed := uint64(1); seed <= *seeds; seed++ {
-			workload := DefaultWorkload(seed, 1.3)
+			workload := DefaultWorkload(seed, overload)
 			workload.TightDeadlines = 0
 			workload.UrgentNeed = resources(4, 8)
 			base := run(site, workload, placement.BaselineOptions())
@@ -128,10 +132,11 @@
 // sizes. A flood is two hours of extra jobs of one customer.
 func TestFlood(t *testing.T) {
 	skipUnlessSelected(t, "flood")
+	const loadBesideFlood = 0.6
 	for _, site := range sites() {
 		for seed := uint64(1); seed <= *seeds; seed++ {
 			for _, size := range []float64{0, 0.5, 1, 2, 5} {
-				workload := DefaultWorkload(seed, 0.6)
+				workload := DefaultWorkload(seed, loadBesideFlood)
 				arrivals := Flood{Customer: "flood", Load: size, From: time.Hour, Until: 3 * time.Hour}.Add(site, Generate(site, workload))
 				for name, o := range map[string]placement.Options{"baseline": placement.BaselineOptions(), "placement": placement.DefaultOptions()} {
 					r := Replay(Config{Site: site, Options: o, Services: workload.Services}, arrivals)
@@ -147,10 +152,11 @@
 // for two hours and another one for two and a half.
 func TestFaults(t *testing.T) {
 	skipUnlessSelected(t, "faults")
+	const loadBesideFaults = 0.8
 	for _, site := range sites() {
 		faults := []WorkerFault{{Worker: "w003", From: time.Hour, Until: 3 * time.Hour}, {Worker: "w017", From: 90 * time.Minute, Until: 4 * time.Hour}}
 		for seed := uint64(1); seed <= *seeds; seed++ {
-			workload := DefaultWorkload(seed, 0.8)
+			workload := DefaultWorkload(seed, loadBesideFaults)
 			quarantineOff := placement.DefaultOptions()
 			quarantineOff.NoQuarantine = true
 			base := run(site, workload, placement.BaselineOptions(), faults...)
--- a/placement/arrivals/replay.go
+++ b/placement/arrivals/replay.go
@@ -42,6 +42,8 @@
 	maxAttempts = 5
 	// maxDecisions is the maximum number of decisions in one evaluation.
 	maxDecisions = 256
+	// unlimitedDecisions is a maximum that no evaluation reaches.
+	unlimitedDecisions = 1 << 20
 	// drainTime is the time from the last deadline to the end of the
 	// simulation.
 	drainTime = 2 * time.Hour
@@ -184,7 +186,7 @@
 	if count == 0 {
 		return
 	}
-	const perService = 10
+	const perService = 10 // tasks
 	for i := 0; i*perService < count; i++ {
 		r.cluster.Enqueue(placement.Job{
 			ID: fmt.Sprintf("s%03d", i), Customer: fmt.Sprintf("c%03d", i%r.config.Site.Customers), Name: "service",
@@ -193,7 +195,7 @@
 	}
 	next := map[string]int{}
 	for {
-		plan := r.cluster.Evaluate(epoch, 1<<20)
+		plan := r.cluster.Evaluate(epoch, unlimitedDecisions)
 		if len(plan.Starts) == 0 {
 			return
 		}
--- a/placement/arrivals/report.go
+++ b/placement/arrivals/report.go
@@ -27,12 +27,20 @@
 	missKindCount
 )
 
+// The ranges of the histograms. Longer times are not recorded.
+const (
+	maxRecordedWait     = 48 * time.Hour
+	maxRecordedDuration = 10 * time.Second
+	// histogramDigits is the number of significant digits.
+	histogramDigits = 3
+)
+
 // WaitTimes is a distribution of waiting times in milliseconds.
 type WaitTimes struct{ histogram *hdrhistogram.Histogram }
 
 // newWaitTimes returns an empty distribution.
 func newWaitTimes() *WaitTimes {
-	return &WaitTimes{histogram: hdrhistogram.New(1, int64(48*time.Hour/time.Millisecond), 3)}
+	return &WaitTimes{histogram: hdrhistogram.New(1, int64(maxRecordedWait/time.Millisecond), histogramDigits)}
 }
 
 // Quantile returns the waiting time that the fraction q of the tasks does not
@@ -92,7 +100,9 @@
 
 // newReport returns an empty report.
 func newReport(site Site) *Report {
-	timing := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(10*time.Second), 3) }
+	timing := func() *hdrhistogram.Histogram {
+		return hdrhistogram.New(1, int64(maxRecordedDuration), histogramDigits)
+	}
 	return &Report{
 		site: site, refused: map[placement.Reason]int{}, refusedBy: map[string]int{},
 		Normal: newWaitTimes(), Urgent: newWaitTimes(), Gangs: newWaitTimes(), Customer: map[string]*WaitTimes{},
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -24,6 +24,21 @@
 	benchWorkers     = 450
 	benchQueuedTasks = 10_000
 	benchCustomers   = 100
+	// benchWorkersPerRack is the number of workers in each rack.
+	benchWorkersPerRack = 8
+	// benchAccelerators is the total number of accelerators. The first workers have
+	// benchAcceleratorsPerWorker each.
+	benchAccelerators          = 970
+	benchAcceleratorsPerWorker = 4
+	// benchMaxDecisions is the maximum number of decisions in one evaluation.
+	benchMaxDecisions = 64
+	// benchJobsPerGang is the number of jobs of which one is a gang.
+	benchJobsPerGang = 50
+	// benchRoundInterval is the simulated time between two evaluations.
+	benchRoundInterval = 50 * time.Millisecond
+	// benchHistogramDigits is the number of significant digits of the measured
+	// durations.
+	benchHistogramDigits = 3
 )
 
 // newBenchCluster returns a benchCluster whose workers and queue are full.
@@ -32,14 +47,14 @@
 	o.MaxQueue = 0
 	g := &benchCluster{cluster: NewCluster(o), rand: rand.New(rand.NewPCG(1, 2)), now: start}
 	for i := range benchWorkers {
-		w := Worker{ID: fmt.Sprintf("w%03d", i), Rack: fmt.Sprintf("r%02d", i/8), Capacity: cores(32), Live: true}
+		w := Worker{ID: fmt.Sprintf("w%03d", i), Rack: fmt.Sprintf("r%02d", i/benchWorkersPerRack), Capacity: cores(32), Live: true}
 		w.Capacity.Memory *= 4
-		w.Capacity.Accelerators = int64(min(4, max(0, 970-4*i)))
+		w.Capacity.Accelerators = int64(min(benchAcceleratorsPerWorker, max(0, benchAccelerators-benchAcceleratorsPerWorker*i)))
 		g.cluster.SetWorker(w)
 	}
 	for g.cluster.Queued() < benchQueuedTasks {
 		g.enqueueJob()
-		g.evaluateAndPlace(b, 64)
+		g.evaluateAndPlace(b, benchMaxDecisions)
 	}
 	return g
 }
@@ -58,7 +73,7 @@
 		Policy: Batch, Tasks: 1, Need: need, Runtime: time.Duration(1+g.rand.IntN(600)) * time.Second,
 		Submitted: g.now, Deadline: g.now.Add(12*time.Hour + time.Duration(g.rand.IntN(36000))*time.Second), Idempotent: true,
 	}
-	if g.jobs%50 == 0 {
+	if g.jobs%benchJobsPerGang == 0 {
 		j.Policy, j.Tasks = Gang, 8
 	}
 	g.cluster.Enqueue(j)
@@ -107,11 +122,11 @@
 // benchmarkEvaluate runs BenchmarkEvaluate with that many ends per evaluation.
 func benchmarkEvaluate(b *testing.B, ends int) {
 	g := newBenchCluster(b)
-	durations := hdrhistogram.New(1, int64(time.Second), 3)
+	durations := hdrhistogram.New(1, int64(time.Second), benchHistogramDigits)
 	starts := 0
 	b.ResetTimer()
 	for b.Loop() {
-		g.now = g.now.Add(50 * time.Millisecond)
+		g.now = g.now.Add(benchRoundInterval)
 		for range ends {
 			g.unplaceRandom()
 		}
@@ -119,7 +134,7 @@
 			g.enqueueJob()
 		}
 		begin := time.Now()
-		n := g.evaluateAndPlace(b, 64)
+		n := g.evaluateAndPlace(b, benchMaxDecisions)
 		_ = durations.RecordValue(int64(time.Since(begin)))
 		starts += n
 	}
@@ -132,7 +147,7 @@
 // tasks.
 func BenchmarkAdmit(b *testing.B) {
 	g := newBenchCluster(b)
-	durations := hdrhistogram.New(1, int64(time.Second), 3)
+	durations := hdrhistogram.New(1, int64(time.Second), benchHistogramDigits)
 	j := g.enqueueJob()
 	b.ResetTimer()
 	for b.Loop() {
--- a/placement/cluster_test.go
+++ b/placement/cluster_test.go
@@ -11,6 +11,10 @@
 // start is the time at which the tests begin.
 var start = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
+// maxDecisions is the maximum number of decisions in one evaluation. It is more than
+// any test needs.
+const maxDecisions = 100
+
 // unlimited is a quota allotment without limits.
 var unlimited = Resources{CPU: -1, Memory: -1, Accelerators: -1}
 
@@ -63,7 +67,7 @@
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 8, cores(8), 2)
 	c.Enqueue(Job{ID: "s", Customer: "x", Policy: Service, Tasks: 4, Need: cores(1), Submitted: start})
-	plan := c.Evaluate(start, 100)
+	plan := c.Evaluate(start, maxDecisions)
 	racks := map[string]int{}
 	for _, s := range plan.Starts {
 		racks[c.workers[s.Worker].Rack]++
@@ -78,13 +82,13 @@
 	addWorkers(c, 4, cores(4), 2)
 	next := map[string]int{}
 	c.Enqueue(newBatchJob("b", "x", 1, cores(4), time.Hour, 10*time.Hour))
-	commit(t, c, c.Evaluate(start, 100), start, next)
+	commit(t, c, c.Evaluate(start, maxDecisions), start, next)
 	g := newBatchJob("g", "x", 4, cores(4), time.Hour, 10*time.Hour)
 	g.Policy = Gang
 	c.Enqueue(g)
-	must.SliceEmpty(t, c.Evaluate(start, 100).Starts)
+	must.SliceEmpty(t, c.Evaluate(start, maxDecisions).Starts)
 	c.Unplace("b", 0)
-	must.SliceLen(t, 4, c.Evaluate(start, 100).Starts)
+	must.SliceLen(t, 4, c.Evaluate(start, maxDecisions).Starts)
 }
 
 // A gang of two fits only if one of its tasks uses resources that are reserved
@@ -101,9 +105,9 @@
 	first.Policy, second.Policy = Gang, Gang
 	c.Enqueue(first)
 	c.Enqueue(second)
-	must.SliceEmpty(t, c.Evaluate(start, 100).Starts)
+	must.SliceEmpty(t, c.Evaluate(start, maxDecisions).Starts)
 	c.Unplace("b", 0)
-	must.SliceLen(t, 2, c.Evaluate(start, 100).Starts)
+	must.SliceLen(t, 2, c.Evaluate(start, maxDecisions).Starts)
 }
 
 // A long task must not take the resources that are reserved for a blocked gang,
@@ -114,13 +118,13 @@
 	addWorkers(c, 2, cores(4), 2)
 	next := map[string]int{}
 	c.Enqueue(newBatchJob("b", "x", 1, cores(4), time.Hour, 10*time.Hour))
-	commit(t, c, c.Evaluate(start, 100), start, next)
+	commit(t, c, c.Evaluate(start, maxDecisions), start, next)
 	g := newBatchJob("g", "x", 2, cores(4), time.Hour, 10*time.Hour)
 	g.Policy = Gang
 	c.Enqueue(g)
 	c.Enqueue(newBatchJob("long", "y", 1, cores(2), 2*time.Hour, 20*time.Hour))
 	c.Enqueue(newBatchJob("short", "y", 1, cores(2), 30*time.Minute, 20*time.Hour))
-	plan := c.Evaluate(start, 100)
+	plan := c.Evaluate(start, maxDecisions)
 	must.SliceLen(t, 1, plan.Starts)
 	must.EqOp(t, "short", plan.Starts[0].Job)
 }
@@ -148,13 +152,13 @@
 			u := newBatchJob("u", "x", 1, cores(2), time.Minute, time.Hour)
 			u.Urgent = true
 			c.Enqueue(u)
-			plan := c.Evaluate(start, 100)
+			plan := c.Evaluate(start, maxDecisions)
 			must.SliceLen(t, tc.want, plan.Preemptions)
 			must.SliceEmpty(t, plan.Starts)
 			c.MarkStopping("low", 0)
-			must.SliceEmpty(t, c.Evaluate(start, 100).Preemptions)
+			must.SliceEmpty(t, c.Evaluate(start, maxDecisions).Preemptions)
 			c.Unplace("low", 0)
-			must.SliceLen(t, 1, c.Evaluate(start, 100).Starts)
+			must.SliceLen(t, 1, c.Evaluate(start, maxDecisions).Starts)
 		})
 	}
 }
@@ -170,10 +174,10 @@
 	u := newBatchJob("u", "x", 1, cores(2), time.Minute, time.Hour)
 	u.Urgent = true
 	c.Enqueue(u)
-	plan := c.Evaluate(start, 100)
+	plan := c.Evaluate(start, maxDecisions)
 	must.SliceLen(t, 1, plan.Preemptions)
 	c.MarkStopping("low", plan.Preemptions[0].Task)
-	must.SliceEmpty(t, c.Evaluate(start, 100).Preemptions)
+	must.SliceEmpty(t, c.Evaluate(start, maxDecisions).Preemptions)
 }
 
 // A large task of a customer with a high share has a reservation. Once the reserved
@@ -191,10 +195,10 @@
 	c.Enqueue(newBatchJob("small", "idle", 50, small, time.Hour, 20*time.Hour))
 	// The first evaluation finds that nothing fits and blocks the shape; the
 	// second one makes the reservation.
-	must.SliceEmpty(t, c.Evaluate(start, 100).Starts)
-	must.SliceEmpty(t, c.Evaluate(start, 100).Starts)
+	must.SliceEmpty(t, c.Evaluate(start, maxDecisions).Starts)
+	must.SliceEmpty(t, c.Evaluate(start, maxDecisions).Starts)
 	c.Unplace("old", 0)
-	plan := c.Evaluate(start.Add(time.Minute), 100)
+	plan := c.Evaluate(start.Add(time.Minute), maxDecisions)
 	must.SliceLen(t, 1, plan.Starts)
 	must.EqOp(t, "large", plan.Starts[0].Job)
 }
@@ -265,8 +269,8 @@
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(1), 1)
 	c.Enqueue(newBatchJob("a", "x", 1, cores(2), time.Hour, 2*time.Hour))
-	must.SliceEmpty(t, c.Evaluate(start, 100).Refusals)
-	plan := c.Evaluate(start.Add(2*time.Hour), 100)
+	must.SliceEmpty(t, c.Evaluate(start, maxDecisions).Refusals)
+	plan := c.Evaluate(start.Add(2*time.Hour), maxDecisions)
 	must.SliceLen(t, 1, plan.Refusals)
 	must.EqOp(t, ReasonDeadline, plan.Refusals[0].Reason)
 }
@@ -283,9 +287,9 @@
 	}
 	must.Eq(t, []string{"w000"}, c.Quarantined())
 	c.Enqueue(newBatchJob("a", "x", 2, cores(4), time.Minute, time.Hour))
-	must.SliceLen(t, 1, c.Evaluate(start, 100).Starts)
+	must.SliceLen(t, 1, c.Evaluate(start, maxDecisions).Starts)
 	later := start.Add(c.opts.ProbeBackoff)
-	plan := c.Evaluate(later, 100)
+	plan := c.Evaluate(later, maxDecisions)
 	must.SliceLen(t, 2, plan.Starts)
 	commit(t, c, plan, later, map[string]int{})
 	c.ReportFailure("w000", "a", later)
@@ -306,14 +310,14 @@
 	c.Enqueue(newBatchJob("a", "x", 2, cores(1), time.Minute, time.Hour))
 	c.Enqueue(newBatchJob("b", "x", 2, cores(1), time.Minute, time.Hour))
 	later := start.Add(c.opts.ProbeBackoff)
-	plan := c.Evaluate(later, 100)
+	plan := c.Evaluate(later, maxDecisions)
 	must.SliceLen(t, 1, plan.Starts)
 	commit(t, c, plan, later, map[string]int{})
-	must.SliceEmpty(t, c.Evaluate(later, 100).Starts)
+	must.SliceEmpty(t, c.Evaluate(later, maxDecisions).Starts)
 	c.Unplace(plan.Starts[0].Job, 0)
 	c.ReportFailure("w000", plan.Starts[0].Job, later)
-	must.SliceEmpty(t, c.Evaluate(later, 100).Starts)
-	must.EqOp(t, later.Add(2*c.opts.ProbeBackoff), c.Evaluate(later, 100).ReevaluateAt)
+	must.SliceEmpty(t, c.Evaluate(later, maxDecisions).Starts)
+	must.EqOp(t, later.Add(2*c.opts.ProbeBackoff), c.Evaluate(later, maxDecisions).ReevaluateAt)
 }
 
 // A worker loses its disk while a long task computes. The task still succeeds,
@@ -365,7 +369,9 @@
 		c.AddSample(Sample{Customer: "x", Name: "name", Declared: time.Minute, Measured: 4 * time.Minute, Need: cores(2), Peak: cores(3)})
 	}
 	run := c.estimator.runtime("x", "name", time.Minute)
-	must.Between(t, 3.7, run.high.Minutes(), 4.3)
+	// The high estimate is 4 minutes, rounded by the histogram.
+	const lowestMinutes, highestMinutes = 3.7, 4.3
+	must.Between(t, lowestMinutes, run.high.Minutes(), highestMinutes)
 	must.EqOp(t, cores(3), c.NeedOf(j))
 	must.EqOp(t, cores(2), c.NeedOf(Job{Customer: "x", Name: "other", Need: cores(2)}))
 	must.EqOp(t, cores(8), c.NeedOf(Job{Customer: "x", Name: "name", Need: cores(7)}))
@@ -380,7 +386,7 @@
 	c.Enqueue(newBatchJob("flood", "loud", 1000, cores(1), time.Minute, 8*time.Hour))
 	c.Enqueue(newBatchJob("few", "quiet", 5, cores(1), time.Minute, 9*time.Hour))
 	count := map[string]int{}
-	for _, s := range c.Evaluate(start, 100).Starts {
+	for _, s := range c.Evaluate(start, maxDecisions).Starts {
 		count[s.Job]++
 	}
 	must.Eq(t, map[string]int{"flood": 5, "few": 5}, count)
@@ -389,6 +395,7 @@
 // Two customers have more queued than the workers can run. What they get must
 // be in the ratio of their weights, and equal with equal weights.
 func TestSharesFollowCustomerWeights(t *testing.T) {
+	const totalCores = 48
 	for _, weights := range [][2]int{{1, 1}, {2, 1}, {3, 1}} {
 		c := NewCluster(DefaultOptions())
 		addWorkers(c, 4, cores(12), 2)
@@ -397,10 +404,10 @@
 		c.Enqueue(newBatchJob("ja", "a", 100, cores(1), time.Minute, 10*time.Hour))
 		c.Enqueue(newBatchJob("jb", "b", 100, cores(1), time.Minute, 10*time.Hour))
 		started := map[string]int{}
-		for _, s := range c.Evaluate(start, 100).Starts {
+		for _, s := range c.Evaluate(start, maxDecisions).Starts {
 			started[s.Job]++
 		}
-		must.Eq(t, 48, started["ja"]+started["jb"])
-		must.Eq(t, 48*weights[0]/(weights[0]+weights[1]), started["ja"], must.Sprint(weights))
+		must.Eq(t, totalCores, started["ja"]+started["jb"])
+		must.Eq(t, totalCores*weights[0]/(weights[0]+weights[1]), started["ja"], must.Sprint(weights))
 	}
 }
--- a/placement/estimate.go
+++ b/placement/estimate.go
@@ -16,9 +16,11 @@
 	// ratioDigits is the number of significant digits of a histogram. With 1 a
 	// histogram takes about 1 KB and a bucket is at most 6% wide.
 	ratioDigits = 1
-	// priorWeightSamples is the weight of the prior, in samples. From four
-	// times as many samples on, the history alone counts.
+	// priorWeightSamples is the weight of the prior, in samples.
 	priorWeightSamples = 8
+	// historyOnlySamples is the number of samples from which on the prior has no
+	// weight.
+	historyOnlySamples = 4 * priorWeightSamples
 	// generationSamples is the number of samples in one generation of a
 	// history. Estimates use the current and the previous generation, so that
 	// they follow a change of behaviour.
@@ -170,7 +172,7 @@
 // grows with its number of samples.
 func (h *runtimeHistory) blend(prior estimate, declared time.Duration) estimate {
 	weight := float64(h.samples) / float64(h.samples+priorWeightSamples)
-	if h.samples >= 4*priorWeightSamples {
+	if h.samples >= historyOnlySamples {
 		weight = 1
 	}
 	interpolate := func(priorValue time.Duration, ratio float64) time.Duration {
--- a/placement/state_machine_test.go
+++ b/placement/state_machine_test.go
@@ -262,10 +262,12 @@
 	if !s.blocked {
 		return
 	}
+	// countLimit is more than the tasks of any gang.
+	const countLimit = 100
 	slots := 0
 	for _, w := range m.c.workers {
 		if w.schedulable() {
-			slots += w.free.fitCount(s.shape.need, 100)
+			slots += w.free.fitCount(s.shape.need, countLimit)
 		}
 	}
 	must.True(t, slots < max(1, s.shape.gang), must.Sprintf("shape %v is blocked although %d tasks fit", s.shape, slots))
