--- a/placement/arrivals/report.go
+++ b/placement/arrivals/report.go
@@ -83,10 +83,10 @@
 
 	// Normal, Urgent and Gangs are the waiting times of tasks by kind of job.
 	// Customer holds those of the normal tasks by customer.
-	Normal   *WaitTimes
-	Urgent   *WaitTimes
-	Gangs    *WaitTimes
-	Customer map[string]*WaitTimes
+	Normal     *WaitTimes
+	Urgent     *WaitTimes
+	Gangs      *WaitTimes
+	ByCustomer map[string]*WaitTimes
 
 	// evaluations and admissions are the durations of evaluations and of admission
 	// checks, in nanoseconds.
@@ -105,7 +105,7 @@
 	}
 	return &Report{
 		site: site, refused: map[placement.Reason]int{}, refusedBy: map[string]int{},
-		Normal: newWaitTimes(), Urgent: newWaitTimes(), Gangs: newWaitTimes(), Customer: map[string]*WaitTimes{},
+		Normal: newWaitTimes(), Urgent: newWaitTimes(), Gangs: newWaitTimes(), ByCustomer: map[string]*WaitTimes{},
 		evaluations: timing(), admissions: timing(),
 	}
 }
@@ -161,10 +161,10 @@
 		r.Gangs.record(d)
 	default:
 		r.Normal.record(d)
-		customerWaits, found := r.Customer[a.Customer]
+		customerWaits, found := r.ByCustomer[a.Customer]
 		if !found {
 			customerWaits = newWaitTimes()
-			r.Customer[a.Customer] = customerWaits
+			r.ByCustomer[a.Customer] = customerWaits
 		}
 		customerWaits.record(d)
 	}
@@ -184,7 +184,7 @@
 // of all customers except one does not exceed.
 func (r *Report) OthersWait(except string, q float64) time.Duration {
 	others := newWaitTimes()
-	for customer, w := range r.Customer {
+	for customer, w := range r.ByCustomer {
 		if customer != except {
 			others.histogram.Merge(w.histogram)
 		}
--- a/placement/cluster.go
+++ b/placement/cluster.go
@@ -120,7 +120,7 @@
 	w.announced = false
 	w.Capacity = Resources{}
 	w.free = Resources{}.minus(w.used)
-	c.dropIdleWorker(w)
+	c.removeIdleWorker(w)
 }
 
 // countCapacity adds (sign 1) or subtracts (sign -1) the worker in the totals that
@@ -170,9 +170,9 @@
 	return w
 }
 
-// dropIdleWorker deletes the record of a worker that is not announced and has
+// removeIdleWorker deletes the record of a worker that is not announced and has
 // no tasks.
-func (c *Cluster) dropIdleWorker(w *worker) {
+func (c *Cluster) removeIdleWorker(w *worker) {
 	if w.announced || len(w.tasks) > 0 {
 		return
 	}
@@ -229,7 +229,7 @@
 	}
 	c.trackUnplaced(t, w)
 	c.release(w, t.Need)
-	c.dropIdleWorker(w)
+	c.removeIdleWorker(w)
 }
 
 // MarkStopping records that a stop of a running task was ordered. Later evaluations
@@ -305,7 +305,7 @@
 	c.queue.customer(t.Customer).addUsage(t.Need.times(-1))
 	c.jobRecordFor(t.Job).running--
 	c.countServiceSpread(t.Job, t.Policy, w.ID, t.rack, -1)
-	c.dropIdleJobRecord(t.Job)
+	c.removeIdleJobRecord(t.Job)
 }
 
 // countServiceSpread adds n to the number of tasks of a service on a worker and
@@ -333,9 +333,9 @@
 	return r
 }
 
-// dropIdleJobRecord deletes the record of a job that has neither running tasks
+// removeIdleJobRecord deletes the record of a job that has neither running tasks
 // nor a queue entry.
-func (c *Cluster) dropIdleJobRecord(job string) {
+func (c *Cluster) removeIdleJobRecord(job string) {
 	r, found := c.jobs[job]
 	if !found || r.running > 0 || c.queue.entries[job] != nil {
 		return
--- a/placement/cluster_test.go
+++ b/placement/cluster_test.go
@@ -214,11 +214,11 @@
 		return g
 	}
 	cases := []struct {
-		name  string
-		job   Job
-		avail Resources
-		want  Reason
-		retry bool
+		name      string
+		job       Job
+		available Resources
+		want      Reason
+		retry     bool
 	}{
 		{"fits", newBatchJob("a", "x", 1, cores(1), time.Minute, time.Hour), unlimited, ReasonNone, false},
 		{"too large", newBatchJob("a", "x", 1, cores(5), time.Minute, time.Hour), unlimited, ReasonTooLarge, false},
@@ -233,7 +233,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := NewCluster(small)
 			addWorkers(c, 4, cores(4), 2)
-			decision := c.Admit(tc.job, start, tc.avail)
+			decision := c.Admit(tc.job, start, tc.available)
 			must.EqOp(t, tc.want, decision.Reason, must.Sprint(decision.Detail))
 			must.EqOp(t, tc.want == ReasonNone, decision.Admitted)
 			must.EqOp(t, tc.retry, decision.RetryAfter > 0)
--- a/placement/enqueue.go
+++ b/placement/enqueue.go
@@ -8,7 +8,7 @@
 	}
 	c.unqueue(j.ID)
 	if j.Tasks <= 0 {
-		c.dropIdleJobRecord(j.ID)
+		c.removeIdleJobRecord(j.ID)
 		return
 	}
 	c.jobRecordFor(j.ID)
@@ -43,7 +43,7 @@
 // the queue.
 func (c *Cluster) Dequeue(job string) {
 	c.unqueue(job)
-	c.dropIdleJobRecord(job)
+	c.removeIdleJobRecord(job)
 }
 
 // DequeueAll removes every queued job that match selects in one pass, and
--- a/placement/health.go
+++ b/placement/health.go
@@ -46,7 +46,7 @@
 	} else if c.workerAtFault(w) {
 		c.quarantine(w, now)
 	}
-	c.dropIdleJobRecord(job)
+	c.removeIdleJobRecord(job)
 }
 
 // ReportSuccess records that a task succeeded on a worker and ends the worker's
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -321,7 +321,7 @@
 	}
 	e.subqueue.entries.Delete(e)
 	e.subqueue.customer.readyEntries--
-	q.dropEmptySubqueue(e.subqueue)
+	q.removeEmptySubqueue(e.subqueue)
 	q.bySubmitted.Delete(e)
 	if e.class != classNormal {
 		return
@@ -375,9 +375,9 @@
 	return sq
 }
 
-// dropEmptySubqueue deletes a subqueue without entries, and its shape if that
+// removeEmptySubqueue deletes a subqueue without entries, and its shape if that
 // was the last subqueue of the shape.
-func (q *queue) dropEmptySubqueue(sq *subqueue) {
+func (q *queue) removeEmptySubqueue(sq *subqueue) {
 	if sq.entries.Len() > 0 {
 		return
 	}
