--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -193,8 +193,9 @@
 }
 
 // requeueOrEnd queues a task again whose attempt was stopped, lost or never
-// started. If the job is closing, the customer cancelled the task or the task may
-// not run again, it gets the state final instead.
+// started. The task gets the state final instead if it may not run again, if the
+// job is closing or if the task was being stopped for another reason than a
+// preemption.
 func (s *State) requeueOrEnd(now int64, j *Job, t *Task, final TaskState) {
 	cancelled := t.Stopping && !t.Preempted
 	requeue := !j.Closing && !cancelled && (j.Spec.Idempotent || t.Runs == 0)
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -89,9 +89,10 @@
 
 // Report is the end of an attempt, as its worker reports it.
 type Report struct {
-	Ref     AttemptRef          `cbor:"1,keyasint"`
-	Outcome Outcome             `cbor:"2,keyasint"`
-	Detail  string              `cbor:"3,keyasint,omitempty"`
+	Ref     AttemptRef `cbor:"1,keyasint"`
+	Outcome Outcome    `cbor:"2,keyasint"`
+	Detail  string     `cbor:"3,keyasint,omitempty"`
+	// Runtime is the measured run time of the attempt, and Peak its maximum use.
 	Runtime time.Duration       `cbor:"4,keyasint,omitempty"`
 	Peak    placement.Resources `cbor:"5,keyasint,omitempty"`
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -326,8 +326,9 @@
 	return all
 }
 
-// OverdueJobs returns the IDs of the unfinished jobs of this data centre whose
-// deadline has passed at now (Unix ms), sorted.
+// OverdueJobs returns the IDs of the jobs whose deadline has passed at now (Unix
+// ms), sorted. Jobs that have ended, are closing or are pending handover are left
+// out.
 func (s *State) OverdueJobs(now int64) []string {
 	var overdue []string
 	for id, j := range s.Jobs {
--- a/placement/admit.go
+++ b/placement/admit.go
@@ -122,10 +122,10 @@
 	return max(minRetryAfter, time.Duration(seconds*float64(time.Second)))
 }
 
-// admitCustomerShare keeps one customer from taking all capacity up to its
-// latest deadline. Accepted jobs are not dropped for others, so without this
+// admitCustomerShare keeps one customer from taking all capacity up to its latest
+// deadline. Accepted jobs are not cancelled in favour of others, so without this
 // check a flood of jobs with late deadlines would cause refusals for all other
-// customers.
+// customers. Services, urgent jobs and jobs without a deadline are not checked.
 func (c *Cluster) admitCustomerShare(e *entry, now time.Time, _ Resources) AdmissionDecision {
 	if len(c.queue.customers) < 2 || e.job.Deadline.IsZero() || e.job.Policy == Service || e.job.Urgent {
 		return AdmissionDecision{Admitted: true}
--- a/placement/cluster.go
+++ b/placement/cluster.go
@@ -52,10 +52,10 @@
 	unboundedUsage Resources
 }
 
-// jobRecord is what the cluster knows of a job besides its queue entry: the
-// number of its running tasks, for services their spread over racks and
-// workers, and the workers on which it failed. It is dropped once the job has
-// neither running tasks nor a queue entry.
+// jobRecord is what the cluster knows of a job besides its queue entry: the number
+// of its running tasks, for services their spread over racks and workers, and the
+// workers on which it failed. The record is removed once the job has neither
+// running tasks nor a queue entry.
 type jobRecord struct {
 	running   int
 	racks     map[string]int
--- a/placement/enqueue.go
+++ b/placement/enqueue.go
@@ -46,8 +46,9 @@
 	c.removeIdleJobRecord(job)
 }
 
-// DequeueAll removes every queued job that match selects in one pass, and
-// returns how many it removed. It serves bulk cancellations.
+// DequeueAll removes every queued job for which match returns true, in one pass
+// over the queue, and returns how many jobs it removed. It serves bulk
+// cancellations.
 func (c *Cluster) DequeueAll(match func(Job) bool) int {
 	var matched []string
 	for id, e := range c.queue.entries {
--- a/placement/evaluate.go
+++ b/placement/evaluate.go
@@ -35,7 +35,7 @@
 	plan   Plan
 	// reservations is how many more reservations this evaluation may make.
 	reservations int
-	// scratchRequest is the memory of the result of the method request.
+	// scratchRequest is reused for every result of the method request.
 	scratchRequest request
 	// previouslyReserved are the IDs of the jobs that had a reservation in the
 	// last evaluation.
--- a/placement/health.go
+++ b/placement/health.go
@@ -105,7 +105,8 @@
 	return ids
 }
 
-// countFailure adds a failure of the job to the worker's failure record.
+// countFailure adds a failure of the job to the worker's failure record, unless the
+// record already holds maxFailedJobs other jobs.
 func (c *Cluster) countFailure(w *worker, job string, now time.Time) {
 	if len(w.health.failures) == 0 {
 		w.health.failures = map[string]int{}
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -102,10 +102,10 @@
 	shape     shape
 	subqueues []*subqueue
 	blocked   bool
-	// reservedMissEval is the evaluation in which entries of the shape fitted
-	// only into reserved resources. reservedMisses counts them, and
-	// minReservedMissRun is the shortest run time among them: entries with at
-	// least that run time would miss as well.
+	// reservedMissEval is the number of the last evaluation in which entries of
+	// the shape fitted only into reserved resources. reservedMisses counts these
+	// entries, and minReservedMissRun is the shortest run time among them: entries
+	// with at least that run time would fit only into reserved resources as well.
 	reservedMissEval   uint64
 	reservedMisses     int
 	minReservedMissRun time.Duration
--- a/placement/score.go
+++ b/placement/score.go
@@ -97,7 +97,9 @@
 	reserved bool
 }
 
-// find chooses a worker for one task.
+// find chooses a worker for one task: among the tightest fits that no filter
+// rejects, the one with the highest weighted score. With Options.FirstFit it is the
+// first worker by ID on which the task fits.
 func (r *request) find() search {
 	if r.cluster.opts.FirstFit {
 		w := r.firstFit()
