--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -17,21 +17,25 @@
 type fakeWorker struct {
 	incarnation uint64
 	running     map[AttemptRef]bool
-	// stopped are the attempts that it has proved never to start.
-	stopped map[AttemptRef]bool
-	ended   map[AttemptRef]bool
+	// notStarted are the attempts of which the worker has reported that they never
+	// start.
+	notStarted map[AttemptRef]bool
+	ended      map[AttemptRef]bool
 }
 
+// limitedCPU is the CPU quota of customer c0, in thousandths of a core.
+const limitedCPU = 6000
+
 // stateHarness applies random commands, among them late, duplicate and invalid
-// ones, to two replicas of a state and simulates the workers.
+// ones, to two replicas (a and b) of a state and simulates the workers.
 type stateHarness struct {
 	t           *rapid.T
 	a, b        *State
 	index       uint64
 	now         int64
 	fakeWorkers map[string]*fakeWorker
-	undelivered []StartedAttempt // orders in flight; delivered late, twice or never
-	startCounts map[string]int   // job/task -> attempts that ran
+	undelivered []StartedAttempt // orders in flight, which arrive late, twice or never
+	startCounts map[string]int   // by job and task, the number of attempts that ran
 	jobs        []string
 	request     int
 }
@@ -40,7 +44,7 @@
 // quota limit and one without.
 func newStateHarness(t *rapid.T) *stateHarness {
 	h := &stateHarness{t: t, a: New("home"), b: New("home"), now: 1_000, fakeWorkers: make(map[string]*fakeWorker), startCounts: make(map[string]int)}
-	limits := map[string]placement.Resources{"c0": {CPU: 6000, Memory: -1, Accelerators: -1}, "c1": {CPU: -1, Memory: -1, Accelerators: -1}}
+	limits := map[string]placement.Resources{"c0": {CPU: limitedCPU, Memory: -1, Accelerators: -1}, "c1": {CPU: -1, Memory: -1, Accelerators: -1}}
 	h.apply(&Command{AdoptConfig: &AdoptConfig{ConfigVersion: 1, Quota: quota.Config{Version: 1, InitialOwners: []string{"home"}, Limits: limits}}})
 	for i := range 3 {
 		h.startWorker(fmt.Sprint("w", i))
@@ -77,7 +81,7 @@
 		h.fakeWorkers[id] = w
 	}
 	w.incarnation++
-	w.running, w.stopped, w.ended = make(map[AttemptRef]bool), make(map[AttemptRef]bool), make(map[AttemptRef]bool)
+	w.running, w.notStarted, w.ended = make(map[AttemptRef]bool), make(map[AttemptRef]bool), make(map[AttemptRef]bool)
 	capacity := placement.Resources{CPU: 4000, Memory: 4096}
 	if rapid.Bool().Draw(h.t, "smaller") {
 		capacity.CPU = 2000
@@ -86,7 +90,7 @@
 }
 
 // submit submits a random job twice and fails if the duplicate gets another
-// answer.
+// response.
 func (h *stateHarness) submit() {
 	h.request++
 	policies := []placement.Policy{placement.Service, placement.Batch, placement.Gang}
@@ -120,8 +124,8 @@
 	return fmt.Sprint("w", rapid.IntRange(0, 2).Draw(h.t, "worker"))
 }
 
-// applyRandomPlan applies a plan that ignores capacities, limits and the state
-// of jobs and workers.
+// applyRandomPlan applies a random plan, which ignores capacities, limits and the
+// state of jobs and workers.
 func (h *stateHarness) applyRandomPlan() {
 	var items []StartItem
 	for range rapid.IntRange(1, 8).Draw(h.t, "items") {
@@ -135,9 +139,9 @@
 	h.undelivered = append(h.undelivered, result.Started...)
 }
 
-// deliver delivers an order to its worker. The worker rejects orders for
-// another incarnation, duplicates, and attempts that it has ended or proved
-// never to start.
+// deliver delivers an order to its worker. The worker rejects orders for another
+// incarnation, duplicates, and orders for attempts that have ended there or that it
+// has reported as never started.
 func (h *stateHarness) deliver() {
 	if len(h.undelivered) == 0 {
 		return
@@ -148,7 +152,7 @@
 		h.undelivered = append(h.undelivered[:i:i], h.undelivered[i+1:]...)
 	}
 	w := h.fakeWorkers[c.Worker]
-	if w.incarnation != c.Incarnation || w.running[c.Ref] || w.stopped[c.Ref] || w.ended[c.Ref] {
+	if w.incarnation != c.Incarnation || w.running[c.Ref] || w.notStarted[c.Ref] || w.ended[c.Ref] {
 		return
 	}
 	h.mustNotRunElsewhere(c.Ref)
@@ -169,8 +173,8 @@
 	}
 }
 
-// report reports the end of an attempt, or the proof that it never starts,
-// followed by a contradicting duplicate.
+// report reports that an attempt ended or never starts, and then reports the same
+// attempt as failed. Only the first report must count.
 func (h *stateHarness) report() {
 	id := h.worker()
 	w := h.fakeWorkers[id]
@@ -188,14 +192,15 @@
 	case w.ended[ref]:
 		outcome = Finished
 	default:
-		w.stopped[ref] = true
+		w.notStarted[ref] = true
 	}
 	end := &End{Worker: id, Incarnation: w.incarnation, Reports: []Report{{Ref: ref, Outcome: outcome}, {Ref: ref, Outcome: Failed}}}
 	h.apply(&Command{End: end})
 }
 
-// expireLease ends the lease of a worker, which has stopped all its attempts by
-// then, and starts its next incarnation.
+// expireLease ends the lease of a worker, which has stopped all its attempts
+// before, and starts the next incarnation of the worker. In some cases a delayed
+// announcement of the ended incarnation arrives in between and must be refused.
 func (h *stateHarness) expireLease() {
 	id := h.worker()
 	w := h.fakeWorkers[id]
@@ -253,7 +258,7 @@
 		must.Eq(h.t, worker.Used, sum)
 		must.True(h.t, fits(sum, worker.Capacity))
 	}
-	must.LessEq(h.t, 6000, used["c0"])
+	must.LessEq(h.t, limitedCPU, used["c0"])
 	for id, w := range h.fakeWorkers {
 		for ref := range w.running {
 			j, task := h.a.latestAttempt(ref)
@@ -265,8 +270,8 @@
 	}
 }
 
-// checkJob fails if a task that is reported as not run, or was handed over, did
-// run, or if an ended job has queued or running tasks.
+// checkJob fails if a task ran although it is reported as not run or its job was
+// handed over, or if an ended job has queued or running tasks.
 func (h *stateHarness) checkJob(j *Job) {
 	for i := range j.Tasks {
 		if j.Tasks[i].State == TaskNotRun || j.State == JobNotRun || j.HandoverDataCentre != "" {
@@ -279,10 +284,11 @@
 	}
 }
 
-// A task runs twice, a worker or customer gets more than its capacity or quota,
-// or a task that ran is reported as not run. Orders are delivered late, twice
-// or never, workers are lost and restarted with less capacity, cancellations
-// and handovers race with starts, and replicas are restored from snapshots.
+// No task may run on two workers at once, no non-idempotent task may run twice, no
+// worker or customer may get more than its capacity or quota, and no task that ran
+// may be reported as not run. Orders are delivered late, twice or never, workers
+// are lost and restarted with less capacity, cancellations and handovers race with
+// starts, and replicas are restored from snapshots.
 func TestRandomCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newStateHarness(t)
@@ -298,9 +304,9 @@
 	})
 }
 
-// A non-idempotent job whose worker became unreachable is reported as cancelled
-// or not run, though its start may have reached the worker. The task starts, in
-// one case the customer cancels the job, and then the lease expires.
+// A non-idempotent job whose worker became unreachable must not be reported as
+// cancelled or not run, since its start may have reached the worker. The task
+// starts, in one case the customer cancels the job, and then the lease expires.
 func TestLostNonIdempotentWorkIsUnknown(t *testing.T) {
 	for _, cancelled := range []bool{false, true} {
 		s := New("home")
@@ -317,7 +323,8 @@
 	}
 }
 
-// A task that crashes every worker that starts it is queued again forever.
+// A task that crashes every worker that starts it must fail after some crashes.
+// Otherwise it would be queued again forever.
 func TestTaskFailsAfterCrashingTooManyWorkers(t *testing.T) {
 	s := New("home")
 	up := func(incarnation uint64) {
@@ -333,10 +340,10 @@
 	}
 }
 
-// A job that its customer cancelled during a handover keeps running in the
+// A job that its customer cancelled during a handover must not keep running in the
 // other data centre. The job is offered, the customer cancels it, and then the
-// acceptance of the offer arrives. The handover must not be done before the
-// other data centre has answered the withdrawal.
+// acceptance of the offer arrives. The handover must not be done before the other
+// data centre has answered the withdrawal.
 func TestCancelDuringHandoverKeepsJobPendingUntilWithdrawn(t *testing.T) {
 	s := New("home")
 	spec := Spec{Name: "check-in", Policy: placement.Batch, Tasks: 1, Need: placement.Resources{CPU: 1, Memory: 1}}
@@ -349,9 +356,8 @@
 	must.True(t, s.Jobs[job].HandoverDone)
 }
 
-// A resent request creates its job although the first copy was refused, or a
-// request with other content is taken for a duplicate because it has the same
-// ID.
+// A resent request must not create its job if the first copy was refused. A request
+// with other content must not be taken for a duplicate because it has the same ID.
 func TestResentRequestGetsFirstResponse(t *testing.T) {
 	s := New("home")
 	refused := &Submit{Request: Request{ID: "r", Digest: 1}, Customer: "c", Refused: true, Kind: fault.Infeasible, Detail: "no"}
@@ -363,8 +369,8 @@
 	must.MapEmpty(t, s.Jobs)
 }
 
-// A snapshot written by a later program version is decoded as if the format
-// were known.
+// A snapshot written by a later program version must be refused and not be decoded
+// as if its format were known.
 func TestNewerFormatVersionIsRefused(t *testing.T) {
 	s := New("home")
 	s.Format = FormatVersion + 1
--- a/placement/arrivals/measure_test.go
+++ b/placement/arrivals/measure_test.go
@@ -21,19 +21,21 @@
 	only          = flag.String("only", "", "site to run; empty for all")
 )
 
-// stopwatch returns a function for the time since the call.
+// stopwatch returns a function that returns the time since the call of stopwatch.
 func stopwatch() func() time.Duration {
 	begin := time.Now()
 	return func() time.Duration { return time.Since(begin) }
 }
 
-// oracleOptions are the options of an oracle scheduler. With exact declarations
-// it knows the run times, starts the job with the earliest latest start on the
-// first worker that fits, and refuses exactly the jobs that cannot meet their
-// deadlines.
+// oracleOptions returns the options of an oracle scheduler. With exact declarations
+// this scheduler knows the run times, starts the job with the earliest latest start
+// on the first worker that fits, and refuses a job only once it can no longer meet
+// its deadline.
 func oracleOptions() placement.Options {
+	// beyondDeadlines is longer than the time to any deadline, so that every job is due.
+	const beyondDeadlines = 1000 * time.Hour
 	o := placement.DefaultOptions()
-	o.DueWindow = 1000 * time.Hour
+	o.DueWindow = beyondDeadlines
 	o.FirstFit = true
 	o.NoAdmission = true
 	o.NoCorrection = true
@@ -55,13 +57,13 @@
 
 // sites returns the sites that the flag -only selects.
 func sites() []Site {
-	var list []Site
+	var selected []Site
 	for _, s := range []Site{Rackwise(), Himalaya(), GrowthTarget()} {
 		if *only == "" || *only == s.Name {
-			list = append(list, s)
+			selected = append(selected, s)
 		}
 	}
-	return list
+	return selected
 }
 
 // TestLoad prints the reports of the baseline, the scheduler and the oracle at
@@ -85,13 +87,15 @@
 	}
 }
 
-// TestPacking prints the work done in time at a range of loads.
+// TestPacking prints the work that the baseline and the scheduler do in time, by
+// load.
 func TestPacking(t *testing.T) {
 	skipUnlessSelected(t, "packing")
+	const lowestLoad, loadStep, loads = 0.75, 0.05, 10
 	for _, site := range sites() {
 		var points []packingPoint
-		for step := range 10 {
-			workload := DefaultWorkload(1, 0.75+0.05*float64(step))
+		for step := range loads {
+			workload := DefaultWorkload(1, lowestLoad+loadStep*float64(step))
 			base := run(site, workload, placement.BaselineOptions())
 			scheduled := run(site, workload, placement.DefaultOptions())
 			fmt.Printf("%s seed 1 load %.2f baseline goodput %.1f%% not in time %.2f%% | placement goodput %.1f%% not in time %.2f%% refused %.2f%% missed %.3f%%\n",
@@ -109,9 +113,10 @@
 // jobs arrive at a load above the capacity.
 func TestUrgent(t *testing.T) {
 	skipUnlessSelected(t, "urgent")
+	const overload = 1.3
 	for _, site := range sites() {
 		for seed := uint64(1); seed <= *seeds; seed++ {
-			workload := DefaultWorkload(seed, 1.3)
+			workload := DefaultWorkload(seed, overload)
 			workload.TightDeadlines = 0
 			workload.UrgentNeed = resources(4, 8)
 			base := run(site, workload, placement.BaselineOptions())
@@ -123,17 +128,18 @@
 	}
 }
 
-// TestFlood prints the waiting times of all other customers while one customer
-// floods the queue for two hours, by size of the flood.
+// TestFlood prints the waiting times of all other customers for floods of several
+// sizes. A flood is two hours of extra jobs of one customer.
 func TestFlood(t *testing.T) {
 	skipUnlessSelected(t, "flood")
+	const loadBesideFlood = 0.6
 	for _, site := range sites() {
 		for seed := uint64(1); seed <= *seeds; seed++ {
 			for _, size := range []float64{0, 0.5, 1, 2, 5} {
-				workload := DefaultWorkload(seed, 0.6)
-				list := Flood{Customer: "flood", Load: size, From: time.Hour, Until: 3 * time.Hour}.Add(site, Generate(site, workload))
+				workload := DefaultWorkload(seed, loadBesideFlood)
+				arrivals := Flood{Customer: "flood", Load: size, From: time.Hour, Until: 3 * time.Hour}.Add(site, Generate(site, workload))
 				for name, o := range map[string]placement.Options{"baseline": placement.BaselineOptions(), "placement": placement.DefaultOptions()} {
-					r := Replay(Config{Site: site, Options: o, Services: workload.Services}, list)
+					r := Replay(Config{Site: site, Options: o, Services: workload.Services}, arrivals)
 					fmt.Printf("%s seed %d flood %.1f %-9s others p50 %v p90 %v p99 %v refused %d | refused %.2f%% missed %.3f%%\n", site.Name, seed, size, name,
 						r.OthersWait("flood", 0.5), r.OthersWait("flood", 0.9), r.OthersWait("flood", 0.99).Round(time.Second), r.Refused()-r.refusedBy["flood"], 100*r.RefusalRate(), 100*r.MissRate())
 				}
@@ -146,10 +152,11 @@
 // for two hours and another one for two and a half.
 func TestFaults(t *testing.T) {
 	skipUnlessSelected(t, "faults")
+	const loadBesideFaults = 0.8
 	for _, site := range sites() {
 		faults := []WorkerFault{{Worker: "w003", From: time.Hour, Until: 3 * time.Hour}, {Worker: "w017", From: 90 * time.Minute, Until: 4 * time.Hour}}
 		for seed := uint64(1); seed <= *seeds; seed++ {
-			workload := DefaultWorkload(seed, 0.8)
+			workload := DefaultWorkload(seed, loadBesideFaults)
 			quarantineOff := placement.DefaultOptions()
 			quarantineOff.NoQuarantine = true
 			base := run(site, workload, placement.BaselineOptions(), faults...)
--- a/placement/arrivals/report.go
+++ b/placement/arrivals/report.go
@@ -15,8 +15,8 @@
 const (
 	// missLate is a job that finished after its deadline.
 	missLate missKind = iota
-	// missInfeasible is a job that the scheduler refused after it had accepted
-	// it.
+	// missInfeasible is a job that the scheduler accepted and later refused as
+	// infeasible.
 	missInfeasible
 	// missFailed is a job with a task that failed too often.
 	missFailed
@@ -27,12 +27,20 @@
 	missKindCount
 )
 
+// The ranges of the histograms. Longer times are not recorded.
+const (
+	maxRecordedWait     = 48 * time.Hour
+	maxRecordedDuration = 10 * time.Second
+	// histogramDigits is the number of significant digits.
+	histogramDigits = 3
+)
+
 // WaitTimes is a distribution of waiting times in milliseconds.
 type WaitTimes struct{ histogram *hdrhistogram.Histogram }
 
 // newWaitTimes returns an empty distribution.
 func newWaitTimes() *WaitTimes {
-	return &WaitTimes{histogram: hdrhistogram.New(1, int64(48*time.Hour/time.Millisecond), 3)}
+	return &WaitTimes{histogram: hdrhistogram.New(1, int64(maxRecordedWait/time.Millisecond), histogramDigits)}
 }
 
 // Quantile returns the waiting time that the fraction q of the tasks does not
@@ -49,13 +57,15 @@
 // Report is the result of a simulation.
 type Report struct {
 	site Site
-	// arrivalWindow is the time of the last arrival.
+	// arrivalWindow is the time of the last arrival, from the start of the
+	// simulation.
 	arrivalWindow time.Duration
 
 	submitted int
 	refused   map[placement.Reason]int
-	// refusedWithoutRetry counts refusals without a retry delay: the estimated
-	// run time alone exceeds the time to the deadline.
+	// refusedWithoutRetry counts refusals without a retry delay: the job could not
+	// be accepted later either, for example because the estimated run time exceeds
+	// the time to the deadline.
 	refusedWithoutRetry int
 	// refusedFirstHour counts refusals in the first hour, while the scheduler
 	// has few measured run times.
@@ -64,33 +74,38 @@
 	refusedBy map[string]int
 	missed    [missKindCount]int
 	inTime    int
-	// inTimeWork is the work done for jobs that finished in time, usedWork the
+	// inTimeWork is the work done for jobs that finished in time, and usedWork the
 	// work of all allocated resources, both up to the last arrival.
 	inTimeWork siteSeconds
 	usedWork   siteSeconds
 	preempted  int
 	failures   int
 
-	// Normal, Urgent and Gangs are the waiting times of tasks by kind of job,
-	// Customer those of the normal tasks by customer.
-	Normal   *WaitTimes
-	Urgent   *WaitTimes
-	Gangs    *WaitTimes
-	Customer map[string]*WaitTimes
+	// Normal, Urgent and Gangs are the waiting times of tasks by kind of job.
+	// Customer holds those of the normal tasks by customer.
+	Normal     *WaitTimes
+	Urgent     *WaitTimes
+	Gangs      *WaitTimes
+	ByCustomer map[string]*WaitTimes
 
+	// evaluations and admissions are the durations of evaluations and of admission
+	// checks, in nanoseconds.
 	evaluations *hdrhistogram.Histogram
 	admissions  *hdrhistogram.Histogram
 	// schedulingTime is the total time of admission checks and evaluations.
 	schedulingTime time.Duration
-	starts         int
+	// starts is the number of started attempts.
+	starts int
 }
 
 // newReport returns an empty report.
 func newReport(site Site) *Report {
-	timing := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(10*time.Second), 3) }
+	timing := func() *hdrhistogram.Histogram {
+		return hdrhistogram.New(1, int64(maxRecordedDuration), histogramDigits)
+	}
 	return &Report{
 		site: site, refused: map[placement.Reason]int{}, refusedBy: map[string]int{},
-		Normal: newWaitTimes(), Urgent: newWaitTimes(), Gangs: newWaitTimes(), Customer: map[string]*WaitTimes{},
+		Normal: newWaitTimes(), Urgent: newWaitTimes(), Gangs: newWaitTimes(), ByCustomer: map[string]*WaitTimes{},
 		evaluations: timing(), admissions: timing(),
 	}
 }
@@ -146,10 +161,10 @@
 		r.Gangs.record(d)
 	default:
 		r.Normal.record(d)
-		customerWaits, found := r.Customer[a.Customer]
+		customerWaits, found := r.ByCustomer[a.Customer]
 		if !found {
 			customerWaits = newWaitTimes()
-			r.Customer[a.Customer] = customerWaits
+			r.ByCustomer[a.Customer] = customerWaits
 		}
 		customerWaits.record(d)
 	}
@@ -169,7 +184,7 @@
 // of all customers except one does not exceed.
 func (r *Report) OthersWait(except string, q float64) time.Duration {
 	others := newWaitTimes()
-	for customer, w := range r.Customer {
+	for customer, w := range r.ByCustomer {
 		if customer != except {
 			others.histogram.Merge(w.histogram)
 		}
--- a/placement/arrivals/site.go
+++ b/placement/arrivals/site.go
@@ -14,7 +14,7 @@
 	// Capacity is the capacity of every worker, without accelerators.
 	Capacity placement.Resources
 	// Accelerators is the total number of accelerators. The first workers get
-	// acceleratorsPerWorker each and the next one the rest.
+	// acceleratorsPerWorker each, and the worker after them the rest.
 	Accelerators int
 	Customers    int
 }
@@ -31,8 +31,8 @@
 	return Site{Name: "himalaya", Workers: 50, WorkersPerRack: 6, Capacity: resources(32, 128), Customers: 6}
 }
 
-// GrowthTarget returns a site of the size to grow to: 450 workers, 970
-// accelerators and 100 customers.
+// GrowthTarget returns a site of the planned size: 450 workers with 32 cores and
+// 128 GB each, 8 to a rack, 970 accelerators and 100 customers.
 func GrowthTarget() Site {
 	return Site{Name: "later", Workers: 450, WorkersPerRack: 8, Capacity: resources(32, 128), Accelerators: 970, Customers: 100}
 }
@@ -48,19 +48,19 @@
 // workers returns the workers of the site, all live.
 func (s Site) workers() []placement.Worker {
 	left := s.Accelerators
-	list := make([]placement.Worker, s.Workers)
-	for i := range list {
+	workers := make([]placement.Worker, s.Workers)
+	for i := range workers {
 		capacity := s.Capacity
 		capacity.Accelerators = int64(min(left, acceleratorsPerWorker))
 		left -= int(capacity.Accelerators)
-		list[i] = placement.Worker{
+		workers[i] = placement.Worker{
 			ID:       fmt.Sprintf("w%03d", i),
 			Rack:     fmt.Sprintf("r%02d", i/s.WorkersPerRack),
 			Capacity: capacity,
 			Live:     true,
 		}
 	}
-	return list
+	return workers
 }
 
 // total returns the capacity of all workers.
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -24,22 +24,37 @@
 	benchWorkers     = 450
 	benchQueuedTasks = 10_000
 	benchCustomers   = 100
+	// benchWorkersPerRack is the number of workers in each rack.
+	benchWorkersPerRack = 8
+	// benchAccelerators is the total number of accelerators. The first workers have
+	// benchAcceleratorsPerWorker each.
+	benchAccelerators          = 970
+	benchAcceleratorsPerWorker = 4
+	// benchMaxDecisions is the maximum number of decisions in one evaluation.
+	benchMaxDecisions = 64
+	// benchJobsPerGang is the number of jobs of which one is a gang.
+	benchJobsPerGang = 50
+	// benchRoundInterval is the simulated time between two evaluations.
+	benchRoundInterval = 50 * time.Millisecond
+	// benchHistogramDigits is the number of significant digits of the measured
+	// durations.
+	benchHistogramDigits = 3
 )
 
-// newBenchCluster fills the workers and the queue.
+// newBenchCluster returns a benchCluster whose workers and queue are full.
 func newBenchCluster(b testing.TB) *benchCluster {
 	o := DefaultOptions()
 	o.MaxQueue = 0
 	g := &benchCluster{cluster: NewCluster(o), rand: rand.New(rand.NewPCG(1, 2)), now: start}
 	for i := range benchWorkers {
-		w := Worker{ID: fmt.Sprintf("w%03d", i), Rack: fmt.Sprintf("r%02d", i/8), Capacity: cores(32), Live: true}
+		w := Worker{ID: fmt.Sprintf("w%03d", i), Rack: fmt.Sprintf("r%02d", i/benchWorkersPerRack), Capacity: cores(32), Live: true}
 		w.Capacity.Memory *= 4
-		w.Capacity.Accelerators = int64(min(4, max(0, 970-4*i)))
+		w.Capacity.Accelerators = int64(min(benchAcceleratorsPerWorker, max(0, benchAccelerators-benchAcceleratorsPerWorker*i)))
 		g.cluster.SetWorker(w)
 	}
 	for g.cluster.Queued() < benchQueuedTasks {
 		g.enqueueJob()
-		g.evaluateAndPlace(b, 64)
+		g.evaluateAndPlace(b, benchMaxDecisions)
 	}
 	return g
 }
@@ -58,14 +73,14 @@
 		Policy: Batch, Tasks: 1, Need: need, Runtime: time.Duration(1+g.rand.IntN(600)) * time.Second,
 		Submitted: g.now, Deadline: g.now.Add(12*time.Hour + time.Duration(g.rand.IntN(36000))*time.Second), Idempotent: true,
 	}
-	if g.jobs%50 == 0 {
+	if g.jobs%benchJobsPerGang == 0 {
 		j.Policy, j.Tasks = Gang, 8
 	}
 	g.cluster.Enqueue(j)
 	return j
 }
 
-// evaluateAndPlace commits the starts of one evaluation and returns their
+// evaluateAndPlace runs one evaluation, places the planned tasks and returns their
 // number.
 func (g *benchCluster) evaluateAndPlace(b testing.TB, max int) int {
 	plan := g.cluster.Evaluate(g.now, max)
@@ -91,25 +106,27 @@
 	g.cluster.Unplace(p.Job, p.Task)
 }
 
-// BenchmarkEvaluate measures the end of some tasks, the evaluation after it and
-// its commits, with the queue held at 10,000 tasks. It reports starts per
-// second over all of this and the 99th percentile of the evaluation alone.
+// BenchmarkEvaluate measures rounds in which some tasks end, new jobs fill the
+// queue up to 10,000 tasks, and one evaluation is computed and its starts are
+// placed. It reports starts per second over all of this, the 99th percentile of
+// evaluating and placing, and the number of running tasks.
 //
-// Several ends per evaluation, as under group commit, share the fixed cost of
-// an evaluation.
+// With several ends per evaluation, as under group commit, the fixed cost of an
+// evaluation is shared.
 func BenchmarkEvaluate(b *testing.B) {
 	for _, ends := range []int{1, 8} {
 		b.Run(fmt.Sprintf("ends=%d", ends), func(b *testing.B) { benchmarkEvaluate(b, ends) })
 	}
 }
 
+// benchmarkEvaluate runs BenchmarkEvaluate with that many ends per evaluation.
 func benchmarkEvaluate(b *testing.B, ends int) {
 	g := newBenchCluster(b)
-	durations := hdrhistogram.New(1, int64(time.Second), 3)
+	durations := hdrhistogram.New(1, int64(time.Second), benchHistogramDigits)
 	starts := 0
 	b.ResetTimer()
 	for b.Loop() {
-		g.now = g.now.Add(50 * time.Millisecond)
+		g.now = g.now.Add(benchRoundInterval)
 		for range ends {
 			g.unplaceRandom()
 		}
@@ -117,7 +134,7 @@
 			g.enqueueJob()
 		}
 		begin := time.Now()
-		n := g.evaluateAndPlace(b, 64)
+		n := g.evaluateAndPlace(b, benchMaxDecisions)
 		_ = durations.RecordValue(int64(time.Since(begin)))
 		starts += n
 	}
@@ -130,16 +147,16 @@
 // tasks.
 func BenchmarkAdmit(b *testing.B) {
 	g := newBenchCluster(b)
-	took := hdrhistogram.New(1, int64(time.Second), 3)
+	durations := hdrhistogram.New(1, int64(time.Second), benchHistogramDigits)
 	j := g.enqueueJob()
 	b.ResetTimer()
 	for b.Loop() {
 		j.Deadline = g.now.Add(time.Duration(1+g.rand.IntN(20)) * time.Hour)
 		begin := time.Now()
 		g.cluster.Admit(j, g.now, unlimited)
-		_ = took.RecordValue(int64(time.Since(begin)))
+		_ = durations.RecordValue(int64(time.Since(begin)))
 	}
-	b.ReportMetric(float64(took.ValueAtQuantile(99))/1000, "p99-µs")
+	b.ReportMetric(float64(durations.ValueAtQuantile(99))/1000, "p99-µs")
 }
 
 // BenchmarkDequeueAll measures the removal of all jobs of a queue of 10,000
--- a/placement/cluster_test.go
+++ b/placement/cluster_test.go
@@ -11,6 +11,10 @@
 // start is the time at which the tests begin.
 var start = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
+// maxDecisions is the maximum number of decisions in one evaluation. It is more than
+// any test needs.
+const maxDecisions = 100
+
 // unlimited is a quota allotment without limits.
 var unlimited = Resources{CPU: -1, Memory: -1, Accelerators: -1}
 
@@ -32,7 +36,7 @@
 }
 
 // commit places the starts of a plan, as the owner of the committed state does.
-// next is the number of the next task by job.
+// next holds the number of the next task of each job.
 func commit(t testing.TB, c *Cluster, plan Plan, now time.Time, next map[string]int) {
 	for _, s := range plan.Starts {
 		e := c.queue.entries[s.Job]
@@ -57,13 +61,13 @@
 	must.NoError(t, c.Place(Placed{Job: "b", Worker: "w000", Need: cores(4), Policy: Batch, Runtime: time.Minute, Started: start}))
 }
 
-// Two tasks of a service share a rack while another rack has none, so that the
-// loss of one rack stops more of the service than necessary.
+// Tasks of a service must not share a rack while another rack has none: the loss of
+// one rack would stop more of the service than necessary.
 func TestServiceSpreadsOverRacks(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 8, cores(8), 2)
 	c.Enqueue(Job{ID: "s", Customer: "x", Policy: Service, Tasks: 4, Need: cores(1), Submitted: start})
-	plan := c.Evaluate(start, 100)
+	plan := c.Evaluate(start, maxDecisions)
 	racks := map[string]int{}
 	for _, s := range plan.Starts {
 		racks[c.workers[s.Worker].Rack]++
@@ -78,13 +82,13 @@
 	addWorkers(c, 4, cores(4), 2)
 	next := map[string]int{}
 	c.Enqueue(newBatchJob("b", "x", 1, cores(4), time.Hour, 10*time.Hour))
-	commit(t, c, c.Evaluate(start, 100), start, next)
+	commit(t, c, c.Evaluate(start, maxDecisions), start, next)
 	g := newBatchJob("g", "x", 4, cores(4), time.Hour, 10*time.Hour)
 	g.Policy = Gang
 	c.Enqueue(g)
-	must.SliceEmpty(t, c.Evaluate(start, 100).Starts)
+	must.SliceEmpty(t, c.Evaluate(start, maxDecisions).Starts)
 	c.Unplace("b", 0)
-	must.SliceLen(t, 4, c.Evaluate(start, 100).Starts)
+	must.SliceLen(t, 4, c.Evaluate(start, maxDecisions).Starts)
 }
 
 // A gang of two fits only if one of its tasks uses resources that are reserved
@@ -101,32 +105,32 @@
 	first.Policy, second.Policy = Gang, Gang
 	c.Enqueue(first)
 	c.Enqueue(second)
-	must.SliceEmpty(t, c.Evaluate(start, 100).Starts)
+	must.SliceEmpty(t, c.Evaluate(start, maxDecisions).Starts)
 	c.Unplace("b", 0)
-	must.SliceLen(t, 2, c.Evaluate(start, 100).Starts)
+	must.SliceLen(t, 2, c.Evaluate(start, maxDecisions).Starts)
 }
 
-// A long task takes the resources that are reserved for a blocked gang and
-// delays it. A short task that ends before the reserved start time may use
-// them.
+// A long task must not take the resources that are reserved for a blocked gang,
+// since the gang would be delayed. A short task that ends before the reserved start
+// time may use them.
 func TestBackfillEndsBeforeReservedStart(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 2, cores(4), 2)
 	next := map[string]int{}
 	c.Enqueue(newBatchJob("b", "x", 1, cores(4), time.Hour, 10*time.Hour))
-	commit(t, c, c.Evaluate(start, 100), start, next)
+	commit(t, c, c.Evaluate(start, maxDecisions), start, next)
 	g := newBatchJob("g", "x", 2, cores(4), time.Hour, 10*time.Hour)
 	g.Policy = Gang
 	c.Enqueue(g)
 	c.Enqueue(newBatchJob("long", "y", 1, cores(2), 2*time.Hour, 20*time.Hour))
 	c.Enqueue(newBatchJob("short", "y", 1, cores(2), 30*time.Minute, 20*time.Hour))
-	plan := c.Evaluate(start, 100)
+	plan := c.Evaluate(start, maxDecisions)
 	must.SliceLen(t, 1, plan.Starts)
 	must.EqOp(t, "short", plan.Starts[0].Job)
 }
 
-// An urgent task preempts a task that must not run twice, or one of a service
-// or a gang.
+// An urgent task must preempt neither a task that must not run twice nor a task of
+// a service or a gang.
 func TestUrgentPreemptsOnlyIdempotentBatch(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -148,19 +152,19 @@
 			u := newBatchJob("u", "x", 1, cores(2), time.Minute, time.Hour)
 			u.Urgent = true
 			c.Enqueue(u)
-			plan := c.Evaluate(start, 100)
+			plan := c.Evaluate(start, maxDecisions)
 			must.SliceLen(t, tc.want, plan.Preemptions)
 			must.SliceEmpty(t, plan.Starts)
 			c.MarkStopping("low", 0)
-			must.SliceEmpty(t, c.Evaluate(start, 100).Preemptions)
+			must.SliceEmpty(t, c.Evaluate(start, maxDecisions).Preemptions)
 			c.Unplace("low", 0)
-			must.SliceLen(t, 1, c.Evaluate(start, 100).Starts)
+			must.SliceLen(t, 1, c.Evaluate(start, maxDecisions).Starts)
 		})
 	}
 }
 
-// A task that was preempted for urgent work takes a while to stop, and each
-// evaluation until then preempts another one.
+// A task that was preempted for urgent work takes a while to stop. The evaluations
+// until then must not preempt another task for the same work.
 func TestPreemptionIsNotRepeatedWhileTaskStops(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(4), 1)
@@ -170,15 +174,15 @@
 	u := newBatchJob("u", "x", 1, cores(2), time.Minute, time.Hour)
 	u.Urgent = true
 	c.Enqueue(u)
-	plan := c.Evaluate(start, 100)
+	plan := c.Evaluate(start, maxDecisions)
 	must.SliceLen(t, 1, plan.Preemptions)
 	c.MarkStopping("low", plan.Preemptions[0].Task)
-	must.SliceEmpty(t, c.Evaluate(start, 100).Preemptions)
+	must.SliceEmpty(t, c.Evaluate(start, maxDecisions).Preemptions)
 }
 
-// A large task of a customer with a high share has a reservation. Once the
-// reserved resources are free, the fair order gives them to the small tasks of
-// a customer with nothing running, and the large task starves.
+// A large task of a customer with a high share has a reservation. Once the reserved
+// resources are free, the fair order alone would give them to the small tasks of a
+// customer with nothing running, and the large task would starve.
 func TestReservedResourcesGoToTheirJobBeforeFairShare(t *testing.T) {
 	o := DefaultOptions()
 	o.FairReservations = 0
@@ -191,16 +195,16 @@
 	c.Enqueue(newBatchJob("small", "idle", 50, small, time.Hour, 20*time.Hour))
 	// The first evaluation finds that nothing fits and blocks the shape; the
 	// second one makes the reservation.
-	must.SliceEmpty(t, c.Evaluate(start, 100).Starts)
-	must.SliceEmpty(t, c.Evaluate(start, 100).Starts)
+	must.SliceEmpty(t, c.Evaluate(start, maxDecisions).Starts)
+	must.SliceEmpty(t, c.Evaluate(start, maxDecisions).Starts)
 	c.Unplace("old", 0)
-	plan := c.Evaluate(start.Add(time.Minute), 100)
+	plan := c.Evaluate(start.Add(time.Minute), maxDecisions)
 	must.SliceLen(t, 1, plan.Starts)
 	must.EqOp(t, "large", plan.Starts[0].Job)
 }
 
-// A job is refused for the wrong reason, or with a retry delay although it can
-// never be accepted.
+// A refusal must name the right reason, and a retry delay only if the job may be
+// accepted later.
 func TestAdmitReasons(t *testing.T) {
 	small := DefaultOptions()
 	small.MaxQueue = 10
@@ -210,11 +214,11 @@
 		return g
 	}
 	cases := []struct {
-		name  string
-		job   Job
-		avail Resources
-		want  Reason
-		retry bool
+		name      string
+		job       Job
+		available Resources
+		want      Reason
+		retry     bool
 	}{
 		{"fits", newBatchJob("a", "x", 1, cores(1), time.Minute, time.Hour), unlimited, ReasonNone, false},
 		{"too large", newBatchJob("a", "x", 1, cores(5), time.Minute, time.Hour), unlimited, ReasonTooLarge, false},
@@ -229,10 +233,10 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := NewCluster(small)
 			addWorkers(c, 4, cores(4), 2)
-			v := c.Admit(tc.job, start, tc.avail)
-			must.EqOp(t, tc.want, v.Reason, must.Sprint(v.Detail))
-			must.EqOp(t, tc.want == ReasonNone, v.Admitted)
-			must.EqOp(t, tc.retry, v.RetryAfter > 0)
+			decision := c.Admit(tc.job, start, tc.available)
+			must.EqOp(t, tc.want, decision.Reason, must.Sprint(decision.Detail))
+			must.EqOp(t, tc.want == ReasonNone, decision.Admitted)
+			must.EqOp(t, tc.retry, decision.RetryAfter > 0)
 		})
 	}
 	must.EqOp(t, ReasonNoWorkers, NewCluster(small).Admit(gang(1), start, unlimited).Reason)
@@ -253,25 +257,28 @@
 		}
 	}
 	must.Between(t, 10, admitted, 999)
-	v := c.Admit(newBatchJob("f", "loud", 10, cores(1), 10*time.Minute, 12*time.Hour), start, unlimited)
-	must.EqOp(t, ReasonQueueFull, v.Reason)
-	must.Positive(t, v.RetryAfter)
+	decision := c.Admit(newBatchJob("f", "loud", 10, cores(1), 10*time.Minute, 12*time.Hour), start, unlimited)
+	must.EqOp(t, ReasonQueueFull, decision.Reason)
+	must.Positive(t, decision.RetryAfter)
 	must.True(t, c.Admit(newBatchJob("q", "quiet", 10, cores(1), 10*time.Minute, 2*time.Hour), start, unlimited).Admitted)
 }
 
-// An accepted job that can no longer meet its deadline stays queued.
+// An accepted job that can no longer meet its deadline must be refused. Otherwise
+// it would stay queued.
 func TestInfeasibleJobIsRefused(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(1), 1)
 	c.Enqueue(newBatchJob("a", "x", 1, cores(2), time.Hour, 2*time.Hour))
-	must.SliceEmpty(t, c.Evaluate(start, 100).Refusals)
-	plan := c.Evaluate(start.Add(2*time.Hour), 100)
+	must.SliceEmpty(t, c.Evaluate(start, maxDecisions).Refusals)
+	plan := c.Evaluate(start.Add(2*time.Hour), maxDecisions)
 	must.SliceLen(t, 1, plan.Refusals)
 	must.EqOp(t, ReasonDeadline, plan.Refusals[0].Reason)
 }
 
-// A worker fails every task within a second of its start. It therefore always
-// has the most free resources and attracts all tasks.
+// A worker fails every task within a second of its start. It therefore soon has
+// free resources again and attracts all tasks. It must be quarantined, get one task
+// at a time as a probe, with a longer delay after a failed one, and return to
+// service after a successful one.
 func TestFailingWorkerIsQuarantinedAndProbed(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 2, cores(4), 1)
@@ -280,9 +287,9 @@
 	}
 	must.Eq(t, []string{"w000"}, c.Quarantined())
 	c.Enqueue(newBatchJob("a", "x", 2, cores(4), time.Minute, time.Hour))
-	must.SliceLen(t, 1, c.Evaluate(start, 100).Starts)
+	must.SliceLen(t, 1, c.Evaluate(start, maxDecisions).Starts)
 	later := start.Add(c.opts.ProbeBackoff)
-	plan := c.Evaluate(later, 100)
+	plan := c.Evaluate(later, maxDecisions)
 	must.SliceLen(t, 2, plan.Starts)
 	commit(t, c, plan, later, map[string]int{})
 	c.ReportFailure("w000", "a", later)
@@ -291,8 +298,9 @@
 	must.SliceEmpty(t, c.Quarantined())
 }
 
-// A probe fails, and the caller unplaces it before it reports the failure.
-// Without the backoff the next probe would follow immediately.
+// A probe fails, and the caller unplaces it before reporting the failure. The
+// backoff must be doubled all the same, otherwise the next probe would follow
+// immediately.
 func TestFailedProbeBacksOffWhenUnplacedFirst(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(4), 1)
@@ -302,14 +310,14 @@
 	c.Enqueue(newBatchJob("a", "x", 2, cores(1), time.Minute, time.Hour))
 	c.Enqueue(newBatchJob("b", "x", 2, cores(1), time.Minute, time.Hour))
 	later := start.Add(c.opts.ProbeBackoff)
-	plan := c.Evaluate(later, 100)
+	plan := c.Evaluate(later, maxDecisions)
 	must.SliceLen(t, 1, plan.Starts)
 	commit(t, c, plan, later, map[string]int{})
-	must.SliceEmpty(t, c.Evaluate(later, 100).Starts)
+	must.SliceEmpty(t, c.Evaluate(later, maxDecisions).Starts)
 	c.Unplace(plan.Starts[0].Job, 0)
 	c.ReportFailure("w000", plan.Starts[0].Job, later)
-	must.SliceEmpty(t, c.Evaluate(later, 100).Starts)
-	must.EqOp(t, later.Add(2*c.opts.ProbeBackoff), c.Evaluate(later, 100).ReevaluateAt)
+	must.SliceEmpty(t, c.Evaluate(later, maxDecisions).Starts)
+	must.EqOp(t, later.Add(2*c.opts.ProbeBackoff), c.Evaluate(later, maxDecisions).ReevaluateAt)
 }
 
 // A worker loses its disk while a long task computes. The task still succeeds,
@@ -351,8 +359,8 @@
 	must.SliceEmpty(t, c.Quarantined())
 }
 
-// Estimates ignore the measurements, apply those of another job name, or fall
-// below the declared need.
+// Estimates must follow the measurements of earlier tasks of the same job name, and
+// no others. The estimated need must not fall below the declared one.
 func TestCorrectedRuntimeAndNeed(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(8), 1)
@@ -361,7 +369,9 @@
 		c.AddSample(Sample{Customer: "x", Name: "name", Declared: time.Minute, Measured: 4 * time.Minute, Need: cores(2), Peak: cores(3)})
 	}
 	run := c.estimator.runtime("x", "name", time.Minute)
-	must.Between(t, 3.7, run.high.Minutes(), 4.3)
+	// The high estimate is 4 minutes, rounded by the histogram.
+	const lowestMinutes, highestMinutes = 3.7, 4.3
+	must.Between(t, lowestMinutes, run.high.Minutes(), highestMinutes)
 	must.EqOp(t, cores(3), c.NeedOf(j))
 	must.EqOp(t, cores(2), c.NeedOf(Job{Customer: "x", Name: "other", Need: cores(2)}))
 	must.EqOp(t, cores(8), c.NeedOf(Job{Customer: "x", Name: "name", Need: cores(7)}))
@@ -369,14 +379,14 @@
 	must.EqOp(t, cores(2), c.NeedOf(Job{Customer: "x", Name: "frugal", Need: cores(2)}))
 }
 
-// A customer with a long queue gets more than one with a short queue.
+// A customer with a long queue must not get more than one with a short queue.
 func TestCustomersGetEqualShares(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(10), 1)
 	c.Enqueue(newBatchJob("flood", "loud", 1000, cores(1), time.Minute, 8*time.Hour))
 	c.Enqueue(newBatchJob("few", "quiet", 5, cores(1), time.Minute, 9*time.Hour))
 	count := map[string]int{}
-	for _, s := range c.Evaluate(start, 100).Starts {
+	for _, s := range c.Evaluate(start, maxDecisions).Starts {
 		count[s.Job]++
 	}
 	must.Eq(t, map[string]int{"flood": 5, "few": 5}, count)
@@ -385,6 +395,7 @@
 // Two customers have more queued than the workers can run. What they get must
 // be in the ratio of their weights, and equal with equal weights.
 func TestSharesFollowCustomerWeights(t *testing.T) {
+	const totalCores = 48
 	for _, weights := range [][2]int{{1, 1}, {2, 1}, {3, 1}} {
 		c := NewCluster(DefaultOptions())
 		addWorkers(c, 4, cores(12), 2)
@@ -393,10 +404,10 @@
 		c.Enqueue(newBatchJob("ja", "a", 100, cores(1), time.Minute, 10*time.Hour))
 		c.Enqueue(newBatchJob("jb", "b", 100, cores(1), time.Minute, 10*time.Hour))
 		started := map[string]int{}
-		for _, s := range c.Evaluate(start, 100).Starts {
+		for _, s := range c.Evaluate(start, maxDecisions).Starts {
 			started[s.Job]++
 		}
-		must.Eq(t, 48, started["ja"]+started["jb"])
-		must.Eq(t, 48*weights[0]/(weights[0]+weights[1]), started["ja"], must.Sprint(weights))
+		must.Eq(t, totalCores, started["ja"]+started["jb"])
+		must.Eq(t, totalCores*weights[0]/(weights[0]+weights[1]), started["ja"], must.Sprint(weights))
 	}
 }
--- a/placement/enqueue.go
+++ b/placement/enqueue.go
@@ -1,25 +1,26 @@
 package placement
 
-// Enqueue adds a job of which Tasks tasks are still to be placed, or replaces
-// the entry with the same ID. A job without tasks left is removed.
+// Enqueue adds a job to the queue, or replaces the entry with the same ID. j.Tasks
+// is the number of tasks that are still to be placed; a job with none is removed.
 func (c *Cluster) Enqueue(j Job) {
 	if c.updateRemaining(j) {
 		return
 	}
 	c.unqueue(j.ID)
 	if j.Tasks <= 0 {
-		c.dropIdleJobRecord(j.ID)
+		c.removeIdleJobRecord(j.ID)
 		return
 	}
 	c.jobRecordFor(j.ID)
 	e := c.newEntry(j)
 	c.queue.add(e)
 	c.demand.add(e, 1)
-	e.account.countQueued(e, 1)
+	e.customer.countQueued(e, 1)
 }
 
-// updateRemaining handles the most frequent replacement cheaply: the same batch
-// job with some of its tasks started. It reports whether it did.
+// updateRemaining replaces a queued batch job of which only the number of tasks has
+// changed, and reports whether it did. This is the most frequent replacement, and
+// it needs no new entry.
 func (c *Cluster) updateRemaining(j Job) bool {
 	e, found := c.queue.entries[j.ID]
 	if !found || j.Tasks <= 0 || j.Policy != Batch || e.delayed {
@@ -31,10 +32,10 @@
 		return false
 	}
 	c.demand.adjust(e, -1)
-	e.account.countQueued(e, -1)
+	e.customer.countQueued(e, -1)
 	c.queue.setRemaining(e, j.Tasks)
 	c.demand.adjust(e, 1)
-	e.account.countQueued(e, 1)
+	e.customer.countQueued(e, 1)
 	return true
 }
 
@@ -42,11 +43,12 @@
 // the queue.
 func (c *Cluster) Dequeue(job string) {
 	c.unqueue(job)
-	c.dropIdleJobRecord(job)
+	c.removeIdleJobRecord(job)
 }
 
-// DequeueAll removes every queued job that match selects in one pass, and
-// returns how many it removed. It serves bulk cancellations.
+// DequeueAll removes every queued job for which match returns true, in one pass
+// over the queue, and returns how many jobs it removed. It serves bulk
+// cancellations.
 func (c *Cluster) DequeueAll(match func(Job) bool) int {
 	var matched []string
 	for id, e := range c.queue.entries {
@@ -68,16 +70,16 @@
 	}
 	c.queue.remove(e)
 	c.demand.add(e, -1)
-	e.account.countQueued(e, -1)
+	e.customer.countQueued(e, -1)
 }
 
 // Queued returns the number of queued tasks.
 func (c *Cluster) Queued() int { return c.queue.tasks }
 
-// newEntry computes the queue entry of a job. It does not enqueue it.
+// newEntry computes the queue entry of a job without adding it to the queue.
 func (c *Cluster) newEntry(j Job) *entry {
 	run := c.estimator.runtime(j.Customer, j.Name, j.Runtime)
-	e := &entry{job: j, need: c.NeedOf(j), runtime: run, class: c.classOf(j), account: c.queue.customer(j.Customer)}
+	e := &entry{job: j, need: c.NeedOf(j), runtime: run, class: c.classOf(j), customer: c.queue.customer(j.Customer)}
 	e.latestStart = farFuture
 	e.lastFeasibleStart = farFuture
 	if !j.Deadline.IsZero() && j.Policy != Service {
@@ -90,8 +92,8 @@
 	return e
 }
 
-// isLarge reports whether one task needs a large share of an average
-// schedulable worker.
+// isLarge reports whether one task needs at least largeTaskShare of an average
+// worker.
 func (c *Cluster) isLarge(need Resources) bool {
 	return need.share(c.capacity)*float64(len(c.byID)) >= largeTaskShare
 }
