--- a/dispatch/query_test.go
+++ b/dispatch/query_test.go
@@ -68,7 +68,7 @@
 
 // Guards against refused urgent steps, more than one decision considers, whose queries occupy
 // every adviser connection: other steps wait behind them on an empty pool.
-func TestUrgentStepsBeyondTheBoundLeaveOthersQuestions(t *testing.T) {
+func TestUrgentStepsBeyondBoundLeaveQueriesToOthers(t *testing.T) {
 	for _, pool := range []int{mixedPool, largePool, 3000} {
 		t.Run(fmt.Sprint(pool), func(t *testing.T) {
 			t.Parallel()
@@ -176,7 +176,7 @@
 
 // Guards against a step that is permitted on one worker in a hundred and queries 30 workers at
 // a time, one query after the other: the larger the empty pool, the longer it waits.
-func TestAStepThatIsPermittedHardlyAnywhereFindsItsWorkers(t *testing.T) {
+func TestStepPermittedOnFewWorkersFindsThem(t *testing.T) {
 	for _, pool := range []int{mixedPool, largePool, 3000} {
 		t.Run(fmt.Sprint(pool), func(t *testing.T) {
 			t.Parallel()
@@ -231,7 +231,7 @@
 // Guards against gangs that are submitted together on an empty pool and query the same
 // hundred workers: these workers hold a third of the gangs, and the others must query a
 // second and a third time.
-func TestGangsThatComeTogetherAskAboutDifferentWorkers(t *testing.T) {
+func TestGangsSubmittedTogetherQueryDifferentWorkers(t *testing.T) {
 	gangs := wideGangs(20, 18)
 	r := newReplay(0, largePool, usualConnections, gangs)
 	r.decisionInterval = 50 * time.Millisecond
--- a/internal/cell/leader_term.go
+++ b/internal/cell/leader_term.go
@@ -183,7 +183,7 @@
 				c.enqueueStart(t, s, p)
 			}
 		}
-		for id := range changes.Queues {
+		for id := range changes.ChangedJobs {
 			t.syncQueue(s, id)
 		}
 		if changes.Quota {
--- a/internal/cell/machine.go
+++ b/internal/cell/machine.go
@@ -67,8 +67,8 @@
 	into.Samples = append(into.Samples, c.Samples...)
 	into.AttemptResults = append(into.AttemptResults, c.AttemptResults...)
 	into.Quota = into.Quota || c.Quota
-	for id := range c.Queues {
-		into.Queues[id] = struct{}{}
+	for id := range c.ChangedJobs {
+		into.ChangedJobs[id] = struct{}{}
 	}
 	for id := range c.Workers {
 		into.Workers[id] = struct{}{}
@@ -98,7 +98,7 @@
 }
 
 func emptyChanges() state.Changes {
-	return state.Changes{Queues: make(map[string]struct{}), Workers: make(map[string]struct{})}
+	return state.Changes{ChangedJobs: make(map[string]struct{}), Workers: make(map[string]struct{})}
 }
 
 // View calls f with the state under a read lock. f must neither keep nor change it.
--- a/internal/cell/outbox.go
+++ b/internal/cell/outbox.go
@@ -107,7 +107,7 @@
 	}
 	return &apiv1.Command{Body: &apiv1.Command_Start{Start: &apiv1.StartTask{
 		Attempt:           wire.RefToAPI(ref),
-		Need:              wire.ResourcesToAPI(j.HeldResources(int(ref.Task))),
+		Need:              wire.ResourcesToAPI(j.ReservedResources(int(ref.Task))),
 		Payload:           j.Spec.Payload,
 		DeclaredRuntimeMs: j.Spec.Runtime.Milliseconds(),
 		DeadlineUnixMs:    j.Spec.Deadline,
--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -231,9 +231,9 @@
 func (s *State) releaseWorker(j *Job, i int) {
 	t := &j.Tasks[i]
 	delete(s.onWorker[t.Worker], j.attemptRef(i))
-	s.used[j.Customer] = sub(s.used[j.Customer], j.HeldResources(i))
+	s.used[j.Customer] = sub(s.used[j.Customer], j.ReservedResources(i))
 	if w := s.Workers[t.Worker]; w != nil && w.Incarnation == t.Incarnation {
-		w.Used = sub(w.Used, j.HeldResources(i))
+		w.Used = sub(w.Used, j.ReservedResources(i))
 		w.assertWithinCapacity()
 	}
 	s.changes.Unplaced = append(s.changes.Unplaced, Unplaced{Job: j.ID, Task: i})
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -97,7 +97,7 @@
 	Unplaced []Unplaced
 	// Queues holds the IDs of the changed jobs. Their numbers of queued tasks may
 	// have changed.
-	Queues map[string]struct{}
+	ChangedJobs map[string]struct{}
 	// Workers holds the IDs of workers that may have changed.
 	Workers map[string]struct{}
 	// Stops are the attempts that their workers must stop.
@@ -190,7 +190,7 @@
 		for i := range j.Tasks {
 			if j.Tasks[i].State == TaskRunning {
 				s.occupy(j.Tasks[i].Worker, j.attemptRef(i))
-				s.used[j.Customer] = add(s.used[j.Customer], j.HeldResources(i))
+				s.used[j.Customer] = add(s.used[j.Customer], j.ReservedResources(i))
 			}
 		}
 	}
@@ -198,7 +198,7 @@
 
 // resetChanges removes the recorded changes.
 func (s *State) resetChanges() {
-	s.changes = Changes{Queues: make(map[string]struct{}), Workers: make(map[string]struct{})}
+	s.changes = Changes{ChangedJobs: make(map[string]struct{}), Workers: make(map[string]struct{})}
 }
 
 // TakeChanges returns the changes since the last call.
@@ -302,14 +302,14 @@
 	t := &j.Tasks[i]
 	return placement.Placed{
 		Job: j.ID, Task: i, Worker: t.Worker, Customer: j.Customer, Name: j.Spec.Name, Policy: j.Spec.Policy,
-		Need: j.HeldResources(i), Urgent: j.Spec.Urgent, Idempotent: j.Spec.Idempotent,
+		Need: j.ReservedResources(i), Urgent: j.Spec.Urgent, Idempotent: j.Spec.Idempotent,
 		Started: fromUnixMilli(t.Started), Runtime: j.Spec.Runtime, Deadline: fromUnixMilli(j.Spec.Deadline),
 	}
 }
 
-// HeldResources returns the resources reserved on the worker for running task i:
+// ReservedResources returns the resources reserved on the worker for running task i:
 // the declared need, or more if earlier runs used more.
-func (j *Job) HeldResources(i int) placement.Resources {
+func (j *Job) ReservedResources(i int) placement.Resources {
 	return atLeast(j.Spec.Need, j.Tasks[i].RaisedNeed)
 }
 
@@ -344,7 +344,7 @@
 func (s *State) markChanged(j *Job) {
 	s.Revision++
 	j.Revision = s.Revision
-	s.changes.Queues[j.ID] = struct{}{}
+	s.changes.ChangedJobs[j.ID] = struct{}{}
 }
 
 // recordEvent adds an event for the event timeline.
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -251,7 +251,7 @@
 	for id, worker := range h.a.Workers {
 		var sum placement.Resources
 		for _, ref := range h.a.AttemptsOnWorker(id) {
-			held := h.a.Jobs[ref.Job].HeldResources(int(ref.Task))
+			held := h.a.Jobs[ref.Job].ReservedResources(int(ref.Task))
 			sum = add(sum, held)
 			used[h.a.Jobs[ref.Job].Customer] += held.CPU
 		}
