--- a/hlc/hlc_test.go
+++ b/hlc/hlc_test.go
@@ -63,7 +63,7 @@
 	must.Eq(t, hlc.Timestamp{Wall: 6001}, c.Observe(full, time.UnixMilli(5500)))
 }
 
-func TestParse(t *testing.T) {
+func TestParseReadsStringAndRejectsMalformed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := hlc.Timestamp{Wall: rapid.Int64().Draw(t, "wall"), Logical: rapid.Uint32().Draw(t, "logical")}
 		parsed, err := hlc.Parse(s.String())
--- a/lease/guard.go
+++ b/lease/guard.go
@@ -168,7 +168,7 @@
 // after the attempt has run and ended, or after the owner got proof that it never
 // started.
 func (g *Guard) Start(h Header, a Attempt) error {
-	if err := g.check(h); err != nil {
+	if err := g.checkHeader(h); err != nil {
 		return err
 	}
 	record := g.attempts[a]
@@ -214,7 +214,7 @@
 // proof because the attempt is recorded as stopped from now on, and because this
 // incarnation can't have run it and dropped its record; see Acknowledge.
 func (g *Guard) Stop(h Header, a Attempt) (StopResult, error) {
-	if err := g.check(h); err != nil {
+	if err := g.checkHeader(h); err != nil {
 		return 0, err
 	}
 	record := g.attempts[a]
@@ -299,18 +299,20 @@
 
 // attemptsWhere returns the attempts whose records are wanted, sorted.
 func (g *Guard) attemptsWhere(wanted func(*attemptRecord) bool) []Attempt {
-	var list []Attempt
+	var matching []Attempt
 	for a, record := range g.attempts {
 		if wanted(record) {
-			list = append(list, a)
+			matching = append(matching, a)
 		}
 	}
-	slices.SortFunc(list, Attempt.Compare)
-	return list
+	slices.SortFunc(matching, Attempt.Compare)
+	return matching
 }
 
-// check refuses a command if its header alone is reason enough.
-func (g *Guard) check(h Header) error {
+// checkHeader returns the Refusal of a command that must be refused for its header
+// alone: it is for another incarnation, of an earlier term, a duplicate, or not the
+// next in sequence. Otherwise it returns nil.
+func (g *Guard) checkHeader(h Header) error {
 	if h.Incarnation != g.incarnation {
 		return ErrOtherIncarnation
 	}
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -9,28 +9,28 @@
 // sentRenewal is an unanswered renewal.
 type sentRenewal struct {
 	sequence uint64
-	at       time.Duration
+	sentAt   time.Duration
 }
 
 // Holder is the worker's record of its lease. It is not safe for concurrent use.
 type Holder struct {
 	outstanding []sentRenewal
-	// last is the highest sequence number sent in any incarnation of this
-	// process.
-	last      uint64
-	expiresAt time.Duration
-	granted   bool
-	expired   bool
+	// lastSequence is the highest sequence number sent in any incarnation of
+	// this process.
+	lastSequence uint64
+	expiresAt    time.Duration
+	granted      bool
+	expired      bool
 }
 
 // RecordSent records that a renewal is about to be sent. Call it before sending.
 // If the same sequence number is sent again, the first time counts. Sequence
 // numbers must keep growing after Reset.
 func (h *Holder) RecordSent(sequence uint64, now time.Duration) {
-	if sequence <= h.last {
+	if sequence <= h.lastSequence {
 		return
 	}
-	h.last = sequence
+	h.lastSequence = sequence
 	if len(h.outstanding) == maxOutstanding {
 		h.outstanding = h.outstanding[1:]
 	}
@@ -57,7 +57,7 @@
 	}
 	for _, s := range h.outstanding {
 		if s.sequence == sequence {
-			h.expiresAt = max(h.expiresAt, s.at+ttl)
+			h.expiresAt = max(h.expiresAt, s.sentAt+ttl)
 			h.granted = true
 			h.dropThrough(sequence)
 			return
@@ -107,5 +107,5 @@
 // Guards against taking a delayed answer to a renewal of the old incarnation for
 // a grant to the new one: sequence numbers are never reused.
 func (h *Holder) Reset() {
-	*h = Holder{last: h.last}
+	*h = Holder{lastSequence: h.lastSequence}
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -20,8 +20,8 @@
 	return lease.Header{Incarnation: incarnation, Position: lease.Position{Term: term, Number: number}}
 }
 
-// task is the attempt that most tests use.
-var task = lease.Attempt{Job: "folio", Attempt: 1}
+// testAttempt is the attempt that most tests use.
+var testAttempt = lease.Attempt{Job: "folio", Attempt: 1}
 
 // A task still runs after it was started elsewhere. The worker's process is
 // paused, its lease expires, and the owner declares it ended and dies. The
@@ -131,13 +131,13 @@
 func TestAcknowledgedAttemptRejectsLateStart(t *testing.T) {
 	guard, outbox := lease.NewGuard(1), lease.NewOutbox[string](1, 1)
 	first, second := outbox.Add("start"), outbox.Add("start")
-	must.NoError(t, guard.Start(first, task))
-	must.NoError(t, guard.End(task))
-	guard.Acknowledge([]lease.Attempt{task}, lease.Position{})
-	guard.Acknowledge([]lease.Attempt{task}, outbox.Position())
-	must.ErrorIs(t, guard.Start(second, task), lease.ErrEnded)
+	must.NoError(t, guard.Start(first, testAttempt))
+	must.NoError(t, guard.End(testAttempt))
+	guard.Acknowledge([]lease.Attempt{testAttempt}, lease.Position{})
+	guard.Acknowledge([]lease.Attempt{testAttempt}, outbox.Position())
+	must.ErrorIs(t, guard.Start(second, testAttempt), lease.ErrEnded)
 	must.Eq(t, 0, guard.AttemptCount())
-	must.ErrorIs(t, guard.Start(second, task), lease.ErrDuplicate)
+	must.ErrorIs(t, guard.Start(second, testAttempt), lease.ErrDuplicate)
 }
 
 // A task that was reported as not started runs: the stop overtakes the start of
@@ -145,40 +145,40 @@
 // acknowledgement.
 func TestStopBeforeStartIsFinal(t *testing.T) {
 	guard := lease.NewGuard(1)
-	result, err := guard.Stop(header(1, 2, 1), task)
+	result, err := guard.Stop(header(1, 2, 1), testAttempt)
 	must.NoError(t, err)
 	must.Eq(t, lease.StopBeforeStart, result)
-	must.ErrorIs(t, guard.Start(header(1, 1, 1), task), lease.ErrOldTerm)
-	must.ErrorIs(t, guard.Start(header(1, 2, 2), task), lease.ErrStopped)
-	must.Eq(t, []lease.Attempt{task}, guard.Unacknowledged())
-	guard.Acknowledge([]lease.Attempt{task}, lease.Position{Term: 3})
+	must.ErrorIs(t, guard.Start(header(1, 1, 1), testAttempt), lease.ErrOldTerm)
+	must.ErrorIs(t, guard.Start(header(1, 2, 2), testAttempt), lease.ErrStopped)
+	must.Eq(t, []lease.Attempt{testAttempt}, guard.Unacknowledged())
+	guard.Acknowledge([]lease.Attempt{testAttempt}, lease.Position{Term: 3})
 	must.Eq(t, 0, guard.AttemptCount())
-	must.ErrorIs(t, guard.Start(header(1, 2, 3), task), lease.ErrOldTerm)
+	must.ErrorIs(t, guard.Start(header(1, 2, 3), testAttempt), lease.ErrOldTerm)
 }
 
 // A command of another incarnation, an old term or out of order is executed.
-func TestGuardRefuses(t *testing.T) {
+func TestGuardRefusesInvalidCommands(t *testing.T) {
 	guard := lease.NewGuard(4)
-	must.ErrorIs(t, guard.Start(header(3, 1, 1), task), lease.ErrOtherIncarnation)
-	must.ErrorIs(t, guard.Start(header(5, 1, 1), task), lease.ErrOtherIncarnation)
-	must.ErrorIs(t, guard.Start(header(4, 1, 2), task), lease.ErrSequenceGap)
-	must.NoError(t, guard.Start(header(4, 1, 1), task))
-	must.ErrorIs(t, guard.Start(header(4, 1, 1), task), lease.ErrDuplicate)
-	must.ErrorIs(t, guard.Start(header(4, 2, 1), task), lease.ErrRunning)
-	must.ErrorIs(t, guard.Start(header(4, 1, 2), task), lease.ErrOldTerm)
+	must.ErrorIs(t, guard.Start(header(3, 1, 1), testAttempt), lease.ErrOtherIncarnation)
+	must.ErrorIs(t, guard.Start(header(5, 1, 1), testAttempt), lease.ErrOtherIncarnation)
+	must.ErrorIs(t, guard.Start(header(4, 1, 2), testAttempt), lease.ErrSequenceGap)
+	must.NoError(t, guard.Start(header(4, 1, 1), testAttempt))
+	must.ErrorIs(t, guard.Start(header(4, 1, 1), testAttempt), lease.ErrDuplicate)
+	must.ErrorIs(t, guard.Start(header(4, 2, 1), testAttempt), lease.ErrRunning)
+	must.ErrorIs(t, guard.Start(header(4, 1, 2), testAttempt), lease.ErrOldTerm)
 	must.ErrorIs(t, guard.ObserveTerm(1), lease.ErrOldTerm)
 	must.NoError(t, guard.ObserveTerm(3))
-	must.ErrorIs(t, guard.Start(header(4, 2, 2), task), lease.ErrOldTerm)
-	must.Eq(t, []lease.Attempt{task}, guard.Running())
-	must.NoError(t, guard.End(task))
-	must.ErrorIs(t, guard.End(task), lease.ErrNotRunning)
+	must.ErrorIs(t, guard.Start(header(4, 2, 2), testAttempt), lease.ErrOldTerm)
+	must.Eq(t, []lease.Attempt{testAttempt}, guard.Running())
+	must.NoError(t, guard.End(testAttempt))
+	must.ErrorIs(t, guard.End(testAttempt), lease.ErrNotRunning)
 	guard.Restart(5)
-	must.ErrorIs(t, guard.Start(header(4, 3, 1), task), lease.ErrOtherIncarnation)
+	must.ErrorIs(t, guard.Start(header(4, 3, 1), testAttempt), lease.ErrOtherIncarnation)
 }
 
 // The attempt records grow without bound when the owner never acknowledges, or a
 // command refused because of the limit is lost.
-func TestGuardAttemptLimit(t *testing.T) {
+func TestGuardLimitsAttemptRecords(t *testing.T) {
 	guard := lease.NewGuard(1)
 	for i := range lease.MaxAttemptRecords {
 		a := lease.Attempt{Job: "j", Task: int32(i)}
@@ -186,9 +186,9 @@
 		must.NoError(t, guard.End(a))
 	}
 	next := header(1, 1, lease.MaxAttemptRecords+1)
-	must.ErrorIs(t, guard.Start(next, task), lease.ErrFull)
+	must.ErrorIs(t, guard.Start(next, testAttempt), lease.ErrFull)
 	guard.Acknowledge([]lease.Attempt{{Job: "j"}}, lease.Position{Term: 1, Number: 1})
-	must.NoError(t, guard.Start(next, task))
+	must.NoError(t, guard.Start(next, testAttempt))
 }
 
 func Example() {
@@ -253,9 +253,9 @@
 	n := uint64(0)
 	for b.Loop() {
 		n++
-		_ = guard.Start(header(1, 1, n), task)
-		_ = guard.End(task)
-		guard.Acknowledge([]lease.Attempt{task}, lease.Position{Term: 1, Number: n})
+		_ = guard.Start(header(1, 1, n), testAttempt)
+		_ = guard.End(testAttempt)
+		guard.Acknowledge([]lease.Attempt{testAttempt}, lease.Position{Term: 1, Number: n})
 	}
 }
 
--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -99,8 +99,8 @@
 	})
 }
 
-// names returns the names of the first n workers.
-func names(n int) []string {
+// workerNames returns the names of the first n workers.
+func workerNames(n int) []string {
 	return []string{"w0", "w1", "w2"}[:n]
 }
 
@@ -142,9 +142,9 @@
 	w.table = lease.NewTable(ttl, drift)
 	w.outboxes = map[int]*lease.Outbox[command]{}
 	w.outboxIncarnation = map[int]uint64{}
-	w.table.TakeOver(w.ownerNow(), names(len(w.workers)))
+	w.table.TakeOver(w.ownerNow(), workerNames(len(w.workers)))
 	for i, incarnation := range w.announcedIncarnations {
-		w.table.RecordIncarnation(names(3)[i], incarnation)
+		w.table.RecordIncarnation(workerNames(3)[i], incarnation)
 	}
 }
 
@@ -223,7 +223,7 @@
 
 // handleRenewal handles a renewal at the leader.
 func (w *model) handleRenewal(m message) {
-	name := names(3)[m.worker]
+	name := workerNames(3)[m.worker]
 	r := w.table.Renew(name, m.incarnation, m.sequence, w.ownerNow())
 	if r.Accepted && w.outboxIncarnation[m.worker] != m.incarnation {
 		w.announcedIncarnations[m.worker] = max(w.announcedIncarnations[m.worker], m.incarnation)
@@ -274,7 +274,7 @@
 // tasks can start elsewhere.
 func (w *model) commitLost() {
 	for _, r := range w.records {
-		if r.state == "assigned" && w.table.Fenced(names(3)[r.worker], r.incarnation) {
+		if r.state == "assigned" && w.table.Fenced(workerNames(3)[r.worker], r.incarnation) {
 			w.eventCounts["lost"]++
 			r.state = "lost"
 		}
@@ -364,10 +364,10 @@
 	task := uniform(len(w.lastAttempt)).Draw(w.t, "task")
 	i := uniform(len(w.workers)).Draw(w.t, "worker")
 	last := w.records[w.latestAttempt(task)]
-	if (last != nil && last.state == "assigned") || !w.table.Live(names(3)[i], w.ownerNow()) {
+	if (last != nil && last.state == "assigned") || !w.table.Live(workerNames(3)[i], w.ownerNow()) {
 		return
 	}
-	incarnation, _ := w.table.Incarnation(names(3)[i])
+	incarnation, _ := w.table.Incarnation(workerNames(3)[i])
 	w.lastAttempt[task]++
 	a := w.latestAttempt(task)
 	w.records[a] = &record{worker: i, incarnation: incarnation, state: "assigned"}
--- a/lease/outbox.go
+++ b/lease/outbox.go
@@ -12,7 +12,7 @@
 // not safe for concurrent use.
 type Outbox[T any] struct {
 	term, incarnation uint64
-	last              uint64
+	lastNumber        uint64
 	pending           []NumberedCommand[T]
 }
 
@@ -24,8 +24,8 @@
 
 // Add appends a command and returns its header.
 func (o *Outbox[T]) Add(body T) Header {
-	o.last++
-	header := Header{Incarnation: o.incarnation, Position: Position{Term: o.term, Number: o.last}}
+	o.lastNumber++
+	header := Header{Incarnation: o.incarnation, Position: Position{Term: o.term, Number: o.lastNumber}}
 	o.pending = append(o.pending, NumberedCommand[T]{Header: header, Body: body})
 	return header
 }
@@ -45,13 +45,13 @@
 // one is the oldest unacknowledged command, because the worker accepts no command
 // before the one that precedes it. The slice is valid until the next call of
 // another method.
-func (o *Outbox[T]) Pending(max int) []NumberedCommand[T] {
-	return o.pending[:min(max, len(o.pending))]
+func (o *Outbox[T]) Pending(limit int) []NumberedCommand[T] {
+	return o.pending[:min(limit, len(o.pending))]
 }
 
 // Position returns the position of the last command issued. The acknowledgement
 // of a report carries it to Guard.Acknowledge; it must be read after the end of
 // the attempt was committed and applied.
 func (o *Outbox[T]) Position() Position {
-	return Position{Term: o.term, Number: o.last}
+	return Position{Term: o.term, Number: o.lastNumber}
 }
--- a/quota/demand_test.go
+++ b/quota/demand_test.go
@@ -52,8 +52,8 @@
 	partition bool
 }
 
-// queuedTask is a queued task. since is the tick of its arrival.
-type queuedTask struct{ since int }
+// queuedTask is a task that waits to start.
+type queuedTask struct{ arrivalTick int }
 
 // centre is one simulated data centre.
 type centre struct {
@@ -172,7 +172,7 @@
 func (m *simulation) start(c *centre) {
 	for customer := range simCustomers {
 		for len(c.queue[customer]) > 0 && m.mayStart(c, customer) {
-			m.waits = append(m.waits, m.tick-c.queue[customer][0].since)
+			m.waits = append(m.waits, m.tick-c.queue[customer][0].arrivalTick)
 			c.queue[customer] = c.queue[customer][1:]
 			c.used[customer] += taskCPU
 			end := m.tick + 1 + int(m.random.ExpFloat64()*taskSeconds*ticksPerSec)
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -157,7 +157,7 @@
 }
 
 // count counts the results of an operation.
-func (w *model) count(what string, err error) { w.results[fmt.Sprint(what, ": ", err)]++ }
+func (w *model) count(operation string, err error) { w.results[fmt.Sprint(operation, ": ", err)]++ }
 
 // restore replaces a ledger by a copy restored from its snapshot.
 func (w *model) restore(i int) {
@@ -180,13 +180,13 @@
 		if w.configs[l.Version()-1].Generation != generation {
 			return
 		}
-		limits, has := fields(l.Limit(customer)), fields(l.Allotment(customer))
+		limits, allotments := fields(l.Limit(customer)), fields(l.Allotment(customer))
 		for f := range sum {
 			if limits[f] == quota.Unlimited {
 				return
 			}
-			must.GreaterEq(w.t, 0, has[f])
-			sum[f] += has[f]
+			must.GreaterEq(w.t, 0, allotments[f])
+			sum[f] += allotments[f]
 			limit[f] = max(limit[f], limits[f])
 		}
 	}
@@ -217,8 +217,8 @@
 		}
 	}
 	for i, l := range w.ledgers {
-		for f, has := range fields(l.Allotment(customer)) {
-			sum[f] += has
+		for f, allotment := range fields(l.Allotment(customer)) {
+			sum[f] += allotment
 		}
 		for _, name := range w.names {
 			_, open := l.Outgoing(name)
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -33,7 +33,7 @@
 
 // A customer gets more than a lowered limit: one data centre has transferred
 // its half of the old limit and misses the version that lowered it.
-func TestLoweredLimitAfterTransfer(t *testing.T) {
+func TestLoweredLimitHoldsAfterTransfer(t *testing.T) {
 	a, b := newLedgerPair(100)
 	half := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(50)})
 	transfer, err := a.Debit(quota.DebitCommand{Request: half}, unused)
@@ -122,7 +122,7 @@
 
 // More than the limit is allotted: two data centres list the initial owners in
 // different orders, and both own the slots of the first.
-func TestInitialOwnersInAnyOrder(t *testing.T) {
+func TestInitialOwnersOrderDoesNotMatter(t *testing.T) {
 	a, _ := newLedgerPair(3)
 	b := quota.NewLedger("b")
 	reordered := config(1, 3)
--- a/routing/allocate.go
+++ b/routing/allocate.go
@@ -26,7 +26,7 @@
 func (a *Allocator) serviceGroups() []*serviceGroup {
 	var groups []*serviceGroup
 	byName := make(map[string]*serviceGroup)
-	for _, m := range a.list {
+	for _, m := range a.sortedMinions {
 		if !m.usable() {
 			continue
 		}
@@ -75,7 +75,7 @@
 // demands returns the demands of all live entry instances and the index of e
 // among them.
 func (a *Allocator) demands(e *entryRecord, service string, now time.Duration) (demands []int, own int) {
-	for _, id := range a.order {
+	for _, id := range a.sortedEntries {
 		other := a.entries[id]
 		if other != e && !a.live(other, now) {
 			continue
@@ -99,7 +99,7 @@
 // taken away, so that small changes of demand cause no messages.
 func (a *Allocator) unmetMinimum(e *entryRecord, g *serviceGroup, now time.Duration) int {
 	unmet := 0
-	for _, id := range a.order {
+	for _, id := range a.sortedEntries {
 		other := a.entries[id]
 		if other == e || !a.live(other, now) {
 			continue
@@ -128,7 +128,7 @@
 // entryIndex returns the index of an entry instance among all of them. It makes
 // each of them start its search for free slots at a different minion.
 func (a *Allocator) entryIndex(id string) int {
-	for i, other := range a.order {
+	for i, other := range a.sortedEntries {
 		if other == id {
 			return i
 		}
@@ -243,7 +243,7 @@
 	if known {
 		resp.Base = e.adopted
 	}
-	for _, m := range a.list {
+	for _, m := range a.sortedMinions {
 		slots := grants[m.number]
 		differs := slots != base[m.number]
 		if !known {
--- a/routing/allocator.go
+++ b/routing/allocator.go
@@ -45,12 +45,12 @@
 	// unclaimed has the entry instances that have not claimed in this term yet.
 	unclaimed map[string]bool
 
-	minions    map[string]*minionRecord
-	byNumber   map[uint32]*minionRecord
-	list       []*minionRecord // all minions, ordered by number
-	lastNumber uint32
-	entries    map[string]*entryRecord
-	order      []string // entry instances, sorted
+	minions       map[string]*minionRecord
+	byNumber      map[uint32]*minionRecord
+	sortedMinions []*minionRecord // all minions, ordered by number
+	lastNumber    uint32
+	entries       map[string]*entryRecord
+	sortedEntries []string // entry instances, sorted
 }
 
 // minionRecord is the Allocator's record of one minion.
@@ -84,10 +84,10 @@
 func (a *Allocator) reset() {
 	a.minions = make(map[string]*minionRecord)
 	a.byNumber = make(map[uint32]*minionRecord)
-	a.list = nil
+	a.sortedMinions = nil
 	a.lastNumber = 0
 	a.entries = make(map[string]*entryRecord)
-	a.order = nil
+	a.sortedEntries = nil
 	a.unclaimed = make(map[string]bool)
 }
 
@@ -184,7 +184,7 @@
 	m.Minion = name
 	a.minions[name] = m
 	a.byNumber[m.number] = m
-	a.list = append(a.list, m)
+	a.sortedMinions = append(a.sortedMinions, m)
 	return m
 }
 
@@ -230,8 +230,8 @@
 	if !ok {
 		e = newEntryRecord(req.Entry, req.Incarnation)
 		a.entries[req.Entry] = e
-		at, _ := slices.BinarySearch(a.order, req.Entry)
-		a.order = slices.Insert(a.order, at, req.Entry)
+		at, _ := slices.BinarySearch(a.sortedEntries, req.Entry)
+		a.sortedEntries = slices.Insert(a.sortedEntries, at, req.Entry)
 	}
 	if req.Incarnation < e.incarnation {
 		return nil, ErrStale
@@ -333,15 +333,15 @@
 // expire updates everything that depends on the time: occupied and reserved
 // slots, minions without announcements and old records.
 func (a *Allocator) expire(now time.Duration) {
-	for _, id := range a.order {
+	for _, id := range a.sortedEntries {
 		e := a.entries[id]
 		if e.nextFreeAt <= now {
 			a.updateOccupied(e, now)
 		}
 	}
 	reserved := a.reserveInForce(now)
-	kept := a.list[:0]
-	for _, m := range a.list {
+	kept := a.sortedMinions[:0]
+	for _, m := range a.sortedMinions {
 		if !reserved {
 			m.reserved = 0
 		}
@@ -354,8 +354,8 @@
 		}
 		kept = append(kept, m)
 	}
-	clear(a.list[len(kept):])
-	a.list = kept
+	clear(a.sortedMinions[len(kept):])
+	a.sortedMinions = kept
 }
 
 // deleteMinion deletes the record of a minion.
@@ -370,7 +370,7 @@
 // Minions returns the announcements of the usable minions.
 func (a *Allocator) Minions() []Announcement {
 	var live []Announcement
-	for _, m := range a.list {
+	for _, m := range a.sortedMinions {
 		if m.usable() {
 			live = append(live, m.Announcement)
 		}
--- a/routing/estimate.go
+++ b/routing/estimate.go
@@ -26,14 +26,14 @@
 
 // estimator estimates the service times of one service from recent samples.
 type estimator struct {
-	window    *hdrhistogram.WindowedHistogram
-	rotatedAt time.Duration
-	readAt    time.Duration
+	window      *hdrhistogram.WindowedHistogram
+	rotatedAt   time.Duration
+	refreshedAt time.Duration
 	// addedAt is when the last sample was added.
 	addedAt time.Duration
-	// unread reports whether samples were added since mean and tail were
+	// hasNewSamples reports whether samples were added since mean and tail were
 	// computed.
-	unread bool
+	hasNewSamples bool
 
 	samples int64
 	mean    time.Duration
@@ -43,7 +43,7 @@
 // newEstimator returns an estimator that assumes first until it has samples.
 func newEstimator(first time.Duration, now time.Duration) *estimator {
 	window := hdrhistogram.NewWindowed(estimateWindowParts, 1, maxServiceTime.Microseconds(), significantDigits)
-	return &estimator{window: window, rotatedAt: now, readAt: now, addedAt: now, mean: first, tail: first}
+	return &estimator{window: window, rotatedAt: now, refreshedAt: now, addedAt: now, mean: first, tail: first}
 }
 
 // add records a service time.
@@ -53,18 +53,18 @@
 	micros := min(max(1, took.Microseconds()), maxServiceTime.Microseconds())
 	// RecordValue can't fail: micros is within the bounds given to NewWindowed.
 	_ = e.window.Current.RecordValue(micros)
-	e.unread = true
+	e.hasNewSamples = true
 }
 
 // refresh recomputes mean and tail from new samples if estimateInterval has
 // passed, or immediately while they rest on fewer than 20 samples.
 func (e *estimator) refresh(now time.Duration) {
-	early := e.samples < 20 && e.unread
-	if now-e.readAt < estimateInterval && !early {
+	early := e.samples < 20 && e.hasNewSamples
+	if now-e.refreshedAt < estimateInterval && !early {
 		return
 	}
-	e.readAt = now
-	if e.unread {
+	e.refreshedAt = now
+	if e.hasNewSamples {
 		e.readWindow()
 	}
 	e.slide(now)
@@ -89,7 +89,7 @@
 
 // readWindow recomputes mean and tail from the window.
 func (e *estimator) readWindow() {
-	e.unread = false
+	e.hasNewSamples = false
 	merged := e.window.Merge()
 	e.samples = merged.TotalCount()
 	if e.samples == 0 {
--- a/routing/load_cases_test.go
+++ b/routing/load_cases_test.go
@@ -12,7 +12,7 @@
 func restartEntry(r *loadRun) {
 	e := r.entries[0]
 	e.up = false
-	r.at(r.now+time.Second, func() { r.startEntry(e) })
+	r.schedule(r.now+time.Second, func() { r.startEntry(e) })
 }
 
 // loseEntry stops an entry instance permanently.
@@ -21,7 +21,7 @@
 // loseLeader stops the leader; after 3 s a new leader without state takes over.
 func loseLeader(r *loadRun) {
 	r.leader = false
-	r.at(r.now+3*time.Second, func() {
+	r.schedule(r.now+3*time.Second, func() {
 		r.leader = true
 		r.allocator = routing.NewAllocator(routing.LeaseOptions{})
 		var ids []string
--- a/routing/load_test.go
+++ b/routing/load_test.go
@@ -117,7 +117,7 @@
 type loadEvent struct {
 	at       time.Duration
 	sequence int
-	do       func()
+	action   func()
 }
 
 // eventHeap orders events by time, then by insertion.
@@ -136,10 +136,10 @@
 	return last
 }
 
-// at schedules a function.
-func (r *loadRun) at(t time.Duration, do func()) {
+// schedule schedules action to run at the simulated time t.
+func (r *loadRun) schedule(t time.Duration, action func()) {
 	r.eventCount++
-	heap.Push(&r.events, loadEvent{at: t, sequence: r.eventCount, do: do})
+	heap.Push(&r.events, loadEvent{at: t, sequence: r.eventCount, action: action})
 }
 
 // newLoadRun returns a simulation with its first events scheduled.
@@ -162,15 +162,15 @@
 		m := &loadMinion{Announcement: a}
 		r.minions[name] = m
 		r.minionList = append(r.minionList, m)
-		r.at(time.Duration(i)*announceInterval/time.Duration(c.minions), func() { r.announce(m) })
+		r.schedule(time.Duration(i)*announceInterval/time.Duration(c.minions), func() { r.announce(m) })
 	}
 	for i := range c.entries {
 		e := &loadEntry{id: fmt.Sprintf("naas-hall-%d", i)}
 		r.entries = append(r.entries, e)
 		r.startEntry(e)
 	}
-	r.at(warmUp/2, r.arrive)
-	r.at(faultAt, r.injectFault)
+	r.schedule(warmUp/2, r.arrive)
+	r.schedule(faultAt, r.injectFault)
 	return r
 }
 
@@ -204,7 +204,7 @@
 			}
 		}
 	}
-	r.at(r.now+announceInterval, func() { r.announce(m) })
+	r.schedule(r.now+announceInterval, func() { r.announce(m) })
 }
 
 // sendSlotRequest sends a slot request of one entry process, and the next one
@@ -215,8 +215,8 @@
 	}
 	e.nextSlotRequestAt = r.now + slotRequestInterval
 	req := b.NextSlotRequest(r.now)
-	r.at(r.now+oneWayDelay, func() { r.handleSlotRequest(e, b, req) })
-	r.at(e.nextSlotRequestAt, func() {
+	r.schedule(r.now+oneWayDelay, func() { r.handleSlotRequest(e, b, req) })
+	r.schedule(e.nextSlotRequestAt, func() {
 		if e.nextSlotRequestAt <= r.now {
 			r.sendSlotRequest(e, b)
 		}
@@ -236,7 +236,7 @@
 		r.bytes += callOverheadBytes + proto.Size(proxy.RequestToWire(req)) + callOverheadBytes + proto.Size(proxy.ResponseToWire(resp))
 		r.calls++
 	}
-	r.at(r.now+oneWayDelay, func() { r.handleSlotResponse(e, b, resp) })
+	r.schedule(r.now+oneWayDelay, func() { r.handleSlotResponse(e, b, resp) })
 }
 
 // handleSlotResponse processes a slot response at the entry process.
@@ -267,7 +267,7 @@
 // distributed time.
 func (r *loadRun) arrive() {
 	rate := r.load * float64(len(r.minionList)*loadSlots) / meanService.Seconds()
-	r.at(r.now+time.Duration(r.rng.ExpFloat64()/rate*float64(time.Second)), r.arrive)
+	r.schedule(r.now+time.Duration(r.rng.ExpFloat64()/rate*float64(time.Second)), r.arrive)
 	q := &loadRequest{customer: fmt.Sprint("c", r.rng.IntN(4)), idempotent: r.rng.IntN(2) == 0}
 	if r.rng.Float64() < r.flood {
 		q.customer = "flood"
@@ -309,7 +309,7 @@
 	if q.ticket.State() != routing.Queued {
 		return
 	}
-	r.at(q.balancer.QueueDeadline(q.ticket)+1, func() {
+	r.schedule(q.balancer.QueueDeadline(q.ticket)+1, func() {
 		if q.alive() && q.ticket.State() == routing.Queued {
 			q.balancer.Expire(q.ticket, r.now)
 			r.collect(q.entry)
@@ -345,7 +345,7 @@
 		return
 	}
 	retry := &loadRequest{customer: q.customer, retries: q.retries + 1, idempotent: q.idempotent}
-	r.at(r.now+after, func() { r.send(retry) })
+	r.schedule(r.now+after, func() { r.send(retry) })
 }
 
 // serviceTime draws the service time of a request on a minion.
@@ -369,21 +369,21 @@
 	}
 	switch m.fault {
 	case gone:
-		r.at(r.now+2*oneWayDelay, func() { r.finished(q, routing.NotSent) })
+		r.schedule(r.now+2*oneWayDelay, func() { r.finished(q, routing.NotSent) })
 	case failing:
-		r.at(r.now+2*oneWayDelay, func() { r.finished(q, routing.AnsweredFailure) })
+		r.schedule(r.now+2*oneWayDelay, func() { r.finished(q, routing.AnsweredFailure) })
 	case hanging:
 		m.requestStarted()
-		r.at(attemptDeadline, func() { m.busy--; r.finished(q, routing.TimedOut) })
+		r.schedule(attemptDeadline, func() { m.busy--; r.finished(q, routing.TimedOut) })
 	default:
 		m.requestStarted()
 		end := r.now + 2*oneWayDelay + r.serviceTime(m)
-		r.at(end, func() { m.busy-- })
+		r.schedule(end, func() { m.busy-- })
 		if end > attemptDeadline {
-			r.at(attemptDeadline, func() { r.finished(q, routing.TimedOut) })
+			r.schedule(attemptDeadline, func() { r.finished(q, routing.TimedOut) })
 			return
 		}
-		r.at(end, func() { r.finished(q, routing.Answered) })
+		r.schedule(end, func() { r.finished(q, routing.Answered) })
 	}
 }
 
@@ -401,7 +401,7 @@
 	b := q.balancer
 	b.Finish(q.ticket, o, r.now)
 	if o == routing.Answered {
-		r.done(q)
+		r.countAnswered(q)
 		r.collect(q.entry)
 		return
 	}
@@ -413,8 +413,9 @@
 	r.collect(q.entry)
 }
 
-// done counts an answered request.
-func (r *loadRun) done(q *loadRequest) {
+// countAnswered counts a request whose response arrived, as good if that was before
+// its deadline and as late otherwise.
+func (r *loadRun) countAnswered(q *loadRequest) {
 	if r.now > q.deadline {
 		r.late++
 		return
@@ -449,9 +450,9 @@
 		_ = r.waits.RecordValue(max(1, (r.now - q.arrived).Microseconds()))
 	}
 	m.requestStarted()
-	r.at(r.now+r.serviceTime(m), func() {
+	r.schedule(r.now+r.serviceTime(m), func() {
 		m.busy--
-		r.done(q)
+		r.countAnswered(q)
 		if len(m.queue) > 0 {
 			next := m.queue[0]
 			m.queue = m.queue[1:]
@@ -471,5 +472,5 @@
 func (r *loadRun) step() {
 	e := heap.Pop(&r.events).(loadEvent)
 	r.now = e.at
-	e.do()
+	e.action()
 }
--- a/routing/model_test.go
+++ b/routing/model_test.go
@@ -231,10 +231,10 @@
 	if len(w.responses) == 0 {
 		t.Skip()
 	}
-	a := w.responses[rapid.IntRange(0, len(w.responses)-1).Draw(t, "answer")]
-	e := w.entries[a.to]
-	if e.incarnation == a.incarnation {
-		w.deliverResponse(e, a.resp)
+	pending := w.responses[rapid.IntRange(0, len(w.responses)-1).Draw(t, "answer")]
+	e := w.entries[pending.to]
+	if e.incarnation == pending.incarnation {
+		w.deliverResponse(e, pending.resp)
 	}
 }
 
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -199,7 +199,7 @@
 }
 
 // Retries multiply the load on an overloaded service.
-func TestRetryBudget(t *testing.T) {
+func TestRetryBudgetLimitsRetries(t *testing.T) {
 	f := newFixture(8, 8)
 	retried := 0
 	for range 100 {
--- a/routing/service.go
+++ b/routing/service.go
@@ -28,8 +28,8 @@
 	running      int
 	serviceTimes *estimator
 	// medianTime is the median of the minions' average service times.
-	medianTime   time.Duration
-	medianReadAt time.Duration
+	medianTime        time.Duration
+	medianRefreshedAt time.Duration
 	// lastReturnAt is the latest retry time that a refusal has named.
 	lastReturnAt time.Duration
 	// lastPopulatedAt is when the service last had a minion.
@@ -178,10 +178,10 @@
 
 // refreshMedianTime recomputes medianTime at most once per estimateInterval.
 func (s *service) refreshMedianTime(now time.Duration) {
-	if now-s.medianReadAt < estimateInterval && s.medianTime > 0 {
+	if now-s.medianRefreshedAt < estimateInterval && s.medianTime > 0 {
 		return
 	}
-	s.medianReadAt = now
+	s.medianRefreshedAt = now
 	times := make([]time.Duration, 0, len(s.minions))
 	for _, m := range s.minions {
 		if m.breaker.averageTime > 0 {
--- a/routing/slot_lease.go
+++ b/routing/slot_lease.go
@@ -12,7 +12,7 @@
 // sentRequest is a slot request that may still be answered.
 type sentRequest struct {
 	sequence uint64
-	at       time.Duration
+	sentAt   time.Duration
 }
 
 // slotLease is the slot lease that a Balancer holds from the leader.
@@ -114,7 +114,7 @@
 	b.releaseLingering(now)
 	l := &b.lease
 	l.sequence++
-	l.sent = append(l.sent, sentRequest{sequence: l.sequence, at: now})
+	l.sent = append(l.sent, sentRequest{sequence: l.sequence, sentAt: now})
 	if len(l.sent) > maxSentRequests {
 		l.sent = slices.Delete(l.sent, 0, 1)
 	}
@@ -247,7 +247,7 @@
 func (l *slotLease) sentAt(sequence uint64) (time.Duration, bool) {
 	for _, s := range l.sent {
 		if s.sequence == sequence {
-			return s.at, true
+			return s.sentAt, true
 		}
 	}
 	return 0, false
