--- a/hlc/hlc.go
+++ b/hlc/hlc.go
@@ -31,7 +31,7 @@
 	Logical uint32 `cbor:"2,keyasint,omitempty"`
 }
 
-// Compare returns -1, 0 or +1 if s is before, equal to or after t.
+// Compare returns -1 if s is before t, 0 if they are equal, and +1 if s is after t.
 func (s Timestamp) Compare(t Timestamp) int {
 	if c := cmp.Compare(s.Wall, t.Wall); c != 0 {
 		return c
@@ -44,7 +44,7 @@
 	return s == Timestamp{}
 }
 
-// Time returns the wall time without the logical counter.
+// Time returns the wall time of s, without its logical counter.
 func (s Timestamp) Time() time.Time {
 	return time.UnixMilli(s.Wall)
 }
@@ -83,8 +83,10 @@
 // Clock issues timestamps. Its zero value is ready to use. It is safe for concurrent
 // use.
 type Clock struct {
-	mu       sync.Mutex
-	last     Timestamp
+	mu sync.Mutex
+	// last is the latest timestamp that the clock has returned or adopted.
+	last Timestamp
+	// rejected counts the remote timestamps that Observe has ignored.
 	rejected uint64
 }
 
@@ -97,14 +99,14 @@
 }
 
 // Observe adopts the timestamp of a received message and returns the timestamp of its
-// receipt, which is after both remote and every earlier timestamp.
+// receipt, which is after both remote and every earlier timestamp of the clock.
 //
-// A process whose wall clock runs hours ahead must not move the event timeline of the
-// whole system into the future, as its timestamp would if every process adopted it
-// and passed it on. If remote is more than MaxAhead ahead of the local wall clock,
-// Observe therefore ignores it, treats the receipt as a local event and counts it in
-// Rejected. Since each process compares with its own wall clock, timestamps can't
-// drift ahead from process to process either.
+// Guards against one process whose wall clock runs hours ahead: if every process
+// adopted its timestamps and passed them on, the event timeline of the whole system
+// would move into the future. If remote is more than MaxAhead ahead of the local wall
+// clock, Observe ignores remote, treats the receipt as a local event and counts it in
+// Rejected. Each process compares with its own wall clock, so the error can't add up
+// over several processes either.
 func (c *Clock) Observe(remote Timestamp, wall time.Time) Timestamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,15 +121,16 @@
 	return c.advance(local)
 }
 
-// Rejected returns the number of timestamps ignored because they were too far ahead.
+// Rejected returns the number of remote timestamps that Observe has ignored because
+// they were more than MaxAhead ahead of the local wall clock.
 func (c *Clock) Rejected() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rejected
 }
 
-// advance moves the clock to local, or by one logical step if local isn't ahead of
-// it.
+// advance sets last to local if local is after last, and otherwise to the smallest
+// timestamp after last. It returns the new last. c.mu must be held.
 func (c *Clock) advance(local Timestamp) Timestamp {
 	if local.Compare(c.last) > 0 {
 		c.last = local
--- a/hlc/hlc_test.go
+++ b/hlc/hlc_test.go
@@ -13,6 +13,8 @@
 	"github.com/bilberryferry/bilberryferry/hlc"
 )
 
+// ExampleClock shows that a receipt is ordered after its send although the receiver's
+// wall clock is behind.
 func ExampleClock() {
 	var sender, receiver hlc.Clock
 	sent := sender.Now(time.UnixMilli(2000))
@@ -22,9 +24,9 @@
 	// Output: 2000.0 2000.1 -1
 }
 
-// Between processes with skewed clocks, a receipt is after its send, the timestamps
-// of a process only grow, and none lies further ahead of the process's own wall clock
-// than MaxAhead.
+// Guards against a receipt that is ordered before its send, timestamps of a process
+// that don't grow, and timestamps further ahead of the process's own wall clock than
+// MaxAhead, when processes with skewed wall clocks exchange messages.
 func TestReceiptIsAfterSend(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		skew := rapid.SliceOfN(rapid.Int64Range(-30_000, 30_000), 2, 4).Draw(t, "skew")
@@ -51,8 +53,8 @@
 	})
 }
 
-// Timestamps must not go back when the wall clock is set back or the logical counter
-// is full.
+// Guards against timestamps that go back when the wall clock is set back, or when the
+// logical counter has reached its maximum.
 func TestTimestampsNeverGoBack(t *testing.T) {
 	var c hlc.Clock
 	first := c.Now(time.UnixMilli(5000))
@@ -63,6 +65,8 @@
 	must.Eq(t, hlc.Timestamp{Wall: 6001}, c.Observe(full, time.UnixMilli(5500)))
 }
 
+// Guards against timestamps that change when they are formatted and parsed again, and
+// against malformed texts that are accepted.
 func TestParseReadsStringAndRejectsMalformed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := hlc.Timestamp{Wall: rapid.Int64().Draw(t, "wall"), Logical: rapid.Uint32().Draw(t, "logical")}
@@ -76,6 +80,8 @@
 	}
 }
 
+// Guards against equal timestamps of one clock that several goroutines use at the
+// same time.
 func TestConcurrentTimestampsDiffer(t *testing.T) {
 	const goroutines, each = 4, 200
 	var c hlc.Clock
@@ -96,6 +102,7 @@
 	must.MapLen(t, goroutines*each, seen)
 }
 
+// BenchmarkNow measures issuing one timestamp.
 func BenchmarkNow(b *testing.B) {
 	var c hlc.Clock
 	wall := time.UnixMilli(1)
--- a/hlc/seed_test.go
+++ b/hlc/seed_test.go
@@ -2,5 +2,6 @@
 
 import "flag"
 
-// A fixed seed makes runs repeatable. -rapid.seed=0 chooses a random one.
+// init fixes rapid's seed, so that every run draws the same values. The flag
+// -rapid.seed=0 selects a random seed for each run.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/lease/doc.go
+++ b/lease/doc.go
@@ -1,17 +1,18 @@
 // Package lease prevents a task from running in two places at the same time,
-// although workers, their owner and the network pause, restart, and lose,
-// duplicate, delay and reorder messages. It does no input or output, reads no
-// clock and starts no goroutine.
+// although workers and their owner (the leader of their data centre) pause and
+// restart, and the network loses, duplicates, delays and reorders messages. It does
+// no input or output, reads no clock and starts no goroutine.
 //
 // There is one lease per worker. Clocks aren't synchronised: every time.Duration
-// named now is counted on the caller's own monotonic clock, from any origin, and
-// never goes back. That clock must continue while the process is stopped.
+// named now is a reading of the caller's own monotonic clock, which has an arbitrary
+// origin and never goes back. That clock must continue to run while the process is
+// suspended.
 //
 // # The owner
 //
 // The leader of a data centre keeps a [Table] of leases and, for each worker, an
-// [Outbox] of numbered commands. It must renew a lease only while it may decide,
-// and must verify that after it has received the renewal.
+// [Outbox] of numbered commands. It must renew a lease only while no other leader can
+// commit decisions, and must verify this after it has received the renewal.
 //
 // # The worker
 //
@@ -33,20 +34,20 @@
 // owner's; the event s is before the event r. The worker's lease by it ends at
 // s+ttl, and the owner counts until r+ttl+drift. While the worker's clock loses
 // less than drift against the owner's over ttl+drift, the worker's lease ends
-// first, however late the answer arrives. A new leader has not seen the renewals
-// that the previous leader received. But the previous leader renewed only what
-// it received while it could still decide, thus before the new leader began, so
-// ttl+drift from then on outlasts every lease of the previous leader.
-//
-// So once [Table.Fenced] holds for an incarnation, the worker has stopped its
-// tasks and will refuse the incarnation's commands: its lease has expired and it
-// takes a higher incarnation, or it has announced a higher one. An attempt
+// first, however late the response arrives. A new leader has not seen the renewals
+// that the previous leader received. But the previous leader renewed leases only
+// while it could still commit decisions, which was before the new leader began. So
+// ttl+drift after the new leader's start every lease of the previous leader has ended.
+//
+// Once [Table.Fenced] is true for an incarnation, the worker has therefore stopped
+// the tasks of the incarnation and refuses its commands: the lease has expired and
+// the worker takes a higher incarnation, or has already announced one. An attempt
 // always belongs to the incarnation for which it was committed. Running the task
 // on another incarnation is another attempt.
 //
 // The commands of one (incarnation, term) are numbered from 1 without gaps and
 // processed in that order, so a copy of a processed command is recognised by its
-// number alone. A number can't identify a start that was issued twice, under two
-// numbers or by two leaders; [Guard] records attempts for that purpose, and
-// [Guard.Acknowledge] says for how long.
+// number alone. Numbers don't reveal a start that was issued twice, under two
+// numbers or by two leaders; [Guard] records attempts to detect it, until
+// [Guard.Acknowledge] permits dropping the record.
 package lease
--- a/lease/guard.go
+++ b/lease/guard.go
@@ -11,19 +11,21 @@
 // ended attempts.
 const MaxAttemptRecords = 4096
 
-// Refusal is why a Guard refuses a command. There are no other refusals than
-// the constants below.
+// Refusal is the error with which a Guard refuses a command or a call of End. It is
+// one of a fixed set of constants.
 type Refusal uint8
 
 // The refusals.
 const (
 	// ErrOtherIncarnation: the command is for another incarnation. Ignore it.
 	ErrOtherIncarnation Refusal = iota + 1
-	// ErrOldTerm: a leader of a newer term has been seen. Ignore the command.
+	// ErrOldTerm: the command's leader term is lower than one that the worker has
+	// seen. Ignore the command.
 	ErrOldTerm
 	// ErrDuplicate: the command was processed before. Ignore it.
 	ErrDuplicate
-	// ErrSequenceGap: an earlier command is missing. The owner sends both again.
+	// ErrSequenceGap: an earlier command has not arrived. The command isn't
+	// processed; the owner sends both again.
 	ErrSequenceGap
 	// ErrRunning: the attempt is already running. The command counts as
 	// processed.
@@ -59,7 +61,8 @@
 	return "lease: " + refusalTexts[r]
 }
 
-// Attempt identifies one attempt to run a task.
+// Attempt identifies one attempt to run a task, by the job, the task's index in the
+// job and the number of the attempt.
 type Attempt struct {
 	Job     string `cbor:"1,keyasint"`
 	Task    int32  `cbor:"2,keyasint,omitempty"`
@@ -71,8 +74,8 @@
 	return cmp.Or(strings.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
 }
 
-// Position is a position in the commands to one incarnation. Number counts from 1
-// in each term.
+// Position is the position of a command among the commands to one incarnation of a
+// worker: the leader term and the command's number, which counts from 1 in each term.
 type Position struct {
 	Term   uint64
 	Number uint64
@@ -83,15 +86,16 @@
 	return cmp.Or(cmp.Compare(p.Term, q.Term), cmp.Compare(p.Number, q.Number))
 }
 
-// Header is the header of a command.
+// Header identifies a command by the incarnation that it is for and its position.
 type Header struct {
 	// Incarnation is the incarnation for which the attempt was committed, even
-	// if the owner knows of a later one.
+	// if the owner knows of a higher one.
 	Incarnation uint64
 	Position    Position
 }
 
-// phase is the phase of an attempt.
+// phase tells whether a recorded attempt is running, has ended or was stopped before
+// it started.
 type phase uint8
 
 const (
@@ -103,8 +107,10 @@
 // attemptRecord is a Guard's record of one attempt.
 type attemptRecord struct {
 	phase phase
-	// acknowledged reports whether the owner has committed the end. dropAfter
-	// is then the position of the last command that the owner had issued.
+	// acknowledged reports whether the owner has committed the end. Once it is
+	// true, dropAfter is the position of the last command that the owner had
+	// issued by the commit; the record is dropped when the Guard's position
+	// reaches it.
 	acknowledged bool
 	dropAfter    Position
 }
@@ -113,8 +119,9 @@
 // concurrent use.
 type Guard struct {
 	incarnation uint64
-	position    Position
-	attempts    map[Attempt]*attemptRecord
+	// position is the position of the last processed command.
+	position Position
+	attempts map[Attempt]*attemptRecord
 	// acknowledged counts the acknowledged attempts that are still recorded.
 	acknowledged int
 }
@@ -125,8 +132,8 @@
 }
 
 // Restart starts a higher incarnation. The caller must have stopped all tasks.
-// The attempt records are dropped: commands of the old incarnation, against
-// which they guarded, are now refused by their incarnation.
+// The attempt records are dropped, because every command of the old incarnation is
+// refused with ErrOtherIncarnation from now on.
 func (g *Guard) Restart(incarnation uint64) {
 	invariant(incarnation > g.incarnation, "incarnation %d is not higher than %d", incarnation, g.incarnation)
 	*g = *NewGuard(incarnation)
@@ -142,10 +149,10 @@
 	return g.position
 }
 
-// ObserveTerm records the term of a leader's answer, with or without commands.
+// ObserveTerm records the term of a leader's response, with or without commands.
 // Commands of earlier terms are refused from then on. It returns ErrOldTerm if
-// the answer itself is of an earlier term; the caller must then ignore the answer
-// and its grant.
+// the response itself is of an earlier term; the caller must ignore such a response
+// and the lease that it grants.
 //
 // A renewal that carries the leader's own term proves that no command of an
 // earlier term will be accepted any more. Only an announcement sent with such a
@@ -160,8 +167,8 @@
 	return nil
 }
 
-// Start decides whether an attempt may start now. On nil the attempt counts as
-// running, and the caller must start it or call End. Any error is a Refusal.
+// Start decides on a start command. If it returns nil, the attempt counts as running,
+// and the caller must start it or call End. Any error is a Refusal.
 //
 // Guards against running a task a second time: a start may be delivered twice, or
 // come from a replaced leader after its successor has moved the task, or arrive
@@ -203,16 +210,17 @@
 	// StopRunning: the attempt is running; the caller stops it and then calls
 	// End.
 	StopRunning StopResult = iota + 1
-	// StopBeforeStart proves that the attempt never started and never will; the
-	// caller reports NOT_STARTED.
+	// StopBeforeStart: the attempt has not started and never will; the caller
+	// reports NOT_STARTED.
 	StopBeforeStart
 	// StopEnded: the attempt had ended; the caller reports its end again.
 	StopEnded
 )
 
-// Stop decides on a stop command. Any error is a Refusal. StopBeforeStart is a
-// proof because the attempt is recorded as stopped from now on, and because this
-// incarnation can't have run it and dropped its record; see Acknowledge.
+// Stop decides on a stop command. Any error is a Refusal. StopBeforeStart proves that
+// the attempt never starts: the attempt is recorded as stopped from now on, and this
+// incarnation can't have run it and dropped its record already, because Acknowledge
+// drops a record only when no command for the attempt can follow.
 func (g *Guard) Stop(h Header, a Attempt) (StopResult, error) {
 	if err := g.checkHeader(h); err != nil {
 		return 0, err
@@ -258,8 +266,8 @@
 // such a command is at or before until, and commands at or before the guard's
 // position are refused by term and number alone. Dropping the record at the
 // acknowledgement would not be safe: a start that was issued a second time under
-// a later number may still be in flight. An acknowledgement without a term is
-// therefore ignored; terms start at 1.
+// a later number may still be in flight. Terms start at 1; an acknowledgement whose
+// until has term 0 carries no position and is ignored.
 func (g *Guard) Acknowledge(acknowledged []Attempt, until Position) {
 	if until.Term == 0 {
 		return
@@ -273,7 +281,7 @@
 		record.dropAfter = until
 		g.acknowledged++
 	}
-	// The acknowledgement was sent by the leader of until.Term.
+	// The acknowledgement proves that there is a leader of until.Term.
 	if until.Term > g.position.Term {
 		g.advance(Position{Term: until.Term})
 		return
@@ -297,7 +305,7 @@
 	return len(g.attempts)
 }
 
-// attemptsWhere returns the attempts whose records are wanted, sorted.
+// attemptsWhere returns, sorted, the attempts for whose records wanted returns true.
 func (g *Guard) attemptsWhere(wanted func(*attemptRecord) bool) []Attempt {
 	var matching []Attempt
 	for a, record := range g.attempts {
@@ -332,8 +340,8 @@
 	return nil
 }
 
-// advance moves the position forward and drops the records that this makes
-// unnecessary.
+// advance moves the position forward and drops the attempt records that are no longer
+// needed.
 func (g *Guard) advance(to Position) {
 	invariant(to.Compare(g.position) > 0, "the guard's position moved back")
 	g.position = to
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// maxOutstanding is how many unanswered renewals a Holder records. The answer to
-// an older one is ignored.
+// maxOutstanding is the largest number of unanswered renewals that a Holder records.
+// The response to an older one is ignored.
 const maxOutstanding = 16
 
 // sentRenewal is an unanswered renewal.
@@ -14,13 +14,16 @@
 
 // Holder is the worker's record of its lease. It is not safe for concurrent use.
 type Holder struct {
+	// outstanding has the unanswered renewals, oldest first.
 	outstanding []sentRenewal
 	// lastSequence is the highest sequence number sent in any incarnation of
 	// this process.
 	lastSequence uint64
 	expiresAt    time.Duration
-	granted      bool
-	expired      bool
+	// granted reports whether a lease was granted since the last Reset.
+	granted bool
+	// expired reports whether Valid has found that lease expired.
+	expired bool
 }
 
 // RecordSent records that a renewal is about to be sent. Call it before sending.
@@ -37,19 +40,20 @@
 	h.outstanding = append(h.outstanding, sentRenewal{sequence, now})
 }
 
-// RecordGranted records the owner's answer to a renewal, received at now. The
-// lease lasts for ttl from when that renewal was sent.
+// RecordGranted records the owner's granting response to a renewal, received at now.
+// The lease lasts for ttl from when that renewal was sent.
 //
-// Guards against two faults. If the answer takes longer than the lease, a
-// worker that counts from its arrival still runs its tasks after the owner has
-// declared the lease ended and started the tasks elsewhere. And a process that
-// was stopped past the end of its lease may first see the answer of a new
-// leader, which doesn't know that the previous leader declared the lease ended;
-// accepting it would let the tasks continue. A lease can therefore be extended
-// only while it is held.
+// Guards against two faults. If the response takes longer than the lease, a worker
+// that counts from the arrival of the response still runs its tasks after the owner
+// has declared the lease ended and started the tasks elsewhere. And a process that
+// was suspended past the end of its lease may first see the response of a new leader,
+// which doesn't know that the previous leader declared the lease ended; accepting the
+// response would let the tasks continue. A lease can therefore be extended only while
+// it is held.
 //
-// Duplicated and reordered answers never change the end of the lease. The caller
-// must not process commands from an answer if Valid is false after RecordGranted.
+// A duplicated response, or one to an earlier renewal than the last that was granted,
+// doesn't change the end of the lease. The caller must not process commands from a
+// response if Valid is false after RecordGranted.
 func (h *Holder) RecordGranted(sequence uint64, ttl, now time.Duration) {
 	h.Valid(now)
 	if h.expired {
@@ -65,8 +69,8 @@
 	}
 }
 
-// dropThrough drops the renewals up to a sequence number. An answer to one of
-// them can't extend the lease any more.
+// dropThrough drops the renewals up to and including a sequence number. A response to
+// one of them can't extend the lease any more.
 func (h *Holder) dropThrough(sequence uint64) {
 	kept := h.outstanding[:0]
 	for _, s := range h.outstanding {
@@ -81,9 +85,9 @@
 // expired, it returns false until Reset: the tasks have been stopped, and a
 // delayed grant must not let commands of the same incarnation start them again.
 //
-// Guards against a process that was stopped by a signal or starved past the end
-// of its lease: its next step would belong to a task that runs elsewhere by then.
-// Call Valid before each step.
+// Guards against a process that was suspended by a signal, or got no CPU time, past
+// the end of its lease: its next step would be for a task that already runs
+// elsewhere. Call Valid before each step.
 func (h *Holder) Valid(now time.Duration) bool {
 	if h.granted && now >= h.expiresAt {
 		h.expired = true
@@ -91,21 +95,22 @@
 	return h.granted && !h.expired
 }
 
-// Expired reports whether Valid has found a granted lease expired. The worker
-// then needs a higher incarnation.
+// Expired reports whether Valid has found a granted lease expired. If so, the worker
+// needs a higher incarnation.
 func (h *Holder) Expired() bool {
 	return h.expired
 }
 
-// ExpiresAt returns when the tasks must be stopped; zero if nothing was granted.
+// ExpiresAt returns when the lease expires and the tasks must be stopped, on the
+// worker's clock. It returns zero if no lease was granted since the last Reset.
 func (h *Holder) ExpiresAt() time.Duration {
 	return h.expiresAt
 }
 
 // Reset starts a new incarnation without a lease.
 //
-// Guards against taking a delayed answer to a renewal of the old incarnation for
-// a grant to the new one: sequence numbers are never reused.
+// Guards against taking a delayed response to a renewal of the old incarnation for a
+// grant to the new one. The highest sequence number is kept, so that none is reused.
 func (h *Holder) Reset() {
 	*h = Holder{lastSequence: h.lastSequence}
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -12,7 +12,7 @@
 	"github.com/bilberryferry/bilberryferry/lease"
 )
 
-// at returns a time in seconds as a duration.
+// at returns a reading of a monotonic clock in seconds as a duration.
 func at(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
 // header returns the header of a command.
@@ -23,10 +23,10 @@
 // testAttempt is the attempt that most tests use.
 var testAttempt = lease.Attempt{Job: "folio", Attempt: 1}
 
-// A task still runs after it was started elsewhere. The worker's process is
-// paused, its lease expires, and the owner declares it ended and dies. The
-// process resumes and renews, and the new leader, which doesn't know of the
-// end, grants.
+// Guards against a task that still runs after it was started elsewhere: the worker's
+// process is suspended, its lease expires, and the leader declares the lease ended
+// and dies. The process resumes and renews, and the new leader, which doesn't know
+// that the lease has ended, grants one.
 func TestGrantAfterExpiryIsIgnored(t *testing.T) {
 	for _, sentAt := range []float64{9, 13} {
 		var h lease.Holder
@@ -39,8 +39,9 @@
 	}
 }
 
-// A task still runs after it was started elsewhere: the answer to a renewal
-// takes longer than the lease, and the worker counts from its arrival.
+// Guards against a task that still runs after it was started elsewhere: the response
+// to a renewal takes longer than the lease, and the worker counts the lease from the
+// arrival of the response.
 func TestLeaseCountsFromSending(t *testing.T) {
 	var h lease.Holder
 	h.RecordSent(1, at(0))
@@ -51,11 +52,11 @@
 	must.False(t, h.Valid(at(10)))
 	h.RecordSent(2, at(9))
 	h.RecordGranted(2, ttl, at(9.5))
-	must.False(t, h.Valid(at(9.6)), must.Sprint("the lease has expired before; the tasks are stopped"))
+	must.False(t, h.Valid(at(9.6)), must.Sprint("the lease was found expired and must stay so until Reset"))
 }
 
-// A worker assumes a lease that the owner didn't grant: a delayed answer to a
-// renewal of its old incarnation is taken for a grant to the new one.
+// Guards against a lease that the owner didn't grant: the worker takes a delayed
+// response to a renewal of its old incarnation for a grant to the new one.
 func TestResponseToEarlierIncarnationIsIgnored(t *testing.T) {
 	var h lease.Holder
 	h.RecordSent(1, at(0))
@@ -68,8 +69,8 @@
 	must.True(t, h.Valid(at(9)))
 }
 
-// A dead worker counts as live forever and its work waits, because duplicates of
-// its last renewal keep arriving.
+// Guards against a dead worker that counts as live, so that its tasks aren't started
+// elsewhere, as long as duplicates of its last renewal arrive.
 func TestDuplicateRenewalIsIgnored(t *testing.T) {
 	table := lease.NewTable(ttl, drift)
 	must.Eq(t, lease.Renewal{Accepted: true, Unknown: true}, table.Renew("w", 3, 7, at(0)))
@@ -85,8 +86,8 @@
 	must.True(t, table.Fenced("w", 3))
 }
 
-// A task runs twice: its worker's lease was declared ended, the task was
-// started elsewhere, and a delayed renewal makes the old incarnation live
+// Guards against a task that runs twice: its worker's lease was declared ended, the
+// task was started elsewhere, and a delayed renewal makes the old incarnation live
 // again.
 func TestEndedIncarnationStaysEnded(t *testing.T) {
 	table := lease.NewTable(ttl, drift)
@@ -105,8 +106,9 @@
 	must.True(t, table.Renew("w", 4, 9, at(15)).Ended)
 }
 
-// A new leader starts a task elsewhere that a worker of the previous leader still
-// runs.
+// Guards against a task that runs twice: a new leader has received no renewal from a
+// worker and starts the worker's task elsewhere, while the worker still runs the task
+// under a lease of the previous leader.
 func TestNewLeaderWaitsForWorkersThatHaveNotRenewed(t *testing.T) {
 	table := lease.NewTable(ttl, drift)
 	table.TakeOver(at(100), []string{"renewed", "unresponsive"})
@@ -126,8 +128,9 @@
 	must.False(t, table.Fenced("never seen", 1))
 }
 
-// A task runs twice on one worker. Its start is issued twice; the task runs and
-// ends, the owner acknowledges the end, and then the second start arrives.
+// Guards against a task that runs twice on one worker: its start is issued twice, the
+// task runs and ends, the owner acknowledges the end, and the second start arrives
+// after that.
 func TestAcknowledgedAttemptRejectsLateStart(t *testing.T) {
 	guard, outbox := lease.NewGuard(1), lease.NewOutbox[string](1, 1)
 	first, second := outbox.Add("start"), outbox.Add("start")
@@ -140,9 +143,9 @@
 	must.ErrorIs(t, guard.Start(second, testAttempt), lease.ErrDuplicate)
 }
 
-// A task that was reported as not started runs: the stop overtakes the start of
-// an earlier leader, or a duplicate of the start arrives after the
-// acknowledgement.
+// Guards against a task that runs after it was reported as not started: a stop
+// overtakes the start that an earlier leader sent, or a duplicate of the start
+// arrives after the owner has acknowledged the report.
 func TestStopBeforeStartIsFinal(t *testing.T) {
 	guard := lease.NewGuard(1)
 	result, err := guard.Stop(header(1, 2, 1), testAttempt)
@@ -156,7 +159,8 @@
 	must.ErrorIs(t, guard.Start(header(1, 2, 3), testAttempt), lease.ErrOldTerm)
 }
 
-// A command of another incarnation, an old term or out of order is executed.
+// Guards against executing a command that is for another incarnation, of an earlier
+// leader term, a duplicate or out of order.
 func TestGuardRefusesInvalidCommands(t *testing.T) {
 	guard := lease.NewGuard(4)
 	must.ErrorIs(t, guard.Start(header(3, 1, 1), testAttempt), lease.ErrOtherIncarnation)
@@ -176,8 +180,9 @@
 	must.ErrorIs(t, guard.Start(header(4, 3, 1), testAttempt), lease.ErrOtherIncarnation)
 }
 
-// The attempt records grow without bound when the owner never acknowledges, or a
-// command refused because of the limit is lost.
+// Guards against attempt records that grow without bound while the owner acknowledges
+// nothing, and against losing a command that was refused because of the limit: sent
+// again later, it must be accepted.
 func TestGuardLimitsAttemptRecords(t *testing.T) {
 	guard := lease.NewGuard(1)
 	for i := range lease.MaxAttemptRecords {
@@ -191,12 +196,14 @@
 	must.NoError(t, guard.Start(next, testAttempt))
 }
 
+// Example shows a worker that renews its lease and executes a command once, and the
+// expiry of the lease at the worker and at the owner.
 func Example() {
 	table := lease.NewTable(10*time.Second, 2*time.Second)
 	var holder lease.Holder
 	guard := lease.NewGuard(1)
 
-	// The worker sends a renewal; the owner answers with a command.
+	// The worker sends a renewal; the owner responds with a command.
 	holder.RecordSent(1, 0)
 	renewal := table.Renew("worker-1", 1, 1, 500*time.Second)
 	outbox := lease.NewOutbox[string](7, 1)
@@ -247,7 +254,7 @@
 	}
 }
 
-// BenchmarkGuard measures all the calls for one attempt at the worker.
+// BenchmarkGuard measures all calls of a Guard for one attempt.
 func BenchmarkGuard(b *testing.B) {
 	guard := lease.NewGuard(1)
 	n := uint64(0)
@@ -259,8 +266,8 @@
 	}
 }
 
-// BenchmarkRenewalBytes reports the size of a renewal without commands or reports
-// and of its answer, without the framing of the transport.
+// BenchmarkRenewalBytes reports the sizes of a renewal without reports and of its
+// response without commands, both without the framing of the transport.
 func BenchmarkRenewalBytes(b *testing.B) {
 	request := &apiv1.RenewRequest{Worker: "rackwise-naas-042", Incarnation: 1796236685000, Sequence: 30000, HoldMs: 3000, Term: 12, CommandAck: 5000}
 	response := &apiv1.RenewResponse{Term: 12, LeaseMs: 10000, Sequence: 30000}
--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -16,8 +16,9 @@
 const (
 	ttl   = 10 * time.Second
 	drift = 2 * time.Second
-	// minClockRate is the rate, in thousandths, of a worker clock that loses
-	// drift over ttl+drift. maxClockRate is the highest rate.
+	// minClockRate is the lowest rate of a worker's clock, in thousandths of the
+	// rate of the leader's clock. A clock of this rate loses almost drift over
+	// ttl+drift. maxClockRate is the highest rate.
 	minClockRate = 834
 	maxClockRate = 1200
 )
@@ -28,7 +29,8 @@
 	attempt lease.Attempt
 }
 
-// message is a message in flight. kind determines which fields are set.
+// message is a message in flight. kind is "renewal", "response", "report" or
+// "acknowledgement", and determines which of the other fields are set.
 type message struct {
 	kind        string
 	worker      int
@@ -45,7 +47,8 @@
 
 // process is one process of a worker.
 type process struct {
-	id       int
+	id int
+	// rate is the rate of the process's clock, in thousandths.
 	rate     time.Duration
 	holder   lease.Holder
 	guard    *lease.Guard
@@ -55,15 +58,16 @@
 	reports map[lease.Attempt]string
 }
 
-// record is the committed state of one attempt.
+// record is the committed state of one attempt: "assigned", "ended", "not started" or
+// "lost".
 type record struct {
 	worker      int
 	incarnation uint64
 	state       string
 }
 
-// model is a leader, workers, the network and the committed state, which every
-// leader has.
+// model simulates a leader, workers and the network. A new leader keeps the committed
+// state (records, lastAttempt and announcedIncarnations) and loses the rest.
 type model struct {
 	t             *rapid.T
 	now           time.Duration
@@ -71,7 +75,8 @@
 	lastProcessID int
 	network       []message
 
-	term                  uint64
+	term uint64
+	// clockOrigin is the reading of the leader's clock at simulated time 0.
 	clockOrigin           time.Duration
 	table                 *lease.Table
 	outboxes              map[int]*lease.Outbox[command]
@@ -79,8 +84,10 @@
 	records               map[lease.Attempt]*record
 	lastAttempt           []int32
 	announcedIncarnations map[int]uint64
-	started               map[lease.Attempt]bool
-	eventCounts           map[string]int
+	// started has the attempts that a worker has started.
+	started map[lease.Attempt]bool
+	// eventCounts has the number of simulated events by their names, for the log.
+	eventCounts map[string]int
 }
 
 // uniform draws from [0, n) without the bias of rapid's ranges towards small
@@ -121,7 +128,7 @@
 // clock returns the time on a worker's monotonic clock.
 func (w *model) clock(p *process) time.Duration { return w.now * p.rate / 1000 }
 
-// restart replaces the process of a worker; its tasks end with it.
+// restart replaces the process of a worker. The tasks of the old process end with it.
 func (w *model) restart(i int) {
 	incarnation := uint64(1)
 	if old := w.workers[i]; old != nil {
@@ -165,8 +172,8 @@
 	})
 }
 
-// valid is the check before each step. If the lease has expired, the worker stops
-// all tasks and takes a higher incarnation.
+// valid reports whether the worker holds its lease. If the lease has expired, the
+// worker stops all tasks and takes a higher incarnation.
 func (w *model) valid(p *process) bool {
 	valid := p.holder.Valid(w.clock(p))
 	if p.holder.Expired() {
@@ -185,8 +192,8 @@
 	p.holder.Reset()
 }
 
-// step lets every running task of a worker perform a step that must not be
-// performed in two places.
+// step lets every running task of a worker perform a step, and asserts that the task's
+// attempt is still committed as assigned, so that it doesn't run elsewhere.
 func (w *model) step(p *process) {
 	if !w.valid(p) {
 		return
@@ -207,7 +214,7 @@
 		w.handleRenewal(m)
 	case "report":
 		w.handleReport(m)
-	case "answer":
+	case "response":
 		if m.process == p.id {
 			w.handleResponse(p, m)
 		}
@@ -233,7 +240,7 @@
 	}
 	w.commitLost()
 	response := message{
-		kind: "answer", worker: m.worker, process: m.process, incarnation: m.incarnation,
+		kind: "response", worker: m.worker, process: m.process, incarnation: m.incarnation,
 		sequence: m.sequence, granted: r.Grants(), ended: r.Ended, position: lease.Position{Term: w.term},
 	}
 	if r.Accepted {
@@ -244,8 +251,8 @@
 	w.send(response)
 }
 
-// resend starts or stops again the attempts assigned to a worker's incarnation:
-// a new leader doesn't know which commands arrived.
+// resend adds start or stop commands for the latest attempts that were assigned to a
+// worker, because a new leader doesn't know which commands arrived.
 func (w *model) resend(i int) {
 	for task := range w.lastAttempt {
 		a := w.latestAttempt(task)
@@ -255,14 +262,14 @@
 	}
 }
 
-// latestAttempt returns the newest attempt of a task, the only one that may be
-// assigned.
+// latestAttempt returns the newest attempt of a task. Only this attempt may be in the
+// state "assigned".
 func (w *model) latestAttempt(task int) lease.Attempt {
 	return lease.Attempt{Job: "j", Task: int32(task), Attempt: w.lastAttempt[task]}
 }
 
-// addCommand adds a command to the outbox if the outbox is for the incarnation of
-// the command's attempt.
+// addCommand adds a command for an assigned attempt to the outbox of its worker if the
+// outbox is for the incarnation to which the attempt was assigned.
 func (w *model) addCommand(a lease.Attempt, c command) {
 	r := w.records[a]
 	if r.state == "assigned" && w.outboxIncarnation[r.worker] == r.incarnation {
@@ -300,7 +307,7 @@
 	w.send(ack)
 }
 
-// handleResponse handles the answer to a renewal at the worker.
+// handleResponse handles the response to a renewal at the worker.
 func (w *model) handleResponse(p *process, m message) {
 	if p.guard.ObserveTerm(m.position.Term) != nil {
 		return
@@ -359,7 +366,8 @@
 	p.reports[a] = "ended"
 }
 
-// assign commits a new attempt of a task that has no assigned attempt.
+// assign commits a new attempt of a random task on a random worker, unless the task
+// has an assigned attempt or the worker isn't live.
 func (w *model) assign() {
 	task := uniform(len(w.lastAttempt)).Draw(w.t, "task")
 	i := uniform(len(w.workers)).Draw(w.t, "worker")
@@ -418,7 +426,8 @@
 	}
 }
 
-// takeMessage loses, duplicates or delivers a random message in the network.
+// takeMessage loses, duplicates or delivers a message in the network, more often the
+// newest than another one.
 func (w *model) takeMessage() {
 	if len(w.network) == 0 {
 		return
@@ -428,7 +437,7 @@
 		i = uniform(i+1).Draw(w.t, "message")
 	}
 	m := w.network[i]
-	toWorker := m.kind == "answer" || m.kind == "acknowledgement"
+	toWorker := m.kind == "response" || m.kind == "acknowledgement"
 	if toWorker && w.workers[m.worker].paused {
 		return
 	}
@@ -441,9 +450,10 @@
 	}
 }
 
-// A task runs in two places, or work that ran is reported as not run. Workers and
-// leaders pause, restart and change in any order while messages are lost,
-// duplicated, delayed and reordered and clocks diverge within the bound.
+// Guards against a task that runs in two places, and against an attempt that is
+// reported as not started although it ran. Workers pause and restart and leaders
+// change in any order, while messages are lost, duplicated, delayed and reordered and
+// clocks diverge within drift.
 func TestAttemptNeverRunsTwice(t *testing.T) {
 	eventCounts := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
--- a/lease/outbox.go
+++ b/lease/outbox.go
@@ -1,6 +1,6 @@
 package lease
 
-// NumberedCommand is a command of an Outbox with its header.
+// NumberedCommand is a command of an Outbox, with its header.
 type NumberedCommand[T any] struct {
 	Header Header
 	Body   T
@@ -41,17 +41,16 @@
 	}
 }
 
-// Pending returns the commands to send, in order, at most max of them. The first
-// one is the oldest unacknowledged command, because the worker accepts no command
-// before the one that precedes it. The slice is valid until the next call of
-// another method.
+// Pending returns the unacknowledged commands to send, at most limit of them, oldest
+// first, because the worker accepts commands only in the order of their numbers. The
+// slice is valid until the next call of another method.
 func (o *Outbox[T]) Pending(limit int) []NumberedCommand[T] {
 	return o.pending[:min(limit, len(o.pending))]
 }
 
 // Position returns the position of the last command issued. The acknowledgement
-// of a report carries it to Guard.Acknowledge; it must be read after the end of
-// the attempt was committed and applied.
+// of a report carries it to Guard.Acknowledge; call Position for it only after the
+// end of the attempt was committed and applied.
 func (o *Outbox[T]) Position() Position {
 	return Position{Term: o.term, Number: o.lastNumber}
 }
--- a/lease/table.go
+++ b/lease/table.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// Renewal is the owner's decision on one renewal.
+// Renewal is the Table's decision on one renewal that a worker sent.
 type Renewal struct {
 	// Accepted reports whether the lease was extended.
 	Accepted bool
 	// Stale reports whether the renewal is delayed, a duplicate, or of an
-	// incarnation that has been replaced. It changed nothing.
+	// incarnation that has ended. A stale renewal changes nothing in the table.
 	Stale bool
 	// NewIncarnation reports whether the renewal ended an earlier incarnation,
 	// whose attempts have all ended.
 	NewIncarnation bool
-	// Unknown reports whether the table had not seen this incarnation: the
-	// owner needs the worker's announcement.
+	// Unknown reports whether this is the first renewal of the incarnation that
+	// the table has accepted, so that the owner needs the worker's announcement.
 	Unknown bool
-	// Ended reports whether the lease of this incarnation has been declared
-	// ended. The worker must stop all tasks and return with a higher
-	// incarnation.
+	// Ended reports whether the incarnation has ended: its lease was declared
+	// ended, or a higher incarnation has replaced it. The worker must stop all
+	// tasks and return with a higher incarnation.
 	Ended bool
 }
 
-// Grants reports whether the answer to the renewal may carry a time to live. A
-// duplicate of a renewal of the current incarnation may be answered like the
-// first copy, because the worker counts from when it sent that sequence number.
+// Grants reports whether the response to the renewal may grant a lease. The response
+// to a duplicate of a renewal of the current incarnation may grant one like the
+// response to the first copy, because the worker counts the lease from when it first
+// sent that sequence number.
 func (r Renewal) Grants() bool {
 	return r.Accepted || (r.Stale && !r.Ended && !r.NewIncarnation && !r.Unknown)
 }
@@ -36,7 +37,8 @@
 type leaseRecord struct {
 	// incarnation is zero while none is known.
 	incarnation uint64
-	sequence    uint64
+	// sequence is the highest accepted sequence number of the incarnation.
+	sequence uint64
 	// expiresAt is when the worker's lease has certainly expired.
 	expiresAt time.Duration
 	// granted reports whether this table has granted a lease.
@@ -51,8 +53,9 @@
 // It is not safe for concurrent use.
 type Table struct {
 	ttl, drift time.Duration
-	now        time.Duration
-	workers    map[string]*leaseRecord
+	// now is the latest reading of the owner's clock that a method was given.
+	now     time.Duration
+	workers map[string]*leaseRecord
 }
 
 // NewTable returns an empty table that grants leases for ttl. drift is the most
@@ -63,20 +66,20 @@
 	return &Table{ttl: ttl, drift: drift, workers: map[string]*leaseRecord{}}
 }
 
-// TTL returns the time to live to put into a granting answer.
+// TTL returns the duration of a lease, for the response that grants it.
 func (t *Table) TTL() time.Duration {
 	return t.ttl
 }
 
-// TakeOver adds the workers of the previous leader. now must be read after the
-// caller has become the only one that may decide.
+// TakeOver adds the workers of the previous leader. now must be read when no other
+// leader can commit decisions any more.
 //
 // Guards against running a task twice: a new leader that considers a worker
 // free because it has received no renewal would start the worker's tasks
 // elsewhere, while the worker still runs them under a lease that the previous
 // leader granted a moment ago. Each worker is therefore assumed to hold a lease
-// until now+ttl+drift; the package comment says why that is enough. A worker
-// that renews here is live immediately.
+// until now+ttl+drift, which is after every lease of the previous leader has ended.
+// A worker that renews with this table is live immediately.
 func (t *Table) TakeOver(now time.Duration, workers []string) {
 	t.advanceClock(now)
 	for _, w := range workers {
@@ -88,8 +91,8 @@
 }
 
 // RecordIncarnation records the highest incarnation that is committed for a
-// worker, so that a new leader also recognises a delayed renewal of an earlier
-// incarnation as stale. Call it after TakeOver.
+// worker, so that a new leader recognises a delayed renewal of an earlier incarnation
+// as stale. It ignores workers that aren't in the table; call it after TakeOver.
 func (t *Table) RecordIncarnation(worker string, incarnation uint64) {
 	record := t.workers[worker]
 	if record == nil || record.incarnation >= incarnation {
@@ -143,15 +146,16 @@
 	record.expiresAt = until
 }
 
-// Live reports whether the worker has renewed with this table less than ttl ago.
+// Live reports whether this table has accepted a renewal of the worker less than ttl
+// ago and the lease was not declared ended.
 // Only live workers get tasks.
 func (t *Table) Live(worker string, now time.Duration) bool {
 	record := t.workers[worker]
 	return record != nil && record.granted && !record.ended && now < record.expiresAt-t.drift
 }
 
-// Incarnation returns the highest known incarnation of a worker, which commands
-// and attempts carry. It returns false if none is known.
+// Incarnation returns the highest known incarnation of a worker, for the commands and
+// attempts assigned to the worker. It returns false if none is known.
 func (t *Table) Incarnation(worker string) (uint64, bool) {
 	record := t.workers[worker]
 	if record == nil || record.incarnation == 0 {
@@ -160,9 +164,9 @@
 	return record.incarnation, true
 }
 
-// Expired returns, sorted and each only once, the workers whose leases have
-// expired by now. From then on no attempt of the worker's current or an earlier
-// incarnation runs or can start.
+// Expired declares the leases ended that have expired by now, and returns their
+// workers, sorted. It returns each ended lease only once. No attempt of the worker's
+// current or an earlier incarnation runs or can start any more.
 func (t *Table) Expired(now time.Duration) []string {
 	t.advanceClock(now)
 	var expired []string
@@ -178,7 +182,7 @@
 }
 
 // NextExpiry returns when the next lease expires. It returns false if there is no
-// lease.
+// lease that has not ended.
 func (t *Table) NextExpiry() (time.Duration, bool) {
 	var next time.Duration
 	found := false
@@ -193,8 +197,8 @@
 }
 
 // Fenced reports whether it is proven that no attempt of a worker's incarnation
-// runs or can start: the lease was declared ended, or the worker announced a
-// higher incarnation. An unknown worker is no proof.
+// runs or can start: the lease was declared ended, or the worker has a higher
+// incarnation. It returns false for a worker that isn't in the table.
 func (t *Table) Fenced(worker string, incarnation uint64) bool {
 	record := t.workers[worker]
 	if record == nil {
@@ -204,8 +208,9 @@
 }
 
 // Leave ends the lease of a worker that reports that it has stopped all tasks of
-// the incarnation. It returns false if the incarnation isn't the current one.
-// Delayed renewals of the incarnation are refused.
+// the incarnation. Delayed renewals of the incarnation are refused from then on. It
+// returns false and changes nothing if the worker isn't in the table or has a higher
+// incarnation.
 func (t *Table) Leave(worker string, incarnation uint64) bool {
 	record := t.workers[worker]
 	if record == nil || incarnation < record.incarnation {
@@ -216,9 +221,9 @@
 	return true
 }
 
-// Forget deletes the record of a worker that never returns. Don't call it while
-// a delayed renewal may still be in flight: the renewal would bring the worker
-// back for one ttl.
+// Remove removes a worker that never returns from the table. Don't call it while a
+// delayed renewal may still be in flight: the renewal would make the worker live
+// again for one ttl.
 func (t *Table) Remove(worker string) {
 	delete(t.workers, worker)
 }
@@ -228,15 +233,15 @@
 	return len(t.workers)
 }
 
-// advanceClock records a reading of the owner's clock. Callers that read the
-// clock and then wait for a mutex may arrive out of order; the latest reading
-// is then right for both, because that time has already passed.
+// advanceClock records a reading of the owner's clock. Callers that read the clock
+// and then wait for a mutex may arrive out of order; the latest reading is valid for
+// all of them, because that time has already passed.
 func (t *Table) advanceClock(now time.Duration) {
 	t.now = max(t.now, now)
 }
 
-// invariant panics if holds is false. Without the condition the package can't
-// prevent a task from running twice, while a restart of the process is safe.
+// invariant panics if holds is false. If the condition is broken, the package can't
+// prevent a task from running twice, whereas a restart of the process is safe.
 func invariant(holds bool, format string, args ...any) {
 	if !holds {
 		panic("lease: invariant broken: " + fmt.Sprintf(format, args...))
