--- a/quota/config.go
+++ b/quota/config.go
@@ -8,7 +8,7 @@
 	"github.com/bilberryferry/bilberryferry/placement"
 )
 
-// Unlimited as a field of a limit means that there is no limit.
+// Unlimited is the value of a field of a limit that is not limited.
 const Unlimited int64 = -1
 
 // Config is the quota part of a configuration version.
@@ -26,13 +26,15 @@
 	// can have two owners. Other data centres start without slots and get them
 	// by transfers.
 	InitialOwners []string `cbor:"3,keyasint"`
-	// Limits has the limits by customer. A customer without one may use nothing.
+	// Limits has the limits by customer. A customer without a limit may use
+	// nothing.
 	Limits map[string]placement.Resources `cbor:"4,keyasint,omitempty"`
 }
 
 // Errors of Check and Configure. They return no others.
 var (
-	// ErrOldVersion: the version is lower than the one in force.
+	// ErrOldVersion: the version or the generation is lower than the one in
+	// force.
 	ErrOldVersion = errors.New("quota: configuration version is older than the one in force")
 	// ErrInitialOwners: the initial owners differ from those of the generation,
 	// or there are none, too many, or duplicates.
@@ -41,8 +43,9 @@
 	ErrLimit = errors.New("quota: limit is negative")
 )
 
-// Check reports whether next may follow c. Call it before accepting a
-// configuration, so that no data centre gets one that it must refuse.
+// Check returns an error if next may not replace c, the configuration in force. Call
+// it before accepting a configuration, so that no data centre gets one that it must
+// refuse.
 func (c Config) Check(next Config) error {
 	if next.Version < c.Version || next.Generation < c.Generation {
 		return ErrOldVersion
--- a/quota/demand_test.go
+++ b/quota/demand_test.go
@@ -13,10 +13,11 @@
 	"github.com/bilberryferry/bilberryferry/quota"
 )
 
-// Parameters of the simulation. Most of a customer's demand is in one data
-// centre, which changes over time. One tick is 0.1 s and the delay of a
-// message. The values named Ticks, Start and End are in ticks, those named CPU
-// and Limit in thousandths of a core.
+// Parameters of the simulation. mainCentreShare of a customer's demand is in one data
+// centre, which changes every mainCentreTicks. A tick is 0.1 s, and a message takes
+// one tick. The values named Ticks, Start and End are in ticks, those named CPU and
+// Limit in thousandths of a core. startsPerSec is the rate of new tasks of each
+// customer.
 const (
 	simCentres      = 4
 	simCustomers    = 100
@@ -33,11 +34,11 @@
 	partitionEnd    = 7200
 )
 
-// strategy is one way of adapting allotments to demand.
+// strategy is one way of adapting the allotments of the data centres to demand.
 type strategy struct {
 	name string
-	// pool lets every data centre start tasks up to the limit of the customer
-	// over all data centres. static never transfers slots.
+	// pool lets every data centre start tasks until the customer's usage over all
+	// data centres reaches its limit. static never transfers slots.
 	pool, static bool
 	// proportional sets shares by demand, which all data centres exchange each
 	// epoch. The other strategies request their shortfall.
@@ -55,27 +56,37 @@
 // queuedTask is a task that waits to start.
 type queuedTask struct{ arrivalTick int }
 
-// centre is one simulated data centre.
+// centre is one simulated data centre. Its arrays are by customer.
 type centre struct {
-	ledger      *quota.Ledger
-	planner     *quota.Planner
-	used        [simCustomers]int64
-	queue       [simCustomers][]queuedTask
-	demand      [simCustomers]float64
+	ledger  *quota.Ledger
+	planner *quota.Planner
+	// used is the CPU of the running tasks, in thousandths of a core.
+	used  [simCustomers]int64
+	queue [simCustomers][]queuedTask
+	// demand is the moving average of the CPU of running and queued tasks, in
+	// thousandths of a core.
+	demand [simCustomers]float64
+	// endingTasks has, by tick, the customer of each task that ends at the tick.
 	endingTasks map[int][]int
 }
 
 // simulation is one run of a strategy.
 type simulation struct {
 	strategy
-	random             *rand.Rand
-	centres            []*centre
-	centreNames        []string
-	customerIDs        []string
-	inbox              []func()
-	nextInbox          []func()
-	tick               int
-	waits              []int
+	random      *rand.Rand
+	centres     []*centre
+	centreNames []string
+	customerIDs []string
+	// inbox has the deliveries of messages in this tick, nextInbox those in the
+	// next one.
+	inbox     []func()
+	nextInbox []func()
+	tick      int
+	// waits has the wait of each started task, in ticks.
+	waits []int
+	// avoidableWaitTicks is the number of ticks, summed over data centres and
+	// customers, in which tasks waited although their customer was below its
+	// limit.
 	avoidableWaitTicks int
 	messages           int
 	bytes              int
@@ -168,7 +179,7 @@
 	return sum
 }
 
-// start starts the queued tasks that the allotments permit.
+// start starts the queued tasks that the strategy permits.
 func (m *simulation) start(c *centre) {
 	for customer := range simCustomers {
 		for len(c.queue[customer]) > 0 && m.mayStart(c, customer) {
@@ -184,7 +195,8 @@
 	}
 }
 
-// rebalance sends the messages of the strategy for one tick.
+// rebalance sends the messages by which a data centre adapts its allotments in this
+// tick.
 func (m *simulation) rebalance(i int, c *centre) {
 	if m.pool || m.static {
 		return
@@ -216,9 +228,9 @@
 	}
 }
 
-// share is the proportional strategy: at the end of each epoch all data centres
-// exchange their averages of demand, and those below their share request slots
-// from those above theirs.
+// share is the proportional strategy: every epochTicks all data centres exchange their
+// moving averages of demand, and those below their share request slots from those
+// above their own.
 func (m *simulation) share(i int, c *centre) {
 	if m.tick%epochTicks != 0 {
 		return
@@ -247,8 +259,9 @@
 	}
 }
 
-// fairShare returns a data centre's share by the averages of demand. One core
-// is added for each data centre, so that idle ones have a share.
+// fairShare returns a data centre's share of a customer's limit, in thousandths of a
+// core, in proportion to the moving averages of demand. One core is added to the
+// average of each data centre, so that idle ones have a share.
 func (m *simulation) fairShare(i, customer int) int64 {
 	var sum float64
 	for _, c := range m.centres {
@@ -269,7 +282,8 @@
 	}
 }
 
-// requestTransfer sends a transfer request, its reply and the acknowledgement.
+// requestTransfer sends a transfer request, its reply and the acknowledgement. reserve
+// is the reserve of the donor for each demand; only the proportional strategy uses it.
 func (m *simulation) requestTransfer(from int, request quota.TransferRequest, reserve []placement.Resources) {
 	to := slices.Index(m.centreNames, request.To)
 	recipient, donor := m.centres[from], m.centres[to]
@@ -295,9 +309,11 @@
 	})
 }
 
-// BenchmarkDemand compares the strategies on one seeded run of 20 minutes.
-// "unneeded-ms" is the time per start for which a task waited although its
-// customer was below its limit. A run takes one iteration.
+// BenchmarkDemand compares the strategies, each on one run with a fixed seed over 20
+// simulated minutes. The strategies named "ask" request their shortfall at the given
+// interval; in those named "cut" a partition separates one data centre. "unneeded-ms"
+// is the time per started task for which tasks waited although their customer was
+// below its limit. An iteration is one run.
 func BenchmarkDemand(b *testing.B) {
 	for _, s := range []strategy{
 		{name: "pool", pool: true},
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -8,9 +8,9 @@
 // The units of a limit (thousandths of a core, MiB, accelerators) are assigned
 // to [Slots] slots: unit u, counted from 0, belongs to slot u mod Slots. Each
 // slot has at most one owner. A data centre's allotment is the number of units
-// below the limit that belong to its slots. The initial owners, the data centres
-// among which the slots are divided at first, own every n-th slot each;
-// afterwards only transfers change the owner of a slot.
+// below the limit that belong to its slots. At first the slots are divided among n
+// data centres, the initial owners, each of which owns every n-th slot; afterwards
+// only transfers change the owner of a slot.
 //
 // Guarantees:
 //
@@ -25,9 +25,9 @@
 //     depends only on the owned slots and the limit in force.
 //
 // Work that started under an earlier, higher allotment continues; a limit only
-// restricts starts. Only a new generation (see [Config]) allocates the slots
-// again. While some data centres have the new generation and others don't, the
-// sum is at most the limits of both generations together.
+// restricts starts. Only a new generation (see [Config]) divides the slots among
+// initial owners again. While some data centres have the new generation and others
+// don't, the sum is at most the limits of both generations together.
 //
 // # Transfers
 //
@@ -37,9 +37,9 @@
 // recipient commits it with [Ledger.Credit], which credits it if it is the next;
 // the donor commits the acknowledgement with [Ledger.Acknowledge]. A slot thus
 // belongs to the donor, to the transfer in flight, or to the recipient, and the
-// sequence number identifies a message that is lost, duplicated, delayed or
-// reordered. The state is one number and at most one transfer per other data
-// centre.
+// sequence numbers reveal messages that were lost, duplicated, delayed or reordered.
+// The state for each other data centre is one sequence number in each direction and
+// at most one outgoing transfer.
 //
 // A data centre whose state was lost entirely must not return under the same
 // generation: it would own its initial slots again.
--- a/quota/example_test.go
+++ b/quota/example_test.go
@@ -31,6 +31,6 @@
 	// Output:
 	// 3 2
 	// <nil> 1
-	// <nil> quota: transfer was taken before
+	// <nil> quota: transfer was credited before
 	// 1 4
 }
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -12,22 +12,23 @@
 
 // Errors of Debit and Credit. They return no others.
 var (
-	// ErrNoSpare: the donor has no spare slots for any demand of the request.
+	// ErrNoSpare: the donor can't spare a slot for any demand of the request.
 	ErrNoSpare = errors.New("quota: no spare units for the request")
 	// ErrStale: the request was sent before its sender credited the last
 	// transfer. Ledger.Outgoing returns that transfer if it is not
 	// acknowledged.
 	ErrStale = errors.New("quota: request is older than the last transfer")
 	// ErrDuplicate: the transfer was credited before; acknowledge it again.
-	ErrDuplicate = errors.New("quota: transfer was taken before")
+	ErrDuplicate = errors.New("quota: transfer was credited before")
 	// ErrSequenceGap: a sequence number is missing, so one side has lost its
 	// state. An operator must start a new generation.
 	ErrSequenceGap = errors.New("quota: transfer is not the next in sequence")
-	// ErrOtherGeneration: the message isn't of the generation in force here. A
-	// message of a newer generation can be processed once the configuration has
-	// arrived; one of an older generation is invalid.
+	// ErrOtherGeneration: the request or transfer isn't of the generation in
+	// force here. One of a newer generation can be processed once the
+	// configuration has arrived; one of an older generation is invalid.
 	ErrOtherGeneration = errors.New("quota: message is of another generation")
-	// ErrWrongDataCentre: the message is for another data centre.
+	// ErrWrongDataCentre: the request or transfer is for another data centre, or
+	// names this one as its sender.
 	ErrWrongDataCentre = errors.New("quota: message is for another data centre")
 )
 
@@ -120,7 +121,7 @@
 	return l
 }
 
-// initMaps creates the maps that an empty snapshot omits.
+// initMaps creates the maps that are nil, because a snapshot omits empty maps.
 func (l *Ledger) initMaps() {
 	if l.state.Owned == nil {
 		l.state.Owned = map[string]*ownedSlots{}
@@ -148,8 +149,8 @@
 		return nil
 	}
 	if c.Generation != l.state.Config.Generation {
-		// Messages of the old generation are refused from now on, so its
-		// transfers no longer count.
+		// Requests and transfers of the old generation are refused from now
+		// on, so its ownership and sequence numbers are dropped.
 		l.state = state{Self: l.state.Self}
 		l.initMaps()
 	}
@@ -171,7 +172,7 @@
 }
 
 // Allotment returns how much a customer may use in this data centre. Fields
-// without a limit are Unlimited.
+// without a limit are Unlimited. A customer that isn't configured may use nothing.
 func (l *Ledger) Allotment(customer string) placement.Resources {
 	return l.allotments[customer]
 }
@@ -184,7 +185,8 @@
 	}
 }
 
-// refreshCustomer recomputes the allotment of a customer that has a limit.
+// refreshCustomer recomputes the allotment of a customer. It does nothing for a
+// customer that isn't configured.
 func (l *Ledger) refreshCustomer(customer string) {
 	limit, known := l.state.Config.Limits[customer]
 	if !known {
@@ -198,7 +200,7 @@
 	}
 }
 
-// allotted returns one field of an allotment.
+// allotted returns the units of a limit that belong to the slots s, or Unlimited.
 func allotted(s *SlotSet, limit int64) int64 {
 	if limit == Unlimited {
 		return Unlimited
@@ -226,11 +228,12 @@
 // Debit commits a transfer in response to a request. It transfers what the
 // request demands, as far as the allotment stays at least at the reserve and at
 // used(customer), the usage in the replicated state. The transfer is sent until
-// it is acknowledged.
+// it is acknowledged. The errors are ErrNoSpare, ErrStale, ErrSequenceGap,
+// ErrOtherGeneration and ErrWrongDataCentre.
 //
-// Guards against debiting twice for a duplicated or delayed request. A request
-// counts only if its sender had credited every transfer sent to it so far; the
-// transfer that answers a request makes all its duplicates stale.
+// Guards against debiting twice for a duplicated or delayed request. A request is
+// accepted only if its sender had credited every transfer sent to it so far, so the
+// transfer that is made for a request makes all duplicates of the request stale.
 func (l *Ledger) Debit(command DebitCommand, used func(customer string) placement.Resources) (Transfer, error) {
 	request := command.Request
 	if err := l.checkRequest(request); err != nil {
@@ -253,7 +256,8 @@
 	return t, nil
 }
 
-// checkRequest refuses requests for another data centre, generation or state.
+// checkRequest returns ErrWrongDataCentre, ErrOtherGeneration, or ErrSequenceGap if the
+// sender has credited a transfer that this ledger never sent.
 func (l *Ledger) checkRequest(request TransferRequest) error {
 	if request.To != l.state.Self || request.From == l.state.Self {
 		return ErrWrongDataCentre
@@ -267,7 +271,8 @@
 	return nil
 }
 
-// debitAll removes the slots for all demands of a request from the owned slots.
+// debitAll removes the slots for all demands of a request from the owned slots and
+// returns the removed slots.
 func (l *Ledger) debitAll(command DebitCommand, used func(customer string) placement.Resources) []CustomerSlots {
 	var customers []CustomerSlots
 	for i, demand := range command.Request.Demands {
@@ -314,13 +319,14 @@
 	return debited, true
 }
 
-// empty reports whether there is no slot.
+// empty reports whether s has no slot of any resource.
 func (s *CustomerSlots) empty() bool {
 	return s.CPU == SlotSet{} && s.Memory == SlotSet{} && s.Accelerators == SlotSet{}
 }
 
-// Credit commits a received transfer. On nil and on ErrDuplicate the caller sends
-// an acknowledgement. On other errors nothing has changed.
+// Credit commits a received transfer. If it returns nil or ErrDuplicate, the caller
+// sends an acknowledgement. On an error nothing has changed. The errors are
+// ErrWrongDataCentre, ErrOtherGeneration, ErrDuplicate and ErrSequenceGap.
 //
 // Guards against crediting a duplicated transfer twice, which would give a
 // customer more than its limit. Only the sequence number after the last credited
@@ -359,7 +365,9 @@
 	l.refreshCustomer(credited.Customer)
 }
 
-// Acknowledge commits the acknowledgement that every request carries.
+// Acknowledge commits the acknowledgement that every request carries: it drops the
+// outgoing transfer to the sender if the sender has credited it. It ignores requests
+// for another data centre or generation.
 func (l *Ledger) Acknowledge(request TransferRequest) {
 	if request.To != l.state.Self || request.Generation != l.state.Config.Generation {
 		return
@@ -388,7 +396,8 @@
 	return encoding.Marshal(l.state)
 }
 
-// UnmarshalBinary replaces the state by that of a snapshot.
+// UnmarshalBinary replaces the state by that of a snapshot. On an error nothing has
+// changed.
 func (l *Ledger) UnmarshalBinary(data []byte) error {
 	var s state
 	if err := cbor.Unmarshal(data, &s); err != nil {
@@ -400,14 +409,15 @@
 	return nil
 }
 
-// encoding sorts map keys, so that equal states have equal bytes.
+// encoding is the CBOR mode of snapshots. It sorts map keys, so that equal states have
+// equal bytes.
 var encoding = func() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	invariant(err == nil, "invalid CBOR options: %v", err)
 	return mode
 }()
 
-// invariant panics if holds is false: without the condition a customer could get
+// invariant panics if holds is false. If the condition is broken, a customer could get
 // more than its limit.
 func invariant(holds bool, format string, args ...any) {
 	if !holds {
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -17,16 +17,19 @@
 // customer is the only customer of the tests.
 const customer = "reports"
 
-// model is some data centres, the network between them, and the configurations
+// model simulates some data centres, the network between them, and the configurations
 // accepted so far.
 type model struct {
-	t         *rapid.T
-	names     []string
-	ledgers   []*quota.Ledger
-	configs   []quota.Config
+	t *rapid.T
+	// names and ledgers are those of the data centres, by their indexes.
+	names   []string
+	ledgers []*quota.Ledger
+	configs []quota.Config
+	// requests and transfers are the messages in flight.
 	requests  []quota.TransferRequest
 	transfers []quota.Transfer
-	results   map[string]int
+	// results has the number of results of each kind of operation, for the log.
+	results map[string]int
 }
 
 // uniform draws from [0, n) without the bias of rapid's ranges towards small
@@ -59,8 +62,8 @@
 	return w
 }
 
-// acceptConfig adds a configuration with random limits and sometimes a new
-// generation.
+// acceptConfig adds a configuration with random limits, sometimes without the
+// customer, and sometimes of a new generation.
 func (w *model) acceptConfig() {
 	limits := rapid.SampledFrom([]int64{quota.Unlimited, 0, 1, 3, 7, 1000, 1023, 4096, 50_000, 1 << 40})
 	next := quota.Config{Version: uint64(len(w.configs) + 1), InitialOwners: w.names[:len(w.names)-1]}
@@ -108,8 +111,8 @@
 	}
 }
 
-// takeMessage takes a random message from the network and may lose it or keep a
-// copy of it there.
+// takeMessage returns a random message of the network. It may keep a copy of the
+// message in the network. It returns false if the message is lost or there is none.
 func takeMessage[M any](w *model, network *[]M) (M, bool) {
 	var none M
 	if len(*network) == 0 {
@@ -156,10 +159,11 @@
 	w.requests = append(w.requests, recipient.Request(t.From))
 }
 
-// count counts the results of an operation.
+// count counts one result of an operation.
 func (w *model) count(operation string, err error) { w.results[fmt.Sprint(operation, ": ", err)]++ }
 
-// restore replaces a ledger by a copy restored from its snapshot.
+// restore replaces a ledger by one restored from its snapshot, and asserts that both
+// have the same snapshot.
 func (w *model) restore(i int) {
 	data, err := w.ledgers[i].MarshalBinary()
 	must.NoError(w.t, err)
@@ -171,8 +175,9 @@
 	w.ledgers[i] = copied
 }
 
-// check asserts that the allotments sum to at most the highest limit in force in
-// any data centre, if all are in the same generation.
+// check asserts that no allotment is negative and that the allotments sum to at most
+// the highest limit in force in any data centre. It checks nothing while the data
+// centres are in different generations or a limit is Unlimited.
 func (w *model) check() {
 	var sum, limit [3]int64
 	generation := w.configs[w.ledgers[0].Version()-1].Generation
@@ -232,9 +237,10 @@
 	}
 }
 
-// A customer gets more than its limit, or part of the limit is lost
-// permanently. Transfers are lost, duplicated, delayed and reordered while
-// limits change, and data centres skip versions and restart from snapshots.
+// Guards against a customer that gets more than its limit, and against losing part of
+// the limit permanently. Requests and transfers are lost, duplicated, delayed and
+// reordered while limits change, and data centres skip versions and restart from
+// snapshots.
 func TestAllotmentsNeverExceedLimit(t *testing.T) {
 	results := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
--- a/quota/planner.go
+++ b/quota/planner.go
@@ -7,26 +7,27 @@
 	"github.com/bilberryferry/bilberryferry/placement"
 )
 
-// availabilityTicks is for how many ticks an availability report of another data
-// centre is used.
+// availabilityTicks is the number of ticks for which an availability report of another
+// data centre is used.
 const availabilityTicks = 2
 
-// requestTimeoutTicks is after how many ticks an unanswered request counts as
-// lost.
+// requestTimeoutTicks is the number of ticks after which an unanswered request counts
+// as lost.
 const requestTimeoutTicks = 2
 
-// perMille is the whole of a fraction in thousandths.
+// perMille is the coverage, in thousandths, of a demand that is covered completely.
 const perMille = 1000
 
 // Availability is a data centre's report of what it can spare of a customer's
 // allotment.
 type Availability struct {
 	Customer string `cbor:"1,keyasint"`
-	// Spare is what the data centre could transfer when it sent the report.
+	// Spare is what the data centre could transfer when it sent the report. Its
+	// fields are at least zero.
 	Spare placement.Resources `cbor:"2,keyasint"`
 }
 
-// Reply answers a transfer request.
+// Reply is the response to a transfer request.
 type Reply struct {
 	From string `cbor:"1,keyasint"`
 	To   string `cbor:"2,keyasint"`
@@ -50,10 +51,12 @@
 type Planner struct {
 	self   string
 	others []string
-	tick   uint64
+	// tick is the current tick, counted from 1.
+	tick uint64
 	// requestedAt has the tick of the unanswered request to each data centre.
 	requestedAt map[string]uint64
-	observed    map[string]map[string]observation
+	// observed has the last report of each data centre for each customer.
+	observed map[string]map[string]observation
 }
 
 // NewPlanner returns the planner of the data centre self; centres may include it.
@@ -73,15 +76,15 @@
 	return p
 }
 
-// Tick advances the time. Call it about once a second.
+// Tick advances the Planner's clock by one tick. Call it about once a second.
 func (p *Planner) Tick() {
 	p.tick++
 }
 
 // Requests returns the requests to send now, at most one to each other data
 // centre. Each demand goes to the data centre most likely to have enough to
-// spare, among those without an unanswered request. The caller calls it again
-// while a shortfall remains.
+// spare, among those without an unanswered request. Demands for which there is no such
+// data centre are left out. Call Requests again while a shortfall remains.
 func (p *Planner) Requests(l *Ledger, shortfalls []Demand) []TransferRequest {
 	demands := map[string][]Demand{}
 	for _, demand := range shortfalls {
@@ -102,8 +105,8 @@
 	return requests
 }
 
-// awaitingReply reports whether a request to the data centre is unanswered and
-// not yet lost.
+// awaitingReply reports whether a request to the data centre is unanswered and doesn't
+// count as lost yet.
 func (p *Planner) awaitingReply(to string) bool {
 	at, open := p.requestedAt[to]
 	return open && p.tick-at < requestTimeoutTicks
@@ -118,13 +121,15 @@
 	observedAt uint64
 }
 
-// bestDonor returns the data centre whose last report covers most of a demand,
-// among those without an unanswered request. A data centre whose report is older
-// than availabilityTicks is assumed to cover all of it.
+// bestDonor returns the data centre whose last report covers most of a demand, among
+// those without an unanswered request. A data centre without a report, or with one
+// that is availabilityTicks old or older, is assumed to cover the whole demand. It
+// returns false if no data centre covers any of the demand.
 //
-// Guards against requesting from the same data centre forever although it has
-// nothing: if requests are rare, all reports are too old and all data centres
-// look alike. Among equal ones the one with the oldest report is chosen.
+// Guards against requesting from the same data centre forever although it has nothing
+// to spare: if requests are rare, all reports are too old, so that all data centres are
+// assumed to cover the demand. Among data centres with equal coverage the one with the
+// oldest report is therefore selected.
 func (p *Planner) bestDonor(demand Demand) (string, bool) {
 	var candidates []candidate
 	for _, name := range p.others {
@@ -160,9 +165,9 @@
 	return min(field(spare.CPU, need.CPU), field(spare.Memory, need.Memory), field(spare.Accelerators, need.Accelerators))
 }
 
-// DebitCommand builds the command that answers a request. required returns what
-// a customer uses and what its waiting work needs, as known to the leader; that
-// much stays with the donor.
+// DebitCommand builds the command by which the donor decides on a request. required
+// returns what a customer uses plus what its waiting work needs, as known to the
+// leader; the donor keeps at least that much.
 func (p *Planner) DebitCommand(request TransferRequest, required func(customer string) placement.Resources) DebitCommand {
 	command := DebitCommand{Request: request, Reserve: make([]placement.Resources, len(request.Demands))}
 	for i, demand := range request.Demands {
@@ -183,7 +188,7 @@
 	return r
 }
 
-// subtract returns a-b by field, but at least zero.
+// subtract returns the fields of a less those of b, each at least zero.
 func subtract(a, b placement.Resources) placement.Resources {
 	return placement.Resources{
 		CPU:          max(0, a.CPU-b.CPU),
@@ -192,8 +197,9 @@
 	}
 }
 
-// Observe records the availabilities of a reply. Its transfer is for
-// Ledger.Credit.
+// Observe records the availabilities of a reply. It doesn't credit the transfer of the
+// reply, which the caller passes to Ledger.Credit. Replies of unknown data centres are
+// ignored.
 func (p *Planner) Observe(r Reply) {
 	reports, known := p.observed[r.From]
 	if !known {
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -10,13 +10,15 @@
 	"github.com/bilberryferry/bilberryferry/quota"
 )
 
-// cpu returns resources of an amount of CPU.
+// cpu returns resources with an amount of CPU, in thousandths of a core, and nothing
+// else.
 func cpu(amount int64) placement.Resources { return placement.Resources{CPU: amount} }
 
 // unused reports no usage for any customer.
 func unused(string) placement.Resources { return placement.Resources{} }
 
-// config returns a configuration with two initial owners and a CPU limit.
+// config returns a configuration with two initial owners and a CPU limit of the
+// customer.
 func config(version uint64, limit int64) quota.Config {
 	return quota.Config{
 		Version: version, InitialOwners: []string{"a", "b"},
@@ -31,8 +33,9 @@
 	return a, b
 }
 
-// A customer gets more than a lowered limit: one data centre has transferred
-// its half of the old limit and misses the version that lowered it.
+// Guards against a customer that gets more than a lowered limit: one data centre has
+// transferred its half of the old limit to the other and misses the version that
+// lowers the limit.
 func TestLoweredLimitHoldsAfterTransfer(t *testing.T) {
 	a, b := newLedgerPair(100)
 	half := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(50)})
@@ -47,8 +50,8 @@
 	must.Eq(t, cpu(0), a.Allotment(customer))
 }
 
-// A data centre is left without an allotment because a duplicated request is
-// debited twice.
+// Guards against a data centre that loses its allotment because a duplicated request
+// is debited twice.
 func TestDuplicateRequestDebitsOnce(t *testing.T) {
 	a, b := newLedgerPair(100)
 	request := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(20)})
@@ -64,7 +67,8 @@
 	must.Eq(t, cpu(70), b.Allotment(customer))
 }
 
-// Running work loses its allotment because more than the spare units are debited.
+// Guards against debiting units that running or waiting work of the donor needs, so
+// that the donor keeps less than its used and reserved units.
 func TestDebitKeepsUsedAndReserved(t *testing.T) {
 	a, b := newLedgerPair(100)
 	request := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(40)})
@@ -76,8 +80,8 @@
 	must.ErrorIs(t, err, quota.ErrStale)
 }
 
-// A delayed transfer of an earlier generation is credited, and the same slots
-// have two owners.
+// Guards against slots with two owners: a delayed transfer of an earlier generation is
+// credited although the slots have been divided again.
 func TestNewGenerationRejectsOldTransfers(t *testing.T) {
 	a, b := newLedgerPair(100)
 	request := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(20)})
@@ -93,8 +97,9 @@
 	must.Eq(t, cpu(50), b.Allotment(customer))
 }
 
-// More than the limit is allotted after a data centre lost its state and
-// restarted empty. The sequence numbers of the other side reveal the loss.
+// Guards against allotments above the limit after a data centre lost its state and
+// restarted with an empty one. The sequence numbers of the other data centre reveal
+// the loss.
 func TestLostStateIsDetected(t *testing.T) {
 	a, b := newLedgerPair(100)
 	first, _ := a.Debit(quota.DebitCommand{Request: b.Request("a", quota.Demand{Customer: customer, Amount: cpu(5)})}, unused)
@@ -106,7 +111,7 @@
 	must.ErrorIs(t, err, quota.ErrSequenceGap)
 }
 
-// An invalid configuration is accepted, or a valid one is refused.
+// Guards against accepting an invalid configuration and against refusing a valid one.
 func TestConfigCheck(t *testing.T) {
 	c := config(1, 100)
 	other := config(2, 100)
@@ -120,8 +125,8 @@
 	must.NoError(t, c.Check(config(2, quota.Unlimited)))
 }
 
-// More than the limit is allotted: two data centres list the initial owners in
-// different orders, and both own the slots of the first.
+// Guards against allotments above the limit: two data centres list the initial owners
+// in different orders, and both own the slots of the first one.
 func TestInitialOwnersOrderDoesNotMatter(t *testing.T) {
 	a, _ := newLedgerPair(3)
 	b := quota.NewLedger("b")
@@ -133,9 +138,9 @@
 	must.NoError(t, b.Configure(config(2, 3)))
 }
 
-// Work waits forever although another data centre has spare units: all reports
-// are outdated when the next request is due, and each request goes to the same
-// data centre, which has nothing.
+// Guards against work that waits forever although another data centre has spare
+// units: all reports are outdated when the next request is due, and each request goes
+// to the same data centre, which has nothing to spare.
 func TestPlannerRotatesDonors(t *testing.T) {
 	names := []string{"a", "b", "c", "d"}
 	planner := quota.NewPlanner("a", names)
@@ -164,8 +169,9 @@
 	}
 }
 
-// BenchmarkTransfer measures a complete transfer of one customer's processors,
-// with the bytes of its messages and of the state that it adds to a snapshot.
+// BenchmarkTransfer measures a complete transfer of CPU slots of one customer: request,
+// debit, credit and acknowledgement. It reports the sizes of the request ("ask-B"), of
+// the transfer and of the state that the transfer adds to a snapshot.
 func BenchmarkTransfer(b *testing.B) {
 	donor, recipient := newLedgerPair(1 << 20)
 	emptySnapshot, _ := donor.MarshalBinary()
--- a/quota/slots.go
+++ b/quota/slots.go
@@ -9,6 +9,7 @@
 // Slots is the number of slots to which the units of one limit are assigned.
 const Slots = 1024
 
+// Sizes of the bitmap of a SlotSet.
 const (
 	wordBits  = 64
 	wordBytes = 8
@@ -20,7 +21,8 @@
 // bytes.
 type SlotSet [words]uint64
 
-// initialSlots returns the slots that the initial owner at index owns first.
+// initialSlots returns the slots that the initial owner at index owns before any
+// transfer, if there are owners initial owners.
 func initialSlots(index, owners int) SlotSet {
 	var s SlotSet
 	for slot := index; slot < Slots; slot += owners {
@@ -29,7 +31,6 @@
 	return s
 }
 
-// add adds a slot.
 func (s *SlotSet) add(slot int) {
 	s[slot/wordBits] |= 1 << (slot % wordBits)
 }
@@ -88,9 +89,10 @@
 	return limit / Slots
 }
 
-// selectUnits returns slots of the set that hold want units of a limit. It may
-// exceed want by less than the units of one slot, but never exceeds spare. It
-// selects no slots without units.
+// selectUnits returns slots of the set that hold up to want units of a limit. The
+// units of the returned slots may exceed want by less than the units of one slot, but
+// never exceed spare. It selects no slots without units, and none if the limit is
+// Unlimited.
 func (s *SlotSet) selectUnits(limit, want, spare int64) SlotSet {
 	var chosen SlotSet
 	if limit == Unlimited {
@@ -127,7 +129,8 @@
 	return data[:used], nil
 }
 
-// UnmarshalBinary reads the bitmap that MarshalBinary returns.
+// UnmarshalBinary replaces the set by a bitmap that MarshalBinary returned. It returns
+// an error if the bitmap has more than Slots bits.
 func (s *SlotSet) UnmarshalBinary(data []byte) error {
 	if len(data) > Slots/wordBytes {
 		return errors.Newf("quota: slot set of %d bytes is too long", len(data))
