--- a/routing/admit.go
+++ b/routing/admit.go
@@ -3,8 +3,7 @@
 import "time"
 
 const (
-	// minRetryAfter and maxRetryAfter bound the retry delay that a refusal
-	// names.
+	// minRetryAfter and maxRetryAfter bound the retry delay of a refusal.
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = 15 * time.Second
 	// returningCapacityShare is the share of a service's capacity that scheduled
@@ -12,13 +11,14 @@
 	returningCapacityShare = 0.5
 )
 
-// admit refuses the queued ticket t, or a ticket of a customer with more
-// requests, if the queue can't start it in time.
+// admit refuses the queued ticket t if t isn't expected to complete by its deadline. If
+// the expected wait is too long or the queue is full, admit refuses t or, instead, a
+// queued ticket of a customer with more requests.
 //
-// Guards against congestion collapse: under overload every request of a long
-// queue misses its deadline, and the work done for it is wasted. Requests that
-// can't start in time by the measured service times are refused before they use
-// a slot.
+// Guards against congestion collapse: under overload every request of a long queue
+// misses its deadline, and the work done for the request is wasted. Requests that
+// can't start in time according to the measured service times are refused before they
+// use a slot.
 func (b *Balancer) admit(s *service, t *Ticket, now time.Duration) {
 	s.serviceTimes.refresh(now)
 	slots := b.usableSlots(s, now)
@@ -36,7 +36,7 @@
 	}
 }
 
-// admitWithoutSlots bounds the queue of a service for which no slots are granted.
+// admitWithoutSlots bounds the queue of a service that has no usable slots.
 func (b *Balancer) admitWithoutSlots(s *service, t *Ticket, now time.Duration) {
 	if now+s.serviceTimes.mean > t.Deadline {
 		b.refuseQueued(s, t, TooLate, now)
@@ -65,8 +65,8 @@
 	return max(wait, estimateWait(s.queuedBefore(t, at), slotsLeft, s.serviceTimes.mean))
 }
 
-// estimateWait returns the expected wait of a request with ahead requests
-// before it, when each of slots takes mean per request.
+// estimateWait returns the expected wait for a slot of a request with ahead requests
+// before it, if there are slots slots and each request takes mean.
 func estimateWait(ahead, slots int, mean time.Duration) time.Duration {
 	return time.Duration(ahead+1) * mean / time.Duration(max(1, slots))
 }
@@ -83,7 +83,8 @@
 	b.refuseQueued(s, s.latestOf(customer), OverShare, now)
 }
 
-// fullReason returns the reason to give for a refusal by a full queue.
+// fullReason returns the reason for refusing a ticket because the queue is full or its
+// expected wait too long.
 func (b *Balancer) fullReason(s *service) Reason {
 	if len(s.customers) > 1 {
 		return OverShare
@@ -99,10 +100,10 @@
 
 // retryAfter returns the delay after which a refused caller may retry.
 //
-// Guards against retry storms: callers that are refused together would return
-// together and meet the same full queue. Each refusal reserves the next free
-// time at the rate that the service can carry, and random jitter spreads the
-// callers further.
+// Guards against retry storms: callers that are refused at the same time would return
+// at the same time and find the queue full again. Each refusal reserves the next free
+// time at the rate that the service can serve, and random jitter spreads the callers
+// further. The delay is 0 for NoSuchService.
 func (b *Balancer) retryAfter(s *service, reason Reason, now time.Duration) time.Duration {
 	if reason == NoSuchService {
 		return 0
--- a/routing/allocate.go
+++ b/routing/allocate.go
@@ -72,8 +72,8 @@
 	return shares[own]
 }
 
-// demands returns the demands of all live entry instances and the index of e
-// among them.
+// demands returns the demands of e and all live entry instances for a service, and the
+// index of e's demand among them.
 func (a *Allocator) demands(e *entryRecord, service string, now time.Duration) (demands []int, own int) {
 	for _, id := range a.sortedEntries {
 		other := a.entries[id]
@@ -94,9 +94,9 @@
 	return e.claimed && !e.draining && now-e.lastRequestAt < a.opts.Lease
 }
 
-// unmetMinimum returns by how many slots the other entry instances fall short
-// of their minimum shares after all free slots are granted. Only that many are
-// taken away, so that small changes of demand cause no messages.
+// unmetMinimum returns by how many slots the other entry instances fall short of their
+// minimum shares even if all free slots are granted to them. Only that many slots are
+// taken from e, so that small changes of demand cause no messages.
 func (a *Allocator) unmetMinimum(e *entryRecord, g *serviceGroup, now time.Duration) int {
 	unmet := 0
 	for _, id := range a.sortedEntries {
@@ -117,16 +117,18 @@
 	return max(0, unmet)
 }
 
-// minimumShare returns the slots that an entry instance must be able to get: its
-// demand, or half of its fair share, so that a new entry instance can start to
+// minimumShare returns the number of slots that an entry instance must be able to get:
+// its demand or half of its fair share, whichever is greater, but at most its fair
+// share. Half of the fair share lets a new entry instance without demand start to
 // serve.
 func (a *Allocator) minimumShare(e *entryRecord, g *serviceGroup, now time.Duration) int {
 	share := a.fairShare(e, g, now)
 	return min(share, max(e.demand[g.name], share/2))
 }
 
-// entryIndex returns the index of an entry instance among all of them. It makes
-// each of them start its search for free slots at a different minion.
+// entryIndex returns the index of an entry instance among all of them, sorted by ID.
+// By their indexes, the entry instances start the search for free slots at different
+// minions.
 func (a *Allocator) entryIndex(id string) int {
 	for i, other := range a.sortedEntries {
 		if other == id {
@@ -136,8 +138,9 @@
 	return 0
 }
 
-// shrink takes excess slots away: idle slots first, and among these from the
-// minion with the most granted slots.
+// shrink takes excess slots out of grants one by one, each from the minion with the
+// most granted slots among the minions that have an idle slot, or among all if none
+// has one.
 func shrink(g *serviceGroup, grants, inFlight map[uint32]int, excess int) {
 	for ; excess > 0; excess-- {
 		best := uint32(0)
@@ -162,11 +165,12 @@
 	}
 }
 
-// idleSlotBonus exceeds any number of slots, so that idle slots are taken first.
+// idleSlotBonus is added to the score of a minion with an idle slot. It exceeds any
+// number of slots, so that idle slots are taken first.
 const idleSlotBonus = 1 << 20
 
-// grow grants missing slots, each on the minion with the fewest granted slots
-// and, among those, the most free slots.
+// grow grants up to missing more slots, each on the minion that has the fewest granted
+// slots and, among those, the most free ones.
 func grow(g *serviceGroup, grants map[uint32]int, free []int, missing, entryIndex int) {
 	n := len(g.minions)
 	for ; missing > 0; missing-- {
@@ -188,10 +192,12 @@
 	}
 }
 
-// growStride separates the minions at which entry instances start their search.
+// growStride is the distance, in minions, between the minions at which two consecutive
+// entry instances start the search for free slots.
 const growStride = 7
 
-// preferred reports whether minion i is a better choice than minion best.
+// preferred reports whether the minion at index i has fewer granted slots than the one
+// at index best, or as many granted and more free ones.
 func preferred(g *serviceGroup, grants map[uint32]int, free []int, i, best int) bool {
 	heldI, heldBest := grants[g.minions[i].number], grants[g.minions[best].number]
 	if heldI != heldBest {
@@ -232,8 +238,9 @@
 	return shares
 }
 
-// respond records the grants as outstanding and builds the response, which has
-// the differences from the response that the entry instance uses.
+// respond records the grants as possibly in use and builds the response. The response
+// has the differences from the adopted grants, or all grants if the request is full or
+// the adopted grants are no longer recorded.
 func (a *Allocator) respond(e *entryRecord, req SlotRequest, grants map[uint32]int, now time.Duration) SlotResponse {
 	base, known := e.adoptedGrants()
 	if req.Full {
@@ -264,8 +271,9 @@
 	return resp
 }
 
-// grant builds the grant of one minion. It adds the announcement, and returns
-// true, if the entry instance isn't known to have it.
+// grant builds the grant of one minion. If the entry instance isn't known to have the
+// minion's current announcement, it adds the announcement and returns true. A minion
+// that is gone and was never reported to the entry instance isn't reported any more.
 func (a *Allocator) grant(e *entryRecord, m *minionRecord, slots int, sequence uint64) (Grant, bool) {
 	g := Grant{Number: m.number, Slots: slots}
 	if !m.announced {
@@ -287,9 +295,10 @@
 	return g, true
 }
 
-// checkOccupied asserts that a grant never exceeds the slots of a minion. Slots
-// claimed from earlier terms may exceed what the minion announces now; they are
-// never granted beyond what was occupied already.
+// checkOccupied asserts that the slots granted to e and the slots occupied by the
+// other entry instances together don't exceed a minion's slots. Claims of slots from
+// earlier terms may exceed what the minion announces now; e gets no slots of such a
+// minion.
 func (a *Allocator) checkOccupied(e *entryRecord) {
 	if !checkInvariants {
 		return
--- a/routing/allocator.go
+++ b/routing/allocator.go
@@ -17,14 +17,14 @@
 	ErrStale = errors.New("request is older than one that was answered, or a duplicate")
 )
 
-// restartLinger is how long the slots of a terminated entry process stay
-// occupied after its successor's first request. The kernel has closed the
-// process's connections by then; minions need this long to notice.
+// restartLinger is how long the slots of a terminated entry process stay occupied
+// after the first request of its successor. The kernel closed the connections of the
+// process when it terminated; minions need this long to notice.
 const restartLinger = time.Second
 
-// recordRetention is how long a minion that left stays recorded, so that
-// delayed duplicates of its announcements don't bring it back. It is also how
-// long a Balancer retains a service without minions.
+// recordRetention is how long a minion that left stays recorded, so that delayed
+// duplicates of its announcements don't make it usable again. It is also how long a
+// Balancer retains a service without minions.
 const recordRetention = 10 * time.Minute
 
 // Allocator allocates the slots of one data centre's minions to its entry
@@ -40,9 +40,10 @@
 	leading bool
 	term    uint64
 	// reserveEnds is when every grant of an earlier leader has expired and every
-	// request started under one has ended.
+	// request started under such a grant has ended.
 	reserveEnds time.Duration
-	// unclaimed has the entry instances that have not claimed in this term yet.
+	// unclaimed has the entry instances that have not claimed yet, in this term,
+	// the slots that they hold by grants of earlier terms.
 	unclaimed map[string]bool
 
 	minions       map[string]*minionRecord
@@ -57,11 +58,14 @@
 type minionRecord struct {
 	Announcement
 	number uint32
-	// announced is false for a minion that only claims have named.
-	announced  bool
+	// announced reports whether an announcement of the minion was recorded, and
+	// not only claims of its slots.
+	announced bool
+	// lastSeenAt is when the minion last announced itself or left.
 	lastSeenAt time.Duration
-	gone       bool
-	// version grows with each change that entry instances must learn of.
+	// gone reports whether the minion left or stopped announcing itself.
+	gone bool
+	// version counts the changes that entry instances must learn of.
 	version uint64
 	// occupied is the sum of the occupied slots of all entry instances.
 	occupied int
@@ -91,16 +95,16 @@
 	a.unclaimed = make(map[string]bool)
 }
 
-// Lead starts the leadership of a term. The caller must make sure that no
-// leader of an earlier term grants slots from now on. entries lists the entry
-// instances of the data centre; the reservation ends early once all of them
-// have claimed. With an empty list it lasts for its full time.
+// Lead starts the leadership of a term. The caller must make sure that no leader of an
+// earlier term grants slots from now on. entries lists the entry instances of the data
+// centre.
 //
-// Guards against overload of a minion: a new leader that grants slots granted
-// to another entry instance by the previous leader would exceed the minion's
-// slots. Slots that no entry instance has claimed stay reserved until the last
-// lease of the previous leader has expired and the requests started under it
-// have ended.
+// Guards against overload of a minion: a new leader that grants slots which the
+// previous leader has granted to another entry instance would exceed the minion's
+// slots. Slots that no entry instance has claimed therefore stay reserved until the
+// last lease of the previous leader has expired and the requests started under it have
+// ended. The reservation ends early once all of entries have claimed; if entries is
+// empty, it lasts for its full time.
 func (a *Allocator) Lead(term uint64, entries []string, now time.Duration) {
 	a.reset()
 	a.leading = true
@@ -111,14 +115,14 @@
 	}
 }
 
-// Resign ends the leadership: no request is answered until the next Lead.
+// Resign ends the leadership: Allocate returns ErrNotLeading until the next Lead.
 func (a *Allocator) Resign() { a.leading = false }
 
 // Term returns the term of the current or last leadership.
 func (a *Allocator) Term() uint64 { return a.term }
 
-// Announce records a minion's announcement. It ignores an announcement of an
-// earlier incarnation and one that would undo Leaving.
+// Announce records a minion's announcement. It ignores an announcement of an earlier
+// incarnation, and any further one of an incarnation that is leaving.
 func (a *Allocator) Announce(announcement Announcement, now time.Duration) {
 	m := a.ensureMinion(announcement.Minion, now)
 	if m.announced && announcement.Incarnation < m.Incarnation {
@@ -146,6 +150,7 @@
 	if !a.reserveInForce(now) {
 		return
 	}
+	// With version 1 the minion has announced nothing else in this term.
 	if m.version == 1 {
 		m.reserved = max(0, m.Slots-m.occupied)
 		return
@@ -174,7 +179,8 @@
 	m.version++
 }
 
-// ensureMinion returns the record of a minion and creates it if there is none.
+// ensureMinion returns the record of a minion. If there is none, it creates one with
+// the next number.
 func (a *Allocator) ensureMinion(name string, now time.Duration) *minionRecord {
 	if m, ok := a.minions[name]; ok {
 		return m
@@ -191,8 +197,8 @@
 // reserveInForce reports whether slots of an earlier leader are still reserved.
 func (a *Allocator) reserveInForce(now time.Duration) bool { return now < a.reserveEnds }
 
-// Allocate answers a slot request of an entry instance. On ErrNotLeading,
-// ErrHigherTerm and ErrStale there is no response to send.
+// Allocate decides on a slot request of an entry instance and returns the response. Its
+// errors are ErrNotLeading, ErrHigherTerm and ErrStale.
 func (a *Allocator) Allocate(req SlotRequest, now time.Duration) (SlotResponse, error) {
 	if !a.leading {
 		return SlotResponse{}, ErrNotLeading
@@ -219,12 +225,12 @@
 	return a.respond(e, req, grants, now), nil
 }
 
-// acceptRequest returns the record of the sender. It returns ErrStale for
-// delayed and duplicate requests.
+// acceptRequest returns the record of the sender, or ErrStale for a delayed or
+// duplicate request.
 //
-// Guards against freeing slots twice: a delayed duplicate of a request would
-// free slots that were granted since. Sequences only grow within an incarnation,
-// and incarnations only grow.
+// Guards against freeing slots twice: a delayed duplicate of a request would free
+// slots that were granted after the request. Only a request with a higher incarnation,
+// or a higher sequence of the same incarnation, than any before is accepted.
 func (a *Allocator) acceptRequest(req SlotRequest, now time.Duration) (*entryRecord, error) {
 	e, ok := a.entries[req.Entry]
 	if !ok {
@@ -248,8 +254,8 @@
 	return e, nil
 }
 
-// applyAnnouncements records announcements that an entry instance passes on and
-// makes the response send back the current announcements of these minions.
+// applyAnnouncements records announcements that an entry instance forwards from
+// minions. The response sends back the current announcements of these minions.
 func (a *Allocator) applyAnnouncements(e *entryRecord, announcements []Announcement, now time.Duration) {
 	for _, announcement := range announcements {
 		a.Announce(announcement, now)
@@ -257,8 +263,8 @@
 	}
 }
 
-// refreshAlive records that an entry instance has received announcements of the
-// minions with these numbers.
+// refreshAlive records that the minions with these numbers have announced themselves to
+// an entry instance.
 func (a *Allocator) refreshAlive(numbers []uint32, now time.Duration) {
 	for _, number := range numbers {
 		m, ok := a.byNumber[number]
@@ -277,7 +283,7 @@
 	}
 	e.adopt(req.Adopted)
 	if req.ReleaseAll {
-		// The sender uses no grant of any response any more.
+		// The sender has given up the grants of all responses.
 		e.grantSets = nil
 	}
 	if req.Full {
@@ -293,9 +299,10 @@
 	a.updateOccupied(e, now)
 }
 
-// applyClaims records the slots that an entry instance holds by grants of an
-// earlier term. The request names this term, so the entry instance accepts no
-// more responses of earlier terms, and the claim is final.
+// applyClaims records the slots that an entry instance claims in a full request. It
+// takes the first claims of the term out of the reservation. The request has this
+// term, so the entry instance accepts no more responses of earlier terms, and the
+// claims can't grow.
 func (a *Allocator) applyClaims(e *entryRecord, req SlotRequest, inFlight map[uint32]int, now time.Duration) {
 	held := make(map[uint32]int, len(req.Claims))
 	for _, c := range req.Claims {
@@ -324,14 +331,14 @@
 	}
 }
 
-// newGrantSet returns the record of a response sent at now.
+// newGrantSet returns the record of the grants of a response sent at now.
 func (a *Allocator) newGrantSet(sequence uint64, slots map[uint32]int, now time.Duration) grantSet {
 	ends := now + a.opts.Lease + a.opts.Drift
 	return grantSet{sequence: sequence, slots: slots, freeAt: ends + a.opts.MaxRequest}
 }
 
-// expire updates everything that depends on the time: occupied and reserved
-// slots, minions without announcements and old records.
+// expire updates all state that depends on the time: it releases occupied and reserved
+// slots, retires minions that stopped announcing themselves and deletes old records.
 func (a *Allocator) expire(now time.Duration) {
 	for _, id := range a.sortedEntries {
 		e := a.entries[id]
@@ -378,7 +385,8 @@
 	return live
 }
 
-// Occupied returns the upper bound of requests in flight on a minion.
+// Occupied returns an upper bound of the requests in flight on a minion, and 0 for an
+// unknown minion.
 func (a *Allocator) Occupied(minion string) int {
 	if m, ok := a.minions[minion]; ok {
 		return m.occupied
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Finish ends an attempt and releases its slot.
+// Finish ends an attempt. It releases the attempt's slot and starts queued requests on
+// free slots.
 //
 // Guards against overload of the minion: when a caller disconnects or an
 // attempt times out, the minion isn't notified and still works on the request.
@@ -25,9 +26,9 @@
 	b.dispatch(s, now)
 }
 
-// holdSlot keeps the slot of an attempt that may still run. It never holds the
-// slot for longer than MaxRequest after the start, because the Allocator counts
-// on every request to end by then.
+// holdSlot keeps the slot of an attempt that may still run as a lingering slot. It
+// never holds the slot for longer than MaxRequest after the start, because the
+// Allocator assumes that every request has ended by that time.
 func (b *Balancer) holdSlot(s *service, m *minion, t *Ticket, now time.Duration) {
 	until := t.startedAt + min(lingerFactor*s.serviceTimes.tail, b.opts.Lease.MaxRequest)
 	if until > now {
@@ -74,10 +75,10 @@
 // its deadline and is no evidence against the minion.
 const minAttemptFactor = 2
 
-// Retry queues a finished request again. It returns false if the retry budget,
-// the deadline or the number of attempts forbids a retry; the caller then
-// returns the failure. Call it only for requests that no minion has started or
-// that are idempotent.
+// Retry queues a finished request again; o is how its last attempt ended. Retry returns
+// false if the retry budget, the deadline or the number of attempts forbids a retry or
+// if the queue refuses the request; the caller must return the failure in this case.
+// Call it only for requests that are idempotent or that no minion has begun to process.
 func (b *Balancer) Retry(t *Ticket, o Outcome, now time.Duration) bool {
 	s, ok := b.services[t.Service]
 	if !ok || t.state != Finished || t.attempts >= maxAttempts {
@@ -115,9 +116,9 @@
 	return true
 }
 
-// AttemptDeadline returns when the caller must give up the current attempt. The
-// first attempt of an idempotent request ends early enough to leave time for an
-// attempt on another minion.
+// AttemptDeadline returns when the caller must give up the current attempt. Unless
+// service times are long, the first attempt of an idempotent request ends early enough
+// to leave time for an attempt on another minion.
 func (b *Balancer) AttemptDeadline(t *Ticket) time.Duration {
 	if !t.Idempotent || t.attempts > 1 {
 		return t.Deadline
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -23,7 +23,8 @@
 	// retryBudget is the number of retries allowed now. Each request adds a
 	// fraction of a retry.
 	retryBudget float64
-	changed     []*Ticket
+	// changed has the tickets that the next TakeChanged returns.
+	changed []*Ticket
 	// candidates is reused by each call of pick to save allocations.
 	candidates []*minion
 	counts     Counts
@@ -57,7 +58,8 @@
 	return b
 }
 
-// Submit accepts a request. The returned ticket is Started, Queued or Refused.
+// Submit starts a request if a slot is free, and queues or refuses it otherwise. The
+// returned ticket is Started, Queued or Refused.
 func (b *Balancer) Submit(r Request, now time.Duration) *Ticket {
 	b.releaseLingering(now)
 	b.lastTicketNumber++
@@ -78,7 +80,7 @@
 		return t
 	}
 	if !ok {
-		// No leader has answered yet, so the service may exist.
+		// No leader has responded yet, so the service may exist.
 		s = newService(r.Service, b.opts.FirstEstimate, now)
 		b.services[r.Service] = s
 	}
@@ -87,13 +89,13 @@
 	return t
 }
 
-// maxUnknownServices bounds the services that callers may name before a leader
-// has reported which services exist. Without the bound, invented names could
-// fill the memory.
+// maxUnknownServices is the most services that are recorded for the names in requests
+// before a leader has reported which services exist. Without the bound, invented names
+// could fill the memory.
 const maxUnknownServices = 64
 
-// enqueue queues the ticket, assigns free slots and then refuses what the queue
-// can't start in time.
+// enqueue queues the ticket and starts queued tickets on free slots. If t isn't
+// started, enqueue calls admit, which may refuse t or another ticket.
 func (b *Balancer) enqueue(s *service, t *Ticket, now time.Duration) {
 	t.queuedAt = now
 	s.enqueue(t)
@@ -108,8 +110,8 @@
 	b.admit(s, t, now)
 }
 
-// Cancel removes a queued request whose caller has disconnected. A started
-// request ends by Finish with Abandoned instead.
+// Cancel removes a queued request whose caller has disconnected. It does nothing for a
+// started request; end that by Finish with Abandoned.
 func (b *Balancer) Cancel(t *Ticket, now time.Duration) {
 	if t.state != Queued {
 		return
@@ -119,8 +121,8 @@
 	b.releaseLingering(now)
 }
 
-// Expire refuses a queued request that can no longer be answered in time. It
-// does nothing before QueueDeadline.
+// Expire refuses a queued request that has not started by its QueueDeadline. It does
+// nothing before that time.
 func (b *Balancer) Expire(t *Ticket, now time.Duration) {
 	if t.state != Queued || now < b.QueueDeadline(t) {
 		return
@@ -149,8 +151,8 @@
 // maxWaitFactor times maxWait is the longest time that a request stays queued.
 const maxWaitFactor = 2
 
-// SendDeadline returns until when a started request may be sent to its minion.
-// No byte of it may be written later.
+// SendDeadline returns until when a started request may be sent to its minion. The
+// caller must not write any byte of the request later.
 func (b *Balancer) SendDeadline(t *Ticket) time.Duration {
 	return min(b.lease.expiresAt, t.minion.usableUntil(b.opts.Lease.MinionTTL))
 }
@@ -241,8 +243,8 @@
 	}
 }
 
-// dispatch assigns free slots to the queued requests of a service. It refuses
-// those that can no longer be answered by their deadline.
+// dispatch starts queued requests of a service while slots are free. It refuses those
+// that can no longer be completed by their deadline.
 func (b *Balancer) dispatch(s *service, now time.Duration) {
 	for len(s.queue) > 0 {
 		t := s.nextTicket(b.sharedSlots(s, now))
@@ -268,16 +270,15 @@
 	return b.usableSlots(s, now)
 }
 
-// latestStart returns when a request must start to be answered by its deadline,
-// going by the tail service time. A request that waited past that time would
-// take a slot from others with little chance to finish. A request whose deadline
-// was closer than that when it was queued may start until only the mean service
-// time is left.
+// latestStart returns when a request must start at the latest: its deadline less the
+// tail service time. A request that starts later would take a slot from others with
+// little chance to complete in time. If that time had already passed when the request
+// was queued, the request may start until its deadline less the mean service time.
 //
 // Guards against refusing a service's requests forever: after a slow period the
-// estimate refuses all requests with short deadlines, so none starts and the
-// estimate never improves. Without recent samples, one request at a time is
-// therefore started regardless of the estimate.
+// estimated service times are so long that all requests with short deadlines are
+// refused, so none starts and the estimate never improves. If the estimate has no
+// recent samples, one request at a time may therefore start until its deadline.
 func (b *Balancer) latestStart(s *service, t *Ticket) time.Duration {
 	if b.opts.Baseline {
 		return t.Deadline
--- a/routing/breaker.go
+++ b/routing/breaker.go
@@ -4,8 +4,8 @@
 
 // Settings of the circuit breaker of one minion.
 const (
-	// maxConsecutiveFailures is the number of consecutive refused or broken
-	// connections or timeouts that opens the breaker.
+	// maxConsecutiveFailures is the number of consecutive attempts with the
+	// outcome NotSent, Broken or TimedOut that opens the breaker.
 	maxConsecutiveFailures = 2
 	// maxFailureRate is the moving average of failed attempts above which the
 	// breaker opens, once there are minRateSamples attempts. failureWeight is the
@@ -22,33 +22,38 @@
 	slowMargin        = 20 * time.Millisecond
 	averageTimeWeight = 0.2
 
-	// firstBackoff is the time from opening to the first probe. It doubles with
-	// each failed probe, up to maxBackoff.
+	// firstBackoff is the time from opening to the first probe. The time doubles
+	// with each failed probe, up to maxBackoff.
 	firstBackoff = time.Second
 	maxBackoff   = 10 * time.Second
-	// nonIdempotentBackoffs is the number of backoffs after which a request that
-	// isn't idempotent may be the probe.
+	// nonIdempotentBackoffs times the backoff is the time from opening after
+	// which a request that isn't idempotent may be the probe.
 	nonIdempotentBackoffs = 3
 )
 
 // breaker is the circuit breaker of one minion. It keeps requests away from a
 // minion that fails or is slow.
 type breaker struct {
-	open     bool
+	open bool
+	// probing reports whether a probe is in flight.
 	probing  bool
 	openedAt time.Duration
-	backoff  time.Duration
+	// backoff is the time from opening to the next probe.
+	backoff time.Duration
 	// closedAt is when the breaker last closed.
 	closedAt time.Duration
 
 	consecutiveFailures int
-	failureRate         float64
-	samples             int
+	// failureRate is the moving average of failed attempts, from 0 to 1.
+	failureRate float64
+	// samples is the number of attempts since the breaker was last reset.
+	samples int
 	// averageTime is the moving average of the service times.
 	averageTime time.Duration
 }
 
-// probeDue reports whether a request may probe the minion.
+// probeDue reports whether a request may be sent to the minion as the probe of an open
+// breaker.
 func (b *breaker) probeDue(idempotent bool, now time.Duration) bool {
 	if !b.open || b.probing {
 		return false
@@ -72,7 +77,7 @@
 	b.probing = false
 }
 
-// reset closes the breaker and clears its measurements.
+// reset closes the breaker and clears its failure counts and average service time.
 func (b *breaker) reset(now time.Duration) {
 	*b = breaker{backoff: b.backoff, closedAt: now}
 }
@@ -81,10 +86,10 @@
 // of the service's minions; mayTripOnRate allows the breaker to open because of
 // its failure rate. It returns whether the breaker has just closed.
 //
-// Guards against two faults of a minion. One that fails immediately is always
-// free and would attract all requests. One that is slow or never answers would
-// hold its slots and the requests in them. Either opens the breaker; then only
-// single probes reach the minion until one succeeds in the typical time.
+// Guards against two faults. A minion that fails immediately is always free and would
+// attract all requests. A minion that is slow or never responds would hold its slots
+// and the requests in them. Either fault opens the breaker, after which only single
+// probes are sent to the minion until one succeeds and isn't too slow.
 func (b *breaker) observe(a attempt, typicalTime time.Duration, mayTripOnRate bool, now time.Duration) (closed bool) {
 	if b.open {
 		return a.probe && b.finishProbe(a, typicalTime, now)
@@ -103,7 +108,7 @@
 	probe   bool
 }
 
-// record updates the measurements with one attempt.
+// record updates the failure counts and the average service time with one attempt.
 func (b *breaker) record(o Outcome, took time.Duration) {
 	b.samples++
 	failure := 0.0
@@ -132,7 +137,8 @@
 	b.averageTime += time.Duration(averageTimeWeight * float64(took-b.averageTime))
 }
 
-// shouldTrip reports whether the measurements require the breaker to open.
+// shouldTrip reports whether the failures or the average service time require the
+// breaker to open.
 func (b *breaker) shouldTrip(typicalTime time.Duration, mayTripOnRate bool) bool {
 	if b.consecutiveFailures >= maxConsecutiveFailures {
 		return true
@@ -155,8 +161,8 @@
 	return true
 }
 
-// tooSlow reports whether took is far above the typical service time. It is
-// false while the typical time is unknown.
+// tooSlow reports whether took is above slowFactor times the typical service time plus
+// slowMargin. It is false while the typical time is unknown.
 func tooSlow(took, typicalTime time.Duration) bool {
 	return typicalTime > 0 && took > slowFactor*typicalTime+slowMargin
 }
--- a/routing/estimate.go
+++ b/routing/estimate.go
@@ -15,7 +15,8 @@
 	// estimateInterval is how often the mean and the percentile are recomputed.
 	estimateInterval = 100 * time.Millisecond
 	// tailPercentile is the percentile of the service times that a request is
-	// assumed to need when it must be answered by its deadline.
+	// assumed to need when the Balancer decides whether it can still be completed
+	// by its deadline.
 	tailPercentile = 95
 
 	// maxServiceTime is the largest recorded service time; longer ones count as
@@ -35,12 +36,14 @@
 	// computed.
 	hasNewSamples bool
 
+	// samples is the number of samples from which mean and tail were computed.
 	samples int64
 	mean    time.Duration
-	tail    time.Duration
+	// tail is the service time at tailPercentile.
+	tail time.Duration
 }
 
-// newEstimator returns an estimator that assumes first until it has samples.
+// newEstimator returns an estimator whose mean and tail are first until it has samples.
 func newEstimator(first time.Duration, now time.Duration) *estimator {
 	window := hdrhistogram.NewWindowed(estimateWindowParts, 1, maxServiceTime.Microseconds(), significantDigits)
 	return &estimator{window: window, rotatedAt: now, refreshedAt: now, addedAt: now, mean: first, tail: first}
@@ -57,7 +60,7 @@
 }
 
 // refresh recomputes mean and tail from new samples if estimateInterval has
-// passed, or immediately while they rest on fewer than 20 samples.
+// passed, or immediately while they are computed from fewer than 20 samples.
 func (e *estimator) refresh(now time.Duration) {
 	early := e.samples < 20 && e.hasNewSamples
 	if now-e.refreshedAt < estimateInterval && !early {
@@ -82,7 +85,7 @@
 	}
 }
 
-// stale reports whether the window has no sample any more.
+// stale reports whether the last sample is too old to be in the window.
 func (e *estimator) stale(now time.Duration) bool {
 	return now-e.addedAt >= estimateWindowParts*estimateWindow
 }
--- a/routing/load_cases_test.go
+++ b/routing/load_cases_test.go
@@ -15,7 +15,7 @@
 	r.schedule(r.now+time.Second, func() { r.startEntry(e) })
 }
 
-// loseEntry stops an entry instance permanently.
+// loseEntry stops an entry instance for the rest of the run.
 func loseEntry(r *loadRun) { r.entries[0].up = false }
 
 // loseLeader stops the leader; after 3 s a new leader without state takes over.
@@ -46,8 +46,10 @@
 	}
 }
 
-// BenchmarkLoad simulates overload, faults, lost processes, a customer flood and
-// the policies, and reports the served load.
+// BenchmarkLoad simulates overload, faults of minions, lost processes, a flood of
+// requests of one customer and the policies, and reports the requests completed in
+// time. "ours" is a run with a Balancer, "baseline" one that sends each request to a
+// random minion.
 func BenchmarkLoad(b *testing.B) {
 	var cases []loadCase
 	for _, load := range []float64{0.5, 1, 2, 3, 5} {
--- a/routing/load_report_test.go
+++ b/routing/load_report_test.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// perSecond returns a count of the measured period as a rate.
+// perSecond converts a count over the measured period to a rate per second.
 func (r *loadRun) perSecond(n int) float64 { return float64(n) / (loadEnd - warmUp).Seconds() }
 
-// recovered returns the number of whole seconds after faultAt until the served
-// load stays above 90 % of what it was before the fault.
+// recovered returns the number of whole seconds from faultAt until the requests
+// completed in time per second stay at or above 90 % of their mean over the 3 s before
+// the fault.
 func (r *loadRun) recovered() float64 {
 	first := int(faultAt / time.Second)
 	before := float64(r.goodBySecond[first-1]+r.goodBySecond[first-2]+r.goodBySecond[first-3]) / 3
--- a/routing/load_test.go
+++ b/routing/load_test.go
@@ -13,8 +13,8 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
-// Durations and sizes of the simulation. The system runs without faults from
-// warmUp to faultAt.
+// Durations and sizes of the simulation. Results are counted from warmUp to loadEnd,
+// and the fault of the case is injected at faultAt.
 const (
 	loadSeed            = 7
 	loadSlots           = 8
@@ -27,8 +27,8 @@
 	slotRequestInterval = 500 * time.Millisecond
 	minSlotRequestGap   = 100 * time.Millisecond
 	announceInterval    = time.Second
-	// callOverheadBytes is the overhead of one small call over HTTP/2, without
-	// its two messages.
+	// callOverheadBytes is the overhead of one message of a small call over
+	// HTTP/2.
 	callOverheadBytes = 25
 	maxCallerRetries  = 2
 )
@@ -41,7 +41,7 @@
 	load     float64 // offered load as a multiple of the minions' capacity
 	policy   routing.Policy
 	baseline bool
-	// fault is injected into the first faulty minions at faultAt.
+	// fault is injected at faultAt into the first minions, as many as faulty.
 	fault  minionFault
 	faulty int
 	// event runs at faultAt.
@@ -64,7 +64,9 @@
 // loadMinion is a simulated minion.
 type loadMinion struct {
 	routing.Announcement
-	fault   minionFault
+	fault minionFault
+	// busy is the number of requests that the minion processes, maxBusy the
+	// highest such number of the run.
 	busy    int
 	maxBusy int
 	queue   []*loadRequest // the minion's own queue; baseline only
@@ -72,10 +74,11 @@
 
 // loadEntry is a simulated entry instance.
 type loadEntry struct {
-	id                string
-	incarnation       uint64
-	balancer          *routing.Balancer
-	up                bool
+	id          string
+	incarnation uint64
+	balancer    *routing.Balancer
+	up          bool
+	// gap is the minimum time between two slot requests.
 	gap               time.Duration
 	nextSlotRequestAt time.Duration
 }
@@ -92,7 +95,10 @@
 	idempotent bool
 }
 
-// loadRun is a discrete event simulation.
+// loadRun is a discrete event simulation of callers, entry instances, a leader and
+// minions. Requests completed in time count as good, those completed later as late, and
+// those whose last attempt failed as lost. Fields named other count only requests that
+// aren't of the flooding customer.
 type loadRun struct {
 	loadCase
 	rng        *rand.Rand
@@ -207,7 +213,7 @@
 	r.schedule(r.now+announceInterval, func() { r.announce(m) })
 }
 
-// sendSlotRequest sends a slot request of one entry process, and the next one
+// sendSlotRequest sends a slot request of one entry process and schedules the next one
 // after slotRequestInterval.
 func (r *loadRun) sendSlotRequest(e *loadEntry, b *routing.Balancer) {
 	if e.balancer != b || !e.up {
@@ -223,7 +229,7 @@
 	})
 }
 
-// handleSlotRequest answers a slot request at the leader.
+// handleSlotRequest handles a slot request at the leader and sends the response.
 func (r *loadRun) handleSlotRequest(e *loadEntry, b *routing.Balancer, req routing.SlotRequest) {
 	if !r.leader {
 		return
@@ -254,8 +260,9 @@
 	}
 }
 
-// nextGap returns the minimum time between two slot requests, by the same rule
-// as internal/proxy.
+// nextGap returns the minimum time until the next slot request. It is the same rule as
+// in internal/proxy: the time becomes shorter if the last response granted more slots,
+// and longer otherwise.
 func nextGap(gap time.Duration, grew bool) time.Duration {
 	if grew {
 		return max(minSlotRequestGap, gap/4)
@@ -284,7 +291,8 @@
 // measured reports whether the current time counts in the results.
 func (r *loadRun) measured() bool { return r.now >= warmUp && r.now < loadEnd }
 
-// send submits a request to a random live entry instance.
+// send submits a request to a random live entry instance, or sends it to a minion in a
+// baseline run.
 func (r *loadRun) send(q *loadRequest) {
 	q.arrived = r.now
 	q.deadline = r.now + loadDeadline
@@ -338,7 +346,8 @@
 	}
 }
 
-// retryRefused lets the caller of a refused request retry after the delay.
+// retryRefused lets the caller of a refused request retry after the delay, at most
+// maxCallerRetries times.
 func (r *loadRun) retryRefused(q *loadRequest, after time.Duration) {
 	r.refused++
 	if q.retries >= maxCallerRetries || after == 0 {
@@ -430,8 +439,8 @@
 	}
 }
 
-// sendBaseline sends a request to a random minion, which processes its own queue
-// in order, expired requests included.
+// sendBaseline sends a request to a random minion, which processes the requests of its
+// own queue in order of arrival, also those past their deadline.
 func (r *loadRun) sendBaseline(q *loadRequest) {
 	m := r.minionList[r.rng.IntN(len(r.minionList))]
 	switch {
@@ -444,7 +453,8 @@
 	}
 }
 
-// serveBaseline processes a request and then the next one of the minion's queue.
+// serveBaseline processes a request on a minion and afterwards the next request of the
+// minion's queue.
 func (r *loadRun) serveBaseline(m *loadMinion, q *loadRequest) {
 	if r.measured() {
 		_ = r.waits.RecordValue(max(1, (r.now - q.arrived).Microseconds()))
--- a/routing/minion.go
+++ b/routing/minion.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// hangFactor times the tail service time is the age of the oldest request
-	// at which a minion counts as hanging, once there are hangSamples samples.
-	// hangFloor is the least such age; it prevents false positives of fast
-	// services.
+	// hangFactor times the tail service time is the age of a minion's oldest
+	// request above which the minion counts as hanging, once the estimate rests
+	// on hangSamples samples. hangFloor is the least such age; it prevents false
+	// positives of fast services.
 	hangFactor  = 6
 	hangFloor   = 250 * time.Millisecond
 	hangSamples = 20
@@ -29,19 +29,24 @@
 	// gone reports whether the leader says that the minion left or stopped
 	// announcing itself.
 	gone bool
-	// grantsRequestedAt is when the request for the adopted grants was sent.
-	// announcedAt is when this entry instance last got an announcement of the
-	// minion.
+	// grantsRequestedAt is when the slot request was sent whose response last
+	// granted slots of the minion.
 	grantsRequestedAt time.Duration
-	announcedAt       time.Duration
-	announced         bool
+	// announced reports whether the minion has announced itself to this entry
+	// instance, and announcedAt is when it last did.
+	announcedAt time.Duration
+	announced   bool
 	// announcedSinceRequest reports whether the minion has announced itself
 	// here since the last slot request.
 	announcedSinceRequest bool
 
+	// slowStartFrom is when the minion's slow start began.
 	slowStartFrom time.Duration
-	running       []*Ticket
-	// lingeringUntil has, for each lingering slot, the time of its release.
+	// running has the started tickets, oldest first.
+	running []*Ticket
+	// lingeringUntil has the release time of each lingering slot, which is a slot
+	// kept after an attempt ended because the minion may still process the
+	// request.
 	lingeringUntil []time.Duration
 	breaker        breaker
 }
@@ -49,13 +54,13 @@
 // inFlight returns the number of slots in use, lingering ones included.
 func (m *minion) inFlight() int { return len(m.running) + len(m.lingeringUntil) }
 
-// usableUntil returns until when requests may be sent to the minion, judging by
-// its announcements alone.
+// usableUntil returns until when requests may be sent to the minion according to its
+// announcements and the leader's grants, apart from the expiry of the slot lease.
 //
-// Guards against sending to a minion that left or died, from an entry instance
-// that is partitioned from the leader. Unless the leader or the minion itself has
-// confirmed within the TTL that the minion is in use, it gets no requests, even
-// under a valid slot lease.
+// Guards against sending to a minion that left or died, from an entry instance that is
+// partitioned from the leader: even under a valid slot lease, a minion gets requests
+// only for ttl after a slot request by which the leader granted its slots, or after
+// its own announcement.
 func (m *minion) usableUntil(ttl time.Duration) time.Duration {
 	if m.Leaving || m.gone {
 		return 0
@@ -67,7 +72,8 @@
 	return latest + ttl
 }
 
-// slotLimit returns how many requests may be in flight, with slow start.
+// slotLimit returns how many requests may be in flight on the minion. During slow
+// start the limit rises from 1 to all granted slots.
 func (m *minion) slotLimit(slowStart, now time.Duration) int {
 	slots := min(m.slots, max(0, m.Slots))
 	age := now - m.slowStartFrom
@@ -77,8 +83,8 @@
 	return 1 + int(time.Duration(slots-1)*age/slowStart)
 }
 
-// hanging reports whether the oldest request has waited for its answer for much
-// longer than usual.
+// hanging reports whether the minion's oldest request has waited for its response for
+// much longer than the service's tail service time.
 func (m *minion) hanging(e *estimator, now time.Duration) bool {
 	if len(m.running) == 0 || e.samples < hangSamples {
 		return false
@@ -86,7 +92,7 @@
 	return now-m.running[0].startedAt > max(hangFloor, hangFactor*e.tail)
 }
 
-// remove removes a finished ticket from the running ones.
+// remove removes a finished ticket from the running tickets.
 func (m *minion) remove(t *Ticket) {
 	if i := slices.Index(m.running, t); i >= 0 {
 		m.running = slices.Delete(m.running, i, i+1)
@@ -98,7 +104,7 @@
 	m.lingeringUntil = slices.DeleteFunc(m.lingeringUntil, func(until time.Duration) bool { return until <= now })
 }
 
-// target returns the address and the limits of the minion.
+// target returns the name, the address and the limits of the minion.
 func (m *minion) target() Target {
 	return Target{
 		Minion:         m.Minion,
--- a/routing/model_test.go
+++ b/routing/model_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// model is a leader, entry instances and minions, and a network that loses,
-// duplicates and delays messages.
+// model simulates a leader, entry instances and minions, and a network that loses,
+// duplicates and delays messages. A message is never removed from requests or
+// responses; it is lost if it isn't delivered.
 type model struct {
 	t         *rapid.T
 	now       time.Duration
@@ -22,6 +23,8 @@
 	// orphans are the requests of terminated processes that a minion may still be
 	// processing.
 	orphans []orphan
+	// granted sums the granted slots after each delivered response, to prove that
+	// the run granted any.
 	granted int
 }
 
@@ -29,20 +32,23 @@
 type modelEntry struct {
 	id          string
 	incarnation uint64
-	rate        float64
-	startedAt   time.Duration
-	balancer    *Balancer
-	running     []*Ticket
+	// rate is the rate of the process's clock relative to the leader's.
+	rate      float64
+	startedAt time.Duration
+	balancer  *Balancer
+	running   []*Ticket
 }
 
-// modelResponse is a slot response on its way to an entry process.
+// modelResponse is a slot response in flight to a process of the entry instance with
+// index to.
 type modelResponse struct {
 	to          int
 	incarnation uint64
 	resp        SlotResponse
 }
 
-// orphan is a request of a terminated process.
+// orphan is a request of a terminated process that its minion may still be processing
+// until a time.
 type orphan struct {
 	minion string
 	until  time.Duration
@@ -152,8 +158,9 @@
 	}
 }
 
-// actions returns the random actions; the one without a name checks the
-// invariant.
+// actions returns the random actions by name. rapid calls the one without a name after
+// every action; it checks the invariant. exchange2 and submit2 double the frequency of
+// exchange and submit. "demand" sends a slot request into the network.
 func (w *model) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"":        w.check,
@@ -231,7 +238,7 @@
 	if len(w.responses) == 0 {
 		t.Skip()
 	}
-	pending := w.responses[rapid.IntRange(0, len(w.responses)-1).Draw(t, "answer")]
+	pending := w.responses[rapid.IntRange(0, len(w.responses)-1).Draw(t, "response")]
 	e := w.entries[pending.to]
 	if e.incarnation == pending.incarnation {
 		w.deliverResponse(e, pending.resp)
@@ -270,9 +277,9 @@
 	w.start(e)
 }
 
-// Two entry instances use the same slot of a minion, so that it has more
-// requests in flight than slots. The model loses, duplicates and delays messages
-// and pauses, restarts and replaces processes and leaders in any order.
+// Guards against two entry instances that use the same slot of a minion, so that the
+// minion has more requests in flight than slots. Messages are lost, duplicated and
+// delayed, entry processes restart and drain, and leaders are replaced, in any order.
 func TestInFlightNeverExceedsSlots(t *testing.T) {
 	granted := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/routing/occupied.go
+++ b/routing/occupied.go
@@ -20,39 +20,41 @@
 	freeAt   time.Duration
 }
 
-// sentAnnouncement identifies the announcement of a minion that a response sent
-// to an entry instance.
+// sentAnnouncement identifies the announcement of a minion that was sent to an entry
+// instance, by the version of the minion's record and the sequence of the response.
 type sentAnnouncement struct {
 	version  uint64
 	sequence uint64
 }
 
-// farFuture is later than any time that a process reaches.
+// farFuture is the largest duration, later than any time that a process reaches.
 const farFuture = time.Duration(1<<63 - 1)
 
 // entryRecord is the Allocator's record of one entry instance.
 type entryRecord struct {
-	id            string
-	incarnation   uint64
+	id          string
+	incarnation uint64
+	// sequence is the highest sequence of an accepted request.
 	sequence      uint64
 	lastRequestAt time.Duration
 	// claimed reports whether the entry instance has sent a full request in
 	// this term.
 	claimed  bool
 	draining bool
-	demand   map[string]int
+	// demand is the number of slots that the entry instance could use, by service.
+	demand map[string]int
 	// adopted is the sequence of the response that the entry instance uses.
 	adopted uint64
 	// grantSets are the responses that the entry instance may use, oldest first.
 	grantSets []grantSet
-	// inFlight is the reported number of requests in flight by minion. All of
-	// them have ended at inFlightUntil.
+	// inFlight is the last reported number of requests in flight, by minion
+	// number. All of these requests have ended at inFlightUntil.
 	inFlight      map[uint32]int
 	inFlightUntil time.Duration
 	terminated    []terminatedProcess
 	// ownOccupied is the upper bound of the current process's requests in flight,
-	// by minion. occupied adds the slots of terminated processes. Both need no
-	// update before nextFreeAt.
+	// by minion number. occupied adds the slots of terminated processes. Without
+	// a new request or response, both are valid until nextFreeAt.
 	ownOccupied map[uint32]int
 	occupied    map[uint32]int
 	nextFreeAt  time.Duration
@@ -71,8 +73,9 @@
 	}
 }
 
-// restart begins a new incarnation. The earlier process has terminated, so its
-// slots are released after restartLinger without waiting for its lease.
+// restart begins a new incarnation of the entry instance. The earlier process has
+// terminated, so its slots are released after restartLinger instead of at the end of
+// its lease.
 func (e *entryRecord) restart(incarnation uint64, now time.Duration) {
 	terminated := terminatedProcess{occupied: e.occupied, freeAt: now + restartLinger}
 	kept := append(e.terminated, terminated)
@@ -81,8 +84,8 @@
 	e.occupied = terminated.occupied
 }
 
-// adopt drops the responses before the adopted one; the entry instance can't
-// return to them.
+// adopt records the response that the entry instance uses and drops the earlier ones,
+// because the entry instance can't return to them.
 func (e *entryRecord) adopt(adopted uint64) {
 	e.adopted = adopted
 	for len(e.grantSets) > 0 && e.grantSets[0].sequence < adopted {
@@ -90,7 +93,8 @@
 	}
 }
 
-// latestGrants returns the grants of the newest response, or nil.
+// latestGrants returns the grants of the newest response by minion number, or nil if
+// no response is recorded.
 func (e *entryRecord) latestGrants() map[uint32]int {
 	if len(e.grantSets) == 0 {
 		return nil
@@ -113,10 +117,10 @@
 //
 // Guards against granting a slot twice: a response that takes slots away may be
 // lost, and requests that started before a lease expired may still run. The
-// occupied slots are therefore the maximum over every response that may be in
-// use and over the reported requests in flight. A response counts until a later
-// one is known to be adopted, or until its lease and the longest request
-// started under it have ended.
+// occupied slots of a minion are therefore the maximum of its grants in every response
+// that may be in use and of the reported requests in flight. A response may be in use
+// until a later one is known to be adopted, or until its lease and the longest request
+// started under the lease have ended.
 func (a *Allocator) updateOccupied(e *entryRecord, now time.Duration) {
 	ownOccupied := make(map[uint32]int)
 	e.nextFreeAt = farFuture
@@ -141,8 +145,8 @@
 	e.occupied = occupied
 }
 
-// addTerminated adds the slots of terminated processes to occupied and drops
-// those that are released by now.
+// addTerminated adds the slots of terminated processes to occupied, and drops the
+// processes whose slots are released by now.
 func (a *Allocator) addTerminated(e *entryRecord, occupied map[uint32]int, now time.Duration) {
 	kept := e.terminated[:0]
 	for _, process := range e.terminated {
--- a/routing/options.go
+++ b/routing/options.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// Policy selects among the minions with a free slot.
+// Policy is the rule by which one of the minions with a free slot is selected.
 type Policy uint8
 
 // The policies.
 const (
-	// LeastLoaded selects the minion with the lowest score.
+	// LeastLoaded selects the minion with the lowest score, which is its load
+	// weighted by its average service time.
 	LeastLoaded Policy = iota
 	// TwoChoices selects the lower score of two random minions.
 	TwoChoices
@@ -43,7 +44,8 @@
 	// SlowStart is how long the load of a new minion takes to rise to its full
 	// slots.
 	SlowStart time.Duration
-	// Baseline disables admission control and circuit breakers, for comparison.
+	// Baseline disables admission control and circuit breakers, as the baseline
+	// of a comparison.
 	Baseline bool
 }
 
@@ -85,19 +87,22 @@
 	return o
 }
 
-// Reason is why a request was refused. A refused request never reached a minion.
+// Reason is why a request was refused. A refused request has reached no minion, unless
+// an earlier attempt failed and Retry queued the request again.
 type Reason uint8
 
 // The reasons.
 const (
 	// NoSuchService: no minion of the service is known.
 	NoSuchService Reason = iota + 1
-	// QueueFull: too many requests are queued for the service.
+	// QueueFull: the queue of the service is full or its wait too long. It is
+	// also the reason if no leader has responded yet and requests have named too
+	// many services.
 	QueueFull
 	// TooLate: the request can't be answered by its deadline.
 	TooLate
-	// OverShare: the customer has more than its share of requests in a full
-	// queue.
+	// OverShare: the queue of the service is full or its wait too long, and the
+	// customer has the most requests.
 	OverShare
 	// Draining: the entry instance is shutting down.
 	Draining
@@ -112,7 +117,8 @@
 	Draining:      "the entry instance is shutting down",
 }
 
-// Refusal is the error of a request that was not sent to any minion.
+// Refusal is the error of a request that was refused instead of being sent to a
+// minion.
 type Refusal struct {
 	Reason Reason
 	// RetryAfter is the delay after which to retry; 0 if a retry is useless.
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// lowerScore returns the minion with the lower score.
+// lowerScore returns the minion with the lower score, or x if the scores are equal.
 func (b *Balancer) lowerScore(s *service, x, y *minion) *minion {
 	if score(s, y) < score(s, x) {
 		return y
@@ -105,8 +105,8 @@
 	return x
 }
 
-// lowestScore returns the candidate with the lowest score, a random one of
-// several.
+// lowestScore returns the candidate with the lowest score, or a random one of several
+// such candidates.
 func (b *Balancer) lowestScore(s *service) *minion {
 	var best *minion
 	lowest, equal := 0.0, 0
@@ -125,8 +125,9 @@
 	return best
 }
 
-// score returns the load of the minion after one more request, multiplied by the
-// ratio of its average service time to the median if that exceeds 1.
+// score returns the load of the minion after one more request: its requests in flight
+// divided by its granted slots. If the ratio of the minion's average service time to
+// the median of the service's minions exceeds 1, the load is multiplied by that ratio.
 func score(s *service, m *minion) float64 {
 	load := float64(m.inFlight()+1) / float64(max(1, m.slots))
 	if s.medianTime > 0 && m.breaker.averageTime > s.medianTime {
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -15,8 +15,8 @@
 	now       time.Duration
 }
 
-// newFixture returns a fixture whose entry instance has all slots of the minions
-// and has passed slow start.
+// newFixture returns a fixture whose entry instance has been granted all slots of the
+// minions and whose minions have passed slow start.
 func newFixture(minions, slots int) *fixture {
 	f := &fixture{
 		allocator: NewAllocator(LeaseOptions{}),
@@ -35,7 +35,8 @@
 	return f
 }
 
-// exchangeSlotRequests exchanges slot requests until no request must follow.
+// exchangeSlotRequests delivers slot requests and their responses until no further
+// request must follow.
 func (f *fixture) exchangeSlotRequests() {
 	for again := true; again; {
 		resp, err := f.allocator.Allocate(f.balancer.NextSlotRequest(f.now), f.now)
@@ -55,20 +56,20 @@
 	f.exchangeSlotRequests()
 }
 
-// submit submits a request with a deadline left from now.
+// submit submits a request whose deadline is the duration left from now.
 func (f *fixture) submit(left time.Duration) *Ticket {
 	r := Request{Service: "s", Customer: "c", Deadline: f.now + left}
 	return f.balancer.Submit(r, f.now)
 }
 
-// finish ends a request after it took some time.
+// finish moves the time forward by took and ends a started request with an outcome.
 func (f *fixture) finish(t *Ticket, took time.Duration, o Outcome) {
 	f.now += took
 	f.balancer.Finish(t, o, f.now)
 }
 
-// A minion that left still gets requests. The entry instance may learn of it
-// from the minion, from missing announcements or from the leader.
+// Guards against sending requests to a minion that left or died. The entry instance
+// learns of that from the minion, from missing announcements or from the leader.
 func TestNoRequestsToLeavingMinion(t *testing.T) {
 	leaveReceived := newFixture(1, 8)
 	must.Eq(t, Started, leaveReceived.submit(time.Second).State())
@@ -88,7 +89,8 @@
 	must.SliceEmpty(t, leaveFromLeader.allocator.Minions())
 }
 
-// A minion that died without leaving keeps its slots granted after the TTL.
+// Guards against slots that stay granted although their minion died without leaving
+// and has not announced itself within the TTL.
 func TestMinionIsRemovedAfterTTL(t *testing.T) {
 	f := newFixture(1, 8)
 	f.now += DefaultLeaseOptions().MinionTTL + 1
@@ -96,8 +98,8 @@
 	must.Eq(t, 0, f.balancer.GrantedSlots())
 }
 
-// Two entry instances use the same slot: a new leader has no record of what the
-// previous one granted to an entry instance that is unreachable.
+// Guards against two entry instances that use the same slot: a new leader has no
+// record of what the previous leader granted to an entry instance that is unreachable.
 func TestNewLeaderReservesUnclaimedSlots(t *testing.T) {
 	f := newFixture(1, 8)
 	f.allocator = NewAllocator(LeaseOptions{})
@@ -119,8 +121,9 @@
 	must.Positive(t, requestSlots())
 }
 
-// No requests are served after a leader change until the reservation of the
-// previous leader's grants ends. An entry instance keeps the slots it claims.
+// Guards against an entry instance that can start no requests after a leader change
+// until the reservation of the previous leader's grants ends. It must keep the slots
+// that it claims.
 func TestClaimedSlotsSurviveLeaderChange(t *testing.T) {
 	f := newFixture(2, 8)
 	must.Eq(t, 16, f.balancer.GrantedSlots())
@@ -135,8 +138,8 @@
 	must.Eq(t, Started, f.submit(time.Second).State())
 }
 
-// A request that can't be answered by its deadline is started and wastes work.
-// It must be refused immediately, with a jittered retry delay.
+// Guards against starting a request that can't be completed by its deadline, which
+// wastes work. The request must be refused immediately, with a jittered retry delay.
 func TestUnreachableDeadlineIsRefusedImmediately(t *testing.T) {
 	f := newFixture(1, 2)
 	for range 40 {
@@ -160,7 +163,8 @@
 	must.Greater(t, 15, len(retryDelays))
 }
 
-// A minion that fails immediately is always free and attracts all requests.
+// Guards against a minion that fails immediately, so that it is always free and
+// attracts all requests.
 func TestBreakerOpensOnFailingMinion(t *testing.T) {
 	for _, o := range []Outcome{AnsweredFailure, NotSent, Broken} {
 		f := newFixture(4, 8)
@@ -187,8 +191,8 @@
 	}
 }
 
-// Bad input of one customer fails on every minion and opens all circuit
-// breakers, which takes the service down.
+// Guards against taking a service down: the bad input of one customer fails on every
+// minion and opens all circuit breakers.
 func TestFailureRateOpensAtMostHalfOfBreakers(t *testing.T) {
 	f := newFixture(4, 8)
 	for range 200 {
@@ -198,7 +202,7 @@
 	must.LessEq(t, 2, f.balancer.OpenBreakers())
 }
 
-// Retries multiply the load on an overloaded service.
+// Guards against retries that multiply the load on an overloaded service.
 func TestRetryBudgetLimitsRetries(t *testing.T) {
 	f := newFixture(8, 8)
 	retried := 0
@@ -220,7 +224,8 @@
 	must.False(t, f.balancer.Retry(late, Broken, f.now))
 }
 
-// One customer fills the queue, and the request of another customer is refused.
+// Guards against refusing the request of one customer because another customer fills
+// the queue.
 func TestCustomerFloodDoesNotRefuseOthers(t *testing.T) {
 	f := newFixture(1, 2)
 	for range 500 {
@@ -252,7 +257,8 @@
 	}
 }
 
-// BenchmarkAllocate measures a slot request with nine entry instances.
+// BenchmarkAllocate measures a slot request with its response, with nine entry
+// instances.
 func BenchmarkAllocate(b *testing.B) {
 	f := newFixture(50, 8)
 	var others []*fixture
@@ -267,8 +273,8 @@
 	}
 }
 
-// The slot of a request whose caller disconnected is reused while the minion,
-// which isn't notified, still works on the request.
+// Guards against reusing the slot of a request whose caller disconnected while the
+// minion, which isn't notified, still works on the request.
 func TestAbandonedRequestKeepsItsSlot(t *testing.T) {
 	f := newFixture(1, 1)
 	f.finish(f.submit(time.Second), 0, Abandoned)
@@ -278,8 +284,8 @@
 	must.Eq(t, 1, f.balancer.InFlight())
 }
 
-// Delayed duplicates of slot requests and responses, also from a replaced
-// leader, bring back slots that others hold by now.
+// Guards against delayed or duplicated slot requests and responses, also of a replaced
+// leader, by which an entry instance gets slots that others hold by now.
 func TestStaleSlotMessagesAreIgnored(t *testing.T) {
 	f := newFixture(1, 8)
 	oldRequest := f.balancer.NextSlotRequest(f.now)
@@ -303,7 +309,8 @@
 	assertIgnored(func(r *SlotResponse) { r.Sequence++ })
 }
 
-// A slot response that took longer than its lease still grants slots.
+// Guards against starting requests under a slot response that took longer than its
+// lease.
 func TestExpiredSlotResponseGrantsNothing(t *testing.T) {
 	f := newFixture(1, 8)
 	resp, err := f.allocator.Allocate(f.balancer.NextSlotRequest(f.now), f.now)
@@ -314,8 +321,8 @@
 	must.Eq(t, Queued, f.submit(time.Second).State())
 }
 
-// Callers use invented service names while no leader answers, and each recorded
-// name costs memory.
+// Guards against unbounded memory: callers use invented service names while no leader
+// responds, and each name is recorded.
 func TestUnknownServicesAreBounded(t *testing.T) {
 	b := NewBalancer(Options{Entry: "e", Incarnation: 1})
 	for i := range 2 * maxUnknownServices {
@@ -324,8 +331,9 @@
 	must.Eq(t, maxUnknownServices, b.QueueLength())
 }
 
-// An entry instance that released its slots adopts a response that was in
-// flight, while the leader grants the same slots to others.
+// Guards against two entry instances that use the same slot: one that has released its
+// slots adopts a response that was in flight, while the leader grants the slots to
+// another.
 func TestNoGrantsAfterReleasingSlots(t *testing.T) {
 	f := newFixture(1, 8)
 	resp, err := f.allocator.Allocate(f.balancer.NextSlotRequest(f.now), f.now)
@@ -337,8 +345,8 @@
 	must.Eq(t, 0, f.balancer.lease.expiresAt)
 }
 
-// After a slow period, requests with short deadlines are refused forever: none
-// starts, so no new service time is measured.
+// Guards against refusing requests with short deadlines forever after a period of long
+// service times: no request starts, so no new service time is measured.
 func TestOldServiceTimesExpire(t *testing.T) {
 	f := newFixture(2, 8)
 	for range 40 {
--- a/routing/seed_test.go
+++ b/routing/seed_test.go
@@ -2,6 +2,6 @@
 
 import "flag"
 
-// init fixes the seed, so that every run gives the same result. The flag
-// -rapid.seed=0 draws a new seed for each run.
+// init fixes rapid's seed, so that every run draws the same values. The flag
+// -rapid.seed=0 selects a random seed for each run.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/routing/service.go
+++ b/routing/service.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// spareSlotDemand is how many slots beyond the current requests are demanded, so
-// that the next requests find a free slot.
+// spareSlotDemand is the number of slots beyond the current requests that an entry
+// instance demands, so that the next requests find a free slot.
 const spareSlotDemand = 2
 
 // customerLoad counts the requests of one customer for one service.
@@ -30,11 +30,13 @@
 	// medianTime is the median of the minions' average service times.
 	medianTime        time.Duration
 	medianRefreshedAt time.Duration
-	// lastReturnAt is the latest retry time that a refusal has named.
+	// lastReturnAt is the latest time reserved for the return of a refused
+	// caller.
 	lastReturnAt time.Duration
 	// lastPopulatedAt is when the service last had a minion.
 	lastPopulatedAt time.Duration
-	everPopulated   bool
+	// everPopulated reports whether the service has ever had a minion.
+	everPopulated bool
 }
 
 // newService returns a service without minions, whose estimated service time is
@@ -59,7 +61,8 @@
 	return n + spareSlotDemand
 }
 
-// customer returns the counts of a customer and creates them if there are none.
+// customer returns the request counts of a customer. It creates them if there are
+// none.
 func (s *service) customer(customer string) *customerLoad {
 	c, ok := s.customers[customer]
 	if !ok {
@@ -110,9 +113,10 @@
 	s.dropIdleCustomer(t.Customer)
 }
 
-// nextTicket returns the queued ticket that gets the next slot: the one with the
-// earliest deadline among the customers that have fewer running requests than
-// their share, or among all if there is no such customer.
+// nextTicket returns the queued ticket that gets the next free slot, or nil if the
+// queue is empty. It is the one with the earliest deadline of the customers that have
+// fewer running requests than their share of slots, or of all customers if there is no
+// such customer.
 //
 // Guards against starvation: a customer that floods the service with short
 // deadlines would make all others miss theirs. A customer that uses its share is
@@ -195,8 +199,8 @@
 // circuit breaker.
 //
 // Guards against taking a whole service down: requests that fail on every
-// minion, such as a customer's bad input, would open all breakers. At most half
-// of the minions may be kept out because of failure answers.
+// minion, such as a customer's bad input, would open all breakers. A failure rate may
+// open a breaker only if at most half of the service's breakers are open after that.
 func (s *service) mayTripOnRate() bool {
 	open := 0
 	for _, m := range s.minions {
--- a/routing/slot_lease.go
+++ b/routing/slot_lease.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// maxSentRequests is the number of unanswered slot requests that are recorded.
+// maxSentRequests is the number of recent slot requests that are recorded. The response
+// to an earlier one is ignored.
 const maxSentRequests = 16
 
-// sentRequest is a slot request that may still be answered.
+// sentRequest is a slot request whose response may still arrive.
 type sentRequest struct {
 	sequence uint64
 	sentAt   time.Duration
@@ -17,9 +18,12 @@
 
 // slotLease is the slot lease that a Balancer holds from the leader.
 type slotLease struct {
-	term     uint64
+	// term is the highest leader term seen.
+	term uint64
+	// sequence is the sequence of the last slot request.
 	sequence uint64
-	adopted  uint64
+	// adopted is the sequence of the response whose grants are in use.
+	adopted uint64
 	// expiresAt is when the adopted grants expire.
 	expiresAt time.Duration
 	// granted has the adopted grants by the leader's minion numbers.
@@ -27,13 +31,19 @@
 	// fullRequestNeeded reports whether the next request must list all held
 	// slots.
 	fullRequestNeeded bool
-	// everAnswered reports whether a leader has answered since the start.
+	// everAnswered reports whether a leader's response was adopted since the
+	// start of the process.
 	everAnswered bool
-	sent         []sentRequest
-	released     bool
+	// sent has the most recent slot requests, oldest first.
+	sent []sentRequest
+	// released reports whether the entry instance is draining and has given up
+	// all slots.
+	released bool
 }
 
-// Announce records an announcement that a minion sent to this entry instance.
+// Announce records an announcement that a minion sent to this entry instance. It
+// ignores an announcement of an earlier incarnation, and any further one of an
+// incarnation that is leaving.
 func (b *Balancer) Announce(a Announcement, now time.Duration) {
 	if a.Minion == "" || a.Service == "" {
 		return
@@ -59,7 +69,8 @@
 	b.dispatchAllServices(now)
 }
 
-// Leave takes a minion out of use immediately.
+// Leave takes a minion out of use immediately for the rest of its incarnation. It
+// ignores an earlier incarnation.
 func (b *Balancer) Leave(name string, incarnation uint64, now time.Duration) {
 	m, ok := b.minions[name]
 	if !ok || incarnation < m.Incarnation {
@@ -134,8 +145,8 @@
 	return req
 }
 
-// releaseIfDrained gives up all slots once a draining entry instance has started
-// its last queued request.
+// releaseIfDrained gives up all slots if the entry instance is draining and has no
+// queued requests.
 func (b *Balancer) releaseIfDrained() {
 	l := &b.lease
 	if !b.draining || b.QueueLength() > 0 {
@@ -176,9 +187,9 @@
 	}
 }
 
-// addAnnouncement reports to the leader that a minion has announced itself: by
-// number if the leader has the same announcement, otherwise with the
-// announcement.
+// addAnnouncement reports in the request that a minion has announced itself since the
+// last request: by the minion's number if the leader has the same announcement, and
+// otherwise with the announcement.
 func (b *Balancer) addAnnouncement(req *SlotRequest, m *minion) {
 	if !m.announcedSinceRequest {
 		return
@@ -193,9 +204,9 @@
 	m.announcedSinceRequest = m.Leaving && !acknowledged
 }
 
-// addClaim reports to a new leader which slots of a minion are held. Slots of
-// an expired lease aren't used any more, but they are claimed until the
-// previous leader could have granted them to another entry instance.
+// addClaim reports in a full request which slots of a minion are held. Slots of an
+// expired lease aren't used any more, but they are claimed until the previous leader
+// could have granted them to another entry instance.
 func (b *Balancer) addClaim(req *SlotRequest, m *minion, inFlight int, claimable bool) {
 	held := m.slots
 	if !claimable {
@@ -208,13 +219,14 @@
 	req.Claims = append(req.Claims, claim)
 }
 
-// HandleSlotResponse processes the response to a slot request. It returns
-// whether the next request must follow immediately.
+// HandleSlotResponse processes the response to a slot request. It returns whether the
+// next request must follow immediately.
 //
-// Guards against using slots that others hold: responses may be delayed,
-// duplicated and reordered, and may come from a replaced leader. Only a response
-// of the current term that is later than the adopted one and based on it is
-// adopted. Its lease counts from when its request was sent.
+// Guards against using slots that other entry instances hold: responses may be
+// delayed, duplicated and reordered, and may come from a replaced leader. A response is
+// adopted only if it is of the highest term seen, later than the adopted response, and
+// either complete or based on the adopted response. The lease of an adopted response
+// counts from when its request was sent.
 func (b *Balancer) HandleSlotResponse(resp SlotResponse, now time.Duration) (again bool) {
 	l := &b.lease
 	if resp.Term < l.term || l.released {
@@ -253,8 +265,9 @@
 	return 0, false
 }
 
-// newTerm drops the minion numbers of the previous leader. The granted slots
-// stay; the next request claims them from the new leader.
+// newTerm records a new leader term and drops the minion numbers of the previous
+// leader. The granted slots stay in use; the next request claims them from the new
+// leader.
 func (b *Balancer) newTerm(term uint64) {
 	l := &b.lease
 	l.term = term
@@ -279,9 +292,9 @@
 	return true
 }
 
-// adopt starts to use the grants of a response. It returns whether any of them
-// shrank: the leader can grant the difference to others once the next request
-// reports the adoption.
+// adopt starts to use the grants of a response, whose request was sent at sent. It
+// returns whether the slots of any minion became fewer: the leader can grant the
+// difference to other entry instances once the next request reports the adoption.
 func (b *Balancer) adopt(resp SlotResponse, sent, now time.Duration) (shrunk bool) {
 	l := &b.lease
 	if resp.Base == 0 {
@@ -334,8 +347,8 @@
 	b.setAnnouncement(m, g.Announcement, now)
 }
 
-// deleteGoneMinions deletes the records of minions that left and have no
-// requests.
+// deleteGoneMinions deletes the records of minions that the leader reports as gone,
+// that have not announced themselves recently and that have no requests in flight.
 func (b *Balancer) deleteGoneMinions(now time.Duration) {
 	ttl := b.opts.Lease.MinionTTL
 	for name, m := range b.minions {
@@ -352,9 +365,10 @@
 	b.deleteEmptyServices(now)
 }
 
-// deleteEmptyServices deletes services that never had a minion, or have had
-// none for recordRetention. Until then requests for a service without minions
-// are queued, not refused as NoSuchService.
+// deleteEmptyServices refuses, with NoSuchService, the queued requests of services that
+// never had a minion or have had none for recordRetention. It deletes such a service
+// once no request of it is running. For recordRetention after a service lost its last
+// minion, its requests are queued.
 func (b *Balancer) deleteEmptyServices(now time.Duration) {
 	for name, s := range b.services {
 		if len(s.minions) > 0 {
--- a/routing/ticket.go
+++ b/routing/ticket.go
@@ -11,9 +11,9 @@
 	Queued State = iota + 1
 	// Started requests hold a slot of a minion.
 	Started
-	// Refused requests have their final answer in Ticket.Refusal.
+	// Refused requests get no attempt, or no further one; Ticket.Refusal says why.
 	Refused
-	// Finished requests hold no slot and are not queued.
+	// Finished requests were cancelled, or their last attempt has ended.
 	Finished
 )
 
@@ -21,7 +21,8 @@
 type Request struct {
 	Service  string
 	Customer string
-	// Deadline is a time on the clock of the caller of Submit.
+	// Deadline is when the request must be completed, on the clock of the caller
+	// of Submit.
 	Deadline time.Duration
 	// Idempotent requests may be sent again when it is unknown whether they ran.
 	Idempotent bool
@@ -41,21 +42,24 @@
 	attempts  int
 	queuedAt  time.Duration
 	startedAt time.Duration
-	// failedMinion is the minion of the attempt that failed.
+	// failedMinion is the minion of the previous attempt, or nil before the
+	// first retry.
 	failedMinion *minion
-	probe        bool
+	// probe reports whether the attempt is the probe of an open circuit breaker.
+	probe bool
 }
 
 // State returns the state of the request.
 func (t *Ticket) State() State { return t.state }
 
-// Refusal returns why the request was refused, or nil.
+// Refusal returns why the request was refused, or nil if it was not.
 func (t *Ticket) Refusal() *Refusal { return t.refusal }
 
 // Attempts returns how many times the request started.
 func (t *Ticket) Attempts() int { return t.attempts }
 
-// Waited returns how long the request was queued before its last start.
+// Waited returns how long the request was queued before its last start. Call it only
+// after a start.
 func (t *Ticket) Waited() time.Duration { return t.startedAt - t.queuedAt }
 
 // Target is the minion that a started request is sent to.
@@ -71,13 +75,14 @@
 
 // The outcomes.
 const (
-	// Answered: the complete answer arrived and reports no failure of the minion.
+	// Answered: the complete response arrived and reports no failure of the
+	// minion.
 	Answered Outcome = iota + 1
-	// AnsweredFailure: the complete answer arrived and reports that the minion
+	// AnsweredFailure: the complete response arrived and reports that the minion
 	// failed.
 	AnsweredFailure
-	// Streamed: the complete answer arrived at the pace of the caller, so its
-	// duration is no measure of the minion.
+	// Streamed: the complete response arrived at the pace of the caller, so its
+	// duration doesn't count as a service time of the minion.
 	Streamed
 	// NotSent: the minion was unreachable, and no byte of the request was
 	// written.
@@ -85,9 +90,9 @@
 	// LeaseEnded: the slot lease expired before any byte of the request was
 	// written.
 	LeaseEnded
-	// Broken: the connection broke before the answer was complete.
+	// Broken: the connection broke before the response was complete.
 	Broken
-	// TimedOut: the answer was not complete in time.
+	// TimedOut: the response was not complete by the attempt's deadline.
 	TimedOut
 	// Abandoned: the caller disconnected.
 	Abandoned
--- a/routing/types.go
+++ b/routing/types.go
@@ -1,12 +1,14 @@
-// Package routing decides which request goes to which minion, and when. It does
-// no input or output, reads no clock and starts no goroutine: every method takes
-// the time as a duration since an arbitrary origin of the caller's monotonic
+// Package routing decides which request goes to which minion, and when. A minion is a
+// server of one service; it has one slot for each request that it can process at a
+// time. Entry instances are the instances that accept the requests of callers. The
+// package does no input or output, reads no clock and starts no goroutine: every method
+// takes the time as a duration since an arbitrary origin of the caller's monotonic
 // clock.
 //
-// An Allocator runs on the leader of a data centre and allocates the slots of
-// its minions to the entry instances by slot leases. A Balancer runs on each
-// entry instance: it holds the slot leases, queues requests by deadline, refuses
-// those that can't be answered in time and selects minions for the others.
+// An Allocator runs on the leader of a data centre and allocates the slots of its
+// minions to the entry instances by slot leases. A Balancer runs on each entry
+// instance: it holds a slot lease, queues requests by deadline, refuses those that
+// can't be completed in time and selects minions for the others.
 package routing
 
 import "time"
@@ -17,10 +19,10 @@
 	Service string
 	// Address is the host:port of the minion's HTTP server.
 	Address string
-	// Slots is how many requests the minion processes at a time.
+	// Slots is the number of requests that the minion processes at a time.
 	Slots int
-	// MaxConnections is how many connections the minion accepts; 0 means no
-	// limit.
+	// MaxConnections is the number of connections that the minion accepts; 0
+	// means no limit.
 	MaxConnections int
 	// Incarnation grows with each start of the minion.
 	Incarnation uint64
@@ -29,21 +31,21 @@
 	Leaving bool
 }
 
-// ServiceDemand is how many slots an entry instance could use for a service.
+// ServiceDemand is the number of slots that an entry instance could use for a service.
 type ServiceDemand struct {
 	Service string
 	Wanted  int
 }
 
-// MinionLoad is how many requests an entry instance has in flight on a minion,
-// which is identified by its number in the leader's term.
+// MinionLoad is the number of requests that an entry instance has in flight on a
+// minion. The minion is identified by the number that the leader of the term gave it.
 type MinionLoad struct {
 	Number   uint32
 	InFlight int
 }
 
-// Claim reports to a new leader the slots of a minion that an entry instance
-// holds and its requests in flight there.
+// Claim reports to a new leader how many slots of a minion an entry instance holds and
+// how many requests it has in flight there.
 type Claim struct {
 	Minion   string
 	Service  string
@@ -53,6 +55,7 @@
 
 // SlotRequest renews the slot lease of one entry instance.
 type SlotRequest struct {
+	// Entry is the ID of the entry instance.
 	Entry string
 	// Incarnation grows with each start of the entry process.
 	Incarnation uint64
@@ -62,9 +65,10 @@
 	Term uint64
 	// Adopted is the sequence of the response whose grants are in use.
 	Adopted uint64
-	// Full reports whether Claims lists everything that the entry instance
-	// holds.
-	Full    bool
+	// Full reports whether Claims lists all minions on which the entry instance
+	// holds slots or has requests in flight.
+	Full bool
+	// Demands lists the services of which the entry instance could use slots.
 	Demands []ServiceDemand
 	// Loads lists the minions with requests in flight, by their numbers in Term.
 	Loads  []MinionLoad
@@ -79,8 +83,8 @@
 	ReleaseAll bool
 }
 
-// Grant sets how many slots of one minion an entry instance may use. The minion
-// is identified by its number in the leader's term.
+// Grant sets how many slots of one minion an entry instance may use. The minion is
+// identified by the number that the leader of the term gave it.
 type Grant struct {
 	Number uint32
 	Slots  int
@@ -91,9 +95,11 @@
 	Gone bool
 }
 
-// SlotResponse answers a SlotRequest.
+// SlotResponse is the response to a SlotRequest.
 type SlotResponse struct {
-	Term     uint64
+	// Term is the leader term.
+	Term uint64
+	// Sequence is the sequence of the request.
 	Sequence uint64
 	// Lease is the duration of the lease, counted from when the entry instance
 	// sent the request.
@@ -101,14 +107,18 @@
 	// Base is the sequence of the response that Grants modifies. 0 means that
 	// Grants is complete.
 	Base uint64
-	// Resync asks for a full request; the response grants nothing.
+	// Resync reports that the next request must be a full one. A response with
+	// Resync grants nothing.
 	Resync bool
+	// Grants lists the grants that differ from those of Base.
 	Grants []Grant
 }
 
-// LeaseOptions are the durations on which Allocator and Balancer must agree.
+// LeaseOptions has the durations that must be equal for an Allocator and its
+// Balancers.
 type LeaseOptions struct {
-	// Lease is how long granted slots may be used.
+	// Lease is how long granted slots may be used, counted from when the slot
+	// request was sent.
 	Lease time.Duration
 	// MaxRequest bounds how long a request may be in flight on a minion. It
 	// must not be shorter than Lease.
