--- a/hlc/hlc_test.go
+++ b/hlc/hlc_test.go
@@ -28,8 +28,9 @@
 // that don't grow, and timestamps further ahead of the process's own wall clock than
 // MaxAhead, when processes with skewed wall clocks exchange messages.
 func TestReceiptIsAfterSend(t *testing.T) {
+	const maxSkewMillis = 30_000
 	rapid.Check(t, func(t *rapid.T) {
-		skew := rapid.SliceOfN(rapid.Int64Range(-30_000, 30_000), 2, 4).Draw(t, "skew")
+		skew := rapid.SliceOfN(rapid.Int64Range(-maxSkewMillis, maxSkewMillis), 2, 4).Draw(t, "skew")
 		clocks := make([]hlc.Clock, len(skew))
 		last := make([]hlc.Timestamp, len(skew))
 		now := int64(1_000_000)
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -245,8 +245,9 @@
 
 // BenchmarkExpired measures one check for expired leases among 450.
 func BenchmarkExpired(b *testing.B) {
+	const workers = 450
 	table := lease.NewTable(ttl, drift)
-	for i := range 450 {
+	for i := range workers {
 		table.Renew(fmt.Sprintf("worker-%03d", i), 1, 1, 0)
 	}
 	for b.Loop() {
--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -21,6 +21,20 @@
 	// ttl+drift. maxClockRate is the highest rate.
 	minClockRate = 834
 	maxClockRate = 1200
+	// perMille is the rate of the leader's clock, in thousandths.
+	perMille = 1000
+
+	// maxWorkers and modelTasks are the largest number of workers and the number of
+	// tasks in the model.
+	maxWorkers = 3
+	modelTasks = 3
+	// maxCommands is the largest number of commands in a response.
+	maxCommands = 4
+	// maxClockOriginMillis and maxStepMillis bound the origin of a leader's clock
+	// and one step of the simulated time, in milliseconds.
+	maxClockOriginMillis = 100000
+	maxStepMillis        = 1500
+	actionsPerRun        = 400
 )
 
 // command is the body of a command.
@@ -115,9 +129,9 @@
 func newModel(t *rapid.T, eventCounts map[string]int) *model {
 	w := &model{
 		t: t, records: map[lease.Attempt]*record{}, announcedIncarnations: map[int]uint64{},
-		started: map[lease.Attempt]bool{}, lastAttempt: make([]int32, 3), eventCounts: eventCounts,
+		started: map[lease.Attempt]bool{}, lastAttempt: make([]int32, modelTasks), eventCounts: eventCounts,
 	}
-	for range rapid.IntRange(1, 3).Draw(t, "workers") {
+	for range rapid.IntRange(1, maxWorkers).Draw(t, "workers") {
 		w.workers = append(w.workers, nil)
 		w.restart(len(w.workers) - 1)
 	}
@@ -126,7 +140,7 @@
 }
 
 // clock returns the time on a worker's monotonic clock.
-func (w *model) clock(p *process) time.Duration { return w.now * p.rate / 1000 }
+func (w *model) clock(p *process) time.Duration { return w.now * p.rate / perMille }
 
 // restart replaces the process of a worker. The tasks of the old process end with it.
 func (w *model) restart(i int) {
@@ -145,13 +159,13 @@
 // changeLeader starts a new leader, which has only the committed state.
 func (w *model) changeLeader() {
 	w.term++
-	w.clockOrigin = time.Duration(rapid.IntRange(0, 100000).Draw(w.t, "origin")) * time.Millisecond
+	w.clockOrigin = time.Duration(rapid.IntRange(0, maxClockOriginMillis).Draw(w.t, "origin")) * time.Millisecond
 	w.table = lease.NewTable(ttl, drift)
 	w.outboxes = map[int]*lease.Outbox[command]{}
 	w.outboxIncarnation = map[int]uint64{}
 	w.table.TakeOver(w.ownerNow(), workerNames(len(w.workers)))
 	for i, incarnation := range w.announcedIncarnations {
-		w.table.RecordIncarnation(workerNames(3)[i], incarnation)
+		w.table.RecordIncarnation(workerNames(maxWorkers)[i], incarnation)
 	}
 }
 
@@ -230,7 +244,7 @@
 
 // handleRenewal handles a renewal at the leader.
 func (w *model) handleRenewal(m message) {
-	name := workerNames(3)[m.worker]
+	name := workerNames(maxWorkers)[m.worker]
 	r := w.table.Renew(name, m.incarnation, m.sequence, w.ownerNow())
 	if r.Accepted && w.outboxIncarnation[m.worker] != m.incarnation {
 		w.announcedIncarnations[m.worker] = max(w.announcedIncarnations[m.worker], m.incarnation)
@@ -246,7 +260,7 @@
 	if r.Accepted {
 		outbox := w.outboxes[m.worker]
 		outbox.Acknowledge(m.position)
-		response.commands = slices.Clone(outbox.Pending(4))
+		response.commands = slices.Clone(outbox.Pending(maxCommands))
 	}
 	w.send(response)
 }
@@ -281,7 +295,7 @@
 // tasks can start elsewhere.
 func (w *model) commitLost() {
 	for _, r := range w.records {
-		if r.state == "assigned" && w.table.Fenced(workerNames(3)[r.worker], r.incarnation) {
+		if r.state == "assigned" && w.table.Fenced(workerNames(maxWorkers)[r.worker], r.incarnation) {
 			w.eventCounts["lost"]++
 			r.state = "lost"
 		}
@@ -372,10 +386,10 @@
 	task := uniform(len(w.lastAttempt)).Draw(w.t, "task")
 	i := uniform(len(w.workers)).Draw(w.t, "worker")
 	last := w.records[w.latestAttempt(task)]
-	if (last != nil && last.state == "assigned") || !w.table.Live(workerNames(3)[i], w.ownerNow()) {
+	if (last != nil && last.state == "assigned") || !w.table.Live(workerNames(maxWorkers)[i], w.ownerNow()) {
 		return
 	}
-	incarnation, _ := w.table.Incarnation(workerNames(3)[i])
+	incarnation, _ := w.table.Incarnation(workerNames(maxWorkers)[i])
 	w.lastAttempt[task]++
 	a := w.latestAttempt(task)
 	w.records[a] = &record{worker: i, incarnation: incarnation, state: "assigned"}
@@ -388,7 +402,7 @@
 	p := w.workers[i]
 	switch action := uniform(100).Draw(w.t, "action"); {
 	case action < 12:
-		w.now += time.Duration(uniform(1500).Draw(w.t, "ms")) * time.Millisecond
+		w.now += time.Duration(uniform(maxStepMillis).Draw(w.t, "ms")) * time.Millisecond
 	case action < 50:
 		w.takeMessage()
 	case action < 58:
@@ -458,7 +472,7 @@
 	eventCounts := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		w := newModel(t, eventCounts)
-		for range 400 {
+		for range actionsPerRun {
 			w.act()
 		}
 	})
--- a/quota/demand_test.go
+++ b/quota/demand_test.go
@@ -32,6 +32,13 @@
 	epochTicks      = 50
 	partitionStart  = 6000
 	partitionEnd    = 7200
+	simSeed         = 7
+	// demandWeight is the weight of the newest value in the moving average of
+	// demand.
+	demandWeight = 0.02
+	// minMissingCPU is the least shortfall of its share, in thousandths of a core,
+	// for which a data centre requests slots in the proportional strategy.
+	minMissingCPU = taskCPU / 4
 )
 
 // strategy is one way of adapting the allotments of the data centres to demand.
@@ -203,8 +210,7 @@
 	}
 	for customer := range simCustomers {
 		currentDemand := float64(c.used[customer]) + float64(len(c.queue[customer]))*taskCPU
-		// The newest value has a weight of 0.02 in the moving average.
-		c.demand[customer] += 0.02 * (currentDemand - c.demand[customer])
+		c.demand[customer] += demandWeight * (currentDemand - c.demand[customer])
 	}
 	if m.proportional {
 		m.share(i, c)
@@ -241,7 +247,7 @@
 		missing := m.fairShare(i, customer) - c.ledger.Allotment(id).CPU
 		for j, other := range m.centres {
 			surplus := other.ledger.Allotment(id).CPU - m.fairShare(j, customer)
-			if missing >= taskCPU/4 && surplus > 0 && i != j {
+			if missing >= minMissingCPU && surplus > 0 && i != j {
 				amount := min(missing, surplus)
 				missing -= amount
 				demands[j] = append(demands[j], quota.Demand{Customer: id, Amount: placement.Resources{CPU: amount}})
@@ -329,7 +335,7 @@
 	} {
 		b.Run(s.name, func(b *testing.B) {
 			for b.Loop() {
-				m := newSimulation(s, 7)
+				m := newSimulation(s, simSeed)
 				m.run()
 				m.report(b)
 			}
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -17,6 +17,9 @@
 // customer is the only customer of the tests.
 const customer = "reports"
 
+// actionsPerRun is the number of random actions of one run of the model.
+const actionsPerRun = 150
+
 // model simulates some data centres, the network between them, and the configurations
 // accepted so far.
 type model struct {
@@ -245,7 +248,7 @@
 	results := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		w := newModel(t, results)
-		for range 150 {
+		for range actionsPerRun {
 			w.act()
 			w.check()
 		}
--- a/routing/estimate.go
+++ b/routing/estimate.go
@@ -14,6 +14,9 @@
 	estimateWindowParts = 3
 	// estimateInterval is how often the mean and the percentile are recomputed.
 	estimateInterval = 100 * time.Millisecond
+	// earlySamples is the number of samples below which mean and tail are recomputed
+	// without waiting for estimateInterval.
+	earlySamples = 20
 	// tailPercentile is the percentile of the service times that a request is
 	// assumed to need when the Balancer decides whether it can still be completed
 	// by its deadline.
@@ -60,9 +63,9 @@
 }
 
 // refresh recomputes mean and tail from new samples if estimateInterval has
-// passed, or immediately while they are computed from fewer than 20 samples.
+// passed, or immediately while they are computed from fewer than earlySamples samples.
 func (e *estimator) refresh(now time.Duration) {
-	early := e.samples < 20 && e.hasNewSamples
+	early := e.samples < earlySamples && e.hasNewSamples
 	if now-e.refreshedAt < estimateInterval && !early {
 		return
 	}
--- a/routing/load_report_test.go
+++ b/routing/load_report_test.go
@@ -6,18 +6,22 @@
 	"time"
 )
 
+// recoveredFraction is the fraction of the requests per second before the fault at which
+// the service counts as recovered.
+const recoveredFraction = 0.9
+
 // perSecond converts a count over the measured period to a rate per second.
 func (r *loadRun) perSecond(n int) float64 { return float64(n) / (loadEnd - warmUp).Seconds() }
 
 // recovered returns the number of whole seconds from faultAt until the requests
-// completed in time per second stay at or above 90 % of their mean over the 3 s before
-// the fault.
+// completed in time per second stay at or above recoveredFraction of their mean over the
+// 3 s before the fault.
 func (r *loadRun) recovered() float64 {
 	first := int(faultAt / time.Second)
 	before := float64(r.goodBySecond[first-1]+r.goodBySecond[first-2]+r.goodBySecond[first-3]) / 3
 	last := int(loadEnd/time.Second) - 1
 	for s := last; s >= first; s-- {
-		if float64(r.goodBySecond[s]) < 0.9*before {
+		if float64(r.goodBySecond[s]) < recoveredFraction*before {
 			return float64(s + 1 - first)
 		}
 	}
--- a/routing/load_test.go
+++ b/routing/load_test.go
@@ -31,6 +31,18 @@
 	// HTTP/2.
 	callOverheadBytes = 25
 	maxCallerRetries  = 2
+	loadCustomers     = 4
+	// slowServiceFactor is by how much a slow minion's service times are longer.
+	slowServiceFactor = 10
+	// gapDivisor divides the gap between slot requests after a response that
+	// granted more slots.
+	gapDivisor = 4
+	// maxWaitMicros and waitDigits are the largest wait, in microseconds, and the
+	// significant digits of the histogram of waits.
+	maxWaitMicros = 60_000_000
+	waitDigits    = 3
+	// maxLoadSeconds is the most seconds that are counted; loadEnd is earlier.
+	maxLoadSeconds = 64
 )
 
 // loadCase is the configuration of one run.
@@ -113,7 +125,7 @@
 
 	offered, good, otherOffered, otherGood int
 	refused, late, lost                    int
-	goodBySecond                           [64]int
+	goodBySecond                           [maxLoadSeconds]int
 	bytes, calls                           int
 	waits                                  *hdrhistogram.Histogram
 	lastSendAfterLeave                     time.Duration
@@ -154,7 +166,7 @@
 		loadCase:  c,
 		rng:       rand.New(rand.NewPCG(loadSeed, 0)),
 		minions:   make(map[string]*loadMinion),
-		waits:     hdrhistogram.New(1, 60_000_000, 3),
+		waits:     hdrhistogram.New(1, maxWaitMicros, waitDigits),
 		allocator: routing.NewAllocator(routing.LeaseOptions{}),
 		leader:    true,
 	}
@@ -265,7 +277,7 @@
 // and longer otherwise.
 func nextGap(gap time.Duration, grew bool) time.Duration {
 	if grew {
-		return max(minSlotRequestGap, gap/4)
+		return max(minSlotRequestGap, gap/gapDivisor)
 	}
 	return min(slotRequestInterval, max(minSlotRequestGap, 2*gap))
 }
@@ -275,7 +287,7 @@
 func (r *loadRun) arrive() {
 	rate := r.load * float64(len(r.minionList)*loadSlots) / meanService.Seconds()
 	r.schedule(r.now+time.Duration(r.rng.ExpFloat64()/rate*float64(time.Second)), r.arrive)
-	q := &loadRequest{customer: fmt.Sprint("c", r.rng.IntN(4)), idempotent: r.rng.IntN(2) == 0}
+	q := &loadRequest{customer: fmt.Sprint("c", r.rng.IntN(loadCustomers)), idempotent: r.rng.IntN(2) == 0}
 	if r.rng.Float64() < r.flood {
 		q.customer = "flood"
 	}
@@ -361,7 +373,7 @@
 func (r *loadRun) serviceTime(m *loadMinion) time.Duration {
 	took := time.Duration(r.rng.ExpFloat64() * float64(meanService))
 	if m.fault == slow {
-		return 10 * took
+		return slowServiceFactor * took
 	}
 	return took
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -141,6 +141,11 @@
 // Guards against starting a request that can't be completed by its deadline, which
 // wastes work. The request must be refused immediately, with a jittered retry delay.
 func TestUnreachableDeadlineIsRefusedImmediately(t *testing.T) {
+	// With a service time of 100 ms, a request that waits for a slot can't complete
+	// within shortDeadline.
+	const shortDeadline = 120 * time.Millisecond
+	// More than fewDelays of the 20 retry delays must differ.
+	const fewDelays = 15
 	f := newFixture(1, 2)
 	for range 40 {
 		f.finish(f.submit(time.Second), 100*time.Millisecond, Answered)
@@ -150,22 +155,25 @@
 	for range 2 {
 		must.Eq(t, Started, f.submit(time.Second).State())
 	}
-	unreachable := f.submit(120 * time.Millisecond)
+	unreachable := f.submit(shortDeadline)
 	must.Eq(t, Refused, unreachable.State())
 	must.Eq(t, TooLate, unreachable.Refusal().Reason)
 	must.Positive(t, unreachable.Refusal().RetryAfter)
 	retryDelays := make(map[time.Duration]bool)
 	for range 20 {
-		late := f.submit(120 * time.Millisecond)
+		late := f.submit(shortDeadline)
 		must.Eq(t, Refused, late.State())
 		retryDelays[late.Refusal().RetryAfter] = true
 	}
-	must.Greater(t, 15, len(retryDelays))
+	must.Greater(t, fewDelays, len(retryDelays))
 }
 
 // Guards against a minion that fails immediately, so that it is always free and
 // attracts all requests.
 func TestBreakerOpensOnFailingMinion(t *testing.T) {
+	// maxFailingAttempts is the most of the 200 requests that may reach the failing
+	// minion.
+	const maxFailingAttempts = 10
 	for _, o := range []Outcome{AnsweredFailure, NotSent, Broken} {
 		f := newFixture(4, 8)
 		failingAttempts := 0
@@ -180,7 +188,7 @@
 			f.finish(ticket, 4*time.Millisecond, Answered)
 			f.advance(0)
 		}
-		must.LessEq(t, 10, failingAttempts)
+		must.LessEq(t, maxFailingAttempts, failingAttempts)
 		must.Positive(t, failingAttempts)
 		must.Eq(t, 1, f.balancer.OpenBreakers())
 		f.advance(maxBackoff)
@@ -204,6 +212,9 @@
 
 // Guards against retries that multiply the load on an overloaded service.
 func TestRetryBudgetLimitsRetries(t *testing.T) {
+	// The retry budget starts at 10 and grows by 0.1 with each of the 100 requests;
+	// one more is tolerated.
+	const maxRetried = 21
 	f := newFixture(8, 8)
 	retried := 0
 	for range 100 {
@@ -217,7 +228,7 @@
 			f.finish(ticket, 0, AnsweredFailure)
 		}
 	}
-	must.LessEq(t, 21, retried)
+	must.LessEq(t, maxRetried, retried)
 	must.Positive(t, retried)
 	late := f.submit(time.Second)
 	f.finish(late, time.Second, Broken)
