--- a/lease/table.go
+++ b/lease/table.go
@@ -228,8 +228,8 @@
 	delete(t.workers, worker)
 }
 
-// Workers returns the number of workers in the table.
-func (t *Table) Workers() int {
+// WorkerCount returns the number of workers in the table.
+func (t *Table) WorkerCount() int {
 	return len(t.workers)
 }
 
