--- a/routing/estimate.go
+++ b/routing/estimate.go
@@ -14,8 +14,12 @@
 	estimateWindowParts = 3
 	// estimateInterval is how often the mean and the percentile are recomputed.
 	estimateInterval = 100 * time.Millisecond
+	// earlySamples is the number of samples below which mean and tail are recomputed
+	// without waiting for estimateInterval.
+	earlySamples = 20
 	// tailPercentile is the percentile of the service times that a request is
-	// assumed to need when it must be answered by its deadline.
+	// assumed to need when the Balancer decides whether it can still be completed
+	// by its deadline.
 	tailPercentile = 95
 
 	// maxServiceTime is the largest recorded service time; longer ones count as
@@ -26,24 +30,26 @@
 
 // estimator estimates the service times of one service from recent samples.
 type estimator struct {
-	window    *hdrhistogram.WindowedHistogram
-	rotatedAt time.Duration
-	readAt    time.Duration
+	window      *hdrhistogram.WindowedHistogram
+	rotatedAt   time.Duration
+	refreshedAt time.Duration
 	// addedAt is when the last sample was added.
 	addedAt time.Duration
-	// unread reports whether samples were added since mean and tail were
+	// hasNewSamples reports whether samples were added since mean and tail were
 	// computed.
-	unread bool
+	hasNewSamples bool
 
+	// samples is the number of samples from which mean and tail were computed.
 	samples int64
 	mean    time.Duration
-	tail    time.Duration
+	// tail is the service time at tailPercentile.
+	tail time.Duration
 }
 
-// newEstimator returns an estimator that assumes first until it has samples.
+// newEstimator returns an estimator whose mean and tail are first until it has samples.
 func newEstimator(first time.Duration, now time.Duration) *estimator {
 	window := hdrhistogram.NewWindowed(estimateWindowParts, 1, maxServiceTime.Microseconds(), significantDigits)
-	return &estimator{window: window, rotatedAt: now, readAt: now, addedAt: now, mean: first, tail: first}
+	return &estimator{window: window, rotatedAt: now, refreshedAt: now, addedAt: now, mean: first, tail: first}
 }
 
 // add records a service time.
@@ -53,18 +59,18 @@
 	micros := min(max(1, took.Microseconds()), maxServiceTime.Microseconds())
 	// RecordValue can't fail: micros is within the bounds given to NewWindowed.
 	_ = e.window.Current.RecordValue(micros)
-	e.unread = true
+	e.hasNewSamples = true
 }
 
 // refresh recomputes mean and tail from new samples if estimateInterval has
-// passed, or immediately while they rest on fewer than 20 samples.
+// passed, or immediately while they are computed from fewer than earlySamples samples.
 func (e *estimator) refresh(now time.Duration) {
-	early := e.samples < 20 && e.unread
-	if now-e.readAt < estimateInterval && !early {
+	early := e.samples < earlySamples && e.hasNewSamples
+	if now-e.refreshedAt < estimateInterval && !early {
 		return
 	}
-	e.readAt = now
-	if e.unread {
+	e.refreshedAt = now
+	if e.hasNewSamples {
 		e.readWindow()
 	}
 	e.slide(now)
@@ -82,14 +88,14 @@
 	}
 }
 
-// stale reports whether the window has no sample any more.
+// stale reports whether the last sample is too old to be in the window.
 func (e *estimator) stale(now time.Duration) bool {
 	return now-e.addedAt >= estimateWindowParts*estimateWindow
 }
 
 // readWindow recomputes mean and tail from the window.
 func (e *estimator) readWindow() {
-	e.unread = false
+	e.hasNewSamples = false
 	merged := e.window.Merge()
 	e.samples = merged.TotalCount()
 	if e.samples == 0 {
--- a/routing/load_test.go
+++ b/routing/load_test.go
@@ -13,8 +13,8 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
-// Durations and sizes of the simulation. The system runs without faults from
-// warmUp to faultAt.
+// Durations and sizes of the simulation. Results are counted from warmUp to loadEnd,
+// and the fault of the case is injected at faultAt.
 const (
 	loadSeed            = 7
 	loadSlots           = 8
@@ -27,10 +27,22 @@
 	slotRequestInterval = 500 * time.Millisecond
 	minSlotRequestGap   = 100 * time.Millisecond
 	announceInterval    = time.Second
-	// callOverheadBytes is the overhead of one small call over HTTP/2, without
-	// its two messages.
+	// callOverheadBytes is the overhead of one message of a small call over
+	// HTTP/2.
 	callOverheadBytes = 25
 	maxCallerRetries  = 2
+	loadCustomers     = 4
+	// slowServiceFactor is by how much a slow minion's service times are longer.
+	slowServiceFactor = 10
+	// gapDivisor divides the gap between slot requests after a response that
+	// granted more slots.
+	gapDivisor = 4
+	// maxWaitMicros and waitDigits are the largest wait, in microseconds, and the
+	// significant digits of the histogram of waits.
+	maxWaitMicros = 60_000_000
+	waitDigits    = 3
+	// maxLoadSeconds is the most seconds that are counted; loadEnd is earlier.
+	maxLoadSeconds = 64
 )
 
 // loadCase is the configuration of one run.
@@ -41,7 +53,7 @@
 	load     float64 // offered load as a multiple of the minions' capacity
 	policy   routing.Policy
 	baseline bool
-	// fault is injected into the first faulty minions at faultAt.
+	// fault is injected at faultAt into the first minions, as many as faulty.
 	fault  minionFault
 	faulty int
 	// event runs at faultAt.
@@ -64,7 +76,9 @@
 // loadMinion is a simulated minion.
 type loadMinion struct {
 	routing.Announcement
-	fault   minionFault
+	fault minionFault
+	// busy is the number of requests that the minion processes, maxBusy the
+	// highest such number of the run.
 	busy    int
 	maxBusy int
 	queue   []*loadRequest // the minion's own queue; baseline only
@@ -72,10 +86,11 @@
 
 // loadEntry is a simulated entry instance.
 type loadEntry struct {
-	id                string
-	incarnation       uint64
-	balancer          *routing.Balancer
-	up                bool
+	id          string
+	incarnation uint64
+	balancer    *routing.Balancer
+	up          bool
+	// gap is the minimum time between two slot requests.
 	gap               time.Duration
 	nextSlotRequestAt time.Duration
 }
@@ -92,7 +107,10 @@
 	idempotent bool
 }
 
-// loadRun is a discrete event simulation.
+// loadRun is a discrete event simulation of callers, entry instances, a leader and
+// minions. Requests completed in time count as good, those completed later as late, and
+// those whose last attempt failed as lost. Fields named other count only requests that
+// aren't of the flooding customer.
 type loadRun struct {
 	loadCase
 	rng        *rand.Rand
@@ -107,7 +125,7 @@
 
 	offered, good, otherOffered, otherGood int
 	refused, late, lost                    int
-	goodBySecond                           [64]int
+	goodBySecond                           [maxLoadSeconds]int
 	bytes, calls                           int
 	waits                                  *hdrhistogram.Histogram
 	lastSendAfterLeave                     time.Duration
@@ -117,7 +135,7 @@
 type loadEvent struct {
 	at       time.Duration
 	sequence int
-	do       func()
+	action   func()
 }
 
 // eventHeap orders events by time, then by insertion.
@@ -136,10 +154,10 @@
 	return last
 }
 
-// at schedules a function.
-func (r *loadRun) at(t time.Duration, do func()) {
+// schedule schedules action to run at the simulated time t.
+func (r *loadRun) schedule(t time.Duration, action func()) {
 	r.eventCount++
-	heap.Push(&r.events, loadEvent{at: t, sequence: r.eventCount, do: do})
+	heap.Push(&r.events, loadEvent{at: t, sequence: r.eventCount, action: action})
 }
 
 // newLoadRun returns a simulation with its first events scheduled.
@@ -148,7 +166,7 @@
 		loadCase:  c,
 		rng:       rand.New(rand.NewPCG(loadSeed, 0)),
 		minions:   make(map[string]*loadMinion),
-		waits:     hdrhistogram.New(1, 60_000_000, 3),
+		waits:     hdrhistogram.New(1, maxWaitMicros, waitDigits),
 		allocator: routing.NewAllocator(routing.LeaseOptions{}),
 		leader:    true,
 	}
@@ -162,15 +180,15 @@
 		m := &loadMinion{Announcement: a}
 		r.minions[name] = m
 		r.minionList = append(r.minionList, m)
-		r.at(time.Duration(i)*announceInterval/time.Duration(c.minions), func() { r.announce(m) })
+		r.schedule(time.Duration(i)*announceInterval/time.Duration(c.minions), func() { r.announce(m) })
 	}
 	for i := range c.entries {
 		e := &loadEntry{id: fmt.Sprintf("naas-hall-%d", i)}
 		r.entries = append(r.entries, e)
 		r.startEntry(e)
 	}
-	r.at(warmUp/2, r.arrive)
-	r.at(faultAt, r.injectFault)
+	r.schedule(warmUp/2, r.arrive)
+	r.schedule(faultAt, r.injectFault)
 	return r
 }
 
@@ -204,10 +222,10 @@
 			}
 		}
 	}
-	r.at(r.now+announceInterval, func() { r.announce(m) })
+	r.schedule(r.now+announceInterval, func() { r.announce(m) })
 }
 
-// sendSlotRequest sends a slot request of one entry process, and the next one
+// sendSlotRequest sends a slot request of one entry process and schedules the next one
 // after slotRequestInterval.
 func (r *loadRun) sendSlotRequest(e *loadEntry, b *routing.Balancer) {
 	if e.balancer != b || !e.up {
@@ -215,15 +233,15 @@
 	}
 	e.nextSlotRequestAt = r.now + slotRequestInterval
 	req := b.NextSlotRequest(r.now)
-	r.at(r.now+oneWayDelay, func() { r.handleSlotRequest(e, b, req) })
-	r.at(e.nextSlotRequestAt, func() {
+	r.schedule(r.now+oneWayDelay, func() { r.handleSlotRequest(e, b, req) })
+	r.schedule(e.nextSlotRequestAt, func() {
 		if e.nextSlotRequestAt <= r.now {
 			r.sendSlotRequest(e, b)
 		}
 	})
 }
 
-// handleSlotRequest answers a slot request at the leader.
+// handleSlotRequest handles a slot request at the leader and sends the response.
 func (r *loadRun) handleSlotRequest(e *loadEntry, b *routing.Balancer, req routing.SlotRequest) {
 	if !r.leader {
 		return
@@ -236,7 +254,7 @@
 		r.bytes += callOverheadBytes + proto.Size(proxy.RequestToWire(req)) + callOverheadBytes + proto.Size(proxy.ResponseToWire(resp))
 		r.calls++
 	}
-	r.at(r.now+oneWayDelay, func() { r.handleSlotResponse(e, b, resp) })
+	r.schedule(r.now+oneWayDelay, func() { r.handleSlotResponse(e, b, resp) })
 }
 
 // handleSlotResponse processes a slot response at the entry process.
@@ -254,11 +272,12 @@
 	}
 }
 
-// nextGap returns the minimum time between two slot requests, by the same rule
-// as internal/proxy.
+// nextGap returns the minimum time until the next slot request. It is the same rule as
+// in internal/proxy: the time becomes shorter if the last response granted more slots,
+// and longer otherwise.
 func nextGap(gap time.Duration, grew bool) time.Duration {
 	if grew {
-		return max(minSlotRequestGap, gap/4)
+		return max(minSlotRequestGap, gap/gapDivisor)
 	}
 	return min(slotRequestInterval, max(minSlotRequestGap, 2*gap))
 }
@@ -267,8 +286,8 @@
 // distributed time.
 func (r *loadRun) arrive() {
 	rate := r.load * float64(len(r.minionList)*loadSlots) / meanService.Seconds()
-	r.at(r.now+time.Duration(r.rng.ExpFloat64()/rate*float64(time.Second)), r.arrive)
-	q := &loadRequest{customer: fmt.Sprint("c", r.rng.IntN(4)), idempotent: r.rng.IntN(2) == 0}
+	r.schedule(r.now+time.Duration(r.rng.ExpFloat64()/rate*float64(time.Second)), r.arrive)
+	q := &loadRequest{customer: fmt.Sprint("c", r.rng.IntN(loadCustomers)), idempotent: r.rng.IntN(2) == 0}
 	if r.rng.Float64() < r.flood {
 		q.customer = "flood"
 	}
@@ -284,7 +303,8 @@
 // measured reports whether the current time counts in the results.
 func (r *loadRun) measured() bool { return r.now >= warmUp && r.now < loadEnd }
 
-// send submits a request to a random live entry instance.
+// send submits a request to a random live entry instance, or sends it to a minion in a
+// baseline run.
 func (r *loadRun) send(q *loadRequest) {
 	q.arrived = r.now
 	q.deadline = r.now + loadDeadline
@@ -309,7 +329,7 @@
 	if q.ticket.State() != routing.Queued {
 		return
 	}
-	r.at(q.balancer.QueueDeadline(q.ticket)+1, func() {
+	r.schedule(q.balancer.QueueDeadline(q.ticket)+1, func() {
 		if q.alive() && q.ticket.State() == routing.Queued {
 			q.balancer.Expire(q.ticket, r.now)
 			r.collect(q.entry)
@@ -338,21 +358,22 @@
 	}
 }
 
-// retryRefused lets the caller of a refused request retry after the delay.
+// retryRefused lets the caller of a refused request retry after the delay, at most
+// maxCallerRetries times.
 func (r *loadRun) retryRefused(q *loadRequest, after time.Duration) {
 	r.refused++
 	if q.retries >= maxCallerRetries || after == 0 {
 		return
 	}
 	retry := &loadRequest{customer: q.customer, retries: q.retries + 1, idempotent: q.idempotent}
-	r.at(r.now+after, func() { r.send(retry) })
+	r.schedule(r.now+after, func() { r.send(retry) })
 }
 
 // serviceTime draws the service time of a request on a minion.
 func (r *loadRun) serviceTime(m *loadMinion) time.Duration {
 	took := time.Duration(r.rng.ExpFloat64() * float64(meanService))
 	if m.fault == slow {
-		return 10 * took
+		return slowServiceFactor * took
 	}
 	return took
 }
@@ -369,21 +390,21 @@
 	}
 	switch m.fault {
 	case gone:
-		r.at(r.now+2*oneWayDelay, func() { r.finished(q, routing.NotSent) })
+		r.schedule(r.now+2*oneWayDelay, func() { r.finished(q, routing.NotSent) })
 	case failing:
-		r.at(r.now+2*oneWayDelay, func() { r.finished(q, routing.AnsweredFailure) })
+		r.schedule(r.now+2*oneWayDelay, func() { r.finished(q, routing.AnsweredFailure) })
 	case hanging:
 		m.requestStarted()
-		r.at(attemptDeadline, func() { m.busy--; r.finished(q, routing.TimedOut) })
+		r.schedule(attemptDeadline, func() { m.busy--; r.finished(q, routing.TimedOut) })
 	default:
 		m.requestStarted()
 		end := r.now + 2*oneWayDelay + r.serviceTime(m)
-		r.at(end, func() { m.busy-- })
+		r.schedule(end, func() { m.busy-- })
 		if end > attemptDeadline {
-			r.at(attemptDeadline, func() { r.finished(q, routing.TimedOut) })
+			r.schedule(attemptDeadline, func() { r.finished(q, routing.TimedOut) })
 			return
 		}
-		r.at(end, func() { r.finished(q, routing.Answered) })
+		r.schedule(end, func() { r.finished(q, routing.Answered) })
 	}
 }
 
@@ -401,7 +422,7 @@
 	b := q.balancer
 	b.Finish(q.ticket, o, r.now)
 	if o == routing.Answered {
-		r.done(q)
+		r.countAnswered(q)
 		r.collect(q.entry)
 		return
 	}
@@ -413,8 +434,9 @@
 	r.collect(q.entry)
 }
 
-// done counts an answered request.
-func (r *loadRun) done(q *loadRequest) {
+// countAnswered counts a request whose response arrived, as good if that was before
+// its deadline and as late otherwise.
+func (r *loadRun) countAnswered(q *loadRequest) {
 	if r.now > q.deadline {
 		r.late++
 		return
@@ -429,8 +451,8 @@
 	}
 }
 
-// sendBaseline sends a request to a random minion, which processes its own queue
-// in order, expired requests included.
+// sendBaseline sends a request to a random minion, which processes the requests of its
+// own queue in order of arrival, also those past their deadline.
 func (r *loadRun) sendBaseline(q *loadRequest) {
 	m := r.minionList[r.rng.IntN(len(r.minionList))]
 	switch {
@@ -443,15 +465,16 @@
 	}
 }
 
-// serveBaseline processes a request and then the next one of the minion's queue.
+// serveBaseline processes a request on a minion and afterwards the next request of the
+// minion's queue.
 func (r *loadRun) serveBaseline(m *loadMinion, q *loadRequest) {
 	if r.measured() {
 		_ = r.waits.RecordValue(max(1, (r.now - q.arrived).Microseconds()))
 	}
 	m.requestStarted()
-	r.at(r.now+r.serviceTime(m), func() {
+	r.schedule(r.now+r.serviceTime(m), func() {
 		m.busy--
-		r.done(q)
+		r.countAnswered(q)
 		if len(m.queue) > 0 {
 			next := m.queue[0]
 			m.queue = m.queue[1:]
@@ -471,5 +494,5 @@
 func (r *loadRun) step() {
 	e := heap.Pop(&r.events).(loadEvent)
 	r.now = e.at
-	e.do()
+	e.action()
 }
