--- a/internal/control/adviser_pool.go
+++ b/internal/control/adviser_pool.go
@@ -24,9 +24,9 @@
 	maxMissedAnnouncements = 3
 	// adviserConnBackoff is how long a connection stays unused after a failed query.
 	adviserConnBackoff = time.Second
-	// longQuery is the duration above which a query is long. Long queries leave some
+	// longQueryThreshold is the duration above which a query is long. Long queries leave some
 	// connections to short ones to prevent head-of-line blocking.
-	longQuery = 150 * time.Millisecond
+	longQueryThreshold = 150 * time.Millisecond
 	// shortLoadWindow is the time constant of the decaying mean load of short queries.
 	// shortLoadDeviations is how many standard deviations above that mean are reserved;
 	// the standard deviation of random arrivals is the square root of their mean.
@@ -85,12 +85,12 @@
 func (p *adviserPool) recordAnnouncement(address string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := p.conns[address]
-	if known == nil {
-		known = &adviserConn{address: address}
-		p.conns[address] = known
+	conn := p.conns[address]
+	if conn == nil {
+		conn = &adviserConn{address: address}
+		p.conns[address] = conn
 	}
-	known.lastAnnounced = now
+	conn.lastAnnounced = now
 }
 
 // reachable returns the connections that are announced and not backing off, ordered by
@@ -169,7 +169,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	candidates := p.reachable(now)
-	if duration > longQuery {
+	if duration > longQueryThreshold {
 		candidates = candidates[p.reservedForShort(now, len(candidates)):]
 	} else {
 		p.recordShortQuery(now, duration)
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -192,12 +192,12 @@
 // propose commits one command. It turns ErrOutcomeUnknown into a fault of kind Unknown, because
 // the command may have been committed and no caller may be told otherwise.
 func (c *Controller) propose(ctx context.Context, command *workflow.Command) (workflow.Result, error) {
-	data, err := command.Encode()
+	encoded, err := command.Encode()
 	if err != nil {
 		return workflow.Result{}, err
 	}
 	start := time.Now()
-	value, err := c.log.Propose(ctx, data)
+	value, err := c.log.Propose(ctx, encoded)
 	switch {
 	case errors.Is(err, node.ErrNotLeader):
 		return workflow.Result{}, link.NotLeader(c.cfg.Leader())
--- a/internal/control/copies.go
+++ b/internal/control/copies.go
@@ -96,9 +96,9 @@
 
 // logCopies logs which of the planned starts are speculative copies, and the cause of
 // each.
-func (t *leaderTerm) logCopies(starts []dispatch.Start, copies map[workflow.TaskKey]copyCandidate) {
+func (t *leaderTerm) logCopies(starts []dispatch.Start, candidates map[workflow.TaskKey]copyCandidate) {
 	for _, start := range starts {
-		if c, ok := copies[start.Task]; ok {
+		if c, ok := candidates[start.Task]; ok {
 			t.c.cfg.Counters.Add("copies", 1)
 			t.logger.Log("event", "copy", "task", start.Task, "worker", start.Worker, "beside", c.worker, "cause", c.cause)
 		}
--- a/internal/control/explain.go
+++ b/internal/control/explain.go
@@ -77,7 +77,7 @@
 	input := t.gatherPlanInput(now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var list []StepExplanation
+	var explanations []StepExplanation
 	for i := range input.steps {
 		step := &input.steps[i]
 		if step.Key.Job != id || step.Copy {
@@ -95,9 +95,9 @@
 		if step.NeedsPermit {
 			e.Unknown = max(len(input.workers)-e.Permitted-e.Refused, 0)
 		}
-		list = append(list, e)
+		explanations = append(explanations, e)
 	}
-	return list
+	return explanations
 }
 
 // anyService selects the workers of all services.
@@ -124,10 +124,10 @@
 		}
 		counts[reason].Workers++
 	}
-	var list []dispatch.ReasonCount
+	var sorted []dispatch.ReasonCount
 	for _, count := range counts {
-		list = append(list, *count)
+		sorted = append(sorted, *count)
 	}
-	slices.SortFunc(list, func(a, b dispatch.ReasonCount) int { return cmp.Compare(a.Reason, b.Reason) })
-	return list
+	slices.SortFunc(sorted, func(a, b dispatch.ReasonCount) int { return cmp.Compare(a.Reason, b.Reason) })
+	return sorted
 }
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -14,7 +14,7 @@
 
 // pools is the state of the moves of machines between pools in one leader term. Only the
 // machine loop uses it, except for the fields marked as guarded by t.mu.
-type pools struct {
+type poolMoves struct {
 	// shortSince and idleSince are when a pool became short of machines or idle.
 	shortSince, idleSince map[string]time.Time
 	// planned maps the machines that are cordoned for a move to that move.
@@ -27,8 +27,8 @@
 	moving map[string]string
 }
 
-func newPools() *pools {
-	return &pools{
+func newPoolMoves() *poolMoves {
+	return &poolMoves{
 		shortSince: map[string]time.Time{}, idleSince: map[string]time.Time{}, planned: map[string]fleet.Move{},
 		refusedPairs: map[[2]string]bool{}, moving: map[string]string{},
 	}
@@ -49,7 +49,7 @@
 // first and orders the move once nothing runs there. It adds the cordoned workers to
 // keepCordoned.
 func (t *leaderTerm) moveMachines(services []workflow.Service, keepCordoned map[string]bool, now time.Time) {
-	p := t.fleet
+	p := t.poolMoves
 	states := t.poolStates(services, now)
 	for _, move := range fleet.Decide(states, t.mayMove) {
 		if _, known := p.planned[move.Machine]; !known && len(p.planned) < maxConcurrentMoves {
@@ -82,7 +82,7 @@
 func (t *leaderTerm) mayMove(from, to string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !t.fleet.refusedPairs[[2]string{from, to}]
+	return !t.poolMoves.refusedPairs[[2]string{from, to}]
 }
 
 // isEmpty reports whether a worker has no run that may be alive and no start that is being
@@ -110,7 +110,7 @@
 		demand := t.demandByService(s, now)
 		for i := range states {
 			t.addMachines(&states[i], s, demand[states[i].Name])
-			t.fleet.updateDurations(&states[i], now)
+			t.poolMoves.updateDurations(&states[i], now)
 		}
 	})
 	return states
@@ -121,9 +121,9 @@
 func (t *leaderTerm) addMachines(pool *fleet.Pool, s *workflow.State, demand int64) {
 	pool.Demand = demand
 	for id, m := range t.machines.list {
-		target, moving := t.fleet.moving[id]
+		target, moving := t.poolMoves.moving[id]
 		if moving && m.Pool == target {
-			delete(t.fleet.moving, id)
+			delete(t.poolMoves.moving, id)
 			moving = false
 		}
 		if moving && target == pool.Name || !moving && m.Pool == pool.Name {
@@ -162,7 +162,7 @@
 }
 
 // updateDurations records for how long a pool has been short of machines or idle.
-func (p *pools) updateDurations(pool *fleet.Pool, now time.Time) {
+func (p *poolMoves) updateDurations(pool *fleet.Pool, now time.Time) {
 	pool.ShortFor = heldFor(p.shortSince, pool.Name, pool.Short(), now)
 	pool.IdleFor = heldFor(p.idleSince, pool.Name, pool.Idle(), now)
 }
@@ -202,9 +202,9 @@
 	t.mu.Lock()
 	switch {
 	case err == nil:
-		t.fleet.moving[m.ID] = move.To
+		t.poolMoves.moving[m.ID] = move.To
 	case errors.As(err, &refused) && refused.Reason == RefusedInvalid:
-		t.fleet.refusedPairs[[2]string{move.From, move.To}] = true
+		t.poolMoves.refusedPairs[[2]string{move.From, move.To}] = true
 	}
 	t.mu.Unlock()
 	if err == nil && m.Worker != "" {
--- a/internal/control/heartbeat_transport.go
+++ b/internal/control/heartbeat_transport.go
@@ -72,9 +72,9 @@
 	stops  map[workflow.Run]*heartbeatOrder
 	// answeredAt is when the last answer was sent. confirmed counts the prompt heartbeats
 	// since an answer first carried the fence.
-	answeredAt time.Time
-	fence      uint64
-	confirmed  int
+	answeredAt    time.Time
+	fence         uint64
+	confirmations int
 	// orderAdded is closed when an order is added, heartbeatReceived when a heartbeat
 	// arrives.
 	orderAdded, heartbeatReceived chan struct{}
@@ -86,8 +86,8 @@
 	start StartOrder
 	// sent says that an answer carried the order. confirmed counts the prompt heartbeats
 	// since then.
-	sent      bool
-	confirmed int
+	sent          bool
+	confirmations int
 	// delivered is closed when the order is known to have arrived.
 	delivered chan struct{}
 }
@@ -145,9 +145,9 @@
 func (box *mailbox) recordHeartbeat(report Report, now time.Time) {
 	prompt := !box.answeredAt.IsZero() && now.Sub(box.answeredAt) < promptHeartbeatMax
 	if prompt && box.fence > 0 {
-		box.confirmed++
+		box.confirmations++
 	} else {
-		box.confirmed = 0
+		box.confirmations = 0
 	}
 	for _, r := range report.Running {
 		box.recordStartDelivered(r.Task, r.Number)
@@ -157,11 +157,11 @@
 	}
 	for run, stop := range box.stops {
 		if !stop.sent || !prompt {
-			stop.confirmed = 0
+			stop.confirmations = 0
 			continue
 		}
-		stop.confirmed++
-		if stop.confirmed >= requiredConfirmations {
+		stop.confirmations++
+		if stop.confirmations >= requiredConfirmations {
 			delete(box.stops, run)
 			close(stop.delivered)
 		}
@@ -186,7 +186,7 @@
 // worker's timeout, which is subtracted.
 func (box *mailbox) makeResponse(fence uint64, report Report, now time.Time) HeartbeatOrders {
 	if box.fence != fence {
-		box.fence, box.confirmed = fence, 0
+		box.fence, box.confirmations = fence, 0
 	}
 	box.answeredAt = now
 	orders := HeartbeatOrders{Fence: fence, LastEnd: box.poll.LastEnd, NextIn: heartbeatInterval}
@@ -220,7 +220,7 @@
 		case <-received:
 		}
 		h.mu.Lock()
-		report, confirmed := box.report, box.fence == order.Fence && box.confirmed >= requiredConfirmations
+		report, confirmed := box.report, box.fence == order.Fence && box.confirmations >= requiredConfirmations
 		h.mu.Unlock()
 		if confirmed {
 			return report, nil
@@ -249,11 +249,11 @@
 // until a heartbeat proves that it arrived. When ctx ends first, it removes the order,
 // unless a newer one has replaced it, and returns errUnconfirmed.
 func deliver[Key comparable](ctx context.Context, h *heartbeatTransport, to Target, key Key, order *heartbeatOrder,
-	list func(*mailbox) map[Key]*heartbeatOrder) error {
+	ordersOf func(*mailbox) map[Key]*heartbeatOrder) error {
 	order.delivered = make(chan struct{})
 	h.mu.Lock()
 	box := h.mailboxOf(to.Worker)
-	list(box)[key] = order
+	ordersOf(box)[key] = order
 	box.wake()
 	h.mu.Unlock()
 	if wait.Closed(ctx, order.delivered) {
@@ -261,8 +261,8 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if list(box)[key] == order {
-		delete(list(box), key)
+	if ordersOf(box)[key] == order {
+		delete(ordersOf(box), key)
 	}
 	return errUnconfirmed
 }
--- a/internal/control/incarnations.go
+++ b/internal/control/incarnations.go
@@ -128,7 +128,7 @@
 	if leaving {
 		return
 	}
-	s.loseRuns(cause, outcome, s.startConfirmed)
+	s.commitLostRuns(cause, outcome, s.startConfirmed)
 	runs := s.liveRuns()
 	if len(runs) == 0 {
 		return
@@ -195,16 +195,16 @@
 func (s *workerSession) interruptSuccessorPoll() {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
-	if next := s.successor(); next != nil {
-		next.interruptPoll()
+	if successor := s.successor(); successor != nil {
+		successor.interruptPoll()
 	}
 }
 
 // successor returns the session that took over from this one, or nil. t.mu must be held.
 func (s *workerSession) successor() *workerSession {
-	for _, next := range s.t.sessions {
-		if slices.Contains(next.predecessors, s) {
-			return next
+	for _, candidate := range s.t.sessions {
+		if slices.Contains(candidate.predecessors, s) {
+			return candidate
 		}
 	}
 	return nil
@@ -215,8 +215,8 @@
 func (s *workerSession) successorReportedSince(since time.Time) bool {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
-	next := s.successor()
-	return next != nil && next.fullReportSentAt.After(since)
+	successor := s.successor()
+	return successor != nil && successor.fullReportSentAt.After(since)
 }
 
 // endPredecessorRuns commits the ends that this incarnation lists of runs that were
--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -110,7 +110,7 @@
 	// proposedStarts maps each task whose start is being committed to its worker.
 	proposedStarts map[workflow.TaskKey]string
 	machines       *machines
-	fleet          *pools
+	poolMoves      *poolMoves
 	// checkpoints are the latest checkpoints that live runs reported.
 	checkpoints map[workflow.TaskKey]string
 	// unaccountedSince is since when each run has been unaccounted for; see accountsFor.
@@ -145,7 +145,7 @@
 		t.suspendedBefore = suspended
 	}
 	t.lease = leaseLength(c.cfg.Bounds)
-	t.machines, t.fleet = newMachines(), newPools()
+	t.machines, t.poolMoves = newMachines(), newPoolMoves()
 	t.adviserConns = newAdviserPool(c.cfg.Address, c.cfg.Adviser, c.cfg.Client)
 	c.state.read(func(s *workflow.State) {
 		for id, worker := range s.Workers {
@@ -327,16 +327,16 @@
 		if t.c.heartbeats != nil {
 			t.c.heartbeats.removeMailboxes(t.monitors)
 		}
-		if old := t.expireEndedJobs(time.Now()); len(old) > 0 {
+		if expired := t.expireEndedJobs(time.Now()); len(expired) > 0 {
 			// propose logs the failure, and the next round finds the jobs again.
-			_, _ = t.propose(&workflow.Command{DeleteJobs: old})
+			_, _ = t.propose(&workflow.Command{DeleteJobs: expired})
 		}
 	}
 }
 
 // forget removes the permits of ended jobs, which take most of the memory that a leader
 // term uses for a job. It returns the jobs whose retention has expired.
-func (t *leaderTerm) expireEndedJobs(now time.Time) (old []string) {
+func (t *leaderTerm) expireEndedJobs(now time.Time) (expired []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.c.state.read(func(s *workflow.State) {
@@ -348,7 +348,7 @@
 				t.endedAt[id] = now
 			}
 			if now.Sub(t.endedAt[id]) > t.c.cfg.Bounds.EndedJobRetention+forgetInterval {
-				old = append(old, id)
+				expired = append(expired, id)
 			}
 		}
 		for key := range t.permits {
@@ -357,11 +357,11 @@
 			}
 		}
 	})
-	for _, id := range old {
+	for _, id := range expired {
 		delete(t.endedAt, id)
 		delete(t.acceptedAt, id)
 		delete(t.startedJobs, id)
 		delete(t.loggedEnds, id)
 	}
-	return old
+	return expired
 }
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -134,13 +134,13 @@
 
 // formatWaiting lists the counts of waiting steps in the order of waitingGauges.
 func formatWaiting(counts map[dispatch.Reason]int) string {
-	var list []string
+	var parts []string
 	for _, gauge := range waitingGauges {
 		if n := counts[gauge.reason]; n > 0 {
-			list = append(list, fmt.Sprintf("%d: %s", n, gauge.reason))
+			parts = append(parts, fmt.Sprintf("%d: %s", n, gauge.reason))
 		}
 	}
-	return strings.Join(list, "; ")
+	return strings.Join(parts, "; ")
 }
 
 // formatResources formats resources as millicores/megabytes/accelerators.
@@ -176,10 +176,10 @@
 		fields = append(fields, "largest_gang", largest.Key, "largest_gang_tasks", len(largest.Pending),
 			"largest_gang_each", formatResources(largest.Spec.Demand()), "free_pieces", all, "permitted_pieces", permitted)
 	}
-	if s, known := t.oldestWaiting(input); s != nil {
-		age = now.Sub(known.since)
+	if s, state := t.oldestWaiting(input); s != nil {
+		age = now.Sub(state.since)
 		all, permitted := dispatch.FitCounts(s, input.workers)
-		fields = append(fields, "oldest", s.Key, "oldest_ms", age.Milliseconds(), "oldest_reason", known.reason,
+		fields = append(fields, "oldest", s.Key, "oldest_ms", age.Milliseconds(), "oldest_reason", state.reason,
 			"oldest_tasks", len(s.Pending), "oldest_gang", s.Spec.Gang, "oldest_each", formatResources(s.Spec.Demand()),
 			"oldest_pieces", all, "oldest_permitted_pieces", permitted)
 	}
@@ -202,9 +202,9 @@
 func (t *leaderTerm) formatUnschedulable(now time.Time) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var list []string
+	var parts []string
 	for _, count := range t.unschedulableWorkers(anyService, now) {
-		list = append(list, fmt.Sprintf("%d: %s", count.Workers, count.Reason))
+		parts = append(parts, fmt.Sprintf("%d: %s", count.Workers, count.Reason))
 	}
-	return strings.Join(list, "; ")
+	return strings.Join(parts, "; ")
 }
--- a/internal/control/machines.go
+++ b/internal/control/machines.go
@@ -126,7 +126,7 @@
 func (t *leaderTerm) listMachines() (map[string]ListedMachine, error) {
 	ctx, cancel := context.WithTimeout(t.ctx, machineCallTimeout)
 	defer cancel()
-	list := map[string]ListedMachine{}
+	byID := map[string]ListedMachine{}
 	unreadable := 0
 	for page := ""; ; {
 		t.c.cfg.Counters.Add("machine_lists", 1)
@@ -135,12 +135,12 @@
 			return nil, err
 		}
 		for _, m := range response.Machines {
-			list[m.ID] = m
+			byID[m.ID] = m
 		}
 		unreadable += response.Unreadable
 		if response.Next == "" {
-			t.keepUnreadable(list, unreadable)
-			return list, nil
+			t.keepUnreadable(byID, unreadable)
+			return byID, nil
 		}
 		page = response.Next
 	}
@@ -242,6 +242,6 @@
 }
 
 // sortMachines sorts the machines of a pool by id.
-func sortMachines(list []fleet.Machine) {
-	slices.SortFunc(list, func(a, b fleet.Machine) int { return cmp.Compare(a.ID, b.ID) })
+func sortMachines(poolMachines []fleet.Machine) {
+	slices.SortFunc(poolMachines, func(a, b fleet.Machine) int { return cmp.Compare(a.ID, b.ID) })
 }
--- a/internal/control/permits.go
+++ b/internal/control/permits.go
@@ -71,20 +71,20 @@
 		p.renewing = slices.Concat(p.renewing, query.Workers)
 	}
 	t.mu.Unlock()
-	valid := time.Duration(policy.TicketValidityMS) * time.Millisecond
-	t.spawn(func() { t.queryAdviserVia(conn, query, queue, valid, time.Until(responseDue)+queryTimeoutMargin) })
+	validity := time.Duration(policy.TicketValidityMS) * time.Millisecond
+	t.spawn(func() { t.queryAdviserVia(conn, query, queue, validity, time.Until(responseDue)+queryTimeoutMargin) })
 }
 
 // queryAdviserVia sends a query through conn and records the reply. valid is the ticket
 // validity by the policy, used when the reply has none.
-func (t *leaderTerm) queryAdviserVia(conn *adviserConn, query dispatch.Query, queue string, valid, limit time.Duration) {
-	ctx, cancel := context.WithTimeout(t.ctx, limit)
+func (t *leaderTerm) queryAdviserVia(conn *adviserConn, query dispatch.Query, queue string, validity, timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(t.ctx, timeout)
 	defer cancel()
 	start := time.Now()
 	reply, err := t.adviserConns.send(ctx, conn, AdviserQuery{Step: query.Step, Workers: query.Workers})
 	now := time.Now()
 	if reply.Valid == 0 {
-		reply.Valid = valid
+		reply.Valid = validity
 	}
 	t.adviserConns.release(conn, now, err != nil)
 	t.c.cfg.Counters.Add("asks", 1)
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -41,7 +41,7 @@
 // planLimits are the fixed limits of a plan. The number of queries depends on the free
 // adviser connections; see limits.
 var planLimits = dispatch.Limits{
-	WorkersPerQuery: workersPerQuery, WorkersPerGangQuery: gangWorkersPerQuery, Steps: maxPlannedSteps, TicketMargin: ticketMargin, LongQueryTime: longQuery,
+	WorkersPerQuery: workersPerQuery, WorkersPerGangQuery: gangWorkersPerQuery, Steps: maxPlannedSteps, TicketMargin: ticketMargin, LongQueryTime: longQueryThreshold,
 }
 
 // planLoop makes a decision whenever something has changed, and at least every
@@ -96,7 +96,7 @@
 }
 
 // applyPlan sends the adviser queries of a plan, and commits and sends its starts.
-func (t *leaderTerm) applyPlan(plan *dispatch.Plan, copies map[workflow.TaskKey]copyCandidate) {
+func (t *leaderTerm) applyPlan(plan *dispatch.Plan, candidates map[workflow.TaskKey]copyCandidate) {
 	for _, query := range plan.Queries {
 		if queue, policy := t.advicePolicy(query.Step); policy != nil {
 			t.queryAdviser(query, queue, policy)
@@ -104,7 +104,7 @@
 	}
 	if len(plan.Starts) > 0 {
 		t.markProposed(plan.Starts)
-		t.logCopies(plan.Starts, copies)
+		t.logCopies(plan.Starts, candidates)
 		t.spawn(func() { t.commitStarts(plan.Starts) })
 	}
 }
--- a/internal/control/polls.go
+++ b/internal/control/polls.go
@@ -57,7 +57,7 @@
 		hold = min(hold, stalledPollHold)
 	}
 	if s.throttle.active() {
-		hold = min(hold, throttledPollWait)
+		hold = min(hold, throttledPollHold)
 	}
 	if s.pollSettlesStop() {
 		hold = 0
@@ -100,13 +100,13 @@
 
 // scaledResponseTime returns overdueFactor times the mean answer time, limited to least and
 // most. t.mu must be held.
-func (t *leaderTerm) scaledResponseTime(least, most time.Duration) time.Duration {
-	return boundedMultiple(t.responseTime, least, most)
+func (t *leaderTerm) scaledResponseTime(lower, upper time.Duration) time.Duration {
+	return boundedMultiple(t.responseTime, lower, upper)
 }
 
 // boundedMultiple returns overdueFactor times took, limited to least and most.
-func boundedMultiple(took, least, most time.Duration) time.Duration {
-	return min(max(least, overdueFactor*took), most)
+func boundedMultiple(responseTime, lower, upper time.Duration) time.Duration {
+	return min(max(lower, overdueFactor*responseTime), upper)
 }
 
 // recordResponseTime records how long a start took to be answered. t.mu must be held.
--- a/internal/control/session.go
+++ b/internal/control/session.go
@@ -297,7 +297,7 @@
 	if !leaseExpired {
 		return false
 	}
-	s.loseRuns("lease ended without an answer", workflow.OutcomeLost, allRuns)
+	s.commitLostRuns("lease ended without an answer", workflow.OutcomeLost, allRuns)
 	if !noHeartbeat {
 		return false
 	}
@@ -325,7 +325,7 @@
 	// Checkpoints and ends in the successor's report are committed before the remaining
 	// runs count as lost.
 	s.settleWithSuccessor(cause, outcome)
-	s.loseRuns(cause, outcome, allRuns)
+	s.commitLostRuns(cause, outcome, allRuns)
 	unresolved := s.unresolvedRuns()
 	t.commitWithRetry(&workflow.Command{Gone: s.worker.ID, Crashed: crashed})
 	t.logEndedJobs(unresolved)
@@ -338,8 +338,8 @@
 // allRuns selects all runs of a worker.
 func allRuns(workflow.Run) bool { return true }
 
-// loseRuns commits the end of the selected runs of a worker, which can't be alive any more.
-func (s *workerSession) loseRuns(cause string, outcome workflow.Outcome, selected func(workflow.Run) bool) {
+// commitLostRuns commits the end of the selected runs of a worker, which can't be alive any more.
+func (s *workerSession) commitLostRuns(cause string, outcome workflow.Outcome, selected func(workflow.Run) bool) {
 	ends := s.lostEnds(outcome, selected)
 	if len(ends) == 0 {
 		return
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -35,10 +35,10 @@
 	// runCheckInterval is the time between two checks of all runs for stops and copies. It
 	// takes a run seconds to need one.
 	runCheckInterval = 150 * time.Millisecond
-	// maxReleasesAge is the highest age of a worker's cached expected run ends while no run
+	// maxRunSummaryAge is the highest age of a worker's cached expected run ends while no run
 	// starts or ends there. The expected ends are off by half anyway, and recomputing them
 	// for thousands of runs takes most of the time of a decision.
-	maxReleasesAge = 400 * time.Millisecond
+	maxRunSummaryAge = 400 * time.Millisecond
 )
 
 // gatherPlanInput collects the input of a full decision. Every runCheckInterval it also
@@ -155,7 +155,7 @@
 // summarizeRuns returns the summary of the runs on a worker, cached if it is recent. t.mu
 // must be held.
 func (t *leaderTerm) summarizeRuns(s *workflow.State, session *workerSession, changes uint64, now time.Time) runSummary {
-	if cached := session.runSummary; cached.changes == changes && now.Sub(cached.at) < maxReleasesAge {
+	if cached := session.runSummary; cached.changes == changes && now.Sub(cached.at) < maxRunSummaryAge {
 		return cached
 	}
 	summary := runSummary{changes: changes, at: now}
@@ -176,9 +176,9 @@
 	return summary
 }
 
-// unpreemptibleRun is the run number from which on a task isn't preempted any more, so that
+// firstUnpreemptibleRun is the run number from which on a task isn't preempted any more, so that
 // it ends eventually.
-const unpreemptibleRun = 4
+const firstUnpreemptibleRun = 4
 
 // runRelease returns when a run is expected to release its capacity, and whether it can be
 // preempted. t.mu must be held.
@@ -195,7 +195,7 @@
 		r.At, r.Stopping = now.Add(dispatch.StopTime/2).Sub(t.started), true
 		return r
 	}
-	r.Preemptible = o.listed && spec.Checkpointing && !spec.Gang && !spec.LongRunning && run.Number < unpreemptibleRun
+	r.Preemptible = o.listed && spec.Checkpointing && !spec.Gang && !spec.LongRunning && run.Number < firstUnpreemptibleRun
 	return r
 }
 
@@ -247,8 +247,8 @@
 			if len(pending) == 0 || !job.StepReady(occurrence, step) {
 				continue
 			}
-			placed := input.runsPerWorkerOf(t, s, key, &job.Steps[step])
-			ready := t.dispatchStep(job, key, pending, objectiveStart, objective, now, placed)
+			runsPerWorker := input.runsPerWorkerOf(t, s, key, &job.Steps[step])
+			ready := t.dispatchStep(job, key, pending, objectiveStart, objective, now, runsPerWorker)
 			ready.Suspects = suspectsAmong(state, pending)
 			input.steps = append(input.steps, ready)
 		}
@@ -259,10 +259,10 @@
 // objectiveStart. Lateness is 2 for a job that has no value any more, and 1 for one that
 // can't meet its objective any more. t.mu must be held.
 func (t *leaderTerm) dispatchStep(job *workflow.Job, key workflow.StepKey, pending []int, objectiveStart time.Time,
-	objective time.Duration, now time.Time, placed map[string]int) dispatch.Step {
+	objective time.Duration, now time.Time, runsPerWorker map[string]int) dispatch.Step {
 	step := dispatch.Step{
 		Key: key, Spec: &job.Steps[key.Step], Service: job.Policy.Service, Priority: job.Policy.Priority,
-		Due: objectiveStart.Add(objective).Sub(t.started), Pending: pending, Placed: placed,
+		Due: objectiveStart.Add(objective).Sub(t.started), Pending: pending, Placed: runsPerWorker,
 	}
 	switch age := now.Sub(objectiveStart); {
 	case age > worthlessAfterObjectives*objective:
--- a/internal/control/statemachine.go
+++ b/internal/control/statemachine.go
@@ -22,8 +22,8 @@
 
 // Apply applies one committed command and returns its result. It panics if the command
 // can't be decoded.
-func (m *StateMachine) Apply(index uint64, data []byte) any {
-	command, err := workflow.Decode(data)
+func (m *StateMachine) Apply(index uint64, encoded []byte) any {
+	command, err := workflow.Decode(encoded)
 	if err != nil {
 		// Every member applies the same bytes. A member that skipped them would diverge
 		// from the others.
@@ -53,8 +53,8 @@
 
 // Restore replaces the state by the encoded one. The state is unchanged if data can't be
 // decoded.
-func (m *StateMachine) Restore(data []byte) error {
-	state, err := workflow.Restore(data)
+func (m *StateMachine) Restore(encoded []byte) error {
+	state, err := workflow.Restore(encoded)
 	if err != nil {
 		return err
 	}
--- a/internal/control/stops.go
+++ b/internal/control/stops.go
@@ -11,17 +11,17 @@
 type stopCause string
 
 const (
-	stopNone       stopCause = ""
-	stopJobEnded   stopCause = "the job has ended"
-	stopGangEnded  stopCause = "another member of the gang has ended"
-	stopCopyDone   stopCause = "another run of the task is done"
-	stopMachine    stopCause = "the machine goes down"
-	stopLeaving    stopCause = "the worker leaves"
-	stopPaused     stopCause = "paused for long"
-	stopStalled    stopCause = "stands still"
-	stopUnanswered stopCause = "its start got no answer"
-	stopPreempted  stopCause = "preempted by more urgent work"
-	stopOrphaned   stopCause = "no pending event will report its end"
+	stopNone         stopCause = ""
+	stopJobEnded     stopCause = "the job has ended"
+	stopGangEnded    stopCause = "another member of the gang has ended"
+	stopCopyDone     stopCause = "another run of the task is done"
+	stopMachineDown  stopCause = "the machine goes down"
+	stopWorkerDrains stopCause = "the worker leaves"
+	stopPaused       stopCause = "paused for long"
+	stopStalled      stopCause = "stands still"
+	stopUnanswered   stopCause = "its start got no answer"
+	stopPreempted    stopCause = "preempted by more urgent work"
+	stopOrphaned     stopCause = "no pending event will report its end"
 )
 
 // pendingStop is a run that is to be stopped.
@@ -50,9 +50,9 @@
 	case spec.AllowsCopies() && step.Tasks[run.Task.Index].Done:
 		return stopCopyDone
 	case t.stopForMaintenance(s, run, now):
-		return stopMachine
+		return stopMachineDown
 	case t.stopForDrain(s, session, run, now):
-		return stopLeaving
+		return stopWorkerDrains
 	}
 	o := session.orders[run.Task]
 	switch {
@@ -104,10 +104,10 @@
 }
 
 // preempt stops the runs whose capacity a decision takes for more urgent work.
-func (t *leaderTerm) preempt(preempts []dispatch.Preemption, now time.Time) {
+func (t *leaderTerm) preempt(preemptions []dispatch.Preemption, now time.Time) {
 	t.mu.Lock()
 	var stops []pendingStop
-	for _, p := range preempts {
+	for _, p := range preemptions {
 		session := t.sessions[p.Worker]
 		if session == nil || session.orders[p.Task] == nil {
 			continue
--- a/internal/control/suspect.go
+++ b/internal/control/suspect.go
@@ -46,9 +46,9 @@
 	return unresponsive
 }
 
-// suspicionHold is how long a data centre must not be suspected before the contact counts
+// suspicionClearDelay is how long a data centre must not be suspected before the contact counts
 // as regained. Between two overdue answers the suspicion disappears briefly.
-const suspicionHold = time.Second
+const suspicionClearDelay = time.Second
 
 // updateSuspected records the suspected data centres and logs each change. t.mu must be
 // held.
@@ -61,7 +61,7 @@
 		t.dataCentreSuspectedAt[dataCentre] = now
 	}
 	for dataCentre, last := range t.dataCentreSuspectedAt {
-		if now.Sub(last) > suspicionHold {
+		if now.Sub(last) > suspicionClearDelay {
 			delete(t.dataCentreSuspectedAt, dataCentre)
 			t.logger.Log("event", "data_centre_contact", "data_centre", dataCentre, "outcome", "regained",
 				"silent_ms", now.Sub(t.dataCentreAnsweredAt[dataCentre]).Milliseconds())
--- a/internal/control/throttle.go
+++ b/internal/control/throttle.go
@@ -28,8 +28,8 @@
 	// of a worker cover half a second, and a change takes effect within a tenth of a
 	// second.
 	throttleInterval = 700 * time.Millisecond
-	// throttledPollWait is how long a worker with throttled tasks may hold a poll.
-	throttledPollWait = 300 * time.Millisecond
+	// throttledPollHold is how long a worker with throttled tasks may hold a poll.
+	throttledPollHold = 300 * time.Millisecond
 )
 
 // throttle controls the CPU share of the tasks on spare CPU of one worker. All of them get
@@ -43,26 +43,26 @@
 }
 
 // active reports whether the worker runs both kinds of tasks and has to be polled often.
-func (h *throttle) active() bool { return h.serving && h.spare }
+func (t *throttle) active() bool { return t.serving && t.spare }
 
 // nextShare returns the share after a report. ratio is the worst latency divided by its
 // objective.
-func (h *throttle) nextShare(ratio float64, now time.Time) int {
+func (t *throttle) nextShare(ratio float64, now time.Time) int {
 	switch {
-	case !h.active():
+	case !t.active():
 		return fullShare
-	case h.share == fullShare && h.changedAt.IsZero():
+	case t.share == fullShare && t.changedAt.IsZero():
 		return initialShare
-	case now.Sub(h.changedAt) < throttleInterval:
-		return h.share
+	case now.Sub(t.changedAt) < throttleInterval:
+		return t.share
 	case ratio > 1:
-		return pauseBelowMin(h.share / 4)
+		return pauseBelowMin(t.share / 4)
 	case ratio > highLatencyRatio:
-		return pauseBelowMin(h.share / 2)
+		return pauseBelowMin(t.share / 2)
 	case ratio < lowLatencyRatio:
-		return min(h.share+shareIncrement, fullShare)
+		return min(t.share+shareIncrement, fullShare)
 	}
-	return h.share
+	return t.share
 }
 
 // pauseBelowMin returns 0, which pauses tasks, for a share below minShare.
@@ -74,9 +74,9 @@
 }
 
 // beginSpare records that a task on spare CPU starts on a worker with serving tasks.
-func (h *throttle) beginSpare(now time.Time) {
-	if !h.spare {
-		h.spare, h.share, h.changedAt = true, initialShare, now
+func (t *throttle) beginSpare(now time.Time) {
+	if !t.spare {
+		t.spare, t.share, t.changedAt = true, initialShare, now
 	}
 }
 
--- a/internal/control/waiting.go
+++ b/internal/control/waiting.go
@@ -80,11 +80,11 @@
 
 // formatEarlierWaits lists the time that the step has waited for each earlier reason.
 func (w *waitingStep) formatEarlierWaits() string {
-	list := make([]string, len(w.earlierWaits))
+	parts := make([]string, len(w.earlierWaits))
 	for i, s := range w.earlierWaits {
-		list[i] = fmt.Sprintf("%d ms: %s", s.duration.Milliseconds(), s.reason)
+		parts[i] = fmt.Sprintf("%d ms: %s", s.duration.Milliseconds(), s.reason)
 	}
-	return strings.Join(list, "; ")
+	return strings.Join(parts, "; ")
 }
 
 // updateWaiting records why steps wait, and logs each new reason of a step. If the
@@ -99,20 +99,20 @@
 	}
 	for i := range plan.Waiting {
 		w := &plan.Waiting[i]
-		known := previous[w.Step]
-		if known == nil {
-			known = newWaitingStep(w.Reason, now)
+		state := previous[w.Step]
+		if state == nil {
+			state = newWaitingStep(w.Reason, now)
 		}
-		known.update(w.Reason, now)
-		t.waiting[w.Step] = known
-		t.logWaiting(w, known, now)
+		state.update(w.Reason, now)
+		t.waiting[w.Step] = state
+		t.logWaiting(w, state, now)
 	}
 	for i := range plan.Starts {
 		key := plan.Starts[i].Task.StepKey
-		switch known := t.waiting[key]; {
-		case known == nil:
-		case known.seenAt.Equal(now):
-			known.restart(now)
+		switch state := t.waiting[key]; {
+		case state == nil:
+		case state.seenAt.Equal(now):
+			state.restart(now)
 		default:
 			delete(t.waiting, key)
 		}
@@ -120,19 +120,19 @@
 }
 
 // logWaiting logs why a step waits, if a line is due.
-func (t *leaderTerm) logWaiting(w *dispatch.Waiting, known *waitingStep, now time.Time) {
-	if !known.logDue(now) {
+func (t *leaderTerm) logWaiting(w *dispatch.Waiting, state *waitingStep, now time.Time) {
+	if !state.logDue(now) {
 		return
 	}
-	known.loggedReason, known.loggedAt = known.reason, now
-	t.logger.Log("event", "step_waiting", "step", w.Step, "tasks", w.Tasks, "reason", known.reason, "label", w.Label,
-		"waited_ms", now.Sub(known.since).Milliseconds(), "earlier", known.formatEarlierWaits())
+	state.loggedReason, state.loggedAt = state.reason, now
+	t.logger.Log("event", "step_waiting", "step", w.Step, "tasks", w.Tasks, "reason", state.reason, "label", w.Label,
+		"waited_ms", now.Sub(state.since).Milliseconds(), "earlier", state.formatEarlierWaits())
 }
 
 // waitingReason returns why a step waits, or "" when it doesn't. t.mu must be held.
 func (t *leaderTerm) waitingReason(key workflow.StepKey) dispatch.Reason {
-	if known := t.waiting[key]; known != nil {
-		return known.reason
+	if state := t.waiting[key]; state != nil {
+		return state.reason
 	}
 	if t.stepsBeyondBound > 0 {
 		return dispatch.ReasonBeyondBound
@@ -159,12 +159,12 @@
 		if s.Copy || started[s.Key] || t.waiting[s.Key] != nil {
 			continue
 		}
-		known := newWaitingStep(dispatch.ReasonBeyondBound, now)
-		t.waiting[s.Key] = known
+		state := newWaitingStep(dispatch.ReasonBeyondBound, now)
+		t.waiting[s.Key] = state
 		if lines++; lines > maxBacklogLogLines {
 			continue
 		}
-		t.logWaiting(&dispatch.Waiting{Step: s.Key, Tasks: len(s.Pending), Label: s.Spec.Label}, known, now)
+		t.logWaiting(&dispatch.Waiting{Step: s.Key, Tasks: len(s.Pending), Label: s.Spec.Label}, state, now)
 	}
 	for key := range t.waiting {
 		if !ready[key] {
@@ -177,16 +177,16 @@
 // be held.
 func (t *leaderTerm) oldestWaiting(input *planInput) (*dispatch.Step, *waitingStep) {
 	var oldest *dispatch.Step
-	var known *waitingStep
+	var oldestState *waitingStep
 	for i := range input.steps {
 		s := &input.steps[i]
 		w := t.waiting[s.Key]
 		if s.Copy || w == nil {
 			continue
 		}
-		if oldest == nil || w.since.Before(known.since) || w.since.Equal(known.since) && workflow.CompareSteps(s.Key, oldest.Key) < 0 {
-			oldest, known = s, w
+		if oldest == nil || w.since.Before(oldestState.since) || w.since.Equal(oldestState.since) && workflow.CompareSteps(s.Key, oldest.Key) < 0 {
+			oldest, oldestState = s, w
 		}
 	}
-	return oldest, known
+	return oldest, oldestState
 }
