--- a/internal/control/admit.go
+++ b/internal/control/admit.go
@@ -8,12 +8,13 @@
 )
 
 const (
-	// maxQueuedSteps is the number of queued steps from which on new jobs are refused:
-	// eight times the bound of one decision. Bursts of twice the usual load stay below it.
+	// maxQueuedSteps is the number of queued steps from which on new jobs are refused: eight
+	// times the number of steps that one decision considers. Bursts of twice the usual load
+	// stay below it.
 	maxQueuedSteps = 8 * maxPlannedSteps
-	// queueFullRetryAfter is the retry delay sent with a refusal because of a full queue.
-	// It is long enough for the queue to drain and short enough for a caller whose total
-	// timeout is 3 s.
+	// queueFullRetryAfter is the retry delay sent to a caller whose job is refused because
+	// the queue is full. It is long enough for the queue to drain and short enough for a
+	// caller whose total timeout is 3 s.
 	queueFullRetryAfter = 2 * time.Second
 )
 
@@ -31,8 +32,7 @@
 	t.queuedSteps = queued
 }
 
-// beginSubmission records that a job is being committed until the returned function is
-// called.
+// beginSubmission records that a job is being committed, until the caller calls done.
 func (t *leaderTerm) beginSubmission(job string) (done func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -47,17 +47,17 @@
 	}
 }
 
-// admit returns an Overloaded fault for a new job while the queue is full. It never
-// refuses a job that is already committed or whose commit is in flight.
+// admit returns a fault of kind Overloaded for a new job while the queue is full. It
+// never refuses a job that is already committed or whose commit is in flight.
 //
 // A caller whose first call is slow repeats it through another entry point while the
-// commit of the first call is in flight. If the second call were refused, the caller would
-// conclude that the job never runs, although it does.
+// commit of the first call is in flight. If the second call were refused, the caller
+// would conclude that the job never runs, although it does.
 //
-// After an outage or in a burst, more jobs arrive than the leader can place. Each accepted
-// job makes decisions longer and delays all other jobs; with 8500 queued steps no job was
-// served for the rest of the day. A refused caller learns immediately that it has to
-// retry.
+// After an outage or in a burst, more jobs arrive than the leader can place. Each
+// accepted job makes decisions longer and delays all other jobs. Without the limit, once
+// 8500 steps were queued, no job was served for the rest of the day. A refused caller
+// learns immediately that it has to retry.
 func (t *leaderTerm) admit(id string) error {
 	t.mu.Lock()
 	queued, beingCommitted := t.queuedSteps, t.pendingSubmits[id] > 0
--- a/internal/control/adviser_pool.go
+++ b/internal/control/adviser_pool.go
@@ -13,9 +13,9 @@
 
 const (
 	// instanceAnnounceInterval is the time between two announcements of an instance to the
-	// leader. From announceScaleInstances instances on it grows in proportion to their
-	// number, up to maxInstanceAnnounceInterval: frequent announcements of many instances
-	// would be a large part of the calls that the leader serves.
+	// leader. From announceScaleInstances instances on, the interval grows in proportion to
+	// their number, up to maxInstanceAnnounceInterval. Otherwise the announcements of many
+	// instances would be a large part of the calls that the leader serves.
 	instanceAnnounceInterval    = 300 * time.Millisecond
 	announceScaleInstances      = 16
 	maxInstanceAnnounceInterval = 600 * time.Millisecond
@@ -24,8 +24,8 @@
 	maxMissedAnnouncements = 3
 	// adviserConnBackoff is how long a connection stays unused after a failed query.
 	adviserConnBackoff = time.Second
-	// longQueryThreshold is the duration above which a query is long. Long queries leave some
-	// connections to short ones to prevent head-of-line blocking.
+	// longQueryThreshold is the duration above which a query is long. Long queries leave
+	// some connections to short ones to prevent head-of-line blocking.
 	longQueryThreshold = 150 * time.Millisecond
 	// shortLoadWindow is the time constant of the decaying mean load of short queries.
 	// shortLoadDeviations is how many standard deviations above that mean are reserved;
@@ -36,21 +36,21 @@
 	maxInFlightPerConn = 3
 )
 
-// adviserConn is an instance through which queries reach the adviser. The adviser serves
-// the queries of one instance one after another.
+// adviserConn is a connection to the adviser: an instance through which the leader sends
+// queries. The adviser serves the queries of one instance one after another.
 type adviserConn struct {
 	address string
-	// lastAnnounced is the last announcement of the instance.
+	// lastAnnounced is the time of the last announcement of the instance.
 	lastAnnounced time.Time
 	// backoffUntil is when the connection may be used again after a failed query.
 	backoffUntil time.Time
-	// busyUntil is when the queries in flight are expected to be answered.
+	// busyUntil is when the responses to all queries in flight are expected to have arrived.
 	busyUntil time.Time
 	inFlight  int
 }
 
-// adviserPool distributes queries over the instances. ownAddress is the leader's own,
-// which needs no announcements.
+// adviserPool distributes queries over the adviser connections. ownAddress is the address
+// of the leader's own instance, which needs no announcements.
 type adviserPool struct {
 	ownAddress string
 	adviser    Adviser
@@ -64,7 +64,8 @@
 	shortAt   time.Time
 }
 
-// newAdviserPool returns a pool that contains only the own instance.
+// newAdviserPool returns a pool that contains only the connection of the leader's own
+// instance.
 func newAdviserPool(own string, adviser Adviser, client Caller) *adviserPool {
 	return &adviserPool{ownAddress: own, adviser: adviser, client: client, conns: map[string]*adviserConn{own: {address: own}}}
 }
@@ -81,7 +82,8 @@
 	return min(max(instanceAnnounceInterval, instanceAnnounceInterval*time.Duration(instances)/announceScaleInstances), maxInstanceAnnounceInterval)
 }
 
-// recordAnnouncement records that an instance is reachable.
+// recordAnnouncement records that an instance has announced itself, and adds a connection
+// for a new one.
 func (p *adviserPool) recordAnnouncement(address string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,8 +95,8 @@
 	conn.lastAnnounced = now
 }
 
-// reachable returns the connections that are announced and not backing off, ordered by
-// address. p.mu must be held.
+// reachable returns the connections whose instances are announced and that aren't backing
+// off, ordered by address. p.mu must be held.
 func (p *adviserPool) reachable(now time.Time) []*adviserConn {
 	var usable []*adviserConn
 	maxAge := maxMissedAnnouncements * p.announceIntervalFor(len(p.conns))
@@ -111,7 +113,8 @@
 // full reports whether the connection has the maximum number of queries in flight.
 func (c *adviserConn) full() bool { return c.inFlight >= maxInFlightPerConn }
 
-// available returns how many queries may be sent now, and how many of them may be long.
+// available returns how many connections may take a query now, and how many of them a
+// long one.
 func (p *adviserPool) available(now time.Time) (all, long int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,7 +132,7 @@
 	return all, long
 }
 
-// recordShortQuery adds a short query to the load. p.mu must be held.
+// recordShortQuery adds a short query to the mean load. p.mu must be held.
 func (p *adviserPool) recordShortQuery(now time.Time, duration time.Duration) {
 	p.shortLoad = p.shortLoadAt(now) + duration.Seconds()/shortLoadWindow.Seconds()
 	p.shortAt = now
@@ -146,15 +149,16 @@
 //
 // Large gangs, whose queries take over a second, compete with a hundred urgent jobs a
 // second, whose queries take some milliseconds and keep only a few connections busy. If
-// half of the connections are reserved, the queries of the gangs wait for each other. If
-// none is, urgent jobs wait behind them under high load.
+// half of the connections are always reserved, the queries of the gangs wait for each
+// other. If none is, urgent jobs wait behind the queries of gangs under high load.
 func (p *adviserPool) reservedForShort(now time.Time, n int) int {
 	load := p.shortLoadAt(now)
 	return min(int(math.Ceil(load+shortLoadDeviations*math.Sqrt(load)))+1, n/2)
 }
 
-// freeAt returns when a query that is sent now would be served. All idle connections
-// return now, so that short queries prefer the first ones, which are reserved for them.
+// freeAt returns when the adviser would begin to serve a query that is sent now. It
+// returns now for every idle connection, so that short queries prefer the first
+// connections, which are reserved for them.
 func (c *adviserConn) freeAt(now time.Time) time.Time {
 	if c.busyUntil.Before(now) {
 		return now
@@ -163,7 +167,7 @@
 }
 
 // acquire picks the connection that is free first, and returns it with the expected time
-// of the answer. Short queries prefer the connections that are reserved for them. It
+// of the response. Short queries prefer the connections that are reserved for them. It
 // returns nil when no connection is available.
 func (p *adviserPool) acquire(now time.Time, duration time.Duration) (*adviserConn, time.Time) {
 	p.mu.Lock()
@@ -184,7 +188,7 @@
 	return chosen, chosen.busyUntil
 }
 
-// release records that a query has been answered or has failed.
+// release records that the response to a query has arrived or that the query has failed.
 func (p *adviserPool) release(conn *adviserConn, now time.Time, failed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -197,8 +201,8 @@
 	}
 }
 
-// send sends a query to the adviser, through another instance unless the connection is the
-// leader's own.
+// send sends a query to the adviser: directly if the connection is that of the leader's
+// own instance, else through the instance of the connection.
 func (p *adviserPool) send(ctx context.Context, conn *adviserConn, call AdviserQuery) (AdviserReply, error) {
 	if conn.address == p.ownAddress {
 		return p.adviser.Query(ctx, call)
@@ -208,8 +212,8 @@
 	return reply, err
 }
 
-// queryDuration returns how long the adviser takes to answer a query about a number of
-// workers.
+// queryDuration returns how long the adviser is expected to take for a query about a
+// number of workers.
 func queryDuration(policy *workflow.AdvicePolicy, workers int) time.Duration {
 	return time.Duration((policy.BaseMS + policy.PerWorkerMS*float64(workers)) * float64(time.Millisecond))
 }
--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -14,14 +14,14 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// forwardInterval is the time between two unchanged heartbeats of a worker that a follower
-// forwards to the leader. The leader stops monitoring a worker without runs after
-// unresponsiveWorkerTimeout without a heartbeat.
+// forwardInterval is the time between two unchanged heartbeats of a worker that a
+// follower forwards to the leader. The leader stops monitoring an unresponsive worker
+// without runs after unresponsiveWorkerTimeout without a heartbeat.
 const forwardInterval = 3 * time.Second
 
-// AcknowledgeHeartbeat handles a heartbeat on a follower, and reports whether the follower may
-// acknowledge it: the log has the worker as announced, and a leader is known. Otherwise
-// the heartbeat has to be forwarded to the leader.
+// AcknowledgeHeartbeat processes a heartbeat on a follower, and reports whether the
+// follower may acknowledge it: the log has the worker as announced, and a leader is
+// known. Otherwise the heartbeat has to be forwarded to the leader.
 //
 // Hundreds of workers send a heartbeat every second, and almost none of them contains
 // anything new.
@@ -41,8 +41,8 @@
 	return AnnouncementReply{HeartbeatAddress: c.cfg.Public}, true
 }
 
-// forwardedHeartbeats records when a heartbeat of each worker was last forwarded to a
-// leader that doesn't collect buffered ones.
+// forwardedHeartbeats records when a heartbeat of each worker was last forwarded to the
+// leader. It limits forwarding while the leader doesn't collect buffered heartbeats.
 type forwardedHeartbeats struct {
 	mu    sync.Mutex
 	times forwardTimes
@@ -60,8 +60,9 @@
 	return false
 }
 
-// heartbeatAddress returns the address for a worker's next heartbeats: the leader's if
-// orders are delivered with its answers, else that of another instance.
+// heartbeatAddress returns the address for a worker's next heartbeats: the leader's own
+// if orders are delivered in the responses to heartbeats, else that of another core
+// member.
 func (c *Controller) heartbeatAddress(worker string) string {
 	if c.heartbeats != nil {
 		return c.cfg.Public
@@ -81,8 +82,8 @@
 	return net.JoinHostPort(member, port)
 }
 
-// Announce handles a worker's heartbeat on the leader. It acknowledges a heartbeat with
-// new content only after committing it, so that the next leader has it too.
+// Announce processes a worker's heartbeat on the leader. It acknowledges a heartbeat with
+// new content only after committing it, so that the next leader has the content too.
 func (c *Controller) Announce(ctx context.Context, r *Announcement) (AnnouncementReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -125,8 +126,8 @@
 	return isNew
 }
 
-// Leave handles the announcement of an incarnation that it ends. The incarnation counts as
-// ended only once a poll confirms it.
+// Leave processes the announcement that an incarnation shuts down. The incarnation counts
+// as ended only once a poll confirms it.
 func (c *Controller) Leave(ctx context.Context, r *LeaveCall) (Empty, error) {
 	t, err := c.currentLeaderTerm(ctx)
 	if err != nil {
--- a/internal/control/calls.go
+++ b/internal/control/calls.go
@@ -7,8 +7,9 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// JobAddress says where a caller's request was sent: a host and a path, or the name of a
-// queue and the ID of a job.
+// JobAddress identifies a queue, and a job of it if it names one. It holds either the
+// host and the path to which a caller's request was sent, or the name of the queue and
+// the ID of the job.
 type JobAddress struct {
 	Host  string `cbor:"1,keyasint,omitempty"`
 	Path  string `cbor:"2,keyasint,omitempty"`
@@ -24,34 +25,35 @@
 	Schedule workflow.Schedule `cbor:"4,keyasint"`
 }
 
-// SubmitReply says that the job is stored. Known says that it was stored before.
+// SubmitReply confirms that the job is stored. Known says that it was stored before.
 type SubmitReply struct {
 	Known bool `cbor:"1,keyasint,omitempty"`
 }
 
-// StateCall asks for the state of a job, or of a queue if the path names no job.
+// StateCall requests the state of a job, or of a queue if the address names no job.
 type StateCall struct {
 	Address JobAddress `cbor:"1,keyasint"`
 }
 
-// StateReply is the phase of a job, or the number of waiting jobs of a queue.
+// StateReply holds the phase of a job, or, if Queue is true, the number of waiting jobs
+// of a queue.
 type StateReply struct {
 	Queue   bool           `cbor:"1,keyasint,omitempty"`
 	Waiting int            `cbor:"2,keyasint,omitempty"`
 	Phase   workflow.Phase `cbor:"3,keyasint,omitempty"`
 }
 
-// EndedCall asks an instance, which needn't lead, whether a job has ended.
+// EndedCall asks an instance, which needn't be the leader, whether a job has ended.
 type EndedCall struct {
 	Address JobAddress `cbor:"1,keyasint"`
-	// Version is the highest version of the configuration by which the calling instance has
-	// answered callers. An instance with an older one doesn't answer, because a caller must
-	// not see a version that was rolled back.
+	// Version is the highest version of the configuration that the calling instance has used
+	// in responses to callers. An instance with an older version doesn't report the job as
+	// ended, because a caller must not see a version that was rolled back.
 	Version uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// EndedReply is the phase of an ended job, which never changes. Known is false if only the
-// leader can answer.
+// EndedReply holds the phase of an ended job, which never changes. Known is false if the
+// call has to be sent to the leader.
 type EndedReply struct {
 	Known bool           `cbor:"1,keyasint,omitempty"`
 	Phase workflow.Phase `cbor:"2,keyasint,omitempty"`
@@ -62,7 +64,7 @@
 	Address JobAddress `cbor:"1,keyasint"`
 }
 
-// Empty is a reply without content.
+// Empty is a request or a response without content.
 type Empty struct{}
 
 // Announcement is a worker's heartbeat.
@@ -72,24 +74,24 @@
 	Sequence uint64 `cbor:"2,keyasint"`
 	// Remaining is the shortest time for which a draining worker keeps running.
 	Remaining time.Duration `cbor:"3,keyasint,omitempty"`
-	// Report is the worker's report. It is sent if orders are delivered in the answers to
+	// Report is the worker's report. It is sent if orders are delivered in the responses to
 	// heartbeats.
 	Report *Report `cbor:"4,keyasint,omitempty"`
 }
 
-// AnnouncementReply answers a heartbeat.
+// AnnouncementReply is the response to a heartbeat.
 type AnnouncementReply struct {
 	// HeartbeatAddress is where the worker sends its next heartbeats.
 	HeartbeatAddress string `cbor:"1,keyasint,omitempty"`
-	// Orders is nil if the leader calls workers.
+	// Orders holds the orders for the worker. It is nil if the leader calls workers.
 	Orders *HeartbeatOrders `cbor:"2,keyasint,omitempty"`
 }
 
-// LeaveCall announces that an incarnation shuts down.
+// LeaveCall announces that an incarnation of a worker shuts down.
 type LeaveCall struct {
 	Worker string `cbor:"1,keyasint"`
-	// Name is the worker's name. It means the latest incarnation if Worker doesn't
-	// identify one.
+	// Name is the worker's name. If Worker doesn't identify an incarnation, the latest
+	// incarnation with this name shuts down.
 	Name string `cbor:"2,keyasint,omitempty"`
 }
 
@@ -98,19 +100,20 @@
 	Document workflow.Document `cbor:"1,keyasint"`
 }
 
-// ConfigurationReply is the newest configuration.
+// ConfigurationReply holds the configuration in force.
 type ConfigurationReply struct {
 	Version uint64 `cbor:"1,keyasint"`
 	Source  []byte `cbor:"2,keyasint"`
 }
 
-// AnnounceInstanceCall announces an instance that serves callers to the leader. The leader may send
-// adviser queries through it from then on.
+// AnnounceInstanceCall announces an instance that serves callers to the leader. From then
+// on the leader may send adviser queries through it.
 type AnnounceInstanceCall struct {
 	Address string `cbor:"1,keyasint"`
 }
 
-// AnnounceInstanceReply names the core members and the version of the configuration that is in force.
+// AnnounceInstanceReply holds the addresses of the core members and the version of the
+// configuration that is in force.
 type AnnounceInstanceReply struct {
 	Members []string `cbor:"1,keyasint"`
 	Version uint64   `cbor:"2,keyasint"`
@@ -118,13 +121,13 @@
 	Pause time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
-// ExplainCall asks what a job is waiting for.
+// ExplainCall asks why the ready steps of a job wait.
 type ExplainCall struct {
 	Address JobAddress `cbor:"1,keyasint"`
 }
 
-// ExplainReply is the progress of each step of a job, and the reasons why its ready steps
-// don't run.
+// ExplainReply holds the progress of each step of a job, and the reasons why its ready
+// steps don't run.
 type ExplainReply struct {
 	Queue   string            `cbor:"1,keyasint"`
 	ID      string            `cbor:"2,keyasint"`
@@ -152,7 +155,7 @@
 	GivenUp bool `cbor:"3,keyasint,omitempty"`
 }
 
-// StepExplanation says what the tasks of a ready step are waiting for.
+// StepExplanation holds the reasons why the tasks of a ready step wait.
 type StepExplanation struct {
 	Key workflow.StepKey `cbor:"1,keyasint"`
 	// Tasks is the number of tasks of the step that could start.
@@ -161,7 +164,8 @@
 	// Workers counts the workers of the service by the reason why they get no task of the
 	// step.
 	Workers []dispatch.ReasonCount `cbor:"4,keyasint"`
-	// Permitted, Refused and Unknown count workers by the adviser's answer.
+	// Permitted, Refused and Unknown count workers: those on which the adviser permits the
+	// step, those on which it doesn't, and those about which no response is known.
 	Permitted int `cbor:"5,keyasint"`
 	Refused   int `cbor:"6,keyasint"`
 	Unknown   int `cbor:"7,keyasint"`
@@ -172,12 +176,12 @@
 	Wave workflow.Wave `cbor:"1,keyasint"`
 }
 
-// WaveStateCall asks for the progress of a maintenance wave.
+// WaveStateCall requests the progress of a maintenance wave.
 type WaveStateCall struct {
 	ID int64 `cbor:"1,keyasint"`
 }
 
-// WaveStateReply is the progress of a maintenance wave.
+// WaveStateReply holds the progress of a maintenance wave.
 type WaveStateReply struct {
 	Done bool `cbor:"1,keyasint,omitempty"`
 	// Maintenances are the maintenance stages of the wave's machines, in the order of the
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -17,7 +17,8 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// Bounds holds the deployment's durations from which the leader derives its own timeouts.
+// Bounds holds the durations that the deployment guarantees. The leader derives its own
+// timeouts from them.
 type Bounds struct {
 	// MaxLease is the longest lease that a worker accepts.
 	MaxLease time.Duration
@@ -42,8 +43,8 @@
 	// OnElected is called at the start of each leader term, before any worker is polled.
 	// Whatever it starts must stop when ctx ends. It may be nil.
 	OnElected func(ctx context.Context, term uint64)
-	// OrdersByHeartbeat makes the leader put orders into its answers to the workers'
-	// heartbeats; it then doesn't call workers.
+	// OrdersByHeartbeat makes the leader put orders into its responses to the workers'
+	// heartbeats instead of calling the workers.
 	OrdersByHeartbeat bool
 	Adviser           Adviser
 	// Machines is nil if the deployment has no list of machines.
@@ -61,14 +62,16 @@
 
 // Counters records counters, gauges and durations by metric name.
 type Counters interface {
+	// Add adds n to a counter.
 	Add(name string, n int64)
-	// Set sets the gauge name to n.
+	// Set sets a gauge to n.
 	Set(name string, n int64)
+	// Observe records one duration.
 	Observe(name string, d time.Duration)
 }
 
-// Controller serves calls on a core instance. It also does the leader's work while the
-// replicated log says that this member leads.
+// Controller serves calls on a core instance. While the replicated log says that this
+// member leads, it also does the work of the leader.
 type Controller struct {
 	cfg   Config
 	state *StateMachine
@@ -84,7 +87,8 @@
 	leaderTerm *leaderTerm
 }
 
-// New returns a controller over a replicated log whose state machine is state.
+// New returns a controller that proposes commands to replicatedLog. state must be the
+// state machine of that log.
 func New(cfg Config, state *StateMachine, replicatedLog node.Log) *Controller {
 	c := &Controller{cfg: cfg, state: state, log: replicatedLog}
 	if cfg.OrdersByHeartbeat {
@@ -108,8 +112,8 @@
 	return nil
 }
 
-// statusPollInterval is the longest time between two checks of the log's status, and so the
-// longest delay until a change of CanDecide is noticed.
+// statusPollInterval is the longest time between two checks of the log's status, and thus
+// the longest delay until a change of CanDecide is noticed.
 const statusPollInterval = 200 * time.Millisecond
 
 // waitForStatusChange waits until the log's status may have changed. The timeout is needed
@@ -166,13 +170,13 @@
 	c.state.setOnApply(t.wake)
 }
 
-// currentLeaderTerm returns the leader term in which this member may decide now. It returns
-// a NotLeader error if there is none.
+// currentLeaderTerm returns the leader term in which this member may decide now. It
+// returns a not-leader error if there is none.
 //
-// A delay of the log's goroutine by a tenth of a second makes CanDecide false although the
-// member still leads. An immediate NotLeader would then send every caller round all
-// members. The barrier waits until the log confirms the leadership, and fails immediately
-// if it is lost.
+// A delay of the log's goroutine by a tenth of a second makes CanDecide false although
+// the member still leads. An immediate not-leader error would make every caller try all
+// members in turn. The barrier waits until the log confirms the leadership, and fails
+// immediately if the leadership is lost.
 func (c *Controller) currentLeaderTerm(ctx context.Context) (*leaderTerm, error) {
 	c.mu.Lock()
 	t := c.leaderTerm
@@ -189,8 +193,9 @@
 	return t, nil
 }
 
-// propose commits one command. It turns ErrOutcomeUnknown into a fault of kind Unknown, because
-// the command may have been committed and no caller may be told otherwise.
+// propose commits one command and returns the result of applying it. It turns
+// ErrOutcomeUnknown into a fault of kind Unknown, because the command may have been
+// committed and callers must not assume otherwise.
 func (c *Controller) propose(ctx context.Context, command *workflow.Command) (workflow.Result, error) {
 	encoded, err := command.Encode()
 	if err != nil {
--- a/internal/control/copies.go
+++ b/internal/control/copies.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// workerResponseTimeout is how long a worker may give no answer before it counts as
-	// unresponsive: a long poll and a prompt answer.
+	// workerResponseTimeout is how long a worker may go without a response before it counts
+	// as unresponsive: the duration of one held poll and the shortest overdue time.
 	workerResponseTimeout = pollHold + minOverdueTime
-	// copySlowFactor is how many expected run times the rest of a run on a slow worker
-	// must take before a speculative copy is worth its resources. A run that takes long on
-	// a healthy worker would take as long elsewhere.
+	// copySlowFactor times the expected run time is how long the rest of a run on a slow
+	// worker must take before a speculative copy is worth its resources. A run that takes
+	// long on a healthy worker would take as long elsewhere.
 	copySlowFactor = 1.5
 )
 
@@ -24,8 +24,8 @@
 
 const (
 	copyNone         copyCause = ""
-	copyUnresponsive copyCause = "the worker gives no answer"
-	copyStalled      copyCause = "the run stands still"
+	copyUnresponsive copyCause = "the worker is unresponsive"
+	copyStalled      copyCause = "the run makes no progress"
 	copySlow         copyCause = "the worker is slow"
 )
 
@@ -33,8 +33,9 @@
 // shouldn't. The caller checks that the step allows copies. t.mu must be held.
 //
 // Without a copy, the tasks of a worker that becomes unreachable or slow wait until its
-// lease has expired, or until the slow runs end. If the job declares that two concurrent
-// runs are harmless, the second run needn't wait until the first is known to be over.
+// lease has expired, or until the slow runs end. The jobs concerned declare that two
+// concurrent runs of a task are harmless, so the second run needn't wait for the end of
+// the first.
 func (s *workerSession) copyCauseOf(run workflow.Run, step *workflow.Step, now time.Time) copyCause {
 	if s.isUnresponsive(now) {
 		return copyUnresponsive
@@ -53,7 +54,8 @@
 	return copyNone
 }
 
-// addCopyCandidate adds a run whose task should get a speculative copy. t.mu must be held.
+// addCopyCandidate adds a run to the copy candidates if its task should get a speculative
+// copy. t.mu must be held.
 func (input *planInput) addCopyCandidate(t *leaderTerm, s *workflow.State, run workflow.Run, session *workerSession, now time.Time) {
 	job := s.Jobs[run.Task.Job]
 	spec := &job.Steps[run.Task.Step]
@@ -74,8 +76,8 @@
 	cause  copyCause
 }
 
-// addCopySteps adds steps for the tasks that should get a speculative copy. Such a step
-// excludes the workers of the existing runs. t.mu must be held.
+// addCopySteps adds steps for the tasks that should get a speculative copy to the input.
+// Such a step excludes the workers of the existing runs. t.mu must be held.
 func (t *leaderTerm) addCopySteps(input *planInput, s *workflow.State, now time.Time) {
 	avoid := map[workflow.StepKey]map[int]string{}
 	for task, c := range input.copyCandidates {
--- a/internal/control/crash.go
+++ b/internal/control/crash.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// strongSuspicionMaxAge is the highest age of a run, at its worker's last answer, at
+	// strongSuspicionMaxAge is the highest age of a run, at its worker's last response, at
 	// which the worker's crash counts strongly against the task.
 	strongSuspicionMaxAge = time.Second
 	// noSuspicionMinAge is the age from which on a run of a long-running task isn't
-	// suspected of its worker's crash.
+	// suspected of having crashed its worker.
 	noSuspicionMinAge = 10 * time.Second
-	// probationPeriod is how long a worker must have answered while it runs a crash suspect
-	// before it gets another task.
+	// probationPeriod is how long a worker must have responded while it runs a crash
+	// suspect, a task under which workers have crashed, before it gets another task.
 	probationPeriod = 500 * time.Millisecond
 )
 
-// hasCrashed reports whether the worker, which is gone, has crashed: it neither announced
-// its shutdown nor was its machine about to go down.
+// hasCrashed reports whether the worker, which is gone, has crashed: it hasn't announced
+// its shutdown, and its machine wasn't about to go down or move.
 func (s *workerSession) hasCrashed() bool {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
 	return !s.leaving && !s.worker.Draining && !s.t.machines.isCordoned(s.worker.ID)
 }
 
-// suspicion returns how strongly a run is suspected of having crashed its worker, if the
-// worker has crashed. t.mu must be held.
+// suspicion returns how strongly a run is suspected of having crashed its worker, in case
+// the worker has crashed. t.mu must be held.
 func (s *workerSession) suspicion(run workflow.Run) workflow.Suspicion {
 	o := s.orders[run.Task]
 	if o == nil || o.run.Number != run.Number {
@@ -47,8 +47,8 @@
 	return workflow.SuspicionStrong
 }
 
-// aliveFor returns for how long the worker is known to have answered during a run, 0 if no
-// answer has shown the run. t.mu must be held.
+// aliveFor returns for how long the worker is known to have responded during a run, 0 if
+// no response has shown the run. t.mu must be held.
 func (s *workerSession) aliveFor(o *runOrder) time.Duration {
 	since := o.startedAt
 	if since.IsZero() {
@@ -60,8 +60,8 @@
 	return max(s.lastResponseAt().Sub(since), 0)
 }
 
-// lastResponseAt returns when the worker last answered a call of any kind. t.mu must be
-// held.
+// lastResponseAt returns when the worker last responded to a call of any kind. t.mu must
+// be held.
 func (s *workerSession) lastResponseAt() time.Time {
 	if s.clockAt.After(s.answeredAt) {
 		return s.clockAt
@@ -88,9 +88,9 @@
 	return false
 }
 
-// logLostRuns logs for each run that ended with its worker how old it was when the worker
-// last answered. A task that appears in these lines repeatedly, each time with a young
-// run, crashes its workers.
+// logLostRuns logs how old each run that ended with its worker was when the worker last
+// responded. A task that appears in these lines repeatedly, each time with a young run,
+// crashes its workers.
 func (s *workerSession) logLostRuns(ends []workflow.RunEnd, cause string) {
 	t := s.t
 	t.mu.Lock()
@@ -119,7 +119,7 @@
 	return ends
 }
 
-// commitReturned commits that the worker answers again, and therefore hasn't crashed.
+// commitReturned commits that the worker responds again, and therefore hasn't crashed.
 func (s *workerSession) commitReturned() {
 	s.t.commitWithRetry(&workflow.Command{Ends: &workflow.RunEnds{Worker: s.worker.ID, Returned: true}})
 }
--- a/internal/control/disruption.go
+++ b/internal/control/disruption.go
@@ -6,15 +6,15 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// checkpointLead is how long before the shutdown of its worker a run is stopped to save a
-// checkpoint. A stop takes up to 400 ms, and the heartbeat that announced the shutdown
-// time may be old.
+// checkpointLead is how long before the shutdown of its worker a run is stopped so that
+// it saves a checkpoint. A stop takes up to 400 ms, and the heartbeat that announced the
+// shutdown time may be old.
 const checkpointLead = 700 * time.Millisecond
 
 // stopForDrain reports whether a run is to be stopped because its worker drains. A
 // long-running task is stopped as soon as its step may be disrupted. A task with
-// checkpoints is stopped shortly before the worker may shut down, unless it is expected to
-// end before. t.mu must be held.
+// checkpoints is stopped checkpointLead before the worker may shut down, unless it is
+// expected to end before the shutdown. t.mu must be held.
 func (t *leaderTerm) stopForDrain(s *workflow.State, session *workerSession, run workflow.Run, now time.Time) bool {
 	if !session.worker.Draining {
 		return false
@@ -27,7 +27,8 @@
 	return spec.Checkpointing && !leavesAt.IsZero() && now.After(leavesAt.Add(-checkpointLead)) && session.expectedEnd(run, spec, now).After(leavesAt)
 }
 
-// completePercent is 100 %; a long-running task reports it once it is ready to serve.
+// completePercent is 100 %, the progress of a finished run. A long-running task reports
+// it once it is ready to serve.
 const completePercent = 100
 
 // stopForMaintenance reports whether a run is to be stopped because its machine goes down
@@ -46,13 +47,13 @@
 	return state.stop
 }
 
-// disruptionAllowed reports whether a long-running task may be interrupted now: fewer
-// other tasks of its step are unavailable than the job allows. t.mu must be held.
+// disruptionAllowed reports whether a run of a long-running task may be interrupted now:
+// fewer other tasks of its step are unavailable than the job allows. t.mu must be held.
 //
 // If serving tasks were moved off several machines at the same time, or off one while a
-// moved task is still starting, too few tasks would be ready. A task counts as unavailable
-// until its worker reports it as ready, so a task that has just been stopped, or whose
-// worker is unresponsive, counts as well.
+// moved task is still starting, too few tasks would be ready. A task counts as
+// unavailable until its worker reports it as ready, so a task that has just been stopped,
+// or whose worker is unresponsive, counts as well.
 func (t *leaderTerm) disruptionAllowed(s *workflow.State, run workflow.Run, spec *workflow.Step) bool {
 	if o := t.sessions[run.Worker].orders[run.Task]; o != nil && !o.stopSent.IsZero() {
 		return true
--- a/internal/control/explain.go
+++ b/internal/control/explain.go
@@ -10,8 +10,8 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// Explain returns the progress of a job and why its ready steps wait. It uses the same
-// planning input and the same filters as the next decision.
+// Explain returns the progress of a job and the reasons why its ready steps wait. It uses
+// the same planning input and the same filters as the next decision.
 func (c *Controller) Explain(ctx context.Context, r *ExplainCall) (ExplainReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -72,7 +72,7 @@
 	return crashes
 }
 
-// explain returns why the ready steps of a job wait that have tasks left to start.
+// explain returns why those ready steps of a job wait that have tasks left to start.
 func (t *leaderTerm) explain(id string, now time.Time) []StepExplanation {
 	input := t.gatherPlanInput(now)
 	t.mu.Lock()
@@ -100,11 +100,11 @@
 	return explanations
 }
 
-// anyService selects the workers of all services.
+// anyService stands for the workers of all services.
 const anyService = ""
 
 // unschedulableWorkers counts the workers of a service that get no new tasks, by reason.
-// t.mu must be held.
+// The counts are sorted by reason. t.mu must be held.
 func (t *leaderTerm) unschedulableWorkers(service string, now time.Time) []dispatch.ReasonCount {
 	counts := map[dispatch.Reason]*dispatch.ReasonCount{}
 	suspected := t.suspectedDataCentres(now)
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -12,18 +12,20 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// pools is the state of the moves of machines between pools in one leader term. Only the
-// machine loop uses it, except for the fields marked as guarded by t.mu.
+// poolMoves is the state of the moves of machines between pools in one leader term. Only
+// the machine loop uses it, except for the fields marked as guarded by t.mu. A pool holds
+// the machines of one configured service.
 type poolMoves struct {
-	// shortSince and idleSince are when a pool became short of machines or idle.
+	// shortSince and idleSince are since when each pool has been short of machines or has
+	// had idle ones.
 	shortSince, idleSince map[string]time.Time
-	// planned maps the machines that are cordoned for a move to that move.
+	// planned holds the planned move of each machine that is cordoned for it.
 	planned map[string]fleet.Move
 	// refusedPairs are the pairs of source and target pool between which the deployment
 	// refuses moves. Guarded by t.mu.
 	refusedPairs map[[2]string]bool
-	// moving maps each machine whose move was ordered to its target pool, until the
-	// machine list shows it there. Guarded by t.mu.
+	// moving maps each machine whose move was ordered to its target pool, until the machine
+	// list shows it there. Guarded by t.mu.
 	moving map[string]string
 }
 
@@ -34,8 +36,8 @@
 	}
 }
 
-// services returns the configured pools, nil when none of them is on standby: then no
-// machine is ever moved.
+// services returns the configured services, or nil if none of them is on standby, because
+// machines are moved only if there is a standby pool.
 func (t *leaderTerm) services() (services []workflow.Service) {
 	t.c.state.read(func(s *workflow.State) {
 		if slices.ContainsFunc(s.Configuration.Services, func(service workflow.Service) bool { return service.Standby }) {
@@ -116,8 +118,8 @@
 	return states
 }
 
-// addMachines adds the machines of a pool and the capacity of machines that move to it.
-// t.mu must be held.
+// addMachines adds to pool the given CPU demand, its machines, and their capacity
+// including that of machines that are moving to it. t.mu must be held.
 func (t *leaderTerm) addMachines(pool *fleet.Pool, s *workflow.State, demand int64) {
 	pool.Demand = demand
 	for id, m := range t.machines.list {
@@ -161,13 +163,15 @@
 	return demand
 }
 
-// updateDurations records for how long a pool has been short of machines or idle.
+// updateDurations sets for how long a pool has been short of machines and for how long it
+// has had idle ones.
 func (p *poolMoves) updateDurations(pool *fleet.Pool, now time.Time) {
 	pool.ShortFor = heldFor(p.shortSince, pool.Name, pool.Short(), now)
 	pool.IdleFor = heldFor(p.idleSince, pool.Name, pool.Idle(), now)
 }
 
-// heldFor returns for how long a condition has held without interruption.
+// heldFor returns for how long a condition of the named pool has held without
+// interruption. since holds when it began, by pool.
 func heldFor(since map[string]time.Time, name string, holds bool, now time.Time) time.Duration {
 	if !holds {
 		delete(since, name)
@@ -179,8 +183,8 @@
 	return now.Sub(since[name])
 }
 
-// orderMove orders a machine to move to another pool. The machine list shows later whether
-// it moved; an order without an answer is repeated.
+// orderMove orders a machine to move to another pool, in the background. The machine list
+// shows later whether it moved; an order without a response is repeated.
 func (t *leaderTerm) orderMove(m ListedMachine, move fleet.Move) {
 	if !t.beginOrder(m.ID) {
 		return
--- a/internal/control/goroutines.go
+++ b/internal/control/goroutines.go
@@ -3,8 +3,8 @@
 import "sync"
 
 // goroutineGroup runs the goroutines of a leader term. After wait has been called it
-// starts no more: otherwise a heartbeat that arrives while the term ends would add to a
-// sync.WaitGroup that is being waited for.
+// starts none: a heartbeat that arrives while the leader term ends would otherwise add to
+// a sync.WaitGroup that is being waited for.
 type goroutineGroup struct {
 	mu     sync.Mutex
 	closed bool
--- a/internal/control/health.go
+++ b/internal/control/health.go
@@ -12,19 +12,22 @@
 	quarantineAfter = 3
 	// quarantineFor is how long a quarantined worker gets no task.
 	quarantineFor = 4 * time.Second
-	// stallTimeout is how long no run of a worker may advance by a percent before the
-	// worker counts as stalled. The longest tasks take 16 s, so a percent takes 0.16 s.
+	// stallTimeout is how long no run of a worker may advance by a percent before the worker
+	// counts as stalled. The longest tasks take 16 s, so they advance by a percent in 0.16
+	// s.
 	stallTimeout = 700 * time.Millisecond
-	// stalledPollHold is the hold of a poll at a stalled worker, whose report shows whether
-	// a run advances.
+	// stalledPollHold is the longest hold of a poll of a stalled worker. The hold is short
+	// because the next report shows whether a run advances again.
 	stalledPollHold = 300 * time.Millisecond
-	// stalledRunTimeout is how long a run may make no progress before it is stopped and
-	// started elsewhere: longer than a short pause of a worker, shorter than most tasks.
+	// stalledRunTimeout is how long a run may make no progress, or be paused, before it is
+	// stopped and started elsewhere: longer than a short pause of a worker, shorter than
+	// most tasks.
 	stalledRunTimeout = 3 * time.Second
 	// slowFactor is how much longer than on other workers the runs must take, relative to
 	// their estimates, for a worker to count as slow. Estimates are off by up to half.
 	slowFactor = 2.5
-	// slowSamples is the least number of runs for that comparison.
+	// slowSamples is the least number of finished runs of a worker before it can count as
+	// slow.
 	slowSamples = 3
 	// workerPaceWeight and overallPaceWeight are the weights of the latest run in the
 	// moving means of one worker and of all workers.
@@ -32,8 +35,8 @@
 	overallPaceWeight = 0.02
 )
 
-// recordHealth records what the end of a run says about the worker's health. t.mu must be
-// held.
+// recordHealth updates the worker's failure count and pace from the end of a run. t.mu
+// must be held.
 func (s *workerSession) recordHealth(end workflow.RunEnd, now time.Time) {
 	switch end.Outcome {
 	case workflow.OutcomeDone:
@@ -44,8 +47,9 @@
 	}
 }
 
-// recordFailure counts a failed run and quarantines a worker on which runs of different
-// jobs keep failing.
+// recordFailure counts a failed run, unless the last failed run belonged to the same job,
+// and quarantines the worker once quarantineAfter consecutive failures are counted. t.mu
+// must be held.
 func (s *workerSession) recordFailure(end workflow.RunEnd, now time.Time) {
 	if end.Task.Job == s.failedJob {
 		return
@@ -58,7 +62,8 @@
 	}
 }
 
-// recordPace adds a finished run to the moving means of run time divided by estimate.
+// recordPace adds a finished run to the moving means of run time divided by estimate. It
+// ignores runs that resumed from a checkpoint. t.mu must be held.
 func (s *workerSession) recordPace(end workflow.RunEnd, now time.Time) {
 	o := s.orders[end.Task]
 	if o == nil || o.run.Number != end.Number || o.startedAt.IsZero() || o.estimate <= 0 || o.resumed {
@@ -73,7 +78,8 @@
 	}
 }
 
-// penalty returns how far decisions rank the worker behind others. t.mu must be held.
+// penalty returns the number of the worker's consecutive failures. Decisions prefer
+// workers with a lower penalty. t.mu must be held.
 func (s *workerSession) penalty() int {
 	if s.t.disabled.Health {
 		return 0
@@ -87,10 +93,10 @@
 	return s.pace.samples >= slowSamples && s.pace.mean > slowFactor*s.t.pace.mean
 }
 
-// isStalled reports whether the worker answers but none of its runs advances: its last
-// report shows the same percentages as one that is older by stallTimeout. The times of the
-// reports count, not the current time, because no progress can be seen between two
-// reports. t.mu must be held.
+// isStalled reports whether the worker responds but none of its runs advances: its last
+// report shows the same percentages as one that is older by stallTimeout. The times of
+// the reports count, not the current time, because progress between two reports isn't
+// visible. t.mu must be held.
 func (s *workerSession) isStalled() bool {
 	return s.busy && s.answeredAt.Sub(s.advancedAt) > stallTimeout
 }
@@ -103,8 +109,8 @@
 	}
 }
 
-// recordProgress records the progress of a run, and reports whether it has advanced. t.mu
-// must be held.
+// recordProgress records the reported progress of a run, and reports whether the run has
+// advanced. t.mu must be held.
 func (o *runOrder) recordProgress(percent int, now time.Time) bool {
 	advanced := !o.listed || percent > o.percent
 	if advanced {
--- a/internal/control/heartbeat_buffer.go
+++ b/internal/control/heartbeat_buffer.go
@@ -8,12 +8,12 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// collectTimeout is how long after its last collection the leader is expected to collect
-// this instance's heartbeats again.
+// collectTimeout is how long after a collection by the leader this instance expects the
+// next one. After that time it no longer buffers heartbeats.
 const collectTimeout = time.Second
 
-// BufferedHeartbeat is a heartbeat that another instance received. Age is the time since
-// then.
+// BufferedHeartbeat is a heartbeat that an instance other than the leader received. Age
+// is the time since then.
 type BufferedHeartbeat struct {
 	Worker string        `cbor:"1,keyasint"`
 	Age    time.Duration `cbor:"2,keyasint"`
@@ -21,8 +21,8 @@
 
 // heartbeatBuffer holds unchanged heartbeats until the leader collects them.
 //
-// A thousand workers send hundreds of heartbeats a second. Without the buffer, each would
-// be a call to the leader.
+// A thousand workers send hundreds of heartbeats a second. Without the buffer, each of
+// them would cause a call to the leader.
 type heartbeatBuffer struct {
 	mu sync.Mutex
 	// pending maps each worker with an uncollected heartbeat to the arrival time of the
@@ -39,8 +39,8 @@
 	prunedAt time.Time
 }
 
-// isRecent reports whether the leader learned of a heartbeat of the worker so recently that
-// it needs no other yet.
+// isRecent reports whether the leader learned of a heartbeat of the worker within
+// forwardInterval, so that it needs no other one yet.
 func (t *forwardTimes) isRecent(worker string, now time.Time) bool {
 	return now.Sub(t.at[worker]) < forwardInterval
 }
@@ -57,8 +57,9 @@
 	}
 }
 
-// buffer stores a heartbeat for the next collection. It reports false if the leader doesn't
-// collect here, so that the heartbeat has to be forwarded.
+// buffer stores a heartbeat for the next collection, unless the leader has learned of
+// another one recently. It reports false if the leader doesn't collect from this
+// instance, so that the heartbeat has to be forwarded.
 func (b *heartbeatBuffer) buffer(worker string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -74,7 +75,7 @@
 	return true
 }
 
-// collect returns and removes the heartbeats that the leader doesn't know of yet.
+// collect returns and removes the buffered heartbeats.
 func (b *heartbeatBuffer) collect(now time.Time) []BufferedHeartbeat {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -109,8 +110,8 @@
 	}
 }
 
-// applyCollectedHeartbeat records when a worker sent a heartbeat. A known worker that is no
-// longer monitored is monitored again.
+// applyCollectedHeartbeat records the time of a heartbeat of a worker. If the worker is
+// in the log and no longer monitored, it is monitored again.
 func (t *leaderTerm) applyCollectedHeartbeat(worker string, at time.Time) {
 	t.mu.Lock()
 	s := t.sessions[worker]
--- a/internal/control/heartbeat_transport.go
+++ b/internal/control/heartbeat_transport.go
@@ -12,47 +12,48 @@
 )
 
 const (
-	// heartbeatHold is how long the answer to a heartbeat waits for an order, so that a
-	// new order is sent immediately.
+	// heartbeatHold is how long the response to a heartbeat is held if there is no order, so
+	// that a new order can be sent immediately.
 	heartbeatHold = 100 * time.Millisecond
-	// heartbeatInterval is the time from an answer to the worker's next heartbeat. Together
-	// with the hold, an end is seen after 75 ms on average.
+	// heartbeatInterval is the time from a response to the worker's next heartbeat. Together
+	// with the hold, the end of a run is noticed after 75 ms on average.
 	heartbeatInterval = 50 * time.Millisecond
-	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
+	// heartbeatTimeout is how long a worker waits for the response to a heartbeat.
 	heartbeatTimeout = time.Second
-	// promptHeartbeatMax is the longest time from an answer to the next heartbeat of a
-	// worker that received the answer. A worker that didn't receive it waits for the full
-	// timeout.
+	// promptHeartbeatMax is the longest time from a response to the worker's next heartbeat
+	// if the worker received the response. A worker that didn't receive it waits for the
+	// full timeout.
 	promptHeartbeatMax = heartbeatTimeout - heartbeatHold
 	// requiredConfirmations is how many consecutive prompt heartbeats prove that the orders
-	// in the answers before them arrived. A single one may come from a connection that
-	// broke before the answer was delivered.
+	// in the responses before them arrived. A single one may come from a connection that
+	// broke before the response was delivered.
 	requiredConfirmations = 2
 )
 
-// HeartbeatOrders are the orders in the answer to a heartbeat, for workers that the leader
-// doesn't call.
+// HeartbeatOrders are the orders in the response to a heartbeat, for workers that the
+// leader doesn't call.
 type HeartbeatOrders struct {
 	// Lease is how long runs on the worker may continue, counted from the arrival of the
-	// answer.
+	// response.
 	Lease time.Duration `cbor:"1,keyasint,omitempty"`
 	// LastEnd is the position of the last end that the worker needn't list any more.
-	LastEnd uint64         `cbor:"2,keyasint,omitempty"`
-	Fence   uint64         `cbor:"3,keyasint"`
-	Starts  []StartOrder   `cbor:"4,keyasint,omitempty"`
-	Stops   []workflow.Run `cbor:"5,keyasint,omitempty"`
+	LastEnd uint64 `cbor:"2,keyasint,omitempty"`
+	// Fence is the fencing token of all orders in the response.
+	Fence  uint64         `cbor:"3,keyasint"`
+	Starts []StartOrder   `cbor:"4,keyasint,omitempty"`
+	Stops  []workflow.Run `cbor:"5,keyasint,omitempty"`
 	// NextIn is the time until the next heartbeat is due.
 	NextIn time.Duration `cbor:"6,keyasint"`
 }
 
-// errUnconfirmed says that no heartbeat confirmed an order before the call ended. The
-// worker may still carry it out.
+// errUnconfirmed is returned when no heartbeat confirmed an order before the call ended.
+// The worker may still carry out the order.
 var errUnconfirmed = errors.New("no heartbeat confirmed that the order arrived")
 
-// heartbeatTransport implements Workers for deployments whose workers call the leader and
-// aren't called: it delivers orders in the answers to heartbeats.
+// heartbeatTransport implements Workers for deployments in which workers call the leader
+// and the leader doesn't call them: it delivers orders in the responses to heartbeats.
 type heartbeatTransport struct {
-	// direct sends the one order that heartbeats don't carry.
+	// direct sends throttle orders, the only ones that heartbeats don't carry.
 	direct Workers
 
 	mu        sync.Mutex
@@ -70,8 +71,8 @@
 	// starts and stops are sent repeatedly until a heartbeat shows that they arrived.
 	starts map[workflow.TaskKey]*heartbeatOrder
 	stops  map[workflow.Run]*heartbeatOrder
-	// answeredAt is when the last answer was sent. confirmed counts the prompt heartbeats
-	// since an answer first carried the fence.
+	// answeredAt is when the last response was sent. confirmations counts the prompt
+	// heartbeats since a response first carried the fencing token.
 	answeredAt    time.Time
 	fence         uint64
 	confirmations int
@@ -81,19 +82,19 @@
 	report                        Report
 }
 
-// heartbeatOrder is an order that isn't confirmed yet.
+// heartbeatOrder is an order whose arrival isn't confirmed yet. start is empty in a stop.
 type heartbeatOrder struct {
 	start StartOrder
-	// sent says that an answer carried the order. confirmed counts the prompt heartbeats
-	// since then.
+	// sent says that a response carried the order. confirmations counts the prompt
+	// heartbeats since then.
 	sent          bool
 	confirmations int
 	// delivered is closed when the order is known to have arrived.
 	delivered chan struct{}
 }
 
-// mailboxOf returns the mailbox of a worker, which it creates if needed. h.mu must be
-// held.
+// mailboxOf returns the mailbox of a worker, and creates it if there is none. h.mu must
+// be held.
 func (h *heartbeatTransport) mailboxOf(worker string) *mailbox {
 	box := h.mailboxes[worker]
 	if box == nil {
@@ -106,7 +107,7 @@
 	return box
 }
 
-// forget removes the mailboxes of workers for which exists returns false.
+// removeMailboxes removes the mailboxes of workers for which exists returns false.
 func (h *heartbeatTransport) removeMailboxes(exists func(worker string) bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -117,8 +118,8 @@
 	}
 }
 
-// exchange records the report of a heartbeat and returns the orders for its answer. It
-// waits up to heartbeatHold for an order if there is none.
+// exchange records the report of a heartbeat and returns the orders for its response. If
+// there is no order, it waits up to heartbeatHold for one.
 func (h *heartbeatTransport) exchange(ctx context.Context, worker string, fence uint64, report Report) HeartbeatOrders {
 	h.mu.Lock()
 	box := h.mailboxOf(worker)
@@ -139,9 +140,10 @@
 	return box.makeResponse(fence, report, time.Now())
 }
 
-// recordHeartbeat records a heartbeat. A report without a run says nothing about a start
-// that was sent before; prompt heartbeats after an answer prove that a stop or the fence in
-// it arrived.
+// recordHeartbeat records a heartbeat and confirms the orders whose arrival it proves. A
+// start has arrived if the report lists its run; a report without the run proves nothing.
+// A stop or the fencing token has arrived if enough prompt heartbeats followed the
+// response that carried it.
 func (box *mailbox) recordHeartbeat(report Report, now time.Time) {
 	prompt := !box.answeredAt.IsZero() && now.Sub(box.answeredAt) < promptHeartbeatMax
 	if prompt && box.fence > 0 {
@@ -181,9 +183,10 @@
 	}
 }
 
-// makeResponse builds an answer. The leader sets the end of a lease on the worker's clock,
-// but the worker counts from the arrival of the answer. The arrival may be as late as the
-// worker's timeout, which is subtracted.
+// makeResponse returns the response to a heartbeat. The end of the lease that the leader
+// has set, on the worker's clock, is converted to a duration that the worker counts from
+// the arrival of the response. The response may arrive as late as the worker's timeout,
+// so that time is subtracted.
 func (box *mailbox) makeResponse(fence uint64, report Report, now time.Time) HeartbeatOrders {
 	if box.fence != fence {
 		box.fence, box.confirmations = fence, 0
@@ -205,8 +208,9 @@
 	return orders
 }
 
-// Poll waits for the first heartbeat after the worker has accepted this leader's fence, and
-// returns its report. The worker refuses orders of earlier leaders from then on.
+// Poll waits for the first heartbeat that follows the worker's acceptance of this
+// leader's fencing token, and returns its report. From then on the worker refuses orders
+// of earlier leaders.
 func (h *heartbeatTransport) Poll(ctx context.Context, to Target, order PollOrder) (Report, error) {
 	for {
 		h.mu.Lock()
@@ -228,8 +232,8 @@
 	}
 }
 
-// clockUnknown is the clock in answers that heartbeats confirm. The worker's clock comes
-// with its reports.
+// clockUnknown is returned as the worker's clock for orders that heartbeats confirm. The
+// leader gets the clock from the worker's reports instead.
 const clockUnknown = 0
 
 // Start returns nil once a heartbeat lists the run, and errUnconfirmed if ctx ends first.
@@ -245,9 +249,10 @@
 		func(box *mailbox) map[workflow.Run]*heartbeatOrder { return box.stops })
 }
 
-// deliver adds an order to one of the worker's lists, under key, and sends it repeatedly
-// until a heartbeat proves that it arrived. When ctx ends first, it removes the order,
-// unless a newer one has replaced it, and returns errUnconfirmed.
+// deliver adds an order to the worker's orders of one kind, under key, and lets responses
+// carry it repeatedly until a heartbeat proves that it arrived. If ctx ends first,
+// deliver removes the order, unless a newer one has replaced it, and returns
+// errUnconfirmed.
 func deliver[Key comparable](ctx context.Context, h *heartbeatTransport, to Target, key Key, order *heartbeatOrder,
 	ordersOf func(*mailbox) map[Key]*heartbeatOrder) error {
 	order.delivered = make(chan struct{})
@@ -272,7 +277,8 @@
 	return h.direct.Throttle(ctx, to, order)
 }
 
-// wake ends the hold of a heartbeat, so that it is answered immediately.
+// wake ends the hold of the response to a heartbeat, so that the response is sent
+// immediately.
 func (box *mailbox) wake() {
 	close(box.orderAdded)
 	box.orderAdded = make(chan struct{})
--- a/internal/control/incarnations.go
+++ b/internal/control/incarnations.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// clockJumpTolerance is how far an answer's clock may differ from the expected value,
-	// beyond the drift: the one-way delay of a call and the scheduling delay of both
-	// processes.
+	// clockJumpTolerance is how far the worker's clock in a response may differ from the
+	// expected value, beyond the drift: the one-way delay of a call and the scheduling delay
+	// of both processes.
 	clockJumpTolerance = 2 * time.Second
-	// leavingRevokedAfter is how long after an announced shutdown a heartbeat shows that
-	// the announcement came from another incarnation.
+	// leavingRevokedAfter is the time after an announced shutdown from which on a heartbeat
+	// shows that the announcement came from another incarnation.
 	leavingRevokedAfter = 3 * time.Second
-	// supersededPollHold is the longest hold of a poll while runs of the worker's earlier
-	// incarnations aren't settled.
+	// supersededPollHold is the longest hold of a poll while ends of runs of the worker's
+	// earlier incarnations aren't committed yet.
 	supersededPollHold = 50 * time.Millisecond
 	// successorCheckInterval is the pause between two checks whether the successor has
 	// reported.
@@ -39,9 +39,9 @@
 	return incarnation
 }
 
-// linkToSuccessor marks s as superseded if a later incarnation of its worker is known, and
-// makes the session of the latest one take over its runs. t.mu must be held, or t isn't
-// shared yet.
+// linkToSuccessor marks s as superseded if a later incarnation of its worker is known,
+// and makes the session of the latest incarnation take over the runs of s. t.mu must be
+// held, or t isn't shared yet.
 func (t *leaderTerm) linkToSuccessor(s *workerSession, state *workflow.State) {
 	if !state.Superseded(&s.worker) {
 		return
@@ -62,14 +62,15 @@
 	}
 }
 
-// takeOver ends the session of an earlier incarnation of the worker; the reports of this
-// incarnation settle its runs. t.mu must be held, or the leader term isn't shared yet.
+// takeOver marks the session of an earlier incarnation as superseded, which ends it. The
+// reports of this incarnation determine the outcomes of its runs. t.mu must be held, or
+// the leader term isn't shared yet.
 func (s *workerSession) takeOver(earlier *workerSession) {
 	earlier.superseded = true
 	s.predecessors = append(s.predecessors, earlier)
 	// This incarnation may carry out orders meant for the earlier one. Their lease ends
-	// refer to the earlier clock, so the worker shortens them to the longest lease that it
-	// accepts.
+	// refer to the clock of the earlier incarnation, so the worker limits them to the
+	// longest lease that it accepts.
 	if end := time.Now().Add(leaseUpperBound(s.t.c.cfg.Bounds.MaxLease)); end.After(s.leaseEnd) {
 		s.leaseEnd = end
 	}
@@ -90,8 +91,8 @@
 	}
 }
 
-// mayBeOtherIncarnation reports whether another incarnation of the worker may answer the
-// next call. t.mu must be held.
+// mayBeOtherIncarnation reports whether another incarnation of the worker may respond to
+// the next call. t.mu must be held.
 //
 // A poll acknowledges the listed ends by their highest position. A new incarnation that
 // received the position of its predecessor would never list its own first ends.
@@ -99,8 +100,8 @@
 	return s.worker.StartedAtMS > 0 && (s.incarnationUnconfirmed || s.superseded)
 }
 
-// clockJumped reports whether a clock reading can't come from the incarnation that gave
-// the earlier readings. t.mu must be held.
+// clockJumped reports whether a clock reading, in milliseconds, can't come from the
+// incarnation that gave the earlier readings. t.mu must be held.
 func (s *workerSession) clockJumped(clockMS int64, now time.Time) bool {
 	if s.worker.StartedAtMS == 0 || clockMS <= 0 || s.clockAt.IsZero() {
 		return false
@@ -110,18 +111,20 @@
 	return deviation.Abs() > clockJumpTolerance+time.Duration(float64(elapsed)*(driftFactor-1))
 }
 
-// settleWithSuccessor settles the runs that a later incarnation of the worker may have
-// started. It stops each run there, and accepts what the successor has reported by then.
+// settleWithSuccessor determines the outcomes of the runs that a later incarnation of the
+// worker may have started: it stops each of them at that incarnation and waits for a
+// report that shows the result.
 //
-// A start that got no answer before the worker crashed may reach the next incarnation
-// seconds later. That one has the same address and has seen no fence yet, and would run
-// the task a second time while the run that was started elsewhere is alive.
+// A start that got no response before the worker crashed may reach the next incarnation
+// seconds later. The next incarnation has the same address and hasn't seen any fencing
+// token yet, so it would run the task a second time while a run on another worker is
+// alive.
 func (s *workerSession) settleWithSuccessor(cause string, outcome workflow.Outcome) {
 	if s.worker.StartedAtMS == 0 {
 		return
 	}
 	s.t.mu.Lock()
-	// A session that isn't ready accounts for its runs until they are settled.
+	// A session that isn't ready accounts for its runs until their ends are committed.
 	s.ready = false
 	leaving := s.leaving
 	s.t.mu.Unlock()
@@ -145,8 +148,8 @@
 		"ms", time.Since(started).Milliseconds())
 }
 
-// startConfirmed reports whether this incarnation has certainly started the run and no
-// call of its start is unanswered. t.mu must be held.
+// startConfirmed reports whether this incarnation has certainly started the run and each
+// call of its start got a response. t.mu must be held.
 func (s *workerSession) startConfirmed(run workflow.Run) bool {
 	o := s.orders[run.Task]
 	return o != nil && o.run.Number == run.Number && o.openCalls == 0 && !o.startedAt.IsZero() && s.fullReportSentAt.After(o.startedAt)
@@ -162,8 +165,9 @@
 	return runs
 }
 
-// stopAtSuccessor sends stops for a run to the worker's address until one is answered or
-// the deadline has passed. After that no incarnation there starts the run.
+// stopAtSuccessor sends stops for a run to the worker's address until one succeeds,
+// another incarnation responds, or the deadline has passed. After a success no
+// incarnation at that address starts the run.
 func (s *workerSession) stopAtSuccessor(run workflow.Run, deadline time.Time) {
 	for s.t.ctx.Err() == nil && time.Now().Before(deadline) {
 		_, err := s.callStop(run)
@@ -174,8 +178,8 @@
 	}
 }
 
-// awaitSuccessorReport waits for a complete report of the successor to a poll that is sent
-// from now on. It returns false if the deadline passes first.
+// awaitSuccessorReport waits for a complete report of the successor in response to a poll
+// that is sent from now on. It returns false if the deadline passes first.
 func (s *workerSession) awaitSuccessorReport(deadline time.Time) bool {
 	since := time.Now()
 	s.interruptSuccessorPoll()
@@ -210,8 +214,8 @@
 	return nil
 }
 
-// successorReportedSince reports whether the successor has answered a poll that was sent
-// after since with a complete report.
+// successorReportedSince reports whether the successor has sent a complete report in
+// response to a poll that was sent after since.
 func (s *workerSession) successorReportedSince(since time.Time) bool {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
@@ -219,8 +223,8 @@
 	return successor != nil && successor.fullReportSentAt.After(since)
 }
 
-// endPredecessorRuns commits the ends that this incarnation lists of runs that were
-// assigned to earlier ones.
+// endPredecessorRuns commits those of the listed ends that belong to runs assigned to
+// earlier incarnations of the worker.
 func (s *workerSession) endPredecessorRuns(listed []workflow.RunEnd) {
 	for _, earlier := range s.unsettledPredecessors() {
 		var ends []workflow.RunEnd
@@ -237,8 +241,8 @@
 	}
 }
 
-// unsettledPredecessors returns the sessions of earlier incarnations that aren't over, and
-// drops the others.
+// unsettledPredecessors returns the sessions of earlier incarnations that haven't ended,
+// and removes the others from predecessors.
 func (s *workerSession) unsettledPredecessors() []*workerSession {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
--- a/internal/control/incremental.go
+++ b/internal/control/incremental.go
@@ -14,14 +14,14 @@
 	// after it.
 	incrementalPauseFactor = 10
 	// maxLeftoverAge is the maximum age of the free resources that the last full decision
-	// left over. Resources that were freed since then are missing from them. A worker that
-	// became unresponsive since then is still included, as it is in any plan whose starts
-	// are being committed.
+	// left over. They don't include resources that were freed since that decision. They may
+	// include workers that became unresponsive since then, but this can happen to any plan
+	// while its starts are committed.
 	maxLeftoverAge = 200 * time.Millisecond
 )
 
 // markChanged requests an incremental decision about a job that was accepted or about
-// which the adviser has answered. t.mu must be held.
+// which a response of the adviser has arrived. t.mu must be held.
 func (t *leaderTerm) markChanged(job string) {
 	t.changedJobs[job] = true
 	select {
@@ -64,10 +64,10 @@
 }
 
 // decideIncrementally plans the changed jobs with the free resources that the last full
-// decision left over. The full decision has already offered these resources to the waiting
-// steps, and they exclude what is reserved for gangs, so no step loses resources that it
-// could use now. If the full decision didn't consider all waiting steps, the skipped ones
-// go before changed jobs that are less urgent. An incremental decision preempts nothing.
+// decision left over. The full decision has already offered these resources to the
+// waiting steps, and they exclude what is reserved for gangs, so no step loses resources
+// that it could use now. Steps that the full decision didn't consider go before changed
+// jobs that are less urgent. An incremental decision preempts nothing.
 func (t *leaderTerm) decideIncrementally(now time.Time) {
 	if t.backlog && t.nextUrgentStep == nil || now.Sub(t.leftoverAt) > maxLeftoverAge {
 		t.wake()
@@ -90,10 +90,10 @@
 // dropLessUrgent keeps only the changed steps that go before every step skipped by the
 // last full decision. The others wait for the next full decision.
 //
-// If all changed steps waited whenever a burst has made the queue longer than one decision
-// considers, each changed job would wait for two full decisions, of which the leader makes
-// a few a second. Fewer jobs would start than arrive, so the queue would remain after the
-// burst although cores are free.
+// During a burst the queue is longer than one decision considers. If all changed steps
+// waited for full decisions, of which the leader makes a few a second, each changed job
+// would need two of them. Fewer jobs would start than arrive, and the queue would persist
+// after the burst although cores are free.
 func (t *leaderTerm) dropLessUrgent(input *planInput) {
 	total := len(input.steps)
 	input.steps = slices.DeleteFunc(input.steps, func(s dispatch.Step) bool { return !dispatch.Before(&s, t.nextUrgentStep) })
--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -21,12 +21,12 @@
 	// leaseSlack is added to each worker's lease before it counts as expired. It covers the
 	// round trip of a call and the scheduling delay of both processes.
 	leaseSlack = 300 * time.Millisecond
-	// predecessorSlack is how long the previous leader may have granted leases after this
-	// leader term began: until its right to decide ended, which is at most one election
+	// predecessorSlack is how long after the start of this leader term the previous leader
+	// may still have granted leases: until its right to decide lapsed, at most one election
 	// timeout.
 	predecessorSlack = 1500 * time.Millisecond
-	// planInterval is the longest time between two decisions. Due times and leases change
-	// without an event.
+	// planInterval is the longest time between two decisions. Jobs become due and leases
+	// expire without an event that triggers a decision.
 	planInterval = 100 * time.Millisecond
 	// forgetInterval is the time between two removals of ended jobs.
 	forgetInterval = 5 * time.Second
@@ -35,28 +35,32 @@
 // leaderTerm is the state of one period of leadership of this member. Nothing in it
 // outlives the leadership.
 type leaderTerm struct {
-	c       *Controller
-	ctx     context.Context
-	end     func()
+	c   *Controller
+	ctx context.Context
+	// end cancels ctx, which ends the leader term.
+	end func()
+	// fence is the fencing token of all orders of this leader term: its term in the log.
 	fence   uint64
 	started time.Time
 	// suspendedBefore is how long the machine had been suspended, in total, when the leader
 	// term began.
 	suspendedBefore time.Duration
 	suspendedTime   func() (time.Duration, error)
-	lease           time.Duration
-	logger          log.Logger
-	disabled        dispatch.Disabled
-	adviserConns    *adviserPool
-	wakePlanner     chan struct{}
+	// lease is the duration of the leases that this leader term grants to workers.
+	lease        time.Duration
+	logger       log.Logger
+	disabled     dispatch.Disabled
+	adviserConns *adviserPool
+	// wakePlanner requests a full decision.
+	wakePlanner chan struct{}
 	// jobsChanged signals that changedJobs isn't empty.
 	jobsChanged chan struct{}
 	goroutines  goroutineGroup
-	// The following fields belong to planLoop. loadLoggedAt is when the load was last
-	// logged, decisions counts the decisions. leftoverWorkers holds the workers with the
-	// capacity that the last full decision left free, leftoverAt is its time. backlog says
-	// that more steps waited than that decision considered. nextUrgentStep is the most
-	// urgent step that it didn't consider.
+	// Only planLoop uses the following fields. loadLoggedAt is when the load was last
+	// logged, decisions counts the full decisions. leftoverWorkers holds the workers with
+	// the free resources that the last full decision left over, leftoverAt is its time.
+	// backlog says that more steps waited than that decision considered. nextUrgentStep is
+	// the most urgent step that it didn't consider.
 	loadLoggedAt    time.Time
 	decisions       int
 	leftoverWorkers []dispatch.Worker
@@ -68,29 +72,30 @@
 	// queuedSteps is how many ready steps had tasks to start at the last full decision,
 	// speculative copies excluded.
 	queuedSteps int
-	// responseTime is a moving mean of the time until a start is answered, minResponseTime the
-	// shortest such time.
+	// responseTime is the moving mean of the response times of start calls, minResponseTime
+	// is the shortest of them.
 	responseTime, minResponseTime time.Duration
 	// callLostAt is when a call was last found to have been lost.
 	callLostAt time.Time
 	// runsCheckedAt is when all runs were last checked for stops and copies.
 	runsCheckedAt time.Time
-	// waiting holds what is known of each step that waits; stepsBeyondBound is how many
-	// further steps the last decision didn't consider.
+	// waiting holds the reason and the waiting time of each waiting step. stepsBeyondBound
+	// is how many further steps the last decision didn't consider.
 	waiting          map[workflow.StepKey]*waitingStep
 	stepsBeyondBound int
-	sessions         map[string]*workerSession
-	permits          map[workflow.StepKey]*stepPermits
-	// grantShares is, by queue, the moving mean of the share of workers that the adviser
-	// permits.
+	// sessions holds the session of each monitored worker, by the ID of its incarnation.
+	sessions map[string]*workerSession
+	permits  map[workflow.StepKey]*stepPermits
+	// grantShares is the moving mean of the share of workers that the adviser permits, by
+	// queue.
 	grantShares map[string]movingMean
-	// dataCentreAnsweredAt is when any worker of each data centre last answered.
+	// dataCentreAnsweredAt is when a worker last responded, by data centre.
 	dataCentreAnsweredAt map[string]time.Time
-	// dataCentreSuspectedAt maps each data centre whose contact was logged as lost and not
-	// yet as regained to the time when it was last suspected to be unreachable.
+	// dataCentreSuspectedAt is when each data centre was last suspected to be unreachable. A
+	// data centre is removed once the regained contact has been logged.
 	dataCentreSuspectedAt map[string]time.Time
-	// acceptedAt is when each job was accepted. Jobs accepted in earlier leader terms count
-	// from the start of this one, in log order.
+	// acceptedAt is when each job was accepted. It is the start of this leader term for jobs
+	// accepted in earlier ones.
 	acceptedAt map[string]time.Time
 	// pendingSubmits counts the submit calls in progress, by job ID.
 	pendingSubmits map[string]int
@@ -98,10 +103,11 @@
 	loggedEnds map[string]bool
 	// changedJobs holds the jobs that changed since the last decision.
 	changedJobs map[string]bool
-	// earmarked holds the workers on which the last decision earmarked free capacity for a
+	// earmarked holds the workers on which the last decision earmarked free resources for a
 	// gang.
 	earmarked map[string]bool
-	// startedJobs holds the jobs of which a worker has acknowledged or reported a run.
+	// startedJobs holds the jobs with at least one run that a worker has acknowledged or
+	// reported.
 	startedJobs map[string]bool
 	// endedAt is when this leader term first saw that a job had ended.
 	endedAt map[string]time.Time
@@ -113,13 +119,15 @@
 	poolMoves      *poolMoves
 	// checkpoints are the latest checkpoints that live runs reported.
 	checkpoints map[workflow.TaskKey]string
-	// unaccountedSince is since when each run has been unaccounted for; see accountsFor.
+	// unaccountedSince is since when each unaccounted run has been without a pending event
+	// that would report its end; see accountsFor.
 	unaccountedSince map[workflow.Run]time.Time
 	runCounts        runCounts
 }
 
-// newLeaderTerm returns a leader term with a session for each worker in the log. end must
-// cancel ctx; term becomes the fence of its orders.
+// newLeaderTerm returns a leader term with a session for each worker in the replicated
+// state that isn't gone. end must cancel ctx; term becomes the fencing token of its
+// orders.
 func newLeaderTerm(ctx context.Context, end func(), c *Controller, term uint64) *leaderTerm {
 	t := &leaderTerm{
 		c: c, ctx: ctx, end: end, fence: term, started: time.Now(), suspendedTime: suspendedTime,
@@ -161,13 +169,13 @@
 }
 
 // leaseLength returns the lease that the leader grants: the longest that workers accept,
-// less the slack. With a long lease, runs survive a network partition and their ends still
-// count when it heals. Tasks on a worker that never returns stay blocked for that time. A
-// worker that crashed usually returns earlier as another incarnation, which settles its
-// runs immediately.
+// less the slack. With a long lease, runs survive a network partition and their ends
+// still count when it heals. In return, tasks on a worker that never returns stay blocked
+// for that time. A worker that crashed usually returns earlier as another incarnation,
+// which shows immediately that its runs have ended.
 func leaseLength(b Bounds) time.Duration { return b.MaxLease - leaseSlack }
 
-// leaseUpperBound returns the longest duration of a lease by this process's clock if the
+// leaseUpperBound returns how long a lease may last by the clock of this process if the
 // worker measures it by its own clock.
 func leaseUpperBound(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease)*driftFactor) + leaseSlack
@@ -199,8 +207,9 @@
 	}
 }
 
-// addSession starts monitoring a worker. inherited are its runs that earlier leaders may
-// have ordered. t.mu must be held, or t isn't shared yet.
+// addSession adds a session for a worker; the caller starts its run method. inherited are
+// the worker's runs that earlier leaders may have ordered. t.mu must be held, or t isn't
+// shared yet.
 func (t *leaderTerm) addSession(w workflow.Worker, inherited map[workflow.TaskKey]workflow.Run) *workerSession {
 	s := &workerSession{
 		t: t, worker: w,
@@ -208,7 +217,7 @@
 		orders:      map[workflow.TaskKey]*runOrder{},
 		unknownRuns: map[workflow.Run]time.Time{},
 		heartbeatAt: time.Now(),
-		// The first answer may come from an incarnation that the log doesn't have.
+		// The first response may come from an incarnation that the log doesn't have.
 		incarnationUnconfirmed: true,
 		throttle:               throttle{share: fullShare},
 		startSlots:             make(chan struct{}, maxConcurrentStarts),
@@ -223,8 +232,9 @@
 	return s
 }
 
-// recordHeartbeat records a heartbeat of a worker and starts monitoring the worker if needed.
-// remaining is how long a draining worker keeps running at least, 0 if unknown.
+// recordHeartbeat records a heartbeat of a worker and starts monitoring the worker if
+// needed. remaining is the shortest time for which a draining worker keeps running, 0 if
+// unknown.
 func (t *leaderTerm) recordHeartbeat(w *workflow.Worker, remaining time.Duration) {
 	gone := false
 	t.c.state.read(func(s *workflow.State) {
@@ -259,7 +269,7 @@
 }
 
 // probeAddress polls all other incarnations at the worker's address immediately, so that
-// their sessions notice that these incarnations have ended. t.mu must be held.
+// their sessions detect the end of these incarnations. t.mu must be held.
 func (t *leaderTerm) probeAddress(w *workflow.Worker) {
 	for _, other := range t.sessions {
 		if other.worker.Address == w.Address && other.worker.ID != w.ID {
@@ -295,11 +305,12 @@
 }
 
 // propose commits a command in this leader term. An error doesn't end the leader term;
-// losing the leadership does.
+// only the loss of the leadership does.
 //
 // A short delay of the log's goroutine makes the log refuse commands although the member
-// still leads. Each start and end among them would be lost. A refused command has had no
-// effect, so it is proposed again once the log confirms the leadership.
+// still leads. Without a retry, the starts and ends of runs in them would be lost. A
+// refused command has had no effect, so it is proposed again once the log confirms the
+// leadership.
 func (t *leaderTerm) propose(command *workflow.Command) (workflow.Result, error) {
 	result, err := t.c.propose(t.ctx, command)
 	for errors.Is(err, link.ErrNotLeader) && t.confirmLeadership() {
@@ -321,7 +332,8 @@
 	return t.ctx.Err() == nil && t.c.log.Status().Term == t.fence
 }
 
-// forgetLoop periodically removes what ended jobs no longer need.
+// forgetLoop periodically removes the mailboxes of workers that aren't monitored and the
+// state of ended jobs.
 func (t *leaderTerm) forgetLoop() {
 	for wait.For(t.ctx, forgetInterval) {
 		if t.c.heartbeats != nil {
@@ -334,8 +346,9 @@
 	}
 }
 
-// forget removes the permits of ended jobs, which take most of the memory that a leader
-// term uses for a job. It returns the jobs whose retention has expired.
+// expireEndedJobs removes the permits of ended jobs, which take most of the memory that a
+// leader term uses for a job. It returns the jobs whose retention has expired, and
+// removes their remaining state.
 func (t *leaderTerm) expireEndedJobs(now time.Time) (expired []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -13,8 +13,8 @@
 // loadLogInterval is the time between two log lines about the load.
 const loadLogInterval = time.Second
 
-// waitingGauges maps the reasons why steps wait to their gauges, in the order in which a
-// step can meet them.
+// waitingGauges maps the reasons why steps wait to their gauges, ordered by the stage of
+// a decision at which a step can meet them.
 var waitingGauges = []struct {
 	reason dispatch.Reason
 	name   string
@@ -31,9 +31,9 @@
 	{dispatch.ReasonNoWorker, "waiting_no_worker"},
 }
 
-// clusterResources sums up the resources of the workers of a decision. free is as of
-// before the decision. reserved is the part of it that the decision reserved for steps
-// that it couldn't start.
+// clusterResources is the sum of the resources of the workers of a decision. free is the
+// state before the decision. reserved is the part of it that the decision reserved for
+// steps that it couldn't start.
 type clusterResources struct {
 	capacity, free, reserved workflow.Resources
 	// largestFree is the largest amount of each resource that is free on a single worker.
@@ -48,17 +48,17 @@
 		r.capacity = r.capacity.Plus(w.Capacity)
 		r.free = r.free.Plus(w.FreeBeforePlan)
 		r.largestFree = r.largestFree.Max(w.FreeBeforePlan)
-		// A reservation may include resources of runs that haven't ended; only free ones
-		// count.
+		// A reservation may include resources of runs that haven't ended. Only its free
+		// resources count.
 		r.reserved = r.reserved.Plus(w.Free.Plus(w.Reserved).Minus(w.Free.Max(workflow.Resources{})))
 	}
 	return r
 }
 
 // reportLoad logs the load once a second and sets its gauges: the workers' resources,
-// their fragmentation, and how many steps wait for which reason. It shows whether a late
-// job met a full cluster or one with free resources that the job couldn't use. Only
-// planLoop calls it.
+// their fragmentation, and how many steps wait for which reason. The log line shows
+// whether a late job met a full cluster or one with free resources that the job couldn't
+// use. Only planLoop calls it.
 func (t *leaderTerm) reportLoad(input *planInput, plan *dispatch.Plan, now time.Time) {
 	if now.Sub(t.loadLoggedAt) < loadLogInterval {
 		return
@@ -105,14 +105,14 @@
 	counters.Set("waiting_tasks", int64(tasks))
 }
 
-// currentRunCounts returns the counts of the last run check.
+// currentRunCounts returns the counts of the last check of all runs.
 func (t *leaderTerm) currentRunCounts() runCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.runCounts
 }
 
-// setRunGauges sets the gauges of live and unaccounted runs.
+// setRunGauges sets the gauges of live and unaccounted runs; see accountsFor.
 func (t *leaderTerm) setRunGauges(runs runCounts) {
 	counters := t.c.cfg.Counters
 	counters.Set("runs_alive", int64(runs.alive))
@@ -132,7 +132,8 @@
 	return counts
 }
 
-// formatWaiting lists the counts of waiting steps in the order of waitingGauges.
+// formatWaiting formats the counts of waiting steps for a log line, in the order of
+// waitingGauges.
 func formatWaiting(counts map[dispatch.Reason]int) string {
 	var parts []string
 	for _, gauge := range waitingGauges {
@@ -149,9 +150,9 @@
 }
 
 // waitingLogFields returns the log fields about the largest waiting gang and the oldest
-// waiting step: how many tasks of each fit into the free resources of its pool, reserved
-// ones included, and how many of these on permitted workers. It also sets the gauges for
-// them.
+// waiting step, and sets the gauges for them. The fields include the fit counts of both:
+// how many of their tasks fit into the free resources of the pool, reserved ones
+// included, and how many of these fit on permitted workers.
 func (t *leaderTerm) waitingLogFields(input *planInput, plan *dispatch.Plan, capacity workflow.Resources, now time.Time) []any {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -189,8 +190,8 @@
 	return fields
 }
 
-// dominantShare returns the largest share of any resource that the pending tasks of s
-// need.
+// dominantShare returns the largest share of any resource of the cluster's capacity that
+// the pending tasks of s need.
 func dominantShare(s *dispatch.Step, capacity workflow.Resources) float64 {
 	demand := s.Spec.Demand().Times(int64(len(s.Pending)))
 	share := func(demand, capacity int64) float64 { return float64(demand) / float64(max(capacity, 1)) }
@@ -198,7 +199,8 @@
 		share(demand.Accelerators, capacity.Accelerators))
 }
 
-// formatUnschedulable lists how many workers get no new tasks, by reason.
+// formatUnschedulable formats how many workers get no new tasks, by reason, for a log
+// line.
 func (t *leaderTerm) formatUnschedulable(now time.Time) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/control/machines.go
+++ b/internal/control/machines.go
@@ -28,7 +28,7 @@
 // down or moves.
 type cordonState struct {
 	since time.Time
-	// stop is set when the runs of the worker are to be stopped.
+	// stop says that the runs of the worker are to be stopped.
 	stop bool
 }
 
@@ -39,18 +39,18 @@
 	cordoned map[string]*cordonState
 	// ordersInFlight are the machines that have an order in flight.
 	ordersInFlight map[string]bool
-	// maintenanceStartedAt is when this leader term learned that a machine's maintenance had
-	// begun.
+	// maintenanceStartedAt is when this leader term learned that the maintenance of a
+	// machine had begun, by machine ID.
 	maintenanceStartedAt map[string]time.Time
-	// waveAcceptedAt is when this leader term accepted a wave.
+	// waveAcceptedAt is when this leader term accepted a maintenance wave, by wave ID.
 	waveAcceptedAt map[int64]time.Time
 
-	// list is the deployment's machine list as read at listedAt. Only the machine loop
-	// uses both.
+	// list is the deployment's machine list as read at listedAt, by machine ID. Only the
+	// machine loop uses both.
 	list     map[string]ListedMachine
 	listedAt time.Time
-	// listFailed is set when the last read failed. unreadable counts the entries of the
-	// last read that named no usable machine.
+	// listFailed says that the last read failed. unreadable counts the entries of the last
+	// read that described no usable machine.
 	listFailed bool
 	unreadable int
 }
@@ -65,7 +65,8 @@
 // moves. t.mu must be held.
 func (m *machines) isCordoned(worker string) bool { return m != nil && m.cordoned[worker] != nil }
 
-// machineLoop works on waves and moves until the leader term ends.
+// machineLoop periodically decides on maintenance waves and on moves between pools, and
+// carries the decisions out, until the leader term ends.
 func (t *leaderTerm) machineLoop() {
 	for wait.For(t.ctx, machineLoopInterval) {
 		waves, services := t.openWaves(), t.services()
@@ -82,8 +83,8 @@
 	}
 }
 
-// decideMachines calls decide if the machine list is recent enough, after reading it again
-// if needed.
+// decideMachines calls decide if the machine list is recent enough. It reads the list
+// again if machineListInterval has passed since the last read.
 func (t *leaderTerm) decideMachines(decide func(now time.Time)) {
 	now := time.Now()
 	if now.Sub(t.machines.listedAt) > machineListInterval {
@@ -96,7 +97,7 @@
 }
 
 // setLatestIncarnations sets the worker of each machine to its latest incarnation by the
-// log: the list gives only the worker's name, and it lags.
+// log, because the list gives only the worker's name and lags.
 func (m *machines) setLatestIncarnations(state *StateMachine) {
 	state.read(func(s *workflow.State) {
 		for id, listed := range m.list {
@@ -122,7 +123,7 @@
 	}
 }
 
-// listMachines returns the machines of all pages of the list, by id.
+// listMachines returns the machines of all pages of the list, by machine ID.
 func (t *leaderTerm) listMachines() (map[string]ListedMachine, error) {
 	ctx, cancel := context.WithTimeout(t.ctx, machineCallTimeout)
 	defer cancel()
@@ -146,8 +147,8 @@
 	}
 }
 
-// keepUnreadable adds the known machines that a list lacks if some of its entries couldn't
-// be read: the missing machines may be among them.
+// keepUnreadable adds the known machines that a newly read list lacks if some of its
+// entries couldn't be read: the missing machines may be among them.
 //
 // Otherwise the machine of a damaged entry would count as removed, and a wave would be
 // reported as done without it.
@@ -166,7 +167,7 @@
 	}
 }
 
-// cordon stops new tasks for a worker, and reports whether that is a change.
+// cordon excludes a worker from new tasks, and reports whether it wasn't cordoned before.
 func (t *leaderTerm) cordon(worker string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -177,8 +178,8 @@
 	return true
 }
 
-// stopRunsOn marks the runs of a cordoned worker to be stopped, and reports whether that
-// is a change.
+// stopRunsOn marks the runs of a cordoned worker to be stopped, and reports whether they
+// weren't marked before.
 func (t *leaderTerm) stopRunsOn(worker string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -204,8 +205,8 @@
 
 // beginOrder reports whether an order for a machine may be sent now, and marks it as in
 // flight. It returns false while another order is in flight, and for MachineHandoverDelay
-// after the start of the leader term, since orders of the previous leader may still be on
-// their way.
+// after the start of the leader term, since orders of the previous leader may still be in
+// flight.
 func (t *leaderTerm) beginOrder(machine string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -216,7 +217,7 @@
 	return true
 }
 
-// callMachine makes one call that gives a machine an order.
+// callMachine calls call with an order for a machine, within machineCallTimeout.
 func (t *leaderTerm) callMachine(machine string, call func(context.Context, MachineOrder) error) error {
 	ctx, cancel := context.WithTimeout(t.ctx, machineCallTimeout)
 	defer cancel()
@@ -232,8 +233,8 @@
 	delete(t.machines.ordersInFlight, machine)
 }
 
-// stepDownIfFenced ends the leader term if an order was refused because a later leader has
-// already sent orders to the machine.
+// stepDownIfFenced ends the leader term if an order was refused because a later leader
+// has already sent orders to the machine.
 func (t *leaderTerm) stepDownIfFenced(refused *RefusedError) {
 	if refused != nil && refused.Reason == RefusedStaleFence {
 		t.logger.Log("event", "tenure", "outcome", "given up", "cause", "a machine has orders of a later leader")
@@ -241,7 +242,7 @@
 	}
 }
 
-// sortMachines sorts the machines of a pool by id.
+// sortMachines sorts the machines of a pool by ID.
 func sortMachines(poolMachines []fleet.Machine) {
 	slices.SortFunc(poolMachines, func(a, b fleet.Machine) int { return cmp.Compare(a.ID, b.ID) })
 }
--- a/internal/control/maintenance.go
+++ b/internal/control/maintenance.go
@@ -33,8 +33,9 @@
 	return open
 }
 
-// processWaves decides on each wave and carries the decisions out. It adds the cordoned
-// workers to keepCordoned.
+// processWaves decides for each maintenance wave which of its machines are cordoned, stop
+// their runs or go down, and carries the decisions out. It adds the cordoned workers to
+// keepCordoned.
 func (t *leaderTerm) processWaves(waves []workflow.WaveState, keepCordoned map[string]bool, now time.Time) {
 	for _, wave := range waves {
 		input := t.waveMachines(&wave, keepCordoned, now)
@@ -61,7 +62,7 @@
 	}
 }
 
-// logMaintenance logs the outcome of a step of a machine's maintenance.
+// logMaintenance logs that a machine has reached a stage of its maintenance.
 func (t *leaderTerm) logMaintenance(wave int64, machine, worker, outcome string) {
 	t.logger.Log("event", "maintenance", "wave", wave, "machine", machine, "worker", worker, "outcome", outcome)
 }
@@ -83,13 +84,14 @@
 // waveMachines are the machines of a wave whose maintenance isn't over.
 type waveMachines struct {
 	machines []maintenance.Machine
-	// resend are the machines whose order got no answer. The order is repeated, even if an
-	// earlier leader sent it: the repetition succeeds if the order has been carried out.
+	// resend are the machines whose maintenance order got no response. The order is
+	// repeated, even if an earlier leader sent it: the repetition succeeds if the order has
+	// been carried out.
 	resend []ListedMachine
 }
 
-// waveMachines returns the state of the machines of a wave, and adds to keepCordoned the
-// workers that must get no new tasks.
+// waveMachines returns the state of the machines of a wave whose maintenance isn't over.
+// It adds the workers that must get no new tasks to keepCordoned.
 func (t *leaderTerm) waveMachines(w *workflow.WaveState, keepCordoned map[string]bool, now time.Time) waveMachines {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -101,8 +103,8 @@
 			switch {
 			case !exists || recorded.Stage == workflow.MaintenanceNotNeeded, recorded.Stage == workflow.MaintenanceStarted && t.backFromMaintenance(listed, recorded, now):
 			case recorded.Stage != 0:
-				// An order without an answer may still be carried out, so the machine
-				// counts as down.
+				// An order without a response may still be carried out, so the machine counts as
+				// down.
 				input.machines = append(input.machines, maintenance.Machine{ID: id, Down: true})
 				keepCordoned[recorded.Worker] = true
 				if recorded.Stage == workflow.MaintenanceOrdered {
@@ -155,7 +157,7 @@
 }
 
 // orderMaintenance commits that a machine goes down and then sends the order, in the
-// background.
+// background. It does nothing while another order for the machine is in flight.
 func (t *leaderTerm) orderMaintenance(wave int64, m ListedMachine) {
 	if !t.beginOrder(m.ID) {
 		return
@@ -170,6 +172,7 @@
 
 // sendMaintenance commits and sends a maintenance order, and commits its outcome. If the
 // deployment refuses the wave or the machine, the maintenance is recorded as not needed.
+// listAge is the age of the machine list that the order is based on.
 func (t *leaderTerm) sendMaintenance(wave int64, m ListedMachine, listAge time.Duration) {
 	if t.commitMaintenance(wave, m, workflow.MaintenanceOrdered) != nil {
 		return
@@ -202,8 +205,9 @@
 	return err
 }
 
-// dropRemovedMachines records that machines which have left the deployment need no
-// maintenance any more. The list was read completely and doesn't contain them.
+// dropRemovedMachines commits that machines which have left the deployment need no
+// maintenance any more. The machine list, which was read completely, doesn't contain
+// them.
 func (t *leaderTerm) dropRemovedMachines(w *workflow.WaveState) {
 	for _, id := range w.Machines {
 		_, exists := t.machines.list[id]
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -7,55 +7,56 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// maxStartAttempts is how often a start is sent before its run is stopped instead.
+// maxStartAttempts is how often the start of a run is sent. If no call succeeds, the run
+// is stopped instead.
 const maxStartAttempts = 2
 
-// runOrder is the order to start a run that this leader term has committed, and what is
-// known of the run since.
+// runOrder is the order to start a run that this leader term has committed, and the state
+// of the run as reported since.
 type runOrder struct {
 	run    workflow.Run
 	ticket string
-	// openCalls counts the unanswered calls of the start. Each may be carried out later,
-	// also by the worker's next incarnation.
+	// openCalls counts the calls of the start that got no response so far. Each may be
+	// carried out later, also by the worker's next incarnation.
 	openCalls int
 	// startInProgress says that the start is queued or in flight. startCallsEndedAt is when
 	// that ended.
 	startInProgress   bool
 	startCallsEndedAt time.Time
-	// orphaned says that the run is being stopped because no pending event would have
-	// reported its end.
+	// orphaned says that the run is being stopped because no pending event would report its
+	// end.
 	orphaned bool
 	// endKnown says that the end of the run is known and only has to be committed.
 	endKnown bool
-	// listedByPollSentAt is when the last poll was sent whose report showed the run as
+	// listedByPollSentAt is when the poll was sent whose report last listed the run as
 	// alive.
 	listedByPollSentAt time.Time
-	// sentAt is when the call in flight was sent, zero if there is none.
+	// sentAt is when the start call in flight was sent, zero if there is none.
 	sentAt time.Time
-	// unanswered says that a call ended without an answer and that no report has shown the
-	// run since.
+	// unanswered says that a start call ended without a response and that no report has
+	// listed the run since.
 	unanswered bool
-	// listed says that a report has shown the run as alive.
+	// listed says that a report has listed the run as alive.
 	listed bool
-	// abandoned says that no further start is sent. A stop settles the run unless a report
-	// shows it.
+	// abandoned says that no further start is sent. The run is then stopped unless a report
+	// lists it as alive.
 	abandoned bool
-	// preempted says that the run is stopped for more urgent work.
+	// preempted says that the run is stopped to free its resources for more urgent work.
 	preempted bool
 	// stopSent is when the last stop was sent, stopAcked when a stop was first
 	// acknowledged.
 	stopSent, stopAcked time.Time
 	startedAt           time.Time
 	// percent is the progress at progressAt. firstPercent and firstAt belong to the first
-	// report; a resumed run doesn't begin at 0 %.
+	// report that listed the run; a resumed run doesn't begin at 0 %.
 	percent      int
 	progressAt   time.Time
 	firstPercent int
 	firstAt      time.Time
 	// advancedAt is when the percentage last increased.
 	advancedAt time.Time
-	// estimate is the job's estimated run time. resumed says that the run continues from a
-	// checkpoint and does only the rest of the work.
+	// estimate is the estimated run time of the whole task. resumed says that the run
+	// continues from a checkpoint and does only the rest of the work.
 	estimate time.Duration
 	resumed  bool
 	// gang says that the run is a member of a gang.
@@ -65,18 +66,19 @@
 	// crashSuspect says that a worker has crashed under the task before.
 	crashSuspect bool
 	// usesSpare says that the task runs on spare CPU: time that other tasks leave idle.
-	// share is the share in percent that the worker last acknowledged, shareChanging says
-	// that a change is in flight, pausedAt is since when the share is 0.
+	// share is the CPU share in percent that the worker last acknowledged, shareChanging
+	// says that a change of it is in flight, pausedAt is since when the share has been 0.
 	usesSpare     bool
 	share         int
 	shareChanging bool
 	pausedAt      time.Time
 }
 
-// unknownShare is the share of a run that an earlier leader ordered.
+// unknownShare is the CPU share of a run that this session didn't order, before the
+// worker has acknowledged a share.
 const unknownShare = -1
 
-// sendStop sends one order to end a run, or never to start it, and records the answer.
+// sendStop sends one order to end a run, or never to start it, and records the response.
 func (s *workerSession) sendStop(run workflow.Run) {
 	clockMS, err := s.callStop(run)
 	t := s.t
@@ -84,7 +86,7 @@
 	defer t.mu.Unlock()
 	if err != nil {
 		t.logger.Log("event", "stop", "task", run.Task, "run", run.Number, "worker", s.worker.ID,
-			"outcome", "no answer", "err", err)
+			"outcome", "no response", "err", err)
 		return
 	}
 	now := time.Now()
@@ -93,15 +95,15 @@
 	if o != nil && o.run.Number == run.Number && o.stopAcked.IsZero() {
 		o.stopAcked = now
 		o.unanswered = false
-		// The poll in flight was sent before the acknowledgement, so its report settles
-		// nothing.
+		// The poll in flight was sent before the acknowledgement, so its report can't prove
+		// that the run never starts.
 		if !o.listed {
 			s.interruptPoll()
 		}
 	}
 }
 
-// stopUnknownRun stops a run that the log doesn't have.
+// stopUnknownRun stops a run that a worker reports and the log doesn't have.
 func (s *workerSession) stopUnknownRun(run workflow.Run) {
 	_, err := s.callStop(run)
 	s.t.logger.Log("event", "stop", "task", run.Task, "run", run.Number, "worker", s.worker.ID,
--- a/internal/control/orphans.go
+++ b/internal/control/orphans.go
@@ -8,18 +8,20 @@
 )
 
 // orphanTimeout is how long a run may be unaccounted for before the leader stops it. A
-// report that shows its end may be late by the round trip of a held poll and a commit.
+// report that shows the end of the run may arrive late by the round trip of a held poll
+// and a commit.
 const orphanTimeout = time.Second
 
-// runCounts counts the live runs, and those of them that are unaccounted for.
+// runCounts counts the live runs, and those of them that are unaccounted for: no pending
+// event will report their end.
 type runCounts struct {
 	alive, unaccounted int
 	// longest is the longest time for which a run has been unaccounted for.
 	longest time.Duration
 }
 
-// countRuns counts all runs that may be alive and records which are unaccounted for. t.mu
-// must be held.
+// countRuns counts all runs that may be alive and records which of them are unaccounted
+// for. t.mu must be held.
 func (t *leaderTerm) countRuns(s *workflow.State, now time.Time) {
 	for _, session := range t.sessions {
 		session.dropStaleOrders(s)
@@ -45,10 +47,10 @@
 	t.unaccountedSince, t.runCounts = unaccounted, counts
 }
 
-// accountsFor reports whether a pending event will report the end of a run: the answer to
-// a start, a report that lists the run, a stop that is sent repeatedly, the first complete
-// report of a worker for an inherited run, or the expiry of the lease of a worker that
-// doesn't answer. t.mu must be held.
+// accountsFor reports whether a pending event will report the end of a run. Such an event
+// is the response to a start, a report that lists the run, a stop that is sent
+// repeatedly, the first complete report of a worker for an inherited run, or the expiry
+// of the lease of an unresponsive worker. t.mu must be held.
 func (s *workerSession) accountsFor(run workflow.Run, now time.Time) bool {
 	if !s.ready {
 		return true
@@ -63,28 +65,27 @@
 	case !o.orphaned && now.Sub(o.stopSent) < 2*stopRetryInterval:
 		return true
 	case s.fullReportSentAt.Before(o.startCallsEndedAt), s.fullReportSentAt.Before(o.stopAcked):
-		// No report has arrived yet that was requested after the start, or the stop, was
-		// answered.
+		// No report has arrived yet in response to a poll that was sent after the start, or the
+		// stop, got its response.
 		return true
 	}
 	return !o.listedByPollSentAt.Before(s.fullReportSentAt)
 }
 
-// isOrphaned reports whether a run has been unaccounted for so long that the leader has to
-// stop it. t.mu must be held.
+// isOrphaned reports whether a run has been unaccounted for so long that the leader has
+// to stop it. t.mu must be held.
 //
-// A run whose end is never reported would stay alive until the leadership changes, and its
-// task would never run again although capacity is free. A stop that is repeated until the
-// worker acknowledges it, followed by a complete report, settles any run, however its end
-// was lost.
+// A run whose end is never reported would stay alive until the leadership changes, and
+// its task would never run again although resources are free. A stop that is repeated
+// until the worker acknowledges it, followed by a complete report, shows the outcome of
+// any run, however the report of its end was lost.
 func (t *leaderTerm) isOrphaned(run workflow.Run, now time.Time) bool {
 	since, unaccounted := t.unaccountedSince[run]
 	return unaccounted && now.Sub(since) >= orphanTimeout
 }
 
-// adoptWorkers starts monitoring workers that no session monitors although runs of theirs
-// may be alive. Workers that don't answer lose their runs when their lease expires. t.mu
-// must be held.
+// adoptWorkers starts monitoring workers that have orphaned runs but no session. If they
+// don't respond, they lose their runs when their lease expires. t.mu must be held.
 func (t *leaderTerm) adoptWorkers(s *workflow.State, now time.Time) {
 	for run := range t.unaccountedSince {
 		state := s.Workers[run.Worker]
@@ -98,7 +99,7 @@
 		session.leaseEnd = now.Add(leaseUpperBound(t.lease))
 		t.spawn(session.run)
 	}
-	// The first reports of these workers show which of the runs are alive.
+	// The first reports of the adopted workers show which of their runs are alive.
 	maps.DeleteFunc(t.unaccountedSince, func(run workflow.Run, _ time.Time) bool {
 		return t.sessions[run.Worker] != nil && !t.sessions[run.Worker].ready
 	})
@@ -114,7 +115,7 @@
 // dropStaleOrders removes orders whose runs the log no longer has. t.mu must be held.
 //
 // The lease of a worker may expire between the commit of a start and the creation of its
-// order. That order would never be answered, and the worker would get no task when it
+// order. That order would never get a response, and the worker would get no task when it
 // returns.
 func (s *workerSession) dropStaleOrders(state *workflow.State) {
 	runs := state.Runs[s.worker.ID]
--- a/internal/control/permits.go
+++ b/internal/control/permits.go
@@ -13,10 +13,11 @@
 // queryTimeoutMargin is added to the expected duration of a query to get its timeout.
 const queryTimeoutMargin = 800 * time.Millisecond
 
-// stepPermits holds the adviser's answers about one step.
+// stepPermits holds the adviser's permits for one step and the state of the queries about
+// it.
 type stepPermits struct {
-	// known maps workers to their permits. The map is replaced, never modified: decisions
-	// read it without the lock.
+	// known maps the workers about which the adviser was queried to its permits. The map is
+	// replaced, never modified, because decisions read it without the lock.
 	known map[string]dispatch.Permit
 	// inFlight counts the queries in flight.
 	inFlight int
@@ -75,8 +76,8 @@
 	t.spawn(func() { t.queryAdviserVia(conn, query, queue, validity, time.Until(responseDue)+queryTimeoutMargin) })
 }
 
-// queryAdviserVia sends a query through conn and records the reply. valid is the ticket
-// validity by the policy, used when the reply has none.
+// queryAdviserVia sends a query through conn and records the response. validity is the
+// ticket validity by the policy, used when the response has none.
 func (t *leaderTerm) queryAdviserVia(conn *adviserConn, query dispatch.Query, queue string, validity, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(t.ctx, timeout)
 	defer cancel()
@@ -105,12 +106,13 @@
 	t.mu.Unlock()
 }
 
-// grantShareSmoothing is the weight of the latest reply in the moving mean of the granted
-// share: about 20 replies count.
+// grantShareSmoothing is the weight of the latest response in the moving mean of the
+// granted share: the mean covers about 20 responses.
 const grantShareSmoothing = 0.05
 
-// updateGrantShare adds a reply to the queue's mean share of granted workers. It counts
-// only workers without an earlier answer for the step. t.mu must be held.
+// updateGrantShare adds a response to the queue's mean share of granted workers. It
+// counts only workers about which no earlier response for the step is known. t.mu must be
+// held.
 func (t *leaderTerm) updateGrantShare(queue string, p *stepPermits, queried []string, granted []Grant) {
 	unknown := make(map[string]bool, len(queried))
 	for _, worker := range queried {
@@ -132,8 +134,9 @@
 	t.grantShares[queue] = share
 }
 
-// recordReply stores the permits of a reply. Workers that were queried and aren't granted
-// are refused.
+// recordReply stores the permits of a response to a query about the queried workers.
+// Those that aren't granted are refused. expires is when the tickets expire, relative to
+// the start of the leader term. leaderTerm.mu must be held.
 func (p *stepPermits) recordReply(queried []string, reply AdviserReply, expires time.Duration) {
 	known := maps.Clone(p.known)
 	for _, worker := range queried {
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// workersPerQuery is the number of workers that one adviser query names. Job
-	// objectives allow for about one query per 30 workers and step.
+	// workersPerQuery is the number of workers in one adviser query. The objectives of jobs
+	// allow for about one query per 30 workers and step.
 	workersPerQuery = 30
-	// gangWorkersPerQuery is the number of workers that a query for a gang names, and the
-	// maximum of any query. A gang is permitted on a third of the workers and needs free
-	// resources on many of them at the same time. Splitting the same workers into two
+	// gangWorkersPerQuery is the number of workers in a query for a gang, and the maximum of
+	// any query. The adviser permits a gang on a third of the workers, and the gang needs
+	// free resources on many of them at the same time. Splitting the same workers into two
 	// queries keeps adviser connections busy for a third longer.
 	gangWorkersPerQuery = 100
 	// ticketMargin is the remaining validity that a ticket needs when a start is planned:
@@ -23,13 +23,15 @@
 	// minPlanInterval is the minimum time between two decisions. It batches events that
 	// arrive together.
 	minPlanInterval = 2 * time.Millisecond
-	// planPauseFactor times the duration of a full decision is the pause after it, at most
-	// maxPlanPause, since a decision that was held up by other goroutines appears long.
-	// Changed jobs don't wait for the next full decision.
+	// planPauseFactor times the duration of a full decision is the pause after it. The pause
+	// is limited to maxPlanPause, because a decision that other goroutines delayed takes
+	// long without being expensive. Incremental decisions about changed jobs are made during
+	// the pause.
 	//
 	// With many workers and a queue, a decision takes milliseconds. Without pauses,
-	// decisions would occupy the only processor of the leader, the heartbeats of the log
-	// would be late, and each following leader would find a longer queue.
+	// decisions would occupy the leader's only processor and delay the heartbeats of the
+	// log. Other members would be elected, and each following leader would find a longer
+	// queue.
 	planPauseFactor = 10
 	maxPlanPause    = 100 * time.Millisecond
 )
@@ -38,8 +40,8 @@
 // queue doesn't make decisions long.
 const maxPlannedSteps = 128
 
-// planLimits are the fixed limits of a plan. The number of queries depends on the free
-// adviser connections; see limits.
+// planLimits are the limits that are the same for each plan. leaderTerm.limits adds those
+// that depend on the free adviser connections.
 var planLimits = dispatch.Limits{
 	WorkersPerQuery: workersPerQuery, WorkersPerGangQuery: gangWorkersPerQuery, Steps: maxPlannedSteps, TicketMargin: ticketMargin, LongQueryTime: longQueryThreshold,
 }
@@ -65,8 +67,8 @@
 	}
 }
 
-// decide makes a full decision: it plans all ready steps, sends the queries and stops, and
-// commits and sends the starts.
+// decide makes a full decision: it plans all ready steps, sends adviser queries and
+// stops, and commits and sends the starts.
 func (t *leaderTerm) decide() {
 	start := time.Now()
 	input := t.gatherPlanInput(start)
@@ -87,7 +89,7 @@
 	t.applyPlan(&plan, input.copyCandidates)
 }
 
-// limits returns the limits of a plan that is made now.
+// limits returns the limits of a plan that is made at the given time.
 func (t *leaderTerm) limits(now time.Time) dispatch.Limits {
 	limits := planLimits
 	limits.Queries, limits.LongQueries = t.adviserConns.available(now)
@@ -96,6 +98,7 @@
 }
 
 // applyPlan sends the adviser queries of a plan, and commits and sends its starts.
+// candidates are the runs that may get a speculative copy.
 func (t *leaderTerm) applyPlan(plan *dispatch.Plan, candidates map[workflow.TaskKey]copyCandidate) {
 	for _, query := range plan.Queries {
 		if queue, policy := t.advicePolicy(query.Step); policy != nil {
@@ -119,8 +122,8 @@
 	}
 }
 
-// advicePolicy returns the queue of a step and its adviser policy. The policy is nil when
-// the job has been dropped from the state in the meantime.
+// advicePolicy returns the queue of a step and the adviser policy of its job. The policy
+// is nil when the job has been removed from the state in the meantime.
 func (t *leaderTerm) advicePolicy(step workflow.StepKey) (queue string, policy *workflow.AdvicePolicy) {
 	t.c.state.read(func(s *workflow.State) {
 		if job := s.Jobs[step.Job]; job != nil {
@@ -166,8 +169,8 @@
 // sendCommittedStart sends a committed start. If its job has ended or its worker is no
 // longer monitored, it commits the run as not started instead.
 //
-// A job may end while its start is being committed. Its payload is dropped with it, and
-// the worker would be ordered to run a task with an empty payload.
+// A job may end while its start is being committed. The payload is removed with the job,
+// and the worker would be ordered to run a task with an empty payload.
 func (t *leaderTerm) sendCommittedStart(run workflow.Run, ticket string) {
 	o, payload, checkpoint := t.newOrder(run, ticket)
 	t.mu.Lock()
--- a/internal/control/polls.go
+++ b/internal/control/polls.go
@@ -4,19 +4,21 @@
 
 const (
 	// lossWindow is how long poll holds stay shortened after a call was lost, that is, got
-	// no answer from a worker that answers other calls.
+	// no response from a worker that responded to other calls.
 	lossWindow = 5 * time.Second
-	// lossyPollHold is the hold of a poll during the loss window, lossyPollSlack the time
-	// allowed for its round trip. Together they bound how late the end of a run is noticed.
+	// lossyPollHold is the hold of a poll during the loss window, lossyPollSlack is the
+	// least time allowed for its round trip. Together they bound how late the end of a run
+	// is noticed.
 	lossyPollHold  = 250 * time.Millisecond
 	lossyPollSlack = 200 * time.Millisecond
-	// maxLossyPolls bounds the polls per second to all workers during the loss window:
-	// each costs the leader about 0.3 ms.
+	// maxLossyPolls bounds the polls per second to all workers together during the loss
+	// window. Each poll costs the leader about 0.3 ms.
 	maxLossyPolls = 200
-	// overdueFactor times the mean answer time makes an answer overdue. The same multiple
-	// of the answer delay is the pause between a report with ended runs and the next poll.
+	// overdueFactor times the mean response time is how long a response may take before it
+	// counts as overdue. The same multiple of the mean delay of responses is the pause
+	// between a report with ended runs and the next poll.
 	overdueFactor = 8
-	// responseTimeWeight is the weight of the latest sample in the moving mean of answer
+	// responseTimeWeight is the weight of the latest sample in the moving mean of response
 	// times.
 	responseTimeWeight = 0.05
 )
@@ -24,15 +26,15 @@
 // losingCalls reports whether a call to a reachable worker was lost within the loss
 // window. t.mu must be held.
 //
-// If one call in twenty is lost, a poll held for 1.5 s hides the ends of its worker for 2 s
-// whenever its answer is lost. At four polls a second and worker, that would be two fifths
-// of the time.
+// If one call in twenty is lost, a poll held for 1.5 s hides the ends of its worker's
+// runs for 2 s whenever its response is lost. At four polls per second and worker, ends
+// would be hidden for two fifths of the time.
 func (t *leaderTerm) losingCalls(now time.Time) bool {
 	return now.Sub(t.callLostAt) < lossWindow && !t.disabled.ShortPolls
 }
 
-// recordLostCall records that a call got no answer. The call counts as lost only if the
-// worker has answered another one since it was sent. t.mu must be held.
+// recordLostCall records that a call got no response. The call counts as lost only if the
+// worker has responded to another one since it was sent. t.mu must be held.
 func (s *workerSession) recordLostCall(sent, now time.Time) {
 	s.incarnationUnconfirmed = true
 	if !s.answeredAt.After(sent) && !s.clockAt.After(sent) {
@@ -44,8 +46,8 @@
 	s.t.callLostAt = now
 }
 
-// pollTimes returns how long the worker may hold the next poll, and how much longer its
-// answer may take. t.mu must be held.
+// pollTimes returns how long the worker may hold the next poll, and how much longer the
+// response may take. t.mu must be held.
 func (s *workerSession) pollTimes(now time.Time) (hold, slack time.Duration) {
 	hold, slack = pollHold, callTimeout
 	if s.t.losingCalls(now) {
@@ -68,9 +70,9 @@
 	return hold, slack
 }
 
-// pollSettlesStop reports whether the next report settles a stopped run: the worker
-// acknowledged the stop and has never reported the run, so no end of the run would end a
-// held poll. t.mu must be held.
+// pollSettlesStop reports whether the next report can prove that a stopped run never
+// starts: the worker has acknowledged the stop and has never listed the run. Such a run
+// has no end to report that would complete a held poll. t.mu must be held.
 func (s *workerSession) pollSettlesStop() bool {
 	for _, o := range s.orders {
 		if !o.stopAcked.IsZero() && !o.listed {
@@ -80,15 +82,15 @@
 	return false
 }
 
-// maxPollPauseAfterEnds is the longest pause between a report with ended runs and the next
-// poll. About three runs a second end on one worker.
+// maxPollPauseAfterEnds is the longest pause between a report with ended runs and the
+// next poll. About three runs per second end on one worker.
 const maxPollPauseAfterEnds = 300 * time.Millisecond
 
-// pauseAfterEnds returns the pause between a report with ended runs and the next poll. The
-// pause grows with the answer delay, so that more ends share a poll.
+// pauseAfterEnds returns the pause between a report with ended runs and the next poll.
+// The pause grows with the delay of responses, so that more ends share a poll.
 //
-// An overloaded leader reads answers late. Half of its calls are polls, and each end that
-// it sees immediately costs another decision and commit.
+// An overloaded leader reads responses late. Half of its calls are polls, and each end
+// that it sees immediately costs another decision and commit.
 func (s *workerSession) pauseAfterEnds() time.Duration {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
@@ -98,18 +100,19 @@
 	return boundedMultiple(delay, pollPauseAfterEnds, maxPollPauseAfterEnds)
 }
 
-// scaledResponseTime returns overdueFactor times the mean answer time, limited to least and
-// most. t.mu must be held.
+// scaledResponseTime returns overdueFactor times the mean response time, limited to the
+// range from lower to upper. t.mu must be held.
 func (t *leaderTerm) scaledResponseTime(lower, upper time.Duration) time.Duration {
 	return boundedMultiple(t.responseTime, lower, upper)
 }
 
-// boundedMultiple returns overdueFactor times took, limited to least and most.
+// boundedMultiple returns overdueFactor times responseTime, limited to the range from
+// lower to upper.
 func boundedMultiple(responseTime, lower, upper time.Duration) time.Duration {
 	return min(max(lower, overdueFactor*responseTime), upper)
 }
 
-// recordResponseTime records how long a start took to be answered. t.mu must be held.
+// recordResponseTime records the response time of a start call. t.mu must be held.
 func (t *leaderTerm) recordResponseTime(took time.Duration) {
 	t.responseTime += time.Duration(responseTimeWeight * float64(took-t.responseTime))
 	if t.minResponseTime == 0 || took < t.minResponseTime {
@@ -117,20 +120,21 @@
 	}
 }
 
-// overdueAfter returns how long an order may stay unanswered before it counts as overdue.
-// The time grows with the mean answer time. t.mu must be held.
+// overdueAfter returns how long an order may stay without a response before it counts as
+// overdue. The time grows with the mean response time. t.mu must be held.
 //
-// An overloaded leader sees answers late. With a fixed time it would take them for lost,
-// send each order again and give the workers nothing, which would add to the load.
+// An overloaded leader reads responses late. With a fixed time it would consider them
+// lost, send each order again and assign nothing to the workers, which would add to the
+// load.
 func (t *leaderTerm) overdueAfter() time.Duration {
 	return t.scaledResponseTime(minOverdueTime, callTimeout/2)
 }
 
-// isUnresponsive reports whether a poll has gone unanswered for longer than its hold
-// allows. t.mu must be held.
+// isUnresponsive reports whether the response to a poll is overdue and the worker hasn't
+// responded to any poll recently. t.mu must be held.
 //
-// The time since the last answer alone isn't enough: a poll that is sent late, after a
-// report with ended runs, would make a healthy worker seem unreachable.
+// The time since the last response alone isn't enough: after a report with ended runs the
+// next poll is sent late, and a healthy worker would count as unresponsive.
 func (s *workerSession) isUnresponsive(now time.Time) bool {
 	noRecentResponse := now.Sub(s.answeredAt) > workerResponseTimeout && now.Sub(s.t.started) > workerResponseTimeout
 	return noRecentResponse && now.After(s.pollDue)
--- a/internal/control/ports.go
+++ b/internal/control/ports.go
@@ -1,8 +1,8 @@
 // Package control does the work of the core's leader: it accepts jobs and the heartbeats
-// of workers, decides which tasks start where, commits these decisions and only then sends
-// orders, grants leases to workers, and records how tasks end. A value of type leaderTerm
-// holds the state of one period of leadership and ends with it. Everything that must
-// persist is in the replicated log.
+// of workers, decides which tasks start where, commits these decisions and only
+// afterwards sends orders, grants leases to workers, and records how tasks end. A value
+// of type leaderTerm holds the state of one period of leadership and ends with it. All
+// state that must persist is in the replicated log.
 package control
 
 import (
@@ -26,12 +26,13 @@
 type StartOrder struct {
 	Run     workflow.Run `cbor:"1,keyasint"`
 	Payload string       `cbor:"2,keyasint,omitempty"`
-	// LeaseEndMS is a time on the worker's own clock, in milliseconds. It applies to all
-	// runs there.
+	// LeaseEndMS is the end of the lease on the worker's own clock, in milliseconds. The
+	// lease applies to all runs on the worker.
 	LeaseEndMS int64 `cbor:"3,keyasint"`
 	// Fence is the fencing token. It increases from one leader to the next, and workers
-	// refuse orders with a lower one.
-	Fence      uint64 `cbor:"4,keyasint"`
+	// refuse orders with a lower one than they have seen.
+	Fence uint64 `cbor:"4,keyasint"`
+	// Checkpoint is the checkpoint to resume from. It is empty if there is none.
 	Checkpoint string `cbor:"5,keyasint,omitempty"`
 	// Ticket is issued by the adviser. It is empty if none is needed.
 	Ticket string `cbor:"6,keyasint,omitempty"`
@@ -43,7 +44,7 @@
 	Fence uint64       `cbor:"2,keyasint"`
 }
 
-// ThrottleOrder limits a run to a share of its speed.
+// ThrottleOrder limits a run to a share of its full speed.
 type ThrottleOrder struct {
 	Run workflow.Run `cbor:"1,keyasint"`
 	// Share is a percentage from 0 to 100. A run starts at 100.
@@ -51,7 +52,7 @@
 	Fence uint64 `cbor:"3,keyasint"`
 }
 
-// PollOrder asks a worker for its report.
+// PollOrder requests a worker's report.
 type PollOrder struct {
 	Fence uint64 `cbor:"1,keyasint"`
 	// LastEnd is the position of the last end that the worker needn't list any more.
@@ -59,7 +60,7 @@
 	// LeaseEndMS extends the lease, in milliseconds on the worker's own clock; 0 leaves it
 	// unchanged.
 	LeaseEndMS int64 `cbor:"3,keyasint,omitempty"`
-	// Wait is how long the worker may hold the answer until a run ends.
+	// Wait is how long the worker may hold the response until a run ends.
 	Wait time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
@@ -70,9 +71,8 @@
 	Checkpoint string           `cbor:"3,keyasint,omitempty"`
 	// Percent is the share of the work that is done.
 	Percent int `cbor:"4,keyasint,omitempty"`
-	// Measured covers the last half second. For a task with a latency objective it is the
-	// tail latency in milliseconds, for other tasks the processor use in thousandths of a
-	// core.
+	// Measured is a measurement over the last half second: the tail latency in milliseconds
+	// of a task with a latency objective, the CPU use in millicores of any other task.
 	Measured int64 `cbor:"5,keyasint,omitempty"`
 }
 
@@ -83,32 +83,34 @@
 	workflow.RunEnd
 }
 
-// Report is a worker's answer to a PollOrder.
+// Report is a worker's response to a PollOrder.
 type Report struct {
+	// ClockMS is the worker's own clock, in milliseconds.
 	ClockMS int64     `cbor:"1,keyasint"`
 	Running []Running `cbor:"2,keyasint,omitempty"`
 	Ended   []Ended   `cbor:"3,keyasint,omitempty"`
-	// Partial says that the worker has more ends to list than one answer holds.
+	// Partial says that the worker has more ends to list than one response holds.
 	Partial bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Refusal is why a worker refused an order.
+// Refusal is the reason why the receiver refused an order.
 type Refusal string
 
 // Reasons for a refusal.
 const (
-	// RefusedStaleFence means that the worker has seen an order of a later leader.
+	// RefusedStaleFence means that the receiver has seen an order of a later leader.
 	RefusedStaleFence Refusal = "fence"
 	// RefusedStaleRun means that a run of the task with this or a higher number was stopped
 	// or has ended on the worker.
 	RefusedStaleRun Refusal = "old"
 	// RefusedLeaseExpired means that the lease in the order had expired.
 	RefusedLeaseExpired Refusal = "late"
-	// RefusedNoCapacity means that the worker has too little free capacity.
+	// RefusedNoCapacity means that the worker has too few free resources.
 	RefusedNoCapacity Refusal = "room"
 	// RefusedTicket means that the ticket isn't valid.
 	RefusedTicket Refusal = "ticket"
-	// RefusedInvalid means that the worker can't parse the order.
+	// RefusedInvalid means that the receiver can't carry out such an order: a worker can't
+	// parse it, or the deployment doesn't accept it for the machine.
 	RefusedInvalid Refusal = "invalid"
 	// RefusedUnhealthy means that the worker accepts no task at present.
 	RefusedUnhealthy Refusal = "unhealthy"
@@ -116,22 +118,24 @@
 	RefusedMachineNotUp Refusal = "busy"
 	// RefusedWave means that the machine doesn't belong to the maintenance wave.
 	RefusedWave Refusal = "wave"
-	// RefusedRate means that there were too many calls. This one had no effect.
+	// RefusedRate means that too many calls were made and that the call had no effect.
 	RefusedRate Refusal = "rate"
 )
 
-// RefusedError says that the receiver refused an order, which had no effect.
+// RefusedError is the error of an order that the receiver refused. The order had no
+// effect.
 type RefusedError struct{ Reason Refusal }
 
-// Error names the reason.
+// Error returns a text with the reason.
 func (e *RefusedError) Error() string { return "refused: " + string(e.Reason) }
 
-// ErrOtherIncarnation says that the target's incarnation has ended and another one answers.
-var ErrOtherIncarnation = errors.New("another incarnation answers")
+// ErrOtherIncarnation is returned when the target's incarnation has ended and another one
+// responds.
+var ErrOtherIncarnation = errors.New("another incarnation responds")
 
-// Workers sends orders to workers. Start, Stop and Throttle return the worker's clock. An
-// error other than a RefusedError or ErrOtherIncarnation leaves open whether, and when, the
-// order is carried out.
+// Workers sends orders to workers. Start, Stop and Throttle return the worker's clock in
+// milliseconds. After an error other than a RefusedError or ErrOtherIncarnation, it is
+// unknown whether, and when, the order is carried out.
 type Workers interface {
 	Start(ctx context.Context, to Target, order StartOrder) (clockMS int64, err error)
 	Stop(ctx context.Context, to Target, order StopOrder) (clockMS int64, err error)
@@ -172,8 +176,9 @@
 	Next       string
 }
 
-// MachineOrder is addressed to the deployment, which carries out the orders for one machine
-// in the order of their fences.
+// MachineOrder is the common part of all orders for a machine. They are addressed to the
+// deployment, which carries out the orders for one machine in the order of their fencing
+// tokens.
 type MachineOrder struct {
 	Machine string
 	// Holder identifies the instance that gives the order.
@@ -181,10 +186,12 @@
 	Fence  uint64
 }
 
-// Machines is the deployment's own list of machines. Both orders end all runs on the
-// machine. They are idempotent: repeating one that was carried out succeeds. An error other
-// than a RefusedError leaves open whether they are carried out.
+// Machines calls the deployment's machine service, which lists machines and carries out
+// orders for them. Maintenance and Move end all runs on the machine. They are idempotent:
+// repeating an order that was carried out succeeds. After an error other than a
+// RefusedError it is unknown whether they are carried out.
 type Machines interface {
+	// List returns one page of the list, the first one if page is empty.
 	List(ctx context.Context, page string) (MachinePage, error)
 	// Maintenance takes a machine down for its maintenance in a wave.
 	Maintenance(ctx context.Context, order MachineOrder, wave int64) error
@@ -204,15 +211,17 @@
 	Workers []string         `cbor:"2,keyasint"`
 }
 
-// AdviserReply lists the workers on which the step may run.
+// AdviserReply is the response to an AdviserQuery. It lists the workers on which the step
+// may run.
 type AdviserReply struct {
 	Granted []Grant `cbor:"1,keyasint"`
-	// Valid is how long the tickets are valid, counted from the answer.
+	// Valid is how long the tickets are valid, counted from the arrival of the response. It
+	// is 0 if the response doesn't say.
 	Valid time.Duration `cbor:"2,keyasint"`
 }
 
-// Adviser permits steps to run on workers. It serves the queries of one machine one after
-// another.
+// Adviser is the external service that permits steps to run on workers. It serves the
+// queries of one instance one after another.
 type Adviser interface {
 	Query(ctx context.Context, call AdviserQuery) (AdviserReply, error)
 }
--- a/internal/control/report.go
+++ b/internal/control/report.go
@@ -9,9 +9,8 @@
 // stopRetryInterval is the time between two stops of the same run.
 const stopRetryInterval = 400 * time.Millisecond
 
-// applyReport processes a worker's report. A run that is in the log, but neither alive nor
-// ended in the report, is settled as never started once it can't start any more. sent is
-// when the poll was sent.
+// applyReport processes a worker's report. sent is when the poll was sent. It commits the
+// ends that the report lists, and the runs that the report proves never to have started.
 func (s *workerSession) applyReport(report Report, sent time.Time) {
 	t := s.t
 	now := time.Now()
@@ -23,7 +22,7 @@
 	ends, lastEnd := s.listedEnds(report, now)
 	ends = append(ends, s.neverStarted(report, ends, sent)...)
 	unknown := s.recordRunning(report, sent, now)
-	// Marked while the report is applied, so that the runs never count as unaccounted for.
+	// Marked before t.mu is unlocked, so that the runs never count as unaccounted for.
 	s.markKnownEnds(ends)
 	if !report.Partial {
 		s.fullReportSentAt = sent
@@ -38,7 +37,7 @@
 		t.spawn(func() { s.stopUnknownRun(run) })
 	}
 	if returned {
-		// Only this report shows that the worker answers again; no later one repeats it.
+		// Only this report shows that the worker responds again; no later one repeats it.
 		t.spawn(s.commitReturned)
 	}
 	if lastEnd > 0 || len(ends) > 0 {
@@ -49,14 +48,14 @@
 	}
 }
 
-// recordReport records that this incarnation of the worker has just answered a poll. t.mu
-// must be held.
+// recordReport records that this incarnation of the worker has just responded to a poll.
+// clockMS is the worker's clock in milliseconds, 0 if unknown. t.mu must be held.
 func (s *workerSession) recordReport(clockMS int64, now time.Time) {
 	s.answeredAt, s.incarnationUnconfirmed = now, false
 	s.recordResponse(now)
 	if clockMS > 0 {
-		// The report identifies the incarnation, so its clock is valid even if it seems to
-		// jump.
+		// The report identifies the incarnation, so its clock is valid even if the clock seems
+		// to have jumped.
 		s.clockMS, s.clockAt = clockMS, now
 	}
 }
@@ -69,8 +68,8 @@
 	}
 }
 
-// logEndedJobs logs the jobs that ended with these runs, with their age and their
-// objective.
+// logEndedJobs logs the jobs that ended with these ends of runs, with the age and the
+// objective of each job.
 func (t *leaderTerm) logEndedJobs(ends []workflow.RunEnd) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -102,7 +101,7 @@
 }
 
 // recordRunning records progress and checkpoints of the live runs in a report. It returns
-// the runs that the log doesn't have. t.mu must be held.
+// those runs that the log doesn't have and that are to be stopped now. t.mu must be held.
 func (s *workerSession) recordRunning(report Report, sent, now time.Time) []workflow.Run {
 	var unknown []workflow.Run
 	advanced := false
@@ -141,14 +140,15 @@
 	return unknown
 }
 
-// neverStarted returns the runs that this report proves never to have started and never to
-// start. t.mu must be held.
+// neverStarted returns the runs that this report proves never to have started and never
+// to start. t.mu must be held.
 //
-// A missing run alone proves nothing: an unanswered order may be carried out seconds later,
-// and a second start would run the task twice. An inherited run is settled because the
-// worker has accepted this leader's fence before it made the report, and refuses the older
-// order from then on. A run that this leader ordered is settled if the worker had
-// acknowledged a stop before the poll was sent, since it refuses the run from then on.
+// The absence of a run from the report alone proves nothing: an order without a response
+// may be carried out seconds later, and a second start would run the task twice. An
+// inherited run counts as never started because the worker accepted this leader's fencing
+// token before it made the report, and refuses the older order from then on. A run that
+// this leader ordered counts as never started if the worker had acknowledged a stop
+// before the poll was sent, since it refuses the run from then on.
 func (s *workerSession) neverStarted(report Report, ends []workflow.RunEnd, sent time.Time) []workflow.RunEnd {
 	if report.Partial {
 		return nil
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -14,7 +14,8 @@
 const commitTimeout = 2 * time.Second
 
 // noConfigurationRetryAfter is the retry delay sent to callers before the first
-// configuration has been committed. Its sender repeats it until it is accepted.
+// configuration has been committed. The sender of that configuration repeats it until it
+// is accepted.
 const noConfigurationRetryAfter = time.Second
 
 // Register registers the handlers of the controller's calls on mux.
@@ -34,14 +35,14 @@
 	mux.SetVersion(c.version)
 }
 
-// version returns the version of the configuration that has been applied here.
+// version returns the version of the configuration that is in force by the local state.
 func (c *Controller) version() (version uint64) {
 	c.state.read(func(s *workflow.State) { version = s.Configuration.Version })
 	return version
 }
 
-// resolveOnLeader returns the current leader term, with the queue that address names and
-// the id of its job; the id is empty when address names a queue only.
+// resolveOnLeader returns the current leader term, the queue that address names, and the
+// ID of the job. The ID is empty when address names only a queue.
 func (c *Controller) resolveOnLeader(ctx context.Context, address JobAddress) (*leaderTerm, workflow.Queue, string, error) {
 	t, err := c.currentLeaderTerm(ctx)
 	if err != nil {
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// resolve returns the queue and the job id that address names. It returns NotFound only
+// resolve returns the queue and the job ID that address names. It returns NotFound only
 // after a log barrier has shown that the local configuration is the newest.
 func (c *Controller) resolve(ctx context.Context, address JobAddress) (workflow.Queue, string, error) {
 	queue, id, err := c.lookUp(ctx, address)
@@ -73,8 +74,8 @@
 	return c.lookUp(ctx, address)
 }
 
-// lookUp returns the queue and the job id that address names by the local configuration,
-// and records the version of that configuration for the answer.
+// lookUp returns the queue and the job ID that address names by the local configuration,
+// and records the version of that configuration for the response.
 func (c *Controller) lookUp(ctx context.Context, address JobAddress) (found workflow.Queue, id string, err error) {
 	c.state.read(func(s *workflow.State) {
 		if s.Configuration.Source == nil {
@@ -96,7 +97,8 @@
 	return found, id, err
 }
 
-// Submit stores a job. It returns once a majority of the replicas has the job on disk.
+// Submit stores a job. It returns once a majority of the replicas has the job on disk. A
+// job that is already stored succeeds again if it belongs to the same queue.
 func (c *Controller) Submit(ctx context.Context, r *SubmitCall) (SubmitReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -155,10 +157,10 @@
 	return StateReply{Phase: phase}, nil
 }
 
-// Ended returns the phase of a job that has ended. Any instance that knows a leader can
-// answer, since the phase of an ended job never changes.
+// Ended returns the phase of a job that has ended. Any instance that knows a leader may
+// respond, since the phase of an ended job never changes.
 //
-// Callers ask for the state of their jobs two or three times as often as they submit one,
+// Callers query the state of their jobs two or three times as often as they submit one,
 // mostly after the end.
 func (c *Controller) Ended(ctx context.Context, r *EndedCall) (EndedReply, error) {
 	if c.log.Status().Leader == "" || c.version() < r.Version {
@@ -166,7 +168,7 @@
 	}
 	queue, id, err := c.lookUp(ctx, r.Address)
 	if err != nil || id == "" {
-		// The leader answers this after a log barrier.
+		// The caller asks the leader next, which responds after a log barrier.
 		return EndedReply{}, nil
 	}
 	phase, ok := c.phase(id, queue.Identity())
@@ -176,8 +178,8 @@
 	return EndedReply{Known: true, Phase: phase}, nil
 }
 
-// confirmedPhase returns the phase of a job of a queue. It reports the job as unknown only
-// after a log barrier has shown that the local state is up to date.
+// confirmedPhase returns the phase of a job of a queue. It returns the error for an
+// unknown job only after a log barrier has shown that the local state is up to date.
 func (c *Controller) confirmedPhase(ctx context.Context, id, queue string) (workflow.Phase, error) {
 	if phase, ok := c.phase(id, queue); ok {
 		return phase, nil
@@ -192,7 +194,7 @@
 	return phase, nil
 }
 
-// unknownJob is the error for a job that doesn't exist.
+// unknownJob returns the error for a job that doesn't exist.
 func unknownJob(id string) error { return fault.New(fault.Cancelled, "no job %s", id) }
 
 // phase returns the phase of a job by the local state; ok is false when the queue has no
@@ -252,8 +254,8 @@
 	return Empty{}, err
 }
 
-// Configuration returns the newest configuration, after a log barrier has shown that it
-// is.
+// Configuration returns the configuration in force, after a log barrier has shown that it
+// is the newest.
 func (c *Controller) Configuration(ctx context.Context, _ *Empty) (ConfigurationReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -273,8 +275,8 @@
 	return reply, nil
 }
 
-// StartWave commits a maintenance wave. Its machines go down in turn, at most MaxDown at a
-// time.
+// StartWave commits a maintenance wave: a set of machines that go down for maintenance in
+// turn, at most MaxDown at a time.
 func (c *Controller) StartWave(ctx context.Context, r *WaveCall) (Empty, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -319,8 +321,9 @@
 	return reply, nil
 }
 
-// Follow records the announcement of an instance and returns what the instance has to
-// know: the members, the configuration version and the time until its next announcement.
+// AnnounceInstance records the announcement of an instance. It returns the addresses of
+// the core members, the version of the configuration and the time until the next
+// announcement.
 func (c *Controller) AnnounceInstance(ctx context.Context, r *AnnounceInstanceCall) (AnnounceInstanceReply, error) {
 	t, err := c.currentLeaderTerm(ctx)
 	if err != nil {
--- a/internal/control/session.go
+++ b/internal/control/session.go
@@ -12,26 +12,29 @@
 )
 
 const (
-	// pollHold is how long a worker may hold a poll until a run ends. A longer hold saves
-	// polls, a shorter one detects an unresponsive worker earlier.
+	// pollHold is how long a worker may hold a poll, that is, delay its response while no
+	// run ends. A longer hold saves polls, a shorter one detects an unresponsive worker
+	// earlier.
 	pollHold = 1500 * time.Millisecond
 	// callTimeout bounds the round trip of an order: a few milliseconds on a good link,
 	// plus one retransmission on a lossy one.
 	callTimeout = 600 * time.Millisecond
-	// minOverdueTime is the shortest time after which an unanswered order counts as
-	// overdue. A reachable worker answers within some round trips of 2 ms and its own
+	// minOverdueTime is the shortest time after which an order without a response counts as
+	// overdue. A reachable worker responds within some round trips of 2 ms and its own
 	// scheduling delay.
 	minOverdueTime = 100 * time.Millisecond
-	// maxResponseAge is how long after its last answer a worker still gets new tasks: one
-	// held poll and one call.
+	// maxResponseAge is how long after its last response to a poll a worker still gets new
+	// tasks: the duration of one held poll and one call.
 	maxResponseAge = pollHold + callTimeout
-	// pollPauseAfterEnds is the shortest pause between a report with ended runs and the
-	// next poll. Runs that end meanwhile share that poll, but are seen a little later.
+	// pollPauseAfterEnds is the shortest pause between a report with ended runs and the next
+	// poll. Runs that end during the pause share that poll, but the leader sees their ends a
+	// little later.
 	pollPauseAfterEnds = 80 * time.Millisecond
 	// commitRetryInterval is the pause between two attempts to commit a command whose
 	// content only the leader knows.
 	commitRetryInterval = 50 * time.Millisecond
-	// retryInterval is the pause between two calls of a worker that doesn't answer.
+	// retryInterval is the pause before a call without a response is repeated, and the pause
+	// after an order for a machine.
 	retryInterval = 300 * time.Millisecond
 	// unresponsiveWorkerTimeout is how long after its last heartbeat an unresponsive worker
 	// without runs is still monitored.
@@ -43,8 +46,9 @@
 type workerSession struct {
 	t      *leaderTerm
 	worker workflow.Worker
-	// ready says that the worker has answered under this leader's fence and that its report
-	// has been applied. Nothing is started on it before.
+	// ready says that the worker has responded to a poll with this leader's fencing token
+	// and that its report has been applied. It is reset when the worker stops responding.
+	// Nothing is started on a worker that isn't ready.
 	ready bool
 	// leaving says that the worker has announced its shutdown. leavesAt is the earliest
 	// shutdown time that a draining worker has announced.
@@ -52,33 +56,34 @@
 	leavesAt time.Time
 	// leavingSince is when the shutdown was announced.
 	leavingSince time.Time
-	// superseded says that a later incarnation of the same worker is known. predecessors
-	// are the sessions of earlier incarnations whose runs aren't settled yet.
+	// superseded says that a later incarnation of the same worker is known. predecessors are
+	// the sessions of earlier incarnations that have runs whose ends aren't committed yet.
 	superseded   bool
 	predecessors []*workerSession
-	// incarnationUnconfirmed says that no report has arrived yet, or that a call went
-	// unanswered since the last one: another incarnation may answer the next call.
+	// incarnationUnconfirmed says that no report has arrived yet, or that a call got no
+	// response since the last report: another incarnation may respond to the next call.
 	incarnationUnconfirmed bool
-	// heartbeatAt is the time of the last heartbeat, answeredAt of the last answer to a
+	// heartbeatAt is the time of the last heartbeat, answeredAt of the last response to a
 	// poll.
 	heartbeatAt, answeredAt time.Time
 	// clockMS is what the worker's clock showed, in milliseconds, at or before clockAt on
 	// this process's clock.
 	clockMS int64
 	clockAt time.Time
-	// fullReportSentAt is when the poll was sent that the last complete report answered.
+	// fullReportSentAt is when the poll was sent whose response was the last complete
+	// report.
 	fullReportSentAt time.Time
-	// leaseEnd is when, by this process's clock, all runs on the worker have ended, unless
-	// the worker answers and gets a longer lease.
+	// leaseEnd is when, by this process's clock, all runs on the worker have ended at the
+	// latest. Polls and starts postpone it when they extend the lease.
 	leaseEnd time.Time
 	// inherited maps each task to the run that an earlier leader may have ordered.
 	inherited map[workflow.TaskKey]int
 	orders    map[workflow.TaskKey]*runOrder
 	// unknownRuns are runs that the worker reports and the log doesn't have, with the time
-	// of the last stop sent.
+	// of the last stop that was sent for each.
 	unknownRuns map[workflow.Run]time.Time
-	// failures counts consecutive failures: failed runs of different jobs, and unanswered
-	// starts.
+	// failures counts consecutive failures: failed runs of different jobs, starts without a
+	// response, and stalled runs. failedJob is the job of the last failed run.
 	failures         int
 	failedJob        string
 	quarantinedUntil time.Time
@@ -88,12 +93,13 @@
 	runSummary runSummary
 	// startSlots has one slot for each start that may be in flight.
 	startSlots chan struct{}
-	// busy says that the last report listed live runs. advancedAt is the time of the last
-	// report that showed progress.
+	// busy says that the last report listed live runs. advancedAt is when a report last
+	// showed progress, an end, or no live runs.
 	busy       bool
 	advancedAt time.Time
+	// cancelPoll cancels the poll in flight, or the last one.
 	cancelPoll context.CancelFunc
-	// pollDue is when the answer to the poll in flight becomes overdue.
+	// pollDue is when the response to the poll in flight becomes overdue.
 	pollDue time.Time
 	// pollInterrupted says that interruptPoll ended the poll in flight.
 	pollInterrupted bool
@@ -117,7 +123,8 @@
 )
 
 // unschedulableReason returns why the worker gets no new task, or "" if it may get one.
-// runs is the number of its runs that may be alive. t.mu must be held.
+// suspects are the data centres that are suspected to be unreachable, runs is the number
+// of the worker's runs that may be alive. t.mu must be held.
 func (s *workerSession) unschedulableReason(now time.Time, suspects map[string]bool, runs int) dispatch.Reason {
 	switch {
 	case s.leaving || s.worker.Draining:
@@ -145,9 +152,9 @@
 	return ""
 }
 
-// hasOverdueOrder reports whether an order has been unanswered for longer than a reachable
-// worker takes. The worker may be unreachable, and a task given to it now would be blocked
-// until the lease expires. t.mu must be held.
+// hasOverdueOrder reports whether an order has been without a response for longer than a
+// reachable worker takes. The worker may be unreachable, and a task assigned to it now
+// would be blocked until the lease expires. t.mu must be held.
 func (s *workerSession) hasOverdueOrder(now time.Time) bool {
 	for _, o := range s.orders {
 		if o.unanswered || !o.sentAt.IsZero() && now.Sub(o.sentAt) > s.t.overdueAfter() {
@@ -158,7 +165,7 @@
 }
 
 // leaseEndMS returns the end of a lease that begins now, in milliseconds on the worker's
-// clock. It moves leaseEnd accordingly. t.mu must be held.
+// clock, and postpones leaseEnd accordingly. t.mu must be held.
 func (s *workerSession) leaseEndMS(now time.Time) int64 {
 	elapsed := now.Sub(s.clockAt)
 	end := s.clockMS + (elapsed + s.t.lease).Milliseconds()
@@ -169,8 +176,9 @@
 	return end
 }
 
-// recordClock records the worker's clock from an answer that has just arrived. t.mu must
-// be held.
+// recordClock records the worker's clock, in milliseconds, from a response that has just
+// arrived. A clock that jumped may be that of another incarnation; the next poll is then
+// sent immediately instead. t.mu must be held.
 func (s *workerSession) recordClock(clockMS int64, now time.Time) {
 	s.recordResponse(now)
 	if s.clockJumped(clockMS, now) {
@@ -216,7 +224,7 @@
 		case s.t.ctx.Err() != nil:
 			return
 		case errors.Is(err, ErrOtherIncarnation):
-			s.endIncarnation("another incarnation answers")
+			s.endIncarnation("another incarnation responds")
 			return
 		case err != nil && s.takePollInterrupted():
 		case err != nil:
@@ -239,9 +247,9 @@
 	}
 }
 
-// poll asks the worker for its report. It extends the lease only while the worker answers.
-// A worker that receives polls but whose answers are lost would otherwise keep its runs
-// indefinitely, and the leader could never tell when they end.
+// poll requests a report from the worker. It extends the lease only while the worker
+// responds. A worker that receives polls but whose responses are lost would otherwise
+// keep its runs indefinitely, and the leader could never tell when they end.
 func (s *workerSession) poll(now time.Time) (Report, error) {
 	t := s.t
 	if t.wasSuspended() {
@@ -257,7 +265,8 @@
 	t.mu.Lock()
 	hold, slack := s.pollTimes(now)
 	if s.mayBeOtherIncarnation() {
-		// This incarnation hasn't reported any end yet, and its clock is a different one.
+		// Another incarnation may receive the poll. Its clock is a different one, and none of
+		// its ends has been committed yet.
 		order.LastEnd = 0
 	} else if s.ready && now.Sub(s.answeredAt) < callTimeout {
 		order.LeaseEndMS = s.leaseEndMS(now)
@@ -273,8 +282,9 @@
 	return t.c.cfg.Workers.Poll(ctx, target, order)
 }
 
-// handleUnansweredPoll handles a poll without an answer, and reports whether the session is
-// over. Once the lease has expired, nothing runs on the worker any more.
+// handleUnansweredPoll updates the session after a poll without a response, and reports
+// whether the session is over. Once the lease has expired, nothing runs on the worker any
+// more, and its runs are committed as lost.
 func (s *workerSession) handleUnansweredPoll(cause error) bool {
 	t := s.t
 	now := time.Now()
@@ -291,13 +301,13 @@
 		t.logger.Log("event", "worker_contact", "worker", s.worker.ID, "outcome", "lost", "err", cause)
 	}
 	if leaving {
-		s.endIncarnation("the worker announced its shutdown and doesn't answer")
+		s.endIncarnation("the worker announced its shutdown and doesn't respond")
 		return true
 	}
 	if !leaseExpired {
 		return false
 	}
-	s.commitLostRuns("lease ended without an answer", workflow.OutcomeLost, allRuns)
+	s.commitLostRuns("the lease expired without a response", workflow.OutcomeLost, allRuns)
 	if !noHeartbeat {
 		return false
 	}
@@ -312,8 +322,8 @@
 	return true
 }
 
-// endIncarnation records that the incarnation has ended and nothing runs there any more.
-// The cause is logged.
+// endIncarnation commits that the incarnation has ended and nothing runs there any more,
+// and ends its session. The cause is logged.
 func (s *workerSession) endIncarnation(cause string) {
 	t, crashed := s.t, s.hasCrashed()
 	t.logger.Log("event", "worker_gone", "worker", s.worker.ID, "cause", cause, "crashed", crashed)
@@ -322,8 +332,8 @@
 		t.c.cfg.Counters.Add("workers_crashed", 1)
 		outcome = workflow.OutcomeCrashed
 	}
-	// Checkpoints and ends in the successor's report are committed before the remaining
-	// runs count as lost.
+	// The checkpoints and ends in the report of the successor are committed first. The
+	// remaining runs count as lost.
 	s.settleWithSuccessor(cause, outcome)
 	s.commitLostRuns(cause, outcome, allRuns)
 	unresolved := s.unresolvedRuns()
@@ -338,7 +348,8 @@
 // allRuns selects all runs of a worker.
 func allRuns(workflow.Run) bool { return true }
 
-// commitLostRuns commits the end of the selected runs of a worker, which can't be alive any more.
+// commitLostRuns commits the end of those runs of a worker for which selected returns
+// true. They can't be alive any more. The cause is logged.
 func (s *workerSession) commitLostRuns(cause string, outcome workflow.Outcome, selected func(workflow.Run) bool) {
 	ends := s.lostEnds(outcome, selected)
 	if len(ends) == 0 {
@@ -349,7 +360,8 @@
 	s.commitEnds(0, ends)
 }
 
-// lostEnds returns the ends of the selected runs, with their last checkpoints.
+// lostEnds returns ends with the given outcome for the selected runs, with their last
+// checkpoints.
 func (s *workerSession) lostEnds(outcome workflow.Outcome, selected func(workflow.Run) bool) []workflow.RunEnd {
 	var ends []workflow.RunEnd
 	s.t.mu.Lock()
@@ -370,8 +382,8 @@
 // commitEnds commits ends of runs. lastEnd is the position of the last of them in the
 // worker's list of ends, 0 if the worker lists none of them.
 //
-// A worker lists its ends until they are committed, so those are proposed only once. No
-// worker repeats the others, so they are proposed until they are committed.
+// A worker lists its ends until they are committed, so these ends are proposed only once.
+// Ends that no worker lists again are proposed until they are committed.
 func (s *workerSession) commitEnds(lastEnd uint64, ends []workflow.RunEnd) {
 	command := &workflow.Command{Ends: &workflow.RunEnds{Worker: s.worker.ID, LastEnd: lastEnd, Ends: ends}}
 	s.recordKnownEnds(ends)
@@ -391,7 +403,7 @@
 	s.t.wake()
 }
 
-// recordKnownEnds marks runs whose end is known: the end is proposed, or listed again,
+// recordKnownEnds marks runs whose end is known: it is proposed, or the worker lists it,
 // until it is committed.
 func (s *workerSession) recordKnownEnds(ends []workflow.RunEnd) {
 	s.t.mu.Lock()
@@ -425,9 +437,9 @@
 	}
 }
 
-// forgetRun removes what is known of a run that has ended. It keeps the order of a later
-// run of the same task, since a worker may list an end while the next run is in progress,
-// and nobody could stop that run without its order. t.mu must be held.
+// forgetRun removes the state of a run that has ended. It keeps the order of a later run
+// of the same task, because a worker may list an end while the next run is in progress,
+// and that run couldn't be stopped without its order. t.mu must be held.
 func (s *workerSession) forgetRun(end workflow.RunEnd) {
 	if o := s.orders[end.Task]; o != nil && o.run.Number > end.Number {
 		return
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -14,13 +14,12 @@
 // has no value any more.
 const worthlessAfterObjectives = 3
 
-// planInput is the input of a decision. It is a copy, so that the decision runs without the
-// lock.
+// planInput is the input of a decision. It is a copy, so that the decision needs no lock.
 type planInput struct {
 	steps   []dispatch.Step
 	workers []dispatch.Worker
 	stops   []pendingStop
-	// copyCandidates are the runs for which a speculative copy on idle capacity is
+	// copyCandidates are the runs for which a speculative copy on idle resources is
 	// worthwhile.
 	copyCandidates map[workflow.TaskKey]copyCandidate
 	// runsPerWorker counts the runs on each worker, for steps that limit their tasks per
@@ -29,15 +28,15 @@
 }
 
 const (
-	// extraStepCapacity is how many steps the list has capacity for beyond the number of
-	// steps that waited at the last decision.
+	// extraStepCapacity is how many steps the slice of planned steps has capacity for beyond
+	// the number of steps that waited at the last decision.
 	extraStepCapacity = 64
-	// runCheckInterval is the time between two checks of all runs for stops and copies. It
-	// takes a run seconds to need one.
+	// runCheckInterval is the time between two checks of all runs for stops and copies. The
+	// reasons for either take seconds to arise.
 	runCheckInterval = 150 * time.Millisecond
-	// maxRunSummaryAge is the highest age of a worker's cached expected run ends while no run
-	// starts or ends there. The expected ends are off by half anyway, and recomputing them
-	// for thousands of runs takes most of the time of a decision.
+	// maxRunSummaryAge is the highest age of a cached summary of a worker's runs while no
+	// run starts or ends there. The expected ends in it are off by half anyway, and
+	// recomputing them for thousands of runs takes most of the time of a decision.
 	maxRunSummaryAge = 400 * time.Millisecond
 )
 
@@ -66,7 +65,8 @@
 	return input
 }
 
-// checkRuns finds the runs that are to be stopped and those worth a copy.
+// checkRuns adds the runs that are to be stopped, and those worth a speculative copy, to
+// the input. t.mu must be held.
 func (t *leaderTerm) checkRuns(s *workflow.State, now time.Time, input *planInput) {
 	for id, runs := range s.Runs {
 		session := t.sessions[id]
@@ -81,8 +81,7 @@
 				}
 			} else if session.stopDue(run, cause, now) {
 				stop := pendingStop{session, run, cause}
-				// Recorded now, because it affects the runs that are checked after this
-				// one.
+				// Recorded immediately, because it affects the checks of the runs that follow.
 				session.recordStop(stop, now)
 				input.stops = append(input.stops, stop)
 			}
@@ -91,9 +90,9 @@
 }
 
 // runsPerWorkerOf counts the runs of a step on each worker, including starts that are
-// being committed. It returns nil if the step doesn't limit its tasks per worker. The step
-// and the copies of its tasks share the counts, so that one decision counts both. t.mu
-// must be held.
+// being committed. It returns nil if the step doesn't limit its tasks per worker. The
+// step and the speculative copies of its tasks share the map, so that a decision counts
+// the starts of both. t.mu must be held.
 func (input *planInput) runsPerWorkerOf(t *leaderTerm, s *workflow.State, key workflow.StepKey, spec *workflow.Step) map[string]int {
 	if spec.MaxPerWorker == 0 {
 		return nil
@@ -113,7 +112,7 @@
 }
 
 // gatherWorkers returns the workers that may get tasks, sorted by ID, with their free
-// capacity. t.mu must be held.
+// resources. t.mu must be held.
 func (t *leaderTerm) gatherWorkers(s *workflow.State, now time.Time) []dispatch.Worker {
 	workers := make([]dispatch.Worker, 0, len(t.sessions))
 	proposed := map[string]workflow.Resources{}
@@ -124,7 +123,7 @@
 	}
 	suspects := t.suspectedDataCentres(now)
 	t.updateSuspected(suspects, now)
-	// Sorted, so that decisions about changed jobs, which reuse the list, needn't sort it.
+	// Sorted, so that incremental decisions, which reuse the slice, needn't sort it.
 	for _, id := range slices.Sorted(maps.Keys(t.sessions)) {
 		session, state := t.sessions[id], s.Workers[id]
 		if state == nil || state.Gone || session.unschedulableReason(now, suspects, len(s.Runs[id])) != "" {
@@ -141,10 +140,11 @@
 	return workers
 }
 
-// runSummary is what decisions need of the runs on a worker. A summary is replaced, never
-// changed, because decisions read it without the lock.
+// runSummary holds the properties of a worker's runs that decisions use. A summary is
+// replaced, never modified, because decisions read it without the lock.
 type runSummary struct {
-	// changes is the state's version of the worker's runs when the summary was made.
+	// changes is the version of the worker's runs, by the replicated state, that the summary
+	// describes.
 	changes   uint64
 	at        time.Time
 	releases  []dispatch.Release
@@ -176,12 +176,12 @@
 	return summary
 }
 
-// firstUnpreemptibleRun is the run number from which on a task isn't preempted any more, so that
-// it ends eventually.
+// firstUnpreemptibleRun is the number of the first run of a task that can't be preempted.
+// The limit lets each task end eventually.
 const firstUnpreemptibleRun = 4
 
-// runRelease returns when a run is expected to release its capacity, and whether it can be
-// preempted. t.mu must be held.
+// runRelease returns when a run is expected to release its resources, and whether it can
+// be preempted. t.mu must be held.
 func (t *leaderTerm) runRelease(session *workerSession, job *workflow.Job, run workflow.Run, now time.Time) dispatch.Release {
 	spec := &job.Steps[run.Task.Step]
 	r := dispatch.Release{
@@ -199,14 +199,14 @@
 	return r
 }
 
-// minProgressPercent is the reported progress from which on a run's end is extrapolated
-// from its progress instead of the job's estimate.
+// minProgressPercent is the least reported progress from which the end of a run is
+// extrapolated. With less progress the end is estimated from the job's estimate.
 const minProgressPercent = 10
 
 // expectedEnd estimates when a run ends: from its progress if the worker has reported
-// enough of it, else from the job's estimate. A run whose start time isn't known counts as
-// half done. A run past its estimate is expected to take another tenth of it. t.mu must be
-// held.
+// enough of it, else from the job's estimate. A run whose start time isn't known counts
+// as half done. A run that exceeds its estimate is expected to take another tenth of it.
+// t.mu must be held.
 func (s *workerSession) expectedEnd(run workflow.Run, step *workflow.Step, now time.Time) time.Time {
 	estimate := time.Duration(step.EstimateMS) * time.Millisecond
 	o := s.orders[run.Task]
@@ -217,13 +217,14 @@
 		perPercent := float64(o.progressAt.Sub(o.firstAt)) / float64(progress)
 		return o.progressAt.Add(max(time.Duration(perPercent*float64(completePercent-o.percent)), now.Sub(o.progressAt)))
 	}
-	// The work that a resumed run did before counts from its first report on.
+	// The first reported progress of a resumed run is work of earlier runs.
 	rest := estimate * time.Duration(completePercent-o.firstPercent) / completePercent
 	elapsed := now.Sub(o.startedAt)
 	return o.startedAt.Add(max(rest, elapsed+estimate/10))
 }
 
-// gatherSteps adds the ready steps of a job that have tasks to start. t.mu must be held.
+// gatherSteps adds the ready steps of a job that have tasks to start to the input. t.mu
+// must be held.
 func (t *leaderTerm) gatherSteps(input *planInput, s *workflow.State, job *workflow.Job, now time.Time) {
 	accepted, ok := t.acceptedAt[job.ID]
 	if !ok {
@@ -286,18 +287,18 @@
 	return step
 }
 
-// minEstimateShare is the least share of its estimate that a step takes: estimates are off
-// by half.
+// minEstimateShare is the least share of its estimated run time that a step is assumed to
+// take: estimates are off by half.
 const minEstimateShare = 0.6
 
-// minRemainingTime returns the least time that a step takes. Under overload, a job that
-// can't meet its objective any more goes after one that still can.
+// minRemainingTime returns the least time that a step takes to run. Under overload, a job
+// that can't meet its objective even with that time goes after the jobs that still can.
 func minRemainingTime(spec *workflow.Step) time.Duration {
 	return time.Duration(minEstimateShare * float64(spec.EstimateMS) * float64(time.Millisecond))
 }
 
-// pendingTasks returns the tasks of a step that may be started; for a gang all or none.
-// t.mu must be held.
+// pendingTasks returns the indices of the tasks of a step that may be started; for a gang
+// either all or none. t.mu must be held.
 func (t *leaderTerm) pendingTasks(key workflow.StepKey, spec *workflow.Step, state *workflow.StepState) []int {
 	if spec.Gang && (state.Live() > 0 || state.Done > 0) {
 		return nil
@@ -319,8 +320,8 @@
 	return pending
 }
 
-// suspectsAmong returns the pending tasks under which workers have crashed, nil if there
-// are none.
+// suspectsAmong returns the pending tasks that are crash suspects, because workers have
+// crashed while they ran there. It returns nil if there are none.
 func suspectsAmong(state *workflow.StepState, pending []int) map[int]bool {
 	var suspects map[int]bool
 	for _, index := range pending {
@@ -335,8 +336,9 @@
 	return suspects
 }
 
-// objectiveOf returns the time after its acceptance within which a job should end: its
-// policy's stretch times the critical path of its steps, plus a constant.
+// objectiveOf returns the time after its acceptance within which a job should end: the
+// length of the critical path of its steps, multiplied by the policy's stretch factor,
+// plus the policy's constant.
 func objectiveOf(job *workflow.Job) time.Duration {
 	finish := make([]int64, len(job.Steps))
 	criticalPath := int64(0)
--- a/internal/control/starts.go
+++ b/internal/control/starts.go
@@ -11,16 +11,17 @@
 )
 
 // maxConcurrentStarts is how many starts to one worker may be in flight. A step with many
-// tasks is assigned to few workers. If all were sent concurrently, each start would open
-// its own connection, which costs the caller more than the start itself.
+// tasks is assigned to few workers. If all of its starts were sent concurrently, each
+// would open its own connection, which costs the leader more than the start itself.
 const maxConcurrentStarts = 3
 
-// sendStart sends a committed start until the worker has answered, and stops the run if it
-// doesn't answer.
+// sendStart sends the start of a committed run until the worker responds or
+// maxStartAttempts calls have failed. It has the run stopped if the worker may still
+// carry out the start.
 //
-// If a call or its answer is lost, an urgent task would wait for the timeout. The same run
-// is therefore sent again while an overdue call is still in flight; the one that arrives
-// second has no effect.
+// If a call or its response were lost, an urgent task would wait for the timeout of the
+// call. Therefore the start of the same run is sent again while an overdue call is still
+// in flight; the start that arrives second has no effect.
 func (s *workerSession) sendStart(o *runOrder, payload, checkpoint string) {
 	defer s.recordStartCallsEnded(o)
 	if !o.gang && s.t.c.heartbeats == nil {
@@ -33,13 +34,14 @@
 	s.settleStartAttempts(o, s.attemptStart(o, payload, checkpoint))
 }
 
-// attemptStart sends a start, and sends it again if the first call is overdue or gets no
-// answer. It returns the results of the calls that determine the outcome, the first call
-// first.
+// attemptStart sends a start, and sends it again if the first call is overdue or fails
+// without a response. It returns the results of the calls that determine the outcome,
+// starting with the first call.
 //
 // The worker may refuse the first call while a concurrent second one is in flight. The
-// result of the second one must be awaited: it may have started the run, and if it is
-// refused too, the run has to be settled here, because no report will ever show it.
+// result of the second one must be awaited: the second call may have started the run, and
+// if it is refused too, the run has to be committed as not started, because no report
+// will ever list it.
 func (s *workerSession) attemptStart(o *runOrder, payload, checkpoint string) []error {
 	second := make(chan error, 1)
 	var retry *time.Timer
@@ -75,15 +77,19 @@
 	return s.t.overdueAfter()
 }
 
-// outcomeUnknown reports whether a call error leaves open what the worker did.
+// outcomeUnknown reports whether a call that failed with err may still be carried out.
+// That is ruled out only if the worker refused it or another incarnation responded.
 func outcomeUnknown(err error) bool {
 	var refused *RefusedError
 	return !errors.Is(err, ErrOtherIncarnation) && !errors.As(err, &refused)
 }
 
-// settleStartAttempts settles an order by the results of its calls. A success has started
-// the run. A call without an answer may start it later, so a stop has to settle it. A
-// refusal settles it only if no call is left open.
+// settleStartAttempts determines the outcome of a start from the results of its calls. If
+// one of them succeeded, the run has started. If another incarnation responded, the next
+// poll is sent immediately and ends this session. After a call without a response the run
+// may still start, so it has to be stopped. If all calls were refused, the run is
+// committed as not started, except after a refused fencing token, because a later leader
+// then decides about the run.
 func (s *workerSession) settleStartAttempts(o *runOrder, attempts []error) {
 	if slices.Contains(attempts, nil) {
 		return
@@ -114,16 +120,16 @@
 	}
 }
 
-// recordUnanswered records a call of a start that got no answer.
+// recordUnanswered records a call of a start that got no response.
 func (s *workerSession) recordUnanswered(o *runOrder, attempt int, err error) {
 	s.t.mu.Lock()
 	o.unanswered = true
-	// Without this, a worker that answers polls but no starts would get the same task again
-	// and again.
+	// Otherwise a worker that responds to polls but not to starts would get the same task
+	// repeatedly.
 	s.failures++
 	s.t.mu.Unlock()
 	s.t.logger.Log("event", "start", "task", o.run.Task, "run", o.run.Number, "worker", s.worker.ID,
-		"outcome", "no answer", "try", attempt, "err", err)
+		"outcome", "no response", "try", attempt, "err", err)
 }
 
 // recordRefusal records a refused call of a start.
@@ -140,10 +146,10 @@
 	t.invalidateTicket(o.run.Task.StepKey, s.worker.ID)
 }
 
-// acquireStartSlot waits until a start may be sent. It returns a cause, and no slot, if the
-// start is no longer worth sending, for example because another start to the worker is
-// overdue and this one would get no answer either. Gang members don't use slots, because
-// members that have started wait for the others.
+// acquireStartSlot waits until a start may be sent. It returns a cause, and acquires no
+// slot, if the start is no longer worth sending, for example because another start to the
+// worker is overdue and this one would get no response either. Members of a gang don't
+// use slots, because members that have started wait for the others.
 func (s *workerSession) acquireStartSlot(o *runOrder) (cause string) {
 	select {
 	case s.startSlots <- struct{}{}:
@@ -175,10 +181,10 @@
 	return pending
 }
 
-// settleUnsentStart settles a run whose start was never sent.
+// settleUnsentStart commits a run whose start was never sent as not started.
 func (s *workerSession) settleUnsentStart(o *runOrder, cause string) {
 	if s.t.ctx.Err() != nil {
-		// The next leader settles the run.
+		// The next leader determines the outcome of the run.
 		return
 	}
 	s.t.logger.Log("event", "start", "task", o.run.Task, "run", o.run.Number, "worker", s.worker.ID,
@@ -186,8 +192,8 @@
 	s.commitEnds(0, []workflow.RunEnd{{Task: o.run.Task, Number: o.run.Number, Outcome: workflow.OutcomeNotStarted}})
 }
 
-// abandonUnlessListed gives up a start that may still be carried out later, so that its run
-// is stopped, unless a report has shown the run as alive.
+// abandonUnlessListed marks a start whose outcome is unknown as abandoned, so that its
+// run is stopped, unless a report has listed the run as alive.
 func (s *workerSession) abandonUnlessListed(o *runOrder) {
 	s.t.mu.Lock()
 	o.abandoned = !o.listed
--- a/internal/control/statemachine.go
+++ b/internal/control/statemachine.go
@@ -7,11 +7,11 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// StateMachine is the replicated state, guarded by a lock.
+// StateMachine is the state machine of the replicated log. A lock guards its state.
 type StateMachine struct {
 	mu    sync.Mutex
 	state *workflow.State
-	// applied is called after each command, without the lock held. It must not block.
+	// applied is called after each command, without mu held. It must not block.
 	applied func()
 }
 
@@ -51,8 +51,8 @@
 	return m.state.Snapshot()
 }
 
-// Restore replaces the state by the encoded one. The state is unchanged if data can't be
-// decoded.
+// Restore replaces the state by the encoded one. It returns an error and keeps the state
+// if encoded can't be decoded.
 func (m *StateMachine) Restore(encoded []byte) error {
 	state, err := workflow.Restore(encoded)
 	if err != nil {
--- a/internal/control/stops.go
+++ b/internal/control/stops.go
@@ -15,11 +15,11 @@
 	stopJobEnded     stopCause = "the job has ended"
 	stopGangEnded    stopCause = "another member of the gang has ended"
 	stopCopyDone     stopCause = "another run of the task is done"
-	stopMachineDown  stopCause = "the machine goes down"
-	stopWorkerDrains stopCause = "the worker leaves"
-	stopPaused       stopCause = "paused for long"
-	stopStalled      stopCause = "stands still"
-	stopUnanswered   stopCause = "its start got no answer"
+	stopMachineDown  stopCause = "the machine goes down or moves"
+	stopWorkerDrains stopCause = "the worker drains"
+	stopPaused       stopCause = "paused for too long"
+	stopStalled      stopCause = "no progress for too long"
+	stopUnanswered   stopCause = "its start got no response"
 	stopPreempted    stopCause = "preempted by more urgent work"
 	stopOrphaned     stopCause = "no pending event will report its end"
 )
@@ -35,7 +35,8 @@
 // held.
 func (t *leaderTerm) stopCauseOf(s *workflow.State, run workflow.Run, session *workerSession, now time.Time) stopCause {
 	if t.isOrphaned(run, now) {
-		// Checked first: the other causes assume that the run's end will be reported.
+		// Checked first, because the other causes assume that the end of the run will be
+		// reported.
 		return stopOrphaned
 	}
 	job := s.Jobs[run.Task.Job]
@@ -70,8 +71,8 @@
 	return stopNone
 }
 
-// stopDue reports whether a stop of the run is to be sent now. Without an order of this
-// leader term, that holds for orphaned and inherited runs only. t.mu must be held.
+// stopDue reports whether a stop of the run is to be sent now. A run without an order of
+// this leader term is stopped only if it is orphaned or inherited. t.mu must be held.
 func (s *workerSession) stopDue(run workflow.Run, cause stopCause, now time.Time) bool {
 	o := s.orders[run.Task]
 	if o == nil || o.run.Number != run.Number {
@@ -81,7 +82,7 @@
 }
 
 // recordStop records that a stop is sent. The first stop of a stalled run counts as a
-// failure of its worker, because the worker, idle again, would otherwise be the first
+// failure of its worker. Otherwise the worker, which is idle again, would be the first
 // choice for the same task. t.mu must be held.
 func (s *workerSession) recordStop(stop pendingStop, now time.Time) {
 	o := s.orders[stop.run.Task]
@@ -103,7 +104,7 @@
 	s.runSummary = runSummary{}
 }
 
-// preempt stops the runs whose capacity a decision takes for more urgent work.
+// preempt stops the runs whose resources a decision takes for more urgent work.
 func (t *leaderTerm) preempt(preemptions []dispatch.Preemption, now time.Time) {
 	t.mu.Lock()
 	var stops []pendingStop
--- a/internal/control/suspect.go
+++ b/internal/control/suspect.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// dataCentreResponseTimeout is how long no worker of a data centre may answer, while one of
-// them has an overdue order, before the whole data centre is suspected to be unreachable.
-// Sixteen busy workers answer about fifty calls a second.
+// dataCentreResponseTimeout is how long a data centre may go without a response of any
+// worker, while one of them has an overdue order, before the whole data centre is
+// suspected to be unreachable. Sixteen busy workers respond to about fifty calls a
+// second.
 const dataCentreResponseTimeout = 200 * time.Millisecond
 
-// recordResponse records the time of the last answer from the worker's data centre. t.mu
-// must be held.
+// recordResponse records the time of a response from the worker's data centre. t.mu must
+// be held.
 func (s *workerSession) recordResponse(now time.Time) {
 	s.t.dataCentreAnsweredAt[s.worker.DataCentre] = now
 }
 
-// suspectedDataCentres returns the data centres that are suspected to be unreachable. t.mu
-// must be held.
+// suspectedDataCentres returns the data centres that are suspected to be unreachable.
+// t.mu must be held.
 //
 // When a data centre becomes unreachable, each of its workers would otherwise be sent
-// another task before its own answer is overdue. Those tasks would be blocked until the
+// another task before its own response is overdue. Those tasks would be blocked until the
 // leases expire.
 func (t *leaderTerm) suspectedDataCentres(now time.Time) map[string]bool {
 	suspected := map[string]bool{}
@@ -34,8 +35,9 @@
 	return suspected
 }
 
-// unresponsiveDataCentres returns the data centres in which no worker has answered within
-// dataCentreResponseTimeout. A worker that is ready has answered before. t.mu must be held.
+// unresponsiveDataCentres returns the data centres in which no worker has responded
+// within dataCentreResponseTimeout. A data centre whose workers have never responded in
+// this leader term isn't included; none of its workers is ready. t.mu must be held.
 func (t *leaderTerm) unresponsiveDataCentres(now time.Time) map[string]bool {
 	unresponsive := map[string]bool{}
 	for dataCentre, last := range t.dataCentreAnsweredAt {
@@ -46,8 +48,8 @@
 	return unresponsive
 }
 
-// suspicionClearDelay is how long a data centre must not be suspected before the contact counts
-// as regained. Between two overdue answers the suspicion disappears briefly.
+// suspicionClearDelay is how long a data centre must not be suspected before contact with
+// it counts as regained. The suspicion briefly disappears between two overdue responses.
 const suspicionClearDelay = time.Second
 
 // updateSuspected records the suspected data centres and logs each change. t.mu must be
--- a/internal/control/suspend.go
+++ b/internal/control/suspend.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// suspendTolerance is how much the two clocks may seem to differ because they aren't read
-// at the same moment.
+// suspendTolerance is how much CLOCK_BOOTTIME and CLOCK_MONOTONIC may seem to diverge
+// because they aren't read at the same moment.
 const suspendTolerance = 100 * time.Millisecond
 
 // suspendedTime returns how long the machine has been suspended since it booted:
@@ -25,10 +25,10 @@
 
 // wasSuspended reports whether the machine was suspended during this leader term.
 //
-// The monotonic clock doesn't count a suspension. After a suspension of some seconds, a
-// leader still takes its right to decide for valid although another leader has taken over.
-// It would then extend the lease of a worker that the new leader can't reach and whose
-// lease it waits for.
+// The monotonic clock stands still during a suspension. After a suspension of some
+// seconds, a leader still considers its right to decide valid although another leader has
+// taken over. It would then extend the lease of a worker that the new leader can't reach,
+// although the new leader waits for that lease to expire.
 func (t *leaderTerm) wasSuspended() bool {
 	suspended, err := t.suspendedTime()
 	if err != nil {
--- a/internal/control/throttle.go
+++ b/internal/control/throttle.go
@@ -8,45 +8,47 @@
 )
 
 const (
-	// fullShare is the CPU share of a task that isn't throttled, in percent.
+	// fullShare is the CPU share, in percent, of a task that isn't throttled.
 	fullShare = 100
-	// initialShare is the CPU share in percent that tasks on spare CPU get on a worker
-	// with serving tasks until a report shows the latency of the serving tasks.
+	// initialShare is the CPU share, in percent, of tasks on spare CPU on a worker with
+	// serving tasks until a report shows the latency of the serving tasks.
 	initialShare = 30
-	// minShare is the minimum useful CPU share in percent; below it tasks are paused.
+	// minShare is the lowest useful CPU share, in percent; below it tasks are paused.
 	minShare = 5
-	// shareIncrement is how many percentage points the share rises at a time while latency
-	// is low.
+	// shareIncrement is the number of percentage points by which the share rises at a time
+	// while latency is low.
 	shareIncrement = 10
-	// The ratios are latency divided by its objective. Above highLatencyRatio the share is
-	// halved, above 1 it is divided by four, below lowLatencyRatio it rises. Latency must
-	// not exceed its objective for several seconds in a row; from 30 % it takes two
-	// changes to pause.
+	// highLatencyRatio and lowLatencyRatio are thresholds of the latency divided by its
+	// objective. Above highLatencyRatio the share is halved, above 1 it is divided by four,
+	// below lowLatencyRatio it rises. Latency must not exceed its objective for several
+	// seconds in a row; from a share of 30 % it takes two changes to pause.
 	highLatencyRatio = 0.9
 	lowLatencyRatio  = 0.7
-	// throttleInterval is the minimum time between two changes of the share: the figures
-	// of a worker cover half a second, and a change takes effect within a tenth of a
-	// second.
+	// throttleInterval is the minimum time between two changes of the share. The latencies
+	// that a worker reports cover half a second, and a change takes effect within a tenth of
+	// a second.
 	throttleInterval = 700 * time.Millisecond
-	// throttledPollHold is how long a worker with throttled tasks may hold a poll.
+	// throttledPollHold is the longest hold of a poll of a worker with throttled tasks.
 	throttledPollHold = 300 * time.Millisecond
 )
 
-// throttle controls the CPU share of the tasks on spare CPU of one worker. All of them get
-// the same share, since it isn't known which of them slows the serving tasks down.
+// throttle controls the CPU share of one worker's tasks on spare CPU: time that its other
+// tasks leave idle. All of them get the same share, since it isn't known which of them
+// slows the serving tasks down.
 type throttle struct {
+	// share is the CPU share in percent.
 	share     int
 	changedAt time.Time
-	// serving and spare report whether the last report listed tasks with a latency
-	// objective and tasks on spare CPU.
+	// serving and spare say whether the last report listed tasks with a latency objective
+	// and tasks on spare CPU.
 	serving, spare bool
 }
 
 // active reports whether the worker runs both kinds of tasks and has to be polled often.
 func (t *throttle) active() bool { return t.serving && t.spare }
 
-// nextShare returns the share after a report. ratio is the worst latency divided by its
-// objective.
+// nextShare returns the share after a report, in percent. ratio is the highest latency of
+// the serving tasks divided by its objective.
 func (t *throttle) nextShare(ratio float64, now time.Time) int {
 	switch {
 	case !t.active():
@@ -65,7 +67,7 @@
 	return t.share
 }
 
-// pauseBelowMin returns 0, which pauses tasks, for a share below minShare.
+// pauseBelowMin returns share, or 0, which pauses tasks, if it is below minShare.
 func pauseBelowMin(share int) int {
 	if share < minShare {
 		return 0
@@ -73,7 +75,8 @@
 	return share
 }
 
-// beginSpare records that a task on spare CPU starts on a worker with serving tasks.
+// beginSpare records that a task on spare CPU starts on a worker with serving tasks. The
+// first such task gets initialShare.
 func (t *throttle) beginSpare(now time.Time) {
 	if !t.spare {
 		t.spare, t.share, t.changedAt = true, initialShare, now
@@ -84,8 +87,8 @@
 // report shows for the tasks with a latency objective. t.mu must be held.
 //
 // Tasks on spare CPU slow down the serving tasks on their worker, by amounts that differ
-// from task to task and change within seconds, so that users of the service would wait too
-// long. The reported latency shows the slowdown; the share then falls immediately and
+// from task to task and change within seconds, so that users of the service would wait
+// too long. The reported latency shows the slowdown; the share falls immediately and
 // rises slowly.
 func (s *workerSession) updateThrottle(state *workflow.State, report Report, now time.Time) {
 	worstRatio := 0.0
@@ -117,8 +120,8 @@
 	}
 }
 
-// applyShare sends the worker's current share for a run that has another one. t.mu must be
-// held.
+// applyShare sends the worker's current share for a run whose acknowledged share differs,
+// unless a change is in flight. t.mu must be held.
 func (s *workerSession) applyShare(o *runOrder) {
 	if o.share == s.throttle.share || o.shareChanging {
 		return
@@ -128,7 +131,7 @@
 	s.t.spawn(func() { s.sendShare(o, share) })
 }
 
-// sendShare orders the worker to give a run a CPU share. A failure is logged.
+// sendShare orders the worker to give a run a CPU share, in percent. A failure is logged.
 func (s *workerSession) sendShare(o *runOrder, share int) {
 	t := s.t
 	clockMS, err := s.call(func(ctx context.Context, to Target) (int64, error) {
@@ -153,7 +156,8 @@
 }
 
 // pausedTooLong reports whether a run has been paused for so long that it should continue
-// on another worker. That is worthwhile only for tasks with checkpoints.
+// on another worker. Only tasks with checkpoints can continue elsewhere without losing
+// their progress.
 func (o *runOrder) pausedTooLong(step *workflow.Step, now time.Time) bool {
 	return step.Checkpointing && !o.pausedAt.IsZero() && now.Sub(o.pausedAt) > stalledRunTimeout
 }
--- a/internal/control/waiting.go
+++ b/internal/control/waiting.go
@@ -14,13 +14,13 @@
 	// Its reason may change with each of ten decisions a second.
 	waitingLogInterval = time.Second
 	// maxBacklogLogLines bounds the log lines per second about steps that no decision has
-	// considered yet: a twentieth of the lines that a process may write.
+	// considered yet. It is a twentieth of the lines that a process may write.
 	maxBacklogLogLines = 100
 )
 
-// waitingStep is the waiting state of one step.
+// waitingStep records why and for how long one step has been waiting.
 type waitingStep struct {
-	// reason is the reason found by the last decision that considered the step, reasonAt
+	// reason is the reason found by the last decision that considered the step, reasonAt is
 	// when it was first found.
 	reason   dispatch.Reason
 	reasonAt time.Time
@@ -30,7 +30,7 @@
 	seenAt time.Time
 	// earlierWaits is the time that the step has waited for each earlier reason.
 	earlierWaits []waitPeriod
-	// loggedReason is the reason that was logged last, loggedAt when.
+	// loggedReason is the reason that was logged last, loggedAt is when.
 	loggedReason dispatch.Reason
 	loggedAt     time.Time
 }
@@ -45,7 +45,8 @@
 	return &waitingStep{reason: reason, reasonAt: now, since: now, seenAt: now}
 }
 
-// update records the reason that a decision found.
+// update records the reason that a decision found, and adds the time since the previous
+// change of reason to earlierWaits.
 func (w *waitingStep) update(reason dispatch.Reason, now time.Time) {
 	w.seenAt = now
 	if reason == w.reason {
@@ -55,7 +56,7 @@
 	w.reason, w.reasonAt = reason, now
 }
 
-// addWait adds to the time waited for a reason.
+// addWait adds a duration to the time waited for a reason.
 func (w *waitingStep) addWait(reason dispatch.Reason, duration time.Duration) {
 	for i := range w.earlierWaits {
 		if w.earlierWaits[i].reason == reason {
@@ -78,7 +79,8 @@
 	return w.reason != dispatch.ReasonAwaitsAdviser && w.reason != w.loggedReason && now.Sub(w.loggedAt) >= waitingLogInterval
 }
 
-// formatEarlierWaits lists the time that the step has waited for each earlier reason.
+// formatEarlierWaits formats the time that the step has waited for each earlier reason,
+// for a log line.
 func (w *waitingStep) formatEarlierWaits() string {
 	parts := make([]string, len(w.earlierWaits))
 	for i, s := range w.earlierWaits {
@@ -140,9 +142,9 @@
 	return ""
 }
 
-// addBacklog adds the steps that no decision has considered yet, and removes those that no
-// longer wait. It scans all steps, so it runs once a second and only while decisions don't
-// consider all of them. t.mu must be held.
+// addBacklog adds the steps that no decision has considered yet to t.waiting, and removes
+// those that no longer wait. It scans all steps, so it runs once a second and only while
+// decisions don't consider all of them. t.mu must be held.
 func (t *leaderTerm) addBacklog(input *planInput, plan *dispatch.Plan, now time.Time) {
 	if plan.BeyondBound == 0 {
 		return
@@ -173,8 +175,8 @@
 	}
 }
 
-// oldestWaiting returns the step that has waited longest, nil when none waits. t.mu must
-// be held.
+// oldestWaiting returns the step that has waited longest and its waiting state, nil when
+// none waits. t.mu must be held.
 func (t *leaderTerm) oldestWaiting(input *planInput) (*dispatch.Step, *waitingStep) {
 	var oldest *dispatch.Step
 	var oldestState *waitingStep
