--- a/internal/control/permits.go
+++ b/internal/control/permits.go
@@ -106,9 +106,9 @@
 	t.mu.Unlock()
 }
 
-// grantShareSmoothing is the weight of the latest response in the moving mean of the
+// grantShareWeight is the weight of the latest response in the moving mean of the
 // granted share: the mean covers about 20 responses.
-const grantShareSmoothing = 0.05
+const grantShareWeight = 0.05
 
 // updateGrantShare adds a response to the queue's mean share of granted workers. It
 // counts only workers about which no earlier response for the step is known. t.mu must be
@@ -130,7 +130,7 @@
 		}
 	}
 	share := t.grantShares[queue]
-	share.add(float64(permitted)/float64(len(unknown)), grantShareSmoothing)
+	share.add(float64(permitted)/float64(len(unknown)), grantShareWeight)
 	t.grantShares[queue] = share
 }
 
