--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -203,6 +203,10 @@
 // extrapolated. With less progress the end is estimated from the job's estimate.
 const minProgressPercent = 10
 
+// overrunDivisor is the divisor of the estimate that gives the expected remaining time of a
+// run that exceeds its estimate.
+const overrunDivisor = 10
+
 // expectedEnd estimates when a run ends: from its progress if the worker has reported
 // enough of it, else from the job's estimate. A run whose start time isn't known counts
 // as half done. A run that exceeds its estimate is expected to take another tenth of it.
@@ -220,7 +224,7 @@
 	// The first reported progress of a resumed run is work of earlier runs.
 	rest := estimate * time.Duration(completePercent-o.firstPercent) / completePercent
 	elapsed := now.Sub(o.startedAt)
-	return o.startedAt.Add(max(rest, elapsed+estimate/10))
+	return o.startedAt.Add(max(rest, elapsed+estimate/overrunDivisor))
 }
 
 // gatherSteps adds the ready steps of a job that have tasks to start to the input. t.mu
@@ -256,9 +260,16 @@
 	}
 }
 
+// Values of dispatch.Step.Lateness; 0 is a job that can still meet its objective.
+const (
+	// latenessMissed is the lateness of a job that can't meet its objective any more.
+	latenessMissed = 1
+	// latenessWorthless is the lateness of a job that has no value any more.
+	latenessWorthless = 2
+)
+
 // dispatchStep describes a ready step for a decision. The objective counts from
-// objectiveStart. Lateness is 2 for a job that has no value any more, and 1 for one that
-// can't meet its objective any more. t.mu must be held.
+// objectiveStart. t.mu must be held.
 func (t *leaderTerm) dispatchStep(job *workflow.Job, key workflow.StepKey, pending []int, objectiveStart time.Time,
 	objective time.Duration, now time.Time, runsPerWorker map[string]int) dispatch.Step {
 	step := dispatch.Step{
@@ -267,9 +278,9 @@
 	}
 	switch age := now.Sub(objectiveStart); {
 	case age > worthlessAfterObjectives*objective:
-		step.Lateness = 2
+		step.Lateness = latenessWorthless
 	case age+minRemainingTime(step.Spec) > objective && !t.disabled.Lateness:
-		step.Lateness = 1
+		step.Lateness = latenessMissed
 	}
 	if job.Policy.Advice == nil {
 		return step
--- a/internal/control/throttle.go
+++ b/internal/control/throttle.go
@@ -19,11 +19,14 @@
 	// while latency is low.
 	shareIncrement = 10
 	// highLatencyRatio and lowLatencyRatio are thresholds of the latency divided by its
-	// objective. Above highLatencyRatio the share is halved, above 1 it is divided by four,
-	// below lowLatencyRatio it rises. Latency must not exceed its objective for several
-	// seconds in a row; from a share of 30 % it takes two changes to pause.
+	// objective. Above highLatencyRatio the share is halved, above 1 it is divided by
+	// missedObjectiveDivisor, below lowLatencyRatio it rises. Latency must not exceed its
+	// objective for several seconds in a row; from a share of 30 % it takes two changes to
+	// pause.
 	highLatencyRatio = 0.9
 	lowLatencyRatio  = 0.7
+	// missedObjectiveDivisor divides the share while the latency exceeds its objective.
+	missedObjectiveDivisor = 4
 	// throttleInterval is the minimum time between two changes of the share. The latencies
 	// that a worker reports cover half a second, and a change takes effect within a tenth of
 	// a second.
@@ -58,7 +61,7 @@
 	case now.Sub(t.changedAt) < throttleInterval:
 		return t.share
 	case ratio > 1:
-		return pauseBelowMin(t.share / 4)
+		return pauseBelowMin(t.share / missedObjectiveDivisor)
 	case ratio > highLatencyRatio:
 		return pauseBelowMin(t.share / 2)
 	case ratio < lowLatencyRatio:
