--- a/internal/control/explain.go
+++ b/internal/control/explain.go
@@ -10,8 +10,8 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// Explain returns the progress of a job and why its ready steps wait. It uses the same
-// planning input and the same filters as the next decision.
+// Explain returns the progress of a job and the reasons why its ready steps wait. It uses
+// the same planning input and the same filters as the next decision.
 func (c *Controller) Explain(ctx context.Context, r *ExplainCall) (ExplainReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -72,12 +72,12 @@
 	return crashes
 }
 
-// explain returns why the ready steps of a job wait that have tasks left to start.
+// explain returns why those ready steps of a job wait that have tasks left to start.
 func (t *leaderTerm) explain(id string, now time.Time) []StepExplanation {
 	input := t.gatherPlanInput(now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var list []StepExplanation
+	var explanations []StepExplanation
 	for i := range input.steps {
 		step := &input.steps[i]
 		if step.Key.Job != id || step.Copy {
@@ -95,16 +95,16 @@
 		if step.NeedsPermit {
 			e.Unknown = max(len(input.workers)-e.Permitted-e.Refused, 0)
 		}
-		list = append(list, e)
+		explanations = append(explanations, e)
 	}
-	return list
+	return explanations
 }
 
-// anyService selects the workers of all services.
+// anyService stands for the workers of all services.
 const anyService = ""
 
 // unschedulableWorkers counts the workers of a service that get no new tasks, by reason.
-// t.mu must be held.
+// The counts are sorted by reason. t.mu must be held.
 func (t *leaderTerm) unschedulableWorkers(service string, now time.Time) []dispatch.ReasonCount {
 	counts := map[dispatch.Reason]*dispatch.ReasonCount{}
 	suspected := t.suspectedDataCentres(now)
@@ -124,10 +124,10 @@
 		}
 		counts[reason].Workers++
 	}
-	var list []dispatch.ReasonCount
+	var sorted []dispatch.ReasonCount
 	for _, count := range counts {
-		list = append(list, *count)
+		sorted = append(sorted, *count)
 	}
-	slices.SortFunc(list, func(a, b dispatch.ReasonCount) int { return cmp.Compare(a.Reason, b.Reason) })
-	return list
+	slices.SortFunc(sorted, func(a, b dispatch.ReasonCount) int { return cmp.Compare(a.Reason, b.Reason) })
+	return sorted
 }
--- a/internal/control/stops.go
+++ b/internal/control/stops.go
@@ -11,17 +11,17 @@
 type stopCause string
 
 const (
-	stopNone       stopCause = ""
-	stopJobEnded   stopCause = "the job has ended"
-	stopGangEnded  stopCause = "another member of the gang has ended"
-	stopCopyDone   stopCause = "another run of the task is done"
-	stopMachine    stopCause = "the machine goes down"
-	stopLeaving    stopCause = "the worker leaves"
-	stopPaused     stopCause = "paused for long"
-	stopStalled    stopCause = "stands still"
-	stopUnanswered stopCause = "its start got no answer"
-	stopPreempted  stopCause = "preempted by more urgent work"
-	stopOrphaned   stopCause = "no pending event will report its end"
+	stopNone         stopCause = ""
+	stopJobEnded     stopCause = "the job has ended"
+	stopGangEnded    stopCause = "another member of the gang has ended"
+	stopCopyDone     stopCause = "another run of the task is done"
+	stopMachineDown  stopCause = "the machine goes down or moves"
+	stopWorkerDrains stopCause = "the worker drains"
+	stopPaused       stopCause = "paused for too long"
+	stopStalled      stopCause = "no progress for too long"
+	stopUnanswered   stopCause = "its start got no response"
+	stopPreempted    stopCause = "preempted by more urgent work"
+	stopOrphaned     stopCause = "no pending event will report its end"
 )
 
 // pendingStop is a run that is to be stopped.
@@ -35,7 +35,8 @@
 // held.
 func (t *leaderTerm) stopCauseOf(s *workflow.State, run workflow.Run, session *workerSession, now time.Time) stopCause {
 	if t.isOrphaned(run, now) {
-		// Checked first: the other causes assume that the run's end will be reported.
+		// Checked first, because the other causes assume that the end of the run will be
+		// reported.
 		return stopOrphaned
 	}
 	job := s.Jobs[run.Task.Job]
@@ -50,9 +51,9 @@
 	case spec.AllowsCopies() && step.Tasks[run.Task.Index].Done:
 		return stopCopyDone
 	case t.stopForMaintenance(s, run, now):
-		return stopMachine
+		return stopMachineDown
 	case t.stopForDrain(s, session, run, now):
-		return stopLeaving
+		return stopWorkerDrains
 	}
 	o := session.orders[run.Task]
 	switch {
@@ -70,8 +71,8 @@
 	return stopNone
 }
 
-// stopDue reports whether a stop of the run is to be sent now. Without an order of this
-// leader term, that holds for orphaned and inherited runs only. t.mu must be held.
+// stopDue reports whether a stop of the run is to be sent now. A run without an order of
+// this leader term is stopped only if it is orphaned or inherited. t.mu must be held.
 func (s *workerSession) stopDue(run workflow.Run, cause stopCause, now time.Time) bool {
 	o := s.orders[run.Task]
 	if o == nil || o.run.Number != run.Number {
@@ -81,7 +82,7 @@
 }
 
 // recordStop records that a stop is sent. The first stop of a stalled run counts as a
-// failure of its worker, because the worker, idle again, would otherwise be the first
+// failure of its worker. Otherwise the worker, which is idle again, would be the first
 // choice for the same task. t.mu must be held.
 func (s *workerSession) recordStop(stop pendingStop, now time.Time) {
 	o := s.orders[stop.run.Task]
@@ -103,11 +104,11 @@
 	s.runSummary = runSummary{}
 }
 
-// preempt stops the runs whose capacity a decision takes for more urgent work.
-func (t *leaderTerm) preempt(preempts []dispatch.Preemption, now time.Time) {
+// preempt stops the runs whose resources a decision takes for more urgent work.
+func (t *leaderTerm) preempt(preemptions []dispatch.Preemption, now time.Time) {
 	t.mu.Lock()
 	var stops []pendingStop
-	for _, p := range preempts {
+	for _, p := range preemptions {
 		session := t.sessions[p.Worker]
 		if session == nil || session.orders[p.Task] == nil {
 			continue
