--- a/internal/control/admit_test.go
+++ b/internal/control/admit_test.go
@@ -11,8 +11,8 @@
 )
 
 // Guards against accepting every job however long the queue is: after an outage thousands
-// of steps are queued, each further job makes decisions longer, and no job can be in time
-// for the rest of the day.
+// of steps are queued, each further job makes decisions slower, and no job meets its
+// objective for the rest of the day.
 func TestAdmitRefusesNewJobWhenQueueIsFull(t *testing.T) {
 	term := loadedTerm(t, benchmarkLoad{workers: 1})
 	_, err := term.propose(submission("a"))
@@ -21,15 +21,15 @@
 	refused := term.admit("b")
 	must.Eq(t, fault.Overloaded, fault.KindOf(refused))
 	must.Eq(t, queueFullRetryAfter, fault.From(refused).RetryAfter)
-	must.NoError(t, term.admit("a"), must.Sprint("a known job is never refused"))
+	must.NoError(t, term.admit("a"), must.Sprint("an accepted job is never refused"))
 	term.c.state.read(func(s *workflow.State) { must.MapNotContainsKey(t, s.Jobs, "b") })
 	term.decide()
 	must.NoError(t, term.admit("b"), must.Sprint("the next decision finds a short queue"))
 }
 
 // Guards against running a job whose caller received a refusal: the commit of the first
-// call is slow, the caller repeats the call through another entry point, and the queue has
-// filled up meanwhile. The job must count as known from the start of its commit.
+// call is slow, the caller repeats the call through another instance, and the queue has
+// filled up meanwhile. The job must count as accepted from the start of its commit.
 func TestAdmitAcceptsJobWhoseCommitIsInFlight(t *testing.T) {
 	w := newTestCluster(t, nil)
 	term, err := w.c.currentLeaderTerm(context.Background())
--- a/internal/control/adviser_pool_test.go
+++ b/internal/control/adviser_pool_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// newTestAdviserPool returns a pool of n connections, the own one included, all announced
-// at the time now.
+// newTestAdviserPool returns a pool of n adviser connections: the leader's own one, and
+// those of n-1 instances that were last announced at now.
 func newTestAdviserPool(n int, now time.Time) *adviserPool {
 	l := newAdviserPool("own", nil, nil)
 	for i := 1; i < n; i++ {
@@ -18,8 +18,8 @@
 	return l
 }
 
-// acquireLong acquires every connection that long queries may use, and returns their
-// number.
+// acquireLong acquires each connection that a query of one second may use, and returns
+// how many these are.
 func acquireLong(l *adviserPool, now time.Time) int {
 	used := map[string]bool{}
 	for {
@@ -31,8 +31,8 @@
 	}
 }
 
-// Guards against delaying the queries of gangs while half of the connections are idle
-// because they are reserved for short queries, of which there are few.
+// Guards against delaying the long queries of gangs while half of the connections are
+// idle because they are reserved for short queries, of which there are few.
 func TestLongQueriesLeaveConnsForShortOnes(t *testing.T) {
 	start := time.Now()
 	must.Eq(t, 43, acquireLong(newTestAdviserPool(44, start), start))
@@ -55,8 +55,8 @@
 	}
 }
 
-// Guards against head-of-line blocking: the query of an urgent job must not wait behind
-// one of a gang while other connections are idle.
+// Guards against head-of-line blocking: the short query of an urgent job must not wait
+// behind the long one of a gang while other connections are idle.
 func TestShortQueriesUseReservedConns(t *testing.T) {
 	now := time.Now()
 	l := newTestAdviserPool(8, now)
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -14,15 +14,17 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// benchmarkLoad is the size of a benchmark. noPermits says that no adviser query about the
-// queued steps has been sent yet.
+// benchmarkLoad is the number of workers, of queued steps and of runs in progress on the
+// cluster of a benchmark. noPermits means that no permit for a queued step has been
+// queried yet.
 type benchmarkLoad struct {
 	workers, queued, runs int
 	noPermits             bool
 }
 
-// loadedTerm returns a leader term with busy workers and queued steps. A fifth of the steps
-// are gangs, and each step is permitted on a third of the workers.
+// loadedTerm returns a leader term with busy workers and queued steps. A fifth of the
+// steps are gangs, and each step is permitted on a third of the workers unless
+// size.noPermits is set.
 func loadedTerm(b testing.TB, size benchmarkLoad) *leaderTerm {
 	queued := size.queued
 	machine := NewStateMachine()
@@ -82,7 +84,8 @@
 	return t
 }
 
-// BenchmarkDecide measures one full decision, including its 99th percentile.
+// BenchmarkDecide measures the time of one full decision, and its 99th percentile in
+// nanoseconds.
 func BenchmarkDecide(b *testing.B) {
 	for _, size := range []benchmarkLoad{
 		{48, 50, 144, false}, {48, 500, 144, false}, {350, 50, 1800, false}, {350, 3000, 1800, false}, {350, 3000, 1800, true},
@@ -104,8 +107,8 @@
 }
 
 // BenchmarkDecideMixedLoad measures one decision at the usual load of a large deployment:
-// most workers are busy with runs that could continue elsewhere, gangs wait and have
-// permits for 60 workers, and some steps are new.
+// each worker has five runs, gangs wait and have responses of the adviser for 60 workers
+// each, and some steps are new.
 func BenchmarkDecideMixedLoad(b *testing.B) {
 	for _, workers := range []int{350, 1100} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) { decideMixedLoad(b, workers) })
--- a/internal/control/capacity_test.go
+++ b/internal/control/capacity_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// clusterWithReducedCapacity is a leader with worker w1, which had ten cores when it
+// clusterWithReducedCapacity returns a cluster whose worker w1 had ten cores when it
 // started two tasks of one core each, and has four cores now.
 func clusterWithReducedCapacity(t *testing.T) *testCluster {
 	w := newTestCluster(t, nil)
@@ -38,8 +38,8 @@
 	return w
 }
 
-// Guards against this failure: a worker gets more tasks than fit (LIMIT), because the
-// leader uses the capacity from its first heartbeat after it has shrunk.
+// Guards against this failure: a worker gets more tasks than fit, because the leader uses
+// the capacity from the worker's first heartbeat after a later one has reduced it.
 func TestWorkerWithReducedCapacityIsNotOvercommitted(t *testing.T) {
 	w := clusterWithReducedCapacity(t)
 	w.submitOneCoreJobs("b", 5)
@@ -48,8 +48,8 @@
 	must.Eq(t, 4, w.started("w1"))
 }
 
-// Guards against this failure: capacity stays unused after a worker has shrunk and grown
-// again.
+// Guards against this failure: a worker's cores stay unused after its capacity has been
+// reduced and restored.
 func TestWorkerWithRestoredCapacityIsUsed(t *testing.T) {
 	w := clusterWithReducedCapacity(t)
 	w.submitOneCoreJobs("b", 5)
@@ -57,8 +57,8 @@
 	w.eventually("all tasks run", func() bool { return w.started("w1") == 7 })
 }
 
-// Guards against this failure: a worker gets more tasks than fit (LIMIT), because a
-// delayed heartbeat from before it shrank restores its old capacity.
+// Guards against this failure: a worker gets more tasks than fit, because a delayed
+// heartbeat that was sent before the reduction restores the old capacity.
 func TestStaleHeartbeatDoesNotRestoreCapacity(t *testing.T) {
 	w := clusterWithReducedCapacity(t)
 	w.announceCapacity(1, 10)
@@ -68,8 +68,8 @@
 	must.Eq(t, 4, w.started("w1"))
 }
 
-// Guards against this failure: a worker gets more tasks than fit (LIMIT), because it
-// shrinks while starts are being committed that were decided before.
+// Guards against this failure: a worker gets more tasks than fit, because its capacity is
+// reduced while starts that were decided before are being committed.
 func TestStartsCommittedAfterCapacityReductionAreDropped(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
--- a/internal/control/chaos_test.go
+++ b/internal/control/chaos_test.go
@@ -16,7 +16,8 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// chaosRun is one seeded run with random faults.
+// chaosRun is one test run of controllers in real time, with jobs and faults that are
+// drawn from a seed.
 type chaosRun struct {
 	t            *testing.T
 	random       *rand.Rand
@@ -59,7 +60,7 @@
 	}
 }
 
-// addWorker adds a worker incarnation and announces it.
+// addWorker adds a worker and announces it.
 func (x *chaosRun) addWorker() {
 	x.incarnations++
 	id := fmt.Sprint("w", x.incarnations)
@@ -122,9 +123,9 @@
 }
 
 // Checks the invariants under random faults: orders are lost, delayed and carried out
-// twice, answers are lost, workers crash and become unreachable, and leaders change. No
-// task may run twice at a time or after it is done, no worker may hold more than its
-// capacity, and all jobs must end once the faults are over.
+// twice, responses are lost, workers crash and become unreachable, and leaders change. No
+// task may run twice at a time or after it is done, the runs on a worker may not need
+// more than its capacity, and all jobs must end once the faults are over.
 //
 // BILBERRY_SEEDS sets the number of seeds, BILBERRY_SEED the first one.
 func TestRandomFaults(t *testing.T) {
@@ -137,6 +138,7 @@
 	}
 }
 
+// envNumber returns the number in an environment variable, or fallback if it holds none.
 func envNumber(name string, otherwise int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
@@ -197,7 +199,7 @@
 }
 
 // awaitAllEnded waits until no job is open, and sends the heartbeats of the running
-// workers.
+// workers meanwhile. It fails the test if jobs are still open after the last check.
 func (x *chaosRun) awaitAllEnded() {
 	var open []string
 	for range 200 {
--- a/internal/control/chaos_workers_test.go
+++ b/internal/control/chaos_workers_test.go
@@ -24,7 +24,7 @@
 	return replica.Status{Role: replica.Leader, Term: l.term, CanDecide: true}
 }
 
-// chaosWorker is a worker whose calls are lost, or are carried out late or twice. It
+// chaosWorker is a worker. Calls to it are lost, or are carried out late or twice. It
 // expires leases by its own clock.
 type chaosWorker struct {
 	id       string
@@ -50,7 +50,8 @@
 	need   workflow.Resources
 }
 
-// chaosWorkers holds all workers and the record of violated invariants.
+// chaosWorkers implements the calls to all workers and to the adviser, and records
+// violated invariants.
 type chaosWorkers struct {
 	t      *testing.T
 	mu     sync.Mutex
@@ -89,7 +90,7 @@
 	_, _ = fmt.Fprintf(l, "ms=%d worker=%s %s task=%s run=%d\n", sinceStart(), w.id, event, task, run)
 }
 
-// of returns the lines about the jobs that the violations name.
+// of returns the log lines about the jobs that the violations name.
 func (l *chaosLog) of(violations []string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,10 +106,10 @@
 	return found.String()
 }
 
-var errInjected = fmt.Errorf("no answer: %w", errNoResponse)
+var errInjected = fmt.Errorf("injected fault: %w", errNoResponse)
 
 // drawOutcome decides whether a call takes effect now, later or never, and whether its
-// answer gets through.
+// response arrives.
 func (r *chaosWorkers) drawOutcome(w *chaosWorker) (now, later, answered bool) {
 	if w.gone || time.Now().Before(w.unreachableUntil) {
 		return false, false, false
@@ -181,7 +182,7 @@
 	}
 	spec := r.specs[task.Job]
 	w.running[task] = &chaosWorkerRun{number: o.Run.Number, need: spec.Need, ends: time.Now().Add(time.Duration(10+r.random.IntN(60)) * time.Millisecond)}
-	r.lines.logRun("begins", w, task, o.Run.Number)
+	r.lines.logRun("starts", w, task, o.Run.Number)
 	r.recordViolations(w, task, spec)
 	return nil
 }
@@ -207,12 +208,12 @@
 		used = used.Plus(run.need)
 	}
 	if !used.Fits(w.capacity) {
-		r.violations = append(r.violations, fmt.Sprintf("%s holds %v of %v", w.id, used, w.capacity))
+		r.violations = append(r.violations, fmt.Sprintf("runs on %s need %v of %v", w.id, used, w.capacity))
 	}
 }
 
-// outcomeKey returns the task for which a done end counts: the end of a gang member counts
-// for all members.
+// outcomeKey returns the key under which starts and done ends of a task are recorded: for
+// each member of a gang it is that of the first member.
 func outcomeKey(task workflow.TaskKey, spec workflow.Step) workflow.TaskKey {
 	if spec.Gang {
 		task.Index = 0
@@ -317,7 +318,7 @@
 	return reply, nil
 }
 
-// runTasks ends runs whose duration or lease is over, until ctx ends.
+// runTasks ends runs whose duration is over or whose lease has expired, until ctx ends.
 func (r *chaosWorkers) runTasks(ctx context.Context) {
 	for wait.For(ctx, 2*time.Millisecond) {
 		r.mu.Lock()
@@ -326,7 +327,7 @@
 				switch {
 				case w.gone:
 				case time.Now().After(w.leaseEnd):
-					r.lines.logRun("lapses", w, task, run.number)
+					r.lines.logRun("lease expires", w, task, run.number)
 					w.finish(task, workflow.OutcomeLeaseExpired)
 				case time.Now().After(run.ends) && r.gangComplete(task, run.number):
 					r.endRun(w, task)
@@ -337,8 +338,8 @@
 	}
 }
 
-// gangComplete reports whether a run may end without a stop: the members of a gang work
-// only once all of them have started, so none is done before.
+// gangComplete reports whether a run may end on its own: the members of a gang make
+// progress only once all of them have started, so none is done before.
 func (r *chaosWorkers) gangComplete(task workflow.TaskKey, run int) bool {
 	spec := r.specs[task.Job]
 	if !spec.Gang || r.completeGangs[gangRun{task.StepKey, run}] {
@@ -362,7 +363,7 @@
 	number int
 }
 
-// endRun ends a run as done or failed; one in twenty fails.
+// endRun ends a run as done, or as failed with a probability of 1/20.
 func (r *chaosWorkers) endRun(w *chaosWorker, task workflow.TaskKey) {
 	outcome := workflow.OutcomeDone
 	if r.random.IntN(20) == 0 {
--- a/internal/control/commit_test.go
+++ b/internal/control/commit_test.go
@@ -10,10 +10,11 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// Guards against this failure: an accepted job never ends, or the tasks of a gang start
-// and wait for one of them that never does. A worker refuses a start; meanwhile the log is
-// delayed and refuses the commit of that end, or leaves its outcome unknown; the leader
-// stays the same. The end must be proposed again, or the run counts as alive from then on.
+// Guards against this failure: an accepted job never ends, or the members of a gang wait
+// for one that never starts. A worker refuses a start; the log is delayed and refuses the
+// commit of the refused run's end, or leaves the outcome of the commit unknown; the
+// leader stays the same. The end must be proposed again, or the run counts as alive from
+// then on.
 func TestEndKnownOnlyToLeaderIsCommittedAfterRetries(t *testing.T) {
 	for name, errs := range map[string][]error{
 		"refused once":    {node.ErrNotLeader},
@@ -38,8 +39,9 @@
 }
 
 // Guards against this failure: tasks sometimes start a tenth of a second late. The log
-// refuses the commit of a start briefly while the leader stays the same, and the start is
-// dropped and left to the next decision.
+// refuses the commit of a command briefly while the leader stays the same, and the
+// command is dropped instead of proposed again, so that a start waits for the next
+// decision.
 func TestCommandRefusedByLogIsProposedAgain(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	term, err := w.c.currentLeaderTerm(context.Background())
--- a/internal/control/copies_test.go
+++ b/internal/control/copies_test.go
@@ -11,8 +11,8 @@
 )
 
 // Guards against delaying a task that allows copies until the lease of its unreachable
-// worker has expired: its copy runs on an idle worker immediately, and the other run is
-// stopped when it is reachable again.
+// worker has expired: a copy must run on an idle worker immediately, and once the copy
+// has ended the other run must be stopped when its worker is reachable again.
 func TestSpeculativeTaskIsCopiedBeforeLeaseExpires(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -41,9 +41,9 @@
 	w.withWorker("w1", func(f *fakeWorker) { must.MapContainsKey(t, f.running, task("a", 1)) })
 }
 
-// Guards against restarting a done task: the other run's end is committed while the start
-// of a copy is being committed. The job is still active then, so the task itself must be
-// checked.
+// Guards against restarting a done task: the end of its first run is committed while the
+// start of its copy is being committed. Another task keeps the job active, so the state
+// of the task itself must be checked.
 func TestCopyOfDoneTaskIsNotSent(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -98,8 +98,9 @@
 }
 
 // Guards against needless copies: after a report of an end the next poll starts after a
-// pause and may be held for its full time, so the last answer can be older than one long
-// poll. The timeout must count from the deadline of the poll.
+// pause and may be held for its full time, so the last response can be older than the
+// hold of a poll. A worker must not count as unresponsive before the deadline of its
+// poll.
 func TestWorkerIsUnresponsiveOnlyAfterPollDeadline(t *testing.T) {
 	now := time.Now()
 	s := &workerSession{t: &leaderTerm{started: now.Add(-time.Hour)}, answeredAt: now.Add(-workerResponseTimeout - maxPollPauseAfterEnds)}
--- a/internal/control/crash_test.go
+++ b/internal/control/crash_test.go
@@ -11,12 +11,12 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// maxCrashes is how many workers one task may crash: three, and two more that were started
-// in the meantime.
+// maxCrashes is how many workers one task may crash: three, and two more that had
+// received a start of the task before the third crash was known.
 const maxCrashes = 5
 
-// crashingTask makes the only task of job a crash each worker that starts it. Another
-// incarnation of the worker starts each time.
+// crashingTask is a cluster in which the only task of job a crashes each worker that
+// starts it. Another worker is added after each crash.
 type crashingTask struct {
 	w       *testCluster
 	crashed int
@@ -33,9 +33,9 @@
 	return c
 }
 
-// crashNext waits until the job has failed, which it reports, or until its task has started
-// once more. In the latter case it crashes the worker. The crash is detectable after
-// knownAfter.
+// crashNext waits until the job has failed or its task has started once more, and reports
+// whether the job has failed. If the task has started, crashNext crashes its worker; the
+// leader can detect the crash only after knownAfter.
 func (c *crashingTask) crashNext(knownAfter time.Duration) (failed bool) {
 	worker := c.currentWorker()
 	c.w.eventually("the task starts or its job fails", func() bool {
@@ -72,8 +72,9 @@
 	must.Eq(t, []TaskCrashes{{Task: 0, Workers: []string{"w1", "w2", "w3"}, GivenUp: true}}, reply.Steps[0].Crashes)
 }
 
-// Guards against this failure: a crash doesn't count if the lease, and with it the run,
-// ended before another incarnation answered. The task then crashes workers without end.
+// Guards against this failure: a task crashes workers without end, because a crash
+// doesn't count if the lease of the crashed worker expired before another incarnation
+// responded at its address.
 func TestCrashDetectedAfterLeaseExpiryCounts(t *testing.T) {
 	c := newCrashingTask(t)
 	for !c.crashNext(time.Second) {
@@ -81,14 +82,14 @@
 	}
 }
 
-// Guards against this failure: a task that crashes its workers also ends other runs on the
-// worker, because the worker gets other tasks before it has answered for a while with the
-// suspect run.
+// Guards against this failure: a task that crashes its workers also ends other runs on
+// the worker, because the worker gets other tasks before it has responded for the whole
+// probation period after the start of that task.
 func TestWorkerWithNewCrashSuspectGetsNoOtherTask(t *testing.T) {
 	now := time.Now()
 	o := &runOrder{run: workflow.Run{Task: task("a", 0), Number: 2, Worker: "w1"}, crashSuspect: true}
 	s := &workerSession{orders: map[workflow.TaskKey]*runOrder{o.run.Task: o}, clockAt: now}
-	must.True(t, s.onProbation(), must.Sprint("its start isn't answered yet"))
+	must.True(t, s.onProbation(), must.Sprint("no response to its start yet"))
 	o.startedAt = now
 	must.True(t, s.onProbation())
 	s.clockAt = now.Add(probationPeriod)
@@ -97,8 +98,8 @@
 	must.False(t, s.onProbation())
 }
 
-// Guards against this failure: a job fails for crashes that its long-running task didn't
-// cause, or a job whose task does crash its workers doesn't fail.
+// Guards against this failure: a job fails because of crashes that its long-running task
+// didn't cause, or a job whose task does crash its workers doesn't fail.
 func TestCrashSuspicionOfRun(t *testing.T) {
 	now := time.Now()
 	run := workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}
@@ -107,7 +108,7 @@
 		want workflow.Suspicion
 	}{
 		"never sent":                        {runOrder{}, workflow.SuspicionNone},
-		"no answer":                         {runOrder{unanswered: true}, workflow.SuspicionStrong},
+		"no response":                       {runOrder{unanswered: true}, workflow.SuspicionStrong},
 		"just started":                      {runOrder{startedAt: now.Add(-strongSuspicionMaxAge)}, workflow.SuspicionStrong},
 		"started a while ago":               {runOrder{startedAt: now.Add(-2 * strongSuspicionMaxAge)}, workflow.SuspicionWeak},
 		"started long ago":                  {runOrder{startedAt: now.Add(-2 * noSuspicionMinAge)}, workflow.SuspicionWeak},
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -118,7 +118,7 @@
 
 func (l *fakeLog) Changed() <-chan struct{} { return make(chan struct{}) }
 
-var errNoResponse = errors.New("no answer")
+var errNoResponse = errors.New("no response")
 
 // fakeWorker is one incarnation of a worker, with its report.
 type fakeWorker struct {
@@ -128,9 +128,9 @@
 	ended   []Ended
 	// stopped is the highest run number of each task that was stopped or has ended.
 	stopped map[workflow.TaskKey]int
-	// responsesLost says that calls arrive and their answers are lost.
+	// responsesLost means that calls arrive and their responses are lost.
 	responsesLost bool
-	// delayStarts says that starts get no answer and are added to delayedStarts.
+	// delayStarts means that starts get no response and are added to delayedStarts.
 	delayStarts   bool
 	delayedStarts []StartOrder
 	// refuseNextStart is the reason for which the next start after a delayed one is
@@ -142,23 +142,23 @@
 	shares map[workflow.TaskKey]int
 	// leases are the lease ends that polls carried.
 	leases []int64
-	// partial says that reports are partial.
+	// partial means that reports are partial.
 	partial bool
 	// lostStops is how many further stops get lost.
 	lostStops int
-	// superseded says that another incarnation answers.
+	// superseded means that another incarnation responds at the worker's address.
 	superseded bool
-	// hangingStarts is how many further starts are neither carried out nor answered until
-	// their caller gives up.
+	// hangingStarts is how many further starts are not carried out and get no response
+	// until their caller gives up.
 	hangingStarts int
-	// misdirected is how many further starts are answered as by another incarnation.
+	// misdirected is how many further starts get the response of another incarnation.
 	misdirected int
 	// slowRefusals is how many further starts are refused, each after slowRefusalDelay.
 	slowRefusals int
-	// successor is the worker's next incarnation. It answers at the same address, carries
-	// out orders, and its reports identify it.
+	// successor is the worker's next incarnation. It responds at the same address and
+	// carries out orders; its responses to polls show that it is another incarnation.
 	successor *fakeWorker
-	// polls are the polls that were answered.
+	// polls are the polls that arrived.
 	polls []PollOrder
 }
 
@@ -170,10 +170,11 @@
 	return w
 }
 
-// slowRefusalDelay is longer than a start may go unanswered before it is sent again.
+// slowRefusalDelay is longer than the time after which an unanswered start is sent again.
 const slowRefusalDelay = callTimeout / 2
 
-// fakeWorkers implements Workers for all workers, and the adviser.
+// fakeWorkers implements the calls to all workers, and an adviser that permits every
+// task.
 type fakeWorkers struct {
 	mu  sync.Mutex
 	all map[string]*fakeWorker
@@ -386,7 +387,8 @@
 	return w
 }
 
-// clusterWithStartedTask is a leader that has started the only task of job a on worker w1.
+// clusterWithStartedTask returns a cluster whose leader has started the only task of job
+// a on worker w1.
 func clusterWithStartedTask(t *testing.T) *testCluster {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -423,6 +425,8 @@
 	must.NoError(w.t, err)
 }
 
+// eventually waits until ok returns true, and fails the test if it never does. what names
+// the awaited event.
 func (w *testCluster) eventually(what string, ok func() bool) {
 	w.t.Helper()
 	for range 2000 {
@@ -434,13 +438,14 @@
 	w.t.Fatalf("never: %s", what)
 }
 
-// withWorker calls f with a worker while the lock is held.
+// withWorker calls f with a worker while the lock of all fake workers is held.
 func (w *testCluster) withWorker(id string, f func(*fakeWorker)) {
 	w.workers.mu.Lock()
 	defer w.workers.mu.Unlock()
 	f(w.workers.all[id])
 }
 
+// started returns how many starts a worker has carried out.
 func (w *testCluster) started(id string) (n int) {
 	w.withWorker(id, func(f *fakeWorker) { n = len(f.starts) })
 	return n
--- a/internal/control/health_test.go
+++ b/internal/control/health_test.go
@@ -9,8 +9,8 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// Guards against this failure: a stalled worker answers every poll and gets more and more
-// tasks, none of which advances.
+// Guards against this failure: a stalled worker responds to every poll and gets more and
+// more tasks, none of which advances.
 func TestStalledWorkerGetsNoNewTask(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	time.Sleep(stallTimeout + 200*time.Millisecond)
@@ -24,7 +24,7 @@
 }
 
 // Guards against this failure: a task makes no progress for seconds and isn't restarted
-// although another worker has capacity.
+// although another worker has free resources.
 func TestStalledTaskIsRestartedElsewhere(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	w.workers.add("w2")
--- a/internal/control/heartbeat_buffer_test.go
+++ b/internal/control/heartbeat_buffer_test.go
@@ -7,8 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against this failure: a heartbeat of each worker goes to the leader every time,
-// or none does after the leader has stopped collecting.
+// Guards against this failure: each heartbeat is forwarded to the leader although the
+// leader collects buffered ones, or none is forwarded any more after the leader has
+// stopped collecting.
 func TestHeartbeatBufferLimitsForwardRate(t *testing.T) {
 	var l heartbeatBuffer
 	now := time.Now()
--- a/internal/control/heartbeat_transport_test.go
+++ b/internal/control/heartbeat_transport_test.go
@@ -11,16 +11,18 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// heartbeatWorker is a worker that receives its orders in the answers to its heartbeats.
+// heartbeatWorker is a worker that receives its orders in the responses to its
+// heartbeats.
 type heartbeatWorker struct {
 	*fakeWorker
-	// loseResponses is how many further answers are dropped before they are carried out;
-	// lostResponses holds the dropped ones.
+	// loseResponses is how many further responses are dropped before they are carried
+	// out; lostResponses holds the dropped ones.
 	loseResponses int
 	lostResponses []HeartbeatOrders
 }
 
-// sendHeartbeat sends one heartbeat with the worker's report and carries out the answer.
+// sendHeartbeat sends one heartbeat with the worker's report and carries out the orders
+// in the response.
 func (w *testCluster) sendHeartbeat(b *heartbeatWorker) {
 	report := Report{ClockMS: time.Now().UnixMilli()}
 	w.workers.mu.Lock()
@@ -56,7 +58,7 @@
 		}
 	}
 	for _, start := range orders.Starts {
-		// The missing run in the next report shows a refusal.
+		// The leader takes the run for refused when the next report lacks it.
 		_ = b.startRun(start)
 	}
 	if orders.Lease > 0 {
@@ -64,8 +66,8 @@
 	}
 }
 
-// heartbeatCluster is a leader that doesn't call its workers, with workers that send
-// heartbeats.
+// heartbeatCluster returns a cluster whose leader doesn't call workers, and its workers,
+// which send heartbeats.
 func heartbeatCluster(t *testing.T, ids ...string) (*testCluster, map[string]*heartbeatWorker) {
 	w := newTestCluster(t, func(w *testCluster) {
 		w.c.heartbeats = newHeartbeatTransport(w.c.cfg.Workers)
@@ -95,15 +97,15 @@
 	w, _ := heartbeatCluster(t, "w1")
 	w.submit("a", oneTask)
 	w.eventually("the task starts", func() bool { return w.started("w1") == 1 })
-	// The answer with the start may arrive before the first poll that extends the lease.
-	// The start carries its own lease until then.
+	// The response with the start may arrive before the first poll that extends the
+	// lease. The start carries its own lease until then.
 	w.eventually("a lease is granted", func() (given bool) {
 		w.withWorker("w1", func(f *fakeWorker) { given = len(f.leases) > 0 })
 		return given
 	})
 	w.withWorker("w1", func(f *fakeWorker) {
 		must.SliceNotEmpty(t, f.leases)
-		must.Less(t, int64(2000), f.leases[0], must.Sprint("the lease counts from the arrival of the answer, which may be a second later"))
+		must.Less(t, int64(2000), f.leases[0], must.Sprint("the lease counts from the arrival of the response, which may be a second later"))
 		f.finish(task("a", 0), workflow.OutcomeDone)
 	})
 	w.eventually("the job is done", func() bool { return w.phase("a") == workflow.PhaseDone })
@@ -118,10 +120,10 @@
 	})
 }
 
-// Guards against this failure: a task runs twice. The answer with a start is lost, and so
-// is the answer with the stop of its run. If the next heartbeat counts as proof that the
-// stop arrived, the task starts elsewhere, and the worker carries out the first answer
-// late.
+// Guards against this failure: a task runs twice. The response with a start is delayed,
+// and the response with the stop of its run is lost. If the next heartbeat counts as
+// proof that the stop arrived, the task starts elsewhere, and the worker carries out the
+// delayed start.
 func TestStopIsDeliveredAfterTwoPromptHeartbeats(t *testing.T) {
 	b := newHeartbeatTransport(nil)
 	run := workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}
@@ -147,9 +149,9 @@
 }
 
 // Guards against this failure: a task runs twice after a change of leader. A new leader
-// receives a heartbeat whose report was made before the worker had the new fence. If it
-// answers a poll with that report, the worker may still carry out a start of the old
-// leader after it.
+// receives a heartbeat whose report was made before the worker had the new fencing token.
+// If the transport returns that report for a poll, the worker may still carry out a start
+// of the old leader after the report.
 func TestPollNeedsTwoHeartbeatsUnderItsFence(t *testing.T) {
 	b := newHeartbeatTransport(nil)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
--- a/internal/control/incarnations_test.go
+++ b/internal/control/incarnations_test.go
@@ -30,8 +30,8 @@
 	w.withWorker(before, func(f *fakeWorker) { f.successor = next })
 }
 
-// clusterWithIncarnation is a leader that has started the only task of job a on the first
-// incarnation of worker n.
+// clusterWithIncarnation returns a cluster whose leader has started the only task of job
+// a on the first incarnation of worker n.
 func clusterWithIncarnation(t *testing.T) *testCluster {
 	w := newTestCluster(t, nil)
 	w.workers.add("n1")
@@ -41,8 +41,8 @@
 	return w
 }
 
-// clusterWithUnansweredStart is a leader that has sent the start of job a's task to the
-// first incarnation of worker n, which has ended without an answer.
+// clusterWithUnansweredStart returns a cluster whose leader has sent the start of job a's
+// task to the first incarnation of worker n, which has ended without a response.
 func clusterWithUnansweredStart(t *testing.T) *testCluster {
 	w := newTestCluster(t, nil)
 	w.workers.add("n1").delayStarts = true
@@ -67,8 +67,8 @@
 	return err
 }
 
-// Guards against this failure: a task runs twice (TWICE). The worker's next incarnation
-// carries out a start that got no answer, while another run of the task is in progress.
+// Guards against this failure: a task runs twice. The worker's next incarnation carries
+// out a start that got no response, while another run of the task is in progress.
 func TestUnansweredStartIsSettledWithSuccessor(t *testing.T) {
 	w := clusterWithUnansweredStart(t)
 	w.workers.add("w2")
@@ -78,8 +78,9 @@
 	must.Error(t, w.deliverDelayedStart(), must.Sprint("carried out late, while the second run is alive"))
 }
 
-// Guards against this failure: a task runs twice (TWICE). The worker's next incarnation
-// has carried out, and ended, a start that got no answer.
+// Guards against this failure: a task runs twice. A start got no response from the first
+// incarnation of a worker, but the next incarnation has carried out that start, and the
+// run has ended.
 func TestRunDoneBySuccessorIsNotRepeated(t *testing.T) {
 	w := clusterWithUnansweredStart(t)
 	must.NoError(t, w.deliverDelayedStart())
@@ -89,8 +90,8 @@
 	must.Eq(t, 1, w.started("n2"))
 }
 
-// Guards against this failure: a task never runs again (LOST). The runs of an ended
-// incarnation count as alive because its worker answers.
+// Guards against this failure: a task never runs again. The runs of an ended incarnation
+// count as alive because the next incarnation responds at the same address.
 func TestRunsOfSupersededIncarnationRestart(t *testing.T) {
 	w := clusterWithIncarnation(t)
 	w.restart("n1", "n2")
@@ -136,9 +137,9 @@
 	})
 }
 
-// Guards against this failure: a maintenance wave never ends, or a worker gets tasks while
-// its machine goes down. The list of machines names a worker, which has to be resolved to
-// its latest incarnation.
+// Guards against this failure: a maintenance wave never ends, or a worker gets tasks
+// while its machine goes down. The machine list may identify a worker by its name, which
+// has to be resolved to the latest incarnation.
 func TestWorkerNameResolvesToLatestIncarnation(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("n1")
@@ -163,8 +164,8 @@
 	must.False(t, s.clockJumped(300, now.Add(time.Second)))
 }
 
-// Guards against this failure: a task runs twice (TWICE). An unreachable worker counts as
-// empty before its lease has expired.
+// Guards against this failure: a task runs twice. An unreachable worker whose clock is
+// slow counts as empty before its lease has expired.
 func TestLeaseEndAllowsForClockDrift(t *testing.T) {
 	now := time.Now()
 	s := &workerSession{t: &leaderTerm{lease: 4 * time.Second}, clockMS: 50_000, clockAt: now.Add(-time.Second)}
@@ -191,9 +192,9 @@
 	})
 }
 
-// Guards against this failure: a task waits for an earlier incarnation of its worker. Its
-// run is found when no session monitors that incarnation any more, and the resumed session
-// isn't linked to the successor.
+// Guards against this failure: a task never runs again, because its run waits for an
+// ended incarnation of its worker. No session monitors that incarnation any more when the
+// run is found, and the new session isn't linked to the successor.
 func TestResumedPredecessorIsSettledWithSuccessor(t *testing.T) {
 	w := clusterWithIncarnation(t)
 	term := w.currentTerm()
--- a/internal/control/incremental_test.go
+++ b/internal/control/incremental_test.go
@@ -98,7 +98,7 @@
 }
 
 // Guards against overloading a leader further: when its processor is busy it reads the
-// answers of workers late, so it must poll them less often.
+// responses of workers late, so it must poll them less often.
 func TestPollIntervalGrowsWithResponseTime(t *testing.T) {
 	s := &workerSession{t: &leaderTerm{}}
 	must.Eq(t, pollPauseAfterEnds, s.pauseAfterEnds())
@@ -109,8 +109,8 @@
 }
 
 // Guards against reporting ends up to a quarter of a second late: workers are called
-// through another instance, and even the fastest answer takes 20 ms. This constant latency
-// must not count as a delay of the leader.
+// through another instance, and even the fastest response takes 20 ms. This constant
+// latency must not count as a delay of the leader.
 func TestConstantLatencyToWorkersKeepsPollInterval(t *testing.T) {
 	term := &leaderTerm{}
 	for range 200 {
--- a/internal/control/leader_term_test.go
+++ b/internal/control/leader_term_test.go
@@ -33,7 +33,7 @@
 }
 
 // Guards against this failure: one faulty worker fails job after job while a healthy one
-// has capacity.
+// has free resources.
 func TestWorkerThatFailsAllRunsIsQuarantined(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -64,9 +64,9 @@
 	w.eventually("a new job runs on the healthy worker", func() bool { return onHealthy("d") })
 }
 
-// Guards against this failure: a queue reports no waiting jobs although jobs wait, because
-// a job counts as started from the commit of its start. Its worker doesn't answer the
-// start, and carries it out later or never.
+// Guards against this failure: a queue reports no waiting jobs although jobs wait,
+// because a job counts as started from the commit of its start. Its worker doesn't
+// respond to the start, and carries it out later or never.
 func TestJobCountsAsWaitingUntilWorkerStartsIt(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1").delayStarts = true
@@ -105,7 +105,7 @@
 }
 
 // Guards against this failure: the leader runs out of memory. It keeps the state of ended
-// jobs, each with the adviser's answers for 48 workers, for the whole leader term.
+// jobs, each with the adviser's responses for 48 workers, for the whole leader term.
 func TestStateOfEndedJobsIsReleased(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	term, err := w.c.currentLeaderTerm(context.Background())
@@ -124,7 +124,8 @@
 }
 
 // Guards against this failure: a worker gets more tasks than fit, because a second
-// decision is made while starts are being committed and doesn't count their capacity.
+// decision is made while starts are being committed and doesn't count the resources that
+// they need.
 func TestProposedStartsReserveCapacity(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -148,7 +149,7 @@
 
 // Guards against this failure: a worker gets more tasks than fit right after a change of
 // leader, because the new leader doesn't know what runs there before the worker's first
-// answer.
+// response.
 func TestUnconfirmedWorkerGetsNoTask(t *testing.T) {
 	now := time.Now()
 	s := &workerSession{t: &leaderTerm{}, answeredAt: now}
--- a/internal/control/load_test.go
+++ b/internal/control/load_test.go
@@ -20,7 +20,7 @@
 func (g gauges) Set(name string, n int64)    { g[name] = n }
 func (gauges) Observe(string, time.Duration) {}
 
-// observedTerm returns a leader term with the buffer that its log lines go to and its
+// observedTerm returns a leader term, the buffer that receives its log lines, and its
 // gauges.
 func observedTerm() (*leaderTerm, *bytes.Buffer, gauges) {
 	lines, counters := &bytes.Buffer{}, gauges{}
@@ -58,8 +58,8 @@
 }
 
 // Checks that the load line and the gauges show the fragmentation of the free resources
-// and what waits, so that an operator can tell a full cluster from one whose free
-// resources do not fit.
+// and the waiting steps, so that an operator can tell a full cluster from one whose free
+// resources are too fragmented for the waiting steps.
 func TestLoadReportShowsFragmentationAndWaitingSteps(t *testing.T) {
 	term, lines, counters := observedTerm()
 	now := time.Now()
--- a/internal/control/maintenance_test.go
+++ b/internal/control/maintenance_test.go
@@ -34,7 +34,7 @@
 	down, maxDown int
 	fences        []uint64
 	moves         []string
-	// loseResponse makes the next maintenance order succeed without an answer.
+	// loseResponse makes the next maintenance order succeed without a response.
 	loseResponse bool
 }
 
@@ -137,12 +137,12 @@
 		}
 		m.State, m.Worker = MachineUp, next
 		f.mu.Unlock()
-		// The test may have ended; the heartbeat has no receiver then.
+		// The call fails if the test has ended meanwhile.
 		_, _ = f.cluster.c.Announce(context.Background(), &Announcement{Worker: worker(next)})
 	})
 }
 
-// newMachineCluster returns a leader with machines and one worker on each.
+// newMachineCluster returns a cluster with the machines and one worker on each.
 func newMachineCluster(t *testing.T, machines *fakeMachines) *testCluster {
 	w := newTestCluster(t, func(w *testCluster) {
 		machines.cluster = w
@@ -199,8 +199,8 @@
 }
 
 // Guards against taking down more machines than the wave allows: an order is carried out
-// and its answer is lost. The machine must count as down while the outcome of its order is
-// unknown.
+// and its response is lost. The machine must count as down while the outcome of its order
+// is unknown.
 func TestMachineWithUnansweredOrderCountsAsDown(t *testing.T) {
 	machines := newFakeMachines("m1", "m2", "m3")
 	machines.loseResponse, machines.downtime, machines.listDelay = true, 600*time.Millisecond, 300*time.Millisecond
@@ -381,7 +381,7 @@
 	step := oneTask
 	step.Count, step.Need.MilliCPU = 2, 8000
 	w.submit("a", step)
-	w.eventually("the second task runs on a machine that was off", func() bool {
+	w.eventually("the second task runs on a machine that was on standby", func() bool {
 		started := 0
 		w.workers.mu.Lock()
 		defer w.workers.mu.Unlock()
--- a/internal/control/orphans_test.go
+++ b/internal/control/orphans_test.go
@@ -11,7 +11,7 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// currentRunCounts counts the runs of the cluster's leader now.
+// currentRunCounts makes the leader count the runs, and returns the counts.
 func (w *testCluster) currentRunCounts() runCounts {
 	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(w.t, err)
@@ -21,8 +21,8 @@
 	return term.runCounts
 }
 
-// Guards against this failure: the counts miss a run that is in the log but in no report
-// of its worker, and that no pending event will end.
+// Guards against this failure: a run that is in the log but in no report of its worker,
+// and that no pending event will end, isn't counted as unaccounted for.
 func TestOrphanedRunIsCountedAsUnaccounted(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	w.eventually("the run is reported", func() bool { c := w.currentRunCounts(); return c.alive == 1 && c.unaccounted == 0 })
@@ -30,8 +30,8 @@
 	w.eventually("no report shows the run", func() bool { c := w.currentRunCounts(); return c.unaccounted == 1 && c.longest > 0 })
 }
 
-// Guards against this failure: a run on a worker that doesn't answer is counted as
-// unaccounted for, and stopped, although the expiry of its lease will end it.
+// Guards against this failure: a run on an unresponsive worker is counted as unaccounted
+// for, and stopped, although the expiry of its lease will end it.
 func TestRunOnUnresponsiveWorkerIsAccountedFor(t *testing.T) {
 	w := clusterWithInheritedRun(t, func(f *fakeWorker) { f.responsesLost = true })
 	c := w.currentRunCounts()
@@ -51,8 +51,9 @@
 	must.False(t, s.accountsFor(run, now))
 }
 
-// Guards against this failure: ended runs are stopped again. The log accepts no command
-// for a while, so that their ends are reported repeatedly and not committed.
+// Guards against this failure: ended runs are taken for orphaned and stopped. The log
+// accepts no command for a while, so that their ends are reported repeatedly and not
+// committed.
 func TestRunWhoseEndIsNotCommittedIsAccountedFor(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	w.eventually("the run is reported", func() bool { return w.currentRunCounts().unaccounted == 0 })
--- a/internal/control/serve_version_test.go
+++ b/internal/control/serve_version_test.go
@@ -8,8 +8,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/link"
 )
 
-// Checks that a reply reports the configuration version by which its queue was looked up,
-// also when there is no such queue.
+// Checks that a response reports the configuration version by which its queue was looked
+// up, also when there is no such queue.
 func TestReplyReportsConfigurationVersion(t *testing.T) {
 	w := newTestCluster(t, nil)
 	ctx, recorder := link.WithVersionRecorder(t.Context())
--- a/internal/control/settle_test.go
+++ b/internal/control/settle_test.go
@@ -11,9 +11,9 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// Guards against this failure: a task runs twice. A worker doesn't answer a start, the
-// leader assumes that it wasn't carried out and starts the task elsewhere, and the first
-// worker carries out the start after all.
+// Guards against this failure: a task runs twice. A worker doesn't respond to a start,
+// the leader assumes that the start wasn't carried out and starts the task elsewhere, and
+// the first worker carries out the start after all.
 func TestUnansweredStartIsSettledBeforeRestartElsewhere(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1").delayStarts = true
@@ -35,9 +35,9 @@
 }
 
 // Guards against this failure: a job never ends although most workers are idle. A worker
-// doesn't answer a start, and refuses the second attempt because its ticket has expired.
-// The refusal settles nothing while the first call is open, so a stop has to follow, as
-// after two unanswered calls.
+// doesn't respond to a start, and refuses the second attempt because the ticket has
+// expired. The refusal settles nothing while the first call may still be carried out, so
+// a stop has to follow, as after two unanswered calls.
 func TestRefusalAfterUnansweredStartIsSettledByStop(t *testing.T) {
 	w := newTestCluster(t, nil)
 	first := w.workers.add("w1")
@@ -51,9 +51,9 @@
 	})
 }
 
-// Guards against this failure: a task runs on two workers. A worker receives polls but its
-// answers are lost. If unanswered polls extend its lease, its runs continue after the
-// leader takes the lease for expired and starts the task elsewhere.
+// Guards against this failure: a task runs on two workers. A worker receives polls but
+// its responses are lost. If unanswered polls extend its lease, its runs continue after
+// the leader takes the lease for expired and starts the task elsewhere.
 func TestUnansweredPollsDoNotExtendLease(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	w.withWorker("w1", func(f *fakeWorker) { f.responsesLost = true })
@@ -68,8 +68,9 @@
 
 // Guards against this failure: a job is stuck, or its task runs twice, after a change of
 // leader. The old leader commits a start and loses the leadership before the worker has
-// the order, so the new leader doesn't know whether it is in flight. The poll of the new
-// leader carries its fence to the worker, which refuses the old order from then on.
+// the order, so the new leader doesn't know whether the order is in flight. The poll of
+// the new leader carries its fencing token to the worker, which refuses the old order
+// from then on.
 func TestInheritedRunThatNeverStartedRunsAgain(t *testing.T) {
 	w := clusterWithInheritedRun(t, func(*fakeWorker) {})
 	w.eventually("the task starts", func() bool { return w.started("w1") == 1 })
@@ -91,8 +92,8 @@
 	must.Eq(t, 0, w.started("w1"))
 }
 
-// Guards against this failure: a worker that crashed and restarted blocks its tasks until
-// its lease expires, although the answer of its next incarnation proves that the old one
+// Guards against this failure: the tasks of a crashed and restarted worker wait until its
+// lease expires, although the response of the next incarnation proves that the old one
 // has ended.
 func TestTasksOfReplacedIncarnationRunAgainImmediately(t *testing.T) {
 	w := clusterWithStartedTask(t)
@@ -104,9 +105,9 @@
 	must.Less(t, 400*time.Millisecond, time.Since(start), must.Sprint("a lease is 400 ms"))
 }
 
-// Guards against this failure: the task of a cancelled job keeps running. A worker lists
-// the end of the first run late, while it executes the second one, and the leader drops
-// the order of the second run because of that end.
+// Guards against this failure: the task of a cancelled job keeps running. A worker
+// reports the end of the task's first run late, while it executes the second one, and the
+// leader drops the order of the second run because of that end.
 func TestLateEndOfEarlierRunKeepsOrderOfNextRun(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	w.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeFailed) })
@@ -126,8 +127,9 @@
 	})
 }
 
-// Guards against this failure: a task waits for the end of a held poll although its run is
-// known never to start. The stop was acknowledged just before the poll was sent.
+// Guards against this failure: a task waits for the end of a held poll although the
+// report would settle its run. The stop of the run was acknowledged just before the poll
+// was sent.
 func TestPollThatSettlesStopIsNotHeld(t *testing.T) {
 	now := time.Now()
 	s := &workerSession{t: &leaderTerm{c: &Controller{}}, orders: map[workflow.TaskKey]*runOrder{}}
@@ -142,8 +144,8 @@
 	must.Eq(t, pollHold, hold, must.Sprint("the end of a reported run ends the hold"))
 }
 
-// clusterWithInheritedRun is a leader that finds a run in the log, on worker w1, that
-// another leader committed.
+// clusterWithInheritedRun returns a cluster whose leader finds a run on worker w1 in the
+// log that an earlier leader committed.
 func clusterWithInheritedRun(t *testing.T, prepare func(*fakeWorker)) *testCluster {
 	return newTestCluster(t, func(w *testCluster) {
 		w1 := worker("w1")
@@ -157,8 +159,8 @@
 }
 
 // Guards against this failure: a task runs twice after a change of leader. The new
-// leader's poll doesn't carry the fence that blocks old orders, the report shows no run,
-// and the old leader's start arrives afterwards.
+// leader's poll doesn't carry the fencing token that blocks old orders, the report shows
+// no run, and the old leader's start arrives afterwards.
 func TestPollCarriesFence(t *testing.T) {
 	w := clusterWithInheritedRun(t, func(f *fakeWorker) { f.delayStarts = true })
 	w.eventually("the run is settled", func() bool {
@@ -172,9 +174,9 @@
 	})
 }
 
-// Guards against this failure: a task runs twice. A worker has more ends to list than one
-// answer holds, and the leader takes a run that is missing in a partial report for never
-// started.
+// Guards against this failure: a task runs twice. A worker has more ends to report than
+// one response holds, and the leader takes a run that is missing in a partial report for
+// never started.
 func TestPartialReportSettlesNoRun(t *testing.T) {
 	w := clusterWithInheritedRun(t, func(f *fakeWorker) { f.partial = true })
 	time.Sleep(100 * time.Millisecond)
@@ -183,8 +185,8 @@
 	w.eventually("a complete report settles it", func() bool { return w.started("w1") == 1 })
 }
 
-// settledRuns returns how many runs an empty report settles. change sets the state of the
-// run's order; sent is when the poll was sent.
+// settledRuns returns how many runs a report that lists no run settles. change sets the
+// state of the run's order; sent is when the poll was sent.
 func settledRuns(t *testing.T, sent time.Time, change func(*runOrder)) int {
 	w := clusterWithStartedTask(t)
 	term, err := w.c.currentLeaderTerm(context.Background())
@@ -209,9 +211,9 @@
 	must.Eq(t, 0, settledRuns(t, now, func(*runOrder) {}), must.Sprint("an order without a stop"))
 }
 
-// Guards against this failure: a task runs twice. A start gets no answer, its second
-// attempt is refused, the refusal settles both calls, and the first one is carried out
-// later.
+// Guards against this failure: a task runs twice. The first call with a start gets no
+// response, the second one is refused, the refusal settles the run, and the first call is
+// carried out later.
 func TestRefusalSettlesNothingWhileEarlierCallIsOpen(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	term, err := w.c.currentLeaderTerm(context.Background())
@@ -225,10 +227,10 @@
 	must.Eq(t, 1, runs)
 }
 
-// Guards against this failure: urgent jobs end late although their tasks ran in time. Some
-// calls are lost: a worker answers a start, but the answer to a poll sent earlier is lost.
-// The leader doesn't see the end of a run meanwhile if polls are held for 1.5 s and time
-// out after 2 s.
+// Guards against this failure: urgent jobs end late although their tasks ran in time.
+// Some calls are lost: a worker responds to a start, but the response to a poll sent
+// earlier is lost. The leader doesn't see the end of a run meanwhile if polls are held
+// for 1.5 s and time out after 2 s.
 func TestPollHoldIsShorterWhileCallsAreLost(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	term, err := w.c.currentLeaderTerm(context.Background())
@@ -241,7 +243,7 @@
 	must.Eq(t, pollHold, hold)
 	must.Eq(t, callTimeout, slack)
 	s.recordLostCall(now.Add(time.Second), now)
-	must.False(t, term.losingCalls(now), must.Sprint("an unreachable worker answers no call, so none counts as lost"))
+	must.False(t, term.losingCalls(now), must.Sprint("an unreachable worker responds to no call, so none counts as lost"))
 	s.answeredAt = now
 	s.recordLostCall(now.Add(-time.Second), now)
 	hold, slack = s.pollTimes(now)
@@ -259,9 +261,9 @@
 	}
 }
 
-// Guards against this failure: an overloaded leader slows down further. It reads answers
-// 0.2 s late and takes each for lost, if the overdue time doesn't grow with the answer
-// time.
+// Guards against this failure: an overloaded leader slows down further. It reads
+// responses 0.2 s late and takes each for lost if the overdue time doesn't grow with the
+// response time.
 func TestOverdueTimeFollowsResponseTime(t *testing.T) {
 	term := &leaderTerm{}
 	must.Eq(t, minOverdueTime, term.overdueAfter())
--- a/internal/control/simulation_adviser_test.go
+++ b/internal/control/simulation_adviser_test.go
@@ -13,9 +13,9 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// simAdviser permits each step on a fixed part of the workers. It serves the queries of
-// each connection one after another. It also implements Caller for queries through other
-// instances.
+// simAdviser is an adviser that permits each step on a fixed part of the workers. It
+// serves the queries of each connection one after another. It also implements Caller for
+// queries through other instances.
 type simAdviser struct {
 	params *simParams
 	seed   uint64
@@ -33,14 +33,16 @@
 	queries          int
 }
 
-// seededFloat returns a number from 0 to 1 that depends only on the seed and the words.
+// seededFloat returns a number of at least 0 and below 1 that depends only on the seed
+// and the words.
 func seededFloat(seed uint64, words ...any) float64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprint(h, seed, words)
 	return rand.New(rand.NewPCG(seed, h.Sum64())).Float64()
 }
 
-// permits reports whether a step may run on a worker. The answer never changes.
+// permits reports whether a step may run on a worker. The result for a step and a worker
+// never changes.
 func (a *simAdviser) permits(step workflow.StepKey, worker string) bool {
 	spec := a.stepOf(workflow.TaskKey{StepKey: step})
 	return spec != nil && spec.Image != refusedImage && seededFloat(a.seed, "permit", step, worker) < a.params.permittedShare
--- a/internal/control/simulation_checks_test.go
+++ b/internal/control/simulation_checks_test.go
@@ -21,7 +21,8 @@
 	spareCapacityFactor = 2
 )
 
-// invariantViolations returns the violations of what must hold at any time.
+// invariantViolations returns the violations so far of the invariants that must hold at
+// any time.
 func (x *simulation) invariantViolations() []string {
 	x.workers.mu.Lock()
 	found := append(slices.Clone(x.workers.violations), x.lines.unexpectedOrphans(x.workers.allowedOrphans)...)
@@ -120,8 +121,8 @@
 	return found
 }
 
-// maxWait returns how long a step may wait: what users allow, and the queries that it may
-// have to send in turn.
+// maxWait returns how long a step may wait: maxReadyWait, and the time for the adviser
+// queries that it may have to send one after another.
 func (x *simulation) maxWait(s *openStep) time.Duration {
 	for i := range x.params.queues {
 		if q := &x.params.queues[i]; q.Identity() == s.queue {
@@ -131,8 +132,9 @@
 	return maxReadyWait
 }
 
-// estimateRemaining returns an upper bound of the time that the open work takes on a part
-// of the cores, and of the time that its queries take.
+// estimateRemaining returns an upper bound of the time that the open work takes on a
+// quarter of the cores that a step is permitted on, and of the time that its queries
+// take.
 func (x *simulation) estimateRemaining() (work, queryTime time.Duration) {
 	open, _ := x.openSteps()
 	cores := float64(x.params.workers) * float64(x.params.capacity.MilliCPU) * x.params.permittedShare / 4
@@ -241,7 +243,8 @@
 	}
 }
 
-// describe returns what waits, and what the leader knows about it.
+// describe returns one line about each of the first steps, with what is wrong and the
+// leader's reason why the step waits, and a line with the number of all steps.
 func (x *simulation) describe(what string, steps []openStep) (found []string) {
 	c := x.controller()
 	c.mu.Lock()
--- a/internal/control/simulation_crash_test.go
+++ b/internal/control/simulation_crash_test.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// maxStartsAfterThirdCrash bounds the starts of a crashing task after its third crash.
+	// maxStartsAfterThirdCrash bounds the starts of a task that has crashed three
+	// workers.
 	maxStartsAfterThirdCrash = 2
-	// minCrashedWorkers is how many workers must have crashed under a task before its job
-	// may be given up.
+	// minCrashedWorkers is how many workers must have crashed while they ran a task
+	// before its job may be given up.
 	minCrashedWorkers = 2
 	// shrinkGrace is how long after a capacity change the larger capacity may still be
-	// used: the longest time that users allow until the change is known, and two
-	// heartbeats.
+	// used: the 3 s until which the leader has to know the change, and two heartbeats.
 	shrinkGrace = 3*time.Second + 2*simHeartbeatInterval*heartbeatGroups
-	// maxCrashDowntime bounds how long a worker stays down after a task has crashed it.
+	// maxCrashDowntime scales how long a worker stays down after a task has crashed it:
+	// between 0.1 and 1.1 times this.
 	maxCrashDowntime = 8 * time.Second
 )
 
@@ -26,8 +27,8 @@
 	return seededFloat(r.seed, "crasher", task) < r.params.crashingTaskChance
 }
 
-// scheduleCrash makes a worker crash some milliseconds after it has started a crashing
-// task. r.mu must be held.
+// scheduleCrash makes a worker crash up to 60 ms after it has started a crashing task.
+// r.mu must be held.
 func (r *simWorkers) scheduleCrash(w *simWorker, run workflow.Run) {
 	if !r.isCrashingTask(run.Task) {
 		return
@@ -59,8 +60,8 @@
 	time.AfterFunc(downtime, func() { r.add(w.Address, incarnation+1) })
 }
 
-// allowedCapacity returns the maximum resources that runs may occupy on the worker. A
-// reduced capacity counts only once a heartbeat may have reported it.
+// allowedCapacity returns the maximum resources that runs may occupy on the worker. After
+// a reduction the larger capacity counts for shrinkGrace.
 func (w *simWorker) allowedCapacity(now time.Time) workflow.Resources {
 	if now.Sub(w.changedAt) < shrinkGrace {
 		return w.Capacity.Max(w.previousCapacity)
@@ -74,7 +75,8 @@
 	w.Capacity, w.previousCapacity, w.changedAt = capacity, had, now
 }
 
-// shrinkSome reduces the capacity of a third of the workers.
+// shrinkSome reduces the number of cores of about a third of the workers, by the same
+// share.
 func (x *simulation) shrinkSome() {
 	share := 0.2 + 0.8*x.random.Float64()
 	x.changeSome(func(w *simWorker) {
@@ -91,15 +93,15 @@
 	}
 }
 
-// wronglyGivenUp returns the jobs that were given up because of a task under which fewer
-// than minCrashedWorkers workers have crashed.
+// wronglyGivenUp returns the jobs that were given up because of a task, although fewer
+// than minCrashedWorkers workers have crashed while they ran it.
 func (x *simulation) wronglyGivenUp() (found []string) {
 	x.workers.mu.Lock()
 	defer x.workers.mu.Unlock()
 	x.state.read(func(s *workflow.State) {
 		for id, job := range s.Jobs {
 			if job.CrashingTask != nil && x.workers.crashes[*job.CrashingTask] < minCrashedWorkers {
-				found = append(found, fmt.Sprintf("%s/ is given up for %s, under which %d workers crashed", id, *job.CrashingTask, x.workers.crashes[*job.CrashingTask]))
+				found = append(found, fmt.Sprintf("%s/ is given up because of %s, which %d workers ran when they crashed", id, *job.CrashingTask, x.workers.crashes[*job.CrashingTask]))
 			}
 		}
 	})
@@ -128,7 +130,8 @@
 	return found
 }
 
-// countGivenUp counts the given up jobs with a crashing task and those without one.
+// countGivenUp counts the jobs that were given up because of crashes: those with a
+// crashing task and those without one.
 func (x *simulation) countGivenUp() (withCrashingTask, withoutCrashingTask int) {
 	x.state.read(func(s *workflow.State) {
 		for _, job := range s.Jobs {
--- a/internal/control/simulation_faults_test.go
+++ b/internal/control/simulation_faults_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// simTick is the time between two steps of the simulated load.
+// simTick is the time between two submissions of the simulated load.
 const simTick = 25 * time.Millisecond
 
 // maxFaultDuration bounds a fault of the log, of an instance, or of a worker that stays
@@ -31,8 +31,9 @@
 	return nil
 }
 
-// submitLoad submits as many jobs as the load allows, but no more than the adviser can
-// answer for in twice the time.
+// submitLoad submits the jobs of one tick, at the given age of the simulation. Each tick
+// adds to the budgets of work and of adviser time in proportion to the load, and to the
+// latter at least as at a load of 1. Jobs are submitted while both budgets are positive.
 func (x *simulation) submitLoad(age time.Duration) {
 	load := x.params.load
 	if age >= x.params.burstAt && age < x.params.burstAt+x.params.burstFor {
@@ -71,7 +72,8 @@
 	case 12:
 		x.adviser.disconnect(fmt.Sprint("instance", x.random.IntN(x.params.adviserConns)), until)
 	case 14:
-		// Lasts about as long as a lease: the runs there continue, or their lease expires.
+		// The workers are unreachable for about the time of a lease: their runs continue,
+		// or the lease expires.
 		lease := x.params.lease
 		x.disconnectSome(time.Now().Add(randomDuration(x.random, lease*2/5, lease*13/10)))
 	case 13:
@@ -97,7 +99,7 @@
 	}
 }
 
-// changeSome changes one in three of the workers.
+// changeSome calls change with each worker with a probability of 1/3.
 func (x *simulation) changeSome(change func(*simWorker)) {
 	x.workers.mu.Lock()
 	defer x.workers.mu.Unlock()
@@ -108,7 +110,7 @@
 	}
 }
 
-// disconnectSome makes one worker unreachable, or a third of them.
+// disconnectSome makes one worker unreachable, or about a third of them.
 func (x *simulation) disconnectSome(until time.Time) {
 	if oneIn(x.random, 2) {
 		x.changeSome(func(w *simWorker) { w.unreachableUntil = until })
@@ -119,7 +121,8 @@
 	x.workers.all[x.random.IntN(len(x.workers.all))].unreachableUntil = until
 }
 
-// neverReturnsOneIn: one in this many crashed workers never returns.
+// neverReturnsOneIn is the inverse of the probability that a crashed worker never
+// returns.
 const neverReturnsOneIn = 2
 
 // crashOne crashes a worker, which returns as another incarnation or never.
--- a/internal/control/simulation_lines_test.go
+++ b/internal/control/simulation_lines_test.go
@@ -21,7 +21,7 @@
 // virtualMS returns the virtual time since the start of the simulation in milliseconds.
 func virtualMS() any { return time.Now().UnixMilli() - simEpochMS }
 
-// simEpochMS is when virtual time starts.
+// simEpochMS is when virtual time starts, in milliseconds of Unix time.
 var simEpochMS = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC).UnixMilli()
 
 func (l *simLog) Write(line []byte) (int, error) {
@@ -39,10 +39,10 @@
 	_, _ = fmt.Fprintf(l, "ms=%d "+format+"\n", append([]any{virtualMS()}, args...)...)
 }
 
-// maxShownLines is how many lines a failure prints.
+// maxShownLines is how many log lines a failed simulation prints.
 const maxShownLines = 60
 
-// linesAbout returns the last lines that contain one of the words.
+// linesAbout returns the last maxShownLines lines that contain one of the words.
 func (l *simLog) linesAbout(words ...string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,7 +63,8 @@
 	return fmt.Sprintf("event=run_claimed task=%s run=%d worker=%s ", run.Task, run.Number, run.Worker)
 }
 
-// unexpectedOrphans returns the new lines about orphaned runs that are not in allowed.
+// unexpectedOrphans returns the log lines since the previous call about orphaned runs
+// whose orphanKey is not in allowed.
 func (l *simLog) unexpectedOrphans(allowed map[string]bool) (found []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/control/simulation_params_test.go
+++ b/internal/control/simulation_params_test.go
@@ -45,7 +45,12 @@
 	sameNames bool
 }
 
-// faultRates are the probabilities of the faults of one call.
+// faultRates are the probabilities of the faults of one call: a lost call never arrives,
+// an unanswered one is carried out without a response, a late one is carried out after
+// its caller has given up, a slow one is carried out and its response is delayed, a
+// refused one is a start that the worker refuses, a misdirected one is a start that gets
+// the response of another incarnation. queryLost is the probability that an adviser query
+// gets no response, failed that a run fails.
 type faultRates struct {
 	lost, unanswered, late, slow, refused, misdirected, queryLost, failed float64
 }
@@ -58,8 +63,8 @@
 	largeClusterWorkers, largeClusterOneIn = 350, 25
 )
 
-// logUniform draws a number between low and high; all orders of magnitude are equally
-// likely.
+// logUniform draws a number between low and high whose logarithm is uniformly
+// distributed.
 func logUniform(random *rand.Rand, low, high float64) float64 {
 	return low * math.Pow(high/low, random.Float64())
 }
@@ -163,8 +168,8 @@
 	switch random.IntN(6) {
 	case 0, 1:
 		step.Gang = true
-		// Gangs with more tasks never have free resources twice over, so no check would
-		// apply to them.
+		// Gangs with more tasks never have free resources twice over, so awaitCompletion
+		// would not check their wait.
 		step.Count = min(step.Count, max(1, d.workers/3))
 	case 2:
 		step.Speculative = true
@@ -197,8 +202,8 @@
 	return work
 }
 
-// queriesPerStep returns the number of queries that a step may need: each names
-// workersPerQuery of all workers, and some are repeated to renew tickets.
+// queriesPerStep returns the number of queries that a step other than a gang may need:
+// each names workersPerQuery of all workers, and some are repeated to renew tickets.
 func (d *simParams) queriesPerStep() int { return (d.workers+workersPerQuery-1)/workersPerQuery + 2 }
 
 // adviserTime returns the longest time for which a step occupies the adviser.
--- a/internal/control/simulation_poll_test.go
+++ b/internal/control/simulation_poll_test.go
@@ -15,9 +15,10 @@
 // callGap separates two calls of a caller in virtual time.
 const callGap = time.Microsecond
 
-// Poll answers a poll once a run has ended or the wait is over.
+// Poll returns a report once a run has ended or the hold time of the poll is over.
 func (r *simWorkers) Poll(ctx context.Context, to Target, o PollOrder) (Report, error) {
 	defer time.Sleep(callGap)
+	// Another kind than "look" would change the drawn outcomes of every seed.
 	w, f, err := r.reach(ctx, "look", to, workflow.Run{})
 	if err != nil {
 		return Report{}, err
@@ -27,7 +28,7 @@
 		return Report{}, err
 	}
 	if w.ID != to.Worker {
-		// The report names the incarnation that it is from.
+		// The caller sees that the report is from another incarnation.
 		return Report{}, ErrOtherIncarnation
 	}
 	r.holdPoll(ctx, changed, o.Wait)
@@ -122,7 +123,7 @@
 // precision of their ends.
 const simRunInterval = 4 * time.Millisecond
 
-// runTasks ends runs whose duration or lease is over, until ctx ends.
+// runTasks ends runs whose duration is over or whose lease has expired, until ctx ends.
 func (r *simWorkers) runTasks(ctx context.Context) {
 	for wait.For(ctx, simRunInterval) {
 		r.mu.Lock()
@@ -158,8 +159,8 @@
 	return present
 }
 
-// gangComplete reports whether a run makes progress: the members of a gang do only once
-// all of them have started. r.mu must be held.
+// gangComplete reports whether a run makes progress: the members of a gang make progress
+// only once all of them have started. r.mu must be held.
 func (r *simWorkers) gangComplete(task workflow.TaskKey, run *simRun, present map[gangRun]int, now time.Time) bool {
 	if !run.gang {
 		return true
--- a/internal/control/simulation_replica_test.go
+++ b/internal/control/simulation_replica_test.go
@@ -78,13 +78,13 @@
 	}
 }
 
-// notProposed returns an error for a command that had no effect.
+// notProposed returns the error for a command that was not proposed, marked with mark.
 func notProposed(mark error) error {
 	return errors.Mark(fault.New(fault.Unavailable, "nothing was proposed"), mark)
 }
 
-// refusal returns why nothing may be proposed now, nil if commands are accepted. The lock
-// of the store must be held.
+// refusal returns why nothing may be proposed now, nil if commands are accepted.
+// l.store.mu must be held.
 func (l *simReplica) refusal(now time.Time) error {
 	switch {
 	case l.leadershipLost():
--- a/internal/control/simulation_test.go
+++ b/internal/control/simulation_test.go
@@ -15,7 +15,8 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// simulation is one seeded run in virtual time.
+// simulation is one run of a cluster in virtual time, with a load and faults that are
+// drawn from a seed.
 type simulation struct {
 	t         *testing.T
 	seed      uint64
@@ -28,10 +29,10 @@
 	lines     *simLog
 	startedAt time.Time
 	jobs      int
-	// workBudget and adviserBudget are how much work and adviser time the load may still
-	// use.
+	// workBudget and adviserBudget are how much work, in millicores times milliseconds,
+	// and adviser time, in milliseconds, the load may still use.
 	workBudget, adviserBudget float64
-	// maxBacklog is the largest number of steps that a decision did not consider.
+	// maxBacklog is the largest number of steps that were beyond the bound of a decision.
 	maxBacklog int
 
 	mu         sync.Mutex
@@ -242,15 +243,16 @@
 }
 
 // Checks that the leader starts all accepted work for which resources are free. The
-// parameters are drawn. Calls of workers are lost, refused, misdirected, answered late and
-// carried out late; workers crash, become unreachable and refuse starts; reports are
-// partial; leaders change; the log is slow, delayed or full and leaves the outcome of
-// commands unknown; more work arrives than fits. Then all faults end, and each ready task
-// with free resources for twice its demand has to start within a bound.
+// parameters are drawn from the seed. Calls to workers are lost, refused, misdirected or
+// carried out late, and their responses are lost or late; workers crash, become
+// unreachable and refuse starts; reports are partial; leaders change; the log is slow,
+// delayed or full and leaves the outcome of commands unknown; more work arrives than
+// fits. Then all faults end, and each ready task with free resources for twice its demand
+// has to start within a bound.
 //
-// The outcome of each call depends only on the seed and the call, time is virtual, and all
-// bounds are far above what correct code needs. The order of goroutines that run at the
-// same virtual time isn't seeded, so two runs of a seed differ in their details.
+// The outcome of each call depends only on the seed and the call, time is virtual, and
+// all bounds are far above what correct code needs. The order of goroutines that run at
+// the same virtual time isn't seeded, so two runs of a seed differ in their details.
 //
 // BILBERRY_SEEDS sets the number of seeds, BILBERRY_SEED the first one.
 func TestSimulationStartsAllPlaceableWork(t *testing.T) {
--- a/internal/control/simulation_worker_test.go
+++ b/internal/control/simulation_worker_test.go
@@ -46,7 +46,7 @@
 	gang      bool
 }
 
-// simWorkers holds all workers and the record of violated invariants.
+// simWorkers implements the calls to all workers, and records violated invariants.
 type simWorkers struct {
 	params *simParams
 	seed   uint64
@@ -63,7 +63,9 @@
 	// calls counts the calls of each kind for a run on a worker, so that the outcome of a
 	// call doesn't depend on the order of other calls.
 	calls map[string]int
-	// startedAt, doneAt and completeGangs mean the same as in chaosWorkers.
+	// startedAt holds all start times of a task. doneAt is when a task was done, set once
+	// a leader has acknowledged that end. completeGangs are the gang runs whose members
+	// have all been running at the same time.
 	startedAt     map[workflow.TaskKey][]time.Time
 	doneAt        map[workflow.TaskKey]time.Time
 	completeGangs map[gangRun]bool
@@ -74,8 +76,8 @@
 	// allowedOrphans are the runs that a leader may find to be orphaned: those whose start
 	// was misdirected.
 	allowedOrphans map[string]bool
-	// crashes counts the workers that crashed under a task, startsAfterThirdCrash the
-	// starts of a crashing task after the third crash.
+	// crashes counts the workers that crashed while they ran a task,
+	// startsAfterThirdCrash the starts of a crashing task after its third crash.
 	crashes, startsAfterThirdCrash map[workflow.TaskKey]int
 }
 
@@ -120,7 +122,9 @@
 // callOutcome is the drawn outcome of one call.
 type callOutcome struct {
 	requestDelay, replyDelay time.Duration
-	// lost calls never arrive, late ones arrive after their caller has given up.
+	// A lost call never arrives. An unanswered one is carried out and gets no response, a
+	// misdirected one gets the response of another incarnation. A call with a positive
+	// late is carried out after that time, and its caller gets no response.
 	lost, unanswered, misdirected bool
 	late                          time.Duration
 }
@@ -290,7 +294,7 @@
 		r.violations = append(r.violations, fmt.Sprintf("%d runs of %s", live, task))
 	}
 	if used := w.used(); !used.Fits(w.allowedCapacity(time.Now())) {
-		r.violations = append(r.violations, fmt.Sprintf("%s holds %v of %v", w.ID, used, w.Capacity))
+		r.violations = append(r.violations, fmt.Sprintf("runs on %s need %v of %v", w.ID, used, w.Capacity))
 	}
 }
 
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -47,8 +47,9 @@
 	must.Eq(t, 0, w.started("w1"))
 }
 
-// Guards against this failure: an urgent task is late although its worker is idle. Its
-// start is lost, and the second attempt waits for the timeout of the first.
+// Guards against this failure: an urgent task starts late although its worker is idle.
+// The call with its start is lost, and the second call waits for the timeout of the
+// first.
 func TestOverdueStartIsSentAgainConcurrently(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1").hangingStarts = 1
@@ -67,8 +68,8 @@
 
 // Guards against this failure: tasks wait for the lease of a worker that became
 // unreachable before their starts were sent. A step's tasks are assigned to one worker,
-// which doesn't answer the first starts. If the remaining starts are sent all the same,
-// their tasks can't move to an idle worker.
+// which doesn't respond to the first starts. If the remaining starts are sent all the
+// same, their tasks can't move to an idle worker.
 func TestStartsQueuedBehindOverdueStartMoveElsewhere(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1").hangingStarts = 1000
--- a/internal/control/stops_test.go
+++ b/internal/control/stops_test.go
@@ -51,7 +51,7 @@
 	w.withWorker("w1", func(f *fakeWorker) { must.Eq(t, "half", f.starts[3].Checkpoint) })
 }
 
-// Guards against this failure: the run of a cancelled job keeps using capacity.
+// Guards against this failure: the run of a cancelled job keeps occupying resources.
 func TestRunsOfCancelledJobAreStopped(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	_, err := w.c.Cancel(context.Background(), &CancelCall{Address: JobAddress{Host: "h", Path: "/q/a"}})
@@ -67,8 +67,8 @@
 }
 
 // Guards against this failure: members of a gang wait for one that never starts. The gang
-// starts on two workers, and one of them refuses its member. The other run has to be
-// stopped.
+// is assigned to two workers, and one of them refuses its member. Once the run on the
+// other worker has ended, the refused member has to be stopped.
 func TestGangMembersAreStoppedWhenOneEnds(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
--- a/internal/control/suspect_test.go
+++ b/internal/control/suspect_test.go
@@ -12,7 +12,7 @@
 )
 
 // Guards against losing one task after another in the second after a data centre becomes
-// unreachable: no worker of the data centre answers, and one start is overdue. Workers
+// unreachable: no worker of the data centre responds, and one start is overdue. Workers
 // that are judged only by their own overdue orders would all get another task.
 func TestUnresponsiveDataCentreIsSuspected(t *testing.T) {
 	now := time.Now()
--- a/internal/control/throttle_test.go
+++ b/internal/control/throttle_test.go
@@ -9,7 +9,8 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// Checks every case in which the CPU share changes or stays.
+// Checks the next CPU share of the tasks on spare CPU in each case in which it changes or
+// stays.
 func TestNextShareFollowsLatency(t *testing.T) {
 	now := time.Now()
 	old := now.Add(-throttleInterval)
--- a/internal/control/unreported_runs_test.go
+++ b/internal/control/unreported_runs_test.go
@@ -17,8 +17,8 @@
 	return term
 }
 
-// Guards against this failure: a task never runs again. Its start is answered as by
-// another incarnation, and the worker's reports continue as before.
+// Guards against this failure: a task never runs again. Its start gets the response of
+// another incarnation, while the worker's reports still come from the same one.
 func TestMisdirectedStartIsSettled(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1").misdirected = 1
@@ -36,7 +36,7 @@
 }
 
 // Guards against this failure: a task never runs again. Its start is committed just after
-// the leader stopped monitoring its worker, and the commit of that end fails.
+// the leader stopped monitoring its worker, and the commit of the run's end fails.
 func TestRunOnUnmonitoredWorkerIsSettled(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
@@ -91,8 +91,8 @@
 	w.eventually("the task runs again", func() bool { return w.started("w1") == 1 })
 }
 
-// clusterWithUnmonitoredWorker is a leader whose log has the run of job a's task on worker
-// w1, which the leader doesn't monitor.
+// clusterWithUnmonitoredWorker returns a cluster whose log has the run of job a's task on
+// worker w1, which the leader doesn't monitor.
 func clusterWithUnmonitoredWorker(t *testing.T) *testCluster {
 	w := newTestCluster(t, nil)
 	w1 := worker("w1")
