--- a/internal/control/adviser_pool_test.go
+++ b/internal/control/adviser_pool_test.go
@@ -18,12 +18,19 @@
 	return l
 }
 
+const (
+	// shortQueryDuration and longQueryDuration are expected durations of queries, of an
+	// urgent job and of a gang.
+	shortQueryDuration = 17 * time.Millisecond
+	longQueryDuration  = time.Second
+)
+
 // acquireLong acquires each connection that a query of one second may use, and returns
 // how many these are.
 func acquireLong(l *adviserPool, now time.Time) int {
 	used := map[string]bool{}
 	for {
-		conn, _ := l.acquire(now, time.Second)
+		conn, _ := l.acquire(now, longQueryDuration)
 		if conn == nil || used[conn.address] {
 			return len(used)
 		}
@@ -38,12 +45,13 @@
 	must.Eq(t, 43, acquireLong(newTestAdviserPool(44, start), start))
 	must.Eq(t, 1, acquireLong(newTestAdviserPool(2, start), start))
 	must.Eq(t, 1, acquireLong(newTestAdviserPool(1, start), start))
+	const loadSeconds = 9
 	for _, c := range []struct{ perSecond, least, most int }{{10, 40, 43}, {110, 36, 39}, {2000, 22, 22}} {
 		l := newTestAdviserPool(44, start)
 		now := start
-		for range 9 * c.perSecond {
+		for range loadSeconds * c.perSecond {
 			now = now.Add(time.Second / time.Duration(c.perSecond))
-			conn, _ := l.acquire(now, 17*time.Millisecond)
+			conn, _ := l.acquire(now, shortQueryDuration)
 			must.NotNil(t, conn)
 			l.release(conn, now, false)
 			for _, known := range l.conns {
@@ -61,10 +69,10 @@
 	now := time.Now()
 	l := newTestAdviserPool(8, now)
 	for range 100 {
-		conn, responseDue := l.acquire(now, 17*time.Millisecond)
+		conn, responseDue := l.acquire(now, shortQueryDuration)
 		must.Eq(t, "10.1.0.01", conn.address)
-		must.Eq(t, now.Add(17*time.Millisecond), responseDue)
-		now = now.Add(17 * time.Millisecond)
+		must.Eq(t, now.Add(shortQueryDuration), responseDue)
+		now = now.Add(shortQueryDuration)
 		l.release(conn, now, false)
 		l.recordAnnouncement("10.1.0.01", now)
 	}
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -54,18 +54,19 @@
 			ID: fmt.Sprint("j", i), Queue: "q", Steps: []workflow.Step{step}, Policy: policy}})
 	}
 	var runs []workflow.Run
-	for i := range size.runs / 6 {
+	const tasksPerRunningStep = 6
+	for i := range size.runs / tasksPerRunningStep {
 		id := fmt.Sprint("running", i)
-		step := workflow.Step{Count: 6, Need: workflow.Resources{MilliCPU: 9_000, MemoryMB: 20_000}, EstimateMS: 6000}
+		step := workflow.Step{Count: tasksPerRunningStep, Need: workflow.Resources{MilliCPU: 9_000, MemoryMB: 20_000}, EstimateMS: 6000}
 		apply(&workflow.Command{Submit: &workflow.Submission{ID: id, Queue: "q", Steps: []workflow.Step{step}, Policy: policy}})
-		for k := range 6 {
-			runs = append(runs, workflow.Run{Task: task(id, k), Worker: fmt.Sprint("w", (i*6+k)%size.workers)})
+		for k := range tasksPerRunningStep {
+			runs = append(runs, workflow.Run{Task: task(id, k), Worker: fmt.Sprint("w", (i*tasksPerRunningStep+k)%size.workers)})
 		}
 	}
 	apply(&workflow.Command{Start: runs})
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
-	t := newLeaderTerm(ctx, cancel, c, 7)
+	t := newLeaderTerm(ctx, cancel, c, fakeLogTerm)
 	for _, s := range t.sessions {
 		s.ready, s.answeredAt = true, time.Now().Add(time.Hour)
 	}
@@ -94,7 +95,8 @@
 		b.Run(fmt.Sprintf("%dworkers/%dsteps/unasked=%v", size.workers, size.queued, size.noPermits), func(b *testing.B) {
 			t := loadedTerm(b, size)
 			now := time.Now()
-			took := hdrhistogram.New(1, int64(time.Second), 3)
+			const significantDigits = 3
+			took := hdrhistogram.New(1, int64(time.Second), significantDigits)
 			for b.Loop() {
 				start := time.Now()
 				input := t.gatherPlanInput(now)
@@ -125,15 +127,16 @@
 		_, err := t.propose(command)
 		must.NoError(b, err)
 	}
-	for i := range 30 {
+	const gangs, permitsPerGang, newSteps = 30, 60, 8
+	for i := range gangs {
 		id := fmt.Sprint("gang", i)
 		submit(id, 20, true)
 		p := t.permitsOf(workflow.StepKey{Job: id})
-		for k := range 60 {
-			p.known[fmt.Sprint("w", (i*60+k)%workers)] = dispatch.Permit{Granted: k%4 == 0, Expires: time.Hour}
+		for k := range permitsPerGang {
+			p.known[fmt.Sprint("w", (i*permitsPerGang+k)%workers)] = dispatch.Permit{Granted: k%4 == 0, Expires: time.Hour}
 		}
 	}
-	for i := range 8 {
+	for i := range newSteps {
 		submit(fmt.Sprint("new", i), 3, false)
 	}
 	limits := planLimits
--- a/internal/control/capacity_test.go
+++ b/internal/control/capacity_test.go
@@ -11,6 +11,10 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
+// overcommitWait is how long a test waits for starts that would exceed the capacity of a
+// worker.
+const overcommitWait = 5 * planInterval
+
 // announceCapacity sends a heartbeat of worker w1 with the given number of cores.
 func (w *testCluster) announceCapacity(sequence uint64, cores int64) {
 	announced := worker("w1")
@@ -44,7 +48,7 @@
 	w := clusterWithReducedCapacity(t)
 	w.submitOneCoreJobs("b", 5)
 	w.eventually("two more tasks run", func() bool { return w.started("w1") >= 4 })
-	time.Sleep(5 * planInterval)
+	time.Sleep(overcommitWait)
 	must.Eq(t, 4, w.started("w1"))
 }
 
@@ -64,7 +68,7 @@
 	w.announceCapacity(1, 10)
 	w.submitOneCoreJobs("b", 5)
 	w.eventually("two more tasks run", func() bool { return w.started("w1") >= 4 })
-	time.Sleep(5 * planInterval)
+	time.Sleep(overcommitWait)
 	must.Eq(t, 4, w.started("w1"))
 }
 
@@ -86,6 +90,6 @@
 	w.log.mu.Unlock()
 	w.submit("a", workflow.Step{Count: 8, Need: oneTask.Need, EstimateMS: 50})
 	w.eventually("two tasks run", func() bool { return w.started("w1") >= 2 })
-	time.Sleep(5 * planInterval)
+	time.Sleep(overcommitWait)
 	must.Eq(t, 2, w.started("w1"))
 }
--- a/internal/control/chaos_test.go
+++ b/internal/control/chaos_test.go
@@ -39,8 +39,8 @@
 	x.term++
 	replicated := &fakeTermLog{fakeLog: fakeLog{state: x.state}, term: x.term}
 	x.c = New(Config{
-		Address: "own", Bounds: Bounds{MaxLease: 700 * time.Millisecond, EndedJobRetention: time.Minute}, Workers: x.workers, Adviser: x.workers,
-		Client: link.NewClient(100), Logger: log.With(log.NewLogfmtLogger(&x.workers.lines), "ms", log.Valuer(sinceStart), "term", x.term), Counters: noCounters{},
+		Address: "own", Bounds: Bounds{MaxLease: testMaxLease, EndedJobRetention: time.Minute}, Workers: x.workers, Adviser: x.workers,
+		Client: link.NewClient(testMaxConns), Logger: log.With(log.NewLogfmtLogger(&x.workers.lines), "ms", log.Valuer(sinceStart), "term", x.term), Counters: noCounters{},
 		Leader: func() string { return "own" }, Members: func() []string { return nil },
 	}, x.state, replicated)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -77,6 +77,14 @@
 	must.NoError(x.t, err)
 }
 
+// The kinds of faults that injectFault draws. The remaining kind is no fault.
+const (
+	crashFault        = 0
+	unreachableFault  = 1
+	leaderChangeFault = 2
+	chaosFaultKinds   = 4
+)
+
 // injectFault injects one random fault: a crash, an unreachable worker, a leader change,
 // or none.
 func (x *chaosRun) injectFault() {
@@ -89,18 +97,18 @@
 		}
 	}
 	chosen := up[x.random.IntN(len(up))]
-	kind := x.random.IntN(4)
+	kind := x.random.IntN(chaosFaultKinds)
 	switch kind {
-	case 0:
+	case crashFault:
 		chosen.gone = true
-	case 1:
+	case unreachableFault:
 		chosen.unreachableUntil = time.Now().Add(time.Duration(100+x.random.IntN(900)) * time.Millisecond)
 	}
 	r.mu.Unlock()
 	switch kind {
-	case 0:
+	case crashFault:
 		x.addWorker()
-	case 2:
+	case leaderChangeFault:
 		x.stop()
 		x.startLeader()
 	}
@@ -146,10 +154,25 @@
 	return otherwise
 }
 
+const (
+	// chaosFaultStream and chaosCallStream select the random sequences of a seed for the
+	// jobs and faults and for the outcomes of calls.
+	chaosFaultStream = 1
+	chaosCallStream  = 2
+	// chaosWorkerCount is how many workers are up at a time.
+	chaosWorkerCount = 4
+	// chaosRounds is how many faults are injected, jobsPerRound how many jobs are submitted
+	// before each.
+	chaosRounds  = 25
+	jobsPerRound = 2
+	// maxRoundPauseMS bounds the pause after a fault, in milliseconds.
+	maxRoundPauseMS = 80
+)
+
 func randomFaults(t *testing.T, seed uint64) {
-	random := rand.New(rand.NewPCG(seed, 1))
+	random := rand.New(rand.NewPCG(seed, chaosFaultStream))
 	x := &chaosRun{t: t, random: random, state: NewStateMachine(), workers: &chaosWorkers{
-		t: t, random: rand.New(rand.NewPCG(seed, 2)), all: map[string]*chaosWorker{}, specs: map[string]workflow.Step{},
+		t: t, random: rand.New(rand.NewPCG(seed, chaosCallStream)), all: map[string]*chaosWorker{}, specs: map[string]workflow.Step{},
 		completeGangs: map[gangRun]bool{}, startedAt: map[workflow.TaskKey][]time.Time{}, doneAt: map[workflow.TaskKey]time.Time{},
 	}}
 	x.startLeader()
@@ -159,19 +182,19 @@
 	go x.workers.runTasks(ctx)
 	must.NoError(t, x.propose(&workflow.Command{Configuration: &workflow.Document{Version: 1, Source: []byte("{}"), Queues: []workflow.Queue{
 		{Name: "q", Host: "h", Prefix: "/q/", Policy: workflow.Policy{Service: "s", MaxAttempts: 9, Stretch: 2, ObjectiveMS: 100,
-			Advice: &workflow.AdvicePolicy{BaseMS: 1, TicketValidityMS: 200}}},
+			Advice: &workflow.AdvicePolicy{BaseMS: 1, TicketValidityMS: chaosTicketValidityMS}}},
 	}}}))
-	for range 4 {
+	for range chaosWorkerCount {
 		x.addWorker()
 	}
 	jobs := 0
-	for range 25 {
-		for range 2 {
+	for range chaosRounds {
+		for range jobsPerRound {
 			jobs++
 			x.submit(fmt.Sprint("j", jobs))
 		}
 		x.injectFault()
-		time.Sleep(time.Duration(random.IntN(80)) * time.Millisecond)
+		time.Sleep(time.Duration(random.IntN(maxRoundPauseMS)) * time.Millisecond)
 	}
 	x.workers.mu.Lock()
 	x.workers.faultsOver = true
@@ -198,11 +221,18 @@
 	must.NoError(x.t, err)
 }
 
+const (
+	// openJobChecks is how often awaitAllEnded checks for open jobs, every
+	// openJobCheckInterval.
+	openJobChecks        = 200
+	openJobCheckInterval = 50 * time.Millisecond
+)
+
 // awaitAllEnded waits until no job is open, and sends the heartbeats of the running
 // workers meanwhile. It fails the test if jobs are still open after the last check.
 func (x *chaosRun) awaitAllEnded() {
 	var open []string
-	for range 200 {
+	for range openJobChecks {
 		x.workers.mu.Lock()
 		var up []string
 		for id, w := range x.workers.all {
@@ -223,7 +253,7 @@
 		if len(open) == 0 {
 			return
 		}
-		time.Sleep(50 * time.Millisecond)
+		time.Sleep(openJobCheckInterval)
 	}
 	x.t.Fatalf("jobs that have not ended: %v", open)
 }
--- a/internal/control/chaos_workers_test.go
+++ b/internal/control/chaos_workers_test.go
@@ -108,6 +108,27 @@
 
 var errInjected = fmt.Errorf("injected fault: %w", errNoResponse)
 
+// Cumulative probabilities of the outcomes of a call: it takes effect and is answered, it
+// takes effect without a response, or it takes effect late. Otherwise it is lost.
+const (
+	answeredProbability   = 0.80
+	unansweredProbability = 0.88
+	lateProbability       = 0.95
+)
+
+const (
+	// refusedStartProbability is the probability that a worker refuses a start because of
+	// its ticket, lostQueryProbability that an adviser query gets no response.
+	refusedStartProbability = 0.05
+	lostQueryProbability    = 0.1
+	// failedRunOneIn is the inverse of the probability that a run fails.
+	failedRunOneIn = 20
+	// chaosTicketValidityMS is how long a ticket is valid, in milliseconds.
+	chaosTicketValidityMS = 200
+	// chaosRunInterval is the time between two checks for runs that are over.
+	chaosRunInterval = 2 * time.Millisecond
+)
+
 // drawOutcome decides whether a call takes effect now, later or never, and whether its
 // response arrives.
 func (r *chaosWorkers) drawOutcome(w *chaosWorker) (now, later, answered bool) {
@@ -118,11 +139,11 @@
 		return true, false, true
 	}
 	switch p := r.random.Float64(); {
-	case p < 0.80:
+	case p < answeredProbability:
 		return true, false, true
-	case p < 0.88:
+	case p < unansweredProbability:
 		return true, false, false
-	case p < 0.95:
+	case p < lateProbability:
 		return false, true, false
 	default:
 		return false, false, false
@@ -177,7 +198,7 @@
 		return nil
 	case time.Now().After(w.leaseEnd):
 		return &RefusedError{RefusedLeaseExpired}
-	case r.random.Float64() < 0.05 && !r.faultsOver:
+	case r.random.Float64() < refusedStartProbability && !r.faultsOver:
 		return &RefusedError{RefusedTicket}
 	}
 	spec := r.specs[task.Job]
@@ -200,7 +221,7 @@
 			live++
 		}
 	}
-	if live > 1 && !spec.Speculative || live > 2 {
+	if live > 1 && !spec.Speculative || live > maxRunsOfTask {
 		r.violations = append(r.violations, fmt.Sprintf("%d runs of %s", live, task))
 	}
 	var used workflow.Resources
@@ -290,11 +311,11 @@
 			report.Running = append(report.Running, Running{Task: task, Number: run.number, Percent: r.random.IntN(100)})
 		}
 		for _, e := range w.ended {
-			if e.Position > o.LastEnd && len(report.Ended) < 20 {
+			if e.Position > o.LastEnd && len(report.Ended) < maxEndsPerReport {
 				report.Ended = append(report.Ended, e)
 			}
 		}
-		report.Partial = len(report.Ended) == 20
+		report.Partial = len(report.Ended) == maxEndsPerReport
 		return nil
 	})
 	// A delayed poll also writes the report under the lock.
@@ -308,10 +329,10 @@
 func (r *chaosWorkers) Query(_ context.Context, call AdviserQuery) (AdviserReply, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.faultsOver && r.random.Float64() < 0.1 {
+	if !r.faultsOver && r.random.Float64() < lostQueryProbability {
 		return AdviserReply{}, errInjected
 	}
-	reply := AdviserReply{Valid: 200 * time.Millisecond}
+	reply := AdviserReply{Valid: chaosTicketValidityMS * time.Millisecond}
 	for _, worker := range call.Workers {
 		reply.Granted = append(reply.Granted, Grant{Worker: worker, Ticket: "t"})
 	}
@@ -320,7 +341,7 @@
 
 // runTasks ends runs whose duration is over or whose lease has expired, until ctx ends.
 func (r *chaosWorkers) runTasks(ctx context.Context) {
-	for wait.For(ctx, 2*time.Millisecond) {
+	for wait.For(ctx, chaosRunInterval) {
 		r.mu.Lock()
 		for _, w := range r.all {
 			for task, run := range w.running {
@@ -366,7 +387,7 @@
 // endRun ends a run as done, or as failed with a probability of 1/20.
 func (r *chaosWorkers) endRun(w *chaosWorker, task workflow.TaskKey) {
 	outcome := workflow.OutcomeDone
-	if r.random.IntN(20) == 0 {
+	if r.random.IntN(failedRunOneIn) == 0 {
 		outcome = workflow.OutcomeFailed
 	}
 	r.lines.logRun("ends "+outcome.String(), w, task, w.running[task].number)
--- a/internal/control/crash_test.go
+++ b/internal/control/crash_test.go
@@ -133,15 +133,16 @@
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
 	w.announce("w1")
-	for i := range 8 {
+	const jobs = 8
+	for i := range jobs {
 		w.submit(fmt.Sprint("j", i), oneTask)
 	}
-	w.eventually("all tasks run", func() bool { return w.started("w1") == 8 })
+	w.eventually("all tasks run", func() bool { return w.started("w1") == jobs })
 	w.workers.add("w2")
 	w.withWorker("w1", func(f *fakeWorker) { f.superseded = true })
 	w.announce("w2")
-	w.eventually("all tasks run again", func() bool { return w.started("w2") == 8 })
-	for i := range 8 {
+	w.eventually("all tasks run again", func() bool { return w.started("w2") == jobs })
+	for i := range jobs {
 		must.NotEq(t, workflow.PhaseFailed, w.phase(fmt.Sprint("j", i)))
 	}
 }
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -17,6 +17,19 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
+const (
+	// fakeLogTerm is the term of a fakeLog, and so the fencing token of its leader.
+	// staleFence is the fencing token of an earlier leader.
+	fakeLogTerm = 7
+	staleFence  = 6
+	// fakeClockMS is what the clock of each fakeWorker shows, in milliseconds.
+	fakeClockMS = 1000
+	// testMaxLease bounds the leases of workers in tests.
+	testMaxLease = 700 * time.Millisecond
+	// testMaxConns bounds the connections of a controller's client.
+	testMaxConns = 100
+)
+
 // fakeLog is the log of a single member that always leads and commits each command
 // immediately.
 type fakeLog struct {
@@ -113,7 +126,7 @@
 }
 
 func (l *fakeLog) Status() replica.Status {
-	return replica.Status{Role: replica.Leader, Term: 7, CanDecide: l.remainingDelay() <= 0}
+	return replica.Status{Role: replica.Leader, Term: fakeLogTerm, CanDecide: l.remainingDelay() <= 0}
 }
 
 func (l *fakeLog) Changed() <-chan struct{} { return make(chan struct{}) }
@@ -218,7 +231,7 @@
 	if w.responsesLost {
 		return 0, errNoResponse
 	}
-	return 1000, nil
+	return fakeClockMS, nil
 }
 
 func (f *fakeWorkers) takeHangingStart(worker string) bool {
@@ -275,7 +288,7 @@
 	if w.responsesLost {
 		return 0, errNoResponse
 	}
-	return 1000, nil
+	return fakeClockMS, nil
 }
 
 func (w *fakeWorker) finish(task workflow.TaskKey, outcome workflow.Outcome) {
@@ -292,7 +305,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.all[to.Worker].shares[order.Run.Task] = order.Share
-	return 1000, nil
+	return fakeClockMS, nil
 }
 
 // fakePollHold is how long a poll is held in tests.
@@ -317,7 +330,7 @@
 	if w.responsesLost {
 		return Report{}, errNoResponse
 	}
-	report := Report{ClockMS: 1000, Partial: w.partial}
+	report := Report{ClockMS: fakeClockMS, Partial: w.partial}
 	for _, running := range w.running {
 		report.Running = append(report.Running, running)
 	}
@@ -364,9 +377,9 @@
 func newTestCluster(t *testing.T, prepare func(w *testCluster)) *testCluster {
 	machine := NewStateMachine()
 	w := &testCluster{t: t, log: &fakeLog{state: machine}, workers: &fakeWorkers{all: map[string]*fakeWorker{}}}
-	bounds := Bounds{MaxLease: 700 * time.Millisecond, EndedJobRetention: time.Minute}
+	bounds := Bounds{MaxLease: testMaxLease, EndedJobRetention: time.Minute}
 	w.c = New(Config{
-		Address: "own", Bounds: bounds, Workers: w.workers, Adviser: w.workers, Client: link.NewClient(100),
+		Address: "own", Bounds: bounds, Workers: w.workers, Adviser: w.workers, Client: link.NewClient(testMaxConns),
 		Logger: log.NewLogfmtLogger(testWriter{t}), Counters: noCounters{},
 		Leader: func() string { return "own" }, Members: func() []string { return nil },
 	}, machine, w.log)
@@ -425,15 +438,23 @@
 	must.NoError(w.t, err)
 }
 
+const (
+	// eventuallyChecks is how often eventually checks, every eventuallyInterval.
+	eventuallyChecks   = 2000
+	eventuallyInterval = 5 * time.Millisecond
+	// noStartWait is how long a test waits for a start that must not happen.
+	noStartWait = 100 * time.Millisecond
+)
+
 // eventually waits until ok returns true, and fails the test if it never does. what names
 // the awaited event.
 func (w *testCluster) eventually(what string, ok func() bool) {
 	w.t.Helper()
-	for range 2000 {
+	for range eventuallyChecks {
 		if ok() {
 			return
 		}
-		time.Sleep(5 * time.Millisecond)
+		time.Sleep(eventuallyInterval)
 	}
 	w.t.Fatalf("never: %s", what)
 }
--- a/internal/control/health_test.go
+++ b/internal/control/health_test.go
@@ -13,9 +13,10 @@
 // more tasks, none of which advances.
 func TestStalledWorkerGetsNoNewTask(t *testing.T) {
 	w := clusterWithStartedTask(t)
-	time.Sleep(stallTimeout + 200*time.Millisecond)
+	const stallMargin = 200 * time.Millisecond
+	time.Sleep(stallTimeout + stallMargin)
 	w.submit("b", oneTask)
-	time.Sleep(100 * time.Millisecond)
+	time.Sleep(noStartWait)
 	must.Eq(t, 1, w.started("w1"))
 	w.withWorker("w1", func(f *fakeWorker) {
 		f.running[task("a", 0)] = Running{Task: task("a", 0), Number: 1, Percent: 50}
--- a/internal/control/heartbeat_transport_test.go
+++ b/internal/control/heartbeat_transport_test.go
@@ -66,13 +66,24 @@
 	}
 }
 
+const (
+	// heartbeatMaxLease bounds the leases of workers that send heartbeats.
+	heartbeatMaxLease = 3 * time.Second
+	// testHeartbeatInterval is the time between two heartbeats of a worker.
+	testHeartbeatInterval = 5 * time.Millisecond
+	// transportTimeout bounds the calls through a heartbeatTransport.
+	transportTimeout = 5 * time.Second
+	// noResultWait is how long a test waits for the result of a call that must not end yet.
+	noResultWait = 20 * time.Millisecond
+)
+
 // heartbeatCluster returns a cluster whose leader doesn't call workers, and its workers,
 // which send heartbeats.
 func heartbeatCluster(t *testing.T, ids ...string) (*testCluster, map[string]*heartbeatWorker) {
 	w := newTestCluster(t, func(w *testCluster) {
 		w.c.heartbeats = newHeartbeatTransport(w.c.cfg.Workers)
 		w.c.cfg.Workers = w.c.heartbeats
-		w.c.cfg.Bounds.MaxLease = 3 * time.Second
+		w.c.cfg.Bounds.MaxLease = heartbeatMaxLease
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -81,7 +92,7 @@
 		b := &heartbeatWorker{fakeWorker: w.workers.add(id)}
 		all[id] = b
 		go func() {
-			for wait.For(ctx, 5*time.Millisecond) {
+			for wait.For(ctx, testHeartbeatInterval) {
 				if _, err := w.c.currentLeaderTerm(context.Background()); err == nil {
 					w.sendHeartbeat(b)
 				}
@@ -125,26 +136,27 @@
 // proof that the stop arrived, the task starts elsewhere, and the worker carries out the
 // delayed start.
 func TestStopIsDeliveredAfterTwoPromptHeartbeats(t *testing.T) {
+	const fence = 7
 	b := newHeartbeatTransport(nil)
 	run := workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}
-	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), transportTimeout)
 	defer cancel()
 	stopped := make(chan error, 1)
-	b.exchange(ctx, "w1", 7, Report{})
+	b.exchange(ctx, "w1", fence, Report{})
 	go func() {
-		_, err := b.Stop(ctx, Target{Worker: "w1"}, StopOrder{Run: run, Fence: 7})
+		_, err := b.Stop(ctx, Target{Worker: "w1"}, StopOrder{Run: run, Fence: fence})
 		stopped <- err
 	}()
-	for len(b.exchange(ctx, "w1", 7, Report{}).Stops) == 0 {
+	for len(b.exchange(ctx, "w1", fence, Report{}).Stops) == 0 {
 		continue
 	}
-	b.exchange(ctx, "w1", 7, Report{})
+	b.exchange(ctx, "w1", fence, Report{})
 	select {
 	case <-stopped:
 		t.Fatal("a single heartbeat proved that the stop arrived; it may come from a broken connection")
-	case <-time.After(20 * time.Millisecond):
+	case <-time.After(noResultWait):
 	}
-	b.exchange(ctx, "w1", 7, Report{})
+	b.exchange(ctx, "w1", fence, Report{})
 	must.NoError(t, <-stopped)
 }
 
@@ -153,25 +165,26 @@
 // If the transport returns that report for a poll, the worker may still carry out a start
 // of the old leader after the report.
 func TestPollNeedsTwoHeartbeatsUnderItsFence(t *testing.T) {
+	const oldFence, newFence = 6, 7
 	b := newHeartbeatTransport(nil)
-	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), transportTimeout)
 	defer cancel()
 	got := make(chan Report, 1)
-	b.exchange(ctx, "w1", 6, Report{})
-	b.exchange(ctx, "w1", 6, Report{})
+	b.exchange(ctx, "w1", oldFence, Report{})
+	b.exchange(ctx, "w1", oldFence, Report{})
 	go func() {
-		report, err := b.Poll(ctx, Target{Worker: "w1"}, PollOrder{Fence: 7})
+		report, err := b.Poll(ctx, Target{Worker: "w1"}, PollOrder{Fence: newFence})
 		must.NoError(t, err)
 		got <- report
 	}()
-	time.Sleep(20 * time.Millisecond)
-	b.exchange(ctx, "w1", 7, Report{ClockMS: 1})
-	b.exchange(ctx, "w1", 7, Report{ClockMS: 2})
+	time.Sleep(noResultWait)
+	b.exchange(ctx, "w1", newFence, Report{ClockMS: 1})
+	b.exchange(ctx, "w1", newFence, Report{ClockMS: 2})
 	select {
 	case <-got:
 		t.Fatal("a poll returned a report that may be older than the fence")
-	case <-time.After(20 * time.Millisecond):
+	case <-time.After(noResultWait):
 	}
-	b.exchange(ctx, "w1", 7, Report{ClockMS: 3})
+	b.exchange(ctx, "w1", newFence, Report{ClockMS: 3})
 	must.Eq(t, int64(3), (<-got).ClockMS)
 }
--- a/internal/control/incarnations_test.go
+++ b/internal/control/incarnations_test.go
@@ -126,7 +126,8 @@
 		return seen
 	})
 	w.withWorker("n1", func(f *fakeWorker) { f.responsesLost = true })
-	time.Sleep(10 * fakePollHold)
+	const lostPollsWait = 10 * fakePollHold
+	time.Sleep(lostPollsWait)
 	w.restart("n1", "n2")
 	w.announceIncarnation("n2", 2)
 	w.eventually("the successor is monitored", func() bool { return w.isReady("n2") })
--- a/internal/control/incremental_test.go
+++ b/internal/control/incremental_test.go
@@ -9,6 +9,13 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
+const (
+	// startChecks is how often a test checks whether a job has started, every
+	// startCheckInterval.
+	startChecks        = 1000
+	startCheckInterval = 5 * time.Millisecond
+)
+
 // Guards against delaying urgent jobs by 50 ms and more in a large deployment with free
 // resources: after a long full decision the planner pauses in proportion, and a new job
 // needs two decisions, one for its adviser queries and one for its start. Neither may wait
@@ -22,13 +29,13 @@
 	_, err := term.propose(command)
 	must.NoError(t, err)
 	term.recordAccepted("a", time.Now())
-	for range 1000 {
+	for range startChecks {
 		started := 0
 		term.c.state.read(func(s *workflow.State) { started = s.Task(task("a", 0)).Runs })
 		if started == 1 {
 			return
 		}
-		time.Sleep(5 * time.Millisecond)
+		time.Sleep(startCheckInterval)
 	}
 	t.Fatal("the job wasn't started")
 }
@@ -49,11 +56,11 @@
 	term := backloggedTerm(t)
 	go term.planChangedJobs(time.Minute)
 	submitAdvised(t, term, "a", 1_000)
-	for range 1000 {
+	for range startChecks {
 		if runsOf(term, "a") == 1 {
 			return
 		}
-		time.Sleep(5 * time.Millisecond)
+		time.Sleep(startCheckInterval)
 	}
 	t.Fatal("the job wasn't started")
 }
--- a/internal/control/leader_term_test.go
+++ b/internal/control/leader_term_test.go
@@ -25,7 +25,7 @@
 	w.announce("w1")
 	w.c.state.read(func(s *workflow.State) { must.True(t, s.Workers["w1"].Draining) })
 	w.submit("a", oneTask)
-	time.Sleep(100 * time.Millisecond)
+	time.Sleep(noStartWait)
 	must.Eq(t, 0, w.started("w1"))
 	w.workers.add("w2")
 	w.announce("w2")
@@ -93,7 +93,7 @@
 func TestLeaderTermEndsAfterMachineSuspend(t *testing.T) {
 	ended := false
 	w := newTestCluster(t, nil)
-	term := newLeaderTerm(context.Background(), func() { ended = true }, w.c, 7)
+	term := newLeaderTerm(context.Background(), func() { ended = true }, w.c, fakeLogTerm)
 	s := term.addSession(worker("w1"), nil)
 	w.workers.add("w1")
 	_, err := s.poll(time.Now())
@@ -169,13 +169,16 @@
 	must.NoError(t, err)
 }
 
+// beginLogDelay is how long a slowLogger delays a log line.
+const beginLogDelay = 200 * time.Millisecond
+
 // slowLogger delays the log line at the start of a leader term. It has no lock, which would
 // hide data races between its callers from the race detector.
 type slowLogger struct{}
 
 func (slowLogger) Log(keyvals ...any) error {
 	if slices.Contains(keyvals, any("begun")) {
-		time.Sleep(200 * time.Millisecond)
+		time.Sleep(beginLogDelay)
 	}
 	return nil
 }
--- a/internal/control/maintenance_test.go
+++ b/internal/control/maintenance_test.go
@@ -347,7 +347,8 @@
 	first := running()
 	markReady(first[0])
 	w.startWave(workflow.Wave{ID: 1, Machines: []string{first[0][:2], first[1][:2]}, DurationMS: 1000, MaxDown: 2})
-	time.Sleep(400 * time.Millisecond)
+	const earlyStopWait = 400 * time.Millisecond
+	time.Sleep(earlyStopWait)
 	must.SliceContains(t, running(), first[0], must.Sprint("the other task is not ready yet"))
 	for !w.waveDone(1) {
 		for _, id := range running() {
--- a/internal/control/orphans_test.go
+++ b/internal/control/orphans_test.go
@@ -58,12 +58,14 @@
 	w := clusterWithStartedTask(t)
 	w.eventually("the run is reported", func() bool { return w.currentRunCounts().unaccounted == 0 })
 	var refusals []error
-	for range 1000 {
+	const moreThanProposed = 1000
+	for range moreThanProposed {
 		refusals = append(refusals, node.ErrOutcomeUnknown)
 	}
 	w.log.failEnds(refusals...)
 	w.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
-	for range 20 {
+	const watchedPolls = 20
+	for range watchedPolls {
 		time.Sleep(fakePollHold)
 		must.Eq(t, 0, w.currentRunCounts().unaccounted)
 	}
--- a/internal/control/settle_test.go
+++ b/internal/control/settle_test.go
@@ -62,7 +62,8 @@
 	w.eventually("the task runs elsewhere", func() bool { return w.started("w2") == 1 })
 	var before int
 	w.withWorker("w1", func(f *fakeWorker) { before = len(f.leases) })
-	time.Sleep(callTimeout + 50*time.Millisecond)
+	const pollMargin = 50 * time.Millisecond
+	time.Sleep(callTimeout + pollMargin)
 	w.withWorker("w1", func(f *fakeWorker) { must.Eq(t, before, len(f.leases)) })
 }
 
@@ -76,7 +77,7 @@
 	w.eventually("the task starts", func() bool { return w.started("w1") == 1 })
 	w.withWorker("w1", func(f *fakeWorker) {
 		must.Eq(t, 2, f.starts[0].Run.Number)
-		must.Error(t, f.startRun(StartOrder{Run: workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}, Fence: 6}))
+		must.Error(t, f.startRun(StartOrder{Run: workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}, Fence: staleFence}))
 	})
 }
 
@@ -86,7 +87,8 @@
 	w := clusterWithInheritedRun(t, func(f *fakeWorker) {
 		f.running[task("a", 0)] = Running{Task: task("a", 0), Number: 1}
 	})
-	time.Sleep(50 * time.Millisecond)
+	const reportWait = 50 * time.Millisecond
+	time.Sleep(reportWait)
 	w.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
 	w.eventually("the job is done", func() bool { return w.phase("a") == workflow.PhaseDone })
 	must.Eq(t, 0, w.started("w1"))
@@ -102,7 +104,8 @@
 	start := time.Now()
 	w.withWorker("w1", func(f *fakeWorker) { f.superseded = true })
 	w.eventually("the task runs again", func() bool { return w.started("w2") == 1 })
-	must.Less(t, 400*time.Millisecond, time.Since(start), must.Sprint("a lease is 400 ms"))
+	const lease = 400 * time.Millisecond
+	must.Less(t, lease, time.Since(start), must.Sprint("a lease is 400 ms"))
 }
 
 // Guards against this failure: the task of a cancelled job keeps running. A worker
@@ -169,7 +172,7 @@
 		return runs > 1
 	})
 	w.withWorker("w1", func(f *fakeWorker) {
-		err := f.startRun(StartOrder{Run: workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}, Fence: 6})
+		err := f.startRun(StartOrder{Run: workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}, Fence: staleFence})
 		must.ErrorContains(t, err, string(RefusedStaleFence))
 	})
 }
@@ -179,7 +182,7 @@
 // never started.
 func TestPartialReportSettlesNoRun(t *testing.T) {
 	w := clusterWithInheritedRun(t, func(f *fakeWorker) { f.partial = true })
-	time.Sleep(100 * time.Millisecond)
+	time.Sleep(noStartWait)
 	must.Eq(t, 0, w.started("w1"))
 	w.withWorker("w1", func(f *fakeWorker) { f.partial = false })
 	w.eventually("a complete report settles it", func() bool { return w.started("w1") == 1 })
@@ -249,14 +252,15 @@
 	hold, slack = s.pollTimes(now)
 	must.Eq(t, lossyPollHold, hold)
 	must.Eq(t, lossyPollSlack, slack)
-	for i := range 200 {
+	const otherSessions = 200
+	for i := range otherSessions {
 		term.sessions[fmt.Sprint("other", i)] = s
 	}
 	hold, _ = s.pollTimes(now)
-	must.Eq(t, 201*time.Second/maxLossyPolls, hold, must.Sprint("the leader sends no more polls a second than it can handle"))
+	must.Eq(t, (otherSessions+1)*time.Second/maxLossyPolls, hold, must.Sprint("the leader sends no more polls a second than it can handle"))
 	hold, _ = s.pollTimes(now.Add(lossWindow))
 	must.Eq(t, pollHold, hold)
-	for i := range 200 {
+	for i := range otherSessions {
 		delete(term.sessions, fmt.Sprint("other", i))
 	}
 }
@@ -265,17 +269,21 @@
 // responses 0.2 s late and takes each for lost if the overdue time doesn't grow with the
 // response time.
 func TestOverdueTimeFollowsResponseTime(t *testing.T) {
+	// The moving mean of the response time comes close to the latest value after samples.
+	const samples = 200
 	term := &leaderTerm{}
 	must.Eq(t, minOverdueTime, term.overdueAfter())
-	for range 200 {
+	for range samples {
 		term.recordResponseTime(5 * time.Millisecond)
 	}
 	must.Eq(t, minOverdueTime, term.overdueAfter())
-	for range 200 {
+	for range samples {
 		term.recordResponseTime(25 * time.Millisecond)
 	}
-	must.Greater(t, 190*time.Millisecond, term.overdueAfter())
-	for range 200 {
+	// The mean approaches 25 ms from below; overdueFactor times that is 200 ms.
+	const minSlowOverdueTime = 190 * time.Millisecond
+	must.Greater(t, minSlowOverdueTime, term.overdueAfter())
+	for range samples {
 		term.recordResponseTime(time.Second)
 	}
 	must.Eq(t, callTimeout/2, term.overdueAfter())
--- a/internal/control/simulation_checks_test.go
+++ b/internal/control/simulation_checks_test.go
@@ -19,6 +19,13 @@
 	checkInterval = 50 * time.Millisecond
 	// spareCapacityFactor is how many times a task must fit before it has to start.
 	spareCapacityFactor = 2
+	// completionMargin is added to twice the estimated time of the remaining work.
+	completionMargin = 30 * time.Second
+	// usableCoresDivisor is the inverse of the share of the permitted cores on which the
+	// remaining work is estimated to run.
+	usableCoresDivisor = 4
+	// maxDescribedSteps is how many steps a failure describes.
+	maxDescribedSteps = 5
 )
 
 // invariantViolations returns the violations so far of the invariants that must hold at
@@ -69,7 +76,7 @@
 	// some workers are quarantined.
 	recoveryTime := 2*x.params.lease + predecessorSlack + quarantineFor + stalledRunTimeout
 	drained := recoveryTime + work + queryTime
-	deadline := start.Add(2*drained + 30*time.Second)
+	deadline := start.Add(2*drained + completionMargin)
 	waitingSince := map[workflow.StepKey]time.Time{}
 	x.lines.logf("workers recover within %v, open work ends within %v", recoveryTime, drained)
 	for {
@@ -137,7 +144,7 @@
 // take.
 func (x *simulation) estimateRemaining() (work, queryTime time.Duration) {
 	open, _ := x.openSteps()
-	cores := float64(x.params.workers) * float64(x.params.capacity.MilliCPU) * x.params.permittedShare / 4
+	cores := float64(x.params.workers) * float64(x.params.capacity.MilliCPU) * x.params.permittedShare / usableCoresDivisor
 	longest := time.Duration(0)
 	for i := range open {
 		s := &open[i]
@@ -250,7 +257,7 @@
 	c.mu.Lock()
 	t := c.leaderTerm
 	c.mu.Unlock()
-	for _, s := range steps[:min(len(steps), 5)] {
+	for _, s := range steps[:min(len(steps), maxDescribedSteps)] {
 		reason, runs := "no leader", ""
 		if t != nil {
 			t.mu.Lock()
--- a/internal/control/simulation_crash_test.go
+++ b/internal/control/simulation_crash_test.go
@@ -8,6 +8,10 @@
 )
 
 const (
+	// crashesUntilGivenUp is how many workers a task may crash before its job is given up.
+	crashesUntilGivenUp = 3
+	// maxCrashDelay bounds the time from the start of a crashing task to the crash.
+	maxCrashDelay = 60 * time.Millisecond
 	// maxStartsAfterThirdCrash bounds the starts of a task that has crashed three
 	// workers.
 	maxStartsAfterThirdCrash = 2
@@ -33,13 +37,13 @@
 	if !r.isCrashingTask(run.Task) {
 		return
 	}
-	if r.crashes[run.Task] >= 3 {
+	if r.crashes[run.Task] >= crashesUntilGivenUp {
 		if r.startsAfterThirdCrash[run.Task]++; r.startsAfterThirdCrash[run.Task] > maxStartsAfterThirdCrash {
 			r.violations = append(r.violations, fmt.Sprintf("%s is started again after it has crashed %d workers", run.Task, r.crashes[run.Task]))
 		}
 	}
 	draw := func(what string) float64 { return seededFloat(r.seed, what, run.Task, run.Number) }
-	time.AfterFunc(time.Duration(draw("crash after")*float64(60*time.Millisecond)), func() {
+	time.AfterFunc(time.Duration(draw("crash after")*float64(maxCrashDelay)), func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if at := w.running[run.Task]; at == nil || at.number != run.Number {
--- a/internal/control/simulation_faults_test.go
+++ b/internal/control/simulation_faults_test.go
@@ -52,10 +52,22 @@
 	}
 }
 
+const (
+	// faultKinds is the number of kinds that injectFault draws from. Some kinds are the same
+	// fault, which is more frequent that way.
+	faultKinds = 15
+	// slowLogFault, delayedLogFault and the kinds that injectFault does not name are faults
+	// of the log.
+	slowLogFault    = 8
+	delayedLogFault = 9
+	// minFaultDuration bounds the duration of faults from below.
+	minFaultDuration = 30 * time.Millisecond
+)
+
 // injectFault injects one random fault.
 func (x *simulation) injectFault() {
-	kind := x.random.IntN(15)
-	duration := randomDuration(x.random, 30*time.Millisecond, maxFaultDuration)
+	kind := x.random.IntN(faultKinds)
+	duration := randomDuration(x.random, minFaultDuration, maxFaultDuration)
 	until := time.Now().Add(duration)
 	x.lines.logf("injected fault %d for %v", kind, duration)
 	switch kind {
@@ -90,9 +102,9 @@
 	x.store.mu.Lock()
 	defer x.store.mu.Unlock()
 	switch kind {
-	case 8:
+	case slowLogFault:
 		x.store.slowUntil = until
-	case 9:
+	case delayedLogFault:
 		x.store.delayedUntil = until
 	default:
 		x.store.fullUntil = until
--- a/internal/control/simulation_params_test.go
+++ b/internal/control/simulation_params_test.go
@@ -58,9 +58,14 @@
 const (
 	simHost = "h"
 	// minWorkers and maxWorkers bound the usual cluster size. One in largeClusterOneIn
-	// clusters has largeClusterWorkers workers.
+	// clusters has largeClusterWorkers workers and largeClusterConns adviser connections.
 	minWorkers, maxWorkers                 = 8, 60
 	largeClusterWorkers, largeClusterOneIn = 350, 25
+	largeClusterConns                      = 44
+	// repeatedQueries is how many queries of a step are repeated to renew tickets,
+	// gangQueryRounds how often a gang may query about all workers.
+	repeatedQueries = 2
+	gangQueryRounds = 3
 )
 
 // logUniform draws a number between low and high whose logarithm is uniformly
@@ -92,7 +97,7 @@
 		faultInterval:  randomDuration(random, 150*time.Millisecond, 1500*time.Millisecond),
 	}
 	if oneIn(random, largeClusterOneIn) {
-		d.workers, d.adviserConns = largeClusterWorkers, 44
+		d.workers, d.adviserConns = largeClusterWorkers, largeClusterConns
 	}
 	if oneIn(random, 2) {
 		d.burst = logUniform(random, 1.2, 8)
@@ -204,7 +209,9 @@
 
 // queriesPerStep returns the number of queries that a step other than a gang may need:
 // each names workersPerQuery of all workers, and some are repeated to renew tickets.
-func (d *simParams) queriesPerStep() int { return (d.workers+workersPerQuery-1)/workersPerQuery + 2 }
+func (d *simParams) queriesPerStep() int {
+	return (d.workers+workersPerQuery-1)/workersPerQuery + repeatedQueries
+}
 
 // adviserTime returns the longest time for which a step occupies the adviser.
 func (d *simParams) adviserTime(q *workflow.Queue, step *workflow.Step) time.Duration {
@@ -214,7 +221,7 @@
 	if step.Gang {
 		workers := min(d.workers, gangWorkersPerQuery)
 		queries := (d.workers + gangWorkersPerQuery - 1) / gangWorkersPerQuery
-		return time.Duration(3*queries) * queryDuration(q.Policy.Advice, workers)
+		return time.Duration(gangQueryRounds*queries) * queryDuration(q.Policy.Advice, workers)
 	}
 	return time.Duration(d.queriesPerStep()) * queryDuration(q.Policy.Advice, min(workersPerQuery, d.workers))
 }
--- a/internal/control/simulation_test.go
+++ b/internal/control/simulation_test.go
@@ -44,13 +44,21 @@
 	faultsOver bool
 }
 
+// The random sequences of a seed: of the parameters, load and faults, of the log, and of
+// the adviser.
+const (
+	simulationStream = 3
+	simStoreStream   = 4
+	simAdviserStream = 5
+)
+
 func newSimulation(t *testing.T, seed uint64) *simulation {
-	random := rand.New(rand.NewPCG(seed, 3))
+	random := rand.New(rand.NewPCG(seed, simulationStream))
 	x := &simulation{
 		t: t, seed: seed, params: drawParams(random), random: random, state: NewStateMachine(), lines: &simLog{},
 		startedAt: time.Now(), steps: map[string][]workflow.Step{},
 	}
-	x.store = &simStore{random: rand.New(rand.NewPCG(seed, 4)), state: x.state}
+	x.store = &simStore{random: rand.New(rand.NewPCG(seed, simStoreStream)), state: x.state}
 	x.workers = &simWorkers{
 		params: x.params, seed: seed, stepOf: x.stepOf, lines: x.lines, current: map[string]*simWorker{}, calls: map[string]int{},
 		startedAt: map[workflow.TaskKey][]time.Time{}, doneAt: map[workflow.TaskKey]time.Time{}, completeGangs: map[gangRun]bool{},
@@ -58,7 +66,7 @@
 		crashes: map[workflow.TaskKey]int{}, startsAfterThirdCrash: map[workflow.TaskKey]int{},
 	}
 	x.adviser = &simAdviser{
-		params: x.params, seed: seed, policyOf: x.adviceOf, stepOf: x.stepOf, faultsOver: x.areFaultsOver, random: rand.New(rand.NewPCG(seed, 5)), busyUntil: map[string]time.Time{}, unreachableUntil: map[string]time.Time{},
+		params: x.params, seed: seed, policyOf: x.adviceOf, stepOf: x.stepOf, faultsOver: x.areFaultsOver, random: rand.New(rand.NewPCG(seed, simAdviserStream)), busyUntil: map[string]time.Time{}, unreachableUntil: map[string]time.Time{},
 	}
 	return x
 }
@@ -117,12 +125,20 @@
 	x.stop = func() { cancel(); <-done }
 }
 
+const (
+	// maxLeaderlessTime bounds the time without a leader at a change of leader.
+	maxLeaderlessTime = 1500 * time.Millisecond
+	// simStartupTime is the time before the first job is submitted, in which the workers
+	// send their first heartbeats.
+	simStartupTime = time.Second
+)
+
 // changeLeader makes the leader lose its leadership, which it notices a little later.
 func (x *simulation) changeLeader() {
 	close(x.log.lost)
 	time.Sleep(randomDuration(x.random, 0, statusPollInterval))
 	x.stop()
-	time.Sleep(randomDuration(x.random, 0, 1500*time.Millisecond))
+	time.Sleep(randomDuration(x.random, 0, maxLeaderlessTime))
 	x.startLeader()
 }
 
@@ -201,7 +217,7 @@
 	defer cancel()
 	go x.workers.runTasks(ctx)
 	go x.sendHeartbeats(ctx)
-	time.Sleep(time.Second)
+	time.Sleep(simStartupTime)
 	for range x.params.unplaceable {
 		x.submit(&x.params.queues[0], unplaceableSteps(unknownLabel, ""))
 	}
--- a/internal/control/simulation_worker_test.go
+++ b/internal/control/simulation_worker_test.go
@@ -129,6 +129,9 @@
 	late                          time.Duration
 }
 
+// maxLateness bounds the time until a late call is carried out.
+const maxLateness = 3 * time.Second
+
 // drawCallOutcome draws the outcome of a call. r.mu must be held.
 func (r *simWorkers) drawCallOutcome(kind string, w *simWorker, run workflow.Run) callOutcome {
 	key := fmt.Sprint(kind, w.ID, run)
@@ -146,7 +149,7 @@
 	}{
 		{faults.lost, func() { f.lost = true }},
 		{faults.unanswered, func() { f.unanswered = true }},
-		{faults.late, func() { f.late = time.Duration(draw("late") * float64(3*time.Second)) }},
+		{faults.late, func() { f.late = time.Duration(draw("late") * float64(maxLateness)) }},
 		{faults.slow, func() { f.replyDelay = time.Duration(draw("slow") * float64(callTimeout*5/4)) }},
 		{faults.misdirected, func() { f.misdirected = kind == "start" }},
 	} {
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -16,7 +16,7 @@
 	w := clusterWithStartedTask(t)
 	w.withWorker("w1", func(f *fakeWorker) {
 		must.Eq(t, "payload", f.starts[0].Payload)
-		must.Eq(t, uint64(7), f.starts[0].Fence)
+		must.Eq(t, uint64(fakeLogTerm), f.starts[0].Fence)
 		f.finish(task("a", 0), workflow.OutcomeDone)
 	})
 	w.eventually("the job is done", func() bool { return w.phase("a") == workflow.PhaseDone })
@@ -71,8 +71,14 @@
 // which doesn't respond to the first starts. If the remaining starts are sent all the
 // same, their tasks can't move to an idle worker.
 func TestStartsQueuedBehindOverdueStartMoveElsewhere(t *testing.T) {
+	const (
+		// hangingStarts is more than the leader sends. laterStarts are the starts that wait
+		// for those in flight.
+		hangingStarts = 1000
+		laterStarts   = 4
+	)
 	w := newTestCluster(t, nil)
-	w.workers.add("w1").hangingStarts = 1000
+	w.workers.add("w1").hangingStarts = hangingStarts
 	w.announce("w1")
 	w.eventually("the worker is ready", func() bool {
 		term, err := w.c.currentLeaderTerm(context.Background())
@@ -82,14 +88,14 @@
 		return term.sessions["w1"] != nil && term.sessions["w1"].ready
 	})
 	step := oneTask
-	step.Count = maxConcurrentStarts + 4
+	step.Count = maxConcurrentStarts + laterStarts
 	w.submit("a", step)
 	w.eventually("the first starts are in flight", func() bool {
 		hung := 0
-		w.withWorker("w1", func(f *fakeWorker) { hung = 1000 - f.hangingStarts })
+		w.withWorker("w1", func(f *fakeWorker) { hung = hangingStarts - f.hangingStarts })
 		return hung >= maxConcurrentStarts
 	})
 	w.workers.add("w2")
 	w.announce("w2")
-	w.eventually("the unsent tasks start elsewhere", func() bool { return w.started("w2") >= 4 })
+	w.eventually("the unsent tasks start elsewhere", func() bool { return w.started("w2") >= laterStarts })
 }
--- a/internal/control/stops_test.go
+++ b/internal/control/stops_test.go
@@ -72,7 +72,8 @@
 func TestGangMembersAreStoppedWhenOneEnds(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
-	w.workers.add("w2").fence = 99
+	const fenceOfLaterLeader = 99
+	w.workers.add("w2").fence = fenceOfLaterLeader
 	w.announce("w1")
 	w.announce("w2")
 	gang := workflow.Step{Count: 2, Need: workflow.Resources{MilliCPU: 6000, MemoryMB: 10}, EstimateMS: 50, Gang: true}
