--- a/internal/control/admit_test.go
+++ b/internal/control/admit_test.go
@@ -40,7 +40,7 @@
 		})
 		return err
 	}
-	again := make(chan error, 1)
+	repeated := make(chan error, 1)
 	first := true
 	w.log.mu.Lock()
 	w.log.beforeApply = func(c workflow.Command) {
@@ -51,11 +51,11 @@
 		term.mu.Lock()
 		term.queuedSteps = maxQueuedSteps
 		term.mu.Unlock()
-		again <- call()
+		repeated <- call()
 	}
 	w.log.mu.Unlock()
 	must.NoError(t, call())
-	must.NoError(t, <-again)
+	must.NoError(t, <-repeated)
 	term.mu.Lock()
 	defer term.mu.Unlock()
 	must.MapEmpty(t, term.pendingSubmits)
--- a/internal/control/adviser_pool_test.go
+++ b/internal/control/adviser_pool_test.go
@@ -11,11 +11,11 @@
 // newTestAdviserPool returns a pool of n adviser connections: the leader's own one, and
 // those of n-1 instances that were last announced at now.
 func newTestAdviserPool(n int, now time.Time) *adviserPool {
-	l := newAdviserPool("own", nil, nil)
+	pool := newAdviserPool("own", nil, nil)
 	for i := 1; i < n; i++ {
-		l.recordAnnouncement(fmt.Sprintf("10.1.0.%02d", i), now)
+		pool.recordAnnouncement(fmt.Sprintf("10.1.0.%02d", i), now)
 	}
-	return l
+	return pool
 }
 
 const (
@@ -27,10 +27,10 @@
 
 // acquireLong acquires each connection that a query of one second may use, and returns
 // how many these are.
-func acquireLong(l *adviserPool, now time.Time) int {
+func acquireLong(pool *adviserPool, now time.Time) int {
 	used := map[string]bool{}
 	for {
-		conn, _ := l.acquire(now, longQueryDuration)
+		conn, _ := pool.acquire(now, longQueryDuration)
 		if conn == nil || used[conn.address] {
 			return len(used)
 		}
@@ -47,18 +47,18 @@
 	must.Eq(t, 1, acquireLong(newTestAdviserPool(1, start), start))
 	const loadSeconds = 9
 	for _, c := range []struct{ perSecond, least, most int }{{10, 40, 43}, {110, 36, 39}, {2000, 22, 22}} {
-		l := newTestAdviserPool(44, start)
+		pool := newTestAdviserPool(44, start)
 		now := start
 		for range loadSeconds * c.perSecond {
 			now = now.Add(time.Second / time.Duration(c.perSecond))
-			conn, _ := l.acquire(now, shortQueryDuration)
+			conn, _ := pool.acquire(now, shortQueryDuration)
 			must.NotNil(t, conn)
-			l.release(conn, now, false)
-			for _, known := range l.conns {
+			pool.release(conn, now, false)
+			for _, known := range pool.conns {
 				known.lastAnnounced = now
 			}
 		}
-		long := acquireLong(l, now)
+		long := acquireLong(pool, now)
 		must.Between(t, c.least, long, c.most, must.Sprintf("%d a second", c.perSecond))
 	}
 }
@@ -67,13 +67,13 @@
 // behind the long one of a gang while other connections are idle.
 func TestShortQueriesUseReservedConns(t *testing.T) {
 	now := time.Now()
-	l := newTestAdviserPool(8, now)
+	pool := newTestAdviserPool(8, now)
 	for range 100 {
-		conn, responseDue := l.acquire(now, shortQueryDuration)
+		conn, responseDue := pool.acquire(now, shortQueryDuration)
 		must.Eq(t, "10.1.0.01", conn.address)
 		must.Eq(t, now.Add(shortQueryDuration), responseDue)
 		now = now.Add(shortQueryDuration)
-		l.release(conn, now, false)
-		l.recordAnnouncement("10.1.0.01", now)
+		pool.release(conn, now, false)
+		pool.recordAnnouncement("10.1.0.01", now)
 	}
 }
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -30,7 +30,7 @@
 	machine := NewStateMachine()
 	l := &fakeLog{state: machine}
 	workers := &fakeWorkers{all: map[string]*fakeWorker{}}
-	c := New(Config{Address: "own", Workers: workers, Adviser: workers, Logger: log.NewNopLogger(), Counters: noCounters{}}, machine, l)
+	controller := New(Config{Address: "own", Workers: workers, Adviser: workers, Logger: log.NewNopLogger(), Counters: noCounters{}}, machine, l)
 	apply := func(command *workflow.Command) {
 		data, err := command.Encode()
 		if err != nil {
@@ -66,23 +66,23 @@
 	apply(&workflow.Command{Start: runs})
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
-	t := newLeaderTerm(ctx, cancel, c, fakeLogTerm)
-	for _, s := range t.sessions {
+	term := newLeaderTerm(ctx, cancel, controller, fakeLogTerm)
+	for _, s := range term.sessions {
 		s.ready, s.answeredAt = true, time.Now().Add(time.Hour)
 	}
 	for _, run := range runs {
-		t.sessions[run.Worker].orders[run.Task] = &runOrder{run: run, startedAt: time.Now(), listed: true, share: fullShare}
+		term.sessions[run.Worker].orders[run.Task] = &runOrder{run: run, startedAt: time.Now(), listed: true, share: fullShare}
 	}
 	for i := range queued {
 		if size.noPermits {
 			break
 		}
-		p := t.permitsOf(workflow.StepKey{Job: fmt.Sprint("j", i)})
+		p := term.permitsOf(workflow.StepKey{Job: fmt.Sprint("j", i)})
 		for k := range size.workers {
 			p.known[fmt.Sprint("w", k)] = dispatch.Permit{Granted: k%3 == i%3, Expires: time.Hour}
 		}
 	}
-	return t
+	return term
 }
 
 // BenchmarkDecide measures the time of one full decision, and its 99th percentile in
@@ -93,14 +93,14 @@
 		{1100, 50, 5500, false}, {1100, 10_000, 5500, true},
 	} {
 		b.Run(fmt.Sprintf("%dworkers/%dsteps/unasked=%v", size.workers, size.queued, size.noPermits), func(b *testing.B) {
-			t := loadedTerm(b, size)
+			term := loadedTerm(b, size)
 			now := time.Now()
 			const significantDigits = 3
 			took := hdrhistogram.New(1, int64(time.Second), significantDigits)
 			for b.Loop() {
 				start := time.Now()
-				input := t.gatherPlanInput(now)
-				dispatch.Decide(now.Sub(t.started), input.steps, input.workers, planLimits)
+				input := term.gatherPlanInput(now)
+				dispatch.Decide(now.Sub(term.started), input.steps, input.workers, planLimits)
 				must.NoError(b, took.RecordValue(int64(time.Since(start))))
 			}
 			b.ReportMetric(float64(took.ValueAtPercentile(99)), "p99-ns")
@@ -118,20 +118,20 @@
 }
 
 func decideMixedLoad(b *testing.B, workers int) {
-	t := loadedTerm(b, benchmarkLoad{workers: workers, queued: 0, runs: 5 * workers})
+	term := loadedTerm(b, benchmarkLoad{workers: workers, queued: 0, runs: 5 * workers})
 	policy := workflow.Policy{Service: "s", MaxAttempts: 3, Stretch: 2, ObjectiveMS: 1000, Priority: 1,
 		Advice: &workflow.AdvicePolicy{BaseMS: 450, PerWorkerMS: 6, TicketValidityMS: 1500}}
 	submit := func(id string, count int, gang bool) {
 		step := workflow.Step{Count: count, Need: workflow.Resources{MilliCPU: 18_000, MemoryMB: 20_000}, EstimateMS: 4000, Gang: gang}
 		command := &workflow.Command{Submit: &workflow.Submission{ID: id, Queue: "q", Steps: []workflow.Step{step}, Policy: policy}}
-		_, err := t.propose(command)
+		_, err := term.propose(command)
 		must.NoError(b, err)
 	}
 	const gangs, permitsPerGang, newSteps = 30, 60, 8
 	for i := range gangs {
 		id := fmt.Sprint("gang", i)
 		submit(id, 20, true)
-		p := t.permitsOf(workflow.StepKey{Job: id})
+		p := term.permitsOf(workflow.StepKey{Job: id})
 		for k := range permitsPerGang {
 			p.known[fmt.Sprint("w", (i*permitsPerGang+k)%workers)] = dispatch.Permit{Granted: k%4 == 0, Expires: time.Hour}
 		}
@@ -143,7 +143,7 @@
 	limits.Queries = 30
 	for b.Loop() {
 		now := time.Now()
-		input := t.gatherPlanInput(now)
-		dispatch.Decide(now.Sub(t.started), input.steps, input.workers, limits)
+		input := term.gatherPlanInput(now)
+		dispatch.Decide(now.Sub(term.started), input.steps, input.workers, limits)
 	}
 }
--- a/internal/control/chaos_test.go
+++ b/internal/control/chaos_test.go
@@ -25,7 +25,7 @@
 	workers      *chaosWorkers
 	term         uint64
 	incarnations int
-	c            *Controller
+	controller   *Controller
 	stop         func()
 }
 
@@ -35,25 +35,25 @@
 var programStart = time.Now()
 
 // startLeader starts a controller in the next term and waits until it leads.
-func (x *chaosRun) startLeader() {
-	x.term++
-	replicated := &fakeTermLog{fakeLog: fakeLog{state: x.state}, term: x.term}
-	x.c = New(Config{
-		Address: "own", Bounds: Bounds{MaxLease: testMaxLease, EndedJobRetention: time.Minute}, Workers: x.workers, Adviser: x.workers,
-		Client: link.NewClient(testMaxConns), Logger: log.With(log.NewLogfmtLogger(&x.workers.lines), "ms", log.Valuer(sinceStart), "term", x.term), Counters: noCounters{},
+func (chaos *chaosRun) startLeader() {
+	chaos.term++
+	replicated := &fakeTermLog{fakeLog: fakeLog{state: chaos.state}, term: chaos.term}
+	chaos.controller = New(Config{
+		Address: "own", Bounds: Bounds{MaxLease: testMaxLease, EndedJobRetention: time.Minute}, Workers: chaos.workers, Adviser: chaos.workers,
+		Client: link.NewClient(testMaxConns), Logger: log.With(log.NewLogfmtLogger(&chaos.workers.lines), "ms", log.Valuer(sinceStart), "term", chaos.term), Counters: noCounters{},
 		Leader: func() string { return "own" }, Members: func() []string { return nil },
-	}, x.state, replicated)
+	}, chaos.state, replicated)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if err := x.c.Run(ctx); err != nil {
-			x.t.Error(err)
+		if err := chaos.controller.Run(ctx); err != nil {
+			chaos.t.Error(err)
 		}
 	}()
-	x.stop = func() { cancel(); <-done }
+	chaos.stop = func() { cancel(); <-done }
 	for {
-		if _, err := x.c.currentLeaderTerm(context.Background()); err == nil {
+		if _, err := chaos.controller.currentLeaderTerm(context.Background()); err == nil {
 			return
 		}
 		time.Sleep(time.Millisecond)
@@ -61,20 +61,20 @@
 }
 
 // addWorker adds a worker and announces it.
-func (x *chaosRun) addWorker() {
-	x.incarnations++
-	id := fmt.Sprint("w", x.incarnations)
-	x.workers.mu.Lock()
-	x.workers.all[id] = &chaosWorker{
+func (chaos *chaosRun) addWorker() {
+	chaos.incarnations++
+	id := fmt.Sprint("w", chaos.incarnations)
+	chaos.workers.mu.Lock()
+	chaos.workers.all[id] = &chaosWorker{
 		id: id, capacity: tenCores, running: map[workflow.TaskKey]*chaosWorkerRun{}, stopped: map[workflow.TaskKey]int{},
 	}
-	x.workers.mu.Unlock()
-	x.announce(id)
+	chaos.workers.mu.Unlock()
+	chaos.announce(id)
 }
 
-func (x *chaosRun) announce(id string) {
-	_, err := x.c.Announce(context.Background(), &Announcement{Worker: worker(id)})
-	must.NoError(x.t, err)
+func (chaos *chaosRun) announce(id string) {
+	_, err := chaos.controller.Announce(context.Background(), &Announcement{Worker: worker(id)})
+	must.NoError(chaos.t, err)
 }
 
 // The kinds of faults that injectFault draws. The remaining kind is no fault.
@@ -87,30 +87,30 @@
 
 // injectFault injects one random fault: a crash, an unreachable worker, a leader change,
 // or none.
-func (x *chaosRun) injectFault() {
-	r := x.workers
-	r.mu.Lock()
+func (chaos *chaosRun) injectFault() {
+	ws := chaos.workers
+	ws.mu.Lock()
 	var up []*chaosWorker
-	for _, w := range r.all {
-		if !w.gone {
+	for _, w := range ws.all {
+		if !w.crashed {
 			up = append(up, w)
 		}
 	}
-	chosen := up[x.random.IntN(len(up))]
-	kind := x.random.IntN(chaosFaultKinds)
+	chosen := up[chaos.random.IntN(len(up))]
+	kind := chaos.random.IntN(chaosFaultKinds)
 	switch kind {
 	case crashFault:
-		chosen.gone = true
+		chosen.crashed = true
 	case unreachableFault:
-		chosen.unreachableUntil = time.Now().Add(time.Duration(100+x.random.IntN(900)) * time.Millisecond)
+		chosen.unreachableUntil = time.Now().Add(time.Duration(100+chaos.random.IntN(900)) * time.Millisecond)
 	}
-	r.mu.Unlock()
+	ws.mu.Unlock()
 	switch kind {
 	case crashFault:
-		x.addWorker()
+		chaos.addWorker()
 	case leaderChangeFault:
-		x.stop()
-		x.startLeader()
+		chaos.stop()
+		chaos.startLeader()
 	}
 }
 
@@ -147,11 +147,11 @@
 }
 
 // envNumber returns the number in an environment variable, or fallback if it holds none.
-func envNumber(name string, otherwise int) int {
+func envNumber(name string, fallback int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
-	return otherwise
+	return fallback
 }
 
 const (
@@ -171,54 +171,54 @@
 
 func randomFaults(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, chaosFaultStream))
-	x := &chaosRun{t: t, random: random, state: NewStateMachine(), workers: &chaosWorkers{
+	chaos := &chaosRun{t: t, random: random, state: NewStateMachine(), workers: &chaosWorkers{
 		t: t, random: rand.New(rand.NewPCG(seed, chaosCallStream)), all: map[string]*chaosWorker{}, specs: map[string]workflow.Step{},
 		completeGangs: map[gangRun]bool{}, startedAt: map[workflow.TaskKey][]time.Time{}, doneAt: map[workflow.TaskKey]time.Time{},
 	}}
-	x.startLeader()
-	defer func() { x.stop() }()
+	chaos.startLeader()
+	defer func() { chaos.stop() }()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go x.workers.runTasks(ctx)
-	must.NoError(t, x.propose(&workflow.Command{Configuration: &workflow.Document{Version: 1, Source: []byte("{}"), Queues: []workflow.Queue{
+	go chaos.workers.runTasks(ctx)
+	must.NoError(t, chaos.propose(&workflow.Command{Configuration: &workflow.Document{Version: 1, Source: []byte("{}"), Queues: []workflow.Queue{
 		{Name: "q", Host: "h", Prefix: "/q/", Policy: workflow.Policy{Service: "s", MaxAttempts: 9, Stretch: 2, ObjectiveMS: 100,
 			Advice: &workflow.AdvicePolicy{BaseMS: 1, TicketValidityMS: chaosTicketValidityMS}}},
 	}}}))
 	for range chaosWorkerCount {
-		x.addWorker()
+		chaos.addWorker()
 	}
 	jobs := 0
 	for range chaosRounds {
 		for range jobsPerRound {
 			jobs++
-			x.submit(fmt.Sprint("j", jobs))
+			chaos.submit(fmt.Sprint("j", jobs))
 		}
-		x.injectFault()
+		chaos.injectFault()
 		time.Sleep(time.Duration(random.IntN(maxRoundPauseMS)) * time.Millisecond)
 	}
-	x.workers.mu.Lock()
-	x.workers.faultsOver = true
-	x.workers.mu.Unlock()
-	x.awaitAllEnded()
-	x.workers.mu.Lock()
-	defer x.workers.mu.Unlock()
-	must.SliceEmpty(t, x.workers.violations, must.Sprint(x.workers.violations), must.Sprint(x.workers.lines.of(x.workers.violations)))
+	chaos.workers.mu.Lock()
+	chaos.workers.faultsOver = true
+	chaos.workers.mu.Unlock()
+	chaos.awaitAllEnded()
+	chaos.workers.mu.Lock()
+	defer chaos.workers.mu.Unlock()
+	must.SliceEmpty(t, chaos.workers.violations, must.Sprint(chaos.workers.violations), must.Sprint(chaos.workers.lines.linesAbout(chaos.workers.violations)))
 }
 
-func (x *chaosRun) propose(c *workflow.Command) error {
-	_, err := x.c.propose(context.Background(), c)
+func (chaos *chaosRun) propose(c *workflow.Command) error {
+	_, err := chaos.controller.propose(context.Background(), c)
 	return err
 }
 
-func (x *chaosRun) submit(id string) {
-	step := randomStep(x.random)
-	x.workers.mu.Lock()
-	x.workers.specs[id] = step
-	x.workers.mu.Unlock()
-	_, err := x.c.Submit(context.Background(), &SubmitCall{
+func (chaos *chaosRun) submit(id string) {
+	step := randomStep(chaos.random)
+	chaos.workers.mu.Lock()
+	chaos.workers.specs[id] = step
+	chaos.workers.mu.Unlock()
+	_, err := chaos.controller.Submit(context.Background(), &SubmitCall{
 		Address: JobAddress{Host: "h", Path: "/q/" + id}, Payload: "p", Steps: []workflow.Step{step},
 	})
-	must.NoError(x.t, err)
+	must.NoError(chaos.t, err)
 }
 
 const (
@@ -230,22 +230,22 @@
 
 // awaitAllEnded waits until no job is open, and sends the heartbeats of the running
 // workers meanwhile. It fails the test if jobs are still open after the last check.
-func (x *chaosRun) awaitAllEnded() {
+func (chaos *chaosRun) awaitAllEnded() {
 	var open []string
 	for range openJobChecks {
-		x.workers.mu.Lock()
+		chaos.workers.mu.Lock()
 		var up []string
-		for id, w := range x.workers.all {
-			if !w.gone {
+		for id, w := range chaos.workers.all {
+			if !w.crashed {
 				up = append(up, id)
 			}
 		}
-		x.workers.mu.Unlock()
+		chaos.workers.mu.Unlock()
 		for _, id := range up {
-			x.announce(id)
+			chaos.announce(id)
 		}
 		open = nil
-		x.state.read(func(s *workflow.State) {
+		chaos.state.read(func(s *workflow.State) {
 			for id, job := range s.OpenJobs() {
 				open = append(open, fmt.Sprint(id, " ", job.Unfinished))
 			}
@@ -255,5 +255,5 @@
 		}
 		time.Sleep(openJobCheckInterval)
 	}
-	x.t.Fatalf("jobs that have not ended: %v", open)
+	chaos.t.Fatalf("jobs that have not ended: %v", open)
 }
--- a/internal/control/chaos_workers_test.go
+++ b/internal/control/chaos_workers_test.go
@@ -41,12 +41,12 @@
 	acknowledged uint64
 	// unreachableUntil is when calls get through again.
 	unreachableUntil time.Time
-	gone             bool
+	crashed          bool
 }
 
 type chaosWorkerRun struct {
 	number int
-	ends   time.Time
+	endsAt time.Time
 	need   workflow.Resources
 }
 
@@ -90,8 +90,8 @@
 	_, _ = fmt.Fprintf(l, "ms=%d worker=%s %s task=%s run=%d\n", sinceStart(), w.id, event, task, run)
 }
 
-// of returns the log lines about the jobs that the violations name.
-func (l *chaosLog) of(violations []string) string {
+// linesAbout returns the log lines about the jobs that the violations name.
+func (l *chaosLog) linesAbout(violations []string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var found strings.Builder
@@ -131,14 +131,14 @@
 
 // drawOutcome decides whether a call takes effect now, later or never, and whether its
 // response arrives.
-func (r *chaosWorkers) drawOutcome(w *chaosWorker) (now, later, answered bool) {
-	if w.gone || time.Now().Before(w.unreachableUntil) {
+func (ws *chaosWorkers) drawOutcome(w *chaosWorker) (now, later, answered bool) {
+	if w.crashed || time.Now().Before(w.unreachableUntil) {
 		return false, false, false
 	}
-	if r.faultsOver {
+	if ws.faultsOver {
 		return true, false, true
 	}
-	switch p := r.random.Float64(); {
+	switch p := ws.random.Float64(); {
 	case p < answeredProbability:
 		return true, false, true
 	case p < unansweredProbability:
@@ -151,24 +151,24 @@
 }
 
 // call applies an order with the outcome that drawOutcome draws for it.
-func (r *chaosWorkers) call(id string, apply func(*chaosWorker) error) (int64, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	w := r.all[id]
-	if w.gone && !time.Now().Before(w.unreachableUntil) {
+func (ws *chaosWorkers) call(id string, apply func(*chaosWorker) error) (int64, error) {
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
+	w := ws.all[id]
+	if w.crashed && !time.Now().Before(w.unreachableUntil) {
 		return 0, ErrOtherIncarnation
 	}
-	now, later, answered := r.drawOutcome(w)
+	now, later, answered := ws.drawOutcome(w)
 	var err error
 	if now {
 		err = apply(w)
 	}
 	if later {
-		delay := time.Duration(20+r.random.IntN(300)) * time.Millisecond
+		delay := time.Duration(20+ws.random.IntN(300)) * time.Millisecond
 		time.AfterFunc(delay, func() {
-			r.mu.Lock()
-			defer r.mu.Unlock()
-			if !w.gone {
+			ws.mu.Lock()
+			defer ws.mu.Unlock()
+			if !w.crashed {
 				_ = apply(w)
 			}
 		})
@@ -179,11 +179,11 @@
 	return time.Now().UnixMilli(), err
 }
 
-func (r *chaosWorkers) Start(_ context.Context, to Target, o StartOrder) (int64, error) {
-	return r.call(to.Worker, func(w *chaosWorker) error { return r.startRun(w, o) })
+func (ws *chaosWorkers) Start(_ context.Context, to Target, o StartOrder) (int64, error) {
+	return ws.call(to.Worker, func(w *chaosWorker) error { return ws.startRun(w, o) })
 }
 
-func (r *chaosWorkers) startRun(w *chaosWorker, o StartOrder) error {
+func (ws *chaosWorkers) startRun(w *chaosWorker, o StartOrder) error {
 	if o.Fence < w.fence {
 		return &RefusedError{RefusedStaleFence}
 	}
@@ -198,38 +198,38 @@
 		return nil
 	case time.Now().After(w.leaseEnd):
 		return &RefusedError{RefusedLeaseExpired}
-	case r.random.Float64() < refusedStartProbability && !r.faultsOver:
+	case ws.random.Float64() < refusedStartProbability && !ws.faultsOver:
 		return &RefusedError{RefusedTicket}
 	}
-	spec := r.specs[task.Job]
-	w.running[task] = &chaosWorkerRun{number: o.Run.Number, need: spec.Need, ends: time.Now().Add(time.Duration(10+r.random.IntN(60)) * time.Millisecond)}
-	r.lines.logRun("starts", w, task, o.Run.Number)
-	r.recordViolations(w, task, spec)
+	spec := ws.specs[task.Job]
+	w.running[task] = &chaosWorkerRun{number: o.Run.Number, need: spec.Need, endsAt: time.Now().Add(time.Duration(10+ws.random.IntN(60)) * time.Millisecond)}
+	ws.lines.logRun("starts", w, task, o.Run.Number)
+	ws.recordViolations(w, task, spec)
 	return nil
 }
 
 // recordViolations records the invariants that a start violates.
-func (r *chaosWorkers) recordViolations(w *chaosWorker, task workflow.TaskKey, spec workflow.Step) {
+func (ws *chaosWorkers) recordViolations(w *chaosWorker, task workflow.TaskKey, spec workflow.Step) {
 	key := outcomeKey(task, spec)
-	r.startedAt[key] = append(r.startedAt[key], time.Now())
-	if !r.doneAt[key].IsZero() && !spec.Speculative {
-		r.violations = append(r.violations, fmt.Sprintf("%s starts on %s after it was done", task, w.id))
+	ws.startedAt[key] = append(ws.startedAt[key], time.Now())
+	if !ws.doneAt[key].IsZero() && !spec.Speculative {
+		ws.violations = append(ws.violations, fmt.Sprintf("%s starts on %s after it was done", task, w.id))
 	}
 	live := 0
-	for _, other := range r.all {
-		if other.running[task] != nil && !other.gone {
+	for _, other := range ws.all {
+		if other.running[task] != nil && !other.crashed {
 			live++
 		}
 	}
 	if live > 1 && !spec.Speculative || live > maxRunsOfTask {
-		r.violations = append(r.violations, fmt.Sprintf("%d runs of %s", live, task))
+		ws.violations = append(ws.violations, fmt.Sprintf("%d runs of %s", live, task))
 	}
 	var used workflow.Resources
 	for _, run := range w.running {
 		used = used.Plus(run.need)
 	}
 	if !used.Fits(w.capacity) {
-		r.violations = append(r.violations, fmt.Sprintf("runs on %s need %v of %v", w.id, used, w.capacity))
+		ws.violations = append(ws.violations, fmt.Sprintf("runs on %s need %v of %v", w.id, used, w.capacity))
 	}
 }
 
@@ -244,18 +244,18 @@
 
 // acknowledge records that a leader has acknowledged ends. An acknowledged end is final,
 // unless the lease expired between the end and the acknowledgement.
-func (r *chaosWorkers) acknowledge(w *chaosWorker, lastEnd uint64) {
+func (ws *chaosWorkers) acknowledge(w *chaosWorker, lastEnd uint64) {
 	for ; w.acknowledged < lastEnd; w.acknowledged++ {
 		e, at := w.ended[w.acknowledged], w.endedAt[w.acknowledged]
-		spec := r.specs[e.Task.Job]
+		spec := ws.specs[e.Task.Job]
 		if e.Outcome != workflow.OutcomeDone || w.leaseExpiredAt.After(at) {
 			continue
 		}
 		key := outcomeKey(e.Task, spec)
-		r.doneAt[key] = at
-		for _, started := range r.startedAt[key] {
+		ws.doneAt[key] = at
+		for _, started := range ws.startedAt[key] {
 			if started.After(at) && !spec.Speculative {
-				r.violations = append(r.violations, fmt.Sprintf("%s started elsewhere between its end on %s and the acknowledgement", key, w.id))
+				ws.violations = append(ws.violations, fmt.Sprintf("%s started elsewhere between its end on %s and the acknowledgement", key, w.id))
 			}
 		}
 	}
@@ -271,8 +271,8 @@
 	}
 }
 
-func (r *chaosWorkers) Stop(_ context.Context, to Target, o StopOrder) (int64, error) {
-	return r.call(to.Worker, func(w *chaosWorker) error {
+func (ws *chaosWorkers) Stop(_ context.Context, to Target, o StopOrder) (int64, error) {
+	return ws.call(to.Worker, func(w *chaosWorker) error {
 		if o.Fence < w.fence {
 			return &RefusedError{RefusedStaleFence}
 		}
@@ -285,7 +285,9 @@
 	})
 }
 
-func (r *chaosWorkers) Throttle(context.Context, Target, ThrottleOrder) (int64, error) { return 0, nil }
+func (ws *chaosWorkers) Throttle(context.Context, Target, ThrottleOrder) (int64, error) {
+	return 0, nil
+}
 
 func (w *chaosWorker) finish(task workflow.TaskKey, outcome workflow.Outcome) {
 	run := w.running[task]
@@ -296,19 +298,19 @@
 	w.endedAt = append(w.endedAt, time.Now())
 }
 
-func (r *chaosWorkers) Poll(ctx context.Context, to Target, o PollOrder) (Report, error) {
+func (ws *chaosWorkers) Poll(ctx context.Context, to Target, o PollOrder) (Report, error) {
 	wait.For(ctx, fakePollHold)
 	var report Report
-	clock, err := r.call(to.Worker, func(w *chaosWorker) error {
+	clock, err := ws.call(to.Worker, func(w *chaosWorker) error {
 		if o.Fence < w.fence {
 			return &RefusedError{RefusedStaleFence}
 		}
 		w.fence = o.Fence
 		w.extendLease(o.LeaseEndMS)
-		r.acknowledge(w, o.LastEnd)
+		ws.acknowledge(w, o.LastEnd)
 		report = Report{}
 		for task, run := range w.running {
-			report.Running = append(report.Running, Running{Task: task, Number: run.number, Percent: r.random.IntN(100)})
+			report.Running = append(report.Running, Running{Task: task, Number: run.number, Percent: ws.random.IntN(100)})
 		}
 		for _, e := range w.ended {
 			if e.Position > o.LastEnd && len(report.Ended) < maxEndsPerReport {
@@ -319,17 +321,17 @@
 		return nil
 	})
 	// A delayed poll also writes the report under the lock.
-	r.mu.Lock()
+	ws.mu.Lock()
 	response := report
-	r.mu.Unlock()
+	ws.mu.Unlock()
 	response.ClockMS = clock
 	return response, err
 }
 
-func (r *chaosWorkers) Query(_ context.Context, call AdviserQuery) (AdviserReply, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if !r.faultsOver && r.random.Float64() < lostQueryProbability {
+func (ws *chaosWorkers) Query(_ context.Context, call AdviserQuery) (AdviserReply, error) {
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
+	if !ws.faultsOver && ws.random.Float64() < lostQueryProbability {
 		return AdviserReply{}, errInjected
 	}
 	reply := AdviserReply{Valid: chaosTicketValidityMS * time.Millisecond}
@@ -340,41 +342,41 @@
 }
 
 // runTasks ends runs whose duration is over or whose lease has expired, until ctx ends.
-func (r *chaosWorkers) runTasks(ctx context.Context) {
+func (ws *chaosWorkers) runTasks(ctx context.Context) {
 	for wait.For(ctx, chaosRunInterval) {
-		r.mu.Lock()
-		for _, w := range r.all {
+		ws.mu.Lock()
+		for _, w := range ws.all {
 			for task, run := range w.running {
 				switch {
-				case w.gone:
+				case w.crashed:
 				case time.Now().After(w.leaseEnd):
-					r.lines.logRun("lease expires", w, task, run.number)
+					ws.lines.logRun("lease expires", w, task, run.number)
 					w.finish(task, workflow.OutcomeLeaseExpired)
-				case time.Now().After(run.ends) && r.gangComplete(task, run.number):
-					r.endRun(w, task)
+				case time.Now().After(run.endsAt) && ws.gangComplete(task, run.number):
+					ws.endRun(w, task)
 				}
 			}
 		}
-		r.mu.Unlock()
+		ws.mu.Unlock()
 	}
 }
 
 // gangComplete reports whether a run may end on its own: the members of a gang make
 // progress only once all of them have started, so none is done before.
-func (r *chaosWorkers) gangComplete(task workflow.TaskKey, run int) bool {
-	spec := r.specs[task.Job]
-	if !spec.Gang || r.completeGangs[gangRun{task.StepKey, run}] {
+func (ws *chaosWorkers) gangComplete(task workflow.TaskKey, run int) bool {
+	spec := ws.specs[task.Job]
+	if !spec.Gang || ws.completeGangs[gangRun{task.StepKey, run}] {
 		return true
 	}
 	present := map[int]bool{}
-	for _, w := range r.all {
-		for other, theirs := range w.running {
-			if other.StepKey == task.StepKey && theirs.number == run && !w.gone {
+	for _, w := range ws.all {
+		for other, otherRun := range w.running {
+			if other.StepKey == task.StepKey && otherRun.number == run && !w.crashed {
 				present[other.Index] = true
 			}
 		}
 	}
-	r.completeGangs[gangRun{task.StepKey, run}] = len(present) == spec.Count
+	ws.completeGangs[gangRun{task.StepKey, run}] = len(present) == spec.Count
 	return len(present) == spec.Count
 }
 
@@ -385,11 +387,11 @@
 }
 
 // endRun ends a run as done, or as failed with a probability of 1/20.
-func (r *chaosWorkers) endRun(w *chaosWorker, task workflow.TaskKey) {
+func (ws *chaosWorkers) endRun(w *chaosWorker, task workflow.TaskKey) {
 	outcome := workflow.OutcomeDone
-	if r.random.IntN(failedRunOneIn) == 0 {
+	if ws.random.IntN(failedRunOneIn) == 0 {
 		outcome = workflow.OutcomeFailed
 	}
-	r.lines.logRun("ends "+outcome.String(), w, task, w.running[task].number)
+	ws.lines.logRun("ends "+outcome.String(), w, task, w.running[task].number)
 	w.finish(task, outcome)
 }
--- a/internal/control/crash_test.go
+++ b/internal/control/crash_test.go
@@ -35,8 +35,8 @@
 
 // crashNext waits until the job has failed or its task has started once more, and reports
 // whether the job has failed. If the task has started, crashNext crashes its worker; the
-// leader can detect the crash only after knownAfter.
-func (c *crashingTask) crashNext(knownAfter time.Duration) (failed bool) {
+// leader can detect the crash only after detectableAfter.
+func (c *crashingTask) crashNext(detectableAfter time.Duration) (failed bool) {
 	worker := c.currentWorker()
 	c.w.eventually("the task starts or its job fails", func() bool {
 		failed = c.w.phase("a") == workflow.PhaseFailed
@@ -49,7 +49,7 @@
 	c.w.withWorker(worker, func(f *fakeWorker) { f.responsesLost = true })
 	c.w.workers.add(c.currentWorker())
 	c.w.announce(c.currentWorker())
-	time.AfterFunc(knownAfter, func() { c.w.withWorker(worker, func(f *fakeWorker) { f.superseded = true }) })
+	time.AfterFunc(detectableAfter, func() { c.w.withWorker(worker, func(f *fakeWorker) { f.superseded = true }) })
 	return false
 }
 
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -446,9 +446,9 @@
 	noStartWait = 100 * time.Millisecond
 )
 
-// eventually waits until ok returns true, and fails the test if it never does. what names
-// the awaited event.
-func (w *testCluster) eventually(what string, ok func() bool) {
+// eventually waits until ok returns true, and fails the test if it never does. event
+// names what it waits for.
+func (w *testCluster) eventually(event string, ok func() bool) {
 	w.t.Helper()
 	for range eventuallyChecks {
 		if ok() {
@@ -456,7 +456,7 @@
 		}
 		time.Sleep(eventuallyInterval)
 	}
-	w.t.Fatalf("never: %s", what)
+	w.t.Fatalf("never: %s", event)
 }
 
 // withWorker calls f with a worker while the lock of all fake workers is held.
--- a/internal/control/heartbeat_buffer_test.go
+++ b/internal/control/heartbeat_buffer_test.go
@@ -11,16 +11,16 @@
 // leader collects buffered ones, or none is forwarded any more after the leader has
 // stopped collecting.
 func TestHeartbeatBufferLimitsForwardRate(t *testing.T) {
-	var l heartbeatBuffer
+	var heartbeats heartbeatBuffer
 	now := time.Now()
-	must.False(t, l.buffer("w", now), must.Sprint("the leader doesn't collect: the heartbeat has to be forwarded"))
-	must.SliceEmpty(t, l.collect(now))
-	must.True(t, l.buffer("w", now))
-	must.True(t, l.buffer("w", now.Add(100*time.Millisecond)))
-	must.Eq(t, []BufferedHeartbeat{{Worker: "w", Age: 400 * time.Millisecond}}, l.collect(now.Add(500*time.Millisecond)))
-	must.True(t, l.buffer("w", now.Add(time.Second)))
-	must.SliceEmpty(t, l.collect(now.Add(time.Second)))
-	must.False(t, l.buffer("w", now.Add(time.Second+2*collectTimeout)), must.Sprint("the leader has stopped collecting"))
+	must.False(t, heartbeats.buffer("w", now), must.Sprint("the leader doesn't collect: the heartbeat has to be forwarded"))
+	must.SliceEmpty(t, heartbeats.collect(now))
+	must.True(t, heartbeats.buffer("w", now))
+	must.True(t, heartbeats.buffer("w", now.Add(100*time.Millisecond)))
+	must.Eq(t, []BufferedHeartbeat{{Worker: "w", Age: 400 * time.Millisecond}}, heartbeats.collect(now.Add(500*time.Millisecond)))
+	must.True(t, heartbeats.buffer("w", now.Add(time.Second)))
+	must.SliceEmpty(t, heartbeats.collect(now.Add(time.Second)))
+	must.False(t, heartbeats.buffer("w", now.Add(time.Second+2*collectTimeout)), must.Sprint("the leader has stopped collecting"))
 }
 
 // Guards against this failure: the leader stops monitoring a worker that it couldn't
--- a/internal/control/heartbeat_transport_test.go
+++ b/internal/control/heartbeat_transport_test.go
@@ -23,46 +23,46 @@
 
 // sendHeartbeat sends one heartbeat with the worker's report and carries out the orders
 // in the response.
-func (w *testCluster) sendHeartbeat(b *heartbeatWorker) {
+func (w *testCluster) sendHeartbeat(sender *heartbeatWorker) {
 	report := Report{ClockMS: time.Now().UnixMilli()}
 	w.workers.mu.Lock()
-	for _, running := range b.running {
+	for _, running := range sender.running {
 		report.Running = append(report.Running, running)
 	}
-	report.Ended = append(report.Ended, b.ended...)
+	report.Ended = append(report.Ended, sender.ended...)
 	w.workers.mu.Unlock()
-	reply, err := w.c.Announce(context.Background(), &Announcement{Worker: worker(b.id), Report: &report})
+	reply, err := w.c.Announce(context.Background(), &Announcement{Worker: worker(sender.id), Report: &report})
 	must.NoError(w.t, err)
 	if reply.Orders == nil {
 		return
 	}
-	if b.loseResponses > 0 {
-		b.loseResponses--
-		b.lostResponses = append(b.lostResponses, *reply.Orders)
+	if sender.loseResponses > 0 {
+		sender.loseResponses--
+		sender.lostResponses = append(sender.lostResponses, *reply.Orders)
 		return
 	}
 	w.workers.mu.Lock()
 	defer w.workers.mu.Unlock()
-	b.carryOut(*reply.Orders)
+	sender.carryOut(*reply.Orders)
 }
 
-func (b *heartbeatWorker) carryOut(orders HeartbeatOrders) {
-	if orders.Fence < b.fence {
+func (sender *heartbeatWorker) carryOut(orders HeartbeatOrders) {
+	if orders.Fence < sender.fence {
 		return
 	}
-	b.fence = orders.Fence
+	sender.fence = orders.Fence
 	for _, run := range orders.Stops {
-		b.stopped[run.Task] = max(b.stopped[run.Task], run.Number)
-		if b.running[run.Task].Number == run.Number {
-			b.finish(run.Task, workflow.OutcomeStopped)
+		sender.stopped[run.Task] = max(sender.stopped[run.Task], run.Number)
+		if sender.running[run.Task].Number == run.Number {
+			sender.finish(run.Task, workflow.OutcomeStopped)
 		}
 	}
 	for _, start := range orders.Starts {
 		// The leader takes the run for refused when the next report lacks it.
-		_ = b.startRun(start)
+		_ = sender.startRun(start)
 	}
 	if orders.Lease > 0 {
-		b.leases = append(b.leases, orders.Lease.Milliseconds())
+		sender.leases = append(sender.leases, orders.Lease.Milliseconds())
 	}
 }
 
@@ -89,12 +89,12 @@
 	t.Cleanup(cancel)
 	all := map[string]*heartbeatWorker{}
 	for _, id := range ids {
-		b := &heartbeatWorker{fakeWorker: w.workers.add(id)}
-		all[id] = b
+		sender := &heartbeatWorker{fakeWorker: w.workers.add(id)}
+		all[id] = sender
 		go func() {
 			for wait.For(ctx, testHeartbeatInterval) {
 				if _, err := w.c.currentLeaderTerm(context.Background()); err == nil {
-					w.sendHeartbeat(b)
+					w.sendHeartbeat(sender)
 				}
 			}
 		}()
@@ -137,26 +137,26 @@
 // delayed start.
 func TestStopIsDeliveredAfterTwoPromptHeartbeats(t *testing.T) {
 	const fence = 7
-	b := newHeartbeatTransport(nil)
+	transport := newHeartbeatTransport(nil)
 	run := workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}
 	ctx, cancel := context.WithTimeout(context.Background(), transportTimeout)
 	defer cancel()
 	stopped := make(chan error, 1)
-	b.exchange(ctx, "w1", fence, Report{})
+	transport.exchange(ctx, "w1", fence, Report{})
 	go func() {
-		_, err := b.Stop(ctx, Target{Worker: "w1"}, StopOrder{Run: run, Fence: fence})
+		_, err := transport.Stop(ctx, Target{Worker: "w1"}, StopOrder{Run: run, Fence: fence})
 		stopped <- err
 	}()
-	for len(b.exchange(ctx, "w1", fence, Report{}).Stops) == 0 {
+	for len(transport.exchange(ctx, "w1", fence, Report{}).Stops) == 0 {
 		continue
 	}
-	b.exchange(ctx, "w1", fence, Report{})
+	transport.exchange(ctx, "w1", fence, Report{})
 	select {
 	case <-stopped:
 		t.Fatal("a single heartbeat proved that the stop arrived; it may come from a broken connection")
 	case <-time.After(noResultWait):
 	}
-	b.exchange(ctx, "w1", fence, Report{})
+	transport.exchange(ctx, "w1", fence, Report{})
 	must.NoError(t, <-stopped)
 }
 
@@ -166,25 +166,25 @@
 // of the old leader after the report.
 func TestPollNeedsTwoHeartbeatsUnderItsFence(t *testing.T) {
 	const oldFence, newFence = 6, 7
-	b := newHeartbeatTransport(nil)
+	transport := newHeartbeatTransport(nil)
 	ctx, cancel := context.WithTimeout(context.Background(), transportTimeout)
 	defer cancel()
 	got := make(chan Report, 1)
-	b.exchange(ctx, "w1", oldFence, Report{})
-	b.exchange(ctx, "w1", oldFence, Report{})
+	transport.exchange(ctx, "w1", oldFence, Report{})
+	transport.exchange(ctx, "w1", oldFence, Report{})
 	go func() {
-		report, err := b.Poll(ctx, Target{Worker: "w1"}, PollOrder{Fence: newFence})
+		report, err := transport.Poll(ctx, Target{Worker: "w1"}, PollOrder{Fence: newFence})
 		must.NoError(t, err)
 		got <- report
 	}()
 	time.Sleep(noResultWait)
-	b.exchange(ctx, "w1", newFence, Report{ClockMS: 1})
-	b.exchange(ctx, "w1", newFence, Report{ClockMS: 2})
+	transport.exchange(ctx, "w1", newFence, Report{ClockMS: 1})
+	transport.exchange(ctx, "w1", newFence, Report{ClockMS: 2})
 	select {
 	case <-got:
 		t.Fatal("a poll returned a report that may be older than the fence")
 	case <-time.After(noResultWait):
 	}
-	b.exchange(ctx, "w1", newFence, Report{ClockMS: 3})
+	transport.exchange(ctx, "w1", newFence, Report{ClockMS: 3})
 	must.Eq(t, int64(3), (<-got).ClockMS)
 }
--- a/internal/control/incarnations_test.go
+++ b/internal/control/incarnations_test.go
@@ -25,9 +25,9 @@
 }
 
 // restart starts the next incarnation of a worker at its address.
-func (w *testCluster) restart(before, after string) {
-	next := w.workers.add(after)
-	w.withWorker(before, func(f *fakeWorker) { f.successor = next })
+func (w *testCluster) restart(predecessor, successor string) {
+	next := w.workers.add(successor)
+	w.withWorker(predecessor, func(f *fakeWorker) { f.successor = next })
 }
 
 // clusterWithIncarnation returns a cluster whose leader has started the only task of job
--- a/internal/control/leader_term_test.go
+++ b/internal/control/leader_term_test.go
@@ -126,7 +126,7 @@
 // Guards against this failure: a worker gets more tasks than fit, because a second
 // decision is made while starts are being committed and doesn't count the resources that
 // they need.
-func TestProposedStartsReserveCapacity(t *testing.T) {
+func TestProposedStartsReserveResources(t *testing.T) {
 	w := newTestCluster(t, nil)
 	w.workers.add("w1")
 	w.announce("w1")
--- a/internal/control/load_test.go
+++ b/internal/control/load_test.go
@@ -24,11 +24,11 @@
 // gauges.
 func observedTerm() (*leaderTerm, *bytes.Buffer, gauges) {
 	lines, counters := &bytes.Buffer{}, gauges{}
-	t := &leaderTerm{
+	term := &leaderTerm{
 		c:      New(Config{Counters: counters, Logger: log.NewNopLogger()}, NewStateMachine(), nil),
 		logger: log.NewLogfmtLogger(lines),
 	}
-	return t, lines, counters
+	return term, lines, counters
 }
 
 // pendingStep returns a step whose tasks are all pending. Each task needs 4 cores and 8000
@@ -47,14 +47,14 @@
 // fragmentedWorkers returns three workers with 3, 9 and 6 free cores. The last one has too
 // little memory for a second task.
 func fragmentedWorkers() []dispatch.Worker {
-	var list []dispatch.Worker
+	var workers []dispatch.Worker
 	for i, free := range []workflow.Resources{{MilliCPU: 3000, MemoryMB: 50_000}, {MilliCPU: 9000, MemoryMB: 50_000, Accelerators: 1}, {MilliCPU: 6000, MemoryMB: 9000}} {
-		list = append(list, dispatch.Worker{
+		workers = append(workers, dispatch.Worker{
 			Worker: workflow.Worker{ID: fmt.Sprint("w", i), Service: "s", Capacity: workflow.Resources{MilliCPU: 16_000, MemoryMB: 64_000, Accelerators: 2}},
 			Free:   free, FreeBeforePlan: free,
 		})
 	}
-	return list
+	return workers
 }
 
 // Checks that the load line and the gauges show the fragmentation of the free resources
--- a/internal/control/serve_version_test.go
+++ b/internal/control/serve_version_test.go
@@ -10,7 +10,7 @@
 
 // Checks that a response reports the configuration version by which its queue was looked
 // up, also when there is no such queue.
-func TestReplyReportsConfigurationVersion(t *testing.T) {
+func TestResponseReportsConfigurationVersion(t *testing.T) {
 	w := newTestCluster(t, nil)
 	ctx, recorder := link.WithVersionRecorder(t.Context())
 	_, err := w.c.State(ctx, &StateCall{Address: JobAddress{Host: "nowhere", Path: "/x/"}})
--- a/internal/control/settle_test.go
+++ b/internal/control/settle_test.go
@@ -97,7 +97,7 @@
 // Guards against this failure: the tasks of a crashed and restarted worker wait until its
 // lease expires, although the response of the next incarnation proves that the old one
 // has ended.
-func TestTasksOfReplacedIncarnationRunAgainImmediately(t *testing.T) {
+func TestTasksOfSupersededIncarnationRunAgainImmediately(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	w.workers.add("w2")
 	w.announce("w2")
@@ -217,7 +217,7 @@
 // Guards against this failure: a task runs twice. The first call with a start gets no
 // response, the second one is refused, the refusal settles the run, and the first call is
 // carried out later.
-func TestRefusalSettlesNothingWhileEarlierCallIsOpen(t *testing.T) {
+func TestRefusalSettlesNothingWhileEarlierCallIsInFlight(t *testing.T) {
 	w := clusterWithStartedTask(t)
 	term, err := w.c.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
--- a/internal/control/simulation_adviser_test.go
+++ b/internal/control/simulation_adviser_test.go
@@ -50,7 +50,7 @@
 
 // Query serves a query from the leader's own machine.
 func (a *simAdviser) Query(ctx context.Context, call AdviserQuery) (AdviserReply, error) {
-	return a.answer(ctx, ownAddress, call)
+	return a.serveQuery(ctx, ownAddress, call)
 }
 
 // ownAddress is the leader's own address.
@@ -58,12 +58,12 @@
 
 // Call serves a query through another instance.
 func (a *simAdviser) Call(ctx context.Context, address, _ string, request, reply any) error {
-	response, err := a.answer(ctx, address, *request.(*AdviserQuery))
+	response, err := a.serveQuery(ctx, address, *request.(*AdviserQuery))
 	*reply.(*AdviserReply) = response
 	return err
 }
 
-func (a *simAdviser) answer(ctx context.Context, address string, call AdviserQuery) (AdviserReply, error) {
+func (a *simAdviser) serveQuery(ctx context.Context, address string, call AdviserQuery) (AdviserReply, error) {
 	policy := a.policyOf(call.Step)
 	if policy == nil {
 		return AdviserReply{}, errNoResponse
@@ -108,16 +108,16 @@
 }
 
 // ticketFor returns a ticket that contains what it permits and when it expires.
-func ticketFor(step workflow.StepKey, worker string, ends time.Time) string {
-	return fmt.Sprint(step, " ", worker, " ", ends.UnixNano())
+func ticketFor(step workflow.StepKey, worker string, expires time.Time) string {
+	return fmt.Sprint(step, " ", worker, " ", expires.UnixNano())
 }
 
 // ticketHolds reports whether a ticket permits a step on a worker now.
 func ticketHolds(ticket string, step workflow.StepKey, worker string) bool {
 	rest, ok := strings.CutPrefix(ticket, fmt.Sprint(step, " ", worker, " "))
-	ends := int64(0)
-	if _, err := fmt.Sscan(rest, &ends); err != nil {
+	expires := int64(0)
+	if _, err := fmt.Sscan(rest, &expires); err != nil {
 		return false
 	}
-	return ok && time.Now().UnixNano() < ends
+	return ok && time.Now().UnixNano() < expires
 }
--- a/internal/control/simulation_checks_test.go
+++ b/internal/control/simulation_checks_test.go
@@ -30,25 +30,25 @@
 
 // invariantViolations returns the violations so far of the invariants that must hold at
 // any time.
-func (x *simulation) invariantViolations() []string {
-	x.workers.mu.Lock()
-	found := append(slices.Clone(x.workers.violations), x.lines.unexpectedOrphans(x.workers.allowedOrphans)...)
-	x.workers.mu.Unlock()
-	found = append(found, x.wronglyGivenUp()...)
-	c := x.controller()
+func (sim *simulation) invariantViolations() []string {
+	sim.workers.mu.Lock()
+	found := append(slices.Clone(sim.workers.violations), sim.lines.unexpectedOrphans(sim.workers.allowedOrphans)...)
+	sim.workers.mu.Unlock()
+	found = append(found, sim.wronglyGivenUp()...)
+	c := sim.controller()
 	c.mu.Lock()
-	t := c.leaderTerm
+	term := c.leaderTerm
 	c.mu.Unlock()
-	if t == nil {
+	if term == nil {
 		return found
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	x.maxBacklog = max(x.maxBacklog, t.stepsBeyondBound)
-	if t.runCounts.longest < maxUnaccounted {
+	term.mu.Lock()
+	defer term.mu.Unlock()
+	sim.maxBacklog = max(sim.maxBacklog, term.stepsBeyondBound)
+	if term.runCounts.longest < maxUnaccounted {
 		return found
 	}
-	for run, since := range t.unaccountedSince {
+	for run, since := range term.unaccountedSince {
 		if age := time.Since(since); age >= maxUnaccounted {
 			found = append(found, fmt.Sprintf("%s run %d on %s is unaccounted for, age %v", run.Task, run.Number, run.Worker, age))
 		}
@@ -69,37 +69,37 @@
 
 // awaitCompletion waits after the end of the faults until all work that can be done is
 // done, and returns the steps that wait for too long.
-func (x *simulation) awaitCompletion() []string {
+func (sim *simulation) awaitCompletion() []string {
 	start := time.Now()
-	work, queryTime := x.estimateRemaining()
+	work, queryTime := sim.estimateRemaining()
 	// The resources of runs on lost workers become free only when their leases expire, and
 	// some workers are quarantined.
-	recoveryTime := 2*x.params.lease + predecessorSlack + quarantineFor + stalledRunTimeout
+	recoveryTime := 2*sim.params.lease + predecessorSlack + quarantineFor + stalledRunTimeout
 	drained := recoveryTime + work + queryTime
 	deadline := start.Add(2*drained + completionMargin)
 	waitingSince := map[workflow.StepKey]time.Time{}
-	x.lines.logf("workers recover within %v, open work ends within %v", recoveryTime, drained)
+	sim.lines.logf("workers recover within %v, open work ends within %v", recoveryTime, drained)
 	for {
 		time.Sleep(checkInterval)
-		if found := x.invariantViolations(); len(found) > 0 {
+		if found := sim.invariantViolations(); len(found) > 0 {
 			return found
 		}
-		open, mostlyUsed := x.openSteps()
+		open, mostlyUsed := sim.openSteps()
 		left := slices.DeleteFunc(open, func(s openStep) bool { return !s.placeable })
 		if len(left) == 0 {
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return x.describe("isn't done long after the faults ended:", left)
+			return sim.describe("isn't done long after the faults ended:", left)
 		}
-		if found := x.starvedSteps(left, waitingSince, mostlyUsed, start.Add(drained)); len(found) > 0 {
-			return x.describe("fits into free resources but does not start:", found)
+		if found := sim.starvedSteps(left, waitingSince, mostlyUsed, start.Add(drained)); len(found) > 0 {
+			return sim.describe("fits into free resources but does not start:", found)
 		}
 	}
 }
 
 // starvedSteps returns the steps that have fitted twice over for too long without a start.
-func (x *simulation) starvedSteps(steps []openStep, waitingSince map[workflow.StepKey]time.Time, mostlyUsed bool, checkFrom time.Time) (found []openStep) {
+func (sim *simulation) starvedSteps(steps []openStep, waitingSince map[workflow.StepKey]time.Time, mostlyUsed bool, checkFrom time.Time) (found []openStep) {
 	now := time.Now()
 	waiting := map[workflow.StepKey]bool{}
 	for _, s := range steps {
@@ -107,16 +107,16 @@
 		if s.spec.Gang {
 			least *= s.spec.Count
 		}
-		if x.containsCrashingTask(s.key.Job) || len(s.notRunning) == 0 || s.fitCount < least || mostlyUsed || now.Before(checkFrom) {
+		if sim.containsCrashingTask(s.key.Job) || len(s.notRunning) == 0 || s.fitCount < least || mostlyUsed || now.Before(checkFrom) {
 			continue
 		}
 		waiting[s.key] = true
-		x.workers.mu.Lock()
-		started := x.workers.lastStart[s.key]
-		x.workers.mu.Unlock()
+		sim.workers.mu.Lock()
+		started := sim.workers.lastStart[s.key]
+		sim.workers.mu.Unlock()
 		if since, ok := waitingSince[s.key]; !ok || since.Before(started) {
 			waitingSince[s.key] = now
-		} else if now.Sub(since) > x.maxWait(&s) {
+		} else if now.Sub(since) > sim.maxWait(&s) {
 			found = append(found, s)
 		}
 	}
@@ -130,10 +130,10 @@
 
 // maxWait returns how long a step may wait: maxReadyWait, and the time for the adviser
 // queries that it may have to send one after another.
-func (x *simulation) maxWait(s *openStep) time.Duration {
-	for i := range x.params.queues {
-		if q := &x.params.queues[i]; q.Identity() == s.queue {
-			return maxReadyWait + x.params.adviserTime(q, &s.spec)
+func (sim *simulation) maxWait(s *openStep) time.Duration {
+	for i := range sim.params.queues {
+		if q := &sim.params.queues[i]; q.Identity() == s.queue {
+			return maxReadyWait + sim.params.adviserTime(q, &s.spec)
 		}
 	}
 	return maxReadyWait
@@ -142,36 +142,36 @@
 // estimateRemaining returns an upper bound of the time that the open work takes on a
 // quarter of the cores that a step is permitted on, and of the time that its queries
 // take.
-func (x *simulation) estimateRemaining() (work, queryTime time.Duration) {
-	open, _ := x.openSteps()
-	cores := float64(x.params.workers) * float64(x.params.capacity.MilliCPU) * x.params.permittedShare / usableCoresDivisor
+func (sim *simulation) estimateRemaining() (work, queryTime time.Duration) {
+	open, _ := sim.openSteps()
+	cores := float64(sim.params.workers) * float64(sim.params.capacity.MilliCPU) * sim.params.permittedShare / usableCoresDivisor
 	longest := time.Duration(0)
 	for i := range open {
 		s := &open[i]
-		queryTime += x.maxWait(s) - maxReadyWait
+		queryTime += sim.maxWait(s) - maxReadyWait
 		if !s.placeable {
 			continue
 		}
-		job := x.stepsOf(s.key.Job)
+		job := sim.stepsOf(s.key.Job)
 		work += time.Duration(workOf(job) / cores * float64(time.Millisecond))
 		for j := range job {
 			longest = max(longest, 2*time.Duration(job[j].EstimateMS*int64(job[j].Count))*time.Millisecond)
 		}
 	}
-	return work + longest, 2 * queryTime / time.Duration(x.params.adviserConns)
+	return work + longest, 2 * queryTime / time.Duration(sim.params.adviserConns)
 }
 
 // stepsOf returns the steps of a job.
-func (x *simulation) stepsOf(job string) []workflow.Step {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.steps[job]
+func (sim *simulation) stepsOf(job string) []workflow.Step {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.steps[job]
 }
 
 // openSteps returns the ready steps that aren't done, and whether half of the cores or
 // more are in use on the workers.
-func (x *simulation) openSteps() (open []openStep, mostlyUsed bool) {
-	x.state.read(func(s *workflow.State) {
+func (sim *simulation) openSteps() (open []openStep, mostlyUsed bool) {
+	sim.state.read(func(s *workflow.State) {
 		for _, job := range s.OpenJobs() {
 			for i := range job.Steps {
 				state := &job.Occurrences[0][i]
@@ -189,28 +189,28 @@
 		}
 	})
 	slices.SortFunc(open, func(a, b openStep) int { return workflow.CompareSteps(a.key, b.key) })
-	x.workers.mu.Lock()
-	defer x.workers.mu.Unlock()
+	sim.workers.mu.Lock()
+	defer sim.workers.mu.Unlock()
 	for i := range open {
-		x.workers.measureFit(&open[i], x.adviser, x.needsPermit(open[i].queue))
+		sim.workers.measureFit(&open[i], sim.adviser, sim.needsPermit(open[i].queue))
 	}
-	return open, x.workers.mostlyUsed()
+	return open, sim.workers.mostlyUsed()
 }
 
 // needsPermit reports whether the steps of a queue need permits.
-func (x *simulation) needsPermit(queue string) bool {
-	for i := range x.params.queues {
-		if q := &x.params.queues[i]; q.Identity() == queue {
+func (sim *simulation) needsPermit(queue string) bool {
+	for i := range sim.params.queues {
+		if q := &sim.params.queues[i]; q.Identity() == queue {
 			return q.Policy.Advice != nil
 		}
 	}
 	return false
 }
 
-// mostlyUsed reports whether half of the cores or more are in use. r.mu must be held.
-func (r *simWorkers) mostlyUsed() bool {
+// mostlyUsed reports whether half of the cores or more are in use. ws.mu must be held.
+func (ws *simWorkers) mostlyUsed() bool {
 	used, all := int64(0), int64(0)
-	for _, w := range r.current {
+	for _, w := range ws.current {
 		used += w.used().MilliCPU
 		all += w.Capacity.MilliCPU
 	}
@@ -218,11 +218,11 @@
 }
 
 // measureFit determines which tasks of a step run nowhere, how many fit now, and whether
-// all would fit on empty workers. r.mu must be held.
-func (r *simWorkers) measureFit(s *openStep, adviser *simAdviser, needsPermit bool) {
+// all would fit on empty workers. ws.mu must be held.
+func (ws *simWorkers) measureFit(s *openStep, adviser *simAdviser, needsPermit bool) {
 	fitWhenEmpty := 0
 	live := map[int]bool{}
-	for _, w := range r.current {
+	for _, w := range ws.current {
 		placed := 0
 		for task := range w.running {
 			if task.StepKey == s.key {
@@ -250,27 +250,27 @@
 	}
 }
 
-// describe returns one line about each of the first steps, with what is wrong and the
+// describe returns one line about each of the first steps, with the problem and the
 // leader's reason why the step waits, and a line with the number of all steps.
-func (x *simulation) describe(what string, steps []openStep) (found []string) {
-	c := x.controller()
+func (sim *simulation) describe(problem string, steps []openStep) (found []string) {
+	c := sim.controller()
 	c.mu.Lock()
-	t := c.leaderTerm
+	term := c.leaderTerm
 	c.mu.Unlock()
 	for _, s := range steps[:min(len(steps), maxDescribedSteps)] {
 		reason, runs := "no leader", ""
-		if t != nil {
-			t.mu.Lock()
-			reason = string(t.waitingReason(s.key))
-			t.c.state.read(func(state *workflow.State) {
+		if term != nil {
+			term.mu.Lock()
+			reason = string(term.waitingReason(s.key))
+			term.c.state.read(func(state *workflow.State) {
 				for i := range s.spec.Count {
 					task := state.Task(workflow.TaskKey{StepKey: s.key, Index: i})
 					runs += fmt.Sprintf(" %d:%d", task.Runs, task.Live)
 				}
 			})
-			t.mu.Unlock()
+			term.mu.Unlock()
 		}
-		found = append(found, fmt.Sprintf("%s/ %s tasks not running %v, fit count %d, %+v, reason %q, runs:live%s", s.key, what, s.notRunning, s.fitCount, s.spec, reason, runs))
+		found = append(found, fmt.Sprintf("%s/ %s tasks not running %v, fit count %d, %+v, reason %q, runs:live%s", s.key, problem, s.notRunning, s.fitCount, s.spec, reason, runs))
 	}
 	return append(found, fmt.Sprintf("%d steps in all", len(steps)))
 }
--- a/internal/control/simulation_params_test.go
+++ b/internal/control/simulation_params_test.go
@@ -84,7 +84,7 @@
 
 // drawParams draws the parameters of a simulation.
 func drawParams(random *rand.Rand) *simParams {
-	d := &simParams{
+	p := &simParams{
 		workers:        minWorkers + random.IntN(maxWorkers-minWorkers+1),
 		capacity:       workflow.Resources{MilliCPU: int64(4+random.IntN(28)) * 1000, MemoryMB: 64_000},
 		adviserConns:   1 + random.IntN(12),
@@ -97,39 +97,39 @@
 		faultInterval:  randomDuration(random, 150*time.Millisecond, 1500*time.Millisecond),
 	}
 	if oneIn(random, largeClusterOneIn) {
-		d.workers, d.adviserConns = largeClusterWorkers, largeClusterConns
+		p.workers, p.adviserConns = largeClusterWorkers, largeClusterConns
 	}
 	if oneIn(random, 2) {
-		d.burst = logUniform(random, 1.2, 8)
-		d.burstAt = randomDuration(random, 0, d.faultPeriod*3/4)
-		d.burstFor = randomDuration(random, 500*time.Millisecond, 3*time.Second)
+		p.burst = logUniform(random, 1.2, 8)
+		p.burstAt = randomDuration(random, 0, p.faultPeriod*3/4)
+		p.burstFor = randomDuration(random, 500*time.Millisecond, 3*time.Second)
 	}
 	if oneIn(random, 4) {
-		d.unplaceable = 20 + random.IntN(200)
+		p.unplaceable = 20 + random.IntN(200)
 	}
 	if oneIn(random, 4) {
-		d.refused = 20 + random.IntN(200)
+		p.refused = 20 + random.IntN(200)
 	}
-	d.drawFaults(random)
+	p.drawFaults(random)
 	if oneIn(random, 2) {
-		d.crashingTaskChance = logUniform(random, 0.001, 0.02)
+		p.crashingTaskChance = logUniform(random, 0.001, 0.02)
 	}
-	d.shrinks, d.sameNames = oneIn(random, 2), oneIn(random, 2)
+	p.shrinks, p.sameNames = oneIn(random, 2), oneIn(random, 2)
 	for i := range 1 + random.IntN(4) {
-		d.queues = append(d.queues, drawQueue(random, i))
+		p.queues = append(p.queues, drawQueue(random, i))
 	}
-	return d
+	return p
 }
 
 // drawFaults makes each kind of fault frequent in some simulations and absent in others.
-func (d *simParams) drawFaults(random *rand.Rand) {
+func (p *simParams) drawFaults(random *rand.Rand) {
 	chance := func(most float64) float64 {
 		if oneIn(random, 2) {
 			return 0
 		}
 		return logUniform(random, most/30, most)
 	}
-	d.faults = faultRates{
+	p.faults = faultRates{
 		lost: chance(0.1), unanswered: chance(0.1), late: chance(0.1), slow: chance(0.2), refused: chance(0.2),
 		misdirected: chance(0.03), queryLost: chance(0.1), failed: chance(0.2),
 	}
@@ -152,10 +152,10 @@
 }
 
 // drawJob draws the steps of a job; a second step depends on the first.
-func (d *simParams) drawJob(random *rand.Rand) []workflow.Step {
-	steps := []workflow.Step{d.drawStep(random)}
+func (p *simParams) drawJob(random *rand.Rand) []workflow.Step {
+	steps := []workflow.Step{p.drawStep(random)}
 	if oneIn(random, 4) {
-		next := d.drawStep(random)
+		next := p.drawStep(random)
 		next.DependsOn = []int{0}
 		steps = append(steps, next)
 	}
@@ -164,18 +164,18 @@
 
 const maxTasksPerStep = 60
 
-func (d *simParams) drawStep(random *rand.Rand) workflow.Step {
+func (p *simParams) drawStep(random *rand.Rand) workflow.Step {
 	step := workflow.Step{
-		Count:      int(logUniform(random, 1, d.maxTasks)),
-		Need:       workflow.Resources{MilliCPU: int64(logUniform(random, 500, float64(d.capacity.MilliCPU)/1.5)), MemoryMB: 100},
-		EstimateMS: int64(logUniform(random, 40, d.maxEstimateMS)),
+		Count:      int(logUniform(random, 1, p.maxTasks)),
+		Need:       workflow.Resources{MilliCPU: int64(logUniform(random, 500, float64(p.capacity.MilliCPU)/1.5)), MemoryMB: 100},
+		EstimateMS: int64(logUniform(random, 40, p.maxEstimateMS)),
 	}
 	switch random.IntN(6) {
 	case 0, 1:
 		step.Gang = true
 		// Gangs with more tasks never have free resources twice over, so awaitCompletion
 		// would not check their wait.
-		step.Count = min(step.Count, max(1, d.workers/3))
+		step.Count = min(step.Count, max(1, p.workers/3))
 	case 2:
 		step.Speculative = true
 	case 3:
@@ -209,19 +209,19 @@
 
 // queriesPerStep returns the number of queries that a step other than a gang may need:
 // each names workersPerQuery of all workers, and some are repeated to renew tickets.
-func (d *simParams) queriesPerStep() int {
-	return (d.workers+workersPerQuery-1)/workersPerQuery + repeatedQueries
+func (p *simParams) queriesPerStep() int {
+	return (p.workers+workersPerQuery-1)/workersPerQuery + repeatedQueries
 }
 
 // adviserTime returns the longest time for which a step occupies the adviser.
-func (d *simParams) adviserTime(q *workflow.Queue, step *workflow.Step) time.Duration {
+func (p *simParams) adviserTime(q *workflow.Queue, step *workflow.Step) time.Duration {
 	if q.Policy.Advice == nil {
 		return 0
 	}
 	if step.Gang {
-		workers := min(d.workers, gangWorkersPerQuery)
-		queries := (d.workers + gangWorkersPerQuery - 1) / gangWorkersPerQuery
+		workers := min(p.workers, gangWorkersPerQuery)
+		queries := (p.workers + gangWorkersPerQuery - 1) / gangWorkersPerQuery
 		return time.Duration(gangQueryRounds*queries) * queryDuration(q.Policy.Advice, workers)
 	}
-	return time.Duration(d.queriesPerStep()) * queryDuration(q.Policy.Advice, min(workersPerQuery, d.workers))
+	return time.Duration(p.queriesPerStep()) * queryDuration(q.Policy.Advice, min(workersPerQuery, p.workers))
 }
--- a/internal/control/simulation_poll_test.go
+++ b/internal/control/simulation_poll_test.go
@@ -16,14 +16,14 @@
 const callGap = time.Microsecond
 
 // Poll returns a report once a run has ended or the hold time of the poll is over.
-func (r *simWorkers) Poll(ctx context.Context, to Target, o PollOrder) (Report, error) {
+func (ws *simWorkers) Poll(ctx context.Context, to Target, o PollOrder) (Report, error) {
 	defer time.Sleep(callGap)
 	// Another kind than "look" would change the drawn outcomes of every seed.
-	w, f, err := r.reach(ctx, "look", to, workflow.Run{})
+	w, outcome, err := ws.reach(ctx, "look", to, workflow.Run{})
 	if err != nil {
 		return Report{}, err
 	}
-	changed, err := r.applyPoll(w, o)
+	changed, err := ws.applyPoll(w, o)
 	if err != nil {
 		return Report{}, err
 	}
@@ -31,14 +31,14 @@
 		// The caller sees that the report is from another incarnation.
 		return Report{}, ErrOtherIncarnation
 	}
-	r.holdPoll(ctx, changed, o.Wait)
-	r.mu.Lock()
-	gone, report := w.gone, r.report(w, o.LastEnd)
-	r.mu.Unlock()
-	if f.unanswered || f.late > 0 || gone {
+	ws.holdPoll(ctx, changed, o.Wait)
+	ws.mu.Lock()
+	crashed, report := w.crashed, ws.report(w, o.LastEnd)
+	ws.mu.Unlock()
+	if outcome.unanswered || outcome.late > 0 || crashed {
 		<-ctx.Done()
 	}
-	if !wait.For(ctx, f.replyDelay) || ctx.Err() != nil {
+	if !wait.For(ctx, outcome.responseDelay) || ctx.Err() != nil {
 		return Report{}, errNoResponse
 	}
 	return report, nil
@@ -46,15 +46,15 @@
 
 // applyPoll applies the contents of a poll. It returns a channel that is closed when a run
 // ends, nil if there are ends to report already.
-func (r *simWorkers) applyPoll(w *simWorker, o PollOrder) (<-chan struct{}, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (ws *simWorkers) applyPoll(w *simWorker, o PollOrder) (<-chan struct{}, error) {
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
 	if o.Fence < w.fence {
 		return nil, &RefusedError{RefusedStaleFence}
 	}
 	w.fence = o.Fence
 	w.extendLease(o.LeaseEndMS, time.Now())
-	r.acknowledge(w, o.LastEnd)
+	ws.acknowledge(w, o.LastEnd)
 	if uint64(len(w.ended)) > o.LastEnd {
 		return nil, nil
 	}
@@ -62,7 +62,7 @@
 }
 
 // holdPoll waits until a run ends or hold has passed.
-func (r *simWorkers) holdPoll(ctx context.Context, changed <-chan struct{}, hold time.Duration) {
+func (ws *simWorkers) holdPoll(ctx context.Context, changed <-chan struct{}, hold time.Duration) {
 	if changed == nil {
 		return
 	}
@@ -71,19 +71,19 @@
 	wait.Closed(ctx, changed)
 }
 
-// report returns the report of a worker. r.mu must be held.
-func (r *simWorkers) report(w *simWorker, lastEnd uint64) Report {
+// report returns the report of a worker. ws.mu must be held.
+func (ws *simWorkers) report(w *simWorker, lastEnd uint64) Report {
 	now := time.Now()
 	report := Report{ClockMS: w.clockMS(now)}
 	for task, run := range w.running {
 		percent := 0
-		if !run.gang || r.completeGangs[gangRun{task.StepKey, run.number}] {
+		if !run.gang || ws.completeGangs[gangRun{task.StepKey, run.number}] {
 			percent = int(min(99, 100*now.Sub(run.startedAt)/max(run.duration, 1)))
 		}
 		report.Running = append(report.Running, Running{Task: task, Number: run.number, Percent: percent})
 	}
 	limit := maxEndsPerReport
-	if !r.faultsOver && now.Before(w.partialReportsUntil) {
+	if !ws.faultsOver && now.Before(w.partialReportsUntil) {
 		limit, report.Partial = 1, true
 	}
 	for _, e := range w.ended {
@@ -100,20 +100,20 @@
 }
 
 // acknowledge records that a leader has acknowledged ends. An acknowledged end is final,
-// unless the lease expired between the end and the acknowledgement. r.mu must be held.
-func (r *simWorkers) acknowledge(w *simWorker, lastEnd uint64) {
+// unless the lease expired between the end and the acknowledgement. ws.mu must be held.
+func (ws *simWorkers) acknowledge(w *simWorker, lastEnd uint64) {
 	w.highestSeen = max(w.highestSeen, lastEnd)
 	for ; w.acknowledged < min(lastEnd, uint64(len(w.ended))); w.acknowledged++ {
 		e, at := w.ended[w.acknowledged], w.endedAt[w.acknowledged]
-		step := r.stepOf(e.Task)
+		step := ws.stepOf(e.Task)
 		if e.Outcome != workflow.OutcomeDone || w.leaseExpiredAt.After(at) || step == nil {
 			continue
 		}
 		key := outcomeKey(e.Task, *step)
-		r.doneAt[key] = at
-		for _, started := range r.startedAt[key] {
+		ws.doneAt[key] = at
+		for _, started := range ws.startedAt[key] {
 			if started.After(at) && !step.Speculative {
-				r.violations = append(r.violations, fmt.Sprintf("%s started elsewhere between its end on %s and the acknowledgement", key, w.ID))
+				ws.violations = append(ws.violations, fmt.Sprintf("%s started elsewhere between its end on %s and the acknowledgement", key, w.ID))
 			}
 		}
 	}
@@ -124,32 +124,33 @@
 const simRunInterval = 4 * time.Millisecond
 
 // runTasks ends runs whose duration is over or whose lease has expired, until ctx ends.
-func (r *simWorkers) runTasks(ctx context.Context) {
+func (ws *simWorkers) runTasks(ctx context.Context) {
 	for wait.For(ctx, simRunInterval) {
-		r.mu.Lock()
-		now, present := time.Now(), r.runningGangMembers()
-		for _, w := range r.all {
+		ws.mu.Lock()
+		now, present := time.Now(), ws.runningGangMembers()
+		for _, w := range ws.all {
 			for task, run := range w.running {
 				switch {
 				case now.After(w.leaseEnd):
-					r.finish(w, task, workflow.OutcomeLeaseExpired)
-				case !r.gangComplete(task, run, present, now):
+					ws.finish(w, task, workflow.OutcomeLeaseExpired)
+				case !ws.gangComplete(task, run, present, now):
 				case now.Sub(run.startedAt) < run.duration:
 				case run.fails:
-					r.finish(w, task, workflow.OutcomeFailed)
+					ws.finish(w, task, workflow.OutcomeFailed)
 				default:
-					r.finish(w, task, workflow.OutcomeDone)
+					ws.finish(w, task, workflow.OutcomeDone)
 				}
 			}
 		}
-		r.mu.Unlock()
+		ws.mu.Unlock()
 	}
 }
 
-// runningGangMembers counts the running members of each run of a gang. r.mu must be held.
-func (r *simWorkers) runningGangMembers() map[gangRun]int {
+// runningGangMembers counts the running members of each run of a gang. ws.mu must be
+// held.
+func (ws *simWorkers) runningGangMembers() map[gangRun]int {
 	present := map[gangRun]int{}
-	for _, w := range r.all {
+	for _, w := range ws.all {
 		for task, run := range w.running {
 			if run.gang {
 				present[gangRun{task.StepKey, run.number}]++
@@ -160,19 +161,19 @@
 }
 
 // gangComplete reports whether a run makes progress: the members of a gang make progress
-// only once all of them have started. r.mu must be held.
-func (r *simWorkers) gangComplete(task workflow.TaskKey, run *simRun, present map[gangRun]int, now time.Time) bool {
+// only once all of them have started. ws.mu must be held.
+func (ws *simWorkers) gangComplete(task workflow.TaskKey, run *simRun, present map[gangRun]int, now time.Time) bool {
 	if !run.gang {
 		return true
 	}
 	gang := gangRun{task.StepKey, run.number}
-	if r.completeGangs[gang] {
+	if ws.completeGangs[gang] {
 		return true
 	}
 	if present[gang] < run.step.Count {
 		run.startedAt = now
 		return false
 	}
-	r.completeGangs[gang] = true
+	ws.completeGangs[gang] = true
 	return true
 }
--- a/internal/control/simulation_replica_test.go
+++ b/internal/control/simulation_replica_test.go
@@ -69,9 +69,9 @@
 }
 
 // leadershipLost reports whether the leader has lost its leadership.
-func (l *simReplica) leadershipLost() bool {
+func (r *simReplica) leadershipLost() bool {
 	select {
-	case <-l.lost:
+	case <-r.lost:
 		return true
 	default:
 		return false
@@ -84,22 +84,22 @@
 }
 
 // refusal returns why nothing may be proposed now, nil if commands are accepted.
-// l.store.mu must be held.
-func (l *simReplica) refusal(now time.Time) error {
+// r.store.mu must be held.
+func (r *simReplica) refusal(now time.Time) error {
 	switch {
-	case l.leadershipLost():
+	case r.leadershipLost():
 		return notProposed(node.ErrNotLeader)
-	case now.Before(l.store.fullUntil):
-		l.store.refused++
+	case now.Before(r.store.fullUntil):
+		r.store.refused++
 		return fault.New(fault.Overloaded, "too many calls wait for the log already")
 	}
 	return nil
 }
 
-func (l *simReplica) Propose(ctx context.Context, data []byte) (any, error) {
-	s, now := l.store, time.Now()
+func (r *simReplica) Propose(ctx context.Context, data []byte) (any, error) {
+	s, now := r.store, time.Now()
 	s.mu.Lock()
-	err := l.refusal(now)
+	err := r.refusal(now)
 	if err == nil && now.Before(s.delayedUntil) {
 		s.refused++
 		err = notProposed(node.ErrNotLeader)
@@ -116,12 +116,12 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-l.lost:
+	case <-r.lost:
 	case <-ctx.Done():
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l.leadershipLost() || ctx.Err() != nil {
+	if r.leadershipLost() || ctx.Err() != nil {
 		s.unknownOutcome = append(s.unknownOutcome, data)
 		s.unknownOutcomes++
 		return nil, errors.Mark(fault.New(fault.Unavailable, "the outcome of the command is unknown"), node.ErrOutcomeUnknown)
@@ -130,33 +130,33 @@
 	return s.state.Apply(s.index, data), nil
 }
 
-func (l *simReplica) Barrier(ctx context.Context) error {
-	l.store.mu.Lock()
-	err := l.refusal(time.Now())
-	delay := time.Until(l.store.delayedUntil)
-	l.store.mu.Unlock()
+func (r *simReplica) Barrier(ctx context.Context) error {
+	r.store.mu.Lock()
+	err := r.refusal(time.Now())
+	delay := time.Until(r.store.delayedUntil)
+	r.store.mu.Unlock()
 	if err != nil {
 		return err
 	}
 	wait.For(ctx, max(delay, 0)+time.Millisecond)
-	if l.leadershipLost() {
+	if r.leadershipLost() {
 		return notProposed(node.ErrNotLeader)
 	}
 	return ctx.Err()
 }
 
-func (l *simReplica) Status() replica.Status {
-	if l.leadershipLost() {
-		return replica.Status{Role: replica.Follower, Term: l.term + 1}
+func (r *simReplica) Status() replica.Status {
+	if r.leadershipLost() {
+		return replica.Status{Role: replica.Follower, Term: r.term + 1}
 	}
-	l.store.mu.Lock()
-	defer l.store.mu.Unlock()
-	return replica.Status{Role: replica.Leader, Term: l.term, CanDecide: !time.Now().Before(l.store.delayedUntil)}
+	r.store.mu.Lock()
+	defer r.store.mu.Unlock()
+	return replica.Status{Role: replica.Leader, Term: r.term, CanDecide: !time.Now().Before(r.store.delayedUntil)}
 }
 
-func (l *simReplica) Changed() <-chan struct{} {
-	if l.leadershipLost() {
+func (r *simReplica) Changed() <-chan struct{} {
+	if r.leadershipLost() {
 		return make(chan struct{})
 	}
-	return l.lost
+	return r.lost
 }
--- a/internal/control/simulation_test.go
+++ b/internal/control/simulation_test.go
@@ -37,7 +37,7 @@
 
 	mu         sync.Mutex
 	steps      map[string][]workflow.Step
-	c          *Controller
+	leader     *Controller
 	log        *simReplica
 	stop       func()
 	term       uint64
@@ -54,35 +54,35 @@
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
 	random := rand.New(rand.NewPCG(seed, simulationStream))
-	x := &simulation{
+	sim := &simulation{
 		t: t, seed: seed, params: drawParams(random), random: random, state: NewStateMachine(), lines: &simLog{},
 		startedAt: time.Now(), steps: map[string][]workflow.Step{},
 	}
-	x.store = &simStore{random: rand.New(rand.NewPCG(seed, simStoreStream)), state: x.state}
-	x.workers = &simWorkers{
-		params: x.params, seed: seed, stepOf: x.stepOf, lines: x.lines, current: map[string]*simWorker{}, calls: map[string]int{},
+	sim.store = &simStore{random: rand.New(rand.NewPCG(seed, simStoreStream)), state: sim.state}
+	sim.workers = &simWorkers{
+		params: sim.params, seed: seed, stepOf: sim.stepOf, lines: sim.lines, current: map[string]*simWorker{}, calls: map[string]int{},
 		startedAt: map[workflow.TaskKey][]time.Time{}, doneAt: map[workflow.TaskKey]time.Time{}, completeGangs: map[gangRun]bool{},
 		lastStart: map[workflow.StepKey]time.Time{}, allowedOrphans: map[string]bool{},
 		crashes: map[workflow.TaskKey]int{}, startsAfterThirdCrash: map[workflow.TaskKey]int{},
 	}
-	x.adviser = &simAdviser{
-		params: x.params, seed: seed, policyOf: x.adviceOf, stepOf: x.stepOf, faultsOver: x.areFaultsOver, random: rand.New(rand.NewPCG(seed, simAdviserStream)), busyUntil: map[string]time.Time{}, unreachableUntil: map[string]time.Time{},
+	sim.adviser = &simAdviser{
+		params: sim.params, seed: seed, policyOf: sim.adviceOf, stepOf: sim.stepOf, faultsOver: sim.areFaultsOver, random: rand.New(rand.NewPCG(seed, simAdviserStream)), busyUntil: map[string]time.Time{}, unreachableUntil: map[string]time.Time{},
 	}
-	return x
+	return sim
 }
 
-func (x *simulation) stepOf(task workflow.TaskKey) *workflow.Step {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	steps := x.steps[task.Job]
+func (sim *simulation) stepOf(task workflow.TaskKey) *workflow.Step {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	steps := sim.steps[task.Job]
 	if task.Step >= len(steps) {
 		return nil
 	}
 	return &steps[task.Step]
 }
 
-func (x *simulation) adviceOf(step workflow.StepKey) (advice *workflow.AdvicePolicy) {
-	x.state.read(func(s *workflow.State) {
+func (sim *simulation) adviceOf(step workflow.StepKey) (advice *workflow.AdvicePolicy) {
+	sim.state.read(func(s *workflow.State) {
 		if job := s.Jobs[step.Job]; job != nil {
 			advice = job.Policy.Advice
 		}
@@ -90,39 +90,39 @@
 	return advice
 }
 
-func (x *simulation) areFaultsOver() bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.faultsOver
+func (sim *simulation) areFaultsOver() bool {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.faultsOver
 }
 
 // controller returns the current leader's controller.
-func (x *simulation) controller() *Controller {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.c
+func (sim *simulation) controller() *Controller {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.leader
 }
 
 // startLeader starts the next leader.
-func (x *simulation) startLeader() {
-	x.store.resolveUnknownOutcomes()
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.term++
-	x.log = &simReplica{store: x.store, term: x.term, lost: make(chan struct{})}
-	x.c = New(Config{
-		Address: ownAddress, Bounds: Bounds{MaxLease: x.params.lease, EndedJobRetention: time.Minute}, Workers: x.workers, Adviser: x.adviser, Client: x.adviser,
-		Logger: log.With(log.NewLogfmtLogger(x.lines), "ms", log.Valuer(virtualMS)), Counters: noCounters{},
+func (sim *simulation) startLeader() {
+	sim.store.resolveUnknownOutcomes()
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.term++
+	sim.log = &simReplica{store: sim.store, term: sim.term, lost: make(chan struct{})}
+	sim.leader = New(Config{
+		Address: ownAddress, Bounds: Bounds{MaxLease: sim.params.lease, EndedJobRetention: time.Minute}, Workers: sim.workers, Adviser: sim.adviser, Client: sim.adviser,
+		Logger: log.With(log.NewLogfmtLogger(sim.lines), "ms", log.Valuer(virtualMS)), Counters: noCounters{},
 		Leader: func() string { return ownAddress }, Members: func() []string { return nil },
-	}, x.state, x.log)
+	}, sim.state, sim.log)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	c := x.c
+	c := sim.leader
 	go func() {
 		defer close(done)
 		_ = c.Run(ctx)
 	}()
-	x.stop = func() { cancel(); <-done }
+	sim.stop = func() { cancel(); <-done }
 }
 
 const (
@@ -134,33 +134,33 @@
 )
 
 // changeLeader makes the leader lose its leadership, which it notices a little later.
-func (x *simulation) changeLeader() {
-	close(x.log.lost)
-	time.Sleep(randomDuration(x.random, 0, statusPollInterval))
-	x.stop()
-	time.Sleep(randomDuration(x.random, 0, maxLeaderlessTime))
-	x.startLeader()
+func (sim *simulation) changeLeader() {
+	close(sim.log.lost)
+	time.Sleep(randomDuration(sim.random, 0, statusPollInterval))
+	sim.stop()
+	time.Sleep(randomDuration(sim.random, 0, maxLeaderlessTime))
+	sim.startLeader()
 }
 
 // sendHeartbeats sends the heartbeats of the reachable instances and workers until ctx
 // ends.
-func (x *simulation) sendHeartbeats(ctx context.Context) {
+func (sim *simulation) sendHeartbeats(ctx context.Context) {
 	for round := 0; ctx.Err() == nil; round++ {
-		c := x.controller()
-		for i := 1; i < x.params.adviserConns; i++ {
-			if address := fmt.Sprint("instance", i); !x.adviser.isUnreachable(address) {
+		c := sim.controller()
+		for i := 1; i < sim.params.adviserConns; i++ {
+			if address := fmt.Sprint("instance", i); !sim.adviser.isUnreachable(address) {
 				_, _ = c.AnnounceInstance(ctx, &AnnounceInstanceCall{Address: address})
 			}
 		}
-		x.workers.mu.Lock()
+		sim.workers.mu.Lock()
 		var announcements []*Announcement
-		for i, w := range x.workers.all {
+		for i, w := range sim.workers.all {
 			if w.reachable(time.Now()) && i%heartbeatGroups == round%heartbeatGroups {
 				w.Sequence++
 				announcements = append(announcements, &Announcement{Worker: w.Worker, Sequence: w.Sequence})
 			}
 		}
-		x.workers.mu.Unlock()
+		sim.workers.mu.Unlock()
 		for _, call := range announcements {
 			go func() { _, _ = c.Announce(ctx, call) }()
 		}
@@ -179,83 +179,83 @@
 )
 
 // submit submits a job to a queue.
-func (x *simulation) submit(queue *workflow.Queue, steps []workflow.Step) {
-	x.jobs++
-	id := fmt.Sprint("j", x.jobs, "-", queue.Name)
-	x.mu.Lock()
-	x.steps[id] = steps
-	c := x.c
-	x.mu.Unlock()
+func (sim *simulation) submit(queue *workflow.Queue, steps []workflow.Step) {
+	sim.jobs++
+	id := fmt.Sprint("j", sim.jobs, "-", queue.Name)
+	sim.mu.Lock()
+	sim.steps[id] = steps
+	c := sim.leader
+	sim.mu.Unlock()
 	go func() {
 		_, _ = c.Submit(context.Background(), &SubmitCall{Address: JobAddress{Host: simHost, Path: queue.Prefix + id}, Payload: "p", Steps: steps})
 	}()
 }
 
 // configure commits the queues.
-func (x *simulation) configure() {
-	document := &workflow.Document{Version: 1, Source: []byte("{}"), Queues: x.params.queues}
+func (sim *simulation) configure() {
+	document := &workflow.Document{Version: 1, Source: []byte("{}"), Queues: sim.params.queues}
 	data, err := (&workflow.Command{Configuration: document}).Encode()
 	if err != nil {
-		x.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	x.state.Apply(0, data)
+	sim.state.Apply(0, data)
 }
 
 // run runs the simulation, and returns the violations found, nil for none.
-func (x *simulation) run() []string {
-	x.configure()
-	for i := range x.params.workers {
-		x.workers.add(fmt.Sprint("w", i), 1)
+func (sim *simulation) run() []string {
+	sim.configure()
+	for i := range sim.params.workers {
+		sim.workers.add(fmt.Sprint("w", i), 1)
 	}
-	x.startLeader()
+	sim.startLeader()
 	defer func() {
-		x.stop()
+		sim.stop()
 		// Calls in flight end before the simulation does.
 		time.Sleep(2 * commitTimeout)
 	}()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go x.workers.runTasks(ctx)
-	go x.sendHeartbeats(ctx)
+	go sim.workers.runTasks(ctx)
+	go sim.sendHeartbeats(ctx)
 	time.Sleep(simStartupTime)
-	for range x.params.unplaceable {
-		x.submit(&x.params.queues[0], unplaceableSteps(unknownLabel, ""))
+	for range sim.params.unplaceable {
+		sim.submit(&sim.params.queues[0], unplaceableSteps(unknownLabel, ""))
 	}
-	if queue := x.advisedQueue(); queue != nil {
-		for range x.params.refused {
-			x.submit(queue, unplaceableSteps("", refusedImage))
+	if queue := sim.advisedQueue(); queue != nil {
+		for range sim.params.refused {
+			sim.submit(queue, unplaceableSteps("", refusedImage))
 		}
 	}
-	if found := x.runWithFaults(); len(found) > 0 {
+	if found := sim.runWithFaults(); len(found) > 0 {
 		return found
 	}
-	x.endFaults()
-	return x.awaitCompletion()
+	sim.endFaults()
+	return sim.awaitCompletion()
 }
 
 // advisedQueue returns the first queue that needs permits, nil if there is none.
-func (x *simulation) advisedQueue() *workflow.Queue {
-	for i := range x.params.queues {
-		if x.params.queues[i].Policy.Advice != nil {
-			return &x.params.queues[i]
+func (sim *simulation) advisedQueue() *workflow.Queue {
+	for i := range sim.params.queues {
+		if sim.params.queues[i].Policy.Advice != nil {
+			return &sim.params.queues[i]
 		}
 	}
 	return nil
 }
 
 // endFaults ends the load and all faults.
-func (x *simulation) endFaults() {
-	x.mu.Lock()
-	x.faultsOver = true
-	x.mu.Unlock()
-	x.workers.mu.Lock()
-	x.workers.faultsOver = true
-	x.workers.restoreCapacities()
-	x.workers.mu.Unlock()
-	x.store.mu.Lock()
-	x.store.slowUntil, x.store.delayedUntil, x.store.fullUntil = time.Time{}, time.Time{}, time.Time{}
-	x.store.mu.Unlock()
-	x.lines.logf("faults over")
+func (sim *simulation) endFaults() {
+	sim.mu.Lock()
+	sim.faultsOver = true
+	sim.mu.Unlock()
+	sim.workers.mu.Lock()
+	sim.workers.faultsOver = true
+	sim.workers.restoreCapacities()
+	sim.workers.mu.Unlock()
+	sim.store.mu.Lock()
+	sim.store.slowUntil, sim.store.delayedUntil, sim.store.fullUntil = time.Time{}, time.Time{}, time.Time{}
+	sim.store.mu.Unlock()
+	sim.lines.logf("faults over")
 }
 
 // Checks that the leader starts all accepted work for which resources are free. The
@@ -281,11 +281,11 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				x := newSimulation(t, uint64(seed))
-				found := x.run()
-				x.logFigures()
+				sim := newSimulation(t, uint64(seed))
+				found := sim.run()
+				sim.logFigures()
 				if len(found) > 0 {
-					t.Errorf("%s\n%s", strings.Join(found, "\n"), x.lines.linesAbout(jobsNamedIn(found)...))
+					t.Errorf("%s\n%s", strings.Join(found, "\n"), sim.lines.linesAbout(jobsNamedIn(found)...))
 				}
 			})
 		})
@@ -293,14 +293,14 @@
 }
 
 // logFigures logs the drawn parameters of the seed and what happened.
-func (x *simulation) logFigures() {
-	x.workers.mu.Lock()
-	defer x.workers.mu.Unlock()
-	d := x.params
-	withCrashingTask, withoutCrashingTask := x.countGivenUp()
-	x.t.Logf("crashing task chance %.4f, shrinks %t, same names %t; jobs given up: %d with a crashing task, %d without; workers %d, adviser connections %d, permitted share %.2f, lease %v, load %.2f, burst %.2f, unplaceable %d, refused %d, faults %+v; jobs %d, starts %d, queries %d, leaders %d, largest backlog %d, commands refused %d, with unknown outcome %d, virtual time %v",
-		d.crashingTaskChance, d.shrinks, d.sameNames, withCrashingTask, withoutCrashingTask, d.workers, d.adviserConns, d.permittedShare, d.lease, d.load, d.burst, d.unplaceable, d.refused, d.faults, x.jobs, x.workers.starts, x.adviser.queries, x.term, x.maxBacklog,
-		x.store.refused, x.store.unknownOutcomes, time.Since(x.startedAt).Round(time.Millisecond))
+func (sim *simulation) logFigures() {
+	sim.workers.mu.Lock()
+	defer sim.workers.mu.Unlock()
+	p := sim.params
+	withCrashingTask, withoutCrashingTask := sim.countGivenUp()
+	sim.t.Logf("crashing task chance %.4f, shrinks %t, same names %t; jobs given up: %d with a crashing task, %d without; workers %d, adviser connections %d, permitted share %.2f, lease %v, load %.2f, burst %.2f, unplaceable %d, refused %d, faults %+v; jobs %d, starts %d, queries %d, leaders %d, largest backlog %d, commands refused %d, with unknown outcome %d, virtual time %v",
+		p.crashingTaskChance, p.shrinks, p.sameNames, withCrashingTask, withoutCrashingTask, p.workers, p.adviserConns, p.permittedShare, p.lease, p.load, p.burst, p.unplaceable, p.refused, p.faults, sim.jobs, sim.workers.starts, sim.adviser.queries, sim.term, sim.maxBacklog,
+		sim.store.refused, sim.store.unknownOutcomes, time.Since(sim.startedAt).Round(time.Millisecond))
 }
 
 // jobsNamedIn returns the words by which log lines name the jobs of the findings.
--- a/internal/control/simulation_worker_test.go
+++ b/internal/control/simulation_worker_test.go
@@ -29,7 +29,7 @@
 	// unreachableUntil is when calls get through again, refusingUntil when the worker accepts
 	// starts again, partialReportsUntil when its reports are complete again.
 	unreachableUntil, refusingUntil, partialReportsUntil time.Time
-	gone                                                 bool
+	crashed                                              bool
 	// previousCapacity is the capacity before the last change, at changedAt.
 	previousCapacity workflow.Resources
 	changedAt        time.Time
@@ -82,30 +82,30 @@
 }
 
 // add starts an incarnation of a worker at an address.
-func (r *simWorkers) add(address string, incarnation int) *simWorker {
+func (ws *simWorkers) add(address string, incarnation int) *simWorker {
 	w := &simWorker{
-		Worker:      workflow.Worker{ID: fmt.Sprint(address, ".", incarnation), Service: "s", Address: address, Capacity: r.params.capacity},
-		clockOffset: time.Duration(seededFloat(r.seed, "clock", address, incarnation) * float64(time.Hour)),
+		Worker:      workflow.Worker{ID: fmt.Sprint(address, ".", incarnation), Service: "s", Address: address, Capacity: ws.params.capacity},
+		clockOffset: time.Duration(seededFloat(ws.seed, "clock", address, incarnation) * float64(time.Hour)),
 		running:     map[workflow.TaskKey]*simRun{}, stopped: map[workflow.TaskKey]int{}, changed: make(chan struct{}),
 	}
-	if r.params.sameNames {
+	if ws.params.sameNames {
 		w.Name, w.StartedAtMS = address, int64(incarnation)
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.all = append(r.all, w)
-	r.current[address] = w
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
+	ws.all = append(ws.all, w)
+	ws.current[address] = w
 	return w
 }
 
-// crash ends an incarnation and its runs. r.mu must be held.
-func (r *simWorkers) crash(w *simWorker) {
-	w.gone = true
+// crash ends an incarnation and its runs. ws.mu must be held.
+func (ws *simWorkers) crash(w *simWorker) {
+	w.crashed = true
 	for task := range w.running {
-		r.crashes[task]++
+		ws.crashes[task]++
 	}
 	clear(w.running)
-	delete(r.current, w.Address)
+	delete(ws.current, w.Address)
 	w.notifyChanged()
 }
 
@@ -117,11 +117,13 @@
 
 func (w *simWorker) clockMS(at time.Time) int64 { return at.Add(w.clockOffset).UnixMilli() }
 
-func (w *simWorker) reachable(now time.Time) bool { return !w.gone && !now.Before(w.unreachableUntil) }
+func (w *simWorker) reachable(now time.Time) bool {
+	return !w.crashed && !now.Before(w.unreachableUntil)
+}
 
 // callOutcome is the drawn outcome of one call.
 type callOutcome struct {
-	requestDelay, replyDelay time.Duration
+	requestDelay, responseDelay time.Duration
 	// A lost call never arrives. An unanswered one is carried out and gets no response, a
 	// misdirected one gets the response of another incarnation. A call with a positive
 	// late is carried out after that time, and its caller gets no response.
@@ -132,118 +134,118 @@
 // maxLateness bounds the time until a late call is carried out.
 const maxLateness = 3 * time.Second
 
-// drawCallOutcome draws the outcome of a call. r.mu must be held.
-func (r *simWorkers) drawCallOutcome(kind string, w *simWorker, run workflow.Run) callOutcome {
+// drawCallOutcome draws the outcome of a call. ws.mu must be held.
+func (ws *simWorkers) drawCallOutcome(kind string, w *simWorker, run workflow.Run) callOutcome {
 	key := fmt.Sprint(kind, w.ID, run)
-	r.calls[key]++
-	n := r.calls[key]
-	draw := func(what string) float64 { return seededFloat(r.seed, what, key, n) }
-	f := callOutcome{requestDelay: time.Duration((0.3 + draw("way")) * float64(time.Millisecond)), replyDelay: time.Duration((0.3 + draw("back")) * float64(time.Millisecond))}
-	if r.faultsOver {
-		return f
+	ws.calls[key]++
+	n := ws.calls[key]
+	draw := func(what string) float64 { return seededFloat(ws.seed, what, key, n) }
+	outcome := callOutcome{requestDelay: time.Duration((0.3 + draw("way")) * float64(time.Millisecond)), responseDelay: time.Duration((0.3 + draw("back")) * float64(time.Millisecond))}
+	if ws.faultsOver {
+		return outcome
 	}
-	p, faults := draw("fate"), &r.params.faults
+	p, faults := draw("fate"), &ws.params.faults
 	for _, c := range []struct {
 		chance float64
 		apply  func()
 	}{
-		{faults.lost, func() { f.lost = true }},
-		{faults.unanswered, func() { f.unanswered = true }},
-		{faults.late, func() { f.late = time.Duration(draw("late") * float64(maxLateness)) }},
-		{faults.slow, func() { f.replyDelay = time.Duration(draw("slow") * float64(callTimeout*5/4)) }},
-		{faults.misdirected, func() { f.misdirected = kind == "start" }},
+		{faults.lost, func() { outcome.lost = true }},
+		{faults.unanswered, func() { outcome.unanswered = true }},
+		{faults.late, func() { outcome.late = time.Duration(draw("late") * float64(maxLateness)) }},
+		{faults.slow, func() { outcome.responseDelay = time.Duration(draw("slow") * float64(callTimeout*5/4)) }},
+		{faults.misdirected, func() { outcome.misdirected = kind == "start" }},
 	} {
 		if p -= c.chance; p < 0 {
 			c.apply()
-			return f
+			return outcome
 		}
 	}
-	return f
+	return outcome
 }
 
 // deliver applies an order with its drawn outcome.
-func (r *simWorkers) deliver(ctx context.Context, kind string, to Target, run workflow.Run, apply func(*simWorker) error) (int64, error) {
-	w, f, err := r.reach(ctx, kind, to, run)
+func (ws *simWorkers) deliver(ctx context.Context, kind string, to Target, run workflow.Run, apply func(*simWorker) error) (int64, error) {
+	w, outcome, err := ws.reach(ctx, kind, to, run)
 	if err != nil {
 		return 0, err
 	}
-	if f.late > 0 {
-		time.AfterFunc(f.late, func() {
-			r.mu.Lock()
-			defer r.mu.Unlock()
-			if w.gone && r.params.sameNames {
+	if outcome.late > 0 {
+		time.AfterFunc(outcome.late, func() {
+			ws.mu.Lock()
+			defer ws.mu.Unlock()
+			if w.crashed && ws.params.sameNames {
 				// The next incarnation can't tell that the order was meant for an earlier
 				// one.
-				w = r.current[to.Address]
+				w = ws.current[to.Address]
 			}
-			if w != nil && !w.gone {
+			if w != nil && !w.crashed {
 				_ = apply(w)
 			}
 		})
 		<-ctx.Done()
 		return 0, errNoResponse
 	}
-	r.mu.Lock()
+	ws.mu.Lock()
 	// The worker may have crashed while the call was on its way.
-	gone := w.gone
-	if !gone {
+	crashed := w.crashed
+	if !crashed {
 		err = apply(w)
 	}
 	clock := w.clockMS(time.Now())
-	r.mu.Unlock()
-	if f.unanswered || gone {
+	ws.mu.Unlock()
+	if outcome.unanswered || crashed {
 		<-ctx.Done()
 	}
-	if !wait.For(ctx, f.replyDelay) || ctx.Err() != nil {
+	if !wait.For(ctx, outcome.responseDelay) || ctx.Err() != nil {
 		return 0, errNoResponse
 	}
 	return clock, err
 }
 
 // reach returns the worker at which a call arrives, and the drawn outcome of the call.
-func (r *simWorkers) reach(ctx context.Context, kind string, to Target, run workflow.Run) (*simWorker, callOutcome, error) {
-	r.mu.Lock()
-	w := r.current[to.Address]
+func (ws *simWorkers) reach(ctx context.Context, kind string, to Target, run workflow.Run) (*simWorker, callOutcome, error) {
+	ws.mu.Lock()
+	w := ws.current[to.Address]
 	if w == nil || !w.reachable(time.Now()) {
-		r.mu.Unlock()
+		ws.mu.Unlock()
 		<-ctx.Done()
 		return nil, callOutcome{}, errNoResponse
 	}
-	f := r.drawCallOutcome(kind, w, run)
-	if f.misdirected {
-		r.allowedOrphans[orphanKey(run)] = true
+	outcome := ws.drawCallOutcome(kind, w, run)
+	if outcome.misdirected {
+		ws.allowedOrphans[orphanKey(run)] = true
 	}
-	r.mu.Unlock()
-	wait.For(ctx, f.requestDelay)
+	ws.mu.Unlock()
+	wait.For(ctx, outcome.requestDelay)
 	switch {
-	case f.lost:
+	case outcome.lost:
 		<-ctx.Done()
-		return nil, f, errNoResponse
-	case f.misdirected || w.ID != to.Worker && !r.params.sameNames:
-		return nil, f, ErrOtherIncarnation
+		return nil, outcome, errNoResponse
+	case outcome.misdirected || w.ID != to.Worker && !ws.params.sameNames:
+		return nil, outcome, ErrOtherIncarnation
 	}
-	return w, f, nil
+	return w, outcome, nil
 }
 
-func (r *simWorkers) Start(ctx context.Context, to Target, o StartOrder) (int64, error) {
-	return r.deliver(ctx, "start", to, o.Run, func(w *simWorker) error {
-		err := r.startRun(w, o)
-		r.lines.logRun("start", w, o.Run, err)
+func (ws *simWorkers) Start(ctx context.Context, to Target, o StartOrder) (int64, error) {
+	return ws.deliver(ctx, "start", to, o.Run, func(w *simWorker) error {
+		err := ws.startRun(w, o)
+		ws.lines.logRun("start", w, o.Run, err)
 		return err
 	})
 }
 
-// startRun carries a start out. r.mu must be held.
-func (r *simWorkers) startRun(w *simWorker, o StartOrder) error {
+// startRun carries out a start. ws.mu must be held.
+func (ws *simWorkers) startRun(w *simWorker, o StartOrder) error {
 	if o.Fence < w.fence {
 		return &RefusedError{RefusedStaleFence}
 	}
 	w.fence = o.Fence
 	now, task, running := time.Now(), o.Run.Task, w.running[o.Run.Task]
 	w.extendLease(o.LeaseEndMS, now)
-	step := r.stepOf(task)
+	step := ws.stepOf(task)
 	key := fmt.Sprint(w.ID, o.Run)
-	r.calls[key]++
+	ws.calls[key]++
 	switch {
 	case o.Run.Number <= w.stopped[task]:
 		return &RefusedError{RefusedStaleRun}
@@ -253,51 +255,51 @@
 		return &RefusedError{RefusedLeaseExpired}
 	case step == nil:
 		return &RefusedError{RefusedInvalid}
-	case !r.faultsOver && now.Before(w.refusingUntil):
+	case !ws.faultsOver && now.Before(w.refusingUntil):
 		return &RefusedError{RefusedUnhealthy}
-	case !r.faultsOver && seededFloat(r.seed, "refused", key, r.calls[key]) < r.params.faults.refused:
+	case !ws.faultsOver && seededFloat(ws.seed, "refused", key, ws.calls[key]) < ws.params.faults.refused:
 		return &RefusedError{RefusedNoCapacity}
 	case o.Ticket != "" && !ticketHolds(o.Ticket, task.StepKey, w.ID):
 		return &RefusedError{RefusedTicket}
 	}
-	w.running[task] = r.newRun(o.Run, step, now)
-	r.scheduleCrash(w, o.Run)
-	r.starts++
-	r.lastStart[task.StepKey] = now
-	r.recordViolations(w, task, step)
+	w.running[task] = ws.newRun(o.Run, step, now)
+	ws.scheduleCrash(w, o.Run)
+	ws.starts++
+	ws.lastStart[task.StepKey] = now
+	ws.recordViolations(w, task, step)
 	return nil
 }
 
 // newRun draws the duration of a run and whether it fails; the members of a gang share
 // both.
-func (r *simWorkers) newRun(run workflow.Run, step *workflow.Step, now time.Time) *simRun {
+func (ws *simWorkers) newRun(run workflow.Run, step *workflow.Step, now time.Time) *simRun {
 	key := outcomeKey(run.Task, *step)
-	durationMS := (0.5 + seededFloat(r.seed, "takes", key, run.Number)) * float64(step.EstimateMS)
+	durationMS := (0.5 + seededFloat(ws.seed, "takes", key, run.Number)) * float64(step.EstimateMS)
 	return &simRun{
 		number: run.Number, step: step, startedAt: now, gang: step.Gang,
 		duration: time.Duration(durationMS * float64(time.Millisecond)),
-		fails:    !r.faultsOver && seededFloat(r.seed, "fails", key, run.Number) < r.params.faults.failed,
+		fails:    !ws.faultsOver && seededFloat(ws.seed, "fails", key, run.Number) < ws.params.faults.failed,
 	}
 }
 
-// recordViolations records the invariants that a start violates. r.mu must be held.
-func (r *simWorkers) recordViolations(w *simWorker, task workflow.TaskKey, step *workflow.Step) {
+// recordViolations records the invariants that a start violates. ws.mu must be held.
+func (ws *simWorkers) recordViolations(w *simWorker, task workflow.TaskKey, step *workflow.Step) {
 	key := outcomeKey(task, *step)
-	r.startedAt[key] = append(r.startedAt[key], time.Now())
-	if !r.doneAt[key].IsZero() && !step.Speculative {
-		r.violations = append(r.violations, fmt.Sprintf("%s starts on %s after it was done", task, w.ID))
+	ws.startedAt[key] = append(ws.startedAt[key], time.Now())
+	if !ws.doneAt[key].IsZero() && !step.Speculative {
+		ws.violations = append(ws.violations, fmt.Sprintf("%s starts on %s after it was done", task, w.ID))
 	}
 	live := 0
-	for _, other := range r.all {
+	for _, other := range ws.all {
 		if other.running[task] != nil {
 			live++
 		}
 	}
 	if live > 1 && !step.Speculative || live > maxRunsOfTask {
-		r.violations = append(r.violations, fmt.Sprintf("%d runs of %s", live, task))
+		ws.violations = append(ws.violations, fmt.Sprintf("%d runs of %s", live, task))
 	}
 	if used := w.used(); !used.Fits(w.allowedCapacity(time.Now())) {
-		r.violations = append(r.violations, fmt.Sprintf("runs on %s need %v of %v", w.ID, used, w.Capacity))
+		ws.violations = append(ws.violations, fmt.Sprintf("runs on %s need %v of %v", w.ID, used, w.Capacity))
 	}
 }
 
@@ -322,33 +324,33 @@
 	}
 }
 
-func (r *simWorkers) Stop(ctx context.Context, to Target, o StopOrder) (int64, error) {
-	return r.deliver(ctx, "stop", to, o.Run, func(w *simWorker) error {
+func (ws *simWorkers) Stop(ctx context.Context, to Target, o StopOrder) (int64, error) {
+	return ws.deliver(ctx, "stop", to, o.Run, func(w *simWorker) error {
 		if o.Fence < w.fence {
 			return &RefusedError{RefusedStaleFence}
 		}
 		w.fence = o.Fence
 		w.stopped[o.Run.Task] = max(w.stopped[o.Run.Task], o.Run.Number)
 		if run := w.running[o.Run.Task]; run != nil && run.number <= o.Run.Number {
-			r.finish(w, o.Run.Task, workflow.OutcomeStopped)
+			ws.finish(w, o.Run.Task, workflow.OutcomeStopped)
 		}
 		return nil
 	})
 }
 
-func (r *simWorkers) Throttle(context.Context, Target, ThrottleOrder) (int64, error) {
+func (ws *simWorkers) Throttle(context.Context, Target, ThrottleOrder) (int64, error) {
 	return 0, nil
 }
 
-// finish ends a run. r.mu must be held.
-func (r *simWorkers) finish(w *simWorker, task workflow.TaskKey, outcome workflow.Outcome) {
+// finish ends a run. ws.mu must be held.
+func (ws *simWorkers) finish(w *simWorker, task workflow.TaskKey, outcome workflow.Outcome) {
 	run := w.running[task]
 	delete(w.running, task)
 	w.stopped[task] = max(w.stopped[task], run.number)
 	w.ended = append(w.ended, Ended{Position: uint64(len(w.ended) + 1),
 		RunEnd: workflow.RunEnd{Task: task, Number: run.number, Outcome: outcome}})
 	w.endedAt = append(w.endedAt, time.Now())
-	r.acknowledge(w, w.highestSeen)
-	r.lines.logRun("ends "+outcome.String(), w, workflow.Run{Task: task, Number: run.number}, nil)
+	ws.acknowledge(w, w.highestSeen)
+	ws.lines.logRun("ends "+outcome.String(), w, workflow.Run{Task: task, Number: run.number}, nil)
 	w.notifyChanged()
 }
--- a/internal/control/throttle_test.go
+++ b/internal/control/throttle_test.go
@@ -15,10 +15,10 @@
 	now := time.Now()
 	old := now.Add(-throttleInterval)
 	for _, c := range []struct {
-		name  string
-		h     throttle
-		ratio float64
-		want  int
+		name     string
+		throttle throttle
+		ratio    float64
+		want     int
 	}{
 		{"no serving task on the worker", throttle{share: 40, spare: true}, 9, fullShare},
 		{"the first report with serving tasks", throttle{share: fullShare, serving: true, spare: true}, 0, initialShare},
@@ -29,7 +29,7 @@
 		{"well below", throttle{share: 95, serving: true, spare: true, changedAt: old}, 0.2, fullShare},
 		{"between", throttle{share: 40, serving: true, spare: true, changedAt: old}, 0.8, 40},
 	} {
-		must.Eq(t, c.want, c.h.nextShare(c.ratio, now), must.Sprint(c.name))
+		must.Eq(t, c.want, c.throttle.nextShare(c.ratio, now), must.Sprint(c.name))
 	}
 }
 
