--- a/internal/control/admit_test.go
+++ b/internal/control/admit_test.go
@@ -31,19 +31,19 @@
 // call is slow, the caller repeats the call through another instance, and the queue has
 // filled up meanwhile. The job must count as accepted from the start of its commit.
 func TestAdmitAcceptsJobWhoseCommitIsInFlight(t *testing.T) {
-	w := newTestCluster(t, nil)
-	term, err := w.c.currentLeaderTerm(context.Background())
+	cluster := newTestCluster(t, nil)
+	term, err := cluster.controller.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	call := func() error {
-		_, err := w.c.Submit(context.Background(), &SubmitCall{
+		_, err := cluster.controller.Submit(context.Background(), &SubmitCall{
 			Address: JobAddress{Host: "h", Path: "/q/a"}, Payload: "payload", Steps: []workflow.Step{oneTask},
 		})
 		return err
 	}
 	repeated := make(chan error, 1)
 	first := true
-	w.log.mu.Lock()
-	w.log.beforeApply = func(c workflow.Command) {
+	cluster.log.mu.Lock()
+	cluster.log.beforeApply = func(c workflow.Command) {
 		if c.Submit == nil || !first {
 			return
 		}
@@ -53,7 +53,7 @@
 		term.mu.Unlock()
 		repeated <- call()
 	}
-	w.log.mu.Unlock()
+	cluster.log.mu.Unlock()
 	must.NoError(t, call())
 	must.NoError(t, <-repeated)
 	term.mu.Lock()
--- a/internal/control/commit_test.go
+++ b/internal/control/commit_test.go
@@ -23,17 +23,17 @@
 		"mixed errors":    {node.ErrOutcomeUnknown, node.ErrNotLeader, node.ErrOutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := clusterWithStartedTask(t)
-			term, err := w.c.currentLeaderTerm(context.Background())
+			cluster := clusterWithStartedTask(t)
+			term, err := cluster.controller.currentLeaderTerm(context.Background())
 			must.NoError(t, err)
 			term.mu.Lock()
 			s := term.sessions["w1"]
 			term.mu.Unlock()
 			// The worker knows nothing of the run, as after a start that it refused.
-			w.withWorker("w1", func(f *fakeWorker) { clear(f.running) })
-			w.log.failEnds(errs...)
+			cluster.withWorker("w1", func(f *fakeWorker) { clear(f.running) })
+			cluster.log.failEnds(errs...)
 			s.commitEnds(0, []workflow.RunEnd{{Task: task("a", 0), Number: 1, Outcome: workflow.OutcomeNotStarted}})
-			w.eventually("the task is started again", func() bool { return w.started("w1") == 2 })
+			cluster.eventually("the task is started again", func() bool { return cluster.started("w1") == 2 })
 		})
 	}
 }
@@ -43,10 +43,10 @@
 // command is dropped instead of proposed again, so that a start waits for the next
 // decision.
 func TestCommandRefusedByLogIsProposedAgain(t *testing.T) {
-	w := clusterWithStartedTask(t)
-	term, err := w.c.currentLeaderTerm(context.Background())
+	cluster := clusterWithStartedTask(t)
+	term, err := cluster.controller.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
-	w.log.failEnds(node.ErrNotLeader)
+	cluster.log.failEnds(node.ErrNotLeader)
 	_, err = term.propose(&workflow.Command{Ends: &workflow.RunEnds{Worker: "w1", LastEnd: 1}})
 	must.NoError(t, err)
 }
--- a/internal/control/copies_test.go
+++ b/internal/control/copies_test.go
@@ -14,53 +14,53 @@
 // worker has expired: a copy must run on an idle worker immediately, and once the copy
 // has ended the other run must be stopped when its worker is reachable again.
 func TestSpeculativeTaskIsCopiedBeforeLeaseExpires(t *testing.T) {
-	w := newTestCluster(t, nil)
-	w.workers.add("w1")
-	w.announce("w1")
+	cluster := newTestCluster(t, nil)
+	cluster.workers.add("w1")
+	cluster.announce("w1")
 	step := oneTask
 	step.Speculative, step.Count = true, 2
-	w.submit("a", step)
-	w.eventually("the tasks start", func() bool { return w.started("w1") == 2 })
-	term, err := w.c.currentLeaderTerm(context.Background())
+	cluster.submit("a", step)
+	cluster.eventually("the tasks start", func() bool { return cluster.started("w1") == 2 })
+	term, err := cluster.controller.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	term.mu.Lock()
 	term.sessions["w1"].leaseEnd = time.Now().Add(time.Hour)
 	term.mu.Unlock()
-	w.withWorker("w1", func(f *fakeWorker) { f.responsesLost = true })
-	w.workers.add("w2")
-	w.announce("w2")
-	w.eventually("the copies run", func() bool { return w.started("w2") == 2 })
-	w.withWorker("w2", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
-	w.withWorker("w1", func(f *fakeWorker) { f.responsesLost = false })
-	w.eventually("the other run of the task whose copy ended is stopped", func() bool {
+	cluster.withWorker("w1", func(f *fakeWorker) { f.responsesLost = true })
+	cluster.workers.add("w2")
+	cluster.announce("w2")
+	cluster.eventually("the copies run", func() bool { return cluster.started("w2") == 2 })
+	cluster.withWorker("w2", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
+	cluster.withWorker("w1", func(f *fakeWorker) { f.responsesLost = false })
+	cluster.eventually("the other run of the task whose copy ended is stopped", func() bool {
 		stopped := 0
-		w.withWorker("w1", func(f *fakeWorker) { stopped = f.stopped[task("a", 0)] })
+		cluster.withWorker("w1", func(f *fakeWorker) { stopped = f.stopped[task("a", 0)] })
 		return stopped == 1
 	})
-	must.Eq(t, workflow.PhaseActive, w.phase("a"))
-	w.withWorker("w1", func(f *fakeWorker) { must.MapContainsKey(t, f.running, task("a", 1)) })
+	must.Eq(t, workflow.PhaseActive, cluster.phase("a"))
+	cluster.withWorker("w1", func(f *fakeWorker) { must.MapContainsKey(t, f.running, task("a", 1)) })
 }
 
 // Guards against restarting a done task: the end of its first run is committed while the
 // start of its copy is being committed. Another task keeps the job active, so the state
 // of the task itself must be checked.
 func TestCopyOfDoneTaskIsNotSent(t *testing.T) {
-	w := newTestCluster(t, nil)
-	w.workers.add("w1")
-	w.announce("w1")
+	cluster := newTestCluster(t, nil)
+	cluster.workers.add("w1")
+	cluster.announce("w1")
 	step := oneTask
 	step.Count, step.Speculative = 2, true
-	w.submit("a", step)
-	w.eventually("the tasks start", func() bool { return w.started("w1") == 2 })
-	term, err := w.c.currentLeaderTerm(context.Background())
+	cluster.submit("a", step)
+	cluster.eventually("the tasks start", func() bool { return cluster.started("w1") == 2 })
+	term, err := cluster.controller.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	copied := workflow.Run{Task: task("a", 0), Number: 2, Worker: "w2"}
 	o, _, _ := term.newOrder(copied, "")
 	must.NotNil(t, o)
-	w.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
-	w.eventually("the task is done", func() bool {
+	cluster.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
+	cluster.eventually("the task is done", func() bool {
 		done := false
-		w.c.state.read(func(s *workflow.State) { done = s.Task(task("a", 0)).Done })
+		cluster.controller.state.read(func(s *workflow.State) { done = s.Task(task("a", 0)).Done })
 		return done
 	})
 	o, _, _ = term.newOrder(copied, "")
@@ -71,20 +71,20 @@
 // another task of the step is pending, and one decision could place both on the same idle
 // worker if it counted the step and its copies separately.
 func TestMaxPerWorkerCountsCopiesAndPendingTasks(t *testing.T) {
-	w := newTestCluster(t, nil)
-	w.workers.add("w1")
-	w.announce("w1")
+	cluster := newTestCluster(t, nil)
+	cluster.workers.add("w1")
+	cluster.announce("w1")
 	step := oneTask
 	step.Count, step.Speculative, step.MaxPerWorker = 2, true, 1
-	w.submit("a", step)
-	w.eventually("a task starts", func() bool { return w.started("w1") == 1 })
-	term, err := w.c.currentLeaderTerm(context.Background())
+	cluster.submit("a", step)
+	cluster.eventually("a task starts", func() bool { return cluster.started("w1") == 1 })
+	term, err := cluster.controller.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	key := task("a", 0).StepKey
 	input := &planInput{runsPerWorker: map[workflow.StepKey]map[string]int{}, copyCandidates: map[workflow.TaskKey]copyCandidate{task("a", 0): {worker: "w1"}}}
 	term.mu.Lock()
 	defer term.mu.Unlock()
-	w.c.state.read(func(s *workflow.State) {
+	cluster.controller.state.read(func(s *workflow.State) {
 		term.gatherSteps(input, s, s.Jobs["a"], time.Now())
 		term.addCopySteps(input, s, time.Now())
 	})
@@ -92,7 +92,7 @@
 	input.steps[0].Placed["w2"]++
 	must.Eq(t, 1, input.steps[1].Placed["w2"])
 	must.Eq(t, map[string]int{"w1": 1}, func() (placed map[string]int) {
-		w.c.state.read(func(s *workflow.State) { placed = s.Placed(key) })
+		cluster.controller.state.read(func(s *workflow.State) { placed = s.Placed(key) })
 		return placed
 	}())
 }
--- a/internal/control/crash_test.go
+++ b/internal/control/crash_test.go
@@ -18,7 +18,7 @@
 // crashingTask is a cluster in which the only task of job a crashes each worker that
 // starts it. Another worker is added after each crash.
 type crashingTask struct {
-	w       *testCluster
+	cluster *testCluster
 	crashed int
 }
 
@@ -26,10 +26,10 @@
 func (c *crashingTask) currentWorker() string { return fmt.Sprint("w", c.crashed+1) }
 
 func newCrashingTask(t *testing.T) *crashingTask {
-	c := &crashingTask{w: newTestCluster(t, nil)}
-	c.w.workers.add(c.currentWorker())
-	c.w.announce(c.currentWorker())
-	c.w.submit("a", oneTask)
+	c := &crashingTask{cluster: newTestCluster(t, nil)}
+	c.cluster.workers.add(c.currentWorker())
+	c.cluster.announce(c.currentWorker())
+	c.cluster.submit("a", oneTask)
 	return c
 }
 
@@ -38,18 +38,18 @@
 // leader can detect the crash only after detectableAfter.
 func (c *crashingTask) crashNext(detectableAfter time.Duration) (failed bool) {
 	worker := c.currentWorker()
-	c.w.eventually("the task starts or its job fails", func() bool {
-		failed = c.w.phase("a") == workflow.PhaseFailed
-		return failed || c.w.started(worker) > 0
+	c.cluster.eventually("the task starts or its job fails", func() bool {
+		failed = c.cluster.phase("a") == workflow.PhaseFailed
+		return failed || c.cluster.started(worker) > 0
 	})
 	if failed {
 		return true
 	}
 	c.crashed++
-	c.w.withWorker(worker, func(f *fakeWorker) { f.responsesLost = true })
-	c.w.workers.add(c.currentWorker())
-	c.w.announce(c.currentWorker())
-	time.AfterFunc(detectableAfter, func() { c.w.withWorker(worker, func(f *fakeWorker) { f.superseded = true }) })
+	c.cluster.withWorker(worker, func(f *fakeWorker) { f.responsesLost = true })
+	c.cluster.workers.add(c.currentWorker())
+	c.cluster.announce(c.currentWorker())
+	time.AfterFunc(detectableAfter, func() { c.cluster.withWorker(worker, func(f *fakeWorker) { f.superseded = true }) })
 	return false
 }
 
@@ -67,7 +67,7 @@
 	c := newCrashingTask(t)
 	for !c.crashNext(0) {
 	}
-	reply, err := c.w.c.Explain(context.Background(), &ExplainCall{Address: JobAddress{Host: "h", Path: "/q/a"}})
+	reply, err := c.cluster.controller.Explain(context.Background(), &ExplainCall{Address: JobAddress{Host: "h", Path: "/q/a"}})
 	must.NoError(t, err)
 	must.Eq(t, []TaskCrashes{{Task: 0, Workers: []string{"w1", "w2", "w3"}, GivenUp: true}}, reply.Steps[0].Crashes)
 }
@@ -130,19 +130,19 @@
 // their tasks had caused the crash. Most of these tasks had been running for a while, and
 // none has crashed a worker before.
 func TestTasksRunAgainAfterPowerLossOfRack(t *testing.T) {
-	w := newTestCluster(t, nil)
-	w.workers.add("w1")
-	w.announce("w1")
+	cluster := newTestCluster(t, nil)
+	cluster.workers.add("w1")
+	cluster.announce("w1")
 	const jobs = 8
 	for i := range jobs {
-		w.submit(fmt.Sprint("j", i), oneTask)
+		cluster.submit(fmt.Sprint("j", i), oneTask)
 	}
-	w.eventually("all tasks run", func() bool { return w.started("w1") == jobs })
-	w.workers.add("w2")
-	w.withWorker("w1", func(f *fakeWorker) { f.superseded = true })
-	w.announce("w2")
-	w.eventually("all tasks run again", func() bool { return w.started("w2") == jobs })
+	cluster.eventually("all tasks run", func() bool { return cluster.started("w1") == jobs })
+	cluster.workers.add("w2")
+	cluster.withWorker("w1", func(f *fakeWorker) { f.superseded = true })
+	cluster.announce("w2")
+	cluster.eventually("all tasks run again", func() bool { return cluster.started("w2") == jobs })
 	for i := range jobs {
-		must.NotEq(t, workflow.PhaseFailed, w.phase(fmt.Sprint("j", i)))
+		must.NotEq(t, workflow.PhaseFailed, cluster.phase(fmt.Sprint("j", i)))
 	}
 }
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -366,56 +366,56 @@
 
 // testCluster is one leading controller with its fakes.
 type testCluster struct {
-	t       *testing.T
-	log     *fakeLog
-	workers *fakeWorkers
-	c       *Controller
+	t          *testing.T
+	log        *fakeLog
+	workers    *fakeWorkers
+	controller *Controller
 }
 
 // newTestCluster starts a controller after prepare has filled the log, and waits until it
 // leads.
-func newTestCluster(t *testing.T, prepare func(w *testCluster)) *testCluster {
+func newTestCluster(t *testing.T, prepare func(cluster *testCluster)) *testCluster {
 	machine := NewStateMachine()
-	w := &testCluster{t: t, log: &fakeLog{state: machine}, workers: &fakeWorkers{all: map[string]*fakeWorker{}}}
+	cluster := &testCluster{t: t, log: &fakeLog{state: machine}, workers: &fakeWorkers{all: map[string]*fakeWorker{}}}
 	bounds := Bounds{MaxLease: testMaxLease, EndedJobRetention: time.Minute}
-	w.c = New(Config{
-		Address: "own", Bounds: bounds, Workers: w.workers, Adviser: w.workers, Client: link.NewClient(testMaxConns),
+	cluster.controller = New(Config{
+		Address: "own", Bounds: bounds, Workers: cluster.workers, Adviser: cluster.workers, Client: link.NewClient(testMaxConns),
 		Logger: log.NewLogfmtLogger(testWriter{t}), Counters: noCounters{},
 		Leader: func() string { return "own" }, Members: func() []string { return nil },
-	}, machine, w.log)
-	w.commit(&workflow.Command{Configuration: &workflow.Document{Version: 1, Source: []byte("{}"), Queues: []workflow.Queue{
+	}, machine, cluster.log)
+	cluster.commit(&workflow.Command{Configuration: &workflow.Document{Version: 1, Source: []byte("{}"), Queues: []workflow.Queue{
 		{Name: "q", Host: "h", Prefix: "/q/", Policy: workflow.Policy{Service: "s", MaxAttempts: 3, Stretch: 2, ObjectiveMS: 100}},
 	}}})
 	if prepare != nil {
-		prepare(w)
+		prepare(cluster)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		must.NoError(t, w.c.Run(ctx))
+		must.NoError(t, cluster.controller.Run(ctx))
 	}()
 	t.Cleanup(func() { cancel(); <-done })
-	w.eventually("a leader term begins", func() bool { _, err := w.c.currentLeaderTerm(context.Background()); return err == nil })
-	return w
+	cluster.eventually("a leader term begins", func() bool { _, err := cluster.controller.currentLeaderTerm(context.Background()); return err == nil })
+	return cluster
 }
 
 // clusterWithStartedTask returns a cluster whose leader has started the only task of job
 // a on worker w1.
 func clusterWithStartedTask(t *testing.T) *testCluster {
-	w := newTestCluster(t, nil)
-	w.workers.add("w1")
-	w.announce("w1")
-	w.submit("a", oneTask)
-	w.eventually("the task starts", func() bool { return w.started("w1") == 1 })
-	return w
+	cluster := newTestCluster(t, nil)
+	cluster.workers.add("w1")
+	cluster.announce("w1")
+	cluster.submit("a", oneTask)
+	cluster.eventually("the task starts", func() bool { return cluster.started("w1") == 1 })
+	return cluster
 }
 
-func (w *testCluster) commit(c *workflow.Command) {
+func (cluster *testCluster) commit(c *workflow.Command) {
 	data, err := c.Encode()
-	must.NoError(w.t, err)
-	_, err = w.log.Propose(context.Background(), data)
-	must.NoError(w.t, err)
+	must.NoError(cluster.t, err)
+	_, err = cluster.log.Propose(context.Background(), data)
+	must.NoError(cluster.t, err)
 }
 
 var tenCores = workflow.Resources{MilliCPU: 10_000, MemoryMB: 1000}
@@ -425,17 +425,17 @@
 }
 
 // announce sends a heartbeat of a worker.
-func (w *testCluster) announce(id string) {
-	_, err := w.c.Announce(context.Background(), &Announcement{Worker: worker(id)})
-	must.NoError(w.t, err)
+func (cluster *testCluster) announce(id string) {
+	_, err := cluster.controller.Announce(context.Background(), &Announcement{Worker: worker(id)})
+	must.NoError(cluster.t, err)
 }
 
 // submit submits a job of one step.
-func (w *testCluster) submit(id string, step workflow.Step) {
-	_, err := w.c.Submit(context.Background(), &SubmitCall{
+func (cluster *testCluster) submit(id string, step workflow.Step) {
+	_, err := cluster.controller.Submit(context.Background(), &SubmitCall{
 		Address: JobAddress{Host: "h", Path: "/q/" + id}, Payload: "payload", Steps: []workflow.Step{step},
 	})
-	must.NoError(w.t, err)
+	must.NoError(cluster.t, err)
 }
 
 const (
@@ -448,32 +448,32 @@
 
 // eventually waits until ok returns true, and fails the test if it never does. event
 // names what it waits for.
-func (w *testCluster) eventually(event string, ok func() bool) {
-	w.t.Helper()
+func (cluster *testCluster) eventually(event string, ok func() bool) {
+	cluster.t.Helper()
 	for range eventuallyChecks {
 		if ok() {
 			return
 		}
 		time.Sleep(eventuallyInterval)
 	}
-	w.t.Fatalf("never: %s", event)
+	cluster.t.Fatalf("never: %s", event)
 }
 
 // withWorker calls f with a worker while the lock of all fake workers is held.
-func (w *testCluster) withWorker(id string, f func(*fakeWorker)) {
-	w.workers.mu.Lock()
-	defer w.workers.mu.Unlock()
-	f(w.workers.all[id])
+func (cluster *testCluster) withWorker(id string, f func(*fakeWorker)) {
+	cluster.workers.mu.Lock()
+	defer cluster.workers.mu.Unlock()
+	f(cluster.workers.all[id])
 }
 
 // started returns how many starts a worker has carried out.
-func (w *testCluster) started(id string) (n int) {
-	w.withWorker(id, func(f *fakeWorker) { n = len(f.starts) })
+func (cluster *testCluster) started(id string) (n int) {
+	cluster.withWorker(id, func(f *fakeWorker) { n = len(f.starts) })
 	return n
 }
 
-func (w *testCluster) phase(id string) workflow.Phase {
-	phase, _ := w.c.phase(id, "h/q/")
+func (cluster *testCluster) phase(id string) workflow.Phase {
+	phase, _ := cluster.controller.phase(id, "h/q/")
 	return phase
 }
 
--- a/internal/control/heartbeat_buffer_test.go
+++ b/internal/control/heartbeat_buffer_test.go
@@ -27,15 +27,15 @@
 // reach, while another instance still receives the worker's heartbeats. The worker stays
 // unused if a collected heartbeat doesn't make the leader monitor it again.
 func TestCollectedHeartbeatResumesMonitoring(t *testing.T) {
-	w := clusterWithStartedTask(t)
-	w.c.mu.Lock()
-	term := w.c.leaderTerm
-	w.c.mu.Unlock()
+	cluster := clusterWithStartedTask(t)
+	cluster.controller.mu.Lock()
+	term := cluster.controller.leaderTerm
+	cluster.controller.mu.Unlock()
 	const id = "w1"
 	term.mu.Lock()
 	delete(term.sessions, id)
 	term.mu.Unlock()
-	w.c.ApplyCollectedHeartbeats([]BufferedHeartbeat{{Worker: id, Age: time.Second}, {Worker: "never seen"}})
+	cluster.controller.ApplyCollectedHeartbeats([]BufferedHeartbeat{{Worker: id, Age: time.Second}, {Worker: "never seen"}})
 	must.True(t, term.monitors(id))
 	must.False(t, term.monitors("never seen"))
 }
--- a/internal/control/heartbeat_transport_test.go
+++ b/internal/control/heartbeat_transport_test.go
@@ -23,16 +23,16 @@
 
 // sendHeartbeat sends one heartbeat with the worker's report and carries out the orders
 // in the response.
-func (w *testCluster) sendHeartbeat(sender *heartbeatWorker) {
+func (cluster *testCluster) sendHeartbeat(sender *heartbeatWorker) {
 	report := Report{ClockMS: time.Now().UnixMilli()}
-	w.workers.mu.Lock()
+	cluster.workers.mu.Lock()
 	for _, running := range sender.running {
 		report.Running = append(report.Running, running)
 	}
 	report.Ended = append(report.Ended, sender.ended...)
-	w.workers.mu.Unlock()
-	reply, err := w.c.Announce(context.Background(), &Announcement{Worker: worker(sender.id), Report: &report})
-	must.NoError(w.t, err)
+	cluster.workers.mu.Unlock()
+	reply, err := cluster.controller.Announce(context.Background(), &Announcement{Worker: worker(sender.id), Report: &report})
+	must.NoError(cluster.t, err)
 	if reply.Orders == nil {
 		return
 	}
@@ -41,8 +41,8 @@
 		sender.lostResponses = append(sender.lostResponses, *reply.Orders)
 		return
 	}
-	w.workers.mu.Lock()
-	defer w.workers.mu.Unlock()
+	cluster.workers.mu.Lock()
+	defer cluster.workers.mu.Unlock()
 	sender.carryOut(*reply.Orders)
 }
 
@@ -80,53 +80,53 @@
 // heartbeatCluster returns a cluster whose leader doesn't call workers, and its workers,
 // which send heartbeats.
 func heartbeatCluster(t *testing.T, ids ...string) (*testCluster, map[string]*heartbeatWorker) {
-	w := newTestCluster(t, func(w *testCluster) {
-		w.c.heartbeats = newHeartbeatTransport(w.c.cfg.Workers)
-		w.c.cfg.Workers = w.c.heartbeats
-		w.c.cfg.Bounds.MaxLease = heartbeatMaxLease
+	cluster := newTestCluster(t, func(cluster *testCluster) {
+		cluster.controller.heartbeats = newHeartbeatTransport(cluster.controller.cfg.Workers)
+		cluster.controller.cfg.Workers = cluster.controller.heartbeats
+		cluster.controller.cfg.Bounds.MaxLease = heartbeatMaxLease
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	all := map[string]*heartbeatWorker{}
 	for _, id := range ids {
-		sender := &heartbeatWorker{fakeWorker: w.workers.add(id)}
+		sender := &heartbeatWorker{fakeWorker: cluster.workers.add(id)}
 		all[id] = sender
 		go func() {
 			for wait.For(ctx, testHeartbeatInterval) {
-				if _, err := w.c.currentLeaderTerm(context.Background()); err == nil {
-					w.sendHeartbeat(sender)
+				if _, err := cluster.controller.currentLeaderTerm(context.Background()); err == nil {
+					cluster.sendHeartbeat(sender)
 				}
 			}
 		}()
 	}
-	return w, all
+	return cluster, all
 }
 
 // Guards against this failure: a job doesn't run, or a cancelled one isn't stopped,
 // because the orders don't reach a worker that the leader can't call.
 func TestHeartbeatResponsesCarryOrders(t *testing.T) {
-	w, _ := heartbeatCluster(t, "w1")
-	w.submit("a", oneTask)
-	w.eventually("the task starts", func() bool { return w.started("w1") == 1 })
+	cluster, _ := heartbeatCluster(t, "w1")
+	cluster.submit("a", oneTask)
+	cluster.eventually("the task starts", func() bool { return cluster.started("w1") == 1 })
 	// The response with the start may arrive before the first poll that extends the
 	// lease. The start carries its own lease until then.
-	w.eventually("a lease is granted", func() (given bool) {
-		w.withWorker("w1", func(f *fakeWorker) { given = len(f.leases) > 0 })
+	cluster.eventually("a lease is granted", func() (given bool) {
+		cluster.withWorker("w1", func(f *fakeWorker) { given = len(f.leases) > 0 })
 		return given
 	})
-	w.withWorker("w1", func(f *fakeWorker) {
+	cluster.withWorker("w1", func(f *fakeWorker) {
 		must.SliceNotEmpty(t, f.leases)
 		must.Less(t, int64(2000), f.leases[0], must.Sprint("the lease counts from the arrival of the response, which may be a second later"))
 		f.finish(task("a", 0), workflow.OutcomeDone)
 	})
-	w.eventually("the job is done", func() bool { return w.phase("a") == workflow.PhaseDone })
-	w.submit("b", oneTask)
-	w.eventually("the task starts", func() bool { return w.started("w1") == 2 })
-	_, err := w.c.Cancel(context.Background(), &CancelCall{Address: JobAddress{Host: "h", Path: "/q/b"}})
+	cluster.eventually("the job is done", func() bool { return cluster.phase("a") == workflow.PhaseDone })
+	cluster.submit("b", oneTask)
+	cluster.eventually("the task starts", func() bool { return cluster.started("w1") == 2 })
+	_, err := cluster.controller.Cancel(context.Background(), &CancelCall{Address: JobAddress{Host: "h", Path: "/q/b"}})
 	must.NoError(t, err)
-	w.eventually("its run is stopped", func() bool {
+	cluster.eventually("its run is stopped", func() bool {
 		stopped := 0
-		w.withWorker("w1", func(f *fakeWorker) { stopped = f.stopped[task("b", 0)] })
+		cluster.withWorker("w1", func(f *fakeWorker) { stopped = f.stopped[task("b", 0)] })
 		return stopped == 1
 	})
 }
--- a/internal/control/incarnations_test.go
+++ b/internal/control/incarnations_test.go
@@ -19,48 +19,48 @@
 }
 
 // announceIncarnation sends a heartbeat of an incarnation of worker n.
-func (w *testCluster) announceIncarnation(id string, startedAtMS int64) {
-	_, err := w.c.Announce(context.Background(), incarnation(id, startedAtMS))
-	must.NoError(w.t, err)
+func (cluster *testCluster) announceIncarnation(id string, startedAtMS int64) {
+	_, err := cluster.controller.Announce(context.Background(), incarnation(id, startedAtMS))
+	must.NoError(cluster.t, err)
 }
 
 // restart starts the next incarnation of a worker at its address.
-func (w *testCluster) restart(predecessor, successor string) {
-	next := w.workers.add(successor)
-	w.withWorker(predecessor, func(f *fakeWorker) { f.successor = next })
+func (cluster *testCluster) restart(predecessor, successor string) {
+	next := cluster.workers.add(successor)
+	cluster.withWorker(predecessor, func(f *fakeWorker) { f.successor = next })
 }
 
 // clusterWithIncarnation returns a cluster whose leader has started the only task of job
 // a on the first incarnation of worker n.
 func clusterWithIncarnation(t *testing.T) *testCluster {
-	w := newTestCluster(t, nil)
-	w.workers.add("n1")
-	w.announceIncarnation("n1", 1)
-	w.submit("a", oneTask)
-	w.eventually("the task starts", func() bool { return w.started("n1") == 1 })
-	return w
+	cluster := newTestCluster(t, nil)
+	cluster.workers.add("n1")
+	cluster.announceIncarnation("n1", 1)
+	cluster.submit("a", oneTask)
+	cluster.eventually("the task starts", func() bool { return cluster.started("n1") == 1 })
+	return cluster
 }
 
 // clusterWithUnansweredStart returns a cluster whose leader has sent the start of job a's
 // task to the first incarnation of worker n, which has ended without a response.
 func clusterWithUnansweredStart(t *testing.T) *testCluster {
-	w := newTestCluster(t, nil)
-	w.workers.add("n1").delayStarts = true
-	w.announceIncarnation("n1", 1)
-	w.submit("a", oneTask)
-	w.eventually("the start is sent twice", func() bool {
+	cluster := newTestCluster(t, nil)
+	cluster.workers.add("n1").delayStarts = true
+	cluster.announceIncarnation("n1", 1)
+	cluster.submit("a", oneTask)
+	cluster.eventually("the start is sent twice", func() bool {
 		delayed := 0
-		w.withWorker("n1", func(f *fakeWorker) { delayed = len(f.delayedStarts) })
+		cluster.withWorker("n1", func(f *fakeWorker) { delayed = len(f.delayedStarts) })
 		return delayed == maxStartAttempts
 	})
-	w.restart("n1", "n2")
-	return w
+	cluster.restart("n1", "n2")
+	return cluster
 }
 
 // deliverDelayedStart makes the next incarnation carry out the start that was sent to the
 // first one, and returns the result.
-func (w *testCluster) deliverDelayedStart() (err error) {
-	w.withWorker("n1", func(f *fakeWorker) {
+func (cluster *testCluster) deliverDelayedStart() (err error) {
+	cluster.withWorker("n1", func(f *fakeWorker) {
 		delayed := f.delayedStarts[0]
 		err = f.successor.startRun(delayed)
 	})
@@ -70,46 +70,46 @@
 // Guards against this failure: a task runs twice. The worker's next incarnation carries
 // out a start that got no response, while another run of the task is in progress.
 func TestUnansweredStartIsSettledWithSuccessor(t *testing.T) {
-	w := clusterWithUnansweredStart(t)
-	w.workers.add("w2")
-	w.announce("w2")
-	w.announceIncarnation("n2", 2)
-	w.eventually("the task runs again", func() bool { return w.started("w2")+w.started("n2") == 1 })
-	must.Error(t, w.deliverDelayedStart(), must.Sprint("carried out late, while the second run is alive"))
+	cluster := clusterWithUnansweredStart(t)
+	cluster.workers.add("w2")
+	cluster.announce("w2")
+	cluster.announceIncarnation("n2", 2)
+	cluster.eventually("the task runs again", func() bool { return cluster.started("w2")+cluster.started("n2") == 1 })
+	must.Error(t, cluster.deliverDelayedStart(), must.Sprint("carried out late, while the second run is alive"))
 }
 
 // Guards against this failure: a task runs twice. A start got no response from the first
 // incarnation of a worker, but the next incarnation has carried out that start, and the
 // run has ended.
 func TestRunDoneBySuccessorIsNotRepeated(t *testing.T) {
-	w := clusterWithUnansweredStart(t)
-	must.NoError(t, w.deliverDelayedStart())
-	w.withWorker("n2", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
-	w.announceIncarnation("n2", 2)
-	w.eventually("the job is done", func() bool { return w.phase("a") == workflow.PhaseDone })
-	must.Eq(t, 1, w.started("n2"))
+	cluster := clusterWithUnansweredStart(t)
+	must.NoError(t, cluster.deliverDelayedStart())
+	cluster.withWorker("n2", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
+	cluster.announceIncarnation("n2", 2)
+	cluster.eventually("the job is done", func() bool { return cluster.phase("a") == workflow.PhaseDone })
+	must.Eq(t, 1, cluster.started("n2"))
 }
 
 // Guards against this failure: a task never runs again. The runs of an ended incarnation
 // count as alive because the next incarnation responds at the same address.
 func TestRunsOfSupersededIncarnationRestart(t *testing.T) {
-	w := clusterWithIncarnation(t)
-	w.restart("n1", "n2")
-	w.announceIncarnation("n2", 2)
-	w.eventually("the task starts again", func() bool { return w.started("n2") == 1 })
+	cluster := clusterWithIncarnation(t)
+	cluster.restart("n1", "n2")
+	cluster.announceIncarnation("n2", 2)
+	cluster.eventually("the task starts again", func() bool { return cluster.started("n2") == 1 })
 }
 
 // Guards against this failure: a worker isn't used any more because a delayed heartbeat of
 // an ended incarnation replaces the current one.
 func TestStaleHeartbeatOfSupersededIncarnationIsIgnored(t *testing.T) {
-	w := newTestCluster(t, nil)
-	w.workers.add("n2")
-	w.announceIncarnation("n2", 2)
-	w.announceIncarnation("n1", 1)
-	w.submit("a", oneTask)
-	w.eventually("the task starts", func() bool { return w.started("n2") == 1 })
-	must.False(t, w.currentTerm().monitors("n1"))
-	w.c.state.read(func(s *workflow.State) {
+	cluster := newTestCluster(t, nil)
+	cluster.workers.add("n2")
+	cluster.announceIncarnation("n2", 2)
+	cluster.announceIncarnation("n1", 1)
+	cluster.submit("a", oneTask)
+	cluster.eventually("the task starts", func() bool { return cluster.started("n2") == 1 })
+	must.False(t, cluster.currentTerm().monitors("n1"))
+	cluster.controller.state.read(func(s *workflow.State) {
 		must.Nil(t, s.Workers["n1"])
 		must.Eq(t, "n2", s.NewestIncarnation("n").ID)
 	})
@@ -118,20 +118,20 @@
 // Guards against this failure: ends are acknowledged before a report has shown them. A
 // poll carries the position of the previous incarnation's last end to a new incarnation.
 func TestPollOfUnconfirmedIncarnationAcknowledgesNoEnds(t *testing.T) {
-	w := clusterWithIncarnation(t)
-	w.withWorker("n1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
-	w.eventually("the end is acknowledged", func() bool {
+	cluster := clusterWithIncarnation(t)
+	cluster.withWorker("n1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
+	cluster.eventually("the end is acknowledged", func() bool {
 		seen := false
-		w.withWorker("n1", func(f *fakeWorker) { seen = f.polls[len(f.polls)-1].LastEnd == 1 })
+		cluster.withWorker("n1", func(f *fakeWorker) { seen = f.polls[len(f.polls)-1].LastEnd == 1 })
 		return seen
 	})
-	w.withWorker("n1", func(f *fakeWorker) { f.responsesLost = true })
+	cluster.withWorker("n1", func(f *fakeWorker) { f.responsesLost = true })
 	const lostPollsWait = 10 * fakePollHold
 	time.Sleep(lostPollsWait)
-	w.restart("n1", "n2")
-	w.announceIncarnation("n2", 2)
-	w.eventually("the successor is monitored", func() bool { return w.isReady("n2") })
-	w.withWorker("n2", func(f *fakeWorker) {
+	cluster.restart("n1", "n2")
+	cluster.announceIncarnation("n2", 2)
+	cluster.eventually("the successor is monitored", func() bool { return cluster.isReady("n2") })
+	cluster.withWorker("n2", func(f *fakeWorker) {
 		for _, poll := range f.polls {
 			must.Eq(t, 0, poll.LastEnd)
 		}
@@ -142,12 +142,12 @@
 // while its machine goes down. The machine list may identify a worker by its name, which
 // has to be resolved to the latest incarnation.
 func TestWorkerNameResolvesToLatestIncarnation(t *testing.T) {
-	w := newTestCluster(t, nil)
-	w.workers.add("n1")
-	w.workers.add("n2")
-	w.announceIncarnation("n1", 1)
-	w.announceIncarnation("n2", 2)
-	term := w.currentTerm()
+	cluster := newTestCluster(t, nil)
+	cluster.workers.add("n1")
+	cluster.workers.add("n2")
+	cluster.announceIncarnation("n1", 1)
+	cluster.announceIncarnation("n2", 2)
+	term := cluster.currentTerm()
 	must.Eq(t, "n2", term.latestIncarnation("n", "n"))
 	must.Eq(t, "n1", term.latestIncarnation("n1", "n"))
 	must.Eq(t, "unknown", term.latestIncarnation("unknown", "unknown"))
@@ -178,15 +178,15 @@
 // Guards against this failure: ends are acknowledged before a report has shown them. A new
 // leader doesn't know that a worker has restarted since the log last recorded its ends.
 func TestFirstPollOfNewLeaderAcknowledgesNoEnds(t *testing.T) {
-	w := newTestCluster(t, func(w *testCluster) {
-		w.workers.add("n1")
-		w.restart("n1", "n2")
-		w.commit(&workflow.Command{Worker: &incarnation("n1", 1).Worker})
-		w.commit(&workflow.Command{Ends: &workflow.RunEnds{Worker: "n1", LastEnd: 7}})
+	cluster := newTestCluster(t, func(cluster *testCluster) {
+		cluster.workers.add("n1")
+		cluster.restart("n1", "n2")
+		cluster.commit(&workflow.Command{Worker: &incarnation("n1", 1).Worker})
+		cluster.commit(&workflow.Command{Ends: &workflow.RunEnds{Worker: "n1", LastEnd: 7}})
 	})
-	w.announceIncarnation("n2", 2)
-	w.eventually("the successor is monitored", func() bool { return w.isReady("n2") })
-	w.withWorker("n2", func(f *fakeWorker) {
+	cluster.announceIncarnation("n2", 2)
+	cluster.eventually("the successor is monitored", func() bool { return cluster.isReady("n2") })
+	cluster.withWorker("n2", func(f *fakeWorker) {
 		for _, poll := range f.polls {
 			must.Eq(t, 0, poll.LastEnd)
 		}
@@ -197,13 +197,13 @@
 // ended incarnation of its worker. No session monitors that incarnation any more when the
 // run is found, and the new session isn't linked to the successor.
 func TestResumedPredecessorIsSettledWithSuccessor(t *testing.T) {
-	w := clusterWithIncarnation(t)
-	term := w.currentTerm()
+	cluster := clusterWithIncarnation(t)
+	term := cluster.currentTerm()
 	term.mu.Lock()
 	term.sessions["n1"].cancelPoll()
 	delete(term.sessions, "n1")
 	term.mu.Unlock()
-	w.restart("n1", "n2")
-	w.announceIncarnation("n2", 2)
-	w.eventually("the task starts again", func() bool { return w.started("n2") == 1 })
+	cluster.restart("n1", "n2")
+	cluster.announceIncarnation("n2", 2)
+	cluster.eventually("the task starts again", func() bool { return cluster.started("n2") == 1 })
 }
--- a/internal/control/leader_term_test.go
+++ b/internal/control/leader_term_test.go
@@ -15,35 +15,35 @@
 // An older heartbeat, from before the worker announced that it drains, arrives after that
 // announcement.
 func TestDrainingWorkerGetsNoNewTask(t *testing.T) {
-	w := newTestCluster(t, nil)
-	w.workers.add("w1")
-	w.announce("w1")
+	cluster := newTestCluster(t, nil)
+	cluster.workers.add("w1")
+	cluster.announce("w1")
 	draining := worker("w1")
 	draining.Draining = true
-	_, err := w.c.Announce(context.Background(), &Announcement{Worker: draining, Sequence: 9})
+	_, err := cluster.controller.Announce(context.Background(), &Announcement{Worker: draining, Sequence: 9})
 	must.NoError(t, err)
-	w.announce("w1")
-	w.c.state.read(func(s *workflow.State) { must.True(t, s.Workers["w1"].Draining) })
-	w.submit("a", oneTask)
+	cluster.announce("w1")
+	cluster.controller.state.read(func(s *workflow.State) { must.True(t, s.Workers["w1"].Draining) })
+	cluster.submit("a", oneTask)
 	time.Sleep(noStartWait)
-	must.Eq(t, 0, w.started("w1"))
-	w.workers.add("w2")
-	w.announce("w2")
-	w.eventually("the task starts elsewhere", func() bool { return w.started("w2") == 1 })
+	must.Eq(t, 0, cluster.started("w1"))
+	cluster.workers.add("w2")
+	cluster.announce("w2")
+	cluster.eventually("the task starts elsewhere", func() bool { return cluster.started("w2") == 1 })
 }
 
 // Guards against this failure: one faulty worker fails job after job while a healthy one
 // has free resources.
 func TestWorkerThatFailsAllRunsIsQuarantined(t *testing.T) {
-	w := newTestCluster(t, nil)
-	w.workers.add("w1")
-	w.announce("w1")
+	cluster := newTestCluster(t, nil)
+	cluster.workers.add("w1")
+	cluster.announce("w1")
 	for _, job := range []string{"a", "b", "c"} {
-		w.submit(job, oneTask)
-		w.eventually("the task starts", func() bool { return w.started("w1") >= 1 })
-		w.eventually("it fails", func() bool {
+		cluster.submit(job, oneTask)
+		cluster.eventually("the task starts", func() bool { return cluster.started("w1") >= 1 })
+		cluster.eventually("it fails", func() bool {
 			failed := false
-			w.withWorker("w1", func(f *fakeWorker) {
+			cluster.withWorker("w1", func(f *fakeWorker) {
 				if _, ok := f.running[task(job, 0)]; ok {
 					f.finish(task(job, 0), workflow.OutcomeFailed)
 					failed = true
@@ -52,37 +52,37 @@
 			return failed
 		})
 	}
-	w.workers.add("w2")
-	w.announce("w2")
+	cluster.workers.add("w2")
+	cluster.announce("w2")
 	onHealthy := func(job string) bool {
 		found := false
-		w.withWorker("w2", func(f *fakeWorker) { found = f.running[task(job, 0)].Number > 0 })
+		cluster.withWorker("w2", func(f *fakeWorker) { found = f.running[task(job, 0)].Number > 0 })
 		return found
 	}
-	w.eventually("the third job runs on the healthy worker", func() bool { return onHealthy("c") })
-	w.submit("d", oneTask)
-	w.eventually("a new job runs on the healthy worker", func() bool { return onHealthy("d") })
+	cluster.eventually("the third job runs on the healthy worker", func() bool { return onHealthy("c") })
+	cluster.submit("d", oneTask)
+	cluster.eventually("a new job runs on the healthy worker", func() bool { return onHealthy("d") })
 }
 
 // Guards against this failure: a queue reports no waiting jobs although jobs wait,
 // because a job counts as started from the commit of its start. Its worker doesn't
 // respond to the start, and carries it out later or never.
 func TestJobCountsAsWaitingUntilWorkerStartsIt(t *testing.T) {
-	w := newTestCluster(t, nil)
-	w.workers.add("w1").delayStarts = true
-	w.announce("w1")
-	w.submit("a", oneTask)
-	w.eventually("the start is sent", func() bool {
+	cluster := newTestCluster(t, nil)
+	cluster.workers.add("w1").delayStarts = true
+	cluster.announce("w1")
+	cluster.submit("a", oneTask)
+	cluster.eventually("the start is sent", func() bool {
 		delayed := 0
-		w.withWorker("w1", func(f *fakeWorker) { delayed = len(f.delayedStarts) })
+		cluster.withWorker("w1", func(f *fakeWorker) { delayed = len(f.delayedStarts) })
 		return delayed > 0
 	})
-	reply, err := w.c.State(context.Background(), &StateCall{Address: JobAddress{Host: "h", Path: "/q/"}})
+	reply, err := cluster.controller.State(context.Background(), &StateCall{Address: JobAddress{Host: "h", Path: "/q/"}})
 	must.NoError(t, err)
 	must.Eq(t, 1, reply.Waiting)
-	w.withWorker("w1", func(f *fakeWorker) { f.delayStarts = false })
-	w.eventually("no job waits", func() bool {
-		reply, err := w.c.State(context.Background(), &StateCall{Address: JobAddress{Host: "h", Path: "/q/"}})
+	cluster.withWorker("w1", func(f *fakeWorker) { f.delayStarts = false })
+	cluster.eventually("no job waits", func() bool {
+		reply, err := cluster.controller.State(context.Background(), &StateCall{Address: JobAddress{Host: "h", Path: "/q/"}})
 		return err == nil && reply.Waiting == 0
 	})
 }
@@ -92,10 +92,10 @@
 // that lease, since its monotonic clock doesn't count the suspension.
 func TestLeaderTermEndsAfterMachineSuspend(t *testing.T) {
 	ended := false
-	w := newTestCluster(t, nil)
-	term := newLeaderTerm(context.Background(), func() { ended = true }, w.c, fakeLogTerm)
+	cluster := newTestCluster(t, nil)
+	term := newLeaderTerm(context.Background(), func() { ended = true }, cluster.controller, fakeLogTerm)
 	s := term.addSession(worker("w1"), nil)
-	w.workers.add("w1")
+	cluster.workers.add("w1")
 	_, err := s.poll(time.Now())
 	must.NoError(t, err)
 	must.False(t, ended)
@@ -107,16 +107,16 @@
 // Guards against this failure: the leader runs out of memory. It keeps the state of ended
 // jobs, each with the adviser's responses for 48 workers, for the whole leader term.
 func TestStateOfEndedJobsIsReleased(t *testing.T) {
-	w := clusterWithStartedTask(t)
-	term, err := w.c.currentLeaderTerm(context.Background())
+	cluster := clusterWithStartedTask(t)
+	term, err := cluster.controller.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	term.mu.Lock()
 	term.permitsOf(workflow.StepKey{Job: "a"})
 	term.mu.Unlock()
 	must.SliceEmpty(t, term.expireEndedJobs(time.Now()))
 	must.MapLen(t, 1, term.permits)
-	w.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
-	w.eventually("the job is done", func() bool { return w.phase("a") == workflow.PhaseDone })
+	cluster.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
+	cluster.eventually("the job is done", func() bool { return cluster.phase("a") == workflow.PhaseDone })
 	must.SliceEmpty(t, term.expireEndedJobs(time.Now()))
 	must.MapEmpty(t, term.permits)
 	must.Eq(t, []string{"a"}, term.expireEndedJobs(time.Now().Add(time.Hour)))
@@ -127,15 +127,15 @@
 // decision is made while starts are being committed and doesn't count the resources that
 // they need.
 func TestProposedStartsReserveResources(t *testing.T) {
-	w := newTestCluster(t, nil)
-	w.workers.add("w1")
-	w.announce("w1")
-	term, err := w.c.currentLeaderTerm(context.Background())
+	cluster := newTestCluster(t, nil)
+	cluster.workers.add("w1")
+	cluster.announce("w1")
+	term, err := cluster.controller.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
-	w.eventually("the worker is ready", func() bool {
+	cluster.eventually("the worker is ready", func() bool {
 		return len(term.gatherPlanInput(time.Now()).workers) == 1
 	})
-	w.commit(&workflow.Command{Submit: &workflow.Submission{
+	cluster.commit(&workflow.Command{Submit: &workflow.Submission{
 		ID: "b", Queue: "h/q/", Steps: []workflow.Step{{Count: 2, Need: workflow.Resources{MilliCPU: 8000}, Label: "none"}},
 		Policy: workflow.Policy{Service: "s"},
 	}})
@@ -162,10 +162,10 @@
 // another leader. The log's goroutine is delayed by a tenth of a second and can't confirm
 // the leadership, although the member still leads.
 func TestLeaderWaitsForDelayedLogInsteadOfRefusing(t *testing.T) {
-	w := newTestCluster(t, nil)
-	w.workers.add("w1")
-	w.log.delayStatus(100 * time.Millisecond)
-	_, err := w.c.Announce(context.Background(), &Announcement{Worker: worker("w1")})
+	cluster := newTestCluster(t, nil)
+	cluster.workers.add("w1")
+	cluster.log.delayStatus(100 * time.Millisecond)
+	_, err := cluster.controller.Announce(context.Background(), &Announcement{Worker: worker("w1")})
 	must.NoError(t, err)
 }
 
@@ -187,7 +187,7 @@
 // line at the start of the leader term counts its workers without the lock while the first
 // heartbeat adds a worker. The race detector finds this.
 func TestSharedLeaderTermIsReadUnderLock(t *testing.T) {
-	w := newTestCluster(t, func(w *testCluster) { w.c.cfg.Logger = slowLogger{} })
-	w.workers.add("w1")
-	w.announce("w1")
+	cluster := newTestCluster(t, func(cluster *testCluster) { cluster.controller.cfg.Logger = slowLogger{} })
+	cluster.workers.add("w1")
+	cluster.announce("w1")
 }
--- a/internal/control/maintenance_test.go
+++ b/internal/control/maintenance_test.go
@@ -138,32 +138,32 @@
 		m.State, m.Worker = MachineUp, next
 		f.mu.Unlock()
 		// The call fails if the test has ended meanwhile.
-		_, _ = f.cluster.c.Announce(context.Background(), &Announcement{Worker: worker(next)})
+		_, _ = f.cluster.controller.Announce(context.Background(), &Announcement{Worker: worker(next)})
 	})
 }
 
 // newMachineCluster returns a cluster with the machines and one worker on each.
 func newMachineCluster(t *testing.T, machines *fakeMachines) *testCluster {
-	w := newTestCluster(t, func(w *testCluster) {
-		machines.cluster = w
-		w.c.cfg.Machines = machines
-		w.c.cfg.Bounds.MaintenanceDuration = machines.downtime
+	cluster := newTestCluster(t, func(cluster *testCluster) {
+		machines.cluster = cluster
+		cluster.controller.cfg.Machines = machines
+		cluster.controller.cfg.Bounds.MaintenanceDuration = machines.downtime
 	})
 	for id := range machines.list {
-		w.workers.add(id + "-0")
-		w.announce(id + "-0")
+		cluster.workers.add(id + "-0")
+		cluster.announce(id + "-0")
 	}
-	return w
+	return cluster
 }
 
-func (w *testCluster) startWave(wave workflow.Wave) {
-	_, err := w.c.StartWave(context.Background(), &WaveCall{Wave: wave})
-	must.NoError(w.t, err)
+func (cluster *testCluster) startWave(wave workflow.Wave) {
+	_, err := cluster.controller.StartWave(context.Background(), &WaveCall{Wave: wave})
+	must.NoError(cluster.t, err)
 }
 
-func (w *testCluster) waveDone(id int64) bool {
-	reply, err := w.c.WaveState(context.Background(), &WaveStateCall{ID: id})
-	must.NoError(w.t, err)
+func (cluster *testCluster) waveDone(id int64) bool {
+	reply, err := cluster.controller.WaveState(context.Background(), &WaveStateCall{ID: id})
+	must.NoError(cluster.t, err)
 	return reply.Done
 }
 
@@ -171,30 +171,30 @@
 // ran when the wave began ends before its machine goes down.
 func TestWaveRespectsMaxDownAndWaitsForRuns(t *testing.T) {
 	machines := newFakeMachines("m1", "m2", "m3")
-	w := newMachineCluster(t, machines)
-	w.submit("a", oneTask)
+	cluster := newMachineCluster(t, machines)
+	cluster.submit("a", oneTask)
 	var on string
-	w.eventually("the task starts", func() bool {
+	cluster.eventually("the task starts", func() bool {
 		for id := range machines.list {
-			if w.started(id+"-0") == 1 {
+			if cluster.started(id+"-0") == 1 {
 				on = id + "-0"
 			}
 		}
 		return on != ""
 	})
-	w.startWave(workflow.Wave{ID: 1, Machines: []string{"m1", "m2", "m3"}, DurationMS: 60_000, MaxDown: 1})
-	w.eventually("two machines have been down", func() bool {
+	cluster.startWave(workflow.Wave{ID: 1, Machines: []string{"m1", "m2", "m3"}, DurationMS: 60_000, MaxDown: 1})
+	cluster.eventually("two machines have been down", func() bool {
 		machines.mu.Lock()
 		defer machines.mu.Unlock()
 		return machines.incarnations["m1"]+machines.incarnations["m2"]+machines.incarnations["m3"] == 2
 	})
-	must.False(t, w.waveDone(1))
-	w.withWorker(on, func(f *fakeWorker) {
+	must.False(t, cluster.waveDone(1))
+	cluster.withWorker(on, func(f *fakeWorker) {
 		must.False(t, f.superseded, must.Sprint("the busy machine goes last"))
 		f.finish(task("a", 0), workflow.OutcomeDone)
 	})
-	w.eventually("the wave is done", func() bool { return w.waveDone(1) })
-	must.Eq(t, workflow.PhaseDone, w.phase("a"))
+	cluster.eventually("the wave is done", func() bool { return cluster.waveDone(1) })
+	must.Eq(t, workflow.PhaseDone, cluster.phase("a"))
 	must.Eq(t, 1, machines.maxDown)
 }
 
@@ -204,9 +204,9 @@
 func TestMachineWithUnansweredOrderCountsAsDown(t *testing.T) {
 	machines := newFakeMachines("m1", "m2", "m3")
 	machines.loseResponse, machines.downtime, machines.listDelay = true, 600*time.Millisecond, 300*time.Millisecond
-	w := newMachineCluster(t, machines)
-	w.startWave(workflow.Wave{ID: 1, Machines: []string{"m1", "m2", "m3"}, DurationMS: 60_000, MaxDown: 1})
-	w.eventually("the wave is done", func() bool { return w.waveDone(1) })
+	cluster := newMachineCluster(t, machines)
+	cluster.startWave(workflow.Wave{ID: 1, Machines: []string{"m1", "m2", "m3"}, DurationMS: 60_000, MaxDown: 1})
+	cluster.eventually("the wave is done", func() bool { return cluster.waveDone(1) })
 	must.Eq(t, 1, machines.maxDown)
 }
 
@@ -215,8 +215,8 @@
 // which lags, shows the later incarnation as up. Another incarnation alone doesn't prove
 // that the machine is back.
 func TestMachineIsBackOnlyAfterMaintenanceTime(t *testing.T) {
-	w := newTestCluster(t, nil)
-	term, err := w.c.currentLeaderTerm(context.Background())
+	cluster := newTestCluster(t, nil)
+	term, err := cluster.controller.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	term.c.cfg.Bounds.MaintenanceDuration = time.Hour
 	listed := ListedMachine{ID: "m1", State: MachineUp, Worker: "m1-1"}
@@ -237,16 +237,16 @@
 func TestOrdersForOneMachineNeverOverlap(t *testing.T) {
 	machines := newFakeMachines("m1", "m2")
 	machines.callDuration = 3 * machineLoopInterval
-	w := newMachineCluster(t, machines)
-	term, err := w.c.currentLeaderTerm(context.Background())
+	cluster := newMachineCluster(t, machines)
+	term, err := cluster.controller.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	must.True(t, term.beginOrder("m9"))
 	must.False(t, term.beginOrder("m9"))
 	term.c.cfg.Bounds.MachineHandoverDelay = time.Hour
 	must.False(t, term.beginOrder("m8"), must.Sprint("orders of the previous leader may be in flight"))
 	term.c.cfg.Bounds.MachineHandoverDelay = 0
-	w.startWave(workflow.Wave{ID: 1, Machines: []string{"m1", "m2"}, DurationMS: 60_000, MaxDown: 1})
-	w.eventually("the wave is done", func() bool { return w.waveDone(1) })
+	cluster.startWave(workflow.Wave{ID: 1, Machines: []string{"m1", "m2"}, DurationMS: 60_000, MaxDown: 1})
+	cluster.eventually("the wave is done", func() bool { return cluster.waveDone(1) })
 	must.Eq(t, 1, machines.maxInFlight)
 }
 
@@ -254,19 +254,19 @@
 // each run a task of the step, and one task may be unavailable. The first stop must count
 // from when it is ordered, not only once it has been carried out.
 func TestStoppingTaskCountsAsUnavailable(t *testing.T) {
-	w := newTestCluster(t, nil)
+	cluster := newTestCluster(t, nil)
 	for _, id := range []string{"w1", "w2"} {
-		w.workers.add(id)
-		w.announce(id)
+		cluster.workers.add(id)
+		cluster.announce(id)
 	}
 	step := workflow.Step{Count: 2, Need: workflow.Resources{MilliCPU: 6000}, LongRunning: true, MaxUnavailable: 1}
-	w.submit("a", step)
-	w.eventually("both tasks run", func() bool { return w.started("w1") == 1 && w.started("w2") == 1 })
-	term, err := w.c.currentLeaderTerm(context.Background())
+	cluster.submit("a", step)
+	cluster.eventually("both tasks run", func() bool { return cluster.started("w1") == 1 && cluster.started("w2") == 1 })
+	term, err := cluster.controller.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	term.mu.Lock()
 	defer term.mu.Unlock()
-	w.c.state.read(func(s *workflow.State) {
+	cluster.controller.state.read(func(s *workflow.State) {
 		var runs []workflow.Run
 		for _, id := range []string{"w1", "w2"} {
 			for key, run := range s.Runs[id] {
@@ -307,8 +307,8 @@
 // Guards against moving a machine away from a task: the machine is chosen for a move while
 // a start on it is being committed. Proposed starts must count as well as committed runs.
 func TestMachineWithProposedStartIsNotEmpty(t *testing.T) {
-	w := newTestCluster(t, nil)
-	term, err := w.c.currentLeaderTerm(context.Background())
+	cluster := newTestCluster(t, nil)
+	term, err := cluster.controller.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	must.True(t, term.isEmpty("w1"))
 	term.mu.Lock()
@@ -322,13 +322,13 @@
 // task must not count as ready just because its start was sent.
 func TestLongRunningTasksMoveWithinMaxUnavailable(t *testing.T) {
 	machines := newFakeMachines("m1", "m2", "m3")
-	w := newMachineCluster(t, machines)
+	cluster := newMachineCluster(t, machines)
 	step := workflow.Step{Count: 2, Need: workflow.Resources{MilliCPU: 6000, MemoryMB: 10}, LongRunning: true, MaxUnavailable: 1, MaxPerWorker: 1}
-	w.submit("a", step)
+	cluster.submit("a", step)
 	running := func() (ids []string) {
-		w.workers.mu.Lock()
-		defer w.workers.mu.Unlock()
-		for id, f := range w.workers.all {
+		cluster.workers.mu.Lock()
+		defer cluster.workers.mu.Unlock()
+		for id, f := range cluster.workers.all {
 			if len(f.running) > 0 {
 				ids = append(ids, id)
 			}
@@ -336,21 +336,21 @@
 		return ids
 	}
 	markReady := func(id string) {
-		w.withWorker(id, func(f *fakeWorker) {
+		cluster.withWorker(id, func(f *fakeWorker) {
 			for key, r := range f.running {
 				r.Percent = completePercent
 				f.running[key] = r
 			}
 		})
 	}
-	w.eventually("both tasks run", func() bool { return len(running()) == 2 })
+	cluster.eventually("both tasks run", func() bool { return len(running()) == 2 })
 	first := running()
 	markReady(first[0])
-	w.startWave(workflow.Wave{ID: 1, Machines: []string{first[0][:2], first[1][:2]}, DurationMS: 1000, MaxDown: 2})
+	cluster.startWave(workflow.Wave{ID: 1, Machines: []string{first[0][:2], first[1][:2]}, DurationMS: 1000, MaxDown: 2})
 	const earlyStopWait = 400 * time.Millisecond
 	time.Sleep(earlyStopWait)
 	must.SliceContains(t, running(), first[0], must.Sprint("the other task is not ready yet"))
-	for !w.waveDone(1) {
+	for !cluster.waveDone(1) {
 		for _, id := range running() {
 			markReady(id)
 		}
@@ -369,24 +369,24 @@
 	for _, m := range machines.list {
 		m.Capacity = tenCores
 	}
-	w := newTestCluster(t, func(w *testCluster) {
-		machines.cluster = w
-		w.c.cfg.Machines = machines
-		w.commit(&workflow.Command{Configuration: &workflow.Document{
+	cluster := newTestCluster(t, func(cluster *testCluster) {
+		machines.cluster = cluster
+		cluster.controller.cfg.Machines = machines
+		cluster.commit(&workflow.Command{Configuration: &workflow.Document{
 			Version: 2, Source: []byte("{}"), Services: []workflow.Service{{Name: "s"}, {Name: "off", Standby: true}},
 			Queues: []workflow.Queue{{Name: "q", Host: "h", Prefix: "/q/", Policy: workflow.Policy{Service: "s", MaxAttempts: 3}}},
 		}})
 	})
-	w.workers.add("m1-0")
-	w.announce("m1-0")
+	cluster.workers.add("m1-0")
+	cluster.announce("m1-0")
 	step := oneTask
 	step.Count, step.Need.MilliCPU = 2, 8000
-	w.submit("a", step)
-	w.eventually("the second task runs on a machine that was on standby", func() bool {
+	cluster.submit("a", step)
+	cluster.eventually("the second task runs on a machine that was on standby", func() bool {
 		started := 0
-		w.workers.mu.Lock()
-		defer w.workers.mu.Unlock()
-		for _, f := range w.workers.all {
+		cluster.workers.mu.Lock()
+		defer cluster.workers.mu.Unlock()
+		for _, f := range cluster.workers.all {
 			started += len(f.starts)
 		}
 		return started == 2
@@ -400,8 +400,8 @@
 // is read completely first, then one of its entries is damaged. The machine of an
 // unreadable entry must not count as removed.
 func TestMachineWithUnreadableEntryIsKept(t *testing.T) {
-	w := newTestCluster(t, nil)
-	term, err := w.c.currentLeaderTerm(context.Background())
+	cluster := newTestCluster(t, nil)
+	term, err := cluster.controller.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	term.machines.list = map[string]ListedMachine{"m-1": {ID: "m-1"}, "m-2": {ID: "m-2"}}
 	list := map[string]ListedMachine{"m-1": {ID: "m-1", State: MachineUp}}
--- a/internal/control/orphans_test.go
+++ b/internal/control/orphans_test.go
@@ -12,29 +12,29 @@
 )
 
 // currentRunCounts makes the leader count the runs, and returns the counts.
-func (w *testCluster) currentRunCounts() runCounts {
-	term, err := w.c.currentLeaderTerm(context.Background())
-	must.NoError(w.t, err)
+func (cluster *testCluster) currentRunCounts() runCounts {
+	term, err := cluster.controller.currentLeaderTerm(context.Background())
+	must.NoError(cluster.t, err)
 	term.mu.Lock()
 	defer term.mu.Unlock()
-	w.c.state.read(func(s *workflow.State) { term.countRuns(s, time.Now()) })
+	cluster.controller.state.read(func(s *workflow.State) { term.countRuns(s, time.Now()) })
 	return term.runCounts
 }
 
 // Guards against this failure: a run that is in the log but in no report of its worker,
 // and that no pending event will end, isn't counted as unaccounted for.
 func TestOrphanedRunIsCountedAsUnaccounted(t *testing.T) {
-	w := clusterWithStartedTask(t)
-	w.eventually("the run is reported", func() bool { c := w.currentRunCounts(); return c.alive == 1 && c.unaccounted == 0 })
-	w.withWorker("w1", func(f *fakeWorker) { clear(f.running) })
-	w.eventually("no report shows the run", func() bool { c := w.currentRunCounts(); return c.unaccounted == 1 && c.longest > 0 })
+	cluster := clusterWithStartedTask(t)
+	cluster.eventually("the run is reported", func() bool { c := cluster.currentRunCounts(); return c.alive == 1 && c.unaccounted == 0 })
+	cluster.withWorker("w1", func(f *fakeWorker) { clear(f.running) })
+	cluster.eventually("no report shows the run", func() bool { c := cluster.currentRunCounts(); return c.unaccounted == 1 && c.longest > 0 })
 }
 
 // Guards against this failure: a run on an unresponsive worker is counted as unaccounted
 // for, and stopped, although the expiry of its lease will end it.
 func TestRunOnUnresponsiveWorkerIsAccountedFor(t *testing.T) {
-	w := clusterWithInheritedRun(t, func(f *fakeWorker) { f.responsesLost = true })
-	c := w.currentRunCounts()
+	cluster := clusterWithInheritedRun(t, func(f *fakeWorker) { f.responsesLost = true })
+	c := cluster.currentRunCounts()
 	must.Eq(t, 1, c.alive)
 	must.Eq(t, 0, c.unaccounted)
 }
@@ -55,35 +55,35 @@
 // accepts no command for a while, so that their ends are reported repeatedly and not
 // committed.
 func TestRunWhoseEndIsNotCommittedIsAccountedFor(t *testing.T) {
-	w := clusterWithStartedTask(t)
-	w.eventually("the run is reported", func() bool { return w.currentRunCounts().unaccounted == 0 })
+	cluster := clusterWithStartedTask(t)
+	cluster.eventually("the run is reported", func() bool { return cluster.currentRunCounts().unaccounted == 0 })
 	var refusals []error
 	const moreThanProposed = 1000
 	for range moreThanProposed {
 		refusals = append(refusals, node.ErrOutcomeUnknown)
 	}
-	w.log.failEnds(refusals...)
-	w.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
+	cluster.log.failEnds(refusals...)
+	cluster.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
 	const watchedPolls = 20
 	for range watchedPolls {
 		time.Sleep(fakePollHold)
-		must.Eq(t, 0, w.currentRunCounts().unaccounted)
+		must.Eq(t, 0, cluster.currentRunCounts().unaccounted)
 	}
-	w.log.failEnds()
-	w.eventually("the job is done", func() bool { return w.phase("a") == workflow.PhaseDone })
+	cluster.log.failEnds()
+	cluster.eventually("the job is done", func() bool { return cluster.phase("a") == workflow.PhaseDone })
 }
 
 // Guards against this failure: a worker never gets a task again. It has an unanswered
 // order whose run isn't in the log, for example because the run was lost while the order
 // was created.
 func TestOrderWithoutRunInLogIsDropped(t *testing.T) {
-	w := clusterWithStartedTask(t)
-	term := w.currentTerm()
+	cluster := clusterWithStartedTask(t)
+	term := cluster.currentTerm()
 	term.mu.Lock()
 	s := term.sessions["w1"]
 	s.orders[task("b", 0)] = &runOrder{run: workflow.Run{Task: task("b", 0), Number: 1, Worker: "w1"}, unanswered: true, abandoned: true}
 	term.mu.Unlock()
-	w.eventually("the order is dropped", func() bool {
+	cluster.eventually("the order is dropped", func() bool {
 		term.mu.Lock()
 		defer term.mu.Unlock()
 		return s.orders[task("b", 0)] == nil && s.orders[task("a", 0)] != nil
--- a/internal/control/serve_version_test.go
+++ b/internal/control/serve_version_test.go
@@ -11,10 +11,10 @@
 // Checks that a response reports the configuration version by which its queue was looked
 // up, also when there is no such queue.
 func TestResponseReportsConfigurationVersion(t *testing.T) {
-	w := newTestCluster(t, nil)
+	cluster := newTestCluster(t, nil)
 	ctx, recorder := link.WithVersionRecorder(t.Context())
-	_, err := w.c.State(ctx, &StateCall{Address: JobAddress{Host: "nowhere", Path: "/x/"}})
+	_, err := cluster.controller.State(ctx, &StateCall{Address: JobAddress{Host: "nowhere", Path: "/x/"}})
 	must.Error(t, err)
-	must.Eq(t, w.c.version(), recorder.Version())
+	must.Eq(t, cluster.controller.version(), recorder.Version())
 	must.Positive(t, recorder.Version())
 }
--- a/internal/control/settle_test.go
+++ b/internal/control/settle_test.go
@@ -15,19 +15,19 @@
 // the leader assumes that the start wasn't carried out and starts the task elsewhere, and
 // the first worker carries out the start after all.
 func TestUnansweredStartIsSettledBeforeRestartElsewhere(t *testing.T) {
-	w := newTestCluster(t, nil)
-	w.workers.add("w1").delayStarts = true
-	w.announce("w1")
-	w.submit("a", oneTask)
-	w.eventually("the start is sent twice", func() bool {
+	cluster := newTestCluster(t, nil)
+	cluster.workers.add("w1").delayStarts = true
+	cluster.announce("w1")
+	cluster.submit("a", oneTask)
+	cluster.eventually("the start is sent twice", func() bool {
 		delayed := 0
-		w.withWorker("w1", func(f *fakeWorker) { delayed = len(f.delayedStarts) })
+		cluster.withWorker("w1", func(f *fakeWorker) { delayed = len(f.delayedStarts) })
 		return delayed == maxStartAttempts
 	})
-	w.workers.add("w2")
-	w.announce("w2")
-	w.eventually("the task runs on the other worker", func() bool { return w.started("w2") == 1 })
-	w.withWorker("w1", func(f *fakeWorker) {
+	cluster.workers.add("w2")
+	cluster.announce("w2")
+	cluster.eventually("the task runs on the other worker", func() bool { return cluster.started("w2") == 1 })
+	cluster.withWorker("w1", func(f *fakeWorker) {
 		for _, order := range f.delayedStarts {
 			must.Error(t, f.startRun(order), must.Sprint("carried out late, while the run on w2 is alive"))
 		}
@@ -39,13 +39,13 @@
 // expired. The refusal settles nothing while the first call may still be carried out, so
 // a stop has to follow, as after two unanswered calls.
 func TestRefusalAfterUnansweredStartIsSettledByStop(t *testing.T) {
-	w := newTestCluster(t, nil)
-	first := w.workers.add("w1")
+	cluster := newTestCluster(t, nil)
+	first := cluster.workers.add("w1")
 	first.delayStarts, first.refuseNextStart = true, RefusedTicket
-	w.announce("w1")
-	w.submit("a", oneTask)
-	w.eventually("the task runs again", func() bool { return w.started("w1") == 1 })
-	w.withWorker("w1", func(f *fakeWorker) {
+	cluster.announce("w1")
+	cluster.submit("a", oneTask)
+	cluster.eventually("the task runs again", func() bool { return cluster.started("w1") == 1 })
+	cluster.withWorker("w1", func(f *fakeWorker) {
 		must.Eq(t, 2, f.starts[0].Run.Number)
 		must.Error(t, f.startRun(f.delayedStarts[0]), must.Sprint("carried out late, while the second run is alive"))
 	})
@@ -55,16 +55,16 @@
 // its responses are lost. If unanswered polls extend its lease, its runs continue after
 // the leader takes the lease for expired and starts the task elsewhere.
 func TestUnansweredPollsDoNotExtendLease(t *testing.T) {
-	w := clusterWithStartedTask(t)
-	w.withWorker("w1", func(f *fakeWorker) { f.responsesLost = true })
-	w.workers.add("w2")
-	w.announce("w2")
-	w.eventually("the task runs elsewhere", func() bool { return w.started("w2") == 1 })
+	cluster := clusterWithStartedTask(t)
+	cluster.withWorker("w1", func(f *fakeWorker) { f.responsesLost = true })
+	cluster.workers.add("w2")
+	cluster.announce("w2")
+	cluster.eventually("the task runs elsewhere", func() bool { return cluster.started("w2") == 1 })
 	var before int
-	w.withWorker("w1", func(f *fakeWorker) { before = len(f.leases) })
+	cluster.withWorker("w1", func(f *fakeWorker) { before = len(f.leases) })
 	const pollMargin = 50 * time.Millisecond
 	time.Sleep(callTimeout + pollMargin)
-	w.withWorker("w1", func(f *fakeWorker) { must.Eq(t, before, len(f.leases)) })
+	cluster.withWorker("w1", func(f *fakeWorker) { must.Eq(t, before, len(f.leases)) })
 }
 
 // Guards against this failure: a job is stuck, or its task runs twice, after a change of
@@ -73,9 +73,9 @@
 // the new leader carries its fencing token to the worker, which refuses the old order
 // from then on.
 func TestInheritedRunThatNeverStartedRunsAgain(t *testing.T) {
-	w := clusterWithInheritedRun(t, func(*fakeWorker) {})
-	w.eventually("the task starts", func() bool { return w.started("w1") == 1 })
-	w.withWorker("w1", func(f *fakeWorker) {
+	cluster := clusterWithInheritedRun(t, func(*fakeWorker) {})
+	cluster.eventually("the task starts", func() bool { return cluster.started("w1") == 1 })
+	cluster.withWorker("w1", func(f *fakeWorker) {
 		must.Eq(t, 2, f.starts[0].Run.Number)
 		must.Error(t, f.startRun(StartOrder{Run: workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}, Fence: staleFence}))
 	})
@@ -84,26 +84,26 @@
 // Guards against this failure: a run that is in progress when the leader changes is
 // restarted, although the worker reports it to the new leader as alive.
 func TestInheritedLiveRunContinues(t *testing.T) {
-	w := clusterWithInheritedRun(t, func(f *fakeWorker) {
+	cluster := clusterWithInheritedRun(t, func(f *fakeWorker) {
 		f.running[task("a", 0)] = Running{Task: task("a", 0), Number: 1}
 	})
 	const reportWait = 50 * time.Millisecond
 	time.Sleep(reportWait)
-	w.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
-	w.eventually("the job is done", func() bool { return w.phase("a") == workflow.PhaseDone })
-	must.Eq(t, 0, w.started("w1"))
+	cluster.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
+	cluster.eventually("the job is done", func() bool { return cluster.phase("a") == workflow.PhaseDone })
+	must.Eq(t, 0, cluster.started("w1"))
 }
 
 // Guards against this failure: the tasks of a crashed and restarted worker wait until its
 // lease expires, although the response of the next incarnation proves that the old one
 // has ended.
 func TestTasksOfSupersededIncarnationRunAgainImmediately(t *testing.T) {
-	w := clusterWithStartedTask(t)
-	w.workers.add("w2")
-	w.announce("w2")
+	cluster := clusterWithStartedTask(t)
+	cluster.workers.add("w2")
+	cluster.announce("w2")
 	start := time.Now()
-	w.withWorker("w1", func(f *fakeWorker) { f.superseded = true })
-	w.eventually("the task runs again", func() bool { return w.started("w2") == 1 })
+	cluster.withWorker("w1", func(f *fakeWorker) { f.superseded = true })
+	cluster.eventually("the task runs again", func() bool { return cluster.started("w2") == 1 })
 	const lease = 400 * time.Millisecond
 	must.Less(t, lease, time.Since(start), must.Sprint("a lease is 400 ms"))
 }
@@ -112,20 +112,20 @@
 // reports the end of the task's first run late, while it executes the second one, and the
 // leader drops the order of the second run because of that end.
 func TestLateEndOfEarlierRunKeepsOrderOfNextRun(t *testing.T) {
-	w := clusterWithStartedTask(t)
-	w.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeFailed) })
-	w.eventually("the second run starts", func() bool { return w.started("w1") == 2 })
-	term, err := w.c.currentLeaderTerm(context.Background())
+	cluster := clusterWithStartedTask(t)
+	cluster.withWorker("w1", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeFailed) })
+	cluster.eventually("the second run starts", func() bool { return cluster.started("w1") == 2 })
+	term, err := cluster.controller.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	term.mu.Lock()
 	s := term.sessions["w1"]
 	term.mu.Unlock()
 	s.commitEnds(0, []workflow.RunEnd{{Task: task("a", 0), Number: 1, Outcome: workflow.OutcomeLeaseExpired}})
-	_, err = w.c.Cancel(context.Background(), &CancelCall{Address: JobAddress{Host: "h", Path: "/q/a"}})
+	_, err = cluster.controller.Cancel(context.Background(), &CancelCall{Address: JobAddress{Host: "h", Path: "/q/a"}})
 	must.NoError(t, err)
-	w.eventually("the second run is stopped", func() bool {
+	cluster.eventually("the second run is stopped", func() bool {
 		running := 1
-		w.withWorker("w1", func(f *fakeWorker) { running = len(f.running) })
+		cluster.withWorker("w1", func(f *fakeWorker) { running = len(f.running) })
 		return running == 0
 	})
 }
@@ -150,14 +150,14 @@
 // clusterWithInheritedRun returns a cluster whose leader finds a run on worker w1 in the
 // log that an earlier leader committed.
 func clusterWithInheritedRun(t *testing.T, prepare func(*fakeWorker)) *testCluster {
-	return newTestCluster(t, func(w *testCluster) {
+	return newTestCluster(t, func(cluster *testCluster) {
 		w1 := worker("w1")
-		w.commit(&workflow.Command{Worker: &w1})
-		w.commit(&workflow.Command{Submit: &workflow.Submission{
+		cluster.commit(&workflow.Command{Worker: &w1})
+		cluster.commit(&workflow.Command{Submit: &workflow.Submission{
 			ID: "a", Queue: "h/q/", Payload: "p", Steps: []workflow.Step{oneTask}, Policy: workflow.Policy{Service: "s", MaxAttempts: 3},
 		}})
-		w.commit(&workflow.Command{Start: []workflow.Run{{Task: task("a", 0), Worker: "w1"}}})
-		prepare(w.workers.add("w1"))
+		cluster.commit(&workflow.Command{Start: []workflow.Run{{Task: task("a", 0), Worker: "w1"}}})
+		prepare(cluster.workers.add("w1"))
 	})
 }
 
@@ -165,13 +165,13 @@
 // leader's poll doesn't carry the fencing token that blocks old orders, the report shows
 // no run, and the old leader's start arrives afterwards.
 func TestPollCarriesFence(t *testing.T) {
-	w := clusterWithInheritedRun(t, func(f *fakeWorker) { f.delayStarts = true })
-	w.eventually("the run is settled", func() bool {
+	cluster := clusterWithInheritedRun(t, func(f *fakeWorker) { f.delayStarts = true })
+	cluster.eventually("the run is settled", func() bool {
 		runs := 0
-		w.c.state.read(func(s *workflow.State) { runs = s.Task(task("a", 0)).Runs })
+		cluster.controller.state.read(func(s *workflow.State) { runs = s.Task(task("a", 0)).Runs })
 		return runs > 1
 	})
-	w.withWorker("w1", func(f *fakeWorker) {
+	cluster.withWorker("w1", func(f *fakeWorker) {
 		err := f.startRun(StartOrder{Run: workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}, Fence: staleFence})
 		must.ErrorContains(t, err, string(RefusedStaleFence))
 	})
@@ -181,18 +181,18 @@
 // one response holds, and the leader takes a run that is missing in a partial report for
 // never started.
 func TestPartialReportSettlesNoRun(t *testing.T) {
-	w := clusterWithInheritedRun(t, func(f *fakeWorker) { f.partial = true })
+	cluster := clusterWithInheritedRun(t, func(f *fakeWorker) { f.partial = true })
 	time.Sleep(noStartWait)
-	must.Eq(t, 0, w.started("w1"))
-	w.withWorker("w1", func(f *fakeWorker) { f.partial = false })
-	w.eventually("a complete report settles it", func() bool { return w.started("w1") == 1 })
+	must.Eq(t, 0, cluster.started("w1"))
+	cluster.withWorker("w1", func(f *fakeWorker) { f.partial = false })
+	cluster.eventually("a complete report settles it", func() bool { return cluster.started("w1") == 1 })
 }
 
 // settledRuns returns how many runs a report that lists no run settles. change sets the
 // state of the run's order; sent is when the poll was sent.
 func settledRuns(t *testing.T, sent time.Time, change func(*runOrder)) int {
-	w := clusterWithStartedTask(t)
-	term, err := w.c.currentLeaderTerm(context.Background())
+	cluster := clusterWithStartedTask(t)
+	term, err := cluster.controller.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	term.mu.Lock()
 	defer term.mu.Unlock()
@@ -218,15 +218,15 @@
 // response, the second one is refused, the refusal settles the run, and the first call is
 // carried out later.
 func TestRefusalSettlesNothingWhileEarlierCallIsInFlight(t *testing.T) {
-	w := clusterWithStartedTask(t)
-	term, err := w.c.currentLeaderTerm(context.Background())
+	cluster := clusterWithStartedTask(t)
+	term, err := cluster.controller.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	term.mu.Lock()
 	s, o := term.sessions["w1"], term.sessions["w1"].orders[task("a", 0)]
 	term.mu.Unlock()
 	s.settleStartAttempts(o, []error{errNoResponse, &RefusedError{RefusedNoCapacity}})
 	runs := 0
-	w.c.state.read(func(s *workflow.State) { runs = len(s.Runs["w1"]) })
+	cluster.controller.state.read(func(s *workflow.State) { runs = len(s.Runs["w1"]) })
 	must.Eq(t, 1, runs)
 }
 
@@ -235,8 +235,8 @@
 // earlier is lost. The leader doesn't see the end of a run meanwhile if polls are held
 // for 1.5 s and time out after 2 s.
 func TestPollHoldIsShorterWhileCallsAreLost(t *testing.T) {
-	w := clusterWithStartedTask(t)
-	term, err := w.c.currentLeaderTerm(context.Background())
+	cluster := clusterWithStartedTask(t)
+	term, err := cluster.controller.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
 	term.mu.Lock()
 	defer term.mu.Unlock()
@@ -292,9 +292,9 @@
 // Guards against this failure: a task never runs again. An overdue start is sent a second
 // time concurrently, and the worker refuses both.
 func TestConcurrentlyRefusedStartsSettleRun(t *testing.T) {
-	w := newTestCluster(t, nil)
-	w.workers.add("w1").slowRefusals = 2
-	w.announce("w1")
-	w.submit("a", oneTask)
-	w.eventually("the task runs", func() bool { return w.started("w1") == 1 })
+	cluster := newTestCluster(t, nil)
+	cluster.workers.add("w1").slowRefusals = 2
+	cluster.announce("w1")
+	cluster.submit("a", oneTask)
+	cluster.eventually("the task runs", func() bool { return cluster.started("w1") == 1 })
 }
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -13,57 +13,57 @@
 // Guards against this failure: a job doesn't run to its end. It is submitted, started on
 // the only worker, ends there, and has to be reported as done.
 func TestJobRunsToItsEnd(t *testing.T) {
-	w := clusterWithStartedTask(t)
-	w.withWorker("w1", func(f *fakeWorker) {
+	cluster := clusterWithStartedTask(t)
+	cluster.withWorker("w1", func(f *fakeWorker) {
 		must.Eq(t, "payload", f.starts[0].Payload)
 		must.Eq(t, uint64(fakeLogTerm), f.starts[0].Fence)
 		f.finish(task("a", 0), workflow.OutcomeDone)
 	})
-	w.eventually("the job is done", func() bool { return w.phase("a") == workflow.PhaseDone })
+	cluster.eventually("the job is done", func() bool { return cluster.phase("a") == workflow.PhaseDone })
 }
 
 // Guards against this failure: a worker is ordered to run a task without its payload. The
 // job is cancelled, which drops the payload, between the commit of the start and the
 // creation of the order.
 func TestNoStartIsSentForJobCancelledDuringCommit(t *testing.T) {
-	w := newTestCluster(t, nil)
-	w.workers.add("w1")
-	w.announce("w1")
-	w.log.mu.Lock()
-	w.log.afterApply = func(c workflow.Command) {
+	cluster := newTestCluster(t, nil)
+	cluster.workers.add("w1")
+	cluster.announce("w1")
+	cluster.log.mu.Lock()
+	cluster.log.afterApply = func(c workflow.Command) {
 		if len(c.Start) > 0 {
-			w.commit(&workflow.Command{Cancel: "a"})
+			cluster.commit(&workflow.Command{Cancel: "a"})
 		}
 	}
-	w.log.mu.Unlock()
-	w.submit("a", oneTask)
-	w.eventually("the run is settled", func() bool {
+	cluster.log.mu.Unlock()
+	cluster.submit("a", oneTask)
+	cluster.eventually("the run is settled", func() bool {
 		settled := false
-		w.c.state.read(func(s *workflow.State) {
+		cluster.controller.state.read(func(s *workflow.State) {
 			settled = s.Task(task("a", 0)).Runs == 1 && len(s.Runs["w1"]) == 0
 		})
 		return settled
 	})
-	must.Eq(t, 0, w.started("w1"))
+	must.Eq(t, 0, cluster.started("w1"))
 }
 
 // Guards against this failure: an urgent task starts late although its worker is idle.
 // The call with its start is lost, and the second call waits for the timeout of the
 // first.
 func TestOverdueStartIsSentAgainConcurrently(t *testing.T) {
-	w := newTestCluster(t, nil)
-	w.workers.add("w1").hangingStarts = 1
-	w.announce("w1")
+	cluster := newTestCluster(t, nil)
+	cluster.workers.add("w1").hangingStarts = 1
+	cluster.announce("w1")
 	start := time.Now()
-	w.submit("a", oneTask)
-	w.eventually("the task starts", func() bool { return w.started("w1") == 1 })
+	cluster.submit("a", oneTask)
+	cluster.eventually("the task starts", func() bool { return cluster.started("w1") == 1 })
 	must.Less(t, callTimeout, time.Since(start))
-	w.withWorker("w1", func(f *fakeWorker) {
+	cluster.withWorker("w1", func(f *fakeWorker) {
 		must.Eq(t, 1, f.starts[0].Run.Number)
 		f.finish(task("a", 0), workflow.OutcomeDone)
 	})
-	w.eventually("the job is done", func() bool { return w.phase("a") == workflow.PhaseDone })
-	w.c.state.read(func(s *workflow.State) { must.Eq(t, 1, s.Task(task("a", 0)).Runs) })
+	cluster.eventually("the job is done", func() bool { return cluster.phase("a") == workflow.PhaseDone })
+	cluster.controller.state.read(func(s *workflow.State) { must.Eq(t, 1, s.Task(task("a", 0)).Runs) })
 }
 
 // Guards against this failure: tasks wait for the lease of a worker that became
@@ -77,11 +77,11 @@
 		hangingStarts = 1000
 		laterStarts   = 4
 	)
-	w := newTestCluster(t, nil)
-	w.workers.add("w1").hangingStarts = hangingStarts
-	w.announce("w1")
-	w.eventually("the worker is ready", func() bool {
-		term, err := w.c.currentLeaderTerm(context.Background())
+	cluster := newTestCluster(t, nil)
+	cluster.workers.add("w1").hangingStarts = hangingStarts
+	cluster.announce("w1")
+	cluster.eventually("the worker is ready", func() bool {
+		term, err := cluster.controller.currentLeaderTerm(context.Background())
 		must.NoError(t, err)
 		term.mu.Lock()
 		defer term.mu.Unlock()
@@ -89,13 +89,13 @@
 	})
 	step := oneTask
 	step.Count = maxConcurrentStarts + laterStarts
-	w.submit("a", step)
-	w.eventually("the first starts are in flight", func() bool {
+	cluster.submit("a", step)
+	cluster.eventually("the first starts are in flight", func() bool {
 		hung := 0
-		w.withWorker("w1", func(f *fakeWorker) { hung = hangingStarts - f.hangingStarts })
+		cluster.withWorker("w1", func(f *fakeWorker) { hung = hangingStarts - f.hangingStarts })
 		return hung >= maxConcurrentStarts
 	})
-	w.workers.add("w2")
-	w.announce("w2")
-	w.eventually("the unsent tasks start elsewhere", func() bool { return w.started("w2") >= laterStarts })
+	cluster.workers.add("w2")
+	cluster.announce("w2")
+	cluster.eventually("the unsent tasks start elsewhere", func() bool { return cluster.started("w2") >= laterStarts })
 }
--- a/internal/control/throttle_test.go
+++ b/internal/control/throttle_test.go
@@ -37,16 +37,16 @@
 // the same worker: when the latency of the service exceeds its objective, the batch task
 // must be throttled.
 func TestSpareTaskIsThrottledForLatency(t *testing.T) {
-	w := newTestCluster(t, nil)
-	w.workers.add("w1")
-	w.announce("w1")
+	cluster := newTestCluster(t, nil)
+	cluster.workers.add("w1")
+	cluster.announce("w1")
 	serving := workflow.Step{Count: 1, Need: workflow.Resources{MilliCPU: 4000, MemoryMB: 10}, LongRunning: true, LatencyObjectiveMS: 50}
 	spare := workflow.Step{Count: 1, Need: workflow.Resources{MilliCPU: 9000, MemoryMB: 10}, EstimateMS: 60_000, UsesSpare: true}
-	w.submit("a", serving)
-	w.eventually("the service starts", func() bool { return w.started("w1") == 1 })
-	w.submit("b", spare)
+	cluster.submit("a", serving)
+	cluster.eventually("the service starts", func() bool { return cluster.started("w1") == 1 })
+	cluster.submit("b", spare)
 	share := func() (n int) {
-		w.withWorker("w1", func(f *fakeWorker) {
+		cluster.withWorker("w1", func(f *fakeWorker) {
 			n = fullShare
 			if s, ok := f.shares[task("b", 0)]; ok {
 				n = s
@@ -54,17 +54,17 @@
 		})
 		return n
 	}
-	w.eventually("the batch task starts at a small share", func() bool { return share() == initialShare })
+	cluster.eventually("the batch task starts at a small share", func() bool { return share() == initialShare })
 	latency := func(ms int64) {
-		w.withWorker("w1", func(f *fakeWorker) {
+		cluster.withWorker("w1", func(f *fakeWorker) {
 			r := f.running[task("a", 0)]
 			r.Measured = ms
 			f.running[r.Task] = r
 		})
 	}
 	latency(70)
-	w.eventually("the batch task pauses", func() bool { return share() == 0 })
+	cluster.eventually("the batch task pauses", func() bool { return share() == 0 })
 	latency(10)
-	w.eventually("the batch task continues", func() bool { return share() >= shareIncrement })
-	must.Eq(t, 2, w.started("w1"), must.Sprint("the batch task was not moved"))
+	cluster.eventually("the batch task continues", func() bool { return share() >= shareIncrement })
+	must.Eq(t, 2, cluster.started("w1"), must.Sprint("the batch task was not moved"))
 }
