--- a/internal/control/chaos_workers_test.go
+++ b/internal/control/chaos_workers_test.go
@@ -108,8 +108,8 @@
 
 var errInjected = fmt.Errorf("injected fault: %w", errNoResponse)
 
-// Cumulative probabilities of the outcomes of a call: it takes effect and is answered, it
-// takes effect without a response, or it takes effect late. Otherwise it is lost.
+// Cumulative probabilities of the outcomes of a call: the call takes effect and gets a
+// response, takes effect without a response, or takes effect late. Other calls are lost.
 const (
 	answeredProbability   = 0.80
 	unansweredProbability = 0.88
@@ -261,7 +261,8 @@
 	}
 }
 
-// extendLease extends the lease, and records the time if it had expired before.
+// extendLease extends the lease. If the lease has expired by now, extendLease records the
+// current time as leaseExpiredAt.
 func (w *chaosWorker) extendLease(leaseEndMS int64) {
 	if now := time.Now(); now.After(w.leaseEnd) {
 		w.leaseExpiredAt = now
--- a/internal/control/commit_test.go
+++ b/internal/control/commit_test.go
@@ -29,7 +29,7 @@
 			term.mu.Lock()
 			s := term.sessions["w1"]
 			term.mu.Unlock()
-			// The worker knows nothing of the run, as after a start that it refused.
+			// The worker reports no run, as after a refused start.
 			cluster.withWorker("w1", func(f *fakeWorker) { clear(f.running) })
 			cluster.log.failEnds(errs...)
 			s.commitEnds(0, []workflow.RunEnd{{Task: task("a", 0), Number: 1, Outcome: workflow.OutcomeNotStarted}})
--- a/internal/control/copies_test.go
+++ b/internal/control/copies_test.go
@@ -32,7 +32,7 @@
 	cluster.eventually("the copies run", func() bool { return cluster.started("w2") == 2 })
 	cluster.withWorker("w2", func(f *fakeWorker) { f.finish(task("a", 0), workflow.OutcomeDone) })
 	cluster.withWorker("w1", func(f *fakeWorker) { f.responsesLost = false })
-	cluster.eventually("the other run of the task whose copy ended is stopped", func() bool {
+	cluster.eventually("the first run of the task whose copy ended is stopped", func() bool {
 		stopped := 0
 		cluster.withWorker("w1", func(f *fakeWorker) { stopped = f.stopped[task("a", 0)] })
 		return stopped == 1
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -133,7 +133,7 @@
 
 var errNoResponse = errors.New("no response")
 
-// fakeWorker is one incarnation of a worker, with its report.
+// fakeWorker is one incarnation of a worker, with the runs that its reports list.
 type fakeWorker struct {
 	id      string
 	fence   uint64
@@ -364,7 +364,7 @@
 func (noCounters) Set(string, int64)             {}
 func (noCounters) Observe(string, time.Duration) {}
 
-// testCluster is one leading controller with its fakes.
+// testCluster is a controller that leads, with a fake log and fake workers.
 type testCluster struct {
 	t          *testing.T
 	log        *fakeLog
--- a/internal/control/heartbeat_transport_test.go
+++ b/internal/control/heartbeat_transport_test.go
@@ -124,7 +124,7 @@
 	cluster.eventually("the task starts", func() bool { return cluster.started("w1") == 2 })
 	_, err := cluster.controller.Cancel(context.Background(), &CancelCall{Address: JobAddress{Host: "h", Path: "/q/b"}})
 	must.NoError(t, err)
-	cluster.eventually("its run is stopped", func() bool {
+	cluster.eventually("the run of the cancelled job is stopped", func() bool {
 		stopped := 0
 		cluster.withWorker("w1", func(f *fakeWorker) { stopped = f.stopped[task("b", 0)] })
 		return stopped == 1
--- a/internal/control/incarnations_test.go
+++ b/internal/control/incarnations_test.go
@@ -58,7 +58,7 @@
 }
 
 // deliverDelayedStart makes the next incarnation carry out the start that was sent to the
-// first one, and returns the result.
+// first incarnation, and returns the error of the start.
 func (cluster *testCluster) deliverDelayedStart() (err error) {
 	cluster.withWorker("n1", func(f *fakeWorker) {
 		delayed := f.delayedStarts[0]
--- a/internal/control/leader_term_test.go
+++ b/internal/control/leader_term_test.go
@@ -41,7 +41,7 @@
 	for _, job := range []string{"a", "b", "c"} {
 		cluster.submit(job, oneTask)
 		cluster.eventually("the task starts", func() bool { return cluster.started("w1") >= 1 })
-		cluster.eventually("it fails", func() bool {
+		cluster.eventually("the task fails", func() bool {
 			failed := false
 			cluster.withWorker("w1", func(f *fakeWorker) {
 				if _, ok := f.running[task(job, 0)]; ok {
--- a/internal/control/settle_test.go
+++ b/internal/control/settle_test.go
@@ -185,7 +185,7 @@
 	time.Sleep(noStartWait)
 	must.Eq(t, 0, cluster.started("w1"))
 	cluster.withWorker("w1", func(f *fakeWorker) { f.partial = false })
-	cluster.eventually("a complete report settles it", func() bool { return cluster.started("w1") == 1 })
+	cluster.eventually("a complete report settles the run", func() bool { return cluster.started("w1") == 1 })
 }
 
 // settledRuns returns how many runs a report that lists no run settles. change sets the
--- a/internal/control/simulation_crash_test.go
+++ b/internal/control/simulation_crash_test.go
@@ -22,7 +22,7 @@
 	// used: the 3 s until which the leader has to know the change, and two heartbeats.
 	shrinkGrace = 3*time.Second + 2*simHeartbeatInterval*heartbeatGroups
 	// maxCrashDowntime scales how long a worker stays down after a task has crashed it:
-	// between 0.1 and 1.1 times this.
+	// between 0.1 and 1.1 times maxCrashDowntime.
 	maxCrashDowntime = 8 * time.Second
 )
 
--- a/internal/control/simulation_faults_test.go
+++ b/internal/control/simulation_faults_test.go
@@ -53,8 +53,8 @@
 }
 
 const (
-	// faultKinds is the number of kinds that injectFault draws from. Some kinds are the same
-	// fault, which is more frequent that way.
+	// faultKinds is the number of kinds that injectFault draws from. Some faults have two
+	// kinds, and so twice the probability of the others.
 	faultKinds = 15
 	// slowLogFault, delayedLogFault and the kinds that injectFault does not name are faults
 	// of the log.
--- a/internal/control/simulation_test.go
+++ b/internal/control/simulation_test.go
@@ -133,7 +133,8 @@
 	simStartupTime = time.Second
 )
 
-// changeLeader makes the leader lose its leadership, which it notices a little later.
+// changeLeader makes the leader lose its leadership. The leader notices within
+// statusPollInterval, and another one starts up to maxLeaderlessTime later.
 func (sim *simulation) changeLeader() {
 	close(sim.log.lost)
 	time.Sleep(randomDuration(sim.random, 0, statusPollInterval))
--- a/internal/control/simulation_worker_test.go
+++ b/internal/control/simulation_worker_test.go
@@ -314,7 +314,8 @@
 	return used
 }
 
-// extendLease extends the lease, and records the time if it had expired before.
+// extendLease extends the lease. If the lease has expired by now, extendLease records the
+// current time as leaseExpiredAt.
 func (w *simWorker) extendLease(leaseEndMS int64, now time.Time) {
 	if now.After(w.leaseEnd) {
 		w.leaseExpiredAt = now
--- a/internal/control/stops_test.go
+++ b/internal/control/stops_test.go
@@ -30,7 +30,7 @@
 		f.running[task("a", 0)] = Running{Task: task("a", 0), Number: 1, Checkpoint: "half"}
 		f.lostStops = 1
 	})
-	cluster.eventually("its checkpoint is known", func() bool {
+	cluster.eventually("the checkpoint of the batch task is known", func() bool {
 		term, err := cluster.controller.currentLeaderTerm(context.Background())
 		must.NoError(t, err)
 		term.mu.Lock()
@@ -62,7 +62,7 @@
 		cluster.controller.state.read(func(s *workflow.State) { n = len(s.Runs["w1"]) })
 		return n == 0
 	})
-	must.Less(t, time.Second, time.Since(start), must.Sprint("its stop is sent immediately"))
+	must.Less(t, time.Second, time.Since(start), must.Sprint("the stop of the run is sent immediately"))
 	must.Eq(t, workflow.PhaseCancelled, cluster.phase("a"))
 }
 
@@ -107,7 +107,7 @@
 	plain.EstimateMS = 60_000
 	cluster.submit("a", checkpointing)
 	cluster.submit("b", plain)
-	cluster.eventually("both run", func() bool { return cluster.started("w1") == 2 })
+	cluster.eventually("both tasks run", func() bool { return cluster.started("w1") == 2 })
 	leave := func(remaining time.Duration) {
 		draining := worker("w1")
 		draining.Draining = true
@@ -118,7 +118,7 @@
 	time.Sleep(50 * time.Millisecond)
 	cluster.withWorker("w1", func(f *fakeWorker) { must.MapLen(t, 2, f.running) })
 	leave(checkpointLead)
-	cluster.eventually("the one with checkpoints is stopped", func() bool {
+	cluster.eventually("the task with checkpoints is stopped", func() bool {
 		left := 2
 		cluster.withWorker("w1", func(f *fakeWorker) { left = len(f.running) })
 		return left == 1
--- a/internal/control/unreported_runs_test.go
+++ b/internal/control/unreported_runs_test.go
@@ -146,7 +146,7 @@
 			{Task: task("a", 0), Number: 1, Outcome: workflow.OutcomeNotStarted},
 		}}},
 	)
-	cluster.eventually("both run", func() bool { return cluster.started("w1")+cluster.started("w2") == 2 })
+	cluster.eventually("both members run", func() bool { return cluster.started("w1")+cluster.started("w2") == 2 })
 }
 
 func (cluster *testCluster) isReady(id string) bool {
