--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -96,14 +96,14 @@
 			term := loadedTerm(b, size)
 			now := time.Now()
 			const significantDigits = 3
-			took := hdrhistogram.New(1, int64(time.Second), significantDigits)
+			durations := hdrhistogram.New(1, int64(time.Second), significantDigits)
 			for b.Loop() {
 				start := time.Now()
 				input := term.gatherPlanInput(now)
 				dispatch.Decide(now.Sub(term.started), input.steps, input.workers, planLimits)
-				must.NoError(b, took.RecordValue(int64(time.Since(start))))
+				must.NoError(b, durations.RecordValue(int64(time.Since(start))))
 			}
-			b.ReportMetric(float64(took.ValueAtPercentile(99)), "p99-ns")
+			b.ReportMetric(float64(durations.ValueAtPercentile(99)), "p99-ns")
 		})
 	}
 }
--- a/internal/control/chaos_workers_test.go
+++ b/internal/control/chaos_workers_test.go
@@ -75,14 +75,14 @@
 
 // chaosLog keeps log lines to print them if a run fails.
 type chaosLog struct {
-	mu   sync.Mutex
-	text []string
+	mu    sync.Mutex
+	lines []string
 }
 
 func (l *chaosLog) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.text = append(l.text, string(line))
+	l.lines = append(l.lines, string(line))
 	return len(line), nil
 }
 
@@ -95,7 +95,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var found strings.Builder
-	for _, line := range l.text {
+	for _, line := range l.lines {
 		for _, violation := range violations {
 			if job, _, ok := strings.Cut(violation, "/"); ok && strings.Contains(line, job+"/") {
 				found.WriteString(line)
@@ -369,16 +369,16 @@
 	if !spec.Gang || ws.completeGangs[gangRun{task.StepKey, run}] {
 		return true
 	}
-	present := map[int]bool{}
+	runningMembers := map[int]bool{}
 	for _, w := range ws.all {
 		for other, otherRun := range w.running {
 			if other.StepKey == task.StepKey && otherRun.number == run && !w.crashed {
-				present[other.Index] = true
+				runningMembers[other.Index] = true
 			}
 		}
 	}
-	ws.completeGangs[gangRun{task.StepKey, run}] = len(present) == spec.Count
-	return len(present) == spec.Count
+	ws.completeGangs[gangRun{task.StepKey, run}] = len(runningMembers) == spec.Count
+	return len(runningMembers) == spec.Count
 }
 
 // gangRun identifies one run of a gang.
--- a/internal/control/heartbeat_transport_test.go
+++ b/internal/control/heartbeat_transport_test.go
@@ -164,7 +164,7 @@
 // receives a heartbeat whose report was made before the worker had the new fencing token.
 // If the transport returns that report for a poll, the worker may still carry out a start
 // of the old leader after the report.
-func TestPollNeedsTwoHeartbeatsUnderItsFence(t *testing.T) {
+func TestPollNeedsTwoHeartbeatsWithItsFencingToken(t *testing.T) {
 	const oldFence, newFence = 6, 7
 	transport := newHeartbeatTransport(nil)
 	ctx, cancel := context.WithTimeout(context.Background(), transportTimeout)
--- a/internal/control/maintenance_test.go
+++ b/internal/control/maintenance_test.go
@@ -173,14 +173,14 @@
 	machines := newFakeMachines("m1", "m2", "m3")
 	cluster := newMachineCluster(t, machines)
 	cluster.submit("a", oneTask)
-	var on string
+	var busyWorker string
 	cluster.eventually("the task starts", func() bool {
 		for id := range machines.list {
 			if cluster.started(id+"-0") == 1 {
-				on = id + "-0"
+				busyWorker = id + "-0"
 			}
 		}
-		return on != ""
+		return busyWorker != ""
 	})
 	cluster.startWave(workflow.Wave{ID: 1, Machines: []string{"m1", "m2", "m3"}, DurationMS: 60_000, MaxDown: 1})
 	cluster.eventually("two machines have been down", func() bool {
@@ -189,7 +189,7 @@
 		return machines.incarnations["m1"]+machines.incarnations["m2"]+machines.incarnations["m3"] == 2
 	})
 	must.False(t, cluster.waveDone(1))
-	cluster.withWorker(on, func(f *fakeWorker) {
+	cluster.withWorker(busyWorker, func(f *fakeWorker) {
 		must.False(t, f.superseded, must.Sprint("the busy machine goes last"))
 		f.finish(task("a", 0), workflow.OutcomeDone)
 	})
--- a/internal/control/settle_test.go
+++ b/internal/control/settle_test.go
@@ -164,7 +164,7 @@
 // Guards against this failure: a task runs twice after a change of leader. The new
 // leader's poll doesn't carry the fencing token that blocks old orders, the report shows
 // no run, and the old leader's start arrives afterwards.
-func TestPollCarriesFence(t *testing.T) {
+func TestPollCarriesFencingToken(t *testing.T) {
 	cluster := clusterWithInheritedRun(t, func(f *fakeWorker) { f.delayStarts = true })
 	cluster.eventually("the run is settled", func() bool {
 		runs := 0
--- a/internal/control/simulation_crash_test.go
+++ b/internal/control/simulation_crash_test.go
@@ -21,9 +21,9 @@
 	// shrinkGrace is how long after a capacity change the larger capacity may still be
 	// used: the 3 s until which the leader has to know the change, and two heartbeats.
 	shrinkGrace = 3*time.Second + 2*simHeartbeatInterval*heartbeatGroups
-	// maxCrashDowntime scales how long a worker stays down after a task has crashed it:
-	// between 0.1 and 1.1 times maxCrashDowntime.
-	maxCrashDowntime = 8 * time.Second
+	// crashDowntimeScale scales how long a worker stays down after a task has crashed it:
+	// between 0.1 and 1.1 times crashDowntimeScale.
+	crashDowntimeScale = 8 * time.Second
 )
 
 // isCrashingTask reports whether a task crashes each worker that starts it.
@@ -51,7 +51,7 @@
 		}
 		ws.lines.logRun("crashes", w, run, nil)
 		ws.crash(w)
-		ws.scheduleReturn(w, time.Duration((0.1+draw("back after"))*float64(maxCrashDowntime)))
+		ws.scheduleReturn(w, time.Duration((0.1+draw("back after"))*float64(crashDowntimeScale)))
 	})
 }
 
--- a/internal/control/simulation_lines_test.go
+++ b/internal/control/simulation_lines_test.go
@@ -12,8 +12,8 @@
 // simLog keeps the log lines of the leaders and the workers to print them if the
 // simulation fails.
 type simLog struct {
-	mu   sync.Mutex
-	text []string
+	mu    sync.Mutex
+	lines []string
 	// scanned is how many lines have been searched for orphaned runs.
 	scanned int
 }
@@ -27,7 +27,7 @@
 func (l *simLog) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.text = append(l.text, string(line))
+	l.lines = append(l.lines, string(line))
 	return len(line), nil
 }
 
@@ -47,7 +47,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var found []string
-	for _, line := range l.text {
+	for _, line := range l.lines {
 		for _, word := range words {
 			if strings.Contains(line, word) {
 				found = append(found, line)
@@ -68,8 +68,8 @@
 func (l *simLog) unexpectedOrphans(allowed map[string]bool) (found []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for ; l.scanned < len(l.text); l.scanned++ {
-		line := l.text[l.scanned]
+	for ; l.scanned < len(l.lines); l.scanned++ {
+		line := l.lines[l.scanned]
 		at := strings.Index(line, "event=run_claimed")
 		if at < 0 {
 			continue
--- a/internal/control/simulation_poll_test.go
+++ b/internal/control/simulation_poll_test.go
@@ -102,7 +102,7 @@
 // acknowledge records that a leader has acknowledged ends. An acknowledged end is final,
 // unless the lease expired between the end and the acknowledgement. ws.mu must be held.
 func (ws *simWorkers) acknowledge(w *simWorker, lastEnd uint64) {
-	w.highestSeen = max(w.highestSeen, lastEnd)
+	w.highestPolled = max(w.highestPolled, lastEnd)
 	for ; w.acknowledged < min(lastEnd, uint64(len(w.ended))); w.acknowledged++ {
 		e, at := w.ended[w.acknowledged], w.endedAt[w.acknowledged]
 		step := ws.stepOf(e.Task)
@@ -127,13 +127,13 @@
 func (ws *simWorkers) runTasks(ctx context.Context) {
 	for wait.For(ctx, simRunInterval) {
 		ws.mu.Lock()
-		now, present := time.Now(), ws.runningGangMembers()
+		now, runningMembers := time.Now(), ws.runningGangMembers()
 		for _, w := range ws.all {
 			for task, run := range w.running {
 				switch {
 				case now.After(w.leaseEnd):
 					ws.finish(w, task, workflow.OutcomeLeaseExpired)
-				case !ws.gangComplete(task, run, present, now):
+				case !ws.gangComplete(task, run, runningMembers, now):
 				case now.Sub(run.startedAt) < run.duration:
 				case run.fails:
 					ws.finish(w, task, workflow.OutcomeFailed)
@@ -149,20 +149,20 @@
 // runningGangMembers counts the running members of each run of a gang. ws.mu must be
 // held.
 func (ws *simWorkers) runningGangMembers() map[gangRun]int {
-	present := map[gangRun]int{}
+	runningMembers := map[gangRun]int{}
 	for _, w := range ws.all {
 		for task, run := range w.running {
 			if run.gang {
-				present[gangRun{task.StepKey, run.number}]++
+				runningMembers[gangRun{task.StepKey, run.number}]++
 			}
 		}
 	}
-	return present
+	return runningMembers
 }
 
 // gangComplete reports whether a run makes progress: the members of a gang make progress
 // only once all of them have started. ws.mu must be held.
-func (ws *simWorkers) gangComplete(task workflow.TaskKey, run *simRun, present map[gangRun]int, now time.Time) bool {
+func (ws *simWorkers) gangComplete(task workflow.TaskKey, run *simRun, runningMembers map[gangRun]int, now time.Time) bool {
 	if !run.gang {
 		return true
 	}
@@ -170,7 +170,7 @@
 	if ws.completeGangs[gang] {
 		return true
 	}
-	if present[gang] < run.step.Count {
+	if runningMembers[gang] < run.step.Count {
 		run.startedAt = now
 		return false
 	}
--- a/internal/control/simulation_replica_test.go
+++ b/internal/control/simulation_replica_test.go
@@ -34,11 +34,11 @@
 
 // commitAt returns when a command that is proposed now is committed. s.mu must be held.
 func (s *simStore) commitAt(now time.Time) time.Time {
-	took := randomDuration(s.random, time.Millisecond, 5*time.Millisecond)
+	duration := randomDuration(s.random, time.Millisecond, 5*time.Millisecond)
 	if now.Before(s.slowUntil) {
-		took = randomDuration(s.random, 50*time.Millisecond, 500*time.Millisecond)
+		duration = randomDuration(s.random, 50*time.Millisecond, 500*time.Millisecond)
 	}
-	at := now.Add(took)
+	at := now.Add(duration)
 	if !at.After(s.lastAt) {
 		at = s.lastAt.Add(time.Microsecond)
 	}
--- a/internal/control/simulation_worker_test.go
+++ b/internal/control/simulation_worker_test.go
@@ -22,10 +22,10 @@
 	ended       []Ended
 	endedAt     []time.Time
 	// acknowledged is the position of the last end that the worker has recorded as
-	// acknowledged, highestSeen the highest position that a poll named.
-	acknowledged, highestSeen uint64
-	leaseEnd                  time.Time
-	leaseExpiredAt            time.Time
+	// acknowledged, highestPolled the highest position that a poll named.
+	acknowledged, highestPolled uint64
+	leaseEnd                    time.Time
+	leaseExpiredAt              time.Time
 	// unreachableUntil is when calls get through again, refusingUntil when the worker accepts
 	// starts again, partialReportsUntil when its reports are complete again.
 	unreachableUntil, refusingUntil, partialReportsUntil time.Time
@@ -351,7 +351,7 @@
 	w.ended = append(w.ended, Ended{Position: uint64(len(w.ended) + 1),
 		RunEnd: workflow.RunEnd{Task: task, Number: run.number, Outcome: outcome}})
 	w.endedAt = append(w.endedAt, time.Now())
-	ws.acknowledge(w, w.highestSeen)
+	ws.acknowledge(w, w.highestPolled)
 	ws.lines.logRun("ends "+outcome.String(), w, workflow.Run{Task: task, Number: run.number}, nil)
 	w.notifyChanged()
 }
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -91,9 +91,9 @@
 	step.Count = maxConcurrentStarts + laterStarts
 	cluster.submit("a", step)
 	cluster.eventually("the first starts are in flight", func() bool {
-		hung := 0
-		cluster.withWorker("w1", func(f *fakeWorker) { hung = hangingStarts - f.hangingStarts })
-		return hung >= maxConcurrentStarts
+		inFlight := 0
+		cluster.withWorker("w1", func(f *fakeWorker) { inFlight = hangingStarts - f.hangingStarts })
+		return inFlight >= maxConcurrentStarts
 	})
 	cluster.workers.add("w2")
 	cluster.announce("w2")
