--- a/internal/control/adviser_pool_test.go
+++ b/internal/control/adviser_pool_test.go
@@ -8,22 +8,29 @@
 	"github.com/shoenig/test/must"
 )
 
-// newTestAdviserPool returns a pool of n connections, the own one included, all announced
-// at the time now.
+// newTestAdviserPool returns a pool of n adviser connections: the leader's own one, and
+// those of n-1 instances that were last announced at now.
 func newTestAdviserPool(n int, now time.Time) *adviserPool {
-	l := newAdviserPool("own", nil, nil)
+	pool := newAdviserPool("own", nil, nil)
 	for i := 1; i < n; i++ {
-		l.recordAnnouncement(fmt.Sprintf("10.1.0.%02d", i), now)
+		pool.recordAnnouncement(fmt.Sprintf("10.1.0.%02d", i), now)
 	}
-	return l
+	return pool
 }
 
-// acquireLong acquires every connection that long queries may use, and returns their
-// number.
-func acquireLong(l *adviserPool, now time.Time) int {
+const (
+	// shortQueryDuration and longQueryDuration are expected durations of queries, of an
+	// urgent job and of a gang.
+	shortQueryDuration = 17 * time.Millisecond
+	longQueryDuration  = time.Second
+)
+
+// acquireLong acquires each connection that a query of one second may use, and returns
+// how many these are.
+func acquireLong(pool *adviserPool, now time.Time) int {
 	used := map[string]bool{}
 	for {
-		conn, _ := l.acquire(now, time.Second)
+		conn, _ := pool.acquire(now, longQueryDuration)
 		if conn == nil || used[conn.address] {
 			return len(used)
 		}
@@ -31,41 +38,42 @@
 	}
 }
 
-// Guards against delaying the queries of gangs while half of the connections are idle
-// because they are reserved for short queries, of which there are few.
+// Guards against delaying the long queries of gangs while half of the connections are
+// idle because they are reserved for short queries, of which there are few.
 func TestLongQueriesLeaveConnsForShortOnes(t *testing.T) {
 	start := time.Now()
 	must.Eq(t, 43, acquireLong(newTestAdviserPool(44, start), start))
 	must.Eq(t, 1, acquireLong(newTestAdviserPool(2, start), start))
 	must.Eq(t, 1, acquireLong(newTestAdviserPool(1, start), start))
+	const loadSeconds = 9
 	for _, c := range []struct{ perSecond, least, most int }{{10, 40, 43}, {110, 36, 39}, {2000, 22, 22}} {
-		l := newTestAdviserPool(44, start)
+		pool := newTestAdviserPool(44, start)
 		now := start
-		for range 9 * c.perSecond {
+		for range loadSeconds * c.perSecond {
 			now = now.Add(time.Second / time.Duration(c.perSecond))
-			conn, _ := l.acquire(now, 17*time.Millisecond)
+			conn, _ := pool.acquire(now, shortQueryDuration)
 			must.NotNil(t, conn)
-			l.release(conn, now, false)
-			for _, known := range l.conns {
+			pool.release(conn, now, false)
+			for _, known := range pool.conns {
 				known.lastAnnounced = now
 			}
 		}
-		long := acquireLong(l, now)
+		long := acquireLong(pool, now)
 		must.Between(t, c.least, long, c.most, must.Sprintf("%d a second", c.perSecond))
 	}
 }
 
-// Guards against head-of-line blocking: the query of an urgent job must not wait behind
-// one of a gang while other connections are idle.
+// Guards against head-of-line blocking: the short query of an urgent job must not wait
+// behind the long one of a gang while other connections are idle.
 func TestShortQueriesUseReservedConns(t *testing.T) {
 	now := time.Now()
-	l := newTestAdviserPool(8, now)
+	pool := newTestAdviserPool(8, now)
 	for range 100 {
-		conn, responseDue := l.acquire(now, 17*time.Millisecond)
+		conn, responseDue := pool.acquire(now, shortQueryDuration)
 		must.Eq(t, "10.1.0.01", conn.address)
-		must.Eq(t, now.Add(17*time.Millisecond), responseDue)
-		now = now.Add(17 * time.Millisecond)
-		l.release(conn, now, false)
-		l.recordAnnouncement("10.1.0.01", now)
+		must.Eq(t, now.Add(shortQueryDuration), responseDue)
+		now = now.Add(shortQueryDuration)
+		pool.release(conn, now, false)
+		pool.recordAnnouncement("10.1.0.01", now)
 	}
 }
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -14,21 +14,23 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// benchmarkLoad is the size of a benchmark. noPermits says that no adviser query about the
-// queued steps has been sent yet.
+// benchmarkLoad is the number of workers, of queued steps and of runs in progress on the
+// cluster of a benchmark. noPermits means that no permit for a queued step has been
+// queried yet.
 type benchmarkLoad struct {
 	workers, queued, runs int
 	noPermits             bool
 }
 
-// loadedTerm returns a leader term with busy workers and queued steps. A fifth of the steps
-// are gangs, and each step is permitted on a third of the workers.
+// loadedTerm returns a leader term with busy workers and queued steps. A fifth of the
+// steps are gangs, and each step is permitted on a third of the workers unless
+// size.noPermits is set.
 func loadedTerm(b testing.TB, size benchmarkLoad) *leaderTerm {
 	queued := size.queued
 	machine := NewStateMachine()
 	l := &fakeLog{state: machine}
 	workers := &fakeWorkers{all: map[string]*fakeWorker{}}
-	c := New(Config{Address: "own", Workers: workers, Adviser: workers, Logger: log.NewNopLogger(), Counters: noCounters{}}, machine, l)
+	controller := New(Config{Address: "own", Workers: workers, Adviser: workers, Logger: log.NewNopLogger(), Counters: noCounters{}}, machine, l)
 	apply := func(command *workflow.Command) {
 		data, err := command.Encode()
 		if err != nil {
@@ -52,60 +54,63 @@
 			ID: fmt.Sprint("j", i), Queue: "q", Steps: []workflow.Step{step}, Policy: policy}})
 	}
 	var runs []workflow.Run
-	for i := range size.runs / 6 {
+	const tasksPerRunningStep = 6
+	for i := range size.runs / tasksPerRunningStep {
 		id := fmt.Sprint("running", i)
-		step := workflow.Step{Count: 6, Need: workflow.Resources{MilliCPU: 9_000, MemoryMB: 20_000}, EstimateMS: 6000}
+		step := workflow.Step{Count: tasksPerRunningStep, Need: workflow.Resources{MilliCPU: 9_000, MemoryMB: 20_000}, EstimateMS: 6000}
 		apply(&workflow.Command{Submit: &workflow.Submission{ID: id, Queue: "q", Steps: []workflow.Step{step}, Policy: policy}})
-		for k := range 6 {
-			runs = append(runs, workflow.Run{Task: task(id, k), Worker: fmt.Sprint("w", (i*6+k)%size.workers)})
+		for k := range tasksPerRunningStep {
+			runs = append(runs, workflow.Run{Task: task(id, k), Worker: fmt.Sprint("w", (i*tasksPerRunningStep+k)%size.workers)})
 		}
 	}
 	apply(&workflow.Command{Start: runs})
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
-	t := newLeaderTerm(ctx, cancel, c, 7)
-	for _, s := range t.sessions {
+	term := newLeaderTerm(ctx, cancel, controller, fakeLogTerm)
+	for _, s := range term.sessions {
 		s.ready, s.answeredAt = true, time.Now().Add(time.Hour)
 	}
 	for _, run := range runs {
-		t.sessions[run.Worker].orders[run.Task] = &runOrder{run: run, startedAt: time.Now(), listed: true, share: fullShare}
+		term.sessions[run.Worker].orders[run.Task] = &runOrder{run: run, startedAt: time.Now(), listed: true, share: fullShare}
 	}
 	for i := range queued {
 		if size.noPermits {
 			break
 		}
-		p := t.permitsOf(workflow.StepKey{Job: fmt.Sprint("j", i)})
+		p := term.permitsOf(workflow.StepKey{Job: fmt.Sprint("j", i)})
 		for k := range size.workers {
 			p.known[fmt.Sprint("w", k)] = dispatch.Permit{Granted: k%3 == i%3, Expires: time.Hour}
 		}
 	}
-	return t
+	return term
 }
 
-// BenchmarkDecide measures one full decision, including its 99th percentile.
+// BenchmarkDecide measures the time of one full decision, and its 99th percentile in
+// nanoseconds.
 func BenchmarkDecide(b *testing.B) {
 	for _, size := range []benchmarkLoad{
 		{48, 50, 144, false}, {48, 500, 144, false}, {350, 50, 1800, false}, {350, 3000, 1800, false}, {350, 3000, 1800, true},
 		{1100, 50, 5500, false}, {1100, 10_000, 5500, true},
 	} {
 		b.Run(fmt.Sprintf("%dworkers/%dsteps/unasked=%v", size.workers, size.queued, size.noPermits), func(b *testing.B) {
-			t := loadedTerm(b, size)
+			term := loadedTerm(b, size)
 			now := time.Now()
-			took := hdrhistogram.New(1, int64(time.Second), 3)
+			const significantDigits = 3
+			durations := hdrhistogram.New(1, int64(time.Second), significantDigits)
 			for b.Loop() {
 				start := time.Now()
-				input := t.gatherPlanInput(now)
-				dispatch.Decide(now.Sub(t.started), input.steps, input.workers, planLimits)
-				must.NoError(b, took.RecordValue(int64(time.Since(start))))
+				input := term.gatherPlanInput(now)
+				dispatch.Decide(now.Sub(term.started), input.steps, input.workers, planLimits)
+				must.NoError(b, durations.RecordValue(int64(time.Since(start))))
 			}
-			b.ReportMetric(float64(took.ValueAtPercentile(99)), "p99-ns")
+			b.ReportMetric(float64(durations.ValueAtPercentile(99)), "p99-ns")
 		})
 	}
 }
 
 // BenchmarkDecideMixedLoad measures one decision at the usual load of a large deployment:
-// most workers are busy with runs that could continue elsewhere, gangs wait and have
-// permits for 60 workers, and some steps are new.
+// each worker has five runs, gangs wait and have responses of the adviser for 60 workers
+// each, and some steps are new.
 func BenchmarkDecideMixedLoad(b *testing.B) {
 	for _, workers := range []int{350, 1100} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) { decideMixedLoad(b, workers) })
@@ -113,31 +118,32 @@
 }
 
 func decideMixedLoad(b *testing.B, workers int) {
-	t := loadedTerm(b, benchmarkLoad{workers: workers, queued: 0, runs: 5 * workers})
+	term := loadedTerm(b, benchmarkLoad{workers: workers, queued: 0, runs: 5 * workers})
 	policy := workflow.Policy{Service: "s", MaxAttempts: 3, Stretch: 2, ObjectiveMS: 1000, Priority: 1,
 		Advice: &workflow.AdvicePolicy{BaseMS: 450, PerWorkerMS: 6, TicketValidityMS: 1500}}
 	submit := func(id string, count int, gang bool) {
 		step := workflow.Step{Count: count, Need: workflow.Resources{MilliCPU: 18_000, MemoryMB: 20_000}, EstimateMS: 4000, Gang: gang}
 		command := &workflow.Command{Submit: &workflow.Submission{ID: id, Queue: "q", Steps: []workflow.Step{step}, Policy: policy}}
-		_, err := t.propose(command)
+		_, err := term.propose(command)
 		must.NoError(b, err)
 	}
-	for i := range 30 {
+	const gangs, permitsPerGang, newSteps = 30, 60, 8
+	for i := range gangs {
 		id := fmt.Sprint("gang", i)
 		submit(id, 20, true)
-		p := t.permitsOf(workflow.StepKey{Job: id})
-		for k := range 60 {
-			p.known[fmt.Sprint("w", (i*60+k)%workers)] = dispatch.Permit{Granted: k%4 == 0, Expires: time.Hour}
+		p := term.permitsOf(workflow.StepKey{Job: id})
+		for k := range permitsPerGang {
+			p.known[fmt.Sprint("w", (i*permitsPerGang+k)%workers)] = dispatch.Permit{Granted: k%4 == 0, Expires: time.Hour}
 		}
 	}
-	for i := range 8 {
+	for i := range newSteps {
 		submit(fmt.Sprint("new", i), 3, false)
 	}
 	limits := planLimits
 	limits.Queries = 30
 	for b.Loop() {
 		now := time.Now()
-		input := t.gatherPlanInput(now)
-		dispatch.Decide(now.Sub(t.started), input.steps, input.workers, limits)
+		input := term.gatherPlanInput(now)
+		dispatch.Decide(now.Sub(term.started), input.steps, input.workers, limits)
 	}
 }
--- a/internal/control/chaos_test.go
+++ b/internal/control/chaos_test.go
@@ -16,7 +16,8 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// chaosRun is one seeded run with random faults.
+// chaosRun is one test run of controllers in real time, with jobs and faults that are
+// drawn from a seed.
 type chaosRun struct {
 	t            *testing.T
 	random       *rand.Rand
@@ -24,7 +25,7 @@
 	workers      *chaosWorkers
 	term         uint64
 	incarnations int
-	c            *Controller
+	controller   *Controller
 	stop         func()
 }
 
@@ -34,74 +35,82 @@
 var programStart = time.Now()
 
 // startLeader starts a controller in the next term and waits until it leads.
-func (x *chaosRun) startLeader() {
-	x.term++
-	replicated := &fakeTermLog{fakeLog: fakeLog{state: x.state}, term: x.term}
-	x.c = New(Config{
-		Address: "own", Bounds: Bounds{MaxLease: 700 * time.Millisecond, EndedJobRetention: time.Minute}, Workers: x.workers, Adviser: x.workers,
-		Client: link.NewClient(100), Logger: log.With(log.NewLogfmtLogger(&x.workers.lines), "ms", log.Valuer(sinceStart), "term", x.term), Counters: noCounters{},
+func (chaos *chaosRun) startLeader() {
+	chaos.term++
+	replicated := &fakeTermLog{fakeLog: fakeLog{state: chaos.state}, term: chaos.term}
+	chaos.controller = New(Config{
+		Address: "own", Bounds: Bounds{MaxLease: testMaxLease, EndedJobRetention: time.Minute}, Workers: chaos.workers, Adviser: chaos.workers,
+		Client: link.NewClient(testMaxConns), Logger: log.With(log.NewLogfmtLogger(&chaos.workers.lines), "ms", log.Valuer(sinceStart), "term", chaos.term), Counters: noCounters{},
 		Leader: func() string { return "own" }, Members: func() []string { return nil },
-	}, x.state, replicated)
+	}, chaos.state, replicated)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if err := x.c.Run(ctx); err != nil {
-			x.t.Error(err)
+		if err := chaos.controller.Run(ctx); err != nil {
+			chaos.t.Error(err)
 		}
 	}()
-	x.stop = func() { cancel(); <-done }
+	chaos.stop = func() { cancel(); <-done }
 	for {
-		if _, err := x.c.currentLeaderTerm(context.Background()); err == nil {
+		if _, err := chaos.controller.currentLeaderTerm(context.Background()); err == nil {
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// addWorker adds a worker incarnation and announces it.
-func (x *chaosRun) addWorker() {
-	x.incarnations++
-	id := fmt.Sprint("w", x.incarnations)
-	x.workers.mu.Lock()
-	x.workers.all[id] = &chaosWorker{
+// addWorker adds a worker and announces it.
+func (chaos *chaosRun) addWorker() {
+	chaos.incarnations++
+	id := fmt.Sprint("w", chaos.incarnations)
+	chaos.workers.mu.Lock()
+	chaos.workers.all[id] = &chaosWorker{
 		id: id, capacity: tenCores, running: map[workflow.TaskKey]*chaosWorkerRun{}, stopped: map[workflow.TaskKey]int{},
 	}
-	x.workers.mu.Unlock()
-	x.announce(id)
+	chaos.workers.mu.Unlock()
+	chaos.announce(id)
 }
 
-func (x *chaosRun) announce(id string) {
-	_, err := x.c.Announce(context.Background(), &Announcement{Worker: worker(id)})
-	must.NoError(x.t, err)
+func (chaos *chaosRun) announce(id string) {
+	_, err := chaos.controller.Announce(context.Background(), &Announcement{Worker: worker(id)})
+	must.NoError(chaos.t, err)
 }
 
+// The kinds of faults that injectFault draws. The remaining kind is no fault.
+const (
+	crashFault        = 0
+	unreachableFault  = 1
+	leaderChangeFault = 2
+	chaosFaultKinds   = 4
+)
+
 // injectFault injects one random fault: a crash, an unreachable worker, a leader change,
 // or none.
-func (x *chaosRun) injectFault() {
-	r := x.workers
-	r.mu.Lock()
+func (chaos *chaosRun) injectFault() {
+	ws := chaos.workers
+	ws.mu.Lock()
 	var up []*chaosWorker
-	for _, w := range r.all {
-		if !w.gone {
+	for _, w := range ws.all {
+		if !w.crashed {
 			up = append(up, w)
 		}
 	}
-	chosen := up[x.random.IntN(len(up))]
-	kind := x.random.IntN(4)
+	chosen := up[chaos.random.IntN(len(up))]
+	kind := chaos.random.IntN(chaosFaultKinds)
 	switch kind {
-	case 0:
-		chosen.gone = true
-	case 1:
-		chosen.unreachableUntil = time.Now().Add(time.Duration(100+x.random.IntN(900)) * time.Millisecond)
+	case crashFault:
+		chosen.crashed = true
+	case unreachableFault:
+		chosen.unreachableUntil = time.Now().Add(time.Duration(100+chaos.random.IntN(900)) * time.Millisecond)
 	}
-	r.mu.Unlock()
+	ws.mu.Unlock()
 	switch kind {
-	case 0:
-		x.addWorker()
-	case 2:
-		x.stop()
-		x.startLeader()
+	case crashFault:
+		chaos.addWorker()
+	case leaderChangeFault:
+		chaos.stop()
+		chaos.startLeader()
 	}
 }
 
@@ -122,9 +131,9 @@
 }
 
 // Checks the invariants under random faults: orders are lost, delayed and carried out
-// twice, answers are lost, workers crash and become unreachable, and leaders change. No
-// task may run twice at a time or after it is done, no worker may hold more than its
-// capacity, and all jobs must end once the faults are over.
+// twice, responses are lost, workers crash and become unreachable, and leaders change. No
+// task may run twice at a time or after it is done, the runs on a worker may not need
+// more than its capacity, and all jobs must end once the faults are over.
 //
 // BILBERRY_SEEDS sets the number of seeds, BILBERRY_SEED the first one.
 func TestRandomFaults(t *testing.T) {
@@ -137,83 +146,106 @@
 	}
 }
 
-func envNumber(name string, otherwise int) int {
+// envNumber returns the number in an environment variable, or fallback if it holds none.
+func envNumber(name string, fallback int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
-	return otherwise
+	return fallback
 }
 
+const (
+	// chaosFaultStream and chaosCallStream select the random sequences of a seed for the
+	// jobs and faults and for the outcomes of calls.
+	chaosFaultStream = 1
+	chaosCallStream  = 2
+	// chaosWorkerCount is how many workers are up at a time.
+	chaosWorkerCount = 4
+	// chaosRounds is how many faults are injected, jobsPerRound how many jobs are submitted
+	// before each.
+	chaosRounds  = 25
+	jobsPerRound = 2
+	// maxRoundPauseMS bounds the pause after a fault, in milliseconds.
+	maxRoundPauseMS = 80
+)
+
 func randomFaults(t *testing.T, seed uint64) {
-	random := rand.New(rand.NewPCG(seed, 1))
-	x := &chaosRun{t: t, random: random, state: NewStateMachine(), workers: &chaosWorkers{
-		t: t, random: rand.New(rand.NewPCG(seed, 2)), all: map[string]*chaosWorker{}, specs: map[string]workflow.Step{},
+	random := rand.New(rand.NewPCG(seed, chaosFaultStream))
+	chaos := &chaosRun{t: t, random: random, state: NewStateMachine(), workers: &chaosWorkers{
+		t: t, random: rand.New(rand.NewPCG(seed, chaosCallStream)), all: map[string]*chaosWorker{}, specs: map[string]workflow.Step{},
 		completeGangs: map[gangRun]bool{}, startedAt: map[workflow.TaskKey][]time.Time{}, doneAt: map[workflow.TaskKey]time.Time{},
 	}}
-	x.startLeader()
-	defer func() { x.stop() }()
+	chaos.startLeader()
+	defer func() { chaos.stop() }()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go x.workers.runTasks(ctx)
-	must.NoError(t, x.propose(&workflow.Command{Configuration: &workflow.Document{Version: 1, Source: []byte("{}"), Queues: []workflow.Queue{
+	go chaos.workers.runTasks(ctx)
+	must.NoError(t, chaos.propose(&workflow.Command{Configuration: &workflow.Document{Version: 1, Source: []byte("{}"), Queues: []workflow.Queue{
 		{Name: "q", Host: "h", Prefix: "/q/", Policy: workflow.Policy{Service: "s", MaxAttempts: 9, Stretch: 2, ObjectiveMS: 100,
-			Advice: &workflow.AdvicePolicy{BaseMS: 1, TicketValidityMS: 200}}},
+			Advice: &workflow.AdvicePolicy{BaseMS: 1, TicketValidityMS: chaosTicketValidityMS}}},
 	}}}))
-	for range 4 {
-		x.addWorker()
+	for range chaosWorkerCount {
+		chaos.addWorker()
 	}
 	jobs := 0
-	for range 25 {
-		for range 2 {
+	for range chaosRounds {
+		for range jobsPerRound {
 			jobs++
-			x.submit(fmt.Sprint("j", jobs))
+			chaos.submit(fmt.Sprint("j", jobs))
 		}
-		x.injectFault()
-		time.Sleep(time.Duration(random.IntN(80)) * time.Millisecond)
+		chaos.injectFault()
+		time.Sleep(time.Duration(random.IntN(maxRoundPauseMS)) * time.Millisecond)
 	}
-	x.workers.mu.Lock()
-	x.workers.faultsOver = true
-	x.workers.mu.Unlock()
-	x.awaitAllEnded()
-	x.workers.mu.Lock()
-	defer x.workers.mu.Unlock()
-	must.SliceEmpty(t, x.workers.violations, must.Sprint(x.workers.violations), must.Sprint(x.workers.lines.of(x.workers.violations)))
+	chaos.workers.mu.Lock()
+	chaos.workers.faultsOver = true
+	chaos.workers.mu.Unlock()
+	chaos.awaitAllEnded()
+	chaos.workers.mu.Lock()
+	defer chaos.workers.mu.Unlock()
+	must.SliceEmpty(t, chaos.workers.violations, must.Sprint(chaos.workers.violations), must.Sprint(chaos.workers.lines.linesAbout(chaos.workers.violations)))
 }
 
-func (x *chaosRun) propose(c *workflow.Command) error {
-	_, err := x.c.propose(context.Background(), c)
+func (chaos *chaosRun) propose(c *workflow.Command) error {
+	_, err := chaos.controller.propose(context.Background(), c)
 	return err
 }
 
-func (x *chaosRun) submit(id string) {
-	step := randomStep(x.random)
-	x.workers.mu.Lock()
-	x.workers.specs[id] = step
-	x.workers.mu.Unlock()
-	_, err := x.c.Submit(context.Background(), &SubmitCall{
+func (chaos *chaosRun) submit(id string) {
+	step := randomStep(chaos.random)
+	chaos.workers.mu.Lock()
+	chaos.workers.specs[id] = step
+	chaos.workers.mu.Unlock()
+	_, err := chaos.controller.Submit(context.Background(), &SubmitCall{
 		Address: JobAddress{Host: "h", Path: "/q/" + id}, Payload: "p", Steps: []workflow.Step{step},
 	})
-	must.NoError(x.t, err)
+	must.NoError(chaos.t, err)
 }
 
+const (
+	// openJobChecks is how often awaitAllEnded checks for open jobs, every
+	// openJobCheckInterval.
+	openJobChecks        = 200
+	openJobCheckInterval = 50 * time.Millisecond
+)
+
 // awaitAllEnded waits until no job is open, and sends the heartbeats of the running
-// workers.
-func (x *chaosRun) awaitAllEnded() {
+// workers meanwhile. It fails the test if jobs are still open after the last check.
+func (chaos *chaosRun) awaitAllEnded() {
 	var open []string
-	for range 200 {
-		x.workers.mu.Lock()
+	for range openJobChecks {
+		chaos.workers.mu.Lock()
 		var up []string
-		for id, w := range x.workers.all {
-			if !w.gone {
+		for id, w := range chaos.workers.all {
+			if !w.crashed {
 				up = append(up, id)
 			}
 		}
-		x.workers.mu.Unlock()
+		chaos.workers.mu.Unlock()
 		for _, id := range up {
-			x.announce(id)
+			chaos.announce(id)
 		}
 		open = nil
-		x.state.read(func(s *workflow.State) {
+		chaos.state.read(func(s *workflow.State) {
 			for id, job := range s.OpenJobs() {
 				open = append(open, fmt.Sprint(id, " ", job.Unfinished))
 			}
@@ -221,7 +253,7 @@
 		if len(open) == 0 {
 			return
 		}
-		time.Sleep(50 * time.Millisecond)
+		time.Sleep(openJobCheckInterval)
 	}
-	x.t.Fatalf("jobs that have not ended: %v", open)
+	chaos.t.Fatalf("jobs that have not ended: %v", open)
 }
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -17,6 +17,19 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
+const (
+	// fakeLogTerm is the term of a fakeLog, and so the fencing token of its leader.
+	// staleFence is the fencing token of an earlier leader.
+	fakeLogTerm = 7
+	staleFence  = 6
+	// fakeClockMS is what the clock of each fakeWorker shows, in milliseconds.
+	fakeClockMS = 1000
+	// testMaxLease bounds the leases of workers in tests.
+	testMaxLease = 700 * time.Millisecond
+	// testMaxConns bounds the connections of a controller's client.
+	testMaxConns = 100
+)
+
 // fakeLog is the log of a single member that always leads and commits each command
 // immediately.
 type fakeLog struct {
@@ -113,14 +126,14 @@
 }
 
 func (l *fakeLog) Status() replica.Status {
-	return replica.Status{Role: replica.Leader, Term: 7, CanDecide: l.remainingDelay() <= 0}
+	return replica.Status{Role: replica.Leader, Term: fakeLogTerm, CanDecide: l.remainingDelay() <= 0}
 }
 
 func (l *fakeLog) Changed() <-chan struct{} { return make(chan struct{}) }
 
-var errNoResponse = errors.New("no answer")
+var errNoResponse = errors.New("no response")
 
-// fakeWorker is one incarnation of a worker, with its report.
+// fakeWorker is one incarnation of a worker, with the runs that its reports list.
 type fakeWorker struct {
 	id      string
 	fence   uint64
@@ -128,9 +141,9 @@
 	ended   []Ended
 	// stopped is the highest run number of each task that was stopped or has ended.
 	stopped map[workflow.TaskKey]int
-	// responsesLost says that calls arrive and their answers are lost.
+	// responsesLost means that calls arrive and their responses are lost.
 	responsesLost bool
-	// delayStarts says that starts get no answer and are added to delayedStarts.
+	// delayStarts means that starts get no response and are added to delayedStarts.
 	delayStarts   bool
 	delayedStarts []StartOrder
 	// refuseNextStart is the reason for which the next start after a delayed one is
@@ -142,23 +155,23 @@
 	shares map[workflow.TaskKey]int
 	// leases are the lease ends that polls carried.
 	leases []int64
-	// partial says that reports are partial.
+	// partial means that reports are partial.
 	partial bool
 	// lostStops is how many further stops get lost.
 	lostStops int
-	// superseded says that another incarnation answers.
+	// superseded means that another incarnation responds at the worker's address.
 	superseded bool
-	// hangingStarts is how many further starts are neither carried out nor answered until
-	// their caller gives up.
+	// hangingStarts is how many further starts are not carried out and get no response
+	// until their caller gives up.
 	hangingStarts int
-	// misdirected is how many further starts are answered as by another incarnation.
+	// misdirected is how many further starts get the response of another incarnation.
 	misdirected int
 	// slowRefusals is how many further starts are refused, each after slowRefusalDelay.
 	slowRefusals int
-	// successor is the worker's next incarnation. It answers at the same address, carries
-	// out orders, and its reports identify it.
+	// successor is the worker's next incarnation. It responds at the same address and
+	// carries out orders; its responses to polls show that it is another incarnation.
 	successor *fakeWorker
-	// polls are the polls that were answered.
+	// polls are the polls that arrived.
 	polls []PollOrder
 }
 
@@ -170,10 +183,11 @@
 	return w
 }
 
-// slowRefusalDelay is longer than a start may go unanswered before it is sent again.
+// slowRefusalDelay is longer than the time after which an unanswered start is sent again.
 const slowRefusalDelay = callTimeout / 2
 
-// fakeWorkers implements Workers for all workers, and the adviser.
+// fakeWorkers implements the calls to all workers, and an adviser that permits every
+// task.
 type fakeWorkers struct {
 	mu  sync.Mutex
 	all map[string]*fakeWorker
@@ -217,7 +231,7 @@
 	if w.responsesLost {
 		return 0, errNoResponse
 	}
-	return 1000, nil
+	return fakeClockMS, nil
 }
 
 func (f *fakeWorkers) takeHangingStart(worker string) bool {
@@ -274,7 +288,7 @@
 	if w.responsesLost {
 		return 0, errNoResponse
 	}
-	return 1000, nil
+	return fakeClockMS, nil
 }
 
 func (w *fakeWorker) finish(task workflow.TaskKey, outcome workflow.Outcome) {
@@ -291,7 +305,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.all[to.Worker].shares[order.Run.Task] = order.Share
-	return 1000, nil
+	return fakeClockMS, nil
 }
 
 // fakePollHold is how long a poll is held in tests.
@@ -316,7 +330,7 @@
 	if w.responsesLost {
 		return Report{}, errNoResponse
 	}
-	report := Report{ClockMS: 1000, Partial: w.partial}
+	report := Report{ClockMS: fakeClockMS, Partial: w.partial}
 	for _, running := range w.running {
 		report.Running = append(report.Running, running)
 	}
@@ -350,57 +364,58 @@
 func (noCounters) Set(string, int64)             {}
 func (noCounters) Observe(string, time.Duration) {}
 
-// testCluster is one leading controller with its fakes.
+// testCluster is a controller that leads, with a fake log and fake workers.
 type testCluster struct {
-	t       *testing.T
-	log     *fakeLog
-	workers *fakeWorkers
-	c       *Controller
+	t          *testing.T
+	log        *fakeLog
+	workers    *fakeWorkers
+	controller *Controller
 }
 
 // newTestCluster starts a controller after prepare has filled the log, and waits until it
 // leads.
-func newTestCluster(t *testing.T, prepare func(w *testCluster)) *testCluster {
+func newTestCluster(t *testing.T, prepare func(cluster *testCluster)) *testCluster {
 	machine := NewStateMachine()
-	w := &testCluster{t: t, log: &fakeLog{state: machine}, workers: &fakeWorkers{all: map[string]*fakeWorker{}}}
-	bounds := Bounds{MaxLease: 700 * time.Millisecond, EndedJobRetention: time.Minute}
-	w.c = New(Config{
-		Address: "own", Bounds: bounds, Workers: w.workers, Adviser: w.workers, Client: link.NewClient(100),
+	cluster := &testCluster{t: t, log: &fakeLog{state: machine}, workers: &fakeWorkers{all: map[string]*fakeWorker{}}}
+	bounds := Bounds{MaxLease: testMaxLease, EndedJobRetention: time.Minute}
+	cluster.controller = New(Config{
+		Address: "own", Bounds: bounds, Workers: cluster.workers, Adviser: cluster.workers, Client: link.NewClient(testMaxConns),
 		Logger: log.NewLogfmtLogger(testWriter{t}), Counters: noCounters{},
 		Leader: func() string { return "own" }, Members: func() []string { return nil },
-	}, machine, w.log)
-	w.commit(&workflow.Command{Configuration: &workflow.Document{Version: 1, Source: []byte("{}"), Queues: []workflow.Queue{
+	}, machine, cluster.log)
+	cluster.commit(&workflow.Command{Configuration: &workflow.Document{Version: 1, Source: []byte("{}"), Queues: []workflow.Queue{
 		{Name: "q", Host: "h", Prefix: "/q/", Policy: workflow.Policy{Service: "s", MaxAttempts: 3, Stretch: 2, ObjectiveMS: 100}},
 	}}})
 	if prepare != nil {
-		prepare(w)
+		prepare(cluster)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		must.NoError(t, w.c.Run(ctx))
+		must.NoError(t, cluster.controller.Run(ctx))
 	}()
 	t.Cleanup(func() { cancel(); <-done })
-	w.eventually("a leader term begins", func() bool { _, err := w.c.currentLeaderTerm(context.Background()); return err == nil })
-	return w
+	cluster.eventually("a leader term begins", func() bool { _, err := cluster.controller.currentLeaderTerm(context.Background()); return err == nil })
+	return cluster
 }
 
-// clusterWithStartedTask is a leader that has started the only task of job a on worker w1.
+// clusterWithStartedTask returns a cluster whose leader has started the only task of job
+// a on worker w1.
 func clusterWithStartedTask(t *testing.T) *testCluster {
-	w := newTestCluster(t, nil)
-	w.workers.add("w1")
-	w.announce("w1")
-	w.submit("a", oneTask)
-	w.eventually("the task starts", func() bool { return w.started("w1") == 1 })
-	return w
+	cluster := newTestCluster(t, nil)
+	cluster.workers.add("w1")
+	cluster.announce("w1")
+	cluster.submit("a", oneTask)
+	cluster.eventually("the task starts", func() bool { return cluster.started("w1") == 1 })
+	return cluster
 }
 
-func (w *testCluster) commit(c *workflow.Command) {
+func (cluster *testCluster) commit(c *workflow.Command) {
 	data, err := c.Encode()
-	must.NoError(w.t, err)
-	_, err = w.log.Propose(context.Background(), data)
-	must.NoError(w.t, err)
+	must.NoError(cluster.t, err)
+	_, err = cluster.log.Propose(context.Background(), data)
+	must.NoError(cluster.t, err)
 }
 
 var tenCores = workflow.Resources{MilliCPU: 10_000, MemoryMB: 1000}
@@ -410,44 +425,55 @@
 }
 
 // announce sends a heartbeat of a worker.
-func (w *testCluster) announce(id string) {
-	_, err := w.c.Announce(context.Background(), &Announcement{Worker: worker(id)})
-	must.NoError(w.t, err)
+func (cluster *testCluster) announce(id string) {
+	_, err := cluster.controller.Announce(context.Background(), &Announcement{Worker: worker(id)})
+	must.NoError(cluster.t, err)
 }
 
 // submit submits a job of one step.
-func (w *testCluster) submit(id string, step workflow.Step) {
-	_, err := w.c.Submit(context.Background(), &SubmitCall{
+func (cluster *testCluster) submit(id string, step workflow.Step) {
+	_, err := cluster.controller.Submit(context.Background(), &SubmitCall{
 		Address: JobAddress{Host: "h", Path: "/q/" + id}, Payload: "payload", Steps: []workflow.Step{step},
 	})
-	must.NoError(w.t, err)
+	must.NoError(cluster.t, err)
 }
 
-func (w *testCluster) eventually(what string, ok func() bool) {
-	w.t.Helper()
-	for range 2000 {
+const (
+	// eventuallyChecks is how often eventually checks, every eventuallyInterval.
+	eventuallyChecks   = 2000
+	eventuallyInterval = 5 * time.Millisecond
+	// noStartWait is how long a test waits for a start that must not happen.
+	noStartWait = 100 * time.Millisecond
+)
+
+// eventually waits until ok returns true, and fails the test if it never does. event
+// names what it waits for.
+func (cluster *testCluster) eventually(event string, ok func() bool) {
+	cluster.t.Helper()
+	for range eventuallyChecks {
 		if ok() {
 			return
 		}
-		time.Sleep(5 * time.Millisecond)
+		time.Sleep(eventuallyInterval)
 	}
-	w.t.Fatalf("never: %s", what)
+	cluster.t.Fatalf("never: %s", event)
 }
 
-// withWorker calls f with a worker while the lock is held.
-func (w *testCluster) withWorker(id string, f func(*fakeWorker)) {
-	w.workers.mu.Lock()
-	defer w.workers.mu.Unlock()
-	f(w.workers.all[id])
+// withWorker calls f with a worker while the lock of all fake workers is held.
+func (cluster *testCluster) withWorker(id string, f func(*fakeWorker)) {
+	cluster.workers.mu.Lock()
+	defer cluster.workers.mu.Unlock()
+	f(cluster.workers.all[id])
 }
 
-func (w *testCluster) started(id string) (n int) {
-	w.withWorker(id, func(f *fakeWorker) { n = len(f.starts) })
+// started returns how many starts a worker has carried out.
+func (cluster *testCluster) started(id string) (n int) {
+	cluster.withWorker(id, func(f *fakeWorker) { n = len(f.starts) })
 	return n
 }
 
-func (w *testCluster) phase(id string) workflow.Phase {
-	phase, _ := w.c.phase(id, "h/q/")
+func (cluster *testCluster) phase(id string) workflow.Phase {
+	phase, _ := cluster.controller.phase(id, "h/q/")
 	return phase
 }
 
--- a/internal/control/heartbeat_transport_test.go
+++ b/internal/control/heartbeat_transport_test.go
@@ -11,165 +11,180 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// heartbeatWorker is a worker that receives its orders in the answers to its heartbeats.
+// heartbeatWorker is a worker that receives its orders in the responses to its
+// heartbeats.
 type heartbeatWorker struct {
 	*fakeWorker
-	// loseResponses is how many further answers are dropped before they are carried out;
-	// lostResponses holds the dropped ones.
+	// loseResponses is how many further responses are dropped before they are carried
+	// out; lostResponses holds the dropped ones.
 	loseResponses int
 	lostResponses []HeartbeatOrders
 }
 
-// sendHeartbeat sends one heartbeat with the worker's report and carries out the answer.
-func (w *testCluster) sendHeartbeat(b *heartbeatWorker) {
+// sendHeartbeat sends one heartbeat with the worker's report and carries out the orders
+// in the response.
+func (cluster *testCluster) sendHeartbeat(sender *heartbeatWorker) {
 	report := Report{ClockMS: time.Now().UnixMilli()}
-	w.workers.mu.Lock()
-	for _, running := range b.running {
+	cluster.workers.mu.Lock()
+	for _, running := range sender.running {
 		report.Running = append(report.Running, running)
 	}
-	report.Ended = append(report.Ended, b.ended...)
-	w.workers.mu.Unlock()
-	reply, err := w.c.Announce(context.Background(), &Announcement{Worker: worker(b.id), Report: &report})
-	must.NoError(w.t, err)
+	report.Ended = append(report.Ended, sender.ended...)
+	cluster.workers.mu.Unlock()
+	reply, err := cluster.controller.Announce(context.Background(), &Announcement{Worker: worker(sender.id), Report: &report})
+	must.NoError(cluster.t, err)
 	if reply.Orders == nil {
 		return
 	}
-	if b.loseResponses > 0 {
-		b.loseResponses--
-		b.lostResponses = append(b.lostResponses, *reply.Orders)
+	if sender.loseResponses > 0 {
+		sender.loseResponses--
+		sender.lostResponses = append(sender.lostResponses, *reply.Orders)
 		return
 	}
-	w.workers.mu.Lock()
-	defer w.workers.mu.Unlock()
-	b.carryOut(*reply.Orders)
+	cluster.workers.mu.Lock()
+	defer cluster.workers.mu.Unlock()
+	sender.carryOut(*reply.Orders)
 }
 
-func (b *heartbeatWorker) carryOut(orders HeartbeatOrders) {
-	if orders.Fence < b.fence {
+func (sender *heartbeatWorker) carryOut(orders HeartbeatOrders) {
+	if orders.Fence < sender.fence {
 		return
 	}
-	b.fence = orders.Fence
+	sender.fence = orders.Fence
 	for _, run := range orders.Stops {
-		b.stopped[run.Task] = max(b.stopped[run.Task], run.Number)
-		if b.running[run.Task].Number == run.Number {
-			b.finish(run.Task, workflow.OutcomeStopped)
+		sender.stopped[run.Task] = max(sender.stopped[run.Task], run.Number)
+		if sender.running[run.Task].Number == run.Number {
+			sender.finish(run.Task, workflow.OutcomeStopped)
 		}
 	}
 	for _, start := range orders.Starts {
-		// The missing run in the next report shows a refusal.
-		_ = b.startRun(start)
+		// The leader takes the run for refused when the next report lacks it.
+		_ = sender.startRun(start)
 	}
 	if orders.Lease > 0 {
-		b.leases = append(b.leases, orders.Lease.Milliseconds())
+		sender.leases = append(sender.leases, orders.Lease.Milliseconds())
 	}
 }
 
-// heartbeatCluster is a leader that doesn't call its workers, with workers that send
-// heartbeats.
+const (
+	// heartbeatMaxLease bounds the leases of workers that send heartbeats.
+	heartbeatMaxLease = 3 * time.Second
+	// testHeartbeatInterval is the time between two heartbeats of a worker.
+	testHeartbeatInterval = 5 * time.Millisecond
+	// transportTimeout bounds the calls through a heartbeatTransport.
+	transportTimeout = 5 * time.Second
+	// noResultWait is how long a test waits for the result of a call that must not end yet.
+	noResultWait = 20 * time.Millisecond
+)
+
+// heartbeatCluster returns a cluster whose leader doesn't call workers, and its workers,
+// which send heartbeats.
 func heartbeatCluster(t *testing.T, ids ...string) (*testCluster, map[string]*heartbeatWorker) {
-	w := newTestCluster(t, func(w *testCluster) {
-		w.c.heartbeats = newHeartbeatTransport(w.c.cfg.Workers)
-		w.c.cfg.Workers = w.c.heartbeats
-		w.c.cfg.Bounds.MaxLease = 3 * time.Second
+	cluster := newTestCluster(t, func(cluster *testCluster) {
+		cluster.controller.heartbeats = newHeartbeatTransport(cluster.controller.cfg.Workers)
+		cluster.controller.cfg.Workers = cluster.controller.heartbeats
+		cluster.controller.cfg.Bounds.MaxLease = heartbeatMaxLease
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	all := map[string]*heartbeatWorker{}
 	for _, id := range ids {
-		b := &heartbeatWorker{fakeWorker: w.workers.add(id)}
-		all[id] = b
+		sender := &heartbeatWorker{fakeWorker: cluster.workers.add(id)}
+		all[id] = sender
 		go func() {
-			for wait.For(ctx, 5*time.Millisecond) {
-				if _, err := w.c.currentLeaderTerm(context.Background()); err == nil {
-					w.sendHeartbeat(b)
+			for wait.For(ctx, testHeartbeatInterval) {
+				if _, err := cluster.controller.currentLeaderTerm(context.Background()); err == nil {
+					cluster.sendHeartbeat(sender)
 				}
 			}
 		}()
 	}
-	return w, all
+	return cluster, all
 }
 
 // Guards against this failure: a job doesn't run, or a cancelled one isn't stopped,
 // because the orders don't reach a worker that the leader can't call.
 func TestHeartbeatResponsesCarryOrders(t *testing.T) {
-	w, _ := heartbeatCluster(t, "w1")
-	w.submit("a", oneTask)
-	w.eventually("the task starts", func() bool { return w.started("w1") == 1 })
-	// The answer with the start may arrive before the first poll that extends the lease.
-	// The start carries its own lease until then.
-	w.eventually("a lease is granted", func() (given bool) {
-		w.withWorker("w1", func(f *fakeWorker) { given = len(f.leases) > 0 })
+	cluster, _ := heartbeatCluster(t, "w1")
+	cluster.submit("a", oneTask)
+	cluster.eventually("the task starts", func() bool { return cluster.started("w1") == 1 })
+	// The response with the start may arrive before the first poll that extends the
+	// lease. The start carries its own lease until then.
+	cluster.eventually("a lease is granted", func() (given bool) {
+		cluster.withWorker("w1", func(f *fakeWorker) { given = len(f.leases) > 0 })
 		return given
 	})
-	w.withWorker("w1", func(f *fakeWorker) {
+	cluster.withWorker("w1", func(f *fakeWorker) {
 		must.SliceNotEmpty(t, f.leases)
-		must.Less(t, int64(2000), f.leases[0], must.Sprint("the lease counts from the arrival of the answer, which may be a second later"))
+		must.Less(t, int64(2000), f.leases[0], must.Sprint("the lease counts from the arrival of the response, which may be a second later"))
 		f.finish(task("a", 0), workflow.OutcomeDone)
 	})
-	w.eventually("the job is done", func() bool { return w.phase("a") == workflow.PhaseDone })
-	w.submit("b", oneTask)
-	w.eventually("the task starts", func() bool { return w.started("w1") == 2 })
-	_, err := w.c.Cancel(context.Background(), &CancelCall{Address: JobAddress{Host: "h", Path: "/q/b"}})
+	cluster.eventually("the job is done", func() bool { return cluster.phase("a") == workflow.PhaseDone })
+	cluster.submit("b", oneTask)
+	cluster.eventually("the task starts", func() bool { return cluster.started("w1") == 2 })
+	_, err := cluster.controller.Cancel(context.Background(), &CancelCall{Address: JobAddress{Host: "h", Path: "/q/b"}})
 	must.NoError(t, err)
-	w.eventually("its run is stopped", func() bool {
+	cluster.eventually("the run of the cancelled job is stopped", func() bool {
 		stopped := 0
-		w.withWorker("w1", func(f *fakeWorker) { stopped = f.stopped[task("b", 0)] })
+		cluster.withWorker("w1", func(f *fakeWorker) { stopped = f.stopped[task("b", 0)] })
 		return stopped == 1
 	})
 }
 
-// Guards against this failure: a task runs twice. The answer with a start is lost, and so
-// is the answer with the stop of its run. If the next heartbeat counts as proof that the
-// stop arrived, the task starts elsewhere, and the worker carries out the first answer
-// late.
+// Guards against this failure: a task runs twice. The response with a start is delayed,
+// and the response with the stop of its run is lost. If the next heartbeat counts as
+// proof that the stop arrived, the task starts elsewhere, and the worker carries out the
+// delayed start.
 func TestStopIsDeliveredAfterTwoPromptHeartbeats(t *testing.T) {
-	b := newHeartbeatTransport(nil)
+	const fence = 7
+	transport := newHeartbeatTransport(nil)
 	run := workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}
-	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), transportTimeout)
 	defer cancel()
 	stopped := make(chan error, 1)
-	b.exchange(ctx, "w1", 7, Report{})
+	transport.exchange(ctx, "w1", fence, Report{})
 	go func() {
-		_, err := b.Stop(ctx, Target{Worker: "w1"}, StopOrder{Run: run, Fence: 7})
+		_, err := transport.Stop(ctx, Target{Worker: "w1"}, StopOrder{Run: run, Fence: fence})
 		stopped <- err
 	}()
-	for len(b.exchange(ctx, "w1", 7, Report{}).Stops) == 0 {
+	for len(transport.exchange(ctx, "w1", fence, Report{}).Stops) == 0 {
 		continue
 	}
-	b.exchange(ctx, "w1", 7, Report{})
+	transport.exchange(ctx, "w1", fence, Report{})
 	select {
 	case <-stopped:
 		t.Fatal("a single heartbeat proved that the stop arrived; it may come from a broken connection")
-	case <-time.After(20 * time.Millisecond):
+	case <-time.After(noResultWait):
 	}
-	b.exchange(ctx, "w1", 7, Report{})
+	transport.exchange(ctx, "w1", fence, Report{})
 	must.NoError(t, <-stopped)
 }
 
 // Guards against this failure: a task runs twice after a change of leader. A new leader
-// receives a heartbeat whose report was made before the worker had the new fence. If it
-// answers a poll with that report, the worker may still carry out a start of the old
-// leader after it.
-func TestPollNeedsTwoHeartbeatsUnderItsFence(t *testing.T) {
-	b := newHeartbeatTransport(nil)
-	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+// receives a heartbeat whose report was made before the worker had the new fencing token.
+// If the transport returns that report for a poll, the worker may still carry out a start
+// of the old leader after the report.
+func TestPollNeedsTwoHeartbeatsWithItsFencingToken(t *testing.T) {
+	const oldFence, newFence = 6, 7
+	transport := newHeartbeatTransport(nil)
+	ctx, cancel := context.WithTimeout(context.Background(), transportTimeout)
 	defer cancel()
 	got := make(chan Report, 1)
-	b.exchange(ctx, "w1", 6, Report{})
-	b.exchange(ctx, "w1", 6, Report{})
+	transport.exchange(ctx, "w1", oldFence, Report{})
+	transport.exchange(ctx, "w1", oldFence, Report{})
 	go func() {
-		report, err := b.Poll(ctx, Target{Worker: "w1"}, PollOrder{Fence: 7})
+		report, err := transport.Poll(ctx, Target{Worker: "w1"}, PollOrder{Fence: newFence})
 		must.NoError(t, err)
 		got <- report
 	}()
-	time.Sleep(20 * time.Millisecond)
-	b.exchange(ctx, "w1", 7, Report{ClockMS: 1})
-	b.exchange(ctx, "w1", 7, Report{ClockMS: 2})
+	time.Sleep(noResultWait)
+	transport.exchange(ctx, "w1", newFence, Report{ClockMS: 1})
+	transport.exchange(ctx, "w1", newFence, Report{ClockMS: 2})
 	select {
 	case <-got:
 		t.Fatal("a poll returned a report that may be older than the fence")
-	case <-time.After(20 * time.Millisecond):
+	case <-time.After(noResultWait):
 	}
-	b.exchange(ctx, "w1", 7, Report{ClockMS: 3})
+	transport.exchange(ctx, "w1", newFence, Report{ClockMS: 3})
 	must.Eq(t, int64(3), (<-got).ClockMS)
 }
--- a/internal/control/load_test.go
+++ b/internal/control/load_test.go
@@ -20,15 +20,15 @@
 func (g gauges) Set(name string, n int64)    { g[name] = n }
 func (gauges) Observe(string, time.Duration) {}
 
-// observedTerm returns a leader term with the buffer that its log lines go to and its
+// observedTerm returns a leader term, the buffer that receives its log lines, and its
 // gauges.
 func observedTerm() (*leaderTerm, *bytes.Buffer, gauges) {
 	lines, counters := &bytes.Buffer{}, gauges{}
-	t := &leaderTerm{
+	term := &leaderTerm{
 		c:      New(Config{Counters: counters, Logger: log.NewNopLogger()}, NewStateMachine(), nil),
 		logger: log.NewLogfmtLogger(lines),
 	}
-	return t, lines, counters
+	return term, lines, counters
 }
 
 // pendingStep returns a step whose tasks are all pending. Each task needs 4 cores and 8000
@@ -47,19 +47,19 @@
 // fragmentedWorkers returns three workers with 3, 9 and 6 free cores. The last one has too
 // little memory for a second task.
 func fragmentedWorkers() []dispatch.Worker {
-	var list []dispatch.Worker
+	var workers []dispatch.Worker
 	for i, free := range []workflow.Resources{{MilliCPU: 3000, MemoryMB: 50_000}, {MilliCPU: 9000, MemoryMB: 50_000, Accelerators: 1}, {MilliCPU: 6000, MemoryMB: 9000}} {
-		list = append(list, dispatch.Worker{
+		workers = append(workers, dispatch.Worker{
 			Worker: workflow.Worker{ID: fmt.Sprint("w", i), Service: "s", Capacity: workflow.Resources{MilliCPU: 16_000, MemoryMB: 64_000, Accelerators: 2}},
 			Free:   free, FreeBeforePlan: free,
 		})
 	}
-	return list
+	return workers
 }
 
 // Checks that the load line and the gauges show the fragmentation of the free resources
-// and what waits, so that an operator can tell a full cluster from one whose free
-// resources do not fit.
+// and the waiting steps, so that an operator can tell a full cluster from one whose free
+// resources are too fragmented for the waiting steps.
 func TestLoadReportShowsFragmentationAndWaitingSteps(t *testing.T) {
 	term, lines, counters := observedTerm()
 	now := time.Now()
--- a/internal/control/simulation_adviser_test.go
+++ b/internal/control/simulation_adviser_test.go
@@ -13,9 +13,9 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// simAdviser permits each step on a fixed part of the workers. It serves the queries of
-// each connection one after another. It also implements Caller for queries through other
-// instances.
+// simAdviser is an adviser that permits each step on a fixed part of the workers. It
+// serves the queries of each connection one after another. It also implements Caller for
+// queries through other instances.
 type simAdviser struct {
 	params *simParams
 	seed   uint64
@@ -33,14 +33,16 @@
 	queries          int
 }
 
-// seededFloat returns a number from 0 to 1 that depends only on the seed and the words.
+// seededFloat returns a number of at least 0 and below 1 that depends only on the seed
+// and the words.
 func seededFloat(seed uint64, words ...any) float64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprint(h, seed, words)
 	return rand.New(rand.NewPCG(seed, h.Sum64())).Float64()
 }
 
-// permits reports whether a step may run on a worker. The answer never changes.
+// permits reports whether a step may run on a worker. The result for a step and a worker
+// never changes.
 func (a *simAdviser) permits(step workflow.StepKey, worker string) bool {
 	spec := a.stepOf(workflow.TaskKey{StepKey: step})
 	return spec != nil && spec.Image != refusedImage && seededFloat(a.seed, "permit", step, worker) < a.params.permittedShare
@@ -48,7 +50,7 @@
 
 // Query serves a query from the leader's own machine.
 func (a *simAdviser) Query(ctx context.Context, call AdviserQuery) (AdviserReply, error) {
-	return a.answer(ctx, ownAddress, call)
+	return a.serveQuery(ctx, ownAddress, call)
 }
 
 // ownAddress is the leader's own address.
@@ -56,12 +58,12 @@
 
 // Call serves a query through another instance.
 func (a *simAdviser) Call(ctx context.Context, address, _ string, request, reply any) error {
-	response, err := a.answer(ctx, address, *request.(*AdviserQuery))
+	response, err := a.serveQuery(ctx, address, *request.(*AdviserQuery))
 	*reply.(*AdviserReply) = response
 	return err
 }
 
-func (a *simAdviser) answer(ctx context.Context, address string, call AdviserQuery) (AdviserReply, error) {
+func (a *simAdviser) serveQuery(ctx context.Context, address string, call AdviserQuery) (AdviserReply, error) {
 	policy := a.policyOf(call.Step)
 	if policy == nil {
 		return AdviserReply{}, errNoResponse
@@ -106,16 +108,16 @@
 }
 
 // ticketFor returns a ticket that contains what it permits and when it expires.
-func ticketFor(step workflow.StepKey, worker string, ends time.Time) string {
-	return fmt.Sprint(step, " ", worker, " ", ends.UnixNano())
+func ticketFor(step workflow.StepKey, worker string, expires time.Time) string {
+	return fmt.Sprint(step, " ", worker, " ", expires.UnixNano())
 }
 
 // ticketHolds reports whether a ticket permits a step on a worker now.
 func ticketHolds(ticket string, step workflow.StepKey, worker string) bool {
 	rest, ok := strings.CutPrefix(ticket, fmt.Sprint(step, " ", worker, " "))
-	ends := int64(0)
-	if _, err := fmt.Sscan(rest, &ends); err != nil {
+	expires := int64(0)
+	if _, err := fmt.Sscan(rest, &expires); err != nil {
 		return false
 	}
-	return ok && time.Now().UnixNano() < ends
+	return ok && time.Now().UnixNano() < expires
 }
--- a/internal/control/simulation_lines_test.go
+++ b/internal/control/simulation_lines_test.go
@@ -12,8 +12,8 @@
 // simLog keeps the log lines of the leaders and the workers to print them if the
 // simulation fails.
 type simLog struct {
-	mu   sync.Mutex
-	text []string
+	mu    sync.Mutex
+	lines []string
 	// scanned is how many lines have been searched for orphaned runs.
 	scanned int
 }
@@ -21,13 +21,13 @@
 // virtualMS returns the virtual time since the start of the simulation in milliseconds.
 func virtualMS() any { return time.Now().UnixMilli() - simEpochMS }
 
-// simEpochMS is when virtual time starts.
+// simEpochMS is when virtual time starts, in milliseconds of Unix time.
 var simEpochMS = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC).UnixMilli()
 
 func (l *simLog) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.text = append(l.text, string(line))
+	l.lines = append(l.lines, string(line))
 	return len(line), nil
 }
 
@@ -39,15 +39,15 @@
 	_, _ = fmt.Fprintf(l, "ms=%d "+format+"\n", append([]any{virtualMS()}, args...)...)
 }
 
-// maxShownLines is how many lines a failure prints.
+// maxShownLines is how many log lines a failed simulation prints.
 const maxShownLines = 60
 
-// linesAbout returns the last lines that contain one of the words.
+// linesAbout returns the last maxShownLines lines that contain one of the words.
 func (l *simLog) linesAbout(words ...string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var found []string
-	for _, line := range l.text {
+	for _, line := range l.lines {
 		for _, word := range words {
 			if strings.Contains(line, word) {
 				found = append(found, line)
@@ -63,12 +63,13 @@
 	return fmt.Sprintf("event=run_claimed task=%s run=%d worker=%s ", run.Task, run.Number, run.Worker)
 }
 
-// unexpectedOrphans returns the new lines about orphaned runs that are not in allowed.
+// unexpectedOrphans returns the log lines since the previous call about orphaned runs
+// whose orphanKey is not in allowed.
 func (l *simLog) unexpectedOrphans(allowed map[string]bool) (found []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for ; l.scanned < len(l.text); l.scanned++ {
-		line := l.text[l.scanned]
+	for ; l.scanned < len(l.lines); l.scanned++ {
+		line := l.lines[l.scanned]
 		at := strings.Index(line, "event=run_claimed")
 		if at < 0 {
 			continue
