--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -68,7 +68,7 @@
 	b.Cleanup(cancel)
 	term := newLeaderTerm(ctx, cancel, controller, fakeLogTerm)
 	for _, s := range term.sessions {
-		s.ready, s.answeredAt = true, time.Now().Add(time.Hour)
+		s.ready, s.respondedAt = true, time.Now().Add(time.Hour)
 	}
 	for _, run := range runs {
 		term.sessions[run.Worker].orders[run.Task] = &runOrder{run: run, startedAt: time.Now(), listed: true, share: fullShare}
--- a/internal/control/copies_test.go
+++ b/internal/control/copies_test.go
@@ -103,7 +103,7 @@
 // poll.
 func TestWorkerIsUnresponsiveOnlyAfterPollDeadline(t *testing.T) {
 	now := time.Now()
-	s := &workerSession{t: &leaderTerm{started: now.Add(-time.Hour)}, answeredAt: now.Add(-workerResponseTimeout - maxPollPauseAfterEnds)}
+	s := &workerSession{t: &leaderTerm{started: now.Add(-time.Hour)}, respondedAt: now.Add(-workerResponseTimeout - maxPollPauseAfterEnds)}
 	run, step := workflow.Run{Task: task("a", 0)}, oneTask
 	s.pollDue = now.Add(time.Millisecond)
 	must.Eq(t, copyNone, s.copyCauseOf(run, &step, now))
--- a/internal/control/crash.go
+++ b/internal/control/crash.go
@@ -63,10 +63,10 @@
 // lastResponseAt returns when the worker last responded to a call of any kind. t.mu must
 // be held.
 func (s *workerSession) lastResponseAt() time.Time {
-	if s.clockAt.After(s.answeredAt) {
+	if s.clockAt.After(s.respondedAt) {
 		return s.clockAt
 	}
-	return s.answeredAt
+	return s.respondedAt
 }
 
 // mayHaveStarted reports whether the worker may have received the order to start the run.
--- a/internal/control/crash_test.go
+++ b/internal/control/crash_test.go
@@ -120,7 +120,7 @@
 	} {
 		o := c.o
 		o.run = run
-		s := &workerSession{orders: map[workflow.TaskKey]*runOrder{run.Task: &o}, answeredAt: now}
+		s := &workerSession{orders: map[workflow.TaskKey]*runOrder{run.Task: &o}, respondedAt: now}
 		must.Eq(t, c.want, s.suspicion(run), must.Sprint(name))
 	}
 	must.Eq(t, workflow.SuspicionWeak, (&workerSession{}).suspicion(run), must.Sprint("ordered by an earlier leader"))
--- a/internal/control/health.go
+++ b/internal/control/health.go
@@ -98,7 +98,7 @@
 // the reports count, not the current time, because progress between two reports isn't
 // visible. t.mu must be held.
 func (s *workerSession) isStalled() bool {
-	return s.busy && s.answeredAt.Sub(s.advancedAt) > stallTimeout
+	return s.busy && s.respondedAt.Sub(s.advancedAt) > stallTimeout
 }
 
 // recordAdvance records whether a report showed progress. t.mu must be held.
--- a/internal/control/heartbeat_transport.go
+++ b/internal/control/heartbeat_transport.go
@@ -71,9 +71,9 @@
 	// starts and stops are sent repeatedly until a heartbeat shows that they arrived.
 	starts map[workflow.TaskKey]*heartbeatOrder
 	stops  map[workflow.Run]*heartbeatOrder
-	// answeredAt is when the last response was sent. confirmations counts the prompt
+	// respondedAt is when the last response was sent. confirmations counts the prompt
 	// heartbeats since a response first carried the fencing token.
-	answeredAt    time.Time
+	respondedAt   time.Time
 	fence         uint64
 	confirmations int
 	// orderAdded is closed when an order is added, heartbeatReceived when a heartbeat
@@ -145,7 +145,7 @@
 // A stop or the fencing token has arrived if enough prompt heartbeats followed the
 // response that carried it.
 func (box *mailbox) recordHeartbeat(report Report, now time.Time) {
-	prompt := !box.answeredAt.IsZero() && now.Sub(box.answeredAt) < promptHeartbeatMax
+	prompt := !box.respondedAt.IsZero() && now.Sub(box.respondedAt) < promptHeartbeatMax
 	if prompt && box.fence > 0 {
 		box.confirmations++
 	} else {
@@ -191,7 +191,7 @@
 	if box.fence != fence {
 		box.fence, box.confirmations = fence, 0
 	}
-	box.answeredAt = now
+	box.respondedAt = now
 	orders := HeartbeatOrders{Fence: fence, LastEnd: box.poll.LastEnd, NextIn: heartbeatInterval}
 	if box.poll.LeaseEndMS > 0 {
 		lease := time.Duration(box.poll.LeaseEndMS-report.ClockMS)*time.Millisecond - heartbeatTimeout
--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -89,8 +89,8 @@
 	// grantShares is the moving mean of the share of workers that the adviser permits, by
 	// queue.
 	grantShares map[string]movingMean
-	// dataCentreAnsweredAt is when a worker last responded, by data centre.
-	dataCentreAnsweredAt map[string]time.Time
+	// dataCentreRespondedAt is when a worker last responded, by data centre.
+	dataCentreRespondedAt map[string]time.Time
 	// dataCentreSuspectedAt is when each data centre was last suspected to be unreachable. A
 	// data centre is removed once the regained contact has been logged.
 	dataCentreSuspectedAt map[string]time.Time
@@ -139,7 +139,7 @@
 		sessions:              map[string]*workerSession{},
 		permits:               map[workflow.StepKey]*stepPermits{},
 		grantShares:           map[string]movingMean{},
-		dataCentreAnsweredAt:  map[string]time.Time{},
+		dataCentreRespondedAt: map[string]time.Time{},
 		dataCentreSuspectedAt: map[string]time.Time{},
 		acceptedAt:            map[string]time.Time{},
 		pendingSubmits:        map[string]int{},
--- a/internal/control/leader_term_test.go
+++ b/internal/control/leader_term_test.go
@@ -152,7 +152,7 @@
 // response.
 func TestUnconfirmedWorkerGetsNoTask(t *testing.T) {
 	now := time.Now()
-	s := &workerSession{t: &leaderTerm{}, answeredAt: now}
+	s := &workerSession{t: &leaderTerm{}, respondedAt: now}
 	must.Eq(t, reasonUnresponsive, s.unschedulableReason(now, nil, 0))
 	s.ready = true
 	must.Eq(t, "", s.unschedulableReason(now, nil, 0))
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -84,7 +84,7 @@
 	fields = append(fields, t.waitingLogFields(input, plan, r.capacity, now)...)
 	fields = append(fields, "kept_back", t.formatUnschedulable(now))
 	runs := t.currentRunCounts()
-	fields = append(fields, "runs_alive", runs.alive, "runs_unaccounted", runs.unaccounted, "longest_unaccounted_ms", runs.longest.Milliseconds())
+	fields = append(fields, "runs_alive", runs.alive, "runs_unaccounted", runs.unaccounted, "longest_unaccounted_ms", runs.longestUnaccounted.Milliseconds())
 	t.logger.Log(fields...)
 	t.setLoadGauges(input, &r, tasks)
 	t.setRunGauges(runs)
@@ -117,7 +117,7 @@
 	counters := t.c.cfg.Counters
 	counters.Set("runs_alive", int64(runs.alive))
 	counters.Set("runs_unaccounted", int64(runs.unaccounted))
-	counters.Set("longest_unaccounted_ms", runs.longest.Milliseconds())
+	counters.Set("longest_unaccounted_ms", runs.longestUnaccounted.Milliseconds())
 }
 
 // waitingByReason counts the steps that a plan left waiting, by reason.
--- a/internal/control/load_test.go
+++ b/internal/control/load_test.go
@@ -107,19 +107,19 @@
 	must.Eq(t, int64(0), counters["waiting_room"])
 }
 
-// Checks that steps beyond the bound of a decision are logged, at most maxBacklogLogLines
+// Checks that steps beyond the bound of a decision are logged, at most maxBacklogLogLinesPerSecond
 // a second, and forgotten once they no longer wait.
 func TestBacklogStepsAreLoggedUntilConsidered(t *testing.T) {
 	term, lines, _ := observedTerm()
 	now := time.Now()
 	input := &planInput{}
-	for i := range 3 * maxBacklogLogLines {
+	for i := range 3 * maxBacklogLogLinesPerSecond {
 		input.steps = append(input.steps, pendingStep(fmt.Sprint("j", i), 1, false))
 	}
 	plan := &dispatch.Plan{BeyondBound: len(input.steps), Starts: []dispatch.Start{{Task: workflow.TaskKey{StepKey: input.steps[0].Key}}}}
 	term.updateWaiting(plan, now)
 	term.reportLoad(input, plan, now)
-	must.Eq(t, maxBacklogLogLines, bytes.Count(lines.Bytes(), []byte(`reason="behind the steps that one decision goes into"`))-1,
+	must.Eq(t, maxBacklogLogLinesPerSecond, bytes.Count(lines.Bytes(), []byte(`reason="behind the steps that one decision goes into"`))-1,
 		must.Sprint("one of the lines is the load line"))
 	must.Eq(t, dispatch.ReasonBeyondBound, term.waitingReason(input.steps[5].Key))
 	must.MapLen(t, len(input.steps)-1, term.waiting, must.Sprint("the started step is not waiting"))
--- a/internal/control/orphans.go
+++ b/internal/control/orphans.go
@@ -17,7 +17,7 @@
 type runCounts struct {
 	alive, unaccounted int
 	// longest is the longest time for which a run has been unaccounted for.
-	longest time.Duration
+	longestUnaccounted time.Duration
 }
 
 // countRuns counts all runs that may be alive and records which of them are unaccounted
@@ -41,7 +41,7 @@
 			}
 			unaccounted[run] = since
 			counts.unaccounted++
-			counts.longest = max(counts.longest, now.Sub(since))
+			counts.longestUnaccounted = max(counts.longestUnaccounted, now.Sub(since))
 		}
 	}
 	t.unaccountedSince, t.runCounts = unaccounted, counts
--- a/internal/control/orphans_test.go
+++ b/internal/control/orphans_test.go
@@ -27,7 +27,7 @@
 	cluster := clusterWithStartedTask(t)
 	cluster.eventually("the run is reported", func() bool { c := cluster.currentRunCounts(); return c.alive == 1 && c.unaccounted == 0 })
 	cluster.withWorker("w1", func(f *fakeWorker) { clear(f.running) })
-	cluster.eventually("no report shows the run", func() bool { c := cluster.currentRunCounts(); return c.unaccounted == 1 && c.longest > 0 })
+	cluster.eventually("no report shows the run", func() bool { c := cluster.currentRunCounts(); return c.unaccounted == 1 && c.longestUnaccounted > 0 })
 }
 
 // Guards against this failure: a run on an unresponsive worker is counted as unaccounted
--- a/internal/control/polls.go
+++ b/internal/control/polls.go
@@ -11,9 +11,9 @@
 	// is noticed.
 	lossyPollHold  = 250 * time.Millisecond
 	lossyPollSlack = 200 * time.Millisecond
-	// maxLossyPolls bounds the polls per second to all workers together during the loss
+	// maxLossyPollsPerSecond bounds the polls per second to all workers together during the loss
 	// window. Each poll costs the leader about 0.3 ms.
-	maxLossyPolls = 200
+	maxLossyPollsPerSecond = 200
 	// overdueFactor times the mean response time is how long a response may take before it
 	// counts as overdue. The same multiple of the mean delay of responses is the pause
 	// between a report with ended runs and the next poll.
@@ -37,7 +37,7 @@
 // worker has responded to another one since it was sent. t.mu must be held.
 func (s *workerSession) recordLostCall(sent, now time.Time) {
 	s.incarnationUnconfirmed = true
-	if !s.answeredAt.After(sent) && !s.clockAt.After(sent) {
+	if !s.respondedAt.After(sent) && !s.clockAt.After(sent) {
 		return
 	}
 	if !s.t.losingCalls(now) {
@@ -51,7 +51,7 @@
 func (s *workerSession) pollTimes(now time.Time) (hold, slack time.Duration) {
 	hold, slack = pollHold, callTimeout
 	if s.t.losingCalls(now) {
-		minHold := time.Duration(len(s.t.sessions)) * time.Second / maxLossyPolls
+		minHold := time.Duration(len(s.t.sessions)) * time.Second / maxLossyPollsPerSecond
 		hold = min(max(lossyPollHold, minHold), pollHold)
 		slack = s.t.scaledResponseTime(lossyPollSlack, callTimeout)
 	}
@@ -136,6 +136,6 @@
 // The time since the last response alone isn't enough: after a report with ended runs the
 // next poll is sent late, and a healthy worker would count as unresponsive.
 func (s *workerSession) isUnresponsive(now time.Time) bool {
-	noRecentResponse := now.Sub(s.answeredAt) > workerResponseTimeout && now.Sub(s.t.started) > workerResponseTimeout
+	noRecentResponse := now.Sub(s.respondedAt) > workerResponseTimeout && now.Sub(s.t.started) > workerResponseTimeout
 	return noRecentResponse && now.After(s.pollDue)
 }
--- a/internal/control/report.go
+++ b/internal/control/report.go
@@ -51,7 +51,7 @@
 // recordReport records that this incarnation of the worker has just responded to a poll.
 // clockMS is the worker's clock in milliseconds, 0 if unknown. t.mu must be held.
 func (s *workerSession) recordReport(clockMS int64, now time.Time) {
-	s.answeredAt, s.incarnationUnconfirmed = now, false
+	s.respondedAt, s.incarnationUnconfirmed = now, false
 	s.recordResponse(now)
 	if clockMS > 0 {
 		// The report identifies the incarnation, so its clock is valid even if the clock seems
--- a/internal/control/session.go
+++ b/internal/control/session.go
@@ -63,9 +63,9 @@
 	// incarnationUnconfirmed says that no report has arrived yet, or that a call got no
 	// response since the last report: another incarnation may respond to the next call.
 	incarnationUnconfirmed bool
-	// heartbeatAt is the time of the last heartbeat, answeredAt of the last response to a
+	// heartbeatAt is the time of the last heartbeat, respondedAt of the last response to a
 	// poll.
-	heartbeatAt, answeredAt time.Time
+	heartbeatAt, respondedAt time.Time
 	// clockMS is what the worker's clock showed, in milliseconds, at or before clockAt on
 	// this process's clock.
 	clockMS int64
@@ -129,7 +129,7 @@
 	switch {
 	case s.leaving || s.worker.Draining:
 		return reasonLeaving
-	case !s.ready || now.Sub(s.answeredAt) >= maxResponseAge:
+	case !s.ready || now.Sub(s.respondedAt) >= maxResponseAge:
 		return reasonUnresponsive
 	case s.t.machines.isCordoned(s.worker.ID):
 		return reasonCordoned
@@ -268,7 +268,7 @@
 		// Another incarnation may receive the poll. Its clock is a different one, and none of
 		// its ends has been committed yet.
 		order.LastEnd = 0
-	} else if s.ready && now.Sub(s.answeredAt) < callTimeout {
+	} else if s.ready && now.Sub(s.respondedAt) < callTimeout {
 		order.LeaseEndMS = s.leaseEndMS(now)
 		order.Wait = hold
 	}
@@ -292,7 +292,7 @@
 	wasReady, leaving := s.ready, s.leaving
 	leaseExpired := now.After(s.leaseEnd)
 	noHeartbeat := now.Sub(s.heartbeatAt) > unresponsiveWorkerTimeout
-	if now.Sub(s.answeredAt) > maxResponseAge {
+	if now.Sub(s.respondedAt) > maxResponseAge {
 		s.ready = false
 	}
 	nowReady := s.ready
--- a/internal/control/settle_test.go
+++ b/internal/control/settle_test.go
@@ -247,7 +247,7 @@
 	must.Eq(t, callTimeout, slack)
 	s.recordLostCall(now.Add(time.Second), now)
 	must.False(t, term.losingCalls(now), must.Sprint("an unreachable worker responds to no call, so none counts as lost"))
-	s.answeredAt = now
+	s.respondedAt = now
 	s.recordLostCall(now.Add(-time.Second), now)
 	hold, slack = s.pollTimes(now)
 	must.Eq(t, lossyPollHold, hold)
@@ -257,7 +257,7 @@
 		term.sessions[fmt.Sprint("other", i)] = s
 	}
 	hold, _ = s.pollTimes(now)
-	must.Eq(t, (otherSessions+1)*time.Second/maxLossyPolls, hold, must.Sprint("the leader sends no more polls a second than it can handle"))
+	must.Eq(t, (otherSessions+1)*time.Second/maxLossyPollsPerSecond, hold, must.Sprint("the leader sends no more polls a second than it can handle"))
 	hold, _ = s.pollTimes(now.Add(lossWindow))
 	must.Eq(t, pollHold, hold)
 	for i := range otherSessions {
--- a/internal/control/simulation_checks_test.go
+++ b/internal/control/simulation_checks_test.go
@@ -45,7 +45,7 @@
 	term.mu.Lock()
 	defer term.mu.Unlock()
 	sim.maxBacklog = max(sim.maxBacklog, term.stepsBeyondBound)
-	if term.runCounts.longest < maxUnaccounted {
+	if term.runCounts.longestUnaccounted < maxUnaccounted {
 		return found
 	}
 	for run, since := range term.unaccountedSince {
--- a/internal/control/suspect.go
+++ b/internal/control/suspect.go
@@ -11,7 +11,7 @@
 // recordResponse records the time of a response from the worker's data centre. t.mu must
 // be held.
 func (s *workerSession) recordResponse(now time.Time) {
-	s.t.dataCentreAnsweredAt[s.worker.DataCentre] = now
+	s.t.dataCentreRespondedAt[s.worker.DataCentre] = now
 }
 
 // suspectedDataCentres returns the data centres that are suspected to be unreachable.
@@ -40,7 +40,7 @@
 // this leader term isn't included; none of its workers is ready. t.mu must be held.
 func (t *leaderTerm) unresponsiveDataCentres(now time.Time) map[string]bool {
 	unresponsive := map[string]bool{}
-	for dataCentre, last := range t.dataCentreAnsweredAt {
+	for dataCentre, last := range t.dataCentreRespondedAt {
 		if now.Sub(last) > dataCentreResponseTimeout {
 			unresponsive[dataCentre] = true
 		}
@@ -58,7 +58,7 @@
 	for dataCentre := range suspected {
 		if t.dataCentreSuspectedAt[dataCentre].IsZero() {
 			t.logger.Log("event", "data_centre_contact", "data_centre", dataCentre, "outcome", "lost",
-				"silent_ms", now.Sub(t.dataCentreAnsweredAt[dataCentre]).Milliseconds())
+				"silent_ms", now.Sub(t.dataCentreRespondedAt[dataCentre]).Milliseconds())
 		}
 		t.dataCentreSuspectedAt[dataCentre] = now
 	}
@@ -66,7 +66,7 @@
 		if now.Sub(last) > suspicionClearDelay {
 			delete(t.dataCentreSuspectedAt, dataCentre)
 			t.logger.Log("event", "data_centre_contact", "data_centre", dataCentre, "outcome", "regained",
-				"silent_ms", now.Sub(t.dataCentreAnsweredAt[dataCentre]).Milliseconds())
+				"silent_ms", now.Sub(t.dataCentreRespondedAt[dataCentre]).Milliseconds())
 		}
 	}
 }
--- a/internal/control/suspect_test.go
+++ b/internal/control/suspect_test.go
@@ -16,9 +16,9 @@
 // that are judged only by their own overdue orders would all get another task.
 func TestUnresponsiveDataCentreIsSuspected(t *testing.T) {
 	now := time.Now()
-	term := &leaderTerm{sessions: map[string]*workerSession{}, dataCentreAnsweredAt: map[string]time.Time{}}
+	term := &leaderTerm{sessions: map[string]*workerSession{}, dataCentreRespondedAt: map[string]time.Time{}}
 	add := func(id, dataCentre string) *workerSession {
-		s := &workerSession{t: term, ready: true, answeredAt: now, orders: map[workflow.TaskKey]*runOrder{}}
+		s := &workerSession{t: term, ready: true, respondedAt: now, orders: map[workflow.TaskKey]*runOrder{}}
 		s.worker = workflow.Worker{ID: id, DataCentre: dataCentre}
 		term.sessions[id] = s
 		return s
@@ -27,9 +27,9 @@
 	add("a2", "a")
 	add("b1", "b").orders[task("k", 0)] = &runOrder{unanswered: true}
 	add("c1", "c")
-	term.dataCentreAnsweredAt["a"] = now.Add(-2 * dataCentreResponseTimeout)
-	term.dataCentreAnsweredAt["b"] = now.Add(-dataCentreResponseTimeout / 2)
-	term.dataCentreAnsweredAt["c"] = now.Add(-2 * dataCentreResponseTimeout)
+	term.dataCentreRespondedAt["a"] = now.Add(-2 * dataCentreResponseTimeout)
+	term.dataCentreRespondedAt["b"] = now.Add(-dataCentreResponseTimeout / 2)
+	term.dataCentreRespondedAt["c"] = now.Add(-2 * dataCentreResponseTimeout)
 	must.Eq(t, map[string]bool{"a": true}, term.suspectedDataCentres(now))
 }
 
@@ -38,7 +38,7 @@
 func TestDataCentreContactIsLoggedOncePerChange(t *testing.T) {
 	var lines bytes.Buffer
 	now := time.Now()
-	term := &leaderTerm{dataCentreSuspectedAt: map[string]time.Time{}, dataCentreAnsweredAt: map[string]time.Time{"a": now}, logger: log.NewLogfmtLogger(&lines)}
+	term := &leaderTerm{dataCentreSuspectedAt: map[string]time.Time{}, dataCentreRespondedAt: map[string]time.Time{"a": now}, logger: log.NewLogfmtLogger(&lines)}
 	unreachable := map[string]bool{"a": true}
 	for _, step := range []struct {
 		at       time.Duration
--- a/internal/control/waiting.go
+++ b/internal/control/waiting.go
@@ -13,9 +13,9 @@
 	// waitingLogInterval is the minimum time between two log lines about one waiting step.
 	// Its reason may change with each of ten decisions a second.
 	waitingLogInterval = time.Second
-	// maxBacklogLogLines bounds the log lines per second about steps that no decision has
+	// maxBacklogLogLinesPerSecond bounds the log lines per second about steps that no decision has
 	// considered yet. It is a twentieth of the lines that a process may write.
-	maxBacklogLogLines = 100
+	maxBacklogLogLinesPerSecond = 100
 )
 
 // waitingStep records why and for how long one step has been waiting.
@@ -163,7 +163,7 @@
 		}
 		state := newWaitingStep(dispatch.ReasonBeyondBound, now)
 		t.waiting[s.Key] = state
-		if lines++; lines > maxBacklogLogLines {
+		if lines++; lines > maxBacklogLogLinesPerSecond {
 			continue
 		}
 		t.logWaiting(&dispatch.Waiting{Step: s.Key, Tasks: len(s.Pending), Label: s.Spec.Label}, state, now)
