--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -86,7 +86,7 @@
 	defer t.mu.Unlock()
 	if err != nil {
 		t.logger.Log("event", "stop", "task", run.Task, "run", run.Number, "worker", s.worker.ID,
-			"outcome", "no response", "err", err)
+			"outcome", "no answer", "err", err)
 		return
 	}
 	now := time.Now()
--- a/internal/control/starts.go
+++ b/internal/control/starts.go
@@ -129,7 +129,7 @@
 	s.failures++
 	s.t.mu.Unlock()
 	s.t.logger.Log("event", "start", "task", o.run.Task, "run", o.run.Number, "worker", s.worker.ID,
-		"outcome", "no response", "try", attempt, "err", err)
+		"outcome", "no answer", "try", attempt, "err", err)
 }
 
 // recordRefusal records a refused call of a start.
