--- a/internal/apiserver/apiserver_test.go
+++ b/internal/apiserver/apiserver_test.go
@@ -65,14 +65,14 @@
 func newClient(t *testing.T, f *fakeLeader, presented string) apiv1.Workflows {
 	server := httptest.NewServer(New(f, token, log.NewNopLogger()))
 	t.Cleanup(server.Close)
-	client := &http.Client{Transport: withToken(presented)}
+	client := &http.Client{Transport: bearerTransport(presented)}
 	return apiv1.NewWorkflowsProtobufClient(server.URL, client)
 }
 
-// withToken is a transport that adds a bearer token to each request.
-type withToken string
+// bearerTransport is a transport that adds a bearer token to each request.
+type bearerTransport string
 
-func (w withToken) RoundTrip(r *http.Request) (*http.Response, error) {
+func (w bearerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.Header.Set("Authorization", "Bearer "+string(w))
 	return http.DefaultTransport.RoundTrip(r)
--- a/internal/cell/admit_test.go
+++ b/internal/cell/admit_test.go
@@ -33,7 +33,7 @@
 // arrive together, each would take all workers until its deadline, and both are
 // evaluated before either is committed. They must not be admitted on the same free
 // capacity.
-func TestConcurrentSubmissionsReserveCapacity(t *testing.T) {
+func TestConcurrentSubmissionsReserveResources(t *testing.T) {
 	c, term := newTestCell(t)
 	now := c.now()
 	spec := state.Spec{
@@ -62,18 +62,18 @@
 	running := []*apiv1.AttemptRef{{Job: "hall.7", Task: 0, Attempt: 1}}
 	capacity := &apiv1.Resources{CpuMilli: 4000, MemoryMib: 4096}
 	for _, worker := range []string{"w", "forgotten"} {
-		answer, err := c.Renew(ctx, &apiv1.RenewRequest{Worker: worker, Incarnation: 1, Sequence: 1})
+		response, err := c.Renew(ctx, &apiv1.RenewRequest{Worker: worker, Incarnation: 1, Sequence: 1})
 		must.NoError(t, err)
-		must.True(t, answer.Announce)
-		must.Eq(t, 0, answer.LeaseMs)
+		must.True(t, response.Announce)
+		must.Eq(t, 0, response.LeaseMs)
 		announcement := &apiv1.WorkerAnnouncement{Capacity: capacity, Running: running}
-		answer, err = c.Renew(ctx, &apiv1.RenewRequest{Worker: worker, Incarnation: 1, Sequence: 2, Announcement: announcement})
+		response, err = c.Renew(ctx, &apiv1.RenewRequest{Worker: worker, Incarnation: 1, Sequence: 2, Announcement: announcement})
 		must.NoError(t, err)
-		must.True(t, answer.Ended)
-		must.Eq(t, 0, answer.LeaseMs)
+		must.True(t, response.Ended)
+		must.Eq(t, 0, response.LeaseMs)
 		announcement.Running = nil
-		answer, err = c.Renew(ctx, &apiv1.RenewRequest{Worker: worker, Incarnation: 2, Sequence: 3, Announcement: announcement})
+		response, err = c.Renew(ctx, &apiv1.RenewRequest{Worker: worker, Incarnation: 2, Sequence: 3, Announcement: announcement})
 		must.NoError(t, err)
-		must.Positive(t, answer.LeaseMs)
+		must.Positive(t, response.LeaseMs)
 	}
 }
--- a/internal/cell/adopt_test.go
+++ b/internal/cell/adopt_test.go
@@ -14,8 +14,8 @@
 func TestUnchangedConfigOmitsDocument(t *testing.T) {
 	config := &apiv1.Config{Version: 7, Document: "document", Author: "operator", AcceptedUnixMs: 1}
 	must.True(t, config == omitUnchanged(config, 6))
-	same := omitUnchanged(config, 7)
-	must.Eq(t, 7, same.Version)
-	must.Eq(t, "", same.Document)
+	unchanged := omitUnchanged(config, 7)
+	must.Eq(t, 7, unchanged.Version)
+	must.Eq(t, "", unchanged.Document)
 	must.Eq(t, 7, omitUnchanged(config, 8).Version)
 }
--- a/internal/cell/gateway.go
+++ b/internal/cell/gateway.go
@@ -74,14 +74,14 @@
 // registerWorker commits an incarnation that announces itself for the first time, and
 // ends one that runs unknown attempts. It returns the status of the incarnation.
 func (c *Cell) registerWorker(ctx context.Context, r *apiv1.RenewRequest) (incarnationStatus, error) {
-	known := c.incarnationStatusOf(r.Worker, r.Incarnation)
-	if known == incarnationKnown && c.hasUnknownAttempts(r) {
+	status := c.incarnationStatusOf(r.Worker, r.Incarnation)
+	if status == incarnationKnown && c.hasUnknownAttempts(r) {
 		down := &state.WorkerDown{ID: r.Worker, Incarnation: r.Incarnation}
 		_, err := c.propose(ctx, &state.Command{WorkerDown: down})
 		return incarnationEnded, err
 	}
-	if known != incarnationUnknown {
-		return known, nil
+	if status != incarnationUnknown {
+		return status, nil
 	}
 	a := r.Announcement
 	if a == nil {
@@ -135,19 +135,19 @@
 }
 
 func (c *Cell) incarnationStatusOf(worker string, incarnation uint64) incarnationStatus {
-	found := incarnationUnknown
+	status := incarnationUnknown
 	c.machine.View(func(s *state.State) {
 		w := s.Workers[worker]
 		switch {
 		case w == nil || w.Incarnation < incarnation:
 			return
 		case w.Incarnation > incarnation || w.Down:
-			found = incarnationEnded
+			status = incarnationEnded
 		default:
-			found = incarnationKnown
+			status = incarnationKnown
 		}
 	})
-	return found
+	return status
 }
 
 // renew renews the lease and opens the outbox. It returns no outbox when the renewal
--- a/internal/cell/handover.go
+++ b/internal/cell/handover.go
@@ -68,9 +68,9 @@
 		return nil, err
 	}
 	var answer *apiv1.OfferResponse
-	err = c.base.Directory.CallLeader(ctx, dataCentre, directory.CallOptions{}, func(ctx context.Context, base string) error {
+	err = c.base.Directory.CallLeader(ctx, dataCentre, directory.CallOptions{}, func(ctx context.Context, baseURL string) error {
 		var err error
-		answer, err = apiv1.NewPeerProtobufClient(base, c.base.Directory.Client()).Offer(ctx, r)
+		answer, err = apiv1.NewPeerProtobufClient(baseURL, c.base.Directory.Client()).Offer(ctx, r)
 		return err
 	})
 	return answer, err
--- a/internal/cell/quota.go
+++ b/internal/cell/quota.go
@@ -202,8 +202,8 @@
 		return reply, err
 	}
 	request := &apiv1.MoveQuotaRequest{FromDataCentre: c.base.Instance.DataCentre, Message: message, FormatVersion: quotaFormat}
-	err = c.base.Directory.CallLeader(ctx, transfer.To, directory.CallOptions{}, func(ctx context.Context, base string) error {
-		response, err := apiv1.NewPeerProtobufClient(base, c.base.Directory.Client()).MoveQuota(ctx, request)
+	err = c.base.Directory.CallLeader(ctx, transfer.To, directory.CallOptions{}, func(ctx context.Context, baseURL string) error {
+		response, err := apiv1.NewPeerProtobufClient(baseURL, c.base.Directory.Client()).MoveQuota(ctx, request)
 		if err != nil {
 			return err
 		}
@@ -243,16 +243,16 @@
 // applyTransferRequest commits the debit that a transfer request asks for, or the
 // acknowledgement alone if it asks for nothing.
 func (p *peerServer) applyTransferRequest(ctx context.Context, t *leaderTerm, request quota.TransferRequest) error {
-	step := &state.Quota{Acknowledge: &request}
+	command := &state.Quota{Acknowledge: &request}
 	if len(request.Demands) > 0 {
-		var answer quota.DebitCommand
+		var debit quota.DebitCommand
 		t.plannerMu.Lock()
-		p.machine.View(func(s *state.State) { answer = t.planner.DebitCommand(request, demandOf(s)) })
+		p.machine.View(func(s *state.State) { debit = t.planner.DebitCommand(request, demandOf(s)) })
 		t.plannerMu.Unlock()
-		step = &state.Quota{Debit: &answer}
+		command = &state.Quota{Debit: &debit}
 	}
 	// The reply reports the ledger's refusals, such as nothing to transfer.
-	_, err := p.propose(ctx, &state.Command{Quota: step})
+	_, err := p.propose(ctx, &state.Command{Quota: command})
 	return err
 }
 
--- a/internal/cell/scheduler.go
+++ b/internal/cell/scheduler.go
@@ -209,7 +209,7 @@
 	if err := checkSelector(r); err != nil {
 		return nil, err
 	}
-	request, err := wire.Request(r.RequestId, caller.Customer, withoutID(r))
+	request, err := wire.Request(r.RequestId, caller.Customer, withoutRequestID(r))
 	if err != nil {
 		return nil, err
 	}
@@ -240,7 +240,7 @@
 	return nil
 }
 
-func withoutID(r *apiv1.CancelRequest) *apiv1.CancelRequest {
+func withoutRequestID(r *apiv1.CancelRequest) *apiv1.CancelRequest {
 	content := proto.Clone(r).(*apiv1.CancelRequest)
 	content.RequestId = ""
 	return content
--- a/internal/cell/serve.go
+++ b/internal/cell/serve.go
@@ -225,11 +225,11 @@
 // instances, so that whatever follows from a message has a later timestamp.
 type hybridClock struct{ base *daemon.Base }
 
-func (s hybridClock) Timestamp() (int64, uint32) {
-	timestamp := s.base.Clock.Now(time.Now())
+func (c hybridClock) Timestamp() (int64, uint32) {
+	timestamp := c.base.Clock.Now(time.Now())
 	return timestamp.Wall, timestamp.Logical
 }
 
-func (s hybridClock) Observe(wall int64, logical uint32) {
-	s.base.Clock.Observe(hlc.Timestamp{Wall: wall, Logical: logical}, time.Now())
+func (c hybridClock) Observe(wall int64, logical uint32) {
+	c.base.Clock.Observe(hlc.Timestamp{Wall: wall, Logical: logical}, time.Now())
 }
--- a/internal/cell/stats.go
+++ b/internal/cell/stats.go
@@ -10,9 +10,9 @@
 
 // Bounds of the waiting time histogram in microseconds, and its significant digits.
 const (
-	minWait       = 1
-	maxWait       = int64(24 * time.Hour / time.Microsecond)
-	waitPrecision = 2
+	minWaitMicros         = 1
+	maxWaitMicros         = int64(24 * time.Hour / time.Microsecond)
+	waitSignificantDigits = 2
 )
 
 // Stats are the counters of a cell.
@@ -22,7 +22,7 @@
 }
 
 func (s *Stats) init() {
-	s.Waits.histogram = hdrhistogram.New(minWait, maxWait, waitPrecision)
+	s.Waits.histogram = hdrhistogram.New(minWaitMicros, maxWaitMicros, waitSignificantDigits)
 }
 
 // Histogram is a histogram of durations that is safe for concurrent use.
@@ -35,7 +35,7 @@
 func (h *Histogram) Record(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_ = h.histogram.RecordValue(min(max(d.Microseconds(), minWait), maxWait))
+	_ = h.histogram.RecordValue(min(max(d.Microseconds(), minWaitMicros), maxWaitMicros))
 }
 
 // Summary returns the count, the percentiles and the maximum, in ms, for the metrics.
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -135,19 +135,19 @@
 }
 
 // clientsOf returns the clients for the process at a base URL.
-func (e *Entry) clientsOf(base string) clients {
+func (e *Entry) clientsOf(baseURL string) clients {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	c, ok := e.clients[base]
+	c, ok := e.clients[baseURL]
 	if !ok {
 		client := e.base.Directory.Client()
 		c = clients{
-			scheduler:  apiv1.NewSchedulerProtobufClient(base, client),
-			operations: apiv1.NewOperationsProtobufClient(base, client),
-			workers:    apiv1.NewWorkerGatewayProtobufClient(base, client),
-			peer:       apiv1.NewPeerProtobufClient(base, client),
+			scheduler:  apiv1.NewSchedulerProtobufClient(baseURL, client),
+			operations: apiv1.NewOperationsProtobufClient(baseURL, client),
+			workers:    apiv1.NewWorkerGatewayProtobufClient(baseURL, client),
+			peer:       apiv1.NewPeerProtobufClient(baseURL, client),
 		}
-		e.clients[base] = c
+		e.clients[baseURL] = c
 	}
 	return c
 }
@@ -160,9 +160,9 @@
 	if err != nil {
 		return response, err
 	}
-	err = e.base.Directory.CallLeader(ctx, dataCentre, options, func(ctx context.Context, base string) error {
+	err = e.base.Directory.CallLeader(ctx, dataCentre, options, func(ctx context.Context, baseURL string) error {
 		var err error
-		response, err = call(ctx, e.clientsOf(base))
+		response, err = call(ctx, e.clientsOf(baseURL))
 		return err
 	})
 	return response, err
@@ -213,9 +213,9 @@
 			request.WaitMs = hold.Milliseconds()
 		}
 		options := directory.CallOptions{AttemptTimeout: hold + holdMargin}
-		err = e.base.Directory.CallLeader(authCtx, e.base.Instance.DataCentre, options, func(ctx context.Context, base string) error {
+		err = e.base.Directory.CallLeader(authCtx, e.base.Instance.DataCentre, options, func(ctx context.Context, baseURL string) error {
 			var err error
-			adopted, err = e.clientsOf(base).peer.FetchConfig(ctx, request)
+			adopted, err = e.clientsOf(baseURL).peer.FetchConfig(ctx, request)
 			return err
 		})
 		if err != nil {
--- a/internal/entry/minions.go
+++ b/internal/entry/minions.go
@@ -55,9 +55,9 @@
 	}
 	var response *apiv1.ShareSlotsResponse
 	options := directory.CallOptions{AttemptTimeout: time.Duration(e.base.Settings.Timing.SlotLease) / 4}
-	err = e.base.Directory.CallLeader(ctx, e.base.Instance.DataCentre, options, func(ctx context.Context, base string) error {
+	err = e.base.Directory.CallLeader(ctx, e.base.Instance.DataCentre, options, func(ctx context.Context, baseURL string) error {
 		var err error
-		response, err = e.clientsOf(base).peer.ShareSlots(ctx, r)
+		response, err = e.clientsOf(baseURL).peer.ShareSlots(ctx, r)
 		return err
 	})
 	return response, err
--- a/internal/entry/operations.go
+++ b/internal/entry/operations.go
@@ -151,7 +151,7 @@
 type process struct {
 	instance settings.Instance
 	name     string
-	base     string
+	baseURL  string
 }
 
 // cellProcesses returns the cell processes of the deployment, which hold the logs.
@@ -188,7 +188,7 @@
 			ctx, cancel := context.WithTimeout(ctx, directory.AttemptTimeout)
 			defer cancel()
 			if errs[i] = err; err == nil {
-				responses[i], errs[i] = call(ctx, e.clientsOf(p.base))
+				responses[i], errs[i] = call(ctx, e.clientsOf(p.baseURL))
 			}
 		})
 	}
--- a/internal/instance/operations.go
+++ b/internal/instance/operations.go
@@ -41,14 +41,14 @@
 	callLocal func(*control.Controller, context.Context, *Request) (Reply, error)) (Reply, error) {
 	recorderCtx, recorder := link.WithVersionRecorder(ctx)
 	if reply, err := tryLocal(recorderCtx, o, request, callLocal); !errors.Is(err, link.ErrNotLeader) {
-		return reply, o.checkOrder(receivedAt, method, recorder.Version(), err)
+		return reply, o.checkVersionOrder(receivedAt, method, recorder.Version(), err)
 	}
 	return gateway.CallForCaller[Reply](ctx, o.gateway, receivedAt, method, request)
 }
 
-// checkOrder returns err, or another error if the outcome of the local controller must
+// checkVersionOrder returns err, or another error if the outcome of the local controller must
 // be withheld because its configuration version is out of order.
-func (o *Operations) checkOrder(receivedAt time.Time, method string, version uint64, err error) error {
+func (o *Operations) checkVersionOrder(receivedAt time.Time, method string, version uint64, err error) error {
 	return o.gateway.WithholdOutOfOrder(gateway.Outcome{Method: method, ReceivedAt: receivedAt, Version: version, AnsweredBy: fromSelf, Err: err})
 }
 
@@ -99,7 +99,7 @@
 	}
 	recorderCtx, recorder := link.WithVersionRecorder(ctx)
 	reply, err := c.Ended(recorderCtx, &control.EndedCall{Address: address, Version: o.gateway.Version()})
-	known := err == nil && reply.Known && o.checkOrder(receivedAt, control.MethodState, recorder.Version(), nil) == nil
+	known := err == nil && reply.Known && o.checkVersionOrder(receivedAt, control.MethodState, recorder.Version(), nil) == nil
 	return reply.Phase, known
 }
 
--- a/internal/instance/operations_test.go
+++ b/internal/instance/operations_test.go
@@ -49,7 +49,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-var queueAt62 = workflow.Document{
+var documentV62 = workflow.Document{
 	Version: 62, Source: []byte("{}"), Queues: []workflow.Queue{{Name: "q", Policy: workflow.Policy{Service: "s"}}},
 }
 
@@ -57,9 +57,9 @@
 // lags behind the leader forwards a request and answers under the leader's newer
 // configuration, in which a queue is dropped. After that it must not answer for an
 // ended job of that queue from its own, older state.
-func TestLaggingFollowerDoesNotAnswerFromOlderConfiguration(t *testing.T) {
-	job := workflow.Submission{ID: "job", Queue: queueAt62.Queues[0].Identity(), Steps: []workflow.Step{{Count: 1}}}
-	local := newFollower(t, workflow.Command{Configuration: &queueAt62}, workflow.Command{Submit: &job}, workflow.Command{Cancel: "job"})
+func TestLaggingFollowerDoesNotRespondFromOlderConfiguration(t *testing.T) {
+	job := workflow.Submission{ID: "job", Queue: documentV62.Queues[0].Identity(), Steps: []workflow.Step{{Count: 1}}}
+	local := newFollower(t, workflow.Command{Configuration: &documentV62}, workflow.Command{Submit: &job}, workflow.Command{Cancel: "job"})
 	o := &Operations{gateway: gateway.New(link.NewClient(100), "own", []string{startLeader(t, 65)}, log.NewNopLogger())}
 	o.setLocal(local)
 	phaseOf := func(id string) workflow.Phase {
--- a/internal/instance/settings_test.go
+++ b/internal/instance/settings_test.go
@@ -11,7 +11,7 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-const goodSettings = `instance = "core-1"
+const validSettings = `instance = "core-1"
 data_centre = "naas-hall"
 address = "10.1.0.16"
 internal_port = "7720"
@@ -26,7 +26,7 @@
 `
 
 func TestSettingsAreRead(t *testing.T) {
-	s, err := Parse(goodSettings)
+	s, err := Parse(validSettings)
 	must.NoError(t, err)
 	must.Eq(t, 10*time.Second, s.Bounds.MaxLease.Std())
 	must.Eq(t, defaultBounds.EndedJobRetention, s.Bounds.EndedJobRetention)
@@ -48,7 +48,7 @@
 		{`lease_max = "10000ms"`, `lease_max = "10000"`, "settings"},
 		{`lease_max = "10000ms"`, `lease_max =`, "settings"},
 	} {
-		_, err := Parse(strings.Replace(goodSettings, c.old, c.replacement, 1))
+		_, err := Parse(strings.Replace(validSettings, c.old, c.replacement, 1))
 		must.Error(t, err, must.Sprint(c))
 		must.Eq(t, fault.Invalid, fault.KindOf(err))
 		must.StrContains(t, err.Error(), c.field)
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -21,14 +21,14 @@
 	urls := map[string]string{"direct": m.server.URL, "proxied": cluster.server.URL + Prefix + testService}
 	for _, route := range []string{"direct", "proxied"} {
 		b.Run(route, func(b *testing.B) {
-			times := hdrhistogram.New(1, time.Second.Microseconds(), 3)
+			latencies := hdrhistogram.New(1, time.Second.Microseconds(), 3)
 			for b.Loop() {
 				begin := time.Now()
 				get(b, urls[route]+"/tag")
-				_ = times.RecordValue(time.Since(begin).Microseconds())
+				_ = latencies.RecordValue(time.Since(begin).Microseconds())
 			}
-			b.ReportMetric(float64(times.ValueAtQuantile(50)), "p50-µs")
-			b.ReportMetric(float64(times.ValueAtQuantile(99)), "p99-µs")
+			b.ReportMetric(float64(latencies.ValueAtQuantile(50)), "p50-µs")
+			b.ReportMetric(float64(latencies.ValueAtQuantile(99)), "p99-µs")
 		})
 	}
 }
@@ -50,7 +50,7 @@
 	for range concurrentCallers {
 		callers.Go(func() {
 			for range work {
-				if got := cluster.do(nil, http.MethodGet, "/tag", nil); got.status != http.StatusOK {
+				if got := cluster.send(nil, http.MethodGet, "/tag", nil); got.status != http.StatusOK {
 					b.Error(got.status, got.err, got.body)
 				}
 			}
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -301,12 +301,12 @@
 		c.h.stats.callersDisconnected.Add(1)
 		panic(http.ErrAbortHandler)
 	}
-	c.answerFailure()
+	c.respondWithFailure()
 	return true
 }
 
-// answerFailure responds to a call whose last attempt failed.
-func (c *call) answerFailure() {
+// respondWithFailure responds to a call whose last attempt failed.
+func (c *call) respondWithFailure() {
 	switch {
 	case !c.sent && c.refusal() != nil:
 		c.refuse(c.refusal())
--- a/internal/proxy/cluster_test.go
+++ b/internal/proxy/cluster_test.go
@@ -32,11 +32,11 @@
 		}
 	}))
 	header := http.Header{HeaderDeadline: {"200"}}
-	must.Eq(t, fault.Unknown.String(), cluster.do(header, http.MethodGet, "/x", nil).kind)
+	must.Eq(t, fault.Unknown.String(), cluster.send(header, http.MethodGet, "/x", nil).kind)
 	cluster.announce(startMinion(t, func(http.ResponseWriter, *http.Request) {}))
 	header = http.Header{HeaderDeadline: {"4000"}, HeaderIdempotent: {"true"}}
 	for range 4 {
-		must.Eq(t, http.StatusOK, cluster.do(header, http.MethodGet, "/x", nil).status)
+		must.Eq(t, http.StatusOK, cluster.send(header, http.MethodGet, "/x", nil).status)
 	}
 }
 
@@ -50,7 +50,7 @@
 	cluster.announce(startMinion(t, func(http.ResponseWriter, *http.Request) { <-unblock }))
 	var callers sync.WaitGroup
 	for range testSlots {
-		callers.Go(func() { cluster.do(nil, http.MethodGet, "/x", nil) })
+		callers.Go(func() { cluster.send(nil, http.MethodGet, "/x", nil) })
 	}
 	for cluster.handler.Stats().Running < testSlots {
 		time.Sleep(time.Millisecond)
@@ -135,7 +135,7 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 	})
-	var answered atomic.Int64
+	var succeeded atomic.Int64
 	for n := range entries * callersEach {
 		running.Go(func() {
 			for ctx.Err() == nil {
@@ -146,7 +146,7 @@
 				}
 				resp.Body.Close()
 				if resp.StatusCode == http.StatusOK {
-					answered.Add(1)
+					succeeded.Add(1)
 				}
 			}
 		})
@@ -162,9 +162,9 @@
 	for i := range processes {
 		processes[i].Load().kill()
 	}
-	must.Positive(t, answered.Load())
+	must.Positive(t, succeeded.Load())
 	for _, m := range fakes {
 		must.LessEq(t, int64(testSlots), m.maxRunning.Load())
 	}
-	t.Logf("%d requests answered", answered.Load())
+	t.Logf("%d requests answered", succeeded.Load())
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -109,7 +109,7 @@
 
 	mu       sync.Mutex // guards the Balancer and the fields below
 	balancer *routing.Balancer
-	active   int
+	inFlight int
 	drained  chan struct{} // closed while draining once no request is in flight
 	draining bool
 }
@@ -195,7 +195,7 @@
 // beginRequest counts a request as in flight until endRequest.
 func (h *Handler) beginRequest() {
 	h.mu.Lock()
-	h.active++
+	h.inFlight++
 	h.mu.Unlock()
 	h.stats.requests.Add(1)
 }
@@ -204,14 +204,14 @@
 func (h *Handler) endRequest() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.active--
+	h.inFlight--
 	h.checkDrained()
 }
 
 // checkDrained closes drained if the handler is draining and no request is in
 // flight. The caller holds h.mu.
 func (h *Handler) checkDrained() {
-	if !h.draining || h.active > 0 {
+	if !h.draining || h.inFlight > 0 {
 		return
 	}
 	select {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -131,7 +131,7 @@
 	err    error
 }
 
-func (c *testCluster) do(header http.Header, method, path string, body io.Reader) callerResponse {
+func (c *testCluster) send(header http.Header, method, path string, body io.Reader) callerResponse {
 	req, err := http.NewRequest(method, c.server.URL+Prefix+testService+path, body)
 	if err != nil {
 		return callerResponse{err: err}
@@ -156,7 +156,7 @@
 			r.Header.Get("Authorization"), r.Header.Get(HeaderCustomer))
 	}))
 	header := http.Header{"Authorization": {"rackwise"}, HeaderCustomer: {"forged"}}
-	got := cluster.do(header, http.MethodPost, "/tags/a%2Fb?x=1", strings.NewReader("hello"))
+	got := cluster.send(header, http.MethodPost, "/tags/a%2Fb?x=1", strings.NewReader("hello"))
 	must.NoError(t, got.err)
 	must.Eq(t, http.StatusOK, got.status)
 	must.Eq(t, `POST /tags/a%2Fb?x=1 hello token="" customer="rackwise"`, got.body)
@@ -177,11 +177,11 @@
 		panic(http.ErrAbortHandler)
 	}))
 	size.Store(100)
-	got := cluster.do(nil, http.MethodGet, "/report", nil)
+	got := cluster.send(nil, http.MethodGet, "/report", nil)
 	must.NoError(t, got.err)
 	must.Eq(t, fault.Unknown.String(), got.kind)
 	size.Store(8 * defaultResponseBuffer)
-	got = cluster.do(nil, http.MethodGet, "/report", nil)
+	got = cluster.send(nil, http.MethodGet, "/report", nil)
 	must.Error(t, got.err)
 }
 
@@ -198,7 +198,7 @@
 		defer conn.Close()
 		_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf of it"))
 	}))
-	got := cluster.do(nil, http.MethodGet, "/report", nil)
+	got := cluster.send(nil, http.MethodGet, "/report", nil)
 	must.NoError(t, got.err)
 	must.Eq(t, fault.Unknown.String(), got.kind)
 }
@@ -220,12 +220,12 @@
 		}
 	})
 	cluster.announce(m)
-	must.Eq(t, http.StatusOK, cluster.do(nil, http.MethodGet, "/checkin", nil).status)
+	must.Eq(t, http.StatusOK, cluster.send(nil, http.MethodGet, "/checkin", nil).status)
 	dying.Store(true)
 	before := m.served.Load()
 	for range 3 {
 		header := http.Header{"Idempotency-Key": {"k"}}
-		got := cluster.do(header, http.MethodGet, "/checkin", nil)
+		got := cluster.send(header, http.MethodGet, "/checkin", nil)
 		must.NoError(t, got.err)
 		must.StrContains(t, "Unknown Overloaded", got.kind)
 	}
@@ -243,7 +243,7 @@
 	cluster.announce(dead)
 	cluster.announce(startMinion(t, func(http.ResponseWriter, *http.Request) {}))
 	for range 30 {
-		got := cluster.do(nil, http.MethodPost, "/tag", strings.NewReader("x"))
+		got := cluster.send(nil, http.MethodPost, "/tag", strings.NewReader("x"))
 		must.NoError(t, got.err)
 		must.Eq(t, http.StatusOK, got.status)
 	}
@@ -291,13 +291,13 @@
 		_, _ = io.WriteString(w, "whole")
 	}))
 	responses := make(chan callerResponse, 1)
-	go func() { responses <- cluster.do(nil, http.MethodGet, "/slow", nil) }()
+	go func() { responses <- cluster.send(nil, http.MethodGet, "/slow", nil) }()
 	waitFor(t, started)
 	cluster.handler.StopAccepting()
-	must.Eq(t, fault.Overloaded.String(), cluster.do(nil, http.MethodGet, "/new", nil).kind)
-	short, cancel := context.WithTimeout(context.Background(), time.Millisecond)
+	must.Eq(t, fault.Overloaded.String(), cluster.send(nil, http.MethodGet, "/new", nil).kind)
+	shortCtx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
-	must.Error(t, cluster.handler.Wait(short))
+	must.Error(t, cluster.handler.Wait(shortCtx))
 	close(unblock)
 	must.Eq(t, "whole", (<-responses).body)
 	must.NoError(t, cluster.handler.Wait(context.Background()))
@@ -313,28 +313,28 @@
 	m := startMinion(t, func(http.ResponseWriter, *http.Request) { time.Sleep(2 * time.Millisecond) })
 	cluster.announce(m)
 	var callers sync.WaitGroup
-	var answered atomic.Int64
+	var succeeded atomic.Int64
 	for range 40 {
 		callers.Go(func() {
 			for range 10 {
-				if cluster.do(nil, http.MethodGet, "/x", nil).status == http.StatusOK {
-					answered.Add(1)
+				if cluster.send(nil, http.MethodGet, "/x", nil).status == http.StatusOK {
+					succeeded.Add(1)
 				}
 			}
 		})
 	}
 	callers.Wait()
 	must.LessEq(t, int64(testSlots), m.maxRunning.Load())
-	must.Positive(t, answered.Load())
+	must.Positive(t, succeeded.Load())
 }
 
 func TestOversizedBodiesAndInvalidHeadersAreRejected(t *testing.T) {
 	cluster := startTestCluster(t, func(cfg *Config) { cfg.MaxBody = 10 })
 	cluster.announce(startMinion(t, func(http.ResponseWriter, *http.Request) {}))
-	must.Eq(t, "Invalid", cluster.do(nil, http.MethodPost, "/x", strings.NewReader("longer than ten")).kind)
-	must.Eq(t, "Invalid", cluster.do(nil, http.MethodPost, "/x", struct{ io.Reader }{strings.NewReader("longer than ten")}).kind)
-	must.Eq(t, "Invalid", cluster.do(http.Header{HeaderDeadline: {"soon"}}, http.MethodGet, "/x", nil).kind)
-	must.Eq(t, "Invalid", cluster.do(http.Header{HeaderIdempotent: {"maybe"}}, http.MethodGet, "/x", nil).kind)
+	must.Eq(t, "Invalid", cluster.send(nil, http.MethodPost, "/x", strings.NewReader("longer than ten")).kind)
+	must.Eq(t, "Invalid", cluster.send(nil, http.MethodPost, "/x", struct{ io.Reader }{strings.NewReader("longer than ten")}).kind)
+	must.Eq(t, "Invalid", cluster.send(http.Header{HeaderDeadline: {"soon"}}, http.MethodGet, "/x", nil).kind)
+	must.Eq(t, "Invalid", cluster.send(http.Header{HeaderIdempotent: {"maybe"}}, http.MethodGet, "/x", nil).kind)
 	must.Eq(t, int64(0), cluster.handler.bufferedBytes.Load())
 }
 
