--- a/internal/cell/admit_test.go
+++ b/internal/cell/admit_test.go
@@ -16,7 +16,8 @@
 	"github.com/bilberryferry/bilberryferry/placement"
 )
 
-// newTestCell returns a leading cell with one worker over an unreplicated log.
+// newTestCell returns a cell with one worker and an unreplicated log, and the leader term
+// in which the cell leads.
 func newTestCell(t *testing.T) (*Cell, *leaderTerm) {
 	s := settings.Default()
 	s.Instances = []settings.Instance{{ID: "a", DataCentre: "hall", Cell: "127.0.0.1:1"}}
@@ -29,10 +30,10 @@
 	return c, c.newLeaderTerm(1)
 }
 
-// Guards against accepted jobs that miss their deadline though nothing failed. Two jobs
-// arrive together, each would take all workers until its deadline, and both are
-// evaluated before either is committed. They must not be admitted on the same free
-// capacity.
+// Guards against accepted jobs that miss their deadline although nothing failed: two jobs
+// arrive at the same time, each needs all workers until its deadline, and both are
+// evaluated before either is committed. They must not both be admitted on the same free
+// resources.
 func TestConcurrentSubmissionsReserveResources(t *testing.T) {
 	c, term := newTestCell(t)
 	now := c.now()
@@ -51,10 +52,10 @@
 	must.SliceEmpty(t, term.plan(now).Starts)
 }
 
-// Guards against giving new tasks to a worker that still runs tasks the system lost.
-// Starts are committed in memory only because the disk failed; then the data centre
-// loses power and loses the starts, or the worker's record as well. The worker
-// announces what it runs, and its incarnation must end before it gets a lease.
+// Guards against new tasks on a worker that still runs attempts that the state has lost.
+// Starts are committed only in memory because the disk failed, and a power failure of the
+// data centre loses them, or the record of the worker as well. The worker announces the
+// attempts that it runs, and its incarnation must end before it gets a lease.
 func TestWorkerRunningUnknownAttemptsMustRestart(t *testing.T) {
 	c, term := newTestCell(t)
 	c.leaderTerm.Store(term)
--- a/internal/cell/adopt.go
+++ b/internal/cell/adopt.go
@@ -19,7 +19,7 @@
 	// request goes to the next voter, so a voter that is partitioned from the others
 	// delays a version by no more than this.
 	fetchLongPoll = 1500 * time.Millisecond
-	// fetchGrace is how long an answer may take beyond the long poll.
+	// fetchGrace is how long a response may take beyond the long poll.
 	fetchGrace = 500 * time.Millisecond
 	// fetchRetryDelay is the delay before the next request after a failure.
 	fetchRetryDelay = 500 * time.Millisecond
@@ -59,12 +59,15 @@
 	}
 }
 
+// adoptedConfig returns the configuration that this data centre has adopted.
 func (c *Cell) adoptedConfig() state.AdoptConfig {
 	var adopted state.AdoptConfig
 	c.machine.View(func(s *state.State) { adopted = s.Config })
 	return adopted
 }
 
+// fetchConfig long-polls a voter for a version that is newer than the adopted one. The
+// response has no document if the long poll ends first.
 func (c *Cell) fetchConfig(ctx context.Context, voter *settings.Instance) (*apiv1.Config, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchLongPoll+fetchGrace)
 	defer cancel()
@@ -78,10 +81,10 @@
 	})
 }
 
-// FetchConfig returns the configuration once it is newer than the caller's version, and
-// only the version when the long poll ends first. Voters answer from the configuration
-// log, where everything applied is committed. Entry instances ask the leader of their
-// data centre, which answers with what the data centre has adopted.
+// FetchConfig returns the configuration as soon as it is newer than the caller's version,
+// or only its version if the long poll ends first. A voter responds with the version in
+// the configuration log, where everything applied is committed. Entry instances ask for
+// the adopted version, with which the leader of their data centre responds.
 func (p *peerServer) FetchConfig(ctx context.Context, r *apiv1.FetchConfigRequest) (*apiv1.Config, error) {
 	if _, err := rpc.Require(ctx, settings.Peer); err != nil {
 		return nil, err
@@ -94,6 +97,8 @@
 	return p.fetchCommitted(pollCtx, r)
 }
 
+// fetchCommitted long-polls the configuration log. Only voters have that log; other
+// instances return Unavailable.
 func (c *Cell) fetchCommitted(pollCtx context.Context, r *apiv1.FetchConfigRequest) (*apiv1.Config, error) {
 	if c.register == nil {
 		return nil, fault.New(fault.Unavailable, "this instance doesn't vote on the configuration")
@@ -107,9 +112,9 @@
 	}
 }
 
-// fetchAdopted answers only on a leader that has confirmed its leadership, so that an
-// entry instance that restarts never receives an older version than the data centre has
-// in force.
+// fetchAdopted long-polls the configuration that this data centre has adopted. Only a
+// leader that has confirmed its leadership responds, so that an entry instance that
+// restarts never receives an older version than the data centre has in force.
 func (c *Cell) fetchAdopted(ctx, pollCtx context.Context, r *apiv1.FetchConfigRequest) (*apiv1.Config, error) {
 	if _, err := c.currentLeaderTerm(); err != nil {
 		return nil, err
@@ -129,12 +134,11 @@
 	}
 }
 
-// omitUnchanged returns only the version of a configuration that the caller already
-// has.
+// omitUnchanged returns only the version of a configuration that the caller already has.
 //
-// Failure guarded against: most long polls end without a change. If each answer carried
-// the whole document, every instance would receive its length every few seconds, which
-// exceeds the limit of control traffic when there are many customers.
+// Failure guarded against: most long polls end without a change. If each response carried
+// the whole document, every instance would receive it every few seconds, which exceeds
+// the limit of control traffic when there are many customers.
 func omitUnchanged(config *apiv1.Config, knownVersion uint64) *apiv1.Config {
 	if config.Version > knownVersion {
 		return config
--- a/internal/cell/adopt_test.go
+++ b/internal/cell/adopt_test.go
@@ -8,9 +8,9 @@
 	apiv1 "github.com/bilberryferry/bilberryferry/api/v1"
 )
 
-// Guards against traffic of an idle deployment: several kilobytes a second with a
-// hundred customers. Each instance polls for a newer configuration, and when the long
-// poll ends, the answer must not carry the whole document that the caller already has.
+// Guards against needless traffic in an idle deployment, several kilobytes a second with
+// a hundred customers: each instance polls for a newer configuration, and the response at
+// the end of a long poll carries the whole document that the caller already has.
 func TestUnchangedConfigOmitsDocument(t *testing.T) {
 	config := &apiv1.Config{Version: 7, Document: "document", Author: "operator", AcceptedUnixMs: 1}
 	must.True(t, config == omitUnchanged(config, 6))
--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -24,7 +24,8 @@
 	// Home is the log of the data centre, and Machine its state machine.
 	Home    Log
 	Machine *Machine
-	// Configuration and Register are set on voters of the configuration log.
+	// Configuration is the configuration log, and Register its state machine. Both are
+	// nil on instances that aren't voters of that log.
 	Configuration Log
 	Register      *conf.Register
 	// Groups are the logs whose members can be changed: the home log, by the name of
@@ -32,7 +33,8 @@
 	Groups map[string]Group
 }
 
-// Cell serves one data centre on one instance.
+// Cell is the replica of one data centre on one instance. It serves the calls of entry
+// instances and peers, and schedules the jobs of the data centre while it leads.
 type Cell struct {
 	base      *daemon.Base
 	log       Log
@@ -43,12 +45,14 @@
 	groupName string
 
 	// slots allocates the slots of the data centre's minions while this replica leads.
-	slots      *proxy.Leader
-	stats      Stats
-	started    time.Time
+	slots   *proxy.Leader
+	stats   Stats
+	started time.Time
+	// leaderTerm is nil while this replica doesn't lead.
 	leaderTerm atomic.Pointer[leaderTerm]
-	draining   chan struct{}
-	drainOnce  sync.Once
+	// draining is closed when a shutdown begins.
+	draining  chan struct{}
+	drainOnce sync.Once
 }
 
 // New returns a cell. Run makes it lead when it is elected.
@@ -65,7 +69,8 @@
 // now returns the wall clock time, which deadlines and event timestamps use.
 func (c *Cell) now() time.Time { return time.Now() }
 
-// monotonic returns the clock of leases. It continues while the process is paused.
+// monotonic returns the time since the cell was created, which leases use. Its clock
+// continues while the process is paused.
 func (c *Cell) monotonic() time.Duration { return time.Since(c.started) }
 
 // Run leads the data centre whenever this replica is elected, until ctx ends.
@@ -85,10 +90,12 @@
 	return nil
 }
 
-// BeginShutdown ends held calls, so that a shutdown doesn't wait for idle long polls.
+// BeginShutdown ends calls that are held, so that a shutdown doesn't wait for idle long
+// polls.
 func (c *Cell) BeginShutdown() { c.drainOnce.Do(func() { close(c.draining) }) }
 
-// Handler serves the calls of entry instances and peers.
+// Handler returns the handler for calls of entry instances and peers. exchange handles
+// the messages of the replication groups.
 func (c *Cell) Handler(exchange func(context.Context, *apiv1.ExchangeRequest) (*apiv1.ExchangeResponse, error)) http.Handler {
 	mux := http.NewServeMux()
 	hooks := twirp.WithServerInterceptors(rpc.Errors())
--- a/internal/cell/decide.go
+++ b/internal/cell/decide.go
@@ -13,16 +13,15 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// runDecisions is the leader's loop: it updates the caches, ends expired leases, makes
-// a plan, commits it, and sends what was committed. It pauses while this replica may
-// not decide, and returns when the term or the role changes.
+// runDecisions is the leader's loop: it updates the caches, ends expired leases, makes a
+// plan, commits it, and sends what was committed. It pauses while this replica may not
+// decide, and returns when the term or the role changes.
 //
-// Failure guarded against: the leader loses contact with the others for a moment and
-// continues in the same term. A new leaderTerm would number its commands from 1 again,
-// workers would refuse those they have processed as duplicates, and the tasks would
-// count as running for ever. Within a term no other replica can have granted or
-// commanded anything, so the content of the leaderTerm is still valid when this one may
-// decide again.
+// Failure guarded against: the leader loses contact with the other members for a moment
+// and continues in the same term. A new leaderTerm would number its commands from 1
+// again, workers would refuse those commands as duplicates, and their tasks would count
+// as running for ever. Within a term no other replica can have granted leases or issued
+// commands, so this leaderTerm is still valid when the replica may decide again.
 func (c *Cell) runDecisions(ctx context.Context, t *leaderTerm) {
 	timer := time.NewTimer(leaseCheckInterval)
 	defer timer.Stop()
@@ -47,8 +46,8 @@
 	}
 }
 
-// recordDegraded records when committed commands begin or cease to depend on memory
-// alone.
+// recordDegraded records an event when no voter with a disk acknowledges entries any
+// more, so that committed commands are only in memory, and when one does so again.
 func (c *Cell) recordDegraded(t *leaderTerm, degraded bool) {
 	if degraded == t.degraded {
 		return
@@ -62,7 +61,8 @@
 	c.base.Logger.Log("msg", kind, "term", t.term)
 }
 
-// decideOnce makes and commits plans until one is empty or not full.
+// decideOnce makes and commits plans until a plan is empty, starts fewer than maxStarts
+// tasks, or can't be committed.
 func (c *Cell) decideOnce(ctx context.Context, t *leaderTerm) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -115,6 +115,7 @@
 	}
 }
 
+// expiredLeases returns the commands that end the incarnations whose lease has expired.
 func (c *Cell) expiredLeases(t *leaderTerm) []*state.WorkerDown {
 	var expired []*state.WorkerDown
 	t.mu.Lock()
@@ -130,6 +131,8 @@
 	return expired
 }
 
+// plan returns the starts, preemptions and refusals that are due. It omits refusals of
+// reservations, which the log doesn't contain.
 func (t *leaderTerm) plan(now time.Time) placement.Plan {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -140,9 +143,9 @@
 	return plan
 }
 
-// commitPlan writes a plan to the log. Starts are sent once they are applied: a leader
-// that was superseded meanwhile can't have committed them, so it can't have sent them
-// either.
+// commitPlan proposes the commands of a plan. Starts are sent to workers only after they
+// are applied, so a leader that was superseded in the meantime, whose proposals fail,
+// sends none.
 func (c *Cell) commitPlan(ctx context.Context, t *leaderTerm, plan placement.Plan) error {
 	for _, refusal := range plan.Refusals {
 		command := &state.Refuse{Job: refusal.Job, Kind: faultKind(refusal.Reason), Detail: refusal.Detail}
@@ -163,8 +166,8 @@
 	return err
 }
 
-// startItems converts the starts of a plan into those of a command, which names a
-// demand only where it is above the declared one.
+// startItems converts the starts of a plan into those of a command. RaisedNeed is set
+// only where the need differs from the declared one.
 func (c *Cell) startItems(starts []placement.Start) []state.StartItem {
 	items := make([]state.StartItem, 0, len(starts))
 	c.machine.View(func(s *state.State) {
@@ -179,7 +182,7 @@
 	return items
 }
 
-// faultKind maps placement's reasons to the closed list of fault kinds.
+// faultKind maps a reason of placement to one of the fixed set of fault kinds.
 func faultKind(reason placement.Reason) fault.Kind {
 	switch reason {
 	case placement.ReasonTooLarge, placement.ReasonTooMany:
@@ -194,8 +197,8 @@
 	return fault.Internal
 }
 
-// prune removes ended jobs, first answers and records older than endedJobRetention, a
-// day.
+// prune removes ended jobs, first responses and other records that are older than
+// endedJobRetention, at each pruneInterval.
 func (c *Cell) prune(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait.For(ctx, pruneInterval)
--- a/internal/cell/gateway.go
+++ b/internal/cell/gateway.go
@@ -15,8 +15,8 @@
 
 var _ apiv1.WorkerGateway = (*Cell)(nil)
 
-// currentLeaderTerm returns the current leader term, or the error that names the
-// leader.
+// currentLeaderTerm returns the current leader term. If this replica may not decide, its
+// error names the leader.
 func (c *Cell) currentLeaderTerm() (*leaderTerm, error) {
 	status := c.log.Status()
 	t := c.leaderTerm.Load()
@@ -62,7 +62,7 @@
 	return response, nil
 }
 
-// incarnationStatus is what the committed state knows of a worker's incarnation.
+// incarnationStatus is the status of a worker incarnation in the committed state.
 type incarnationStatus int
 
 const (
@@ -88,8 +88,8 @@
 		return incarnationUnknown, nil
 	}
 	if len(a.Running) > 0 {
-		// A new incarnation starts with nothing running. This one was known before, and
-		// the state lost it with its attempts; see needsAnnouncement.
+		// A new incarnation runs no attempts. This one was known before, and the state
+		// has lost its record and its attempts; see needsAnnouncement.
 		return incarnationEnded, nil
 	}
 	capacity := wire.ResourcesFromAPI(a.Capacity)
@@ -103,14 +103,14 @@
 	return c.incarnationStatusOf(r.Worker, r.Incarnation), nil
 }
 
-// needsAnnouncement reports whether the worker must announce what it runs: with the
-// first renewal of an incarnation in this leader term.
+// needsAnnouncement reports whether the worker must announce the attempts that it runs.
+// Each incarnation must do so with its first renewal in a leader term.
 //
 // Failure guarded against: the log continued without a disk, the whole data centre lost
-// power, and starts that were committed in memory are lost while their workers run
-// them. Such a worker looks free and would get more tasks than fit. The attempts that
-// it announces and the state doesn't know reveal that; its incarnation ends, and the
-// worker returns with nothing running.
+// power, and starts that were committed in memory are lost while their workers run them.
+// Such a worker looks free and would get more tasks than fit. Its announcement contains
+// attempts that the state doesn't know; its incarnation ends, and the worker returns with
+// a new one that runs nothing.
 func (c *Cell) needsAnnouncement(t *leaderTerm, r *apiv1.RenewRequest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -120,7 +120,7 @@
 }
 
 // hasUnknownAttempts reports whether a worker announces an attempt that was never
-// committed here. An attempt whose end is already committed is a known one.
+// committed here. An attempt whose end is already committed counts as known.
 func (c *Cell) hasUnknownAttempts(r *apiv1.RenewRequest) bool {
 	unknown := false
 	c.machine.View(func(s *state.State) {
@@ -134,6 +134,8 @@
 	return unknown
 }
 
+// incarnationStatusOf returns the status of a worker incarnation. It has ended if the
+// worker is down or has a newer incarnation.
 func (c *Cell) incarnationStatusOf(worker string, incarnation uint64) incarnationStatus {
 	status := incarnationUnknown
 	c.machine.View(func(s *state.State) {
@@ -150,8 +152,8 @@
 	return status
 }
 
-// renew renews the lease and opens the outbox. It returns no outbox when the renewal
-// grants nothing. The caller has checked, after the renewal was received, that this
+// renew renews the lease of a worker and returns its outbox, or no outbox if the renewal
+// grants no lease. The caller has checked, after the renewal was received, that this
 // replica may decide: a leader that resumes after a pause must not grant a lease whose
 // expiry its successor doesn't wait for.
 func (c *Cell) renew(t *leaderTerm, r *apiv1.RenewRequest, received time.Duration) (*outbox, lease.Renewal) {
@@ -174,8 +176,8 @@
 	return box, renewal
 }
 
-// awaitCommands holds a renewal until there are commands, the hold is over or the
-// leader term ends.
+// awaitCommands holds a renewal until there are commands, the hold is over or the leader
+// term ends. It returns the commands.
 func (c *Cell) awaitCommands(ctx context.Context, t *leaderTerm, box *outbox, r *apiv1.RenewRequest) []*apiv1.Command {
 	hold := min(time.Duration(r.HoldMs)*time.Millisecond, time.Duration(c.base.Settings.Timing.RenewHold))
 	timer := time.NewTimer(max(hold, 0))
@@ -257,8 +259,8 @@
 	t.leases.Leave(r.Worker, r.Incarnation)
 }
 
-// acknowledgement returns a response with the position of the last command issued, read
-// after the ends were applied.
+// acknowledgement returns a response with the position of the last command issued to the
+// incarnation. It is called after the reported ends were applied.
 func (t *leaderTerm) acknowledgement(r *apiv1.ReportRequest) *apiv1.ReportResponse {
 	response := &apiv1.ReportResponse{UntilTerm: t.term}
 	t.mu.Lock()
--- a/internal/cell/handover.go
+++ b/internal/cell/handover.go
@@ -21,16 +21,17 @@
 const (
 	// offerRetryInterval is the wait before an unanswered offer is sent again.
 	offerRetryInterval = 500 * time.Millisecond
-	// probeTimeout bounds the query whether another data centre would accept a job. The
-	// caller of the submission waits for it.
+	// probeTimeout bounds a probe, which asks another data centre whether it would accept
+	// a job. The caller of the submission waits for the probe.
 	probeTimeout = 400 * time.Millisecond
-	// unreachableRetryDelay is how long probes skip a data centre that didn't answer.
+	// unreachableRetryDelay is how long probes skip a data centre after a failed call to
+	// it.
 	unreachableRetryDelay = 5 * time.Second
 )
 
-// findAcceptingDataCentre queries the other data centres in turn and returns the first
-// that would accept a job, or "". It commits nothing: the query saves the log offers
-// that would only be refused.
+// findAcceptingDataCentre probes the other data centres in turn, except those in tried,
+// and returns the first that would accept a job, or "". A probe commits nothing. It
+// avoids committing offers that would only be refused.
 func (c *Cell) findAcceptingDataCentre(ctx context.Context, t *leaderTerm, probe *apiv1.OfferRequest, tried []string) string {
 	for _, dataCentre := range c.base.Settings.DataCentres() {
 		if dataCentre == c.base.Instance.DataCentre || slices.Contains(tried, dataCentre) || t.isUnreachable(dataCentre, c.now()) {
@@ -50,18 +51,21 @@
 	return ""
 }
 
+// isUnreachable reports whether probes skip a data centre because a call to it failed.
 func (t *leaderTerm) isUnreachable(dataCentre string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return now.Before(t.unreachableUntil[dataCentre])
 }
 
+// markUnreachable makes probes skip a data centre until a point in time.
 func (t *leaderTerm) markUnreachable(dataCentre string, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.unreachableUntil[dataCentre] = until
 }
 
+// offer sends an offer or a probe to the leader of another data centre.
 func (c *Cell) offer(ctx context.Context, dataCentre string, r *apiv1.OfferRequest) (*apiv1.OfferResponse, error) {
 	ctx, err := rpc.WithBearer(ctx, "Bearer "+c.base.Tokens.Token(settings.Peer))
 	if err != nil {
@@ -76,8 +80,9 @@
 	return answer, err
 }
 
-// handOver sends the offers that are pending in the log, and repeats each until the
-// other data centre's committed answer is known, however long that one is unreachable.
+// handOver sends the offers that are pending in the log. It repeats each until the
+// committed answer of the other data centre is known, however long that data centre is
+// unreachable.
 func (c *Cell) handOver(ctx context.Context, t *leaderTerm) {
 	for ctx.Err() == nil {
 		changed := c.machine.Changed()
@@ -116,6 +121,8 @@
 	return !failed.Load()
 }
 
+// pendingOffers returns copies of the jobs that were offered to another data centre and
+// have no answer yet.
 func (c *Cell) pendingOffers() []*state.Job {
 	var pending []*state.Job
 	c.machine.View(func(s *state.State) {
@@ -129,6 +136,8 @@
 	return pending
 }
 
+// sendOffer offers a job to another data centre and commits the answer. With a refusal it
+// also commits the data centre to which the job is offered next, if any would accept it.
 func (c *Cell) sendOffer(ctx context.Context, t *leaderTerm, j *state.Job) error {
 	request := &apiv1.OfferRequest{
 		FromDataCentre: c.base.Instance.DataCentre, Job: j.ID, Customer: j.Customer,
@@ -166,8 +175,9 @@
 	return p.exchange(ctx, r)
 }
 
-// Offer answers another data centre's handover offer; for a probe it only says what the
-// answer would be. The first committed answer for a job stands.
+// Offer commits the answer to a handover offer of another data centre and returns it. The
+// first committed answer for a job stands. For a probe it commits nothing and returns
+// what the answer would be.
 func (p *peerServer) Offer(ctx context.Context, r *apiv1.OfferRequest) (*apiv1.OfferResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Peer); err != nil {
 		return nil, err
@@ -192,8 +202,8 @@
 	return answer, nil
 }
 
-// withdraw cancels an accepted job after its customer cancelled it in the data centre
-// that handed it over.
+// withdraw cancels an accepted job if its offer is withdrawn, because the customer
+// cancelled the job in the data centre that handed it over.
 func (p *peerServer) withdraw(ctx context.Context, r *apiv1.OfferRequest, answer *apiv1.OfferResponse) error {
 	if !r.Withdraw || !answer.Accepted {
 		return nil
@@ -209,7 +219,7 @@
 	return result.Err
 }
 
-// evaluateOffer decides the answer to an offer, and reserves capacity for an accepted
+// evaluateOffer decides the answer to an offer, and reserves resources for an accepted
 // job until release is called.
 func (p *peerServer) evaluateOffer(t *leaderTerm, r *apiv1.OfferRequest) (command *state.AnswerHandoverOffer, release func()) {
 	command = &state.AnswerHandoverOffer{Job: r.Job, Customer: r.Customer, From: r.FromDataCentre, Submitted: r.SubmittedUnixMs}
@@ -231,7 +241,7 @@
 	return command, release
 }
 
-// committedAnswer returns the committed answer to an offer.
+// committedAnswer returns the committed answer to an offer, and whether there is one.
 func (c *Cell) committedAnswer(job string) (*apiv1.OfferResponse, bool) {
 	var record state.HandoverAnswerRecord
 	var ok bool
@@ -239,6 +249,8 @@
 	return offerAnswer(record.Accepted, record.Kind, record.Detail), ok
 }
 
+// offerAnswer returns the response that carries the answer to an offer. kind and detail
+// are those of a refusal.
 func offerAnswer(accepted bool, kind fault.Kind, detail string) *apiv1.OfferResponse {
 	if accepted {
 		return &apiv1.OfferResponse{Accepted: true}
--- a/internal/cell/leader_term.go
+++ b/internal/cell/leader_term.go
@@ -24,9 +24,11 @@
 	leaseCheckInterval = 100 * time.Millisecond
 	// overdueCheckInterval is the interval of checks for deadlines that have passed.
 	overdueCheckInterval = 500 * time.Millisecond
-	// endedJobRetention is how long ended jobs and first answers are kept.
+	// endedJobRetention is how long ended jobs and first responses to requests are kept.
 	endedJobRetention = 24 * time.Hour
-	pruneInterval     = 10 * time.Minute
+	// pruneInterval is the interval of removals of records older than
+	// endedJobRetention.
+	pruneInterval = 10 * time.Minute
 	// proposeTimeout bounds how long the leader waits for its own commits.
 	proposeTimeout = 5 * time.Second
 )
@@ -37,19 +39,21 @@
 type leaderTerm struct {
 	term uint64
 
-	mu       sync.Mutex
-	cluster  *placement.Cluster
-	leases   *lease.Table
+	mu      sync.Mutex
+	cluster *placement.Cluster
+	leases  *lease.Table
+	// outboxes holds the outbox of each worker that renewed in this leader term.
 	outboxes map[string]*outbox
 	// unreachableUntil holds, by data centre, the time until which probes skip it.
 	unreachableUntil map[string]time.Time
 
+	// wake makes the leader's loop start its next round.
 	wake chan struct{}
-	// reservations numbers the jobs whose submission is in flight.
+	// reservations is the number of reservations made so far; see admitAndReserve.
 	reservations atomic.Uint64
-	// degraded is whether the log continued without a disk when that was last recorded.
+	// degraded is whether the log ran without a disk when that was last recorded.
 	degraded bool
-	// nextOverdue is when deadlines are checked next.
+	// nextOverdue is the time of the next check for deadlines that have passed.
 	nextOverdue time.Time
 
 	// plannerMu guards planner, which plans quota transfers.
@@ -89,6 +93,8 @@
 	c.runDecisions(ctx, t)
 }
 
+// newLeaderTerm fills the caches from the replicated state and collects its changes from
+// then on.
 func (c *Cell) newLeaderTerm(term uint64) *leaderTerm {
 	timing := c.base.Settings.Timing
 	t := &leaderTerm{
@@ -107,8 +113,8 @@
 }
 
 // takeOverLeases takes over the predecessor's leases. Any worker that isn't known to be
-// down may hold one, so the leader waits until it expires unless the worker renews here
-// first.
+// down may hold one, so the leader waits until it has expired, or until the worker renews
+// its lease at this leader.
 func (t *leaderTerm) takeOverLeases(s *state.State, now time.Duration) {
 	var workers []string
 	for _, w := range s.Workers {
@@ -139,6 +145,8 @@
 	}
 }
 
+// syncWorker copies a worker from the replicated state to the placement cache. A worker
+// that is down is removed from the cache.
 func (t *leaderTerm) syncWorker(s *state.State, id string, now time.Duration) {
 	w := s.Workers[id]
 	if w == nil || w.Down {
@@ -151,6 +159,8 @@
 	})
 }
 
+// syncQueue copies the waiting tasks of a job from the replicated state to the queue of
+// the placement cache.
 func (t *leaderTerm) syncQueue(s *state.State, id string) {
 	j := s.Jobs[id]
 	if j == nil {
@@ -210,8 +220,8 @@
 	t.cluster.ReportSuccess(result.Worker, result.Job, now)
 }
 
-// stillRunning reports whether a start among the changes is still in effect. The
-// attempt may have ended within the same batch of changes.
+// stillRunning reports whether the attempt of a start among the changes still runs. It
+// may have ended within the same batch of changes.
 func stillRunning(s *state.State, p placement.Placed) bool {
 	j := s.Jobs[p.Job]
 	if j == nil || p.Task >= len(j.Tasks) {
@@ -221,13 +231,13 @@
 	return t.State == state.TaskRunning && t.Worker == p.Worker
 }
 
-// placeCommitted adds a committed start to the placement cache. The caller holds t.mu.
-// A task that ended and started again between two refreshes is among the changes twice;
-// the later start is added first and stands.
+// placeCommitted adds a committed start to the placement cache. A task that ended and
+// started again between two refreshes is among the changes twice; the later start is
+// added first and stands.
 //
 // The replicated state has accepted the start, so a cache that refuses it has diverged
 // from the state, and every later plan would be wrong: the cache is rebuilt from the
-// state.
+// state. t.mu must be held.
 func (c *Cell) placeCommitted(t *leaderTerm, s *state.State, p placement.Placed) {
 	err := t.cluster.Place(p)
 	if err == nil || errors.Is(err, placement.ErrPlacedTwice) {
@@ -238,11 +248,12 @@
 	c.rebuildCache(t, s, c.monotonic())
 }
 
-// enqueueStart adds a committed start to its worker's outbox. The caller holds t.mu.
+// enqueueStart adds a committed start to its worker's outbox.
 //
 // Failure guarded against: the leader doesn't learn of its own commit in time, or the
-// proposal's answer is lost, and the attempt is committed but never sent. So commands
-// follow the applied log and not the answers of proposals.
+// result of the proposal is lost, and the attempt is committed but never sent. Commands
+// are therefore built from the applied log, not from the results of proposals. t.mu must
+// be held.
 func (c *Cell) enqueueStart(t *leaderTerm, s *state.State, p placement.Placed) {
 	j := s.Jobs[p.Job]
 	task := &j.Tasks[p.Task]
--- a/internal/cell/machine.go
+++ b/internal/cell/machine.go
@@ -11,7 +11,7 @@
 	"github.com/bilberryferry/bilberryferry/internal/state"
 )
 
-// Machine is the state machine of a data centre's log. A lock guards it for readers.
+// Machine is the state machine of a data centre's log. It is safe for concurrent use.
 type Machine struct {
 	mu    sync.RWMutex
 	state *state.State
@@ -19,6 +19,7 @@
 	changed chan struct{}
 	// collect is true while this replica leads and its caches need the changes.
 	collect bool
+	// pending holds the changes since the last call of TakeChanges.
 	pending state.Changes
 	events  *event.Recorder
 }
@@ -28,12 +29,13 @@
 	return &Machine{state: state.New(dataCentre), changed: make(chan struct{}), events: events}
 }
 
-// Apply applies one committed command and returns its state.Result.
+// Apply applies one committed command and returns its state.Result. It panics if it can't
+// decode the command.
 func (m *Machine) Apply(index uint64, data []byte) any {
 	command, err := state.Decode(data)
 	if err != nil {
-		// A newer program wrote this committed command. To skip it would let the
-		// replicas diverge.
+		// A newer version of the program wrote this command, which is committed. Skipping
+		// it would let the replicas diverge.
 		panic("cell: " + err.Error())
 	}
 	m.mu.Lock()
@@ -47,7 +49,8 @@
 
 // publishChanges passes the changes of one command to the leader's caches and to the
 // event timeline. Every replica records the same events under the proposer's timestamp,
-// so that they survive the loss of the instance that proposed the command.
+// so that they survive the loss of the instance that proposed the command. m.mu must be
+// held.
 func (m *Machine) publishChanges(command *state.Command) {
 	c := m.state.TakeChanges()
 	timestamp := hlc.Timestamp{Wall: command.Now, Logical: command.Logical}
@@ -115,8 +118,8 @@
 	return m.changed
 }
 
-// Collect starts to collect changes and calls f with the state from which they start,
-// so that no change is lost between the two.
+// Collect begins to collect changes and calls f with the state at that point. No change
+// is lost between the two, since both happen under the lock.
 func (m *Machine) Collect(f func(*state.State)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/cell/minions.go
+++ b/internal/cell/minions.go
@@ -8,8 +8,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
-// entryInstances returns the entry instances of the data centre, for whose slot
-// requests a new leader waits.
+// entryInstances returns the IDs of the entry instances of the data centre. A new leader
+// waits for their slot requests.
 func (c *Cell) entryInstances() []string {
 	var entries []string
 	for _, instance := range c.base.Settings.InDataCentre(c.base.Instance.DataCentre) {
--- a/internal/cell/operations.go
+++ b/internal/cell/operations.go
@@ -48,7 +48,7 @@
 	return response, nil
 }
 
-// workerInfo describes one worker. The caller holds t.mu.
+// workerInfo describes one worker. t.mu must be held.
 func (c *Cell) workerInfo(s *state.State, t *leaderTerm, id string, quarantined []string) *apiv1.WorkerInfo {
 	w := s.Workers[id]
 	return &apiv1.WorkerInfo{
@@ -101,8 +101,8 @@
 	return configToAPI(c.register.Current()), nil
 }
 
-// configUnavailable says what a caller can rely on when no leader of the configuration
-// log is known: the configuration in force stays.
+// configUnavailable replaces the error that no leader of the configuration log is known
+// by one that says what still holds: the configuration in force stays.
 func configUnavailable(err error) error {
 	if leader, notLeader := rpc.LeaderOf(err); !notLeader || leader.ID != "" {
 		return err
@@ -128,8 +128,9 @@
 	if err != nil {
 		return nil, err
 	}
-	// A repeated write must get its first answer, so only a write that expects the
-	// current version is checked; any other has been decided already.
+	// A repeated write must get the response of the first one, so only a write that
+	// expects the current version is checked. The outcome of any other write is decided
+	// already.
 	if current := c.register.Current(); current.Version == r.ExpectedVersion {
 		if err := checkQuota(current, r.Document); err != nil {
 			return nil, err
@@ -180,6 +181,7 @@
 	return response, nil
 }
 
+// roleNames are the names of the roles in the API.
 var roleNames = map[replica.Role]string{
 	replica.Follower: "follower", replica.Candidate: "candidate", replica.Leader: "leader", replica.Recovering: "recovering",
 }
--- a/internal/cell/outbox.go
+++ b/internal/cell/outbox.go
@@ -7,12 +7,12 @@
 	"github.com/bilberryferry/bilberryferry/lease"
 )
 
-// maxCommands bounds the commands of one response.
+// maxCommands bounds the commands of one response to a renewal.
 const maxCommands = 256
 
-// outbox holds the commands that one worker incarnation hasn't acknowledged. Responses
-// get lost with entry instances, so each renewal's response carries a command until the
-// worker acknowledges that it has processed it.
+// outbox holds the commands that one worker incarnation hasn't acknowledged. A response
+// is lost when its entry instance fails, so a command is sent in the response to each
+// renewal until the worker acknowledges that it has processed the command.
 type outbox struct {
 	*lease.Outbox[*apiv1.Command]
 	incarnation uint64
@@ -28,6 +28,7 @@
 	}
 }
 
+// add numbers a command, appends it and wakes the held renewal.
 func (b *outbox) add(command *apiv1.Command) {
 	header := b.Add(command)
 	command.Number = header.Position.Number
@@ -47,21 +48,21 @@
 	return commands
 }
 
-// enqueueCommand adds a command for a worker incarnation. The caller holds t.mu.
+// enqueueCommand adds a command for a worker incarnation. t.mu must be held.
 func (t *leaderTerm) enqueueCommand(worker string, incarnation uint64, command *apiv1.Command) {
 	box := t.outboxes[worker]
 	if box == nil || box.incarnation != incarnation {
-		// The worker hasn't renewed in this leader term. Its first renewal fills the
-		// outbox from the committed state.
+		// This incarnation hasn't renewed in this leader term. Its first renewal fills
+		// the outbox from the committed state.
 		return
 	}
 	box.add(command)
 }
 
-// openOutbox returns the outbox of an incarnation. For an incarnation that is new to
-// this leader term it fills one from the committed state: every attempt that occupies
-// the worker gets a command again, since the predecessor may have committed a start and
-// died before sending it. The worker refuses duplicates.
+// openOutbox returns the outbox of an incarnation. For an incarnation that is new to this
+// leader term it fills one from the committed state: every attempt that occupies the
+// worker gets a command again, since the predecessor may have committed a start and died
+// before sending it. The worker refuses duplicates. t.mu must be held.
 func (t *leaderTerm) openOutbox(s *state.State, worker string, incarnation uint64) *outbox {
 	box := t.outboxes[worker]
 	if box != nil && box.incarnation == incarnation {
--- a/internal/cell/quota.go
+++ b/internal/cell/quota.go
@@ -23,16 +23,17 @@
 
 // Timing and format of quota transfers.
 const (
-	// quotaTickInterval is the planner's tick; the planner expects one a second.
+	// quotaTickInterval is the interval of the planner's ticks; the planner expects one a
+	// second.
 	quotaTickInterval = time.Second
 	// transferRequestTimeout bounds one transfer request to another data centre.
 	transferRequestTimeout = 700 * time.Millisecond
-	// quotaFormat is the version of the encoded messages.
+	// quotaFormat is the version of the encoded messages of quota transfers.
 	quotaFormat = 1
 )
 
-// quotaConfig reads the quotas from a configuration document. Without a quota division
-// nothing is limited.
+// quotaConfig reads the quotas from a configuration document. A document without a quota
+// division limits nothing.
 func quotaConfig(version uint64, document string) (quota.Config, error) {
 	parsed, err := conf.Parse(document)
 	if err != nil {
@@ -73,8 +74,8 @@
 	return nil
 }
 
-// syncQuota updates each customer's allotment and weight in the placement cache. The
-// caller holds t.mu.
+// syncQuota updates each customer's allotment and weight in the placement cache. t.mu
+// must be held.
 func (t *leaderTerm) syncQuota(s *state.State) {
 	for name := range s.Customers() {
 		t.cluster.SetLimit(name, s.Allotment(name))
@@ -89,8 +90,8 @@
 }
 
 // customerLimit returns what a customer may use in all data centres together. A job that
-// needs more can never run. What only the allotment of this data centre lacks is
-// requested from the others.
+// needs more can never run. If only the allotment of this data centre is too small, the
+// difference is requested from the others.
 func (c *Cell) customerLimit(customer string) placement.Resources {
 	limit := placement.Resources{CPU: quota.Unlimited, Memory: quota.Unlimited, Accelerators: quota.Unlimited}
 	c.machine.View(func(s *state.State) {
@@ -143,7 +144,7 @@
 }
 
 // demandOf returns a function that gives the demand of a customer's running and waiting
-// work here. That much is reserved when other data centres request a transfer.
+// work here. That amount is reserved when other data centres request a transfer.
 func demandOf(s *state.State) func(customer string) placement.Resources {
 	demand := s.Demand()
 	return func(customer string) placement.Resources { return demand[customer] }
@@ -165,8 +166,8 @@
 	return missing, short
 }
 
-// requestTransfer sends one transfer request, commits the transfer that it gets, and
-// acknowledges it.
+// requestTransfer sends one transfer request, commits the credit of the transfer that it
+// gets, and acknowledges the transfer.
 func (c *Cell) requestTransfer(ctx context.Context, t *leaderTerm, request quota.TransferRequest) {
 	reply, err := c.sendTransferRequest(ctx, request)
 	if err != nil {
@@ -185,10 +186,12 @@
 	t.wakeUp()
 	var acknowledgement quota.TransferRequest
 	c.machine.View(func(s *state.State) { acknowledgement = s.Quota().Request(request.To) })
-	// The next request makes up for a lost acknowledgement.
+	// The next request repeats an acknowledgement that was lost.
 	_, _ = c.sendTransferRequest(ctx, acknowledgement)
 }
 
+// sendTransferRequest sends a transfer request to the leader of the data centre in its To
+// field and returns the reply.
 func (c *Cell) sendTransferRequest(ctx context.Context, transfer quota.TransferRequest) (quota.Reply, error) {
 	var reply quota.Reply
 	message, err := cbor.Marshal(transfer)
@@ -212,8 +215,8 @@
 	return reply, err
 }
 
-// MoveQuota answers another data centre's transfer request, or records its
-// acknowledgement.
+// MoveQuota responds to another data centre's transfer request. A request without demands
+// only acknowledges earlier transfers.
 func (p *peerServer) MoveQuota(ctx context.Context, r *apiv1.MoveQuotaRequest) (*apiv1.MoveQuotaResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Peer); err != nil {
 		return nil, err
@@ -251,7 +254,7 @@
 		t.plannerMu.Unlock()
 		command = &state.Quota{Debit: &debit}
 	}
-	// The reply reports the ledger's refusals, such as nothing to transfer.
+	// The reply reports the refusals of the ledger, such as nothing to transfer.
 	_, err := p.propose(ctx, &state.Command{Quota: command})
 	return err
 }
--- a/internal/cell/replace.go
+++ b/internal/cell/replace.go
@@ -81,6 +81,8 @@
 	}
 }
 
+// withLearner adds a learner. It returns the same members if the new one is among them
+// already.
 func withLearner(members []replica.Member, added replica.Member) []replica.Member {
 	if indexOf(members, added.ID) >= 0 {
 		return members
@@ -89,6 +91,7 @@
 	return append(members, added)
 }
 
+// withVoter makes the member with an ID a voter.
 func withVoter(members []replica.Member, id string) []replica.Member {
 	if i := indexOf(members, id); i >= 0 {
 		members[i].Learner = false
--- a/internal/cell/scheduler.go
+++ b/internal/cell/scheduler.go
@@ -25,7 +25,9 @@
 const (
 	maxWatchLongPoll = 20 * time.Second
 	maxListedJobs    = 1000
-	handoverWait     = time.Second
+	// handoverWait bounds how long a submission waits for the answer to the handover
+	// offer of its job.
+	handoverWait = time.Second
 )
 
 // Home returns the name of this data centre.
@@ -72,13 +74,15 @@
 	return c.awaitHandover(ctx, result)
 }
 
+// firstResponse returns the committed response to an earlier request with the same id,
+// and whether there is one.
 func (c *Cell) firstResponse(request state.Request) (first state.Result, ok bool) {
 	c.machine.View(func(s *state.State) { first, ok = s.FirstResponse(request) })
 	return first, ok
 }
 
 // admitOrHandOver decides whether the job is admitted here, offered to another data
-// centre or refused. The capacity that it was admitted on is reserved until release is
+// centre or refused. The resources for an admitted job are reserved until release is
 // called.
 func (c *Cell) admitOrHandOver(ctx context.Context, t *leaderTerm, submit *state.Submit, spec *apiv1.Spec) (release func()) {
 	decision, release := c.admitAndReserve(t, submit.Customer, submit.Spec, c.now())
@@ -107,12 +111,12 @@
 const reservationPrefix = "accepting."
 
 // admitAndReserve evaluates whether a job would finish in time here, and reserves the
-// capacity for it until release is called.
+// resources for it until release is called.
 //
-// Failure guarded against: many jobs are submitted together, each is evaluated before
-// the others are committed, all are admitted on the same free capacity, and accepted
-// jobs miss their deadlines. A reservation is a job in the queue under an ID of its
-// own, which can't start before its proposal is decided.
+// Failure guarded against: many jobs are submitted together, each is evaluated before the
+// others are committed, all are admitted on the same free resources, and accepted jobs
+// miss their deadlines. A reservation is a queued job with an ID of its own. It can't
+// start within proposeTimeout, in which the proposal of the submitted job is decided.
 func (c *Cell) admitAndReserve(t *leaderTerm, customer string, spec state.Spec, now time.Time) (decision placement.AdmissionDecision, release func()) {
 	job := placement.Job{
 		ID: reservationPrefix + strconv.FormatUint(t.reservations.Add(1), 10), Customer: customer, Name: spec.Name,
@@ -140,9 +144,9 @@
 	}
 }
 
-// awaitHandover answers a submission from the committed state. It waits up to
-// handoverWait for a job that is offered to another data centre, so that most callers
-// get the final answer immediately.
+// awaitHandover returns the response to a submission from the committed state. For a job
+// that is offered to another data centre it waits up to handoverWait for the answer, so
+// that most callers get the final outcome at once.
 func (c *Cell) awaitHandover(ctx context.Context, result state.Result) (*apiv1.SubmitResponse, error) {
 	if result.Err != nil {
 		return nil, result.Err
@@ -174,6 +178,8 @@
 	}
 }
 
+// submitResponse returns the response to the submission of a job. It is an error if the
+// job has ended because the data centres to which it was offered refused it.
 func (c *Cell) submitResponse(j *state.Job) (*apiv1.SubmitResponse, error) {
 	if j.State.Ended() && len(j.RefusedBy) > 0 && j.Kind != fault.Cancelled {
 		return nil, fault.New(j.Kind, "%s", j.Reason)
@@ -227,6 +233,7 @@
 	return &apiv1.CancelResponse{Ids: result.Jobs}, result.Err
 }
 
+// checkSelector returns a fault unless the request selects jobs in exactly one way.
 func checkSelector(r *apiv1.CancelRequest) error {
 	selectors := 0
 	for _, set := range []bool{len(r.Ids) > 0, r.Name != "", r.AllOfCustomer} {
@@ -240,12 +247,14 @@
 	return nil
 }
 
+// withoutRequestID returns a copy of a request with an empty request id.
 func withoutRequestID(r *apiv1.CancelRequest) *apiv1.CancelRequest {
 	content := proto.Clone(r).(*apiv1.CancelRequest)
 	content.RequestId = ""
 	return content
 }
 
+// dryRunCancel returns the IDs of the jobs that a cancellation would end.
 func (c *Cell) dryRunCancel(cancel *state.Cancel) (*apiv1.CancelResponse, error) {
 	response := &apiv1.CancelResponse{}
 	var err error
@@ -313,10 +322,13 @@
 	return &apiv1.StatusResponse{Jobs: []*apiv1.Job{wire.JobToAPI(j, c.base.Instance.DataCentre, withTasks)}}, nil
 }
 
+// mayView reports whether the caller may see a job: any job for an operator, the jobs of
+// its own customer for a customer.
 func mayView(caller rpc.Caller, j *state.Job) bool {
 	return caller.Role == settings.Operator || j.Customer == caller.Customer
 }
 
+// listJobs returns the jobs that the caller may see, the newest first.
 func (c *Cell) listJobs(caller rpc.Caller, r *apiv1.StatusRequest) *apiv1.StatusResponse {
 	response := &apiv1.StatusResponse{}
 	c.machine.View(func(s *state.State) {
@@ -395,6 +407,7 @@
 	return response, nil
 }
 
+// endSummary describes a job that has ended or has no waiting tasks.
 func endSummary(j *state.Job) string {
 	if !j.State.Ended() {
 		return fmt.Sprintf("the job is %s; no task waits", j.State)
--- a/internal/cell/serve.go
+++ b/internal/cell/serve.go
@@ -20,7 +20,8 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// Names of replication groups.
+// Name of the replication group of the configuration, and prefix of the names of those of
+// data centres.
 const (
 	configGroup = "configuration"
 	cellPrefix  = "cell."
@@ -87,6 +88,8 @@
 	return New(p.base, logs), nil
 }
 
+// open opens the log of one replication group and registers the group for messages of
+// peers. The log is on disk if the instance has one.
 func (p *process) open(name string, members []replica.Member, machine node.Machine) (*node.Group, error) {
 	b := p.base
 	timing := b.Settings.Timing
@@ -110,12 +113,14 @@
 	return group, nil
 }
 
+// cellMembers returns the members of a data centre's log.
 func cellMembers(s *settings.Settings, dataCentre string) []replica.Member {
 	return members(s.CellMembers(dataCentre), dataCentre)
 }
 
 // members describes instances as voters. Instances outside the given data centre are
-// witnesses: they vote and store the log, and never lead.
+// witnesses: they vote and store the log, and never lead. If dataCentre is empty, there
+// are no witnesses.
 func members(instances []settings.Instance, dataCentre string) []replica.Member {
 	var list []replica.Member
 	for _, instance := range instances {
@@ -127,6 +132,8 @@
 	return list
 }
 
+// run runs the connections, the replication groups and the cell until ctx ends or one of
+// them fails.
 func (p *process) run(ctx context.Context, c *Cell) error {
 	running, ctx := errgroup.WithContext(ctx)
 	running.Go(func() error { return p.transport.Run(ctx) })
@@ -149,7 +156,8 @@
 // that it has. Entries that only the lost members had are lost with them.
 func (p *process) forceStart(ctx context.Context) error {
 	group := p.groups[cellPrefix+p.base.Instance.DataCentre]
-	// The core refuses until the member has waited for a leader in vain.
+	// The replication group refuses a forced start until the member has waited for a
+	// leader in vain.
 	giveUpAt := time.Now().Add(forceStartTimeout)
 	for {
 		err := group.ForceStart(ctx)
@@ -188,8 +196,8 @@
 	return nil
 }
 
-// beginShutdown transfers the leadership while this process still answers its peers, so
-// that the other members needn't wait for an election timeout.
+// beginShutdown transfers the leadership while this process still responds to its peers,
+// so that the other members needn't wait for an election timeout.
 func (p *process) beginShutdown(c *Cell) {
 	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
@@ -203,6 +211,7 @@
 	c.BeginShutdown()
 }
 
+// publish adds the metrics of the replication groups and of their connections.
 func (p *process) publish() {
 	p.base.Metrics.Set("groups", expvar.Func(func() any {
 		all := make(map[string]node.Stats, len(p.groups))
@@ -222,14 +231,17 @@
 }
 
 // hybridClock adds timestamps of the process's hybrid logical clock to messages between
-// instances, so that whatever follows from a message has a later timestamp.
+// instances, so that the events that a message causes have later timestamps than the
+// message.
 type hybridClock struct{ base *daemon.Base }
 
+// Timestamp returns the current time: the wall time and the logical counter.
 func (c hybridClock) Timestamp() (int64, uint32) {
 	timestamp := c.base.Clock.Now(time.Now())
 	return timestamp.Wall, timestamp.Logical
 }
 
+// Observe advances the clock past a timestamp that was received.
 func (c hybridClock) Observe(wall int64, logical uint32) {
 	c.base.Clock.Observe(hlc.Timestamp{Wall: wall, Logical: logical}, time.Now())
 }
--- a/internal/cell/stats.go
+++ b/internal/cell/stats.go
@@ -8,19 +8,21 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the waiting time histogram in microseconds, and its significant digits.
+// Bounds of the histogram of waiting times in microseconds, and its significant digits.
 const (
 	minWaitMicros         = 1
 	maxWaitMicros         = int64(24 * time.Hour / time.Microsecond)
 	waitSignificantDigits = 2
 )
 
-// Stats are the counters of a cell.
+// Stats are the counters of a cell and the waiting times of its jobs until their first
+// start.
 type Stats struct {
 	Submissions, Refusals, Starts, Renewals, Reports, Rebuilds expvar.Int
 	Waits                                                      Histogram
 }
 
+// init creates the histogram of waiting times.
 func (s *Stats) init() {
 	s.Waits.histogram = hdrhistogram.New(minWaitMicros, maxWaitMicros, waitSignificantDigits)
 }
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
-// BenchmarkAddedLatency measures the latency of sequential requests, directly to
-// the minion and through the handler.
+// BenchmarkAddedLatency measures the latency of sequential requests, sent directly to the
+// minion and through the handler.
 func BenchmarkAddedLatency(b *testing.B) {
 	cluster := startTestCluster(b, nil)
 	m := startMinion(b, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
@@ -33,11 +33,11 @@
 	}
 }
 
-// concurrentCallers is less than the slots of the ten minions, so that no call
-// waits for a slot.
+// concurrentCallers is the number of callers of BenchmarkThroughput. It is less than the
+// slots of all minions together, so that no call waits for a slot.
 const concurrentCallers = 48
 
-// BenchmarkThroughput measures concurrent callers on ten minions.
+// BenchmarkThroughput measures the throughput of concurrent callers on ten minions.
 func BenchmarkThroughput(b *testing.B) {
 	cluster := startTestCluster(b, func(cfg *Config) {
 		cfg.Balancer = routing.NewBalancer(routing.Options{Entry: "e1", Incarnation: 1, MaxWait: 5 * time.Second})
@@ -63,6 +63,8 @@
 	callers.Wait()
 }
 
+// get requests a URL, reads the response and fails the benchmark unless the status is
+// 200.
 func get(b *testing.B, url string) {
 	resp, err := http.Get(url)
 	if err != nil {
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -14,7 +14,7 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
-// call is one request of a caller, with all its attempts.
+// call is one request of a caller, with all its attempts on minions.
 type call struct {
 	h             *Handler
 	w             http.ResponseWriter
@@ -175,22 +175,22 @@
 // refuse responds with the reason of the refusal.
 func (c *call) refuse(refusal *routing.Refusal) {
 	if c.sent {
-		// An earlier attempt may have run, so the caller must not learn that the
-		// request was rejected without effect.
+		// An earlier attempt may have run, so the response must not say that the request
+		// was rejected without effect.
 		c.h.fail(c.w, lostResponseFault(refusal.RetryAfter))
 		return
 	}
 	c.h.fail(c.w, refusalFault(refusal))
 }
 
-// lostResponseFault is the error of an idempotent request that may have run and
-// has no response. The caller may retry it.
+// lostResponseFault returns the error of an idempotent request that may have run and has
+// no response. The caller may retry the request.
 func lostResponseFault(retryAfter time.Duration) error {
 	return fault.Retry(fault.Unavailable, retryAfter, "the response of the minion was lost")
 }
 
-// refusalFault returns the fault of a refused ticket: NotFound for an unknown
-// service, otherwise Overloaded.
+// refusalFault returns the fault of a refused ticket: NotFound for an unknown service,
+// otherwise Overloaded.
 func refusalFault(refusal *routing.Refusal) error {
 	if refusal.Reason == routing.NoSuchService {
 		return fault.New(fault.NotFound, "%s", refusal.Error())
--- a/internal/proxy/cluster_test.go
+++ b/internal/proxy/cluster_test.go
@@ -18,9 +18,9 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
-// Guards against a caller that waits indefinitely: the minion accepts the request
-// and never responds. An idempotent request is retried on another minion, any
-// other gets its error by its deadline.
+// Guards against a caller that waits indefinitely: the minion accepts the request and
+// never responds. An idempotent request is retried on another minion, and any other
+// request gets an error by its deadline.
 func TestRequestToHangingMinionEndsByItsDeadline(t *testing.T) {
 	cluster := startTestCluster(t, nil)
 	release := make(chan struct{})
@@ -81,6 +81,7 @@
 	stop    context.CancelFunc
 }
 
+// startEntryProcess starts an entry instance that gets its slots from the given leader.
 func startEntryProcess(leader *Leader, id string, incarnation uint64) *entryProcess {
 	p := &entryProcess{handler: New(Config{
 		Balancer:     routing.NewBalancer(routing.Options{Entry: id, Incarnation: incarnation, Seed: incarnation}),
@@ -103,8 +104,8 @@
 }
 
 // Guards against overloaded minions after a crash: entry instances are killed and
-// restarted under load, over real sockets, and the slots of a killed instance must
-// not be allocated again while its requests still run.
+// restarted under load, over TCP connections, and the slots of a killed instance are
+// allocated again while its requests still run.
 func TestEntryRestartsUnderLoadNeverExceedSlots(t *testing.T) {
 	const entries, minions, callersEach, restarts = 3, 4, 20, 3
 	leader := NewLeader(routing.LeaseOptions{}, nil)
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -13,22 +13,20 @@
 	"github.com/bilberryferry/bilberryferry/internal/rpc"
 )
 
-// Errors of guardedConn.Write, which writes nothing then.
+// Errors of guardedConn.Write. A write that returns one of them has written nothing.
 var (
 	errLeaseExpired = errors.New("slot lease expired before the request was written")
 	errAlreadySent  = errors.New("request was already written to another connection")
 	errNoRequest    = errors.New("no request is assigned to the connection")
 )
 
-// writeGuard decides whether the bytes of one attempt may be written to a
-// connection.
+// writeGuard decides whether the bytes of one attempt may be written to a connection.
 //
 // Failure guarded against: the HTTP transport retries a request by itself when a
-// kept-alive connection turns out to be closed, and a process that was paused
-// sends a request long after its slot lease expired. The minion then runs the
-// request twice, or more requests than it has slots. So each write goes through
-// allowWrite, which allows one connection only, and no first write after the
-// lease expired.
+// kept-alive connection turns out to be closed, and a process that was paused sends a
+// request long after its slot lease expired. The minion then runs the request twice, or
+// more requests than it has slots. Each write therefore goes through allowWrite, which
+// allows writes to one connection only, and no first write after the lease expired.
 type writeGuard struct {
 	now        func() time.Duration
 	validUntil time.Duration // when the slot lease expires, by now
@@ -72,8 +70,8 @@
 	return g.expired
 }
 
-// attachToConn returns a context for a request. The connection that the transport
-// picks for the request is guarded by g from then on.
+// attachToConn returns a context for a request. The connection that the transport picks
+// for the request is guarded by g from that point on.
 func (g *writeGuard) attachToConn(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
@@ -84,8 +82,8 @@
 	})
 }
 
-// guardedConn is a connection to a minion. Its writes need the permission of the
-// writeGuard of the request that uses it.
+// guardedConn is a connection to a minion. Each write must be allowed by the writeGuard
+// of the request that uses the connection.
 type guardedConn struct {
 	net.Conn
 	guard   atomic.Pointer[writeGuard]
@@ -93,7 +91,8 @@
 	onClose func()
 }
 
-// Write writes for the attempt that uses the connection, if its guard allows that.
+// Write writes for the attempt that uses the connection, if the guard of the attempt
+// allows that.
 func (c *guardedConn) Write(p []byte) (int, error) {
 	g := c.guard.Load()
 	if g == nil {
@@ -105,7 +104,7 @@
 	return c.Conn.Write(p)
 }
 
-// Close closes the connection, which no longer counts as open then.
+// Close closes the connection and removes it from the count of open connections.
 func (c *guardedConn) Close() error {
 	c.closed.Do(c.onClose)
 	return c.Conn.Close()
@@ -122,6 +121,7 @@
 	return &connCounter{open: make(map[string]int)}
 }
 
+// add adds n to the open connections of an address.
 func (c *connCounter) add(address string, n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/header.go
+++ b/internal/proxy/header.go
@@ -24,8 +24,8 @@
 	HeaderRetryAfterMs = "Bilberry-Retry-After-Ms"
 )
 
-// firstUnixMs is the smallest value of HeaderDeadline, in milliseconds, that is
-// taken as a Unix time.
+// firstUnixMs is the smallest value of HeaderDeadline, in milliseconds, that is taken as
+// a Unix time and not as the remaining time.
 const firstUnixMs = 1_000_000_000_000
 
 // hopHeaders are the hop-by-hop headers: they apply to one connection and are
@@ -87,8 +87,8 @@
 	}
 }
 
-// requestHeader returns the header of the request to the minion. It lacks the
-// caller's token, which authenticates the caller to this system only.
+// requestHeader returns the header of the request to the minion. It omits the caller's
+// token, which authenticates the caller to this system only.
 func requestHeader(r *http.Request, customer string, remaining time.Duration) http.Header {
 	h := r.Header.Clone()
 	removeHopHeaders(h)
@@ -118,7 +118,6 @@
 		h.Set(HeaderRetryAfterMs, strconv.FormatInt(f.RetryAfter.Milliseconds(), 10))
 	}
 	w.WriteHeader(f.Kind.HTTPStatus())
-	// Write fails only if the caller has disconnected, and then nobody needs the
-	// response.
+	// Write fails only if the caller has disconnected and needs no response.
 	_, _ = w.Write([]byte(f.Error() + "\n"))
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -109,7 +109,7 @@
 
 	mu       sync.Mutex // guards the Balancer and the fields below
 	balancer *routing.Balancer
-	inFlight int
+	inFlight int           // number of requests in flight
 	drained  chan struct{} // closed while draining once no request is in flight
 	draining bool
 }
@@ -142,8 +142,8 @@
 // waiter wakes the goroutine of a call when its ticket leaves the queue.
 type waiter struct{ woken chan struct{} }
 
-// withBalancer runs f on the Balancer under the lock. It then wakes the calls
-// whose tickets f changed, and the slot request loop if a request is due immediately.
+// withBalancer runs f on the Balancer under the lock. Afterwards it wakes the calls whose
+// tickets f changed, and the slot request loop if a request is due immediately.
 func (h *Handler) withBalancer(f func(b *routing.Balancer, now time.Duration)) {
 	h.mu.Lock()
 	f(h.balancer, h.cfg.Now())
@@ -208,8 +208,8 @@
 	h.checkDrained()
 }
 
-// checkDrained closes drained if the handler is draining and no request is in
-// flight. The caller holds h.mu.
+// checkDrained closes drained if the handler is draining and no request is in flight.
+// h.mu must be held.
 func (h *Handler) checkDrained() {
 	if !h.draining || h.inFlight > 0 {
 		return
@@ -231,9 +231,9 @@
 	h.checkDrained()
 }
 
-// Wait returns nil once StopAccepting was called and no request is in flight, or
-// the error of ctx if that ends first. The slots are released only when the
-// context of RenewSlotLeases ends.
+// Wait returns nil once StopAccepting was called and no request is in flight, or the
+// error of ctx if ctx ends first. The slots are released only when the context of
+// RenewSlotLeases ends.
 func (h *Handler) Wait(ctx context.Context) error {
 	select {
 	case <-h.drained:
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -26,8 +26,8 @@
 	waitTimeout = 10 * time.Second
 )
 
-// fakeMinion is an HTTP server that counts its requests: served in all, running
-// now, and the maximum that ran at the same time.
+// fakeMinion is an HTTP server that counts its requests: all that it has served, those
+// that run now, and the maximum that ran at the same time.
 type fakeMinion struct {
 	server     *httptest.Server
 	address    string
@@ -36,6 +36,7 @@
 	maxRunning atomic.Int64
 }
 
+// startMinion starts a minion that serves its requests with handle.
 func startMinion(tb testing.TB, handle http.HandlerFunc) *fakeMinion {
 	m := &fakeMinion{}
 	m.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -65,6 +66,8 @@
 	ctx        context.Context
 }
 
+// startTestCluster starts a cluster without minions. configure, if not nil, changes the
+// configuration of its handler.
 func startTestCluster(tb testing.TB, configure func(*Config)) *testCluster {
 	cfg := Config{
 		Balancer:     routing.NewBalancer(routing.Options{Entry: "e1", Incarnation: 1, Seed: 1}),
@@ -121,6 +124,8 @@
 	})
 }
 
+// announceInterval is the interval at which a minion of a testCluster repeats its
+// announcement.
 const announceInterval = 500 * time.Millisecond
 
 // callerResponse is the response that a caller received, or the error.
@@ -131,6 +136,7 @@
 	err    error
 }
 
+// send sends a request for the test service through the handler.
 func (c *testCluster) send(header http.Header, method, path string, body io.Reader) callerResponse {
 	req, err := http.NewRequest(method, c.server.URL+Prefix+testService+path, body)
 	if err != nil {
@@ -162,8 +168,8 @@
 	must.Eq(t, `POST /tags/a%2Fb?x=1 hello token="" customer="rackwise"`, got.body)
 }
 
-// Guards against a caller that takes half a response for the whole: the minion dies
-// after it has sent part of its response, a short one with a length or a long one
+// Guards against a caller that takes part of a response for the whole: the minion dies
+// after it has sent half of its response, either a short one with a length or a long one
 // in chunks.
 func TestTruncatedResponseNeverLooksComplete(t *testing.T) {
 	cluster := startTestCluster(t, nil)
@@ -185,9 +191,9 @@
 	must.Error(t, got.err)
 }
 
-// Guards against a truncated response that looks complete: a response without
-// length and chunks ends with its connection, and the death of the minion closes
-// the connection in the same way.
+// Guards against a truncated response that looks complete: a response with neither length
+// nor chunks ends with its connection, and the death of the minion closes the connection
+// in the same way.
 func TestCloseDelimitedResponseCountsAsTruncated(t *testing.T) {
 	cluster := startTestCluster(t, nil)
 	cluster.announce(startMinion(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -233,9 +239,9 @@
 	must.LessEq(t, int64(cluster.handler.Stats().Balancer.Started), m.served.Load())
 }
 
-// Guards against a request that fails because its minion has died and the entry
-// instance doesn't know yet: the connection is refused, so nothing was sent, and
-// even a request that isn't idempotent is retried on another minion.
+// Guards against a request that fails because its minion has died and the entry instance
+// doesn't know yet. The connection is refused, so nothing was sent, and even a request
+// that isn't idempotent is retried on another minion.
 func TestRefusedConnectionIsRetriedOnAnotherMinion(t *testing.T) {
 	cluster := startTestCluster(t, nil)
 	dead := startMinion(t, func(http.ResponseWriter, *http.Request) {})
@@ -271,6 +277,7 @@
 	waitFor(t, cancelled)
 }
 
+// waitFor fails the test if done isn't closed within waitTimeout.
 func waitFor(t *testing.T, done <-chan struct{}) {
 	t.Helper()
 	select {
@@ -280,8 +287,8 @@
 	}
 }
 
-// Guards against a rolling restart that drops requests: the process would exit
-// while a minion still works for a caller.
+// Guards against a rolling restart that drops requests: the process exits while a minion
+// still works on a request.
 func TestDrainFinishesRequestsInFlight(t *testing.T) {
 	cluster := startTestCluster(t, nil)
 	started, unblock := make(chan struct{}), make(chan struct{})
@@ -306,8 +313,8 @@
 	must.True(t, cluster.leader.allocator.Occupied("m1") == 0)
 }
 
-// Guards against an overloaded minion: with more concurrent requests than slots,
-// the minion must never run more requests than it has slots.
+// Guards against an overloaded minion: more requests are sent at the same time than the
+// minion has slots, and it must never run more than it has slots.
 func TestMinionNeverExceedsItsSlots(t *testing.T) {
 	cluster := startTestCluster(t, nil)
 	m := startMinion(t, func(http.ResponseWriter, *http.Request) { time.Sleep(2 * time.Millisecond) })
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -12,14 +12,14 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
-// forwardResponse sends the minion's response to the caller, complete or as an
-// error. It returns false if the call is queued for a retry instead.
+// forwardResponse sends the minion's response to the caller, complete or as an error. It
+// returns false if the call is queued for a retry instead.
 //
-// Failure guarded against: the minion dies in the middle of its response, and the
-// caller takes the first part for the whole. So the response is buffered until it
-// is complete. One that exceeds the buffer is streamed, and the caller's
-// connection is aborted if the response is truncated. A close-delimited response
-// counts as truncated, since its end looks like a broken connection.
+// Failure guarded against: the minion dies in the middle of its response, and the caller
+// takes the first part for the whole. The response is therefore buffered until it is
+// complete. One that exceeds the buffer is streamed, and the caller's connection is
+// aborted if the response is truncated. A close-delimited response counts as truncated,
+// since its end looks like a broken connection.
 func (c *call) forwardResponse(ctx context.Context, guard *writeGuard, resp *http.Response) (done bool) {
 	if resp.StatusCode == http.StatusSwitchingProtocols || !isSelfDelimited(resp) {
 		return c.finishOrRetry(routing.Broken, true)
--- a/internal/proxy/slots.go
+++ b/internal/proxy/slots.go
@@ -22,9 +22,9 @@
 // its response.
 type SlotRequestFunc func(ctx context.Context, req *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error)
 
-// RenewSlotLeases renews the slot leases until ctx ends. If the handler is
-// draining then, a last request releases the slots. After an error the next
-// renewal follows at the usual interval.
+// RenewSlotLeases renews the slot leases until ctx ends. If the handler is draining at
+// that time, a last request releases the slots. After an error the next renewal follows
+// at the usual interval.
 func (h *Handler) RenewSlotLeases(ctx context.Context, call SlotRequestFunc) {
 	backoff := minSlotRequestBackoff
 	for ctx.Err() == nil {
@@ -57,9 +57,8 @@
 	return min(slotRequestInterval, 2*backoff)
 }
 
-// waitForNextRequest waits until the next regular slot request, or only for the
-// backoff if an urgent one becomes due. It returns immediately
-// if followUp is set.
+// waitForNextRequest waits until the next regular slot request, or only for the backoff
+// if an urgent one becomes due. It returns immediately if followUp is set.
 func (h *Handler) waitForNextRequest(ctx context.Context, followUp bool, backoff time.Duration) {
 	if followUp {
 		return
@@ -104,7 +103,7 @@
 	if failing {
 		state = "failing"
 	}
-	// There is no other place to report that the log can't be written.
+	// An error of the logger is dropped, since there is no other place to report it.
 	_ = h.cfg.Logger.Log("event", "slot-leases", "state", state, "data_centre", h.cfg.DataCentre, "err", err)
 }
 
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -54,7 +54,7 @@
 	_ = s.waits.RecordValue(micros)
 }
 
-// countOutcome counts an attempt that brought a complete response.
+// countOutcome counts an attempt whose outcome is a complete response.
 func (s *stats) countOutcome(o routing.Outcome) {
 	if o == routing.Answered || o == routing.AnsweredFailure || o == routing.Streamed {
 		s.answered.Add(1)
