--- a/internal/apiserver/apiserver.go
+++ b/internal/apiserver/apiserver.go
@@ -24,7 +24,7 @@
 	// maxBody is the largest request body in bytes. The largest job has a thousand
 	// steps.
 	maxBody = 1 << 20
-	// maxIDLength is the largest length of a job ID in bytes.
+	// maxIDLength is the maximum length of a job ID in bytes.
 	maxIDLength = 64
 )
 
@@ -143,6 +143,8 @@
 	return explanationToAPI(&reply), s.toAPIError("explain", r.GetQueue(), r.GetId(), err)
 }
 
+// explain returns the progress of a job and why its steps wait, for GetWorkflow and
+// ExplainWorkflow.
 func (s *server) explain(ctx context.Context, r *apiv1.WorkflowRef) (control.ExplainReply, error) {
 	if err := checkRef(r.GetQueue(), r.GetId()); err != nil {
 		return control.ExplainReply{}, err
--- a/internal/apiserver/apiserver_test.go
+++ b/internal/apiserver/apiserver_test.go
@@ -19,7 +19,8 @@
 
 const token = "secret"
 
-// fakeLeader implements Operations with fixed answers and keeps the last calls.
+// fakeLeader implements Operations with fixed responses, records the last submission and
+// wave, and returns err from each call.
 type fakeLeader struct {
 	submitted *control.SubmitCall
 	wave      *control.WaveCall
@@ -61,7 +62,8 @@
 	return control.WaveStateReply{Done: true, Maintenances: []workflow.Maintenance{{Machine: "m1", Stage: workflow.MaintenanceStarted}}}, f.err
 }
 
-// newClient serves the API of a leader and returns a client that presents a token.
+// newClient serves the API of a leader and returns a client that presents the given
+// token.
 func newClient(t *testing.T, f *fakeLeader, presented string) apiv1.Workflows {
 	server := httptest.NewServer(New(f, token, log.NewNopLogger()))
 	t.Cleanup(server.Close)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -68,7 +68,9 @@
 }
 
 // NewBase returns the Base of a process of an instance. role names the process in logs
-// and events, such as "entry". dial opens its connections; nil means plain TCP.
+// and events, such as "entry". dial opens its connections; nil means plain TCP. It
+// returns an error if the instance is unknown, or its tokens or its event file can't be
+// read.
 func NewBase(s *settings.Settings, instance, role string, logs io.Writer, dial rpc.Dial) (*Base, error) {
 	ownInstance, err := s.Instance(instance)
 	if err != nil {
@@ -100,8 +102,8 @@
 	return base, nil
 }
 
-// Traffic is the traffic of one kind of connections, with the overhead of HTTP and
-// without that of TCP and IP.
+// Traffic is the number of bytes on one kind of connections, with the overhead of HTTP
+// and without that of TCP and IP.
 type Traffic struct {
 	BytesSent, BytesReceived uint64
 }
@@ -150,8 +152,8 @@
 	Run func(context.Context) error
 	// BeginShutdown ends readiness and held calls. Requests in flight continue.
 	BeginShutdown func()
-	// Finish, if set, is called after the server has shut down and before the context
-	// of Run ends.
+	// Finish, if set, is called after the server has shut down and before the context of
+	// Run ends. Its context ends at the shutdown limit.
 	Finish func(context.Context)
 }
 
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -20,7 +20,7 @@
 )
 
 // Guards against lost events: the last events before a shutdown are queued for the disk,
-// and the process exits before they are written to the file.
+// and the process exits before they are written to the event file.
 func TestLastEventsAreWrittenOnShutdown(t *testing.T) {
 	const events = 500
 	path := filepath.Join(t.TempDir(), "events.jsonl")
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -28,14 +28,15 @@
 
 // Time limits of the calls that an entry instance forwards.
 const (
-	// leaderSearchTimeout is how long a forwarded call searches for a leader. It covers
-	// an election and the first round of the new leader.
+	// leaderSearchTimeout is how long a forwarded call searches for a leader. That is
+	// long enough for an election and the first round of the new leader.
 	leaderSearchTimeout = 4 * time.Second
 	// holdMargin is how much longer a held call may take than the leader may hold
 	// it.
 	holdMargin = 500 * time.Millisecond
 	// submitAttemptTimeout bounds one attempt of a submission. It is longer than for
-	// other calls, since a submission may wait for another data centre's answer.
+	// other calls, since a submission may wait for another data centre to answer a
+	// handover offer.
 	submitAttemptTimeout = 2500 * time.Millisecond
 )
 
@@ -54,7 +55,7 @@
 
 	ready     atomic.Bool
 	readyOnce sync.Once
-	draining  chan struct{}
+	draining  chan struct{} // closed when held calls must end
 	drainOnce sync.Once
 }
 
@@ -111,7 +112,7 @@
 func (e *Entry) Ready() bool { return e.ready.Load() }
 
 // BeginShutdown ends readiness, waits until the platform's balancer has had time to
-// notice, and then ends held calls. Requests in flight continue.
+// notice that, and then ends held calls. Requests in flight continue.
 func (e *Entry) BeginShutdown() {
 	e.drainOnce.Do(func() {
 		e.ready.Store(false)
@@ -134,7 +135,7 @@
 	return group.Wait()
 }
 
-// clientsOf returns the clients for the process at a base URL.
+// clientsOf returns the clients for the process at a base URL. It creates them once.
 func (e *Entry) clientsOf(baseURL string) clients {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -169,7 +170,7 @@
 }
 
 // fanOut makes a call on the leaders of all data centres in parallel. It returns the
-// answers and the names of the data centres that were unreachable. Any other error
+// responses and the names of the data centres that were unreachable. Any other error
 // fails the whole call.
 func fanOut[T any](ctx context.Context, e *Entry, call func(context.Context, clients) (T, error)) ([]T, []string, error) {
 	names := e.base.Settings.DataCentres()
@@ -195,10 +196,10 @@
 	return reached, unreachable, nil
 }
 
-// followConfig keeps the configuration in force up to date by long polls of the
-// leader. The instance becomes ready only after the first answer: it has no disk, so
-// after a restart it doesn't know which version it applied before, and it must not
-// serve an older one.
+// followConfig keeps the configuration in force up to date by long polls of the leader.
+// The instance becomes ready only after the first response: it has no disk, so after a
+// restart it doesn't know which version it applied before, and it must not serve an older
+// one.
 func (e *Entry) followConfig(ctx context.Context) {
 	hold := time.Duration(e.base.Settings.Timing.RenewHold)
 	for ctx.Err() == nil {
--- a/internal/entry/gateway.go
+++ b/internal/entry/gateway.go
@@ -14,12 +14,12 @@
 
 // Renew forwards a worker's renewal to the leader of this data centre.
 //
-// Failure guarded against: the leader is paused or partitioned and the renewal
-// hangs. Without an answer the worker's lease expires, and the outcome of tasks that
-// must not run twice becomes unknown. So the first attempt lasts for the hold plus
-// holdMargin at most, and attempts after that are not held at all: the answer of a new
-// leader arrives before the lease expires. The settings guarantee a lease that is longer
-// than that (see settings.Timing).
+// Failure guarded against: the leader is paused or partitioned and the renewal hangs.
+// Without a response the worker's lease expires, and the outcome of tasks that must not
+// run twice becomes unknown. The first attempt therefore lasts for the hold plus
+// holdMargin at most, and later attempts are not held at all, so that the response of a
+// new leader arrives before the lease expires. The settings guarantee a lease that is
+// longer than that (see settings.Timing).
 func (e *Entry) Renew(ctx context.Context, r *apiv1.RenewRequest) (*apiv1.RenewResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Worker); err != nil {
 		return nil, err
--- a/internal/entry/gateway_test.go
+++ b/internal/entry/gateway_test.go
@@ -17,7 +17,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
-// fakeGateway serves a cell whose answer to a renewal is a function.
+// fakeGateway is the worker gateway of a fake cell, which responds to renewals with the
+// result of renew.
 type fakeGateway struct {
 	apiv1.WorkerGateway
 	renew func(context.Context, *apiv1.RenewRequest) (*apiv1.RenewResponse, error)
@@ -36,10 +37,10 @@
 	return server.Listener.Addr().String()
 }
 
-// Guards against a worker's lease that expires although the worker is healthy, which
-// makes the outcome of its tasks unknown: the leader freezes while it holds the
-// renewal, the entry instance retries at the new leader, and that one holds the
-// renewal again. Two holds in a row outlast the lease.
+// Guards against the lease of a healthy worker that expires, which makes the outcome of
+// its tasks unknown: the leader freezes while it holds the renewal, the entry instance
+// retries at the new leader, and the new leader holds the renewal again. Two holds in a
+// row outlast the lease.
 func TestRetriedRenewalIsNotHeldAgain(t *testing.T) {
 	frozen := startFakeCell(t, func(ctx context.Context, _ *apiv1.RenewRequest) (*apiv1.RenewResponse, error) {
 		<-ctx.Done()
--- a/internal/entry/minions.go
+++ b/internal/entry/minions.go
@@ -17,7 +17,7 @@
 
 var _ apiv1.MinionGateway = (*Entry)(nil)
 
-// Limits of what a minion may announce; names are in bytes.
+// Limits of the values that a minion may announce. maxNameLength is in bytes.
 const (
 	maxSlots       = 10_000
 	maxConnections = 100_000
@@ -33,7 +33,7 @@
 	return options
 }
 
-// customerOf returns the customer of a request to a service by its token. Its error
+// customerOf returns the customer whose token a request to a service presents. Its error
 // is a fault.
 func (e *Entry) customerOf(r *http.Request) (string, error) {
 	identity, err := e.base.Tokens.Authenticate(r.Header.Get("Authorization"))
--- a/internal/entry/operations.go
+++ b/internal/entry/operations.go
@@ -147,7 +147,8 @@
 	return homeResponse, nil
 }
 
-// process is one process of an instance, as a target of callAll.
+// process is a cell or entry process that callAll can call. Its name is INSTANCE/cell or
+// INSTANCE/entry.
 type process struct {
 	instance settings.Instance
 	name     string
@@ -176,8 +177,8 @@
 	return entries
 }
 
-// callAll makes a call on processes in parallel with the credentials of the caller.
-// It returns an answer or an error for each process.
+// callAll makes a call on processes in parallel with the credentials of the caller. It
+// returns a response or an error for each process, at the index of the process.
 func callAll[T any](ctx context.Context, e *Entry, processes []process, call func(context.Context, clients) (T, error)) ([]T, []error) {
 	responses := make([]T, len(processes))
 	errs := make([]error, len(processes))
--- a/internal/entry/scheduler.go
+++ b/internal/entry/scheduler.go
@@ -29,9 +29,9 @@
 	if r.RequestId == "" {
 		return nil, fault.Field("request_id", "missing")
 	}
-	// The leader checks the spec too. Checking it here keeps the load of invalid
-	// requests off the leader. The leader alone checks the deadline, since a retried
-	// request is answered even after its deadline.
+	// The leader checks the spec too. Checking it here keeps the load of invalid requests
+	// off the leader. The leader alone checks the deadline, since a retried request gets
+	// its first response even after its deadline.
 	if _, err := wire.CheckSpec(r.Spec, e.base.Settings.Limits, time.Time{}.Add(time.Hour)); err != nil && fault.From(err).Field != "deadline_unix_ms" {
 		return nil, err
 	}
@@ -56,9 +56,9 @@
 // homeOf returns the home data centre of a submission, the one that deduplicates its
 // request id. Its error is a fault.
 //
-// Failure guarded against: the answer to a submission is lost, and the caller or the
-// platform's balancer retries it at an entry instance of another data centre, which
-// has never seen the request id and accepts the work again. So the caller names the
+// Failure guarded against: the response to a submission is lost, and the caller or the
+// platform's balancer retries it at an entry instance of another data centre, which has
+// never seen the request id and accepts the work again. The caller therefore names the
 // home, and work that must not run twice is rejected without one. Idempotent work is
 // accepted without a home: a duplicate wastes time and does no harm.
 func (e *Entry) homeOf(r *apiv1.SubmitRequest) (string, error) {
@@ -67,7 +67,7 @@
 	}
 	home := cmp.Or(r.Home, r.Spec.DataCentre)
 	if home == "" && !r.Spec.Idempotent {
-		return "", fault.Field("home", "work that isn't idempotent needs one: call Home once and send its answer in each retry of the request")
+		return "", fault.Field("home", "work that isn't idempotent needs one: call Home once and send the data centre that it returns in each retry of the request")
 	}
 	if home == "" {
 		home = e.base.Instance.DataCentre
@@ -120,8 +120,8 @@
 }
 
 // searchOtherDataCentres looks for a job whose home is unreachable in the other data
-// centres, since the job may have been handed over. Not finding it there doesn't
-// prove that it doesn't exist, so the error is then that of the home.
+// centres, since the job may have been handed over. If none of them has the job, that
+// doesn't prove that the job doesn't exist, so the error of the home is returned.
 func (e *Entry) searchOtherDataCentres(ctx context.Context, home string, unavailable error, call func(context.Context, clients) (*apiv1.StatusResponse, error)) (*apiv1.StatusResponse, error) {
 	for _, name := range e.base.Settings.DataCentres() {
 		if name == home {
--- a/internal/instance/core.go
+++ b/internal/instance/core.go
@@ -74,8 +74,7 @@
 }
 
 // runLogMember opens the log and runs this member of it until workCtx ends. On an
-// instance that joins the log, opening waits for a leader; the end of stopCtx ends
-// that wait.
+// instance that joins the log, opening waits for a leader, unless stopCtx ends.
 func (p *process) runLogMember(stopCtx, workCtx context.Context, c *components, logMember *member.Host, stateMachine *control.StateMachine) error {
 	openCtx, cancelOpen := context.WithCancel(workCtx)
 	defer cancelOpen()
@@ -107,9 +106,9 @@
 }
 
 // newController returns a controller that serves calls. Unless orders travel in the
-// answers to heartbeats, a leader sends them through all core instances: the
-// controller forwards its orders to their carriers, and the local carrier sends the
-// orders of whichever instance leads.
+// responses to heartbeats, a leader sends them through all core instances: the controller
+// forwards its orders to the carriers of these instances, which send them to the workers,
+// and the local carrier sends the orders of whichever instance leads.
 func (p *process) newController(cfg control.Config, stateMachine *control.StateMachine, replicatedLog replicatedlog.Log, c *components) *control.Controller {
 	var controller *control.Controller
 	var localCarrier *carrier.Carrier
@@ -141,8 +140,8 @@
 	}
 }
 
-// stopCore transfers the leadership while this instance still answers the others,
-// and then ends the servers.
+// stopCore transfers the leadership while this instance still responds to the others, and
+// then stops the servers. It leaves half of the shutdown time for the work after that.
 func (p *process) stopCore(logMember *member.Host, controlServer *http.Server, c *components, stopWork func()) {
 	shutdownCtx, cancel := context.WithTimeout(context.Background(), p.settings.Bounds.Shutdown.Std()/2)
 	defer cancel()
--- a/internal/instance/edge.go
+++ b/internal/instance/edge.go
@@ -18,8 +18,8 @@
 // two failed checks.
 const unreadyGrace = 2200 * time.Millisecond
 
-// exitReserve is the part of the shutdown time that is reserved for the work after
-// the last response.
+// exitReserve is the part of the shutdown time that is kept for the work after the last
+// response.
 const exitReserve = time.Second
 
 // EdgeAdapters translate between a deployment's protocol and an edge instance.
@@ -75,8 +75,8 @@
 	return group.Wait()
 }
 
-// stopEdge stops accepting requests and waits until those in flight are answered or
-// the time for the shutdown is nearly over.
+// stopEdge stops accepting requests and waits until the requests in flight have their
+// response or the time for the shutdown is nearly over.
 func (p *process) stopEdge(entryServer *http.Server) {
 	timeout := p.settings.Bounds.Shutdown.Std() - unreadyGrace - exitReserve
 	shutdownCtx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -86,8 +86,8 @@
 	_ = entryServer.Shutdown(shutdownCtx)
 }
 
-// readinessHandler answers the readiness check with status 200, or 503 while ready
-// returns false.
+// readinessHandler responds to the readiness check with status 200, or with 503 while
+// ready returns false.
 func readinessHandler(path string, ready func() bool) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+path, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/instance/operations.go
+++ b/internal/instance/operations.go
@@ -24,8 +24,8 @@
 // setLocal makes calls try the controller of this instance first.
 func (o *Operations) setLocal(c *control.Controller) { o.local.Store(c) }
 
-// call tries the local controller and then the gateway. A local controller that doesn't
-// lead rejects the call immediately.
+// call calls the local controller. If that controller doesn't lead, it rejects the call
+// immediately, and the gateway forwards the call to the leader.
 func call[Request, Reply any](ctx context.Context, o *Operations, method string, request *Request,
 	callLocal func(*control.Controller, context.Context, *Request) (Reply, error)) (Reply, error) {
 	if reply, err := tryLocal(ctx, o, request, callLocal); !errors.Is(err, link.ErrNotLeader) {
@@ -34,9 +34,9 @@
 	return gateway.Call[Reply](ctx, o.gateway, method, request)
 }
 
-// callForCaller is call for a request that was received at receivedAt and whose outcome
-// reveals to the caller which version of the configuration was in force. It withholds an
-// outcome that would make the configuration appear to go back.
+// callForCaller does the same as call for a request that was received at receivedAt and
+// whose outcome reveals to the caller which version of the configuration was in force. It
+// withholds an outcome that would make the configuration appear to go back.
 func callForCaller[Request, Reply any](ctx context.Context, o *Operations, receivedAt time.Time, method string, request *Request,
 	callLocal func(*control.Controller, context.Context, *Request) (Reply, error)) (Reply, error) {
 	recorderCtx, recorder := link.WithVersionRecorder(ctx)
@@ -52,8 +52,8 @@
 	return o.gateway.WithholdOutOfOrder(gateway.Outcome{Method: method, ReceivedAt: receivedAt, Version: version, AnsweredBy: fromSelf, Err: err})
 }
 
-// fromSelf stands in log lines for the address of this instance as the one that
-// answered.
+// fromSelf stands in log lines for the address of this instance if its own controller
+// responded.
 const fromSelf = "self"
 
 // tryLocal calls the local controller. Its error is marked ErrNotLeader if the call must
@@ -72,7 +72,7 @@
 	return reply, err
 }
 
-// Submit submits a job. Without contact to the leader it fails immediately.
+// Submit submits a job. Without contact with the leader it fails immediately.
 func (o *Operations) Submit(ctx context.Context, r *control.SubmitCall) (control.SubmitReply, error) {
 	receivedAt := time.Now()
 	if !o.gateway.InContact() {
@@ -110,7 +110,7 @@
 }
 
 // Announce forwards a worker's heartbeat to the leader. The local controller itself
-// answers a heartbeat that reports nothing new.
+// acknowledges a heartbeat that reports nothing new.
 func (o *Operations) Announce(ctx context.Context, r *control.Announcement) (control.AnnouncementReply, error) {
 	if c := o.local.Load(); c != nil {
 		if reply, ok := c.AcknowledgeHeartbeat(r); ok {
--- a/internal/instance/operations_test.go
+++ b/internal/instance/operations_test.go
@@ -36,8 +36,8 @@
 	return control.New(cfg, stateMachine, followerLog{})
 }
 
-// startLeader serves a leader that answers each query for a job under a version of the
-// configuration. It returns the address.
+// startLeader serves a leader whose response to each state call is an active job, under a
+// given version of the configuration. It returns the address of the leader.
 func startLeader(t *testing.T, version uint64) string {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodState, func(ctx context.Context, _ *control.StateCall) (control.StateReply, error) {
@@ -49,14 +49,15 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
+// documentV62 is version 62 of a configuration, with one queue.
 var documentV62 = workflow.Document{
 	Version: 62, Source: []byte("{}"), Queues: []workflow.Queue{{Name: "q", Policy: workflow.Policy{Service: "s"}}},
 }
 
-// Guards against answers that go back to an older configuration: a core instance that
-// lags behind the leader forwards a request and answers under the leader's newer
-// configuration, in which a queue is dropped. After that it must not answer for an
-// ended job of that queue from its own, older state.
+// Guards against responses that go back to an older configuration: a core instance that
+// lags behind the leader forwards a request and responds under the leader's newer
+// configuration, in which a queue is dropped. From that response on it must not respond
+// for an ended job of that queue from its own, older state.
 func TestLaggingFollowerDoesNotRespondFromOlderConfiguration(t *testing.T) {
 	job := workflow.Submission{ID: "job", Queue: documentV62.Queues[0].Identity(), Steps: []workflow.Step{{Count: 1}}}
 	local := newFollower(t, workflow.Command{Configuration: &documentV62}, workflow.Command{Submit: &job}, workflow.Command{Cancel: "job"})
--- a/internal/instance/process.go
+++ b/internal/instance/process.go
@@ -33,8 +33,8 @@
 	// come without a signal.
 	reloadInterval = time.Second
 	// memoryLimitPercent is the soft memory limit of the garbage collector in percent of
-	// the memory that the machine allows. Stacks and the memory that only the operating
-	// system counts come on top.
+	// the memory that the machine allows. The rest is for stacks and for memory that only
+	// the operating system counts.
 	memoryLimitPercent = 57
 	// gcPercent makes the garbage collector run less often than by default, since memory
 	// is cheaper here than processor time.
@@ -180,8 +180,8 @@
 	api             *http.Server
 }
 
-// newComponents returns the components of this process. Every instance queries the
-// adviser on behalf of the leader.
+// newComponents returns the components of this process. Every instance, also one that
+// doesn't lead, queries the adviser on behalf of the leader.
 func (p *process) newComponents(newDeploymentClient func(DeploymentAddresses) DeploymentClient, budget descriptors.Budget) *components {
 	s := p.settings
 	addresses := DeploymentAddresses{Adviser: s.Adviser, Machines: s.MachineList, MaxConnections: budget.ToExternal}
@@ -217,8 +217,8 @@
 	_ = c.api.Close()
 }
 
-// awaitStop waits until the process is asked to stop (ctx ends) or a part of it has failed
-// (workCtx ends).
+// awaitStop waits until the process is asked to stop (ctx ends) or a part of the process
+// has failed (workCtx ends).
 func awaitStop(ctx, workCtx context.Context) {
 	select {
 	case <-ctx.Done():
--- a/internal/instance/settings.go
+++ b/internal/instance/settings.go
@@ -32,7 +32,8 @@
 	InternalPort string `toml:"internal_port"`
 	// MetricsAddress is where counters and histograms are served; empty for none.
 	MetricsAddress string `toml:"metrics_address"`
-	// Entry, Readiness and Control are the addresses that the process serves.
+	// Entry is the address for callers and Readiness that of the readiness check, both of
+	// an edge instance. Control is the control address of a core instance.
 	Entry     string `toml:"entry"`
 	Readiness string `toml:"readiness"`
 	Control   string `toml:"control"`
@@ -194,6 +195,6 @@
 	return addresses
 }
 
-// votersFor returns the number of voting members that still have a majority after a
-// number of failures, at least 3.
+// votersFor returns how many voting members still have a majority after the given number
+// of failures; at least 3.
 func votersFor(failures int) int { return 2*max(failures, 1) + 1 }
--- a/internal/instance/settings_test.go
+++ b/internal/instance/settings_test.go
@@ -62,7 +62,7 @@
 }
 
 // Guards against a setting of the platform that is silently lost: the template that the
-// deploy file names lacks a setting, or has it under a name that no code reads.
+// deploy file names lacks the setting, or has it under a name that no code reads.
 func TestTemplateHasEverySetting(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/settings.toml.tmpl")
 	must.NoError(t, err)
