--- a/internal/cell/stats.go
+++ b/internal/cell/stats.go
@@ -15,6 +15,9 @@
 	waitSignificantDigits = 2
 )
 
+// microsPerMs is the number of microseconds in a millisecond.
+const microsPerMs = 1000
+
 // Stats are the counters of a cell and the waiting times of its jobs until their first
 // start.
 type Stats struct {
@@ -44,7 +47,7 @@
 func (h *Histogram) Summary() map[string]any {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	ms := func(quantile float64) float64 { return float64(h.histogram.ValueAtQuantile(quantile)) / 1000 }
+	ms := func(quantile float64) float64 { return float64(h.histogram.ValueAtQuantile(quantile)) / microsPerMs }
 	return map[string]any{"count": h.histogram.TotalCount(), "p50_ms": ms(50), "p99_ms": ms(99), "max_ms": ms(100)}
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -47,6 +47,10 @@
 // keeps running and uses more processor time. GOMEMLIMIT overrides the limit.
 const softMemoryLimit = 48 << 20
 
+// adminHeaderTimeout bounds how long a client of the admin address may take to send the
+// header of a request.
+const adminHeaderTimeout = 5 * time.Second
+
 // Base holds what each process of an instance needs: its settings, clients, logs and
 // metrics.
 type Base struct {
@@ -219,7 +223,7 @@
 	if s.Admin == "" {
 		return func() {}
 	}
-	admin := &http.Server{Addr: s.Admin, Handler: b.adminHandler(s.Ready), ReadHeaderTimeout: 5 * time.Second}
+	admin := &http.Server{Addr: s.Admin, Handler: b.adminHandler(s.Ready), ReadHeaderTimeout: adminHeaderTimeout}
 	group.Go(func() error { return ignoreClosed(admin.ListenAndServe()) })
 	return func() { _ = admin.Close() }
 }
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -12,6 +12,9 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
+// latencySignificantDigits is the precision of the histogram of latencies.
+const latencySignificantDigits = 3
+
 // BenchmarkAddedLatency measures the latency of sequential requests, sent directly to the
 // minion and through the handler.
 func BenchmarkAddedLatency(b *testing.B) {
@@ -21,7 +24,7 @@
 	urls := map[string]string{"direct": m.server.URL, "proxied": cluster.server.URL + Prefix + testService}
 	for _, route := range []string{"direct", "proxied"} {
 		b.Run(route, func(b *testing.B) {
-			latencies := hdrhistogram.New(1, time.Second.Microseconds(), 3)
+			latencies := hdrhistogram.New(1, time.Second.Microseconds(), latencySignificantDigits)
 			for b.Loop() {
 				begin := time.Now()
 				get(b, urls[route]+"/tag")
@@ -37,12 +40,15 @@
 // slots of all minions together, so that no call waits for a slot.
 const concurrentCallers = 48
 
+// benchmarkMinions is the number of minions of BenchmarkThroughput.
+const benchmarkMinions = 10
+
 // BenchmarkThroughput measures the throughput of concurrent callers on ten minions.
 func BenchmarkThroughput(b *testing.B) {
 	cluster := startTestCluster(b, func(cfg *Config) {
 		cfg.Balancer = routing.NewBalancer(routing.Options{Entry: "e1", Incarnation: 1, MaxWait: 5 * time.Second})
 	})
-	for range 10 {
+	for range benchmarkMinions {
 		cluster.announce(startMinion(b, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }))
 	}
 	work := make(chan struct{})
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -14,6 +14,14 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
+// defaultRetryAfter is the time after which a caller may retry a request that failed for
+// a reason other than a refusal by the Balancer.
+const defaultRetryAfter = time.Second
+
+// connsPerSlot is the number of connections to a minion that are set aside for each of
+// its slots. The remaining connections that the minion allows may stay open idle.
+const connsPerSlot = 2
+
 // call is one request of a caller, with all its attempts on minions.
 type call struct {
 	h             *Handler
@@ -77,7 +85,7 @@
 	}
 	if c.h.bufferedBytes.Add(size) > c.h.cfg.MaxBuffered {
 		c.h.bufferedBytes.Add(-size)
-		return fault.Retry(fault.Overloaded, time.Second, "the limit on memory for request bodies is reached")
+		return fault.Retry(fault.Overloaded, defaultRetryAfter, "the limit on memory for request bodies is reached")
 	}
 	c.reservedBytes = size
 	return nil
@@ -254,7 +262,7 @@
 	if target.MaxConnections == 0 {
 		return defaultMaxIdleConns
 	}
-	return max(0, (target.MaxConnections-2*target.Slots)/h.cfg.MaxEntries)
+	return max(0, (target.MaxConnections-connsPerSlot*target.Slots)/h.cfg.MaxEntries)
 }
 
 // finishWithoutResponse ends an attempt that has no complete response. It returns
@@ -311,9 +319,9 @@
 	case !c.sent && c.refusal() != nil:
 		c.refuse(c.refusal())
 	case !c.sent:
-		c.h.fail(c.w, fault.Retry(fault.NotRun, time.Second, "no minion could be reached; the request was not sent"))
+		c.h.fail(c.w, fault.Retry(fault.NotRun, defaultRetryAfter, "no minion could be reached; the request was not sent"))
 	case c.request.Idempotent:
-		c.h.fail(c.w, lostResponseFault(time.Second))
+		c.h.fail(c.w, lostResponseFault(defaultRetryAfter))
 	default:
 		c.h.fail(c.w, fault.New(fault.Unknown, "the response of the minion was lost; the request may have run"))
 	}
--- a/internal/proxy/cluster_test.go
+++ b/internal/proxy/cluster_test.go
@@ -40,6 +40,14 @@
 	}
 }
 
+// refusedCalls is how many calls TestRetryAfterOfRefusedCallersIsSpread makes while all
+// slots are occupied. The calls must get more than distinctRetryAftersBound different
+// retry times.
+const (
+	refusedCalls             = 10
+	distinctRetryAftersBound = 7
+)
+
 // Guards against synchronized retries: rejected callers that all get the same
 // retry time come back together and are rejected again.
 func TestRetryAfterOfRefusedCallersIsSpread(t *testing.T) {
@@ -53,10 +61,10 @@
 		callers.Go(func() { cluster.send(nil, http.MethodGet, "/x", nil) })
 	}
 	for cluster.handler.Stats().Running < testSlots {
-		time.Sleep(time.Millisecond)
+		time.Sleep(pollInterval)
 	}
 	retryAfters := make(map[string]bool)
-	for range 10 {
+	for range refusedCalls {
 		req, err := http.NewRequest(http.MethodGet, cluster.server.URL+Prefix+testService+"/x", nil)
 		must.NoError(t, err)
 		req.Header.Set(HeaderDeadline, "60")
@@ -69,7 +77,7 @@
 		must.Positive(t, seconds)
 		retryAfters[resp.Header.Get(HeaderRetryAfterMs)] = true
 	}
-	must.Greater(t, 7, len(retryAfters))
+	must.Greater(t, distinctRetryAftersBound, len(retryAfters))
 	close(unblock)
 	callers.Wait()
 }
@@ -103,16 +111,28 @@
 	p.server.Close()
 }
 
+// Times of TestEntryRestartsUnderLoadNeverExceedSlots.
+const (
+	// loadRequestDuration is how long a minion works on a request.
+	loadRequestDuration = 5 * time.Millisecond
+	// announceRoundInterval is the interval of the announcements of all minions.
+	announceRoundInterval = 100 * time.Millisecond
+	// restartInterval is the time before each restart of an entry instance.
+	restartInterval = 300 * time.Millisecond
+	// loadAfterRestarts is how long the load continues after the last restart.
+	loadAfterRestarts = 1500 * time.Millisecond
+)
+
 // Guards against overloaded minions after a crash: entry instances are killed and
 // restarted under load, over TCP connections, and the slots of a killed instance are
 // allocated again while its requests still run.
 func TestEntryRestartsUnderLoadNeverExceedSlots(t *testing.T) {
 	const entries, minions, callersEach, restarts = 3, 4, 20, 3
 	leader := NewLeader(routing.LeaseOptions{}, nil)
-	leader.allocator.Lead(1, nil, -time.Hour)
+	leader.allocator.Lead(1, nil, longAgo)
 	var fakes []*fakeMinion
 	for range minions {
-		fakes = append(fakes, startMinion(t, func(http.ResponseWriter, *http.Request) { time.Sleep(5 * time.Millisecond) }))
+		fakes = append(fakes, startMinion(t, func(http.ResponseWriter, *http.Request) { time.Sleep(loadRequestDuration) }))
 	}
 	var processes [entries]atomic.Pointer[entryProcess]
 	restart := func(i int, incarnation uint64) {
@@ -133,7 +153,7 @@
 					})
 				}
 			}
-			time.Sleep(100 * time.Millisecond)
+			time.Sleep(announceRoundInterval)
 		}
 	})
 	var succeeded atomic.Int64
@@ -142,7 +162,7 @@
 			for ctx.Err() == nil {
 				resp, err := http.Get(processes[n%entries].Load().server.URL + Prefix + testService + "/x")
 				if err != nil {
-					time.Sleep(time.Millisecond)
+					time.Sleep(pollInterval)
 					continue
 				}
 				resp.Body.Close()
@@ -153,11 +173,11 @@
 		})
 	}
 	for r := range restarts {
-		time.Sleep(300 * time.Millisecond)
+		time.Sleep(restartInterval)
 		processes[r%entries].Load().kill()
 		restart(r%entries, uint64(r+2))
 	}
-	time.Sleep(1500 * time.Millisecond)
+	time.Sleep(loadAfterRestarts)
 	stop()
 	running.Wait()
 	for i := range processes {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -23,7 +23,13 @@
 const (
 	testService = "inspect-hub"
 	testSlots   = 8
+	// waitTimeout bounds the wait for an event that a test expects.
 	waitTimeout = 10 * time.Second
+	// pollInterval is the interval at which tests check a condition.
+	pollInterval = time.Millisecond
+	// longAgo is a reading of a leader's clock. All leases that were in force at that
+	// time have expired.
+	longAgo = -time.Hour
 )
 
 // fakeMinion is an HTTP server that counts its requests: all that it has served, those
@@ -78,7 +84,7 @@
 	}
 	c := &testCluster{leader: NewLeader(routing.LeaseOptions{}, nil), handler: New(cfg)}
 	c.leader.Lead(1, nil)
-	c.leader.allocator.Lead(1, nil, -time.Hour) // the leases of a predecessor have expired
+	c.leader.allocator.Lead(1, nil, longAgo) // the leases of a predecessor have expired
 	c.server = httptest.NewServer(c.handler)
 	ctx, stop := context.WithCancel(context.Background())
 	c.stop = stop
@@ -111,7 +117,7 @@
 	}
 	c.handler.Announce(a)
 	for c.handler.Stats().GrantedSlots < c.minions*testSlots {
-		time.Sleep(time.Millisecond)
+		time.Sleep(pollInterval)
 	}
 	c.background.Go(func() {
 		for c.ctx.Err() == nil {
@@ -228,14 +234,15 @@
 	cluster.announce(m)
 	must.Eq(t, http.StatusOK, cluster.send(nil, http.MethodGet, "/checkin", nil).status)
 	dying.Store(true)
+	const requests = 3
 	before := m.served.Load()
-	for range 3 {
+	for range requests {
 		header := http.Header{"Idempotency-Key": {"k"}}
 		got := cluster.send(header, http.MethodGet, "/checkin", nil)
 		must.NoError(t, got.err)
 		must.StrContains(t, "Unknown Overloaded", got.kind)
 	}
-	must.LessEq(t, before+3, m.served.Load())
+	must.LessEq(t, before+requests, m.served.Load())
 	must.LessEq(t, int64(cluster.handler.Stats().Balancer.Started), m.served.Load())
 }
 
@@ -316,14 +323,16 @@
 // Guards against an overloaded minion: more requests are sent at the same time than the
 // minion has slots, and it must never run more than it has slots.
 func TestMinionNeverExceedsItsSlots(t *testing.T) {
+	const callerCount, requestsEach = 40, 10
+	const requestDuration = 2 * time.Millisecond
 	cluster := startTestCluster(t, nil)
-	m := startMinion(t, func(http.ResponseWriter, *http.Request) { time.Sleep(2 * time.Millisecond) })
+	m := startMinion(t, func(http.ResponseWriter, *http.Request) { time.Sleep(requestDuration) })
 	cluster.announce(m)
 	var callers sync.WaitGroup
 	var succeeded atomic.Int64
-	for range 40 {
+	for range callerCount {
 		callers.Go(func() {
-			for range 10 {
+			for range requestsEach {
 				if cluster.send(nil, http.MethodGet, "/x", nil).status == http.StatusOK {
 					succeeded.Add(1)
 				}
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -18,6 +18,9 @@
 	waitSignificantDigits = 2
 )
 
+// microsPerMs is the number of microseconds in a millisecond.
+const microsPerMs = 1000
+
 // stats holds the counters and waiting times of a Handler.
 type stats struct {
 	requests            atomic.Uint64
@@ -98,8 +101,8 @@
 	for kind, n := range h.stats.faults {
 		out.Faults[kind] = n
 	}
-	out.WaitP50Ms = float64(h.stats.waits.ValueAtQuantile(50)) / 1000
-	out.WaitP99Ms = float64(h.stats.waits.ValueAtQuantile(99)) / 1000
+	out.WaitP50Ms = float64(h.stats.waits.ValueAtQuantile(50)) / microsPerMs
+	out.WaitP99Ms = float64(h.stats.waits.ValueAtQuantile(99)) / microsPerMs
 	h.stats.mu.Unlock()
 	h.mu.Lock()
 	defer h.mu.Unlock()
