--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -45,7 +45,7 @@
 	groupName string
 
 	// slots allocates the slots of the data centre's minions while this replica leads.
-	slots   *proxy.Leader
+	slots   *proxy.SlotAllocator
 	stats   Stats
 	started time.Time
 	// leaderTerm is nil while this replica doesn't lead.
@@ -61,7 +61,7 @@
 		base: b, log: logs.Home, machine: logs.Machine, configLog: logs.Configuration, register: logs.Register,
 		groups: logs.Groups, groupName: b.Instance.DataCentre, started: time.Now(), draining: make(chan struct{}),
 	}
-	c.slots = proxy.NewLeader(wire.LeaseOptions(b.Settings.Timing), c.monotonic)
+	c.slots = proxy.NewSlotAllocator(wire.LeaseOptions(b.Settings.Timing), c.monotonic)
 	c.stats.init()
 	return c
 }
--- a/internal/proxy/cluster_test.go
+++ b/internal/proxy/cluster_test.go
@@ -90,7 +90,7 @@
 }
 
 // startEntryProcess starts an entry instance that gets its slots from the given leader.
-func startEntryProcess(leader *Leader, id string, incarnation uint64) *entryProcess {
+func startEntryProcess(slots *SlotAllocator, id string, incarnation uint64) *entryProcess {
 	p := &entryProcess{handler: New(Config{
 		Balancer:     routing.NewBalancer(routing.Options{Entry: id, Incarnation: incarnation, Seed: incarnation}),
 		Authenticate: func(*http.Request) (string, error) { return "c", nil },
@@ -99,7 +99,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
 	go p.handler.RenewSlotLeases(ctx, func(_ context.Context, r *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error) {
-		return leader.Allocate(r)
+		return slots.Allocate(r)
 	})
 	return p
 }
@@ -128,15 +128,15 @@
 // allocated again while its requests still run.
 func TestEntryRestartsUnderLoadNeverExceedSlots(t *testing.T) {
 	const entries, minions, callersEach, restarts = 3, 4, 20, 3
-	leader := NewLeader(routing.LeaseOptions{}, nil)
-	leader.allocator.Lead(1, nil, longAgo)
+	slots := NewSlotAllocator(routing.LeaseOptions{}, nil)
+	slots.allocator.Lead(1, nil, longAgo)
 	var fakes []*fakeMinion
 	for range minions {
 		fakes = append(fakes, startMinion(t, func(http.ResponseWriter, *http.Request) { time.Sleep(loadRequestDuration) }))
 	}
 	var processes [entries]atomic.Pointer[entryProcess]
 	restart := func(i int, incarnation uint64) {
-		processes[i].Store(startEntryProcess(leader, fmt.Sprint("e", i), incarnation))
+		processes[i].Store(startEntryProcess(slots, fmt.Sprint("e", i), incarnation))
 	}
 	for i := range entries {
 		restart(i, 1)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -63,7 +63,7 @@
 
 // testCluster is one data centre with a leader, one entry instance and minions.
 type testCluster struct {
-	leader     *Leader
+	slots      *SlotAllocator
 	handler    *Handler
 	server     *httptest.Server
 	stop       context.CancelFunc
@@ -82,9 +82,9 @@
 	if configure != nil {
 		configure(&cfg)
 	}
-	c := &testCluster{leader: NewLeader(routing.LeaseOptions{}, nil), handler: New(cfg)}
-	c.leader.Lead(1, nil)
-	c.leader.allocator.Lead(1, nil, longAgo) // the leases of a predecessor have expired
+	c := &testCluster{slots: NewSlotAllocator(routing.LeaseOptions{}, nil), handler: New(cfg)}
+	c.slots.Lead(1, nil)
+	c.slots.allocator.Lead(1, nil, longAgo) // the leases of a predecessor have expired
 	c.server = httptest.NewServer(c.handler)
 	ctx, stop := context.WithCancel(context.Background())
 	c.stop = stop
@@ -100,7 +100,7 @@
 }
 
 func (c *testCluster) allocate(_ context.Context, req *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error) {
-	return c.leader.Allocate(req)
+	return c.slots.Allocate(req)
 }
 
 // announce adds a minion, waits until its slots are granted, and renews its
@@ -317,7 +317,7 @@
 	must.NoError(t, cluster.handler.Wait(context.Background()))
 	cluster.stop()
 	cluster.background.Wait()
-	must.True(t, cluster.leader.allocator.Occupied("m1") == 0)
+	must.True(t, cluster.slots.allocator.Occupied("m1") == 0)
 }
 
 // Guards against an overloaded minion: more requests are sent at the same time than the
--- a/internal/proxy/slots.go
+++ b/internal/proxy/slots.go
@@ -143,44 +143,44 @@
 // Leader allocates the slots of a data centre's minions to its entry instances.
 // It runs in the process of the data centre's leader and is safe for concurrent
 // use.
-type Leader struct {
+type SlotAllocator struct {
 	mu        sync.Mutex
 	allocator *routing.Allocator
 	now       func() time.Duration
 }
 
-// NewLeader returns a Leader that rejects slot requests until Lead is called.
+// NewSlotAllocator returns a Leader that rejects slot requests until Lead is called.
 // A nil now means MonotonicClock.
-func NewLeader(opts routing.LeaseOptions, now func() time.Duration) *Leader {
+func NewSlotAllocator(opts routing.LeaseOptions, now func() time.Duration) *SlotAllocator {
 	if now == nil {
 		now = MonotonicClock()
 	}
-	return &Leader{allocator: routing.NewAllocator(opts), now: now}
+	return &SlotAllocator{allocator: routing.NewAllocator(opts), now: now}
 }
 
 // Lead starts a leader term; see routing.Allocator.Lead.
-func (l *Leader) Lead(term uint64, entries []string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.allocator.Lead(term, entries, l.now())
+func (a *SlotAllocator) Lead(term uint64, entries []string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.allocator.Lead(term, entries, a.now())
 }
 
 // Resign ends the leader term.
-func (l *Leader) Resign() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.allocator.Resign()
+func (a *SlotAllocator) Resign() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.allocator.Resign()
 }
 
 // Allocate responds to a slot request. Its error is a fault: Invalid without an
 // entry instance, Unavailable if the slots can't be allocated now.
-func (l *Leader) Allocate(req *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error) {
+func (a *SlotAllocator) Allocate(req *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error) {
 	if req.GetEntry() == "" {
 		return nil, fault.Field("entry", "missing")
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	resp, err := l.allocator.Allocate(RequestFromWire(req), l.now())
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	resp, err := a.allocator.Allocate(RequestFromWire(req), a.now())
 	if err != nil {
 		return nil, fault.New(fault.Unavailable, "%v", err)
 	}
@@ -188,8 +188,8 @@
 }
 
 // Minions returns the announcements of the minions that may get requests.
-func (l *Leader) Minions() []routing.Announcement {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.allocator.Minions()
+func (a *SlotAllocator) Minions() []routing.Announcement {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.allocator.Minions()
 }
