--- a/internal/cell/leader_term.go
+++ b/internal/cell/leader_term.go
@@ -93,8 +93,8 @@
 	c.runDecisions(ctx, t)
 }
 
-// newLeaderTerm fills the caches from the replicated state and collects its changes from
-// then on.
+// newLeaderTerm fills the caches from the replicated state and begins to collect the
+// changes that follow.
 func (c *Cell) newLeaderTerm(term uint64) *leaderTerm {
 	timing := c.base.Settings.Timing
 	t := &leaderTerm{
--- a/internal/cell/outbox.go
+++ b/internal/cell/outbox.go
@@ -84,8 +84,8 @@
 	return box
 }
 
-// wakeHeldRenewals ends every held renewal of the leader term, so that workers
-// search for the next leader immediately.
+// wakeHeldRenewals ends every held renewal of the leader term, so that workers search for
+// the next leader immediately.
 func (t *leaderTerm) wakeHeldRenewals() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/entry/gateway.go
+++ b/internal/entry/gateway.go
@@ -35,9 +35,9 @@
 	})
 }
 
-// cancelOnDrain returns a context that ends when the instance drains. A held call
-// then ends immediately and doesn't delay the shutdown; its worker renews at another
-// entry instance.
+// cancelOnDrain returns a context that ends when the instance drains. A held call with
+// this context ends immediately and doesn't delay the shutdown; its worker renews at
+// another entry instance.
 func (e *Entry) cancelOnDrain(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
--- a/internal/entry/scheduler.go
+++ b/internal/entry/scheduler.go
@@ -31,7 +31,8 @@
 	}
 	// The leader checks the spec too. Checking it here keeps the load of invalid requests
 	// off the leader. The leader alone checks the deadline, since a retried request gets
-	// its first response even after its deadline.
+	// its first response even after its deadline; faults of the deadline are ignored
+	// here, so any time may be passed as the current one.
 	if _, err := wire.CheckSpec(r.Spec, e.base.Settings.Limits, time.Time{}.Add(time.Hour)); err != nil && fault.From(err).Field != "deadline_unix_ms" {
 		return nil, err
 	}
--- a/internal/instance/operations.go
+++ b/internal/instance/operations.go
@@ -46,8 +46,8 @@
 	return gateway.CallForCaller[Reply](ctx, o.gateway, receivedAt, method, request)
 }
 
-// checkVersionOrder returns err, or another error if the outcome of the local controller must
-// be withheld because its configuration version is out of order.
+// checkVersionOrder returns err, or another error if the outcome of the local controller
+// must be withheld because its configuration version is out of order.
 func (o *Operations) checkVersionOrder(receivedAt time.Time, method string, version uint64, err error) error {
 	return o.gateway.WithholdOutOfOrder(gateway.Outcome{Method: method, ReceivedAt: receivedAt, Version: version, AnsweredBy: fromSelf, Err: err})
 }
--- a/internal/instance/settings.go
+++ b/internal/instance/settings.go
@@ -1,7 +1,7 @@
-// Package instance runs the two daemons of a cell whose data centres share one
-// log: bilberry-cored on instances with a disk, bilberry-edged on those that
-// serve callers. It reads their settings, opens their sockets, and shuts them
-// down gracefully, so that requests in flight are answered.
+// Package instance runs the two daemons of a cell whose data centres share one log:
+// bilberry-cored on instances with a disk, bilberry-edged on those that serve callers. It
+// reads their settings, opens their sockets, and shuts them down gracefully, so that
+// requests in flight get their response.
 package instance
 
 import (
@@ -52,11 +52,11 @@
 	FirstStart bool `toml:"first_start"`
 	// DataFolder is the folder for the log on the machine's disk.
 	DataFolder string `toml:"data_folder"`
-	// Adviser is the address of the adviser, which answers queries for permits; empty for
-	// none.
+	// Adviser is the address of the adviser, which responds to queries for permits; empty
+	// for none.
 	Adviser string `toml:"adviser"`
 	// WorkerOrders is how workers get their orders: "push" for calls to the workers,
-	// "heartbeat" for orders in the answers to heartbeats. Empty means "push".
+	// "heartbeat" for orders in the responses to heartbeats. Empty means "push".
 	WorkerOrders string `toml:"worker_orders"`
 	// MachineList is the address of the deployment's list of machines; empty for none.
 	MachineList string `toml:"machine_list"`
--- a/internal/proxy/cluster_test.go
+++ b/internal/proxy/cluster_test.go
@@ -89,7 +89,7 @@
 	stop    context.CancelFunc
 }
 
-// startEntryProcess starts an entry instance that gets its slots from the given leader.
+// startEntryProcess starts an entry instance that gets its slots from an allocator.
 func startEntryProcess(slots *SlotAllocator, id string, incarnation uint64) *entryProcess {
 	p := &entryProcess{handler: New(Config{
 		Balancer:     routing.NewBalancer(routing.Options{Entry: id, Incarnation: incarnation, Seed: incarnation}),
@@ -104,7 +104,7 @@
 	return p
 }
 
-// kill ends the process without releasing its slots at the leader.
+// kill ends the process without releasing its slots at the allocator.
 func (p *entryProcess) kill() {
 	p.server.CloseClientConnections()
 	p.stop()
@@ -187,5 +187,5 @@
 	for _, m := range fakes {
 		must.LessEq(t, int64(testSlots), m.maxRunning.Load())
 	}
-	t.Logf("%d requests answered", succeeded.Load())
+	t.Logf("%d requests succeeded", succeeded.Load())
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -61,7 +61,7 @@
 	return m
 }
 
-// testCluster is one data centre with a leader, one entry instance and minions.
+// testCluster is one data centre with a slot allocator, one entry instance and minions.
 type testCluster struct {
 	slots      *SlotAllocator
 	handler    *Handler
--- a/internal/proxy/slots.go
+++ b/internal/proxy/slots.go
@@ -140,17 +140,16 @@
 	})
 }
 
-// Leader allocates the slots of a data centre's minions to its entry instances.
-// It runs in the process of the data centre's leader and is safe for concurrent
-// use.
+// SlotAllocator allocates the slots of a data centre's minions to its entry instances. It
+// runs in the process of the data centre's leader and is safe for concurrent use.
 type SlotAllocator struct {
 	mu        sync.Mutex
 	allocator *routing.Allocator
 	now       func() time.Duration
 }
 
-// NewSlotAllocator returns a Leader that rejects slot requests until Lead is called.
-// A nil now means MonotonicClock.
+// NewSlotAllocator returns a SlotAllocator that rejects slot requests until Lead is
+// called. A nil now means MonotonicClock.
 func NewSlotAllocator(opts routing.LeaseOptions, now func() time.Duration) *SlotAllocator {
 	if now == nil {
 		now = MonotonicClock()
@@ -165,7 +164,7 @@
 	a.allocator.Lead(term, entries, a.now())
 }
 
-// Resign ends the leader term.
+// Resign ends the leader term. Slot requests are rejected until Lead is called again.
 func (a *SlotAllocator) Resign() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
