--- a/internal/cell/stats.go
+++ b/internal/cell/stats.go
@@ -8,21 +8,26 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the waiting time histogram in microseconds, and its significant digits.
+// Bounds of the histogram of waiting times in microseconds, and its significant digits.
 const (
-	minWait       = 1
-	maxWait       = int64(24 * time.Hour / time.Microsecond)
-	waitPrecision = 2
+	minWaitMicros         = 1
+	maxWaitMicros         = int64(24 * time.Hour / time.Microsecond)
+	waitSignificantDigits = 2
 )
 
-// Stats are the counters of a cell.
+// microsPerMs is the number of microseconds in a millisecond.
+const microsPerMs = 1000
+
+// Stats are the counters of a cell and the waiting times of its jobs until their first
+// start.
 type Stats struct {
 	Submissions, Refusals, Starts, Renewals, Reports, Rebuilds expvar.Int
 	Waits                                                      Histogram
 }
 
+// init creates the histogram of waiting times.
 func (s *Stats) init() {
-	s.Waits.histogram = hdrhistogram.New(minWait, maxWait, waitPrecision)
+	s.Waits.histogram = hdrhistogram.New(minWaitMicros, maxWaitMicros, waitSignificantDigits)
 }
 
 // Histogram is a histogram of durations that is safe for concurrent use.
@@ -35,14 +40,14 @@
 func (h *Histogram) Record(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_ = h.histogram.RecordValue(min(max(d.Microseconds(), minWait), maxWait))
+	_ = h.histogram.RecordValue(min(max(d.Microseconds(), minWaitMicros), maxWaitMicros))
 }
 
 // Summary returns the count, the percentiles and the maximum, in ms, for the metrics.
 func (h *Histogram) Summary() map[string]any {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	ms := func(quantile float64) float64 { return float64(h.histogram.ValueAtQuantile(quantile)) / 1000 }
+	ms := func(quantile float64) float64 { return float64(h.histogram.ValueAtQuantile(quantile)) / microsPerMs }
 	return map[string]any{"count": h.histogram.TotalCount(), "p50_ms": ms(50), "p99_ms": ms(99), "max_ms": ms(100)}
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -47,6 +47,10 @@
 // keeps running and uses more processor time. GOMEMLIMIT overrides the limit.
 const softMemoryLimit = 48 << 20
 
+// adminHeaderTimeout bounds how long a client of the admin address may take to send the
+// header of a request.
+const adminHeaderTimeout = 5 * time.Second
+
 // Base holds what each process of an instance needs: its settings, clients, logs and
 // metrics.
 type Base struct {
@@ -68,7 +72,9 @@
 }
 
 // NewBase returns the Base of a process of an instance. role names the process in logs
-// and events, such as "entry". dial opens its connections; nil means plain TCP.
+// and events, such as "entry". dial opens its connections; nil means plain TCP. It
+// returns an error if the instance is unknown, or its tokens or its event file can't be
+// read.
 func NewBase(s *settings.Settings, instance, role string, logs io.Writer, dial rpc.Dial) (*Base, error) {
 	ownInstance, err := s.Instance(instance)
 	if err != nil {
@@ -100,8 +106,8 @@
 	return base, nil
 }
 
-// Traffic is the traffic of one kind of connections, with the overhead of HTTP and
-// without that of TCP and IP.
+// Traffic is the number of bytes on one kind of connections, with the overhead of HTTP
+// and without that of TCP and IP.
 type Traffic struct {
 	BytesSent, BytesReceived uint64
 }
@@ -150,8 +156,8 @@
 	Run func(context.Context) error
 	// BeginShutdown ends readiness and held calls. Requests in flight continue.
 	BeginShutdown func()
-	// Finish, if set, is called after the server has shut down and before the context
-	// of Run ends.
+	// Finish, if set, is called after the server has shut down and before the context of
+	// Run ends. Its context ends at the shutdown limit.
 	Finish func(context.Context)
 }
 
@@ -217,7 +223,7 @@
 	if s.Admin == "" {
 		return func() {}
 	}
-	admin := &http.Server{Addr: s.Admin, Handler: b.adminHandler(s.Ready), ReadHeaderTimeout: 5 * time.Second}
+	admin := &http.Server{Addr: s.Admin, Handler: b.adminHandler(s.Ready), ReadHeaderTimeout: adminHeaderTimeout}
 	group.Go(func() error { return ignoreClosed(admin.ListenAndServe()) })
 	return func() { _ = admin.Close() }
 }
--- a/internal/entry/minions.go
+++ b/internal/entry/minions.go
@@ -17,7 +17,7 @@
 
 var _ apiv1.MinionGateway = (*Entry)(nil)
 
-// Limits of what a minion may announce; names are in bytes.
+// Limits of the values that a minion may announce. maxNameLength is in bytes.
 const (
 	maxSlots       = 10_000
 	maxConnections = 100_000
@@ -33,7 +33,7 @@
 	return options
 }
 
-// customerOf returns the customer of a request to a service by its token. Its error
+// customerOf returns the customer whose token a request to a service presents. Its error
 // is a fault.
 func (e *Entry) customerOf(r *http.Request) (string, error) {
 	identity, err := e.base.Tokens.Authenticate(r.Header.Get("Authorization"))
@@ -55,9 +55,9 @@
 	}
 	var response *apiv1.ShareSlotsResponse
 	options := directory.CallOptions{AttemptTimeout: time.Duration(e.base.Settings.Timing.SlotLease) / 4}
-	err = e.base.Directory.CallLeader(ctx, e.base.Instance.DataCentre, options, func(ctx context.Context, base string) error {
+	err = e.base.Directory.CallLeader(ctx, e.base.Instance.DataCentre, options, func(ctx context.Context, baseURL string) error {
 		var err error
-		response, err = e.clientsOf(base).peer.ShareSlots(ctx, r)
+		response, err = e.clientsOf(baseURL).peer.ShareSlots(ctx, r)
 		return err
 	})
 	return response, err
--- a/internal/instance/settings.go
+++ b/internal/instance/settings.go
@@ -1,7 +1,7 @@
-// Package instance runs the two daemons of a cell whose data centres share one
-// log: bilberry-cored on instances with a disk, bilberry-edged on those that
-// serve callers. It reads their settings, opens their sockets, and shuts them
-// down gracefully, so that requests in flight are answered.
+// Package instance runs the two daemons of a cell whose data centres share one log:
+// bilberry-cored on instances with a disk, bilberry-edged on those that serve callers. It
+// reads their settings, opens their sockets, and shuts them down gracefully, so that
+// requests in flight get their response.
 package instance
 
 import (
@@ -32,7 +32,8 @@
 	InternalPort string `toml:"internal_port"`
 	// MetricsAddress is where counters and histograms are served; empty for none.
 	MetricsAddress string `toml:"metrics_address"`
-	// Entry, Readiness and Control are the addresses that the process serves.
+	// Entry is the address for callers and Readiness that of the readiness check, both of
+	// an edge instance. Control is the control address of a core instance.
 	Entry     string `toml:"entry"`
 	Readiness string `toml:"readiness"`
 	Control   string `toml:"control"`
@@ -51,11 +52,11 @@
 	FirstStart bool `toml:"first_start"`
 	// DataFolder is the folder for the log on the machine's disk.
 	DataFolder string `toml:"data_folder"`
-	// Adviser is the address of the adviser, which answers queries for permits; empty for
-	// none.
+	// Adviser is the address of the adviser, which responds to queries for permits; empty
+	// for none.
 	Adviser string `toml:"adviser"`
 	// WorkerOrders is how workers get their orders: "push" for calls to the workers,
-	// "heartbeat" for orders in the answers to heartbeats. Empty means "push".
+	// "heartbeat" for orders in the responses to heartbeats. Empty means "push".
 	WorkerOrders string `toml:"worker_orders"`
 	// MachineList is the address of the deployment's list of machines; empty for none.
 	MachineList string `toml:"machine_list"`
@@ -194,6 +195,6 @@
 	return addresses
 }
 
-// votersFor returns the number of voting members that still have a majority after a
-// number of failures, at least 3.
+// votersFor returns how many voting members still have a majority after the given number
+// of failures; at least 3.
 func votersFor(failures int) int { return 2*max(failures, 1) + 1 }
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -12,8 +12,11 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
-// BenchmarkAddedLatency measures the latency of sequential requests, directly to
-// the minion and through the handler.
+// latencySignificantDigits is the precision of the histogram of latencies.
+const latencySignificantDigits = 3
+
+// BenchmarkAddedLatency measures the latency of sequential requests, sent directly to the
+// minion and through the handler.
 func BenchmarkAddedLatency(b *testing.B) {
 	cluster := startTestCluster(b, nil)
 	m := startMinion(b, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
@@ -21,28 +24,31 @@
 	urls := map[string]string{"direct": m.server.URL, "proxied": cluster.server.URL + Prefix + testService}
 	for _, route := range []string{"direct", "proxied"} {
 		b.Run(route, func(b *testing.B) {
-			times := hdrhistogram.New(1, time.Second.Microseconds(), 3)
+			latencies := hdrhistogram.New(1, time.Second.Microseconds(), latencySignificantDigits)
 			for b.Loop() {
 				begin := time.Now()
 				get(b, urls[route]+"/tag")
-				_ = times.RecordValue(time.Since(begin).Microseconds())
+				_ = latencies.RecordValue(time.Since(begin).Microseconds())
 			}
-			b.ReportMetric(float64(times.ValueAtQuantile(50)), "p50-µs")
-			b.ReportMetric(float64(times.ValueAtQuantile(99)), "p99-µs")
+			b.ReportMetric(float64(latencies.ValueAtQuantile(50)), "p50-µs")
+			b.ReportMetric(float64(latencies.ValueAtQuantile(99)), "p99-µs")
 		})
 	}
 }
 
-// concurrentCallers is less than the slots of the ten minions, so that no call
-// waits for a slot.
+// concurrentCallers is the number of callers of BenchmarkThroughput. It is less than the
+// slots of all minions together, so that no call waits for a slot.
 const concurrentCallers = 48
 
-// BenchmarkThroughput measures concurrent callers on ten minions.
+// benchmarkMinions is the number of minions of BenchmarkThroughput.
+const benchmarkMinions = 10
+
+// BenchmarkThroughput measures the throughput of concurrent callers on ten minions.
 func BenchmarkThroughput(b *testing.B) {
 	cluster := startTestCluster(b, func(cfg *Config) {
 		cfg.Balancer = routing.NewBalancer(routing.Options{Entry: "e1", Incarnation: 1, MaxWait: 5 * time.Second})
 	})
-	for range 10 {
+	for range benchmarkMinions {
 		cluster.announce(startMinion(b, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }))
 	}
 	work := make(chan struct{})
@@ -50,7 +56,7 @@
 	for range concurrentCallers {
 		callers.Go(func() {
 			for range work {
-				if got := cluster.do(nil, http.MethodGet, "/tag", nil); got.status != http.StatusOK {
+				if got := cluster.send(nil, http.MethodGet, "/tag", nil); got.status != http.StatusOK {
 					b.Error(got.status, got.err, got.body)
 				}
 			}
@@ -63,6 +69,8 @@
 	callers.Wait()
 }
 
+// get requests a URL, reads the response and fails the benchmark unless the status is
+// 200.
 func get(b *testing.B, url string) {
 	resp, err := http.Get(url)
 	if err != nil {
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -14,7 +14,15 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
-// call is one request of a caller, with all its attempts.
+// defaultRetryAfter is the time after which a caller may retry a request that failed for
+// a reason other than a refusal by the Balancer.
+const defaultRetryAfter = time.Second
+
+// connsPerSlot is the number of connections to a minion that are set aside for each of
+// its slots. The remaining connections that the minion allows may stay open idle.
+const connsPerSlot = 2
+
+// call is one request of a caller, with all its attempts on minions.
 type call struct {
 	h             *Handler
 	w             http.ResponseWriter
@@ -77,7 +85,7 @@
 	}
 	if c.h.bufferedBytes.Add(size) > c.h.cfg.MaxBuffered {
 		c.h.bufferedBytes.Add(-size)
-		return fault.Retry(fault.Overloaded, time.Second, "the limit on memory for request bodies is reached")
+		return fault.Retry(fault.Overloaded, defaultRetryAfter, "the limit on memory for request bodies is reached")
 	}
 	c.reservedBytes = size
 	return nil
@@ -175,22 +183,22 @@
 // refuse responds with the reason of the refusal.
 func (c *call) refuse(refusal *routing.Refusal) {
 	if c.sent {
-		// An earlier attempt may have run, so the caller must not learn that the
-		// request was rejected without effect.
+		// An earlier attempt may have run, so the response must not say that the request
+		// was rejected without effect.
 		c.h.fail(c.w, lostResponseFault(refusal.RetryAfter))
 		return
 	}
 	c.h.fail(c.w, refusalFault(refusal))
 }
 
-// lostResponseFault is the error of an idempotent request that may have run and
-// has no response. The caller may retry it.
+// lostResponseFault returns the error of an idempotent request that may have run and has
+// no response. The caller may retry the request.
 func lostResponseFault(retryAfter time.Duration) error {
 	return fault.Retry(fault.Unavailable, retryAfter, "the response of the minion was lost")
 }
 
-// refusalFault returns the fault of a refused ticket: NotFound for an unknown
-// service, otherwise Overloaded.
+// refusalFault returns the fault of a refused ticket: NotFound for an unknown service,
+// otherwise Overloaded.
 func refusalFault(refusal *routing.Refusal) error {
 	if refusal.Reason == routing.NoSuchService {
 		return fault.New(fault.NotFound, "%s", refusal.Error())
@@ -254,7 +262,7 @@
 	if target.MaxConnections == 0 {
 		return defaultMaxIdleConns
 	}
-	return max(0, (target.MaxConnections-2*target.Slots)/h.cfg.MaxEntries)
+	return max(0, (target.MaxConnections-connsPerSlot*target.Slots)/h.cfg.MaxEntries)
 }
 
 // finishWithoutResponse ends an attempt that has no complete response. It returns
@@ -301,19 +309,19 @@
 		c.h.stats.callersDisconnected.Add(1)
 		panic(http.ErrAbortHandler)
 	}
-	c.answerFailure()
+	c.respondWithFailure()
 	return true
 }
 
-// answerFailure responds to a call whose last attempt failed.
-func (c *call) answerFailure() {
+// respondWithFailure responds to a call whose last attempt failed.
+func (c *call) respondWithFailure() {
 	switch {
 	case !c.sent && c.refusal() != nil:
 		c.refuse(c.refusal())
 	case !c.sent:
-		c.h.fail(c.w, fault.Retry(fault.NotRun, time.Second, "no minion could be reached; the request was not sent"))
+		c.h.fail(c.w, fault.Retry(fault.NotRun, defaultRetryAfter, "no minion could be reached; the request was not sent"))
 	case c.request.Idempotent:
-		c.h.fail(c.w, lostResponseFault(time.Second))
+		c.h.fail(c.w, lostResponseFault(defaultRetryAfter))
 	default:
 		c.h.fail(c.w, fault.New(fault.Unknown, "the response of the minion was lost; the request may have run"))
 	}
--- a/internal/proxy/cluster_test.go
+++ b/internal/proxy/cluster_test.go
@@ -18,9 +18,9 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
-// Guards against a caller that waits indefinitely: the minion accepts the request
-// and never responds. An idempotent request is retried on another minion, any
-// other gets its error by its deadline.
+// Guards against a caller that waits indefinitely: the minion accepts the request and
+// never responds. An idempotent request is retried on another minion, and any other
+// request gets an error by its deadline.
 func TestRequestToHangingMinionEndsByItsDeadline(t *testing.T) {
 	cluster := startTestCluster(t, nil)
 	release := make(chan struct{})
@@ -32,14 +32,22 @@
 		}
 	}))
 	header := http.Header{HeaderDeadline: {"200"}}
-	must.Eq(t, fault.Unknown.String(), cluster.do(header, http.MethodGet, "/x", nil).kind)
+	must.Eq(t, fault.Unknown.String(), cluster.send(header, http.MethodGet, "/x", nil).kind)
 	cluster.announce(startMinion(t, func(http.ResponseWriter, *http.Request) {}))
 	header = http.Header{HeaderDeadline: {"4000"}, HeaderIdempotent: {"true"}}
 	for range 4 {
-		must.Eq(t, http.StatusOK, cluster.do(header, http.MethodGet, "/x", nil).status)
+		must.Eq(t, http.StatusOK, cluster.send(header, http.MethodGet, "/x", nil).status)
 	}
 }
 
+// refusedCalls is how many calls TestRetryAfterOfRefusedCallersIsSpread makes while all
+// slots are occupied. The calls must get more than distinctRetryAftersBound different
+// retry times.
+const (
+	refusedCalls             = 10
+	distinctRetryAftersBound = 7
+)
+
 // Guards against synchronized retries: rejected callers that all get the same
 // retry time come back together and are rejected again.
 func TestRetryAfterOfRefusedCallersIsSpread(t *testing.T) {
@@ -50,13 +58,13 @@
 	cluster.announce(startMinion(t, func(http.ResponseWriter, *http.Request) { <-unblock }))
 	var callers sync.WaitGroup
 	for range testSlots {
-		callers.Go(func() { cluster.do(nil, http.MethodGet, "/x", nil) })
+		callers.Go(func() { cluster.send(nil, http.MethodGet, "/x", nil) })
 	}
 	for cluster.handler.Stats().Running < testSlots {
-		time.Sleep(time.Millisecond)
+		time.Sleep(pollInterval)
 	}
 	retryAfters := make(map[string]bool)
-	for range 10 {
+	for range refusedCalls {
 		req, err := http.NewRequest(http.MethodGet, cluster.server.URL+Prefix+testService+"/x", nil)
 		must.NoError(t, err)
 		req.Header.Set(HeaderDeadline, "60")
@@ -69,7 +77,7 @@
 		must.Positive(t, seconds)
 		retryAfters[resp.Header.Get(HeaderRetryAfterMs)] = true
 	}
-	must.Greater(t, 7, len(retryAfters))
+	must.Greater(t, distinctRetryAftersBound, len(retryAfters))
 	close(unblock)
 	callers.Wait()
 }
@@ -81,7 +89,8 @@
 	stop    context.CancelFunc
 }
 
-func startEntryProcess(leader *Leader, id string, incarnation uint64) *entryProcess {
+// startEntryProcess starts an entry instance that gets its slots from an allocator.
+func startEntryProcess(slots *SlotAllocator, id string, incarnation uint64) *entryProcess {
 	p := &entryProcess{handler: New(Config{
 		Balancer:     routing.NewBalancer(routing.Options{Entry: id, Incarnation: incarnation, Seed: incarnation}),
 		Authenticate: func(*http.Request) (string, error) { return "c", nil },
@@ -90,32 +99,44 @@
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
 	go p.handler.RenewSlotLeases(ctx, func(_ context.Context, r *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error) {
-		return leader.Allocate(r)
+		return slots.Allocate(r)
 	})
 	return p
 }
 
-// kill ends the process without releasing its slots at the leader.
+// kill ends the process without releasing its slots at the allocator.
 func (p *entryProcess) kill() {
 	p.server.CloseClientConnections()
 	p.stop()
 	p.server.Close()
 }
 
+// Times of TestEntryRestartsUnderLoadNeverExceedSlots.
+const (
+	// loadRequestDuration is how long a minion works on a request.
+	loadRequestDuration = 5 * time.Millisecond
+	// announceRoundInterval is the interval of the announcements of all minions.
+	announceRoundInterval = 100 * time.Millisecond
+	// restartInterval is the time before each restart of an entry instance.
+	restartInterval = 300 * time.Millisecond
+	// loadAfterRestarts is how long the load continues after the last restart.
+	loadAfterRestarts = 1500 * time.Millisecond
+)
+
 // Guards against overloaded minions after a crash: entry instances are killed and
-// restarted under load, over real sockets, and the slots of a killed instance must
-// not be allocated again while its requests still run.
+// restarted under load, over TCP connections, and the slots of a killed instance are
+// allocated again while its requests still run.
 func TestEntryRestartsUnderLoadNeverExceedSlots(t *testing.T) {
 	const entries, minions, callersEach, restarts = 3, 4, 20, 3
-	leader := NewLeader(routing.LeaseOptions{}, nil)
-	leader.allocator.Lead(1, nil, -time.Hour)
+	slots := NewSlotAllocator(routing.LeaseOptions{}, nil)
+	slots.allocator.Lead(1, nil, longAgo)
 	var fakes []*fakeMinion
 	for range minions {
-		fakes = append(fakes, startMinion(t, func(http.ResponseWriter, *http.Request) { time.Sleep(5 * time.Millisecond) }))
+		fakes = append(fakes, startMinion(t, func(http.ResponseWriter, *http.Request) { time.Sleep(loadRequestDuration) }))
 	}
 	var processes [entries]atomic.Pointer[entryProcess]
 	restart := func(i int, incarnation uint64) {
-		processes[i].Store(startEntryProcess(leader, fmt.Sprint("e", i), incarnation))
+		processes[i].Store(startEntryProcess(slots, fmt.Sprint("e", i), incarnation))
 	}
 	for i := range entries {
 		restart(i, 1)
@@ -132,39 +153,39 @@
 					})
 				}
 			}
-			time.Sleep(100 * time.Millisecond)
+			time.Sleep(announceRoundInterval)
 		}
 	})
-	var answered atomic.Int64
+	var succeeded atomic.Int64
 	for n := range entries * callersEach {
 		running.Go(func() {
 			for ctx.Err() == nil {
 				resp, err := http.Get(processes[n%entries].Load().server.URL + Prefix + testService + "/x")
 				if err != nil {
-					time.Sleep(time.Millisecond)
+					time.Sleep(pollInterval)
 					continue
 				}
 				resp.Body.Close()
 				if resp.StatusCode == http.StatusOK {
-					answered.Add(1)
+					succeeded.Add(1)
 				}
 			}
 		})
 	}
 	for r := range restarts {
-		time.Sleep(300 * time.Millisecond)
+		time.Sleep(restartInterval)
 		processes[r%entries].Load().kill()
 		restart(r%entries, uint64(r+2))
 	}
-	time.Sleep(1500 * time.Millisecond)
+	time.Sleep(loadAfterRestarts)
 	stop()
 	running.Wait()
 	for i := range processes {
 		processes[i].Load().kill()
 	}
-	must.Positive(t, answered.Load())
+	must.Positive(t, succeeded.Load())
 	for _, m := range fakes {
 		must.LessEq(t, int64(testSlots), m.maxRunning.Load())
 	}
-	t.Logf("%d requests answered", answered.Load())
+	t.Logf("%d requests succeeded", succeeded.Load())
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -23,11 +23,17 @@
 const (
 	testService = "inspect-hub"
 	testSlots   = 8
+	// waitTimeout bounds the wait for an event that a test expects.
 	waitTimeout = 10 * time.Second
+	// pollInterval is the interval at which tests check a condition.
+	pollInterval = time.Millisecond
+	// longAgo is a reading of a leader's clock. All leases that were in force at that
+	// time have expired.
+	longAgo = -time.Hour
 )
 
-// fakeMinion is an HTTP server that counts its requests: served in all, running
-// now, and the maximum that ran at the same time.
+// fakeMinion is an HTTP server that counts its requests: all that it has served, those
+// that run now, and the maximum that ran at the same time.
 type fakeMinion struct {
 	server     *httptest.Server
 	address    string
@@ -36,6 +42,7 @@
 	maxRunning atomic.Int64
 }
 
+// startMinion starts a minion that serves its requests with handle.
 func startMinion(tb testing.TB, handle http.HandlerFunc) *fakeMinion {
 	m := &fakeMinion{}
 	m.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -54,9 +61,9 @@
 	return m
 }
 
-// testCluster is one data centre with a leader, one entry instance and minions.
+// testCluster is one data centre with a slot allocator, one entry instance and minions.
 type testCluster struct {
-	leader     *Leader
+	slots      *SlotAllocator
 	handler    *Handler
 	server     *httptest.Server
 	stop       context.CancelFunc
@@ -65,6 +72,8 @@
 	ctx        context.Context
 }
 
+// startTestCluster starts a cluster without minions. configure, if not nil, changes the
+// configuration of its handler.
 func startTestCluster(tb testing.TB, configure func(*Config)) *testCluster {
 	cfg := Config{
 		Balancer:     routing.NewBalancer(routing.Options{Entry: "e1", Incarnation: 1, Seed: 1}),
@@ -73,9 +82,9 @@
 	if configure != nil {
 		configure(&cfg)
 	}
-	c := &testCluster{leader: NewLeader(routing.LeaseOptions{}, nil), handler: New(cfg)}
-	c.leader.Lead(1, nil)
-	c.leader.allocator.Lead(1, nil, -time.Hour) // the leases of a predecessor have expired
+	c := &testCluster{slots: NewSlotAllocator(routing.LeaseOptions{}, nil), handler: New(cfg)}
+	c.slots.Lead(1, nil)
+	c.slots.allocator.Lead(1, nil, longAgo) // the leases of a predecessor have expired
 	c.server = httptest.NewServer(c.handler)
 	ctx, stop := context.WithCancel(context.Background())
 	c.stop = stop
@@ -91,7 +100,7 @@
 }
 
 func (c *testCluster) allocate(_ context.Context, req *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error) {
-	return c.leader.Allocate(req)
+	return c.slots.Allocate(req)
 }
 
 // announce adds a minion, waits until its slots are granted, and renews its
@@ -108,7 +117,7 @@
 	}
 	c.handler.Announce(a)
 	for c.handler.Stats().GrantedSlots < c.minions*testSlots {
-		time.Sleep(time.Millisecond)
+		time.Sleep(pollInterval)
 	}
 	c.background.Go(func() {
 		for c.ctx.Err() == nil {
@@ -121,6 +130,8 @@
 	})
 }
 
+// announceInterval is the interval at which a minion of a testCluster repeats its
+// announcement.
 const announceInterval = 500 * time.Millisecond
 
 // callerResponse is the response that a caller received, or the error.
@@ -131,7 +142,8 @@
 	err    error
 }
 
-func (c *testCluster) do(header http.Header, method, path string, body io.Reader) callerResponse {
+// send sends a request for the test service through the handler.
+func (c *testCluster) send(header http.Header, method, path string, body io.Reader) callerResponse {
 	req, err := http.NewRequest(method, c.server.URL+Prefix+testService+path, body)
 	if err != nil {
 		return callerResponse{err: err}
@@ -156,14 +168,14 @@
 			r.Header.Get("Authorization"), r.Header.Get(HeaderCustomer))
 	}))
 	header := http.Header{"Authorization": {"rackwise"}, HeaderCustomer: {"forged"}}
-	got := cluster.do(header, http.MethodPost, "/tags/a%2Fb?x=1", strings.NewReader("hello"))
+	got := cluster.send(header, http.MethodPost, "/tags/a%2Fb?x=1", strings.NewReader("hello"))
 	must.NoError(t, got.err)
 	must.Eq(t, http.StatusOK, got.status)
 	must.Eq(t, `POST /tags/a%2Fb?x=1 hello token="" customer="rackwise"`, got.body)
 }
 
-// Guards against a caller that takes half a response for the whole: the minion dies
-// after it has sent part of its response, a short one with a length or a long one
+// Guards against a caller that takes part of a response for the whole: the minion dies
+// after it has sent half of its response, either a short one with a length or a long one
 // in chunks.
 func TestTruncatedResponseNeverLooksComplete(t *testing.T) {
 	cluster := startTestCluster(t, nil)
@@ -177,17 +189,17 @@
 		panic(http.ErrAbortHandler)
 	}))
 	size.Store(100)
-	got := cluster.do(nil, http.MethodGet, "/report", nil)
+	got := cluster.send(nil, http.MethodGet, "/report", nil)
 	must.NoError(t, got.err)
 	must.Eq(t, fault.Unknown.String(), got.kind)
 	size.Store(8 * defaultResponseBuffer)
-	got = cluster.do(nil, http.MethodGet, "/report", nil)
+	got = cluster.send(nil, http.MethodGet, "/report", nil)
 	must.Error(t, got.err)
 }
 
-// Guards against a truncated response that looks complete: a response without
-// length and chunks ends with its connection, and the death of the minion closes
-// the connection in the same way.
+// Guards against a truncated response that looks complete: a response with neither length
+// nor chunks ends with its connection, and the death of the minion closes the connection
+// in the same way.
 func TestCloseDelimitedResponseCountsAsTruncated(t *testing.T) {
 	cluster := startTestCluster(t, nil)
 	cluster.announce(startMinion(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -198,7 +210,7 @@
 		defer conn.Close()
 		_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf of it"))
 	}))
-	got := cluster.do(nil, http.MethodGet, "/report", nil)
+	got := cluster.send(nil, http.MethodGet, "/report", nil)
 	must.NoError(t, got.err)
 	must.Eq(t, fault.Unknown.String(), got.kind)
 }
@@ -220,22 +232,23 @@
 		}
 	})
 	cluster.announce(m)
-	must.Eq(t, http.StatusOK, cluster.do(nil, http.MethodGet, "/checkin", nil).status)
+	must.Eq(t, http.StatusOK, cluster.send(nil, http.MethodGet, "/checkin", nil).status)
 	dying.Store(true)
+	const requests = 3
 	before := m.served.Load()
-	for range 3 {
+	for range requests {
 		header := http.Header{"Idempotency-Key": {"k"}}
-		got := cluster.do(header, http.MethodGet, "/checkin", nil)
+		got := cluster.send(header, http.MethodGet, "/checkin", nil)
 		must.NoError(t, got.err)
 		must.StrContains(t, "Unknown Overloaded", got.kind)
 	}
-	must.LessEq(t, before+3, m.served.Load())
+	must.LessEq(t, before+requests, m.served.Load())
 	must.LessEq(t, int64(cluster.handler.Stats().Balancer.Started), m.served.Load())
 }
 
-// Guards against a request that fails because its minion has died and the entry
-// instance doesn't know yet: the connection is refused, so nothing was sent, and
-// even a request that isn't idempotent is retried on another minion.
+// Guards against a request that fails because its minion has died and the entry instance
+// doesn't know yet. The connection is refused, so nothing was sent, and even a request
+// that isn't idempotent is retried on another minion.
 func TestRefusedConnectionIsRetriedOnAnotherMinion(t *testing.T) {
 	cluster := startTestCluster(t, nil)
 	dead := startMinion(t, func(http.ResponseWriter, *http.Request) {})
@@ -243,7 +256,7 @@
 	cluster.announce(dead)
 	cluster.announce(startMinion(t, func(http.ResponseWriter, *http.Request) {}))
 	for range 30 {
-		got := cluster.do(nil, http.MethodPost, "/tag", strings.NewReader("x"))
+		got := cluster.send(nil, http.MethodPost, "/tag", strings.NewReader("x"))
 		must.NoError(t, got.err)
 		must.Eq(t, http.StatusOK, got.status)
 	}
@@ -271,6 +284,7 @@
 	waitFor(t, cancelled)
 }
 
+// waitFor fails the test if done isn't closed within waitTimeout.
 func waitFor(t *testing.T, done <-chan struct{}) {
 	t.Helper()
 	select {
@@ -280,8 +294,8 @@
 	}
 }
 
-// Guards against a rolling restart that drops requests: the process would exit
-// while a minion still works for a caller.
+// Guards against a rolling restart that drops requests: the process exits while a minion
+// still works on a request.
 func TestDrainFinishesRequestsInFlight(t *testing.T) {
 	cluster := startTestCluster(t, nil)
 	started, unblock := make(chan struct{}), make(chan struct{})
@@ -291,50 +305,52 @@
 		_, _ = io.WriteString(w, "whole")
 	}))
 	responses := make(chan callerResponse, 1)
-	go func() { responses <- cluster.do(nil, http.MethodGet, "/slow", nil) }()
+	go func() { responses <- cluster.send(nil, http.MethodGet, "/slow", nil) }()
 	waitFor(t, started)
 	cluster.handler.StopAccepting()
-	must.Eq(t, fault.Overloaded.String(), cluster.do(nil, http.MethodGet, "/new", nil).kind)
-	short, cancel := context.WithTimeout(context.Background(), time.Millisecond)
+	must.Eq(t, fault.Overloaded.String(), cluster.send(nil, http.MethodGet, "/new", nil).kind)
+	shortCtx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
-	must.Error(t, cluster.handler.Wait(short))
+	must.Error(t, cluster.handler.Wait(shortCtx))
 	close(unblock)
 	must.Eq(t, "whole", (<-responses).body)
 	must.NoError(t, cluster.handler.Wait(context.Background()))
 	cluster.stop()
 	cluster.background.Wait()
-	must.True(t, cluster.leader.allocator.Occupied("m1") == 0)
+	must.True(t, cluster.slots.allocator.Occupied("m1") == 0)
 }
 
-// Guards against an overloaded minion: with more concurrent requests than slots,
-// the minion must never run more requests than it has slots.
+// Guards against an overloaded minion: more requests are sent at the same time than the
+// minion has slots, and it must never run more than it has slots.
 func TestMinionNeverExceedsItsSlots(t *testing.T) {
+	const callerCount, requestsEach = 40, 10
+	const requestDuration = 2 * time.Millisecond
 	cluster := startTestCluster(t, nil)
-	m := startMinion(t, func(http.ResponseWriter, *http.Request) { time.Sleep(2 * time.Millisecond) })
+	m := startMinion(t, func(http.ResponseWriter, *http.Request) { time.Sleep(requestDuration) })
 	cluster.announce(m)
 	var callers sync.WaitGroup
-	var answered atomic.Int64
-	for range 40 {
+	var succeeded atomic.Int64
+	for range callerCount {
 		callers.Go(func() {
-			for range 10 {
-				if cluster.do(nil, http.MethodGet, "/x", nil).status == http.StatusOK {
-					answered.Add(1)
+			for range requestsEach {
+				if cluster.send(nil, http.MethodGet, "/x", nil).status == http.StatusOK {
+					succeeded.Add(1)
 				}
 			}
 		})
 	}
 	callers.Wait()
 	must.LessEq(t, int64(testSlots), m.maxRunning.Load())
-	must.Positive(t, answered.Load())
+	must.Positive(t, succeeded.Load())
 }
 
 func TestOversizedBodiesAndInvalidHeadersAreRejected(t *testing.T) {
 	cluster := startTestCluster(t, func(cfg *Config) { cfg.MaxBody = 10 })
 	cluster.announce(startMinion(t, func(http.ResponseWriter, *http.Request) {}))
-	must.Eq(t, "Invalid", cluster.do(nil, http.MethodPost, "/x", strings.NewReader("longer than ten")).kind)
-	must.Eq(t, "Invalid", cluster.do(nil, http.MethodPost, "/x", struct{ io.Reader }{strings.NewReader("longer than ten")}).kind)
-	must.Eq(t, "Invalid", cluster.do(http.Header{HeaderDeadline: {"soon"}}, http.MethodGet, "/x", nil).kind)
-	must.Eq(t, "Invalid", cluster.do(http.Header{HeaderIdempotent: {"maybe"}}, http.MethodGet, "/x", nil).kind)
+	must.Eq(t, "Invalid", cluster.send(nil, http.MethodPost, "/x", strings.NewReader("longer than ten")).kind)
+	must.Eq(t, "Invalid", cluster.send(nil, http.MethodPost, "/x", struct{ io.Reader }{strings.NewReader("longer than ten")}).kind)
+	must.Eq(t, "Invalid", cluster.send(http.Header{HeaderDeadline: {"soon"}}, http.MethodGet, "/x", nil).kind)
+	must.Eq(t, "Invalid", cluster.send(http.Header{HeaderIdempotent: {"maybe"}}, http.MethodGet, "/x", nil).kind)
 	must.Eq(t, int64(0), cluster.handler.bufferedBytes.Load())
 }
 
--- a/internal/proxy/slots.go
+++ b/internal/proxy/slots.go
@@ -22,9 +22,9 @@
 // its response.
 type SlotRequestFunc func(ctx context.Context, req *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error)
 
-// RenewSlotLeases renews the slot leases until ctx ends. If the handler is
-// draining then, a last request releases the slots. After an error the next
-// renewal follows at the usual interval.
+// RenewSlotLeases renews the slot leases until ctx ends. If the handler is draining at
+// that time, a last request releases the slots. After an error the next renewal follows
+// at the usual interval.
 func (h *Handler) RenewSlotLeases(ctx context.Context, call SlotRequestFunc) {
 	backoff := minSlotRequestBackoff
 	for ctx.Err() == nil {
@@ -57,9 +57,8 @@
 	return min(slotRequestInterval, 2*backoff)
 }
 
-// waitForNextRequest waits until the next regular slot request, or only for the
-// backoff if an urgent one becomes due. It returns immediately
-// if followUp is set.
+// waitForNextRequest waits until the next regular slot request, or only for the backoff
+// if an urgent one becomes due. It returns immediately if followUp is set.
 func (h *Handler) waitForNextRequest(ctx context.Context, followUp bool, backoff time.Duration) {
 	if followUp {
 		return
@@ -104,7 +103,7 @@
 	if failing {
 		state = "failing"
 	}
-	// There is no other place to report that the log can't be written.
+	// An error of the logger is dropped, since there is no other place to report it.
 	_ = h.cfg.Logger.Log("event", "slot-leases", "state", state, "data_centre", h.cfg.DataCentre, "err", err)
 }
 
@@ -141,47 +140,46 @@
 	})
 }
 
-// Leader allocates the slots of a data centre's minions to its entry instances.
-// It runs in the process of the data centre's leader and is safe for concurrent
-// use.
-type Leader struct {
+// SlotAllocator allocates the slots of a data centre's minions to its entry instances. It
+// runs in the process of the data centre's leader and is safe for concurrent use.
+type SlotAllocator struct {
 	mu        sync.Mutex
 	allocator *routing.Allocator
 	now       func() time.Duration
 }
 
-// NewLeader returns a Leader that rejects slot requests until Lead is called.
-// A nil now means MonotonicClock.
-func NewLeader(opts routing.LeaseOptions, now func() time.Duration) *Leader {
+// NewSlotAllocator returns a SlotAllocator that rejects slot requests until Lead is
+// called. A nil now means MonotonicClock.
+func NewSlotAllocator(opts routing.LeaseOptions, now func() time.Duration) *SlotAllocator {
 	if now == nil {
 		now = MonotonicClock()
 	}
-	return &Leader{allocator: routing.NewAllocator(opts), now: now}
+	return &SlotAllocator{allocator: routing.NewAllocator(opts), now: now}
 }
 
 // Lead starts a leader term; see routing.Allocator.Lead.
-func (l *Leader) Lead(term uint64, entries []string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.allocator.Lead(term, entries, l.now())
+func (a *SlotAllocator) Lead(term uint64, entries []string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.allocator.Lead(term, entries, a.now())
 }
 
-// Resign ends the leader term.
-func (l *Leader) Resign() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.allocator.Resign()
+// Resign ends the leader term. Slot requests are rejected until Lead is called again.
+func (a *SlotAllocator) Resign() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.allocator.Resign()
 }
 
 // Allocate responds to a slot request. Its error is a fault: Invalid without an
 // entry instance, Unavailable if the slots can't be allocated now.
-func (l *Leader) Allocate(req *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error) {
+func (a *SlotAllocator) Allocate(req *apiv1.ShareSlotsRequest) (*apiv1.ShareSlotsResponse, error) {
 	if req.GetEntry() == "" {
 		return nil, fault.Field("entry", "missing")
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	resp, err := l.allocator.Allocate(RequestFromWire(req), l.now())
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	resp, err := a.allocator.Allocate(RequestFromWire(req), a.now())
 	if err != nil {
 		return nil, fault.New(fault.Unavailable, "%v", err)
 	}
@@ -189,8 +187,8 @@
 }
 
 // Minions returns the announcements of the minions that may get requests.
-func (l *Leader) Minions() []routing.Announcement {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.allocator.Minions()
+func (a *SlotAllocator) Minions() []routing.Announcement {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.allocator.Minions()
 }
