--- a/boundary_test.go
+++ b/boundary_test.go
@@ -13,7 +13,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// corePackages are the packages that other programs embed and that tests drive step by step.
+// corePackages are the packages that other programs embed and that simulations in tests call
+// step by step.
 var corePackages = []string{"dispatch", "fleet", "hlc", "lease", "placement", "quota", "maintenance", "replica", "routing", "workflow", "internal/state"}
 
 // forbiddenImports give access to sockets, files and the operating system.
@@ -21,9 +22,9 @@
 
 const module = "github.com/bilberryferry/bilberryferry/"
 
-// Guards against core packages that do I/O, read a clock or start a goroutine: a seed must
-// decide a whole simulated run, and the embedding program must control every source of
-// failure.
+// Guards against core packages that do I/O, read a clock or start a goroutine. A simulation
+// could then no longer be reproduced from its seed, and failures could occur that the embedding
+// program doesn't control.
 func TestCorePackagesDoNoIO(t *testing.T) {
 	for _, core := range corePackages {
 		for name, file := range parseCore(t, core) {
@@ -47,7 +48,7 @@
 	}
 }
 
-// platformFolder is the only folder that knows the names of the platform's messages.
+// platformFolder is the only folder whose code may contain names of the platform's messages.
 const platformFolder = "platform/"
 
 // platformNames are names that occur in the platform's messages and nowhere else in the
@@ -60,8 +61,8 @@
 	"start_at_ms", "hold_ms", "repeat_count", "drain_remaining_ms",
 }
 
-// Guards against a scheduler that depends on one platform: only the platform folder knows its
-// names, and only the programs under cmd import it.
+// Guards against a scheduler that depends on one platform: only the platform folder may contain
+// the platform's names, and only the programs under cmd may import it.
 func TestPlatformNamesStayInTheirFolder(t *testing.T) {
 	must.NoError(t, fs.WalkDir(os.DirFS("."), ".", func(path string, entry fs.DirEntry, err error) error {
 		must.NoError(t, err)
@@ -88,7 +89,8 @@
 // maxPlatformLines bounds the lines of the platform folder without its tests.
 const maxPlatformLines = 1500
 
-// Guards against logic that moves into the translation layer: the folder stays small.
+// Guards against scheduling logic in package platform, which only translates messages, by a
+// bound on the size of the package.
 func TestPlatformFolderStaysSmall(t *testing.T) {
 	lines := 0
 	entries, err := fs.ReadDir(os.DirFS("."), "platform")
@@ -104,8 +106,8 @@
 	must.LessEq(t, maxPlatformLines, lines)
 }
 
-// readsClock reports whether a selector is a function of package time that depends on the
-// clock.
+// readsClock reports whether a selector is a function of package time that reads the clock or
+// sets a timer.
 func readsClock(selector *ast.SelectorExpr) bool {
 	packageName, ok := selector.X.(*ast.Ident)
 	if !ok || packageName.Name != "time" {
@@ -118,7 +120,7 @@
 	return false
 }
 
-// parseCore parses the files of a package, without its tests.
+// parseCore parses the files of a package, without its tests, and returns them by their paths.
 func parseCore(t *testing.T, folder string) map[string]*ast.File {
 	entries, err := fs.ReadDir(os.DirFS(folder), ".")
 	must.NoError(t, err)
--- a/doc.go
+++ b/doc.go
@@ -1,3 +1,3 @@
-// Package bilberryferry is a scheduler for work whose deadlines matter. See
-// README.md for the programs and docs/EMBEDDING.md for the library packages.
+// Package bilberryferry is the root of a cluster scheduler for jobs with deadlines. README.md
+// describes the programs, and docs/EMBEDDING.md the library packages.
 package bilberryferry
--- a/fault/fault.go
+++ b/fault/fault.go
@@ -1,5 +1,5 @@
 // Package fault defines the fixed set of error kinds that callers, operators, workers and
-// minions see, and how each kind is answered: HTTP status, twirp code, exit code and retry
+// minions see, and how each kind is reported: HTTP status, twirp code, exit code and retry
 // advice.
 package fault
 
@@ -15,21 +15,36 @@
 // Kind is an error kind of the fixed set.
 type Kind uint8
 
-// The error kinds. NotRun is used only with proof that no attempt started.
+// The error kinds.
 const (
+	// Internal is an unexpected error of the system.
 	Internal Kind = iota
+	// Invalid means that the input is invalid.
 	Invalid
+	// NotFound means that the named object doesn't exist.
 	NotFound
+	// Denied means that the caller isn't authenticated or may not make the call.
 	Denied
+	// Conflict means that the call contradicts the current state.
 	Conflict
+	// Infeasible means that the job needs more than the workers have.
 	Infeasible
+	// DeadlineUnreachable means that the job can't meet its deadline.
 	DeadlineUnreachable
+	// QuotaExceeded means that the quota is used up.
 	QuotaExceeded
+	// Overloaded means that a limit on load or pending work is reached or that there are no
+	// workers.
 	Overloaded
+	// Unavailable means that no leader was reached or that no response arrived in time.
 	Unavailable
+	// NotRun is used only if it is certain that no attempt has started.
 	NotRun
+	// Failed means that the job failed.
 	Failed
+	// Cancelled means that the job was cancelled; it is also used for an unknown job of a queue.
 	Cancelled
+	// Unknown means that the outcome of the call or job is unknown.
 	Unknown
 	kindCount
 )
@@ -48,8 +63,8 @@
 	SameRequestID
 )
 
-// answer says how an error kind is answered: the name that users see, the HTTP status, the
-// twirp code, the exit code of the command line and the retry advice.
+// answer is how an error kind is reported: the name that users see, the HTTP status, the twirp
+// code, the exit code of the command line and the retry advice.
 type answer struct {
 	name   string
 	status int
@@ -58,7 +73,7 @@
 	advice Advice
 }
 
-// answers has the answer to each kind.
+// answers has the representation of each kind.
 var answers = [kindCount]answer{
 	Internal:            {"Internal", http.StatusInternalServerError, twirp.Internal, 10, SameRequestID},
 	Invalid:             {"Invalid", http.StatusBadRequest, twirp.InvalidArgument, 2, Never},
@@ -88,7 +103,8 @@
 	HeaderRetryAfter = "Retry-After"
 )
 
-// String returns the name of the kind as users see it; that of Internal for an unknown kind.
+// String returns the name of the kind as users see it. For a value that is no kind it returns
+// the name of Internal.
 func (k Kind) String() string {
 	if k >= kindCount {
 		return answers[Internal].name
@@ -108,7 +124,7 @@
 // Advice returns whether and when the call may be sent again.
 func (k Kind) Advice() Advice { return answers[k%kindCount].advice }
 
-// Parse returns the kind of a name, or Internal and false for an unknown name.
+// Parse returns the kind with the given name, or Internal and false for an unknown name.
 func Parse(name string) (Kind, bool) {
 	for k := Kind(0); k < kindCount; k++ {
 		if answers[k].name == name {
@@ -136,7 +152,7 @@
 	RetryAfter time.Duration
 }
 
-// Error returns the kind, the field where there is one, and the message.
+// Error returns the name of the kind, the field if there is one, and the message.
 func (e *Error) Error() string {
 	if e.Field != "" {
 		return e.Kind.String() + ": " + e.Field + ": " + e.Message
@@ -232,8 +248,8 @@
 		f.Kind = kind
 		return f
 	}
-	// Twirp reports a transport error of the client as Internal. The outcome of the call is
-	// unknown, so the kind is Unavailable, never a refusal.
+	// Twirp reports a transport error of the client as Internal. The call may have been
+	// executed, so the kind is Unavailable and not one that says that the call was refused.
 	if twirpErr.Code() == twirp.Internal {
 		f.Kind = Unavailable
 	}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet decides which machines move between pools of workers. Decide is a pure
-// function of a snapshot: it reads no clock and keeps no state between calls.
+// Package fleet decides which machines to move between pools, each of which holds the machines
+// of one service. Decide is a pure function of a snapshot: it reads no clock and keeps no state
+// between calls.
 package fleet
 
 import (
@@ -10,16 +11,17 @@
 
 const (
 	// minShortage is how long a pool must be short of capacity before it gets a machine: a
-	// burst of 1 s ends before a machine arrives.
+	// burst of load that lasts 1 s ends before a machine could arrive.
 	minShortage = time.Second
 	// minIdle is how long a pool must have spare capacity before it releases a machine: a move
-	// costs about as much as a machine does in 8 s, and a second move is needed when the load
+	// costs about as much as a machine does in 8 s, and another move is needed when the load
 	// returns.
 	minIdle = 20 * time.Second
 	// reserveFactor is the capacity, as a multiple of its demand, that a pool must keep when
 	// it releases a machine.
 	reserveFactor = 1.5
-	// maxMoves bounds the moves of one decision; the next decision sees their effect.
+	// maxMoves bounds the moves of one decision. The next decision takes their effect into
+	// account.
 	maxMoves = 4
 )
 
@@ -27,19 +29,20 @@
 type Machine struct {
 	ID       string
 	MilliCPU int64
-	// Movable says that nothing runs on the machine and that it may be moved.
+	// Movable says that nothing runs on the machine and that the machine may be moved.
 	Movable bool
 }
 
-// Pool is the machines of a service and the demand of its tasks.
+// Pool is the machines of a service and the CPU demand of its tasks.
 type Pool struct {
 	Name string
-	// Standby pools run nothing, and their machines cost nothing.
+	// Standby marks a pool whose machines run nothing and cost nothing.
 	Standby bool
-	// Capacity is that of the pool's machines, including those on their way to it; Demand is
-	// that of its running and pending tasks. Both are in thousandths of a core.
+	// Capacity is the CPU capacity of the pool's machines, including those that are being moved
+	// to it; Demand is the CPU demand of its running and pending tasks. Both are in thousandths
+	// of a core.
 	Capacity, Demand int64
-	// ShortFor and IdleFor are how long Short and Idle have held.
+	// ShortFor and IdleFor are how long Short and Idle have been true without interruption.
 	ShortFor, IdleFor time.Duration
 	Machines          []Machine
 }
@@ -47,7 +50,7 @@
 // Short reports whether the pool has less capacity than demand.
 func (p *Pool) Short() bool { return !p.Standby && p.Demand > p.Capacity }
 
-// Idle reports whether the pool can spare one of its machines.
+// Idle reports whether the pool can release one of its machines and keep its reserve.
 func (p *Pool) Idle() bool {
 	return !p.Standby && slices.ContainsFunc(p.Machines, p.canSpare)
 }
@@ -63,9 +66,9 @@
 	From, To string
 }
 
-// Decide plans moves to pools that are short, from standby pools first and then from pools
-// that can spare a machine, and from idle pools to a standby pool. Allowed reports whether
-// machines of one pool may go to another one.
+// Decide plans moves of machines to pools that are short, first from standby pools and then
+// from pools that can spare a machine, and from idle pools to a standby pool. allowed reports
+// whether machines of one pool may move to another one.
 func Decide(pools []Pool, allowed func(from, to string) bool) []Move {
 	p := planner{pools: slices.Clone(pools), allowed: allowed}
 	slices.SortFunc(p.pools, func(a, b Pool) int {
@@ -90,13 +93,15 @@
 	return p.moves
 }
 
+// planner has the state of one decision: the pools as they are after the planned moves.
 type planner struct {
 	pools   []Pool
 	allowed func(from, to string) bool
 	moves   []Move
 }
 
-// fillShortage moves machines to a pool until it has enough capacity.
+// fillShortage moves machines to a pool until it has enough capacity or no further machine can
+// be moved.
 func (p *planner) fillShortage(short *Pool) {
 	for i := range p.pools {
 		from := &p.pools[i]
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// pool returns a pool of n movable machines of 10 cores each; demand is in cores.
+// pool returns a pool of n movable machines with 10 cores each; demand is in cores.
 func pool(name string, n int, demand int64) Pool {
 	p := Pool{Name: name, Capacity: int64(n) * 10_000, Demand: demand * 1000}
 	for i := range n {
--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -11,13 +11,12 @@
 )
 
 const (
-	// collectHold is how long a collect call without outcomes is held open. An idle
-	// carrier therefore answers at this interval, which shows the leader that it is
-	// alive.
+	// collectHold is how long a collect call without outcomes is held open. An idle carrier
+	// therefore responds at this interval, which shows the leader that the carrier is alive.
 	collectHold = 150 * time.Millisecond
 	// maxReplyOutcomes bounds the outcomes in one collect reply.
 	maxReplyOutcomes = 512
-	// maxBufferedOutcomes bounds the outcomes that wait to be collected, enough for
+	// maxBufferedOutcomes bounds the outcomes that wait to be collected; it is enough for
 	// three seconds at a thousand ended runs per second.
 	maxBufferedOutcomes = 4096
 )
@@ -27,24 +26,24 @@
 	// Workers makes the calls to workers from this instance.
 	Workers    control.Workers
 	DataCentre string
-	// CollectHeartbeats returns the buffered heartbeats that this instance received and
-	// hasn't yet reported to the leader.
+	// CollectHeartbeats returns the heartbeats that this instance has received from workers
+	// and not yet reported to the leader.
 	CollectHeartbeats func() []control.BufferedHeartbeat
 	Counters          control.Counters
 }
 
-// Carrier makes calls to workers on behalf of the current leader. It is safe for
-// concurrent use.
+// Carrier makes calls to workers on behalf of the current leader. It is safe for concurrent
+// use.
 type Carrier struct {
 	cfg CarrierConfig
-	// incarnation identifies this Carrier. A restart picks another one; 0 is never
-	// picked, since a CollectCall uses it for none.
+	// incarnation identifies this Carrier. It is random, so that it differs after a restart,
+	// and never 0, which means that a CollectCall names no incarnation.
 	incarnation uint64
 
 	mu sync.Mutex
 	// term is the latest leader term seen.
 	term uint64
-	// outcomes are those that the leader hasn't acknowledged. They are numbered
+	// outcomes are the outcomes that the leader hasn't acknowledged. They are numbered
 	// consecutively; firstNumber is the number of outcomes[0].
 	outcomes    []Outcome
 	firstNumber uint64
@@ -63,9 +62,9 @@
 	link.Handle(mux, MethodCollect, c.Collect)
 }
 
-// Carry starts the orders of a call and returns immediately; the leader fetches their
-// outcomes with Collect. If the carrier has seen a later term, it starts nothing and
-// returns that term.
+// Carry starts to execute the orders of a call and returns immediately; the leader fetches
+// their outcomes with Collect. If the carrier has seen a later term, Carry executes no order
+// and returns that term.
 func (c *Carrier) Carry(ctx context.Context, call *CarryCall) (CarryReply, error) {
 	if current := c.adoptTerm(call.Term); current != call.Term {
 		return CarryReply{Term: current}, nil
@@ -78,12 +77,12 @@
 	return CarryReply{Term: call.Term}, nil
 }
 
-// adoptTerm raises the carrier's term to term if that is later, and returns the term
-// now in force. A new term drops the outcomes of earlier ones.
+// adoptTerm raises the carrier's term to term if term is later, and returns the resulting
+// term. A new term drops the outcomes of earlier ones.
 //
-// An instance that was partitioned may still send orders as the leader. Workers reject
-// them by their fence only after the new leader has polled them; the carrier rejects
-// them as soon as it has received one message of the new leader.
+// A former leader that was partitioned may still send orders. A worker rejects them by their
+// fencing token only after the new leader has polled the worker; the carrier rejects them as
+// soon as it has received one message of the new leader.
 func (c *Carrier) adoptTerm(term uint64) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,7 +93,7 @@
 	return c.term
 }
 
-// execute makes the call to the worker and stores its outcome.
+// execute makes an order's call to the worker and stores the outcome.
 func (c *Carrier) execute(ctx context.Context, term uint64, order *Order) {
 	ctx, cancel := context.WithTimeout(ctx, order.CallTimeout)
 	defer cancel()
@@ -104,8 +103,8 @@
 	c.addOutcome(term, outcome)
 }
 
-// addOutcome stores the outcome of an order sent in term, unless a later term has
-// started. It drops the oldest outcome if the buffer is full.
+// addOutcome stores the outcome of an order sent in term, unless a later term has started.
+// It drops the oldest outcome if the buffer is full.
 func (c *Carrier) addOutcome(term uint64, outcome Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,9 +122,9 @@
 	c.outcomeAdded = make(chan struct{})
 }
 
-// Collect returns the outcomes that the leader hasn't acknowledged, and waits up to
-// collectHold for one. It answers immediately if the call names another incarnation of
-// the carrier. Errors are those of ctx.
+// Collect returns the outcomes that the leader hasn't acknowledged. If there are none, it
+// waits up to collectHold for one. It returns immediately if the call names another
+// incarnation of the carrier or an earlier term. Errors are those of ctx.
 func (c *Carrier) Collect(ctx context.Context, call *CollectCall) (CollectReply, error) {
 	current := c.adoptTerm(call.Term)
 	reply := CollectReply{Term: current, DataCentre: c.cfg.DataCentre, Incarnation: c.incarnation}
@@ -151,9 +150,8 @@
 	}
 }
 
-// outcomesAfter drops the outcomes that the call acknowledges and returns the next
-// ones, the number of the last of them, and a channel that is closed when an outcome is
-// added.
+// outcomesAfter drops the outcomes that the call acknowledges. It returns the next outcomes,
+// the number of the last of them, and a channel that is closed when an outcome is added.
 func (c *Carrier) outcomesAfter(call *CollectCall) (outcomes []Outcome, last uint64, added <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/carrier/carrier_test.go
+++ b/internal/carrier/carrier_test.go
@@ -45,8 +45,9 @@
 	})
 }
 
-// A carrier answers a new leader, which is still processing the heartbeats of that
-// answer when it sends its first order. The leader must not call the worker directly.
+// A new leader is still processing the heartbeats of a carrier's first reply when it sends
+// its first order. The leader must send the order through the carrier and not call the worker
+// directly.
 func TestFirstOrderOfNewLeaderGoesThroughResponsiveCarrier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
@@ -85,9 +86,9 @@
 	})
 }
 
-// 1100 workers get a start every second. A leader that calls each of them itself spends
-// most of its processor time on that. The number of messages to carriers must be about
-// the same for 100 workers and for 1100.
+// Each of 1100 workers gets a start every second. A leader that calls each worker itself
+// spends most of its processor time on these calls. The number of messages to carriers must be
+// about the same for 100 workers and for 1100.
 func TestLeaderMessagesDoNotGrowWithWorkers(t *testing.T) {
 	messages := func(workers int) (sent int) {
 		synctest.Test(t, func(t *testing.T) {
@@ -113,8 +114,9 @@
 	must.LessEq(t, 2*few, many)
 }
 
-// A carrier stops answering with orders in flight. Their callers must learn soon that
-// the orders may have been executed, and other carriers must call its workers.
+// A carrier stops responding while orders are in flight. Their callers must get an error
+// before the call timeout, because the orders may have been executed. Other carriers must call
+// the workers of the unresponsive carrier.
 func TestWorkersOfUnresponsiveCarrierMoveToOtherCarriers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3)
@@ -136,7 +138,7 @@
 }
 
 // A carrier's process has ended and its host refuses connections. The orders can't have
-// arrived, so the leader must call the workers itself and no order may fail.
+// arrived, so the leader must call the workers itself, and no order may fail.
 func TestOrdersThatCantHaveArrivedAreSentByTheLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
@@ -148,9 +150,9 @@
 	})
 }
 
-// The reply to a collect call is lost. The carrier must list its outcomes again;
-// otherwise each of these orders counts as possibly executed, and its worker has an
-// overdue order.
+// The reply to a collect call is lost. The carrier must list the same outcomes in the next
+// reply; otherwise the leader can't tell whether the orders were executed, and their workers
+// have overdue orders.
 func TestLostOutcomesAreListedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		carrier := newTestCarrier(&fakeWorkers{}, "dc")
@@ -169,9 +171,8 @@
 	})
 }
 
-// A carrier restarts and numbers its outcomes from 1 again. If the leader still
-// acknowledged numbers of the previous incarnation, it would miss all outcomes up to
-// that number.
+// A carrier restarts and numbers its outcomes from 1 again. If the leader still acknowledged
+// numbers of the previous incarnation, it would miss all outcomes up to that number.
 func TestOutcomesOfRestartedCarrierAreCollected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
@@ -185,9 +186,8 @@
 	})
 }
 
-// A partitioned instance still sends orders as the leader. A carrier that has received
-// a message of the next leader must execute none of them and must return the later
-// term.
+// A former leader that was partitioned still sends orders. A carrier that has received a
+// message of the next leader must execute none of them and must return the later term.
 func TestCarrierRefusesEarlierTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		workers := &fakeWorkers{}
@@ -205,9 +205,9 @@
 	})
 }
 
-// A carrier holds an outcome of the previous term when the next leader collects. That
-// leader may have given the same ID to another order, so the carrier must drop the
-// outcome.
+// A carrier holds an outcome of the previous term when the next leader makes its first
+// collect call. The next leader may have given the same ID to another order, so the carrier
+// must drop the outcome.
 func TestOutcomesOfEarlierTermAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		carrier := newTestCarrier(&fakeWorkers{}, "dc")
@@ -220,7 +220,7 @@
 	})
 }
 
-// A carrier accepts orders and answers collect calls, but its calls to workers hang. It
+// A carrier accepts orders and responds to collect calls, but its calls to workers hang. It
 // must get no further orders while its orders are overdue.
 func TestBackloggedCarrierGetsNoOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -270,10 +270,10 @@
 	})
 }
 
-// A worker holds a poll while its carrier leaves and returns within a term. A start
-// goes through the new route and hangs; then the poll is answered. If each route
-// numbered its orders from 1, the start would get the outcome of the poll, and the task
-// would never run.
+// A carrier holds the outcome of a poll for a closed route: its instance leaves and returns
+// within a term while the worker holds the poll. A start goes through the new route and hangs
+// while the poll ends. If each route numbered its orders from 1, the start would get the
+// outcome of the poll, and the task would never run.
 func TestOutcomeOfClosedRouteMatchesNoOtherOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
--- a/internal/carrier/direct_share.go
+++ b/internal/carrier/direct_share.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// maxDirectCallsPerSecond bounds the calls to workers that the leader makes itself.
-	// This rate leaves most of a small processor for its decisions.
+	// maxDirectCallsPerSecond bounds the calls to workers that the leader makes itself. This
+	// rate leaves the leader most of the time of a small processor for its decisions.
 	maxDirectCallsPerSecond = 500
-	// rateWeight is the weight of the latest value in the moving average of orders per
+	// rateWeight is the weight of the latest value in the moving average of the orders per
 	// second.
 	rateWeight = 0.3
 )
 
-// directShare selects the workers that the leader calls directly: all of them while
-// orders are few, and a smaller share the more orders there are.
+// directShare selects the workers that the leader calls directly: all of them at a low rate
+// of orders, and a share that shrinks as the rate grows.
 //
-// At a few hundred orders per second the leader has time to spare, and a carrier would
-// only delay starts and ends of runs. At several thousand, direct calls would take the
-// time that its decisions need.
+// At a few hundred orders per second the leader can make all calls itself, and a carrier
+// would only delay starts and ends of runs. At several thousand, direct calls would take the
+// time that the leader needs for its decisions.
 type directShare struct {
 	orderCount atomic.Int64
 
@@ -31,13 +31,13 @@
 	// ordersPerSecond is a moving average.
 	ordersPerSecond float64
 	lastUpdate      time.Time
-	// hashLimit is the highest hash of the workers that the leader calls directly; 0
-	// means none.
+	// hashLimit is the highest hash of a worker that the leader calls directly; 0 means that
+	// it calls none directly.
 	hashLimit uint64
 }
 
-// reset starts a leader term without direct calls. A new leader polls all workers at
-// the same time, which is the highest load it ever has.
+// reset starts a leader term without direct calls, because a new leader polls all workers at
+// the same time, which is the leader's highest load.
 func (s *directShare) reset(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,7 +48,8 @@
 // countOrder counts an order, direct or forwarded.
 func (s *directShare) countOrder() { s.orderCount.Add(1) }
 
-// update sets the share by the rate of the orders since the last update.
+// update sets the share by the moving average of the rate of orders, to which it adds the
+// rate since the last update.
 func (s *directShare) update(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/carrier/direct_share_test.go
+++ b/internal/carrier/direct_share_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// countDirectWorkers returns how many of 1000 workers the leader calls directly after
-// some time at a constant rate of orders.
+// countDirectWorkers returns how many of 1000 workers the leader calls directly after 20
+// updates at a constant rate of orders.
 func countDirectWorkers(ordersPerSecond int) (direct int) {
 	var s directShare
 	now := time.Now()
@@ -29,9 +29,8 @@
 	return direct
 }
 
-// The leader must not forward orders while they are few, or urgent tasks would start and
-// end later than necessary. At higher rates it must make about 500 calls per second
-// itself.
+// Guards against orders that are forwarded at a low rate, which delays the starts and ends of
+// tasks. At higher rates the leader must make about 500 calls per second itself.
 func TestLeaderWithFewOrdersCallsWorkersDirectly(t *testing.T) {
 	must.Eq(t, 1000, countDirectWorkers(400))
 	must.Between(t, 200, countDirectWorkers(2000), 300)
--- a/internal/carrier/fake_test.go
+++ b/internal/carrier/fake_test.go
@@ -31,8 +31,8 @@
 	members  []string
 	carriers map[string]*Carrier
 	workers  map[string]*fakeWorkers
-	// refusing instances refuse connections, unresponsive ones accept messages and
-	// never answer, and those in droppingReplies process messages without answering.
+	// refusing instances refuse connections, unresponsive ones accept messages without
+	// processing them, and those in droppingReplies process messages and send no reply.
 	refusing, unresponsive, droppingReplies map[string]bool
 	callCounts                              map[string]int
 }
@@ -107,8 +107,7 @@
 	}
 }
 
-// setFault starts or ends a fault of an instance; faults is one of the cluster's fault
-// maps.
+// setFault starts or ends a fault of an instance; faults is the cluster's map for the fault.
 func (c *cluster) setFault(faults map[string]bool, name string, active bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,7 +127,7 @@
 	return c.callCounts[method]
 }
 
-// Call implements Transport with delays and the faults that are set.
+// Call implements Transport with a network delay and the faults that are set.
 func (c *cluster) Call(ctx context.Context, address, method string, request, reply any) error {
 	c.mu.Lock()
 	carrier := c.carriers[address]
@@ -179,18 +178,18 @@
 	return cbor.Unmarshal(data, to)
 }
 
-// fakeWorkers stands for all workers as one instance reaches them.
+// fakeWorkers simulates all workers, for the calls that one instance makes.
 type fakeWorkers struct {
 	mu     sync.Mutex
 	starts []control.StartOrder
 	// startsByWorker counts the starts by worker.
 	startsByWorker map[string]int
-	// startErr is the answer to starts; nil accepts them.
+	// startErr is the error of starts; nil means that they succeed.
 	startErr error
 	polls    int
 	// pollHold is how long polls are held.
 	pollHold time.Duration
-	// hangStarts leaves starts unanswered.
+	// hangStarts makes starts hang without a response.
 	hangStarts bool
 }
 
@@ -222,7 +221,7 @@
 	return workerClockMS, nil
 }
 
-// Poll answers after pollHold with one ended and one running run.
+// Poll returns one ended and one running run after pollHold.
 func (w *fakeWorkers) Poll(_ context.Context, _ control.Target, order control.PollOrder) (control.Report, error) {
 	time.Sleep(networkDelay + w.pollHold)
 	w.mu.Lock()
@@ -241,7 +240,7 @@
 	return len(w.starts)
 }
 
-// noCounters counts nothing.
+// noCounters discards all counts.
 type noCounters struct{}
 
 func (noCounters) Add(string, int64)             {}
--- a/internal/carrier/forwarder.go
+++ b/internal/carrier/forwarder.go
@@ -18,14 +18,13 @@
 const (
 	// membershipInterval is how often the leader checks for new and removed members.
 	membershipInterval = 500 * time.Millisecond
-	// baseMessageInterval times the number of carriers is the pause between two
-	// messages to a carrier, and between two from it. The leader's message rate
-	// therefore doesn't grow with the number of carriers or workers. Orders queued
-	// during the pause share the next message; an order after an idle time is sent
-	// immediately.
+	// baseMessageInterval, multiplied by the number of carriers, is the pause between two
+	// messages to a carrier, and between two from it. The leader's message rate therefore
+	// doesn't grow with the number of carriers or workers. Orders queued during the pause are
+	// sent in one message; an order after an idle time is sent immediately.
 	baseMessageInterval = time.Millisecond
-	// firstContactTimeout bounds a new leader's wait for its carriers: a few round
-	// trips.
+	// firstContactTimeout bounds a new leader's wait for the first response of each carrier;
+	// it is enough for a few round trips.
 	firstContactTimeout = 60 * time.Millisecond
 )
 
@@ -44,13 +43,13 @@
 	Counters        control.Counters
 }
 
-// Forwarder sends the leader's orders to workers, by direct calls while orders are few
-// and through carriers for the rest. It is safe for concurrent use.
+// Forwarder sends the leader's orders to workers, by direct calls up to a rate and through
+// carriers beyond that rate. It is safe for concurrent use.
 type Forwarder struct {
 	cfg ForwarderConfig
 
 	mu sync.RWMutex
-	// routes lead to the other members in the current term; there are none while this
+	// routes has a route to each other member in the current term. It is empty while this
 	// instance isn't the leader.
 	routes []*route
 	// current manages the routes of the latest leader term of this instance.
@@ -63,10 +62,10 @@
 // NewForwarder returns a Forwarder of an instance that isn't the leader.
 func NewForwarder(cfg ForwarderConfig) *Forwarder { return &Forwarder{cfg: cfg} }
 
-// Lead opens routes to the other members for a leader term. The routes stay open until
-// ctx ends. Lead returns when each carrier has answered or failed to, after
-// firstContactTimeout at most: a new leader polls all workers at the same time and
-// would call them all directly if no carrier had answered yet.
+// Lead opens routes to the other members for a leader term. The routes stay open until ctx
+// ends. Lead returns when the first call to each carrier has succeeded or failed, after
+// firstContactTimeout at most: a new leader polls all workers at the same time and would call
+// them all directly if no carrier had responded yet.
 func (f *Forwarder) Lead(ctx context.Context, term uint64) {
 	t := &termRoutes{forwarder: f, ctx: ctx, term: term, routes: map[string]*openRoute{}}
 	f.mu.Lock()
@@ -92,8 +91,8 @@
 	close context.CancelFunc
 }
 
-// awaitContact waits until each carrier has answered or failed to, firstContactTimeout
-// at most.
+// awaitContact waits until the first call to each carrier has succeeded or failed,
+// firstContactTimeout at most.
 func (t *termRoutes) awaitContact() {
 	ctx, cancel := context.WithTimeout(t.ctx, firstContactTimeout)
 	defer cancel()
@@ -102,8 +101,8 @@
 	}
 }
 
-// run keeps the routes and the direct share up to date until the term ends, and then
-// removes the routes.
+// run updates the routes and the share of direct calls until the term ends, and removes the
+// routes at the end.
 func (t *termRoutes) run() {
 	defer t.forwarder.setRoutes(t, nil)
 	for wait.For(t.ctx, membershipInterval) {
@@ -152,9 +151,10 @@
 	}
 }
 
-// routeTo returns the route for a worker, or nil if no carrier is usable. Rendezvous
-// hashing spreads workers evenly over the carriers of their data centre, or over all
-// carriers if it has none; when a carrier comes or goes, only its own workers move.
+// routeTo returns the route for a worker, or nil if no carrier is usable. Rendezvous hashing
+// spreads workers evenly over the carriers of their data centre, or over all carriers if the
+// data centre has none. When a carrier is added or removed, only its own workers change their
+// carrier.
 func (f *Forwarder) routeTo(to control.Target) *route {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -188,8 +188,8 @@
 	return outcome.ClockMS, err
 }
 
-// Throttle sends a change of the share of its speed that a run may use, and returns the
-// worker's clock in milliseconds.
+// Throttle sends an order that sets the share of its full speed at which a run works, and
+// returns the worker's clock in milliseconds.
 func (f *Forwarder) Throttle(ctx context.Context, to control.Target, order control.ThrottleOrder) (int64, error) {
 	outcome, err := f.send(ctx, &Order{To: to, Throttle: &order})
 	return outcome.ClockMS, err
@@ -202,7 +202,7 @@
 	case err != nil:
 		return control.Report{}, err
 	case outcome.Report == nil:
-		return control.Report{}, errors.Wrap(errNoResponse, "the answer to a poll contains no report")
+		return control.Report{}, errors.Wrap(errNoResponse, "the response to a poll contains no report")
 	}
 	return *outcome.Report, nil
 }
@@ -221,8 +221,8 @@
 	return outcome, err
 }
 
-// forward forwards an order and waits for its outcome. It returns errNotForwarded for a
-// worker that the leader calls directly.
+// forward forwards an order and waits for its outcome. It returns errNotForwarded if the
+// leader calls the worker directly or no carrier is usable.
 func (f *Forwarder) forward(ctx context.Context, order *Order) (Outcome, error) {
 	var r *route
 	if !f.direct.includes(order.To.Worker) {
--- a/internal/carrier/link_test.go
+++ b/internal/carrier/link_test.go
@@ -35,7 +35,7 @@
 	})
 	forwarder.Lead(t.Context(), 3)
 	to := control.Target{Worker: "w", Address: "a"}
-	// The leader calls workers directly until the carrier has answered.
+	// The leader calls workers directly until the carrier has responded.
 	must.Wait(t, wait.InitialSuccess(wait.Gap(time.Millisecond), wait.BoolFunc(func() bool { return forwarder.routeTo(to) != nil })))
 	clock, err := forwarder.Start(t.Context(), to, control.StartOrder{Fence: 3, Payload: "p"})
 	must.NoError(t, err)
--- a/internal/carrier/messages.go
+++ b/internal/carrier/messages.go
@@ -1,12 +1,13 @@
 // Package carrier distributes the calls to workers over the core instances. The leader
-// decides and commits; it then forwards its orders in batches to carriers, which call
-// the workers and return their answers. A carrier makes no decisions, doesn't retry,
-// and holds no state that must survive a restart: it is a longer network path to a
-// worker, which may delay an order, lose it, or lose its answer.
+// decides and commits; it forwards the resulting orders in batches to the other core
+// instances, each of which runs a carrier that calls the workers and returns their responses.
+// A carrier makes no decisions, doesn't retry, and holds no state that must survive a
+// restart. To the leader it is a longer network path to a worker, on which an order may be
+// delayed, or the order or its response may be lost.
 //
-// Without carriers, the leader calls each worker every second and holds several
-// connections to each. That takes most of its processor time while the other instances
-// are idle.
+// Without carriers, the leader calls each worker every second and holds several connections
+// to each. These calls take most of the leader's processor time while the other instances are
+// idle.
 package carrier
 
 import (
@@ -18,14 +19,14 @@
 	"github.com/bilberryferry/bilberryferry/internal/control"
 )
 
-// Names of the methods that instances call on each other.
+// Names of the methods that the leader calls on the other core instances.
 const (
 	MethodCarry   = "carry"
 	MethodCollect = "collect"
 )
 
-// Transport calls a method of another instance; *link.Client implements it. An error
-// marked link.ErrUnsent says that the call can't have reached the other side.
+// Transport calls a method of another instance; *link.Client implements it. An error marked
+// link.ErrUnsent means that the call can't have reached the other instance.
 type Transport interface {
 	Call(ctx context.Context, address, method string, request, reply any) error
 }
@@ -39,12 +40,11 @@
 	Stop     *control.StopOrder     `cbor:"4,keyasint,omitempty"`
 	Throttle *control.ThrottleOrder `cbor:"5,keyasint,omitempty"`
 	Poll     *control.PollOrder     `cbor:"6,keyasint,omitempty"`
-	// CallTimeout is how long the carrier waits for the worker's answer.
+	// CallTimeout is how long the carrier waits for the worker's response.
 	CallTimeout time.Duration `cbor:"7,keyasint"`
 }
 
-// callWorker makes the order's call through workers. The error is the one that workers
-// returned.
+// callWorker makes the order's call through workers and returns the error of that call.
 func (o *Order) callWorker(ctx context.Context, workers control.Workers) (outcome Outcome, err error) {
 	switch {
 	case o.Start != nil:
@@ -68,7 +68,7 @@
 	Orders []Order `cbor:"2,keyasint"`
 }
 
-// CarryReply returns the carrier's term. If it is later than the call's, the carrier
+// CarryReply returns the carrier's term. If this term is later than the call's, the carrier
 // executes none of the orders.
 type CarryReply struct {
 	Term uint64 `cbor:"1,keyasint"`
@@ -77,11 +77,11 @@
 // CollectCall requests the outcomes of orders.
 type CollectCall struct {
 	Term uint64 `cbor:"1,keyasint"`
-	// Acknowledged is the number of the last outcome that the leader has received.
-	// Later outcomes are listed again, so that one in a lost reply isn't missed.
+	// Acknowledged is the number of the last outcome that the leader has received. The
+	// carrier lists later outcomes again, so that the leader gets those of a lost reply.
 	Acknowledged uint64 `cbor:"2,keyasint"`
-	// Incarnation is the one that the carrier's last reply named, 0 before the first
-	// reply. Acknowledged is valid only for this incarnation.
+	// Incarnation is the carrier's incarnation in its last reply, 0 before the first reply.
+	// Acknowledged is valid only for this incarnation.
 	Incarnation uint64 `cbor:"3,keyasint,omitempty"`
 }
 
@@ -93,10 +93,10 @@
 	Outcomes   []Outcome `cbor:"3,keyasint,omitempty"`
 	// Last is the number of the last outcome in Outcomes.
 	Last uint64 `cbor:"4,keyasint,omitempty"`
-	// Incarnation identifies one process of the carrier. A new incarnation knows
-	// nothing of orders that were forwarded before it started.
+	// Incarnation identifies one process of the carrier. A new incarnation has no record of
+	// orders that were forwarded before it started.
 	Incarnation uint64 `cbor:"5,keyasint"`
-	// Heartbeats are those that the carrier's instance received from workers.
+	// Heartbeats are the heartbeats that the carrier's instance received from workers.
 	Heartbeats []control.BufferedHeartbeat `cbor:"6,keyasint,omitempty"`
 }
 
@@ -104,21 +104,21 @@
 type Outcome struct {
 	ID      uint64 `cbor:"1,keyasint"`
 	ClockMS int64  `cbor:"2,keyasint,omitempty"`
-	// Report is the answer to a poll.
+	// Report is the response to a poll.
 	Report *control.Report `cbor:"3,keyasint,omitempty"`
-	// Refused is the reason why the worker did nothing; it is empty if the worker acted
-	// or may have acted.
+	// Refused is the reason why the worker refused the order; it is empty if the worker
+	// executed the order or may have executed it.
 	Refused control.Refusal `cbor:"4,keyasint,omitempty"`
-	// OtherIncarnation says that the targeted incarnation of the worker has ended.
+	// OtherIncarnation says that the addressed incarnation of the worker has ended.
 	OtherIncarnation bool `cbor:"5,keyasint,omitempty"`
 	// NoResponse is the error of a call that may or may not have been executed.
 	NoResponse string `cbor:"6,keyasint,omitempty"`
 }
 
 // errNoResponse says that an order may or may not have been executed.
-var errNoResponse = errors.New("no answer through the carrier")
+var errNoResponse = errors.New("no response through the carrier")
 
-// err returns the error that the outcome stands for, nil if the worker acted.
+// err returns the error that the outcome stands for, or nil if the worker executed the order.
 func (o *Outcome) err() error {
 	switch {
 	case o.OtherIncarnation:
--- a/internal/carrier/random_test.go
+++ b/internal/carrier/random_test.go
@@ -12,10 +12,10 @@
 	"pgregory.net/rapid"
 )
 
-// Carriers stop answering, restart and refuse connections while orders are forwarded.
-// Every order must end within its timeout of 600 ms, a successful one must have reached
-// its worker, and no order may reach a worker twice. If an outcome is matched to another
-// order, the leader treats an executed start as lost, or an unsent one as executed.
+// Carriers stop responding, restart and refuse connections while orders are forwarded. Every
+// order must end within its timeout of 600 ms, a successful one must have reached its worker,
+// and no order may reach a worker twice. If an outcome is matched to another order, the
+// leader treats an executed start as lost, or an unsent one as executed.
 func TestOrdersUnderFaultsEndInTimeAndAreSentOnce(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		seed := rapid.Uint64().Draw(r, "seed")
--- a/internal/carrier/route.go
+++ b/internal/carrier/route.go
@@ -17,15 +17,14 @@
 	// roundTripTimeout bounds a message to a carrier and its reply. A carrier that
 	// takes longer counts as unresponsive.
 	roundTripTimeout = 300 * time.Millisecond
-	// collectTimeout bounds a collect call, including the time that the carrier holds
-	// it.
+	// collectTimeout bounds a collect call, including the time for which the carrier holds it.
 	collectTimeout = collectHold + roundTripTimeout
 	// overdueAfter is the age at which an order without an outcome is overdue: several
 	// round trips to the carrier and the worker. Polls are never overdue because
 	// workers hold them.
 	overdueAfter = 120 * time.Millisecond
-	// overdueThreshold is the number of overdue orders at which a carrier gets no
-	// further ones. Fewer may be the fault of a single worker.
+	// overdueThreshold is the number of overdue orders at which the leader sends a carrier no
+	// further orders. Fewer overdue orders may be due to a single slow worker.
 	overdueThreshold = 4
 	// unresponsiveRetryInterval is the pause between collect calls to an unresponsive
 	// carrier.
@@ -41,34 +40,34 @@
 	term    uint64
 	// lastOrderID is the ID of the last order on any route.
 	//
-	// IDs are shared because a member may leave and return within a term while the
-	// carrier still holds outcomes for the closed route. If each route counted from 1,
-	// a new order would get the outcome of an old one.
+	// All routes share the counter because a member may leave and return within a term while
+	// its carrier still holds outcomes for the closed route. If each route counted from 1, a
+	// new order would get the outcome of an old one.
 	lastOrderID *atomic.Uint64
 	// wake has a buffer of one; a buffered value means that orders are queued.
 	wake chan struct{}
-	// contacted is closed after the carrier's first answer or first failure to answer.
+	// contacted is closed after the first collect call has succeeded or failed.
 	contacted     chan struct{}
 	contactedOnce sync.Once
 
 	mu sync.Mutex
 	// interval is the pause between two messages in the same direction.
 	interval time.Duration
-	// responsive says that the carrier answers in this term; dataCentre is the
-	// carrier's.
+	// responsive says that the last call to the carrier succeeded; dataCentre is the data
+	// centre of the carrier.
 	responsive bool
 	dataCentre string
 	queue      []*Order
 	pending    map[uint64]*pendingOrder
-	// immediate lists the pending orders other than polls, the oldest first. Workers
-	// answer them without a hold.
+	// immediate lists the pending orders other than polls, the oldest first. Workers respond
+	// to them immediately.
 	immediate *list.List
 }
 
 // pendingOrder is an order without an outcome.
 type pendingOrder struct {
 	enqueuedAt time.Time
-	// result has a buffer of one. It gets the outcome, or the reason why there is none.
+	// result receives the outcome or an error; it has a buffer of one.
 	result chan orderResult
 	// element is the order's entry in immediate; nil for a poll.
 	element *list.Element
@@ -99,9 +98,9 @@
 	return r.interval
 }
 
-// usable reports whether the carrier may be given orders, and returns its data centre.
-// A carrier with several overdue orders is unusable even while it answers: it may be
-// frozen or backlogged, and orders sent to it would wait until it counts as
+// usable reports whether orders may be sent to the carrier, and returns its data centre. A
+// carrier with several overdue orders isn't usable even if it responds to collect calls: it
+// may be frozen or backlogged, and orders sent to it would wait until it counts as
 // unresponsive.
 func (r *route) usable(now time.Time) (usable bool, dataCentre string) {
 	r.mu.Lock()
@@ -109,8 +108,7 @@
 	return r.responsive && !r.backlogged(now), r.dataCentre
 }
 
-// backlogged reports whether at least overdueThreshold orders are overdue. r.mu is
-// held.
+// backlogged reports whether at least overdueThreshold orders are overdue. r.mu must be held.
 func (r *route) backlogged(now time.Time) bool {
 	overdue := 0
 	for e := r.immediate.Front(); e != nil && overdue < overdueThreshold; e = e.Next() {
@@ -122,9 +120,8 @@
 	return overdue >= overdueThreshold
 }
 
-// forward queues an order and waits for its outcome. The error is errNotForwarded if
-// the order can't have reached the carrier, and errNoResponse if it may have been
-// executed.
+// forward queues an order and waits for its outcome. The error is errNotForwarded if the
+// order can't have reached the carrier, and errNoResponse if it may have been executed.
 func (r *route) forward(ctx context.Context, order *Order) (Outcome, error) {
 	p := r.enqueue(ctx, order)
 	select {
@@ -162,8 +159,8 @@
 	}
 }
 
-// complete passes the result to the caller that waits for an order, if it is still
-// pending. r.mu is held.
+// complete passes the result of an order to the caller that waits for it, if the order is
+// still pending. r.mu must be held.
 func (r *route) complete(id uint64, result orderResult) {
 	if p := r.pending[id]; p != nil {
 		p.result <- result
@@ -171,7 +168,7 @@
 	}
 }
 
-// remove drops an order from the pending ones. r.mu is held.
+// remove removes an order from the pending ones. r.mu must be held.
 func (r *route) remove(id uint64) {
 	p := r.pending[id]
 	if p == nil {
@@ -202,8 +199,8 @@
 	}
 }
 
-// nextBatch removes the orders of the next message from the queue. It leaves out those
-// that are no longer pending.
+// nextBatch removes the orders of the next message from the queue and returns those that are
+// still pending.
 func (r *route) nextBatch() []*Order {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -223,9 +220,9 @@
 	return batch
 }
 
-// sendBatch sends one message. If it can't have arrived, its orders fail with
-// errNotForwarded, and the leader calls their workers itself. If it may have arrived,
-// they fail with errNoResponse.
+// sendBatch sends the orders of a batch in one message. If the message can't have arrived,
+// the orders fail with errNotForwarded, and the leader calls their workers itself. If it may
+// have arrived, the orders fail with errNoResponse.
 func (r *route) sendBatch(ctx context.Context, batch []*Order) {
 	ctx, cancel := context.WithTimeout(ctx, roundTripTimeout)
 	defer cancel()
@@ -260,7 +257,7 @@
 	}
 }
 
-// collectLoop collects outcomes and heartbeats until ctx ends. After a failure, or when
+// collectLoop collects outcomes and heartbeats until ctx ends. When a collect call fails or
 // the carrier has restarted, all pending orders fail with errNoResponse.
 func (r *route) collectLoop(ctx context.Context) {
 	var last CollectReply
@@ -291,15 +288,15 @@
 	r.failPending(ctx.Err())
 }
 
-// markContacted ends a new leader's wait for the carrier's first answer.
+// markContacted ends a new leader's wait for the first response of the carrier.
 func (r *route) markContacted() { r.contactedOnce.Do(func() { close(r.contacted) }) }
 
-// errRestarted is the cause when pending orders fail because a new incarnation of the
-// carrier has answered.
-var errRestarted = errors.New("the carrier has started anew")
+// errRestarted is the cause when pending orders fail because a new incarnation of the carrier
+// has responded.
+var errRestarted = errors.New("the carrier has restarted")
 
-// collectOnce makes one collect call that acknowledges the outcomes of last. It fails
-// if the carrier is in another term.
+// collectOnce makes one collect call that acknowledges the outcomes of the last reply. It
+// fails if the carrier is in another term.
 func (r *route) collectOnce(ctx context.Context, last *CollectReply) (CollectReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
@@ -327,7 +324,7 @@
 	r.dataCentre = dataCentre
 }
 
-// setResponsive records whether the carrier answers, and logs a change.
+// setResponsive records whether the carrier responds, and logs a change.
 func (r *route) setResponsive(responsive bool, cause error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -338,9 +335,9 @@
 	_ = r.cfg.Logger.Log("event", "carrier", "carrier", r.address, "term", r.term, "present", responsive, "err", cause)
 }
 
-// failPending completes all pending orders with errNoResponse and drops the queue, so
-// that callers don't wait for an answer that won't come. Orders that were sent may have
-// been executed.
+// failPending completes all pending orders with errNoResponse and drops the queue, so that
+// callers don't wait for a response that won't arrive. Orders that were sent may have been
+// executed.
 func (r *route) failPending(cause error) {
 	err := errors.Wrap(errNoResponse, cause.Error())
 	r.mu.Lock()
--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -1,6 +1,6 @@
 // Package maintenance decides which machines of a maintenance wave to cordon and to take down.
 // Decide is a pure function of a snapshot: it reads no clock and keeps no state between calls.
-// The caller must commit each order before it sends it.
+// The caller must commit each planned action before it sends the order for it.
 package maintenance
 
 import (
@@ -11,11 +11,12 @@
 )
 
 const (
-	// drainGrace is how long the tasks of a cordoned machine may take to end on their own
-	// while the wave has time left; most tasks run for less.
+	// drainGrace is the time per machine that the plan allows for the tasks of a cordoned
+	// machine to end on their own; most tasks run for less.
 	drainGrace = 4 * time.Second
-	// orderMargin is reserved per machine for detecting that it is empty or back, for the
-	// commit and for the order. Reading the list of machines takes up to 1 s.
+	// orderMargin is the time per machine that the plan allows for detecting that the machine
+	// is empty or up again, for the commit and for the order. Reading the list of machines
+	// takes up to 1 s.
 	orderMargin = 1200 * time.Millisecond
 	// stopTimeout is how long stops may take before the machine of an unresponsive worker is
 	// taken down anyway.
@@ -25,24 +26,25 @@
 // Machine is a machine of a wave whose maintenance isn't complete.
 type Machine struct {
 	ID string
-	// Down says that its maintenance was ordered and that it isn't back.
+	// Down says that the machine's maintenance was ordered and that it isn't up again.
 	Down bool
-	// Up says that it may be taken down.
+	// Up says that the machine is up and may be taken down.
 	Up bool
-	// Cordoned says that it is cordoned, and CordonedFor how long.
+	// Cordoned says that the machine is cordoned, and CordonedFor for how long.
 	Cordoned    bool
 	CordonedFor time.Duration
-	// Empty says that no run on it can be alive.
+	// Empty says that no run on the machine can be alive.
 	Empty bool
-	// EmptyIn is the expected time until its runs have ended.
+	// EmptyIn is the expected time until the runs on the machine have ended.
 	EmptyIn time.Duration
-	// Uninterruptible says that a long-running task on it can't be interrupted at present.
+	// Uninterruptible says that a long-running task on the machine can't be interrupted at
+	// present.
 	Uninterruptible bool
 }
 
 // Wave is the input of a decision about a wave.
 type Wave struct {
-	// Remaining is the time left for the whole wave; negative when it is late.
+	// Remaining is the time left for the whole wave; it is negative if the wave is late.
 	Remaining time.Duration
 	// MachineDowntime is how long a machine is down for its maintenance.
 	MachineDowntime time.Duration
@@ -50,9 +52,9 @@
 	MaxDown int
 }
 
-// Plan lists the IDs of machines by what to do with them now.
+// Plan lists the IDs of machines by the action to take now.
 type Plan struct {
-	// Cordon are the machines to cordon: they get no new runs.
+	// Cordon are the machines to cordon, so that they get no new runs.
 	Cordon []string
 	// Stop are the machines whose runs to stop.
 	Stop []string
@@ -60,9 +62,9 @@
 	TakeDown []string
 }
 
-// Decide plans for one wave. It takes as few machines at the same time as the remaining time
-// allows, so that the others keep serving, and starts with those that are expected to be empty
-// first.
+// Decide plans the next actions for one wave. It cordons and takes down as few machines at the
+// same time as the remaining time allows, so that the others keep serving, and begins with the
+// machines that are expected to be empty first.
 func Decide(w Wave, machines []Machine) Plan {
 	var plan Plan
 	var waiting, cordoned []Machine
@@ -97,8 +99,8 @@
 	return plan
 }
 
-// concurrency returns how many machines to take at the same time so that n machines are
-// finished in the remaining time.
+// concurrency returns how many machines must be cordoned or down at the same time so that the
+// maintenance of n machines is complete in the remaining time; w.MaxDown at most.
 func concurrency(w Wave, n int) int {
 	if w.Remaining <= 0 {
 		return w.MaxDown
@@ -108,7 +110,8 @@
 	return min(max(needed, 1), w.MaxDown)
 }
 
-// drainTimeout returns how long a machine may stay cordoned before its runs are stopped.
+// drainTimeout returns how long a machine may stay cordoned before its runs are stopped, if n
+// machines remain and concurrent ones are cordoned or down at the same time.
 func (w Wave) drainTimeout(n, concurrent int) time.Duration {
 	if n == 0 || concurrent == 0 {
 		return 0
