--- a/fault/fault.go
+++ b/fault/fault.go
@@ -63,9 +63,9 @@
 	SameRequestID
 )
 
-// answer is how an error kind is reported: the name that users see, the HTTP status, the twirp
-// code, the exit code of the command line and the retry advice.
-type answer struct {
+// representation is how an error kind is reported: the name that users see, the HTTP status,
+// the twirp code, the exit code of the command line and the retry advice.
+type representation struct {
 	name   string
 	status int
 	code   twirp.ErrorCode
@@ -73,8 +73,8 @@
 	advice Advice
 }
 
-// answers has the representation of each kind.
-var answers = [kindCount]answer{
+// representations has the representation of each kind.
+var representations = [kindCount]representation{
 	Internal:            {"Internal", http.StatusInternalServerError, twirp.Internal, 10, SameRequestID},
 	Invalid:             {"Invalid", http.StatusBadRequest, twirp.InvalidArgument, 2, Never},
 	NotFound:            {"NotFound", http.StatusNotFound, twirp.NotFound, 3, Never},
@@ -107,27 +107,27 @@
 // the name of Internal.
 func (k Kind) String() string {
 	if k >= kindCount {
-		return answers[Internal].name
+		return representations[Internal].name
 	}
-	return answers[k].name
+	return representations[k].name
 }
 
 // HTTPStatus returns the HTTP status for the kind.
-func (k Kind) HTTPStatus() int { return answers[k%kindCount].status }
+func (k Kind) HTTPStatus() int { return representations[k%kindCount].status }
 
 // TwirpCode returns the twirp code for the kind.
-func (k Kind) TwirpCode() twirp.ErrorCode { return answers[k%kindCount].code }
+func (k Kind) TwirpCode() twirp.ErrorCode { return representations[k%kindCount].code }
 
 // ExitCode returns the exit code of the command line for the kind.
-func (k Kind) ExitCode() int { return answers[k%kindCount].exit }
+func (k Kind) ExitCode() int { return representations[k%kindCount].exit }
 
 // Advice returns whether and when the call may be sent again.
-func (k Kind) Advice() Advice { return answers[k%kindCount].advice }
+func (k Kind) Advice() Advice { return representations[k%kindCount].advice }
 
 // Parse returns the kind with the given name, or Internal and false for an unknown name.
 func Parse(name string) (Kind, bool) {
 	for k := Kind(0); k < kindCount; k++ {
-		if answers[k].name == name {
+		if representations[k].name == name {
 			return k, true
 		}
 	}
@@ -204,9 +204,9 @@
 	if err == nil {
 		return nil
 	}
-	var wire twirp.Error
-	if stderrors.As(err, &wire) && wire.Meta(metaKind) != "" {
-		return wire
+	var existing twirp.Error
+	if stderrors.As(err, &existing) && existing.Meta(metaKind) != "" {
+		return existing
 	}
 	f := From(err)
 	twirpErr := twirp.NewError(f.Kind.TwirpCode(), f.Message).WithMeta(metaKind, f.Kind.String())
--- a/internal/carrier/fake_test.go
+++ b/internal/carrier/fake_test.go
@@ -141,7 +141,7 @@
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	answer, err := serve(ctx, carrier, method, request)
+	response, err := serve(ctx, carrier, method, request)
 	if err == nil && c.hasFault(c.droppingReplies, address) {
 		<-ctx.Done()
 		err = ctx.Err()
@@ -150,7 +150,7 @@
 		return err
 	}
 	time.Sleep(networkDelay)
-	return copyMessage(answer, reply)
+	return copyMessage(response, reply)
 }
 
 // serve passes a call to a carrier.
@@ -278,7 +278,7 @@
 }
 
 // startMany sends starts to many workers concurrently and returns how many succeeded.
-func (c *cluster) startMany(workers int) (answered int) {
+func (c *cluster) startMany(workers int) (succeeded int) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	for i := range workers {
@@ -286,12 +286,12 @@
 			if c.start(fmt.Sprint("worker-", i)) == nil {
 				mu.Lock()
 				defer mu.Unlock()
-				answered++
+				succeeded++
 			}
 		})
 	}
 	group.Wait()
-	return answered
+	return succeeded
 }
 
 // pendingOrders returns the number of orders without an outcome.
--- a/internal/carrier/random_test.go
+++ b/internal/carrier/random_test.go
@@ -31,7 +31,7 @@
 	c.lead(1)
 	var group sync.WaitGroup
 	var mu sync.Mutex
-	answered := map[string]bool{}
+	succeeded := map[string]bool{}
 	for i := range 120 {
 		if i%10 == 0 {
 			c.injectFault(random, carriers)
@@ -43,7 +43,7 @@
 			must.LessEq(t, 600*time.Millisecond, time.Since(started))
 			mu.Lock()
 			defer mu.Unlock()
-			answered[worker] = err == nil
+			succeeded[worker] = err == nil
 		})
 		time.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
 	}
@@ -51,7 +51,7 @@
 	c.endTerm()
 	time.Sleep(time.Second)
 	sent := c.startsByWorker()
-	for worker, ok := range answered {
+	for worker, ok := range succeeded {
 		if ok {
 			must.Positive(t, sent[worker], must.Sprint(worker))
 		}
