--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -7,11 +7,14 @@
 	"github.com/shoenig/test/must"
 )
 
+// machineMilliCPU is the size of each machine in thousandths of a core.
+const machineMilliCPU = 10_000
+
 // pool returns a pool of n movable machines with 10 cores each; demand is in cores.
 func pool(name string, n int, demand int64) Pool {
-	p := Pool{Name: name, Capacity: int64(n) * 10_000, Demand: demand * 1000}
+	p := Pool{Name: name, Capacity: int64(n) * machineMilliCPU, Demand: demand * 1000}
 	for i := range n {
-		p.Machines = append(p.Machines, Machine{ID: fmt.Sprint(name, i), MilliCPU: 10_000, Movable: true})
+		p.Machines = append(p.Machines, Machine{ID: fmt.Sprint(name, i), MilliCPU: machineMilliCPU, Movable: true})
 	}
 	return p
 }
--- a/internal/carrier/carrier_test.go
+++ b/internal/carrier/carrier_test.go
@@ -90,19 +90,22 @@
 // spends most of its processor time on these calls. The number of messages to carriers must be
 // about the same for 100 workers and for 1100.
 func TestLeaderMessagesDoNotGrowWithWorkers(t *testing.T) {
+	// Each worker gets one start a round.
+	const rounds = 10
+	const roundPause = 100 * time.Millisecond
 	messages := func(workers int) (sent int) {
 		synctest.Test(t, func(t *testing.T) {
 			c := newCluster(t, 4)
 			c.lead(1)
 			before := c.callsOf(MethodCarry) + c.callsOf(MethodCollect)
-			for range 10 {
+			for range rounds {
 				must.Eq(t, workers, c.startMany(workers))
-				time.Sleep(100 * time.Millisecond)
+				time.Sleep(roundPause)
 			}
 			sent = c.callsOf(MethodCarry) + c.callsOf(MethodCollect) - before
 			for name, starts := range c.startsByInstance() {
 				if name != "leader" {
-					must.Between(t, 10*workers/8, starts, 10*workers/2, must.Sprint(name))
+					must.Between(t, rounds*workers/8, starts, rounds*workers/2, must.Sprint(name))
 				}
 			}
 			c.endTerm()
@@ -125,12 +128,12 @@
 		started := time.Now()
 		succeeded := c.startMany(300)
 		must.Between(t, 150, succeeded, 250)
-		must.Less(t, 600*time.Millisecond, time.Since(started), must.Sprint("callers must not wait for the full call timeout"))
+		must.Less(t, startTimeout, time.Since(started), must.Sprint("callers must not wait for the full call timeout"))
 		must.Eq(t, 300, c.startMany(300))
 		must.Eq(t, 0, c.workers["carrier-1"].started())
 
 		c.setFault(c.unresponsive, "carrier-1", false)
-		time.Sleep(time.Second)
+		time.Sleep(settleTime)
 		must.Eq(t, 300, c.startMany(300))
 		must.Positive(t, c.workers["carrier-1"].started(), must.Sprint("a recovered carrier must get orders"))
 		c.endTerm()
@@ -179,7 +182,7 @@
 		c.lead(1)
 		must.Eq(t, 50, c.startMany(50))
 		c.restart("carrier-0")
-		time.Sleep(time.Second)
+		time.Sleep(settleTime)
 		must.Eq(t, 5, c.startMany(5))
 		must.Eq(t, 55, c.workers["carrier-0"].started())
 		c.endTerm()
@@ -228,12 +231,14 @@
 		c.lead(1)
 		c.workers["carrier-0"].hangStarts = true
 		go c.startMany(40)
-		time.Sleep(overdueAfter + 10*time.Millisecond)
+		// overdueMargin lets the orders become overdue for certain.
+		const overdueMargin = 10 * time.Millisecond
+		time.Sleep(overdueAfter + overdueMargin)
 		before := c.workers["carrier-0"].started()
 		must.Positive(t, before)
 		must.Eq(t, 40, c.startMany(40))
 		must.Eq(t, before, c.workers["carrier-0"].started())
-		time.Sleep(time.Second)
+		time.Sleep(settleTime)
 		c.endTerm()
 	})
 }
@@ -248,7 +253,7 @@
 		_, err := c.forwarder.Start(ctx, control.Target{Worker: "w"}, control.StartOrder{})
 		must.True(t, errors.Is(err, errNoResponse))
 		must.Eq(t, 0, c.forwarder.routes[0].pendingOrders())
-		time.Sleep(time.Second)
+		time.Sleep(settleTime)
 		c.endTerm()
 	})
 }
@@ -279,9 +284,12 @@
 		c := newCluster(t, 1)
 		c.lead(1)
 		workers := c.workers["carrier-0"]
-		workers.pollHold = 4*membershipInterval + 100*time.Millisecond
+		// pollHold is the time of two calls of setMembers and 100 ms.
+		const pollHold = 4*membershipInterval + 100*time.Millisecond
+		const pollTimeout = 10 * membershipInterval
+		workers.pollHold = pollHold
 		go func() {
-			ctx, cancel := context.WithTimeout(t.Context(), 10*membershipInterval)
+			ctx, cancel := context.WithTimeout(t.Context(), pollTimeout)
 			defer cancel()
 			_, _ = c.forwarder.Poll(ctx, control.Target{Worker: "w"}, control.PollOrder{})
 		}()
@@ -289,8 +297,8 @@
 		c.setMembers("leader", "carrier-0")
 		workers.hangStarts = true
 		must.True(t, errors.Is(c.start("hangs"), errNoResponse))
-		time.Sleep(10 * membershipInterval)
+		time.Sleep(pollTimeout)
 		c.endTerm()
-		time.Sleep(time.Second)
+		time.Sleep(settleTime)
 	})
 }
--- a/internal/carrier/direct_share_test.go
+++ b/internal/carrier/direct_share_test.go
@@ -8,20 +8,29 @@
 	"github.com/shoenig/test/must"
 )
 
+const (
+	// shareUpdates is the number of updates after which the moving average has settled.
+	shareUpdates = 20
+	// updatesPerSecond is the number of updates per second, by membershipInterval.
+	updatesPerSecond = 2
+	// sampledWorkers is the number of workers of which the direct ones are counted.
+	sampledWorkers = 1000
+)
+
 // countDirectWorkers returns how many of 1000 workers the leader calls directly after 20
 // updates at a constant rate of orders.
 func countDirectWorkers(ordersPerSecond int) (direct int) {
 	var s directShare
 	now := time.Now()
 	s.reset(now)
-	for range 20 {
+	for range shareUpdates {
 		now = now.Add(membershipInterval)
-		for range ordersPerSecond / 2 {
+		for range ordersPerSecond / updatesPerSecond {
 			s.countOrder()
 		}
 		s.update(now)
 	}
-	for i := range 1000 {
+	for i := range sampledWorkers {
 		if s.includes(fmt.Sprint("worker-", i)) {
 			direct++
 		}
@@ -32,7 +41,7 @@
 // Guards against orders that are forwarded at a low rate, which delays the starts and ends of
 // tasks. At higher rates the leader must make about 500 calls per second itself.
 func TestLeaderWithFewOrdersCallsWorkersDirectly(t *testing.T) {
-	must.Eq(t, 1000, countDirectWorkers(400))
+	must.Eq(t, sampledWorkers, countDirectWorkers(400))
 	must.Between(t, 200, countDirectWorkers(2000), 300)
 	must.Between(t, 70, countDirectWorkers(5000), 130)
 }
--- a/internal/carrier/fake_test.go
+++ b/internal/carrier/fake_test.go
@@ -21,6 +21,14 @@
 // networkDelay is the one-way delay of a message between two instances.
 const networkDelay = time.Millisecond
 
+const (
+	// startTimeout bounds a start.
+	startTimeout = 600 * time.Millisecond
+	// settleTime exceeds the timeouts of starts and collect calls and the retry interval, so
+	// that calls in flight have ended and faults have been noticed.
+	settleTime = time.Second
+)
+
 // cluster is a leader's Forwarder and several carriers on a simulated network.
 type cluster struct {
 	t         *testing.T
@@ -249,7 +257,7 @@
 
 // start sends a start to a worker with a timeout of 600 ms.
 func (c *cluster) start(worker string) error {
-	ctx, cancel := context.WithTimeout(c.t.Context(), 600*time.Millisecond)
+	ctx, cancel := context.WithTimeout(c.t.Context(), startTimeout)
 	defer cancel()
 	_, err := c.forwarder.Start(ctx, control.Target{Worker: worker, Address: "a"}, control.StartOrder{Fence: 1, Payload: "p"})
 	return err
--- a/internal/carrier/random_test.go
+++ b/internal/carrier/random_test.go
@@ -26,30 +26,35 @@
 
 // runWithFaults sends orders while faults are injected into carriers.
 func runWithFaults(t *testing.T, seed uint64, carriers int) {
+	const orders = 120
+	// ordersPerFault is the number of orders per injected fault.
+	const ordersPerFault = 10
+	// maxPauseMS bounds the random pause after an order.
+	const maxPauseMS = 20
 	random := rand.New(rand.NewPCG(seed, 1))
 	c := newCluster(t, carriers)
 	c.lead(1)
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	succeeded := map[string]bool{}
-	for i := range 120 {
-		if i%10 == 0 {
+	for i := range orders {
+		if i%ordersPerFault == 0 {
 			c.injectFault(random, carriers)
 		}
 		worker := fmt.Sprint("w", i)
 		group.Go(func() {
 			started := time.Now()
 			err := c.start(worker)
-			must.LessEq(t, 600*time.Millisecond, time.Since(started))
+			must.LessEq(t, startTimeout, time.Since(started))
 			mu.Lock()
 			defer mu.Unlock()
 			succeeded[worker] = err == nil
 		})
-		time.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
+		time.Sleep(time.Duration(random.IntN(maxPauseMS)) * time.Millisecond)
 	}
 	group.Wait()
 	c.endTerm()
-	time.Sleep(time.Second)
+	time.Sleep(settleTime)
 	sent := c.startsByWorker()
 	for worker, ok := range succeeded {
 		if ok {
