--- a/internal/carrier/route.go
+++ b/internal/carrier/route.go
@@ -53,8 +53,8 @@
 	mu sync.Mutex
 	// interval is the pause between two messages in the same direction.
 	interval time.Duration
-	// responsive says that the last call to the carrier succeeded; dataCentre is the data
-	// centre of the carrier.
+	// responsive says that a collect call has succeeded since the last failed call;
+	// dataCentre is the data centre of the carrier.
 	responsive bool
 	dataCentre string
 	queue      []*Order
