--- a/fault/fault.go
+++ b/fault/fault.go
@@ -1,5 +1,5 @@
 // Package fault defines the fixed set of error kinds that callers, operators, workers and
-// minions see, and how each kind is answered: HTTP status, twirp code, exit code and retry
+// minions see, and how each kind is reported: HTTP status, twirp code, exit code and retry
 // advice.
 package fault
 
@@ -15,21 +15,36 @@
 // Kind is an error kind of the fixed set.
 type Kind uint8
 
-// The error kinds. NotRun is used only with proof that no attempt started.
+// The error kinds.
 const (
+	// Internal is an unexpected error of the system.
 	Internal Kind = iota
+	// Invalid means that the input is invalid.
 	Invalid
+	// NotFound means that the named object doesn't exist.
 	NotFound
+	// Denied means that the caller isn't authenticated or may not make the call.
 	Denied
+	// Conflict means that the call contradicts the current state.
 	Conflict
+	// Infeasible means that the job needs more than the workers have.
 	Infeasible
+	// DeadlineUnreachable means that the job can't meet its deadline.
 	DeadlineUnreachable
+	// QuotaExceeded means that the quota is used up.
 	QuotaExceeded
+	// Overloaded means that a limit on load or pending work is reached or that there are no
+	// workers.
 	Overloaded
+	// Unavailable means that no leader was reached or that no response arrived in time.
 	Unavailable
+	// NotRun is used only if it is certain that no attempt has started.
 	NotRun
+	// Failed means that the job failed.
 	Failed
+	// Cancelled means that the job was cancelled; it is also used for an unknown job of a queue.
 	Cancelled
+	// Unknown means that the outcome of the call or job is unknown.
 	Unknown
 	kindCount
 )
@@ -48,9 +63,9 @@
 	SameRequestID
 )
 
-// answer says how an error kind is answered: the name that users see, the HTTP status, the
-// twirp code, the exit code of the command line and the retry advice.
-type answer struct {
+// representation is how an error kind is reported: the name that users see, the HTTP status,
+// the twirp code, the exit code of the command line and the retry advice.
+type representation struct {
 	name   string
 	status int
 	code   twirp.ErrorCode
@@ -58,8 +73,8 @@
 	advice Advice
 }
 
-// answers has the answer to each kind.
-var answers = [kindCount]answer{
+// representations has the representation of each kind.
+var representations = [kindCount]representation{
 	Internal:            {"Internal", http.StatusInternalServerError, twirp.Internal, 10, SameRequestID},
 	Invalid:             {"Invalid", http.StatusBadRequest, twirp.InvalidArgument, 2, Never},
 	NotFound:            {"NotFound", http.StatusNotFound, twirp.NotFound, 3, Never},
@@ -88,30 +103,31 @@
 	HeaderRetryAfter = "Retry-After"
 )
 
-// String returns the name of the kind as users see it; that of Internal for an unknown kind.
+// String returns the name of the kind as users see it. For a value that is no kind it returns
+// the name of Internal.
 func (k Kind) String() string {
 	if k >= kindCount {
-		return answers[Internal].name
+		return representations[Internal].name
 	}
-	return answers[k].name
+	return representations[k].name
 }
 
 // HTTPStatus returns the HTTP status for the kind.
-func (k Kind) HTTPStatus() int { return answers[k%kindCount].status }
+func (k Kind) HTTPStatus() int { return representations[k%kindCount].status }
 
 // TwirpCode returns the twirp code for the kind.
-func (k Kind) TwirpCode() twirp.ErrorCode { return answers[k%kindCount].code }
+func (k Kind) TwirpCode() twirp.ErrorCode { return representations[k%kindCount].code }
 
 // ExitCode returns the exit code of the command line for the kind.
-func (k Kind) ExitCode() int { return answers[k%kindCount].exit }
+func (k Kind) ExitCode() int { return representations[k%kindCount].exit }
 
 // Advice returns whether and when the call may be sent again.
-func (k Kind) Advice() Advice { return answers[k%kindCount].advice }
+func (k Kind) Advice() Advice { return representations[k%kindCount].advice }
 
-// Parse returns the kind of a name, or Internal and false for an unknown name.
+// Parse returns the kind with the given name, or Internal and false for an unknown name.
 func Parse(name string) (Kind, bool) {
 	for k := Kind(0); k < kindCount; k++ {
-		if answers[k].name == name {
+		if representations[k].name == name {
 			return k, true
 		}
 	}
@@ -136,7 +152,7 @@
 	RetryAfter time.Duration
 }
 
-// Error returns the kind, the field where there is one, and the message.
+// Error returns the name of the kind, the field if there is one, and the message.
 func (e *Error) Error() string {
 	if e.Field != "" {
 		return e.Kind.String() + ": " + e.Field + ": " + e.Message
@@ -188,9 +204,9 @@
 	if err == nil {
 		return nil
 	}
-	var wire twirp.Error
-	if stderrors.As(err, &wire) && wire.Meta(metaKind) != "" {
-		return wire
+	var existing twirp.Error
+	if stderrors.As(err, &existing) && existing.Meta(metaKind) != "" {
+		return existing
 	}
 	f := From(err)
 	twirpErr := twirp.NewError(f.Kind.TwirpCode(), f.Message).WithMeta(metaKind, f.Kind.String())
@@ -232,8 +248,8 @@
 		f.Kind = kind
 		return f
 	}
-	// Twirp reports a transport error of the client as Internal. The outcome of the call is
-	// unknown, so the kind is Unavailable, never a refusal.
+	// Twirp reports a transport error of the client as Internal. The call may have been
+	// executed, so the kind is Unavailable and not one that says that the call was refused.
 	if twirpErr.Code() == twirp.Internal {
 		f.Kind = Unavailable
 	}
--- a/internal/carrier/carrier_test.go
+++ b/internal/carrier/carrier_test.go
@@ -45,8 +45,9 @@
 	})
 }
 
-// A carrier answers a new leader, which is still processing the heartbeats of that
-// answer when it sends its first order. The leader must not call the worker directly.
+// A new leader is still processing the heartbeats of a carrier's first reply when it sends
+// its first order. The leader must send the order through the carrier and not call the worker
+// directly.
 func TestFirstOrderOfNewLeaderGoesThroughResponsiveCarrier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
@@ -85,23 +86,26 @@
 	})
 }
 
-// 1100 workers get a start every second. A leader that calls each of them itself spends
-// most of its processor time on that. The number of messages to carriers must be about
-// the same for 100 workers and for 1100.
+// Each of 1100 workers gets a start every second. A leader that calls each worker itself
+// spends most of its processor time on these calls. The number of messages to carriers must be
+// about the same for 100 workers and for 1100.
 func TestLeaderMessagesDoNotGrowWithWorkers(t *testing.T) {
+	// Each worker gets one start a round.
+	const rounds = 10
+	const roundPause = 100 * time.Millisecond
 	messages := func(workers int) (sent int) {
 		synctest.Test(t, func(t *testing.T) {
 			c := newCluster(t, 4)
 			c.lead(1)
 			before := c.callsOf(MethodCarry) + c.callsOf(MethodCollect)
-			for range 10 {
+			for range rounds {
 				must.Eq(t, workers, c.startMany(workers))
-				time.Sleep(100 * time.Millisecond)
+				time.Sleep(roundPause)
 			}
 			sent = c.callsOf(MethodCarry) + c.callsOf(MethodCollect) - before
 			for name, starts := range c.startsByInstance() {
 				if name != "leader" {
-					must.Between(t, 10*workers/8, starts, 10*workers/2, must.Sprint(name))
+					must.Between(t, rounds*workers/8, starts, rounds*workers/2, must.Sprint(name))
 				}
 			}
 			c.endTerm()
@@ -113,22 +117,23 @@
 	must.LessEq(t, 2*few, many)
 }
 
-// A carrier stops answering with orders in flight. Their callers must learn soon that
-// the orders may have been executed, and other carriers must call its workers.
+// A carrier stops responding while orders are in flight. Their callers must get an error
+// before the call timeout, because the orders may have been executed. Other carriers must call
+// the workers of the unresponsive carrier.
 func TestWorkersOfUnresponsiveCarrierMoveToOtherCarriers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3)
 		c.lead(1)
 		c.setFault(c.unresponsive, "carrier-1", true)
 		started := time.Now()
-		answered := c.startMany(300)
-		must.Between(t, 150, answered, 250)
-		must.Less(t, 600*time.Millisecond, time.Since(started), must.Sprint("callers must not wait for the full call timeout"))
+		succeeded := c.startMany(300)
+		must.Between(t, 150, succeeded, 250)
+		must.Less(t, startTimeout, time.Since(started), must.Sprint("callers must not wait for the full call timeout"))
 		must.Eq(t, 300, c.startMany(300))
 		must.Eq(t, 0, c.workers["carrier-1"].started())
 
 		c.setFault(c.unresponsive, "carrier-1", false)
-		time.Sleep(time.Second)
+		time.Sleep(settleTime)
 		must.Eq(t, 300, c.startMany(300))
 		must.Positive(t, c.workers["carrier-1"].started(), must.Sprint("a recovered carrier must get orders"))
 		c.endTerm()
@@ -136,7 +141,7 @@
 }
 
 // A carrier's process has ended and its host refuses connections. The orders can't have
-// arrived, so the leader must call the workers itself and no order may fail.
+// arrived, so the leader must call the workers itself, and no order may fail.
 func TestOrdersThatCantHaveArrivedAreSentByTheLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
@@ -148,9 +153,9 @@
 	})
 }
 
-// The reply to a collect call is lost. The carrier must list its outcomes again;
-// otherwise each of these orders counts as possibly executed, and its worker has an
-// overdue order.
+// The reply to a collect call is lost. The carrier must list the same outcomes in the next
+// reply; otherwise the leader can't tell whether the orders were executed, and their workers
+// have overdue orders.
 func TestLostOutcomesAreListedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		carrier := newTestCarrier(&fakeWorkers{}, "dc")
@@ -169,25 +174,23 @@
 	})
 }
 
-// A carrier restarts and numbers its outcomes from 1 again. If the leader still
-// acknowledged numbers of the previous incarnation, it would miss all outcomes up to
-// that number.
+// A carrier restarts and numbers its outcomes from 1 again. If the leader still acknowledged
+// numbers of the previous incarnation, it would miss all outcomes up to that number.
 func TestOutcomesOfRestartedCarrierAreCollected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
 		c.lead(1)
 		must.Eq(t, 50, c.startMany(50))
 		c.restart("carrier-0")
-		time.Sleep(time.Second)
+		time.Sleep(settleTime)
 		must.Eq(t, 5, c.startMany(5))
 		must.Eq(t, 55, c.workers["carrier-0"].started())
 		c.endTerm()
 	})
 }
 
-// A partitioned instance still sends orders as the leader. A carrier that has received
-// a message of the next leader must execute none of them and must return the later
-// term.
+// A former leader that was partitioned still sends orders. A carrier that has received a
+// message of the next leader must execute none of them and must return the later term.
 func TestCarrierRefusesEarlierTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		workers := &fakeWorkers{}
@@ -205,9 +208,9 @@
 	})
 }
 
-// A carrier holds an outcome of the previous term when the next leader collects. That
-// leader may have given the same ID to another order, so the carrier must drop the
-// outcome.
+// A carrier holds an outcome of the previous term when the next leader makes its first
+// collect call. The next leader may have given the same ID to another order, so the carrier
+// must drop the outcome.
 func TestOutcomesOfEarlierTermAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		carrier := newTestCarrier(&fakeWorkers{}, "dc")
@@ -220,7 +223,7 @@
 	})
 }
 
-// A carrier accepts orders and answers collect calls, but its calls to workers hang. It
+// A carrier accepts orders and responds to collect calls, but its calls to workers hang. It
 // must get no further orders while its orders are overdue.
 func TestBackloggedCarrierGetsNoOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -228,12 +231,14 @@
 		c.lead(1)
 		c.workers["carrier-0"].hangStarts = true
 		go c.startMany(40)
-		time.Sleep(overdueAfter + 10*time.Millisecond)
+		// overdueMargin lets the orders become overdue for certain.
+		const overdueMargin = 10 * time.Millisecond
+		time.Sleep(overdueAfter + overdueMargin)
 		before := c.workers["carrier-0"].started()
 		must.Positive(t, before)
 		must.Eq(t, 40, c.startMany(40))
 		must.Eq(t, before, c.workers["carrier-0"].started())
-		time.Sleep(time.Second)
+		time.Sleep(settleTime)
 		c.endTerm()
 	})
 }
@@ -248,7 +253,7 @@
 		_, err := c.forwarder.Start(ctx, control.Target{Worker: "w"}, control.StartOrder{})
 		must.True(t, errors.Is(err, errNoResponse))
 		must.Eq(t, 0, c.forwarder.routes[0].pendingOrders())
-		time.Sleep(time.Second)
+		time.Sleep(settleTime)
 		c.endTerm()
 	})
 }
@@ -270,18 +275,21 @@
 	})
 }
 
-// A worker holds a poll while its carrier leaves and returns within a term. A start
-// goes through the new route and hangs; then the poll is answered. If each route
-// numbered its orders from 1, the start would get the outcome of the poll, and the task
-// would never run.
+// A carrier holds the outcome of a poll for a closed route: its instance leaves and returns
+// within a term while the worker holds the poll. A start goes through the new route and hangs
+// while the poll ends. If each route numbered its orders from 1, the start would get the
+// outcome of the poll, and the task would never run.
 func TestOutcomeOfClosedRouteMatchesNoOtherOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
 		c.lead(1)
 		workers := c.workers["carrier-0"]
-		workers.pollHold = 4*membershipInterval + 100*time.Millisecond
+		// pollHold is the time of two calls of setMembers and 100 ms.
+		const pollHold = 4*membershipInterval + 100*time.Millisecond
+		const pollTimeout = 10 * membershipInterval
+		workers.pollHold = pollHold
 		go func() {
-			ctx, cancel := context.WithTimeout(t.Context(), 10*membershipInterval)
+			ctx, cancel := context.WithTimeout(t.Context(), pollTimeout)
 			defer cancel()
 			_, _ = c.forwarder.Poll(ctx, control.Target{Worker: "w"}, control.PollOrder{})
 		}()
@@ -289,8 +297,8 @@
 		c.setMembers("leader", "carrier-0")
 		workers.hangStarts = true
 		must.True(t, errors.Is(c.start("hangs"), errNoResponse))
-		time.Sleep(10 * membershipInterval)
+		time.Sleep(pollTimeout)
 		c.endTerm()
-		time.Sleep(time.Second)
+		time.Sleep(settleTime)
 	})
 }
--- a/internal/carrier/fake_test.go
+++ b/internal/carrier/fake_test.go
@@ -21,6 +21,14 @@
 // networkDelay is the one-way delay of a message between two instances.
 const networkDelay = time.Millisecond
 
+const (
+	// startTimeout bounds a start.
+	startTimeout = 600 * time.Millisecond
+	// settleTime exceeds the timeouts of starts and collect calls and the retry interval, so
+	// that calls in flight have ended and faults have been noticed.
+	settleTime = time.Second
+)
+
 // cluster is a leader's Forwarder and several carriers on a simulated network.
 type cluster struct {
 	t         *testing.T
@@ -31,8 +39,8 @@
 	members  []string
 	carriers map[string]*Carrier
 	workers  map[string]*fakeWorkers
-	// refusing instances refuse connections, unresponsive ones accept messages and
-	// never answer, and those in droppingReplies process messages without answering.
+	// refusing instances refuse connections, unresponsive ones accept messages without
+	// processing them, and those in droppingReplies process messages and send no reply.
 	refusing, unresponsive, droppingReplies map[string]bool
 	callCounts                              map[string]int
 }
@@ -107,8 +115,7 @@
 	}
 }
 
-// setFault starts or ends a fault of an instance; faults is one of the cluster's fault
-// maps.
+// setFault starts or ends a fault of an instance; faults is the cluster's map for the fault.
 func (c *cluster) setFault(faults map[string]bool, name string, active bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,7 +135,7 @@
 	return c.callCounts[method]
 }
 
-// Call implements Transport with delays and the faults that are set.
+// Call implements Transport with a network delay and the faults that are set.
 func (c *cluster) Call(ctx context.Context, address, method string, request, reply any) error {
 	c.mu.Lock()
 	carrier := c.carriers[address]
@@ -142,7 +149,7 @@
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	answer, err := serve(ctx, carrier, method, request)
+	response, err := serve(ctx, carrier, method, request)
 	if err == nil && c.hasFault(c.droppingReplies, address) {
 		<-ctx.Done()
 		err = ctx.Err()
@@ -151,7 +158,7 @@
 		return err
 	}
 	time.Sleep(networkDelay)
-	return copyMessage(answer, reply)
+	return copyMessage(response, reply)
 }
 
 // serve passes a call to a carrier.
@@ -179,18 +186,18 @@
 	return cbor.Unmarshal(data, to)
 }
 
-// fakeWorkers stands for all workers as one instance reaches them.
+// fakeWorkers simulates all workers, for the calls that one instance makes.
 type fakeWorkers struct {
 	mu     sync.Mutex
 	starts []control.StartOrder
 	// startsByWorker counts the starts by worker.
 	startsByWorker map[string]int
-	// startErr is the answer to starts; nil accepts them.
+	// startErr is the error of starts; nil means that they succeed.
 	startErr error
 	polls    int
 	// pollHold is how long polls are held.
 	pollHold time.Duration
-	// hangStarts leaves starts unanswered.
+	// hangStarts makes starts hang without a response.
 	hangStarts bool
 }
 
@@ -222,7 +229,7 @@
 	return workerClockMS, nil
 }
 
-// Poll answers after pollHold with one ended and one running run.
+// Poll returns one ended and one running run after pollHold.
 func (w *fakeWorkers) Poll(_ context.Context, _ control.Target, order control.PollOrder) (control.Report, error) {
 	time.Sleep(networkDelay + w.pollHold)
 	w.mu.Lock()
@@ -241,7 +248,7 @@
 	return len(w.starts)
 }
 
-// noCounters counts nothing.
+// noCounters discards all counts.
 type noCounters struct{}
 
 func (noCounters) Add(string, int64)             {}
@@ -250,7 +257,7 @@
 
 // start sends a start to a worker with a timeout of 600 ms.
 func (c *cluster) start(worker string) error {
-	ctx, cancel := context.WithTimeout(c.t.Context(), 600*time.Millisecond)
+	ctx, cancel := context.WithTimeout(c.t.Context(), startTimeout)
 	defer cancel()
 	_, err := c.forwarder.Start(ctx, control.Target{Worker: worker, Address: "a"}, control.StartOrder{Fence: 1, Payload: "p"})
 	return err
@@ -279,7 +286,7 @@
 }
 
 // startMany sends starts to many workers concurrently and returns how many succeeded.
-func (c *cluster) startMany(workers int) (answered int) {
+func (c *cluster) startMany(workers int) (succeeded int) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	for i := range workers {
@@ -287,12 +294,12 @@
 			if c.start(fmt.Sprint("worker-", i)) == nil {
 				mu.Lock()
 				defer mu.Unlock()
-				answered++
+				succeeded++
 			}
 		})
 	}
 	group.Wait()
-	return answered
+	return succeeded
 }
 
 // pendingOrders returns the number of orders without an outcome.
--- a/internal/carrier/random_test.go
+++ b/internal/carrier/random_test.go
@@ -12,10 +12,10 @@
 	"pgregory.net/rapid"
 )
 
-// Carriers stop answering, restart and refuse connections while orders are forwarded.
-// Every order must end within its timeout of 600 ms, a successful one must have reached
-// its worker, and no order may reach a worker twice. If an outcome is matched to another
-// order, the leader treats an executed start as lost, or an unsent one as executed.
+// Carriers stop responding, restart and refuse connections while orders are forwarded. Every
+// order must end within its timeout of 600 ms, a successful one must have reached its worker,
+// and no order may reach a worker twice. If an outcome is matched to another order, the
+// leader treats an executed start as lost, or an unsent one as executed.
 func TestOrdersUnderFaultsEndInTimeAndAreSentOnce(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		seed := rapid.Uint64().Draw(r, "seed")
@@ -26,32 +26,37 @@
 
 // runWithFaults sends orders while faults are injected into carriers.
 func runWithFaults(t *testing.T, seed uint64, carriers int) {
+	const orders = 120
+	// ordersPerFault is the number of orders per injected fault.
+	const ordersPerFault = 10
+	// maxPauseMS bounds the random pause after an order.
+	const maxPauseMS = 20
 	random := rand.New(rand.NewPCG(seed, 1))
 	c := newCluster(t, carriers)
 	c.lead(1)
 	var group sync.WaitGroup
 	var mu sync.Mutex
-	answered := map[string]bool{}
-	for i := range 120 {
-		if i%10 == 0 {
+	succeeded := map[string]bool{}
+	for i := range orders {
+		if i%ordersPerFault == 0 {
 			c.injectFault(random, carriers)
 		}
 		worker := fmt.Sprint("w", i)
 		group.Go(func() {
 			started := time.Now()
 			err := c.start(worker)
-			must.LessEq(t, 600*time.Millisecond, time.Since(started))
+			must.LessEq(t, startTimeout, time.Since(started))
 			mu.Lock()
 			defer mu.Unlock()
-			answered[worker] = err == nil
+			succeeded[worker] = err == nil
 		})
-		time.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
+		time.Sleep(time.Duration(random.IntN(maxPauseMS)) * time.Millisecond)
 	}
 	group.Wait()
 	c.endTerm()
-	time.Sleep(time.Second)
+	time.Sleep(settleTime)
 	sent := c.startsByWorker()
-	for worker, ok := range answered {
+	for worker, ok := range succeeded {
 		if ok {
 			must.Positive(t, sent[worker], must.Sprint(worker))
 		}
