--- a/fault/fault.go
+++ b/fault/fault.go
@@ -50,12 +50,12 @@
 )
 
 // Advice says whether and when a caller may send the same call again.
-type Advice uint8
+type RetryAdvice uint8
 
 // Retry advice.
 const (
 	// Never means that the same call fails again.
-	Never Advice = iota
+	Never RetryAdvice = iota
 	// Later means that the same call may be sent again after the delay that the error names.
 	Later
 	// SameRequestID means that the outcome of the call is unknown; send it again with the same
@@ -70,7 +70,7 @@
 	status int
 	code   twirp.ErrorCode
 	exit   int
-	advice Advice
+	advice RetryAdvice
 }
 
 // representations has the representation of each kind.
@@ -122,7 +122,7 @@
 func (k Kind) ExitCode() int { return representations[k%kindCount].exit }
 
 // Advice returns whether and when the call may be sent again.
-func (k Kind) Advice() Advice { return representations[k%kindCount].advice }
+func (k Kind) RetryAdvice() RetryAdvice { return representations[k%kindCount].advice }
 
 // Parse returns the kind with the given name, or Internal and false for an unknown name.
 func Parse(name string) (Kind, bool) {
--- a/internal/standin/changes.go
+++ b/internal/standin/changes.go
@@ -163,7 +163,7 @@
 			c.recordAccepted(config.Version)
 			return true
 		}
-		if fault.KindOf(err).Advice() != fault.SameRequestID {
+		if fault.KindOf(err).RetryAdvice() != fault.SameRequestID {
 			break
 		}
 		wait.For(ctx, initialBackoff)
--- a/internal/standin/submit.go
+++ b/internal/standin/submit.go
@@ -42,7 +42,7 @@
 		callCtx, cancel := context.WithTimeout(ctx, timeout)
 		err := call(callCtx, clients[i%len(clients)])
 		cancel()
-		if err == nil || fault.KindOf(err).Advice() != fault.SameRequestID {
+		if err == nil || fault.KindOf(err).RetryAdvice() != fault.SameRequestID {
 			return err
 		}
 		if ctx.Err() != nil || time.Now().After(retryUntil) {
