--- a/replica/append.go
+++ b/replica/append.go
@@ -1,7 +1,7 @@
 package replica
 
-// flushAppends queues the entries that each member lacks, within the bound on
-// unanswered appends, and the heartbeats that are due. It runs once for each Ready
+// flushAppends queues the entries that each member lacks, up to MaxInflight appends in
+// flight, and the heartbeats that are due. It runs once for each Ready
 // rather than for each proposal, so that all proposals since the last Ready share one
 // append (group commit).
 func (c *Core) flushAppends() {
@@ -71,8 +71,8 @@
 	return last
 }
 
-// sendHeartbeat sends an append without entries. prev zero matches any log; such a
-// heartbeat only renews the contact.
+// sendHeartbeat sends an append without entries after the entry prev. A heartbeat with
+// prev zero matches any log and only renews the contact.
 func (c *Core) sendHeartbeat(id string, prev uint64) {
 	m := c.appendMessage(id)
 	m.Index = prev
@@ -252,8 +252,8 @@
 	c.tryTransfer(m.From)
 }
 
-// clearLagging makes commits wait for a disk voter again once it holds all committed
-// entries.
+// clearLagging clears the lagging mark of a member that holds all committed entries, so
+// that commits wait for a disk voter again.
 func (c *Core) clearLagging(p *progress) {
 	if p.match >= c.commit {
 		p.lagging = false
--- a/replica/bench_test.go
+++ b/replica/bench_test.go
@@ -67,8 +67,8 @@
 	return data
 }
 
-// BenchmarkCommit measures committed entries a second of all members of a group
-// together on one processor, with messages encoded but not sent.
+// BenchmarkCommit measures the committed entries per second of a group whose members all
+// run on one goroutine. Messages are encoded but not sent over a network.
 func BenchmarkCommit(b *testing.B) {
 	command := make([]byte, 60)
 	for _, size := range []int{1, 3, 5} {
--- a/replica/change.go
+++ b/replica/change.go
@@ -35,10 +35,11 @@
 	return index
 }
 
-// checkChange returns the error for a change that isn't safe. Two memberships that
-// differ in one voter have a common member in any two quorums. For a series of
-// changes that holds only if each one is committed before the next, and the first one
-// after an entry of the leader's own term (checkCanPropose checks that).
+// checkChange returns the error for a change that isn't safe. If two memberships differ
+// in one voter, any quorum of one and any quorum of the other have a common member. For a
+// series of changes that holds only if each change is committed before the next, and the
+// first is proposed after the leader has committed an entry of its own term
+// (checkCanPropose checks the latter).
 func (c *Core) checkChange(list []Member) error {
 	if err := checkMembers(list); err != nil {
 		return err
@@ -80,8 +81,8 @@
 	return out
 }
 
-// checkPromotion returns ErrNotCaughtUp for a new voter that isn't a learner holding
-// the committed entries, up to those that fit into one append. Otherwise the group
+// checkPromotion returns ErrNotCaughtUp for a new voter unless it is a responsive learner
+// that lacks at most as many committed entries as one append carries. Otherwise the group
 // could need the acknowledgement of a member that is still far behind.
 func (c *Core) checkPromotion(list []Member, id string) error {
 	if !isVoter(list, id) || isVoter(c.members.current(), id) {
--- a/replica/coldstart.go
+++ b/replica/coldstart.go
@@ -24,8 +24,8 @@
 //
 // All this must hold in each membership from the last committed one that the candidate
 // knows to its latest. A deposed leader may have proposed, and failed to commit, the
-// removal of the member that leads now. Without that member the others would be all
-// voters, and two leaders and a lost commit would follow.
+// removal of the member that leads now. Counted by that proposal alone, the remaining
+// members would be all voters, and two leaders and a lost commit would follow.
 
 // voterState is the state of a voter that matters for a cold start.
 type voterState struct {
@@ -36,8 +36,8 @@
 	term         uint64
 }
 
-// coldStartAllowed reports whether the members that kept their state must hold every
-// committed entry.
+// coldStartAllowed reports whether the voters that kept their state are certain to hold
+// every committed entry, or no voter has kept any state.
 func coldStartAllowed(list []voterState) bool {
 	recovering, recoveringParticipants, intactDisks, lostDisks := 0, 0, 0, 0
 	for _, s := range list {
@@ -134,7 +134,8 @@
 	return list, true
 }
 
-// voterStateOf returns the state of m; false when m didn't reply recently or leads.
+// voterStateOf returns the state of m. It returns false when m leads or hasn't replied
+// within two election timeouts.
 func (c *Core) voterStateOf(m Member) (voterState, bool) {
 	if m.ID == c.cfg.ID {
 		return voterState{m, c.role == Recovering, c.incarnations.participated(m.ID), c.log.last(), c.log.lastTerm()}, true
@@ -197,15 +198,15 @@
 
 // recordColdStartVote sets the recovery source of a recovering voter that has granted
 // a cold start. An append of that candidate in that term proves that all voters
-// granted it. The member then needs the candidate's log only up to the end that the
-// request named.
+// granted it. The member then needs the candidate's log only up to the last entry
+// that the request named.
 //
 // The request names the incarnation that sent the state reply, and no other one
 // grants it (see grantsVote). A voter may since have led or followed a later leader
 // and lost its state again. If it granted the delayed request, it would recover with
 // the old candidate's log and help to elect that candidate in a term that already had
 // a leader. A candidate sends one request a term to each voter, so it counted exactly
-// the incarnation that holds this source, and its appends needn't name it.
+// the incarnation that holds this source, and its appends needn't name the incarnation.
 func (c *Core) recordColdStartVote(m Message) {
 	if m.ColdStart && c.role == Recovering {
 		c.recovery.source = recoverySource{leader: m.From, term: m.Term, requiredIndex: m.Index}
@@ -227,8 +228,8 @@
 // skipLostTerms raises the term above all terms that only members without state knew.
 // These terms may have had leaders, and a fencing token derived from a term must not
 // recur. Elections are rarer than one a second, so the number of seconds in the
-// latest incarnation is above all of them. It has an effect only after a start
-// without stored state.
+// latest incarnation is above all these terms. The function changes the term only after a
+// start without stored state.
 func (c *Core) skipLostTerms() {
 	if term := c.incarnations.highest() / incarnationsPerTerm; c.anyRecovering() && term > c.term {
 		c.setTerm(term)
@@ -252,8 +253,8 @@
 // voters become learners, to be promoted again once they have caught up. It is an
 // operator's last resort: committed entries that only other members hold are lost, and
 // the other members must not continue on their own. It is allowed on a member with a
-// disk, and on an only voter without state, that has had no contact with a leader for
-// an election timeout; otherwise it returns ErrForceStart. A member whose log
+// disk, and on a sole voter without state, if no leader has made contact for an election
+// timeout; otherwise it returns ErrForceStart. A member whose log
 // contradicts the new one stops with a broken invariant when it rejoins: it must be
 // started without stored state.
 func (c *Core) ForceStart() error {
--- a/replica/config.go
+++ b/replica/config.go
@@ -37,7 +37,7 @@
 	ElectionTicks int
 	// HeartbeatTicks is the number of ticks between two heartbeats. Default 2.
 	HeartbeatTicks int
-	// Seed of the random election timeouts; it is mixed with the ID.
+	// Seed seeds the random election timeouts, together with the ID.
 	Seed uint64
 	// MaxEntriesPerMessage bounds the entries of one append. Default 256.
 	MaxEntriesPerMessage int
@@ -46,7 +46,8 @@
 	// KeepEntries is the number of entries before a snapshot that Compact keeps, so
 	// that a member that lags a little needs no snapshot.
 	KeepEntries int
-	// KeepBytes bounds the data bytes of those entries together; 0 means no bound.
+	// KeepBytes bounds the total data of the entries that KeepEntries keeps, in bytes;
+	// 0 means no bound.
 	KeepBytes int
 }
 
--- a/replica/core.go
+++ b/replica/core.go
@@ -52,8 +52,11 @@
 	messages   []Message
 	reads      []ReadState
 
-	savedState   HardState
-	newSnapshot  *Snapshot
+	// savedState is the hard state that the caller has stored.
+	savedState HardState
+	// newSnapshot is a snapshot from another member that the caller hasn't stored yet.
+	newSnapshot *Snapshot
+	// readyPending is set between Ready and Advance.
 	readyPending bool
 }
 
--- a/replica/election.go
+++ b/replica/election.go
@@ -15,12 +15,13 @@
 	// member that returns from a long partition therefore doesn't depose a working
 	// leader.
 	preVoting campaignKind = iota + 1
+	// voting is an election that needs the votes of a majority.
 	voting
-	// coldStarting needs the vote of every voter.
+	// coldStarting is an election that needs the vote of every voter.
 	coldStarting
 )
 
-// vote is a voter's reply in the current round.
+// vote is a voter's reply in the current round of a campaign.
 type vote struct {
 	granted    bool
 	recovering bool
@@ -88,13 +89,13 @@
 
 // ignoresVoteRequest reports whether a vote request is dropped without raising the
 // term. The lease of a leader that made contact within the election timeout may count
-// on this member, so only a transfer that this leader started may pass. This also
-// keeps a removed or partitioned member from raising terms.
+// on this member, so only a vote request of a leadership transfer that this leader
+// started may pass. This also keeps a removed or partitioned member from raising terms.
 func (c *Core) ignoresVoteRequest(m Message) bool {
 	return c.hasRecentLeader() && !m.Force
 }
 
-// onPreVote answers whether a vote would be granted. It changes no state.
+// onPreVote replies whether this member would grant a vote. It changes no state.
 func (c *Core) onPreVote(m Message) {
 	grant := m.Term > c.term && !c.hasRecentLeader() && c.role != Recovering && c.log.upToDate(m.Index, m.LogTerm)
 	reply := Message{Type: MsgPreVoteReply, To: m.From, Term: m.Term, Reject: !grant}
@@ -107,7 +108,7 @@
 	c.notifyNonMember(m.From)
 }
 
-// onVote answers a vote request of the member's own term.
+// onVote replies to a vote request of the member's own term.
 func (c *Core) onVote(m Message) {
 	grant := c.grantsVote(m)
 	if grant {
--- a/replica/election_timeout.go
+++ b/replica/election_timeout.go
@@ -29,10 +29,10 @@
 // minElectionTimeout returns the least election timeout in ticks. It is longer than
 // the recent gaps between the leader's messages after which the leader did continue.
 //
-// Without it, a leader under load that sends its heartbeats late is replaced. The new
-// leader has the most work right after its election, so its heartbeats are late even
-// sooner, and elections never stop. The time for which votes are refused isn't
-// extended, so no leader's lease depends on this value.
+// If it ignored these gaps, a leader under load that sends its heartbeats late would be
+// replaced. The new leader has the most work right after its election, so its heartbeats
+// would be late even sooner, and elections would never stop. The time for which votes
+// are refused isn't extended, so no leader's lease depends on this value.
 func (c *Core) minElectionTimeout() int {
 	base := c.cfg.ElectionTicks
 	widest := max(c.heartbeatGaps.widest, c.heartbeatGaps.previousWidest)
--- a/replica/leader.go
+++ b/replica/leader.go
@@ -8,6 +8,7 @@
 
 // leaderState is the state that only a leader has.
 type leaderState struct {
+	// progress holds the replication progress of each member by ID.
 	progress map[string]*progress
 	// electedAt is the tick of the election, firstIndex the index of the leader's own
 	// no-op entry.
@@ -88,20 +89,21 @@
 	return nil
 }
 
-// canDecide reports whether this leader's lease is valid and it has committed an
-// entry of its own term, so that it knows all earlier committed entries.
+// canDecide reports whether this member leads under a valid lease and has committed an
+// entry of its own term, so that it knows all earlier committed entries. It is false once
+// a leadership transfer has told another member to campaign.
 func (c *Core) canDecide() bool {
 	return c.role == Leader && c.commit >= c.leaderState.firstIndex && c.leaseValid() && !c.leaderState.transfer.timeoutNowSent
 }
 
-// leaseValid reports whether a majority answered a message sent within the lease. The
+// leaseValid reports whether a majority replied to a message sent within the lease. The
 // lease runs from the sending, in the leader's own ticks.
 func (c *Core) leaseValid() bool {
 	return c.now-c.quorumAckTick() < uint64(c.cfg.leaseTicks())
 }
 
 // quorumAckTick returns the latest tick of this member such that a majority of the
-// voters has answered messages sent at that tick or later.
+// voters has replied to messages sent at that tick or later.
 func (c *Core) quorumAckTick() uint64 {
 	return c.quorumValue(c.now, func(p *progress) uint64 { return p.ackedTick })
 }
@@ -127,8 +129,8 @@
 
 // stepDownTimeouts is the number of election timeouts without replies of a majority
 // after which a leader steps down. Its lease has expired long before, so it decides
-// nothing meanwhile. A leader that was only delayed itself resumes without an
-// election.
+// nothing meanwhile. A leader that was only delayed for a shorter time resumes without
+// an election.
 const stepDownTimeouts = 2
 
 // tickLeader schedules heartbeats, steps down without a quorum and expires a
@@ -140,7 +142,7 @@
 		c.leaderState.heartbeatDue = true
 	}
 	if c.now-max(c.quorumAckTick(), c.leaderState.electedAt) >= stepDownTimeouts*uint64(c.cfg.ElectionTicks) {
-		// No majority answers, so another leader may exist already.
+		// No majority replies, so another leader may exist already.
 		c.follow(c.term, "")
 		return
 	}
@@ -152,11 +154,14 @@
 	c.maybeCommit()
 }
 
-// maybeCommit advances the commit index to an entry that meets three rules. A
-// majority of the voters holds it. It is of the leader's own term: a leader that
-// never saw an entry of an earlier term may overwrite it, even on a majority, until
-// an entry of the own term follows it. While a disk voter answers, some disk voter
-// has synced it, so that it survives a loss of power of all members.
+// maybeCommit advances the commit index to the latest entry that meets three rules:
+//
+//   - A majority of the voters holds the entry.
+//   - The entry is of the leader's own term. An entry of an earlier term may still be
+//     overwritten by a leader that never received it, even if a majority holds it, until
+//     an entry of this leader's term follows it on a majority.
+//   - While a disk voter is available, some disk voter has synced the entry, so that it
+//     survives a loss of power of all members.
 func (c *Core) maybeCommit() {
 	index := c.quorumValue(c.log.stable, func(p *progress) uint64 { return p.match })
 	if c.diskVoterAvailable() {
@@ -192,10 +197,11 @@
 }
 
 // diskVoterAvailable reports whether commits can wait for a disk voter: one that
-// answered within the election timeout and isn't catching up with entries that were
+// replied within the election timeout and isn't catching up with entries that were
 // committed without it. A new leader gives the disk voters one heartbeat interval for
-// their first reply. A live one answers its first append immediately, and if the
-// previous leader was the only disk voter, all commits wait for that long.
+// their first reply. That is enough, because a live disk voter replies to its first
+// append immediately, and it is short, because all commits wait for the whole interval
+// if the only disk voter was the previous leader and has failed.
 func (c *Core) diskVoterAvailable() bool {
 	for _, m := range voters(c.members.current()) {
 		if !m.HasDisk {
@@ -213,8 +219,8 @@
 	return false
 }
 
-// responsive reports whether a member that isn't recovering answered within the
-// election timeout.
+// responsive reports whether a member isn't recovering and has acknowledged a message
+// that was sent within the election timeout.
 func (c *Core) responsive(p *progress) bool {
 	return !p.recovering && c.now-p.ackedTick < uint64(c.cfg.ElectionTicks)
 }
--- a/replica/lease_test.go
+++ b/replica/lease_test.go
@@ -12,8 +12,9 @@
 }
 
 // A leader must not decide any more once its followers may elect another one. The lease
-// runs from the sending of the last answered heartbeat and ends at least two ticks, one
-// for the phase of each clock, before a follower that received it immediately may vote.
+// runs from the sending of the last heartbeat that a majority replied to. It ends at least
+// two ticks, one for the phase of each clock, before a follower that received that
+// heartbeat immediately may vote.
 func TestLeaseEndsBeforeVotes(t *testing.T) {
 	for _, age := range []uint64{0, 3} {
 		c := leaderCore(t, "n0", "n1", "n2")
@@ -31,8 +32,9 @@
 	}
 }
 
-// A member answers a heartbeat, restarts immediately and receives a vote request. The
-// leader's lease still counts on it, so it must refuse for a whole election timeout.
+// A member replies to a heartbeat, restarts immediately and receives a vote request. The
+// leader's lease still counts on the member, so it must refuse its vote for a whole
+// election timeout after the start.
 func TestRestartedMemberRefusesVotes(t *testing.T) {
 	list := []Member{{ID: "n0", HasDisk: true}, {ID: "n1"}, {ID: "n2"}}
 	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: list}, StoredState{HardState: HardState{Term: 3, Incarnation: 1}})
@@ -47,9 +49,9 @@
 	must.Eq(t, "n1", c.vote)
 }
 
-// A leader that was deposed without noticing must not answer a read, since it lacks
-// the writes of the next leader. A read waits for replies to messages sent after it
-// arrived.
+// A leader that was deposed without noticing must not confirm a read, since it lacks the
+// writes of the next leader. A read must wait for replies to messages that were sent after
+// the read arrived.
 func TestReadWaitsForQuorum(t *testing.T) {
 	c := leaderCore(t, "n0", "n1", "n2")
 	ackAll(t, c, "n1", c.now)
@@ -109,10 +111,10 @@
 }
 
 // A member without state requests the state of the others while a partitioned old
-// leader still replies. Before the restart the member had voted for a new leader.
-// Following only the old leader, it would help it to commit entries that the new one
-// lacks. It needs the replies of a majority and of the leader of the highest term
-// that this majority reports, and its vote of that term counts as given.
+// leader still replies. Before the restart the member had voted for a new leader. If it
+// now followed the old leader alone, it would help the old leader to commit entries that
+// the new one lacks. It must wait for the replies of a majority and of the leader of the
+// highest term that this majority reports, and its vote of that term counts as given.
 func TestRecoveryNeedsMajorityAndLatestLeader(t *testing.T) {
 	c := coreWithoutState(t)
 	members := c.members.current()
@@ -185,9 +187,9 @@
 	})
 }
 
-// An entry that n0 lacks may have promoted a disk learner, which may then hold
-// entries committed since. n0 must wait for its reply and must not lead while it is
-// behind it.
+// An entry that n0 lacks may have promoted a learner with a disk, and the learner may hold
+// entries committed since. In a cold start n0 must wait for the learner's reply, and must
+// not lead if the learner's log holds more than its own.
 func TestColdStartWaitsForDiskLearner(t *testing.T) {
 	for index, kind := range map[uint64]campaignKind{2: coldStarting, 3: preVoting} {
 		c := candidateCore(t, "n0", "n1", "n2")
@@ -203,8 +205,8 @@
 }
 
 // A busy leader whose heartbeats are often late must not be replaced again and again,
-// since nothing is served meanwhile. A member that has seen such gaps waits longer
-// before it campaigns. The lease and the time for which votes are refused stay the
+// since no call is served during an election. A member that has seen such gaps waits
+// longer before it campaigns. The lease and the time for which votes are refused stay the
 // same.
 func TestElectionTimeoutFollowsHeartbeatGaps(t *testing.T) {
 	c := followerCore(t)
--- a/replica/log.go
+++ b/replica/log.go
@@ -22,8 +22,8 @@
 	l := entryLog{prevIndex: stored.Snapshot.Index, prevTerm: stored.Snapshot.Term}
 	entries := slices.Clone(stored.Entries)
 	if len(entries) > 0 && entries[0].Index <= l.prevIndex {
-		// The entries before the snapshot serve members that lag a little. The first
-		// of them only supplies the term that an append after it must name.
+		// The entries up to the snapshot are kept for members that lag a little. The
+		// first of them only supplies the term that an append after it must name.
 		l.prevIndex, l.prevTerm = entries[0].Index, entries[0].Term
 		entries = entries[1:]
 	}
@@ -67,8 +67,8 @@
 	return ok && got == term
 }
 
-// slice returns the entries from..to, both included, without copying. Entries are
-// never changed in place, so the slice stays valid.
+// slice returns the entries with indexes from to to, both included, without copying.
+// Entries are never changed in place, so the slice stays valid.
 func (l *entryLog) slice(from, to uint64) []Entry {
 	if from > to {
 		return nil
--- a/replica/log_fetch.go
+++ b/replica/log_fetch.go
@@ -30,7 +30,7 @@
 }
 
 // logFetch is the pending log request to a witness, if any. There is one at a time:
-// each rejection of each round would start another one otherwise.
+// otherwise each rejection in each round would start another request.
 type logFetch struct {
 	pending  bool
 	prev     uint64
@@ -77,9 +77,9 @@
 	c.send(reply)
 }
 
-// onFetchReply adopts the entries and requests the rest. It continues from the last
-// entry that matched, because own entries after it may still conflict with the
-// witness's.
+// onFetchReply appends the fetched entries and requests the rest. It continues from the
+// last entry that matched, because this member's entries after it may still conflict with
+// the witness's.
 func (c *Core) onFetchReply(m Message) {
 	if !c.logFetch.pending || c.logFetch.prev != m.Index {
 		return
--- a/replica/message.go
+++ b/replica/message.go
@@ -35,7 +35,7 @@
 	// MsgFetchReply answers MsgFetch.
 	MsgFetchReply
 	// MsgNotMember replies to a request of a member that isn't in the committed
-	// membership; Index is that membership's entry.
+	// membership; Index is the index of the entry that set that membership.
 	MsgNotMember
 )
 
@@ -45,30 +45,35 @@
 	Type MessageType `cbor:"1,keyasint"`
 	From string      `cbor:"2,keyasint"`
 	To   string      `cbor:"3,keyasint"`
-	Term uint64      `cbor:"4,keyasint,omitempty"`
+	// Term is the sender's term. In a pre-vote request and a granted pre-vote it is the
+	// term of the election that would follow.
+	Term uint64 `cbor:"4,keyasint,omitempty"`
 	// Incarnation is the sender's incarnation.
 	Incarnation uint64 `cbor:"5,keyasint,omitempty"`
 	// IncarnationDigest is the digest of the sender's vector of known incarnations.
 	IncarnationDigest uint64 `cbor:"6,keyasint,omitempty"`
-	// KnownIncarnations is that vector. It is left out when the receiver's last
-	// message carried the same digest.
+	// KnownIncarnations is the sender's vector of known incarnations. It is left out
+	// when the receiver's last message carried the same digest.
 	KnownIncarnations []MemberIncarnation `cbor:"7,keyasint,omitempty"`
 	// Index and LogTerm identify the entry before Entries in an append and the last
 	// entry of the log in a vote request, a state reply or a witness's rejection. In
 	// an append reply Index is the last entry known to match, or the rejected one.
 	Index   uint64 `cbor:"8,keyasint,omitempty"`
 	LogTerm uint64 `cbor:"9,keyasint,omitempty"`
-	// Entries follow Index. To save space their indexes are left out, and so is a
-	// term that equals the one before.
+	// Entries are the log entries after Index. To save space their indexes are left
+	// out, and so is a term that equals the one before.
 	Entries []Entry `cbor:"10,keyasint,omitempty"`
-	Commit  uint64  `cbor:"11,keyasint,omitempty"`
+	// Commit is the leader's commit index.
+	Commit uint64 `cbor:"11,keyasint,omitempty"`
 	// Reject says that the vote, the append or the log request is rejected.
 	Reject bool `cbor:"12,keyasint,omitempty"`
 	// RejectHint is an index at which the log of a rejecting member may match.
 	RejectHint uint64 `cbor:"13,keyasint,omitempty"`
-	// Tick is the leader's tick when it sent an append; the reply repeats it.
+	// Tick is the leader's tick when it sent an append; the reply repeats it. In a
+	// MsgFetchReply it is the term of the last entry of the sender's log.
 	Tick uint64 `cbor:"14,keyasint,omitempty"`
-	// ReadRound is the leader's latest read round; the reply repeats it.
+	// ReadRound is the leader's latest read round; the reply repeats it. In a
+	// MsgFetchReply it is the index of the last entry of the sender's log.
 	ReadRound uint64 `cbor:"15,keyasint,omitempty"`
 	// Force lets a vote request pass although a leader made contact recently. It is
 	// set only in a leadership transfer that the leader started.
@@ -77,18 +82,18 @@
 	ColdStart bool `cbor:"17,keyasint,omitempty"`
 	// Recovering says that the sender has lost its state and is recovering.
 	Recovering bool `cbor:"18,keyasint,omitempty"`
-	// Nonce repeats the incarnation of the requester in a state reply.
+	// Nonce is, in a state reply, the incarnation of the requester in its request.
 	Nonce uint64 `cbor:"19,keyasint,omitempty"`
 	// Leader says that the sender of a state reply leads in Term.
 	Leader bool `cbor:"20,keyasint,omitempty"`
-	// Members is the latest membership of a leader that answers MsgState.
+	// Members is, in a leader's state reply, its latest membership.
 	Members  []Member  `cbor:"21,keyasint,omitempty"`
 	Snapshot *Snapshot `cbor:"22,keyasint,omitempty"`
 	// EarlierMemberships are the memberships before Members, from the one that the
 	// leader knows to be committed on; left out when that is Members itself.
 	EarlierMemberships [][]Member `cbor:"23,keyasint,omitempty"`
-	// ReceiverIncarnation is the incarnation that the message is meant for; any other
-	// drops it. Zero when any incarnation may handle it.
+	// ReceiverIncarnation is the incarnation that the message is meant for; a receiver
+	// with another incarnation drops it. Zero when any incarnation may handle it.
 	ReceiverIncarnation uint64 `cbor:"24,keyasint,omitempty"`
 	// afterSync makes BeforeSync report false for any type. It isn't sent.
 	afterSync bool
@@ -113,7 +118,7 @@
 	}
 }
 
-// unpack returns the entries in full.
+// unpack returns Entries with their indexes and terms restored.
 func (m *Message) unpack() []Entry {
 	term := m.LogTerm
 	out := make([]Entry, len(m.Entries))
@@ -131,10 +136,10 @@
 // counts only after Advance, and for pre-vote requests: neither commits the sender to
 // anything.
 //
-// A member that hasn't yet synced that it takes part sends nothing before the sync.
-// Its messages say that it takes part (MemberIncarnation.Participated). If a loss of
-// power then took its state, the others would treat its disk as a lost one that held
-// committed entries.
+// A member whose synced state doesn't say yet that it takes part in the group sends
+// nothing before the sync, because its messages already say so
+// (MemberIncarnation.Participated). If it lost its state in a loss of power after them,
+// the others would assume that its lost disk may have held committed entries.
 func (m Message) BeforeSync() bool {
 	if m.afterSync {
 		return false
--- a/replica/not_member.go
+++ b/replica/not_member.go
@@ -1,11 +1,12 @@
 package replica
 
-// A removed member receives no entries any more, so it may never receive the one that
-// removed it. It would keep requesting votes and states, be rejected, and never show
-// why. The leader therefore replies to such a request with MsgNotMember.
+// A removed member receives no entries any more, so it may never receive the entry that
+// removed it. It would keep requesting votes and states and be rejected, and its status
+// would never show the reason. The leader therefore replies to such a request with
+// MsgNotMember.
 //
 // The message is a hint: its receiver sends requests less often but doesn't stop, so
-// that a delayed or wrong one can't leave a group without a candidate.
+// that a delayed or wrong message can't leave a group without a candidate.
 
 // nonMemberIntervalFactor multiplies the request interval and the election timeout of
 // a member that isn't in the group.
@@ -25,9 +26,10 @@
 	c.send(Message{Type: MsgNotMember, To: id, Term: c.term, Index: c.members.indexAt(c.commit)})
 }
 
-// onNotMember accepts the message until a leader makes contact. One about a
-// membership up to the own commit index is delayed: a later membership has added this
-// member again.
+// onNotMember records that this member isn't in the group. It ignores the message while
+// a leader is in contact, and also when the entry that set the membership is at or
+// before this member's commit index: the message is then delayed, and a later membership
+// has added this member again.
 func (c *Core) onNotMember(m Message) {
 	if c.hasRecentLeader() || m.Index <= c.commit {
 		return
--- a/replica/progress.go
+++ b/replica/progress.go
@@ -19,24 +19,26 @@
 	match uint64
 	next  uint64
 	flow  flowState
-	// probeSent holds back a second probe until the next heartbeat.
+	// probeSent is set after a probe and delays the next one until the next heartbeat.
 	probeSent bool
-	// inflight holds the last index of each unanswered append.
+	// inflight holds the last index of each append in flight.
 	inflight []uint64
 	// snapshotIndex is the index of the last snapshot sent, snapshotTick the tick at
 	// which it was sent.
 	snapshotIndex uint64
 	snapshotTick  uint64
-	// ackedTick is the leader's tick at which it sent the latest message that was
-	// answered.
+	// ackedTick is the leader's tick at which it sent the latest message to which the
+	// member has replied, not counting replies while the member was recovering.
 	ackedTick uint64
 	// lastReplyTick is the leader's tick of the latest reply, counted or not.
 	lastReplyTick uint64
 	// readRound is the latest read round that the member confirmed.
 	readRound uint64
-	// recovering members hold entries but acknowledge nothing.
+	// recovering says that the member has lost its state: it receives entries but
+	// acknowledges nothing.
 	recovering bool
-	// lagging disk voters don't hold back commits.
+	// lagging says that the member is a disk voter that misses entries committed
+	// without it; commits don't wait for it.
 	lagging bool
 }
 
--- a/replica/random_test.go
+++ b/replica/random_test.go
@@ -10,29 +10,31 @@
 	"github.com/shoenig/test/must"
 )
 
-// randomGroups are the groups that TestRandom covers.
+// randomGroups are the groups that TestRandom simulates, by the name of the subtest.
+// "changes" stands for membership changes.
 var randomGroups = map[string]simOptions{
-	"1 disk":                    {voters: 1, disks: 1},
-	"2 voters, 1 disk":          {voters: 2, disks: 1},
-	"2 voters, none":            {voters: 2},
-	"3 voters, 1 disk":          {voters: 3, disks: 1},
-	"3 voters, none":            {voters: 3},
-	"3 voters, all disks":       {voters: 3, disks: 3},
-	"3 voters, power loss":      {voters: 3, disks: 1, powerLoss: true},
-	"3 voters, 1 disk, witness": {voters: 3, disks: 1, witness: true},
-	"4 voters, 2 disks":         {voters: 4, disks: 2},
-	"5 voters, 2 disks":         {voters: 5, disks: 2},
-	"5 voters, none":            {voters: 5},
-	"5 voters, power loss":      {voters: 5, disks: 2, powerLoss: true},
-	"3 voters, changes":         {voters: 3, disks: 1, spares: 2, changes: true},
-	"3 voters, changes, none":   {voters: 3, spares: 2, changes: true},
-	"3 voters, changes, power":  {voters: 3, disks: 1, spares: 2, changes: true, powerLoss: true},
+	"1 disk":                        {voters: 1, disks: 1},
+	"2 voters, 1 disk":              {voters: 2, disks: 1},
+	"2 voters, no disk":             {voters: 2},
+	"3 voters, 1 disk":              {voters: 3, disks: 1},
+	"3 voters, no disk":             {voters: 3},
+	"3 voters, all disks":           {voters: 3, disks: 3},
+	"3 voters, power loss":          {voters: 3, disks: 1, powerLoss: true},
+	"3 voters, 1 disk, witness":     {voters: 3, disks: 1, witness: true},
+	"4 voters, 2 disks":             {voters: 4, disks: 2},
+	"5 voters, 2 disks":             {voters: 5, disks: 2},
+	"5 voters, no disk":             {voters: 5},
+	"5 voters, power loss":          {voters: 5, disks: 2, powerLoss: true},
+	"3 voters, changes":             {voters: 3, disks: 1, spares: 2, changes: true},
+	"3 voters, changes, no disk":    {voters: 3, spares: 2, changes: true},
+	"3 voters, changes, power loss": {voters: 3, disks: 1, spares: 2, changes: true, powerLoss: true},
 }
 
 // faultRates are the values of simOptions.faultOutcomes that the seeds use in turn,
 // from frequent to rare faults.
 var faultRates = []int{200, 500, 1000, 3000}
 
+// envInt returns the integer in an environment variable, or otherwise if there is none.
 func envInt(name string, otherwise int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
@@ -40,8 +42,8 @@
 	return otherwise
 }
 
-// TestRandom runs groups under random faults. REPLICA_SEEDS and REPLICA_STEPS set the
-// number of seeds and steps, REPLICA_FIRST the first seed.
+// TestRandom runs groups under random faults. REPLICA_SEEDS sets the number of seeds,
+// REPLICA_STEPS the steps of each, and REPLICA_FIRST the first seed.
 func TestRandom(t *testing.T) {
 	seeds, steps, first := envInt("REPLICA_SEEDS", 6), envInt("REPLICA_STEPS", 3000), envInt("REPLICA_FIRST", 1)
 	for name, opt := range randomGroups {
@@ -60,6 +62,8 @@
 	}
 }
 
+// runRandom simulates a group from one seed, then ends the faults and checks that it
+// makes progress again. It returns the numbers of events by name.
 func runRandom(t *testing.T, seed uint64, opt simOptions) map[string]int {
 	s := newSim(seed, opt)
 	defer func() {
--- a/replica/read.go
+++ b/replica/read.go
@@ -2,8 +2,9 @@
 
 import "github.com/cockroachdb/errors"
 
-// readRounds groups read requests. Those that arrive between two Readys share a
-// round, which each append carries and each reply repeats.
+// readRounds groups read requests into rounds. Requests that arrive between two Readys
+// share a round. Each append carries the number of the latest round, and each reply
+// repeats it.
 type readRounds struct {
 	round   uint64
 	due     bool
--- a/replica/ready.go
+++ b/replica/ready.go
@@ -6,8 +6,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// HasReady reports whether Ready would return work. It is false until the last Ready
-// was passed to Advance.
+// HasReady reports whether Ready would return work. It returns false until the latest
+// Ready was passed to Advance.
 func (c *Core) HasReady() bool {
 	if c.readyPending {
 		return false
@@ -20,7 +20,7 @@
 }
 
 // Ready returns the work to do. Pass each Ready to Advance once its work is done,
-// before calling Ready again. Messages, ticks and proposals may come in between.
+// before calling Ready again. Step, Tick and Propose may be called in between.
 func (c *Core) Ready() Ready {
 	invariant(!c.readyPending, "%s: Ready before Advance", c.cfg.ID)
 	c.flushAppends()
--- a/replica/recovery.go
+++ b/replica/recovery.go
@@ -5,12 +5,12 @@
 // The member tells all members its new incarnation. It waits for the replies of a
 // majority of the voters, none of them recovering, including the leader of the
 // highest term reported in the replies. Any quorum that the member's lost votes and
-// acknowledgements helped to form shares a member with that majority. So it learns
-// the highest term in which it may have voted, and its vote of that term counts as
-// given. The leader's last entry in its reply is at or after everything that the
-// member may have acknowledged to that leader. Committed entries that it acknowledged
-// to earlier leaders are in that leader's log. The member votes and acknowledges
-// nothing before it holds the leader's log up to that entry.
+// acknowledgements helped to form shares a member with that majority. The recovering
+// member thus learns the highest term in which it may have voted, and its vote of that
+// term counts as given. The last entry that the leader names in its reply is at or after
+// everything that the member may have acknowledged to that leader. Committed entries that
+// the member acknowledged to earlier leaders are in that leader's log. The member votes
+// and acknowledges nothing before it holds the leader's log up to that entry.
 //
 // The majority must be one in each membership of the replying leader from its last
 // committed one on. A deposed leader may have proposed, and failed to commit, the
@@ -22,7 +22,7 @@
 type recovery struct {
 	replies          map[string]stateReply
 	requestCountdown int
-	// memberships are those of the leader that replied.
+	// memberships are those in the reply of the leader, empty before it has replied.
 	memberships [][]Member
 	source      recoverySource
 	// matched is the last index at which the log matches that of the leader of
--- a/replica/recovery_test.go
+++ b/replica/recovery_test.go
@@ -6,9 +6,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// newSimWithDeposedLeader returns a group of three whose leader n0 is partitioned,
-// with a removal of n1 that only its own log holds. n1 leads the others and has
-// committed since.
+// newSimWithDeposedLeader returns a group of three whose leader n0 is partitioned, with a
+// removal of n1 that only n0's log holds. n1 leads the others and has committed since.
+// frozen stops the clock of n0, so that n0 goes on believing that it leads.
 func newSimWithDeposedLeader(t *testing.T, opt simOptions, frozen bool) *sim {
 	s := newSimWithLeader(t, opt)
 	s.ensureLeader(t, "n0")
@@ -40,8 +40,8 @@
 	s.run(2)
 }
 
-// endPartitionsAndCheck ends the partitions and checks that the committed entries are still
-// there.
+// endPartitionsAndCheck ends the partitions and checks that the next leader has applied
+// all entries committed before.
 func (s *sim) endPartitionsAndCheck(t *testing.T) {
 	t.Helper()
 	last := s.lastApplied
@@ -55,9 +55,9 @@
 
 // n0 leads, is partitioned and proposes to remove n1; no other member receives that
 // entry. n2 votes for n1, acknowledges n1's commits and restarts without state. n0,
-// which still believes that it leads, answers it. If n2 counted by the proposed
-// membership, whose only voters are n0 and n2, it would acknowledge entries to n0,
-// and work accepted by n1 would be lost.
+// which still believes that it leads, replies to n2's state request. If n2 counted by the
+// proposed membership, whose only voters are n0 and n2, it would acknowledge entries to
+// n0, and work accepted by n1 would be lost.
 func TestRecoveryCountsCommittedMembership(t *testing.T) {
 	s := newSimWithDeposedLeader(t, simOptions{voters: 3}, true)
 	s.restartN2WithoutState()
@@ -69,9 +69,9 @@
 }
 
 // n0, which has a disk, is partitioned as leader with an uncommitted removal of n1 and
-// steps down. It asks n2, which has lost its state, for a cold start. Counted by the
-// proposed membership, n0 and n2 would be all voters, and work accepted by n1 would be
-// lost.
+// steps down. n0 considers a cold start with n2, which has lost its state. If it counted
+// by the proposed membership, n0 and n2 would be all voters, and work accepted by n1 would
+// be lost.
 func TestColdStartCountsCommittedMembership(t *testing.T) {
 	s := newSimWithDeposedLeader(t, simOptions{voters: 3, disks: 1}, false)
 	s.restartN2WithoutState()
@@ -102,9 +102,9 @@
 	}
 }
 
-// A removal is committed and the power is lost before the next write. Unless the disk
-// says that the removal is committed, the cold start waits for the removed member,
-// which may never come back.
+// The removal of a member is committed, and power is lost before the next write. Unless
+// the commit index was synced, the cold start waits for the removed member, which may
+// never come back.
 func TestCommittedMembershipIsSynced(t *testing.T) {
 	c := leaderCore(t, "n0", "n1", "n2")
 	ackAll(t, c, "n1", c.now)
@@ -121,8 +121,8 @@
 // n0 has the disk and starts a new group by a cold start. Its request and its appends
 // to n2 are duplicated, and the duplicates are delayed. n0 is partitioned, n2 leads a
 // later term and commits with n1, then n2 restarts without state and receives the
-// duplicates. If it granted the cold start again, it would recover with n0's old log
-// and elect n0 in a term that had a leader, and accepted work would be lost.
+// duplicates. If n2 granted the cold start again, it would recover with n0's old log and
+// elect n0 in a term that had a leader, and accepted work would be lost.
 func TestColdStartVoteIsBoundToIncarnation(t *testing.T) {
 	s := newSim(7, simOptions{voters: 3, disks: 1})
 	var delayed []Message
@@ -153,10 +153,10 @@
 	s.endPartitionsAndCheck(t)
 }
 
-// n0 requests votes in term 4, restarts without state, recovers with members that
-// don't know term 4, and requests votes in it again. A vote for the earlier
-// incarnation was given to another log. Counted now, it could elect a leader that
-// lacks entries of the voter.
+// n0 requests votes in term 4, restarts without state, recovers with members that don't
+// know term 4, and requests votes in term 4 again. A vote for the earlier incarnation was
+// given to another log. If it counted for the new incarnation, a leader could be elected
+// that lacks entries of the voter.
 func TestVoteForEarlierIncarnationIsNotCounted(t *testing.T) {
 	c := candidateCore(t, "n0", "n1", "n2")
 	stepFromPeer(t, c, Message{Type: MsgPreVoteReply, From: "n1", Term: 4})
@@ -168,9 +168,9 @@
 	must.Eq(t, 1, c.messages[len(c.messages)-1].ReceiverIncarnation)
 }
 
-// A new group begins with a cold start, and the power is lost before the first leader
-// has synced that it leads. If its appends had already told the others that it takes
-// part, they would treat its empty disk as a lost one and wait for an operator.
+// A new group begins with a cold start, and power is lost before the first leader has
+// synced that it takes part. If the leader's appends had already told the others that it
+// takes part, they would treat its empty disk as a lost one and wait for an operator.
 func TestFirstLeaderSyncsBeforeItAppends(t *testing.T) {
 	list := []Member{{ID: "n0", HasDisk: true}, {ID: "n1"}, {ID: "n2"}}
 	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: list}, StoredState{})
--- a/replica/removed_test.go
+++ b/replica/removed_test.go
@@ -6,10 +6,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// A member is removed while it is partitioned. Without notification it would request
-// votes as often as before, and nothing would show why it is rejected. A notified
-// member reports Outside and sends fewer requests; added again, it takes part as
-// before.
+// A member is removed while it is partitioned. Without a notification it would request
+// votes as often as before, and its status wouldn't show why it is rejected. A notified
+// member must report Outside and send fewer requests. Once it is added again, it must take
+// part as before.
 func TestRemovedMemberIsNotified(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 4})
 	l := s.leader()
@@ -40,8 +40,8 @@
 	must.Greater(t, 0, n.core.applied)
 }
 
-// A duplicate of the MsgNotMember arrives late: the member was added again meanwhile,
-// and its leader has failed. The member must campaign as usual.
+// A duplicate of a MsgNotMember arrives late: the member was added again meanwhile, and its
+// leader has failed. The member must ignore the duplicate and campaign as usual.
 func TestDelayedRemovalNoticeIsIgnored(t *testing.T) {
 	c := candidateCore(t, "n0", "n1", "n2")
 	notice := Message{Type: MsgNotMember, From: "n1", Term: 3, Index: 2}
--- a/replica/safety_test.go
+++ b/replica/safety_test.go
@@ -7,7 +7,7 @@
 )
 
 // candidateCore returns n0 of a group, restarted from disk at term 3 with entries of
-// terms 1 and 2, as a candidate after the time in which it refuses votes.
+// terms 1 and 2, as a candidate at its first election timeout. It no longer refuses votes.
 func candidateCore(t *testing.T, ids ...string) *Core {
 	var list []Member
 	for _, id := range ids {
@@ -24,19 +24,18 @@
 	return c
 }
 
-// stepFromPeer delivers m from a peer that knows the same incarnations as c, plus
-// extra.
+// stepFromPeer delivers m to n0 from incarnation 1 of a peer, which also knows the
+// incarnations in extra.
 func stepFromPeer(t *testing.T, c *Core, m Message, extra ...MemberIncarnation) {
 	m.To, m.Incarnation = "n0", 1
 	m.KnownIncarnations = append([]MemberIncarnation{{ID: m.From, Incarnation: 1}}, extra...)
 	must.NoError(t, c.Step(m))
 }
 
-// n1 votes for n0 in term 4 and restarts without state while its vote is in flight. A
-// majority that doesn't include n0 lets n1 recover, and n1 helps to elect n4 in term
-// 4. n3 was part of that majority and votes for n0 afterwards. If n0 counted the
-// delayed vote, term 4 would have two leaders, and the same task could be started
-// twice.
+// n1 votes for n0 in term 4 and restarts without state while its vote is in flight. n1
+// recovers from a majority that doesn't include n0, and helps to elect n4 in term 4. n3
+// was part of that majority and votes for n0 afterwards. If n0 counted n1's delayed vote,
+// term 4 would have two leaders, and the same task could be started twice.
 func TestVoteOfSupersededIncarnationIsNotCounted(t *testing.T) {
 	for _, order := range [][]string{{"n1", "n3"}, {"n3", "n1"}} {
 		c := candidateCore(t, "n0", "n1", "n2", "n3", "n4")
@@ -99,8 +98,9 @@
 	must.True(t, c.Status().CanDecide)
 }
 
-// A removed member, or one that can send but not receive, keeps requesting votes.
-// While the leader makes contact, that must neither change a term nor obtain a vote.
+// A removed member, or one that can send but not receive, keeps requesting votes. While
+// the leader makes contact with the others, such a request must neither change a term nor
+// obtain a vote.
 func TestVotesRefusedWithRecentLeader(t *testing.T) {
 	c := candidateCore(t, "n0", "n1", "n2")
 	stepFromPeer(t, c, Message{Type: MsgAppend, From: "n1", Term: 4, Index: 2, LogTerm: 2})
@@ -166,8 +166,9 @@
 }
 
 // n0 fetches a witness's log that diverges from its own at entry 2, and the first batch
-// ends right before that. If n0 continued from its own last entry, its request would be
-// rejected and it would start again forever, so a live majority would have no leader.
+// ends right before entry 2. If n0 continued from its own last entry, its request would be
+// rejected and the fetch would start again forever, so the group would have no leader
+// although a majority is alive.
 func TestLogFetchContinuesFromMatch(t *testing.T) {
 	c := candidateCore(t, "n0", "n1", "n2")
 	lastFetch := func() Message {
--- a/replica/scenario_test.go
+++ b/replica/scenario_test.go
@@ -49,8 +49,8 @@
 }
 
 // A member returns from a long partition. If it had raised its term at each election
-// timeout, its return would depose the working leader, and users would see a pause
-// each time a network fault ends.
+// timeout, its return would depose the working leader, and no call would be served for a
+// while each time a network fault ends.
 func TestLongPartitionDoesNotRaiseTerm(t *testing.T) {
 	for _, oneWay := range []bool{false, true} {
 		s := newSimWithLeader(t, simOptions{voters: 3, disks: 1})
@@ -74,8 +74,8 @@
 }
 
 // A partitioned leader still receives calls from its clients. It must stop deciding
-// before another leader decides. Otherwise it would confirm work to a client that the
-// rest of the group gives to another one. The simulation checks this at every step.
+// before another leader decides. Otherwise both leaders could assign the same work to
+// different clients. The simulation checks at every step that at most one member decides.
 func TestPartitionedLeaderStopsDecidingFirst(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 5})
 	for range 10 {
@@ -94,10 +94,10 @@
 	}
 }
 
-// Of three diskless members one is partitioned while the other two commit. One of these
-// two restarts without state just as the leader is partitioned. If it voted
-// immediately, it and the first partitioned member would elect a leader that lacks the
-// committed entries, and accepted work would be lost.
+// Of three diskless members one is partitioned while the other two commit. Then the leader
+// is partitioned, and the remaining member restarts without state and reaches the first
+// partitioned member again. If the restarted member voted immediately, these two would
+// elect a leader that lacks the committed entries, and accepted work would be lost.
 func TestMemberWithoutStateDoesNotVoteBeforeRecovery(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3})
 	l := s.leader()
@@ -170,9 +170,9 @@
 // roleOf returns the role of a live member.
 func roleOf(n *simNode) Role { return n.core.Status().Role }
 
-// While the disk member answers, no entry may be reported as committed that isn't on
-// a disk, or a loss of power would revoke an answer given to a user. When the disk
-// member is lost, the others must continue and report Degraded.
+// While the disk member is responsive, no entry may be reported as committed that isn't on
+// a disk, or a loss of power would revoke a result that a caller has received. When the
+// disk member is lost, the others must continue and report Degraded.
 func TestCommitWaitsForDiskVoter(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3, disks: 1})
 	l := s.leader()
@@ -201,7 +201,7 @@
 
 // The leader and the witness commit entries, then the leader fails. The remaining
 // member lacks the last entries and the witness never leads. Unless the member
-// fetches the witness's log, a live majority has no leader.
+// fetches the witness's log, the group has no leader although a majority is alive.
 func TestCandidateFetchesLogFromWitness(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3, disks: 3, witness: true})
 	l := s.leader()
@@ -218,8 +218,9 @@
 	must.Eq(t, s.lastApplied, lagging.core.applied)
 }
 
-// A failed member is replaced by one change at a time, and another member fails right
-// after the repair. Changes that aren't safe must be refused with their error.
+// A failed member is replaced by changes of one member each, and the leader fails right
+// after the last change. The group must continue without a lost entry. Changes that aren't
+// safe must be refused, each with its own error.
 func TestReplaceLostMember(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3, disks: 1, spares: 1})
 	l := s.leader()
@@ -281,13 +282,14 @@
 	must.NoError(t, l.core.Transfer(to.id))
 	_, _, err := l.core.Propose([]byte("x"))
 	must.ErrorIs(t, err, ErrTransferring)
-	s.run(9)
+	s.run(9) // less than an election timeout
 	must.Eq(t, to.id, s.leader().id)
 	must.SliceEmpty(t, s.violations)
 }
 
-// The message that tells the new leader to campaign is delayed for long. The old
-// leader must not resume in its term, because the message may still arrive.
+// The message that tells the new leader of a transfer to campaign is delayed beyond the
+// transfer's timeout. The old leader must not decide in its term again, because the
+// message may still arrive.
 func TestTransferTimesOut(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3})
 	l := s.leader()
@@ -309,7 +311,7 @@
 }
 
 // The first leader of a new group is partitioned before any other member receives an
-// append from it. The others haven't taken part yet. When the partition ends, the
+// append from it, so the others haven't taken part yet. When the partition ends, the
 // group must start without an operator.
 func TestFirstLeaderPartitionedBeforeFirstAppend(t *testing.T) {
 	for _, opt := range []simOptions{{voters: 3}, {voters: 5, disks: 2}} {
--- a/replica/sim_checks_test.go
+++ b/replica/sim_checks_test.go
@@ -22,7 +22,7 @@
 	n.commit = st.Commit
 }
 
-// checkLease checks that an old leader no longer decides once another one does.
+// checkLease checks that at most one member may decide at a time.
 func (s *sim) checkLease() {
 	var deciding []string
 	for _, n := range s.nodes {
@@ -35,8 +35,8 @@
 	}
 }
 
-// countRecovering counts the members that have lost their state, or will have at
-// their next start.
+// countRecovering counts the voters that have lost their state or will find none at their
+// next start.
 func (s *sim) countRecovering() int {
 	count := 0
 	for _, n := range s.nodes {
@@ -62,7 +62,7 @@
 	return isVoter(s.initialMembers(), id)
 }
 
-// checkProgress checks that the group has a leader that commits after the faults.
+// checkProgress ends the faults and checks that the group elects a leader and commits.
 func (s *sim) checkProgress() {
 	before := s.counts["committed"]
 	s.endFaults()
@@ -73,6 +73,7 @@
 	s.checkLogs()
 }
 
+// describe returns the state of all members for a failure message.
 func (s *sim) describe() string {
 	out := ""
 	for _, n := range s.nodes {
--- a/replica/sim_faults_test.go
+++ b/replica/sim_faults_test.go
@@ -4,7 +4,9 @@
 	"slices"
 )
 
-// injectFault injects a random fault among those that the group must survive.
+// injectFault starts or ends a random fault among those that the group must survive, or
+// does nothing. The bounds of the cases are cumulative: a fault's share is the difference
+// from the bound before it, out of simOptions.faultOutcomes.
 func (s *sim) injectFault() {
 	n := s.nodes[s.rand.IntN(len(s.nodes))]
 	quorum := s.opt.voters/2 + 1
@@ -50,9 +52,9 @@
 	}
 }
 
-// proposeRandomChange proposes a random change of one member. It keeps disk members
-// when power losses are simulated: without a disk among the voters nothing survives
-// one.
+// proposeRandomChange proposes a random change of one member. It changes no member with a
+// disk when losses of power are simulated: without a disk among the voters no entry
+// survives a loss of power.
 func (s *sim) proposeRandomChange() {
 	l := s.leader()
 	if l == nil || l.paused {
@@ -78,7 +80,7 @@
 }
 
 // losePower stops all members at the same time. Entries committed while no disk voter
-// answered may be lost.
+// was available may be lost.
 func (s *sim) losePower() {
 	s.counts["power losses"]++
 	s.inTransit = nil
--- a/replica/sim_test.go
+++ b/replica/sim_test.go
@@ -15,10 +15,12 @@
 	voters, disks, spares int
 	witness               bool
 	steps                 int
-	faultOutcomes         int // outcomes drawn from at each step, about 70 of them faults
-	faults                bool
-	powerLoss             bool
-	changes               bool
+	// faultOutcomes is the number of equally likely outcomes of which each step draws
+	// one. About 70 of them start or end a fault, the others do nothing.
+	faultOutcomes int
+	faults        bool
+	powerLoss     bool
+	changes       bool
 }
 
 // sim simulates a group on an in-memory network and in-memory disks. All random
@@ -32,13 +34,21 @@
 	blockedLinks map[[2]string]bool
 	lossRate     float64
 
-	leaders     map[uint64]string // term -> leader
-	stateHashes map[uint64]uint64 // index -> hash of the state machine after it
-	reads       map[uint64]uint64 // token -> last index applied by any member at the call
+	// leaders holds the leader of each term.
+	leaders map[uint64]string
+	// stateHashes holds the hash of the state machine after each index.
+	stateHashes map[uint64]uint64
+	// reads holds, by token, the last index that any member had applied at the call.
+	reads map[uint64]uint64
+	// intercept, when set, removes the messages for which it returns true from the
+	// network; intercepted holds them.
 	intercept   func(Message) bool
 	intercepted []Message
-	lastApplied uint64 // last index applied by any member
-	lastDurable uint64 // last index committed while a disk voter answered
+	// lastApplied is the last index applied by any member, lastDurable the last index
+	// committed while a disk voter was available.
+	lastApplied uint64
+	lastDurable uint64
+	// counts holds the numbers of events by name.
 	counts      map[string]int
 	violations  []string
 	nextCommand uint64
@@ -59,13 +69,13 @@
 	incarnation  uint64
 	stored       StoredState
 	paused       bool
-	clockStopped bool // doesn't tick; only the lease may be affected
+	clockStopped bool // the member doesn't tick, so its lease doesn't expire
 	missedTicks  int
 	ready        *Ready
 	readyDoneAt  int
 	stateHash    uint64
 	commit       uint64
-	downUntil    int
+	downUntil    int // step at which a crashed member restarts
 }
 
 func newSim(seed uint64, opt simOptions) *sim {
@@ -91,10 +101,12 @@
 	return list
 }
 
+// failf records a violation of a guarantee, which ends the simulation.
 func (s *sim) failf(format string, args ...any) {
 	s.violations = append(s.violations, fmt.Sprintf("step %d: ", s.step)+fmt.Sprintf(format, args...))
 }
 
+// chance returns true with probability p.
 func (s *sim) chance(p float64) bool { return s.rand.Float64() < p }
 
 func (n *simNode) start() {
@@ -115,8 +127,8 @@
 	}
 }
 
-// crash stops the member. A disk may or may not have received the pending Ready;
-// loseDisk erases the disk.
+// crash stops the member for some steps. Its disk, if it has one, may or may not have
+// received the pending Ready; loseDisk erases the disk.
 func (n *simNode) crash(loseDisk bool) {
 	if n.ready != nil && n.disk && n.s.chance(0.5) {
 		n.persist(*n.ready)
@@ -143,7 +155,8 @@
 	}
 }
 
-// processReady starts the work of a Ready, which ends some steps later under faults.
+// processReady starts or completes the work of a Ready. Under faults it completes some
+// steps after its start.
 func (n *simNode) processReady() {
 	n.checkStatus()
 	if n.core == nil || n.paused {
@@ -211,6 +224,7 @@
 	}
 }
 
+// compact takes a snapshot of a member that has applied enough entries since the last.
 func (n *simNode) compact() {
 	st := n.core.Status()
 	if st.Applied < n.core.snapshot.Index+20 || n.core.newSnapshot != nil {
@@ -267,7 +281,8 @@
 	return nil
 }
 
-// run makes steps, each with deliveries, ticks, proposals, faults and checks.
+// run makes steps, each with deliveries, ticks, proposals, faults and checks. It stops at
+// the first violation.
 func (s *sim) run(steps int) {
 	for range steps {
 		if len(s.violations) > 0 {
@@ -287,6 +302,7 @@
 	}
 }
 
+// deliver passes the messages that are due to their receivers.
 func (s *sim) deliver() {
 	var due []simMessage
 	s.inTransit = slices.DeleteFunc(s.inTransit, func(m simMessage) bool {
@@ -311,7 +327,8 @@
 	}
 }
 
-// tick ticks a member or restarts it. Under faults clocks drift by up to a tenth.
+// tick ticks a member, or restarts it once it has been down long enough. Under faults the
+// member misses some ticks at random, so that clocks drift apart.
 func (s *sim) tick(n *simNode) {
 	if n.core == nil {
 		if s.step >= n.downUntil {
@@ -329,7 +346,7 @@
 	n.core.Tick()
 }
 
-// resume ends a pause. The missed ticks come before anything else.
+// resume ends a pause. The missed ticks are made up for before anything else happens.
 func (n *simNode) resume() {
 	n.paused = false
 	for range n.missedTicks {
@@ -338,6 +355,7 @@
 	n.missedTicks = 0
 }
 
+// propose makes proposals and read requests on random members.
 func (s *sim) propose() {
 	for _, n := range s.nodes {
 		if n.core == nil || n.paused || !s.chance(0.3) {
--- a/replica/step.go
+++ b/replica/step.go
@@ -11,16 +11,18 @@
 // state since, and reach the current one. Each type is safe for its own reason:
 //
 //   - MsgVote of a cold start and MsgVoteReply name the incarnation they are
-//     meant for (ReceiverIncarnation), MsgStateReply does so by its Nonce. The
-//     first ends the recovery of a member; the others judge a log or answer a
-//     request that the current incarnation may not have.
+//     meant for (ReceiverIncarnation), MsgStateReply does so by its Nonce. A
+//     MsgVote of a cold start can end the recovery of its receiver; the two
+//     replies refer to a log or a request that the current incarnation may not
+//     have.
 //   - Any other MsgVote and MsgPreVote are judged by the current log, term and
 //     vote, and the grant counts under the current incarnation. A recovering
 //     member grants none.
-//   - MsgAppend and MsgSnapshot state facts of one leader's log in one term. The
-//     reply is sent under the current incarnation and is true of its log. The tick
-//     and read round that it repeats are older, but the member refuses votes for a
-//     whole election timeout after its start and after the reply.
+//   - MsgAppend and MsgSnapshot describe one leader's log in one term, whoever
+//     receives them. The reply is sent under the current incarnation and describes
+//     its log. The tick and read round that the reply repeats are older, but the
+//     member refuses votes for a whole election timeout after its start and after
+//     the reply.
 //   - MsgAppendReply counts only on the leader of its term. A later incarnation of
 //     that leader doesn't lead in the same term: it learned of the term while
 //     recovering, since the majority it asked shares a member with the majority
@@ -31,13 +33,13 @@
 //     that aren't acknowledged to any member. MsgState and MsgFetch are requests.
 //     MsgNotMember is a hint.
 //
-// Terms and incarnations that a message carries are facts for any receiver.
+// Terms and incarnations that a message carries are valid for any receiver.
 func (c *Core) Step(m Message) error {
 	if m.To != c.cfg.ID || m.From == "" || m.From == c.cfg.ID {
 		return errors.Wrapf(ErrBadMessage, "from %q to %q", m.From, m.To)
 	}
 	if m.Incarnation < c.incarnations.of(m.From) {
-		// A later incarnation supersedes the sender's: the sender has lost its state.
+		// The sender has since restarted without state under a later incarnation.
 		return nil
 	}
 	c.recordIncarnations(m)
@@ -103,11 +105,11 @@
 	}
 }
 
-// recordOwnIncarnation handles a report of a later incarnation of this member than
-// the one it runs under. A wall clock that went back between two starts causes this.
-// A recovering member has given no vote or acknowledgement yet and takes a later
-// number. For any other member it means that the same ID runs twice, and the process
-// stops.
+// recordOwnIncarnation handles a message that knows a later incarnation of this member
+// than the one it runs under. A wall clock that went back between two starts causes this.
+// A recovering member has given no vote or acknowledgement yet and takes an even later
+// incarnation. On any other member the message means that the same ID runs twice, and
+// the process stops.
 func (c *Core) recordOwnIncarnation(incarnation uint64) {
 	if incarnation <= c.incarnation {
 		return
--- a/replica/types.go
+++ b/replica/types.go
@@ -11,9 +11,9 @@
 	Address string `cbor:"2,keyasint,omitempty"`
 	// HasDisk says that what the member acknowledges has been synced to disk.
 	HasDisk bool `cbor:"3,keyasint,omitempty"`
-	// Witness members vote and hold the log but never lead.
+	// Witness says that the member votes and holds the log but never leads.
 	Witness bool `cbor:"4,keyasint,omitempty"`
-	// Learner members receive the log and don't count for a quorum.
+	// Learner says that the member receives the log but doesn't count for a quorum.
 	Learner bool `cbor:"5,keyasint,omitempty"`
 	// Incarnation is the latest known start of the member without stored state. Votes
 	// and acknowledgements of earlier incarnations no longer count for a quorum.
@@ -41,7 +41,9 @@
 	Data  []byte    `cbor:"4,keyasint,omitempty"`
 }
 
-// HardState must be synced before the messages of the same Ready are sent.
+// HardState is what a member must remember across restarts besides its snapshot and
+// entries. It must be synced before the messages of the same Ready are sent, except
+// those whose BeforeSync method reports true.
 type HardState struct {
 	Term   uint64 `cbor:"1,keyasint"`
 	Vote   string `cbor:"2,keyasint,omitempty"`
@@ -111,7 +113,7 @@
 	// Messages are to be sent after the sync, except those whose BeforeSync method
 	// reports true; these may be sent immediately.
 	Messages []Message
-	// Reads are confirmed; each may be answered once Applied reaches its Index.
+	// Reads are confirmed; each may return once Status.Applied reaches its Index.
 	Reads []ReadState
 	// MustSync is false when only the commit index changed and no membership became
 	// committed. A restart learns the commit index again from the leader.
@@ -123,11 +125,12 @@
 type ReadState struct {
 	// Token is the value that the caller passed to ReadIndex.
 	Token uint64
-	// Index must be applied before the read is answered.
+	// Index is the log index that must be applied before the read returns.
 	Index uint64
 }
 
-// Status is a read-only view for logs, metrics and the routing of calls.
+// Status is a read-only view of a member's state for logs, metrics and the routing of
+// calls.
 type Status struct {
 	ID      string
 	Role    Role
@@ -135,6 +138,8 @@
 	Leader  string
 	Commit  uint64
 	Applied uint64
+	// Last is the index of the last entry in the log, First that of the first entry
+	// that isn't compacted.
 	Last    uint64
 	First   uint64
 	Members []Member
