--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -73,8 +73,8 @@
 }
 
 // Guards against a lost update. Two operators have both read version 0 and write at the
-// same time. One write succeeds, the other's error names the current version; a repeat of
-// either gets its first answer and writes nothing again.
+// same time. One write must succeed, and the error of the other must name the current
+// version. A repeat of either request must get its first response and write nothing.
 func TestOnlyOneOfTwoConcurrentWritesSucceeds(t *testing.T) {
 	r := NewRegister()
 	changed := r.Changed()
@@ -88,7 +88,7 @@
 	must.True(t, fault.Is(lost.Err, fault.Conflict))
 	must.ErrorContains(t, lost.Err, "the current version is 1")
 
-	first.Accepted = time.UnixMilli(99) // a repeat comes later
+	first.Accepted = time.UnixMilli(99) // a repeat carries a later time
 	must.Eq(t, uint64(1), r.Apply(3, encode(t, first)).(Outcome).Config.Version)
 	must.ErrorContains(t, r.Apply(4, encode(t, second)).(Outcome).Err, "the current version is 1")
 	second.Expected = 1
@@ -105,8 +105,8 @@
 	}
 }
 
-// Guards against a configuration in force that goes back: an instance gets an old
-// snapshot late, after it has applied newer versions.
+// Guards against a configuration in force that goes back to an older version: an instance
+// receives an old snapshot late, after it has applied newer versions.
 func TestVersionNeverGoesBack(t *testing.T) {
 	r := NewRegister()
 	r.Apply(1, encode(t, Write{RequestID: "a"}))
@@ -122,9 +122,9 @@
 	must.Eq(t, uint64(2), h.Current().Version)
 }
 
-// Guards against losing the configuration in force: a newer program has written a
-// document with a key that this program doesn't know. The version counts, and the last
-// readable document stays in force.
+// Guards against losing the configuration in force: a newer program has written a document
+// with a key that this program doesn't know. The new version must be in force with the
+// last readable document.
 func TestUnreadableDocument(t *testing.T) {
 	var h Holder
 	must.True(t, h.Set(Config{Version: 1, Text: sample}))
@@ -134,9 +134,9 @@
 	must.Len(t, 2, h.Current().Document.Customers)
 }
 
-// Random writes, repeats and restarts from snapshots: versions grow by one, a repeat
-// never writes, a restored copy answers like the original, and memory stays within its
-// bounds.
+// TestRegisterRandom makes random writes, repeats and restarts from snapshots. Versions must
+// grow by one, a repeat must never write, a restored copy must have the same snapshot, and
+// the history must stay within its bounds.
 func TestRegisterRandom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewRegister()
--- a/internal/conf/document.go
+++ b/internal/conf/document.go
@@ -1,7 +1,7 @@
 // Package conf holds the configuration that all instances share: the document that
 // operators write while the system runs, and the register that keeps its versions
-// inside the replicated configuration log. Package settings holds what belongs to one
-// process and is read once.
+// inside the replicated configuration log. Package settings holds the settings of a single
+// process, which are read once at its start.
 package conf
 
 import (
@@ -20,18 +20,20 @@
 // Bounds of a document.
 const (
 	// MaxDocument is the largest text of a document in bytes.
-	MaxDocument   = 64 << 10
-	maxCustomers  = 1000
-	maxWeight     = 1000
+	MaxDocument  = 64 << 10
+	maxCustomers = 1000
+	maxWeight    = 1000
+	// maxQuotaCount bounds the accelerators of a customer and the quota generation.
 	maxQuotaCount = 1_000_000
 	// maxDataCentres is far below the number of parts into which a quota is split.
 	maxDataCentres = 64
 )
 
-// Unlimited means that there is no limit.
+// Unlimited is the value of an amount without a limit.
 const Unlimited int64 = -1
 
-// Document is the shared configuration. Readers share it, so nobody may change it.
+// Document is the shared configuration. Concurrent readers share it, so it must not be
+// changed.
 type Document struct {
 	Customers []Customer
 	Quota     QuotaDivision
@@ -73,7 +75,7 @@
 }
 
 // rawDocument is the document as it is written. Amounts stay text, so that the error
-// for an invalid one names its line.
+// for an invalid amount names its line.
 type rawDocument struct {
 	Customers []rawCustomer    `toml:"customer"`
 	Quota     rawQuotaDivision `toml:"quota"`
@@ -92,8 +94,8 @@
 	Weight       *int64         `toml:"weight"`
 }
 
-// Parse reads and checks a document. Errors are Invalid and name line and key.
-// The empty text is a document without customers.
+// Parse reads and checks a document. Errors are faults of kind Invalid that name line and
+// key. The empty text is a document without customers.
 func Parse(text string) (*Document, error) {
 	if len(text) > MaxDocument {
 		return nil, fault.New(fault.Invalid, "the configuration has %d bytes, at most %d are allowed", len(text), MaxDocument)
@@ -179,6 +181,7 @@
 	return c, err
 }
 
+// setAmount parses raw into target, unless raw is missing. path is the key for the error.
 func setAmount(file *tomlfile.File, path string, raw *tomlfile.Text, parse func(string) (int64, error), target *int64) error {
 	if raw == nil {
 		return nil
@@ -191,6 +194,8 @@
 	return nil
 }
 
+// setCount sets target to raw, unless raw is missing, and returns an error for a value
+// below lowest or above highest. path is the key for the error.
 func setCount(file *tomlfile.File, path string, raw *int64, lowest, highest int64, target *int64) error {
 	if raw == nil {
 		return nil
--- a/internal/conf/holder.go
+++ b/internal/conf/holder.go
@@ -3,8 +3,9 @@
 import "sync"
 
 // Holder keeps the configuration that is in force in one process. The version only
-// grows: an older or equal one that arrives late is ignored. The zero Holder is ready
-// to use and holds version 0 with an empty document.
+// grows: a configuration of an older or equal version that arrives late is ignored. The
+// zero Holder is ready to use and holds version 0 with an empty document. Its methods are
+// safe for concurrent use.
 type Holder struct {
 	mu      sync.Mutex
 	current Config
@@ -40,6 +41,7 @@
 	return true
 }
 
+// documentLocked returns the document in force. h.mu must be held.
 func (h *Holder) documentLocked() *Document {
 	if h.current.Document == nil {
 		return &Document{}
--- a/internal/conf/register.go
+++ b/internal/conf/register.go
@@ -21,13 +21,12 @@
 const (
 	// maxHistory is the number of versions kept, including the current one.
 	maxHistory = 64
-	// maxHistoryBytes bounds the documents of the kept versions together; the
-	// current one is always kept.
+	// maxHistoryBytes bounds the total size of the documents of the kept versions. The
+	// current version is always kept.
 	maxHistoryBytes = 1 << 20
-	// maxResponses is the number of request IDs whose first answer is kept.
-	maxResponses   = 1024
-	maxAuthorBytes = 256
-	// maxRequestIDBytes bounds a request ID.
+	// maxResponses is the number of request IDs whose first response is kept.
+	maxResponses      = 1024
+	maxAuthorBytes    = 256
 	maxRequestIDBytes = 128
 )
 
@@ -38,18 +37,19 @@
 	// Text is the document as it was written.
 	Text string
 	// Document is Text as read by this program. If this program can't read Text,
-	// because a newer one wrote it, the last readable document stays in force, and
-	// Unreadable says why. Document is never nil in the configuration in force, and nil
-	// in older versions.
-	Document   *Document
+	// because a newer program accepted it, Document is the last readable document.
+	// Document is never nil in the configuration in force, and nil in older versions.
+	Document *Document
+	// Unreadable is why this program can't read Text, or empty.
 	Unreadable string
-	Author     string
+	// Author names who wrote the version.
+	Author string
 	// Accepted is the wall time of the instance that proposed the write.
 	Accepted time.Time
 }
 
-// Write is the command that replaces the document if the current version is the
-// expected one (compare-and-set).
+// Write is the command that replaces the document if the current version is Expected
+// (compare-and-set).
 type Write struct {
 	RequestID string
 	// Expected is the version that the writer has read.
@@ -59,6 +59,7 @@
 	Accepted time.Time
 }
 
+// wireWrite is the encoding of a Write.
 type wireWrite struct {
 	Format         uint32 `cbor:"1,keyasint"`
 	RequestID      string `cbor:"2,keyasint,omitempty"`
@@ -68,9 +69,10 @@
 	AcceptedUnixMs int64  `cbor:"6,keyasint,omitempty"`
 }
 
-// Encode checks the write and returns its command. It parses the document here, before
-// the command enters the log, and not in Apply: two programs that disagree on what a
-// valid document is must still hold the same state.
+// Encode checks the write and returns its command, or a fault of kind Invalid. Documents
+// that can't be parsed are refused here, before the command enters the log, and not in
+// Apply: two programs that disagree on what a valid document is must still hold the same
+// state.
 func (w Write) Encode() ([]byte, error) {
 	if w.RequestID == "" {
 		return nil, fault.Field("request_id", "is missing")
@@ -94,17 +96,18 @@
 	})
 }
 
-// Outcome is the result of Apply: the accepted version, or the refusal.
+// Outcome is the result of Apply: the accepted version, or the error of a refused write.
 type Outcome struct {
 	Config Config
 	// Err is a fault of kind Conflict or Invalid, or nil.
 	Err error
 }
 
-// answer is the first answer to a request ID.
+// recordedResponse is the first response to a request ID, kept for repeats of the request.
 type recordedResponse struct {
 	RequestID string `cbor:"1,keyasint"`
-	Digest    []byte `cbor:"2,keyasint"`
+	// Digest is the digest of the write (see wireWrite.digest).
+	Digest []byte `cbor:"2,keyasint"`
 	// Version is the version that the write created, 0 for a refusal.
 	Version uint64     `cbor:"3,keyasint,omitempty"`
 	Kind    fault.Kind `cbor:"4,keyasint,omitempty"`
@@ -117,11 +120,13 @@
 type Register struct {
 	holder Holder
 
-	mu               sync.RWMutex
-	history          []Config           // oldest first, the current version last
-	responses        []recordedResponse // oldest first
+	mu        sync.RWMutex
+	history   []Config           // oldest first, the current version last
+	responses []recordedResponse // oldest first
+	// byID holds, by request ID, the number of responses recorded before that of the
+	// request, including dropped ones.
 	byID             map[string]int
-	droppedResponses int // answers dropped so far; byID counts from the first ever
+	droppedResponses int // number of responses dropped so far
 }
 
 // NewRegister returns a register at version 0 with an empty document.
@@ -166,8 +171,9 @@
 	return r.applyWrite(w, digest)
 }
 
-// digest identifies the content with which a request ID was first used. It leaves out
-// the time, since a repeat carries a later one.
+// digest returns a hash of the write by which a repeat of a request is distinguished from
+// another request with the same ID. It leaves out the time, since a repeat carries a later
+// time.
 func (w *wireWrite) digest() []byte {
 	hash := sha256.New()
 	var expected [8]byte
@@ -179,6 +185,8 @@
 	return hash.Sum(nil)
 }
 
+// duplicateOutcome returns the outcome of a write whose request ID was used before: that of
+// the first response, or Conflict if the content differs.
 func (r *Register) duplicateOutcome(first recordedResponse, digest []byte) Outcome {
 	if string(first.Digest) != string(digest) {
 		return Outcome{Err: fault.New(fault.Conflict, "request id %q was used before with other content", first.RequestID)}
@@ -191,10 +199,12 @@
 			return Outcome{Config: config}
 		}
 	}
-	// The history no longer has the version; its number is the answer that counts.
+	// The history no longer holds this version. The caller needs only the number.
 	return Outcome{Config: Config{Version: first.Version}}
 }
 
+// applyWrite puts the document of w in force or refuses w. It records the response, except
+// to a write that is too large. r.mu must be held.
 func (r *Register) applyWrite(w wireWrite, digest []byte) Outcome {
 	current := r.holder.Current()
 	first := recordedResponse{RequestID: w.RequestID, Digest: digest}
@@ -221,7 +231,8 @@
 	return Outcome{Config: next}
 }
 
-// withParsedDocument sets the document of a version; see Config.Document.
+// withParsedDocument returns next with its document. If the text of next can't be read, it
+// sets Unreadable and the document of before.
 func withParsedDocument(before, next Config) Config {
 	document, err := Parse(next.Text)
 	if err != nil {
@@ -233,6 +244,8 @@
 	return next
 }
 
+// appendHistory adds the newest version and drops the oldest beyond maxHistory and
+// maxHistoryBytes. r.mu must be held.
 func (r *Register) appendHistory(config Config) {
 	r.history = append(r.history, config)
 	total := 0
@@ -247,6 +260,8 @@
 	r.history = append([]Config(nil), r.history[oldestKept:]...)
 }
 
+// recordResponse keeps the first response to a request ID and drops the oldest beyond
+// maxResponses. r.mu must be held.
 func (r *Register) recordResponse(first recordedResponse) {
 	if first.RequestID == "" {
 		return
@@ -261,6 +276,7 @@
 	r.droppedResponses++
 }
 
+// wireConfig is the encoding of a Config in a snapshot.
 type wireConfig struct {
 	Version        uint64 `cbor:"1,keyasint"`
 	Text           string `cbor:"2,keyasint,omitempty"`
@@ -268,6 +284,7 @@
 	AcceptedUnixMs int64  `cbor:"4,keyasint,omitempty"`
 }
 
+// wireSnapshot is the encoding of a Register.
 type wireSnapshot struct {
 	Format  uint32             `cbor:"1,keyasint"`
 	History []wireConfig       `cbor:"2,keyasint"`
@@ -318,8 +335,8 @@
 	return nil
 }
 
-// newestWithDocument returns the newest version with its document, or with that of the
-// last version that can be read.
+// newestWithDocument returns the newest version with its document. If its text can't be
+// read, it sets Unreadable and the document of the last version that can be read.
 func newestWithDocument(history []Config) Config {
 	newest := history[len(history)-1]
 	document, err := Parse(newest.Text)
@@ -338,6 +355,7 @@
 	return newest
 }
 
+// readHistory returns the versions of a snapshot, or an error unless they grow.
 func readHistory(wire []wireConfig) ([]Config, error) {
 	var history []Config
 	before := uint64(0)
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,6 +1,6 @@
 // Package directory finds the leader of a data centre and calls it. It remembers the
-// last leader, follows the leader that an instance names, and tries the other instances
-// when one doesn't answer.
+// last leader, calls the leader that an instance names in its error, and tries the other
+// instances when one doesn't respond.
 package directory
 
 import (
@@ -18,23 +18,25 @@
 
 // Timing of the search for a leader.
 const (
-	// AttemptTimeout bounds one attempt of an ordinary call. A paused or partitioned
-	// instance keeps its connections open and doesn't answer.
+	// AttemptTimeout bounds one attempt of a call. It is needed because the connections of
+	// a paused or partitioned instance stay open although the instance doesn't respond.
 	AttemptTimeout = time.Second
-	// roundDelay is the mean delay between two rounds over all instances; an election
-	// takes some rounds.
+	// roundDelay is the mean delay between two rounds of attempts over all instances. An
+	// election takes as long as a few rounds.
 	roundDelay = 60 * time.Millisecond
 )
 
-// Configuration stands for the voters of the configuration log where a data centre is
-// named.
+// Configuration is the data centre name that stands for the voters of the configuration
+// log.
 const Configuration = ""
 
 // Directory knows the instances of every data centre.
 type Directory struct {
 	client *http.Client
 
-	mu        sync.Mutex
+	mu sync.Mutex
+	// instances holds the instances of each data centre, leader the ID of its last known
+	// leader.
 	instances map[string][]settings.Instance
 	leader    map[string]string
 }
@@ -63,21 +65,23 @@
 	return len(d.instances[dataCentre]) > 0
 }
 
-// Call makes one call to the instance at a base URL.
+// Call makes one call to the instance at the base URL base.
 type Call func(ctx context.Context, base string) error
 
 // CallOptions bound the search for a leader.
 type CallOptions struct {
-	// SearchTimeout is how long to search for a leader; zero allows one round over the
-	// instances, which ends at the first that names another leader.
+	// SearchTimeout is how long to search for a leader. Zero allows one round over the
+	// instances, which ends at the first instance that names another leader.
 	SearchTimeout time.Duration
 	// AttemptTimeout bounds one attempt; zero means the constant AttemptTimeout.
 	AttemptTimeout time.Duration
 }
 
 // CallLeader makes a call to the leader of a data centre. It repeats a call whose
-// answer was lost, so the call must be idempotent: every mutating call of the schema
-// is, by its request ID or by the numbers it carries.
+// response was lost, so the call must be idempotent: every mutating call of the API is,
+// by its request ID or by the numbers it carries. Errors: NotFound for a data centre
+// without instances, Unavailable when no leader responds in time, and any other fault of
+// the call.
 func (d *Directory) CallLeader(ctx context.Context, dataCentre string, options CallOptions, call Call) error {
 	if options.AttemptTimeout == 0 {
 		options.AttemptTimeout = AttemptTimeout
@@ -106,7 +110,7 @@
 			return fault.New(fault.NotFound, "no instances for %s", groupName(dataCentre))
 		}
 		if !waitForNextRound(ctx, deadline) {
-			return fault.New(fault.Unavailable, "%s has no leader that answers: %s", groupName(dataCentre), fault.From(lastErr).Message)
+			return fault.New(fault.Unavailable, "%s has no leader that responds: %s", groupName(dataCentre), fault.From(lastErr).Message)
 		}
 	}
 }
@@ -118,7 +122,8 @@
 	return "data centre " + dataCentre
 }
 
-// waitForNextRound waits between two rounds. It returns false when no time is left.
+// waitForNextRound waits between two rounds. It returns false when the deadline is too close
+// or ctx ends.
 func waitForNextRound(ctx context.Context, deadline time.Time) bool {
 	wait := roundDelay/2 + rand.N(roundDelay)
 	if time.Now().Add(wait).After(deadline) {
@@ -163,8 +168,8 @@
 	d.leader[dataCentre] = leader
 }
 
-// followLeaderHint records the leader that an error names. It returns true when that is
-// another one than the known leader, so that the next round starts with it.
+// followLeaderHint records the leader that an error names. It returns true if it differs
+// from the known leader, so that the next round starts with the new leader.
 func (d *Directory) followLeaderHint(dataCentre string, err error) bool {
 	leader, ok := rpc.LeaderOf(err)
 	if !ok || leader.ID == "" {
@@ -178,8 +183,8 @@
 	return changed
 }
 
-// addUnknownLeader adds a leader that the settings don't name: an instance that has
-// replaced another since they were read.
+// addUnknownLeader adds a leader that the settings don't name: an instance that has replaced
+// another one since the settings were read. d.mu must be held.
 func (d *Directory) addUnknownLeader(dataCentre string, leader rpc.Leader) {
 	known := slices.ContainsFunc(d.instances[dataCentre], func(i settings.Instance) bool { return i.ID == leader.ID })
 	if !known && leader.Address != "" {
@@ -187,8 +192,8 @@
 	}
 }
 
-// CallEach calls every instance of a data centre in parallel and returns the errors by
-// instance ID; nil for those that succeeded.
+// CallEach calls every instance of a data centre in parallel, each for at most
+// AttemptTimeout, and returns the errors by instance ID, nil for each success.
 func (d *Directory) CallEach(ctx context.Context, dataCentre string, call func(ctx context.Context, instance settings.Instance, base string) error) map[string]error {
 	instances := d.inCallOrder(dataCentre)
 	results := make([]error, len(instances))
--- a/internal/member/host.go
+++ b/internal/member/host.go
@@ -1,6 +1,6 @@
-// Package member runs one member of the log that all core instances share. No list
-// names the instances: a new one asks its seeds for the leader, the leader adds it to
-// the membership, and the committed membership tells the others.
+// Package member runs one member of the log that all core instances share. No settings
+// list all instances: a new instance asks its seeds for the leader, the leader adds it to
+// the membership, and the committed membership names it to the others.
 package member
 
 import (
@@ -28,11 +28,11 @@
 // GroupName names the log.
 const GroupName = "core"
 
-// Timing of the log. A leader sends a heartbeat each 50 ms. A member starts an
-// election after 0.25 s to 0.5 s without one, chosen at random, and later if the leader's
+// Timing of the log. A leader sends a heartbeat every 50 ms. A member starts an election
+// after 0.25 s to 0.5 s without a heartbeat, drawn at random, or later if the leader's
 // heartbeats are often late (see replica.Core). The timeout is short because callers wait
-// while there is no leader, whereas a change of leader costs little: the next one finds
-// everything in the log.
+// while there is no leader, whereas a change of leader costs little: the next leader finds
+// all state in the log.
 const (
 	tickInterval   = 50 * time.Millisecond
 	electionTicks  = 5
@@ -41,12 +41,13 @@
 	snapshotEntries = 20_000
 	// announceInterval is the time between two announcements to the leader.
 	announceInterval = 400 * time.Millisecond
-	// joinTimeout bounds one announcement.
+	// joinTimeout bounds one announcement to one instance.
 	joinTimeout = 600 * time.Millisecond
-	// transferTimeout bounds the leadership transfer at a stop.
+	// transferTimeout bounds the leadership transfer when the instance stops.
 	transferTimeout = 1500 * time.Millisecond
 )
 
+// membersFile is the name of the file that stores the initial membership.
 const membersFile = "members"
 
 // Config holds the fixed settings of a Host.
@@ -56,7 +57,8 @@
 	Port string
 	// Seeds are IP addresses of core instances.
 	Seeds []string
-	// First says that the whole system starts for the first time.
+	// First says that the whole system starts for the first time, so that the seeds form
+	// the initial membership.
 	First bool
 	// Folder is a folder on a disk of the instance.
 	Folder string
@@ -89,8 +91,9 @@
 	return h
 }
 
-// Open waits until the initial membership is known and opens the log. An instance that
-// isn't one of the first needs a leader for it.
+// Open determines the initial membership and opens the log. Without a stored membership,
+// and unless this instance is a seed at the first start of the system, it waits until a
+// leader has added the instance and takes the leader's membership.
 func (h *Host) Open(ctx context.Context) (*node.Group, error) {
 	members, err := h.initialMembers(ctx)
 	if err != nil {
@@ -117,8 +120,8 @@
 	return group, nil
 }
 
-// Send passes a payload for a member to its connection. Members are named by their IP
-// addresses, so no list of addresses is needed.
+// Send passes a payload for a member to the transport. The ID of a member is its IP
+// address, so no list of addresses is needed.
 func (h *Host) Send(group, to string, payload []byte) {
 	h.transport.SetPeer(to, h.address(to))
 	h.transport.Send(group, to, payload)
@@ -189,9 +192,9 @@
 	return h.group
 }
 
-// initialMembers returns the membership that the log starts with. A file stores it: a
-// later start may have other seeds in its settings, and the log on disk would then be
-// read under a membership that was never in force.
+// initialMembers returns the membership that the log starts with. It is stored in a file,
+// because a later start may have other seeds in its settings, and the log on disk would
+// then be read under a membership that was never in force.
 func (h *Host) initialMembers(ctx context.Context) ([]replica.Member, error) {
 	path := filepath.Join(h.cfg.Folder, membersFile)
 	if data, err := os.ReadFile(path); err == nil {
@@ -211,7 +214,8 @@
 	return members, h.saveMembers(path, members)
 }
 
-// seedMembers returns the seeds, on a seed at the very first start, else nil.
+// seedMembers returns the seeds as members if this instance is a seed at the first start of
+// the system, and otherwise nil.
 func (h *Host) seedMembers() []replica.Member {
 	if !h.cfg.First {
 		return nil
@@ -232,7 +236,8 @@
 	return replica.Member{ID: id, Address: h.address(id), HasDisk: true}
 }
 
-// saveMembers writes and syncs the file before the log is opened.
+// saveMembers writes and syncs the file of the initial membership, before the log is
+// opened.
 func (h *Host) saveMembers(path string, members []replica.Member) error {
 	if err := os.MkdirAll(h.cfg.Folder, 0o750); err != nil {
 		return errors.Wrap(err, "create the data folder")
@@ -254,8 +259,8 @@
 	return errors.Wrap(f.Close(), "close the file of members")
 }
 
-// exchangeOnly serves the messages of the log. The other calls between instances belong
-// to data centres with logs of their own.
+// exchangeOnly serves the Exchange call, which carries the messages of the log. The other
+// calls between instances belong to data centres with logs of their own.
 type exchangeOnly struct{ mux *peer.Mux }
 
 var errNotServed = twirp.NewError(twirp.Unimplemented, "not served by an instance of a shared log")
--- a/internal/member/join.go
+++ b/internal/member/join.go
@@ -16,7 +16,7 @@
 const (
 	// unresponsiveAfter is how long a voter may fail to announce itself before a
 	// learner replaces it: five announcements, and well below the 4 s after which the
-	// successor is expected to vote.
+	// learner in its place is expected to vote.
 	unresponsiveAfter = 2 * time.Second
 	// learnerRemovalDelay is how long an unresponsive learner stays in the membership.
 	learnerRemovalDelay = 10 * time.Second
@@ -63,7 +63,7 @@
 }
 
 // timeSinceSeen returns the time since the last announcement of an instance to this
-// leader. The time before it became the leader doesn't count.
+// leader. The time before this member became the leader doesn't count.
 func (r *livenessTracker) timeSinceSeen(id string, now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,7 +100,8 @@
 	return JoinReply{Members: members}, nil
 }
 
-// join repeats the request until a leader has this instance in its membership.
+// join announces this instance to the known addresses in turn until a leader has it in its
+// membership, and returns that membership. It fails only when ctx ends.
 func (h *Host) join(ctx context.Context) ([]replica.Member, error) {
 	targets := h.Addresses()
 	for i := 0; ctx.Err() == nil; i++ {
@@ -120,6 +121,8 @@
 	return nil, errors.Wrap(ctx.Err(), "stopped before a leader was found")
 }
 
+// callJoin makes one announcement to an address. If that instance doesn't lead, it returns
+// the address of the leader that the instance names, if any.
 func (h *Host) callJoin(ctx context.Context, address string) (reply JoinReply, leader string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
@@ -150,8 +153,8 @@
 	return nil
 }
 
-// manageMembership keeps cfg.Voters voters while this member leads: a learner that has
-// caught up replaces an unresponsive voter.
+// manageMembership keeps the number of voters at Config.Voters while this member leads: a
+// learner that has caught up replaces an unresponsive voter.
 func (h *Host) manageMembership(ctx context.Context) error {
 	for wait.For(ctx, manageInterval) {
 		status := h.group.Status()
@@ -174,8 +177,8 @@
 	return nil
 }
 
-// nextMembership returns the next membership, which differs in one member, and what
-// changes. It returns nil when no change is due.
+// nextMembership returns the next membership, which differs in one member, and a
+// description of the change for the log. It returns nil when no change is due.
 func (h *Host) nextMembership(status replica.Status, now time.Time) ([]replica.Member, string) {
 	voters, unresponsiveVoter, learner, staleLearner := 0, -1, -1, -1
 	for i, m := range status.Members {
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -26,7 +26,7 @@
 		{"nothing to do", []replica.Member{voter("own"), voter("b"), voter("c"), learner("d")}, nil, nil},
 		{"a learner replaces an unresponsive voter", []replica.Member{voter("own"), voter("b"), voter("c"), learner("d")},
 			map[string]time.Duration{"b": 3 * time.Second}, []replica.Member{voter("own"), voter("b"), voter("c"), voter("d")}},
-		{"then the unresponsive voter is removed", []replica.Member{voter("own"), voter("b"), voter("c"), voter("d")},
+		{"an unresponsive voter beyond the number of voters is removed", []replica.Member{voter("own"), voter("b"), voter("c"), voter("d")},
 			map[string]time.Duration{"b": 3 * time.Second}, []replica.Member{voter("own"), voter("c"), voter("d")}},
 		{"an unresponsive voter stays while no learner can replace it", []replica.Member{voter("own"), voter("b"), voter("c")},
 			map[string]time.Duration{"b": time.Minute}, nil},
@@ -50,9 +50,9 @@
 	}
 }
 
-// Guards against membership changes although nothing is wrong: an instance has just
-// become the leader and no member has announced itself to it yet. The time
-// before that must not count.
+// Guards against needless membership changes: an instance has just become the leader, and no
+// member has announced itself to it yet. The time before it became the leader must not
+// count.
 func TestNewLeaderDoesNotReplaceVotersBeforeTheyAnnounce(t *testing.T) {
 	h := New(Config{ID: "own", Voters: 3, Logger: log.NewNopLogger()}, link.NewClient(100), link.NewMux())
 	now := time.Now()
--- a/internal/node/apply.go
+++ b/internal/node/apply.go
@@ -65,7 +65,8 @@
 	index, term, err := g.core.ProposeMembership(c.members)
 	switch {
 	case errors.Is(err, replica.ErrNoChange):
-		// The change is in force already: the caller repeats it after a lost answer.
+		// The change is in force already. The caller may be repeating a call whose
+		// response was lost.
 		c.reply(nil, nil)
 	case err != nil:
 		c.reply(nil, g.coreFault(err))
@@ -89,6 +90,7 @@
 	}
 }
 
+// trackProposal records the call that proposed the entry at index.
 func (g *Group) trackProposal(index, term uint64, c *call) {
 	if old, ok := g.proposals[index]; ok {
 		// This member's log no longer holds the older command, but another member's log
@@ -98,7 +100,7 @@
 	g.proposals[index] = pendingProposal{call: c, term: term}
 }
 
-// apply applies committed entries to the state machine and answers the callers that
+// apply applies committed entries to the state machine and replies to the callers that
 // proposed them.
 func (g *Group) apply(entries []replica.Entry) {
 	for _, e := range entries {
@@ -114,6 +116,7 @@
 	g.counters.commits.Add(uint64(len(entries)))
 }
 
+// completeProposal replies to the call that proposed an entry at e.Index, if any.
 func (g *Group) completeProposal(e replica.Entry, value any) {
 	proposal, ok := g.proposals[e.Index]
 	if !ok {
@@ -142,14 +145,15 @@
 }
 
 // failSupersededCalls fails the pending proposals and barriers of all terms but the one
-// that this member leads. The next leader may commit their entries or drop them.
+// that this member leads. The outcome of such a proposal is unknown, because the next
+// leader may commit its entry or replace it.
 func (g *Group) failSupersededCalls(s replica.Status) {
 	g.counters.recordRole(s)
 	current := func(term uint64) bool { return s.Role == replica.Leader && s.Term == term }
 	g.failProposals(func(p pendingProposal) bool { return !current(p.term) }, "the leadership was lost")
-	// An error records the stack. Creating this one in every round would take a
-	// noticeable part of an idle leader's processor time, though it is hardly ever
-	// used.
+	// Creating an error records the stack. Without the condition, each round would create
+	// an error that is hardly ever used, which takes a noticeable part of an idle
+	// leader's processor time.
 	if len(g.barriers.byToken) > 0 {
 		g.barriers.failUnless(current, unavailable(ErrNotLeader, "not leader; the leadership was lost"))
 	}
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -14,12 +14,12 @@
 // These errors mark the faults of kind Unavailable that Propose, Barrier,
 // ChangeMembership and Transfer return. Compare with errors.Is.
 var (
-	// ErrNotLeader means that this member may not decide; nothing was proposed. Status
-	// names the leader if one is known.
+	// ErrNotLeader means that this member may not decide; nothing was proposed.
+	// Group.Status names the leader if one is known.
 	ErrNotLeader = errors.New("not leader")
 	// ErrOutcomeUnknown means that the command was proposed and this member can't tell
 	// whether it will be committed.
-	ErrOutcomeUnknown = errors.New("fate open")
+	ErrOutcomeUnknown = errors.New("outcome unknown")
 	// ErrNotCommitted means that the command was proposed and will never be committed.
 	ErrNotCommitted = errors.New("not committed")
 	// ErrStopped means that this member has stopped; nothing was proposed.
@@ -34,7 +34,7 @@
 	return unavailable(ErrOutcomeUnknown, "%s; the command may or may not be committed", reason)
 }
 
-// outcome is the result of a call.
+// outcome is the result of a call: a value, or the error.
 type outcome struct {
 	value any
 	err   error
@@ -136,19 +136,21 @@
 	if g.calls.remove(c) {
 		return nil, unavailable(ctx.Err(), "the context ended before the call was proposed: %v", ctx.Err())
 	}
-	return nil, errors.Mark(outcomeUnknown("the context ended before the log answered"), ctx.Err())
+	return nil, errors.Mark(outcomeUnknown("the context ended before the outcome was known"), ctx.Err())
 }
 
 // Propose waits until the command is committed and applied on this member and returns
 // the result of Apply. All errors are faults: Overloaded when too many calls are
-// pending, else Unavailable, marked with what is known of the command's outcome.
+// pending, else Unavailable, marked with ErrNotLeader, ErrOutcomeUnknown, ErrNotCommitted
+// or ErrStopped, or with the error of the context if it ended.
 func (g *Group) Propose(ctx context.Context, command []byte) (any, error) {
 	g.counters.proposals.Add(1)
 	return g.do(ctx, &call{kind: callPropose, command: command})
 }
 
 // Barrier waits until this member has applied everything that was committed before the
-// call and has confirmed that it still led after the call started.
+// call, and until a majority has confirmed that the member still led after the call
+// started. Errors are as for Propose.
 func (g *Group) Barrier(ctx context.Context) error {
 	_, err := g.do(ctx, &call{kind: callBarrier})
 	return err
@@ -169,8 +171,9 @@
 	return err
 }
 
-// Transfer transfers the leadership to another member and waits until one leads. On a
-// member that doesn't lead it returns immediately when another member leads.
+// Transfer transfers the leadership to another member and waits until another member
+// leads. If another member leads already, it returns immediately. The error is Unavailable
+// when ctx ends or the member stops first.
 func (g *Group) Transfer(ctx context.Context) error {
 	var errs error
 	for {
@@ -189,8 +192,8 @@
 			return unavailable(ErrStopped, "the member has stopped")
 		case <-changed:
 		case <-time.After(g.cfg.TickInterval * time.Duration(g.cfg.ElectionTicks)):
-			// The core abandons a transfer after this time, without a change of
-			// leadership that would wake this loop.
+			// The core abandons a transfer after this time, and no change of leadership
+			// ends the wait then.
 		}
 	}
 }
@@ -211,7 +214,8 @@
 	return errs
 }
 
-// coreFault converts an error of the core into a fault. Nothing was proposed.
+// coreFault converts an error of the core into a fault. An error of the core means that
+// nothing was proposed.
 func (g *Group) coreFault(err error) error {
 	switch {
 	case errors.Is(err, replica.ErrNotLeader):
--- a/internal/node/clock.go
+++ b/internal/node/clock.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// clock converts elapsed time into ticks. It counts ticks from the elapsed time and not
-// from timer events: a paused process gets no events for the pause, and a leader that
-// missed its ticks would still trust a lease that expired long ago.
+// clock converts elapsed time into ticks. It doesn't count timer events: a process gets no
+// timer events while it is paused, and a leader that missed its ticks would still trust a
+// lease that expired long ago.
 type clock struct {
 	start    time.Time
 	interval time.Duration
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -15,7 +15,8 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// waitTimeout bounds waits that are expected to end; it asserts no speed.
+// waitTimeout bounds waits for conditions that are expected to hold soon. Tests don't use
+// it to check speed.
 const waitTimeout = 30 * time.Second
 
 // registers is a state machine of named registers. A command sets one and returns the
@@ -124,7 +125,7 @@
 	config  Config
 	mu      sync.Mutex
 	members map[string]*member
-	starts  uint64
+	starts  uint64 // number of starts of members so far
 }
 
 // newCluster starts members a, b and c. The members named in disks have a disk.
@@ -147,6 +148,7 @@
 	return c
 }
 
+// start opens and runs the member id. A member with a disk finds what it stored before.
 func (c *cluster) start(id string) *member {
 	c.t.Helper()
 	c.starts++
@@ -239,6 +241,7 @@
 	})
 }
 
+// setMany writes n times to ten registers whose names begin with prefix, in turn.
 func (c *cluster) setMany(prefix string, n int) {
 	c.t.Helper()
 	for i := range n {
--- a/internal/node/http_test.go
+++ b/internal/node/http_test.go
@@ -25,7 +25,8 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// httpCluster is a group of members with disks that talk HTTP on 127.0.0.1.
+// httpCluster is a set of instances with disks that exchange messages over HTTP on
+// 127.0.0.1.
 type httpCluster struct {
 	instances []*httpInstance
 }
@@ -132,7 +133,7 @@
 	return nil
 }
 
-// Guards against lost commits: three members talk over HTTP, the leader's process ends,
+// Guards against lost commits: three members exchange messages over HTTP, the leader stops,
 // and another member must take over with everything that was committed.
 func TestGroupOverHTTP(t *testing.T) {
 	h := newHTTPCluster(t, 3, 0)
@@ -151,9 +152,9 @@
 }
 
 // BenchmarkCommit measures committed proposals of 60 bytes and the latency that callers
-// see. The delay is one way. Without a rate, each caller proposes again as soon as it
-// is answered. With a rate, proposals are sent at that rate regardless of the answers,
-// and their latency counts from when they were due.
+// see. The delay is one way. Without a rate, each caller proposes again as soon as its
+// proposal is committed. With a rate, proposals are made at that rate, whether or not
+// earlier ones are committed, and their latency counts from when they were due.
 func BenchmarkCommit(b *testing.B) {
 	for _, c := range []struct {
 		members, callers, rate int
@@ -193,6 +194,8 @@
 	_ = g.latency.RecordValue(took.Microseconds())
 }
 
+// closedLoop makes b.N proposals by a number of callers that each wait for the outcome
+// before the next proposal.
 func (g *loadGenerator) closedLoop(callers int) {
 	var left atomic.Int64
 	left.Store(int64(g.b.N))
@@ -207,6 +210,7 @@
 	group.Wait()
 }
 
+// openLoop makes b.N proposals at a rate per second.
 func (g *loadGenerator) openLoop(rate int) {
 	var group sync.WaitGroup
 	start := time.Now()
@@ -226,9 +230,10 @@
 	g.b.ReportMetric(float64(stats.Commits)/float64(max(1, stats.LogSyncs)), "entries/sync")
 }
 
-// BenchmarkIdle measures the bytes that idle members send and receive at the socket, on
-// connections opened and accepted, by the number of groups that the instance leads, and
-// the processor time of all members together. One operation is a second.
+// BenchmarkIdle measures the bytes per second that idle instances send and receive at the
+// socket, on connections opened and accepted, by the number of groups that the instance
+// leads. It also measures the processor time of all instances together. One operation is a
+// second.
 func BenchmarkIdle(b *testing.B) {
 	for _, groups := range [][]string{{"cell"}, {"cell", "configuration"}} {
 		b.Run(fmt.Sprintf("groups=%d", len(groups)), func(b *testing.B) {
@@ -282,6 +287,7 @@
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
 
+// socketBytes returns the bytes sent and received on all connections of the instance.
 func (n *httpInstance) socketBytes() uint64 {
 	sent, received := n.listener.Bytes()
 	total := sent + received
--- a/internal/node/inbox.go
+++ b/internal/node/inbox.go
@@ -10,6 +10,8 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
+// payloadDecoder has no practical bound on the length of arrays. The default of the library
+// is 131,072 elements.
 var payloadDecoder = newPayloadDecoder()
 
 func newPayloadDecoder() cbor.DecMode {
@@ -26,7 +28,8 @@
 	messages []replica.Message
 }
 
-// push drops the messages that exceed the bound; the log sends them again.
+// push queues messages and returns how many it dropped because they exceed
+// maxInboxMessages. The log sends dropped messages again.
 func (b *inbox) push(messages []replica.Message) (dropped int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -46,9 +49,9 @@
 	return taken
 }
 
-// Step queues a payload that another member's Transport sent. It returns an error for a
-// payload that can't be decoded or holds another member's messages. The log replies
-// with its own messages.
+// Step queues the messages of a payload that the Transport of the member from sent. It
+// returns an error for a payload that can't be decoded or holds messages of another
+// member. Replies to the messages go through this member's Transport.
 func (g *Group) Step(from string, payload []byte) error {
 	var messages []replica.Message
 	if err := payloadDecoder.Unmarshal(payload, &messages); err != nil {
--- a/internal/node/linearizability_test.go
+++ b/internal/node/linearizability_test.go
@@ -29,6 +29,8 @@
 	outcomeUnknown bool
 }
 
+// registerModel is the model of independent registers by key. A write returns the value
+// that it replaced.
 var registerModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -61,6 +63,7 @@
 	recorded, unknown atomic.Int64
 }
 
+// access makes one access on a member and records it.
 func (h *history) access(m *member, client int, in access) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -105,7 +108,8 @@
 	}
 }
 
-// injectFault injects one fault, waits while clients make more accesses, and ends it.
+// injectFault injects one fault, ends it and waits until all members have recovered. During
+// the fault and after it, it gives the clients time to make extra accesses.
 func (h *history) injectFault(c *cluster, random *rand.Rand, extra int64) {
 	const wait = 500 * time.Millisecond
 	all := c.running()
@@ -146,7 +150,7 @@
 // Guards against a history that isn't linearizable. Several clients read and write
 // while the leadership is transferred, members are partitioned, and members restart
 // with and without a disk. Every access must take effect at one moment between its call
-// and its answer, and a refused write never.
+// and its response, and a refused write must never take effect.
 func TestHistoryIsLinearizable(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -41,7 +41,7 @@
 			return err
 		}
 		if g.core.HasReady() {
-			// Process it in the next round, after new calls and messages.
+			// The next round processes this Ready, after new calls and messages.
 			g.signal()
 		}
 		select {
@@ -57,9 +57,9 @@
 	}
 }
 
-// runRound processes ticks, messages, calls and one Ready. Missed ticks go first: a
-// member that was paused must know how much time has passed before it treats a message
-// as recent or decides anything.
+// runRound processes ticks, messages, calls and one Ready. It makes up for missed ticks
+// first: a member that was paused must know how much time has passed before it treats a
+// message as recent or decides anything.
 func (g *Group) runRound() error {
 	g.tick()
 	for _, m := range g.inbox.take() {
@@ -94,6 +94,7 @@
 	return true
 }
 
+// tick passes the ticks that are due to the core.
 func (g *Group) tick() {
 	n := g.clock.due(time.Now())
 	for range min(n, uint64(maxCatchUpElections*g.cfg.ElectionTicks)) {
@@ -160,9 +161,9 @@
 	return g.wal.Save(r.HardState, r.Entries, r.MustSync)
 }
 
-// saveSnapshot writes a snapshot from another member. The term goes first, since no
-// entry may have a later term than the member. The record that the member has recovered
-// must wait until the snapshot and the entries are durable.
+// saveSnapshot writes a snapshot from another member. It writes the new term first, since
+// no entry may have a later term than the member. Until the snapshot and the entries are
+// durable, the hard state must still say that the member is recovering.
 func (g *Group) saveSnapshot(r replica.Ready) error {
 	if r.HardState != nil {
 		interim := *r.HardState
@@ -181,10 +182,9 @@
 // waitForDiskSpace waits before the next attempt to write to a full disk. It returns
 // false when the member isn't to try again.
 //
-// A disk may be full only for a short time. A member that stopped would be restarted
-// and stop again, ten times in 5 s, and everything else in its process with it. A
-// member that waits acknowledges nothing, and its leader lease expires by its own
-// clock, as with a disk that stalls.
+// A disk may be full only for a short time. If the member failed, its whole process would
+// be restarted and fail again, ten times in 5 s. A member that waits acknowledges nothing,
+// and its leader lease expires by its own clock, as with a disk that stalls.
 func (g *Group) waitForDiskSpace() bool {
 	if g.runCtx == nil {
 		return false
@@ -201,7 +201,7 @@
 	if g.diskFullSince.IsZero() {
 		return
 	}
-	_ = g.logger.Log("event", "disk", "outcome", "room again", "full_ms", time.Since(g.diskFullSince).Milliseconds())
+	_ = g.logger.Log("event", "disk", "outcome", "free space again", "full_ms", time.Since(g.diskFullSince).Milliseconds())
 	g.diskFullSince = time.Time{}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -2,8 +2,8 @@
 // replica, the write-ahead log, the clock and the state machine, and exchanges messages
 // through a Transport.
 //
-// One goroutine, Run, does all the work. It puts all calls and messages that are
-// pending in a round into one write, one sync and one message per member (group
+// One goroutine, Run, does all the work in rounds. All calls and messages that are pending
+// at the start of a round share one write, one sync and one payload per member (group
 // commit).
 package node
 
@@ -68,10 +68,12 @@
 	// maxInflightAppends bounds the appends in flight to a member. One append carries
 	// the commands of one sync, so 64 cover 25 ms or more, and neither a slow sync nor
 	// a slow network delays new ones.
-	maxInflightAppends  = 64
-	maxPendingCalls     = 16_384
-	maxInboxMessages    = 8_192
-	maxCatchUpElections = 4 // in election timeouts
+	maxInflightAppends = 64
+	maxPendingCalls    = 16_384
+	maxInboxMessages   = 8_192
+	// maxCatchUpElections bounds the missed ticks that one round makes up for, in
+	// election timeouts.
+	maxCatchUpElections = 4
 )
 
 // callIntervalPerFollower is the minimum time between two rounds that process calls,
@@ -86,23 +88,24 @@
 	Group string
 	// ID is this member's ID.
 	ID string
-	// Incarnation numbers this start of the member; 0 means the wall clock in
-	// milliseconds. A member that finds its state on disk keeps the number of
-	// its first start.
+	// Incarnation is the incarnation of this start of the member; 0 means the wall clock
+	// in milliseconds. A member that finds its state on disk keeps its stored one.
 	Incarnation uint64
 	// Members is the initial membership.
 	Members []replica.Member
 	// Folder holds the log; empty for a member without a disk.
 	Folder string
 	// TickInterval is the unit of ElectionTicks and HeartbeatTicks.
-	TickInterval   time.Duration
+	TickInterval time.Duration
+	// ElectionTicks is the least election timeout; 0 means the defaults of ElectionTicks
+	// and HeartbeatTicks.
 	ElectionTicks  int
 	HeartbeatTicks int
 	// SnapshotEvery is the number of entries between snapshots.
 	SnapshotEvery uint64
-	// SnapshotBytes is the size in bytes of the commands between snapshots; the size of
-	// the latest snapshot counts if it is larger. At most half of SnapshotBytes stays
-	// in memory for members that lag.
+	// SnapshotBytes is the total size of the commands between two snapshots, in bytes. If
+	// the latest snapshot is larger, its size is used instead. Commands of at most half of
+	// SnapshotBytes stay in memory after a snapshot, for members that lag.
 	//
 	// Without this bound, a log of long commands, such as whole configuration
 	// documents, outgrows the memory of the process long before it has SnapshotEvery
@@ -119,6 +122,7 @@
 	Logger log.Logger
 }
 
+// fill sets the defaults. It returns an error if a required field is missing.
 func (cfg *Config) fill() error {
 	if cfg.Machine == nil || cfg.Transport == nil || cfg.Group == "" {
 		return errors.New("group needs a name, a state machine and a transport")
@@ -155,7 +159,7 @@
 	wal    *wal.WAL
 	logger log.Logger
 	// runCtx ends when the member is to stop; nil until Run. diskFullSince is when the
-	// disk was found full, zero while it has free space. Both belong to Run.
+	// disk was found full, zero while it has free space. Only Run uses the two.
 	runCtx        context.Context
 	diskFullSince time.Time
 
@@ -164,7 +168,7 @@
 	calls callQueue
 	inbox inbox
 
-	// clock and the fields after it, up to snapshots, belong to the goroutine of Run.
+	// Only the goroutine of Run uses clock and the fields after it, up to snapshots.
 	clock clock
 	// callsProcessedAt is when calls were last processed.
 	callsProcessedAt time.Time
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -17,8 +17,9 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// Guards against lost writes: the leader is lost, then a follower restarts. Writes must
-// continue, and restarted members must hold the state of the others.
+// Guards against lost writes: the leader stops, starts again, and then each of two members
+// with disks restarts. Writes must continue, and restarted members must hold the state of
+// the others.
 func TestLeaderLostAndFollowerRestarted(t *testing.T) {
 	c := newCluster(t, "ab", Config{})
 	c.setMany("before", 30)
@@ -84,7 +85,7 @@
 	}
 }
 
-// Guards against a wrong answer to a caller: a leader is partitioned while a command is
+// Guards against a wrong response to a caller: a leader is partitioned while a command is
 // in flight. The other members may or may not have the command, so its outcome is
 // unknown.
 func TestLostLeadershipReportsUnknownOutcome(t *testing.T) {
@@ -161,14 +162,14 @@
 	must.True(t, fault.Is(err, fault.Invalid), must.Sprint("two changes in one call: ", err))
 	next[others[1]].Learner = false
 	must.NoError(t, leader.ChangeMembership(t.Context(), next))
-	// A caller that lost the answer repeats the call.
+	// A caller whose response was lost repeats the call.
 	must.NoError(t, leader.ChangeMembership(t.Context(), next))
 	c.set("k", "v")
 	c.converged(3)
 }
 
-// Guards against callers that wait forever when the member stops, and against a log
-// that isn't closed, so that the next start can't open it.
+// Guards against callers that wait forever when their member stops, and against a log that
+// isn't closed at the stop, so that the next start can't open it.
 func TestStopAnswersAllCallers(t *testing.T) {
 	c := newCluster(t, "abc", Config{})
 	leader := c.leader()
@@ -193,8 +194,9 @@
 }
 
 // Guards against a vote without the acknowledged entries. A member that lost its state
-// gets a snapshot, and power fails before the snapshot is durable. If its disk said
-// that it has recovered, it would vote without the entries that it had acknowledged.
+// receives a snapshot, and power is lost before the snapshot is durable. If the hard state
+// on its disk already said that it has recovered, the member would vote without the
+// entries that it had acknowledged.
 func TestCrashDuringRecoveryLeavesMemberRecovering(t *testing.T) {
 	folder := t.TempDir()
 	w, _, err := wal.Open(folder)
@@ -221,5 +223,6 @@
 	c := newCluster(t, "", Config{})
 	m := c.leader()
 	must.Error(t, m.Step("b", []byte{0xff, 0x00}))
+	// An array of one message whose From is "b".
 	must.Error(t, m.Step("nobody", []byte{0x81, 0xa1, 0x02, 0x61, 'b'}))
 }
--- a/internal/node/reads.go
+++ b/internal/node/reads.go
@@ -9,6 +9,8 @@
 	byToken   map[uint64]barrierBatch
 }
 
+// barrierBatch holds the barriers that share a read token, and the term in which they were
+// called.
 type barrierBatch struct {
 	term  uint64
 	calls []*call
@@ -26,9 +28,9 @@
 	b.byToken[token] = barrierBatch{term: term, calls: calls}
 }
 
-// confirm answers the barriers that the core has confirmed. The read index, the
-// leader's commit index at the time of the call, is never beyond what the same Ready
-// applies.
+// confirm replies to the barriers whose reads the core has confirmed. The index of a read
+// is the leader's commit index at the time of the call, so it is already applied: the
+// entries committed in the same Ready are applied before.
 func (b *pendingBarriers) confirm(states []replica.ReadState, applied uint64) {
 	for _, s := range states {
 		batch, ok := b.byToken[s.Token]
@@ -41,6 +43,7 @@
 	}
 }
 
+// failUnless fails the barriers of the terms for which current returns false.
 func (b *pendingBarriers) failUnless(current func(term uint64) bool, err error) {
 	for token, batch := range b.byToken {
 		if !current(batch.term) {
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -14,8 +14,9 @@
 // the disk full.
 const snapshotRetryDelay = time.Second
 
-// snapshotter takes one snapshot at a time. Encoding (of a Capturer) and writing run on
-// their own goroutine, so that the log continues; Run completes the snapshot.
+// snapshotter takes one snapshot at a time. A separate goroutine writes the snapshot, and
+// also encodes it if the state machine is a Capturer, while the log continues. Run then
+// completes the snapshot.
 type snapshotter struct {
 	// lastIndex is the index of the latest snapshot.
 	lastIndex uint64
@@ -86,8 +87,8 @@
 func (g *Group) completeSnapshot(r snapshotResult) error {
 	g.snapshots.running = false
 	if errors.Is(r.err, syscall.ENOSPC) {
-		// The log continues without this snapshot. A later one needs no more disk
-		// space.
+		// The log continues without this snapshot. A later snapshot replaces it and
+		// needs no more disk space.
 		_ = g.logger.Log("event", "snapshot", "outcome", "failed", "err", r.err)
 		g.snapshots.notBefore = time.Now().Add(snapshotRetryDelay)
 		return nil
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -31,8 +31,8 @@
 	// from another member.
 	Snapshots, Restores uint64
 	// MessagesSent and BytesSent count what was passed to the transport,
-	// MessagesReceived the messages queued, and MessagesDropped those refused or beyond
-	// the bound of the queue.
+	// MessagesReceived the messages queued for Run, and MessagesDropped those that the
+	// core refused or that exceeded the bound of the queue.
 	MessagesSent, BytesSent, MessagesReceived, MessagesDropped uint64
 	// LogBytes, LogEntries and LogSyncs count the writes of the write-ahead log;
 	// TornTails is 1 when Open truncated its end. All are zero without a disk.
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -10,8 +10,9 @@
 
 // publishedStatus is the status that other goroutines read.
 type publishedStatus struct {
-	mu         sync.Mutex
-	status     replica.Status
+	mu     sync.Mutex
+	status replica.Status
+	// validUntil is when status.CanDecide is no longer valid.
 	validUntil time.Time
 	changed    chan struct{}
 }
@@ -20,7 +21,7 @@
 	p.status, p.changed = s, make(chan struct{})
 }
 
-// set publishes a status and reports whether leadership changed.
+// set publishes a status and reports whether role, leader, term or CanDecide changed.
 func (p *publishedStatus) set(s replica.Status, validUntil time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/wal/counters.go
+++ b/internal/wal/counters.go
@@ -12,7 +12,8 @@
 
 // Counters holds totals since Open.
 type Counters struct {
-	// Bytes and Entries count what was written to segments, Syncs the syncs.
+	// Bytes and Entries count what was appended to segments, Syncs the syncs of
+	// appended records.
 	Bytes, Entries, Syncs uint64
 	// TornTails is 1 if Open truncated a torn tail.
 	TornTails uint64
@@ -28,7 +29,7 @@
 	}
 }
 
-// withoutData returns copies of entries without their data. The open log keeps only
+// withoutData returns copies of entries without their data. An open log keeps only the
 // index and term of its entries in memory.
 func withoutData(entries []replica.Entry) []replica.Entry {
 	stripped := make([]replica.Entry, len(entries))
--- a/internal/wal/disk_full_test.go
+++ b/internal/wal/disk_full_test.go
@@ -10,7 +10,7 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// limitedFile accepts only free bytes, like a file on a full disk.
+// limitedFile accepts a number of bytes, free, like a file on a disk that is almost full.
 type limitedFile struct {
 	segmentFile
 	free int
@@ -29,9 +29,9 @@
 	return n, syscall.ENOSPC
 }
 
-// The disk is full for a while in the middle of a record, which must not end the
-// member. The record must be written whole once there is free space, and a restart
-// must read everything that was saved.
+// The disk gets full in the middle of a record and has free space again after three waits,
+// which must not end the member. The record must then be written whole, and a restart must
+// read everything that was saved.
 func TestSaveRetriesWhileDiskIsFull(t *testing.T) {
 	folder := t.TempDir()
 	w, _ := mustOpen(t, folder, 1<<20)
--- a/internal/wal/files.go
+++ b/internal/wal/files.go
@@ -66,7 +66,8 @@
 	return l, nil
 }
 
-// numberedPath returns the path of the file with a number. Paths sort by number.
+// numberedPath returns the path of the file with a number. The names have leading zeros, so
+// that the order of paths is that of the numbers.
 func numberedPath(folder string, number uint64, suffix string) string {
 	return filepath.Join(folder, fmt.Sprintf("%020d%s", number, suffix))
 }
@@ -111,7 +112,8 @@
 	return errors.Wrap(d.Sync(), "sync the log folder")
 }
 
-// removeFiles deletes files, oldest first, so that a crash in between leaves no gap.
+// removeFiles deletes files in the given order, oldest first, so that a crash in between
+// leaves no gap. It ignores missing files.
 func removeFiles(paths []string) error {
 	for _, p := range paths {
 		if err := os.Remove(p); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -121,9 +123,9 @@
 	return nil
 }
 
-// lockFolder keeps a second process from writing to the same folder: the records of
-// two writers would interleave and both logs would read as damaged. The kernel
-// releases the lock when the process ends.
+// lockFolder takes the lock of a folder, or fails if another process has it. The records of
+// two writers would interleave, and both logs would read as damaged. The kernel releases
+// the lock when the process ends.
 func lockFolder(folder string) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(folder, lockName), os.O_RDWR|os.O_CREATE, 0o640)
 	if err != nil {
--- a/internal/wal/format_test.go
+++ b/internal/wal/format_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// A member is upgraded and must read the files of the previous version. A misread entry
-// would lose acknowledged data.
+// A member is upgraded and must read the files that a program with format version 1 wrote.
+// A misread entry would lose acknowledged data.
 func TestFilesOfVersion1AreRead(t *testing.T) {
 	if *writeTestdata {
 		writeSample(t, "testdata/v1")
@@ -54,8 +54,9 @@
 	must.Eq(t, entryRange(16, 25, 2), stored.Entries)
 }
 
-// A member is downgraded to an older program. It must name the version that it found
-// rather than report damage or guess the layout.
+// A member is downgraded to an older program. The program must refuse files of the newer
+// format with an error that names the version, rather than report damage or guess the
+// layout.
 func TestNewerVersionIsRefused(t *testing.T) {
 	b := header{magic: segmentMagic}.encode()
 	_, err := decodeHeader(b, segmentMagic)
--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -12,8 +12,9 @@
 const FormatVersion = 1
 
 const (
-	// headerSize is the size of a file header, frameSize that of a frame header, in
-	// bytes.
+	// headerSize is the size of a file header and frameSize that of a frame header, in
+	// bytes. A frame header holds frameMagic (4 bytes), the payload length (4) and the
+	// checksum (4), integers in big-endian order.
 	headerSize = 32
 	frameSize  = 12
 	// maxPayload is the greatest payload length in bytes that is accepted.
@@ -27,10 +28,12 @@
 	castagnoli    = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// errTruncated says that a file ends before the end of a frame.
+// errTruncated means that a file ends before the end of a frame.
 var errTruncated = errors.New("file ends inside the record")
 
-// header is the header of each file: magic, version, salt, sequence, checksum.
+// header is the header of each file: magic (8 bytes), format version (4), salt (8),
+// sequence (8) and checksum (4), integers in big-endian order. sequence is the number of a
+// segment, or the entry index of a snapshot.
 //
 // The salt is random for each file and part of every checksum in it. Without it,
 // bytes of a command that look like a whole record could pass for one when the record
--- a/internal/wal/log_state.go
+++ b/internal/wal/log_state.go
@@ -43,9 +43,9 @@
 	return s.append(r.Entries)
 }
 
-// rebase sets the base to the entry before the record's entries when these replace
-// entries that began in a segment removed since. Without it, a log whose first
-// segment replaces the end of the removed one would read as damaged.
+// rebase sets the base to the entry before the record's entries if these replace entries
+// up to the base, which were in a segment that has been removed. Otherwise a log whose
+// oldest segment replaces the end of a removed one would read as damaged.
 func (s *logState) rebase(r *record) error {
 	if len(r.Entries) == 0 || r.Entries[0].Index > s.base.Index {
 		return nil
@@ -91,7 +91,8 @@
 }
 
 // applySnapshot drops the entries that a durable snapshot at p replaces. Entries
-// after p stay if they continue it; otherwise they belong to a superseded history.
+// after p stay if the log holds the entry of p with the same term; otherwise they belong
+// to a superseded history.
 func (s *logState) applySnapshot(p position) {
 	if p.Index > s.snapshot.Index {
 		s.snapshot = p
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -19,18 +19,21 @@
 type record struct {
 	HardState *replica.HardState `cbor:"1,keyasint,omitempty"`
 	Entries   []replica.Entry    `cbor:"2,keyasint,omitempty"`
-	// Snapshot says that the snapshot of this position is durable.
+	// Snapshot is the position of a snapshot that is durable.
 	Snapshot *position `cbor:"3,keyasint,omitempty"`
-	// Base is the last entry before the segment; only its first record has it.
+	// Base is the position of the last entry before the segment. Only the first record
+	// of a segment has it.
 	Base *position `cbor:"4,keyasint,omitempty"`
 	// Synced is the length in bytes of this segment that was durable before the
 	// record was written. It distinguishes a torn tail from damage, since a crash
-	// can't lose bytes below it.
+	// can't lose bytes below that length.
 	Synced int64 `cbor:"5,keyasint"`
 	// PreviousTerm is the term of the entry before Entries[0].
 	PreviousTerm uint64 `cbor:"6,keyasint,omitempty"`
 }
 
+// encoder and decoder encode the payloads of frames. decoder has no practical bound on the
+// length of arrays; the default of the library is 131,072 elements.
 var (
 	encoder = newEncoder()
 	decoder = newDecoder()
--- a/internal/wal/recover.go
+++ b/internal/wal/recover.go
@@ -11,7 +11,7 @@
 type segment struct {
 	path     string
 	sequence uint64
-	// highest is the highest entry index written to it.
+	// highest is the highest entry index written to the segment.
 	highest uint64
 }
 
@@ -22,8 +22,8 @@
 	snapshot replica.Snapshot
 	// snapshotPath is the file of snapshot.
 	snapshotPath string
-	// salt and length are those of the last segment. length ends after its last whole
-	// record; torn is true when bytes follow it.
+	// salt is the salt of the last segment. length is the segment's length in bytes up to
+	// the end of its last whole record; torn is true when bytes follow that record.
 	salt   uint64
 	length int64
 	torn   bool
@@ -101,9 +101,9 @@
 }
 
 // isTorn reports whether the invalid record at offset is a tail torn by a crash
-// rather than damage to durable data. A crash can tear any record that wasn't synced
-// yet, and out of order, so whole records may follow. It can't tear a record that a
-// later one declares synced; truncating the log there would silently lose
+// rather than damage to durable data. A crash can tear any record that wasn't synced yet,
+// whatever its position, so whole records may follow a torn one. A crash can't tear a
+// record that a later one declares synced; truncating the log there would silently lose
 // acknowledged entries.
 func isTorn(file []byte, salt uint64, offset int64) bool {
 	for at, payload := nextFrame(file, salt, offset); payload != nil; at, payload = nextFrame(file, salt, at) {
@@ -133,8 +133,8 @@
 	if state.base.Index > at.Index {
 		return damaged(first, 0, errors.Newf("entries before %d are missing", state.base.Index+1))
 	}
-	// A crash between the rename of a snapshot and the record that names it leaves a
-	// snapshot that no record names. It is valid all the same.
+	// A crash between the rename of a snapshot and the write of the record that names it
+	// leaves a snapshot that no record names. Such a snapshot is valid.
 	if at.Index > 0 {
 		state.applySnapshot(at)
 	}
--- a/internal/wal/seed_test.go
+++ b/internal/wal/seed_test.go
@@ -2,5 +2,6 @@
 
 import "flag"
 
-// A fixed seed makes runs repeatable. -rapid.seed=0 chooses a random one.
+// init sets a fixed seed, so that every run has the same result. -rapid.seed=0 draws a
+// new one.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -4,9 +4,8 @@
 // Each file starts with a header that carries the format version. A record is framed
 // by its length and a CRC-32C. Open truncates a tail that a crash has torn after the
 // last whole record. It refuses damage to durable data with a DamageError and leaves
-// the folder unchanged. One kind of damage can't be distinguished: damage to the very
-// last records of the last segment, with no later record that declares them synced,
-// reads as a torn tail.
+// the folder unchanged. One kind of damage can't be distinguished from a torn tail: damage
+// to the very last records of the last segment, if no later record declares them synced.
 package wal
 
 import (
@@ -33,12 +32,15 @@
 
 	state    logState
 	segments []segment
-	file     segmentFile
-	salt     uint64
-	length   int64
-	synced   int64
-	buffer   bytes.Buffer
-	err      error
+	// file is the last segment. salt, length and synced are its salt, its length and the
+	// length that is synced, both in bytes.
+	file   segmentFile
+	salt   uint64
+	length int64
+	synced int64
+	buffer bytes.Buffer
+	// err is the first failure, or says that the log is closed.
+	err error
 	// onDiskFull is nil until OnDiskFull is called.
 	onDiskFull func() bool
 
@@ -59,11 +61,11 @@
 
 // OnDiskFull sets a callback for writes of a record or a segment to a full disk. wait
 // blocks until the next try and returns true to retry, or false to fail with
-// ErrDiskFull. Without a callback a full disk is a failed write.
+// ErrDiskFull. Without a callback a write to a full disk fails like any other write.
 //
-// A disk that is full for some seconds must not stop the member. No part of the
-// record counts yet or was acknowledged, so the partial record is truncated and the
-// log is as before. A failed sync is never retried.
+// A disk that is full for some seconds must not stop the member. No part of the record
+// was acknowledged yet, so the log truncates the partial record and is as before the
+// write. A failed sync is never retried.
 func (w *WAL) OnDiskFull(wait func() bool) { w.onDiskFull = wait }
 
 // retry waits after a failed write and returns nil if the write is to be retried.
@@ -86,9 +88,9 @@
 	return errors.Wrap(err, "seek to the end of the log")
 }
 
-// Open reads the log in folder, which it creates if it is missing, and makes durable
-// what it returns. A *DamageError means that a file doesn't contain what was written
-// to it; Open has changed nothing then.
+// Open opens the log in folder, which it creates if it is missing, and returns the stored
+// state, which it has made durable. A *DamageError means that a file doesn't contain what
+// was written to it; in this case Open has changed nothing.
 func Open(folder string) (*WAL, replica.StoredState, error) {
 	return open(folder, DefaultSegmentBytes)
 }
@@ -133,9 +135,9 @@
 	return stored, w.openLastSegment(found)
 }
 
-// openLastSegment opens the last segment for writing and syncs it. The log may still
-// be only in the kernel's cache, written by a process that was killed; without the
-// sync a loss of power could remove data that the caller relies on already.
+// openLastSegment opens the last segment for writing and syncs it. Records written by a
+// process that was killed may still be only in the kernel's cache; without the sync a loss
+// of power could remove data that the caller already relies on.
 func (w *WAL) openLastSegment(found *recoveredLog) error {
 	if len(w.segments) == 0 {
 		return w.startSegment()
@@ -167,9 +169,9 @@
 // already present replaces that entry and all later ones. With sync, everything saved
 // so far is durable on return.
 //
-// A crash keeps all of one Save or nothing of it. A hard state may say that a
-// recovering member holds everything it acknowledged. If it were durable without the
-// entries, the member would vote without them.
+// After a crash, either everything of one Save is stored or nothing. A hard state may say
+// that a recovering member now holds everything it acknowledged. If that hard state were
+// durable without its entries, the member would vote without them.
 func (w *WAL) Save(hs *replica.HardState, entries []replica.Entry, sync bool) error {
 	if w.err != nil {
 		return w.err
@@ -255,7 +257,8 @@
 	return nil
 }
 
-// setErr stores the first failure and returns err.
+// setErr stores err as the failure of the log unless there was an earlier one, and returns
+// err.
 func (w *WAL) setErr(err error) error {
 	if w.err == nil {
 		w.err = err
@@ -263,7 +266,7 @@
 	return err
 }
 
-// startSegment makes the current segment durable and starts the next one. Its first
+// startSegment makes the current segment durable and starts the next one, whose first
 // record repeats all state of older segments except entries.
 func (w *WAL) startSegment() error {
 	next := uint64(1)
@@ -309,7 +312,7 @@
 func (w *WAL) Close() error {
 	err := w.sync()
 	if errors.Is(err, ErrDiskFull) {
-		// Nothing of a record that didn't fit on the disk was acknowledged.
+		// No part of the record that didn't fit on the disk was acknowledged.
 		err = nil
 	}
 	return errors.CombineErrors(err, w.closeFiles())
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// copyFolder copies the files of a log, as a crash at this moment would leave them.
+// copyFolder copies the files of a log, as a killed process would leave them now.
 func copyFolder(t must.T, from, to string) {
 	t.Helper()
 	must.NoError(t, os.RemoveAll(to))
@@ -199,14 +199,14 @@
 	path := lastSegment(t, folder)
 	whole, err := os.ReadFile(path)
 	must.NoError(t, err)
-	clear(whole[start+20 : start+30])
+	clear(whole[start+20 : start+30]) // in the payload of the first unsynced record
 	must.NoError(t, os.WriteFile(path, whole, 0o600))
 	must.Eq(t, entryRange(1, 3, 1), readBack(t, folder).Entries)
 }
 
 // A command contains the bytes of a whole record, and the record that contains the
-// command is torn. If these bytes passed for a record, a caller could make a member
-// refuse to start.
+// command is torn. If the bytes in the command passed for a record that declares earlier
+// bytes synced, Open would report damage: a caller could make a member refuse to start.
 func TestRecordBytesInsideCommandAreNotARecord(t *testing.T) {
 	folder := t.TempDir()
 	w, _ := mustOpen(t, folder, DefaultSegmentBytes)
@@ -227,14 +227,14 @@
 	path := lastSegment(t, folder)
 	whole, err := os.ReadFile(path)
 	must.NoError(t, err)
-	whole[start+8] ^= 1
+	whole[start+8] ^= 1 // the checksum of the outer record
 	must.NoError(t, os.WriteFile(path, whole, 0o600))
 	must.Len(t, 1, readBack(t, folder).Entries)
 }
 
-// The process fails after the rename of a snapshot, before a record names it or old
-// segments are removed. Open must use the snapshot and must not report a gap when the
-// log continues after it.
+// The process fails after the rename of a snapshot, before a record names the snapshot or
+// old segments are removed. Open must use the snapshot, and must not report a gap if the
+// log goes on after it.
 func TestCrashBetweenSnapshotRenameAndRemoval(t *testing.T) {
 	for _, s := range []replica.Snapshot{{Index: 30, Term: 1}, {Index: 30, Term: 2}, {Index: 90, Term: 2}} {
 		folder, crashed := t.TempDir(), filepath.Join(t.TempDir(), "crashed")
@@ -258,8 +258,8 @@
 	}
 }
 
-// A segment or a snapshot is missing. Open must report the gap rather than continue
-// without its entries.
+// A segment or a snapshot file is missing. Open must report the gap rather than continue
+// without the entries in that file.
 func TestMissingFilesAreRefused(t *testing.T) {
 	for _, name := range []string{"segments", "snapshots"} {
 		folder := t.TempDir()
