--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -40,7 +40,7 @@
 	must.Eq(t, sample, d.String())
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRefusesInvalidDocuments(t *testing.T) {
 	cases := []struct{ text, field, message string }{
 		{strings.Replace(sample, "himalaya", "rackwise", 1), "customer[1].name", "line 9: customer \"rackwise\" is named twice"},
 		{strings.Replace(sample, "200.5", "lots", 1), "customer[0].cpu", "line 3: \"lots\" isn't a number of cores"},
@@ -80,13 +80,13 @@
 	changed := r.Changed()
 	first := Write{RequestID: "a", Document: sample, Author: "op1"}
 	second := Write{RequestID: "b", Document: "", Author: "op2"}
-	won := r.Apply(1, encode(t, first)).(Outcome)
-	must.NoError(t, won.Err)
-	must.Eq(t, uint64(1), won.Config.Version)
+	accepted := r.Apply(1, encode(t, first)).(Outcome)
+	must.NoError(t, accepted.Err)
+	must.Eq(t, uint64(1), accepted.Config.Version)
 	<-changed
-	lost := r.Apply(2, encode(t, second)).(Outcome)
-	must.True(t, fault.Is(lost.Err, fault.Conflict))
-	must.ErrorContains(t, lost.Err, "the current version is 1")
+	refused := r.Apply(2, encode(t, second)).(Outcome)
+	must.True(t, fault.Is(refused.Err, fault.Conflict))
+	must.ErrorContains(t, refused.Err, "the current version is 1")
 
 	first.Accepted = time.UnixMilli(99) // a repeat carries a later time
 	must.Eq(t, uint64(1), r.Apply(3, encode(t, first)).(Outcome).Config.Version)
@@ -98,7 +98,7 @@
 	must.Error(t, r.Apply(7, []byte("junk")).(Outcome).Err)
 }
 
-func TestEncodeRefuses(t *testing.T) {
+func TestEncodeRefusesInvalidWrites(t *testing.T) {
 	for _, w := range []Write{{}, {RequestID: strings.Repeat("x", 200)}, {RequestID: "a", Document: "x = 1"}, {RequestID: "a", Author: strings.Repeat("x", 300)}} {
 		_, err := w.Encode()
 		must.True(t, fault.Is(err, fault.Invalid))
@@ -125,7 +125,7 @@
 // Guards against losing the configuration in force: a newer program has written a document
 // with a key that this program doesn't know. The new version must be in force with the
 // last readable document.
-func TestUnreadableDocument(t *testing.T) {
+func TestUnreadableDocumentKeepsLastReadableOne(t *testing.T) {
 	var h Holder
 	must.True(t, h.Set(Config{Version: 1, Text: sample}))
 	must.True(t, h.Set(Config{Version: 2, Text: "new_key = 1"}))
--- a/internal/conf/register.go
+++ b/internal/conf/register.go
@@ -286,16 +286,16 @@
 
 // wireSnapshot is the encoding of a Register.
 type wireSnapshot struct {
-	Format  uint32             `cbor:"1,keyasint"`
-	History []wireConfig       `cbor:"2,keyasint"`
-	Answers []recordedResponse `cbor:"3,keyasint"`
+	Format    uint32             `cbor:"1,keyasint"`
+	History   []wireConfig       `cbor:"2,keyasint"`
+	Responses []recordedResponse `cbor:"3,keyasint"`
 }
 
 // Snapshot encodes the state. Equal states give equal bytes.
 func (r *Register) Snapshot() ([]byte, error) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	snapshot := wireSnapshot{Format: formatVersion, Answers: r.responses}
+	snapshot := wireSnapshot{Format: formatVersion, Responses: r.responses}
 	for _, c := range r.history {
 		snapshot.History = append(snapshot.History, wireConfig{c.Version, c.Text, c.Author, c.Accepted.UnixMilli()})
 	}
@@ -323,7 +323,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history = history
-	r.responses = snapshot.Answers
+	r.responses = snapshot.Responses
 	r.droppedResponses = 0
 	r.byID = make(map[string]int, len(r.responses))
 	for i, a := range r.responses {
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -125,14 +125,14 @@
 // waitForNextRound waits between two rounds. It returns false when the deadline is too close
 // or ctx ends.
 func waitForNextRound(ctx context.Context, deadline time.Time) bool {
-	wait := roundDelay/2 + rand.N(roundDelay)
-	if time.Now().Add(wait).After(deadline) {
+	delay := roundDelay/2 + rand.N(roundDelay)
+	if time.Now().Add(delay).After(deadline) {
 		return false
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(wait):
+	case <-time.After(delay):
 		return true
 	}
 }
@@ -197,15 +197,15 @@
 func (d *Directory) CallEach(ctx context.Context, dataCentre string, call func(ctx context.Context, instance settings.Instance, base string) error) map[string]error {
 	instances := d.inCallOrder(dataCentre)
 	results := make([]error, len(instances))
-	var wait sync.WaitGroup
+	var calls sync.WaitGroup
 	for i, instance := range instances {
-		wait.Go(func() {
+		calls.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, AttemptTimeout)
 			defer cancel()
 			results[i] = call(ctx, instance, "http://"+instance.Cell)
 		})
 	}
-	wait.Wait()
+	calls.Wait()
 	errs := make(map[string]error, len(instances))
 	for i, instance := range instances {
 		errs[instance.ID] = results[i]
--- a/internal/member/host.go
+++ b/internal/member/host.go
@@ -172,18 +172,18 @@
 // Addresses returns the addresses of the known members, or of the seeds if none is
 // known.
 func (h *Host) Addresses() []string {
-	var list []string
+	var addresses []string
 	if group := h.currentGroup(); group != nil {
 		for _, m := range group.Status().Members {
-			list = append(list, m.Address)
+			addresses = append(addresses, m.Address)
 		}
 	}
-	if len(list) == 0 {
+	if len(addresses) == 0 {
 		for _, seed := range h.cfg.Seeds {
-			list = append(list, h.address(seed))
+			addresses = append(addresses, h.address(seed))
 		}
 	}
-	return list
+	return addresses
 }
 
 func (h *Host) currentGroup() *node.Group {
--- a/internal/member/join.go
+++ b/internal/member/join.go
@@ -31,8 +31,8 @@
 	ID string `cbor:"1,keyasint"`
 }
 
-// JoinReply is the membership that includes the instance.
-type JoinReply struct {
+// JoinResponse is the membership that includes the instance.
+type JoinResponse struct {
 	Members []replica.Member `cbor:"1,keyasint"`
 }
 
@@ -44,77 +44,77 @@
 	leaderSince time.Time
 }
 
-func (r *livenessTracker) recordSeen(id string, now time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.lastSeen[id] = now
+func (t *livenessTracker) recordSeen(id string, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.lastSeen[id] = now
 }
 
 // setLeading records whether this member leads.
-func (r *livenessTracker) setLeading(leads bool, now time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (t *livenessTracker) setLeading(leads bool, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	switch {
 	case !leads:
-		r.leaderSince = time.Time{}
-	case r.leaderSince.IsZero():
-		r.leaderSince = now
+		t.leaderSince = time.Time{}
+	case t.leaderSince.IsZero():
+		t.leaderSince = now
 	}
 }
 
 // timeSinceSeen returns the time since the last announcement of an instance to this
 // leader. The time before this member became the leader doesn't count.
-func (r *livenessTracker) timeSinceSeen(id string, now time.Time) time.Duration {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	last := r.lastSeen[id]
-	if last.Before(r.leaderSince) {
-		last = r.leaderSince
+func (t *livenessTracker) timeSinceSeen(id string, now time.Time) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	last := t.lastSeen[id]
+	if last.Before(t.leaderSince) {
+		last = t.leaderSince
 	}
 	return now.Sub(last)
 }
 
 // serveJoin records an announcement. It adds an instance that isn't a member as a
 // learner.
-func (h *Host) serveJoin(ctx context.Context, r *JoinRequest) (JoinReply, error) {
+func (h *Host) serveJoin(ctx context.Context, r *JoinRequest) (JoinResponse, error) {
 	group := h.currentGroup()
 	if group == nil {
-		return JoinReply{}, link.NotLeader("")
+		return JoinResponse{}, link.NotLeader("")
 	}
 	status := group.Status()
 	if !status.CanDecide {
-		return JoinReply{}, link.NotLeader(h.Leader())
+		return JoinResponse{}, link.NotLeader(h.Leader())
 	}
 	h.liveness.recordSeen(r.ID, time.Now())
 	known := slices.ContainsFunc(status.Members, func(m replica.Member) bool { return m.ID == r.ID })
 	if known {
-		return JoinReply{Members: status.Members}, nil
+		return JoinResponse{Members: status.Members}, nil
 	}
 	learner := h.member(r.ID)
 	learner.Learner = true
 	members := append(status.Members, learner)
 	if err := group.ChangeMembership(ctx, members); err != nil {
-		return JoinReply{}, err
+		return JoinResponse{}, err
 	}
 	_ = h.cfg.Logger.Log("event", "member_added", "id", r.ID, "members", len(members))
-	return JoinReply{Members: members}, nil
+	return JoinResponse{Members: members}, nil
 }
 
 // join announces this instance to the known addresses in turn until a leader has it in its
 // membership, and returns that membership. It fails only when ctx ends.
 func (h *Host) join(ctx context.Context) ([]replica.Member, error) {
-	targets := h.Addresses()
+	addresses := h.Addresses()
 	for i := 0; ctx.Err() == nil; i++ {
-		reply, leader, err := h.callJoin(ctx, targets[i%len(targets)])
+		response, leader, err := h.callJoin(ctx, addresses[i%len(addresses)])
 		if err == nil {
-			return reply.Members, nil
+			return response.Members, nil
 		}
 		if leader != "" {
-			if reply, _, err := h.callJoin(ctx, leader); err == nil {
-				return reply.Members, nil
+			if response, _, err := h.callJoin(ctx, leader); err == nil {
+				return response.Members, nil
 			}
 		}
-		if i%len(targets) == len(targets)-1 {
+		if i%len(addresses) == len(addresses)-1 {
 			wait.For(ctx, announceInterval)
 		}
 	}
@@ -123,25 +123,25 @@
 
 // callJoin makes one announcement to an address. If that instance doesn't lead, it returns
 // the address of the leader that the instance names, if any.
-func (h *Host) callJoin(ctx context.Context, address string) (reply JoinReply, leader string, err error) {
+func (h *Host) callJoin(ctx context.Context, address string) (response JoinResponse, leader string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	err = h.client.Call(ctx, address, "join", &JoinRequest{ID: h.cfg.ID}, &reply)
-	return reply, link.LeaderOf(err), err
+	err = h.client.Call(ctx, address, "join", &JoinRequest{ID: h.cfg.ID}, &response)
+	return response, link.LeaderOf(err), err
 }
 
 // announce keeps announcing this instance to the leader, so that it is added again
 // after it was removed while unreachable.
 func (h *Host) announce(ctx context.Context) error {
 	for wait.For(ctx, announceInterval) {
-		targets := []string{h.Leader()}
-		if targets[0] == "" {
-			targets = h.Addresses()
+		addresses := []string{h.Leader()}
+		if addresses[0] == "" {
+			addresses = h.Addresses()
 		}
-		if targets[0] == h.address(h.cfg.ID) {
+		if addresses[0] == h.address(h.cfg.ID) {
 			continue
 		}
-		for _, address := range targets {
+		for _, address := range addresses {
 			// A failure isn't logged: the next announcement follows after
 			// announceInterval, and the leader logs which unresponsive members it
 			// removes.
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -56,11 +56,11 @@
 	command []byte
 	members []replica.Member
 	target  string
-	// answer has a buffer of one, so that reply never blocks.
-	answer chan outcome
+	// outcome has a buffer of one, so that reply never blocks.
+	outcome chan outcome
 }
 
-func (c *call) reply(value any, err error) { c.answer <- outcome{value, err} }
+func (c *call) reply(value any, err error) { c.outcome <- outcome{value, err} }
 
 // callQueue holds the calls that Run hasn't taken yet.
 type callQueue struct {
@@ -119,17 +119,17 @@
 }
 
 // do queues a call for Run and waits for its outcome.
-func (g *Group) do(ctx context.Context, c *call) (any, error) {
+func (g *Group) execute(ctx context.Context, c *call) (any, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, unavailable(err, "the context ended before the call was proposed: %v", err)
 	}
-	c.answer = make(chan outcome, 1)
+	c.outcome = make(chan outcome, 1)
 	if err := g.calls.push(c); err != nil {
 		return nil, err
 	}
 	g.signal()
 	select {
-	case o := <-c.answer:
+	case o := <-c.outcome:
 		return o.value, o.err
 	case <-ctx.Done():
 	}
@@ -145,14 +145,14 @@
 // or ErrStopped, or with the error of the context if it ended.
 func (g *Group) Propose(ctx context.Context, command []byte) (any, error) {
 	g.counters.proposals.Add(1)
-	return g.do(ctx, &call{kind: callPropose, command: command})
+	return g.execute(ctx, &call{kind: callPropose, command: command})
 }
 
 // Barrier waits until this member has applied everything that was committed before the
 // call, and until a majority has confirmed that the member still led after the call
 // started. Errors are as for Propose.
 func (g *Group) Barrier(ctx context.Context) error {
-	_, err := g.do(ctx, &call{kind: callBarrier})
+	_, err := g.execute(ctx, &call{kind: callBarrier})
 	return err
 }
 
@@ -160,14 +160,14 @@
 // member, and waits until it is committed. Faults: Invalid for a membership that is
 // never allowed, Conflict for one that isn't allowed now, Unavailable as for Propose.
 func (g *Group) ChangeMembership(ctx context.Context, members []replica.Member) error {
-	_, err := g.do(ctx, &call{kind: callMembership, members: members})
+	_, err := g.execute(ctx, &call{kind: callMembership, members: members})
 	return err
 }
 
 // ForceStart makes this member the only voter of the group; see replica.Core.ForceStart
 // for what that may lose. A refusal is a fault of kind Conflict.
 func (g *Group) ForceStart(ctx context.Context) error {
-	_, err := g.do(ctx, &call{kind: callForceStart})
+	_, err := g.execute(ctx, &call{kind: callForceStart})
 	return err
 }
 
@@ -205,7 +205,7 @@
 		if m.ID == g.cfg.ID || m.Learner || m.Witness {
 			continue
 		}
-		_, err := g.do(ctx, &call{kind: callTransfer, target: m.ID})
+		_, err := g.execute(ctx, &call{kind: callTransfer, target: m.ID})
 		if err == nil {
 			return nil
 		}
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -84,15 +84,15 @@
 	id  string
 }
 
-func (p memberTransport) Send(_, to string, payload []byte) {
-	p.net.mu.Lock()
-	step := p.net.steps[to]
-	if p.net.isolated[p.id] || p.net.isolated[to] {
+func (t memberTransport) Send(_, to string, payload []byte) {
+	t.net.mu.Lock()
+	step := t.net.steps[to]
+	if t.net.isolated[t.id] || t.net.isolated[to] {
 		step = nil
 	}
-	p.net.mu.Unlock()
+	t.net.mu.Unlock()
 	if step != nil {
-		_ = step(p.id, payload)
+		_ = step(t.id, payload)
 	}
 }
 
@@ -208,10 +208,10 @@
 }
 
 // eventually waits until a condition holds.
-func eventually(t *testing.T, what string, condition func() bool) {
+func eventually(t *testing.T, awaited string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
-		must.True(t, time.Now().Before(end), must.Sprint("timed out waiting for "+what))
+		must.True(t, time.Now().Before(end), must.Sprint("timed out waiting for "+awaited))
 	}
 }
 
--- a/internal/node/http_test.go
+++ b/internal/node/http_test.go
@@ -65,26 +65,26 @@
 		groups = []string{"bench"}
 	}
 	h := &httpCluster{}
-	var list []replica.Member
+	var replicas []replica.Member
 	listeners := make([]*peer.Listener, members)
 	for i := range members {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		must.NoError(t, err)
 		listeners[i] = peer.CountListener(listener)
-		list = append(list, replica.Member{ID: fmt.Sprint(i), Address: listener.Addr().String(), HasDisk: true})
+		replicas = append(replicas, replica.Member{ID: fmt.Sprint(i), Address: listener.Addr().String(), HasDisk: true})
 	}
 	folder := t.TempDir()
-	for i, m := range list {
-		n := startInstance(t, m, list, filepath.Join(folder, m.ID), listeners[i], delay, groups)
+	for i, m := range replicas {
+		n := startInstance(t, m, replicas, filepath.Join(folder, m.ID), listeners[i], delay, groups)
 		t.Cleanup(n.stop)
 		h.instances = append(h.instances, n)
 	}
 	return h
 }
 
-func startInstance(t testing.TB, self replica.Member, list []replica.Member, folder string, listener *peer.Listener, delay time.Duration, groups []string) *httpInstance {
+func startInstance(t testing.TB, self replica.Member, members []replica.Member, folder string, listener *peer.Listener, delay time.Duration, groups []string) *httpInstance {
 	transport := peer.New(peer.Config{ID: self.ID, Bearer: "Bearer test"})
-	for _, m := range list {
+	for _, m := range members {
 		if m.ID != self.ID {
 			transport.SetPeer(m.ID, m.Address)
 		}
@@ -93,7 +93,7 @@
 	var opened []*Group
 	for _, name := range groups {
 		g, err := Open(Config{
-			Group: name, ID: self.ID, Members: list, Folder: filepath.Join(folder, name),
+			Group: name, ID: self.ID, Members: members, Folder: filepath.Join(folder, name),
 			Machine: &counter{}, Transport: transport,
 		})
 		must.NoError(t, err)
@@ -302,7 +302,7 @@
 func BenchmarkRecovery(b *testing.B) {
 	const entries = 100_000
 	folder := b.TempDir()
-	list := []replica.Member{{ID: "a", HasDisk: true}}
+	members := []replica.Member{{ID: "a", HasDisk: true}}
 	w, _, err := wal.Open(folder)
 	must.NoError(b, err)
 	for i := uint64(1); i <= entries; i++ {
@@ -316,7 +316,7 @@
 		copied := filepath.Join(b.TempDir(), fmt.Sprint(time.Now().UnixNano()))
 		must.NoError(b, os.CopyFS(copied, original))
 		b.StartTimer()
-		g, err := Open(Config{Group: "bench", ID: "a", Members: list, Folder: copied, Machine: &counter{}, Transport: memberTransport{net: &network{}}})
+		g, err := Open(Config{Group: "bench", ID: "a", Members: members, Folder: copied, Machine: &counter{}, Transport: memberTransport{net: &network{}}})
 		must.NoError(b, err)
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
--- a/internal/node/linearizability_test.go
+++ b/internal/node/linearizability_test.go
@@ -111,19 +111,19 @@
 // injectFault injects one fault, ends it and waits until all members have recovered. During
 // the fault and after it, it gives the clients time to make extra accesses.
 func (h *history) injectFault(c *cluster, random *rand.Rand, extra int64) {
-	const wait = 500 * time.Millisecond
+	const maxWait = 500 * time.Millisecond
 	all := c.running()
 	affected := all[random.IntN(len(all))]
 	id := affected.cfg.ID
 	until := h.recorded.Load() + extra
 	waitForClients := func() {
-		for end := time.Now().Add(wait); h.recorded.Load() < until && time.Now().Before(end); {
+		for end := time.Now().Add(maxWait); h.recorded.Load() < until && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	switch random.IntN(3) {
 	case 0:
-		ctx, cancel := context.WithTimeout(context.Background(), wait)
+		ctx, cancel := context.WithTimeout(context.Background(), maxWait)
 		_ = c.leader().Transfer(ctx)
 		cancel()
 	case 1:
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -97,7 +97,7 @@
 // tick passes the ticks that are due to the core.
 func (g *Group) tick() {
 	n := g.clock.due(time.Now())
-	for range min(n, uint64(maxCatchUpElections*g.cfg.ElectionTicks)) {
+	for range min(n, uint64(maxCatchUpTimeouts*g.cfg.ElectionTicks)) {
 		g.core.Tick()
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -71,9 +71,9 @@
 	maxInflightAppends = 64
 	maxPendingCalls    = 16_384
 	maxInboxMessages   = 8_192
-	// maxCatchUpElections bounds the missed ticks that one round makes up for, in
+	// maxCatchUpTimeouts bounds the missed ticks that one round makes up for, in
 	// election timeouts.
-	maxCatchUpElections = 4
+	maxCatchUpTimeouts = 4
 )
 
 // callIntervalPerFollower is the minimum time between two rounds that process calls,
@@ -123,7 +123,7 @@
 }
 
 // fill sets the defaults. It returns an error if a required field is missing.
-func (cfg *Config) fill() error {
+func (cfg *Config) normalize() error {
 	if cfg.Machine == nil || cfg.Transport == nil || cfg.Group == "" {
 		return errors.New("group needs a name, a state machine and a transport")
 	}
@@ -187,7 +187,7 @@
 // Open reads the member's log, if it has one, and restores the state machine from the
 // snapshot in it. Run applies the entries after the snapshot.
 func Open(cfg Config) (*Group, error) {
-	if err := cfg.fill(); err != nil {
+	if err := cfg.normalize(); err != nil {
 		return nil, err
 	}
 	g := &Group{
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -170,7 +170,7 @@
 
 // Guards against callers that wait forever when their member stops, and against a log that
 // isn't closed at the stop, so that the next start can't open it.
-func TestStopAnswersAllCallers(t *testing.T) {
+func TestStopFailsAllPendingCalls(t *testing.T) {
 	c := newCluster(t, "abc", Config{})
 	leader := c.leader()
 	c.net.isolate(leader.cfg.ID, true)
--- a/replica/bench_test.go
+++ b/replica/bench_test.go
@@ -13,20 +13,20 @@
 
 // benchGroup returns the leader and all members of a group in memory without delays.
 func benchGroup(b *testing.B, size int) (*Core, map[string]*Core) {
-	var list []Member
+	var members []Member
 	for i := range size {
-		list = append(list, Member{ID: fmt.Sprintf("n%d", i)})
+		members = append(members, Member{ID: fmt.Sprintf("n%d", i)})
 	}
 	cores := map[string]*Core{}
-	for _, m := range list {
-		c, err := New(Config{ID: m.ID, Incarnation: benchIncarnation, Members: list}, StoredState{})
+	for _, m := range members {
+		c, err := New(Config{ID: m.ID, Incarnation: benchIncarnation, Members: members}, StoredState{})
 		if err != nil {
 			b.Fatal(err)
 		}
 		cores[m.ID] = c
 	}
 	for range 200 {
-		for _, m := range list {
+		for _, m := range members {
 			cores[m.ID].Tick()
 			if c := cores[m.ID]; c.Status().CanDecide {
 				return c, cores
--- a/replica/change.go
+++ b/replica/change.go
@@ -15,22 +15,22 @@
 // Errors: ErrNotLeader, ErrTransferring, ErrChangePending, ErrNoChange,
 // ErrChangeTooLarge, ErrConfig, ErrRemovesLeader, ErrNotCaughtUp, ErrLosesQuorum.
 func (c *Core) ProposeMembership(members []Member) (index, term uint64, err error) {
-	list := slices.Clone(members)
-	for i := range list {
-		list[i].Incarnation = 0
+	next := slices.Clone(members)
+	for i := range next {
+		next[i].Incarnation = 0
 	}
 	if err := c.checkCanPropose(); err != nil {
 		return 0, 0, err
 	}
-	if err := c.checkChange(list); err != nil {
+	if err := c.checkChange(next); err != nil {
 		return 0, 0, err
 	}
-	return c.appendMembership(list), c.term, nil
+	return c.appendMembership(next), c.term, nil
 }
 
-func (c *Core) appendMembership(list []Member) uint64 {
-	index := c.appendEntry(EntryMembership, encodeMembers(list))
-	c.members.push(index, list)
+func (c *Core) appendMembership(members []Member) uint64 {
+	index := c.appendEntry(EntryMembership, encodeMembers(members))
+	c.members.push(index, members)
 	c.syncProgress()
 	return index
 }
@@ -40,27 +40,27 @@
 // series of changes that holds only if each change is committed before the next, and the
 // first is proposed after the leader has committed an entry of its own term
 // (checkCanPropose checks the latter).
-func (c *Core) checkChange(list []Member) error {
-	if err := checkMembers(list); err != nil {
+func (c *Core) checkChange(next []Member) error {
+	if err := checkMembers(next); err != nil {
 		return err
 	}
 	if c.members.currentIndex() > c.commit {
 		return errors.Wrapf(ErrChangePending, "entry %d", c.members.currentIndex())
 	}
-	changed := changedMembers(c.members.current(), list)
+	changed := changedMembers(c.members.current(), next)
 	switch {
 	case len(changed) == 0:
 		return ErrNoChange
 	case len(changed) > 1:
 		return errors.Wrapf(ErrChangeTooLarge, "%d members", len(changed))
 	}
-	if self, ok := findMember(list, c.cfg.ID); !ok || self.Learner || self.Witness {
+	if self, ok := findMember(next, c.cfg.ID); !ok || self.Learner || self.Witness {
 		return ErrRemovesLeader
 	}
-	if err := c.checkPromotion(list, changed[0]); err != nil {
+	if err := c.checkPromotion(next, changed[0]); err != nil {
 		return err
 	}
-	return c.checkQuorum(list)
+	return c.checkQuorum(next)
 }
 
 // changedMembers returns the IDs of the members in which two memberships differ.
@@ -84,8 +84,8 @@
 // checkPromotion returns ErrNotCaughtUp for a new voter unless it is a responsive learner
 // that lacks at most as many committed entries as one append carries. Otherwise the group
 // could need the acknowledgement of a member that is still far behind.
-func (c *Core) checkPromotion(list []Member, id string) error {
-	if !isVoter(list, id) || isVoter(c.members.current(), id) {
+func (c *Core) checkPromotion(next []Member, id string) error {
+	if !isVoter(next, id) || isVoter(c.members.current(), id) {
 		return nil
 	}
 	p := c.leaderState.progress[id]
@@ -99,16 +99,16 @@
 // the new membership. Without this check, removing a live voter of a group that has
 // already lost one stops the group permanently, since undoing the change needs a
 // quorum as well.
-func (c *Core) checkQuorum(list []Member) error {
-	answering := 0
-	for _, m := range voters(list) {
+func (c *Core) checkQuorum(next []Member) error {
+	responsiveVoters := 0
+	for _, m := range voters(next) {
 		p := c.leaderState.progress[m.ID]
 		if m.ID == c.cfg.ID || p != nil && c.responsive(p) {
-			answering++
+			responsiveVoters++
 		}
 	}
-	if need := majority(list); answering < need {
-		return errors.Wrapf(ErrLosesQuorum, "%d of the %d voters are responsive, %d needed", answering, len(voters(list)), need)
+	if need := majority(next); responsiveVoters < need {
+		return errors.Wrapf(ErrLosesQuorum, "%d of the %d voters are responsive, %d needed", responsiveVoters, len(voters(next)), need)
 	}
 	return nil
 }
--- a/replica/coldstart.go
+++ b/replica/coldstart.go
@@ -38,9 +38,9 @@
 
 // coldStartAllowed reports whether the voters that kept their state are certain to hold
 // every committed entry, or no voter has kept any state.
-func coldStartAllowed(list []voterState) bool {
+func coldStartAllowed(states []voterState) bool {
 	recovering, recoveringParticipants, intactDisks, lostDisks := 0, 0, 0, 0
-	for _, s := range list {
+	for _, s := range states {
 		if s.recovering {
 			recovering++
 		}
@@ -54,9 +54,9 @@
 			lostDisks++
 		}
 	}
-	quorum := len(list)/2 + 1
+	quorum := len(states)/2 + 1
 	switch {
-	case recovering == len(list):
+	case recovering == len(states):
 		return true
 	case recoveringParticipants < quorum:
 		return true
@@ -67,24 +67,24 @@
 
 // electionPossible reports whether enough voters kept their state for an ordinary
 // election.
-func electionPossible(list []voterState) bool {
+func electionPossible(states []voterState) bool {
 	intact := 0
-	for _, s := range list {
+	for _, s := range states {
 		if !s.recovering {
 			intact++
 		}
 	}
-	return intact > len(list)/2
+	return intact > len(states)/2
 }
 
 // tryColdStart starts a cold start when every voter has replied recently, none leads,
 // the committed entries can't be missing, and this member is the one to lead.
 func (c *Core) tryColdStart() bool {
-	lists, ok := c.voterStates()
-	if !ok || !c.mayLead() || !coldStartAllowedInAll(lists) {
+	byMembership, ok := c.voterStates()
+	if !ok || !c.mayLead() || !coldStartAllowedInAll(byMembership) {
 		return false
 	}
-	latest := lists[len(lists)-1]
+	latest := byMembership[len(byMembership)-1]
 	if c.hasRecentLeader() || electionPossible(latest) || coldStartLeader(latest) != c.cfg.ID {
 		return false
 	}
@@ -95,30 +95,30 @@
 }
 
 // coldStartAllowedInAll reports whether a cold start is allowed in each membership.
-func coldStartAllowedInAll(lists [][]voterState) bool {
-	return !slices.ContainsFunc(lists, func(list []voterState) bool { return !coldStartAllowed(list) })
+func coldStartAllowedInAll(byMembership [][]voterState) bool {
+	return !slices.ContainsFunc(byMembership, func(states []voterState) bool { return !coldStartAllowed(states) })
 }
 
 // voterStates returns, for each membership from the committed one on, the states of
 // all voters by their recent replies. It returns false when a reply is missing or
 // comes from a leader.
 func (c *Core) voterStates() ([][]voterState, bool) {
-	var lists [][]voterState
-	for _, list := range c.members.since(c.commit) {
-		s, ok := c.voterStatesOf(list)
+	var byMembership [][]voterState
+	for _, members := range c.members.since(c.commit) {
+		states, ok := c.voterStatesOf(members)
 		if !ok {
 			return nil, false
 		}
-		lists = append(lists, s)
+		byMembership = append(byMembership, states)
 	}
-	return lists, true
+	return byMembership, true
 }
 
 // voterStatesOf returns the states of the voters of one membership. Learners with
 // disks must have replied too and may not be ahead, because an entry that this member
 // lacks may have promoted them.
 func (c *Core) voterStatesOf(members []Member) ([]voterState, bool) {
-	var list []voterState
+	var states []voterState
 	for _, m := range members {
 		s, ok := c.voterStateOf(m)
 		switch {
@@ -126,12 +126,12 @@
 		case !ok:
 			return nil, false
 		case !m.Learner:
-			list = append(list, s)
+			states = append(states, s)
 		case !s.recovering && c.log.isBehind(s.index, s.term):
 			return nil, false
 		}
 	}
-	return list, true
+	return states, true
 }
 
 // voterStateOf returns the state of m. It returns false when m leads or hasn't replied
@@ -148,35 +148,35 @@
 // coldStartLeader returns the ID of the voter with the most complete log among those
 // that kept their state. If there is none, disk voters precede others, then the
 // lowest ID wins. Every voter with the same replies chooses the same one.
-func coldStartLeader(list []voterState) string {
+func coldStartLeader(states []voterState) string {
 	best := -1
-	for i, s := range list {
+	for i, s := range states {
 		if s.member.Witness {
 			continue
 		}
-		if best < 0 || s.precedes(list[best]) {
+		if best < 0 || s.precedes(states[best]) {
 			best = i
 		}
 	}
 	if best < 0 {
 		return ""
 	}
-	return list[best].member.ID
+	return states[best].member.ID
 }
 
 // precedes reports whether s is preferred to o as the leader of a cold start.
-func (s voterState) precedes(o voterState) bool {
+func (s voterState) precedes(other voterState) bool {
 	switch {
-	case s.recovering != o.recovering:
+	case s.recovering != other.recovering:
 		return !s.recovering
-	case !s.recovering && s.term != o.term:
-		return s.term > o.term
-	case !s.recovering && s.index != o.index:
-		return s.index > o.index
-	case s.member.HasDisk != o.member.HasDisk:
+	case !s.recovering && s.term != other.term:
+		return s.term > other.term
+	case !s.recovering && s.index != other.index:
+		return s.index > other.index
+	case s.member.HasDisk != other.member.HasDisk:
 		return s.member.HasDisk
 	default:
-		return s.member.ID < o.member.ID
+		return s.member.ID < other.member.ID
 	}
 }
 
@@ -184,16 +184,16 @@
 // the voters reported with their votes, because a voter may have restarted since its
 // state reply.
 func (c *Core) coldStartStillAllowed() bool {
-	var lists [][]voterState
+	var byMembership [][]voterState
 	for _, members := range c.members.since(c.commit) {
-		var list []voterState
+		var states []voterState
 		for _, m := range voters(members) {
 			recovering := c.campaign.votes[m.ID].recovering
-			list = append(list, voterState{member: m, recovering: recovering, participated: c.incarnations.participated(m.ID)})
+			states = append(states, voterState{member: m, recovering: recovering, participated: c.incarnations.participated(m.ID)})
 		}
-		lists = append(lists, list)
+		byMembership = append(byMembership, states)
 	}
-	return coldStartAllowedInAll(lists)
+	return coldStartAllowedInAll(byMembership)
 }
 
 // recordColdStartVote sets the recovery source of a recovering voter that has granted
@@ -271,12 +271,12 @@
 	c.skipLostTerms()
 	c.vote = c.cfg.ID
 	c.becomeLeader()
-	var list []Member
+	var members []Member
 	for _, m := range c.members.current() {
 		m.Learner = m.ID != c.cfg.ID
-		list = append(list, m)
+		members = append(members, m)
 	}
-	c.appendMembership(list)
+	c.appendMembership(members)
 	return nil
 }
 
--- a/replica/core.go
+++ b/replica/core.go
@@ -139,8 +139,8 @@
 }
 
 // recordMemberIncarnations records the incarnations that a snapshot's members carry.
-func (c *Core) recordMemberIncarnations(list []Member) {
-	for _, m := range list {
+func (c *Core) recordMemberIncarnations(members []Member) {
+	for _, m := range members {
 		if m.Incarnation > 0 {
 			c.recordIncarnation(MemberIncarnation{ID: m.ID, Incarnation: m.Incarnation})
 		}
@@ -153,11 +153,11 @@
 		if e.Kind != EntryMembership {
 			continue
 		}
-		list, err := decodeMembers(e.Data)
+		members, err := decodeMembers(e.Data)
 		if err != nil {
 			return err
 		}
-		c.members.push(e.Index, list)
+		c.members.push(e.Index, members)
 	}
 	return nil
 }
@@ -196,8 +196,8 @@
 
 // soleVoter reports whether this member is the only voter of the current membership.
 func (c *Core) soleVoter() bool {
-	list := voters(c.members.current())
-	return len(list) == 1 && list[0].ID == c.cfg.ID
+	electorate := voters(c.members.current())
+	return len(electorate) == 1 && electorate[0].ID == c.cfg.ID
 }
 
 // hardState returns the state that must survive a restart.
@@ -208,7 +208,7 @@
 		Commit:            c.commit,
 		Incarnation:       c.incarnation,
 		Recovering:        c.role == Recovering,
-		KnownIncarnations: c.incarnations.list,
+		KnownIncarnations: c.incarnations.known,
 	}
 }
 
@@ -260,7 +260,7 @@
 	m.Incarnation = c.incarnation
 	m.IncarnationDigest = c.incarnations.digest
 	if c.peerDigest[m.To] != c.incarnations.digest || m.ColdStart {
-		m.KnownIncarnations = c.incarnations.list
+		m.KnownIncarnations = c.incarnations.known
 	}
 	m.afterSync = c.savedState.Incarnation == 0 || c.savedState.Recovering
 	c.messages = append(c.messages, m)
@@ -269,20 +269,20 @@
 // peers returns the IDs of all other members that this member knows.
 func (c *Core) peers() []string {
 	var out []string
-	add := func(list []Member) {
-		for _, m := range list {
+	add := func(members []Member) {
+		for _, m := range members {
 			if m.ID != c.cfg.ID && !slices.Contains(out, m.ID) {
 				out = append(out, m.ID)
 			}
 		}
 	}
-	for _, list := range c.members.since(c.commit) {
-		add(list)
+	for _, members := range c.members.since(c.commit) {
+		add(members)
 	}
 	if c.role == Recovering {
 		add(c.cfg.Members)
-		for _, list := range c.recovery.memberships {
-			add(list)
+		for _, members := range c.recovery.memberships {
+			add(members)
 		}
 	}
 	return out
@@ -290,9 +290,9 @@
 
 // Status returns the current state of the member.
 func (c *Core) Status() Status {
-	list := slices.Clone(c.members.current())
-	for i := range list {
-		list[i].Incarnation = max(list[i].Incarnation, c.incarnations.of(list[i].ID))
+	members := slices.Clone(c.members.current())
+	for i := range members {
+		members[i].Incarnation = max(members[i].Incarnation, c.incarnations.of(members[i].ID))
 	}
 	return Status{
 		ID:        c.cfg.ID,
@@ -303,9 +303,9 @@
 		Applied:   c.applied,
 		Last:      c.log.last(),
 		First:     c.log.first(),
-		Members:   list,
+		Members:   members,
 		CanDecide: c.canDecide(),
 		Degraded:  c.role == Leader && !c.diskVoterAvailable(),
-		Outside:   c.notMember,
+		NotMember: c.notMember,
 	}
 }
--- a/replica/election.go
+++ b/replica/election.go
@@ -161,24 +161,24 @@
 // countVotes starts the election after a won pre-vote and makes this member leader
 // after a won election.
 func (c *Core) countVotes() {
-	list := c.electorate()
+	electorate := c.electorate()
 	granted := 0
-	for _, m := range list {
+	for _, m := range electorate {
 		if c.campaign.votes[m.ID].granted {
 			granted++
 		}
 	}
 	switch c.campaign.kind {
 	case preVoting:
-		if granted >= majority(list) {
+		if granted >= majority(electorate) {
 			c.startCampaign(voting, false)
 		}
 	case voting:
-		if granted >= majority(list) {
+		if granted >= majority(electorate) {
 			c.becomeLeader()
 		}
 	case coldStarting:
-		if granted == len(list) && c.coldStartStillAllowed() {
+		if granted == len(electorate) && c.coldStartStillAllowed() {
 			c.becomeLeader()
 		}
 	}
--- a/replica/incarnations.go
+++ b/replica/incarnations.go
@@ -20,21 +20,21 @@
 // message names the new incarnation, so the delayed one is discarded) or voted before
 // it replied (the recovering member learned the term from it).
 type incarnations struct {
-	list   []MemberIncarnation
+	known  []MemberIncarnation // ordered by ID
 	digest uint64
 }
 
-// newIncarnations returns the vector of list, sorted by ID.
-func newIncarnations(list []MemberIncarnation) incarnations {
-	in := incarnations{list: slices.Clone(list)}
-	slices.SortFunc(in.list, func(a, b MemberIncarnation) int { return cmp.Compare(a.ID, b.ID) })
+// newIncarnations returns the vector of the incarnations in known, sorted by ID.
+func newIncarnations(known []MemberIncarnation) incarnations {
+	in := incarnations{known: slices.Clone(known)}
+	slices.SortFunc(in.known, func(a, b MemberIncarnation) int { return cmp.Compare(a.ID, b.ID) })
 	in.updateDigest()
 	return in
 }
 
-// find returns the position of id in the list, or where to insert it.
+// find returns the position of id in known and true, or where to insert it and false.
 func (in *incarnations) find(id string) (int, bool) {
-	return slices.BinarySearchFunc(in.list, id, func(k MemberIncarnation, id string) int { return cmp.Compare(k.ID, id) })
+	return slices.BinarySearchFunc(in.known, id, func(k MemberIncarnation, id string) int { return cmp.Compare(k.ID, id) })
 }
 
 // of returns the latest known incarnation of id, or zero.
@@ -43,43 +43,43 @@
 	if !ok {
 		return 0
 	}
-	return in.list[i].Incarnation
+	return in.known[i].Incarnation
 }
 
 // participated reports whether id is known to have taken part in the group.
 func (in *incarnations) participated(id string) bool {
 	i, ok := in.find(id)
-	return ok && in.list[i].Participated
+	return ok && in.known[i].Participated
 }
 
 // highest returns the highest incarnation of all members.
 func (in *incarnations) highest() uint64 {
 	highest := uint64(0)
-	for _, k := range in.list {
+	for _, k := range in.known {
 		highest = max(highest, k.Incarnation)
 	}
 	return highest
 }
 
 // merge adds k and reports whether its incarnation is newer than the known one. It
-// copies the list before a change, because HardStates and messages share it.
+// copies known before a change, because HardStates and messages share the slice.
 func (in *incarnations) merge(k MemberIncarnation) bool {
 	i, ok := in.find(k.ID)
 	next := k
 	if ok {
-		old := in.list[i]
+		old := in.known[i]
 		next.Incarnation = max(old.Incarnation, k.Incarnation)
 		next.Participated = old.Participated || k.Participated
 		if next == old {
 			return false
 		}
 	}
-	newer := !ok || next.Incarnation > in.list[i].Incarnation
-	in.list = slices.Clone(in.list)
+	newer := !ok || next.Incarnation > in.known[i].Incarnation
+	in.known = slices.Clone(in.known)
 	if ok {
-		in.list[i] = next
+		in.known[i] = next
 	} else {
-		in.list = slices.Insert(in.list, i, next)
+		in.known = slices.Insert(in.known, i, next)
 	}
 	in.updateDigest()
 	return newer
@@ -88,7 +88,7 @@
 // updateDigest recomputes the digest of the vector.
 func (in *incarnations) updateDigest() {
 	var buf []byte
-	for _, k := range in.list {
+	for _, k := range in.known {
 		buf = binary.AppendUvarint(buf, uint64(len(k.ID)))
 		buf = append(buf, k.ID...)
 		buf = binary.BigEndian.AppendUint64(buf, k.Incarnation)
--- a/replica/leader.go
+++ b/replica/leader.go
@@ -36,13 +36,13 @@
 
 // syncProgress adds and removes progress to match the current membership.
 func (c *Core) syncProgress() {
-	list := c.members.current()
+	members := c.members.current()
 	for id := range c.leaderState.progress {
-		if _, ok := findMember(list, id); !ok {
+		if _, ok := findMember(members, id); !ok {
 			delete(c.leaderState.progress, id)
 		}
 	}
-	for _, m := range list {
+	for _, m := range members {
 		if c.leaderState.progress[m.ID] == nil {
 			c.leaderState.progress[m.ID] = newProgress(c.log.last() + 1)
 		}
@@ -110,21 +110,21 @@
 
 // quorumValue returns the largest value that a majority of the voters reaches. own is
 // this member's value; recovering members count as zero.
-func (c *Core) quorumValue(own uint64, of func(*progress) uint64) uint64 {
-	list := voters(c.members.current())
-	values := make([]uint64, 0, len(list))
-	for _, m := range list {
+func (c *Core) quorumValue(own uint64, valueOf func(*progress) uint64) uint64 {
+	electorate := voters(c.members.current())
+	values := make([]uint64, 0, len(electorate))
+	for _, m := range electorate {
 		switch p := c.leaderState.progress[m.ID]; {
 		case m.ID == c.cfg.ID:
 			values = append(values, own)
 		case p.recovering:
 			values = append(values, 0)
 		default:
-			values = append(values, of(p))
+			values = append(values, valueOf(p))
 		}
 	}
 	slices.Sort(values)
-	return values[len(values)-(len(list)/2+1)]
+	return values[len(values)-(len(electorate)/2+1)]
 }
 
 // stepDownTimeouts is the number of election timeouts without replies of a majority
--- a/replica/lease_test.go
+++ b/replica/lease_test.go
@@ -36,8 +36,8 @@
 // leader's lease still counts on the member, so it must refuse its vote for a whole
 // election timeout after the start.
 func TestRestartedMemberRefusesVotes(t *testing.T) {
-	list := []Member{{ID: "n0", HasDisk: true}, {ID: "n1"}, {ID: "n2"}}
-	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: list}, StoredState{HardState: HardState{Term: 3, Incarnation: 1}})
+	members := []Member{{ID: "n0", HasDisk: true}, {ID: "n1"}, {ID: "n2"}}
+	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: members}, StoredState{HardState: HardState{Term: 3, Incarnation: 1}})
 	must.NoError(t, err)
 	vote := Message{Type: MsgVote, From: "n1", Term: 4}
 	stepFromPeer(t, c, vote)
@@ -100,11 +100,11 @@
 
 // coreWithoutState returns n0 of a group of five after a restart without stored state.
 func coreWithoutState(t *testing.T) *Core {
-	var list []Member
+	var members []Member
 	for _, id := range []string{"n0", "n1", "n2", "n3", "n4"} {
-		list = append(list, Member{ID: id})
+		members = append(members, Member{ID: id})
 	}
-	c, err := New(Config{ID: "n0", Incarnation: 9, Members: list}, StoredState{})
+	c, err := New(Config{ID: "n0", Incarnation: 9, Members: members}, StoredState{})
 	must.NoError(t, err)
 	must.Eq(t, Recovering, c.role)
 	return c
@@ -230,8 +230,8 @@
 
 // followerCore returns n0, restarted from disk, as a follower of the leader n1.
 func followerCore(t *testing.T) *Core {
-	list := []Member{{ID: "n0", HasDisk: true}, {ID: "n1"}, {ID: "n2"}}
-	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: list}, StoredState{HardState: HardState{Term: 3, Incarnation: 1}})
+	members := []Member{{ID: "n0", HasDisk: true}, {ID: "n1"}, {ID: "n2"}}
+	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: members}, StoredState{HardState: HardState{Term: 3, Incarnation: 1}})
 	must.NoError(t, err)
 	stepFromPeer(t, c, Message{Type: MsgAppend, From: "n1", Term: 3})
 	must.Eq(t, "n1", c.leader)
--- a/replica/members.go
+++ b/replica/members.go
@@ -20,8 +20,8 @@
 	members []Member
 }
 
-func newMembershipHistory(index uint64, list []Member) membershipHistory {
-	return membershipHistory{versions: []membershipVersion{{index: index, members: list}}}
+func newMembershipHistory(index uint64, members []Member) membershipHistory {
+	return membershipHistory{versions: []membershipVersion{{index: index, members: members}}}
 }
 
 func (m *membershipHistory) current() []Member    { return m.versions[len(m.versions)-1].members }
@@ -53,8 +53,8 @@
 }
 
 // push adds the membership that the entry at index sets.
-func (m *membershipHistory) push(index uint64, list []Member) {
-	m.versions = append(m.versions, membershipVersion{index: index, members: list})
+func (m *membershipHistory) push(index uint64, members []Member) {
+	m.versions = append(m.versions, membershipVersion{index: index, members: members})
 }
 
 // truncate drops the memberships that entries from index on set.
@@ -75,23 +75,23 @@
 	return findMember(m.current(), id)
 }
 
-func findMember(list []Member, id string) (Member, bool) {
-	i := slices.IndexFunc(list, func(m Member) bool { return m.ID == id })
+func findMember(members []Member, id string) (Member, bool) {
+	i := slices.IndexFunc(members, func(m Member) bool { return m.ID == id })
 	if i < 0 {
 		return Member{}, false
 	}
-	return list[i], true
+	return members[i], true
 }
 
-func isVoter(list []Member, id string) bool {
-	m, ok := findMember(list, id)
+func isVoter(members []Member, id string) bool {
+	m, ok := findMember(members, id)
 	return ok && !m.Learner
 }
 
-// voters returns the members of list that aren't learners.
-func voters(list []Member) []Member {
+// voters returns the members that aren't learners.
+func voters(members []Member) []Member {
 	var out []Member
-	for _, m := range list {
+	for _, m := range members {
 		if !m.Learner {
 			out = append(out, m)
 		}
@@ -101,10 +101,10 @@
 
 // votersOfAll returns each voter of any of the memberships once, starting with those
 // of the latest one.
-func votersOfAll(lists [][]Member) []Member {
+func votersOfAll(memberships [][]Member) []Member {
 	var out []Member
-	for _, list := range slices.Backward(lists) {
-		for _, m := range voters(list) {
+	for _, members := range slices.Backward(memberships) {
+		for _, m := range voters(members) {
 			if _, ok := findMember(out, m.ID); !ok {
 				out = append(out, m)
 			}
@@ -113,29 +113,29 @@
 	return out
 }
 
-// majority returns the size of a quorum of the voters of list.
-func majority(list []Member) int { return len(voters(list))/2 + 1 }
+// majority returns the size of a quorum of the voters among the members.
+func majority(members []Member) int { return len(voters(members))/2 + 1 }
 
-func encodeMembers(list []Member) []byte {
-	data, err := cbor.Marshal(list)
+func encodeMembers(members []Member) []byte {
+	data, err := cbor.Marshal(members)
 	invariant(err == nil, "membership can't be encoded: %v", err)
 	return data
 }
 
 func decodeMembers(data []byte) ([]Member, error) {
-	var list []Member
-	if err := cbor.Unmarshal(data, &list); err != nil {
+	var members []Member
+	if err := cbor.Unmarshal(data, &members); err != nil {
 		return nil, errors.Wrap(err, "decode membership entry")
 	}
-	return list, nil
+	return members, nil
 }
 
 // checkMembers returns ErrConfig for a membership with an empty or duplicate ID or
 // without a voter that may lead.
-func checkMembers(list []Member) error {
-	seen := make(map[string]bool, len(list))
+func checkMembers(members []Member) error {
+	seen := make(map[string]bool, len(members))
 	leaders := 0
-	for _, m := range list {
+	for _, m := range members {
 		if m.ID == "" || seen[m.ID] {
 			return errors.Wrapf(ErrConfig, "member ID %q is empty or duplicate", m.ID)
 		}
--- a/replica/not_member.go
+++ b/replica/not_member.go
@@ -18,8 +18,8 @@
 	if !c.canDecide() {
 		return
 	}
-	for _, list := range c.members.since(c.commit) {
-		if _, ok := findMember(list, id); ok {
+	for _, members := range c.members.since(c.commit) {
+		if _, ok := findMember(members, id); ok {
 			return
 		}
 	}
--- a/replica/random_test.go
+++ b/replica/random_test.go
@@ -34,12 +34,12 @@
 // from frequent to rare faults.
 var faultRates = []int{200, 500, 1000, 3000}
 
-// envInt returns the integer in an environment variable, or otherwise if there is none.
-func envInt(name string, otherwise int) int {
+// envInt returns the integer in an environment variable, or fallback if there is none.
+func envInt(name string, fallback int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
-	return otherwise
+	return fallback
 }
 
 // TestRandom runs groups under random faults. REPLICA_SEEDS sets the number of seeds,
@@ -53,8 +53,8 @@
 			for seed := first; seed < first+seeds; seed++ {
 				opt.faults, opt.steps = true, steps
 				opt.faultOutcomes = faultRates[seed%len(faultRates)]
-				for what, n := range runRandom(t, uint64(seed), opt) {
-					total[what] += n
+				for event, n := range runRandom(t, uint64(seed), opt) {
+					total[event] += n
 				}
 			}
 			t.Logf("%d seeds of %d steps, no violations: %v", seeds, steps, total)
--- a/replica/ready.go
+++ b/replica/ready.go
@@ -102,11 +102,11 @@
 	if !ok || index > c.applied {
 		return Snapshot{}, errors.Wrapf(ErrBadSnapshot, "index %d", index)
 	}
-	list := slices.Clone(c.members.at(index))
-	for i := range list {
-		list[i].Incarnation = max(list[i].Incarnation, c.incarnations.of(list[i].ID))
+	members := slices.Clone(c.members.at(index))
+	for i := range members {
+		members[i].Incarnation = max(members[i].Incarnation, c.incarnations.of(members[i].ID))
 	}
-	return Snapshot{Index: index, Term: term, Members: list, Data: data}, nil
+	return Snapshot{Index: index, Term: term, Members: members, Data: data}, nil
 }
 
 // Compact drops the entries up to the caller's stored snapshot at s.Index, except for
--- a/replica/recovery.go
+++ b/replica/recovery.go
@@ -84,8 +84,8 @@
 	}
 	if c.role == Leader {
 		reply.Leader = true
-		lists := c.members.since(c.commit)
-		reply.EarlierMemberships = lists[:len(lists)-1]
+		memberships := c.members.since(c.commit)
+		reply.EarlierMemberships = memberships[:len(memberships)-1]
 		reply.Members = c.members.current()
 	}
 	c.send(reply)
@@ -128,8 +128,8 @@
 	if _, member := findMember(latest, c.cfg.ID); !member {
 		return
 	}
-	for _, list := range reply.memberships {
-		if !c.hasRecoveryQuorum(list) {
+	for _, members := range reply.memberships {
+		if !c.hasRecoveryQuorum(members) {
 			return
 		}
 	}
@@ -152,9 +152,9 @@
 // hasRecoveryQuorum reports whether a majority of the voters of a membership replied
 // and isn't recovering, not counting this member. In a group of two the only other
 // voter suffices, since it is in every quorum.
-func (c *Core) hasRecoveryQuorum(list []Member) bool {
+func (c *Core) hasRecoveryQuorum(members []Member) bool {
 	count, others := 0, 0
-	for _, m := range voters(list) {
+	for _, m := range voters(members) {
 		if m.ID == c.cfg.ID {
 			continue
 		}
@@ -163,7 +163,7 @@
 			count++
 		}
 	}
-	return count >= min(majority(list), others)
+	return count >= min(majority(members), others)
 }
 
 // recordMatch records that the log matches that of the current term's leader up to
--- a/replica/recovery_test.go
+++ b/replica/recovery_test.go
@@ -172,8 +172,8 @@
 // synced that it takes part. If the leader's appends had already told the others that it
 // takes part, they would treat its empty disk as a lost one and wait for an operator.
 func TestFirstLeaderSyncsBeforeItAppends(t *testing.T) {
-	list := []Member{{ID: "n0", HasDisk: true}, {ID: "n1"}, {ID: "n2"}}
-	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: list}, StoredState{})
+	members := []Member{{ID: "n0", HasDisk: true}, {ID: "n1"}, {ID: "n2"}}
+	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: members}, StoredState{})
 	must.NoError(t, err)
 	for c.campaign.kind != coldStarting {
 		c.Tick()
--- a/replica/removed_test.go
+++ b/replica/removed_test.go
@@ -8,7 +8,7 @@
 
 // A member is removed while it is partitioned. Without a notification it would request
 // votes as often as before, and its status wouldn't show why it is rejected. A notified
-// member must report Outside and send fewer requests. Once it is added again, it must take
+// member must report NotMember and send fewer requests. Once it is added again, it must take
 // part as before.
 func TestRemovedMemberIsNotified(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 4})
@@ -21,7 +21,7 @@
 	s.waitForLeader(t)
 	clear(s.blockedLinks)
 	s.run(60)
-	must.True(t, n.core.Status().Outside)
+	must.True(t, n.core.Status().NotMember)
 	requests := 0
 	s.intercept = func(m Message) bool {
 		if m.From == n.id {
@@ -35,7 +35,7 @@
 	_, _, err = l.core.ProposeMembership(append(withoutMember(all, n.id), Member{ID: n.id, Learner: true}))
 	must.NoError(t, err)
 	s.waitForLeader(t)
-	must.False(t, n.core.Status().Outside)
+	must.False(t, n.core.Status().NotMember)
 	must.Eq(t, l.core.applied, max(l.core.applied, n.core.applied))
 	must.Greater(t, 0, n.core.applied)
 }
@@ -46,12 +46,12 @@
 	c := candidateCore(t, "n0", "n1", "n2")
 	notice := Message{Type: MsgNotMember, From: "n1", Term: 3, Index: 2}
 	stepFromPeer(t, c, notice)
-	must.True(t, c.Status().Outside)
+	must.True(t, c.Status().NotMember)
 	stepFromPeer(t, c, Message{Type: MsgAppend, From: "n1", Term: 4, Index: 2, LogTerm: 2, Commit: 2})
-	must.False(t, c.Status().Outside)
+	must.False(t, c.Status().NotMember)
 	for c.role != Candidate {
 		c.Tick()
 	}
 	stepFromPeer(t, c, notice)
-	must.False(t, c.Status().Outside)
+	must.False(t, c.Status().NotMember)
 }
--- a/replica/safety_test.go
+++ b/replica/safety_test.go
@@ -9,11 +9,11 @@
 // candidateCore returns n0 of a group, restarted from disk at term 3 with entries of
 // terms 1 and 2, as a candidate at its first election timeout. It no longer refuses votes.
 func candidateCore(t *testing.T, ids ...string) *Core {
-	var list []Member
+	var members []Member
 	for _, id := range ids {
-		list = append(list, Member{ID: id, HasDisk: true})
+		members = append(members, Member{ID: id, HasDisk: true})
 	}
-	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: list}, StoredState{
+	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: members}, StoredState{
 		HardState: HardState{Term: 3, Incarnation: 1},
 		Entries:   []Entry{{Index: 1, Term: 1}, {Index: 2, Term: 2}},
 	})
@@ -128,7 +128,7 @@
 }
 
 // New must reject invalid configurations and stored states with the matching error.
-func TestNewRefuses(t *testing.T) {
+func TestNewRefusesInvalidConfigAndState(t *testing.T) {
 	one := []Member{{ID: "n0"}}
 	for _, cfg := range []Config{
 		{}, {ID: "n0"}, {ID: "n0", Incarnation: 1}, {ID: "n0", Incarnation: 1, Members: append(one, one...)},
--- a/replica/scenario_test.go
+++ b/replica/scenario_test.go
@@ -230,30 +230,30 @@
 	failedMember.downUntil = s.step + 100000
 	s.run(50)
 	spare := Member{ID: "n3", Learner: true}
-	list := l.core.members.current()
+	members := l.core.members.current()
 	propose := func(next []Member) error {
 		_, _, err := l.core.ProposeMembership(next)
 		s.run(60)
 		return err
 	}
-	must.ErrorIs(t, propose(withoutMember(list, l.id)), ErrRemovesLeader)
-	for _, m := range list {
+	must.ErrorIs(t, propose(withoutMember(members, l.id)), ErrRemovesLeader)
+	for _, m := range members {
 		if m.ID != l.id && m.ID != failedMember.id {
-			must.ErrorIs(t, propose(withoutMember(list, m.ID)), ErrLosesQuorum)
+			must.ErrorIs(t, propose(withoutMember(members, m.ID)), ErrLosesQuorum)
 		}
 	}
-	must.ErrorIs(t, propose(append(withoutMember(list, failedMember.id), spare)), ErrChangeTooLarge)
-	must.ErrorIs(t, propose(list), ErrNoChange)
+	must.ErrorIs(t, propose(append(withoutMember(members, failedMember.id), spare)), ErrChangeTooLarge)
+	must.ErrorIs(t, propose(members), ErrNoChange)
 	direct := spare
 	direct.Learner = false
-	must.ErrorIs(t, propose(append(withoutMember(list, ""), direct)), ErrNotCaughtUp)
-	must.NoError(t, propose(append(withoutMember(list, ""), spare)))
+	must.ErrorIs(t, propose(append(withoutMember(members, ""), direct)), ErrNotCaughtUp)
+	must.NoError(t, propose(append(withoutMember(members, ""), spare)))
 	spare.Learner = false
-	list = append(withoutMember(list, ""), spare)
-	_, _, err := l.core.ProposeMembership(list)
+	members = append(withoutMember(members, ""), spare)
+	_, _, err := l.core.ProposeMembership(members)
 	must.NoError(t, err)
-	must.ErrorIs(t, propose(withoutMember(list, failedMember.id)), ErrChangePending)
-	must.NoError(t, propose(withoutMember(list, failedMember.id)))
+	must.ErrorIs(t, propose(withoutMember(members, failedMember.id)), ErrChangePending)
+	must.NoError(t, propose(withoutMember(members, failedMember.id)))
 	must.SliceEmpty(t, s.violations)
 	l.crash(false)
 	l.downUntil = s.step + 30
@@ -261,10 +261,10 @@
 	must.Eq(t, s.lastApplied, s.leader().core.applied)
 }
 
-// withoutMember returns a copy of list without the member id.
-func withoutMember(list []Member, id string) []Member {
+// withoutMember returns a copy of members without the member id.
+func withoutMember(members []Member, id string) []Member {
 	var out []Member
-	for _, m := range list {
+	for _, m := range members {
 		if m.ID != id {
 			out = append(out, m)
 		}
@@ -274,7 +274,7 @@
 
 // A leadership transfer must not wait for an election timeout, and the old leader
 // must decide nothing once it has told the new one to campaign.
-func TestTransfer(t *testing.T) {
+func TestTransferNeedsNoElectionTimeout(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3, witness: true})
 	l := s.leader()
 	must.ErrorIs(t, l.core.Transfer("n2"), ErrBadTransferee)
@@ -290,7 +290,7 @@
 // The message that tells the new leader of a transfer to campaign is delayed beyond the
 // transfer's timeout. The old leader must not decide in its term again, because the
 // message may still arrive.
-func TestTransferTimesOut(t *testing.T) {
+func TestLeaderDoesNotResumeAfterTransferTimeout(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3})
 	l := s.leader()
 	term := l.core.term
--- a/replica/sim_faults_test.go
+++ b/replica/sim_faults_test.go
@@ -64,17 +64,17 @@
 	if s.opt.powerLoss && n.disk {
 		return
 	}
-	list := slices.Clone(l.core.members.current())
-	i := slices.IndexFunc(list, func(m Member) bool { return m.ID == n.id })
+	members := slices.Clone(l.core.members.current())
+	i := slices.IndexFunc(members, func(m Member) bool { return m.ID == n.id })
 	switch {
 	case i < 0:
-		list = append(list, Member{ID: n.id, HasDisk: n.disk, Learner: true})
-	case list[i].Learner:
-		list[i].Learner = false
-	case len(voters(list)) > 3:
-		list = slices.Delete(list, i, i+1)
+		members = append(members, Member{ID: n.id, HasDisk: n.disk, Learner: true})
+	case members[i].Learner:
+		members[i].Learner = false
+	case len(voters(members)) > 3:
+		members = slices.Delete(members, i, i+1)
 	}
-	if _, _, err := l.core.ProposeMembership(list); err == nil {
+	if _, _, err := l.core.ProposeMembership(members); err == nil {
 		s.counts["changes"]++
 	}
 }
--- a/replica/sim_test.go
+++ b/replica/sim_test.go
@@ -94,11 +94,11 @@
 }
 
 func (s *sim) initialMembers() []Member {
-	var list []Member
+	var members []Member
 	for i, n := range s.nodes[:s.opt.voters] {
-		list = append(list, Member{ID: n.id, HasDisk: n.disk, Witness: s.opt.witness && i == s.opt.voters-1})
+		members = append(members, Member{ID: n.id, HasDisk: n.disk, Witness: s.opt.witness && i == s.opt.voters-1})
 	}
-	return list
+	return members
 }
 
 // failf records a violation of a guarantee, which ends the simulation.
--- a/replica/types.go
+++ b/replica/types.go
@@ -150,8 +150,8 @@
 	// Degraded is true on a leader when no voter with a disk acknowledges entries.
 	// Entries committed meanwhile don't survive a loss of power of all members.
 	Degraded bool
-	// Outside is true on a member that a leader has told that it isn't in the group,
+	// NotMember is true on a member that a leader has told that it isn't in the group,
 	// because it was removed or not yet added. It is cleared when a leader contacts
 	// the member again.
-	Outside bool
+	NotMember bool
 }
