--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -169,7 +169,8 @@
 				r = other
 			}
 			must.Eq(t, version, r.Current().Version)
-			history := r.History(1000)
+			const allVersions = 1000 // more than the register keeps
+			history := r.History(allVersions)
 			must.LessEq(t, maxHistory, len(history))
 			total := 0
 			for i, c := range history {
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -12,6 +12,9 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
+// maxConnections bounds the connections of a client, which the tests don't use.
+const maxConnections = 100
+
 func voter(id string) replica.Member { return replica.Member{ID: id} }
 
 func learner(id string) replica.Member { return replica.Member{ID: id, Learner: true} }
@@ -37,7 +40,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Now()
-			h := New(Config{ID: "own", Voters: 3, Logger: log.NewNopLogger()}, link.NewClient(100), link.NewMux())
+			h := New(Config{ID: "own", Voters: 3, Logger: log.NewNopLogger()}, link.NewClient(maxConnections), link.NewMux())
 			h.liveness.setLeading(true, now.Add(-time.Hour))
 			for _, m := range c.members {
 				h.liveness.recordSeen(m.ID, now.Add(-c.sinceSeen[m.ID]))
@@ -54,7 +57,7 @@
 // member has announced itself to it yet. The time before it became the leader must not
 // count.
 func TestNewLeaderDoesNotReplaceVotersBeforeTheyAnnounce(t *testing.T) {
-	h := New(Config{ID: "own", Voters: 3, Logger: log.NewNopLogger()}, link.NewClient(100), link.NewMux())
+	h := New(Config{ID: "own", Voters: 3, Logger: log.NewNopLogger()}, link.NewClient(maxConnections), link.NewMux())
 	now := time.Now()
 	h.liveness.setLeading(true, now)
 	members, _ := h.nextMembership(replica.Status{Members: []replica.Member{voter("own"), voter("b"), voter("c"), learner("d")}}, now)
@@ -63,11 +66,11 @@
 
 func TestInitialMembersSurviveRestart(t *testing.T) {
 	folder := t.TempDir()
-	first := New(Config{ID: "10.0.0.1", Port: "7", Seeds: []string{"10.0.0.1", "10.0.0.2"}, First: true, Folder: folder, Logger: log.NewNopLogger()}, link.NewClient(100), link.NewMux())
+	first := New(Config{ID: "10.0.0.1", Port: "7", Seeds: []string{"10.0.0.1", "10.0.0.2"}, First: true, Folder: folder, Logger: log.NewNopLogger()}, link.NewClient(maxConnections), link.NewMux())
 	members, err := first.initialMembers(t.Context())
 	must.NoError(t, err)
 	must.Eq(t, "10.0.0.1:7", members[0].Address)
-	again := New(Config{ID: "10.0.0.1", Port: "7", Seeds: []string{"10.0.0.9"}, Folder: folder, Logger: log.NewNopLogger()}, link.NewClient(100), link.NewMux())
+	again := New(Config{ID: "10.0.0.1", Port: "7", Seeds: []string{"10.0.0.9"}, Folder: folder, Logger: log.NewNopLogger()}, link.NewClient(maxConnections), link.NewMux())
 	stored, err := again.initialMembers(t.Context())
 	must.NoError(t, err)
 	must.Eq(t, members, stored)
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -19,6 +19,12 @@
 // it to check speed.
 const waitTimeout = 30 * time.Second
 
+const (
+	pollInterval = 2 * time.Millisecond
+	// callTimeout bounds one call of a client, which then tries again or gives up.
+	callTimeout = time.Second
+)
+
 // registers is a state machine of named registers. A command sets one and returns the
 // value that it replaced.
 type registers struct {
@@ -210,7 +216,7 @@
 // eventually waits until a condition holds.
 func eventually(t *testing.T, awaited string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(pollInterval) {
 		must.True(t, time.Now().Before(end), must.Sprint("timed out waiting for "+awaited))
 	}
 }
@@ -234,7 +240,7 @@
 func (c *cluster) set(key, value string) {
 	c.t.Helper()
 	eventually(c.t, "a write", func() bool {
-		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		defer cancel()
 		_, err := c.leader().Propose(ctx, set(key, value))
 		return err == nil
--- a/internal/node/http_test.go
+++ b/internal/node/http_test.go
@@ -25,6 +25,16 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
+const (
+	benchCommandBytes  = 60
+	leaderPollInterval = 5 * time.Millisecond
+	// connectionDelay is the time after the elections in which the instances open their
+	// connections.
+	connectionDelay = 2 * time.Second
+	// latencyDigits is the number of significant decimal digits of recorded latencies.
+	latencyDigits = 3
+)
+
 // httpCluster is a set of instances with disks that exchange messages over HTTP on
 // 127.0.0.1.
 type httpCluster struct {
@@ -122,7 +132,7 @@
 }
 
 func (h *httpCluster) leader(t testing.TB) *httpInstance {
-	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(leaderPollInterval) {
 		for _, n := range h.instances {
 			if n.Status().CanDecide {
 				return n
@@ -165,7 +175,7 @@
 	} {
 		b.Run(fmt.Sprintf("members=%d/callers=%d/rate=%d/delay=%v", c.members, c.callers, c.rate, c.delay), func(b *testing.B) {
 			h := newHTTPCluster(b, c.members, c.delay)
-			generator := &loadGenerator{b: b, leader: h.leader(b), latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+			generator := &loadGenerator{b: b, leader: h.leader(b), latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), latencyDigits)}
 			b.ResetTimer()
 			if c.rate > 0 {
 				generator.openLoop(c.rate)
@@ -186,7 +196,7 @@
 }
 
 func (g *loadGenerator) propose(due time.Time) {
-	_, err := g.leader.Propose(context.Background(), make([]byte, 60))
+	_, err := g.leader.Propose(context.Background(), make([]byte, benchCommandBytes))
 	took := time.Since(due)
 	must.NoError(g.b, err)
 	g.mu.Lock()
@@ -257,7 +267,7 @@
 
 // waitUntilReady waits until each group has a leader and the connections are open.
 func (h *httpCluster) waitUntilReady(t testing.TB, groups int) {
-	for end := time.Now().Add(waitTimeout); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(leaderPollInterval) {
 		led := 0
 		for _, n := range h.instances {
 			led += n.ledGroups()
@@ -267,7 +277,7 @@
 		}
 		must.True(t, time.Now().Before(end), must.Sprint("timed out waiting for leaders"))
 	}
-	time.Sleep(2 * time.Second)
+	time.Sleep(connectionDelay)
 }
 
 func (n *httpInstance) ledGroups() int {
@@ -307,7 +317,7 @@
 	must.NoError(b, err)
 	for i := uint64(1); i <= entries; i++ {
 		hs := &replica.HardState{Term: 1, Vote: "a", Commit: i, Incarnation: 1}
-		must.NoError(b, w.Save(hs, []replica.Entry{{Index: i, Term: 1, Data: make([]byte, 60)}}, false))
+		must.NoError(b, w.Save(hs, []replica.Entry{{Index: i, Term: 1, Data: make([]byte, benchCommandBytes)}}, false))
 	}
 	must.NoError(b, w.Close())
 	original := os.DirFS(folder)
--- a/internal/node/linearizability_test.go
+++ b/internal/node/linearizability_test.go
@@ -17,6 +17,21 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
+const (
+	registerCount = 4
+	// followerCallInterval is the number of attempts of which one goes to a member that
+	// may not decide.
+	followerCallInterval = 10
+	// clientDelay is the pause of a client before it tries another member.
+	clientDelay = 100 * time.Microsecond
+	// accessesPerFault is the number of accesses during each fault.
+	accessesPerFault = 40
+	// startsPerSeed separates the incarnations and election seeds of two seeds.
+	startsPerSeed = 1000
+	// checkTimeout bounds the check of one history.
+	checkTimeout = time.Minute
+)
+
 // access is a read of a register, or a write that returns the value it replaced.
 type access struct {
 	key, value string
@@ -65,7 +80,7 @@
 
 // access makes one access on a member and records it.
 func (h *history) access(m *member, client int, in access) {
-	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	call := int64(time.Since(h.start))
 	var out result
@@ -97,11 +112,11 @@
 // client makes accesses until all clients together have recorded the target number.
 func (h *history) client(c *cluster, id int, random *rand.Rand, target int64) {
 	for n := 0; h.recorded.Load() < target; n++ {
-		in := access{key: fmt.Sprint(random.IntN(4)), value: fmt.Sprintf("%d.%d", id, n), write: random.IntN(2) == 0}
+		in := access{key: fmt.Sprint(random.IntN(registerCount)), value: fmt.Sprintf("%d.%d", id, n), write: random.IntN(2) == 0}
 		all := c.running()
 		m := all[random.IntN(len(all))]
-		if !m.Status().CanDecide && random.IntN(10) > 0 {
-			time.Sleep(100 * time.Microsecond)
+		if !m.Status().CanDecide && random.IntN(followerCallInterval) > 0 {
+			time.Sleep(clientDelay)
 			continue
 		}
 		h.access(m, id, in)
@@ -155,7 +170,7 @@
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			c := newCluster(t, "a", Config{SnapshotEvery: 50, KeepEntries: 20})
-			c.starts = seed * 1000
+			c.starts = seed * startsPerSeed
 			h := &history{start: time.Now()}
 			const clients, target = 5, 1500
 			var group sync.WaitGroup
@@ -164,11 +179,11 @@
 			}
 			random := rand.New(rand.NewPCG(seed, clients))
 			for h.recorded.Load() < target {
-				h.injectFault(c, random, 40)
+				h.injectFault(c, random, accessesPerFault)
 			}
 			group.Wait()
 			t.Logf("%d accesses, %d writes with an unknown outcome", len(h.operations), h.unknown.Load())
-			got := porcupine.CheckOperationsTimeout(registerModel, h.operations, time.Minute)
+			got := porcupine.CheckOperationsTimeout(registerModel, h.operations, checkTimeout)
 			must.Eq(t, porcupine.Ok, got)
 		})
 	}
--- a/internal/wal/disk_full_test.go
+++ b/internal/wal/disk_full_test.go
@@ -10,6 +10,15 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
+const (
+	// oneSegmentBytes is more than a test writes, so that the log has one segment.
+	oneSegmentBytes = 1 << 20
+	// partialRecordBytes is less than a record, which a write then leaves partial.
+	partialRecordBytes = 10
+	// freedBytes is more than a test writes after the disk has free space again.
+	freedBytes = 1 << 20
+)
+
 // limitedFile accepts a number of bytes, free, like a file on a disk that is almost full.
 type limitedFile struct {
 	segmentFile
@@ -34,15 +43,15 @@
 // read everything that was saved.
 func TestSaveRetriesWhileDiskIsFull(t *testing.T) {
 	folder := t.TempDir()
-	w, _ := mustOpen(t, folder, 1<<20)
+	w, _ := mustOpen(t, folder, oneSegmentBytes)
 	saveOneByOne(t, w, &replica.HardState{Term: 1}, entryRange(1, 3, 1))
-	full := &limitedFile{segmentFile: w.file, free: 10}
+	full := &limitedFile{segmentFile: w.file, free: partialRecordBytes}
 	w.file = full
 	waits := 0
 	w.OnDiskFull(func() bool {
 		waits++
 		if waits == 3 {
-			full.free = 1 << 20
+			full.free = freedBytes
 		}
 		return true
 	})
@@ -56,9 +65,9 @@
 // restart must read nothing of the record that didn't fit.
 func TestCloseWithFullDisk(t *testing.T) {
 	folder := t.TempDir()
-	w, _ := mustOpen(t, folder, 1<<20)
+	w, _ := mustOpen(t, folder, oneSegmentBytes)
 	saveOneByOne(t, w, &replica.HardState{Term: 1}, entryRange(1, 3, 1))
-	w.file = &limitedFile{segmentFile: w.file, free: 10}
+	w.file = &limitedFile{segmentFile: w.file, free: partialRecordBytes}
 	w.OnDiskFull(func() bool { return false })
 	for range 2 {
 		err := w.Save(nil, entryRange(4, 4, 1), true)
@@ -70,7 +79,7 @@
 
 // Without a callback a full disk is a failed write.
 func TestFullDiskFailsWriteWithoutCallback(t *testing.T) {
-	w, _ := mustOpen(t, t.TempDir(), 1<<20)
+	w, _ := mustOpen(t, t.TempDir(), oneSegmentBytes)
 	w.file = &limitedFile{segmentFile: w.file}
 	must.ErrorIs(t, w.Save(&replica.HardState{Term: 1}, nil, true), syscall.ENOSPC)
 	must.ErrorIs(t, w.Close(), syscall.ENOSPC)
--- a/internal/wal/format_test.go
+++ b/internal/wal/format_test.go
@@ -15,9 +15,12 @@
 
 var writeTestdata = flag.Bool("write-testdata", false, "write testdata of the current format version")
 
+// benchEntryBytes is the size of the data of an entry in benchmarks.
+const benchEntryBytes = 60
+
 // writeSample saves the state that the testdata of each format version contains.
 func writeSample(t *testing.T, folder string) {
-	w, _ := mustOpen(t, folder, 512)
+	w, _ := mustOpen(t, folder, smallSegmentBytes)
 	saveOneByOne(t, w, sampleState(), entryRange(1, 25, 2))
 	must.NoError(t, w.SaveSnapshot(sampleSnapshot()))
 	must.NoError(t, w.Close())
@@ -47,7 +50,7 @@
 	}
 	folder := filepath.Join(t.TempDir(), "v1")
 	copyFolder(t, "testdata/v1", folder)
-	w, stored := mustOpen(t, folder, 512)
+	w, stored := mustOpen(t, folder, smallSegmentBytes)
 	defer w.Close()
 	must.Eq(t, *sampleState(), stored.HardState)
 	must.Eq(t, sampleSnapshot(), stored.Snapshot)
@@ -105,7 +108,7 @@
 	const entries, batch = 100_000, 100
 	folder := b.TempDir()
 	w, _ := mustOpen(b, folder, DefaultSegmentBytes)
-	data := bytes.Repeat([]byte{7}, 60)
+	data := bytes.Repeat([]byte{7}, benchEntryBytes)
 	for i := uint64(1); i <= entries; i += batch {
 		var batchEntries []replica.Entry
 		for j := i; j < i+batch; j++ {
@@ -129,7 +132,7 @@
 	next := uint64(1)
 	for b.Loop() {
 		for i := range batch {
-			batch[i] = replica.Entry{Index: next, Term: 1, Data: make([]byte, 60)}
+			batch[i] = replica.Entry{Index: next, Term: 1, Data: make([]byte, benchEntryBytes)}
 			next++
 		}
 		must.NoError(b, w.Save(nil, batch, true))
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -13,6 +13,9 @@
 	"pgregory.net/rapid"
 )
 
+// smallSegmentBytes makes a few entries fill a segment.
+const smallSegmentBytes = 512
+
 func entry(index, term uint64) replica.Entry {
 	return replica.Entry{Index: index, Term: term, Data: fmt.Appendf(nil, "entry %d of term %d", index, term)}
 }
@@ -36,7 +39,7 @@
 // readBack reads a folder with small segments and closes it again.
 func readBack(t must.T, folder string) replica.StoredState {
 	t.Helper()
-	w, stored := mustOpen(t, folder, 512)
+	w, stored := mustOpen(t, folder, smallSegmentBytes)
 	must.NoError(t, w.Close())
 	return stored
 }
@@ -66,14 +69,14 @@
 
 func TestSavedStateIsReadBack(t *testing.T) {
 	folder := t.TempDir()
-	w, stored := mustOpen(t, folder, 512)
+	w, stored := mustOpen(t, folder, smallSegmentBytes)
 	must.Eq(t, replica.StoredState{}, stored)
 	saveOneByOne(t, w, &replica.HardState{Term: 2, Vote: "b"}, entryRange(1, 40, 1))
 	saveOneByOne(t, w, &replica.HardState{Term: 3, Commit: 30}, entryRange(35, 50, 3))
 	must.Greater(t, 3, len(w.segments))
 	must.NoError(t, w.Close())
 
-	w, stored = mustOpen(t, folder, 512)
+	w, stored = mustOpen(t, folder, smallSegmentBytes)
 	defer w.Close()
 	must.Eq(t, replica.HardState{Term: 3, Commit: 30}, stored.HardState)
 	must.Eq(t, append(entryRange(1, 34, 1), entryRange(35, 50, 3)...), stored.Entries)
@@ -81,7 +84,7 @@
 
 func TestSecondProcessIsRefused(t *testing.T) {
 	folder := t.TempDir()
-	w, _ := mustOpen(t, folder, 512)
+	w, _ := mustOpen(t, folder, smallSegmentBytes)
 	defer w.Close()
 	_, _, err := Open(folder)
 	must.ErrorContains(t, err, "in use by another process")
@@ -89,7 +92,7 @@
 
 func TestSnapshotReplacesTheLogBeforeIt(t *testing.T) {
 	folder := t.TempDir()
-	w, _ := mustOpen(t, folder, 512)
+	w, _ := mustOpen(t, folder, smallSegmentBytes)
 	saveOneByOne(t, w, &replica.HardState{Term: 1, Commit: 60}, entryRange(1, 60, 1))
 	before := len(w.segments)
 	s := replica.Snapshot{Index: 50, Term: 1, Members: []replica.Member{{ID: "a"}}, Data: []byte("state")}
@@ -103,7 +106,7 @@
 	must.Eq(t, entryRange(51, 70, 1), stored.Entries)
 
 	// A leader's snapshot of a different history replaces all entries.
-	w, _ = mustOpen(t, folder, 512)
+	w, _ = mustOpen(t, folder, smallSegmentBytes)
 	s = replica.Snapshot{Index: 65, Term: 4}
 	must.NoError(t, w.SaveSnapshot(s))
 	must.NoError(t, w.Save(nil, entryRange(66, 67, 4), true))
@@ -123,12 +126,13 @@
 	folder, crashed := t.TempDir(), filepath.Join(t.TempDir(), "crashed")
 	w, _ := mustOpen(t, folder, DefaultSegmentBytes)
 	must.NoError(t, w.Save(&replica.HardState{Term: 1}, entryRange(1, 3, 1), true))
+	const garbageBytes = 40 // zeros or garbage after the torn record
 	start := w.length
 	must.NoError(t, w.Save(&replica.HardState{Term: 2}, entryRange(4, 5, 2), false))
 	whole, err := os.ReadFile(lastSegment(t, folder))
 	must.NoError(t, err)
 	for cut := start; cut < w.length; cut++ {
-		for _, tail := range [][]byte{nil, make([]byte, 40), bytes.Repeat([]byte{0x5a}, 40)} {
+		for _, tail := range [][]byte{nil, make([]byte, garbageBytes), bytes.Repeat([]byte{0x5a}, garbageBytes)} {
 			copyFolder(t, folder, crashed)
 			torn := append(append([]byte(nil), whole[:cut]...), tail...)
 			if bytes.HasPrefix(torn, whole) {
@@ -151,8 +155,9 @@
 // location, and leave the files unchanged for a repair.
 func TestDamagedSyncedRecordIsRefused(t *testing.T) {
 	folder, damagedFolder := t.TempDir(), filepath.Join(t.TempDir(), "damaged")
-	w, _ := mustOpen(t, folder, 512)
+	w, _ := mustOpen(t, folder, smallSegmentBytes)
 	saveOneByOne(t, w, nil, entryRange(1, 30, 1))
+	const offsetStep = 3 // bytes between two flipped bits, which keeps the test short
 	segments := len(w.segments)
 	start := w.length
 	must.NoError(t, w.Save(nil, entryRange(31, 31, 1), true))
@@ -167,13 +172,13 @@
 		if i == len(files.segments)-1 {
 			end = start // damage to the last record of the last segment reads as a torn tail
 		}
-		for at := int64(0); at < end; at += 3 {
+		for at := int64(0); at < end; at += offsetStep {
 			copyFolder(t, folder, damagedFolder)
 			flipped := append([]byte(nil), whole...)
 			flipped[at] ^= 0x10
 			damagedFile := filepath.Join(damagedFolder, filepath.Base(path))
 			must.NoError(t, os.WriteFile(damagedFile, flipped, 0o600))
-			_, _, err := open(damagedFolder, 512)
+			_, _, err := open(damagedFolder, smallSegmentBytes)
 			var damage *DamageError
 			must.True(t, errors.As(err, &damage), must.Sprintf("offset %d of %s: %v", at, path, err))
 			must.Eq(t, damagedFile, damage.File)
@@ -238,7 +243,7 @@
 func TestCrashBetweenSnapshotRenameAndRemoval(t *testing.T) {
 	for _, s := range []replica.Snapshot{{Index: 30, Term: 1}, {Index: 30, Term: 2}, {Index: 90, Term: 2}} {
 		folder, crashed := t.TempDir(), filepath.Join(t.TempDir(), "crashed")
-		w, _ := mustOpen(t, folder, 512)
+		w, _ := mustOpen(t, folder, smallSegmentBytes)
 		saveOneByOne(t, w, &replica.HardState{Term: 2}, entryRange(1, 40, 1))
 		must.NoError(t, w.SaveSnapshot(replica.Snapshot{Index: 10, Term: 1}))
 		must.NoError(t, w.WriteSnapshot(s))
@@ -249,7 +254,7 @@
 		if s.Term == 1 {
 			want = entryRange(31, 40, 1)
 		}
-		c, stored := mustOpen(t, crashed, 512)
+		c, stored := mustOpen(t, crashed, smallSegmentBytes)
 		must.Eq(t, s, stored.Snapshot)
 		must.Eq(t, want, stored.Entries)
 		must.NoError(t, c.Save(nil, entryRange(s.Index+1, s.Index+20, 3), true))
@@ -263,7 +268,7 @@
 func TestMissingFilesAreRefused(t *testing.T) {
 	for _, name := range []string{"segments", "snapshots"} {
 		folder := t.TempDir()
-		w, _ := mustOpen(t, folder, 512)
+		w, _ := mustOpen(t, folder, smallSegmentBytes)
 		saveOneByOne(t, w, nil, entryRange(1, 60, 1))
 		must.NoError(t, w.SaveSnapshot(replica.Snapshot{Index: 20, Term: 1}))
 		must.NoError(t, w.Close())
@@ -274,7 +279,7 @@
 			missingFile = files.snapshots[0]
 		}
 		must.NoError(t, os.Remove(missingFile))
-		_, _, err = open(folder, 512)
+		_, _, err = open(folder, smallSegmentBytes)
 		var damage *DamageError
 		must.True(t, errors.As(err, &damage), must.Sprint(name))
 	}
@@ -289,7 +294,7 @@
 		must.NoError(t, err)
 		defer os.RemoveAll(folder)
 		live, crashed := filepath.Join(folder, "live"), filepath.Join(folder, "crashed")
-		w, _ := mustOpen(t, live, 512)
+		w, _ := mustOpen(t, live, smallSegmentBytes)
 		model := logState{}
 		durable := 0
 		for range rapid.IntRange(1, 30).Draw(t, "saves") {
--- a/replica/bench_test.go
+++ b/replica/bench_test.go
@@ -11,6 +11,14 @@
 // incarnations and terms have their usual size on the wire.
 const benchIncarnation = 1_780_000_000_000
 
+const (
+	// benchElectionRounds bounds the rounds of ticks in which a group elects a leader.
+	benchElectionRounds = 200
+	benchCommandBytes   = 60
+	// benchCompactInterval is the number of entries between compactions.
+	benchCompactInterval = 1000
+)
+
 // benchGroup returns the leader and all members of a group in memory without delays.
 func benchGroup(b *testing.B, size int) (*Core, map[string]*Core) {
 	var members []Member
@@ -25,7 +33,7 @@
 		}
 		cores[m.ID] = c
 	}
-	for range 200 {
+	for range benchElectionRounds {
 		for _, m := range members {
 			cores[m.ID].Tick()
 			if c := cores[m.ID]; c.Status().CanDecide {
@@ -70,7 +78,7 @@
 // BenchmarkCommit measures the committed entries per second of a group whose members all
 // run on one goroutine. Messages are encoded but not sent over a network.
 func BenchmarkCommit(b *testing.B) {
-	command := make([]byte, 60)
+	command := make([]byte, benchCommandBytes)
 	for _, size := range []int{1, 3, 5} {
 		for _, batch := range []int{1, 64} {
 			b.Run(fmt.Sprintf("members=%d/batch=%d", size, batch), func(b *testing.B) {
@@ -87,7 +95,7 @@
 						b.Fatal(err)
 					}
 					sent += benchProcessReady(cores)
-					if leader.commit > leader.snapshot.Index+1000 {
+					if leader.commit > leader.snapshot.Index+benchCompactInterval {
 						benchCompact(cores)
 					}
 				}
--- a/replica/coldstart.go
+++ b/replica/coldstart.go
@@ -134,14 +134,17 @@
 	return states, true
 }
 
+// recentReplyTimeouts is the number of election timeouts for which a state reply counts.
+const recentReplyTimeouts = 2
+
 // voterStateOf returns the state of m. It returns false when m leads or hasn't replied
-// within two election timeouts.
+// within recentReplyTimeouts.
 func (c *Core) voterStateOf(m Member) (voterState, bool) {
 	if m.ID == c.cfg.ID {
 		return voterState{m, c.role == Recovering, c.incarnations.participated(m.ID), c.log.last(), c.log.lastTerm()}, true
 	}
 	reply, ok := c.recovery.replies[m.ID]
-	recent := c.now-reply.receivedTick < 2*uint64(c.cfg.ElectionTicks)
+	recent := c.now-reply.receivedTick < recentReplyTimeouts*uint64(c.cfg.ElectionTicks)
 	return voterState{m, reply.recovering, c.incarnations.participated(m.ID), reply.index, reply.logTerm}, ok && recent && !reply.leader
 }
 
--- a/replica/recovery_test.go
+++ b/replica/recovery_test.go
@@ -124,7 +124,7 @@
 // duplicates. If n2 granted the cold start again, it would recover with n0's old log and
 // elect n0 in a term that had a leader, and accepted work would be lost.
 func TestColdStartVoteIsBoundToIncarnation(t *testing.T) {
-	s := newSim(7, simOptions{voters: 3, disks: 1})
+	s := newSim(scenarioSeed, simOptions{voters: 3, disks: 1})
 	var delayed []Message
 	s.intercept = func(m Message) bool {
 		if m.From == "n0" && m.To == "n2" && (m.ColdStart || m.Type == MsgAppend) {
--- a/replica/scenario_test.go
+++ b/replica/scenario_test.go
@@ -6,9 +6,19 @@
 	"github.com/shoenig/test/must"
 )
 
+const (
+	scenarioSeed = 7
+	// maxElectionSteps bounds the wait for a leader, replicationSteps is the time that
+	// proposed entries need to reach all members, both in steps.
+	maxElectionSteps = 400
+	replicationSteps = 30
+	// noRestartSteps is a downtime in steps that no scenario outlasts.
+	noRestartSteps = 100000
+)
+
 // newSimWithLeader returns a group without random faults that has a leader.
 func newSimWithLeader(t *testing.T, opt simOptions) *sim {
-	s := newSim(7, opt)
+	s := newSim(scenarioSeed, opt)
 	s.waitForLeader(t)
 	return s
 }
@@ -17,10 +27,10 @@
 // had time to replicate. It returns that leader.
 func (s *sim) waitForLeader(t *testing.T) *simNode {
 	t.Helper()
-	for range 400 {
+	for range maxElectionSteps {
 		s.run(1)
 		if s.leader() != nil {
-			s.run(30)
+			s.run(replicationSteps)
 			break
 		}
 	}
@@ -212,7 +222,7 @@
 	s.isolate(lagging)
 	s.run(200)
 	l.crash(false)
-	l.downUntil = s.step + 100000
+	l.downUntil = s.step + noRestartSteps
 	clear(s.blockedLinks)
 	must.Eq(t, lagging, s.waitForLeader(t))
 	must.Eq(t, s.lastApplied, lagging.core.applied)
@@ -227,7 +237,7 @@
 	failedMember := s.liveFollower(l)
 	s.run(800) // hundreds of entries, compacted: the new member needs the snapshot
 	failedMember.crash(true)
-	failedMember.downUntil = s.step + 100000
+	failedMember.downUntil = s.step + noRestartSteps
 	s.run(50)
 	spare := Member{ID: "n3", Learner: true}
 	members := l.core.members.current()
@@ -315,7 +325,7 @@
 // group must start without an operator.
 func TestFirstLeaderPartitionedBeforeFirstAppend(t *testing.T) {
 	for _, opt := range []simOptions{{voters: 3}, {voters: 5, disks: 2}} {
-		s := newSim(7, opt)
+		s := newSim(scenarioSeed, opt)
 		s.intercept = func(m Message) bool { return m.Type == MsgAppend }
 		s.run(300)
 		must.SliceEmpty(t, s.violations)
--- a/replica/sim_checks_test.go
+++ b/replica/sim_checks_test.go
@@ -62,11 +62,14 @@
 	return isVoter(s.initialMembers(), id)
 }
 
+// progressSteps is the number of steps in which a group must recover after the faults.
+const progressSteps = 600
+
 // checkProgress ends the faults and checks that the group elects a leader and commits.
 func (s *sim) checkProgress() {
 	before := s.counts["committed"]
 	s.endFaults()
-	s.run(600)
+	s.run(progressSteps)
 	if s.leader() == nil || s.counts["committed"] == before {
 		s.failf("no leader or no commit after the faults:%s", s.describe())
 	}
--- a/replica/sim_faults_test.go
+++ b/replica/sim_faults_test.go
@@ -4,6 +4,20 @@
 	"slices"
 )
 
+const (
+	// powerLossOutcome is the outcome of a step that is a loss of power. It is above the
+	// bounds of the cases in injectFault and below each of faultRates.
+	powerLossOutcome = 100
+	// diskLossProbability is the probability that a crash erases the disk.
+	diskLossProbability = 0.2
+	// twoWayProbability is the probability that a partition blocks a link in both
+	// directions and not only from the partitioned member.
+	twoWayProbability = 0.8
+	maxLossRate       = 0.3
+	// minVoters is the number of voters below which no voter is removed.
+	minVoters = 3
+)
+
 // injectFault starts or ends a random fault among those that the group must survive, or
 // does nothing. The bounds of the cases are cumulative: a fault's share is the difference
 // from the bound before it, out of simOptions.faultOutcomes.
@@ -13,7 +27,7 @@
 	switch kind := s.rand.IntN(s.opt.faultOutcomes); {
 	case kind < 8 && n.core != nil:
 		losesState := !n.disk
-		loseDisk := n.disk && s.chance(0.2) && !s.opt.powerLoss
+		loseDisk := n.disk && s.chance(diskLossProbability) && !s.opt.powerLoss
 		if losesState || loseDisk {
 			if s.countRecovering()+1 >= quorum {
 				return
@@ -33,12 +47,12 @@
 		s.counts["partitions"]++
 		for _, o := range s.nodes {
 			s.blockedLinks[[2]string{n.id, o.id}] = true
-			s.blockedLinks[[2]string{o.id, n.id}] = s.chance(0.8)
+			s.blockedLinks[[2]string{o.id, n.id}] = s.chance(twoWayProbability)
 		}
 	case kind < 45:
 		clear(s.blockedLinks)
 	case kind < 48:
-		s.lossRate = s.rand.Float64() * 0.3
+		s.lossRate = s.rand.Float64() * maxLossRate
 	case kind < 52:
 		s.lossRate = 0
 	case kind < 58:
@@ -47,7 +61,7 @@
 		}
 	case kind < 68 && s.opt.changes:
 		s.proposeRandomChange()
-	case kind == 100 && s.opt.powerLoss:
+	case kind == powerLossOutcome && s.opt.powerLoss:
 		s.losePower()
 	}
 }
@@ -71,7 +85,7 @@
 		members = append(members, Member{ID: n.id, HasDisk: n.disk, Learner: true})
 	case members[i].Learner:
 		members[i].Learner = false
-	case len(voters(members)) > 3:
+	case len(voters(members)) > minVoters:
 		members = slices.Delete(members, i, i+1)
 	}
 	if _, _, err := l.core.ProposeMembership(members); err == nil {
--- a/replica/sim_test.go
+++ b/replica/sim_test.go
@@ -10,6 +10,33 @@
 	"github.com/cespare/xxhash/v2"
 )
 
+// Load, snapshots and network of a simulation. Probabilities are per opportunity: a step of
+// a member, a message or a crash.
+const (
+	proposalProbability = 0.3
+	// readProbability is the probability of a read request after each proposal.
+	readProbability = 0.3
+	// readyOnDeliveryProbability is the probability that a member works on its Ready
+	// right after a message and not only at its next tick.
+	readyOnDeliveryProbability = 0.7
+	snapshotInterval           = 20 // entries
+	keptEntries                = 3
+
+	// The following constants apply only under faults, the bounds are exclusive.
+	duplicateProbability  = 0.03
+	delayProbability      = 0.05
+	maxDelaySteps         = 60
+	maxSyncSteps          = 3
+	missedTickProbability = 0.05
+)
+
+// Crashes of a simulation. A member with a disk stores its pending Ready before a crash with
+// storedBeforeCrashProbability. Each member is down for at most maxDownSteps.
+const (
+	storedBeforeCrashProbability = 0.5
+	maxDownSteps                 = 60
+)
+
 // simOptions selects the group and the faults of a simulation.
 type simOptions struct {
 	voters, disks, spares int
@@ -114,7 +141,7 @@
 	stored := StoredState{HardState: n.stored.HardState, Snapshot: n.stored.Snapshot, Entries: slices.Clone(n.stored.Entries)}
 	core, err := New(Config{
 		ID: n.id, Incarnation: n.incarnation, HasDisk: n.disk, Members: n.s.initialMembers(), Seed: n.incarnation + uint64(n.s.rand.Uint32()),
-		MaxEntriesPerMessage: 8, MaxInflight: 4, KeepEntries: 3,
+		MaxEntriesPerMessage: 8, MaxInflight: 4, KeepEntries: keptEntries,
 	}, stored)
 	if err != nil {
 		n.s.failf("%s: start: %v", n.id, err)
@@ -130,11 +157,11 @@
 // crash stops the member for some steps. Its disk, if it has one, may or may not have
 // received the pending Ready; loseDisk erases the disk.
 func (n *simNode) crash(loseDisk bool) {
-	if n.ready != nil && n.disk && n.s.chance(0.5) {
+	if n.ready != nil && n.disk && n.s.chance(storedBeforeCrashProbability) {
 		n.persist(*n.ready)
 	}
 	n.core, n.ready, n.paused, n.missedTicks = nil, nil, false, 0
-	n.downUntil = n.s.step + 1 + n.s.rand.IntN(60)
+	n.downUntil = n.s.step + 1 + n.s.rand.IntN(maxDownSteps)
 	if !n.disk || loseDisk {
 		n.stored = StoredState{}
 	}
@@ -175,7 +202,7 @@
 	n.ready = &r
 	n.readyDoneAt = n.s.step
 	if n.s.opt.faults && n.disk {
-		n.readyDoneAt += n.s.rand.IntN(3)
+		n.readyDoneAt += n.s.rand.IntN(maxSyncSteps)
 	}
 	n.sendAll(r, true)
 	if n.s.step >= n.readyDoneAt {
@@ -227,7 +254,7 @@
 // compact takes a snapshot of a member that has applied enough entries since the last.
 func (n *simNode) compact() {
 	st := n.core.Status()
-	if st.Applied < n.core.snapshot.Index+20 || n.core.newSnapshot != nil {
+	if st.Applied < n.core.snapshot.Index+snapshotInterval || n.core.newSnapshot != nil {
 		return
 	}
 	snapshot, err := n.core.SnapshotAt(st.Applied, binary.BigEndian.AppendUint64(nil, n.stateHash))
@@ -239,7 +266,7 @@
 	n.s.counts["snapshots"]++
 	if n.disk {
 		n.stored.Snapshot = snapshot
-		n.stored.Entries = slices.DeleteFunc(n.stored.Entries, func(e Entry) bool { return e.Index+3 < snapshot.Index })
+		n.stored.Entries = slices.DeleteFunc(n.stored.Entries, func(e Entry) bool { return e.Index+keptEntries < snapshot.Index })
 	}
 }
 
@@ -250,7 +277,7 @@
 			continue
 		}
 		n.s.transmit(m)
-		if n.s.opt.faults && n.s.chance(0.03) {
+		if n.s.opt.faults && n.s.chance(duplicateProbability) {
 			n.s.transmit(m)
 		}
 	}
@@ -266,8 +293,8 @@
 		return
 	}
 	delay := s.rand.IntN(2)
-	if s.opt.faults && s.chance(0.05) {
-		delay += s.rand.IntN(60)
+	if s.opt.faults && s.chance(delayProbability) {
+		delay += s.rand.IntN(maxDelaySteps)
 	}
 	s.inTransit = append(s.inTransit, simMessage{m, s.step + 1 + delay})
 }
@@ -321,7 +348,7 @@
 			s.failf("%s: %v", n.id, err)
 		}
 		n.checkStatus()
-		if s.chance(0.7) {
+		if s.chance(readyOnDeliveryProbability) {
 			n.processReady()
 		}
 	}
@@ -340,7 +367,7 @@
 		n.missedTicks++
 		return
 	}
-	if n.clockStopped || s.opt.faults && s.chance(0.05) {
+	if n.clockStopped || s.opt.faults && s.chance(missedTickProbability) {
 		return
 	}
 	n.core.Tick()
@@ -358,14 +385,14 @@
 // propose makes proposals and read requests on random members.
 func (s *sim) propose() {
 	for _, n := range s.nodes {
-		if n.core == nil || n.paused || !s.chance(0.3) {
+		if n.core == nil || n.paused || !s.chance(proposalProbability) {
 			continue
 		}
 		s.nextCommand++
 		if _, _, err := n.core.Propose(fmt.Appendf(nil, "c%d", s.nextCommand)); err == nil {
 			s.counts["proposed"]++
 		}
-		if s.chance(0.3) && n.core.ReadIndex(s.nextCommand) == nil {
+		if s.chance(readProbability) && n.core.ReadIndex(s.nextCommand) == nil {
 			s.reads[s.nextCommand] = s.lastApplied
 		}
 	}
