--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -182,6 +182,8 @@
 	})
 }
 
+// Documents of the maximum size must not fill the memory: the history must keep only as many
+// as fit into maxHistoryBytes.
 func TestHistoryIsBoundedInBytes(t *testing.T) {
 	r := NewRegister()
 	document := "#" + strings.Repeat("x", MaxDocument-1)
@@ -191,6 +193,8 @@
 	must.Len(t, maxHistoryBytes/MaxDocument, r.History(maxHistory))
 }
 
+// Many requests must not fill the memory with recorded responses. A response that is still
+// kept must be returned to a repeat.
 func TestRecordedResponsesAreBounded(t *testing.T) {
 	r := NewRegister()
 	for i := range maxResponses + 10 {
@@ -202,6 +206,8 @@
 	must.Eq(t, uint64(maxResponses+1), last.Config.Version)
 }
 
+// FuzzParse parses arbitrary texts. An error must be of kind Invalid, and a parsed document
+// must survive being formatted and parsed again.
 func FuzzParse(f *testing.F) {
 	f.Add(sample)
 	f.Add("")
@@ -219,6 +225,8 @@
 	})
 }
 
+// FuzzApply applies arbitrary commands. Apply must not panic, and a command must raise the
+// version by at most one.
 func FuzzApply(f *testing.F) {
 	good, err := Write{RequestID: "a", Document: sample}.Encode()
 	must.NoError(f, err)
--- a/internal/conf/register.go
+++ b/internal/conf/register.go
@@ -355,7 +355,7 @@
 	return newest
 }
 
-// readHistory returns the versions of a snapshot, or an error unless they grow.
+// readHistory returns the versions of a snapshot, or an error if their numbers don't grow.
 func readHistory(wire []wireConfig) ([]Config, error) {
 	var history []Config
 	before := uint64(0)
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -19,6 +19,8 @@
 
 func learner(id string) replica.Member { return replica.Member{ID: id, Learner: true} }
 
+// Each case has three voters as the wanted number. Members that aren't in sinceSeen have just
+// announced themselves.
 func TestNextMembership(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -64,6 +66,8 @@
 	must.Nil(t, members)
 }
 
+// A member restarts with other seeds in its settings. It must use the stored membership, or
+// it would read its log under a membership that was never in force.
 func TestInitialMembersSurviveRestart(t *testing.T) {
 	folder := t.TempDir()
 	first := New(Config{ID: "10.0.0.1", Port: "7", Seeds: []string{"10.0.0.1", "10.0.0.2"}, First: true, Folder: folder, Logger: log.NewNopLogger()}, link.NewClient(maxConnections), link.NewMux())
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -118,7 +118,7 @@
 	return taken
 }
 
-// do queues a call for Run and waits for its outcome.
+// execute queues a call for Run and waits for its outcome.
 func (g *Group) execute(ctx context.Context, c *call) (any, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, unavailable(err, "the context ended before the call was proposed: %v", err)
@@ -192,8 +192,8 @@
 			return unavailable(ErrStopped, "the member has stopped")
 		case <-changed:
 		case <-time.After(g.cfg.TickInterval * time.Duration(g.cfg.ElectionTicks)):
-			// The core abandons a transfer after this time, and no change of leadership
-			// ends the wait then.
+			// The core abandons a transfer after this time. That changes no status, so the
+			// wait must end here for another attempt.
 		}
 	}
 }
--- a/internal/node/http_test.go
+++ b/internal/node/http_test.go
@@ -43,7 +43,7 @@
 
 type httpInstance struct {
 	*Group
-	// groups are all groups that run on this instance, the embedded one first.
+	// groups are all groups that run on this instance; the first is the embedded Group.
 	groups    []*Group
 	transport *peer.Transport
 	listener  *peer.Listener
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -50,6 +50,7 @@
 	// Barrier waits until this member has applied everything that was committed before
 	// the call. It fails on a member that doesn't lead.
 	Barrier(ctx context.Context) error
+	// Status returns this member's view of the group.
 	Status() replica.Status
 	// Changed returns a channel that is closed at the next change of role, leader, term
 	// or CanDecide.
@@ -86,7 +87,7 @@
 type Config struct {
 	// Group names the log; it is the same on all members.
 	Group string
-	// ID is this member's ID.
+	// ID identifies this member in the group.
 	ID string
 	// Incarnation is the incarnation of this start of the member; 0 means the wall clock
 	// in milliseconds. A member that finds its state on disk keeps its stored one.
@@ -122,7 +123,7 @@
 	Logger log.Logger
 }
 
-// fill sets the defaults. It returns an error if a required field is missing.
+// normalize sets the defaults. It returns an error if a required field is missing.
 func (cfg *Config) normalize() error {
 	if cfg.Machine == nil || cfg.Transport == nil || cfg.Group == "" {
 		return errors.New("group needs a name, a state machine and a transport")
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -70,6 +70,7 @@
 	must.Eq(t, "94", c.leader().machine.get("x4"))
 }
 
+// A follower must refuse calls with ErrNotLeader, so that the caller can go to the leader.
 func TestCallsOnFollowerAreRefused(t *testing.T) {
 	c := newCluster(t, "a", Config{})
 	leader := c.leader()
@@ -125,6 +126,8 @@
 	must.NoError(t, <-proposed)
 }
 
+// A process is paused for several ticks. The clock must report all of them at the next call,
+// although no timer event came meanwhile.
 func TestClockCatchesUpOnMissedTicks(t *testing.T) {
 	start := time.Now()
 	c := newClock(start, 100*time.Millisecond)
@@ -134,6 +137,8 @@
 	must.Eq(t, 99, c.due(start.Add(10*time.Second)))
 }
 
+// When Transfer returns, another member must lead, so that a repeat of the call returns at
+// once and writes continue.
 func TestTransferWaitsForTheNextLeader(t *testing.T) {
 	c := newCluster(t, "a", Config{})
 	c.set("k", "1")
@@ -145,6 +150,8 @@
 	c.converged(3)
 }
 
+// A change of two members in one call must be refused as invalid. A change of one member
+// must succeed, and so must a repeat of the same call.
 func TestMembershipChange(t *testing.T) {
 	c := newCluster(t, "a", Config{})
 	leader := c.leader()
@@ -219,6 +226,8 @@
 	must.SliceEmpty(t, stored.Entries)
 }
 
+// Step must refuse a payload that can't be decoded, and one whose messages name another
+// sender than the member that sent it.
 func TestBadPayloadIsRefused(t *testing.T) {
 	c := newCluster(t, "", Config{})
 	m := c.leader()
--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -35,9 +35,9 @@
 // sequence (8) and checksum (4), integers in big-endian order. sequence is the number of a
 // segment, or the entry index of a snapshot.
 //
-// The salt is random for each file and part of every checksum in it. Without it,
-// bytes of a command that look like a whole record could pass for one when the record
-// that contains them is torn.
+// The salt is random for each file and part of the checksum of every record in it. Without
+// the salt, bytes of a command that look like a whole record could pass for one if the
+// record that contains the command is torn.
 type header struct {
 	magic    [8]byte
 	salt     uint64
--- a/internal/wal/recover.go
+++ b/internal/wal/recover.go
@@ -115,8 +115,8 @@
 	return true
 }
 
-// reconcileSnapshot applies the newest snapshot to the log and checks that no file
-// between them is missing.
+// reconcileSnapshot applies the newest snapshot to the log. It returns a *DamageError if a
+// snapshot that a record names or entries after the snapshot are missing.
 func (r *recoveredLog) reconcileSnapshot() error {
 	state := &r.state
 	if len(r.segments) == 0 {
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -16,6 +16,7 @@
 // smallSegmentBytes makes a few entries fill a segment.
 const smallSegmentBytes = 512
 
+// entry returns an entry whose data names its index and term.
 func entry(index, term uint64) replica.Entry {
 	return replica.Entry{Index: index, Term: term, Data: fmt.Appendf(nil, "entry %d of term %d", index, term)}
 }
@@ -67,6 +68,8 @@
 	return files.segments[len(files.segments)-1]
 }
 
+// The last hard state and the entries of several segments must be read back. Entries that a
+// later Save replaced must not come back.
 func TestSavedStateIsReadBack(t *testing.T) {
 	folder := t.TempDir()
 	w, stored := mustOpen(t, folder, smallSegmentBytes)
@@ -82,6 +85,7 @@
 	must.Eq(t, append(entryRange(1, 34, 1), entryRange(35, 50, 3)...), stored.Entries)
 }
 
+// Two processes that write to one folder would damage the log, so the second Open must fail.
 func TestSecondProcessIsRefused(t *testing.T) {
 	folder := t.TempDir()
 	w, _ := mustOpen(t, folder, smallSegmentBytes)
@@ -90,6 +94,8 @@
 	must.ErrorContains(t, err, "in use by another process")
 }
 
+// A snapshot must replace the log up to its entry and remove the segments and snapshots that
+// are no longer needed. Entries after the snapshot stay if they continue it.
 func TestSnapshotReplacesTheLogBeforeIt(t *testing.T) {
 	folder := t.TempDir()
 	w, _ := mustOpen(t, folder, smallSegmentBytes)
--- a/replica/bench_test.go
+++ b/replica/bench_test.go
@@ -19,7 +19,7 @@
 	benchCompactInterval = 1000
 )
 
-// benchGroup returns the leader and all members of a group in memory without delays.
+// benchGroup returns the leader of a group in memory, and all members by ID.
 func benchGroup(b *testing.B, size int) (*Core, map[string]*Core) {
 	var members []Member
 	for i := range size {
--- a/replica/coldstart.go
+++ b/replica/coldstart.go
@@ -16,8 +16,8 @@
 // others. When the members of R that ever took part (MemberIncarnation.Participated)
 // are fewer than a majority, each committed entry is on a member of N, since a
 // majority held it. When all disk voters that ever took part are in N, each committed
-// entry is on one of them, unless it was committed while no disk voter answered
-// (Status.Degraded). When N is empty, no member has any data. In any other case, such
+// entry is on one of them, unless it was committed while no disk voter was
+// available (Status.Degraded). When N is empty, no member has any data. In any other case, such
 // as a lost disk together with a loss of power, an operator must decide, see
 // ForceStart. The leader's log must hold at least as much as that of each member of
 // N.
@@ -77,8 +77,9 @@
 	return intact > len(states)/2
 }
 
-// tryColdStart starts a cold start when every voter has replied recently, none leads,
-// the committed entries can't be missing, and this member is the one to lead.
+// tryColdStart starts a cold start and returns true if every voter has replied recently,
+// none leads, no ordinary election can be won, no committed entry can be missing, and this
+// member is the one to lead (see coldStartLeader).
 func (c *Core) tryColdStart() bool {
 	byMembership, ok := c.voterStates()
 	if !ok || !c.mayLead() || !coldStartAllowedInAll(byMembership) {
@@ -149,8 +150,9 @@
 }
 
 // coldStartLeader returns the ID of the voter with the most complete log among those
-// that kept their state. If there is none, disk voters precede others, then the
-// lowest ID wins. Every voter with the same replies chooses the same one.
+// that kept their state. If no voter did, voters with a disk precede the others. The lowest
+// ID precedes among equals. Witnesses never lead. All voters with the same replies get the
+// same result.
 func coldStartLeader(states []voterState) string {
 	best := -1
 	for i, s := range states {
@@ -257,9 +259,8 @@
 // operator's last resort: committed entries that only other members hold are lost, and
 // the other members must not continue on their own. It is allowed on a member with a
 // disk, and on a sole voter without state, if no leader has made contact for an election
-// timeout; otherwise it returns ErrForceStart. A member whose log
-// contradicts the new one stops with a broken invariant when it rejoins: it must be
-// started without stored state.
+// timeout; otherwise it returns ErrForceStart. A member whose log contradicts the new
+// leader's log panics when it rejoins, and must then be started without stored state.
 func (c *Core) ForceStart() error {
 	self, ok := c.members.find(c.cfg.ID)
 	switch {
--- a/replica/config.go
+++ b/replica/config.go
@@ -41,7 +41,7 @@
 	Seed uint64
 	// MaxEntriesPerMessage bounds the entries of one append. Default 256.
 	MaxEntriesPerMessage int
-	// MaxInflight bounds the unanswered appends to one member. Default 16.
+	// MaxInflight bounds the appends in flight to one member. Default 16.
 	MaxInflight int
 	// KeepEntries is the number of entries before a snapshot that Compact keeps, so
 	// that a member that lags a little needs no snapshot.
@@ -79,10 +79,10 @@
 	}
 }
 
-// leaseTicks returns how many ticks a leader may decide after sending a heartbeat
-// that a majority answered. The members that answered refuse votes for ElectionTicks
-// after they received it, which is later than it was sent. The margin covers the
-// phase of both clocks and a quarter of difference in their rates.
+// leaseTicks returns how many ticks a leader may decide after sending a heartbeat to
+// which a majority replied. The members that replied refuse votes for ElectionTicks after
+// they received the heartbeat, which is later than it was sent. The margin covers the
+// phase of both clocks and a difference of a quarter in their rates.
 func (cfg *Config) leaseTicks() int {
 	margin := max(minLeaseMarginTicks, cfg.ElectionTicks/leaseMarginDivisor)
 	return cfg.ElectionTicks - margin
--- a/replica/lease_test.go
+++ b/replica/lease_test.go
@@ -174,9 +174,9 @@
 	return c
 }
 
-// After the wall clock went back, a new start has a lower incarnation than an earlier
-// one. A recovering member takes a higher one when it learns of the earlier one. Any
-// other member panics, because its ID runs twice.
+// The wall clock goes back, and a member starts under a lower incarnation than before. A
+// recovering member must take a higher incarnation once it learns of the earlier one. Any
+// other member must panic, because its ID may run twice.
 func TestIncarnationBelowKnownOne(t *testing.T) {
 	c := coreWithoutState(t)
 	stepFromPeer(t, c, Message{Type: MsgAppend, From: "n1", Term: 3}, MemberIncarnation{ID: "n0", Incarnation: 20})
--- a/replica/message.go
+++ b/replica/message.go
@@ -9,15 +9,15 @@
 const (
 	// MsgPreVote asks whether a vote would be granted; it changes no state.
 	MsgPreVote MessageType = iota + 1
-	// MsgPreVoteReply answers MsgPreVote.
+	// MsgPreVoteReply replies to MsgPreVote.
 	MsgPreVoteReply
 	// MsgVote asks for a vote in Term.
 	MsgVote
-	// MsgVoteReply answers MsgVote.
+	// MsgVoteReply replies to MsgVote.
 	MsgVoteReply
 	// MsgAppend carries entries, or none when it serves as a heartbeat.
 	MsgAppend
-	// MsgAppendReply answers MsgAppend and MsgSnapshot.
+	// MsgAppendReply replies to MsgAppend and MsgSnapshot.
 	MsgAppendReply
 	// MsgSnapshot carries a snapshot for a member that lacks entries which the
 	// leader's log no longer holds.
@@ -28,11 +28,11 @@
 	// recovering. A recovering member sends it under its new incarnation, which is
 	// the nonce that the reply must repeat.
 	MsgState
-	// MsgStateReply answers MsgState.
+	// MsgStateReply replies to MsgState.
 	MsgStateReply
 	// MsgFetch requests a witness's log after Index.
 	MsgFetch
-	// MsgFetchReply answers MsgFetch.
+	// MsgFetchReply replies to MsgFetch.
 	MsgFetchReply
 	// MsgNotMember replies to a request of a member that isn't in the committed
 	// membership; Index is the index of the entry that set that membership.
--- a/replica/recovery.go
+++ b/replica/recovery.go
@@ -12,13 +12,13 @@
 // the member acknowledged to earlier leaders are in that leader's log. The member votes
 // and acknowledges nothing before it holds the leader's log up to that entry.
 //
-// The majority must be one in each membership of the replying leader from its last
-// committed one on. A deposed leader may have proposed, and failed to commit, the
+// The members that replied must be a majority in each membership of the replying leader,
+// from its last committed one on. A deposed leader may have proposed, and failed to commit, the
 // removal of the very member that leads now. Counted by that proposal alone, the
 // quorum of the lost votes and this majority needn't share a member, and two leaders
-// of one term or a lost commit would follow. Every change after the committed
-// membership needed a quorum of that membership first, so a majority of it meets
-// every such quorum (the model spec/membership.pml checks this).
+// of one term or a lost commit would follow. Every change after the committed membership
+// needed a quorum of the committed membership first, so a majority of the latter shares a
+// member with every such quorum (the model spec/membership.pml checks this).
 type recovery struct {
 	replies          map[string]stateReply
 	requestCountdown int
@@ -112,7 +112,7 @@
 	}
 }
 
-// tryRecover chooses the leader to recover from once the replies suffice.
+// tryRecover sets the leader to recover from once the replies suffice (see recovery).
 func (c *Core) tryRecover() {
 	highest := c.term
 	for _, reply := range c.recovery.replies {
--- a/replica/recovery_test.go
+++ b/replica/recovery_test.go
@@ -85,8 +85,8 @@
 }
 
 // n0 holds an uncommitted membership with a fourth voter. The disks of n1 and n2, a
-// majority of the committed membership, are lost, and possibly entries that they had
-// committed. n0 must not lead although two of four voters kept their state.
+// majority of the committed membership, are lost, and committed entries may have been only
+// on these disks. n0 must not lead, although two of the four voters kept their state.
 func TestColdStartRuleHoldsInEachMembership(t *testing.T) {
 	for participated, role := range map[bool]Role{false: Leader, true: Candidate} {
 		c := candidateCore(t, "n0", "n1", "n2")
--- a/replica/scenario_test.go
+++ b/replica/scenario_test.go
@@ -159,9 +159,9 @@
 	must.SliceEmpty(t, s.violations)
 }
 
-// The disk of one of two disk members is lost together with the power. The other disk
-// may lack entries that only the lost one had synced, so the group must not start
-// until an operator forces it.
+// All members lose power, and one of two disks is lost as well. The other disk may lack
+// entries that only the lost disk had synced, so the group must not start until an operator
+// forces it.
 func TestForceStartAfterLostDisk(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3, disks: 2})
 	s.losePower()
--- a/replica/sim_checks_test.go
+++ b/replica/sim_checks_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// checkStatus checks that each term has one leader and records the commit index.
+// checkStatus checks that each term has at most one leader and records the commit index.
 func (n *simNode) checkStatus() {
 	if n.core == nil {
 		return
@@ -91,7 +91,7 @@
 }
 
 // checkLogs checks log matching: two logs with the same term at an index are equal up
-// to it.
+// to that index.
 func (s *sim) checkLogs() {
 	for _, a := range s.nodes {
 		for _, b := range s.nodes {
--- a/replica/sim_test.go
+++ b/replica/sim_test.go
@@ -10,8 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Load, snapshots and network of a simulation. Probabilities are per opportunity: a step of
-// a member, a message or a crash.
+// Load, snapshots and network of a simulation. Each probability applies to one step of a
+// member or to one message.
 const (
 	proposalProbability = 0.3
 	// readProbability is the probability of a read request after each proposal.
