--- a/replica/config.go
+++ b/replica/config.go
@@ -13,7 +13,8 @@
 	// election timeout: the timeout divided by it.
 	leaseMarginDivisor = 4
 	// minLeaseMarginTicks is the least number of ticks between the end of the lease
-	// and the first vote: one for the phase of each of the two clocks.
+	// and the first vote: one for each of the two clocks, whose position within a tick
+	// is unknown.
 	minLeaseMarginTicks = 2
 )
 
@@ -82,7 +83,7 @@
 // leaseTicks returns how many ticks a leader may decide after sending a heartbeat to
 // which a majority replied. The members that replied refuse votes for ElectionTicks after
 // they received the heartbeat, which is later than it was sent. The margin covers the
-// phase of both clocks and a difference of a quarter in their rates.
+// position of both clocks within a tick and a difference of a quarter in their rates.
 func (cfg *Config) leaseTicks() int {
 	margin := max(minLeaseMarginTicks, cfg.ElectionTicks/leaseMarginDivisor)
 	return cfg.ElectionTicks - margin
--- a/replica/election.go
+++ b/replica/election.go
@@ -1,7 +1,7 @@
 package replica
 
-// campaign is the candidacy of this member in one round. A vote is deleted when a
-// later incarnation of its voter becomes known.
+// campaign is one round of a pre-vote or an election in which this member asks for votes.
+// A vote is deleted when a later incarnation of its voter becomes known.
 type campaign struct {
 	kind  campaignKind
 	votes map[string]vote
--- a/replica/incarnations.go
+++ b/replica/incarnations.go
@@ -11,14 +11,15 @@
 // incarnations is the vector of the latest known incarnations of all members. Its
 // values only grow.
 //
-// It guards against the following failure. A diskless member votes or acknowledges,
-// fails and restarts without state. It learns nothing of its vote, because the
-// message that carries it is still in flight. The delayed message then completes a
-// quorum with a member that no longer honours the vote. To prevent this, a recovering
-// member registers its new incarnation with a majority. Each quorum that the delayed
-// message could complete then has a member that either replied before it voted (its
-// message names the new incarnation, so the delayed one is discarded) or voted before
-// it replied (the recovering member learned the term from it).
+// The vector guards against the following failure. A diskless member votes or
+// acknowledges, fails and restarts without state. The message with its vote is still in
+// flight, so no other member can tell it about the vote. The delayed message then
+// completes a quorum, although its sender no longer keeps to the vote. To prevent this, a
+// recovering member registers its new incarnation with a majority. Each quorum that the
+// delayed message could complete has another member in that majority. If the other member
+// replied to the recovering member before it voted, its vote names the new incarnation, so
+// the delayed message is discarded. If it voted before it replied, the recovering member
+// learned the term from the reply.
 type incarnations struct {
 	known  []MemberIncarnation // ordered by ID
 	digest uint64
--- a/replica/lease_test.go
+++ b/replica/lease_test.go
@@ -13,8 +13,8 @@
 
 // A leader must not decide any more once its followers may elect another one. The lease
 // runs from the sending of the last heartbeat that a majority replied to. It ends at least
-// two ticks, one for the phase of each clock, before a follower that received that
-// heartbeat immediately may vote.
+// two ticks, one for the position of each clock within a tick, before a follower that
+// received that heartbeat immediately may vote.
 func TestLeaseEndsBeforeVotes(t *testing.T) {
 	for _, age := range []uint64{0, 3} {
 		c := leaderCore(t, "n0", "n1", "n2")
--- a/replica/members.go
+++ b/replica/members.go
@@ -8,8 +8,8 @@
 )
 
 // membershipHistory holds the memberships in the log, so that truncating an
-// uncommitted entry also reverts its membership. The latest one is in force as soon
-// as it is in the log.
+// uncommitted entry also reverts its membership. The latest membership is in force as
+// soon as it is in the log, before it is committed.
 type membershipHistory struct {
 	versions []membershipVersion
 }
--- a/replica/transfer.go
+++ b/replica/transfer.go
@@ -33,7 +33,7 @@
 
 // tryTransfer tells the new leader to campaign once it has caught up. From then on
 // this leader decides nothing any more: the voters grant the forced votes in spite of
-// its lease, so the lease no longer protects it.
+// its lease, so another leader may be elected before the lease expires.
 func (c *Core) tryTransfer(from string) {
 	t := &c.leaderState.transfer
 	if c.role != Leader || t.to != from || t.timeoutNowSent {
--- a/replica/types.go
+++ b/replica/types.go
@@ -63,9 +63,9 @@
 type MemberIncarnation struct {
 	ID          string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Participated says that the member has taken part without having to recover,
-	// under this or an earlier incarnation. Its disk may therefore have been the one
-	// that held a committed entry.
+	// Participated says that the member has led or ended a recovery at least once, under
+	// this or an earlier incarnation. Its disk may therefore have been the only one that
+	// held a committed entry.
 	Participated bool `cbor:"3,keyasint,omitempty"`
 }
 
