--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -40,7 +40,7 @@
 	must.Eq(t, sample, d.String())
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRefusesInvalidDocuments(t *testing.T) {
 	cases := []struct{ text, field, message string }{
 		{strings.Replace(sample, "himalaya", "rackwise", 1), "customer[1].name", "line 9: customer \"rackwise\" is named twice"},
 		{strings.Replace(sample, "200.5", "lots", 1), "customer[0].cpu", "line 3: \"lots\" isn't a number of cores"},
@@ -73,22 +73,22 @@
 }
 
 // Guards against a lost update. Two operators have both read version 0 and write at the
-// same time. One write succeeds, the other's error names the current version; a repeat of
-// either gets its first answer and writes nothing again.
+// same time. One write must succeed, and the error of the other must name the current
+// version. A repeat of either request must get its first response and write nothing.
 func TestOnlyOneOfTwoConcurrentWritesSucceeds(t *testing.T) {
 	r := NewRegister()
 	changed := r.Changed()
 	first := Write{RequestID: "a", Document: sample, Author: "op1"}
 	second := Write{RequestID: "b", Document: "", Author: "op2"}
-	won := r.Apply(1, encode(t, first)).(Outcome)
-	must.NoError(t, won.Err)
-	must.Eq(t, uint64(1), won.Config.Version)
+	accepted := r.Apply(1, encode(t, first)).(Outcome)
+	must.NoError(t, accepted.Err)
+	must.Eq(t, uint64(1), accepted.Config.Version)
 	<-changed
-	lost := r.Apply(2, encode(t, second)).(Outcome)
-	must.True(t, fault.Is(lost.Err, fault.Conflict))
-	must.ErrorContains(t, lost.Err, "the current version is 1")
+	refused := r.Apply(2, encode(t, second)).(Outcome)
+	must.True(t, fault.Is(refused.Err, fault.Conflict))
+	must.ErrorContains(t, refused.Err, "the current version is 1")
 
-	first.Accepted = time.UnixMilli(99) // a repeat comes later
+	first.Accepted = time.UnixMilli(99) // a repeat carries a later time
 	must.Eq(t, uint64(1), r.Apply(3, encode(t, first)).(Outcome).Config.Version)
 	must.ErrorContains(t, r.Apply(4, encode(t, second)).(Outcome).Err, "the current version is 1")
 	second.Expected = 1
@@ -98,15 +98,15 @@
 	must.Error(t, r.Apply(7, []byte("junk")).(Outcome).Err)
 }
 
-func TestEncodeRefuses(t *testing.T) {
+func TestEncodeRefusesInvalidWrites(t *testing.T) {
 	for _, w := range []Write{{}, {RequestID: strings.Repeat("x", 200)}, {RequestID: "a", Document: "x = 1"}, {RequestID: "a", Author: strings.Repeat("x", 300)}} {
 		_, err := w.Encode()
 		must.True(t, fault.Is(err, fault.Invalid))
 	}
 }
 
-// Guards against a configuration in force that goes back: an instance gets an old
-// snapshot late, after it has applied newer versions.
+// Guards against a configuration in force that goes back to an older version: an instance
+// receives an old snapshot late, after it has applied newer versions.
 func TestVersionNeverGoesBack(t *testing.T) {
 	r := NewRegister()
 	r.Apply(1, encode(t, Write{RequestID: "a"}))
@@ -122,10 +122,10 @@
 	must.Eq(t, uint64(2), h.Current().Version)
 }
 
-// Guards against losing the configuration in force: a newer program has written a
-// document with a key that this program doesn't know. The version counts, and the last
-// readable document stays in force.
-func TestUnreadableDocument(t *testing.T) {
+// Guards against losing the configuration in force: a newer program has written a document
+// with a key that this program doesn't know. The new version must be in force with the
+// last readable document.
+func TestUnreadableDocumentKeepsLastReadableOne(t *testing.T) {
 	var h Holder
 	must.True(t, h.Set(Config{Version: 1, Text: sample}))
 	must.True(t, h.Set(Config{Version: 2, Text: "new_key = 1"}))
@@ -134,9 +134,9 @@
 	must.Len(t, 2, h.Current().Document.Customers)
 }
 
-// Random writes, repeats and restarts from snapshots: versions grow by one, a repeat
-// never writes, a restored copy answers like the original, and memory stays within its
-// bounds.
+// TestRegisterRandom makes random writes, repeats and restarts from snapshots. Versions must
+// grow by one, a repeat must never write, a restored copy must have the same snapshot, and
+// the history must stay within its bounds.
 func TestRegisterRandom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewRegister()
@@ -169,7 +169,8 @@
 				r = other
 			}
 			must.Eq(t, version, r.Current().Version)
-			history := r.History(1000)
+			const allVersions = 1000 // more than the register keeps
+			history := r.History(allVersions)
 			must.LessEq(t, maxHistory, len(history))
 			total := 0
 			for i, c := range history {
@@ -181,6 +182,8 @@
 	})
 }
 
+// Documents of the maximum size must not fill the memory: the history must keep only as many
+// as fit into maxHistoryBytes.
 func TestHistoryIsBoundedInBytes(t *testing.T) {
 	r := NewRegister()
 	document := "#" + strings.Repeat("x", MaxDocument-1)
@@ -190,6 +193,8 @@
 	must.Len(t, maxHistoryBytes/MaxDocument, r.History(maxHistory))
 }
 
+// Many requests must not fill the memory with recorded responses. A response that is still
+// kept must be returned to a repeat.
 func TestRecordedResponsesAreBounded(t *testing.T) {
 	r := NewRegister()
 	for i := range maxResponses + 10 {
@@ -201,6 +206,8 @@
 	must.Eq(t, uint64(maxResponses+1), last.Config.Version)
 }
 
+// FuzzParse parses arbitrary texts. An error must be of kind Invalid, and a parsed document
+// must survive being formatted and parsed again.
 func FuzzParse(f *testing.F) {
 	f.Add(sample)
 	f.Add("")
@@ -218,6 +225,8 @@
 	})
 }
 
+// FuzzApply applies arbitrary commands. Apply must not panic, and a command must raise the
+// version by at most one.
 func FuzzApply(f *testing.F) {
 	good, err := Write{RequestID: "a", Document: sample}.Encode()
 	must.NoError(f, err)
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -12,10 +12,15 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
+// maxConnections bounds the connections of a client, which the tests don't use.
+const maxConnections = 100
+
 func voter(id string) replica.Member { return replica.Member{ID: id} }
 
 func learner(id string) replica.Member { return replica.Member{ID: id, Learner: true} }
 
+// Each case has three voters as the wanted number. Members that aren't in sinceSeen have just
+// announced themselves.
 func TestNextMembership(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -26,7 +31,7 @@
 		{"nothing to do", []replica.Member{voter("own"), voter("b"), voter("c"), learner("d")}, nil, nil},
 		{"a learner replaces an unresponsive voter", []replica.Member{voter("own"), voter("b"), voter("c"), learner("d")},
 			map[string]time.Duration{"b": 3 * time.Second}, []replica.Member{voter("own"), voter("b"), voter("c"), voter("d")}},
-		{"then the unresponsive voter is removed", []replica.Member{voter("own"), voter("b"), voter("c"), voter("d")},
+		{"an unresponsive voter beyond the number of voters is removed", []replica.Member{voter("own"), voter("b"), voter("c"), voter("d")},
 			map[string]time.Duration{"b": 3 * time.Second}, []replica.Member{voter("own"), voter("c"), voter("d")}},
 		{"an unresponsive voter stays while no learner can replace it", []replica.Member{voter("own"), voter("b"), voter("c")},
 			map[string]time.Duration{"b": time.Minute}, nil},
@@ -37,7 +42,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Now()
-			h := New(Config{ID: "own", Voters: 3, Logger: log.NewNopLogger()}, link.NewClient(100), link.NewMux())
+			h := New(Config{ID: "own", Voters: 3, Logger: log.NewNopLogger()}, link.NewClient(maxConnections), link.NewMux())
 			h.liveness.setLeading(true, now.Add(-time.Hour))
 			for _, m := range c.members {
 				h.liveness.recordSeen(m.ID, now.Add(-c.sinceSeen[m.ID]))
@@ -50,24 +55,26 @@
 	}
 }
 
-// Guards against membership changes although nothing is wrong: an instance has just
-// become the leader and no member has announced itself to it yet. The time
-// before that must not count.
+// Guards against needless membership changes: an instance has just become the leader, and no
+// member has announced itself to it yet. The time before it became the leader must not
+// count.
 func TestNewLeaderDoesNotReplaceVotersBeforeTheyAnnounce(t *testing.T) {
-	h := New(Config{ID: "own", Voters: 3, Logger: log.NewNopLogger()}, link.NewClient(100), link.NewMux())
+	h := New(Config{ID: "own", Voters: 3, Logger: log.NewNopLogger()}, link.NewClient(maxConnections), link.NewMux())
 	now := time.Now()
 	h.liveness.setLeading(true, now)
 	members, _ := h.nextMembership(replica.Status{Members: []replica.Member{voter("own"), voter("b"), voter("c"), learner("d")}}, now)
 	must.Nil(t, members)
 }
 
+// A member restarts with other seeds in its settings. It must use the stored membership, or
+// it would read its log under a membership that was never in force.
 func TestInitialMembersSurviveRestart(t *testing.T) {
 	folder := t.TempDir()
-	first := New(Config{ID: "10.0.0.1", Port: "7", Seeds: []string{"10.0.0.1", "10.0.0.2"}, First: true, Folder: folder, Logger: log.NewNopLogger()}, link.NewClient(100), link.NewMux())
+	first := New(Config{ID: "10.0.0.1", Port: "7", Seeds: []string{"10.0.0.1", "10.0.0.2"}, First: true, Folder: folder, Logger: log.NewNopLogger()}, link.NewClient(maxConnections), link.NewMux())
 	members, err := first.initialMembers(t.Context())
 	must.NoError(t, err)
 	must.Eq(t, "10.0.0.1:7", members[0].Address)
-	again := New(Config{ID: "10.0.0.1", Port: "7", Seeds: []string{"10.0.0.9"}, Folder: folder, Logger: log.NewNopLogger()}, link.NewClient(100), link.NewMux())
+	again := New(Config{ID: "10.0.0.1", Port: "7", Seeds: []string{"10.0.0.9"}, Folder: folder, Logger: log.NewNopLogger()}, link.NewClient(maxConnections), link.NewMux())
 	stored, err := again.initialMembers(t.Context())
 	must.NoError(t, err)
 	must.Eq(t, members, stored)
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -14,12 +14,12 @@
 // These errors mark the faults of kind Unavailable that Propose, Barrier,
 // ChangeMembership and Transfer return. Compare with errors.Is.
 var (
-	// ErrNotLeader means that this member may not decide; nothing was proposed. Status
-	// names the leader if one is known.
+	// ErrNotLeader means that this member may not decide; nothing was proposed.
+	// Group.Status names the leader if one is known.
 	ErrNotLeader = errors.New("not leader")
 	// ErrOutcomeUnknown means that the command was proposed and this member can't tell
 	// whether it will be committed.
-	ErrOutcomeUnknown = errors.New("fate open")
+	ErrOutcomeUnknown = errors.New("outcome unknown")
 	// ErrNotCommitted means that the command was proposed and will never be committed.
 	ErrNotCommitted = errors.New("not committed")
 	// ErrStopped means that this member has stopped; nothing was proposed.
@@ -34,7 +34,7 @@
 	return unavailable(ErrOutcomeUnknown, "%s; the command may or may not be committed", reason)
 }
 
-// outcome is the result of a call.
+// outcome is the result of a call: a value, or the error.
 type outcome struct {
 	value any
 	err   error
@@ -56,11 +56,11 @@
 	command []byte
 	members []replica.Member
 	target  string
-	// answer has a buffer of one, so that reply never blocks.
-	answer chan outcome
+	// outcome has a buffer of one, so that reply never blocks.
+	outcome chan outcome
 }
 
-func (c *call) reply(value any, err error) { c.answer <- outcome{value, err} }
+func (c *call) reply(value any, err error) { c.outcome <- outcome{value, err} }
 
 // callQueue holds the calls that Run hasn't taken yet.
 type callQueue struct {
@@ -118,39 +118,41 @@
 	return taken
 }
 
-// do queues a call for Run and waits for its outcome.
-func (g *Group) do(ctx context.Context, c *call) (any, error) {
+// execute queues a call for Run and waits for its outcome.
+func (g *Group) execute(ctx context.Context, c *call) (any, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, unavailable(err, "the context ended before the call was proposed: %v", err)
 	}
-	c.answer = make(chan outcome, 1)
+	c.outcome = make(chan outcome, 1)
 	if err := g.calls.push(c); err != nil {
 		return nil, err
 	}
 	g.signal()
 	select {
-	case o := <-c.answer:
+	case o := <-c.outcome:
 		return o.value, o.err
 	case <-ctx.Done():
 	}
 	if g.calls.remove(c) {
 		return nil, unavailable(ctx.Err(), "the context ended before the call was proposed: %v", ctx.Err())
 	}
-	return nil, errors.Mark(outcomeUnknown("the context ended before the log answered"), ctx.Err())
+	return nil, errors.Mark(outcomeUnknown("the context ended before the outcome was known"), ctx.Err())
 }
 
 // Propose waits until the command is committed and applied on this member and returns
 // the result of Apply. All errors are faults: Overloaded when too many calls are
-// pending, else Unavailable, marked with what is known of the command's outcome.
+// pending, else Unavailable, marked with ErrNotLeader, ErrOutcomeUnknown, ErrNotCommitted
+// or ErrStopped, or with the error of the context if it ended.
 func (g *Group) Propose(ctx context.Context, command []byte) (any, error) {
 	g.counters.proposals.Add(1)
-	return g.do(ctx, &call{kind: callPropose, command: command})
+	return g.execute(ctx, &call{kind: callPropose, command: command})
 }
 
 // Barrier waits until this member has applied everything that was committed before the
-// call and has confirmed that it still led after the call started.
+// call, and until a majority has confirmed that the member still led after the call
+// started. Errors are as for Propose.
 func (g *Group) Barrier(ctx context.Context) error {
-	_, err := g.do(ctx, &call{kind: callBarrier})
+	_, err := g.execute(ctx, &call{kind: callBarrier})
 	return err
 }
 
@@ -158,19 +160,20 @@
 // member, and waits until it is committed. Faults: Invalid for a membership that is
 // never allowed, Conflict for one that isn't allowed now, Unavailable as for Propose.
 func (g *Group) ChangeMembership(ctx context.Context, members []replica.Member) error {
-	_, err := g.do(ctx, &call{kind: callMembership, members: members})
+	_, err := g.execute(ctx, &call{kind: callMembership, members: members})
 	return err
 }
 
 // ForceStart makes this member the only voter of the group; see replica.Core.ForceStart
 // for what that may lose. A refusal is a fault of kind Conflict.
 func (g *Group) ForceStart(ctx context.Context) error {
-	_, err := g.do(ctx, &call{kind: callForceStart})
+	_, err := g.execute(ctx, &call{kind: callForceStart})
 	return err
 }
 
-// Transfer transfers the leadership to another member and waits until one leads. On a
-// member that doesn't lead it returns immediately when another member leads.
+// Transfer transfers the leadership to another member and waits until another member
+// leads. If another member leads already, it returns immediately. The error is Unavailable
+// when ctx ends or the member stops first.
 func (g *Group) Transfer(ctx context.Context) error {
 	var errs error
 	for {
@@ -189,8 +192,8 @@
 			return unavailable(ErrStopped, "the member has stopped")
 		case <-changed:
 		case <-time.After(g.cfg.TickInterval * time.Duration(g.cfg.ElectionTicks)):
-			// The core abandons a transfer after this time, without a change of
-			// leadership that would wake this loop.
+			// The core abandons a transfer after this time. That changes no status, so the
+			// wait must end here for another attempt.
 		}
 	}
 }
@@ -202,7 +205,7 @@
 		if m.ID == g.cfg.ID || m.Learner || m.Witness {
 			continue
 		}
-		_, err := g.do(ctx, &call{kind: callTransfer, target: m.ID})
+		_, err := g.execute(ctx, &call{kind: callTransfer, target: m.ID})
 		if err == nil {
 			return nil
 		}
@@ -211,7 +214,8 @@
 	return errs
 }
 
-// coreFault converts an error of the core into a fault. Nothing was proposed.
+// coreFault converts an error of the core into a fault. An error of the core means that
+// nothing was proposed.
 func (g *Group) coreFault(err error) error {
 	switch {
 	case errors.Is(err, replica.ErrNotLeader):
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -15,9 +15,16 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// waitTimeout bounds waits that are expected to end; it asserts no speed.
+// waitTimeout bounds waits for conditions that are expected to hold soon. Tests don't use
+// it to check speed.
 const waitTimeout = 30 * time.Second
 
+const (
+	pollInterval = 2 * time.Millisecond
+	// callTimeout bounds one call of a client, which then tries again or gives up.
+	callTimeout = time.Second
+)
+
 // registers is a state machine of named registers. A command sets one and returns the
 // value that it replaced.
 type registers struct {
@@ -83,15 +90,15 @@
 	id  string
 }
 
-func (p memberTransport) Send(_, to string, payload []byte) {
-	p.net.mu.Lock()
-	step := p.net.steps[to]
-	if p.net.isolated[p.id] || p.net.isolated[to] {
+func (t memberTransport) Send(_, to string, payload []byte) {
+	t.net.mu.Lock()
+	step := t.net.steps[to]
+	if t.net.isolated[t.id] || t.net.isolated[to] {
 		step = nil
 	}
-	p.net.mu.Unlock()
+	t.net.mu.Unlock()
 	if step != nil {
-		_ = step(p.id, payload)
+		_ = step(t.id, payload)
 	}
 }
 
@@ -124,7 +131,7 @@
 	config  Config
 	mu      sync.Mutex
 	members map[string]*member
-	starts  uint64
+	starts  uint64 // number of starts of members so far
 }
 
 // newCluster starts members a, b and c. The members named in disks have a disk.
@@ -147,6 +154,7 @@
 	return c
 }
 
+// start opens and runs the member id. A member with a disk finds what it stored before.
 func (c *cluster) start(id string) *member {
 	c.t.Helper()
 	c.starts++
@@ -206,10 +214,10 @@
 }
 
 // eventually waits until a condition holds.
-func eventually(t *testing.T, what string, condition func() bool) {
+func eventually(t *testing.T, awaited string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
-		must.True(t, time.Now().Before(end), must.Sprint("timed out waiting for "+what))
+	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(pollInterval) {
+		must.True(t, time.Now().Before(end), must.Sprint("timed out waiting for "+awaited))
 	}
 }
 
@@ -232,13 +240,14 @@
 func (c *cluster) set(key, value string) {
 	c.t.Helper()
 	eventually(c.t, "a write", func() bool {
-		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		defer cancel()
 		_, err := c.leader().Propose(ctx, set(key, value))
 		return err == nil
 	})
 }
 
+// setMany writes n times to ten registers whose names begin with prefix, in turn.
 func (c *cluster) setMany(prefix string, n int) {
 	c.t.Helper()
 	for i := range n {
--- a/internal/node/http_test.go
+++ b/internal/node/http_test.go
@@ -25,14 +25,25 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// httpCluster is a group of members with disks that talk HTTP on 127.0.0.1.
+const (
+	benchCommandBytes  = 60
+	leaderPollInterval = 5 * time.Millisecond
+	// connectionDelay is the time after the elections in which the instances open their
+	// connections.
+	connectionDelay = 2 * time.Second
+	// latencyDigits is the number of significant decimal digits of recorded latencies.
+	latencyDigits = 3
+)
+
+// httpCluster is a set of instances with disks that exchange messages over HTTP on
+// 127.0.0.1.
 type httpCluster struct {
 	instances []*httpInstance
 }
 
 type httpInstance struct {
 	*Group
-	// groups are all groups that run on this instance, the embedded one first.
+	// groups are all groups that run on this instance; the first is the embedded Group.
 	groups    []*Group
 	transport *peer.Transport
 	listener  *peer.Listener
@@ -64,26 +75,26 @@
 		groups = []string{"bench"}
 	}
 	h := &httpCluster{}
-	var list []replica.Member
+	var replicas []replica.Member
 	listeners := make([]*peer.Listener, members)
 	for i := range members {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		must.NoError(t, err)
 		listeners[i] = peer.CountListener(listener)
-		list = append(list, replica.Member{ID: fmt.Sprint(i), Address: listener.Addr().String(), HasDisk: true})
+		replicas = append(replicas, replica.Member{ID: fmt.Sprint(i), Address: listener.Addr().String(), HasDisk: true})
 	}
 	folder := t.TempDir()
-	for i, m := range list {
-		n := startInstance(t, m, list, filepath.Join(folder, m.ID), listeners[i], delay, groups)
+	for i, m := range replicas {
+		n := startInstance(t, m, replicas, filepath.Join(folder, m.ID), listeners[i], delay, groups)
 		t.Cleanup(n.stop)
 		h.instances = append(h.instances, n)
 	}
 	return h
 }
 
-func startInstance(t testing.TB, self replica.Member, list []replica.Member, folder string, listener *peer.Listener, delay time.Duration, groups []string) *httpInstance {
+func startInstance(t testing.TB, self replica.Member, members []replica.Member, folder string, listener *peer.Listener, delay time.Duration, groups []string) *httpInstance {
 	transport := peer.New(peer.Config{ID: self.ID, Bearer: "Bearer test"})
-	for _, m := range list {
+	for _, m := range members {
 		if m.ID != self.ID {
 			transport.SetPeer(m.ID, m.Address)
 		}
@@ -92,7 +103,7 @@
 	var opened []*Group
 	for _, name := range groups {
 		g, err := Open(Config{
-			Group: name, ID: self.ID, Members: list, Folder: filepath.Join(folder, name),
+			Group: name, ID: self.ID, Members: members, Folder: filepath.Join(folder, name),
 			Machine: &counter{}, Transport: transport,
 		})
 		must.NoError(t, err)
@@ -121,7 +132,7 @@
 }
 
 func (h *httpCluster) leader(t testing.TB) *httpInstance {
-	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(leaderPollInterval) {
 		for _, n := range h.instances {
 			if n.Status().CanDecide {
 				return n
@@ -132,7 +143,7 @@
 	return nil
 }
 
-// Guards against lost commits: three members talk over HTTP, the leader's process ends,
+// Guards against lost commits: three members exchange messages over HTTP, the leader stops,
 // and another member must take over with everything that was committed.
 func TestGroupOverHTTP(t *testing.T) {
 	h := newHTTPCluster(t, 3, 0)
@@ -151,9 +162,9 @@
 }
 
 // BenchmarkCommit measures committed proposals of 60 bytes and the latency that callers
-// see. The delay is one way. Without a rate, each caller proposes again as soon as it
-// is answered. With a rate, proposals are sent at that rate regardless of the answers,
-// and their latency counts from when they were due.
+// see. The delay is one way. Without a rate, each caller proposes again as soon as its
+// proposal is committed. With a rate, proposals are made at that rate, whether or not
+// earlier ones are committed, and their latency counts from when they were due.
 func BenchmarkCommit(b *testing.B) {
 	for _, c := range []struct {
 		members, callers, rate int
@@ -164,7 +175,7 @@
 	} {
 		b.Run(fmt.Sprintf("members=%d/callers=%d/rate=%d/delay=%v", c.members, c.callers, c.rate, c.delay), func(b *testing.B) {
 			h := newHTTPCluster(b, c.members, c.delay)
-			generator := &loadGenerator{b: b, leader: h.leader(b), latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+			generator := &loadGenerator{b: b, leader: h.leader(b), latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), latencyDigits)}
 			b.ResetTimer()
 			if c.rate > 0 {
 				generator.openLoop(c.rate)
@@ -185,7 +196,7 @@
 }
 
 func (g *loadGenerator) propose(due time.Time) {
-	_, err := g.leader.Propose(context.Background(), make([]byte, 60))
+	_, err := g.leader.Propose(context.Background(), make([]byte, benchCommandBytes))
 	took := time.Since(due)
 	must.NoError(g.b, err)
 	g.mu.Lock()
@@ -193,6 +204,8 @@
 	_ = g.latency.RecordValue(took.Microseconds())
 }
 
+// closedLoop makes b.N proposals by a number of callers that each wait for the outcome
+// before the next proposal.
 func (g *loadGenerator) closedLoop(callers int) {
 	var left atomic.Int64
 	left.Store(int64(g.b.N))
@@ -207,6 +220,7 @@
 	group.Wait()
 }
 
+// openLoop makes b.N proposals at a rate per second.
 func (g *loadGenerator) openLoop(rate int) {
 	var group sync.WaitGroup
 	start := time.Now()
@@ -226,9 +240,10 @@
 	g.b.ReportMetric(float64(stats.Commits)/float64(max(1, stats.LogSyncs)), "entries/sync")
 }
 
-// BenchmarkIdle measures the bytes that idle members send and receive at the socket, on
-// connections opened and accepted, by the number of groups that the instance leads, and
-// the processor time of all members together. One operation is a second.
+// BenchmarkIdle measures the bytes per second that idle instances send and receive at the
+// socket, on connections opened and accepted, by the number of groups that the instance
+// leads. It also measures the processor time of all instances together. One operation is a
+// second.
 func BenchmarkIdle(b *testing.B) {
 	for _, groups := range [][]string{{"cell"}, {"cell", "configuration"}} {
 		b.Run(fmt.Sprintf("groups=%d", len(groups)), func(b *testing.B) {
@@ -252,7 +267,7 @@
 
 // waitUntilReady waits until each group has a leader and the connections are open.
 func (h *httpCluster) waitUntilReady(t testing.TB, groups int) {
-	for end := time.Now().Add(waitTimeout); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(leaderPollInterval) {
 		led := 0
 		for _, n := range h.instances {
 			led += n.ledGroups()
@@ -262,7 +277,7 @@
 		}
 		must.True(t, time.Now().Before(end), must.Sprint("timed out waiting for leaders"))
 	}
-	time.Sleep(2 * time.Second)
+	time.Sleep(connectionDelay)
 }
 
 func (n *httpInstance) ledGroups() int {
@@ -282,6 +297,7 @@
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
 
+// socketBytes returns the bytes sent and received on all connections of the instance.
 func (n *httpInstance) socketBytes() uint64 {
 	sent, received := n.listener.Bytes()
 	total := sent + received
@@ -296,12 +312,12 @@
 func BenchmarkRecovery(b *testing.B) {
 	const entries = 100_000
 	folder := b.TempDir()
-	list := []replica.Member{{ID: "a", HasDisk: true}}
+	members := []replica.Member{{ID: "a", HasDisk: true}}
 	w, _, err := wal.Open(folder)
 	must.NoError(b, err)
 	for i := uint64(1); i <= entries; i++ {
 		hs := &replica.HardState{Term: 1, Vote: "a", Commit: i, Incarnation: 1}
-		must.NoError(b, w.Save(hs, []replica.Entry{{Index: i, Term: 1, Data: make([]byte, 60)}}, false))
+		must.NoError(b, w.Save(hs, []replica.Entry{{Index: i, Term: 1, Data: make([]byte, benchCommandBytes)}}, false))
 	}
 	must.NoError(b, w.Close())
 	original := os.DirFS(folder)
@@ -310,7 +326,7 @@
 		copied := filepath.Join(b.TempDir(), fmt.Sprint(time.Now().UnixNano()))
 		must.NoError(b, os.CopyFS(copied, original))
 		b.StartTimer()
-		g, err := Open(Config{Group: "bench", ID: "a", Members: list, Folder: copied, Machine: &counter{}, Transport: memberTransport{net: &network{}}})
+		g, err := Open(Config{Group: "bench", ID: "a", Members: members, Folder: copied, Machine: &counter{}, Transport: memberTransport{net: &network{}}})
 		must.NoError(b, err)
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -17,8 +17,9 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// Guards against lost writes: the leader is lost, then a follower restarts. Writes must
-// continue, and restarted members must hold the state of the others.
+// Guards against lost writes: the leader stops, starts again, and then each of two members
+// with disks restarts. Writes must continue, and restarted members must hold the state of
+// the others.
 func TestLeaderLostAndFollowerRestarted(t *testing.T) {
 	c := newCluster(t, "ab", Config{})
 	c.setMany("before", 30)
@@ -69,6 +70,7 @@
 	must.Eq(t, "94", c.leader().machine.get("x4"))
 }
 
+// A follower must refuse calls with ErrNotLeader, so that the caller can go to the leader.
 func TestCallsOnFollowerAreRefused(t *testing.T) {
 	c := newCluster(t, "a", Config{})
 	leader := c.leader()
@@ -84,7 +86,7 @@
 	}
 }
 
-// Guards against a wrong answer to a caller: a leader is partitioned while a command is
+// Guards against a wrong response to a caller: a leader is partitioned while a command is
 // in flight. The other members may or may not have the command, so its outcome is
 // unknown.
 func TestLostLeadershipReportsUnknownOutcome(t *testing.T) {
@@ -124,6 +126,8 @@
 	must.NoError(t, <-proposed)
 }
 
+// A process is paused for several ticks. The clock must report all of them at the next call,
+// although no timer event came meanwhile.
 func TestClockCatchesUpOnMissedTicks(t *testing.T) {
 	start := time.Now()
 	c := newClock(start, 100*time.Millisecond)
@@ -133,6 +137,8 @@
 	must.Eq(t, 99, c.due(start.Add(10*time.Second)))
 }
 
+// When Transfer returns, another member must lead, so that a repeat of the call returns at
+// once and writes continue.
 func TestTransferWaitsForTheNextLeader(t *testing.T) {
 	c := newCluster(t, "a", Config{})
 	c.set("k", "1")
@@ -144,6 +150,8 @@
 	c.converged(3)
 }
 
+// A change of two members in one call must be refused as invalid. A change of one member
+// must succeed, and so must a repeat of the same call.
 func TestMembershipChange(t *testing.T) {
 	c := newCluster(t, "a", Config{})
 	leader := c.leader()
@@ -161,15 +169,15 @@
 	must.True(t, fault.Is(err, fault.Invalid), must.Sprint("two changes in one call: ", err))
 	next[others[1]].Learner = false
 	must.NoError(t, leader.ChangeMembership(t.Context(), next))
-	// A caller that lost the answer repeats the call.
+	// A caller whose response was lost repeats the call.
 	must.NoError(t, leader.ChangeMembership(t.Context(), next))
 	c.set("k", "v")
 	c.converged(3)
 }
 
-// Guards against callers that wait forever when the member stops, and against a log
-// that isn't closed, so that the next start can't open it.
-func TestStopAnswersAllCallers(t *testing.T) {
+// Guards against callers that wait forever when their member stops, and against a log that
+// isn't closed at the stop, so that the next start can't open it.
+func TestStopFailsAllPendingCalls(t *testing.T) {
 	c := newCluster(t, "abc", Config{})
 	leader := c.leader()
 	c.net.isolate(leader.cfg.ID, true)
@@ -193,8 +201,9 @@
 }
 
 // Guards against a vote without the acknowledged entries. A member that lost its state
-// gets a snapshot, and power fails before the snapshot is durable. If its disk said
-// that it has recovered, it would vote without the entries that it had acknowledged.
+// receives a snapshot, and power is lost before the snapshot is durable. If the hard state
+// on its disk already said that it has recovered, the member would vote without the
+// entries that it had acknowledged.
 func TestCrashDuringRecoveryLeavesMemberRecovering(t *testing.T) {
 	folder := t.TempDir()
 	w, _, err := wal.Open(folder)
@@ -217,9 +226,12 @@
 	must.SliceEmpty(t, stored.Entries)
 }
 
+// Step must refuse a payload that can't be decoded, and one whose messages name another
+// sender than the member that sent it.
 func TestBadPayloadIsRefused(t *testing.T) {
 	c := newCluster(t, "", Config{})
 	m := c.leader()
 	must.Error(t, m.Step("b", []byte{0xff, 0x00}))
+	// An array of one message whose From is "b".
 	must.Error(t, m.Step("nobody", []byte{0x81, 0xa1, 0x02, 0x61, 'b'}))
 }
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -13,6 +13,10 @@
 	"pgregory.net/rapid"
 )
 
+// smallSegmentBytes makes a few entries fill a segment.
+const smallSegmentBytes = 512
+
+// entry returns an entry whose data names its index and term.
 func entry(index, term uint64) replica.Entry {
 	return replica.Entry{Index: index, Term: term, Data: fmt.Appendf(nil, "entry %d of term %d", index, term)}
 }
@@ -36,7 +40,7 @@
 // readBack reads a folder with small segments and closes it again.
 func readBack(t must.T, folder string) replica.StoredState {
 	t.Helper()
-	w, stored := mustOpen(t, folder, 512)
+	w, stored := mustOpen(t, folder, smallSegmentBytes)
 	must.NoError(t, w.Close())
 	return stored
 }
@@ -50,7 +54,7 @@
 	}
 }
 
-// copyFolder copies the files of a log, as a crash at this moment would leave them.
+// copyFolder copies the files of a log, as a killed process would leave them now.
 func copyFolder(t must.T, from, to string) {
 	t.Helper()
 	must.NoError(t, os.RemoveAll(to))
@@ -64,32 +68,37 @@
 	return files.segments[len(files.segments)-1]
 }
 
+// The last hard state and the entries of several segments must be read back. Entries that a
+// later Save replaced must not come back.
 func TestSavedStateIsReadBack(t *testing.T) {
 	folder := t.TempDir()
-	w, stored := mustOpen(t, folder, 512)
+	w, stored := mustOpen(t, folder, smallSegmentBytes)
 	must.Eq(t, replica.StoredState{}, stored)
 	saveOneByOne(t, w, &replica.HardState{Term: 2, Vote: "b"}, entryRange(1, 40, 1))
 	saveOneByOne(t, w, &replica.HardState{Term: 3, Commit: 30}, entryRange(35, 50, 3))
 	must.Greater(t, 3, len(w.segments))
 	must.NoError(t, w.Close())
 
-	w, stored = mustOpen(t, folder, 512)
+	w, stored = mustOpen(t, folder, smallSegmentBytes)
 	defer w.Close()
 	must.Eq(t, replica.HardState{Term: 3, Commit: 30}, stored.HardState)
 	must.Eq(t, append(entryRange(1, 34, 1), entryRange(35, 50, 3)...), stored.Entries)
 }
 
+// Two processes that write to one folder would damage the log, so the second Open must fail.
 func TestSecondProcessIsRefused(t *testing.T) {
 	folder := t.TempDir()
-	w, _ := mustOpen(t, folder, 512)
+	w, _ := mustOpen(t, folder, smallSegmentBytes)
 	defer w.Close()
 	_, _, err := Open(folder)
 	must.ErrorContains(t, err, "in use by another process")
 }
 
+// A snapshot must replace the log up to its entry and remove the segments and snapshots that
+// are no longer needed. Entries after the snapshot stay if they continue it.
 func TestSnapshotReplacesTheLogBeforeIt(t *testing.T) {
 	folder := t.TempDir()
-	w, _ := mustOpen(t, folder, 512)
+	w, _ := mustOpen(t, folder, smallSegmentBytes)
 	saveOneByOne(t, w, &replica.HardState{Term: 1, Commit: 60}, entryRange(1, 60, 1))
 	before := len(w.segments)
 	s := replica.Snapshot{Index: 50, Term: 1, Members: []replica.Member{{ID: "a"}}, Data: []byte("state")}
@@ -103,7 +112,7 @@
 	must.Eq(t, entryRange(51, 70, 1), stored.Entries)
 
 	// A leader's snapshot of a different history replaces all entries.
-	w, _ = mustOpen(t, folder, 512)
+	w, _ = mustOpen(t, folder, smallSegmentBytes)
 	s = replica.Snapshot{Index: 65, Term: 4}
 	must.NoError(t, w.SaveSnapshot(s))
 	must.NoError(t, w.Save(nil, entryRange(66, 67, 4), true))
@@ -123,12 +132,13 @@
 	folder, crashed := t.TempDir(), filepath.Join(t.TempDir(), "crashed")
 	w, _ := mustOpen(t, folder, DefaultSegmentBytes)
 	must.NoError(t, w.Save(&replica.HardState{Term: 1}, entryRange(1, 3, 1), true))
+	const garbageBytes = 40 // zeros or garbage after the torn record
 	start := w.length
 	must.NoError(t, w.Save(&replica.HardState{Term: 2}, entryRange(4, 5, 2), false))
 	whole, err := os.ReadFile(lastSegment(t, folder))
 	must.NoError(t, err)
 	for cut := start; cut < w.length; cut++ {
-		for _, tail := range [][]byte{nil, make([]byte, 40), bytes.Repeat([]byte{0x5a}, 40)} {
+		for _, tail := range [][]byte{nil, make([]byte, garbageBytes), bytes.Repeat([]byte{0x5a}, garbageBytes)} {
 			copyFolder(t, folder, crashed)
 			torn := append(append([]byte(nil), whole[:cut]...), tail...)
 			if bytes.HasPrefix(torn, whole) {
@@ -151,8 +161,9 @@
 // location, and leave the files unchanged for a repair.
 func TestDamagedSyncedRecordIsRefused(t *testing.T) {
 	folder, damagedFolder := t.TempDir(), filepath.Join(t.TempDir(), "damaged")
-	w, _ := mustOpen(t, folder, 512)
+	w, _ := mustOpen(t, folder, smallSegmentBytes)
 	saveOneByOne(t, w, nil, entryRange(1, 30, 1))
+	const offsetStep = 3 // bytes between two flipped bits, which keeps the test short
 	segments := len(w.segments)
 	start := w.length
 	must.NoError(t, w.Save(nil, entryRange(31, 31, 1), true))
@@ -167,13 +178,13 @@
 		if i == len(files.segments)-1 {
 			end = start // damage to the last record of the last segment reads as a torn tail
 		}
-		for at := int64(0); at < end; at += 3 {
+		for at := int64(0); at < end; at += offsetStep {
 			copyFolder(t, folder, damagedFolder)
 			flipped := append([]byte(nil), whole...)
 			flipped[at] ^= 0x10
 			damagedFile := filepath.Join(damagedFolder, filepath.Base(path))
 			must.NoError(t, os.WriteFile(damagedFile, flipped, 0o600))
-			_, _, err := open(damagedFolder, 512)
+			_, _, err := open(damagedFolder, smallSegmentBytes)
 			var damage *DamageError
 			must.True(t, errors.As(err, &damage), must.Sprintf("offset %d of %s: %v", at, path, err))
 			must.Eq(t, damagedFile, damage.File)
@@ -199,14 +210,14 @@
 	path := lastSegment(t, folder)
 	whole, err := os.ReadFile(path)
 	must.NoError(t, err)
-	clear(whole[start+20 : start+30])
+	clear(whole[start+20 : start+30]) // in the payload of the first unsynced record
 	must.NoError(t, os.WriteFile(path, whole, 0o600))
 	must.Eq(t, entryRange(1, 3, 1), readBack(t, folder).Entries)
 }
 
 // A command contains the bytes of a whole record, and the record that contains the
-// command is torn. If these bytes passed for a record, a caller could make a member
-// refuse to start.
+// command is torn. If the bytes in the command passed for a record that declares earlier
+// bytes synced, Open would report damage: a caller could make a member refuse to start.
 func TestRecordBytesInsideCommandAreNotARecord(t *testing.T) {
 	folder := t.TempDir()
 	w, _ := mustOpen(t, folder, DefaultSegmentBytes)
@@ -227,18 +238,18 @@
 	path := lastSegment(t, folder)
 	whole, err := os.ReadFile(path)
 	must.NoError(t, err)
-	whole[start+8] ^= 1
+	whole[start+8] ^= 1 // the checksum of the outer record
 	must.NoError(t, os.WriteFile(path, whole, 0o600))
 	must.Len(t, 1, readBack(t, folder).Entries)
 }
 
-// The process fails after the rename of a snapshot, before a record names it or old
-// segments are removed. Open must use the snapshot and must not report a gap when the
-// log continues after it.
+// The process fails after the rename of a snapshot, before a record names the snapshot or
+// old segments are removed. Open must use the snapshot, and must not report a gap if the
+// log goes on after it.
 func TestCrashBetweenSnapshotRenameAndRemoval(t *testing.T) {
 	for _, s := range []replica.Snapshot{{Index: 30, Term: 1}, {Index: 30, Term: 2}, {Index: 90, Term: 2}} {
 		folder, crashed := t.TempDir(), filepath.Join(t.TempDir(), "crashed")
-		w, _ := mustOpen(t, folder, 512)
+		w, _ := mustOpen(t, folder, smallSegmentBytes)
 		saveOneByOne(t, w, &replica.HardState{Term: 2}, entryRange(1, 40, 1))
 		must.NoError(t, w.SaveSnapshot(replica.Snapshot{Index: 10, Term: 1}))
 		must.NoError(t, w.WriteSnapshot(s))
@@ -249,7 +260,7 @@
 		if s.Term == 1 {
 			want = entryRange(31, 40, 1)
 		}
-		c, stored := mustOpen(t, crashed, 512)
+		c, stored := mustOpen(t, crashed, smallSegmentBytes)
 		must.Eq(t, s, stored.Snapshot)
 		must.Eq(t, want, stored.Entries)
 		must.NoError(t, c.Save(nil, entryRange(s.Index+1, s.Index+20, 3), true))
@@ -258,12 +269,12 @@
 	}
 }
 
-// A segment or a snapshot is missing. Open must report the gap rather than continue
-// without its entries.
+// A segment or a snapshot file is missing. Open must report the gap rather than continue
+// without the entries in that file.
 func TestMissingFilesAreRefused(t *testing.T) {
 	for _, name := range []string{"segments", "snapshots"} {
 		folder := t.TempDir()
-		w, _ := mustOpen(t, folder, 512)
+		w, _ := mustOpen(t, folder, smallSegmentBytes)
 		saveOneByOne(t, w, nil, entryRange(1, 60, 1))
 		must.NoError(t, w.SaveSnapshot(replica.Snapshot{Index: 20, Term: 1}))
 		must.NoError(t, w.Close())
@@ -274,7 +285,7 @@
 			missingFile = files.snapshots[0]
 		}
 		must.NoError(t, os.Remove(missingFile))
-		_, _, err = open(folder, 512)
+		_, _, err = open(folder, smallSegmentBytes)
 		var damage *DamageError
 		must.True(t, errors.As(err, &damage), must.Sprint(name))
 	}
@@ -289,7 +300,7 @@
 		must.NoError(t, err)
 		defer os.RemoveAll(folder)
 		live, crashed := filepath.Join(folder, "live"), filepath.Join(folder, "crashed")
-		w, _ := mustOpen(t, live, 512)
+		w, _ := mustOpen(t, live, smallSegmentBytes)
 		model := logState{}
 		durable := 0
 		for range rapid.IntRange(1, 30).Draw(t, "saves") {
--- a/replica/bench_test.go
+++ b/replica/bench_test.go
@@ -11,22 +11,30 @@
 // incarnations and terms have their usual size on the wire.
 const benchIncarnation = 1_780_000_000_000
 
-// benchGroup returns the leader and all members of a group in memory without delays.
+const (
+	// benchElectionRounds bounds the rounds of ticks in which a group elects a leader.
+	benchElectionRounds = 200
+	benchCommandBytes   = 60
+	// benchCompactInterval is the number of entries between compactions.
+	benchCompactInterval = 1000
+)
+
+// benchGroup returns the leader of a group in memory, and all members by ID.
 func benchGroup(b *testing.B, size int) (*Core, map[string]*Core) {
-	var list []Member
+	var members []Member
 	for i := range size {
-		list = append(list, Member{ID: fmt.Sprintf("n%d", i)})
+		members = append(members, Member{ID: fmt.Sprintf("n%d", i)})
 	}
 	cores := map[string]*Core{}
-	for _, m := range list {
-		c, err := New(Config{ID: m.ID, Incarnation: benchIncarnation, Members: list}, StoredState{})
+	for _, m := range members {
+		c, err := New(Config{ID: m.ID, Incarnation: benchIncarnation, Members: members}, StoredState{})
 		if err != nil {
 			b.Fatal(err)
 		}
 		cores[m.ID] = c
 	}
-	for range 200 {
-		for _, m := range list {
+	for range benchElectionRounds {
+		for _, m := range members {
 			cores[m.ID].Tick()
 			if c := cores[m.ID]; c.Status().CanDecide {
 				return c, cores
@@ -67,10 +75,10 @@
 	return data
 }
 
-// BenchmarkCommit measures committed entries a second of all members of a group
-// together on one processor, with messages encoded but not sent.
+// BenchmarkCommit measures the committed entries per second of a group whose members all
+// run on one goroutine. Messages are encoded but not sent over a network.
 func BenchmarkCommit(b *testing.B) {
-	command := make([]byte, 60)
+	command := make([]byte, benchCommandBytes)
 	for _, size := range []int{1, 3, 5} {
 		for _, batch := range []int{1, 64} {
 			b.Run(fmt.Sprintf("members=%d/batch=%d", size, batch), func(b *testing.B) {
@@ -87,7 +95,7 @@
 						b.Fatal(err)
 					}
 					sent += benchProcessReady(cores)
-					if leader.commit > leader.snapshot.Index+1000 {
+					if leader.commit > leader.snapshot.Index+benchCompactInterval {
 						benchCompact(cores)
 					}
 				}
--- a/replica/coldstart.go
+++ b/replica/coldstart.go
@@ -16,16 +16,16 @@
 // others. When the members of R that ever took part (MemberIncarnation.Participated)
 // are fewer than a majority, each committed entry is on a member of N, since a
 // majority held it. When all disk voters that ever took part are in N, each committed
-// entry is on one of them, unless it was committed while no disk voter answered
-// (Status.Degraded). When N is empty, no member has any data. In any other case, such
+// entry is on one of them, unless it was committed while no disk voter was
+// available (Status.Degraded). When N is empty, no member has any data. In any other case, such
 // as a lost disk together with a loss of power, an operator must decide, see
 // ForceStart. The leader's log must hold at least as much as that of each member of
 // N.
 //
 // All this must hold in each membership from the last committed one that the candidate
 // knows to its latest. A deposed leader may have proposed, and failed to commit, the
-// removal of the member that leads now. Without that member the others would be all
-// voters, and two leaders and a lost commit would follow.
+// removal of the member that leads now. Counted by that proposal alone, the remaining
+// members would be all voters, and two leaders and a lost commit would follow.
 
 // voterState is the state of a voter that matters for a cold start.
 type voterState struct {
@@ -36,11 +36,11 @@
 	term         uint64
 }
 
-// coldStartAllowed reports whether the members that kept their state must hold every
-// committed entry.
-func coldStartAllowed(list []voterState) bool {
+// coldStartAllowed reports whether the voters that kept their state are certain to hold
+// every committed entry, or no voter has kept any state.
+func coldStartAllowed(states []voterState) bool {
 	recovering, recoveringParticipants, intactDisks, lostDisks := 0, 0, 0, 0
-	for _, s := range list {
+	for _, s := range states {
 		if s.recovering {
 			recovering++
 		}
@@ -54,9 +54,9 @@
 			lostDisks++
 		}
 	}
-	quorum := len(list)/2 + 1
+	quorum := len(states)/2 + 1
 	switch {
-	case recovering == len(list):
+	case recovering == len(states):
 		return true
 	case recoveringParticipants < quorum:
 		return true
@@ -67,24 +67,25 @@
 
 // electionPossible reports whether enough voters kept their state for an ordinary
 // election.
-func electionPossible(list []voterState) bool {
+func electionPossible(states []voterState) bool {
 	intact := 0
-	for _, s := range list {
+	for _, s := range states {
 		if !s.recovering {
 			intact++
 		}
 	}
-	return intact > len(list)/2
+	return intact > len(states)/2
 }
 
-// tryColdStart starts a cold start when every voter has replied recently, none leads,
-// the committed entries can't be missing, and this member is the one to lead.
+// tryColdStart starts a cold start and returns true if every voter has replied recently,
+// none leads, no ordinary election can be won, no committed entry can be missing, and this
+// member is the one to lead (see coldStartLeader).
 func (c *Core) tryColdStart() bool {
-	lists, ok := c.voterStates()
-	if !ok || !c.mayLead() || !coldStartAllowedInAll(lists) {
+	byMembership, ok := c.voterStates()
+	if !ok || !c.mayLead() || !coldStartAllowedInAll(byMembership) {
 		return false
 	}
-	latest := lists[len(lists)-1]
+	latest := byMembership[len(byMembership)-1]
 	if c.hasRecentLeader() || electionPossible(latest) || coldStartLeader(latest) != c.cfg.ID {
 		return false
 	}
@@ -95,30 +96,30 @@
 }
 
 // coldStartAllowedInAll reports whether a cold start is allowed in each membership.
-func coldStartAllowedInAll(lists [][]voterState) bool {
-	return !slices.ContainsFunc(lists, func(list []voterState) bool { return !coldStartAllowed(list) })
+func coldStartAllowedInAll(byMembership [][]voterState) bool {
+	return !slices.ContainsFunc(byMembership, func(states []voterState) bool { return !coldStartAllowed(states) })
 }
 
 // voterStates returns, for each membership from the committed one on, the states of
 // all voters by their recent replies. It returns false when a reply is missing or
 // comes from a leader.
 func (c *Core) voterStates() ([][]voterState, bool) {
-	var lists [][]voterState
-	for _, list := range c.members.since(c.commit) {
-		s, ok := c.voterStatesOf(list)
+	var byMembership [][]voterState
+	for _, members := range c.members.since(c.commit) {
+		states, ok := c.voterStatesOf(members)
 		if !ok {
 			return nil, false
 		}
-		lists = append(lists, s)
+		byMembership = append(byMembership, states)
 	}
-	return lists, true
+	return byMembership, true
 }
 
 // voterStatesOf returns the states of the voters of one membership. Learners with
 // disks must have replied too and may not be ahead, because an entry that this member
 // lacks may have promoted them.
 func (c *Core) voterStatesOf(members []Member) ([]voterState, bool) {
-	var list []voterState
+	var states []voterState
 	for _, m := range members {
 		s, ok := c.voterStateOf(m)
 		switch {
@@ -126,56 +127,61 @@
 		case !ok:
 			return nil, false
 		case !m.Learner:
-			list = append(list, s)
+			states = append(states, s)
 		case !s.recovering && c.log.isBehind(s.index, s.term):
 			return nil, false
 		}
 	}
-	return list, true
+	return states, true
 }
 
-// voterStateOf returns the state of m; false when m didn't reply recently or leads.
+// recentReplyTimeouts is the number of election timeouts for which a state reply counts.
+const recentReplyTimeouts = 2
+
+// voterStateOf returns the state of m. It returns false when m leads or hasn't replied
+// within recentReplyTimeouts.
 func (c *Core) voterStateOf(m Member) (voterState, bool) {
 	if m.ID == c.cfg.ID {
 		return voterState{m, c.role == Recovering, c.incarnations.participated(m.ID), c.log.last(), c.log.lastTerm()}, true
 	}
 	reply, ok := c.recovery.replies[m.ID]
-	recent := c.now-reply.receivedTick < 2*uint64(c.cfg.ElectionTicks)
+	recent := c.now-reply.receivedTick < recentReplyTimeouts*uint64(c.cfg.ElectionTicks)
 	return voterState{m, reply.recovering, c.incarnations.participated(m.ID), reply.index, reply.logTerm}, ok && recent && !reply.leader
 }
 
 // coldStartLeader returns the ID of the voter with the most complete log among those
-// that kept their state. If there is none, disk voters precede others, then the
-// lowest ID wins. Every voter with the same replies chooses the same one.
-func coldStartLeader(list []voterState) string {
+// that kept their state. If no voter did, voters with a disk precede the others. The lowest
+// ID precedes among equals. Witnesses never lead. All voters with the same replies get the
+// same result.
+func coldStartLeader(states []voterState) string {
 	best := -1
-	for i, s := range list {
+	for i, s := range states {
 		if s.member.Witness {
 			continue
 		}
-		if best < 0 || s.precedes(list[best]) {
+		if best < 0 || s.precedes(states[best]) {
 			best = i
 		}
 	}
 	if best < 0 {
 		return ""
 	}
-	return list[best].member.ID
+	return states[best].member.ID
 }
 
 // precedes reports whether s is preferred to o as the leader of a cold start.
-func (s voterState) precedes(o voterState) bool {
+func (s voterState) precedes(other voterState) bool {
 	switch {
-	case s.recovering != o.recovering:
+	case s.recovering != other.recovering:
 		return !s.recovering
-	case !s.recovering && s.term != o.term:
-		return s.term > o.term
-	case !s.recovering && s.index != o.index:
-		return s.index > o.index
-	case s.member.HasDisk != o.member.HasDisk:
+	case !s.recovering && s.term != other.term:
+		return s.term > other.term
+	case !s.recovering && s.index != other.index:
+		return s.index > other.index
+	case s.member.HasDisk != other.member.HasDisk:
 		return s.member.HasDisk
 	default:
-		return s.member.ID < o.member.ID
+		return s.member.ID < other.member.ID
 	}
 }
 
@@ -183,29 +189,29 @@
 // the voters reported with their votes, because a voter may have restarted since its
 // state reply.
 func (c *Core) coldStartStillAllowed() bool {
-	var lists [][]voterState
+	var byMembership [][]voterState
 	for _, members := range c.members.since(c.commit) {
-		var list []voterState
+		var states []voterState
 		for _, m := range voters(members) {
 			recovering := c.campaign.votes[m.ID].recovering
-			list = append(list, voterState{member: m, recovering: recovering, participated: c.incarnations.participated(m.ID)})
+			states = append(states, voterState{member: m, recovering: recovering, participated: c.incarnations.participated(m.ID)})
 		}
-		lists = append(lists, list)
+		byMembership = append(byMembership, states)
 	}
-	return coldStartAllowedInAll(lists)
+	return coldStartAllowedInAll(byMembership)
 }
 
 // recordColdStartVote sets the recovery source of a recovering voter that has granted
 // a cold start. An append of that candidate in that term proves that all voters
-// granted it. The member then needs the candidate's log only up to the end that the
-// request named.
+// granted it. The member then needs the candidate's log only up to the last entry
+// that the request named.
 //
 // The request names the incarnation that sent the state reply, and no other one
 // grants it (see grantsVote). A voter may since have led or followed a later leader
 // and lost its state again. If it granted the delayed request, it would recover with
 // the old candidate's log and help to elect that candidate in a term that already had
 // a leader. A candidate sends one request a term to each voter, so it counted exactly
-// the incarnation that holds this source, and its appends needn't name it.
+// the incarnation that holds this source, and its appends needn't name the incarnation.
 func (c *Core) recordColdStartVote(m Message) {
 	if m.ColdStart && c.role == Recovering {
 		c.recovery.source = recoverySource{leader: m.From, term: m.Term, requiredIndex: m.Index}
@@ -227,8 +233,8 @@
 // skipLostTerms raises the term above all terms that only members without state knew.
 // These terms may have had leaders, and a fencing token derived from a term must not
 // recur. Elections are rarer than one a second, so the number of seconds in the
-// latest incarnation is above all of them. It has an effect only after a start
-// without stored state.
+// latest incarnation is above all these terms. The function changes the term only after a
+// start without stored state.
 func (c *Core) skipLostTerms() {
 	if term := c.incarnations.highest() / incarnationsPerTerm; c.anyRecovering() && term > c.term {
 		c.setTerm(term)
@@ -252,10 +258,9 @@
 // voters become learners, to be promoted again once they have caught up. It is an
 // operator's last resort: committed entries that only other members hold are lost, and
 // the other members must not continue on their own. It is allowed on a member with a
-// disk, and on an only voter without state, that has had no contact with a leader for
-// an election timeout; otherwise it returns ErrForceStart. A member whose log
-// contradicts the new one stops with a broken invariant when it rejoins: it must be
-// started without stored state.
+// disk, and on a sole voter without state, if no leader has made contact for an election
+// timeout; otherwise it returns ErrForceStart. A member whose log contradicts the new
+// leader's log panics when it rejoins, and must then be started without stored state.
 func (c *Core) ForceStart() error {
 	self, ok := c.members.find(c.cfg.ID)
 	switch {
@@ -270,12 +275,12 @@
 	c.skipLostTerms()
 	c.vote = c.cfg.ID
 	c.becomeLeader()
-	var list []Member
+	var members []Member
 	for _, m := range c.members.current() {
 		m.Learner = m.ID != c.cfg.ID
-		list = append(list, m)
+		members = append(members, m)
 	}
-	c.appendMembership(list)
+	c.appendMembership(members)
 	return nil
 }
 
--- a/replica/config.go
+++ b/replica/config.go
@@ -13,7 +13,8 @@
 	// election timeout: the timeout divided by it.
 	leaseMarginDivisor = 4
 	// minLeaseMarginTicks is the least number of ticks between the end of the lease
-	// and the first vote: one for the phase of each of the two clocks.
+	// and the first vote: one for each of the two clocks, whose position within a tick
+	// is unknown.
 	minLeaseMarginTicks = 2
 )
 
@@ -37,16 +38,17 @@
 	ElectionTicks int
 	// HeartbeatTicks is the number of ticks between two heartbeats. Default 2.
 	HeartbeatTicks int
-	// Seed of the random election timeouts; it is mixed with the ID.
+	// Seed seeds the random election timeouts, together with the ID.
 	Seed uint64
 	// MaxEntriesPerMessage bounds the entries of one append. Default 256.
 	MaxEntriesPerMessage int
-	// MaxInflight bounds the unanswered appends to one member. Default 16.
+	// MaxInflight bounds the appends in flight to one member. Default 16.
 	MaxInflight int
 	// KeepEntries is the number of entries before a snapshot that Compact keeps, so
 	// that a member that lags a little needs no snapshot.
 	KeepEntries int
-	// KeepBytes bounds the data bytes of those entries together; 0 means no bound.
+	// KeepBytes bounds the total data of the entries that KeepEntries keeps, in bytes;
+	// 0 means no bound.
 	KeepBytes int
 }
 
@@ -78,10 +80,10 @@
 	}
 }
 
-// leaseTicks returns how many ticks a leader may decide after sending a heartbeat
-// that a majority answered. The members that answered refuse votes for ElectionTicks
-// after they received it, which is later than it was sent. The margin covers the
-// phase of both clocks and a quarter of difference in their rates.
+// leaseTicks returns how many ticks a leader may decide after sending a heartbeat to
+// which a majority replied. The members that replied refuse votes for ElectionTicks after
+// they received the heartbeat, which is later than it was sent. The margin covers the
+// position of both clocks within a tick and a difference of a quarter in their rates.
 func (cfg *Config) leaseTicks() int {
 	margin := max(minLeaseMarginTicks, cfg.ElectionTicks/leaseMarginDivisor)
 	return cfg.ElectionTicks - margin
--- a/replica/ready.go
+++ b/replica/ready.go
@@ -6,8 +6,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// HasReady reports whether Ready would return work. It is false until the last Ready
-// was passed to Advance.
+// HasReady reports whether Ready would return work. It returns false until the latest
+// Ready was passed to Advance.
 func (c *Core) HasReady() bool {
 	if c.readyPending {
 		return false
@@ -20,7 +20,7 @@
 }
 
 // Ready returns the work to do. Pass each Ready to Advance once its work is done,
-// before calling Ready again. Messages, ticks and proposals may come in between.
+// before calling Ready again. Step, Tick and Propose may be called in between.
 func (c *Core) Ready() Ready {
 	invariant(!c.readyPending, "%s: Ready before Advance", c.cfg.ID)
 	c.flushAppends()
@@ -102,11 +102,11 @@
 	if !ok || index > c.applied {
 		return Snapshot{}, errors.Wrapf(ErrBadSnapshot, "index %d", index)
 	}
-	list := slices.Clone(c.members.at(index))
-	for i := range list {
-		list[i].Incarnation = max(list[i].Incarnation, c.incarnations.of(list[i].ID))
+	members := slices.Clone(c.members.at(index))
+	for i := range members {
+		members[i].Incarnation = max(members[i].Incarnation, c.incarnations.of(members[i].ID))
 	}
-	return Snapshot{Index: index, Term: term, Members: list, Data: data}, nil
+	return Snapshot{Index: index, Term: term, Members: members, Data: data}, nil
 }
 
 // Compact drops the entries up to the caller's stored snapshot at s.Index, except for
--- a/replica/recovery.go
+++ b/replica/recovery.go
@@ -5,24 +5,24 @@
 // The member tells all members its new incarnation. It waits for the replies of a
 // majority of the voters, none of them recovering, including the leader of the
 // highest term reported in the replies. Any quorum that the member's lost votes and
-// acknowledgements helped to form shares a member with that majority. So it learns
-// the highest term in which it may have voted, and its vote of that term counts as
-// given. The leader's last entry in its reply is at or after everything that the
-// member may have acknowledged to that leader. Committed entries that it acknowledged
-// to earlier leaders are in that leader's log. The member votes and acknowledges
-// nothing before it holds the leader's log up to that entry.
+// acknowledgements helped to form shares a member with that majority. The recovering
+// member thus learns the highest term in which it may have voted, and its vote of that
+// term counts as given. The last entry that the leader names in its reply is at or after
+// everything that the member may have acknowledged to that leader. Committed entries that
+// the member acknowledged to earlier leaders are in that leader's log. The member votes
+// and acknowledges nothing before it holds the leader's log up to that entry.
 //
-// The majority must be one in each membership of the replying leader from its last
-// committed one on. A deposed leader may have proposed, and failed to commit, the
+// The members that replied must be a majority in each membership of the replying leader,
+// from its last committed one on. A deposed leader may have proposed, and failed to commit, the
 // removal of the very member that leads now. Counted by that proposal alone, the
 // quorum of the lost votes and this majority needn't share a member, and two leaders
-// of one term or a lost commit would follow. Every change after the committed
-// membership needed a quorum of that membership first, so a majority of it meets
-// every such quorum (the model spec/membership.pml checks this).
+// of one term or a lost commit would follow. Every change after the committed membership
+// needed a quorum of the committed membership first, so a majority of the latter shares a
+// member with every such quorum (the model spec/membership.pml checks this).
 type recovery struct {
 	replies          map[string]stateReply
 	requestCountdown int
-	// memberships are those of the leader that replied.
+	// memberships are those in the reply of the leader, empty before it has replied.
 	memberships [][]Member
 	source      recoverySource
 	// matched is the last index at which the log matches that of the leader of
@@ -84,8 +84,8 @@
 	}
 	if c.role == Leader {
 		reply.Leader = true
-		lists := c.members.since(c.commit)
-		reply.EarlierMemberships = lists[:len(lists)-1]
+		memberships := c.members.since(c.commit)
+		reply.EarlierMemberships = memberships[:len(memberships)-1]
 		reply.Members = c.members.current()
 	}
 	c.send(reply)
@@ -112,7 +112,7 @@
 	}
 }
 
-// tryRecover chooses the leader to recover from once the replies suffice.
+// tryRecover sets the leader to recover from once the replies suffice (see recovery).
 func (c *Core) tryRecover() {
 	highest := c.term
 	for _, reply := range c.recovery.replies {
@@ -128,8 +128,8 @@
 	if _, member := findMember(latest, c.cfg.ID); !member {
 		return
 	}
-	for _, list := range reply.memberships {
-		if !c.hasRecoveryQuorum(list) {
+	for _, members := range reply.memberships {
+		if !c.hasRecoveryQuorum(members) {
 			return
 		}
 	}
@@ -152,9 +152,9 @@
 // hasRecoveryQuorum reports whether a majority of the voters of a membership replied
 // and isn't recovering, not counting this member. In a group of two the only other
 // voter suffices, since it is in every quorum.
-func (c *Core) hasRecoveryQuorum(list []Member) bool {
+func (c *Core) hasRecoveryQuorum(members []Member) bool {
 	count, others := 0, 0
-	for _, m := range voters(list) {
+	for _, m := range voters(members) {
 		if m.ID == c.cfg.ID {
 			continue
 		}
@@ -163,7 +163,7 @@
 			count++
 		}
 	}
-	return count >= min(majority(list), others)
+	return count >= min(majority(members), others)
 }
 
 // recordMatch records that the log matches that of the current term's leader up to
--- a/replica/scenario_test.go
+++ b/replica/scenario_test.go
@@ -6,9 +6,19 @@
 	"github.com/shoenig/test/must"
 )
 
+const (
+	scenarioSeed = 7
+	// maxElectionSteps bounds the wait for a leader, replicationSteps is the time that
+	// proposed entries need to reach all members, both in steps.
+	maxElectionSteps = 400
+	replicationSteps = 30
+	// noRestartSteps is a downtime in steps that no scenario outlasts.
+	noRestartSteps = 100000
+)
+
 // newSimWithLeader returns a group without random faults that has a leader.
 func newSimWithLeader(t *testing.T, opt simOptions) *sim {
-	s := newSim(7, opt)
+	s := newSim(scenarioSeed, opt)
 	s.waitForLeader(t)
 	return s
 }
@@ -17,10 +27,10 @@
 // had time to replicate. It returns that leader.
 func (s *sim) waitForLeader(t *testing.T) *simNode {
 	t.Helper()
-	for range 400 {
+	for range maxElectionSteps {
 		s.run(1)
 		if s.leader() != nil {
-			s.run(30)
+			s.run(replicationSteps)
 			break
 		}
 	}
@@ -49,8 +59,8 @@
 }
 
 // A member returns from a long partition. If it had raised its term at each election
-// timeout, its return would depose the working leader, and users would see a pause
-// each time a network fault ends.
+// timeout, its return would depose the working leader, and no call would be served for a
+// while each time a network fault ends.
 func TestLongPartitionDoesNotRaiseTerm(t *testing.T) {
 	for _, oneWay := range []bool{false, true} {
 		s := newSimWithLeader(t, simOptions{voters: 3, disks: 1})
@@ -74,8 +84,8 @@
 }
 
 // A partitioned leader still receives calls from its clients. It must stop deciding
-// before another leader decides. Otherwise it would confirm work to a client that the
-// rest of the group gives to another one. The simulation checks this at every step.
+// before another leader decides. Otherwise both leaders could assign the same work to
+// different clients. The simulation checks at every step that at most one member decides.
 func TestPartitionedLeaderStopsDecidingFirst(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 5})
 	for range 10 {
@@ -94,10 +104,10 @@
 	}
 }
 
-// Of three diskless members one is partitioned while the other two commit. One of these
-// two restarts without state just as the leader is partitioned. If it voted
-// immediately, it and the first partitioned member would elect a leader that lacks the
-// committed entries, and accepted work would be lost.
+// Of three diskless members one is partitioned while the other two commit. Then the leader
+// is partitioned, and the remaining member restarts without state and reaches the first
+// partitioned member again. If the restarted member voted immediately, these two would
+// elect a leader that lacks the committed entries, and accepted work would be lost.
 func TestMemberWithoutStateDoesNotVoteBeforeRecovery(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3})
 	l := s.leader()
@@ -149,9 +159,9 @@
 	must.SliceEmpty(t, s.violations)
 }
 
-// The disk of one of two disk members is lost together with the power. The other disk
-// may lack entries that only the lost one had synced, so the group must not start
-// until an operator forces it.
+// All members lose power, and one of two disks is lost as well. The other disk may lack
+// entries that only the lost disk had synced, so the group must not start until an operator
+// forces it.
 func TestForceStartAfterLostDisk(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3, disks: 2})
 	s.losePower()
@@ -170,9 +180,9 @@
 // roleOf returns the role of a live member.
 func roleOf(n *simNode) Role { return n.core.Status().Role }
 
-// While the disk member answers, no entry may be reported as committed that isn't on
-// a disk, or a loss of power would revoke an answer given to a user. When the disk
-// member is lost, the others must continue and report Degraded.
+// While the disk member is responsive, no entry may be reported as committed that isn't on
+// a disk, or a loss of power would revoke a result that a caller has received. When the
+// disk member is lost, the others must continue and report Degraded.
 func TestCommitWaitsForDiskVoter(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3, disks: 1})
 	l := s.leader()
@@ -201,7 +211,7 @@
 
 // The leader and the witness commit entries, then the leader fails. The remaining
 // member lacks the last entries and the witness never leads. Unless the member
-// fetches the witness's log, a live majority has no leader.
+// fetches the witness's log, the group has no leader although a majority is alive.
 func TestCandidateFetchesLogFromWitness(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3, disks: 3, witness: true})
 	l := s.leader()
@@ -212,47 +222,48 @@
 	s.isolate(lagging)
 	s.run(200)
 	l.crash(false)
-	l.downUntil = s.step + 100000
+	l.downUntil = s.step + noRestartSteps
 	clear(s.blockedLinks)
 	must.Eq(t, lagging, s.waitForLeader(t))
 	must.Eq(t, s.lastApplied, lagging.core.applied)
 }
 
-// A failed member is replaced by one change at a time, and another member fails right
-// after the repair. Changes that aren't safe must be refused with their error.
+// A failed member is replaced by changes of one member each, and the leader fails right
+// after the last change. The group must continue without a lost entry. Changes that aren't
+// safe must be refused, each with its own error.
 func TestReplaceLostMember(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3, disks: 1, spares: 1})
 	l := s.leader()
 	failedMember := s.liveFollower(l)
 	s.run(800) // hundreds of entries, compacted: the new member needs the snapshot
 	failedMember.crash(true)
-	failedMember.downUntil = s.step + 100000
+	failedMember.downUntil = s.step + noRestartSteps
 	s.run(50)
 	spare := Member{ID: "n3", Learner: true}
-	list := l.core.members.current()
+	members := l.core.members.current()
 	propose := func(next []Member) error {
 		_, _, err := l.core.ProposeMembership(next)
 		s.run(60)
 		return err
 	}
-	must.ErrorIs(t, propose(withoutMember(list, l.id)), ErrRemovesLeader)
-	for _, m := range list {
+	must.ErrorIs(t, propose(withoutMember(members, l.id)), ErrRemovesLeader)
+	for _, m := range members {
 		if m.ID != l.id && m.ID != failedMember.id {
-			must.ErrorIs(t, propose(withoutMember(list, m.ID)), ErrLosesQuorum)
+			must.ErrorIs(t, propose(withoutMember(members, m.ID)), ErrLosesQuorum)
 		}
 	}
-	must.ErrorIs(t, propose(append(withoutMember(list, failedMember.id), spare)), ErrChangeTooLarge)
-	must.ErrorIs(t, propose(list), ErrNoChange)
+	must.ErrorIs(t, propose(append(withoutMember(members, failedMember.id), spare)), ErrChangeTooLarge)
+	must.ErrorIs(t, propose(members), ErrNoChange)
 	direct := spare
 	direct.Learner = false
-	must.ErrorIs(t, propose(append(withoutMember(list, ""), direct)), ErrNotCaughtUp)
-	must.NoError(t, propose(append(withoutMember(list, ""), spare)))
+	must.ErrorIs(t, propose(append(withoutMember(members, ""), direct)), ErrNotCaughtUp)
+	must.NoError(t, propose(append(withoutMember(members, ""), spare)))
 	spare.Learner = false
-	list = append(withoutMember(list, ""), spare)
-	_, _, err := l.core.ProposeMembership(list)
+	members = append(withoutMember(members, ""), spare)
+	_, _, err := l.core.ProposeMembership(members)
 	must.NoError(t, err)
-	must.ErrorIs(t, propose(withoutMember(list, failedMember.id)), ErrChangePending)
-	must.NoError(t, propose(withoutMember(list, failedMember.id)))
+	must.ErrorIs(t, propose(withoutMember(members, failedMember.id)), ErrChangePending)
+	must.NoError(t, propose(withoutMember(members, failedMember.id)))
 	must.SliceEmpty(t, s.violations)
 	l.crash(false)
 	l.downUntil = s.step + 30
@@ -260,10 +271,10 @@
 	must.Eq(t, s.lastApplied, s.leader().core.applied)
 }
 
-// withoutMember returns a copy of list without the member id.
-func withoutMember(list []Member, id string) []Member {
+// withoutMember returns a copy of members without the member id.
+func withoutMember(members []Member, id string) []Member {
 	var out []Member
-	for _, m := range list {
+	for _, m := range members {
 		if m.ID != id {
 			out = append(out, m)
 		}
@@ -273,7 +284,7 @@
 
 // A leadership transfer must not wait for an election timeout, and the old leader
 // must decide nothing once it has told the new one to campaign.
-func TestTransfer(t *testing.T) {
+func TestTransferNeedsNoElectionTimeout(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3, witness: true})
 	l := s.leader()
 	must.ErrorIs(t, l.core.Transfer("n2"), ErrBadTransferee)
@@ -281,14 +292,15 @@
 	must.NoError(t, l.core.Transfer(to.id))
 	_, _, err := l.core.Propose([]byte("x"))
 	must.ErrorIs(t, err, ErrTransferring)
-	s.run(9)
+	s.run(9) // less than an election timeout
 	must.Eq(t, to.id, s.leader().id)
 	must.SliceEmpty(t, s.violations)
 }
 
-// The message that tells the new leader to campaign is delayed for long. The old
-// leader must not resume in its term, because the message may still arrive.
-func TestTransferTimesOut(t *testing.T) {
+// The message that tells the new leader of a transfer to campaign is delayed beyond the
+// transfer's timeout. The old leader must not decide in its term again, because the
+// message may still arrive.
+func TestLeaderDoesNotResumeAfterTransferTimeout(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3})
 	l := s.leader()
 	term := l.core.term
@@ -309,11 +321,11 @@
 }
 
 // The first leader of a new group is partitioned before any other member receives an
-// append from it. The others haven't taken part yet. When the partition ends, the
+// append from it, so the others haven't taken part yet. When the partition ends, the
 // group must start without an operator.
 func TestFirstLeaderPartitionedBeforeFirstAppend(t *testing.T) {
 	for _, opt := range []simOptions{{voters: 3}, {voters: 5, disks: 2}} {
-		s := newSim(7, opt)
+		s := newSim(scenarioSeed, opt)
 		s.intercept = func(m Message) bool { return m.Type == MsgAppend }
 		s.run(300)
 		must.SliceEmpty(t, s.violations)
--- a/replica/sim_checks_test.go
+++ b/replica/sim_checks_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// checkStatus checks that each term has one leader and records the commit index.
+// checkStatus checks that each term has at most one leader and records the commit index.
 func (n *simNode) checkStatus() {
 	if n.core == nil {
 		return
@@ -22,7 +22,7 @@
 	n.commit = st.Commit
 }
 
-// checkLease checks that an old leader no longer decides once another one does.
+// checkLease checks that at most one member may decide at a time.
 func (s *sim) checkLease() {
 	var deciding []string
 	for _, n := range s.nodes {
@@ -35,8 +35,8 @@
 	}
 }
 
-// countRecovering counts the members that have lost their state, or will have at
-// their next start.
+// countRecovering counts the voters that have lost their state or will find none at their
+// next start.
 func (s *sim) countRecovering() int {
 	count := 0
 	for _, n := range s.nodes {
@@ -62,17 +62,21 @@
 	return isVoter(s.initialMembers(), id)
 }
 
-// checkProgress checks that the group has a leader that commits after the faults.
+// progressSteps is the number of steps in which a group must recover after the faults.
+const progressSteps = 600
+
+// checkProgress ends the faults and checks that the group elects a leader and commits.
 func (s *sim) checkProgress() {
 	before := s.counts["committed"]
 	s.endFaults()
-	s.run(600)
+	s.run(progressSteps)
 	if s.leader() == nil || s.counts["committed"] == before {
 		s.failf("no leader or no commit after the faults:%s", s.describe())
 	}
 	s.checkLogs()
 }
 
+// describe returns the state of all members for a failure message.
 func (s *sim) describe() string {
 	out := ""
 	for _, n := range s.nodes {
@@ -87,7 +91,7 @@
 }
 
 // checkLogs checks log matching: two logs with the same term at an index are equal up
-// to it.
+// to that index.
 func (s *sim) checkLogs() {
 	for _, a := range s.nodes {
 		for _, b := range s.nodes {
--- a/replica/sim_test.go
+++ b/replica/sim_test.go
@@ -10,15 +10,44 @@
 	"github.com/cespare/xxhash/v2"
 )
 
+// Load, snapshots and network of a simulation. Each probability applies to one step of a
+// member or to one message.
+const (
+	proposalProbability = 0.3
+	// readProbability is the probability of a read request after each proposal.
+	readProbability = 0.3
+	// readyOnDeliveryProbability is the probability that a member works on its Ready
+	// right after a message and not only at its next tick.
+	readyOnDeliveryProbability = 0.7
+	snapshotInterval           = 20 // entries
+	keptEntries                = 3
+
+	// The following constants apply only under faults, the bounds are exclusive.
+	duplicateProbability  = 0.03
+	delayProbability      = 0.05
+	maxDelaySteps         = 60
+	maxSyncSteps          = 3
+	missedTickProbability = 0.05
+)
+
+// Crashes of a simulation. A member with a disk stores its pending Ready before a crash with
+// storedBeforeCrashProbability. Each member is down for at most maxDownSteps.
+const (
+	storedBeforeCrashProbability = 0.5
+	maxDownSteps                 = 60
+)
+
 // simOptions selects the group and the faults of a simulation.
 type simOptions struct {
 	voters, disks, spares int
 	witness               bool
 	steps                 int
-	faultOutcomes         int // outcomes drawn from at each step, about 70 of them faults
-	faults                bool
-	powerLoss             bool
-	changes               bool
+	// faultOutcomes is the number of equally likely outcomes of which each step draws
+	// one. About 70 of them start or end a fault, the others do nothing.
+	faultOutcomes int
+	faults        bool
+	powerLoss     bool
+	changes       bool
 }
 
 // sim simulates a group on an in-memory network and in-memory disks. All random
@@ -32,13 +61,21 @@
 	blockedLinks map[[2]string]bool
 	lossRate     float64
 
-	leaders     map[uint64]string // term -> leader
-	stateHashes map[uint64]uint64 // index -> hash of the state machine after it
-	reads       map[uint64]uint64 // token -> last index applied by any member at the call
+	// leaders holds the leader of each term.
+	leaders map[uint64]string
+	// stateHashes holds the hash of the state machine after each index.
+	stateHashes map[uint64]uint64
+	// reads holds, by token, the last index that any member had applied at the call.
+	reads map[uint64]uint64
+	// intercept, when set, removes the messages for which it returns true from the
+	// network; intercepted holds them.
 	intercept   func(Message) bool
 	intercepted []Message
-	lastApplied uint64 // last index applied by any member
-	lastDurable uint64 // last index committed while a disk voter answered
+	// lastApplied is the last index applied by any member, lastDurable the last index
+	// committed while a disk voter was available.
+	lastApplied uint64
+	lastDurable uint64
+	// counts holds the numbers of events by name.
 	counts      map[string]int
 	violations  []string
 	nextCommand uint64
@@ -59,13 +96,13 @@
 	incarnation  uint64
 	stored       StoredState
 	paused       bool
-	clockStopped bool // doesn't tick; only the lease may be affected
+	clockStopped bool // the member doesn't tick, so its lease doesn't expire
 	missedTicks  int
 	ready        *Ready
 	readyDoneAt  int
 	stateHash    uint64
 	commit       uint64
-	downUntil    int
+	downUntil    int // step at which a crashed member restarts
 }
 
 func newSim(seed uint64, opt simOptions) *sim {
@@ -84,17 +121,19 @@
 }
 
 func (s *sim) initialMembers() []Member {
-	var list []Member
+	var members []Member
 	for i, n := range s.nodes[:s.opt.voters] {
-		list = append(list, Member{ID: n.id, HasDisk: n.disk, Witness: s.opt.witness && i == s.opt.voters-1})
+		members = append(members, Member{ID: n.id, HasDisk: n.disk, Witness: s.opt.witness && i == s.opt.voters-1})
 	}
-	return list
+	return members
 }
 
+// failf records a violation of a guarantee, which ends the simulation.
 func (s *sim) failf(format string, args ...any) {
 	s.violations = append(s.violations, fmt.Sprintf("step %d: ", s.step)+fmt.Sprintf(format, args...))
 }
 
+// chance returns true with probability p.
 func (s *sim) chance(p float64) bool { return s.rand.Float64() < p }
 
 func (n *simNode) start() {
@@ -102,7 +141,7 @@
 	stored := StoredState{HardState: n.stored.HardState, Snapshot: n.stored.Snapshot, Entries: slices.Clone(n.stored.Entries)}
 	core, err := New(Config{
 		ID: n.id, Incarnation: n.incarnation, HasDisk: n.disk, Members: n.s.initialMembers(), Seed: n.incarnation + uint64(n.s.rand.Uint32()),
-		MaxEntriesPerMessage: 8, MaxInflight: 4, KeepEntries: 3,
+		MaxEntriesPerMessage: 8, MaxInflight: 4, KeepEntries: keptEntries,
 	}, stored)
 	if err != nil {
 		n.s.failf("%s: start: %v", n.id, err)
@@ -115,14 +154,14 @@
 	}
 }
 
-// crash stops the member. A disk may or may not have received the pending Ready;
-// loseDisk erases the disk.
+// crash stops the member for some steps. Its disk, if it has one, may or may not have
+// received the pending Ready; loseDisk erases the disk.
 func (n *simNode) crash(loseDisk bool) {
-	if n.ready != nil && n.disk && n.s.chance(0.5) {
+	if n.ready != nil && n.disk && n.s.chance(storedBeforeCrashProbability) {
 		n.persist(*n.ready)
 	}
 	n.core, n.ready, n.paused, n.missedTicks = nil, nil, false, 0
-	n.downUntil = n.s.step + 1 + n.s.rand.IntN(60)
+	n.downUntil = n.s.step + 1 + n.s.rand.IntN(maxDownSteps)
 	if !n.disk || loseDisk {
 		n.stored = StoredState{}
 	}
@@ -143,7 +182,8 @@
 	}
 }
 
-// processReady starts the work of a Ready, which ends some steps later under faults.
+// processReady starts or completes the work of a Ready. Under faults it completes some
+// steps after its start.
 func (n *simNode) processReady() {
 	n.checkStatus()
 	if n.core == nil || n.paused {
@@ -162,7 +202,7 @@
 	n.ready = &r
 	n.readyDoneAt = n.s.step
 	if n.s.opt.faults && n.disk {
-		n.readyDoneAt += n.s.rand.IntN(3)
+		n.readyDoneAt += n.s.rand.IntN(maxSyncSteps)
 	}
 	n.sendAll(r, true)
 	if n.s.step >= n.readyDoneAt {
@@ -211,9 +251,10 @@
 	}
 }
 
+// compact takes a snapshot of a member that has applied enough entries since the last.
 func (n *simNode) compact() {
 	st := n.core.Status()
-	if st.Applied < n.core.snapshot.Index+20 || n.core.newSnapshot != nil {
+	if st.Applied < n.core.snapshot.Index+snapshotInterval || n.core.newSnapshot != nil {
 		return
 	}
 	snapshot, err := n.core.SnapshotAt(st.Applied, binary.BigEndian.AppendUint64(nil, n.stateHash))
@@ -225,7 +266,7 @@
 	n.s.counts["snapshots"]++
 	if n.disk {
 		n.stored.Snapshot = snapshot
-		n.stored.Entries = slices.DeleteFunc(n.stored.Entries, func(e Entry) bool { return e.Index+3 < snapshot.Index })
+		n.stored.Entries = slices.DeleteFunc(n.stored.Entries, func(e Entry) bool { return e.Index+keptEntries < snapshot.Index })
 	}
 }
 
@@ -236,7 +277,7 @@
 			continue
 		}
 		n.s.transmit(m)
-		if n.s.opt.faults && n.s.chance(0.03) {
+		if n.s.opt.faults && n.s.chance(duplicateProbability) {
 			n.s.transmit(m)
 		}
 	}
@@ -252,8 +293,8 @@
 		return
 	}
 	delay := s.rand.IntN(2)
-	if s.opt.faults && s.chance(0.05) {
-		delay += s.rand.IntN(60)
+	if s.opt.faults && s.chance(delayProbability) {
+		delay += s.rand.IntN(maxDelaySteps)
 	}
 	s.inTransit = append(s.inTransit, simMessage{m, s.step + 1 + delay})
 }
@@ -267,7 +308,8 @@
 	return nil
 }
 
-// run makes steps, each with deliveries, ticks, proposals, faults and checks.
+// run makes steps, each with deliveries, ticks, proposals, faults and checks. It stops at
+// the first violation.
 func (s *sim) run(steps int) {
 	for range steps {
 		if len(s.violations) > 0 {
@@ -287,6 +329,7 @@
 	}
 }
 
+// deliver passes the messages that are due to their receivers.
 func (s *sim) deliver() {
 	var due []simMessage
 	s.inTransit = slices.DeleteFunc(s.inTransit, func(m simMessage) bool {
@@ -305,13 +348,14 @@
 			s.failf("%s: %v", n.id, err)
 		}
 		n.checkStatus()
-		if s.chance(0.7) {
+		if s.chance(readyOnDeliveryProbability) {
 			n.processReady()
 		}
 	}
 }
 
-// tick ticks a member or restarts it. Under faults clocks drift by up to a tenth.
+// tick ticks a member, or restarts it once it has been down long enough. Under faults the
+// member misses some ticks at random, so that clocks drift apart.
 func (s *sim) tick(n *simNode) {
 	if n.core == nil {
 		if s.step >= n.downUntil {
@@ -323,13 +367,13 @@
 		n.missedTicks++
 		return
 	}
-	if n.clockStopped || s.opt.faults && s.chance(0.05) {
+	if n.clockStopped || s.opt.faults && s.chance(missedTickProbability) {
 		return
 	}
 	n.core.Tick()
 }
 
-// resume ends a pause. The missed ticks come before anything else.
+// resume ends a pause. The missed ticks are made up for before anything else happens.
 func (n *simNode) resume() {
 	n.paused = false
 	for range n.missedTicks {
@@ -338,16 +382,17 @@
 	n.missedTicks = 0
 }
 
+// propose makes proposals and read requests on random members.
 func (s *sim) propose() {
 	for _, n := range s.nodes {
-		if n.core == nil || n.paused || !s.chance(0.3) {
+		if n.core == nil || n.paused || !s.chance(proposalProbability) {
 			continue
 		}
 		s.nextCommand++
 		if _, _, err := n.core.Propose(fmt.Appendf(nil, "c%d", s.nextCommand)); err == nil {
 			s.counts["proposed"]++
 		}
-		if s.chance(0.3) && n.core.ReadIndex(s.nextCommand) == nil {
+		if s.chance(readProbability) && n.core.ReadIndex(s.nextCommand) == nil {
 			s.reads[s.nextCommand] = s.lastApplied
 		}
 	}
--- a/replica/transfer.go
+++ b/replica/transfer.go
@@ -2,8 +2,8 @@
 
 import "github.com/cockroachdb/errors"
 
-// transfer is a pending leadership transfer. timeoutNowSent is set once the new
-// leader may campaign.
+// transfer is a pending leadership transfer to the member to. timeoutNowSent is set once
+// that member was told to campaign.
 type transfer struct {
 	to             string
 	startedTick    uint64
@@ -33,7 +33,7 @@
 
 // tryTransfer tells the new leader to campaign once it has caught up. From then on
 // this leader decides nothing any more: the voters grant the forced votes in spite of
-// its lease, so the lease no longer protects it.
+// its lease, so another leader may be elected before the lease expires.
 func (c *Core) tryTransfer(from string) {
 	t := &c.leaderState.transfer
 	if c.role != Leader || t.to != from || t.timeoutNowSent {
