--- a/internal/descriptors/inbound.go
+++ b/internal/descriptors/inbound.go
@@ -90,19 +90,19 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	remote := remoteHost(conn)
-	h := l.hosts[remote]
-	if h == nil {
-		h = &hostConns{idle: list.New()}
-		l.hosts[remote] = h
+	host := l.hosts[remote]
+	if host == nil {
+		host = &hostConns{idle: list.New()}
+		l.hosts[remote] = host
 	}
 	evictFrom := l.idle
-	if h.conns >= l.perHost {
-		evictFrom = h.idle
+	if host.conns >= l.perHost {
+		evictFrom = host.idle
 	}
-	full := h.conns >= l.perHost || len(l.conns) >= l.limit
-	h.conns++
+	atLimit := host.conns >= l.perHost || len(l.conns) >= l.limit
+	host.conns++
 	l.conns[conn] = &inboundConn{remote: remote}
-	if full {
+	if atLimit {
 		l.evictOrReject(evictFrom, conn)
 		return
 	}
@@ -156,9 +156,9 @@
 		return
 	}
 	delete(l.conns, conn)
-	h := l.hosts[c.remote]
-	h.conns--
-	if h.conns == 0 {
+	host := l.hosts[c.remote]
+	host.conns--
+	if host.conns == 0 {
 		delete(l.hosts, c.remote)
 	}
 }
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -43,32 +43,32 @@
 }
 
 // FromAPI converts an event from its wire format.
-func FromAPI(wire *apiv1.Event) Event {
+func FromAPI(message *apiv1.Event) Event {
 	return Event{
-		Timestamp:  hlc.Timestamp{Wall: wire.GetWallMs(), Logical: wire.GetLogical()},
-		Instance:   wire.GetInstance(),
-		DataCentre: wire.GetDataCentre(),
-		Kind:       wire.GetKind(),
-		Subjects:   wire.GetSubjects(),
-		Detail:     wire.GetDetail(),
+		Timestamp:  hlc.Timestamp{Wall: message.GetWallMs(), Logical: message.GetLogical()},
+		Instance:   message.GetInstance(),
+		DataCentre: message.GetDataCentre(),
+		Kind:       message.GetKind(),
+		Subjects:   message.GetSubjects(),
+		Detail:     message.GetDetail(),
 	}
 }
 
 // ListToAPI converts events to their wire format.
 func ListToAPI(events []Event) []*apiv1.Event {
-	wire := make([]*apiv1.Event, len(events))
+	messages := make([]*apiv1.Event, len(events))
 	for i := range events {
-		wire[i] = events[i].ToAPI()
+		messages[i] = events[i].ToAPI()
 	}
-	return wire
+	return messages
 }
 
 // ListFromAPI converts events from their wire format. It skips nil elements.
-func ListFromAPI(wire []*apiv1.Event) []Event {
-	events := make([]Event, 0, len(wire))
-	for _, w := range wire {
-		if w != nil {
-			events = append(events, FromAPI(w))
+func ListFromAPI(messages []*apiv1.Event) []Event {
+	events := make([]Event, 0, len(messages))
+	for _, message := range messages {
+		if message != nil {
+			events = append(events, FromAPI(message))
 		}
 	}
 	return events
@@ -77,10 +77,10 @@
 // Merge sorts the events of many instances into causal order: by timestamp, then
 // by instance. Only causally unrelated events can have equal timestamps. Merge
 // removes duplicates, which occur when two instances return the same event.
-func Merge(lists ...[]Event) []Event {
+func Merge(perInstance ...[]Event) []Event {
 	var all []Event
-	for _, list := range lists {
-		all = append(all, list...)
+	for _, events := range perInstance {
+		all = append(all, events...)
 	}
 	slices.SortStableFunc(all, compareEvents)
 	return slices.CompactFunc(all, equalEvents)
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -21,8 +21,8 @@
 	// version is the version of the configuration by which the last try was answered, 0
 	// for none.
 	version uint64
-	// answeredBy is the address to which the last try was sent.
-	answeredBy string
+	// lastAddress is the address to which the last try was sent.
+	lastAddress string
 }
 
 // Call calls a method of the leader until ctx ends. It tries other members while no
@@ -38,7 +38,7 @@
 func CallForCaller[Reply any](ctx context.Context, g *Gateway, receivedAt time.Time, method string, request any) (Reply, error) {
 	c := &leaderCall{g: g, method: method, request: request}
 	reply, err := callUntilSettled[Reply](ctx, c)
-	return reply, g.WithholdOutOfOrder(Outcome{Method: method, ReceivedAt: receivedAt, Version: c.version, AnsweredBy: c.answeredBy, MaybeExecuted: c.maybeExecuted, Err: err})
+	return reply, g.WithholdOutOfOrder(Outcome{Method: method, ReceivedAt: receivedAt, Version: c.version, AnsweredBy: c.lastAddress, MaybeExecuted: c.maybeExecuted, Err: err})
 }
 
 // callUntilSettled makes tries until one settles the call or ctx ends.
@@ -90,7 +90,7 @@
 		c.g.SuggestLeader(hint)
 		return
 	}
-	c.g.leaderLost(tried)
+	c.g.clearLeader(tried)
 }
 
 // searchLeader tries the members one after the other. One call at a time searches; the
@@ -147,7 +147,7 @@
 func (c *leaderCall) try(ctx context.Context, address string, timeout time.Duration, reply any) (settled bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	c.answeredBy = address
+	c.lastAddress = address
 	c.version, err = c.g.client.CallVersioned(ctx, address, c.method, c.request, reply)
 	switch {
 	case err == nil:
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -145,9 +145,9 @@
 	g.setLeader(address)
 }
 
-// leaderLost clears a leader that gave no useful answer, and moves it to the end of the
+// clearLeader clears a leader that gave no useful answer, and moves it to the end of the
 // members, so that a search starts with another one.
-func (g *Gateway) leaderLost(address string) {
+func (g *Gateway) clearLeader(address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.leader == address {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -73,7 +73,7 @@
 	must.Eq(t, 1, tries)
 }
 
-func TestInContactWhileLeaderAnswers(t *testing.T) {
+func TestInContactWhileLeaderResponds(t *testing.T) {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodAnnounceInstance, func(context.Context, *control.AnnounceInstanceCall) (control.AnnounceInstanceReply, error) {
 		return control.AnnounceInstanceReply{Members: []string{"m"}}, nil
@@ -159,8 +159,8 @@
 	g := New(link.NewClient(100), "own", []string{unresponsive}, log.NewNopLogger())
 	ctx, cancel := context.WithTimeout(t.Context(), searchTimeout-time.Millisecond)
 	defer cancel()
-	found := time.AfterFunc(searchTimeout/5, func() { g.SuggestLeader(leader) })
-	defer found.Stop()
+	suggestTimer := time.AfterFunc(searchTimeout/5, func() { g.SuggestLeader(leader) })
+	defer suggestTimer.Stop()
 	_, err := Call[control.Empty](ctx, g, control.MethodCancel, &control.CancelCall{})
 	must.NoError(t, err)
 }
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -53,9 +53,9 @@
 // instance has named.
 func (g *Gateway) Version() uint64 { return g.client.Version() }
 
-// endedTimeout bounds a call to a follower. It is short because the leader can answer
+// followerTimeout bounds a call to a follower. It is short because the leader can answer
 // too.
-const endedTimeout = 150 * time.Millisecond
+const followerTimeout = 150 * time.Millisecond
 
 // Ended asks a follower for the phase of a job that may have ended, on behalf of a
 // request received at receivedAt. If known is false, the caller has to ask the leader.
@@ -64,7 +64,7 @@
 	if member == "" {
 		return 0, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, endedTimeout)
+	ctx, cancel := context.WithTimeout(ctx, followerTimeout)
 	defer cancel()
 	var reply control.EndedReply
 	call := &control.EndedCall{Address: jobAddress, Version: g.Version()}
--- a/internal/gateway/version_order.go
+++ b/internal/gateway/version_order.go
@@ -125,11 +125,11 @@
 // conflictingVersion returns the version of an earlier answer that contradicts an
 // answer by version, 0 for none. o.mu is held.
 func (o *versionOrder) conflictingVersion(version uint64, receivedAt time.Time) uint64 {
-	for _, s := range o.spans {
-		laterByOlder := s.version < version && s.lastReceived.Sub(receivedAt) > reorderTolerance
-		earlierByNewer := s.version > version && receivedAt.Sub(s.firstReceived) > reorderTolerance
-		if laterByOlder || earlierByNewer {
-			return s.version
+	for _, span := range o.spans {
+		laterRequestGotOlder := span.version < version && span.lastReceived.Sub(receivedAt) > reorderTolerance
+		earlierRequestGotNewer := span.version > version && receivedAt.Sub(span.firstReceived) > reorderTolerance
+		if laterRequestGotOlder || earlierRequestGotNewer {
+			return span.version
 		}
 	}
 	return 0
--- a/internal/gateway/version_order_test.go
+++ b/internal/gateway/version_order_test.go
@@ -37,7 +37,7 @@
 	return err
 }
 
-func TestChangeOfAnsweringVersionIsLogged(t *testing.T) {
+func TestChangeOfResponseVersionIsLogged(t *testing.T) {
 	var lines bytes.Buffer
 	var version uint64 = 62
 	leader := startStateServer(t, func(string) (uint64, error) { return version, nil })
@@ -52,9 +52,9 @@
 	must.StrContains(t, lines.String(), "event=answered_by version=65 before=62 from="+leader)
 }
 
-// startHeldLeader serves state calls: for the queue "added" by version 65 after
+// startLeaderThatHoldsAdded serves state calls: for the queue "added" by version 65 after
 // released is closed, and for all others by version 62 immediately.
-func startHeldLeader(t *testing.T, released <-chan struct{}) string {
+func startLeaderThatHoldsAdded(t *testing.T, released <-chan struct{}) string {
 	return startStateServer(t, func(queue string) (uint64, error) {
 		if queue != "added" {
 			return 62, nil
@@ -71,7 +71,7 @@
 // that it drops.
 func TestEarlierRequestIsNotAnsweredByNewerVersion(t *testing.T) {
 	released := make(chan struct{})
-	g := New(link.NewClient(100), "own", []string{startHeldLeader(t, released)}, log.NewNopLogger())
+	g := New(link.NewClient(100), "own", []string{startLeaderThatHoldsAdded(t, released)}, log.NewNopLogger())
 	first := make(chan error, 1)
 	go func() { first <- callState(t.Context(), g, "added") }()
 	time.Sleep(300 * time.Millisecond)
--- a/internal/jobfile/jobfile.go
+++ b/internal/jobfile/jobfile.go
@@ -86,8 +86,8 @@
 		raw.Deadline = (*deadlineText)(&deadline)
 	}
 	r := jobReader{file: file, raw: &raw, spec: &apiv1.Spec{Need: &apiv1.Resources{}}}
-	for _, step := range []func() error{r.identity, r.requireIdempotentService, r.counts, r.demand, r.runtimeAndDeadline(now)} {
-		if err := step(); err != nil {
+	for _, convert := range []func() error{r.convertIdentity, r.requireIdempotentService, r.convertCounts, r.convertDemand, r.convertTimes(now)} {
+		if err := convert(); err != nil {
 			return nil, err
 		}
 	}
@@ -102,7 +102,7 @@
 }
 
 // identity checks and converts name, policy, data centre, flags and payload.
-func (r *jobReader) identity() error {
+func (r *jobReader) convertIdentity() error {
 	if !settings.NamePattern.MatchString(r.raw.Name) {
 		return r.file.Errorf("name", "%q isn't a name (letters, digits, '_', '.', '-', at most 63)", r.raw.Name)
 	}
@@ -138,7 +138,7 @@
 }
 
 // counts checks and converts the numbers of tasks, accelerators and attempts.
-func (r *jobReader) counts() error {
+func (r *jobReader) convertCounts() error {
 	tasks := int64(1)
 	if r.raw.Tasks != nil {
 		tasks = *r.raw.Tasks
@@ -166,12 +166,12 @@
 }
 
 // demand checks and converts the resources of one task.
-func (r *jobReader) demand() error {
-	cpu, err := r.amount("cpu", r.raw.CPU, units.ParseCores)
+func (r *jobReader) convertDemand() error {
+	cpu, err := r.parseAmount("cpu", r.raw.CPU, units.ParseCores)
 	if err != nil {
 		return err
 	}
-	memory, err := r.amount("memory", r.raw.Memory, units.ParseMiB)
+	memory, err := r.parseAmount("memory", r.raw.Memory, units.ParseMiB)
 	if err != nil {
 		return err
 	}
@@ -184,7 +184,7 @@
 }
 
 // amount parses the value of a key. It returns 0 when the key is missing.
-func (r *jobReader) amount(key string, text *tomlfile.Text, parse func(string) (int64, error)) (int64, error) {
+func (r *jobReader) parseAmount(key string, text *tomlfile.Text, parse func(string) (int64, error)) (int64, error) {
 	if text == nil {
 		return 0, nil
 	}
@@ -195,8 +195,8 @@
 	return amount, nil
 }
 
-// runtimeAndDeadline returns a function that checks and converts run time and deadline.
-func (r *jobReader) runtimeAndDeadline(now time.Time) func() error {
+// convertTimes returns a function that checks and converts run time and deadline.
+func (r *jobReader) convertTimes(now time.Time) func() error {
 	return func() error {
 		if r.spec.Policy == apiv1.Policy_POLICY_SERVICE {
 			return r.rejectTimes()
@@ -247,7 +247,7 @@
 	}
 	deadline, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return time.Time{}, badDeadline(text)
+		return time.Time{}, deadlineFormatError(text)
 	}
 	return checkDeadline(text, deadline, now)
 }
@@ -269,7 +269,7 @@
 
 func (e deadlineError) Error() string { return string(e) }
 
-func badDeadline(text string) error {
+func deadlineFormatError(text string) error {
 	return deadlineError(quoted(text) + " is neither a span such as \"+45s\" nor a time such as \"2030-01-02T06:00:00Z\"")
 }
 
--- a/internal/jobfile/jobfile_test.go
+++ b/internal/jobfile/jobfile_test.go
@@ -25,7 +25,7 @@
 
 var now = time.Date(2030, 1, 2, 3, 4, 5, 0, time.UTC)
 
-func TestParse(t *testing.T) {
+func TestParseFillsSpecFromFile(t *testing.T) {
 	s, err := Parse([]byte(validJob), now)
 	must.NoError(t, err)
 	must.Eq(t, apiv1.Policy_POLICY_BATCH, s.Policy)
@@ -49,7 +49,7 @@
 	must.Eq(t, 2000, s.Need.CpuMilli)
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejectsInvalidValues(t *testing.T) {
 	cases := []struct{ old, with, field, message string }{
 		{"recalculation", "a b", "name", "line 1"},
 		{"batch", "cron", "policy", `line 2: "cron" is none of`},
--- a/internal/jobfile/workflow.go
+++ b/internal/jobfile/workflow.go
@@ -67,11 +67,11 @@
 	case len(raw.Steps) == 0:
 		return nil, file.Errorf("step", "is missing; a job has at least one [[step]]")
 	}
-	if request.Repeat, err = r.repeat(&raw.Repeat); err != nil {
+	if request.Repeat, err = r.convertRepeat(&raw.Repeat); err != nil {
 		return nil, err
 	}
 	for i := range raw.Steps {
-		step, err := r.step(&raw.Steps[i], i)
+		step, err := r.convertStep(&raw.Steps[i], i)
 		if err != nil {
 			return nil, err
 		}
@@ -86,7 +86,7 @@
 
 // repeat converts the times of a repeated job. It returns nil for a job that isn't
 // repeated.
-func (r *workflowReader) repeat(raw *rawRepeat) (*apiv1.Repeat, error) {
+func (r *workflowReader) convertRepeat(raw *rawRepeat) (*apiv1.Repeat, error) {
 	if *raw == (rawRepeat{}) {
 		return nil, nil
 	}
@@ -105,7 +105,7 @@
 }
 
 // step checks and converts the step with the index.
-func (r *workflowReader) step(raw *rawStep, index int) (*apiv1.Step, error) {
+func (r *workflowReader) convertStep(raw *rawStep, index int) (*apiv1.Step, error) {
 	key := func(name string) string { return fmt.Sprintf("step[%d].%s", index, name) }
 	step := &apiv1.Step{
 		Need: &apiv1.Resources{Accelerators: raw.Accelerators}, Gang: raw.Gang, SameRack: raw.SameRack, Label: raw.Label,
@@ -129,7 +129,7 @@
 		}
 		*count.into = int32(count.value)
 	}
-	if err := r.demandAndTimes(raw, step, key); err != nil {
+	if err := r.convertDemandAndTimes(raw, step, key); err != nil {
 		return nil, err
 	}
 	for _, prerequisite := range raw.After {
@@ -141,8 +141,8 @@
 	return step, nil
 }
 
-// demandAndTimes converts the resources that a task needs and its run times.
-func (r *workflowReader) demandAndTimes(raw *rawStep, step *apiv1.Step, key func(string) string) (err error) {
+// convertDemandAndTimes converts the resources that a task needs and its run times.
+func (r *workflowReader) convertDemandAndTimes(raw *rawStep, step *apiv1.Step, key func(string) string) (err error) {
 	if raw.CPU != nil {
 		if step.Need.CpuMilli, err = units.ParseCores(string(*raw.CPU)); err != nil {
 			return r.file.Errorf(key("cpu"), "%v", err)
--- a/internal/jobfile/workflow_test.go
+++ b/internal/jobfile/workflow_test.go
@@ -41,7 +41,7 @@
 max_per_worker = 2
 `
 
-func TestParseWorkflow(t *testing.T) {
+func TestParseWorkflowFillsRequestFromFile(t *testing.T) {
 	got, err := ParseWorkflow("reports.toml", []byte(validWorkflow))
 	must.NoError(t, err)
 	want := &apiv1.SubmitWorkflowRequest{
--- a/internal/jobtrace/lines.go
+++ b/internal/jobtrace/lines.go
@@ -112,7 +112,7 @@
 
 // subjects returns the ids of the jobs, workers and machines that a line concerns.
 func (l *Line) subjects() []string {
-	var list []string
+	var ids []string
 	for _, f := range l.Fields {
 		if !slices.Contains(subjectKeys, f.Key) {
 			continue
@@ -124,11 +124,11 @@
 		case "path":
 			id = id[strings.LastIndexByte(id, '/')+1:]
 		}
-		if id != "" && !slices.Contains(list, id) {
-			list = append(list, id)
+		if id != "" && !slices.Contains(ids, id) {
+			ids = append(ids, id)
 		}
 	}
-	return list
+	return ids
 }
 
 // Concerns reports whether the line has the subject.
--- a/internal/jobtrace/trace.go
+++ b/internal/jobtrace/trace.go
@@ -155,7 +155,7 @@
 // describePeakLoad describes the "load" line with the most waiting tasks between two
 // times, or returns "" when there is none.
 func describePeakLoad(allLines []Line, from, to time.Time) string {
-	var worst *Line
+	var peak *Line
 	maxTasks := -1
 	for i := range allLines {
 		l := &allLines[i]
@@ -163,17 +163,17 @@
 			continue
 		}
 		if tasks, err := strconv.Atoi(l.Get("tasks")); err == nil && tasks > maxTasks {
-			worst, maxTasks = l, tasks
+			peak, maxTasks = l, tasks
 		}
 	}
-	if worst == nil {
+	if peak == nil {
 		return ""
 	}
-	text := fmt.Sprintf("; meanwhile up to %d tasks waited for %s workers", maxTasks, worst.Get("usable_workers"))
-	if keptBack := worst.Get("kept_back"); keptBack != "" {
+	text := fmt.Sprintf("; meanwhile up to %d tasks waited for %s workers", maxTasks, peak.Get("usable_workers"))
+	if keptBack := peak.Get("kept_back"); keptBack != "" {
 		text += " (kept back: " + keptBack + ")"
 	}
-	if waiting := worst.Get("waiting_by"); waiting != "" {
+	if waiting := peak.Get("waiting_by"); waiting != "" {
 		text += " (steps that waited: " + waiting + ")"
 	}
 	return text
@@ -202,7 +202,7 @@
 // worker points to a fault of the worker, several point to the job.
 func describeFailures(jobLines []Line) string {
 	workers := map[string][]string{}
-	worst := ""
+	mostFailed := ""
 	for i := range jobLines {
 		l := &jobLines[i]
 		if l.Event != "run_ended" || l.Get("outcome") != "failed" {
@@ -210,20 +210,20 @@
 		}
 		task := l.Get("task")
 		workers[task] = append(workers[task], l.Get("worker"))
-		if len(workers[task]) > len(workers[worst]) {
-			worst = task
+		if len(workers[task]) > len(workers[mostFailed]) {
+			mostFailed = task
 		}
 	}
-	if worst == "" {
+	if mostFailed == "" {
 		return "no line shows a run that failed"
 	}
-	sorted := slices.Clone(workers[worst])
+	sorted := slices.Clone(workers[mostFailed])
 	slices.Sort(sorted)
 	distinct := slices.Compact(sorted)
 	if len(distinct) == 1 {
-		return fmt.Sprintf("task %s failed %d times, each time on %s: check that worker", worst, len(workers[worst]), distinct[0])
+		return fmt.Sprintf("task %s failed %d times, each time on %s: check that worker", mostFailed, len(workers[mostFailed]), distinct[0])
 	}
-	return fmt.Sprintf("task %s failed %d times on %d workers (%s): the job itself is the likely cause", worst, len(workers[worst]), len(distinct),
+	return fmt.Sprintf("task %s failed %d times on %d workers (%s): the job itself is the likely cause", mostFailed, len(workers[mostFailed]), len(distinct),
 		strings.Join(distinct, ", "))
 }
 
@@ -256,16 +256,16 @@
 		}
 		s.observe(&jobLines[i])
 	}
-	var list []Span
+	var spans []Span
 	for activity, took := range s.durations {
 		if took > 0 {
-			list = append(list, Span{activity, took})
+			spans = append(spans, Span{activity, took})
 		}
 	}
-	slices.SortFunc(list, func(a, b Span) int {
+	slices.SortFunc(spans, func(a, b Span) int {
 		return cmp.Or(cmp.Compare(b.Duration, a.Duration), cmp.Compare(a.Activity, b.Activity))
 	})
-	return list
+	return spans
 }
 
 // commitTime returns how long the commit of an accepted submission took.
@@ -282,18 +282,18 @@
 
 // runOutcomes returns the outcome of each run, by runKey.
 func runOutcomes(jobLines []Line) map[string]string {
-	ends := map[string]string{}
+	outcomes := map[string]string{}
 	for i := range jobLines {
 		if jobLines[i].Event == "run_ended" {
-			ends[runKey(&jobLines[i])] = jobLines[i].Get("outcome")
+			outcomes[runKey(&jobLines[i])] = jobLines[i].Get("outcome")
 		}
 	}
-	return ends
+	return outcomes
 }
 
 // leaderlessIntervals returns the intervals between two leader terms.
 func leaderlessIntervals(allLines []Line) []interval {
-	var gaps []interval
+	var leaderless []interval
 	var ended time.Time
 	for i := range allLines {
 		l := &allLines[i]
@@ -303,7 +303,7 @@
 		switch l.Get("outcome") {
 		case "begun":
 			if !ended.IsZero() {
-				gaps = append(gaps, interval{ended, l.Time})
+				leaderless = append(leaderless, interval{ended, l.Time})
 			}
 			ended = time.Time{}
 		case "ended", "given up":
@@ -312,7 +312,7 @@
 			}
 		}
 	}
-	return gaps
+	return leaderless
 }
 
 // observe updates the runs in flight and the waiting reason from one line.
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -25,9 +25,9 @@
 	// takes a few milliseconds, and the operating system resends a lost first packet
 	// after 1 s.
 	dialTimeout = 500 * time.Millisecond
-	// maxBody bounds the bytes of a request or reply; a configuration with several
+	// maxBodyBytes bounds the bytes of a request or reply; a configuration with several
 	// thousand routes fits.
-	maxBody = 8 << 20
+	maxBodyBytes = 8 << 20
 	// maxIdlePerHost is the number of idle connections kept open per host: the usual
 	// number of concurrent calls.
 	maxIdlePerHost = 16
@@ -127,11 +127,11 @@
 		return e, callError(method, err)
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxBody))
+	responseBody, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes))
 	if err != nil {
 		return e, fault.New(fault.Unknown, "%s: the answer is incomplete: %v", method, err)
 	}
-	if err := cbor.Unmarshal(data, &e); err != nil {
+	if err := cbor.Unmarshal(responseBody, &e); err != nil {
 		return e, fault.New(fault.Unknown, "%s: the answer with status %d can't be decoded: %v", method, response.StatusCode, err)
 	}
 	return e, nil
@@ -221,12 +221,12 @@
 
 // serveRequest decodes a request, serves it, and returns the body of the reply.
 func serveRequest[Request, Reply any](ctx context.Context, r *http.Request, serve func(context.Context, *Request) (Reply, error)) envelope {
-	data, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		return errorEnvelope(fault.Field("body", "%v", err))
 	}
 	request := new(Request)
-	if err := cbor.Unmarshal(data, request); err != nil {
+	if err := cbor.Unmarshal(body, request); err != nil {
 		return errorEnvelope(fault.Field("body", "%v", err))
 	}
 	reply, err := serve(ctx, request)
@@ -256,11 +256,11 @@
 // writeReply writes the body of a reply.
 func writeReply(w http.ResponseWriter, e envelope) {
 	w.Header().Set("Content-Type", contentType)
-	data, err := cbor.Marshal(&e)
+	body, err := cbor.Marshal(&e)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	// A write error means that the caller has disconnected.
-	_, _ = w.Write(data)
+	_, _ = w.Write(body)
 }
--- a/internal/measure/fit.go
+++ b/internal/measure/fit.go
@@ -125,8 +125,8 @@
 	slices.SortFunc(measurements, func(a, b Measurement) int { return cmp.Compare(a.Size, b.Size) })
 	table := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	fmt.Fprintf(table, "| process\t| quantity\t")
-	for _, s := range measurements {
-		fmt.Fprintf(table, "| at %g: mean (largest)\t", s.Size)
+	for _, m := range measurements {
+		fmt.Fprintf(table, "| at %g: mean (largest)\t", m.Size)
 	}
 	fmt.Fprintf(table, "| at 0\t| slope\t| largest residual\t|\n")
 	fmt.Fprintln(table, strings.Repeat("|---\t", len(measurements)+5)+"|")
@@ -141,8 +141,8 @@
 // classes returns the classes of all measured processes, sorted.
 func classes(measurements []Measurement, class func(Usage) Class) []Class {
 	var found []Class
-	for _, s := range measurements {
-		for _, u := range s.Usages {
+	for _, m := range measurements {
+		for _, u := range m.Usages {
 			if c := class(u); !slices.Contains(found, c) {
 				found = append(found, c)
 			}
@@ -156,9 +156,9 @@
 func writeFitRow(w io.Writer, measurements []Measurement, c Class, class func(Usage) Class, q quantity) {
 	var x, y []float64
 	fmt.Fprintf(w, "| %s\t| %s\t", c, q.name)
-	for _, s := range measurements {
+	for _, m := range measurements {
 		var values []float64
-		for _, u := range s.Usages {
+		for _, u := range m.Usages {
 			if class(u) == c {
 				values = append(values, q.value(u))
 			}
@@ -167,7 +167,7 @@
 			fmt.Fprintf(w, "| -\t")
 			continue
 		}
-		x, y = append(x, s.Size), append(y, stat.Mean(values, nil))
+		x, y = append(x, m.Size), append(y, stat.Mean(values, nil))
 		fmt.Fprintf(w, "| %.2f (%.2f)\t", stat.Mean(values, nil), slices.Max(values))
 	}
 	line := FitLine(x, y)
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -119,29 +119,29 @@
 // usages returns the usage of each target from its samples.
 func (cfg Config) usages(samples [][]sample) []Usage {
 	maxSamples := 0
-	for _, list := range samples {
-		maxSamples = max(maxSamples, len(list))
+	for _, ofTarget := range samples {
+		maxSamples = max(maxSamples, len(ofTarget))
 	}
 	usages := make([]Usage, 0, len(samples))
-	for i, list := range samples {
-		u := usageOf(list)
+	for i, ofTarget := range samples {
+		u := usageOf(ofTarget)
 		u.Name = cfg.Targets[i].Name
 		u.PID = cfg.Targets[i].PID
-		u.Gone = len(list) < maxSamples
+		u.Gone = len(ofTarget) < maxSamples
 		usages = append(usages, u)
 	}
 	return usages
 }
 
 // usageOf returns the usage between the first and last sample of a process.
-func usageOf(list []sample) Usage {
-	first, last := list[0], list[len(list)-1]
+func usageOf(samples []sample) Usage {
+	first, last := samples[0], samples[len(samples)-1]
 	seconds := last.at.Sub(first.at).Seconds()
 	u := Usage{Seconds: seconds, Counters: make(map[string]float64), Roles: last.roles}
-	for i, s := range list {
+	for i, s := range samples {
 		u.MemoryMiB = max(u.MemoryMiB, float64(s.rss)/(1<<20))
 		if i > 0 {
-			u.PeakCPUPercent = max(u.PeakCPUPercent, cpuPercent(list[i-1], s))
+			u.PeakCPUPercent = max(u.PeakCPUPercent, cpuPercent(samples[i-1], s))
 		}
 	}
 	if seconds == 0 {
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -14,10 +14,10 @@
 )
 
 func TestRunMeasuresOwnProcess(t *testing.T) {
-	count := 0
+	requests := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		count++
-		_, _ = w.Write([]byte(`{"calls": ` + strings.Repeat("1", count) + `, "peers": {"a": {"sent": ` + strconv.Itoa(count) + `}, "b": {"sent": 5}, "c": 1}, "name": "x"}`))
+		requests++
+		_, _ = w.Write([]byte(`{"calls": ` + strings.Repeat("1", requests) + `, "peers": {"a": {"sent": ` + strconv.Itoa(requests) + `}, "b": {"sent": 5}, "c": 1}, "name": "x"}`))
 	}))
 	t.Cleanup(server.Close)
 	usages, err := Run(t.Context(), Config{
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -181,7 +181,7 @@
 // is dropped: the logs resend what still matters, and resending an old batch would only
 // delay that.
 func (l *peerLink) exchange(ctx context.Context, client apiv1.Peer, request *apiv1.ExchangeRequest, payloads, size int) bool {
-	timeout := callTimeout + time.Duration(size)*time.Second/bytesPerSecond
+	timeout := callTimeout + time.Duration(size)*time.Second/minBytesPerSecond
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	ctx, err := rpc.WithBearer(ctx, l.cfg.Bearer)
--- a/internal/peer/mux.go
+++ b/internal/peer/mux.go
@@ -34,14 +34,14 @@
 
 // Register sets the handler of a group and replaces an earlier one; nil removes the
 // group.
-func (m *Mux) Register(group string, handle PayloadHandler) {
+func (m *Mux) Register(group string, handler PayloadHandler) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if handle == nil {
+	if handler == nil {
 		delete(m.groups, group)
 		return
 	}
-	m.groups[group] = handle
+	m.groups[group] = handler
 }
 
 // Exchange accepts the payloads of one call and passes them on in the order of the
@@ -99,10 +99,10 @@
 // deliverGroup passes payloads to the handler of their group.
 func (m *Mux) deliverGroup(from string, g *apiv1.GroupMessages) {
 	m.mu.RLock()
-	handle := m.groups[g.Group]
+	handler := m.groups[g.Group]
 	m.mu.RUnlock()
 	for _, payload := range g.Messages {
-		if handle == nil || handle(from, payload) != nil {
+		if handler == nil || handler(from, payload) != nil {
 			m.refused.Add(1)
 			continue
 		}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -34,8 +34,8 @@
 	maxCalls = 4
 
 	callTimeout = time.Second
-	// bytesPerSecond is the lowest transfer rate that the timeout of a call allows for.
-	bytesPerSecond = 4 << 20
+	// minBytesPerSecond is the lowest transfer rate that the timeout of a call allows for.
+	minBytesPerSecond = 4 << 20
 
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = 400 * time.Millisecond
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -95,10 +95,10 @@
 	return append([]string(nil), i.payloads...)
 }
 
-func eventually(t *testing.T, what string, condition func() bool) {
+func eventually(t *testing.T, awaited string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !condition(); time.Sleep(time.Millisecond) {
-		must.True(t, time.Now().Before(end), must.Sprint("timed out waiting for: "+what))
+		must.True(t, time.Now().Before(end), must.Sprint("timed out waiting for: "+awaited))
 	}
 }
 
@@ -256,14 +256,14 @@
 
 type fixedClock struct{ observed chan int64 }
 
-func (s fixedClock) Timestamp() (int64, uint32) { return 1234, 5 }
+func (c fixedClock) Timestamp() (int64, uint32) { return 1234, 5 }
 
-func (s fixedClock) Observe(wallMS int64, logical uint32) { s.observed <- wallMS + int64(logical) }
+func (c fixedClock) Observe(wallMS int64, logical uint32) { c.observed <- wallMS + int64(logical) }
 
 func TestTimestampsAreExchanged(t *testing.T) {
-	s := fixedClock{make(chan int64, 1)}
-	a, b := newInstance(t, "a", Config{Clock: s}), newInstance(t, "b", Config{Clock: s})
+	clock := fixedClock{make(chan int64, 1)}
+	a, b := newInstance(t, "a", Config{Clock: clock}), newInstance(t, "b", Config{Clock: clock})
 	a.SetPeer("b", b.address())
 	a.Send("log", "b", []byte("1"))
-	must.Eq(t, 1239, <-s.observed)
+	must.Eq(t, 1239, <-clock.observed)
 }
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -79,8 +79,8 @@
 }
 
 // Authenticate passes requests with a known token to next, and refuses others. It
-// limits the request body to maxBody bytes.
-func Authenticate(tokens *settings.TokenSet, maxBody int64, next http.Handler) http.Handler {
+// limits the request body to maxBodyBytes bytes.
+func Authenticate(tokens *settings.TokenSet, maxBodyBytes int64, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		bearer := r.Header.Get("Authorization")
 		identity, err := tokens.Authenticate(bearer)
@@ -88,11 +88,11 @@
 			_ = twirp.WriteError(w, fault.ToTwirp(err))
 			return
 		}
-		if r.ContentLength > maxBody {
-			_ = twirp.WriteError(w, fault.ToTwirp(fault.Field("body", "%d bytes, the limit is %d", r.ContentLength, maxBody)))
+		if r.ContentLength > maxBodyBytes {
+			_ = twirp.WriteError(w, fault.ToTwirp(fault.Field("body", "%d bytes, the limit is %d", r.ContentLength, maxBodyBytes)))
 			return
 		}
-		r.Body = http.MaxBytesReader(w, r.Body, maxBody)
+		r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
 		ctx := WithCaller(r.Context(), Caller{Identity: identity, Bearer: bearer})
 		next.ServeHTTP(w, r.WithContext(ctx))
 	})
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -294,9 +294,9 @@
 		{"worker_lease", t.WorkerLease, t.Drift, "timing.drift"},
 		{"max_request", t.MaxRequest + 1, t.SlotLease, "or equal to timing.slot_lease"},
 	}
-	for _, o := range minimums {
-		if o.value <= o.minimum {
-			return file.Errorf("timing."+o.key, "is %s and must be longer than %s, %s", o.value, o.bound, o.minimum)
+	for _, m := range minimums {
+		if m.value <= m.minimum {
+			return file.Errorf("timing."+m.key, "is %s and must be longer than %s, %s", m.value, m.bound, m.minimum)
 		}
 	}
 	return nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -157,7 +157,7 @@
 	must.ErrorContains(t, err, "partitioned from the others, it could commit nothing")
 }
 
-func TestLoadRejectsBadFiles(t *testing.T) {
+func TestLoadRejectsInvalidFiles(t *testing.T) {
 	for name, content := range map[string]string{"empty": " \n", "two lines": "a\nb\n", "same": "secret-cu"} {
 		t.Run(name, func(t *testing.T) {
 			path := writeDeployment(t, deploymentTOML(3))
--- a/internal/tomlfile/nearest.go
+++ b/internal/tomlfile/nearest.go
@@ -7,10 +7,10 @@
 
 // hint suggests a known key for an unknown one: the nearest key of the same table
 // or else of the whole file. Without a near key it lists the keys of the table.
-func hint(path string, known map[string]bool) string {
+func suggestKey(path string, known map[string]bool) string {
 	parent := parentPath(path)
 	siblings := keysOf(parent, known)
-	if near := nearest(lastPart(path), siblings); near != "" {
+	if near := nearest(keyName(path), siblings); near != "" {
 		return `did you mean "` + near + `"?`
 	}
 	all := make([]string, 0, len(known))
@@ -22,7 +22,7 @@
 		return `did you mean "` + near + `"?`
 	}
 	for _, key := range all {
-		if lastPart(key) == lastPart(path) {
+		if keyName(key) == keyName(path) {
 			return `did you mean "` + key + `"?`
 		}
 	}
@@ -37,15 +37,15 @@
 	var keys []string
 	for key := range known {
 		if parentPath(key) == table {
-			keys = append(keys, lastPart(key))
+			keys = append(keys, keyName(key))
 		}
 	}
 	slices.Sort(keys)
 	return keys
 }
 
-// lastPart returns the name of a key without its table.
-func lastPart(path string) string {
+// keyName returns the name of a key without its table.
+func keyName(path string) string {
 	return path[strings.LastIndexByte(path, '.')+1:]
 }
 
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -95,7 +95,7 @@
 		if len(lines) > 0 {
 			line = lines[0]
 		}
-		return f.errorAt(path, line, "unknown key; %s", hint(path, known))
+		return f.errorAt(path, line, "unknown key; %s", suggestKey(path, known))
 	}
 	return nil
 }
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -76,7 +76,7 @@
 	must.ErrorContains(t, err, "too many")
 }
 
-func TestNearest(t *testing.T) {
+func TestNearestFindsSimilarWord(t *testing.T) {
 	words := []string{"deadline", "payload", "policy"}
 	for word, want := range map[string]string{"dedline": "deadline", "Policy": "policy", "apyload": "payload", "xyz": "", "": "", strings.Repeat("p", 999): ""} {
 		must.Eq(t, want, Nearest(word, words))
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -63,17 +63,17 @@
 		}
 		n, err := strconv.ParseUint(digits, 10, 63)
 		if err != nil {
-			return 0, badSize(text)
+			return 0, sizeFormatError(text)
 		}
 		if n > uint64(math.MaxInt64/unit.bytes) {
 			return 0, errors.Newf("%q is too large", shorten(text))
 		}
 		return int64(n) * unit.bytes, nil
 	}
-	return 0, badSize(text)
+	return 0, sizeFormatError(text)
 }
 
-func badSize(text string) error {
+func sizeFormatError(text string) error {
 	return errors.Newf("%q isn't a size with a unit, such as \"64KiB\", \"16MiB\" or \"4GiB\"", shorten(text))
 }
 
@@ -107,13 +107,13 @@
 	if len(fraction) > coreDecimals {
 		fraction = fraction[:coreDecimals] + strings.TrimRight(fraction[coreDecimals:], "0")
 	}
-	bad := errors.Newf("%q isn't a number of cores, such as \"2\" or \"0.5\"", shorten(text))
+	invalid := errors.Newf("%q isn't a number of cores, such as \"2\" or \"0.5\"", shorten(text))
 	if hasPoint && (fraction == "" || len(fraction) > coreDecimals) {
-		return 0, bad
+		return 0, invalid
 	}
 	cores, err := strconv.ParseUint(whole, 10, 63)
 	if err != nil {
-		return 0, bad
+		return 0, invalid
 	}
 	if cores > maxCores {
 		return 0, errors.Newf("%q is too large", shorten(text))
@@ -121,7 +121,7 @@
 	padded := fraction + strings.Repeat("0", coreDecimals-len(fraction))
 	milli, err := strconv.ParseUint(padded, 10, 63)
 	if err != nil {
-		return 0, bad
+		return 0, invalid
 	}
 	return int64(cores)*milliPerCore + int64(milli), nil
 }
--- a/internal/units/units_test.go
+++ b/internal/units/units_test.go
@@ -39,7 +39,7 @@
 	must.Eq(t, "-1.5", FormatCores(-1500))
 }
 
-func TestParseDuration(t *testing.T) {
+func TestParseDurationRejectsInvalidText(t *testing.T) {
 	for _, text := range []string{"", "50", "-1s", "1 s", "1d", "99999999999h"} {
 		_, err := ParseDuration(text)
 		must.Error(t, err)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -121,11 +121,11 @@
 	if id == "" || len(id) > maxRequestID {
 		return state.Request{}, fault.Field("request_id", "must have 1 to %d bytes", maxRequestID)
 	}
-	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(content)
+	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(content)
 	if err != nil {
 		return state.Request{}, fault.Field("request", "%v", err)
 	}
-	return state.Request{ID: id, Customer: customer, Digest: xxhash.Sum64(data)}, nil
+	return state.Request{ID: id, Customer: customer, Digest: xxhash.Sum64(encoded)}, nil
 }
 
 // SpecToAPI converts a spec to its API message.
