--- a/internal/descriptors/budget.go
+++ b/internal/descriptors/budget.go
@@ -1,11 +1,11 @@
 // Package descriptors allocates the file descriptors of a process to the files of the
-// log and to each kind of connection, and limits each use.
+// replicated log and to each kind of connection, and limits each use.
 //
-// Failure guarded against: a process runs out of descriptors. In a storm of new
-// connections from callers, workers or other instances, the log can't open its files and
-// the process exits; after a restart it meets the same storm. So descriptors are reserved
-// for the files of the log, and each kind of connection has its own limit. At the limit of
-// a server, the connection that has been idle for longest is closed for a new one.
+// It guards against this failure: a process runs out of descriptors. When callers, workers
+// or other instances open very many connections at once, the log can't open its files and
+// the process exits; after its restart, the same happens again. Therefore descriptors are
+// reserved for the files of the log, and each kind of connection has its own limit. At the
+// limit of a server, the connection that has been idle for longest is closed for a new one.
 package descriptors
 
 import (
@@ -16,8 +16,8 @@
 )
 
 const (
-	// reservedForFiles is the number of descriptors for the log, its snapshots, the
-	// connections between the members of the log, and the Go runtime.
+	// reservedForFiles is the number of descriptors reserved for the log, its snapshots,
+	// the connections between the members of the log, and the Go runtime.
 	reservedForFiles = 360
 	// minConnections is the least number of descriptors that must be left for connections.
 	minConnections = 152
@@ -41,22 +41,23 @@
 
 // Budget is the maximum number of open connections of each kind.
 type Budget struct {
-	// FromInstances and ToInstances are for connections between the instances.
+	// FromInstances and ToInstances limit the connections from and to other instances.
 	FromInstances, ToInstances int
-	// FromExternal is for connections from callers, workers and operators.
+	// FromExternal limits the connections from callers, workers and operators.
 	FromExternal int
-	// ToExternal is for connections to workers and to the services of the deployment.
+	// ToExternal limits the connections to workers and to the services of the deployment.
 	ToExternal int
 }
 
 // ForCore returns the budget of a core instance, which has a disk. limit is the number of
-// descriptors that it may open, 0 for the limit of the operating system. The error is a
-// fault if the descriptors are too few.
+// descriptors that the process may open, 0 for the limit of the operating system. The error
+// is of kind Invalid if there are fewer than minDescriptors.
 func ForCore(limit int) (Budget, error) {
 	return allocate(limit, coreFromInstancesPercent, coreFromExternalPercent, coreToInstancesPercent, coreToExternalPercent)
 }
 
-// ForEdge is ForCore for an edge instance, which serves callers and has no disk.
+// ForEdge returns the budget of an edge instance, which serves callers and has no disk.
+// limit and the error are as for ForCore.
 func ForEdge(limit int) (Budget, error) {
 	return allocate(limit, edgeFromInstancesPercent, edgeFromExternalPercent, edgeToInstancesPercent, edgeToExternalPercent)
 }
--- a/internal/descriptors/inbound.go
+++ b/internal/descriptors/inbound.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// perHostDivisor divides the limit of a server, which gives the limit of one remote host
-// on servers that limit each host.
+// perHostDivisor is the ratio of the limit of a server to the limit of one remote host, on
+// servers that limit each host.
 const perHostDivisor = 8
 
 // Counter counts events by name.
@@ -22,13 +22,15 @@
 type InboundLimiter struct {
 	// name is the prefix of the counters' names.
 	name string
-	// limit is for all connections, perHost for those of one remote host.
+	// limit is the maximum number of all connections, perHost that of the connections of
+	// one remote host.
 	limit, perHost int
 	counters       Counter
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// hosts holds the remote hosts with open connections, by address without port.
 	hosts map[string]*hostConns
-	// idle lists the connections without a request, the longest idle first.
+	// idle holds the connections without a request, the longest idle first.
 	idle  *list.List
 	conns map[net.Conn]*inboundConn
 }
@@ -42,15 +44,17 @@
 
 // inboundConn is an open connection.
 type inboundConn struct {
+	// remote is the address of the remote host without port.
 	remote string
 	// idleElement and hostIdleElement are the elements of the connection in the idle lists
 	// of the server and of its host. They are nil while it serves a request.
 	idleElement, hostIdleElement *list.Element
 }
 
-// LimitServer limits the connections of a server that isn't serving yet. name is the
-// prefix of its counters. limitPerHost also limits the connections of each remote host,
-// so that one host can't take all. It is for servers whose clients run on different hosts.
+// LimitServer limits the open connections of a server that isn't serving yet to limit. name
+// is the prefix of its counters. limitPerHost also limits the connections of each remote
+// host, so that one host can't take all; it is for servers whose clients run on different
+// hosts.
 func LimitServer(server *http.Server, name string, limit int, limitPerHost bool, counters Counter) *InboundLimiter {
 	l := &InboundLimiter{
 		name: name, limit: limit, perHost: limit, counters: counters,
@@ -84,8 +88,8 @@
 	}
 }
 
-// admit counts a new connection as idle. At the limit of the server or of the host it
-// evicts another connection or rejects the new one.
+// admit counts a new connection as idle. At the limit of the server or of the host, it
+// closes an idle connection, or the new one if none is idle.
 func (l *InboundLimiter) admit(conn net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -110,7 +114,7 @@
 }
 
 // evictOrReject closes the connection of a list that has been idle for longest, or the new
-// one if the list is empty. The caller holds l.mu.
+// one if the list is empty. l.mu must be held.
 func (l *InboundLimiter) evictOrReject(idle *list.List, newConn net.Conn) {
 	oldest := idle.Front()
 	if oldest == nil {
@@ -126,7 +130,7 @@
 	l.markIdle(newConn)
 }
 
-// markIdle adds a connection to the end of the idle lists. The caller holds l.mu.
+// markIdle adds a connection to the end of the idle lists. l.mu must be held.
 func (l *InboundLimiter) markIdle(conn net.Conn) {
 	c := l.conns[conn]
 	if c == nil {
@@ -137,7 +141,7 @@
 	c.hostIdleElement = l.hosts[c.remote].idle.PushBack(conn)
 }
 
-// markActive removes a connection from the idle lists. The caller holds l.mu.
+// markActive removes a connection from the idle lists. l.mu must be held.
 func (l *InboundLimiter) markActive(conn net.Conn) {
 	c := l.conns[conn]
 	if c == nil || c.idleElement == nil {
@@ -148,7 +152,7 @@
 	c.idleElement, c.hostIdleElement = nil, nil
 }
 
-// remove stops counting a connection. The caller holds l.mu.
+// remove stops counting a connection. l.mu must be held.
 func (l *InboundLimiter) remove(conn net.Conn) {
 	l.markActive(conn)
 	c := l.conns[conn]
--- a/internal/descriptors/inbound_test.go
+++ b/internal/descriptors/inbound_test.go
@@ -34,8 +34,8 @@
 	return c.counts[name]
 }
 
-// startLimitedServer starts a limited server that completes / immediately and keeps requests
-// for /held open until the test ends.
+// startLimitedServer starts a limited server that completes requests for / immediately and
+// keeps requests for /held open until the test ends.
 func startLimitedServer(t *testing.T, limit int, limitPerHost bool) (*httptest.Server, *InboundLimiter, *fakeCounter) {
 	released := make(chan struct{})
 	mux := http.NewServeMux()
@@ -77,8 +77,8 @@
 const local = "127.0.0.1"
 
 // Guards against running out of descriptors: after a network partition a thousand callers
-// reconnect together while their old connections are still open, the log can't open a file
-// and the process exits. Each new connection must be served and close an idle one.
+// reconnect at once while their old connections are still open, the log can't open a file
+// and the process exits. Each new connection must be served and an idle one closed for it.
 func TestNewConnectionClosesLongestIdleOne(t *testing.T) {
 	server, limiter, counter := startLimitedServer(t, 4, false)
 	for range 40 {
--- a/internal/descriptors/outbound.go
+++ b/internal/descriptors/outbound.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// idleDivisor divides the limit of a client, which gives the number of connections that
-// it keeps open without a call. The others are left for calls; a call waits while all
-// connections are in use.
+// idleDivisor is the ratio of the limit of a client to the number of connections that it
+// keeps open without a call. The rest is left for calls in flight; a call waits while the
+// limit is reached.
 const idleDivisor = 4
 
 // ErrLimitReached means that no connection could be opened in time because the limit of
@@ -28,7 +28,7 @@
 }
 
 // NewOutboundLimiter returns a limiter for at most limit open connections. timeout bounds
-// the opening of one, including the wait at the limit.
+// the opening of a connection, including the wait at the limit.
 func NewOutboundLimiter(limit int, timeout time.Duration) *OutboundLimiter {
 	return &OutboundLimiter{limit: limit, slots: semaphore.NewWeighted(int64(limit)), timeout: timeout}
 }
@@ -37,8 +37,8 @@
 // least recently used one.
 func (l *OutboundLimiter) MaxIdle() int { return max(l.limit/idleDivisor, 1) }
 
-// DialContext opens a connection. At the limit it waits, first come first served, until
-// another connection is closed. An error of the wait matches ErrLimitReached.
+// DialContext opens a connection. At the limit it waits, in the order of the calls, until
+// another connection is closed. If that takes too long, the error wraps ErrLimitReached.
 func (l *OutboundLimiter) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.timeout)
 	defer cancel()
@@ -53,7 +53,7 @@
 	return &outboundConn{Conn: conn, release: sync.OnceFunc(func() { l.slots.Release(1) })}, nil
 }
 
-// outboundConn releases its slot of the limiter when it is closed.
+// outboundConn is a connection that counts towards the limit until it is closed.
 type outboundConn struct {
 	net.Conn
 	release func()
--- a/internal/descriptors/outbound_test.go
+++ b/internal/descriptors/outbound_test.go
@@ -18,7 +18,7 @@
 }
 
 // Guards against running out of descriptors: a leader calls so many workers in parallel that
-// its log can't open a file. At the limit a call must wait until a connection is closed.
+// its log can't open a file. At the limit a dial must wait until a connection is closed.
 func TestDialWaitsAtTheConnectionLimit(t *testing.T) {
 	address := listen(t)
 	limiter := NewOutboundLimiter(2, 50*time.Millisecond)
--- a/internal/descriptors/process_test.go
+++ b/internal/descriptors/process_test.go
@@ -17,6 +17,8 @@
 )
 
 const (
+	// childEnv is the environment variable that makes the test binary run as the child
+	// process. Its value is the folder in which the child creates files.
 	childEnv = "DESCRIPTORS_TEST_CHILD"
 	// childLimit is the descriptor limit of the child process.
 	childLimit = 600
@@ -76,9 +78,9 @@
 	return nil
 }
 
-// Guards against running out of descriptors: more callers connect to a leader than it has
-// descriptors, it stops accepting connections, and it exits when its log can't open the
-// file of a snapshot.
+// Guards against running out of descriptors: more callers connect to a leader than the
+// leader has descriptors. It stops accepting connections, and it exits when its log can't
+// open the file of a snapshot.
 func TestProcessServesAndOpensFilesDuringConnectionStorm(t *testing.T) {
 	child := exec.Command(os.Args[0])
 	child.Env = append(os.Environ(), childEnv+"="+t.TempDir())
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,6 +1,6 @@
-// Package event records the state changes of a process, each with a hybrid
-// logical clock timestamp and the ids that it concerns. The events of all
-// processes, sorted by timestamp, are the event timeline of the system.
+// Package event records the state changes of a process, each with a hybrid logical clock
+// timestamp and the ids that the change concerns. The events of all processes, sorted by
+// timestamp, are the event timeline of the system.
 package event
 
 import (
@@ -21,7 +21,8 @@
 	Kind string `cbor:"4,keyasint"`
 	// Subjects are the ids of the jobs, requests, workers, minions and versions concerned.
 	Subjects []string `cbor:"5,keyasint,omitempty"`
-	Detail   string   `cbor:"6,keyasint,omitempty"`
+	// Detail is a text for the reader of the timeline.
+	Detail string `cbor:"6,keyasint,omitempty"`
 }
 
 // Concerns reports whether the event has the subject. The empty subject matches every event.
@@ -29,7 +30,7 @@
 	return subject == "" || slices.Contains(e.Subjects, subject)
 }
 
-// ToAPI converts the event to its wire format.
+// ToAPI converts the event to its API message.
 func (e *Event) ToAPI() *apiv1.Event {
 	return &apiv1.Event{
 		WallMs:     e.Timestamp.Wall,
@@ -42,7 +43,7 @@
 	}
 }
 
-// FromAPI converts an event from its wire format.
+// FromAPI converts an API message to an event.
 func FromAPI(message *apiv1.Event) Event {
 	return Event{
 		Timestamp:  hlc.Timestamp{Wall: message.GetWallMs(), Logical: message.GetLogical()},
@@ -54,7 +55,7 @@
 	}
 }
 
-// ListToAPI converts events to their wire format.
+// ListToAPI converts events to their API messages.
 func ListToAPI(events []Event) []*apiv1.Event {
 	messages := make([]*apiv1.Event, len(events))
 	for i := range events {
@@ -63,7 +64,7 @@
 	return messages
 }
 
-// ListFromAPI converts events from their wire format. It skips nil elements.
+// ListFromAPI converts API messages to events. It skips nil elements.
 func ListFromAPI(messages []*apiv1.Event) []Event {
 	events := make([]Event, 0, len(messages))
 	for _, message := range messages {
@@ -74,9 +75,9 @@
 	return events
 }
 
-// Merge sorts the events of many instances into causal order: by timestamp, then
-// by instance. Only causally unrelated events can have equal timestamps. Merge
-// removes duplicates, which occur when two instances return the same event.
+// Merge sorts the events of several instances into causal order: by timestamp, then by
+// instance. Only causally unrelated events can have equal timestamps. Merge removes
+// duplicates, which occur when two instances return the same event.
 func Merge(perInstance ...[]Event) []Event {
 	var all []Event
 	for _, events := range perInstance {
@@ -107,7 +108,9 @@
 type Ring struct {
 	mu     sync.Mutex
 	events []Event
-	next   int
+	// next is the index of the oldest event in a full ring, which is overwritten next; 0
+	// until the ring is full.
+	next int
 }
 
 // NewRing returns an empty ring for capacity events, at least one.
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -14,7 +14,8 @@
 	"github.com/bilberryferry/bilberryferry/hlc"
 )
 
-// eventAt returns an event with a timestamp of wall milliseconds and logical counter.
+// eventAt returns an event whose timestamp has the wall time in Unix milliseconds and the
+// logical counter.
 func eventAt(wall int64, logical uint32, instance, kind string, subjects ...string) Event {
 	return Event{Timestamp: hlc.Timestamp{Wall: wall, Logical: logical}, Instance: instance, Kind: kind, Subjects: subjects}
 }
@@ -33,9 +34,9 @@
 	must.SliceEmpty(t, r.Since("other", 0, 10))
 }
 
-// A leader dies and another instance is elected while the instances' wall clocks
-// differ by seconds. The merged timeline must show the loss before the election
-// and the election before the task start that the new leader orders.
+// A leader is lost and another instance is elected while the instances' wall clocks differ
+// by seconds. The merged timeline must show the loss before the election, and the election
+// before the start of the task that the new leader orders.
 func TestMergeKeepsCausalOrder(t *testing.T) {
 	wall := time.UnixMilli(1_000_000)
 	leaderRecorder := NewRecorder(Config{Instance: "a", Clock: new(hlc.Clock), Wall: func() time.Time { return wall }})
@@ -74,9 +75,9 @@
 	must.SliceEmpty(t, none.Since("", 0, 0))
 }
 
-// A process dies while it writes an event and leaves a truncated last line. After
-// the restart the earlier events must load, the truncated line must be skipped, and
-// the next event must begin on a line of its own.
+// A process crashes while it writes an event and leaves a truncated last line. After the
+// restart the earlier events must be loaded, the truncated line must be skipped, and the
+// next event must begin on a line of its own.
 func TestFileSkipsTruncatedLineAfterCrash(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "events")
 	f, err := OpenFile(path, 0)
@@ -117,9 +118,9 @@
 	must.Eq(t, int64(99), events[len(events)-1].Timestamp.Wall)
 }
 
-// A caller puts markup and terminal control characters into its job's name. The
-// timeline page must escape the markup and the text output must replace the
-// control characters, or they take effect in the operator's browser or terminal.
+// A caller puts markup and terminal control characters into its job's name. Unless the
+// timeline page escapes the markup and the text output replaces the control characters,
+// they take effect in the operator's browser or terminal.
 func TestOutputEscapesMarkupAndControlCharacters(t *testing.T) {
 	e := eventAt(1, 1, "a", "<script>alert(1)</script>", "\"><img src=x onerror=alert(1)>", "\x1b[2J")
 	e.Detail = "first\nsecond\u202e"
--- a/internal/event/file.go
+++ b/internal/event/file.go
@@ -18,22 +18,27 @@
 // previousSuffix is the name suffix of the one older file that rotation keeps.
 const previousSuffix = ".1"
 
-// File writes events to disk as JSON lines. It keeps at most two files of a
-// given size: when the current file is full, it replaces the previous one. Only
-// people read the files and no state of the system depends on them. They
+// File writes events to disk as JSON lines. It keeps at most two files of limited size:
+// when the current file is full, it replaces the previous one, and a new file is started.
+// Only people read the files and no state of the system depends on them. The files
 // therefore aren't synced, and events are dropped when the disk is too slow.
 type File struct {
-	path   string
+	path string
+	// limit is the size at which the current file is rotated, and size its present size,
+	// both in bytes. file is nil after a failed rotation.
 	limit  int64
 	size   int64
 	file   *os.File
 	loaded []Event
 	queue  chan Event
-	done   chan struct{}
-
-	mu      sync.Mutex
-	closed  bool
-	err     error
+	// done is closed when, after Close, all queued events are written.
+	done chan struct{}
+
+	mu     sync.Mutex
+	closed bool
+	// err is the first error of a write.
+	err error
+	// dropped is the number of events that weren't written.
 	dropped int
 }
 
@@ -53,9 +58,9 @@
 // fileFormat is the current version of the line format.
 const fileFormat = 1
 
-// OpenFile opens an events file for appending and loads its events. It skips
-// lines that a crash truncated. The file is rotated at limit bytes, or at
-// DefaultFileBytes when limit isn't positive.
+// OpenFile opens an events file for appending and loads the events of the current and the
+// previous file. It skips lines that a crash truncated. The file is rotated at limit bytes,
+// or at DefaultFileBytes when limit isn't positive.
 func OpenFile(path string, limit int64) (*File, error) {
 	if limit <= 0 {
 		limit = DefaultFileBytes
@@ -105,9 +110,9 @@
 	return nil
 }
 
-// endWithNewline terminates a line that a crash truncated. Otherwise the next
-// event would be appended to that line and lost with it. It returns the file's
-// size in bytes.
+// endWithNewline terminates a line that a crash truncated; otherwise the next event would
+// be appended to that line and lost with it. endWithNewline returns the file's size in
+// bytes.
 func endWithNewline(file *os.File) (int64, error) {
 	info, err := file.Stat()
 	if err != nil || info.Size() == 0 {
@@ -124,7 +129,8 @@
 	return info.Size() + 1, err
 }
 
-// Loaded returns the events that the file held when it was opened.
+// Loaded returns the events that the current and the previous file held when the file was
+// opened.
 func (f *File) Loaded() []Event { return f.loaded }
 
 // Append queues an event for writing and returns immediately. It drops the event when
@@ -150,7 +156,8 @@
 	return f.dropped
 }
 
-// Close writes the queued events, closes the file and returns the first write error.
+// Close writes the queued events and closes the file. It returns the first error of a
+// write, combined with an error of the closing.
 func (f *File) Close() error {
 	f.mu.Lock()
 	if !f.closed {
@@ -175,8 +182,8 @@
 	}
 }
 
-// recordDrop counts an event that couldn't be written. A full disk may have free
-// space again later, so the next event is attempted all the same.
+// recordDrop counts an event that couldn't be written. A full disk may have free space
+// again later, so the next event is written nevertheless if possible.
 func (f *File) recordDrop(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -203,7 +210,7 @@
 	return err
 }
 
-// rotateIfFull starts a new file when a line of lineBytes doesn't fit into the
+// rotateIfFull starts a new file when a line of lineBytes bytes doesn't fit into the
 // current one. It reopens the file when an earlier rotation has failed.
 func (f *File) rotateIfFull(lineBytes int64) error {
 	if f.file == nil {
--- a/internal/event/html.go
+++ b/internal/event/html.go
@@ -17,7 +17,8 @@
 // Page is what the HTML timeline shows besides the events.
 type Page struct {
 	Title string
-	// Unreachable names the instances whose events are missing because they didn't answer.
+	// Unreachable names the instances whose events are missing because the instances didn't
+	// respond.
 	Unreachable []string
 }
 
@@ -25,21 +26,25 @@
 type pageData struct {
 	Page
 	// From and To are the times of the first and last event.
-	From, To  string
-	Count     int
-	Lanes     []lane
+	From, To string
+	// Count is the number of events.
+	Count int
+	Lanes []lane
+	// LaneWidth is the width of a lane, and AllWidth that of all lanes together, in
+	// pixels.
 	LaneWidth int
-	// AllWidth is the width of all lanes together in pixels.
-	AllWidth int
-	Rows     []row
+	AllWidth  int
+	Rows      []row
 }
 
 // lane is the column of one instance.
 type lane struct {
 	Name       string
 	DataCentre string
-	Colour     int
-	Count      int
+	// Colour is the number of the lane's colour in the style sheet, from 0.
+	Colour int
+	// Count is the number of the instance's events.
+	Count int
 	// X is the horizontal position of the lane's middle in pixels.
 	X int
 }
@@ -48,7 +53,8 @@
 type row struct {
 	Time, Logical string
 	// Gap is the time since the previous event; empty below minShownGapMs.
-	Gap      string
+	Gap string
+	// Colour and X are those of the instance's lane.
 	Colour   int
 	X        int
 	Instance string
@@ -128,7 +134,7 @@
 	return lanes, width
 }
 
-// newRow returns the row of an event that follows the previous one after gap
+// newRow returns the row in lane l of an event that follows the previous event after gap
 // milliseconds.
 func newRow(e *Event, l lane, gap int64) row {
 	r := row{
--- a/internal/event/recorder.go
+++ b/internal/event/recorder.go
@@ -31,7 +31,7 @@
 	Wall func() time.Time
 	// Capacity is the number of events kept in memory; DefaultCapacity when it isn't positive.
 	Capacity int
-	// File writes the events to disk; nil means that they are kept in memory only.
+	// File writes the events to disk; nil means that the events are kept in memory only.
 	File *File
 }
 
@@ -41,8 +41,8 @@
 	ring   *Ring
 }
 
-// NewRecorder returns a recorder that already holds the events that the file has
-// loaded, so that a restart doesn't lose them.
+// NewRecorder returns a recorder that already holds the events that config.File has
+// loaded, so that a restart of the process doesn't lose them.
 func NewRecorder(config Config) *Recorder {
 	if config.Wall == nil {
 		config.Wall = time.Now
@@ -68,10 +68,10 @@
 	r.RecordAt(r.config.Clock.Now(r.config.Wall()), r.config.Instance, kind, detail, subjects...)
 }
 
-// RecordAt keeps an event that another process of the data centre has
-// timestamped. Every replica records a committed change with its proposer's name
-// and timestamp. The event thus survives the loss of the proposer, and Merge
-// recognises the duplicates.
+// RecordAt keeps an event with the timestamp and the instance name of another process of
+// the data centre. Every replica records a committed change with the instance name and
+// timestamp of the proposer. The event so survives the loss of the proposer, and Merge
+// recognises the duplicates. A nil Recorder records nothing.
 func (r *Recorder) RecordAt(timestamp hlc.Timestamp, instance, kind, detail string, subjects ...string) {
 	if r == nil {
 		return
--- a/internal/event/text.go
+++ b/internal/event/text.go
@@ -33,7 +33,8 @@
 	return out.Flush()
 }
 
-// formatTime returns the event's time, with the logical counter where it isn't zero.
+// formatTime returns the event's time, with the logical counter where it isn't zero. Spaces
+// replace a counter of zero, so that the next column is aligned.
 func (e *Event) formatTime() string {
 	text := e.Timestamp.Time().UTC().Format(timeFormat)
 	if e.Timestamp.Logical > 0 {
@@ -42,9 +43,9 @@
 	return text + "    "
 }
 
-// Printable replaces control and format characters. Names and details come from
-// callers, whose control characters could move the cursor of an operator's
-// terminal or forge lines.
+// Printable replaces the control and format characters of a text. Names and details come
+// from callers, whose control characters could move the cursor of an operator's terminal
+// or forge lines.
 func Printable(text string) string {
 	return strings.Map(func(r rune) rune {
 		if unicode.IsControl(r) || unicode.Is(unicode.Cf, r) {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -11,37 +11,38 @@
 	"github.com/bilberryferry/bilberryferry/internal/wait"
 )
 
-// leaderCall is a call to the leader, which may take several tries.
+// leaderCall is one call to the leader, with the state of its tries.
 type leaderCall struct {
 	g       *Gateway
 	method  string
 	request any
-	// maybeExecuted says that some try may have been executed.
+	// maybeExecuted is true once a try may have been executed.
 	maybeExecuted bool
-	// version is the version of the configuration by which the last try was answered, 0
-	// for none.
+	// version is the configuration version that the response to the last try names, 0 for
+	// none.
 	version uint64
 	// lastAddress is the address to which the last try was sent.
 	lastAddress string
 }
 
-// Call calls a method of the leader until ctx ends. It tries other members while no
-// leader answers. The error is of kind Unknown if some try may have been executed, and
-// otherwise says that none was.
+// Call calls a method of the leader, and retries at other members until a leader responds
+// or ctx ends. An error of kind Unavailable or Overloaded means that nothing was executed.
+// If an earlier try may have been executed, the kind is Unknown instead.
 func Call[Reply any](ctx context.Context, g *Gateway, method string, request any) (Reply, error) {
 	return callUntilSettled[Reply](ctx, &leaderCall{g: g, method: method, request: request})
 }
 
-// CallForCaller is Call on behalf of a caller's request that was received at receivedAt
-// and whose outcome reveals which version of the configuration is in force. An outcome
-// that contradicts the order of requests is withheld; see WithholdOutOfOrder.
+// CallForCaller is Call on behalf of a caller's request that this instance received at
+// receivedAt. It withholds a response that contradicts the order of the requests, as
+// described at WithholdOutOfOrder.
 func CallForCaller[Reply any](ctx context.Context, g *Gateway, receivedAt time.Time, method string, request any) (Reply, error) {
 	c := &leaderCall{g: g, method: method, request: request}
 	reply, err := callUntilSettled[Reply](ctx, c)
 	return reply, g.WithholdOutOfOrder(Outcome{Method: method, ReceivedAt: receivedAt, Version: c.version, AnsweredBy: c.lastAddress, MaybeExecuted: c.maybeExecuted, Err: err})
 }
 
-// callUntilSettled makes tries until one settles the call or ctx ends.
+// callUntilSettled makes tries until one has a final outcome, which settles the call, or
+// ctx ends.
 func callUntilSettled[Reply any](ctx context.Context, c *leaderCall) (Reply, error) {
 	var reply Reply
 	g := c.g
@@ -63,8 +64,8 @@
 	}
 }
 
-// tryLeader makes a try at the leader, and reports whether that settles the call. A
-// slow try is cancelled when another leader is found.
+// tryLeader makes a try at the leader, and reports whether the outcome settles the call.
+// A slow try is cancelled when another leader is found.
 func (c *leaderCall) tryLeader(ctx context.Context, leader string, leaderChanged <-chan struct{}, reply any) (settled bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -82,8 +83,8 @@
 	return settled, err
 }
 
-// followRefusal switches to the leader that a refusal names. If it names none, the
-// leader is unknown and has to be searched for.
+// followRefusal records the leader that the error of a try names. If the error names no
+// other instance, the leader becomes unknown and the next try searches for it.
 func (c *leaderCall) followRefusal(tried string, err error) {
 	hint := link.LeaderOf(err)
 	if hint != "" && hint != tried {
@@ -93,8 +94,9 @@
 	c.g.clearLeader(tried)
 }
 
-// searchLeader tries the members one after the other. One call at a time searches; the
-// others wait until it finds a leader.
+// searchLeader makes tries at the members, one after the other, and reports whether one
+// settles the call. Only one call at a time searches; the others wait until that call finds
+// a leader.
 func (c *leaderCall) searchLeader(ctx context.Context, leaderChanged <-chan struct{}, reply any) (settled bool, err error) {
 	select {
 	case c.g.searchSlot <- struct{}{}:
@@ -126,9 +128,9 @@
 // tryMember makes a try at a member that may lead, and cancels it when leaderChanged is
 // closed because another member leads.
 //
-// Without the cancellation, a call would wait for the timeout of each unreachable
-// member after another call has found the leader, and be answered after calls that came
-// later.
+// Without the cancellation, a call would wait for the timeout of each unreachable member
+// even after another call has found the leader, and get its response after calls that were
+// made later.
 func (c *leaderCall) tryMember(ctx context.Context, address string, leaderChanged <-chan struct{}, reply any) (settled bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -177,7 +179,7 @@
 // timeoutError returns the error of a call whose time ended before a try settled it.
 func timeoutError(method string, maybeExecuted bool) error {
 	if maybeExecuted {
-		return fault.New(fault.Unknown, "%s: no answer from the leader", method)
+		return fault.New(fault.Unknown, "%s: no response from the leader", method)
 	}
 	return fault.Retry(fault.Unavailable, RetryAfter, "%s: no leader is reached", method)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway calls the leader of the core from instances that don't lead. It finds
-// the leader, follows changes of it, and distinguishes calls that were certainly not
-// executed from those whose outcome is unknown.
+// Package gateway calls the leader of the core instances from instances that don't lead.
+// It finds the leader, follows changes of leadership, and distinguishes calls that were
+// certainly not executed from those whose outcome is unknown.
 package gateway
 
 import (
@@ -21,61 +21,67 @@
 	// tryTimeout bounds one try. A commit takes some tens of milliseconds, and a
 	// follower with a slow disk doesn't delay it.
 	tryTimeout = 900 * time.Millisecond
-	// searchTimeout bounds a try during a search for the leader. A member that doesn't
-	// lead says so within some milliseconds.
+	// searchTimeout bounds a try at a member during a search for the leader. A member that
+	// doesn't lead refuses the call within some milliseconds.
 	searchTimeout = 250 * time.Millisecond
-	// searchInterval is the pause between two rounds through the members: a quarter of
-	// the shortest election.
+	// searchInterval is the pause after a search has tried all members, and between two
+	// members of a probe: a quarter of the shortest election.
 	searchInterval = 60 * time.Millisecond
-	// probeAfter is how long a call waits before members are asked for another leader:
-	// several commits, and less than the shortest election.
+	// probeAfter is how long a try at the leader takes before other members are asked for
+	// another leader: longer than several commits, and shorter than the shortest election.
 	probeAfter = 200 * time.Millisecond
 	// announceInterval is the time between two announcements to the leader, unless the
 	// leader sets another one.
 	announceInterval = 300 * time.Millisecond
 	// announceTimeout bounds one announcement.
 	announceTimeout = 500 * time.Millisecond
-	// contactTimeout is how long after the leader's last answer this instance counts as
-	// in contact with it: three announcements. A load balancer takes longer, as it
-	// needs two failed checks at one per second.
+	// contactTimeout is how long after the leader's last response this instance counts as
+	// in contact with the leader. It allows for three announcements. A load balancer takes
+	// longer to exclude the instance, since it needs two failed checks and makes one per
+	// second.
 	contactTimeout = 1200 * time.Millisecond
-	// RetryAfter is when callers are told to retry if no leader could be reached: the
-	// time of an election.
+	// RetryAfter is the delay after which callers are told to retry if no leader could be
+	// reached: the duration of an election.
 	RetryAfter = time.Second
 )
 
 // Gateway finds and calls the leader. It is safe for concurrent use.
 //
-// One call at a time searches for the leader, and the others wait for its result. If
-// each call searched, a leader that refuses calls for a tenth of a second would turn
-// each waiting call into a hundred, as each tries all members every 60 ms; that load
-// keeps the members from ever electing a leader.
+// Only one call at a time searches for the leader, and the others wait for its result. If
+// each waiting call searched, it would call all members every 60 ms. A leader that refuses
+// calls for a tenth of a second would so turn each call into a hundred, and that load can
+// keep the members from ever electing a leader.
 type Gateway struct {
 	client     *link.Client
 	ownAddress string
 	logger     log.Logger
 	// searchSlot has a buffer of one; the call that fills it may search for the leader.
 	searchSlot chan struct{}
-	// probing is held by the call that asks members for another leader.
+	// probing is held by the call that asks members who leads; see probeForNewLeader.
 	probing      sync.Mutex
 	versionOrder versionOrder
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// seeds are the configured addresses of core instances, members the addresses that
+	// the leader sent last. leader is the leader's address, "" while none is known.
 	seeds   []string
 	members []string
 	leader  string
 	// leaderChanged is closed, and replaced, when leader changes.
 	leaderChanged chan struct{}
-	lastResponse  time.Time
-	inContact     bool
-	// nextMember selects the member that is asked for ended jobs. Members in
-	// unresponsiveUntil gave no answer and aren't asked before that time.
+	// lastResponse is when the leader last responded. inContact is the result of
+	// InContact that was logged last.
+	lastResponse time.Time
+	inContact    bool
+	// nextMember, modulo the number of members, is the index of the member that was last
+	// considered for a call about an ended job. A member in unresponsiveUntil failed such a
+	// call and gets none before that time.
 	nextMember        int
 	unresponsiveUntil map[string]time.Time
 }
 
-// New returns a gateway for the instance at ownAddress that starts with the core's
-// seeds.
+// New returns a gateway for the instance at ownAddress. seeds are the addresses of core
+// instances at which it first searches for the leader.
 func New(client *link.Client, ownAddress string, seeds []string, logger log.Logger) *Gateway {
 	return &Gateway{
 		client: client, ownAddress: ownAddress, seeds: seeds, members: seeds, logger: logger,
@@ -85,21 +91,21 @@
 	}
 }
 
-// SetSeeds replaces the seeds.
+// SetSeeds replaces the configured addresses of core instances.
 func (g *Gateway) SetSeeds(seeds []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.seeds = seeds
 }
 
-// InContact reports whether the leader has answered within contactTimeout.
+// InContact reports whether the leader has responded within the last contactTimeout.
 func (g *Gateway) InContact() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return time.Since(g.lastResponse) < contactTimeout
 }
 
-// candidates lists the addresses at which the leader may be, the likeliest first.
+// candidates returns the addresses at which the leader may be, the likeliest first.
 func (g *Gateway) candidates() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -112,15 +118,15 @@
 	return candidates
 }
 
-// currentLeader returns the leader, empty while none is known, and a channel that is
-// closed when that changes.
+// currentLeader returns the leader's address, "" while none is known, and a channel that
+// is closed when the leader changes.
 func (g *Gateway) currentLeader() (leader string, leaderChanged <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.leader, g.leaderChanged
 }
 
-// setLeader records the leader's address, empty for none. g.mu is held.
+// setLeader records the leader's address, "" for none. g.mu must be held.
 func (g *Gateway) setLeader(address string) {
 	if g.leader == address {
 		return
@@ -130,14 +136,15 @@
 	g.leaderChanged = make(chan struct{})
 }
 
-// SuggestLeader records the leader that a member names, before it has answered itself.
+// SuggestLeader records the address of the leader that a member names, before that leader
+// has responded itself.
 func (g *Gateway) SuggestLeader(leader string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.setLeader(leader)
 }
 
-// recordLeader records that an instance answered as the leader.
+// recordLeader records that the instance at address has responded as the leader.
 func (g *Gateway) recordLeader(address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -145,8 +152,8 @@
 	g.setLeader(address)
 }
 
-// clearLeader clears a leader that gave no useful answer, and moves it to the end of the
-// members, so that a search starts with another one.
+// clearLeader forgets the leader if it is at address, where a try has failed. If address is
+// the first of the members, it becomes the last, so that a search starts with another one.
 func (g *Gateway) clearLeader(address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -158,8 +165,8 @@
 	}
 }
 
-// AnnounceToLeader announces this instance to the leader until ctx ends, and so keeps
-// the leader and the members up to date. It always returns nil.
+// AnnounceToLeader announces this instance to the leader periodically until ctx ends. The
+// responses keep the leader and the members up to date. It always returns nil.
 func (g *Gateway) AnnounceToLeader(ctx context.Context) error {
 	for {
 		pause := g.announceOnce(ctx)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -17,7 +17,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/link"
 )
 
-// startCancelServer serves cancel calls with answer and returns its address.
+// startCancelServer serves cancel calls, each with the error that response returns, and
+// returns its address.
 func startCancelServer(t *testing.T, response func() error) string {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodCancel, func(context.Context, *control.CancelCall) (control.Empty, error) {
@@ -28,7 +29,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// callCancel makes a cancel call through a new gateway that knows the members.
+// callCancel makes a cancel call through a new gateway whose seeds are members.
 func callCancel(t *testing.T, timeout time.Duration, members ...string) error {
 	g := New(link.NewClient(100), "own", members, log.NewNopLogger())
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
@@ -58,9 +59,9 @@
 	must.Eq(t, RetryAfter, fault.From(err).RetryAfter)
 }
 
-// A leader commits a job and is lost before it answers; the next instance refuses it
-// temporarily. The caller must not be told that nothing was done, since the job will
-// run.
+// A leader may have executed a call and then loses its leadership; the next instance
+// refuses the call temporarily. The caller must not be told that nothing was done, since
+// the change may have been committed.
 func TestRefusalAfterUnknownTryIsUnknown(t *testing.T) {
 	tries := 0
 	lost := startCancelServer(t, func() error {
@@ -90,9 +91,9 @@
 }
 
 // A busy leader refuses calls for a tenth of a second. If each waiting call tries all
-// members every 60 ms, the members send the replicated log's heartbeats late and elect
-// new leaders again and again. With hundreds of workers, the system stops serving and
-// doesn't recover.
+// members every 60 ms, the members send the heartbeats of the replicated log late and
+// repeat the election. With hundreds of workers, the system stops serving and doesn't
+// recover.
 func TestOneCallAtATimeSearchesLeader(t *testing.T) {
 	var tries atomic.Int64
 	var leads atomic.Bool
@@ -121,9 +122,8 @@
 	must.NoError(t, group.Wait())
 }
 
-// A leader vanishes without closing its connections and the others elect another one. A
-// call that asks for the leader only after its try has ended waits for the vanished one
-// until its own deadline, and a short job is late.
+// A leader vanishes without closing its connections, and the other members elect another
+// one. A call that looks for the new leader only after its try has timed out is late.
 func TestTryAtUnresponsiveLeaderEndsWhenAnotherIsFound(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -148,9 +148,9 @@
 	must.Eq(t, leader, current)
 }
 
-// A call searches for the leader and waits at an unreachable member while another call
-// learns who leads. If its try ended by its timeout only, the call would be answered
-// late, by a newer configuration than later calls, or not at all.
+// A call that searches for the leader waits for a member that doesn't respond, while
+// another call learns who leads. If only the timeout ended the try, the call would get its
+// response late, from a newer configuration than later calls, or not at all.
 func TestSearchEndsWhenAnotherCallFindsLeader(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -10,12 +10,13 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// probeForNewLeader asks the other members who leads until ctx ends or one of them
-// names another leader, which ends the calls in flight to leader. One call at a time
-// probes.
+// probeForNewLeader asks the other members who leads until one of them names another
+// leader or ctx ends. The other leader is recorded, which cancels the calls in flight to
+// the old one. Only one call at a time probes.
 //
-// It runs while the leader is slow to answer: a leader may vanish without closing its
-// connections, and calls would wait for it after another one has been elected.
+// It runs while the leader is slow to respond. A leader may vanish without closing its
+// connections, and calls would then wait for its response after another leader has been
+// elected.
 func (g *Gateway) probeForNewLeader(ctx context.Context, leader string) {
 	if !g.probing.TryLock() {
 		return
@@ -37,7 +38,8 @@
 	}
 }
 
-// leaderKnownBy returns the leader that a member names, empty for none.
+// leaderKnownBy returns the address of the leader that a member names, which is the
+// member's own address if it leads, or "" if it names none.
 func (g *Gateway) leaderKnownBy(ctx context.Context, address string) string {
 	ctx, cancel := context.WithTimeout(ctx, searchTimeout)
 	defer cancel()
@@ -49,16 +51,17 @@
 	return link.LeaderOf(err)
 }
 
-// Version returns the highest version of the configuration that a reply of another
-// instance has named.
+// Version returns the highest configuration version that a response of another instance
+// has named, 0 for none.
 func (g *Gateway) Version() uint64 { return g.client.Version() }
 
-// followerTimeout bounds a call to a follower. It is short because the leader can answer
-// too.
+// followerTimeout bounds a call to a follower. It is short because the leader can be asked
+// instead.
 const followerTimeout = 150 * time.Millisecond
 
-// Ended asks a follower for the phase of a job that may have ended, on behalf of a
-// request received at receivedAt. If known is false, the caller has to ask the leader.
+// Ended asks a follower for the phase of a job that may have ended, on behalf of a caller's
+// request that was received at receivedAt. If known is false, the follower can't tell and
+// the leader has to be asked.
 func (g *Gateway) Ended(ctx context.Context, receivedAt time.Time, jobAddress control.JobAddress) (phase workflow.Phase, known bool) {
 	member := g.nextFollower()
 	if member == "" {
@@ -79,8 +82,8 @@
 	return reply.Phase, true
 }
 
-// nextFollower returns the next responsive member that isn't the leader, in round
-// robin; empty for none.
+// nextFollower returns the address of the next member, in round robin, that isn't the
+// leader, this instance or marked as unresponsive. It returns "" if there is none.
 func (g *Gateway) nextFollower() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -95,8 +98,8 @@
 	return ""
 }
 
-// unresponsiveFor is how long a member isn't asked after it gave no answer: as long as
-// the shortest partition of a data centre.
+// unresponsiveFor is how long a member isn't asked after a call to it failed: the duration
+// of the shortest partition of a data centre.
 const unresponsiveFor = 2 * time.Second
 
 // markUnresponsive excludes a member from nextFollower for unresponsiveFor.
--- a/internal/gateway/version_order.go
+++ b/internal/gateway/version_order.go
@@ -14,64 +14,63 @@
 
 const (
 	// reorderTolerance is how much earlier than another request a request may have been
-	// received and still be answered by a newer version of the configuration. Callers
-	// expect order between requests that are sent at least 250 ms apart; the rest of
-	// that time is left for the delay to this instance. The limit costs little, as few
-	// answers are withheld.
+	// received and still get a response of a newer configuration version. Callers expect
+	// order between requests that they send at least 250 ms apart; the rest of that time is
+	// left for the delay to this instance. The limit costs little, because few responses
+	// are withheld.
 	reorderTolerance = 100 * time.Millisecond
-	// maxVersionSpans bounds the recorded versions. A request takes 10 s at most, and
-	// few versions are committed in that time.
+	// maxVersionSpans is the maximum number of recorded versions. A request takes 10 s at
+	// most, and few versions are committed in that time.
 	maxVersionSpans = 8
 )
 
-// versionOrder records which versions of the configuration this instance has answered
-// its callers by, and withholds answers that contradict the order of the requests. It
-// is safe for concurrent use.
+// versionOrder records the configuration versions of the responses that this instance has
+// sent to its callers, and withholds responses that contradict the order of the requests.
+// The version of a response is the one that was in force when the response was made. A
+// versionOrder is safe for concurrent use.
 //
-// Without it, a request may be held at a leader that was partitioned until the next
-// leader answers it by a version that was committed meanwhile, while a later request
-// was answered immediately by the version before. Each answer is by the version that is
-// newest when it is given, but callers compare by the time of their requests and see
-// the instance return to an older version. The second of two such answers is withheld;
-// its caller retries and gets an answer by the newest version. An answer of an
-// out-of-date leader is withheld too if an earlier request was answered by a newer
-// version.
+// The order is contradicted if a later request gets a response of an older version. An
+// example: a request waits at a partitioned leader until the next leader responds, after
+// another version has been committed; a later request got its response immediately, with
+// the version before. Callers order the responses by the times of their requests, and see
+// the instance return to an older version. The second of the two responses is therefore
+// withheld; its caller retries and gets a response of the newest version. The response of
+// an out-of-date leader is also withheld if an earlier request got a newer version.
 type versionOrder struct {
 	logger log.Logger
 
 	mu sync.Mutex
-	// lastVersion is the version of the last answer.
+	// lastVersion is the version of the last response.
 	lastVersion uint64
-	// spans are sorted by version.
+	// spans holds the newest versions, sorted by version.
 	spans []versionSpan
 }
 
-// versionSpan holds when the first and the last of the requests answered by a version
-// were received.
+// versionSpan holds when the first and the last of the requests that got a response of one
+// version were received.
 type versionSpan struct {
 	version                     uint64
 	firstReceived, lastReceived time.Time
 }
 
-// Outcome is the result of a caller's request.
+// Outcome is the outcome of a caller's request.
 type Outcome struct {
 	Method string
 	// ReceivedAt is when the request arrived at this instance.
 	ReceivedAt time.Time
-	// Version is the version of the configuration by which the request was answered, 0
-	// for none.
+	// Version is the configuration version of the response, 0 for none.
 	Version uint64
-	// AnsweredBy is the address of the instance that answered.
+	// AnsweredBy is the address of the instance that responded.
 	AnsweredBy string
-	// MaybeExecuted says that an earlier try may have been executed.
+	// MaybeExecuted is true if an earlier try may have been executed.
 	MaybeExecuted bool
 	// Err is nil for success.
 	Err error
 }
 
-// WithholdOutOfOrder returns the error of an outcome, or another one if the outcome is
-// withheld because its version contradicts the order of the requests. That error is of
-// kind Unavailable if nothing was done, and Unknown if a change may have been made.
+// WithholdOutOfOrder returns o.Err, or another error if the response must be withheld from
+// the caller because its version contradicts the order of the requests. The other error is
+// of kind Unavailable if nothing was done, and Unknown if a change may have been made.
 func (g *Gateway) WithholdOutOfOrder(o Outcome) error {
 	if o.Version == 0 || !revealsVersion(o.Err) {
 		return o.Err
@@ -87,9 +86,9 @@
 	}
 }
 
-// revealsVersion reports whether an outcome shows the caller which version is in force,
-// by whether its queue exists. Errors that say that nothing was done, or that this is
-// unknown, don't.
+// revealsVersion reports whether a response with this error shows the caller which version
+// is in force, for example by whether a queue exists. An error that says only that nothing
+// was done, or that the outcome is unknown, doesn't show it.
 func revealsVersion(err error) bool {
 	if err == nil {
 		return true
@@ -102,16 +101,16 @@
 	}
 }
 
-// admit records the answer to a request by a version. The error is of kind Unavailable
-// if the answer contradicts the order of the requests; nothing is recorded then. A
-// change of version since the last answer is logged; answeredBy is the address of the
-// instance that answered.
+// admit records the version of a response. If the version contradicts the order of the
+// requests, admit records nothing and returns an error of kind Unavailable. It logs a
+// change of version since the last response; answeredBy is the address of the instance
+// that responded.
 func (o *versionOrder) admit(version uint64, receivedAt time.Time, answeredBy string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if other := o.conflictingVersion(version, receivedAt); other != 0 {
 		return fault.Retry(fault.Unavailable, RetryAfter,
-			"the answer by configuration version %d is withheld, because another request was answered by version %d", version, other)
+			"the response of configuration version %d is withheld, because another request got one of version %d", version, other)
 	}
 	o.record(version, receivedAt)
 	if version != o.lastVersion {
@@ -122,8 +121,8 @@
 	return nil
 }
 
-// conflictingVersion returns the version of an earlier answer that contradicts an
-// answer by version, 0 for none. o.mu is held.
+// conflictingVersion returns the version of a recorded response that contradicts a
+// response of version to a request received at receivedAt, 0 for none. o.mu must be held.
 func (o *versionOrder) conflictingVersion(version uint64, receivedAt time.Time) uint64 {
 	for _, span := range o.spans {
 		laterRequestGotOlder := span.version < version && span.lastReceived.Sub(receivedAt) > reorderTolerance
@@ -135,7 +134,7 @@
 	return 0
 }
 
-// record adds a request to its version's span. o.mu is held.
+// record adds a request to the span of the version. o.mu must be held.
 func (o *versionOrder) record(version uint64, receivedAt time.Time) {
 	i, known := slices.BinarySearchFunc(o.spans, version, func(s versionSpan, v uint64) int { return cmp.Compare(s.version, v) })
 	if !known {
@@ -146,15 +145,15 @@
 	o.spans[i].extend(receivedAt)
 }
 
-// dropOldest drops the span of the oldest version if there are more than
-// maxVersionSpans. o.mu is held.
+// dropOldest drops the span of the oldest version if there are more than maxVersionSpans
+// spans. o.mu must be held.
 func (o *versionOrder) dropOldest() {
 	if len(o.spans) <= maxVersionSpans {
 		return
 	}
-	// The last request of the oldest version still shows which answers by newer
-	// versions would contradict the order of the requests, so the next span is extended
-	// by it. Its first request says nothing about the next version.
+	// The last request of the oldest version still rules out responses of newer versions
+	// to earlier requests, so the next span is extended to that request. The first request
+	// of the oldest version restricts only responses of older versions.
 	if oldest := o.spans[0]; oldest.lastReceived.After(o.spans[1].lastReceived) {
 		o.spans[1].lastReceived = oldest.lastReceived
 	}
--- a/internal/gateway/version_order_test.go
+++ b/internal/gateway/version_order_test.go
@@ -16,8 +16,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/link"
 )
 
-// startStateServer serves state calls with answer, which also returns the version of
-// the configuration that the reply names.
+// startStateServer serves state calls and returns its address. response returns the error
+// of the response to a call for a queue, and the configuration version that it names.
 func startStateServer(t *testing.T, response func(queue string) (version uint64, err error)) string {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodState, func(ctx context.Context, r *control.StateCall) (control.StateReply, error) {
@@ -30,7 +30,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// callState makes a state call for a caller's request that is received now.
+// callState makes a state call on behalf of a caller's request that is received now.
 func callState(ctx context.Context, g *Gateway, queue string) error {
 	call := &control.StateCall{Address: control.JobAddress{Queue: queue}}
 	_, err := CallForCaller[control.StateReply](ctx, g, time.Now(), control.MethodState, call)
@@ -52,8 +52,8 @@
 	must.StrContains(t, lines.String(), "event=answered_by version=65 before=62 from="+leader)
 }
 
-// startLeaderThatHoldsAdded serves state calls: for the queue "added" by version 65 after
-// released is closed, and for all others by version 62 immediately.
+// startLeaderThatHoldsAdded serves state calls. The response for the queue "added" is of
+// version 65 and is delayed until released is closed; all others are of version 62.
 func startLeaderThatHoldsAdded(t *testing.T, released <-chan struct{}) string {
 	return startStateServer(t, func(queue string) (uint64, error) {
 		if queue != "added" {
@@ -64,11 +64,10 @@
 	})
 }
 
-// The leader's data centre is partitioned and holds a request. A later request is
-// answered by the next leader, a new configuration is committed, and the first request
-// is then answered by the next leader too. The caller of the first sees a queue that
-// the new configuration adds, while the caller that asked 0.3 s later still saw one
-// that it drops.
+// A request waits at a partitioned leader. A request sent 0.3 s later gets its response
+// from the next leader, then a new configuration is committed, and the next leader responds
+// to the first request too. The caller of the first request sees a queue that the new
+// configuration adds, while the caller of the later one saw a queue that it removes.
 func TestEarlierRequestIsNotAnsweredByNewerVersion(t *testing.T) {
 	released := make(chan struct{})
 	g := New(link.NewClient(100), "own", []string{startLeaderThatHoldsAdded(t, released)}, log.NewNopLogger())
@@ -83,15 +82,16 @@
 	must.Eq(t, RetryAfter, fault.From(err).RetryAfter)
 }
 
-// Each case gives two answers, the time between their requests, and whether the second
-// answer may follow the first.
+// A response may have a newer version than another one only if its request was received
+// later, or earlier by no more than reorderTolerance. Each case holds the versions of two
+// responses and the time between their requests.
 func TestVersionOrderFollowsRequestOrder(t *testing.T) {
 	start := time.Now()
 	for _, c := range []struct {
 		name          string
 		first, second uint64
-		// later is how long after the first answer's request the second one's was
-		// received.
+		// later is how long after the request of the first response the request of the
+		// second one was received.
 		later   time.Duration
 		allowed bool
 	}{
@@ -110,7 +110,8 @@
 	}
 }
 
-// A withheld answer wasn't given, so later answers must not be compared with it.
+// The caller doesn't get a withheld response, so later responses must not be compared with
+// its version.
 func TestWithheldResponseIsNotRecorded(t *testing.T) {
 	start := time.Now()
 	order := versionOrder{logger: log.NewNopLogger()}
@@ -129,9 +130,9 @@
 	must.Error(t, order.admit(3*maxVersionSpans+1, start, "leader"))
 }
 
-// A job is accepted, and the answer is withheld because a later request was answered by
-// an older version. The error must not say that nothing was done, since the job will
-// run.
+// The leader accepts a job, and the response is withheld because a later request got a
+// response of an older version. The error must not say that nothing was done, since the
+// job will run.
 func TestWithheldResponseToChangeIsUnknown(t *testing.T) {
 	g := New(link.NewClient(100), "own", []string{startSubmitServer(t, 65)}, log.NewNopLogger())
 	must.NoError(t, g.versionOrder.admit(62, time.Now(), "leader"))
@@ -141,7 +142,8 @@
 	must.Eq(t, fault.Unknown, fault.KindOf(err))
 }
 
-// startSubmitServer accepts all jobs by a version of the configuration.
+// startSubmitServer accepts all jobs, names a configuration version in its responses, and
+// returns its address.
 func startSubmitServer(t *testing.T, version uint64) string {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodSubmit, func(ctx context.Context, _ *control.SubmitCall) (control.SubmitReply, error) {
@@ -153,9 +155,9 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// The leader answers a request by version 65; then a member that lags behind reports an
-// ended job by version 62. The caller would see a job of a queue that it was just told
-// doesn't exist.
+// The leader's response to a request is of version 65. To a later request, a follower that
+// lags behind reports an ended job with version 62. The caller would see a job of a queue
+// that version 65 doesn't have.
 func TestOutOfOrderEndedReplyIsIgnored(t *testing.T) {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodEnded, func(ctx context.Context, _ *control.EndedCall) (control.EndedReply, error) {
@@ -170,9 +172,9 @@
 	must.False(t, known)
 }
 
-// Nine versions come within a few seconds, and the oldest span is dropped. If its first
-// request counted as the next version's, answers would be withheld although all answers
-// by newer versions went to later requests.
+// More than maxVersionSpans versions are committed within a few seconds, and the oldest
+// span is dropped. If its first request counted as one of the next version, a response
+// would be withheld although all responses of newer versions went to later requests.
 func TestDroppedSpanDoesNotExtendNextSpan(t *testing.T) {
 	start := time.Now()
 	order := versionOrder{logger: log.NewNopLogger()}
@@ -181,5 +183,5 @@
 		must.NoError(t, order.admit(uint64(i+3), start.Add(time.Duration(i+2)*time.Second), "leader"))
 	}
 	must.NoError(t, order.admit(2, start.Add(time.Second), "leader"))
-	must.Error(t, order.admit(2, start.Add(3*time.Second), "leader"), must.Sprint("after answers by newer versions"))
+	must.Error(t, order.admit(2, start.Add(3*time.Second), "leader"), must.Sprint("after responses of newer versions"))
 }
--- a/internal/jobfile/jobfile.go
+++ b/internal/jobfile/jobfile.go
@@ -23,7 +23,7 @@
 	maxHorizon = 366 * 24 * time.Hour
 )
 
-// rawJob is a decoded job file before its values are checked.
+// rawJob holds the values of a job file as decoded, before they are checked.
 type rawJob struct {
 	Name         string         `toml:"name"`
 	Policy       string         `toml:"policy"`
@@ -40,7 +40,8 @@
 	MaxAttempts  int64          `toml:"max_attempts"`
 }
 
-// deadlineText accepts a TOML date-time without quotes as well as a string.
+// deadlineText is the text of a deadline. The file may hold it as a string or as a TOML
+// date-time without quotes.
 type deadlineText string
 
 // UnmarshalTOML stores the deadline as text.
@@ -56,26 +57,26 @@
 	return nil
 }
 
-// policies maps the values of "policy" to those of the schema.
+// policies maps the values of the key "policy" to those of the API.
 var policies = map[string]apiv1.Policy{
 	"service": apiv1.Policy_POLICY_SERVICE,
 	"batch":   apiv1.Policy_POLICY_BATCH,
 	"gang":    apiv1.Policy_POLICY_GANG,
 }
 
-// Parse parses one job file. Relative deadlines count from now. Errors are
-// Invalid and name line and key.
+// Parse parses one job file. Relative deadlines count from now. Errors are of kind Invalid
+// and name the line and the key.
 func Parse(data []byte, now time.Time) (*apiv1.Spec, error) {
 	return ParseNamed("job file", data, now)
 }
 
-// ParseNamed is Parse with the name of the file for errors.
+// ParseNamed is Parse with errors that refer to the file as name.
 func ParseNamed(name string, data []byte, now time.Time) (*apiv1.Spec, error) {
 	return ParseWithDeadline(name, data, "", now)
 }
 
-// ParseWithDeadline is ParseNamed with a deadline that replaces the file's unless
-// it is empty.
+// ParseWithDeadline is ParseNamed with a deadline, written as in the file, that replaces
+// the file's deadline unless it is empty.
 func ParseWithDeadline(name string, data []byte, deadline string, now time.Time) (*apiv1.Spec, error) {
 	var raw rawJob
 	file, err := tomlfile.Decode(name, data, &raw)
@@ -101,7 +102,7 @@
 	spec *apiv1.Spec
 }
 
-// identity checks and converts name, policy, data centre, flags and payload.
+// convertIdentity checks and converts the name, policy, data centre, flags and payload.
 func (r *jobReader) convertIdentity() error {
 	if !settings.NamePattern.MatchString(r.raw.Name) {
 		return r.file.Errorf("name", "%q isn't a name (letters, digits, '_', '.', '-', at most 63)", r.raw.Name)
@@ -137,7 +138,7 @@
 	return nil
 }
 
-// counts checks and converts the numbers of tasks, accelerators and attempts.
+// convertCounts checks and converts the numbers of tasks, accelerators and attempts.
 func (r *jobReader) convertCounts() error {
 	tasks := int64(1)
 	if r.raw.Tasks != nil {
@@ -165,7 +166,7 @@
 	return nil
 }
 
-// demand checks and converts the resources of one task.
+// convertDemand checks and converts the processor and memory demand of one task.
 func (r *jobReader) convertDemand() error {
 	cpu, err := r.parseAmount("cpu", r.raw.CPU, units.ParseCores)
 	if err != nil {
@@ -183,7 +184,7 @@
 	return nil
 }
 
-// amount parses the value of a key. It returns 0 when the key is missing.
+// parseAmount parses the value of a key with parse. It returns 0 when the key is missing.
 func (r *jobReader) parseAmount(key string, text *tomlfile.Text, parse func(string) (int64, error)) (int64, error) {
 	if text == nil {
 		return 0, nil
@@ -195,7 +196,8 @@
 	return amount, nil
 }
 
-// convertTimes returns a function that checks and converts run time and deadline.
+// convertTimes returns a function that checks and converts the run time and the deadline,
+// which may be relative to now.
 func (r *jobReader) convertTimes(now time.Time) func() error {
 	return func() error {
 		if r.spec.Policy == apiv1.Policy_POLICY_SERVICE {
@@ -235,7 +237,7 @@
 	return nil
 }
 
-// ParseDeadline parses a span such as "+45s", which counts from now, or an RFC 3339
+// ParseDeadline parses a deadline: a time span from now, such as "+45s", or an RFC 3339
 // time. It returns an error for a time in the past or more than a year ahead.
 func ParseDeadline(text string, now time.Time) (time.Time, error) {
 	if span, ok := strings.CutPrefix(text, "+"); ok {
@@ -243,6 +245,8 @@
 		if err != nil {
 			return time.Time{}, err
 		}
+		// Limiting d keeps the sum from overflow, and is still more than checkDeadline
+		// allows.
 		return checkDeadline(text, now.Add(min(d, 2*maxHorizon)), now)
 	}
 	deadline, err := time.Parse(time.RFC3339, text)
--- a/internal/jobfile/jobfile_test.go
+++ b/internal/jobfile/jobfile_test.go
@@ -80,6 +80,8 @@
 	}
 }
 
+// Any text must either be rejected with an error of kind Invalid or give a spec with tasks,
+// a demand that isn't negative and, unless it is a service, a deadline in the future.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validJob))
 	f.Add([]byte("name = \"hub\"\npolicy = \"service\"\ncpu = 2\n"))
--- a/internal/jobfile/workflow.go
+++ b/internal/jobfile/workflow.go
@@ -10,8 +10,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/units"
 )
 
-// rawWorkflow is a decoded workflow file before its values are checked. A workflow
-// is a job of dependent steps.
+// rawWorkflow holds the values of a workflow file as decoded, before they are checked. A
+// workflow is a job of dependent steps.
 type rawWorkflow struct {
 	ID      string    `toml:"id"`
 	Queue   string    `toml:"queue"`
@@ -20,14 +20,14 @@
 	Steps   []rawStep `toml:"step"`
 }
 
-// rawRepeat is the repetition of a job in the file.
+// rawRepeat is the table "repeat" of the file, which makes the job a repeated one.
 type rawRepeat struct {
 	First string `toml:"first"`
 	Every string `toml:"every"`
 	Times int64  `toml:"times"`
 }
 
-// rawStep is a step of the file. Its keys are those of the schema's Step.
+// rawStep is a step of the file. Its keys have the meaning of the fields of apiv1.Step.
 type rawStep struct {
 	Tasks            *int64         `toml:"tasks"`
 	CPU              *tomlfile.Text `toml:"cpu"`
@@ -49,8 +49,8 @@
 	LatencyObjective string         `toml:"latency_objective"`
 }
 
-// ParseWorkflow parses the file of a job of dependent steps. Errors are Invalid
-// and name the file by name, the line and the key.
+// ParseWorkflow parses the file of a job of dependent steps. Errors are of kind Invalid,
+// refer to the file as name, and name the line and the key.
 func ParseWorkflow(name string, data []byte) (*apiv1.SubmitWorkflowRequest, error) {
 	var raw rawWorkflow
 	file, err := tomlfile.Decode(name, data, &raw)
@@ -80,12 +80,12 @@
 	return request, nil
 }
 
-// workflowReader checks the parts of a rawWorkflow and converts them to the schema's
-// messages.
+// workflowReader checks the parts of a rawWorkflow and converts them to messages of the
+// API.
 type workflowReader struct{ file *tomlfile.File }
 
-// repeat converts the times of a repeated job. It returns nil for a job that isn't
-// repeated.
+// convertRepeat checks and converts the times of a repeated job. It returns nil for a job
+// that isn't repeated.
 func (r *workflowReader) convertRepeat(raw *rawRepeat) (*apiv1.Repeat, error) {
 	if *raw == (rawRepeat{}) {
 		return nil, nil
@@ -104,7 +104,7 @@
 	return &apiv1.Repeat{FirstUnixMs: first.UnixMilli(), EveryMs: every.Milliseconds(), Times: int32(raw.Times)}, nil
 }
 
-// step checks and converts the step with the index.
+// convertStep checks and converts the step with the given index.
 func (r *workflowReader) convertStep(raw *rawStep, index int) (*apiv1.Step, error) {
 	key := func(name string) string { return fmt.Sprintf("step[%d].%s", index, name) }
 	step := &apiv1.Step{
@@ -141,7 +141,9 @@
 	return step, nil
 }
 
-// convertDemandAndTimes converts the resources that a task needs and its run times.
+// convertDemandAndTimes checks and converts the resources that a task of the step needs,
+// its estimated run time and its latency objective. key returns the path of a key of the
+// step.
 func (r *workflowReader) convertDemandAndTimes(raw *rawStep, step *apiv1.Step, key func(string) string) (err error) {
 	if raw.CPU != nil {
 		if step.Need.CpuMilli, err = units.ParseCores(string(*raw.CPU)); err != nil {
--- a/internal/jobtrace/lines.go
+++ b/internal/jobtrace/lines.go
@@ -1,5 +1,5 @@
-// Package jobtrace reads the structured log lines of all instances and explains
-// how one job ended and where its time went.
+// Package jobtrace reads the structured log lines of all instances and explains how one
+// job ended and how long it spent in which activity.
 package jobtrace
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/bilberryferry/bilberryferry/internal/event"
 )
 
-// maxLineBytes bounds a line in bytes. Read fails on a longer one.
+// maxLineBytes bounds the length of a line. Read returns an error for a longer one.
 const maxLineBytes = 1 << 20
 
 // Keys that every log line has.
@@ -27,7 +27,7 @@
 	keyEvent    = "event"
 )
 
-// Line is one structured log line.
+// Line is one structured log line of an instance.
 type Line struct {
 	Time     time.Time
 	Instance string
@@ -49,7 +49,7 @@
 	return ""
 }
 
-// Read reads log lines and sorts them by time. It ignores text before the time of
+// Read reads log lines and returns them sorted by time. It ignores text before the time of
 // a line, such as a log collector's prefix, and skips lines of another format.
 func Read(r io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(r)
@@ -105,9 +105,9 @@
 	return line, decoder.Err() == nil && line.Event != ""
 }
 
-// subjectKeys are the keys whose values name a subject: the id of a job, worker
-// or machine, a step or task, whose first part is the job's id, or a request path,
-// whose last part is the job's id.
+// subjectKeys are the keys whose values name a job, worker or machine. Most values are its
+// id. The value of step, task or for is the id of a step or task, whose first part is the
+// job's id. The value of path is a request path, whose last part is the job's id.
 var subjectKeys = []string{"job", "step", "task", "worker", "beside", "for", "machine", "path"}
 
 // subjects returns the ids of the jobs, workers and machines that a line concerns.
@@ -131,10 +131,11 @@
 	return ids
 }
 
-// Concerns reports whether the line has the subject.
+// Concerns reports whether the line concerns the job, worker or machine with the id.
 func (l *Line) Concerns(subject string) bool { return slices.Contains(l.subjects(), subject) }
 
-// Events converts log lines to events of the event timeline.
+// Events converts log lines to events of the event timeline. The nanoseconds of a time
+// within its millisecond become the logical counter, which keeps the order of the lines.
 func Events(lines []Line) []event.Event {
 	events := make([]event.Event, 0, len(lines))
 	for i := range lines {
--- a/internal/jobtrace/trace.go
+++ b/internal/jobtrace/trace.go
@@ -17,7 +17,7 @@
 
 // Trace is the outcome of a job and how it spent its time.
 type Trace struct {
-	// Verdict is one sentence: the outcome that the caller saw and its largest cause.
+	// Outcome is one sentence: the outcome that the caller saw and its largest cause.
 	Outcome string
 	// Spans are the job's activities, longest first. They add up to the time from the
 	// submission's commit to the end.
@@ -34,8 +34,8 @@
 	spanUnsuccessfulRuns = "in unsuccessful runs"
 	spanSuccessfulRuns   = "in runs that did the work"
 	spanDecisionToCommit = "between decisions and their commits"
-	// spanWaiting is the prefix of the activity of a waiting step. The reason for the
-	// wait follows it.
+	// spanWaiting is the beginning of the activity of a waiting step, which ends with the
+	// reason for the wait.
 	spanWaiting = "waiting: "
 )
 
@@ -80,9 +80,9 @@
 	return slices.IndexFunc(lines, func(l Line) bool { return l.Event == event })
 }
 
-// describeRefusal describes a job without an accepted submission: the answer of the last
-// instance to its request and that instance's contact with a leader. A job with
-// later lines was stored even though its caller got an error.
+// describeRefusal describes a job that no line shows as accepted: the last response to its
+// request, and whether the instance that sent the response was in contact with a leader. A
+// job with a permit or a run was stored even though its caller got an error.
 func describeRefusal(allLines, jobLines []Line) string {
 	var last *Line
 	for i := range jobLines {
@@ -104,8 +104,8 @@
 	return "not accepted: " + text + describeLostLeaderContact(allLines, last)
 }
 
-// describeLostLeaderContact returns a text with the time at which the instance of last
-// lost contact with a leader, or "" when it was in contact.
+// describeLostLeaderContact returns a text with the time since which the instance of the
+// line last had no contact with a leader, or "" when it had contact.
 func describeLostLeaderContact(allLines []Line, last *Line) string {
 	for i := len(allLines) - 1; i >= 0; i-- {
 		l := &allLines[i]
@@ -120,8 +120,9 @@
 	return ""
 }
 
-// describeOutcome describes how an accepted job ended and the largest cause of its
-// duration or failure.
+// describeOutcome describes how an accepted job ended, and the largest cause of its
+// duration or failure. accepted and ended are indexes of jobLines; ended is -1 if no line
+// shows the end.
 func describeOutcome(jobLines []Line, accepted, ended int, spans []Span) string {
 	if ended < 0 {
 		return describeUnfinished(jobLines, accepted)
@@ -152,8 +153,8 @@
 	return "accepted; no line shows its end; last: " + jobLines[len(jobLines)-1].Event
 }
 
-// describePeakLoad describes the "load" line with the most waiting tasks between two
-// times, or returns "" when there is none.
+// describePeakLoad describes the line with the event "load" that has the most waiting tasks
+// between two times, or returns "" when there is no such line.
 func describePeakLoad(allLines []Line, from, to time.Time) string {
 	var peak *Line
 	maxTasks := -1
@@ -198,8 +199,8 @@
 	return fmt.Sprintf(", %s of it on %s: see that worker's timeline", longest.Round(time.Millisecond), worker)
 }
 
-// describeFailures names the task that failed most often and the workers of its runs. One
-// worker points to a fault of the worker, several point to the job.
+// describeFailures names the task that failed most often and the workers of its failed
+// runs. A single worker indicates a fault of the worker, several indicate one of the job.
 func describeFailures(jobLines []Line) string {
 	workers := map[string][]string{}
 	mostFailed := ""
@@ -229,6 +230,7 @@
 
 // spanAccumulator goes through a job's lines and adds up the time of each activity.
 type spanAccumulator struct {
+	// leaderless holds the intervals without a leader.
 	leaderless []interval
 	// outcomes holds the outcome of each run, by runKey.
 	outcomes map[string]string
@@ -238,15 +240,16 @@
 	running map[string]bool
 	// waiting is the reason for which a step waits, empty when none does.
 	waiting string
-	// permitted is true once the adviser has answered for a step.
+	// permitted is true once a line shows the adviser's response for a step.
 	permitted bool
 }
 
 // interval is the time between two lines.
 type interval struct{ from, to time.Time }
 
-// sumSpans adds up the time between consecutive lines of a job by its activity. Runs
-// have priority over waiting, and waiting over the adviser.
+// sumSpans adds up the time between consecutive lines of a job by its activity, and returns
+// the sums, longest first. When steps of the job differ, a run takes priority over the wait
+// of a step, and the wait of a step over the wait for the adviser.
 func sumSpans(allLines, jobLines []Line) []Span {
 	s := &spanAccumulator{leaderless: leaderlessIntervals(allLines), outcomes: runOutcomes(jobLines), durations: map[string]time.Duration{}, running: map[string]bool{}}
 	s.durations[spanCommit] = commitTime(&jobLines[0])
@@ -277,7 +280,7 @@
 	return took
 }
 
-// runKey identifies the run of a line.
+// runKey returns the key of a line's run: the task and the number of the run.
 func runKey(l *Line) string { return l.Get("task") + " " + l.Get("run") }
 
 // runOutcomes returns the outcome of each run, by runKey.
@@ -291,7 +294,8 @@
 	return outcomes
 }
 
-// leaderlessIntervals returns the intervals between two leader terms.
+// leaderlessIntervals returns the intervals between two leader terms, which the lines with
+// the event "tenure" show.
 func leaderlessIntervals(allLines []Line) []interval {
 	var leaderless []interval
 	var ended time.Time
--- a/internal/jobtrace/trace_test.go
+++ b/internal/jobtrace/trace_test.go
@@ -97,8 +97,8 @@
 		"meanwhile up to 90 tasks waited for 36 workers (kept back: 2: the worker leaves)", Explain(lines, "b").Outcome)
 }
 
-// A gang waits first behind gangs with reserved resources and then for free
-// resources. The trace must show both times with their reasons.
+// A gang first waits behind gangs with reserved resources and then for free resources. The
+// trace must show both durations with their reasons.
 func TestSpansOfGangWaitingForTwoReasons(t *testing.T) {
 	lines, err := Read(strings.NewReader(`
 ts=2026-07-06T09:00:00.000Z instance=core-1 event=submit job=g outcome=accepted
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,6 +1,6 @@
 // Package link makes calls between the system's own processes: one POST request per
 // call, with CBOR bodies, over persistent HTTP/1.1 connections. A call that gets no
-// answer in time closes its connection, so a dead connection costs one call.
+// response in time closes its connection, so a dead connection costs only one call.
 package link
 
 import (
@@ -23,9 +23,9 @@
 const (
 	// dialTimeout bounds the opening of a connection. A round trip within a region
 	// takes a few milliseconds, and the operating system resends a lost first packet
-	// after 1 s.
+	// only after 1 s.
 	dialTimeout = 500 * time.Millisecond
-	// maxBodyBytes bounds the bytes of a request or reply; a configuration with several
+	// maxBodyBytes bounds the body of a request or response; a configuration with several
 	// thousand routes fits.
 	maxBodyBytes = 8 << 20
 	// maxIdlePerHost is the number of idle connections kept open per host: the usual
@@ -36,22 +36,23 @@
 	contentType    = "application/cbor"
 )
 
-// ErrUnsent marks the error of a call that can't have reached the other side.
+// ErrUnsent marks the error of a call that can't have reached the server, because no
+// connection was opened.
 var ErrUnsent = errors.New("not sent")
 
-// ErrNotLeader marks the refusal of an instance that doesn't lead and did nothing;
-// LeaderOf returns the leader that it names.
+// ErrNotLeader marks the error of a call to an instance that isn't the leader and did
+// nothing. LeaderOf returns the leader that the error names.
 var ErrNotLeader = errors.New("not the leader")
 
 // Client makes calls. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
-	// version is the highest that a reply has named.
+	// version is the highest configuration version that a response has named.
 	version atomic.Uint64
 }
 
-// Version returns the highest version of the configuration that a reply to this client
-// has named, 0 for none.
+// Version returns the highest configuration version that a response to this client has
+// named, 0 for none.
 func (c *Client) Version() uint64 { return c.version.Load() }
 
 // raiseVersion records a version if it is the highest so far.
@@ -76,7 +77,7 @@
 	}}}
 }
 
-// envelope is the body of every reply.
+// envelope is the body of every response.
 type envelope struct {
 	Kind       fault.Kind      `cbor:"1,keyasint,omitempty"`
 	Failed     bool            `cbor:"2,keyasint,omitempty"`
@@ -85,19 +86,22 @@
 	NotLeader  bool            `cbor:"5,keyasint,omitempty"`
 	Leader     string          `cbor:"6,keyasint,omitempty"`
 	Value      cbor.RawMessage `cbor:"7,keyasint,omitempty"`
-	// Version is the version of the configuration by which the call was answered.
+	// Version is the configuration version that was in force where the call was served, 0
+	// if the server names none.
 	Version uint64 `cbor:"8,keyasint,omitempty"`
 }
 
-// Call makes a call and decodes the reply into reply. Errors are faults; those marked
-// ErrUnsent or ErrNotLeader say that nothing was done.
+// Call calls a method of the server at address and decodes the value of the response into
+// reply. An error marked ErrUnsent or ErrNotLeader means that nothing was done. Errors have
+// a kind of package fault, unless the request can't be encoded or the value can't be
+// decoded.
 func (c *Client) Call(ctx context.Context, address, method string, request, reply any) error {
 	_, err := c.CallVersioned(ctx, address, method, request, reply)
 	return err
 }
 
-// CallVersioned is Call, and also returns the version of the configuration by which the
-// call was answered, refusals included; 0 if the reply names none.
+// CallVersioned is Call, and also returns the configuration version that the response
+// names, even if the call was refused; 0 if it names none.
 func (c *Client) CallVersioned(ctx context.Context, address, method string, request, reply any) (version uint64, err error) {
 	e, err := c.exchange(ctx, address, method, request)
 	if err != nil {
@@ -107,10 +111,10 @@
 	if e.Failed {
 		return e.Version, e.err()
 	}
-	return e.Version, errors.Wrapf(cbor.Unmarshal(e.Value, reply), "decode the answer of %s", method)
+	return e.Version, errors.Wrapf(cbor.Unmarshal(e.Value, reply), "decode the response of %s", method)
 }
 
-// exchange sends a call and reads the body of the reply.
+// exchange sends a call and reads the body of the response.
 func (c *Client) exchange(ctx context.Context, address, method string, request any) (envelope, error) {
 	var e envelope
 	body, err := cbor.Marshal(request)
@@ -129,10 +133,10 @@
 	defer response.Body.Close()
 	responseBody, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes))
 	if err != nil {
-		return e, fault.New(fault.Unknown, "%s: the answer is incomplete: %v", method, err)
+		return e, fault.New(fault.Unknown, "%s: the response is incomplete: %v", method, err)
 	}
 	if err := cbor.Unmarshal(responseBody, &e); err != nil {
-		return e, fault.New(fault.Unknown, "%s: the answer with status %d can't be decoded: %v", method, response.StatusCode, err)
+		return e, fault.New(fault.Unknown, "%s: the response with status %d can't be decoded: %v", method, response.StatusCode, err)
 	}
 	return e, nil
 }
@@ -144,10 +148,10 @@
 	if errors.As(err, &op) && op.Op == "dial" {
 		return errors.Mark(fault.New(fault.Unavailable, "%s: %v", method, err), ErrUnsent)
 	}
-	return fault.New(fault.Unknown, "%s: no answer: %v", method, err)
+	return fault.New(fault.Unknown, "%s: no response: %v", method, err)
 }
 
-// err returns the error that a failed reply stands for.
+// err returns the error that the response of a failed call carries.
 func (e *envelope) err() error {
 	err := errors.WithStack(&fault.Error{Kind: e.Kind, Message: e.Message, RetryAfter: e.RetryAfter})
 	if e.NotLeader {
@@ -156,7 +160,8 @@
 	return err
 }
 
-// notLeaderError is a refusal that names the leader.
+// notLeaderError is the error of an instance that isn't the leader. leader is the address
+// of the leader, empty if unknown.
 type notLeaderError struct {
 	leader string
 	cause  error
@@ -165,13 +170,13 @@
 func (e *notLeaderError) Error() string { return e.cause.Error() }
 func (e *notLeaderError) Unwrap() error { return e.cause }
 
-// NotLeader returns the error of an instance that doesn't lead. leader is the address
-// of the one that does, empty if unknown.
+// NotLeader returns the error of an instance that isn't the leader. leader is the address
+// of the leader, empty if unknown.
 func NotLeader(leader string) error {
 	return errors.Mark(&notLeaderError{leader: leader, cause: fault.New(fault.Unavailable, "not the leader")}, ErrNotLeader)
 }
 
-// LeaderOf returns the leader's address that a refusal names, empty for none.
+// LeaderOf returns the leader's address that an error names, empty for none.
 func LeaderOf(err error) string {
 	var e *notLeaderError
 	if errors.As(err, &e) {
@@ -190,9 +195,9 @@
 // NewMux returns a Mux without methods.
 func NewMux() *Mux { return &Mux{http: http.NewServeMux()} }
 
-// SetVersion makes each reply name a version of the configuration: the one recorded
-// with RecordVersion while the call was served, or else the result of version from
-// before the call, which is never too high.
+// SetVersion makes each response name a configuration version: the one recorded with
+// RecordVersion while the call was served, or else the result of version before the call
+// was served, which is never too high.
 func (m *Mux) SetVersion(version func() uint64) { m.version.Store(&version) }
 
 func (m *Mux) currentVersion() uint64 {
@@ -202,13 +207,13 @@
 	return 0
 }
 
-// ServeHTTP serves a call.
+// ServeHTTP serves a call, or a request of a pattern passed to HandleHTTP.
 func (m *Mux) ServeHTTP(w http.ResponseWriter, r *http.Request) { m.http.ServeHTTP(w, r) }
 
-// HandleHTTP serves other requests to the same address.
+// HandleHTTP serves requests that aren't calls and match an http.ServeMux pattern.
 func (m *Mux) HandleHTTP(pattern string, handler http.Handler) { m.http.Handle(pattern, handler) }
 
-// Handle serves the calls of a method with serve.
+// Handle makes m serve the calls of a method with serve.
 func Handle[Request, Reply any](m *Mux, method string, serve func(context.Context, *Request) (Reply, error)) {
 	m.http.HandleFunc("POST "+pathPrefix+method, func(w http.ResponseWriter, r *http.Request) {
 		version := m.currentVersion()
@@ -219,7 +224,7 @@
 	})
 }
 
-// serveRequest decodes a request, serves it, and returns the body of the reply.
+// serveRequest decodes a request, serves it, and returns the body of the response.
 func serveRequest[Request, Reply any](ctx context.Context, r *http.Request, serve func(context.Context, *Request) (Reply, error)) envelope {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
@@ -235,12 +240,12 @@
 	}
 	value, err := cbor.Marshal(reply)
 	if err != nil {
-		return errorEnvelope(fault.New(fault.Internal, "encode the answer: %v", err))
+		return errorEnvelope(fault.New(fault.Internal, "encode the response: %v", err))
 	}
 	return envelope{Value: value}
 }
 
-// errorEnvelope returns the reply for an error.
+// errorEnvelope returns the body of the response for an error.
 func errorEnvelope(err error) envelope {
 	e := envelope{Failed: true, Kind: fault.Internal, Message: err.Error()}
 	var f *fault.Error
@@ -253,7 +258,7 @@
 	return e
 }
 
-// writeReply writes the body of a reply.
+// writeReply writes a response with e as its body.
 func writeReply(w http.ResponseWriter, e envelope) {
 	w.Header().Set("Content-Type", contentType)
 	body, err := cbor.Marshal(&e)
--- a/internal/link/version.go
+++ b/internal/link/version.go
@@ -5,24 +5,23 @@
 	"sync/atomic"
 )
 
-// VersionRecorder holds the version of the configuration by which a call is answered
-// while the call is served.
+// VersionRecorder holds the configuration version that the response to one call names.
 type VersionRecorder struct{ version atomic.Uint64 }
 
-// Version returns the version recorded last, 0 for none.
+// Version returns the configuration version recorded last, 0 for none.
 func (r *VersionRecorder) Version() uint64 { return r.version.Load() }
 
 type versionRecorderKey struct{}
 
-// WithVersionRecorder returns a context for serving a call, and the recorder that
-// RecordVersion writes to.
+// WithVersionRecorder returns a context for serving a call, and the recorder to which
+// RecordVersion writes under that context.
 func WithVersionRecorder(ctx context.Context) (context.Context, *VersionRecorder) {
 	recorder := &VersionRecorder{}
 	return context.WithValue(ctx, versionRecorderKey{}, recorder), recorder
 }
 
-// RecordVersion records the version of the configuration by which the call that is
-// served under ctx is answered. It does nothing if ctx has no recorder.
+// RecordVersion records the configuration version that the response to the call served
+// under ctx names. It does nothing if ctx has no recorder.
 func RecordVersion(ctx context.Context, version uint64) {
 	if recorder, ok := ctx.Value(versionRecorderKey{}).(*VersionRecorder); ok {
 		recorder.version.Store(version)
--- a/internal/link/version_test.go
+++ b/internal/link/version_test.go
@@ -11,7 +11,8 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-// serveVersions serves one method on a Mux whose version is 62 when a call starts.
+// serveVersions serves the method "m" with serve, on a Mux whose configuration version is
+// 62 before each call, and returns the address.
 func serveVersions(t *testing.T, serve func(context.Context) error) (address string) {
 	mux := NewMux()
 	mux.SetVersion(func() uint64 { return 62 })
--- a/internal/measure/fit.go
+++ b/internal/measure/fit.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Class is a kind of process for capacity planning.
+// Class is a group of processes with the same load, for capacity planning.
 type Class string
 
 // Classes of processes.
@@ -25,7 +25,7 @@
 	ClassConfigReader Class = "configuration reader"
 )
 
-// Names in the roles and process names of daemons.
+// Names of logs and roles in Usage.Roles, and the end of the Usage.Name of an entry process.
 const (
 	configurationLog = "configuration"
 	cellLogPrefix    = "cell."
@@ -80,8 +80,9 @@
 	"peers.*.BytesSent", "peers.*.BytesReceived",
 }
 
-// Measurement holds the usages of all processes at one load size.
+// Measurement holds the usages of all processes at one size of the load.
 type Measurement struct {
+	// Size is the size of the load, in a unit that the caller of WriteFit chooses.
 	Size   float64
 	Usages []Usage
 }
@@ -107,7 +108,7 @@
 	return line
 }
 
-// quantity is a value that is measured for each process.
+// quantity is a measured value of a process. name includes its unit.
 type quantity struct {
 	name  string
 	value func(Usage) float64
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,5 +1,5 @@
-// Package measure samples the resource usage of running daemons from outside the
-// processes and fits its growth with the size of a deployment.
+// Package measure samples the resource usage of running daemons from outside the processes
+// and fits a line to its growth with the size of a deployment.
 package measure
 
 import (
@@ -26,8 +26,8 @@
 type Target struct {
 	Name string
 	PID  int
-	// Admin is the address that serves /debug/vars. No counters are read when it is
-	// empty.
+	// Admin is the address at which the process serves /debug/vars. No counters are read
+	// when it is empty.
 	Admin string
 }
 
@@ -38,8 +38,8 @@
 	Interval time.Duration
 	// Duration is the time from the first to the last sample.
 	Duration time.Duration
-	// Counters names the counters under /debug/vars to measure. Dots separate levels;
-	// a "*" sums over all keys of a level.
+	// Counters names the counters under /debug/vars to measure. Dots separate the levels
+	// of a name; a "*" stands for all keys of a level, whose values are added up.
 	Counters []string
 }
 
@@ -48,8 +48,9 @@
 
 // Usage is the resource usage of one process during a measurement.
 type Usage struct {
-	Name    string  `json:"name"`
-	PID     int     `json:"pid"`
+	Name string `json:"name"`
+	PID  int    `json:"pid"`
+	// Seconds is the time from the first to the last sample.
 	Seconds float64 `json:"seconds"`
 	// CPUPercent is the mean processor time in per cent of one core.
 	CPUPercent float64 `json:"cpu_percent"`
@@ -67,19 +68,23 @@
 	// Roles maps each replicated log to the process's role in it at the last sample.
 	Roles map[string]string `json:"roles,omitempty"`
 	// Gone is true when the process couldn't be sampled to the end of the measurement,
-	// as a rule because it ended. The other values then cover the time until its last
+	// usually because it ended. The other values then cover the time until its last
 	// sample.
 	Gone bool `json:"gone,omitempty"`
 }
 
 // sample is the state of a process at one moment.
 type sample struct {
-	at            time.Time
-	ticks         int64
-	rss           int64
+	at time.Time
+	// ticks is the processor time since the start of the process, in clock ticks.
+	ticks int64
+	// rss is the resident memory in bytes.
+	rss int64
+	// read and written are the bytes through read and write calls since the start.
 	read, written int64
-	counters      map[string]float64
-	roles         map[string]string
+	// counters and roles are as in Usage, but counters holds totals.
+	counters map[string]float64
+	roles    map[string]string
 }
 
 // ticksPerSecond is the number of clock ticks per second in processor times under
@@ -89,8 +94,9 @@
 // adminTimeout bounds one request for the counters of a target.
 const adminTimeout = 2 * time.Second
 
-// Run samples the targets for cfg.Duration and returns the usage of each, in their
-// order. It returns an error when a target can't be sampled the first time.
+// Run samples the targets for cfg.Duration, or until ctx ends, and returns the usage of
+// each, in the order of the targets. It returns an error when a target can't be sampled the
+// first time.
 func Run(ctx context.Context, cfg Config) ([]Usage, error) {
 	if cfg.Interval == 0 {
 		cfg.Interval = DefaultInterval
@@ -116,7 +122,7 @@
 	return cfg.usages(samples), nil
 }
 
-// usages returns the usage of each target from its samples.
+// usages returns the usage of each target. samples holds the samples of each target.
 func (cfg Config) usages(samples [][]sample) []Usage {
 	maxSamples := 0
 	for _, ofTarget := range samples {
@@ -133,7 +139,7 @@
 	return usages
 }
 
-// usageOf returns the usage between the first and last sample of a process.
+// usageOf returns the usage of a process between its first and last sample.
 func usageOf(samples []sample) Usage {
 	first, last := samples[0], samples[len(samples)-1]
 	seconds := last.at.Sub(first.at).Seconds()
@@ -232,7 +238,8 @@
 	return read, written, nil
 }
 
-// readVars returns the metrics that the address serves, or nil when it serves none.
+// readVars returns the decoded JSON that the address serves under /debug/vars, or nil when
+// it can't be read.
 func readVars(ctx context.Context, address string) map[string]any {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
@@ -252,7 +259,7 @@
 	return vars
 }
 
-// countersIn returns the values of the named counters that vars contains.
+// countersIn returns the values, by name, of the named counters that vars contains.
 func countersIn(vars map[string]any, names []string) map[string]float64 {
 	found := make(map[string]float64)
 	for _, name := range names {
@@ -263,7 +270,7 @@
 	return found
 }
 
-// rolesIn returns the role in each replicated log that vars contains.
+// rolesIn returns the role of the process in each replicated log, as contained in vars.
 func rolesIn(vars map[string]any) map[string]string {
 	roles := make(map[string]string)
 	groups, _ := vars["roles"].(map[string]any)
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -38,9 +38,8 @@
 	must.StrContains(t, text.String(), "peers.*.sent/s")
 }
 
-// On a busy machine the first sample takes longer than the whole measurement. If
-// Run ended after it, all rates would be zero and a busy process would be reported
-// as idle.
+// On a busy machine the first sample takes longer than the whole measurement. If Run ended
+// after that sample, all rates would be zero and a busy process would be reported as idle.
 func TestRunTakesTwoSamplesWhenFirstIsSlow(t *testing.T) {
 	usages, err := Run(t.Context(), Config{
 		Targets:  []Target{{Name: "self", PID: os.Getpid()}},
--- a/internal/oplog/metrics.go
+++ b/internal/oplog/metrics.go
@@ -12,7 +12,7 @@
 )
 
 // Bounds of the latency histograms, in microseconds: from 10 µs to one minute with
-// two significant digits. A histogram then takes about 20 KB.
+// two significant digits. A histogram with these bounds takes about 20 KB.
 const (
 	lowestMicros      = 10
 	highestMicros     = 60_000_000
@@ -33,21 +33,21 @@
 	return &Metrics{counters: map[string]int64{}, gauges: map[string]int64{}, histograms: map[string]*hdrhistogram.Histogram{}}
 }
 
-// Add adds n to the counter of a name.
+// Add adds n to the counter with the name.
 func (m *Metrics) Add(name string, n int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.counters[name] += n
 }
 
-// Set sets the gauge of a name to n.
+// Set sets the gauge with the name to n.
 func (m *Metrics) Set(name string, n int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.gauges[name] = n
 }
 
-// Observe records a duration in the histogram of a name. It clamps durations to the
+// Observe records a duration in the histogram with the name. It clamps durations to the
 // histogram's bounds.
 func (m *Metrics) Observe(name string, d time.Duration) {
 	m.mu.Lock()
--- a/internal/oplog/oplog.go
+++ b/internal/oplog/oplog.go
@@ -1,6 +1,6 @@
-// Package oplog writes a process's structured log lines to standard output without
-// blocking the goroutine that logs. It limits the lines per second and drops and
-// counts the lines beyond that limit. The process logs the count.
+// Package oplog writes a process's structured log lines without blocking the goroutine that
+// logs. It limits the lines per second, and drops and counts the lines beyond that limit, so
+// that the process can log their number.
 package oplog
 
 import (
@@ -12,11 +12,11 @@
 )
 
 const (
-	// maxQueuedLines bounds the lines that wait for the writer, which is half a second
-	// at linesPerSecond.
+	// maxQueuedLines bounds the lines that wait for the writer. At linesPerSecond it is
+	// reached half a second after the writer blocks.
 	maxQueuedLines = 1024
-	// linesPerSecond is the largest rate of lines. A leader logs about six lines for
-	// each job, so the limit covers 300 jobs per second. A line costs about 5 µs.
+	// linesPerSecond is the maximum rate of lines. A leader logs about six lines for each
+	// job, so the limit covers 300 jobs per second. Logging a line takes about 5 µs.
 	linesPerSecond = 2000
 )
 
@@ -24,13 +24,16 @@
 // safe for concurrent use.
 type Sink struct {
 	lines chan []byte
-	done  chan struct{}
+	// done is closed when all queued lines are written after Close.
+	done chan struct{}
 
-	mu          sync.Mutex
+	mu sync.Mutex
+	// windowLines is the number of lines queued in the second that began at windowStart.
 	windowStart time.Time
 	windowLines int
-	dropped     int
-	closed      bool
+	// dropped is the number of lines dropped since TakeDropped was last called.
+	dropped int
+	closed  bool
 }
 
 // NewSink returns a sink that writes to w until Close is called.
@@ -40,9 +43,10 @@
 	return s
 }
 
-// writeLoop writes all queued lines with one call, because a leader of 350 workers
-// logs 2000 lines per second and a write costs more than formatting a line. It
-// ignores write errors, because there is no other place to log them.
+// writeLoop writes queued lines until Close is called. It writes all queued lines with one
+// call, because a leader of 350 workers logs 2000 lines per second and a write takes longer
+// than formatting a line. It ignores write errors, because there is no other place to log
+// them.
 func (s *Sink) writeLoop(w io.Writer) {
 	defer close(s.done)
 	var batch []byte
@@ -77,7 +81,7 @@
 	return len(line), nil
 }
 
-// TakeDropped returns the number of lines dropped since the last call and resets it.
+// TakeDropped returns the number of lines dropped since the last call of TakeDropped.
 func (s *Sink) TakeDropped() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,8 +93,8 @@
 // closeTimeout bounds how long Close waits for a blocked writer.
 const closeTimeout = 200 * time.Millisecond
 
-// Close ends the sink. It waits until the queued lines are written, at most for
-// closeTimeout.
+// Close ends the sink, which drops later lines. It waits until the queued lines are
+// written, for closeTimeout at most.
 func (s *Sink) Close() {
 	s.mu.Lock()
 	if !s.closed {
--- a/internal/oplog/oplog_test.go
+++ b/internal/oplog/oplog_test.go
@@ -18,9 +18,8 @@
 	return len(p), nil
 }
 
-// The reader of the process's output blocks and the pipe fills. If logging waited
-// for the reader, every request that logs its outcome would hang although the
-// system is idle.
+// The reader of the process's output blocks and the pipe becomes full. If logging waited for
+// the reader, every request that logs its outcome would hang although the system is idle.
 func TestBlockedReaderDoesNotBlockLogging(t *testing.T) {
 	w := &blockedWriter{make(chan struct{})}
 	s := NewSink(w)
--- a/internal/peer/count.go
+++ b/internal/peer/count.go
@@ -24,9 +24,9 @@
 	Dials uint64
 	// Calls is the number of calls made, Failures that of calls that failed.
 	Calls, Failures uint64
-	// Payloads is the number of payloads in successful calls. Dropped is the number
-	// that didn't fit into the queue, were for a blocked peer, or were in a failed
-	// call, which may or may not have arrived.
+	// Payloads is the number of payloads in successful calls. Dropped is the number of
+	// payloads that didn't fit into the queue, were for a blocked peer, or were in a failed
+	// call; those of a failed call may have arrived nevertheless.
 	Payloads, Dropped uint64
 }
 
@@ -105,13 +105,14 @@
 }
 
 // BlockedPeers blocks traffic from and to peers, so that tests can simulate network
-// partitions. It can't be changed over the network.
+// partitions. The zero value blocks none, and a nil BlockedPeers too. No call over the
+// network can change it.
 type BlockedPeers struct {
 	mu    sync.Mutex
 	peers map[string]bool
 }
 
-// SetBlocked blocks or unblocks a peer.
+// SetBlocked blocks or unblocks the traffic from and to a peer.
 func (b *BlockedPeers) SetBlocked(id string, blocked bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -13,7 +13,7 @@
 	"github.com/bilberryferry/bilberryferry/internal/wait"
 )
 
-// queuedPayload is a payload for a group of the peer.
+// queuedPayload is a payload with the name of its group.
 type queuedPayload struct {
 	group   string
 	payload []byte
@@ -32,16 +32,17 @@
 	address     string
 	client      apiv1.Peer
 
-	// session identifies this sender process, sequence is the number of its last call,
-	// and inFlight is the number of calls that haven't ended. Only run uses them.
+	// session identifies this sender process and is never 0, sequence is the number of its
+	// last call, and inFlight is the number of calls that haven't ended. Only run uses
+	// them.
 	session  uint32
 	sequence uint64
 	inFlight int
-	// results gets whether a call succeeded. Its buffer holds the results of all calls
-	// in flight.
+	// results receives, for each ended call, whether it succeeded. Its buffer has space
+	// for all calls in flight.
 	results chan bool
 
-	// wake has a buffer of one; a buffered value means that the queue isn't empty.
+	// wake has a buffer of one. A buffered value makes run send the next batch.
 	wake     chan struct{}
 	counters counters
 }
@@ -91,6 +92,7 @@
 	l.signal()
 }
 
+// signal makes run send the next batch.
 func (l *peerLink) signal() {
 	select {
 	case l.wake <- struct{}{}:
@@ -98,8 +100,8 @@
 	}
 }
 
-// nextBatch removes the next batch from the queue. It returns the batch, its size in
-// bytes, and the client to send it with.
+// nextBatch removes the next batch from the queue. It returns the batch, the size of its
+// payloads in bytes, and the client to send the batch with.
 func (l *peerLink) nextBatch() ([]queuedPayload, int, apiv1.Peer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -151,8 +153,8 @@
 }
 
 // awaitInFlight waits for the calls in flight and then closes idle connections. After a
-// failure no call may start before all have ended: a connection whose other end has
-// vanished swallows every call on it, and it can be closed only when no call uses it.
+// failure no call may start before all have ended: every call on a connection to a vanished
+// peer is lost, and the connection can be closed only when no call uses it.
 func (l *peerLink) awaitInFlight() {
 	for ; l.inFlight > 0; l.inFlight-- {
 		<-l.results
@@ -177,9 +179,9 @@
 	go func() { l.results <- l.exchange(ctx, client, request, len(batch), size) }()
 }
 
-// exchange makes one call and reports whether it succeeded. The batch of a failed call
-// is dropped: the logs resend what still matters, and resending an old batch would only
-// delay that.
+// exchange makes one call with a batch of payloads of size bytes, and reports whether the
+// call succeeded. The batch of a failed call is dropped: the logs resend what still
+// matters, and resending an old batch would only delay newer payloads.
 func (l *peerLink) exchange(ctx context.Context, client apiv1.Peer, request *apiv1.ExchangeRequest, payloads, size int) bool {
 	timeout := callTimeout + time.Duration(size)*time.Second/minBytesPerSecond
 	ctx, cancel := context.WithTimeout(ctx, timeout)
--- a/internal/peer/mux.go
+++ b/internal/peer/mux.go
@@ -9,8 +9,8 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-// PayloadHandler processes a payload of a group. It must not block. A payload that it
-// returns an error for counts as refused.
+// PayloadHandler processes a payload of a group, sent by the instance with the ID from. It
+// must not block. If it returns an error, the payload counts as refused.
 type PayloadHandler func(from string, payload []byte) error
 
 // Mux passes received payloads to the handlers of their groups. A daemon embeds it in
@@ -24,6 +24,7 @@
 	groups     map[string]PayloadHandler
 	sequencers map[string]*sequencer
 
+	// received and refused are the results of Counters.
 	received, refused atomic.Uint64
 }
 
@@ -44,11 +45,12 @@
 	m.groups[group] = handler
 }
 
-// Exchange accepts the payloads of one call and passes them on in the order of the
-// sender's calls where possible; it may return before they are passed on. The error is
-// Invalid if the call has another format version or is meant for another instance, as
-// happens when a new instance gets the address of an old one. Payloads of unknown
-// groups and those that a handler refuses are counted and dropped.
+// Exchange accepts the payloads of one call and passes them to the handlers of their
+// groups, in the order of the sender's calls where possible. It may return before the
+// handlers are called. The error is of kind Invalid if the call has another format version
+// or is meant for another instance, as happens when a new instance gets the address of an
+// old one. Payloads of unknown groups and those that a handler refuses are counted and
+// dropped.
 func (m *Mux) Exchange(_ context.Context, r *apiv1.ExchangeRequest) (*apiv1.ExchangeResponse, error) {
 	if r.FormatVersion != FormatVersion {
 		return nil, fault.Field("format_version", "%d, this program supports %d", r.FormatVersion, FormatVersion)
@@ -64,7 +66,7 @@
 	return &apiv1.ExchangeResponse{}, nil
 }
 
-// sequencerOf returns the sequencer of a sender's calls.
+// sequencerOf returns the sequencer for the calls of a sender, and creates it if needed.
 func (m *Mux) sequencerOf(from string) *sequencer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,10 +1,11 @@
 // Package peer transports messages of replicated logs between the instances of the
-// system, over HTTP/2 without TLS.
+// system, over HTTP/2 without TLS. A group is the set of members of one replicated log, and
+// a payload is one encoded message of a group.
 //
-// All groups that two instances share use one sequence of calls. While maxCalls of them
-// are in flight, further payloads wait and share the next call. The receiver processes
-// calls in the order in which they were made, but waits only briefly for a lost one. A
-// full queue drops its oldest payloads; the logs resend what still matters.
+// All groups that two instances share use one sequence of calls. While maxCalls calls are
+// in flight, further payloads wait in a queue and share the next call. The receiver
+// processes calls in the order in which they were made, but waits only briefly for a lost
+// call. A full queue drops its oldest payloads; the logs resend what still matters.
 package peer
 
 import (
@@ -18,7 +19,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/rpc"
 )
 
-// FormatVersion is the version of the payload format. Receivers refuse others.
+// FormatVersion is the version of the payload format. A receiver refuses calls of another
+// version.
 const FormatVersion = 1
 
 // Bounds on a queue, a batch and a call.
@@ -33,10 +35,14 @@
 	// would wait for the round trip of the call before it.
 	maxCalls = 4
 
-	callTimeout = time.Second
-	// minBytesPerSecond is the lowest transfer rate that the timeout of a call allows for.
+	// callTimeout bounds the opening of a connection, and a call apart from the transfer
+	// of its payloads. The timeout of a call also allows for a transfer at
+	// minBytesPerSecond.
+	callTimeout       = time.Second
 	minBytesPerSecond = 4 << 20
 
+	// minBackoff and maxBackoff bound the pause after a failed call, which doubles with
+	// each failure.
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = 400 * time.Millisecond
 )
@@ -58,7 +64,7 @@
 	Clock Clock
 	// Dial opens connections to peers; nil means TCP.
 	Dial rpc.Dial
-	// BlockedPeers simulates partitions in tests; nil otherwise.
+	// BlockedPeers simulates network partitions in tests; nil otherwise.
 	BlockedPeers *BlockedPeers
 }
 
@@ -66,8 +72,11 @@
 type Transport struct {
 	cfg Config
 
-	mu      sync.Mutex
-	links   map[string]*peerLink
+	mu sync.Mutex
+	// links holds the links by the ID of the peer.
+	links map[string]*peerLink
+	// running holds the goroutines of the links, and ctx ends them. running is nil unless
+	// Run is running.
 	running *errgroup.Group
 	ctx     context.Context
 }
@@ -91,7 +100,7 @@
 	l.setAddress(address)
 }
 
-// start runs a link if Run is running. t.mu is held.
+// start runs a link if Run is running. t.mu must be held.
 func (t *Transport) start(l *peerLink) {
 	if t.running == nil {
 		return
@@ -100,10 +109,10 @@
 	t.running.Go(func() error { return l.run(ctx) })
 }
 
-// Run sends queued payloads until ctx ends.
+// Run sends queued payloads until ctx ends. It always returns nil.
 func (t *Transport) Run(ctx context.Context) error {
 	running, ctx := errgroup.WithContext(ctx)
-	// Keeps the errgroup open for peers that are set later.
+	// This goroutine keeps Wait from returning while SetPeer may still start links.
 	running.Go(func() error {
 		<-ctx.Done()
 		t.mu.Lock()
@@ -131,7 +140,7 @@
 	}
 }
 
-// Stats returns the totals for each peer.
+// Stats returns the totals for each peer, by the peer's ID.
 func (t *Transport) Stats() map[string]Stats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -142,7 +151,7 @@
 	return all
 }
 
-// pack returns the request for a batch, with payloads collected by group.
+// pack returns the request for a batch of payloads to a peer, grouped by their groups.
 func (c *Config) pack(to string, batch []queuedPayload) *apiv1.ExchangeRequest {
 	request := &apiv1.ExchangeRequest{FormatVersion: FormatVersion, From: c.ID, To: to}
 	byName := map[string]*apiv1.GroupMessages{}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -35,7 +35,7 @@
 	requests int
 }
 
-// service implements apiv1.Peer with a Mux, as a daemon does.
+// service implements apiv1.Peer with the Mux of an instance, as a daemon does.
 type service struct {
 	apiv1.Peer
 	*instance
@@ -95,6 +95,7 @@
 	return append([]string(nil), i.payloads...)
 }
 
+// eventually waits until condition holds; awaited names the condition in the error.
 func eventually(t *testing.T, awaited string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !condition(); time.Sleep(time.Millisecond) {
@@ -111,7 +112,7 @@
 	a.Send("log", "b", []byte("2"))
 	eventually(t, "both payloads", func() bool { return len(b.delivered()) == 2 })
 	must.Eq(t, []string{"a:1", "a:2"}, b.delivered())
-	eventually(t, "the answer", func() bool { return a.Stats()["b"].Payloads == 3 })
+	eventually(t, "the response", func() bool { return a.Stats()["b"].Payloads == 3 })
 	received, refused := b.mux.Counters()
 	must.Eq(t, 2, received)
 	must.Eq(t, 1, refused)
@@ -126,8 +127,8 @@
 	})
 }
 
-// A peer answers slowly. Payloads that are queued meanwhile must share one call; with
-// one call each, a slow peer would cost more than a fast one.
+// A peer responds slowly. Payloads that are queued meanwhile must share one call. With one
+// call each, a slow peer would cost more than a fast one.
 func TestQueuedPayloadsShareOneCall(t *testing.T) {
 	a, b := newInstance(t, "a", Config{}), newInstance(t, "b", Config{})
 	release, entered := make(chan struct{}), make(chan struct{}, 100)
@@ -150,9 +151,9 @@
 	must.Eq(t, maxCalls+1, b.requests)
 }
 
-// A peer vanishes with several calls in flight. The dead connection stays open while
-// any call uses it, and a new call would go into it too. After a failure no call may
-// start until all have ended.
+// A peer vanishes with several calls in flight. Its connection stays open while any call
+// uses it, and a new call on it would be lost too. After a failure no call may start until
+// all have ended.
 func TestNoCallStartsAfterFailureUntilAllEnd(t *testing.T) {
 	a, b := newInstance(t, "a", Config{}), newInstance(t, "b", Config{})
 	entered, fail, finish := make(chan int, 100), make(chan struct{}), make(chan struct{})
@@ -184,8 +185,8 @@
 	must.Eq(t, 2, a.Stats()["b"].Dials)
 }
 
-// A peer is unreachable for a long time. The queue must stay bounded and drop the
-// oldest payloads first, which the logs no longer need.
+// A peer is unreachable for a long time. The queue must stay bounded. It must drop the
+// oldest payloads first, because the logs no longer need them.
 func TestFullQueueDropsTheOldest(t *testing.T) {
 	l := newPeerLink(Config{}, "b")
 	for i := range maxQueuePayloads + 3 {
--- a/internal/peer/sequencer.go
+++ b/internal/peer/sequencer.go
@@ -10,34 +10,35 @@
 
 // Bounds on the calls of one sender that a receiver holds and remembers.
 const (
-	// holdTime is how long a call waits at most for earlier ones. Calls on one
+	// holdTime is the longest time for which a call waits for earlier ones. Calls on one
 	// connection overtake each other through process scheduling on both sides, which
 	// takes some milliseconds on a busy host.
 	holdTime     = 25 * time.Millisecond
 	maxHeldCalls = 16 * maxCalls
-	// missingWindow bounds the calls that are remembered as missing.
+	// missingWindow is how many sequence numbers back missing calls are remembered.
 	missingWindow = 4096
 )
 
 // sequencer delivers the calls of one sender in the order in which they were made.
 // Concurrent calls overtake each other, and a log rejects an append that arrives before
-// its predecessor, which costs a round trip. A call that arrives too early is held for
-// holdTime at most, so a lost call delays later ones by no more than that. A call that
-// arrives after later ones were delivered is delivered too, since a large snapshot may
-// always be late.
+// its predecessor, which costs a round trip. A call that arrives before an earlier one is
+// held for holdTime at most, so a lost call delays later ones by no more than that. A call
+// that arrives after later ones were delivered is delivered too, since a large snapshot may
+// be late at any time.
 type sequencer struct {
-	// deliver processes a call. It is called under mu, one call at a time.
+	// deliver processes a call. It is called while mu is held, so for one call at a time.
 	deliver func(*apiv1.ExchangeRequest)
-	// drop counts a call that isn't delivered.
+	// drop counts the payloads of a call that isn't delivered.
 	drop func(*apiv1.ExchangeRequest)
 
 	mu sync.Mutex
-	// session identifies the sender's process, previousSession the one before, which
-	// has ended.
+	// session identifies the sender's process, and previousSession the sender's process
+	// before that, which has ended.
 	session, previousSession uint32
 	// nextSequence is the sequence number of the next call to deliver.
 	nextSequence uint64
-	held         map[uint64]*apiv1.ExchangeRequest
+	// held holds the calls that wait for earlier ones, by sequence number.
+	held map[uint64]*apiv1.ExchangeRequest
 	// missing holds the sequence numbers in the missingWindow below nextSequence whose
 	// calls haven't arrived.
 	missing map[uint64]bool
@@ -45,8 +46,8 @@
 	holdTimer *time.Timer
 }
 
-// accept delivers a call now or when the calls before it have arrived. It drops a
-// duplicate and a call of an ended process.
+// accept delivers a call immediately, or holds it until the calls before it have arrived
+// or holdTime has passed. It drops a duplicate and a call of the sender's previous process.
 func (q *sequencer) accept(r *apiv1.ExchangeRequest) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -71,10 +72,10 @@
 	}
 }
 
-// startSession starts a session with the first call that arrives of it, because either
-// the sender or this process is new. Earlier calls may still arrive. Near the start of
-// a session they are waited for, since the first calls of a new sender overtake each
-// other too.
+// startSession starts a session with the first call of it that arrives, because either the
+// sender or this process has restarted. Calls with lower sequence numbers may still arrive.
+// They are waited for if the session has just begun, since the first calls of a new sender
+// overtake each other too. q.mu must be held.
 func (q *sequencer) startSession(r *apiv1.ExchangeRequest) {
 	q.releaseAll()
 	q.previousSession, q.session = q.session, r.Session
@@ -85,8 +86,9 @@
 	}
 }
 
-// acceptLate delivers a call that later ones have overtaken, unless it is a duplicate.
-// Below the missingWindow duplicates aren't recognised; the logs tolerate them.
+// acceptLate delivers a call that later ones have overtaken, unless it is a duplicate. A
+// duplicate that is older than missingWindow isn't recognised; the logs tolerate it. q.mu
+// must be held.
 func (q *sequencer) acceptLate(r *apiv1.ExchangeRequest) {
 	if !q.missing[r.Sequence] && r.Sequence+missingWindow >= q.nextSequence {
 		q.drop(r)
@@ -97,6 +99,7 @@
 }
 
 // deliverFollowing delivers the held calls that directly follow the last delivered one.
+// q.mu must be held.
 func (q *sequencer) deliverFollowing() {
 	for r := q.held[q.nextSequence]; r != nil; r = q.held[q.nextSequence] {
 		delete(q.held, q.nextSequence)
@@ -108,8 +111,8 @@
 	}
 }
 
-// hold keeps a call until the calls before it have arrived, holdTime has passed, or
-// more than maxHeldCalls are held.
+// hold keeps a call until the calls before it have arrived, holdTime has passed, or more
+// than maxHeldCalls calls are held. q.mu must be held.
 func (q *sequencer) hold(r *apiv1.ExchangeRequest) {
 	if q.held == nil {
 		q.held = map[uint64]*apiv1.ExchangeRequest{}
@@ -131,7 +134,7 @@
 	q.releaseAll()
 }
 
-// releaseAll delivers all held calls in order and skips missing ones. q.mu is held.
+// releaseAll delivers all held calls in order and skips missing ones. q.mu must be held.
 func (q *sequencer) releaseAll() {
 	for len(q.held) > 0 {
 		lowest := ^uint64(0)
@@ -144,7 +147,8 @@
 	q.stopTimer()
 }
 
-// skipTo raises nextSequence to sequence and records the skipped numbers as missing.
+// skipTo raises nextSequence to sequence and records the skipped numbers as missing. q.mu
+// must be held.
 func (q *sequencer) skipTo(sequence uint64) {
 	maps.DeleteFunc(q.missing, func(s uint64, _ bool) bool { return s+missingWindow < sequence })
 	for s := max(q.nextSequence, sequence-min(sequence, missingWindow)); s < sequence; s++ {
@@ -153,7 +157,7 @@
 	q.nextSequence = sequence
 }
 
-// stopTimer cancels the release of held calls.
+// stopTimer cancels the timed release of held calls. q.mu must be held.
 func (q *sequencer) stopTimer() {
 	if q.holdTimer != nil {
 		q.holdTimer.Stop()
--- a/internal/peer/sequencer_test.go
+++ b/internal/peer/sequencer_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// Under load a later one of several concurrent calls is served first. If it were
+// Under load, a later one of several concurrent calls is served first. If it were
 // delivered immediately, the log would reject its entries because earlier ones are
 // missing, and commits would take several round trips.
 func TestOvertakingCallsAreDeliveredInOrder(t *testing.T) {
@@ -68,10 +68,10 @@
 	})
 }
 
-// A call is lost. If all later calls waited for it, the group's heartbeats would stop
-// until a new connection is opened. Held calls must be delivered after holdTime, and
-// later ones immediately. A call that is only slow, such as a large snapshot, must
-// still be delivered.
+// A call is lost. If all later calls waited for it, the group's heartbeats would stop until
+// a new connection is opened. Calls that are held for it must be delivered after holdTime,
+// and later ones immediately. A call that is only slow, such as a large snapshot, must
+// still be delivered when it arrives.
 func TestLostCallDelaysLaterCallsByHoldTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReceiver()
@@ -105,7 +105,7 @@
 	})
 }
 
-// The sender restarts and numbers its calls from 1 again. These must not be taken for
+// The sender restarts and numbers its calls from 1 again. These calls must not be taken for
 // duplicates, and calls of the old process must be dropped.
 func TestRestartedSenderStartsNewSession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -148,7 +148,7 @@
 		}
 		must.Len(t, maxHeldCalls+5, r.delivered())
 		must.LessEq(t, missingWindow, len(r.sequencers["a"].missing))
-		// This number is below the missingWindow, where duplicates aren't recognised.
+		// This call is older than missingWindow, so it isn't recognised as a duplicate.
 		r.call(t, 7, 2)
 		must.Len(t, maxHeldCalls+6, r.delivered())
 	})
@@ -188,9 +188,9 @@
 	})
 }
 
-// A new sender's second call overtakes its first. If the receiver took the first call
-// to arrive for the first one made, the log would lose a round trip at the start of
-// each process.
+// A new sender's second call arrives before its first. If the receiver took the call that
+// arrives first for the start of the session, the log would need another round trip at the
+// start of each process.
 func TestFirstCallsOfSessionAreDeliveredInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReceiver()
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,4 +1,4 @@
-// Package rpc holds what all daemons use to serve and make Twirp calls: HTTP/2 without
+// Package rpc provides what all daemons use to serve and make Twirp calls: HTTP/2 without
 // TLS on persistent connections, bearer tokens, limits on request bodies, and the
 // conversion of errors to the kinds of package fault.
 package rpc
@@ -23,8 +23,9 @@
 	idleTimeout   = 2 * time.Minute
 	// DialTimeout bounds the opening of a connection.
 	DialTimeout = time.Second
-	// pingAfter is how long a connection may receive nothing before it is probed, so
-	// that a partitioned peer is detected while a call is held.
+	// pingAfter is how long a connection may receive nothing before a ping is sent, so
+	// that a partition is detected while a call waits for its response. Without a response
+	// to the ping within pingTimeout, the connection is closed.
 	pingAfter   = 4 * time.Second
 	pingTimeout = 2 * time.Second
 )
@@ -67,19 +68,20 @@
 	Bearer string
 }
 
-// CallerOf returns the caller of the call that is served under ctx.
+// CallerOf returns the caller of the call that is served under ctx, or the zero Caller if
+// ctx has none.
 func CallerOf(ctx context.Context) Caller {
 	caller, _ := ctx.Value(callerKey{}).(Caller)
 	return caller
 }
 
-// WithCaller returns a context for serving a call of a caller.
+// WithCaller returns a context for serving a call of the caller.
 func WithCaller(ctx context.Context, caller Caller) context.Context {
 	return context.WithValue(ctx, callerKey{}, caller)
 }
 
-// Authenticate passes requests with a known token to next, and refuses others. It
-// limits the request body to maxBodyBytes bytes.
+// Authenticate returns a handler that passes requests with a known bearer token to next,
+// with their caller, and refuses others. It limits the request body to maxBodyBytes.
 func Authenticate(tokens *settings.TokenSet, maxBodyBytes int64, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		bearer := r.Header.Get("Authorization")
@@ -134,7 +136,7 @@
 				return response, nil
 			}
 			if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled) {
-				err = fault.New(fault.Unavailable, "no answer within the time of the call; its outcome is unknown")
+				err = fault.New(fault.Unavailable, "no response before the call ended; its outcome is unknown")
 			}
 			return nil, fault.ToTwirp(err)
 		}
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -11,8 +11,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/tomlfile"
 )
 
-// NamePattern matches the names of instances, data centres and customers. They
-// occur in job ids, paths and log lines and so exclude separators.
+// NamePattern matches the names of instances, data centres and customers. The names occur
+// in job ids, paths and log lines, so they contain no separators.
 var NamePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_.-]{0,62}$`)
 
 // LogLevels are the valid values of log.level.
@@ -66,13 +66,13 @@
 	return nil
 }
 
-// addressKey is a settings key of an instance that holds an address.
+// addressKey is a key of an instance's settings that holds an address.
 type addressKey struct {
 	key      string
 	value    func(*Instance) string
 	required bool
-	// admin is true for an address that other instances never dial, so that it may
-	// be unspecified, such as 0.0.0.0.
+	// admin is true for an address that other instances never dial. It may therefore be
+	// unspecified, such as 0.0.0.0.
 	admin bool
 }
 
@@ -111,9 +111,10 @@
 	return nil
 }
 
-// addressScope returns a prefix that distinguishes loopback and unspecified addresses
-// of different machines, because each machine may use the same 127.0.0.1 port.
-// The prefix is the machine's entry address. It is empty for other addresses.
+// addressScope returns a prefix for an address of an instance. It distinguishes loopback
+// and unspecified addresses of different machines, because each machine may use the same
+// 127.0.0.1 port. For these addresses the prefix is the IP address of entry, unless that is
+// a loopback address too; for all others it is empty.
 func addressScope(instance *Instance, address netip.AddrPort) string {
 	if !address.Addr().IsLoopback() && !address.Addr().IsUnspecified() {
 		return ""
@@ -175,8 +176,8 @@
 	return nil
 }
 
-// minSpreadDataCentres is the smallest number of data centres with which the
-// configuration log must survive the loss of any one of them.
+// minSpreadDataCentres is the smallest number of data centres of a deployment whose
+// configuration log must survive the loss of any one data centre.
 const minSpreadDataCentres = 3
 
 // checkConfigVoters ensures that the configuration log has voters and, with
@@ -261,9 +262,9 @@
 	return nil
 }
 
-// minRenewSlack is the least time that must remain of a worker's lease after one
-// renewal has been held as a long poll and the next one was lost together with
-// the instance that held it. The worker needs that time to find the new leader.
+// minRenewSlack is the shortest time that must remain of a worker's lease after one renewal
+// was held as a long poll and the next one was lost with the instance that held it. The
+// worker needs that time to find the new leader.
 const minRenewSlack = Duration(time.Second)
 
 // checkTiming rejects durations that aren't positive and those too short relative to
@@ -286,12 +287,14 @@
 	minimums := []struct {
 		key            string
 		value, minimum Duration
-		bound          string
+		// bound describes the minimum in the error.
+		bound string
 	}{
 		{"heartbeat", t.Heartbeat, t.Tick, "timing.tick"},
 		{"election", t.Election, 2 * t.Heartbeat, "twice timing.heartbeat"},
 		{"worker_lease", t.WorkerLease, 2*t.RenewHold + minRenewSlack, "twice timing.renew_hold and a second"},
 		{"worker_lease", t.WorkerLease, t.Drift, "timing.drift"},
+		// Adding 1 ns allows max_request to equal slot_lease.
 		{"max_request", t.MaxRequest + 1, t.SlotLease, "or equal to timing.slot_lease"},
 	}
 	for _, m := range minimums {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -12,7 +12,7 @@
 	"github.com/bilberryferry/bilberryferry/internal/units"
 )
 
-// Default returns the settings whose values apply to keys that a file leaves out.
+// Default returns the values of the settings that a file leaves out.
 func Default() Settings {
 	return Settings{
 		Limits: Limits{
@@ -38,8 +38,8 @@
 	}
 }
 
-// Load reads and checks a daemon's settings file and its token files. Errors are
-// of kind Invalid and name file, line and key.
+// Load reads and checks a settings file and the token files that it names. Errors are of
+// kind Invalid and name the file and, where there is one, the line and the key.
 func Load(path string) (*Settings, error) {
 	s, err := Read(path)
 	if err != nil {
@@ -65,8 +65,8 @@
 	return Parse(path, text, folder)
 }
 
-// Parse reads and checks settings from text. Errors call the text name. Relative
-// paths resolve against folder.
+// Parse reads and checks settings from text. Errors are of kind Invalid and refer to the
+// text as name. Relative paths are resolved against folder.
 func Parse(name string, text []byte, folder string) (*Settings, error) {
 	s := Default()
 	file, err := tomlfile.Decode(name, text, &s)
@@ -87,7 +87,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Reading a device may never end, and reading a pipe may block forever.
+	// Reading a device may never end, and reading a pipe may block without end.
 	if !info.Mode().IsRegular() {
 		return nil, errors.Newf("%s isn't a regular file", path)
 	}
--- a/internal/settings/members.go
+++ b/internal/settings/members.go
@@ -7,7 +7,7 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-// Instance returns the instance with the id, or a NotFound error.
+// Instance returns the instance with the id, or an error of kind NotFound.
 func (s *Settings) Instance(id string) (*Instance, error) {
 	ids := make([]string, 0, len(s.Instances))
 	for i := range s.Instances {
--- a/internal/settings/print.go
+++ b/internal/settings/print.go
@@ -9,9 +9,9 @@
 	"strings"
 )
 
-// Print writes all effective settings as TOML. Those of instances, limits, timing
-// and log carry their default in a comment. Parsing the output gives the same
-// settings. Print names the token files but doesn't read them.
+// Print writes all effective settings as TOML. Keys of instances, limits, timing and log
+// are followed by a comment with their default. Parsing the output gives the same settings.
+// Print writes the paths of the token files but doesn't read them.
 func (s *Settings) Print(w io.Writer) error {
 	out := bufio.NewWriter(w)
 	fmt.Fprintf(out, "deployment = %s\n", quote(s.Deployment))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings reads and checks the TOML settings of the daemons. One file
-// describes a whole deployment; a flag tells each process which instance it is.
-// A process reads its settings once at its start. Values that operators change
-// at run time are in the shared configuration (package conf).
+// Package settings reads and checks the TOML settings of the daemons. One file describes a
+// whole deployment; a flag tells each process to which instance it belongs. A process reads
+// its settings once, when it starts. Values that operators change at run time are in the
+// shared configuration (package conf).
 package settings
 
 import (
@@ -37,12 +37,13 @@
 	Cell string `toml:"cell"`
 	// CellAdmin is the address of bilberry-celld's metrics, health and profiles.
 	CellAdmin string `toml:"cell_admin"`
-	// DataFolder holds the log of bilberry-celld; empty for an instance without a disk.
+	// DataFolder is the path of the folder for the replicated log of bilberry-celld; empty
+	// for an instance without a disk.
 	DataFolder string `toml:"data_folder"`
 	// ConfigVoter makes the instance a voter of the configuration log.
 	ConfigVoter bool `toml:"config_voter"`
-	// WitnessFor lists other data centres of whose logs this instance is a voter
-	// that never becomes leader.
+	// WitnessFor names other data centres. This instance is a voter of their logs that
+	// never becomes leader.
 	WitnessFor []string `toml:"witness_for"`
 }
 
@@ -61,7 +62,7 @@
 	File string `toml:"file"`
 }
 
-// Limits bound the input that a process accepts.
+// Limits bounds the input that a process accepts.
 type Limits struct {
 	// Body is the largest size of a request body.
 	Body Size `toml:"body"`
@@ -81,7 +82,8 @@
 	Heartbeat Duration `toml:"heartbeat"`
 	// Election is the time without a leader after which a member starts an election.
 	Election Duration `toml:"election"`
-	// WorkerLease is how long a worker may keep running tasks without a renewal.
+	// WorkerLease is how long a worker may keep running tasks without a renewal of its
+	// lease.
 	WorkerLease Duration `toml:"worker_lease"`
 	// RenewHold is how long a lease renewal is held as a long poll for commands.
 	RenewHold Duration `toml:"renew_hold"`
@@ -96,8 +98,8 @@
 	// instance is lost, its slots stay withheld for this time after its lease
 	// expires, because its requests may still be in flight.
 	MaxRequest Duration `toml:"max_request"`
-	// UnreadyGrace is how long an entry instance that stops keeps serving after its
-	// readiness check fails, so that the platform's load balancer notices before
+	// UnreadyGrace is how long a stopping entry instance keeps serving after its readiness
+	// check has begun to fail, so that the platform's load balancer stops using it before
 	// connections are refused.
 	UnreadyGrace Duration `toml:"unready_grace"`
 	// Shutdown bounds how long a stopping daemon waits for requests in flight.
@@ -110,7 +112,7 @@
 	Level string `toml:"level"`
 }
 
-// Duration is a time span written like "1500ms".
+// Duration is a time span that is written as text with its unit, such as "1500ms".
 type Duration time.Duration
 
 // UnmarshalText parses a time span with its unit.
@@ -132,7 +134,7 @@
 // Std returns the time span as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// Size is a number of bytes written like "64KiB".
+// Size is a number of bytes that is written as text with its unit, such as "64KiB".
 type Size int64
 
 // UnmarshalText parses a number of bytes with its unit.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -87,8 +87,8 @@
 	must.Eq(t, first.String(), second.String())
 }
 
-// The message alone must let an operator correct a settings file: it must name
-// the line and the key and say what is wrong.
+// An operator must be able to correct a settings file by the error message alone. It must
+// name the file, the line and the key and say what is wrong.
 func TestParseRejectsMistakes(t *testing.T) {
 	good := deploymentTOML(3)
 	cases := []struct{ name, text, field, message string }{
@@ -132,6 +132,8 @@
 	}
 }
 
+// A data centre with the majority of the configuration voters is lost, and the
+// configuration can't be changed any more. Such settings must be rejected.
 func TestNoDataCentreHoldsConfigMajority(t *testing.T) {
 	text := strings.Replace(deploymentTOML(3), "id = \"dc0-1\"\n", "id = \"dc0-1\"\nconfig_voter = true\n", 1)
 	_, err := Parse("x", []byte(text), "/")
@@ -141,6 +143,8 @@
 	must.ErrorContains(t, err, "no single one may hold a majority")
 }
 
+// Witnesses in other data centres are the majority of a log's voters. When the data centre
+// is partitioned from the others, it can't commit. Such settings must be rejected.
 func TestWitnessesAreAMinority(t *testing.T) {
 	text := deploymentTOML(2)
 	text = strings.Replace(text, "cell = \"10.0.0.3:7402\"\n", "", 1)
@@ -173,6 +177,8 @@
 	must.ErrorContains(t, err, "isn't a regular file")
 }
 
+// Any text must either be rejected with an error of kind Invalid on one line or give
+// settings that Print writes in a form that Parse accepts.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(deploymentTOML(1)))
 	f.Add([]byte("deployment = \"x\"\n[timing]\ntick = \"1h\"\n"))
--- a/internal/settings/tokens.go
+++ b/internal/settings/tokens.go
@@ -37,7 +37,7 @@
 	Customer string
 }
 
-// Credential is one token with its holder.
+// Credential is a bearer token with the identity of its holder.
 type Credential struct {
 	Token    string
 	Identity Identity
@@ -46,7 +46,8 @@
 // TokenSet holds the tokens of a deployment. Formatting it reveals none of them.
 type TokenSet struct {
 	entries []tokenEntry
-	byRole  map[Role]string
+	// byRole holds the tokens of the roles other than Customer.
+	byRole map[Role]string
 }
 
 // tokenEntry is the hash of a token with its holder.
@@ -58,7 +59,7 @@
 // maxTokenBytes bounds the size of a token file, which holds a single line.
 const maxTokenBytes = 4096
 
-// LoadTokens reads the token files. It returns an Invalid error when a file is
+// LoadTokens reads the token files. It returns an error of kind Invalid when a file is
 // missing, empty or has more than one line, and when two identities share a token.
 func (s *Settings) LoadTokens() (*TokenSet, error) {
 	var credentials []Credential
@@ -93,8 +94,8 @@
 	return NewTokenSet(credentials)
 }
 
-// ReadToken reads one token from a file of a single line, without surrounding
-// white space. Errors are Invalid.
+// ReadToken reads one token from a file of a single line, without surrounding white space.
+// Errors are of kind Invalid.
 func ReadToken(path string) (string, error) {
 	text, err := readBounded(path, maxTokenBytes)
 	if err != nil {
@@ -120,8 +121,9 @@
 	return true
 }
 
-// NewTokenSet returns a set of the credentials. It returns an Invalid error when
-// two credentials share a token, because such a token wouldn't identify its holder.
+// NewTokenSet returns a set of the credentials. It returns an error of kind Invalid when a
+// token isn't printable ASCII without spaces, and when two credentials share a token,
+// because such a token wouldn't identify its holder.
 func NewTokenSet(credentials []Credential) (*TokenSet, error) {
 	set := &TokenSet{byRole: make(map[Role]string)}
 	seen := make(map[string]Identity)
@@ -145,8 +147,8 @@
 // space that separates it from the token.
 const bearerScheme = "bearer "
 
-// Authenticate returns the holder of a token, which is given bare or as the value
-// of an Authorization header. It returns a Denied error for an unknown token.
+// Authenticate returns the holder of a token, which is given alone or as the value of an
+// Authorization header. It returns an error of kind Denied for an unknown token.
 //
 // It always compares the hashes of all tokens in constant time, so that the
 // response time reveals nothing about the tokens.
@@ -170,8 +172,8 @@
 	return found, nil
 }
 
-// Token returns the token of a role other than Customer, which this process uses
-// for its own calls, or "" when the set has none.
+// Token returns the token of a role other than Customer, with which this process makes its
+// own calls, or "" when the set has none.
 func (t *TokenSet) Token(role Role) string { return t.byRole[role] }
 
 // String returns a fixed text that reveals no token.
--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -56,8 +56,8 @@
 	return table
 }
 
-// resolve appends the current element's number to each parent that is an array of
-// tables: "a.b" inside the third "[[a]]" becomes "a[2].b".
+// resolve appends the number of the current element to each parent in a path that is an
+// array of tables: "a.b" inside the third "[[a]]" becomes "a[2].b".
 func (x *lineIndex) resolve(name string) string {
 	parts := strings.Split(name, ".")
 	path := ""
--- a/internal/tomlfile/nearest.go
+++ b/internal/tomlfile/nearest.go
@@ -5,8 +5,9 @@
 	"strings"
 )
 
-// hint suggests a known key for an unknown one: the nearest key of the same table
-// or else of the whole file. Without a near key it lists the keys of the table.
+// suggestKey returns a text that suggests a known key for an unknown one: the nearest key
+// of the same table, or else of the whole file, or else a key of the same name in another
+// table. Without any of these, it lists the known keys of the table.
 func suggestKey(path string, known map[string]bool) string {
 	parent := parentPath(path)
 	siblings := keysOf(parent, known)
@@ -53,9 +54,9 @@
 // quadratic time and the word comes from a user.
 const maxComparedBytes = 64
 
-// Nearest returns the word of a list with the smallest edit distance to a mistyped
-// word. It returns "" when that takes more than three edits or edits of more than a
-// third of the word; one edit is always allowed.
+// Nearest returns the one of words with the smallest edit distance to a mistyped word. It
+// returns "" when the distance is more than three edits or a third of the word's length;
+// one edit is always allowed.
 func Nearest(word string, words []string) string { return nearest(word, words) }
 
 // nearest implements Nearest.
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -22,8 +22,8 @@
 	index *lineIndex
 }
 
-// Decode decodes text into the struct that into points to. Errors call the text
-// name and are of kind fault.Invalid.
+// Decode decodes text into the struct that into points to. Errors are of kind
+// fault.Invalid and refer to the text as name.
 func Decode(name string, text []byte, into any) (*File, error) {
 	file := &File{name: name}
 	if len(text) > MaxBytes {
@@ -43,14 +43,15 @@
 	return file, nil
 }
 
-// Errorf returns an Invalid error about a key that names the file and the line. The
-// path gives the index of an element of an array of tables: "instance[1].entry".
+// Errorf returns an error of kind Invalid about the key at path. It names the file and the
+// line. The path includes the index of an element of an array of tables, as in
+// "instance[1].entry".
 func (f *File) Errorf(path, format string, args ...any) error {
 	return f.errorAt(path, f.index.line(path), format, args...)
 }
 
-// errorAt returns an Invalid error about a field on a line. It leaves out an empty
-// field and line 0.
+// errorAt returns an error of kind Invalid about a field on a line. The error names no
+// field if field is empty, and no line if line is 0.
 func (f *File) errorAt(field string, line int, format string, args ...any) error {
 	message := shorten(errors.Newf(format, args...).Error())
 	field = shorten(field)
@@ -64,9 +65,9 @@
 	return fault.Field(field, "%s: %s", where, message)
 }
 
-// parseError converts an error of the TOML library to an Invalid error. The library
-// keeps one position for all elements of an array of tables, so the error names
-// every candidate line of a key in such an array.
+// parseError converts an error of the TOML library to an error of kind Invalid. The library
+// keeps one position for all elements of an array of tables, so the error names every line
+// of a key in such an array.
 func (f *File) parseError(err error) error {
 	var parse toml.ParseError
 	if !errors.As(err, &parse) {
@@ -109,7 +110,7 @@
 	return known
 }
 
-// addKeys adds the dotted keys of a type to known, each with the prefix.
+// addKeys adds the dotted keys of the fields of a type to known, each with the prefix.
 func addKeys(known map[string]bool, prefix string, t reflect.Type) {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
 		t = t.Elem()
@@ -152,9 +153,9 @@
 	return strings.Join(texts, ", ")
 }
 
-// Text is a string or a number without quotes. The caller of Decode parses it
-// afterwards, so that an error about a wrong value can name the line of the array
-// element.
+// Text is a TOML string, or a number without quotes, as text. The caller of Decode parses
+// it afterwards, so that an error about a wrong value can name the line of the element of
+// an array of tables.
 type Text string
 
 // UnmarshalText stores the text unchanged.
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -31,10 +31,10 @@
 	must.Error(t, err)
 }
 
-// A text of 60 KB with one key of 30,000 dots, or with thousands of nested
-// brackets, makes the TOML library exhaust memory or stack, and the daemon dies.
-// Such text must be rejected before the library decodes it. Dots and brackets
-// within strings and comments must be accepted.
+// A text of 60 KB with one key of 30,000 dots, or with thousands of nested brackets, makes
+// the TOML library exhaust the memory or the stack, and the daemon exits. Such text must be
+// rejected before the library decodes it. Dots and brackets within strings and comments
+// must be accepted.
 func TestExcessiveNestingIsRejected(t *testing.T) {
 	const n = 30_000
 	rejected := map[string]string{
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -1,6 +1,6 @@
-// Package units parses and formats the quantities in files and flags: time spans,
-// sizes in bytes and processor amounts. It rejects a number without a unit where
-// the unit would be ambiguous.
+// Package units parses and formats the quantities in files and flags: time spans, sizes in
+// bytes and numbers of processor cores. It rejects a number without a unit where the unit
+// would be ambiguous.
 package units
 
 import (
@@ -54,7 +54,8 @@
 	return d, nil
 }
 
-// ParseSize parses a size such as "64KiB" and returns bytes.
+// ParseSize parses a size such as "64KiB" and returns it in bytes. It returns an error for
+// a size without a unit, with a sign or with a fraction.
 func ParseSize(text string) (int64, error) {
 	for _, unit := range sizeUnits {
 		digits, ok := strings.CutSuffix(text, unit.suffix)
@@ -87,8 +88,8 @@
 	return strconv.FormatInt(bytes, 10) + "B"
 }
 
-// ParseMiB parses a size and returns MiB. It returns an error unless the size is a
-// whole number of MiB.
+// ParseMiB parses a size such as "4GiB" and returns it in MiB. It returns an error unless
+// the size is a whole number of MiB.
 func ParseMiB(text string) (int64, error) {
 	n, err := ParseSize(text)
 	if err != nil {
@@ -100,8 +101,9 @@
 	return n / MiB, nil
 }
 
-// ParseCores parses a number of cores, such as "2" or "0.5", and returns thousandths
-// of a core.
+// ParseCores parses a number of cores, such as "2" or "0.5", and returns it in thousandths
+// of a core. It returns an error for a negative number, for more than maxCores cores, and
+// for a number that isn't a whole number of thousandths.
 func ParseCores(text string) (int64, error) {
 	whole, fraction, hasPoint := strings.Cut(text, ".")
 	if len(fraction) > coreDecimals {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
 // Package wire converts messages of the API to and from the types of package state, and
-// checks requests before anything is stored.
+// checks specs and request IDs before anything is stored.
 package wire
 
 import (
@@ -16,7 +16,8 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
-// Bounds on the demand of one task. Larger numbers are most likely in a wrong unit.
+// Bounds on the fields of a request. A larger demand or run time is most likely in a wrong
+// unit.
 const (
 	maxCPU          = 1_000_000_000     // thousandths of a core
 	maxMemory       = 1 << 40           // MiB
@@ -27,8 +28,8 @@
 	maxAttempts     = 100
 )
 
-// CheckSpec checks a spec and converts it to the state's type. Errors are of kind
-// Invalid and name the field.
+// CheckSpec checks a spec and converts it to a state.Spec. Errors are of kind Invalid and
+// name the field.
 func CheckSpec(s *apiv1.Spec, limits settings.Limits, now time.Time) (state.Spec, error) {
 	if s == nil {
 		return state.Spec{}, fault.Field("spec", "missing")
@@ -137,7 +138,8 @@
 	}
 }
 
-// JobToAPI converts a job to its API message, without the payload.
+// JobToAPI converts a job to its API message, without the payload. A job that has been
+// handed over gets the data centre to which it was handed over.
 func JobToAPI(j *state.Job, dataCentre string, withTasks bool) *apiv1.Job {
 	queued, running, ended := j.Counts()
 	job := &apiv1.Job{
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -76,8 +76,8 @@
 	must.Eq(t, "request_id", fault.From(err).Field)
 }
 
-// Any submission must either be refused as Invalid or give a spec within its bounds
-// that survives the conversion to the API and back.
+// A submission of any content must either be refused with an error of kind Invalid or give
+// a spec within its bounds that is the same after conversion to the API and back.
 func FuzzSubmit(f *testing.F) {
 	seed, err := proto.Marshal(&apiv1.SubmitRequest{RequestId: "r", Spec: validSpec()})
 	must.NoError(f, err)
