--- a/internal/descriptors/inbound_test.go
+++ b/internal/descriptors/inbound_test.go
@@ -55,7 +55,7 @@
 }
 
 // requestOnNewConn makes one request on a new connection from a local address. It returns
-// the connection, which stays open, and whether the request was answered.
+// the connection, which stays open, and whether the request got a response.
 func requestOnNewConn(t *testing.T, server *httptest.Server, from, path string) (net.Conn, bool) {
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
 	conn, err := dialer.Dial("tcp", server.Listener.Addr().String())
@@ -64,7 +64,7 @@
 	return conn, requestOn(conn, path)
 }
 
-// requestOn makes one request on a connection and reports whether it was answered.
+// requestOn makes one request on a connection and reports whether it got a response.
 func requestOn(conn net.Conn, path string) bool {
 	if _, err := conn.Write([]byte("GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n")); err != nil {
 		return false
@@ -74,7 +74,7 @@
 	return err == nil && response.StatusCode == http.StatusOK
 }
 
-const local = "127.0.0.1"
+const localAddress = "127.0.0.1"
 
 // Guards against running out of descriptors: after a network partition a thousand callers
 // reconnect at once while their old connections are still open, the log can't open a file
@@ -82,8 +82,8 @@
 func TestNewConnectionClosesLongestIdleOne(t *testing.T) {
 	server, limiter, counter := startLimitedServer(t, 4, false)
 	for range 40 {
-		_, answered := requestOnNewConn(t, server, local, "/")
-		must.True(t, answered)
+		_, responded := requestOnNewConn(t, server, localAddress, "/")
+		must.True(t, responded)
 		limiter.awaitIdle(t)
 	}
 	must.LessEq(t, 4, limiter.open())
@@ -95,11 +95,11 @@
 func TestActiveConnectionIsNeverClosedForNewOne(t *testing.T) {
 	server, limiter, counter := startLimitedServer(t, 3, false)
 	for range 3 {
-		_, answered := requestOnNewConn(t, server, local, "/held")
-		must.True(t, answered)
+		_, responded := requestOnNewConn(t, server, localAddress, "/held")
+		must.True(t, responded)
 	}
-	_, answered := requestOnNewConn(t, server, local, "/")
-	must.False(t, answered)
+	_, responded := requestOnNewConn(t, server, localAddress, "/")
+	must.False(t, responded)
 	must.Eq(t, 1, counter.get("test_connections_refused"))
 	must.Eq(t, 3, limiter.open())
 }
@@ -108,11 +108,11 @@
 // more connections, and the idle connections of others are closed for them.
 func TestHostAtItsLimitLosesOnlyItsOwnConnections(t *testing.T) {
 	server, limiter, counter := startLimitedServer(t, 16, true)
-	otherHost, answered := requestOnNewConn(t, server, "127.0.0.7", "/")
-	must.True(t, answered)
+	otherHost, responded := requestOnNewConn(t, server, "127.0.0.7", "/")
+	must.True(t, responded)
 	for range 50 {
-		_, answered = requestOnNewConn(t, server, "127.0.0.9", "/")
-		must.True(t, answered, must.Sprintf("refused: %d", counter.get("test_connections_refused")))
+		_, responded = requestOnNewConn(t, server, "127.0.0.9", "/")
+		must.True(t, responded, must.Sprintf("refused: %d", counter.get("test_connections_refused")))
 		limiter.awaitIdle(t)
 	}
 	must.LessEq(t, 1+16/perHostDivisor, limiter.open())
@@ -121,8 +121,8 @@
 
 func TestClosedConnectionsAreNoLongerCounted(t *testing.T) {
 	server, limiter, _ := startLimitedServer(t, 2, true)
-	conn, answered := requestOnNewConn(t, server, local, "/")
-	must.True(t, answered)
+	conn, responded := requestOnNewConn(t, server, localAddress, "/")
+	must.True(t, responded)
 	must.NoError(t, conn.Close())
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return limiter.open() == 0 })))
 	limiter.mu.Lock()
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -78,14 +78,14 @@
 	defer probeTimer.Stop()
 	settled, err = c.try(ctx, leader, tryTimeout, reply)
 	if !settled {
-		c.followRefusal(leader, err)
+		c.updateLeader(leader, err)
 	}
 	return settled, err
 }
 
-// followRefusal records the leader that the error of a try names. If the error names no
+// updateLeader records the leader that the error of a try names. If the error names no
 // other instance, the leader becomes unknown and the next try searches for it.
-func (c *leaderCall) followRefusal(tried string, err error) {
+func (c *leaderCall) updateLeader(tried string, err error) {
 	hint := link.LeaderOf(err)
 	if hint != "" && hint != tried {
 		c.g.SuggestLeader(hint)
--- a/internal/gateway/version_order_test.go
+++ b/internal/gateway/version_order_test.go
@@ -68,7 +68,7 @@
 // from the next leader, then a new configuration is committed, and the next leader responds
 // to the first request too. The caller of the first request sees a queue that the new
 // configuration adds, while the caller of the later one saw a queue that it removes.
-func TestEarlierRequestIsNotAnsweredByNewerVersion(t *testing.T) {
+func TestEarlierRequestGetsNoNewerVersion(t *testing.T) {
 	released := make(chan struct{})
 	g := New(link.NewClient(100), "own", []string{startLeaderThatHoldsAdded(t, released)}, log.NewNopLogger())
 	first := make(chan error, 1)
--- a/internal/jobfile/jobfile.go
+++ b/internal/jobfile/jobfile.go
@@ -277,9 +277,9 @@
 	return deadlineError(quoted(text) + " is neither a span such as \"+45s\" nor a time such as \"2030-01-02T06:00:00Z\"")
 }
 
-// maxQuoted bounds the bytes of an invalid value that an error repeats.
-const maxQuoted = 40
+// maxQuotedBytes bounds the part of an invalid value that an error repeats.
+const maxQuotedBytes = 40
 
 func quoted(text string) string {
-	return strconv.Quote(text[:min(len(text), maxQuoted)])
+	return strconv.Quote(text[:min(len(text), maxQuotedBytes)])
 }
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -179,9 +179,9 @@
 // LeaderOf returns the leader that an error names, and whether the error says that the
 // call reached an instance that isn't the leader and did nothing.
 func LeaderOf(err error) (Leader, bool) {
-	var te twirp.Error
-	if !errors.As(err, &te) {
+	var twirpError twirp.Error
+	if !errors.As(err, &twirpError) {
 		return Leader{}, false
 	}
-	return Leader{ID: te.Meta(leaderMeta), Address: te.Meta(leaderAddressMeta)}, te.Msg() == notLeaderMessage
+	return Leader{ID: twirpError.Meta(leaderMeta), Address: twirpError.Meta(leaderAddressMeta)}, twirpError.Msg() == notLeaderMessage
 }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -129,15 +129,15 @@
 	}
 }
 
-// maxMessage bounds the bytes of a user's text that an error repeats.
-const maxMessage = 300
+// maxMessageBytes bounds the part of a user's text that an error repeats.
+const maxMessageBytes = 300
 
-// shorten truncates a text to maxMessage bytes.
+// shorten truncates a text to maxMessageBytes.
 func shorten(text string) string {
-	if len(text) <= maxMessage {
+	if len(text) <= maxMessageBytes {
 		return text
 	}
-	return strings.ToValidUTF8(text[:maxMessage], "") + "..."
+	return strings.ToValidUTF8(text[:maxMessageBytes], "") + "..."
 }
 
 // oneLine joins the words of a text with single spaces and truncates it.
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -36,19 +36,19 @@
 // rejected before the library decodes it. Dots and brackets within strings and comments
 // must be accepted.
 func TestExcessiveNestingIsRejected(t *testing.T) {
-	const n = 30_000
+	const repetitions = 30_000
 	rejected := map[string]string{
-		"dots":      "a" + strings.Repeat(".a", n) + "=1",
-		"spaced":    "a" + strings.Repeat(" . a", n) + "=1",
-		"quoted":    "a" + strings.Repeat(".\"a\"", n) + "=1",
-		"header":    "[a" + strings.Repeat(".a", n) + "]",
-		"array":     "[[a" + strings.Repeat(".a", n) + "]]",
-		"inline":    "x = {a" + strings.Repeat(".a", n) + "=1}",
-		"brackets":  "x = " + strings.Repeat("[", n),
-		"braces":    strings.Repeat("a={", n),
-		"after str": "x = \"\"\"a\"\"\"\"\"\ny" + strings.Repeat(".y", n) + "=1",
-		"digits":    "x = " + strings.Repeat("1", n),
-		"key":       strings.Repeat("k", n) + " = 1",
+		"dots":      "a" + strings.Repeat(".a", repetitions) + "=1",
+		"spaced":    "a" + strings.Repeat(" . a", repetitions) + "=1",
+		"quoted":    "a" + strings.Repeat(".\"a\"", repetitions) + "=1",
+		"header":    "[a" + strings.Repeat(".a", repetitions) + "]",
+		"array":     "[[a" + strings.Repeat(".a", repetitions) + "]]",
+		"inline":    "x = {a" + strings.Repeat(".a", repetitions) + "=1}",
+		"brackets":  "x = " + strings.Repeat("[", repetitions),
+		"braces":    strings.Repeat("a={", repetitions),
+		"after str": "x = \"\"\"a\"\"\"\"\"\ny" + strings.Repeat(".y", repetitions) + "=1",
+		"digits":    "x = " + strings.Repeat("1", repetitions),
+		"key":       strings.Repeat("k", repetitions) + " = 1",
 	}
 	for name, text := range rejected {
 		t.Run(name, func(t *testing.T) {
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -142,13 +142,13 @@
 	return text + "." + strings.TrimRight(fraction, "0")
 }
 
-// maxQuoted bounds the bytes of an invalid value that an error repeats.
-const maxQuoted = 40
+// maxQuotedBytes bounds the part of an invalid value that an error repeats.
+const maxQuotedBytes = 40
 
-// shorten truncates a text to maxQuoted bytes.
+// shorten truncates a text to maxQuotedBytes.
 func shorten(text string) string {
-	if len(text) <= maxQuoted {
+	if len(text) <= maxQuotedBytes {
 		return text
 	}
-	return text[:maxQuoted] + "..."
+	return text[:maxQuotedBytes] + "..."
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -19,13 +19,13 @@
 // Bounds on the fields of a request. A larger demand or run time is most likely in a wrong
 // unit.
 const (
-	maxCPU          = 1_000_000_000     // thousandths of a core
-	maxMemory       = 1 << 40           // MiB
-	maxAccelerators = 1_000_000         // devices
-	maxRuntime      = 366 * 24 * 3600e3 // ms
-	maxName         = 128               // bytes
-	maxRequestID    = 128               // bytes
-	maxAttempts     = 100
+	maxCPUMilli       = 1_000_000_000 // thousandths of a core
+	maxMemoryMiB      = 1 << 40
+	maxAccelerators   = 1_000_000 // devices
+	maxRuntimeMs      = 366 * 24 * 3600e3
+	maxNameBytes      = 128
+	maxRequestIDBytes = 128
+	maxAttempts       = 100
 )
 
 // CheckSpec checks a spec and converts it to a state.Spec. Errors are of kind Invalid and
@@ -48,8 +48,8 @@
 }
 
 func checkName(s *apiv1.Spec, _ settings.Limits, _ time.Time) error {
-	if s.Name == "" || len(s.Name) > maxName {
-		return fault.Field("name", "must have 1 to %d bytes", maxName)
+	if s.Name == "" || len(s.Name) > maxNameBytes {
+		return fault.Field("name", "must have 1 to %d bytes", maxNameBytes)
 	}
 	for _, r := range s.Name {
 		if r < ' ' || r == 0x7f || r == '\uFFFD' {
@@ -80,10 +80,10 @@
 	switch {
 	case n == nil:
 		return fault.Field("need", "missing")
-	case n.CpuMilli <= 0 || n.CpuMilli > maxCPU:
-		return fault.Field("need.cpu_milli", "must be positive and at most %d", int64(maxCPU))
-	case n.MemoryMib <= 0 || n.MemoryMib > maxMemory:
-		return fault.Field("need.memory_mib", "must be positive and at most %d", int64(maxMemory))
+	case n.CpuMilli <= 0 || n.CpuMilli > maxCPUMilli:
+		return fault.Field("need.cpu_milli", "must be positive and at most %d", int64(maxCPUMilli))
+	case n.MemoryMib <= 0 || n.MemoryMib > maxMemoryMiB:
+		return fault.Field("need.memory_mib", "must be positive and at most %d", int64(maxMemoryMiB))
 	case n.Accelerators < 0 || n.Accelerators > maxAccelerators:
 		return fault.Field("need.accelerators", "must be 0 to %d", int64(maxAccelerators))
 	}
@@ -97,13 +97,13 @@
 		}
 		return nil
 	}
-	if s.RuntimeMs <= 0 || s.RuntimeMs > maxRuntime {
+	if s.RuntimeMs <= 0 || s.RuntimeMs > maxRuntimeMs {
 		return fault.Field("runtime_ms", "must be positive and at most a year")
 	}
 	if s.DeadlineUnixMs <= now.UnixMilli() {
 		return fault.Field("deadline_unix_ms", "must be in the future")
 	}
-	if s.DeadlineUnixMs > now.UnixMilli()+maxRuntime {
+	if s.DeadlineUnixMs > now.UnixMilli()+maxRuntimeMs {
 		return fault.Field("deadline_unix_ms", "must be within a year")
 	}
 	return nil
@@ -119,8 +119,8 @@
 // Request checks a request ID and returns it with a digest of the request's content.
 // Errors are of kind Invalid and name the field.
 func Request(id, customer string, content proto.Message) (state.Request, error) {
-	if id == "" || len(id) > maxRequestID {
-		return state.Request{}, fault.Field("request_id", "must have 1 to %d bytes", maxRequestID)
+	if id == "" || len(id) > maxRequestIDBytes {
+		return state.Request{}, fault.Field("request_id", "must have 1 to %d bytes", maxRequestIDBytes)
 	}
 	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(content)
 	if err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -32,7 +32,7 @@
 	}{
 		{"name", func(s *apiv1.Spec) { s.Name = "" }},
 		{"name", func(s *apiv1.Spec) { s.Name = "a\x00b" }},
-		{"name", func(s *apiv1.Spec) { s.Name = strings.Repeat("n", maxName+1) }},
+		{"name", func(s *apiv1.Spec) { s.Name = strings.Repeat("n", maxNameBytes+1) }},
 		{"policy", func(s *apiv1.Spec) { s.Policy = 9 }},
 		{"tasks", func(s *apiv1.Spec) { s.Tasks = 0 }},
 		{"tasks", func(s *apiv1.Spec) { s.Tasks = -3 }},
