--- a/internal/descriptors/inbound_test.go
+++ b/internal/descriptors/inbound_test.go
@@ -64,12 +64,15 @@
 	return conn, requestOn(conn, path)
 }
 
+// responseTimeout bounds the wait for a response.
+const responseTimeout = 5 * time.Second
+
 // requestOn makes one request on a connection and reports whether it got a response.
 func requestOn(conn net.Conn, path string) bool {
 	if _, err := conn.Write([]byte("GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n")); err != nil {
 		return false
 	}
-	_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+	_ = conn.SetReadDeadline(time.Now().Add(responseTimeout))
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	return err == nil && response.StatusCode == http.StatusOK
 }
--- a/internal/descriptors/outbound_test.go
+++ b/internal/descriptors/outbound_test.go
@@ -17,11 +17,18 @@
 	return listener.Addr().String()
 }
 
+const (
+	// testDialTimeout bounds the opening of a connection, including the wait at the limit.
+	testDialTimeout = 50 * time.Millisecond
+	// closeDelay is how long after the start of a dial another connection is closed.
+	closeDelay = 10 * time.Millisecond
+)
+
 // Guards against running out of descriptors: a leader calls so many workers in parallel that
 // its log can't open a file. At the limit a dial must wait until a connection is closed.
 func TestDialWaitsAtTheConnectionLimit(t *testing.T) {
 	address := listen(t)
-	limiter := NewOutboundLimiter(2, 50*time.Millisecond)
+	limiter := NewOutboundLimiter(2, testDialTimeout)
 	first, err := limiter.DialContext(t.Context(), "tcp", address)
 	must.NoError(t, err)
 	_, err = limiter.DialContext(t.Context(), "tcp", address)
@@ -30,7 +37,7 @@
 	_, err = limiter.DialContext(t.Context(), "tcp", address)
 	must.True(t, errors.Is(err, ErrLimitReached))
 
-	time.AfterFunc(10*time.Millisecond, func() {
+	time.AfterFunc(closeDelay, func() {
 		_ = first.Close()
 		_ = first.Close()
 	})
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -34,6 +34,12 @@
 	must.SliceEmpty(t, r.Since("other", 0, 10))
 }
 
+// How far the wall clocks of two instances are behind that of the leader.
+const (
+	followerLag = 3 * time.Second
+	workerLag   = 5 * time.Second
+)
+
 // A leader is lost and another instance is elected while the instances' wall clocks differ
 // by seconds. The merged timeline must show the loss before the election, and the election
 // before the start of the task that the new leader orders.
@@ -41,16 +47,16 @@
 	wall := time.UnixMilli(1_000_000)
 	leaderRecorder := NewRecorder(Config{Instance: "a", Clock: new(hlc.Clock), Wall: func() time.Time { return wall }})
 	followerClock, workerClock := new(hlc.Clock), new(hlc.Clock)
-	followerRecorder := NewRecorder(Config{Instance: "b", Clock: followerClock, Wall: func() time.Time { return wall.Add(-3 * time.Second) }})
-	workerRecorder := NewRecorder(Config{Instance: "c", Clock: workerClock, Wall: func() time.Time { return wall.Add(-5 * time.Second) }})
+	followerRecorder := NewRecorder(Config{Instance: "b", Clock: followerClock, Wall: func() time.Time { return wall.Add(-followerLag) }})
+	workerRecorder := NewRecorder(Config{Instance: "c", Clock: workerClock, Wall: func() time.Time { return wall.Add(-workerLag) }})
 
 	leaderRecorder.Record("leader", "term 1", "cell")
 	heartbeat := leaderRecorder.Since("", 0, 0)[0].Timestamp
-	followerClock.Observe(heartbeat, wall.Add(-3*time.Second))
+	followerClock.Observe(heartbeat, wall.Add(-followerLag))
 	followerRecorder.Record("leader lost", "term 1", "cell")
 	followerRecorder.Record("leader", "term 2", "cell")
 	command := followerRecorder.Since("", 0, 0)[1].Timestamp
-	workerClock.Observe(command, wall.Add(-5*time.Second))
+	workerClock.Observe(command, wall.Add(-workerLag))
 	workerRecorder.Record("task started", "term 2", "job-1")
 
 	merged := Merge(workerRecorder.Since("", 0, 0), followerRecorder.Since("", 0, 0), leaderRecorder.Since("", 0, 0), followerRecorder.Since("", 0, 0))
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -31,13 +31,16 @@
 
 // callCancel makes a cancel call through a new gateway whose seeds are members.
 func callCancel(t *testing.T, timeout time.Duration, members ...string) error {
-	g := New(link.NewClient(100), "own", members, log.NewNopLogger())
+	g := New(link.NewClient(maxConnections), "own", members, log.NewNopLogger())
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
 	_, err := Call[control.Empty](ctx, g, control.MethodCancel, &control.CancelCall{})
 	return err
 }
 
+// maxConnections is the connection limit of a client.
+const maxConnections = 100
+
 // unreachable is an address that refuses connections.
 const unreachable = "127.0.0.1:1"
 
@@ -80,7 +83,7 @@
 		return control.AnnounceInstanceReply{Members: []string{"m"}}, nil
 	})
 	server := httptest.NewServer(mux)
-	g := New(link.NewClient(100), "own", []string{strings.TrimPrefix(server.URL, "http://")}, log.NewNopLogger())
+	g := New(link.NewClient(maxConnections), "own", []string{strings.TrimPrefix(server.URL, "http://")}, log.NewNopLogger())
 	must.False(t, g.InContact())
 	g.announceOnce(t.Context())
 	must.True(t, g.InContact())
@@ -104,7 +107,7 @@
 		}
 		return link.NotLeader("")
 	})
-	g := New(link.NewClient(100), "own", []string{address}, log.NewNopLogger())
+	g := New(link.NewClient(maxConnections), "own", []string{address}, log.NewNopLogger())
 	const calls = 200
 	var group errgroup.Group
 	for range calls {
@@ -138,7 +141,7 @@
 		t.Cleanup(server.Close)
 		return strings.TrimPrefix(server.URL, "http://")
 	}()
-	g := New(link.NewClient(100), "own", []string{unresponsive, follower}, log.NewNopLogger())
+	g := New(link.NewClient(maxConnections), "own", []string{unresponsive, follower}, log.NewNopLogger())
 	g.SuggestLeader(unresponsive)
 	ctx, cancel := context.WithTimeout(t.Context(), tryTimeout)
 	defer cancel()
@@ -148,6 +151,9 @@
 	must.Eq(t, leader, current)
 }
 
+// suggestDelay is how long after the start of a search another call finds the leader.
+const suggestDelay = searchTimeout / 5
+
 // A call that searches for the leader waits for a member that doesn't respond, while
 // another call learns who leads. If only the timeout ended the try, the call would get its
 // response late, from a newer configuration than later calls, or not at all.
@@ -156,10 +162,10 @@
 	defer close(release)
 	unresponsive := startCancelServer(t, func() error { <-release; return nil })
 	leader := startCancelServer(t, func() error { return nil })
-	g := New(link.NewClient(100), "own", []string{unresponsive}, log.NewNopLogger())
+	g := New(link.NewClient(maxConnections), "own", []string{unresponsive}, log.NewNopLogger())
 	ctx, cancel := context.WithTimeout(t.Context(), searchTimeout-time.Millisecond)
 	defer cancel()
-	suggestTimer := time.AfterFunc(searchTimeout/5, func() { g.SuggestLeader(leader) })
+	suggestTimer := time.AfterFunc(suggestDelay, func() { g.SuggestLeader(leader) })
 	defer suggestTimer.Stop()
 	_, err := Call[control.Empty](ctx, g, control.MethodCancel, &control.CancelCall{})
 	must.NoError(t, err)
--- a/internal/gateway/version_order_test.go
+++ b/internal/gateway/version_order_test.go
@@ -41,7 +41,7 @@
 	var lines bytes.Buffer
 	var version uint64 = 62
 	leader := startStateServer(t, func(string) (uint64, error) { return version, nil })
-	g := New(link.NewClient(100), "own", []string{leader}, log.NewLogfmtLogger(&lines))
+	g := New(link.NewClient(maxConnections), "own", []string{leader}, log.NewLogfmtLogger(&lines))
 	for range 3 {
 		must.NoError(t, callState(t.Context(), g, "q"))
 	}
@@ -64,16 +64,19 @@
 	})
 }
 
+// laterRequestDelay is how long after the first request the later one is sent.
+const laterRequestDelay = 300 * time.Millisecond
+
 // A request waits at a partitioned leader. A request sent 0.3 s later gets its response
 // from the next leader, then a new configuration is committed, and the next leader responds
 // to the first request too. The caller of the first request sees a queue that the new
 // configuration adds, while the caller of the later one saw a queue that it removes.
 func TestEarlierRequestGetsNoNewerVersion(t *testing.T) {
 	released := make(chan struct{})
-	g := New(link.NewClient(100), "own", []string{startLeaderThatHoldsAdded(t, released)}, log.NewNopLogger())
+	g := New(link.NewClient(maxConnections), "own", []string{startLeaderThatHoldsAdded(t, released)}, log.NewNopLogger())
 	first := make(chan error, 1)
 	go func() { first <- callState(t.Context(), g, "added") }()
-	time.Sleep(300 * time.Millisecond)
+	time.Sleep(laterRequestDelay)
 	must.NoError(t, callState(t.Context(), g, "dropped"))
 	close(released)
 	err := <-first
@@ -134,7 +137,7 @@
 // response of an older version. The error must not say that nothing was done, since the
 // job will run.
 func TestWithheldResponseToChangeIsUnknown(t *testing.T) {
-	g := New(link.NewClient(100), "own", []string{startSubmitServer(t, 65)}, log.NewNopLogger())
+	g := New(link.NewClient(maxConnections), "own", []string{startSubmitServer(t, 65)}, log.NewNopLogger())
 	must.NoError(t, g.versionOrder.admit(62, time.Now(), "leader"))
 	call := &control.SubmitCall{}
 	_, err := CallForCaller[control.SubmitReply](t.Context(), g, time.Now().Add(-time.Second), control.MethodSubmit, call)
@@ -166,7 +169,7 @@
 	})
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
-	g := New(link.NewClient(100), "own", []string{strings.TrimPrefix(server.URL, "http://")}, log.NewNopLogger())
+	g := New(link.NewClient(maxConnections), "own", []string{strings.TrimPrefix(server.URL, "http://")}, log.NewNopLogger())
 	must.NoError(t, g.versionOrder.admit(65, time.Now().Add(-time.Second), "leader"))
 	_, known := g.Ended(t.Context(), time.Now(), control.JobAddress{})
 	must.False(t, known)
--- a/internal/jobtrace/trace_test.go
+++ b/internal/jobtrace/trace_test.go
@@ -30,11 +30,18 @@
 no line of ours
 `
 
+// sampleLines is the number of lines of sampleLog, and lateRunStarted the index of the first
+// run_started line of the job late1 once they are sorted by time.
+const (
+	sampleLines    = 17
+	lateRunStarted = 7
+)
+
 // explainSample returns the trace of a job from sampleLog.
 func explainSample(t *testing.T, job string) Trace {
 	lines, err := Read(strings.NewReader(sampleLog))
 	must.NoError(t, err)
-	must.SliceLen(t, 17, lines)
+	must.SliceLen(t, sampleLines, lines)
 	must.Eq(t, "tenure", lines[0].Event)
 	return Explain(lines, job)
 }
@@ -135,6 +142,6 @@
 	lines, err := Read(strings.NewReader(sampleLog))
 	must.NoError(t, err)
 	events := Events(lines)
-	must.Eq(t, []string{"late1", "i-1"}, events[7].Subjects)
-	must.Eq(t, "task=late1/0/0/0 run=1 worker=i-1", events[7].Detail)
+	must.Eq(t, []string{"late1", "i-1"}, events[lateRunStarted].Subjects)
+	must.Eq(t, "task=late1/0/0/0 run=1 worker=i-1", events[lateRunStarted].Detail)
 }
--- a/internal/link/version_test.go
+++ b/internal/link/version_test.go
@@ -11,6 +11,9 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
+// maxConnections is the connection limit of a client.
+const maxConnections = 100
+
 // serveVersions serves the method "m" with serve, on a Mux whose configuration version is
 // 62 before each call, and returns the address.
 func serveVersions(t *testing.T, serve func(context.Context) error) (address string) {
@@ -28,7 +31,7 @@
 			RecordVersion(ctx, 65)
 			return outcome
 		})
-		client := NewClient(100)
+		client := NewClient(maxConnections)
 		version, err := client.CallVersioned(t.Context(), address, "m", &struct{}{}, &struct{}{})
 		must.Eq(t, outcome == nil, err == nil)
 		must.Eq(t, uint64(65), version)
@@ -38,7 +41,7 @@
 
 func TestReplyWithoutRecordedVersionNamesVersionBeforeCall(t *testing.T) {
 	address := serveVersions(t, func(context.Context) error { return nil })
-	version, err := NewClient(100).CallVersioned(t.Context(), address, "m", &struct{}{}, &struct{}{})
+	version, err := NewClient(maxConnections).CallVersioned(t.Context(), address, "m", &struct{}{}, &struct{}{})
 	must.NoError(t, err)
 	must.Eq(t, uint64(62), version)
 }
--- a/internal/measure/fit_test.go
+++ b/internal/measure/fit_test.go
@@ -7,14 +7,17 @@
 	"github.com/shoenig/test/must"
 )
 
+// tolerance allows for the rounding of floating-point numbers.
+const tolerance = 1e-9
+
 func TestFitLineSlopeAndResidual(t *testing.T) {
 	exact := FitLine([]float64{50, 150, 450}, []float64{2, 4, 10})
-	must.InDelta(t, 1, exact.Intercept, 1e-9)
-	must.InDelta(t, 0.02, exact.Slope, 1e-9)
-	must.InDelta(t, 0, exact.Residual, 1e-9)
+	must.InDelta(t, 1, exact.Intercept, tolerance)
+	must.InDelta(t, 0.02, exact.Slope, tolerance)
+	must.InDelta(t, 0, exact.Residual, tolerance)
 	nonlinear := FitLine([]float64{0, 1, 2}, []float64{0, 3, 0})
-	must.InDelta(t, 0, nonlinear.Slope, 1e-9)
-	must.InDelta(t, 2, nonlinear.Residual, 1e-9)
+	must.InDelta(t, 0, nonlinear.Slope, tolerance)
+	must.InDelta(t, 2, nonlinear.Residual, tolerance)
 	must.Eq(t, Line{Intercept: 7}, FitLine([]float64{5, 5}, []float64{7, 7}))
 }
 
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -91,6 +91,8 @@
 // /proc.
 const ticksPerSecond = 100
 
+const bytesPerMiB = 1 << 20
+
 // adminTimeout bounds one request for the counters of a target.
 const adminTimeout = 2 * time.Second
 
@@ -145,7 +147,7 @@
 	seconds := last.at.Sub(first.at).Seconds()
 	u := Usage{Seconds: seconds, Counters: make(map[string]float64), Roles: last.roles}
 	for i, s := range samples {
-		u.MemoryMiB = max(u.MemoryMiB, float64(s.rss)/(1<<20))
+		u.MemoryMiB = max(u.MemoryMiB, float64(s.rss)/bytesPerMiB)
 		if i > 0 {
 			u.PeakCPUPercent = max(u.PeakCPUPercent, cpuPercent(samples[i-1], s))
 		}
--- a/internal/oplog/metrics.go
+++ b/internal/oplog/metrics.go
@@ -61,6 +61,8 @@
 	_ = h.RecordValue(min(max(d.Microseconds(), lowestMicros), highestMicros))
 }
 
+const microsPerSecond = 1e6
+
 // quantiles are the quantiles of a histogram that write shows, in per cent.
 var quantiles = []float64{50, 90, 99, 100}
 
@@ -82,7 +84,7 @@
 		h := m.histograms[name]
 		for _, q := range quantiles {
 			_, err := fmt.Fprintf(w, "bilberry_%s_seconds{quantile=\"%g\"} %g\n", name, q/100,
-				float64(h.ValueAtQuantile(q))/1e6)
+				float64(h.ValueAtQuantile(q))/microsPerSecond)
 			if err != nil {
 				return err
 			}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -95,10 +95,13 @@
 	return append([]string(nil), i.payloads...)
 }
 
+// eventuallyTimeout bounds the wait for a condition.
+const eventuallyTimeout = 30 * time.Second
+
 // eventually waits until condition holds; awaited names the condition in the error.
 func eventually(t *testing.T, awaited string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(eventuallyTimeout); !condition(); time.Sleep(time.Millisecond) {
 		must.True(t, time.Now().Before(end), must.Sprint("timed out waiting for: "+awaited))
 	}
 }
@@ -127,6 +130,9 @@
 	})
 }
 
+// queuedPayloads is the number of payloads sent while a peer's response is awaited.
+const queuedPayloads = 100
+
 // A peer responds slowly. Payloads that are queued meanwhile must share one call. With one
 // call each, a slow peer would cost more than a fast one.
 func TestQueuedPayloadsShareOneCall(t *testing.T) {
@@ -141,13 +147,13 @@
 		a.Send("log", "b", []byte("first"))
 		<-entered
 	}
-	for range 100 {
+	for range queuedPayloads {
 		a.Send("log", "b", []byte("more"))
 		// Leaves time for a surplus call to start; the assertions don't depend on it.
 		time.Sleep(100 * time.Microsecond)
 	}
 	close(release)
-	eventually(t, "all payloads", func() bool { return len(b.delivered()) == maxCalls+100 })
+	eventually(t, "all payloads", func() bool { return len(b.delivered()) == maxCalls+queuedPayloads })
 	must.Eq(t, maxCalls+1, b.requests)
 }
 
--- a/internal/peer/sequencer_test.go
+++ b/internal/peer/sequencer_test.go
@@ -128,6 +128,9 @@
 	})
 }
 
+// gapBits makes gaps of 1<<gapBits sequence numbers and more.
+const gapBits = 40
+
 // A sender numbers its calls with gaps. The calls that the receiver holds and remembers
 // as missing must stay bounded.
 func TestHeldAndMissingCallsAreBounded(t *testing.T) {
@@ -142,7 +145,7 @@
 		must.Len(t, maxHeldCalls+2, r.delivered())
 		must.MapEmpty(t, r.sequencers["a"].held)
 		for i := range uint64(3) {
-			r.call(t, 7, 1<<(40+i))
+			r.call(t, 7, 1<<(gapBits+i))
 			time.Sleep(holdTime)
 			synctest.Wait()
 		}
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -240,16 +240,23 @@
 	return nil
 }
 
+// Maximums of the limits that an operator may set.
+const (
+	maxBodyBytes   = 64 << 20
+	maxQueuedTasks = 1_000_000
+	maxTasksPerJob = 100_000
+)
+
 // checkLimits rejects limits out of range and unknown log levels.
 func (s *Settings) checkLimits(file *tomlfile.File) error {
 	limits := []struct {
 		key        string
 		value, max int64
 	}{
-		{"body", int64(s.Limits.Body), 64 << 20},
+		{"body", int64(s.Limits.Body), maxBodyBytes},
 		{"payload", int64(s.Limits.Payload), int64(s.Limits.Body)},
-		{"queue", int64(s.Limits.Queue), 1_000_000},
-		{"max_tasks", int64(s.Limits.MaxTasks), 100_000},
+		{"queue", int64(s.Limits.Queue), maxQueuedTasks},
+		{"max_tasks", int64(s.Limits.MaxTasks), maxTasksPerJob},
 	}
 	for _, l := range limits {
 		if l.value < 1 || l.value > l.max {
--- a/internal/settings/print.go
+++ b/internal/settings/print.go
@@ -81,6 +81,9 @@
 	}
 }
 
+// asciiDelete is the only ASCII control character above the space.
+const asciiDelete = 0x7f
+
 // quote returns text as a TOML basic string, in which control characters must be
 // escaped.
 func quote(text string) string {
@@ -91,7 +94,7 @@
 		case r == '"' || r == '\\':
 			b.WriteByte('\\')
 			b.WriteRune(r)
-		case r < ' ' || r == 0x7f:
+		case r < ' ' || r == asciiDelete:
 			fmt.Fprintf(&b, "\\u%04X", r)
 		default:
 			b.WriteRune(r)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -87,6 +87,9 @@
 	must.Eq(t, first.String(), second.String())
 }
 
+// cutBytes is how much of a half-written file is missing.
+const cutBytes = 20
+
 // An operator must be able to correct a settings file by the error message alone. It must
 // name the file, the line and the key and say what is wrong.
 func TestParseRejectsMistakes(t *testing.T) {
@@ -101,7 +104,7 @@
 		{"wrong type", valid + "[limits]\nqueue = \"20k\"\n", "", `line 71`},
 		{"not TOML", "deployment = \n", "deployment", "line 1"},
 		{"duplicate key", valid + "[log]\nlevel = \"info\"\nlevel = \"info\"\n", "", "line 72: Key 'log.level' has already been defined"},
-		{"half-written file", valid[:len(valid)-20], "", "line"},
+		{"half-written file", valid[:len(valid)-cutBytes], "", "line"},
 		{"duplicate id", strings.Replace(valid, "dc1-0", "dc0-0", 1), "instance[3].id", `line 23: "dc0-0" is already the id of instance[0]`},
 		{"duplicate address", strings.Replace(valid, "10.0.1.1:7400", "10.0.0.1:7402", 1), "instance[3].entry", "is already instance[0].cell"},
 		{"host name", strings.Replace(valid, "10.0.0.1:7400", "localhost:7400", 1), "instance[0].entry", "isn't an IP address with a port"},
--- a/internal/tomlfile/nearest.go
+++ b/internal/tomlfile/nearest.go
@@ -54,6 +54,13 @@
 // quadratic time and the word comes from a user.
 const maxComparedBytes = 64
 
+// Bounds on the edits from a mistyped word to the nearest one: maxEdits, and one edit for
+// each bytesPerEdit bytes of the word.
+const (
+	maxEdits     = 3
+	bytesPerEdit = 3
+)
+
 // Nearest returns the one of words with the smallest edit distance to a mistyped word. It
 // returns "" when the distance is more than three edits or a third of the word's length;
 // one edit is always allowed.
@@ -64,7 +71,7 @@
 	if len(word) > maxComparedBytes {
 		return ""
 	}
-	best, bestDistance := "", 1+max(1, min(3, len(word)/3))
+	best, bestDistance := "", 1+max(1, min(maxEdits, len(word)/bytesPerEdit))
 	for _, candidate := range words {
 		d := editDistance(strings.ToLower(word), candidate)
 		if d < bestDistance {
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -31,6 +31,12 @@
 	must.Error(t, err)
 }
 
+// Bounds on the error for a rejected text and on the memory allocated for it, in bytes.
+const (
+	maxErrorBytes     = 1000
+	maxAllocatedBytes = 64 << 20
+)
+
 // A text of 60 KB with one key of 30,000 dots, or with thousands of nested brackets, makes
 // the TOML library exhaust the memory or the stack, and the daemon exits. Such text must be
 // rejected before the library decodes it. Dots and brackets within strings and comments
@@ -57,8 +63,8 @@
 			_, err := Decode("nested", []byte(text), &sample{})
 			runtime.ReadMemStats(&after)
 			must.True(t, fault.Is(err, fault.Invalid))
-			must.Less(t, 1000, len(err.Error()))
-			must.Less(t, 64<<20, after.TotalAlloc-before.TotalAlloc)
+			must.Less(t, maxErrorBytes, len(err.Error()))
+			must.Less(t, maxAllocatedBytes, after.TotalAlloc-before.TotalAlloc)
 		})
 	}
 	dots := strings.Repeat(".[", 100)
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -30,6 +30,9 @@
 	maxCores = 1_000_000
 )
 
+// int64Bits is the bit size for strconv.ParseUint whose results fit into an int64.
+const int64Bits = 63
+
 // sizeUnit is a suffix of sizes with its number of bytes.
 type sizeUnit struct {
 	suffix string
@@ -62,7 +65,7 @@
 		if !ok {
 			continue
 		}
-		n, err := strconv.ParseUint(digits, 10, 63)
+		n, err := strconv.ParseUint(digits, 10, int64Bits)
 		if err != nil {
 			return 0, sizeFormatError(text)
 		}
@@ -113,7 +116,7 @@
 	if hasPoint && (fraction == "" || len(fraction) > coreDecimals) {
 		return 0, invalid
 	}
-	cores, err := strconv.ParseUint(whole, 10, 63)
+	cores, err := strconv.ParseUint(whole, 10, int64Bits)
 	if err != nil {
 		return 0, invalid
 	}
@@ -121,7 +124,7 @@
 		return 0, errors.Newf("%q is too large", shorten(text))
 	}
 	padded := fraction + strings.Repeat("0", coreDecimals-len(fraction))
-	milli, err := strconv.ParseUint(padded, 10, 63)
+	milli, err := strconv.ParseUint(padded, 10, int64Bits)
 	if err != nil {
 		return 0, invalid
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -16,13 +16,15 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
+const msPerHour = 3600e3
+
 // Bounds on the fields of a request. A larger demand or run time is most likely in a wrong
 // unit.
 const (
 	maxCPUMilli       = 1_000_000_000 // thousandths of a core
 	maxMemoryMiB      = 1 << 40
 	maxAccelerators   = 1_000_000 // devices
-	maxRuntimeMs      = 366 * 24 * 3600e3
+	maxRuntimeMs      = 366 * 24 * msPerHour
 	maxNameBytes      = 128
 	maxRequestIDBytes = 128
 	maxAttempts       = 100
@@ -47,12 +49,18 @@
 	}, nil
 }
 
+// Characters that a name must not contain. replacementCharacter stands for invalid UTF-8.
+const (
+	asciiDelete          = 0x7f
+	replacementCharacter = '\uFFFD'
+)
+
 func checkName(s *apiv1.Spec, _ settings.Limits, _ time.Time) error {
 	if s.Name == "" || len(s.Name) > maxNameBytes {
 		return fault.Field("name", "must have 1 to %d bytes", maxNameBytes)
 	}
 	for _, r := range s.Name {
-		if r < ' ' || r == 0x7f || r == '\uFFFD' {
+		if r < ' ' || r == asciiDelete || r == replacementCharacter {
 			return fault.Field("name", "must be printable text")
 		}
 	}
