--- a/internal/descriptors/inbound_test.go
+++ b/internal/descriptors/inbound_test.go
@@ -122,6 +122,8 @@
 	must.True(t, requestOn(otherHost, "/"))
 }
 
+// Clients close their connections. If these were still counted, the server would reach its
+// limit with few open connections.
 func TestClosedConnectionsAreNoLongerCounted(t *testing.T) {
 	server, limiter, _ := startLimitedServer(t, 2, true)
 	conn, responded := requestOnNewConn(t, server, localAddress, "/")
--- a/internal/descriptors/outbound_test.go
+++ b/internal/descriptors/outbound_test.go
@@ -47,6 +47,8 @@
 	must.True(t, errors.Is(err, ErrLimitReached), must.Sprint("a slot was released twice"))
 }
 
+// A host refuses connections. If a failed dial counted as an open connection, the client
+// could open no connections after a few failures.
 func TestFailedDialReleasesItsSlot(t *testing.T) {
 	limiter := NewOutboundLimiter(1, time.Second)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/event/file.go
+++ b/internal/event/file.go
@@ -183,7 +183,7 @@
 }
 
 // recordDrop counts an event that couldn't be written. A full disk may have free space
-// again later, so the next event is written nevertheless if possible.
+// again later, so writing the next event is attempted all the same.
 func (f *File) recordDrop(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -49,8 +49,8 @@
 //
 // Only one call at a time searches for the leader, and the others wait for its result. If
 // each waiting call searched, it would call all members every 60 ms. A leader that refuses
-// calls for a tenth of a second would so turn each call into a hundred, and that load can
-// keep the members from ever electing a leader.
+// calls for a tenth of a second would thereby turn each call into a hundred, and that load
+// can keep the members from ever electing a leader.
 type Gateway struct {
 	client     *link.Client
 	ownAddress string
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -60,8 +60,9 @@
 const followerTimeout = 150 * time.Millisecond
 
 // Ended asks a follower for the phase of a job that may have ended, on behalf of a caller's
-// request that was received at receivedAt. If known is false, the follower can't tell and
-// the leader has to be asked.
+// request that was received at receivedAt. If known is false, the leader has to be asked:
+// the follower doesn't know the phase or didn't respond, or its response contradicts the
+// order of the requests.
 func (g *Gateway) Ended(ctx context.Context, receivedAt time.Time, jobAddress control.JobAddress) (phase workflow.Phase, known bool) {
 	member := g.nextFollower()
 	if member == "" {
--- a/internal/gateway/version_order_test.go
+++ b/internal/gateway/version_order_test.go
@@ -37,6 +37,8 @@
 	return err
 }
 
+// Operators must be able to see in the log when the responses changed to another
+// configuration version, without a line for each request.
 func TestChangeOfResponseVersionIsLogged(t *testing.T) {
 	var lines bytes.Buffer
 	var version uint64 = 62
@@ -123,6 +125,8 @@
 	must.NoError(t, order.admit(62, start.Add(2*time.Second), "leader"))
 }
 
+// Many versions are committed. The record must stay bounded, and must still show that an old
+// request can't get a response of the newest version.
 func TestRecordedVersionsAreBounded(t *testing.T) {
 	start := time.Now()
 	order := versionOrder{logger: log.NewNopLogger()}
--- a/internal/jobtrace/trace.go
+++ b/internal/jobtrace/trace.go
@@ -20,7 +20,7 @@
 	// Outcome is one sentence: the outcome that the caller saw and its largest cause.
 	Outcome string
 	// Spans are the job's activities, longest first. They add up to the time from the
-	// submission's commit to the end.
+	// start of the submission's commit to the job's end, or to its last line.
 	Spans []Span
 	// Lines are the log lines that concern the job.
 	Lines []Line
--- a/internal/jobtrace/trace_test.go
+++ b/internal/jobtrace/trace_test.go
@@ -30,8 +30,8 @@
 no line of ours
 `
 
-// sampleLines is the number of lines of sampleLog, and lateRunStarted the index of the first
-// run_started line of the job late1 once they are sorted by time.
+// sampleLines is the number of lines of sampleLog that Read returns, and lateRunStarted the
+// index, in order of time, of the first run_started line of the job late1.
 const (
 	sampleLines    = 17
 	lateRunStarted = 7
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -47,8 +47,9 @@
 	maxBackoff = 400 * time.Millisecond
 )
 
-// Clock issues and observes the hybrid logical clock timestamps that each Exchange
-// carries.
+// Clock issues and observes the hybrid logical clock timestamps that each Exchange carries.
+// wallMS is a wall time in Unix milliseconds, logical the counter that orders events of
+// equal wall time.
 type Clock interface {
 	Timestamp() (wallMS int64, logical uint32)
 	Observe(wallMS int64, logical uint32)
@@ -151,7 +152,8 @@
 	return all
 }
 
-// pack returns the request for a batch of payloads to a peer, grouped by their groups.
+// pack returns the request that sends a batch of payloads, collected by group, to the peer
+// with the ID to.
 func (c *Config) pack(to string, batch []queuedPayload) *apiv1.ExchangeRequest {
 	request := &apiv1.ExchangeRequest{FormatVersion: FormatVersion, From: c.ID, To: to}
 	byName := map[string]*apiv1.GroupMessages{}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -149,7 +149,7 @@
 	}
 	for range queuedPayloads {
 		a.Send("log", "b", []byte("more"))
-		// Leaves time for a surplus call to start; the assertions don't depend on it.
+		// The pause gives a surplus call time to start; the assertions don't depend on it.
 		time.Sleep(100 * time.Microsecond)
 	}
 	close(release)
@@ -183,7 +183,7 @@
 	close(fail)
 	eventually(t, "the failure", func() bool { return a.Stats()["b"].Failures == 1 })
 	a.Send("log", "b", []byte("waits"))
-	// Leaves time for a premature call to start; the assertions don't depend on it.
+	// The pause gives a premature call time to start; the assertions don't depend on it.
 	time.Sleep(3 * minBackoff)
 	close(finish)
 	must.Eq(t, 3, <-entered)
@@ -227,6 +227,8 @@
 	})
 }
 
+// A test simulates a partition at one instance only. Payloads must be dropped whether the
+// sender or the receiver is the one that blocks its peer.
 func TestBlockedPeerIsBlockedBothWays(t *testing.T) {
 	a, b := newInstance(t, "a", Config{}), newInstance(t, "b", Config{})
 	a.SetPeer("b", b.address())
@@ -261,6 +263,8 @@
 	must.SliceEmpty(t, b.delivered())
 }
 
+// fixedClock is a Clock with a constant timestamp. It sends the sum of the wall time and the
+// counter of each observed timestamp to observed.
 type fixedClock struct{ observed chan int64 }
 
 func (c fixedClock) Timestamp() (int64, uint32) { return 1234, 5 }
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -114,8 +114,8 @@
 	return twirp.WithHTTPRequestHeaders(ctx, header)
 }
 
-// Require returns the caller. The error is of kind Denied unless the caller has one of
-// the roles.
+// Require returns the caller of the call that is served under ctx. The error is of kind
+// Denied unless the caller has one of the roles.
 func Require(ctx context.Context, roles ...settings.Role) (Caller, error) {
 	caller := CallerOf(ctx)
 	for _, role := range roles {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -51,8 +51,8 @@
 	return s, nil
 }
 
-// Read is Load without the token files, for programs that have no access to the
-// daemons' tokens.
+// Read reads and checks a settings file as Load does, but doesn't read the token files. It
+// is for programs that have no access to the daemons' tokens.
 func Read(path string) (*Settings, error) {
 	text, err := readBounded(path, tomlfile.MaxBytes)
 	if err != nil {
--- a/internal/tomlfile/nesting.go
+++ b/internal/tomlfile/nesting.go
@@ -17,8 +17,8 @@
 )
 
 // nestingScanner scans a text for excessive nesting before the library decodes it.
-// It follows TOML's rules for strings and comments. Where a text breaks them, the
-// library stops with an error, so text after that place is harmless.
+// It follows TOML's rules for strings and comments. Where a text breaks these rules, the
+// library stops with an error, so the rest of the text needs no scan.
 type nestingScanner struct {
 	text  []byte
 	pos   int
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -64,6 +64,8 @@
 	must.Eq(t, "spec", fault.From(err).Field)
 }
 
+// A caller reuses a request ID for another request. The digests must differ, so that the
+// second request isn't taken for a repetition of the first.
 func TestRequestDigestDependsOnContent(t *testing.T) {
 	first, err := Request("r", "c", validSpec())
 	must.NoError(t, err)
