--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,6 +1,6 @@
-// Package event records the state changes of a process, each with a hybrid
-// logical clock timestamp and the ids that it concerns. The events of all
-// processes, sorted by timestamp, are the event timeline of the system.
+// Package event records the state changes of a process, each with a hybrid logical clock
+// timestamp and the ids that the change concerns. The events of all processes, sorted by
+// timestamp, are the event timeline of the system.
 package event
 
 import (
@@ -21,7 +21,8 @@
 	Kind string `cbor:"4,keyasint"`
 	// Subjects are the ids of the jobs, requests, workers, minions and versions concerned.
 	Subjects []string `cbor:"5,keyasint,omitempty"`
-	Detail   string   `cbor:"6,keyasint,omitempty"`
+	// Detail is a text for the reader of the timeline.
+	Detail string `cbor:"6,keyasint,omitempty"`
 }
 
 // Concerns reports whether the event has the subject. The empty subject matches every event.
@@ -29,7 +30,7 @@
 	return subject == "" || slices.Contains(e.Subjects, subject)
 }
 
-// ToAPI converts the event to its wire format.
+// ToAPI converts the event to its API message.
 func (e *Event) ToAPI() *apiv1.Event {
 	return &apiv1.Event{
 		WallMs:     e.Timestamp.Wall,
@@ -42,45 +43,45 @@
 	}
 }
 
-// FromAPI converts an event from its wire format.
-func FromAPI(wire *apiv1.Event) Event {
+// FromAPI converts an API message to an event.
+func FromAPI(message *apiv1.Event) Event {
 	return Event{
-		Timestamp:  hlc.Timestamp{Wall: wire.GetWallMs(), Logical: wire.GetLogical()},
-		Instance:   wire.GetInstance(),
-		DataCentre: wire.GetDataCentre(),
-		Kind:       wire.GetKind(),
-		Subjects:   wire.GetSubjects(),
-		Detail:     wire.GetDetail(),
+		Timestamp:  hlc.Timestamp{Wall: message.GetWallMs(), Logical: message.GetLogical()},
+		Instance:   message.GetInstance(),
+		DataCentre: message.GetDataCentre(),
+		Kind:       message.GetKind(),
+		Subjects:   message.GetSubjects(),
+		Detail:     message.GetDetail(),
 	}
 }
 
-// ListToAPI converts events to their wire format.
+// ListToAPI converts events to their API messages.
 func ListToAPI(events []Event) []*apiv1.Event {
-	wire := make([]*apiv1.Event, len(events))
+	messages := make([]*apiv1.Event, len(events))
 	for i := range events {
-		wire[i] = events[i].ToAPI()
+		messages[i] = events[i].ToAPI()
 	}
-	return wire
+	return messages
 }
 
-// ListFromAPI converts events from their wire format. It skips nil elements.
-func ListFromAPI(wire []*apiv1.Event) []Event {
-	events := make([]Event, 0, len(wire))
-	for _, w := range wire {
-		if w != nil {
-			events = append(events, FromAPI(w))
+// ListFromAPI converts API messages to events. It skips nil elements.
+func ListFromAPI(messages []*apiv1.Event) []Event {
+	events := make([]Event, 0, len(messages))
+	for _, message := range messages {
+		if message != nil {
+			events = append(events, FromAPI(message))
 		}
 	}
 	return events
 }
 
-// Merge sorts the events of many instances into causal order: by timestamp, then
-// by instance. Only causally unrelated events can have equal timestamps. Merge
-// removes duplicates, which occur when two instances return the same event.
-func Merge(lists ...[]Event) []Event {
+// Merge sorts the events of several instances into causal order: by timestamp, then by
+// instance. Only causally unrelated events can have equal timestamps. Merge removes
+// duplicates, which occur when two instances return the same event.
+func Merge(perInstance ...[]Event) []Event {
 	var all []Event
-	for _, list := range lists {
-		all = append(all, list...)
+	for _, events := range perInstance {
+		all = append(all, events...)
 	}
 	slices.SortStableFunc(all, compareEvents)
 	return slices.CompactFunc(all, equalEvents)
@@ -107,7 +108,9 @@
 type Ring struct {
 	mu     sync.Mutex
 	events []Event
-	next   int
+	// next is the index of the oldest event in a full ring, which is overwritten next; 0
+	// until the ring is full.
+	next int
 }
 
 // NewRing returns an empty ring for capacity events, at least one.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -17,7 +17,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/link"
 )
 
-// startCancelServer serves cancel calls with answer and returns its address.
+// startCancelServer serves cancel calls, each with the error that response returns, and
+// returns its address.
 func startCancelServer(t *testing.T, response func() error) string {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodCancel, func(context.Context, *control.CancelCall) (control.Empty, error) {
@@ -28,15 +29,18 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// callCancel makes a cancel call through a new gateway that knows the members.
+// callCancel makes a cancel call through a new gateway whose seeds are members.
 func callCancel(t *testing.T, timeout time.Duration, members ...string) error {
-	g := New(link.NewClient(100), "own", members, log.NewNopLogger())
+	g := New(link.NewClient(maxConnections), "own", members, log.NewNopLogger())
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
 	_, err := Call[control.Empty](ctx, g, control.MethodCancel, &control.CancelCall{})
 	return err
 }
 
+// maxConnections is the connection limit of a client.
+const maxConnections = 100
+
 // unreachable is an address that refuses connections.
 const unreachable = "127.0.0.1:1"
 
@@ -58,9 +62,9 @@
 	must.Eq(t, RetryAfter, fault.From(err).RetryAfter)
 }
 
-// A leader commits a job and is lost before it answers; the next instance refuses it
-// temporarily. The caller must not be told that nothing was done, since the job will
-// run.
+// A leader may have executed a call and then loses its leadership; the next instance
+// refuses the call temporarily. The caller must not be told that nothing was done, since
+// the change may have been committed.
 func TestRefusalAfterUnknownTryIsUnknown(t *testing.T) {
 	tries := 0
 	lost := startCancelServer(t, func() error {
@@ -73,13 +77,13 @@
 	must.Eq(t, 1, tries)
 }
 
-func TestInContactWhileLeaderAnswers(t *testing.T) {
+func TestInContactWhileLeaderResponds(t *testing.T) {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodAnnounceInstance, func(context.Context, *control.AnnounceInstanceCall) (control.AnnounceInstanceReply, error) {
 		return control.AnnounceInstanceReply{Members: []string{"m"}}, nil
 	})
 	server := httptest.NewServer(mux)
-	g := New(link.NewClient(100), "own", []string{strings.TrimPrefix(server.URL, "http://")}, log.NewNopLogger())
+	g := New(link.NewClient(maxConnections), "own", []string{strings.TrimPrefix(server.URL, "http://")}, log.NewNopLogger())
 	must.False(t, g.InContact())
 	g.announceOnce(t.Context())
 	must.True(t, g.InContact())
@@ -90,9 +94,9 @@
 }
 
 // A busy leader refuses calls for a tenth of a second. If each waiting call tries all
-// members every 60 ms, the members send the replicated log's heartbeats late and elect
-// new leaders again and again. With hundreds of workers, the system stops serving and
-// doesn't recover.
+// members every 60 ms, the members send the heartbeats of the replicated log late and
+// repeat the election. With hundreds of workers, the system stops serving and doesn't
+// recover.
 func TestOneCallAtATimeSearchesLeader(t *testing.T) {
 	var tries atomic.Int64
 	var leads atomic.Bool
@@ -103,7 +107,7 @@
 		}
 		return link.NotLeader("")
 	})
-	g := New(link.NewClient(100), "own", []string{address}, log.NewNopLogger())
+	g := New(link.NewClient(maxConnections), "own", []string{address}, log.NewNopLogger())
 	const calls = 200
 	var group errgroup.Group
 	for range calls {
@@ -121,9 +125,8 @@
 	must.NoError(t, group.Wait())
 }
 
-// A leader vanishes without closing its connections and the others elect another one. A
-// call that asks for the leader only after its try has ended waits for the vanished one
-// until its own deadline, and a short job is late.
+// A leader vanishes without closing its connections, and the other members elect another
+// one. A call that looks for the new leader only after its try has timed out is late.
 func TestTryAtUnresponsiveLeaderEndsWhenAnotherIsFound(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -138,7 +141,7 @@
 		t.Cleanup(server.Close)
 		return strings.TrimPrefix(server.URL, "http://")
 	}()
-	g := New(link.NewClient(100), "own", []string{unresponsive, follower}, log.NewNopLogger())
+	g := New(link.NewClient(maxConnections), "own", []string{unresponsive, follower}, log.NewNopLogger())
 	g.SuggestLeader(unresponsive)
 	ctx, cancel := context.WithTimeout(t.Context(), tryTimeout)
 	defer cancel()
@@ -148,19 +151,22 @@
 	must.Eq(t, leader, current)
 }
 
-// A call searches for the leader and waits at an unreachable member while another call
-// learns who leads. If its try ended by its timeout only, the call would be answered
-// late, by a newer configuration than later calls, or not at all.
+// suggestDelay is how long after the start of a search another call finds the leader.
+const suggestDelay = searchTimeout / 5
+
+// A call that searches for the leader waits for a member that doesn't respond, while
+// another call learns who leads. If only the timeout ended the try, the call would get its
+// response late, from a newer configuration than later calls, or not at all.
 func TestSearchEndsWhenAnotherCallFindsLeader(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
 	unresponsive := startCancelServer(t, func() error { <-release; return nil })
 	leader := startCancelServer(t, func() error { return nil })
-	g := New(link.NewClient(100), "own", []string{unresponsive}, log.NewNopLogger())
+	g := New(link.NewClient(maxConnections), "own", []string{unresponsive}, log.NewNopLogger())
 	ctx, cancel := context.WithTimeout(t.Context(), searchTimeout-time.Millisecond)
 	defer cancel()
-	found := time.AfterFunc(searchTimeout/5, func() { g.SuggestLeader(leader) })
-	defer found.Stop()
+	suggestTimer := time.AfterFunc(suggestDelay, func() { g.SuggestLeader(leader) })
+	defer suggestTimer.Stop()
 	_, err := Call[control.Empty](ctx, g, control.MethodCancel, &control.CancelCall{})
 	must.NoError(t, err)
 }
--- a/internal/jobfile/workflow.go
+++ b/internal/jobfile/workflow.go
@@ -10,8 +10,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/units"
 )
 
-// rawWorkflow is a decoded workflow file before its values are checked. A workflow
-// is a job of dependent steps.
+// rawWorkflow holds the values of a workflow file as decoded, before they are checked. A
+// workflow is a job of dependent steps.
 type rawWorkflow struct {
 	ID      string    `toml:"id"`
 	Queue   string    `toml:"queue"`
@@ -20,14 +20,14 @@
 	Steps   []rawStep `toml:"step"`
 }
 
-// rawRepeat is the repetition of a job in the file.
+// rawRepeat is the table "repeat" of the file, which makes the job a repeated one.
 type rawRepeat struct {
 	First string `toml:"first"`
 	Every string `toml:"every"`
 	Times int64  `toml:"times"`
 }
 
-// rawStep is a step of the file. Its keys are those of the schema's Step.
+// rawStep is a step of the file. Its keys have the meaning of the fields of apiv1.Step.
 type rawStep struct {
 	Tasks            *int64         `toml:"tasks"`
 	CPU              *tomlfile.Text `toml:"cpu"`
@@ -49,8 +49,8 @@
 	LatencyObjective string         `toml:"latency_objective"`
 }
 
-// ParseWorkflow parses the file of a job of dependent steps. Errors are Invalid
-// and name the file by name, the line and the key.
+// ParseWorkflow parses the file of a job of dependent steps. Errors are of kind Invalid,
+// refer to the file as name, and name the line and the key.
 func ParseWorkflow(name string, data []byte) (*apiv1.SubmitWorkflowRequest, error) {
 	var raw rawWorkflow
 	file, err := tomlfile.Decode(name, data, &raw)
@@ -67,11 +67,11 @@
 	case len(raw.Steps) == 0:
 		return nil, file.Errorf("step", "is missing; a job has at least one [[step]]")
 	}
-	if request.Repeat, err = r.repeat(&raw.Repeat); err != nil {
+	if request.Repeat, err = r.convertRepeat(&raw.Repeat); err != nil {
 		return nil, err
 	}
 	for i := range raw.Steps {
-		step, err := r.step(&raw.Steps[i], i)
+		step, err := r.convertStep(&raw.Steps[i], i)
 		if err != nil {
 			return nil, err
 		}
@@ -80,13 +80,13 @@
 	return request, nil
 }
 
-// workflowReader checks the parts of a rawWorkflow and converts them to the schema's
-// messages.
+// workflowReader checks the parts of a rawWorkflow and converts them to messages of the
+// API.
 type workflowReader struct{ file *tomlfile.File }
 
-// repeat converts the times of a repeated job. It returns nil for a job that isn't
-// repeated.
-func (r *workflowReader) repeat(raw *rawRepeat) (*apiv1.Repeat, error) {
+// convertRepeat checks and converts the times of a repeated job. It returns nil for a job
+// that isn't repeated.
+func (r *workflowReader) convertRepeat(raw *rawRepeat) (*apiv1.Repeat, error) {
 	if *raw == (rawRepeat{}) {
 		return nil, nil
 	}
@@ -104,8 +104,8 @@
 	return &apiv1.Repeat{FirstUnixMs: first.UnixMilli(), EveryMs: every.Milliseconds(), Times: int32(raw.Times)}, nil
 }
 
-// step checks and converts the step with the index.
-func (r *workflowReader) step(raw *rawStep, index int) (*apiv1.Step, error) {
+// convertStep checks and converts the step with the given index.
+func (r *workflowReader) convertStep(raw *rawStep, index int) (*apiv1.Step, error) {
 	key := func(name string) string { return fmt.Sprintf("step[%d].%s", index, name) }
 	step := &apiv1.Step{
 		Need: &apiv1.Resources{Accelerators: raw.Accelerators}, Gang: raw.Gang, SameRack: raw.SameRack, Label: raw.Label,
@@ -129,7 +129,7 @@
 		}
 		*count.into = int32(count.value)
 	}
-	if err := r.demandAndTimes(raw, step, key); err != nil {
+	if err := r.convertDemandAndTimes(raw, step, key); err != nil {
 		return nil, err
 	}
 	for _, prerequisite := range raw.After {
@@ -141,8 +141,10 @@
 	return step, nil
 }
 
-// demandAndTimes converts the resources that a task needs and its run times.
-func (r *workflowReader) demandAndTimes(raw *rawStep, step *apiv1.Step, key func(string) string) (err error) {
+// convertDemandAndTimes checks and converts the resources that a task of the step needs,
+// its estimated run time and its latency objective. key returns the path of a key of the
+// step.
+func (r *workflowReader) convertDemandAndTimes(raw *rawStep, step *apiv1.Step, key func(string) string) (err error) {
 	if raw.CPU != nil {
 		if step.Need.CpuMilli, err = units.ParseCores(string(*raw.CPU)); err != nil {
 			return r.file.Errorf(key("cpu"), "%v", err)
--- a/internal/jobtrace/trace_test.go
+++ b/internal/jobtrace/trace_test.go
@@ -30,11 +30,18 @@
 no line of ours
 `
 
+// sampleLines is the number of lines of sampleLog that Read returns, and lateRunStarted the
+// index, in order of time, of the first run_started line of the job late1.
+const (
+	sampleLines    = 17
+	lateRunStarted = 7
+)
+
 // explainSample returns the trace of a job from sampleLog.
 func explainSample(t *testing.T, job string) Trace {
 	lines, err := Read(strings.NewReader(sampleLog))
 	must.NoError(t, err)
-	must.SliceLen(t, 17, lines)
+	must.SliceLen(t, sampleLines, lines)
 	must.Eq(t, "tenure", lines[0].Event)
 	return Explain(lines, job)
 }
@@ -97,8 +104,8 @@
 		"meanwhile up to 90 tasks waited for 36 workers (kept back: 2: the worker leaves)", Explain(lines, "b").Outcome)
 }
 
-// A gang waits first behind gangs with reserved resources and then for free
-// resources. The trace must show both times with their reasons.
+// A gang first waits behind gangs with reserved resources and then for free resources. The
+// trace must show both durations with their reasons.
 func TestSpansOfGangWaitingForTwoReasons(t *testing.T) {
 	lines, err := Read(strings.NewReader(`
 ts=2026-07-06T09:00:00.000Z instance=core-1 event=submit job=g outcome=accepted
@@ -135,6 +142,6 @@
 	lines, err := Read(strings.NewReader(sampleLog))
 	must.NoError(t, err)
 	events := Events(lines)
-	must.Eq(t, []string{"late1", "i-1"}, events[7].Subjects)
-	must.Eq(t, "task=late1/0/0/0 run=1 worker=i-1", events[7].Detail)
+	must.Eq(t, []string{"late1", "i-1"}, events[lateRunStarted].Subjects)
+	must.Eq(t, "task=late1/0/0/0 run=1 worker=i-1", events[lateRunStarted].Detail)
 }
--- a/internal/measure/fit.go
+++ b/internal/measure/fit.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Class is a kind of process for capacity planning.
+// Class is a group of processes with the same load, for capacity planning.
 type Class string
 
 // Classes of processes.
@@ -25,7 +25,7 @@
 	ClassConfigReader Class = "configuration reader"
 )
 
-// Names in the roles and process names of daemons.
+// Names of logs and roles in Usage.Roles, and the end of the Usage.Name of an entry process.
 const (
 	configurationLog = "configuration"
 	cellLogPrefix    = "cell."
@@ -80,8 +80,9 @@
 	"peers.*.BytesSent", "peers.*.BytesReceived",
 }
 
-// Measurement holds the usages of all processes at one load size.
+// Measurement holds the usages of all processes at one size of the load.
 type Measurement struct {
+	// Size is the size of the load, in a unit that the caller of WriteFit chooses.
 	Size   float64
 	Usages []Usage
 }
@@ -107,7 +108,7 @@
 	return line
 }
 
-// quantity is a value that is measured for each process.
+// quantity is a measured value of a process. name includes its unit.
 type quantity struct {
 	name  string
 	value func(Usage) float64
@@ -119,17 +120,20 @@
 	{"socket B/s", Usage.SocketBytes},
 }
 
+// otherColumns is the number of columns of a fit table besides those of the measurements.
+const otherColumns = 5
+
 // WriteFit writes a Markdown table with a row for each class of processes and each
 // quantity: the mean and largest value at each size and the line fitted to the means.
 func WriteFit(w io.Writer, measurements []Measurement, class func(Usage) Class) error {
 	slices.SortFunc(measurements, func(a, b Measurement) int { return cmp.Compare(a.Size, b.Size) })
 	table := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	fmt.Fprintf(table, "| process\t| quantity\t")
-	for _, s := range measurements {
-		fmt.Fprintf(table, "| at %g: mean (largest)\t", s.Size)
+	for _, m := range measurements {
+		fmt.Fprintf(table, "| at %g: mean (largest)\t", m.Size)
 	}
 	fmt.Fprintf(table, "| at 0\t| slope\t| largest residual\t|\n")
-	fmt.Fprintln(table, strings.Repeat("|---\t", len(measurements)+5)+"|")
+	fmt.Fprintln(table, strings.Repeat("|---\t", len(measurements)+otherColumns)+"|")
 	for _, c := range classes(measurements, class) {
 		for _, q := range quantities {
 			writeFitRow(table, measurements, c, class, q)
@@ -141,8 +145,8 @@
 // classes returns the classes of all measured processes, sorted.
 func classes(measurements []Measurement, class func(Usage) Class) []Class {
 	var found []Class
-	for _, s := range measurements {
-		for _, u := range s.Usages {
+	for _, m := range measurements {
+		for _, u := range m.Usages {
 			if c := class(u); !slices.Contains(found, c) {
 				found = append(found, c)
 			}
@@ -156,9 +160,9 @@
 func writeFitRow(w io.Writer, measurements []Measurement, c Class, class func(Usage) Class, q quantity) {
 	var x, y []float64
 	fmt.Fprintf(w, "| %s\t| %s\t", c, q.name)
-	for _, s := range measurements {
+	for _, m := range measurements {
 		var values []float64
-		for _, u := range s.Usages {
+		for _, u := range m.Usages {
 			if class(u) == c {
 				values = append(values, q.value(u))
 			}
@@ -167,7 +171,7 @@
 			fmt.Fprintf(w, "| -\t")
 			continue
 		}
-		x, y = append(x, s.Size), append(y, stat.Mean(values, nil))
+		x, y = append(x, m.Size), append(y, stat.Mean(values, nil))
 		fmt.Fprintf(w, "| %.2f (%.2f)\t", stat.Mean(values, nil), slices.Max(values))
 	}
 	line := FitLine(x, y)
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -14,10 +14,10 @@
 )
 
 func TestRunMeasuresOwnProcess(t *testing.T) {
-	count := 0
+	requests := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		count++
-		_, _ = w.Write([]byte(`{"calls": ` + strings.Repeat("1", count) + `, "peers": {"a": {"sent": ` + strconv.Itoa(count) + `}, "b": {"sent": 5}, "c": 1}, "name": "x"}`))
+		requests++
+		_, _ = w.Write([]byte(`{"calls": ` + strings.Repeat("1", requests) + `, "peers": {"a": {"sent": ` + strconv.Itoa(requests) + `}, "b": {"sent": 5}, "c": 1}, "name": "x"}`))
 	}))
 	t.Cleanup(server.Close)
 	usages, err := Run(t.Context(), Config{
@@ -38,9 +38,8 @@
 	must.StrContains(t, text.String(), "peers.*.sent/s")
 }
 
-// On a busy machine the first sample takes longer than the whole measurement. If
-// Run ended after it, all rates would be zero and a busy process would be reported
-// as idle.
+// On a busy machine the first sample takes longer than the whole measurement. If Run ended
+// after that sample, all rates would be zero and a busy process would be reported as idle.
 func TestRunTakesTwoSamplesWhenFirstIsSlow(t *testing.T) {
 	usages, err := Run(t.Context(), Config{
 		Targets:  []Target{{Name: "self", PID: os.Getpid()}},
--- a/internal/peer/mux.go
+++ b/internal/peer/mux.go
@@ -9,8 +9,8 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-// PayloadHandler processes a payload of a group. It must not block. A payload that it
-// returns an error for counts as refused.
+// PayloadHandler processes a payload of a group, sent by the instance with the ID from. It
+// must not block. If it returns an error, the payload counts as refused.
 type PayloadHandler func(from string, payload []byte) error
 
 // Mux passes received payloads to the handlers of their groups. A daemon embeds it in
@@ -24,6 +24,7 @@
 	groups     map[string]PayloadHandler
 	sequencers map[string]*sequencer
 
+	// received and refused are the results of Counters.
 	received, refused atomic.Uint64
 }
 
@@ -34,21 +35,22 @@
 
 // Register sets the handler of a group and replaces an earlier one; nil removes the
 // group.
-func (m *Mux) Register(group string, handle PayloadHandler) {
+func (m *Mux) Register(group string, handler PayloadHandler) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if handle == nil {
+	if handler == nil {
 		delete(m.groups, group)
 		return
 	}
-	m.groups[group] = handle
+	m.groups[group] = handler
 }
 
-// Exchange accepts the payloads of one call and passes them on in the order of the
-// sender's calls where possible; it may return before they are passed on. The error is
-// Invalid if the call has another format version or is meant for another instance, as
-// happens when a new instance gets the address of an old one. Payloads of unknown
-// groups and those that a handler refuses are counted and dropped.
+// Exchange accepts the payloads of one call and passes them to the handlers of their
+// groups, in the order of the sender's calls where possible. It may return before the
+// handlers are called. The error is of kind Invalid if the call has another format version
+// or is meant for another instance, as happens when a new instance gets the address of an
+// old one. Payloads of unknown groups and those that a handler refuses are counted and
+// dropped.
 func (m *Mux) Exchange(_ context.Context, r *apiv1.ExchangeRequest) (*apiv1.ExchangeResponse, error) {
 	if r.FormatVersion != FormatVersion {
 		return nil, fault.Field("format_version", "%d, this program supports %d", r.FormatVersion, FormatVersion)
@@ -64,7 +66,7 @@
 	return &apiv1.ExchangeResponse{}, nil
 }
 
-// sequencerOf returns the sequencer of a sender's calls.
+// sequencerOf returns the sequencer for the calls of a sender, and creates it if needed.
 func (m *Mux) sequencerOf(from string) *sequencer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -99,10 +101,10 @@
 // deliverGroup passes payloads to the handler of their group.
 func (m *Mux) deliverGroup(from string, g *apiv1.GroupMessages) {
 	m.mu.RLock()
-	handle := m.groups[g.Group]
+	handler := m.groups[g.Group]
 	m.mu.RUnlock()
 	for _, payload := range g.Messages {
-		if handle == nil || handle(from, payload) != nil {
+		if handler == nil || handler(from, payload) != nil {
 			m.refused.Add(1)
 			continue
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -35,7 +35,7 @@
 	requests int
 }
 
-// service implements apiv1.Peer with a Mux, as a daemon does.
+// service implements apiv1.Peer with the Mux of an instance, as a daemon does.
 type service struct {
 	apiv1.Peer
 	*instance
@@ -95,10 +95,14 @@
 	return append([]string(nil), i.payloads...)
 }
 
-func eventually(t *testing.T, what string, condition func() bool) {
+// eventuallyTimeout bounds the wait for a condition.
+const eventuallyTimeout = 30 * time.Second
+
+// eventually waits until condition holds; awaited names the condition in the error.
+func eventually(t *testing.T, awaited string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); !condition(); time.Sleep(time.Millisecond) {
-		must.True(t, time.Now().Before(end), must.Sprint("timed out waiting for: "+what))
+	for end := time.Now().Add(eventuallyTimeout); !condition(); time.Sleep(time.Millisecond) {
+		must.True(t, time.Now().Before(end), must.Sprint("timed out waiting for: "+awaited))
 	}
 }
 
@@ -111,7 +115,7 @@
 	a.Send("log", "b", []byte("2"))
 	eventually(t, "both payloads", func() bool { return len(b.delivered()) == 2 })
 	must.Eq(t, []string{"a:1", "a:2"}, b.delivered())
-	eventually(t, "the answer", func() bool { return a.Stats()["b"].Payloads == 3 })
+	eventually(t, "the response", func() bool { return a.Stats()["b"].Payloads == 3 })
 	received, refused := b.mux.Counters()
 	must.Eq(t, 2, received)
 	must.Eq(t, 1, refused)
@@ -126,8 +130,11 @@
 	})
 }
 
-// A peer answers slowly. Payloads that are queued meanwhile must share one call; with
-// one call each, a slow peer would cost more than a fast one.
+// queuedPayloads is the number of payloads sent while a peer's response is awaited.
+const queuedPayloads = 100
+
+// A peer responds slowly. Payloads that are queued meanwhile must share one call. With one
+// call each, a slow peer would cost more than a fast one.
 func TestQueuedPayloadsShareOneCall(t *testing.T) {
 	a, b := newInstance(t, "a", Config{}), newInstance(t, "b", Config{})
 	release, entered := make(chan struct{}), make(chan struct{}, 100)
@@ -140,19 +147,19 @@
 		a.Send("log", "b", []byte("first"))
 		<-entered
 	}
-	for range 100 {
+	for range queuedPayloads {
 		a.Send("log", "b", []byte("more"))
-		// Leaves time for a surplus call to start; the assertions don't depend on it.
+		// The pause gives a surplus call time to start; the assertions don't depend on it.
 		time.Sleep(100 * time.Microsecond)
 	}
 	close(release)
-	eventually(t, "all payloads", func() bool { return len(b.delivered()) == maxCalls+100 })
+	eventually(t, "all payloads", func() bool { return len(b.delivered()) == maxCalls+queuedPayloads })
 	must.Eq(t, maxCalls+1, b.requests)
 }
 
-// A peer vanishes with several calls in flight. The dead connection stays open while
-// any call uses it, and a new call would go into it too. After a failure no call may
-// start until all have ended.
+// A peer vanishes with several calls in flight. Its connection stays open while any call
+// uses it, and a new call on it would be lost too. After a failure no call may start until
+// all have ended.
 func TestNoCallStartsAfterFailureUntilAllEnd(t *testing.T) {
 	a, b := newInstance(t, "a", Config{}), newInstance(t, "b", Config{})
 	entered, fail, finish := make(chan int, 100), make(chan struct{}), make(chan struct{})
@@ -176,7 +183,7 @@
 	close(fail)
 	eventually(t, "the failure", func() bool { return a.Stats()["b"].Failures == 1 })
 	a.Send("log", "b", []byte("waits"))
-	// Leaves time for a premature call to start; the assertions don't depend on it.
+	// The pause gives a premature call time to start; the assertions don't depend on it.
 	time.Sleep(3 * minBackoff)
 	close(finish)
 	must.Eq(t, 3, <-entered)
@@ -184,8 +191,8 @@
 	must.Eq(t, 2, a.Stats()["b"].Dials)
 }
 
-// A peer is unreachable for a long time. The queue must stay bounded and drop the
-// oldest payloads first, which the logs no longer need.
+// A peer is unreachable for a long time. The queue must stay bounded. It must drop the
+// oldest payloads first, because the logs no longer need them.
 func TestFullQueueDropsTheOldest(t *testing.T) {
 	l := newPeerLink(Config{}, "b")
 	for i := range maxQueuePayloads + 3 {
@@ -220,6 +227,8 @@
 	})
 }
 
+// A test simulates a partition at one instance only. Payloads must be dropped whether the
+// sender or the receiver is the one that blocks its peer.
 func TestBlockedPeerIsBlockedBothWays(t *testing.T) {
 	a, b := newInstance(t, "a", Config{}), newInstance(t, "b", Config{})
 	a.SetPeer("b", b.address())
@@ -254,16 +263,18 @@
 	must.SliceEmpty(t, b.delivered())
 }
 
+// fixedClock is a Clock with a constant timestamp. It sends the sum of the wall time and the
+// counter of each observed timestamp to observed.
 type fixedClock struct{ observed chan int64 }
 
-func (s fixedClock) Timestamp() (int64, uint32) { return 1234, 5 }
+func (c fixedClock) Timestamp() (int64, uint32) { return 1234, 5 }
 
-func (s fixedClock) Observe(wallMS int64, logical uint32) { s.observed <- wallMS + int64(logical) }
+func (c fixedClock) Observe(wallMS int64, logical uint32) { c.observed <- wallMS + int64(logical) }
 
 func TestTimestampsAreExchanged(t *testing.T) {
-	s := fixedClock{make(chan int64, 1)}
-	a, b := newInstance(t, "a", Config{Clock: s}), newInstance(t, "b", Config{Clock: s})
+	clock := fixedClock{make(chan int64, 1)}
+	a, b := newInstance(t, "a", Config{Clock: clock}), newInstance(t, "b", Config{Clock: clock})
 	a.SetPeer("b", b.address())
 	a.Send("log", "b", []byte("1"))
-	must.Eq(t, 1239, <-s.observed)
+	must.Eq(t, 1239, <-clock.observed)
 }
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,4 +1,4 @@
-// Package rpc holds what all daemons use to serve and make Twirp calls: HTTP/2 without
+// Package rpc provides what all daemons use to serve and make Twirp calls: HTTP/2 without
 // TLS on persistent connections, bearer tokens, limits on request bodies, and the
 // conversion of errors to the kinds of package fault.
 package rpc
@@ -23,8 +23,9 @@
 	idleTimeout   = 2 * time.Minute
 	// DialTimeout bounds the opening of a connection.
 	DialTimeout = time.Second
-	// pingAfter is how long a connection may receive nothing before it is probed, so
-	// that a partitioned peer is detected while a call is held.
+	// pingAfter is how long a connection may receive nothing before a ping is sent, so
+	// that a partition is detected while a call waits for its response. Without a response
+	// to the ping within pingTimeout, the connection is closed.
 	pingAfter   = 4 * time.Second
 	pingTimeout = 2 * time.Second
 )
@@ -67,20 +68,21 @@
 	Bearer string
 }
 
-// CallerOf returns the caller of the call that is served under ctx.
+// CallerOf returns the caller of the call that is served under ctx, or the zero Caller if
+// ctx has none.
 func CallerOf(ctx context.Context) Caller {
 	caller, _ := ctx.Value(callerKey{}).(Caller)
 	return caller
 }
 
-// WithCaller returns a context for serving a call of a caller.
+// WithCaller returns a context for serving a call of the caller.
 func WithCaller(ctx context.Context, caller Caller) context.Context {
 	return context.WithValue(ctx, callerKey{}, caller)
 }
 
-// Authenticate passes requests with a known token to next, and refuses others. It
-// limits the request body to maxBody bytes.
-func Authenticate(tokens *settings.TokenSet, maxBody int64, next http.Handler) http.Handler {
+// Authenticate returns a handler that passes requests with a known bearer token to next,
+// with their caller, and refuses others. It limits the request body to maxBodyBytes.
+func Authenticate(tokens *settings.TokenSet, maxBodyBytes int64, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		bearer := r.Header.Get("Authorization")
 		identity, err := tokens.Authenticate(bearer)
@@ -88,11 +90,11 @@
 			_ = twirp.WriteError(w, fault.ToTwirp(err))
 			return
 		}
-		if r.ContentLength > maxBody {
-			_ = twirp.WriteError(w, fault.ToTwirp(fault.Field("body", "%d bytes, the limit is %d", r.ContentLength, maxBody)))
+		if r.ContentLength > maxBodyBytes {
+			_ = twirp.WriteError(w, fault.ToTwirp(fault.Field("body", "%d bytes, the limit is %d", r.ContentLength, maxBodyBytes)))
 			return
 		}
-		r.Body = http.MaxBytesReader(w, r.Body, maxBody)
+		r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
 		ctx := WithCaller(r.Context(), Caller{Identity: identity, Bearer: bearer})
 		next.ServeHTTP(w, r.WithContext(ctx))
 	})
@@ -112,8 +114,8 @@
 	return twirp.WithHTTPRequestHeaders(ctx, header)
 }
 
-// Require returns the caller. The error is of kind Denied unless the caller has one of
-// the roles.
+// Require returns the caller of the call that is served under ctx. The error is of kind
+// Denied unless the caller has one of the roles.
 func Require(ctx context.Context, roles ...settings.Role) (Caller, error) {
 	caller := CallerOf(ctx)
 	for _, role := range roles {
@@ -134,7 +136,7 @@
 				return response, nil
 			}
 			if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled) {
-				err = fault.New(fault.Unavailable, "no answer within the time of the call; its outcome is unknown")
+				err = fault.New(fault.Unavailable, "no response before the call ended; its outcome is unknown")
 			}
 			return nil, fault.ToTwirp(err)
 		}
@@ -177,9 +179,9 @@
 // LeaderOf returns the leader that an error names, and whether the error says that the
 // call reached an instance that isn't the leader and did nothing.
 func LeaderOf(err error) (Leader, bool) {
-	var te twirp.Error
-	if !errors.As(err, &te) {
+	var twirpError twirp.Error
+	if !errors.As(err, &twirpError) {
 		return Leader{}, false
 	}
-	return Leader{ID: te.Meta(leaderMeta), Address: te.Meta(leaderAddressMeta)}, te.Msg() == notLeaderMessage
+	return Leader{ID: twirpError.Meta(leaderMeta), Address: twirpError.Meta(leaderAddressMeta)}, twirpError.Msg() == notLeaderMessage
 }
--- a/internal/settings/print.go
+++ b/internal/settings/print.go
@@ -9,9 +9,9 @@
 	"strings"
 )
 
-// Print writes all effective settings as TOML. Those of instances, limits, timing
-// and log carry their default in a comment. Parsing the output gives the same
-// settings. Print names the token files but doesn't read them.
+// Print writes all effective settings as TOML. Keys of instances, limits, timing and log
+// are followed by a comment with their default. Parsing the output gives the same settings.
+// Print writes the paths of the token files but doesn't read them.
 func (s *Settings) Print(w io.Writer) error {
 	out := bufio.NewWriter(w)
 	fmt.Fprintf(out, "deployment = %s\n", quote(s.Deployment))
@@ -81,6 +81,9 @@
 	}
 }
 
+// asciiDelete is the only ASCII control character above the space.
+const asciiDelete = 0x7f
+
 // quote returns text as a TOML basic string, in which control characters must be
 // escaped.
 func quote(text string) string {
@@ -91,7 +94,7 @@
 		case r == '"' || r == '\\':
 			b.WriteByte('\\')
 			b.WriteRune(r)
-		case r < ' ' || r == 0x7f:
+		case r < ' ' || r == asciiDelete:
 			fmt.Fprintf(&b, "\\u%04X", r)
 		default:
 			b.WriteRune(r)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -87,33 +87,36 @@
 	must.Eq(t, first.String(), second.String())
 }
 
-// The message alone must let an operator correct a settings file: it must name
-// the line and the key and say what is wrong.
+// cutBytes is how much of a half-written file is missing.
+const cutBytes = 20
+
+// An operator must be able to correct a settings file by the error message alone. It must
+// name the file, the line and the key and say what is wrong.
 func TestParseRejectsMistakes(t *testing.T) {
-	good := deploymentTOML(3)
+	valid := deploymentTOML(3)
 	cases := []struct{ name, text, field, message string }{
-		{"unknown key", good + "[timing]\nheartbeet = \"1s\"\n", "timing.heartbeet", `line 71: unknown key; did you mean "heartbeat"?`},
-		{"unknown key of one instance", strings.Replace(good, "entry_admin", "entry_admni", 1), "instance.entry_admni", `line 6: unknown key; did you mean "entry_admin"?`},
-		{"wrong case", strings.Replace(good, "deployment", "Deployment", 1), "Deployment", `did you mean "deployment"?`},
-		{"key of another table", good + "[limits]\nheartbeat = \"1s\"\n", "limits.heartbeat", `did you mean "timing.heartbeat"?`},
-		{"no unit", good + "[timing]\ntick = 50\n", "timing.tick", `line 71: "50" isn't a duration with a unit`},
-		{"wrong unit", good + "[limits]\nbody = \"1ms\"\n", "limits.body", `line 71: "1ms" isn't a size with a unit`},
-		{"wrong type", good + "[limits]\nqueue = \"20k\"\n", "", `line 71`},
+		{"unknown key", valid + "[timing]\nheartbeet = \"1s\"\n", "timing.heartbeet", `line 71: unknown key; did you mean "heartbeat"?`},
+		{"unknown key of one instance", strings.Replace(valid, "entry_admin", "entry_admni", 1), "instance.entry_admni", `line 6: unknown key; did you mean "entry_admin"?`},
+		{"wrong case", strings.Replace(valid, "deployment", "Deployment", 1), "Deployment", `did you mean "deployment"?`},
+		{"key of another table", valid + "[limits]\nheartbeat = \"1s\"\n", "limits.heartbeat", `did you mean "timing.heartbeat"?`},
+		{"no unit", valid + "[timing]\ntick = 50\n", "timing.tick", `line 71: "50" isn't a duration with a unit`},
+		{"wrong unit", valid + "[limits]\nbody = \"1ms\"\n", "limits.body", `line 71: "1ms" isn't a size with a unit`},
+		{"wrong type", valid + "[limits]\nqueue = \"20k\"\n", "", `line 71`},
 		{"not TOML", "deployment = \n", "deployment", "line 1"},
-		{"duplicate key", good + "[log]\nlevel = \"info\"\nlevel = \"info\"\n", "", "line 72: Key 'log.level' has already been defined"},
-		{"half-written file", good[:len(good)-20], "", "line"},
-		{"duplicate id", strings.Replace(good, "dc1-0", "dc0-0", 1), "instance[3].id", `line 23: "dc0-0" is already the id of instance[0]`},
-		{"duplicate address", strings.Replace(good, "10.0.1.1:7400", "10.0.0.1:7402", 1), "instance[3].entry", "is already instance[0].cell"},
-		{"host name", strings.Replace(good, "10.0.0.1:7400", "localhost:7400", 1), "instance[0].entry", "isn't an IP address with a port"},
-		{"every address", strings.Replace(good, "10.0.0.1:7400", "0.0.0.0:7400", 1), "instance[0].entry", "can't be dialled"},
-		{"path as id", strings.Replace(good, "dc0-0", "../etc", 1), "instance[0].id", "isn't a name"},
-		{"short election", good + "[timing]\nelection = \"1s\"\n", "timing.election", "must be longer than twice timing.heartbeat"},
-		{"lease below hold", good + "[timing]\nworker_lease = \"3s\"\n", "timing.worker_lease", "must be longer than twice timing.renew_hold and a second"},
-		{"negative", good + "[timing]\ndrift = \"-1s\"\n", "timing.drift", "is negative"},
-		{"unknown level", good + "[log]\nlevel = \"loud\"\n", "log.level", "is none of"},
-		{"voter majority", strings.ReplaceAll(good, "cell = \"10.0.0.", "config_voter = true\ncell = \"10.0.0."), "config_voter", ""},
-		{"no tokens", strings.Replace(good, "peer_file = \"pr\"\n", "", 1), "tokens.peer_file", "the token file is missing"},
-		{"customer twice", good + "[[tokens.customer]]\nname = \"rackwise\"\nfile = \"x\"\n", "tokens.customer[1].name", "named twice"},
+		{"duplicate key", valid + "[log]\nlevel = \"info\"\nlevel = \"info\"\n", "", "line 72: Key 'log.level' has already been defined"},
+		{"half-written file", valid[:len(valid)-cutBytes], "", "line"},
+		{"duplicate id", strings.Replace(valid, "dc1-0", "dc0-0", 1), "instance[3].id", `line 23: "dc0-0" is already the id of instance[0]`},
+		{"duplicate address", strings.Replace(valid, "10.0.1.1:7400", "10.0.0.1:7402", 1), "instance[3].entry", "is already instance[0].cell"},
+		{"host name", strings.Replace(valid, "10.0.0.1:7400", "localhost:7400", 1), "instance[0].entry", "isn't an IP address with a port"},
+		{"every address", strings.Replace(valid, "10.0.0.1:7400", "0.0.0.0:7400", 1), "instance[0].entry", "can't be dialled"},
+		{"path as id", strings.Replace(valid, "dc0-0", "../etc", 1), "instance[0].id", "isn't a name"},
+		{"short election", valid + "[timing]\nelection = \"1s\"\n", "timing.election", "must be longer than twice timing.heartbeat"},
+		{"lease below hold", valid + "[timing]\nworker_lease = \"3s\"\n", "timing.worker_lease", "must be longer than twice timing.renew_hold and a second"},
+		{"negative", valid + "[timing]\ndrift = \"-1s\"\n", "timing.drift", "is negative"},
+		{"unknown level", valid + "[log]\nlevel = \"loud\"\n", "log.level", "is none of"},
+		{"voter majority", strings.ReplaceAll(valid, "cell = \"10.0.0.", "config_voter = true\ncell = \"10.0.0."), "config_voter", ""},
+		{"no tokens", strings.Replace(valid, "peer_file = \"pr\"\n", "", 1), "tokens.peer_file", "the token file is missing"},
+		{"customer twice", valid + "[[tokens.customer]]\nname = \"rackwise\"\nfile = \"x\"\n", "tokens.customer[1].name", "named twice"},
 		{"deep nesting", "a = " + strings.Repeat("[", 100_000), "", "nest deeper"},
 	}
 	for _, c := range cases {
@@ -132,6 +135,8 @@
 	}
 }
 
+// A data centre with the majority of the configuration voters is lost, and the
+// configuration can't be changed any more. Such settings must be rejected.
 func TestNoDataCentreHoldsConfigMajority(t *testing.T) {
 	text := strings.Replace(deploymentTOML(3), "id = \"dc0-1\"\n", "id = \"dc0-1\"\nconfig_voter = true\n", 1)
 	_, err := Parse("x", []byte(text), "/")
@@ -141,6 +146,8 @@
 	must.ErrorContains(t, err, "no single one may hold a majority")
 }
 
+// Witnesses in other data centres are the majority of a log's voters. When the data centre
+// is partitioned from the others, it can't commit. Such settings must be rejected.
 func TestWitnessesAreAMinority(t *testing.T) {
 	text := deploymentTOML(2)
 	text = strings.Replace(text, "cell = \"10.0.0.3:7402\"\n", "", 1)
@@ -157,7 +164,7 @@
 	must.ErrorContains(t, err, "partitioned from the others, it could commit nothing")
 }
 
-func TestLoadRejectsBadFiles(t *testing.T) {
+func TestLoadRejectsInvalidFiles(t *testing.T) {
 	for name, content := range map[string]string{"empty": " \n", "two lines": "a\nb\n", "same": "secret-cu"} {
 		t.Run(name, func(t *testing.T) {
 			path := writeDeployment(t, deploymentTOML(3))
@@ -173,6 +180,8 @@
 	must.ErrorContains(t, err, "isn't a regular file")
 }
 
+// Any text must either be rejected with an error of kind Invalid on one line or give
+// settings that Print writes in a form that Parse accepts.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(deploymentTOML(1)))
 	f.Add([]byte("deployment = \"x\"\n[timing]\ntick = \"1h\"\n"))
--- a/internal/tomlfile/nearest.go
+++ b/internal/tomlfile/nearest.go
@@ -5,12 +5,13 @@
 	"strings"
 )
 
-// hint suggests a known key for an unknown one: the nearest key of the same table
-// or else of the whole file. Without a near key it lists the keys of the table.
-func hint(path string, known map[string]bool) string {
+// suggestKey returns a text that suggests a known key for an unknown one: the nearest key
+// of the same table, or else of the whole file, or else a key of the same name in another
+// table. Without any of these, it lists the known keys of the table.
+func suggestKey(path string, known map[string]bool) string {
 	parent := parentPath(path)
 	siblings := keysOf(parent, known)
-	if near := nearest(lastPart(path), siblings); near != "" {
+	if near := nearest(keyName(path), siblings); near != "" {
 		return `did you mean "` + near + `"?`
 	}
 	all := make([]string, 0, len(known))
@@ -22,7 +23,7 @@
 		return `did you mean "` + near + `"?`
 	}
 	for _, key := range all {
-		if lastPart(key) == lastPart(path) {
+		if keyName(key) == keyName(path) {
 			return `did you mean "` + key + `"?`
 		}
 	}
@@ -37,15 +38,15 @@
 	var keys []string
 	for key := range known {
 		if parentPath(key) == table {
-			keys = append(keys, lastPart(key))
+			keys = append(keys, keyName(key))
 		}
 	}
 	slices.Sort(keys)
 	return keys
 }
 
-// lastPart returns the name of a key without its table.
-func lastPart(path string) string {
+// keyName returns the name of a key without its table.
+func keyName(path string) string {
 	return path[strings.LastIndexByte(path, '.')+1:]
 }
 
@@ -53,9 +54,16 @@
 // quadratic time and the word comes from a user.
 const maxComparedBytes = 64
 
-// Nearest returns the word of a list with the smallest edit distance to a mistyped
-// word. It returns "" when that takes more than three edits or edits of more than a
-// third of the word; one edit is always allowed.
+// Bounds on the edits from a mistyped word to the nearest one: maxEdits, and one edit for
+// each bytesPerEdit bytes of the word.
+const (
+	maxEdits     = 3
+	bytesPerEdit = 3
+)
+
+// Nearest returns the one of words with the smallest edit distance to a mistyped word. It
+// returns "" when the distance is more than three edits or a third of the word's length;
+// one edit is always allowed.
 func Nearest(word string, words []string) string { return nearest(word, words) }
 
 // nearest implements Nearest.
@@ -63,7 +71,7 @@
 	if len(word) > maxComparedBytes {
 		return ""
 	}
-	best, bestDistance := "", 1+max(1, min(3, len(word)/3))
+	best, bestDistance := "", 1+max(1, min(maxEdits, len(word)/bytesPerEdit))
 	for _, candidate := range words {
 		d := editDistance(strings.ToLower(word), candidate)
 		if d < bestDistance {
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -31,24 +31,30 @@
 	must.Error(t, err)
 }
 
-// A text of 60 KB with one key of 30,000 dots, or with thousands of nested
-// brackets, makes the TOML library exhaust memory or stack, and the daemon dies.
-// Such text must be rejected before the library decodes it. Dots and brackets
-// within strings and comments must be accepted.
+// Bounds on the error for a rejected text and on the memory allocated for it, in bytes.
+const (
+	maxErrorBytes     = 1000
+	maxAllocatedBytes = 64 << 20
+)
+
+// A text of 60 KB with one key of 30,000 dots, or with thousands of nested brackets, makes
+// the TOML library exhaust the memory or the stack, and the daemon exits. Such text must be
+// rejected before the library decodes it. Dots and brackets within strings and comments
+// must be accepted.
 func TestExcessiveNestingIsRejected(t *testing.T) {
-	const n = 30_000
+	const repetitions = 30_000
 	rejected := map[string]string{
-		"dots":      "a" + strings.Repeat(".a", n) + "=1",
-		"spaced":    "a" + strings.Repeat(" . a", n) + "=1",
-		"quoted":    "a" + strings.Repeat(".\"a\"", n) + "=1",
-		"header":    "[a" + strings.Repeat(".a", n) + "]",
-		"array":     "[[a" + strings.Repeat(".a", n) + "]]",
-		"inline":    "x = {a" + strings.Repeat(".a", n) + "=1}",
-		"brackets":  "x = " + strings.Repeat("[", n),
-		"braces":    strings.Repeat("a={", n),
-		"after str": "x = \"\"\"a\"\"\"\"\"\ny" + strings.Repeat(".y", n) + "=1",
-		"digits":    "x = " + strings.Repeat("1", n),
-		"key":       strings.Repeat("k", n) + " = 1",
+		"dots":      "a" + strings.Repeat(".a", repetitions) + "=1",
+		"spaced":    "a" + strings.Repeat(" . a", repetitions) + "=1",
+		"quoted":    "a" + strings.Repeat(".\"a\"", repetitions) + "=1",
+		"header":    "[a" + strings.Repeat(".a", repetitions) + "]",
+		"array":     "[[a" + strings.Repeat(".a", repetitions) + "]]",
+		"inline":    "x = {a" + strings.Repeat(".a", repetitions) + "=1}",
+		"brackets":  "x = " + strings.Repeat("[", repetitions),
+		"braces":    strings.Repeat("a={", repetitions),
+		"after str": "x = \"\"\"a\"\"\"\"\"\ny" + strings.Repeat(".y", repetitions) + "=1",
+		"digits":    "x = " + strings.Repeat("1", repetitions),
+		"key":       strings.Repeat("k", repetitions) + " = 1",
 	}
 	for name, text := range rejected {
 		t.Run(name, func(t *testing.T) {
@@ -57,8 +63,8 @@
 			_, err := Decode("nested", []byte(text), &sample{})
 			runtime.ReadMemStats(&after)
 			must.True(t, fault.Is(err, fault.Invalid))
-			must.Less(t, 1000, len(err.Error()))
-			must.Less(t, 64<<20, after.TotalAlloc-before.TotalAlloc)
+			must.Less(t, maxErrorBytes, len(err.Error()))
+			must.Less(t, maxAllocatedBytes, after.TotalAlloc-before.TotalAlloc)
 		})
 	}
 	dots := strings.Repeat(".[", 100)
@@ -76,7 +82,7 @@
 	must.ErrorContains(t, err, "too many")
 }
 
-func TestNearest(t *testing.T) {
+func TestNearestFindsSimilarWord(t *testing.T) {
 	words := []string{"deadline", "payload", "policy"}
 	for word, want := range map[string]string{"dedline": "deadline", "Policy": "policy", "apyload": "payload", "xyz": "", "": "", strings.Repeat("p", 999): ""} {
 		must.Eq(t, want, Nearest(word, words))
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -1,6 +1,6 @@
-// Package units parses and formats the quantities in files and flags: time spans,
-// sizes in bytes and processor amounts. It rejects a number without a unit where
-// the unit would be ambiguous.
+// Package units parses and formats the quantities in files and flags: time spans, sizes in
+// bytes and numbers of processor cores. It rejects a number without a unit where the unit
+// would be ambiguous.
 package units
 
 import (
@@ -30,6 +30,9 @@
 	maxCores = 1_000_000
 )
 
+// int64Bits is the bit size for strconv.ParseUint whose results fit into an int64.
+const int64Bits = 63
+
 // sizeUnit is a suffix of sizes with its number of bytes.
 type sizeUnit struct {
 	suffix string
@@ -54,26 +57,27 @@
 	return d, nil
 }
 
-// ParseSize parses a size such as "64KiB" and returns bytes.
+// ParseSize parses a size such as "64KiB" and returns it in bytes. It returns an error for
+// a size without a unit, with a sign or with a fraction.
 func ParseSize(text string) (int64, error) {
 	for _, unit := range sizeUnits {
 		digits, ok := strings.CutSuffix(text, unit.suffix)
 		if !ok {
 			continue
 		}
-		n, err := strconv.ParseUint(digits, 10, 63)
+		n, err := strconv.ParseUint(digits, 10, int64Bits)
 		if err != nil {
-			return 0, badSize(text)
+			return 0, sizeFormatError(text)
 		}
 		if n > uint64(math.MaxInt64/unit.bytes) {
 			return 0, errors.Newf("%q is too large", shorten(text))
 		}
 		return int64(n) * unit.bytes, nil
 	}
-	return 0, badSize(text)
+	return 0, sizeFormatError(text)
 }
 
-func badSize(text string) error {
+func sizeFormatError(text string) error {
 	return errors.Newf("%q isn't a size with a unit, such as \"64KiB\", \"16MiB\" or \"4GiB\"", shorten(text))
 }
 
@@ -87,8 +91,8 @@
 	return strconv.FormatInt(bytes, 10) + "B"
 }
 
-// ParseMiB parses a size and returns MiB. It returns an error unless the size is a
-// whole number of MiB.
+// ParseMiB parses a size such as "4GiB" and returns it in MiB. It returns an error unless
+// the size is a whole number of MiB.
 func ParseMiB(text string) (int64, error) {
 	n, err := ParseSize(text)
 	if err != nil {
@@ -100,28 +104,29 @@
 	return n / MiB, nil
 }
 
-// ParseCores parses a number of cores, such as "2" or "0.5", and returns thousandths
-// of a core.
+// ParseCores parses a number of cores, such as "2" or "0.5", and returns it in thousandths
+// of a core. It returns an error for a negative number, for more than maxCores cores, and
+// for a number that isn't a whole number of thousandths.
 func ParseCores(text string) (int64, error) {
 	whole, fraction, hasPoint := strings.Cut(text, ".")
 	if len(fraction) > coreDecimals {
 		fraction = fraction[:coreDecimals] + strings.TrimRight(fraction[coreDecimals:], "0")
 	}
-	bad := errors.Newf("%q isn't a number of cores, such as \"2\" or \"0.5\"", shorten(text))
+	invalid := errors.Newf("%q isn't a number of cores, such as \"2\" or \"0.5\"", shorten(text))
 	if hasPoint && (fraction == "" || len(fraction) > coreDecimals) {
-		return 0, bad
+		return 0, invalid
 	}
-	cores, err := strconv.ParseUint(whole, 10, 63)
+	cores, err := strconv.ParseUint(whole, 10, int64Bits)
 	if err != nil {
-		return 0, bad
+		return 0, invalid
 	}
 	if cores > maxCores {
 		return 0, errors.Newf("%q is too large", shorten(text))
 	}
 	padded := fraction + strings.Repeat("0", coreDecimals-len(fraction))
-	milli, err := strconv.ParseUint(padded, 10, 63)
+	milli, err := strconv.ParseUint(padded, 10, int64Bits)
 	if err != nil {
-		return 0, bad
+		return 0, invalid
 	}
 	return int64(cores)*milliPerCore + int64(milli), nil
 }
@@ -140,13 +145,13 @@
 	return text + "." + strings.TrimRight(fraction, "0")
 }
 
-// maxQuoted bounds the bytes of an invalid value that an error repeats.
-const maxQuoted = 40
+// maxQuotedBytes bounds the part of an invalid value that an error repeats.
+const maxQuotedBytes = 40
 
-// shorten truncates a text to maxQuoted bytes.
+// shorten truncates a text to maxQuotedBytes.
 func shorten(text string) string {
-	if len(text) <= maxQuoted {
+	if len(text) <= maxQuotedBytes {
 		return text
 	}
-	return text[:maxQuoted] + "..."
+	return text[:maxQuotedBytes] + "..."
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
 // Package wire converts messages of the API to and from the types of package state, and
-// checks requests before anything is stored.
+// checks specs and request IDs before anything is stored.
 package wire
 
 import (
@@ -16,19 +16,22 @@
 	"github.com/bilberryferry/bilberryferry/routing"
 )
 
-// Bounds on the demand of one task. Larger numbers are most likely in a wrong unit.
+const msPerHour = 3600e3
+
+// Bounds on the fields of a request. A larger demand or run time is most likely in a wrong
+// unit.
 const (
-	maxCPU          = 1_000_000_000     // thousandths of a core
-	maxMemory       = 1 << 40           // MiB
-	maxAccelerators = 1_000_000         // devices
-	maxRuntime      = 366 * 24 * 3600e3 // ms
-	maxName         = 128               // bytes
-	maxRequestID    = 128               // bytes
-	maxAttempts     = 100
+	maxCPUMilli       = 1_000_000_000 // thousandths of a core
+	maxMemoryMiB      = 1 << 40
+	maxAccelerators   = 1_000_000 // devices
+	maxRuntimeMs      = 366 * 24 * msPerHour
+	maxNameBytes      = 128
+	maxRequestIDBytes = 128
+	maxAttempts       = 100
 )
 
-// CheckSpec checks a spec and converts it to the state's type. Errors are of kind
-// Invalid and name the field.
+// CheckSpec checks a spec and converts it to a state.Spec. Errors are of kind Invalid and
+// name the field.
 func CheckSpec(s *apiv1.Spec, limits settings.Limits, now time.Time) (state.Spec, error) {
 	if s == nil {
 		return state.Spec{}, fault.Field("spec", "missing")
@@ -46,12 +49,18 @@
 	}, nil
 }
 
+// Characters that a name must not contain. replacementCharacter stands for invalid UTF-8.
+const (
+	asciiDelete          = 0x7f
+	replacementCharacter = '\uFFFD'
+)
+
 func checkName(s *apiv1.Spec, _ settings.Limits, _ time.Time) error {
-	if s.Name == "" || len(s.Name) > maxName {
-		return fault.Field("name", "must have 1 to %d bytes", maxName)
+	if s.Name == "" || len(s.Name) > maxNameBytes {
+		return fault.Field("name", "must have 1 to %d bytes", maxNameBytes)
 	}
 	for _, r := range s.Name {
-		if r < ' ' || r == 0x7f || r == '\uFFFD' {
+		if r < ' ' || r == asciiDelete || r == replacementCharacter {
 			return fault.Field("name", "must be printable text")
 		}
 	}
@@ -79,10 +88,10 @@
 	switch {
 	case n == nil:
 		return fault.Field("need", "missing")
-	case n.CpuMilli <= 0 || n.CpuMilli > maxCPU:
-		return fault.Field("need.cpu_milli", "must be positive and at most %d", int64(maxCPU))
-	case n.MemoryMib <= 0 || n.MemoryMib > maxMemory:
-		return fault.Field("need.memory_mib", "must be positive and at most %d", int64(maxMemory))
+	case n.CpuMilli <= 0 || n.CpuMilli > maxCPUMilli:
+		return fault.Field("need.cpu_milli", "must be positive and at most %d", int64(maxCPUMilli))
+	case n.MemoryMib <= 0 || n.MemoryMib > maxMemoryMiB:
+		return fault.Field("need.memory_mib", "must be positive and at most %d", int64(maxMemoryMiB))
 	case n.Accelerators < 0 || n.Accelerators > maxAccelerators:
 		return fault.Field("need.accelerators", "must be 0 to %d", int64(maxAccelerators))
 	}
@@ -96,13 +105,13 @@
 		}
 		return nil
 	}
-	if s.RuntimeMs <= 0 || s.RuntimeMs > maxRuntime {
+	if s.RuntimeMs <= 0 || s.RuntimeMs > maxRuntimeMs {
 		return fault.Field("runtime_ms", "must be positive and at most a year")
 	}
 	if s.DeadlineUnixMs <= now.UnixMilli() {
 		return fault.Field("deadline_unix_ms", "must be in the future")
 	}
-	if s.DeadlineUnixMs > now.UnixMilli()+maxRuntime {
+	if s.DeadlineUnixMs > now.UnixMilli()+maxRuntimeMs {
 		return fault.Field("deadline_unix_ms", "must be within a year")
 	}
 	return nil
@@ -118,14 +127,14 @@
 // Request checks a request ID and returns it with a digest of the request's content.
 // Errors are of kind Invalid and name the field.
 func Request(id, customer string, content proto.Message) (state.Request, error) {
-	if id == "" || len(id) > maxRequestID {
-		return state.Request{}, fault.Field("request_id", "must have 1 to %d bytes", maxRequestID)
+	if id == "" || len(id) > maxRequestIDBytes {
+		return state.Request{}, fault.Field("request_id", "must have 1 to %d bytes", maxRequestIDBytes)
 	}
-	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(content)
+	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(content)
 	if err != nil {
 		return state.Request{}, fault.Field("request", "%v", err)
 	}
-	return state.Request{ID: id, Customer: customer, Digest: xxhash.Sum64(data)}, nil
+	return state.Request{ID: id, Customer: customer, Digest: xxhash.Sum64(encoded)}, nil
 }
 
 // SpecToAPI converts a spec to its API message.
@@ -137,7 +146,8 @@
 	}
 }
 
-// JobToAPI converts a job to its API message, without the payload.
+// JobToAPI converts a job to its API message, without the payload. A job that has been
+// handed over gets the data centre to which it was handed over.
 func JobToAPI(j *state.Job, dataCentre string, withTasks bool) *apiv1.Job {
 	queued, running, ended := j.Counts()
 	job := &apiv1.Job{
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -32,7 +32,7 @@
 	}{
 		{"name", func(s *apiv1.Spec) { s.Name = "" }},
 		{"name", func(s *apiv1.Spec) { s.Name = "a\x00b" }},
-		{"name", func(s *apiv1.Spec) { s.Name = strings.Repeat("n", maxName+1) }},
+		{"name", func(s *apiv1.Spec) { s.Name = strings.Repeat("n", maxNameBytes+1) }},
 		{"policy", func(s *apiv1.Spec) { s.Policy = 9 }},
 		{"tasks", func(s *apiv1.Spec) { s.Tasks = 0 }},
 		{"tasks", func(s *apiv1.Spec) { s.Tasks = -3 }},
@@ -64,6 +64,8 @@
 	must.Eq(t, "spec", fault.From(err).Field)
 }
 
+// A caller reuses a request ID for another request. The digests must differ, so that the
+// second request isn't taken for a repetition of the first.
 func TestRequestDigestDependsOnContent(t *testing.T) {
 	first, err := Request("r", "c", validSpec())
 	must.NoError(t, err)
@@ -76,8 +78,8 @@
 	must.Eq(t, "request_id", fault.From(err).Field)
 }
 
-// Any submission must either be refused as Invalid or give a spec within its bounds
-// that survives the conversion to the API and back.
+// A submission of any content must either be refused with an error of kind Invalid or give
+// a spec within its bounds that is the same after conversion to the API and back.
 func FuzzSubmit(f *testing.F) {
 	seed, err := proto.Marshal(&apiv1.SubmitRequest{RequestId: "r", Spec: validSpec()})
 	must.NoError(f, err)
