--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -98,7 +98,7 @@
 // the messages of the replication groups.
 func (c *Cell) Handler(exchange func(context.Context, *apiv1.ExchangeRequest) (*apiv1.ExchangeResponse, error)) http.Handler {
 	mux := http.NewServeMux()
-	hooks := twirp.WithServerInterceptors(rpc.Errors())
+	hooks := twirp.WithServerInterceptors(rpc.ErrorInterceptor())
 	servers := []apiv1.TwirpServer{
 		apiv1.NewSchedulerServer(c, hooks),
 		apiv1.NewOperationsServer(c, hooks),
--- a/internal/cell/operations.go
+++ b/internal/cell/operations.go
@@ -63,7 +63,7 @@
 	if _, err := rpc.Require(ctx, settings.Operator); err != nil {
 		return nil, err
 	}
-	request, err := wire.Request(r.RequestId, "", &apiv1.DrainRequest{Worker: r.Worker, Undo: r.Undo})
+	request, err := wire.CheckRequest(r.RequestId, "", &apiv1.DrainRequest{Worker: r.Worker, Undo: r.Undo})
 	if err != nil {
 		return nil, err
 	}
@@ -209,5 +209,5 @@
 	if limit <= 0 || limit > maxEvents {
 		limit = maxEvents
 	}
-	return &apiv1.EventsResponse{Events: event.ListToAPI(c.base.Events.Since(r.Subject, r.SinceUnixMs, limit))}, nil
+	return &apiv1.EventsResponse{Events: event.EventsToAPI(c.base.Events.Since(r.Subject, r.SinceUnixMs, limit))}, nil
 }
--- a/internal/cell/scheduler.go
+++ b/internal/cell/scheduler.go
@@ -47,7 +47,7 @@
 	if r.Home != "" && r.Home != c.base.Instance.DataCentre {
 		return nil, fault.Field("home", "is %q, this is %q", r.Home, c.base.Instance.DataCentre)
 	}
-	request, err := wire.Request(r.RequestId, caller.Customer, r.Spec)
+	request, err := wire.CheckRequest(r.RequestId, caller.Customer, r.Spec)
 	if err != nil {
 		return nil, err
 	}
@@ -215,7 +215,7 @@
 	if err := checkSelector(r); err != nil {
 		return nil, err
 	}
-	request, err := wire.Request(r.RequestId, caller.Customer, withoutRequestID(r))
+	request, err := wire.CheckRequest(r.RequestId, caller.Customer, withoutRequestID(r))
 	if err != nil {
 		return nil, err
 	}
@@ -277,7 +277,7 @@
 	if r.Tasks <= 0 || int(r.Tasks) > c.base.Settings.Limits.MaxTasks {
 		return nil, fault.Field("tasks", "must be 1 to %d", c.base.Settings.Limits.MaxTasks)
 	}
-	request, err := wire.Request(r.RequestId, caller.Customer, &apiv1.ScaleRequest{Id: r.Id, Tasks: r.Tasks})
+	request, err := wire.CheckRequest(r.RequestId, caller.Customer, &apiv1.ScaleRequest{Id: r.Id, Tasks: r.Tasks})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -120,7 +120,7 @@
 	if err := requireArgs(args, "file"); err != nil {
 		return err
 	}
-	data, err := s.readInput(args[0], conf.MaxDocument)
+	data, err := s.readInput(args[0], conf.MaxDocumentBytes)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/logs.go
+++ b/internal/cli/logs.go
@@ -73,5 +73,5 @@
 	if limit := int(request.GetLimit()); len(selected) > limit {
 		selected = selected[len(selected)-limit:]
 	}
-	return s.showTimeline(&apiv1.EventsResponse{Events: event.ListToAPI(selected)}, subject, htmlFile)
+	return s.showTimeline(&apiv1.EventsResponse{Events: event.EventsToAPI(selected)}, subject, htmlFile)
 }
--- a/internal/cli/timeline.go
+++ b/internal/cli/timeline.go
@@ -109,9 +109,9 @@
 // showTimeline prints the events of a response in causal order, or writes them to an
 // HTML file.
 func (s *session) showTimeline(response *apiv1.EventsResponse, subject, htmlFile string) error {
-	events := event.Merge(event.ListFromAPI(response.GetEvents()))
+	events := event.Merge(event.EventsFromAPI(response.GetEvents()))
 	if htmlFile == "" {
-		response.Events = event.ListToAPI(events)
+		response.Events = event.EventsToAPI(events)
 		return s.show(response, func(out io.Writer) { s.writeEvents(out, events) })
 	}
 	page := event.Page{Title: strings.TrimSpace("Timeline " + subject), Unreachable: response.GetUnreachableInstances()}
--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -55,7 +55,7 @@
 		{strings.Replace(sample, "swords", "naas", 1), "quota.data_centres", "named twice"},
 		{strings.Replace(sample, "swords-hall", "../x", 1), "quota.data_centres", "isn't a name"},
 		{strings.Replace(sample, "generation = 0", "generation = -1", 1), "quota.generation", "must be from 0"},
-		{sample + strings.Repeat("#", MaxDocument), "", "at most"},
+		{sample + strings.Repeat("#", MaxDocumentBytes), "", "at most"},
 	}
 	for _, c := range cases {
 		_, err := Parse(c.text)
@@ -186,11 +186,11 @@
 // as fit into maxHistoryBytes.
 func TestHistoryIsBoundedInBytes(t *testing.T) {
 	r := NewRegister()
-	document := "#" + strings.Repeat("x", MaxDocument-1)
+	document := "#" + strings.Repeat("x", MaxDocumentBytes-1)
 	for i := range maxHistory {
 		r.Apply(uint64(i), encode(t, Write{RequestID: fmt.Sprint(i), Expected: uint64(i), Document: document}))
 	}
-	must.Len(t, maxHistoryBytes/MaxDocument, r.History(maxHistory))
+	must.Len(t, maxHistoryBytes/MaxDocumentBytes, r.History(maxHistory))
 }
 
 // Many requests must not fill the memory with recorded responses. A response that is still
--- a/internal/conf/document.go
+++ b/internal/conf/document.go
@@ -19,10 +19,10 @@
 
 // Bounds of a document.
 const (
-	// MaxDocument is the largest text of a document in bytes.
-	MaxDocument  = 64 << 10
-	maxCustomers = 1000
-	maxWeight    = 1000
+	// MaxDocumentBytes is the largest text of a document in bytes.
+	MaxDocumentBytes = 64 << 10
+	maxCustomers     = 1000
+	maxWeight        = 1000
 	// maxQuotaCount bounds the accelerators of a customer and the quota generation.
 	maxQuotaCount = 1_000_000
 	// maxDataCentres is far below the number of parts into which a quota is split.
@@ -97,8 +97,8 @@
 // Parse reads and checks a document. Errors are faults of kind Invalid that name line and
 // key. The empty text is a document without customers.
 func Parse(text string) (*Document, error) {
-	if len(text) > MaxDocument {
-		return nil, fault.New(fault.Invalid, "the configuration has %d bytes, at most %d are allowed", len(text), MaxDocument)
+	if len(text) > MaxDocumentBytes {
+		return nil, fault.New(fault.Invalid, "the configuration has %d bytes, at most %d are allowed", len(text), MaxDocumentBytes)
 	}
 	var raw rawDocument
 	file, err := tomlfile.Decode("configuration", []byte(text), &raw)
--- a/internal/conf/register.go
+++ b/internal/conf/register.go
@@ -209,7 +209,7 @@
 	current := r.holder.Current()
 	first := recordedResponse{RequestID: w.RequestID, Digest: digest}
 	switch {
-	case len(w.Document) > MaxDocument || len(w.RequestID) > maxRequestIDBytes || len(w.Author) > maxAuthorBytes:
+	case len(w.Document) > MaxDocumentBytes || len(w.RequestID) > maxRequestIDBytes || len(w.Author) > maxAuthorBytes:
 		return Outcome{Err: fault.New(fault.Invalid, "the configuration command is too large")}
 	case w.Expected != current.Version:
 		err := fault.New(fault.Conflict, "expected version %d, the current version is %d", w.Expected, current.Version)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -172,7 +172,7 @@
 			return err
 		}
 	}
-	counted := peer.CountListener(listener)
+	counted := peer.NewListener(listener)
 	b.publishTraffic("accepted", counted.Bytes)
 	server := rpc.NewServer(s.Handler)
 	group, groupCtx := errgroup.WithContext(ctx)
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -28,7 +28,7 @@
 
 // Configuration is the data centre name that stands for the voters of the configuration
 // log.
-const Configuration = ""
+const ConfigurationLog = ""
 
 // Directory knows the instances of every data centre.
 type Directory struct {
@@ -51,7 +51,7 @@
 			}
 		}
 	}
-	d.instances[Configuration] = s.ConfigVoters()
+	d.instances[ConfigurationLog] = s.ConfigVoters()
 	return d
 }
 
@@ -116,7 +116,7 @@
 }
 
 func groupName(dataCentre string) string {
-	if dataCentre == Configuration {
+	if dataCentre == ConfigurationLog {
 		return "the configuration log"
 	}
 	return "data centre " + dataCentre
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -82,7 +82,7 @@
 
 // Handler returns the handler for callers, operators, workers and minions.
 func (e *Entry) Handler() http.Handler {
-	hooks := twirp.WithServerInterceptors(rpc.Errors())
+	hooks := twirp.WithServerInterceptors(rpc.ErrorInterceptor())
 	servers := []apiv1.TwirpServer{
 		apiv1.NewSchedulerServer(e, hooks),
 		apiv1.NewOperationsServer(e, hooks),
@@ -157,7 +157,7 @@
 // caller.
 func forward[T any](ctx context.Context, e *Entry, dataCentre string, options directory.CallOptions, call func(context.Context, clients) (T, error)) (T, error) {
 	var response T
-	ctx, err := rpc.Forward(ctx)
+	ctx, err := rpc.WithCallerBearer(ctx)
 	if err != nil {
 		return response, err
 	}
--- a/internal/entry/operations.go
+++ b/internal/entry/operations.go
@@ -81,21 +81,21 @@
 // GetConfig returns the committed configuration. Partitioned from the majority of
 // the voters, it fails immediately.
 func (e *Entry) GetConfig(ctx context.Context, r *apiv1.GetConfigRequest) (*apiv1.Config, error) {
-	return forward(ctx, e, directory.Configuration, directory.CallOptions{}, func(ctx context.Context, c clients) (*apiv1.Config, error) {
+	return forward(ctx, e, directory.ConfigurationLog, directory.CallOptions{}, func(ctx context.Context, c clients) (*apiv1.Config, error) {
 		return c.operations.GetConfig(ctx, r)
 	})
 }
 
 // SetConfig replaces the configuration by compare-and-set on its version.
 func (e *Entry) SetConfig(ctx context.Context, r *apiv1.SetConfigRequest) (*apiv1.Config, error) {
-	return forward(ctx, e, directory.Configuration, directory.CallOptions{}, func(ctx context.Context, c clients) (*apiv1.Config, error) {
+	return forward(ctx, e, directory.ConfigurationLog, directory.CallOptions{}, func(ctx context.Context, c clients) (*apiv1.Config, error) {
 		return c.operations.SetConfig(ctx, r)
 	})
 }
 
 // ConfigHistory lists the committed versions of the configuration.
 func (e *Entry) ConfigHistory(ctx context.Context, r *apiv1.ConfigHistoryRequest) (*apiv1.ConfigHistoryResponse, error) {
-	return forward(ctx, e, directory.Configuration, directory.CallOptions{}, func(ctx context.Context, c clients) (*apiv1.ConfigHistoryResponse, error) {
+	return forward(ctx, e, directory.ConfigurationLog, directory.CallOptions{}, func(ctx context.Context, c clients) (*apiv1.ConfigHistoryResponse, error) {
 		return c.operations.ConfigHistory(ctx, r)
 	})
 }
@@ -126,13 +126,13 @@
 	if old, err := e.base.Settings.Instance(r.OldInstance); err == nil {
 		groups = append(groups, old.WitnessFor...)
 		if old.ConfigVoter {
-			groups = append(groups, directory.Configuration)
+			groups = append(groups, directory.ConfigurationLog)
 		}
 	}
 	var homeResponse *apiv1.ReplaceInstanceResponse
 	for _, group := range groups {
 		request := proto.Clone(r).(*apiv1.ReplaceInstanceRequest)
-		request.Configuration = group == directory.Configuration
+		request.Configuration = group == directory.ConfigurationLog
 		options := directory.CallOptions{SearchTimeout: leaderSearchTimeout, AttemptTimeout: replaceAttemptTimeout}
 		response, err := forward(ctx, e, group, options, func(ctx context.Context, c clients) (*apiv1.ReplaceInstanceResponse, error) {
 			return c.operations.ReplaceInstance(ctx, request)
@@ -182,7 +182,7 @@
 func callAll[T any](ctx context.Context, e *Entry, processes []process, call func(context.Context, clients) (T, error)) ([]T, []error) {
 	responses := make([]T, len(processes))
 	errs := make([]error, len(processes))
-	ctx, err := rpc.Forward(ctx)
+	ctx, err := rpc.WithCallerBearer(ctx)
 	var group sync.WaitGroup
 	for i, p := range processes {
 		group.Go(func() {
@@ -260,7 +260,7 @@
 	}
 	ownEvents := e.base.Events.Since(r.Subject, r.SinceUnixMs, limit)
 	if r.LocalOnly {
-		return &apiv1.EventsResponse{Events: event.ListToAPI(ownEvents)}, nil
+		return &apiv1.EventsResponse{Events: event.EventsToAPI(ownEvents)}, nil
 	}
 	processes := append(e.cellProcesses(), e.otherEntryProcesses()...)
 	responses, errs := callAll(ctx, e, processes, func(ctx context.Context, c clients) (*apiv1.EventsResponse, error) {
@@ -273,9 +273,9 @@
 			response.UnreachableInstances = append(response.UnreachableInstances, p.name)
 			continue
 		}
-		lists = append(lists, event.ListFromAPI(responses[i].Events))
+		lists = append(lists, event.EventsFromAPI(responses[i].Events))
 	}
 	merged := event.Merge(lists...)
-	response.Events = event.ListToAPI(merged[max(0, len(merged)-limit):])
+	response.Events = event.EventsToAPI(merged[max(0, len(merged)-limit):])
 	return response, nil
 }
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// ListToAPI converts events to their API messages.
-func ListToAPI(events []Event) []*apiv1.Event {
+// EventsToAPI converts events to their API messages.
+func EventsToAPI(events []Event) []*apiv1.Event {
 	messages := make([]*apiv1.Event, len(events))
 	for i := range events {
 		messages[i] = events[i].ToAPI()
@@ -64,8 +64,8 @@
 	return messages
 }
 
-// ListFromAPI converts API messages to events. It skips nil elements.
-func ListFromAPI(messages []*apiv1.Event) []Event {
+// EventsFromAPI converts API messages to events. It skips nil elements.
+func EventsFromAPI(messages []*apiv1.Event) []Event {
 	events := make([]Event, 0, len(messages))
 	for _, message := range messages {
 		if message != nil {
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -65,7 +65,7 @@
 		kinds = append(kinds, e.Instance+" "+e.Kind)
 	}
 	must.Eq(t, []string{"a leader", "b leader lost", "b leader", "c task started"}, kinds)
-	must.Eq(t, merged, ListFromAPI(ListToAPI(merged)))
+	must.Eq(t, merged, EventsFromAPI(EventsToAPI(merged)))
 }
 
 func TestRecorderTruncatesLongFields(t *testing.T) {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -38,7 +38,7 @@
 func CallForCaller[Reply any](ctx context.Context, g *Gateway, receivedAt time.Time, method string, request any) (Reply, error) {
 	c := &leaderCall{g: g, method: method, request: request}
 	reply, err := callUntilSettled[Reply](ctx, c)
-	return reply, g.WithholdOutOfOrder(Outcome{Method: method, ReceivedAt: receivedAt, Version: c.version, AnsweredBy: c.lastAddress, MaybeExecuted: c.maybeExecuted, Err: err})
+	return reply, g.WithholdOutOfOrder(Outcome{Method: method, ReceivedAt: receivedAt, Version: c.version, RespondedBy: c.lastAddress, MaybeExecuted: c.maybeExecuted, Err: err})
 }
 
 // callUntilSettled makes tries until one has a final outcome, which settles the call, or
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -63,7 +63,7 @@
 // request that was received at receivedAt. If known is false, the leader has to be asked:
 // the follower doesn't know the phase or didn't respond, or its response contradicts the
 // order of the requests.
-func (g *Gateway) Ended(ctx context.Context, receivedAt time.Time, jobAddress control.JobAddress) (phase workflow.Phase, known bool) {
+func (g *Gateway) EndedJobPhase(ctx context.Context, receivedAt time.Time, jobAddress control.JobAddress) (phase workflow.Phase, known bool) {
 	member := g.nextFollower()
 	if member == "" {
 		return 0, false
--- a/internal/gateway/version_order.go
+++ b/internal/gateway/version_order.go
@@ -60,8 +60,8 @@
 	ReceivedAt time.Time
 	// Version is the configuration version of the response, 0 for none.
 	Version uint64
-	// AnsweredBy is the address of the instance that responded.
-	AnsweredBy string
+	// RespondedBy is the address of the instance that responded.
+	RespondedBy string
 	// MaybeExecuted is true if an earlier try may have been executed.
 	MaybeExecuted bool
 	// Err is nil for success.
@@ -75,7 +75,7 @@
 	if o.Version == 0 || !revealsVersion(o.Err) {
 		return o.Err
 	}
-	withheld := g.versionOrder.admit(o.Version, o.ReceivedAt, o.AnsweredBy)
+	withheld := g.versionOrder.admit(o.Version, o.ReceivedAt, o.RespondedBy)
 	switch {
 	case withheld == nil:
 		return o.Err
--- a/internal/instance/operations.go
+++ b/internal/instance/operations.go
@@ -49,7 +49,7 @@
 // checkVersionOrder returns err, or another error if the outcome of the local controller
 // must be withheld because its configuration version is out of order.
 func (o *Operations) checkVersionOrder(receivedAt time.Time, method string, version uint64, err error) error {
-	return o.gateway.WithholdOutOfOrder(gateway.Outcome{Method: method, ReceivedAt: receivedAt, Version: version, AnsweredBy: fromSelf, Err: err})
+	return o.gateway.WithholdOutOfOrder(gateway.Outcome{Method: method, ReceivedAt: receivedAt, Version: version, RespondedBy: fromSelf, Err: err})
 }
 
 // fromSelf stands in log lines for the address of this instance if its own controller
@@ -95,7 +95,7 @@
 func (o *Operations) endedPhase(ctx context.Context, receivedAt time.Time, address control.JobAddress) (workflow.Phase, bool) {
 	c := o.local.Load()
 	if c == nil {
-		return o.gateway.Ended(ctx, receivedAt, address)
+		return o.gateway.EndedJobPhase(ctx, receivedAt, address)
 	}
 	recorderCtx, recorder := link.WithVersionRecorder(ctx)
 	reply, err := c.Ended(recorderCtx, &control.EndedCall{Address: address, Version: o.gateway.Version()})
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -23,7 +23,7 @@
 )
 
 // Target is one process to measure.
-type Target struct {
+type Process struct {
 	Name string
 	PID  int
 	// Admin is the address at which the process serves /debug/vars. No counters are read
@@ -33,7 +33,7 @@
 
 // Config describes a measurement of running daemons.
 type Config struct {
-	Targets []Target
+	Targets []Process
 	// Interval is the time between samples; 0 means DefaultInterval.
 	Interval time.Duration
 	// Duration is the time from the first to the last sample.
@@ -176,7 +176,7 @@
 }
 
 // sample takes one sample of a target.
-func (cfg Config) sample(ctx context.Context, target Target) (sample, error) {
+func (cfg Config) sample(ctx context.Context, target Process) (sample, error) {
 	folder := filepath.Join("/proc", strconv.Itoa(target.PID))
 	s := sample{at: time.Now()}
 	var err error
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -21,7 +21,7 @@
 	}))
 	t.Cleanup(server.Close)
 	usages, err := Run(t.Context(), Config{
-		Targets:  []Target{{Name: "self", PID: os.Getpid(), Admin: strings.TrimPrefix(server.URL, "http://")}},
+		Targets:  []Process{{Name: "self", PID: os.Getpid(), Admin: strings.TrimPrefix(server.URL, "http://")}},
 		Interval: 5 * time.Millisecond,
 		Duration: 20 * time.Millisecond,
 		Counters: []string{"calls", "peers.*.sent", "name", "missing"},
@@ -42,7 +42,7 @@
 // after that sample, all rates would be zero and a busy process would be reported as idle.
 func TestRunTakesTwoSamplesWhenFirstIsSlow(t *testing.T) {
 	usages, err := Run(t.Context(), Config{
-		Targets:  []Target{{Name: "self", PID: os.Getpid()}},
+		Targets:  []Process{{Name: "self", PID: os.Getpid()}},
 		Interval: 5 * time.Millisecond,
 		Duration: time.Nanosecond,
 	})
@@ -51,6 +51,6 @@
 }
 
 func TestRunReportsMissingProcess(t *testing.T) {
-	_, err := Run(context.Background(), Config{Targets: []Target{{Name: "ghost", PID: -1}}})
+	_, err := Run(context.Background(), Config{Targets: []Process{{Name: "ghost", PID: -1}}})
 	must.ErrorContains(t, err, "ghost")
 }
--- a/internal/member/host.go
+++ b/internal/member/host.go
@@ -59,7 +59,7 @@
 	Seeds []string
 	// First says that the whole system starts for the first time, so that the seeds form
 	// the initial membership.
-	First bool
+	FirstStart bool
 	// Folder is a folder on a disk of the instance.
 	Folder string
 	// Voters is the number of voting members once enough have joined.
@@ -217,7 +217,7 @@
 // seedMembers returns the seeds as members if this instance is a seed at the first start of
 // the system, and otherwise nil.
 func (h *Host) seedMembers() []replica.Member {
-	if !h.cfg.First {
+	if !h.cfg.FirstStart {
 		return nil
 	}
 	var members []replica.Member
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -70,7 +70,7 @@
 // it would read its log under a membership that was never in force.
 func TestInitialMembersSurviveRestart(t *testing.T) {
 	folder := t.TempDir()
-	first := New(Config{ID: "10.0.0.1", Port: "7", Seeds: []string{"10.0.0.1", "10.0.0.2"}, First: true, Folder: folder, Logger: log.NewNopLogger()}, link.NewClient(maxConnections), link.NewMux())
+	first := New(Config{ID: "10.0.0.1", Port: "7", Seeds: []string{"10.0.0.1", "10.0.0.2"}, FirstStart: true, Folder: folder, Logger: log.NewNopLogger()}, link.NewClient(maxConnections), link.NewMux())
 	members, err := first.initialMembers(t.Context())
 	must.NoError(t, err)
 	must.Eq(t, "10.0.0.1:7", members[0].Address)
--- a/internal/node/http_test.go
+++ b/internal/node/http_test.go
@@ -80,7 +80,7 @@
 	for i := range members {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		must.NoError(t, err)
-		listeners[i] = peer.CountListener(listener)
+		listeners[i] = peer.NewListener(listener)
 		replicas = append(replicas, replica.Member{ID: fmt.Sprint(i), Address: listener.Addr().String(), HasDisk: true})
 	}
 	folder := t.TempDir()
@@ -110,7 +110,7 @@
 		mux.Register(name, g.Step)
 		opened = append(opened, g)
 	}
-	twirpServer := apiv1.NewPeerServer(exchanger{mux: mux}, twirp.WithServerInterceptors(rpc.Errors()))
+	twirpServer := apiv1.NewPeerServer(exchanger{mux: mux}, twirp.WithServerInterceptors(rpc.ErrorInterceptor()))
 	server := rpc.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(delay)
 		twirpServer.ServeHTTP(w, r)
--- a/internal/peer/count.go
+++ b/internal/peer/count.go
@@ -66,8 +66,8 @@
 	sent, received atomic.Uint64
 }
 
-// CountListener returns a Listener that wraps l.
-func CountListener(l net.Listener) *Listener { return &Listener{Listener: l} }
+// NewListener returns a Listener that wraps l.
+func NewListener(l net.Listener) *Listener { return &Listener{Listener: l} }
 
 // Accept waits for the next connection.
 func (l *Listener) Accept() (net.Conn, error) {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -75,8 +75,8 @@
 func (i *instance) serve(t *testing.T, address string) {
 	l, err := net.Listen("tcp", address)
 	must.NoError(t, err)
-	i.listener = CountListener(l)
-	twirpServer := apiv1.NewPeerServer(service{instance: i}, twirp.WithServerInterceptors(rpc.Errors()))
+	i.listener = NewListener(l)
+	twirpServer := apiv1.NewPeerServer(service{instance: i}, twirp.WithServerInterceptors(rpc.ErrorInterceptor()))
 	i.server = rpc.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Authorization") != bearer {
 			w.WriteHeader(http.StatusUnauthorized)
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -102,7 +102,7 @@
 
 // Forward returns a context whose outgoing calls carry the token of the caller being
 // served.
-func Forward(ctx context.Context) (context.Context, error) {
+func WithCallerBearer(ctx context.Context) (context.Context, error) {
 	return WithBearer(ctx, CallerOf(ctx).Bearer)
 }
 
@@ -128,7 +128,7 @@
 
 // Errors returns a Twirp interceptor that converts each error to one of the kinds of
 // package fault.
-func Errors() twirp.Interceptor {
+func ErrorInterceptor() twirp.Interceptor {
 	return func(next twirp.Method) twirp.Method {
 		return func(ctx context.Context, request any) (any, error) {
 			response, err := next(ctx, request)
--- a/internal/standin/command/measure.go
+++ b/internal/standin/command/measure.go
@@ -71,8 +71,8 @@
 }
 
 // targets returns the processes that the arguments and the file of -processes name.
-func (c *measureCommand) targets(args []string) ([]measure.Target, error) {
-	var targets []measure.Target
+func (c *measureCommand) targets(args []string) ([]measure.Process, error) {
+	var targets []measure.Process
 	for _, arg := range args {
 		name, rest, _ := strings.Cut(arg, "=")
 		pid, admin, _ := strings.Cut(rest, "@")
@@ -96,21 +96,21 @@
 }
 
 // newTarget returns a process to measure. It fails unless pid is a positive number.
-func newTarget(name, pid, admin string) (measure.Target, error) {
+func newTarget(name, pid, admin string) (measure.Process, error) {
 	number, err := strconv.Atoi(pid)
 	if err != nil || number <= 0 {
-		return measure.Target{}, errors.Newf("process %q: %q isn't a process id", name, pid)
+		return measure.Process{}, errors.Newf("process %q: %q isn't a process id", name, pid)
 	}
-	return measure.Target{Name: name, PID: number, Admin: admin}, nil
+	return measure.Process{Name: name, PID: number, Admin: admin}, nil
 }
 
 // readProcesses reads a file with lines NAME PID [ADMIN]; an ADMIN of "-" means none.
-func readProcesses(path string) ([]measure.Target, error) {
+func readProcesses(path string) ([]measure.Process, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	var targets []measure.Target
+	var targets []measure.Process
 	for line := range strings.Lines(string(text)) {
 		fields := append(strings.Fields(line), "", "")
 		if fields[0] == "" {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -126,7 +126,7 @@
 
 // Request checks a request ID and returns it with a digest of the request's content.
 // Errors are of kind Invalid and name the field.
-func Request(id, customer string, content proto.Message) (state.Request, error) {
+func CheckRequest(id, customer string, content proto.Message) (state.Request, error) {
 	if id == "" || len(id) > maxRequestIDBytes {
 		return state.Request{}, fault.Field("request_id", "must have 1 to %d bytes", maxRequestIDBytes)
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -67,14 +67,14 @@
 // A caller reuses a request ID for another request. The digests must differ, so that the
 // second request isn't taken for a repetition of the first.
 func TestRequestDigestDependsOnContent(t *testing.T) {
-	first, err := Request("r", "c", validSpec())
+	first, err := CheckRequest("r", "c", validSpec())
 	must.NoError(t, err)
 	changed := validSpec()
 	changed.Tasks++
-	second, err := Request("r", "c", changed)
+	second, err := CheckRequest("r", "c", changed)
 	must.NoError(t, err)
 	must.NotEq(t, first.Digest, second.Digest)
-	_, err = Request("", "c", validSpec())
+	_, err = CheckRequest("", "c", validSpec())
 	must.Eq(t, "request_id", fault.From(err).Field)
 }
 
