--- a/fault/fault.go
+++ b/fault/fault.go
@@ -49,7 +49,7 @@
 	kindCount
 )
 
-// Advice says whether and when a caller may send the same call again.
+// RetryAdvice says whether and when a caller may send the same call again.
 type RetryAdvice uint8
 
 // Retry advice.
@@ -121,7 +121,7 @@
 // ExitCode returns the exit code of the command line for the kind.
 func (k Kind) ExitCode() int { return representations[k%kindCount].exit }
 
-// Advice returns whether and when the call may be sent again.
+// RetryAdvice returns whether and when the call may be sent again.
 func (k Kind) RetryAdvice() RetryAdvice { return representations[k%kindCount].advice }
 
 // Parse returns the kind with the given name, or Internal and false for an unknown name.
--- a/internal/control/orphans.go
+++ b/internal/control/orphans.go
@@ -16,7 +16,7 @@
 // event will report their end.
 type runCounts struct {
 	alive, unaccounted int
-	// longest is the longest time for which a run has been unaccounted for.
+	// longestUnaccounted is the longest time for which a run has been unaccounted for.
 	longestUnaccounted time.Duration
 }
 
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -59,7 +59,7 @@
 // instead.
 const followerTimeout = 150 * time.Millisecond
 
-// Ended asks a follower for the phase of a job that may have ended, on behalf of a caller's
+// EndedJobPhase asks a follower for the phase of a job that may have ended, on behalf of a caller's
 // request that was received at receivedAt. If known is false, the leader has to be asked:
 // the follower doesn't know the phase or didn't respond, or its response contradicts the
 // order of the requests.
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -22,7 +22,7 @@
 	"github.com/bilberryferry/bilberryferry/internal/wait"
 )
 
-// Target is one process to measure.
+// Process is one process to measure.
 type Process struct {
 	Name string
 	PID  int
--- a/internal/member/host.go
+++ b/internal/member/host.go
@@ -57,7 +57,7 @@
 	Port string
 	// Seeds are IP addresses of core instances.
 	Seeds []string
-	// First says that the whole system starts for the first time, so that the seeds form
+	// FirstStart says that the whole system starts for the first time, so that the seeds form
 	// the initial membership.
 	FirstStart bool
 	// Folder is a folder on a disk of the instance.
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -100,7 +100,7 @@
 	})
 }
 
-// Forward returns a context whose outgoing calls carry the token of the caller being
+// WithCallerBearer returns a context whose outgoing calls carry the token of the caller being
 // served.
 func WithCallerBearer(ctx context.Context) (context.Context, error) {
 	return WithBearer(ctx, CallerOf(ctx).Bearer)
@@ -126,7 +126,7 @@
 	return caller, fault.New(fault.Denied, "a token of role %s may not make this call", caller.Role)
 }
 
-// Errors returns a Twirp interceptor that converts each error to one of the kinds of
+// ErrorInterceptor returns a Twirp interceptor that converts each error to one of the kinds of
 // package fault.
 func ErrorInterceptor() twirp.Interceptor {
 	return func(next twirp.Method) twirp.Method {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -95,7 +95,7 @@
 type Changes struct {
 	Placed   []placement.Placed
 	Unplaced []Unplaced
-	// Queues holds the IDs of the changed jobs. Their numbers of queued tasks may
+	// ChangedJobs holds the IDs of the changed jobs. Their numbers of queued tasks may
 	// have changed.
 	ChangedJobs map[string]struct{}
 	// Workers holds the IDs of workers that may have changed.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// Request checks a request ID and returns it with a digest of the request's content.
+// CheckRequest checks a request ID and returns it with a digest of the request's content.
 // Errors are of kind Invalid and name the field.
 func CheckRequest(id, customer string, content proto.Message) (state.Request, error) {
 	if id == "" || len(id) > maxRequestIDBytes {
