--- a/internal/dev/print.go
+++ b/internal/dev/print.go
@@ -28,7 +28,7 @@
 func (p *progress) printJob(deployment string, j standin.JobResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	key, line := deployment+"/"+j.Name, describe(j)
+	key, line := deployment+"/"+j.Name, describeJob(j)
 	if line == p.lastLines[key] || line == "" {
 		return
 	}
@@ -38,7 +38,7 @@
 
 // describe returns the state of a job with its reason, or "" while the submission has
 // no response.
-func describe(j standin.JobResult) string {
+func describeJob(j standin.JobResult) string {
 	if j.ID == "" && j.Kind != "" {
 		return "refused: " + j.Kind + ": " + j.Reason
 	}
@@ -60,12 +60,12 @@
 		fmt.Fprintf(table, "  %s\t%s\t%s\t%s\t%s\n", j.Name, j.Customer, outcome(j), waitingTime(j), timeBeforeDeadline(j))
 	}
 	table.Flush()
-	p := r.Report
+	jobs := r.Report
 	fmt.Fprintf(out, "  jobs: %d accepted, %d met and %d missed their deadline, refused %v; waiting time p50 %s p99 %s; submit call p50 %s p99 %s\n",
-		p.Accepted, p.MetDeadline, p.MissedDeadline, p.Refused, formatMicros(p.WaitP50), formatMicros(p.WaitP99), formatMicros(p.SubmitP50), formatMicros(p.SubmitP99))
-	q := r.Requests
+		jobs.Accepted, jobs.MetDeadline, jobs.MissedDeadline, jobs.Refused, formatMicros(jobs.WaitP50), formatMicros(jobs.WaitP99), formatMicros(jobs.SubmitP50), formatMicros(jobs.SubmitP99))
+	requests := r.Requests
 	fmt.Fprintf(out, "  requests: %d sent, %d correct responses, %d of them late, %d wrong, %d broken or timed out, refused %v; latency p50 %s p99 %s\n",
-		q.Calls-q.NotSent, q.Correct, q.Late, q.Wrong, q.Broken+q.TimedOut, q.Refused, formatMicros(q.P50), formatMicros(q.P99))
+		requests.Calls-requests.NotSent, requests.Correct, requests.Late, requests.Wrong, requests.Broken+requests.TimedOut, requests.Refused, formatMicros(requests.P50), formatMicros(requests.P99))
 	for _, v := range r.Violations {
 		fmt.Fprintf(out, "  VIOLATION %+v\n", v)
 	}
@@ -123,8 +123,8 @@
 		float64(processorTime()-u.cpu)/float64(elapsed), memory.HeapInuse>>20, elapsed.Seconds())
 }
 
-// printStay prints commands that reach the running deployments.
-func printStay(out io.Writer, runs []*run) {
+// printExampleCommands prints commands that reach the running deployments.
+func printExampleCommands(out io.Writer, runs []*run) {
 	fmt.Fprintln(out, "\nthe deployments keep running; stop them with Ctrl-C. Try from another shell:")
 	for _, r := range runs {
 		customer := r.deployment.Settings.Tokens.Customers[0]
--- a/internal/dev/run.go
+++ b/internal/dev/run.go
@@ -75,7 +75,7 @@
 // was found. Refused jobs and requests don't count against it.
 func (r *Result) Passed() bool {
 	allInTime := r.Requests.Broken == 0 && r.Requests.TimedOut == 0 && r.Requests.Late == 0
-	return r.Report.MissedDeadline == 0 && r.Report.Unanswered == 0 && r.Report.Accepted > 0 && r.correct() && allInTime
+	return r.Report.MissedDeadline == 0 && r.Report.OutcomeUnknown == 0 && r.Report.Accepted > 0 && r.correct() && allInTime
 }
 
 // correct reports whether no violation was found and no response was wrong. Unlike
@@ -318,7 +318,7 @@
 		return nil, err
 	}
 	if stay {
-		printStay(out, runs)
+		printExampleCommands(out, runs)
 		<-ctx.Done()
 	}
 	stop()
--- a/internal/e2e/chaos_test.go
+++ b/internal/e2e/chaos_test.go
@@ -23,8 +23,8 @@
 const (
 	chaosSecondsVariable = "BILBERRY_CHAOS_SECONDS"
 	chaosSeedVariable    = "BILBERRY_CHAOS_SEED"
-	chaosSeconds         = 20
-	chaosSeed            = 1
+	defaultChaosSeconds  = 20
+	defaultChaosSeed     = 1
 	// chaosJobsPerSecond is the rate of job submissions while faults occur.
 	chaosJobsPerSecond = 8.0
 )
@@ -189,8 +189,8 @@
 // restarted, in a random order given by the seed, while jobs and requests continue.
 // The outcomes are checked after every fault has ended.
 func TestRandomFaults(t *testing.T) {
-	seed := uint64(environmentInt(chaosSeedVariable, chaosSeed))
-	length := time.Duration(environmentInt(chaosSecondsVariable, chaosSeconds)) * time.Second
+	seed := uint64(environmentInt(chaosSeedVariable, defaultChaosSeed))
+	duration := time.Duration(environmentInt(chaosSecondsVariable, defaultChaosSeconds)) * time.Second
 	c := newCluster(t, "rackwise", nil)
 	workers := c.workers(9)
 	c.minions(9, "inspect-hub")
@@ -198,10 +198,10 @@
 	customer.awaitService("inspect-hub")
 	jobs := standin.NewJobs(standin.JobsConfig{
 		Entries: c.deployment.Entries(), Tokens: map[string]string{"curragh-racking": customer.token}, Ledger: c.ledger,
-		Arrivals: standin.RandomArrivals(seed, chaosJobsPerSecond, int(chaosJobsPerSecond*length.Seconds()), chaosJobs()), RetryTimeout: 2 * time.Minute,
+		Arrivals: standin.RandomArrivals(seed, chaosJobsPerSecond, int(chaosJobsPerSecond*duration.Seconds()), chaosJobs()), RetryTimeout: 2 * time.Minute,
 	})
 	callers := standin.NewCallers(standin.CallersConfig{
-		Entries: c.deployment.Entries(), Service: "inspect-hub", Token: customer.token, Rate: 50, Duration: length,
+		Entries: c.deployment.Entries(), Service: "inspect-hub", Token: customer.token, Rate: 50, Duration: duration,
 		Deadline: 3 * time.Second, NonIdempotentShare: 0.3, Resend: true, Seed: seed, Ledger: c.ledger,
 	})
 	done := make(chan error, 2)
@@ -211,7 +211,7 @@
 		cluster: c, random: rand.New(rand.NewPCG(seed, 0)), workers: workers, faultCounts: make(map[string]int),
 		down: make(map[string]bool), paused: make(map[string]bool), partitioned: make(map[string]bool),
 	}
-	for until := time.Now().Add(length); time.Now().Before(until); {
+	for until := time.Now().Add(duration); time.Now().Before(until); {
 		faults.injectOrEndFault()
 	}
 	faults.endAll()
@@ -221,7 +221,7 @@
 	t.Logf("seed %d, faults %v", seed, faults.faultCounts)
 	t.Logf("jobs %+v", report)
 	t.Logf("requests %+v", requests)
-	must.Eq(t, 0, report.Unanswered)
+	must.Eq(t, 0, report.OutcomeUnknown)
 	must.Eq(t, 0, requests.Wrong)
 	for _, result := range jobs.Results() {
 		if !result.Accepted() || !result.MissedDeadline() {
--- a/internal/e2e/input_test.go
+++ b/internal/e2e/input_test.go
@@ -45,12 +45,12 @@
 		_, err = otherCustomer.schedulers[0].Cancel(otherCustomer.ctx, &apiv1.CancelRequest{RequestId: "c" + id, Ids: []string{id}})
 		must.True(t, fault.Is(err, fault.NotFound), must.Sprint(id, err))
 	}
-	listed, err := otherCustomer.schedulers[0].Status(otherCustomer.ctx, &apiv1.StatusRequest{IncludeEnded: true})
+	response, err := otherCustomer.schedulers[0].Status(otherCustomer.ctx, &apiv1.StatusRequest{IncludeEnded: true})
 	must.NoError(t, err)
-	must.SliceEmpty(t, listed.Jobs)
-	listed, err = customer.schedulers[0].Status(customer.ctx, &apiv1.StatusRequest{IncludeEnded: true})
+	must.SliceEmpty(t, response.Jobs)
+	response, err = customer.schedulers[0].Status(customer.ctx, &apiv1.StatusRequest{IncludeEnded: true})
 	must.NoError(t, err)
-	must.Len(t, 1, listed.Jobs)
+	must.Len(t, 1, response.Jobs)
 
 	wrongTokenCtx, err := rpc.WithBearer(c.ctx, "Bearer wrong")
 	must.NoError(t, err)
--- a/internal/e2e/job_end_test.go
+++ b/internal/e2e/job_end_test.go
@@ -40,17 +40,17 @@
 	c.kill(lost + "/cell")
 	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(id).State)
 	ctx, operations := c.operatorClients()
-	events, err := operations[0].Events(ctx, &apiv1.EventsRequest{Subject: id})
+	response, err := operations[0].Events(ctx, &apiv1.EventsRequest{Subject: id})
 	must.NoError(t, err)
-	must.Eq(t, []string{lost + "/cell"}, events.UnreachableInstances)
+	must.Eq(t, []string{lost + "/cell"}, response.UnreachableInstances)
 	var kinds []string
-	for i, e := range events.Events {
+	for i, e := range response.Events {
 		kinds = append(kinds, e.Kind)
 		if i > 0 {
-			must.LessEq(t, e.WallMs, events.Events[i-1].WallMs)
+			must.LessEq(t, e.WallMs, response.Events[i-1].WallMs)
 		}
 	}
 	must.Eq(t, []string{"job accepted", "attempt started", "attempt ended", "job ended"}, kinds)
-	must.Eq(t, lost+"/cell", events.Events[1].Instance)
-	must.NotEq(t, lost+"/cell", events.Events[2].Instance)
+	must.Eq(t, lost+"/cell", response.Events[1].Instance)
+	must.NotEq(t, lost+"/cell", response.Events[2].Instance)
 }
--- a/internal/e2e/leave_test.go
+++ b/internal/e2e/leave_test.go
@@ -48,9 +48,9 @@
 	ctx, operations := c.operatorClients()
 	ctx, cancel := context.WithTimeout(ctx, conditionTimeout)
 	defer cancel()
-	listed, err := operations[0].Workers(ctx, &apiv1.WorkersRequest{})
+	response, err := operations[0].Workers(ctx, &apiv1.WorkersRequest{})
 	must.NoError(c.t, err)
-	id := listed.Workers[0].Id
+	id := response.Workers[0].Id
 	_, err = operations[0].Drain(ctx, &apiv1.DrainRequest{RequestId: "drain", Worker: id})
 	must.NoError(c.t, err)
 	return id
--- a/internal/e2e/network_test.go
+++ b/internal/e2e/network_test.go
@@ -21,8 +21,8 @@
 
 // relay forwards connections to one instance. While blocked, it forwards nothing.
 type relay struct {
-	listener net.Listener
-	target   string
+	listener    net.Listener
+	destination string
 
 	mu      sync.Mutex
 	changed *sync.Cond
@@ -48,11 +48,11 @@
 }
 
 // relay starts a relay to target on a link and returns its address.
-func (n *network) relay(c *cluster, link [2]string, target string) string {
+func (n *network) relay(c *cluster, link [2]string, destination string) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(c.t, err)
 	c.t.Cleanup(func() { _ = listener.Close() })
-	r := &relay{listener: listener, target: target}
+	r := &relay{listener: listener, destination: destination}
 	r.changed = sync.NewCond(&r.mu)
 	n.mu.Lock()
 	n.relays[link] = append(n.relays[link], r)
@@ -103,7 +103,7 @@
 func (r *relay) forward(from net.Conn) {
 	defer from.Close()
 	r.waitWhileBlocked()
-	to, err := net.Dial("tcp", r.target)
+	to, err := net.Dial("tcp", r.destination)
 	if err != nil {
 		return
 	}
--- a/internal/standin/call.go
+++ b/internal/standin/call.go
@@ -49,8 +49,8 @@
 	// due is the scheduled send time; deadline and latency count from it.
 	due time.Time
 	// target is the index of the entry address to which the next try goes.
-	target  int
-	resends int
+	entryIndex int
+	resends    int
 }
 
 func (c *Callers) newCall(i int, due time.Time) *call {
@@ -60,24 +60,24 @@
 		nonIdempotent: c.random.Float64() < c.cfg.NonIdempotentShare,
 		body:          newFiller(nonce, c.cfg.BodySize),
 		due:           due,
-		target:        c.random.IntN(len(c.cfg.Entries)),
+		entryIndex:    c.random.IntN(len(c.cfg.Entries)),
 	}
 }
 
-func (k *call) deadline(cfg CallersConfig) time.Time { return k.due.Add(cfg.Deadline) }
+func (c *call) deadline(cfg CallersConfig) time.Time { return c.due.Add(cfg.Deadline) }
 
 // send sends the call, and sends it again to the next address where mayResend
 // allows it. It returns the error of the last try, or nil for a correct response.
-func (c *Callers) send(ctx context.Context, k *call) error {
-	ctx, cancel := context.WithDeadline(ctx, k.deadline(c.cfg).Add(lateResponseGrace))
+func (c *Callers) send(ctx context.Context, call *call) error {
+	ctx, cancel := context.WithDeadline(ctx, call.deadline(c.cfg).Add(lateResponseGrace))
 	defer cancel()
 	for {
-		err := c.try(ctx, k)
-		if !c.mayResend(ctx, k, err) {
+		err := c.try(ctx, call)
+		if !c.mayResend(ctx, call, err) {
 			return err
 		}
-		k.resends++
-		k.target = (k.target + 1) % len(c.cfg.Entries)
+		call.resends++
+		call.entryIndex = (call.entryIndex + 1) % len(c.cfg.Entries)
 		c.updateReport(func(r *CallersReport) { r.Resent++ })
 	}
 }
@@ -85,14 +85,14 @@
 // mayResend reports whether the call may be sent again after err. A connection
 // that broke may have delivered the request, so only an idempotent call is sent
 // again. A connection that was never opened delivered nothing, so any call may be.
-func (c *Callers) mayResend(ctx context.Context, k *call, err error) bool {
+func (c *Callers) mayResend(ctx context.Context, call *call, err error) bool {
 	if !c.cfg.Resend || !errors.Is(err, errConnectionBroken) || ctx.Err() != nil {
 		return false
 	}
-	if k.nonIdempotent && !failedToConnect(err) {
+	if call.nonIdempotent && !failedToConnect(err) {
 		return false
 	}
-	return k.resends < 2*len(c.cfg.Entries) && time.Now().Before(k.deadline(c.cfg))
+	return call.resends < 2*len(c.cfg.Entries) && time.Now().Before(call.deadline(c.cfg))
 }
 
 // failedToConnect reports whether err arose before the connection was open.
@@ -115,8 +115,8 @@
 
 // try sends the request once and checks the response. It returns a refusedError for an
 // error status, and marks other errors with errConnectionBroken or errWrongResponse.
-func (c *Callers) try(ctx context.Context, k *call) error {
-	request, err := c.newRequest(ctx, k)
+func (c *Callers) try(ctx context.Context, call *call) error {
+	request, err := c.newRequest(ctx, call)
 	if err != nil {
 		return err
 	}
@@ -132,7 +132,7 @@
 	if response.StatusCode != http.StatusOK {
 		return &refusedError{kind: errorKind(response)}
 	}
-	if err := checkResponseBody(responseBody, k.nonce, k.body, c.cfg.Size); err != nil {
+	if err := checkResponseBody(responseBody, call.nonce, call.body, c.cfg.Size); err != nil {
 		return errors.Mark(err, errWrongResponse)
 	}
 	return nil
@@ -146,53 +146,53 @@
 	return strconv.Itoa(response.StatusCode)
 }
 
-func (c *Callers) newRequest(ctx context.Context, k *call) (*http.Request, error) {
+func (c *Callers) newRequest(ctx context.Context, call *call) (*http.Request, error) {
 	method := http.MethodGet
-	if k.nonIdempotent || len(k.body) > 0 {
+	if call.nonIdempotent || len(call.body) > 0 {
 		method = http.MethodPost
 	}
-	request, err := http.NewRequestWithContext(ctx, method, c.url(k), bytes.NewReader(k.body))
+	request, err := http.NewRequestWithContext(ctx, method, c.url(call), bytes.NewReader(call.body))
 	if err != nil {
 		return nil, err
 	}
-	remaining := max(time.Until(k.deadline(c.cfg)).Milliseconds(), 1)
+	remaining := max(time.Until(call.deadline(c.cfg)).Milliseconds(), 1)
 	request.Header.Set(headerDeadline, strconv.FormatInt(remaining, 10))
-	request.Header.Set(headerIdempotent, strconv.FormatBool(!k.nonIdempotent))
+	request.Header.Set(headerIdempotent, strconv.FormatBool(!call.nonIdempotent))
 	return request, nil
 }
 
-func (c *Callers) url(k *call) string {
+func (c *Callers) url(call *call) string {
 	query := url.Values{
-		paramNonce: {k.nonce},
+		paramNonce: {call.nonce},
 		paramSize:  {strconv.Itoa(c.cfg.Size)},
 	}
 	if c.cfg.Work > 0 {
 		query.Set(paramWork, strconv.FormatInt(c.cfg.Work.Milliseconds(), 10))
 	}
-	if k.nonIdempotent {
+	if call.nonIdempotent {
 		query.Set(paramNonIdempotent, "1")
 	}
 	path := "/s/" + url.PathEscape(c.cfg.Service) + "/work"
 	if c.cfg.Direct {
 		path = "/work"
 	}
-	return baseURL(c.cfg.Entries[k.target]) + path + "?" + query.Encode()
+	return baseURL(c.cfg.Entries[call.entryIndex]) + path + "?" + query.Encode()
 }
 
 // recordOutcome counts the outcome of a call and records a wrong response as a
 // violation.
-func (c *Callers) recordOutcome(k *call, err error) {
-	latency := time.Since(k.due)
+func (c *Callers) recordOutcome(call *call, err error) {
+	latency := time.Since(call.due)
 	if errors.Is(err, errWrongResponse) {
-		c.cfg.Ledger.Add(WrongResponse, k.nonce, err.Error())
+		c.cfg.Ledger.Add(WrongResponse, call.nonce, err.Error())
 	}
 	c.updateReport(func(r *CallersReport) {
 		r.Calls++
-		c.countOutcome(r, k, err, latency)
+		c.countOutcome(r, call, err, latency)
 	})
 }
 
-func (c *Callers) countOutcome(r *CallersReport, k *call, err error, latency time.Duration) {
+func (c *Callers) countOutcome(r *CallersReport, call *call, err error, latency time.Duration) {
 	var refused *refusedError
 	switch {
 	case err == nil:
@@ -209,7 +209,7 @@
 		r.TimedOut++
 	default:
 		r.Broken++
-		if k.nonIdempotent {
+		if call.nonIdempotent {
 			r.BrokenNonIdempotent++
 		}
 	}
--- a/internal/standin/changes.go
+++ b/internal/standin/changes.go
@@ -199,17 +199,17 @@
 func (c *configWriter) recordStatus(status *apiv1.ConfigStatusResponse, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, i := range status.Instances {
-		if i.Reachable {
-			if i.Version < c.lastVersions[i.Instance] {
+	for _, instance := range status.Instances {
+		if instance.Reachable {
+			if instance.Version < c.lastVersions[instance.Instance] {
 				c.report.Reverted++
 			}
-			c.lastVersions[i.Instance] = i.Version
+			c.lastVersions[instance.Instance] = instance.Version
 		}
 	}
 	oldest := status.CommittedVersion
-	for _, i := range status.Instances {
-		oldest = min(oldest, c.lastVersions[i.Instance])
+	for _, instance := range status.Instances {
+		oldest = min(oldest, c.lastVersions[instance.Instance])
 	}
 	for version, at := range c.accepted {
 		if version <= oldest {
--- a/internal/standin/command/callers.go
+++ b/internal/standin/command/callers.go
@@ -69,7 +69,7 @@
 	cfg := c.cfg
 	cfg.Entries = allEntries(dataCentres)
 	if !cfg.Direct {
-		cfg.Token, err = c.deployment.token(s, func(s *settings.Settings) string { return customerFile(s, c.customer) })
+		cfg.Token, err = c.deployment.token(s, func(s *settings.Settings) string { return customerTokenFile(s, c.customer) })
 		if err != nil {
 			return nil, err
 		}
--- a/internal/standin/command/command.go
+++ b/internal/standin/command/command.go
@@ -161,9 +161,9 @@
 	}
 }
 
-// customerFile returns the token file of a customer, or of the first customer if
+// customerTokenFile returns the token file of a customer, or of the first customer if
 // name is empty. It returns "" for an unknown name.
-func customerFile(s *settings.Settings, name string) string {
+func customerTokenFile(s *settings.Settings, name string) string {
 	for _, c := range s.Tokens.Customers {
 		if name == "" || c.Name == name {
 			return c.File
--- a/internal/standin/command/fit.go
+++ b/internal/standin/command/fit.go
@@ -32,22 +32,22 @@
 }
 
 func (c *fit) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	var sized []measure.Measurement
+	var measurements []measure.Measurement
 	for _, arg := range f.Args() {
 		measurement, err := readMeasurement(arg)
 		if err != nil {
 			return c.usageError(err)
 		}
-		sized = append(sized, measurement)
+		measurements = append(measurements, measurement)
 	}
-	if len(sized) == 0 {
+	if len(measurements) == 0 {
 		return c.usageError(errors.New("the arguments name no measurement"))
 	}
 	class := measure.Usage.CellClass
 	if c.configuration {
 		class = measure.Usage.ConfigClass
 	}
-	if err := measure.WriteFit(c.out, sized, class); err != nil {
+	if err := measure.WriteFit(c.out, measurements, class); err != nil {
 		fmt.Fprintln(c.errorOutput, err)
 		return subcommands.ExitFailure
 	}
--- a/internal/standin/command/jobs.go
+++ b/internal/standin/command/jobs.go
@@ -17,15 +17,15 @@
 // jobs is the subcommand that submits jobs and follows them until they end.
 type jobs struct {
 	*base
-	deployment deploymentFlags
-	capacity   capacityFlags
-	workers    int
-	cfg        standin.JobsConfig
-	customer   string
-	rate       float64
-	count      int
-	seed       uint64
-	verbose    bool
+	deployment  deploymentFlags
+	capacity    capacityFlags
+	workerCount int
+	cfg         standin.JobsConfig
+	customer    string
+	rate        float64
+	count       int
+	seed        uint64
+	verbose     bool
 }
 
 func (*jobs) Name() string { return "jobs" }
@@ -39,7 +39,7 @@
 func (c *jobs) SetFlags(f *flag.FlagSet) {
 	c.deployment.setFlags(f)
 	c.capacity.setFlags(f)
-	f.IntVar(&c.workers, "workers", 0, "number of workers to run in this process; waiting times then end at the start on the worker")
+	f.IntVar(&c.workerCount, "workers", 0, "number of workers to run in this process; waiting times then end at the start on the worker")
 	f.StringVar(&c.customer, "customer", "", "customer who submits; empty: all in the settings, in round robin")
 	f.Float64Var(&c.rate, "rate", 10, "mean jobs per second")
 	f.IntVar(&c.count, "count", 0, "number of jobs; 0: each file once")
@@ -68,7 +68,7 @@
 	encoder.SetIndent("", "  ")
 	_ = encoder.Encode(report)
 	status := c.exitStatus(submitter.Ledger(), err)
-	if report.MissedDeadline > 0 || report.Unanswered > 0 {
+	if report.MissedDeadline > 0 || report.OutcomeUnknown > 0 {
 		return subcommands.ExitFailure
 	}
 	return status
@@ -77,20 +77,20 @@
 // startWorkers runs as many workers as the flag -workers says, waits until all hold
 // a lease and returns the function that ends them.
 func (c *jobs) startWorkers(ctx context.Context) (stop func(), err error) {
-	if c.workers == 0 {
+	if c.workerCount == 0 {
 		return func() {}, nil
 	}
 	deployment := c.deployment
 	// -token-file names a customer's token; the workers' token is in the settings.
 	deployment.tokenFile = ""
-	fleet, err := c.newFleet(standin.WorkersConfig{Count: c.workers, Ledger: c.cfg.Ledger}, &deployment, &c.capacity)
+	fleet, err := c.newFleet(standin.WorkersConfig{Count: c.workerCount, Ledger: c.cfg.Ledger}, &deployment, &c.capacity)
 	if err != nil {
 		return nil, err
 	}
 	fleetCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	done := make(chan error, 1)
 	go func() { done <- fleet.Run(fleetCtx) }()
-	for fleet.Ready() < c.workers && ctx.Err() == nil {
+	for fleet.Ready() < c.workerCount && ctx.Err() == nil {
 		time.Sleep(readyPoll)
 	}
 	return func() {
@@ -167,7 +167,7 @@
 func (c *jobs) readTokens(s *settings.Settings, cfg *standin.JobsConfig) ([]string, error) {
 	cfg.Tokens = make(map[string]string)
 	if s == nil || c.deployment.tokenFile != "" || c.customer != "" {
-		token, err := c.deployment.token(s, func(s *settings.Settings) string { return customerFile(s, c.customer) })
+		token, err := c.deployment.token(s, func(s *settings.Settings) string { return customerTokenFile(s, c.customer) })
 		cfg.Tokens[c.customer] = token
 		return []string{c.customer}, err
 	}
--- a/internal/standin/fake_test.go
+++ b/internal/standin/fake_test.go
@@ -204,11 +204,11 @@
 }
 
 // eventually waits for a condition and fails the test after 10 seconds.
-func eventually(t *testing.T, what string, condition func() bool) {
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	must.Wait(t, wait.InitialSuccess(
 		wait.BoolFunc(condition),
 		wait.Timeout(10*time.Second),
 		wait.Gap(2*time.Millisecond),
-	), must.Sprint(what))
+	), must.Sprint(description))
 }
--- a/internal/standin/jobs.go
+++ b/internal/standin/jobs.go
@@ -89,7 +89,7 @@
 	Reason string
 	// Submitted is when the submission was first sent, Answered when it was
 	// accepted or refused.
-	Submitted, Answered time.Time
+	Submitted, Decided time.Time
 	// Started is when the first task started, by the ledger if it has the start,
 	// else by the job's status. It is zero until a task starts.
 	Started time.Time
@@ -140,7 +140,7 @@
 	// Ended counts accepted jobs by their last known state.
 	Ended map[string]int `json:"ended"`
 	// Unanswered counts submissions whose outcome is unknown.
-	Unanswered int `json:"unanswered"`
+	OutcomeUnknown int `json:"unanswered"`
 	// WaitP50, WaitP99 and WaitMax are the times from the submission to the first
 	// start, in microseconds.
 	WaitP50 int64 `json:"wait_p50_us"`
@@ -182,7 +182,7 @@
 		clients: make(map[string][]apiv1.Scheduler),
 	}
 	for i, a := range cfg.Arrivals {
-		j.dial(a.Customer)
+		j.addClients(a.Customer)
 		j.results = append(j.results, JobResult{
 			Index:    i,
 			Customer: a.Customer,
@@ -193,7 +193,7 @@
 	return j
 }
 
-func (j *Jobs) dial(customer string) {
+func (j *Jobs) addClients(customer string) {
 	if j.clients[customer] != nil {
 		return
 	}
@@ -275,8 +275,8 @@
 		if !r.Started.IsZero() {
 			recordDuration(waits, r.Started.Sub(r.Submitted))
 		}
-		if !r.Answered.IsZero() {
-			recordDuration(calls, r.Answered.Sub(r.Submitted))
+		if !r.Decided.IsZero() {
+			recordDuration(calls, r.Decided.Sub(r.Submitted))
 		}
 	}
 	report.WaitP50 = waits.ValueAtQuantile(50)
@@ -302,7 +302,7 @@
 		r.Refused[result.Kind]++
 		return
 	default:
-		r.Unanswered++
+		r.OutcomeUnknown++
 		return
 	}
 	if result.MissedDeadline() {
--- a/internal/standin/jobs_test.go
+++ b/internal/standin/jobs_test.go
@@ -78,7 +78,7 @@
 // The first response to every submission is lost. A retry with another request id
 // would submit the job twice. The report must also tell refused jobs, missed
 // deadlines and services apart.
-func TestJobsReport(t *testing.T) {
+func TestJobsReportCountsOutcomes(t *testing.T) {
 	scheduler := &fakeScheduler{requests: make(map[string]int), jobs: make(map[string]*apiv1.Job), loseFirstResponse: true}
 	jobs := NewJobs(JobsConfig{
 		Entries: []string{"127.0.0.1:1", serve(t, apiv1.NewSchedulerServer(scheduler))},
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -25,8 +25,8 @@
 }
 
 // limitExceeded describes a violation of a limit of what, for instance requests.
-func limitExceeded(have int, what string, limit int) string {
-	return fmt.Sprintf("%d %s at the same time, the limit is %d", have, what, limit)
+func limitExceeded(count int, unit string, limit int) string {
+	return fmt.Sprintf("%d %s at the same time, the limit is %d", count, unit, limit)
 }
 
 // ServeHTTP serves one request with the injected faults. The caller can verify the
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -23,13 +23,13 @@
 	maxCallSlack = 2 * time.Second
 )
 
-// maxPreviousAttempts is how often an incarnation tries to deliver the reports of
+// maxPredecessorReportTries is how often an incarnation tries to deliver the reports of
 // the previous incarnation before it announces itself without their acknowledgement.
-const maxPreviousAttempts = 5
+const maxPredecessorReportTries = 5
 
 var (
-	errResponseLost            = errors.New("injected fault: response lost")
-	errPreviousNotAcknowledged = errors.New("reports of the previous incarnation are not acknowledged")
+	errResponseLost               = errors.New("injected fault: response lost")
+	errPredecessorNotAcknowledged = errors.New("reports of the previous incarnation are not acknowledged")
 )
 
 // session is one incarnation of a worker. The owner of its lease is the leader that
@@ -47,9 +47,9 @@
 	// reporting is held while a batch of reports is in flight.
 	reporting sync.Mutex
 	// previous is the previous incarnation in this process until its reports are
-	// acknowledged or maxPreviousAttempts is reached; only the renewing goroutine uses it.
-	previous         *session
-	previousAttempts int
+	// acknowledged or maxPredecessorReportTries is reached; only the renewing goroutine uses it.
+	predecessor            *session
+	predecessorReportTries int
 
 	mu         sync.Mutex
 	holder     lease.Holder
@@ -140,8 +140,8 @@
 // the reports of the previous incarnation must be retried first, or when the
 // response is missing.
 func (s *session) renewOnce(ctx context.Context) error {
-	if !s.reportPrevious(ctx) {
-		return errPreviousNotAcknowledged
+	if !s.reportPredecessor(ctx) {
+		return errPredecessorNotAcknowledged
 	}
 	request, timeout := s.nextRenewal()
 	gateway, index := s.worker.gateway.pick()
@@ -163,21 +163,21 @@
 	return nil
 }
 
-// reportPrevious sends the reports of the previous incarnation and reports whether
+// reportPredecessor sends the reports of the previous incarnation and reports whether
 // the new one may announce itself: when all are acknowledged, or after
-// maxPreviousAttempts.
+// maxPredecessorReportTries.
 //
 // It guards against a task that finishes but whose report isn't delivered before
 // the lease ends. If the announcement arrives first, the lease's owner declares the
 // attempt dead: an idempotent task runs again, and a non-idempotent one ends with an
 // unknown outcome although it has finished.
-func (s *session) reportPrevious(ctx context.Context) bool {
-	if s.previous == nil {
+func (s *session) reportPredecessor(ctx context.Context) bool {
+	if s.predecessor == nil {
 		return true
 	}
-	s.previousAttempts++
-	if s.previous.reportOnce(ctx) || s.previousAttempts == maxPreviousAttempts {
-		s.previous = nil
+	s.predecessorReportTries++
+	if s.predecessor.reportOnce(ctx) || s.predecessorReportTries == maxPredecessorReportTries {
+		s.predecessor = nil
 		return true
 	}
 	return false
--- a/internal/standin/submit.go
+++ b/internal/standin/submit.go
@@ -90,13 +90,13 @@
 		return ""
 	case err != nil:
 		f := fault.From(err)
-		j.update(i, func(r *JobResult) { r.Answered, r.Kind, r.Reason = now, f.Kind.String(), f.Message })
+		j.update(i, func(r *JobResult) { r.Decided, r.Kind, r.Reason = now, f.Kind.String(), f.Message })
 		return ""
 	}
 	if !spec.Idempotent && spec.Policy != apiv1.Policy_POLICY_SERVICE {
 		j.cfg.Ledger.MarkNonIdempotent(response.Id)
 	}
-	j.update(i, func(r *JobResult) { r.Answered, r.ID, r.State = now, response.Id, response.State })
+	j.update(i, func(r *JobResult) { r.Decided, r.ID, r.State = now, response.Id, response.State })
 	return response.Id
 }
 
@@ -149,14 +149,14 @@
 
 // cancelServices cancels the running services with one call per customer.
 func (j *Jobs) cancelServices(ctx context.Context) {
-	ids := make(map[string][]string)
+	idsByCustomer := make(map[string][]string)
 	for _, r := range j.Results() {
 		if r.Policy == apiv1.Policy_POLICY_SERVICE && r.State == apiv1.JobState_JOB_STATE_RUNNING {
-			ids[r.Customer] = append(ids[r.Customer], r.ID)
+			idsByCustomer[r.Customer] = append(idsByCustomer[r.Customer], r.ID)
 		}
 	}
-	for customer, list := range ids {
-		request := &apiv1.CancelRequest{RequestId: j.runID + "-cancel-" + customer, Ids: list}
+	for customer, serviceIDs := range idsByCustomer {
+		request := &apiv1.CancelRequest{RequestId: j.runID + "-cancel-" + customer, Ids: serviceIDs}
 		err := j.callWithRetry(ctx, customer, 0, submitTimeout, func(ctx context.Context, s apiv1.Scheduler) error {
 			_, err := s.Cancel(ctx, request)
 			return err
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -115,14 +115,14 @@
 
 // newSession starts an incarnation. previous is the incarnation of the same process
 // whose lease has ended, or nil.
-func (w *Worker) newSession(previous *session) *session {
+func (w *Worker) newSession(predecessor *session) *session {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	// The clock makes incarnations increase across restarts of this program, the
 	// last incarnation makes them increase within one millisecond.
 	w.incarnation = max(w.incarnation+1, uint64(time.Now().UnixMilli()))
 	w.session = newSession(w, w.incarnation, w.capacity)
-	w.session.previous = previous
+	w.session.predecessor = predecessor
 	return w.session
 }
 
--- a/internal/standin/workers_test.go
+++ b/internal/standin/workers_test.go
@@ -78,7 +78,7 @@
 // A worker process hangs while its task runs. Its lease ends and the owner starts the
 // task on another worker. The first worker must have stopped its task by then, or two
 // attempts run at the same time.
-func TestPausedWorkerStopsAtLeaseEnd(t *testing.T) {
+func TestPausedWorkerStopsWhenLeaseExpires(t *testing.T) {
 	owner := newFakeOwner(300 * time.Millisecond)
 	fleet := startWorkers(t, 2, WorkerFaults{}, owner)
 	owner.queueStart(testWorker, "report", 1, "")
@@ -151,7 +151,7 @@
 
 // Half of all responses are lost, and reports are sent twice and with a delay. Each
 // task must still run once, and its report must be retried until it is acknowledged.
-func TestLostResponsesAndDuplicateReports(t *testing.T) {
+func TestTasksRunOnceDespiteLostResponsesAndDuplicateReports(t *testing.T) {
 	owner := newFakeOwner(time.Minute)
 	faults := WorkerFaults{LoseResponses: 0.5, DuplicateReports: true, ReportDelay: 5 * time.Millisecond}
 	fleet := startWorkers(t, 1, faults, owner)
@@ -192,7 +192,7 @@
 // A worker hangs while a start command is in flight to it. It reads the command only
 // after its lease has ended, when the owner may have started the task elsewhere.
 // Neither this incarnation nor the next may execute the command.
-func TestStartReceivedAfterLeaseEndIsIgnored(t *testing.T) {
+func TestStartReceivedAfterLeaseExpiryIsIgnored(t *testing.T) {
 	owner := newFakeOwner(300 * time.Millisecond)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
 	worker := fleet.All()[0]
@@ -244,7 +244,7 @@
 // A worker's lease ends while it can't deliver the report of a task. The report must
 // reach the owner before the announcement of the next incarnation, or the owner
 // declares an attempt dead that has ended.
-func TestReportsPrecedeNextIncarnation(t *testing.T) {
+func TestReportsPrecedeSuccessorIncarnation(t *testing.T) {
 	for range 10 {
 		owner := newFakeOwner(150 * time.Millisecond)
 		fleet := startWorkers(t, 1, WorkerFaults{}, owner)
