--- a/internal/standin/call.go
+++ b/internal/standin/call.go
@@ -18,17 +18,17 @@
 
 // Request headers that entry instances read.
 const (
-	// headerDeadline carries the remaining time, in milliseconds.
+	// headerDeadline carries the time until the request's deadline, in milliseconds.
 	headerDeadline = "Bilberry-Deadline"
 	// headerIdempotent tells whether a request may be executed again.
 	headerIdempotent = "Bilberry-Idempotent"
 )
 
-// lateResponseGrace is how long a caller waits beyond the deadline, so that a late
-// response counts as late and not as timed out.
+// lateResponseGrace is how long after the deadline a caller still waits for the
+// response. A response in this time counts as CallersReport.Late and not as TimedOut.
 const lateResponseGrace = time.Second
 
-// callerDialTimeout bounds the opening of a connection by a caller.
+// callerDialTimeout bounds the time in which a caller opens a connection.
 const callerDialTimeout = time.Second
 
 func newCallerClient(cfg CallersConfig) *http.Client {
@@ -43,14 +43,17 @@
 
 // call is one request of a load, with all its tries.
 type call struct {
+	// nonce identifies the call; a correct response repeats it.
 	nonce         string
 	nonIdempotent bool
 	body          []byte
 	// due is the scheduled send time; deadline and latency count from it.
 	due time.Time
-	// target is the index of the entry address to which the next try goes.
+	// entryIndex is the index in CallersConfig.Entries of the address to which the next
+	// try goes.
 	entryIndex int
-	resends    int
+	// resends is the number of tries after the first.
+	resends int
 }
 
 func (c *Callers) newCall(i int, due time.Time) *call {
@@ -82,9 +85,10 @@
 	}
 }
 
-// mayResend reports whether the call may be sent again after err. A connection
-// that broke may have delivered the request, so only an idempotent call is sent
-// again. A connection that was never opened delivered nothing, so any call may be.
+// mayResend reports whether the call may be sent again after err: until its deadline
+// and at most twice per address on average. A connection that broke may have delivered
+// the request, so only an idempotent call is sent again. If no connection was opened,
+// nothing was delivered, so any call may be sent again.
 func (c *Callers) mayResend(ctx context.Context, call *call, err error) bool {
 	if !c.cfg.Resend || !errors.Is(err, errConnectionBroken) || ctx.Err() != nil {
 		return false
@@ -101,7 +105,7 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// Errors that mark why a try failed.
+// Marks of the errors of a try, by cause.
 var (
 	errConnectionBroken = errors.New("connection broke")
 	errWrongResponse    = errors.New("wrong response")
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -26,10 +26,11 @@
 // CallersConfig describes an open-loop load of requests to one service: calls are
 // sent at seeded random times, whether or not earlier calls have ended.
 type CallersConfig struct {
-	// Entries are the addresses (IP:port) among which each call picks one at random.
+	// Entries are the addresses (IP:port) of entry instances. Each call goes to a random
+	// one.
 	Entries []string
-	// Direct sends the calls straight to minions; Entries then holds the minions'
-	// addresses. It measures the baseline without the latency of the request path.
+	// Direct sends the calls straight to minions, whose addresses Entries then holds. The
+	// latency of direct calls is the baseline for that of calls through the system.
 	Direct bool
 	// Service is the name of the service.
 	Service string
@@ -46,10 +47,10 @@
 	Deadline time.Duration
 	// NonIdempotentShare is the share of calls that are non-idempotent, from 0 to 1.
 	NonIdempotentShare float64
-	// Size and BodySize are the bytes of filler in responses and requests; 0
-	// means DefaultResponseSize for responses and no body for requests.
+	// Size and BodySize are the bytes of filler in each response and in the body of each
+	// request. A Size of 0 means DefaultResponseSize, a BodySize of 0 no body.
 	Size, BodySize int
-	// Work is the service time that a call requests; 0 leaves it to the minion.
+	// Work is the service time that a call requests; 0 means the minion's own.
 	Work time.Duration
 	// Resend makes callers retry on the next address as a load balancer in front of
 	// the entry instances would: any call when no connection opens, an idempotent
@@ -60,7 +61,7 @@
 	MaxInFlight int
 	// Dial opens connections; nil means TCP.
 	Dial rpc.Dial
-	// Seed makes send times, target addresses and nonces repeatable.
+	// Seed makes send times, the choice of addresses and nonces repeatable.
 	Seed uint64
 	// Ledger records violations; nil means a new one.
 	Ledger *Ledger
@@ -84,8 +85,8 @@
 	Broken int64 `json:"broken"`
 	// BrokenNonIdempotent is the number of non-idempotent calls in Broken.
 	BrokenNonIdempotent int64 `json:"broken_once"`
-	// TimedOut is the number of calls without a response until one second after
-	// the deadline.
+	// TimedOut is the number of calls that had no response one second after the
+	// deadline.
 	TimedOut int64 `json:"timed_out"`
 	// Wrong is the number of responses that were altered, truncated or swapped.
 	Wrong int64 `json:"wrong"`
@@ -94,8 +95,8 @@
 	NotSent int64 `json:"not_sent"`
 	// Resent is the number of retries.
 	Resent int64 `json:"resent"`
-	// P50, P99 and Max are latencies in microseconds from when a call was due to
-	// its correct response.
+	// P50, P99 and Max are latencies in microseconds, from the scheduled send of a call
+	// to its correct response.
 	P50 int64 `json:"latency_p50_us"`
 	P99 int64 `json:"latency_p99_us"`
 	Max int64 `json:"latency_max_us"`
@@ -114,8 +115,8 @@
 	latency *hdrhistogram.Histogram
 }
 
-// Bounds of the latency histogram, in microseconds, and its precision in
-// significant digits.
+// Parameters of the histograms of latencies and other durations: their bounds, in
+// microseconds, and their precision, in significant decimal digits.
 const (
 	latencyMin    = 1
 	latencyMax    = int64(10 * time.Minute / time.Microsecond)
@@ -219,7 +220,8 @@
 // Ledger returns the ledger that records violations.
 func (c *Callers) Ledger() *Ledger { return c.cfg.Ledger }
 
-// sleepUntil waits until at and reports whether the context is still active then.
+// sleepUntil waits until the time at or the end of the context. It reports whether the
+// context is still active.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	if d := time.Until(at); d > 0 {
 		wait.For(ctx, d)
--- a/internal/standin/changes.go
+++ b/internal/standin/changes.go
@@ -15,60 +15,69 @@
 
 // ChangesConfig describes a load of configuration changes.
 type ChangesConfig struct {
-	// Entries are the addresses (IP:port) to which writes go in round robin.
+	// Entries are the addresses (IP:port) of the entry instances to which writes go in
+	// round robin.
 	Entries []string
 	// Token is the operators' bearer token.
 	Token string
-	// Rate is the number of changes per second, Count their total.
-	Rate  float64
+	// Rate is the number of changes per second.
+	Rate float64
+	// Count is the total number of changes.
 	Count int
-	// Poll is the interval at which the versions in force are queried; 0 means never.
+	// Poll is the interval at which the versions in force are polled; 0 means never.
 	Poll time.Duration
 }
 
 // ChangesReport summarizes a load of configuration changes.
 type ChangesReport struct {
+	// Accepted counts the accepted changes.
 	Accepted int `json:"accepted"`
-	// Failed counts changes that weren't accepted after maxChangeAttempts tries, or
-	// that failed with an error after which a retry doesn't help.
-	Failed    int    `json:"failed"`
+	// Failed counts changes that weren't accepted after maxChangeAttempts tries (20), or
+	// that failed with an error after which the same request can't succeed.
+	Failed int `json:"failed"`
+	// LastError is the error of the last failed change.
 	LastError string `json:"last_error,omitempty"`
 	// Seconds is the duration of the load.
 	Seconds float64 `json:"seconds"`
-	// WriteP50 and WriteMax are durations of an accepted write with its retries, in
-	// microseconds.
+	// WriteP50 and WriteMax are the durations of accepted changes, each with its retries,
+	// in microseconds.
 	WriteP50 int64 `json:"write_p50_us"`
 	WriteMax int64 `json:"write_max_us"`
 	// InForce counts changes that a poll has found in force on every instance.
-	// InForceP50 and InForceMax are the times from the acceptance to that poll, in
-	// microseconds: up to one poll interval more than the true time.
-	InForce    int64 `json:"in_force"`
+	InForce int64 `json:"in_force"`
+	// InForceP50 and InForceMax are the times from the acceptance of a change to the
+	// first poll that found it in force on every instance, in microseconds. They exceed
+	// the true times by up to one poll interval.
 	InForceP50 int64 `json:"in_force_p50_us"`
 	InForceMax int64 `json:"in_force_max_us"`
-	// Reverted counts polled instances whose version was older than at an earlier poll.
+	// Reverted counts the polled versions that were older than the one that the same
+	// instance had at its previous poll.
 	Reverted int `json:"reverted"`
 }
 
 const (
 	// maxChangeAttempts bounds the tries of one change.
 	maxChangeAttempts = 20
-	// changeTimeout bounds one try, one read and one poll.
+	// changeTimeout bounds one SetConfig, GetConfig or ConfigStatus call.
 	changeTimeout = 5 * time.Second
-	// inForceTimeout bounds the wait until all changes are in force everywhere.
+	// inForceTimeout bounds the wait until all changes are in force on every instance.
 	inForceTimeout = 30 * time.Second
 )
 
-// configWriter writes the current document again and again, each time with another
-// comment at its end, so that each change is as large as the real document.
+// configWriter writes the configuration document again and again, each time with another
+// comment at its end. Each change is thus as large as the real document.
 type configWriter struct {
-	cfg      ChangesConfig
-	clients  []apiv1.Operations
-	runID    string
+	cfg     ChangesConfig
+	clients []apiv1.Operations
+	// runID is the start of each request id, which makes request ids unique.
+	runID string
+	// document is the configuration document at the start of the load.
 	document string
-	version  uint64
+	// version is the version that the next change expects to replace.
+	version uint64
 
 	mu sync.Mutex
-	// accepted holds when each version was accepted that isn't yet in force on
+	// accepted holds the acceptance time of each version that isn't yet in force on
 	// every instance.
 	accepted map[uint64]time.Time
 	inForce  *hdrhistogram.Histogram
@@ -77,8 +86,8 @@
 	report       ChangesReport
 }
 
-// RunChanges makes the changes and reports on them. It returns an error only when
-// the first read of the configuration fails.
+// RunChanges writes the changes and returns the report on them. It returns an error only
+// when the first read of the configuration fails.
 func RunChanges(ctx context.Context, cfg ChangesConfig) (ChangesReport, error) {
 	client := NewHTTPClient(cfg.Token, nil)
 	defer client.CloseIdleConnections()
@@ -126,7 +135,7 @@
 	return nil
 }
 
-// writeAll makes the changes at the configured rate.
+// writeAll writes the changes at the configured rate.
 func (c *configWriter) writeAll(ctx context.Context) {
 	writeTimes := hdrhistogram.New(latencyMin, latencyMax, latencyDigits)
 	start := time.Now()
@@ -145,9 +154,10 @@
 	c.report.WriteMax = writeTimes.Max()
 }
 
-// write makes one change and reports whether it was accepted. A call whose outcome
-// is unknown is retried with the same request id. Any other error, such as a
-// Conflict after a write by another client, ends the change and reads the version anew.
+// write writes change number i and reports whether it was accepted. A call whose outcome
+// is unknown is retried with the same request id. After any other error, such as a
+// Conflict with the write of another client, the change counts as failed and the version
+// is read again.
 func (c *configWriter) write(ctx context.Context, i int) bool {
 	request := &apiv1.SetConfigRequest{
 		RequestId: fmt.Sprintf("%s-%d", c.runID, i), ExpectedVersion: c.version,
@@ -182,6 +192,7 @@
 	c.accepted[version] = time.Now()
 }
 
+// pollLoop polls the versions in force until the context ends.
 func (c *configWriter) pollLoop(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
 		callCtx, cancel := context.WithTimeout(ctx, changeTimeout)
@@ -194,8 +205,9 @@
 	}
 }
 
-// recordStatus finds the changes that are in force on every instance and records
-// how long they took. An unreachable instance counts with its last known version.
+// recordStatus finds the changes that are in force on every instance and records how long
+// they took since their acceptance. An unreachable instance counts with its last known
+// version.
 func (c *configWriter) recordStatus(status *apiv1.ConfigStatusResponse, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -219,8 +231,8 @@
 	}
 }
 
-// awaitInForce waits until polls have found every accepted change in force, for
-// inForceTimeout at most.
+// awaitInForce waits until polls have found every accepted change in force on every
+// instance, for inForceTimeout at most. Without polls it returns immediately.
 func (c *configWriter) awaitInForce(ctx context.Context) {
 	deadline := time.Now().Add(inForceTimeout)
 	for c.cfg.Poll > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -25,7 +25,8 @@
 	return client
 }
 
-// bearerTransport adds the bearer token to each request; an empty token adds none.
+// bearerTransport is an http.RoundTripper that adds the bearer token to each request.
+// An empty token adds nothing.
 type bearerTransport struct {
 	token string
 	next  http.RoundTripper
@@ -68,6 +69,8 @@
 	current int
 }
 
+// newFailover returns a failover whose selected client is the one with index first,
+// modulo the number of clients.
 func newFailover[C any](clients []C, first int) *failover[C] {
 	return &failover[C]{clients: clients, current: first % max(len(clients), 1)}
 }
@@ -79,8 +82,8 @@
 	return f.clients[f.current], f.current
 }
 
-// markFailed selects the next client if the one with the given index is selected.
-// Concurrent failures of one client thus skip no other.
+// markFailed selects the next client if the client with the given index is still
+// selected, so that concurrent failures of one client don't skip another client.
 func (f *failover[C]) markFailed(index int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standin/command/command.go
+++ b/internal/standin/command/command.go
@@ -65,8 +65,9 @@
 	return ledger
 }
 
-// exitStatus prints the error or the number of violations of a run and returns the
-// exit status.
+// exitStatus prints the error of a run, or else the number of its violations, and returns
+// the exit status: a failure after an error or a violation. The error of a cancelled
+// context isn't an error of the run.
 func (b *base) exitStatus(ledger *standin.Ledger, err error) subcommands.ExitStatus {
 	if err != nil && !errors.Is(err, context.Canceled) {
 		fmt.Fprintln(b.errorOutput, err)
@@ -80,18 +81,19 @@
 	return subcommands.ExitSuccess
 }
 
-// usageError prints an error of the arguments and returns the exit status.
+// usageError prints an error in the arguments and returns the exit status of usage errors.
 func (b *base) usageError(err error) subcommands.ExitStatus {
 	fmt.Fprintln(b.errorOutput, err)
 	return subcommands.ExitUsageError
 }
 
-// deploymentFlags are the flags that name the entry instances and the token.
+// deploymentFlags are the flags that name the entry instances and the token file.
 type deploymentFlags struct {
 	settings   string
 	dataCentre string
-	entries    string
-	tokenFile  string
+	// entries holds the addresses of entry instances, comma-separated.
+	entries   string
+	tokenFile string
 }
 
 func (d *deploymentFlags) setFlags(f *flag.FlagSet) {
@@ -148,8 +150,8 @@
 	return entries
 }
 
-// token returns the token in the file named by -token-file, or else in the file that
-// choose picks from the settings.
+// token reads the token from the file named by -token-file, or else from the file whose
+// path choose returns from the settings.
 func (d *deploymentFlags) token(s *settings.Settings, choose func(*settings.Settings) string) (string, error) {
 	switch {
 	case d.tokenFile != "":
@@ -161,8 +163,8 @@
 	}
 }
 
-// customerTokenFile returns the token file of a customer, or of the first customer if
-// name is empty. It returns "" for an unknown name.
+// customerTokenFile returns the path of the token file of a customer, or of the first
+// customer if name is empty. It returns "" for an unknown name.
 func customerTokenFile(s *settings.Settings, name string) string {
 	for _, c := range s.Tokens.Customers {
 		if name == "" || c.Name == name {
--- a/internal/standin/command/command_test.go
+++ b/internal/standin/command/command_test.go
@@ -14,6 +14,8 @@
 	apiv1 "github.com/bilberryferry/bilberryferry/api/v1"
 )
 
+// A command with missing, unreadable or invalid arguments must exit with 2. With 1, a
+// script would take a usage error for a violation.
 func TestUsageErrorsExitWithCodeTwo(t *testing.T) {
 	for _, args := range [][]string{
 		{"nonsense"},
@@ -33,6 +35,8 @@
 	}
 }
 
+// A line of the file of -processes has no admin address and more fields than expected. The
+// measurement must accept such a line and print the process.
 func TestMeasurePrintsProcesses(t *testing.T) {
 	list := filepath.Join(t.TempDir(), "processes")
 	must.NoError(t, os.WriteFile(list, []byte("self "+strconv.Itoa(os.Getpid())+" - 12345\n"), 0o600))
@@ -41,6 +45,8 @@
 	must.StrContains(t, out.String(), "self")
 }
 
+// A field of a job file is lost or converted wrongly, such as memory in GiB or a deadline
+// relative to the submission.
 func TestReadTemplate(t *testing.T) {
 	path := filepath.Join("..", "..", "..", "examples", "rackwise", "jobs", "bay-recalculation.toml")
 	arrival, err := readTemplate(path)
--- a/internal/standin/command/fit.go
+++ b/internal/standin/command/fit.go
@@ -18,6 +18,7 @@
 // fit is the subcommand that fits lines to measurements at several sizes of a load.
 type fit struct {
 	*base
+	// configuration groups processes by their role in the configuration log.
 	configuration bool
 }
 
--- a/internal/standin/command/jobs.go
+++ b/internal/standin/command/jobs.go
@@ -33,13 +33,13 @@
 	return "submit jobs and report waiting times, missed deadlines and refusals"
 }
 func (*jobs) Usage() string {
-	return "jobs -settings FILE [flags] JOBFILE ...:\n  Submit each job file once, or with -count that number of jobs chosen at random\n  from the files, at a rate. Print counts and times (in microseconds) as JSON.\n  Exit 1 if an accepted job missed its deadline or a submission was never answered.\n"
+	return "jobs -settings FILE [flags] JOBFILE ...:\n  Submit each job file once, or with -count that number of jobs chosen at random\n  from the files, at a rate. Print counts and times (in microseconds) as JSON.\n  Exit 1 if an accepted job missed its deadline or the outcome of a submission is unknown.\n"
 }
 
 func (c *jobs) SetFlags(f *flag.FlagSet) {
 	c.deployment.setFlags(f)
 	c.capacity.setFlags(f)
-	f.IntVar(&c.workerCount, "workers", 0, "number of workers to run in this process; waiting times then end at the start on the worker")
+	f.IntVar(&c.workerCount, "workers", 0, "number of workers to run in this process; if any, waiting times end at the start on the worker")
 	f.StringVar(&c.customer, "customer", "", "customer who submits; empty: all in the settings, in round robin")
 	f.Float64Var(&c.rate, "rate", 10, "mean jobs per second")
 	f.IntVar(&c.count, "count", 0, "number of jobs; 0: each file once")
@@ -74,14 +74,15 @@
 	return status
 }
 
-// startWorkers runs as many workers as the flag -workers says, waits until all hold
-// a lease and returns the function that ends them.
+// startWorkers runs as many stand-in workers as the flag -workers says, waits until all
+// hold a lease or the context ends, and returns a function that shuts them down.
 func (c *jobs) startWorkers(ctx context.Context) (stop func(), err error) {
 	if c.workerCount == 0 {
 		return func() {}, nil
 	}
 	deployment := c.deployment
-	// -token-file names a customer's token; the workers' token is in the settings.
+	// The flag -token-file names a customer's token. The workers' token is read from the
+	// file that the settings name.
 	deployment.tokenFile = ""
 	fleet, err := c.newFleet(standin.WorkersConfig{Count: c.workerCount, Ledger: c.cfg.Ledger}, &deployment, &c.capacity)
 	if err != nil {
@@ -100,7 +101,7 @@
 	}, nil
 }
 
-// readyPoll is the interval at which startWorkers checks the leases.
+// readyPoll is the interval at which startWorkers checks whether all workers hold a lease.
 const readyPoll = 20 * time.Millisecond
 
 func (c *jobs) printResults(results []standin.JobResult) {
@@ -114,8 +115,8 @@
 	}
 }
 
-// newSubmitter returns a submitter of the jobs in the files. Customers submit in
-// round robin.
+// newSubmitter returns a submitter of the jobs in the given job files. The customers
+// submit in round robin.
 func (c *jobs) newSubmitter(files []string) (*standin.Jobs, error) {
 	if len(files) == 0 {
 		return nil, errors.New("the arguments name no job file")
--- a/internal/standin/command/measure.go
+++ b/internal/standin/command/measure.go
@@ -19,10 +19,12 @@
 // measureCommand is the subcommand that measures the resource usage of daemons.
 type measureCommand struct {
 	*base
-	cfg       measure.Config
+	cfg measure.Config
+	// processes is the path of a file with one process per line, see readProcesses.
 	processes string
-	counters  string
-	json      bool
+	// counters holds the names of expvar counters, comma-separated.
+	counters string
+	json     bool
 }
 
 func (*measureCommand) Name() string { return "measure" }
@@ -70,7 +72,8 @@
 	return encoder.Encode(usages)
 }
 
-// targets returns the processes that the arguments and the file of -processes name.
+// targets returns the processes named by the arguments, NAME=PID[@ADMIN], and by the file
+// of the flag -processes.
 func (c *measureCommand) targets(args []string) ([]measure.Target, error) {
 	var targets []measure.Target
 	for _, arg := range args {
@@ -95,7 +98,8 @@
 	return targets, nil
 }
 
-// newTarget returns a process to measure. It fails unless pid is a positive number.
+// newTarget returns a process to measure; admin is its admin address or empty. It fails
+// unless pid is a positive number.
 func newTarget(name, pid, admin string) (measure.Target, error) {
 	number, err := strconv.Atoi(pid)
 	if err != nil || number <= 0 {
@@ -104,7 +108,8 @@
 	return measure.Target{Name: name, PID: number, Admin: admin}, nil
 }
 
-// readProcesses reads a file with lines NAME PID [ADMIN]; an ADMIN of "-" means none.
+// readProcesses reads a file with lines NAME PID [ADMIN]. ADMIN is the admin address of
+// the process; "-" means none. Further fields are ignored.
 func readProcesses(path string) ([]measure.Target, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/standin/command/minions.go
+++ b/internal/standin/command/minions.go
@@ -18,7 +18,8 @@
 	*base
 	deployment deploymentFlags
 	cfg        standin.MinionsConfig
-	linger     time.Duration
+	// linger is how long the minions continue to serve after leaving.
+	linger time.Duration
 }
 
 func (*minions) Name() string     { return "minions" }
@@ -54,7 +55,7 @@
 	group.Go(func() error { return fleet.Run(fleetCtx) })
 	<-ctx.Done()
 	if err := fleet.Leave(fleetCtx); err != nil {
-		_ = c.logger().Log("event", "leave not answered", "error", err)
+		_ = c.logger().Log("event", "leave not acknowledged", "error", err)
 	}
 	time.Sleep(c.linger)
 	stop()
--- a/internal/standin/command/template.go
+++ b/internal/standin/command/template.go
@@ -8,8 +8,9 @@
 	"github.com/bilberryferry/bilberryferry/internal/standin"
 )
 
-// readTemplate reads a job file. A deadline in the file, also an absolute one, becomes
-// the time from now to it; each submission gets a deadline that much later.
+// readTemplate reads a job file as a template of submissions. A deadline in the file, also
+// an absolute one, is converted to the time from now until that deadline. The deadline of
+// each submission is that long after the submission.
 func readTemplate(path string) (standin.Arrival, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/standin/command/workers.go
+++ b/internal/standin/command/workers.go
@@ -43,8 +43,8 @@
 	return &apiv1.Resources{CpuMilli: cpu, MemoryMib: memory, Accelerators: c.accelerators}, nil
 }
 
-// newFleet returns a fleet with cfg and the data centres, token and capacity from the
-// flags and the settings.
+// newFleet returns a fleet of workers with cfg, completed by the data centres, token and
+// capacity from the flags and the settings.
 func (b *base) newFleet(cfg standin.WorkersConfig, deployment *deploymentFlags, capacity *capacityFlags) (*standin.Workers, error) {
 	dataCentres, s, err := deployment.load()
 	if err != nil {
@@ -68,11 +68,14 @@
 // workers is the subcommand that runs a fleet of stand-in workers.
 type workers struct {
 	*base
-	deployment   deploymentFlags
-	capacity     capacityFlags
-	cfg          standin.WorkersConfig
-	pauseEvery   time.Duration
-	pauseFor     time.Duration
+	deployment deploymentFlags
+	capacity   capacityFlags
+	cfg        standin.WorkersConfig
+	// pauseEvery is the interval at which a random worker is paused; 0 means never.
+	pauseEvery time.Duration
+	// pauseFor is the duration of each pause.
+	pauseFor time.Duration
+	// restartEvery is the interval at which a random worker restarts; 0 means never.
 	restartEvery time.Duration
 }
 
@@ -120,12 +123,12 @@
 	return c.exitStatus(fleet.Ledger(), err)
 }
 
-// leave shuts a fleet down gracefully within leaveTimeout.
+// leave shuts a fleet of workers down gracefully within leaveTimeout.
 func (b *base) leave(fleet *standin.Workers) {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	if err := fleet.Leave(ctx); err != nil {
-		_ = b.logger().Log("event", "leave not answered", "error", err)
+		_ = b.logger().Log("event", "leave not acknowledged", "error", err)
 	}
 }
 
--- a/internal/standin/fake_test.go
+++ b/internal/standin/fake_test.go
@@ -28,26 +28,30 @@
 	return listener.Addr().String()
 }
 
-// fakeOwner is an entry instance and the owner of the workers' leases in one: it
-// grants leases, sends commands and records reports.
+// fakeOwner is an entry instance and the owner of the workers' leases in one: it grants
+// leases, sends commands and records reports.
 type fakeOwner struct {
-	mu       sync.Mutex
-	ttl      time.Duration
+	mu sync.Mutex
+	// ttl is the duration of each granted lease.
+	ttl time.Duration
+	// commands holds the unacknowledged commands, by worker.
 	commands map[string][]*apiv1.Command
-	// staleCommands precede the other commands in every response.
-	staleCommands     []*apiv1.Command
+	// staleCommands are sent before the other commands in every response.
+	staleCommands []*apiv1.Command
+	// changed is closed and replaced when a command is queued.
 	changed           chan struct{}
 	issued            map[string]lease.Position // by worker: incarnation (as Term) and last command number
 	lastRenewals      map[string]*apiv1.RenewRequest
 	announcedCPUMilli map[string]int64 // by worker, of the latest announcement
 	reports           []*apiv1.AttemptReport
 	leftWorkers       map[string]bool
-	// lateReports counts reports that arrived after a renewal of a later
+	// lateReports counts reports that arrived after a renewal of a successor
 	// incarnation.
 	lateReports int
-	// reportsToIgnore is how many more reports are recorded but not acknowledged.
+	// reportsToIgnore is the number of further reports to record without acknowledging
+	// them.
 	reportsToIgnore int
-	// reportGate blocks reports until it is closed; nil blocks none.
+	// reportGate blocks Report calls until it is closed; nil blocks none.
 	reportGate chan struct{}
 }
 
@@ -114,7 +118,8 @@
 	return response, nil
 }
 
-// blockReports makes reports wait, unrecorded, until the returned function is called.
+// blockReports makes Report calls wait until the returned function is called. Until then,
+// their reports aren't recorded.
 func (f *fakeOwner) blockReports() (release func()) {
 	gate := make(chan struct{})
 	f.mu.Lock()
@@ -136,7 +141,8 @@
 	}
 }
 
-// processedAll reports whether the worker's last renewal acknowledges all its commands.
+// processedAll reports whether the worker's last renewal acknowledges all commands issued
+// to the worker.
 func (f *fakeOwner) processedAll(worker string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -183,6 +189,7 @@
 	}}})
 }
 
+// outcomes returns the reported outcomes of a job's attempts in the order of arrival.
 func (f *fakeOwner) outcomes(job string) []apiv1.Outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standin/jobs.go
+++ b/internal/standin/jobs.go
@@ -24,14 +24,15 @@
 	// Customer is the name of the customer who submits the job; the submission
 	// carries this customer's token.
 	Customer string
-	Spec     *apiv1.Spec
+	// Spec is the spec of the job.
+	Spec *apiv1.Spec
 	// Deadline is the job's deadline, counted from the submission; 0 means the
 	// deadline in the spec.
 	Deadline time.Duration
 }
 
-// RandomArrivals returns count arrivals at a mean rate per second. Each is a copy of
-// a random template with another At. The same seed gives the same list.
+// RandomArrivals returns count arrivals at a mean rate per second. Each is a copy of a
+// random template with a random At. The same seed gives the same arrivals.
 func RandomArrivals(seed uint64, rate float64, count int, templates []Arrival) []Arrival {
 	random := rand.New(rand.NewPCG(seed, 0))
 	arrivals := make([]Arrival, 0, count)
@@ -47,19 +48,21 @@
 
 // JobsConfig describes a submitter of jobs.
 type JobsConfig struct {
-	// Entries are the addresses (IP:port) to which submissions go in round robin.
+	// Entries are the addresses (IP:port) of the entry instances to which submissions go
+	// in round robin.
 	Entries []string
 	// Tokens are the bearer tokens of customers, by name.
 	Tokens map[string]string
 	// Arrivals are the jobs, sorted by At.
 	Arrivals []Arrival
-	// Ledger supplies the start times by the workers' clocks when the workers share
-	// the ledger, and records which jobs are non-idempotent; nil means a new one.
+	// Ledger records which jobs are non-idempotent; nil means a new one. If stand-in
+	// workers share the ledger, it also supplies the start times of tasks by the workers'
+	// clocks.
 	Ledger *Ledger
 	// RetryTimeout bounds the retries of a call whose outcome is unknown; 0 means
 	// DefaultRetryTimeout.
 	RetryTimeout time.Duration
-	// KeepServices leaves services running after the run.
+	// KeepServices keeps services running at the end of Run, which else cancels them.
 	KeepServices bool
 	// Dial opens connections; nil means TCP.
 	Dial rpc.Dial
@@ -84,16 +87,17 @@
 	ID string
 	// State is the last known state; unspecified until the job is accepted.
 	State apiv1.JobState
-	// Kind and Reason explain a refusal or an end other than finished.
+	// Kind and Reason are the error kind and the message of a refusal or of an end other
+	// than finished. Reason is also the error of a call that failed.
 	Kind   string
 	Reason string
-	// Submitted is when the submission was first sent, Answered when it was
-	// accepted or refused.
+	// Submitted is when the submission was first sent. Decided is when the response
+	// arrived that accepted or refused it.
 	Submitted, Decided time.Time
-	// Started is when the first task started, by the ledger if it has the start,
-	// else by the job's status. It is zero until a task starts.
+	// Started is when task 0 first started by the ledger, or if the ledger has no start
+	// of it, the start in the job's status. It is zero until then.
 	Started time.Time
-	// Ended is the end in the job's status.
+	// Ended is the end in the job's status, or zero until the job ends.
 	Ended time.Time
 	// Deadline is zero for services.
 	Deadline time.Time
@@ -102,8 +106,8 @@
 // Accepted reports whether the job was accepted.
 func (r JobResult) Accepted() bool { return r.ID != "" }
 
-// Done reports whether the run needn't wait for the job any longer: it was refused,
-// has ended, or is a running service.
+// Done reports whether Jobs.Run needn't wait for the job: the job was refused, has ended,
+// or is a running service.
 func (r JobResult) Done() bool {
 	if !r.Accepted() {
 		return r.Kind != ""
@@ -126,9 +130,11 @@
 	return r.State != apiv1.JobState_JOB_STATE_FINISHED || r.Ended.After(r.Deadline)
 }
 
-// JobsReport summarizes a run.
+// JobsReport summarizes the results of Jobs.
 type JobsReport struct {
-	Arrived  int `json:"arrived"`
+	// Arrived counts all arrivals.
+	Arrived int `json:"arrived"`
+	// Accepted counts accepted submissions.
 	Accepted int `json:"accepted"`
 	// MetDeadline counts accepted jobs that met their deadline, and services that
 	// started.
@@ -146,16 +152,18 @@
 	WaitP50 int64 `json:"wait_p50_us"`
 	WaitP99 int64 `json:"wait_p99_us"`
 	WaitMax int64 `json:"wait_max_us"`
-	// SubmitP50 and SubmitP99 are the durations of a submission with its retries, in
-	// microseconds.
+	// SubmitP50 and SubmitP99 are the times from the first send of a submission to the
+	// response that accepted or refused the job, in microseconds.
 	SubmitP50 int64 `json:"submit_p50_us"`
 	SubmitP99 int64 `json:"submit_p99_us"`
 }
 
 // Jobs is a submitter of jobs.
 type Jobs struct {
-	cfg         JobsConfig
-	runID       string
+	cfg JobsConfig
+	// runID is the start of each request id.
+	runID string
+	// clients holds one client per entry address, by customer.
 	clients     map[string][]apiv1.Scheduler
 	httpClients []*http.Client
 
@@ -176,8 +184,8 @@
 	}
 	j := &Jobs{
 		cfg: cfg,
-		// With the request ids of an earlier run, a submission would return that
-		// run's jobs and start nothing.
+		// Request ids must differ from those of earlier runs. Otherwise a submission
+		// would return the job of an earlier run and start nothing.
 		runID:   fmt.Sprintf("standin-%x", time.Now().UnixNano()),
 		clients: make(map[string][]apiv1.Scheduler),
 	}
@@ -193,6 +201,7 @@
 	return j
 }
 
+// addClients creates a customer's clients, one per entry address, unless they exist.
 func (j *Jobs) addClients(customer string) {
 	if j.clients[customer] != nil {
 		return
@@ -204,8 +213,9 @@
 	})
 }
 
-// Run submits all arrivals, waits until each is done and then cancels the services
-// unless KeepServices is set. The error is always nil.
+// Run submits all arrivals and waits until JobResult.Done holds for each or following it
+// has failed. It then cancels the running services unless KeepServices is set. The error
+// is always nil.
 func (j *Jobs) Run(ctx context.Context) error {
 	defer func() {
 		for _, client := range j.httpClients {
@@ -227,7 +237,7 @@
 	return nil
 }
 
-// runJob submits one job and follows it until it is done.
+// runJob submits the job of arrival number i and follows it until JobResult.Done holds.
 func (j *Jobs) runJob(ctx context.Context, i int, a Arrival) {
 	now := time.Now()
 	spec := proto.Clone(a.Spec).(*apiv1.Spec)
@@ -245,6 +255,7 @@
 	}
 }
 
+// update changes the result of arrival number i and passes it to OnChange.
 func (j *Jobs) update(i int, change func(*JobResult)) {
 	j.mu.Lock()
 	change(&j.results[i])
@@ -292,6 +303,7 @@
 	_ = h.RecordValue(min(max(d.Microseconds(), latencyMin), latencyMax))
 }
 
+// add counts one result.
 func (r *JobsReport) add(result JobResult) {
 	r.Arrived++
 	switch {
--- a/internal/standin/jobs_test.go
+++ b/internal/standin/jobs_test.go
@@ -12,16 +12,18 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-// fakeScheduler accepts jobs and finishes them immediately. It refuses jobs named
-// "never", and finishes jobs named "late" one millisecond after their deadline.
+// fakeScheduler accepts jobs and finishes them at their deadline, or starts them if they
+// are services. It refuses jobs named "never", and finishes jobs named "late" one
+// millisecond after their deadline.
 type fakeScheduler struct {
 	apiv1.Scheduler
-	mu        sync.Mutex
+	mu sync.Mutex
+	// requests counts the tries of each submission, by request id.
 	requests  map[string]int
 	jobs      map[string]*apiv1.Job
 	cancelled []string
-	// loseFirstResponse answers the first try of each submission as Unavailable
-	// although the job was accepted.
+	// loseFirstResponse makes the first try of each submission fail with Unavailable
+	// although the job is accepted.
 	loseFirstResponse bool
 }
 
@@ -75,9 +77,9 @@
 	}
 }
 
-// The first response to every submission is lost. A retry with another request id
-// would submit the job twice. The report must also tell refused jobs, missed
-// deadlines and services apart.
+// The first response to every submission is lost. A retry with another request id would
+// submit the job twice. The report must count each job once, and count refused jobs,
+// missed deadlines and running services separately.
 func TestJobsReportCountsOutcomes(t *testing.T) {
 	scheduler := &fakeScheduler{requests: make(map[string]int), jobs: make(map[string]*apiv1.Job), loseFirstResponse: true}
 	jobs := NewJobs(JobsConfig{
@@ -101,6 +103,7 @@
 	must.Eq(t, []string{jobs.Results()[3].ID}, scheduler.cancelled)
 }
 
+// A failed run can't be repeated, because the same seed gives other times or other jobs.
 func TestRandomArrivalsAreRepeatable(t *testing.T) {
 	templates := []Arrival{newTemplate("a", apiv1.Policy_POLICY_BATCH), newTemplate("b", apiv1.Policy_POLICY_GANG)}
 	first := RandomArrivals(7, 100, 500, templates)
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -25,20 +25,21 @@
 	// ConnectionsExceeded means that a minion had more open connections than its limit.
 	ConnectionsExceeded ViolationKind = "connections-exceeded"
 	// RequestAfterLeave means that a minion received a new request later than
-	// LeaveGrace after it announced that it leaves.
+	// MinionsConfig.LeaveGrace after it told the entry instances that it leaves.
 	RequestAfterLeave ViolationKind = "late-request"
-	// WrongResponse means that a response was altered, truncated, or belongs to
-	// another request.
+	// WrongResponse means that a response was altered, truncated, or belonged to another
+	// request.
 	WrongResponse ViolationKind = "wrong-answer"
 )
 
 // Violation is one breach of a guarantee.
 type Violation struct {
 	Kind ViolationKind
-	// Subject names the task, worker, minion or request.
+	// Subject is the task, the id of the worker or minion, or the nonce of the request.
 	Subject string
 	Detail  string
-	At      time.Time
+	// At is when the violation was found.
+	At time.Time
 }
 
 // String returns the violation as one line.
@@ -46,8 +47,8 @@
 	return fmt.Sprintf("%s %s: %s", v.Kind, v.Subject, v.Detail)
 }
 
-// maxRecords bounds the run records that a ledger holds. Counts per task cover all
-// runs.
+// maxRecords bounds the run records that a ledger holds. The counts of starts and the
+// checks for violations cover all runs, also those whose records were dropped.
 const maxRecords = 100_000
 
 // RunRecord records the run of one attempt on one worker.
@@ -56,7 +57,7 @@
 	Task    int32
 	Attempt int32
 	Worker  string
-	// Demand is the resources that the run occupies.
+	// Demand is the resources that the task demands.
 	Demand *apiv1.Resources
 	Start  time.Time
 	// End is zero until the run ends.
@@ -64,6 +65,7 @@
 	Outcome apiv1.Outcome
 }
 
+// taskKey identifies a task of a job.
 type taskKey struct {
 	job  string
 	task int32
@@ -73,8 +75,9 @@
 
 // taskHistory counts the starts of one task and holds its running attempts.
 type taskHistory struct {
-	starts        int
-	running       map[*RunRecord]struct{}
+	starts  int
+	running map[*RunRecord]struct{}
+	// firstStart is when the first attempt started.
 	firstStart    time.Time
 	nonIdempotent bool
 }
@@ -100,16 +103,16 @@
 	}
 }
 
-// OnViolation sets a function that is called with each violation as it is found.
-// The function must not call the ledger, whose lock is held.
+// OnViolation sets a function that is called with each violation when it is found. The
+// function must not call the ledger, because the ledger's lock is held during the call.
 func (l *Ledger) OnViolation(f func(Violation)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.onViolation = f
 }
 
-// MarkNonIdempotent declares that each task of the job must start at most once.
-// Starts before the call count as well.
+// MarkNonIdempotent declares that each task of the job must start at most once. Starts
+// before this declaration count as well.
 func (l *Ledger) MarkNonIdempotent(job string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,8 +128,8 @@
 	}
 }
 
-// Start records the start of a run. nonIdempotent tells that the task must start at
-// most once. The result identifies the run in End.
+// Start records the start of a run. nonIdempotent declares that the task must start at
+// most once. The result identifies the run in a call of End.
 func (l *Ledger) Start(r RunRecord, nonIdempotent bool) *RunRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,6 +149,7 @@
 	return run
 }
 
+// checkStart records the violations that the start of a run causes. l.mu must be held.
 func (l *Ledger) checkStart(key taskKey, t *taskHistory, run *RunRecord) {
 	for other := range t.running {
 		l.addLocked(ConcurrentRuns, key.String(), fmt.Sprintf("attempt %d on %s starts while attempt %d runs on %s",
@@ -157,6 +161,8 @@
 	}
 }
 
+// appendRecord adds the record of a run. If there are maxRecords, it drops the older half
+// of them first. l.mu must be held.
 func (l *Ledger) appendRecord(run *RunRecord) {
 	if len(l.records) >= maxRecords {
 		l.records = append(l.records[:0], l.records[maxRecords/2:]...)
@@ -183,6 +189,7 @@
 	l.addLocked(kind, subject, detail)
 }
 
+// addLocked records a violation. l.mu must be held.
 func (l *Ledger) addLocked(kind ViolationKind, subject, detail string) {
 	v := Violation{Kind: kind, Subject: subject, Detail: detail, At: time.Now()}
 	l.violations = append(l.violations, v)
@@ -210,7 +217,7 @@
 	return records
 }
 
-// MeanUsage returns the mean resources that runs occupied between two times, as a
+// MeanUsage returns the mean over time of the demands of all runs between two times, a
 // measure of how densely workers are packed. It counts the runs that Records returns.
 func (l *Ledger) MeanUsage(from, to time.Time) *apiv1.Resources {
 	var cpu, memory, accelerators float64
@@ -246,8 +253,8 @@
 	return l.starts
 }
 
-// FirstStart returns when a task of a job first started, by its worker's clock, and
-// false when it hasn't started.
+// FirstStart returns when a task of a job first started, by its worker's clock. The second
+// result is false when the task hasn't started.
 func (l *Ledger) FirstStart(job string, task int32) (time.Time, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/ledger_test.go
+++ b/internal/standin/ledger_test.go
@@ -9,8 +9,9 @@
 	apiv1 "github.com/bilberryferry/bilberryferry/api/v1"
 )
 
-// Runs that overlap a period only in part, or not at all, must count in its mean usage
-// with just the overlap: here half of the period each for two runs, and none for one.
+// A run that overlaps a period only in part, or not at all, counts in the mean usage of
+// the period as if it filled the period. Here two runs overlap half of the period each,
+// and one ends before it.
 func TestLedgerMeanUsage(t *testing.T) {
 	ledger := NewLedger()
 	from := time.Unix(1000, 0)
@@ -25,8 +26,8 @@
 	must.Eq(t, 100, used.MemoryMib)
 }
 
-// The submitter learns the job's id, and marks the job as non-idempotent, only after
-// its task has started twice. The two starts must still count as a violation.
+// The submitter receives the job's id, and marks the job as non-idempotent, only after the
+// job's task has started twice. The two starts must still count as a violation.
 func TestLedgerCountsStartsBeforeMarkNonIdempotent(t *testing.T) {
 	ledger := NewLedger()
 	for range 2 {
--- a/internal/standin/minion.go
+++ b/internal/standin/minion.go
@@ -19,7 +19,8 @@
 // entry instances.
 const announceTimeout = 2 * time.Second
 
-// MinionStats holds counts of one minion or of a fleet.
+// MinionStats holds counts of one minion, or those of a fleet as Minions.Stats combines
+// them.
 type MinionStats struct {
 	// Requests is the number of requests that arrived.
 	Requests int
@@ -49,11 +50,13 @@
 	mu                  sync.Mutex
 	faults              MinionFaults
 	announcementsPaused bool
-	leftAt              time.Time
-	address             string
-	stats               MinionStats
-	inFlight            map[*request]struct{}
-	connections         map[net.Conn]struct{}
+	// leftAt is when Leave was called, or zero before.
+	leftAt  time.Time
+	address string
+	// stats holds all counts but InFlight, which is the size of inFlight.
+	stats       MinionStats
+	inFlight    map[*request]struct{}
+	connections map[net.Conn]struct{}
 }
 
 func newMinion(cfg MinionsConfig, index int, nonIdempotent *nonIdempotentSet) *Minion {
@@ -105,8 +108,8 @@
 	m.faults = f
 }
 
-// PauseAnnouncements stops announcements, or resumes them if paused is false. The
-// minion continues to serve requests.
+// PauseAnnouncements stops the announcements if paused is true and resumes them if it is
+// false. The minion continues to serve requests.
 func (m *Minion) PauseAnnouncements(paused bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -144,8 +147,8 @@
 	return group.Wait()
 }
 
-// trackConnection counts the open connections and records a violation for each new
-// maximum above the limit.
+// trackConnection counts the open connections. It records a violation for each new
+// maximum above MaxConnections.
 func (m *Minion) trackConnection(c net.Conn, state http.ConnState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -165,6 +168,7 @@
 	}
 }
 
+// announceLoop announces the minion at the interval cfg.Announce until the context ends.
 func (m *Minion) announceLoop(ctx context.Context) {
 	defer m.httpClient.CloseIdleConnections()
 	ticker := time.NewTicker(m.cfg.Announce)
@@ -220,9 +224,10 @@
 	m.stats.Announced++
 }
 
-// Leave tells every entry instance that the minion leaves, and ends its
-// announcements. The minion continues to serve requests and records a violation for
-// each one that arrives later than LeaveGrace. It returns the first failed call's error.
+// Leave ends the minion's announcements and tells every entry instance that the minion
+// leaves. The minion continues to serve requests and records a violation for each one
+// that arrives later than LeaveGrace. Leave returns the error of the first call that
+// failed.
 func (m *Minion) Leave(ctx context.Context) error {
 	m.mu.Lock()
 	m.leftAt = time.Now()
--- a/internal/standin/minions.go
+++ b/internal/standin/minions.go
@@ -14,8 +14,8 @@
 
 // Defaults of MinionsConfig.
 const (
-	DefaultSlots          = 8  // requests of one minion
-	DefaultMaxConnections = 60 // connections of one minion
+	DefaultSlots          = 8  // requests in flight at one minion
+	DefaultMaxConnections = 60 // open connections of one minion
 	DefaultAnnounce       = time.Second
 	DefaultLeaveGrace     = 3 * time.Second
 )
@@ -48,13 +48,13 @@
 	MaxConnections int
 	// Token is the bearer token of minions.
 	Token string
-	// Prefix starts the id of each minion; the data centre, the service and a
+	// Prefix is the start of each minion's id; the data centre, the service and a
 	// number follow it.
 	Prefix string
 	// Announce is the interval of announcements; 0 means DefaultAnnounce.
 	Announce time.Duration
-	// LeaveGrace is how long after a minion leaves new requests may still arrive at
-	// it; 0 means DefaultLeaveGrace. Later requests are violations.
+	// LeaveGrace is how long after its Leave a minion may still receive new requests; 0
+	// means DefaultLeaveGrace. Later requests are violations.
 	LeaveGrace time.Duration
 	// Work is the service time of requests that name none.
 	Work time.Duration
@@ -120,8 +120,9 @@
 	return dataCentre, fmt.Sprintf("%s%s-%s-m%03d", cfg.Prefix, dataCentre.Name, cfg.Service, i/len(cfg.DataCentres))
 }
 
-// Run serves and announces all minions until the context ends. They then stop
-// without notice to the entry instances; call Leave first for a graceful shutdown.
+// Run runs all minions until the context ends. At the end, the entry instances aren't
+// notified; call Leave first for a graceful shutdown. Run returns the first error of a
+// minion, which ends the others.
 func (f *Minions) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, m := range f.minions {
@@ -130,8 +131,8 @@
 	return group.Wait()
 }
 
-// Leave tells the entry instances that all minions leave. The minions continue to
-// serve requests. It returns the first error.
+// Leave tells the entry instances that all minions leave. The minions continue to serve
+// requests. Leave returns the first error.
 func (f *Minions) Leave(ctx context.Context) error {
 	var group errgroup.Group
 	for _, m := range f.minions {
--- a/internal/standin/payload.go
+++ b/internal/standin/payload.go
@@ -14,8 +14,8 @@
 // Payload holds the keys of a task's payload that a stand-in worker reads. The
 // payload is JSON or TOML; unknown keys are ignored.
 type Payload struct {
-	// RuntimeMS is the true run time in milliseconds; if absent, the run time is
-	// derived from the declared one.
+	// RuntimeMS is the true run time in milliseconds. If absent, the run time is
+	// derived from the declared one, see WorkersConfig.RuntimeLow.
 	RuntimeMS *int64 `json:"runtime_ms" toml:"runtime_ms"`
 	// Fail makes the task fail at its end.
 	Fail bool `json:"fail" toml:"fail"`
@@ -56,7 +56,7 @@
 	return time.Duration(float64(declared) * factor)
 }
 
-// peak returns the true peak usage of an attempt: the payload's, or else its demand.
+// peak returns the true peak usage of an attempt: the payload's, or else the demand.
 func (p Payload) peak(demand *apiv1.Resources) *apiv1.Resources {
 	usage := &apiv1.Resources{
 		CpuMilli:     demand.GetCpuMilli(),
@@ -72,7 +72,8 @@
 	return usage
 }
 
-// fraction maps a seed and an attempt to a number in [0, 1).
+// fraction maps a seed and an attempt to a pseudorandom number in [0, 1). It uses the
+// highest 53 bits of a hash, the precision of a float64.
 func fraction(seed uint64, ref *apiv1.AttemptRef) float64 {
 	var key [16]byte
 	binary.LittleEndian.PutUint64(key[:], seed)
--- a/internal/standin/reports.go
+++ b/internal/standin/reports.go
@@ -11,11 +11,12 @@
 )
 
 const (
-	// maxReports bounds the reports in one call.
+	// maxReports bounds the reports in one Report call.
 	maxReports = 100
-	// reportTimeout bounds one call.
+	// reportTimeout bounds one Report call.
 	reportTimeout = 2 * time.Second
-	// reportRetryDelay is the delay before a call is retried, with jitter.
+	// reportRetryDelay is the upper bound of the random delay before a Report call is
+	// retried.
 	reportRetryDelay = 250 * time.Millisecond
 	// flushTimeout bounds the wait for acknowledgements when a worker leaves.
 	flushTimeout = 3 * time.Second
@@ -24,7 +25,7 @@
 	duplicateSends = 2
 )
 
-// outbox holds the reports of ended attempts that are not yet acknowledged.
+// outbox holds the reports of ended attempts until they are acknowledged.
 type outbox struct {
 	mu      sync.Mutex
 	reports map[lease.Attempt]*apiv1.AttemptReport
@@ -41,8 +42,8 @@
 	}
 }
 
-// add adds a report after the delay, unless the outbox already holds one of the
-// same attempt.
+// add adds a report after the delay, unless the outbox then holds one of the same
+// attempt.
 func (o *outbox) add(report *apiv1.AttemptReport, delay time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -59,7 +60,8 @@
 	})
 }
 
-// putLocked adds a report and signals wake. The caller holds the lock.
+// putLocked adds a report unless the outbox holds one of the same attempt, and signals
+// wake. o.mu must be held.
 func (o *outbox) putLocked(report *apiv1.AttemptReport) {
 	attempt := attemptOf(report.Attempt)
 	if o.reports[attempt] == nil {
@@ -85,6 +87,7 @@
 	return batch
 }
 
+// acknowledge removes the reports of the given attempts.
 func (o *outbox) acknowledge(attempts []lease.Attempt) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -93,14 +96,15 @@
 	}
 }
 
-// idle reports whether no report can be sent now; delayed ones may still come.
+// idle reports whether there is no report to send now. Delayed reports may still be
+// added.
 func (o *outbox) idle() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.reports) == 0
 }
 
-// empty reports whether no report is unacknowledged or delayed.
+// empty reports whether there is neither an unacknowledged nor a delayed report.
 func (o *outbox) empty() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -139,8 +143,8 @@
 	}
 }
 
-// reportOnce sends one batch and reports whether all of it was acknowledged. Only
-// one batch is in flight at a time; concurrent ones would carry the same reports.
+// reportOnce sends one batch and reports whether all of it was acknowledged. Only one
+// batch is in flight at a time, since concurrent batches would carry the same reports.
 func (s *session) reportOnce(ctx context.Context) bool {
 	s.reporting.Lock()
 	defer s.reporting.Unlock()
@@ -181,8 +185,8 @@
 	return len(response.Acknowledged) >= len(batch)
 }
 
-// recordAcknowledged removes acknowledged reports and allows the guard to drop its
-// records of the attempts.
+// recordAcknowledged removes the acknowledged reports from the outbox and allows the
+// guard to drop its records of their attempts.
 func (s *session) recordAcknowledged(response *apiv1.ReportResponse) {
 	var attempts []lease.Attempt
 	for _, ref := range response.Acknowledged {
--- a/internal/standin/requests_test.go
+++ b/internal/standin/requests_test.go
@@ -64,6 +64,8 @@
 	return callers.Report(), callers.Ledger().Violations()
 }
 
+// A correct response counts as wrong, or a load within the limits of a minion causes a
+// violation. Half of the calls are non-idempotent, and requests have bodies.
 func TestCallersReceiveCorrectResponses(t *testing.T) {
 	fleet, _ := startMinions(t, MinionsConfig{Count: 1, Slots: 1000, MaxConnections: 1000})
 	report, violations := runCallers(t, CallersConfig{
@@ -75,8 +77,9 @@
 	must.SliceEmpty(t, fleet.Ledger().Violations())
 }
 
-// Each injected fault of a minion must appear in the callers' report under its own
-// count. A connection that breaks within a response is not a wrong response.
+// Each injected fault of a minion must appear in the callers' report under its own count.
+// A connection that breaks within a response must count as broken, not as a wrong
+// response.
 func TestMinionFaultsReachCallers(t *testing.T) {
 	fleet, _ := startMinions(t, MinionsConfig{Count: 1, Slots: 100, Faulty: 1, Faults: MinionFaults{Fail: true}})
 	minion := fleet.All()[0]
@@ -95,8 +98,8 @@
 	must.Eq(t, 5, report.Late)
 }
 
-// A proxy ends a truncated response as if it were complete, or sends a caller the
-// response to another request. The caller must detect both.
+// A proxy truncates a response but marks it as complete, or sends a caller the response to
+// another request. The caller must detect both.
 func TestCallersDetectTruncatedAndSwappedResponses(t *testing.T) {
 	complete := newResponseBody("other", nil, DefaultResponseSize)
 	for name, body := range map[string][]byte{"swapped": complete, "cut": complete[:100], "empty": nil} {
@@ -109,8 +112,9 @@
 	}
 }
 
-// An entry instance dies with requests in flight. Idempotent calls must be sent again
-// to another instance; non-idempotent calls might run twice and must end as broken.
+// An entry instance crashes with requests in flight. Idempotent calls must be sent again
+// to another instance. Non-idempotent calls could run twice if they were sent again, so
+// they must end as broken.
 func TestCallersResendOnlyIdempotentRequests(t *testing.T) {
 	crashing := serve(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	fleet, _ := startMinions(t, MinionsConfig{Count: 1, Slots: 100})
@@ -124,8 +128,8 @@
 	must.Eq(t, 20, report.Correct+report.BrokenNonIdempotent)
 }
 
-// Two requests in flight on one slot are a violation, but not when the first one's
-// caller has disconnected and the minion notices it only after the second arrives.
+// Two requests in flight on one slot are a violation, except when the caller of the first
+// has disconnected and the minion notices it only after the second request arrives.
 func TestMinionReportsSlotsExceeded(t *testing.T) {
 	ledger := NewLedger()
 	minion := newMinion(MinionsConfig{DataCentres: []DataCentre{{}}, Slots: 1, Ledger: ledger}.withDefaults(), 0, newNonIdempotentSet(ledger))
--- a/internal/standin/response.go
+++ b/internal/standin/response.go
@@ -24,17 +24,18 @@
 // maxFillerSize bounds the filler in a response, in bytes (16 MiB).
 const maxFillerSize = 16 << 20
 
-// newResponseBody returns the body of the response to a request: a line with the
-// nonce, the checksum of the request's body and the length and checksum of the
-// filler, followed by the filler, which is derived from the nonce.
+// newResponseBody returns the body of the response to a request with the given nonce
+// and body: a line with the nonce, the checksum of the request's body and the length
+// and checksum of the filler, followed by size bytes of filler derived from the nonce.
+// A size outside 0 to maxFillerSize is limited to that range.
 func newResponseBody(nonce string, body []byte, size int) []byte {
 	filler := newFiller(nonce, min(max(size, 0), maxFillerSize))
 	head := fmt.Sprintf("%s %016x %d %016x\n", strconv.Quote(nonce), xxhash.Sum64(body), len(filler), xxhash.Sum64(filler))
 	return append([]byte(head), filler...)
 }
 
-// checkResponseBody compares a response body with the one that the request
-// expects and returns an error when they differ.
+// checkResponseBody compares a response body with the one that newResponseBody returns
+// for the request. It returns an error when they differ.
 func checkResponseBody(got []byte, nonce string, body []byte, size int) error {
 	want := newResponseBody(nonce, body, size)
 	if bytes.Equal(got, want) {
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -13,18 +13,19 @@
 	"github.com/bilberryferry/bilberryferry/internal/wait"
 )
 
-// slotCheckDelay is how long a minion waits before it reports requests above its
-// slots as a violation. A request whose caller has disconnected no longer occupies a
-// slot, but the minion notices the disconnect a moment later.
+// slotCheckDelay is how long a minion waits before it records more requests in flight
+// than slots as a violation. A request whose caller has disconnected no longer occupies
+// a slot, but the minion notices the disconnect with a delay.
 const slotCheckDelay = 50 * time.Millisecond
 
-// request is one request in flight.
+// request is one request in flight at a minion.
 type request struct {
 	// callerDisconnected is set when the caller disconnects before the response.
 	callerDisconnected bool
 }
 
-// limitExceeded describes a violation of a limit of what, for instance requests.
+// limitExceeded returns the detail of a violation: count exceeds the limit. unit names
+// what is counted, such as "requests".
 func limitExceeded(count int, unit string, limit int) string {
 	return fmt.Sprintf("%d %s at the same time, the limit is %d", count, unit, limit)
 }
@@ -76,6 +77,7 @@
 	panic(http.ErrAbortHandler)
 }
 
+// workTime returns the service time that a request asks for, or else the minion's.
 func (m *Minion) workTime(r *http.Request) time.Duration {
 	if ms, err := strconv.Atoi(r.URL.Query().Get(paramWork)); err == nil {
 		return time.Duration(ms) * time.Millisecond
@@ -83,8 +85,9 @@
 	return m.cfg.Work
 }
 
-// beginRequest registers a request and checks it against the slots and, once the
-// minion has left, against LeaveGrace. It returns the faults to inject.
+// beginRequest registers a request in flight and checks the number of slots. Once the
+// minion has left, it also checks that LeaveGrace hasn't passed. It returns the faults to
+// inject into the request.
 func (m *Minion) beginRequest() (*request, MinionFaults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -101,9 +104,9 @@
 	return req, m.faults
 }
 
-// checkSlotsLater checks the current requests against the slots after
-// slotCheckDelay, without those whose caller has disconnected by then. The caller
-// holds the lock.
+// checkSlotsLater records a violation after slotCheckDelay if the requests that are in
+// flight now exceed the slots without those whose caller has disconnected meanwhile.
+// m.mu must be held.
 func (m *Minion) checkSlotsLater() {
 	concurrent := make([]*request, 0, len(m.inFlight))
 	for req := range m.inFlight {
@@ -124,6 +127,7 @@
 	})
 }
 
+// markDisconnected records that the caller has disconnected. It acquires m.mu.
 func (r *request) markDisconnected(m *Minion) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -136,8 +140,8 @@
 	delete(m.inFlight, req)
 }
 
-// nonIdempotentSet holds the non-idempotent requests that the minions of a fleet
-// have executed, by the hash of the nonce, and reports duplicates.
+// nonIdempotentSet holds the non-idempotent requests that the minions of a fleet have
+// received, by the hash of the nonce, and records duplicates as violations.
 type nonIdempotentSet struct {
 	ledger *Ledger
 	mu     sync.Mutex
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -14,22 +14,23 @@
 )
 
 const (
-	// Bounds of the exponential backoff between failed calls.
+	// initialBackoff and maxBackoff bound the exponential backoff between failed calls.
 	initialBackoff = 25 * time.Millisecond
 	maxBackoff     = time.Second
-	// Bounds of how long after its hold time a renewal may stay unanswered before
-	// the worker turns to another entry instance.
+	// minCallSlack and maxCallSlack bound how long after the hold time of a renewal the
+	// worker waits for the response before it calls another entry instance. The hold
+	// time is how long the entry instance may delay the response to wait for commands.
 	minCallSlack = 300 * time.Millisecond
 	maxCallSlack = 2 * time.Second
 )
 
 // maxPredecessorReportTries is how often an incarnation tries to deliver the reports of
-// the previous incarnation before it announces itself without their acknowledgement.
+// its predecessor before it announces itself without their acknowledgement.
 const maxPredecessorReportTries = 5
 
 var (
 	errResponseLost               = errors.New("injected fault: response lost")
-	errPredecessorNotAcknowledged = errors.New("reports of the previous incarnation are not acknowledged")
+	errPredecessorNotAcknowledged = errors.New("reports of the predecessor incarnation are not acknowledged")
 )
 
 // session is one incarnation of a worker. The owner of its lease is the leader that
@@ -39,15 +40,16 @@
 	incarnation uint64
 	capacity    *apiv1.Resources
 	logger      log.Logger
-	// clockStart is the zero of the session's lease clock.
+	// clockStart is the time from which clock counts.
 	clockStart time.Time
-	// leaseEnded is closed when the lease ends.
+	// leaseEnded is closed when the lease expires or its owner ends it.
 	leaseEnded chan struct{}
 	reports    *outbox
 	// reporting is held while a batch of reports is in flight.
 	reporting sync.Mutex
-	// previous is the previous incarnation in this process until its reports are
-	// acknowledged or maxPredecessorReportTries is reached; only the renewing goroutine uses it.
+	// predecessor is the predecessor incarnation in the same process, or nil once its
+	// reports are acknowledged or maxPredecessorReportTries is reached. Only the
+	// goroutine of renewLoop uses predecessor and predecessorReportTries.
 	predecessor            *session
 	predecessorReportTries int
 
@@ -57,11 +59,11 @@
 	leaseTimer *time.Timer
 	// ttl is the duration of the last granted lease; 0 before the first grant.
 	ttl time.Duration
-	// sequence numbers the renewals.
+	// sequence is the number of the last renewal sent.
 	sequence uint64
 	// announce is set when the next renewal must carry an announcement.
 	announce bool
-	// lastRenewalFailed is set while the last renewal has no response.
+	// lastRenewalFailed is set when the last renewal got no response.
 	lastRenewalFailed bool
 	running           map[lease.Attempt]*run
 	used              apiv1.Resources
@@ -89,8 +91,9 @@
 }
 
 // run renews the lease until the lease or the context ends, and reports whether the
-// lease ended. After the lease ends, the background group still delivers reports.
-// The end of the context drops all tasks and reports, as a crash would.
+// lease ended. After the end of the lease, a goroutine in the background group continues
+// to deliver reports. The end of the context drops all tasks and reports, as a crash
+// would.
 func (s *session) run(ctx context.Context, background *sync.WaitGroup) bool {
 	background.Go(func() { s.reportLoop(ctx) })
 	renewCtx, cancel := context.WithCancel(ctx)
@@ -107,6 +110,7 @@
 	}
 }
 
+// clock returns the time since the session was created, the clock of its lease.
 func (s *session) clock() time.Duration { return time.Since(s.clockStart) }
 
 func (s *session) holdsLease() bool {
@@ -121,7 +125,8 @@
 	return len(s.running)
 }
 
-// renewLoop keeps one renewal in flight at any time, with a backoff after failures.
+// renewLoop sends renewals one after the other until the context ends, with a backoff
+// after each failure.
 func (s *session) renewLoop(ctx context.Context) {
 	backoff := initialBackoff
 	for ctx.Err() == nil {
@@ -136,9 +141,9 @@
 	}
 }
 
-// renewOnce sends one renewal and applies the response. It returns an error when
-// the reports of the previous incarnation must be retried first, or when the
-// response is missing.
+// renewOnce sends one renewal and applies the response. It returns an error when the
+// renewal got no response. It returns errPredecessorNotAcknowledged without a renewal
+// when the reports of the predecessor incarnation must be retried first.
 func (s *session) renewOnce(ctx context.Context) error {
 	if !s.reportPredecessor(ctx) {
 		return errPredecessorNotAcknowledged
@@ -163,14 +168,14 @@
 	return nil
 }
 
-// reportPredecessor sends the reports of the previous incarnation and reports whether
-// the new one may announce itself: when all are acknowledged, or after
+// reportPredecessor sends the reports of the predecessor incarnation and reports whether
+// this incarnation may announce itself: when all reports are acknowledged, or after
 // maxPredecessorReportTries.
 //
-// It guards against a task that finishes but whose report isn't delivered before
-// the lease ends. If the announcement arrives first, the lease's owner declares the
-// attempt dead: an idempotent task runs again, and a non-idempotent one ends with an
-// unknown outcome although it has finished.
+// The order matters when a task has finished but its report wasn't delivered before the
+// lease ended. If the announcement of the successor arrived before this report, the
+// lease's owner would declare the attempt dead: an idempotent task would run again, and a
+// non-idempotent task would end with an unknown outcome although it has finished.
 func (s *session) reportPredecessor(ctx context.Context) bool {
 	if s.predecessor == nil {
 		return true
@@ -211,18 +216,19 @@
 	return request, hold + s.callSlack(hold)
 }
 
-// hold returns how long the entry instance may hold the next renewal for commands:
-// a third of the last lease at most. The caller holds the lock.
+// hold returns how long the entry instance may delay the response to the next renewal to
+// wait for commands: a third of the last lease at most.
 //
-// It guards against a healthy worker that loses its lease and its tasks. A lease
-// counts from the send of its renewal. Two renewals held for half of the lease each
-// use up the lease that the first one granted. With a third each, a third is left
-// when the second response is due.
+// The bound keeps a healthy worker from losing its lease and its tasks. A lease counts
+// from the send of its renewal. If two successive renewals were held for half of the
+// lease each, the lease granted by the first would expire before the response to the
+// second. With a third each, a third of the lease is left when that response is due.
+// s.mu must be held.
 func (s *session) hold() time.Duration {
 	switch {
 	case s.announce || s.lastRenewalFailed:
-		// The response starts the lease, or may be the last one before the lease
-		// ends, so it must not be held.
+		// The response grants the first lease, or may be the last one before the lease
+		// expires, so it must not be delayed.
 		return 0
 	case s.ttl > 0:
 		return min(s.worker.cfg.RenewHold, s.ttl/3)
@@ -231,9 +237,10 @@
 	}
 }
 
-// callSlack returns how long after its hold time a renewal may stay unanswered: a
-// third of the rest of the lease, but at least minCallSlack and at most maxCallSlack.
-// This leaves time for another try before the lease ends.
+// callSlack returns how long after the hold time of a renewal the worker waits for the
+// response: a third of the lease that is left after the hold time, but at least
+// minCallSlack and at most maxCallSlack. This leaves time for another try before the
+// lease expires. s.mu must be held.
 func (s *session) callSlack(hold time.Duration) time.Duration {
 	if s.ttl == 0 {
 		return maxCallSlack
@@ -242,6 +249,7 @@
 }
 
 // announcement returns the worker's data centre, rack, capacity and running attempts.
+// s.mu must be held.
 func (s *session) announcement() *apiv1.WorkerAnnouncement {
 	a := &apiv1.WorkerAnnouncement{
 		Rack:       s.worker.rack,
@@ -254,8 +262,8 @@
 	return a
 }
 
-// applyResponse applies the response to a renewal. It ignores a response to an
-// incarnation that has ended or from an older term.
+// applyResponse applies the response to the renewal with the given sequence number. It
+// ignores a response to an incarnation that has ended or from an older leader term.
 func (s *session) applyResponse(sequence uint64, response *apiv1.RenewResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -273,7 +281,8 @@
 	s.applyCommands(response.Commands)
 }
 
-// recordGrant extends the lease and its timer. The caller holds the lock.
+// recordGrant extends the lease by the grant for the renewal with the given sequence
+// number and resets the lease's timer. s.mu must be held.
 func (s *session) recordGrant(sequence uint64, ttl time.Duration) {
 	now := s.clock()
 	s.ttl = ttl
@@ -281,8 +290,8 @@
 	s.leaseTimer.Reset(s.holder.ExpiresAt() - now)
 }
 
-// checkLease ends the incarnation unless the lease was extended since its timer was
-// set.
+// checkLease ends the incarnation if its lease has expired, and else sets the timer to
+// the new expiry.
 func (s *session) checkLease() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -294,12 +303,12 @@
 		s.leaseTimer.Reset(s.holder.ExpiresAt() - now)
 		return
 	}
-	s.endLease("no renewal in time")
+	s.endLease("the lease expired without a renewal")
 }
 
-// endLease stops all tasks and ends the incarnation. The owner counts the lease from
-// a later time than the worker, so no task starts elsewhere before it stops here. The
-// caller holds the lock.
+// endLease stops all tasks and ends the incarnation. The owner counts the lease from a
+// later time than the worker, so no task starts on another worker before it stops on
+// this one. s.mu must be held.
 func (s *session) endLease(reason string) {
 	_ = s.logger.Log("event", "lease ended", "why", reason, "stopped", len(s.running))
 	s.stopAll("lease ended")
--- a/internal/standin/submit.go
+++ b/internal/standin/submit.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// submitTimeout bounds one try of a call other than Watch.
+	// submitTimeout bounds one try of a Home, Submit or Cancel call.
 	submitTimeout = 5 * time.Second
 	// watchWait is how long a Watch may wait for a change of the job.
 	watchWait = 10 * time.Second
-	// watchSlack is how long after watchWait the response may still arrive.
+	// watchSlack is how long after watchWait the response to a Watch may still arrive.
 	watchSlack = 2 * time.Second
 )
 
-// StateName returns the name of a job's state in lower case, without the prefix of
-// the enum.
+// StateName returns the name of a job's state in lower case, without the prefix
+// JOB_STATE_ of the enum.
 func StateName(s apiv1.JobState) string {
 	return strings.ToLower(strings.TrimPrefix(s.String(), "JOB_STATE_"))
 }
 
-// callWithRetry calls entry address number i and, while the outcome is unknown,
-// retries on the next address with an exponential backoff. A call either only reads
-// or carries the same request id in all tries, so retries are safe. callWithRetry
-// returns the first error that tells the outcome, or after RetryTimeout the last
-// error marked with errOutcomeUnknown.
+// callWithRetry calls entry address number i with a customer's token. While the outcome
+// is unknown, it retries on the next address with an exponential backoff. A call either
+// only reads or carries the same request id in all tries, so retries are safe.
+// callWithRetry returns nil or an error once the outcome is known. After RetryTimeout or
+// the end of ctx it returns the last error, marked with errOutcomeUnknown.
 func (j *Jobs) callWithRetry(ctx context.Context, customer string, i int, timeout time.Duration, call func(context.Context, apiv1.Scheduler) error) error {
 	clients := j.clients[customer]
 	retryUntil := time.Now().Add(j.cfg.RetryTimeout)
@@ -53,12 +53,13 @@
 	}
 }
 
-// errOutcomeUnknown marks the error of a call that may have been executed or not.
+// errOutcomeUnknown marks the error of a call that may or may not have been executed.
 var errOutcomeUnknown = errors.New("the outcome of the call is unknown")
 
-// resolveHome sets the home data centre of the submission, which deduplicates it by
-// its request id: the data centre in the spec, or else that of the entry instance.
-// Retries through other entry instances thus reach the same home.
+// resolveHome sets the home of a submission, the data centre that deduplicates
+// submissions by request id: the data centre in the spec, or else the one that the entry
+// instance names. With the home in the request, retries through other entry instances
+// reach the same data centre.
 func (j *Jobs) resolveHome(ctx context.Context, i int, request *apiv1.SubmitRequest) error {
 	return j.callWithRetry(ctx, j.cfg.Arrivals[i].Customer, i, submitTimeout, func(ctx context.Context, s apiv1.Scheduler) error {
 		home, err := s.Home(ctx, &apiv1.HomeRequest{})
@@ -67,6 +68,7 @@
 	})
 }
 
+// sendSubmit sends the submission of arrival number i and stores its response.
 func (j *Jobs) sendSubmit(ctx context.Context, i int, request *apiv1.SubmitRequest, response **apiv1.SubmitResponse) error {
 	return j.callWithRetry(ctx, j.cfg.Arrivals[i].Customer, i, submitTimeout, func(ctx context.Context, s apiv1.Scheduler) (err error) {
 		*response, err = s.Submit(ctx, request)
@@ -74,8 +76,8 @@
 	})
 }
 
-// submit submits a job and returns its id, or "" when it was refused or the outcome
-// is unknown.
+// submit submits the job of arrival number i and returns the job's id, or "" when the
+// submission was refused or its outcome is unknown.
 func (j *Jobs) submit(ctx context.Context, i int, spec *apiv1.Spec) string {
 	request := &apiv1.SubmitRequest{RequestId: fmt.Sprintf("%s-%d", j.runID, i), Spec: spec}
 	var response *apiv1.SubmitResponse
@@ -100,7 +102,7 @@
 	return response.Id
 }
 
-// watch follows a job by long polls until it is done or a poll fails.
+// watch follows a job by long polls until JobResult.Done holds or a poll fails.
 func (j *Jobs) watch(ctx context.Context, i int, id string) {
 	customer := j.cfg.Arrivals[i].Customer
 	revision := uint64(0)
@@ -125,7 +127,8 @@
 	}
 }
 
-// recordStatus updates a result from the job's status and reports whether it is done.
+// recordStatus updates the result of arrival number i from the job's status and reports
+// whether JobResult.Done holds.
 func (j *Jobs) recordStatus(i int, job *apiv1.Job) bool {
 	done := false
 	started, known := j.cfg.Ledger.FirstStart(job.Id, 0)
--- a/internal/standin/tasks.go
+++ b/internal/standin/tasks.go
@@ -33,9 +33,9 @@
 	timer   *time.Timer
 }
 
-// applyCommands executes commands in order while the worker holds its lease. After
-// the lease ends, a late response may carry starts of attempts that the owner has
-// declared dead in the meantime. The caller holds the lock.
+// applyCommands executes commands in order while the worker holds its lease. Commands
+// that arrive after the lease has expired are ignored, because the owner may have
+// declared the attempts that they start dead. s.mu must be held.
 func (s *session) applyCommands(commands []*apiv1.Command) {
 	for _, c := range commands {
 		if !s.holder.Valid(s.clock()) {
@@ -50,9 +50,10 @@
 	}
 }
 
-// applyStart starts an attempt, or reports it as not started when it was stopped
-// before, the worker leaves or the capacity is exceeded. It ignores commands that the
-// guard refuses otherwise: the guard's position tells the owner whether to resend them.
+// applyStart starts an attempt. It reports the attempt as not started when a stop arrived
+// earlier, the worker leaves or the demand exceeds the free resources. It ignores a
+// command that the guard refuses for another reason: the guard's position, which
+// renewals carry, tells the owner whether to send the command again. s.mu must be held.
 func (s *session) applyStart(h lease.Header, start *apiv1.StartTask) {
 	attempt := attemptOf(start.Attempt)
 	err := s.guard.Start(h, attempt)
@@ -65,21 +66,22 @@
 		s.refuse(attempt, "worker leaves")
 	case !s.fits(start.Need):
 		s.recordOvercommitted(attempt, start.Need)
-		s.refuse(attempt, "demand exceeds the worker's free capacity")
+		s.refuse(attempt, "demand exceeds the worker's free resources")
 	default:
 		s.startRun(attempt, start)
 	}
 }
 
-// fits reports whether the worker has free capacity for the demand. The caller holds
-// the lock.
+// fits reports whether the demand is within the worker's free resources. s.mu must be
+// held.
 func (s *session) fits(demand *apiv1.Resources) bool {
 	return s.used.CpuMilli+demand.GetCpuMilli() <= s.capacity.GetCpuMilli() &&
 		s.used.MemoryMib+demand.GetMemoryMib() <= s.capacity.GetMemoryMib() &&
 		s.used.Accelerators+demand.GetAccelerators() <= s.capacity.GetAccelerators()
 }
 
-// recordOvercommitted records a violation by a start beyond the free capacity.
+// recordOvercommitted records a violation by a start whose demand exceeds the free
+// resources. s.mu must be held.
 func (s *session) recordOvercommitted(attempt lease.Attempt, demand *apiv1.Resources) {
 	detail := fmt.Sprintf("%s demands cpu_milli=%d memory_mib=%d accelerators=%d, running tasks use cpu_milli=%d memory_mib=%d accelerators=%d",
 		attempt.Job, demand.GetCpuMilli(), demand.GetMemoryMib(), demand.GetAccelerators(),
@@ -87,7 +89,8 @@
 	s.worker.cfg.Ledger.Add(Overcommitted, s.worker.id, detail)
 }
 
-// refuse ends an attempt that the guard accepted, without running it.
+// refuse ends an attempt that the guard has accepted without running it, and reports it
+// as not started. s.mu must be held.
 func (s *session) refuse(attempt lease.Attempt, reason string) {
 	_ = s.guard.End(attempt)
 	s.reportNotStarted(attempt, reason)
@@ -102,8 +105,7 @@
 	}, s.worker.currentFaults().ReportDelay)
 }
 
-// startRun records the start of an attempt and schedules its end. The caller holds
-// the lock.
+// startRun records the start of an attempt and schedules its end. s.mu must be held.
 func (s *session) startRun(attempt lease.Attempt, start *apiv1.StartTask) {
 	payload := ParsePayload(start.Payload)
 	r := &run{attempt: attempt, start: start, payload: payload}
@@ -120,50 +122,52 @@
 	s.scheduleEnd(r)
 }
 
-// scheduleEnd sets the timer that ends a run after its true run time, or
-// immediately with the fault FailAll.
+// scheduleEnd sets the timer that ends a run after its true run time, or immediately
+// with the fault FailAll. s.mu must be held.
 func (s *session) scheduleEnd(r *run) {
 	cfg := s.worker.cfg
 	if s.worker.currentFaults().FailAll {
-		r.timer = time.AfterFunc(0, func() { s.finish(r, apiv1.Outcome_OUTCOME_FAILED, "fails everything") })
+		r.timer = time.AfterFunc(0, func() { s.finish(r, apiv1.Outcome_OUTCOME_FAILED, "injected fault: every task fails") })
 		return
 	}
 	runtime := r.payload.runtime(r.start, cfg.Seed, cfg.RuntimeLow, cfg.RuntimeHigh)
 	if runtime <= 0 {
-		// A service runs until it is stopped: its timer exists, but never fires.
+		// The task runs until it is stopped. Its timer is set so that endRun can stop
+		// it, but never fires.
 		r.timer = time.AfterFunc(time.Hour, func() {})
 		r.timer.Stop()
 		return
 	}
 	outcome, detail := apiv1.Outcome_OUTCOME_FINISHED, ""
 	if r.payload.Fail {
-		outcome, detail = apiv1.Outcome_OUTCOME_FAILED, "told to fail"
+		outcome, detail = apiv1.Outcome_OUTCOME_FAILED, "the payload makes the task fail"
 	}
 	r.timer = time.AfterFunc(runtime, func() { s.finish(r, outcome, detail) })
 }
 
-// adjustUsed adds the demand of a run to the used resources, or subtracts it with
-// sign -1.
+// adjustUsed adds the demand of a run to the used resources if sign is 1, and subtracts
+// it if sign is -1. s.mu must be held.
 func (s *session) adjustUsed(demand *apiv1.Resources, sign int64) {
 	s.used.CpuMilli += sign * demand.GetCpuMilli()
 	s.used.MemoryMib += sign * demand.GetMemoryMib()
 	s.used.Accelerators += sign * demand.GetAccelerators()
 }
 
-// finish ends a run when its timer fires.
+// finish ends a run with the given outcome and detail when its timer fires.
 func (s *session) finish(r *run, outcome apiv1.Outcome, detail string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// After the lease ends, the owner may have started the task elsewhere. An end
-	// this late must not count as the task's result; it is reported as a stop.
+	// After the lease has expired, the owner may have started the task on another
+	// worker. An end this late must not count as the task's result, so it is reported
+	// as a stop.
 	if !s.holder.Valid(s.clock()) {
 		outcome, detail = apiv1.Outcome_OUTCOME_STOPPED, "lease ended"
 	}
 	s.endRun(r, outcome, detail)
 }
 
-// endRun ends a run and queues its report, unless it has ended before. The caller
-// holds the lock.
+// endRun ends a run and queues its report, unless the run or the incarnation has already
+// ended. s.mu must be held.
 func (s *session) endRun(r *run, outcome apiv1.Outcome, detail string) {
 	if s.closed || s.running[r.attempt] != r {
 		return
@@ -184,8 +188,9 @@
 }
 
 // applyStop stops a running attempt. It reports an attempt that never started as not
-// started; the guard then refuses its start forever. An attempt that has ended
-// needs no action: its report is retried until it is acknowledged.
+// started, and the guard refuses each later start of that attempt. An attempt that has
+// ended needs no action: its report is retried until it is acknowledged. s.mu must be
+// held.
 func (s *session) applyStop(h lease.Header, stop *apiv1.StopTask) {
 	attempt := attemptOf(stop.Attempt)
 	result, err := s.guard.Stop(h, attempt)
@@ -200,7 +205,7 @@
 	}
 }
 
-// leave stops all tasks and makes the session refuse further starts.
+// leave stops all tasks and makes the session refuse later starts.
 func (s *session) leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -208,7 +213,7 @@
 	s.stopAll("worker leaves")
 }
 
-// stopAll ends all runs as stopped. The caller holds the lock.
+// stopAll ends all runs with the outcome stopped. s.mu must be held.
 func (s *session) stopAll(reason string) {
 	for _, r := range s.running {
 		s.endRun(r, apiv1.Outcome_OUTCOME_STOPPED, reason)
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -25,8 +25,8 @@
 	ReportDelay time.Duration
 }
 
-// Worker is one stand-in worker, whose tasks are timers. It runs one incarnation
-// after the other: a Restart or the end of the lease starts a new one.
+// Worker is one stand-in worker, whose tasks are timers. It runs one incarnation after
+// the other: a Restart or the end of the lease starts a successor.
 type Worker struct {
 	cfg        WorkersConfig
 	dataCentre DataCentre
@@ -37,15 +37,17 @@
 	gateway    *failover[apiv1.WorkerGateway]
 	httpClient *http.Client
 
-	mu          sync.Mutex
-	random      *rand.Rand
-	capacity    *apiv1.Resources
-	faults      WorkerFaults
+	mu       sync.Mutex
+	random   *rand.Rand
+	capacity *apiv1.Resources
+	faults   WorkerFaults
+	// incarnation is the number of the latest incarnation.
 	incarnation uint64
-	session     *session
+	// session is the latest incarnation, or nil before Run.
+	session *session
 	// resumed is closed unless the worker is paused.
 	resumed chan struct{}
-	// restart receives a value when the process is to restart.
+	// restart receives a value when the simulated process is to restart.
 	restart chan struct{}
 	leaving bool
 }
@@ -94,7 +96,7 @@
 }
 
 // runProcess simulates one process of the worker until Restart or the end of the
-// context. The process starts a new incarnation each time its lease ends.
+// context. The process starts a successor incarnation each time its lease ends.
 func (w *Worker) runProcess(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	var background sync.WaitGroup
@@ -113,19 +115,20 @@
 	}
 }
 
-// newSession starts an incarnation. previous is the incarnation of the same process
+// newSession starts an incarnation. predecessor is the incarnation of the same process
 // whose lease has ended, or nil.
 func (w *Worker) newSession(predecessor *session) *session {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	// The clock makes incarnations increase across restarts of this program, the
-	// last incarnation makes them increase within one millisecond.
+	// Incarnations must increase. The clock ensures it across restarts of this program,
+	// the latest incarnation plus 1 ensures it within one millisecond.
 	w.incarnation = max(w.incarnation+1, uint64(time.Now().UnixMilli()))
 	w.session = newSession(w, w.incarnation, w.capacity)
 	w.session.predecessor = predecessor
 	return w.session
 }
 
+// current returns the latest incarnation, or nil before Run.
 func (w *Worker) current() *session {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -154,7 +157,7 @@
 }
 
 // Pause stops renewals and reports until Resume, as in a process that hangs. Tasks
-// continue until the worker's lease check stops them.
+// continue until the lease expires; the worker's own lease check then stops them.
 func (w *Worker) Pause() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -176,6 +179,7 @@
 	}
 }
 
+// waitResumed waits while the worker is paused, until the context ends at the latest.
 func (w *Worker) waitResumed(ctx context.Context) {
 	w.mu.Lock()
 	resumed := w.resumed
@@ -186,8 +190,8 @@
 	}
 }
 
-// Restart ends the incarnation as a crash would: tasks end, unacknowledged reports
-// are lost. The next incarnation has the given capacity; nil keeps the last one.
+// Restart ends the incarnation as a crash would: tasks end and unacknowledged reports
+// are lost. The successor has the given capacity; nil keeps the previous one.
 func (w *Worker) Restart(capacity *apiv1.Resources) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -213,9 +217,9 @@
 	return w.faults
 }
 
-// Leave shuts the worker down gracefully: it stops the tasks, flushes their reports
-// and tells an entry instance that the worker leaves. Run then returns. The error is
-// that of the last try to tell an entry instance.
+// Leave shuts the worker down gracefully: it stops the tasks, sends their reports and
+// tells an entry instance that the worker leaves. Run returns afterwards. The error is
+// that of the last LeaveWorker call if none succeeded.
 func (w *Worker) Leave(ctx context.Context) error {
 	w.mu.Lock()
 	w.leaving = true
--- a/internal/standin/workers.go
+++ b/internal/standin/workers.go
@@ -15,7 +15,7 @@
 // Defaults of WorkersConfig.
 const (
 	DefaultRenewHold = 3 * time.Second
-	DefaultPerRack   = 8 // workers
+	DefaultPerRack   = 8 // workers in one rack
 )
 
 // WorkersConfig describes a fleet of stand-in workers.
@@ -30,13 +30,14 @@
 	Capacity *apiv1.Resources
 	// Token is the bearer token of workers.
 	Token string
-	// Prefix starts the id of each worker; the data centre and a number follow it.
+	// Prefix is the start of each worker's id; the data centre and a number follow it.
 	Prefix string
-	// RenewHold is how long an entry instance may hold a renewal for commands; 0
-	// means DefaultRenewHold. No renewal allows more than a third of the last lease.
+	// RenewHold is how long an entry instance may delay the response to a renewal to
+	// wait for commands; 0 means DefaultRenewHold. A worker shortens this time to a third
+	// of its last lease.
 	RenewHold time.Duration
 	// RuntimeLow and RuntimeHigh bound the random ratio of true to declared run
-	// time; if RuntimeHigh is 0, both are 1 and declarations are exact.
+	// time; if RuntimeHigh is 0, both are 1 and the declared run time is the true one.
 	RuntimeLow, RuntimeHigh float64
 	// Seed makes run times, backoffs and faults repeatable.
 	Seed uint64
@@ -96,8 +97,9 @@
 	return dataCentre, id, rack
 }
 
-// Run runs all workers until the context ends. Their tasks then end as in a crash;
-// call Leave first for a graceful shutdown.
+// Run runs all workers until the context ends or all have left. At the end of the
+// context, tasks end as in a crash; call Leave first for a graceful shutdown. The error is
+// always nil.
 func (f *Workers) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, w := range f.workers {
--- a/internal/standin/workers_test.go
+++ b/internal/standin/workers_test.go
@@ -40,6 +40,8 @@
 	return fleet
 }
 
+// A task isn't run, or its outcome is reported wrongly. One payload is JSON and the task
+// must finish, the other is TOML and asks for a failure.
 func TestWorkerRunsTaskAndReports(t *testing.T) {
 	owner := newFakeOwner(time.Second)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
@@ -53,10 +55,10 @@
 	must.SliceEmpty(t, fleet.Ledger().Violations())
 }
 
-// A service's task has no run time and must end when it is stopped. A stop that
-// arrives before its start must be reported as not started, and the later start
-// must neither run nor be reported beside it. Reports are blocked until the start has
-// been processed: an owner issues no start of an attempt whose end it has acknowledged.
+// A service's task has no run time and must end when it is stopped. An attempt whose stop
+// arrives before its start must be reported as not started, and the later start must
+// neither run nor cause a second report. Reports are blocked until the start has been
+// processed, because an owner issues no start of an attempt whose end it has acknowledged.
 func TestWorkerHandlesStopCommands(t *testing.T) {
 	owner := newFakeOwner(time.Second)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
@@ -75,9 +77,9 @@
 	must.Eq(t, 2, fleet.Ledger().Starts())
 }
 
-// A worker process hangs while its task runs. Its lease ends and the owner starts the
-// task on another worker. The first worker must have stopped its task by then, or two
-// attempts run at the same time.
+// A worker process hangs while its task runs. Its lease expires and the owner starts the
+// task on another worker. Two attempts run at the same time if the first worker hasn't
+// stopped its task when its lease expires.
 func TestPausedWorkerStopsWhenLeaseExpires(t *testing.T) {
 	owner := newFakeOwner(300 * time.Millisecond)
 	fleet := startWorkers(t, 2, WorkerFaults{}, owner)
@@ -95,8 +97,8 @@
 	must.SliceEmpty(t, fleet.Ledger().Violations())
 }
 
-// A faulty owner starts a second attempt of a non-idempotent task while the first one
-// runs. The ledger must report both the concurrent runs and the duplicate start.
+// A faulty owner starts a second attempt of a non-idempotent task while the first attempt
+// runs. The ledger must record both the concurrent runs and the duplicate start.
 func TestLedgerDetectsConcurrentRuns(t *testing.T) {
 	owner := newFakeOwner(time.Second)
 	fleet := startWorkers(t, 2, WorkerFaults{}, owner)
@@ -125,7 +127,7 @@
 
 // A worker crashes and restarts with less capacity. It must announce a new
 // incarnation, send no reports of its lost tasks, and ignore commands that were
-// addressed to the old incarnation.
+// addressed to the predecessor incarnation.
 func TestRestartedWorkerIgnoresCommandsOfOldIncarnation(t *testing.T) {
 	owner := newFakeOwner(time.Second)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
@@ -165,8 +167,8 @@
 	must.SliceEmpty(t, fleet.Ledger().Violations())
 }
 
-// The first entry address refuses connections. The worker must get its lease, report
-// its task and leave through the second one.
+// The first entry address refuses connections. The worker must get its lease, report its
+// task and leave through the second address.
 func TestWorkerFailsOverToNextEntryAndLeaves(t *testing.T) {
 	unreachable := "127.0.0.1:1"
 	owner := newFakeOwner(time.Second)
@@ -189,9 +191,9 @@
 	must.True(t, owner.leftWorkers[testWorker])
 }
 
-// A worker hangs while a start command is in flight to it. It reads the command only
-// after its lease has ended, when the owner may have started the task elsewhere.
-// Neither this incarnation nor the next may execute the command.
+// A worker hangs while a start command is in flight to it. It reads the command only after
+// its lease has expired, when the owner may have started the task on another worker.
+// Neither this incarnation nor its successor may execute the command.
 func TestStartReceivedAfterLeaseExpiryIsIgnored(t *testing.T) {
 	owner := newFakeOwner(300 * time.Millisecond)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
@@ -209,8 +211,8 @@
 	must.SliceEmpty(t, owner.outcomes("reassigned"))
 }
 
-// The owner crashes twice after it received a report and before it committed it.
-// The worker must retry the report, or the task counts as running forever.
+// The owner crashes twice after it received a report and before it committed the report.
+// If the worker doesn't send the report again, the task counts as running forever.
 func TestReportsAreRetriedUntilAcknowledged(t *testing.T) {
 	owner := newFakeOwner(time.Minute)
 	owner.reportsToIgnore = 2
@@ -221,10 +223,11 @@
 	eventually(t, "acknowledged", func() bool { return session.reports.empty() })
 }
 
-// A lease counts from the send of its renewal. If renewals are held for half of the
-// lease, each response arrives just as the previous lease ends, and a healthy worker
-// drops its tasks every few seconds. A renewal right after a response must be answered
-// before that response's lease ends, also if its first try is lost.
+// A lease counts from the send of its renewal. If renewals are held for half of the lease,
+// each response arrives just as the previous lease expires, and a healthy worker drops its
+// tasks every few seconds. The response to a renewal sent right after another response
+// must arrive before the lease granted by that response expires, also if the first try of
+// the renewal is lost.
 func TestRenewHoldLeavesTimeForNextRenewal(t *testing.T) {
 	worker := newWorker(WorkersConfig{DataCentres: []DataCentre{{}}, RenewHold: time.Hour}.withDefaults(), 0)
 	for _, ttl := range []time.Duration{300 * time.Millisecond, 6 * time.Second, time.Minute} {
@@ -241,8 +244,8 @@
 	}
 }
 
-// A worker's lease ends while it can't deliver the report of a task. The report must
-// reach the owner before the announcement of the next incarnation, or the owner
+// A worker's lease expires while the worker can't deliver the report of a task. If the
+// announcement of the successor incarnation reaches the owner before the report, the owner
 // declares an attempt dead that has ended.
 func TestReportsPrecedeSuccessorIncarnation(t *testing.T) {
 	for range 10 {
