--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -15,7 +15,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
-// deployments holds the expected counts of each example deployment.
+// deployments holds the expected numbers of data centres, instances, configuration voters
+// and data folders of each example deployment.
 var deployments = []struct {
 	name                                        string
 	dataCentres, instances, voters, dataFolders int
@@ -24,6 +25,8 @@
 	{"himalaya", 4, 8, 5, 4},
 }
 
+// A change of an example's settings makes them invalid, causes a warning, or removes a
+// member of a data centre's log.
 func TestSettingsAreValid(t *testing.T) {
 	for _, d := range deployments {
 		s, err := settings.Load(filepath.Join(d.name, d.name+".toml"))
@@ -61,6 +64,8 @@
 	}
 }
 
+// A customer has a token in the settings but no quota in the configuration, or the other
+// way round.
 func TestConfigNamesEveryCustomer(t *testing.T) {
 	for _, d := range deployments {
 		text, err := fs.ReadFile(examples.Files, path.Join(d.name, "config.toml"))
@@ -77,6 +82,7 @@
 	}
 }
 
+// A sample job file is invalid, is missing, or names its job differently from the file.
 func TestJobFilesAreValid(t *testing.T) {
 	for _, d := range deployments {
 		paths, err := fs.Glob(examples.Files, path.Join(d.name, "jobs", "*.toml"))
--- a/internal/dev/deployment.go
+++ b/internal/dev/deployment.go
@@ -25,6 +25,7 @@
 
 // Deployment is a deployment whose processes run as goroutines of this process.
 type Deployment struct {
+	// Name is the name of the example deployment.
 	Name     string
 	Settings *settings.Settings
 	Tokens   *settings.TokenSet
@@ -34,19 +35,21 @@
 	network Network
 	logs    io.Writer
 	mu      sync.Mutex
-	// stopFuncs holds a function that stops each process, by instance ID and role.
+	// stopFuncs holds the function that stops each process, by INSTANCE/ROLE.
 	stopFuncs map[string]func()
 	processes sync.WaitGroup
-	failures  chan error
+	// failures receives the errors of processes. It has a buffer for one error of each.
+	failures chan error
 }
 
 // Unpack writes the named example deployment into a folder, loads its settings and
-// replaces the addresses by free ports. It returns the listeners on these ports, for
-// Start.
+// replaces the addresses by free ports of 127.0.0.1. It returns the listeners on these
+// ports, by INSTANCE/ROLE, for Start.
 func Unpack(name, folder string) (*Deployment, map[string]net.Listener, error) {
 	return unpack(name, folder, Loopback{})
 }
 
+// unpack does the work of Unpack with the addresses of a network.
 func unpack(name, folder string, network Network) (*Deployment, map[string]net.Listener, error) {
 	files, err := fs.Sub(examples.Files, name)
 	if err != nil {
@@ -75,7 +78,8 @@
 }
 
 // assignListeners opens a listener for every process and writes its address into the
-// settings. The result is keyed by instance ID and role.
+// settings. It removes the admin addresses and moves the data folders into the given
+// folder. The result is keyed by INSTANCE/ROLE.
 func assignListeners(s *settings.Settings, folder string, network Network) (map[string]net.Listener, error) {
 	listeners := make(map[string]net.Listener)
 	for i := range s.Instances {
@@ -99,7 +103,8 @@
 	return listeners, nil
 }
 
-// Start starts every process of the deployment, to run until ctx ends.
+// Start starts every process of the deployment. The processes run until ctx ends and write
+// their logs to logs. Their errors are returned by Wait.
 func (d *Deployment) Start(ctx context.Context, listeners map[string]net.Listener, logs io.Writer) error {
 	d.logs = logs
 	for _, instance := range d.Settings.Instances {
@@ -116,7 +121,7 @@
 	return nil
 }
 
-// startProcess runs one process in the background. Its error goes to d.failures.
+// startProcess runs one process in the background and sends its error to d.failures.
 func (d *Deployment) startProcess(ctx context.Context, instance, role string, listener net.Listener) error {
 	base, err := daemon.NewBase(d.Settings, instance, role, d.logs, d.network.Dial)
 	if err != nil {
@@ -141,7 +146,7 @@
 	return nil
 }
 
-// Stop shuts one process, named INSTANCE/ROLE, down gracefully and waits for its end.
+// Stop shuts down one process, named INSTANCE/ROLE, gracefully and waits for its end.
 func (d *Deployment) Stop(process string) {
 	d.mu.Lock()
 	stop := d.stopFuncs[process]
@@ -162,7 +167,8 @@
 	}
 }
 
-// DataCentres returns the data centres with the entry addresses for stand-ins.
+// DataCentres returns the data centres, with the addresses of their entry instances, to
+// which stand-ins connect.
 func (d *Deployment) DataCentres() []standin.DataCentre {
 	var dataCentres []standin.DataCentre
 	for _, name := range d.Settings.DataCentres() {
@@ -186,7 +192,7 @@
 	return entries
 }
 
-// customerToken reads the token of a customer from the file in the settings.
+// customerToken reads the token of a customer from the file that the settings name.
 func (d *Deployment) customerToken(name string) (string, error) {
 	for _, customer := range d.Settings.Tokens.Customers {
 		if customer.Name == name {
@@ -196,6 +202,6 @@
 	return "", errors.Newf("no customer %q in the settings", name)
 }
 
-// readyTimeout bounds the time until a deployment has elected its leaders and serves
-// its stand-ins.
+// readyTimeout bounds the time until a deployment has elected its leaders and serves its
+// workers, minions and callers.
 const readyTimeout = 15 * time.Second
--- a/internal/dev/memory_test.go
+++ b/internal/dev/memory_test.go
@@ -11,13 +11,15 @@
 	"time"
 )
 
-// memoryNetwork is a Network in memory. A synctest bubble recognizes its waits, so a
-// whole run takes only virtual time. A connection buffers any number of bytes and
-// delivers each after hopDelay. Without the delay each request would end at the
-// instant it starts, and no two would ever be in flight together.
+// memoryNetwork is a Network in memory. A synctest bubble recognizes its waits, so a whole
+// run takes only virtual time. A connection buffers any number of bytes and delivers each
+// of them after hopDelay. Without the delay each request would end at the instant it
+// starts, and no two requests would be in flight at the same time.
 type memoryNetwork struct {
-	mu        sync.Mutex
-	ports     int
+	mu sync.Mutex
+	// ports is the number of ports in use so far.
+	ports int
+	// listeners holds the open listeners, by address.
 	listeners map[string]*memoryListener
 }
 
@@ -26,9 +28,9 @@
 }
 
 const (
-	// basePort is one less than the first port in use.
+	// basePort is one less than the first port that newAddress returns.
 	basePort = 10_000
-	// backlog bounds the connections of a listener that wait to be accepted.
+	// backlog bounds the connections that wait at a listener to be accepted.
 	backlog = 1024
 	// hopDelay is the latency of a connection in each direction.
 	hopDelay = 5 * time.Millisecond
@@ -67,7 +69,7 @@
 	}
 }
 
-// newAddress returns an unused address. The caller holds the lock.
+// newAddress returns an unused address. n.mu must be held.
 func (n *memoryNetwork) newAddress() *net.TCPAddr {
 	n.ports++
 	return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: basePort + n.ports}
@@ -77,6 +79,7 @@
 type memoryListener struct {
 	network *memoryNetwork
 	address *net.TCPAddr
+	// pending holds the connections that wait to be accepted.
 	pending chan net.Conn
 	closing sync.Once
 	closed  chan struct{}
@@ -93,7 +96,8 @@
 	}
 }
 
-// Close refuses new connections and closes those that were never accepted.
+// Close makes the listener refuse new connections and closes the connections that wait to
+// be accepted.
 func (l *memoryListener) Close() error {
 	l.closing.Do(func() {
 		l.network.mu.Lock()
@@ -111,7 +115,7 @@
 	}
 }
 
-// chunk is the bytes of one write and the time of their arrival.
+// chunk holds the bytes of one write and the time at which they arrive at the reader.
 type chunk struct {
 	bytes []byte
 	at    time.Time
@@ -124,13 +128,13 @@
 	writeClosed bool // set by the writer; the chunks can still be read
 	readClosed  bool // set by the reader
 	deadline    time.Time
-	// changed is closed and replaced with each change.
+	// changed is closed and replaced at each change of the stream.
 	changed chan struct{}
 }
 
 func newStream() *stream { return &stream{changed: make(chan struct{})} }
 
-// update changes the stream and wakes a waiting reader.
+// update calls f, which changes the stream, and wakes a waiting reader.
 func (s *stream) update(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,9 +168,9 @@
 	}
 }
 
-// readArrived reads bytes that have arrived. If there are none, it returns until when
-// to wait for some (zero means without a bound) and a channel that is closed by the
-// next change of the stream.
+// readArrived reads bytes that have arrived into p. If there are none, until is the time
+// to wait for at most before the next try, or zero if there is no bound, and changed is
+// closed at the next change of the stream. n is the number of bytes read.
 func (s *stream) readArrived(p []byte) (n int, until time.Time, changed <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,7 +192,8 @@
 	return 0, until, s.changed, nil
 }
 
-// readFirstChunk reads from the first chunk. The caller holds the lock.
+// readFirstChunk reads from the first chunk into p, removes the bytes that it read from the
+// stream and returns their number. s.mu must be held.
 func (s *stream) readFirstChunk(p []byte) int {
 	n := copy(p, s.chunks[0].bytes)
 	s.chunks[0].bytes = s.chunks[0].bytes[n:]
@@ -198,8 +203,8 @@
 	return n
 }
 
-// waitForChange waits for a change until the given time, or without a bound if the
-// time is zero.
+// waitForChange waits until changed is closed, or until the given time at most if that
+// time isn't zero.
 func waitForChange(changed <-chan struct{}, until time.Time) {
 	if until.IsZero() {
 		<-changed
@@ -215,6 +220,7 @@
 
 // memoryConn is one end of a connection.
 type memoryConn struct {
+	// in is the stream that this end reads, out the one that it writes.
 	in, out       *stream
 	local, remote net.Addr
 }
--- a/internal/dev/network.go
+++ b/internal/dev/network.go
@@ -20,11 +20,11 @@
 // Listen opens a listener at a free port of 127.0.0.1.
 func (Loopback) Listen() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
 
-// Dial opens a connection within dialTimeout.
+// Dial opens a TCP connection. It fails after dialTimeout (1 second).
 func (Loopback) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	return dialer.DialContext(ctx, network, address)
 }
 
-// dialTimeout bounds the opening of a connection.
+// dialTimeout bounds the time in which Loopback.Dial opens a connection.
 const dialTimeout = time.Second
--- a/internal/dev/print.go
+++ b/internal/dev/print.go
@@ -17,6 +17,7 @@
 	mu        sync.Mutex
 	out       io.Writer
 	startedAt time.Time
+	// lastLines holds the last state printed of each job, by DEPLOYMENT/JOB.
 	lastLines map[string]string
 }
 
@@ -24,7 +25,7 @@
 	return &progress{out: out, startedAt: time.Now(), lastLines: make(map[string]string)}
 }
 
-// printJob prints the state of a job unless it was the last one printed.
+// printJob prints the state of a job unless it is the one last printed of this job.
 func (p *progress) printJob(deployment string, j standin.JobResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,6 +72,7 @@
 	}
 }
 
+// outcome returns the outcome of a job for the table of results.
 func outcome(j standin.JobResult) string {
 	if !j.Accepted() {
 		return "refused: " + j.Kind
@@ -81,6 +83,8 @@
 	return standin.StateName(j.State)
 }
 
+// waitingTime returns the time from the submission of a job to its start, or "-" if the job
+// hasn't started.
 func waitingTime(j standin.JobResult) string {
 	if j.Started.IsZero() {
 		return "-"
@@ -88,6 +92,8 @@
 	return j.Started.Sub(j.Submitted).Round(100 * time.Microsecond).String()
 }
 
+// timeBeforeDeadline returns the time from the end of a job to its deadline, negative if
+// the job ended late, or "-" if either is unknown.
 func timeBeforeDeadline(j standin.JobResult) string {
 	if j.Ended.IsZero() || j.Deadline.IsZero() || !j.Accepted() {
 		return "-"
@@ -100,7 +106,8 @@
 // usage measures the CPU and memory usage of the process, including the stand-ins.
 type usage struct {
 	startedAt time.Time
-	cpu       time.Duration
+	// cpu is the CPU time used until startedAt.
+	cpu time.Duration
 }
 
 func startUsage() usage { return usage{startedAt: time.Now(), cpu: processorTime()} }
@@ -123,7 +130,8 @@
 		float64(processorTime()-u.cpu)/float64(elapsed), memory.HeapInuse>>20, elapsed.Seconds())
 }
 
-// printExampleCommands prints commands that reach the running deployments.
+// printExampleCommands prints, for each running deployment, example commands with one of
+// its addresses and token files.
 func printExampleCommands(out io.Writer, runs []*run) {
 	fmt.Fprintln(out, "\nthe deployments keep running; stop them with Ctrl-C. Try from another shell:")
 	for _, r := range runs {
--- a/internal/dev/run.go
+++ b/internal/dev/run.go
@@ -25,20 +25,20 @@
 
 // Parameters of the sample work.
 const (
-	// requestLoadDuration is how long requests are sent.
+	// requestLoadDuration is how long requests to the service are sent.
 	requestLoadDuration = 8 * time.Second
 	// requestDeadline is the time from the scheduled send of a request to its deadline.
 	requestDeadline = 500 * time.Millisecond
 	// runtimeLow and runtimeHigh bound the ratio of true to declared run time.
 	runtimeLow  = 0.8
 	runtimeHigh = 1.2
-	// pollInterval is the interval of checks whether the deployment is ready.
+	// pollInterval is the interval of the checks whether the deployment is ready.
 	pollInterval = 50 * time.Millisecond
 )
 
 // Size is the number of stand-ins and the load of a run.
 type Size struct {
-	// Workers and Minions are the numbers per deployment.
+	// Workers and Minions are the numbers of stand-ins of each deployment.
 	Workers, Minions int
 	// RequestRate is the number of requests per second to each deployment.
 	RequestRate float64
@@ -49,13 +49,17 @@
 
 // sample holds the parameters that differ between the example deployments.
 type sample struct {
-	name     string
-	service  string
+	// name is the name of the deployment and of its folder in package examples.
+	name string
+	// service is the service to which requests are sent.
+	service string
+	// capacity is the capacity of each worker.
 	capacity *apiv1.Resources
-	perRack  int
+	// perRack is the number of workers in one rack.
+	perRack int
 }
 
-// samples are the example deployments, by folder name.
+// samples are the example deployments that Run runs.
 var samples = []sample{
 	{"rackwise", "inspect-hub", &apiv1.Resources{CpuMilli: 64_000, MemoryMib: 256 << 10}, 8},
 	{"himalaya", "guest-desk", &apiv1.Resources{CpuMilli: 32_000, MemoryMib: 128 << 10}, 6},
@@ -70,16 +74,17 @@
 	Violations []standin.Violation
 }
 
-// Passed reports whether at least one job was accepted, every submission got a
-// response, all accepted jobs and all requests met their deadlines, and no violation
-// was found. Refused jobs and requests don't count against it.
+// Passed reports whether at least one job was accepted, the outcome of every submission is
+// known, all accepted jobs met their deadlines, no request broke, timed out or got a late
+// or wrong response, and no violation was found. Refused jobs, refused requests and requests
+// that weren't sent are allowed.
 func (r *Result) Passed() bool {
 	allInTime := r.Requests.Broken == 0 && r.Requests.TimedOut == 0 && r.Requests.Late == 0
 	return r.Report.MissedDeadline == 0 && r.Report.OutcomeUnknown == 0 && r.Report.Accepted > 0 && r.correct() && allInTime
 }
 
 // correct reports whether no violation was found and no response was wrong. Unlike
-// deadlines, this doesn't depend on the speed of the machine.
+// Passed, the result doesn't depend on the speed of the machine.
 func (r *Result) correct() bool { return r.Requests.Wrong == 0 && len(r.Violations) == 0 }
 
 // run is one running deployment with its stand-ins.
@@ -94,7 +99,8 @@
 	callers    *standin.Callers
 }
 
-// start starts a deployment with its stand-ins and waits until it is ready.
+// start starts a deployment with its stand-ins in the group and waits until the deployment
+// is ready.
 func start(ctx context.Context, group *errgroup.Group, s sample, size Size, network Network, folder string, logs io.Writer) (*run, error) {
 	d, listeners, err := unpack(s.name, folder, network)
 	if err != nil {
@@ -145,8 +151,8 @@
 	return r.awaitServing(ctx)
 }
 
-// awaitServing waits until each entry instance serves a request, for which it must
-// have been granted slots.
+// awaitServing waits until each entry instance serves a request. An entry instance serves
+// requests once it has been granted slots of minions.
 func (r *run) awaitServing(ctx context.Context) error {
 	token, err := r.deployment.customerToken(r.deployment.Settings.Tokens.Customers[0].Name)
 	if err != nil {
@@ -228,8 +234,9 @@
 	return work.Wait()
 }
 
-// arrivals reads the example's job files and the customers' tokens. The customers
-// submit in round robin. A deadline in a file becomes the time from now to it.
+// arrivals reads the example's job files and the customers' tokens, by name. The customers
+// submit in round robin. A deadline in a file is converted to the time from now until that
+// deadline, and counts from the submission.
 func (r *run) arrivals() ([]standin.Arrival, map[string]string, error) {
 	tokens := make(map[string]string)
 	for _, customer := range r.deployment.Settings.Tokens.Customers {
@@ -271,9 +278,9 @@
 	}
 }
 
-// Run runs the sample work of both example deployments and prints the results. It
-// returns whether both results have passed. With stay, the deployments keep running
-// after the sample work until the context ends.
+// Run runs the sample work of both example deployments, prints the results to out and
+// writes the daemons' logs to logs. It returns whether both results have passed. With
+// stay, the deployments keep running after the sample work until the context ends.
 func Run(ctx context.Context, out, logs io.Writer, size Size, stay bool) (bool, error) {
 	results, err := runOver(ctx, Loopback{}, out, logs, size, stay)
 	return err == nil && allResults(results, (*Result).Passed), err
@@ -298,7 +305,8 @@
 	defer os.RemoveAll(folder)
 	ctx, stop := context.WithCancel(ctx)
 	group, ctx := errgroup.WithContext(ctx)
-	// The folder is removed only after all processes that write into it have ended.
+	// This deferred call runs before the removal of the folder, so that all processes
+	// that write into the folder have ended.
 	defer func() {
 		stop()
 		_ = group.Wait()
--- a/internal/dev/run_test.go
+++ b/internal/dev/run_test.go
@@ -15,9 +15,9 @@
 	"github.com/bilberryferry/bilberryferry/internal/standin"
 )
 
-// testSize returns the size of the tests' runs. With the race detector, a run at full
-// size needs most of a small machine, because one process holds both deployments and
-// their stand-ins. A short test run has a fifth of the load and the same checks.
+// testSize returns the size of the tests' runs. With the race detector, a run at full size
+// uses most of a small machine, because one process runs both deployments and their
+// stand-ins. With -short, a run has a fifth of the load and the same checks.
 func testSize() Size {
 	full := FullSize()
 	if testing.Short() {
@@ -26,9 +26,9 @@
 	return full
 }
 
-// The deployments miss a deadline of the sample work, or accept jobs that can't meet
-// theirs. Time is virtual, so work that is late here waited for the deployments and
-// never for a processor that other processes occupied.
+// The deployments miss a deadline of the sample work, or accept jobs that can't meet their
+// deadlines. Time is virtual, so the cause of late work is a delay in the deployments and
+// never a busy machine.
 func TestSampleWorkMeetsDeadlines(t *testing.T) {
 	useOneProcessor(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -41,8 +41,8 @@
 	})
 }
 
-// allRequestsCorrect reports whether all requests got a correct response. The minions
-// have enough slots for the load, so no request may be refused either.
+// allRequestsCorrect reports whether every request got a correct response. The minions have
+// enough slots for the load, so no request may be refused.
 func allRequestsCorrect(r *Result) bool { return r.Requests.Correct == r.Requests.Calls }
 
 // useOneProcessor limits the test to one thread at a time. The race detector has one
@@ -60,10 +60,10 @@
 	}
 }
 
-// `bilberry dev`, which the README names first, fails over real sockets and in real
-// time. Deadlines count only if calls from the same process straight to a minion are
-// fast during the whole run. On a slower machine the test checks only violations and
-// wrong responses, which don't depend on speed.
+// `bilberry dev`, the first command in the README, fails over real sockets and in real
+// time. Missed deadlines fail the test only if calls from the same process straight to a
+// minion are fast during the whole run. On a slower machine the test checks only
+// violations and wrong responses, which don't depend on speed.
 func TestSampleWorkOverSockets(t *testing.T) {
 	baseline := startBaseline(t)
 	var out bytes.Buffer
@@ -84,8 +84,8 @@
 // checked: a request through a deployment takes twice as many hops as a direct call.
 const baselineMaxLatency = requestDeadline / 2
 
-// baseline is a load of calls straight to a separate minion. The calls compete for
-// the processors like the requests through the deployments.
+// baseline is a load of calls straight to a separate minion. The calls compete for the
+// processors with the deployments, like the requests through the deployments.
 type baseline struct {
 	callers *standin.Callers
 	// stopCallers ends the load; stopMinion ends the minion after the last call.
--- a/internal/e2e/bench_test.go
+++ b/internal/e2e/bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// BenchmarkUrgentStartAfterLeaderLoss measures the time from the submission of an
-// urgent job to its start on a worker, when the leader of the data centre was
-// killed immediately before the submission.
+// BenchmarkUrgentStartAfterLeaderLoss measures the time from the submission of an urgent job
+// to its start on a worker, when the leader of the data centre was killed immediately
+// before the submission.
 func BenchmarkUrgentStartAfterLeaderLoss(b *testing.B) {
 	c := newCluster(b, "rackwise", oneDataCentre)
 	c.workers(6)
--- a/internal/e2e/chaos_test.go
+++ b/internal/e2e/chaos_test.go
@@ -18,8 +18,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/standin"
 )
 
-// Environment variables for the duration and seed of the random faults, and their
-// defaults.
+// Environment variables for the duration, in seconds, and the seed of the random faults,
+// and their defaults.
 const (
 	chaosSecondsVariable = "BILBERRY_CHAOS_SECONDS"
 	chaosSeedVariable    = "BILBERRY_CHAOS_SEED"
@@ -29,16 +29,19 @@
 	chaosJobsPerSecond = 8.0
 )
 
-// faultInjector injects random faults one after the other; several may be active at
-// the same time. The keys of down and paused are process names such as naas-1/cell,
-// those of partitioned are data centres.
+// faultInjector injects random faults one after the other. Several faults may be active at
+// the same time.
 type faultInjector struct {
-	cluster     *cluster
-	random      *rand.Rand
-	workers     *standin.Workers
+	cluster *cluster
+	random  *rand.Rand
+	workers *standin.Workers
+	// faultCounts counts the injected faults, by kind.
 	faultCounts map[string]int
-	down        map[string]bool
-	paused      map[string]bool
+	// down and paused hold the killed and the paused processes, by INSTANCE/ROLE such as
+	// naas-1/cell.
+	down   map[string]bool
+	paused map[string]bool
+	// partitioned holds the partitioned data centres.
 	partitioned map[string]bool
 }
 
@@ -47,10 +50,10 @@
 	return all[f.random.IntN(len(all))]
 }
 
-// injectOrEndFault injects or ends one random fault. In each data centre at most one
-// control process at a time is down, paused or recovering its state. If all of them,
-// the one with the disk included, lost their memory before the first had recovered,
-// the data centre would lose more state than the system tolerates.
+// injectOrEndFault injects or ends one random fault. It kills or pauses a process only if no
+// other process of the data centre is down, paused or recovering its state. If all cell
+// processes, including the one with the disk, lost their memory before the first of them
+// had recovered, the data centre would lose more state than the system tolerates.
 func (f *faultInjector) injectOrEndFault() {
 	instance := f.randomInstance()
 	cell, entry := instance.ID+"/cell", instance.ID+"/entry"
@@ -77,7 +80,8 @@
 	}
 }
 
-// hasFault reports whether a process of a data centre is down, paused or recovering.
+// hasFault reports whether a process of a data centre is down, paused or recovering its
+// state.
 func (f *faultInjector) hasFault(dataCentre string) bool {
 	for _, instance := range f.cluster.deployment.Settings.InDataCentre(dataCentre) {
 		for _, role := range []string{"/cell", "/entry"} {
@@ -89,6 +93,7 @@
 	return !f.cluster.recovered(dataCentre)
 }
 
+// killOrStart starts a process if it is down, or else kills it unless hasFault is true.
 func (f *faultInjector) killOrStart(instance settings.Instance, process, role string, hasFault bool) {
 	switch {
 	case f.down[process]:
@@ -101,6 +106,8 @@
 	}
 }
 
+// pauseOrResume resumes a process if it is paused, or else pauses it unless hasFault is
+// true.
 func (f *faultInjector) pauseOrResume(process string, hasFault bool) {
 	switch {
 	case f.paused[process]:
@@ -121,7 +128,7 @@
 	}
 }
 
-// endAll ends every fault.
+// endAll ends every active fault.
 func (f *faultInjector) endAll() {
 	for dataCentre, isPartitioned := range f.partitioned {
 		if isPartitioned {
@@ -143,9 +150,8 @@
 	}
 }
 
-// recovered reports whether every control process of a data centre is reachable and
-// has recovered, a leader commits with a disk, and their commit indexes differ by less
-// than 100 entries.
+// recovered reports whether allRecovered holds for the instances that each cell process of
+// a data centre reports.
 func (c *cluster) recovered(dataCentre string) bool {
 	ctx, _ := c.operatorClients()
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
@@ -162,6 +168,9 @@
 	return allRecovered(instances)
 }
 
+// allRecovered reports whether every given instance is reachable and has recovered its
+// state, the commits of the leader reach a disk, and the commit indexes differ by less than
+// 100 entries.
 func allRecovered(instances []*apiv1.Instance) bool {
 	hasLeader, lowest, highest := false, uint64(math.MaxUint64), uint64(0)
 	for _, i := range instances {
@@ -183,11 +192,11 @@
 	return fallback
 }
 
-// TestRandomFaults guards against tasks that run twice, wrong responses and jobs
-// without exactly one outcome under combined faults. Control processes are killed,
-// paused and restarted, data centres are partitioned, and workers are paused and
-// restarted, in a random order given by the seed, while jobs and requests continue.
-// The outcomes are checked after every fault has ended.
+// TestRandomFaults guards against tasks that run twice, wrong responses and jobs without
+// exactly one outcome under combined faults. Cell and entry processes are killed and
+// restarted, cell processes are paused, data centres are partitioned, and workers are
+// paused and restarted, in a random order given by the seed, while jobs and requests
+// continue. The outcomes are checked after every fault has ended.
 func TestRandomFaults(t *testing.T) {
 	seed := uint64(environmentInt(chaosSeedVariable, defaultChaosSeed))
 	duration := time.Duration(environmentInt(chaosSecondsVariable, defaultChaosSeconds)) * time.Second
@@ -227,14 +236,15 @@
 		if !result.Accepted() || !result.MissedDeadline() {
 			continue
 		}
-		// If a worker is lost, the outcome of its non-idempotent runs is unknown.
+		// The loss of a worker makes the outcome of its non-idempotent runs unknown. No
+		// other accepted job may miss its deadline.
 		must.Eq(t, apiv1.JobState_JOB_STATE_UNKNOWN, result.State, must.Sprintf("%+v", result))
 	}
 	c.checkNoViolations()
 }
 
-// chaosJobs returns the job templates of TestRandomFaults: batch jobs and gangs, both
-// idempotent and not.
+// chaosJobs returns the job templates of TestRandomFaults: batch jobs and gangs, idempotent
+// and non-idempotent ones of each.
 func chaosJobs() []standin.Arrival {
 	var templates []standin.Arrival
 	for i, policy := range []apiv1.Policy{apiv1.Policy_POLICY_BATCH, apiv1.Policy_POLICY_BATCH, apiv1.Policy_POLICY_GANG} {
--- a/internal/e2e/customer_test.go
+++ b/internal/e2e/customer_test.go
@@ -15,9 +15,10 @@
 
 // customerClient calls the system with the token of one customer.
 type customerClient struct {
-	cluster    *cluster
-	ctx        context.Context
-	token      string
+	cluster *cluster
+	ctx     context.Context
+	token   string
+	// schedulers holds one client for each entry instance that may be called.
 	schedulers []apiv1.Scheduler
 	client     *http.Client
 }
@@ -59,7 +60,7 @@
 	return ctx, operations
 }
 
-// awaitService waits until every entry instance forwards requests to a service.
+// awaitService waits until a request to a service succeeds through every entry instance.
 func (cc *customerClient) awaitService(service string) {
 	cc.cluster.t.Helper()
 	for _, address := range cc.cluster.deployment.Entries() {
@@ -77,11 +78,12 @@
 	}
 }
 
-// partitionTick fires after the interval at which a test starts and ends partitions.
+// partitionTick returns a channel that fires once, after the interval at which a test
+// starts and ends partitions.
 func (c *cluster) partitionTick() <-chan time.Time { return time.After(150 * time.Millisecond) }
 
-// requestHome returns the data centre that stores the request id of a submission: that
-// of the spec, or the one that an entry instance names.
+// requestHome returns the home of a submission, the data centre that stores its request id:
+// the data centre in the spec, or else the one that an entry instance names.
 func (cc *customerClient) requestHome(spec *apiv1.Spec) string {
 	cc.cluster.t.Helper()
 	if spec.DataCentre != "" {
@@ -100,15 +102,15 @@
 	return home
 }
 
-// trySubmit retries a submission over all entry instances until it is accepted or
-// refused. It returns the refusal.
+// trySubmit retries a submission with the same request id over all entry instances until
+// the submission is accepted or refused. If it is refused, the error is the refusal.
 func (cc *customerClient) trySubmit(requestID string, spec *apiv1.Spec) (*apiv1.SubmitResponse, error) {
 	cc.cluster.t.Helper()
 	var response *apiv1.SubmitResponse
 	var err error
 	home := cc.requestHome(spec)
 	i := 0
-	cc.cluster.eventually("submission "+requestID+" is answered", func() bool {
+	cc.cluster.eventually("submission "+requestID+" gets a response", func() bool {
 		ctx, cancel := context.WithTimeout(cc.ctx, 5*time.Second)
 		defer cancel()
 		request := &apiv1.SubmitRequest{RequestId: requestID, Spec: spec, Home: home}
@@ -119,14 +121,14 @@
 	return response, err
 }
 
-// submit retries a submission with the same request id over all entry instances until
-// it is accepted, as callers should.
+// submit retries a submission with the same request id over all entry instances, as
+// customers should, until the submission is accepted.
 func (cc *customerClient) submit(requestID string, spec *apiv1.Spec) *apiv1.SubmitResponse {
 	cc.cluster.t.Helper()
 	var response *apiv1.SubmitResponse
 	home := cc.requestHome(spec)
 	i := 0
-	cc.cluster.eventually("submission "+requestID+" is answered", func() bool {
+	cc.cluster.eventually("submission "+requestID+" gets a response", func() bool {
 		ctx, cancel := context.WithTimeout(cc.ctx, 5*time.Second)
 		defer cancel()
 		var err error
@@ -138,7 +140,7 @@
 	return response
 }
 
-// status returns the status of a job. It retries over all entry instances.
+// status returns the status of a job with its tasks. It retries over all entry instances.
 func (cc *customerClient) status(id string) *apiv1.Job {
 	cc.cluster.t.Helper()
 	var job *apiv1.Job
@@ -168,9 +170,9 @@
 	return job
 }
 
-// batch returns the spec of a batch job whose tasks declare a run time in milliseconds.
-// The payload of a non-idempotent job makes the stand-ins' ledger record a second start
-// as a violation.
+// batch returns the spec of a batch job whose tasks declare a run time in milliseconds. The
+// job's deadline is in one minute. The payload of a non-idempotent job makes the stand-ins'
+// ledger record a second start of a task as a violation.
 func batch(name string, tasks int, milliseconds int64, idempotent bool) *apiv1.Spec {
 	spec := &apiv1.Spec{
 		Name: name, Policy: apiv1.Policy_POLICY_BATCH, Tasks: int32(tasks), Idempotent: idempotent,
--- a/internal/e2e/failover_test.go
+++ b/internal/e2e/failover_test.go
@@ -12,7 +12,7 @@
 	"github.com/bilberryferry/bilberryferry/internal/standin"
 )
 
-// TestEntryInstanceKilledUnderLoad guards against wrong, late or unanswered requests and
+// TestEntryInstanceKilledUnderLoad guards against wrong, late or missing responses and
 // lost jobs when an entry instance is killed with responses in flight. Callers whose
 // connection broke retry at another instance.
 func TestEntryInstanceKilledUnderLoad(t *testing.T) {
@@ -44,7 +44,7 @@
 	c.checkNoViolations()
 }
 
-// refusedCalls returns the number of calls that were refused without having run.
+// refusedCalls returns the number of calls that got a response with an error status.
 func refusedCalls(report standin.CallersReport) int64 {
 	var sum int64
 	for _, count := range report.Refused {
@@ -53,9 +53,9 @@
 	return sum
 }
 
-// TestLeaderKilledUnderLoad guards against lost or repeated tasks when the leader of a
-// data centre is killed with commits and commands in flight. The next leader takes the
-// workers over, and submissions whose response was lost are retried.
+// TestLeaderKilledUnderLoad guards against lost or repeated tasks when the leader of a data
+// centre is killed with commits and commands in flight. The next leader takes over the
+// workers' leases, and submissions whose response was lost are retried.
 func TestLeaderKilledUnderLoad(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
@@ -74,9 +74,9 @@
 	c.checkNoViolations()
 }
 
-// TestLeaderPausedPastItsLease guards against tasks that run twice when a leader is
-// stopped by a signal for longer than its lease. It resumes without knowing that time
-// has passed and that another leader was elected.
+// TestLeaderPausedPastItsLease guards against tasks that run twice when a leader is paused
+// by SIGSTOP until its lease has expired and another leader is elected. The paused leader
+// resumes without knowing of the pause and of the other leader.
 func TestLeaderPausedPastItsLease(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
@@ -129,10 +129,10 @@
 	c.checkNoViolations()
 }
 
-// TestCommandsRunAfterBriefFollowerPauses guards against accepted jobs that show as
-// running forever. A leader loses contact with its followers again and again for less
-// than their election timeout and keeps its term. If it restarts the numbering of its
-// commands within the term, workers discard the new commands as duplicates.
+// TestCommandsRunAfterBriefFollowerPauses guards against accepted jobs that show as running
+// forever. A leader loses contact with its followers several times, each time for less
+// than their election timeout, and keeps its leader term. If the leader restarts the
+// numbering of its commands within the term, workers discard new commands as duplicates.
 func TestCommandsRunAfterBriefFollowerPauses(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(2)
@@ -149,6 +149,7 @@
 	c.checkNoViolations()
 }
 
+// signalFollowers sends a signal to all cell processes except the leader's.
 func (c *cluster) signalFollowers(leader string, signal syscall.Signal) {
 	for _, instance := range c.deployment.Settings.Instances {
 		if instance.ID != leader {
--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -31,8 +31,9 @@
 // asserts how long a wait takes.
 const conditionTimeout = 30 * time.Second
 
-// raceVariable is the environment variable that builds the daemons with the race
-// detector. A data race appears in their logs and in the exit code after SIGTERM.
+// raceVariable is the environment variable that, if not empty, makes the tests build the
+// daemons with the race detector. A data race appears in their logs and in the exit code
+// after SIGTERM.
 const raceVariable = "BILBERRY_RACE"
 
 // binaryFolder is the folder of the built daemons.
@@ -70,20 +71,22 @@
 	// settings holds the path of the settings file by data centre.
 	settings map[string]string
 
-	mu        sync.Mutex
+	mu sync.Mutex
+	// processes holds the running processes, by INSTANCE/ROLE such as naas-1/cell.
 	processes map[string]*exec.Cmd
-	logs      bytes.Buffer
+	// logs is the combined log of all processes.
+	logs bytes.Buffer
 }
 
-// Bounds of the daemons' ports. They lie below the ephemeral port range of common
-// systems, so that no outgoing connection of another process takes the port of a
-// killed daemon before it restarts.
+// Bounds of the daemons' ports. They lie below the ephemeral port range of common systems,
+// so that no outgoing connection of another process takes the port of a killed daemon
+// before the daemon restarts.
 const (
 	lowestPort  = 11_000
 	highestPort = 31_000
 )
 
-// ports reserves free ports by listening on them until the daemons are started.
+// ports reserves free ports for daemons by listening on them until release.
 type ports struct {
 	t         testing.TB
 	listeners []net.Listener
@@ -113,8 +116,8 @@
 	}
 }
 
-// newCluster starts the daemons of an example deployment. modify, if not nil, changes its
-// settings first.
+// newCluster starts the daemons of an example deployment. modify, if not nil, changes the
+// deployment's settings first.
 func newCluster(t testing.TB, example string, modify func(*settings.Settings)) *cluster {
 	ctx, cancel := context.WithCancel(context.Background())
 	deployment, listeners, err := dev.Unpack(example, t.TempDir())
@@ -155,6 +158,7 @@
 	return c
 }
 
+// writeSettings writes a settings file into the deployment's folder and returns its path.
 func (c *cluster) writeSettings(name string, s *settings.Settings) string {
 	path := filepath.Join(c.deployment.Folder, name+".processes.toml")
 	file, err := os.Create(path)
@@ -171,9 +175,10 @@
 	return c.logs.Write(p)
 }
 
-// logTailBytes is the length of the log that a failed test prints.
+// logTailBytes is the length of the end of the log that a failed test prints.
 const logTailBytes = 200_000
 
+// logTail returns the last logTailBytes of the combined log.
 func (c *cluster) logTail() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -198,7 +203,7 @@
 	c.processes[instance+"/"+role] = cmd
 }
 
-// signal sends a signal to one process.
+// signal sends a signal to the process named INSTANCE/ROLE.
 func (c *cluster) signal(process string, signal syscall.Signal) {
 	c.mu.Lock()
 	cmd := c.processes[process]
@@ -218,7 +223,7 @@
 	must.NoError(c.t, c.removeProcess(process).Wait(), must.Sprint(process))
 }
 
-// removeProcess removes a process from the running ones and returns it.
+// removeProcess removes a process from the running processes and returns its command.
 func (c *cluster) removeProcess(process string) *exec.Cmd {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -227,6 +232,7 @@
 	return cmd
 }
 
+// killAll kills all running processes and waits for their exits.
 func (c *cluster) killAll() {
 	c.mu.Lock()
 	var running []string
@@ -275,7 +281,8 @@
 	return workers
 }
 
-// minions runs stand-in minions of a service and waits until each is announced.
+// minions runs stand-in minions of a service and waits until an entry instance has
+// accepted an announcement of each.
 func (c *cluster) minions(count int, service string) *standin.Minions {
 	minions := standin.NewMinions(standin.MinionsConfig{
 		DataCentres: c.deployment.DataCentres(), Count: count, Service: service, Token: c.deployment.Tokens.Token(settings.Minion), Ledger: c.ledger,
@@ -285,7 +292,7 @@
 	return minions
 }
 
-// leader waits until a data centre has a leader and returns its instance id.
+// leader waits until a data centre has a leader and returns the leader's instance id.
 func (c *cluster) leader(dataCentre string) string {
 	c.t.Helper()
 	ctx, operations := c.operatorClients()
@@ -316,7 +323,7 @@
 	}
 }
 
-// oneDataCentre reduces a deployment to its first data centre.
+// oneDataCentre removes all instances but those of the first data centre from the settings.
 func oneDataCentre(s *settings.Settings) {
 	name := s.DataCentres()[0]
 	s.Instances = s.InDataCentre(name)
--- a/internal/e2e/input_test.go
+++ b/internal/e2e/input_test.go
@@ -14,10 +14,12 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
+// submitPath is the path of the RPC Submit of the service Scheduler.
 const submitPath = "/twirp/bilberry.v1.Scheduler/Submit"
 
-// TestInvalidInputIsRejected guards against invalid requests that are stored or get an
-// unspecific error, and against customers that see or cancel jobs of another customer.
+// TestInvalidInputIsRejected guards against invalid requests that are accepted or whose
+// error doesn't name the invalid field or has the wrong kind, and against customers that
+// see or cancel jobs of another customer.
 func TestInvalidInputIsRejected(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(2)
--- a/internal/e2e/job_end_test.go
+++ b/internal/e2e/job_end_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestJobIsEndedAtItsDeadline guards against tasks that run far longer than declared and
-// occupy their workers past the job's deadline. The job must fail at its deadline, and
-// the next job gets the workers.
+// occupy their workers past the job's deadline. The job must fail at its deadline, and the
+// next job must get the workers.
 func TestJobIsEndedAtItsDeadline(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(1)
--- a/internal/e2e/leave_test.go
+++ b/internal/e2e/leave_test.go
@@ -43,7 +43,7 @@
 	c.checkNoViolations()
 }
 
-// drainFirstWorker drains the first listed worker and returns its id.
+// drainFirstWorker drains the first worker that the system lists and returns its id.
 func (c *cluster) drainFirstWorker() string {
 	ctx, operations := c.operatorClients()
 	ctx, cancel := context.WithTimeout(ctx, conditionTimeout)
--- a/internal/e2e/membership_test.go
+++ b/internal/e2e/membership_test.go
@@ -12,10 +12,10 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
-// TestInstanceReplacedThenAnotherLost guards against a replaced instance that doesn't
+// TestInstanceReplacedThenAnotherLost guards against a replacement instance that doesn't
 // count toward the quorum. An instance is lost permanently, a new one with another name,
-// address and empty memory replaces it, and the leader is killed right afterwards. Jobs
-// accepted before and after must finish.
+// address and empty memory replaces it, and the leader is killed right after the
+// replacement. Jobs accepted before and after must finish.
 func TestInstanceReplacedThenAnotherLost(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
@@ -47,8 +47,8 @@
 }
 
 // TestDisklessInstancesCatchUpAfterRestart guards against lost or repeated tasks when
-// diskless control instances restart with empty memory. Each instance in turn is killed,
-// misses hundreds of log entries, restarts and catches up.
+// diskless cell processes restart with empty memory. The cell process of each instance in
+// turn is killed, misses hundreds of log entries, restarts and catches up.
 func TestDisklessInstancesCatchUpAfterRestart(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
@@ -69,7 +69,8 @@
 	c.checkNoViolations()
 }
 
-// awaitCatchUp waits until an instance has recovered and reached the highest commit index.
+// awaitCatchUp waits until an instance has recovered its state and reached the highest
+// commit index of all instances.
 func (c *cluster) awaitCatchUp(id string) {
 	c.t.Helper()
 	ctx, operations := c.operatorClients()
@@ -100,8 +101,8 @@
 	return ""
 }
 
-// entryIndex returns the index of an instance's entry address, or of any other entry
-// address if ofInstance is false.
+// entryIndex returns the index of an instance's address in the entry addresses of the
+// deployment, or if ofInstance is false, the first index of another instance's address.
 func (c *cluster) entryIndex(id string, ofInstance bool) int {
 	instance, err := c.deployment.Settings.Instance(id)
 	must.NoError(c.t, err)
@@ -113,7 +114,8 @@
 	return 0
 }
 
-// startExtraInstance starts an instance that is missing from the settings of the others.
+// startExtraInstance starts the processes of an instance that the settings of the other
+// instances don't contain. It returns the instance with its addresses.
 func (c *cluster) startExtraInstance(added settings.Instance) settings.Instance {
 	ports := newPorts(c.t)
 	added.Entry, added.Cell = ports.reserve(), ports.reserve()
@@ -126,9 +128,10 @@
 	return added
 }
 
-// TestConfigurationVoterReplacedThenAnotherLost guards against a replaced voter of the
+// TestConfigurationVoterReplacedThenAnotherLost guards against a replacement voter of the
 // configuration log that doesn't count toward the quorum. A voter is lost permanently, a
-// new instance replaces it, another voter is lost, and a version is written.
+// new instance replaces it, and another voter is lost. A write of the configuration must
+// still succeed.
 func TestConfigurationVoterReplacedThenAnotherLost(t *testing.T) {
 	c := newCluster(t, "rackwise", nil)
 	ctx, operations := c.operatorClients()
--- a/internal/e2e/network_test.go
+++ b/internal/e2e/network_test.go
@@ -12,22 +12,27 @@
 )
 
 // network routes the connections between data centres through relays, so that a test can
-// partition a data centre. During a partition no connection is closed or refused, but
-// none carries bytes. The keys of relays are links, each from one data centre to another.
+// partition a data centre. During a partition no connection is closed or refused, but no
+// connection carries bytes.
 type network struct {
-	mu     sync.Mutex
+	mu sync.Mutex
+	// relays holds the relays by link: the data centre that connects and the one to which
+	// it connects.
 	relays map[[2]string][]*relay
 }
 
-// relay forwards connections to one instance. While blocked, it forwards nothing.
+// relay forwards connections to one process. While blocked, it forwards nothing.
 type relay struct {
-	listener    net.Listener
+	listener net.Listener
+	// destination is the address of the process.
 	destination string
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// changed is signalled when blocked changes.
 	changed *sync.Cond
 	blocked bool
-	conns   []net.Conn
+	// conns holds both connections of each forwarded one.
+	conns []net.Conn
 }
 
 // settingsSeenFrom returns the settings for the processes of a data centre, with the
@@ -47,7 +52,7 @@
 	return &adjusted
 }
 
-// relay starts a relay to target on a link and returns its address.
+// relay starts a relay to destination on a link and returns the relay's address.
 func (n *network) relay(c *cluster, link [2]string, destination string) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(c.t, err)
@@ -75,8 +80,8 @@
 	}
 }
 
-// setBlocked starts or ends the blocking of all bytes. At the end it closes the
-// connections that were blocked.
+// setBlocked starts or ends the blocking of all bytes. At the end of a blocking it closes
+// the connections that were blocked.
 func (r *relay) setBlocked(blocked bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,6 +95,7 @@
 	r.changed.Broadcast()
 }
 
+// accept forwards all connections until the listener is closed.
 func (r *relay) accept() {
 	for {
 		conn, err := r.listener.Accept()
@@ -100,6 +106,7 @@
 	}
 }
 
+// forward forwards one connection in both directions until either side is closed.
 func (r *relay) forward(from net.Conn) {
 	defer from.Close()
 	r.waitWhileBlocked()
@@ -118,7 +125,7 @@
 	r.copyBytes(from, to)
 }
 
-// copyBytes forwards bytes in one direction until either side is closed.
+// copyBytes forwards bytes in one direction until a read or a write fails.
 func (r *relay) copyBytes(to io.Writer, from io.Reader) {
 	buffer := make([]byte, 32<<10)
 	for {
--- a/internal/e2e/partition_test.go
+++ b/internal/e2e/partition_test.go
@@ -49,8 +49,8 @@
 }
 
 // TestHandoverRunsOnceDuringNetworkPartitions guards against handed-over jobs that are
-// lost or run twice. A data centre without workers hands over its jobs while its
-// network links fail again and again, so that offers and their responses get lost.
+// lost or run twice. A data centre without workers hands over its jobs while network
+// partitions separate it several times, so that offers and their answers get lost.
 func TestHandoverRunsOnceDuringNetworkPartitions(t *testing.T) {
 	c := newCluster(t, "rackwise", nil)
 	dataCentres := c.deployment.Settings.DataCentres()
@@ -73,7 +73,8 @@
 	for i := range 40 {
 		response, err := source.trySubmit(fmt.Sprint("handover-", i), batch("reports", 2, 100, false))
 		if err != nil {
-			// Refused because no other data centre could be reached; the job wasn't accepted.
+			// The submission was refused because no other data centre could be reached. The
+			// job wasn't accepted.
 			must.False(t, fault.Is(err, fault.Unavailable), must.Sprint(err))
 			continue
 		}
@@ -93,10 +94,10 @@
 }
 
 // TestResentSubmissionIsDeduplicatedAcrossDataCentres guards against a second job when
-// the response to a submission is lost and the retry reaches another data centre.
-// Request ids are stored in the home data centre only, and the load balancer in front
-// of the entry instances doesn't know it. A non-idempotent submission without a home is
-// refused before it is stored.
+// the response to a submission is lost and the retry reaches another data centre. Request
+// ids are stored in the home data centre only, and a load balancer in front of the entry
+// instances doesn't know which data centre that is. A non-idempotent submission without a
+// home must be refused.
 func TestResentSubmissionIsDeduplicatedAcrossDataCentres(t *testing.T) {
 	c := newCluster(t, "rackwise", nil)
 	c.workers(6)
@@ -106,7 +107,7 @@
 	request := &apiv1.SubmitRequest{RequestId: "lost-answer", Spec: spec, Home: dataCentres[0]}
 	ids := make(map[string]bool)
 	for _, name := range dataCentres {
-		c.eventually("the submission is answered through "+name, func() bool {
+		c.eventually("the submission gets a response through "+name, func() bool {
 			response, err := customer.inDataCentre(name).schedulers[0].Submit(customer.ctx, request)
 			must.False(t, err != nil && !fault.Is(err, fault.Unavailable), must.Sprint(err))
 			ids[response.GetId()] = true
@@ -125,8 +126,8 @@
 }
 
 // TestAcceptedJobsSurviveDataCentrePowerLoss guards against the loss of accepted jobs
-// when all control processes of a data centre are killed at the same time while tasks
-// run. All of them restart, only one with the data on its disk.
+// when all cell processes of a data centre are killed while tasks run. All of them restart,
+// but only one has the data on its disk.
 func TestAcceptedJobsSurviveDataCentrePowerLoss(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
@@ -147,9 +148,9 @@
 	c.checkNoViolations()
 }
 
-// TestForcedStartKeepsAcceptedJobs guards against a data centre that can't serve again
-// after two of its three control instances are destroyed. Only the instance with the
-// disk restarts, with --force-start, and must keep the accepted jobs.
+// TestForcedStartKeepsAcceptedJobs guards against a data centre that can't serve again after
+// two of its three cell processes are lost permanently. All three are killed, and only the
+// one with the disk restarts, with --force-start. It must keep the accepted jobs.
 func TestForcedStartKeepsAcceptedJobs(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(4)
@@ -194,7 +195,7 @@
 	winner := -1
 	for i, err := range errs {
 		if err == nil {
-			must.Eq(t, -1, winner, must.Sprint("two winners"))
+			must.Eq(t, -1, winner, must.Sprint("two writes succeeded"))
 			winner = i
 			continue
 		}
@@ -220,13 +221,15 @@
 `, cores)
 }
 
+// writeConfig writes a configuration through one entry instance, with a single try.
 func (c *cluster) writeConfig(ctx context.Context, operations apiv1.Operations, requestID string, expectedVersion uint64, document string) error {
 	_, err := operations.SetConfig(ctx, &apiv1.SetConfigRequest{RequestId: requestID, ExpectedVersion: expectedVersion, Document: document})
 	return err
 }
 
-// setConfig writes a configuration. It retries over the given entry instances until one
-// reaches the voters.
+// setConfig writes a configuration. It retries over the given entry instances until one of
+// them reaches a quorum of the configuration voters. Any error other than Unavailable fails
+// the test.
 func (c *cluster) setConfig(ctx context.Context, operations []apiv1.Operations, requestID string, expectedVersion uint64, document string) {
 	c.t.Helper()
 	i := 0
