--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -15,6 +15,12 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
+// Numbers that hold for each example deployment.
+const (
+	cellMembers = 3 // members of each data centre's log
+	jobFiles    = 6
+)
+
 // deployments holds the expected numbers of data centres, instances, configuration voters
 // and data folders of each example deployment.
 var deployments = []struct {
@@ -44,7 +50,7 @@
 		}
 		must.Eq(t, d.dataFolders, dataFolders)
 		for _, dataCentre := range s.DataCentres() {
-			must.Len(t, 3, s.CellMembers(dataCentre))
+			must.Len(t, cellMembers, s.CellMembers(dataCentre))
 		}
 	}
 }
@@ -87,7 +93,7 @@
 	for _, d := range deployments {
 		paths, err := fs.Glob(examples.Files, path.Join(d.name, "jobs", "*.toml"))
 		must.NoError(t, err)
-		must.Len(t, 6, paths)
+		must.Len(t, jobFiles, paths)
 		for _, p := range paths {
 			text, err := fs.ReadFile(examples.Files, p)
 			must.NoError(t, err)
--- a/internal/dev/print.go
+++ b/internal/dev/print.go
@@ -52,10 +52,17 @@
 	return j.ID + " " + standin.StateName(j.State)
 }
 
+// Layout of the table of results, in characters.
+const (
+	columnMinWidth = 2
+	tabWidth       = 8
+	columnPadding  = 2
+)
+
 // printResult prints the final table of one deployment.
 func printResult(out io.Writer, r *Result) {
 	fmt.Fprintf(out, "\n%s\n", r.Name)
-	table := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
+	table := tabwriter.NewWriter(out, columnMinWidth, tabWidth, columnPadding, ' ', 0)
 	fmt.Fprintln(table, "  work\tcustomer\toutcome\twaited\tbefore deadline")
 	for _, j := range r.Jobs {
 		fmt.Fprintf(table, "  %s\t%s\t%s\t%s\t%s\n", j.Name, j.Customer, outcome(j), waitingTime(j), timeBeforeDeadline(j))
--- a/internal/dev/run.go
+++ b/internal/dev/run.go
@@ -29,6 +29,8 @@
 	requestLoadDuration = 8 * time.Second
 	// requestDeadline is the time from the scheduled send of a request to its deadline.
 	requestDeadline = 500 * time.Millisecond
+	// nonIdempotentShare is the share of requests that are non-idempotent.
+	nonIdempotentShare = 0.2
 	// runtimeLow and runtimeHigh bound the ratio of true to declared run time.
 	runtimeLow  = 0.8
 	runtimeHigh = 1.2
@@ -225,7 +227,7 @@
 	})
 	r.callers = standin.NewCallers(standin.CallersConfig{
 		Entries: r.deployment.Entries(), Service: r.service, Token: tokens[arrivals[0].Customer],
-		Rate: r.size.RequestRate, Duration: requestLoadDuration, Deadline: requestDeadline, NonIdempotentShare: 0.2, Seed: 1, Ledger: r.ledger,
+		Rate: r.size.RequestRate, Duration: requestLoadDuration, Deadline: requestDeadline, NonIdempotentShare: nonIdempotentShare, Seed: 1, Ledger: r.ledger,
 		Dial: r.deployment.network.Dial,
 	})
 	var work errgroup.Group
--- a/internal/dev/run_test.go
+++ b/internal/dev/run_test.go
@@ -15,13 +15,16 @@
 	"github.com/bilberryferry/bilberryferry/internal/standin"
 )
 
+// shortTestDivisor divides the load of a run with -short.
+const shortTestDivisor = 5
+
 // testSize returns the size of the tests' runs. With the race detector, a run at full size
 // uses most of a small machine, because one process runs both deployments and their
 // stand-ins. With -short, a run has a fifth of the load and the same checks.
 func testSize() Size {
 	full := FullSize()
 	if testing.Short() {
-		return Size{Workers: full.Workers / 5, Minions: full.Minions / 5, RequestRate: full.RequestRate / 5}
+		return Size{Workers: full.Workers / shortTestDivisor, Minions: full.Minions / shortTestDivisor, RequestRate: full.RequestRate / shortTestDivisor}
 	}
 	return full
 }
@@ -105,8 +108,9 @@
 	})
 	b.minionGroup.Go(func() error { return ignoreAfterCancel(minionCtx, minions.Run(minionCtx)) })
 	minion := minions.All()[0]
+	const addressPollInterval = time.Millisecond
 	for minion.Address() == "" {
-		time.Sleep(time.Millisecond)
+		time.Sleep(addressPollInterval)
 	}
 	b.callers = standin.NewCallers(standin.CallersConfig{
 		Entries: []string{minion.Address()}, Direct: true,
--- a/internal/e2e/bench_test.go
+++ b/internal/e2e/bench_test.go
@@ -8,6 +8,13 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
+const (
+	// histogramMax is the longest duration that the benchmarks' histograms record.
+	histogramMax = time.Minute
+	// histogramDigits is the histograms' precision, in significant decimal digits.
+	histogramDigits = 3
+)
+
 // BenchmarkUrgentStartAfterLeaderLoss measures the time from the submission of an urgent job
 // to its start on a worker, when the leader of the data centre was killed immediately
 // before the submission.
@@ -16,7 +23,7 @@
 	c.workers(6)
 	customer := c.customer(0)
 	dataCentre := c.deployment.Settings.DataCentres()[0]
-	waits := hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
+	waits := hdrhistogram.New(1, histogramMax.Milliseconds(), histogramDigits)
 	i := 0
 	for b.Loop() {
 		leader := c.leader(dataCentre)
@@ -42,7 +49,7 @@
 	c := newCluster(b, "rackwise", oneDataCentre)
 	c.workers(6)
 	customer := c.customer(0)
-	waits := hdrhistogram.New(1, time.Minute.Microseconds(), 3)
+	waits := hdrhistogram.New(1, histogramMax.Microseconds(), histogramDigits)
 	i := 0
 	for b.Loop() {
 		submitted := time.Now()
@@ -66,7 +73,7 @@
 func BenchmarkConfigurationPropagation(b *testing.B) {
 	c := newCluster(b, "rackwise", nil)
 	ctx, operations := c.operatorClients()
-	delays := hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
+	delays := hdrhistogram.New(1, histogramMax.Milliseconds(), histogramDigits)
 	version := uint64(0)
 	for b.Loop() {
 		c.setConfig(ctx, operations, fmt.Sprint("change-", version), version, configWithCPULimit(100+int(version)))
--- a/internal/e2e/chaos_test.go
+++ b/internal/e2e/chaos_test.go
@@ -29,6 +29,21 @@
 	chaosJobsPerSecond = 8.0
 )
 
+const (
+	// faultChoices is the number of equally likely choices of injectOrEndFault: six kinds
+	// of faults and a pause without a change.
+	faultChoices = 7
+	// maxWorkerPauseMillis bounds the random pause of a worker, in milliseconds.
+	maxWorkerPauseMillis = 12_000
+	// maxFaultGapMillis bounds the random time without a change, in milliseconds.
+	maxFaultGapMillis = 800
+	// instancesTimeout bounds the queries of one data centre's cell processes.
+	instancesTimeout = time.Second
+	// maxCommitLag bounds the difference between the commit indexes of recovered
+	// instances, in log entries.
+	maxCommitLag = 100
+)
+
 // faultInjector injects random faults one after the other. Several faults may be active at
 // the same time.
 type faultInjector struct {
@@ -57,7 +72,7 @@
 func (f *faultInjector) injectOrEndFault() {
 	instance := f.randomInstance()
 	cell, entry := instance.ID+"/cell", instance.ID+"/entry"
-	switch f.random.IntN(7) {
+	switch f.random.IntN(faultChoices) {
 	case 0:
 		f.killOrStart(instance, cell, "cell", f.hasFault(instance.DataCentre))
 	case 1:
@@ -74,9 +89,9 @@
 		worker := f.workers.All()[f.random.IntN(len(f.workers.All()))]
 		worker.Pause()
 		f.faultCounts["worker paused"]++
-		time.AfterFunc(time.Duration(f.random.IntN(12_000))*time.Millisecond, worker.Resume)
+		time.AfterFunc(time.Duration(f.random.IntN(maxWorkerPauseMillis))*time.Millisecond, worker.Resume)
 	default:
-		time.Sleep(time.Duration(f.random.IntN(800)) * time.Millisecond)
+		time.Sleep(time.Duration(f.random.IntN(maxFaultGapMillis)) * time.Millisecond)
 	}
 }
 
@@ -154,7 +169,7 @@
 // a data centre reports.
 func (c *cluster) recovered(dataCentre string) bool {
 	ctx, _ := c.operatorClients()
-	ctx, cancel := context.WithTimeout(ctx, time.Second)
+	ctx, cancel := context.WithTimeout(ctx, instancesTimeout)
 	defer cancel()
 	var instances []*apiv1.Instance
 	for _, instance := range c.deployment.Settings.InDataCentre(dataCentre) {
@@ -180,7 +195,7 @@
 		hasLeader = hasLeader || i.Leader && !i.Degraded
 		lowest, highest = min(lowest, i.CommitIndex), max(highest, i.CommitIndex)
 	}
-	return hasLeader && highest-lowest < 100
+	return hasLeader && highest-lowest < maxCommitLag
 }
 
 // environmentInt returns an environment variable as an integer, or fallback if it is
--- a/internal/e2e/customer_test.go
+++ b/internal/e2e/customer_test.go
@@ -13,6 +13,15 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
+const (
+	// callTimeout bounds one call of the RPC service Scheduler other than Home.
+	callTimeout = 5 * time.Second
+	// homeTimeout bounds one call of Home.
+	homeTimeout = time.Second
+	// partitionInterval is the time between the starts and ends of partitions.
+	partitionInterval = 150 * time.Millisecond
+)
+
 // customerClient calls the system with the token of one customer.
 type customerClient struct {
 	cluster *cluster
@@ -80,7 +89,7 @@
 
 // partitionTick returns a channel that fires once, after the interval at which a test
 // starts and ends partitions.
-func (c *cluster) partitionTick() <-chan time.Time { return time.After(150 * time.Millisecond) }
+func (c *cluster) partitionTick() <-chan time.Time { return time.After(partitionInterval) }
 
 // requestHome returns the home of a submission, the data centre that stores its request id:
 // the data centre in the spec, or else the one that an entry instance names.
@@ -92,7 +101,7 @@
 	var home string
 	i := 0
 	cc.cluster.eventually("an entry instance names a home", func() bool {
-		ctx, cancel := context.WithTimeout(cc.ctx, time.Second)
+		ctx, cancel := context.WithTimeout(cc.ctx, homeTimeout)
 		defer cancel()
 		response, err := cc.schedulers[i%len(cc.schedulers)].Home(ctx, &apiv1.HomeRequest{})
 		i++
@@ -111,7 +120,7 @@
 	home := cc.requestHome(spec)
 	i := 0
 	cc.cluster.eventually("submission "+requestID+" gets a response", func() bool {
-		ctx, cancel := context.WithTimeout(cc.ctx, 5*time.Second)
+		ctx, cancel := context.WithTimeout(cc.ctx, callTimeout)
 		defer cancel()
 		request := &apiv1.SubmitRequest{RequestId: requestID, Spec: spec, Home: home}
 		response, err = cc.schedulers[i%len(cc.schedulers)].Submit(ctx, request)
@@ -129,7 +138,7 @@
 	home := cc.requestHome(spec)
 	i := 0
 	cc.cluster.eventually("submission "+requestID+" gets a response", func() bool {
-		ctx, cancel := context.WithTimeout(cc.ctx, 5*time.Second)
+		ctx, cancel := context.WithTimeout(cc.ctx, callTimeout)
 		defer cancel()
 		var err error
 		request := &apiv1.SubmitRequest{RequestId: requestID, Spec: spec, Home: home}
@@ -146,7 +155,7 @@
 	var job *apiv1.Job
 	i := 0
 	cc.cluster.eventually("status of "+id, func() bool {
-		ctx, cancel := context.WithTimeout(cc.ctx, 5*time.Second)
+		ctx, cancel := context.WithTimeout(cc.ctx, callTimeout)
 		defer cancel()
 		response, err := cc.schedulers[i%len(cc.schedulers)].Status(ctx, &apiv1.StatusRequest{Id: id, WithTasks: true})
 		i++
--- a/internal/e2e/failover_test.go
+++ b/internal/e2e/failover_test.go
@@ -60,17 +60,22 @@
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
 	customer := c.customer(0)
+	const (
+		jobs           = 30
+		tasksPerJob    = 3
+		jobsBeforeKill = 10
+	)
 	var ids []string
-	for i := range 30 {
-		if i == 10 {
+	for i := range jobs {
+		if i == jobsBeforeKill {
 			c.kill(c.leader(c.deployment.Settings.DataCentres()[0]) + "/cell")
 		}
-		ids = append(ids, customer.submit(fmt.Sprint("load-", i), batch("reports", 3, 150, i%2 == 0)).Id)
+		ids = append(ids, customer.submit(fmt.Sprint("load-", i), batch("reports", tasksPerJob, 150, i%2 == 0)).Id)
 	}
 	for _, id := range ids {
 		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(id).State, must.Sprint(id))
 	}
-	must.Eq(t, 90, c.ledger.Starts())
+	must.Eq(t, jobs*tasksPerJob, c.ledger.Starts())
 	c.checkNoViolations()
 }
 
@@ -139,11 +144,16 @@
 	customer := c.customer(0)
 	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(customer.submit("before", batch("reports", 8, 50, true)).Id).State)
 	leader := c.leader(c.deployment.Settings.DataCentres()[0])
-	for range 4 {
+	const (
+		pauses     = 4
+		pause      = 900 * time.Millisecond // shorter than the election timeout
+		pauseBreak = 900 * time.Millisecond
+	)
+	for range pauses {
 		c.signalFollowers(leader, syscall.SIGSTOP)
-		time.Sleep(900 * time.Millisecond)
+		time.Sleep(pause)
 		c.signalFollowers(leader, syscall.SIGCONT)
-		time.Sleep(900 * time.Millisecond)
+		time.Sleep(pauseBreak)
 	}
 	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(customer.submit("after", batch("reports", 6, 50, true)).Id).State)
 	c.checkNoViolations()
--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -31,6 +31,9 @@
 // asserts how long a wait takes.
 const conditionTimeout = 30 * time.Second
 
+// conditionPollInterval is the interval at which conditions are checked.
+const conditionPollInterval = 20 * time.Millisecond
+
 // raceVariable is the environment variable that, if not empty, makes the tests build the
 // daemons with the race detector. A data race appears in their logs and in the exit code
 // after SIGTERM.
@@ -254,7 +257,7 @@
 		if time.Now().After(deadline) {
 			c.t.Fatalf("condition not met within %s: %s", conditionTimeout, description)
 		}
-		time.Sleep(20 * time.Millisecond)
+		time.Sleep(conditionPollInterval)
 	}
 }
 
--- a/internal/e2e/input_test.go
+++ b/internal/e2e/input_test.go
@@ -17,6 +17,9 @@
 // submitPath is the path of the RPC Submit of the service Scheduler.
 const submitPath = "/twirp/bilberry.v1.Scheduler/Submit"
 
+// oversizedBodyBytes is more than the default limit of a request body, 1 MiB.
+const oversizedBodyBytes = 2 << 20
+
 // TestInvalidInputIsRejected guards against invalid requests that are accepted or whose
 // error doesn't name the invalid field or has the wrong kind, and against customers that
 // see or cancel jobs of another customer.
@@ -63,7 +66,7 @@
 	_, err = customer.schedulers[0].Submit(workerCtx, &apiv1.SubmitRequest{RequestId: "w", Spec: batch("reports", 1, 50, true)})
 	must.True(t, fault.Is(err, fault.Denied), must.Sprint(err))
 	must.Eq(t, http.StatusBadRequest, customer.post(submitPath, []byte("\xff\xff not protobuf")))
-	must.Eq(t, http.StatusBadRequest, customer.post(submitPath, bytes.Repeat([]byte{0x0a}, 2<<20)))
+	must.Eq(t, http.StatusBadRequest, customer.post(submitPath, bytes.Repeat([]byte{0x0a}, oversizedBodyBytes)))
 	must.Eq(t, http.StatusNotFound, customer.post("/twirp/bilberry.v1.Scheduler/Nothing", nil))
 }
 
--- a/internal/e2e/membership_test.go
+++ b/internal/e2e/membership_test.go
@@ -53,11 +53,12 @@
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
 	customer := c.customer(0)
+	const jobsPerRound, tasksPerJob = 30, 4
 	var ids []string
 	for round, instance := range c.deployment.Settings.Instances {
 		c.kill(instance.ID + "/cell")
-		for i := range 30 {
-			ids = append(ids, customer.submit(fmt.Sprint(round, "-", i), batch("reports", 4, 50, false)).Id)
+		for i := range jobsPerRound {
+			ids = append(ids, customer.submit(fmt.Sprint(round, "-", i), batch("reports", tasksPerJob, 50, false)).Id)
 		}
 		c.start(instance.ID, "cell")
 		c.awaitCatchUp(instance.ID)
@@ -65,7 +66,7 @@
 	for _, id := range ids {
 		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(id).State, must.Sprint(id))
 	}
-	must.Eq(t, 4*len(ids), c.ledger.Starts())
+	must.Eq(t, tasksPerJob*len(ids), c.ledger.Starts())
 	c.checkNoViolations()
 }
 
@@ -171,10 +172,12 @@
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(4)
 	customer := c.customer(0)
-	for i := range 40 {
+	// Together the payloads exceed the default limit of a request body, 1 MiB.
+	const services, payloadBytes = 40, 60 << 10
+	for i := range services {
 		spec := batch(fmt.Sprint("service-", i), 1, 0, true)
 		spec.Policy, spec.DeadlineUnixMs = apiv1.Policy_POLICY_SERVICE, 0
-		spec.Payload = bytes.Repeat([]byte("x"), 60<<10)
+		spec.Payload = bytes.Repeat([]byte("x"), payloadBytes)
 		customer.submit(spec.Name, spec)
 	}
 	lost := c.follower(c.deployment.Settings.DataCentres()[0])
--- a/internal/e2e/network_test.go
+++ b/internal/e2e/network_test.go
@@ -125,9 +125,12 @@
 	r.copyBytes(from, to)
 }
 
+// copyBufferBytes is the size of the buffer of copyBytes.
+const copyBufferBytes = 32 << 10
+
 // copyBytes forwards bytes in one direction until a read or a write fails.
 func (r *relay) copyBytes(to io.Writer, from io.Reader) {
-	buffer := make([]byte, 32<<10)
+	buffer := make([]byte, copyBufferBytes)
 	for {
 		count, err := from.Read(buffer)
 		r.waitWhileBlocked()
--- a/internal/e2e/partition_test.go
+++ b/internal/e2e/partition_test.go
@@ -34,7 +34,8 @@
 	must.Eq(t, dataCentres[0], partitionedJob.DataCentre)
 	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, partitioned.awaitEnd(partitionedJob.Id).State)
 	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, connected.awaitEnd(connectedJob.Id).State)
-	c.setConfig(ctx, operations[3:], "second", 1, configWithCPULimit(2000))
+	const partitionedInstances = 3 // entry instances of the partitioned data centre, the first of all
+	c.setConfig(ctx, operations[partitionedInstances:], "second", 1, configWithCPULimit(2000))
 	c.eventually("a write on the partitioned side fails with Unavailable", func() bool {
 		_, err := operations[0].SetConfig(ctx, &apiv1.SetConfigRequest{RequestId: "third", ExpectedVersion: 1, Document: configWithCPULimit(3000)})
 		return fault.Is(err, fault.Unavailable)
@@ -69,9 +70,10 @@
 			}
 		}
 	})
+	const submissions, tasksPerJob = 40, 2
 	ids := make(map[string]bool)
-	for i := range 40 {
-		response, err := source.trySubmit(fmt.Sprint("handover-", i), batch("reports", 2, 100, false))
+	for i := range submissions {
+		response, err := source.trySubmit(fmt.Sprint("handover-", i), batch("reports", tasksPerJob, 100, false))
 		if err != nil {
 			// The submission was refused because no other data centre could be reached. The
 			// job wasn't accepted.
@@ -89,7 +91,7 @@
 		must.NotEq(t, dataCentres[0], job.DataCentre)
 	}
 	must.Positive(t, len(ids))
-	must.Eq(t, 2*len(ids), c.ledger.Starts())
+	must.Eq(t, tasksPerJob*len(ids), c.ledger.Starts())
 	c.checkNoViolations()
 }
 
@@ -103,7 +105,8 @@
 	c.workers(6)
 	customer := c.customer(0)
 	dataCentres := c.deployment.Settings.DataCentres()
-	spec := batch("check-in", 2, 100, false)
+	const tasks = 2
+	spec := batch("check-in", tasks, 100, false)
 	request := &apiv1.SubmitRequest{RequestId: "lost-answer", Spec: spec, Home: dataCentres[0]}
 	ids := make(map[string]bool)
 	for _, name := range dataCentres {
@@ -119,7 +122,7 @@
 	for id := range ids {
 		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(id).State)
 	}
-	must.Eq(t, 2, c.ledger.Starts())
+	must.Eq(t, tasks, c.ledger.Starts())
 	_, err := customer.schedulers[0].Submit(customer.ctx, &apiv1.SubmitRequest{RequestId: "homeless", Spec: spec})
 	must.Eq(t, "home", fault.From(err).Field)
 	c.checkNoViolations()
--- a/internal/standin/command/workers.go
+++ b/internal/standin/command/workers.go
@@ -132,11 +132,15 @@
 	}
 }
 
+// faultStream selects a random sequence for the choice of workers to pause and restart,
+// beside the seed.
+const faultStream = 1
+
 // injectFaults pauses and restarts random workers at the intervals that the flags set.
 func (c *workers) injectFaults(ctx context.Context, fleet *standin.Workers) {
 	pause := newTick(c.pauseEvery)
 	restart := newTick(c.restartEvery)
-	random := rand.New(rand.NewPCG(c.cfg.Seed, 1))
+	random := rand.New(rand.NewPCG(c.cfg.Seed, faultStream))
 	for {
 		select {
 		case <-pause:
--- a/internal/standin/fake_test.go
+++ b/internal/standin/fake_test.go
@@ -175,10 +175,13 @@
 	f.changed = make(chan struct{})
 }
 
+// taskCPUMilli is the CPU demand of each task that queueStart starts, in millicores.
+const taskCPUMilli = 1000
+
 func (f *fakeOwner) queueStart(worker, job string, attempt int32, payload string) {
 	f.queueCommand(worker, &apiv1.Command{Body: &apiv1.Command_Start{Start: &apiv1.StartTask{
 		Attempt: &apiv1.AttemptRef{Job: job, Attempt: attempt},
-		Need:    &apiv1.Resources{CpuMilli: 1000, MemoryMib: 64},
+		Need:    &apiv1.Resources{CpuMilli: taskCPUMilli, MemoryMib: 64},
 		Payload: []byte(payload),
 	}}})
 }
--- a/internal/standin/jobs_test.go
+++ b/internal/standin/jobs_test.go
@@ -106,9 +106,10 @@
 // A failed run can't be repeated, because the same seed gives other times or other jobs.
 func TestRandomArrivalsAreRepeatable(t *testing.T) {
 	templates := []Arrival{newTemplate("a", apiv1.Policy_POLICY_BATCH), newTemplate("b", apiv1.Policy_POLICY_GANG)}
-	first := RandomArrivals(7, 100, 500, templates)
-	must.Eq(t, len(first), 500)
-	for i, a := range RandomArrivals(7, 100, 500, templates) {
+	const seed, perSecond, count = 7, 100, 500
+	first := RandomArrivals(seed, perSecond, count, templates)
+	must.Eq(t, len(first), count)
+	for i, a := range RandomArrivals(seed, perSecond, count, templates) {
 		must.Eq(t, first[i].At, a.At)
 		must.Eq(t, first[i].Spec.Name, a.Spec.Name)
 	}
--- a/internal/standin/payload.go
+++ b/internal/standin/payload.go
@@ -72,6 +72,13 @@
 	return usage
 }
 
+// hashBits and float64Bits are the number of bits of a hash and the precision of a
+// float64 in bits.
+const (
+	hashBits    = 64
+	float64Bits = 53
+)
+
 // fraction maps a seed and an attempt to a pseudorandom number in [0, 1). It uses the
 // highest 53 bits of a hash, the precision of a float64.
 func fraction(seed uint64, ref *apiv1.AttemptRef) float64 {
@@ -82,5 +89,5 @@
 	h := xxhash.New()
 	_, _ = h.Write(key[:])
 	_, _ = h.WriteString(ref.GetJob())
-	return float64(h.Sum64()>>11) / (1 << 53)
+	return float64(h.Sum64()>>(hashBits-float64Bits)) / (1 << float64Bits)
 }
--- a/internal/standin/requests_test.go
+++ b/internal/standin/requests_test.go
@@ -68,11 +68,12 @@
 // violation. Half of the calls are non-idempotent, and requests have bodies.
 func TestCallersReceiveCorrectResponses(t *testing.T) {
 	fleet, _ := startMinions(t, MinionsConfig{Count: 1, Slots: 1000, MaxConnections: 1000})
+	const calls = 50
 	report, violations := runCallers(t, CallersConfig{
 		Entries: []string{fleet.All()[0].Address()}, Direct: true,
-		Count: 50, NonIdempotentShare: 0.5, BodySize: 100, Size: 5000,
+		Count: calls, NonIdempotentShare: 0.5, BodySize: 100, Size: 5000,
 	})
-	must.Eq(t, 50, report.Correct)
+	must.Eq(t, calls, report.Correct)
 	must.SliceEmpty(t, violations)
 	must.SliceEmpty(t, fleet.Ledger().Violations())
 }
@@ -83,31 +84,40 @@
 func TestMinionFaultsReachCallers(t *testing.T) {
 	fleet, _ := startMinions(t, MinionsConfig{Count: 1, Slots: 100, Faulty: 1, Faults: MinionFaults{Fail: true}})
 	minion := fleet.All()[0]
-	cfg := CallersConfig{Entries: []string{minion.Address()}, Direct: true, Count: 5, Deadline: 50 * time.Millisecond}
+	const (
+		calls        = 5
+		deadline     = 50 * time.Millisecond
+		pastDeadline = 60 * time.Millisecond // service time after which a response is late
+	)
+	cfg := CallersConfig{Entries: []string{minion.Address()}, Direct: true, Count: calls, Deadline: deadline}
 	report, _ := runCallers(t, cfg)
-	must.Eq(t, 5, report.Refused["500"])
+	must.Eq(t, calls, report.Refused["500"])
 	minion.SetFaults(MinionFaults{Truncate: true})
 	report, violations := runCallers(t, cfg)
-	must.Eq(t, 5, report.Broken)
+	must.Eq(t, calls, report.Broken)
 	must.SliceEmpty(t, violations)
 	minion.SetFaults(MinionFaults{Hang: true})
 	report, _ = runCallers(t, cfg)
-	must.Eq(t, 5, report.TimedOut)
-	minion.SetFaults(MinionFaults{Delay: 60 * time.Millisecond})
+	must.Eq(t, calls, report.TimedOut)
+	minion.SetFaults(MinionFaults{Delay: pastDeadline})
 	report, _ = runCallers(t, cfg)
-	must.Eq(t, 5, report.Late)
+	must.Eq(t, calls, report.Late)
 }
 
 // A proxy truncates a response but marks it as complete, or sends a caller the response to
 // another request. The caller must detect both.
 func TestCallersDetectTruncatedAndSwappedResponses(t *testing.T) {
+	const (
+		calls          = 3
+		truncatedBytes = 100 // of a response with DefaultResponseSize bytes of filler
+	)
 	complete := newResponseBody("other", nil, DefaultResponseSize)
-	for name, body := range map[string][]byte{"swapped": complete, "cut": complete[:100], "empty": nil} {
+	for name, body := range map[string][]byte{"swapped": complete, "cut": complete[:truncatedBytes], "empty": nil} {
 		t.Run(name, func(t *testing.T) {
 			address := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(body) }))
-			report, violations := runCallers(t, CallersConfig{Entries: []string{address}, Count: 3})
-			must.Eq(t, 3, report.Wrong)
-			must.Len(t, 3, violations)
+			report, violations := runCallers(t, CallersConfig{Entries: []string{address}, Count: calls})
+			must.Eq(t, calls, report.Wrong)
+			must.Len(t, calls, violations)
 		})
 	}
 }
@@ -118,14 +128,15 @@
 func TestCallersResendOnlyIdempotentRequests(t *testing.T) {
 	crashing := serve(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	fleet, _ := startMinions(t, MinionsConfig{Count: 1, Slots: 100})
-	cfg := CallersConfig{Entries: []string{crashing, fleet.All()[0].Address()}, Direct: true, Count: 20, Resend: true}
+	const calls = 20
+	cfg := CallersConfig{Entries: []string{crashing, fleet.All()[0].Address()}, Direct: true, Count: calls, Resend: true}
 	report, _ := runCallers(t, cfg)
-	must.Eq(t, 20, report.Correct)
+	must.Eq(t, calls, report.Correct)
 	must.Positive(t, report.Resent)
 	cfg.NonIdempotentShare = 1
 	report, _ = runCallers(t, cfg)
 	must.Positive(t, report.BrokenNonIdempotent)
-	must.Eq(t, 20, report.Correct+report.BrokenNonIdempotent)
+	must.Eq(t, calls, report.Correct+report.BrokenNonIdempotent)
 }
 
 // Two requests in flight on one slot are a violation, except when the caller of the first
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -22,6 +22,8 @@
 	// time is how long the entry instance may delay the response to wait for commands.
 	minCallSlack = 300 * time.Millisecond
 	maxCallSlack = 2 * time.Second
+	// stoppedTimerDelay is the delay of a timer that is stopped right after its creation.
+	stoppedTimerDelay = time.Hour
 )
 
 // maxPredecessorReportTries is how often an incarnation tries to deliver the reports of
@@ -85,7 +87,7 @@
 		announce:    true,
 		running:     make(map[lease.Attempt]*run),
 	}
-	s.leaseTimer = time.AfterFunc(time.Hour, s.checkLease)
+	s.leaseTimer = time.AfterFunc(stoppedTimerDelay, s.checkLease)
 	s.leaseTimer.Stop()
 	return s
 }
--- a/internal/standin/tasks.go
+++ b/internal/standin/tasks.go
@@ -134,7 +134,7 @@
 	if runtime <= 0 {
 		// The task runs until it is stopped. Its timer is set so that endRun can stop
 		// it, but never fires.
-		r.timer = time.AfterFunc(time.Hour, func() {})
+		r.timer = time.AfterFunc(stoppedTimerDelay, func() {})
 		r.timer.Stop()
 		return
 	}
--- a/internal/standin/workers_test.go
+++ b/internal/standin/workers_test.go
@@ -12,6 +12,9 @@
 
 const testWorker = "hall-w000"
 
+// workerCPUMilli is the CPU capacity of each worker, in millicores: that of two tasks.
+const workerCPUMilli = 2000
+
 // startWorkers runs count workers whose entry addresses are those of the owners, and
 // waits until all hold a lease.
 func startWorkers(t *testing.T, count int, faults WorkerFaults, owners ...*fakeOwner) *Workers {
@@ -23,7 +26,7 @@
 	fleet := NewWorkers(WorkersConfig{
 		DataCentres: []DataCentre{dataCentre},
 		Count:       count,
-		Capacity:    &apiv1.Resources{CpuMilli: 2000, MemoryMib: 1024},
+		Capacity:    &apiv1.Resources{CpuMilli: workerCPUMilli, MemoryMib: 1024},
 		RenewHold:   100 * time.Millisecond,
 		Seed:        1,
 		Faults:      faults,
@@ -134,10 +137,11 @@
 	old, _ := owner.lastSeen(testWorker)
 	owner.queueStart(testWorker, "lost", 1, "")
 	eventually(t, "task runs", func() bool { return fleet.Running() == 1 })
-	fleet.All()[0].Restart(&apiv1.Resources{CpuMilli: 1000, MemoryMib: 512})
+	const reducedCPUMilli = 1000
+	fleet.All()[0].Restart(&apiv1.Resources{CpuMilli: reducedCPUMilli, MemoryMib: 512})
 	eventually(t, "new incarnation announces its capacity", func() bool {
 		incarnation, cpuMilli := owner.lastSeen(testWorker)
-		return incarnation > old && cpuMilli == 1000
+		return incarnation > old && cpuMilli == reducedCPUMilli
 	})
 	owner.mu.Lock()
 	owner.staleCommands = []*apiv1.Command{{Number: 1, Term: 1, Incarnation: old, Body: &apiv1.Command_Start{
@@ -229,6 +233,8 @@
 // must arrive before the lease granted by that response expires, also if the first try of
 // the renewal is lost.
 func TestRenewHoldLeavesTimeForNextRenewal(t *testing.T) {
+	// At least a quarter of the lease must remain after two held renewals.
+	const spareLeaseDivisor = 4
 	worker := newWorker(WorkersConfig{DataCentres: []DataCentre{{}}, RenewHold: time.Hour}.withDefaults(), 0)
 	for _, ttl := range []time.Duration{300 * time.Millisecond, 6 * time.Second, time.Minute} {
 		s := newSession(worker, 1, nil)
@@ -236,7 +242,7 @@
 		held, timeout := s.nextRenewal()
 		hold := time.Duration(held.HoldMs) * time.Millisecond
 		must.Positive(t, hold)
-		must.LessEq(t, ttl, 2*hold+ttl/4)
+		must.LessEq(t, ttl, 2*hold+ttl/spareLeaseDivisor)
 		must.Less(t, ttl+minCallSlack, timeout)
 		s.recordRenewal(errResponseLost)
 		again, _ := s.nextRenewal()
@@ -248,7 +254,8 @@
 // announcement of the successor incarnation reaches the owner before the report, the owner
 // declares an attempt dead that has ended.
 func TestReportsPrecedeSuccessorIncarnation(t *testing.T) {
-	for range 10 {
+	const rounds = 10
+	for range rounds {
 		owner := newFakeOwner(150 * time.Millisecond)
 		fleet := startWorkers(t, 1, WorkerFaults{}, owner)
 		worker := fleet.All()[0]
