--- a/internal/standin/workers_test.go
+++ b/internal/standin/workers_test.go
@@ -131,7 +131,7 @@
 // A worker crashes and restarts with less capacity. It must announce a new
 // incarnation, send no reports of its lost tasks, and ignore commands that were
 // addressed to the predecessor incarnation.
-func TestRestartedWorkerIgnoresCommandsOfOldIncarnation(t *testing.T) {
+func TestRestartedWorkerIgnoresCommandsOfPredecessorIncarnation(t *testing.T) {
 	owner := newFakeOwner(time.Second)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
 	old, _ := owner.lastSeen(testWorker)
