--- a/internal/dev/print.go
+++ b/internal/dev/print.go
@@ -37,7 +37,7 @@
 	fmt.Fprintf(p.out, "%6.2fs  %-9s %-22s %s\n", time.Since(p.startedAt).Seconds(), deployment, j.Name, line)
 }
 
-// describe returns the state of a job with its reason, or "" while the submission has
+// describeJob returns the state of a job with its reason, or "" while the submission has
 // no response.
 func describeJob(j standin.JobResult) string {
 	if j.ID == "" && j.Kind != "" {
--- a/internal/dev/run_test.go
+++ b/internal/dev/run_test.go
@@ -64,7 +64,7 @@
 }
 
 // `bilberry dev`, the first command in the README, fails over real sockets and in real
-// time. Missed deadlines fail the test only if calls from the same process straight to a
+// time. Missed deadlines fail the test only if calls from the same process directly to a
 // minion are fast during the whole run. On a slower machine the test checks only
 // violations and wrong responses, which don't depend on speed.
 func TestSampleWorkOverSockets(t *testing.T) {
@@ -87,7 +87,7 @@
 // checked: a request through a deployment takes twice as many hops as a direct call.
 const baselineMaxLatency = requestDeadline / 2
 
-// baseline is a load of calls straight to a separate minion. The calls compete for the
+// baseline is a load of calls directly to a separate minion. The calls compete for the
 // processors with the deployments, like the requests through the deployments.
 type baseline struct {
 	callers *standin.Callers
--- a/internal/e2e/failover_test.go
+++ b/internal/e2e/failover_test.go
@@ -147,7 +147,7 @@
 	const (
 		pauses     = 4
 		pause      = 900 * time.Millisecond // shorter than the election timeout
-		pauseBreak = 900 * time.Millisecond
+		pauseBreak = 900 * time.Millisecond // between two pauses
 	)
 	for range pauses {
 		c.signalFollowers(leader, syscall.SIGSTOP)
--- a/internal/e2e/leave_test.go
+++ b/internal/e2e/leave_test.go
@@ -13,8 +13,8 @@
 
 // TestLeavingMinionsAndWorkersLoseNoWork guards against requests that fail because a
 // minion leaves, and tasks that are lost or placed wrongly because a worker leaves or is
-// drained. Two minions leave under load at all entry instances, one worker is drained
-// and another leaves.
+// drained. Under load at all entry instances, two minions leave, one worker is drained and
+// another leaves.
 func TestLeavingMinionsAndWorkersLoseNoWork(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	workers := c.workers(4)
--- a/internal/e2e/network_test.go
+++ b/internal/e2e/network_test.go
@@ -31,7 +31,8 @@
 	// changed is signalled when blocked changes.
 	changed *sync.Cond
 	blocked bool
-	// conns holds both connections of each forwarded one.
+	// conns holds the two connections, from the client and to the destination, of each
+	// forwarded connection.
 	conns []net.Conn
 }
 
--- a/internal/e2e/partition_test.go
+++ b/internal/e2e/partition_test.go
@@ -34,7 +34,9 @@
 	must.Eq(t, dataCentres[0], partitionedJob.DataCentre)
 	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, partitioned.awaitEnd(partitionedJob.Id).State)
 	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, connected.awaitEnd(connectedJob.Id).State)
-	const partitionedInstances = 3 // entry instances of the partitioned data centre, the first of all
+	// partitionedInstances is the number of entry instances of the partitioned data
+	// centre, whose clients come first in operations.
+	const partitionedInstances = 3
 	c.setConfig(ctx, operations[partitionedInstances:], "second", 1, configWithCPULimit(2000))
 	c.eventually("a write on the partitioned side fails with Unavailable", func() bool {
 		_, err := operations[0].SetConfig(ctx, &apiv1.SetConfigRequest{RequestId: "third", ExpectedVersion: 1, Document: configWithCPULimit(3000)})
--- a/internal/standin/call.go
+++ b/internal/standin/call.go
@@ -56,6 +56,7 @@
 	resends int
 }
 
+// newCall returns call number i of the load, which is due at the given time.
 func (c *Callers) newCall(i int, due time.Time) *call {
 	nonce := fmt.Sprintf("%x-%d-%x", c.cfg.Seed, i, c.random.Uint64())
 	return &call{
@@ -105,7 +106,7 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// Marks of the errors of a try, by cause.
+// Errors with which try marks its errors, by cause.
 var (
 	errConnectionBroken = errors.New("connection broke")
 	errWrongResponse    = errors.New("wrong response")
@@ -150,6 +151,7 @@
 	return strconv.Itoa(response.StatusCode)
 }
 
+// newRequest returns the HTTP request of the call's next try.
 func (c *Callers) newRequest(ctx context.Context, call *call) (*http.Request, error) {
 	method := http.MethodGet
 	if call.nonIdempotent || len(call.body) > 0 {
@@ -165,6 +167,8 @@
 	return request, nil
 }
 
+// url returns the URL of the call's next try: a path of an entry instance, or of a minion
+// if cfg.Direct is set.
 func (c *Callers) url(call *call) string {
 	query := url.Values{
 		paramNonce: {call.nonce},
@@ -196,6 +200,7 @@
 	})
 }
 
+// countOutcome counts the outcome of a call in the report. err is the result of send.
 func (c *Callers) countOutcome(r *CallersReport, call *call, err error, latency time.Duration) {
 	var refused *refusedError
 	switch {
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -29,8 +29,9 @@
 	// Entries are the addresses (IP:port) of entry instances. Each call goes to a random
 	// one.
 	Entries []string
-	// Direct sends the calls straight to minions, whose addresses Entries then holds. The
-	// latency of direct calls is the baseline for that of calls through the system.
+	// Direct sends the calls directly to minions. Entries must hold the addresses of these
+	// minions. The latency of direct calls is the baseline for that of calls through the
+	// system.
 	Direct bool
 	// Service is the name of the service.
 	Service string
--- a/internal/standin/changes.go
+++ b/internal/standin/changes.go
@@ -64,8 +64,8 @@
 	inForceTimeout = 30 * time.Second
 )
 
-// configWriter writes the configuration document again and again, each time with another
-// comment at its end. Each change is thus as large as the real document.
+// configWriter writes the configuration document repeatedly, each time with another comment
+// at its end. Each change is thus as large as the real document.
 type configWriter struct {
 	cfg     ChangesConfig
 	clients []apiv1.Operations
@@ -184,6 +184,7 @@
 	return false
 }
 
+// recordAccepted records that a change was accepted as the given version.
 func (c *configWriter) recordAccepted(version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/command/command.go
+++ b/internal/standin/command/command.go
@@ -51,6 +51,7 @@
 	errorOutput io.Writer
 }
 
+// logger returns a logger that writes to the error output.
 func (b *base) logger() log.Logger {
 	logger := log.NewLogfmtLogger(log.NewSyncWriter(b.errorOutput))
 	return log.With(logger, "ts", log.DefaultTimestampUTC)
--- a/internal/standin/command/workers.go
+++ b/internal/standin/command/workers.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// faultStream selects a random sequence for the choice of workers to pause and restart,
-// beside the seed.
+// faultStream is the second word of the seed of the random choice of workers to pause and
+// restart. The first word is the flag -seed.
 const faultStream = 1
 
 // injectFaults pauses and restarts random workers at the intervals that the flags set.
--- a/internal/standin/fake_test.go
+++ b/internal/standin/fake_test.go
@@ -178,6 +178,7 @@
 // taskCPUMilli is the CPU demand of each task that queueStart starts, in millicores.
 const taskCPUMilli = 1000
 
+// queueStart queues a command that starts an attempt of the job's task 0.
 func (f *fakeOwner) queueStart(worker, job string, attempt int32, payload string) {
 	f.queueCommand(worker, &apiv1.Command{Body: &apiv1.Command_Start{Start: &apiv1.StartTask{
 		Attempt: &apiv1.AttemptRef{Job: job, Attempt: attempt},
@@ -186,6 +187,7 @@
 	}}})
 }
 
+// queueStop queues a command that stops an attempt of the job's task 0.
 func (f *fakeOwner) queueStop(worker, job string, attempt int32) {
 	f.queueCommand(worker, &apiv1.Command{Body: &apiv1.Command_Stop{Stop: &apiv1.StopTask{
 		Attempt: &apiv1.AttemptRef{Job: job, Attempt: attempt},
--- a/internal/standin/jobs.go
+++ b/internal/standin/jobs.go
@@ -145,10 +145,10 @@
 	Refused map[string]int `json:"refused"`
 	// Ended counts accepted jobs by their last known state.
 	Ended map[string]int `json:"ended"`
-	// Unanswered counts submissions whose outcome is unknown.
+	// OutcomeUnknown counts submissions whose outcome is unknown.
 	OutcomeUnknown int `json:"unanswered"`
-	// WaitP50, WaitP99 and WaitMax are the times from the submission to the first
-	// start, in microseconds.
+	// WaitP50, WaitP99 and WaitMax are the times from JobResult.Submitted to
+	// JobResult.Started, in microseconds.
 	WaitP50 int64 `json:"wait_p50_us"`
 	WaitP99 int64 `json:"wait_p99_us"`
 	WaitMax int64 `json:"wait_max_us"`
--- a/internal/standin/payload.go
+++ b/internal/standin/payload.go
@@ -82,6 +82,7 @@
 // fraction maps a seed and an attempt to a pseudorandom number in [0, 1). It uses the
 // highest 53 bits of a hash, the precision of a float64.
 func fraction(seed uint64, ref *apiv1.AttemptRef) float64 {
+	// The hash covers the seed, the task, the attempt and the job.
 	var key [16]byte
 	binary.LittleEndian.PutUint64(key[:], seed)
 	binary.LittleEndian.PutUint32(key[8:], uint32(ref.GetTask()))
--- a/internal/standin/requests_test.go
+++ b/internal/standin/requests_test.go
@@ -38,6 +38,8 @@
 	return &apiv1.LeaveResponse{}, nil
 }
 
+// startMinions runs a fleet of minions with two entry addresses and waits until an
+// announcement of each minion is accepted.
 func startMinions(t *testing.T, cfg MinionsConfig) (*Minions, *fakeGateway) {
 	t.Helper()
 	gateway := newFakeGateway()
@@ -56,6 +58,7 @@
 	return fleet, gateway
 }
 
+// runCallers runs a load to its end and returns its report and violations.
 func runCallers(t *testing.T, cfg CallersConfig) (CallersReport, []Violation) {
 	t.Helper()
 	cfg.Rate = 1000
@@ -155,8 +158,9 @@
 	must.Eq(t, 2, minion.Stats().MaxInFlight)
 }
 
-// An entry instance that missed a minion's leave still sends requests after
-// LeaveGrace, and sends a non-idempotent request twice. The minion must report both.
+// An entry instance that didn't receive a minion's leave still sends requests after
+// LeaveGrace, and sends a non-idempotent request twice. The ledger must record a violation
+// for each.
 func TestMinionDetectsLateAndDuplicateRequests(t *testing.T) {
 	fleet, gateway := startMinions(t, MinionsConfig{Count: 1, LeaveGrace: time.Nanosecond})
 	minion := fleet.All()[0]
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -104,9 +104,9 @@
 	return req, m.faults
 }
 
-// checkSlotsLater records a violation after slotCheckDelay if the requests that are in
-// flight now exceed the slots without those whose caller has disconnected meanwhile.
-// m.mu must be held.
+// checkSlotsLater checks the requests that are in flight now after slotCheckDelay. It
+// records a violation if those whose caller hasn't disconnected until that check exceed
+// the slots. m.mu must be held.
 func (m *Minion) checkSlotsLater() {
 	concurrent := make([]*request, 0, len(m.inFlight))
 	for req := range m.inFlight {
@@ -152,6 +152,7 @@
 	return &nonIdempotentSet{ledger: ledger, seen: make(map[uint64]struct{})}
 }
 
+// add adds a request and records a violation if the set contains it already.
 func (s *nonIdempotentSet) add(nonce string) {
 	key := xxhash.Sum64String(nonce)
 	s.mu.Lock()
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -190,6 +190,7 @@
 	return false
 }
 
+// recordRenewal records whether the last renewal got a response: err is nil if it did.
 func (s *session) recordRenewal(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
