--- a/examples/embedding/main.go
+++ b/examples/embedding/main.go
@@ -19,7 +19,7 @@
 // group holds the members by ID and is their transport and their clock.
 type group map[string]*member
 
-// run ticks all members until done holds for a leader, and returns that one.
+// tickUntil ticks all members until done holds for a leader, and returns that one.
 func (g group) tickUntil(done func(*member) bool) *member {
 	for {
 		for _, m := range g {
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -15,7 +15,14 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
-// deployments holds the expected counts of each example deployment.
+// Numbers that hold for each example deployment.
+const (
+	cellMembers = 3 // members of each data centre's log
+	jobFiles    = 6
+)
+
+// deployments holds the expected numbers of data centres, instances, configuration voters
+// and data folders of each example deployment.
 var deployments = []struct {
 	name                                        string
 	dataCentres, instances, voters, dataFolders int
@@ -24,6 +31,8 @@
 	{"himalaya", 4, 8, 5, 4},
 }
 
+// A change of an example's settings makes them invalid, causes a warning, or removes a
+// member of a data centre's log.
 func TestSettingsAreValid(t *testing.T) {
 	for _, d := range deployments {
 		s, err := settings.Load(filepath.Join(d.name, d.name+".toml"))
@@ -41,7 +50,7 @@
 		}
 		must.Eq(t, d.dataFolders, dataFolders)
 		for _, dataCentre := range s.DataCentres() {
-			must.Len(t, 3, s.CellMembers(dataCentre))
+			must.Len(t, cellMembers, s.CellMembers(dataCentre))
 		}
 	}
 }
@@ -61,6 +70,8 @@
 	}
 }
 
+// A customer has a token in the settings but no quota in the configuration, or the other
+// way round.
 func TestConfigNamesEveryCustomer(t *testing.T) {
 	for _, d := range deployments {
 		text, err := fs.ReadFile(examples.Files, path.Join(d.name, "config.toml"))
@@ -77,11 +88,12 @@
 	}
 }
 
+// A sample job file is invalid, is missing, or names its job differently from the file.
 func TestJobFilesAreValid(t *testing.T) {
 	for _, d := range deployments {
 		paths, err := fs.Glob(examples.Files, path.Join(d.name, "jobs", "*.toml"))
 		must.NoError(t, err)
-		must.Len(t, 6, paths)
+		must.Len(t, jobFiles, paths)
 		for _, p := range paths {
 			text, err := fs.ReadFile(examples.Files, p)
 			must.NoError(t, err)
--- a/internal/dev/print.go
+++ b/internal/dev/print.go
@@ -17,6 +17,7 @@
 	mu        sync.Mutex
 	out       io.Writer
 	startedAt time.Time
+	// lastLines holds the last state printed of each job, by DEPLOYMENT/JOB.
 	lastLines map[string]string
 }
 
@@ -24,11 +25,11 @@
 	return &progress{out: out, startedAt: time.Now(), lastLines: make(map[string]string)}
 }
 
-// printJob prints the state of a job unless it was the last one printed.
+// printJob prints the state of a job unless it is the one last printed of this job.
 func (p *progress) printJob(deployment string, j standin.JobResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	key, line := deployment+"/"+j.Name, describe(j)
+	key, line := deployment+"/"+j.Name, describeJob(j)
 	if line == p.lastLines[key] || line == "" {
 		return
 	}
@@ -36,9 +37,9 @@
 	fmt.Fprintf(p.out, "%6.2fs  %-9s %-22s %s\n", time.Since(p.startedAt).Seconds(), deployment, j.Name, line)
 }
 
-// describe returns the state of a job with its reason, or "" while the submission has
+// describeJob returns the state of a job with its reason, or "" while the submission has
 // no response.
-func describe(j standin.JobResult) string {
+func describeJob(j standin.JobResult) string {
 	if j.ID == "" && j.Kind != "" {
 		return "refused: " + j.Kind + ": " + j.Reason
 	}
@@ -51,26 +52,34 @@
 	return j.ID + " " + standin.StateName(j.State)
 }
 
+// Layout of the table of results, in characters.
+const (
+	columnMinWidth = 2
+	tabWidth       = 8
+	columnPadding  = 2
+)
+
 // printResult prints the final table of one deployment.
 func printResult(out io.Writer, r *Result) {
 	fmt.Fprintf(out, "\n%s\n", r.Name)
-	table := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
+	table := tabwriter.NewWriter(out, columnMinWidth, tabWidth, columnPadding, ' ', 0)
 	fmt.Fprintln(table, "  work\tcustomer\toutcome\twaited\tbefore deadline")
 	for _, j := range r.Jobs {
 		fmt.Fprintf(table, "  %s\t%s\t%s\t%s\t%s\n", j.Name, j.Customer, outcome(j), waitingTime(j), timeBeforeDeadline(j))
 	}
 	table.Flush()
-	p := r.Report
+	jobs := r.Report
 	fmt.Fprintf(out, "  jobs: %d accepted, %d met and %d missed their deadline, refused %v; waiting time p50 %s p99 %s; submit call p50 %s p99 %s\n",
-		p.Accepted, p.MetDeadline, p.MissedDeadline, p.Refused, formatMicros(p.WaitP50), formatMicros(p.WaitP99), formatMicros(p.SubmitP50), formatMicros(p.SubmitP99))
-	q := r.Requests
+		jobs.Accepted, jobs.MetDeadline, jobs.MissedDeadline, jobs.Refused, formatMicros(jobs.WaitP50), formatMicros(jobs.WaitP99), formatMicros(jobs.SubmitP50), formatMicros(jobs.SubmitP99))
+	requests := r.Requests
 	fmt.Fprintf(out, "  requests: %d sent, %d correct responses, %d of them late, %d wrong, %d broken or timed out, refused %v; latency p50 %s p99 %s\n",
-		q.Calls-q.NotSent, q.Correct, q.Late, q.Wrong, q.Broken+q.TimedOut, q.Refused, formatMicros(q.P50), formatMicros(q.P99))
+		requests.Calls-requests.NotSent, requests.Correct, requests.Late, requests.Wrong, requests.Broken+requests.TimedOut, requests.Refused, formatMicros(requests.P50), formatMicros(requests.P99))
 	for _, v := range r.Violations {
 		fmt.Fprintf(out, "  VIOLATION %+v\n", v)
 	}
 }
 
+// outcome returns the outcome of a job for the table of results.
 func outcome(j standin.JobResult) string {
 	if !j.Accepted() {
 		return "refused: " + j.Kind
@@ -81,6 +90,8 @@
 	return standin.StateName(j.State)
 }
 
+// waitingTime returns the time from the submission of a job to its start, or "-" if the job
+// hasn't started.
 func waitingTime(j standin.JobResult) string {
 	if j.Started.IsZero() {
 		return "-"
@@ -88,6 +99,8 @@
 	return j.Started.Sub(j.Submitted).Round(100 * time.Microsecond).String()
 }
 
+// timeBeforeDeadline returns the time from the end of a job to its deadline, negative if
+// the job ended late, or "-" if either is unknown.
 func timeBeforeDeadline(j standin.JobResult) string {
 	if j.Ended.IsZero() || j.Deadline.IsZero() || !j.Accepted() {
 		return "-"
@@ -100,7 +113,8 @@
 // usage measures the CPU and memory usage of the process, including the stand-ins.
 type usage struct {
 	startedAt time.Time
-	cpu       time.Duration
+	// cpu is the CPU time used until startedAt.
+	cpu time.Duration
 }
 
 func startUsage() usage { return usage{startedAt: time.Now(), cpu: processorTime()} }
@@ -123,8 +137,9 @@
 		float64(processorTime()-u.cpu)/float64(elapsed), memory.HeapInuse>>20, elapsed.Seconds())
 }
 
-// printStay prints commands that reach the running deployments.
-func printStay(out io.Writer, runs []*run) {
+// printExampleCommands prints, for each running deployment, example commands with one of
+// its addresses and token files.
+func printExampleCommands(out io.Writer, runs []*run) {
 	fmt.Fprintln(out, "\nthe deployments keep running; stop them with Ctrl-C. Try from another shell:")
 	for _, r := range runs {
 		customer := r.deployment.Settings.Tokens.Customers[0]
--- a/internal/e2e/chaos_test.go
+++ b/internal/e2e/chaos_test.go
@@ -18,27 +18,45 @@
 	"github.com/bilberryferry/bilberryferry/internal/standin"
 )
 
-// Environment variables for the duration and seed of the random faults, and their
-// defaults.
+// Environment variables for the duration, in seconds, and the seed of the random faults,
+// and their defaults.
 const (
 	chaosSecondsVariable = "BILBERRY_CHAOS_SECONDS"
 	chaosSeedVariable    = "BILBERRY_CHAOS_SEED"
-	chaosSeconds         = 20
-	chaosSeed            = 1
+	defaultChaosSeconds  = 20
+	defaultChaosSeed     = 1
 	// chaosJobsPerSecond is the rate of job submissions while faults occur.
 	chaosJobsPerSecond = 8.0
 )
 
-// faultInjector injects random faults one after the other; several may be active at
-// the same time. The keys of down and paused are process names such as naas-1/cell,
-// those of partitioned are data centres.
+const (
+	// faultChoices is the number of equally likely choices of injectOrEndFault: six kinds
+	// of faults and a pause without a change.
+	faultChoices = 7
+	// maxWorkerPauseMillis bounds the random pause of a worker, in milliseconds.
+	maxWorkerPauseMillis = 12_000
+	// maxFaultGapMillis bounds the random time without a change, in milliseconds.
+	maxFaultGapMillis = 800
+	// instancesTimeout bounds the queries of one data centre's cell processes.
+	instancesTimeout = time.Second
+	// maxCommitLag bounds the difference between the commit indexes of recovered
+	// instances, in log entries.
+	maxCommitLag = 100
+)
+
+// faultInjector injects random faults one after the other. Several faults may be active at
+// the same time.
 type faultInjector struct {
-	cluster     *cluster
-	random      *rand.Rand
-	workers     *standin.Workers
+	cluster *cluster
+	random  *rand.Rand
+	workers *standin.Workers
+	// faultCounts counts the injected faults, by kind.
 	faultCounts map[string]int
-	down        map[string]bool
-	paused      map[string]bool
+	// down and paused hold the killed and the paused processes, by INSTANCE/ROLE such as
+	// naas-1/cell.
+	down   map[string]bool
+	paused map[string]bool
+	// partitioned holds the partitioned data centres.
 	partitioned map[string]bool
 }
 
@@ -47,14 +65,14 @@
 	return all[f.random.IntN(len(all))]
 }
 
-// injectOrEndFault injects or ends one random fault. In each data centre at most one
-// control process at a time is down, paused or recovering its state. If all of them,
-// the one with the disk included, lost their memory before the first had recovered,
-// the data centre would lose more state than the system tolerates.
+// injectOrEndFault injects or ends one random fault. It kills or pauses a process only if no
+// other process of the data centre is down, paused or recovering its state. If all cell
+// processes, including the one with the disk, lost their memory before the first of them
+// had recovered, the data centre would lose more state than the system tolerates.
 func (f *faultInjector) injectOrEndFault() {
 	instance := f.randomInstance()
 	cell, entry := instance.ID+"/cell", instance.ID+"/entry"
-	switch f.random.IntN(7) {
+	switch f.random.IntN(faultChoices) {
 	case 0:
 		f.killOrStart(instance, cell, "cell", f.hasFault(instance.DataCentre))
 	case 1:
@@ -71,13 +89,14 @@
 		worker := f.workers.All()[f.random.IntN(len(f.workers.All()))]
 		worker.Pause()
 		f.faultCounts["worker paused"]++
-		time.AfterFunc(time.Duration(f.random.IntN(12_000))*time.Millisecond, worker.Resume)
+		time.AfterFunc(time.Duration(f.random.IntN(maxWorkerPauseMillis))*time.Millisecond, worker.Resume)
 	default:
-		time.Sleep(time.Duration(f.random.IntN(800)) * time.Millisecond)
+		time.Sleep(time.Duration(f.random.IntN(maxFaultGapMillis)) * time.Millisecond)
 	}
 }
 
-// hasFault reports whether a process of a data centre is down, paused or recovering.
+// hasFault reports whether a process of a data centre is down, paused or recovering its
+// state.
 func (f *faultInjector) hasFault(dataCentre string) bool {
 	for _, instance := range f.cluster.deployment.Settings.InDataCentre(dataCentre) {
 		for _, role := range []string{"/cell", "/entry"} {
@@ -89,6 +108,7 @@
 	return !f.cluster.recovered(dataCentre)
 }
 
+// killOrStart starts a process if it is down, or else kills it unless hasFault is true.
 func (f *faultInjector) killOrStart(instance settings.Instance, process, role string, hasFault bool) {
 	switch {
 	case f.down[process]:
@@ -101,6 +121,8 @@
 	}
 }
 
+// pauseOrResume resumes a process if it is paused, or else pauses it unless hasFault is
+// true.
 func (f *faultInjector) pauseOrResume(process string, hasFault bool) {
 	switch {
 	case f.paused[process]:
@@ -121,7 +143,7 @@
 	}
 }
 
-// endAll ends every fault.
+// endAll ends every active fault.
 func (f *faultInjector) endAll() {
 	for dataCentre, isPartitioned := range f.partitioned {
 		if isPartitioned {
@@ -143,12 +165,11 @@
 	}
 }
 
-// recovered reports whether every control process of a data centre is reachable and
-// has recovered, a leader commits with a disk, and their commit indexes differ by less
-// than 100 entries.
+// recovered reports whether allRecovered holds for the instances that each cell process of
+// a data centre reports.
 func (c *cluster) recovered(dataCentre string) bool {
 	ctx, _ := c.operatorClients()
-	ctx, cancel := context.WithTimeout(ctx, time.Second)
+	ctx, cancel := context.WithTimeout(ctx, instancesTimeout)
 	defer cancel()
 	var instances []*apiv1.Instance
 	for _, instance := range c.deployment.Settings.InDataCentre(dataCentre) {
@@ -162,6 +183,9 @@
 	return allRecovered(instances)
 }
 
+// allRecovered reports whether every given instance is reachable and has recovered its
+// state, the commits of the leader reach a disk, and the commit indexes differ by less than
+// 100 entries.
 func allRecovered(instances []*apiv1.Instance) bool {
 	hasLeader, lowest, highest := false, uint64(math.MaxUint64), uint64(0)
 	for _, i := range instances {
@@ -171,7 +195,7 @@
 		hasLeader = hasLeader || i.Leader && !i.Degraded
 		lowest, highest = min(lowest, i.CommitIndex), max(highest, i.CommitIndex)
 	}
-	return hasLeader && highest-lowest < 100
+	return hasLeader && highest-lowest < maxCommitLag
 }
 
 // environmentInt returns an environment variable as an integer, or fallback if it is
@@ -183,14 +207,14 @@
 	return fallback
 }
 
-// TestRandomFaults guards against tasks that run twice, wrong responses and jobs
-// without exactly one outcome under combined faults. Control processes are killed,
-// paused and restarted, data centres are partitioned, and workers are paused and
-// restarted, in a random order given by the seed, while jobs and requests continue.
-// The outcomes are checked after every fault has ended.
+// TestRandomFaults guards against tasks that run twice, wrong responses and jobs without
+// exactly one outcome under combined faults. Cell and entry processes are killed and
+// restarted, cell processes are paused, data centres are partitioned, and workers are
+// paused and restarted, in a random order given by the seed, while jobs and requests
+// continue. The outcomes are checked after every fault has ended.
 func TestRandomFaults(t *testing.T) {
-	seed := uint64(environmentInt(chaosSeedVariable, chaosSeed))
-	length := time.Duration(environmentInt(chaosSecondsVariable, chaosSeconds)) * time.Second
+	seed := uint64(environmentInt(chaosSeedVariable, defaultChaosSeed))
+	duration := time.Duration(environmentInt(chaosSecondsVariable, defaultChaosSeconds)) * time.Second
 	c := newCluster(t, "rackwise", nil)
 	workers := c.workers(9)
 	c.minions(9, "inspect-hub")
@@ -198,10 +222,10 @@
 	customer.awaitService("inspect-hub")
 	jobs := standin.NewJobs(standin.JobsConfig{
 		Entries: c.deployment.Entries(), Tokens: map[string]string{"curragh-racking": customer.token}, Ledger: c.ledger,
-		Arrivals: standin.RandomArrivals(seed, chaosJobsPerSecond, int(chaosJobsPerSecond*length.Seconds()), chaosJobs()), RetryTimeout: 2 * time.Minute,
+		Arrivals: standin.RandomArrivals(seed, chaosJobsPerSecond, int(chaosJobsPerSecond*duration.Seconds()), chaosJobs()), RetryTimeout: 2 * time.Minute,
 	})
 	callers := standin.NewCallers(standin.CallersConfig{
-		Entries: c.deployment.Entries(), Service: "inspect-hub", Token: customer.token, Rate: 50, Duration: length,
+		Entries: c.deployment.Entries(), Service: "inspect-hub", Token: customer.token, Rate: 50, Duration: duration,
 		Deadline: 3 * time.Second, NonIdempotentShare: 0.3, Resend: true, Seed: seed, Ledger: c.ledger,
 	})
 	done := make(chan error, 2)
@@ -211,7 +235,7 @@
 		cluster: c, random: rand.New(rand.NewPCG(seed, 0)), workers: workers, faultCounts: make(map[string]int),
 		down: make(map[string]bool), paused: make(map[string]bool), partitioned: make(map[string]bool),
 	}
-	for until := time.Now().Add(length); time.Now().Before(until); {
+	for until := time.Now().Add(duration); time.Now().Before(until); {
 		faults.injectOrEndFault()
 	}
 	faults.endAll()
@@ -221,20 +245,21 @@
 	t.Logf("seed %d, faults %v", seed, faults.faultCounts)
 	t.Logf("jobs %+v", report)
 	t.Logf("requests %+v", requests)
-	must.Eq(t, 0, report.Unanswered)
+	must.Eq(t, 0, report.OutcomeUnknown)
 	must.Eq(t, 0, requests.Wrong)
 	for _, result := range jobs.Results() {
 		if !result.Accepted() || !result.MissedDeadline() {
 			continue
 		}
-		// If a worker is lost, the outcome of its non-idempotent runs is unknown.
+		// The loss of a worker makes the outcome of its non-idempotent runs unknown. No
+		// other accepted job may miss its deadline.
 		must.Eq(t, apiv1.JobState_JOB_STATE_UNKNOWN, result.State, must.Sprintf("%+v", result))
 	}
 	c.checkNoViolations()
 }
 
-// chaosJobs returns the job templates of TestRandomFaults: batch jobs and gangs, both
-// idempotent and not.
+// chaosJobs returns the job templates of TestRandomFaults: batch jobs and gangs, idempotent
+// and non-idempotent ones of each.
 func chaosJobs() []standin.Arrival {
 	var templates []standin.Arrival
 	for i, policy := range []apiv1.Policy{apiv1.Policy_POLICY_BATCH, apiv1.Policy_POLICY_BATCH, apiv1.Policy_POLICY_GANG} {
--- a/internal/e2e/input_test.go
+++ b/internal/e2e/input_test.go
@@ -14,10 +14,15 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
+// submitPath is the path of the RPC Submit of the service Scheduler.
 const submitPath = "/twirp/bilberry.v1.Scheduler/Submit"
 
-// TestInvalidInputIsRejected guards against invalid requests that are stored or get an
-// unspecific error, and against customers that see or cancel jobs of another customer.
+// oversizedBodyBytes is more than the default limit of a request body, 1 MiB.
+const oversizedBodyBytes = 2 << 20
+
+// TestInvalidInputIsRejected guards against invalid requests that are accepted or whose
+// error doesn't name the invalid field or has the wrong kind, and against customers that
+// see or cancel jobs of another customer.
 func TestInvalidInputIsRejected(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(2)
@@ -45,12 +50,12 @@
 		_, err = otherCustomer.schedulers[0].Cancel(otherCustomer.ctx, &apiv1.CancelRequest{RequestId: "c" + id, Ids: []string{id}})
 		must.True(t, fault.Is(err, fault.NotFound), must.Sprint(id, err))
 	}
-	listed, err := otherCustomer.schedulers[0].Status(otherCustomer.ctx, &apiv1.StatusRequest{IncludeEnded: true})
+	response, err := otherCustomer.schedulers[0].Status(otherCustomer.ctx, &apiv1.StatusRequest{IncludeEnded: true})
 	must.NoError(t, err)
-	must.SliceEmpty(t, listed.Jobs)
-	listed, err = customer.schedulers[0].Status(customer.ctx, &apiv1.StatusRequest{IncludeEnded: true})
+	must.SliceEmpty(t, response.Jobs)
+	response, err = customer.schedulers[0].Status(customer.ctx, &apiv1.StatusRequest{IncludeEnded: true})
 	must.NoError(t, err)
-	must.Len(t, 1, listed.Jobs)
+	must.Len(t, 1, response.Jobs)
 
 	wrongTokenCtx, err := rpc.WithBearer(c.ctx, "Bearer wrong")
 	must.NoError(t, err)
@@ -61,7 +66,7 @@
 	_, err = customer.schedulers[0].Submit(workerCtx, &apiv1.SubmitRequest{RequestId: "w", Spec: batch("reports", 1, 50, true)})
 	must.True(t, fault.Is(err, fault.Denied), must.Sprint(err))
 	must.Eq(t, http.StatusBadRequest, customer.post(submitPath, []byte("\xff\xff not protobuf")))
-	must.Eq(t, http.StatusBadRequest, customer.post(submitPath, bytes.Repeat([]byte{0x0a}, 2<<20)))
+	must.Eq(t, http.StatusBadRequest, customer.post(submitPath, bytes.Repeat([]byte{0x0a}, oversizedBodyBytes)))
 	must.Eq(t, http.StatusNotFound, customer.post("/twirp/bilberry.v1.Scheduler/Nothing", nil))
 }
 
--- a/internal/e2e/leave_test.go
+++ b/internal/e2e/leave_test.go
@@ -13,8 +13,8 @@
 
 // TestLeavingMinionsAndWorkersLoseNoWork guards against requests that fail because a
 // minion leaves, and tasks that are lost or placed wrongly because a worker leaves or is
-// drained. Two minions leave under load at all entry instances, one worker is drained
-// and another leaves.
+// drained. Under load at all entry instances, two minions leave, one worker is drained and
+// another leaves.
 func TestLeavingMinionsAndWorkersLoseNoWork(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	workers := c.workers(4)
@@ -43,14 +43,14 @@
 	c.checkNoViolations()
 }
 
-// drainFirstWorker drains the first listed worker and returns its id.
+// drainFirstWorker drains the first worker that the system lists and returns its id.
 func (c *cluster) drainFirstWorker() string {
 	ctx, operations := c.operatorClients()
 	ctx, cancel := context.WithTimeout(ctx, conditionTimeout)
 	defer cancel()
-	listed, err := operations[0].Workers(ctx, &apiv1.WorkersRequest{})
+	response, err := operations[0].Workers(ctx, &apiv1.WorkersRequest{})
 	must.NoError(c.t, err)
-	id := listed.Workers[0].Id
+	id := response.Workers[0].Id
 	_, err = operations[0].Drain(ctx, &apiv1.DrainRequest{RequestId: "drain", Worker: id})
 	must.NoError(c.t, err)
 	return id
--- a/internal/e2e/membership_test.go
+++ b/internal/e2e/membership_test.go
@@ -12,10 +12,10 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
-// TestInstanceReplacedThenAnotherLost guards against a replaced instance that doesn't
+// TestInstanceReplacedThenAnotherLost guards against a replacement instance that doesn't
 // count toward the quorum. An instance is lost permanently, a new one with another name,
-// address and empty memory replaces it, and the leader is killed right afterwards. Jobs
-// accepted before and after must finish.
+// address and empty memory replaces it, and the leader is killed right after the
+// replacement. Jobs accepted before and after must finish.
 func TestInstanceReplacedThenAnotherLost(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
@@ -47,17 +47,18 @@
 }
 
 // TestDisklessInstancesCatchUpAfterRestart guards against lost or repeated tasks when
-// diskless control instances restart with empty memory. Each instance in turn is killed,
-// misses hundreds of log entries, restarts and catches up.
+// diskless cell processes restart with empty memory. The cell process of each instance in
+// turn is killed, misses hundreds of log entries, restarts and catches up.
 func TestDisklessInstancesCatchUpAfterRestart(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
 	customer := c.customer(0)
+	const jobsPerRound, tasksPerJob = 30, 4
 	var ids []string
 	for round, instance := range c.deployment.Settings.Instances {
 		c.kill(instance.ID + "/cell")
-		for i := range 30 {
-			ids = append(ids, customer.submit(fmt.Sprint(round, "-", i), batch("reports", 4, 50, false)).Id)
+		for i := range jobsPerRound {
+			ids = append(ids, customer.submit(fmt.Sprint(round, "-", i), batch("reports", tasksPerJob, 50, false)).Id)
 		}
 		c.start(instance.ID, "cell")
 		c.awaitCatchUp(instance.ID)
@@ -65,11 +66,12 @@
 	for _, id := range ids {
 		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(id).State, must.Sprint(id))
 	}
-	must.Eq(t, 4*len(ids), c.ledger.Starts())
+	must.Eq(t, tasksPerJob*len(ids), c.ledger.Starts())
 	c.checkNoViolations()
 }
 
-// awaitCatchUp waits until an instance has recovered and reached the highest commit index.
+// awaitCatchUp waits until an instance has recovered its state and reached the highest
+// commit index of all instances.
 func (c *cluster) awaitCatchUp(id string) {
 	c.t.Helper()
 	ctx, operations := c.operatorClients()
@@ -100,8 +102,8 @@
 	return ""
 }
 
-// entryIndex returns the index of an instance's entry address, or of any other entry
-// address if ofInstance is false.
+// entryIndex returns the index of an instance's address in the entry addresses of the
+// deployment, or if ofInstance is false, the first index of another instance's address.
 func (c *cluster) entryIndex(id string, ofInstance bool) int {
 	instance, err := c.deployment.Settings.Instance(id)
 	must.NoError(c.t, err)
@@ -113,7 +115,8 @@
 	return 0
 }
 
-// startExtraInstance starts an instance that is missing from the settings of the others.
+// startExtraInstance starts the processes of an instance that the settings of the other
+// instances don't contain. It returns the instance with its addresses.
 func (c *cluster) startExtraInstance(added settings.Instance) settings.Instance {
 	ports := newPorts(c.t)
 	added.Entry, added.Cell = ports.reserve(), ports.reserve()
@@ -126,9 +129,10 @@
 	return added
 }
 
-// TestConfigurationVoterReplacedThenAnotherLost guards against a replaced voter of the
+// TestConfigurationVoterReplacedThenAnotherLost guards against a replacement voter of the
 // configuration log that doesn't count toward the quorum. A voter is lost permanently, a
-// new instance replaces it, another voter is lost, and a version is written.
+// new instance replaces it, and another voter is lost. A write of the configuration must
+// still succeed.
 func TestConfigurationVoterReplacedThenAnotherLost(t *testing.T) {
 	c := newCluster(t, "rackwise", nil)
 	ctx, operations := c.operatorClients()
@@ -168,10 +172,12 @@
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(4)
 	customer := c.customer(0)
-	for i := range 40 {
+	// Together the payloads exceed the default limit of a request body, 1 MiB.
+	const services, payloadBytes = 40, 60 << 10
+	for i := range services {
 		spec := batch(fmt.Sprint("service-", i), 1, 0, true)
 		spec.Policy, spec.DeadlineUnixMs = apiv1.Policy_POLICY_SERVICE, 0
-		spec.Payload = bytes.Repeat([]byte("x"), 60<<10)
+		spec.Payload = bytes.Repeat([]byte("x"), payloadBytes)
 		customer.submit(spec.Name, spec)
 	}
 	lost := c.follower(c.deployment.Settings.DataCentres()[0])
--- a/internal/standin/fake_test.go
+++ b/internal/standin/fake_test.go
@@ -28,26 +28,30 @@
 	return listener.Addr().String()
 }
 
-// fakeOwner is an entry instance and the owner of the workers' leases in one: it
-// grants leases, sends commands and records reports.
+// fakeOwner is an entry instance and the owner of the workers' leases in one: it grants
+// leases, sends commands and records reports.
 type fakeOwner struct {
-	mu       sync.Mutex
-	ttl      time.Duration
+	mu sync.Mutex
+	// ttl is the duration of each granted lease.
+	ttl time.Duration
+	// commands holds the unacknowledged commands, by worker.
 	commands map[string][]*apiv1.Command
-	// staleCommands precede the other commands in every response.
-	staleCommands     []*apiv1.Command
+	// staleCommands are sent before the other commands in every response.
+	staleCommands []*apiv1.Command
+	// changed is closed and replaced when a command is queued.
 	changed           chan struct{}
 	issued            map[string]lease.Position // by worker: incarnation (as Term) and last command number
 	lastRenewals      map[string]*apiv1.RenewRequest
 	announcedCPUMilli map[string]int64 // by worker, of the latest announcement
 	reports           []*apiv1.AttemptReport
 	leftWorkers       map[string]bool
-	// lateReports counts reports that arrived after a renewal of a later
+	// lateReports counts reports that arrived after a renewal of a successor
 	// incarnation.
 	lateReports int
-	// reportsToIgnore is how many more reports are recorded but not acknowledged.
+	// reportsToIgnore is the number of further reports to record without acknowledging
+	// them.
 	reportsToIgnore int
-	// reportGate blocks reports until it is closed; nil blocks none.
+	// reportGate blocks Report calls until it is closed; nil blocks none.
 	reportGate chan struct{}
 }
 
@@ -114,7 +118,8 @@
 	return response, nil
 }
 
-// blockReports makes reports wait, unrecorded, until the returned function is called.
+// blockReports makes Report calls wait until the returned function is called. Until then,
+// their reports aren't recorded.
 func (f *fakeOwner) blockReports() (release func()) {
 	gate := make(chan struct{})
 	f.mu.Lock()
@@ -136,7 +141,8 @@
 	}
 }
 
-// processedAll reports whether the worker's last renewal acknowledges all its commands.
+// processedAll reports whether the worker's last renewal acknowledges all commands issued
+// to the worker.
 func (f *fakeOwner) processedAll(worker string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -169,20 +175,26 @@
 	f.changed = make(chan struct{})
 }
 
+// taskCPUMilli is the CPU demand of each task that queueStart starts, in millicores.
+const taskCPUMilli = 1000
+
+// queueStart queues a command that starts an attempt of the job's task 0.
 func (f *fakeOwner) queueStart(worker, job string, attempt int32, payload string) {
 	f.queueCommand(worker, &apiv1.Command{Body: &apiv1.Command_Start{Start: &apiv1.StartTask{
 		Attempt: &apiv1.AttemptRef{Job: job, Attempt: attempt},
-		Need:    &apiv1.Resources{CpuMilli: 1000, MemoryMib: 64},
+		Need:    &apiv1.Resources{CpuMilli: taskCPUMilli, MemoryMib: 64},
 		Payload: []byte(payload),
 	}}})
 }
 
+// queueStop queues a command that stops an attempt of the job's task 0.
 func (f *fakeOwner) queueStop(worker, job string, attempt int32) {
 	f.queueCommand(worker, &apiv1.Command{Body: &apiv1.Command_Stop{Stop: &apiv1.StopTask{
 		Attempt: &apiv1.AttemptRef{Job: job, Attempt: attempt},
 	}}})
 }
 
+// outcomes returns the reported outcomes of a job's attempts in the order of arrival.
 func (f *fakeOwner) outcomes(job string) []apiv1.Outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -204,11 +216,11 @@
 }
 
 // eventually waits for a condition and fails the test after 10 seconds.
-func eventually(t *testing.T, what string, condition func() bool) {
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	must.Wait(t, wait.InitialSuccess(
 		wait.BoolFunc(condition),
 		wait.Timeout(10*time.Second),
 		wait.Gap(2*time.Millisecond),
-	), must.Sprint(what))
+	), must.Sprint(description))
 }
--- a/internal/standin/workers_test.go
+++ b/internal/standin/workers_test.go
@@ -12,6 +12,9 @@
 
 const testWorker = "hall-w000"
 
+// workerCPUMilli is the CPU capacity of each worker, in millicores: that of two tasks.
+const workerCPUMilli = 2000
+
 // startWorkers runs count workers whose entry addresses are those of the owners, and
 // waits until all hold a lease.
 func startWorkers(t *testing.T, count int, faults WorkerFaults, owners ...*fakeOwner) *Workers {
@@ -23,7 +26,7 @@
 	fleet := NewWorkers(WorkersConfig{
 		DataCentres: []DataCentre{dataCentre},
 		Count:       count,
-		Capacity:    &apiv1.Resources{CpuMilli: 2000, MemoryMib: 1024},
+		Capacity:    &apiv1.Resources{CpuMilli: workerCPUMilli, MemoryMib: 1024},
 		RenewHold:   100 * time.Millisecond,
 		Seed:        1,
 		Faults:      faults,
@@ -40,6 +43,8 @@
 	return fleet
 }
 
+// A task isn't run, or its outcome is reported wrongly. One payload is JSON and the task
+// must finish, the other is TOML and asks for a failure.
 func TestWorkerRunsTaskAndReports(t *testing.T) {
 	owner := newFakeOwner(time.Second)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
@@ -53,10 +58,10 @@
 	must.SliceEmpty(t, fleet.Ledger().Violations())
 }
 
-// A service's task has no run time and must end when it is stopped. A stop that
-// arrives before its start must be reported as not started, and the later start
-// must neither run nor be reported beside it. Reports are blocked until the start has
-// been processed: an owner issues no start of an attempt whose end it has acknowledged.
+// A service's task has no run time and must end when it is stopped. An attempt whose stop
+// arrives before its start must be reported as not started, and the later start must
+// neither run nor cause a second report. Reports are blocked until the start has been
+// processed, because an owner issues no start of an attempt whose end it has acknowledged.
 func TestWorkerHandlesStopCommands(t *testing.T) {
 	owner := newFakeOwner(time.Second)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
@@ -75,10 +80,10 @@
 	must.Eq(t, 2, fleet.Ledger().Starts())
 }
 
-// A worker process hangs while its task runs. Its lease ends and the owner starts the
-// task on another worker. The first worker must have stopped its task by then, or two
-// attempts run at the same time.
-func TestPausedWorkerStopsAtLeaseEnd(t *testing.T) {
+// A worker process hangs while its task runs. Its lease expires and the owner starts the
+// task on another worker. Two attempts run at the same time if the first worker hasn't
+// stopped its task when its lease expires.
+func TestPausedWorkerStopsWhenLeaseExpires(t *testing.T) {
 	owner := newFakeOwner(300 * time.Millisecond)
 	fleet := startWorkers(t, 2, WorkerFaults{}, owner)
 	owner.queueStart(testWorker, "report", 1, "")
@@ -95,8 +100,8 @@
 	must.SliceEmpty(t, fleet.Ledger().Violations())
 }
 
-// A faulty owner starts a second attempt of a non-idempotent task while the first one
-// runs. The ledger must report both the concurrent runs and the duplicate start.
+// A faulty owner starts a second attempt of a non-idempotent task while the first attempt
+// runs. The ledger must record both the concurrent runs and the duplicate start.
 func TestLedgerDetectsConcurrentRuns(t *testing.T) {
 	owner := newFakeOwner(time.Second)
 	fleet := startWorkers(t, 2, WorkerFaults{}, owner)
@@ -125,17 +130,18 @@
 
 // A worker crashes and restarts with less capacity. It must announce a new
 // incarnation, send no reports of its lost tasks, and ignore commands that were
-// addressed to the old incarnation.
-func TestRestartedWorkerIgnoresCommandsOfOldIncarnation(t *testing.T) {
+// addressed to the predecessor incarnation.
+func TestRestartedWorkerIgnoresCommandsOfPredecessorIncarnation(t *testing.T) {
 	owner := newFakeOwner(time.Second)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
 	old, _ := owner.lastSeen(testWorker)
 	owner.queueStart(testWorker, "lost", 1, "")
 	eventually(t, "task runs", func() bool { return fleet.Running() == 1 })
-	fleet.All()[0].Restart(&apiv1.Resources{CpuMilli: 1000, MemoryMib: 512})
+	const reducedCPUMilli = 1000
+	fleet.All()[0].Restart(&apiv1.Resources{CpuMilli: reducedCPUMilli, MemoryMib: 512})
 	eventually(t, "new incarnation announces its capacity", func() bool {
 		incarnation, cpuMilli := owner.lastSeen(testWorker)
-		return incarnation > old && cpuMilli == 1000
+		return incarnation > old && cpuMilli == reducedCPUMilli
 	})
 	owner.mu.Lock()
 	owner.staleCommands = []*apiv1.Command{{Number: 1, Term: 1, Incarnation: old, Body: &apiv1.Command_Start{
@@ -151,7 +157,7 @@
 
 // Half of all responses are lost, and reports are sent twice and with a delay. Each
 // task must still run once, and its report must be retried until it is acknowledged.
-func TestLostResponsesAndDuplicateReports(t *testing.T) {
+func TestTasksRunOnceDespiteLostResponsesAndDuplicateReports(t *testing.T) {
 	owner := newFakeOwner(time.Minute)
 	faults := WorkerFaults{LoseResponses: 0.5, DuplicateReports: true, ReportDelay: 5 * time.Millisecond}
 	fleet := startWorkers(t, 1, faults, owner)
@@ -165,8 +171,8 @@
 	must.SliceEmpty(t, fleet.Ledger().Violations())
 }
 
-// The first entry address refuses connections. The worker must get its lease, report
-// its task and leave through the second one.
+// The first entry address refuses connections. The worker must get its lease, report its
+// task and leave through the second address.
 func TestWorkerFailsOverToNextEntryAndLeaves(t *testing.T) {
 	unreachable := "127.0.0.1:1"
 	owner := newFakeOwner(time.Second)
@@ -189,10 +195,10 @@
 	must.True(t, owner.leftWorkers[testWorker])
 }
 
-// A worker hangs while a start command is in flight to it. It reads the command only
-// after its lease has ended, when the owner may have started the task elsewhere.
-// Neither this incarnation nor the next may execute the command.
-func TestStartReceivedAfterLeaseEndIsIgnored(t *testing.T) {
+// A worker hangs while a start command is in flight to it. It reads the command only after
+// its lease has expired, when the owner may have started the task on another worker.
+// Neither this incarnation nor its successor may execute the command.
+func TestStartReceivedAfterLeaseExpiryIsIgnored(t *testing.T) {
 	owner := newFakeOwner(300 * time.Millisecond)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
 	worker := fleet.All()[0]
@@ -209,8 +215,8 @@
 	must.SliceEmpty(t, owner.outcomes("reassigned"))
 }
 
-// The owner crashes twice after it received a report and before it committed it.
-// The worker must retry the report, or the task counts as running forever.
+// The owner crashes twice after it received a report and before it committed the report.
+// If the worker doesn't send the report again, the task counts as running forever.
 func TestReportsAreRetriedUntilAcknowledged(t *testing.T) {
 	owner := newFakeOwner(time.Minute)
 	owner.reportsToIgnore = 2
@@ -221,11 +227,14 @@
 	eventually(t, "acknowledged", func() bool { return session.reports.empty() })
 }
 
-// A lease counts from the send of its renewal. If renewals are held for half of the
-// lease, each response arrives just as the previous lease ends, and a healthy worker
-// drops its tasks every few seconds. A renewal right after a response must be answered
-// before that response's lease ends, also if its first try is lost.
+// A lease counts from the send of its renewal. If renewals are held for half of the lease,
+// each response arrives just as the previous lease expires, and a healthy worker drops its
+// tasks every few seconds. The response to a renewal sent right after another response
+// must arrive before the lease granted by that response expires, also if the first try of
+// the renewal is lost.
 func TestRenewHoldLeavesTimeForNextRenewal(t *testing.T) {
+	// At least a quarter of the lease must remain after two held renewals.
+	const spareLeaseDivisor = 4
 	worker := newWorker(WorkersConfig{DataCentres: []DataCentre{{}}, RenewHold: time.Hour}.withDefaults(), 0)
 	for _, ttl := range []time.Duration{300 * time.Millisecond, 6 * time.Second, time.Minute} {
 		s := newSession(worker, 1, nil)
@@ -233,7 +242,7 @@
 		held, timeout := s.nextRenewal()
 		hold := time.Duration(held.HoldMs) * time.Millisecond
 		must.Positive(t, hold)
-		must.LessEq(t, ttl, 2*hold+ttl/4)
+		must.LessEq(t, ttl, 2*hold+ttl/spareLeaseDivisor)
 		must.Less(t, ttl+minCallSlack, timeout)
 		s.recordRenewal(errResponseLost)
 		again, _ := s.nextRenewal()
@@ -241,11 +250,12 @@
 	}
 }
 
-// A worker's lease ends while it can't deliver the report of a task. The report must
-// reach the owner before the announcement of the next incarnation, or the owner
+// A worker's lease expires while the worker can't deliver the report of a task. If the
+// announcement of the successor incarnation reaches the owner before the report, the owner
 // declares an attempt dead that has ended.
-func TestReportsPrecedeNextIncarnation(t *testing.T) {
-	for range 10 {
+func TestReportsPrecedeSuccessorIncarnation(t *testing.T) {
+	const rounds = 10
+	for range rounds {
 		owner := newFakeOwner(150 * time.Millisecond)
 		fleet := startWorkers(t, 1, WorkerFaults{}, owner)
 		worker := fleet.All()[0]
