--- a/fault/fault.go
+++ b/fault/fault.go
@@ -249,7 +249,7 @@
 		return f
 	}
 	// Twirp reports a transport error of the client as Internal. The call may have been
-	// executed, so the kind is Unavailable and not one that says that the call was refused.
+	// executed, so the kind is Unavailable, which advises a retry with the same request ID.
 	if twirpErr.Code() == twirp.Internal {
 		f.Kind = Unavailable
 	}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -13,9 +13,9 @@
 	// minShortage is how long a pool must be short of capacity before it gets a machine: a
 	// burst of load that lasts 1 s ends before a machine could arrive.
 	minShortage = time.Second
-	// minIdle is how long a pool must have spare capacity before it releases a machine: a move
-	// costs about as much as a machine does in 8 s, and another move is needed when the load
-	// returns.
+	// minIdle is how long a pool must have spare capacity before it releases a machine. A move
+	// costs about as much as running a machine for 8 s, and a second move is needed when the
+	// load returns.
 	minIdle = 20 * time.Second
 	// reserveFactor is the capacity, as a multiple of its demand, that a pool must keep when
 	// it releases a machine.
--- a/internal/apiserver/apiserver.go
+++ b/internal/apiserver/apiserver.go
@@ -21,8 +21,8 @@
 	// callTimeout bounds one call. A commit takes some tens of milliseconds, an
 	// election takes a second.
 	callTimeout = 5 * time.Second
-	// maxBody is the largest request body in bytes. The largest job has a thousand
-	// steps.
+	// maxBody is the largest request body in bytes. It is enough for the largest job,
+	// which has a thousand steps.
 	maxBody = 1 << 20
 	// maxIDLength is the maximum length of a job ID in bytes.
 	maxIDLength = 64
--- a/internal/apiserver/apiserver_test.go
+++ b/internal/apiserver/apiserver_test.go
@@ -62,8 +62,8 @@
 	return control.WaveStateReply{Done: true, Maintenances: []workflow.Maintenance{{Machine: "m1", Stage: workflow.MaintenanceStarted}}}, f.err
 }
 
-// newClient serves the API of a leader and returns a client that presents the given
-// token.
+// newClient starts a server of the API in front of f and returns a client of that server,
+// which presents the given token.
 func newClient(t *testing.T, f *fakeLeader, presented string) apiv1.Workflows {
 	server := httptest.NewServer(New(f, token, log.NewNopLogger()))
 	t.Cleanup(server.Close)
--- a/internal/carrier/carrier_test.go
+++ b/internal/carrier/carrier_test.go
@@ -154,8 +154,8 @@
 }
 
 // The reply to a collect call is lost. The carrier must list the same outcomes in the next
-// reply; otherwise the leader can't tell whether the orders were executed, and their workers
-// have overdue orders.
+// reply; otherwise the leader can't tell whether the workers executed the orders, and the orders
+// become overdue.
 func TestLostOutcomesAreListedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		carrier := newTestCarrier(&fakeWorkers{}, "dc")
@@ -284,7 +284,8 @@
 		c := newCluster(t, 1)
 		c.lead(1)
 		workers := c.workers["carrier-0"]
-		// pollHold is the time of two calls of setMembers and 100 ms.
+		// pollHold is 100 ms longer than two calls of setMembers, so that the poll ends while
+		// the start hangs.
 		const pollHold = 4*membershipInterval + 100*time.Millisecond
 		const pollTimeout = 10 * membershipInterval
 		workers.pollHold = pollHold
--- a/internal/carrier/direct_share.go
+++ b/internal/carrier/direct_share.go
@@ -48,8 +48,8 @@
 // countOrder counts an order, direct or forwarded.
 func (s *directShare) countOrder() { s.orderCount.Add(1) }
 
-// update sets the share by the moving average of the rate of orders, to which it adds the
-// rate since the last update.
+// update adds the rate of orders since the last update to the moving average, and sets the
+// share of direct calls by that average.
 func (s *directShare) update(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/carrier/fake_test.go
+++ b/internal/carrier/fake_test.go
@@ -255,7 +255,7 @@
 func (noCounters) Set(string, int64)             {}
 func (noCounters) Observe(string, time.Duration) {}
 
-// start sends a start to a worker with a timeout of 600 ms.
+// start sends a start to a worker with a timeout of startTimeout.
 func (c *cluster) start(worker string) error {
 	ctx, cancel := context.WithTimeout(c.t.Context(), startTimeout)
 	defer cancel()
--- a/internal/cell/admit_test.go
+++ b/internal/cell/admit_test.go
@@ -54,7 +54,7 @@
 
 // Guards against new tasks on a worker that still runs attempts that the state has lost.
 // Starts are committed only in memory because the disk failed, and a power failure of the
-// data centre loses them, or the record of the worker as well. The worker announces the
+// data centre loses them, and possibly the record of the worker. The worker announces the
 // attempts that it runs, and its incarnation must end before it gets a lease.
 func TestWorkerRunningUnknownAttemptsMustRestart(t *testing.T) {
 	c, term := newTestCell(t)
--- a/internal/cell/adopt.go
+++ b/internal/cell/adopt.go
@@ -82,9 +82,9 @@
 }
 
 // FetchConfig returns the configuration as soon as it is newer than the caller's version,
-// or only its version if the long poll ends first. A voter responds with the version in
-// the configuration log, where everything applied is committed. Entry instances ask for
-// the adopted version, with which the leader of their data centre responds.
+// or only its version if the long poll ends first. A voter returns the latest committed
+// version of the configuration log. If r.Adopted is set, as by entry instances, the leader
+// of the data centre returns the version that the data centre has adopted.
 func (p *peerServer) FetchConfig(ctx context.Context, r *apiv1.FetchConfigRequest) (*apiv1.Config, error) {
 	if _, err := rpc.Require(ctx, settings.Peer); err != nil {
 		return nil, err
--- a/internal/cell/decide.go
+++ b/internal/cell/decide.go
@@ -101,8 +101,8 @@
 }
 
 // endExpiredLeases commits the end of each worker incarnation whose lease has expired.
-// The next round repeats a proposal that fails: until the end is committed, the
-// attempts of a dead worker count as running.
+// Until the end is committed, the attempts of a dead worker count as running, so the next
+// iteration of the leader's loop repeats a proposal that fails.
 func (c *Cell) endExpiredLeases(ctx context.Context, t *leaderTerm) {
 	expired := c.expiredLeases(t)
 	for _, down := range expired {
--- a/internal/cell/gateway.go
+++ b/internal/cell/gateway.go
@@ -88,8 +88,8 @@
 		return incarnationUnknown, nil
 	}
 	if len(a.Running) > 0 {
-		// A new incarnation runs no attempts. This one was known before, and the state
-		// has lost its record and its attempts; see needsAnnouncement.
+		// A new incarnation runs no attempts. This incarnation was known before, and the
+		// state has lost its record and its attempts; see needsAnnouncement.
 		return incarnationEnded, nil
 	}
 	capacity := wire.ResourcesFromAPI(a.Capacity)
@@ -134,8 +134,8 @@
 	return unknown
 }
 
-// incarnationStatusOf returns the status of a worker incarnation. It has ended if the
-// worker is down or has a newer incarnation.
+// incarnationStatusOf returns the status of a worker incarnation. An incarnation has ended
+// if the worker is down or has a newer incarnation.
 func (c *Cell) incarnationStatusOf(worker string, incarnation uint64) incarnationStatus {
 	status := incarnationUnknown
 	c.machine.View(func(s *state.State) {
@@ -260,7 +260,7 @@
 }
 
 // acknowledgement returns a response with the position of the last command issued to the
-// incarnation. It is called after the reported ends were applied.
+// incarnation. The caller must have applied the reported ends before.
 func (t *leaderTerm) acknowledgement(r *apiv1.ReportRequest) *apiv1.ReportResponse {
 	response := &apiv1.ReportResponse{UntilTerm: t.term}
 	t.mu.Lock()
--- a/internal/cell/handover.go
+++ b/internal/cell/handover.go
@@ -176,8 +176,8 @@
 }
 
 // Offer commits the answer to a handover offer of another data centre and returns it. The
-// first committed answer for a job stands. For a probe it commits nothing and returns
-// what the answer would be.
+// first committed answer for a job is final. For a probe, Offer commits nothing and
+// returns what the answer would be.
 func (p *peerServer) Offer(ctx context.Context, r *apiv1.OfferRequest) (*apiv1.OfferResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Peer); err != nil {
 		return nil, err
--- a/internal/cell/leader_term.go
+++ b/internal/cell/leader_term.go
@@ -47,11 +47,12 @@
 	// unreachableUntil holds, by data centre, the time until which probes skip it.
 	unreachableUntil map[string]time.Time
 
-	// wake makes the leader's loop start its next round.
+	// wake makes the leader's loop start its next iteration.
 	wake chan struct{}
 	// reservations is the number of reservations made so far; see admitAndReserve.
 	reservations atomic.Uint64
-	// degraded is whether the log ran without a disk when that was last recorded.
+	// degraded is the state in the last event of recordDegraded: true if committed commands
+	// are only in memory.
 	degraded bool
 	// nextOverdue is the time of the next check for deadlines that have passed.
 	nextOverdue time.Time
@@ -61,7 +62,7 @@
 	planner   *quota.Planner
 }
 
-// wakeUp makes the leader's loop start its next round immediately.
+// wakeUp makes the leader's loop start its next iteration immediately.
 func (t *leaderTerm) wakeUp() {
 	select {
 	case t.wake <- struct{}{}:
@@ -233,7 +234,7 @@
 
 // placeCommitted adds a committed start to the placement cache. A task that ended and
 // started again between two refreshes is among the changes twice; the later start is
-// added first and stands.
+// added first, and the earlier one is ignored.
 //
 // The replicated state has accepted the start, so a cache that refuses it has diverged
 // from the state, and every later plan would be wrong: the cache is rebuilt from the
--- a/internal/cell/operations.go
+++ b/internal/cell/operations.go
@@ -86,8 +86,8 @@
 	return response, nil
 }
 
-// GetConfig returns the latest committed configuration. Only configuration voters serve
-// it.
+// GetConfig returns the latest committed configuration. Instances that don't vote on the
+// configuration return Unavailable.
 func (c *Cell) GetConfig(ctx context.Context, _ *apiv1.GetConfigRequest) (*apiv1.Config, error) {
 	if _, err := rpc.Require(ctx, settings.Operator, settings.Peer); err != nil {
 		return nil, err
@@ -101,8 +101,8 @@
 	return configToAPI(c.register.Current()), nil
 }
 
-// configUnavailable replaces the error that no leader of the configuration log is known
-// by one that says what still holds: the configuration in force stays.
+// configUnavailable replaces the error that no leader of the configuration log is known.
+// The new error tells the operator that the configuration in force is unchanged.
 func configUnavailable(err error) error {
 	if leader, notLeader := rpc.LeaderOf(err); !notLeader || leader.ID != "" {
 		return err
@@ -128,9 +128,9 @@
 	if err != nil {
 		return nil, err
 	}
-	// A repeated write must get the response of the first one, so only a write that
-	// expects the current version is checked. The outcome of any other write is decided
-	// already.
+	// The quota check applies only to a write that expects the current version. Any other
+	// write either repeats an earlier request, which must get its first response, or fails
+	// in the log because of its version.
 	if current := c.register.Current(); current.Version == r.ExpectedVersion {
 		if err := checkQuota(current, r.Document); err != nil {
 			return nil, err
--- a/internal/cell/quota.go
+++ b/internal/cell/quota.go
@@ -23,8 +23,8 @@
 
 // Timing and format of quota transfers.
 const (
-	// quotaTickInterval is the interval of the planner's ticks; the planner expects one a
-	// second.
+	// quotaTickInterval is the interval of the planner's ticks. The planner expects one tick
+	// per second.
 	quotaTickInterval = time.Second
 	// transferRequestTimeout bounds one transfer request to another data centre.
 	transferRequestTimeout = 700 * time.Millisecond
@@ -254,7 +254,8 @@
 		t.plannerMu.Unlock()
 		command = &state.Quota{Debit: &debit}
 	}
-	// The reply reports the refusals of the ledger, such as nothing to transfer.
+	// The dropped result has the refusal of the ledger, for example if there is nothing to
+	// transfer. MoveQuota reports the refusal in its reply.
 	_, err := p.propose(ctx, &state.Command{Quota: command})
 	return err
 }
--- a/internal/cell/replace.go
+++ b/internal/cell/replace.go
@@ -16,9 +16,10 @@
 )
 
 // ReplaceInstance permanently replaces a lost instance by an empty one with a new name
-// and address. It changes one member at a time: the new one learns the log, becomes a
-// voter, and only then the old one is removed, so that a quorum exists at each step.
-// Called again, it continues where it was interrupted.
+// and address. It changes one member at a time, so that a quorum exists at each step: the
+// new instance joins as a learner and becomes a voter once it has caught up, and only then
+// is the old instance removed. If ReplaceInstance is interrupted and called again, it
+// continues at the step that was interrupted.
 func (c *Cell) ReplaceInstance(ctx context.Context, r *apiv1.ReplaceInstanceRequest) (*apiv1.ReplaceInstanceResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Operator); err != nil {
 		return nil, err
@@ -81,8 +82,7 @@
 	}
 }
 
-// withLearner adds a learner. It returns the same members if the new one is among them
-// already.
+// withLearner adds a learner to members, unless members contain it already.
 func withLearner(members []replica.Member, added replica.Member) []replica.Member {
 	if indexOf(members, added.ID) >= 0 {
 		return members
--- a/internal/cell/scheduler.go
+++ b/internal/cell/scheduler.go
@@ -178,8 +178,8 @@
 	}
 }
 
-// submitResponse returns the response to the submission of a job. It is an error if the
-// job has ended because the data centres to which it was offered refused it.
+// submitResponse returns the response to the submission of a job, or an error if the job
+// has ended because the data centres to which it was offered refused it.
 func (c *Cell) submitResponse(j *state.Job) (*apiv1.SubmitResponse, error) {
 	if j.State.Ended() && len(j.RefusedBy) > 0 && j.Kind != fault.Cancelled {
 		return nil, fault.New(j.Kind, "%s", j.Reason)
--- a/internal/cell/serve.go
+++ b/internal/cell/serve.go
@@ -20,8 +20,8 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// Name of the replication group of the configuration, and prefix of the names of those of
-// data centres.
+// Name of the replication group of the configuration, and prefix of the names of the data
+// centres' replication groups.
 const (
 	configGroup = "configuration"
 	cellPrefix  = "cell."
@@ -89,7 +89,7 @@
 }
 
 // open opens the log of one replication group and registers the group for messages of
-// peers. The log is on disk if the instance has one.
+// peers. The log is on disk if the instance has a disk.
 func (p *process) open(name string, members []replica.Member, machine node.Machine) (*node.Group, error) {
 	b := p.base
 	timing := b.Settings.Timing
@@ -156,8 +156,8 @@
 // that it has. Entries that only the lost members had are lost with them.
 func (p *process) forceStart(ctx context.Context) error {
 	group := p.groups[cellPrefix+p.base.Instance.DataCentre]
-	// The replication group refuses a forced start until the member has waited for a
-	// leader in vain.
+	// The replication group refuses a forced start until the member has waited long enough
+	// for a leader.
 	giveUpAt := time.Now().Add(forceStartTimeout)
 	for {
 		err := group.ForceStart(ctx)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -29,7 +29,7 @@
 // Time limits of the calls that an entry instance forwards.
 const (
 	// leaderSearchTimeout is how long a forwarded call searches for a leader. That is
-	// long enough for an election and the first round of the new leader.
+	// long enough for an election and the first decisions of the new leader.
 	leaderSearchTimeout = 4 * time.Second
 	// holdMargin is how much longer a held call may take than the leader may hold
 	// it.
--- a/internal/entry/gateway_test.go
+++ b/internal/entry/gateway_test.go
@@ -37,8 +37,8 @@
 	return server.Listener.Addr().String()
 }
 
-// Guards against the lease of a healthy worker that expires, which makes the outcome of
-// its tasks unknown: the leader freezes while it holds the renewal, the entry instance
+// Guards against the expiry of a healthy worker's lease, which makes the outcome of the
+// worker's tasks unknown: the leader freezes while it holds the renewal, the entry instance
 // retries at the new leader, and the new leader holds the renewal again. Two holds in a
 // row outlast the lease.
 func TestRetriedRenewalIsNotHeldAgain(t *testing.T) {
--- a/internal/entry/operations.go
+++ b/internal/entry/operations.go
@@ -48,8 +48,8 @@
 	return all, nil
 }
 
-// Drain stops the placement of tasks on a worker. Without a data centre in the
-// request it tries all data centres until one knows the worker.
+// Drain stops the placement of tasks on a worker. If the request names no data centre,
+// Drain tries all data centres until one knows the worker.
 func (e *Entry) Drain(ctx context.Context, r *apiv1.DrainRequest) (*apiv1.DrainResponse, error) {
 	names := e.base.Settings.DataCentres()
 	if r.DataCentre != "" {
@@ -78,8 +78,8 @@
 	return nil, lookupErr
 }
 
-// GetConfig returns the committed configuration. Partitioned from the majority of
-// the voters, it fails immediately.
+// GetConfig returns the committed configuration. It fails immediately if this instance is
+// partitioned from the majority of the voters.
 func (e *Entry) GetConfig(ctx context.Context, r *apiv1.GetConfigRequest) (*apiv1.Config, error) {
 	return forward(ctx, e, directory.ConfigurationLog, directory.CallOptions{}, func(ctx context.Context, c clients) (*apiv1.Config, error) {
 		return c.operations.GetConfig(ctx, r)
--- a/internal/entry/scheduler.go
+++ b/internal/entry/scheduler.go
@@ -30,9 +30,9 @@
 		return nil, fault.Field("request_id", "missing")
 	}
 	// The leader checks the spec too. Checking it here keeps the load of invalid requests
-	// off the leader. The leader alone checks the deadline, since a retried request gets
-	// its first response even after its deadline; faults of the deadline are ignored
-	// here, so any time may be passed as the current one.
+	// off the leader. Only the leader checks the deadline, since a retried request gets its
+	// first response even after its deadline. The time passed to CheckSpec is therefore
+	// arbitrary, and its errors about the deadline are ignored.
 	if _, err := wire.CheckSpec(r.Spec, e.base.Settings.Limits, time.Time{}.Add(time.Hour)); err != nil && fault.From(err).Field != "deadline_unix_ms" {
 		return nil, err
 	}
@@ -79,8 +79,8 @@
 	return home, nil
 }
 
-// Status returns the status of one job, or without an id of all jobs of the caller's
-// customer in all data centres.
+// Status returns the status of one job or, if the request has no id, of all jobs of the
+// caller's customer in all data centres.
 func (e *Entry) Status(ctx context.Context, r *apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
 	if r.Id == "" {
 		return e.listJobs(ctx, r)
@@ -100,8 +100,8 @@
 	})
 }
 
-// callOwner makes a call on the data centre that issued a job id. If the job was handed
-// over since, it makes the call on the data centre that owns the job now.
+// callOwner makes a call on the data centre that issued a job id. If the job has been
+// handed over, it repeats the call on the data centre that owns the job now.
 func callOwner(ctx context.Context, e *Entry, id string, options directory.CallOptions, call func(context.Context, clients) (*apiv1.StatusResponse, error)) (*apiv1.StatusResponse, error) {
 	home := state.HomeDataCentre(id)
 	if home == "" || !e.base.Directory.HasDataCentre(home) {
--- a/internal/instance/core.go
+++ b/internal/instance/core.go
@@ -74,7 +74,8 @@
 }
 
 // runLogMember opens the log and runs this member of it until workCtx ends. On an
-// instance that joins the log, opening waits for a leader, unless stopCtx ends.
+// instance that joins the log, opening waits for a leader. If stopCtx ends during that
+// wait, runLogMember returns nil.
 func (p *process) runLogMember(stopCtx, workCtx context.Context, c *components, logMember *member.Host, stateMachine *control.StateMachine) error {
 	openCtx, cancelOpen := context.WithCancel(workCtx)
 	defer cancelOpen()
@@ -105,10 +106,10 @@
 	return group.Wait()
 }
 
-// newController returns a controller that serves calls. Unless orders travel in the
-// responses to heartbeats, a leader sends them through all core instances: the controller
-// forwards its orders to the carriers of these instances, which send them to the workers,
-// and the local carrier sends the orders of whichever instance leads.
+// newController returns a controller that serves calls. Unless workers get their orders in
+// the responses to heartbeats, it also sets up the distribution of orders: a forwarder,
+// which sends the orders through the carriers of the other core instances while this
+// instance leads, and the local carrier, which sends orders of another leader to workers.
 func (p *process) newController(cfg control.Config, stateMachine *control.StateMachine, replicatedLog replicatedlog.Log, c *components) *control.Controller {
 	var controller *control.Controller
 	var localCarrier *carrier.Carrier
--- a/internal/instance/edge.go
+++ b/internal/instance/edge.go
@@ -75,8 +75,8 @@
 	return group.Wait()
 }
 
-// stopEdge stops accepting requests and waits until the requests in flight have their
-// response or the time for the shutdown is nearly over.
+// stopEdge stops accepting requests and waits until the requests in flight have ended. It
+// leaves exitReserve of the shutdown time.
 func (p *process) stopEdge(entryServer *http.Server) {
 	timeout := p.settings.Bounds.Shutdown.Std() - unreadyGrace - exitReserve
 	shutdownCtx, cancel := context.WithTimeout(context.Background(), timeout)
--- a/internal/instance/operations.go
+++ b/internal/instance/operations.go
@@ -34,9 +34,10 @@
 	return gateway.Call[Reply](ctx, o.gateway, method, request)
 }
 
-// callForCaller does the same as call for a request that was received at receivedAt and
-// whose outcome reveals to the caller which version of the configuration was in force. It
-// withholds an outcome that would make the configuration appear to go back.
+// callForCaller calls the local controller or, if that controller doesn't lead, the leader.
+// It is for a request that was received at receivedAt and whose outcome reveals to the
+// caller which version of the configuration was in force. It withholds an outcome that
+// would make the configuration appear to go back.
 func callForCaller[Request, Reply any](ctx context.Context, o *Operations, receivedAt time.Time, method string, request *Request,
 	callLocal func(*control.Controller, context.Context, *Request) (Reply, error)) (Reply, error) {
 	recorderCtx, recorder := link.WithVersionRecorder(ctx)
@@ -72,7 +73,7 @@
 	return reply, err
 }
 
-// Submit submits a job. Without contact with the leader it fails immediately.
+// Submit submits a job. It fails immediately if the leader can't be reached.
 func (o *Operations) Submit(ctx context.Context, r *control.SubmitCall) (control.SubmitReply, error) {
 	receivedAt := time.Now()
 	if !o.gateway.InContact() {
--- a/internal/instance/process.go
+++ b/internal/instance/process.go
@@ -40,7 +40,8 @@
 	// is cheaper here than processor time.
 	gcPercent = 300
 	// maxAuxiliaryConnections limits the connections of each of the servers for metrics,
-	// readiness and the product API. They use descriptors that are reserved for files.
+	// readiness and the product API. The descriptor budget has no share for these
+	// connections; they use descriptors that it reserves for files.
 	maxAuxiliaryConnections = 32
 )
 
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -135,8 +135,9 @@
 	}
 }
 
-// awaitSlot waits until the ticket is started. It returns false if the call was
-// rejected instead and the caller has the response.
+// awaitSlot waits until the ticket is started. It returns false if the call was rejected and
+// the rejection sent to the caller. If the caller disconnects, it panics with
+// http.ErrAbortHandler.
 func (c *call) awaitSlot(ctx context.Context) bool {
 	for {
 		state, refusal, queueDeadline := c.ticketState()
@@ -162,8 +163,8 @@
 	}
 }
 
-// ticketState returns the state of the ticket, its refusal if any, and when it
-// must have left the queue.
+// ticketState returns the state of the ticket, its refusal if any, and the time by
+// which it must have left the queue.
 func (c *call) ticketState() (state routing.State, refusal *routing.Refusal, queueDeadline time.Duration) {
 	c.h.mu.Lock()
 	defer c.h.mu.Unlock()
--- a/internal/proxy/header.go
+++ b/internal/proxy/header.go
@@ -43,8 +43,8 @@
 	"Expect",
 }
 
-// parseDeadline returns the time that HeaderDeadline leaves from wallNow on, or
-// fallback without the header. Its error is a fault.
+// parseDeadline returns the time from wallNow until the deadline in HeaderDeadline, or
+// fallback if there is no such header. Its error is a fault.
 func parseDeadline(h http.Header, fallback time.Duration, wallNow time.Time) (time.Duration, error) {
 	text := h.Get(HeaderDeadline)
 	if text == "" {
@@ -74,8 +74,8 @@
 	return value, nil
 }
 
-// removeHopHeaders removes the hop-by-hop headers, those that the Connection
-// header names included.
+// removeHopHeaders removes the hop-by-hop headers, including those that the
+// Connection header names.
 func removeHopHeaders(h http.Header) {
 	for _, line := range h.Values("Connection") {
 		for name := range strings.SplitSeq(line, ",") {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -47,7 +47,7 @@
 	// MaxBuffered limits the bytes of all request bodies in memory together.
 	MaxBuffered int64
 	// ResponseBuffer is the size in bytes from which a minion's response is
-	// streamed to the caller. A shorter one is buffered until it is complete.
+	// streamed to the caller. A shorter response is buffered until it is complete.
 	ResponseBuffer int
 	// MaxEntries is the number of entry instances among which the connections
 	// that a minion allows are divided.
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -321,7 +321,8 @@
 }
 
 // Guards against an overloaded minion: more requests are sent at the same time than the
-// minion has slots, and it must never run more than it has slots.
+// minion has slots. The minion must never run more requests at the same time than it has
+// slots.
 func TestMinionNeverExceedsItsSlots(t *testing.T) {
 	const callerCount, requestsEach = 40, 10
 	const requestDuration = 2 * time.Millisecond
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -17,7 +17,7 @@
 //
 // Failure guarded against: the minion dies in the middle of its response, and the caller
 // takes the first part for the whole. The response is therefore buffered until it is
-// complete. One that exceeds the buffer is streamed, and the caller's connection is
+// complete. A response that exceeds the buffer is streamed, and the caller's connection is
 // aborted if the response is truncated. A close-delimited response counts as truncated,
 // since its end looks like a broken connection.
 func (c *call) forwardResponse(ctx context.Context, guard *writeGuard, resp *http.Response) (done bool) {
@@ -105,8 +105,8 @@
 	h.Del(fault.HeaderKind)
 }
 
-// streamResponse forwards a response while it arrives; prefix is its part that
-// was read already. It aborts the connection to the caller if the response is
+// streamResponse forwards a response while it arrives; prefix is the part that has
+// already been read. It aborts the connection to the caller if the response is
 // truncated.
 func (c *call) streamResponse(ctx context.Context, guard *writeGuard, resp *http.Response, prefix []byte) {
 	c.attemptTimer.Stop()
--- a/internal/proxy/slots.go
+++ b/internal/proxy/slots.go
@@ -11,7 +11,7 @@
 )
 
 // Times of the slot requests of an entry instance: the interval between regular
-// ones, the shortest backoff between urgent ones, and the timeout of one.
+// requests, the shortest backoff between urgent requests, and the timeout of a request.
 const (
 	slotRequestInterval   = 500 * time.Millisecond
 	minSlotRequestBackoff = 100 * time.Millisecond
@@ -58,7 +58,7 @@
 }
 
 // waitForNextRequest waits until the next regular slot request, or only for the backoff
-// if an urgent one becomes due. It returns immediately if followUp is set.
+// if an urgent request becomes due. It returns immediately if followUp is set.
 func (h *Handler) waitForNextRequest(ctx context.Context, followUp bool, backoff time.Duration) {
 	if followUp {
 		return
--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -18,8 +18,8 @@
 	// is empty or up again, for the commit and for the order. Reading the list of machines
 	// takes up to 1 s.
 	orderMargin = 1200 * time.Millisecond
-	// stopTimeout is how long stops may take before the machine of an unresponsive worker is
-	// taken down anyway.
+	// stopTimeout is how long the plan waits for the runs on a machine to stop before it takes
+	// the machine down. The runs of an unresponsive worker never stop.
 	stopTimeout = 1500 * time.Millisecond
 )
 
