--- a/fault/fault.go
+++ b/fault/fault.go
@@ -66,11 +66,11 @@
 // representation is how an error kind is reported: the name that users see, the HTTP status,
 // the twirp code, the exit code of the command line and the retry advice.
 type representation struct {
-	name   string
-	status int
-	code   twirp.ErrorCode
-	exit   int
-	advice RetryAdvice
+	name       string
+	httpStatus int
+	twirpCode  twirp.ErrorCode
+	exitCode   int
+	advice     RetryAdvice
 }
 
 // representations has the representation of each kind.
@@ -113,13 +113,13 @@
 }
 
 // HTTPStatus returns the HTTP status for the kind.
-func (k Kind) HTTPStatus() int { return representations[k%kindCount].status }
+func (k Kind) HTTPStatus() int { return representations[k%kindCount].httpStatus }
 
 // TwirpCode returns the twirp code for the kind.
-func (k Kind) TwirpCode() twirp.ErrorCode { return representations[k%kindCount].code }
+func (k Kind) TwirpCode() twirp.ErrorCode { return representations[k%kindCount].twirpCode }
 
 // ExitCode returns the exit code of the command line for the kind.
-func (k Kind) ExitCode() int { return representations[k%kindCount].exit }
+func (k Kind) ExitCode() int { return representations[k%kindCount].exitCode }
 
 // RetryAdvice returns whether and when the call may be sent again.
 func (k Kind) RetryAdvice() RetryAdvice { return representations[k%kindCount].advice }
@@ -171,8 +171,8 @@
 }
 
 // Retry returns an error of a kind that names the delay before a retry.
-func Retry(kind Kind, after time.Duration, format string, args ...any) error {
-	return errors.WithStackDepth(&Error{Kind: kind, RetryAfter: after, Message: errors.Newf(format, args...).Error()}, 1)
+func Retry(kind Kind, retryAfter time.Duration, format string, args ...any) error {
+	return errors.WithStackDepth(&Error{Kind: kind, RetryAfter: retryAfter, Message: errors.Newf(format, args...).Error()}, 1)
 }
 
 // From returns the Error in the chain of err, or nil for nil. It converts a twirp error by its
@@ -237,8 +237,8 @@
 // fromTwirp converts a twirp error. An error that carries no kind gets that of its code.
 func fromTwirp(twirpErr twirp.Error) *Error {
 	f := &Error{Message: twirpErr.Msg(), Field: twirpErr.Meta(metaField)}
-	if after, err := time.ParseDuration(twirpErr.Meta(metaRetryAfter)); err == nil {
-		f.RetryAfter = after
+	if retryAfter, err := time.ParseDuration(twirpErr.Meta(metaRetryAfter)); err == nil {
+		f.RetryAfter = retryAfter
 	}
 	if kind, ok := Parse(twirpErr.Meta(metaKind)); ok {
 		f.Kind = kind
--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -66,8 +66,8 @@
 // their outcomes with Collect. If the carrier has seen a later term, Carry executes no order
 // and returns that term.
 func (c *Carrier) Carry(ctx context.Context, call *CarryCall) (CarryReply, error) {
-	if current := c.adoptTerm(call.Term); current != call.Term {
-		return CarryReply{Term: current}, nil
+	if currentTerm := c.adoptTerm(call.Term); currentTerm != call.Term {
+		return CarryReply{Term: currentTerm}, nil
 	}
 	c.cfg.Counters.Add("carried_orders", int64(len(call.Orders)))
 	ctx = context.WithoutCancel(ctx)
@@ -126,9 +126,9 @@
 // waits up to collectHold for one. It returns immediately if the call names another
 // incarnation of the carrier or an earlier term. Errors are those of ctx.
 func (c *Carrier) Collect(ctx context.Context, call *CollectCall) (CollectReply, error) {
-	current := c.adoptTerm(call.Term)
-	reply := CollectReply{Term: current, DataCentre: c.cfg.DataCentre, Incarnation: c.incarnation}
-	if current != call.Term {
+	currentTerm := c.adoptTerm(call.Term)
+	reply := CollectReply{Term: currentTerm, DataCentre: c.cfg.DataCentre, Incarnation: c.incarnation}
+	if currentTerm != call.Term {
 		return reply, nil
 	}
 	reply.Heartbeats = c.cfg.CollectHeartbeats()
@@ -152,7 +152,7 @@
 
 // outcomesAfter drops the outcomes that the call acknowledges. It returns the next outcomes,
 // the number of the last of them, and a channel that is closed when an outcome is added.
-func (c *Carrier) outcomesAfter(call *CollectCall) (outcomes []Outcome, last uint64, added <-chan struct{}) {
+func (c *Carrier) outcomesAfter(call *CollectCall) (outcomes []Outcome, lastNumber uint64, added <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if call.Term != c.term {
--- a/internal/carrier/forwarder.go
+++ b/internal/carrier/forwarder.go
@@ -52,9 +52,9 @@
 	// routes has a route to each other member in the current term. It is empty while this
 	// instance isn't the leader.
 	routes []*route
-	// current manages the routes of the latest leader term of this instance.
-	current *termRoutes
-	direct  directShare
+	// latestTerm manages the routes of the latest leader term of this instance.
+	latestTerm *termRoutes
+	direct     directShare
 	// lastOrderID is the ID of the last order on any route.
 	lastOrderID atomic.Uint64
 }
@@ -69,7 +69,7 @@
 func (f *Forwarder) Lead(ctx context.Context, term uint64) {
 	t := &termRoutes{forwarder: f, ctx: ctx, term: term, routes: map[string]*openRoute{}}
 	f.mu.Lock()
-	f.current = t
+	f.latestTerm = t
 	f.mu.Unlock()
 	f.direct.reset(time.Now())
 	t.refresh()
@@ -146,7 +146,7 @@
 func (f *Forwarder) setRoutes(t *termRoutes, routes []*route) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.current == t {
+	if f.latestTerm == t {
 		f.routes = routes
 	}
 }
--- a/internal/cell/gateway.go
+++ b/internal/cell/gateway.go
@@ -52,13 +52,13 @@
 		response.Announce = true
 		return response, nil
 	}
-	box, renewal := c.renew(t, r, received)
+	workerOutbox, renewal := c.renew(t, r, received)
 	response.Ended = renewal.Ended
-	if box == nil {
+	if workerOutbox == nil {
 		return response, nil
 	}
 	response.LeaseMs = t.leases.TTL().Milliseconds()
-	response.Commands = c.awaitCommands(ctx, t, box, r)
+	response.Commands = c.awaitCommands(ctx, t, workerOutbox, r)
 	return response, nil
 }
 
@@ -114,9 +114,9 @@
 func (c *Cell) needsAnnouncement(t *leaderTerm, r *apiv1.RenewRequest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	box := t.outboxes[r.Worker]
-	first := box == nil || box.incarnation != r.Incarnation
-	return first && r.Announcement == nil
+	workerOutbox := t.outboxes[r.Worker]
+	firstRenewal := workerOutbox == nil || workerOutbox.incarnation != r.Incarnation
+	return firstRenewal && r.Announcement == nil
 }
 
 // hasUnknownAttempts reports whether a worker announces an attempt that was never
@@ -164,28 +164,28 @@
 	if !renewal.Grants() {
 		return nil, renewal
 	}
-	var box *outbox
+	var workerOutbox *outbox
 	c.machine.View(func(s *state.State) {
-		box = t.openOutbox(s, r.Worker, r.Incarnation)
+		workerOutbox = t.openOutbox(s, r.Worker, r.Incarnation)
 		if !wasLive || renewal.NewIncarnation {
 			t.syncWorker(s, r.Worker, received)
 			t.wakeUp()
 		}
 	})
-	box.Acknowledge(lease.Position{Term: r.Term, Number: r.CommandAck})
-	return box, renewal
+	workerOutbox.Acknowledge(lease.Position{Term: r.Term, Number: r.CommandAck})
+	return workerOutbox, renewal
 }
 
 // awaitCommands holds a renewal until there are commands, the hold is over or the leader
 // term ends. It returns the commands.
-func (c *Cell) awaitCommands(ctx context.Context, t *leaderTerm, box *outbox, r *apiv1.RenewRequest) []*apiv1.Command {
+func (c *Cell) awaitCommands(ctx context.Context, t *leaderTerm, workerOutbox *outbox, r *apiv1.RenewRequest) []*apiv1.Command {
 	hold := min(time.Duration(r.HoldMs)*time.Millisecond, time.Duration(c.base.Settings.Timing.RenewHold))
 	timer := time.NewTimer(max(hold, 0))
 	defer timer.Stop()
 	for {
 		t.mu.Lock()
-		pending := box.commands()
-		changed := box.changed
+		pending := workerOutbox.commands()
+		changed := workerOutbox.changed
 		t.mu.Unlock()
 		if len(pending) > 0 || hold <= 0 {
 			return pending
@@ -265,8 +265,8 @@
 	response := &apiv1.ReportResponse{UntilTerm: t.term}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if box := t.outboxes[r.Worker]; box != nil && box.incarnation == r.Incarnation {
-		response.UntilNumber = box.Position().Number
+	if workerOutbox := t.outboxes[r.Worker]; workerOutbox != nil && workerOutbox.incarnation == r.Incarnation {
+		response.UntilNumber = workerOutbox.Position().Number
 	}
 	return response
 }
--- a/internal/cell/outbox.go
+++ b/internal/cell/outbox.go
@@ -50,13 +50,13 @@
 
 // enqueueCommand adds a command for a worker incarnation. t.mu must be held.
 func (t *leaderTerm) enqueueCommand(worker string, incarnation uint64, command *apiv1.Command) {
-	box := t.outboxes[worker]
-	if box == nil || box.incarnation != incarnation {
+	workerOutbox := t.outboxes[worker]
+	if workerOutbox == nil || workerOutbox.incarnation != incarnation {
 		// This incarnation hasn't renewed in this leader term. Its first renewal fills
 		// the outbox from the committed state.
 		return
 	}
-	box.add(command)
+	workerOutbox.add(command)
 }
 
 // openOutbox returns the outbox of an incarnation. For an incarnation that is new to this
@@ -64,24 +64,24 @@
 // worker gets a command again, since the predecessor may have committed a start and died
 // before sending it. The worker refuses duplicates. t.mu must be held.
 func (t *leaderTerm) openOutbox(s *state.State, worker string, incarnation uint64) *outbox {
-	box := t.outboxes[worker]
-	if box != nil && box.incarnation == incarnation {
-		return box
+	workerOutbox := t.outboxes[worker]
+	if workerOutbox != nil && workerOutbox.incarnation == incarnation {
+		return workerOutbox
 	}
-	box = newOutbox(t.term, incarnation)
-	t.outboxes[worker] = box
+	workerOutbox = newOutbox(t.term, incarnation)
+	t.outboxes[worker] = workerOutbox
 	for _, ref := range s.AttemptsOnWorker(worker) {
 		task := s.Jobs[ref.Job].Tasks[ref.Task]
 		if task.Incarnation != incarnation {
 			continue
 		}
 		if task.Stopping {
-			box.add(stopCommand(ref))
+			workerOutbox.add(stopCommand(ref))
 			continue
 		}
-		box.add(startCommand(s, ref))
+		workerOutbox.add(startCommand(s, ref))
 	}
-	return box
+	return workerOutbox
 }
 
 // wakeHeldRenewals ends every held renewal of the leader term, so that workers search for
@@ -89,9 +89,9 @@
 func (t *leaderTerm) wakeHeldRenewals() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, box := range t.outboxes {
-		close(box.changed)
-		box.changed = make(chan struct{})
+	for _, workerOutbox := range t.outboxes {
+		close(workerOutbox.changed)
+		workerOutbox.changed = make(chan struct{})
 	}
 }
 
--- a/internal/cell/scheduler.go
+++ b/internal/cell/scheduler.go
@@ -236,8 +236,8 @@
 // checkSelector returns a fault unless the request selects jobs in exactly one way.
 func checkSelector(r *apiv1.CancelRequest) error {
 	selectors := 0
-	for _, set := range []bool{len(r.Ids) > 0, r.Name != "", r.AllOfCustomer} {
-		if set {
+	for _, isSet := range []bool{len(r.Ids) > 0, r.Name != "", r.AllOfCustomer} {
+		if isSet {
 			selectors++
 		}
 	}
--- a/internal/cell/serve.go
+++ b/internal/cell/serve.go
@@ -122,14 +122,14 @@
 // witnesses: they vote and store the log, and never lead. If dataCentre is empty, there
 // are no witnesses.
 func members(instances []settings.Instance, dataCentre string) []replica.Member {
-	var list []replica.Member
+	var voters []replica.Member
 	for _, instance := range instances {
-		list = append(list, replica.Member{
+		voters = append(voters, replica.Member{
 			ID: instance.ID, Address: instance.Cell, HasDisk: instance.DataFolder != "",
 			Witness: dataCentre != "" && instance.DataCentre != dataCentre,
 		})
 	}
-	return list
+	return voters
 }
 
 // run runs the connections, the replication groups and the cell until ctx ends or one of
--- a/internal/entry/operations.go
+++ b/internal/entry/operations.go
@@ -41,11 +41,11 @@
 	if err != nil {
 		return nil, err
 	}
-	all := &apiv1.WorkersResponse{UnreachableDataCentres: unreachable}
+	merged := &apiv1.WorkersResponse{UnreachableDataCentres: unreachable}
 	for _, response := range responses {
-		all.Workers = append(all.Workers, response.Workers...)
+		merged.Workers = append(merged.Workers, response.Workers...)
 	}
-	return all, nil
+	return merged, nil
 }
 
 // Drain stops the placement of tasks on a worker. If the request names no data centre,
@@ -108,11 +108,11 @@
 	if err != nil {
 		return nil, err
 	}
-	all := &apiv1.QuotasResponse{UnreachableDataCentres: unreachable}
+	merged := &apiv1.QuotasResponse{UnreachableDataCentres: unreachable}
 	for _, response := range responses {
-		all.Quotas = append(all.Quotas, response.Quotas...)
+		merged.Quotas = append(merged.Quotas, response.Quotas...)
 	}
-	return all, nil
+	return merged, nil
 }
 
 // ReplaceInstance replaces a lost instance by a new one in every log in which the
@@ -267,15 +267,15 @@
 		return c.operations.Events(ctx, &apiv1.EventsRequest{Subject: r.Subject, SinceUnixMs: r.SinceUnixMs, Limit: int32(limit), LocalOnly: true})
 	})
 	response := &apiv1.EventsResponse{}
-	lists := [][]event.Event{ownEvents}
+	eventLists := [][]event.Event{ownEvents}
 	for i, p := range processes {
 		if errs[i] != nil {
 			response.UnreachableInstances = append(response.UnreachableInstances, p.name)
 			continue
 		}
-		lists = append(lists, event.EventsFromAPI(responses[i].Events))
+		eventLists = append(eventLists, event.EventsFromAPI(responses[i].Events))
 	}
-	merged := event.Merge(lists...)
+	merged := event.Merge(eventLists...)
 	response.Events = event.EventsToAPI(merged[max(0, len(merged)-limit):])
 	return response, nil
 }
--- a/internal/entry/scheduler.go
+++ b/internal/entry/scheduler.go
@@ -145,20 +145,20 @@
 	if err != nil {
 		return nil, err
 	}
-	all := &apiv1.StatusResponse{UnreachableDataCentres: unreachable}
+	merged := &apiv1.StatusResponse{UnreachableDataCentres: unreachable}
 	for _, response := range responses {
-		all.Jobs = append(all.Jobs, response.Jobs...)
+		merged.Jobs = append(merged.Jobs, response.Jobs...)
 	}
-	slices.SortFunc(all.Jobs, func(a, b *apiv1.Job) int {
+	slices.SortFunc(merged.Jobs, func(a, b *apiv1.Job) int {
 		if a.SubmittedUnixMs != b.SubmittedUnixMs {
 			return int(b.SubmittedUnixMs - a.SubmittedUnixMs)
 		}
 		return strings.Compare(a.Id, b.Id)
 	})
 	if r.Limit > 0 {
-		all.Jobs = all.Jobs[:min(int(r.Limit), len(all.Jobs))]
+		merged.Jobs = merged.Jobs[:min(int(r.Limit), len(merged.Jobs))]
 	}
-	return all, nil
+	return merged, nil
 }
 
 // Cancel cancels jobs in the data centres that own them.
@@ -180,12 +180,12 @@
 
 // mergeCancelResponses merges the cancelled ids of several data centres.
 func mergeCancelResponses(responses []*apiv1.CancelResponse, unreachable []string) *apiv1.CancelResponse {
-	all := &apiv1.CancelResponse{UnreachableDataCentres: unreachable}
+	merged := &apiv1.CancelResponse{UnreachableDataCentres: unreachable}
 	for _, response := range responses {
-		all.Ids = append(all.Ids, response.Ids...)
+		merged.Ids = append(merged.Ids, response.Ids...)
 	}
-	slices.Sort(all.Ids)
-	return all
+	slices.Sort(merged.Ids)
+	return merged
 }
 
 // cancelIDs cancels jobs by id, with one call for each data centre that owns any.
@@ -201,7 +201,7 @@
 		}
 		owners[owner] = append(owners[owner], id)
 	}
-	all := &apiv1.CancelResponse{}
+	merged := &apiv1.CancelResponse{}
 	for owner, ids := range owners {
 		request := proto.Clone(r).(*apiv1.CancelRequest)
 		request.Ids = ids
@@ -212,10 +212,10 @@
 		if err != nil {
 			return nil, err
 		}
-		all.Ids = append(all.Ids, response.Ids...)
+		merged.Ids = append(merged.Ids, response.Ids...)
 	}
-	slices.Sort(all.Ids)
-	return all, nil
+	slices.Sort(merged.Ids)
+	return merged, nil
 }
 
 // Scale changes the number of tasks of a service.
--- a/internal/instance/operations_test.go
+++ b/internal/instance/operations_test.go
@@ -28,9 +28,9 @@
 func newFollower(t *testing.T, commands ...workflow.Command) *control.Controller {
 	stateMachine := control.NewStateMachine()
 	for i := range commands {
-		data, err := commands[i].Encode()
+		encoded, err := commands[i].Encode()
 		must.NoError(t, err)
-		stateMachine.Apply(uint64(i+1), data)
+		stateMachine.Apply(uint64(i+1), encoded)
 	}
 	cfg := control.Config{Logger: log.NewNopLogger(), Leader: func() string { return "" }}
 	return control.New(cfg, stateMachine, followerLog{})
--- a/internal/instance/process.go
+++ b/internal/instance/process.go
@@ -234,7 +234,7 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	last, err := os.ReadFile(p.path)
+	lastContent, err := os.ReadFile(p.path)
 	if err != nil {
 		_ = p.logger.Log("event", "reload", "outcome", "unreadable", "err", err)
 	}
@@ -249,10 +249,10 @@
 		}
 		p.logDropped()
 		data, err := os.ReadFile(p.path)
-		if err != nil || string(data) == string(last) {
+		if err != nil || string(data) == string(lastContent) {
 			continue
 		}
-		last = data
+		lastContent = data
 		settings, err := Parse(string(data))
 		_ = p.logger.Log("event", "reload", "err", err)
 		if err == nil {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -49,7 +49,7 @@
 		m.served.Add(1)
 		n := m.running.Add(1)
 		defer m.running.Add(-1)
-		for most := m.maxRunning.Load(); n > most && !m.maxRunning.CompareAndSwap(most, n); most = m.maxRunning.Load() {
+		for previousMax := m.maxRunning.Load(); n > previousMax && !m.maxRunning.CompareAndSwap(previousMax, n); previousMax = m.maxRunning.Load() {
 		}
 		handle(w, r)
 	}))
--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -92,8 +92,8 @@
 	slices.SortFunc(waiting, func(a, b Machine) int {
 		return cmp.Or(cmp.Compare(a.EmptyIn, b.EmptyIn), cmp.Compare(a.ID, b.ID))
 	})
-	slots := min(max(concurrent-down-len(cordoned), 0), len(waiting))
-	for _, m := range waiting[:slots] {
+	cordonCount := min(max(concurrent-down-len(cordoned), 0), len(waiting))
+	for _, m := range waiting[:cordonCount] {
 		plan.Cordon = append(plan.Cordon, m.ID)
 	}
 	return plan
