--- a/fault/fault.go
+++ b/fault/fault.go
@@ -38,7 +38,7 @@
 	Overloaded
 	// Unavailable means that no leader was reached or that no response arrived in time.
 	Unavailable
-	// NotRun is used only if it is certain that no attempt has started.
+	// NotRun means that it is certain that no attempt has started.
 	NotRun
 	// Failed means that the job failed.
 	Failed
@@ -175,8 +175,8 @@
 	return errors.WithStackDepth(&Error{Kind: kind, RetryAfter: retryAfter, Message: errors.Newf(format, args...).Error()}, 1)
 }
 
-// From returns the Error in the chain of err, or nil for nil. It converts a twirp error by its
-// metadata or code, and any other error to Internal.
+// From returns the Error in the chain of err, or nil if err is nil. It converts a twirp error
+// by its metadata or code, and any other error to Internal.
 func From(err error) *Error {
 	if err == nil {
 		return nil
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -33,7 +33,7 @@
 	Movable bool
 }
 
-// Pool is the machines of a service and the CPU demand of its tasks.
+// Pool describes the machines of a service and the CPU demand of the service's tasks.
 type Pool struct {
 	Name string
 	// Standby marks a pool whose machines run nothing and cost nothing.
@@ -126,8 +126,8 @@
 	}
 }
 
-// moveOne moves the first machine that from can spare. It returns false if there is none or
-// the decision has maxMoves moves.
+// moveOne moves the first machine that the pool from can spare to the pool to. It returns false
+// if there is no such machine or the decision has maxMoves moves.
 func (p *planner) moveOne(from, to *Pool) bool {
 	index := slices.IndexFunc(from.Machines, func(m Machine) bool {
 		return m.Movable && (from.Standby || from.canSpare(m))
--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -112,7 +112,8 @@
 		return
 	}
 	if len(c.outcomes) >= maxBufferedOutcomes {
-		// The leader has stopped collecting, and these orders have timed out.
+		// The buffer is full only if the leader has stopped collecting. The orders of
+		// the oldest outcomes have timed out by that time.
 		c.outcomes = c.outcomes[1:]
 		c.firstNumber++
 		c.cfg.Counters.Add("carried_outcomes_dropped", 1)
--- a/internal/cell/handover.go
+++ b/internal/cell/handover.go
@@ -80,7 +80,7 @@
 	return answer, err
 }
 
-// handOver sends the offers that are pending in the log. It repeats each until the
+// handOver sends the offers that are pending in the log. It repeats each offer until the
 // committed answer of the other data centre is known, however long that data centre is
 // unreachable.
 func (c *Cell) handOver(ctx context.Context, t *leaderTerm) {
@@ -98,8 +98,8 @@
 }
 
 // sendPendingOffers sends every pending offer, in parallel to different data centres,
-// so that an unreachable one doesn't delay the offers to another. It returns false when
-// an offer must be sent again.
+// so that an unreachable data centre doesn't delay the offers to another. It returns
+// false when an offer must be sent again.
 func (c *Cell) sendPendingOffers(ctx context.Context, t *leaderTerm) bool {
 	byDataCentre := make(map[string][]*state.Job)
 	for _, j := range c.pendingOffers() {
--- a/internal/cell/leader_term.go
+++ b/internal/cell/leader_term.go
@@ -114,8 +114,8 @@
 }
 
 // takeOverLeases takes over the predecessor's leases. Any worker that isn't known to be
-// down may hold one, so the leader waits until it has expired, or until the worker renews
-// its lease at this leader.
+// down may hold a lease, so the leader waits until that lease has expired or the worker
+// has renewed it at this leader.
 func (t *leaderTerm) takeOverLeases(s *state.State, now time.Duration) {
 	var workers []string
 	for _, w := range s.Workers {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -135,7 +135,8 @@
 	return event.OpenFile(filepath.Join(instance.DataFolder, "events.jsonl"), event.DefaultFileBytes)
 }
 
-// newLogger returns a logger for lines of a minimum level, each with time and name.
+// newLogger returns a logger that writes lines of the minimum level or above, each with the
+// time and the instance's name.
 func newLogger(w io.Writer, minimum, name string) log.Logger {
 	logger := log.NewLogfmtLogger(log.NewSyncWriter(w))
 	logger = level.NewFilter(logger, level.Allow(level.ParseDefault(minimum, level.InfoValue())))
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -70,8 +70,8 @@
 	return g.expired
 }
 
-// attachToConn returns a context for a request. The connection that the transport picks
-// for the request is guarded by g from that point on.
+// attachToConn returns a context for a request. Once the transport has picked a connection
+// for the request, g guards that connection.
 func (g *writeGuard) attachToConn(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -200,7 +200,7 @@
 	h.stats.requests.Add(1)
 }
 
-// endRequest ends what beginRequest began.
+// endRequest removes a request from the count of requests in flight.
 func (h *Handler) endRequest() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -101,7 +101,7 @@
 		h[name] = values
 	}
 	removeHopHeaders(h)
-	// A minion must not pass its errors off as faults of this system.
+	// The header marks faults of this system; a minion must not set it.
 	h.Del(fault.HeaderKind)
 }
 
--- a/internal/proxy/wire.go
+++ b/internal/proxy/wire.go
@@ -99,7 +99,7 @@
 	return r
 }
 
-// nonNegative returns a number of slots, 0 for a negative one.
+// nonNegative returns n, or 0 if n is negative.
 func nonNegative(n int32) int { return int(max(0, n)) }
 
 // ResponseToWire converts the response to a slot request to its message.
--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -56,7 +56,7 @@
 type Plan struct {
 	// Cordon are the machines to cordon, so that they get no new runs.
 	Cordon []string
-	// Stop are the machines whose runs to stop.
+	// Stop are the machines whose runs must be stopped.
 	Stop []string
 	// TakeDown are the machines to take down.
 	TakeDown []string
