--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -13,9 +13,9 @@
 	// minShortage is how long a pool must be short of capacity before it gets a machine: a
 	// burst of load that lasts 1 s ends before a machine could arrive.
 	minShortage = time.Second
-	// minIdle is how long a pool must have spare capacity before it releases a machine: a move
-	// costs about as much as a machine does in 8 s, and another move is needed when the load
-	// returns.
+	// minIdle is how long a pool must have spare capacity before it releases a machine. A move
+	// costs about as much as running a machine for 8 s, and a second move is needed when the
+	// load returns.
 	minIdle = 20 * time.Second
 	// reserveFactor is the capacity, as a multiple of its demand, that a pool must keep when
 	// it releases a machine.
@@ -33,7 +33,7 @@
 	Movable bool
 }
 
-// Pool is the machines of a service and the CPU demand of its tasks.
+// Pool describes the machines of a service and the CPU demand of the service's tasks.
 type Pool struct {
 	Name string
 	// Standby marks a pool whose machines run nothing and cost nothing.
@@ -126,8 +126,8 @@
 	}
 }
 
-// moveOne moves the first machine that from can spare. It returns false if there is none or
-// the decision has maxMoves moves.
+// moveOne moves the first machine that the pool from can spare to the pool to. It returns false
+// if there is no such machine or the decision has maxMoves moves.
 func (p *planner) moveOne(from, to *Pool) bool {
 	index := slices.IndexFunc(from.Machines, func(m Machine) bool {
 		return m.Movable && (from.Standby || from.canSpare(m))
--- a/internal/cell/gateway.go
+++ b/internal/cell/gateway.go
@@ -52,13 +52,13 @@
 		response.Announce = true
 		return response, nil
 	}
-	box, renewal := c.renew(t, r, received)
+	workerOutbox, renewal := c.renew(t, r, received)
 	response.Ended = renewal.Ended
-	if box == nil {
+	if workerOutbox == nil {
 		return response, nil
 	}
 	response.LeaseMs = t.leases.TTL().Milliseconds()
-	response.Commands = c.awaitCommands(ctx, t, box, r)
+	response.Commands = c.awaitCommands(ctx, t, workerOutbox, r)
 	return response, nil
 }
 
@@ -88,8 +88,8 @@
 		return incarnationUnknown, nil
 	}
 	if len(a.Running) > 0 {
-		// A new incarnation runs no attempts. This one was known before, and the state
-		// has lost its record and its attempts; see needsAnnouncement.
+		// A new incarnation runs no attempts. This incarnation was known before, and the
+		// state has lost its record and its attempts; see needsAnnouncement.
 		return incarnationEnded, nil
 	}
 	capacity := wire.ResourcesFromAPI(a.Capacity)
@@ -114,9 +114,9 @@
 func (c *Cell) needsAnnouncement(t *leaderTerm, r *apiv1.RenewRequest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	box := t.outboxes[r.Worker]
-	first := box == nil || box.incarnation != r.Incarnation
-	return first && r.Announcement == nil
+	workerOutbox := t.outboxes[r.Worker]
+	firstRenewal := workerOutbox == nil || workerOutbox.incarnation != r.Incarnation
+	return firstRenewal && r.Announcement == nil
 }
 
 // hasUnknownAttempts reports whether a worker announces an attempt that was never
@@ -134,8 +134,8 @@
 	return unknown
 }
 
-// incarnationStatusOf returns the status of a worker incarnation. It has ended if the
-// worker is down or has a newer incarnation.
+// incarnationStatusOf returns the status of a worker incarnation. An incarnation has ended
+// if the worker is down or has a newer incarnation.
 func (c *Cell) incarnationStatusOf(worker string, incarnation uint64) incarnationStatus {
 	status := incarnationUnknown
 	c.machine.View(func(s *state.State) {
@@ -164,28 +164,28 @@
 	if !renewal.Grants() {
 		return nil, renewal
 	}
-	var box *outbox
+	var workerOutbox *outbox
 	c.machine.View(func(s *state.State) {
-		box = t.openOutbox(s, r.Worker, r.Incarnation)
+		workerOutbox = t.openOutbox(s, r.Worker, r.Incarnation)
 		if !wasLive || renewal.NewIncarnation {
 			t.syncWorker(s, r.Worker, received)
 			t.wakeUp()
 		}
 	})
-	box.Acknowledge(lease.Position{Term: r.Term, Number: r.CommandAck})
-	return box, renewal
+	workerOutbox.Acknowledge(lease.Position{Term: r.Term, Number: r.CommandAck})
+	return workerOutbox, renewal
 }
 
 // awaitCommands holds a renewal until there are commands, the hold is over or the leader
 // term ends. It returns the commands.
-func (c *Cell) awaitCommands(ctx context.Context, t *leaderTerm, box *outbox, r *apiv1.RenewRequest) []*apiv1.Command {
+func (c *Cell) awaitCommands(ctx context.Context, t *leaderTerm, workerOutbox *outbox, r *apiv1.RenewRequest) []*apiv1.Command {
 	hold := min(time.Duration(r.HoldMs)*time.Millisecond, time.Duration(c.base.Settings.Timing.RenewHold))
 	timer := time.NewTimer(max(hold, 0))
 	defer timer.Stop()
 	for {
 		t.mu.Lock()
-		pending := box.commands()
-		changed := box.changed
+		pending := workerOutbox.commands()
+		changed := workerOutbox.changed
 		t.mu.Unlock()
 		if len(pending) > 0 || hold <= 0 {
 			return pending
@@ -260,13 +260,13 @@
 }
 
 // acknowledgement returns a response with the position of the last command issued to the
-// incarnation. It is called after the reported ends were applied.
+// incarnation. The caller must have applied the reported ends before.
 func (t *leaderTerm) acknowledgement(r *apiv1.ReportRequest) *apiv1.ReportResponse {
 	response := &apiv1.ReportResponse{UntilTerm: t.term}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if box := t.outboxes[r.Worker]; box != nil && box.incarnation == r.Incarnation {
-		response.UntilNumber = box.Position().Number
+	if workerOutbox := t.outboxes[r.Worker]; workerOutbox != nil && workerOutbox.incarnation == r.Incarnation {
+		response.UntilNumber = workerOutbox.Position().Number
 	}
 	return response
 }
--- a/internal/cell/serve.go
+++ b/internal/cell/serve.go
@@ -20,8 +20,8 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// Name of the replication group of the configuration, and prefix of the names of those of
-// data centres.
+// Name of the replication group of the configuration, and prefix of the names of the data
+// centres' replication groups.
 const (
 	configGroup = "configuration"
 	cellPrefix  = "cell."
@@ -89,7 +89,7 @@
 }
 
 // open opens the log of one replication group and registers the group for messages of
-// peers. The log is on disk if the instance has one.
+// peers. The log is on disk if the instance has a disk.
 func (p *process) open(name string, members []replica.Member, machine node.Machine) (*node.Group, error) {
 	b := p.base
 	timing := b.Settings.Timing
@@ -122,14 +122,14 @@
 // witnesses: they vote and store the log, and never lead. If dataCentre is empty, there
 // are no witnesses.
 func members(instances []settings.Instance, dataCentre string) []replica.Member {
-	var list []replica.Member
+	var voters []replica.Member
 	for _, instance := range instances {
-		list = append(list, replica.Member{
+		voters = append(voters, replica.Member{
 			ID: instance.ID, Address: instance.Cell, HasDisk: instance.DataFolder != "",
 			Witness: dataCentre != "" && instance.DataCentre != dataCentre,
 		})
 	}
-	return list
+	return voters
 }
 
 // run runs the connections, the replication groups and the cell until ctx ends or one of
@@ -156,8 +156,8 @@
 // that it has. Entries that only the lost members had are lost with them.
 func (p *process) forceStart(ctx context.Context) error {
 	group := p.groups[cellPrefix+p.base.Instance.DataCentre]
-	// The replication group refuses a forced start until the member has waited for a
-	// leader in vain.
+	// The replication group refuses a forced start until the member has waited long enough
+	// for a leader.
 	giveUpAt := time.Now().Add(forceStartTimeout)
 	for {
 		err := group.ForceStart(ctx)
--- a/internal/entry/operations.go
+++ b/internal/entry/operations.go
@@ -41,15 +41,15 @@
 	if err != nil {
 		return nil, err
 	}
-	all := &apiv1.WorkersResponse{UnreachableDataCentres: unreachable}
+	merged := &apiv1.WorkersResponse{UnreachableDataCentres: unreachable}
 	for _, response := range responses {
-		all.Workers = append(all.Workers, response.Workers...)
+		merged.Workers = append(merged.Workers, response.Workers...)
 	}
-	return all, nil
+	return merged, nil
 }
 
-// Drain stops the placement of tasks on a worker. Without a data centre in the
-// request it tries all data centres until one knows the worker.
+// Drain stops the placement of tasks on a worker. If the request names no data centre,
+// Drain tries all data centres until one knows the worker.
 func (e *Entry) Drain(ctx context.Context, r *apiv1.DrainRequest) (*apiv1.DrainResponse, error) {
 	names := e.base.Settings.DataCentres()
 	if r.DataCentre != "" {
@@ -78,8 +78,8 @@
 	return nil, lookupErr
 }
 
-// GetConfig returns the committed configuration. Partitioned from the majority of
-// the voters, it fails immediately.
+// GetConfig returns the committed configuration. It fails immediately if this instance is
+// partitioned from the majority of the voters.
 func (e *Entry) GetConfig(ctx context.Context, r *apiv1.GetConfigRequest) (*apiv1.Config, error) {
 	return forward(ctx, e, directory.ConfigurationLog, directory.CallOptions{}, func(ctx context.Context, c clients) (*apiv1.Config, error) {
 		return c.operations.GetConfig(ctx, r)
@@ -108,11 +108,11 @@
 	if err != nil {
 		return nil, err
 	}
-	all := &apiv1.QuotasResponse{UnreachableDataCentres: unreachable}
+	merged := &apiv1.QuotasResponse{UnreachableDataCentres: unreachable}
 	for _, response := range responses {
-		all.Quotas = append(all.Quotas, response.Quotas...)
+		merged.Quotas = append(merged.Quotas, response.Quotas...)
 	}
-	return all, nil
+	return merged, nil
 }
 
 // ReplaceInstance replaces a lost instance by a new one in every log in which the
@@ -267,15 +267,15 @@
 		return c.operations.Events(ctx, &apiv1.EventsRequest{Subject: r.Subject, SinceUnixMs: r.SinceUnixMs, Limit: int32(limit), LocalOnly: true})
 	})
 	response := &apiv1.EventsResponse{}
-	lists := [][]event.Event{ownEvents}
+	eventLists := [][]event.Event{ownEvents}
 	for i, p := range processes {
 		if errs[i] != nil {
 			response.UnreachableInstances = append(response.UnreachableInstances, p.name)
 			continue
 		}
-		lists = append(lists, event.EventsFromAPI(responses[i].Events))
+		eventLists = append(eventLists, event.EventsFromAPI(responses[i].Events))
 	}
-	merged := event.Merge(lists...)
+	merged := event.Merge(eventLists...)
 	response.Events = event.EventsToAPI(merged[max(0, len(merged)-limit):])
 	return response, nil
 }
--- a/internal/entry/scheduler.go
+++ b/internal/entry/scheduler.go
@@ -30,9 +30,9 @@
 		return nil, fault.Field("request_id", "missing")
 	}
 	// The leader checks the spec too. Checking it here keeps the load of invalid requests
-	// off the leader. The leader alone checks the deadline, since a retried request gets
-	// its first response even after its deadline; faults of the deadline are ignored
-	// here, so any time may be passed as the current one.
+	// off the leader. Only the leader checks the deadline, since a retried request gets its
+	// first response even after its deadline. The time passed to CheckSpec is therefore
+	// arbitrary, and its errors about the deadline are ignored.
 	if _, err := wire.CheckSpec(r.Spec, e.base.Settings.Limits, time.Time{}.Add(time.Hour)); err != nil && fault.From(err).Field != "deadline_unix_ms" {
 		return nil, err
 	}
@@ -79,8 +79,8 @@
 	return home, nil
 }
 
-// Status returns the status of one job, or without an id of all jobs of the caller's
-// customer in all data centres.
+// Status returns the status of one job or, if the request has no id, of all jobs of the
+// caller's customer in all data centres.
 func (e *Entry) Status(ctx context.Context, r *apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
 	if r.Id == "" {
 		return e.listJobs(ctx, r)
@@ -100,8 +100,8 @@
 	})
 }
 
-// callOwner makes a call on the data centre that issued a job id. If the job was handed
-// over since, it makes the call on the data centre that owns the job now.
+// callOwner makes a call on the data centre that issued a job id. If the job has been
+// handed over, it repeats the call on the data centre that owns the job now.
 func callOwner(ctx context.Context, e *Entry, id string, options directory.CallOptions, call func(context.Context, clients) (*apiv1.StatusResponse, error)) (*apiv1.StatusResponse, error) {
 	home := state.HomeDataCentre(id)
 	if home == "" || !e.base.Directory.HasDataCentre(home) {
@@ -145,20 +145,20 @@
 	if err != nil {
 		return nil, err
 	}
-	all := &apiv1.StatusResponse{UnreachableDataCentres: unreachable}
+	merged := &apiv1.StatusResponse{UnreachableDataCentres: unreachable}
 	for _, response := range responses {
-		all.Jobs = append(all.Jobs, response.Jobs...)
+		merged.Jobs = append(merged.Jobs, response.Jobs...)
 	}
-	slices.SortFunc(all.Jobs, func(a, b *apiv1.Job) int {
+	slices.SortFunc(merged.Jobs, func(a, b *apiv1.Job) int {
 		if a.SubmittedUnixMs != b.SubmittedUnixMs {
 			return int(b.SubmittedUnixMs - a.SubmittedUnixMs)
 		}
 		return strings.Compare(a.Id, b.Id)
 	})
 	if r.Limit > 0 {
-		all.Jobs = all.Jobs[:min(int(r.Limit), len(all.Jobs))]
+		merged.Jobs = merged.Jobs[:min(int(r.Limit), len(merged.Jobs))]
 	}
-	return all, nil
+	return merged, nil
 }
 
 // Cancel cancels jobs in the data centres that own them.
@@ -180,12 +180,12 @@
 
 // mergeCancelResponses merges the cancelled ids of several data centres.
 func mergeCancelResponses(responses []*apiv1.CancelResponse, unreachable []string) *apiv1.CancelResponse {
-	all := &apiv1.CancelResponse{UnreachableDataCentres: unreachable}
+	merged := &apiv1.CancelResponse{UnreachableDataCentres: unreachable}
 	for _, response := range responses {
-		all.Ids = append(all.Ids, response.Ids...)
+		merged.Ids = append(merged.Ids, response.Ids...)
 	}
-	slices.Sort(all.Ids)
-	return all
+	slices.Sort(merged.Ids)
+	return merged
 }
 
 // cancelIDs cancels jobs by id, with one call for each data centre that owns any.
@@ -201,7 +201,7 @@
 		}
 		owners[owner] = append(owners[owner], id)
 	}
-	all := &apiv1.CancelResponse{}
+	merged := &apiv1.CancelResponse{}
 	for owner, ids := range owners {
 		request := proto.Clone(r).(*apiv1.CancelRequest)
 		request.Ids = ids
@@ -212,10 +212,10 @@
 		if err != nil {
 			return nil, err
 		}
-		all.Ids = append(all.Ids, response.Ids...)
+		merged.Ids = append(merged.Ids, response.Ids...)
 	}
-	slices.Sort(all.Ids)
-	return all, nil
+	slices.Sort(merged.Ids)
+	return merged, nil
 }
 
 // Scale changes the number of tasks of a service.
--- a/internal/instance/process.go
+++ b/internal/instance/process.go
@@ -40,7 +40,8 @@
 	// is cheaper here than processor time.
 	gcPercent = 300
 	// maxAuxiliaryConnections limits the connections of each of the servers for metrics,
-	// readiness and the product API. They use descriptors that are reserved for files.
+	// readiness and the product API. The descriptor budget has no share for these
+	// connections; they use descriptors that it reserves for files.
 	maxAuxiliaryConnections = 32
 )
 
@@ -233,7 +234,7 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	last, err := os.ReadFile(p.path)
+	lastContent, err := os.ReadFile(p.path)
 	if err != nil {
 		_ = p.logger.Log("event", "reload", "outcome", "unreadable", "err", err)
 	}
@@ -248,10 +249,10 @@
 		}
 		p.logDropped()
 		data, err := os.ReadFile(p.path)
-		if err != nil || string(data) == string(last) {
+		if err != nil || string(data) == string(lastContent) {
 			continue
 		}
-		last = data
+		lastContent = data
 		settings, err := Parse(string(data))
 		_ = p.logger.Log("event", "reload", "err", err)
 		if err == nil {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -49,7 +49,7 @@
 		m.served.Add(1)
 		n := m.running.Add(1)
 		defer m.running.Add(-1)
-		for most := m.maxRunning.Load(); n > most && !m.maxRunning.CompareAndSwap(most, n); most = m.maxRunning.Load() {
+		for previousMax := m.maxRunning.Load(); n > previousMax && !m.maxRunning.CompareAndSwap(previousMax, n); previousMax = m.maxRunning.Load() {
 		}
 		handle(w, r)
 	}))
@@ -321,7 +321,8 @@
 }
 
 // Guards against an overloaded minion: more requests are sent at the same time than the
-// minion has slots, and it must never run more than it has slots.
+// minion has slots. The minion must never run more requests at the same time than it has
+// slots.
 func TestMinionNeverExceedsItsSlots(t *testing.T) {
 	const callerCount, requestsEach = 40, 10
 	const requestDuration = 2 * time.Millisecond
--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -18,8 +18,8 @@
 	// is empty or up again, for the commit and for the order. Reading the list of machines
 	// takes up to 1 s.
 	orderMargin = 1200 * time.Millisecond
-	// stopTimeout is how long stops may take before the machine of an unresponsive worker is
-	// taken down anyway.
+	// stopTimeout is how long the plan waits for the runs on a machine to stop before it takes
+	// the machine down. The runs of an unresponsive worker never stop.
 	stopTimeout = 1500 * time.Millisecond
 )
 
@@ -56,7 +56,7 @@
 type Plan struct {
 	// Cordon are the machines to cordon, so that they get no new runs.
 	Cordon []string
-	// Stop are the machines whose runs to stop.
+	// Stop are the machines whose runs must be stopped.
 	Stop []string
 	// TakeDown are the machines to take down.
 	TakeDown []string
@@ -92,8 +92,8 @@
 	slices.SortFunc(waiting, func(a, b Machine) int {
 		return cmp.Or(cmp.Compare(a.EmptyIn, b.EmptyIn), cmp.Compare(a.ID, b.ID))
 	})
-	slots := min(max(concurrent-down-len(cordoned), 0), len(waiting))
-	for _, m := range waiting[:slots] {
+	cordonCount := min(max(concurrent-down-len(cordoned), 0), len(waiting))
+	for _, m := range waiting[:cordonCount] {
 		plan.Cordon = append(plan.Cordon, m.ID)
 	}
 	return plan
