--- a/hlc/hlc_test.go
+++ b/hlc/hlc_test.go
@@ -62,8 +62,8 @@
 	second := c.Now(time.UnixMilli(4000))
 	must.Eq(t, hlc.Timestamp{Wall: 5000, Logical: 1}, second)
 	must.Eq(t, -1, first.Compare(second))
-	full := hlc.Timestamp{Wall: 6000, Logical: math.MaxUint32}
-	must.Eq(t, hlc.Timestamp{Wall: 6001}, c.Observe(full, time.UnixMilli(5500)))
+	maxLogical := hlc.Timestamp{Wall: 6000, Logical: math.MaxUint32}
+	must.Eq(t, hlc.Timestamp{Wall: 6001}, c.Observe(maxLogical, time.UnixMilli(5500)))
 }
 
 // Guards against timestamps that change when they are formatted and parsed again, and
@@ -84,14 +84,14 @@
 // Guards against equal timestamps of one clock that several goroutines use at the
 // same time.
 func TestConcurrentTimestampsDiffer(t *testing.T) {
-	const goroutines, each = 4, 200
+	const goroutines, perGoroutine = 4, 200
 	var c hlc.Clock
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	seen := map[hlc.Timestamp]bool{}
 	for range goroutines {
 		group.Go(func() {
-			for range each {
+			for range perGoroutine {
 				s := c.Now(time.UnixMilli(1))
 				mu.Lock()
 				seen[s] = true
@@ -100,7 +100,7 @@
 		})
 	}
 	group.Wait()
-	must.MapLen(t, goroutines*each, seen)
+	must.MapLen(t, goroutines*perGoroutine, seen)
 }
 
 // BenchmarkNow measures issuing one timestamp.
--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -201,7 +201,7 @@
 		r.Apply(uint64(i), encode(t, Write{RequestID: fmt.Sprint(i), Expected: uint64(i)}))
 	}
 	must.Len(t, maxResponses, r.responses)
-	must.MapLen(t, maxResponses, r.byID)
+	must.MapLen(t, maxResponses, r.responseNumbers)
 	last := r.Apply(0, encode(t, Write{RequestID: fmt.Sprint(maxResponses), Expected: maxResponses})).(Outcome)
 	must.Eq(t, uint64(maxResponses+1), last.Config.Version)
 }
--- a/internal/conf/document.go
+++ b/internal/conf/document.go
@@ -181,8 +181,8 @@
 	return c, err
 }
 
-// setAmount parses raw into target, unless raw is missing. path is the key for the error.
-func setAmount(file *tomlfile.File, path string, raw *tomlfile.Text, parse func(string) (int64, error), target *int64) error {
+// setAmount parses raw into dest, unless raw is missing. path is the key for the error.
+func setAmount(file *tomlfile.File, path string, raw *tomlfile.Text, parse func(string) (int64, error), dest *int64) error {
 	if raw == nil {
 		return nil
 	}
@@ -190,20 +190,20 @@
 	if err != nil {
 		return file.Errorf(path, "%v", err)
 	}
-	*target = amount
+	*dest = amount
 	return nil
 }
 
-// setCount sets target to raw, unless raw is missing, and returns an error for a value
+// setCount sets dest to raw, unless raw is missing, and returns an error for a value
 // below lowest or above highest. path is the key for the error.
-func setCount(file *tomlfile.File, path string, raw *int64, lowest, highest int64, target *int64) error {
+func setCount(file *tomlfile.File, path string, raw *int64, lowest, highest int64, dest *int64) error {
 	if raw == nil {
 		return nil
 	}
 	if *raw < lowest || *raw > highest {
 		return file.Errorf(path, "must be from %d to %d, is %d", lowest, highest, *raw)
 	}
-	*target = *raw
+	*dest = *raw
 	return nil
 }
 
--- a/internal/conf/register.go
+++ b/internal/conf/register.go
@@ -123,15 +123,16 @@
 	mu        sync.RWMutex
 	history   []Config           // oldest first, the current version last
 	responses []recordedResponse // oldest first
-	// byID holds, by request ID, the number of responses recorded before that of the
-	// request, including dropped ones.
-	byID             map[string]int
+	// responseNumbers has the number of the response to each request ID. Responses are
+	// numbered from 0 in the order of their recording and keep their numbers when older
+	// ones are dropped.
+	responseNumbers  map[string]int
 	droppedResponses int // number of responses dropped so far
 }
 
 // NewRegister returns a register at version 0 with an empty document.
 func NewRegister() *Register {
-	return &Register{byID: make(map[string]int)}
+	return &Register{responseNumbers: make(map[string]int)}
 }
 
 // Current returns the configuration in force. It never blocks on Apply.
@@ -165,7 +166,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	digest := w.digest()
-	if i, ok := r.byID[w.RequestID]; ok {
+	if i, ok := r.responseNumbers[w.RequestID]; ok {
 		return r.duplicateOutcome(r.responses[i-r.droppedResponses], digest)
 	}
 	return r.applyWrite(w, digest)
@@ -266,12 +267,12 @@
 	if first.RequestID == "" {
 		return
 	}
-	r.byID[first.RequestID] = r.droppedResponses + len(r.responses)
+	r.responseNumbers[first.RequestID] = r.droppedResponses + len(r.responses)
 	r.responses = append(r.responses, first)
 	if len(r.responses) <= maxResponses {
 		return
 	}
-	delete(r.byID, r.responses[0].RequestID)
+	delete(r.responseNumbers, r.responses[0].RequestID)
 	r.responses = r.responses[1:]
 	r.droppedResponses++
 }
@@ -325,9 +326,9 @@
 	r.history = history
 	r.responses = snapshot.Responses
 	r.droppedResponses = 0
-	r.byID = make(map[string]int, len(r.responses))
+	r.responseNumbers = make(map[string]int, len(r.responses))
 	for i, a := range r.responses {
-		r.byID[a.RequestID] = i
+		r.responseNumbers[a.RequestID] = i
 	}
 	if len(history) > 0 {
 		r.holder.Set(newestWithDocument(history))
--- a/internal/node/apply.go
+++ b/internal/node/apply.go
@@ -26,7 +26,7 @@
 		case callMembership:
 			g.proposeMembership(c)
 		case callTransfer:
-			c.reply(nil, g.faultOrNil(g.core.Transfer(c.target)))
+			c.reply(nil, g.faultOrNil(g.core.Transfer(c.transferee)))
 		case callForceStart:
 			c.reply(nil, g.faultOrNil(g.core.ForceStart()))
 		}
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -52,10 +52,10 @@
 
 // call is a request to the goroutine of Run.
 type call struct {
-	kind    callKind
-	command []byte
-	members []replica.Member
-	target  string
+	kind       callKind
+	command    []byte
+	members    []replica.Member
+	transferee string
 	// outcome has a buffer of one, so that reply never blocks.
 	outcome chan outcome
 }
@@ -205,7 +205,7 @@
 		if m.ID == g.cfg.ID || m.Learner || m.Witness {
 			continue
 		}
-		_, err := g.execute(ctx, &call{kind: callTransfer, target: m.ID})
+		_, err := g.execute(ctx, &call{kind: callTransfer, transferee: m.ID})
 		if err == nil {
 			return nil
 		}
--- a/internal/node/linearizability_test.go
+++ b/internal/node/linearizability_test.go
@@ -109,9 +109,9 @@
 	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: in, Call: call, Output: out, Return: end})
 }
 
-// client makes accesses until all clients together have recorded the target number.
-func (h *history) client(c *cluster, id int, random *rand.Rand, target int64) {
-	for n := 0; h.recorded.Load() < target; n++ {
+// client makes accesses until all clients together have recorded accessCount of them.
+func (h *history) client(c *cluster, id int, random *rand.Rand, accessCount int64) {
+	for n := 0; h.recorded.Load() < accessCount; n++ {
 		in := access{key: fmt.Sprint(random.IntN(registerCount)), value: fmt.Sprintf("%d.%d", id, n), write: random.IntN(2) == 0}
 		all := c.running()
 		m := all[random.IntN(len(all))]
@@ -172,13 +172,13 @@
 			c := newCluster(t, "a", Config{SnapshotEvery: 50, KeepEntries: 20})
 			c.starts = seed * startsPerSeed
 			h := &history{start: time.Now()}
-			const clients, target = 5, 1500
+			const clients, accessCount = 5, 1500
 			var group sync.WaitGroup
 			for id := range clients {
-				group.Go(func() { h.client(c, id, rand.New(rand.NewPCG(seed, uint64(id))), target) })
+				group.Go(func() { h.client(c, id, rand.New(rand.NewPCG(seed, uint64(id))), accessCount) })
 			}
 			random := rand.New(rand.NewPCG(seed, clients))
-			for h.recorded.Load() < target {
+			for h.recorded.Load() < accessCount {
 				h.injectFault(c, random, accessesPerFault)
 			}
 			group.Wait()
--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -127,60 +127,60 @@
 
 // newModel returns a model with one to three workers and a leader.
 func newModel(t *rapid.T, eventCounts map[string]int) *model {
-	w := &model{
+	m := &model{
 		t: t, records: map[lease.Attempt]*record{}, announcedIncarnations: map[int]uint64{},
 		started: map[lease.Attempt]bool{}, lastAttempt: make([]int32, modelTasks), eventCounts: eventCounts,
 	}
 	for range rapid.IntRange(1, maxWorkers).Draw(t, "workers") {
-		w.workers = append(w.workers, nil)
-		w.restart(len(w.workers) - 1)
+		m.workers = append(m.workers, nil)
+		m.restart(len(m.workers) - 1)
 	}
-	w.changeLeader()
-	return w
+	m.changeLeader()
+	return m
 }
 
 // clock returns the time on a worker's monotonic clock.
-func (w *model) clock(p *process) time.Duration { return w.now * p.rate / perMille }
+func (m *model) clock(p *process) time.Duration { return m.now * p.rate / perMille }
 
 // restart replaces the process of a worker. The tasks of the old process end with it.
-func (w *model) restart(i int) {
+func (m *model) restart(i int) {
 	incarnation := uint64(1)
-	if old := w.workers[i]; old != nil {
+	if old := m.workers[i]; old != nil {
 		incarnation = old.guard.Incarnation() + 1
 	}
-	w.lastProcessID++
-	rate := rapid.IntRange(minClockRate, maxClockRate).Draw(w.t, "rate")
-	w.workers[i] = &process{
-		id: w.lastProcessID, rate: time.Duration(rate),
+	m.lastProcessID++
+	rate := rapid.IntRange(minClockRate, maxClockRate).Draw(m.t, "rate")
+	m.workers[i] = &process{
+		id: m.lastProcessID, rate: time.Duration(rate),
 		guard: lease.NewGuard(incarnation), reports: map[lease.Attempt]string{},
 	}
 }
 
 // changeLeader starts a new leader, which has only the committed state.
-func (w *model) changeLeader() {
-	w.term++
-	w.clockOrigin = time.Duration(rapid.IntRange(0, maxClockOriginMillis).Draw(w.t, "origin")) * time.Millisecond
-	w.table = lease.NewTable(ttl, drift)
-	w.outboxes = map[int]*lease.Outbox[command]{}
-	w.outboxIncarnation = map[int]uint64{}
-	w.table.TakeOver(w.ownerNow(), workerNames(len(w.workers)))
-	for i, incarnation := range w.announcedIncarnations {
-		w.table.RecordIncarnation(workerNames(maxWorkers)[i], incarnation)
+func (m *model) changeLeader() {
+	m.term++
+	m.clockOrigin = time.Duration(rapid.IntRange(0, maxClockOriginMillis).Draw(m.t, "origin")) * time.Millisecond
+	m.table = lease.NewTable(ttl, drift)
+	m.outboxes = map[int]*lease.Outbox[command]{}
+	m.outboxIncarnation = map[int]uint64{}
+	m.table.TakeOver(m.ownerNow(), workerNames(len(m.workers)))
+	for i, incarnation := range m.announcedIncarnations {
+		m.table.RecordIncarnation(workerNames(maxWorkers)[i], incarnation)
 	}
 }
 
 // ownerNow returns the time on the leader's monotonic clock.
-func (w *model) ownerNow() time.Duration { return w.now + w.clockOrigin }
+func (m *model) ownerNow() time.Duration { return m.now + m.clockOrigin }
 
 // send puts a message into the network.
-func (w *model) send(m message) { w.network = append(w.network, m) }
+func (m *model) send(msg message) { m.network = append(m.network, msg) }
 
 // renew sends a renewal of worker i.
-func (w *model) renew(i int) {
-	p := w.workers[i]
+func (m *model) renew(i int) {
+	p := m.workers[i]
 	p.sequence++
-	p.holder.RecordSent(p.sequence, w.clock(p))
-	w.send(message{
+	p.holder.RecordSent(p.sequence, m.clock(p))
+	m.send(message{
 		kind: "renewal", worker: i, process: p.id, incarnation: p.guard.Incarnation(),
 		sequence: p.sequence, position: p.guard.Position(),
 	})
@@ -188,17 +188,17 @@
 
 // valid reports whether the worker holds its lease. If the lease has expired, the
 // worker stops all tasks and takes a higher incarnation.
-func (w *model) valid(p *process) bool {
-	valid := p.holder.Valid(w.clock(p))
+func (m *model) valid(p *process) bool {
+	valid := p.holder.Valid(m.clock(p))
 	if p.holder.Expired() {
-		w.eventCounts["lease expired"]++
-		w.endIncarnation(p)
+		m.eventCounts["lease expired"]++
+		m.endIncarnation(p)
 	}
 	return valid
 }
 
 // endIncarnation stops all tasks of a worker and takes a higher incarnation.
-func (w *model) endIncarnation(p *process) {
+func (m *model) endIncarnation(p *process) {
 	for _, a := range p.guard.Running() {
 		p.reports[a] = "ended"
 	}
@@ -208,141 +208,141 @@
 
 // step lets every running task of a worker perform a step, and asserts that the task's
 // attempt is still committed as assigned, so that it doesn't run elsewhere.
-func (w *model) step(p *process) {
-	if !w.valid(p) {
+func (m *model) step(p *process) {
+	if !m.valid(p) {
 		return
 	}
 	for _, a := range p.guard.Running() {
-		w.eventCounts["step"]++
-		if state := w.records[a].state; state != "assigned" {
-			w.t.Fatalf("%v runs a step after the owner committed it as %s", a, state)
+		m.eventCounts["step"]++
+		if state := m.records[a].state; state != "assigned" {
+			m.t.Fatalf("%v runs a step after the owner committed it as %s", a, state)
 		}
 	}
 }
 
 // deliver delivers a message to its receiver.
-func (w *model) deliver(m message) {
-	p := w.workers[m.worker]
-	switch m.kind {
+func (m *model) deliver(msg message) {
+	p := m.workers[msg.worker]
+	switch msg.kind {
 	case "renewal":
-		w.handleRenewal(m)
+		m.handleRenewal(msg)
 	case "report":
-		w.handleReport(m)
+		m.handleReport(msg)
 	case "response":
-		if m.process == p.id {
-			w.handleResponse(p, m)
+		if msg.process == p.id {
+			m.handleResponse(p, msg)
 		}
 	case "acknowledgement":
-		if m.process == p.id && m.incarnation == p.guard.Incarnation() {
-			p.guard.Acknowledge([]lease.Attempt{m.attempt}, m.position)
+		if msg.process == p.id && msg.incarnation == p.guard.Incarnation() {
+			p.guard.Acknowledge([]lease.Attempt{msg.attempt}, msg.position)
 		}
-		if m.process == p.id {
-			delete(p.reports, m.attempt)
+		if msg.process == p.id {
+			delete(p.reports, msg.attempt)
 		}
 	}
 }
 
 // handleRenewal handles a renewal at the leader.
-func (w *model) handleRenewal(m message) {
-	name := workerNames(maxWorkers)[m.worker]
-	r := w.table.Renew(name, m.incarnation, m.sequence, w.ownerNow())
-	if r.Accepted && w.outboxIncarnation[m.worker] != m.incarnation {
-		w.announcedIncarnations[m.worker] = max(w.announcedIncarnations[m.worker], m.incarnation)
-		w.outboxIncarnation[m.worker] = m.incarnation
-		w.outboxes[m.worker] = lease.NewOutbox[command](w.term, m.incarnation)
-		w.resend(m.worker)
-	}
-	w.commitLost()
+func (m *model) handleRenewal(msg message) {
+	name := workerNames(maxWorkers)[msg.worker]
+	r := m.table.Renew(name, msg.incarnation, msg.sequence, m.ownerNow())
+	if r.Accepted && m.outboxIncarnation[msg.worker] != msg.incarnation {
+		m.announcedIncarnations[msg.worker] = max(m.announcedIncarnations[msg.worker], msg.incarnation)
+		m.outboxIncarnation[msg.worker] = msg.incarnation
+		m.outboxes[msg.worker] = lease.NewOutbox[command](m.term, msg.incarnation)
+		m.resend(msg.worker)
+	}
+	m.commitLost()
 	response := message{
-		kind: "response", worker: m.worker, process: m.process, incarnation: m.incarnation,
-		sequence: m.sequence, granted: r.Grants(), ended: r.Ended, position: lease.Position{Term: w.term},
+		kind: "response", worker: msg.worker, process: msg.process, incarnation: msg.incarnation,
+		sequence: msg.sequence, granted: r.Grants(), ended: r.Ended, position: lease.Position{Term: m.term},
 	}
 	if r.Accepted {
-		outbox := w.outboxes[m.worker]
-		outbox.Acknowledge(m.position)
+		outbox := m.outboxes[msg.worker]
+		outbox.Acknowledge(msg.position)
 		response.commands = slices.Clone(outbox.Pending(maxCommands))
 	}
-	w.send(response)
+	m.send(response)
 }
 
 // resend adds start or stop commands for the latest attempts that were assigned to a
 // worker, because a new leader doesn't know which commands arrived.
-func (w *model) resend(i int) {
-	for task := range w.lastAttempt {
-		a := w.latestAttempt(task)
-		if r := w.records[a]; r != nil && r.worker == i {
-			w.addCommand(a, command{stop: uniform(3).Draw(w.t, "stop") == 0, attempt: a})
+func (m *model) resend(i int) {
+	for task := range m.lastAttempt {
+		a := m.latestAttempt(task)
+		if r := m.records[a]; r != nil && r.worker == i {
+			m.addCommand(a, command{stop: uniform(3).Draw(m.t, "stop") == 0, attempt: a})
 		}
 	}
 }
 
 // latestAttempt returns the newest attempt of a task. Only this attempt may be in the
 // state "assigned".
-func (w *model) latestAttempt(task int) lease.Attempt {
-	return lease.Attempt{Job: "j", Task: int32(task), Attempt: w.lastAttempt[task]}
+func (m *model) latestAttempt(task int) lease.Attempt {
+	return lease.Attempt{Job: "j", Task: int32(task), Attempt: m.lastAttempt[task]}
 }
 
 // addCommand adds a command for an assigned attempt to the outbox of its worker if the
 // outbox is for the incarnation to which the attempt was assigned.
-func (w *model) addCommand(a lease.Attempt, c command) {
-	r := w.records[a]
-	if r.state == "assigned" && w.outboxIncarnation[r.worker] == r.incarnation {
-		w.outboxes[r.worker].Add(c)
+func (m *model) addCommand(a lease.Attempt, c command) {
+	r := m.records[a]
+	if r.state == "assigned" && m.outboxIncarnation[r.worker] == r.incarnation {
+		m.outboxes[r.worker].Add(c)
 	}
 }
 
 // commitLost commits the attempts of fenced incarnations as lost, so that their
 // tasks can start elsewhere.
-func (w *model) commitLost() {
-	for _, r := range w.records {
-		if r.state == "assigned" && w.table.Fenced(workerNames(maxWorkers)[r.worker], r.incarnation) {
-			w.eventCounts["lost"]++
+func (m *model) commitLost() {
+	for _, r := range m.records {
+		if r.state == "assigned" && m.table.Fenced(workerNames(maxWorkers)[r.worker], r.incarnation) {
+			m.eventCounts["lost"]++
 			r.state = "lost"
 		}
 	}
 }
 
 // handleReport handles a report at the leader and acknowledges it.
-func (w *model) handleReport(m message) {
-	r := w.records[m.attempt]
+func (m *model) handleReport(msg message) {
+	r := m.records[msg.attempt]
 	if r.state == "assigned" {
-		r.state = m.outcome
+		r.state = msg.outcome
 	}
-	if m.outcome == "not started" && w.started[m.attempt] {
-		w.t.Fatalf("%v was reported as not started, but it was started", m.attempt)
+	if msg.outcome == "not started" && m.started[msg.attempt] {
+		m.t.Fatalf("%v was reported as not started, but it was started", msg.attempt)
 	}
 	ack := message{
-		kind: "acknowledgement", worker: m.worker, process: m.process,
-		incarnation: m.incarnation, attempt: m.attempt, position: lease.Position{Term: w.term},
+		kind: "acknowledgement", worker: msg.worker, process: msg.process,
+		incarnation: msg.incarnation, attempt: msg.attempt, position: lease.Position{Term: m.term},
 	}
-	if w.outboxIncarnation[m.worker] == m.incarnation {
-		ack.position = w.outboxes[m.worker].Position()
+	if m.outboxIncarnation[msg.worker] == msg.incarnation {
+		ack.position = m.outboxes[msg.worker].Position()
 	}
-	w.send(ack)
+	m.send(ack)
 }
 
 // handleResponse handles the response to a renewal at the worker.
-func (w *model) handleResponse(p *process, m message) {
-	if p.guard.ObserveTerm(m.position.Term) != nil {
+func (m *model) handleResponse(p *process, msg message) {
+	if p.guard.ObserveTerm(msg.position.Term) != nil {
 		return
 	}
-	if m.ended && m.incarnation == p.guard.Incarnation() {
-		w.endIncarnation(p)
+	if msg.ended && msg.incarnation == p.guard.Incarnation() {
+		m.endIncarnation(p)
 		return
 	}
-	if m.granted {
-		p.holder.RecordGranted(m.sequence, ttl, w.clock(p))
+	if msg.granted {
+		p.holder.RecordGranted(msg.sequence, ttl, m.clock(p))
 	}
-	if !w.valid(p) {
+	if !m.valid(p) {
 		return
 	}
-	for _, c := range m.commands {
-		w.handleCommand(p, c)
+	for _, c := range msg.commands {
+		m.handleCommand(p, c)
 	}
 }
 
 // handleCommand executes a command if the guard permits it.
-func (w *model) handleCommand(p *process, c lease.NumberedCommand[command]) {
+func (m *model) handleCommand(p *process, c lease.NumberedCommand[command]) {
 	a := c.Body.attempt
 	if c.Body.stop {
 		result, err := p.guard.Stop(c.Header, a)
@@ -350,89 +350,89 @@
 			return
 		}
 		if result == lease.StopBeforeStart {
-			w.eventCounts["not started"]++
+			m.eventCounts["not started"]++
 			p.reports[a] = "not started"
 		}
 		if result == lease.StopRunning {
-			w.end(p, a)
+			m.end(p, a)
 		}
 		return
 	}
 	err := p.guard.Start(c.Header, a)
 	var refusal lease.Refusal
 	if errors.As(err, &refusal) {
-		w.eventCounts[refusal.Error()]++
+		m.eventCounts[refusal.Error()]++
 		return
 	}
-	if w.started[a] {
-		w.t.Fatalf("%v is started twice", a)
+	if m.started[a] {
+		m.t.Fatalf("%v is started twice", a)
 	}
-	if state := w.records[a].state; state != "assigned" {
-		w.t.Fatalf("%v is started after the owner committed it as %s", a, state)
+	if state := m.records[a].state; state != "assigned" {
+		m.t.Fatalf("%v is started after the owner committed it as %s", a, state)
 	}
-	w.started[a] = true
-	w.eventCounts["start"]++
+	m.started[a] = true
+	m.eventCounts["start"]++
 }
 
 // end ends a running attempt.
-func (w *model) end(p *process, a lease.Attempt) {
-	must.NoError(w.t, p.guard.End(a))
+func (m *model) end(p *process, a lease.Attempt) {
+	must.NoError(m.t, p.guard.End(a))
 	p.reports[a] = "ended"
 }
 
 // assign commits a new attempt of a random task on a random worker, unless the task
 // has an assigned attempt or the worker isn't live.
-func (w *model) assign() {
-	task := uniform(len(w.lastAttempt)).Draw(w.t, "task")
-	i := uniform(len(w.workers)).Draw(w.t, "worker")
-	last := w.records[w.latestAttempt(task)]
-	if (last != nil && last.state == "assigned") || !w.table.Live(workerNames(maxWorkers)[i], w.ownerNow()) {
+func (m *model) assign() {
+	task := uniform(len(m.lastAttempt)).Draw(m.t, "task")
+	i := uniform(len(m.workers)).Draw(m.t, "worker")
+	last := m.records[m.latestAttempt(task)]
+	if (last != nil && last.state == "assigned") || !m.table.Live(workerNames(maxWorkers)[i], m.ownerNow()) {
 		return
 	}
-	incarnation, _ := w.table.Incarnation(workerNames(maxWorkers)[i])
-	w.lastAttempt[task]++
-	a := w.latestAttempt(task)
-	w.records[a] = &record{worker: i, incarnation: incarnation, state: "assigned"}
-	w.addCommand(a, command{attempt: a})
+	incarnation, _ := m.table.Incarnation(workerNames(maxWorkers)[i])
+	m.lastAttempt[task]++
+	a := m.latestAttempt(task)
+	m.records[a] = &record{worker: i, incarnation: incarnation, state: "assigned"}
+	m.addCommand(a, command{attempt: a})
 }
 
 // act performs one random action.
-func (w *model) act() {
-	i := uniform(len(w.workers)).Draw(w.t, "worker")
-	p := w.workers[i]
-	switch action := uniform(100).Draw(w.t, "action"); {
+func (m *model) act() {
+	i := uniform(len(m.workers)).Draw(m.t, "worker")
+	p := m.workers[i]
+	switch action := uniform(100).Draw(m.t, "action"); {
 	case action < 12:
-		w.now += time.Duration(uniform(maxStepMillis).Draw(w.t, "ms")) * time.Millisecond
+		m.now += time.Duration(uniform(maxStepMillis).Draw(m.t, "ms")) * time.Millisecond
 	case action < 50:
-		w.takeMessage()
+		m.takeMessage()
 	case action < 58:
-		w.assign()
+		m.assign()
 	case action < 64:
-		a := w.latestAttempt(uniform(len(w.lastAttempt)).Draw(w.t, "task"))
-		if w.records[a] != nil {
-			w.addCommand(a, command{stop: action >= 61, attempt: a})
+		a := m.latestAttempt(uniform(len(m.lastAttempt)).Draw(m.t, "task"))
+		if m.records[a] != nil {
+			m.addCommand(a, command{stop: action >= 61, attempt: a})
 		}
 	case action < 69:
-		w.table.Expired(w.ownerNow())
-		w.commitLost()
+		m.table.Expired(m.ownerNow())
+		m.commitLost()
 	case action < 70:
-		w.changeLeader()
+		m.changeLeader()
 	case action < 72:
 		p.paused = !p.paused
 	case action < 73:
-		w.restart(i)
+		m.restart(i)
 	case p.paused:
 	case action < 86:
-		w.renew(i)
+		m.renew(i)
 	case action < 92:
-		w.step(p)
+		m.step(p)
 	case action < 95:
-		if running := p.guard.Running(); w.valid(p) && len(running) > 0 {
-			w.end(p, running[0])
+		if running := p.guard.Running(); m.valid(p) && len(running) > 0 {
+			m.end(p, running[0])
 		}
 	default:
 		for _, a := range slices.SortedFunc(maps.Keys(p.reports), lease.Attempt.Compare) {
-			w.send(message{
+			m.send(message{
 				kind: "report", worker: i, process: p.id,
 				incarnation: p.guard.Incarnation(), attempt: a, outcome: p.reports[a],
 			})
@@ -442,25 +442,25 @@
 
 // takeMessage loses, duplicates or delivers a message in the network, more often the
 // newest than another one.
-func (w *model) takeMessage() {
-	if len(w.network) == 0 {
+func (m *model) takeMessage() {
+	if len(m.network) == 0 {
 		return
 	}
-	i := len(w.network) - 1
-	if uniform(3).Draw(w.t, "late") == 2 {
-		i = uniform(i+1).Draw(w.t, "message")
+	i := len(m.network) - 1
+	if uniform(3).Draw(m.t, "late") == 2 {
+		i = uniform(i+1).Draw(m.t, "message")
 	}
-	m := w.network[i]
-	toWorker := m.kind == "response" || m.kind == "acknowledgement"
-	if toWorker && w.workers[m.worker].paused {
+	msg := m.network[i]
+	toWorker := msg.kind == "response" || msg.kind == "acknowledgement"
+	if toWorker && m.workers[msg.worker].paused {
 		return
 	}
-	delivery := uniform(10).Draw(w.t, "delivery")
+	delivery := uniform(10).Draw(m.t, "delivery")
 	if delivery >= 3 {
-		w.network = slices.Delete(w.network, i, i+1)
+		m.network = slices.Delete(m.network, i, i+1)
 	}
 	if delivery > 0 && delivery < 9 {
-		w.deliver(m)
+		m.deliver(msg)
 	}
 }
 
@@ -471,9 +471,9 @@
 func TestAttemptNeverRunsTwice(t *testing.T) {
 	eventCounts := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newModel(t, eventCounts)
+		m := newModel(t, eventCounts)
 		for range actionsPerRun {
-			w.act()
+			m.act()
 		}
 	})
 	t.Log(eventCounts)
--- a/quota/demand_test.go
+++ b/quota/demand_test.go
@@ -242,7 +242,7 @@
 		return
 	}
 	demands := make([][]quota.Demand, simCentres)
-	reserved := make([][]placement.Resources, simCentres)
+	donorReserves := make([][]placement.Resources, simCentres)
 	for customer, id := range m.customerIDs {
 		missing := m.fairShare(i, customer) - c.ledger.Allotment(id).CPU
 		for j, other := range m.centres {
@@ -251,7 +251,7 @@
 				amount := min(missing, surplus)
 				missing -= amount
 				demands[j] = append(demands[j], quota.Demand{Customer: id, Amount: placement.Resources{CPU: amount}})
-				reserved[j] = append(reserved[j], placement.Resources{CPU: m.fairShare(j, customer)})
+				donorReserves[j] = append(donorReserves[j], placement.Resources{CPU: m.fairShare(j, customer)})
 			}
 		}
 	}
@@ -260,7 +260,7 @@
 			m.send(i, j, c.demand, func() {})
 		}
 		if len(demands[j]) > 0 {
-			m.requestTransfer(i, c.ledger.Request(m.centreNames[j], demands[j]...), reserved[j])
+			m.requestTransfer(i, c.ledger.Request(m.centreNames[j], demands[j]...), donorReserves[j])
 		}
 	}
 }
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -372,15 +372,15 @@
 	if request.To != l.state.Self || request.Generation != l.state.Config.Generation {
 		return
 	}
-	if out, open := l.state.Outgoing[request.From]; open && request.LastReceived >= out.Sequence {
+	if out, found := l.state.Outgoing[request.From]; found && request.LastReceived >= out.Sequence {
 		delete(l.state.Outgoing, request.From)
 	}
 }
 
 // Outgoing returns the unacknowledged transfer to a data centre, if there is one.
 func (l *Ledger) Outgoing(to string) (Transfer, bool) {
-	t, open := l.state.Outgoing[to]
-	return t, open
+	t, found := l.state.Outgoing[to]
+	return t, found
 }
 
 // Request returns a request that acknowledges all credited transfers.
--- a/quota/planner.go
+++ b/quota/planner.go
@@ -108,8 +108,8 @@
 // awaitingReply reports whether a request to the data centre is unanswered and doesn't
 // count as lost yet.
 func (p *Planner) awaitingReply(to string) bool {
-	at, open := p.requestedAt[to]
-	return open && p.tick-at < requestTimeoutTicks
+	requestedAt, pending := p.requestedAt[to]
+	return pending && p.tick-requestedAt < requestTimeoutTicks
 }
 
 // candidate is a data centre to which a request could go.
--- a/replica/lease_test.go
+++ b/replica/lease_test.go
@@ -177,7 +177,7 @@
 // The wall clock goes back, and a member starts under a lower incarnation than before. A
 // recovering member must take a higher incarnation once it learns of the earlier one. Any
 // other member must panic, because its ID may run twice.
-func TestIncarnationBelowKnownOne(t *testing.T) {
+func TestLowerIncarnationIsRaisedOrPanics(t *testing.T) {
 	c := coreWithoutState(t)
 	stepFromPeer(t, c, Message{Type: MsgAppend, From: "n1", Term: 3}, MemberIncarnation{ID: "n0", Incarnation: 20})
 	must.Eq(t, 21, c.incarnation)
--- a/routing/allocate.go
+++ b/routing/allocate.go
@@ -46,21 +46,21 @@
 func (a *Allocator) allocateService(e *entryRecord, g *serviceGroup, grants map[uint32]int, now time.Duration) {
 	share := a.fairShare(e, g, now)
 	free := make([]int, len(g.minions))
-	total := 0
+	keptTotal := 0
 	latest := e.latestGrants()
 	for i, m := range g.minions {
 		available := max(0, m.Slots-m.reserved-(m.occupied-e.ownOccupied[m.number]))
 		keep := min(latest[m.number], available)
 		grants[m.number] = keep
 		free[i] = available - keep
-		total += keep
+		keptTotal += keep
 	}
-	if total > share {
-		excess := min(total-share, a.unmetMinimum(e, g, now))
+	if keptTotal > share {
+		excess := min(keptTotal-share, a.unmetMinimum(e, g, now))
 		shrink(g, grants, e.inFlight, excess)
 		return
 	}
-	grow(g, grants, free, share-total, a.entryIndex(e.id))
+	grow(g, grants, free, share-keptTotal, a.entryIndex(e.id))
 }
 
 // fairShare returns the entry instance's share of a service's capacity. Demand
--- a/routing/allocator.go
+++ b/routing/allocator.go
@@ -39,11 +39,11 @@
 
 	leading bool
 	term    uint64
-	// reserveEnds is when every grant of an earlier leader has expired and every
+	// reservedUntil is when every grant of an earlier leader has expired and every
 	// request started under such a grant has ended.
-	reserveEnds time.Duration
-	// unclaimed has the entry instances that have not claimed yet, in this term,
-	// the slots that they hold by grants of earlier terms.
+	reservedUntil time.Duration
+	// unclaimed has the entry instances that have not yet reported to this leader the
+	// slots granted to them in earlier terms.
 	unclaimed map[string]bool
 
 	minions       map[string]*minionRecord
@@ -109,7 +109,7 @@
 	a.reset()
 	a.leading = true
 	a.term = term
-	a.reserveEnds = now + a.opts.Lease + a.opts.MaxRequest + a.opts.Drift
+	a.reservedUntil = now + a.opts.Lease + a.opts.MaxRequest + a.opts.Drift
 	for _, entry := range entries {
 		a.unclaimed[entry] = true
 	}
@@ -147,7 +147,7 @@
 // reserveSlots reserves the slots that an announcement adds and that an earlier
 // leader may have granted.
 func (a *Allocator) reserveSlots(m *minionRecord, addedSlots int, now time.Duration) {
-	if !a.reserveInForce(now) {
+	if !a.reservationActive(now) {
 		return
 	}
 	// With version 1 the minion has announced nothing else in this term.
@@ -194,8 +194,8 @@
 	return m
 }
 
-// reserveInForce reports whether slots of an earlier leader are still reserved.
-func (a *Allocator) reserveInForce(now time.Duration) bool { return now < a.reserveEnds }
+// reservationActive reports whether slots of an earlier leader are still reserved.
+func (a *Allocator) reservationActive(now time.Duration) bool { return now < a.reservedUntil }
 
 // Allocate decides on a slot request of an entry instance and returns the response. Its
 // errors are ErrNotLeading, ErrHigherTerm and ErrStale.
@@ -327,7 +327,7 @@
 	}
 	delete(a.unclaimed, entry)
 	if len(a.unclaimed) == 0 {
-		a.reserveEnds = min(a.reserveEnds, now+restartLinger)
+		a.reservedUntil = min(a.reservedUntil, now+restartLinger)
 	}
 }
 
@@ -346,7 +346,7 @@
 			a.updateOccupied(e, now)
 		}
 	}
-	reserved := a.reserveInForce(now)
+	reserved := a.reservationActive(now)
 	kept := a.sortedMinions[:0]
 	for _, m := range a.sortedMinions {
 		if !reserved {
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -46,7 +46,7 @@
 	startedLate := o == TimedOut && took < minAttemptFactor*s.serviceTimes.tail
 	if o == Abandoned || o == LeaseEnded || startedLate {
 		if t.probe {
-			m.breaker.probing = false
+			m.breaker.probeInFlight = false
 		}
 		return
 	}
@@ -60,8 +60,8 @@
 	if typicalTime == 0 {
 		typicalTime = s.serviceTimes.mean
 	}
-	ended := attempt{outcome: o, took: took, probe: t.probe}
-	closed := m.breaker.observe(ended, typicalTime, s.mayTripOnRate(), now)
+	result := attemptResult{outcome: o, took: took, probe: t.probe}
+	closed := m.breaker.observe(result, typicalTime, s.mayTripOnRate(), now)
 	if closed {
 		m.slowStartFrom = now
 	}
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -61,7 +61,7 @@
 // Submit starts a request if a slot is free, and queues or refuses it otherwise. The
 // returned ticket is Started, Queued or Refused.
 func (b *Balancer) Submit(r Request, now time.Duration) *Ticket {
-	b.releaseLingering(now)
+	b.releaseLingeringSlots(now)
 	b.lastTicketNumber++
 	b.counts.Submitted++
 	t := &Ticket{Request: r, number: b.lastTicketNumber}
@@ -118,7 +118,7 @@
 	}
 	b.services[t.Service].dequeue(t)
 	t.state = Finished
-	b.releaseLingering(now)
+	b.releaseLingeringSlots(now)
 }
 
 // Expire refuses a queued request that has not started by its QueueDeadline. It does
@@ -180,7 +180,7 @@
 
 // Tick releases lingering slots and starts queued requests on free ones.
 func (b *Balancer) Tick(now time.Duration) {
-	b.releaseLingering(now)
+	b.releaseLingeringSlots(now)
 	b.dispatchAllServices(now)
 }
 
@@ -225,8 +225,8 @@
 // Counts returns the running totals since the start.
 func (b *Balancer) Counts() Counts { return b.counts }
 
-// releaseLingering releases the lingering slots whose time has passed.
-func (b *Balancer) releaseLingering(now time.Duration) {
+// releaseLingeringSlots releases the lingering slots whose time has passed.
+func (b *Balancer) releaseLingeringSlots(now time.Duration) {
 	for _, m := range b.minions {
 		if len(m.lingeringUntil) > 0 {
 			m.expireLingering(now)
@@ -303,7 +303,7 @@
 	s.customer(t.Customer).running++
 	m.running = append(m.running, t)
 	if t.probe {
-		m.breaker.probing = true
+		m.breaker.probeInFlight = true
 	}
 	t.state = Started
 	t.minion = m
--- a/routing/breaker.go
+++ b/routing/breaker.go
@@ -34,10 +34,9 @@
 // breaker is the circuit breaker of one minion. It keeps requests away from a
 // minion that fails or is slow.
 type breaker struct {
-	open bool
-	// probing reports whether a probe is in flight.
-	probing  bool
-	openedAt time.Duration
+	open          bool
+	probeInFlight bool
+	openedAt      time.Duration
 	// backoff is the time from opening to the next probe.
 	backoff time.Duration
 	// closedAt is when the breaker last closed.
@@ -55,7 +54,7 @@
 // probeDue reports whether a request may be sent to the minion as the probe of an open
 // breaker.
 func (b *breaker) probeDue(idempotent bool, now time.Duration) bool {
-	if !b.open || b.probing {
+	if !b.open || b.probeInFlight {
 		return false
 	}
 	wait := b.backoff
@@ -74,7 +73,7 @@
 	b.backoff = min(maxBackoff, max(firstBackoff, 2*b.backoff))
 	b.open = true
 	b.openedAt = now
-	b.probing = false
+	b.probeInFlight = false
 }
 
 // reset closes the breaker and clears its failure counts and average service time.
@@ -90,7 +89,7 @@
 // attract all requests. A minion that is slow or never responds would hold its slots
 // and the requests in them. Either fault opens the breaker, after which only single
 // probes are sent to the minion until one succeeds and isn't too slow.
-func (b *breaker) observe(a attempt, typicalTime time.Duration, mayTripOnRate bool, now time.Duration) (closed bool) {
+func (b *breaker) observe(a attemptResult, typicalTime time.Duration, mayTripOnRate bool, now time.Duration) (closed bool) {
 	if b.open {
 		return a.probe && b.finishProbe(a, typicalTime, now)
 	}
@@ -101,8 +100,9 @@
 	return false
 }
 
-// attempt is the result of one attempt.
-type attempt struct {
+// attemptResult is the result of one attempt. probe reports whether the attempt was a
+// probe of an open breaker.
+type attemptResult struct {
 	outcome Outcome
 	took    time.Duration
 	probe   bool
@@ -151,8 +151,8 @@
 
 // finishProbe closes the breaker after a successful probe and opens it again
 // after a failed or slow one. It returns whether the breaker closed.
-func (b *breaker) finishProbe(a attempt, typicalTime, now time.Duration) bool {
-	b.probing = false
+func (b *breaker) finishProbe(a attemptResult, typicalTime, now time.Duration) bool {
+	b.probeInFlight = false
 	if a.outcome.failed() || (a.outcome == Answered && tooSlow(a.took, typicalTime)) {
 		b.trip(now)
 		return false
--- a/routing/estimate.go
+++ b/routing/estimate.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// estimateWindow is the length of one of the estimateWindowParts histograms
+	// histogramDuration is the length of one of the histogramCount histograms
 	// of the sliding window.
-	estimateWindow      = 2 * time.Second
-	estimateWindowParts = 3
+	histogramDuration = 2 * time.Second
+	histogramCount    = 3
 	// estimateInterval is how often the mean and the percentile are recomputed.
 	estimateInterval = 100 * time.Millisecond
 	// earlySamples is the number of samples below which mean and tail are recomputed
@@ -48,7 +48,7 @@
 
 // newEstimator returns an estimator whose mean and tail are first until it has samples.
 func newEstimator(first time.Duration, now time.Duration) *estimator {
-	window := hdrhistogram.NewWindowed(estimateWindowParts, 1, maxServiceTime.Microseconds(), significantDigits)
+	window := hdrhistogram.NewWindowed(histogramCount, 1, maxServiceTime.Microseconds(), significantDigits)
 	return &estimator{window: window, rotatedAt: now, refreshedAt: now, addedAt: now, mean: first, tail: first}
 }
 
@@ -78,19 +78,19 @@
 
 // slide drops the parts of the window that have expired.
 func (e *estimator) slide(now time.Duration) {
-	passed := int((now - e.rotatedAt) / estimateWindow)
+	passed := int((now - e.rotatedAt) / histogramDuration)
 	if passed == 0 {
 		return
 	}
 	e.rotatedAt = now
-	for range min(passed, estimateWindowParts) {
+	for range min(passed, histogramCount) {
 		e.window.Rotate()
 	}
 }
 
 // stale reports whether the last sample is too old to be in the window.
 func (e *estimator) stale(now time.Duration) bool {
-	return now-e.addedAt >= estimateWindowParts*estimateWindow
+	return now-e.addedAt >= histogramCount*histogramDuration
 }
 
 // readWindow recomputes mean and tail from the window.
--- a/routing/service.go
+++ b/routing/service.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// spareSlotDemand is the number of slots beyond the current requests that an entry
+// headroomSlots is the number of slots beyond the current requests that an entry
 // instance demands, so that the next requests find a free slot.
-const spareSlotDemand = 2
+const headroomSlots = 2
 
 // customerLoad counts the requests of one customer for one service.
 type customerLoad struct {
@@ -58,7 +58,7 @@
 	if n == 0 {
 		return 0
 	}
-	return n + spareSlotDemand
+	return n + headroomSlots
 }
 
 // customer returns the request counts of a customer. It creates them if there are
--- a/routing/slot_lease.go
+++ b/routing/slot_lease.go
@@ -122,7 +122,7 @@
 // NextSlotRequest builds the next slot request. The caller must send it
 // immediately, because the lease in the response counts from now.
 func (b *Balancer) NextSlotRequest(now time.Duration) SlotRequest {
-	b.releaseLingering(now)
+	b.releaseLingeringSlots(now)
 	l := &b.lease
 	l.sequence++
 	l.sent = append(l.sent, sentRequest{sequence: l.sequence, sentAt: now})
