--- a/internal/conf/document.go
+++ b/internal/conf/document.go
@@ -44,7 +44,7 @@
 // divided quotas differently would together give a customer more than its limit.
 type QuotaDivision struct {
 	DataCentres []string
-	// Generation grows only when the quotas are to be divided again.
+	// Generation grows only when an operator has the quotas divided again.
 	Generation uint64
 }
 
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -26,8 +26,8 @@
 	roundDelay = 60 * time.Millisecond
 )
 
-// Configuration is the data centre name that stands for the voters of the configuration
-// log.
+// ConfigurationLog is the data centre name under which a Directory has the voters of the
+// configuration log.
 const ConfigurationLog = ""
 
 // Directory knows the instances of every data centre.
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -19,8 +19,8 @@
 
 func learner(id string) replica.Member { return replica.Member{ID: id, Learner: true} }
 
-// Each case has three voters as the wanted number. Members that aren't in sinceSeen have just
-// announced themselves.
+// Config.Voters is 3 in each case. sinceSeen has the time since the last announcement of a
+// member; a member that isn't in sinceSeen has just announced itself.
 func TestNextMembership(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/internal/node/inbox.go
+++ b/internal/node/inbox.go
@@ -49,9 +49,9 @@
 	return taken
 }
 
-// Step queues the messages of a payload that the Transport of the member from sent. It
-// returns an error for a payload that can't be decoded or holds messages of another
-// member. Replies to the messages go through this member's Transport.
+// Step queues the messages of a payload. from is the ID of the member whose Transport sent
+// the payload. Step returns an error for a payload that can't be decoded or holds messages
+// of another member. Replies to the messages go through this member's Transport.
 func (g *Group) Step(from string, payload []byte) error {
 	var messages []replica.Message
 	if err := payloadDecoder.Unmarshal(payload, &messages); err != nil {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -79,7 +79,7 @@
 	return g.maybeSnapshot()
 }
 
-// callsDue reports whether pending calls are to be processed now. If they have to wait,
+// callsDue reports whether pending calls must be processed now. If they have to wait,
 // it schedules a wake-up for when the interval is over.
 func (g *Group) callsDue(now time.Time) bool {
 	if g.calls.empty() {
@@ -180,11 +180,12 @@
 const diskFullRetryInterval = 100 * time.Millisecond
 
 // waitForDiskSpace waits before the next attempt to write to a full disk. It returns
-// false when the member isn't to try again.
+// false when the member must stop, or when Run has not been called yet.
 //
-// A disk may be full only for a short time. If the member failed, its whole process would
-// be restarted and fail again, ten times in 5 s. A member that waits acknowledges nothing,
-// and its leader lease expires by its own clock, as with a disk that stalls.
+// A disk may be full only for a short time. If the member failed instead, its whole process
+// would be restarted and fail again, ten times within 5 s. While the member waits, it
+// acknowledges nothing and its leader lease expires by its own clock, as on a disk that
+// stalls.
 func (g *Group) waitForDiskSpace() bool {
 	if g.runCtx == nil {
 		return false
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -159,7 +159,7 @@
 	core   *replica.Core
 	wal    *wal.WAL
 	logger log.Logger
-	// runCtx ends when the member is to stop; nil until Run. diskFullSince is when the
+	// runCtx ends when the member must stop; nil until Run. diskFullSince is when the
 	// disk was found full, zero while it has free space. Only Run uses the two.
 	runCtx        context.Context
 	diskFullSince time.Time
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -87,8 +87,8 @@
 func (g *Group) completeSnapshot(r snapshotResult) error {
 	g.snapshots.running = false
 	if errors.Is(r.err, syscall.ENOSPC) {
-		// The log continues without this snapshot. A later snapshot replaces it and
-		// needs no more disk space.
+		// The log continues without this snapshot, and a later snapshot covers its
+		// entries. The next Open removes the temporary file that the failed write left.
 		_ = g.logger.Log("event", "snapshot", "outcome", "failed", "err", r.err)
 		g.snapshots.notBefore = time.Now().Add(snapshotRetryDelay)
 		return nil
--- a/internal/wal/disk_full_test.go
+++ b/internal/wal/disk_full_test.go
@@ -13,7 +13,8 @@
 const (
 	// oneSegmentBytes is more than a test writes, so that the log has one segment.
 	oneSegmentBytes = 1 << 20
-	// partialRecordBytes is less than a record, which a write then leaves partial.
+	// partialRecordBytes is less than the size of a record, so that a write to the full
+	// disk leaves a partial record.
 	partialRecordBytes = 10
 	// freedBytes is more than a test writes after the disk has free space again.
 	freedBytes = 1 << 20
@@ -38,9 +39,9 @@
 	return n, syscall.ENOSPC
 }
 
-// The disk gets full in the middle of a record and has free space again after three waits,
-// which must not end the member. The record must then be written whole, and a restart must
-// read everything that was saved.
+// The disk gets full in the middle of a record and has free space again after three waits.
+// Save must not fail meanwhile and must write the whole record in the end, and a restart
+// must read everything that was saved.
 func TestSaveRetriesWhileDiskIsFull(t *testing.T) {
 	folder := t.TempDir()
 	w, _ := mustOpen(t, folder, oneSegmentBytes)
--- a/internal/wal/files.go
+++ b/internal/wal/files.go
@@ -124,8 +124,8 @@
 }
 
 // lockFolder takes the lock of a folder, or fails if another process has it. The records of
-// two writers would interleave, and both logs would read as damaged. The kernel releases
-// the lock when the process ends.
+// two writers would interleave, and Open would report damage. The kernel releases the lock
+// when the process ends.
 func lockFolder(folder string) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(folder, lockName), os.O_RDWR|os.O_CREATE, 0o640)
 	if err != nil {
--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -36,7 +36,7 @@
 // segment, or the entry index of a snapshot.
 //
 // The salt is random for each file and part of the checksum of every record in it. Without
-// the salt, bytes of a command that look like a whole record could pass for one if the
+// the salt, bytes of a command that look like a whole record could be read as one if the
 // record that contains the command is torn.
 type header struct {
 	magic    [8]byte
--- a/internal/wal/log_state.go
+++ b/internal/wal/log_state.go
@@ -45,7 +45,7 @@
 
 // rebase sets the base to the entry before the record's entries if these replace entries
 // up to the base, which were in a segment that has been removed. Otherwise a log whose
-// oldest segment replaces the end of a removed one would read as damaged.
+// oldest segment replaces the end of a removed one would be reported as damaged.
 func (s *logState) rebase(r *record) error {
 	if len(r.Entries) == 0 || r.Entries[0].Index > s.base.Index {
 		return nil
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -32,8 +32,8 @@
 	PreviousTerm uint64 `cbor:"6,keyasint,omitempty"`
 }
 
-// encoder and decoder encode the payloads of frames. decoder has no practical bound on the
-// length of arrays; the default of the library is 131,072 elements.
+// encoder encodes the payloads of frames and decoder decodes them. decoder has no practical
+// bound on the length of arrays; the default of the library is 131,072 elements.
 var (
 	encoder = newEncoder()
 	decoder = newDecoder()
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -68,7 +68,7 @@
 // write. A failed sync is never retried.
 func (w *WAL) OnDiskFull(wait func() bool) { w.onDiskFull = wait }
 
-// retry waits after a failed write and returns nil if the write is to be retried.
+// retry waits after a failed write and returns nil if the caller must retry the write.
 func (w *WAL) retry(err error) error {
 	switch {
 	case !errors.Is(err, syscall.ENOSPC) || w.onDiskFull == nil:
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -176,7 +176,7 @@
 		must.NoError(t, err)
 		end := int64(len(whole))
 		if i == len(files.segments)-1 {
-			end = start // damage to the last record of the last segment reads as a torn tail
+			end = start // damage to the last record of the last segment looks like a torn tail
 		}
 		for at := int64(0); at < end; at += offsetStep {
 			copyFolder(t, folder, damagedFolder)
@@ -216,7 +216,7 @@
 }
 
 // A command contains the bytes of a whole record, and the record that contains the
-// command is torn. If the bytes in the command passed for a record that declares earlier
+// command is torn. If the bytes in the command were read as a record that declares earlier
 // bytes synced, Open would report damage: a caller could make a member refuse to start.
 func TestRecordBytesInsideCommandAreNotARecord(t *testing.T) {
 	folder := t.TempDir()
--- a/lease/doc.go
+++ b/lease/doc.go
@@ -19,7 +19,7 @@
 // The worker keeps a [Holder], which records until when its lease lasts, and a
 // [Guard], which decides on every command. The worker must do the following:
 //
-//   - Count the lease from when it sent the renewal, and call [Holder.Valid]
+//   - Count the lease from when the worker sent the renewal, and call [Holder.Valid]
 //     before every step of a task and before every command.
 //   - Stop all tasks at [Holder.ExpiresAt].
 //   - When the lease has expired, or the owner reports that it has ended, stop
@@ -31,9 +31,9 @@
 // # Why no attempt runs twice
 //
 // Let a renewal be sent at s on the worker's clock and received at r on the
-// owner's; the event s is before the event r. The worker's lease by it ends at
-// s+ttl, and the owner counts until r+ttl+drift. While the worker's clock loses
-// less than drift against the owner's over ttl+drift, the worker's lease ends
+// owner's; the event s is before the event r. The lease granted for this renewal ends
+// at s+ttl for the worker and at r+ttl+drift for the owner. While the worker's clock
+// loses less than drift against the owner's over ttl+drift, the lease ends for the worker
 // first, however late the response arrives. A new leader has not seen the renewals
 // that the previous leader received. But the previous leader renewed leases only
 // while it could still commit decisions, which was before the new leader began. So
--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -440,8 +440,8 @@
 	}
 }
 
-// takeMessage loses, duplicates or delivers a message in the network, more often the
-// newest than another one.
+// takeMessage loses, duplicates or delivers a message in the network. In two of three
+// calls this is the newest message, otherwise a random one.
 func (m *model) takeMessage() {
 	if len(m.network) == 0 {
 		return
--- a/lease/table.go
+++ b/lease/table.go
@@ -154,8 +154,8 @@
 	return record != nil && record.granted && !record.ended && now < record.expiresAt-t.drift
 }
 
-// Incarnation returns the highest known incarnation of a worker, for the commands and
-// attempts assigned to the worker. It returns false if none is known.
+// Incarnation returns the highest known incarnation of a worker, to which the owner assigns
+// new attempts and commands. It returns false if none is known.
 func (t *Table) Incarnation(worker string) (uint64, bool) {
 	record := t.workers[worker]
 	if record == nil || record.incarnation == 0 {
@@ -181,8 +181,8 @@
 	return expired
 }
 
-// NextExpiry returns when the next lease expires. It returns false if there is no
-// lease that has not ended.
+// NextExpiry returns when the next lease expires. It returns false if all leases in the
+// table have ended.
 func (t *Table) NextExpiry() (time.Duration, bool) {
 	var next time.Duration
 	found := false
--- a/quota/demand_test.go
+++ b/quota/demand_test.go
@@ -36,8 +36,9 @@
 	// demandWeight is the weight of the newest value in the moving average of
 	// demand.
 	demandWeight = 0.02
-	// minMissingCPU is the least shortfall of its share, in thousandths of a core,
-	// for which a data centre requests slots in the proportional strategy.
+	// minMissingCPU is the least amount, in thousandths of a core, by which the
+	// allotment of a data centre must be below its share before the data centre requests
+	// slots in the proportional strategy.
 	minMissingCPU = taskCPU / 4
 )
 
@@ -235,8 +236,8 @@
 }
 
 // share is the proportional strategy: every epochTicks all data centres exchange their
-// moving averages of demand, and those below their share request slots from those
-// above their own.
+// moving averages of demand, and those with less than their fair share request slots from
+// those with more than theirs.
 func (m *simulation) share(i int, c *centre) {
 	if m.tick%epochTicks != 0 {
 		return
@@ -288,7 +289,7 @@
 	}
 }
 
-// requestTransfer sends a transfer request, its reply and the acknowledgement. reserve
+// requestTransfer sends a transfer request, the response and the acknowledgement. reserve
 // is the reserve of the donor for each demand; only the proportional strategy uses it.
 func (m *simulation) requestTransfer(from int, request quota.TransferRequest, reserve []placement.Resources) {
 	to := slices.Index(m.centreNames, request.To)
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -90,8 +90,9 @@
 type state struct {
 	Self   string `cbor:"1,keyasint"`
 	Config Config `cbor:"2,keyasint"`
-	// Owned has the customers whose slots transfers have changed. The entry of
-	// a customer that leaves the configuration stays, because it may return.
+	// Owned has the slots of each customer whose slots were changed by a transfer. The
+	// entry of a customer that leaves the configuration stays, because the customer may
+	// return.
 	Owned map[string]*ownedSlots `cbor:"3,keyasint,omitempty"`
 	// LastSent has the last sequence number of the transfers sent to each data
 	// centre, and LastReceived the last one credited from it.
@@ -210,8 +211,8 @@
 	return units
 }
 
-// owned returns the owned slots of a customer: those that transfers have left, or
-// the initial slots if there were no transfers.
+// owned returns the slots of a customer that this data centre owns: those after the
+// transfers so far, or the initial slots if there were no transfers.
 func (l *Ledger) owned(customer string) ownedSlots {
 	if slots := l.state.Owned[customer]; slots != nil {
 		return *slots
--- a/quota/planner.go
+++ b/quota/planner.go
@@ -34,7 +34,8 @@
 	// Transfer is the transfer that the requesting data centre has not
 	// acknowledged; its Sequence is zero if there is none.
 	Transfer Transfer `cbor:"3,keyasint"`
-	// Availabilities are for the customers in the demands of the request.
+	// Availabilities says, for each customer in the demands of the request, what the
+	// data centre can spare.
 	Availabilities []Availability `cbor:"4,keyasint,omitempty"`
 }
 
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -138,7 +138,7 @@
 	must.NoError(t, b.Configure(config(2, 3)))
 }
 
-// Guards against work that waits forever although another data centre has spare
+// Guards against a demand that is never met although another data centre has spare
 // units: all reports are outdated when the next request is due, and each request goes
 // to the same data centre, which has nothing to spare.
 func TestPlannerRotatesDonors(t *testing.T) {
--- a/replica/append.go
+++ b/replica/append.go
@@ -252,8 +252,8 @@
 	c.tryTransfer(m.From)
 }
 
-// clearLagging clears the lagging mark of a member that holds all committed entries, so
-// that commits wait for a disk voter again.
+// clearLagging clears the lagging mark of a member that holds all committed entries. If the
+// member is a disk voter, commits wait again until a disk voter has synced the entry.
 func (c *Core) clearLagging(p *progress) {
 	if p.match >= c.commit {
 		p.lagging = false
--- a/replica/coldstart.go
+++ b/replica/coldstart.go
@@ -24,7 +24,7 @@
 //
 // All this must hold in each membership from the last committed one that the candidate
 // knows to its latest. A deposed leader may have proposed, and failed to commit, the
-// removal of the member that leads now. Counted by that proposal alone, the remaining
+// removal of the member that leads now. If only that proposal counted, the remaining
 // members would be all voters, and two leaders and a lost commit would follow.
 
 // voterState is the state of a voter that matters for a cold start.
@@ -226,8 +226,8 @@
 	}
 }
 
-// incarnationsPerTerm is the number of incarnations that correspond to one term.
-// Incarnations are wall clock milliseconds, so it is about a second.
+// incarnationsPerTerm divides an incarnation, which is a wall clock in milliseconds, to
+// give a term. A term thus corresponds to about one second.
 const incarnationsPerTerm = 1024
 
 // skipLostTerms raises the term above all terms that only members without state knew.
--- a/replica/config.go
+++ b/replica/config.go
@@ -45,7 +45,7 @@
 	// MaxInflight bounds the appends in flight to one member. Default 16.
 	MaxInflight int
 	// KeepEntries is the number of entries before a snapshot that Compact keeps, so
-	// that a member that lags a little needs no snapshot.
+	// that a member that is a few entries behind needs no snapshot.
 	KeepEntries int
 	// KeepBytes bounds the total data of the entries that KeepEntries keeps, in bytes;
 	// 0 means no bound.
--- a/replica/core.go
+++ b/replica/core.go
@@ -187,8 +187,8 @@
 	c.electionTimeout = (minTimeout + c.rand.IntN(minTimeout)) * c.requestIntervalFactor()
 }
 
-// hasRecentLeader reports whether a leader's lease may still count on this member. It
-// is true just after a start as well, because the member may have answered a
+// hasRecentLeader reports whether a leader's lease may still be valid by a reply of this
+// member. It is true just after a start as well, because the member may have replied to a
 // heartbeat right before it stopped.
 func (c *Core) hasRecentLeader() bool {
 	return c.role == Leader || c.ticksSinceLeader < c.cfg.ElectionTicks
@@ -223,8 +223,8 @@
 func (c *Core) follow(term uint64, leader string) {
 	c.setTerm(term)
 	if c.role == Leader {
-		// Members may still count on the lease of this former leader, so it refuses
-		// votes for a whole election timeout.
+		// The lease of this former leader may still be valid, so it refuses votes for a
+		// whole election timeout.
 		c.ticksSinceLeader = 0
 		c.clearLeaderState()
 	}
--- a/replica/election.go
+++ b/replica/election.go
@@ -88,8 +88,8 @@
 }
 
 // ignoresVoteRequest reports whether a vote request is dropped without raising the
-// term. The lease of a leader that made contact within the election timeout may count
-// on this member, so only a vote request of a leadership transfer that this leader
+// term. If a leader made contact within the election timeout, its lease may be valid by a
+// reply of this member, so only a vote request of a leadership transfer that this leader
 // started may pass. This also keeps a removed or partitioned member from raising terms.
 func (c *Core) ignoresVoteRequest(m Message) bool {
 	return c.hasRecentLeader() && !m.Force
@@ -128,8 +128,8 @@
 
 // grantsVote reports whether to grant a vote request: one vote a term, and only for a
 // log that holds at least as much as this member's, so that a leader has every
-// committed entry. A recovering member can't judge that and grants only a cold start,
-// in which all the other voters judge as well.
+// committed entry. A recovering member can't compare the logs and grants only a cold
+// start, in which all the other voters compare theirs.
 func (c *Core) grantsVote(m Message) bool {
 	if c.vote != "" && c.vote != m.From {
 		return false
--- a/replica/incarnations.go
+++ b/replica/incarnations.go
@@ -14,7 +14,7 @@
 // The vector guards against the following failure. A diskless member votes or
 // acknowledges, fails and restarts without state. The message with its vote is still in
 // flight, so no other member can tell it about the vote. The delayed message then
-// completes a quorum, although its sender no longer keeps to the vote. To prevent this, a
+// completes a quorum, although its sender no longer remembers the vote. To prevent this, a
 // recovering member registers its new incarnation with a majority. Each quorum that the
 // delayed message could complete has another member in that majority. If the other member
 // replied to the recovering member before it voted, its vote names the new incarnation, so
--- a/replica/leader.go
+++ b/replica/leader.go
@@ -97,7 +97,7 @@
 }
 
 // leaseValid reports whether a majority replied to a message sent within the lease. The
-// lease runs from the sending, in the leader's own ticks.
+// lease starts when the message is sent and is measured in the leader's own ticks.
 func (c *Core) leaseValid() bool {
 	return c.now-c.quorumAckTick() < uint64(c.cfg.leaseTicks())
 }
--- a/replica/lease_test.go
+++ b/replica/lease_test.go
@@ -12,7 +12,7 @@
 }
 
 // A leader must not decide any more once its followers may elect another one. The lease
-// runs from the sending of the last heartbeat that a majority replied to. It ends at least
+// starts when the last heartbeat that a majority replied to was sent. It ends at least
 // two ticks, one for the position of each clock within a tick, before a follower that
 // received that heartbeat immediately may vote.
 func TestLeaseEndsBeforeVotes(t *testing.T) {
@@ -33,8 +33,8 @@
 }
 
 // A member replies to a heartbeat, restarts immediately and receives a vote request. The
-// leader's lease still counts on the member, so it must refuse its vote for a whole
-// election timeout after the start.
+// leader's lease is still valid by that reply, so the member must refuse its vote for a
+// whole election timeout after the start.
 func TestRestartedMemberRefusesVotes(t *testing.T) {
 	members := []Member{{ID: "n0", HasDisk: true}, {ID: "n1"}, {ID: "n2"}}
 	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: members}, StoredState{HardState: HardState{Term: 3, Incarnation: 1}})
--- a/replica/log.go
+++ b/replica/log.go
@@ -22,8 +22,9 @@
 	l := entryLog{prevIndex: stored.Snapshot.Index, prevTerm: stored.Snapshot.Term}
 	entries := slices.Clone(stored.Entries)
 	if len(entries) > 0 && entries[0].Index <= l.prevIndex {
-		// The entries up to the snapshot are kept for members that lag a little. The
-		// first of them only supplies the term that an append after it must name.
+		// The entries up to the snapshot are kept for members that are a few entries
+		// behind. The first of them becomes the entry before the log: an append names
+		// the index and term of the entry that it follows.
 		l.prevIndex, l.prevTerm = entries[0].Index, entries[0].Term
 		entries = entries[1:]
 	}
--- a/replica/recovery.go
+++ b/replica/recovery.go
@@ -14,7 +14,7 @@
 //
 // The members that replied must be a majority in each membership of the replying leader,
 // from its last committed one on. A deposed leader may have proposed, and failed to commit, the
-// removal of the very member that leads now. Counted by that proposal alone, the
+// removal of the very member that leads now. If only that proposal counted, the
 // quorum of the lost votes and this majority needn't share a member, and two leaders
 // of one term or a lost commit would follow. Every change after the committed membership
 // needed a quorum of the committed membership first, so a majority of the latter shares a
@@ -191,6 +191,7 @@
 	c.role = Follower
 	c.recovery = recovery{}
 	c.incarnations.merge(MemberIncarnation{ID: c.cfg.ID, Participated: true})
-	// The leader's lease counts on this member from its first acknowledgement on.
+	// From its first acknowledgement on, this member's replies extend the leader's lease,
+	// so it must refuse votes for an election timeout.
 	c.ticksSinceLeader = 0
 }
--- a/replica/recovery_test.go
+++ b/replica/recovery_test.go
@@ -57,7 +57,7 @@
 // entry. n2 votes for n1, acknowledges n1's commits and restarts without state. n0,
 // which still believes that it leads, replies to n2's state request. If n2 counted by the
 // proposed membership, whose only voters are n0 and n2, it would acknowledge entries to
-// n0, and work accepted by n1 would be lost.
+// n0, and commands committed by n1 would be lost.
 func TestRecoveryCountsCommittedMembership(t *testing.T) {
 	s := newSimWithDeposedLeader(t, simOptions{voters: 3}, true)
 	s.restartN2WithoutState()
@@ -70,8 +70,8 @@
 
 // n0, which has a disk, is partitioned as leader with an uncommitted removal of n1 and
 // steps down. n0 considers a cold start with n2, which has lost its state. If it counted
-// by the proposed membership, n0 and n2 would be all voters, and work accepted by n1 would
-// be lost.
+// by the proposed membership, n0 and n2 would be all voters, and commands committed by n1
+// would be lost.
 func TestColdStartCountsCommittedMembership(t *testing.T) {
 	s := newSimWithDeposedLeader(t, simOptions{voters: 3, disks: 1}, false)
 	s.restartN2WithoutState()
@@ -122,7 +122,7 @@
 // to n2 are duplicated, and the duplicates are delayed. n0 is partitioned, n2 leads a
 // later term and commits with n1, then n2 restarts without state and receives the
 // duplicates. If n2 granted the cold start again, it would recover with n0's old log and
-// elect n0 in a term that had a leader, and accepted work would be lost.
+// elect n0 in a term that had a leader, and acknowledged commands would be lost.
 func TestColdStartVoteIsBoundToIncarnation(t *testing.T) {
 	s := newSim(scenarioSeed, simOptions{voters: 3, disks: 1})
 	var delayed []Message
--- a/replica/safety_test.go
+++ b/replica/safety_test.go
@@ -86,8 +86,8 @@
 
 // Entry 2 of an earlier term is on a majority, but the leader's own entry isn't. A
 // member with an entry of a later term at index 2 could still win the next election
-// and replace entry 2. If entry 2 were reported as committed, accepted work would
-// disappear.
+// and replace entry 2. If entry 2 were reported as committed, an acknowledged
+// command would be lost.
 func TestEarlierTermCommitsOnlyWithOwnTerm(t *testing.T) {
 	c := leaderCore(t, "n0", "n1", "n2")
 	stepFromPeer(t, c, Message{Type: MsgAppendReply, From: "n1", Term: 4, Index: 2, Tick: c.now})
--- a/replica/scenario_test.go
+++ b/replica/scenario_test.go
@@ -12,7 +12,7 @@
 	// proposed entries need to reach all members, both in steps.
 	maxElectionSteps = 400
 	replicationSteps = 30
-	// noRestartSteps is a downtime in steps that no scenario outlasts.
+	// noRestartSteps is a downtime in steps that is longer than any scenario.
 	noRestartSteps = 100000
 )
 
@@ -107,7 +107,7 @@
 // Of three diskless members one is partitioned while the other two commit. Then the leader
 // is partitioned, and the remaining member restarts without state and reaches the first
 // partitioned member again. If the restarted member voted immediately, these two would
-// elect a leader that lacks the committed entries, and accepted work would be lost.
+// elect a leader that lacks the committed entries, and acknowledged commands would be lost.
 func TestMemberWithoutStateDoesNotVoteBeforeRecovery(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3})
 	l := s.leader()
@@ -181,7 +181,7 @@
 func roleOf(n *simNode) Role { return n.core.Status().Role }
 
 // While the disk member is responsive, no entry may be reported as committed that isn't on
-// a disk, or a loss of power would revoke a result that a caller has received. When the
+// a disk, or a loss of power could remove an entry whose result a caller has received. When the
 // disk member is lost, the others must continue and report Degraded.
 func TestCommitWaitsForDiskVoter(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3, disks: 1})
--- a/replica/types.go
+++ b/replica/types.go
@@ -105,15 +105,16 @@
 	HardState *HardState
 	// Snapshot was received from another member; nil when there is none.
 	Snapshot *Snapshot
-	// Entries are to be appended. An entry whose index is already stored replaces
-	// that entry and all later ones.
+	// Entries are the entries to append to the stored log. An entry whose index is
+	// already stored replaces that entry and all later ones.
 	Entries []Entry
-	// Committed entries are to be applied, in order, each exactly once.
+	// Committed has the committed entries to apply, in order, each exactly once.
 	Committed []Entry
-	// Messages are to be sent after the sync, except those whose BeforeSync method
+	// Messages must be sent after the sync, except those whose BeforeSync method
 	// reports true; these may be sent immediately.
 	Messages []Message
-	// Reads are confirmed; each may return once Status.Applied reaches its Index.
+	// Reads has the confirmed read requests. Each may return once Status.Applied reaches
+	// its Index.
 	Reads []ReadState
 	// MustSync is false when only the commit index changed and no membership became
 	// committed. A restart learns the commit index again from the leader.
@@ -144,7 +145,7 @@
 	First   uint64
 	Members []Member
 	// CanDecide is true only on a leader that has committed an entry of its term and
-	// whose lease is valid: a majority answered a message sent within the lease,
+	// whose lease is valid: a majority replied to a message sent within the lease,
 	// counted in the leader's own ticks.
 	CanDecide bool
 	// Degraded is true on a leader when no voter with a disk acknowledges entries.
--- a/routing/admit.go
+++ b/routing/admit.go
@@ -16,9 +16,9 @@
 // queued ticket of a customer with more requests.
 //
 // Guards against congestion collapse: under overload every request of a long queue
-// misses its deadline, and the work done for the request is wasted. Requests that
-// can't start in time according to the measured service times are refused before they
-// use a slot.
+// misses its deadline, so the minions process requests whose responses are useless.
+// Requests that can't start in time according to the measured service times are refused
+// before they use a slot.
 func (b *Balancer) admit(s *service, t *Ticket, now time.Duration) {
 	s.serviceTimes.refresh(now)
 	slots := b.usableSlots(s, now)
--- a/routing/allocator.go
+++ b/routing/allocator.go
@@ -39,8 +39,9 @@
 
 	leading bool
 	term    uint64
-	// reservedUntil is when every grant of an earlier leader has expired and every
-	// request started under such a grant has ended.
+	// reservedUntil is when the slots that an earlier leader may have granted stop being
+	// reserved: when every such grant has expired and every request started under one
+	// has ended, or earlier if all entry instances have claimed their slots.
 	reservedUntil time.Duration
 	// unclaimed has the entry instances that have not yet reported to this leader the
 	// slots granted to them in earlier terms.
@@ -194,7 +195,8 @@
 	return m
 }
 
-// reservationActive reports whether slots of an earlier leader are still reserved.
+// reservationActive reports whether the slots that an earlier leader may have granted are
+// still reserved.
 func (a *Allocator) reservationActive(now time.Duration) bool { return now < a.reservedUntil }
 
 // Allocate decides on a slot request of an entry instance and returns the response. Its
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// minAttemptFactor times the tail service time is the shortest attempt whose
-// timeout counts as a failure of the minion. A shorter attempt started close to
-// its deadline and is no evidence against the minion.
+// minAttemptFactor times the tail service time is the duration from which on the timeout
+// of an attempt counts as a failure of the minion. An attempt that times out earlier was
+// started close to its deadline, and a healthy minion may need longer.
 const minAttemptFactor = 2
 
 // Retry queues a finished request again; o is how its last attempt ended. Retry returns
--- a/routing/estimate.go
+++ b/routing/estimate.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// histogramDuration is the length of one of the histogramCount histograms
-	// of the sliding window.
+	// histogramDuration is the time that one histogram covers. The sliding window
+	// consists of histogramCount histograms.
 	histogramDuration = 2 * time.Second
 	histogramCount    = 3
 	// estimateInterval is how often the mean and the percentile are recomputed.
--- a/routing/load_test.go
+++ b/routing/load_test.go
@@ -109,8 +109,7 @@
 
 // loadRun is a discrete event simulation of callers, entry instances, a leader and
 // minions. Requests completed in time count as good, those completed later as late, and
-// those whose last attempt failed as lost. Fields named other count only requests that
-// aren't of the flooding customer.
+// those whose last attempt failed as lost.
 type loadRun struct {
 	loadCase
 	rng        *rand.Rand
@@ -123,6 +122,8 @@
 	minions    map[string]*loadMinion
 	minionList []*loadMinion
 
+	// offered counts the requests of callers, good those of them completed in time.
+	// otherOffered and otherGood count the same without the flooding customer.
 	offered, good, otherOffered, otherGood int
 	refused, late, lost                    int
 	goodBySecond                           [maxLoadSeconds]int
--- a/routing/minion.go
+++ b/routing/minion.go
@@ -7,9 +7,9 @@
 
 const (
 	// hangFactor times the tail service time is the age of a minion's oldest
-	// request above which the minion counts as hanging, once the estimate rests
-	// on hangSamples samples. hangFloor is the least such age; it prevents false
-	// positives of fast services.
+	// request above which the minion counts as hanging, once the service times are
+	// estimated from at least hangSamples samples. hangFloor is the least such age; it
+	// prevents false positives for fast services.
 	hangFactor  = 6
 	hangFloor   = 250 * time.Millisecond
 	hangSamples = 20
--- a/routing/occupied.go
+++ b/routing/occupied.go
@@ -102,8 +102,8 @@
 	return e.grantSets[len(e.grantSets)-1].slots
 }
 
-// adoptedGrants returns the grants that the entry instance is known to have
-// adopted. It returns false if they are no longer recorded.
+// adoptedGrants returns the grants of the response that the entry instance last reported
+// as adopted. It returns false if the grants are no longer recorded.
 func (e *entryRecord) adoptedGrants() (map[uint32]int, bool) {
 	for _, s := range e.grantSets {
 		if s.sequence == e.adopted {
@@ -118,9 +118,10 @@
 // Guards against granting a slot twice: a response that takes slots away may be
 // lost, and requests that started before a lease expired may still run. The
 // occupied slots of a minion are therefore the maximum of its grants in every response
-// that may be in use and of the reported requests in flight. A response may be in use
-// until a later one is known to be adopted, or until its lease and the longest request
-// started under the lease have ended.
+// that the entry instance may be using and of the reported requests in flight. The entry
+// instance may be using a response until it has reported that it adopted a later one, or
+// until the lease of the response and the longest request started under the lease have
+// ended.
 func (a *Allocator) updateOccupied(e *entryRecord, now time.Duration) {
 	ownOccupied := make(map[uint32]int)
 	e.nextFreeAt = farFuture
@@ -146,7 +147,7 @@
 }
 
 // addTerminated adds the slots of terminated processes to occupied, and drops the
-// processes whose slots are released by now.
+// processes whose slots have been released.
 func (a *Allocator) addTerminated(e *entryRecord, occupied map[uint32]int, now time.Duration) {
 	kept := e.terminated[:0]
 	for _, process := range e.terminated {
--- a/routing/options.go
+++ b/routing/options.go
@@ -99,7 +99,7 @@
 	// also the reason if no leader has responded yet and requests have named too
 	// many services.
 	QueueFull
-	// TooLate: the request can't be answered by its deadline.
+	// TooLate: the request can't be completed by its deadline.
 	TooLate
 	// OverShare: the queue of the service is full or its wait too long, and the
 	// customer has the most requests.
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -35,8 +35,9 @@
 	return m.inFlight() < m.slotLimit(b.opts.SlowStart, now) && b.usable(s, m, now)
 }
 
-// pick selects a minion for the ticket. It returns nil if no slot is free. The
-// minion of the failed attempt is selected only if no other has a free slot.
+// pick selects a minion for the ticket. It returns nil if no slot is free. For a retry,
+// the minion of the ticket's previous attempt is selected only if no other minion has a
+// free slot.
 func (b *Balancer) pick(s *service, t *Ticket, now time.Duration) *minion {
 	if now >= b.lease.expiresAt {
 		return nil
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -35,8 +35,8 @@
 	return f
 }
 
-// exchangeSlotRequests delivers slot requests and their responses until no further
-// request must follow.
+// exchangeSlotRequests delivers slot requests and their responses until the Balancer
+// needs no further request, or the Allocator refuses one.
 func (f *fixture) exchangeSlotRequests() {
 	for again := true; again; {
 		resp, err := f.allocator.Allocate(f.balancer.NextSlotRequest(f.now), f.now)
@@ -69,7 +69,8 @@
 }
 
 // Guards against sending requests to a minion that left or died. The entry instance
-// learns of that from the minion, from missing announcements or from the leader.
+// learns that the minion is gone from the minion itself, from missing announcements or
+// from the leader.
 func TestNoRequestsToLeavingMinion(t *testing.T) {
 	leaveReceived := newFixture(1, 8)
 	must.Eq(t, Started, leaveReceived.submit(time.Second).State())
@@ -295,8 +296,9 @@
 	must.Eq(t, 1, f.balancer.InFlight())
 }
 
-// Guards against delayed or duplicated slot requests and responses, also of a replaced
-// leader, by which an entry instance gets slots that others hold by now.
+// Guards against granting a slot to two entry instances: a slot request or response that
+// is delayed, duplicated or of a replaced leader takes effect after the slots were granted
+// to another entry instance.
 func TestStaleSlotMessagesAreIgnored(t *testing.T) {
 	f := newFixture(1, 8)
 	oldRequest := f.balancer.NextSlotRequest(f.now)
--- a/routing/service.go
+++ b/routing/service.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// headroomSlots is the number of slots beyond the current requests that an entry
-// instance demands, so that the next requests find a free slot.
+// headroomSlots is the number of slots that an entry instance demands for a service in
+// addition to one for each current request, so that the next requests find a free slot.
 const headroomSlots = 2
 
 // customerLoad counts the requests of one customer for one service.
--- a/routing/types.go
+++ b/routing/types.go
@@ -70,13 +70,14 @@
 	Full bool
 	// Demands lists the services of which the entry instance could use slots.
 	Demands []ServiceDemand
-	// Loads lists the minions with requests in flight, by their numbers in Term.
+	// Loads lists the minions with requests in flight.
 	Loads  []MinionLoad
 	Claims []Claim
-	// Alive lists the minions that announced themselves since the last request,
-	// by their numbers in Term.
+	// Alive lists the minions that announced themselves since the last request, by the
+	// numbers that the leader of Term gave them.
 	Alive []uint32
-	// Announcements lists the announcements that the leader may not have.
+	// Announcements lists the announcements of minions that the leader may not have
+	// received.
 	Announcements []Announcement
 	// ReleaseAll reports whether the entry instance is draining and gives up
 	// all slots.
