--- a/internal/conf/register.go
+++ b/internal/conf/register.go
@@ -187,36 +187,36 @@
 }
 
 // duplicateOutcome returns the outcome of a write whose request ID was used before: that of
-// the first response, or Conflict if the content differs.
-func (r *Register) duplicateOutcome(first recordedResponse, digest []byte) Outcome {
-	if string(first.Digest) != string(digest) {
-		return Outcome{Err: fault.New(fault.Conflict, "request id %q was used before with other content", first.RequestID)}
+// firstResponse, the first response to the request ID, or Conflict if the content differs.
+func (r *Register) duplicateOutcome(firstResponse recordedResponse, digest []byte) Outcome {
+	if string(firstResponse.Digest) != string(digest) {
+		return Outcome{Err: fault.New(fault.Conflict, "request id %q was used before with other content", firstResponse.RequestID)}
 	}
-	if first.Version == 0 {
-		return Outcome{Err: fault.New(first.Kind, "%s", first.Message)}
+	if firstResponse.Version == 0 {
+		return Outcome{Err: fault.New(firstResponse.Kind, "%s", firstResponse.Message)}
 	}
 	for _, config := range r.history {
-		if config.Version == first.Version {
+		if config.Version == firstResponse.Version {
 			return Outcome{Config: config}
 		}
 	}
 	// The history no longer holds this version. The caller needs only the number.
-	return Outcome{Config: Config{Version: first.Version}}
+	return Outcome{Config: Config{Version: firstResponse.Version}}
 }
 
 // applyWrite puts the document of w in force or refuses w. It records the response, except
 // to a write that is too large. r.mu must be held.
 func (r *Register) applyWrite(w wireWrite, digest []byte) Outcome {
 	current := r.holder.Current()
-	first := recordedResponse{RequestID: w.RequestID, Digest: digest}
+	response := recordedResponse{RequestID: w.RequestID, Digest: digest}
 	switch {
 	case len(w.Document) > MaxDocumentBytes || len(w.RequestID) > maxRequestIDBytes || len(w.Author) > maxAuthorBytes:
 		return Outcome{Err: fault.New(fault.Invalid, "the configuration command is too large")}
 	case w.Expected != current.Version:
 		err := fault.New(fault.Conflict, "expected version %d, the current version is %d", w.Expected, current.Version)
-		first.Kind = fault.Conflict
-		first.Message = fault.From(err).Message
-		r.recordResponse(first)
+		response.Kind = fault.Conflict
+		response.Message = fault.From(err).Message
+		r.recordResponse(response)
 		return Outcome{Err: err}
 	}
 	next := withParsedDocument(current, Config{
@@ -227,8 +227,8 @@
 	})
 	r.appendHistory(next.withoutDocument())
 	r.holder.Set(next)
-	first.Version = next.Version
-	r.recordResponse(first)
+	response.Version = next.Version
+	r.recordResponse(response)
 	return Outcome{Config: next}
 }
 
@@ -263,12 +263,12 @@
 
 // recordResponse keeps the first response to a request ID and drops the oldest beyond
 // maxResponses. r.mu must be held.
-func (r *Register) recordResponse(first recordedResponse) {
-	if first.RequestID == "" {
+func (r *Register) recordResponse(response recordedResponse) {
+	if response.RequestID == "" {
 		return
 	}
-	r.responseNumbers[first.RequestID] = r.droppedResponses + len(r.responses)
-	r.responses = append(r.responses, first)
+	r.responseNumbers[response.RequestID] = r.droppedResponses + len(r.responses)
+	r.responses = append(r.responses, response)
 	if len(r.responses) <= maxResponses {
 		return
 	}
--- a/internal/wal/disk_full_test.go
+++ b/internal/wal/disk_full_test.go
@@ -20,19 +20,19 @@
 	freedBytes = 1 << 20
 )
 
-// limitedFile accepts a number of bytes, free, like a file on a disk that is almost full.
+// limitedFile accepts freeBytes more bytes, like a file on a disk that is almost full.
 type limitedFile struct {
 	segmentFile
-	free int
+	freeBytes int
 }
 
 func (f *limitedFile) Write(p []byte) (int, error) {
-	if len(p) <= f.free {
-		f.free -= len(p)
+	if len(p) <= f.freeBytes {
+		f.freeBytes -= len(p)
 		return f.segmentFile.Write(p)
 	}
-	n, err := f.segmentFile.Write(p[:f.free])
-	f.free = 0
+	n, err := f.segmentFile.Write(p[:f.freeBytes])
+	f.freeBytes = 0
 	if err != nil {
 		return n, err
 	}
@@ -46,13 +46,13 @@
 	folder := t.TempDir()
 	w, _ := mustOpen(t, folder, oneSegmentBytes)
 	saveOneByOne(t, w, &replica.HardState{Term: 1}, entryRange(1, 3, 1))
-	full := &limitedFile{segmentFile: w.file, free: partialRecordBytes}
+	full := &limitedFile{segmentFile: w.file, freeBytes: partialRecordBytes}
 	w.file = full
 	waits := 0
 	w.OnDiskFull(func() bool {
 		waits++
 		if waits == 3 {
-			full.free = freedBytes
+			full.freeBytes = freedBytes
 		}
 		return true
 	})
@@ -68,7 +68,7 @@
 	folder := t.TempDir()
 	w, _ := mustOpen(t, folder, oneSegmentBytes)
 	saveOneByOne(t, w, &replica.HardState{Term: 1}, entryRange(1, 3, 1))
-	w.file = &limitedFile{segmentFile: w.file, free: partialRecordBytes}
+	w.file = &limitedFile{segmentFile: w.file, freeBytes: partialRecordBytes}
 	w.OnDiskFull(func() bool { return false })
 	for range 2 {
 		err := w.Save(nil, entryRange(4, 4, 1), true)
--- a/quota/demand_test.go
+++ b/quota/demand_test.go
@@ -173,13 +173,13 @@
 // mayStart reports whether a data centre may start one more task of a customer.
 func (m *simulation) mayStart(c *centre, customer int) bool {
 	if m.pool {
-		return m.total(customer)+taskCPU <= simLimit
+		return m.totalUsed(customer)+taskCPU <= simLimit
 	}
 	return c.used[customer]+taskCPU <= c.ledger.Allotment(m.customerIDs[customer]).CPU
 }
 
-// total returns a customer's usage over all data centres.
-func (m *simulation) total(customer int) int64 {
+// totalUsed returns a customer's usage over all data centres.
+func (m *simulation) totalUsed(customer int) int64 {
 	var sum int64
 	for _, c := range m.centres {
 		sum += c.used[customer]
@@ -197,7 +197,7 @@
 			end := m.tick + 1 + int(m.random.ExpFloat64()*taskSeconds*ticksPerSec)
 			c.endingTasks[end] = append(c.endingTasks[end], customer)
 		}
-		if len(c.queue[customer]) > 0 && m.total(customer)+taskCPU <= simLimit {
+		if len(c.queue[customer]) > 0 && m.totalUsed(customer)+taskCPU <= simLimit {
 			m.avoidableWaitTicks++
 		}
 	}
@@ -214,7 +214,7 @@
 		c.demand[customer] += demandWeight * (currentDemand - c.demand[customer])
 	}
 	if m.proportional {
-		m.share(i, c)
+		m.requestFairShares(i, c)
 		return
 	}
 	if m.tick%ticksPerSec == 0 {
@@ -235,10 +235,10 @@
 	}
 }
 
-// share is the proportional strategy: every epochTicks all data centres exchange their
-// moving averages of demand, and those with less than their fair share request slots from
-// those with more than theirs.
-func (m *simulation) share(i int, c *centre) {
+// requestFairShares is the proportional strategy: every epochTicks all data centres
+// exchange their moving averages of demand, and those with less than their fair share
+// request slots from those with more than theirs.
+func (m *simulation) requestFairShares(i int, c *centre) {
 	if m.tick%epochTicks != 0 {
 		return
 	}
--- a/routing/allocate.go
+++ b/routing/allocate.go
@@ -67,25 +67,25 @@
 // is served with max-min fairness. Capacity beyond the demand is spread evenly,
 // so that every entry instance can serve a burst before its next renewal.
 func (a *Allocator) fairShare(e *entryRecord, g *serviceGroup, now time.Duration) int {
-	demands, own := a.demands(e, g.name, now)
+	demands, ownIndex := a.demands(e, g.name, now)
 	shares := waterFill(g.capacity, demands)
-	return shares[own]
+	return shares[ownIndex]
 }
 
 // demands returns the demands of e and all live entry instances for a service, and the
 // index of e's demand among them.
-func (a *Allocator) demands(e *entryRecord, service string, now time.Duration) (demands []int, own int) {
+func (a *Allocator) demands(e *entryRecord, service string, now time.Duration) (demands []int, ownIndex int) {
 	for _, id := range a.sortedEntries {
 		other := a.entries[id]
 		if other != e && !a.live(other, now) {
 			continue
 		}
 		if other == e {
-			own = len(demands)
+			ownIndex = len(demands)
 		}
 		demands = append(demands, other.demand[service])
 	}
-	return demands, own
+	return demands, ownIndex
 }
 
 // live reports whether the entry instance has claimed its slots, isn't draining
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -71,7 +71,7 @@
 		b.refuse(nil, t, Draining, now)
 		return t
 	}
-	if !ok && b.lease.everAnswered {
+	if !ok && b.lease.everAdopted {
 		b.refuse(nil, t, NoSuchService, now)
 		return t
 	}
--- a/routing/estimate.go
+++ b/routing/estimate.go
@@ -46,10 +46,11 @@
 	tail time.Duration
 }
 
-// newEstimator returns an estimator whose mean and tail are first until it has samples.
-func newEstimator(first time.Duration, now time.Duration) *estimator {
+// newEstimator returns an estimator whose mean and tail are initialTime until it has
+// samples.
+func newEstimator(initialTime time.Duration, now time.Duration) *estimator {
 	window := hdrhistogram.NewWindowed(histogramCount, 1, maxServiceTime.Microseconds(), significantDigits)
-	return &estimator{window: window, rotatedAt: now, refreshedAt: now, addedAt: now, mean: first, tail: first}
+	return &estimator{window: window, rotatedAt: now, refreshedAt: now, addedAt: now, mean: initialTime, tail: initialTime}
 }
 
 // add records a service time.
--- a/routing/load_test.go
+++ b/routing/load_test.go
@@ -349,7 +349,7 @@
 		q := t.Tag.(*loadRequest)
 		switch t.State() {
 		case routing.Started:
-			r.started(q, t)
+			r.simulateAttempt(q, t)
 		case routing.Refused:
 			r.retryRefused(q, t.Refusal().RetryAfter)
 		}
@@ -379,8 +379,8 @@
 	return took
 }
 
-// started simulates a started request on its minion.
-func (r *loadRun) started(q *loadRequest, t *routing.Ticket) {
+// simulateAttempt simulates a started request on its minion.
+func (r *loadRun) simulateAttempt(q *loadRequest, t *routing.Ticket) {
 	m := r.minions[q.balancer.Target(t).Minion]
 	attemptDeadline := q.balancer.AttemptDeadline(t)
 	if r.measured() {
@@ -391,21 +391,21 @@
 	}
 	switch m.fault {
 	case gone:
-		r.schedule(r.now+2*oneWayDelay, func() { r.finished(q, routing.NotSent) })
+		r.schedule(r.now+2*oneWayDelay, func() { r.finishAttempt(q, routing.NotSent) })
 	case failing:
-		r.schedule(r.now+2*oneWayDelay, func() { r.finished(q, routing.AnsweredFailure) })
+		r.schedule(r.now+2*oneWayDelay, func() { r.finishAttempt(q, routing.AnsweredFailure) })
 	case hanging:
 		m.requestStarted()
-		r.schedule(attemptDeadline, func() { m.busy--; r.finished(q, routing.TimedOut) })
+		r.schedule(attemptDeadline, func() { m.busy--; r.finishAttempt(q, routing.TimedOut) })
 	default:
 		m.requestStarted()
 		end := r.now + 2*oneWayDelay + r.serviceTime(m)
 		r.schedule(end, func() { m.busy-- })
 		if end > attemptDeadline {
-			r.schedule(attemptDeadline, func() { r.finished(q, routing.TimedOut) })
+			r.schedule(attemptDeadline, func() { r.finishAttempt(q, routing.TimedOut) })
 			return
 		}
-		r.schedule(end, func() { r.finished(q, routing.Answered) })
+		r.schedule(end, func() { r.finishAttempt(q, routing.Answered) })
 	}
 }
 
@@ -415,8 +415,8 @@
 	m.maxBusy = max(m.maxBusy, m.busy)
 }
 
-// finished ends an attempt and retries it where allowed.
-func (r *loadRun) finished(q *loadRequest, o routing.Outcome) {
+// finishAttempt ends an attempt and retries the request where allowed.
+func (r *loadRun) finishAttempt(q *loadRequest, o routing.Outcome) {
 	if !q.alive() {
 		return
 	}
--- a/routing/model_test.go
+++ b/routing/model_test.go
@@ -248,10 +248,10 @@
 // submit submits a burst of requests to an entry instance.
 func (m *model) submit(t *rapid.T) {
 	e := m.drawEntry()
-	left := time.Duration(rapid.IntRange(1, 12).Draw(t, "deadline")) * time.Second
+	untilDeadline := time.Duration(rapid.IntRange(1, 12).Draw(t, "deadline")) * time.Second
 	for range rapid.IntRange(1, 4).Draw(t, "burst") {
 		now := m.clock(e)
-		e.balancer.Submit(Request{Service: "s", Customer: "c", Deadline: now + left}, now)
+		e.balancer.Submit(Request{Service: "s", Customer: "c", Deadline: now + untilDeadline}, now)
 	}
 	m.collect(e)
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -56,9 +56,9 @@
 	f.exchangeSlotRequests()
 }
 
-// submit submits a request whose deadline is the duration left from now.
-func (f *fixture) submit(left time.Duration) *Ticket {
-	r := Request{Service: "s", Customer: "c", Deadline: f.now + left}
+// submit submits a request whose deadline is untilDeadline from now.
+func (f *fixture) submit(untilDeadline time.Duration) *Ticket {
+	r := Request{Service: "s", Customer: "c", Deadline: f.now + untilDeadline}
 	return f.balancer.Submit(r, f.now)
 }
 
@@ -145,8 +145,9 @@
 	// With a service time of 100 ms, a request that waits for a slot can't complete
 	// within shortDeadline.
 	const shortDeadline = 120 * time.Millisecond
-	// More than fewDelays of the 20 retry delays must differ.
-	const fewDelays = 15
+	// tooFewDelays is the number of different delays up to which the 20 retry delays
+	// count as not jittered.
+	const tooFewDelays = 15
 	f := newFixture(1, 2)
 	for range 40 {
 		f.finish(f.submit(time.Second), 100*time.Millisecond, Answered)
@@ -166,7 +167,7 @@
 		must.Eq(t, Refused, late.State())
 		retryDelays[late.Refusal().RetryAfter] = true
 	}
-	must.Greater(t, fewDelays, len(retryDelays))
+	must.Greater(t, tooFewDelays, len(retryDelays))
 }
 
 // Guards against a minion that fails immediately, so that it is always free and
--- a/routing/service.go
+++ b/routing/service.go
@@ -40,12 +40,12 @@
 }
 
 // newService returns a service without minions, whose estimated service time is
-// first.
-func newService(name string, first, now time.Duration) *service {
+// initialTime.
+func newService(name string, initialTime, now time.Duration) *service {
 	return &service{
 		name:         name,
 		customers:    make(map[string]*customerLoad),
-		serviceTimes: newEstimator(first, now),
+		serviceTimes: newEstimator(initialTime, now),
 	}
 }
 
@@ -202,13 +202,13 @@
 // minion, such as a customer's bad input, would open all breakers. A failure rate may
 // open a breaker only if at most half of the service's breakers are open after that.
 func (s *service) mayTripOnRate() bool {
-	open := 0
+	openCount := 0
 	for _, m := range s.minions {
 		if m.breaker.open {
-			open++
+			openCount++
 		}
 	}
-	return 2*(open+1) <= len(s.minions)
+	return 2*(openCount+1) <= len(s.minions)
 }
 
 // queueIndex returns the number of tickets queued before t.
--- a/routing/slot_lease.go
+++ b/routing/slot_lease.go
@@ -31,9 +31,9 @@
 	// fullRequestNeeded reports whether the next request must list all held
 	// slots.
 	fullRequestNeeded bool
-	// everAnswered reports whether a leader's response was adopted since the
+	// everAdopted reports whether a leader's response was adopted since the
 	// start of the process.
-	everAnswered bool
+	everAdopted bool
 	// sent has the most recent slot requests, oldest first.
 	sent []sentRequest
 	// released reports whether the entry instance is draining and has given up
@@ -320,7 +320,7 @@
 	l.adopted = resp.Sequence
 	l.expiresAt = sent + resp.Lease
 	l.fullRequestNeeded = false
-	l.everAnswered = true
+	l.everAdopted = true
 	b.deleteGoneMinions(now)
 	return shrunk
 }
