--- a/internal/conf/register.go
+++ b/internal/conf/register.go
@@ -123,15 +123,16 @@
 	mu        sync.RWMutex
 	history   []Config           // oldest first, the current version last
 	responses []recordedResponse // oldest first
-	// byID holds, by request ID, the number of responses recorded before that of the
-	// request, including dropped ones.
-	byID             map[string]int
+	// responseNumbers has the number of the response to each request ID. Responses are
+	// numbered from 0 in the order of their recording and keep their numbers when older
+	// ones are dropped.
+	responseNumbers  map[string]int
 	droppedResponses int // number of responses dropped so far
 }
 
 // NewRegister returns a register at version 0 with an empty document.
 func NewRegister() *Register {
-	return &Register{byID: make(map[string]int)}
+	return &Register{responseNumbers: make(map[string]int)}
 }
 
 // Current returns the configuration in force. It never blocks on Apply.
@@ -165,7 +166,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	digest := w.digest()
-	if i, ok := r.byID[w.RequestID]; ok {
+	if i, ok := r.responseNumbers[w.RequestID]; ok {
 		return r.duplicateOutcome(r.responses[i-r.droppedResponses], digest)
 	}
 	return r.applyWrite(w, digest)
@@ -186,36 +187,36 @@
 }
 
 // duplicateOutcome returns the outcome of a write whose request ID was used before: that of
-// the first response, or Conflict if the content differs.
-func (r *Register) duplicateOutcome(first recordedResponse, digest []byte) Outcome {
-	if string(first.Digest) != string(digest) {
-		return Outcome{Err: fault.New(fault.Conflict, "request id %q was used before with other content", first.RequestID)}
+// firstResponse, the first response to the request ID, or Conflict if the content differs.
+func (r *Register) duplicateOutcome(firstResponse recordedResponse, digest []byte) Outcome {
+	if string(firstResponse.Digest) != string(digest) {
+		return Outcome{Err: fault.New(fault.Conflict, "request id %q was used before with other content", firstResponse.RequestID)}
 	}
-	if first.Version == 0 {
-		return Outcome{Err: fault.New(first.Kind, "%s", first.Message)}
+	if firstResponse.Version == 0 {
+		return Outcome{Err: fault.New(firstResponse.Kind, "%s", firstResponse.Message)}
 	}
 	for _, config := range r.history {
-		if config.Version == first.Version {
+		if config.Version == firstResponse.Version {
 			return Outcome{Config: config}
 		}
 	}
 	// The history no longer holds this version. The caller needs only the number.
-	return Outcome{Config: Config{Version: first.Version}}
+	return Outcome{Config: Config{Version: firstResponse.Version}}
 }
 
 // applyWrite puts the document of w in force or refuses w. It records the response, except
 // to a write that is too large. r.mu must be held.
 func (r *Register) applyWrite(w wireWrite, digest []byte) Outcome {
 	current := r.holder.Current()
-	first := recordedResponse{RequestID: w.RequestID, Digest: digest}
+	response := recordedResponse{RequestID: w.RequestID, Digest: digest}
 	switch {
 	case len(w.Document) > MaxDocumentBytes || len(w.RequestID) > maxRequestIDBytes || len(w.Author) > maxAuthorBytes:
 		return Outcome{Err: fault.New(fault.Invalid, "the configuration command is too large")}
 	case w.Expected != current.Version:
 		err := fault.New(fault.Conflict, "expected version %d, the current version is %d", w.Expected, current.Version)
-		first.Kind = fault.Conflict
-		first.Message = fault.From(err).Message
-		r.recordResponse(first)
+		response.Kind = fault.Conflict
+		response.Message = fault.From(err).Message
+		r.recordResponse(response)
 		return Outcome{Err: err}
 	}
 	next := withParsedDocument(current, Config{
@@ -226,8 +227,8 @@
 	})
 	r.appendHistory(next.withoutDocument())
 	r.holder.Set(next)
-	first.Version = next.Version
-	r.recordResponse(first)
+	response.Version = next.Version
+	r.recordResponse(response)
 	return Outcome{Config: next}
 }
 
@@ -262,16 +263,16 @@
 
 // recordResponse keeps the first response to a request ID and drops the oldest beyond
 // maxResponses. r.mu must be held.
-func (r *Register) recordResponse(first recordedResponse) {
-	if first.RequestID == "" {
+func (r *Register) recordResponse(response recordedResponse) {
+	if response.RequestID == "" {
 		return
 	}
-	r.byID[first.RequestID] = r.droppedResponses + len(r.responses)
-	r.responses = append(r.responses, first)
+	r.responseNumbers[response.RequestID] = r.droppedResponses + len(r.responses)
+	r.responses = append(r.responses, response)
 	if len(r.responses) <= maxResponses {
 		return
 	}
-	delete(r.byID, r.responses[0].RequestID)
+	delete(r.responseNumbers, r.responses[0].RequestID)
 	r.responses = r.responses[1:]
 	r.droppedResponses++
 }
@@ -325,9 +326,9 @@
 	r.history = history
 	r.responses = snapshot.Responses
 	r.droppedResponses = 0
-	r.byID = make(map[string]int, len(r.responses))
+	r.responseNumbers = make(map[string]int, len(r.responses))
 	for i, a := range r.responses {
-		r.byID[a.RequestID] = i
+		r.responseNumbers[a.RequestID] = i
 	}
 	if len(history) > 0 {
 		r.holder.Set(newestWithDocument(history))
--- a/quota/demand_test.go
+++ b/quota/demand_test.go
@@ -36,8 +36,9 @@
 	// demandWeight is the weight of the newest value in the moving average of
 	// demand.
 	demandWeight = 0.02
-	// minMissingCPU is the least shortfall of its share, in thousandths of a core,
-	// for which a data centre requests slots in the proportional strategy.
+	// minMissingCPU is the least amount, in thousandths of a core, by which the
+	// allotment of a data centre must be below its share before the data centre requests
+	// slots in the proportional strategy.
 	minMissingCPU = taskCPU / 4
 )
 
@@ -172,13 +173,13 @@
 // mayStart reports whether a data centre may start one more task of a customer.
 func (m *simulation) mayStart(c *centre, customer int) bool {
 	if m.pool {
-		return m.total(customer)+taskCPU <= simLimit
+		return m.totalUsed(customer)+taskCPU <= simLimit
 	}
 	return c.used[customer]+taskCPU <= c.ledger.Allotment(m.customerIDs[customer]).CPU
 }
 
-// total returns a customer's usage over all data centres.
-func (m *simulation) total(customer int) int64 {
+// totalUsed returns a customer's usage over all data centres.
+func (m *simulation) totalUsed(customer int) int64 {
 	var sum int64
 	for _, c := range m.centres {
 		sum += c.used[customer]
@@ -196,7 +197,7 @@
 			end := m.tick + 1 + int(m.random.ExpFloat64()*taskSeconds*ticksPerSec)
 			c.endingTasks[end] = append(c.endingTasks[end], customer)
 		}
-		if len(c.queue[customer]) > 0 && m.total(customer)+taskCPU <= simLimit {
+		if len(c.queue[customer]) > 0 && m.totalUsed(customer)+taskCPU <= simLimit {
 			m.avoidableWaitTicks++
 		}
 	}
@@ -213,7 +214,7 @@
 		c.demand[customer] += demandWeight * (currentDemand - c.demand[customer])
 	}
 	if m.proportional {
-		m.share(i, c)
+		m.requestFairShares(i, c)
 		return
 	}
 	if m.tick%ticksPerSec == 0 {
@@ -234,15 +235,15 @@
 	}
 }
 
-// share is the proportional strategy: every epochTicks all data centres exchange their
-// moving averages of demand, and those below their share request slots from those
-// above their own.
-func (m *simulation) share(i int, c *centre) {
+// requestFairShares is the proportional strategy: every epochTicks all data centres
+// exchange their moving averages of demand, and those with less than their fair share
+// request slots from those with more than theirs.
+func (m *simulation) requestFairShares(i int, c *centre) {
 	if m.tick%epochTicks != 0 {
 		return
 	}
 	demands := make([][]quota.Demand, simCentres)
-	reserved := make([][]placement.Resources, simCentres)
+	donorReserves := make([][]placement.Resources, simCentres)
 	for customer, id := range m.customerIDs {
 		missing := m.fairShare(i, customer) - c.ledger.Allotment(id).CPU
 		for j, other := range m.centres {
@@ -251,7 +252,7 @@
 				amount := min(missing, surplus)
 				missing -= amount
 				demands[j] = append(demands[j], quota.Demand{Customer: id, Amount: placement.Resources{CPU: amount}})
-				reserved[j] = append(reserved[j], placement.Resources{CPU: m.fairShare(j, customer)})
+				donorReserves[j] = append(donorReserves[j], placement.Resources{CPU: m.fairShare(j, customer)})
 			}
 		}
 	}
@@ -260,7 +261,7 @@
 			m.send(i, j, c.demand, func() {})
 		}
 		if len(demands[j]) > 0 {
-			m.requestTransfer(i, c.ledger.Request(m.centreNames[j], demands[j]...), reserved[j])
+			m.requestTransfer(i, c.ledger.Request(m.centreNames[j], demands[j]...), donorReserves[j])
 		}
 	}
 }
@@ -288,7 +289,7 @@
 	}
 }
 
-// requestTransfer sends a transfer request, its reply and the acknowledgement. reserve
+// requestTransfer sends a transfer request, the response and the acknowledgement. reserve
 // is the reserve of the donor for each demand; only the proportional strategy uses it.
 func (m *simulation) requestTransfer(from int, request quota.TransferRequest, reserve []placement.Resources) {
 	to := slices.Index(m.centreNames, request.To)
--- a/quota/planner.go
+++ b/quota/planner.go
@@ -34,7 +34,8 @@
 	// Transfer is the transfer that the requesting data centre has not
 	// acknowledged; its Sequence is zero if there is none.
 	Transfer Transfer `cbor:"3,keyasint"`
-	// Availabilities are for the customers in the demands of the request.
+	// Availabilities says, for each customer in the demands of the request, what the
+	// data centre can spare.
 	Availabilities []Availability `cbor:"4,keyasint,omitempty"`
 }
 
@@ -108,8 +109,8 @@
 // awaitingReply reports whether a request to the data centre is unanswered and doesn't
 // count as lost yet.
 func (p *Planner) awaitingReply(to string) bool {
-	at, open := p.requestedAt[to]
-	return open && p.tick-at < requestTimeoutTicks
+	requestedAt, pending := p.requestedAt[to]
+	return pending && p.tick-requestedAt < requestTimeoutTicks
 }
 
 // candidate is a data centre to which a request could go.
--- a/routing/allocate.go
+++ b/routing/allocate.go
@@ -46,46 +46,46 @@
 func (a *Allocator) allocateService(e *entryRecord, g *serviceGroup, grants map[uint32]int, now time.Duration) {
 	share := a.fairShare(e, g, now)
 	free := make([]int, len(g.minions))
-	total := 0
+	keptTotal := 0
 	latest := e.latestGrants()
 	for i, m := range g.minions {
 		available := max(0, m.Slots-m.reserved-(m.occupied-e.ownOccupied[m.number]))
 		keep := min(latest[m.number], available)
 		grants[m.number] = keep
 		free[i] = available - keep
-		total += keep
+		keptTotal += keep
 	}
-	if total > share {
-		excess := min(total-share, a.unmetMinimum(e, g, now))
+	if keptTotal > share {
+		excess := min(keptTotal-share, a.unmetMinimum(e, g, now))
 		shrink(g, grants, e.inFlight, excess)
 		return
 	}
-	grow(g, grants, free, share-total, a.entryIndex(e.id))
+	grow(g, grants, free, share-keptTotal, a.entryIndex(e.id))
 }
 
 // fairShare returns the entry instance's share of a service's capacity. Demand
 // is served with max-min fairness. Capacity beyond the demand is spread evenly,
 // so that every entry instance can serve a burst before its next renewal.
 func (a *Allocator) fairShare(e *entryRecord, g *serviceGroup, now time.Duration) int {
-	demands, own := a.demands(e, g.name, now)
+	demands, ownIndex := a.demands(e, g.name, now)
 	shares := waterFill(g.capacity, demands)
-	return shares[own]
+	return shares[ownIndex]
 }
 
 // demands returns the demands of e and all live entry instances for a service, and the
 // index of e's demand among them.
-func (a *Allocator) demands(e *entryRecord, service string, now time.Duration) (demands []int, own int) {
+func (a *Allocator) demands(e *entryRecord, service string, now time.Duration) (demands []int, ownIndex int) {
 	for _, id := range a.sortedEntries {
 		other := a.entries[id]
 		if other != e && !a.live(other, now) {
 			continue
 		}
 		if other == e {
-			own = len(demands)
+			ownIndex = len(demands)
 		}
 		demands = append(demands, other.demand[service])
 	}
-	return demands, own
+	return demands, ownIndex
 }
 
 // live reports whether the entry instance has claimed its slots, isn't draining
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -46,7 +46,7 @@
 	startedLate := o == TimedOut && took < minAttemptFactor*s.serviceTimes.tail
 	if o == Abandoned || o == LeaseEnded || startedLate {
 		if t.probe {
-			m.breaker.probing = false
+			m.breaker.probeInFlight = false
 		}
 		return
 	}
@@ -60,8 +60,8 @@
 	if typicalTime == 0 {
 		typicalTime = s.serviceTimes.mean
 	}
-	ended := attempt{outcome: o, took: took, probe: t.probe}
-	closed := m.breaker.observe(ended, typicalTime, s.mayTripOnRate(), now)
+	result := attemptResult{outcome: o, took: took, probe: t.probe}
+	closed := m.breaker.observe(result, typicalTime, s.mayTripOnRate(), now)
 	if closed {
 		m.slowStartFrom = now
 	}
@@ -70,9 +70,9 @@
 	}
 }
 
-// minAttemptFactor times the tail service time is the shortest attempt whose
-// timeout counts as a failure of the minion. A shorter attempt started close to
-// its deadline and is no evidence against the minion.
+// minAttemptFactor times the tail service time is the duration from which on the timeout
+// of an attempt counts as a failure of the minion. An attempt that times out earlier was
+// started close to its deadline, and a healthy minion may need longer.
 const minAttemptFactor = 2
 
 // Retry queues a finished request again; o is how its last attempt ended. Retry returns
--- a/routing/load_test.go
+++ b/routing/load_test.go
@@ -109,8 +109,7 @@
 
 // loadRun is a discrete event simulation of callers, entry instances, a leader and
 // minions. Requests completed in time count as good, those completed later as late, and
-// those whose last attempt failed as lost. Fields named other count only requests that
-// aren't of the flooding customer.
+// those whose last attempt failed as lost.
 type loadRun struct {
 	loadCase
 	rng        *rand.Rand
@@ -123,6 +122,8 @@
 	minions    map[string]*loadMinion
 	minionList []*loadMinion
 
+	// offered counts the requests of callers, good those of them completed in time.
+	// otherOffered and otherGood count the same without the flooding customer.
 	offered, good, otherOffered, otherGood int
 	refused, late, lost                    int
 	goodBySecond                           [maxLoadSeconds]int
@@ -348,7 +349,7 @@
 		q := t.Tag.(*loadRequest)
 		switch t.State() {
 		case routing.Started:
-			r.started(q, t)
+			r.simulateAttempt(q, t)
 		case routing.Refused:
 			r.retryRefused(q, t.Refusal().RetryAfter)
 		}
@@ -378,8 +379,8 @@
 	return took
 }
 
-// started simulates a started request on its minion.
-func (r *loadRun) started(q *loadRequest, t *routing.Ticket) {
+// simulateAttempt simulates a started request on its minion.
+func (r *loadRun) simulateAttempt(q *loadRequest, t *routing.Ticket) {
 	m := r.minions[q.balancer.Target(t).Minion]
 	attemptDeadline := q.balancer.AttemptDeadline(t)
 	if r.measured() {
@@ -390,21 +391,21 @@
 	}
 	switch m.fault {
 	case gone:
-		r.schedule(r.now+2*oneWayDelay, func() { r.finished(q, routing.NotSent) })
+		r.schedule(r.now+2*oneWayDelay, func() { r.finishAttempt(q, routing.NotSent) })
 	case failing:
-		r.schedule(r.now+2*oneWayDelay, func() { r.finished(q, routing.AnsweredFailure) })
+		r.schedule(r.now+2*oneWayDelay, func() { r.finishAttempt(q, routing.AnsweredFailure) })
 	case hanging:
 		m.requestStarted()
-		r.schedule(attemptDeadline, func() { m.busy--; r.finished(q, routing.TimedOut) })
+		r.schedule(attemptDeadline, func() { m.busy--; r.finishAttempt(q, routing.TimedOut) })
 	default:
 		m.requestStarted()
 		end := r.now + 2*oneWayDelay + r.serviceTime(m)
 		r.schedule(end, func() { m.busy-- })
 		if end > attemptDeadline {
-			r.schedule(attemptDeadline, func() { r.finished(q, routing.TimedOut) })
+			r.schedule(attemptDeadline, func() { r.finishAttempt(q, routing.TimedOut) })
 			return
 		}
-		r.schedule(end, func() { r.finished(q, routing.Answered) })
+		r.schedule(end, func() { r.finishAttempt(q, routing.Answered) })
 	}
 }
 
@@ -414,8 +415,8 @@
 	m.maxBusy = max(m.maxBusy, m.busy)
 }
 
-// finished ends an attempt and retries it where allowed.
-func (r *loadRun) finished(q *loadRequest, o routing.Outcome) {
+// finishAttempt ends an attempt and retries the request where allowed.
+func (r *loadRun) finishAttempt(q *loadRequest, o routing.Outcome) {
 	if !q.alive() {
 		return
 	}
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -35,8 +35,8 @@
 	return f
 }
 
-// exchangeSlotRequests delivers slot requests and their responses until no further
-// request must follow.
+// exchangeSlotRequests delivers slot requests and their responses until the Balancer
+// needs no further request, or the Allocator refuses one.
 func (f *fixture) exchangeSlotRequests() {
 	for again := true; again; {
 		resp, err := f.allocator.Allocate(f.balancer.NextSlotRequest(f.now), f.now)
@@ -56,9 +56,9 @@
 	f.exchangeSlotRequests()
 }
 
-// submit submits a request whose deadline is the duration left from now.
-func (f *fixture) submit(left time.Duration) *Ticket {
-	r := Request{Service: "s", Customer: "c", Deadline: f.now + left}
+// submit submits a request whose deadline is untilDeadline from now.
+func (f *fixture) submit(untilDeadline time.Duration) *Ticket {
+	r := Request{Service: "s", Customer: "c", Deadline: f.now + untilDeadline}
 	return f.balancer.Submit(r, f.now)
 }
 
@@ -69,7 +69,8 @@
 }
 
 // Guards against sending requests to a minion that left or died. The entry instance
-// learns of that from the minion, from missing announcements or from the leader.
+// learns that the minion is gone from the minion itself, from missing announcements or
+// from the leader.
 func TestNoRequestsToLeavingMinion(t *testing.T) {
 	leaveReceived := newFixture(1, 8)
 	must.Eq(t, Started, leaveReceived.submit(time.Second).State())
@@ -144,8 +145,9 @@
 	// With a service time of 100 ms, a request that waits for a slot can't complete
 	// within shortDeadline.
 	const shortDeadline = 120 * time.Millisecond
-	// More than fewDelays of the 20 retry delays must differ.
-	const fewDelays = 15
+	// tooFewDelays is the number of different delays up to which the 20 retry delays
+	// count as not jittered.
+	const tooFewDelays = 15
 	f := newFixture(1, 2)
 	for range 40 {
 		f.finish(f.submit(time.Second), 100*time.Millisecond, Answered)
@@ -165,7 +167,7 @@
 		must.Eq(t, Refused, late.State())
 		retryDelays[late.Refusal().RetryAfter] = true
 	}
-	must.Greater(t, fewDelays, len(retryDelays))
+	must.Greater(t, tooFewDelays, len(retryDelays))
 }
 
 // Guards against a minion that fails immediately, so that it is always free and
@@ -295,8 +297,9 @@
 	must.Eq(t, 1, f.balancer.InFlight())
 }
 
-// Guards against delayed or duplicated slot requests and responses, also of a replaced
-// leader, by which an entry instance gets slots that others hold by now.
+// Guards against granting a slot to two entry instances: a slot request or response that
+// is delayed, duplicated or of a replaced leader takes effect after the slots were granted
+// to another entry instance.
 func TestStaleSlotMessagesAreIgnored(t *testing.T) {
 	f := newFixture(1, 8)
 	oldRequest := f.balancer.NextSlotRequest(f.now)
--- a/routing/service.go
+++ b/routing/service.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// spareSlotDemand is the number of slots beyond the current requests that an entry
-// instance demands, so that the next requests find a free slot.
-const spareSlotDemand = 2
+// headroomSlots is the number of slots that an entry instance demands for a service in
+// addition to one for each current request, so that the next requests find a free slot.
+const headroomSlots = 2
 
 // customerLoad counts the requests of one customer for one service.
 type customerLoad struct {
@@ -40,12 +40,12 @@
 }
 
 // newService returns a service without minions, whose estimated service time is
-// first.
-func newService(name string, first, now time.Duration) *service {
+// initialTime.
+func newService(name string, initialTime, now time.Duration) *service {
 	return &service{
 		name:         name,
 		customers:    make(map[string]*customerLoad),
-		serviceTimes: newEstimator(first, now),
+		serviceTimes: newEstimator(initialTime, now),
 	}
 }
 
@@ -58,7 +58,7 @@
 	if n == 0 {
 		return 0
 	}
-	return n + spareSlotDemand
+	return n + headroomSlots
 }
 
 // customer returns the request counts of a customer. It creates them if there are
@@ -202,13 +202,13 @@
 // minion, such as a customer's bad input, would open all breakers. A failure rate may
 // open a breaker only if at most half of the service's breakers are open after that.
 func (s *service) mayTripOnRate() bool {
-	open := 0
+	openCount := 0
 	for _, m := range s.minions {
 		if m.breaker.open {
-			open++
+			openCount++
 		}
 	}
-	return 2*(open+1) <= len(s.minions)
+	return 2*(openCount+1) <= len(s.minions)
 }
 
 // queueIndex returns the number of tickets queued before t.
