--- a/internal/cli/app.go
+++ b/internal/cli/app.go
@@ -60,13 +60,13 @@
 	s := newSession(a)
 	// Errors in the flags themselves must be printed as JSON too.
 	s.globals.json = slices.Contains(args, "--json")
-	top := flag.NewFlagSet(programName, flag.ContinueOnError)
-	s.globals.bind(top)
-	global, remaining, err := parseGlobalFlags(top, args)
+	globalFlags := flag.NewFlagSet(programName, flag.ContinueOnError)
+	s.globals.bind(globalFlags)
+	globalArgs, remaining, err := parseGlobalFlags(globalFlags, args)
 	if err != nil {
 		return s.fail(err)
 	}
-	if global.help || (len(remaining) > 0 && remaining[0] == "help") {
+	if globalArgs.help || (len(remaining) > 0 && remaining[0] == "help") {
 		return s.help(remaining)
 	}
 	if len(remaining) == 0 {
@@ -85,20 +85,20 @@
 	if parsed.help {
 		return s.help([]string{"help", command.Name()})
 	}
-	return s.dispatch(ctx, top, global, command, parsed)
+	return s.dispatch(ctx, globalFlags, globalArgs, command, parsed)
 }
 
 // dispatch executes a command with arguments that have been checked and returns the
 // exit code.
-func (s *session) dispatch(ctx context.Context, top *flag.FlagSet, global parsedArgs, command subcommands.Command, parsed parsedArgs) int {
-	args := append(global.flags, command.Name())
+func (s *session) dispatch(ctx context.Context, globalFlags *flag.FlagSet, globalArgs parsedArgs, command subcommands.Command, parsed parsedArgs) int {
+	args := append(globalArgs.flags, command.Name())
 	args = append(args, parsed.flags...)
 	args = append(args, "--")
 	args = append(args, parsed.positional...)
-	if err := top.Parse(args); err != nil {
+	if err := globalFlags.Parse(args); err != nil {
 		return s.fail(fault.New(fault.Invalid, "%v", err))
 	}
-	commander := subcommands.NewCommander(top, programName)
+	commander := subcommands.NewCommander(globalFlags, programName)
 	commander.Output = s.app.Stdout
 	commander.Error = s.app.Stderr
 	commander.Register(&boundCommand{Command: command, session: s}, "")
--- a/internal/cli/args.go
+++ b/internal/cli/args.go
@@ -155,13 +155,13 @@
 	return nil
 }
 
-// maxQuoted bounds the bytes of an invalid argument that an error repeats.
-const maxQuoted = 60
+// maxQuotedBytes bounds the bytes of an invalid argument that an error repeats.
+const maxQuotedBytes = 60
 
-// shorten truncates a text to maxQuoted bytes.
+// shorten truncates a text to maxQuotedBytes bytes.
 func shorten(text string) string {
-	if len(text) <= maxQuoted {
+	if len(text) <= maxQuotedBytes {
 		return text
 	}
-	return strings.ToValidUTF8(text[:maxQuoted], "") + "..."
+	return strings.ToValidUTF8(text[:maxQuotedBytes], "") + "..."
 }
--- a/internal/cli/change.go
+++ b/internal/cli/change.go
@@ -12,8 +12,8 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-// maxScale is the largest number of tasks that the scale command accepts.
-const maxScale = 100_000
+// maxCount is the largest number of tasks that the scale command accepts.
+const maxCount = 100_000
 
 // withResendHint adds to an Unavailable error how to send the same call again.
 func withResendHint(err error, id string) error {
@@ -25,8 +25,8 @@
 
 // sendChange sends a call that changes state. The call has a request id, with which it
 // can be sent again when its response is lost.
-func sendChange[A any](ctx context.Context, s *session, givenID string, send func(ctx context.Context, c *client, id string) (A, error)) (A, error) {
-	var none A
+func sendChange[Resp any](ctx context.Context, s *session, givenID string, send func(ctx context.Context, c *client, id string) (Resp, error)) (Resp, error) {
+	var none Resp
 	id, err := requestID(givenID)
 	if err != nil {
 		return none, err
@@ -35,8 +35,8 @@
 	if err != nil {
 		return none, err
 	}
-	ctx, stop := s.withTimeout(ctx)
-	defer stop()
+	ctx, cancel := s.withTimeout(ctx)
+	defer cancel()
 	response, err := send(ctx, c, id)
 	return response, withResendHint(err, id)
 }
@@ -130,8 +130,8 @@
 				return err
 			}
 			tasks, err := strconv.Atoi(args[1])
-			if err != nil || tasks < 1 || tasks > maxScale {
-				return fault.Field("tasks", "%q isn't a number from 1 to %d", shorten(args[1]), maxScale)
+			if err != nil || tasks < 1 || tasks > maxCount {
+				return fault.Field("tasks", "%q isn't a number from 1 to %d", shorten(args[1]), maxCount)
 			}
 			return s.scale(ctx, &apiv1.ScaleRequest{Id: args[0], Tasks: int32(tasks)}, id)
 		},
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -45,25 +45,25 @@
 	return &apiv1.HomeResponse{DataCentre: "hall"}, nil
 }
 
-func (f *fakeEntry) Submit(_ context.Context, q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
-	a, err := f.submit(q)
-	return a, fault.ToTwirp(err)
+func (f *fakeEntry) Submit(_ context.Context, request *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
+	response, err := f.submit(request)
+	return response, fault.ToTwirp(err)
 }
-func (f *fakeEntry) Cancel(_ context.Context, q *apiv1.CancelRequest) (*apiv1.CancelResponse, error) {
-	a, err := f.cancel(q)
-	return a, fault.ToTwirp(err)
+func (f *fakeEntry) Cancel(_ context.Context, request *apiv1.CancelRequest) (*apiv1.CancelResponse, error) {
+	response, err := f.cancel(request)
+	return response, fault.ToTwirp(err)
 }
-func (f *fakeEntry) Watch(_ context.Context, q *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
-	a, err := f.watch(q)
-	return a, fault.ToTwirp(err)
+func (f *fakeEntry) Watch(_ context.Context, request *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
+	response, err := f.watch(request)
+	return response, fault.ToTwirp(err)
 }
-func (f *fakeEntry) Status(_ context.Context, q *apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
-	a, err := f.status(q)
-	return a, fault.ToTwirp(err)
+func (f *fakeEntry) Status(_ context.Context, request *apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
+	response, err := f.status(request)
+	return response, fault.ToTwirp(err)
 }
-func (f *fakeEntry) SetConfig(_ context.Context, q *apiv1.SetConfigRequest) (*apiv1.Config, error) {
-	a, err := f.set(q)
-	return a, fault.ToTwirp(err)
+func (f *fakeEntry) SetConfig(_ context.Context, request *apiv1.SetConfigRequest) (*apiv1.Config, error) {
+	response, err := f.set(request)
+	return response, fault.ToTwirp(err)
 }
 func (f *fakeEntry) GetConfig(context.Context, *apiv1.GetConfigRequest) (*apiv1.Config, error) {
 	return f.config, nil
@@ -149,12 +149,12 @@
 // instance, or the job runs twice.
 func TestLostResponseIsResentWithTheSameID(t *testing.T) {
 	var sent []*apiv1.SubmitRequest
-	crashing := (&fakeEntry{submit: func(q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
-		sent = append(sent, q)
+	crashing := (&fakeEntry{submit: func(request *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
+		sent = append(sent, request)
 		panic(http.ErrAbortHandler)
 	}}).start(t)
-	next := (&fakeEntry{submit: func(q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
-		sent = append(sent, q)
+	next := (&fakeEntry{submit: func(request *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
+		sent = append(sent, request)
 		return &apiv1.SubmitResponse{Id: "dc-1", DataCentre: "dc", State: apiv1.JobState_JOB_STATE_QUEUED}, nil
 	}}).start(t)
 	r := newRunner(t, crashing, next)
@@ -173,8 +173,8 @@
 // run.
 func TestUnknownOutcomeOfSubmitExplainsResend(t *testing.T) {
 	var id string
-	crashing := (&fakeEntry{submit: func(q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
-		id = q.GetRequestId()
+	crashing := (&fakeEntry{submit: func(request *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
+		id = request.GetRequestId()
 		panic(http.ErrAbortHandler)
 	}}).start(t)
 	r := newRunner(t, crashing)
@@ -189,8 +189,8 @@
 // have been carried out and how to send the same request again.
 func TestUnknownOutcomeOfConfigSetExplainsResend(t *testing.T) {
 	var id string
-	f := (&fakeEntry{set: func(q *apiv1.SetConfigRequest) (*apiv1.Config, error) {
-		id = q.GetRequestId()
+	f := (&fakeEntry{set: func(request *apiv1.SetConfigRequest) (*apiv1.Config, error) {
+		id = request.GetRequestId()
 		panic(http.ErrAbortHandler)
 	}}).start(t)
 	r := newRunner(t, f)
@@ -278,7 +278,7 @@
 	return &apiv1.StatusResponse{Jobs: []*apiv1.Job{{Id: "dc-1", Revision: revision, State: state, ReasonKind: kind, TasksEnded: int32(revision), TasksQueued: 4 - int32(revision)}}}
 }
 
-func TestWatchExitCodes(t *testing.T) {
+func TestWatchExitCodeTellsHowTheJobEnded(t *testing.T) {
 	ends := map[string]struct {
 		state apiv1.JobState
 		kind  string
@@ -292,8 +292,8 @@
 	}
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
-			f := (&fakeEntry{watch: func(q *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
-				if q.GetAfterRevision() == 0 {
+			f := (&fakeEntry{watch: func(request *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
+				if request.GetAfterRevision() == 0 {
 					return watchResponse(1, apiv1.JobState_JOB_STATE_RUNNING, ""), nil
 				}
 				return watchResponse(2, end.state, end.kind), nil
@@ -327,7 +327,7 @@
 // One of three data centres is unreachable while an operator cancels all jobs. The
 // exit code must show that some jobs continue.
 func TestPartialCancelIsAnError(t *testing.T) {
-	f := (&fakeEntry{cancel: func(q *apiv1.CancelRequest) (*apiv1.CancelResponse, error) {
+	f := (&fakeEntry{cancel: func(request *apiv1.CancelRequest) (*apiv1.CancelResponse, error) {
 		return &apiv1.CancelResponse{Ids: []string{"a"}, UnreachableDataCentres: []string{"dc2"}}, nil
 	}}).start(t)
 	got := newRunner(t, f).run("cancel", "--all", "--dry-run")
@@ -341,11 +341,11 @@
 func TestConfigSetRejectsStaleVersion(t *testing.T) {
 	version := uint64(7)
 	f := (&fakeEntry{config: &apiv1.Config{Version: 7, Document: "# version 3, old\n[[customer]]\nname = \"a\"", Author: "op\nx"}}).start(t)
-	f.set = func(q *apiv1.SetConfigRequest) (*apiv1.Config, error) {
-		if q.GetExpectedVersion() != version {
+	f.set = func(request *apiv1.SetConfigRequest) (*apiv1.Config, error) {
+		if request.GetExpectedVersion() != version {
 			return nil, fault.New(fault.Conflict, "the current version is %d", version)
 		}
-		must.StrHasPrefix(t, "[[customer]]", q.GetDocument())
+		must.StrHasPrefix(t, "[[customer]]", request.GetDocument())
 		version++
 		return &apiv1.Config{Version: version}, nil
 	}
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -92,8 +92,8 @@
 // the call is unknown, so the next instance gets the same message with the same
 // request id. The instance that answered is called first next time. The error is
 // Unavailable and lists all causes when no instance answered.
-func call[Q, A any](ctx context.Context, c *client, timeout time.Duration, request Q, method func(*endpoint) func(context.Context, Q) (A, error)) (A, error) {
-	var none A
+func call[Req, Resp any](ctx context.Context, c *client, timeout time.Duration, request Req, method func(*endpoint) func(context.Context, Req) (Resp, error)) (Resp, error) {
+	var none Resp
 	var causes []string
 	for i, e := range c.endpoints {
 		response, err := callOne(ctx, timeout, method(e), request)
@@ -115,7 +115,7 @@
 }
 
 // callOne sends a call to one entry instance and waits at most for timeout.
-func callOne[Q, A any](ctx context.Context, timeout time.Duration, method func(context.Context, Q) (A, error), request Q) (A, error) {
+func callOne[Req, Resp any](ctx context.Context, timeout time.Duration, method func(context.Context, Req) (Resp, error), request Req) (Resp, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return method(ctx, request)
@@ -142,11 +142,11 @@
 }
 
 // schedulerCall is call for a method of the Scheduler service.
-func schedulerCall[Q, A any](ctx context.Context, c *client, request Q, method func(apiv1.Scheduler) func(context.Context, Q) (A, error)) (A, error) {
-	return call(ctx, c, attemptTimeout, request, func(e *endpoint) func(context.Context, Q) (A, error) { return method(e.scheduler) })
+func schedulerCall[Req, Resp any](ctx context.Context, c *client, request Req, method func(apiv1.Scheduler) func(context.Context, Req) (Resp, error)) (Resp, error) {
+	return call(ctx, c, attemptTimeout, request, func(e *endpoint) func(context.Context, Req) (Resp, error) { return method(e.scheduler) })
 }
 
 // operationsCall is call for a method of the Operations service.
-func operationsCall[Q, A any](ctx context.Context, c *client, request Q, method func(apiv1.Operations) func(context.Context, Q) (A, error)) (A, error) {
-	return call(ctx, c, attemptTimeout, request, func(e *endpoint) func(context.Context, Q) (A, error) { return method(e.operations) })
+func operationsCall[Req, Resp any](ctx context.Context, c *client, request Req, method func(apiv1.Operations) func(context.Context, Req) (Resp, error)) (Resp, error) {
+	return call(ctx, c, attemptTimeout, request, func(e *endpoint) func(context.Context, Req) (Resp, error) { return method(e.operations) })
 }
--- a/internal/cli/command.go
+++ b/internal/cli/command.go
@@ -67,7 +67,7 @@
 func (s *session) help(args []string) int {
 	out := s.app.Stdout
 	if len(args) < 2 {
-		s.overview(out)
+		s.printOverview(out)
 		return 0
 	}
 	c, err := s.app.find(args[1])
@@ -85,14 +85,14 @@
 }
 
 // overview prints the commands and the global flags.
-func (s *session) overview(out io.Writer) {
+func (s *session) printOverview(out io.Writer) {
 	fmt.Fprintf(out, "Usage: %s [global flags] command [flags] [arguments]\n\nCommands:\n", programName)
 	for _, c := range s.app.commands() {
 		fmt.Fprintf(out, "  %-17s %s\n", c.Name(), c.Synopsis())
 	}
-	global := flag.NewFlagSet(programName, flag.ContinueOnError)
-	newSession(s.app).globals.bind(global)
-	printFlags(out, "Global flags", global)
+	globalFlags := flag.NewFlagSet(programName, flag.ContinueOnError)
+	newSession(s.app).globals.bind(globalFlags)
+	printFlags(out, "Global flags", globalFlags)
 	fmt.Fprintf(out, "\nRun \"%s help command\" for one command, with an example.\n", programName)
 }
 
--- a/internal/cli/completion.go
+++ b/internal/cli/completion.go
@@ -45,9 +45,9 @@
 		}
 		fmt.Fprintf(&cases, "    %s) words=\"%s\" ;;\n", c.Name(), words)
 	}
-	global := flag.NewFlagSet(programName, flag.ContinueOnError)
-	newSession(s.app).globals.bind(global)
-	_, err := fmt.Fprintf(out, bashScript, names.String(), cases.String(), flagNames(global))
+	globalFlags := flag.NewFlagSet(programName, flag.ContinueOnError)
+	newSession(s.app).globals.bind(globalFlags)
+	_, err := fmt.Fprintf(out, bashScript, names.String(), cases.String(), flagNames(globalFlags))
 	return err
 }
 
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -120,15 +120,15 @@
 	if err := requireArgs(args, "file"); err != nil {
 		return err
 	}
-	data, err := s.readInput(args[0], conf.MaxDocument)
+	content, err := s.readInput(args[0], conf.MaxDocument)
 	if err != nil {
 		return err
 	}
-	document := stripVersion(string(data))
+	document := stripVersion(string(content))
 	if _, err := conf.Parse(document); err != nil {
 		return err
 	}
-	expected, err := expectedVersion(flags, string(data))
+	expected, err := expectedVersion(flags, string(content))
 	if err != nil {
 		return err
 	}
--- a/internal/cli/operations.go
+++ b/internal/cli/operations.go
@@ -39,10 +39,10 @@
 
 // operationsCallWithTimeout is operationsCall with a new client and the time
 // limit of --timeout.
-func operationsCallWithTimeout[Q, A any](ctx context.Context, s *session, request Q, method func(apiv1.Operations) func(context.Context, Q) (A, error)) (A, error) {
+func operationsCallWithTimeout[Req, Resp any](ctx context.Context, s *session, request Req, method func(apiv1.Operations) func(context.Context, Req) (Resp, error)) (Resp, error) {
 	c, err := s.client()
 	if err != nil {
-		var none A
+		var none Resp
 		return none, err
 	}
 	ctx, cancel := s.withTimeout(ctx)
@@ -53,18 +53,18 @@
 func (s *session) showWorkers(workers []*apiv1.WorkerInfo) {
 	t := newTable("WORKER", "RACK", "DATA CENTRE", "CORES", "MEMORY", "ACCELERATORS", "TASKS", "STATE")
 	for _, w := range workers {
-		used, all := w.GetUsed(), w.GetCapacity()
+		used, capacity := w.GetUsed(), w.GetCapacity()
 		t.add(textCell("%s", w.GetId()), textCell("%s", w.GetRack()), textCell("%s", w.GetDataCentre()),
-			usageCell(used.GetCpuMilli(), all.GetCpuMilli(), units.FormatCores),
-			usageCell(used.GetMemoryMib(), all.GetMemoryMib(), formatMiB),
-			usageCell(used.GetAccelerators(), all.GetAccelerators(), formatCount),
+			usageCell(used.GetCpuMilli(), capacity.GetCpuMilli(), units.FormatCores),
+			usageCell(used.GetMemoryMib(), capacity.GetMemoryMib(), formatMiB),
+			usageCell(used.GetAccelerators(), capacity.GetAccelerators(), formatCount),
 			textCell("%d", w.GetTasks()), workerStateCell(w))
 	}
 	t.print(s)
 }
 
-func usageCell(used, all int64, format func(int64) string) cell {
-	return textCell("%s of %s", formatAmount(used, format), formatAmount(all, format))
+func usageCell(used, capacity int64, format func(int64) string) cell {
+	return textCell("%s of %s", formatAmount(used, format), formatAmount(capacity, format))
 }
 
 func workerStateCell(w *apiv1.WorkerInfo) cell {
--- a/internal/cli/session.go
+++ b/internal/cli/session.go
@@ -123,8 +123,8 @@
 const maxEntries = 64
 
 // parseEntries splits and checks the value of --entry.
-func parseEntries(list string) ([]string, error) {
-	entries := strings.Split(list, ",")
+func parseEntries(addresses string) ([]string, error) {
+	entries := strings.Split(addresses, ",")
 	if len(entries) > maxEntries {
 		return nil, fault.Field("--entry", "names %d addresses, at most %d are allowed", len(entries), maxEntries)
 	}
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -231,11 +231,11 @@
 
 // progressBar returns a bar of the ended tasks on a terminal, and the numbers of tasks.
 func (s *session) progressBar(job *apiv1.Job) string {
-	all := job.GetTasksQueued() + job.GetTasksRunning() + job.GetTasksEnded()
-	if !s.app.Terminal || all <= 0 || job.GetTasksEnded() < 0 {
+	total := job.GetTasksQueued() + job.GetTasksRunning() + job.GetTasksEnded()
+	if !s.app.Terminal || total <= 0 || job.GetTasksEnded() < 0 {
 		return formatProgress(job)
 	}
-	filled := int(int64(job.GetTasksEnded()) * barWidth / int64(all))
+	filled := int(int64(job.GetTasksEnded()) * barWidth / int64(total))
 	filled = max(0, min(barWidth, filled))
 	return "[" + strings.Repeat("#", filled) + strings.Repeat(".", barWidth-filled) + "] " + formatProgress(job)
 }
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -72,11 +72,11 @@
 			return nil, fault.Field("file", "%q is given twice", shorten(file))
 		}
 		seen[file] = true
-		data, err := s.readInput(file, maxJobFileBytes)
+		content, err := s.readInput(file, maxJobFileBytes)
 		if err != nil {
 			return nil, err
 		}
-		spec, err := jobfile.ParseWithDeadline(file, data, deadline, now)
+		spec, err := jobfile.ParseWithDeadline(file, content, deadline, now)
 		if err != nil {
 			return nil, err
 		}
@@ -103,14 +103,14 @@
 		defer file.Close()
 		in = file
 	}
-	data, err := io.ReadAll(io.LimitReader(in, limit+1))
+	content, err := io.ReadAll(io.LimitReader(in, limit+1))
 	if err != nil {
 		return nil, fault.New(fault.Invalid, "%v", err)
 	}
-	if int64(len(data)) > limit {
+	if int64(len(content)) > limit {
 		return nil, fault.New(fault.Invalid, "%s has more than %d bytes", name, limit)
 	}
-	return data, nil
+	return content, nil
 }
 
 // submitAll submits jobs one after the other and stops at the first error. It returns
@@ -178,9 +178,9 @@
 }
 
 // warnPartial warns that some files were accepted before the error, which it returns.
-func (s *session) warnPartial(err error, done, all int) error {
-	if done > 0 {
-		s.warn("%d of %d files were accepted before the error", done, all)
+func (s *session) warnPartial(err error, accepted, total int) error {
+	if accepted > 0 {
+		s.warn("%d of %d files were accepted before the error", accepted, total)
 	}
 	return err
 }
--- a/internal/cli/workflow.go
+++ b/internal/cli/workflow.go
@@ -17,15 +17,15 @@
 
 // workflowsCall is call for a method of the Workflows service, which is offered by cells
 // whose log spans their data centres. It uses a new client and the time limit of --timeout.
-func workflowsCall[Q, A any](ctx context.Context, s *session, request Q, method func(apiv1.Workflows) func(context.Context, Q) (A, error)) (A, error) {
-	var none A
+func workflowsCall[Req, Resp any](ctx context.Context, s *session, request Req, method func(apiv1.Workflows) func(context.Context, Req) (Resp, error)) (Resp, error) {
+	var none Resp
 	c, err := s.client()
 	if err != nil {
 		return none, err
 	}
 	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
-	return call(ctx, c, attemptTimeout, request, func(e *endpoint) func(context.Context, Q) (A, error) { return method(e.workflows) })
+	return call(ctx, c, attemptTimeout, request, func(e *endpoint) func(context.Context, Req) (Resp, error) { return method(e.workflows) })
 }
 
 // workflowActions are the action words of "bilberry workflow".
@@ -86,11 +86,11 @@
 	}
 	var requests []*apiv1.SubmitWorkflowRequest
 	for _, file := range files {
-		data, err := s.readInput(file, maxJobFileBytes)
+		content, err := s.readInput(file, maxJobFileBytes)
 		if err != nil {
 			return err
 		}
-		request, err := jobfile.ParseWorkflow(file, data)
+		request, err := jobfile.ParseWorkflow(file, content)
 		if err != nil {
 			return err
 		}
@@ -285,8 +285,8 @@
 	if err != nil {
 		return nil, fault.Field("--duration", "%v", err)
 	}
-	if f.maxDown < 1 || f.maxDown > maxScale {
-		return nil, fault.Field("--max-down", "must be from 1 to %d, is %d", maxScale, f.maxDown)
+	if f.maxDown < 1 || f.maxDown > maxCount {
+		return nil, fault.Field("--max-down", "must be from 1 to %d, is %d", maxCount, f.maxDown)
 	}
 	return &apiv1.Wave{Id: id, Machines: strings.Split(f.machines, ","), DurationMs: duration.Milliseconds(), MaxDown: int32(f.maxDown)}, nil
 }
