--- a/internal/cli/app.go
+++ b/internal/cli/app.go
@@ -1,6 +1,6 @@
-// Package cli implements the operators' command line. It parses arguments, calls
-// the entry instances and prints their responses as tables for people or as JSON
-// for programs. Package fault defines the exit codes.
+// Package cli implements the operators' command line. It parses arguments, calls the
+// entry instances (the instances that accept client calls) and prints their responses as
+// tables for people or as JSON for programs. Package fault defines the exit codes.
 package cli
 
 import (
@@ -58,7 +58,8 @@
 // exit code.
 func (a *App) Run(ctx context.Context, args []string) int {
 	s := newSession(a)
-	// Errors in the flags themselves must be printed as JSON too.
+	// --json must apply to errors in the flags too, which are printed before all flags are
+	// parsed.
 	s.globals.json = slices.Contains(args, "--json")
 	globalFlags := flag.NewFlagSet(programName, flag.ContinueOnError)
 	s.globals.bind(globalFlags)
@@ -88,7 +89,7 @@
 	return s.dispatch(ctx, globalFlags, globalArgs, command, parsed)
 }
 
-// dispatch executes a command with arguments that have been checked and returns the
+// dispatch executes a command with arguments that parseArgs has checked. It returns the
 // exit code.
 func (s *session) dispatch(ctx context.Context, globalFlags *flag.FlagSet, globalArgs parsedArgs, command subcommands.Command, parsed parsedArgs) int {
 	args := append(globalArgs.flags, command.Name())
@@ -123,7 +124,7 @@
 	return subcommands.ExitStatus(b.session.run(ctx, builtin, f.Args()))
 }
 
-// find returns the command with a name, or an Invalid error that suggests a similar
+// find returns the command that has the name, or an Invalid error that suggests a similar
 // name.
 func (a *App) find(name string) (subcommands.Command, error) {
 	var names []string
--- a/internal/cli/args.go
+++ b/internal/cli/args.go
@@ -19,7 +19,8 @@
 	help       bool
 }
 
-// parseArgs splits all arguments and checks each flag's value.
+// parseArgs splits all arguments of a command. It returns an Invalid error for a flag that
+// is unknown, given twice, or has no valid value.
 func parseArgs(set *flag.FlagSet, args []string) (parsedArgs, error) {
 	var out parsedArgs
 	seen := make(map[string]bool)
@@ -140,7 +141,8 @@
 	return nil
 }
 
-// requireDistinct checks arguments of one kind and rejects duplicates.
+// requireDistinct checks each argument and rejects duplicates. Errors call the arguments by
+// the name.
 func requireDistinct(name string, args []string) error {
 	seen := make(map[string]bool)
 	for _, arg := range args {
@@ -155,10 +157,10 @@
 	return nil
 }
 
-// maxQuotedBytes bounds the bytes of an invalid argument that an error repeats.
+// maxQuotedBytes bounds the part of an invalid argument that an error message quotes.
 const maxQuotedBytes = 60
 
-// shorten truncates a text to maxQuotedBytes bytes.
+// shorten truncates a text to maxQuotedBytes and appends "...", unless it is short enough.
 func shorten(text string) string {
 	if len(text) <= maxQuotedBytes {
 		return text
--- a/internal/cli/change.go
+++ b/internal/cli/change.go
@@ -12,10 +12,12 @@
 	"github.com/bilberryferry/bilberryferry/fault"
 )
 
-// maxCount is the largest number of tasks that the scale command accepts.
+// maxCount is the largest number of tasks that "scale" accepts, and the largest --max-down
+// of "wave start".
 const maxCount = 100_000
 
-// withResendHint adds to an Unavailable error how to send the same call again.
+// withResendHint adds a hint to an Unavailable error that tells how to send the same call
+// again. It returns other errors unchanged.
 func withResendHint(err error, id string) error {
 	if !fault.Is(err, fault.Unavailable) {
 		return err
@@ -23,8 +25,9 @@
 	return withHint(err, "the call may have been carried out; send it again with --request-id "+id)
 }
 
-// sendChange sends a call that changes state. The call has a request id, with which it
-// can be sent again when its response is lost.
+// sendChange sends a call that changes state. The call has a request id, so that it can be
+// sent again without being carried out twice when its response is lost. givenID is that of
+// --request-id; if it is empty, the call gets a new id.
 func sendChange[Resp any](ctx context.Context, s *session, givenID string, send func(ctx context.Context, c *client, id string) (Resp, error)) (Resp, error) {
 	var none Resp
 	id, err := requestID(givenID)
@@ -84,6 +87,8 @@
 	return requireDistinct("id", request.Ids)
 }
 
+// cancel sends the request and prints the ids of the cancelled jobs. It returns an
+// Unavailable error when some data centres weren't reached.
 func (s *session) cancel(ctx context.Context, request *apiv1.CancelRequest, givenID string) error {
 	response, err := sendChange(ctx, s, givenID, func(ctx context.Context, c *client, id string) (*apiv1.CancelResponse, error) {
 		request.RequestId = id
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -104,7 +104,8 @@
 	out, err string
 }
 
-// runner runs command lines against entry instances, with files in a folder.
+// runner runs command lines against entry instances. It keeps the token and other files in a
+// temporary folder.
 type runner struct {
 	folder   string
 	terminal bool
@@ -144,7 +145,7 @@
 
 const validJob = "name = \"a\"\npolicy = \"batch\"\ncpu = \"1\"\nruntime = \"2s\"\ndeadline = \"+45s\"\n"
 
-// An entry instance accepts a job and dies before its response arrives. The command
+// An entry instance accepts a job and crashes before its response arrives. The command
 // must send the same request with the same id and deadline to the next entry
 // instance, or the job runs twice.
 func TestLostResponseIsResentWithTheSameID(t *testing.T) {
@@ -168,7 +169,7 @@
 	must.Eq(t, "Bearer secret-token", next.token)
 }
 
-// No entry instance answers, so the outcome of the submission is unknown. The message
+// No entry instance responds, so the outcome of the submission is unknown. The message
 // must say how to send the same request again and must not claim that the job wasn't
 // run.
 func TestUnknownOutcomeOfSubmitExplainsResend(t *testing.T) {
@@ -185,7 +186,7 @@
 	must.Eq(t, "", got.out)
 }
 
-// An entry instance dies during "config set". The message must say that the call may
+// An entry instance crashes during "config set". The message must say that the call may
 // have been carried out and how to send the same request again.
 func TestUnknownOutcomeOfConfigSetExplainsResend(t *testing.T) {
 	var id string
@@ -260,6 +261,8 @@
 	must.Eq(t, 0, f.calls)
 }
 
+// Each command must print its help, with an example, in each of the three ways to ask for
+// it. The bash completion must contain each command.
 func TestHelpOfEachCommandHasAnExample(t *testing.T) {
 	r := newRunner(t)
 	for _, c := range builtinCommands() {
@@ -273,11 +276,14 @@
 	}
 }
 
-// watchResponse returns a job of four tasks of which as many have ended as the revision.
+// watchResponse returns a response with a job of four tasks. The number of ended tasks
+// equals the revision.
 func watchResponse(revision uint64, state apiv1.JobState, kind string) *apiv1.StatusResponse {
 	return &apiv1.StatusResponse{Jobs: []*apiv1.Job{{Id: "dc-1", Revision: revision, State: state, ReasonKind: kind, TasksEnded: int32(revision), TasksQueued: 4 - int32(revision)}}}
 }
 
+// Scripts need the exit code of "watch" to tell how a job ended, also when the reason names
+// no error kind or the server sends a state that this program doesn't know ("newer").
 func TestWatchExitCodeTellsHowTheJobEnded(t *testing.T) {
 	ends := map[string]struct {
 		state apiv1.JobState
@@ -324,8 +330,8 @@
 	must.True(t, json.Valid([]byte(r.run("status", "--json").out)))
 }
 
-// One of three data centres is unreachable while an operator cancels all jobs. The
-// exit code must show that some jobs continue.
+// A data centre is unreachable during "cancel". The exit code must show that its jobs
+// continue.
 func TestPartialCancelIsAnError(t *testing.T) {
 	f := (&fakeEntry{cancel: func(request *apiv1.CancelRequest) (*apiv1.CancelResponse, error) {
 		return &apiv1.CancelResponse{Ids: []string{"a"}, UnreachableDataCentres: []string{"dc2"}}, nil
@@ -357,6 +363,10 @@
 	must.StrContains(t, got.err, "the current version is 8")
 }
 
+// Instances return events out of order and the same event twice, and one instance is
+// unreachable. The timeline must be sorted, without duplicates, and warn about the missing
+// instance. Writing it to a path that isn't a regular file must fail without leaving a
+// temporary file.
 func TestTimelineSortsAndDeduplicatesEvents(t *testing.T) {
 	f := (&fakeEntry{events: &apiv1.EventsResponse{
 		Events:               []*apiv1.Event{{WallMs: 2, Instance: "b", Kind: "second"}, {WallMs: 1, Instance: "a", Kind: "first"}, {WallMs: 2, Instance: "b", Kind: "second"}},
@@ -366,7 +376,7 @@
 	got := r.run("timeline", "--job", "x")
 	must.Eq(t, 0, got.code)
 	must.RegexMatch(t, regexp.MustCompile(`(?s)^1970[^\n]*first\n1970[^\n]*second\n$`), got.out)
-	must.StrContains(t, got.err, "instances not reached, the answer leaves them out: c")
+	must.StrContains(t, got.err, "instances not reached, missing from the response: c")
 	page := filepath.Join(r.folder, "line.html")
 	must.Eq(t, 0, r.run("timeline", "--html", page).code)
 	content, err := os.ReadFile(page)
@@ -381,8 +391,7 @@
 	must.SliceEmpty(t, leftovers)
 }
 
-// Authors of scripts rely on the command line's page, so it must list every exit code
-// and command.
+// Authors of scripts rely on docs/CLI.md, so it must list every exit code and command.
 func TestCLIDocNamesEveryExitCodeAndCommand(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CLI.md")
 	must.NoError(t, err)
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -30,7 +30,7 @@
 	workflows  apiv1.Workflows
 }
 
-// client calls the entry instances one after the other until one answers.
+// client calls the entry instances one after the other until one responds.
 type client struct {
 	endpoints []*endpoint
 }
@@ -90,8 +90,8 @@
 // call sends a call to one entry instance after the other until one returns a
 // result or an error other than Unavailable. Unavailable means that the outcome of
 // the call is unknown, so the next instance gets the same message with the same
-// request id. The instance that answered is called first next time. The error is
-// Unavailable and lists all causes when no instance answered.
+// request id. The instance that responded is called first next time. When no instance
+// responds, the error is Unavailable and lists the cause at each instance.
 func call[Req, Resp any](ctx context.Context, c *client, timeout time.Duration, request Req, method func(*endpoint) func(context.Context, Req) (Resp, error)) (Resp, error) {
 	var none Resp
 	var causes []string
@@ -121,14 +121,15 @@
 	return method(ctx, request)
 }
 
-// moveToFront makes endpoint i the first one that later calls use.
+// moveToFront moves endpoint i to the front, so that later calls try it first.
 func (c *client) moveToFront(i int) {
 	chosen := c.endpoints[i]
 	copy(c.endpoints[1:i+1], c.endpoints[:i])
 	c.endpoints[0] = chosen
 }
 
-// rootCause removes the prefixes that HTTP and twirp add to a transport error.
+// rootCause returns a transport error's message without the prefixes of HTTP and twirp, or
+// "no response in time" for a timeout.
 func rootCause(message string) string {
 	for _, marker := range []string{"failed to do request: ", "connect: "} {
 		if i := strings.LastIndex(message, marker); i >= 0 {
@@ -141,12 +142,13 @@
 	return message
 }
 
-// schedulerCall is call for a method of the Scheduler service.
+// schedulerCall calls a method of the Scheduler service; call describes retries and errors.
 func schedulerCall[Req, Resp any](ctx context.Context, c *client, request Req, method func(apiv1.Scheduler) func(context.Context, Req) (Resp, error)) (Resp, error) {
 	return call(ctx, c, attemptTimeout, request, func(e *endpoint) func(context.Context, Req) (Resp, error) { return method(e.scheduler) })
 }
 
-// operationsCall is call for a method of the Operations service.
+// operationsCall calls a method of the Operations service; call describes retries and
+// errors.
 func operationsCall[Req, Resp any](ctx context.Context, c *client, request Req, method func(apiv1.Operations) func(context.Context, Req) (Resp, error)) (Resp, error) {
 	return call(ctx, c, attemptTimeout, request, func(e *endpoint) func(context.Context, Req) (Resp, error) { return method(e.operations) })
 }
--- a/internal/cli/command.go
+++ b/internal/cli/command.go
@@ -26,7 +26,7 @@
 // Name returns the name of the command.
 func (c *command) Name() string { return c.name }
 
-// Synopsis returns a description of one line.
+// Synopsis returns a one-line description.
 func (c *command) Synopsis() string { return c.synopsis }
 
 // Usage returns the help text without the flags.
@@ -47,8 +47,8 @@
 	}
 }
 
-// Execute completes subcommands.Command. It is never called, because boundCommand
-// runs the command in its session.
+// Execute implements subcommands.Command and returns a failure. It is never called, because
+// boundCommand.Execute runs the command in its session.
 func (c *command) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	return subcommands.ExitFailure
 }
@@ -84,7 +84,7 @@
 	return 0
 }
 
-// overview prints the commands and the global flags.
+// printOverview prints the commands and the global flags.
 func (s *session) printOverview(out io.Writer) {
 	fmt.Fprintf(out, "Usage: %s [global flags] command [flags] [arguments]\n\nCommands:\n", programName)
 	for _, c := range s.app.commands() {
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -35,8 +35,8 @@
 		usage:    "get | set file | status | history",
 		description: "\"get\" writes the document with its version in the first line. \"set\" takes that line,\n" +
 			"or --expect, as the version that the change is based on. If another write has\n" +
-			"happened since, it is refused with Conflict and changes nothing. \"status\" shows the\n" +
-			"version that each instance applies.",
+			"happened since, \"set\" is refused with Conflict and changes nothing. \"status\" shows\n" +
+			"the version that each instance applies.",
 		example: "bilberry config get > quotas.toml\nbilberry config set quotas.toml",
 		flags: func(f *flag.FlagSet) {
 			f.Int64Var(&flags.expect, "expect", versionUnset, "set: the `version` that was read")
@@ -92,8 +92,8 @@
 	return s.show(response, func(out io.Writer) { writeDocument(out, response) })
 }
 
-// writeDocument writes a first line with the version, which "config set" reads,
-// and the document unchanged.
+// writeDocument writes a first line with the version, which "config set" reads, and the
+// document. A version line of the document itself is left out.
 func writeDocument(out io.Writer, config *apiv1.Config) {
 	fmt.Fprintf(out, "# version %d", config.GetVersion())
 	if config.GetAuthor() != "" {
@@ -110,7 +110,7 @@
 // versionLine matches the first line that writeDocument writes.
 var versionLine = regexp.MustCompile(`\A# version (\d{1,19})\b[^\n]*(\n|\z)`)
 
-// stripVersion returns a document without its version line.
+// stripVersion returns a document without its version line, if it has one.
 func stripVersion(document string) string {
 	return document[len(versionLine.FindString(document)):]
 }
--- a/internal/cli/errors.go
+++ b/internal/cli/errors.go
@@ -11,7 +11,7 @@
 	"github.com/bilberryferry/bilberryferry/internal/event"
 )
 
-// hintedError is an error with a hint for the user what to do about it.
+// hintedError is an error with a hint that tells the user what to do next.
 type hintedError struct {
 	error
 	hint string
@@ -28,7 +28,7 @@
 	return &hintedError{error: err, hint: hint}
 }
 
-// withUsageHint adds a hint to the help of a command.
+// withUsageHint adds a hint that refers to the help of a command.
 func withUsageHint(err error, command string) error {
 	return withHint(err, fmt.Sprintf("run \"%s help %s\" for an example", programName, command))
 }
@@ -40,9 +40,9 @@
 	fault.Denied:              "check whose token is used: customers change jobs (--customer name with --settings, or --token-file), operators run the system",
 	fault.Conflict:            "read the current state first, then decide again",
 	fault.Infeasible:          "make the job fit a worker: fewer processors, less memory or fewer tasks at once; see \"bilberry workers\"",
-	fault.DeadlineUnreachable: "give a later deadline or fewer tasks, or come back later",
+	fault.DeadlineUnreachable: "give a later deadline or fewer tasks, or retry later",
 	fault.QuotaExceeded:       "wait for running work to end or ask for more quota; see \"bilberry quota\"",
-	fault.Overloaded:          "come back later",
+	fault.Overloaded:          "retry later",
 	fault.Unavailable:         "check the addresses and \"bilberry instances\"; the same call may be sent again",
 	fault.NotRun:              "submit the job again",
 	fault.Unknown:             "check on the worker whether the work was done before you repeat it",
@@ -111,11 +111,11 @@
 	fmt.Fprintf(s.app.Stderr, "%s: warning: %s\n", programName, oneLine(fmt.Sprintf(format, args...)))
 }
 
-// warnUnreachable warns about the data centres or instances, which kind names,
-// that are missing from a response.
+// warnUnreachable warns that the named data centres or instances are missing from a
+// response. kind is "data centres" or "instances".
 func (s *session) warnUnreachable(kind string, names []string) {
 	if len(names) > 0 {
-		s.warn("%s not reached, the answer leaves them out: %s", kind, strings.Join(names, ", "))
+		s.warn("%s not reached, missing from the response: %s", kind, strings.Join(names, ", "))
 	}
 }
 
--- a/internal/cli/local.go
+++ b/internal/cli/local.go
@@ -18,7 +18,7 @@
 		name:        "check-settings",
 		synopsis:    "Check a settings file and print every setting",
 		usage:       "[--print] [file]",
-		description: "Without a file it checks the one of --settings. It calls no instance.",
+		description: "Without a file argument it checks the file of --settings. It calls no instance.",
 		example:     "bilberry check-settings --print bilberry.toml",
 		flags: func(f *flag.FlagSet) {
 			f.BoolVar(&printAll, "print", false, "print all settings with their defaults")
--- a/internal/cli/logs.go
+++ b/internal/cli/logs.go
@@ -37,8 +37,8 @@
 	return jobtrace.Read(file)
 }
 
-// explainFromLogs prints the outcome of a job, how it spent its time and its events,
-// from the instances' log files.
+// explainFromLogs reads the instances' log files and prints a job's outcome, its time in
+// each activity, and its events.
 func (s *session) explainFromLogs(files, job string) error {
 	lines, err := readLogs(files)
 	if err != nil {
@@ -48,7 +48,7 @@
 	out := s.app.Stdout
 	fmt.Fprintln(out, oneLine(trace.Outcome))
 	if len(trace.Spans) > 0 {
-		t := newTable("TIME", "SPENT")
+		t := newTable("TIME", "ACTIVITY")
 		for _, span := range trace.Spans {
 			t.add(textCell("%s", span.Duration.Round(time.Millisecond)), textCell("%s", span.Activity))
 		}
--- a/internal/cli/operations.go
+++ b/internal/cli/operations.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// operationsCallWithTimeout is operationsCall with a new client and the time
-// limit of --timeout.
+// operationsCallWithTimeout calls a method of the Operations service with a new client,
+// within --timeout.
 func operationsCallWithTimeout[Req, Resp any](ctx context.Context, s *session, request Req, method func(apiv1.Operations) func(context.Context, Req) (Resp, error)) (Resp, error) {
 	c, err := s.client()
 	if err != nil {
@@ -72,7 +72,7 @@
 	case !w.GetConnected():
 		return cell{"lost", red}
 	case w.GetSetAside():
-		return cell{"set aside", yellow}
+		return cell{"quarantined", yellow}
 	case w.GetDraining():
 		return cell{"draining", yellow}
 	default:
@@ -102,7 +102,7 @@
 }
 
 func (s *session) showQuotas(quotas []*apiv1.Quota) {
-	t := newTable("CUSTOMER", "DATA CENTRE", "LIMIT OVER ALL", "ALLOTTED HERE", "USED HERE")
+	t := newTable("CUSTOMER", "DATA CENTRE", "TOTAL LIMIT", "ALLOTTED HERE", "USED HERE")
 	for _, q := range quotas {
 		t.add(textCell("%s", q.GetCustomer()), textCell("%s", q.GetDataCentre()), textCell("%s", formatResources(q.GetLimit())),
 			textCell("%s", formatResources(q.GetAllotment())), textCell("%s", formatResources(q.GetUsed())))
@@ -143,8 +143,8 @@
 	t.print(s)
 }
 
-// showMembers prints the members of a log. The response to a membership change
-// holds their addresses but not their state, so the table has no column for it.
+// showMembers prints the members of a replicated log. The response to a membership change
+// contains their addresses but not their state, so the table has no STATE column.
 func (s *session) showMembers(members []*apiv1.Instance) {
 	t := newTable("MEMBER", "ADDRESS", "DISK")
 	for _, m := range members {
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -29,8 +29,8 @@
 	reset  colour = "\x1b[0m"
 )
 
-// useColours reports whether to print colours: only on a terminal that supports them,
-// and not with --no-colour, --json or $NO_COLOR.
+// useColours reports whether to print colours: only on a terminal that supports them, and
+// not with --no-colour, --json or a non-empty $NO_COLOR.
 func (s *session) useColours() bool {
 	return s.app.Terminal && !s.globals.noColour && !s.globals.json &&
 		s.app.Getenv(envNoColour) == "" && s.app.Getenv(envTerminal) != "dumb"
@@ -53,7 +53,7 @@
 // textCell returns an uncoloured cell with a formatted text.
 func textCell(format string, args ...any) cell { return cell{text: fmt.Sprintf(format, args...)} }
 
-// table is a table with a heading.
+// table collects rows under a heading and prints them in aligned columns.
 type table struct {
 	heading []string
 	rows    [][]cell
@@ -63,8 +63,8 @@
 
 func (t *table) add(cells ...cell) { t.rows = append(t.rows, cells) }
 
-// print writes the table with aligned columns. It replaces control characters,
-// because callers choose some of the texts.
+// print writes the table with aligned columns. It replaces control characters, because some
+// of the texts, such as job names, come from customers.
 func (t *table) print(s *session) {
 	widths := make([]int, len(t.heading))
 	heading := make([]cell, len(t.heading))
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// formatUnixTime returns a time as RFC 3339 in UTC, or "-" for 0.
+// formatUnixTime returns a time in Unix milliseconds as RFC 3339 in UTC, or "-" for 0.
 func formatUnixTime(ms int64) string {
 	if ms == 0 {
 		return "-"
@@ -145,7 +145,7 @@
 	return cell{enumName(state.String(), "JOB_STATE_"), jobColours[state]}
 }
 
-// jobColours are the colours of job states; the others are plain.
+// jobColours are the colours of job states. States that aren't listed are plain.
 var jobColours = map[apiv1.JobState]colour{
 	apiv1.JobState_JOB_STATE_PENDING_HANDOVER: yellow,
 	apiv1.JobState_JOB_STATE_RUNNING:          green,
--- a/internal/cli/session.go
+++ b/internal/cli/session.go
@@ -13,7 +13,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
-// Environment variables with defaults of global flags.
+// Environment variables. The first three give the defaults of global flags; the others
+// can turn colours off.
 const (
 	envSettings  = "BILBERRY_SETTINGS"
 	envEntry     = "BILBERRY_ENTRY"
@@ -22,10 +23,10 @@
 	envTerminal  = "TERM"
 )
 
-// defaultTimeout bounds a command other than watch.
+// defaultTimeout is the default of --timeout.
 const defaultTimeout = 30 * time.Second
 
-// globals are the flags that every command accepts.
+// globals are the flags that every command of this package accepts.
 type globals struct {
 	settings  string
 	entry     string
@@ -119,7 +120,7 @@
 	return entries, nil
 }
 
-// maxEntries bounds the list of entry addresses.
+// maxEntries is the largest number of addresses that --entry accepts.
 const maxEntries = 64
 
 // parseEntries splits and checks the value of --entry.
@@ -161,7 +162,8 @@
 	return settings.ReadToken(path)
 }
 
-// tokenPath returns the settings' token file of --customer, or of the operator.
+// tokenPath returns the path of the token file that the settings name for --customer, or
+// for the operator if --customer isn't given.
 func (s *session) tokenPath(loaded *settings.Settings) (string, error) {
 	if s.globals.customer == "" {
 		return loaded.Tokens.Operator, nil
@@ -186,7 +188,7 @@
 	return "cli-" + hex.EncodeToString(random), nil
 }
 
-// requestIDFlag adds the flag --request-id to f.
+// requestIDFlag adds the flag --request-id to f, which stores its value in into.
 func requestIDFlag(f *flag.FlagSet, into *string) {
 	f.StringVar(into, "request-id", "", "`id` of an earlier call whose outcome is unknown; sends that call again")
 }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -21,7 +21,7 @@
 	// when the job doesn't change.
 	watchPollDuration = 20 * time.Second
 	// watchRetryDelay is the delay before the next watch call when no entry instance
-	// answers or the job hasn't changed.
+	// responds or the job hasn't changed.
 	watchRetryDelay = 500 * time.Millisecond
 )
 
@@ -64,8 +64,8 @@
 	}
 }
 
-// status makes one call for all jobs, or one call for each id, and joins the
-// responses.
+// status makes one call for all jobs if there are no ids, or one call for each id, and joins
+// the responses.
 func (s *session) status(ctx context.Context, request *apiv1.StatusRequest, ids []string) (*apiv1.StatusResponse, error) {
 	c, err := s.client()
 	if err != nil {
@@ -141,7 +141,7 @@
 		name:        "watch",
 		synopsis:    "Follow a job until it has ended",
 		usage:       "id",
-		description: "The exit code tells how the job ended. --timeout bounds only the time during which\nno entry instance answers.",
+		description: "The exit code tells how the job ended. --timeout bounds only the time during which\nno entry instance responds.",
 		example:     "bilberry watch naas-hall-1a2b",
 		run: func(ctx context.Context, s *session, args []string) error {
 			if err := requireArgs(args, "id"); err != nil {
@@ -153,7 +153,7 @@
 }
 
 // watch prints the progress of one job until it has ended. It returns nil when the
-// job has finished successfully, and otherwise a fault that describes its end.
+// job has finished successfully, and otherwise an error that describes how it ended.
 func (s *session) watch(ctx context.Context, id string) error {
 	c, err := s.client()
 	if err != nil {
@@ -252,8 +252,8 @@
 	apiv1.JobState_JOB_STATE_RUNNING:          true,
 }
 
-// endFaultKinds maps the states of ended jobs to the kind of fault for jobs that name no
-// reason.
+// endFaultKinds maps the states of jobs that ended without success to error kinds, for jobs
+// whose reason has no kind.
 var endFaultKinds = map[apiv1.JobState]fault.Kind{
 	apiv1.JobState_JOB_STATE_FAILED:    fault.Failed,
 	apiv1.JobState_JOB_STATE_CANCELLED: fault.Cancelled,
@@ -261,7 +261,7 @@
 	apiv1.JobState_JOB_STATE_UNKNOWN:   fault.Unknown,
 }
 
-// outcomeError returns an error that describes how a job ended, or nil when it has
+// outcomeError returns an error that describes how a job ended, or nil when the job has
 // finished successfully.
 func outcomeError(job *apiv1.Job) error {
 	if job.GetState() == apiv1.JobState_JOB_STATE_FINISHED {
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -32,7 +32,7 @@
 		example: "bilberry submit --wait --deadline +10m recalculation.toml",
 		flags: func(f *flag.FlagSet) {
 			f.BoolVar(&wait, "wait", false, "wait until the jobs have ended")
-			f.StringVar(&deadline, "deadline", "", "`when` the work must be done: \"+45s\" or an RFC 3339 time; replaces the file's")
+			f.StringVar(&deadline, "deadline", "", "`when` the work must be done: \"+45s\" or an RFC 3339 time; replaces the deadline in the file")
 			requestIDFlag(f, &earlier.id)
 			f.StringVar(&earlier.home, "home", "", "`data centre` that handles the request id; use it with --request-id")
 		},
@@ -59,7 +59,8 @@
 // earlierCall identifies an earlier submission whose outcome is unknown.
 type earlierCall struct{ id, home string }
 
-// readJobs reads and checks all files before anything is sent.
+// readJobs reads and checks all job files, and returns an error if any is invalid. A
+// deadline that isn't empty replaces those in the files.
 func (s *session) readJobs(files []string, deadline string) ([]*apiv1.Spec, error) {
 	if len(files) == 0 {
 		return nil, fault.Field("file", "is missing")
@@ -113,8 +114,8 @@
 	return content, nil
 }
 
-// submitAll submits jobs one after the other and stops at the first error. It returns
-// the responses of the accepted ones.
+// submitAll submits jobs one after the other and stops at the first error. It returns the
+// responses for the accepted jobs.
 func (s *session) submitAll(ctx context.Context, specs []*apiv1.Spec, earlier earlierCall) ([]*apiv1.SubmitResponse, error) {
 	c, err := s.client()
 	if err != nil {
@@ -157,16 +158,16 @@
 	}
 	hint := "the job may have been accepted; send it again with --home " + request.Home + " --request-id " + id
 	if spec.DeadlineUnixMs != 0 {
-		// A relative deadline would be later in the second call, and the calls would
-		// differ.
+		// The hint contains the absolute deadline: a relative one would be later in the
+		// second call, which is refused if it differs from the first.
 		hint += " --deadline " + time.UnixMilli(spec.DeadlineUnixMs).UTC().Format(time.RFC3339Nano)
 	}
 	return nil, withHint(err, hint)
 }
 
 // homeOf returns the data centre that handles a submission's request id: the one in
-// the job file, or that of the first entry instance that answers. The submission may
-// then be retried at any entry instance.
+// the job file, or that of the first entry instance that responds. The submission names
+// it, so that it can be retried at any entry instance.
 func homeOf(ctx context.Context, c *client, spec *apiv1.Spec) (string, error) {
 	if spec.DataCentre != "" {
 		return spec.DataCentre, nil
--- a/internal/cli/timeline.go
+++ b/internal/cli/timeline.go
@@ -28,7 +28,8 @@
 	logs string
 }
 
-// defaultTimelineLimit is the number of events shown when --limit is left out.
+// defaultTimelineLimit is the default of --limit: the largest number of events that each
+// instance returns.
 const defaultTimelineLimit = 5000
 
 func timelineCommand() *command {
@@ -43,10 +44,10 @@
 			f.StringVar(&flags.job, "job", "", "only events of this job (`id`)")
 			f.StringVar(&flags.request, "request", "", "only events of this request (`id`)")
 			f.StringVar(&flags.worker, "worker", "", "only events of this worker (`id`)")
-			f.DurationVar(&flags.since, "since", 0, "only events of this last `span`, such as 10m")
+			f.DurationVar(&flags.since, "since", 0, "only events of the last `span`, such as 10m")
 			f.IntVar(&flags.limit, "limit", defaultTimelineLimit, "show the newest events, at most this `number` from each instance")
 			f.StringVar(&flags.logs, "log", "", "read log lines from these `files`, separated by commas, and call no instance")
-			f.StringVar(&flags.html, "html", "", "write one self-contained page to this `file` instead")
+			f.StringVar(&flags.html, "html", "", "write one self-contained HTML page to this `file` instead of printing")
 		},
 		run: func(ctx context.Context, s *session, args []string) error {
 			if err := requireArgs(args); err != nil {
--- a/internal/cli/workflow.go
+++ b/internal/cli/workflow.go
@@ -15,8 +15,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/units"
 )
 
-// workflowsCall is call for a method of the Workflows service, which is offered by cells
-// whose log spans their data centres. It uses a new client and the time limit of --timeout.
+// workflowsCall calls a method of the Workflows service with a new client, within --timeout.
+// Cells whose log spans their data centres offer that service.
 func workflowsCall[Req, Resp any](ctx context.Context, s *session, request Req, method func(apiv1.Workflows) func(context.Context, Req) (Resp, error)) (Resp, error) {
 	var none Resp
 	c, err := s.client()
@@ -38,7 +38,7 @@
 		usage:    "submit file... | status queue id | cancel queue id | explain queue id | waiting queue",
 		description: "For cells whose log spans their data centres; --entry takes their api addresses.\n" +
 			"A file holds queue, id and steps. Submissions with the same id are the same job, so\n" +
-			"one without an answer is simply sent again.",
+			"a submission without a response can be sent again.",
 		example: "bilberry workflow submit reports.toml\nbilberry workflow explain reports reports-7",
 		run: func(ctx context.Context, s *session, args []string) error {
 			if len(args) == 0 {
@@ -79,7 +79,8 @@
 	return err
 }
 
-// submitWorkflows reads and checks all files before anything is sent.
+// submitWorkflows submits the workflows that the files describe. All files are read and
+// checked before the first is sent.
 func (s *session) submitWorkflows(ctx context.Context, files []string) error {
 	if len(files) == 0 {
 		return fault.Field("file", "is missing")
@@ -134,7 +135,7 @@
 // showWorkflow prints the steps of a workflow and the workers that crashed.
 func (s *session) showWorkflow(out io.Writer, status *apiv1.WorkflowStatus) {
 	fmt.Fprintln(out, oneLine(fmt.Sprintf("%s in %s: %s", status.GetId(), status.GetQueue(), status.GetPhase())))
-	t := newTable("TIME", "STEP", "TASKS", "DONE", "RUNNING", "FAILURES")
+	t := newTable("OCCURRENCE", "STEP", "TASKS", "DONE", "RUNNING", "FAILURES")
 	for _, step := range status.GetSteps() {
 		t.add(textCell("%d", step.GetOccurrence()), textCell("%d", step.GetStep()), textCell("%d", step.GetTasks()),
 			textCell("%d", step.GetDone()), textCell("%d", step.GetRunning()), textCell("%d", step.GetFailures()))
@@ -189,7 +190,7 @@
 		if step.GetPermitted()+step.GetRefused() > 0 {
 			fmt.Fprintf(out, "adviser: %d workers permitted, %d refused, %d not queried\n", step.GetPermitted(), step.GetRefused(), step.GetUnknown())
 		}
-		t := newTable("WORKERS", "KEPT BY", "FOR EXAMPLE")
+		t := newTable("WORKERS", "RULED OUT BY", "FOR EXAMPLE")
 		for _, count := range step.GetWorkers() {
 			t.add(textCell("%d", count.GetWorkers()), textCell("%s", orNothing(count.GetFilter())), textCell("%s", count.GetExampleWorker()))
 		}
@@ -302,7 +303,7 @@
 			state = "done"
 		}
 		fmt.Fprintf(out, "wave %d: %s\n", status.GetId(), state)
-		t := newTable("MACHINE", "UPKEEP")
+		t := newTable("MACHINE", "MAINTENANCE")
 		for _, m := range status.GetMachines() {
 			t.add(textCell("%s", m.GetMachine()), textCell("%s", m.GetStage()))
 		}
