--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -218,6 +218,9 @@
 	must.Eq(t, int64(1500), shown["error"].RetryAfterMs)
 }
 
+// maxErrorLineBytes bounds the first line of an error message, also for long arguments.
+const maxErrorLineBytes = 500
+
 // Typing errors and malicious arguments must be rejected with one line and a non-zero
 // exit code before any instance is called.
 func TestInvalidInputIsRejectedBeforeAnyCall(t *testing.T) {
@@ -254,7 +257,7 @@
 		must.Eq(t, "", got.out)
 		cause, next, _ := strings.Cut(got.err, "\n")
 		must.StrHasPrefix(t, "bilberry: Invalid: ", cause)
-		must.Less(t, 500, len(cause))
+		must.Less(t, maxErrorLineBytes, len(cause))
 		must.StrHasPrefix(t, "  next: ", next, must.Sprintf("%q: %s", args, got.err))
 		must.Eq(t, 2, strings.Count(got.err, "\n"))
 	}
--- a/internal/cli/session.go
+++ b/internal/cli/session.go
@@ -176,12 +176,15 @@
 	return "", fault.Field("--customer", "the settings contain no customer %q", shorten(s.globals.customer))
 }
 
+// requestIDBytes is the number of random bytes in a new request id.
+const requestIDBytes = 16
+
 // requestID returns the id that --request-id gives, or a new random id.
 func requestID(given string) (string, error) {
 	if given != "" {
 		return given, checkArgument("--request-id", given)
 	}
-	random := make([]byte, 16)
+	random := make([]byte, requestIDBytes)
 	if _, err := rand.Read(random); err != nil {
 		return "", err
 	}
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -203,6 +203,10 @@
 	return response.GetJobs()[0], nil
 }
 
+// eraseLine is the terminal escape sequence that moves the cursor to the start of the line
+// and erases the line.
+const eraseLine = "\r\x1b[K"
+
 // showProgress prints one line for a revision of the job. On a terminal it overwrites
 // the previous line.
 func (s *session) showProgress(job *apiv1.Job) error {
@@ -212,7 +216,7 @@
 	state := jobStateCell(job.GetState())
 	line := fmt.Sprintf("%s  %s  %s", oneLine(job.GetId()), s.paint(state.colour, state.text), s.progressBar(job))
 	if s.app.Terminal {
-		_, err := fmt.Fprintf(s.app.Stdout, "\r\x1b[K%s", line)
+		_, err := fmt.Fprintf(s.app.Stdout, eraseLine+"%s", line)
 		return err
 	}
 	_, err := fmt.Fprintln(s.app.Stdout, line)
