--- a/spec/carrier.pml
+++ b/spec/carrier.pml
@@ -1,16 +1,18 @@
 /*
- * Orders that two successive leaders send to a worker through one carrier.
+ * Orders that two successive leaders send to a worker through one carrier: an instance
+ * that forwards orders to the worker and buffers the outcomes that the worker returns.
  *
  * Leader 1 issues orders until it learns that its leadership has ended, at most PRED
  * ticks after leader 2 begins. Orders and outcomes may be delayed without bound or
- * lost. An order extends the worker's lease to an absolute end that the leader wrote
- * into it; each leader keeps its own upper bound of that end. Time advances in ticks.
- * Clock drift is left out: the program multiplies every bound by a drift factor.
+ * lost. Each order contains an absolute time up to which it extends the worker's lease;
+ * each leader keeps an upper bound of these times. Time advances in ticks up to LAST; an
+ * order extends the lease to LEASE ticks after the order is issued. Clock drift is left
+ * out: the program multiplies every bound by a drift factor.
  *
  * Asserted:
  * 1. once leader 2 has begun, the worker's lease ends no later than leader 2's bound,
- *    so that a run which leader 2 takes to be over isn't alive;
- * 2. the carrier sends no order of leader 1 once it has received one of leader 2;
+ *    so that no run is alive which leader 2 takes to have ended;
+ * 2. the carrier forwards no order of leader 1 once it has received one of leader 2;
  * 3. a leader records outcomes of its own orders only, since both leaders number their
  *    orders from 1.
  *
@@ -33,7 +35,7 @@
 byte begun2 = LAST + 1;
 byte carrierTerm = 0;
 
-/* An order: its term and the lease end written into it. */
+/* Orders: term of the leader, and the end to which the order extends the lease. */
 chan toCarrier = [2] of { byte, byte };
 chan toWorker = [2] of { byte, byte };
 /* Outcomes buffered at the carrier, each by the term of its order. */
--- a/spec/check.sh
+++ b/spec/check.sh
@@ -7,7 +7,7 @@
 #   spec/check.sh quick    the runs marked quick, for CI
 #
 # Searches are exhaustive (-DSAFETY, with lossless -DCOLLAPSE compression). Each may
-# use 3000 MB of memory; three run in parallel.
+# use $MEMORY MB of memory; $PARALLEL run in parallel.
 set -u
 cd "$(dirname "$0")" || exit 2
 for tool in spin gcc; do
@@ -17,16 +17,16 @@
 	fi
 done
 
-MEMORY=3000
-DEPTH=20000
-PARALLEL=3
-LIMIT=150
+MEMORY=3000   # MB, for each search
+DEPTH=20000   # steps, the longest path that a search follows
+PARALLEL=3    # searches at a time
+LIMIT=150     # seconds, for each search
 
 # runs prints the runs, one a line: mark | model | mutant or - | bounds. CI runs those
-# marked "quick". An "open" run removes a guard whose absence causes no violation within
-# these bounds. A WITNESS in the mutant column is an assertion that a state of interest
-# is unreachable. It must fail; otherwise the model would hold only because it never
-# reaches that state.
+# marked "quick". An "open" run has a mutant without a guard that isn't needed within its
+# bounds: the run is expected to find no violation. A WITNESS in the mutant column is an
+# assertion that a state of interest is unreachable. It must fail; otherwise the model
+# would hold only because it never reaches that state.
 runs() {
 	local three="-DTERMS=3 -DLEN=1 -DCRASHES=1"
 	local four="-DTERMS=4 -DLEN=1 -DCRASHES=0"
@@ -127,7 +127,8 @@
 	done
 }
 
-# verdict prints the result of a search: lower case as expected, capitals otherwise.
+# verdict prints the result of a search: in lower case if it is as expected, in capitals
+# otherwise.
 verdict() { # mark mutant output
 	if ! grep -q "errors:" <<<"$3"; then
 		echo "NOT FINISHED"
@@ -166,7 +167,7 @@
 	cp ./*.pml ./*.inc "$dir"
 	cd "$dir" || return 1
 	began=$(date +%s.%N)
-	# $flags is split into words on purpose.
+	# $flags must be split into words.
 	# shellcheck disable=SC2086
 	out=$(spin -a $flags "$model.pml" 2>&1 &&
 		gcc -O2 -w -DSAFETY -DCOLLAPSE -DMEMLIM=$MEMORY -DVECTORSZ=2048 $flags -o pan pan.c 2>&1 &&
--- a/spec/config.pml
+++ b/spec/config.pml
@@ -2,11 +2,11 @@
  * Versions of the configuration: committed in the global configuration log, adopted
  * into the log of one data centre, applied by the diskless instances of that data
  * centre. Both logs are assumed to behave as log.pml verifies. Pushed versions and
- * answers stay readable for ever.
+ * answers stay readable for ever, so that they may arrive late, repeatedly or never.
  *
  * An instance applies only versions that its data centre has adopted. After a restart
- * it serves only once the leader of its data centre, having confirmed its leadership,
- * has answered a query of this incarnation.
+ * the instance serves requests only once the leader of its data centre, having confirmed
+ * its leadership, has answered a request of the new incarnation for the version.
  *
  * Safety: the version that an instance serves never decreases, also across restarts.
  */
@@ -29,10 +29,11 @@
 bit serving[INSTANCES];
 byte inc[INSTANCES];
 bit asked[INSTANCES * (RESTARTS + 1)];
-byte answered[INSTANCES * (RESTARTS + 1)];  /* version + 1, by incarnation */
+/* Version in the answer to each incarnation, + 1; 0 for no answer. */
+byte answered[INSTANCES * (RESTARTS + 1)];
 byte restarts;
 
-byte highest[INSTANCES];  /* highest version ever served (history) */
+byte highest[INSTANCES];  /* highest version ever served, for the assertion only */
 
 inline serve(i) {
 	if
--- a/spec/handover.pml
+++ b/spec/handover.pml
@@ -24,7 +24,7 @@
 byte hop[2];
 byte mark[2];      /* highest hop answered */
 
-/* The committed answer of the receiver of a hop. */
+/* The committed answer of the receiver, by hop. */
 #define NOANSWER 0
 #define ACCEPTED 1
 #define REFUSED  2
@@ -35,7 +35,7 @@
 byte decidedHop[2];
 
 /* Messages. */
-byte offer[HOPS + 1];    /* sender + 1 */
+byte offer[HOPS + 1];    /* sender + 1, 0 if the hop wasn't offered */
 bit accepted[HOPS + 1];
 bit refused[HOPS + 1];
 
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -1,6 +1,7 @@
 /*
- * One task, two leaders of the data centre's log and a worker with a lease:
- * starts, expiry, cancellation, and the answers "not run" and "unknown".
+ * One task, two leaders of the data centre's log and a worker with a lease: starts,
+ * expiry, cancellation, and the final states "not run" and "unknown" that the customer
+ * gets as an answer.
  *
  * The log is assumed to behave as log.pml verifies: committed state is one shared
  * state, and a leader of an old term can't commit. The old leader may be paused at
@@ -69,17 +70,17 @@
 bit stopped;           /* report: attempt 1 stopped after its start */
 bit ended;             /* report: attempt 1 ended by itself */
 byte renewInc;         /* renewal in flight: incarnation, 0 for none */
-byte renewTerm;        /* ... latest term the worker has received */
-bit renewSeen;         /* ... whether attempt 1 was started */
+byte renewTerm;        /* renewal in flight: latest term that the worker has received */
+bit renewSeen;         /* renewal in flight: whether attempt 1 was started */
 byte grantTerm;        /* grant in flight: term, 0 for none */
 byte age;              /* local ticks since the renewal was sent */
-byte ageSlow;          /* ticks lost since then */
+byte ageSlow;          /* ticks that the worker's clock lost since the renewal was sent */
 
 /* The worker. */
 byte inc;
 byte heard;            /* latest term received */
 byte lease;            /* local ticks left */
-byte leaseSlow;
+byte leaseSlow;        /* ticks lost since the renewal that brought the lease was sent */
 bit seen;              /* attempt 1 was started */
 bit tomb;              /* tombstone: attempt 1 is refused for ever */
 bit running;
@@ -89,7 +90,7 @@
 bit otherTomb;
 bit otherRunning;
 
-/* History. */
+/* For the assertions only: an attempt has run. */
 bit ran;
 
 hidden byte x;
@@ -234,7 +235,7 @@
 	od
 }
 
-/* gone records that the latest attempt isn't running any more and may have run. */
+/* gone records that the latest attempt doesn't run any longer but may have run. */
 inline gone() {
 	over = 1;
 	goneInc = onInc;
--- a/spec/log.pml
+++ b/spec/log.pml
@@ -85,6 +85,9 @@
 	:: else \
 	fi
 
+/* Array indices: entry k of member i; request of candidate c in term index t; vote by
+ * incarnation k of voter v; acknowledgement of n entries by that incarnation; answer of
+ * member j to recovering member r. */
 #define AT(i, k)         ((i) * LEN + (k))
 #define REQ(t, c)        ((t) * N + (c))
 #define MSG(t, v, k)     (((t) * N + (v)) * INCS + (k))
@@ -103,26 +106,26 @@
 
 /* Messages. Array indices count terms from 0. */
 byte rqlen[TERMS * N];  /* vote request: length of the log + 1, 0 for none */
-byte rqlt[TERMS * N];   /* ... and the term of its last entry */
+byte rqlt[TERMS * N];   /* vote request: term of the last entry of the log */
 byte vt[TERMS * N * INCS];   /* vote: candidate + 1 */
-short vv[TERMS * N * INCS];  /* ... and the voter's known incarnations */
+short vv[TERMS * N * INCS];  /* vote: incarnations that the voter knows */
 byte ldr[TERMS];        /* leader + 1 */
 byte glen[TERMS];       /* length of the log that the leader of the term sends */
-byte gt[TERMS * LEN];
-byte elen[TERMS];       /* length of its log when it was elected (history) */
+byte gt[TERMS * LEN];   /* terms of the entries in that leader's log */
+byte elen[TERMS];       /* length of the leader's log at its election */
 bit ak[TERMS * N * INCS * LEN];   /* acknowledgement of a prefix */
-short av[TERMS * N * INCS * LEN];
+short av[TERMS * N * INCS * LEN];  /* acknowledgement: incarnations known to its sender */
 byte rat[N * N];  /* answer to a recovering member: term, 0 for none */
-byte ral[N * N];  /* ... log length + 1 if the answering member is the leader */
+byte ral[N * N];  /* answer to a recovering member: log length + 1 if sent by the leader, else 0 */
 
-/* History of committed entries: term of the entry, term of the leader that committed it. */
+/* Committed entries: term of the entry, and term of the leader that committed it. */
 byte ct[LEN];
 byte cb[LEN];
 byte crashes;
 
 #ifdef MEMBERSHIP
 byte lm[N * LEN];  /* membership entries: bit mask of voters, 0 for a command */
-byte gm[TERMS * LEN];
+byte gm[TERMS * LEN];  /* membership entries in the leader's log, by term */
 byte rac[N * N];   /* answer to a recovering member: the leader's commit index */
 #endif
 #ifdef COLD_START
@@ -130,12 +133,12 @@
 byte losses;            /* power losses of all members */
 byte rqi[TERMS * N];    /* incarnation of a candidate */
 byte ldi[TERMS];        /* incarnation of a leader */
-byte ldg[TERMS];        /* value of lost at its election (history) */
+byte ldg[TERMS];        /* value of lost at the leader's election, for assertions only */
 byte lost;              /* number of times that every diskless voter had lost its state */
 byte gr[TERMS * N];     /* vote of a blank voter for a cold start: code of candidate and own incarnation */
 bit cq[TERMS * N];      /* candidate asks every voter for confirmation */
-short cv[TERMS * N];    /* ... and the incarnations that joined */
-byte cc[TERMS * N];     /* confirmation of a cold start: same code */
+short cv[TERMS * N];    /* candidate's request for confirmation: incarnations that joined */
+byte cc[TERMS * N];     /* confirmation of a cold start: code of candidate and own incarnation */
 #ifdef ANSWERS_FIRST
 byte said[N];           /* latest incarnation that reported to be blank */
 #endif
--- a/spec/maintenance.pml
+++ b/spec/maintenance.pml
@@ -1,11 +1,11 @@
 /* maintenance.pml: a maintenance wave over MACHINES machines, of which one may be down at
  * a time, under two successive leaders.
  *
- * A sent order stays in the network for good: it may be executed at any later time, and
- * its answer may be lost. The deployment executes at most one order for a machine in a
- * wave, and repeats its first answer to a duplicate. The list of machines is stale: it
- * is read machine by machine, at any time, and may show a machine as up that has just
- * gone down. A machine comes back as a new incarnation; with RESTARTS it may also
+ * A sent order is never removed from the network: it may be executed at any later time,
+ * and its answer may be lost. The deployment executes at most one order for a machine in
+ * a wave, and repeats its first answer to a duplicate. The list of machines may be stale:
+ * the leader reads it machine by machine, at any time, and it may show a machine as up
+ * that has just gone down. A machine comes back as a new incarnation; with RESTARTS it may also
  * restart by itself.
  *
  * The leader commits an order before it sends it. A machine counts as down from the
@@ -15,8 +15,11 @@
  * Safety: no maintenance begins while another machine of the wave is down for its own;
  * a wave that is reported as done has begun on each machine.
  *
- * Mutants: SEND_BEFORE_COMMIT, ORDERED_IS_UP, UP_IS_BACK, NO_TIME (with RESTARTS),
- * DONE_WHEN_ORDERED.
+ * Mutants: SEND_BEFORE_COMMIT (the leader commits an order after it has sent it),
+ * ORDERED_IS_UP (a machine isn't counted as down until its maintenance has begun),
+ * UP_IS_BACK (a machine is back once the list shows it as up), NO_TIME (a machine is back
+ * once the list shows a new incarnation; needs RESTARTS), DONE_WHEN_ORDERED (an order
+ * that was sent counts as begun).
  */
 #ifndef MACHINES
 #define MACHINES 3
@@ -25,8 +28,8 @@
 #define RESTARTS 0
 #endif
 
-/* Committed state: stage of each machine (1 ordered, 2 begun) and the incarnation that
- * the order was issued for. */
+/* Committed state: stage of each machine (0 waiting, 1 ordered, 2 begun), and the
+ * incarnation for which the order was issued. */
 byte stage[MACHINES];
 byte orderedLife[MACHINES];
 
@@ -41,13 +44,14 @@
 bool shownUp[MACHINES];
 byte shownLife[MACHINES];
 
-/* Orders in the network, and the machines. */
+/* Orders: sent, and executed (did). Machines: down for maintenance, and incarnation. */
 bool sent[MACHINES];
 bool did[MACHINES];
 bool down[MACHINES];
 byte life[MACHINES];
 byte restarts = 0;
 
+/* countDown sets n to the number of machines that the leader takes to be down. */
 inline countDown(n) {
 	n = 0;
 	i = 0;
@@ -95,11 +99,14 @@
 	fi
 }
 
+/* read copies the state of machine m to the list. */
 inline read(m) {
 	shownUp[m] = !down[m];
 	shownLife[m] = life[m]
 }
 
+/* checkDone asserts that each machine has executed its order once the committed state says
+ * that maintenance has begun on each machine. */
 inline checkDone() {
 	i = 0;
 	n = 0;
--- a/spec/order.pml
+++ b/spec/order.pml
@@ -1,9 +1,9 @@
 /* order.pml: the runs of one task under orders that may be executed late.
  *
- * Two workers, two successive leaders, RUNS runs of one task. A sent start stays in the
- * network for good: the worker may execute it at any later time, also after newer calls,
- * and more than once. A leader begins a run only when every earlier run is settled. A run
- * is settled by one of
+ * Two workers, two successive leaders, RUNS runs of one task. A sent start is never removed
+ * from the network: the worker may execute it at any later time, also after newer calls,
+ * and more than once. A leader begins a run only when every earlier run is settled, that
+ * is, known to have ended. A run is settled by one of
  *  - its end in a report of the worker,
  *  - a report without the run, if the leader sent the poll after the worker had
  *    acknowledged a stop of the run,
@@ -14,8 +14,11 @@
  * Safety: the task never runs on both workers, and no run begins after another has
  * ended as done, unless the lease of that run's worker has expired since.
  *
- * Mutants: NO_FENCE_IN_LOOK, SETTLE_WITHOUT_STOP, STOP_AFTER_SENDING, NO_TOMBSTONE,
- * SETTLE_WITHOUT_LEASE.
+ * Mutants: NO_FENCE_IN_LOOK (a worker doesn't adopt the fence of a poll),
+ * SETTLE_WITHOUT_STOP (a report without a run settles it without any stop),
+ * STOP_AFTER_SENDING (a stop counts that was acknowledged after the poll was sent),
+ * NO_TOMBSTONE (a stop doesn't prevent a later start of the run), SETTLE_WITHOUT_LEASE (the
+ * leader settles the runs of a worker that continues to run tasks and accept orders).
  */
 #ifndef RUNS
 #define RUNS 3
@@ -29,9 +32,9 @@
 bool settled[RUNS + 1];
 bool own[RUNS + 1];             /* begun by the current leader */
 bool acked[RUNS + 1];           /* the worker has acknowledged its stop */
-bool taken = false;             /* the leader has recorded an end as done */
+bool taken = false;             /* the leader has recorded that a run ended as done */
 
-/* The poll of each worker: 0 none in flight, 1 sent, 2 answered. */
+/* The leader's poll of each worker: 0 none in flight, 1 sent, 2 answered by a report. */
 byte look[WORKERS];
 byte lookFence[WORKERS];
 bool lookAcked[WORKERS * (RUNS + 1)];   /* stops acknowledged when the poll was sent */
@@ -46,7 +49,8 @@
 byte running[WORKERS];          /* run that is alive, 0 for none */
 byte barred[WORKERS];           /* highest run stopped or ended */
 byte done[WORKERS];             /* run that ended as done */
-bool counts[WORKERS];           /* history: that end counts, the lease hasn't expired since */
+/* For assertions: a run has ended as done, and the worker's lease hasn't expired since. */
+bool counts[WORKERS];
 
 inline check() {
 	assert(!(running[0] != 0 && running[1] != 0));
@@ -77,6 +81,7 @@
 	fi
 }
 
+/* stop executes a stop of run r on its worker; the acknowledgement may be lost. */
 inline stop(r, answered) {
 	if
 	:: fence >= seen[at[r]] ->
@@ -101,6 +106,7 @@
 	fi
 }
 
+/* answerLook answers the poll of worker w with a report, unless its fence is outdated. */
 inline answerLook(w) {
 	if
 	:: lookFence[w] >= seen[w] ->
@@ -114,6 +120,7 @@
 	fi
 }
 
+/* takeIn settles the runs that the report of worker w accounts for. */
 inline takeIn(w) {
 	i = 1;
 	do
