--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Measures the resources that the daemons use at the size that docs/CAPACITY.md plans
-# for, with stand-in workers and loads on this machine.
+# for, with simulated (stand-in) workers and loads on this machine.
 #
 #   scripts/capacity.sh [STAGE ...]   all stages, or those named:
 #
@@ -8,7 +8,8 @@
 #   workers     7 instances with 50, 150 and 450 workers, no work
 #   starts      360 tasks of services, then 20, 80 and 320 starts of tasks a second
 #   changes     1, 5 and 20 changes of the configuration a second
-#   day         4,400 jobs and 1,900 changes in a short time; memory as state grows
+#   day         4,400 jobs and 1,900 changes of the configuration in a short time;
+#               shows how memory grows with the stored state
 #   faults      urgent jobs through the loss of a leader, and while every process
 #               of one data centre is stopped (SIGSTOP) for 10 s
 #
@@ -27,7 +28,7 @@
 list=$run/processes
 seconds=${CAPACITY_SECONDS:-20}           # duration of each measurement
 peak_seconds=${CAPACITY_PEAK_SECONDS:-60} # duration of the measurement at the peak rate
-ready_within=30
+ready_within=30     # seconds
 customers=100
 accelerators_each=5 # 194 workers with 5 are 970 accelerators
 tasks_of_a_job=8
@@ -35,7 +36,7 @@
 
 declare -A daemons=() # process ids by name
 declare -A admins=()  # admin addresses by name
-fleets=()             # process ids of the stand-in worker processes
+fleets=()             # ids of the processes that simulate workers
 
 # instance NUMBER DATA_CENTRE LINE... writes the settings of one instance; the lines are
 # added to the common ones.
@@ -149,7 +150,8 @@
 	curl -sf -m 2 "http://${admins[$1]}/readyz" >/dev/null 2>&1
 }
 
-# await_ready waits until the named daemons are ready.
+# await_ready waits until the named daemons are ready, and exits if one ends or isn't ready
+# within ready_within.
 await_ready() {
 	local name deadline=$((SECONDS + ready_within))
 	for name in "$@"; do
@@ -167,6 +169,7 @@
 	"$bin/bilberry" --settings "$settings" --timeout 20s "$@"
 }
 
+# up COUNT starts COUNT instances and writes the configuration.
 up() {
 	generate "$1"
 	write_jobs
@@ -245,7 +248,8 @@
 	done
 }
 
-# measure NAME SECONDS samples the daemons into raw/NAME.json.
+# measure NAME SECONDS samples the daemons into raw/NAME.json, and writes the load average of
+# the machine to raw/NAME.load.
 measure() {
 	local name
 	for name in "${!daemons[@]}"; do
@@ -307,6 +311,8 @@
 
 work=("$run"/jobs/{report,scan,gang}.toml)
 
+# starts_at RATE SECONDS submits jobs so that RATE tasks start a second, and measures for
+# SECONDS. The load lasts 8 s longer than the measurement, which begins 5 s after it.
 starts_at() {
 	local rate=$1 long=$2 load
 	local per_second=$((rate / tasks_of_a_job))
@@ -416,12 +422,14 @@
 	done
 }
 
-# urgent_load NAME submits urgent jobs in all data centres for 30 s. The workers are in
-# the same process, so that the wait is measured up to the start on the worker.
+# urgent_load NAME submits urgent jobs in all data centres for 30 s. The process that submits
+# them also simulates the workers, so that it can measure the wait up to the start on the
+# worker.
 urgent_load() {
 	jobs_load "$1" -v -workers 450 -rate 20 -count 600 "$run/jobs/urgent.toml"
 }
 
+# await_renewals waits until all 450 workers hold a lease, at most for ready_within.
 await_renewals() {
 	local deadline=$((SECONDS + ready_within))
 	until [ "$(bilberry --json workers 2>/dev/null | grep -o '"connected": *true' | wc -l)" -ge 450 ] || [ "$SECONDS" -ge "$deadline" ]; do
@@ -458,7 +466,7 @@
 	for name in urgent-quiet urgent-kill urgent-cut; do
 		printf '%s: `%s`\n\n' "$name" "$(grep -v 'state=' "$run/raw/$name.jobs" | tr -s ' \n' ' ')"
 	done
-	# Submissions go to the seven entry instances in turn; numbers 5 and 6 were stopped.
+	# Submissions go to the seven entry instances in turn; instances 5 and 6 were stopped.
 	awk '/state=/ {
 		sub(/.*waited=/, ""); sub(/ .*/, "")
 		wait = $0; scale = 1
--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -66,13 +66,13 @@
 	echo "${20}"
 }
 
-# alive PID START reports whether the process that was started still runs.
+# alive PID START reports whether the process with this id and start time still runs.
 alive() {
 	[ "$(started_at "$1" || true)" = "$2" ]
 }
 
 # launch NAME ADMIN COMMAND... starts a command in the background and adds it to the
-# list. Fields: name, process id, admin address or "-", start time.
+# process list. Fields: name, process id, admin address or "-", start time.
 launch() {
 	local process=$1 admin=$2 log pid
 	shift 2
@@ -99,7 +99,8 @@
 	[[ $status == *" 200 "* ]]
 }
 
-# state prints whether one process runs and is ready.
+# state PID ADMIN START prints whether a process runs and, if it has an admin address, whether
+# it is ready.
 state() {
 	local pid=$1 admin=$2 start=$3
 	if ! alive "$pid" "$start"; then
@@ -266,7 +267,7 @@
 	return "$broken"
 }
 
-# entry_of prints the line of the list for a process name.
+# entry_of NAME prints the line of the process list for a process.
 entry_of() {
 	awk -v name="$1" '$1 == name' "$list"
 }
--- a/scripts/days.sh
+++ b/scripts/days.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# days.sh SITE FOLDER: completes the fragments in deploy/days, one for each kind of
-# disruption, to whole days with the traffic of the first day of a site file. The days
-# are written to FOLDER, outside the repository, and can be played on the bench.
+# days.sh SITE FOLDER: generates days, the test scenarios that the bench plays. Each
+# combines one fragment of deploy/days, which describes one kind of disruption, with the
+# traffic of the first day in a site file. They are written to FOLDER, which should be
+# outside the repository.
 set -euo pipefail
 if [ $# -ne 2 ]; then
   echo "usage: $0 SITE FOLDER" >&2
--- a/scripts/landing.sh
+++ b/scripts/landing.sh
@@ -1,8 +1,10 @@
 #!/usr/bin/env bash
-# landing.sh BENCH FOLDER [JOBS]: runs the regression tests before a landing, with the
-# bench program at BENCH and the site files under FOLDER. Each deployment plays its standard
-# days, then hunted days: 40 of a small deployment, 8 of a large one. Deployments run one
-# after the other; their output goes to target/landing/. Takes hours on a small machine.
+# landing.sh BENCH FOLDER [JOBS]: runs the regression tests that precede a landing, with
+# the bench program at BENCH and the site files under FOLDER. Each deployment plays its
+# standard days (bench command "score"), then days of the bench command "hunt": 40 for a
+# small deployment, 8 for a large one. JOBS is passed to the bench as --jobs. Deployments
+# run one after the other; their output goes to target/landing/. Takes hours on a small
+# machine.
 set -euo pipefail
 if [ $# -lt 2 ]; then
   echo "usage: $0 BENCH FOLDER [JOBS]" >&2
@@ -12,7 +14,7 @@
 cd "$(dirname "$0")/.."
 mkdir -p target/landing
 
-# Site file and number of hunted days of each deployment.
+# Site file of each deployment, and its number of days for "hunt".
 deployments="large/rackwise-shared-large 8
 further/sea-fanarchiv 40
 further-grown/sea-fanarchiv-grown 8
--- a/scripts/sites.sh
+++ b/scripts/sites.sh
@@ -22,14 +22,15 @@
 # Workers receive orders in the responses to their heartbeats.
 derive beats 's/^by_beat = false/by_beat = true/'
 # Tasks of report-build and id-scan-batch are long-running: they run until cancelled.
-# Few of them may be missing at a time.
+# Only few of them may be missing at a time.
 derive lasting '/^  \{ name = "(report-build|id-scan-batch)"/ { s/needs = 0.0/needs = 0.0, lasts = true, may_miss = 1.0/; s/twice = [0-9.]+/twice = 0.0/ }' \
   's/(report-build|id-scan-batch) = [0-9.]+/\1 = 0.25/g'
 # Some gangs prefer a single rack; some data is close to certain racks.
 derive racks 's/tight = 0.0/tight = 0.5/g' 's/near = 0.0/near = 0.4/g'
 # Some jobs recur at set times.
 derive timed 's/timed = 0.0/timed = 0.1/g'
-# Workers refuse tasks that don't fit, and orders for machines carry a checked fence.
+# Workers refuse tasks that don't fit, and the fencing tokens of orders for machines are
+# checked.
 derive guarded 's/guards = false/guards = true/' 's/^fenced = false/fenced = true/'
 # Leases last at most 3 s.
 derive short 's/^hold_max_ms = .*/hold_max_ms = 3000.0/'
