--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -221,8 +221,8 @@
 // maxErrorLineBytes bounds the first line of an error message, also for long arguments.
 const maxErrorLineBytes = 500
 
-// Typing errors and malicious arguments must be rejected with one line and a non-zero
-// exit code before any instance is called.
+// Typing errors and malicious arguments must be rejected as Invalid, with one line for the
+// cause and one for the hint, before any instance is called.
 func TestInvalidInputIsRejectedBeforeAnyCall(t *testing.T) {
 	f := (&fakeEntry{}).start(t)
 	r := newRunner(t, f)
