--- a/internal/cli/app.go
+++ b/internal/cli/app.go
@@ -1,6 +1,6 @@
-// Package cli implements the operators' command line. It parses arguments, calls
-// the entry instances and prints their responses as tables for people or as JSON
-// for programs. Package fault defines the exit codes.
+// Package cli implements the operators' command line. It parses arguments, calls the
+// entry instances (the instances that accept client calls) and prints their responses as
+// tables for people or as JSON for programs. Package fault defines the exit codes.
 package cli
 
 import (
@@ -58,15 +58,16 @@
 // exit code.
 func (a *App) Run(ctx context.Context, args []string) int {
 	s := newSession(a)
-	// Errors in the flags themselves must be printed as JSON too.
+	// --json must apply to errors in the flags too, which are printed before all flags are
+	// parsed.
 	s.globals.json = slices.Contains(args, "--json")
-	top := flag.NewFlagSet(programName, flag.ContinueOnError)
-	s.globals.bind(top)
-	global, remaining, err := parseGlobalFlags(top, args)
+	globalFlags := flag.NewFlagSet(programName, flag.ContinueOnError)
+	s.globals.bind(globalFlags)
+	globalArgs, remaining, err := parseGlobalFlags(globalFlags, args)
 	if err != nil {
 		return s.fail(err)
 	}
-	if global.help || (len(remaining) > 0 && remaining[0] == "help") {
+	if globalArgs.help || (len(remaining) > 0 && remaining[0] == "help") {
 		return s.help(remaining)
 	}
 	if len(remaining) == 0 {
@@ -85,20 +86,20 @@
 	if parsed.help {
 		return s.help([]string{"help", command.Name()})
 	}
-	return s.dispatch(ctx, top, global, command, parsed)
+	return s.dispatch(ctx, globalFlags, globalArgs, command, parsed)
 }
 
-// dispatch executes a command with arguments that have been checked and returns the
+// dispatch executes a command with arguments that parseArgs has checked. It returns the
 // exit code.
-func (s *session) dispatch(ctx context.Context, top *flag.FlagSet, global parsedArgs, command subcommands.Command, parsed parsedArgs) int {
-	args := append(global.flags, command.Name())
+func (s *session) dispatch(ctx context.Context, globalFlags *flag.FlagSet, globalArgs parsedArgs, command subcommands.Command, parsed parsedArgs) int {
+	args := append(globalArgs.flags, command.Name())
 	args = append(args, parsed.flags...)
 	args = append(args, "--")
 	args = append(args, parsed.positional...)
-	if err := top.Parse(args); err != nil {
+	if err := globalFlags.Parse(args); err != nil {
 		return s.fail(fault.New(fault.Invalid, "%v", err))
 	}
-	commander := subcommands.NewCommander(top, programName)
+	commander := subcommands.NewCommander(globalFlags, programName)
 	commander.Output = s.app.Stdout
 	commander.Error = s.app.Stderr
 	commander.Register(&boundCommand{Command: command, session: s}, "")
@@ -123,7 +124,7 @@
 	return subcommands.ExitStatus(b.session.run(ctx, builtin, f.Args()))
 }
 
-// find returns the command with a name, or an Invalid error that suggests a similar
+// find returns the command that has the name, or an Invalid error that suggests a similar
 // name.
 func (a *App) find(name string) (subcommands.Command, error) {
 	var names []string
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -45,25 +45,25 @@
 	return &apiv1.HomeResponse{DataCentre: "hall"}, nil
 }
 
-func (f *fakeEntry) Submit(_ context.Context, q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
-	a, err := f.submit(q)
-	return a, fault.ToTwirp(err)
+func (f *fakeEntry) Submit(_ context.Context, request *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
+	response, err := f.submit(request)
+	return response, fault.ToTwirp(err)
 }
-func (f *fakeEntry) Cancel(_ context.Context, q *apiv1.CancelRequest) (*apiv1.CancelResponse, error) {
-	a, err := f.cancel(q)
-	return a, fault.ToTwirp(err)
+func (f *fakeEntry) Cancel(_ context.Context, request *apiv1.CancelRequest) (*apiv1.CancelResponse, error) {
+	response, err := f.cancel(request)
+	return response, fault.ToTwirp(err)
 }
-func (f *fakeEntry) Watch(_ context.Context, q *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
-	a, err := f.watch(q)
-	return a, fault.ToTwirp(err)
+func (f *fakeEntry) Watch(_ context.Context, request *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
+	response, err := f.watch(request)
+	return response, fault.ToTwirp(err)
 }
-func (f *fakeEntry) Status(_ context.Context, q *apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
-	a, err := f.status(q)
-	return a, fault.ToTwirp(err)
+func (f *fakeEntry) Status(_ context.Context, request *apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
+	response, err := f.status(request)
+	return response, fault.ToTwirp(err)
 }
-func (f *fakeEntry) SetConfig(_ context.Context, q *apiv1.SetConfigRequest) (*apiv1.Config, error) {
-	a, err := f.set(q)
-	return a, fault.ToTwirp(err)
+func (f *fakeEntry) SetConfig(_ context.Context, request *apiv1.SetConfigRequest) (*apiv1.Config, error) {
+	response, err := f.set(request)
+	return response, fault.ToTwirp(err)
 }
 func (f *fakeEntry) GetConfig(context.Context, *apiv1.GetConfigRequest) (*apiv1.Config, error) {
 	return f.config, nil
@@ -104,7 +104,8 @@
 	out, err string
 }
 
-// runner runs command lines against entry instances, with files in a folder.
+// runner runs command lines against entry instances. It keeps the token and other files in a
+// temporary folder.
 type runner struct {
 	folder   string
 	terminal bool
@@ -144,17 +145,17 @@
 
 const validJob = "name = \"a\"\npolicy = \"batch\"\ncpu = \"1\"\nruntime = \"2s\"\ndeadline = \"+45s\"\n"
 
-// An entry instance accepts a job and dies before its response arrives. The command
+// An entry instance accepts a job and crashes before its response arrives. The command
 // must send the same request with the same id and deadline to the next entry
 // instance, or the job runs twice.
 func TestLostResponseIsResentWithTheSameID(t *testing.T) {
 	var sent []*apiv1.SubmitRequest
-	crashing := (&fakeEntry{submit: func(q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
-		sent = append(sent, q)
+	crashing := (&fakeEntry{submit: func(request *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
+		sent = append(sent, request)
 		panic(http.ErrAbortHandler)
 	}}).start(t)
-	next := (&fakeEntry{submit: func(q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
-		sent = append(sent, q)
+	next := (&fakeEntry{submit: func(request *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
+		sent = append(sent, request)
 		return &apiv1.SubmitResponse{Id: "dc-1", DataCentre: "dc", State: apiv1.JobState_JOB_STATE_QUEUED}, nil
 	}}).start(t)
 	r := newRunner(t, crashing, next)
@@ -168,13 +169,13 @@
 	must.Eq(t, "Bearer secret-token", next.token)
 }
 
-// No entry instance answers, so the outcome of the submission is unknown. The message
+// No entry instance responds, so the outcome of the submission is unknown. The message
 // must say how to send the same request again and must not claim that the job wasn't
 // run.
 func TestUnknownOutcomeOfSubmitExplainsResend(t *testing.T) {
 	var id string
-	crashing := (&fakeEntry{submit: func(q *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
-		id = q.GetRequestId()
+	crashing := (&fakeEntry{submit: func(request *apiv1.SubmitRequest) (*apiv1.SubmitResponse, error) {
+		id = request.GetRequestId()
 		panic(http.ErrAbortHandler)
 	}}).start(t)
 	r := newRunner(t, crashing)
@@ -185,12 +186,12 @@
 	must.Eq(t, "", got.out)
 }
 
-// An entry instance dies during "config set". The message must say that the call may
+// An entry instance crashes during "config set". The message must say that the call may
 // have been carried out and how to send the same request again.
 func TestUnknownOutcomeOfConfigSetExplainsResend(t *testing.T) {
 	var id string
-	f := (&fakeEntry{set: func(q *apiv1.SetConfigRequest) (*apiv1.Config, error) {
-		id = q.GetRequestId()
+	f := (&fakeEntry{set: func(request *apiv1.SetConfigRequest) (*apiv1.Config, error) {
+		id = request.GetRequestId()
 		panic(http.ErrAbortHandler)
 	}}).start(t)
 	r := newRunner(t, f)
@@ -217,8 +218,11 @@
 	must.Eq(t, int64(1500), shown["error"].RetryAfterMs)
 }
 
-// Typing errors and malicious arguments must be rejected with one line and a non-zero
-// exit code before any instance is called.
+// maxErrorLineBytes bounds the first line of an error message, also for long arguments.
+const maxErrorLineBytes = 500
+
+// Typing errors and malicious arguments must be rejected as Invalid, with one line for the
+// cause and one for the hint, before any instance is called.
 func TestInvalidInputIsRejectedBeforeAnyCall(t *testing.T) {
 	f := (&fakeEntry{}).start(t)
 	r := newRunner(t, f)
@@ -253,13 +257,15 @@
 		must.Eq(t, "", got.out)
 		cause, next, _ := strings.Cut(got.err, "\n")
 		must.StrHasPrefix(t, "bilberry: Invalid: ", cause)
-		must.Less(t, 500, len(cause))
+		must.Less(t, maxErrorLineBytes, len(cause))
 		must.StrHasPrefix(t, "  next: ", next, must.Sprintf("%q: %s", args, got.err))
 		must.Eq(t, 2, strings.Count(got.err, "\n"))
 	}
 	must.Eq(t, 0, f.calls)
 }
 
+// Each command must print its help, with an example, in each of the three ways to ask for
+// it. The bash completion must contain each command.
 func TestHelpOfEachCommandHasAnExample(t *testing.T) {
 	r := newRunner(t)
 	for _, c := range builtinCommands() {
@@ -273,12 +279,15 @@
 	}
 }
 
-// watchResponse returns a job of four tasks of which as many have ended as the revision.
+// watchResponse returns a response with a job of four tasks. The number of ended tasks
+// equals the revision.
 func watchResponse(revision uint64, state apiv1.JobState, kind string) *apiv1.StatusResponse {
 	return &apiv1.StatusResponse{Jobs: []*apiv1.Job{{Id: "dc-1", Revision: revision, State: state, ReasonKind: kind, TasksEnded: int32(revision), TasksQueued: 4 - int32(revision)}}}
 }
 
-func TestWatchExitCodes(t *testing.T) {
+// Scripts need the exit code of "watch" to tell how a job ended, also when the reason names
+// no error kind or the server sends a state that this program doesn't know ("newer").
+func TestWatchExitCodeTellsHowTheJobEnded(t *testing.T) {
 	ends := map[string]struct {
 		state apiv1.JobState
 		kind  string
@@ -292,8 +301,8 @@
 	}
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
-			f := (&fakeEntry{watch: func(q *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
-				if q.GetAfterRevision() == 0 {
+			f := (&fakeEntry{watch: func(request *apiv1.WatchRequest) (*apiv1.StatusResponse, error) {
+				if request.GetAfterRevision() == 0 {
 					return watchResponse(1, apiv1.JobState_JOB_STATE_RUNNING, ""), nil
 				}
 				return watchResponse(2, end.state, end.kind), nil
@@ -324,10 +333,10 @@
 	must.True(t, json.Valid([]byte(r.run("status", "--json").out)))
 }
 
-// One of three data centres is unreachable while an operator cancels all jobs. The
-// exit code must show that some jobs continue.
+// A data centre is unreachable during "cancel". The exit code must show that its jobs
+// continue.
 func TestPartialCancelIsAnError(t *testing.T) {
-	f := (&fakeEntry{cancel: func(q *apiv1.CancelRequest) (*apiv1.CancelResponse, error) {
+	f := (&fakeEntry{cancel: func(request *apiv1.CancelRequest) (*apiv1.CancelResponse, error) {
 		return &apiv1.CancelResponse{Ids: []string{"a"}, UnreachableDataCentres: []string{"dc2"}}, nil
 	}}).start(t)
 	got := newRunner(t, f).run("cancel", "--all", "--dry-run")
@@ -341,11 +350,11 @@
 func TestConfigSetRejectsStaleVersion(t *testing.T) {
 	version := uint64(7)
 	f := (&fakeEntry{config: &apiv1.Config{Version: 7, Document: "# version 3, old\n[[customer]]\nname = \"a\"", Author: "op\nx"}}).start(t)
-	f.set = func(q *apiv1.SetConfigRequest) (*apiv1.Config, error) {
-		if q.GetExpectedVersion() != version {
+	f.set = func(request *apiv1.SetConfigRequest) (*apiv1.Config, error) {
+		if request.GetExpectedVersion() != version {
 			return nil, fault.New(fault.Conflict, "the current version is %d", version)
 		}
-		must.StrHasPrefix(t, "[[customer]]", q.GetDocument())
+		must.StrHasPrefix(t, "[[customer]]", request.GetDocument())
 		version++
 		return &apiv1.Config{Version: version}, nil
 	}
@@ -357,6 +366,10 @@
 	must.StrContains(t, got.err, "the current version is 8")
 }
 
+// Instances return events out of order and the same event twice, and one instance is
+// unreachable. The timeline must be sorted, without duplicates, and warn about the missing
+// instance. Writing it to a path that isn't a regular file must fail without leaving a
+// temporary file.
 func TestTimelineSortsAndDeduplicatesEvents(t *testing.T) {
 	f := (&fakeEntry{events: &apiv1.EventsResponse{
 		Events:               []*apiv1.Event{{WallMs: 2, Instance: "b", Kind: "second"}, {WallMs: 1, Instance: "a", Kind: "first"}, {WallMs: 2, Instance: "b", Kind: "second"}},
@@ -366,7 +379,7 @@
 	got := r.run("timeline", "--job", "x")
 	must.Eq(t, 0, got.code)
 	must.RegexMatch(t, regexp.MustCompile(`(?s)^1970[^\n]*first\n1970[^\n]*second\n$`), got.out)
-	must.StrContains(t, got.err, "instances not reached, the answer leaves them out: c")
+	must.StrContains(t, got.err, "instances not reached, missing from the response: c")
 	page := filepath.Join(r.folder, "line.html")
 	must.Eq(t, 0, r.run("timeline", "--html", page).code)
 	content, err := os.ReadFile(page)
@@ -381,8 +394,7 @@
 	must.SliceEmpty(t, leftovers)
 }
 
-// Authors of scripts rely on the command line's page, so it must list every exit code
-// and command.
+// Authors of scripts rely on docs/CLI.md, so it must list every exit code and command.
 func TestCLIDocNamesEveryExitCodeAndCommand(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CLI.md")
 	must.NoError(t, err)
