--- a/dispatch/backlog_test.go
+++ b/dispatch/backlog_test.go
@@ -13,13 +13,13 @@
 func largeLoad() (recalc, build, lookup *replayKind) {
 	ms := time.Millisecond
 	recalc = &replayKind{name: "recalc", value: 9.18, rate: 7.46, steps: 1.2, width: 32, widthCV: 0.6, maxWidth: 160, cores: 18, coresCV: 0.4, maxCores: 30,
-		gb: 33, gbCV: 0.5, maxGB: 66, work: 6200 * ms, workCV: 0.5, objective: 1000 * ms, stretch: 2.2, priority: 1, gangShare: 1, checkpointingShare: 0.5,
+		gb: 33, gbCV: 0.5, maxGB: 66, runTime: 6200 * ms, runTimeCV: 0.5, objective: 1000 * ms, stretch: 2.2, priority: 1, gangShare: 1, checkpointingShare: 0.5,
 		baseLatency: 624 * ms, perWorkerLatency: 8970 * time.Microsecond, ticketValidity: 2000 * ms, grantedShare: 0.3, failingShare: 0.02}
 	build = &replayKind{name: "build", value: 3.47, rate: 12.3, steps: 1.5, width: 32, widthCV: 0.6, maxWidth: 160, cores: 11, coresCV: 0.45, maxCores: 33,
-		gb: 11, gbCV: 0.6, maxGB: 34, work: 3400 * ms, workCV: 0.5, objective: 3000 * ms, stretch: 4, priority: 2, checkpointingShare: 0.8,
+		gb: 11, gbCV: 0.6, maxGB: 34, runTime: 3400 * ms, runTimeCV: 0.5, objective: 3000 * ms, stretch: 4, priority: 2, checkpointingShare: 0.8,
 		baseLatency: 182 * ms, perWorkerLatency: 2600 * time.Microsecond, ticketValidity: 2000 * ms, grantedShare: 0.45, failingShare: 0.02}
 	lookup = &replayKind{name: "lookup", value: 0.384, rate: 156, steps: 1, width: 4.5, widthCV: 0.8, maxWidth: 27, cores: 16, coresCV: 0.45, maxCores: 47,
-		gb: 16, gbCV: 0.6, maxGB: 48, work: 800 * ms, workCV: 0.5, objective: 250 * ms, stretch: 1.5, gangShare: 0.3,
+		gb: 16, gbCV: 0.6, maxGB: 48, runTime: 800 * ms, runTimeCV: 0.5, objective: 250 * ms, stretch: 1.5, gangShare: 0.3,
 		baseLatency: 14300 * time.Microsecond, perWorkerLatency: 208 * time.Microsecond, ticketValidity: 2000 * ms, grantedShare: 0.7, failingShare: 0.02}
 	return recalc, build, lookup
 }
--- a/dispatch/gang.go
+++ b/dispatch/gang.go
@@ -58,8 +58,8 @@
 // three cases:
 //
 //   - Its permitted workers would hardly hold it even if they were empty.
-//   - Other workers have free resources, and its reservation is far off, or it has none and
-//     is known to be permitted on few workers.
+//   - Other workers have free resources, and the gang either waits long for its reservation
+//     or has none and is known to be permitted on few workers.
 //   - It is likely to fit now if it queries the others.
 func (p *planner) gangQueriesMore(s *Step, granted, unknown []*Worker, left int, reservation gangReservation) bool {
 	if len(unknown) == 0 {
@@ -69,8 +69,8 @@
 	if len(s.Permits) == 0 || empty < minEmptyFactor*left {
 		return true
 	}
-	far := reservation.farOff(p.now) || !reservation.reserved && empty < wantedEmptyFactor*left
-	return far && worthQuerying(s, unknown) || likelyFits(s, granted, unknown, left)
+	longWait := reservation.waitsLong(p.now) || !reservation.reserved && empty < wantedEmptyFactor*left
+	return longWait && worthQuerying(s, unknown) || likelyFits(s, granted, unknown, left)
 }
 
 // likelyFits reports whether the gang fits into the free resources of the permitted workers
@@ -178,8 +178,8 @@
 	at       time.Duration
 }
 
-// farOff reports whether the gang has a reservation and isn't expected to fit soon.
-func (r gangReservation) farOff(now time.Duration) bool {
+// waitsLong reports whether the gang has a reservation and isn't expected to fit soon.
+func (r gangReservation) waitsLong(now time.Duration) bool {
 	return r.reserved && (r.at == 0 || r.at > now+minPreemptWait)
 }
 
--- a/dispatch/gang_test.go
+++ b/dispatch/gang_test.go
@@ -74,12 +74,12 @@
 			bounds := Limits{WorkersPerQuery: 30, WorkersPerGangQuery: 60, Queries: 40, TicketMargin: 100 * time.Millisecond}
 			rounds := 0
 			for ; rounds < triedRounds; rounds++ {
-				list := workers(free...)
-				for i := range list {
+				pool := workers(free...)
+				for i := range pool {
 					// The runs on the worker are expected to end soon, but keep running.
-					list[i].Releases = []Release{{At: 300 * time.Millisecond, Resources: cores(16 - free[i])}}
+					pool[i].Releases = []Release{{At: 300 * time.Millisecond, Resources: cores(16 - free[i])}}
 				}
-				plan := Decide(0, []Step{gang}, list, bounds)
+				plan := Decide(0, []Step{gang}, pool, bounds)
 				if len(plan.Starts) == tasks {
 					break
 				}
--- a/dispatch/load_test.go
+++ b/dispatch/load_test.go
@@ -19,11 +19,11 @@
 	ms := time.Millisecond
 	return []*replayKind{
 		{name: "recalc", value: 12.9, rate: 3.81 * load, steps: 1.2, width: 20, widthCV: 0.8, maxWidth: 120, cores: 18, coresCV: 0.4, maxCores: 30, gb: 67, gbCV: 0.5, maxGB: 130,
-			work: 6200 * ms, workCV: 0.5, objective: 1000 * ms, stretch: 2.2, priority: 1, gangShare: 1, checkpointingShare: 0.5, baseLatency: 702 * ms, perWorkerLatency: 10 * ms, ticketValidity: 2000 * ms, grantedShare: 0.3, failingShare: 0.05},
+			runTime: 6200 * ms, runTimeCV: 0.5, objective: 1000 * ms, stretch: 2.2, priority: 1, gangShare: 1, checkpointingShare: 0.5, baseLatency: 702 * ms, perWorkerLatency: 10 * ms, ticketValidity: 2000 * ms, grantedShare: 0.3, failingShare: 0.05},
 		{name: "build", value: 3.9, rate: 7.9 * load, steps: 1.5, width: 25, widthCV: 0.8, maxWidth: 150, cores: 6.9, coresCV: 0.45, maxCores: 21, gb: 14, gbCV: 0.6, maxGB: 43,
-			work: 3400 * ms, workCV: 0.5, objective: 3000 * ms, stretch: 4, priority: 2, checkpointingShare: 0.8, baseLatency: 156 * ms, perWorkerLatency: 2340 * time.Microsecond, ticketValidity: 2000 * ms, grantedShare: 0.45, failingShare: 0.05},
+			runTime: 3400 * ms, runTimeCV: 0.5, objective: 3000 * ms, stretch: 4, priority: 2, checkpointingShare: 0.8, baseLatency: 156 * ms, perWorkerLatency: 2340 * time.Microsecond, ticketValidity: 2000 * ms, grantedShare: 0.45, failingShare: 0.05},
 		{name: "lookup", value: 0.391, rate: 110 * load, steps: 1, width: 3.2, widthCV: 0.8, maxWidth: 19, cores: 9.9, coresCV: 0.45, maxCores: 30, gb: 37, gbCV: 0.6, maxGB: 110,
-			work: 800 * ms, workCV: 0.5, objective: 250 * ms, stretch: 1.5, gangShare: 0.3, baseLatency: 11700 * time.Microsecond, perWorkerLatency: 169 * time.Microsecond, ticketValidity: 2000 * ms, grantedShare: 0.7, failingShare: 0.05},
+			runTime: 800 * ms, runTimeCV: 0.5, objective: 250 * ms, stretch: 1.5, gangShare: 0.3, baseLatency: 11700 * time.Microsecond, perWorkerLatency: 169 * time.Microsecond, ticketValidity: 2000 * ms, grantedShare: 0.7, failingShare: 0.05},
 	}
 }
 
@@ -31,18 +31,18 @@
 // kind that end in time or late; the shares of their value that all jobs, the largest tenth
 // and the next fifth earn; and the waiting steps when submissions end and 14 s later.
 func TestMixedLoadFigures(t *testing.T) {
-	// submissionTime is how long jobs are submitted.
-	const submissionTime = 40 * time.Second
+	// submissionPeriod is how long jobs are submitted.
+	const submissionPeriod = 40 * time.Second
 	for seed := range *replaySeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			kinds := mixedLoad(*replayLoad)
 			r := newReplay(uint64(seed), mixedPool, usualConnections, kinds...)
 			r.decisionInterval = 50 * time.Millisecond
-			r.play(submissionTime, 0)
+			r.play(submissionPeriod, 0)
 			steps, gangs := r.waiting()
 			free, queriesSent := r.freeSum/float64(r.decisions), r.queries
-			r.play(submissionTime, drainTime)
+			r.play(submissionPeriod, drainTime)
 			stepsLeft, gangsLeft := r.waiting()
 			var total, earned float64
 			worst, line := 1.0, ""
@@ -97,9 +97,9 @@
 	// hugeSteps is the number of steps that fit nowhere: the most urgent steps of each decision.
 	const hugeSteps = 96
 	for _, waiting := range []int{40, 600, 900} {
-		kind := &replayKind{name: "behind", priority: 1, steps: 1, width: 1, maxWidth: 1, cores: 1, maxCores: 1, gb: 1, maxGB: 1, work: time.Second,
+		kind := &replayKind{name: "behind", priority: 1, steps: 1, width: 1, maxWidth: 1, cores: 1, maxCores: 1, gb: 1, maxGB: 1, runTime: time.Second,
 			baseLatency: 195 * time.Millisecond, ticketValidity: 1500 * time.Millisecond, grantedShare: 0.25, stretch: 1}
-		huge := &replayKind{name: "ahead", steps: 1, width: 1, maxWidth: 1, cores: 65, maxCores: 65, gb: 1, maxGB: 1, work: time.Second,
+		huge := &replayKind{name: "ahead", steps: 1, width: 1, maxWidth: 1, cores: 65, maxCores: 65, gb: 1, maxGB: 1, runTime: time.Second,
 			baseLatency: 195 * time.Millisecond, ticketValidity: 1500 * time.Millisecond, grantedShare: 0.25, stretch: 1, objective: time.Hour}
 		r := newReplay(1, mixedPool, 1000, kind, huge)
 		r.limits.Steps = 128
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -387,16 +387,16 @@
 // gangWorkers returns a worker for each of n tasks, nil if they don't all fit.
 func gangWorkers(s *Step, usable []*Worker, n int) []*Worker {
 	if s.Spec.SameRack {
-		if chosen := oneRack(s, usable, n); chosen != nil {
+		if chosen := placeInOneRack(s, usable, n); chosen != nil {
 			return chosen
 		}
 	}
-	return greedy(s, usable, n)
+	return placeGreedily(s, usable, n)
 }
 
-// greedy places n tasks on the workers with the most free resources first; nil if they don't
+// placeGreedily places n tasks on the workers with the most free resources first; nil if they don't
 // all fit.
-func greedy(s *Step, usable []*Worker, n int) []*Worker {
+func placeGreedily(s *Step, usable []*Worker, n int) []*Worker {
 	var chosen []*Worker
 	for w := range byFree(s, usable) {
 		for range min(fitCount(s, w), n-len(chosen)) {
@@ -409,8 +409,8 @@
 	return nil
 }
 
-// oneRack places n tasks within one rack; nil if no rack holds them all.
-func oneRack(s *Step, usable []*Worker, n int) []*Worker {
+// placeInOneRack places n tasks within one rack; nil if no rack holds them all.
+func placeInOneRack(s *Step, usable []*Worker, n int) []*Worker {
 	racks := map[string][]*Worker{}
 	var names []string
 	for _, w := range usable {
@@ -421,7 +421,7 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		if chosen := greedy(s, racks[name], n); chosen != nil {
+		if chosen := placeGreedily(s, racks[name], n); chosen != nil {
 			return chosen
 		}
 	}
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -16,14 +16,14 @@
 // workers returns a pool of workers w0, w1 and so on, each with 16 cores, of which the
 // given number is free. Two workers each share one of the racks r0, r1 and so on.
 func workers(free ...int64) []Worker {
-	var list []Worker
+	var pool []Worker
 	for i, f := range free {
-		list = append(list, Worker{
+		pool = append(pool, Worker{
 			Worker: workflow.Worker{ID: fmt.Sprint("w", i), Service: "s", Rack: fmt.Sprint("r", i/2), Capacity: workflow.Resources{MilliCPU: 16_000, MemoryMB: 64_000}},
 			Free:   workflow.Resources{MilliCPU: f * 1000, MemoryMB: 64_000},
 		})
 	}
-	return list
+	return pool
 }
 
 // step returns a step of count tasks that need that many cores each. Queries of the step
@@ -45,11 +45,11 @@
 
 // started lists JOB/INDEX@WORKER of each start.
 func started(p Plan) []string {
-	var list []string
+	var starts []string
 	for _, s := range p.Starts {
-		list = append(list, fmt.Sprintf("%s/%d@%s", s.Task.Job, s.Task.Index, s.Worker))
+		starts = append(starts, fmt.Sprintf("%s/%d@%s", s.Task.Job, s.Task.Index, s.Worker))
 	}
-	return list
+	return starts
 }
 
 func TestDecide(t *testing.T) {
@@ -160,11 +160,11 @@
 }
 
 func TestExplainCountsWorkersByReason(t *testing.T) {
-	list := workers(0, 0, 9, 9, 9, 9, 9)
-	list[2].Labels = nil
-	list[6].Service = "t"
+	pool := workers(0, 0, 9, 9, 9, 9, 9)
+	pool[2].Labels = nil
+	pool[6].Service = "t"
 	for _, i := range []int{0, 1, 3, 4, 5} {
-		list[i].Labels = []string{"gpu"}
+		pool[i].Labels = []string{"gpu"}
 	}
 	s := needsPermit(step("a", 2, 2), map[string]Permit{
 		"w0": {Granted: true}, "w1": {Granted: true}, "w3": {Granted: true}, "w4": {}, "w2": {Granted: true},
@@ -172,22 +172,22 @@
 	s.Spec.Label = "gpu"
 	must.Eq(t, []ReasonCount{
 		{ReasonWorkerFull, 2, "w0"}, {ReasonLabel, 1, "w2"}, {ReasonTicketExpired, 1, "w3"}, {ReasonWorkerRefused, 1, "w4"}, {ReasonNotQueried, 1, "w5"},
-	}, Explain(0, &s, list, limits))
+	}, Explain(0, &s, pool, limits))
 	s.NeedsPermit = false
-	must.Eq(t, ReasonCount{"", 3, "w3"}, Explain(0, &s, list, limits)[0])
+	must.Eq(t, ReasonCount{"", 3, "w3"}, Explain(0, &s, pool, limits)[0])
 }
 
 // Guards against a gang that waits forever alongside small tasks. The gang needs two
 // workers, of which one is free now and one soon. Unless resources are reserved for the
 // gang, small tasks, which arrive all the time, take them as they come free.
 func TestResourcesAreReservedForWaitingGang(t *testing.T) {
-	list := workers(4, 0)
-	list[1].Releases = []Release{{At: time.Second, Resources: cores(4)}}
+	pool := workers(4, 0)
+	pool[1].Releases = []Release{{At: time.Second, Resources: cores(4)}}
 	gang := step("gang", 2, 4)
 	gang.Spec.Gang = true
 	batch := step("small", 4, 1)
 	batch.Priority = 1
-	must.SliceEmpty(t, started(Decide(0, []Step{gang, batch}, list, limits)))
+	must.SliceEmpty(t, started(Decide(0, []Step{gang, batch}, pool, limits)))
 }
 
 // Guards against workers that idle for half a second before each gang. The gang fits in a
@@ -197,9 +197,9 @@
 	gang := needsPermit(step("gang", 2, 4), map[string]Permit{"w0": {Granted: true}, "w1": {Granted: true}})
 	gang.Spec.Gang = true
 	countQueries := func(now time.Duration) int {
-		list := workers(4, 0)
-		list[1].Releases = []Release{{At: time.Second, Resources: cores(4)}}
-		return len(Decide(now, []Step{gang}, list, limits).Queries)
+		pool := workers(4, 0)
+		pool[1].Releases = []Release{{At: time.Second, Resources: cores(4)}}
+		return len(Decide(now, []Step{gang}, pool, limits).Queries)
 	}
 	must.Eq(t, 0, countQueries(0))
 	must.Eq(t, 1, countQueries(500*time.Millisecond))
@@ -234,18 +234,18 @@
 // of these runs come free one by one, and small urgent tasks take them as the best fit
 // although the tasks fit on another worker.
 func TestSmallTasksAvoidEarmarkedWorkers(t *testing.T) {
-	list := workers(3, 9)
-	must.Eq(t, []string{"a/0@w0"}, started(Decide(0, []Step{step("a", 1, 2)}, list, limits)))
-	list = workers(3, 9)
-	list[0].Earmarked = true
-	must.Eq(t, []string{"a/0@w1"}, started(Decide(0, []Step{step("a", 1, 2)}, list, limits)))
+	pool := workers(3, 9)
+	must.Eq(t, []string{"a/0@w0"}, started(Decide(0, []Step{step("a", 1, 2)}, pool, limits)))
+	pool = workers(3, 9)
+	pool[0].Earmarked = true
+	must.Eq(t, []string{"a/0@w1"}, started(Decide(0, []Step{step("a", 1, 2)}, pool, limits)))
 	gang := step("gang", 2, 4)
 	gang.Spec.Gang = true
-	list = workers(4, 0, 0)
-	list[2].Releases = []Release{{At: time.Second, Resources: cores(4)}}
-	must.Eq(t, []string{"w0", "w2"}, Decide(0, []Step{gang}, list, limits).Earmarks)
-	list[2].Releases[0].At += time.Millisecond
-	must.SliceEmpty(t, Decide(0, []Step{gang}, list, limits).Earmarks, must.Sprint("the gang fits too late"))
+	pool = workers(4, 0, 0)
+	pool[2].Releases = []Release{{At: time.Second, Resources: cores(4)}}
+	must.Eq(t, []string{"w0", "w2"}, Decide(0, []Step{gang}, pool, limits).Earmarks)
+	pool[2].Releases[0].At += time.Millisecond
+	must.SliceEmpty(t, Decide(0, []Step{gang}, pool, limits).Earmarks, must.Sprint("the gang fits too late"))
 }
 
 // Guards against an urgent gang that waits many seconds while a batch job that could resume
@@ -253,16 +253,16 @@
 // full of runs with checkpoints, and none of these is preempted.
 func TestGangPreemptsRunsWithCheckpoints(t *testing.T) {
 	full := func(change func(*Release)) []Worker {
-		list := workers(4, 0, 0)
-		for i := range list[1:] {
+		pool := workers(4, 0, 0)
+		for i := range pool[1:] {
 			for k := range 4 {
 				r := Release{At: 9 * time.Second, Resources: cores(4), Priority: 2, Preemptible: true,
 					Task: workflow.TaskKey{StepKey: workflow.StepKey{Job: fmt.Sprint("v", i+1)}, Index: k}}
 				change(&r)
-				list[i+1].Releases = append(list[i+1].Releases, r)
+				pool[i+1].Releases = append(pool[i+1].Releases, r)
 			}
 		}
-		return list
+		return pool
 	}
 	gang := func(change func(*Step)) Step {
 		s := step("gang", 3, 4)
@@ -271,9 +271,9 @@
 		return s
 	}
 	unchangedRun, unchangedStep := func(*Release) {}, func(*Step) {}
-	stopped := func(s Step, list []Worker) []string {
+	stopped := func(s Step, pool []Worker) []string {
 		var got []string
-		for _, v := range Decide(0, []Step{s}, list, limits).Preemptions {
+		for _, v := range Decide(0, []Step{s}, pool, limits).Preemptions {
 			got = append(got, fmt.Sprintf("%s/%d@%s for %s", v.Task.Job, v.Task.Index, v.Worker, v.Preemptor.Job))
 		}
 		return got
--- a/dispatch/preempt_test.go
+++ b/dispatch/preempt_test.go
@@ -12,14 +12,14 @@
 
 // preemptiblePool returns n workers of 16 cores, each full with four preemptible runs.
 func preemptiblePool(n int) []Worker {
-	list := workers(make([]int64, n)...)
-	for i := range list {
+	pool := workers(make([]int64, n)...)
+	for i := range pool {
 		for k := range 4 {
 			task := workflow.TaskKey{StepKey: workflow.StepKey{Job: fmt.Sprint("b", i)}, Index: k}
-			list[i].Releases = append(list[i].Releases, Release{At: 9 * time.Second, Resources: cores(4), Priority: 2, Preemptible: true, Task: task})
+			pool[i].Releases = append(pool[i].Releases, Release{At: 9 * time.Second, Resources: cores(4), Priority: 2, Preemptible: true, Task: task})
 		}
 	}
-	return list
+	return pool
 }
 
 // permittedOn returns granted permits with valid tickets for all workers of a pool.
--- a/dispatch/query_test.go
+++ b/dispatch/query_test.go
@@ -15,7 +15,7 @@
 // Such a job is permitted on the given share of the workers.
 func slowQueryKind(name string, priority int, permitted float64) *replayKind {
 	return &replayKind{
-		name: name, priority: priority, steps: 1, width: 1, maxWidth: 1, cores: 4, maxCores: 4, gb: 4, maxGB: 4, work: 2 * time.Second,
+		name: name, priority: priority, steps: 1, width: 1, maxWidth: 1, cores: 4, maxCores: 4, gb: 4, maxGB: 4, runTime: 2 * time.Second,
 		baseLatency: 800 * time.Millisecond, perWorkerLatency: 10 * time.Millisecond, ticketValidity: 1500 * time.Millisecond, grantedShare: permitted,
 		stretch: 2, objective: time.Hour,
 	}
@@ -31,7 +31,7 @@
 		if !waits {
 			break
 		}
-		r.arrive(r.decisionInterval)
+		r.submitArrivals(r.decisionInterval)
 		r.decide()
 		r.advance()
 	}
@@ -223,7 +223,7 @@
 func wideGangs(width, cores float64) *replayKind {
 	return &replayKind{
 		name: "gang", priority: 1, gangShare: 1, steps: 1, width: width, maxWidth: width, cores: cores, maxCores: cores, gb: 16, maxGB: 16,
-		work: 6 * time.Second, baseLatency: 700 * time.Millisecond, perWorkerLatency: 10 * time.Millisecond, ticketValidity: 1500 * time.Millisecond, grantedShare: 0.25,
+		runTime: 6 * time.Second, baseLatency: 700 * time.Millisecond, perWorkerLatency: 10 * time.Millisecond, ticketValidity: 1500 * time.Millisecond, grantedShare: 0.25,
 		stretch: 2, objective: time.Hour,
 	}
 }
@@ -248,7 +248,7 @@
 	// minReservedCPU is the CPU of 50 of the gang's 60 tasks, in thousandths of a core.
 	const minReservedCPU = 50 * 60_000
 	long := slowQueryKind("long", 0, 1)
-	long.width, long.maxWidth, long.cores, long.maxCores, long.work = 130, 130, 60, 60, 2*time.Minute
+	long.width, long.maxWidth, long.cores, long.maxCores, long.runTime = 130, 130, 60, 60, 2*time.Minute
 	gang, small := wideGangs(60, 60), slowQueryKind("small", 2, 0.25)
 	r := newReplay(0, mixedPool, usualConnections, long, gang, small)
 	r.decisionInterval = 50 * time.Millisecond
@@ -267,10 +267,10 @@
 // reservedCPU returns the CPU that a decision reserves for a job, in thousandths of a core.
 func (r *replay) reservedCPU(j *replayJob) (milliCPU int64) {
 	s, _ := r.step(j)
-	list := r.planningInput()
-	Decide(r.now, []Step{s}, list, r.limits)
-	for i := range list {
-		milliCPU += list[i].Reserved.MilliCPU
+	pool := r.planningInput()
+	Decide(r.now, []Step{s}, pool, r.limits)
+	for i := range pool {
+		milliCPU += pool[i].Reserved.MilliCPU
 	}
 	return milliCPU
 }
--- a/dispatch/reason_test.go
+++ b/dispatch/reason_test.go
@@ -31,13 +31,13 @@
 // gangsAhead returns urgent gangs, as many as get a reservation, each with two tasks of
 // four cores.
 func gangsAhead(permits map[string]Permit) []Step {
-	var list []Step
+	var gangs []Step
 	for i := range maxReservedGangs {
 		s := waitingGang(fmt.Sprintf("before%02d", i), 2, 4, permits)
 		s.Priority = -1
-		list = append(list, s)
+		gangs = append(gangs, s)
 	}
-	return list
+	return gangs
 }
 
 // Guards against waiting steps that are listed under a wrong reason.
@@ -50,11 +50,11 @@
 	allExpired := map[string]Permit{"w0": expired, "w1": expired}
 	first := waitingGang("first", 3, 4, nil)
 	first.Priority = -1
-	soon := func(list []Worker) []Worker {
-		for i := range list {
-			list[i].Releases = []Release{{At: time.Second, Resources: cores(16)}}
+	soon := func(pool []Worker) []Worker {
+		for i := range pool {
+			pool[i].Releases = []Release{{At: time.Second, Resources: cores(16)}}
 		}
-		return list
+		return pool
 	}
 	querying := waitingGang("a", 2, 4, allExpired)
 	querying.AwaitsResponse = true
@@ -94,12 +94,12 @@
 // Guards against a gang that is listed as waiting for free resources while runs are
 // preempted for the gang.
 func TestGangReportsPreemptionAsReason(t *testing.T) {
-	list := workers(0)
+	pool := workers(0)
 	for range 4 {
-		list[0].Releases = append(list[0].Releases, Release{At: 9 * time.Second, Resources: cores(4), Priority: 2, Preemptible: true})
+		pool[0].Releases = append(pool[0].Releases, Release{At: 9 * time.Second, Resources: cores(4), Priority: 2, Preemptible: true})
 	}
 	for _, permits := range []map[string]Permit{nil, {"w0": {Granted: true, Expires: time.Hour}}} {
-		plan := Decide(0, []Step{waitingGang("a", 2, 4, permits)}, []Worker{list[0]}, limits)
+		plan := Decide(0, []Step{waitingGang("a", 2, 4, permits)}, []Worker{pool[0]}, limits)
 		must.SliceLen(t, 2, plan.Preemptions)
 		must.Eq(t, ReasonPreempting, reasons(plan)["a"])
 	}
@@ -107,24 +107,24 @@
 
 // Guards against reserved resources that are counted as occupied by runs.
 func TestReservedResourcesAreSeparateFromFree(t *testing.T) {
-	list := workers(8, 4)
-	Decide(0, []Step{step("a", 1, 4), waitingGang("gang", 3, 4, nil)}, list, limits)
-	must.Eq(t, int64(0), list[0].Reserved.MilliCPU)
-	list[0].Releases = []Release{{At: time.Second, Resources: cores(4)}}
-	list = soonFree(workers(8, 4))
-	plan := Decide(0, []Step{step("a", 1, 4), waitingGang("gang", 3, 4, nil)}, list, limits)
+	pool := workers(8, 4)
+	Decide(0, []Step{step("a", 1, 4), waitingGang("gang", 3, 4, nil)}, pool, limits)
+	must.Eq(t, int64(0), pool[0].Reserved.MilliCPU)
+	pool[0].Releases = []Release{{At: time.Second, Resources: cores(4)}}
+	pool = soonFree(workers(8, 4))
+	plan := Decide(0, []Step{step("a", 1, 4), waitingGang("gang", 3, 4, nil)}, pool, limits)
 	must.Eq(t, []string{"a/0@w1"}, started(plan))
-	must.Eq(t, int64(12_000), list[0].Reserved.MilliCPU+list[1].Reserved.MilliCPU)
-	must.Eq(t, int64(8_000), list[0].Free.MilliCPU+list[0].Reserved.MilliCPU)
-	must.Eq(t, int64(0), list[1].Free.MilliCPU+list[1].Reserved.MilliCPU)
+	must.Eq(t, int64(12_000), pool[0].Reserved.MilliCPU+pool[1].Reserved.MilliCPU)
+	must.Eq(t, int64(8_000), pool[0].Free.MilliCPU+pool[0].Reserved.MilliCPU)
+	must.Eq(t, int64(0), pool[1].Free.MilliCPU+pool[1].Reserved.MilliCPU)
 }
 
 // soonFree lets four cores come free soon on each worker.
-func soonFree(list []Worker) []Worker {
-	for i := range list {
-		list[i].Releases = []Release{{At: time.Second, Resources: cores(4)}}
+func soonFree(pool []Worker) []Worker {
+	for i := range pool {
+		pool[i].Releases = []Release{{At: time.Second, Resources: cores(4)}}
 	}
-	return list
+	return pool
 }
 
 // Guards against speculative copies that are counted as steps beyond the bound: their tasks
--- a/dispatch/replay_jobs_test.go
+++ b/dispatch/replay_jobs_test.go
@@ -18,11 +18,11 @@
 	// rate is in jobs per second. steps is the number of steps of a job, width the number
 	// of tasks of a step.
 	rate, steps, width float64
-	// cores and gb are the cores and GiB of memory of a task, work is its run time.
+	// cores and gb are the cores and GiB of memory of a task, runTime is its run time.
 	cores, gb              float64
-	work                   time.Duration
+	runTime                time.Duration
 	widthCV, coresCV, gbCV float64
-	workCV                 float64
+	runTimeCV              float64
 	maxWidth               float64
 	maxCores, maxGB        float64
 	// stretch and objective define how long a job may take: stretch times the summed run
@@ -53,12 +53,12 @@
 	kind             *replayKind
 	id               string
 	begin, objective time.Duration
-	// step is the index of the current step. By step, specs are the specifications, works
-	// the run times of a task, pending the tasks to start and unfinished the numbers of
-	// tasks that haven't ended.
+	// step is the index of the current step. By step, specs are the specifications,
+	// runTimes the run times of a task, pending the tasks to start and unfinished the
+	// numbers of tasks that haven't ended.
 	step       int
 	specs      []*workflow.Step
-	works      []time.Duration
+	runTimes   []time.Duration
 	pending    [][]int
 	unfinished []int
 	// saved is the share of a task's work that the checkpoint of a preempted run holds.
@@ -90,10 +90,10 @@
 const (
 	// stepsCV is the coefficient of variation of the number of steps of a job.
 	stepsCV = 0.4
-	// maxStepsFactor and maxWorkFactor bound the number of steps of a job and the run time of
+	// maxStepsFactor and maxRunTimeFactor bound the number of steps of a job and the run time of
 	// a task, as multiples of their means.
-	maxStepsFactor = 3
-	maxWorkFactor  = 2.5
+	maxStepsFactor   = 3
+	maxRunTimeFactor = 2.5
 	// minEstimateFactor is the smallest ratio of an estimated run time to the real one; the
 	// largest ratio is 1 more.
 	minEstimateFactor = 0.5
@@ -106,9 +106,9 @@
 	chain := time.Duration(0)
 	for range max(1, int(math.Round(r.logNormal(k.steps, stepsCV, maxStepsFactor*k.steps)))) {
 		count := max(1, int(math.Round(r.logNormal(k.width, k.widthCV, k.maxWidth))))
-		work := time.Duration(r.logNormal(float64(k.work), k.workCV, maxWorkFactor*float64(k.work)))
+		runTime := time.Duration(r.logNormal(float64(k.runTime), k.runTimeCV, maxRunTimeFactor*float64(k.runTime)))
 		spec := &workflow.Step{
-			Count: count, EstimateMS: int64(float64(work.Milliseconds()) * (minEstimateFactor + r.random.Float64())),
+			Count: count, EstimateMS: int64(float64(runTime.Milliseconds()) * (minEstimateFactor + r.random.Float64())),
 			Need: workflow.Resources{MilliCPU: int64(1000 * r.logNormal(k.cores, k.coresCV, k.maxCores)), MemoryMB: int64(1024 * r.logNormal(k.gb, k.gbCV, k.maxGB))},
 			Gang: r.random.Float64() < k.gangShare, Checkpointing: r.random.Float64() < k.checkpointingShare,
 		}
@@ -116,8 +116,8 @@
 		for i := range indexes {
 			indexes[i] = i
 		}
-		j.specs, j.works, j.pending, j.unfinished = append(j.specs, spec), append(j.works, work), append(j.pending, indexes), append(j.unfinished, count)
-		chain += work
+		j.specs, j.runTimes, j.pending, j.unfinished = append(j.specs, spec), append(j.runTimes, runTime), append(j.pending, indexes), append(j.unfinished, count)
+		chain += runTime
 	}
 	j.objective = time.Duration(k.stretch*float64(chain)) + k.objective
 	r.jobs = append(r.jobs, j)
@@ -126,10 +126,10 @@
 	return j
 }
 
-// arrive submits the jobs that arrive within d.
-func (r *replay) arrive(d time.Duration) {
+// submitArrivals submits the jobs that arrive within an interval.
+func (r *replay) submitArrivals(interval time.Duration) {
 	for _, k := range r.kinds {
-		n := k.rate * d.Seconds()
+		n := k.rate * interval.Seconds()
 		for ; n > 0; n-- {
 			if r.random.Float64() < n {
 				r.submit(k)
@@ -142,7 +142,7 @@
 func (j *replayJob) coreTime() float64 {
 	total := 0.0
 	for i, s := range j.specs {
-		total += float64(s.Count) * float64(s.Need.MilliCPU) * float64(j.works[i])
+		total += float64(s.Count) * float64(s.Need.MilliCPU) * float64(j.runTimes[i])
 	}
 	return total
 }
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -202,14 +202,14 @@
 	r.apply(&plan, jobs)
 }
 
-// playIncremental runs the replay with submissions until a time, with incremental decisions
-// every tick between full ones.
-func (r *replay) playIncremental(until, tick time.Duration) {
+// playIncremental runs the replay with submissions up to stopAt. It makes full decisions at
+// the usual interval and an incremental one every tick between them.
+func (r *replay) playIncremental(stopAt, tick time.Duration) {
 	fullInterval := r.decisionInterval
 	defer func() { r.decisionInterval = fullInterval }()
 	r.decisionInterval = tick
-	for next := r.now; r.now < until; r.advance() {
-		r.arrive(tick)
+	for next := r.now; r.now < stopAt; r.advance() {
+		r.submitArrivals(tick)
 		if r.now < next {
 			r.decideIncremental()
 			continue
@@ -253,8 +253,8 @@
 // freeConnections returns how many queries may be sent now, and how many of them may be long. A
 // connection counts as free if it becomes so within a second.
 func (r *replay) freeConnections() (all, long int) {
-	for i, until := range r.connections {
-		if until >= r.now+time.Second {
+	for i, freeAt := range r.connections {
+		if freeAt >= r.now+time.Second {
 			continue
 		}
 		all++
@@ -332,11 +332,11 @@
 
 // start starts a task.
 func (r *replay) start(j *replayJob, s Start) {
-	spec, work := j.specs[s.Task.Step], j.works[s.Task.Step]
+	spec, fullRunTime := j.specs[s.Task.Step], j.runTimes[s.Task.Step]
 	w := slices.IndexFunc(r.workers, func(w Worker) bool { return w.ID == s.Worker })
 	r.workers[w].Free = r.workers[w].Free.Minus(spec.Demand())
 	remaining := 1 - j.saved[s.Task]
-	runTime := time.Duration(remaining * float64(work) * []float64{1, 1, slowWorkerFactor}[w%3])
+	runTime := time.Duration(remaining * float64(fullRunTime) * []float64{1, 1, slowWorkerFactor}[w%3])
 	run := &replayRun{job: j, task: s.Task, worker: w, begin: r.now, end: r.now + runTime, duration: runTime,
 		expected: r.now + time.Duration(remaining*float64(spec.EstimateMS)*1e6)}
 	if !spec.Gang && r.random.Float64() < j.kind.failingShare {
@@ -432,12 +432,12 @@
 	return float64(free) / float64(all)
 }
 
-// play runs the replay with submissions until a time and without any for the time quiet
-// after that.
-func (r *replay) play(until, quiet time.Duration) {
-	for r.now < until+quiet {
-		if r.now < until {
-			r.arrive(r.decisionInterval)
+// play runs the replay with submissions up to submitUntil, and then without submissions for
+// the duration drain.
+func (r *replay) play(submitUntil, drain time.Duration) {
+	for r.now < submitUntil+drain {
+		if r.now < submitUntil {
+			r.submitArrivals(r.decisionInterval)
 		}
 		r.decide()
 		r.advance()
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -32,11 +32,11 @@
 	workers := &fakeWorkers{all: map[string]*fakeWorker{}}
 	controller := New(Config{Address: "own", Workers: workers, Adviser: workers, Logger: log.NewNopLogger(), Counters: noCounters{}}, machine, l)
 	apply := func(command *workflow.Command) {
-		data, err := command.Encode()
+		encoded, err := command.Encode()
 		if err != nil {
 			b.Fatal(err)
 		}
-		if _, err := l.Propose(context.Background(), data); err != nil {
+		if _, err := l.Propose(context.Background(), encoded); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/control/chaos_test.go
+++ b/internal/control/chaos_test.go
@@ -40,7 +40,7 @@
 	replicated := &fakeTermLog{fakeLog: fakeLog{state: chaos.state}, term: chaos.term}
 	chaos.controller = New(Config{
 		Address: "own", Bounds: Bounds{MaxLease: testMaxLease, EndedJobRetention: time.Minute}, Workers: chaos.workers, Adviser: chaos.workers,
-		Client: link.NewClient(testMaxConns), Logger: log.With(log.NewLogfmtLogger(&chaos.workers.lines), "ms", log.Valuer(sinceStart), "term", chaos.term), Counters: noCounters{},
+		Client: link.NewClient(testMaxConns), Logger: log.With(log.NewLogfmtLogger(&chaos.workers.eventLog), "ms", log.Valuer(sinceStart), "term", chaos.term), Counters: noCounters{},
 		Leader: func() string { return "own" }, Members: func() []string { return nil },
 	}, chaos.state, replicated)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -202,7 +202,7 @@
 	chaos.awaitAllEnded()
 	chaos.workers.mu.Lock()
 	defer chaos.workers.mu.Unlock()
-	must.SliceEmpty(t, chaos.workers.violations, must.Sprint(chaos.workers.violations), must.Sprint(chaos.workers.lines.linesAbout(chaos.workers.violations)))
+	must.SliceEmpty(t, chaos.workers.violations, must.Sprint(chaos.workers.violations), must.Sprint(chaos.workers.eventLog.linesAbout(chaos.workers.violations)))
 }
 
 func (chaos *chaosRun) propose(c *workflow.Command) error {
--- a/internal/control/chaos_workers_test.go
+++ b/internal/control/chaos_workers_test.go
@@ -69,8 +69,8 @@
 	// completeGangs are the gang runs whose members have all been running at the same
 	// time.
 	completeGangs map[gangRun]bool
-	// lines holds the log lines of the controllers and the workers.
-	lines chaosLog
+	// eventLog holds the log lines of the controllers and the workers.
+	eventLog chaosLog
 }
 
 // chaosLog keeps log lines to print them if a run fails.
@@ -203,7 +203,7 @@
 	}
 	spec := ws.specs[task.Job]
 	w.running[task] = &chaosWorkerRun{number: o.Run.Number, need: spec.Need, endsAt: time.Now().Add(time.Duration(10+ws.random.IntN(60)) * time.Millisecond)}
-	ws.lines.logRun("starts", w, task, o.Run.Number)
+	ws.eventLog.logRun("starts", w, task, o.Run.Number)
 	ws.recordViolations(w, task, spec)
 	return nil
 }
@@ -351,7 +351,7 @@
 				switch {
 				case w.crashed:
 				case time.Now().After(w.leaseEnd):
-					ws.lines.logRun("lease expires", w, task, run.number)
+					ws.eventLog.logRun("lease expires", w, task, run.number)
 					w.finish(task, workflow.OutcomeLeaseExpired)
 				case time.Now().After(run.endsAt) && ws.gangComplete(task, run.number):
 					ws.endRun(w, task)
@@ -393,6 +393,6 @@
 	if ws.random.IntN(failedRunOneIn) == 0 {
 		outcome = workflow.OutcomeFailed
 	}
-	ws.lines.logRun("ends "+outcome.String(), w, task, w.running[task].number)
+	ws.eventLog.logRun("ends "+outcome.String(), w, task, w.running[task].number)
 	w.finish(task, outcome)
 }
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -59,20 +59,20 @@
 	return time.Until(l.delayedUntil)
 }
 
-func (l *fakeLog) Propose(_ context.Context, data []byte) (any, error) {
-	if err := l.callBeforeApply(data); err != nil {
+func (l *fakeLog) Propose(_ context.Context, encoded []byte) (any, error) {
+	if err := l.callBeforeApply(encoded); err != nil {
 		return nil, err
 	}
-	if err := l.nextEndError(data); err != nil {
+	if err := l.nextEndError(encoded); err != nil {
 		return nil, err
 	}
 	l.mu.Lock()
 	l.index++
-	value := l.state.Apply(l.index, data)
+	value := l.state.Apply(l.index, encoded)
 	hook := l.afterApply
 	l.mu.Unlock()
 	if hook != nil {
-		command, err := workflow.Decode(data)
+		command, err := workflow.Decode(encoded)
 		if err != nil {
 			return nil, err
 		}
@@ -90,8 +90,8 @@
 
 // nextEndError removes and returns the error for a command that ends runs, nil for other
 // commands.
-func (l *fakeLog) nextEndError(data []byte) error {
-	command, err := workflow.Decode(data)
+func (l *fakeLog) nextEndError(encoded []byte) error {
+	command, err := workflow.Decode(encoded)
 	if err != nil || command.Ends == nil {
 		return err
 	}
@@ -106,14 +106,14 @@
 }
 
 // callBeforeApply calls beforeApply with the decoded command.
-func (l *fakeLog) callBeforeApply(data []byte) error {
+func (l *fakeLog) callBeforeApply(encoded []byte) error {
 	l.mu.Lock()
 	hook := l.beforeApply
 	l.mu.Unlock()
 	if hook == nil {
 		return nil
 	}
-	command, err := workflow.Decode(data)
+	command, err := workflow.Decode(encoded)
 	if err == nil {
 		hook(command)
 	}
@@ -412,9 +412,9 @@
 }
 
 func (cluster *testCluster) commit(c *workflow.Command) {
-	data, err := c.Encode()
+	encoded, err := c.Encode()
 	must.NoError(cluster.t, err)
-	_, err = cluster.log.Propose(context.Background(), data)
+	_, err = cluster.log.Propose(context.Background(), encoded)
 	must.NoError(cluster.t, err)
 }
 
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -60,7 +60,7 @@
 		}
 	}
 	for id, move := range p.planned {
-		m, exists := t.machines.list[id]
+		m, exists := t.machines.byID[id]
 		if !exists || m.Pool != move.From {
 			delete(p.planned, id)
 			continue
@@ -122,7 +122,7 @@
 // including that of machines that are moving to it. t.mu must be held.
 func (t *leaderTerm) addMachines(pool *fleet.Pool, s *workflow.State, demand int64) {
 	pool.Demand = demand
-	for id, m := range t.machines.list {
+	for id, m := range t.machines.byID {
 		target, moving := t.poolMoves.moving[id]
 		if moving && m.Pool == target {
 			delete(t.poolMoves.moving, id)
--- a/internal/control/load_test.go
+++ b/internal/control/load_test.go
@@ -23,12 +23,12 @@
 // observedTerm returns a leader term, the buffer that receives its log lines, and its
 // gauges.
 func observedTerm() (*leaderTerm, *bytes.Buffer, gauges) {
-	lines, counters := &bytes.Buffer{}, gauges{}
+	logOutput, counters := &bytes.Buffer{}, gauges{}
 	term := &leaderTerm{
 		c:      New(Config{Counters: counters, Logger: log.NewNopLogger()}, NewStateMachine(), nil),
-		logger: log.NewLogfmtLogger(lines),
+		logger: log.NewLogfmtLogger(logOutput),
 	}
-	return term, lines, counters
+	return term, logOutput, counters
 }
 
 // pendingStep returns a step whose tasks are all pending. Each task needs 4 cores and 8000
@@ -61,7 +61,7 @@
 // and the waiting steps, so that an operator can tell a full cluster from one whose free
 // resources are too fragmented for the waiting steps.
 func TestLoadReportShowsFragmentationAndWaitingSteps(t *testing.T) {
-	term, lines, counters := observedTerm()
+	term, logOutput, counters := observedTerm()
 	now := time.Now()
 	small, large := pendingStep("small", 2, true), pendingStep("large", 9, true)
 	large.NeedsPermit, large.Permits = true, map[string]dispatch.Permit{"w2": {Granted: true}, "w1": {}}
@@ -73,7 +73,7 @@
 	term.updateWaiting(&dispatch.Plan{BeyondBound: 2, Waiting: plan.Waiting[:1]}, now)
 	now = now.Add(3 * time.Second)
 	term.updateWaiting(plan, now)
-	lines.Reset()
+	logOutput.Reset()
 	term.reportLoad(input, plan, now)
 	for _, want := range []string{
 		"milli_cpu=48000 free_milli_cpu=18000 memory_mb=192000 free_memory_mb=109000 accelerators=6 free_accelerators=1",
@@ -83,7 +83,7 @@
 		`oldest=large/0/0 oldest_ms=3000 oldest_reason="doesn't fit on the workers it knows of, and can't ask now" oldest_tasks=9 oldest_gang=true`,
 		"oldest_pieces=3 oldest_permitted_pieces=1",
 	} {
-		must.StrContains(t, lines.String(), want)
+		must.StrContains(t, logOutput.String(), want)
 	}
 	for name, want := range map[string]int64{
 		"free_memory_mb": 109_000, "kept_milli_cpu": 8000, "free_pieces": 3, "waiting_gangs": 2, "oldest_waiting_ms": 3000,
@@ -91,18 +91,18 @@
 	} {
 		must.Eq(t, want, counters[name], must.Sprint(name))
 	}
-	lines.Reset()
+	logOutput.Reset()
 	term.reportLoad(input, plan, now.Add(loadLogInterval/2))
-	must.Eq(t, "", lines.String(), must.Sprint("at most one line a second"))
+	must.Eq(t, "", logOutput.String(), must.Sprint("at most one line a second"))
 }
 
 // Checks that the gauges of waiting steps are reset once nothing waits.
 func TestLoadReportOfEmptyQueue(t *testing.T) {
-	term, lines, counters := observedTerm()
+	term, logOutput, counters := observedTerm()
 	counters["oldest_waiting_ms"], counters["waiting_room"] = 5, 5
 	term.updateWaiting(&dispatch.Plan{}, time.Now())
 	term.reportLoad(&planInput{workers: fragmentedWorkers()}, &dispatch.Plan{}, time.Now())
-	must.StrContains(t, lines.String(), "waiting=0 behind=0 waiting_by= waiting_gangs=0 kept_back=")
+	must.StrContains(t, logOutput.String(), "waiting=0 behind=0 waiting_by= waiting_gangs=0 kept_back=")
 	must.Eq(t, int64(0), counters["oldest_waiting_ms"])
 	must.Eq(t, int64(0), counters["waiting_room"])
 }
@@ -110,7 +110,7 @@
 // Checks that steps beyond the bound of a decision are logged, at most maxBacklogLogLinesPerSecond
 // a second, and forgotten once they no longer wait.
 func TestBacklogStepsAreLoggedUntilConsidered(t *testing.T) {
-	term, lines, _ := observedTerm()
+	term, logOutput, _ := observedTerm()
 	now := time.Now()
 	input := &planInput{}
 	for i := range 3 * maxBacklogLogLinesPerSecond {
@@ -119,7 +119,7 @@
 	plan := &dispatch.Plan{BeyondBound: len(input.steps), Starts: []dispatch.Start{{Task: workflow.TaskKey{StepKey: input.steps[0].Key}}}}
 	term.updateWaiting(plan, now)
 	term.reportLoad(input, plan, now)
-	must.Eq(t, maxBacklogLogLinesPerSecond, bytes.Count(lines.Bytes(), []byte(`reason="behind the steps that one decision goes into"`))-1,
+	must.Eq(t, maxBacklogLogLinesPerSecond, bytes.Count(logOutput.Bytes(), []byte(`reason="behind the steps that one decision goes into"`))-1,
 		must.Sprint("one of the lines is the load line"))
 	must.Eq(t, dispatch.ReasonBeyondBound, term.waitingReason(input.steps[5].Key))
 	must.MapLen(t, len(input.steps)-1, term.waiting, must.Sprint("the started step is not waiting"))
@@ -134,16 +134,16 @@
 // Checks that the log line of a waiting step lists for how long it waited for each earlier
 // reason.
 func TestWaitingLogShowsEarlierReasons(t *testing.T) {
-	term, lines, _ := observedTerm()
+	term, logOutput, _ := observedTerm()
 	begin := time.Now()
 	update := func(after time.Duration, reason dispatch.Reason, started bool) string {
-		lines.Reset()
+		logOutput.Reset()
 		plan := &dispatch.Plan{Waiting: []dispatch.Waiting{{Step: workflow.StepKey{Job: "a"}, Tasks: 4, Reason: reason}}}
 		if started {
 			plan.Starts = []dispatch.Start{{Task: workflow.TaskKey{StepKey: workflow.StepKey{Job: "a"}}}}
 		}
 		term.updateWaiting(plan, begin.Add(after))
-		return lines.String()
+		return logOutput.String()
 	}
 	must.StrContains(t, update(0, dispatch.ReasonNoCapacity, false), "waited_ms=0 earlier=\n")
 	must.Eq(t, "", update(100*time.Millisecond, dispatch.ReasonReserved, false), must.Sprint("the previous line is less than a second old"))
--- a/internal/control/machines.go
+++ b/internal/control/machines.go
@@ -45,9 +45,9 @@
 	// waveAcceptedAt is when this leader term accepted a maintenance wave, by wave ID.
 	waveAcceptedAt map[int64]time.Time
 
-	// list is the deployment's machine list as read at listedAt, by machine ID. Only the
+	// byID is the deployment's machine list as read at listedAt, by machine ID. Only the
 	// machine loop uses both.
-	list     map[string]ListedMachine
+	byID     map[string]ListedMachine
 	listedAt time.Time
 	// listFailed says that the last read failed. unreadable counts the entries of the last
 	// read that described no usable machine.
@@ -100,10 +100,10 @@
 // log, because the list gives only the worker's name and lags.
 func (m *machines) setLatestIncarnations(state *StateMachine) {
 	state.read(func(s *workflow.State) {
-		for id, listed := range m.list {
+		for id, listed := range m.byID {
 			if newest := s.NewestIncarnation(listed.Name); newest != nil {
 				listed.Worker = newest.ID
-				m.list[id] = listed
+				m.byID[id] = listed
 			}
 		}
 	})
@@ -113,13 +113,13 @@
 // deployment permanently.
 func (t *leaderTerm) readMachines(now time.Time) {
 	m := t.machines
-	list, err := t.listMachines()
+	listed, err := t.listMachines()
 	if failed := err != nil; failed != m.listFailed {
 		m.listFailed = failed
 		t.logger.Log("event", "machine_list", "lost", failed, "err", err)
 	}
 	if err == nil {
-		m.list, m.listedAt = list, now
+		m.byID, m.listedAt = listed, now
 	}
 }
 
@@ -147,22 +147,22 @@
 	}
 }
 
-// keepUnreadable adds the known machines that a newly read list lacks if some of its
-// entries couldn't be read: the missing machines may be among them.
+// keepUnreadable adds the known machines that newList lacks if some entries of the list
+// couldn't be read: the missing machines may be among them.
 //
 // Otherwise the machine of a damaged entry would count as removed, and a wave would be
 // reported as done without it.
-func (t *leaderTerm) keepUnreadable(list map[string]ListedMachine, unreadable int) {
+func (t *leaderTerm) keepUnreadable(newList map[string]ListedMachine, unreadable int) {
 	if unreadable != t.machines.unreadable {
 		t.machines.unreadable = unreadable
-		t.logger.Log("event", "machine_list", "unreadable", unreadable, "read", len(list))
+		t.logger.Log("event", "machine_list", "unreadable", unreadable, "read", len(newList))
 	}
 	if unreadable == 0 {
 		return
 	}
-	for id, machine := range t.machines.list {
-		if _, listed := list[id]; !listed {
-			list[id] = machine
+	for id, machine := range t.machines.byID {
+		if _, listed := newList[id]; !listed {
+			newList[id] = machine
 		}
 	}
 }
--- a/internal/control/maintenance.go
+++ b/internal/control/maintenance.go
@@ -41,19 +41,19 @@
 		input := t.waveMachines(&wave, keepCordoned, now)
 		plan := maintenance.Decide(t.waveTimes(&wave, now), input.machines)
 		for _, id := range plan.Cordon {
-			worker := t.machines.list[id].Worker
+			worker := t.machines.byID[id].Worker
 			keepCordoned[worker] = true
 			if t.cordon(worker, now) {
 				t.logMaintenance(wave.ID, id, worker, "cordoned")
 			}
 		}
 		for _, id := range plan.Stop {
-			if worker := t.machines.list[id].Worker; t.stopRunsOn(worker) {
+			if worker := t.machines.byID[id].Worker; t.stopRunsOn(worker) {
 				t.logMaintenance(wave.ID, id, worker, "runs stopped")
 			}
 		}
 		for _, id := range plan.TakeDown {
-			t.orderMaintenance(wave.ID, t.machines.list[id])
+			t.orderMaintenance(wave.ID, t.machines.byID[id])
 		}
 		for _, m := range input.resend {
 			t.orderMaintenance(wave.ID, m)
@@ -98,7 +98,7 @@
 	var input waveMachines
 	t.c.state.read(func(s *workflow.State) {
 		for _, id := range w.Machines {
-			listed, exists := t.machines.list[id]
+			listed, exists := t.machines.byID[id]
 			recorded := w.Maintenances[id]
 			switch {
 			case !exists || recorded.Stage == workflow.MaintenanceNotNeeded, recorded.Stage == workflow.MaintenanceStarted && t.backFromMaintenance(listed, recorded, now):
@@ -210,7 +210,7 @@
 // them.
 func (t *leaderTerm) dropRemovedMachines(w *workflow.WaveState) {
 	for _, id := range w.Machines {
-		_, exists := t.machines.list[id]
+		_, exists := t.machines.byID[id]
 		if !exists && w.Maintenances[id].Stage < workflow.MaintenanceStarted {
 			t.logMaintenance(w.ID, id, "", "left")
 			_ = t.commitMaintenance(w.ID, ListedMachine{ID: id}, workflow.MaintenanceNotNeeded)
--- a/internal/control/maintenance_test.go
+++ b/internal/control/maintenance_test.go
@@ -27,7 +27,7 @@
 	maxInFlight  int
 
 	mu   sync.Mutex
-	list map[string]*ListedMachine
+	byID map[string]*ListedMachine
 	// incarnations counts the later incarnations of each machine's worker.
 	incarnations map[string]int
 	// down and maxDown count the machines that are down.
@@ -39,9 +39,9 @@
 }
 
 func newFakeMachines(ids ...string) *fakeMachines {
-	f := &fakeMachines{downtime: 30 * time.Millisecond, list: map[string]*ListedMachine{}, incarnations: map[string]int{}, inFlight: map[string]int{}}
+	f := &fakeMachines{downtime: 30 * time.Millisecond, byID: map[string]*ListedMachine{}, incarnations: map[string]int{}, inFlight: map[string]int{}}
 	for _, id := range ids {
-		f.list[id] = &ListedMachine{ID: id, Pool: "s", State: MachineUp, Worker: id + "-0"}
+		f.byID[id] = &ListedMachine{ID: id, Pool: "s", State: MachineUp, Worker: id + "-0"}
 	}
 	return f
 }
@@ -51,12 +51,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var ids []string
-	for id := range f.list {
+	for id := range f.byID {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	at := max(slices.Index(ids, page), 0)
-	response := MachinePage{Machines: []ListedMachine{*f.list[ids[at]]}}
+	response := MachinePage{Machines: []ListedMachine{*f.byID[ids[at]]}}
 	if at+1 < len(ids) {
 		response.Next = ids[at+1]
 	}
@@ -69,7 +69,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fences = append(f.fences, order.Fence)
-	m := f.list[order.Machine]
+	m := f.byID[order.Machine]
 	if m.State == MachineUp && f.incarnations[m.ID] == 0 {
 		f.takeDown(m)
 	}
@@ -83,7 +83,7 @@
 func (f *fakeMachines) Move(_ context.Context, order MachineOrder, pool string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m := f.list[order.Machine]
+	m := f.byID[order.Machine]
 	if m.State == MachineMoving || m.Pool == pool {
 		return nil
 	}
@@ -149,7 +149,7 @@
 		cluster.controller.cfg.Machines = machines
 		cluster.controller.cfg.Bounds.MaintenanceDuration = machines.downtime
 	})
-	for id := range machines.list {
+	for id := range machines.byID {
 		cluster.workers.add(id + "-0")
 		cluster.announce(id + "-0")
 	}
@@ -175,7 +175,7 @@
 	cluster.submit("a", oneTask)
 	var busyWorker string
 	cluster.eventually("the task starts", func() bool {
-		for id := range machines.list {
+		for id := range machines.byID {
 			if cluster.started(id+"-0") == 1 {
 				busyWorker = id + "-0"
 			}
@@ -364,9 +364,9 @@
 func TestStandbyMachineMovesToPoolWithPendingWork(t *testing.T) {
 	machines := newFakeMachines("m1", "m2", "m3")
 	for _, id := range []string{"m2", "m3"} {
-		*machines.list[id] = ListedMachine{ID: id, Pool: "off", State: MachineDown}
+		*machines.byID[id] = ListedMachine{ID: id, Pool: "off", State: MachineDown}
 	}
-	for _, m := range machines.list {
+	for _, m := range machines.byID {
 		m.Capacity = tenCores
 	}
 	cluster := newTestCluster(t, func(cluster *testCluster) {
@@ -403,12 +403,12 @@
 	cluster := newTestCluster(t, nil)
 	term, err := cluster.controller.currentLeaderTerm(context.Background())
 	must.NoError(t, err)
-	term.machines.list = map[string]ListedMachine{"m-1": {ID: "m-1"}, "m-2": {ID: "m-2"}}
-	list := map[string]ListedMachine{"m-1": {ID: "m-1", State: MachineUp}}
-	term.keepUnreadable(list, 1)
-	must.MapContainsKey(t, list, "m-2")
-	must.Eq(t, MachineUp, list["m-1"].State)
-	list = map[string]ListedMachine{"m-1": {ID: "m-1"}}
-	term.keepUnreadable(list, 0)
-	must.MapNotContainsKey(t, list, "m-2")
+	term.machines.byID = map[string]ListedMachine{"m-1": {ID: "m-1"}, "m-2": {ID: "m-2"}}
+	newList := map[string]ListedMachine{"m-1": {ID: "m-1", State: MachineUp}}
+	term.keepUnreadable(newList, 1)
+	must.MapContainsKey(t, newList, "m-2")
+	must.Eq(t, MachineUp, newList["m-1"].State)
+	newList = map[string]ListedMachine{"m-1": {ID: "m-1"}}
+	term.keepUnreadable(newList, 0)
+	must.MapNotContainsKey(t, newList, "m-2")
 }
--- a/internal/control/simulation_checks_test.go
+++ b/internal/control/simulation_checks_test.go
@@ -32,7 +32,7 @@
 // any time.
 func (sim *simulation) invariantViolations() []string {
 	sim.workers.mu.Lock()
-	found := append(slices.Clone(sim.workers.violations), sim.lines.unexpectedOrphans(sim.workers.allowedOrphans)...)
+	found := append(slices.Clone(sim.workers.violations), sim.eventLog.unexpectedOrphans(sim.workers.allowedOrphans)...)
 	sim.workers.mu.Unlock()
 	found = append(found, sim.wronglyGivenUp()...)
 	c := sim.controller()
@@ -78,7 +78,7 @@
 	drained := recoveryTime + work + queryTime
 	deadline := start.Add(2*drained + completionMargin)
 	waitingSince := map[workflow.StepKey]time.Time{}
-	sim.lines.logf("workers recover within %v, open work ends within %v", recoveryTime, drained)
+	sim.eventLog.logf("workers recover within %v, open work ends within %v", recoveryTime, drained)
 	for {
 		time.Sleep(checkInterval)
 		if found := sim.invariantViolations(); len(found) > 0 {
--- a/internal/control/simulation_crash_test.go
+++ b/internal/control/simulation_crash_test.go
@@ -49,7 +49,7 @@
 		if current := w.running[run.Task]; current == nil || current.number != run.Number {
 			return
 		}
-		ws.lines.logRun("crashes", w, run, nil)
+		ws.eventLog.logRun("crashes", w, run, nil)
 		ws.crash(w)
 		ws.scheduleReturn(w, time.Duration((0.1+draw("back after"))*float64(crashDowntimeScale)))
 	})
@@ -79,11 +79,11 @@
 	w.Capacity, w.previousCapacity, w.changedAt = capacity, had, now
 }
 
-// shrinkSome reduces the number of cores of about a third of the workers, by the same
-// share.
-func (sim *simulation) shrinkSome() {
+// shrinkRandomWorkers reduces the number of cores of about a third of the workers to the
+// same random share.
+func (sim *simulation) shrinkRandomWorkers() {
 	share := 0.2 + 0.8*sim.random.Float64()
-	sim.changeSome(func(w *simWorker) {
+	sim.changeRandomWorkers(func(w *simWorker) {
 		capacity := sim.params.capacity
 		capacity.MilliCPU = int64(share * float64(capacity.MilliCPU))
 		w.resize(capacity, time.Now())
--- a/internal/control/simulation_faults_test.go
+++ b/internal/control/simulation_faults_test.go
@@ -69,16 +69,16 @@
 	kind := sim.random.IntN(faultKinds)
 	duration := randomDuration(sim.random, minFaultDuration, maxFaultDuration)
 	until := time.Now().Add(duration)
-	sim.lines.logf("injected fault %d for %v", kind, duration)
+	sim.eventLog.logf("injected fault %d for %v", kind, duration)
 	switch kind {
 	case 0, 1:
 		sim.crashOne()
 	case 2:
-		sim.disconnectSome(until)
+		sim.disconnectRandomWorkers(until)
 	case 3:
-		sim.changeSome(func(w *simWorker) { w.refusingUntil = until })
+		sim.changeRandomWorkers(func(w *simWorker) { w.refusingUntil = until })
 	case 4, 5:
-		sim.changeSome(func(w *simWorker) { w.partialReportsUntil = until })
+		sim.changeRandomWorkers(func(w *simWorker) { w.partialReportsUntil = until })
 	case 6, 7:
 		sim.changeLeader()
 	case 12:
@@ -87,10 +87,10 @@
 		// The workers are unreachable for about the time of a lease: their runs continue,
 		// or the lease expires.
 		lease := sim.params.lease
-		sim.disconnectSome(time.Now().Add(randomDuration(sim.random, lease*2/5, lease*13/10)))
+		sim.disconnectRandomWorkers(time.Now().Add(randomDuration(sim.random, lease*2/5, lease*13/10)))
 	case 13:
 		if sim.params.shrinks {
-			sim.shrinkSome()
+			sim.shrinkRandomWorkers()
 		}
 	default:
 		sim.injectLogFault(kind, until)
@@ -111,8 +111,8 @@
 	}
 }
 
-// changeSome calls change with each worker with a probability of 1/3.
-func (sim *simulation) changeSome(change func(*simWorker)) {
+// changeRandomWorkers calls change with each worker with a probability of 1/3.
+func (sim *simulation) changeRandomWorkers(change func(*simWorker)) {
 	sim.workers.mu.Lock()
 	defer sim.workers.mu.Unlock()
 	for _, w := range sim.workers.all {
@@ -122,10 +122,10 @@
 	}
 }
 
-// disconnectSome makes one worker unreachable, or about a third of them.
-func (sim *simulation) disconnectSome(until time.Time) {
+// disconnectRandomWorkers makes one worker unreachable, or about a third of them.
+func (sim *simulation) disconnectRandomWorkers(until time.Time) {
 	if oneIn(sim.random, 2) {
-		sim.changeSome(func(w *simWorker) { w.unreachableUntil = until })
+		sim.changeRandomWorkers(func(w *simWorker) { w.unreachableUntil = until })
 		return
 	}
 	sim.workers.mu.Lock()
--- a/internal/control/simulation_replica_test.go
+++ b/internal/control/simulation_replica_test.go
@@ -51,10 +51,10 @@
 func (s *simStore) resolveUnknownOutcomes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, data := range s.unknownOutcome {
+	for _, encoded := range s.unknownOutcome {
 		if oneIn(s.random, 2) {
 			s.index++
-			s.state.Apply(s.index, data)
+			s.state.Apply(s.index, encoded)
 		}
 	}
 	s.unknownOutcome = nil
@@ -96,7 +96,7 @@
 	return nil
 }
 
-func (r *simReplica) Propose(ctx context.Context, data []byte) (any, error) {
+func (r *simReplica) Propose(ctx context.Context, encoded []byte) (any, error) {
 	s, now := r.store, time.Now()
 	s.mu.Lock()
 	err := r.refusal(now)
@@ -122,12 +122,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r.leadershipLost() || ctx.Err() != nil {
-		s.unknownOutcome = append(s.unknownOutcome, data)
+		s.unknownOutcome = append(s.unknownOutcome, encoded)
 		s.unknownOutcomes++
 		return nil, errors.Mark(fault.New(fault.Unavailable, "the outcome of the command is unknown"), node.ErrOutcomeUnknown)
 	}
 	s.index++
-	return s.state.Apply(s.index, data), nil
+	return s.state.Apply(s.index, encoded), nil
 }
 
 func (r *simReplica) Barrier(ctx context.Context) error {
--- a/internal/control/simulation_test.go
+++ b/internal/control/simulation_test.go
@@ -26,7 +26,7 @@
 	store     *simStore
 	workers   *simWorkers
 	adviser   *simAdviser
-	lines     *simLog
+	eventLog  *simLog
 	startedAt time.Time
 	jobs      int
 	// workBudget and adviserBudget are how much work, in millicores times milliseconds,
@@ -55,12 +55,12 @@
 func newSimulation(t *testing.T, seed uint64) *simulation {
 	random := rand.New(rand.NewPCG(seed, simulationStream))
 	sim := &simulation{
-		t: t, seed: seed, params: drawParams(random), random: random, state: NewStateMachine(), lines: &simLog{},
+		t: t, seed: seed, params: drawParams(random), random: random, state: NewStateMachine(), eventLog: &simLog{},
 		startedAt: time.Now(), steps: map[string][]workflow.Step{},
 	}
 	sim.store = &simStore{random: rand.New(rand.NewPCG(seed, simStoreStream)), state: sim.state}
 	sim.workers = &simWorkers{
-		params: sim.params, seed: seed, stepOf: sim.stepOf, lines: sim.lines, current: map[string]*simWorker{}, calls: map[string]int{},
+		params: sim.params, seed: seed, stepOf: sim.stepOf, eventLog: sim.eventLog, current: map[string]*simWorker{}, calls: map[string]int{},
 		startedAt: map[workflow.TaskKey][]time.Time{}, doneAt: map[workflow.TaskKey]time.Time{}, completeGangs: map[gangRun]bool{},
 		lastStart: map[workflow.StepKey]time.Time{}, allowedOrphans: map[string]bool{},
 		crashes: map[workflow.TaskKey]int{}, startsAfterThirdCrash: map[workflow.TaskKey]int{},
@@ -112,7 +112,7 @@
 	sim.log = &simReplica{store: sim.store, term: sim.term, lost: make(chan struct{})}
 	sim.leader = New(Config{
 		Address: ownAddress, Bounds: Bounds{MaxLease: sim.params.lease, EndedJobRetention: time.Minute}, Workers: sim.workers, Adviser: sim.adviser, Client: sim.adviser,
-		Logger: log.With(log.NewLogfmtLogger(sim.lines), "ms", log.Valuer(virtualMS)), Counters: noCounters{},
+		Logger: log.With(log.NewLogfmtLogger(sim.eventLog), "ms", log.Valuer(virtualMS)), Counters: noCounters{},
 		Leader: func() string { return ownAddress }, Members: func() []string { return nil },
 	}, sim.state, sim.log)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -195,11 +195,11 @@
 // configure commits the queues.
 func (sim *simulation) configure() {
 	document := &workflow.Document{Version: 1, Source: []byte("{}"), Queues: sim.params.queues}
-	data, err := (&workflow.Command{Configuration: document}).Encode()
+	encoded, err := (&workflow.Command{Configuration: document}).Encode()
 	if err != nil {
 		sim.t.Fatal(err)
 	}
-	sim.state.Apply(0, data)
+	sim.state.Apply(0, encoded)
 }
 
 // run runs the simulation, and returns the violations found, nil for none.
@@ -256,7 +256,7 @@
 	sim.store.mu.Lock()
 	sim.store.slowUntil, sim.store.delayedUntil, sim.store.fullUntil = time.Time{}, time.Time{}, time.Time{}
 	sim.store.mu.Unlock()
-	sim.lines.logf("faults over")
+	sim.eventLog.logf("faults over")
 }
 
 // Checks that the leader starts all accepted work for which resources are free. The
@@ -286,7 +286,7 @@
 				found := sim.run()
 				sim.logFigures()
 				if len(found) > 0 {
-					t.Errorf("%s\n%s", strings.Join(found, "\n"), sim.lines.linesAbout(jobsNamedIn(found)...))
+					t.Errorf("%s\n%s", strings.Join(found, "\n"), sim.eventLog.linesAbout(jobsNamedIn(found)...))
 				}
 			})
 		})
--- a/internal/control/simulation_worker_test.go
+++ b/internal/control/simulation_worker_test.go
@@ -52,8 +52,8 @@
 	seed   uint64
 	// stepOf returns the step of a task, nil when its job isn't known.
 	stepOf func(workflow.TaskKey) *workflow.Step
-	// lines holds the log lines of the leaders and the workers.
-	lines *simLog
+	// eventLog holds the log lines of the leaders and the workers.
+	eventLog *simLog
 
 	mu         sync.Mutex
 	faultsOver bool
@@ -230,7 +230,7 @@
 func (ws *simWorkers) Start(ctx context.Context, to Target, o StartOrder) (int64, error) {
 	return ws.deliver(ctx, "start", to, o.Run, func(w *simWorker) error {
 		err := ws.startRun(w, o)
-		ws.lines.logRun("start", w, o.Run, err)
+		ws.eventLog.logRun("start", w, o.Run, err)
 		return err
 	})
 }
@@ -352,6 +352,6 @@
 		RunEnd: workflow.RunEnd{Task: task, Number: run.number, Outcome: outcome}})
 	w.endedAt = append(w.endedAt, time.Now())
 	ws.acknowledge(w, w.highestPolled)
-	ws.lines.logRun("ends "+outcome.String(), w, workflow.Run{Task: task, Number: run.number}, nil)
+	ws.eventLog.logRun("ends "+outcome.String(), w, workflow.Run{Task: task, Number: run.number}, nil)
 	w.notifyChanged()
 }
--- a/internal/control/suspect_test.go
+++ b/internal/control/suspect_test.go
@@ -36,9 +36,9 @@
 // Checks that a lost contact is logged once although the suspicion disappears briefly, and
 // that the regained contact is logged once.
 func TestDataCentreContactIsLoggedOncePerChange(t *testing.T) {
-	var lines bytes.Buffer
+	var logOutput bytes.Buffer
 	now := time.Now()
-	term := &leaderTerm{dataCentreSuspectedAt: map[string]time.Time{}, dataCentreRespondedAt: map[string]time.Time{"a": now}, logger: log.NewLogfmtLogger(&lines)}
+	term := &leaderTerm{dataCentreSuspectedAt: map[string]time.Time{}, dataCentreRespondedAt: map[string]time.Time{"a": now}, logger: log.NewLogfmtLogger(&logOutput)}
 	unreachable := map[string]bool{"a": true}
 	for _, step := range []struct {
 		at       time.Duration
@@ -47,5 +47,5 @@
 		term.updateSuspected(step.suspects, now.Add(step.at))
 	}
 	must.Eq(t, "event=data_centre_contact data_centre=a outcome=lost silent_ms=0\n"+
-		"event=data_centre_contact data_centre=a outcome=regained silent_ms=3000\n", lines.String())
+		"event=data_centre_contact data_centre=a outcome=regained silent_ms=3000\n", logOutput.String())
 }
--- a/internal/control/unreported_runs_test.go
+++ b/internal/control/unreported_runs_test.go
@@ -161,9 +161,9 @@
 	cluster.log.mu.Lock()
 	defer cluster.log.mu.Unlock()
 	for _, c := range commands {
-		data, err := c.Encode()
+		encoded, err := c.Encode()
 		must.NoError(cluster.t, err)
 		cluster.log.index++
-		cluster.log.state.Apply(cluster.log.index, data)
+		cluster.log.state.Apply(cluster.log.index, encoded)
 	}
 }
--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -159,7 +159,7 @@
 	case Finished:
 		t.State = TaskFinished
 		s.changes.Samples = append(s.changes.Samples, placement.Sample{
-			Customer: j.Customer, Name: j.Spec.Name, Declared: j.Spec.Runtime, Measured: report.Runtime,
+			Customer: j.Customer, Name: j.Spec.Name, DeclaredRuntime: j.Spec.Runtime, MeasuredRuntime: report.Runtime,
 			Need: j.Spec.Need, Peak: report.Peak,
 		})
 		s.changes.AttemptResults = append(s.changes.AttemptResults, AttemptResult{Worker: t.Worker, Job: j.ID})
--- a/internal/state/bench_test.go
+++ b/internal/state/bench_test.go
@@ -12,11 +12,11 @@
 		for range items {
 			start.Items = append(start.Items, StartItem{Job: "drogheda-hall.12345", Worker: "rackwise-drogheda-hall-017"})
 		}
-		data, err := (&Command{Now: 1_796_237_089_673, Proposer: "drogheda-1/cell", Start: start}).Encode()
+		encoded, err := (&Command{Now: 1_796_237_089_673, Proposer: "drogheda-1/cell", Start: start}).Encode()
 		if err != nil {
 			b.Fatal(err)
 		}
-		size = len(data)
+		size = len(encoded)
 	}
 	b.ReportMetric(float64(size)/items, "bytes/start")
 }
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -222,14 +222,14 @@
 // Encode returns the command encoded in the current format version.
 func (c *Command) Encode() ([]byte, error) {
 	c.Version = FormatVersion
-	data, err := cbor.Marshal(c)
-	return data, errors.Wrap(err, "encode command")
+	encoded, err := cbor.Marshal(c)
+	return encoded, errors.Wrap(err, "encode command")
 }
 
 // Decode decodes a command of this or an earlier format version.
-func Decode(data []byte) (*Command, error) {
+func Decode(encoded []byte) (*Command, error) {
 	c := new(Command)
-	if err := cbor.Unmarshal(data, c); err != nil {
+	if err := cbor.Unmarshal(encoded, c); err != nil {
 		return nil, errors.Wrap(err, "decode command")
 	}
 	if c.Version == 0 || c.Version > FormatVersion {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -144,15 +144,15 @@
 		return nil, errors.Wrap(err, "encode quota ledger")
 	}
 	s.Ledger = ledger
-	data, err := cbor.Marshal(s)
-	return data, errors.Wrap(err, "encode state")
+	encoded, err := cbor.Marshal(s)
+	return encoded, errors.Wrap(err, "encode state")
 }
 
 // DecodeState restores the state from a snapshot of this or an earlier format
 // version. It returns an error for a later one.
-func DecodeState(data []byte) (*State, error) {
+func DecodeState(encoded []byte) (*State, error) {
 	s := new(State)
-	if err := cbor.Unmarshal(data, s); err != nil {
+	if err := cbor.Unmarshal(encoded, s); err != nil {
 		return nil, errors.Wrap(err, "decode state")
 	}
 	if s.Format == 0 || s.Format > FormatVersion {
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -57,11 +57,11 @@
 	h.index++
 	h.now += 10
 	c.Now = h.now
-	data, err := c.Encode()
+	encoded, err := c.Encode()
 	must.NoError(h.t, err)
-	first, err := Decode(data)
+	first, err := Decode(encoded)
 	must.NoError(h.t, err)
-	second, err := Decode(data)
+	second, err := Decode(encoded)
 	must.NoError(h.t, err)
 	result := h.a.Apply(h.index, first)
 	other := h.b.Apply(h.index, second)
@@ -239,9 +239,9 @@
 // snapshot replaces the second replica by one restored from a snapshot of the
 // first.
 func (h *stateHarness) snapshot() {
-	data, err := h.a.Encode()
+	encoded, err := h.a.Encode()
 	must.NoError(h.t, err)
-	h.b, err = DecodeState(data)
+	h.b, err = DecodeState(encoded)
 	must.NoError(h.t, err)
 }
 
@@ -374,8 +374,8 @@
 func TestNewerFormatVersionIsRefused(t *testing.T) {
 	s := New("home")
 	s.Format = FormatVersion + 1
-	data, err := s.Encode()
+	encoded, err := s.Encode()
 	must.NoError(t, err)
-	_, err = DecodeState(data)
+	_, err = DecodeState(encoded)
 	must.ErrorContains(t, err, "format version")
 }
--- a/placement/arrivals/generate.go
+++ b/placement/arrivals/generate.go
@@ -141,16 +141,16 @@
 	rate := workload.Load - workload.Services
 	budget := rate * workload.Duration.Seconds()
 	var arrivals []Arrival
-	var at float64
+	var unscaledSeconds float64
 	var generated siteSeconds
 	for n := 0; generated.largest() < budget; n++ {
 		a := g.newArrival(n)
 		generated = generated.plus(siteSecondsOf(a, site.total()))
-		at += g.rand.ExpFloat64()
+		unscaledSeconds += g.rand.ExpFloat64()
 		arrivals = append(arrivals, a)
-		arrivals[n].At = time.Duration(at * float64(time.Second))
+		arrivals[n].At = time.Duration(unscaledSeconds * float64(time.Second))
 	}
-	stretch := workload.Duration.Seconds() / at
+	stretch := workload.Duration.Seconds() / unscaledSeconds
 	for i := range arrivals {
 		arrivals[i].resolveTimes(stretch)
 	}
@@ -228,8 +228,8 @@
 // resolveTimes.
 func (g *generator) newArrival(n int) Arrival {
 	template := g.templates[g.rand.IntN(len(g.templates))]
-	run := time.Duration(math.Exp(g.rand.NormFloat64()*runtimeSpread) * float64(template.median))
-	run = min(max(run, minRuntime), maxRuntime)
+	runtime := time.Duration(math.Exp(g.rand.NormFloat64()*runtimeSpread) * float64(template.median))
+	runtime = min(max(runtime, minRuntime), maxRuntime)
 	j := placement.Job{
 		ID:         fmt.Sprintf("j%06d", n),
 		Customer:   fmt.Sprintf("c%03d", template.customer),
@@ -240,30 +240,30 @@
 		Idempotent: g.rand.Float64() >= g.workload.NotIdempotent,
 	}
 	draw := g.rand.Float64()
-	slack := g.slack(run)
+	slack := g.slack(runtime)
 	switch {
 	case draw < g.workload.Urgent:
 		j.Urgent = true
 		j.Tasks = 1
 		j.Need = g.workload.UrgentNeed
 		j.Name += "-urgent"
-		run = time.Duration((minUrgentSeconds + urgentSecondsRange*g.rand.Float64()) * float64(time.Second))
+		runtime = time.Duration((minUrgentSeconds + urgentSecondsRange*g.rand.Float64()) * float64(time.Second))
 		slack = urgentSlack
 	case draw < g.workload.Urgent+g.workload.Gangs:
 		j.Policy = placement.Gang
 		j.Tasks = minGangTasks + g.rand.IntN(gangTasksRange)
 		slack += gangExtraSlack
 	}
-	j.Runtime = g.declaredRuntime(run, template.declarationBias)
-	j.Deadline = time.Time{}.Add(run + slack)
+	j.Runtime = g.declaredRuntime(runtime, template.declarationBias)
+	j.Deadline = time.Time{}.Add(runtime + slack)
 	peak := placement.Resources{CPU: int64(float64(j.Need.CPU) * template.peakRatio), Memory: int64(float64(j.Need.Memory) * template.peakRatio)}
-	return Arrival{Job: j, ActualRuntime: run, Peak: peak}
+	return Arrival{Job: j, ActualRuntime: runtime, Peak: peak}
 }
 
 // slack draws the time from the earliest end to the deadline.
-func (g *generator) slack(run time.Duration) time.Duration {
+func (g *generator) slack(runtime time.Duration) time.Duration {
 	if g.rand.Float64() < g.workload.TightDeadlines {
-		return minTightSlack + time.Duration((1+tightRunsRange*g.rand.Float64())*float64(run))
+		return minTightSlack + time.Duration((1+tightRunsRange*g.rand.Float64())*float64(runtime))
 	}
 	return minLooseSlack + time.Duration(g.rand.Float64()*looseHoursRange*float64(time.Hour))
 }
@@ -271,12 +271,12 @@
 // declaredRuntime draws the declared run time for an actual one. The random error
 // is drawn even if ExactDeclarations leaves it out, so that the arrivals are the
 // same otherwise.
-func (g *generator) declaredRuntime(run time.Duration, bias float64) time.Duration {
+func (g *generator) declaredRuntime(runtime time.Duration, bias float64) time.Duration {
 	noise := math.Exp(g.rand.NormFloat64() * g.workload.DeclarationNoise)
 	if g.workload.ExactDeclarations {
-		return run
+		return runtime
 	}
-	return time.Duration(float64(run)*bias*noise).Round(time.Second) + time.Second
+	return time.Duration(float64(runtime)*bias*noise).Round(time.Second) + time.Second
 }
 
 // Flood is a burst of jobs of one customer, spread evenly over a period.
--- a/placement/arrivals/measure_test.go
+++ b/placement/arrivals/measure_test.go
@@ -96,12 +96,12 @@
 		var points []packingPoint
 		for step := range loads {
 			workload := DefaultWorkload(1, lowestLoad+loadStep*float64(step))
-			base := run(site, workload, placement.BaselineOptions())
+			baseline := run(site, workload, placement.BaselineOptions())
 			scheduled := run(site, workload, placement.DefaultOptions())
 			fmt.Printf("%s seed 1 load %.2f baseline goodput %.1f%% not in time %.2f%% | placement goodput %.1f%% not in time %.2f%% refused %.2f%% missed %.3f%%\n",
-				site.Name, workload.Load, 100*base.Goodput(), 100-100*base.InTimeRate(),
+				site.Name, workload.Load, 100*baseline.Goodput(), 100-100*baseline.InTimeRate(),
 				100*scheduled.Goodput(), 100-100*scheduled.InTimeRate(), 100*scheduled.RefusalRate(), 100*scheduled.MissRate())
-			points = append(points, packingPoint{load: workload.Load, baseline: 100 * base.Goodput(), scheduled: 100 * scheduled.Goodput()})
+			points = append(points, packingPoint{load: workload.Load, baseline: 100 * baseline.Goodput(), scheduled: 100 * scheduled.Goodput()})
 		}
 		if *plots != "" {
 			plotPacking(t, site, points, filepath.Join(*plots, "placement-packing-"+site.Name+".svg"))
@@ -119,10 +119,10 @@
 			workload := DefaultWorkload(seed, overload)
 			workload.TightDeadlines = 0
 			workload.UrgentNeed = resources(4, 8)
-			base := run(site, workload, placement.BaselineOptions())
+			baseline := run(site, workload, placement.BaselineOptions())
 			scheduled := run(site, workload, placement.DefaultOptions())
 			fmt.Printf("%s seed %d baseline urgent p50 %v p99 %v | placement urgent p50 %v p99 %v preempted %d missed %.3f%% refused %.2f%%\n",
-				site.Name, seed, base.Urgent.Quantile(0.5), base.Urgent.Quantile(0.99),
+				site.Name, seed, baseline.Urgent.Quantile(0.5), baseline.Urgent.Quantile(0.99),
 				scheduled.Urgent.Quantile(0.5), scheduled.Urgent.Quantile(0.99), scheduled.preempted, 100*scheduled.MissRate(), 100*scheduled.RefusalRate())
 		}
 	}
@@ -159,10 +159,10 @@
 			workload := DefaultWorkload(seed, loadBesideFaults)
 			quarantineOff := placement.DefaultOptions()
 			quarantineOff.NoQuarantine = true
-			base := run(site, workload, placement.BaselineOptions(), faults...)
+			baseline := run(site, workload, placement.BaselineOptions(), faults...)
 			unquarantined := run(site, workload, quarantineOff, faults...)
 			scheduled := run(site, workload, placement.DefaultOptions(), faults...)
-			for name, r := range map[string]*Report{"baseline": base, "no quarantine": unquarantined, "placement": scheduled} {
+			for name, r := range map[string]*Report{"baseline": baseline, "no quarantine": unquarantined, "placement": scheduled} {
 				fmt.Printf("%s seed %d %-13s failures %d missed %.3f%% %v refused %.2f%%\n", site.Name, seed, name, r.failures, 100*r.MissRate(), r.missed, 100*r.RefusalRate())
 			}
 		}
--- a/placement/arrivals/plot_test.go
+++ b/placement/arrivals/plot_test.go
@@ -23,11 +23,11 @@
 	p.X.Label.Text = "arriving work, fraction of the capacity"
 	p.Y.Label.Text = "useful work, percent of the capacity"
 	p.Legend.Top, p.Legend.Left = true, true
-	base, scheduled := make(plotter.XYs, len(points)), make(plotter.XYs, len(points))
+	baseline, scheduled := make(plotter.XYs, len(points)), make(plotter.XYs, len(points))
 	for i, point := range points {
-		base[i].X, base[i].Y = point.load, point.baseline
+		baseline[i].X, baseline[i].Y = point.load, point.baseline
 		scheduled[i].X, scheduled[i].Y = point.load, point.scheduled
 	}
-	must.NoError(t, plotutil.AddLinePoints(p, "placement", scheduled, "first come, first fit", base))
+	must.NoError(t, plotutil.AddLinePoints(p, "placement", scheduled, "first come, first fit", baseline))
 	must.NoError(t, p.Save(14*vg.Centimeter, 9*vg.Centimeter, file))
 }
--- a/placement/arrivals/replay.go
+++ b/placement/arrivals/replay.go
@@ -270,10 +270,10 @@
 
 // enqueue replaces the queue entry of a job by one with its waiting tasks.
 func (r *replay) enqueue(j *job, notBefore time.Time) {
-	entry := j.arrival.Job
-	entry.Tasks = len(j.waiting)
-	entry.NotBefore = notBefore
-	r.cluster.Enqueue(entry)
+	queuedJob := j.arrival.Job
+	queuedJob.Tasks = len(j.waiting)
+	queuedJob.NotBefore = notBefore
+	r.cluster.Enqueue(queuedJob)
 }
 
 // stopwatchTime returns the time of the stopwatch, or zero without one.
@@ -351,11 +351,11 @@
 	}))
 	r.used = add(r.used, s.Need, 1)
 	r.updateQueueEntry(j)
-	run, failed := j.arrival.ActualRuntime, false
+	runtime, failed := j.arrival.ActualRuntime, false
 	if r.isFaulty(s.Worker) {
-		run, failed = faultyTaskRuntime, true
+		runtime, failed = faultyTaskRuntime, true
 	}
-	r.schedule(event{at: r.now + run, kind: eventEnd, job: j, task: i, attempt: t.attempt, failed: failed})
+	r.schedule(event{at: r.now + runtime, kind: eventEnd, job: j, task: i, attempt: t.attempt, failed: failed})
 }
 
 // updateQueueEntry updates the queue entry of a job after one of its tasks started.
@@ -462,7 +462,7 @@
 // reportSample passes the measurements of a finished task to the cluster.
 func (r *replay) reportSample(j *job) {
 	a := j.arrival.Job
-	r.cluster.AddSample(placement.Sample{Customer: a.Customer, Name: a.Name, Declared: a.Runtime, Measured: j.arrival.ActualRuntime, Need: a.Need, Peak: j.arrival.Peak})
+	r.cluster.AddSample(placement.Sample{Customer: a.Customer, Name: a.Name, DeclaredRuntime: a.Runtime, MeasuredRuntime: j.arrival.ActualRuntime, Need: a.Need, Peak: j.arrival.Peak})
 }
 
 // countUnfinished counts the jobs that are still unfinished as missed.
--- a/placement/cluster.go
+++ b/placement/cluster.go
@@ -253,8 +253,8 @@
 	if t.unbounded {
 		return
 	}
-	run := c.estimator.runtime(t.Customer, t.Name, t.Runtime)
-	t.expectedEnd = t.Started.Add(run.high)
+	runtime := c.estimator.runtime(t.Customer, t.Name, t.Runtime)
+	t.expectedEnd = t.Started.Add(runtime.high)
 }
 
 // occupy allocates resources on a worker.
--- a/placement/cluster_test.go
+++ b/placement/cluster_test.go
@@ -30,8 +30,8 @@
 
 // newBatchJob returns an idempotent batch job, submitted at start, whose
 // deadline is deadlineAfter later.
-func newBatchJob(id, customer string, tasks int, need Resources, run, deadlineAfter time.Duration) Job {
-	return Job{ID: id, Customer: customer, Name: "name", Policy: Batch, Tasks: tasks, Need: need, Runtime: run,
+func newBatchJob(id, customer string, tasks int, need Resources, runtime, deadlineAfter time.Duration) Job {
+	return Job{ID: id, Customer: customer, Name: "name", Policy: Batch, Tasks: tasks, Need: need, Runtime: runtime,
 		Deadline: start.Add(deadlineAfter), Submitted: start, Idempotent: true}
 }
 
@@ -366,16 +366,16 @@
 	addWorkers(c, 1, cores(8), 1)
 	j := newBatchJob("a", "x", 1, cores(2), time.Minute, time.Hour)
 	for range 100 {
-		c.AddSample(Sample{Customer: "x", Name: "name", Declared: time.Minute, Measured: 4 * time.Minute, Need: cores(2), Peak: cores(3)})
+		c.AddSample(Sample{Customer: "x", Name: "name", DeclaredRuntime: time.Minute, MeasuredRuntime: 4 * time.Minute, Need: cores(2), Peak: cores(3)})
 	}
-	run := c.estimator.runtime("x", "name", time.Minute)
+	runtime := c.estimator.runtime("x", "name", time.Minute)
 	// The high estimate is 4 minutes, rounded by the histogram.
 	const lowestMinutes, highestMinutes = 3.7, 4.3
-	must.Between(t, lowestMinutes, run.high.Minutes(), highestMinutes)
+	must.Between(t, lowestMinutes, runtime.high.Minutes(), highestMinutes)
 	must.EqOp(t, cores(3), c.NeedOf(j))
 	must.EqOp(t, cores(2), c.NeedOf(Job{Customer: "x", Name: "other", Need: cores(2)}))
 	must.EqOp(t, cores(8), c.NeedOf(Job{Customer: "x", Name: "name", Need: cores(7)}))
-	c.AddSample(Sample{Customer: "x", Name: "frugal", Declared: time.Minute, Measured: time.Minute, Need: cores(2), Peak: cores(1)})
+	c.AddSample(Sample{Customer: "x", Name: "frugal", DeclaredRuntime: time.Minute, MeasuredRuntime: time.Minute, Need: cores(2), Peak: cores(1)})
 	must.EqOp(t, cores(2), c.NeedOf(Job{Customer: "x", Name: "frugal", Need: cores(2)}))
 }
 
--- a/placement/enqueue.go
+++ b/placement/enqueue.go
@@ -78,13 +78,13 @@
 
 // newEntry computes the queue entry of a job without adding it to the queue.
 func (c *Cluster) newEntry(j Job) *entry {
-	run := c.estimator.runtime(j.Customer, j.Name, j.Runtime)
-	e := &entry{job: j, need: c.NeedOf(j), runtime: run, class: c.classOf(j), customer: c.queue.customer(j.Customer)}
+	runtime := c.estimator.runtime(j.Customer, j.Name, j.Runtime)
+	e := &entry{job: j, need: c.NeedOf(j), runtime: runtime, class: c.classOf(j), customer: c.queue.customer(j.Customer)}
 	e.latestStart = farFuture
 	e.lastFeasibleStart = farFuture
 	if !j.Deadline.IsZero() && j.Policy != Service {
-		e.latestStart = j.Deadline.Add(-run.high)
-		e.lastFeasibleStart = j.Deadline.Add(-run.low)
+		e.latestStart = j.Deadline.Add(-runtime.high)
+		e.lastFeasibleStart = j.Deadline.Add(-runtime.low)
 	}
 	e.large = j.Policy == Batch && c.isLarge(e.need)
 	e.latestStartMicros = e.latestStart.UnixMicro()
--- a/placement/estimate.go
+++ b/placement/estimate.go
@@ -109,7 +109,7 @@
 // AddSample adds the measured run of a finished task to the histories on which the
 // estimates are based. It ignores samples without a declared run time.
 func (c *Cluster) AddSample(s Sample) {
-	if s.Declared <= 0 || s.Measured < 0 {
+	if s.DeclaredRuntime <= 0 || s.MeasuredRuntime < 0 {
 		return
 	}
 	c.estimator.addSample(s)
@@ -122,7 +122,7 @@
 		customerHist = &customerHistory{all: newHistory(), names: map[string]*runtimeHistory{}}
 		m.customers[s.Customer] = customerHist
 	}
-	ratio := float64(s.Measured) / float64(s.Declared)
+	ratio := float64(s.MeasuredRuntime) / float64(s.DeclaredRuntime)
 	customerHist.all.record(ratio)
 	named, found := customerHist.names[s.Name]
 	if !found {
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -231,18 +231,18 @@
 		entries:             map[string]*entry{},
 		customers:           map[string]*customer{},
 		shapes:              map[shape]*shapeState{},
-		byLatestStart:       newOrder(lessLatestStart),
-		bySubmitted:         newOrder(lessSubmitted),
-		byLastFeasibleStart: newOrder(lessLastFeasibleStart),
-		gangs:               newOrder(lessLatestStart),
-		largeBatch:          newOrder(lessSubmitted),
-		delayed:             newOrder(lessNotBefore),
+		byLatestStart:       newEntrySet(lessLatestStart),
+		bySubmitted:         newEntrySet(lessSubmitted),
+		byLastFeasibleStart: newEntrySet(lessLastFeasibleStart),
+		gangs:               newEntrySet(lessLatestStart),
+		largeBatch:          newEntrySet(lessSubmitted),
+		delayed:             newEntrySet(lessNotBefore),
 	}
 }
 
-// newOrder returns an empty ordered set. It has no locks, since one goroutine owns
+// newEntrySet returns an empty ordered set. It has no locks, since one goroutine owns
 // the queue.
-func newOrder(less func(a, b *entry) bool) *btree.BTreeG[*entry] {
+func newEntrySet(less func(a, b *entry) bool) *btree.BTreeG[*entry] {
 	return btree.NewBTreeGOptions(less, btree.Options{NoLocks: true})
 }
 
@@ -369,7 +369,7 @@
 		q.shapes[s] = state
 		q.shapeList = append(q.shapeList, state)
 	}
-	sq := &subqueue{customer: c, class: e.class, shapeState: state, entries: newOrder(lessLatestStart)}
+	sq := &subqueue{customer: c, class: e.class, shapeState: state, entries: newEntrySet(lessLatestStart)}
 	state.subqueues = append(state.subqueues, sq)
 	c.subqueues[e.class][s] = sq
 	return sq
@@ -389,14 +389,14 @@
 	}
 }
 
-// removeUnordered removes one item of a list without keeping the order.
-func removeUnordered[T comparable](list []T, item T) []T {
-	at := slices.Index(list, item)
-	last := len(list) - 1
-	list[at] = list[last]
+// removeUnordered removes one element without keeping the order.
+func removeUnordered[T comparable](elements []T, element T) []T {
+	at := slices.Index(elements, element)
+	last := len(elements) - 1
+	elements[at] = elements[last]
 	var zero T
-	list[last] = zero
-	return list[:last]
+	elements[last] = zero
+	return elements[:last]
 }
 
 // block marks a shape as fitting on no worker now.
--- a/placement/reserve.go
+++ b/placement/reserve.go
@@ -172,15 +172,15 @@
 		if c.readyEntries == 0 {
 			continue
 		}
-		least = append(least, shareItem{customer: c, share: c.used.share(p.cluster.capacity)})
+		least = append(least, customerShare{customer: c, share: c.used.share(p.cluster.capacity)})
 		for i := len(least) - 1; i > 0 && least.Less(i, i-1); i-- {
 			least.Swap(i, i-1)
 		}
 		least = least[:min(n, len(least))]
 	}
 	customers := make([]*customer, len(least))
-	for i, item := range least {
-		customers[i] = item.customer
+	for i, ranked := range least {
+		customers[i] = ranked.customer
 	}
 	return customers
 }
--- a/placement/serve.go
+++ b/placement/serve.go
@@ -2,8 +2,8 @@
 
 import "container/heap"
 
-// shareItem is a customer with subqueues to serve, and its share.
-type shareItem struct {
+// customerShare is a customer and its share of the capacity, which orders customers.
+type customerShare struct {
 	customer *customer
 	share    float64
 }
@@ -11,7 +11,7 @@
 // shareHeap is a heap with the smallest weighted share on top. Shares depend on
 // what a customer runs, not on how much it queues, so a flood of jobs delays only
 // the jobs of its own customer.
-type shareHeap []shareItem
+type shareHeap []customerShare
 
 func (h shareHeap) Len() int      { return len(h) }
 func (h shareHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
@@ -21,7 +21,7 @@
 	}
 	return h[i].customer.name < h[j].customer.name
 }
-func (h *shareHeap) Push(x any) { *h = append(*h, x.(shareItem)) }
+func (h *shareHeap) Push(x any) { *h = append(*h, x.(customerShare)) }
 func (h *shareHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
@@ -33,7 +33,7 @@
 func (p *planner) serve(k class) {
 	var byShare shareHeap
 	for _, c := range p.readyCustomers(k) {
-		byShare = append(byShare, shareItem{customer: c, share: c.share(p.cluster.capacity)})
+		byShare = append(byShare, customerShare{customer: c, share: c.share(p.cluster.capacity)})
 	}
 	heap.Init(&byShare)
 	for byShare.Len() > 0 && p.budget > 0 {
--- a/placement/state_machine_test.go
+++ b/placement/state_machine_test.go
@@ -18,8 +18,8 @@
 	nextTask map[string]int
 }
 
-// amount draws resources with up to max cores and max GiB.
-func (m *stateMachine) amount(t *rapid.T, max int64) Resources {
+// drawResources draws resources with up to max cores and max GiB.
+func (m *stateMachine) drawResources(t *rapid.T, max int64) Resources {
 	return Resources{
 		CPU:          1000 * rapid.Int64Range(1, max).Draw(t, "cpu"),
 		Memory:       1024 * rapid.Int64Range(0, max).Draw(t, "memory"),
@@ -36,7 +36,7 @@
 // SetWorker adds a random worker or changes one.
 func (m *stateMachine) SetWorker(t *rapid.T) {
 	id := workerID(t)
-	capacity := m.amount(t, 8)
+	capacity := m.drawResources(t, 8)
 	// A worker must not shrink below what its tasks use.
 	if w, found := m.c.workers[id]; found {
 		capacity = capacity.atLeast(w.used)
@@ -53,11 +53,11 @@
 // Enqueue queues a random job if admission accepts it, and sometimes even if
 // admission refuses it.
 func (m *stateMachine) Enqueue(t *rapid.T) {
-	run := time.Duration(rapid.IntRange(1, 600).Draw(t, "seconds")) * time.Second
+	runtime := time.Duration(rapid.IntRange(1, 600).Draw(t, "seconds")) * time.Second
 	j := Job{
 		ID: jobID(t), Customer: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "customer"), Name: "n",
 		Policy: Policy(rapid.IntRange(1, 3).Draw(t, "policy")), Tasks: rapid.IntRange(0, 5).Draw(t, "tasks"),
-		Need: m.amount(t, 8), Runtime: run, Submitted: m.now, Deadline: m.now.Add(run + time.Duration(rapid.IntRange(0, 3000).Draw(t, "slack"))*time.Second),
+		Need: m.drawResources(t, 8), Runtime: runtime, Submitted: m.now, Deadline: m.now.Add(runtime + time.Duration(rapid.IntRange(0, 3000).Draw(t, "slack"))*time.Second),
 		Urgent: rapid.IntRange(0, 3).Draw(t, "urgent") == 0, Idempotent: rapid.Bool().Draw(t, "idempotent"),
 	}
 	if rapid.IntRange(0, 3).Draw(t, "held") == 0 {
@@ -88,7 +88,7 @@
 	id := jobID(t)
 	m.nextTask[id]++
 	w := workerID(t)
-	need := m.amount(t, 4)
+	need := m.drawResources(t, 4)
 	record, found := m.c.workers[w]
 	fits := found && record.announced && need.within(record.free)
 	err := m.c.Place(Placed{Job: id, Task: m.nextTask[id], Worker: w, Customer: "a", Name: "n", Policy: Batch, Need: need, Started: m.now, Runtime: time.Minute,
@@ -109,8 +109,8 @@
 
 // MeasureTask adds the sample of a random finished task.
 func (m *stateMachine) MeasureTask(t *rapid.T) {
-	need := m.amount(t, 4)
-	m.c.AddSample(Sample{Customer: "a", Name: "n", Declared: time.Minute, Measured: time.Duration(rapid.IntRange(1, 600).Draw(t, "measured")) * time.Second,
+	need := m.drawResources(t, 4)
+	m.c.AddSample(Sample{Customer: "a", Name: "n", DeclaredRuntime: time.Minute, MeasuredRuntime: time.Duration(rapid.IntRange(1, 600).Draw(t, "measured")) * time.Second,
 		Need: need, Peak: need.times(rapid.Int64Range(0, 2).Draw(t, "peak"))})
 }
 
--- a/placement/types.go
+++ b/placement/types.go
@@ -178,10 +178,10 @@
 // Sample is the measured run of one finished task. It may be added some time after
 // the end of the task.
 type Sample struct {
-	Customer string
-	Name     string
-	Declared time.Duration
-	Measured time.Duration
+	Customer        string
+	Name            string
+	DeclaredRuntime time.Duration
+	MeasuredRuntime time.Duration
 	// Need is the declared need, and Peak the maximum use.
 	Need Resources
 	Peak Resources
--- a/workflow/apply.go
+++ b/workflow/apply.go
@@ -45,14 +45,14 @@
 
 // Encode returns the command as the log stores it.
 func (c *Command) Encode() ([]byte, error) {
-	data, err := cbor.Marshal(c)
-	return data, errors.Wrap(err, "encode a workflow command")
+	encoded, err := cbor.Marshal(c)
+	return encoded, errors.Wrap(err, "encode a workflow command")
 }
 
 // Decode decodes a command that Encode encoded.
-func Decode(data []byte) (Command, error) {
+func Decode(encoded []byte) (Command, error) {
 	var c Command
-	err := cbor.Unmarshal(data, &c)
+	err := cbor.Unmarshal(encoded, &c)
 	return c, errors.Wrap(err, "decode a workflow command")
 }
 
--- a/workflow/crash_test.go
+++ b/workflow/crash_test.go
@@ -78,9 +78,9 @@
 		c.end(run, OutcomeLost, SuspicionStrong)
 		unresolved = append(unresolved, run)
 	}
-	data, err := c.state.Snapshot()
+	encoded, err := c.state.Snapshot()
 	must.NoError(t, err)
-	c.state, err = Restore(data)
+	c.state, err = Restore(encoded)
 	must.NoError(t, err)
 	for _, run := range unresolved {
 		must.False(t, c.failed())
--- a/workflow/state.go
+++ b/workflow/state.go
@@ -172,14 +172,14 @@
 			flat.RunList = append(flat.RunList, run)
 		}
 	}
-	data, err := cbor.Marshal(&flat)
-	return data, errors.Wrap(err, "encode the workflow state")
+	encoded, err := cbor.Marshal(&flat)
+	return encoded, errors.Wrap(err, "encode the workflow state")
 }
 
 // Restore decodes a state that Snapshot encoded.
-func Restore(data []byte) (*State, error) {
+func Restore(encoded []byte) (*State, error) {
 	s := NewState()
-	if err := cbor.Unmarshal(data, s); err != nil {
+	if err := cbor.Unmarshal(encoded, s); err != nil {
 		return nil, errors.Wrap(err, "decode the workflow state")
 	}
 	for _, run := range s.RunList {
--- a/workflow/workflow_test.go
+++ b/workflow/workflow_test.go
@@ -222,9 +222,9 @@
 				s.Apply(9, &Command{Gone: worker})
 				s.Apply(9, &Command{Worker: &Worker{ID: worker + "'", Service: "s"}})
 			case 5:
-				data, err := s.Snapshot()
+				encoded, err := s.Snapshot()
 				must.NoError(t, err)
-				s, err = Restore(data)
+				s, err = Restore(encoded)
 				must.NoError(t, err)
 			}
 			s.checkCounts(rt)
@@ -299,9 +299,9 @@
 	}
 	s.Apply(3, &Command{Start: []Run{run(0), run(1)}})
 	check(s, 6, 2)
-	data, err := s.Snapshot()
+	encoded, err := s.Snapshot()
 	must.NoError(t, err)
-	restored, err := Restore(data)
+	restored, err := Restore(encoded)
 	must.NoError(t, err)
 	check(restored, 6, 2)
 	_, before := s.Used("w")
