--- a/dispatch/backlog_test.go
+++ b/dispatch/backlog_test.go
@@ -26,7 +26,7 @@
 
 // Guards against a backlog that remains after the burst that caused it. Lookups arrive at
 // twice the usual rate for four seconds; full decisions come every 150 ms and consider 128
-// steps. If each changed job beyond the bound waits for two full decisions, urgent jobs
+// steps. If each changed job beyond Limits.Steps waits for two full decisions, urgent jobs
 // stay late although a quarter of the cores is free.
 func TestBacklogOfBurstDrains(t *testing.T) {
 	const burstStart, burstEnd, usualRate, end = 8 * time.Second, 12 * time.Second, 156, 16 * time.Second
--- a/dispatch/gang.go
+++ b/dispatch/gang.go
@@ -85,18 +85,19 @@
 }
 
 const (
-	// minEmptyFactor is how many times its tasks the permitted workers of a gang must hold
-	// if they were empty; otherwise the gang queries more workers. Other steps run on them
-	// too.
+	// minEmptyFactor times its remaining tasks must fit on the permitted workers of a gang if
+	// these workers were empty; otherwise the gang queries more workers. The factor exceeds 1
+	// because other steps run on these workers too.
 	minEmptyFactor = 2
-	// wantedEmptyFactor is how many times its tasks the permitted workers of a gang should
-	// hold if they were empty, as long as other workers have free resources. A query
-	// occupies an adviser connection for a second, but a gang that is known to be permitted
-	// on few workers waits for these while others are free.
+	// wantedEmptyFactor times its remaining tasks should fit on the permitted workers of a
+	// gang if these workers were empty; otherwise the gang queries more workers as long as
+	// these have free resources. A query occupies an adviser connection for a second, but a
+	// gang that is known to be permitted on few workers waits for these while others are free.
 	wantedEmptyFactor = 8
-	// wantedFreeFactor is how many times its tasks the queried workers of a gang must be
-	// expected to hold now: grants differ from the average, and other steps take resources
-	// until the response arrives.
+	// wantedFreeFactor times its remaining tasks should fit into the free resources of the
+	// workers that a gang queries, as far as the mean grant rate predicts. The margin covers
+	// grants that differ from the mean, and resources that other steps take before the
+	// response arrives.
 	wantedFreeFactor = 2.5
 	// maxGangQueries bounds the queries that a gang sends in parallel. Each occupies an adviser
 	// connection for half a second and more.
@@ -156,7 +157,7 @@
 	return false
 }
 
-// expectedFit says that one more task fits on a worker from a point in time on.
+// expectedFit is the time from which one more task is expected to fit on a worker.
 type expectedFit struct {
 	at     time.Duration
 	worker *Worker
@@ -170,9 +171,9 @@
 type gangReservation struct {
 	// preempted says that other runs are being stopped for the gang.
 	preempted bool
-	// reserved says that the gang may get a reservation. From at on, the gang is expected
-	// to fit on workers; both are zero if that can't be predicted or runs are being
-	// stopped.
+	// reserved says that the gang may get a reservation. workers are where the gang is
+	// expected to fit and at is the time from which it fits; both are zero if that can't be
+	// predicted or runs are being stopped.
 	reserved bool
 	workers  []*Worker
 	at       time.Duration
--- a/dispatch/load_test.go
+++ b/dispatch/load_test.go
@@ -89,10 +89,10 @@
 	maxIdleWait = 3 * time.Second
 )
 
-// Guards against steps beyond the bound whose tickets always expire unused. Hundreds of
-// steps wait behind others that fit nowhere. If each is considered every two seconds, sends
-// a query, and is considered again only after its tickets have expired, none of 600 starts
-// within a minute on an empty pool, and 19,200 queries are sent.
+// Guards against steps beyond Limits.Steps whose tickets always expire unused. Hundreds of
+// steps wait behind more urgent ones that fit nowhere. If each waiting step is considered
+// every two seconds, sends a query, and is considered again only after its tickets have
+// expired, none of 600 starts within a minute on an empty pool, and 19,200 queries are sent.
 func TestStepsBeyondBoundStartBeforeTicketsExpire(t *testing.T) {
 	// hugeSteps is the number of steps that fit nowhere: the most urgent steps of each decision.
 	const hugeSteps = 96
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -84,13 +84,13 @@
 	return order
 }
 
-// roundRobinDivisor divides Limits.Steps: that part of the steps of a decision is chosen
+// roundRobinDivisor is the inverse of the share of Limits.Steps that a decision chooses
 // round robin instead of by urgency.
 const roundRobinDivisor = 4
 
-// selectSteps returns the steps that the decision considers. If there are more than its bound,
-// most of the bound goes to the most urgent steps and the rest to the others round robin, so
-// that no step waits forever behind steps that can't start.
+// selectSteps returns the steps that the decision considers. If there are more than
+// Limits.Steps, it chooses most of them by urgency and the rest round robin from the other
+// steps, so that no step waits forever behind steps that can't start.
 //
 // Without the bound a backlog of thousands of steps after an outage makes a decision take
 // longer than tickets are valid: nothing starts, and the backlog keeps growing.
@@ -111,19 +111,19 @@
 	return chosen
 }
 
-// unqueriedDivisor divides the steps that roundRobin chooses: that part goes to steps that have
-// had no response of the adviser yet.
+// unqueriedDivisor is the inverse of the share of the steps chosen by roundRobin that have
+// had no response from the adviser yet.
 const unqueriedDivisor = 4
 
-// roundRobin returns up to n of the steps beyond the bound of a decision: up to half of
-// them hold tickets, those whose tickets expire soonest first; a quarter have had no
-// response of the adviser yet; the rest are other steps without a query in flight. Steps of
-// the last two groups take turns.
+// roundRobin returns up to n of the steps that weren't chosen by urgency: up to half of
+// the n hold tickets, those whose tickets expire soonest first; a quarter have had no
+// response from the adviser yet; the rest are other steps without a query in flight. Steps
+// of the last two groups are chosen in rotation over the decisions.
 //
-// If steps with tickets had no part of their own, each of 900 steps beyond the bound would
-// be considered every 3 s, would query, and would be considered again when its tickets of
-// 1.5 s have expired, so that hardly any would start on an empty pool. With their own part,
-// the next decision uses the tickets of a response.
+// Half is set aside for steps with tickets, so that the next decision uses the tickets of a
+// response. Otherwise each of 900 steps beyond Limits.Steps would be considered every 3 s,
+// would query, and would be considered again when its tickets of 1.5 s have expired. Hardly
+// any would start on an empty pool.
 func (p *planner) roundRobin(rest []*Step, n int) []*Step {
 	var ticketed, unqueried, others []*Step
 	for _, s := range rest {
@@ -140,8 +140,8 @@
 	slices.SortStableFunc(ticketed, func(a, b *Step) int { return cmp.Compare(a.TicketsExpire, b.TicketsExpire) })
 	chosen := slices.Clip(ticketed[:min(n/2, len(ticketed))])
 	chosen = append(chosen, takeCircular(unqueried, n/unqueriedDivisor*p.limits.Round, n-n/unqueriedDivisor-len(chosen))...)
-	// At least a quarter of n goes to the others, so an offset that advances by that much per
-	// decision skips none of them.
+	// Each decision chooses at least n-n/2-n/unqueriedDivisor of the other steps. The offset
+	// advances by this minimum per decision, so no step is skipped.
 	return append(chosen, takeCircular(others, (n-n/2-n/unqueriedDivisor)*p.limits.Round, n-len(chosen))...)
 }
 
@@ -284,7 +284,7 @@
 }
 
 // permitReason says why s waits if no worker is eligible, a query of s is in flight, s has
-// had no response of the adviser, or s is refused on all queried workers. It is empty
+// had no response from the adviser, or s is refused on all queried workers. It is empty
 // otherwise.
 func (p *planner) permitReason(s *Step) Reason {
 	switch {
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -26,8 +26,7 @@
 	return pool
 }
 
-// step returns a step of count tasks that need that many cores each. Queries of the step
-// take 500 ms.
+// step returns a step of count tasks of need cores each. Queries of the step take 500 ms.
 func step(job string, count int, need int64) Step {
 	s := Step{
 		Key:  workflow.StepKey{Job: job},
--- a/dispatch/preempt.go
+++ b/dispatch/preempt.go
@@ -41,13 +41,13 @@
 // findVictims finds resources for n tasks of s on workers that may run it by preempting runs at
 // the lowest cost; nil if there aren't enough.
 //
-// A gang needs resources on several workers at once and would wait for many runs to end while
-// runs that can resume from a checkpoint hold them. Those lose no work, so stopping them costs
-// little.
+// A gang needs resources on several workers at once and would otherwise wait for many runs to
+// end. Runs that resume from a checkpoint lose no work when they are stopped, so preempting
+// them costs little.
 func (p *planner) findVictims(s *Step, workers []*Worker, n int) []victimSet {
-	// candidate is a worker with the resources and preemptible runs that the chosen sets
-	// leave on it. next is the set for one more task, nil before it is found or if there is
-	// none.
+	// candidate is a worker that may get tasks of s. scratch and preemptible are a copy of the
+	// worker and its preemptible runs after the victim sets found on it so far. next is the
+	// victim set for one more task, nil before it is searched for or if there is none.
 	type candidate struct {
 		scratch     Worker
 		worker      *Worker
--- a/dispatch/preempt_test.go
+++ b/dispatch/preempt_test.go
@@ -77,12 +77,12 @@
 	must.MapNotEmpty(t, seen)
 }
 
-// Guards against steps that are never considered: alongside hundreds of steps beyond the
-// bound, many of them with tickets that can't be used, the offset of the round robin skips
-// the same other steps in every decision.
+// Guards against steps that are never considered: alongside hundreds of steps beyond
+// Limits.Steps, many of them with tickets that can't be used, the offset of the round robin
+// skips the same other steps in every decision.
 func TestRoundRobinReachesAllSteps(t *testing.T) {
 	// otherSteps is the number of steps without tickets; chosenSteps is how many of all steps
-	// beyond the bound each decision considers.
+	// beyond Limits.Steps each decision considers.
 	const otherSteps, chosenSteps = 96, 32
 	for _, ticketed := range []int{0, 16, 24, 31, 200} {
 		seen := map[string]bool{}
--- a/dispatch/reason_test.go
+++ b/dispatch/reason_test.go
@@ -17,8 +17,8 @@
 	return found
 }
 
-// waitingGang returns a gang of count tasks that need that many cores each. With nil
-// permits it may run on any worker.
+// waitingGang returns a gang of count tasks of need cores each. With nil permits it may
+// run on any worker.
 func waitingGang(job string, count int, need int64, permits map[string]Permit) Step {
 	s := step(job, count, need)
 	s.Spec.Gang = true
@@ -28,8 +28,7 @@
 	return s
 }
 
-// gangsAhead returns urgent gangs, as many as get a reservation, each with two tasks of
-// four cores.
+// gangsAhead returns maxReservedGangs urgent gangs, each with two tasks of four cores.
 func gangsAhead(permits map[string]Permit) []Step {
 	var gangs []Step
 	for i := range maxReservedGangs {
@@ -119,7 +118,7 @@
 	must.Eq(t, int64(0), pool[1].Free.MilliCPU+pool[1].Reserved.MilliCPU)
 }
 
-// soonFree lets four cores come free soon on each worker.
+// soonFree gives each worker a run that is expected to release four cores after a second.
 func soonFree(pool []Worker) []Worker {
 	for i := range pool {
 		pool[i].Releases = []Release{{At: time.Second, Resources: cores(4)}}
@@ -127,8 +126,8 @@
 	return pool
 }
 
-// Guards against speculative copies that are counted as steps beyond the bound: their tasks
-// already run.
+// Guards against speculative copies that Plan.BeyondBound counts as waiting steps: the tasks
+// of a copy already run.
 func TestCopiesAreNotCountedBeyondBound(t *testing.T) {
 	bounded := limits
 	bounded.Steps = 2
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -30,9 +30,9 @@
 	connections []time.Duration
 	responses   []replayResponse
 	earmarked   map[string]bool
-	// remaining are the workers as the last full decision left them, firstSkipped is the
-	// first step beyond its bound, and changed are the jobs with a change since then.
-	// Incremental decisions use them.
+	// remaining are the workers as the last full decision left them, firstSkipped is its
+	// Plan.FirstSkipped, and changed holds the IDs of the jobs that have changed since that
+	// decision. Incremental decisions use all three.
 	remaining    []Worker
 	firstSkipped *Step
 	changed      map[string]bool
@@ -45,10 +45,11 @@
 	freeSum                         float64
 }
 
-// replayRun is a live run of a task on the worker with an index.
+// replayRun is a live run of a task.
 type replayRun struct {
-	job    *replayJob
-	task   workflow.TaskKey
+	job  *replayJob
+	task workflow.TaskKey
+	// worker is the index of the worker in the pool.
 	worker int
 	// end is when the run ends, expected is when it would end by its estimate, and duration
 	// is how long it takes unless it fails or is stopped.
@@ -56,7 +57,7 @@
 	fails, stops                   bool
 }
 
-// replayResponse is a response of the adviser that is in flight and arrives at a time.
+// replayResponse is a response from the adviser that is in flight. at is when it arrives.
 type replayResponse struct {
 	at    time.Duration
 	job   *replayJob
@@ -84,8 +85,8 @@
 	// minRunTimeFactor is the share of the estimated run time of its current step that a job
 	// must have left to count as in time.
 	minRunTimeFactor = 0.6
-	// minRemainingDivisor divides the duration of a run: at least that part of it is expected
-	// to remain.
+	// minRemainingDivisor is the inverse of the share of a run's duration that is always
+	// expected to remain, also when the run lasts longer than estimated.
 	minRemainingDivisor = 10
 	// minGrantRateWeight is the smallest weight of a response in the mean grant rate.
 	minGrantRateWeight = 0.05
@@ -181,8 +182,8 @@
 }
 
 // decideIncremental makes a decision for the changed jobs alone, with the resources that
-// the last full decision left. Jobs that don't precede the first step beyond the bound of
-// that decision wait for the next full decision.
+// the last full decision left. Jobs whose step doesn't precede firstSkipped wait for the
+// next full decision.
 func (r *replay) decideIncremental() {
 	var steps []Step
 	jobs := map[workflow.StepKey]*replayJob{}
@@ -265,7 +266,8 @@
 	return all, long
 }
 
-// shortQueryDivisor divides the connections: that part is reserved for short queries.
+// shortQueryDivisor is the inverse of the share of the connections that is reserved for
+// short queries.
 const shortQueryDivisor = 6
 
 // query sends a query on the connection that becomes free first.
@@ -291,7 +293,7 @@
 	r.responses = append(r.responses, replayResponse{at: usable[first] + responseDelay, job: j, key: query.Step, query: query})
 }
 
-// applyResponse applies a response of the adviser.
+// applyResponse applies a response from the adviser.
 func (r *replay) applyResponse(response replayResponse) {
 	j, k := response.job, response.job.kind
 	if j.ended > 0 || j.step != response.key.Step {
@@ -477,8 +479,9 @@
 	return longest
 }
 
-// takeTwiceTheDemand takes resources for twice the tasks of a step from workers that the adviser
-// permits, queried or not, and reports whether that many are free.
+// takeTwiceTheDemand takes resources for twice the pending tasks of a step from workers that
+// the adviser permits, queried or not. It takes nothing and returns false if these workers
+// have too few free resources.
 func (r *replay) takeTwiceTheDemand(s *Step, j *replayJob, free []Worker) bool {
 	var chosen []*Worker
 	left := 2 * len(s.Pending)
--- a/dispatch/roundrobin.go
+++ b/dispatch/roundrobin.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// roundRobinQueryDivisor divides the queries of a decision: that part is held back and
-// given to waiting steps round robin.
+// roundRobinQueryDivisor is the inverse of the share of a decision's queries that is held
+// back and given to waiting steps round robin.
 const roundRobinQueryDivisor = 3
 
 // queryWaiter is a step that waits for a query.
 type queryWaiter struct {
 	step *Step
-	// left is the number of tasks that were not started. reason is why they wait if no
-	// query is sent.
+	// left is the number of tasks of the step that the decision couldn't start. reason is
+	// reported for these tasks if the decision sends no query for the step.
 	left   int
 	reason Reason
 }
@@ -44,8 +44,8 @@
 	}
 }
 
-// compareQueryOrder puts steps that have had no response of the adviser first, since a
-// first query yields the most information, then steps whose last query is the oldest.
+// compareQueryOrder puts steps that have had no response from the adviser first, since a
+// first query yields the most information, and then steps whose last query is the oldest.
 func compareQueryOrder(a, b *Step) int {
 	return cmp.Or(compareBools(len(a.Permits) > 0, len(b.Permits) > 0), cmp.Compare(a.LastQuery, b.LastQuery))
 }
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -19,8 +19,8 @@
 type Worker struct {
 	workflow.Worker
 	// Free are the resources that no run occupies. A run occupies its resources while it
-	// may be alive. Decide subtracts what it plans from Free; FreeBeforePlan keeps the
-	// value from before.
+	// may be alive. Decide subtracts what it plans from Free; FreeBeforePlan is the
+	// value before the decision.
 	Free, FreeBeforePlan workflow.Resources
 	// Reserved are resources that the plan reserves for steps that it couldn't start, free
 	// now or once runs end. They are subtracted from Free, which can become negative.
@@ -201,8 +201,8 @@
 	LongQueryTime time.Duration
 	// Steps is the most steps that one decision considers; 0 for no bound.
 	Steps int
-	// Round is the sequence number of the decision. It selects which of the steps beyond
-	// the bound are considered, so that all of them take turns.
+	// Round is the sequence number of the decision. It selects which of the steps
+	// beyond Steps are considered, so that each is considered in some decision.
 	Round int
 	// Disabled are the mechanisms that are switched off.
 	Disabled Disabled
@@ -219,8 +219,9 @@
 	// BeyondBound counts the steps that the decision didn't consider. Their reason is
 	// ReasonBeyondBound, and Waiting doesn't list them.
 	BeyondBound int
-	// FirstSkipped is the first step, in order of urgency, that the decision didn't choose
-	// for its urgency: all steps that precede it were considered. It is nil if the decision
+	// FirstSkipped is the step, in order of urgency, after the last one that the decision
+	// chose by urgency. All steps before FirstSkipped were considered; FirstSkipped and later
+	// steps were considered only if the round robin chose them. It is nil if the decision
 	// considered all steps.
 	FirstSkipped *Step
 	// Earmarks are the workers on which resources are reserved for a gang that fits soon.
--- a/internal/control/heartbeat_transport.go
+++ b/internal/control/heartbeat_transport.go
@@ -71,8 +71,9 @@
 	// starts and stops are sent repeatedly until a heartbeat shows that they arrived.
 	starts map[workflow.TaskKey]*heartbeatOrder
 	stops  map[workflow.Run]*heartbeatOrder
-	// respondedAt is when the last response was sent. confirmations counts the prompt
-	// heartbeats since a response first carried the fencing token.
+	// respondedAt is when the last response was sent. fence is the fencing token of that
+	// response, and confirmations counts the prompt heartbeats since a response first
+	// carried this token.
 	respondedAt   time.Time
 	fence         uint64
 	confirmations int
--- a/internal/control/incremental.go
+++ b/internal/control/incremental.go
@@ -21,7 +21,7 @@
 )
 
 // markChanged requests an incremental decision about a job that was accepted or about
-// which a response of the adviser has arrived. t.mu must be held.
+// which a response from the adviser has arrived. t.mu must be held.
 func (t *leaderTerm) markChanged(job string) {
 	t.changedJobs[job] = true
 	select {
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -12,10 +12,10 @@
 	// workersPerQuery is the number of workers in one adviser query. The objectives of jobs
 	// allow for about one query per 30 workers and step.
 	workersPerQuery = 30
-	// gangWorkersPerQuery is the number of workers in a query for a gang, and the maximum of
-	// any query. The adviser permits a gang on a third of the workers, and the gang needs
-	// free resources on many of them at the same time. Splitting the same workers into two
-	// queries keeps adviser connections busy for a third longer.
+	// gangWorkersPerQuery is the number of workers in a query for a gang, and the largest
+	// number in any query. The adviser permits a gang on a third of the workers, and the gang
+	// needs free resources on many of them at the same time. Splitting the same workers into
+	// two queries keeps adviser connections busy for a third longer.
 	gangWorkersPerQuery = 100
 	// ticketMargin is the remaining validity that a ticket needs when a start is planned:
 	// enough to commit the start and deliver it to the worker.
--- a/internal/control/throttle_test.go
+++ b/internal/control/throttle_test.go
@@ -9,8 +9,9 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// Checks the next CPU share of the tasks on spare CPU in each case in which it changes or
-// stays.
+// Guards against a wrong next CPU share of the tasks on spare CPU. The share must shrink
+// while a serving task on the worker exceeds its latency objective or is close to it, grow
+// while the latency is well below the objective, and otherwise stay.
 func TestNextShareFollowsLatency(t *testing.T) {
 	now := time.Now()
 	old := now.Add(-throttleInterval)
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -281,8 +281,8 @@
 	return p, queued > 0 && j.startable()
 }
 
-// placementJob returns the job with that many tasks in the form that package
-// placement uses. Its NotBefore is the latest NotBefore of the queued tasks.
+// placementJob returns the job in the form that package placement uses, with the
+// given number of tasks. Its NotBefore is the latest NotBefore of the queued tasks.
 func (j *Job) placementJob(tasks int) placement.Job {
 	p := placement.Job{
 		ID: j.ID, Customer: j.Customer, Name: j.Spec.Name, Policy: j.Spec.Policy, Tasks: tasks,
--- a/placement/admit.go
+++ b/placement/admit.go
@@ -142,7 +142,7 @@
 		horizon.UTC().Format(time.RFC3339))
 }
 
-// capacityRate is the capacity left beside tasks without an expected end, in
+// capacityRate is the capacity that tasks without an expected end do not use, in
 // resource-seconds per second.
 func (c *Cluster) capacityRate() resourceSeconds {
 	return resourceSecondsOf(c.capacity.minus(c.unboundedUsage), 1)
@@ -174,7 +174,7 @@
 	return AdmissionDecision{Admitted: true, ExpectedStart: c.expectedStart(e, now)}
 }
 
-// admitService refuses a service that does not fit beside the running and
+// admitService refuses a service that does not fit in addition to the running and
 // queued services.
 func (c *Cluster) admitService(e *entry, now time.Time) AdmissionDecision {
 	need := c.unboundedUsage.plus(c.queue.serviceNeed).plus(e.need.times(int64(e.job.Tasks)))
--- a/placement/arrivals/generate.go
+++ b/placement/arrivals/generate.go
@@ -27,8 +27,8 @@
 	// wrong run times, by a factor between 0.2 and 5 that is fixed per job
 	// name.
 	MisdeclaringCustomers float64
-	// MisdeclaredNames is the share of the other customers' job names with run
-	// times that are wrong in the same way.
+	// MisdeclaredNames is the share of the job names of all other customers whose
+	// declared run times are wrong by such a factor.
 	MisdeclaredNames float64
 	// DeclarationNoise is the standard deviation of the logarithm of a random
 	// error on every declared run time.
@@ -85,8 +85,9 @@
 	acceleratorShare = 0.25
 	// typicalRuntime is the median of the median run times of all recurring jobs.
 	typicalRuntime = 4 * time.Minute
-	// medianSpread is the standard deviation of the logarithm of those medians, and
-	// runtimeSpread that of the run times of one recurring job.
+	// medianSpread is the standard deviation of the logarithm of the median run times
+	// of all recurring jobs. runtimeSpread is the standard deviation of the logarithm
+	// of the run times of one recurring job.
 	medianSpread  = 0.7
 	runtimeSpread = 0.25
 	minRuntime    = 5 * time.Second
@@ -102,8 +103,8 @@
 	// minUrgentSeconds is the shortest run time of an urgent task.
 	minUrgentSeconds   = 3
 	urgentSecondsRange = 12
-	// urgentSlack is the time from the earliest end of an urgent job to its deadline,
-	// and gangExtraSlack what gangs get in addition to the slack of other jobs.
+	// urgentSlack is the time from the earliest end of an urgent job to its deadline.
+	// gangExtraSlack is added to the drawn slack of a gang.
 	urgentSlack    = 2 * time.Minute
 	gangExtraSlack = 30 * time.Minute
 	// A tight deadline leaves minTightSlack and, in addition, between 1 and
@@ -284,7 +285,8 @@
 	Customer string
 	// Load is the work of the flood, divided by the capacity of the workers in
 	// that period.
-	Load  float64
+	Load float64
+	// From and Until are times since the start of the simulation.
 	From  time.Duration
 	Until time.Duration
 }
--- a/placement/arrivals/replay.go
+++ b/placement/arrivals/replay.go
@@ -11,8 +11,9 @@
 // WorkerFault is a period in which a worker fails every task within a second.
 type WorkerFault struct {
 	Worker string
-	From   time.Duration
-	Until  time.Duration
+	// From and Until are times since the start of the simulation.
+	From  time.Duration
+	Until time.Duration
 }
 
 // Config is the configuration of one simulation.
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -119,7 +119,8 @@
 	}
 }
 
-// benchmarkEvaluate runs BenchmarkEvaluate with that many ends per evaluation.
+// benchmarkEvaluate runs BenchmarkEvaluate with the given number of task ends per
+// evaluation.
 func benchmarkEvaluate(b *testing.B, ends int) {
 	g := newBenchCluster(b)
 	durations := hdrhistogram.New(1, int64(time.Second), benchHistogramDigits)
--- a/placement/demand.go
+++ b/placement/demand.go
@@ -13,7 +13,7 @@
 	accelerators float64
 }
 
-// resourceSecondsOf returns the work of using need for that many seconds.
+// resourceSecondsOf returns the work of using need for a number of seconds.
 func resourceSecondsOf(need Resources, seconds float64) resourceSeconds {
 	return resourceSeconds{
 		cpu:          float64(need.CPU) * seconds,
--- a/placement/evaluate.go
+++ b/placement/evaluate.go
@@ -6,8 +6,9 @@
 )
 
 const (
-	// lookahead is how many entries of one subqueue, and of one shape, an
-	// evaluation tries once one of them fits only into reserved resources.
+	// lookahead bounds the search after an entry that fits only into reserved
+	// resources: an evaluation examines up to this many entries of the same
+	// subqueue, and skips the shape after this many further such entries.
 	lookahead = 6
 	// maxDueVisits bounds the entries that one call of serveDue or probeFor
 	// visits.
@@ -170,7 +171,7 @@
 }
 
 // checkPlan panics if the plan would overload a worker or start only part of a
-// gang. It runs before the rollback.
+// gang. It must run before rollback, which releases the allocations that it checks.
 func (p *planner) checkPlan() {
 	for _, s := range p.plan.Starts {
 		w, e := p.cluster.workers[s.Worker], p.cluster.queue.entries[s.Job]
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -51,8 +51,8 @@
 }
 
 // rejectReserved protects the reservation of another entry. A task may start on the
-// worker only if the task ends by the reserved start time or fits beside the
-// reserved resources.
+// worker only if the task ends by the reserved start time or fits into the
+// resources that the reservation leaves free.
 func rejectReserved(r *request, w *worker) bool {
 	if w.reservedEval != r.evaluation || r.entry == w.reservation.entry {
 		return false
--- a/placement/gang.go
+++ b/placement/gang.go
@@ -53,8 +53,8 @@
 	return true
 }
 
-// hasSlotsFor reports whether that many tasks of the entry fit now. It stops
-// counting at that number.
+// hasSlotsFor reports whether the given number of tasks of the entry fit now. It
+// stops counting once it has found enough workers.
 func (p *planner) hasSlotsFor(e *entry, tasks int) bool {
 	found := 0
 	p.cluster.free.ascend(e.need, func(w *worker) bool {
--- a/placement/options.go
+++ b/placement/options.go
@@ -20,7 +20,7 @@
 	// LargeReservations is how many large tasks may hold a reservation, in
 	// order of submission.
 	LargeReservations int
-	// Efficiency is the share of the capacity, beside running tasks, that
+	// Efficiency is the share of the capacity not used by running tasks that
 	// admission expects queued work to get. It accounts for fragmentation, errors
 	// of estimated run times and the fair order between customers. A lower value
 	// causes earlier refusals under overload, of large jobs before small ones.
--- a/placement/profile.go
+++ b/placement/profile.go
@@ -61,7 +61,7 @@
 
 // upperBound is the work that running tasks will still use, at most. Overdue tasks
 // count with overdueRemaining from now on, so the result is never below that of a
-// walk. Only the steps in the past are visited.
+// profileWalk. Only the steps in the past are visited.
 func (p *profile) upperBound(now time.Time) resourceSeconds {
 	elapsed := float64(now.Unix()-p.origin) - overdueRemaining.Seconds()
 	left := p.firstMoment.plus(resourceSecondsOf(p.need, -elapsed))
@@ -79,7 +79,7 @@
 type profileWalk struct {
 	steps btree.MapIter[int64, *profileCell]
 	more  bool
-	// now is the start of the walk in Unix seconds.
+	// now is the time from which the work is counted, in Unix seconds.
 	now float64
 	// finished is the work of the tasks that end up to the current time, and
 	// active the usage of all others.
@@ -87,7 +87,7 @@
 	active   Resources
 }
 
-// walk returns a walk that starts at now.
+// walk returns a profileWalk that counts the work from now on.
 func (p *profile) walk(now time.Time) *profileWalk {
 	w := &profileWalk{steps: p.steps.Iter(), active: p.need, now: float64(now.UnixMilli()) / 1000}
 	w.more = w.steps.First()
--- a/placement/reserve.go
+++ b/placement/reserve.go
@@ -8,8 +8,8 @@
 type reservation struct {
 	entry *entry
 	at    time.Time
-	// remaining is what is expected to be free on the worker when the entry
-	// starts, besides the reserved resources.
+	// remaining are the resources that are expected to be free on the worker when
+	// the entry starts, in addition to the reserved ones.
 	remaining Resources
 }
 
@@ -91,9 +91,9 @@
 	return b
 }
 
-// chargeReservation subtracts the need of a started task from what remains beside
-// the reservation of the worker. A task that ends by the reserved start time is not
-// subtracted.
+// chargeReservation subtracts the need of a started task from the resources that the
+// reservation of the worker leaves free. A task that ends by the reserved start time
+// is not subtracted.
 func (c *Cluster) chargeReservation(evaluation uint64, e *entry, w *worker, now time.Time) {
 	if w.reservedEval != evaluation || w.reservation.entry == e {
 		return
--- a/placement/state_machine_test.go
+++ b/placement/state_machine_test.go
@@ -256,8 +256,8 @@
 	}
 }
 
-// checkBlocked fails if a shape is blocked although it fits: its entries would
-// never be tried again.
+// checkBlocked fails if a shape is marked as blocked although its tasks fit on the
+// workers: evaluations would never again try the entries of this shape.
 func (m *stateMachine) checkBlocked(t *rapid.T, s *shapeState) {
 	if !s.blocked {
 		return
--- a/workflow/apply.go
+++ b/workflow/apply.go
@@ -377,8 +377,8 @@
 	delete(s.loads, id)
 }
 
-// sortedRuns returns runs in the order of their tasks, so that every replica applies them
-// alike.
+// sortedRuns returns runs in the order of their tasks, so that every replica applies them in
+// the same order.
 func sortedRuns(runs map[TaskKey]Run) []Run {
 	sorted := make([]Run, 0, len(runs))
 	for _, run := range runs {
--- a/workflow/crash_test.go
+++ b/workflow/crash_test.go
@@ -67,8 +67,8 @@
 	must.False(t, c.state.Task(key(0, 0)).Suspect())
 }
 
-// Guards against a snapshot that loses crashes: those counted already, and runs that ended
-// with the lease of a worker that is later known to have crashed.
+// Guards against a snapshot that omits crashes already counted, or unresolved runs: runs that
+// ended with the lease of a worker that may later turn out to have crashed.
 func TestCrashCountsSurviveSnapshot(t *testing.T) {
 	c := newCrashSequence(t, smallStep(1))
 	c.end(c.startOnNewWorker(), OutcomeCrashed, SuspicionStrong)
--- a/workflow/load.go
+++ b/workflow/load.go
@@ -1,7 +1,7 @@
 package workflow
 
-// workerLoad is what the runs that may be alive on a worker occupy. It is updated with each
-// start and end, so that decisions needn't sum up the runs.
+// workerLoad is the demand of the runs that may be alive on a worker, by task and in total.
+// It is updated with each start and end, so that decisions needn't sum up the runs.
 type workerLoad struct {
 	used    Resources
 	demands map[TaskKey]Resources
@@ -9,8 +9,8 @@
 	changes uint64
 }
 
-// Used returns what the runs that may be alive on a worker occupy, and a number that changes
-// whenever one starts or ends.
+// Used returns the resources occupied by the runs that may be alive on a worker, and a
+// counter that changes whenever a run starts or ends there.
 func (s *State) Used(worker string) (used Resources, changes uint64) {
 	load := s.loads[worker]
 	if load == nil {
--- a/workflow/workflow_test.go
+++ b/workflow/workflow_test.go
@@ -269,9 +269,9 @@
 	}
 }
 
-// Guards against a job that is shown as active from the commit of its start on, so that its
-// queue reports no waiting jobs, although the worker may never carry out the order. The end
-// of a run can prove that it was started.
+// Guards against a job that counts as active once the start of a run is committed, although
+// the worker may never start the run: the queue then reports no waiting jobs. A job becomes
+// active only with the end of a run that proves that the worker started it.
 func TestJobIsPendingUntilAnEndProvesAStart(t *testing.T) {
 	s := newState(t, smallStep(1))
 	for _, outcome := range []Outcome{OutcomeNotStarted, OutcomeLost} {
