--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -124,9 +124,9 @@
 // response. Otherwise each of 900 steps beyond Limits.Steps would be considered every 3 s,
 // would query, and would be considered again when its tickets of 1.5 s have expired. Hardly
 // any would start on an empty pool.
-func (p *planner) roundRobin(rest []*Step, n int) []*Step {
+func (p *planner) roundRobin(lessUrgent []*Step, n int) []*Step {
 	var ticketed, unqueried, others []*Step
-	for _, s := range rest {
+	for _, s := range lessUrgent {
 		switch {
 		case p.holdsTickets(s):
 			ticketed = append(ticketed, s)
--- a/dispatch/reason_test.go
+++ b/dispatch/reason_test.go
@@ -45,11 +45,11 @@
 	expired := Permit{Granted: true}
 	noQueries := limits
 	noQueries.Queries = 0
-	both := map[string]Permit{"w0": valid, "w1": valid}
+	bothValid := map[string]Permit{"w0": valid, "w1": valid}
 	allExpired := map[string]Permit{"w0": expired, "w1": expired}
 	first := waitingGang("first", 3, 4, nil)
 	first.Priority = -1
-	soon := func(pool []Worker) []Worker {
+	freeSoon := func(pool []Worker) []Worker {
 		for i := range pool {
 			pool[i].Releases = []Release{{At: time.Second, Resources: cores(16)}}
 		}
@@ -65,18 +65,18 @@
 		want    Reason
 	}{
 		{"a task fits nowhere", []Step{step("a", 1, 4)}, workers(3, 2), limits, ReasonNoCapacity},
-		{"a gang fits nowhere", []Step{waitingGang("a", 3, 4, both)}, workers(4, 4), limits, ReasonNoCapacity},
+		{"a gang fits nowhere", []Step{waitingGang("a", 3, 4, bothValid)}, workers(4, 4), limits, ReasonNoCapacity},
 		{"a gang in free resources that are too fragmented", []Step{waitingGang("a", 2, 4, nil)}, workers(3, 3, 3), limits, ReasonNoCapacity},
-		{"a task in resources reserved for a gang", []Step{first, step("a", 1, 4)}, soon(workers(4, 4)), limits, ReasonReserved},
-		{"a gang in resources reserved for another gang", []Step{first, waitingGang("a", 2, 4, both)}, soon(workers(4, 4)), limits, ReasonReserved},
-		{"a gang after others that doesn't fit", append(gangsAhead(both), waitingGang("a", 9, 4, allExpired)), soon(workers(4, 0)), limits, ReasonGangCannotQuery},
-		{"a gang after others that would fit into reserved resources", append(gangsAhead(both), waitingGang("a", 1, 4, allExpired)), soon(workers(4, 0)), limits, ReasonReserved},
+		{"a task in resources reserved for a gang", []Step{first, step("a", 1, 4)}, freeSoon(workers(4, 4)), limits, ReasonReserved},
+		{"a gang in resources reserved for another gang", []Step{first, waitingGang("a", 2, 4, bothValid)}, freeSoon(workers(4, 4)), limits, ReasonReserved},
+		{"a gang after others that doesn't fit", append(gangsAhead(bothValid), waitingGang("a", 9, 4, allExpired)), freeSoon(workers(4, 0)), limits, ReasonGangCannotQuery},
+		{"a gang after others that would fit into reserved resources", append(gangsAhead(bothValid), waitingGang("a", 1, 4, allExpired)), freeSoon(workers(4, 0)), limits, ReasonReserved},
 		{"a gang after others that fits without tickets", append(gangsAhead(map[string]Permit{"w2": valid}), waitingGang("a", 2, 4, allExpired)),
 			workers(4, 4, 0), limits, ReasonAwaitsAdviser},
 		{"a gang after others that fits without tickets while no query may be sent", append(gangsAhead(map[string]Permit{"w2": valid}), waitingGang("a", 2, 4, allExpired)),
 			workers(4, 4, 0), noQueries, ReasonNoConnection},
 		{"a gang after others that fits only with reserved resources", append(gangsAhead(map[string]Permit{"w0": valid}), waitingGang("a", 3, 4, allExpired)),
-			soon(workers(4, 9)), limits, ReasonReserved},
+			freeSoon(workers(4, 9)), limits, ReasonReserved},
 		{"no connection to query for a task", []Step{needsPermit(step("a", 1, 4), nil)}, workers(9), noQueries, ReasonNoConnection},
 		{"no connection to renew the ticket of a task", []Step{needsPermit(step("a", 1, 4), allExpired)}, workers(9), noQueries, ReasonNoConnection},
 		{"no connection to query for a gang", []Step{waitingGang("a", 2, 4, allExpired)}, workers(4, 4), noQueries, ReasonNoConnection},
--- a/internal/control/adviser_pool_test.go
+++ b/internal/control/adviser_pool_test.go
@@ -46,7 +46,7 @@
 	must.Eq(t, 1, acquireLong(newTestAdviserPool(2, start), start))
 	must.Eq(t, 1, acquireLong(newTestAdviserPool(1, start), start))
 	const loadSeconds = 9
-	for _, c := range []struct{ perSecond, least, most int }{{10, 40, 43}, {110, 36, 39}, {2000, 22, 22}} {
+	for _, c := range []struct{ perSecond, minLong, maxLong int }{{10, 40, 43}, {110, 36, 39}, {2000, 22, 22}} {
 		pool := newTestAdviserPool(44, start)
 		now := start
 		for range loadSeconds * c.perSecond {
@@ -59,7 +59,7 @@
 			}
 		}
 		long := acquireLong(pool, now)
-		must.Between(t, c.least, long, c.most, must.Sprintf("%d a second", c.perSecond))
+		must.Between(t, c.minLong, long, c.maxLong, must.Sprintf("%d a second", c.perSecond))
 	}
 }
 
--- a/internal/control/simulation_checks_test.go
+++ b/internal/control/simulation_checks_test.go
@@ -103,11 +103,11 @@
 	now := time.Now()
 	waiting := map[workflow.StepKey]bool{}
 	for _, s := range steps {
-		least := spareCapacityFactor
+		requiredFits := spareCapacityFactor
 		if s.spec.Gang {
-			least *= s.spec.Count
+			requiredFits *= s.spec.Count
 		}
-		if sim.containsCrashingTask(s.key.Job) || len(s.notRunning) == 0 || s.fitCount < least || mostlyUsed || now.Before(checkFrom) {
+		if sim.containsCrashingTask(s.key.Job) || len(s.notRunning) == 0 || s.fitCount < requiredFits || mostlyUsed || now.Before(checkFrom) {
 			continue
 		}
 		waiting[s.key] = true
--- a/internal/control/simulation_faults_test.go
+++ b/internal/control/simulation_faults_test.go
@@ -72,7 +72,7 @@
 	sim.eventLog.logf("injected fault %d for %v", kind, duration)
 	switch kind {
 	case 0, 1:
-		sim.crashOne()
+		sim.crashRandomWorker()
 	case 2:
 		sim.disconnectRandomWorkers(until)
 	case 3:
@@ -137,8 +137,8 @@
 // returns.
 const neverReturnsOneIn = 2
 
-// crashOne crashes a worker, which returns as another incarnation or never.
-func (sim *simulation) crashOne() {
+// crashRandomWorker crashes a worker, which returns as another incarnation or never.
+func (sim *simulation) crashRandomWorker() {
 	downtime, returns := randomDuration(sim.random, 50*time.Millisecond, 4*time.Second), !oneIn(sim.random, neverReturnsOneIn)
 	sim.workers.mu.Lock()
 	defer sim.workers.mu.Unlock()
--- a/internal/control/simulation_params_test.go
+++ b/internal/control/simulation_params_test.go
@@ -123,11 +123,11 @@
 
 // drawFaults makes each kind of fault frequent in some simulations and absent in others.
 func (p *simParams) drawFaults(random *rand.Rand) {
-	chance := func(most float64) float64 {
+	chance := func(maxChance float64) float64 {
 		if oneIn(random, 2) {
 			return 0
 		}
-		return logUniform(random, most/30, most)
+		return logUniform(random, maxChance/30, maxChance)
 	}
 	p.faults = faultRates{
 		lost: chance(0.1), unanswered: chance(0.1), late: chance(0.1), slow: chance(0.2), refused: chance(0.2),
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -222,9 +222,9 @@
 		return o.progressAt.Add(max(time.Duration(perPercent*float64(completePercent-o.percent)), now.Sub(o.progressAt)))
 	}
 	// The first reported progress of a resumed run is work of earlier runs.
-	rest := estimate * time.Duration(completePercent-o.firstPercent) / completePercent
+	remaining := estimate * time.Duration(completePercent-o.firstPercent) / completePercent
 	elapsed := now.Sub(o.startedAt)
-	return o.startedAt.Add(max(rest, elapsed+estimate/overrunDivisor))
+	return o.startedAt.Add(max(remaining, elapsed+estimate/overrunDivisor))
 }
 
 // gatherSteps adds the ready steps of a job that have tasks to start to the input. t.mu
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -210,12 +210,12 @@
 
 // occupy records that an attempt occupies a worker.
 func (s *State) occupy(worker string, ref AttemptRef) {
-	set := s.onWorker[worker]
-	if set == nil {
-		set = make(map[AttemptRef]struct{})
-		s.onWorker[worker] = set
+	attempts := s.onWorker[worker]
+	if attempts == nil {
+		attempts = make(map[AttemptRef]struct{})
+		s.onWorker[worker] = attempts
 	}
-	set[ref] = struct{}{}
+	attempts[ref] = struct{}{}
 }
 
 // AttemptsOnWorker returns the attempts that occupy a worker, sorted.
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -245,8 +245,8 @@
 	must.NoError(h.t, err)
 }
 
-// check checks the invariants after every step.
-func (h *stateHarness) check() {
+// checkInvariants checks the invariants that must hold after every step.
+func (h *stateHarness) checkInvariants() {
 	used := make(map[string]int64)
 	for id, worker := range h.a.Workers {
 		var sum placement.Resources
@@ -292,7 +292,7 @@
 func TestRandomCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newStateHarness(t)
-		steps := map[string]func(*rapid.T){"": func(*rapid.T) { h.check() }}
+		steps := map[string]func(*rapid.T){"": func(*rapid.T) { h.checkInvariants() }}
 		for name, step := range map[string]func(){
 			"submit": h.submit, "plan": h.applyRandomPlan, "deliver": h.deliver, "report": h.report, "lose": h.expireLease,
 			"restart": func() { h.startWorker(h.worker()) }, "cancel": h.cancel, "handover": h.handover,
--- a/placement/arrivals/replay.go
+++ b/placement/arrivals/replay.go
@@ -228,14 +228,14 @@
 		}
 		r.report.addUsage(r.now, e.at, r.used)
 		r.now = e.at
-		if r.handle(e) {
+		if r.handleEvent(e) {
 			r.evaluate()
 		}
 	}
 }
 
-// handle applies one event and reports whether an evaluation must follow.
-func (r *replay) handle(e event) bool {
+// handleEvent applies one event and reports whether an evaluation must follow.
+func (r *replay) handleEvent(e event) bool {
 	switch e.kind {
 	case eventArrival:
 		return r.handleArrival(e.job)
