--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -461,7 +461,7 @@
 
 // longestIdleWait updates idleSince of all jobs and returns the longest time that a job has
 // been idle. A job is idle if it has no run although twice its resources are free on
-// permitted workers, besides those of the idle jobs before it.
+// permitted workers, after the resources for all idle jobs before it are subtracted.
 func (r *replay) longestIdleWait() time.Duration {
 	longest := time.Duration(0)
 	free := slices.Clone(r.workers)
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -109,7 +109,7 @@
 }
 
 // BenchmarkDecideMixedLoad measures one decision at the usual load of a large deployment:
-// each worker has five runs, gangs wait and have responses of the adviser for 60 workers
+// each worker has five runs, gangs wait and have responses from the adviser for 60 workers
 // each, and some steps are new.
 func BenchmarkDecideMixedLoad(b *testing.B) {
 	for _, workers := range []int{350, 1100} {
--- a/internal/control/explain.go
+++ b/internal/control/explain.go
@@ -72,7 +72,7 @@
 	return crashes
 }
 
-// explain returns why those ready steps of a job wait that have tasks left to start.
+// explain returns, for each ready step of a job that has tasks left to start, why it waits.
 func (t *leaderTerm) explain(id string, now time.Time) []StepExplanation {
 	input := t.gatherPlanInput(now)
 	t.mu.Lock()
--- a/internal/control/health.go
+++ b/internal/control/health.go
@@ -12,9 +12,9 @@
 	quarantineAfter = 3
 	// quarantineFor is how long a quarantined worker gets no task.
 	quarantineFor = 4 * time.Second
-	// stallTimeout is how long no run of a worker may advance by a percent before the worker
-	// counts as stalled. The longest tasks take 16 s, so they advance by a percent in 0.16
-	// s.
+	// stallTimeout is the time after which a worker counts as stalled if none of its runs has
+	// advanced by a percent. The longest tasks take 16 s, so they advance by a percent in
+	// 0.16 s.
 	stallTimeout = 700 * time.Millisecond
 	// stalledPollHold is the longest hold of a poll of a stalled worker. The hold is short
 	// because the next report shows whether a run advances again.
@@ -23,11 +23,11 @@
 	// stopped and started elsewhere: longer than a short pause of a worker, shorter than
 	// most tasks.
 	stalledRunTimeout = 3 * time.Second
-	// slowFactor is how much longer than on other workers the runs must take, relative to
-	// their estimates, for a worker to count as slow. Estimates are off by up to half.
+	// slowFactor times the mean pace of all workers is the pace above which a worker counts
+	// as slow. The pace is the run time divided by its estimate, which is off by up to half.
 	slowFactor = 2.5
-	// slowSamples is the least number of finished runs of a worker before it can count as
-	// slow.
+	// slowSamples is the number of runs that a worker must have finished before it can count
+	// as slow.
 	slowSamples = 3
 	// workerPaceWeight and overallPaceWeight are the weights of the latest run in the
 	// moving means of one worker and of all workers.
--- a/internal/control/load_test.go
+++ b/internal/control/load_test.go
@@ -107,8 +107,8 @@
 	must.Eq(t, int64(0), counters["waiting_room"])
 }
 
-// Checks that steps beyond the bound of a decision are logged, at most maxBacklogLogLinesPerSecond
-// a second, and forgotten once they no longer wait.
+// Checks that steps which no decision has considered are logged, at most
+// maxBacklogLogLinesPerSecond a second, and forgotten once they no longer wait.
 func TestBacklogStepsAreLoggedUntilConsidered(t *testing.T) {
 	term, logOutput, _ := observedTerm()
 	now := time.Now()
--- a/internal/control/simulation_checks_test.go
+++ b/internal/control/simulation_checks_test.go
@@ -28,8 +28,8 @@
 	maxDescribedSteps = 5
 )
 
-// invariantViolations returns the violations so far of the invariants that must hold at
-// any time.
+// invariantViolations returns the violations that have been found so far of invariants that
+// must always hold.
 func (sim *simulation) invariantViolations() []string {
 	sim.workers.mu.Lock()
 	found := append(slices.Clone(sim.workers.violations), sim.eventLog.unexpectedOrphans(sim.workers.allowedOrphans)...)
@@ -98,7 +98,9 @@
 	}
 }
 
-// starvedSteps returns the steps that have fitted twice over for too long without a start.
+// starvedSteps returns the steps that have waited for too long without a start although the
+// free resources hold one of their tasks, or the whole gang, spareCapacityFactor times. It
+// ignores all steps while mostlyUsed is set and before checkFrom.
 func (sim *simulation) starvedSteps(steps []openStep, waitingSince map[workflow.StepKey]time.Time, mostlyUsed bool, checkFrom time.Time) (found []openStep) {
 	now := time.Now()
 	waiting := map[workflow.StepKey]bool{}
--- a/internal/control/simulation_params_test.go
+++ b/internal/control/simulation_params_test.go
@@ -173,8 +173,8 @@
 	switch random.IntN(6) {
 	case 0, 1:
 		step.Gang = true
-		// Gangs with more tasks never have free resources twice over, so awaitCompletion
-		// would not check their wait.
+		// The free resources never hold a gang with more tasks twice, so awaitCompletion
+		// would not check how long the gang waits.
 		step.Count = min(step.Count, max(1, p.workers/3))
 	case 2:
 		step.Speculative = true
--- a/internal/control/simulation_test.go
+++ b/internal/control/simulation_test.go
@@ -32,7 +32,7 @@
 	// workBudget and adviserBudget are how much work, in millicores times milliseconds,
 	// and adviser time, in milliseconds, the load may still use.
 	workBudget, adviserBudget float64
-	// maxBacklog is the largest number of steps that were beyond the bound of a decision.
+	// maxBacklog is the largest number of waiting steps that one decision did not consider.
 	maxBacklog int
 
 	mu         sync.Mutex
--- a/internal/state/change.go
+++ b/internal/state/change.go
@@ -353,8 +353,8 @@
 // this data centre.
 func (s *State) Used(customer string) placement.Resources { return s.used[customer] }
 
-// Demand returns what the queued and running tasks of each customer need in
-// this data centre.
+// Demand returns the resources that the queued and running tasks of each customer
+// need in this data centre.
 func (s *State) Demand() map[string]placement.Resources {
 	demand := make(map[string]placement.Resources)
 	for _, j := range s.Jobs {
@@ -390,7 +390,8 @@
 	return s.ledger.Allotment(customer)
 }
 
-// withinQuota reports whether the customer may use need in addition.
+// withinQuota reports whether the customer may use need in addition to the resources
+// of its running tasks.
 func (s *State) withinQuota(customer string, need placement.Resources) bool {
 	limit := s.Allotment(customer)
 	used := add(s.used[customer], need)
--- a/placement/admit.go
+++ b/placement/admit.go
@@ -217,7 +217,7 @@
 	// queuedDemand is the demand of the queued entries with deadlines up to the
 	// one being checked.
 	queuedDemand resourceSeconds
-	// runningWalk returns what the running tasks still use up to a deadline.
+	// runningWalk computes the work that running tasks still do up to a deadline.
 	runningWalk *profileWalk
 	// lateBy is how long after missedDeadline, the first deadline by which the
 	// work does not fit, that work would be done; zero if all work fits.
@@ -264,8 +264,9 @@
 }
 
 // overrun returns how long after the deadline, which is seconds away, the
-// needed work would be done. Only resources that need asks for count. It returns
-// overrunWithoutCapacity if the work on those with capacity left is done by then.
+// needed work would be done. It compares only resources that need contains and that
+// have capacity left. If all work on these is done by the deadline, a resource without
+// capacity is short, and it returns overrunWithoutCapacity.
 func overrun(needed, rate resourceSeconds, need Resources, seconds float64) time.Duration {
 	longest := 0.0
 	if need.CPU > 0 && rate.cpu > 0 {
--- a/placement/arrivals/generate.go
+++ b/placement/arrivals/generate.go
@@ -28,7 +28,7 @@
 	// name.
 	MisdeclaringCustomers float64
 	// MisdeclaredNames is the share of the job names of all other customers whose
-	// declared run times are wrong by such a factor.
+	// declared run times are wrong, by a factor between 0.2 and 5 per job name.
 	MisdeclaredNames float64
 	// DeclarationNoise is the standard deviation of the logarithm of a random
 	// error on every declared run time.
@@ -261,7 +261,8 @@
 	return Arrival{Job: j, ActualRuntime: runtime, Peak: peak}
 }
 
-// slack draws the time from the earliest end to the deadline.
+// slack draws the time from the earliest end to the deadline of a job with the given
+// run time.
 func (g *generator) slack(runtime time.Duration) time.Duration {
 	if g.rand.Float64() < g.workload.TightDeadlines {
 		return minTightSlack + time.Duration((1+tightRunsRange*g.rand.Float64())*float64(runtime))
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -108,8 +108,8 @@
 
 // BenchmarkEvaluate measures rounds in which some tasks end, new jobs fill the
 // queue up to 10,000 tasks, and one evaluation is computed and its starts are
-// placed. It reports starts per second over all of this, the 99th percentile of
-// evaluating and placing, and the number of running tasks.
+// placed. It reports the starts per second of whole rounds, the 99th percentile of
+// the time to evaluate and place, and the number of running tasks.
 //
 // With several ends per evaluation, as under group commit, the fixed cost of an
 // evaluation is shared.
--- a/placement/cluster.go
+++ b/placement/cluster.go
@@ -47,8 +47,8 @@
 	// forecasts counts the calls of planner.forecast. The forecast of a worker is
 	// valid in the call whose number is its forecastID.
 	forecasts uint64
-	// unboundedUsage is what tasks without an expected end use of the
-	// schedulable workers. Projections never count it as released.
+	// unboundedUsage is the usage of the schedulable workers by tasks without an
+	// expected end. Projections never count it as released.
 	unboundedUsage Resources
 }
 
--- a/placement/evaluate.go
+++ b/placement/evaluate.go
@@ -180,7 +180,7 @@
 	}
 }
 
-// rollback releases what the starts of the plan allocated.
+// rollback releases the resources that the starts of the plan allocated.
 func (p *planner) rollback() {
 	for _, s := range p.plan.Starts {
 		e := p.cluster.queue.entries[s.Job]
--- a/placement/gang.go
+++ b/placement/gang.go
@@ -8,7 +8,7 @@
 
 // placeGang starts all tasks of a gang or none, and reports whether it did.
 // Holding resources for a part of a gang could deadlock two gangs, each holding
-// what the other needs.
+// resources that the other needs.
 func (p *planner) placeGang(e *entry) bool {
 	tasks := p.remaining(e)
 	if tasks > p.budget && len(p.plan.Starts) > 0 {
--- a/placement/preempt.go
+++ b/placement/preempt.go
@@ -29,8 +29,8 @@
 	return e.job.Tasks - e.planned
 }
 
-// expectedFree is what the worker has free once all stopping tasks have ended,
-// less what other urgent entries take in this evaluation.
+// expectedFree returns the resources that are free on the worker once all stopping
+// tasks have ended, less those that other urgent entries take in this evaluation.
 func (p *planner) expectedFree(w *worker) Resources {
 	if w.reservedEval == p.evaluation {
 		return w.reservation.remaining
--- a/placement/profile.go
+++ b/placement/profile.go
@@ -81,8 +81,8 @@
 	more  bool
 	// now is the time from which the work is counted, in Unix seconds.
 	now float64
-	// finished is the work of the tasks that end up to the current time, and
-	// active the usage of all others.
+	// finished is the work of the tasks that end by the time of the last call of
+	// until, and active the usage of all other tasks.
 	finished resourceSeconds
 	active   Resources
 }
@@ -94,8 +94,8 @@
 	return w
 }
 
-// until returns the work that running tasks use within the next seconds. Calls
-// must pass increasing values.
+// until returns the work that running tasks do from w.now until the given number of
+// seconds later. Calls must pass increasing values.
 func (w *profileWalk) until(seconds float64) resourceSeconds {
 	for w.more {
 		cell := w.steps.Value()
