--- a/dispatch/reason_test.go
+++ b/dispatch/reason_test.go
@@ -17,8 +17,8 @@
 	return found
 }
 
-// waitingGang returns a gang of count tasks that need that many cores each. With nil
-// permits it may run on any worker.
+// waitingGang returns a gang of count tasks of need cores each. With nil permits it may
+// run on any worker.
 func waitingGang(job string, count int, need int64, permits map[string]Permit) Step {
 	s := step(job, count, need)
 	s.Spec.Gang = true
@@ -28,16 +28,15 @@
 	return s
 }
 
-// gangsAhead returns urgent gangs, as many as get a reservation, each with two tasks of
-// four cores.
+// gangsAhead returns maxReservedGangs urgent gangs, each with two tasks of four cores.
 func gangsAhead(permits map[string]Permit) []Step {
-	var list []Step
+	var gangs []Step
 	for i := range maxReservedGangs {
 		s := waitingGang(fmt.Sprintf("before%02d", i), 2, 4, permits)
 		s.Priority = -1
-		list = append(list, s)
+		gangs = append(gangs, s)
 	}
-	return list
+	return gangs
 }
 
 // Guards against waiting steps that are listed under a wrong reason.
@@ -46,15 +45,15 @@
 	expired := Permit{Granted: true}
 	noQueries := limits
 	noQueries.Queries = 0
-	both := map[string]Permit{"w0": valid, "w1": valid}
+	bothValid := map[string]Permit{"w0": valid, "w1": valid}
 	allExpired := map[string]Permit{"w0": expired, "w1": expired}
 	first := waitingGang("first", 3, 4, nil)
 	first.Priority = -1
-	soon := func(list []Worker) []Worker {
-		for i := range list {
-			list[i].Releases = []Release{{At: time.Second, Resources: cores(16)}}
+	freeSoon := func(pool []Worker) []Worker {
+		for i := range pool {
+			pool[i].Releases = []Release{{At: time.Second, Resources: cores(16)}}
 		}
-		return list
+		return pool
 	}
 	querying := waitingGang("a", 2, 4, allExpired)
 	querying.AwaitsResponse = true
@@ -66,18 +65,18 @@
 		want    Reason
 	}{
 		{"a task fits nowhere", []Step{step("a", 1, 4)}, workers(3, 2), limits, ReasonNoCapacity},
-		{"a gang fits nowhere", []Step{waitingGang("a", 3, 4, both)}, workers(4, 4), limits, ReasonNoCapacity},
+		{"a gang fits nowhere", []Step{waitingGang("a", 3, 4, bothValid)}, workers(4, 4), limits, ReasonNoCapacity},
 		{"a gang in free resources that are too fragmented", []Step{waitingGang("a", 2, 4, nil)}, workers(3, 3, 3), limits, ReasonNoCapacity},
-		{"a task in resources reserved for a gang", []Step{first, step("a", 1, 4)}, soon(workers(4, 4)), limits, ReasonReserved},
-		{"a gang in resources reserved for another gang", []Step{first, waitingGang("a", 2, 4, both)}, soon(workers(4, 4)), limits, ReasonReserved},
-		{"a gang after others that doesn't fit", append(gangsAhead(both), waitingGang("a", 9, 4, allExpired)), soon(workers(4, 0)), limits, ReasonGangCannotQuery},
-		{"a gang after others that would fit into reserved resources", append(gangsAhead(both), waitingGang("a", 1, 4, allExpired)), soon(workers(4, 0)), limits, ReasonReserved},
+		{"a task in resources reserved for a gang", []Step{first, step("a", 1, 4)}, freeSoon(workers(4, 4)), limits, ReasonReserved},
+		{"a gang in resources reserved for another gang", []Step{first, waitingGang("a", 2, 4, bothValid)}, freeSoon(workers(4, 4)), limits, ReasonReserved},
+		{"a gang after others that doesn't fit", append(gangsAhead(bothValid), waitingGang("a", 9, 4, allExpired)), freeSoon(workers(4, 0)), limits, ReasonGangCannotQuery},
+		{"a gang after others that would fit into reserved resources", append(gangsAhead(bothValid), waitingGang("a", 1, 4, allExpired)), freeSoon(workers(4, 0)), limits, ReasonReserved},
 		{"a gang after others that fits without tickets", append(gangsAhead(map[string]Permit{"w2": valid}), waitingGang("a", 2, 4, allExpired)),
 			workers(4, 4, 0), limits, ReasonAwaitsAdviser},
 		{"a gang after others that fits without tickets while no query may be sent", append(gangsAhead(map[string]Permit{"w2": valid}), waitingGang("a", 2, 4, allExpired)),
 			workers(4, 4, 0), noQueries, ReasonNoConnection},
 		{"a gang after others that fits only with reserved resources", append(gangsAhead(map[string]Permit{"w0": valid}), waitingGang("a", 3, 4, allExpired)),
-			soon(workers(4, 9)), limits, ReasonReserved},
+			freeSoon(workers(4, 9)), limits, ReasonReserved},
 		{"no connection to query for a task", []Step{needsPermit(step("a", 1, 4), nil)}, workers(9), noQueries, ReasonNoConnection},
 		{"no connection to renew the ticket of a task", []Step{needsPermit(step("a", 1, 4), allExpired)}, workers(9), noQueries, ReasonNoConnection},
 		{"no connection to query for a gang", []Step{waitingGang("a", 2, 4, allExpired)}, workers(4, 4), noQueries, ReasonNoConnection},
@@ -94,12 +93,12 @@
 // Guards against a gang that is listed as waiting for free resources while runs are
 // preempted for the gang.
 func TestGangReportsPreemptionAsReason(t *testing.T) {
-	list := workers(0)
+	pool := workers(0)
 	for range 4 {
-		list[0].Releases = append(list[0].Releases, Release{At: 9 * time.Second, Resources: cores(4), Priority: 2, Preemptible: true})
+		pool[0].Releases = append(pool[0].Releases, Release{At: 9 * time.Second, Resources: cores(4), Priority: 2, Preemptible: true})
 	}
 	for _, permits := range []map[string]Permit{nil, {"w0": {Granted: true, Expires: time.Hour}}} {
-		plan := Decide(0, []Step{waitingGang("a", 2, 4, permits)}, []Worker{list[0]}, limits)
+		plan := Decide(0, []Step{waitingGang("a", 2, 4, permits)}, []Worker{pool[0]}, limits)
 		must.SliceLen(t, 2, plan.Preemptions)
 		must.Eq(t, ReasonPreempting, reasons(plan)["a"])
 	}
@@ -107,28 +106,28 @@
 
 // Guards against reserved resources that are counted as occupied by runs.
 func TestReservedResourcesAreSeparateFromFree(t *testing.T) {
-	list := workers(8, 4)
-	Decide(0, []Step{step("a", 1, 4), waitingGang("gang", 3, 4, nil)}, list, limits)
-	must.Eq(t, int64(0), list[0].Reserved.MilliCPU)
-	list[0].Releases = []Release{{At: time.Second, Resources: cores(4)}}
-	list = soonFree(workers(8, 4))
-	plan := Decide(0, []Step{step("a", 1, 4), waitingGang("gang", 3, 4, nil)}, list, limits)
+	pool := workers(8, 4)
+	Decide(0, []Step{step("a", 1, 4), waitingGang("gang", 3, 4, nil)}, pool, limits)
+	must.Eq(t, int64(0), pool[0].Reserved.MilliCPU)
+	pool[0].Releases = []Release{{At: time.Second, Resources: cores(4)}}
+	pool = soonFree(workers(8, 4))
+	plan := Decide(0, []Step{step("a", 1, 4), waitingGang("gang", 3, 4, nil)}, pool, limits)
 	must.Eq(t, []string{"a/0@w1"}, started(plan))
-	must.Eq(t, int64(12_000), list[0].Reserved.MilliCPU+list[1].Reserved.MilliCPU)
-	must.Eq(t, int64(8_000), list[0].Free.MilliCPU+list[0].Reserved.MilliCPU)
-	must.Eq(t, int64(0), list[1].Free.MilliCPU+list[1].Reserved.MilliCPU)
+	must.Eq(t, int64(12_000), pool[0].Reserved.MilliCPU+pool[1].Reserved.MilliCPU)
+	must.Eq(t, int64(8_000), pool[0].Free.MilliCPU+pool[0].Reserved.MilliCPU)
+	must.Eq(t, int64(0), pool[1].Free.MilliCPU+pool[1].Reserved.MilliCPU)
 }
 
-// soonFree lets four cores come free soon on each worker.
-func soonFree(list []Worker) []Worker {
-	for i := range list {
-		list[i].Releases = []Release{{At: time.Second, Resources: cores(4)}}
+// soonFree gives each worker a run that is expected to release four cores after a second.
+func soonFree(pool []Worker) []Worker {
+	for i := range pool {
+		pool[i].Releases = []Release{{At: time.Second, Resources: cores(4)}}
 	}
-	return list
+	return pool
 }
 
-// Guards against speculative copies that are counted as steps beyond the bound: their tasks
-// already run.
+// Guards against speculative copies that Plan.BeyondBound counts as waiting steps: the tasks
+// of a copy already run.
 func TestCopiesAreNotCountedBeyondBound(t *testing.T) {
 	bounded := limits
 	bounded.Steps = 2
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -30,9 +30,9 @@
 	connections []time.Duration
 	responses   []replayResponse
 	earmarked   map[string]bool
-	// remaining are the workers as the last full decision left them, firstSkipped is the
-	// first step beyond its bound, and changed are the jobs with a change since then.
-	// Incremental decisions use them.
+	// remaining are the workers as the last full decision left them, firstSkipped is its
+	// Plan.FirstSkipped, and changed holds the IDs of the jobs that have changed since that
+	// decision. Incremental decisions use all three.
 	remaining    []Worker
 	firstSkipped *Step
 	changed      map[string]bool
@@ -45,10 +45,11 @@
 	freeSum                         float64
 }
 
-// replayRun is a live run of a task on the worker with an index.
+// replayRun is a live run of a task.
 type replayRun struct {
-	job    *replayJob
-	task   workflow.TaskKey
+	job  *replayJob
+	task workflow.TaskKey
+	// worker is the index of the worker in the pool.
 	worker int
 	// end is when the run ends, expected is when it would end by its estimate, and duration
 	// is how long it takes unless it fails or is stopped.
@@ -56,7 +57,7 @@
 	fails, stops                   bool
 }
 
-// replayResponse is a response of the adviser that is in flight and arrives at a time.
+// replayResponse is a response from the adviser that is in flight. at is when it arrives.
 type replayResponse struct {
 	at    time.Duration
 	job   *replayJob
@@ -84,8 +85,8 @@
 	// minRunTimeFactor is the share of the estimated run time of its current step that a job
 	// must have left to count as in time.
 	minRunTimeFactor = 0.6
-	// minRemainingDivisor divides the duration of a run: at least that part of it is expected
-	// to remain.
+	// minRemainingDivisor is the inverse of the share of a run's duration that is always
+	// expected to remain, also when the run lasts longer than estimated.
 	minRemainingDivisor = 10
 	// minGrantRateWeight is the smallest weight of a response in the mean grant rate.
 	minGrantRateWeight = 0.05
@@ -181,8 +182,8 @@
 }
 
 // decideIncremental makes a decision for the changed jobs alone, with the resources that
-// the last full decision left. Jobs that don't precede the first step beyond the bound of
-// that decision wait for the next full decision.
+// the last full decision left. Jobs whose step doesn't precede firstSkipped wait for the
+// next full decision.
 func (r *replay) decideIncremental() {
 	var steps []Step
 	jobs := map[workflow.StepKey]*replayJob{}
@@ -202,14 +203,14 @@
 	r.apply(&plan, jobs)
 }
 
-// playIncremental runs the replay with submissions until a time, with incremental decisions
-// every tick between full ones.
-func (r *replay) playIncremental(until, tick time.Duration) {
+// playIncremental runs the replay with submissions up to stopAt. It makes full decisions at
+// the usual interval and an incremental one every tick between them.
+func (r *replay) playIncremental(stopAt, tick time.Duration) {
 	fullInterval := r.decisionInterval
 	defer func() { r.decisionInterval = fullInterval }()
 	r.decisionInterval = tick
-	for next := r.now; r.now < until; r.advance() {
-		r.arrive(tick)
+	for next := r.now; r.now < stopAt; r.advance() {
+		r.submitArrivals(tick)
 		if r.now < next {
 			r.decideIncremental()
 			continue
@@ -253,8 +254,8 @@
 // freeConnections returns how many queries may be sent now, and how many of them may be long. A
 // connection counts as free if it becomes so within a second.
 func (r *replay) freeConnections() (all, long int) {
-	for i, until := range r.connections {
-		if until >= r.now+time.Second {
+	for i, freeAt := range r.connections {
+		if freeAt >= r.now+time.Second {
 			continue
 		}
 		all++
@@ -265,7 +266,8 @@
 	return all, long
 }
 
-// shortQueryDivisor divides the connections: that part is reserved for short queries.
+// shortQueryDivisor is the inverse of the share of the connections that is reserved for
+// short queries.
 const shortQueryDivisor = 6
 
 // query sends a query on the connection that becomes free first.
@@ -291,7 +293,7 @@
 	r.responses = append(r.responses, replayResponse{at: usable[first] + responseDelay, job: j, key: query.Step, query: query})
 }
 
-// applyResponse applies a response of the adviser.
+// applyResponse applies a response from the adviser.
 func (r *replay) applyResponse(response replayResponse) {
 	j, k := response.job, response.job.kind
 	if j.ended > 0 || j.step != response.key.Step {
@@ -332,11 +334,11 @@
 
 // start starts a task.
 func (r *replay) start(j *replayJob, s Start) {
-	spec, work := j.specs[s.Task.Step], j.works[s.Task.Step]
+	spec, fullRunTime := j.specs[s.Task.Step], j.runTimes[s.Task.Step]
 	w := slices.IndexFunc(r.workers, func(w Worker) bool { return w.ID == s.Worker })
 	r.workers[w].Free = r.workers[w].Free.Minus(spec.Demand())
 	remaining := 1 - j.saved[s.Task]
-	runTime := time.Duration(remaining * float64(work) * []float64{1, 1, slowWorkerFactor}[w%3])
+	runTime := time.Duration(remaining * float64(fullRunTime) * []float64{1, 1, slowWorkerFactor}[w%3])
 	run := &replayRun{job: j, task: s.Task, worker: w, begin: r.now, end: r.now + runTime, duration: runTime,
 		expected: r.now + time.Duration(remaining*float64(spec.EstimateMS)*1e6)}
 	if !spec.Gang && r.random.Float64() < j.kind.failingShare {
@@ -432,12 +434,12 @@
 	return float64(free) / float64(all)
 }
 
-// play runs the replay with submissions until a time and without any for the time quiet
-// after that.
-func (r *replay) play(until, quiet time.Duration) {
-	for r.now < until+quiet {
-		if r.now < until {
-			r.arrive(r.decisionInterval)
+// play runs the replay with submissions up to submitUntil, and then without submissions for
+// the duration drain.
+func (r *replay) play(submitUntil, drain time.Duration) {
+	for r.now < submitUntil+drain {
+		if r.now < submitUntil {
+			r.submitArrivals(r.decisionInterval)
 		}
 		r.decide()
 		r.advance()
@@ -459,7 +461,7 @@
 
 // longestIdleWait updates idleSince of all jobs and returns the longest time that a job has
 // been idle. A job is idle if it has no run although twice its resources are free on
-// permitted workers, besides those of the idle jobs before it.
+// permitted workers, after the resources for all idle jobs before it are subtracted.
 func (r *replay) longestIdleWait() time.Duration {
 	longest := time.Duration(0)
 	free := slices.Clone(r.workers)
@@ -477,8 +479,9 @@
 	return longest
 }
 
-// takeTwiceTheDemand takes resources for twice the tasks of a step from workers that the adviser
-// permits, queried or not, and reports whether that many are free.
+// takeTwiceTheDemand takes resources for twice the pending tasks of a step from workers that
+// the adviser permits, queried or not. It takes nothing and returns false if these workers
+// have too few free resources.
 func (r *replay) takeTwiceTheDemand(s *Step, j *replayJob, free []Worker) bool {
 	var chosen []*Worker
 	left := 2 * len(s.Pending)
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -32,11 +32,11 @@
 	workers := &fakeWorkers{all: map[string]*fakeWorker{}}
 	controller := New(Config{Address: "own", Workers: workers, Adviser: workers, Logger: log.NewNopLogger(), Counters: noCounters{}}, machine, l)
 	apply := func(command *workflow.Command) {
-		data, err := command.Encode()
+		encoded, err := command.Encode()
 		if err != nil {
 			b.Fatal(err)
 		}
-		if _, err := l.Propose(context.Background(), data); err != nil {
+		if _, err := l.Propose(context.Background(), encoded); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -109,7 +109,7 @@
 }
 
 // BenchmarkDecideMixedLoad measures one decision at the usual load of a large deployment:
-// each worker has five runs, gangs wait and have responses of the adviser for 60 workers
+// each worker has five runs, gangs wait and have responses from the adviser for 60 workers
 // each, and some steps are new.
 func BenchmarkDecideMixedLoad(b *testing.B) {
 	for _, workers := range []int{350, 1100} {
--- a/internal/control/simulation_checks_test.go
+++ b/internal/control/simulation_checks_test.go
@@ -28,11 +28,11 @@
 	maxDescribedSteps = 5
 )
 
-// invariantViolations returns the violations so far of the invariants that must hold at
-// any time.
+// invariantViolations returns the violations that have been found so far of invariants that
+// must always hold.
 func (sim *simulation) invariantViolations() []string {
 	sim.workers.mu.Lock()
-	found := append(slices.Clone(sim.workers.violations), sim.lines.unexpectedOrphans(sim.workers.allowedOrphans)...)
+	found := append(slices.Clone(sim.workers.violations), sim.eventLog.unexpectedOrphans(sim.workers.allowedOrphans)...)
 	sim.workers.mu.Unlock()
 	found = append(found, sim.wronglyGivenUp()...)
 	c := sim.controller()
@@ -78,7 +78,7 @@
 	drained := recoveryTime + work + queryTime
 	deadline := start.Add(2*drained + completionMargin)
 	waitingSince := map[workflow.StepKey]time.Time{}
-	sim.lines.logf("workers recover within %v, open work ends within %v", recoveryTime, drained)
+	sim.eventLog.logf("workers recover within %v, open work ends within %v", recoveryTime, drained)
 	for {
 		time.Sleep(checkInterval)
 		if found := sim.invariantViolations(); len(found) > 0 {
@@ -98,16 +98,18 @@
 	}
 }
 
-// starvedSteps returns the steps that have fitted twice over for too long without a start.
+// starvedSteps returns the steps that have waited for too long without a start although the
+// free resources hold one of their tasks, or the whole gang, spareCapacityFactor times. It
+// ignores all steps while mostlyUsed is set and before checkFrom.
 func (sim *simulation) starvedSteps(steps []openStep, waitingSince map[workflow.StepKey]time.Time, mostlyUsed bool, checkFrom time.Time) (found []openStep) {
 	now := time.Now()
 	waiting := map[workflow.StepKey]bool{}
 	for _, s := range steps {
-		least := spareCapacityFactor
+		requiredFits := spareCapacityFactor
 		if s.spec.Gang {
-			least *= s.spec.Count
+			requiredFits *= s.spec.Count
 		}
-		if sim.containsCrashingTask(s.key.Job) || len(s.notRunning) == 0 || s.fitCount < least || mostlyUsed || now.Before(checkFrom) {
+		if sim.containsCrashingTask(s.key.Job) || len(s.notRunning) == 0 || s.fitCount < requiredFits || mostlyUsed || now.Before(checkFrom) {
 			continue
 		}
 		waiting[s.key] = true
--- a/internal/control/simulation_params_test.go
+++ b/internal/control/simulation_params_test.go
@@ -123,11 +123,11 @@
 
 // drawFaults makes each kind of fault frequent in some simulations and absent in others.
 func (p *simParams) drawFaults(random *rand.Rand) {
-	chance := func(most float64) float64 {
+	chance := func(maxChance float64) float64 {
 		if oneIn(random, 2) {
 			return 0
 		}
-		return logUniform(random, most/30, most)
+		return logUniform(random, maxChance/30, maxChance)
 	}
 	p.faults = faultRates{
 		lost: chance(0.1), unanswered: chance(0.1), late: chance(0.1), slow: chance(0.2), refused: chance(0.2),
@@ -173,8 +173,8 @@
 	switch random.IntN(6) {
 	case 0, 1:
 		step.Gang = true
-		// Gangs with more tasks never have free resources twice over, so awaitCompletion
-		// would not check their wait.
+		// The free resources never hold a gang with more tasks twice, so awaitCompletion
+		// would not check how long the gang waits.
 		step.Count = min(step.Count, max(1, p.workers/3))
 	case 2:
 		step.Speculative = true
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -144,15 +144,15 @@
 		return nil, errors.Wrap(err, "encode quota ledger")
 	}
 	s.Ledger = ledger
-	data, err := cbor.Marshal(s)
-	return data, errors.Wrap(err, "encode state")
+	encoded, err := cbor.Marshal(s)
+	return encoded, errors.Wrap(err, "encode state")
 }
 
 // DecodeState restores the state from a snapshot of this or an earlier format
 // version. It returns an error for a later one.
-func DecodeState(data []byte) (*State, error) {
+func DecodeState(encoded []byte) (*State, error) {
 	s := new(State)
-	if err := cbor.Unmarshal(data, s); err != nil {
+	if err := cbor.Unmarshal(encoded, s); err != nil {
 		return nil, errors.Wrap(err, "decode state")
 	}
 	if s.Format == 0 || s.Format > FormatVersion {
@@ -210,12 +210,12 @@
 
 // occupy records that an attempt occupies a worker.
 func (s *State) occupy(worker string, ref AttemptRef) {
-	set := s.onWorker[worker]
-	if set == nil {
-		set = make(map[AttemptRef]struct{})
-		s.onWorker[worker] = set
+	attempts := s.onWorker[worker]
+	if attempts == nil {
+		attempts = make(map[AttemptRef]struct{})
+		s.onWorker[worker] = attempts
 	}
-	set[ref] = struct{}{}
+	attempts[ref] = struct{}{}
 }
 
 // AttemptsOnWorker returns the attempts that occupy a worker, sorted.
@@ -281,8 +281,8 @@
 	return p, queued > 0 && j.startable()
 }
 
-// placementJob returns the job with that many tasks in the form that package
-// placement uses. Its NotBefore is the latest NotBefore of the queued tasks.
+// placementJob returns the job in the form that package placement uses, with the
+// given number of tasks. Its NotBefore is the latest NotBefore of the queued tasks.
 func (j *Job) placementJob(tasks int) placement.Job {
 	p := placement.Job{
 		ID: j.ID, Customer: j.Customer, Name: j.Spec.Name, Policy: j.Spec.Policy, Tasks: tasks,
--- a/placement/admit.go
+++ b/placement/admit.go
@@ -142,7 +142,7 @@
 		horizon.UTC().Format(time.RFC3339))
 }
 
-// capacityRate is the capacity left beside tasks without an expected end, in
+// capacityRate is the capacity that tasks without an expected end do not use, in
 // resource-seconds per second.
 func (c *Cluster) capacityRate() resourceSeconds {
 	return resourceSecondsOf(c.capacity.minus(c.unboundedUsage), 1)
@@ -174,7 +174,7 @@
 	return AdmissionDecision{Admitted: true, ExpectedStart: c.expectedStart(e, now)}
 }
 
-// admitService refuses a service that does not fit beside the running and
+// admitService refuses a service that does not fit in addition to the running and
 // queued services.
 func (c *Cluster) admitService(e *entry, now time.Time) AdmissionDecision {
 	need := c.unboundedUsage.plus(c.queue.serviceNeed).plus(e.need.times(int64(e.job.Tasks)))
@@ -217,7 +217,7 @@
 	// queuedDemand is the demand of the queued entries with deadlines up to the
 	// one being checked.
 	queuedDemand resourceSeconds
-	// runningWalk returns what the running tasks still use up to a deadline.
+	// runningWalk computes the work that running tasks still do up to a deadline.
 	runningWalk *profileWalk
 	// lateBy is how long after missedDeadline, the first deadline by which the
 	// work does not fit, that work would be done; zero if all work fits.
@@ -264,8 +264,9 @@
 }
 
 // overrun returns how long after the deadline, which is seconds away, the
-// needed work would be done. Only resources that need asks for count. It returns
-// overrunWithoutCapacity if the work on those with capacity left is done by then.
+// needed work would be done. It compares only resources that need contains and that
+// have capacity left. If all work on these is done by the deadline, a resource without
+// capacity is short, and it returns overrunWithoutCapacity.
 func overrun(needed, rate resourceSeconds, need Resources, seconds float64) time.Duration {
 	longest := 0.0
 	if need.CPU > 0 && rate.cpu > 0 {
--- a/placement/arrivals/replay.go
+++ b/placement/arrivals/replay.go
@@ -11,8 +11,9 @@
 // WorkerFault is a period in which a worker fails every task within a second.
 type WorkerFault struct {
 	Worker string
-	From   time.Duration
-	Until  time.Duration
+	// From and Until are times since the start of the simulation.
+	From  time.Duration
+	Until time.Duration
 }
 
 // Config is the configuration of one simulation.
@@ -227,14 +228,14 @@
 		}
 		r.report.addUsage(r.now, e.at, r.used)
 		r.now = e.at
-		if r.handle(e) {
+		if r.handleEvent(e) {
 			r.evaluate()
 		}
 	}
 }
 
-// handle applies one event and reports whether an evaluation must follow.
-func (r *replay) handle(e event) bool {
+// handleEvent applies one event and reports whether an evaluation must follow.
+func (r *replay) handleEvent(e event) bool {
 	switch e.kind {
 	case eventArrival:
 		return r.handleArrival(e.job)
@@ -270,10 +271,10 @@
 
 // enqueue replaces the queue entry of a job by one with its waiting tasks.
 func (r *replay) enqueue(j *job, notBefore time.Time) {
-	entry := j.arrival.Job
-	entry.Tasks = len(j.waiting)
-	entry.NotBefore = notBefore
-	r.cluster.Enqueue(entry)
+	queuedJob := j.arrival.Job
+	queuedJob.Tasks = len(j.waiting)
+	queuedJob.NotBefore = notBefore
+	r.cluster.Enqueue(queuedJob)
 }
 
 // stopwatchTime returns the time of the stopwatch, or zero without one.
@@ -351,11 +352,11 @@
 	}))
 	r.used = add(r.used, s.Need, 1)
 	r.updateQueueEntry(j)
-	run, failed := j.arrival.ActualRuntime, false
+	runtime, failed := j.arrival.ActualRuntime, false
 	if r.isFaulty(s.Worker) {
-		run, failed = faultyTaskRuntime, true
+		runtime, failed = faultyTaskRuntime, true
 	}
-	r.schedule(event{at: r.now + run, kind: eventEnd, job: j, task: i, attempt: t.attempt, failed: failed})
+	r.schedule(event{at: r.now + runtime, kind: eventEnd, job: j, task: i, attempt: t.attempt, failed: failed})
 }
 
 // updateQueueEntry updates the queue entry of a job after one of its tasks started.
@@ -462,7 +463,7 @@
 // reportSample passes the measurements of a finished task to the cluster.
 func (r *replay) reportSample(j *job) {
 	a := j.arrival.Job
-	r.cluster.AddSample(placement.Sample{Customer: a.Customer, Name: a.Name, Declared: a.Runtime, Measured: j.arrival.ActualRuntime, Need: a.Need, Peak: j.arrival.Peak})
+	r.cluster.AddSample(placement.Sample{Customer: a.Customer, Name: a.Name, DeclaredRuntime: a.Runtime, MeasuredRuntime: j.arrival.ActualRuntime, Need: a.Need, Peak: j.arrival.Peak})
 }
 
 // countUnfinished counts the jobs that are still unfinished as missed.
--- a/placement/cluster.go
+++ b/placement/cluster.go
@@ -47,8 +47,8 @@
 	// forecasts counts the calls of planner.forecast. The forecast of a worker is
 	// valid in the call whose number is its forecastID.
 	forecasts uint64
-	// unboundedUsage is what tasks without an expected end use of the
-	// schedulable workers. Projections never count it as released.
+	// unboundedUsage is the usage of the schedulable workers by tasks without an
+	// expected end. Projections never count it as released.
 	unboundedUsage Resources
 }
 
@@ -253,8 +253,8 @@
 	if t.unbounded {
 		return
 	}
-	run := c.estimator.runtime(t.Customer, t.Name, t.Runtime)
-	t.expectedEnd = t.Started.Add(run.high)
+	runtime := c.estimator.runtime(t.Customer, t.Name, t.Runtime)
+	t.expectedEnd = t.Started.Add(runtime.high)
 }
 
 // occupy allocates resources on a worker.
--- a/placement/gang.go
+++ b/placement/gang.go
@@ -8,7 +8,7 @@
 
 // placeGang starts all tasks of a gang or none, and reports whether it did.
 // Holding resources for a part of a gang could deadlock two gangs, each holding
-// what the other needs.
+// resources that the other needs.
 func (p *planner) placeGang(e *entry) bool {
 	tasks := p.remaining(e)
 	if tasks > p.budget && len(p.plan.Starts) > 0 {
@@ -53,8 +53,8 @@
 	return true
 }
 
-// hasSlotsFor reports whether that many tasks of the entry fit now. It stops
-// counting at that number.
+// hasSlotsFor reports whether the given number of tasks of the entry fit now. It
+// stops counting once it has found enough workers.
 func (p *planner) hasSlotsFor(e *entry, tasks int) bool {
 	found := 0
 	p.cluster.free.ascend(e.need, func(w *worker) bool {
--- a/placement/profile.go
+++ b/placement/profile.go
@@ -61,7 +61,7 @@
 
 // upperBound is the work that running tasks will still use, at most. Overdue tasks
 // count with overdueRemaining from now on, so the result is never below that of a
-// walk. Only the steps in the past are visited.
+// profileWalk. Only the steps in the past are visited.
 func (p *profile) upperBound(now time.Time) resourceSeconds {
 	elapsed := float64(now.Unix()-p.origin) - overdueRemaining.Seconds()
 	left := p.firstMoment.plus(resourceSecondsOf(p.need, -elapsed))
@@ -79,23 +79,23 @@
 type profileWalk struct {
 	steps btree.MapIter[int64, *profileCell]
 	more  bool
-	// now is the start of the walk in Unix seconds.
+	// now is the time from which the work is counted, in Unix seconds.
 	now float64
-	// finished is the work of the tasks that end up to the current time, and
-	// active the usage of all others.
+	// finished is the work of the tasks that end by the time of the last call of
+	// until, and active the usage of all other tasks.
 	finished resourceSeconds
 	active   Resources
 }
 
-// walk returns a walk that starts at now.
+// walk returns a profileWalk that counts the work from now on.
 func (p *profile) walk(now time.Time) *profileWalk {
 	w := &profileWalk{steps: p.steps.Iter(), active: p.need, now: float64(now.UnixMilli()) / 1000}
 	w.more = w.steps.First()
 	return w
 }
 
-// until returns the work that running tasks use within the next seconds. Calls
-// must pass increasing values.
+// until returns the work that running tasks do from w.now until the given number of
+// seconds later. Calls must pass increasing values.
 func (w *profileWalk) until(seconds float64) resourceSeconds {
 	for w.more {
 		cell := w.steps.Value()
--- a/workflow/apply.go
+++ b/workflow/apply.go
@@ -45,14 +45,14 @@
 
 // Encode returns the command as the log stores it.
 func (c *Command) Encode() ([]byte, error) {
-	data, err := cbor.Marshal(c)
-	return data, errors.Wrap(err, "encode a workflow command")
+	encoded, err := cbor.Marshal(c)
+	return encoded, errors.Wrap(err, "encode a workflow command")
 }
 
 // Decode decodes a command that Encode encoded.
-func Decode(data []byte) (Command, error) {
+func Decode(encoded []byte) (Command, error) {
 	var c Command
-	err := cbor.Unmarshal(data, &c)
+	err := cbor.Unmarshal(encoded, &c)
 	return c, errors.Wrap(err, "decode a workflow command")
 }
 
@@ -377,8 +377,8 @@
 	delete(s.loads, id)
 }
 
-// sortedRuns returns runs in the order of their tasks, so that every replica applies them
-// alike.
+// sortedRuns returns runs in the order of their tasks, so that every replica applies them in
+// the same order.
 func sortedRuns(runs map[TaskKey]Run) []Run {
 	sorted := make([]Run, 0, len(runs))
 	for _, run := range runs {
--- a/workflow/state.go
+++ b/workflow/state.go
@@ -77,8 +77,8 @@
 
 // Phases of a job.
 const (
-	// PhasePending: no run that a worker had started has ended yet. PhaseActive: such a run
-	// has ended.
+	// PhasePending means that no worker is known to have started a run of the job, and
+	// PhaseActive that one is. Only the end of a run can prove that a worker started it.
 	PhasePending Phase = iota + 1
 	PhaseActive
 	PhaseDone
@@ -172,14 +172,14 @@
 			flat.RunList = append(flat.RunList, run)
 		}
 	}
-	data, err := cbor.Marshal(&flat)
-	return data, errors.Wrap(err, "encode the workflow state")
+	encoded, err := cbor.Marshal(&flat)
+	return encoded, errors.Wrap(err, "encode the workflow state")
 }
 
 // Restore decodes a state that Snapshot encoded.
-func Restore(data []byte) (*State, error) {
+func Restore(encoded []byte) (*State, error) {
 	s := NewState()
-	if err := cbor.Unmarshal(data, s); err != nil {
+	if err := cbor.Unmarshal(encoded, s); err != nil {
 		return nil, errors.Wrap(err, "decode the workflow state")
 	}
 	for _, run := range s.RunList {
--- a/workflow/workflow_test.go
+++ b/workflow/workflow_test.go
@@ -222,9 +222,9 @@
 				s.Apply(9, &Command{Gone: worker})
 				s.Apply(9, &Command{Worker: &Worker{ID: worker + "'", Service: "s"}})
 			case 5:
-				data, err := s.Snapshot()
+				encoded, err := s.Snapshot()
 				must.NoError(t, err)
-				s, err = Restore(data)
+				s, err = Restore(encoded)
 				must.NoError(t, err)
 			}
 			s.checkCounts(rt)
@@ -269,9 +269,9 @@
 	}
 }
 
-// Guards against a job that is shown as active from the commit of its start on, so that its
-// queue reports no waiting jobs, although the worker may never carry out the order. The end
-// of a run can prove that it was started.
+// Guards against a job that counts as active once the start of a run is committed, although
+// the worker may never start the run: the queue then reports no waiting jobs. A job becomes
+// active only with the end of a run that proves that the worker started it.
 func TestJobIsPendingUntilAnEndProvesAStart(t *testing.T) {
 	s := newState(t, smallStep(1))
 	for _, outcome := range []Outcome{OutcomeNotStarted, OutcomeLost} {
@@ -299,9 +299,9 @@
 	}
 	s.Apply(3, &Command{Start: []Run{run(0), run(1)}})
 	check(s, 6, 2)
-	data, err := s.Snapshot()
+	encoded, err := s.Snapshot()
 	must.NoError(t, err)
-	restored, err := Restore(data)
+	restored, err := Restore(encoded)
 	must.NoError(t, err)
 	check(restored, 6, 2)
 	_, before := s.Used("w")
