--- a/internal/descriptors/inbound.go
+++ b/internal/descriptors/inbound.go
@@ -53,8 +53,8 @@
 
 // LimitServer limits the open connections of a server that isn't serving yet to limit. name
 // is the prefix of its counters. limitPerHost also limits the connections of each remote
-// host, so that one host can't take all; it is for servers whose clients run on different
-// hosts.
+// host, so that one host can't take all connections; set it only if the clients run on
+// different hosts.
 func LimitServer(server *http.Server, name string, limit int, limitPerHost bool, counters Counter) *InboundLimiter {
 	l := &InboundLimiter{
 		name: name, limit: limit, perHost: limit, counters: counters,
--- a/internal/event/file.go
+++ b/internal/event/file.go
@@ -182,8 +182,8 @@
 	}
 }
 
-// recordDrop counts an event that couldn't be written. A full disk may have free space
-// again later, so writing the next event is attempted all the same.
+// recordDrop counts an event that couldn't be written. The next event is written as usual,
+// because a full disk may have free space again by then.
 func (f *File) recordDrop(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/event/recorder.go
+++ b/internal/event/recorder.go
@@ -70,7 +70,7 @@
 
 // RecordAt keeps an event with the timestamp and the instance name of another process of
 // the data centre. Every replica records a committed change with the instance name and
-// timestamp of the proposer. The event so survives the loss of the proposer, and Merge
+// timestamp of the proposer. The event thus survives the loss of the proposer, and Merge
 // recognises the duplicates. A nil Recorder records nothing.
 func (r *Recorder) RecordAt(timestamp hlc.Timestamp, instance, kind, detail string, subjects ...string) {
 	if r == nil {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -11,7 +11,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/wait"
 )
 
-// leaderCall is one call to the leader, with the state of its tries.
+// leaderCall is one call to the leader, with the state of its tries. A try is one request
+// to one instance.
 type leaderCall struct {
 	g       *Gateway
 	method  string
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,14 +18,15 @@
 )
 
 const (
-	// tryTimeout bounds one try. A commit takes some tens of milliseconds, and a
-	// follower with a slow disk doesn't delay it.
+	// tryTimeout bounds one try of a call at the leader. The leader responds after a
+	// commit, which takes some tens of milliseconds and isn't delayed by a follower with a
+	// slow disk.
 	tryTimeout = 900 * time.Millisecond
 	// searchTimeout bounds a try at a member during a search for the leader. A member that
 	// doesn't lead refuses the call within some milliseconds.
 	searchTimeout = 250 * time.Millisecond
-	// searchInterval is the pause after a search has tried all members, and between two
-	// members of a probe: a quarter of the shortest election.
+	// searchInterval is the pause after searchLeader has tried all members, and between
+	// two members that probeForNewLeader asks: a quarter of the shortest election.
 	searchInterval = 60 * time.Millisecond
 	// probeAfter is how long a try at the leader takes before other members are asked for
 	// another leader: longer than several commits, and shorter than the shortest election.
--- a/internal/gateway/version_order.go
+++ b/internal/gateway/version_order.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// reorderTolerance is how much earlier than another request a request may have been
-	// received and still get a response of a newer configuration version. Callers expect
-	// order between requests that they send at least 250 ms apart; the rest of that time is
-	// left for the delay to this instance. The limit costs little, because few responses
-	// are withheld.
+	// reorderTolerance is the greatest time between two requests whose responses may
+	// contradict their order: the earlier request may get a newer configuration version
+	// than the later one. Callers expect order between requests that they send at least
+	// 250 ms apart; the rest of the 250 ms allows for the delay between a caller and this
+	// instance. A short tolerance costs little, because few responses are withheld.
 	reorderTolerance = 100 * time.Millisecond
 	// maxVersionSpans is the maximum number of recorded versions. A request takes 10 s at
 	// most, and few versions are committed in that time.
@@ -121,8 +121,10 @@
 	return nil
 }
 
-// conflictingVersion returns the version of a recorded response that contradicts a
-// response of version to a request received at receivedAt, 0 for none. o.mu must be held.
+// conflictingVersion checks a response of version to a request received at receivedAt
+// against the recorded responses. It returns an older version that a later request got, or
+// a newer version that an earlier request got, if more than reorderTolerance lies between
+// the two requests, and 0 if there is none. o.mu must be held.
 func (o *versionOrder) conflictingVersion(version uint64, receivedAt time.Time) uint64 {
 	for _, span := range o.spans {
 		laterRequestGotOlder := span.version < version && span.lastReceived.Sub(receivedAt) > reorderTolerance
--- a/internal/gateway/version_order_test.go
+++ b/internal/gateway/version_order_test.go
@@ -54,8 +54,9 @@
 	must.StrContains(t, lines.String(), "event=answered_by version=65 before=62 from="+leader)
 }
 
-// startLeaderThatHoldsAdded serves state calls. The response for the queue "added" is of
-// version 65 and is delayed until released is closed; all others are of version 62.
+// startLeaderThatHoldsAdded serves state calls and returns its address. The response for the
+// queue "added" is of version 65 and is delayed until released is closed; all others are of
+// version 62 and aren't delayed.
 func startLeaderThatHoldsAdded(t *testing.T, released <-chan struct{}) string {
 	return startStateServer(t, func(queue string) (uint64, error) {
 		if queue != "added" {
@@ -125,8 +126,8 @@
 	must.NoError(t, order.admit(62, start.Add(2*time.Second), "leader"))
 }
 
-// Many versions are committed. The record must stay bounded, and must still show that an old
-// request can't get a response of the newest version.
+// Many versions are committed. The number of recorded versions must stay bounded, and a
+// response of the newest version to an old request must still be withheld.
 func TestRecordedVersionsAreBounded(t *testing.T) {
 	start := time.Now()
 	order := versionOrder{logger: log.NewNopLogger()}
@@ -162,8 +163,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// The leader's response to a request is of version 65. To a later request, a follower that
-// lags behind reports an ended job with version 62. The caller would see a job of a queue
+// The leader's response to a request is of version 65. A follower that lags behind responds
+// to a later request with an ended job and version 62. The caller would see a job of a queue
 // that version 65 doesn't have.
 func TestOutOfOrderEndedReplyIsIgnored(t *testing.T) {
 	mux := link.NewMux()
--- a/internal/jobfile/jobfile.go
+++ b/internal/jobfile/jobfile.go
@@ -75,8 +75,8 @@
 	return ParseWithDeadline(name, data, "", now)
 }
 
-// ParseWithDeadline is ParseNamed with a deadline, written as in the file, that replaces
-// the file's deadline unless it is empty.
+// ParseWithDeadline is ParseNamed, except that deadline, in the format of a job file,
+// replaces the file's deadline unless deadline is empty.
 func ParseWithDeadline(name string, data []byte, deadline string, now time.Time) (*apiv1.Spec, error) {
 	var raw rawJob
 	file, err := tomlfile.Decode(name, data, &raw)
@@ -125,8 +125,9 @@
 	return nil
 }
 
-// requireIdempotentService marks a service as idempotent and rejects a file that denies
-// it. The tasks of a service are restarted on other workers when a worker is lost.
+// requireIdempotentService marks a service as idempotent and rejects a file that declares
+// a service non-idempotent. The tasks of a service are restarted on other workers when a
+// worker is lost.
 func (r *jobReader) requireIdempotentService() error {
 	if r.spec.Policy != apiv1.Policy_POLICY_SERVICE {
 		return nil
@@ -245,8 +246,8 @@
 		if err != nil {
 			return time.Time{}, err
 		}
-		// Limiting d keeps the sum from overflow, and is still more than checkDeadline
-		// allows.
+		// The limit of 2*maxHorizon keeps now.Add from overflowing, and checkDeadline
+		// still rejects a deadline that far ahead.
 		return checkDeadline(text, now.Add(min(d, 2*maxHorizon)), now)
 	}
 	deadline, err := time.Parse(time.RFC3339, text)
--- a/internal/jobtrace/lines.go
+++ b/internal/jobtrace/lines.go
@@ -106,8 +106,8 @@
 }
 
 // subjectKeys are the keys whose values name a job, worker or machine. Most values are its
-// id. The value of step, task or for is the id of a step or task, whose first part is the
-// job's id. The value of path is a request path, whose last part is the job's id.
+// id. The value of "step", "task" or "for" is the id of a step or task, whose first part is
+// the job's id. The value of "path" is a request path, whose last part is the job's id.
 var subjectKeys = []string{"job", "step", "task", "worker", "beside", "for", "machine", "path"}
 
 // subjects returns the ids of the jobs, workers and machines that a line concerns.
--- a/internal/jobtrace/trace.go
+++ b/internal/jobtrace/trace.go
@@ -34,8 +34,8 @@
 	spanUnsuccessfulRuns = "in unsuccessful runs"
 	spanSuccessfulRuns   = "in runs that did the work"
 	spanDecisionToCommit = "between decisions and their commits"
-	// spanWaiting is the beginning of the activity of a waiting step, which ends with the
-	// reason for the wait.
+	// spanWaiting is the prefix of the activity of a waiting step. The reason for the wait
+	// follows it.
 	spanWaiting = "waiting: "
 )
 
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -196,8 +196,9 @@
 func NewMux() *Mux { return &Mux{http: http.NewServeMux()} }
 
 // SetVersion makes each response name a configuration version: the one recorded with
-// RecordVersion while the call was served, or else the result of version before the call
-// was served, which is never too high.
+// RecordVersion while the call was served, or else the result of version from before the
+// call was served. That result is never newer than the version with which the call was
+// served.
 func (m *Mux) SetVersion(version func() uint64) { m.version.Store(&version) }
 
 func (m *Mux) currentVersion() uint64 {
--- a/internal/peer/count.go
+++ b/internal/peer/count.go
@@ -9,7 +9,7 @@
 	"github.com/bilberryferry/bilberryferry/internal/rpc"
 )
 
-// counters are the running totals behind Stats.
+// counters holds the running totals that Stats reports.
 type counters struct {
 	bytesSent, bytesReceived, dials    atomic.Uint64
 	calls, failures, payloads, dropped atomic.Uint64
@@ -105,8 +105,8 @@
 }
 
 // BlockedPeers blocks traffic from and to peers, so that tests can simulate network
-// partitions. The zero value blocks none, and a nil BlockedPeers too. No call over the
-// network can change it.
+// partitions. The zero value and a nil BlockedPeers block none. Only code in this process
+// can block a peer, no call over the network.
 type BlockedPeers struct {
 	mu    sync.Mutex
 	peers map[string]bool
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -133,8 +133,8 @@
 // queuedPayloads is the number of payloads sent while a peer's response is awaited.
 const queuedPayloads = 100
 
-// A peer responds slowly. Payloads that are queued meanwhile must share one call. With one
-// call each, a slow peer would cost more than a fast one.
+// A peer responds slowly. Payloads that are queued while a response is awaited must share
+// one call. With one call for each payload, a slow peer would cost more than a fast one.
 func TestQueuedPayloadsShareOneCall(t *testing.T) {
 	a, b := newInstance(t, "a", Config{}), newInstance(t, "b", Config{})
 	release, entered := make(chan struct{}), make(chan struct{}, 100)
--- a/internal/peer/sequencer.go
+++ b/internal/peer/sequencer.go
@@ -72,10 +72,11 @@
 	}
 }
 
-// startSession starts a session with the first call of it that arrives, because either the
-// sender or this process has restarted. Calls with lower sequence numbers may still arrive.
-// They are waited for if the session has just begun, since the first calls of a new sender
-// overtake each other too. q.mu must be held.
+// startSession starts a session, whose first call to arrive is r. A new session means that
+// the sender or this process has restarted. Calls with lower sequence numbers than r's may
+// still arrive. The sequencer waits for them if there are at most maxHeldCalls of them,
+// since the sender has then just restarted, and its first calls overtake each other too.
+// q.mu must be held.
 func (q *sequencer) startSession(r *apiv1.ExchangeRequest) {
 	q.releaseAll()
 	q.previousSession, q.session = q.session, r.Session
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -159,8 +159,9 @@
 	Address string
 }
 
-// LeaderIn returns the leader that a member's status names. The address comes from the
-// membership, so that an instance that replaced another is also found.
+// LeaderIn returns the leader that a member's status names. It takes the address from the
+// membership in the status, which also contains instances that have replaced others. The
+// address is empty if the membership doesn't contain the leader.
 func LeaderIn(status replica.Status) Leader {
 	for _, member := range status.Members {
 		if member.ID == status.Leader {
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -269,9 +269,9 @@
 	return nil
 }
 
-// minRenewSlack is the shortest time that must remain of a worker's lease after one renewal
-// was held as a long poll and the next one was lost with the instance that held it. The
-// worker needs that time to find the new leader.
+// minRenewSlack is the time by which a worker's lease must exceed two renewals that are
+// held as long polls. If the instance that holds the second one is lost, the worker has
+// minRenewSlack to find the new leader before its lease expires.
 const minRenewSlack = Duration(time.Second)
 
 // checkTiming rejects durations that aren't positive and those too short relative to
--- a/internal/standin/jobs.go
+++ b/internal/standin/jobs.go
@@ -62,7 +62,7 @@
 	// RetryTimeout bounds the retries of a call whose outcome is unknown; 0 means
 	// DefaultRetryTimeout.
 	RetryTimeout time.Duration
-	// KeepServices keeps services running at the end of Run, which else cancels them.
+	// KeepServices keeps services running at the end of Run; otherwise Run cancels them.
 	KeepServices bool
 	// Dial opens connections; nil means TCP.
 	Dial rpc.Dial
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -85,9 +85,9 @@
 	return m.cfg.Work
 }
 
-// beginRequest registers a request in flight and checks the number of slots. Once the
-// minion has left, it also checks that LeaveGrace hasn't passed. It returns the faults to
-// inject into the request.
+// beginRequest registers a request in flight and returns the faults to inject into it. If
+// more requests than slots are in flight, it calls checkSlotsLater. It records a
+// violation if the minion left more than LeaveGrace ago.
 func (m *Minion) beginRequest() (*request, MinionFaults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -104,9 +104,9 @@
 	return req, m.faults
 }
 
-// checkSlotsLater checks the requests that are in flight now after slotCheckDelay. It
-// records a violation if those whose caller hasn't disconnected until that check exceed
-// the slots. m.mu must be held.
+// checkSlotsLater schedules a check of the requests that are in flight now. After
+// slotCheckDelay, the check counts those whose caller hasn't disconnected, and records a
+// violation if they exceed the slots. m.mu must be held.
 func (m *Minion) checkSlotsLater() {
 	concurrent := make([]*request, 0, len(m.inFlight))
 	for req := range m.inFlight {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -120,8 +120,8 @@
 func (w *Worker) newSession(predecessor *session) *session {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	// Incarnations must increase. The clock ensures it across restarts of this program,
-	// the latest incarnation plus 1 ensures it within one millisecond.
+	// The numbers of incarnations must increase. The clock ensures this across restarts of
+	// this program, and the latest incarnation plus 1 within one millisecond.
 	w.incarnation = max(w.incarnation+1, uint64(time.Now().UnixMilli()))
 	w.session = newSession(w, w.incarnation, w.capacity)
 	w.session.predecessor = predecessor
--- a/internal/tomlfile/nearest.go
+++ b/internal/tomlfile/nearest.go
@@ -54,8 +54,8 @@
 // quadratic time and the word comes from a user.
 const maxComparedBytes = 64
 
-// Bounds on the edits from a mistyped word to the nearest one: maxEdits, and one edit for
-// each bytesPerEdit bytes of the word.
+// Bounds on the number of edits from a mistyped word to the nearest one: at most maxEdits,
+// and at most one for each bytesPerEdit bytes of the word, but one edit in any case.
 const (
 	maxEdits     = 3
 	bytesPerEdit = 3
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// JobToAPI converts a job to its API message, without the payload. A job that has been
-// handed over gets the data centre to which it was handed over.
+// JobToAPI converts a job to its API message, without the payload. The message names
+// dataCentre as the job's data centre, or after a handover the one that received the job.
 func JobToAPI(j *state.Job, dataCentre string, withTasks bool) *apiv1.Job {
 	queued, running, ended := j.Counts()
 	job := &apiv1.Job{
