--- a/internal/descriptors/outbound_test.go
+++ b/internal/descriptors/outbound_test.go
@@ -29,7 +29,7 @@
 func TestDialWaitsAtTheConnectionLimit(t *testing.T) {
 	address := listen(t)
 	limiter := NewOutboundLimiter(2, testDialTimeout)
-	first, err := limiter.DialContext(t.Context(), "tcp", address)
+	firstConn, err := limiter.DialContext(t.Context(), "tcp", address)
 	must.NoError(t, err)
 	_, err = limiter.DialContext(t.Context(), "tcp", address)
 	must.NoError(t, err)
@@ -38,8 +38,8 @@
 	must.True(t, errors.Is(err, ErrLimitReached))
 
 	time.AfterFunc(closeDelay, func() {
-		_ = first.Close()
-		_ = first.Close()
+		_ = firstConn.Close()
+		_ = firstConn.Close()
 	})
 	_, err = limiter.DialContext(t.Context(), "tcp", address)
 	must.NoError(t, err)
--- a/internal/dev/deployment.go
+++ b/internal/dev/deployment.go
@@ -123,11 +123,11 @@
 
 // startProcess runs one process in the background and sends its error to d.failures.
 func (d *Deployment) startProcess(ctx context.Context, instance, role string, listener net.Listener) error {
-	base, err := daemon.NewBase(d.Settings, instance, role, d.logs, d.network.Dial)
+	daemonBase, err := daemon.NewBase(d.Settings, instance, role, d.logs, d.network.Dial)
 	if err != nil {
 		return err
 	}
-	base.Listener = listener
+	daemonBase.Listener = listener
 	serve := map[string]func(context.Context, *daemon.Base) error{"cell": cell.Serve, "entry": entry.Serve}[role]
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
@@ -139,7 +139,7 @@
 	d.mu.Unlock()
 	d.processes.Go(func() {
 		defer close(done)
-		if err := serve(ctx, base); err != nil {
+		if err := serve(ctx, daemonBase); err != nil {
 			d.failures <- errors.Wrapf(err, "%s/%s", instance, role)
 		}
 	})
--- a/internal/dev/run.go
+++ b/internal/dev/run.go
@@ -230,10 +230,10 @@
 		Rate: r.size.RequestRate, Duration: requestLoadDuration, Deadline: requestDeadline, NonIdempotentShare: nonIdempotentShare, Seed: 1, Ledger: r.ledger,
 		Dial: r.deployment.network.Dial,
 	})
-	var work errgroup.Group
-	work.Go(func() error { return r.jobs.Run(ctx) })
-	work.Go(func() error { return r.callers.Run(ctx) })
-	return work.Wait()
+	var group errgroup.Group
+	group.Go(func() error { return r.jobs.Run(ctx) })
+	group.Go(func() error { return r.callers.Run(ctx) })
+	return group.Wait()
 }
 
 // arrivals reads the example's job files and the customers' tokens, by name. The customers
@@ -284,7 +284,7 @@
 // writes the daemons' logs to logs. It returns whether both results have passed. With
 // stay, the deployments keep running after the sample work until the context ends.
 func Run(ctx context.Context, out, logs io.Writer, size Size, stay bool) (bool, error) {
-	results, err := runOver(ctx, Loopback{}, out, logs, size, stay)
+	results, err := runOnNetwork(ctx, Loopback{}, out, logs, size, stay)
 	return err == nil && allResults(results, (*Result).Passed), err
 }
 
@@ -298,8 +298,8 @@
 	return true
 }
 
-// runOver does the work of Run over the given network and returns the results.
-func runOver(ctx context.Context, network Network, out, logs io.Writer, size Size, stay bool) ([]Result, error) {
+// runOnNetwork does the work of Run over the given network and returns the results.
+func runOnNetwork(ctx context.Context, network Network, out, logs io.Writer, size Size, stay bool) ([]Result, error) {
 	folder, err := os.MkdirTemp("", "bilberry-dev-")
 	if err != nil {
 		return nil, err
@@ -339,16 +339,16 @@
 // prints the results.
 func runAllSampleWork(ctx context.Context, runs []*run, out io.Writer, usage usage) ([]Result, error) {
 	progress := newProgress(out)
-	var work errgroup.Group
+	var group errgroup.Group
 	for _, r := range runs {
-		work.Go(func() error {
+		group.Go(func() error {
 			if err := r.configure(ctx); err != nil {
 				return err
 			}
 			return r.runSampleWork(ctx, func(j standin.JobResult) { progress.printJob(r.name, j) })
 		})
 	}
-	if err := work.Wait(); err != nil {
+	if err := group.Wait(); err != nil {
 		return nil, err
 	}
 	var results []Result
--- a/internal/dev/run_test.go
+++ b/internal/dev/run_test.go
@@ -36,7 +36,7 @@
 	useOneProcessor(t)
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
-		results, err := runOver(t.Context(), newMemoryNetwork(), &out, io.Discard, testSize(), false)
+		results, err := runOnNetwork(t.Context(), newMemoryNetwork(), &out, io.Discard, testSize(), false)
 		must.NoError(t, err)
 		must.True(t, allResults(results, (*Result).Passed), must.Sprint(out.String()))
 		must.True(t, allResults(results, allRequestsCorrect), must.Sprint(out.String()))
@@ -70,7 +70,7 @@
 func TestSampleWorkOverSockets(t *testing.T) {
 	baseline := startBaseline(t)
 	var out bytes.Buffer
-	results, err := runOver(t.Context(), Loopback{}, &out, io.Discard, testSize(), false)
+	results, err := runOnNetwork(t.Context(), Loopback{}, &out, io.Discard, testSize(), false)
 	fast := baseline.stopAndCheck(t)
 	t.Log(out.String())
 	must.True(t, allResults(results, (*Result).correct))
--- a/internal/e2e/chaos_test.go
+++ b/internal/e2e/chaos_test.go
@@ -61,8 +61,8 @@
 }
 
 func (f *faultInjector) randomInstance() settings.Instance {
-	all := f.cluster.deployment.Settings.Instances
-	return all[f.random.IntN(len(all))]
+	instances := f.cluster.deployment.Settings.Instances
+	return instances[f.random.IntN(len(instances))]
 }
 
 // injectOrEndFault injects or ends one random fault. It kills or pauses a process only if no
--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -185,8 +185,8 @@
 func (c *cluster) logTail() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	all := c.logs.String()
-	return all[max(0, len(all)-logTailBytes):]
+	logText := c.logs.String()
+	return logText[max(0, len(logText)-logTailBytes):]
 }
 
 // start starts the daemon of an instance for a role, "cell" or "entry".
--- a/internal/e2e/job_end_test.go
+++ b/internal/e2e/job_end_test.go
@@ -36,13 +36,13 @@
 	id := customer.submit("told", batch("report", 1, 4000, true)).Id
 	c.eventually("the job runs", func() bool { return customer.status(id).State == apiv1.JobState_JOB_STATE_RUNNING })
 	dataCentre := c.deployment.Settings.DataCentres()[0]
-	lost := c.leader(dataCentre)
-	c.kill(lost + "/cell")
+	killedLeader := c.leader(dataCentre)
+	c.kill(killedLeader + "/cell")
 	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(id).State)
 	ctx, operations := c.operatorClients()
 	response, err := operations[0].Events(ctx, &apiv1.EventsRequest{Subject: id})
 	must.NoError(t, err)
-	must.Eq(t, []string{lost + "/cell"}, response.UnreachableInstances)
+	must.Eq(t, []string{killedLeader + "/cell"}, response.UnreachableInstances)
 	var kinds []string
 	for i, e := range response.Events {
 		kinds = append(kinds, e.Kind)
@@ -51,6 +51,6 @@
 		}
 	}
 	must.Eq(t, []string{"job accepted", "attempt started", "attempt ended", "job ended"}, kinds)
-	must.Eq(t, lost+"/cell", response.Events[1].Instance)
-	must.NotEq(t, lost+"/cell", response.Events[2].Instance)
+	must.Eq(t, killedLeader+"/cell", response.Events[1].Instance)
+	must.NotEq(t, killedLeader+"/cell", response.Events[2].Instance)
 }
--- a/internal/e2e/partition_test.go
+++ b/internal/e2e/partition_test.go
@@ -61,8 +61,8 @@
 	customer := c.customer(0)
 	source := customer.inDataCentre(dataCentres[0])
 	stop := make(chan struct{})
-	var toggler sync.WaitGroup
-	toggler.Go(func() {
+	var partitioner sync.WaitGroup
+	partitioner.Go(func() {
 		for partitioned := true; ; partitioned = !partitioned {
 			select {
 			case <-stop:
@@ -85,7 +85,7 @@
 		ids[response.Id] = true
 	}
 	close(stop)
-	toggler.Wait()
+	partitioner.Wait()
 	c.network.setPartitioned(dataCentres[0], false)
 	for id := range ids {
 		job := customer.awaitEnd(id)
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -79,12 +79,12 @@
 // instance. Only causally unrelated events can have equal timestamps. Merge removes
 // duplicates, which occur when two instances return the same event.
 func Merge(perInstance ...[]Event) []Event {
-	var all []Event
+	var merged []Event
 	for _, events := range perInstance {
-		all = append(all, events...)
+		merged = append(merged, events...)
 	}
-	slices.SortStableFunc(all, compareEvents)
-	return slices.CompactFunc(all, equalEvents)
+	slices.SortStableFunc(merged, compareEvents)
+	return slices.CompactFunc(merged, equalEvents)
 }
 
 // compareEvents orders events by timestamp, then by their remaining fields.
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -26,8 +26,8 @@
 		r.Append(eventAt(i, 0, "a", "k", fmt.Sprint(i%2)))
 	}
 	must.Eq(t, 3, r.Len())
-	all := r.Since("", 0, 0)
-	must.Eq(t, []int64{2, 3, 4}, []int64{all[0].Timestamp.Wall, all[1].Timestamp.Wall, all[2].Timestamp.Wall})
+	events := r.Since("", 0, 0)
+	must.Eq(t, []int64{2, 3, 4}, []int64{events[0].Timestamp.Wall, events[1].Timestamp.Wall, events[2].Timestamp.Wall})
 	must.Len(t, 2, r.Since("0", 0, 0))
 	must.Len(t, 1, r.Since("0", 3, 0))
 	must.Eq(t, int64(4), r.Since("", 0, 1)[0].Timestamp.Wall)
@@ -76,9 +76,9 @@
 		must.LessEq(t, maxDetailBytes, len(e.Detail))
 		must.True(t, utf8.ValidString(e.Detail))
 	}
-	var none *Recorder
-	none.Record("k", "")
-	must.SliceEmpty(t, none.Since("", 0, 0))
+	var nilRecorder *Recorder
+	nilRecorder.Record("k", "")
+	must.SliceEmpty(t, nilRecorder.Since("", 0, 0))
 }
 
 // A process crashes while it writes an event and leaves a truncated last line. After the
@@ -90,11 +90,11 @@
 	must.NoError(t, err)
 	f.Append(eventAt(1, 0, "a", "first", "x"))
 	must.NoError(t, f.Close())
-	raw, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
+	file, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
 	must.NoError(t, err)
-	_, err = raw.WriteString(`{"format":1,"wall`)
+	_, err = file.WriteString(`{"format":1,"wall`)
 	must.NoError(t, err)
-	must.NoError(t, raw.Close())
+	must.NoError(t, file.Close())
 
 	f, err = OpenFile(path, 0)
 	must.NoError(t, err)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -67,12 +67,12 @@
 // the change may have been committed.
 func TestRefusalAfterUnknownTryIsUnknown(t *testing.T) {
 	tries := 0
-	lost := startCancelServer(t, func() error {
+	formerLeader := startCancelServer(t, func() error {
 		tries++
 		return fault.New(fault.Unknown, "the leadership was lost")
 	})
-	refusing := startCancelServer(t, func() error { return fault.New(fault.Overloaded, "full") })
-	err := callCancel(t, time.Second, lost, refusing)
+	refusingLeader := startCancelServer(t, func() error { return fault.New(fault.Overloaded, "full") })
+	err := callCancel(t, time.Second, formerLeader, refusingLeader)
 	must.Eq(t, fault.Unknown, fault.KindOf(err))
 	must.Eq(t, 1, tries)
 }
--- a/internal/gateway/version_order.go
+++ b/internal/gateway/version_order.go
@@ -108,9 +108,9 @@
 func (o *versionOrder) admit(version uint64, receivedAt time.Time, answeredBy string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if other := o.conflictingVersion(version, receivedAt); other != 0 {
+	if conflicting := o.conflictingVersion(version, receivedAt); conflicting != 0 {
 		return fault.Retry(fault.Unavailable, RetryAfter,
-			"the response of configuration version %d is withheld, because another request got one of version %d", version, other)
+			"the response of configuration version %d is withheld, because another request got one of version %d", version, conflicting)
 	}
 	o.record(version, receivedAt)
 	if version != o.lastVersion {
--- a/internal/gateway/version_order_test.go
+++ b/internal/gateway/version_order_test.go
@@ -54,10 +54,10 @@
 	must.StrContains(t, lines.String(), "event=answered_by version=65 before=62 from="+leader)
 }
 
-// startLeaderThatHoldsAdded serves state calls and returns its address. The response for the
+// startDelayingLeader serves state calls and returns its address. The response for the
 // queue "added" is of version 65 and is delayed until released is closed; all others are of
 // version 62 and aren't delayed.
-func startLeaderThatHoldsAdded(t *testing.T, released <-chan struct{}) string {
+func startDelayingLeader(t *testing.T, released <-chan struct{}) string {
 	return startStateServer(t, func(queue string) (uint64, error) {
 		if queue != "added" {
 			return 62, nil
@@ -76,13 +76,13 @@
 // configuration adds, while the caller of the later one saw a queue that it removes.
 func TestEarlierRequestGetsNoNewerVersion(t *testing.T) {
 	released := make(chan struct{})
-	g := New(link.NewClient(maxConnections), "own", []string{startLeaderThatHoldsAdded(t, released)}, log.NewNopLogger())
-	first := make(chan error, 1)
-	go func() { first <- callState(t.Context(), g, "added") }()
+	g := New(link.NewClient(maxConnections), "own", []string{startDelayingLeader(t, released)}, log.NewNopLogger())
+	firstResult := make(chan error, 1)
+	go func() { firstResult <- callState(t.Context(), g, "added") }()
 	time.Sleep(laterRequestDelay)
 	must.NoError(t, callState(t.Context(), g, "dropped"))
 	close(released)
-	err := <-first
+	err := <-firstResult
 	must.Error(t, err)
 	must.Eq(t, fault.Unavailable, fault.KindOf(err))
 	must.Eq(t, RetryAfter, fault.From(err).RetryAfter)
@@ -94,8 +94,8 @@
 func TestVersionOrderFollowsRequestOrder(t *testing.T) {
 	start := time.Now()
 	for _, c := range []struct {
-		name          string
-		first, second uint64
+		name                        string
+		firstVersion, secondVersion uint64
 		// later is how long after the request of the first response the request of the
 		// second one was received.
 		later   time.Duration
@@ -110,8 +110,8 @@
 		{"an older version for a later request", 65, 62, reorderTolerance + 1, false},
 	} {
 		order := versionOrder{logger: log.NewNopLogger()}
-		must.NoError(t, order.admit(c.first, start, "leader"))
-		err := order.admit(c.second, start.Add(c.later), "leader")
+		must.NoError(t, order.admit(c.firstVersion, start, "leader"))
+		err := order.admit(c.secondVersion, start.Add(c.later), "leader")
 		must.Eq(t, c.allowed, err == nil, must.Sprint(c.name))
 	}
 }
@@ -166,7 +166,7 @@
 // The leader's response to a request is of version 65. A follower that lags behind responds
 // to a later request with an ended job and version 62. The caller would see a job of a queue
 // that version 65 doesn't have.
-func TestOutOfOrderEndedReplyIsIgnored(t *testing.T) {
+func TestOutOfOrderEndedJobResponseIsIgnored(t *testing.T) {
 	mux := link.NewMux()
 	link.Handle(mux, control.MethodEnded, func(ctx context.Context, _ *control.EndedCall) (control.EndedReply, error) {
 		link.RecordVersion(ctx, 62)
--- a/internal/jobfile/jobfile.go
+++ b/internal/jobfile/jobfile.go
@@ -87,7 +87,7 @@
 		raw.Deadline = (*deadlineText)(&deadline)
 	}
 	r := jobReader{file: file, raw: &raw, spec: &apiv1.Spec{Need: &apiv1.Resources{}}}
-	for _, convert := range []func() error{r.convertIdentity, r.requireIdempotentService, r.convertCounts, r.convertDemand, r.convertTimes(now)} {
+	for _, convert := range []func() error{r.convertBasicFields, r.requireIdempotentService, r.convertCounts, r.convertDemand, r.convertTimes(now)} {
 		if err := convert(); err != nil {
 			return nil, err
 		}
@@ -102,8 +102,8 @@
 	spec *apiv1.Spec
 }
 
-// convertIdentity checks and converts the name, policy, data centre, flags and payload.
-func (r *jobReader) convertIdentity() error {
+// convertBasicFields checks and converts the name, policy, data centre, flags and payload.
+func (r *jobReader) convertBasicFields() error {
 	if !settings.NamePattern.MatchString(r.raw.Name) {
 		return r.file.Errorf("name", "%q isn't a name (letters, digits, '_', '.', '-', at most 63)", r.raw.Name)
 	}
--- a/internal/jobfile/jobfile_test.go
+++ b/internal/jobfile/jobfile_test.go
@@ -50,7 +50,7 @@
 }
 
 func TestParseRejectsInvalidValues(t *testing.T) {
-	cases := []struct{ old, with, field, message string }{
+	cases := []struct{ original, replacement, field, message string }{
 		{"recalculation", "a b", "name", "line 1"},
 		{"batch", "cron", "policy", `line 2: "cron" is none of`},
 		{"tasks = 3", "tasks = 0", "tasks", "line 3"},
@@ -72,7 +72,7 @@
 		{"cpu = \"0.5\"\nmemory = \"4GiB\"\n", "", "cpu", "the job needs nothing"},
 	}
 	for _, c := range cases {
-		_, err := ParseNamed("f.toml", []byte(strings.Replace(validJob, c.old, c.with, 1)), now)
+		_, err := ParseNamed("f.toml", []byte(strings.Replace(validJob, c.original, c.replacement, 1)), now)
 		must.Error(t, err)
 		must.Eq(t, fault.Invalid, fault.KindOf(err))
 		must.Eq(t, c.field, fault.From(err).Field)
--- a/internal/jobfile/workflow_test.go
+++ b/internal/jobfile/workflow_test.go
@@ -57,7 +57,7 @@
 }
 
 func TestParseWorkflowErrorsNameLineAndKey(t *testing.T) {
-	for _, c := range []struct{ old, replacement, want string }{
+	for _, c := range []struct{ original, replacement, want string }{
 		{`id = "reports-7"`, ``, "id"},
 		{`queue = "reports"`, ``, "queue"},
 		{`after = [0]`, `after = [1]`, "line 19"},
@@ -69,7 +69,7 @@
 		{`times = 3`, `times = 0`, "repeat.times"},
 		{`copies = true`, `copys = true`, "copies"},
 	} {
-		_, err := ParseWorkflow("reports.toml", []byte(strings.Replace(validWorkflow, c.old, c.replacement, 1)))
+		_, err := ParseWorkflow("reports.toml", []byte(strings.Replace(validWorkflow, c.original, c.replacement, 1)))
 		must.ErrorContains(t, err, c.want, must.Sprint(c.replacement))
 		must.Eq(t, fault.Invalid, fault.KindOf(err))
 	}
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -221,7 +221,7 @@
 		ctx, recorder := WithVersionRecorder(r.Context())
 		e := serveRequest(ctx, r, serve)
 		e.Version = cmp.Or(recorder.Version(), version)
-		writeReply(w, e)
+		writeResponse(w, e)
 	})
 }
 
@@ -259,8 +259,8 @@
 	return e
 }
 
-// writeReply writes a response with e as its body.
-func writeReply(w http.ResponseWriter, e envelope) {
+// writeResponse writes a response with e as its body.
+func writeResponse(w http.ResponseWriter, e envelope) {
 	w.Header().Set("Content-Type", contentType)
 	body, err := cbor.Marshal(&e)
 	if err != nil {
--- a/internal/link/version_test.go
+++ b/internal/link/version_test.go
@@ -25,7 +25,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestRepliesNameRecordedVersion(t *testing.T) {
+func TestResponsesNameRecordedVersion(t *testing.T) {
 	for _, outcome := range []error{nil, fault.New(fault.NotFound, "no queue")} {
 		address := serveVersions(t, func(ctx context.Context) error {
 			RecordVersion(ctx, 65)
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestReplyWithoutRecordedVersionNamesVersionBeforeCall(t *testing.T) {
+func TestResponseWithoutRecordedVersionNamesVersionBeforeCall(t *testing.T) {
 	address := serveVersions(t, func(context.Context) error { return nil })
 	version, err := NewClient(maxConnections).CallVersioned(t.Context(), address, "m", &struct{}{}, &struct{}{})
 	must.NoError(t, err)
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -159,8 +159,8 @@
 	u.ReadBytes = float64(last.read-first.read) / seconds
 	u.WrittenBytes = float64(last.written-first.written) / seconds
 	for name, value := range last.counters {
-		if before, ok := first.counters[name]; ok {
-			u.Counters[name] = (value - before) / seconds
+		if firstValue, ok := first.counters[name]; ok {
+			u.Counters[name] = (value - firstValue) / seconds
 		}
 	}
 	return u
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -145,11 +145,11 @@
 func (t *Transport) Stats() map[string]Stats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all := make(map[string]Stats, len(t.links))
+	statsByPeer := make(map[string]Stats, len(t.links))
 	for id, l := range t.links {
-		all[id] = l.counters.stats()
+		statsByPeer[id] = l.counters.stats()
 	}
-	return all
+	return statsByPeer
 }
 
 // pack returns the request that sends a batch of payloads, collected by group, to the peer
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -193,7 +193,7 @@
 
 // A peer is unreachable for a long time. The queue must stay bounded. It must drop the
 // oldest payloads first, because the logs no longer need them.
-func TestFullQueueDropsTheOldest(t *testing.T) {
+func TestFullQueueDropsOldestPayloads(t *testing.T) {
 	l := newPeerLink(Config{}, "b")
 	for i := range maxQueuePayloads + 3 {
 		l.enqueue(queuedPayload{"log", []byte{byte(i)}})
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -58,8 +58,8 @@
 		if !NamePattern.MatchString(instance.DataCentre) {
 			return file.Errorf(instancePath(i, "data_centre"), "%q isn't a name (letters, digits, '_', '.', '-', at most 63)", instance.DataCentre)
 		}
-		if first, ok := seen[instance.ID]; ok {
-			return file.Errorf(instancePath(i, "id"), "%q is already the id of %s", instance.ID, instancePath(first, ""))
+		if firstIndex, ok := seen[instance.ID]; ok {
+			return file.Errorf(instancePath(i, "id"), "%q is already the id of %s", instance.ID, instancePath(firstIndex, ""))
 		}
 		seen[instance.ID] = i
 	}
@@ -102,8 +102,8 @@
 				return file.Errorf(path, "%q can't be dialled by other instances; name one address of the machine", value)
 			}
 			scopedAddress := addressScope(instance, address) + address.String()
-			if other, ok := used[scopedAddress]; ok {
-				return file.Errorf(path, "%q is already %s", value, other)
+			if otherPath, ok := used[scopedAddress]; ok {
+				return file.Errorf(path, "%q is already %s", value, otherPath)
 			}
 			used[scopedAddress] = path
 		}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -77,14 +77,14 @@
 func TestPrintedSettingsParseUnchanged(t *testing.T) {
 	s, err := Load(writeDeployment(t, deploymentTOML(3)+"[timing]\ntick = \"20ms\"\n"))
 	must.NoError(t, err)
-	var first, second bytes.Buffer
-	must.NoError(t, s.Print(&first))
-	must.StrContains(t, first.String(), `tick           = "20ms"  # default "50ms"`)
-	must.StrNotContains(t, first.String(), "secret-")
-	reparsed, err := Parse("printed", first.Bytes(), "/elsewhere")
+	var firstOutput, secondOutput bytes.Buffer
+	must.NoError(t, s.Print(&firstOutput))
+	must.StrContains(t, firstOutput.String(), `tick           = "20ms"  # default "50ms"`)
+	must.StrNotContains(t, firstOutput.String(), "secret-")
+	reparsed, err := Parse("printed", firstOutput.Bytes(), "/elsewhere")
 	must.NoError(t, err)
-	must.NoError(t, reparsed.Print(&second))
-	must.Eq(t, first.String(), second.String())
+	must.NoError(t, reparsed.Print(&secondOutput))
+	must.Eq(t, firstOutput.String(), secondOutput.String())
 }
 
 // cutBytes is how much of a half-written file is missing.
@@ -195,9 +195,9 @@
 		}
 		var out bytes.Buffer
 		must.NoError(t, s.Print(&out))
-		again, err := Parse("again", out.Bytes(), "/")
+		reparsedSettings, err := Parse("again", out.Bytes(), "/")
 		must.NoError(t, err)
-		must.Eq(t, s.Timing, again.Timing)
-		must.Greater(t, 0, time.Duration(again.Timing.Tick))
+		must.Eq(t, s.Timing, reparsedSettings.Timing)
+		must.Greater(t, 0, time.Duration(reparsedSettings.Timing.Tick))
 	})
 }
--- a/internal/settings/tokens.go
+++ b/internal/settings/tokens.go
@@ -131,8 +131,8 @@
 		if c.Token == "" || !isTokenText(c.Token) {
 			return nil, fault.New(fault.Invalid, "the token of %s isn't printable text without spaces", c.Identity)
 		}
-		if other, ok := seen[c.Token]; ok {
-			return nil, fault.New(fault.Invalid, "%s and %s have the same token", other, c.Identity)
+		if otherHolder, ok := seen[c.Token]; ok {
+			return nil, fault.New(fault.Invalid, "%s and %s have the same token", otherHolder, c.Identity)
 		}
 		seen[c.Token] = c.Identity
 		set.entries = append(set.entries, tokenEntry{sha256.Sum256([]byte(c.Token)), c.Identity})
--- a/internal/standin/changes.go
+++ b/internal/standin/changes.go
@@ -98,8 +98,8 @@
 		inForce:      hdrhistogram.New(latencyMin, latencyMax, latencyDigits),
 		lastVersions: make(map[string]uint64),
 	}
-	c.clients = newClients(cfg.Entries, func(base string) apiv1.Operations {
-		return apiv1.NewOperationsProtobufClient(base, client)
+	c.clients = newClients(cfg.Entries, func(url string) apiv1.Operations {
+		return apiv1.NewOperationsProtobufClient(url, client)
 	})
 	if err := c.readConfig(ctx, 0); err != nil {
 		return c.report, err
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -52,7 +52,7 @@
 func baseURL(address string) string { return "http://" + address }
 
 // newClients returns one client per entry address.
-func newClients[C any](entries []string, newClient func(base string) C) []C {
+func newClients[C any](entries []string, newClient func(url string) C) []C {
 	clients := make([]C, 0, len(entries))
 	for _, address := range entries {
 		clients = append(clients, newClient(baseURL(address)))
--- a/internal/standin/command/command_test.go
+++ b/internal/standin/command/command_test.go
@@ -38,10 +38,10 @@
 // A line of the file of -processes has no admin address and more fields than expected. The
 // measurement must accept such a line and print the process.
 func TestMeasurePrintsProcesses(t *testing.T) {
-	list := filepath.Join(t.TempDir(), "processes")
-	must.NoError(t, os.WriteFile(list, []byte("self "+strconv.Itoa(os.Getpid())+" - 12345\n"), 0o600))
+	processesFile := filepath.Join(t.TempDir(), "processes")
+	must.NoError(t, os.WriteFile(processesFile, []byte("self "+strconv.Itoa(os.Getpid())+" - 12345\n"), 0o600))
 	var out strings.Builder
-	must.Eq(t, 0, Main([]string{"measure", "-processes", list, "-duration", "1ms"}, &out, io.Discard))
+	must.Eq(t, 0, Main([]string{"measure", "-processes", processesFile, "-duration", "1ms"}, &out, io.Discard))
 	must.StrContains(t, out.String(), "self")
 }
 
--- a/internal/standin/command/fit.go
+++ b/internal/standin/command/fit.go
@@ -57,8 +57,8 @@
 
 // readMeasurement reads the measurement named by an argument SIZE=FILE.
 func readMeasurement(arg string) (measure.Measurement, error) {
-	size, path, _ := strings.Cut(arg, "=")
-	number, err := strconv.ParseFloat(size, 64)
+	sizeText, path, _ := strings.Cut(arg, "=")
+	size, err := strconv.ParseFloat(sizeText, 64)
 	if err != nil {
 		return measure.Measurement{}, errors.Newf("argument %q doesn't have the form SIZE=FILE with a number as SIZE", arg)
 	}
@@ -66,7 +66,7 @@
 	if err != nil {
 		return measure.Measurement{}, err
 	}
-	measurement := measure.Measurement{Size: number}
+	measurement := measure.Measurement{Size: size}
 	if err := json.Unmarshal(text, &measurement.Usages); err != nil {
 		return measure.Measurement{}, errors.Wrapf(err, "parse measurement %s", path)
 	}
--- a/internal/standin/command/measure.go
+++ b/internal/standin/command/measure.go
@@ -77,8 +77,8 @@
 func (c *measureCommand) targets(args []string) ([]measure.Process, error) {
 	var targets []measure.Process
 	for _, arg := range args {
-		name, rest, _ := strings.Cut(arg, "=")
-		pid, admin, _ := strings.Cut(rest, "@")
+		name, pidAndAdmin, _ := strings.Cut(arg, "=")
+		pid, admin, _ := strings.Cut(pidAndAdmin, "@")
 		target, err := newTarget(name, pid, admin)
 		if err != nil {
 			return nil, err
@@ -101,11 +101,11 @@
 // newTarget returns a process to measure; admin is its admin address or empty. It fails
 // unless pid is a positive number.
 func newTarget(name, pid, admin string) (measure.Process, error) {
-	number, err := strconv.Atoi(pid)
-	if err != nil || number <= 0 {
+	processID, err := strconv.Atoi(pid)
+	if err != nil || processID <= 0 {
 		return measure.Process{}, errors.Newf("process %q: %q isn't a process id", name, pid)
 	}
-	return measure.Process{Name: name, PID: number, Admin: admin}, nil
+	return measure.Process{Name: name, PID: processID, Admin: admin}, nil
 }
 
 // readProcesses reads a file with lines NAME PID [ADMIN]. ADMIN is the admin address of
--- a/internal/standin/jobs.go
+++ b/internal/standin/jobs.go
@@ -208,8 +208,8 @@
 	}
 	client := NewHTTPClient(j.cfg.Tokens[customer], j.cfg.Dial)
 	j.httpClients = append(j.httpClients, client)
-	j.clients[customer] = newClients(j.cfg.Entries, func(base string) apiv1.Scheduler {
-		return apiv1.NewSchedulerProtobufClient(base, client)
+	j.clients[customer] = newClients(j.cfg.Entries, func(url string) apiv1.Scheduler {
+		return apiv1.NewSchedulerProtobufClient(url, client)
 	})
 }
 
--- a/internal/standin/jobs_test.go
+++ b/internal/standin/jobs_test.go
@@ -107,10 +107,10 @@
 func TestRandomArrivalsAreRepeatable(t *testing.T) {
 	templates := []Arrival{newTemplate("a", apiv1.Policy_POLICY_BATCH), newTemplate("b", apiv1.Policy_POLICY_GANG)}
 	const seed, perSecond, count = 7, 100, 500
-	first := RandomArrivals(seed, perSecond, count, templates)
-	must.Eq(t, len(first), count)
+	arrivals := RandomArrivals(seed, perSecond, count, templates)
+	must.Eq(t, len(arrivals), count)
 	for i, a := range RandomArrivals(seed, perSecond, count, templates) {
-		must.Eq(t, first[i].At, a.At)
-		must.Eq(t, first[i].Spec.Name, a.Spec.Name)
+		must.Eq(t, arrivals[i].At, a.At)
+		must.Eq(t, arrivals[i].Spec.Name, a.Spec.Name)
 	}
 }
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -151,9 +151,9 @@
 
 // checkStart records the violations that the start of a run causes. l.mu must be held.
 func (l *Ledger) checkStart(key taskKey, t *taskHistory, run *RunRecord) {
-	for other := range t.running {
+	for concurrent := range t.running {
 		l.addLocked(ConcurrentRuns, key.String(), fmt.Sprintf("attempt %d on %s starts while attempt %d runs on %s",
-			run.Attempt, run.Worker, other.Attempt, other.Worker))
+			run.Attempt, run.Worker, concurrent.Attempt, concurrent.Worker))
 	}
 	if t.nonIdempotent && t.starts > 1 {
 		l.addLocked(DuplicateStart, key.String(), fmt.Sprintf("start %d, attempt %d on %s, of non-idempotent work",
--- a/internal/standin/minion.go
+++ b/internal/standin/minion.go
@@ -76,8 +76,8 @@
 	if index < cfg.Faulty {
 		m.faults = cfg.Faults
 	}
-	m.gateways = newClients(dataCentre.Entries, func(base string) apiv1.MinionGateway {
-		return apiv1.NewMinionGatewayProtobufClient(base, client)
+	m.gateways = newClients(dataCentre.Entries, func(url string) apiv1.MinionGateway {
+		return apiv1.NewMinionGatewayProtobufClient(url, client)
 	})
 	return m
 }
--- a/internal/standin/requests_test.go
+++ b/internal/standin/requests_test.go
@@ -147,10 +147,10 @@
 func TestMinionReportsSlotsExceeded(t *testing.T) {
 	ledger := NewLedger()
 	minion := newMinion(MinionsConfig{DataCentres: []DataCentre{{}}, Slots: 1, Ledger: ledger}.withDefaults(), 0, newNonIdempotentSet(ledger))
-	first, _ := minion.beginRequest()
+	firstRequest, _ := minion.beginRequest()
 	minion.beginRequest()
-	first.markDisconnected(minion)
-	minion.endRequest(first)
+	firstRequest.markDisconnected(minion)
+	minion.endRequest(firstRequest)
 	minion.beginRequest()
 	eventually(t, "violation of the third request", func() bool { return len(ledger.Violations()) > 0 })
 	must.Len(t, 1, ledger.Violations())
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -35,7 +35,7 @@
 func (m *Minion) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	req, faults := m.beginRequest()
 	defer m.endRequest(req)
-	work := m.workTime(r) + faults.Delay
+	serviceTime := m.workTime(r) + faults.Delay
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		req.markDisconnected(m)
@@ -53,7 +53,7 @@
 	case faults.Hang:
 		<-r.Context().Done()
 	default:
-		wait.For(r.Context(), work)
+		wait.For(r.Context(), serviceTime)
 	}
 	if r.Context().Err() != nil {
 		req.markDisconnected(m)
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -72,8 +72,8 @@
 	if index < cfg.Faulty {
 		w.faults = cfg.Faults
 	}
-	gateways := newClients(dataCentre.Entries, func(base string) apiv1.WorkerGateway {
-		return apiv1.NewWorkerGatewayProtobufClient(base, client)
+	gateways := newClients(dataCentre.Entries, func(url string) apiv1.WorkerGateway {
+		return apiv1.NewWorkerGatewayProtobufClient(url, client)
 	})
 	w.gateway = newFailover(gateways, index/len(cfg.DataCentres))
 	return w
--- a/internal/standin/workers.go
+++ b/internal/standin/workers.go
@@ -91,9 +91,9 @@
 // identity returns the data centre, id and rack of worker number i.
 func (cfg WorkersConfig) identity(i int) (dataCentre DataCentre, id, rack string) {
 	dataCentre = cfg.DataCentres[i%len(cfg.DataCentres)]
-	number := i / len(cfg.DataCentres)
-	id = fmt.Sprintf("%s%s-w%03d", cfg.Prefix, dataCentre.Name, number)
-	rack = fmt.Sprintf("%s%s-r%02d", cfg.Prefix, dataCentre.Name, number/cfg.PerRack)
+	indexInDataCentre := i / len(cfg.DataCentres)
+	id = fmt.Sprintf("%s%s-w%03d", cfg.Prefix, dataCentre.Name, indexInDataCentre)
+	rack = fmt.Sprintf("%s%s-r%02d", cfg.Prefix, dataCentre.Name, indexInDataCentre/cfg.PerRack)
 	return dataCentre, id, rack
 }
 
--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -29,29 +29,29 @@
 func newLineIndex(text []byte) *lineIndex {
 	x := &lineIndex{lines: make(map[string]int), byKey: make(map[string][]int), elements: make(map[string]int)}
 	table := ""
-	for i, raw := range strings.Split(string(text), "\n") {
-		table = x.addLine(i+1, strings.TrimSpace(raw), table)
+	for i, line := range strings.Split(string(text), "\n") {
+		table = x.addLine(i+1, strings.TrimSpace(line), table)
 	}
 	return x
 }
 
 // addLine indexes one line and returns the path of the table that contains the next
 // line.
-func (x *lineIndex) addLine(number int, line, table string) string {
+func (x *lineIndex) addLine(lineNumber int, line, table string) string {
 	if m := arrayHeader.FindStringSubmatch(line); m != nil {
 		name := x.resolve(unquoter.Replace(m[1]))
 		path := name + "[" + strconv.Itoa(x.elements[name]) + "]"
 		x.elements[name]++
-		x.record(path, number)
+		x.record(path, lineNumber)
 		return path
 	}
 	if m := tableHeader.FindStringSubmatch(line); m != nil {
 		path := x.resolve(unquoter.Replace(m[1]))
-		x.record(path, number)
+		x.record(path, lineNumber)
 		return path
 	}
 	if m := keyLine.FindStringSubmatch(line); m != nil {
-		x.record(joinPath(table, unquoter.Replace(m[1])), number)
+		x.record(joinPath(table, unquoter.Replace(m[1])), lineNumber)
 	}
 	return table
 }
@@ -72,20 +72,20 @@
 }
 
 // record stores the line number of a path.
-func (x *lineIndex) record(path string, number int) {
+func (x *lineIndex) record(path string, lineNumber int) {
 	if _, ok := x.lines[path]; !ok {
-		x.lines[path] = number
+		x.lines[path] = lineNumber
 	}
-	key := stripNumbers(path)
-	x.byKey[key] = append(x.byKey[key], number)
+	key := stripElementNumbers(path)
+	x.byKey[key] = append(x.byKey[key], lineNumber)
 }
 
 // line returns the line of a path or of its nearest parent, or 0 when neither is
 // indexed.
 func (x *lineIndex) line(path string) int {
 	for path != "" {
-		if number, ok := x.lines[path]; ok {
-			return number
+		if lineNumber, ok := x.lines[path]; ok {
+			return lineNumber
 		}
 		path = parentPath(path)
 	}
@@ -124,4 +124,4 @@
 
 var elementNumber = regexp.MustCompile(`\[\d+\]`)
 
-func stripNumbers(path string) string { return elementNumber.ReplaceAllString(path, "") }
+func stripElementNumbers(path string) string { return elementNumber.ReplaceAllString(path, "") }
--- a/internal/tomlfile/nearest.go
+++ b/internal/tomlfile/nearest.go
@@ -11,18 +11,18 @@
 func suggestKey(path string, known map[string]bool) string {
 	parent := parentPath(path)
 	siblings := keysOf(parent, known)
-	if near := nearest(keyName(path), siblings); near != "" {
-		return `did you mean "` + near + `"?`
+	if nearestKey := nearest(keyName(path), siblings); nearestKey != "" {
+		return `did you mean "` + nearestKey + `"?`
 	}
-	all := make([]string, 0, len(known))
+	allKeys := make([]string, 0, len(known))
 	for key := range known {
-		all = append(all, key)
+		allKeys = append(allKeys, key)
 	}
-	slices.Sort(all)
-	if near := nearest(path, all); near != "" {
-		return `did you mean "` + near + `"?`
+	slices.Sort(allKeys)
+	if nearestKey := nearest(path, allKeys); nearestKey != "" {
+		return `did you mean "` + nearestKey + `"?`
 	}
-	for _, key := range all {
+	for _, key := range allKeys {
 		if keyName(key) == keyName(path) {
 			return `did you mean "` + key + `"?`
 		}
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -30,8 +30,9 @@
 	maxCores = 1_000_000
 )
 
-// int64Bits is the bit size for strconv.ParseUint whose results fit into an int64.
-const int64Bits = 63
+// nonNegativeInt64Bits is the bit size for strconv.ParseUint whose results fit into an
+// int64.
+const nonNegativeInt64Bits = 63
 
 // sizeUnit is a suffix of sizes with its number of bytes.
 type sizeUnit struct {
@@ -65,7 +66,7 @@
 		if !ok {
 			continue
 		}
-		n, err := strconv.ParseUint(digits, 10, int64Bits)
+		n, err := strconv.ParseUint(digits, 10, nonNegativeInt64Bits)
 		if err != nil {
 			return 0, sizeFormatError(text)
 		}
@@ -116,7 +117,7 @@
 	if hasPoint && (fraction == "" || len(fraction) > coreDecimals) {
 		return 0, invalid
 	}
-	cores, err := strconv.ParseUint(whole, 10, int64Bits)
+	cores, err := strconv.ParseUint(whole, 10, nonNegativeInt64Bits)
 	if err != nil {
 		return 0, invalid
 	}
@@ -124,7 +125,7 @@
 		return 0, errors.Newf("%q is too large", shorten(text))
 	}
 	padded := fraction + strings.Repeat("0", coreDecimals-len(fraction))
-	milli, err := strconv.ParseUint(padded, 10, int64Bits)
+	milli, err := strconv.ParseUint(padded, 10, nonNegativeInt64Bits)
 	if err != nil {
 		return 0, invalid
 	}
@@ -137,11 +138,11 @@
 		return "-" + FormatCores(-milli)
 	}
 	text := strconv.FormatInt(milli/milliPerCore, 10)
-	rest := milli % milliPerCore
-	if rest == 0 {
+	remainder := milli % milliPerCore
+	if remainder == 0 {
 		return text
 	}
-	fraction := strconv.FormatInt(milliPerCore+rest, 10)[1:]
+	fraction := strconv.FormatInt(milliPerCore+remainder, 10)[1:]
 	return text + "." + strings.TrimRight(fraction, "0")
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -98,8 +98,8 @@
 		}
 		must.Between(t, 1, spec.Tasks, limits.MaxTasks)
 		must.Positive(t, spec.Need.CPU)
-		again, err := CheckSpec(SpecToAPI(spec, ""), limits, now)
+		roundTripped, err := CheckSpec(SpecToAPI(spec, ""), limits, now)
 		must.NoError(t, err)
-		must.Eq(t, spec, again)
+		must.Eq(t, spec, roundTripped)
 	})
 }
