--- a/internal/e2e/membership_test.go
+++ b/internal/e2e/membership_test.go
@@ -22,16 +22,16 @@
 	customer := c.customer(0)
 	dataCentre := c.deployment.Settings.DataCentres()[0]
 	before := customer.submit("before", batch("reports", 6, 400, true))
-	lost := c.follower(dataCentre)
-	c.kill(lost + "/cell")
-	c.kill(lost + "/entry")
+	lostInstance := c.follower(dataCentre)
+	c.kill(lostInstance + "/cell")
+	c.kill(lostInstance + "/entry")
 	added := c.startExtraInstance(settings.Instance{ID: "spare-1", DataCentre: dataCentre})
 	ctx, operations := c.operatorClients()
 	request := &apiv1.ReplaceInstanceRequest{
-		RequestId: "replace", DataCentre: dataCentre, OldInstance: lost, NewInstance: added.ID, NewAddress: added.Cell,
+		RequestId: "replace", DataCentre: dataCentre, OldInstance: lostInstance, NewInstance: added.ID, NewAddress: added.Cell,
 	}
 	c.eventually("the instance is replaced", func() bool {
-		_, err := operations[c.entryIndex(lost, false)].ReplaceInstance(ctx, request)
+		_, err := operations[c.entryIndex(lostInstance, false)].ReplaceInstance(ctx, request)
 		must.False(t, err != nil && !fault.Is(err, fault.Unavailable), must.Sprint(err))
 		return err == nil
 	})
@@ -138,14 +138,14 @@
 	ctx, operations := c.operatorClients()
 	c.setConfig(ctx, operations, "first", 0, configWithCPULimit(100))
 	dataCentres := c.deployment.Settings.DataCentres()
-	lost := c.configVoter(dataCentres[0])
-	c.kill(lost + "/cell")
-	c.kill(lost + "/entry")
+	lostVoter := c.configVoter(dataCentres[0])
+	c.kill(lostVoter + "/cell")
+	c.kill(lostVoter + "/entry")
 	added := c.startExtraInstance(settings.Instance{ID: "spare-1", DataCentre: dataCentres[0], ConfigVoter: true})
 	request := &apiv1.ReplaceInstanceRequest{
-		RequestId: "replace", DataCentre: dataCentres[0], OldInstance: lost, NewInstance: added.ID, NewAddress: added.Cell,
+		RequestId: "replace", DataCentre: dataCentres[0], OldInstance: lostVoter, NewInstance: added.ID, NewAddress: added.Cell,
 	}
-	remaining := operations[c.entryIndex(lost, false):]
+	remaining := operations[c.entryIndex(lostVoter, false):]
 	c.eventually("the voter is replaced", func() bool {
 		_, err := remaining[0].ReplaceInstance(ctx, request)
 		must.False(t, err != nil && !fault.Is(err, fault.Unavailable), must.Sprint(err))
@@ -180,9 +180,9 @@
 		spec.Payload = bytes.Repeat([]byte("x"), payloadBytes)
 		customer.submit(spec.Name, spec)
 	}
-	lost := c.follower(c.deployment.Settings.DataCentres()[0])
-	c.kill(lost + "/cell")
-	c.start(lost, "cell")
-	c.awaitCatchUp(lost)
+	restartedInstance := c.follower(c.deployment.Settings.DataCentres()[0])
+	c.kill(restartedInstance + "/cell")
+	c.start(restartedInstance, "cell")
+	c.awaitCatchUp(restartedInstance)
 	c.checkNoViolations()
 }
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -116,9 +116,9 @@
 		must.NoError(t, f.Close())
 	}
 	for _, name := range []string{path, path + previousSuffix} {
-		info, err := os.Stat(name)
+		fileInfo, err := os.Stat(name)
 		must.NoError(t, err)
-		must.LessEq(t, int64(limit), info.Size())
+		must.LessEq(t, int64(limit), fileInfo.Size())
 	}
 	events := append(readEvents(path+previousSuffix), readEvents(path)...)
 	must.Eq(t, int64(99), events[len(events)-1].Timestamp.Wall)
--- a/internal/standin/workers_test.go
+++ b/internal/standin/workers_test.go
@@ -134,17 +134,17 @@
 func TestRestartedWorkerIgnoresCommandsOfPredecessorIncarnation(t *testing.T) {
 	owner := newFakeOwner(time.Second)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
-	old, _ := owner.lastSeen(testWorker)
+	predecessorIncarnation, _ := owner.lastSeen(testWorker)
 	owner.queueStart(testWorker, "lost", 1, "")
 	eventually(t, "task runs", func() bool { return fleet.Running() == 1 })
 	const reducedCPUMilli = 1000
 	fleet.All()[0].Restart(&apiv1.Resources{CpuMilli: reducedCPUMilli, MemoryMib: 512})
 	eventually(t, "new incarnation announces its capacity", func() bool {
 		incarnation, cpuMilli := owner.lastSeen(testWorker)
-		return incarnation > old && cpuMilli == reducedCPUMilli
+		return incarnation > predecessorIncarnation && cpuMilli == reducedCPUMilli
 	})
 	owner.mu.Lock()
-	owner.staleCommands = []*apiv1.Command{{Number: 1, Term: 1, Incarnation: old, Body: &apiv1.Command_Start{
+	owner.staleCommands = []*apiv1.Command{{Number: 1, Term: 1, Incarnation: predecessorIncarnation, Body: &apiv1.Command_Start{
 		Start: &apiv1.StartTask{Attempt: &apiv1.AttemptRef{Job: "stale", Attempt: 1}},
 	}}}
 	owner.mu.Unlock()
@@ -202,14 +202,14 @@
 	owner := newFakeOwner(300 * time.Millisecond)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
 	worker := fleet.All()[0]
-	old, _ := owner.lastSeen(testWorker)
+	pausedIncarnation, _ := owner.lastSeen(testWorker)
 	worker.Pause()
 	owner.queueStart(testWorker, "reassigned", 1, "")
 	eventually(t, "lease ends", func() bool { return !worker.HoldsLease() })
 	worker.Resume()
 	eventually(t, "lease of a new incarnation", func() bool {
 		incarnation, _ := owner.lastSeen(testWorker)
-		return incarnation > old && worker.HoldsLease()
+		return incarnation > pausedIncarnation && worker.HoldsLease()
 	})
 	must.Zero(t, fleet.Ledger().Starts())
 	must.SliceEmpty(t, owner.outcomes("reassigned"))
@@ -239,14 +239,14 @@
 	for _, ttl := range []time.Duration{300 * time.Millisecond, 6 * time.Second, time.Minute} {
 		s := newSession(worker, 1, nil)
 		s.applyResponse(1, &apiv1.RenewResponse{Term: 1, LeaseMs: ttl.Milliseconds()})
-		held, timeout := s.nextRenewal()
-		hold := time.Duration(held.HoldMs) * time.Millisecond
+		heldRenewal, timeout := s.nextRenewal()
+		hold := time.Duration(heldRenewal.HoldMs) * time.Millisecond
 		must.Positive(t, hold)
 		must.LessEq(t, ttl, 2*hold+ttl/spareLeaseDivisor)
 		must.Less(t, ttl+minCallSlack, timeout)
 		s.recordRenewal(errResponseLost)
-		again, _ := s.nextRenewal()
-		must.Zero(t, again.HoldMs)
+		retriedRenewal, _ := s.nextRenewal()
+		must.Zero(t, retriedRenewal.HoldMs)
 	}
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -67,13 +67,13 @@
 // A caller reuses a request ID for another request. The digests must differ, so that the
 // second request isn't taken for a repetition of the first.
 func TestRequestDigestDependsOnContent(t *testing.T) {
-	first, err := CheckRequest("r", "c", validSpec())
+	originalRequest, err := CheckRequest("r", "c", validSpec())
 	must.NoError(t, err)
 	changed := validSpec()
 	changed.Tasks++
-	second, err := CheckRequest("r", "c", changed)
+	changedRequest, err := CheckRequest("r", "c", changed)
 	must.NoError(t, err)
-	must.NotEq(t, first.Digest, second.Digest)
+	must.NotEq(t, originalRequest.Digest, changedRequest.Digest)
 	_, err = CheckRequest("", "c", validSpec())
 	must.Eq(t, "request_id", fault.From(err).Field)
 }
