--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -196,8 +196,9 @@
 func NewMux() *Mux { return &Mux{http: http.NewServeMux()} }
 
 // SetVersion makes each response name a configuration version: the one recorded with
-// RecordVersion while the call was served, or else the result of version before the call
-// was served, which is never too high.
+// RecordVersion while the call was served, or else the result of version from before the
+// call was served. That result is never newer than the version with which the call was
+// served.
 func (m *Mux) SetVersion(version func() uint64) { m.version.Store(&version) }
 
 func (m *Mux) currentVersion() uint64 {
@@ -220,7 +221,7 @@
 		ctx, recorder := WithVersionRecorder(r.Context())
 		e := serveRequest(ctx, r, serve)
 		e.Version = cmp.Or(recorder.Version(), version)
-		writeReply(w, e)
+		writeResponse(w, e)
 	})
 }
 
@@ -258,8 +259,8 @@
 	return e
 }
 
-// writeReply writes a response with e as its body.
-func writeReply(w http.ResponseWriter, e envelope) {
+// writeResponse writes a response with e as its body.
+func writeResponse(w http.ResponseWriter, e envelope) {
 	w.Header().Set("Content-Type", contentType)
 	body, err := cbor.Marshal(&e)
 	if err != nil {
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -58,8 +58,8 @@
 		if !NamePattern.MatchString(instance.DataCentre) {
 			return file.Errorf(instancePath(i, "data_centre"), "%q isn't a name (letters, digits, '_', '.', '-', at most 63)", instance.DataCentre)
 		}
-		if first, ok := seen[instance.ID]; ok {
-			return file.Errorf(instancePath(i, "id"), "%q is already the id of %s", instance.ID, instancePath(first, ""))
+		if firstIndex, ok := seen[instance.ID]; ok {
+			return file.Errorf(instancePath(i, "id"), "%q is already the id of %s", instance.ID, instancePath(firstIndex, ""))
 		}
 		seen[instance.ID] = i
 	}
@@ -102,8 +102,8 @@
 				return file.Errorf(path, "%q can't be dialled by other instances; name one address of the machine", value)
 			}
 			scopedAddress := addressScope(instance, address) + address.String()
-			if other, ok := used[scopedAddress]; ok {
-				return file.Errorf(path, "%q is already %s", value, other)
+			if otherPath, ok := used[scopedAddress]; ok {
+				return file.Errorf(path, "%q is already %s", value, otherPath)
 			}
 			used[scopedAddress] = path
 		}
@@ -269,9 +269,9 @@
 	return nil
 }
 
-// minRenewSlack is the shortest time that must remain of a worker's lease after one renewal
-// was held as a long poll and the next one was lost with the instance that held it. The
-// worker needs that time to find the new leader.
+// minRenewSlack is the time by which a worker's lease must exceed two renewals that are
+// held as long polls. If the instance that holds the second one is lost, the worker has
+// minRenewSlack to find the new leader before its lease expires.
 const minRenewSlack = Duration(time.Second)
 
 // checkTiming rejects durations that aren't positive and those too short relative to
--- a/internal/standin/jobs.go
+++ b/internal/standin/jobs.go
@@ -62,7 +62,7 @@
 	// RetryTimeout bounds the retries of a call whose outcome is unknown; 0 means
 	// DefaultRetryTimeout.
 	RetryTimeout time.Duration
-	// KeepServices keeps services running at the end of Run, which else cancels them.
+	// KeepServices keeps services running at the end of Run; otherwise Run cancels them.
 	KeepServices bool
 	// Dial opens connections; nil means TCP.
 	Dial rpc.Dial
@@ -208,8 +208,8 @@
 	}
 	client := NewHTTPClient(j.cfg.Tokens[customer], j.cfg.Dial)
 	j.httpClients = append(j.httpClients, client)
-	j.clients[customer] = newClients(j.cfg.Entries, func(base string) apiv1.Scheduler {
-		return apiv1.NewSchedulerProtobufClient(base, client)
+	j.clients[customer] = newClients(j.cfg.Entries, func(url string) apiv1.Scheduler {
+		return apiv1.NewSchedulerProtobufClient(url, client)
 	})
 }
 
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -35,7 +35,7 @@
 func (m *Minion) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	req, faults := m.beginRequest()
 	defer m.endRequest(req)
-	work := m.workTime(r) + faults.Delay
+	serviceTime := m.workTime(r) + faults.Delay
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		req.markDisconnected(m)
@@ -53,7 +53,7 @@
 	case faults.Hang:
 		<-r.Context().Done()
 	default:
-		wait.For(r.Context(), work)
+		wait.For(r.Context(), serviceTime)
 	}
 	if r.Context().Err() != nil {
 		req.markDisconnected(m)
@@ -85,9 +85,9 @@
 	return m.cfg.Work
 }
 
-// beginRequest registers a request in flight and checks the number of slots. Once the
-// minion has left, it also checks that LeaveGrace hasn't passed. It returns the faults to
-// inject into the request.
+// beginRequest registers a request in flight and returns the faults to inject into it. If
+// more requests than slots are in flight, it calls checkSlotsLater. It records a
+// violation if the minion left more than LeaveGrace ago.
 func (m *Minion) beginRequest() (*request, MinionFaults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -104,9 +104,9 @@
 	return req, m.faults
 }
 
-// checkSlotsLater checks the requests that are in flight now after slotCheckDelay. It
-// records a violation if those whose caller hasn't disconnected until that check exceed
-// the slots. m.mu must be held.
+// checkSlotsLater schedules a check of the requests that are in flight now. After
+// slotCheckDelay, the check counts those whose caller hasn't disconnected, and records a
+// violation if they exceed the slots. m.mu must be held.
 func (m *Minion) checkSlotsLater() {
 	concurrent := make([]*request, 0, len(m.inFlight))
 	for req := range m.inFlight {
