--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -439,7 +439,7 @@
 	}
 	delete(p.unreservedHeadroom, w.Service)
 	w.Serving = w.Serving || s.Spec.LatencyObjectiveMS > 0
-	if s.Spec.UsesSpare {
+	if s.Spec.UsesSpareCPU {
 		w.SpareRuns++
 	}
 	if s.Spec.MaxPerWorker > 0 {
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -89,18 +89,18 @@
 			with(step("a", 1, 4), func(s *Step) { s.Copy = true }),
 			with(step("b", 1, 4), func(s *Step) { s.Priority, s.Lateness = 9, 2 }),
 		}, workers: workers(4), want: []string{"b/0@w0"}},
-		{name: "a task that uses spare CPU starts without free CPU", steps: []Step{with(step("a", 1, 9), func(s *Step) { s.Spec.UsesSpare = true })},
+		{name: "a task that uses spare CPU starts without free CPU", steps: []Step{with(step("a", 1, 9), func(s *Step) { s.Spec.UsesSpareCPU = true })},
 			workers: workers(0), want: []string{"a/0@w0"}},
 		{name: "tasks that use spare CPU apart from serving tasks while other workers are free", steps: []Step{
 			with(step("a", 1, 1), func(s *Step) { s.Spec.LatencyObjectiveMS = 50 }),
-			with(step("b", 2, 1), func(s *Step) { s.Spec.UsesSpare = true }),
+			with(step("b", 2, 1), func(s *Step) { s.Spec.UsesSpareCPU = true }),
 			with(step("c", 1, 1), func(s *Step) { s.Spec.LatencyObjectiveMS = 50 }),
 		}, workers: workers(9, 10), want: []string{"a/0@w0", "b/0@w1", "b/1@w1", "c/0@w0"}},
 		{name: "no task that uses spare CPU where serving tasks leave too little CPU", steps: []Step{
-			with(step("b", 1, 1), func(s *Step) { s.Spec.UsesSpare = true }),
+			with(step("b", 1, 1), func(s *Step) { s.Spec.UsesSpareCPU = true }),
 		}, workers: []Worker{{Worker: workers(9)[0].Worker, Free: cores(9), Serving: true, SpareShare: 9}}, reason: ReasonNoWorker},
 		{name: "a task that uses spare CPU goes where most CPU is free", steps: []Step{
-			with(step("b", 1, 1), func(s *Step) { s.Spec.UsesSpare = true }),
+			with(step("b", 1, 1), func(s *Step) { s.Spec.UsesSpareCPU = true }),
 		}, workers: workers(3, 9), want: []string{"b/0@w1"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/dispatch/select.go
+++ b/dispatch/select.go
@@ -61,7 +61,7 @@
 // enoughSpareShare reports whether w has spare CPU for tasks of s. Tasks that use spare CPU
 // don't start where serving tasks leave next to nothing.
 func enoughSpareShare(s *Step, w *Worker) bool {
-	return !s.Spec.UsesSpare || !w.Serving || w.SpareShare >= minSpareShare
+	return !s.Spec.UsesSpareCPU || !w.Serving || w.SpareShare >= minSpareShare
 }
 
 // interference ranks how much a task of s and the runs on w disturb each other. Tasks with a
@@ -69,9 +69,9 @@
 // resources, and the latter also from each other.
 func interference(s *Step, w *Worker) int {
 	switch {
-	case s.Spec.UsesSpare && w.Serving:
+	case s.Spec.UsesSpareCPU && w.Serving:
 		return 1 + w.SpareRuns
-	case s.Spec.UsesSpare, s.Spec.LatencyObjectiveMS > 0:
+	case s.Spec.UsesSpareCPU, s.Spec.LatencyObjectiveMS > 0:
 		return w.SpareRuns
 	}
 	return 0
@@ -93,7 +93,7 @@
 // the least free resources, which keeps whole workers free for gangs.
 func comparePreference(s *Step, a, b *Worker) int {
 	cpuOrder := cmp.Compare(a.Free.MilliCPU, b.Free.MilliCPU)
-	if s.Spec.UsesSpare {
+	if s.Spec.UsesSpareCPU {
 		// Tasks that use spare CPU get what others leave, so the worker with the most free CPU
 		// suits best.
 		cpuOrder = -cpuOrder
--- a/internal/apiserver/apiserver.go
+++ b/internal/apiserver/apiserver.go
@@ -113,7 +113,7 @@
 			MilliCPU: s.GetNeed().GetCpuMilli(), MemoryMB: s.GetNeed().GetMemoryMib(), Accelerators: s.GetNeed().GetAccelerators(),
 		},
 		Label: s.GetLabel(), DataRack: s.GetNearRack(), MaxPerWorker: int(s.GetMaxPerWorker()), Speculative: s.GetCopies(),
-		LongRunning: s.GetLongRunning(), Checkpointing: s.GetCheckpointing(), UsesSpare: s.GetSpareProcessors(),
+		LongRunning: s.GetLongRunning(), Checkpointing: s.GetCheckpointing(), UsesSpareCPU: s.GetSpareProcessors(),
 		MaxUnavailable: int(s.GetMaxUnavailable()), Image: s.GetImage(), LatencyObjectiveMS: s.GetLatencyObjectiveMs(),
 	}
 	for _, dependency := range s.GetAfter() {
--- a/internal/apiserver/apiserver_test.go
+++ b/internal/apiserver/apiserver_test.go
@@ -104,7 +104,7 @@
 		Steps: []workflow.Step{{Count: 1, EstimateMS: 9}, {
 			Count: 2, Need: workflow.Resources{MilliCPU: 500, MemoryMB: 64, Accelerators: 1}, EstimateMS: 10, DependsOn: []int{0}, Gang: true,
 			SameRack: true, Label: "l", DataRack: "r", MaxPerWorker: 3, Speculative: true, LongRunning: true, Checkpointing: true,
-			UsesSpare: true, MaxUnavailable: 4, Image: "i", LatencyObjectiveMS: 50,
+			UsesSpareCPU: true, MaxUnavailable: 4, Image: "i", LatencyObjectiveMS: 50,
 		}},
 	}, f.submitted)
 }
--- a/internal/cell/decide.go
+++ b/internal/cell/decide.go
@@ -185,7 +185,7 @@
 // faultKind maps a reason of placement to one of the fixed set of fault kinds.
 func faultKind(reason placement.Reason) fault.Kind {
 	switch reason {
-	case placement.ReasonTooLarge, placement.ReasonTooMany:
+	case placement.ReasonTooLarge, placement.ReasonTooManyTasks:
 		return fault.Infeasible
 	case placement.ReasonDeadline:
 		return fault.DeadlineUnreachable
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -210,7 +210,7 @@
 		estimate := time.Duration(job.Steps[run.Task.Step].EstimateMS) * time.Millisecond
 		o = &runOrder{
 			run: run, ticket: ticket, estimate: estimate, resumed: checkpoint != "",
-			gang: job.Steps[run.Task.Step].Gang, usesSpare: job.Steps[run.Task.Step].UsesSpare, share: fullShare,
+			gang: job.Steps[run.Task.Step].Gang, usesSpare: job.Steps[run.Task.Step].UsesSpareCPU, share: fullShare,
 			startInProgress: true, longRunning: job.Steps[run.Task.Step].LongRunning, crashSuspect: s.Task(run.Task).Suspect(),
 		}
 	})
--- a/internal/control/report.go
+++ b/internal/control/report.go
@@ -125,7 +125,7 @@
 				// Runs that an earlier leader or an earlier session ordered are monitored
 				// like orders of this session.
 				spec := &job.Steps[r.Task.Step]
-				o = &runOrder{run: run, usesSpare: spec.UsesSpare, longRunning: spec.LongRunning, share: unknownShare}
+				o = &runOrder{run: run, usesSpare: spec.UsesSpareCPU, longRunning: spec.LongRunning, share: unknownShare}
 				s.orders[r.Task] = o
 			}
 			if o != nil {
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -166,7 +166,7 @@
 		}
 		step := &job.Steps[task.Step]
 		summary.serving = summary.serving || step.LatencyObjectiveMS > 0
-		if step.UsesSpare {
+		if step.UsesSpareCPU {
 			summary.spareRuns++
 		}
 		summary.releases = append(summary.releases, t.runRelease(session, job, run, now))
--- a/internal/control/throttle.go
+++ b/internal/control/throttle.go
@@ -102,7 +102,7 @@
 			continue
 		}
 		spec := &job.Steps[r.Task.Step]
-		s.throttle.spare = s.throttle.spare || spec.UsesSpare
+		s.throttle.spare = s.throttle.spare || spec.UsesSpareCPU
 		if spec.LatencyObjectiveMS > 0 {
 			s.throttle.serving = true
 			worstRatio = max(worstRatio, float64(r.Measured)/float64(spec.LatencyObjectiveMS))
--- a/internal/control/throttle_test.go
+++ b/internal/control/throttle_test.go
@@ -42,7 +42,7 @@
 	cluster.workers.add("w1")
 	cluster.announce("w1")
 	serving := workflow.Step{Count: 1, Need: workflow.Resources{MilliCPU: 4000, MemoryMB: 10}, LongRunning: true, LatencyObjectiveMS: 50}
-	spare := workflow.Step{Count: 1, Need: workflow.Resources{MilliCPU: 9000, MemoryMB: 10}, EstimateMS: 60_000, UsesSpare: true}
+	spare := workflow.Step{Count: 1, Need: workflow.Resources{MilliCPU: 9000, MemoryMB: 10}, EstimateMS: 60_000, UsesSpareCPU: true}
 	cluster.submit("a", serving)
 	cluster.eventually("the service starts", func() bool { return cluster.started("w1") == 1 })
 	cluster.submit("b", spare)
--- a/placement/admit.go
+++ b/placement/admit.go
@@ -76,7 +76,7 @@
 		return refuse(ReasonTooLarge, 0, "a task needs %v and no worker has that much", e.need)
 	}
 	if e.job.Policy == Gang && slots < e.job.Tasks {
-		return refuse(ReasonTooMany, 0, "the gang needs %d tasks at once and all workers together can run %d", e.job.Tasks, slots)
+		return refuse(ReasonTooManyTasks, 0, "the gang needs %d tasks at once and all workers together can run %d", e.job.Tasks, slots)
 	}
 	return AdmissionDecision{Admitted: true}
 }
@@ -181,7 +181,7 @@
 	if need.within(c.capacity) {
 		return AdmissionDecision{Admitted: true, ExpectedStart: c.expectedStart(e, now)}
 	}
-	return refuse(ReasonTooMany, c.backlogRetryAfter(), "services would need %v and all workers together have %v", need, c.capacity)
+	return refuse(ReasonTooManyTasks, c.backlogRetryAfter(), "services would need %v and all workers together have %v", need, c.capacity)
 }
 
 // firstDeadlineOverrun returns the first deadline that would be missed if the
--- a/placement/cluster_test.go
+++ b/placement/cluster_test.go
@@ -223,7 +223,7 @@
 		{"fits", newBatchJob("a", "x", 1, cores(1), time.Minute, time.Hour), unlimited, ReasonNone, false},
 		{"too large", newBatchJob("a", "x", 1, cores(5), time.Minute, time.Hour), unlimited, ReasonTooLarge, false},
 		{"gang fits", gang(4), unlimited, ReasonNone, false},
-		{"gang too large", gang(5), unlimited, ReasonTooMany, false},
+		{"gang too large", gang(5), unlimited, ReasonTooManyTasks, false},
 		{"run time above deadline", newBatchJob("a", "x", 1, cores(1), 2*time.Hour, time.Hour), unlimited, ReasonDeadline, false},
 		{"too much work", newBatchJob("a", "x", 10, cores(4), time.Hour, time.Hour), unlimited, ReasonDeadline, true},
 		{"allotment", newBatchJob("a", "x", 1, cores(2), time.Minute, time.Hour), Resources{CPU: 1000, Memory: -1, Accelerators: -1}, ReasonQuota, true},
--- a/placement/types.go
+++ b/placement/types.go
@@ -115,9 +115,9 @@
 	ReasonNone Reason = iota
 	// ReasonTooLarge means that one task fits no worker, even an empty one.
 	ReasonTooLarge
-	// ReasonTooMany means that all workers together are too small for the tasks
+	// ReasonTooManyTasks means that all workers together are too small for the tasks
 	// of a gang or a service.
-	ReasonTooMany
+	ReasonTooManyTasks
 	// ReasonNoWorkers means that no worker is announced.
 	ReasonNoWorkers
 	// ReasonDeadline means that the job cannot finish by its deadline.
--- a/workflow/job.go
+++ b/workflow/job.go
@@ -90,9 +90,9 @@
 	LongRunning bool `cbor:"11,keyasint,omitempty"`
 	// Checkpointing says that tasks report checkpoints to resume from.
 	Checkpointing bool `cbor:"12,keyasint,omitempty"`
-	// UsesSpare says that the tasks reserve no CPU and use only CPU that other runs leave
+	// UsesSpareCPU says that the tasks reserve no CPU and use only CPU that other runs leave
 	// idle.
-	UsesSpare bool `cbor:"13,keyasint,omitempty"`
+	UsesSpareCPU bool `cbor:"13,keyasint,omitempty"`
 	// MaxUnavailable bounds how many long-running tasks the system itself may interrupt at the
 	// same time.
 	MaxUnavailable int `cbor:"14,keyasint,omitempty"`
@@ -110,7 +110,7 @@
 // Demand returns the resources of its worker that a task of the step occupies.
 func (s *Step) Demand() Resources {
 	demand := s.Need
-	if s.UsesSpare {
+	if s.UsesSpareCPU {
 		demand.MilliCPU = 0
 	}
 	return demand
