--- a/api/v1/bilberry.twirp.go
+++ b/api/v1/bilberry.twirp.go
@@ -34,11 +34,11 @@
 // Scheduler serves operators and callers. Every entry instance of every data centre
 // accepts every call and forwards it to the data centre that owns the job. Mutating
 // calls carry a request id as idempotency key: a repeat with the same content gets the
-// first answer, a repeat with different content gets Conflict.
+// first response, a repeat with different content gets Conflict.
 type Scheduler interface {
-	// Home returns the data centre of the entry instance that answers. A caller calls it
-	// once before it submits, and names that home in the submission and in every retry:
-	// request ids are stored in their home only.
+	// Home returns the data centre of the entry instance that serves the call. A caller
+	// calls it once before it submits, and names that home in the submission and in every
+	// retry: request ids are stored in their home only.
 	Home(context.Context, *HomeRequest) (*HomeResponse, error)
 
 	Submit(context.Context, *SubmitRequest) (*SubmitResponse, error)
@@ -49,7 +49,7 @@
 
 	Status(context.Context, *StatusRequest) (*StatusResponse, error)
 
-	// Watch is a long poll: it answers when a job's revision exceeds after_revision, or
+	// Watch is a long poll: it returns when a job's revision exceeds after_revision, or
 	// after wait_ms.
 	Watch(context.Context, *WatchRequest) (*StatusResponse, error)
 
@@ -5218,12 +5218,12 @@
 
 // WorkerGateway serves workers. They call any entry instance of their data centre.
 type WorkerGateway interface {
-	// Renew announces a worker or renews its lease. It is a long poll: it answers when
-	// there are commands or after hold_ms. An empty answer also renews the lease.
+	// Renew announces a worker or renews its lease. It is a long poll: it returns when
+	// there are commands or after hold_ms. An empty response also renews the lease.
 	Renew(context.Context, *RenewRequest) (*RenewResponse, error)
 
-	// Report delivers the outcomes of attempts. A worker retries a report until the answer
-	// acknowledges it.
+	// Report delivers the outcomes of attempts. A worker retries a report until the
+	// response acknowledges it.
 	Report(context.Context, *ReportRequest) (*ReportResponse, error)
 
 	LeaveWorker(context.Context, *LeaveWorkerRequest) (*LeaveResponse, error)
@@ -7050,15 +7050,15 @@
 // Peer serves the other instances of the system.
 type Peer interface {
 	// Exchange carries messages of replication groups. The sender's replica transport
-	// encodes the payloads; format_version tells instances of different program versions
-	// apart.
+	// encodes the payloads; format_version is the version of that encoding, which may differ
+	// between instances of different program versions.
 	Exchange(context.Context, *ExchangeRequest) (*ExchangeResponse, error)
 
 	// Offer proposes the handover of one job to the receiving data centre. A repeat gets
 	// the committed outcome of the earlier offer.
 	Offer(context.Context, *OfferRequest) (*OfferResponse, error)
 
-	// FetchConfig is a long poll for the committed configuration: it answers once the
+	// FetchConfig is a long poll for the committed configuration: it returns once the
 	// version exceeds after_version, or after wait_ms with the version unchanged.
 	FetchConfig(context.Context, *FetchConfigRequest) (*Config, error)
 
--- a/api/v1/workflow.twirp.go
+++ b/api/v1/workflow.twirp.go
@@ -28,7 +28,7 @@
 
 // Workflows is served by every instance; followers forward calls to the leader.
 type Workflows interface {
-	// SubmitWorkflow answers once the job is stored on a majority of the disks. The id is
+	// SubmitWorkflow returns once the job is stored on a majority of the disks. The id is
 	// the idempotency key: a repeated submission refers to the same job.
 	SubmitWorkflow(context.Context, *SubmitWorkflowRequest) (*SubmitWorkflowResponse, error)
 
@@ -41,7 +41,7 @@
 
 	GetQueue(context.Context, *QueueRef) (*QueueStatus, error)
 
-	// StartWave answers once the wave is stored on a majority of the disks.
+	// StartWave returns once the wave is stored on a majority of the disks.
 	StartWave(context.Context, *Wave) (*WaveStatus, error)
 
 	GetWave(context.Context, *WaveRef) (*WaveStatus, error)
