--- a/dispatch/backlog_test.go
+++ b/dispatch/backlog_test.go
@@ -30,7 +30,8 @@
 // stay late although a quarter of the cores is free.
 func TestBacklogOfBurstDrains(t *testing.T) {
 	const burstStart, burstEnd, usualRate, end = 8 * time.Second, 12 * time.Second, 156, 16 * time.Second
-	// maxFreeShare bounds the free share of the cores at the end, so that the load fills the pool.
+	// maxFreeShare bounds the share of the cores that is free at the end. A larger share
+	// would show that the load doesn't fill the pool.
 	const maxFreeShare = 0.2
 	recalc, build, lookup := largeLoad()
 	r := newReplay(1, largePool, largePoolConnections, recalc, build, lookup)
--- a/dispatch/explain.go
+++ b/dispatch/explain.go
@@ -11,13 +11,13 @@
 type ReasonCount struct {
 	Reason  Reason
 	Workers int
-	// Example is the ID of one of the workers.
+	// Example is the ID of one of the workers that the reason rules out.
 	Example string
 }
 
-// Explain counts the workers of the step's service by what rules them out for one more task of
-// s now, the most frequent reason first. Workers that could run it are counted under the empty
-// reason.
+// Explain counts the workers of the step's service by the reason why one more task of s
+// can't start on them now, the most frequent reason first. Workers on which a task could
+// start are counted under the empty reason.
 func Explain(now time.Duration, s *Step, workers []Worker, limits Limits) []ReasonCount {
 	p := &planner{now: now, limits: limits}
 	var counts []ReasonCount
--- a/dispatch/gang.go
+++ b/dispatch/gang.go
@@ -54,13 +54,13 @@
 	return ReasonAwaitsAdviser
 }
 
-// gangQueriesMore reports whether a gang queries workers of unknown permission. It does in
-// three cases:
+// gangQueriesMore reports whether a gang queries workers of unknown permission. It does
+// in three cases:
 //
-//   - Its permitted workers would hardly hold it even if they were empty.
-//   - Other workers have free resources, and the gang either waits long for its reservation
-//     or has none and is known to be permitted on few workers.
-//   - It is likely to fit now if it queries the others.
+//   - The gang would hardly fit on its permitted workers even if these ran nothing else.
+//   - Workers of unknown permission have free resources, and the gang either waits long for
+//     its reservation or has none and is known to be permitted on few workers.
+//   - The gang is likely to fit now if it queries workers of unknown permission.
 func (p *planner) gangQueriesMore(s *Step, granted, unknown []*Worker, left int, reservation gangReservation) bool {
 	if len(unknown) == 0 {
 		return false
@@ -85,19 +85,20 @@
 }
 
 const (
-	// minEmptyFactor times its remaining tasks must fit on the permitted workers of a gang if
-	// these workers were empty; otherwise the gang queries more workers. The factor exceeds 1
-	// because other steps run on these workers too.
+	// minEmptyFactor is the multiple of a gang's remaining tasks that must fit on the
+	// permitted workers if these ran nothing else; otherwise the gang queries more
+	// workers. The factor exceeds 1 because other steps run on these workers too.
 	minEmptyFactor = 2
-	// wantedEmptyFactor times its remaining tasks should fit on the permitted workers of a
-	// gang if these workers were empty; otherwise the gang queries more workers as long as
-	// these have free resources. A query occupies an adviser connection for a second, but a
-	// gang that is known to be permitted on few workers waits for these while others are free.
+	// wantedEmptyFactor is the multiple of a gang's remaining tasks that should fit on
+	// the permitted workers if these ran nothing else; otherwise the gang queries more
+	// workers as long as workers of unknown permission have free resources. A query
+	// occupies an adviser connection for a second, but without it a gang that is known to
+	// be permitted on few workers waits for these workers while others are free.
 	wantedEmptyFactor = 8
-	// wantedFreeFactor times its remaining tasks should fit into the free resources of the
-	// workers that a gang queries, as far as the mean grant rate predicts. The margin covers
-	// grants that differ from the mean, and resources that other steps take before the
-	// response arrives.
+	// wantedFreeFactor is the multiple of a gang's remaining tasks that should fit into
+	// the free resources of the workers that the gang queries, as far as the mean grant
+	// rate predicts. The margin covers grants that differ from the mean, and resources
+	// that other steps take before the response arrives.
 	wantedFreeFactor = 2.5
 	// maxGangQueries bounds the queries that a gang sends in parallel. Each occupies an adviser
 	// connection for half a second and more.
@@ -109,8 +110,9 @@
 // expected to be permitted hold the gang.
 //
 // If a gang of dozens of tasks is permitted on a quarter of hundreds of workers, and a
-// quarter of the workers is free, few workers of one query are both. A gang that sends its
-// queries one by one never finds enough permitted workers free at the same time.
+// quarter of the workers is free, few workers of one query are both permitted and free. A
+// gang that sends its queries one by one never finds enough permitted workers free at the
+// same time.
 func (p *planner) gangWorkersToQuery(s *Step, granted, unknown []*Worker, left int) []*Worker {
 	chosen := fewestWorkersFor(s, granted, left)
 	freeFits, emptyFits := float64(totalFitCount(s, chosen)), float64(totalEmptyFitCount(s, granted))
@@ -171,9 +173,9 @@
 type gangReservation struct {
 	// preempted says that other runs are being stopped for the gang.
 	preempted bool
-	// reserved says that the gang may get a reservation. workers are where the gang is
-	// expected to fit and at is the time from which it fits; both are zero if that can't be
-	// predicted or runs are being stopped.
+	// reserved says that the gang may get a reservation. workers are the workers on which
+	// the gang is expected to fit, and at is the time from which it fits. workers and at
+	// are zero if the fit can't be predicted or runs are being stopped.
 	reserved bool
 	workers  []*Worker
 	at       time.Duration
--- a/dispatch/gang_test.go
+++ b/dispatch/gang_test.go
@@ -47,9 +47,9 @@
 
 // Guards against gangs that start late with a quarter of the pool free. Of 350 workers
 // three quarters are occupied, the free resources are fragmented, and a gang of 30 to 60
-// tasks is permitted on a quarter of the workers. If the gang queries 60 workers at a time,
-// 0.9 s each, and none once its 15 permitted workers are expected to come free soon, one
-// gang in five is late.
+// tasks is permitted on a quarter of the workers. If the gang queries 60 workers at a
+// time, 0.9 s each, and sends no further query once its 15 permitted workers are expected
+// to come free soon, one gang in five is late.
 func TestLargeGangQueriesEnoughWorkersInParallel(t *testing.T) {
 	const (
 		// grantedShare is the share of the workers on which a gang is permitted.
@@ -91,7 +91,8 @@
 	}
 }
 
-// Guards against needless queries: if one query covers all workers, a gang sends only that.
+// Guards against needless queries: a gang must send a single query if that covers all
+// workers.
 func TestGangInSmallPoolSendsOneQuery(t *testing.T) {
 	gang := step("a", 20, 4)
 	gang.Spec.Gang, gang.NeedsPermit, gang.GrantRate = true, true, 0.25
--- a/dispatch/load_test.go
+++ b/dispatch/load_test.go
@@ -59,10 +59,11 @@
 	}
 }
 
-// Guards against gangs, also of failed jobs that must run again, that wait while more than
-// a third of the pool stays free. If twelve gangs hold reservations until the expected ends
-// of runs, the runs last longer, and the gangs after these twelve can't renew their
-// tickets: 39 gangs with 1,176 tasks wait while 55 % of the cores are free.
+// Guards against gangs that wait while more than a third of the pool stays free. If
+// twelve gangs hold reservations until the expected ends of runs, the runs last longer,
+// and the gangs after these twelve can't renew their tickets: 39 gangs with 1,176 tasks
+// wait while 55 % of the cores are free. Gangs of failed jobs that must run again wait as
+// well.
 func TestGangsStartWhenTwiceTheirDemandIsFree(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/dispatch/permits.go
+++ b/dispatch/permits.go
@@ -92,8 +92,9 @@
 	return chosen
 }
 
-// worthQuerying reports whether s should query workers of unknown permission: before its
-// first response always, later only if one of its tasks fits on one of them now.
+// worthQuerying reports whether s should query workers of unknown permission: any of them
+// while s has had no response from the adviser, later only if a task of s fits on one of
+// them now.
 func worthQuerying(s *Step, unknown []*Worker) bool {
 	if len(s.Permits) == 0 {
 		return len(unknown) > 0
@@ -122,11 +123,12 @@
 
 // workersToQuery returns the workers to query: permitted ones that the remaining tasks
 // need, then unknown ones, those with the most free resources first. If the step was
-// refused on all workers queried so far, it queries as many again.
+// refused on all workers queried so far, the query may name as many workers as were
+// refused.
 //
 // A step of dozens of tasks may be permitted on a dozen workers, most of them full. If it
-// queried only a permitted worker that fits a single task, it would renew that ticket, start
-// the task and query again, while unknown workers are free.
+// queried only a permitted worker that fits a single task, it would renew the ticket for
+// that worker, start the task and query again, while unknown workers are free.
 func (p *planner) workersToQuery(s *Step, renew, unknown []*Worker) []*Worker {
 	chosen := renew
 	limit := p.limits.WorkersPerQuery
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -31,9 +31,10 @@
 	stopping map[workflow.TaskKey]bool
 	// preemptiblePriority is the least urgent priority of the preemptible runs of each pool.
 	preemptiblePriority map[string]int
-	// queryWaiters are the steps that wait for a query, in order. reservedQueries is the
-	// number of queries that are held back for them, and reservedLongQueries is how many of
-	// these may be long.
+	// queryWaiters are the steps that wait for a query, in the order in which the
+	// decision considered them. reservedQueries is the number of queries that are held
+	// back for these steps, and reservedLongQueries is how many of the held back queries
+	// may be long.
 	queryWaiters                         []queryWaiter
 	reservedQueries, reservedLongQueries int
 	plan                                 Plan
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -14,7 +14,7 @@
 func cores(n int64) workflow.Resources { return workflow.Resources{MilliCPU: n * 1000, MemoryMB: 1000} }
 
 // workers returns a pool of workers w0, w1 and so on, each with 16 cores, of which the
-// given number is free. Two workers each share one of the racks r0, r1 and so on.
+// given number is free. Each pair of consecutive workers shares a rack: r0, r1 and so on.
 func workers(free ...int64) []Worker {
 	var pool []Worker
 	for i, f := range free {
@@ -206,8 +206,8 @@
 
 // Guards against a late gang that never starts although most workers are idle. A new
 // leader's first query names only the two workers that have responded to that leader so
-// far. One is permitted and large enough, but never empty, and the gang queries others only
-// if its permitted workers are too small.
+// far. One of them is permitted and large enough, but always busy, and the gang queries
+// further workers only if its permitted workers are too small.
 func TestGangQueriesIdleWorkersWhilePermittedOnesStayBusy(t *testing.T) {
 	gang := func() Step {
 		s := needsPermit(step("gang", 2, 4), map[string]Permit{"w0": {Granted: true}})
--- a/dispatch/replay_jobs_test.go
+++ b/dispatch/replay_jobs_test.go
@@ -63,8 +63,10 @@
 	unfinished []int
 	// saved is the share of a task's work that the checkpoint of a preempted run holds.
 	saved map[workflow.TaskKey]float64
-	// permits and the four fields after it are the permits, queries and tickets of the
-	// current step.
+	// permits are the adviser's decisions for the current step so far. pendingQueries
+	// counts the step's queries in flight, lastQuery is when the last one was sent,
+	// renewing are the workers whose tickets are being renewed, and ticketsExpire is when
+	// the step's last ticket expires.
 	permits        map[string]Permit
 	pendingQueries int
 	lastQuery      time.Duration
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -111,7 +111,7 @@
 }
 
 // permits reports whether the adviser permits a step on a worker, pseudo-randomly for a
-// share of the workers. The result never changes.
+// share of the workers. The result depends only on the arguments.
 func (r *replay) permits(key workflow.StepKey, worker string, share float64) bool {
 	h := fnv.New32a()
 	_, _ = fmt.Fprint(h, key, worker)
--- a/dispatch/select.go
+++ b/dispatch/select.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// filters are the requirements that a worker must meet for a step, whatever its free
-// resources.
+// filters are the requirements that a worker must meet for a step, regardless of the
+// worker's free resources.
 var filters = []struct {
 	reason Reason
 	passes func(s *Step, w *Worker) bool
@@ -18,7 +18,7 @@
 	{ReasonSpareShare, enoughSpareShare},
 }
 
-// filter returns the workers that meet the requirements of s, whatever their free
+// filter returns the workers that meet the requirements of s, regardless of their free
 // resources.
 func filter(workers []*Worker, s *Step) []*Worker {
 	passing := make([]*Worker, 0, len(workers))
@@ -30,8 +30,8 @@
 	return passing
 }
 
-// eligible reports whether w is in the pool of s and meets its requirements, whatever its
-// free resources. A nil worker isn't eligible.
+// eligible reports whether w is in the pool of s and meets the requirements of s,
+// regardless of the free resources of w. A nil worker isn't eligible.
 func eligible(s *Step, w *Worker) bool {
 	return w != nil && w.Service == s.Service && rejection(s, w) == ""
 }
@@ -58,15 +58,15 @@
 // task that uses spare CPU to start there.
 const minSpareShare = 10
 
-// enoughSpareShare reports whether w has spare CPU for tasks of s. Tasks that use spare CPU
-// don't start where serving tasks leave next to nothing.
+// enoughSpareShare reports whether w has spare CPU for tasks of s. Tasks that use spare
+// CPU don't start on a worker where serving tasks leave less than minSpareShare.
 func enoughSpareShare(s *Step, w *Worker) bool {
 	return !s.Spec.UsesSpareCPU || !w.Serving || w.SpareShare >= minSpareShare
 }
 
-// interference ranks how much a task of s and the runs on w disturb each other. Tasks with a
-// latency objective and tasks that use spare CPU are kept apart while other workers have free
-// resources, and the latter also from each other.
+// interference ranks how much a task of s and the runs on w disturb each other. While
+// other workers have free resources, tasks that use spare CPU are kept apart from tasks
+// with a latency objective and from each other.
 func interference(s *Step, w *Worker) int {
 	switch {
 	case s.Spec.UsesSpareCPU && w.Serving:
@@ -94,8 +94,8 @@
 func comparePreference(s *Step, a, b *Worker) int {
 	cpuOrder := cmp.Compare(a.Free.MilliCPU, b.Free.MilliCPU)
 	if s.Spec.UsesSpareCPU {
-		// Tasks that use spare CPU get what others leave, so the worker with the most free CPU
-		// suits best.
+		// Tasks that use spare CPU get the CPU that other runs leave idle, so the worker
+		// with the most free CPU suits best.
 		cpuOrder = -cpuOrder
 	}
 	return cmp.Or(cmp.Compare(a.Penalty, b.Penalty), cmp.Compare(distance(s, a), distance(s, b)),
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -15,7 +15,7 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// Worker is a worker that may be given tasks now.
+// Worker describes a worker that accepts new tasks, as the input of a decision.
 type Worker struct {
 	workflow.Worker
 	// Free are the resources that no run occupies. A run occupies its resources while it
@@ -35,10 +35,11 @@
 	// leave idle. SpareShare is the percentage of the CPU that they may use alongside
 	// serving tasks.
 	SpareRuns, SpareShare int
-	// Earmarked says that the last decision reserved resources here for a gang that fits soon.
+	// Earmarked says that the last decision reserved resources on the worker for a gang
+	// that fits soon.
 	Earmarked bool
-	// Penalty is higher for workers that failed or stalled recently, which are chosen after
-	// the others; 0 is healthy.
+	// Penalty is 0 for a healthy worker and higher for one that failed or stalled
+	// recently. Workers with a lower penalty are chosen first.
 	Penalty int
 	// rank is the position of the worker in the order of IDs; it breaks ties.
 	rank int
@@ -50,7 +51,7 @@
 	At        time.Duration
 	Resources workflow.Resources
 	Task      workflow.TaskKey
-	// Priority is that of the run's queue; 0 is the most urgent.
+	// Priority is the priority of the run's queue; 0 is the most urgent.
 	Priority int
 	// Preemptible says that a more urgent step may stop the run: it resumes from a checkpoint.
 	Preemptible bool
@@ -74,7 +75,7 @@
 	Spec *workflow.Step
 	// Service is the pool whose workers may run the step.
 	Service string
-	// Priority is that of the queue; 0 is the most urgent.
+	// Priority is the priority of the step's queue; 0 is the most urgent.
 	Priority int
 	// Lateness is 0 while the job can meet its objective, 1 while it is late but still has some
 	// value, and 2 after that.
@@ -188,9 +189,9 @@
 
 // Limits bound one plan.
 type Limits struct {
-	// WorkersPerQuery is the number of workers that one query names at most.
-	// WorkersPerGangQuery is the same for a gang, which needs many workers at once and may send
-	// several queries.
+	// WorkersPerQuery is the number of workers that one query names at most. For a gang
+	// the number is WorkersPerGangQuery instead, since a gang needs many workers at once
+	// and may send several queries.
 	WorkersPerQuery     int
 	WorkersPerGangQuery int
 	// Queries is how many queries may be sent now.
--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -182,9 +182,9 @@
 // outcomeNames are the names of the outcomes in events.
 var outcomeNames = [...]string{"failed", "finished", "failed", "stopped", "not started"}
 
-// finalStateWithoutRun returns the final state of a task whose last attempt never
-// ran, or that has none: cancelled if an earlier attempt may have run, otherwise
-// not run.
+// finalStateWithoutRun returns the final state of a task that has no attempt or whose
+// last attempt never ran: cancelled if an earlier attempt may have run, otherwise not
+// run.
 func finalStateWithoutRun(t *Task) TaskState {
 	if t.Runs > 0 {
 		return TaskCancelled
@@ -207,9 +207,9 @@
 	t.State = final
 }
 
-// failTask queues an idempotent task again after an exponential backoff. It
-// fails a non-idempotent task, and one whose attempts are used up (services
-// have no limit), whose deadline has passed or whose job is closing.
+// failTask queues the task again after an exponential backoff. It fails the task instead
+// if the task is not idempotent, is being stopped or has used up its attempts (services
+// have no limit), if the job is closing or if its deadline has passed.
 func (s *State) failTask(now int64, j *Job, t *Task) {
 	t.Failures++
 	limit := j.Spec.MaxAttempts
@@ -354,7 +354,7 @@
 	return placement.Resources{CPU: max(a.CPU, b.CPU), Memory: max(a.Memory, b.Memory), Accelerators: max(a.Accelerators, b.Accelerators)}
 }
 
-// fits reports whether a is at most in, in each resource.
+// fits reports whether no resource of a exceeds the same resource of in.
 func fits(a, in placement.Resources) bool {
 	return a.CPU <= in.CPU && a.Memory <= in.Memory && a.Accelerators <= in.Accelerators
 }
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -48,9 +48,9 @@
 	Prune                *Prune                `cbor:"24,keyasint,omitempty"`
 }
 
-// Request identifies a mutating call, so that a resent call gets the first
-// response. Digest is a hash of the content, with which other content under the
-// same ID is detected.
+// Request identifies a mutating call, so that a resent call gets the first response.
+// Digest is a hash of the content; it shows when a call with other content uses the same
+// ID.
 type Request struct {
 	ID       string `cbor:"1,keyasint"`
 	Customer string `cbor:"2,keyasint,omitempty"`
--- a/placement/arrivals/generate.go
+++ b/placement/arrivals/generate.go
@@ -27,8 +27,9 @@
 	// wrong run times, by a factor between 0.2 and 5 that is fixed per job
 	// name.
 	MisdeclaringCustomers float64
-	// MisdeclaredNames is the share of the job names of all other customers whose
-	// declared run times are wrong, by a factor between 0.2 and 5 per job name.
+	// MisdeclaredNames is the share of the job names whose declared run times are wrong,
+	// by a factor between 0.2 and 5 per job name, among the customers that do not belong
+	// to MisdeclaringCustomers.
 	MisdeclaredNames float64
 	// DeclarationNoise is the standard deviation of the logarithm of a random
 	// error on every declared run time.
@@ -37,8 +38,8 @@
 	Services float64
 	// NotIdempotent is the share of the jobs whose tasks may run only once.
 	NotIdempotent float64
-	// TightDeadlines is the share of the jobs that must start within a few run
-	// times; the others have one to six hours.
+	// TightDeadlines is the share of the jobs that must start within a few run times; all
+	// other jobs have one to six hours until they must start.
 	TightDeadlines float64
 	// UrgentNeed is the resource need of an urgent task.
 	UrgentNeed placement.Resources
--- a/placement/arrivals/measure_test.go
+++ b/placement/arrivals/measure_test.go
@@ -128,8 +128,9 @@
 	}
 }
 
-// TestFlood prints the waiting times of all other customers for floods of several
-// sizes. A flood is two hours of extra jobs of one customer.
+// TestFlood prints how long tasks wait while one customer floods the scheduler with extra
+// jobs for two hours, for floods of several sizes. It leaves out the tasks of that
+// customer.
 func TestFlood(t *testing.T) {
 	skipUnlessSelected(t, "flood")
 	const loadBesideFlood = 0.6
@@ -148,8 +149,8 @@
 	}
 }
 
-// TestFaults prints the failures and misses while one worker fails all tasks
-// for two hours and another one for two and a half.
+// TestFaults prints the failures and misses while one worker fails all tasks for two
+// hours and another worker for two and a half hours.
 func TestFaults(t *testing.T) {
 	skipUnlessSelected(t, "faults")
 	const loadBesideFaults = 0.8
--- a/placement/arrivals/replay.go
+++ b/placement/arrivals/replay.go
@@ -23,7 +23,7 @@
 	// Services is the share of the CPU capacity that services occupy throughout.
 	Services float64
 	Faults   []WorkerFault
-	// Stopwatch returns the time since some start. Admission checks and
+	// Stopwatch returns the time since an arbitrary fixed moment. Admission checks and
 	// evaluations are timed with it; if it is nil, their durations are zero.
 	Stopwatch func() time.Duration
 }
@@ -116,8 +116,9 @@
 	worker      string
 	started     time.Duration
 	everStarted bool
-	// attempt is raised by two with each start and by one with each preemption and
-	// each stop after it. It is odd while a preempted attempt stops.
+	// attempt is raised by two with each start, by one when the attempt is preempted, and
+	// by one more when the preempted attempt has stopped. It is odd while a preempted
+	// attempt stops.
 	attempt  int
 	failures int
 }
--- a/placement/cluster_test.go
+++ b/placement/cluster_test.go
@@ -298,9 +298,8 @@
 	must.SliceEmpty(t, c.Quarantined())
 }
 
-// A probe fails, and the caller unplaces it before reporting the failure. The
-// backoff must be doubled all the same, otherwise the next probe would follow
-// immediately.
+// A probe fails, and the caller unplaces it before reporting the failure. The failure
+// must still double the backoff, otherwise the next probe would follow immediately.
 func TestFailedProbeBacksOffWhenUnplacedFirst(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(4), 1)
@@ -359,8 +358,9 @@
 	must.SliceEmpty(t, c.Quarantined())
 }
 
-// Estimates must follow the measurements of earlier tasks of the same job name, and
-// no others. The estimated need must not fall below the declared one.
+// Estimates of a job must follow the measurements of earlier tasks of the same job name,
+// and not those of tasks of other names. The estimated need must not fall below the
+// declared one.
 func TestCorrectedRuntimeAndNeed(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(8), 1)
--- a/placement/evaluate.go
+++ b/placement/evaluate.go
@@ -6,9 +6,10 @@
 )
 
 const (
-	// lookahead bounds the search after an entry that fits only into reserved
-	// resources: an evaluation examines up to this many entries of the same
-	// subqueue, and skips the shape after this many further such entries.
+	// lookahead bounds the search for an entry that fits in spite of reservations. After
+	// an entry that fits only into reserved resources an evaluation examines up to
+	// lookahead entries of the same subqueue, and it skips the shape once more than
+	// lookahead entries of the shape fitted only into reserved resources.
 	lookahead = 6
 	// maxDueVisits bounds the entries that one call of serveDue or probeFor
 	// visits.
--- a/placement/gang.go
+++ b/placement/gang.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// overdueRemaining is the assumed remaining run time of a task that has
-// exceeded its high estimate.
+// overdueRemaining is the shortest remaining run time that is assumed for a running task,
+// in particular for one that has exceeded its high estimate.
 const overdueRemaining = 30 * time.Second
 
 // placeGang starts all tasks of a gang or none, and reports whether it did.
@@ -64,10 +64,10 @@
 	return found >= tasks
 }
 
-// forecast predicts when the entry can start by releasing running tasks in order of
-// their expected ends until the entry fits. It leaves out workers with the
-// reservation of another entry. It returns nil if the entry does not fit even
-// without the running tasks.
+// forecast predicts when the entry can start. It assumes that running tasks release their
+// resources in the order of their expected ends, until the entry fits. It leaves out
+// workers with the reservation of another entry. It returns nil if the entry does not fit
+// even without the running tasks.
 func (p *planner) forecast(e *entry) *forecast {
 	p.cluster.forecasts++
 	f := &forecast{at: p.now, tasksLeft: 1}
--- a/placement/profile.go
+++ b/placement/profile.go
@@ -59,9 +59,10 @@
 	}
 }
 
-// upperBound is the work that running tasks will still use, at most. Overdue tasks
-// count with overdueRemaining from now on, so the result is never below that of a
-// profileWalk. Only the steps in the past are visited.
+// upperBound is the work that running tasks will still use, at most. Each task counts with
+// overdueRemaining in addition to the time until its expected end (zero if that has passed),
+// so the result is never below that of a profileWalk. Only the steps in the past are
+// visited.
 func (p *profile) upperBound(now time.Time) resourceSeconds {
 	elapsed := float64(now.Unix()-p.origin) - overdueRemaining.Seconds()
 	left := p.firstMoment.plus(resourceSecondsOf(p.need, -elapsed))
--- a/placement/score.go
+++ b/placement/score.go
@@ -9,8 +9,8 @@
 }
 
 var (
-	// scoreBinPacking prefers the worker that has the least left after the task
-	// is placed.
+	// scoreBinPacking prefers the worker with the fewest free resources after the task is
+	// placed.
 	scoreBinPacking = score{name: "pack", weight: 1, rate: rateBinPacking}
 	// scoreAccelerators keeps workers with accelerators for tasks that need
 	// them.
@@ -31,8 +31,8 @@
 	Gang:    {scoreAccelerators, scoreHealth, scoreBinPacking},
 }
 
-// rateBinPacking is 1 if the task fills the worker, less the mean fraction of
-// CPU and memory that stays free.
+// rateBinPacking is 1 minus the mean fraction of CPU and memory that the task leaves free
+// on the worker.
 func rateBinPacking(r *request, w *worker) float64 {
 	left := w.free.minus(r.entry.need)
 	return 1 - (ratio(left.CPU, w.Capacity.CPU)+ratio(left.Memory, w.Capacity.Memory))/2
@@ -81,9 +81,8 @@
 	return sum
 }
 
-// maxRatedCandidates is how many fitting workers are rated for a batch or gang
-// task. The index returns the tightest fit first, so rating more rarely changes
-// the choice.
+// maxRatedCandidates is how many fitting workers are rated for a batch or gang task. The
+// index returns the tightest fit first, so further candidates rarely change the choice.
 const maxRatedCandidates = 8
 
 // search is the result of the search for a worker for one task.
--- a/workflow/configuration.go
+++ b/workflow/configuration.go
@@ -11,7 +11,7 @@
 	TicketValidityMS int64   `cbor:"3,keyasint"`
 }
 
-// Policy is how the jobs of a queue are treated.
+// Policy defines how the jobs of a queue are scheduled.
 type Policy struct {
 	// Service is the pool of workers that run the tasks.
 	Service string `cbor:"1,keyasint"`
--- a/workflow/crash.go
+++ b/workflow/crash.go
@@ -19,8 +19,9 @@
 	// that loses power crashes under many tasks, but hardly ever three times under the same
 	// one.
 	maxStrongCrashes = 3
-	// maxCrashes is how many crashes of any suspicion fail the job of a task: three that
-	// show the cause, and two by starts that may follow before the three are known.
+	// maxCrashes is how many crashes of any suspicion fail the job of a task. Three
+	// crashes show the task to be the cause; the limit leaves room for two more, by
+	// starts that may follow before the three crashes are known.
 	maxCrashes = 5
 )
 
--- a/workflow/job.go
+++ b/workflow/job.go
@@ -24,7 +24,7 @@
 	return Resources{r.MilliCPU + other.MilliCPU, r.MemoryMB + other.MemoryMB, r.Accelerators + other.Accelerators}
 }
 
-// Minus returns r without other.
+// Minus returns the difference of r and other.
 func (r Resources) Minus(other Resources) Resources {
 	return Resources{r.MilliCPU - other.MilliCPU, r.MemoryMB - other.MemoryMB, r.Accelerators - other.Accelerators}
 }
--- a/workflow/state.go
+++ b/workflow/state.go
@@ -78,7 +78,8 @@
 // Phases of a job.
 const (
 	// PhasePending means that no worker is known to have started a run of the job, and
-	// PhaseActive that one is. Only the end of a run can prove that a worker started it.
+	// PhaseActive that a worker is known to have started one. Only the end of a run can
+	// prove that a worker started it.
 	PhasePending Phase = iota + 1
 	PhaseActive
 	PhaseDone
--- a/workflow/wave.go
+++ b/workflow/wave.go
@@ -69,7 +69,7 @@
 // Wave returns the wave with an ID, nil if there is none.
 func (s *State) Wave(id int64) *WaveState { return s.Waves[id] }
 
-// startWave records a wave; a wave with a known ID changes nothing.
+// startWave records a wave, unless a wave with the same ID is already known.
 func (s *State) startWave(w *Wave) {
 	if s.Waves[w.ID] == nil {
 		s.Waves[w.ID] = &WaveState{Wave: *w, Maintenances: map[string]Maintenance{}}
