--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -203,12 +203,12 @@
 		p.queryWaiters = append(p.queryWaiters, queryWaiter{s, left, p.skipReason(s, left)})
 		return
 	}
-	p.prepareRest(s, left)
+	p.prepareRemaining(s, left)
 }
 
-// prepareRest queries or reserves what the remaining tasks of s need before they can start, and
-// records why they wait.
-func (p *planner) prepareRest(s *Step, left int) {
+// prepareRemaining queries or reserves what the remaining tasks of s need before they can
+// start, and records why they wait.
+func (p *planner) prepareRemaining(s *Step, left int) {
 	suitable := filter(p.byService[s.Service], s)
 	if len(suitable) == 0 {
 		p.addWaiting(s, left, ReasonNoWorker)
--- a/dispatch/query_test.go
+++ b/dispatch/query_test.go
@@ -42,16 +42,16 @@
 // and, 10 s later, ten jobs that are permitted on a quarter of an empty pool. It returns
 // how long the last of the ten waits.
 func waitBehindRefused(pool, ahead int) time.Duration {
-	refused, others := slowQueryKind("refused", 0, 0), slowQueryKind("others", 1, 0.25)
-	r := newReplay(1, pool, usualConnections, refused, others)
+	refused, permitted := slowQueryKind("refused", 0, 0), slowQueryKind("others", 1, 0.25)
+	r := newReplay(1, pool, usualConnections, refused, permitted)
 	for range ahead {
 		r.submit(refused)
 	}
 	r.play(10*time.Second, 0)
 	for range 10 {
-		r.submit(others)
+		r.submit(permitted)
 	}
-	return waitUntilAllStart(r, others)
+	return waitUntilAllStart(r, permitted)
 }
 
 // Guards against urgent steps that are permitted on no worker and whose queries, 30 workers
@@ -90,9 +90,9 @@
 			steps := []Step{}
 			for i := range 20 {
 				urgent := needsPermit(step(fmt.Sprintf("urgent%02d", i), 1, 2), map[string]Permit{"w0": {}})
-				other := needsPermit(step(fmt.Sprintf("other%02d", i), 1, 2), nil)
-				other.Priority = 1
-				steps = append(steps, urgent, other)
+				lessUrgent := needsPermit(step(fmt.Sprintf("other%02d", i), 1, 2), nil)
+				lessUrgent.Priority = 1
+				steps = append(steps, urgent, lessUrgent)
 			}
 			plan := Decide(0, steps, workers(9, 9), bounded)
 			must.SliceLen(t, queries, plan.Queries, must.Sprint("no query is left unused"))
@@ -163,7 +163,7 @@
 
 // Guards against a late job that never gets a query: it is considered after all other jobs,
 // and urgent jobs that are permitted on no worker keep arriving.
-func TestLateJobQueriesBesideRefusedUrgentJobs(t *testing.T) {
+func TestLateJobQueriesDespiteRefusedUrgentJobs(t *testing.T) {
 	refused, late := slowQueryKind("refused", 0, 0), slowQueryKind("late", 1, 0.25)
 	late.objective, refused.rate = 0, 5
 	r := newReplay(1, largePool, usualConnections, refused, late)
@@ -244,7 +244,7 @@
 // Guards against small jobs that wait for a gang. The gang nearly fits and reserves the free
 // resources of nearly all its permitted workers for the duration of a long run. Small jobs that
 // are permitted there must query other workers instead.
-func TestSmallJobsStartBesideGangReservation(t *testing.T) {
+func TestSmallJobsStartDespiteGangReservation(t *testing.T) {
 	// minReservedCPU is the CPU of 50 of the gang's 60 tasks, in thousandths of a core.
 	const minReservedCPU = 50 * 60_000
 	long := slowQueryKind("long", 0, 1)
--- a/dispatch/replay_jobs_test.go
+++ b/dispatch/replay_jobs_test.go
@@ -161,10 +161,10 @@
 // earned returns the total value of the kind's jobs, the value that they earned, and the shares
 // earned by all of them, the largest tenth and the next fifth. A larger job has more value.
 func (k *replayKind) earned() (total, earned float64, shares [3]float64) {
-	all, n := k.jobs, len(k.jobs)
-	slices.SortFunc(all, func(a, b *replayJob) int { return cmp.Compare(b.coreTime(), a.coreTime()) })
+	bySize, n := k.jobs, len(k.jobs)
+	slices.SortFunc(bySize, func(a, b *replayJob) int { return cmp.Compare(b.coreTime(), a.coreTime()) })
 	mean := 0.0
-	for _, j := range all {
+	for _, j := range bySize {
 		mean += j.coreTime() / float64(n)
 	}
 	sum := func(jobs []*replayJob) (total, earned float64) {
@@ -175,10 +175,10 @@
 		}
 		return total, earned
 	}
-	for i, part := range [][]*replayJob{all, all[:n/10], all[n/10 : n*3/10]} {
+	for i, part := range [][]*replayJob{bySize, bySize[:n/10], bySize[n/10 : n*3/10]} {
 		partTotal, partEarned := sum(part)
 		shares[i] = partEarned / partTotal
 	}
-	total, earned = sum(all)
+	total, earned = sum(bySize)
 	return total, earned, shares
 }
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -426,12 +426,12 @@
 
 // freeShare returns the share of the pool's cores that no run occupies.
 func (r *replay) freeShare() float64 {
-	free, all := int64(0), int64(0)
+	free, total := int64(0), int64(0)
 	for i := range r.workers {
 		free += r.workers[i].Free.MilliCPU
-		all += r.workers[i].Capacity.MilliCPU
+		total += r.workers[i].Capacity.MilliCPU
 	}
-	return float64(free) / float64(all)
+	return float64(free) / float64(total)
 }
 
 // play runs the replay with submissions up to submitUntil, and then without submissions for
--- a/dispatch/roundrobin.go
+++ b/dispatch/roundrobin.go
@@ -40,7 +40,7 @@
 			p.addWaiting(waiter.step, waiter.left, waiter.reason)
 			continue
 		}
-		p.prepareRest(waiter.step, waiter.left)
+		p.prepareRemaining(waiter.step, waiter.left)
 	}
 }
 
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -315,15 +315,15 @@
 
 // Placed returns all running tasks in the form that package placement uses.
 func (s *State) Placed() []placement.Placed {
-	var all []placement.Placed
+	var placed []placement.Placed
 	for _, j := range s.Jobs {
 		for i := range j.Tasks {
 			if j.Tasks[i].State == TaskRunning {
-				all = append(all, j.placedTask(i))
+				placed = append(placed, j.placedTask(i))
 			}
 		}
 	}
-	return all
+	return placed
 }
 
 // OverdueJobs returns the IDs of the jobs whose deadline has passed at now (Unix
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -64,9 +64,9 @@
 	second, err := Decode(encoded)
 	must.NoError(h.t, err)
 	result := h.a.Apply(h.index, first)
-	other := h.b.Apply(h.index, second)
-	must.Eq(h.t, result.Started, other.Started)
-	must.Eq(h.t, result.Job, other.Job)
+	resultB := h.b.Apply(h.index, second)
+	must.Eq(h.t, result.Started, resultB.Started)
+	must.Eq(h.t, result.Job, resultB.Job)
 	h.a.TakeChanges()
 	h.b.TakeChanges()
 	return result
@@ -364,8 +364,8 @@
 	must.True(t, fault.Is(s.Apply(1, &Command{Submit: refused}).Err, fault.Infeasible))
 	copied := &Submit{Request: Request{ID: "r", Digest: 1}, Customer: "c", Spec: Spec{Tasks: 1}}
 	must.True(t, fault.Is(s.Apply(2, &Command{Submit: copied}).Err, fault.Infeasible))
-	other := &Submit{Request: Request{ID: "r", Digest: 2}, Customer: "c", Spec: Spec{Tasks: 1}}
-	must.True(t, fault.Is(s.Apply(3, &Command{Submit: other}).Err, fault.Conflict))
+	otherContent := &Submit{Request: Request{ID: "r", Digest: 2}, Customer: "c", Spec: Spec{Tasks: 1}}
+	must.True(t, fault.Is(s.Apply(3, &Command{Submit: otherContent}).Err, fault.Conflict))
 	must.MapEmpty(t, s.Jobs)
 }
 
--- a/placement/admit.go
+++ b/placement/admit.go
@@ -197,8 +197,8 @@
 		newJobDemand: e.expectedDemand().times(overhead),
 	}
 	horizon := e.job.Deadline.Sub(now).Seconds()
-	all := c.demand.total.times(overhead).plus(p.newJobDemand).plus(c.running.upperBound(now))
-	if !all.exceeds(p.rate.times(horizon), e.need) {
+	totalDemand := c.demand.total.times(overhead).plus(p.newJobDemand).plus(c.running.upperBound(now))
+	if !totalDemand.exceeds(p.rate.times(horizon), e.need) {
 		return 0, time.Time{}
 	}
 	return p.checkDeadlines(c, bucketOf(e.job.Deadline, now), overhead)
--- a/placement/arrivals/measure_test.go
+++ b/placement/arrivals/measure_test.go
@@ -133,11 +133,12 @@
 // customer.
 func TestFlood(t *testing.T) {
 	skipUnlessSelected(t, "flood")
-	const loadBesideFlood = 0.6
+	// baseLoad is the load that arrives in addition to the flood.
+	const baseLoad = 0.6
 	for _, site := range sites() {
 		for seed := uint64(1); seed <= *seeds; seed++ {
 			for _, size := range []float64{0, 0.5, 1, 2, 5} {
-				workload := DefaultWorkload(seed, loadBesideFlood)
+				workload := DefaultWorkload(seed, baseLoad)
 				arrivals := Flood{Customer: "flood", Load: size, From: time.Hour, Until: 3 * time.Hour}.Add(site, Generate(site, workload))
 				for name, o := range map[string]placement.Options{"baseline": placement.BaselineOptions(), "placement": placement.DefaultOptions()} {
 					r := Replay(Config{Site: site, Options: o, Services: workload.Services}, arrivals)
--- a/placement/cluster_test.go
+++ b/placement/cluster_test.go
@@ -94,7 +94,7 @@
 // A gang of two fits only if one of its tasks uses resources that are reserved
 // for an earlier gang. Starting the other task alone would leave two gangs
 // waiting for each other.
-func TestGangDoesNotStartPartlyBesideReservation(t *testing.T) {
+func TestGangDoesNotStartPartlyWhenRestIsReserved(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	c.SetWorker(Worker{ID: "large0", Rack: "r", Capacity: cores(8), Live: true})
 	c.SetWorker(Worker{ID: "large1", Rack: "r", Capacity: cores(8), Live: true})
--- a/placement/estimate.go
+++ b/placement/estimate.go
@@ -96,8 +96,8 @@
 // customerHistory is the history of all jobs of a customer and of each job
 // name.
 type customerHistory struct {
-	all   *runtimeHistory
-	names map[string]*runtimeHistory
+	allJobs *runtimeHistory
+	byName  map[string]*runtimeHistory
 }
 
 // newEstimator returns an estimator without samples. With NoCorrection it
@@ -119,18 +119,18 @@
 func (m *estimator) addSample(s Sample) {
 	customerHist, found := m.customers[s.Customer]
 	if !found {
-		customerHist = &customerHistory{all: newHistory(), names: map[string]*runtimeHistory{}}
+		customerHist = &customerHistory{allJobs: newHistory(), byName: map[string]*runtimeHistory{}}
 		m.customers[s.Customer] = customerHist
 	}
 	ratio := float64(s.MeasuredRuntime) / float64(s.DeclaredRuntime)
-	customerHist.all.record(ratio)
-	named, found := customerHist.names[s.Name]
+	customerHist.allJobs.record(ratio)
+	named, found := customerHist.byName[s.Name]
 	if !found {
-		if len(customerHist.names) >= maxNamesPerCustomer {
+		if len(customerHist.byName) >= maxNamesPerCustomer {
 			return
 		}
 		named = newHistory()
-		customerHist.names[s.Name] = named
+		customerHist.byName[s.Name] = named
 	}
 	named.record(ratio)
 	named.peakCPU = max(named.peakCPU, peakRatio(s.Peak.CPU, s.Need.CPU))
@@ -161,8 +161,8 @@
 	if !found {
 		return result
 	}
-	result = customerHist.all.blend(result, declared)
-	if named, found := customerHist.names[name]; found {
+	result = customerHist.allJobs.blend(result, declared)
+	if named, found := customerHist.byName[name]; found {
 		result = named.blend(result, declared)
 	}
 	return result
@@ -193,7 +193,7 @@
 	if !found {
 		return j.Need
 	}
-	named, found := customerHist.names[j.Name]
+	named, found := customerHist.byName[j.Name]
 	if !found {
 		return j.Need
 	}
--- a/placement/profile.go
+++ b/placement/profile.go
@@ -78,8 +78,8 @@
 
 // profileWalk computes the work in a profile up to increasing times.
 type profileWalk struct {
-	steps btree.MapIter[int64, *profileCell]
-	more  bool
+	steps   btree.MapIter[int64, *profileCell]
+	hasNext bool
 	// now is the time from which the work is counted, in Unix seconds.
 	now float64
 	// finished is the work of the tasks that end by the time of the last call of
@@ -91,14 +91,14 @@
 // walk returns a profileWalk that counts the work from now on.
 func (p *profile) walk(now time.Time) *profileWalk {
 	w := &profileWalk{steps: p.steps.Iter(), active: p.need, now: float64(now.UnixMilli()) / 1000}
-	w.more = w.steps.First()
+	w.hasNext = w.steps.First()
 	return w
 }
 
 // until returns the work that running tasks do from w.now until the given number of
 // seconds later. Calls must pass increasing values.
 func (w *profileWalk) until(seconds float64) resourceSeconds {
-	for w.more {
+	for w.hasNext {
 		cell := w.steps.Value()
 		left := max(float64(w.steps.Key())-w.now, overdueRemaining.Seconds())
 		if left > seconds {
@@ -106,7 +106,7 @@
 		}
 		w.finished = w.finished.plus(resourceSecondsOf(cell.need, left))
 		w.active = w.active.minus(cell.need)
-		w.more = w.steps.Next()
+		w.hasNext = w.steps.Next()
 	}
 	return w.finished.plus(resourceSecondsOf(w.active, seconds))
 }
--- a/placement/reserve.go
+++ b/placement/reserve.go
@@ -71,15 +71,15 @@
 	if !e.need.within(free) || !w.schedulable() || w.reservedEval == p.evaluation {
 		return false
 	}
-	more := min(free.fitCount(e.need, onWorker.tasks+f.tasksLeft)-onWorker.tasks, f.tasksLeft)
-	if more <= 0 {
+	added := min(free.fitCount(e.need, onWorker.tasks+f.tasksLeft)-onWorker.tasks, f.tasksLeft)
+	if added <= 0 {
 		return false
 	}
 	if onWorker.tasks == 0 {
 		f.chosen = append(f.chosen, w)
 	}
-	onWorker.tasks += more
-	f.tasksLeft -= more
+	onWorker.tasks += added
+	f.tasksLeft -= added
 	return true
 }
 
--- a/placement/worker.go
+++ b/placement/worker.go
@@ -145,18 +145,18 @@
 // accelerators come last.
 func (x freeIndex) ascend(need Resources, visit func(*worker) bool) {
 	x.pivot.free = need
-	more := true
+	proceed := true
 	step := func(w *worker) bool {
 		if !need.within(w.free) {
 			return true
 		}
-		more = visit(w)
-		return more
+		proceed = visit(w)
+		return proceed
 	}
 	if need.Accelerators == 0 {
 		x.withoutAccelerators.Ascend(x.pivot, step)
 	}
-	if more {
+	if proceed {
 		x.withAccelerators.Ascend(x.pivot, step)
 	}
 }
