--- a/dispatch/gang.go
+++ b/dispatch/gang.go
@@ -187,10 +187,10 @@
 }
 
 // reserveOrPreempt reserves resources that runs will release for a gang that doesn't fit
-// now, or preempts less urgent runs if the gang would wait long for them. At most
-// maxReservedGangs gangs of a pool get either. Preempting for all waiting gangs would start
-// more of them, but cost the leader more than is gained: a hundred stops and restarts a
-// second.
+// now, or preempts less urgent runs if the gang would wait long for the resources. At
+// most maxReservedGangs gangs of a pool reserve or preempt. Preempting for all waiting
+// gangs would start more of them, but cost the leader more than is gained: a hundred
+// stops and restarts a second.
 func (p *planner) reserveOrPreempt(s *Step, workers []*Worker, n int) gangReservation {
 	if p.reservedGangs[s.Service] >= maxReservedGangs {
 		return gangReservation{}
--- a/dispatch/load_test.go
+++ b/dispatch/load_test.go
@@ -12,9 +12,9 @@
 var replaySeeds = flag.Int("replay.seeds", 0, "number of seeds for which the figures of the replayed load are printed")
 var replayLoad = flag.Float64("replay.load", 1, "the replayed load as a multiple of the usual one")
 
-// mixedLoad returns the kinds of jobs that load a pool of 350 workers: large gangs, builds
-// with checkpoints and urgent lookups. With load 1 they occupy 0.88 of its cores on
-// average.
+// mixedLoad returns the kinds of jobs that load a pool of 350 workers: large gangs,
+// builds with checkpoints and urgent lookups. With load 1 the jobs occupy 0.88 of the
+// pool's cores on average.
 func mixedLoad(load float64) []*replayKind {
 	ms := time.Millisecond
 	return []*replayKind{
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -165,7 +165,7 @@
 // Before reports whether a decision considers a before b.
 func Before(a, b *Step) bool { return compareSteps(a, b) < 0 }
 
-// compareSteps orders steps as a decision considers them.
+// compareSteps defines the order in which a decision considers steps.
 func compareSteps(a, b *Step) int {
 	return cmp.Or(compareBools(a.Copy, b.Copy), cmp.Compare(a.Lateness, b.Lateness), cmp.Compare(a.Priority, b.Priority),
 		cmp.Compare(a.Due, b.Due), workflow.CompareSteps(a.Key, b.Key))
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -39,7 +39,7 @@
 	return s
 }
 
-// limits are the limits of decisions, unless a test sets others.
+// limits are the limits of decisions in tests that need no particular ones.
 var limits = Limits{WorkersPerQuery: 4, WorkersPerGangQuery: 8, Queries: 8, TicketMargin: 100 * time.Millisecond}
 
 // started lists JOB/INDEX@WORKER of each start.
@@ -178,7 +178,7 @@
 
 // Guards against a gang that waits forever alongside small tasks. The gang needs two
 // workers, of which one is free now and one soon. Unless resources are reserved for the
-// gang, small tasks, which arrive all the time, take them as they come free.
+// gang, small tasks, which arrive all the time, take the resources as they come free.
 func TestResourcesAreReservedForWaitingGang(t *testing.T) {
 	pool := workers(4, 0)
 	pool[1].Releases = []Release{{At: time.Second, Resources: cores(4)}}
--- a/dispatch/preempt.go
+++ b/dispatch/preempt.go
@@ -88,9 +88,10 @@
 		cmp.Compare(a.worker.Penalty, b.worker.Penalty), cmp.Compare(a.worker.ID, b.worker.ID))
 }
 
-// stoppingResources returns the resources on w of runs that are being stopped. A stop takes
-// a third of a second; if these resources weren't counted, each decision until then would
-// stop further runs for the same gang: twelve instead of two in all.
+// stoppingResources returns the resources on w of runs that are being stopped. A stop
+// takes a third of a second; if these resources weren't counted, each decision until the
+// runs have stopped would stop further runs for the same gang: twelve instead of two in
+// all.
 func (p *planner) stoppingResources(w *Worker) (total workflow.Resources) {
 	for i := range w.Releases {
 		if w.Releases[i].Stopping {
--- a/dispatch/query_test.go
+++ b/dispatch/query_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// Guards against steps that always need a query and leave less than a third of the queries to
-// others, whether a decision has one query or many.
+// Guards against steps that always need a query and leave less than a third of the
+// queries to less urgent steps, whether a decision has one query or many.
 func TestRoundRobinStepsGetTheirShareOfQueries(t *testing.T) {
 	// rounds is the number of decisions over which the queries are counted.
 	const rounds = 60
@@ -123,8 +123,9 @@
 	}
 }
 
-// Guards against unused long queries: those held back for round-robin use aren't offered to
-// steps that could send a short query about a few workers, but need a long one about many.
+// Guards against unused long queries: a step that needs a long query about many workers,
+// but could send a short one about a few, isn't offered the long queries held back for
+// round-robin use.
 func TestAllLongQueriesAreSent(t *testing.T) {
 	for round := range roundRobinQueryDivisor {
 		bounded := limits
@@ -145,8 +146,8 @@
 	}
 }
 
-// Guards against queries that stay unused because only the urgent or only the other steps need
-// them.
+// Guards against queries that stay unused because all steps that need one are urgent, or
+// none of them is.
 func TestUnusedQueryShareGoesToOtherSteps(t *testing.T) {
 	for _, priority := range []int{0, 1} {
 		bounded := limits
@@ -229,8 +230,8 @@
 }
 
 // Guards against gangs that are submitted together on an empty pool and query the same
-// hundred workers: these workers hold a third of the gangs, and the others must query a
-// second and a third time.
+// hundred workers: these workers hold a third of the gangs, and the remaining gangs must
+// query a second and a third time.
 func TestGangsSubmittedTogetherQueryDifferentWorkers(t *testing.T) {
 	gangs := wideGangs(20, 18)
 	r := newReplay(0, largePool, usualConnections, gangs)
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -90,7 +90,8 @@
 	minRemainingDivisor = 10
 	// minGrantRateWeight is the smallest weight of a response in the mean grant rate.
 	minGrantRateWeight = 0.05
-	// slowWorkerFactor is the ratio of run times on every third worker to those on others.
+	// slowWorkerFactor is the ratio of run times on every third worker to run times on
+	// the remaining workers.
 	slowWorkerFactor = 1.3
 )
 
@@ -479,9 +480,9 @@
 	return longest
 }
 
-// takeTwiceTheDemand takes resources for twice the pending tasks of a step from workers that
-// the adviser permits, queried or not. It takes nothing and returns false if these workers
-// have too few free resources.
+// takeTwiceTheDemand takes resources for twice the pending tasks of a step from workers
+// that the adviser permits, whether or not the step has queried them. It takes nothing
+// and returns false if these workers have too few free resources.
 func (r *replay) takeTwiceTheDemand(s *Step, j *replayJob, free []Worker) bool {
 	var chosen []*Worker
 	left := 2 * len(s.Pending)
--- a/dispatch/select.go
+++ b/dispatch/select.go
@@ -108,7 +108,7 @@
 	return cmp.Or(cmp.Compare(a.runCount(), b.runCount()), comparePreference(s, a, b))
 }
 
-// runCount counts the runs on w and those that the plan starts there.
+// runCount counts the runs on w, including the runs that the plan starts there.
 func (w *Worker) runCount() int { return len(w.Releases) + w.plannedStarts }
 
 // distance is 0 in the rack that holds the data of s, 1 elsewhere; 0 everywhere if s names no
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -161,7 +161,8 @@
 	ReasonTicketExpired Reason = "the ticket for the worker has ended"
 
 	// ReasonBeyondBound: more than Limits.Steps steps wait, and the decision didn't
-	// consider this one. A plan only counts such steps, in BeyondBound.
+	// consider the step. A plan doesn't list such steps in Waiting, but counts them in
+	// BeyondBound.
 	ReasonBeyondBound Reason = "behind the steps that one decision goes into"
 	// ReasonNoConnection: the step needs a query and no adviser connection is free for it.
 	ReasonNoConnection Reason = "no lane to the adviser is free"
@@ -200,7 +201,7 @@
 	// LongQueryTime. With LongQueryTime 0 no query is long.
 	LongQueries   int
 	LongQueryTime time.Duration
-	// Steps is the most steps that one decision considers; 0 for no bound.
+	// Steps is the maximum number of steps that one decision considers; 0 for no bound.
 	Steps int
 	// Round is the sequence number of the decision. It selects which of the steps
 	// beyond Steps are considered, so that each is considered in some decision.
--- a/internal/state/change.go
+++ b/internal/state/change.go
@@ -245,9 +245,9 @@
 	return Result{}
 }
 
-// recordHandoverAnswer applies the committed answer of another data centre to
-// an offer. Only a committed refusal returns the job: a timeout does not show
-// what the other data centre has committed, and the job could then run in both.
+// recordHandoverAnswer applies the committed answer of another data centre to an offer.
+// Only a committed refusal returns the job: a timeout does not show what the other data
+// centre has committed, and a job returned after one could run in both data centres.
 func (s *State) recordHandoverAnswer(now int64, c *RecordHandoverAnswer) Result {
 	j := s.Jobs[c.Job]
 	if j == nil || j.State != JobPendingHandover || j.HandoverDataCentre != c.To || j.HandoverDone {
--- a/placement/arrivals/report.go
+++ b/placement/arrivals/report.go
@@ -81,8 +81,8 @@
 	preempted  int
 	failures   int
 
-	// Normal, Urgent and Gangs are the waiting times of tasks by kind of job.
-	// Customer holds those of the normal tasks by customer.
+	// Normal, Urgent and Gangs are the waiting times of tasks by kind of job. ByCustomer
+	// holds the waiting times of the normal tasks by customer.
 	Normal     *WaitTimes
 	Urgent     *WaitTimes
 	Gangs      *WaitTimes
--- a/placement/cluster_test.go
+++ b/placement/cluster_test.go
@@ -351,7 +351,8 @@
 		must.True(t, c.JobSuspect(id))
 	}
 	must.SliceEmpty(t, c.Quarantined())
-	// After the jobs are removed, their failures must not count either.
+	// After the jobs are removed, their failures must still not count against the
+	// workers.
 	c.Dequeue("bad0")
 	c.Dequeue("bad1")
 	c.ReportFailure("w000", "other", start)
@@ -392,8 +393,8 @@
 	must.Eq(t, map[string]int{"flood": 5, "few": 5}, count)
 }
 
-// Two customers have more queued than the workers can run. What they get must
-// be in the ratio of their weights, and equal with equal weights.
+// Two customers have more queued than the workers can run. The resources that the
+// customers get must be in the ratio of their weights, and equal with equal weights.
 func TestSharesFollowCustomerWeights(t *testing.T) {
 	const totalCores = 48
 	for _, weights := range [][2]int{{1, 1}, {2, 1}, {3, 1}} {
--- a/placement/preempt.go
+++ b/placement/preempt.go
@@ -66,8 +66,8 @@
 	return best, victims
 }
 
-// victimsOn selects the most recently started preemptible tasks until need
-// fits. It returns them with the work they lose, in milli-core seconds, and
+// victimsOn selects the most recently started preemptible tasks until need fits. It
+// returns the tasks, the work that is lost by preempting them, in milli-core seconds, and
 // whether need fits then.
 func (p *planner) victimsOn(w *worker, need, free Resources) ([]*placedTask, float64, bool) {
 	var preemptible []*placedTask
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -152,7 +152,7 @@
 type customer struct {
 	name string
 	used Resources
-	// limit is the maximum of used; it applies only if limited is set.
+	// limited is set if the customer has a limit; limit is then the maximum of used.
 	limited bool
 	limit   Resources
 	// weight divides the share of the customer in the fair order; zero stands for
--- a/placement/reserve.go
+++ b/placement/reserve.go
@@ -144,10 +144,10 @@
 	}
 }
 
-// reserveLarge reserves resources for the large tasks that were submitted first. In
-// a full cluster a worker rarely has enough free resources for a large task, so
-// without reservations all of these tasks would starve until they are due, whatever
-// the share of their customer.
+// reserveLarge reserves resources for the large tasks that were submitted first. In a
+// full cluster a worker rarely has enough free resources for a large task, so without
+// reservations all of these tasks would starve until they are due, regardless of the
+// share of their customer.
 func (p *planner) reserveLarge() {
 	p.reservations += p.cluster.opts.LargeReservations
 	reserved, visits := 0, 0
--- a/placement/score.go
+++ b/placement/score.go
@@ -54,8 +54,8 @@
 	return 1
 }
 
-// rateRack is 1 for a rack without tasks of the job and lower the more of them run
-// in the rack.
+// rateRack is 1 for a rack without tasks of the job and decreases with the number of
+// tasks of the job in the rack.
 func rateRack(r *request, w *worker) float64 {
 	if r.record == nil {
 		return 1
@@ -63,8 +63,8 @@
 	return 1 / float64(1+r.record.racks[w.Rack])
 }
 
-// rateWorker is 1 for a worker without tasks of the job and lower the more of them
-// run on the worker.
+// rateWorker is 1 for a worker without tasks of the job and decreases with the number of
+// tasks of the job on the worker.
 func rateWorker(r *request, w *worker) float64 {
 	if r.record == nil {
 		return 1
--- a/workflow/apply.go
+++ b/workflow/apply.go
@@ -344,8 +344,8 @@
 }
 
 // announce records a worker. A new incarnation doesn't replace an earlier one at the same
-// address; only Gone ends that one. If heartbeats of an incarnation are committed out of
-// order, the one with the highest Sequence is kept.
+// address; the earlier one ends only with a command whose Gone names it. If heartbeats of
+// an incarnation are committed out of order, the one with the highest Sequence is kept.
 func (s *State) announce(w *Worker) {
 	known := s.Workers[w.ID]
 	if known == nil {
@@ -397,7 +397,7 @@
 	}
 }
 
-// configure keeps the document with the highest version; an older one changes nothing.
+// configure keeps the document with the highest version and ignores older ones.
 func (s *State) configure(d *Document) {
 	if s.Configuration.Source == nil || d.Version > s.Configuration.Version {
 		s.Configuration = *d
--- a/workflow/crash.go
+++ b/workflow/crash.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// maxStrongCrashes is how many crashes right after a start fail the job of a task. A rack
-	// that loses power crashes under many tasks, but hardly ever three times under the same
-	// one.
+	// maxStrongCrashes is how many crashes right after a start fail the job of a task. A
+	// rack that loses power crashes under many tasks, but hardly ever three times under
+	// the same task.
 	maxStrongCrashes = 3
 	// maxCrashes is how many crashes of any suspicion fail the job of a task. Three
 	// crashes show the task to be the cause; the limit leaves room for two more, by
--- a/workflow/workflow_test.go
+++ b/workflow/workflow_test.go
@@ -128,7 +128,7 @@
 	must.SliceEmpty(t, s.startRuns("w1", key(0, 0)))
 }
 
-// Guards against a gang of which a part starts, or that starts again while a member may be
+// Guards against a gang that starts in part, or that starts again while a member may be
 // alive; and against a failed run of a gang that counts once for each member.
 func TestGangStartsWholeAndEndsOnce(t *testing.T) {
 	gang := smallStep(2)
