--- a/dispatch/load_test.go
+++ b/dispatch/load_test.go
@@ -12,9 +12,9 @@
 var replaySeeds = flag.Int("replay.seeds", 0, "number of seeds for which the figures of the replayed load are printed")
 var replayLoad = flag.Float64("replay.load", 1, "the replayed load as a multiple of the usual one")
 
-// mixedLoad returns the kinds of jobs that load a pool of 350 workers: large gangs, builds
-// with checkpoints and urgent lookups. With load 1 they occupy 0.88 of its cores on
-// average.
+// mixedLoad returns the kinds of jobs that load a pool of 350 workers: large gangs,
+// builds with checkpoints and urgent lookups. With load 1 the jobs occupy 0.88 of the
+// pool's cores on average.
 func mixedLoad(load float64) []*replayKind {
 	ms := time.Millisecond
 	return []*replayKind{
@@ -59,10 +59,11 @@
 	}
 }
 
-// Guards against gangs, also of failed jobs that must run again, that wait while more than
-// a third of the pool stays free. If twelve gangs hold reservations until the expected ends
-// of runs, the runs last longer, and the gangs after these twelve can't renew their
-// tickets: 39 gangs with 1,176 tasks wait while 55 % of the cores are free.
+// Guards against gangs that wait while more than a third of the pool stays free. If
+// twelve gangs hold reservations until the expected ends of runs, the runs last longer,
+// and the gangs after these twelve can't renew their tickets: 39 gangs with 1,176 tasks
+// wait while 55 % of the cores are free. Gangs of failed jobs that must run again wait as
+// well.
 func TestGangsStartWhenTwiceTheirDemandIsFree(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -31,9 +31,10 @@
 	stopping map[workflow.TaskKey]bool
 	// preemptiblePriority is the least urgent priority of the preemptible runs of each pool.
 	preemptiblePriority map[string]int
-	// queryWaiters are the steps that wait for a query, in order. reservedQueries is the
-	// number of queries that are held back for them, and reservedLongQueries is how many of
-	// these may be long.
+	// queryWaiters are the steps that wait for a query, in the order in which the
+	// decision considered them. reservedQueries is the number of queries that are held
+	// back for these steps, and reservedLongQueries is how many of the held back queries
+	// may be long.
 	queryWaiters                         []queryWaiter
 	reservedQueries, reservedLongQueries int
 	plan                                 Plan
@@ -164,7 +165,7 @@
 // Before reports whether a decision considers a before b.
 func Before(a, b *Step) bool { return compareSteps(a, b) < 0 }
 
-// compareSteps orders steps as a decision considers them.
+// compareSteps defines the order in which a decision considers steps.
 func compareSteps(a, b *Step) int {
 	return cmp.Or(compareBools(a.Copy, b.Copy), cmp.Compare(a.Lateness, b.Lateness), cmp.Compare(a.Priority, b.Priority),
 		cmp.Compare(a.Due, b.Due), workflow.CompareSteps(a.Key, b.Key))
@@ -202,12 +203,12 @@
 		p.queryWaiters = append(p.queryWaiters, queryWaiter{s, left, p.skipReason(s, left)})
 		return
 	}
-	p.prepareRest(s, left)
+	p.prepareRemaining(s, left)
 }
 
-// prepareRest queries or reserves what the remaining tasks of s need before they can start, and
-// records why they wait.
-func (p *planner) prepareRest(s *Step, left int) {
+// prepareRemaining queries or reserves what the remaining tasks of s need before they can
+// start, and records why they wait.
+func (p *planner) prepareRemaining(s *Step, left int) {
 	suitable := filter(p.byService[s.Service], s)
 	if len(suitable) == 0 {
 		p.addWaiting(s, left, ReasonNoWorker)
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -14,7 +14,7 @@
 func cores(n int64) workflow.Resources { return workflow.Resources{MilliCPU: n * 1000, MemoryMB: 1000} }
 
 // workers returns a pool of workers w0, w1 and so on, each with 16 cores, of which the
-// given number is free. Two workers each share one of the racks r0, r1 and so on.
+// given number is free. Each pair of consecutive workers shares a rack: r0, r1 and so on.
 func workers(free ...int64) []Worker {
 	var pool []Worker
 	for i, f := range free {
@@ -39,7 +39,7 @@
 	return s
 }
 
-// limits are the limits of decisions, unless a test sets others.
+// limits are the limits of decisions in tests that need no particular ones.
 var limits = Limits{WorkersPerQuery: 4, WorkersPerGangQuery: 8, Queries: 8, TicketMargin: 100 * time.Millisecond}
 
 // started lists JOB/INDEX@WORKER of each start.
@@ -178,7 +178,7 @@
 
 // Guards against a gang that waits forever alongside small tasks. The gang needs two
 // workers, of which one is free now and one soon. Unless resources are reserved for the
-// gang, small tasks, which arrive all the time, take them as they come free.
+// gang, small tasks, which arrive all the time, take the resources as they come free.
 func TestResourcesAreReservedForWaitingGang(t *testing.T) {
 	pool := workers(4, 0)
 	pool[1].Releases = []Release{{At: time.Second, Resources: cores(4)}}
@@ -206,8 +206,8 @@
 
 // Guards against a late gang that never starts although most workers are idle. A new
 // leader's first query names only the two workers that have responded to that leader so
-// far. One is permitted and large enough, but never empty, and the gang queries others only
-// if its permitted workers are too small.
+// far. One of them is permitted and large enough, but always busy, and the gang queries
+// further workers only if its permitted workers are too small.
 func TestGangQueriesIdleWorkersWhilePermittedOnesStayBusy(t *testing.T) {
 	gang := func() Step {
 		s := needsPermit(step("gang", 2, 4), map[string]Permit{"w0": {Granted: true}})
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -90,7 +90,8 @@
 	minRemainingDivisor = 10
 	// minGrantRateWeight is the smallest weight of a response in the mean grant rate.
 	minGrantRateWeight = 0.05
-	// slowWorkerFactor is the ratio of run times on every third worker to those on others.
+	// slowWorkerFactor is the ratio of run times on every third worker to run times on
+	// the remaining workers.
 	slowWorkerFactor = 1.3
 )
 
@@ -111,7 +112,7 @@
 }
 
 // permits reports whether the adviser permits a step on a worker, pseudo-randomly for a
-// share of the workers. The result never changes.
+// share of the workers. The result depends only on the arguments.
 func (r *replay) permits(key workflow.StepKey, worker string, share float64) bool {
 	h := fnv.New32a()
 	_, _ = fmt.Fprint(h, key, worker)
@@ -426,12 +427,12 @@
 
 // freeShare returns the share of the pool's cores that no run occupies.
 func (r *replay) freeShare() float64 {
-	free, all := int64(0), int64(0)
+	free, total := int64(0), int64(0)
 	for i := range r.workers {
 		free += r.workers[i].Free.MilliCPU
-		all += r.workers[i].Capacity.MilliCPU
+		total += r.workers[i].Capacity.MilliCPU
 	}
-	return float64(free) / float64(all)
+	return float64(free) / float64(total)
 }
 
 // play runs the replay with submissions up to submitUntil, and then without submissions for
@@ -479,9 +480,9 @@
 	return longest
 }
 
-// takeTwiceTheDemand takes resources for twice the pending tasks of a step from workers that
-// the adviser permits, queried or not. It takes nothing and returns false if these workers
-// have too few free resources.
+// takeTwiceTheDemand takes resources for twice the pending tasks of a step from workers
+// that the adviser permits, whether or not the step has queried them. It takes nothing
+// and returns false if these workers have too few free resources.
 func (r *replay) takeTwiceTheDemand(s *Step, j *replayJob, free []Worker) bool {
 	var chosen []*Worker
 	left := 2 * len(s.Pending)
--- a/placement/arrivals/measure_test.go
+++ b/placement/arrivals/measure_test.go
@@ -128,15 +128,17 @@
 	}
 }
 
-// TestFlood prints the waiting times of all other customers for floods of several
-// sizes. A flood is two hours of extra jobs of one customer.
+// TestFlood prints how long tasks wait while one customer floods the scheduler with extra
+// jobs for two hours, for floods of several sizes. It leaves out the tasks of that
+// customer.
 func TestFlood(t *testing.T) {
 	skipUnlessSelected(t, "flood")
-	const loadBesideFlood = 0.6
+	// baseLoad is the load that arrives in addition to the flood.
+	const baseLoad = 0.6
 	for _, site := range sites() {
 		for seed := uint64(1); seed <= *seeds; seed++ {
 			for _, size := range []float64{0, 0.5, 1, 2, 5} {
-				workload := DefaultWorkload(seed, loadBesideFlood)
+				workload := DefaultWorkload(seed, baseLoad)
 				arrivals := Flood{Customer: "flood", Load: size, From: time.Hour, Until: 3 * time.Hour}.Add(site, Generate(site, workload))
 				for name, o := range map[string]placement.Options{"baseline": placement.BaselineOptions(), "placement": placement.DefaultOptions()} {
 					r := Replay(Config{Site: site, Options: o, Services: workload.Services}, arrivals)
@@ -148,8 +150,8 @@
 	}
 }
 
-// TestFaults prints the failures and misses while one worker fails all tasks
-// for two hours and another one for two and a half.
+// TestFaults prints the failures and misses while one worker fails all tasks for two
+// hours and another worker for two and a half hours.
 func TestFaults(t *testing.T) {
 	skipUnlessSelected(t, "faults")
 	const loadBesideFaults = 0.8
--- a/placement/cluster_test.go
+++ b/placement/cluster_test.go
@@ -94,7 +94,7 @@
 // A gang of two fits only if one of its tasks uses resources that are reserved
 // for an earlier gang. Starting the other task alone would leave two gangs
 // waiting for each other.
-func TestGangDoesNotStartPartlyBesideReservation(t *testing.T) {
+func TestGangDoesNotStartPartlyWhenRestIsReserved(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	c.SetWorker(Worker{ID: "large0", Rack: "r", Capacity: cores(8), Live: true})
 	c.SetWorker(Worker{ID: "large1", Rack: "r", Capacity: cores(8), Live: true})
@@ -298,9 +298,8 @@
 	must.SliceEmpty(t, c.Quarantined())
 }
 
-// A probe fails, and the caller unplaces it before reporting the failure. The
-// backoff must be doubled all the same, otherwise the next probe would follow
-// immediately.
+// A probe fails, and the caller unplaces it before reporting the failure. The failure
+// must still double the backoff, otherwise the next probe would follow immediately.
 func TestFailedProbeBacksOffWhenUnplacedFirst(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(4), 1)
@@ -352,15 +351,17 @@
 		must.True(t, c.JobSuspect(id))
 	}
 	must.SliceEmpty(t, c.Quarantined())
-	// After the jobs are removed, their failures must not count either.
+	// After the jobs are removed, their failures must still not count against the
+	// workers.
 	c.Dequeue("bad0")
 	c.Dequeue("bad1")
 	c.ReportFailure("w000", "other", start)
 	must.SliceEmpty(t, c.Quarantined())
 }
 
-// Estimates must follow the measurements of earlier tasks of the same job name, and
-// no others. The estimated need must not fall below the declared one.
+// Estimates of a job must follow the measurements of earlier tasks of the same job name,
+// and not those of tasks of other names. The estimated need must not fall below the
+// declared one.
 func TestCorrectedRuntimeAndNeed(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(8), 1)
@@ -392,8 +393,8 @@
 	must.Eq(t, map[string]int{"flood": 5, "few": 5}, count)
 }
 
-// Two customers have more queued than the workers can run. What they get must
-// be in the ratio of their weights, and equal with equal weights.
+// Two customers have more queued than the workers can run. The resources that the
+// customers get must be in the ratio of their weights, and equal with equal weights.
 func TestSharesFollowCustomerWeights(t *testing.T) {
 	const totalCores = 48
 	for _, weights := range [][2]int{{1, 1}, {2, 1}, {3, 1}} {
--- a/placement/reserve.go
+++ b/placement/reserve.go
@@ -71,15 +71,15 @@
 	if !e.need.within(free) || !w.schedulable() || w.reservedEval == p.evaluation {
 		return false
 	}
-	more := min(free.fitCount(e.need, onWorker.tasks+f.tasksLeft)-onWorker.tasks, f.tasksLeft)
-	if more <= 0 {
+	added := min(free.fitCount(e.need, onWorker.tasks+f.tasksLeft)-onWorker.tasks, f.tasksLeft)
+	if added <= 0 {
 		return false
 	}
 	if onWorker.tasks == 0 {
 		f.chosen = append(f.chosen, w)
 	}
-	onWorker.tasks += more
-	f.tasksLeft -= more
+	onWorker.tasks += added
+	f.tasksLeft -= added
 	return true
 }
 
@@ -144,10 +144,10 @@
 	}
 }
 
-// reserveLarge reserves resources for the large tasks that were submitted first. In
-// a full cluster a worker rarely has enough free resources for a large task, so
-// without reservations all of these tasks would starve until they are due, whatever
-// the share of their customer.
+// reserveLarge reserves resources for the large tasks that were submitted first. In a
+// full cluster a worker rarely has enough free resources for a large task, so without
+// reservations all of these tasks would starve until they are due, regardless of the
+// share of their customer.
 func (p *planner) reserveLarge() {
 	p.reservations += p.cluster.opts.LargeReservations
 	reserved, visits := 0, 0
