--- a/fault/fault.go
+++ b/fault/fault.go
@@ -52,7 +52,7 @@
 // RetryAdvice says whether and when a caller may send the same call again.
 type RetryAdvice uint8
 
-// Retry advice.
+// Values of RetryAdvice.
 const (
 	// Never means that the same call fails again.
 	Never RetryAdvice = iota
@@ -103,8 +103,8 @@
 	HeaderRetryAfter = "Retry-After"
 )
 
-// String returns the name of the kind as users see it. For a value that is no kind it returns
-// the name of Internal.
+// String returns the name of the kind as users see it. For an undefined kind it returns the
+// name of Internal.
 func (k Kind) String() string {
 	if k >= kindCount {
 		return representations[Internal].name
--- a/internal/carrier/fake_test.go
+++ b/internal/carrier/fake_test.go
@@ -105,7 +105,8 @@
 	go c.simulateLoad(ctx)
 }
 
-// manyOrders is a number of orders at which the leader calls almost no worker directly.
+// manyOrders is a count of orders per half membershipInterval at which the leader calls almost
+// no worker directly.
 const manyOrders = 1e9
 
 // simulateLoad raises the leader's order count so far that it forwards all orders.
--- a/internal/carrier/forwarder.go
+++ b/internal/carrier/forwarder.go
@@ -19,9 +19,10 @@
 	// membershipInterval is how often the leader checks for new and removed members.
 	membershipInterval = 500 * time.Millisecond
 	// baseMessageInterval, multiplied by the number of carriers, is the pause between two
-	// messages to a carrier, and between two from it. The leader's message rate therefore
-	// doesn't grow with the number of carriers or workers. Orders queued during the pause are
-	// sent in one message; an order after an idle time is sent immediately.
+	// messages to the same carrier, and between two messages from the same carrier. The
+	// leader's message rate therefore doesn't grow with the number of carriers or workers.
+	// Orders queued during the pause are sent in one message; an order after an idle time is
+	// sent immediately.
 	baseMessageInterval = time.Millisecond
 	// firstContactTimeout bounds a new leader's wait for the first response of each carrier;
 	// it is enough for a few round trips.
--- a/internal/carrier/messages.go
+++ b/internal/carrier/messages.go
@@ -118,7 +118,7 @@
 // errNoResponse says that an order may or may not have been executed.
 var errNoResponse = errors.New("no response through the carrier")
 
-// err returns the error that the outcome stands for, or nil if the worker executed the order.
+// err returns the error that the outcome represents, or nil if the worker executed the order.
 func (o *Outcome) err() error {
 	switch {
 	case o.OtherIncarnation:
--- a/internal/carrier/route.go
+++ b/internal/carrier/route.go
@@ -73,7 +73,7 @@
 	element *list.Element
 }
 
-// orderResult is the outcome of an order, or the error why there is none.
+// orderResult is the outcome of an order, or an error if the order has no outcome.
 type orderResult struct {
 	outcome Outcome
 	err     error
--- a/internal/cell/adopt.go
+++ b/internal/cell/adopt.go
@@ -16,8 +16,8 @@
 // Timing of configuration adoption.
 const (
 	// fetchLongPoll is how long a voter holds a request for a newer version. The next
-	// request goes to the next voter, so a voter that is partitioned from the others
-	// delays a version by no more than this.
+	// request goes to the next voter, so a voter that is partitioned from the other
+	// voters delays a version by fetchLongPoll at most.
 	fetchLongPoll = 1500 * time.Millisecond
 	// fetchGrace is how long a response may take beyond the long poll.
 	fetchGrace = 500 * time.Millisecond
--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -28,8 +28,9 @@
 	// nil on instances that aren't voters of that log.
 	Configuration Log
 	Register      *conf.Register
-	// Groups are the logs whose members can be changed: the home log, by the name of
-	// the data centre, and the configuration log.
+	// Groups holds the logs whose members can be changed, by group name: the home log,
+	// whose group has the name of the data centre, and the configuration log if this
+	// instance is one of its voters.
 	Groups map[string]Group
 }
 
--- a/internal/cell/decide.go
+++ b/internal/cell/decide.go
@@ -46,8 +46,9 @@
 	}
 }
 
-// recordDegraded records an event when no voter with a disk acknowledges entries any
-// more, so that committed commands are only in memory, and when one does so again.
+// recordDegraded records an event when the last voter with a disk stops acknowledging
+// entries, so that committed commands are only in memory, and another event when a voter
+// with a disk resumes.
 func (c *Cell) recordDegraded(t *leaderTerm, degraded bool) {
 	if degraded == t.degraded {
 		return
@@ -83,7 +84,7 @@
 }
 
 // endOverdueJobs refuses jobs whose deadline has passed while they ran or waited: a
-// late result is as bad as none, and other jobs need the workers.
+// late result is useless, and other jobs need the workers.
 func (c *Cell) endOverdueJobs(ctx context.Context, t *leaderTerm) {
 	now := c.now()
 	if now.Before(t.nextOverdue) {
@@ -198,7 +199,7 @@
 }
 
 // prune removes ended jobs, first responses and other records that are older than
-// endedJobRetention, at each pruneInterval.
+// endedJobRetention, once per pruneInterval.
 func (c *Cell) prune(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait.For(ctx, pruneInterval)
--- a/internal/cell/gateway.go
+++ b/internal/cell/gateway.go
@@ -88,8 +88,9 @@
 		return incarnationUnknown, nil
 	}
 	if len(a.Running) > 0 {
-		// A new incarnation runs no attempts. This incarnation was known before, and the
-		// state has lost its record and its attempts; see needsAnnouncement.
+		// A new incarnation runs no attempts. An incarnation that is unknown to the state
+		// but runs attempts must have been registered before, and the state has lost the
+		// records of the incarnation and of its attempts; see needsAnnouncement.
 		return incarnationEnded, nil
 	}
 	capacity := wire.ResourcesFromAPI(a.Capacity)
@@ -260,7 +261,7 @@
 }
 
 // acknowledgement returns a response with the position of the last command issued to the
-// incarnation. The caller must have applied the reported ends before.
+// incarnation. The reported ends must have been applied before the call.
 func (t *leaderTerm) acknowledgement(r *apiv1.ReportRequest) *apiv1.ReportResponse {
 	response := &apiv1.ReportResponse{UntilTerm: t.term}
 	t.mu.Lock()
--- a/internal/cell/handover.go
+++ b/internal/cell/handover.go
@@ -30,8 +30,8 @@
 )
 
 // findAcceptingDataCentre probes the other data centres in turn, except those in tried,
-// and returns the first that would accept a job, or "". A probe commits nothing. It
-// avoids committing offers that would only be refused.
+// and returns the first that would accept a job, or "". A probe commits nothing, so an
+// offer is committed only if it is likely to be accepted.
 func (c *Cell) findAcceptingDataCentre(ctx context.Context, t *leaderTerm, probe *apiv1.OfferRequest, tried []string) string {
 	for _, dataCentre := range c.base.Settings.DataCentres() {
 		if dataCentre == c.base.Instance.DataCentre || slices.Contains(tried, dataCentre) || t.isUnreachable(dataCentre, c.now()) {
--- a/internal/cell/leader_term.go
+++ b/internal/cell/leader_term.go
@@ -221,8 +221,8 @@
 	t.cluster.ReportSuccess(result.Worker, result.Job, now)
 }
 
-// stillRunning reports whether the attempt of a start among the changes still runs. It
-// may have ended within the same batch of changes.
+// stillRunning reports whether a task that was started by one of the collected changes
+// still runs on its worker. A later change of the same batch may have ended the attempt.
 func stillRunning(s *state.State, p placement.Placed) bool {
 	j := s.Jobs[p.Job]
 	if j == nil || p.Task >= len(j.Tasks) {
@@ -232,9 +232,9 @@
 	return t.State == state.TaskRunning && t.Worker == p.Worker
 }
 
-// placeCommitted adds a committed start to the placement cache. A task that ended and
-// started again between two refreshes is among the changes twice; the later start is
-// added first, and the earlier one is ignored.
+// placeCommitted adds a committed start to the placement cache. If a task ended and
+// started again between two refreshes, the collected changes contain both starts; the
+// later start is added first, and the earlier one is ignored.
 //
 // The replicated state has accepted the start, so a cache that refuses it has diverged
 // from the state, and every later plan would be wrong: the cache is rebuilt from the
--- a/internal/cell/quota.go
+++ b/internal/cell/quota.go
@@ -91,7 +91,7 @@
 
 // customerLimit returns what a customer may use in all data centres together. A job that
 // needs more can never run. If only the allotment of this data centre is too small, the
-// difference is requested from the others.
+// difference is requested from the other data centres.
 func (c *Cell) customerLimit(customer string) placement.Resources {
 	limit := placement.Resources{CPU: quota.Unlimited, Memory: quota.Unlimited, Accelerators: quota.Unlimited}
 	c.machine.View(func(s *state.State) {
@@ -254,8 +254,8 @@
 		t.plannerMu.Unlock()
 		command = &state.Quota{Debit: &debit}
 	}
-	// The dropped result has the refusal of the ledger, for example if there is nothing to
-	// transfer. MoveQuota reports the refusal in its reply.
+	// The ledger may refuse the command, for example if there is nothing to transfer. The
+	// refusal is in the result, which is dropped here; MoveQuota reports it in its reply.
 	_, err := p.propose(ctx, &state.Command{Quota: command})
 	return err
 }
--- a/internal/cell/scheduler.go
+++ b/internal/cell/scheduler.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// waitForChange waits for a change. It returns false if ctx ends or the service drains
-// first.
+// waitForChange waits until changed is closed. It returns false if ctx ends or the cell
+// drains first.
 func (c *Cell) waitForChange(ctx context.Context, changed <-chan struct{}) bool {
 	select {
 	case <-changed:
@@ -313,7 +313,8 @@
 	return c.listJobs(caller, r), nil
 }
 
-// jobStatus returns one job. Another customer's job is not found.
+// jobStatus returns one job. Its error is NotFound if the job doesn't exist or the caller
+// may not see it.
 func (c *Cell) jobStatus(caller rpc.Caller, id string, withTasks bool) (*apiv1.StatusResponse, error) {
 	j := c.job(id)
 	if j == nil || !mayView(caller, j) {
--- a/internal/cell/stats.go
+++ b/internal/cell/stats.go
@@ -15,7 +15,6 @@
 	waitSignificantDigits = 2
 )
 
-// microsPerMs is the number of microseconds in a millisecond.
 const microsPerMs = 1000
 
 // Stats are the counters of a cell and the waiting times of its jobs until their first
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -149,7 +149,8 @@
 	// Address is where Handler is served.
 	Address string
 	Handler http.Handler
-	// Admin is the address for metrics, health and profiles; empty for none.
+	// Admin is the address for metrics, health and profiles; if it is empty, they aren't
+	// served.
 	Admin string
 	// Ready reports whether the process may serve callers.
 	Ready func() bool
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -34,9 +34,9 @@
 	// holdMargin is how much longer a held call may take than the leader may hold
 	// it.
 	holdMargin = 500 * time.Millisecond
-	// submitAttemptTimeout bounds one attempt of a submission. It is longer than for
-	// other calls, since a submission may wait for another data centre to answer a
-	// handover offer.
+	// submitAttemptTimeout bounds one attempt of a submission. It is longer than the
+	// timeout of other calls, since a submission may wait for another data centre to
+	// answer a handover offer.
 	submitAttemptTimeout = 2500 * time.Millisecond
 )
 
--- a/internal/entry/gateway.go
+++ b/internal/entry/gateway.go
@@ -17,9 +17,9 @@
 // Failure guarded against: the leader is paused or partitioned and the renewal hangs.
 // Without a response the worker's lease expires, and the outcome of tasks that must not
 // run twice becomes unknown. The first attempt therefore lasts for the hold plus
-// holdMargin at most, and later attempts are not held at all, so that the response of a
-// new leader arrives before the lease expires. The settings guarantee a lease that is
-// longer than that (see settings.Timing).
+// holdMargin at most, and a retry is held only for the time that the first hold has left,
+// so that the response of a new leader arrives before the lease expires. The settings
+// guarantee a lease that is longer than the first attempt (see settings.Timing).
 func (e *Entry) Renew(ctx context.Context, r *apiv1.RenewRequest) (*apiv1.RenewResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Worker); err != nil {
 		return nil, err
--- a/internal/entry/operations.go
+++ b/internal/entry/operations.go
@@ -26,7 +26,8 @@
 // maxEvents limits the events that one call of Events returns.
 const maxEvents = 5000
 
-// Workers lists the workers of one data centre, or of all.
+// Workers lists the workers of the data centre that the request names, or of all data
+// centres if it names none.
 func (e *Entry) Workers(ctx context.Context, r *apiv1.WorkersRequest) (*apiv1.WorkersResponse, error) {
 	listWorkers := func(ctx context.Context, c clients) (*apiv1.WorkersResponse, error) {
 		return c.operations.Workers(ctx, r)
@@ -249,7 +250,7 @@
 	return response, nil
 }
 
-// Events returns the newest events of all processes, merged into one order.
+// Events returns the newest events of all processes, sorted by timestamp.
 func (e *Entry) Events(ctx context.Context, r *apiv1.EventsRequest) (*apiv1.EventsResponse, error) {
 	if _, err := rpc.Require(ctx, settings.Operator); err != nil {
 		return nil, err
--- a/internal/entry/scheduler.go
+++ b/internal/entry/scheduler.go
@@ -120,9 +120,9 @@
 	return response, nil
 }
 
-// searchOtherDataCentres looks for a job whose home is unreachable in the other data
-// centres, since the job may have been handed over. If none of them has the job, that
-// doesn't prove that the job doesn't exist, so the error of the home is returned.
+// searchOtherDataCentres searches the other data centres for a job whose home is
+// unreachable, since the job may have been handed over. If none of them has the job, the
+// job may still exist at its home, so the error of the home is returned.
 func (e *Entry) searchOtherDataCentres(ctx context.Context, home string, unavailable error, call func(context.Context, clients) (*apiv1.StatusResponse, error)) (*apiv1.StatusResponse, error) {
 	for _, name := range e.base.Settings.DataCentres() {
 		if name == home {
@@ -188,7 +188,8 @@
 	return merged
 }
 
-// cancelIDs cancels jobs by id, with one call for each data centre that owns any.
+// cancelIDs cancels jobs by id, with one call for each data centre that owns any of the
+// jobs.
 func (e *Entry) cancelIDs(ctx context.Context, r *apiv1.CancelRequest) (*apiv1.CancelResponse, error) {
 	if r.Name != "" || r.AllOfCustomer {
 		return nil, fault.Field("selector", "exactly one of ids, name and all_of_customer is needed")
--- a/internal/instance/core.go
+++ b/internal/instance/core.go
@@ -22,7 +22,8 @@
 	control.Machines
 }
 
-// DeploymentAddresses are the addresses of a deployment's services, empty for none.
+// DeploymentAddresses are the addresses of a deployment's services. The address of a service
+// that the deployment lacks is empty.
 type DeploymentAddresses struct {
 	Adviser, Machines string
 	// MaxConnections limits the open connections to these services and to workers.
@@ -141,8 +142,9 @@
 	}
 }
 
-// stopCore transfers the leadership while this instance still responds to the others, and
-// then stops the servers. It leaves half of the shutdown time for the work after that.
+// stopCore transfers the leadership while this instance still responds to other instances,
+// stops the servers and ends the background work. The transfer and the wait for requests in
+// flight take half of the shutdown time at most.
 func (p *process) stopCore(logMember *member.Host, controlServer *http.Server, c *components, stopWork func()) {
 	shutdownCtx, cancel := context.WithTimeout(context.Background(), p.settings.Bounds.Shutdown.Std()/2)
 	defer cancel()
--- a/internal/instance/process.go
+++ b/internal/instance/process.go
@@ -29,8 +29,8 @@
 const (
 	headerTimeout = 3 * time.Second
 	idleTimeout   = 60 * time.Second
-	// reloadInterval is how often the settings file is checked for changes, which may
-	// come without a signal.
+	// reloadInterval is how often the settings file is checked for changes, since the
+	// file may change without a SIGHUP.
 	reloadInterval = time.Second
 	// memoryLimitPercent is the soft memory limit of the garbage collector in percent of
 	// the memory that the machine allows. The rest is for stacks and for memory that only
@@ -181,8 +181,8 @@
 	api             *http.Server
 }
 
-// newComponents returns the components of this process. Every instance, also one that
-// doesn't lead, queries the adviser on behalf of the leader.
+// newComponents returns the components of this process. Every instance, including those
+// that don't lead, queries the adviser on behalf of the leader.
 func (p *process) newComponents(newDeploymentClient func(DeploymentAddresses) DeploymentClient, budget descriptors.Budget) *components {
 	s := p.settings
 	addresses := DeploymentAddresses{Adviser: s.Adviser, Machines: s.MachineList, MaxConnections: budget.ToExternal}
--- a/internal/instance/settings.go
+++ b/internal/instance/settings.go
@@ -30,15 +30,16 @@
 	Address string `toml:"address"`
 	// InternalPort is the port for calls between instances, the same on all instances.
 	InternalPort string `toml:"internal_port"`
-	// MetricsAddress is where counters and histograms are served; empty for none.
+	// MetricsAddress is where counters and histograms are served; if it is empty, they
+	// aren't served.
 	MetricsAddress string `toml:"metrics_address"`
 	// Entry is the address for callers and Readiness that of the readiness check, both of
 	// an edge instance. Control is the control address of a core instance.
 	Entry     string `toml:"entry"`
 	Readiness string `toml:"readiness"`
 	Control   string `toml:"control"`
-	// API is the address of the product API, empty for none. APIToken is the file with
-	// the token that its callers must present.
+	// API is the address of the product API; if it is empty, the product API isn't served.
+	// APIToken is the file with the token that its callers must present.
 	API      string `toml:"api"`
 	APIToken string `toml:"api_token"`
 	// Seeds are the control addresses of core instances.
@@ -53,12 +54,13 @@
 	// DataFolder is the folder for the log on the machine's disk.
 	DataFolder string `toml:"data_folder"`
 	// Adviser is the address of the adviser, which responds to queries for permits; empty
-	// for none.
+	// if there is no adviser.
 	Adviser string `toml:"adviser"`
 	// WorkerOrders is how workers get their orders: "push" for calls to the workers,
 	// "heartbeat" for orders in the responses to heartbeats. Empty means "push".
 	WorkerOrders string `toml:"worker_orders"`
-	// MachineList is the address of the deployment's list of machines; empty for none.
+	// MachineList is the address of the deployment's list of machines; empty if there is
+	// no such list.
 	MachineList string `toml:"machine_list"`
 	// ToleratedFailures is how many core instances may fail at the same time.
 	ToleratedFailures int    `toml:"instances_lost"`
@@ -195,6 +197,6 @@
 	return addresses
 }
 
-// votersFor returns how many voting members still have a majority after the given number
-// of failures; at least 3.
+// votersFor returns the number of voting members at which a majority remains after the
+// given number of failures; at least 3.
 func votersFor(failures int) int { return 2*max(failures, 1) + 1 }
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -328,7 +328,7 @@
 	}
 }
 
-// refusal returns the refusal of the ticket, nil for none.
+// refusal returns the refusal of the ticket, or nil if the ticket wasn't refused.
 func (c *call) refusal() *routing.Refusal {
 	c.h.mu.Lock()
 	defer c.h.mu.Unlock()
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -29,7 +29,7 @@
 // allows writes to one connection only, and no first write after the lease expired.
 type writeGuard struct {
 	now        func() time.Duration
-	validUntil time.Duration // when the slot lease expires, by now
+	validUntil time.Duration // when the slot lease expires, on the clock that now reads
 
 	mu       sync.Mutex
 	usedConn *guardedConn // the connection of the first write
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -89,7 +89,8 @@
 	return c
 }
 
-// MonotonicClock returns a monotonic clock that starts at zero now.
+// MonotonicClock returns a monotonic clock, which shows the time since the call of
+// MonotonicClock.
 func MonotonicClock() func() time.Duration {
 	origin := time.Now()
 	return func() time.Duration { return time.Since(origin) }
@@ -103,7 +104,7 @@
 	conns         *connCounter
 	bufferedBytes atomic.Int64
 	stats         *stats
-	wake          chan struct{} // ends the wait of RenewSlotLeases for its next request
+	wake          chan struct{} // ends the wait of RenewSlotLeases for its next slot request
 	// slotRequestsFailing is true after the last slot request failed.
 	slotRequestsFailing atomic.Bool
 
@@ -161,7 +162,7 @@
 	}
 }
 
-// wakeSlotRequests ends the wait of RenewSlotLeases for its next request.
+// wakeSlotRequests ends the wait of RenewSlotLeases for its next slot request.
 func (h *Handler) wakeSlotRequests() {
 	select {
 	case h.wake <- struct{}{}:
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -32,8 +32,8 @@
 	longAgo = -time.Hour
 )
 
-// fakeMinion is an HTTP server that counts its requests: all that it has served, those
-// that run now, and the maximum that ran at the same time.
+// fakeMinion is an HTTP server that counts the requests that it has served, the requests
+// that are running, and the maximum number that ran at the same time.
 type fakeMinion struct {
 	server     *httptest.Server
 	address    string
@@ -215,8 +215,8 @@
 	must.Eq(t, fault.Unknown.String(), got.kind)
 }
 
-// Guards against a request that runs twice, here a check-in that is billed twice:
-// the minion receives it on a kept-alive connection and dies before it responds,
+// Guards against a request that runs twice, such as a check-in that is billed twice:
+// the minion receives the request on a kept-alive connection and dies before it responds,
 // and the HTTP transport retries the request by itself. Transports regard GET as
 // safe to retry, so the test uses GET.
 func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -18,7 +18,6 @@
 	waitSignificantDigits = 2
 )
 
-// microsPerMs is the number of microseconds in a millisecond.
 const microsPerMs = 1000
 
 // stats holds the counters and waiting times of a Handler.
--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -63,8 +63,8 @@
 }
 
 // Decide plans the next actions for one wave. It cordons and takes down as few machines at the
-// same time as the remaining time allows, so that the others keep serving, and begins with the
-// machines that are expected to be empty first.
+// same time as the remaining time allows, so that the other machines keep serving, and begins
+// with the machines that are expected to be empty first.
 func Decide(w Wave, machines []Machine) Plan {
 	var plan Plan
 	var waiting, cordoned []Machine
