--- a/internal/carrier/carrier_test.go
+++ b/internal/carrier/carrier_test.go
@@ -112,9 +112,9 @@
 		})
 		return sent
 	}
-	few, many := messages(100), messages(1100)
-	must.LessEq(t, 500, many)
-	must.LessEq(t, 2*few, many)
+	messagesFor100Workers, messagesFor1100Workers := messages(100), messages(1100)
+	must.LessEq(t, 500, messagesFor1100Workers)
+	must.LessEq(t, 2*messagesFor100Workers, messagesFor1100Workers)
 }
 
 // A carrier stops responding while orders are in flight. Their callers must get an error
--- a/internal/cell/serve.go
+++ b/internal/cell/serve.go
@@ -214,18 +214,18 @@
 // publish adds the metrics of the replication groups and of their connections.
 func (p *process) publish() {
 	p.base.Metrics.Set("groups", expvar.Func(func() any {
-		all := make(map[string]node.Stats, len(p.groups))
+		statsByGroup := make(map[string]node.Stats, len(p.groups))
 		for name, group := range p.groups {
-			all[name] = group.Stats()
+			statsByGroup[name] = group.Stats()
 		}
-		return all
+		return statsByGroup
 	}))
 	p.base.Metrics.Set("roles", expvar.Func(func() any {
-		all := make(map[string]string, len(p.groups))
+		roleByGroup := make(map[string]string, len(p.groups))
 		for name, group := range p.groups {
-			all[name] = group.RoleName()
+			roleByGroup[name] = group.RoleName()
 		}
-		return all
+		return roleByGroup
 	}))
 	p.base.Metrics.Set("peers", expvar.Func(func() any { return p.transport.Stats() }))
 }
