--- a/hlc/hlc.go
+++ b/hlc/hlc.go
@@ -101,12 +101,12 @@
 // Observe adopts the timestamp of a received message and returns the timestamp of its
 // receipt, which is after both remote and every earlier timestamp of the clock.
 //
-// Guards against one process whose wall clock runs hours ahead: if every process
-// adopted its timestamps and passed them on, the event timeline of the whole system
-// would move into the future. If remote is more than MaxAhead ahead of the local wall
-// clock, Observe ignores remote, treats the receipt as a local event and counts it in
-// Rejected. Each process compares with its own wall clock, so the error can't add up
-// over several processes either.
+// Guards against one process whose wall clock runs hours ahead: if every process adopted
+// its timestamps and passed them on, the event timeline of the whole system would move
+// into the future. If remote is more than MaxAhead ahead of the local wall clock, Observe
+// ignores remote, treats the receipt as a local event and counts it in Rejected. Each
+// process compares remote with its own wall clock, so errors can't add up over several
+// processes.
 func (c *Clock) Observe(remote Timestamp, wall time.Time) Timestamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/lease/guard.go
+++ b/lease/guard.go
@@ -24,8 +24,8 @@
 	ErrOldTerm
 	// ErrDuplicate: the command was processed before. Ignore it.
 	ErrDuplicate
-	// ErrSequenceGap: an earlier command has not arrived. The command isn't
-	// processed; the owner sends both again.
+	// ErrSequenceGap: an earlier command has not arrived. The command isn't processed;
+	// the owner sends both commands again.
 	ErrSequenceGap
 	// ErrRunning: the attempt is already running. The command counts as
 	// processed.
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -22,13 +22,13 @@
 	expiresAt    time.Duration
 	// granted reports whether a lease was granted since the last Reset.
 	granted bool
-	// expired reports whether Valid has found that lease expired.
+	// expired reports whether Valid has found the granted lease expired.
 	expired bool
 }
 
-// RecordSent records that a renewal is about to be sent. Call it before sending.
-// If the same sequence number is sent again, the first time counts. Sequence
-// numbers must keep growing after Reset.
+// RecordSent records that a renewal is about to be sent. Call it before sending. If a
+// renewal is sent again under the same sequence number, the time of the first call
+// counts. Sequence numbers must keep growing after Reset.
 func (h *Holder) RecordSent(sequence uint64, now time.Duration) {
 	if sequence <= h.lastSequence {
 		return
@@ -43,15 +43,14 @@
 // RecordGranted records the owner's granting response to a renewal, received at now.
 // The lease lasts for ttl from when that renewal was sent.
 //
-// Guards against two faults. If the response takes longer than the lease, a worker
-// that counts from the arrival of the response still runs its tasks after the owner
-// has declared the lease ended and started the tasks elsewhere. And a process that
-// was suspended past the end of its lease may first see the response of a new leader,
-// which doesn't know that the previous leader declared the lease ended; accepting the
-// response would let the tasks continue. A lease can therefore be extended only while
-// it is held.
+// Guards against two faults. First, if the response takes longer than the lease, a worker
+// that counts from the arrival of the response still runs its tasks after the owner has
+// declared the lease ended and started the tasks elsewhere. Second, a process that was
+// suspended past the end of its lease may first see the response of a new leader, which
+// doesn't know that the previous leader declared the lease ended; accepting the response
+// would let the tasks continue. A lease can therefore be extended only while it is held.
 //
-// A duplicated response, or one to an earlier renewal than the last that was granted,
+// A duplicated response, or a response to an earlier renewal than the last granted one,
 // doesn't change the end of the lease. The caller must not process commands from a
 // response if Valid is false after RecordGranted.
 func (h *Holder) RecordGranted(sequence uint64, ttl, now time.Duration) {
--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -441,7 +441,7 @@
 }
 
 // takeMessage loses, duplicates or delivers a message in the network. In two of three
-// calls this is the newest message, otherwise a random one.
+// calls it takes the newest message, otherwise a random one.
 func (m *model) takeMessage() {
 	if len(m.network) == 0 {
 		return
--- a/lease/outbox.go
+++ b/lease/outbox.go
@@ -30,8 +30,8 @@
 	return header
 }
 
-// Acknowledge drops the commands that the worker has processed. ack is the
-// Position that the worker's renewal carried; one of another term is ignored.
+// Acknowledge drops the commands that the worker has processed. ack is the Position that
+// the worker's renewal carried. An ack of another term is ignored.
 func (o *Outbox[T]) Acknowledge(ack Position) {
 	if ack.Term != o.term {
 		return
@@ -48,9 +48,9 @@
 	return o.pending[:min(limit, len(o.pending))]
 }
 
-// Position returns the position of the last command issued. The acknowledgement
-// of a report carries it to Guard.Acknowledge; call Position for it only after the
-// end of the attempt was committed and applied.
+// Position returns the position of the last command issued. The acknowledgement of a
+// report carries this position to Guard.Acknowledge. For an acknowledgement, call
+// Position only after the end of the attempt was committed and applied.
 func (o *Outbox[T]) Position() Position {
 	return Position{Term: o.term, Number: o.lastNumber}
 }
--- a/lease/table.go
+++ b/lease/table.go
@@ -25,10 +25,9 @@
 	Ended bool
 }
 
-// Grants reports whether the response to the renewal may grant a lease. The response
-// to a duplicate of a renewal of the current incarnation may grant one like the
-// response to the first copy, because the worker counts the lease from when it first
-// sent that sequence number.
+// Grants reports whether the response to the renewal may grant a lease. The response to a
+// duplicate of a renewal of the current incarnation may grant a lease too, because the
+// worker counts the lease from when it first sent that sequence number.
 func (r Renewal) Grants() bool {
 	return r.Accepted || (r.Stale && !r.Ended && !r.NewIncarnation && !r.Unknown)
 }
@@ -53,7 +52,7 @@
 // It is not safe for concurrent use.
 type Table struct {
 	ttl, drift time.Duration
-	// now is the latest reading of the owner's clock that a method was given.
+	// now is the latest reading of the owner's clock that was passed to any method.
 	now     time.Duration
 	workers map[string]*leaseRecord
 }
@@ -164,9 +163,9 @@
 	return record.incarnation, true
 }
 
-// Expired declares the leases ended that have expired by now, and returns their
-// workers, sorted. It returns each ended lease only once. No attempt of the worker's
-// current or an earlier incarnation runs or can start any more.
+// Expired declares ended all leases that have expired by now, and returns their workers,
+// sorted. It returns a worker only in the call that declares its lease ended. No attempt
+// of the worker's current or an earlier incarnation runs or can start any more.
 func (t *Table) Expired(now time.Duration) []string {
 	t.advanceClock(now)
 	var expired []string
--- a/quota/config.go
+++ b/quota/config.go
@@ -31,7 +31,7 @@
 	Limits map[string]placement.Resources `cbor:"4,keyasint,omitempty"`
 }
 
-// Errors of Check and Configure. They return no others.
+// Errors of Check and Configure. These two methods return no other errors.
 var (
 	// ErrOldVersion: the version or the generation is lower than the one in
 	// force.
--- a/quota/demand_test.go
+++ b/quota/demand_test.go
@@ -48,8 +48,8 @@
 	// pool lets every data centre start tasks until the customer's usage over all
 	// data centres reaches its limit. static never transfers slots.
 	pool, static bool
-	// proportional sets shares by demand, which all data centres exchange each
-	// epoch. The other strategies request their shortfall.
+	// proportional sets shares by demand, which all data centres exchange each epoch. In
+	// the other strategies a data centre requests its shortfall.
 	proportional bool
 	// reserveQueued makes a donor reserve what its queued tasks need. average
 	// is the fraction of the moving average of demand that a donor reserves.
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -19,7 +19,7 @@
 //     transfers. At first the sum is exactly the limit.
 //  2. While versions differ, the sum is at most the highest limit in force
 //     anywhere: every allotted unit is below that limit and belongs to one slot,
-//     and that slot to one data centre.
+//     which belongs to one data centre.
 //  3. A lowered limit needs no agreement and never makes an allotment negative,
 //     whatever has been transferred, and versions may be skipped: an allotment
 //     depends only on the owned slots and the limit in force.
@@ -31,15 +31,14 @@
 //
 // # Transfers
 //
-// Between two data centres there is at most one transfer in each direction at a
-// time. The donor commits it with [Ledger.Debit], which removes the slots from
-// the donor and gives the transfer the next sequence number of that pair; the
-// recipient commits it with [Ledger.Credit], which credits it if it is the next;
-// the donor commits the acknowledgement with [Ledger.Acknowledge]. A slot thus
-// belongs to the donor, to the transfer in flight, or to the recipient, and the
-// sequence numbers reveal messages that were lost, duplicated, delayed or reordered.
-// The state for each other data centre is one sequence number in each direction and
-// at most one outgoing transfer.
+// Between two data centres there is at most one transfer in each direction at a time. The
+// donor commits it with [Ledger.Debit], which removes the slots from the donor and gives
+// the transfer the next sequence number of that pair; the recipient commits it with
+// [Ledger.Credit], which accepts only the transfer with the next sequence number; the
+// donor commits the acknowledgement with [Ledger.Acknowledge]. A slot thus belongs to the
+// donor, to the transfer in flight, or to the recipient, and the sequence numbers reveal
+// messages that were lost, duplicated, delayed or reordered. The state for each other
+// data centre is one sequence number in each direction and at most one outgoing transfer.
 //
 // A data centre whose state was lost entirely must not return under the same
 // generation: it would own its initial slots again.
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -10,7 +10,7 @@
 	"github.com/bilberryferry/bilberryferry/placement"
 )
 
-// Errors of Debit and Credit. They return no others.
+// Errors of Debit and Credit. These two methods return no other errors.
 var (
 	// ErrNoSpare: the donor can't spare a slot for any demand of the request.
 	ErrNoSpare = errors.New("quota: no spare units for the request")
@@ -23,12 +23,12 @@
 	// ErrSequenceGap: a sequence number is missing, so one side has lost its
 	// state. An operator must start a new generation.
 	ErrSequenceGap = errors.New("quota: transfer is not the next in sequence")
-	// ErrOtherGeneration: the request or transfer isn't of the generation in
-	// force here. One of a newer generation can be processed once the
-	// configuration has arrived; one of an older generation is invalid.
+	// ErrOtherGeneration: the request or transfer isn't of the generation in force in
+	// this data centre. A message of a newer generation can be processed once its
+	// configuration has arrived; a message of an older generation is invalid.
 	ErrOtherGeneration = errors.New("quota: message is of another generation")
-	// ErrWrongDataCentre: the request or transfer is for another data centre, or
-	// names this one as its sender.
+	// ErrWrongDataCentre: the request or transfer is for another data centre, or names
+	// this data centre as its sender.
 	ErrWrongDataCentre = errors.New("quota: message is for another data centre")
 )
 
@@ -72,8 +72,8 @@
 type Transfer struct {
 	From string `cbor:"1,keyasint"`
 	To   string `cbor:"2,keyasint"`
-	// Sequence numbers the transfers between the two data centres in this
-	// direction from 1 in each generation.
+	// Sequence is the number of the transfer, counted from 1 in each generation among the
+	// transfers between the two data centres in this direction.
 	Sequence   uint64          `cbor:"3,keyasint"`
 	Generation uint64          `cbor:"4,keyasint,omitempty"`
 	Customers  []CustomerSlots `cbor:"5,keyasint"`
@@ -94,8 +94,8 @@
 	// entry of a customer that leaves the configuration stays, because the customer may
 	// return.
 	Owned map[string]*ownedSlots `cbor:"3,keyasint,omitempty"`
-	// LastSent has the last sequence number of the transfers sent to each data
-	// centre, and LastReceived the last one credited from it.
+	// LastSent has the sequence number of the last transfer sent to each data centre, and
+	// LastReceived that of the last transfer credited from each data centre.
 	LastSent     map[string]uint64 `cbor:"4,keyasint,omitempty"`
 	LastReceived map[string]uint64 `cbor:"5,keyasint,omitempty"`
 	// Outgoing has the unacknowledged transfers, at most one per recipient.
@@ -138,9 +138,9 @@
 	}
 }
 
-// Configure puts a configuration in force. Versions may be skipped. On an error,
-// which is one of Config.Check, nothing changes. The version in force is accepted
-// again and changes nothing. The ledger keeps the maps of c, which the caller
+// Configure puts a configuration in force. Versions may be skipped. It returns the errors
+// of Config.Check, after which nothing has changed. Configuring the version in force
+// again changes nothing and is no error. The ledger keeps the maps of c, which the caller
 // must not change.
 func (l *Ledger) Configure(c Config) error {
 	if err := l.state.Config.Check(c); err != nil {
@@ -226,11 +226,11 @@
 	return ownedSlots{}
 }
 
-// Debit commits a transfer in response to a request. It transfers what the
-// request demands, as far as the allotment stays at least at the reserve and at
-// used(customer), the usage in the replicated state. The transfer is sent until
-// it is acknowledged. The errors are ErrNoSpare, ErrStale, ErrSequenceGap,
-// ErrOtherGeneration and ErrWrongDataCentre.
+// Debit commits a transfer in response to a request. It transfers as much of the demand
+// as it can without lowering an allotment below the reserve or below used(customer), the
+// usage in the replicated state. Outgoing returns the transfer until it is acknowledged.
+// The errors are ErrNoSpare, ErrStale, ErrSequenceGap, ErrOtherGeneration and
+// ErrWrongDataCentre.
 //
 // Guards against debiting twice for a duplicated or delayed request. A request is
 // accepted only if its sender had credited every transfer sent to it so far, so the
@@ -297,8 +297,8 @@
 	}
 }
 
-// debitCustomer removes the demanded and spare slots of one customer from the
-// owned slots. It returns false if there are none.
+// debitCustomer removes slots of one customer from the owned slots: as many as are
+// demanded and can be spared. It returns false if that is no slot.
 func (l *Ledger) debitCustomer(demand Demand, reserve placement.Resources) (CustomerSlots, bool) {
 	limit := l.Limit(demand.Customer)
 	allotment := l.Allotment(demand.Customer)
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -24,7 +24,7 @@
 // accepted so far.
 type model struct {
 	t *rapid.T
-	// names and ledgers are those of the data centres, by their indexes.
+	// names and ledgers have the name and the ledger of each data centre, by its index.
 	names   []string
 	ledgers []*quota.Ledger
 	configs []quota.Config
--- a/quota/planner.go
+++ b/quota/planner.go
@@ -118,7 +118,7 @@
 	name string
 	// coverage is how much of the demand the last report covers, in thousandths.
 	coverage int64
-	// observedAt is the tick of that report; zero if there is none.
+	// observedAt is the tick at which the last report arrived; zero if there is none.
 	observedAt uint64
 }
 
@@ -154,8 +154,8 @@
 	}).name, true
 }
 
-// coverage returns how much of need is spare, in thousandths, by the scarcest
-// field.
+// coverage returns the part of need that spare covers, in thousandths. It is the coverage
+// of the field that is covered least.
 func coverage(spare, need placement.Resources) int64 {
 	field := func(spare, need int64) int64 {
 		if need <= 0 {
@@ -177,8 +177,8 @@
 	return command
 }
 
-// Reply builds the reply to a request, after Ledger.Debit was applied for it with
-// any result. required is the same as for DebitCommand.
+// Reply builds the reply to a request, after Ledger.Debit was applied for it with any
+// result. required has the same meaning as in DebitCommand.
 func (p *Planner) Reply(l *Ledger, request TransferRequest, required func(customer string) placement.Resources) Reply {
 	r := Reply{From: p.self, To: request.From}
 	r.Transfer, _ = l.Outgoing(request.From)
--- a/quota/slots.go
+++ b/quota/slots.go
@@ -21,8 +21,8 @@
 // bytes.
 type SlotSet [words]uint64
 
-// initialSlots returns the slots that the initial owner at index owns before any
-// transfer, if there are owners initial owners.
+// initialSlots returns the slots that an initial owner owns before any transfer. index is
+// its index among the initial owners, and owners is their number.
 func initialSlots(index, owners int) SlotSet {
 	var s SlotSet
 	for slot := index; slot < Slots; slot += owners {
--- a/replica/append.go
+++ b/replica/append.go
@@ -72,7 +72,7 @@
 }
 
 // sendHeartbeat sends an append without entries after the entry prev. A heartbeat with
-// prev zero matches any log and only renews the contact.
+// prev zero matches any log and serves only to keep up the contact with the member.
 func (c *Core) sendHeartbeat(id string, prev uint64) {
 	m := c.appendMessage(id)
 	m.Index = prev
@@ -155,7 +155,8 @@
 func (c *Core) appendMissing(m Message) (uint64, bool) {
 	prev, term, entries := m.Index, m.LogTerm, m.unpack()
 	if prev < c.commit {
-		// Committed entries are also in the leader's log; only later ones matter.
+		// Committed entries are also in the leader's log, so only later entries can be
+		// missing or conflict.
 		skip := min(uint64(len(entries)), c.commit-prev)
 		prev += skip
 		entries = entries[skip:]
--- a/replica/bench_test.go
+++ b/replica/bench_test.go
@@ -12,7 +12,8 @@
 const benchIncarnation = 1_780_000_000_000
 
 const (
-	// benchElectionRounds bounds the rounds of ticks in which a group elects a leader.
+	// benchElectionRounds is the maximum number of rounds of ticks that the election of a
+	// leader may take.
 	benchElectionRounds = 200
 	benchCommandBytes   = 60
 	// benchCompactInterval is the number of entries between compactions.
--- a/replica/change.go
+++ b/replica/change.go
@@ -36,9 +36,9 @@
 }
 
 // checkChange returns the error for a change that isn't safe. If two memberships differ
-// in one voter, any quorum of one and any quorum of the other have a common member. For a
-// series of changes that holds only if each change is committed before the next, and the
-// first is proposed after the leader has committed an entry of its own term
+// in one voter, every quorum of the first shares a member with every quorum of the
+// second. For a series of changes that holds only if each change is committed before the
+// next, and the first is proposed after the leader has committed an entry of its own term
 // (checkCanPropose checks the latter).
 func (c *Core) checkChange(next []Member) error {
 	if err := checkMembers(next); err != nil {
--- a/replica/coldstart.go
+++ b/replica/coldstart.go
@@ -8,24 +8,24 @@
 
 // A cold start elects a leader when so many members have lost their state that no
 // ordinary election can be won: after a loss of power of all members, and at the very
-// first start, which looks the same.
+// first start, which the members can't tell from such a loss.
 //
-// It needs the vote of every voter of the group. Every voter thereby moves to the new
-// term, so nothing can be committed or elected in an earlier one any more. Committed
-// entries are found as follows. Let R be the voters that lost their state and N the
-// others. When the members of R that ever took part (MemberIncarnation.Participated)
-// are fewer than a majority, each committed entry is on a member of N, since a
-// majority held it. When all disk voters that ever took part are in N, each committed
-// entry is on one of them, unless it was committed while no disk voter was
-// available (Status.Degraded). When N is empty, no member has any data. In any other case, such
-// as a lost disk together with a loss of power, an operator must decide, see
-// ForceStart. The leader's log must hold at least as much as that of each member of
+// A cold start needs the vote of every voter of the group. Every voter thereby moves to
+// the new term, so nothing can be committed or elected in an earlier term any more.
+// Committed entries are found as follows. Let R be the voters that lost their state and N
+// the voters that kept it. When the members of R that ever took part
+// (MemberIncarnation.Participated) are fewer than a majority, each committed entry is on
+// a member of N, since a majority held it. When all disk voters that ever took part are
+// in N, each committed entry is on one of them, unless it was committed while no disk
+// voter was available (Status.Degraded). When N is empty, no member has any data. In any
+// other case, such as a lost disk together with a loss of power, an operator must decide,
+// see ForceStart. The leader's log must hold at least as much as that of each member of
 // N.
 //
-// All this must hold in each membership from the last committed one that the candidate
-// knows to its latest. A deposed leader may have proposed, and failed to commit, the
-// removal of the member that leads now. If only that proposal counted, the remaining
-// members would be all voters, and two leaders and a lost commit would follow.
+// These conditions must hold in each membership from the last committed one that the
+// candidate knows to its latest. A deposed leader may have proposed, and failed to
+// commit, the removal of the member that leads now. If only that proposal counted, the
+// remaining members would be all voters, and two leaders and a lost commit would follow.
 
 // voterState is the state of a voter that matters for a cold start.
 type voterState struct {
@@ -149,10 +149,10 @@
 	return voterState{m, reply.recovering, c.incarnations.participated(m.ID), reply.index, reply.logTerm}, ok && recent && !reply.leader
 }
 
-// coldStartLeader returns the ID of the voter with the most complete log among those
-// that kept their state. If no voter did, voters with a disk precede the others. The lowest
-// ID precedes among equals. Witnesses never lead. All voters with the same replies get the
-// same result.
+// coldStartLeader returns the ID of the voter with the most complete log among those that
+// kept their state. If no voter did, voters with a disk precede the others. Among voters
+// that are equal in this order, the lowest ID precedes. Witnesses never lead. All voters
+// with the same replies get the same result.
 func coldStartLeader(states []voterState) string {
 	best := -1
 	for i, s := range states {
@@ -169,7 +169,7 @@
 	return states[best].member.ID
 }
 
-// precedes reports whether s is preferred to o as the leader of a cold start.
+// precedes reports whether s is preferred to other as the leader of a cold start.
 func (s voterState) precedes(other voterState) bool {
 	switch {
 	case s.recovering != other.recovering:
@@ -201,17 +201,18 @@
 	return coldStartAllowedInAll(byMembership)
 }
 
-// recordColdStartVote sets the recovery source of a recovering voter that has granted
-// a cold start. An append of that candidate in that term proves that all voters
-// granted it. The member then needs the candidate's log only up to the last entry
-// that the request named.
+// recordColdStartVote sets the recovery source of a recovering voter that has granted a
+// cold start. A later append of the candidate in the term of the cold start proves that
+// all voters granted it. The member then needs the candidate's log only up to the last
+// entry that the request named.
 //
-// The request names the incarnation that sent the state reply, and no other one
-// grants it (see grantsVote). A voter may since have led or followed a later leader
-// and lost its state again. If it granted the delayed request, it would recover with
-// the old candidate's log and help to elect that candidate in a term that already had
-// a leader. A candidate sends one request a term to each voter, so it counted exactly
-// the incarnation that holds this source, and its appends needn't name the incarnation.
+// The request names the incarnation that sent the state reply, and no other incarnation
+// grants the request (see grantsVote). A voter may since have led or followed a later
+// leader and lost its state again. If it granted the delayed request, it would recover
+// with the old candidate's log and help to elect that candidate in a term that already
+// had a leader. A candidate sends one request per term to each voter, so it counted
+// exactly the incarnation that holds this source, and its appends needn't name the
+// incarnation.
 func (c *Core) recordColdStartVote(m Message) {
 	if m.ColdStart && c.role == Recovering {
 		c.recovery.source = recoverySource{leader: m.From, term: m.Term, requiredIndex: m.Index}
@@ -232,7 +233,7 @@
 
 // skipLostTerms raises the term above all terms that only members without state knew.
 // These terms may have had leaders, and a fencing token derived from a term must not
-// recur. Elections are rarer than one a second, so the number of seconds in the
+// recur. Less than one election happens per second, so the number of seconds in the
 // latest incarnation is above all these terms. The function changes the term only after a
 // start without stored state.
 func (c *Core) skipLostTerms() {
@@ -241,7 +242,7 @@
 	}
 }
 
-// anyRecovering reports whether this member or one that replied is recovering.
+// anyRecovering reports whether this member, or any member that replied, is recovering.
 func (c *Core) anyRecovering() bool {
 	if c.role == Recovering {
 		return true
@@ -284,7 +285,8 @@
 	return nil
 }
 
-// highestReportedTerm returns the highest term of this member and of the replies.
+// highestReportedTerm returns the highest of this member's term and the terms in the
+// state replies.
 func (c *Core) highestReportedTerm() uint64 {
 	highest := c.term
 	for _, reply := range c.recovery.replies {
--- a/replica/config.go
+++ b/replica/config.go
@@ -33,8 +33,9 @@
 	HasDisk bool
 	// Members is the initial membership, used only when StoredState is empty.
 	Members []Member
-	// ElectionTicks is the number of ticks without a leader after which a member
-	// campaigns, randomised up to twice that. Default 10.
+	// ElectionTicks is the least number of ticks without a leader after which a member
+	// campaigns. The number is random, from ElectionTicks up to twice ElectionTicks, and
+	// higher after late heartbeats and on a member outside the group. Default 10.
 	ElectionTicks int
 	// HeartbeatTicks is the number of ticks between two heartbeats. Default 2.
 	HeartbeatTicks int
--- a/replica/core.go
+++ b/replica/core.go
@@ -11,8 +11,8 @@
 // Core is one member of a group. It is deterministic: the same calls in the same
 // order give the same results. It isn't safe for concurrent use.
 //
-// The caller calls Tick at a steady rate. After a pause of the process, the caller
-// first makes up for the missed ticks. Otherwise a leader would decide something
+// The caller calls Tick at a steady rate. After a pause of the process, the caller must
+// first call Tick once for each missed tick. Otherwise a leader could make a decision
 // before it notices that its lease has expired.
 type Core struct {
 	cfg         Config
@@ -33,9 +33,9 @@
 	members      membershipHistory
 	incarnations incarnations
 
-	// now counts this member's ticks. ticksSinceLeader counts the ticks since the
-	// last contact from a leader, ticksSinceReset those since the election timer was
-	// reset.
+	// now counts this member's ticks. ticksSinceLeader counts the ticks since the last
+	// contact from a leader, and ticksSinceReset counts the ticks since the election
+	// timer was reset.
 	now              uint64
 	ticksSinceLeader int
 	ticksSinceReset  int
@@ -187,9 +187,9 @@
 	c.electionTimeout = (minTimeout + c.rand.IntN(minTimeout)) * c.requestIntervalFactor()
 }
 
-// hasRecentLeader reports whether a leader's lease may still be valid by a reply of this
-// member. It is true just after a start as well, because the member may have replied to a
-// heartbeat right before it stopped.
+// hasRecentLeader reports whether a leader's lease may still be valid because this member
+// replied to a heartbeat. It is true just after a start as well, because the member may
+// have replied to a heartbeat right before it stopped.
 func (c *Core) hasRecentLeader() bool {
 	return c.role == Leader || c.ticksSinceLeader < c.cfg.ElectionTicks
 }
--- a/replica/election.go
+++ b/replica/election.go
@@ -34,8 +34,8 @@
 	if !c.mayLead() {
 		return
 	}
-	// Too many members may have lost their state for any election to be won. Their
-	// state replies show that and may allow a cold start.
+	// So many members may have lost their state that no election can be won. The state
+	// replies show whether that is the case and may allow a cold start.
 	c.requestState()
 	c.startCampaign(preVoting, false)
 }
@@ -87,9 +87,9 @@
 	return voters(c.members.current())
 }
 
-// ignoresVoteRequest reports whether a vote request is dropped without raising the
-// term. If a leader made contact within the election timeout, its lease may be valid by a
-// reply of this member, so only a vote request of a leadership transfer that this leader
+// ignoresVoteRequest reports whether a vote request is dropped without raising the term.
+// If a leader made contact within the election timeout, its lease may be valid because
+// this member replied, so only a vote request of a leadership transfer that this leader
 // started may pass. This also keeps a removed or partitioned member from raising terms.
 func (c *Core) ignoresVoteRequest(m Message) bool {
 	return c.hasRecentLeader() && !m.Force
@@ -126,10 +126,10 @@
 	c.send(reply)
 }
 
-// grantsVote reports whether to grant a vote request: one vote a term, and only for a
-// log that holds at least as much as this member's, so that a leader has every
+// grantsVote reports whether to grant a vote request: at most one vote per term, and only
+// for a log that holds at least as much as this member's, so that a leader has every
 // committed entry. A recovering member can't compare the logs and grants only a cold
-// start, in which all the other voters compare theirs.
+// start, in which all voters that kept their state compare their logs.
 func (c *Core) grantsVote(m Message) bool {
 	if c.vote != "" && c.vote != m.From {
 		return false
--- a/replica/election_timeout.go
+++ b/replica/election_timeout.go
@@ -26,13 +26,14 @@
 	g.widest = max(g.widest, gap)
 }
 
-// minElectionTimeout returns the least election timeout in ticks. It is longer than
-// the recent gaps between the leader's messages after which the leader did continue.
+// minElectionTimeout returns the least election timeout in ticks. The timeout is longer
+// than the recent gaps after which the leader sent messages again, but at most
+// maxTimeoutFactor times Config.ElectionTicks.
 //
-// If it ignored these gaps, a leader under load that sends its heartbeats late would be
-// replaced. The new leader has the most work right after its election, so its heartbeats
-// would be late even sooner, and elections would never stop. The time for which votes
-// are refused isn't extended, so no leader's lease depends on this value.
+// If the timeout ignored these gaps, a leader under load that sends its heartbeats late
+// would be replaced. The new leader has the most work right after its election, so its
+// heartbeats would be late even sooner, and elections would never stop. The time for
+// which votes are refused isn't extended, so no leader's lease depends on this value.
 func (c *Core) minElectionTimeout() int {
 	base := c.cfg.ElectionTicks
 	widest := max(c.heartbeatGaps.widest, c.heartbeatGaps.previousWidest)
--- a/replica/example_test.go
+++ b/replica/example_test.go
@@ -6,8 +6,9 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// Three diskless members start without state, elect a leader and commit two commands.
-// The loop shows a driver: tick, carry out each Ready, deliver the messages, advance.
+// Example shows three diskless members that start without state, elect a leader and
+// commit two commands. The loop drives the members: it ticks them, carries out each
+// Ready, delivers the messages and calls Advance.
 func Example() {
 	members := []replica.Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 	cores := map[string]*replica.Core{}
--- a/replica/leader.go
+++ b/replica/leader.go
@@ -10,8 +10,8 @@
 type leaderState struct {
 	// progress holds the replication progress of each member by ID.
 	progress map[string]*progress
-	// electedAt is the tick of the election, firstIndex the index of the leader's own
-	// no-op entry.
+	// electedAt is the tick of the election, and firstIndex is the index of the leader's
+	// own no-op entry.
 	electedAt          uint64
 	firstIndex         uint64
 	heartbeatCountdown int
--- a/replica/lease_test.go
+++ b/replica/lease_test.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// A member replies to a heartbeat, restarts immediately and receives a vote request. The
-// leader's lease is still valid by that reply, so the member must refuse its vote for a
-// whole election timeout after the start.
+// A member replies to a heartbeat, restarts immediately and receives a vote request.
+// Because of that reply the leader's lease is still valid, so the member must refuse its
+// vote for a whole election timeout after the start.
 func TestRestartedMemberRefusesVotes(t *testing.T) {
 	members := []Member{{ID: "n0", HasDisk: true}, {ID: "n1"}, {ID: "n2"}}
 	c, err := New(Config{ID: "n0", Incarnation: 1, HasDisk: true, Members: members}, StoredState{HardState: HardState{Term: 3, Incarnation: 1}})
--- a/replica/log.go
+++ b/replica/log.go
@@ -68,8 +68,8 @@
 	return ok && got == term
 }
 
-// slice returns the entries with indexes from to to, both included, without copying.
-// Entries are never changed in place, so the slice stays valid.
+// slice returns the entries whose indexes are in the closed range [from, to], without
+// copying. Entries are never changed in place, so the slice stays valid.
 func (l *entryLog) slice(from, to uint64) []Entry {
 	if from > to {
 		return nil
@@ -82,8 +82,8 @@
 	l.entries = append(l.entries, entries...)
 }
 
-// truncate drops all entries from index on. It copies the rest, because slices
-// returned earlier share the array.
+// truncate drops all entries from index on. It copies the remaining entries, because
+// slices returned earlier share the array.
 func (l *entryLog) truncate(index uint64) {
 	l.entries = slices.Clone(l.entries[:index-l.first()])
 	l.stable = min(l.stable, index-1)
@@ -137,14 +137,15 @@
 	return index
 }
 
-// isBehind reports whether a log ending at (index, term) holds more than this one.
+// isBehind reports whether this log is less up to date than a log that ends at (index,
+// term).
 func (l *entryLog) isBehind(index, term uint64) bool {
 	own := l.lastTerm()
 	return term > own || term == own && index > l.last()
 }
 
-// upToDate reports whether a log ending at (index, term) holds at least as much as
-// this one.
+// upToDate reports whether a log ending at (index, term) is at least as up to date as
+// this log.
 func (l *entryLog) upToDate(index, term uint64) bool {
 	own := l.lastTerm()
 	return term > own || term == own && index >= l.last()
--- a/replica/log_fetch.go
+++ b/replica/log_fetch.go
@@ -77,9 +77,9 @@
 	c.send(reply)
 }
 
-// onFetchReply appends the fetched entries and requests the rest. It continues from the
-// last entry that matched, because this member's entries after it may still conflict with
-// the witness's.
+// onFetchReply appends the fetched entries and requests the remaining ones. It continues
+// from the last entry that matched, because this member's entries after it may still
+// conflict with the witness's.
 func (c *Core) onFetchReply(m Message) {
 	if !c.logFetch.pending || c.logFetch.prev != m.Index {
 		return
--- a/replica/members.go
+++ b/replica/members.go
@@ -99,8 +99,8 @@
 	return out
 }
 
-// votersOfAll returns each voter of any of the memberships once, starting with those
-// of the latest one.
+// votersOfAll returns each voter of any of the memberships once, starting with the voters
+// of the latest membership.
 func votersOfAll(memberships [][]Member) []Member {
 	var out []Member
 	for _, members := range slices.Backward(memberships) {
--- a/replica/message.go
+++ b/replica/message.go
@@ -60,8 +60,8 @@
 	// an append reply Index is the last entry known to match, or the rejected one.
 	Index   uint64 `cbor:"8,keyasint,omitempty"`
 	LogTerm uint64 `cbor:"9,keyasint,omitempty"`
-	// Entries are the log entries after Index. To save space their indexes are left
-	// out, and so is a term that equals the one before.
+	// Entries are the log entries after Index. To save space their indexes are left out,
+	// and so is the term of an entry if it equals the term of the previous entry.
 	Entries []Entry `cbor:"10,keyasint,omitempty"`
 	// Commit is the leader's commit index.
 	Commit uint64 `cbor:"11,keyasint,omitempty"`
@@ -89,13 +89,15 @@
 	// Members is, in a leader's state reply, its latest membership.
 	Members  []Member  `cbor:"21,keyasint,omitempty"`
 	Snapshot *Snapshot `cbor:"22,keyasint,omitempty"`
-	// EarlierMemberships are the memberships before Members, from the one that the
-	// leader knows to be committed on; left out when that is Members itself.
+	// EarlierMemberships are the memberships before Members, from the last one that the
+	// leader knows to be committed on. They are left out if the leader knows that Members
+	// itself is committed.
 	EarlierMemberships [][]Member `cbor:"23,keyasint,omitempty"`
 	// ReceiverIncarnation is the incarnation that the message is meant for; a receiver
 	// with another incarnation drops it. Zero when any incarnation may handle it.
 	ReceiverIncarnation uint64 `cbor:"24,keyasint,omitempty"`
-	// afterSync makes BeforeSync report false for any type. It isn't sent.
+	// afterSync makes BeforeSync report false for any type. The field isn't part of the
+	// encoded message.
 	afterSync bool
 }
 
@@ -137,9 +139,10 @@
 // anything.
 //
 // A member whose synced state doesn't say yet that it takes part in the group sends
-// nothing before the sync, because its messages already say so
-// (MemberIncarnation.Participated). If it lost its state in a loss of power after them,
-// the others would assume that its lost disk may have held committed entries.
+// nothing before the sync, because its messages already report the participation
+// (MemberIncarnation.Participated). If it lost its state in a loss of power after sending
+// such a message, the other members would assume that its lost disk may have held
+// committed entries.
 func (m Message) BeforeSync() bool {
 	if m.afterSync {
 		return false
--- a/replica/progress.go
+++ b/replica/progress.go
@@ -14,8 +14,8 @@
 
 // progress is a leader's view of another member.
 type progress struct {
-	// match is the last index that the member is known to hold, next the first index
-	// to send.
+	// match is the last index that the member is known to hold, and next is the first
+	// index to send.
 	match uint64
 	next  uint64
 	flow  flowState
@@ -23,14 +23,15 @@
 	probeSent bool
 	// inflight holds the last index of each append in flight.
 	inflight []uint64
-	// snapshotIndex is the index of the last snapshot sent, snapshotTick the tick at
-	// which it was sent.
+	// snapshotIndex is the index of the last snapshot sent, and snapshotTick is the tick
+	// at which it was sent.
 	snapshotIndex uint64
 	snapshotTick  uint64
 	// ackedTick is the leader's tick at which it sent the latest message to which the
 	// member has replied, not counting replies while the member was recovering.
 	ackedTick uint64
-	// lastReplyTick is the leader's tick of the latest reply, counted or not.
+	// lastReplyTick is the leader's tick of the latest reply, including replies while the
+	// member was recovering.
 	lastReplyTick uint64
 	// readRound is the latest read round that the member confirmed.
 	readRound uint64
--- a/replica/read.go
+++ b/replica/read.go
@@ -17,11 +17,11 @@
 	round uint64
 }
 
-// ReadIndex requests a linearizable read. Ready.Reads returns the token with the
-// index to wait for once a majority has confirmed, after this call, that this member
-// still leads. A leader that is deposed first never returns it: the caller stops
-// waiting when Status shows another role or term. It returns ErrNotLeader when this
-// member isn't a leader that may decide.
+// ReadIndex requests a linearizable read. Ready.Reads returns the token with the index to
+// wait for once a majority has confirmed, after this call, that this member still leads.
+// A leader that is deposed before that never returns the token: the caller stops waiting
+// when Status shows another role or term. It returns ErrNotLeader when this member isn't
+// a leader that may decide.
 func (c *Core) ReadIndex(token uint64) error {
 	if !c.canDecide() {
 		return errors.Wrapf(ErrNotLeader, "leader is %q", c.leader)
--- a/replica/recovery.go
+++ b/replica/recovery.go
@@ -22,7 +22,8 @@
 type recovery struct {
 	replies          map[string]stateReply
 	requestCountdown int
-	// memberships are those in the reply of the leader, empty before it has replied.
+	// memberships are the memberships in the reply of the leader, empty before the leader
+	// has replied.
 	memberships [][]Member
 	source      recoverySource
 	// matched is the last index at which the log matches that of the leader of
@@ -149,9 +150,9 @@
 	return "", false
 }
 
-// hasRecoveryQuorum reports whether a majority of the voters of a membership replied
-// and isn't recovering, not counting this member. In a group of two the only other
-// voter suffices, since it is in every quorum.
+// hasRecoveryQuorum reports whether enough voters other than this member have replied and
+// aren't recovering: a majority of the voters of the membership. In a group of two the
+// only other voter suffices, since it is in every quorum.
 func (c *Core) hasRecoveryQuorum(members []Member) bool {
 	count, others := 0, 0
 	for _, m := range voters(members) {
--- a/replica/recovery_test.go
+++ b/replica/recovery_test.go
@@ -7,8 +7,9 @@
 )
 
 // newSimWithDeposedLeader returns a group of three whose leader n0 is partitioned, with a
-// removal of n1 that only n0's log holds. n1 leads the others and has committed since.
-// frozen stops the clock of n0, so that n0 goes on believing that it leads.
+// removal of n1 that only n0's log holds. n1 leads the other members and has committed
+// entries since. frozen stops the clock of n0, so that n0 goes on believing that it
+// leads.
 func newSimWithDeposedLeader(t *testing.T, opt simOptions, frozen bool) *sim {
 	s := newSimWithLeader(t, opt)
 	s.ensureLeader(t, "n0")
--- a/replica/safety_test.go
+++ b/replica/safety_test.go
@@ -7,7 +7,8 @@
 )
 
 // candidateCore returns n0 of a group, restarted from disk at term 3 with entries of
-// terms 1 and 2, as a candidate at its first election timeout. It no longer refuses votes.
+// terms 1 and 2, as a candidate at its first election timeout. The time after the restart
+// in which it refuses votes has passed.
 func candidateCore(t *testing.T, ids ...string) *Core {
 	var members []Member
 	for _, id := range ids {
--- a/replica/scenario_test.go
+++ b/replica/scenario_test.go
@@ -8,8 +8,8 @@
 
 const (
 	scenarioSeed = 7
-	// maxElectionSteps bounds the wait for a leader, replicationSteps is the time that
-	// proposed entries need to reach all members, both in steps.
+	// maxElectionSteps bounds the wait for a leader, and replicationSteps is the time
+	// that proposed entries need to reach all members. Both are in steps.
 	maxElectionSteps = 400
 	replicationSteps = 30
 	// noRestartSteps is a downtime in steps that is longer than any scenario.
--- a/replica/sim_faults_test.go
+++ b/replica/sim_faults_test.go
@@ -5,8 +5,9 @@
 )
 
 const (
-	// powerLossOutcome is the outcome of a step that is a loss of power. It is above the
-	// bounds of the cases in injectFault and below each of faultRates.
+	// powerLossOutcome is the random outcome of a step at which injectFault simulates a
+	// loss of power. It is above the bounds of the cases in injectFault and below each of
+	// faultRates.
 	powerLossOutcome = 100
 	// diskLossProbability is the probability that a crash erases the disk.
 	diskLossProbability = 0.2
--- a/replica/sim_test.go
+++ b/replica/sim_test.go
@@ -22,7 +22,7 @@
 	snapshotInterval           = 20 // entries
 	keptEntries                = 3
 
-	// The following constants apply only under faults, the bounds are exclusive.
+	// The following constants apply only under faults. The bounds are exclusive.
 	duplicateProbability  = 0.03
 	delayProbability      = 0.05
 	maxDelaySteps         = 60
@@ -30,8 +30,9 @@
 	missedTickProbability = 0.05
 )
 
-// Crashes of a simulation. A member with a disk stores its pending Ready before a crash with
-// storedBeforeCrashProbability. Each member is down for at most maxDownSteps.
+// Crashes of a simulation. storedBeforeCrashProbability is the probability that a member
+// with a disk has stored its pending Ready before a crash. maxDownSteps is the maximum
+// downtime of a member.
 const (
 	storedBeforeCrashProbability = 0.5
 	maxDownSteps                 = 60
@@ -71,8 +72,8 @@
 	// network; intercepted holds them.
 	intercept   func(Message) bool
 	intercepted []Message
-	// lastApplied is the last index applied by any member, lastDurable the last index
-	// committed while a disk voter was available.
+	// lastApplied is the last index applied by any member, and lastDurable is the last
+	// index committed while a disk voter was available.
 	lastApplied uint64
 	lastDurable uint64
 	// counts holds the numbers of events by name.
@@ -251,7 +252,8 @@
 	}
 }
 
-// compact takes a snapshot of a member that has applied enough entries since the last.
+// compact takes a snapshot of a member that has applied enough entries since its last
+// snapshot.
 func (n *simNode) compact() {
 	st := n.core.Status()
 	if st.Applied < n.core.snapshot.Index+snapshotInterval || n.core.newSnapshot != nil {
@@ -270,7 +272,8 @@
 	}
 }
 
-// sendAll sends the messages of r that go before the sync (early) or after it.
+// sendAll sends the messages of r that may be sent before the sync if early is true, and
+// otherwise the messages that must be sent after it.
 func (n *simNode) sendAll(r Ready, early bool) {
 	for _, m := range r.Messages {
 		if m.BeforeSync() != early {
@@ -373,7 +376,7 @@
 	n.core.Tick()
 }
 
-// resume ends a pause. The missed ticks are made up for before anything else happens.
+// resume ends a pause. It first ticks the member once for each missed tick.
 func (n *simNode) resume() {
 	n.paused = false
 	for range n.missedTicks {
--- a/replica/step.go
+++ b/replica/step.go
@@ -11,7 +11,7 @@
 // state since, and reach the current one. Each type is safe for its own reason:
 //
 //   - MsgVote of a cold start and MsgVoteReply name the incarnation they are
-//     meant for (ReceiverIncarnation), MsgStateReply does so by its Nonce. A
+//     meant for in ReceiverIncarnation, and MsgStateReply names it in Nonce. A
 //     MsgVote of a cold start can end the recovery of its receiver; the two
 //     replies refer to a log or a request that the current incarnation may not
 //     have.
@@ -28,7 +28,7 @@
 //     recovering, since the majority it asked shares a member with the majority
 //     that elected it.
 //   - MsgTimeoutNow lets the member campaign in a term whose leader no longer
-//     decides anything. Votes for it are judged like any others.
+//     decides anything. Votes for the member are judged like any other votes.
 //   - MsgPreVoteReply and MsgFetchReply lead only to requests and to log entries
 //     that aren't acknowledged to any member. MsgState and MsgFetch are requests.
 //     MsgNotMember is a hint.
--- a/replica/transfer.go
+++ b/replica/transfer.go
@@ -2,8 +2,8 @@
 
 import "github.com/cockroachdb/errors"
 
-// transfer is a pending leadership transfer to the member to. timeoutNowSent is set once
-// that member was told to campaign.
+// transfer is a pending leadership transfer. to is the ID of the member that is to lead,
+// and timeoutNowSent is set once that member was told to campaign.
 type transfer struct {
 	to             string
 	startedTick    uint64
--- a/replica/types.go
+++ b/replica/types.go
@@ -139,8 +139,8 @@
 	Leader  string
 	Commit  uint64
 	Applied uint64
-	// Last is the index of the last entry in the log, First that of the first entry
-	// that isn't compacted.
+	// Last is the index of the last entry in the log, and First is the index of the first
+	// entry that isn't compacted.
 	Last    uint64
 	First   uint64
 	Members []Member
--- a/routing/admit.go
+++ b/routing/admit.go
@@ -65,8 +65,8 @@
 	return max(wait, estimateWait(s.queuedBefore(t, at), slotsLeft, s.serviceTimes.mean))
 }
 
-// estimateWait returns the expected wait for a slot of a request with ahead requests
-// before it, if there are slots slots and each request takes mean.
+// estimateWait returns the expected wait of a request that has ahead requests before it
+// in the queue. slots is the number of slots, and each request takes the duration mean.
 func estimateWait(ahead, slots int, mean time.Duration) time.Duration {
 	return time.Duration(ahead+1) * mean / time.Duration(max(1, slots))
 }
@@ -100,10 +100,11 @@
 
 // retryAfter returns the delay after which a refused caller may retry.
 //
-// Guards against retry storms: callers that are refused at the same time would return
-// at the same time and find the queue full again. Each refusal reserves the next free
-// time at the rate that the service can serve, and random jitter spreads the callers
-// further. The delay is 0 for NoSuchService.
+// Guards against retry storms: callers that are refused at the same time would return at
+// the same time and find the queue full again. Each refusal therefore reserves a later
+// return time, at intervals at which the returning requests take returningCapacityShare
+// of the service's capacity, and random jitter spreads the callers further. The delay is
+// 0 for NoSuchService.
 func (b *Balancer) retryAfter(s *service, reason Reason, now time.Duration) time.Duration {
 	if reason == NoSuchService {
 		return 0
--- a/routing/allocate.go
+++ b/routing/allocate.go
@@ -95,8 +95,8 @@
 }
 
 // unmetMinimum returns by how many slots the other entry instances fall short of their
-// minimum shares even if all free slots are granted to them. Only that many slots are
-// taken from e, so that small changes of demand cause no messages.
+// minimum shares even if all free slots are granted to them. allocateService takes no
+// more slots than this from e, so that small changes of demand cause no messages.
 func (a *Allocator) unmetMinimum(e *entryRecord, g *serviceGroup, now time.Duration) int {
 	unmet := 0
 	for _, id := range a.sortedEntries {
@@ -126,9 +126,9 @@
 	return min(share, max(e.demand[g.name], share/2))
 }
 
-// entryIndex returns the index of an entry instance among all of them, sorted by ID.
-// By their indexes, the entry instances start the search for free slots at different
-// minions.
+// entryIndex returns the index of an entry instance in the list of all entry instances
+// sorted by ID. The index determines the minion at which the search for free slots
+// starts, so that entry instances start at different minions.
 func (a *Allocator) entryIndex(id string) int {
 	for i, other := range a.sortedEntries {
 		if other == id {
@@ -138,9 +138,9 @@
 	return 0
 }
 
-// shrink takes excess slots out of grants one by one, each from the minion with the
-// most granted slots among the minions that have an idle slot, or among all if none
-// has one.
+// shrink takes excess slots out of grants one by one, each from the minion with the most
+// granted slots among the minions that have an idle slot, or among all minions if none
+// has an idle slot.
 func shrink(g *serviceGroup, grants, inFlight map[uint32]int, excess int) {
 	for ; excess > 0; excess-- {
 		best := uint32(0)
@@ -165,12 +165,13 @@
 	}
 }
 
-// idleSlotBonus is added to the score of a minion with an idle slot. It exceeds any
-// number of slots, so that idle slots are taken first.
+// idleSlotBonus is added to the score of a minion with an idle slot. The bonus exceeds
+// any number of slots, so that shrink takes idle slots before slots in use.
 const idleSlotBonus = 1 << 20
 
-// grow grants up to missing more slots, each on the minion that has the fewest granted
-// slots and, among those, the most free ones.
+// grow grants up to missing more slots, each on a minion that has a free slot. Among
+// these minions it selects the one with the fewest granted slots and, if several have
+// equally few, the one with the most free slots.
 func grow(g *serviceGroup, grants map[uint32]int, free []int, missing, entryIndex int) {
 	n := len(g.minions)
 	for ; missing > 0; missing-- {
@@ -196,8 +197,8 @@
 // entry instances start the search for free slots.
 const growStride = 7
 
-// preferred reports whether the minion at index i has fewer granted slots than the one
-// at index best, or as many granted and more free ones.
+// preferred reports whether the minion at index i has fewer granted slots than the minion
+// at index best, or equally many granted slots and more free slots.
 func preferred(g *serviceGroup, grants map[uint32]int, free []int, i, best int) bool {
 	heldI, heldBest := grants[g.minions[i].number], grants[g.minions[best].number]
 	if heldI != heldBest {
@@ -206,8 +207,8 @@
 	return free[i] > free[best]
 }
 
-// waterFill divides capacity among demands with max-min fairness and spreads
-// the rest evenly. The shares sum to capacity.
+// waterFill divides capacity among demands with max-min fairness and spreads the
+// remaining capacity evenly. The shares sum to capacity.
 func waterFill(capacity int, demands []int) []int {
 	shares := make([]int, len(demands))
 	remaining := capacity
@@ -272,8 +273,8 @@
 }
 
 // grant builds the grant of one minion. If the entry instance isn't known to have the
-// minion's current announcement, it adds the announcement and returns true. A minion
-// that is gone and was never reported to the entry instance isn't reported any more.
+// minion's current announcement, it adds the announcement and returns true. The grant of
+// a minion that is gone and was never reported to the entry instance has no announcement.
 func (a *Allocator) grant(e *entryRecord, m *minionRecord, slots int, sequence uint64) (Grant, bool) {
 	g := Grant{Number: m.number, Slots: slots}
 	if !m.announced {
--- a/routing/allocator.go
+++ b/routing/allocator.go
@@ -123,7 +123,7 @@
 func (a *Allocator) Term() uint64 { return a.term }
 
 // Announce records a minion's announcement. It ignores an announcement of an earlier
-// incarnation, and any further one of an incarnation that is leaving.
+// incarnation, and every further announcement of an incarnation that is leaving.
 func (a *Allocator) Announce(announcement Announcement, now time.Duration) {
 	m := a.ensureMinion(announcement.Minion, now)
 	if m.announced && announcement.Incarnation < m.Incarnation {
@@ -301,10 +301,10 @@
 	a.updateOccupied(e, now)
 }
 
-// applyClaims records the slots that an entry instance claims in a full request. It
-// takes the first claims of the term out of the reservation. The request has this
-// term, so the entry instance accepts no more responses of earlier terms, and the
-// claims can't grow.
+// applyClaims records the slots that an entry instance claims in a full request. The
+// first claims of an entry instance in a term reduce the reserved slots of the minions.
+// The claims can't grow afterwards: a request with this term shows that the entry
+// instance accepts no more responses of earlier terms.
 func (a *Allocator) applyClaims(e *entryRecord, req SlotRequest, inFlight map[uint32]int, now time.Duration) {
 	held := make(map[uint32]int, len(req.Claims))
 	for _, c := range req.Claims {
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -99,10 +99,10 @@
 	return t.state != Refused
 }
 
-// maxAttempts is the most attempts of one request.
+// maxAttempts is the maximum number of attempts of one request.
 const maxAttempts = 4
 
-// earnRetry adds the share of one new request to the retry budget.
+// earnRetry adds RetryRatio to the retry budget for a new request, up to RetryBurst.
 func (b *Balancer) earnRetry() {
 	b.retryBudget = min(b.opts.RetryBurst, b.retryBudget+b.opts.RetryRatio)
 }
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -111,7 +111,7 @@
 }
 
 // Cancel removes a queued request whose caller has disconnected. It does nothing for a
-// started request; end that by Finish with Abandoned.
+// started request, which the caller ends by Finish with the outcome Abandoned.
 func (b *Balancer) Cancel(t *Ticket, now time.Duration) {
 	if t.state != Queued {
 		return
@@ -151,8 +151,8 @@
 // maxWaitFactor times maxWait is the longest time that a request stays queued.
 const maxWaitFactor = 2
 
-// SendDeadline returns until when a started request may be sent to its minion. The
-// caller must not write any byte of the request later.
+// SendDeadline returns the time until which a started request may be sent to its minion.
+// The caller must not write any byte of the request after this time.
 func (b *Balancer) SendDeadline(t *Ticket) time.Duration {
 	return min(b.lease.expiresAt, t.minion.usableUntil(b.opts.Lease.MinionTTL))
 }
@@ -261,8 +261,9 @@
 	}
 }
 
-// sharedSlots returns the number of slots that the customers of a service
-// share. It is 0 with one customer, where shares don't matter.
+// sharedSlots returns the number of slots that the customers of a service share. It
+// returns 0 if at most one customer has requests, because the slots need not be shared
+// then.
 func (b *Balancer) sharedSlots(s *service, now time.Duration) int {
 	if len(s.customers) <= 1 {
 		return 0
--- a/routing/estimate.go
+++ b/routing/estimate.go
@@ -22,8 +22,8 @@
 	// by its deadline.
 	tailPercentile = 95
 
-	// maxServiceTime is the largest recorded service time; longer ones count as
-	// this. significantDigits is the precision of the histogram.
+	// maxServiceTime is the largest recorded service time; longer service times are
+	// recorded as maxServiceTime. significantDigits is the precision of the histogram.
 	maxServiceTime    = 60 * time.Second
 	significantDigits = 2
 )
--- a/routing/load_test.go
+++ b/routing/load_test.go
@@ -32,7 +32,8 @@
 	callOverheadBytes = 25
 	maxCallerRetries  = 2
 	loadCustomers     = 4
-	// slowServiceFactor is by how much a slow minion's service times are longer.
+	// slowServiceFactor is the factor by which the service times of a slow minion are
+	// longer.
 	slowServiceFactor = 10
 	// gapDivisor divides the gap between slot requests after a response that
 	// granted more slots.
@@ -53,7 +54,8 @@
 	load     float64 // offered load as a multiple of the minions' capacity
 	policy   routing.Policy
 	baseline bool
-	// fault is injected at faultAt into the first minions, as many as faulty.
+	// fault is injected at faultAt into the first minions; faulty is the number of these
+	// minions.
 	fault  minionFault
 	faulty int
 	// event runs at faultAt.
@@ -77,8 +79,8 @@
 type loadMinion struct {
 	routing.Announcement
 	fault minionFault
-	// busy is the number of requests that the minion processes, maxBusy the
-	// highest such number of the run.
+	// busy is the number of requests that the minion processes, and maxBusy is the
+	// maximum of busy over the run.
 	busy    int
 	maxBusy int
 	queue   []*loadRequest // the minion's own queue; baseline only
@@ -122,8 +124,9 @@
 	minions    map[string]*loadMinion
 	minionList []*loadMinion
 
-	// offered counts the requests of callers, good those of them completed in time.
-	// otherOffered and otherGood count the same without the flooding customer.
+	// offered counts the requests of callers, and good counts the requests that were
+	// completed in time. otherOffered and otherGood are the same counts without the
+	// requests of the flooding customer.
 	offered, good, otherOffered, otherGood int
 	refused, late, lost                    int
 	goodBySecond                           [maxLoadSeconds]int
@@ -273,9 +276,9 @@
 	}
 }
 
-// nextGap returns the minimum time until the next slot request. It is the same rule as
-// in internal/proxy: the time becomes shorter if the last response granted more slots,
-// and longer otherwise.
+// nextGap returns the minimum time until the next slot request. The time becomes shorter
+// if the last response granted more slots, and longer otherwise. internal/proxy adapts
+// its slot requests by the same rule.
 func nextGap(gap time.Duration, grew bool) time.Duration {
 	if grew {
 		return max(minSlotRequestGap, gap/gapDivisor)
@@ -301,7 +304,8 @@
 	r.send(q)
 }
 
-// measured reports whether the current time counts in the results.
+// measured reports whether the current time is in the period whose requests are counted
+// in the results.
 func (r *loadRun) measured() bool { return r.now >= warmUp && r.now < loadEnd }
 
 // send submits a request to a random live entry instance, or sends it to a minion in a
@@ -415,7 +419,8 @@
 	m.maxBusy = max(m.maxBusy, m.busy)
 }
 
-// finishAttempt ends an attempt and retries the request where allowed.
+// finishAttempt ends an attempt. It retries a failed request if the request was not sent
+// or is idempotent, and if the Balancer permits the retry.
 func (r *loadRun) finishAttempt(q *loadRequest, o routing.Outcome) {
 	if !q.alive() {
 		return
@@ -435,8 +440,8 @@
 	r.collect(q.entry)
 }
 
-// countAnswered counts a request whose response arrived, as good if that was before
-// its deadline and as late otherwise.
+// countAnswered counts a request whose response arrived: as late if the response arrived
+// after the deadline, and as good otherwise.
 func (r *loadRun) countAnswered(q *loadRequest) {
 	if r.now > q.deadline {
 		r.late++
@@ -453,7 +458,7 @@
 }
 
 // sendBaseline sends a request to a random minion, which processes the requests of its
-// own queue in order of arrival, also those past their deadline.
+// own queue in order of arrival, including requests that are past their deadline.
 func (r *loadRun) sendBaseline(q *loadRequest) {
 	m := r.minionList[r.rng.IntN(len(r.minionList))]
 	switch {
--- a/routing/minion.go
+++ b/routing/minion.go
@@ -23,21 +23,22 @@
 	number uint32
 	// slots is the number of slots in the adopted grants.
 	slots int
-	// leaderAnnouncement is the announcement that the leader sent.
+	// leaderAnnouncement is the last announcement of the minion that the leader sent to
+	// this entry instance.
 	leaderAnnouncement Announcement
 	leaderAnnounced    bool
-	// gone reports whether the leader says that the minion left or stopped
-	// announcing itself.
+	// gone reports whether the leader reported that the minion left or stopped announcing
+	// itself.
 	gone bool
-	// grantsRequestedAt is when the slot request was sent whose response last
+	// grantsRequestedAt is when the Balancer sent the slot request whose response last
 	// granted slots of the minion.
 	grantsRequestedAt time.Duration
 	// announced reports whether the minion has announced itself to this entry
 	// instance, and announcedAt is when it last did.
 	announcedAt time.Duration
 	announced   bool
-	// announcedSinceRequest reports whether the minion has announced itself
-	// here since the last slot request.
+	// announcedSinceRequest reports whether the minion has announced itself to this entry
+	// instance since the last slot request.
 	announcedSinceRequest bool
 
 	// slowStartFrom is when the minion's slow start began.
@@ -51,11 +52,11 @@
 	breaker        breaker
 }
 
-// inFlight returns the number of slots in use, lingering ones included.
+// inFlight returns the number of slots in use, including lingering slots.
 func (m *minion) inFlight() int { return len(m.running) + len(m.lingeringUntil) }
 
-// usableUntil returns until when requests may be sent to the minion according to its
-// announcements and the leader's grants, apart from the expiry of the slot lease.
+// usableUntil returns the time until which requests may be sent to the minion according
+// to its announcements and the leader's grants, apart from the expiry of the slot lease.
 //
 // Guards against sending to a minion that left or died, from an entry instance that is
 // partitioned from the leader: even under a valid slot lease, a minion gets requests
--- a/routing/model_test.go
+++ b/routing/model_test.go
@@ -9,8 +9,8 @@
 )
 
 // model simulates a leader, entry instances and minions, and a network that loses,
-// duplicates and delays messages. A message is never removed from requests or
-// responses; it is lost if it isn't delivered.
+// duplicates and delays messages. requests and responses keep every message, so that a
+// message may be delivered several times; a message that is never delivered is lost.
 type model struct {
 	t         *rapid.T
 	now       time.Duration
@@ -23,8 +23,8 @@
 	// orphans are the requests of terminated processes that a minion may still be
 	// processing.
 	orphans []orphan
-	// granted sums the granted slots after each delivered response, to prove that
-	// the run granted any.
+	// granted is the sum, over all delivered responses, of the slots granted after the
+	// response. The test fails if it is 0 in all runs.
 	granted int
 }
 
@@ -90,7 +90,7 @@
 	return m.entries[rapid.IntRange(0, len(m.entries)-1).Draw(m.t, "entry")]
 }
 
-// changeLeader replaces the leader by one of the next term without state.
+// changeLeader replaces the leader by a new one, which has the next term and no state.
 func (m *model) changeLeader() {
 	m.term++
 	m.allocator = NewAllocator(LeaseOptions{})
@@ -158,9 +158,9 @@
 	}
 }
 
-// actions returns the random actions by name. rapid calls the one without a name after
-// every action; it checks the invariant. exchange2 and submit2 double the frequency of
-// exchange and submit. "demand" sends a slot request into the network.
+// actions returns the random actions by name. rapid calls the action with the empty name,
+// which checks the invariant, after every other action. exchange2 and submit2 double the
+// frequency of exchange and submit. "demand" sends a slot request into the network.
 func (m *model) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"":        m.check,
@@ -215,8 +215,8 @@
 	m.granted += e.balancer.GrantedSlots()
 }
 
-// toLeader delivers any earlier slot request to the leader. The request stays
-// in the network, so that it may be delivered again.
+// toLeader delivers a random earlier slot request to the leader. The request stays in the
+// network, so that it may be delivered again.
 func (m *model) toLeader(t *rapid.T) {
 	if len(m.requests) == 0 {
 		t.Skip()
@@ -233,7 +233,7 @@
 	}
 }
 
-// toEntry delivers any earlier slot response to the process that requested it.
+// toEntry delivers a random earlier slot response to the process that requested it.
 func (m *model) toEntry(t *rapid.T) {
 	if len(m.responses) == 0 {
 		t.Skip()
--- a/routing/occupied.go
+++ b/routing/occupied.go
@@ -43,9 +43,11 @@
 	draining bool
 	// demand is the number of slots that the entry instance could use, by service.
 	demand map[string]int
-	// adopted is the sequence of the response that the entry instance uses.
+	// adopted is the sequence of the response that the entry instance last reported as
+	// adopted.
 	adopted uint64
-	// grantSets are the responses that the entry instance may use, oldest first.
+	// grantSets has the grants of the responses that the entry instance may be using,
+	// oldest first.
 	grantSets []grantSet
 	// inFlight is the last reported number of requests in flight, by minion
 	// number. All of these requests have ended at inFlightUntil.
@@ -163,8 +165,8 @@
 	e.terminated = kept
 }
 
-// replaceOccupied replaces the occupied slots of one entry instance in the sums
-// of the minions.
+// replaceOccupied updates the occupied sums of the minions after the occupied slots of
+// one entry instance have changed from old to occupied.
 func (a *Allocator) replaceOccupied(old, occupied map[uint32]int) {
 	for number, slots := range old {
 		if m, ok := a.byNumber[number]; ok {
@@ -179,7 +181,7 @@
 	}
 }
 
-// raiseTo raises each bound to at least the number of slots.
+// raiseTo raises each value of bounds to at least the value of slots for the same minion.
 func raiseTo(bounds, slots map[uint32]int) {
 	for number, n := range slots {
 		if n > bounds[number] {
--- a/routing/options.go
+++ b/routing/options.go
@@ -13,7 +13,7 @@
 	// LeastLoaded selects the minion with the lowest score, which is its load
 	// weighted by its average service time.
 	LeastLoaded Policy = iota
-	// TwoChoices selects the lower score of two random minions.
+	// TwoChoices selects, of two random minions, the one with the lower score.
 	TwoChoices
 	// Random selects a random minion.
 	Random
@@ -24,7 +24,7 @@
 	// Entry and Incarnation identify the entry process in slot requests.
 	Entry       string
 	Incarnation uint64
-	// Seed seeds the random choice among equal minions and the retry jitter.
+	// Seed seeds the random choices among minions and the retry jitter.
 	Seed   uint64
 	Lease  LeaseOptions
 	Policy Policy
@@ -44,8 +44,8 @@
 	// SlowStart is how long the load of a new minion takes to rise to its full
 	// slots.
 	SlowStart time.Duration
-	// Baseline disables admission control and circuit breakers, as the baseline
-	// of a comparison.
+	// Baseline disables admission control and circuit breakers, so that a benchmark can
+	// compare a Balancer with and without them.
 	Baseline bool
 }
 
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// usableSlots returns how many requests the entry instance may have in flight
-// for a service, those in flight now included.
+// usableSlots returns how many requests the entry instance may have in flight for a
+// service, including requests already in flight.
 func (b *Balancer) usableSlots(s *service, now time.Duration) int {
 	if now >= b.lease.expiresAt {
 		return 0
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -78,7 +78,7 @@
 	must.Eq(t, Queued, leaveReceived.submit(time.Second).State())
 
 	partitioned := newFixture(1, 8)
-	partitioned.now += 3 * time.Second // the TTL has passed, the slot lease of 5 s hasn't
+	partitioned.now += 3 * time.Second // after the TTL, before the slot lease of 5 s expires
 	must.Eq(t, Queued, partitioned.submit(time.Second).State())
 
 	leaveFromLeader := newFixture(1, 8)
@@ -145,8 +145,8 @@
 	// With a service time of 100 ms, a request that waits for a slot can't complete
 	// within shortDeadline.
 	const shortDeadline = 120 * time.Millisecond
-	// tooFewDelays is the number of different delays up to which the 20 retry delays
-	// count as not jittered.
+	// tooFewDelays is the largest number of different values among the 20 retry delays
+	// at which the test considers the delays not jittered.
 	const tooFewDelays = 15
 	f := newFixture(1, 2)
 	for range 40 {
@@ -173,8 +173,8 @@
 // Guards against a minion that fails immediately, so that it is always free and
 // attracts all requests.
 func TestBreakerOpensOnFailingMinion(t *testing.T) {
-	// maxFailingAttempts is the most of the 200 requests that may reach the failing
-	// minion.
+	// maxFailingAttempts is the largest number of the 200 requests that may reach the
+	// failing minion.
 	const maxFailingAttempts = 10
 	for _, o := range []Outcome{AnsweredFailure, NotSent, Broken} {
 		f := newFixture(4, 8)
@@ -345,9 +345,9 @@
 	must.Eq(t, maxUnknownServices, b.QueueLength())
 }
 
-// Guards against two entry instances that use the same slot: one that has released its
-// slots adopts a response that was in flight, while the leader grants the slots to
-// another.
+// Guards against two entry instances that use the same slot: an entry instance that has
+// released its slots adopts a response that was in flight, while the leader grants the
+// slots to another entry instance.
 func TestNoGrantsAfterReleasingSlots(t *testing.T) {
 	f := newFixture(1, 8)
 	resp, err := f.allocator.Allocate(f.balancer.NextSlotRequest(f.now), f.now)
--- a/routing/service.go
+++ b/routing/service.go
@@ -102,7 +102,7 @@
 	return at
 }
 
-// dequeue removes a ticket from the queue, if it is in it.
+// dequeue removes a ticket from the queue. It does nothing if the ticket is not queued.
 func (s *service) dequeue(t *Ticket) {
 	at, found := slices.BinarySearchFunc(s.queue, t, compareTickets)
 	if !found {
@@ -113,14 +113,15 @@
 	s.dropIdleCustomer(t.Customer)
 }
 
-// nextTicket returns the queued ticket that gets the next free slot, or nil if the
-// queue is empty. It is the one with the earliest deadline of the customers that have
-// fewer running requests than their share of slots, or of all customers if there is no
+// nextTicket returns the queued ticket that gets the next free slot, or nil if the queue
+// is empty. It is the ticket with the earliest deadline among the customers that have
+// fewer running requests than their share of slots, or among all customers if there is no
 // such customer.
 //
-// Guards against starvation: a customer that floods the service with short
-// deadlines would make all others miss theirs. A customer that uses its share is
-// served after the others, whatever its deadlines.
+// Guards against starvation: a customer that floods the service with short deadlines
+// would make the requests of all other customers miss their deadlines. A customer that
+// already uses its share of the slots is therefore served after customers below their
+// share, whatever its deadlines.
 func (s *service) nextTicket(slots int) *Ticket {
 	if len(s.queue) == 0 {
 		return nil
@@ -143,8 +144,8 @@
 	return (n + customers - 1) / customers
 }
 
-// largestCustomer returns the customer with the most requests, among those with
-// queued requests, and their number.
+// largestCustomer returns, among the customers with queued requests, the one with the
+// most queued and running requests, and the number of its requests.
 func (s *service) largestCustomer() (string, int) {
 	name, most := "", -1
 	for customer, c := range s.customers {
@@ -168,8 +169,8 @@
 	return nil
 }
 
-// queuedBefore counts the tickets of the same customer in the queue before t,
-// which is at index at.
+// queuedBefore counts the tickets of the same customer in the queue before t; at is the
+// queue index of t.
 func (s *service) queuedBefore(t *Ticket, at int) int {
 	n := 0
 	for _, other := range s.queue[:at] {
@@ -198,9 +199,9 @@
 // mayTripOnRate reports whether the failure rate of a minion may open its
 // circuit breaker.
 //
-// Guards against taking a whole service down: requests that fail on every
-// minion, such as a customer's bad input, would open all breakers. A failure rate may
-// open a breaker only if at most half of the service's breakers are open after that.
+// Guards against taking a whole service down: requests that fail on every minion, such as
+// a customer's bad input, would open all breakers. A failure rate may open a breaker only
+// if at most half of the service's breakers are open afterwards.
 func (s *service) mayTripOnRate() bool {
 	openCount := 0
 	for _, m := range s.minions {
--- a/routing/slot_lease.go
+++ b/routing/slot_lease.go
@@ -41,8 +41,8 @@
 	released bool
 }
 
-// Announce records an announcement that a minion sent to this entry instance. It
-// ignores an announcement of an earlier incarnation, and any further one of an
+// Announce records an announcement that a minion sent to this entry instance. It ignores
+// an announcement of an earlier incarnation, and every further announcement of an
 // incarnation that is leaving.
 func (b *Balancer) Announce(a Announcement, now time.Duration) {
 	if a.Minion == "" || a.Service == "" {
@@ -325,8 +325,8 @@
 	return shrunk
 }
 
-// applyAnnouncement records the leader's announcement of a minion, unless the
-// minion itself has announced something later.
+// applyAnnouncement records the leader's announcement of a minion, unless the minion
+// itself has sent this entry instance a later announcement.
 func (b *Balancer) applyAnnouncement(g Grant, now time.Duration) {
 	m := b.ensureMinion(g.Announcement.Minion, now)
 	if m.number != g.Number {
--- a/routing/ticket.go
+++ b/routing/ticket.go
@@ -11,7 +11,8 @@
 	Queued State = iota + 1
 	// Started requests hold a slot of a minion.
 	Started
-	// Refused requests get no attempt, or no further one; Ticket.Refusal says why.
+	// Refused requests are not attempted, or not attempted again; Ticket.Refusal says
+	// why.
 	Refused
 	// Finished requests were cancelled, or their last attempt has ended.
 	Finished
@@ -26,7 +27,7 @@
 	Deadline time.Duration
 	// Idempotent requests may be sent again when it is unknown whether they ran.
 	Idempotent bool
-	// Tag is for the caller; the Balancer doesn't use it.
+	// Tag is an arbitrary value of the caller; the Balancer doesn't use it.
 	Tag any
 }
 
