--- a/quota/demand_test.go
+++ b/quota/demand_test.go
@@ -126,9 +126,9 @@
 // send delivers a message one tick later, unless data centre 0 is partitioned
 // from the others.
 func (m *simulation) send(from, to int, message any, deliver func()) {
-	data, _ := cbor.Marshal(message)
+	encoded, _ := cbor.Marshal(message)
 	m.messages++
-	m.bytes += len(data)
+	m.bytes += len(encoded)
 	if partitioned := m.partition && m.tick >= partitionStart && m.tick < partitionEnd; partitioned && (from == 0 || to == 0) {
 		return
 	}
--- a/quota/planner.go
+++ b/quota/planner.go
@@ -50,8 +50,8 @@
 // them: only the leader of a data centre holds them, in memory, and a new leader
 // starts without any. A Planner is not safe for concurrent use.
 type Planner struct {
-	self   string
-	others []string
+	self         string
+	otherCentres []string
 	// tick is the current tick, counted from 1.
 	tick uint64
 	// requestedAt has the tick of the unanswered request to each data centre.
@@ -70,7 +70,7 @@
 	}
 	for _, c := range centres {
 		if c != self {
-			p.others = append(p.others, c)
+			p.otherCentres = append(p.otherCentres, c)
 			p.observed[c] = map[string]observation{}
 		}
 	}
@@ -96,7 +96,7 @@
 		demands[to] = append(demands[to], demand)
 	}
 	var requests []TransferRequest
-	for _, to := range p.others {
+	for _, to := range p.otherCentres {
 		if len(demands[to]) == 0 {
 			continue
 		}
@@ -133,7 +133,7 @@
 // oldest report is therefore selected.
 func (p *Planner) bestDonor(demand Demand) (string, bool) {
 	var candidates []candidate
-	for _, name := range p.others {
+	for _, name := range p.otherCentres {
 		if p.awaitingReply(name) {
 			continue
 		}
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -114,13 +114,13 @@
 // Guards against accepting an invalid configuration and against refusing a valid one.
 func TestConfigCheck(t *testing.T) {
 	c := config(1, 100)
-	other := config(2, 100)
-	other.InitialOwners = []string{"a", "c"}
-	must.ErrorIs(t, c.Check(other), quota.ErrInitialOwners)
-	other.Generation = 1
-	must.NoError(t, c.Check(other))
-	other.InitialOwners = []string{"a", "a"}
-	must.ErrorIs(t, c.Check(other), quota.ErrInitialOwners)
+	next := config(2, 100)
+	next.InitialOwners = []string{"a", "c"}
+	must.ErrorIs(t, c.Check(next), quota.ErrInitialOwners)
+	next.Generation = 1
+	must.NoError(t, c.Check(next))
+	next.InitialOwners = []string{"a", "a"}
+	must.ErrorIs(t, c.Check(next), quota.ErrInitialOwners)
 	must.ErrorIs(t, c.Check(config(2, -2)), quota.ErrLimit)
 	must.NoError(t, c.Check(config(2, quota.Unlimited)))
 }
--- a/quota/slots.go
+++ b/quota/slots.go
@@ -70,8 +70,8 @@
 	for i := range bound / wordBits {
 		n += bits.OnesCount64(s[i])
 	}
-	if rest := bound % wordBits; rest != 0 {
-		n += bits.OnesCount64(s[bound/wordBits] & (1<<rest - 1))
+	if remainingBits := bound % wordBits; remainingBits != 0 {
+		n += bits.OnesCount64(s[bound/wordBits] & (1<<remainingBits - 1))
 	}
 	return int64(n)
 }
--- a/replica/leader.go
+++ b/replica/leader.go
@@ -66,12 +66,12 @@
 // Another term at the index means that they never will be. Errors: ErrNotLeader when
 // this member isn't a leader that may decide, ErrTransferring during a leadership
 // transfer.
-func (c *Core) Propose(data ...[]byte) (first uint64, term uint64, err error) {
+func (c *Core) Propose(commands ...[]byte) (first uint64, term uint64, err error) {
 	if err := c.checkCanPropose(); err != nil {
 		return 0, 0, err
 	}
 	first = c.log.last() + 1
-	for _, d := range data {
+	for _, d := range commands {
 		c.appendEntry(EntryCommand, d)
 	}
 	return first, c.term, nil
--- a/replica/recovery.go
+++ b/replica/recovery.go
@@ -154,17 +154,17 @@
 // aren't recovering: a majority of the voters of the membership. In a group of two the
 // only other voter suffices, since it is in every quorum.
 func (c *Core) hasRecoveryQuorum(members []Member) bool {
-	count, others := 0, 0
+	count, otherVoters := 0, 0
 	for _, m := range voters(members) {
 		if m.ID == c.cfg.ID {
 			continue
 		}
-		others++
+		otherVoters++
 		if reply, ok := c.recovery.replies[m.ID]; ok && !reply.recovering {
 			count++
 		}
 	}
-	return count >= min(majority(members), others)
+	return count >= min(majority(members), otherVoters)
 }
 
 // recordMatch records that the log matches that of the current term's leader up to
--- a/routing/allocate.go
+++ b/routing/allocate.go
@@ -306,7 +306,7 @@
 	}
 	for number, slots := range e.latestGrants() {
 		m := a.byNumber[number]
-		others := m.occupied - e.ownOccupied[number]
-		invariant(others+slots <= m.Slots, "granted more than the slots of a minion")
+		occupiedByOthers := m.occupied - e.ownOccupied[number]
+		invariant(occupiedByOthers+slots <= m.Slots, "granted more than the slots of a minion")
 	}
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -106,14 +106,14 @@
 	f.allocator = NewAllocator(LeaseOptions{})
 	f.allocator.Lead(2, []string{"e", "unreachable"}, f.now)
 	f.allocator.Announce(Announcement{Minion: "m0", Service: "s", Slots: 8, Incarnation: 1}, f.now)
-	other := NewBalancer(Options{Entry: "other", Incarnation: 1})
+	otherBalancer := NewBalancer(Options{Entry: "other", Incarnation: 1})
 	requestSlots := func() int {
 		for range 3 {
-			resp, err := f.allocator.Allocate(other.NextSlotRequest(f.now), f.now)
+			resp, err := f.allocator.Allocate(otherBalancer.NextSlotRequest(f.now), f.now)
 			must.NoError(t, err)
-			other.HandleSlotResponse(resp, f.now)
+			otherBalancer.HandleSlotResponse(resp, f.now)
 		}
-		return other.GrantedSlots()
+		return otherBalancer.GrantedSlots()
 	}
 	must.Eq(t, 0, requestSlots())
 	f.advance(f.allocator.opts.Lease + f.allocator.opts.MaxRequest + f.allocator.opts.Drift - 1)
@@ -244,15 +244,15 @@
 	for range 500 {
 		f.submit(time.Second)
 	}
-	other := f.balancer.Submit(Request{Service: "s", Customer: "other", Deadline: f.now + time.Second}, f.now)
-	must.Eq(t, Queued, other.State())
+	otherTicket := f.balancer.Submit(Request{Service: "s", Customer: "other", Deadline: f.now + time.Second}, f.now)
+	must.Eq(t, Queued, otherTicket.State())
 	for _, ticket := range f.balancer.TakeChanged() {
 		if ticket.State() == Started {
 			f.finish(ticket, time.Millisecond, Answered)
 			break
 		}
 	}
-	must.Eq(t, Started, other.State())
+	must.Eq(t, Started, otherTicket.State())
 }
 
 // BenchmarkDecision measures submitting and finishing one request.
@@ -274,15 +274,15 @@
 // instances.
 func BenchmarkAllocate(b *testing.B) {
 	f := newFixture(50, 8)
-	var others []*fixture
+	var otherEntries []*fixture
 	for i := range 8 {
 		other := &fixture{allocator: f.allocator, now: f.now}
 		other.balancer = NewBalancer(Options{Entry: fmt.Sprint("o", i), Incarnation: 1})
 		other.exchangeSlotRequests()
-		others = append(others, other)
+		otherEntries = append(otherEntries, other)
 	}
 	for i := 0; b.Loop(); i++ {
-		others[i%len(others)].exchangeSlotRequests()
+		otherEntries[i%len(otherEntries)].exchangeSlotRequests()
 	}
 }
 
