--- a/quota/slots.go
+++ b/quota/slots.go
@@ -21,8 +21,8 @@
 // bytes.
 type SlotSet [words]uint64
 
-// initialSlots returns the slots that the initial owner at index owns before any
-// transfer, if there are owners initial owners.
+// initialSlots returns the slots that an initial owner owns before any transfer. index is
+// its index among the initial owners, and owners is their number.
 func initialSlots(index, owners int) SlotSet {
 	var s SlotSet
 	for slot := index; slot < Slots; slot += owners {
@@ -70,8 +70,8 @@
 	for i := range bound / wordBits {
 		n += bits.OnesCount64(s[i])
 	}
-	if rest := bound % wordBits; rest != 0 {
-		n += bits.OnesCount64(s[bound/wordBits] & (1<<rest - 1))
+	if remainingBits := bound % wordBits; remainingBits != 0 {
+		n += bits.OnesCount64(s[bound/wordBits] & (1<<remainingBits - 1))
 	}
 	return int64(n)
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -78,7 +78,7 @@
 	must.Eq(t, Queued, leaveReceived.submit(time.Second).State())
 
 	partitioned := newFixture(1, 8)
-	partitioned.now += 3 * time.Second // the TTL has passed, the slot lease of 5 s hasn't
+	partitioned.now += 3 * time.Second // after the TTL, before the slot lease of 5 s expires
 	must.Eq(t, Queued, partitioned.submit(time.Second).State())
 
 	leaveFromLeader := newFixture(1, 8)
@@ -106,14 +106,14 @@
 	f.allocator = NewAllocator(LeaseOptions{})
 	f.allocator.Lead(2, []string{"e", "unreachable"}, f.now)
 	f.allocator.Announce(Announcement{Minion: "m0", Service: "s", Slots: 8, Incarnation: 1}, f.now)
-	other := NewBalancer(Options{Entry: "other", Incarnation: 1})
+	otherBalancer := NewBalancer(Options{Entry: "other", Incarnation: 1})
 	requestSlots := func() int {
 		for range 3 {
-			resp, err := f.allocator.Allocate(other.NextSlotRequest(f.now), f.now)
+			resp, err := f.allocator.Allocate(otherBalancer.NextSlotRequest(f.now), f.now)
 			must.NoError(t, err)
-			other.HandleSlotResponse(resp, f.now)
+			otherBalancer.HandleSlotResponse(resp, f.now)
 		}
-		return other.GrantedSlots()
+		return otherBalancer.GrantedSlots()
 	}
 	must.Eq(t, 0, requestSlots())
 	f.advance(f.allocator.opts.Lease + f.allocator.opts.MaxRequest + f.allocator.opts.Drift - 1)
@@ -145,8 +145,8 @@
 	// With a service time of 100 ms, a request that waits for a slot can't complete
 	// within shortDeadline.
 	const shortDeadline = 120 * time.Millisecond
-	// tooFewDelays is the number of different delays up to which the 20 retry delays
-	// count as not jittered.
+	// tooFewDelays is the largest number of different values among the 20 retry delays
+	// at which the test considers the delays not jittered.
 	const tooFewDelays = 15
 	f := newFixture(1, 2)
 	for range 40 {
@@ -173,8 +173,8 @@
 // Guards against a minion that fails immediately, so that it is always free and
 // attracts all requests.
 func TestBreakerOpensOnFailingMinion(t *testing.T) {
-	// maxFailingAttempts is the most of the 200 requests that may reach the failing
-	// minion.
+	// maxFailingAttempts is the largest number of the 200 requests that may reach the
+	// failing minion.
 	const maxFailingAttempts = 10
 	for _, o := range []Outcome{AnsweredFailure, NotSent, Broken} {
 		f := newFixture(4, 8)
@@ -244,15 +244,15 @@
 	for range 500 {
 		f.submit(time.Second)
 	}
-	other := f.balancer.Submit(Request{Service: "s", Customer: "other", Deadline: f.now + time.Second}, f.now)
-	must.Eq(t, Queued, other.State())
+	otherTicket := f.balancer.Submit(Request{Service: "s", Customer: "other", Deadline: f.now + time.Second}, f.now)
+	must.Eq(t, Queued, otherTicket.State())
 	for _, ticket := range f.balancer.TakeChanged() {
 		if ticket.State() == Started {
 			f.finish(ticket, time.Millisecond, Answered)
 			break
 		}
 	}
-	must.Eq(t, Started, other.State())
+	must.Eq(t, Started, otherTicket.State())
 }
 
 // BenchmarkDecision measures submitting and finishing one request.
@@ -274,15 +274,15 @@
 // instances.
 func BenchmarkAllocate(b *testing.B) {
 	f := newFixture(50, 8)
-	var others []*fixture
+	var otherEntries []*fixture
 	for i := range 8 {
 		other := &fixture{allocator: f.allocator, now: f.now}
 		other.balancer = NewBalancer(Options{Entry: fmt.Sprint("o", i), Incarnation: 1})
 		other.exchangeSlotRequests()
-		others = append(others, other)
+		otherEntries = append(otherEntries, other)
 	}
 	for i := 0; b.Loop(); i++ {
-		others[i%len(others)].exchangeSlotRequests()
+		otherEntries[i%len(otherEntries)].exchangeSlotRequests()
 	}
 }
 
@@ -345,9 +345,9 @@
 	must.Eq(t, maxUnknownServices, b.QueueLength())
 }
 
-// Guards against two entry instances that use the same slot: one that has released its
-// slots adopts a response that was in flight, while the leader grants the slots to
-// another.
+// Guards against two entry instances that use the same slot: an entry instance that has
+// released its slots adopts a response that was in flight, while the leader grants the
+// slots to another entry instance.
 func TestNoGrantsAfterReleasingSlots(t *testing.T) {
 	f := newFixture(1, 8)
 	resp, err := f.allocator.Allocate(f.balancer.NextSlotRequest(f.now), f.now)
