--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -161,12 +161,12 @@
 			case 3:
 				data, err := r.Snapshot()
 				must.NoError(t, err)
-				other := NewRegister()
-				must.NoError(t, other.Restore(data))
-				again, err := other.Snapshot()
+				restored := NewRegister()
+				must.NoError(t, restored.Restore(data))
+				again, err := restored.Snapshot()
 				must.NoError(t, err)
 				must.True(t, bytes.Equal(data, again))
-				r = other
+				r = restored
 			}
 			must.Eq(t, version, r.Current().Version)
 			const allVersions = 1000 // more than the register keeps
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -147,14 +147,14 @@
 func (d *Directory) inCallOrder(dataCentre string) []settings.Instance {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	all := d.instances[dataCentre]
-	ordered := make([]settings.Instance, 0, len(all))
-	for _, instance := range all {
+	instances := d.instances[dataCentre]
+	ordered := make([]settings.Instance, 0, len(instances))
+	for _, instance := range instances {
 		if instance.ID == d.leader[dataCentre] {
 			ordered = append(ordered, instance)
 		}
 	}
-	for _, instance := range all {
+	for _, instance := range instances {
 		if instance.ID != d.leader[dataCentre] {
 			ordered = append(ordered, instance)
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -74,10 +74,10 @@
 	// InContact that was logged last.
 	lastResponse time.Time
 	inContact    bool
-	// nextMember, modulo the number of members, is the index of the member that was last
+	// followerCursor, modulo the number of members, is the index of the member that was last
 	// considered for a call about an ended job. A member in unresponsiveUntil failed such a
 	// call and gets none before that time.
-	nextMember        int
+	followerCursor    int
 	unresponsiveUntil map[string]time.Time
 }
 
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -90,8 +90,8 @@
 	defer g.mu.Unlock()
 	now := time.Now()
 	for range g.members {
-		g.nextMember++
-		member := g.members[g.nextMember%len(g.members)]
+		g.followerCursor++
+		member := g.members[g.followerCursor%len(g.members)]
 		if member != g.leader && member != g.ownAddress && now.After(g.unresponsiveUntil[member]) {
 			return member
 		}
--- a/internal/gateway/version_order.go
+++ b/internal/gateway/version_order.go
@@ -103,9 +103,9 @@
 
 // admit records the version of a response. If the version contradicts the order of the
 // requests, admit records nothing and returns an error of kind Unavailable. It logs a
-// change of version since the last response; answeredBy is the address of the instance
+// change of version since the last response; respondedBy is the address of the instance
 // that responded.
-func (o *versionOrder) admit(version uint64, receivedAt time.Time, answeredBy string) error {
+func (o *versionOrder) admit(version uint64, receivedAt time.Time, respondedBy string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if conflicting := o.conflictingVersion(version, receivedAt); conflicting != 0 {
@@ -114,7 +114,7 @@
 	}
 	o.record(version, receivedAt)
 	if version != o.lastVersion {
-		_ = o.logger.Log("event", "answered_by", "version", version, "before", o.lastVersion, "from", answeredBy,
+		_ = o.logger.Log("event", "answered_by", "version", version, "before", o.lastVersion, "from", respondedBy,
 			"waited_ms", time.Since(receivedAt).Milliseconds())
 	}
 	o.lastVersion = version
--- a/internal/measure/fit.go
+++ b/internal/measure/fit.go
@@ -120,8 +120,8 @@
 	{"socket B/s", Usage.SocketBytes},
 }
 
-// otherColumns is the number of columns of a fit table besides those of the measurements.
-const otherColumns = 5
+// fixedColumns is the number of columns of a fit table besides those of the measurements.
+const fixedColumns = 5
 
 // WriteFit writes a Markdown table with a row for each class of processes and each
 // quantity: the mean and largest value at each size and the line fitted to the means.
@@ -133,7 +133,7 @@
 		fmt.Fprintf(table, "| at %g: mean (largest)\t", m.Size)
 	}
 	fmt.Fprintf(table, "| at 0\t| slope\t| largest residual\t|\n")
-	fmt.Fprintln(table, strings.Repeat("|---\t", len(measurements)+otherColumns)+"|")
+	fmt.Fprintln(table, strings.Repeat("|---\t", len(measurements)+fixedColumns)+"|")
 	for _, c := range classes(measurements, class) {
 		for _, q := range quantities {
 			writeFitRow(table, measurements, c, class, q)
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -106,12 +106,12 @@
 	samples := make([][]sample, len(cfg.Targets))
 	end := time.Now().Add(cfg.Duration)
 	for round := 1; ; round++ {
-		for i, target := range cfg.Targets {
-			s, err := cfg.sample(ctx, target)
+		for i, process := range cfg.Targets {
+			s, err := cfg.sample(ctx, process)
 			if err == nil {
 				samples[i] = append(samples[i], s)
 			} else if len(samples[i]) == 0 {
-				return nil, errors.Wrapf(err, "process %s (%d)", target.Name, target.PID)
+				return nil, errors.Wrapf(err, "process %s (%d)", process.Name, process.PID)
 			}
 		}
 		// A rate needs two samples, even when the first one took longer than the whole
@@ -127,15 +127,15 @@
 // usages returns the usage of each target. samples holds the samples of each target.
 func (cfg Config) usages(samples [][]sample) []Usage {
 	maxSamples := 0
-	for _, ofTarget := range samples {
-		maxSamples = max(maxSamples, len(ofTarget))
+	for _, processSamples := range samples {
+		maxSamples = max(maxSamples, len(processSamples))
 	}
 	usages := make([]Usage, 0, len(samples))
-	for i, ofTarget := range samples {
-		u := usageOf(ofTarget)
+	for i, processSamples := range samples {
+		u := usageOf(processSamples)
 		u.Name = cfg.Targets[i].Name
 		u.PID = cfg.Targets[i].PID
-		u.Gone = len(ofTarget) < maxSamples
+		u.Gone = len(processSamples) < maxSamples
 		usages = append(usages, u)
 	}
 	return usages
@@ -176,8 +176,8 @@
 }
 
 // sample takes one sample of a target.
-func (cfg Config) sample(ctx context.Context, target Process) (sample, error) {
-	folder := filepath.Join("/proc", strconv.Itoa(target.PID))
+func (cfg Config) sample(ctx context.Context, process Process) (sample, error) {
+	folder := filepath.Join("/proc", strconv.Itoa(process.PID))
 	s := sample{at: time.Now()}
 	var err error
 	if s.ticks, s.rss, err = readStat(folder); err != nil {
@@ -186,8 +186,8 @@
 	if s.read, s.written, err = readIO(folder); err != nil {
 		return s, err
 	}
-	if target.Admin != "" && len(cfg.Counters) > 0 {
-		vars := readVars(ctx, target.Admin)
+	if process.Admin != "" && len(cfg.Counters) > 0 {
+		vars := readVars(ctx, process.Admin)
 		s.counters = countersIn(vars, cfg.Counters)
 		s.roles = rolesIn(vars)
 	}
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -56,7 +56,7 @@
 	return old
 }
 
-func (r *registers) Snapshot() ([]byte, error) { return json.Marshal(r.all()) }
+func (r *registers) Snapshot() ([]byte, error) { return json.Marshal(r.copyValues()) }
 
 func (r *registers) Restore(data []byte) error {
 	r.mu.Lock()
@@ -71,7 +71,7 @@
 	return r.values[key]
 }
 
-func (r *registers) all() map[string]string {
+func (r *registers) copyValues() map[string]string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return maps.Clone(r.values)
@@ -204,13 +204,13 @@
 func (c *cluster) running() []*member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var all []*member
+	var running []*member
 	for _, m := range c.config.Members {
 		if r := c.members[m.ID]; r != nil {
-			all = append(all, r)
+			running = append(running, r)
 		}
 	}
-	return all
+	return running
 }
 
 // eventually waits until a condition holds.
@@ -259,14 +259,14 @@
 func (c *cluster) converged(members int) {
 	c.t.Helper()
 	eventually(c.t, "the same state everywhere", func() bool {
-		all := c.running()
-		for _, m := range all {
-			s, first := m.Status(), all[0].Status()
-			same := maps.Equal(m.machine.all(), all[0].machine.all())
+		running := c.running()
+		for _, m := range running {
+			s, first := m.Status(), running[0].Status()
+			same := maps.Equal(m.machine.copyValues(), running[0].machine.copyValues())
 			if s.Applied != first.Applied || s.Role == replica.Recovering || !same {
 				return false
 			}
 		}
-		return len(all) == members
+		return len(running) == members
 	})
 }
--- a/internal/node/linearizability_test.go
+++ b/internal/node/linearizability_test.go
@@ -113,8 +113,8 @@
 func (h *history) client(c *cluster, id int, random *rand.Rand, accessCount int64) {
 	for n := 0; h.recorded.Load() < accessCount; n++ {
 		in := access{key: fmt.Sprint(random.IntN(registerCount)), value: fmt.Sprintf("%d.%d", id, n), write: random.IntN(2) == 0}
-		all := c.running()
-		m := all[random.IntN(len(all))]
+		running := c.running()
+		m := running[random.IntN(len(running))]
 		if !m.Status().CanDecide && random.IntN(followerCallInterval) > 0 {
 			time.Sleep(clientDelay)
 			continue
@@ -127,8 +127,8 @@
 // the fault and after it, it gives the clients time to make extra accesses.
 func (h *history) injectFault(c *cluster, random *rand.Rand, extra int64) {
 	const maxWait = 500 * time.Millisecond
-	all := c.running()
-	affected := all[random.IntN(len(all))]
+	running := c.running()
+	affected := running[random.IntN(len(running))]
 	id := affected.cfg.ID
 	until := h.recorded.Load() + extra
 	waitForClients := func() {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -155,19 +155,19 @@
 func TestMembershipChange(t *testing.T) {
 	c := newCluster(t, "a", Config{})
 	leader := c.leader()
-	var others []int
+	var followerIndexes []int
 	next := leader.Status().Members
 	for i, m := range next {
 		if m.ID != leader.cfg.ID {
-			others = append(others, i)
+			followerIndexes = append(followerIndexes, i)
 		}
 	}
-	for _, i := range others {
+	for _, i := range followerIndexes {
 		next[i].Learner = true
 	}
 	err := leader.ChangeMembership(t.Context(), next)
 	must.True(t, fault.Is(err, fault.Invalid), must.Sprint("two changes in one call: ", err))
-	next[others[1]].Learner = false
+	next[followerIndexes[1]].Learner = false
 	must.NoError(t, leader.ChangeMembership(t.Context(), next))
 	// A caller whose response was lost repeats the call.
 	must.NoError(t, leader.ChangeMembership(t.Context(), next))
