--- a/internal/conf/document.go
+++ b/internal/conf/document.go
@@ -25,7 +25,8 @@
 	maxWeight        = 1000
 	// maxQuotaCount bounds the accelerators of a customer and the quota generation.
 	maxQuotaCount = 1_000_000
-	// maxDataCentres is far below the number of parts into which a quota is split.
+	// maxDataCentres bounds the data centres among which quotas are divided. It is far
+	// below the number of parts into which a quota is split.
 	maxDataCentres = 64
 )
 
@@ -44,7 +45,7 @@
 // divided quotas differently would together give a customer more than its limit.
 type QuotaDivision struct {
 	DataCentres []string
-	// Generation grows only when an operator has the quotas divided again.
+	// Generation is raised by an operator, and only to have the quotas divided again.
 	Generation uint64
 }
 
@@ -57,7 +58,8 @@
 	Memory int64
 	// Accelerators is a count of devices, or Unlimited.
 	Accelerators int64
-	// Weight is the customer's share under contention, 1 by default.
+	// Weight is the customer's weight, 1 by default. Under contention customers share the
+	// resources in proportion to their weights.
 	Weight int
 }
 
--- a/internal/conf/register.go
+++ b/internal/conf/register.go
@@ -32,7 +32,8 @@
 
 // Config is one accepted version of the shared configuration.
 type Config struct {
-	// Version is 0 before the first write and grows by one with each.
+	// Version is 0 before the first write and grows by one with each write
+	// that is accepted.
 	Version uint64
 	// Text is the document as it was written.
 	Text string
@@ -135,7 +136,7 @@
 	return &Register{responseNumbers: make(map[string]int)}
 }
 
-// Current returns the configuration in force. It never blocks on Apply.
+// Current returns the configuration in force. It never waits for a call of Apply to end.
 func (r *Register) Current() Config { return r.holder.Current() }
 
 // Changed returns a channel that is closed at the next change of version.
@@ -232,8 +233,8 @@
 	return Outcome{Config: next}
 }
 
-// withParsedDocument returns next with its document. If the text of next can't be read, it
-// sets Unreadable and the document of before.
+// withParsedDocument returns next with Document set. If next.Text can't be read, Document
+// is before.Document and Unreadable is the reason.
 func withParsedDocument(before, next Config) Config {
 	document, err := Parse(next.Text)
 	if err != nil {
--- a/internal/descriptors/budget.go
+++ b/internal/descriptors/budget.go
@@ -78,7 +78,8 @@
 }
 
 // capToRlimit returns limit, or the limit of the operating system if that is lower or
-// limit is 0.
+// limit is 0. It returns limit unchanged if the operating system's limit can't be read or is
+// above math.MaxInt32.
 func capToRlimit(limit int) int {
 	var rlimit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &rlimit); err != nil || rlimit.Cur > math.MaxInt32 {
--- a/internal/event/html.go
+++ b/internal/event/html.go
@@ -68,8 +68,8 @@
 const (
 	// laneColours is the number of lane colours that the page's style sheet defines.
 	laneColours = 8
-	// maxLanesWidth is the width in pixels that the lanes share. Lanes of minLaneWidth
-	// may exceed it together.
+	// maxLanesWidth bounds the width of all lanes together in pixels, unless there are so
+	// many lanes that they exceed it even with minLaneWidth each.
 	maxLanesWidth = 336
 	// minLaneWidth and maxLaneWidth bound the width of one lane in pixels.
 	minLaneWidth = 12
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -74,9 +74,10 @@
 	// InContact that was logged last.
 	lastResponse time.Time
 	inContact    bool
-	// followerCursor, modulo the number of members, is the index of the member that was last
-	// considered for a call about an ended job. A member in unresponsiveUntil failed such a
-	// call and gets none before that time.
+	// followerCursor is the round-robin position of nextFollower: modulo the number of
+	// members, it is the index of the member that was considered last. unresponsiveUntil
+	// holds the members that failed a call, with the time until which nextFollower skips
+	// each of them.
 	followerCursor    int
 	unresponsiveUntil map[string]time.Time
 }
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -59,10 +59,10 @@
 // instead.
 const followerTimeout = 150 * time.Millisecond
 
-// EndedJobPhase asks a follower for the phase of a job that may have ended, on behalf of a caller's
-// request that was received at receivedAt. If known is false, the leader has to be asked:
-// the follower doesn't know the phase or didn't respond, or its response contradicts the
-// order of the requests.
+// EndedJobPhase asks a follower for the phase of a job that may have ended, on behalf of a
+// caller's request that was received at receivedAt. If known is false, the leader has to be
+// asked: the follower doesn't know the phase or didn't respond, or its response contradicts
+// the order of the requests.
 func (g *Gateway) EndedJobPhase(ctx context.Context, receivedAt time.Time, jobAddress control.JobAddress) (phase workflow.Phase, known bool) {
 	member := g.nextFollower()
 	if member == "" {
--- a/internal/gateway/version_order.go
+++ b/internal/gateway/version_order.go
@@ -17,7 +17,7 @@
 	// contradict their order: the earlier request may get a newer configuration version
 	// than the later one. Callers expect order between requests that they send at least
 	// 250 ms apart; the rest of the 250 ms allows for the delay between a caller and this
-	// instance. A short tolerance costs little, because few responses are withheld.
+	// instance. Few responses are withheld even with such a short tolerance.
 	reorderTolerance = 100 * time.Millisecond
 	// maxVersionSpans is the maximum number of recorded versions. A request takes 10 s at
 	// most, and few versions are committed in that time.
--- a/internal/gateway/version_order_test.go
+++ b/internal/gateway/version_order_test.go
@@ -89,8 +89,8 @@
 }
 
 // A response may have a newer version than another one only if its request was received
-// later, or earlier by no more than reorderTolerance. Each case holds the versions of two
-// responses and the time between their requests.
+// later, or at most reorderTolerance earlier. Each case holds the versions of two responses
+// and the time between their requests.
 func TestVersionOrderFollowsRequestOrder(t *testing.T) {
 	start := time.Now()
 	for _, c := range []struct {
--- a/internal/jobtrace/lines.go
+++ b/internal/jobtrace/lines.go
@@ -1,5 +1,5 @@
 // Package jobtrace reads the structured log lines of all instances and explains how one
-// job ended and how long it spent in which activity.
+// job ended and how much time it spent in each activity.
 package jobtrace
 
 import (
--- a/internal/jobtrace/trace.go
+++ b/internal/jobtrace/trace.go
@@ -104,8 +104,9 @@
 	return "not accepted: " + text + describeLostLeaderContact(allLines, last)
 }
 
-// describeLostLeaderContact returns a text with the time since which the instance of the
-// line last had no contact with a leader, or "" when it had contact.
+// describeLostLeaderContact returns a text that says since when the instance that wrote the
+// line last had been without contact with a leader. It returns "" if the instance was in
+// contact with a leader when it wrote the line.
 func describeLostLeaderContact(allLines []Line, last *Line) string {
 	for i := len(allLines) - 1; i >= 0; i-- {
 		l := &allLines[i]
--- a/internal/measure/fit.go
+++ b/internal/measure/fit.go
@@ -25,7 +25,8 @@
 	ClassConfigReader Class = "configuration reader"
 )
 
-// Names of logs and roles in Usage.Roles, and the end of the Usage.Name of an entry process.
+// Names of logs and roles in Usage.Roles, and the suffix of the Usage.Name of an entry
+// process.
 const (
 	configurationLog = "configuration"
 	cellLogPrefix    = "cell."
@@ -120,7 +121,8 @@
 	{"socket B/s", Usage.SocketBytes},
 }
 
-// fixedColumns is the number of columns of a fit table besides those of the measurements.
+// fixedColumns is the number of columns that a fit table has for any number of
+// measurements: the process, the quantity and three of the fitted line.
 const fixedColumns = 5
 
 // WriteFit writes a Markdown table with a row for each class of processes and each
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -93,12 +93,12 @@
 
 const bytesPerMiB = 1 << 20
 
-// adminTimeout bounds one request for the counters of a target.
+// adminTimeout bounds one request for the counters of a process.
 const adminTimeout = 2 * time.Second
 
-// Run samples the targets for cfg.Duration, or until ctx ends, and returns the usage of
-// each, in the order of the targets. It returns an error when a target can't be sampled the
-// first time.
+// Run samples the processes in cfg.Targets for cfg.Duration, or until ctx ends, and returns
+// the usage of each process in the same order. It returns an error when a process can't be
+// sampled the first time.
 func Run(ctx context.Context, cfg Config) ([]Usage, error) {
 	if cfg.Interval == 0 {
 		cfg.Interval = DefaultInterval
@@ -124,7 +124,7 @@
 	return cfg.usages(samples), nil
 }
 
-// usages returns the usage of each target. samples holds the samples of each target.
+// usages returns the usage of each process from its samples, in the order of cfg.Targets.
 func (cfg Config) usages(samples [][]sample) []Usage {
 	maxSamples := 0
 	for _, processSamples := range samples {
@@ -175,7 +175,7 @@
 	return 100 * float64(to.ticks-from.ticks) / ticksPerSecond / seconds
 }
 
-// sample takes one sample of a target.
+// sample takes one sample of a process.
 func (cfg Config) sample(ctx context.Context, process Process) (sample, error) {
 	folder := filepath.Join("/proc", strconv.Itoa(process.PID))
 	s := sample{at: time.Now()}
--- a/internal/member/join.go
+++ b/internal/member/join.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// unresponsiveAfter is how long a voter may fail to announce itself before a
-	// learner replaces it: five announcements, and well below the 4 s after which the
-	// learner in its place is expected to vote.
+	// unresponsiveAfter is how long after a voter's last announcement a learner replaces
+	// the voter. It is the time of five announcements, and well below the 4 s within which
+	// the learner is expected to be a voter.
 	unresponsiveAfter = 2 * time.Second
 	// learnerRemovalDelay is how long an unresponsive learner stays in the membership.
 	learnerRemovalDelay = 10 * time.Second
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -12,7 +12,7 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// maxConnections bounds the connections of a client, which the tests don't use.
+// maxConnections is the connection limit of a client that makes no calls in these tests.
 const maxConnections = 100
 
 func voter(id string) replica.Member { return replica.Member{ID: id} }
--- a/internal/node/apply.go
+++ b/internal/node/apply.go
@@ -93,8 +93,8 @@
 // trackProposal records the call that proposed the entry at index.
 func (g *Group) trackProposal(index, term uint64, c *call) {
 	if old, ok := g.proposals[index]; ok {
-		// This member's log no longer holds the older command, but another member's log
-		// may, and that member may become the leader and commit it.
+		// The new entry has replaced the old call's command in this member's log. Another
+		// member may still hold the command, become the leader and commit it.
 		old.call.reply(nil, outcomeUnknown("the leadership was lost"))
 	}
 	g.proposals[index] = pendingProposal{call: c, term: term}
@@ -151,9 +151,9 @@
 	g.counters.recordRole(s)
 	current := func(term uint64) bool { return s.Role == replica.Leader && s.Term == term }
 	g.failProposals(func(p pendingProposal) bool { return !current(p.term) }, "the leadership was lost")
-	// Creating an error records the stack. Without the condition, each round would create
-	// an error that is hardly ever used, which takes a noticeable part of an idle
-	// leader's processor time.
+	// Creating an error records the stack. If each round created this error, which is
+	// hardly ever used, that would take a noticeable part of an idle leader's processor
+	// time.
 	if len(g.barriers.byToken) > 0 {
 		g.barriers.failUnless(current, unavailable(ErrNotLeader, "not leader; the leadership was lost"))
 	}
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -14,7 +14,8 @@
 // These errors mark the faults of kind Unavailable that Propose, Barrier,
 // ChangeMembership and Transfer return. Compare with errors.Is.
 var (
-	// ErrNotLeader means that this member may not decide; nothing was proposed.
+	// ErrNotLeader means that nothing was proposed, because this member isn't a leader
+	// that can decide (see replica.Status.CanDecide) or is transferring the leadership.
 	// Group.Status names the leader if one is known.
 	ErrNotLeader = errors.New("not leader")
 	// ErrOutcomeUnknown means that the command was proposed and this member can't tell
@@ -192,8 +193,8 @@
 			return unavailable(ErrStopped, "the member has stopped")
 		case <-changed:
 		case <-time.After(g.cfg.TickInterval * time.Duration(g.cfg.ElectionTicks)):
-			// The core abandons a transfer after this time. That changes no status, so the
-			// wait must end here for another attempt.
+			// The core abandons a transfer that takes longer than the election timeout.
+			// An abandoned transfer changes no status and so doesn't close changed.
 		}
 	}
 }
--- a/internal/node/clock.go
+++ b/internal/node/clock.go
@@ -23,9 +23,9 @@
 	return n
 }
 
-// statusExpiry returns when the status of the last tick must no longer be trusted: half
-// an interval after the next tick is due. The core's lease ends at least two ticks
-// before another member may lead.
+// statusExpiry returns when the status of the last tick expires: half an interval after
+// the next tick is due. This is early enough, because the core's lease expires at least
+// two ticks before another member may lead.
 func (c *clock) statusExpiry() time.Time {
 	next := c.start.Add(time.Duration(c.ticks+1) * c.interval)
 	return next.Add(c.interval / 2)
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -15,8 +15,8 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// waitTimeout bounds waits for conditions that are expected to hold soon. Tests don't use
-// it to check speed.
+// waitTimeout is the time after which a test fails if an awaited condition doesn't hold. It
+// is long, because the tests don't check speed.
 const waitTimeout = 30 * time.Second
 
 const (
@@ -134,7 +134,8 @@
 	starts  uint64 // number of starts of members so far
 }
 
-// newCluster starts members a, b and c. The members named in disks have a disk.
+// newCluster starts members a, b and c. Each letter of disks is the ID of a member that
+// has a disk.
 func newCluster(t *testing.T, disks string, config Config) *cluster {
 	c := &cluster{
 		t: t, folder: t.TempDir(), config: config, members: map[string]*member{},
--- a/internal/node/compaction_test.go
+++ b/internal/node/compaction_test.go
@@ -11,7 +11,7 @@
 // Guards against a log of long commands that fills the memory until the operating
 // system kills the process. A change of the configuration is a command of several
 // kilobytes. If snapshots and compaction counted only entries, thousands of commands
-// would stay in memory before a snapshot and as many after it.
+// would stay in memory before a snapshot, and thousands more after it.
 func TestLogOfLongCommandsIsCompacted(t *testing.T) {
 	const size, bound, commands = 1 << 10, 16 << 10, 100
 	c := newCluster(t, "a", Config{SnapshotBytes: bound})
--- a/internal/node/http_test.go
+++ b/internal/node/http_test.go
@@ -162,9 +162,10 @@
 }
 
 // BenchmarkCommit measures committed proposals of 60 bytes and the latency that callers
-// see. The delay is one way. Without a rate, each caller proposes again as soon as its
-// proposal is committed. With a rate, proposals are made at that rate, whether or not
-// earlier ones are committed, and their latency counts from when they were due.
+// see. delay is the network delay in each direction. Without a rate, each caller proposes
+// again as soon as its proposal is committed. With a rate, proposals are made at that rate,
+// whether or not earlier ones are committed, and their latency counts from when they were
+// due.
 func BenchmarkCommit(b *testing.B) {
 	for _, c := range []struct {
 		members, callers, rate int
@@ -240,10 +241,9 @@
 	g.b.ReportMetric(float64(stats.Commits)/float64(max(1, stats.LogSyncs)), "entries/sync")
 }
 
-// BenchmarkIdle measures the bytes per second that idle instances send and receive at the
-// socket, on connections opened and accepted, by the number of groups that the instance
-// leads. It also measures the processor time of all instances together. One operation is a
-// second.
+// BenchmarkIdle measures the bytes per second that idle instances send and receive through
+// their sockets, by the number of groups that the instance leads. It also measures the
+// processor time of all instances together. One operation takes a second.
 func BenchmarkIdle(b *testing.B) {
 	for _, groups := range [][]string{{"cell"}, {"cell", "configuration"}} {
 		b.Run(fmt.Sprintf("groups=%d", len(groups)), func(b *testing.B) {
--- a/internal/node/linearizability_test.go
+++ b/internal/node/linearizability_test.go
@@ -19,14 +19,15 @@
 
 const (
 	registerCount = 4
-	// followerCallInterval is the number of attempts of which one goes to a member that
-	// may not decide.
+	// followerCallInterval is the mean number of a client's attempts per call of a member
+	// that can't decide. At the other attempts the client skips such a member.
 	followerCallInterval = 10
 	// clientDelay is the pause of a client before it tries another member.
 	clientDelay = 100 * time.Microsecond
 	// accessesPerFault is the number of accesses during each fault.
 	accessesPerFault = 40
-	// startsPerSeed separates the incarnations and election seeds of two seeds.
+	// startsPerSeed is more than the starts of members in one subtest, so that subtests
+	// with different seeds use different incarnations and election seeds.
 	startsPerSeed = 1000
 	// checkTimeout bounds the check of one history.
 	checkTimeout = time.Minute
@@ -95,8 +96,8 @@
 	}
 	end := int64(time.Since(h.start))
 	if err != nil {
-		// Any error but ErrOutcomeUnknown says that nothing was or will be written.
-		// Such a write isn't recorded, so the model fails if it took effect.
+		// A write that failed with any error but ErrOutcomeUnknown must never take
+		// effect. It isn't recorded, so the model fails if it took effect after all.
 		if !in.write || !errors.Is(err, ErrOutcomeUnknown) {
 			return
 		}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -41,7 +41,8 @@
 			return err
 		}
 		if g.core.HasReady() {
-			// The next round processes this Ready, after new calls and messages.
+			// The core has another Ready. The next round processes it, after new calls
+			// and messages.
 			g.signal()
 		}
 		select {
@@ -121,9 +122,9 @@
 	return nil
 }
 
-// splitMessages separates the messages that may be sent before the sync, so that
-// followers write while the leader does, from the others. None is sent before a sync
-// that makes a new term or vote durable.
+// splitMessages returns the messages that may be sent before the sync, so that followers
+// write while the leader writes, and the messages that must wait for it. All messages wait
+// for a sync that makes a new term or vote durable.
 func (g *Group) splitMessages(r replica.Ready) (beforeSync, afterSync []replica.Message) {
 	if hs := r.HardState; hs != nil && (hs.Term != g.savedHardState.Term || hs.Vote != g.savedHardState.Vote) {
 		return nil, r.Messages
@@ -182,10 +183,10 @@
 // waitForDiskSpace waits before the next attempt to write to a full disk. It returns
 // false when the member must stop, or when Run has not been called yet.
 //
-// A disk may be full only for a short time. If the member failed instead, its whole process
-// would be restarted and fail again, ten times within 5 s. While the member waits, it
-// acknowledges nothing and its leader lease expires by its own clock, as on a disk that
-// stalls.
+// A disk may be full only for a short time. If the member failed instead of waiting, its
+// process would exit, and fail again after each restart, ten times within 5 s. While the
+// member waits, it acknowledges nothing and its leader lease expires by its own clock, as
+// on a disk that stalls.
 func (g *Group) waitForDiskSpace() bool {
 	if g.runCtx == nil {
 		return false
@@ -219,7 +220,8 @@
 	return g.closeLog()
 }
 
-// stoppedStatus returns the status that a stopped member shows: it no longer leads.
+// stoppedStatus returns s changed to the status of a stopped member, which doesn't lead and
+// can't decide.
 func stoppedStatus(s replica.Status) replica.Status {
 	s.CanDecide = false
 	if s.Role == replica.Leader {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -67,8 +67,8 @@
 	DefaultSnapshotBytes  = 2 << 20
 
 	// maxInflightAppends bounds the appends in flight to a member. One append carries
-	// the commands of one sync, so 64 cover 25 ms or more, and neither a slow sync nor
-	// a slow network delays new ones.
+	// the commands of one sync, so 64 appends carry the commands of 25 ms or more.
+	// Neither a slow sync nor a slow network therefore delays new appends.
 	maxInflightAppends = 64
 	maxPendingCalls    = 16_384
 	maxInboxMessages   = 8_192
@@ -77,10 +77,11 @@
 	maxCatchUpTimeouts = 4
 )
 
-// callIntervalPerFollower is the minimum time between two rounds that process calls,
-// for each other member of the group. With two followers it is less than a sync of a
-// slow disk. With more, a leader would spend a large part of a small processor on log
-// messages, several thousand per second, unless they are sent in batches.
+// callIntervalPerFollower, multiplied by the number of other members in the group, is the
+// minimum time between two rounds that process calls. For two followers this time is
+// shorter than a sync of a slow disk. With more followers, a leader that didn't batch calls
+// would send several thousand log messages per second, which takes a large part of a small
+// processor.
 const callIntervalPerFollower = 2 * time.Millisecond
 
 // Config holds the fixed settings of a Group.
@@ -90,7 +91,8 @@
 	// ID identifies this member in the group.
 	ID string
 	// Incarnation is the incarnation of this start of the member; 0 means the wall clock
-	// in milliseconds. A member that finds its state on disk keeps its stored one.
+	// in milliseconds. A member that finds its state on disk uses the incarnation stored
+	// in it.
 	Incarnation uint64
 	// Members is the initial membership.
 	Members []replica.Member
@@ -98,8 +100,8 @@
 	Folder string
 	// TickInterval is the unit of ElectionTicks and HeartbeatTicks.
 	TickInterval time.Duration
-	// ElectionTicks is the least election timeout; 0 means the defaults of ElectionTicks
-	// and HeartbeatTicks.
+	// ElectionTicks is the shortest election timeout in ticks. If it is 0, ElectionTicks
+	// and HeartbeatTicks both get their defaults.
 	ElectionTicks  int
 	HeartbeatTicks int
 	// SnapshotEvery is the number of entries between snapshots.
@@ -160,7 +162,7 @@
 	wal    *wal.WAL
 	logger log.Logger
 	// runCtx ends when the member must stop; nil until Run. diskFullSince is when the
-	// disk was found full, zero while it has free space. Only Run uses the two.
+	// disk was found full, zero while it has free space. Only Run uses these two fields.
 	runCtx        context.Context
 	diskFullSince time.Time
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -18,8 +18,8 @@
 )
 
 // Guards against lost writes: the leader stops, starts again, and then each of two members
-// with disks restarts. Writes must continue, and restarted members must hold the state of
-// the others.
+// with disks restarts. Writes must continue, and a restarted member must reach the same
+// state as the members that kept running.
 func TestLeaderLostAndFollowerRestarted(t *testing.T) {
 	c := newCluster(t, "ab", Config{})
 	c.setMany("before", 30)
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -20,8 +20,8 @@
 type snapshotter struct {
 	// lastIndex is the index of the latest snapshot.
 	lastIndex uint64
-	// lastSize is the size of the latest snapshot, pendingBytes that of the commands
-	// applied since one was started, both in bytes.
+	// lastSize is the size of the latest snapshot. pendingBytes is the total size of the
+	// commands applied since the latest start of a snapshot. Both are in bytes.
 	lastSize, pendingBytes int
 
 	running bool
--- a/internal/peer/sequencer.go
+++ b/internal/peer/sequencer.go
@@ -15,16 +15,17 @@
 	// takes some milliseconds on a busy host.
 	holdTime     = 25 * time.Millisecond
 	maxHeldCalls = 16 * maxCalls
-	// missingWindow is how many sequence numbers back missing calls are remembered.
+	// missingWindow is the number of sequence numbers below the next one for which the
+	// receiver remembers which calls are missing.
 	missingWindow = 4096
 )
 
 // sequencer delivers the calls of one sender in the order in which they were made.
 // Concurrent calls overtake each other, and a log rejects an append that arrives before
 // its predecessor, which costs a round trip. A call that arrives before an earlier one is
-// held for holdTime at most, so a lost call delays later ones by no more than that. A call
-// that arrives after later ones were delivered is delivered too, since a large snapshot may
-// be late at any time.
+// held for at most holdTime, which is also the longest time by which a lost call delays
+// later ones. A call that arrives after later ones were delivered is delivered too, since a
+// large snapshot may be late at any time.
 type sequencer struct {
 	// deliver processes a call. It is called while mu is held, so for one call at a time.
 	deliver func(*apiv1.ExchangeRequest)
--- a/internal/peer/sequencer_test.go
+++ b/internal/peer/sequencer_test.go
@@ -128,7 +128,8 @@
 	})
 }
 
-// gapBits makes gaps of 1<<gapBits sequence numbers and more.
+// gapBits is the binary logarithm of 1<<gapBits, the sequence number after the first large
+// gap.
 const gapBits = 40
 
 // A sender numbers its calls with gaps. The calls that the receiver holds and remembers
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -71,8 +71,8 @@
 	key      string
 	value    func(*Instance) string
 	required bool
-	// admin is true for an address that other instances never dial. It may therefore be
-	// unspecified, such as 0.0.0.0.
+	// admin is true for an address that other instances never dial. Such an address may be
+	// unspecified, for example 0.0.0.0.
 	admin bool
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -146,8 +146,9 @@
 	must.ErrorContains(t, err, "no single one may hold a majority")
 }
 
-// Witnesses in other data centres are the majority of a log's voters. When the data centre
-// is partitioned from the others, it can't commit. Such settings must be rejected.
+// Witnesses in other data centres are the majority of the voters of a data centre's log.
+// When the data centre is partitioned from all others, it can't commit. Such settings must
+// be rejected.
 func TestWitnessesAreAMinority(t *testing.T) {
 	text := deploymentTOML(2)
 	text = strings.Replace(text, "cell = \"10.0.0.3:7402\"\n", "", 1)
--- a/internal/tomlfile/nearest.go
+++ b/internal/tomlfile/nearest.go
@@ -7,7 +7,8 @@
 
 // suggestKey returns a text that suggests a known key for an unknown one: the nearest key
 // of the same table, or else of the whole file, or else a key of the same name in another
-// table. Without any of these, it lists the known keys of the table.
+// table. If there is no such key, the text lists the known keys of the table, or those of
+// the top level if the table has no known keys.
 func suggestKey(path string, known map[string]bool) string {
 	parent := parentPath(path)
 	siblings := keysOf(parent, known)
@@ -61,9 +62,9 @@
 	bytesPerEdit = 3
 )
 
-// Nearest returns the one of words with the smallest edit distance to a mistyped word. It
-// returns "" when the distance is more than three edits or a third of the word's length;
-// one edit is always allowed.
+// Nearest returns the element of words with the smallest edit distance to a mistyped word.
+// It returns "" if no element is within one edit for every three bytes of word, at least
+// one and at most three.
 func Nearest(word string, words []string) string { return nearest(word, words) }
 
 // nearest implements Nearest.
--- a/internal/wal/disk_full_test.go
+++ b/internal/wal/disk_full_test.go
@@ -39,9 +39,9 @@
 	return n, syscall.ENOSPC
 }
 
-// The disk gets full in the middle of a record and has free space again after three waits.
-// Save must not fail meanwhile and must write the whole record in the end, and a restart
-// must read everything that was saved.
+// The disk becomes full in the middle of a record and has free space again after three
+// waits. Save must not fail meanwhile and must write the whole record in the end, and a
+// restart must read everything that was saved.
 func TestSaveRetriesWhileDiskIsFull(t *testing.T) {
 	folder := t.TempDir()
 	w, _ := mustOpen(t, folder, oneSegmentBytes)
--- a/internal/wal/files.go
+++ b/internal/wal/files.go
@@ -73,7 +73,7 @@
 }
 
 // writeAtomically writes a file under a temporary name, syncs it, renames it and
-// syncs the folder, so that a crash leaves either no file of that name or all of it.
+// syncs the folder, so that after a crash the file is either missing or complete.
 // It returns the file, open for writing at its end.
 func writeAtomically(path string, content ...[]byte) (*os.File, error) {
 	f, err := os.OpenFile(path+temporarySuffix, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o640)
--- a/internal/wal/log_state.go
+++ b/internal/wal/log_state.go
@@ -23,8 +23,8 @@
 	return s.base
 }
 
-// apply applies one record. first is true for the first record of a segment, oldest
-// for a record of the oldest remaining segment.
+// apply applies one record. first is true for the first record of a segment, and oldest is
+// true for a record of the oldest remaining segment.
 func (s *logState) apply(r *record, first, oldest bool) error {
 	if first {
 		if err := s.startSegment(r.Base, oldest); err != nil {
@@ -43,9 +43,10 @@
 	return s.append(r.Entries)
 }
 
-// rebase sets the base to the entry before the record's entries if these replace entries
-// up to the base, which were in a segment that has been removed. Otherwise a log whose
-// oldest segment replaces the end of a removed one would be reported as damaged.
+// rebase handles a record whose first entry has the index of the base or a lower one. Such
+// a record replaces entries of a segment that has been removed, so rebase drops all entries
+// and sets the base to the entry before the record's first one. Without this, a log whose
+// oldest segment replaces the end of a removed segment would be reported as damaged.
 func (s *logState) rebase(r *record) error {
 	if len(r.Entries) == 0 || r.Entries[0].Index > s.base.Index {
 		return nil
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -54,7 +54,8 @@
 	}
 }
 
-// copyFolder copies the files of a log, as a killed process would leave them now.
+// copyFolder copies the files of an open log, as a process killed at that moment would
+// leave them.
 func copyFolder(t must.T, from, to string) {
 	t.Helper()
 	must.NoError(t, os.RemoveAll(to))
