--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -93,12 +93,12 @@
 
 const bytesPerMiB = 1 << 20
 
-// adminTimeout bounds one request for the counters of a target.
+// adminTimeout bounds one request for the counters of a process.
 const adminTimeout = 2 * time.Second
 
-// Run samples the targets for cfg.Duration, or until ctx ends, and returns the usage of
-// each, in the order of the targets. It returns an error when a target can't be sampled the
-// first time.
+// Run samples the processes in cfg.Targets for cfg.Duration, or until ctx ends, and returns
+// the usage of each process in the same order. It returns an error when a process can't be
+// sampled the first time.
 func Run(ctx context.Context, cfg Config) ([]Usage, error) {
 	if cfg.Interval == 0 {
 		cfg.Interval = DefaultInterval
@@ -106,12 +106,12 @@
 	samples := make([][]sample, len(cfg.Targets))
 	end := time.Now().Add(cfg.Duration)
 	for round := 1; ; round++ {
-		for i, target := range cfg.Targets {
-			s, err := cfg.sample(ctx, target)
+		for i, process := range cfg.Targets {
+			s, err := cfg.sample(ctx, process)
 			if err == nil {
 				samples[i] = append(samples[i], s)
 			} else if len(samples[i]) == 0 {
-				return nil, errors.Wrapf(err, "process %s (%d)", target.Name, target.PID)
+				return nil, errors.Wrapf(err, "process %s (%d)", process.Name, process.PID)
 			}
 		}
 		// A rate needs two samples, even when the first one took longer than the whole
@@ -124,18 +124,18 @@
 	return cfg.usages(samples), nil
 }
 
-// usages returns the usage of each target. samples holds the samples of each target.
+// usages returns the usage of each process from its samples, in the order of cfg.Targets.
 func (cfg Config) usages(samples [][]sample) []Usage {
 	maxSamples := 0
-	for _, ofTarget := range samples {
-		maxSamples = max(maxSamples, len(ofTarget))
+	for _, processSamples := range samples {
+		maxSamples = max(maxSamples, len(processSamples))
 	}
 	usages := make([]Usage, 0, len(samples))
-	for i, ofTarget := range samples {
-		u := usageOf(ofTarget)
+	for i, processSamples := range samples {
+		u := usageOf(processSamples)
 		u.Name = cfg.Targets[i].Name
 		u.PID = cfg.Targets[i].PID
-		u.Gone = len(ofTarget) < maxSamples
+		u.Gone = len(processSamples) < maxSamples
 		usages = append(usages, u)
 	}
 	return usages
@@ -175,9 +175,9 @@
 	return 100 * float64(to.ticks-from.ticks) / ticksPerSecond / seconds
 }
 
-// sample takes one sample of a target.
-func (cfg Config) sample(ctx context.Context, target Process) (sample, error) {
-	folder := filepath.Join("/proc", strconv.Itoa(target.PID))
+// sample takes one sample of a process.
+func (cfg Config) sample(ctx context.Context, process Process) (sample, error) {
+	folder := filepath.Join("/proc", strconv.Itoa(process.PID))
 	s := sample{at: time.Now()}
 	var err error
 	if s.ticks, s.rss, err = readStat(folder); err != nil {
@@ -186,8 +186,8 @@
 	if s.read, s.written, err = readIO(folder); err != nil {
 		return s, err
 	}
-	if target.Admin != "" && len(cfg.Counters) > 0 {
-		vars := readVars(ctx, target.Admin)
+	if process.Admin != "" && len(cfg.Counters) > 0 {
+		vars := readVars(ctx, process.Admin)
 		s.counters = countersIn(vars, cfg.Counters)
 		s.roles = rolesIn(vars)
 	}
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -15,8 +15,8 @@
 	"github.com/bilberryferry/bilberryferry/replica"
 )
 
-// waitTimeout bounds waits for conditions that are expected to hold soon. Tests don't use
-// it to check speed.
+// waitTimeout is the time after which a test fails if an awaited condition doesn't hold. It
+// is long, because the tests don't check speed.
 const waitTimeout = 30 * time.Second
 
 const (
@@ -56,7 +56,7 @@
 	return old
 }
 
-func (r *registers) Snapshot() ([]byte, error) { return json.Marshal(r.all()) }
+func (r *registers) Snapshot() ([]byte, error) { return json.Marshal(r.copyValues()) }
 
 func (r *registers) Restore(data []byte) error {
 	r.mu.Lock()
@@ -71,7 +71,7 @@
 	return r.values[key]
 }
 
-func (r *registers) all() map[string]string {
+func (r *registers) copyValues() map[string]string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return maps.Clone(r.values)
@@ -134,7 +134,8 @@
 	starts  uint64 // number of starts of members so far
 }
 
-// newCluster starts members a, b and c. The members named in disks have a disk.
+// newCluster starts members a, b and c. Each letter of disks is the ID of a member that
+// has a disk.
 func newCluster(t *testing.T, disks string, config Config) *cluster {
 	c := &cluster{
 		t: t, folder: t.TempDir(), config: config, members: map[string]*member{},
@@ -204,13 +205,13 @@
 func (c *cluster) running() []*member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var all []*member
+	var running []*member
 	for _, m := range c.config.Members {
 		if r := c.members[m.ID]; r != nil {
-			all = append(all, r)
+			running = append(running, r)
 		}
 	}
-	return all
+	return running
 }
 
 // eventually waits until a condition holds.
@@ -259,14 +260,14 @@
 func (c *cluster) converged(members int) {
 	c.t.Helper()
 	eventually(c.t, "the same state everywhere", func() bool {
-		all := c.running()
-		for _, m := range all {
-			s, first := m.Status(), all[0].Status()
-			same := maps.Equal(m.machine.all(), all[0].machine.all())
+		running := c.running()
+		for _, m := range running {
+			s, first := m.Status(), running[0].Status()
+			same := maps.Equal(m.machine.copyValues(), running[0].machine.copyValues())
 			if s.Applied != first.Applied || s.Role == replica.Recovering || !same {
 				return false
 			}
 		}
-		return len(all) == members
+		return len(running) == members
 	})
 }
--- a/internal/node/linearizability_test.go
+++ b/internal/node/linearizability_test.go
@@ -19,14 +19,15 @@
 
 const (
 	registerCount = 4
-	// followerCallInterval is the number of attempts of which one goes to a member that
-	// may not decide.
+	// followerCallInterval is the mean number of a client's attempts per call of a member
+	// that can't decide. At the other attempts the client skips such a member.
 	followerCallInterval = 10
 	// clientDelay is the pause of a client before it tries another member.
 	clientDelay = 100 * time.Microsecond
 	// accessesPerFault is the number of accesses during each fault.
 	accessesPerFault = 40
-	// startsPerSeed separates the incarnations and election seeds of two seeds.
+	// startsPerSeed is more than the starts of members in one subtest, so that subtests
+	// with different seeds use different incarnations and election seeds.
 	startsPerSeed = 1000
 	// checkTimeout bounds the check of one history.
 	checkTimeout = time.Minute
@@ -95,8 +96,8 @@
 	}
 	end := int64(time.Since(h.start))
 	if err != nil {
-		// Any error but ErrOutcomeUnknown says that nothing was or will be written.
-		// Such a write isn't recorded, so the model fails if it took effect.
+		// A write that failed with any error but ErrOutcomeUnknown must never take
+		// effect. It isn't recorded, so the model fails if it took effect after all.
 		if !in.write || !errors.Is(err, ErrOutcomeUnknown) {
 			return
 		}
@@ -113,8 +114,8 @@
 func (h *history) client(c *cluster, id int, random *rand.Rand, accessCount int64) {
 	for n := 0; h.recorded.Load() < accessCount; n++ {
 		in := access{key: fmt.Sprint(random.IntN(registerCount)), value: fmt.Sprintf("%d.%d", id, n), write: random.IntN(2) == 0}
-		all := c.running()
-		m := all[random.IntN(len(all))]
+		running := c.running()
+		m := running[random.IntN(len(running))]
 		if !m.Status().CanDecide && random.IntN(followerCallInterval) > 0 {
 			time.Sleep(clientDelay)
 			continue
@@ -127,8 +128,8 @@
 // the fault and after it, it gives the clients time to make extra accesses.
 func (h *history) injectFault(c *cluster, random *rand.Rand, extra int64) {
 	const maxWait = 500 * time.Millisecond
-	all := c.running()
-	affected := all[random.IntN(len(all))]
+	running := c.running()
+	affected := running[random.IntN(len(running))]
 	id := affected.cfg.ID
 	until := h.recorded.Load() + extra
 	waitForClients := func() {
