--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -33,7 +33,7 @@
 
 // Config describes a measurement of running daemons.
 type Config struct {
-	Targets []Process
+	Processes []Process
 	// Interval is the time between samples; 0 means DefaultInterval.
 	Interval time.Duration
 	// Duration is the time from the first to the last sample.
@@ -103,10 +103,10 @@
 	if cfg.Interval == 0 {
 		cfg.Interval = DefaultInterval
 	}
-	samples := make([][]sample, len(cfg.Targets))
+	samples := make([][]sample, len(cfg.Processes))
 	end := time.Now().Add(cfg.Duration)
 	for round := 1; ; round++ {
-		for i, process := range cfg.Targets {
+		for i, process := range cfg.Processes {
 			s, err := cfg.sample(ctx, process)
 			if err == nil {
 				samples[i] = append(samples[i], s)
@@ -133,8 +133,8 @@
 	usages := make([]Usage, 0, len(samples))
 	for i, processSamples := range samples {
 		u := usageOf(processSamples)
-		u.Name = cfg.Targets[i].Name
-		u.PID = cfg.Targets[i].PID
+		u.Name = cfg.Processes[i].Name
+		u.PID = cfg.Processes[i].PID
 		u.Gone = len(processSamples) < maxSamples
 		usages = append(usages, u)
 	}
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -21,10 +21,10 @@
 	}))
 	t.Cleanup(server.Close)
 	usages, err := Run(t.Context(), Config{
-		Targets:  []Process{{Name: "self", PID: os.Getpid(), Admin: strings.TrimPrefix(server.URL, "http://")}},
-		Interval: 5 * time.Millisecond,
-		Duration: 20 * time.Millisecond,
-		Counters: []string{"calls", "peers.*.sent", "name", "missing"},
+		Processes: []Process{{Name: "self", PID: os.Getpid(), Admin: strings.TrimPrefix(server.URL, "http://")}},
+		Interval:  5 * time.Millisecond,
+		Duration:  20 * time.Millisecond,
+		Counters:  []string{"calls", "peers.*.sent", "name", "missing"},
 	})
 	must.NoError(t, err)
 	must.Len(t, 1, usages)
@@ -42,15 +42,15 @@
 // after that sample, all rates would be zero and a busy process would be reported as idle.
 func TestRunTakesTwoSamplesWhenFirstIsSlow(t *testing.T) {
 	usages, err := Run(t.Context(), Config{
-		Targets:  []Process{{Name: "self", PID: os.Getpid()}},
-		Interval: 5 * time.Millisecond,
-		Duration: time.Nanosecond,
+		Processes: []Process{{Name: "self", PID: os.Getpid()}},
+		Interval:  5 * time.Millisecond,
+		Duration:  time.Nanosecond,
 	})
 	must.NoError(t, err)
 	must.Positive(t, usages[0].ReadBytes)
 }
 
 func TestRunReportsMissingProcess(t *testing.T) {
-	_, err := Run(context.Background(), Config{Targets: []Process{{Name: "ghost", PID: -1}}})
+	_, err := Run(context.Background(), Config{Processes: []Process{{Name: "ghost", PID: -1}}})
 	must.ErrorContains(t, err, "ghost")
 }
--- a/internal/standin/command/measure.go
+++ b/internal/standin/command/measure.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return c.usageError(err)
 	}
-	c.cfg.Targets = targets
+	c.cfg.Processes = targets
 	if c.counters != "" {
 		c.cfg.Counters = strings.Split(c.counters, ",")
 	}
