--- a/internal/control/admit.go
+++ b/internal/control/admit.go
@@ -56,8 +56,8 @@
 //
 // After an outage or in a burst, more jobs arrive than the leader can place. Each
 // accepted job makes decisions longer and delays all other jobs. Without the limit, once
-// 8500 steps were queued, no job was served for the rest of the day. A refused caller
-// learns immediately that it has to retry.
+// 8500 steps were queued, no job met its objective for the rest of the day. A refused
+// caller learns immediately that it has to retry.
 func (t *leaderTerm) admit(id string) error {
 	t.mu.Lock()
 	queued, beingCommitted := t.queuedSteps, t.pendingSubmits[id] > 0
--- a/internal/control/adviser_pool.go
+++ b/internal/control/adviser_pool.go
@@ -113,8 +113,8 @@
 // full reports whether the connection has the maximum number of queries in flight.
 func (c *adviserConn) full() bool { return c.inFlight >= maxInFlightPerConn }
 
-// available returns how many connections may take a query now, and how many of them a
-// long one.
+// available returns how many connections may take a short query now, and how many of them
+// may also take a long one.
 func (p *adviserPool) available(now time.Time) (all, long int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -150,7 +150,8 @@
 // Large gangs, whose queries take over a second, compete with a hundred urgent jobs a
 // second, whose queries take some milliseconds and keep only a few connections busy. If
 // half of the connections are always reserved, the queries of the gangs wait for each
-// other. If none is, urgent jobs wait behind the queries of gangs under high load.
+// other. If no connection is reserved, urgent jobs wait behind the queries of gangs under
+// high load.
 func (p *adviserPool) reservedForShort(now time.Time, n int) int {
 	load := p.shortLoadAt(now)
 	return min(int(math.Ceil(load+shortLoadDeviations*math.Sqrt(load)))+1, n/2)
--- a/internal/control/adviser_pool_test.go
+++ b/internal/control/adviser_pool_test.go
@@ -19,14 +19,14 @@
 }
 
 const (
-	// shortQueryDuration and longQueryDuration are expected durations of queries, of an
-	// urgent job and of a gang.
+	// shortQueryDuration and longQueryDuration are the expected durations of a query for
+	// an urgent job and of one for a gang.
 	shortQueryDuration = 17 * time.Millisecond
 	longQueryDuration  = time.Second
 )
 
 // acquireLong acquires each connection that a query of one second may use, and returns
-// how many these are.
+// their number.
 func acquireLong(pool *adviserPool, now time.Time) int {
 	used := map[string]bool{}
 	for {
--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -14,14 +14,15 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// forwardInterval is the time between two unchanged heartbeats of a worker that a
+// forwardInterval is the minimum time between two unchanged heartbeats of a worker that a
 // follower forwards to the leader. The leader stops monitoring an unresponsive worker
 // without runs after unresponsiveWorkerTimeout without a heartbeat.
 const forwardInterval = 3 * time.Second
 
 // AcknowledgeHeartbeat processes a heartbeat on a follower, and reports whether the
-// follower may acknowledge it: the log has the worker as announced, and a leader is
-// known. Otherwise the heartbeat has to be forwarded to the leader.
+// follower may acknowledge it: the log already has its content, a leader is known, and
+// the heartbeat is buffered for the leader or an earlier one was forwarded recently.
+// Otherwise the heartbeat has to be forwarded to the leader.
 //
 // Hundreds of workers send a heartbeat every second, and almost none of them contains
 // anything new.
--- a/internal/control/calls.go
+++ b/internal/control/calls.go
@@ -106,7 +106,7 @@
 	Source  []byte `cbor:"2,keyasint"`
 }
 
-// AnnounceInstanceCall announces an instance that serves callers to the leader. From then
+// AnnounceInstanceCall announces to the leader an instance that serves callers. From then
 // on the leader may send adviser queries through it.
 type AnnounceInstanceCall struct {
 	Address string `cbor:"1,keyasint"`
--- a/internal/control/capacity_test.go
+++ b/internal/control/capacity_test.go
@@ -73,7 +73,7 @@
 }
 
 // Guards against this failure: a worker gets more tasks than fit, because its capacity is
-// reduced while starts that were decided before are being committed.
+// reduced while starts that were decided before the reduction are being committed.
 func TestStartsCommittedAfterCapacityReductionAreDropped(t *testing.T) {
 	cluster := newTestCluster(t, nil)
 	cluster.workers.add("w1")
--- a/internal/control/chaos_test.go
+++ b/internal/control/chaos_test.go
@@ -77,7 +77,8 @@
 	must.NoError(chaos.t, err)
 }
 
-// The kinds of faults that injectFault draws. The remaining kind is no fault.
+// The kinds of faults that injectFault draws. chaosFaultKinds is their number, including
+// the kind without a constant, which injects no fault.
 const (
 	crashFault        = 0
 	unreachableFault  = 1
@@ -155,8 +156,8 @@
 }
 
 const (
-	// chaosFaultStream and chaosCallStream select the random sequences of a seed for the
-	// jobs and faults and for the outcomes of calls.
+	// chaosFaultStream and chaosCallStream select the random streams of a seed: the
+	// former for jobs and faults, the latter for the outcomes of calls.
 	chaosFaultStream = 1
 	chaosCallStream  = 2
 	// chaosWorkerCount is how many workers are up at a time.
--- a/internal/control/chaos_workers_test.go
+++ b/internal/control/chaos_workers_test.go
@@ -24,8 +24,8 @@
 	return replica.Status{Role: replica.Leader, Term: l.term, CanDecide: true}
 }
 
-// chaosWorker is a worker. Calls to it are lost, or are carried out late or twice. It
-// expires leases by its own clock.
+// chaosWorker simulates a worker. Calls to it are lost, or are carried out late or twice.
+// It expires leases by its own clock.
 type chaosWorker struct {
 	id       string
 	capacity workflow.Resources
@@ -234,7 +234,7 @@
 }
 
 // outcomeKey returns the key under which starts and done ends of a task are recorded: for
-// each member of a gang it is that of the first member.
+// each member of a gang, the key of the first member.
 func outcomeKey(task workflow.TaskKey, spec workflow.Step) workflow.TaskKey {
 	if spec.Gang {
 		task.Index = 0
@@ -321,7 +321,7 @@
 		report.Partial = len(report.Ended) == maxEndsPerReport
 		return nil
 	})
-	// A delayed poll also writes the report under the lock.
+	// A poll that is carried out late or a second time writes report with ws.mu held.
 	ws.mu.Lock()
 	response := report
 	ws.mu.Unlock()
--- a/internal/control/copies.go
+++ b/internal/control/copies.go
@@ -10,12 +10,14 @@
 )
 
 const (
-	// workerResponseTimeout is how long a worker may go without a response before it counts
-	// as unresponsive: the duration of one held poll and the shortest overdue time.
+	// workerResponseTimeout is how long a worker may go without responding before it
+	// counts as unresponsive: the sum of the duration of one held poll and the shortest
+	// overdue time.
 	workerResponseTimeout = pollHold + minOverdueTime
-	// copySlowFactor times the expected run time is how long the rest of a run on a slow
-	// worker must take before a speculative copy is worth its resources. A run that takes
-	// long on a healthy worker would take as long elsewhere.
+	// copySlowFactor is the multiple of the expected run time that the rest of a run on a
+	// slow worker must exceed before a speculative copy is worth its resources. Runs that
+	// take long on a healthy worker get no such copy, because they would take as long on
+	// another worker.
 	copySlowFactor = 1.5
 )
 
@@ -33,7 +35,7 @@
 // shouldn't. The caller checks that the step allows copies. t.mu must be held.
 //
 // Without a copy, the tasks of a worker that becomes unreachable or slow wait until its
-// lease has expired, or until the slow runs end. The jobs concerned declare that two
+// lease has expired, or until the slow runs end. Steps that allow copies declare that two
 // concurrent runs of a task are harmless, so the second run needn't wait for the end of
 // the first.
 func (s *workerSession) copyCauseOf(run workflow.Run, step *workflow.Step, now time.Time) copyCause {
--- a/internal/control/crash.go
+++ b/internal/control/crash.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// strongSuspicionMaxAge is the highest age of a run, at its worker's last response, at
-	// which the worker's crash counts strongly against the task.
+	// strongSuspicionMaxAge is the maximum age that a run may have had at its worker's
+	// last response for the worker's crash to count strongly against the task.
 	strongSuspicionMaxAge = time.Second
 	// noSuspicionMinAge is the age from which on a run of a long-running task isn't
 	// suspected of having crashed its worker.
@@ -108,8 +108,8 @@
 	}
 }
 
-// unresolvedRuns returns the runs that ended when the worker's lease expired and for which
-// a crash may still turn out to be the cause. t.mu may be held.
+// unresolvedRuns returns the runs that ended when the worker's lease expired and for
+// which a crash may still turn out to be the cause. t.mu need not be held.
 func (s *workerSession) unresolvedRuns() (ends []workflow.RunEnd) {
 	s.t.c.state.read(func(state *workflow.State) {
 		if worker := state.Workers[s.worker.ID]; worker != nil {
--- a/internal/control/explain.go
+++ b/internal/control/explain.go
@@ -100,7 +100,7 @@
 	return explanations
 }
 
-// anyService stands for the workers of all services.
+// anyService makes unschedulableWorkers count the workers of all services.
 const anyService = ""
 
 // unschedulableWorkers counts the workers of a service that get no new tasks, by reason.
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -484,7 +484,7 @@
 // oneTask is a step with one small task.
 var oneTask = workflow.Step{Count: 1, Need: workflow.Resources{MilliCPU: 1000, MemoryMB: 10}, EstimateMS: 50}
 
-// submission is a command that submits a job with one small task.
+// submission returns a command that submits a job with one small task.
 func submission(id string) *workflow.Command {
 	return &workflow.Command{Submit: &workflow.Submission{ID: id, Queue: "q", Steps: []workflow.Step{oneTask},
 		Policy: workflow.Policy{Service: "s", MaxAttempts: 3, Stretch: 2, ObjectiveMS: 10_000}}}
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -16,8 +16,8 @@
 // the machine loop uses it, except for the fields marked as guarded by t.mu. A pool holds
 // the machines of one configured service.
 type poolMoves struct {
-	// shortSince and idleSince are since when each pool has been short of machines or has
-	// had idle ones.
+	// shortSince and idleSince hold the time since which each pool has been short of
+	// machines or has had idle ones.
 	shortSince, idleSince map[string]time.Time
 	// planned holds the planned move of each machine that is cordoned for it.
 	planned map[string]fleet.Move
@@ -100,7 +100,7 @@
 	return empty
 }
 
-// poolStates returns the state of each pool by the machine list and the log.
+// poolStates returns the state of each pool according to the machine list and the log.
 func (t *leaderTerm) poolStates(services []workflow.Service, now time.Time) []fleet.Pool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/control/heartbeat_buffer.go
+++ b/internal/control/heartbeat_buffer.go
@@ -40,7 +40,7 @@
 }
 
 // isRecent reports whether the leader learned of a heartbeat of the worker within
-// forwardInterval, so that it needs no other one yet.
+// forwardInterval and therefore needs no further one yet.
 func (t *forwardTimes) isRecent(worker string, now time.Time) bool {
 	return now.Sub(t.at[worker]) < forwardInterval
 }
--- a/internal/control/heartbeat_transport.go
+++ b/internal/control/heartbeat_transport.go
@@ -250,10 +250,11 @@
 		func(box *mailbox) map[workflow.Run]*heartbeatOrder { return box.stops })
 }
 
-// deliver adds an order to the worker's orders of one kind, under key, and lets responses
-// carry it repeatedly until a heartbeat proves that it arrived. If ctx ends first,
-// deliver removes the order, unless a newer one has replaced it, and returns
-// errUnconfirmed.
+// deliver adds an order to the worker's mailbox, and returns nil once a heartbeat proves
+// that the order arrived. Responses carry the order repeatedly until then. ordersOf
+// selects the mailbox's orders of the same kind, in which key identifies the order. If
+// ctx ends first, deliver removes the order, unless a newer one has replaced it, and
+// returns errUnconfirmed.
 func deliver[Key comparable](ctx context.Context, h *heartbeatTransport, to Target, key Key, order *heartbeatOrder,
 	ordersOf func(*mailbox) map[Key]*heartbeatOrder) error {
 	order.delivered = make(chan struct{})
--- a/internal/control/heartbeat_transport_test.go
+++ b/internal/control/heartbeat_transport_test.go
@@ -58,7 +58,7 @@
 		}
 	}
 	for _, start := range orders.Starts {
-		// The leader takes the run for refused when the next report lacks it.
+		// The leader considers the run refused if the next report lacks it.
 		_ = sender.startRun(start)
 	}
 	if orders.Lease > 0 {
--- a/internal/control/incarnations.go
+++ b/internal/control/incarnations.go
@@ -13,8 +13,8 @@
 
 const (
 	// clockJumpTolerance is how far the worker's clock in a response may differ from the
-	// expected value, beyond the drift: the one-way delay of a call and the scheduling delay
-	// of both processes.
+	// expected value, beyond clock drift. It covers the one-way delay of a call and the
+	// scheduling delay of both processes.
 	clockJumpTolerance = 2 * time.Second
 	// leavingRevokedAfter is the time after an announced shutdown from which on a heartbeat
 	// shows that the announcement came from another incarnation.
--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -119,8 +119,8 @@
 	poolMoves      *poolMoves
 	// checkpoints are the latest checkpoints that live runs reported.
 	checkpoints map[workflow.TaskKey]string
-	// unaccountedSince is since when each unaccounted run has been without a pending event
-	// that would report its end; see accountsFor.
+	// unaccountedSince holds the time since which each unaccounted run has had no pending
+	// event that would report its end; see accountsFor.
 	unaccountedSince map[workflow.Run]time.Time
 	runCounts        runCounts
 }
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -14,7 +14,7 @@
 const loadLogInterval = time.Second
 
 // waitingGauges maps the reasons why steps wait to their gauges, ordered by the stage of
-// a decision at which a step can meet them.
+// a decision at which each reason arises.
 var waitingGauges = []struct {
 	reason dispatch.Reason
 	name   string
@@ -32,8 +32,8 @@
 }
 
 // clusterResources is the sum of the resources of the workers of a decision. free is the
-// state before the decision. reserved is the part of it that the decision reserved for
-// steps that it couldn't start.
+// sum of the resources that were free before the decision. reserved is the part of free
+// that the decision reserved for steps that it couldn't start.
 type clusterResources struct {
 	capacity, free, reserved workflow.Resources
 	// largestFree is the largest amount of each resource that is free on a single worker.
@@ -48,8 +48,8 @@
 		r.capacity = r.capacity.Plus(w.Capacity)
 		r.free = r.free.Plus(w.FreeBeforePlan)
 		r.largestFree = r.largestFree.Max(w.FreeBeforePlan)
-		// A reservation may include resources of runs that haven't ended. Only its free
-		// resources count.
+		// A reservation may include resources of runs that haven't ended. Only the part
+		// that is free counts.
 		r.reserved = r.reserved.Plus(w.Free.Plus(w.Reserved).Minus(w.Free.Max(workflow.Resources{})))
 	}
 	return r
@@ -57,8 +57,8 @@
 
 // reportLoad logs the load once a second and sets its gauges: the workers' resources,
 // their fragmentation, and how many steps wait for which reason. The log line shows
-// whether a late job met a full cluster or one with free resources that the job couldn't
-// use. Only planLoop calls it.
+// whether a late job waited because the cluster was full or because the job couldn't use
+// the free resources. Only planLoop calls it.
 func (t *leaderTerm) reportLoad(input *planInput, plan *dispatch.Plan, now time.Time) {
 	if now.Sub(t.loadLoggedAt) < loadLogInterval {
 		return
@@ -190,8 +190,8 @@
 	return fields
 }
 
-// dominantShare returns the largest share of any resource of the cluster's capacity that
-// the pending tasks of s need.
+// dominantShare returns the largest of the shares of the cluster's CPU, memory and
+// accelerators that the pending tasks of s need.
 func dominantShare(s *dispatch.Step, capacity workflow.Resources) float64 {
 	demand := s.Spec.Demand().Times(int64(len(s.Pending)))
 	share := func(demand, capacity int64) float64 { return float64(demand) / float64(max(capacity, 1)) }
--- a/internal/control/machines.go
+++ b/internal/control/machines.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// setLatestIncarnations sets the worker of each machine to its latest incarnation by the
-// log, because the list gives only the worker's name and lags.
+// setLatestIncarnations sets the worker of each machine to the latest incarnation in the
+// log, because the machine list gives only the worker's name and may be outdated.
 func (m *machines) setLatestIncarnations(state *StateMachine) {
 	state.read(func(s *workflow.State) {
 		for id, listed := range m.byID {
--- a/internal/control/maintenance_test.go
+++ b/internal/control/maintenance_test.go
@@ -28,7 +28,7 @@
 
 	mu   sync.Mutex
 	byID map[string]*ListedMachine
-	// incarnations counts the later incarnations of each machine's worker.
+	// incarnations counts the incarnations of each machine's worker after the first one.
 	incarnations map[string]int
 	// down and maxDown count the machines that are down.
 	down, maxDown int
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -7,8 +7,8 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// maxStartAttempts is how often the start of a run is sent. If no call succeeds, the run
-// is stopped instead.
+// maxStartAttempts is the maximum number of times that the start of a run is sent. If no
+// call succeeds, the run is stopped instead.
 const maxStartAttempts = 2
 
 // runOrder is the order to start a run that this leader term has committed, and the state
@@ -67,7 +67,8 @@
 	crashSuspect bool
 	// usesSpare says that the task runs on spare CPU: time that other tasks leave idle.
 	// share is the CPU share in percent that the worker last acknowledged, shareChanging
-	// says that a change of it is in flight, pausedAt is since when the share has been 0.
+	// says that a change of it is in flight, pausedAt is when the share became 0; it is
+	// the zero time while the share is above 0.
 	usesSpare     bool
 	share         int
 	shareChanging bool
--- a/internal/control/orphans_test.go
+++ b/internal/control/orphans_test.go
@@ -51,7 +51,7 @@
 	must.False(t, s.accountsFor(run, now))
 }
 
-// Guards against this failure: ended runs are taken for orphaned and stopped. The log
+// Guards against this failure: ended runs are considered orphaned and stopped. The log
 // accepts no command for a while, so that their ends are reported repeatedly and not
 // committed.
 func TestRunWhoseEndIsNotCommittedIsAccountedFor(t *testing.T) {
--- a/internal/control/permits.go
+++ b/internal/control/permits.go
@@ -21,9 +21,9 @@
 	known map[string]dispatch.Permit
 	// inFlight counts the queries in flight.
 	inFlight int
-	// lastQueryAt is when the last query was sent, or since when the step has waited for
-	// its first, relative to the start of the leader term. 0 means that the step hasn't
-	// waited yet.
+	// lastQueryAt is when the last query was sent or, before the first query, when the
+	// step began to wait for it, relative to the start of the leader term. 0 means that
+	// the step hasn't waited yet.
 	lastQueryAt time.Duration
 	// renewing lists the workers whose tickets the queries in flight renew.
 	renewing []string
@@ -77,7 +77,7 @@
 }
 
 // queryAdviserVia sends a query through conn and records the response. validity is the
-// ticket validity by the policy, used when the response has none.
+// ticket validity that the policy specifies, used when the response has none.
 func (t *leaderTerm) queryAdviserVia(conn *adviserConn, query dispatch.Query, queue string, validity, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(t.ctx, timeout)
 	defer cancel()
--- a/internal/control/ports.go
+++ b/internal/control/ports.go
@@ -154,8 +154,8 @@
 	MachineDown
 )
 
-// ListedMachine is an entry of the deployment's list of machines. A worker is one
-// incarnation of a machine.
+// ListedMachine is an entry of the deployment's list of machines. At most one worker runs
+// on a machine; each start of that worker is another incarnation.
 type ListedMachine struct {
 	ID    string
 	Pool  string
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -35,7 +35,8 @@
 	mux.SetVersion(c.version)
 }
 
-// version returns the version of the configuration that is in force by the local state.
+// version returns the version of the configuration that is in force according to the
+// local state.
 func (c *Controller) version() (version uint64) {
 	c.state.read(func(s *workflow.State) { version = s.Configuration.Version })
 	return version
@@ -74,7 +75,7 @@
 	return c.lookUp(ctx, address)
 }
 
-// lookUp returns the queue and the job ID that address names by the local configuration,
+// lookUp returns the queue and the job ID that address names in the local configuration,
 // and records the version of that configuration for the response.
 func (c *Controller) lookUp(ctx context.Context, address JobAddress) (found workflow.Queue, id string, err error) {
 	c.state.read(func(s *workflow.State) {
@@ -197,7 +198,7 @@
 // unknownJob returns the error for a job that doesn't exist.
 func unknownJob(id string) error { return fault.New(fault.Cancelled, "no job %s", id) }
 
-// phase returns the phase of a job by the local state; ok is false when the queue has no
+// phase returns the phase of a job in the local state; ok is false when the queue has no
 // such job.
 func (c *Controller) phase(id, queue string) (phase workflow.Phase, ok bool) {
 	c.state.read(func(s *workflow.State) {
--- a/internal/control/session.go
+++ b/internal/control/session.go
@@ -403,8 +403,8 @@
 	s.t.wake()
 }
 
-// recordKnownEnds marks runs whose end is known: it is proposed, or the worker lists it,
-// until it is committed.
+// recordKnownEnds marks runs whose end is known: until the end is committed, the leader
+// proposes it repeatedly or the worker lists it in its reports.
 func (s *workerSession) recordKnownEnds(ends []workflow.RunEnd) {
 	s.t.mu.Lock()
 	defer s.t.mu.Unlock()
--- a/internal/control/settle_test.go
+++ b/internal/control/settle_test.go
@@ -53,7 +53,7 @@
 
 // Guards against this failure: a task runs on two workers. A worker receives polls but
 // its responses are lost. If unanswered polls extend its lease, its runs continue after
-// the leader takes the lease for expired and starts the task elsewhere.
+// the leader considers the lease expired and starts the task elsewhere.
 func TestUnansweredPollsDoNotExtendLease(t *testing.T) {
 	cluster := clusterWithStartedTask(t)
 	cluster.withWorker("w1", func(f *fakeWorker) { f.responsesLost = true })
@@ -178,7 +178,7 @@
 }
 
 // Guards against this failure: a task runs twice. A worker has more ends to report than
-// one response holds, and the leader takes a run that is missing in a partial report for
+// one response holds, and the leader concludes that a run missing from a partial report
 // never started.
 func TestPartialReportSettlesNoRun(t *testing.T) {
 	cluster := clusterWithInheritedRun(t, func(f *fakeWorker) { f.partial = true })
@@ -266,10 +266,11 @@
 }
 
 // Guards against this failure: an overloaded leader slows down further. It reads
-// responses 0.2 s late and takes each for lost if the overdue time doesn't grow with the
-// response time.
+// responses 0.2 s late and considers each of them lost if the overdue time doesn't grow
+// with the response time.
 func TestOverdueTimeFollowsResponseTime(t *testing.T) {
-	// The moving mean of the response time comes close to the latest value after samples.
+	// samples is the number of equal samples after which the moving mean of the response
+	// time is close to their value.
 	const samples = 200
 	term := &leaderTerm{}
 	must.Eq(t, minOverdueTime, term.overdueAfter())
--- a/internal/control/simulation_checks_test.go
+++ b/internal/control/simulation_checks_test.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// maxReadyWait is how long a ready task may wait while free resources would hold it
-	// twice.
+	// maxReadyWait is how long a ready task may wait while twice its demand is free.
 	maxReadyWait = 3 * time.Second
 	// maxUnaccounted is how long a run may be unaccounted for: its end may have to wait
-	// while the log accepts nothing.
+	// while the log accepts no command.
 	maxUnaccounted = maxReadyWait + maxFaultDuration
 	// checkInterval is the time between two checks of the waiting steps.
 	checkInterval = 50 * time.Millisecond
-	// spareCapacityFactor is how many times a task must fit before it has to start.
+	// spareCapacityFactor is how many times a task or a whole gang must fit into the free
+	// resources before the leader has to start it.
 	spareCapacityFactor = 2
 	// completionMargin is added to twice the estimated time of the remaining work.
 	completionMargin = 30 * time.Second
@@ -130,8 +130,8 @@
 	return found
 }
 
-// maxWait returns how long a step may wait: maxReadyWait, and the time for the adviser
-// queries that it may have to send one after another.
+// maxWait returns how long a step may wait: the sum of maxReadyWait and the time for the
+// adviser queries that it may have to send one after another.
 func (sim *simulation) maxWait(s *openStep) time.Duration {
 	for i := range sim.params.queues {
 		if q := &sim.params.queues[i]; q.Identity() == s.queue {
--- a/internal/control/simulation_crash_test.go
+++ b/internal/control/simulation_crash_test.go
@@ -19,7 +19,8 @@
 	// before its job may be given up.
 	minCrashedWorkers = 2
 	// shrinkGrace is how long after a capacity change the larger capacity may still be
-	// used: the 3 s until which the leader has to know the change, and two heartbeats.
+	// used: the 3 s within which the leader has to learn of the change, and two
+	// heartbeats.
 	shrinkGrace = 3*time.Second + 2*simHeartbeatInterval*heartbeatGroups
 	// crashDowntimeScale scales how long a worker stays down after a task has crashed it:
 	// between 0.1 and 1.1 times crashDowntimeScale.
--- a/internal/control/simulation_faults_test.go
+++ b/internal/control/simulation_faults_test.go
@@ -32,8 +32,9 @@
 }
 
 // submitLoad submits the jobs of one tick, at the given age of the simulation. Each tick
-// adds to the budgets of work and of adviser time in proportion to the load, and to the
-// latter at least as at a load of 1. Jobs are submitted while both budgets are positive.
+// adds to the budgets of work and of adviser time in proportion to the load. For the
+// adviser time, the load counts as at least 1. Jobs are submitted while both budgets are
+// positive.
 func (sim *simulation) submitLoad(age time.Duration) {
 	load := sim.params.load
 	if age >= sim.params.burstAt && age < sim.params.burstAt+sim.params.burstFor {
@@ -53,11 +54,12 @@
 }
 
 const (
-	// faultKinds is the number of kinds that injectFault draws from. Some faults have two
-	// kinds, and so twice the probability of the others.
+	// faultKinds is the number of kinds that injectFault draws from with equal
+	// probability. Faults with two kinds are twice as likely as those with one.
 	faultKinds = 15
-	// slowLogFault, delayedLogFault and the kinds that injectFault does not name are faults
-	// of the log.
+	// The kinds without a case in injectFault are faults of the log: slowLogFault makes
+	// commits slow, delayedLogFault keeps the log from confirming the leadership, and the
+	// remaining kinds make the log refuse commands because it is full.
 	slowLogFault    = 8
 	delayedLogFault = 9
 	// minFaultDuration bounds the duration of faults from below.
--- a/internal/control/simulation_params_test.go
+++ b/internal/control/simulation_params_test.go
@@ -30,8 +30,8 @@
 	// burstAt on for burstFor, if it is higher.
 	load, burst       float64
 	burstAt, burstFor time.Duration
-	// unplaceable is how many steps are submitted first that no worker can run, refused
-	// how many that the adviser permits on no worker.
+	// unplaceable and refused are the numbers of steps that are submitted first and never
+	// run: no worker can run the former, and the adviser permits the latter on no worker.
 	unplaceable, refused int
 	// faults are the fault rates of single calls, faultInterval is the mean time between
 	// two other faults.
@@ -63,7 +63,7 @@
 	largeClusterWorkers, largeClusterOneIn = 350, 25
 	largeClusterConns                      = 44
 	// repeatedQueries is how many queries of a step are repeated to renew tickets,
-	// gangQueryRounds how often a gang may query about all workers.
+	// gangQueryRounds how many times a gang may query about all workers.
 	repeatedQueries = 2
 	gangQueryRounds = 3
 )
@@ -79,7 +79,7 @@
 	return low + time.Duration(random.Float64()*float64(high-low))
 }
 
-// oneIn is true with probability 1/n.
+// oneIn returns true with probability 1/n.
 func oneIn(random *rand.Rand, n int) bool { return random.IntN(n) == 0 }
 
 // drawParams draws the parameters of a simulation.
@@ -173,8 +173,8 @@
 	switch random.IntN(6) {
 	case 0, 1:
 		step.Gang = true
-		// The free resources never hold a gang with more tasks twice, so awaitCompletion
-		// would not check how long the gang waits.
+		// A gang with more tasks never fits twice into the free resources, so
+		// awaitCompletion would not check how long that gang waits.
 		step.Count = min(step.Count, max(1, p.workers/3))
 	case 2:
 		step.Speculative = true
--- a/internal/control/simulation_poll_test.go
+++ b/internal/control/simulation_poll_test.go
@@ -18,7 +18,8 @@
 // Poll returns a report once a run has ended or the hold time of the poll is over.
 func (ws *simWorkers) Poll(ctx context.Context, to Target, o PollOrder) (Report, error) {
 	defer time.Sleep(callGap)
-	// Another kind than "look" would change the drawn outcomes of every seed.
+	// The outcome of a call is drawn from its kind, so another kind than "look" would
+	// change the outcomes of every seed.
 	w, outcome, err := ws.reach(ctx, "look", to, workflow.Run{})
 	if err != nil {
 		return Report{}, err
--- a/internal/control/simulation_test.go
+++ b/internal/control/simulation_test.go
@@ -44,8 +44,8 @@
 	faultsOver bool
 }
 
-// The random sequences of a seed: of the parameters, load and faults, of the log, and of
-// the adviser.
+// The random streams of a seed: simulationStream for the parameters, load and faults,
+// simStoreStream for the log, and simAdviserStream for the adviser.
 const (
 	simulationStream = 3
 	simStoreStream   = 4
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -28,8 +28,8 @@
 }
 
 const (
-	// extraStepCapacity is how many steps the slice of planned steps has capacity for beyond
-	// the number of steps that waited at the last decision.
+	// extraStepCapacity is the capacity of the slice of planned steps in excess of the
+	// number of steps that waited at the last decision.
 	extraStepCapacity = 64
 	// runCheckInterval is the time between two checks of all runs for stops and copies. The
 	// reasons for either take seconds to arise.
@@ -143,8 +143,8 @@
 // runSummary holds the properties of a worker's runs that decisions use. A summary is
 // replaced, never modified, because decisions read it without the lock.
 type runSummary struct {
-	// changes is the version of the worker's runs, by the replicated state, that the summary
-	// describes.
+	// changes is the version, in the replicated state, of the worker's runs that the
+	// summary describes.
 	changes   uint64
 	at        time.Time
 	releases  []dispatch.Release
@@ -331,8 +331,8 @@
 	return pending
 }
 
-// suspectsAmong returns the pending tasks that are crash suspects, because workers have
-// crashed while they ran there. It returns nil if there are none.
+// suspectsAmong returns the pending tasks that are crash suspects: tasks under which
+// workers have crashed. It returns nil if there are none.
 func suspectsAmong(state *workflow.StepState, pending []int) map[int]bool {
 	var suspects map[int]bool
 	for _, index := range pending {
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -10,8 +10,9 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// Guards against this failure: a job doesn't run to its end. It is submitted, started on
-// the only worker, ends there, and has to be reported as done.
+// Guards against this failure: a job doesn't run to its end. The start of its task lacks
+// the payload or the fencing token, or the reported end of the run doesn't complete the
+// job.
 func TestJobRunsToItsEnd(t *testing.T) {
 	cluster := clusterWithStartedTask(t)
 	cluster.withWorker("w1", func(f *fakeWorker) {
@@ -72,8 +73,9 @@
 // same, their tasks can't move to an idle worker.
 func TestStartsQueuedBehindOverdueStartMoveElsewhere(t *testing.T) {
 	const (
-		// hangingStarts is more than the leader sends. laterStarts are the starts that wait
-		// for those in flight.
+		// hangingStarts exceeds the number of starts that the leader sends to w1, so that
+		// all of them hang. laterStarts is the number of starts that wait for those in
+		// flight.
 		hangingStarts = 1000
 		laterStarts   = 4
 	)
--- a/internal/control/starts.go
+++ b/internal/control/starts.go
@@ -16,8 +16,8 @@
 const maxConcurrentStarts = 3
 
 // sendStart sends the start of a committed run until the worker responds or
-// maxStartAttempts calls have failed. It has the run stopped if the worker may still
-// carry out the start.
+// maxStartAttempts calls have failed. If the worker may still carry out the start
+// afterwards, the run is stopped.
 //
 // If a call or its response were lost, an urgent task would wait for the timeout of the
 // call. Therefore the start of the same run is sent again while an overdue call is still
@@ -148,8 +148,8 @@
 
 // acquireStartSlot waits until a start may be sent. It returns a cause, and acquires no
 // slot, if the start is no longer worth sending, for example because another start to the
-// worker is overdue and this one would get no response either. Members of a gang don't
-// use slots, because members that have started wait for the others.
+// worker is overdue and a further start would get no response either. Members of a gang
+// don't use slots, because members that have started wait for the others.
 func (s *workerSession) acquireStartSlot(o *runOrder) (cause string) {
 	select {
 	case s.startSlots <- struct{}{}:
--- a/internal/control/suspect_test.go
+++ b/internal/control/suspect_test.go
@@ -11,9 +11,9 @@
 	"github.com/bilberryferry/bilberryferry/workflow"
 )
 
-// Guards against losing one task after another in the second after a data centre becomes
-// unreachable: no worker of the data centre responds, and one start is overdue. Workers
-// that are judged only by their own overdue orders would all get another task.
+// Guards against losing one task after another in the first second after a data centre
+// becomes unreachable: no worker of the data centre responds, and one start is overdue.
+// Workers that are judged only by their own overdue orders would all get another task.
 func TestUnresponsiveDataCentreIsSuspected(t *testing.T) {
 	now := time.Now()
 	term := &leaderTerm{sessions: map[string]*workerSession{}, dataCentreRespondedAt: map[string]time.Time{}}
--- a/internal/control/throttle.go
+++ b/internal/control/throttle.go
@@ -70,7 +70,7 @@
 	return t.share
 }
 
-// pauseBelowMin returns share, or 0, which pauses tasks, if it is below minShare.
+// pauseBelowMin returns share, or 0 to pause the tasks if share is below minShare.
 func pauseBelowMin(share int) int {
 	if share < minShare {
 		return 0
--- a/internal/control/waiting.go
+++ b/internal/control/waiting.go
@@ -30,7 +30,8 @@
 	seenAt time.Time
 	// earlierWaits is the time that the step has waited for each earlier reason.
 	earlierWaits []waitPeriod
-	// loggedReason is the reason that was logged last, loggedAt is when.
+	// loggedReason is the reason that was logged last, loggedAt is the time of that log
+	// line.
 	loggedReason dispatch.Reason
 	loggedAt     time.Time
 }
