--- a/internal/control/adviser_pool.go
+++ b/internal/control/adviser_pool.go
@@ -115,7 +115,7 @@
 
 // available returns how many connections may take a short query now, and how many of them
 // may also take a long one.
-func (p *adviserPool) available(now time.Time) (all, long int) {
+func (p *adviserPool) available(now time.Time) (total, long int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	usable := p.reachable(now)
@@ -124,12 +124,12 @@
 		if candidate.full() {
 			continue
 		}
-		all++
+		total++
 		if i >= reserved {
 			long++
 		}
 	}
-	return all, long
+	return total, long
 }
 
 // recordShortQuery adds a short query to the mean load. p.mu must be held.
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -29,7 +29,7 @@
 	queued := size.queued
 	machine := NewStateMachine()
 	l := &fakeLog{state: machine}
-	workers := &fakeWorkers{all: map[string]*fakeWorker{}}
+	workers := &fakeWorkers{byID: map[string]*fakeWorker{}}
 	controller := New(Config{Address: "own", Workers: workers, Adviser: workers, Logger: log.NewNopLogger(), Counters: noCounters{}}, machine, l)
 	apply := func(command *workflow.Command) {
 		encoded, err := command.Encode()
--- a/internal/control/chaos_test.go
+++ b/internal/control/chaos_test.go
@@ -65,7 +65,7 @@
 	chaos.incarnations++
 	id := fmt.Sprint("w", chaos.incarnations)
 	chaos.workers.mu.Lock()
-	chaos.workers.all[id] = &chaosWorker{
+	chaos.workers.byID[id] = &chaosWorker{
 		id: id, capacity: tenCores, running: map[workflow.TaskKey]*chaosWorkerRun{}, stopped: map[workflow.TaskKey]int{},
 	}
 	chaos.workers.mu.Unlock()
@@ -92,7 +92,7 @@
 	ws := chaos.workers
 	ws.mu.Lock()
 	var up []*chaosWorker
-	for _, w := range ws.all {
+	for _, w := range ws.byID {
 		if !w.crashed {
 			up = append(up, w)
 		}
@@ -173,7 +173,7 @@
 func randomFaults(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, chaosFaultStream))
 	chaos := &chaosRun{t: t, random: random, state: NewStateMachine(), workers: &chaosWorkers{
-		t: t, random: rand.New(rand.NewPCG(seed, chaosCallStream)), all: map[string]*chaosWorker{}, specs: map[string]workflow.Step{},
+		t: t, random: rand.New(rand.NewPCG(seed, chaosCallStream)), byID: map[string]*chaosWorker{}, specs: map[string]workflow.Step{},
 		completeGangs: map[gangRun]bool{}, startedAt: map[workflow.TaskKey][]time.Time{}, doneAt: map[workflow.TaskKey]time.Time{},
 	}}
 	chaos.startLeader()
@@ -236,7 +236,7 @@
 	for range openJobChecks {
 		chaos.workers.mu.Lock()
 		var up []string
-		for id, w := range chaos.workers.all {
+		for id, w := range chaos.workers.byID {
 			if !w.crashed {
 				up = append(up, id)
 			}
--- a/internal/control/chaos_workers_test.go
+++ b/internal/control/chaos_workers_test.go
@@ -58,7 +58,7 @@
 	random *rand.Rand
 	// faultsOver switches off all faults.
 	faultsOver bool
-	all        map[string]*chaosWorker
+	byID       map[string]*chaosWorker
 	specs      map[string]workflow.Step
 	// startedAt holds all start times of a task. doneAt is when a task was done, set once
 	// a leader has acknowledged that end.
@@ -154,7 +154,7 @@
 func (ws *chaosWorkers) call(id string, apply func(*chaosWorker) error) (int64, error) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
-	w := ws.all[id]
+	w := ws.byID[id]
 	if w.crashed && !time.Now().Before(w.unreachableUntil) {
 		return 0, ErrOtherIncarnation
 	}
@@ -216,7 +216,7 @@
 		ws.violations = append(ws.violations, fmt.Sprintf("%s starts on %s after it was done", task, w.id))
 	}
 	live := 0
-	for _, other := range ws.all {
+	for _, other := range ws.byID {
 		if other.running[task] != nil && !other.crashed {
 			live++
 		}
@@ -346,7 +346,7 @@
 func (ws *chaosWorkers) runTasks(ctx context.Context) {
 	for wait.For(ctx, chaosRunInterval) {
 		ws.mu.Lock()
-		for _, w := range ws.all {
+		for _, w := range ws.byID {
 			for task, run := range w.running {
 				switch {
 				case w.crashed:
@@ -370,7 +370,7 @@
 		return true
 	}
 	runningMembers := map[int]bool{}
-	for _, w := range ws.all {
+	for _, w := range ws.byID {
 		for other, otherRun := range w.running {
 			if other.StepKey == task.StepKey && otherRun.number == run && !w.crashed {
 				runningMembers[other.Index] = true
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -189,15 +189,15 @@
 // fakeWorkers implements the calls to all workers, and an adviser that permits every
 // task.
 type fakeWorkers struct {
-	mu  sync.Mutex
-	all map[string]*fakeWorker
+	mu   sync.Mutex
+	byID map[string]*fakeWorker
 }
 
 func (f *fakeWorkers) add(id string) *fakeWorker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := &fakeWorker{id: id, running: map[workflow.TaskKey]Running{}, stopped: map[workflow.TaskKey]int{}, shares: map[workflow.TaskKey]int{}}
-	f.all[id] = w
+	f.byID[id] = w
 	return w
 }
 
@@ -211,7 +211,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w := f.all[to.Worker].current()
+	w := f.byID[to.Worker].current()
 	if w.superseded || w.misdirected > 0 {
 		w.misdirected--
 		return 0, ErrOtherIncarnation
@@ -237,7 +237,7 @@
 func (f *fakeWorkers) takeHangingStart(worker string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w := f.all[worker]
+	w := f.byID[worker]
 	if w.hangingStarts == 0 {
 		return false
 	}
@@ -248,7 +248,7 @@
 // refusesSlowly reports, after slowRefusalDelay, whether a start is to be refused.
 func (f *fakeWorkers) refusesSlowly(ctx context.Context, worker string) bool {
 	f.mu.Lock()
-	w := f.all[worker]
+	w := f.byID[worker]
 	late := w.slowRefusals > 0
 	if late {
 		w.slowRefusals--
@@ -276,7 +276,7 @@
 func (f *fakeWorkers) Stop(_ context.Context, to Target, order StopOrder) (int64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w := f.all[to.Worker].current()
+	w := f.byID[to.Worker].current()
 	if w.lostStops > 0 {
 		w.lostStops--
 		return 0, errNoResponse
@@ -304,7 +304,7 @@
 func (f *fakeWorkers) Throttle(_ context.Context, to Target, order ThrottleOrder) (int64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.all[to.Worker].shares[order.Run.Task] = order.Share
+	f.byID[to.Worker].shares[order.Run.Task] = order.Share
 	return fakeClockMS, nil
 }
 
@@ -315,7 +315,7 @@
 	wait.For(ctx, fakePollHold)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w := f.all[to.Worker].current()
+	w := f.byID[to.Worker].current()
 	if w.superseded {
 		return Report{}, ErrOtherIncarnation
 	}
@@ -376,7 +376,7 @@
 // leads.
 func newTestCluster(t *testing.T, prepare func(cluster *testCluster)) *testCluster {
 	machine := NewStateMachine()
-	cluster := &testCluster{t: t, log: &fakeLog{state: machine}, workers: &fakeWorkers{all: map[string]*fakeWorker{}}}
+	cluster := &testCluster{t: t, log: &fakeLog{state: machine}, workers: &fakeWorkers{byID: map[string]*fakeWorker{}}}
 	bounds := Bounds{MaxLease: testMaxLease, EndedJobRetention: time.Minute}
 	cluster.controller = New(Config{
 		Address: "own", Bounds: bounds, Workers: cluster.workers, Adviser: cluster.workers, Client: link.NewClient(testMaxConns),
@@ -463,7 +463,7 @@
 func (cluster *testCluster) withWorker(id string, f func(*fakeWorker)) {
 	cluster.workers.mu.Lock()
 	defer cluster.workers.mu.Unlock()
-	f(cluster.workers.all[id])
+	f(cluster.workers.byID[id])
 }
 
 // started returns how many starts a worker has carried out.
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -155,8 +155,8 @@
 					continue
 				}
 				state := &job.Occurrences[occurrence][step]
-				left := int64(len(state.Tasks) - state.Done)
-				demand[job.Policy.Service] += left * job.Steps[step].Demand().MilliCPU
+				remaining := int64(len(state.Tasks) - state.Done)
+				demand[job.Policy.Service] += remaining * job.Steps[step].Demand().MilliCPU
 			}
 		}
 	}
--- a/internal/control/heartbeat_transport_test.go
+++ b/internal/control/heartbeat_transport_test.go
@@ -87,10 +87,10 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	all := map[string]*heartbeatWorker{}
+	senders := map[string]*heartbeatWorker{}
 	for _, id := range ids {
 		sender := &heartbeatWorker{fakeWorker: cluster.workers.add(id)}
-		all[id] = sender
+		senders[id] = sender
 		go func() {
 			for wait.For(ctx, testHeartbeatInterval) {
 				if _, err := cluster.controller.currentLeaderTerm(context.Background()); err == nil {
@@ -99,7 +99,7 @@
 			}
 		}()
 	}
-	return cluster, all
+	return cluster, senders
 }
 
 // Guards against this failure: a job doesn't run, or a cancelled one isn't stopped,
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -172,17 +172,17 @@
 	fields := []any{"waiting_gangs", waitingGangs}
 	fitCount, age := 0, time.Duration(0)
 	if largest != nil {
-		all, permitted := dispatch.FitCounts(largest, input.workers)
-		fitCount = all
+		total, permitted := dispatch.FitCounts(largest, input.workers)
+		fitCount = total
 		fields = append(fields, "largest_gang", largest.Key, "largest_gang_tasks", len(largest.Pending),
-			"largest_gang_each", formatResources(largest.Spec.Demand()), "free_pieces", all, "permitted_pieces", permitted)
+			"largest_gang_each", formatResources(largest.Spec.Demand()), "free_pieces", total, "permitted_pieces", permitted)
 	}
 	if s, state := t.oldestWaiting(input); s != nil {
 		age = now.Sub(state.since)
-		all, permitted := dispatch.FitCounts(s, input.workers)
+		total, permitted := dispatch.FitCounts(s, input.workers)
 		fields = append(fields, "oldest", s.Key, "oldest_ms", age.Milliseconds(), "oldest_reason", state.reason,
 			"oldest_tasks", len(s.Pending), "oldest_gang", s.Spec.Gang, "oldest_each", formatResources(s.Spec.Demand()),
-			"oldest_pieces", all, "oldest_permitted_pieces", permitted)
+			"oldest_pieces", total, "oldest_permitted_pieces", permitted)
 	}
 	t.c.cfg.Counters.Set("waiting_gangs", int64(waitingGangs))
 	t.c.cfg.Counters.Set("free_pieces", int64(fitCount))
--- a/internal/control/maintenance_test.go
+++ b/internal/control/maintenance_test.go
@@ -328,7 +328,7 @@
 	running := func() (ids []string) {
 		cluster.workers.mu.Lock()
 		defer cluster.workers.mu.Unlock()
-		for id, f := range cluster.workers.all {
+		for id, f := range cluster.workers.byID {
 			if len(f.running) > 0 {
 				ids = append(ids, id)
 			}
@@ -386,7 +386,7 @@
 		started := 0
 		cluster.workers.mu.Lock()
 		defer cluster.workers.mu.Unlock()
-		for _, f := range cluster.workers.all {
+		for _, f := range cluster.workers.byID {
 			started += len(f.starts)
 		}
 		return started == 2
--- a/internal/control/orphans_test.go
+++ b/internal/control/orphans_test.go
@@ -58,8 +58,8 @@
 	cluster := clusterWithStartedTask(t)
 	cluster.eventually("the run is reported", func() bool { return cluster.currentRunCounts().unaccounted == 0 })
 	var refusals []error
-	const moreThanProposed = 1000
-	for range moreThanProposed {
+	const failedProposals = 1000
+	for range failedProposals {
 		refusals = append(refusals, node.ErrOutcomeUnknown)
 	}
 	cluster.log.failEnds(refusals...)
--- a/internal/control/report.go
+++ b/internal/control/report.go
@@ -15,9 +15,9 @@
 	t := s.t
 	now := time.Now()
 	t.mu.Lock()
-	first := !s.ready
+	firstReport := !s.ready
 	s.ready = true
-	returned := first && len(s.unresolvedRuns()) > 0
+	returned := firstReport && len(s.unresolvedRuns()) > 0
 	s.recordReport(report.ClockMS, now)
 	ends, lastEnd := s.listedEnds(report, now)
 	ends = append(ends, s.neverStarted(report, ends, sent)...)
@@ -28,7 +28,7 @@
 		s.fullReportSentAt = sent
 	}
 	t.mu.Unlock()
-	if first {
+	if firstReport {
 		t.logger.Log("event", "worker_contact", "worker", s.worker.ID, "outcome", "ready",
 			"running", len(report.Running), "ended", len(report.Ended))
 	}
@@ -43,7 +43,7 @@
 	if lastEnd > 0 || len(ends) > 0 {
 		s.logEnds(ends)
 		s.commitEnds(lastEnd, ends)
-	} else if first {
+	} else if firstReport {
 		t.wake()
 	}
 }
--- a/internal/control/simulation_adviser_test.go
+++ b/internal/control/simulation_adviser_test.go
@@ -114,9 +114,9 @@
 
 // ticketHolds reports whether a ticket permits a step on a worker now.
 func ticketHolds(ticket string, step workflow.StepKey, worker string) bool {
-	rest, ok := strings.CutPrefix(ticket, fmt.Sprint(step, " ", worker, " "))
+	expiryText, ok := strings.CutPrefix(ticket, fmt.Sprint(step, " ", worker, " "))
 	expires := int64(0)
-	if _, err := fmt.Sscan(rest, &expires); err != nil {
+	if _, err := fmt.Sscan(expiryText, &expires); err != nil {
 		return false
 	}
 	return ok && time.Now().UnixNano() < expires
--- a/internal/control/simulation_checks_test.go
+++ b/internal/control/simulation_checks_test.go
@@ -85,14 +85,14 @@
 			return found
 		}
 		open, mostlyUsed := sim.openSteps()
-		left := slices.DeleteFunc(open, func(s openStep) bool { return !s.placeable })
-		if len(left) == 0 {
+		unfinished := slices.DeleteFunc(open, func(s openStep) bool { return !s.placeable })
+		if len(unfinished) == 0 {
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return sim.describe("isn't done long after the faults ended:", left)
+			return sim.describe("isn't done long after the faults ended:", unfinished)
 		}
-		if found := sim.starvedSteps(left, waitingSince, mostlyUsed, start.Add(drained)); len(found) > 0 {
+		if found := sim.starvedSteps(unfinished, waitingSince, mostlyUsed, start.Add(drained)); len(found) > 0 {
 			return sim.describe("fits into free resources but does not start:", found)
 		}
 	}
@@ -211,12 +211,12 @@
 
 // mostlyUsed reports whether half of the cores or more are in use. ws.mu must be held.
 func (ws *simWorkers) mostlyUsed() bool {
-	used, all := int64(0), int64(0)
+	used, total := int64(0), int64(0)
 	for _, w := range ws.current {
 		used += w.used().MilliCPU
-		all += w.Capacity.MilliCPU
+		total += w.Capacity.MilliCPU
 	}
-	return 2*used >= all
+	return 2*used >= total
 }
 
 // measureFit determines which tasks of a step run nowhere, how many fit now, and whether
--- a/internal/control/simulation_crash_test.go
+++ b/internal/control/simulation_crash_test.go
@@ -43,7 +43,7 @@
 			ws.violations = append(ws.violations, fmt.Sprintf("%s is started again after it has crashed %d workers", run.Task, ws.crashes[run.Task]))
 		}
 	}
-	draw := func(what string) float64 { return seededFloat(ws.seed, what, run.Task, run.Number) }
+	draw := func(quantity string) float64 { return seededFloat(ws.seed, quantity, run.Task, run.Number) }
 	time.AfterFunc(time.Duration(draw("crash after")*float64(maxCrashDelay)), func() {
 		ws.mu.Lock()
 		defer ws.mu.Unlock()
@@ -93,7 +93,7 @@
 
 // restoreCapacities gives all workers their full capacity back. ws.mu must be held.
 func (ws *simWorkers) restoreCapacities() {
-	for _, w := range ws.all {
+	for _, w := range ws.incarnations {
 		w.resize(ws.params.capacity, time.Now())
 	}
 }
--- a/internal/control/simulation_faults_test.go
+++ b/internal/control/simulation_faults_test.go
@@ -16,13 +16,13 @@
 // meanwhile, nil for none.
 func (sim *simulation) runWithFaults() []string {
 	start := time.Now()
-	next := start.Add(randomDuration(sim.random, 0, sim.params.faultInterval))
+	nextFaultAt := start.Add(randomDuration(sim.random, 0, sim.params.faultInterval))
 	for time.Since(start) < sim.params.faultPeriod {
 		time.Sleep(simTick)
 		sim.submitLoad(time.Since(start))
-		if time.Now().After(next) {
+		if time.Now().After(nextFaultAt) {
 			sim.injectFault()
-			next = time.Now().Add(randomDuration(sim.random, 0, 2*sim.params.faultInterval))
+			nextFaultAt = time.Now().Add(randomDuration(sim.random, 0, 2*sim.params.faultInterval))
 		}
 		if found := sim.invariantViolations(); len(found) > 0 {
 			return found
@@ -117,7 +117,7 @@
 func (sim *simulation) changeRandomWorkers(change func(*simWorker)) {
 	sim.workers.mu.Lock()
 	defer sim.workers.mu.Unlock()
-	for _, w := range sim.workers.all {
+	for _, w := range sim.workers.incarnations {
 		if oneIn(sim.random, 3) {
 			change(w)
 		}
@@ -132,7 +132,7 @@
 	}
 	sim.workers.mu.Lock()
 	defer sim.workers.mu.Unlock()
-	sim.workers.all[sim.random.IntN(len(sim.workers.all))].unreachableUntil = until
+	sim.workers.incarnations[sim.random.IntN(len(sim.workers.incarnations))].unreachableUntil = until
 }
 
 // neverReturnsOneIn is the inverse of the probability that a crashed worker never
@@ -144,7 +144,7 @@
 	downtime, returns := randomDuration(sim.random, 50*time.Millisecond, 4*time.Second), !oneIn(sim.random, neverReturnsOneIn)
 	sim.workers.mu.Lock()
 	defer sim.workers.mu.Unlock()
-	w := sim.workers.all[sim.random.IntN(len(sim.workers.all))]
+	w := sim.workers.incarnations[sim.random.IntN(len(sim.workers.incarnations))]
 	if w.crashed {
 		return
 	}
--- a/internal/control/simulation_poll_test.go
+++ b/internal/control/simulation_poll_test.go
@@ -129,7 +129,7 @@
 	for wait.For(ctx, simRunInterval) {
 		ws.mu.Lock()
 		now, runningMembers := time.Now(), ws.runningGangMembers()
-		for _, w := range ws.all {
+		for _, w := range ws.incarnations {
 			for task, run := range w.running {
 				switch {
 				case now.After(w.leaseEnd):
@@ -151,7 +151,7 @@
 // held.
 func (ws *simWorkers) runningGangMembers() map[gangRun]int {
 	runningMembers := map[gangRun]int{}
-	for _, w := range ws.all {
+	for _, w := range ws.incarnations {
 		for task, run := range w.running {
 			if run.gang {
 				runningMembers[gangRun{task.StepKey, run.number}]++
--- a/internal/control/simulation_test.go
+++ b/internal/control/simulation_test.go
@@ -155,7 +155,7 @@
 		}
 		sim.workers.mu.Lock()
 		var announcements []*Announcement
-		for i, w := range sim.workers.all {
+		for i, w := range sim.workers.incarnations {
 			if w.reachable(time.Now()) && i%heartbeatGroups == round%heartbeatGroups {
 				w.Sequence++
 				announcements = append(announcements, &Announcement{Worker: w.Worker, Sequence: w.Sequence})
--- a/internal/control/simulation_worker_test.go
+++ b/internal/control/simulation_worker_test.go
@@ -55,9 +55,9 @@
 	// eventLog holds the log lines of the leaders and the workers.
 	eventLog *simLog
 
-	mu         sync.Mutex
-	faultsOver bool
-	all        []*simWorker
+	mu           sync.Mutex
+	faultsOver   bool
+	incarnations []*simWorker
 	// current is the current incarnation at each address.
 	current map[string]*simWorker
 	// calls counts the calls of each kind for a run on a worker, so that the outcome of a
@@ -93,7 +93,7 @@
 	}
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
-	ws.all = append(ws.all, w)
+	ws.incarnations = append(ws.incarnations, w)
 	ws.current[address] = w
 	return w
 }
@@ -139,12 +139,12 @@
 	key := fmt.Sprint(kind, w.ID, run)
 	ws.calls[key]++
 	n := ws.calls[key]
-	draw := func(what string) float64 { return seededFloat(ws.seed, what, key, n) }
+	draw := func(quantity string) float64 { return seededFloat(ws.seed, quantity, key, n) }
 	outcome := callOutcome{requestDelay: time.Duration((0.3 + draw("way")) * float64(time.Millisecond)), responseDelay: time.Duration((0.3 + draw("back")) * float64(time.Millisecond))}
 	if ws.faultsOver {
 		return outcome
 	}
-	p, faults := draw("fate"), &ws.params.faults
+	remaining, faults := draw("fate"), &ws.params.faults
 	for _, c := range []struct {
 		chance float64
 		apply  func()
@@ -155,7 +155,7 @@
 		{faults.slow, func() { outcome.responseDelay = time.Duration(draw("slow") * float64(callTimeout*5/4)) }},
 		{faults.misdirected, func() { outcome.misdirected = kind == "start" }},
 	} {
-		if p -= c.chance; p < 0 {
+		if remaining -= c.chance; remaining < 0 {
 			c.apply()
 			return outcome
 		}
@@ -290,7 +290,7 @@
 		ws.violations = append(ws.violations, fmt.Sprintf("%s starts on %s after it was done", task, w.ID))
 	}
 	live := 0
-	for _, other := range ws.all {
+	for _, other := range ws.incarnations {
 		if other.running[task] != nil {
 			live++
 		}
