--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -50,7 +50,7 @@
 }
 
 // recentlyForwarded reports whether a heartbeat of the worker was forwarded within
-// forwardInterval. Otherwise it records that this one is forwarded now.
+// forwardInterval. Otherwise it records that a heartbeat is forwarded now.
 func (f *forwardedHeartbeats) recentlyForwarded(worker string, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/control/crash.go
+++ b/internal/control/crash.go
@@ -47,8 +47,8 @@
 	return workflow.SuspicionStrong
 }
 
-// aliveFor returns for how long the worker is known to have responded during a run, 0 if
-// no response has shown the run. t.mu must be held.
+// aliveFor returns the time from the start of a run, or from the first report that listed
+// it, to the worker's last response. It returns 0 if neither is known. t.mu must be held.
 func (s *workerSession) aliveFor(o *runOrder) time.Duration {
 	since := o.startedAt
 	if since.IsZero() {
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -447,7 +447,7 @@
 )
 
 // eventually waits until ok returns true, and fails the test if it never does. event
-// names what it waits for.
+// names the awaited event.
 func (cluster *testCluster) eventually(event string, ok func() bool) {
 	cluster.t.Helper()
 	for range eventuallyChecks {
--- a/internal/control/health.go
+++ b/internal/control/health.go
@@ -23,8 +23,9 @@
 	// stopped and started elsewhere: longer than a short pause of a worker, shorter than
 	// most tasks.
 	stalledRunTimeout = 3 * time.Second
-	// slowFactor times the mean pace of all workers is the pace above which a worker counts
-	// as slow. The pace is the run time divided by its estimate, which is off by up to half.
+	// slowFactor is the multiple of the mean pace of all workers above which a worker
+	// counts as slow. The pace is the run time divided by its estimate, which is off by
+	// up to half.
 	slowFactor = 2.5
 	// slowSamples is the number of runs that a worker must have finished before it can count
 	// as slow.
--- a/internal/control/heartbeat_transport.go
+++ b/internal/control/heartbeat_transport.go
@@ -187,7 +187,7 @@
 // makeResponse returns the response to a heartbeat. The end of the lease that the leader
 // has set, on the worker's clock, is converted to a duration that the worker counts from
 // the arrival of the response. The response may arrive as late as the worker's timeout,
-// so that time is subtracted.
+// so heartbeatTimeout is subtracted.
 func (box *mailbox) makeResponse(fence uint64, report Report, now time.Time) HeartbeatOrders {
 	if box.fence != fence {
 		box.fence, box.confirmations = fence, 0
--- a/internal/control/incremental.go
+++ b/internal/control/incremental.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// incrementalPauseFactor times the duration of an incremental decision is the pause
-	// after it.
+	// incrementalPauseFactor is the pause after an incremental decision, as a multiple of
+	// the duration of that decision.
 	incrementalPauseFactor = 10
 	// maxLeftoverAge is the maximum age of the free resources that the last full decision
 	// left over. They don't include resources that were freed since that decision. They may
--- a/internal/control/permits.go
+++ b/internal/control/permits.go
@@ -134,9 +134,9 @@
 	t.grantShares[queue] = share
 }
 
-// recordReply stores the permits of a response to a query about the queried workers.
-// Those that aren't granted are refused. expires is when the tickets expire, relative to
-// the start of the leader term. leaderTerm.mu must be held.
+// recordReply stores the permits of a response to a query about the queried workers. It
+// records queried workers without a grant as refused. expires is when the tickets expire,
+// relative to the start of the leader term. leaderTerm.mu must be held.
 func (p *stepPermits) recordReply(queried []string, reply AdviserReply, expires time.Duration) {
 	known := maps.Clone(p.known)
 	for _, worker := range queried {
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -23,10 +23,10 @@
 	// minPlanInterval is the minimum time between two decisions. It batches events that
 	// arrive together.
 	minPlanInterval = 2 * time.Millisecond
-	// planPauseFactor times the duration of a full decision is the pause after it. The pause
-	// is limited to maxPlanPause, because a decision that other goroutines delayed takes
-	// long without being expensive. Incremental decisions about changed jobs are made during
-	// the pause.
+	// planPauseFactor is the pause after a full decision, as a multiple of the duration
+	// of that decision. The pause is limited to maxPlanPause, because a decision that
+	// other goroutines delayed takes long without being expensive. Incremental decisions
+	// about changed jobs are made during the pause.
 	//
 	// With many workers and a queue, a decision takes milliseconds. Without pauses,
 	// decisions would occupy the leader's only processor and delay the heartbeats of the
--- a/internal/control/polls.go
+++ b/internal/control/polls.go
@@ -14,9 +14,9 @@
 	// maxLossyPollsPerSecond bounds the polls per second to all workers together during the loss
 	// window. Each poll costs the leader about 0.3 ms.
 	maxLossyPollsPerSecond = 200
-	// overdueFactor times the mean response time is how long a response may take before it
-	// counts as overdue. The same multiple of the mean delay of responses is the pause
-	// between a report with ended runs and the next poll.
+	// overdueFactor is the multiple of the mean response time after which a response
+	// counts as overdue. It is also the pause between a report with ended runs and the
+	// next poll, as a multiple of the mean delay of responses.
 	overdueFactor = 8
 	// responseTimeWeight is the weight of the latest sample in the moving mean of response
 	// times.
--- a/internal/control/report.go
+++ b/internal/control/report.go
@@ -37,7 +37,7 @@
 		t.spawn(func() { s.stopUnknownRun(run) })
 	}
 	if returned {
-		// Only this report shows that the worker responds again; no later one repeats it.
+		// Only this report shows that the worker responds again; later reports don't.
 		t.spawn(s.commitReturned)
 	}
 	if lastEnd > 0 || len(ends) > 0 {
--- a/internal/control/simulation_params_test.go
+++ b/internal/control/simulation_params_test.go
@@ -26,8 +26,8 @@
 	queues []workflow.Queue
 	// faultPeriod is how long load is submitted and faults are injected.
 	faultPeriod time.Duration
-	// load is the submitted work as a multiple of the capacity. burst replaces it from
-	// burstAt on for burstFor, if it is higher.
+	// load is the submitted work as a multiple of the capacity. From burstAt on for
+	// burstFor, burst replaces load if burst is higher.
 	load, burst       float64
 	burstAt, burstFor time.Duration
 	// unplaceable and refused are the numbers of steps that are submitted first and never
--- a/internal/control/simulation_replica_test.go
+++ b/internal/control/simulation_replica_test.go
@@ -22,8 +22,8 @@
 	index  uint64
 	// lastAt is when the last command is committed. Commands are committed in order.
 	lastAt time.Time
-	// slowUntil is when commits are fast again, delayedUntil when the log can confirm the
-	// leadership again, fullUntil when it accepts calls again.
+	// Commits are slow until slowUntil, the log can't confirm the leadership until
+	// delayedUntil, and it refuses calls until fullUntil.
 	slowUntil, delayedUntil, fullUntil time.Time
 	// unknownOutcome holds the commands whose outcome was unknown when their leader lost
 	// the leadership.
--- a/internal/control/simulation_worker_test.go
+++ b/internal/control/simulation_worker_test.go
@@ -125,8 +125,8 @@
 type callOutcome struct {
 	requestDelay, responseDelay time.Duration
 	// A lost call never arrives. An unanswered one is carried out and gets no response, a
-	// misdirected one gets the response of another incarnation. A call with a positive
-	// late is carried out after that time, and its caller gets no response.
+	// misdirected one gets the response of another incarnation. If late is positive, the
+	// call is carried out after that time, and its caller gets no response.
 	lost, unanswered, misdirected bool
 	late                          time.Duration
 }
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -69,8 +69,8 @@
 
 // Guards against this failure: tasks wait for the lease of a worker that became
 // unreachable before their starts were sent. A step's tasks are assigned to one worker,
-// which doesn't respond to the first starts. If the remaining starts are sent all the
-// same, their tasks can't move to an idle worker.
+// which doesn't respond to the first starts. If the remaining starts are sent to that
+// worker nevertheless, their tasks can't move to an idle worker.
 func TestStartsQueuedBehindOverdueStartMoveElsewhere(t *testing.T) {
 	const (
 		// hangingStarts exceeds the number of starts that the leader sends to w1, so that
--- a/internal/control/unreported_runs_test.go
+++ b/internal/control/unreported_runs_test.go
@@ -18,7 +18,8 @@
 }
 
 // Guards against this failure: a task never runs again. Its start gets the response of
-// another incarnation, while the worker's reports still come from the same one.
+// another incarnation, while the worker's reports still come from the incarnation that
+// the leader monitors.
 func TestMisdirectedStartIsSettled(t *testing.T) {
 	cluster := newTestCluster(t, nil)
 	cluster.workers.add("w1").misdirected = 1
