--- a/internal/control/chaos_test.go
+++ b/internal/control/chaos_test.go
@@ -65,7 +65,7 @@
 	chaos.incarnations++
 	id := fmt.Sprint("w", chaos.incarnations)
 	chaos.workers.mu.Lock()
-	chaos.workers.all[id] = &chaosWorker{
+	chaos.workers.byID[id] = &chaosWorker{
 		id: id, capacity: tenCores, running: map[workflow.TaskKey]*chaosWorkerRun{}, stopped: map[workflow.TaskKey]int{},
 	}
 	chaos.workers.mu.Unlock()
@@ -77,7 +77,8 @@
 	must.NoError(chaos.t, err)
 }
 
-// The kinds of faults that injectFault draws. The remaining kind is no fault.
+// The kinds of faults that injectFault draws. chaosFaultKinds is their number, including
+// the kind without a constant, which injects no fault.
 const (
 	crashFault        = 0
 	unreachableFault  = 1
@@ -91,7 +92,7 @@
 	ws := chaos.workers
 	ws.mu.Lock()
 	var up []*chaosWorker
-	for _, w := range ws.all {
+	for _, w := range ws.byID {
 		if !w.crashed {
 			up = append(up, w)
 		}
@@ -155,8 +156,8 @@
 }
 
 const (
-	// chaosFaultStream and chaosCallStream select the random sequences of a seed for the
-	// jobs and faults and for the outcomes of calls.
+	// chaosFaultStream and chaosCallStream select the random streams of a seed: the
+	// former for jobs and faults, the latter for the outcomes of calls.
 	chaosFaultStream = 1
 	chaosCallStream  = 2
 	// chaosWorkerCount is how many workers are up at a time.
@@ -172,7 +173,7 @@
 func randomFaults(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, chaosFaultStream))
 	chaos := &chaosRun{t: t, random: random, state: NewStateMachine(), workers: &chaosWorkers{
-		t: t, random: rand.New(rand.NewPCG(seed, chaosCallStream)), all: map[string]*chaosWorker{}, specs: map[string]workflow.Step{},
+		t: t, random: rand.New(rand.NewPCG(seed, chaosCallStream)), byID: map[string]*chaosWorker{}, specs: map[string]workflow.Step{},
 		completeGangs: map[gangRun]bool{}, startedAt: map[workflow.TaskKey][]time.Time{}, doneAt: map[workflow.TaskKey]time.Time{},
 	}}
 	chaos.startLeader()
@@ -235,7 +236,7 @@
 	for range openJobChecks {
 		chaos.workers.mu.Lock()
 		var up []string
-		for id, w := range chaos.workers.all {
+		for id, w := range chaos.workers.byID {
 			if !w.crashed {
 				up = append(up, id)
 			}
--- a/internal/control/crash.go
+++ b/internal/control/crash.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// strongSuspicionMaxAge is the highest age of a run, at its worker's last response, at
-	// which the worker's crash counts strongly against the task.
+	// strongSuspicionMaxAge is the maximum age that a run may have had at its worker's
+	// last response for the worker's crash to count strongly against the task.
 	strongSuspicionMaxAge = time.Second
 	// noSuspicionMinAge is the age from which on a run of a long-running task isn't
 	// suspected of having crashed its worker.
@@ -47,8 +47,8 @@
 	return workflow.SuspicionStrong
 }
 
-// aliveFor returns for how long the worker is known to have responded during a run, 0 if
-// no response has shown the run. t.mu must be held.
+// aliveFor returns the time from the start of a run, or from the first report that listed
+// it, to the worker's last response. It returns 0 if neither is known. t.mu must be held.
 func (s *workerSession) aliveFor(o *runOrder) time.Duration {
 	since := o.startedAt
 	if since.IsZero() {
@@ -108,8 +108,8 @@
 	}
 }
 
-// unresolvedRuns returns the runs that ended when the worker's lease expired and for which
-// a crash may still turn out to be the cause. t.mu may be held.
+// unresolvedRuns returns the runs that ended when the worker's lease expired and for
+// which a crash may still turn out to be the cause. t.mu need not be held.
 func (s *workerSession) unresolvedRuns() (ends []workflow.RunEnd) {
 	s.t.c.state.read(func(state *workflow.State) {
 		if worker := state.Workers[s.worker.ID]; worker != nil {
--- a/internal/control/orphans_test.go
+++ b/internal/control/orphans_test.go
@@ -51,15 +51,15 @@
 	must.False(t, s.accountsFor(run, now))
 }
 
-// Guards against this failure: ended runs are taken for orphaned and stopped. The log
+// Guards against this failure: ended runs are considered orphaned and stopped. The log
 // accepts no command for a while, so that their ends are reported repeatedly and not
 // committed.
 func TestRunWhoseEndIsNotCommittedIsAccountedFor(t *testing.T) {
 	cluster := clusterWithStartedTask(t)
 	cluster.eventually("the run is reported", func() bool { return cluster.currentRunCounts().unaccounted == 0 })
 	var refusals []error
-	const moreThanProposed = 1000
-	for range moreThanProposed {
+	const failedProposals = 1000
+	for range failedProposals {
 		refusals = append(refusals, node.ErrOutcomeUnknown)
 	}
 	cluster.log.failEnds(refusals...)
--- a/internal/control/simulation_checks_test.go
+++ b/internal/control/simulation_checks_test.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// maxReadyWait is how long a ready task may wait while free resources would hold it
-	// twice.
+	// maxReadyWait is how long a ready task may wait while twice its demand is free.
 	maxReadyWait = 3 * time.Second
 	// maxUnaccounted is how long a run may be unaccounted for: its end may have to wait
-	// while the log accepts nothing.
+	// while the log accepts no command.
 	maxUnaccounted = maxReadyWait + maxFaultDuration
 	// checkInterval is the time between two checks of the waiting steps.
 	checkInterval = 50 * time.Millisecond
-	// spareCapacityFactor is how many times a task must fit before it has to start.
+	// spareCapacityFactor is how many times a task or a whole gang must fit into the free
+	// resources before the leader has to start it.
 	spareCapacityFactor = 2
 	// completionMargin is added to twice the estimated time of the remaining work.
 	completionMargin = 30 * time.Second
@@ -85,14 +85,14 @@
 			return found
 		}
 		open, mostlyUsed := sim.openSteps()
-		left := slices.DeleteFunc(open, func(s openStep) bool { return !s.placeable })
-		if len(left) == 0 {
+		unfinished := slices.DeleteFunc(open, func(s openStep) bool { return !s.placeable })
+		if len(unfinished) == 0 {
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return sim.describe("isn't done long after the faults ended:", left)
+			return sim.describe("isn't done long after the faults ended:", unfinished)
 		}
-		if found := sim.starvedSteps(left, waitingSince, mostlyUsed, start.Add(drained)); len(found) > 0 {
+		if found := sim.starvedSteps(unfinished, waitingSince, mostlyUsed, start.Add(drained)); len(found) > 0 {
 			return sim.describe("fits into free resources but does not start:", found)
 		}
 	}
@@ -130,8 +130,8 @@
 	return found
 }
 
-// maxWait returns how long a step may wait: maxReadyWait, and the time for the adviser
-// queries that it may have to send one after another.
+// maxWait returns how long a step may wait: the sum of maxReadyWait and the time for the
+// adviser queries that it may have to send one after another.
 func (sim *simulation) maxWait(s *openStep) time.Duration {
 	for i := range sim.params.queues {
 		if q := &sim.params.queues[i]; q.Identity() == s.queue {
@@ -211,12 +211,12 @@
 
 // mostlyUsed reports whether half of the cores or more are in use. ws.mu must be held.
 func (ws *simWorkers) mostlyUsed() bool {
-	used, all := int64(0), int64(0)
+	used, total := int64(0), int64(0)
 	for _, w := range ws.current {
 		used += w.used().MilliCPU
-		all += w.Capacity.MilliCPU
+		total += w.Capacity.MilliCPU
 	}
-	return 2*used >= all
+	return 2*used >= total
 }
 
 // measureFit determines which tasks of a step run nowhere, how many fit now, and whether
--- a/internal/control/simulation_crash_test.go
+++ b/internal/control/simulation_crash_test.go
@@ -19,7 +19,8 @@
 	// before its job may be given up.
 	minCrashedWorkers = 2
 	// shrinkGrace is how long after a capacity change the larger capacity may still be
-	// used: the 3 s until which the leader has to know the change, and two heartbeats.
+	// used: the 3 s within which the leader has to learn of the change, and two
+	// heartbeats.
 	shrinkGrace = 3*time.Second + 2*simHeartbeatInterval*heartbeatGroups
 	// crashDowntimeScale scales how long a worker stays down after a task has crashed it:
 	// between 0.1 and 1.1 times crashDowntimeScale.
@@ -42,7 +43,7 @@
 			ws.violations = append(ws.violations, fmt.Sprintf("%s is started again after it has crashed %d workers", run.Task, ws.crashes[run.Task]))
 		}
 	}
-	draw := func(what string) float64 { return seededFloat(ws.seed, what, run.Task, run.Number) }
+	draw := func(quantity string) float64 { return seededFloat(ws.seed, quantity, run.Task, run.Number) }
 	time.AfterFunc(time.Duration(draw("crash after")*float64(maxCrashDelay)), func() {
 		ws.mu.Lock()
 		defer ws.mu.Unlock()
@@ -92,7 +93,7 @@
 
 // restoreCapacities gives all workers their full capacity back. ws.mu must be held.
 func (ws *simWorkers) restoreCapacities() {
-	for _, w := range ws.all {
+	for _, w := range ws.incarnations {
 		w.resize(ws.params.capacity, time.Now())
 	}
 }
--- a/internal/control/simulation_faults_test.go
+++ b/internal/control/simulation_faults_test.go
@@ -16,13 +16,13 @@
 // meanwhile, nil for none.
 func (sim *simulation) runWithFaults() []string {
 	start := time.Now()
-	next := start.Add(randomDuration(sim.random, 0, sim.params.faultInterval))
+	nextFaultAt := start.Add(randomDuration(sim.random, 0, sim.params.faultInterval))
 	for time.Since(start) < sim.params.faultPeriod {
 		time.Sleep(simTick)
 		sim.submitLoad(time.Since(start))
-		if time.Now().After(next) {
+		if time.Now().After(nextFaultAt) {
 			sim.injectFault()
-			next = time.Now().Add(randomDuration(sim.random, 0, 2*sim.params.faultInterval))
+			nextFaultAt = time.Now().Add(randomDuration(sim.random, 0, 2*sim.params.faultInterval))
 		}
 		if found := sim.invariantViolations(); len(found) > 0 {
 			return found
@@ -32,8 +32,9 @@
 }
 
 // submitLoad submits the jobs of one tick, at the given age of the simulation. Each tick
-// adds to the budgets of work and of adviser time in proportion to the load, and to the
-// latter at least as at a load of 1. Jobs are submitted while both budgets are positive.
+// adds to the budgets of work and of adviser time in proportion to the load. For the
+// adviser time, the load counts as at least 1. Jobs are submitted while both budgets are
+// positive.
 func (sim *simulation) submitLoad(age time.Duration) {
 	load := sim.params.load
 	if age >= sim.params.burstAt && age < sim.params.burstAt+sim.params.burstFor {
@@ -53,11 +54,12 @@
 }
 
 const (
-	// faultKinds is the number of kinds that injectFault draws from. Some faults have two
-	// kinds, and so twice the probability of the others.
+	// faultKinds is the number of kinds that injectFault draws from with equal
+	// probability. Faults with two kinds are twice as likely as those with one.
 	faultKinds = 15
-	// slowLogFault, delayedLogFault and the kinds that injectFault does not name are faults
-	// of the log.
+	// The kinds without a case in injectFault are faults of the log: slowLogFault makes
+	// commits slow, delayedLogFault keeps the log from confirming the leadership, and the
+	// remaining kinds make the log refuse commands because it is full.
 	slowLogFault    = 8
 	delayedLogFault = 9
 	// minFaultDuration bounds the duration of faults from below.
@@ -115,7 +117,7 @@
 func (sim *simulation) changeRandomWorkers(change func(*simWorker)) {
 	sim.workers.mu.Lock()
 	defer sim.workers.mu.Unlock()
-	for _, w := range sim.workers.all {
+	for _, w := range sim.workers.incarnations {
 		if oneIn(sim.random, 3) {
 			change(w)
 		}
@@ -130,7 +132,7 @@
 	}
 	sim.workers.mu.Lock()
 	defer sim.workers.mu.Unlock()
-	sim.workers.all[sim.random.IntN(len(sim.workers.all))].unreachableUntil = until
+	sim.workers.incarnations[sim.random.IntN(len(sim.workers.incarnations))].unreachableUntil = until
 }
 
 // neverReturnsOneIn is the inverse of the probability that a crashed worker never
@@ -142,7 +144,7 @@
 	downtime, returns := randomDuration(sim.random, 50*time.Millisecond, 4*time.Second), !oneIn(sim.random, neverReturnsOneIn)
 	sim.workers.mu.Lock()
 	defer sim.workers.mu.Unlock()
-	w := sim.workers.all[sim.random.IntN(len(sim.workers.all))]
+	w := sim.workers.incarnations[sim.random.IntN(len(sim.workers.incarnations))]
 	if w.crashed {
 		return
 	}
