--- a/examples/embed.go
+++ b/examples/embed.go
@@ -1,6 +1,6 @@
 // Package examples holds two example deployments with their settings, shared
-// configuration and sample jobs. The files are embedded, so that `bilberry dev` needs
-// no files besides its program.
+// configuration and sample jobs. The files are embedded, so that `bilberry dev` needs no
+// files apart from its binary.
 package examples
 
 import "embed"
--- a/internal/cli/args.go
+++ b/internal/cli/args.go
@@ -111,7 +111,8 @@
 // maxArgumentBytes bounds the size of an id or name that is sent to an instance.
 const maxArgumentBytes = 256
 
-// checkArgument rejects ids and names that no instance accepts, before any call.
+// checkArgument rejects an id or name that every instance would refuse, so that the error
+// comes without a call.
 func checkArgument(name, value string) error {
 	if value == "" {
 		return fault.Field(name, "is empty")
@@ -141,8 +142,8 @@
 	return nil
 }
 
-// requireDistinct checks each argument and rejects duplicates. Errors call the arguments by
-// the name.
+// requireDistinct checks each argument and rejects duplicates. Error messages use name
+// for what the arguments denote.
 func requireDistinct(name string, args []string) error {
 	seen := make(map[string]bool)
 	for _, arg := range args {
--- a/internal/cli/change.go
+++ b/internal/cli/change.go
@@ -25,9 +25,9 @@
 	return withHint(err, "the call may have been carried out; send it again with --request-id "+id)
 }
 
-// sendChange sends a call that changes state. The call has a request id, so that it can be
-// sent again without being carried out twice when its response is lost. givenID is that of
-// --request-id; if it is empty, the call gets a new id.
+// sendChange sends a call that changes state. The call has a request id, so that it can
+// be sent again without being carried out twice when its response is lost. givenID is the
+// value of --request-id; if it is empty, the call gets a new id.
 func sendChange[Resp any](ctx context.Context, s *session, givenID string, send func(ctx context.Context, c *client, id string) (Resp, error)) (Resp, error) {
 	var none Resp
 	id, err := requestID(givenID)
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -264,8 +264,8 @@
 	must.Eq(t, 0, f.calls)
 }
 
-// Each command must print its help, with an example, in each of the three ways to ask for
-// it. The bash completion must contain each command.
+// Each command must print its help, with an example, for --help, for -h, and as "help
+// COMMAND". The bash completion must contain each command.
 func TestHelpOfEachCommandHasAnExample(t *testing.T) {
 	r := newRunner(t)
 	for _, c := range builtinCommands() {
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -142,13 +142,14 @@
 	return message
 }
 
-// schedulerCall calls a method of the Scheduler service; call describes retries and errors.
+// schedulerCall calls a method of the Scheduler service with the retries and errors of
+// call.
 func schedulerCall[Req, Resp any](ctx context.Context, c *client, request Req, method func(apiv1.Scheduler) func(context.Context, Req) (Resp, error)) (Resp, error) {
 	return call(ctx, c, attemptTimeout, request, func(e *endpoint) func(context.Context, Req) (Resp, error) { return method(e.scheduler) })
 }
 
-// operationsCall calls a method of the Operations service; call describes retries and
-// errors.
+// operationsCall calls a method of the Operations service with the retries and errors of
+// call.
 func operationsCall[Req, Resp any](ctx context.Context, c *client, request Req, method func(apiv1.Operations) func(context.Context, Req) (Resp, error)) (Resp, error) {
 	return call(ctx, c, attemptTimeout, request, func(e *endpoint) func(context.Context, Req) (Resp, error) { return method(e.operations) })
 }
--- a/internal/cli/logs.go
+++ b/internal/cli/logs.go
@@ -58,7 +58,8 @@
 	return nil
 }
 
-// timelineOfLogs shows the events of the log lines in files that match the request.
+// timelineOfLogs reads the named log files and shows the events in them that match the
+// request.
 func (s *session) timelineOfLogs(files string, request *apiv1.EventsRequest, subject, htmlFile string) error {
 	lines, err := readLogs(files)
 	if err != nil {
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// formatRow returns one line of a table whose columns have the widths.
+// formatRow returns one line of a table with the given column widths.
 func (s *session) formatRow(row []cell, widths []int) string {
 	var b strings.Builder
 	for i, c := range row {
@@ -135,7 +135,7 @@
 	return (time.Duration(ms) * time.Millisecond).String()
 }
 
-// enumName returns the name of an enum value for people: "not run" for
+// enumName returns the name of an enum value in readable form: "not run" for
 // JOB_STATE_NOT_RUN.
 func enumName(name, prefix string) string {
 	return strings.ToLower(strings.ReplaceAll(strings.TrimPrefix(name, prefix), "_", " "))
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -165,9 +165,10 @@
 	return nil, withHint(err, hint)
 }
 
-// homeOf returns the data centre that handles a submission's request id: the one in
-// the job file, or that of the first entry instance that responds. The submission names
-// it, so that it can be retried at any entry instance.
+// homeOf returns the home of a submission, the data centre that deduplicates submissions
+// by request id: the data centre in the job file, or else that of the first entry
+// instance that responds. With the home in the request, the submission can be retried at
+// any entry instance.
 func homeOf(ctx context.Context, c *client, spec *apiv1.Spec) (string, error) {
 	if spec.DataCentre != "" {
 		return spec.DataCentre, nil
@@ -193,8 +194,8 @@
 	})
 }
 
-// waitAll watches the jobs, which run concurrently, one after the other. It returns
-// the first error.
+// waitAll watches one job after the other until each has ended, while the jobs run
+// concurrently. It returns the first error.
 func (s *session) waitAll(ctx context.Context, accepted []*apiv1.SubmitResponse) error {
 	var first error
 	for _, response := range accepted {
--- a/internal/cli/workflow.go
+++ b/internal/cli/workflow.go
@@ -15,8 +15,9 @@
 	"github.com/bilberryferry/bilberryferry/internal/units"
 )
 
-// workflowsCall calls a method of the Workflows service with a new client, within --timeout.
-// Cells whose log spans their data centres offer that service.
+// workflowsCall calls a method of the Workflows service with a new client, within
+// --timeout. The service is offered by cells whose replicated log spans their data
+// centres.
 func workflowsCall[Req, Resp any](ctx context.Context, s *session, request Req, method func(apiv1.Workflows) func(context.Context, Req) (Resp, error)) (Resp, error) {
 	var none Resp
 	c, err := s.client()
@@ -277,7 +278,7 @@
 	}))
 }
 
-// toRequest checks the flags and converts them to a wave with the id.
+// toRequest checks the flags and converts them to a wave with the given id.
 func (f *waveFlags) toRequest(id int64) (*apiv1.Wave, error) {
 	if f.machines == "" {
 		return nil, fault.Field("--machines", "is missing; name the machines")
@@ -292,7 +293,8 @@
 	return &apiv1.Wave{Id: id, Machines: strings.Split(f.machines, ","), DurationMs: duration.Milliseconds(), MaxDown: int32(f.maxDown)}, nil
 }
 
-// showWave prints the state of a wave's machines, or returns err.
+// showWave prints the state of a wave's machines. If err isn't nil, it returns err and
+// prints nothing.
 func (s *session) showWave(status *apiv1.WaveStatus, err error) error {
 	if err != nil {
 		return err
--- a/internal/dev/deployment.go
+++ b/internal/dev/deployment.go
@@ -38,7 +38,8 @@
 	// stopFuncs holds the function that stops each process, by INSTANCE/ROLE.
 	stopFuncs map[string]func()
 	processes sync.WaitGroup
-	// failures receives the errors of processes. It has a buffer for one error of each.
+	// failures receives the errors of processes. Its buffer holds one error per process, so
+	// that a send never blocks.
 	failures chan error
 }
 
@@ -49,7 +50,7 @@
 	return unpack(name, folder, Loopback{})
 }
 
-// unpack does the work of Unpack with the addresses of a network.
+// unpack implements Unpack for any network, whose listeners replace the addresses.
 func unpack(name, folder string, network Network) (*Deployment, map[string]net.Listener, error) {
 	files, err := fs.Sub(examples.Files, name)
 	if err != nil {
--- a/internal/dev/memory_test.go
+++ b/internal/dev/memory_test.go
@@ -11,10 +11,11 @@
 	"time"
 )
 
-// memoryNetwork is a Network in memory. A synctest bubble recognizes its waits, so a whole
-// run takes only virtual time. A connection buffers any number of bytes and delivers each
-// of them after hopDelay. Without the delay each request would end at the instant it
-// starts, and no two requests would be in flight at the same time.
+// memoryNetwork is a Network in memory. In a synctest bubble, waiting for its connections
+// counts as durably blocked, unlike waiting for sockets, so a whole run takes only
+// virtual time. A connection buffers any number of bytes and delivers each of them after
+// hopDelay. Without the delay each request would end at the instant it starts, and no two
+// requests would be in flight at the same time.
 type memoryNetwork struct {
 	mu sync.Mutex
 	// ports is the number of ports in use so far.
@@ -168,9 +169,10 @@
 	}
 }
 
-// readArrived reads bytes that have arrived into p. If there are none, until is the time
-// to wait for at most before the next try, or zero if there is no bound, and changed is
-// closed at the next change of the stream. n is the number of bytes read.
+// readArrived reads bytes that have arrived into p and returns their number n. If no
+// bytes have arrived, the caller must try again when changed is closed, which happens at
+// the next change of the stream, or at the time until, whichever comes first. A zero
+// until means no time bound.
 func (s *stream) readArrived(p []byte) (n int, until time.Time, changed <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -192,8 +194,8 @@
 	return 0, until, s.changed, nil
 }
 
-// readFirstChunk reads from the first chunk into p, removes the bytes that it read from the
-// stream and returns their number. s.mu must be held.
+// readFirstChunk copies bytes of the first chunk into p, removes the copied bytes from
+// the stream and returns their number. s.mu must be held.
 func (s *stream) readFirstChunk(p []byte) int {
 	n := copy(p, s.chunks[0].bytes)
 	s.chunks[0].bytes = s.chunks[0].bytes[n:]
--- a/internal/dev/print.go
+++ b/internal/dev/print.go
@@ -25,7 +25,7 @@
 	return &progress{out: out, startedAt: time.Now(), lastLines: make(map[string]string)}
 }
 
-// printJob prints the state of a job unless the state was the last one printed of this job.
+// printJob prints the state of a job unless it equals the state last printed for this job.
 func (p *progress) printJob(deployment string, j standin.JobResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/dev/run.go
+++ b/internal/dev/run.go
@@ -101,8 +101,8 @@
 	callers    *standin.Callers
 }
 
-// start starts a deployment with its stand-ins in the group and waits until the deployment
-// is ready.
+// start starts a deployment and its stand-ins as goroutines of the group and waits until
+// the deployment is ready.
 func start(ctx context.Context, group *errgroup.Group, s sample, size Size, network Network, folder string, logs io.Writer) (*run, error) {
 	d, listeners, err := unpack(s.name, folder, network)
 	if err != nil {
@@ -236,9 +236,10 @@
 	return group.Wait()
 }
 
-// arrivals reads the example's job files and the customers' tokens, by name. The customers
-// submit in round robin. A deadline in a file is converted to the time from now until that
-// deadline, and counts from the submission.
+// arrivals reads the example's job files and the customers' tokens, by name. The
+// customers submit in round robin. A deadline in a file is converted to the duration from
+// the call of arrivals until the deadline. That duration becomes Arrival.Deadline, which
+// counts from the submission.
 func (r *run) arrivals() ([]standin.Arrival, map[string]string, error) {
 	tokens := make(map[string]string)
 	for _, customer := range r.deployment.Settings.Tokens.Customers {
@@ -298,7 +299,7 @@
 	return true
 }
 
-// runOnNetwork does the work of Run over the given network and returns the results.
+// runOnNetwork implements Run for any network and returns the results.
 func runOnNetwork(ctx context.Context, network Network, out, logs io.Writer, size Size, stay bool) ([]Result, error) {
 	folder, err := os.MkdirTemp("", "bilberry-dev-")
 	if err != nil {
--- a/internal/e2e/chaos_test.go
+++ b/internal/e2e/chaos_test.go
@@ -31,11 +31,12 @@
 
 const (
 	// faultChoices is the number of equally likely choices of injectOrEndFault: six kinds
-	// of faults and a pause without a change.
+	// of faults and a wait without a fault.
 	faultChoices = 7
 	// maxWorkerPauseMillis bounds the random pause of a worker, in milliseconds.
 	maxWorkerPauseMillis = 12_000
-	// maxFaultGapMillis bounds the random time without a change, in milliseconds.
+	// maxFaultGapMillis bounds the random time in which no fault is injected or ended, in
+	// milliseconds.
 	maxFaultGapMillis = 800
 	// instancesTimeout bounds the queries of one data centre's cell processes.
 	instancesTimeout = time.Second
@@ -258,8 +259,8 @@
 	c.checkNoViolations()
 }
 
-// chaosJobs returns the job templates of TestRandomFaults: batch jobs and gangs, idempotent
-// and non-idempotent ones of each.
+// chaosJobs returns the job templates of TestRandomFaults: batch jobs and gangs, each in
+// an idempotent and a non-idempotent variant.
 func chaosJobs() []standin.Arrival {
 	var templates []standin.Arrival
 	for i, policy := range []apiv1.Policy{apiv1.Policy_POLICY_BATCH, apiv1.Policy_POLICY_BATCH, apiv1.Policy_POLICY_GANG} {
--- a/internal/e2e/customer_test.go
+++ b/internal/e2e/customer_test.go
@@ -18,7 +18,8 @@
 	callTimeout = 5 * time.Second
 	// homeTimeout bounds one call of Home.
 	homeTimeout = time.Second
-	// partitionInterval is the time between the starts and ends of partitions.
+	// partitionInterval is the duration of each partition, and of the pause between two
+	// partitions.
 	partitionInterval = 150 * time.Millisecond
 )
 
@@ -87,8 +88,7 @@
 	}
 }
 
-// partitionTick returns a channel that fires once, after the interval at which a test
-// starts and ends partitions.
+// partitionTick returns a channel that fires once, after partitionInterval.
 func (c *cluster) partitionTick() <-chan time.Time { return time.After(partitionInterval) }
 
 // requestHome returns the home of a submission, the data centre that stores its request id:
--- a/internal/e2e/failover_test.go
+++ b/internal/e2e/failover_test.go
@@ -134,10 +134,11 @@
 	c.checkNoViolations()
 }
 
-// TestCommandsRunAfterBriefFollowerPauses guards against accepted jobs that show as running
-// forever. A leader loses contact with its followers several times, each time for less
-// than their election timeout, and keeps its leader term. If the leader restarts the
-// numbering of its commands within the term, workers discard new commands as duplicates.
+// TestCommandsRunAfterBriefFollowerPauses guards against accepted jobs that stay in the
+// state running forever. A leader loses contact with its followers several times, each
+// time for less than their election timeout, and keeps its leader term. If the leader
+// restarts the numbering of its commands within the term, workers discard new commands as
+// duplicates.
 func TestCommandsRunAfterBriefFollowerPauses(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(2)
--- a/internal/e2e/membership_test.go
+++ b/internal/e2e/membership_test.go
@@ -102,8 +102,9 @@
 	return ""
 }
 
-// entryIndex returns the index of an instance's address in the entry addresses of the
-// deployment, or if ofInstance is false, the first index of another instance's address.
+// entryIndex returns an index in the entry addresses of the deployment: that of the
+// instance's address if ofInstance is true, else that of the first address of any other
+// instance.
 func (c *cluster) entryIndex(id string, ofInstance bool) int {
 	instance, err := c.deployment.Settings.Instance(id)
 	must.NoError(c.t, err)
@@ -167,7 +168,7 @@
 
 // TestLargeStateReachesRestartedInstance guards against a restarted diskless instance
 // that never recovers because the state sent to it exceeds the size limit for request
-// bodies of callers. Services with large payloads make the state that large.
+// bodies of callers. Services with large payloads make the state larger than this limit.
 func TestLargeStateReachesRestartedInstance(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(4)
--- a/internal/e2e/network_test.go
+++ b/internal/e2e/network_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// setBlocked starts or ends the blocking of all bytes. At the end of a blocking it closes
+// setBlocked starts or ends the blocking of all bytes. When the blocking ends, it closes
 // the connections that were blocked.
 func (r *relay) setBlocked(blocked bool) {
 	r.mu.Lock()
--- a/internal/standin/call.go
+++ b/internal/standin/call.go
@@ -20,7 +20,8 @@
 const (
 	// headerDeadline carries the time until the request's deadline, in milliseconds.
 	headerDeadline = "Bilberry-Deadline"
-	// headerIdempotent tells whether a request may be executed again.
+	// headerIdempotent tells whether the request is idempotent, that is, safe to execute
+	// twice.
 	headerIdempotent = "Bilberry-Idempotent"
 )
 
@@ -86,10 +87,10 @@
 	}
 }
 
-// mayResend reports whether the call may be sent again after err: until its deadline
-// and at most twice per address on average. A connection that broke may have delivered
-// the request, so only an idempotent call is sent again. If no connection was opened,
-// nothing was delivered, so any call may be sent again.
+// mayResend reports whether the call may be sent again after err. A call may be sent
+// again until its deadline, and at most 2*len(Entries) times. A connection that broke may
+// have delivered the request, so only an idempotent call is sent again. If no connection
+// was opened, nothing was delivered, so any call may be sent again.
 func (c *Callers) mayResend(ctx context.Context, call *call, err error) bool {
 	if !c.cfg.Resend || !errors.Is(err, errConnectionBroken) || ctx.Err() != nil {
 		return false
@@ -106,7 +107,7 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// Errors with which try marks its errors, by cause.
+// errConnectionBroken and errWrongResponse mark the errors of try with their cause.
 var (
 	errConnectionBroken = errors.New("connection broke")
 	errWrongResponse    = errors.New("wrong response")
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -51,7 +51,7 @@
 	// Size and BodySize are the bytes of filler in each response and in the body of each
 	// request. A Size of 0 means DefaultResponseSize, a BodySize of 0 no body.
 	Size, BodySize int
-	// Work is the service time that a call requests; 0 means the minion's own.
+	// Work is the service time that a call requests; 0 means MinionsConfig.Work.
 	Work time.Duration
 	// Resend makes callers retry on the next address as a load balancer in front of
 	// the entry instances would: any call when no connection opens, an idempotent
--- a/internal/standin/changes.go
+++ b/internal/standin/changes.go
@@ -50,8 +50,8 @@
 	// the true times by up to one poll interval.
 	InForceP50 int64 `json:"in_force_p50_us"`
 	InForceMax int64 `json:"in_force_max_us"`
-	// Reverted counts the polled versions that were older than the one that the same
-	// instance had at its previous poll.
+	// Reverted counts how often an instance had an older version than at its previous
+	// poll.
 	Reverted int `json:"reverted"`
 }
 
@@ -64,8 +64,8 @@
 	inForceTimeout = 30 * time.Second
 )
 
-// configWriter writes the configuration document repeatedly, each time with another comment
-// at its end. Each change is thus as large as the real document.
+// configWriter writes the whole configuration document repeatedly, each time with a new
+// comment at its end, so that each write has the size of a full configuration.
 type configWriter struct {
 	cfg     ChangesConfig
 	clients []apiv1.Operations
--- a/internal/standin/command/changes.go
+++ b/internal/standin/command/changes.go
@@ -13,7 +13,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/standin"
 )
 
-// changes is the subcommand that changes the configuration at a rate.
+// changes is the subcommand that writes configuration changes at the rate of the flag
+// -rate.
 type changes struct {
 	*base
 	deployment deploymentFlags
--- a/internal/standin/command/command.go
+++ b/internal/standin/command/command.go
@@ -67,8 +67,8 @@
 }
 
 // exitStatus prints the error of a run, or else the number of its violations, and returns
-// the exit status: a failure after an error or a violation. The error of a cancelled
-// context isn't an error of the run.
+// the exit status: a failure after an error or a violation. A cancelled context doesn't
+// count as an error.
 func (b *base) exitStatus(ledger *standin.Ledger, err error) subcommands.ExitStatus {
 	if err != nil && !errors.Is(err, context.Canceled) {
 		fmt.Fprintln(b.errorOutput, err)
@@ -125,8 +125,8 @@
 	return dataCentres, s, nil
 }
 
-// dataCentresOf returns the data centres with their entry addresses: all of them, or
-// the one named by only.
+// dataCentresOf returns the data centres with their entry addresses. If only isn't empty,
+// it returns only the data centre with that name.
 func dataCentresOf(s *settings.Settings, only string) []standin.DataCentre {
 	var dataCentres []standin.DataCentre
 	for _, name := range s.DataCentres() {
--- a/internal/standin/command/fit.go
+++ b/internal/standin/command/fit.go
@@ -15,7 +15,8 @@
 	"github.com/bilberryferry/bilberryferry/internal/measure"
 )
 
-// fit is the subcommand that fits lines to measurements at several sizes of a load.
+// fit is the subcommand that fits a line to the measurements of each kind of process,
+// taken at several sizes of the load.
 type fit struct {
 	*base
 	// configuration groups processes by their role in the configuration log.
--- a/internal/standin/command/jobs.go
+++ b/internal/standin/command/jobs.go
@@ -74,8 +74,9 @@
 	return status
 }
 
-// startWorkers runs as many stand-in workers as the flag -workers says, waits until all
-// hold a lease or the context ends, and returns a function that shuts them down.
+// startWorkers runs the number of stand-in workers that the flag -workers sets. It waits
+// until all hold a lease or the context ends, and returns a function that shuts them
+// down.
 func (c *jobs) startWorkers(ctx context.Context) (stop func(), err error) {
 	if c.workerCount == 0 {
 		return func() {}, nil
--- a/internal/standin/command/template.go
+++ b/internal/standin/command/template.go
@@ -8,9 +8,10 @@
 	"github.com/bilberryferry/bilberryferry/internal/standin"
 )
 
-// readTemplate reads a job file as a template of submissions. A deadline in the file, also
-// an absolute one, is converted to the time from now until that deadline. The deadline of
-// each submission is that long after the submission.
+// readTemplate reads a job file as a template of submissions. A deadline in the file,
+// relative or absolute, is converted to the duration from the call of readTemplate until
+// the deadline. That duration becomes Arrival.Deadline, which counts from each
+// submission.
 func readTemplate(path string) (standin.Arrival, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/standin/command/workers.go
+++ b/internal/standin/command/workers.go
@@ -155,7 +155,8 @@
 	}
 }
 
-// newTick returns a channel that ticks at an interval; for 0 it is nil and never ticks.
+// newTick returns a channel that ticks at an interval. If the interval is 0, the channel
+// is nil and never ticks.
 func newTick(interval time.Duration) <-chan time.Time {
 	if interval <= 0 {
 		return nil
--- a/internal/standin/fake_test.go
+++ b/internal/standin/fake_test.go
@@ -28,8 +28,8 @@
 	return listener.Addr().String()
 }
 
-// fakeOwner is an entry instance and the owner of the workers' leases in one: it grants
-// leases, sends commands and records reports.
+// fakeOwner stands for both an entry instance and the owner of the workers' leases: it
+// grants leases, sends commands and records reports.
 type fakeOwner struct {
 	mu sync.Mutex
 	// ttl is the duration of each granted lease.
@@ -39,8 +39,10 @@
 	// staleCommands are sent before the other commands in every response.
 	staleCommands []*apiv1.Command
 	// changed is closed and replaced when a command is queued.
-	changed           chan struct{}
-	issued            map[string]lease.Position // by worker: incarnation (as Term) and last command number
+	changed chan struct{}
+	// issued holds, by worker, the number of the last queued command, and in Term the
+	// incarnation to which the command is addressed.
+	issued            map[string]lease.Position
 	lastRenewals      map[string]*apiv1.RenewRequest
 	announcedCPUMilli map[string]int64 // by worker, of the latest announcement
 	reports           []*apiv1.AttemptReport
--- a/internal/standin/jobs.go
+++ b/internal/standin/jobs.go
@@ -87,17 +87,17 @@
 	ID string
 	// State is the last known state; unspecified until the job is accepted.
 	State apiv1.JobState
-	// Kind and Reason are the error kind and the message of a refusal or of an end other
-	// than finished. Reason is also the error of a call that failed.
+	// Kind and Reason are the error kind and the message if the job was refused or ended
+	// in a state other than finished. Reason is also the error of a call that failed.
 	Kind   string
 	Reason string
 	// Submitted is when the submission was first sent. Decided is when the response
 	// arrived that accepted or refused it.
 	Submitted, Decided time.Time
-	// Started is when task 0 first started by the ledger, or if the ledger has no start
-	// of it, the start in the job's status. It is zero until then.
+	// Started is the time of the first start of task 0: from the ledger, or from the
+	// job's status if the ledger has no start of the task. It is zero before the start.
 	Started time.Time
-	// Ended is the end in the job's status, or zero until the job ends.
+	// Ended is the time at which the job ended according to its status, or zero before.
 	Ended time.Time
 	// Deadline is zero for services.
 	Deadline time.Time
@@ -106,8 +106,8 @@
 // Accepted reports whether the job was accepted.
 func (r JobResult) Accepted() bool { return r.ID != "" }
 
-// Done reports whether Jobs.Run needn't wait for the job: the job was refused, has ended,
-// or is a running service.
+// Done reports whether Jobs.Run has finished with the job: the job was refused, has
+// ended, or is a running service.
 func (r JobResult) Done() bool {
 	if !r.Accepted() {
 		return r.Kind != ""
@@ -118,8 +118,8 @@
 	return r.State >= apiv1.JobState_JOB_STATE_FINISHED
 }
 
-// MissedDeadline reports whether an accepted job didn't finish by its deadline. A
-// service, which has no deadline, misses it when it never started.
+// MissedDeadline reports whether an accepted job didn't finish by its deadline. A service
+// has no deadline; the result is true for a service that never started.
 func (r JobResult) MissedDeadline() bool {
 	if !r.Accepted() {
 		return false
@@ -139,7 +139,8 @@
 	// MetDeadline counts accepted jobs that met their deadline, and services that
 	// started.
 	MetDeadline int `json:"finished"`
-	// MissedDeadline counts the other accepted jobs.
+	// MissedDeadline counts accepted jobs that missed their deadline, and services that
+	// didn't start.
 	MissedDeadline int `json:"missed"`
 	// Refused counts refused submissions by error kind.
 	Refused map[string]int `json:"refused"`
@@ -213,9 +214,9 @@
 	})
 }
 
-// Run submits all arrivals and waits until JobResult.Done holds for each or following it
-// has failed. It then cancels the running services unless KeepServices is set. The error
-// is always nil.
+// Run submits all arrivals. It waits until each job was refused, has ended or is a
+// running service, or until a call for the job has failed. It then cancels the running
+// services unless KeepServices is set. The error is always nil.
 func (j *Jobs) Run(ctx context.Context) error {
 	defer func() {
 		for _, client := range j.httpClients {
@@ -237,7 +238,8 @@
 	return nil
 }
 
-// runJob submits the job of arrival number i and follows it until JobResult.Done holds.
+// runJob submits the job of arrival number i and follows it until JobResult.Done holds or
+// a call fails.
 func (j *Jobs) runJob(ctx context.Context, i int, a Arrival) {
 	now := time.Now()
 	spec := proto.Clone(a.Spec).(*apiv1.Spec)
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// appendRecord adds the record of a run. If there are maxRecords, it drops the older half
-// of them first. l.mu must be held.
+// appendRecord adds the record of a run. If the ledger holds maxRecords records, it drops
+// the older half of them first. l.mu must be held.
 func (l *Ledger) appendRecord(run *RunRecord) {
 	if len(l.records) >= maxRecords {
 		l.records = append(l.records[:0], l.records[maxRecords/2:]...)
@@ -205,8 +205,8 @@
 	return append([]Violation(nil), l.violations...)
 }
 
-// Records returns copies of the runs, oldest first: all of them up to maxRecords
-// (100,000), later at least the latest 50,000.
+// Records returns copies of the run records, oldest first. After more than maxRecords
+// (100,000) runs, older records are missing, but at least the latest 50,000 are returned.
 func (l *Ledger) Records() []RunRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/minions.go
+++ b/internal/standin/minions.go
@@ -56,9 +56,9 @@
 	// LeaveGrace is how long after its Leave a minion may still receive new requests; 0
 	// means DefaultLeaveGrace. Later requests are violations.
 	LeaveGrace time.Duration
-	// Work is the service time of requests that name none.
+	// Work is the service time of requests that specify no service time.
 	Work time.Duration
-	// Faults are injected by the first Faulty minions from the start.
+	// Faults are the faults that the first Faulty minions inject from the start.
 	Faults MinionFaults
 	// Faulty is the number of minions that inject Faults.
 	Faulty int
@@ -147,8 +147,8 @@
 // Ledger returns the ledger of the fleet.
 func (f *Minions) Ledger() *Ledger { return f.ledger }
 
-// Ready returns the number of minions of which an entry instance has accepted an
-// announcement.
+// Ready returns the number of minions that have announced themselves successfully to at
+// least one entry instance.
 func (f *Minions) Ready() int {
 	ready := 0
 	for _, m := range f.minions {
--- a/internal/standin/reports.go
+++ b/internal/standin/reports.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// add adds a report after the delay, unless the outbox then holds one of the same
-// attempt.
+// add adds a report after the delay, unless the outbox already holds a report of the same
+// attempt at that time.
 func (o *outbox) add(report *apiv1.AttemptReport, delay time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -60,8 +60,8 @@
 	})
 }
 
-// putLocked adds a report unless the outbox holds one of the same attempt, and signals
-// wake. o.mu must be held.
+// putLocked adds a report unless the outbox already holds a report of the same attempt,
+// and signals wake. o.mu must be held.
 func (o *outbox) putLocked(report *apiv1.AttemptReport) {
 	attempt := attemptOf(report.Attempt)
 	if o.reports[attempt] == nil {
@@ -185,8 +185,9 @@
 	return len(response.Acknowledged) >= len(batch)
 }
 
-// recordAcknowledged removes the acknowledged reports from the outbox and allows the
-// guard to drop its records of their attempts.
+// recordAcknowledged removes the acknowledged reports from the outbox and allows s.guard,
+// which decides whether a command is executed, to drop its records of the reported
+// attempts.
 func (s *session) recordAcknowledged(response *apiv1.ReportResponse) {
 	var attempts []lease.Attempt
 	for _, ref := range response.Acknowledged {
--- a/internal/standin/requests_test.go
+++ b/internal/standin/requests_test.go
@@ -13,7 +13,8 @@
 	apiv1 "github.com/bilberryferry/bilberryferry/api/v1"
 )
 
-// fakeGateway is an entry instance that counts announcements and leaves of minions.
+// fakeGateway is an entry instance that counts the announcements and leave messages of
+// minions.
 type fakeGateway struct {
 	mu            sync.Mutex
 	announcements map[string]int
@@ -112,7 +113,7 @@
 func TestCallersDetectTruncatedAndSwappedResponses(t *testing.T) {
 	const (
 		calls          = 3
-		truncatedBytes = 100 // of a response with DefaultResponseSize bytes of filler
+		truncatedBytes = 100 // shorter than a complete response
 	)
 	complete := newResponseBody("other", nil, DefaultResponseSize)
 	for name, body := range map[string][]byte{"swapped": complete, "cut": complete[:truncatedBytes], "empty": nil} {
@@ -158,9 +159,9 @@
 	must.Eq(t, 2, minion.Stats().MaxInFlight)
 }
 
-// An entry instance that didn't receive a minion's leave still sends requests after
-// LeaveGrace, and sends a non-idempotent request twice. The ledger must record a violation
-// for each.
+// An entry instance that didn't receive a minion's leave message still sends requests
+// after LeaveGrace, and sends a non-idempotent request twice. The ledger must record a
+// violation for each.
 func TestMinionDetectsLateAndDuplicateRequests(t *testing.T) {
 	fleet, gateway := startMinions(t, MinionsConfig{Count: 1, LeaveGrace: time.Nanosecond})
 	minion := fleet.All()[0]
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -77,7 +77,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// workTime returns the service time that a request asks for, or else the minion's.
+// workTime returns the service time that a request specifies, or else the default,
+// MinionsConfig.Work.
 func (m *Minion) workTime(r *http.Request) time.Duration {
 	if ms, err := strconv.Atoi(r.URL.Query().Get(paramWork)); err == nil {
 		return time.Duration(ms) * time.Millisecond
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// initialBackoff and maxBackoff bound the exponential backoff between failed calls.
+	// initialBackoff and maxBackoff bound the exponential backoff after failed calls.
 	initialBackoff = 25 * time.Millisecond
 	maxBackoff     = time.Second
 	// minCallSlack and maxCallSlack bound how long after the hold time of a renewal the
@@ -230,8 +230,8 @@
 func (s *session) hold() time.Duration {
 	switch {
 	case s.announce || s.lastRenewalFailed:
-		// The response grants the first lease, or may be the last one before the lease
-		// expires, so it must not be delayed.
+		// The response grants the first lease, or it may be the last response before the
+		// lease expires, so it must not be delayed.
 		return 0
 	case s.ttl > 0:
 		return min(s.worker.cfg.RenewHold, s.ttl/3)
--- a/internal/standin/tasks.go
+++ b/internal/standin/tasks.go
@@ -34,8 +34,8 @@
 }
 
 // applyCommands executes commands in order while the worker holds its lease. Commands
-// that arrive after the lease has expired are ignored, because the owner may have
-// declared the attempts that they start dead. s.mu must be held.
+// that arrive after the lease has expired are ignored, because the owner may already have
+// declared the attempts of these commands dead. s.mu must be held.
 func (s *session) applyCommands(commands []*apiv1.Command) {
 	for _, c := range commands {
 		if !s.holder.Valid(s.clock()) {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -120,8 +120,9 @@
 func (w *Worker) newSession(predecessor *session) *session {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	// The numbers of incarnations must increase. The clock ensures this across restarts of
-	// this program, and the latest incarnation plus 1 within one millisecond.
+	// The numbers of incarnations must increase. Unix milliseconds increase across
+	// restarts of this program; adding 1 to the latest number covers two incarnations
+	// within one millisecond.
 	w.incarnation = max(w.incarnation+1, uint64(time.Now().UnixMilli()))
 	w.session = newSession(w, w.incarnation, w.capacity)
 	w.session.predecessor = predecessor
@@ -179,7 +180,7 @@
 	}
 }
 
-// waitResumed waits while the worker is paused, until the context ends at the latest.
+// waitResumed returns once the worker isn't paused or the context has ended.
 func (w *Worker) waitResumed(ctx context.Context) {
 	w.mu.Lock()
 	resumed := w.resumed
--- a/internal/standin/workers.go
+++ b/internal/standin/workers.go
@@ -41,7 +41,7 @@
 	RuntimeLow, RuntimeHigh float64
 	// Seed makes run times, backoffs and faults repeatable.
 	Seed uint64
-	// Faults are injected by the first Faulty workers from the start.
+	// Faults are the faults that the first Faulty workers inject from the start.
 	Faults WorkerFaults
 	// Faulty is the number of workers that inject Faults.
 	Faulty int
--- a/internal/standin/workers_test.go
+++ b/internal/standin/workers_test.go
@@ -12,7 +12,8 @@
 
 const testWorker = "hall-w000"
 
-// workerCPUMilli is the CPU capacity of each worker, in millicores: that of two tasks.
+// workerCPUMilli is the CPU capacity of each worker, in millicores. It is enough for two
+// tasks of taskCPUMilli.
 const workerCPUMilli = 2000
 
 // startWorkers runs count workers whose entry addresses are those of the owners, and
@@ -250,9 +251,9 @@
 	}
 }
 
-// A worker's lease expires while the worker can't deliver the report of a task. If the
-// announcement of the successor incarnation reaches the owner before the report, the owner
-// declares an attempt dead that has ended.
+// A worker's lease expires while the worker can't deliver the report of an ended attempt.
+// If the announcement of the successor incarnation reaches the owner before the report,
+// the owner declares the attempt dead although it has ended.
 func TestReportsPrecedeSuccessorIncarnation(t *testing.T) {
 	const rounds = 10
 	for range rounds {
