--- a/internal/cli/app.go
+++ b/internal/cli/app.go
@@ -143,18 +143,18 @@
 
 // commands returns all commands, sorted by name.
 func (a *App) commands() []subcommands.Command {
-	var all []subcommands.Command
+	var commands []subcommands.Command
 	for _, c := range builtinCommands() {
-		all = append(all, c)
+		commands = append(commands, c)
 	}
-	all = append(all, a.Extra...)
-	slices.SortFunc(all, func(x, y subcommands.Command) int {
+	commands = append(commands, a.Extra...)
+	slices.SortFunc(commands, func(x, y subcommands.Command) int {
 		if x.Name() < y.Name() {
 			return -1
 		}
 		return 1
 	})
-	return all
+	return commands
 }
 
 // builtinCommands returns new commands on each call, so that no flag value is kept
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -206,10 +206,10 @@
 	refusing := (&fakeEntry{status: func(*apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
 		return nil, fault.Retry(fault.Denied, 1500*time.Millisecond, "no\nsuch \x1b[2Jtoken")
 	}}).start(t)
-	other := (&fakeEntry{}).start(t)
-	got := newRunner(t, refusing, other).run("status")
+	second := (&fakeEntry{}).start(t)
+	got := newRunner(t, refusing, second).run("status")
 	must.Eq(t, fault.Denied.ExitCode(), got.code)
-	must.Eq(t, 0, other.calls)
+	must.Eq(t, 0, second.calls)
 	must.StrHasPrefix(t, "bilberry: Denied: no such \uFFFD[2Jtoken (again in 1.5s)\n  next: ", got.err)
 	got = newRunner(t, refusing).run("--json", "status")
 	var shown map[string]errorOutput
@@ -226,28 +226,28 @@
 func TestInvalidInputIsRejectedBeforeAnyCall(t *testing.T) {
 	f := (&fakeEntry{}).start(t)
 	r := newRunner(t, f)
-	good := r.write(t, "good.toml", validJob)
+	validJobFile := r.write(t, "good.toml", validJob)
 	truncated := r.write(t, "half.toml", validJob[:len(validJob)-9])
-	conf := r.write(t, "conf.toml", "[[customer]]\nname = \"a\"\n")
+	configFile := r.write(t, "conf.toml", "[[customer]]\nname = \"a\"\n")
 	versioned := r.write(t, "versioned.toml", "# version 4\n")
-	huge := r.write(t, "huge.toml", strings.Repeat("#", maxJobFileBytes+1))
+	oversizedFile := r.write(t, "huge.toml", strings.Repeat("#", maxJobFileBytes+1))
 	empty := r.write(t, "empty", "")
-	long := strings.Repeat("x", maxArgumentBytes+1)
+	longArgument := strings.Repeat("x", maxArgumentBytes+1)
 	lines := [][]string{
 		{}, {"nonsense"}, {"--nonsense"}, {"help", "nonsense"}, {"status", "--nonsense"}, {"status", "--limit"}, {"status", "--limit", "x"},
-		{"status", "--limit", "0"}, {"status", "--limit=1", "--limit=1"}, {"status", "a", "a"}, {"status", ""}, {"status", long}, {"status", "a\nb"}, {"status", "\xff"},
+		{"status", "--limit", "0"}, {"status", "--limit=1", "--limit=1"}, {"status", "a", "a"}, {"status", ""}, {"status", longArgument}, {"status", "a\nb"}, {"status", "\xff"},
 		{"status", "--timeout", "0s"}, {"status", "--timeout", "5"}, {"status", "--entry", "localhost:1"}, {"status", "--entry", ","},
 		{"status", "--entry", "127.0.0.1:1,127.0.0.1:1"}, {"status", "--token-file", empty}, {"status", "--token-file", r.folder}, {"status", "--settings", truncated},
-		{"submit"}, {"submit", "absent.toml"}, {"submit", r.folder}, {"submit", truncated}, {"submit", good, truncated}, {"submit", good, good}, {"submit", huge}, {"submit", "-"},
-		{"submit", "--deadline", "-1s", good}, {"submit", "--deadline", "2001-01-01T00:00:00Z", good}, {"submit", "--request-id", "a b", good},
+		{"submit"}, {"submit", "absent.toml"}, {"submit", r.folder}, {"submit", truncated}, {"submit", validJobFile, truncated}, {"submit", validJobFile, validJobFile}, {"submit", oversizedFile}, {"submit", "-"},
+		{"submit", "--deadline", "-1s", validJobFile}, {"submit", "--deadline", "2001-01-01T00:00:00Z", validJobFile}, {"submit", "--request-id", "a b", validJobFile},
 		{"watch"}, {"watch", "a", "b"}, {"explain"}, {"explain", "--", "--x", "y"},
 		{"cancel"}, {"cancel", "--all", "a"}, {"cancel", "--all", "--name", "a"}, {"cancel", "--name", "", "--dry-run"}, {"cancel", ""}, {"cancel", "a", "a"},
 		{"scale", "a"}, {"scale", "a", "-1"}, {"scale", "a", "1e3"}, {"scale", "a", "99999999999999999999"}, {"drain"}, {"drain", "a", "b"}, {"undrain", "a b"},
-		{"config"}, {"config", "nonsense"}, {"config", "get", "x"}, {"config", "get", "--expect", "1"}, {"config", "set"}, {"config", "set", conf}, {"config", "set", good, "--expect", "1"},
-		{"config", "set", versioned, "--expect", "5"}, {"config", "set", conf, "--expect", "-2"}, {"config", "history", "--limit", "-1"},
+		{"config"}, {"config", "nonsense"}, {"config", "get", "x"}, {"config", "get", "--expect", "1"}, {"config", "set"}, {"config", "set", configFile}, {"config", "set", validJobFile, "--expect", "1"},
+		{"config", "set", versioned, "--expect", "5"}, {"config", "set", configFile, "--expect", "-2"}, {"config", "history", "--limit", "-1"},
 		{"quota", "x"}, {"workers", "x"}, {"instances", "x"}, {"version", "x"}, {"completion"}, {"completion", "fish"},
 		{"timeline", "--job", "a", "--worker", "b"}, {"timeline", "--since", "-1s"}, {"timeline", "--since", "10"}, {"timeline", "x"},
-		{"check-settings"}, {"check-settings", "absent"}, {"check-settings", truncated}, {"check-settings", good, good},
+		{"check-settings"}, {"check-settings", "absent"}, {"check-settings", truncated}, {"check-settings", validJobFile, validJobFile},
 		{"replace-instance", "--data-centre", "d", "a", "b"}, {"replace-instance", "a", "b", "10.0.0.1:1"}, {"replace-instance", "--data-centre", "d", "a", "a", "10.0.0.1:1"},
 		{"replace-instance", "--data-centre", "d", "a", "b", "host:1"}, {"replace-instance", "--data-centre", "d", "a", "b", "0.0.0.0:1"},
 	}
--- a/internal/cli/logs.go
+++ b/internal/cli/logs.go
@@ -17,11 +17,11 @@
 func readLogs(files string) ([]jobtrace.Line, error) {
 	var lines []jobtrace.Line
 	for _, name := range strings.Split(files, ",") {
-		more, err := readLog(name)
+		fileLines, err := readLog(name)
 		if err != nil {
 			return nil, fault.Field("--log", "%v", err)
 		}
-		lines = append(lines, more...)
+		lines = append(lines, fileLines...)
 	}
 	jobtrace.Sort(lines)
 	return lines, nil
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -88,7 +88,7 @@
 
 // readInput reads a file of at most limit bytes, or the standard input for "-".
 func (s *session) readInput(name string, limit int64) ([]byte, error) {
-	in := s.app.Stdin
+	reader := s.app.Stdin
 	if name != stdinName {
 		info, err := os.Stat(name)
 		if err != nil {
@@ -102,9 +102,9 @@
 			return nil, fault.New(fault.Invalid, "%v", err)
 		}
 		defer file.Close()
-		in = file
+		reader = file
 	}
-	content, err := io.ReadAll(io.LimitReader(in, limit+1))
+	content, err := io.ReadAll(io.LimitReader(reader, limit+1))
 	if err != nil {
 		return nil, fault.New(fault.Invalid, "%v", err)
 	}
--- a/internal/dev/run.go
+++ b/internal/dev/run.go
@@ -257,11 +257,11 @@
 	var arrivals []standin.Arrival
 	for i, file := range files {
 		now := time.Now()
-		data, err := fs.ReadFile(folder, file)
+		content, err := fs.ReadFile(folder, file)
 		if err != nil {
 			return nil, nil, err
 		}
-		spec, err := jobfile.Parse(data, now)
+		spec, err := jobfile.Parse(content, now)
 		if err != nil {
 			return nil, nil, errors.Wrap(err, path.Base(file))
 		}
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -64,22 +64,22 @@
 // call selects the next address, so that the loss of an entry instance fails only
 // the calls in flight to it.
 type failover[C any] struct {
-	mu      sync.Mutex
-	clients []C
-	current int
+	mu            sync.Mutex
+	clients       []C
+	selectedIndex int
 }
 
 // newFailover returns a failover whose selected client is the one with index first,
 // modulo the number of clients.
 func newFailover[C any](clients []C, first int) *failover[C] {
-	return &failover[C]{clients: clients, current: first % max(len(clients), 1)}
+	return &failover[C]{clients: clients, selectedIndex: first % max(len(clients), 1)}
 }
 
 // pick returns the selected client and its index.
 func (f *failover[C]) pick() (C, int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.clients[f.current], f.current
+	return f.clients[f.selectedIndex], f.selectedIndex
 }
 
 // markFailed selects the next client if the client with the given index is still
@@ -87,7 +87,7 @@
 func (f *failover[C]) markFailed(index int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.current == index {
-		f.current = (f.current + 1) % len(f.clients)
+	if f.selectedIndex == index {
+		f.selectedIndex = (f.selectedIndex + 1) % len(f.clients)
 	}
 }
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -221,12 +221,12 @@
 // measure of how densely workers are packed. It counts the runs that Records returns.
 func (l *Ledger) MeanUsage(from, to time.Time) *apiv1.Resources {
 	var cpu, memory, accelerators float64
-	window := to.Sub(from).Seconds()
-	if window <= 0 {
+	seconds := to.Sub(from).Seconds()
+	if seconds <= 0 {
 		return &apiv1.Resources{}
 	}
 	for _, r := range l.Records() {
-		share := overlap(r, from, to).Seconds() / window
+		share := overlap(r, from, to).Seconds() / seconds
 		cpu += share * float64(r.Demand.GetCpuMilli())
 		memory += share * float64(r.Demand.GetMemoryMib())
 		accelerators += share * float64(r.Demand.GetAccelerators())
--- a/internal/standin/payload.go
+++ b/internal/standin/payload.go
@@ -29,16 +29,16 @@
 
 // ParsePayload parses a payload. Data that is neither JSON nor TOML gives an empty
 // Payload.
-func ParsePayload(data []byte) Payload {
+func ParsePayload(payload []byte) Payload {
 	var p Payload
-	if len(data) == 0 {
+	if len(payload) == 0 {
 		return p
 	}
-	if json.Unmarshal(data, &p) == nil {
+	if json.Unmarshal(payload, &p) == nil {
 		return p
 	}
 	p = Payload{}
-	if toml.Unmarshal(data, &p) != nil {
+	if toml.Unmarshal(payload, &p) != nil {
 		return Payload{}
 	}
 	return p
