--- a/internal/cli/logs.go
+++ b/internal/cli/logs.go
@@ -17,11 +17,11 @@
 func readLogs(files string) ([]jobtrace.Line, error) {
 	var lines []jobtrace.Line
 	for _, name := range strings.Split(files, ",") {
-		more, err := readLog(name)
+		fileLines, err := readLog(name)
 		if err != nil {
 			return nil, fault.Field("--log", "%v", err)
 		}
-		lines = append(lines, more...)
+		lines = append(lines, fileLines...)
 	}
 	jobtrace.Sort(lines)
 	return lines, nil
@@ -58,7 +58,8 @@
 	return nil
 }
 
-// timelineOfLogs shows the events of the log lines in files that match the request.
+// timelineOfLogs reads the named log files and shows the events in them that match the
+// request.
 func (s *session) timelineOfLogs(files string, request *apiv1.EventsRequest, subject, htmlFile string) error {
 	lines, err := readLogs(files)
 	if err != nil {
