--- a/examples/embedding/main.go
+++ b/examples/embedding/main.go
@@ -1,5 +1,5 @@
-// Command embedding keeps a register on three members in one process: it sets
-// the register, loses the leader, and reads the value from the next one.
+// Command embedding replicates a register on three members in one process. It sets the
+// register, stops the leader, and reads the value from the next leader.
 package main
 
 import (
@@ -19,7 +19,8 @@
 // group holds the members by ID and is their transport and their clock.
 type group map[string]*member
 
-// tickUntil ticks all members until done holds for a leader, and returns that one.
+// tickUntil ticks all running members until done returns true for a leader, and returns
+// that leader.
 func (g group) tickUntil(done func(*member) bool) *member {
 	for {
 		for _, m := range g {
@@ -42,7 +43,7 @@
 func (g group) handleReady(m *member, ready replica.Ready) {
 	for _, message := range ready.Messages {
 		if to := g[message.To]; !to.stopped {
-			_ = to.core.Step(message) // a refused message counts as lost
+			_ = to.core.Step(message) // a refused message is treated as lost
 		}
 	}
 	for _, entry := range ready.Committed {
@@ -50,7 +51,7 @@
 			m.register = string(entry.Data)
 		}
 	}
-	for _, read := range ready.Reads { // all up to read.Index is applied by now
+	for _, read := range ready.Reads { // all entries up to read.Index have been applied
 		m.readResults[read.Token] = m.register
 	}
 	m.core.Advance(ready)
