--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -29,7 +29,7 @@
 generation = 0
 `
 
-func TestParse(t *testing.T) {
+func TestParseReadsCustomerQuotas(t *testing.T) {
 	d, err := Parse(sample)
 	must.NoError(t, err)
 	c, ok := d.Customer("rackwise")
@@ -134,10 +134,10 @@
 	must.Len(t, 2, h.Current().Document.Customers)
 }
 
-// TestRegisterRandom makes random writes, repeats and restarts from snapshots. Versions must
-// grow by one, a repeat must never write, a restored copy must have the same snapshot, and
-// the history must stay within its bounds.
-func TestRegisterRandom(t *testing.T) {
+// TestRandomWritesKeepRegisterConsistent makes random writes, repeats and restarts from
+// snapshots. Versions must grow by one, a repeat must never write, a restored copy must
+// have the same snapshot, and the history must stay within its bounds.
+func TestRandomWritesKeepRegisterConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewRegister()
 		sent := map[string][]byte{}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -58,8 +58,8 @@
 	logger     log.Logger
 	// searchSlot has a buffer of one; the call that fills it may search for the leader.
 	searchSlot chan struct{}
-	// probing is held by the call that asks members who leads; see probeForNewLeader.
-	probing      sync.Mutex
+	// probeMu is held by the call that asks members who leads; see probeForNewLeader.
+	probeMu      sync.Mutex
 	versionOrder versionOrder
 
 	mu sync.Mutex
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -18,10 +18,10 @@
 // connections, and calls would then wait for its response after another leader has been
 // elected.
 func (g *Gateway) probeForNewLeader(ctx context.Context, leader string) {
-	if !g.probing.TryLock() {
+	if !g.probeMu.TryLock() {
 		return
 	}
-	defer g.probing.Unlock()
+	defer g.probeMu.Unlock()
 	for ctx.Err() == nil {
 		for _, address := range g.candidates() {
 			if address == leader {
--- a/internal/gateway/version_order_test.go
+++ b/internal/gateway/version_order_test.go
@@ -96,10 +96,10 @@
 	for _, c := range []struct {
 		name                        string
 		firstVersion, secondVersion uint64
-		// later is how long after the request of the first response the request of the
-		// second one was received.
-		later   time.Duration
-		allowed bool
+		// secondRequestDelay is how long after the request of the first response the
+		// request of the second one was received.
+		secondRequestDelay time.Duration
+		allowed            bool
 	}{
 		{"a newer version for a later request", 62, 65, time.Second, true},
 		{"a newer version for an earlier request within the tolerance", 62, 65, -reorderTolerance, true},
@@ -111,7 +111,7 @@
 	} {
 		order := versionOrder{logger: log.NewNopLogger()}
 		must.NoError(t, order.admit(c.firstVersion, start, "leader"))
-		err := order.admit(c.secondVersion, start.Add(c.later), "leader")
+		err := order.admit(c.secondVersion, start.Add(c.secondRequestDelay), "leader")
 		must.Eq(t, c.allowed, err == nil, must.Sprint(c.name))
 	}
 }
--- a/internal/member/host.go
+++ b/internal/member/host.go
@@ -104,9 +104,9 @@
 		Transport:    h,
 		Folder:       filepath.Join(h.cfg.Folder, "log"),
 		TickInterval: tickInterval, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks,
-		SnapshotEvery: snapshotEntries,
-		Seed:          xxhash.Sum64String(h.cfg.ID),
-		Logger:        h.cfg.Logger,
+		SnapshotEntries: snapshotEntries,
+		Seed:            xxhash.Sum64String(h.cfg.ID),
+		Logger:          h.cfg.Logger,
 	})
 	if err != nil {
 		return nil, err
@@ -116,7 +116,7 @@
 	h.mu.Unlock()
 	h.mux.Register(GroupName, group.Step)
 	status := group.Status()
-	_ = h.cfg.Logger.Log("event", "log_opened", "members", len(status.Members), "last", status.Last, "term", status.Term)
+	_ = h.cfg.Logger.Log("event", "log_opened", "members", len(status.Members), "last", status.LastIndex, "term", status.Term)
 	return group, nil
 }
 
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -21,7 +21,7 @@
 
 // Config.Voters is 3 in each case. sinceSeen has the time since the last announcement of a
 // member; a member that isn't in sinceSeen has just announced itself.
-func TestNextMembership(t *testing.T) {
+func TestNextMembershipReplacesUnresponsiveMembers(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		members   []replica.Member
--- a/internal/node/apply.go
+++ b/internal/node/apply.go
@@ -139,7 +139,7 @@
 	}
 	g.applied = s.Index
 	g.snapshots.lastIndex = s.Index
-	g.snapshots.lastSize, g.snapshots.pendingBytes = len(s.Data), 0
+	g.snapshots.lastBytes, g.snapshots.pendingBytes = len(s.Data), 0
 	g.counters.restores.Add(1)
 	return nil
 }
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -36,7 +36,7 @@
 
 type setCommand struct{ Key, Value string }
 
-func set(key, value string) []byte {
+func encodeSet(key, value string) []byte {
 	data, _ := json.Marshal(setCommand{key, value})
 	return data
 }
@@ -243,7 +243,7 @@
 	eventually(c.t, "a write", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		defer cancel()
-		_, err := c.leader().Propose(ctx, set(key, value))
+		_, err := c.leader().Propose(ctx, encodeSet(key, value))
 		return err == nil
 	})
 }
--- a/internal/node/compaction_test.go
+++ b/internal/node/compaction_test.go
@@ -13,18 +13,18 @@
 // kilobytes. If snapshots and compaction counted only entries, thousands of commands
 // would stay in memory before a snapshot, and thousands more after it.
 func TestLogOfLongCommandsIsCompacted(t *testing.T) {
-	const size, bound, commands = 1 << 10, 16 << 10, 100
-	c := newCluster(t, "a", Config{SnapshotBytes: bound})
-	for i := range commands {
-		c.set("document", fmt.Sprint(i)+strings.Repeat("x", size))
+	const commandBytes, snapshotBytes, commandCount = 1 << 10, 16 << 10, 100
+	c := newCluster(t, "a", Config{SnapshotBytes: snapshotBytes})
+	for i := range commandCount {
+		c.set("document", fmt.Sprint(i)+strings.Repeat("x", commandBytes))
 	}
 	c.converged(3)
 	for _, m := range c.running() {
 		eventually(t, "a snapshot", func() bool { return m.Stats().Snapshots > 0 })
 		eventually(t, "old entries to be dropped", func() bool {
 			s := m.Status()
-			return s.Last-s.First < 3*bound/size
+			return s.LastIndex-s.FirstIndex < 3*snapshotBytes/commandBytes
 		})
 	}
-	must.Eq(t, fmt.Sprint(commands-1), strings.TrimRight(c.leader().machine.get("document"), "x"))
+	must.Eq(t, fmt.Sprint(commandCount-1), strings.TrimRight(c.leader().machine.get("document"), "x"))
 }
--- a/internal/node/http_test.go
+++ b/internal/node/http_test.go
@@ -145,7 +145,7 @@
 
 // Guards against lost commits: three members exchange messages over HTTP, the leader stops,
 // and another member must take over with everything that was committed.
-func TestGroupOverHTTP(t *testing.T) {
+func TestCommitsSurviveLeaderStopOverHTTP(t *testing.T) {
 	h := newHTTPCluster(t, 3, 0)
 	old := h.leader(t)
 	for range 100 {
--- a/internal/node/linearizability_test.go
+++ b/internal/node/linearizability_test.go
@@ -88,7 +88,7 @@
 	var err error
 	if in.write {
 		var old any
-		if old, err = m.Propose(ctx, set(in.key, in.value)); err == nil {
+		if old, err = m.Propose(ctx, encodeSet(in.key, in.value)); err == nil {
 			out.old = old.(string)
 		}
 	} else if err = m.Barrier(ctx); err == nil {
@@ -170,7 +170,7 @@
 func TestHistoryIsLinearizable(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			c := newCluster(t, "a", Config{SnapshotEvery: 50, KeepEntries: 20})
+			c := newCluster(t, "a", Config{SnapshotEntries: 50, KeepEntries: 20})
 			c.starts = seed * startsPerSeed
 			h := &history{start: time.Now()}
 			const clients, accessCount = 5, 1500
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -60,11 +60,11 @@
 // Defaults of Config. With ticks of 100 ms, heartbeats are sent every 500 ms and
 // election timeouts start at 1.5 s.
 const (
-	DefaultTickInterval   = 100 * time.Millisecond
-	DefaultElectionTicks  = 15
-	DefaultHeartbeatTicks = 5
-	DefaultSnapshotEvery  = 20_000
-	DefaultSnapshotBytes  = 2 << 20
+	DefaultTickInterval    = 100 * time.Millisecond
+	DefaultElectionTicks   = 15
+	DefaultHeartbeatTicks  = 5
+	DefaultSnapshotEntries = 20_000
+	DefaultSnapshotBytes   = 2 << 20
 
 	// maxInflightAppends bounds the appends in flight to a member. One append carries
 	// the commands of one sync, so 64 appends carry the commands of 25 ms or more.
@@ -104,18 +104,18 @@
 	// and HeartbeatTicks both get their defaults.
 	ElectionTicks  int
 	HeartbeatTicks int
-	// SnapshotEvery is the number of entries between snapshots.
-	SnapshotEvery uint64
+	// SnapshotEntries is the number of entries between snapshots.
+	SnapshotEntries uint64
 	// SnapshotBytes is the total size of the commands between two snapshots, in bytes. If
 	// the latest snapshot is larger, its size is used instead. Commands of at most half of
 	// SnapshotBytes stay in memory after a snapshot, for members that lag.
 	//
 	// Without this bound, a log of long commands, such as whole configuration
-	// documents, outgrows the memory of the process long before it has SnapshotEvery
+	// documents, outgrows the memory of the process long before it has SnapshotEntries
 	// entries.
 	SnapshotBytes int
 	// KeepEntries is the number of entries before a snapshot that stay in memory for
-	// members that lag; 0 means SnapshotEvery.
+	// members that lag; 0 means SnapshotEntries.
 	KeepEntries int
 	// Seed seeds the election timeouts.
 	Seed      uint64
@@ -139,14 +139,14 @@
 	if cfg.ElectionTicks == 0 {
 		cfg.ElectionTicks, cfg.HeartbeatTicks = DefaultElectionTicks, DefaultHeartbeatTicks
 	}
-	if cfg.SnapshotEvery == 0 {
-		cfg.SnapshotEvery = DefaultSnapshotEvery
+	if cfg.SnapshotEntries == 0 {
+		cfg.SnapshotEntries = DefaultSnapshotEntries
 	}
 	if cfg.SnapshotBytes == 0 {
 		cfg.SnapshotBytes = DefaultSnapshotBytes
 	}
 	if cfg.KeepEntries == 0 {
-		cfg.KeepEntries = int(cfg.SnapshotEvery)
+		cfg.KeepEntries = int(cfg.SnapshotEntries)
 	}
 	if cfg.Logger == nil {
 		cfg.Logger = log.NewNopLogger()
@@ -253,7 +253,7 @@
 		}
 	}
 	g.applied, g.snapshots.lastIndex = stored.Snapshot.Index, stored.Snapshot.Index
-	g.snapshots.lastSize = len(stored.Snapshot.Data)
+	g.snapshots.lastBytes = len(stored.Snapshot.Data)
 	g.published.init(core.Status())
 	return nil
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -20,7 +20,7 @@
 // Guards against lost writes: the leader stops, starts again, and then each of two members
 // with disks restarts. Writes must continue, and a restarted member must reach the same
 // state as the members that kept running.
-func TestLeaderLostAndFollowerRestarted(t *testing.T) {
+func TestWritesContinueAcrossMemberRestarts(t *testing.T) {
 	c := newCluster(t, "ab", Config{})
 	c.setMany("before", 30)
 	old := c.leader().cfg.ID
@@ -42,7 +42,7 @@
 // restarts after hundreds of entries, of which the leader has dropped the oldest. It
 // must recover by a snapshot and the entries after it before it votes again.
 func TestDisklessRestartCatchesUp(t *testing.T) {
-	c := newCluster(t, "a", Config{SnapshotEvery: 20, KeepEntries: 5})
+	c := newCluster(t, "a", Config{SnapshotEntries: 20, KeepEntries: 5})
 	c.setMany("x", 10)
 	restarted := "c"
 	if c.leader().cfg.ID == "c" {
@@ -59,8 +59,8 @@
 
 // Guards against lost commits when all members restart. The state must come back from
 // the snapshot and the log on the disk.
-func TestWholeGroupRestarts(t *testing.T) {
-	c := newCluster(t, "a", Config{SnapshotEvery: 20, KeepEntries: 5})
+func TestCommitsSurviveRestartOfWholeGroup(t *testing.T) {
+	c := newCluster(t, "a", Config{SnapshotEntries: 20, KeepEntries: 5})
 	c.setMany("x", 95)
 	c.stopAll()
 	for _, m := range c.config.Members {
@@ -79,7 +79,7 @@
 			continue
 		}
 		eventually(t, "the leader to be known", func() bool { return m.Status().Leader == leader.cfg.ID })
-		_, err := m.Propose(t.Context(), set("k", "v"))
+		_, err := m.Propose(t.Context(), encodeSet("k", "v"))
 		must.True(t, fault.Is(err, fault.Unavailable))
 		must.True(t, errors.Is(err, ErrNotLeader))
 		must.True(t, errors.Is(m.Barrier(t.Context()), ErrNotLeader))
@@ -93,7 +93,7 @@
 	c := newCluster(t, "a", Config{})
 	leader := c.leader()
 	c.net.isolate(leader.cfg.ID, true)
-	_, err := leader.Propose(t.Context(), set("k", "v"))
+	_, err := leader.Propose(t.Context(), encodeSet("k", "v"))
 	must.True(t, fault.Is(err, fault.Unavailable))
 	must.True(t, errors.Is(err, ErrOutcomeUnknown), must.Sprint(err))
 	must.ErrorContains(t, err, "the command may or may not be committed")
@@ -117,7 +117,7 @@
 	leader.machine.mu.Unlock()
 	proposed := make(chan error, 1)
 	go func() {
-		_, err := leader.Propose(context.Background(), set("k", "v"))
+		_, err := leader.Propose(context.Background(), encodeSet("k", "v"))
 		proposed <- err
 	}()
 	eventually(t, "the lease to expire", func() bool { return !leader.Status().CanDecide })
@@ -152,7 +152,7 @@
 
 // A change of two members in one call must be refused as invalid. A change of one member
 // must succeed, and so must a repeat of the same call.
-func TestMembershipChange(t *testing.T) {
+func TestMembershipChangesOneMemberAtATime(t *testing.T) {
 	c := newCluster(t, "a", Config{})
 	leader := c.leader()
 	var followerIndexes []int
@@ -185,14 +185,14 @@
 	var group sync.WaitGroup
 	for i := range 20 {
 		group.Go(func() {
-			_, err := leader.Propose(context.Background(), set("k", fmt.Sprint(i)))
+			_, err := leader.Propose(context.Background(), encodeSet("k", fmt.Sprint(i)))
 			must.Error(t, err)
 		})
 	}
 	eventually(t, "all commands to be in flight", func() bool { return leader.Stats().LogEntries >= before+20 })
 	c.stop(leader.cfg.ID)
 	group.Wait()
-	_, err := leader.Propose(t.Context(), set("k", "late"))
+	_, err := leader.Propose(t.Context(), encodeSet("k", "late"))
 	must.True(t, errors.Is(err, ErrStopped))
 	must.False(t, leader.Status().CanDecide)
 	c.net.isolate(leader.cfg.ID, false)
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -20,9 +20,9 @@
 type snapshotter struct {
 	// lastIndex is the index of the latest snapshot.
 	lastIndex uint64
-	// lastSize is the size of the latest snapshot. pendingBytes is the total size of the
+	// lastBytes is the size of the latest snapshot. pendingBytes is the total size of the
 	// commands applied since the latest start of a snapshot. Both are in bytes.
-	lastSize, pendingBytes int
+	lastBytes, pendingBytes int
 
 	running bool
 	done    chan snapshotResult
@@ -62,8 +62,8 @@
 }
 
 func (g *Group) snapshotDue() bool {
-	return g.applied-g.snapshots.lastIndex >= g.cfg.SnapshotEvery ||
-		g.snapshots.pendingBytes >= max(g.cfg.SnapshotBytes, g.snapshots.lastSize)
+	return g.applied-g.snapshots.lastIndex >= g.cfg.SnapshotEntries ||
+		g.snapshots.pendingBytes >= max(g.cfg.SnapshotBytes, g.snapshots.lastBytes)
 }
 
 func (g *Group) capture() (func() ([]byte, error), error) {
@@ -106,7 +106,7 @@
 	}
 	g.core.Compact(r.snapshot)
 	g.snapshots.lastIndex = r.snapshot.Index
-	g.snapshots.lastSize = len(r.snapshot.Data)
+	g.snapshots.lastBytes = len(r.snapshot.Data)
 	g.counters.snapshots.Add(1)
 	return nil
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -76,10 +76,10 @@
 	mu sync.Mutex
 	// links holds the links by the ID of the peer.
 	links map[string]*peerLink
-	// running holds the goroutines of the links, and ctx ends them. running is nil unless
-	// Run is running.
-	running *errgroup.Group
-	ctx     context.Context
+	// goroutines holds the goroutines of the links, and ctx ends them. goroutines is nil
+	// unless Run is running.
+	goroutines *errgroup.Group
+	ctx        context.Context
 }
 
 // New returns a transport without peers.
@@ -103,11 +103,11 @@
 
 // start runs a link if Run is running. t.mu must be held.
 func (t *Transport) start(l *peerLink) {
-	if t.running == nil {
+	if t.goroutines == nil {
 		return
 	}
 	ctx := t.ctx
-	t.running.Go(func() error { return l.run(ctx) })
+	t.goroutines.Go(func() error { return l.run(ctx) })
 }
 
 // Run sends queued payloads until ctx ends. It always returns nil.
@@ -117,12 +117,12 @@
 	running.Go(func() error {
 		<-ctx.Done()
 		t.mu.Lock()
-		t.running = nil
+		t.goroutines = nil
 		t.mu.Unlock()
 		return nil
 	})
 	t.mu.Lock()
-	t.running, t.ctx = running, ctx
+	t.goroutines, t.ctx = running, ctx
 	for _, l := range t.links {
 		t.start(l)
 	}
--- a/internal/wal/disk_full_test.go
+++ b/internal/wal/disk_full_test.go
@@ -64,7 +64,7 @@
 
 // The process is told to stop while its disk is full. Close must succeed, and a
 // restart must read nothing of the record that didn't fit.
-func TestCloseWithFullDisk(t *testing.T) {
+func TestCloseSucceedsWithFullDisk(t *testing.T) {
 	folder := t.TempDir()
 	w, _ := mustOpen(t, folder, oneSegmentBytes)
 	saveOneByOne(t, w, &replica.HardState{Term: 1}, entryRange(1, 3, 1))
--- a/internal/wal/recover.go
+++ b/internal/wal/recover.go
@@ -11,8 +11,8 @@
 type segment struct {
 	path     string
 	sequence uint64
-	// highest is the highest entry index written to the segment.
-	highest uint64
+	// highestIndex is the highest entry index written to the segment.
+	highestIndex uint64
 }
 
 // recoveredLog is the content of a log folder. Reading it changes no file.
@@ -90,7 +90,7 @@
 			return 0, damaged(path, offset, err)
 		}
 		for _, e := range rec.Entries {
-			current.highest = max(current.highest, e.Index)
+			current.highestIndex = max(current.highestIndex, e.Index)
 		}
 		offset += frameSize + int64(len(payload))
 	}
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -86,7 +86,7 @@
 			old = append(old, path)
 		}
 	}
-	for len(w.segments) > 1 && w.segments[0].highest <= w.state.snapshot.Index {
+	for len(w.segments) > 1 && w.segments[0].highestIndex <= w.state.snapshot.Index {
 		old = append(old, w.segments[0].path)
 		w.segments = w.segments[1:]
 	}
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -68,8 +68,8 @@
 // write. A failed sync is never retried.
 func (w *WAL) OnDiskFull(wait func() bool) { w.onDiskFull = wait }
 
-// retry waits after a failed write and returns nil if the caller must retry the write.
-func (w *WAL) retry(err error) error {
+// waitToRetry waits after a failed write and returns nil if the caller must retry the write.
+func (w *WAL) waitToRetry(err error) error {
 	switch {
 	case !errors.Is(err, syscall.ENOSPC) || w.onDiskFull == nil:
 		return err
@@ -209,7 +209,7 @@
 	}
 	current := &w.segments[len(w.segments)-1]
 	for _, e := range entries {
-		current.highest = max(current.highest, e.Index)
+		current.highestIndex = max(current.highestIndex, e.Index)
 	}
 	w.counters.entries.Add(uint64(len(entries)))
 	return nil
@@ -235,7 +235,7 @@
 		if truncateErr := w.truncateFailedWrite(); truncateErr != nil {
 			return w.setErr(errors.CombineErrors(errors.Wrap(err, "write to the log"), truncateErr))
 		}
-		if err := w.retry(err); err != nil {
+		if err := w.waitToRetry(err); err != nil {
 			return w.setErr(errors.Wrap(err, "write to the log"))
 		}
 	}
@@ -283,7 +283,7 @@
 	path := numberedPath(w.folder, next, segmentSuffix)
 	f, err := writeAtomically(path, head.encode(), w.buffer.Bytes())
 	for err != nil {
-		if err := w.retry(err); err != nil {
+		if err := w.waitToRetry(err); err != nil {
 			return err
 		}
 		f, err = writeAtomically(path, head.encode(), w.buffer.Bytes())
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -247,7 +247,7 @@
 // The process fails after the rename of a snapshot, before a record names the snapshot or
 // old segments are removed. Open must use the snapshot, and must not report a gap if the
 // log goes on after it.
-func TestCrashBetweenSnapshotRenameAndRemoval(t *testing.T) {
+func TestSnapshotSurvivesCrashBeforeOldSegmentsAreRemoved(t *testing.T) {
 	for _, s := range []replica.Snapshot{{Index: 30, Term: 1}, {Index: 30, Term: 2}, {Index: 90, Term: 2}} {
 		folder, crashed := t.TempDir(), filepath.Join(t.TempDir(), "crashed")
 		w, _ := mustOpen(t, folder, smallSegmentBytes)
@@ -292,10 +292,10 @@
 	}
 }
 
-// TestRandomCrashes saves at random and crashes with the unsynced end of the last
-// segment truncated at any offset. Everything synced must be there, followed by a
-// prefix of what was saved.
-func TestRandomCrashes(t *testing.T) {
+// TestSyncedRecordsSurviveRandomCrashes saves at random and crashes with the unsynced end
+// of the last segment truncated at any offset. Everything synced must be there, followed by
+// a prefix of what was saved.
+func TestSyncedRecordsSurviveRandomCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		folder, err := os.MkdirTemp("", "wal")
 		must.NoError(t, err)
--- a/replica/coldstart.go
+++ b/replica/coldstart.go
@@ -146,7 +146,7 @@
 	}
 	reply, ok := c.recovery.replies[m.ID]
 	recent := c.now-reply.receivedTick < recentReplyTimeouts*uint64(c.cfg.ElectionTicks)
-	return voterState{m, reply.recovering, c.incarnations.participated(m.ID), reply.index, reply.logTerm}, ok && recent && !reply.leader
+	return voterState{m, reply.recovering, c.incarnations.participated(m.ID), reply.index, reply.logTerm}, ok && recent && !reply.isLeader
 }
 
 // coldStartLeader returns the ID of the voter with the most complete log among those that
--- a/replica/core.go
+++ b/replica/core.go
@@ -36,11 +36,11 @@
 	// now counts this member's ticks. ticksSinceLeader counts the ticks since the last
 	// contact from a leader, and ticksSinceReset counts the ticks since the election
 	// timer was reset.
-	now              uint64
-	ticksSinceLeader int
-	ticksSinceReset  int
-	electionTimeout  int
-	heartbeatGaps    heartbeatGaps
+	now                  uint64
+	ticksSinceLeader     int
+	ticksSinceReset      int
+	electionTimeoutTicks int
+	heartbeatGaps        heartbeatGaps
 
 	campaign    campaign
 	leaderState leaderState
@@ -175,7 +175,7 @@
 		c.tickRecovering()
 		return
 	}
-	if c.ticksSinceReset >= c.electionTimeout {
+	if c.ticksSinceReset >= c.electionTimeoutTicks {
 		c.onElectionTimeout()
 	}
 }
@@ -183,8 +183,8 @@
 // resetTimers restarts the election timer with a new random timeout.
 func (c *Core) resetTimers() {
 	c.ticksSinceReset = 0
-	minTimeout := c.minElectionTimeout()
-	c.electionTimeout = (minTimeout + c.rand.IntN(minTimeout)) * c.requestIntervalFactor()
+	minTimeout := c.minElectionTimeoutTicks()
+	c.electionTimeoutTicks = (minTimeout + c.rand.IntN(minTimeout)) * c.requestIntervalFactor()
 }
 
 // hasRecentLeader reports whether a leader's lease may still be valid because this member
@@ -295,17 +295,17 @@
 		members[i].Incarnation = max(members[i].Incarnation, c.incarnations.of(members[i].ID))
 	}
 	return Status{
-		ID:        c.cfg.ID,
-		Role:      c.role,
-		Term:      c.term,
-		Leader:    c.leader,
-		Commit:    c.commit,
-		Applied:   c.applied,
-		Last:      c.log.last(),
-		First:     c.log.first(),
-		Members:   members,
-		CanDecide: c.canDecide(),
-		Degraded:  c.role == Leader && !c.diskVoterAvailable(),
-		NotMember: c.notMember,
+		ID:         c.cfg.ID,
+		Role:       c.role,
+		Term:       c.term,
+		Leader:     c.leader,
+		Commit:     c.commit,
+		Applied:    c.applied,
+		LastIndex:  c.log.last(),
+		FirstIndex: c.log.first(),
+		Members:    members,
+		CanDecide:  c.canDecide(),
+		Degraded:   c.role == Leader && !c.diskVoterAvailable(),
+		NotMember:  c.notMember,
 	}
 }
--- a/replica/election_timeout.go
+++ b/replica/election_timeout.go
@@ -14,19 +14,19 @@
 // heartbeatGaps holds the widest gaps between two messages of one leader, in ticks:
 // in the current window and in the previous one.
 type heartbeatGaps struct {
-	windowStart            uint64
+	windowStartTick        uint64
 	widest, previousWidest int
 }
 
 // record adds the gap before a message of the leader, in ticks.
 func (g *heartbeatGaps) record(gap int, now uint64) {
-	if now-g.windowStart >= gapWindowTicks {
-		g.windowStart, g.previousWidest, g.widest = now, g.widest, 0
+	if now-g.windowStartTick >= gapWindowTicks {
+		g.windowStartTick, g.previousWidest, g.widest = now, g.widest, 0
 	}
 	g.widest = max(g.widest, gap)
 }
 
-// minElectionTimeout returns the least election timeout in ticks. The timeout is longer
+// minElectionTimeoutTicks returns the least election timeout in ticks. The timeout is longer
 // than the recent gaps after which the leader sent messages again, but at most
 // maxTimeoutFactor times Config.ElectionTicks.
 //
@@ -34,7 +34,7 @@
 // would be replaced. The new leader has the most work right after its election, so its
 // heartbeats would be late even sooner, and elections would never stop. The time for
 // which votes are refused isn't extended, so no leader's lease depends on this value.
-func (c *Core) minElectionTimeout() int {
+func (c *Core) minElectionTimeoutTicks() int {
 	base := c.cfg.ElectionTicks
 	widest := max(c.heartbeatGaps.widest, c.heartbeatGaps.previousWidest)
 	return min(max(base, gapFactor*widest+1), maxTimeoutFactor*base)
--- a/replica/leader.go
+++ b/replica/leader.go
@@ -10,9 +10,9 @@
 type leaderState struct {
 	// progress holds the replication progress of each member by ID.
 	progress map[string]*progress
-	// electedAt is the tick of the election, and firstIndex is the index of the leader's
+	// electedTick is the tick of the election, and firstIndex is the index of the leader's
 	// own no-op entry.
-	electedAt          uint64
+	electedTick        uint64
 	firstIndex         uint64
 	heartbeatCountdown int
 	heartbeatDue       bool
@@ -28,7 +28,7 @@
 	c.campaign = campaign{}
 	c.recovery = recovery{}
 	c.incarnations.merge(MemberIncarnation{ID: c.cfg.ID, Participated: true})
-	c.leaderState = leaderState{progress: map[string]*progress{}, electedAt: c.now, heartbeatDue: true}
+	c.leaderState = leaderState{progress: map[string]*progress{}, electedTick: c.now, heartbeatDue: true}
 	c.leaderState.heartbeatCountdown = c.cfg.HeartbeatTicks
 	c.syncProgress()
 	c.leaderState.firstIndex = c.appendEntry(EntryNoop, nil)
@@ -141,7 +141,7 @@
 		c.leaderState.heartbeatCountdown = c.cfg.HeartbeatTicks
 		c.leaderState.heartbeatDue = true
 	}
-	if c.now-max(c.quorumAckTick(), c.leaderState.electedAt) >= stepDownTimeouts*uint64(c.cfg.ElectionTicks) {
+	if c.now-max(c.quorumAckTick(), c.leaderState.electedTick) >= stepDownTimeouts*uint64(c.cfg.ElectionTicks) {
 		// No majority replies, so another leader may exist already.
 		c.follow(c.term, "")
 		return
@@ -211,7 +211,7 @@
 			return true
 		}
 		p := c.leaderState.progress[m.ID]
-		inGracePeriod := c.now-c.leaderState.electedAt < uint64(c.cfg.HeartbeatTicks) && !p.recovering
+		inGracePeriod := c.now-c.leaderState.electedTick < uint64(c.cfg.HeartbeatTicks) && !p.recovering
 		if (inGracePeriod || c.responsive(p)) && !p.lagging {
 			return true
 		}
--- a/replica/lease_test.go
+++ b/replica/lease_test.go
@@ -15,7 +15,7 @@
 // starts when the last heartbeat that a majority replied to was sent. It ends at least
 // two ticks, one for the position of each clock within a tick, before a follower that
 // received that heartbeat immediately may vote.
-func TestLeaseEndsBeforeVotes(t *testing.T) {
+func TestLeaseExpiresBeforeFollowersMayVote(t *testing.T) {
 	for _, age := range []uint64{0, 3} {
 		c := leaderCore(t, "n0", "n1", "n2")
 		sent := c.now
@@ -119,7 +119,7 @@
 	c := coreWithoutState(t)
 	members := c.members.current()
 	replyState := func(from string, term uint64, leader, recovering bool) {
-		m := Message{Type: MsgStateReply, From: from, Term: term, Nonce: 9, Index: 2, LogTerm: 3, Leader: leader, Recovering: recovering}
+		m := Message{Type: MsgStateReply, From: from, Term: term, Nonce: 9, Index: 2, LogTerm: 3, IsLeader: leader, Recovering: recovering}
 		if leader {
 			m.Members = members
 		}
@@ -210,7 +210,7 @@
 // same.
 func TestElectionTimeoutFollowsHeartbeatGaps(t *testing.T) {
 	c := followerCore(t)
-	must.Eq(t, defaultElectionTicks, c.minElectionTimeout())
+	must.Eq(t, defaultElectionTicks, c.minElectionTimeoutTicks())
 	contactAfter := func(gap int) {
 		for range gap {
 			c.Tick()
@@ -218,14 +218,14 @@
 		stepFromPeer(t, c, Message{Type: MsgAppend, From: "n1", Term: c.term, Commit: c.commit})
 	}
 	contactAfter(1)
-	must.Eq(t, defaultElectionTicks, c.minElectionTimeout(), must.Sprint("short gaps change nothing"))
+	must.Eq(t, defaultElectionTicks, c.minElectionTimeoutTicks(), must.Sprint("short gaps change nothing"))
 	contactAfter(defaultElectionTicks - 2)
-	must.Eq(t, gapFactor*(defaultElectionTicks-2)+1, c.minElectionTimeout())
+	must.Eq(t, gapFactor*(defaultElectionTicks-2)+1, c.minElectionTimeoutTicks())
 	must.Eq(t, defaultElectionTicks, c.cfg.ElectionTicks, must.Sprint("the lease and the time of refused votes stay the same"))
 	for range 2 * gapWindowTicks {
 		contactAfter(1)
 	}
-	must.Eq(t, defaultElectionTicks, c.minElectionTimeout(), must.Sprint("gaps expire"))
+	must.Eq(t, defaultElectionTicks, c.minElectionTimeoutTicks(), must.Sprint("gaps expire"))
 }
 
 // followerCore returns n0, restarted from disk, as a follower of the leader n1.
--- a/replica/log_fetch.go
+++ b/replica/log_fetch.go
@@ -32,9 +32,9 @@
 // logFetch is the pending log request to a witness, if any. There is one at a time:
 // otherwise each rejection in each round would start another request.
 type logFetch struct {
-	pending  bool
-	prev     uint64
-	sentTick uint64
+	pending   bool
+	prevIndex uint64
+	sentTick  uint64
 }
 
 // startLogFetch requests the log of a witness that is ahead, unless an earlier
@@ -50,7 +50,7 @@
 func (c *Core) requestLog(witness string, prev uint64) {
 	prev = max(prev, c.log.prevIndex)
 	term, _ := c.log.term(prev)
-	c.logFetch = logFetch{pending: true, prev: prev, sentTick: c.now}
+	c.logFetch = logFetch{pending: true, prevIndex: prev, sentTick: c.now}
 	c.send(Message{Type: MsgFetch, To: witness, Term: c.term, Index: prev, LogTerm: term})
 }
 
@@ -81,7 +81,7 @@
 // from the last entry that matched, because this member's entries after it may still
 // conflict with the witness's.
 func (c *Core) onFetchReply(m Message) {
-	if !c.logFetch.pending || c.logFetch.prev != m.Index {
+	if !c.logFetch.pending || c.logFetch.prevIndex != m.Index {
 		return
 	}
 	c.logFetch = logFetch{}
--- a/replica/message.go
+++ b/replica/message.go
@@ -84,8 +84,8 @@
 	Recovering bool `cbor:"18,keyasint,omitempty"`
 	// Nonce is, in a state reply, the incarnation of the requester in its request.
 	Nonce uint64 `cbor:"19,keyasint,omitempty"`
-	// Leader says that the sender of a state reply leads in Term.
-	Leader bool `cbor:"20,keyasint,omitempty"`
+	// IsLeader says that the sender of a state reply leads in Term.
+	IsLeader bool `cbor:"20,keyasint,omitempty"`
 	// Members is, in a leader's state reply, its latest membership.
 	Members  []Member  `cbor:"21,keyasint,omitempty"`
 	Snapshot *Snapshot `cbor:"22,keyasint,omitempty"`
--- a/replica/random_test.go
+++ b/replica/random_test.go
@@ -10,9 +10,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// randomGroups are the groups that TestRandom simulates, by the name of the subtest.
-// "changes" stands for membership changes.
-var randomGroups = map[string]simOptions{
+// randomFaultGroups are the groups that TestGroupSurvivesRandomFaults simulates, by the
+// name of the subtest. "changes" stands for membership changes.
+var randomFaultGroups = map[string]simOptions{
 	"1 disk":                        {voters: 1, disks: 1},
 	"2 voters, 1 disk":              {voters: 2, disks: 1},
 	"2 voters, no disk":             {voters: 2},
@@ -25,14 +25,14 @@
 	"5 voters, 2 disks":             {voters: 5, disks: 2},
 	"5 voters, no disk":             {voters: 5},
 	"5 voters, power loss":          {voters: 5, disks: 2, powerLoss: true},
-	"3 voters, changes":             {voters: 3, disks: 1, spares: 2, changes: true},
-	"3 voters, changes, no disk":    {voters: 3, spares: 2, changes: true},
-	"3 voters, changes, power loss": {voters: 3, disks: 1, spares: 2, changes: true, powerLoss: true},
+	"3 voters, changes":             {voters: 3, disks: 1, spares: 2, membershipChanges: true},
+	"3 voters, changes, no disk":    {voters: 3, spares: 2, membershipChanges: true},
+	"3 voters, changes, power loss": {voters: 3, disks: 1, spares: 2, membershipChanges: true, powerLoss: true},
 }
 
-// faultRates are the values of simOptions.faultOutcomes that the seeds use in turn,
+// faultOutcomeCounts are the values of simOptions.faultOutcomes that the seeds use in turn,
 // from frequent to rare faults.
-var faultRates = []int{200, 500, 1000, 3000}
+var faultOutcomeCounts = []int{200, 500, 1000, 3000}
 
 // envInt returns the integer in an environment variable, or fallback if there is none.
 func envInt(name string, fallback int) int {
@@ -42,18 +42,18 @@
 	return fallback
 }
 
-// TestRandom runs groups under random faults. REPLICA_SEEDS sets the number of seeds,
-// REPLICA_STEPS the steps of each, and REPLICA_FIRST the first seed.
-func TestRandom(t *testing.T) {
+// TestGroupSurvivesRandomFaults runs groups under random faults. REPLICA_SEEDS sets the
+// number of seeds, REPLICA_STEPS the steps of each, and REPLICA_FIRST the first seed.
+func TestGroupSurvivesRandomFaults(t *testing.T) {
 	seeds, steps, first := envInt("REPLICA_SEEDS", 6), envInt("REPLICA_STEPS", 3000), envInt("REPLICA_FIRST", 1)
-	for name, opt := range randomGroups {
+	for name, opt := range randomFaultGroups {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			total := map[string]int{}
 			for seed := first; seed < first+seeds; seed++ {
 				opt.faults, opt.steps = true, steps
-				opt.faultOutcomes = faultRates[seed%len(faultRates)]
-				for event, n := range runRandom(t, uint64(seed), opt) {
+				opt.faultOutcomes = faultOutcomeCounts[seed%len(faultOutcomeCounts)]
+				for event, n := range runRandomFaults(t, uint64(seed), opt) {
 					total[event] += n
 				}
 			}
@@ -62,9 +62,9 @@
 	}
 }
 
-// runRandom simulates a group from one seed, then ends the faults and checks that it
+// runRandomFaults simulates a group from one seed, then ends the faults and checks that it
 // makes progress again. It returns the numbers of events by name.
-func runRandom(t *testing.T, seed uint64, opt simOptions) map[string]int {
+func runRandomFaults(t *testing.T, seed uint64, opt simOptions) map[string]int {
 	s := newSim(seed, opt)
 	defer func() {
 		if p := recover(); p != nil {
--- a/replica/recovery.go
+++ b/replica/recovery.go
@@ -46,7 +46,7 @@
 	index        uint64
 	logTerm      uint64
 	recovering   bool
-	leader       bool
+	isLeader     bool
 	// memberships of a leader, from its last committed one to its latest.
 	memberships [][]Member
 }
@@ -62,7 +62,7 @@
 		c.recovery.requestCountdown = c.cfg.HeartbeatTicks * c.requestIntervalFactor()
 		c.requestState()
 	}
-	if c.ticksSinceReset >= c.electionTimeout {
+	if c.ticksSinceReset >= c.electionTimeoutTicks {
 		c.resetTimers()
 		c.tryColdStart()
 	}
@@ -84,7 +84,7 @@
 		Index: c.log.last(), LogTerm: c.log.lastTerm(), Recovering: c.role == Recovering,
 	}
 	if c.role == Leader {
-		reply.Leader = true
+		reply.IsLeader = true
 		memberships := c.members.since(c.commit)
 		reply.EarlierMemberships = memberships[:len(memberships)-1]
 		reply.Members = c.members.current()
@@ -103,7 +103,7 @@
 	}
 	c.recovery.replies[m.From] = stateReply{
 		receivedTick: c.now, term: m.Term, index: m.Index, logTerm: m.LogTerm,
-		recovering: m.Recovering, leader: m.Leader, memberships: m.memberships(),
+		recovering: m.Recovering, isLeader: m.IsLeader, memberships: m.memberships(),
 	}
 	switch {
 	case c.role == Recovering:
@@ -143,7 +143,7 @@
 // leaderReply returns the ID of the leader of term among the replies.
 func (c *Core) leaderReply(term uint64) (string, bool) {
 	for id, reply := range c.recovery.replies {
-		if reply.leader && reply.term == term {
+		if reply.isLeader && reply.term == term {
 			return id, true
 		}
 	}
--- a/replica/recovery_test.go
+++ b/replica/recovery_test.go
@@ -37,7 +37,7 @@
 	clear(s.blockedLinks)
 	s.isolate(s.nodes[1])
 	s.nodes[2].crash(false)
-	s.nodes[2].downUntil = s.step + 1
+	s.nodes[2].restartStep = s.step + 1
 	s.run(2)
 }
 
--- a/replica/safety_test.go
+++ b/replica/safety_test.go
@@ -116,7 +116,7 @@
 
 // A delayed append that is shorter than the log must truncate nothing. An append that
 // contradicts a committed entry must stop the process.
-func TestLogConflicts(t *testing.T) {
+func TestDelayedOrConflictingAppendTruncatesNothing(t *testing.T) {
 	c := candidateCore(t, "n0", "n1", "n2")
 	entries := []Entry{{Index: 3, Term: 4}, {Index: 4, Term: 4}}
 	stepFromPeer(t, c, Message{Type: MsgAppend, From: "n1", Term: 4, Index: 2, LogTerm: 2, Entries: entries, Commit: 3})
--- a/replica/scenario_test.go
+++ b/replica/scenario_test.go
@@ -150,7 +150,7 @@
 func TestNoColdStartWithoutDiskMember(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3, disks: 1})
 	s.losePower()
-	s.nodes[0].downUntil = s.step + 1000
+	s.nodes[0].restartStep = s.step + 1000
 	s.run(900)
 	must.Nil(t, s.leader())
 	must.Eq(t, 0, s.nodes[1].core.term) // waiting must not raise the term
@@ -222,7 +222,7 @@
 	s.isolate(lagging)
 	s.run(200)
 	l.crash(false)
-	l.downUntil = s.step + noRestartSteps
+	l.restartStep = s.step + noRestartSteps
 	clear(s.blockedLinks)
 	must.Eq(t, lagging, s.waitForLeader(t))
 	must.Eq(t, s.lastApplied, lagging.core.applied)
@@ -231,13 +231,13 @@
 // A failed member is replaced by changes of one member each, and the leader fails right
 // after the last change. The group must continue without a lost entry. Changes that aren't
 // safe must be refused, each with its own error.
-func TestReplaceLostMember(t *testing.T) {
+func TestLostMemberIsReplacedWithoutLosingEntries(t *testing.T) {
 	s := newSimWithLeader(t, simOptions{voters: 3, disks: 1, spares: 1})
 	l := s.leader()
 	failedMember := s.liveFollower(l)
 	s.run(800) // hundreds of entries, compacted: the new member needs the snapshot
 	failedMember.crash(true)
-	failedMember.downUntil = s.step + noRestartSteps
+	failedMember.restartStep = s.step + noRestartSteps
 	s.run(50)
 	spare := Member{ID: "n3", Learner: true}
 	members := l.core.members.current()
@@ -266,7 +266,7 @@
 	must.NoError(t, propose(withoutMember(members, failedMember.id)))
 	must.SliceEmpty(t, s.violations)
 	l.crash(false)
-	l.downUntil = s.step + 30
+	l.restartStep = s.step + 30
 	s.waitForLeader(t)
 	must.Eq(t, s.lastApplied, s.leader().core.applied)
 }
--- a/replica/sim_faults_test.go
+++ b/replica/sim_faults_test.go
@@ -7,7 +7,7 @@
 const (
 	// powerLossOutcome is the random outcome of a step at which injectFault simulates a
 	// loss of power. It is above the bounds of the cases in injectFault and below each of
-	// faultRates.
+	// faultOutcomeCounts.
 	powerLossOutcome = 100
 	// diskLossProbability is the probability that a crash erases the disk.
 	diskLossProbability = 0.2
@@ -60,7 +60,7 @@
 		if l := s.leader(); l != nil && !l.paused && l.core.Transfer(n.id) == nil {
 			s.counts["transfers"]++
 		}
-	case kind < 68 && s.opt.changes:
+	case kind < 68 && s.opt.membershipChanges:
 		s.proposeRandomChange()
 	case kind == powerLossOutcome && s.opt.powerLoss:
 		s.losePower()
--- a/replica/sim_test.go
+++ b/replica/sim_test.go
@@ -45,10 +45,10 @@
 	steps                 int
 	// faultOutcomes is the number of equally likely outcomes of which each step draws
 	// one. About 70 of them start or end a fault, the others do nothing.
-	faultOutcomes int
-	faults        bool
-	powerLoss     bool
-	changes       bool
+	faultOutcomes     int
+	faults            bool
+	powerLoss         bool
+	membershipChanges bool
 }
 
 // sim simulates a group on an in-memory network and in-memory disks. All random
@@ -82,28 +82,28 @@
 	nextCommand uint64
 }
 
-// simMessage is a message in flight, delivered at step due.
+// simMessage is a message in flight, delivered at step dueStep.
 type simMessage struct {
-	m   Message
-	due int
+	m       Message
+	dueStep int
 }
 
 // simNode is a member of the simulated group.
 type simNode struct {
-	s            *sim
-	id           string
-	disk         bool
-	core         *Core
-	incarnation  uint64
-	stored       StoredState
-	paused       bool
-	clockStopped bool // the member doesn't tick, so its lease doesn't expire
-	missedTicks  int
-	ready        *Ready
-	readyDoneAt  int
-	stateHash    uint64
-	commit       uint64
-	downUntil    int // step at which a crashed member restarts
+	s             *sim
+	id            string
+	disk          bool
+	core          *Core
+	incarnation   uint64
+	stored        StoredState
+	paused        bool
+	clockStopped  bool // the member doesn't tick, so its lease doesn't expire
+	missedTicks   int
+	ready         *Ready
+	readyDoneStep int
+	stateHash     uint64
+	commit        uint64
+	restartStep   int // step at which a crashed member restarts
 }
 
 func newSim(seed uint64, opt simOptions) *sim {
@@ -162,7 +162,7 @@
 		n.persist(*n.ready)
 	}
 	n.core, n.ready, n.paused, n.missedTicks = nil, nil, false, 0
-	n.downUntil = n.s.step + 1 + n.s.rand.IntN(maxDownSteps)
+	n.restartStep = n.s.step + 1 + n.s.rand.IntN(maxDownSteps)
 	if !n.disk || loseDisk {
 		n.stored = StoredState{}
 	}
@@ -191,7 +191,7 @@
 		return
 	}
 	if n.ready != nil {
-		if n.s.step >= n.readyDoneAt {
+		if n.s.step >= n.readyDoneStep {
 			n.finishReady()
 		}
 		return
@@ -201,12 +201,12 @@
 	}
 	r := n.core.Ready()
 	n.ready = &r
-	n.readyDoneAt = n.s.step
+	n.readyDoneStep = n.s.step
 	if n.s.opt.faults && n.disk {
-		n.readyDoneAt += n.s.rand.IntN(maxSyncSteps)
+		n.readyDoneStep += n.s.rand.IntN(maxSyncSteps)
 	}
 	n.sendAll(r, true)
-	if n.s.step >= n.readyDoneAt {
+	if n.s.step >= n.readyDoneStep {
 		n.finishReady()
 	}
 }
@@ -336,12 +336,12 @@
 func (s *sim) deliver() {
 	var due []simMessage
 	s.inTransit = slices.DeleteFunc(s.inTransit, func(m simMessage) bool {
-		if m.due <= s.step {
+		if m.dueStep <= s.step {
 			due = append(due, m)
 		}
-		return m.due <= s.step
+		return m.dueStep <= s.step
 	})
-	slices.SortStableFunc(due, func(a, b simMessage) int { return cmp.Compare(a.due, b.due) })
+	slices.SortStableFunc(due, func(a, b simMessage) int { return cmp.Compare(a.dueStep, b.dueStep) })
 	for _, d := range due {
 		n := s.node(d.m.To)
 		if s.blockedLinks[[2]string{d.m.From, d.m.To}] || n.core == nil || n.paused {
@@ -361,7 +361,7 @@
 // member misses some ticks at random, so that clocks drift apart.
 func (s *sim) tick(n *simNode) {
 	if n.core == nil {
-		if s.step >= n.downUntil {
+		if s.step >= n.restartStep {
 			n.start()
 		}
 		return
--- a/replica/types.go
+++ b/replica/types.go
@@ -139,11 +139,11 @@
 	Leader  string
 	Commit  uint64
 	Applied uint64
-	// Last is the index of the last entry in the log, and First is the index of the first
-	// entry that isn't compacted.
-	Last    uint64
-	First   uint64
-	Members []Member
+	// LastIndex is the index of the last entry in the log, and FirstIndex is the index of
+	// the first entry that isn't compacted.
+	LastIndex  uint64
+	FirstIndex uint64
+	Members    []Member
 	// CanDecide is true only on a leader that has committed an entry of its term and
 	// whose lease is valid: a majority replied to a message sent within the lease,
 	// counted in the leader's own ticks.
