--- a/internal/member/host.go
+++ b/internal/member/host.go
@@ -116,7 +116,7 @@
 	h.mu.Unlock()
 	h.mux.Register(GroupName, group.Step)
 	status := group.Status()
-	_ = h.cfg.Logger.Log("event", "log_opened", "members", len(status.Members), "last", status.LastIndex, "term", status.Term)
+	_ = h.cfg.Logger.Log("event", "log_opened", "members", len(status.Members), "last", status.Last, "term", status.Term)
 	return group, nil
 }
 
--- a/internal/node/compaction_test.go
+++ b/internal/node/compaction_test.go
@@ -23,7 +23,7 @@
 		eventually(t, "a snapshot", func() bool { return m.Stats().Snapshots > 0 })
 		eventually(t, "old entries to be dropped", func() bool {
 			s := m.Status()
-			return s.LastIndex-s.FirstIndex < 3*snapshotBytes/commandBytes
+			return s.Last-s.First < 3*snapshotBytes/commandBytes
 		})
 	}
 	must.Eq(t, fmt.Sprint(commandCount-1), strings.TrimRight(c.leader().machine.get("document"), "x"))
--- a/replica/core.go
+++ b/replica/core.go
@@ -295,17 +295,17 @@
 		members[i].Incarnation = max(members[i].Incarnation, c.incarnations.of(members[i].ID))
 	}
 	return Status{
-		ID:         c.cfg.ID,
-		Role:       c.role,
-		Term:       c.term,
-		Leader:     c.leader,
-		Commit:     c.commit,
-		Applied:    c.applied,
-		LastIndex:  c.log.last(),
-		FirstIndex: c.log.first(),
-		Members:    members,
-		CanDecide:  c.canDecide(),
-		Degraded:   c.role == Leader && !c.diskVoterAvailable(),
-		NotMember:  c.notMember,
+		ID:        c.cfg.ID,
+		Role:      c.role,
+		Term:      c.term,
+		Leader:    c.leader,
+		Commit:    c.commit,
+		Applied:   c.applied,
+		Last:      c.log.last(),
+		First:     c.log.first(),
+		Members:   members,
+		CanDecide: c.canDecide(),
+		Degraded:  c.role == Leader && !c.diskVoterAvailable(),
+		NotMember: c.notMember,
 	}
 }
--- a/replica/sim_checks_test.go
+++ b/replica/sim_checks_test.go
@@ -85,7 +85,7 @@
 			continue
 		}
 		st := n.core.Status()
-		out += fmt.Sprintf("\n%s disk=%t role=%d term=%d leader=%s commit=%d last=%d members=%v", n.id, n.disk, st.Role, st.Term, st.Leader, st.Commit, st.LastIndex, st.Members)
+		out += fmt.Sprintf("\n%s disk=%t role=%d term=%d leader=%s commit=%d last=%d members=%v", n.id, n.disk, st.Role, st.Term, st.Leader, st.Commit, st.Last, st.Members)
 	}
 	return out
 }
--- a/replica/types.go
+++ b/replica/types.go
@@ -131,7 +131,7 @@
 }
 
 // Status is a read-only view of a member's state for logs, metrics and the routing of
-// calls.
+// calls. Metrics show the fields under their JSON names.
 type Status struct {
 	ID      string
 	Role    Role
@@ -139,11 +139,11 @@
 	Leader  string
 	Commit  uint64
 	Applied uint64
-	// LastIndex is the index of the last entry in the log, and FirstIndex is the index of
+	// Last is the index of the last entry in the log, and First is the index of
 	// the first entry that isn't compacted.
-	LastIndex  uint64
-	FirstIndex uint64
-	Members    []Member
+	Last    uint64
+	First   uint64
+	Members []Member
 	// CanDecide is true only on a leader that has committed an entry of its term and
 	// whose lease is valid: a majority replied to a message sent within the lease,
 	// counted in the leader's own ticks.
@@ -154,5 +154,5 @@
 	// NotMember is true on a member that a leader has told that it isn't in the group,
 	// because it was removed or not yet added. It is cleared when a leader contacts
 	// the member again.
-	NotMember bool
+	NotMember bool `json:"Outside"`
 }
