--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -367,11 +367,11 @@
 	if s.Term == 0 {
 		return s.DataCentre + "." + sequence
 	}
-	return s.DataCentre + "." + strconv.FormatUint(s.Term, termBase) + "-" + sequence
+	return s.DataCentre + "." + strconv.FormatUint(s.Term, termRadix) + "-" + sequence
 }
 
-// termBase is the number base of terms in IDs. A high base keeps them short.
-const termBase = 36
+// termRadix is the number base of terms in IDs. A high base keeps them short.
+const termRadix = 36
 
 // HomeDataCentre returns the data centre that assigned a job ID, or "" if the
 // ID names none.
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -23,8 +23,8 @@
 	ended      map[AttemptRef]bool
 }
 
-// limitedCPU is the CPU quota of customer c0, in thousandths of a core.
-const limitedCPU = 6000
+// limitedCPUMillicores is the CPU quota of customer c0, in thousandths of a core.
+const limitedCPUMillicores = 6000
 
 // stateHarness applies random commands, among them late, duplicate and invalid
 // ones, to two replicas (a and b) of a state and simulates the workers.
@@ -44,7 +44,7 @@
 // quota limit and one without.
 func newStateHarness(t *rapid.T) *stateHarness {
 	h := &stateHarness{t: t, a: New("home"), b: New("home"), now: 1_000, fakeWorkers: make(map[string]*fakeWorker), startCounts: make(map[string]int)}
-	limits := map[string]placement.Resources{"c0": {CPU: limitedCPU, Memory: -1, Accelerators: -1}, "c1": {CPU: -1, Memory: -1, Accelerators: -1}}
+	limits := map[string]placement.Resources{"c0": {CPU: limitedCPUMillicores, Memory: -1, Accelerators: -1}, "c1": {CPU: -1, Memory: -1, Accelerators: -1}}
 	h.apply(&Command{AdoptConfig: &AdoptConfig{ConfigVersion: 1, Quota: quota.Config{Version: 1, InitialOwners: []string{"home"}, Limits: limits}}})
 	for i := range 3 {
 		h.startWorker(fmt.Sprint("w", i))
@@ -258,7 +258,7 @@
 		must.Eq(h.t, worker.Used, sum)
 		must.True(h.t, fits(sum, worker.Capacity))
 	}
-	must.LessEq(h.t, limitedCPU, used["c0"])
+	must.LessEq(h.t, limitedCPUMillicores, used["c0"])
 	for id, w := range h.fakeWorkers {
 		for ref := range w.running {
 			j, task := h.a.latestAttempt(ref)
@@ -289,7 +289,7 @@
 // may be reported as not run. Orders are delivered late, twice or never, workers
 // are lost and restarted with less capacity, cancellations and handovers race with
 // starts, and replicas are restored from snapshots.
-func TestRandomCommands(t *testing.T) {
+func TestRandomCommandsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newStateHarness(t)
 		steps := map[string]func(*rapid.T){"": func(*rapid.T) { h.checkInvariants() }}
--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -16,13 +16,13 @@
 const (
 	ttl   = 10 * time.Second
 	drift = 2 * time.Second
-	// minClockRate is the lowest rate of a worker's clock, in thousandths of the
+	// minClockRatePerMille is the lowest rate of a worker's clock, in thousandths of the
 	// rate of the leader's clock. A clock of this rate loses almost drift over
-	// ttl+drift. maxClockRate is the highest rate.
-	minClockRate = 834
-	maxClockRate = 1200
-	// perMille is the rate of the leader's clock, in thousandths.
-	perMille = 1000
+	// ttl+drift. maxClockRatePerMille is the highest rate.
+	minClockRatePerMille = 834
+	maxClockRatePerMille = 1200
+	// leaderClockRatePerMille is the rate of the leader's clock, in thousandths.
+	leaderClockRatePerMille = 1000
 
 	// maxWorkers and modelTasks are the largest number of workers and the number of
 	// tasks in the model.
@@ -62,12 +62,12 @@
 // process is one process of a worker.
 type process struct {
 	id int
-	// rate is the rate of the process's clock, in thousandths.
-	rate     time.Duration
-	holder   lease.Holder
-	guard    *lease.Guard
-	sequence uint64
-	paused   bool
+	// clockRatePerMille is the rate of the process's clock, in thousandths.
+	clockRatePerMille time.Duration
+	holder            lease.Holder
+	guard             *lease.Guard
+	sequence          uint64
+	paused            bool
 	// reports are the outcomes that the owner has not acknowledged.
 	reports map[lease.Attempt]string
 }
@@ -140,7 +140,9 @@
 }
 
 // clock returns the time on a worker's monotonic clock.
-func (m *model) clock(p *process) time.Duration { return m.now * p.rate / perMille }
+func (m *model) clock(p *process) time.Duration {
+	return m.now * p.clockRatePerMille / leaderClockRatePerMille
+}
 
 // restart replaces the process of a worker. The tasks of the old process end with it.
 func (m *model) restart(i int) {
@@ -149,9 +151,9 @@
 		incarnation = old.guard.Incarnation() + 1
 	}
 	m.lastProcessID++
-	rate := rapid.IntRange(minClockRate, maxClockRate).Draw(m.t, "rate")
+	rate := rapid.IntRange(minClockRatePerMille, maxClockRatePerMille).Draw(m.t, "rate")
 	m.workers[i] = &process{
-		id: m.lastProcessID, rate: time.Duration(rate),
+		id: m.lastProcessID, clockRatePerMille: time.Duration(rate),
 		guard: lease.NewGuard(incarnation), reports: map[lease.Attempt]string{},
 	}
 }
@@ -163,14 +165,14 @@
 	m.table = lease.NewTable(ttl, drift)
 	m.outboxes = map[int]*lease.Outbox[command]{}
 	m.outboxIncarnation = map[int]uint64{}
-	m.table.TakeOver(m.ownerNow(), workerNames(len(m.workers)))
+	m.table.TakeOver(m.leaderNow(), workerNames(len(m.workers)))
 	for i, incarnation := range m.announcedIncarnations {
 		m.table.RecordIncarnation(workerNames(maxWorkers)[i], incarnation)
 	}
 }
 
-// ownerNow returns the time on the leader's monotonic clock.
-func (m *model) ownerNow() time.Duration { return m.now + m.clockOrigin }
+// leaderNow returns the time on the leader's monotonic clock.
+func (m *model) leaderNow() time.Duration { return m.now + m.clockOrigin }
 
 // send puts a message into the network.
 func (m *model) send(msg message) { m.network = append(m.network, msg) }
@@ -245,14 +247,14 @@
 // handleRenewal handles a renewal at the leader.
 func (m *model) handleRenewal(msg message) {
 	name := workerNames(maxWorkers)[msg.worker]
-	r := m.table.Renew(name, msg.incarnation, msg.sequence, m.ownerNow())
+	r := m.table.Renew(name, msg.incarnation, msg.sequence, m.leaderNow())
 	if r.Accepted && m.outboxIncarnation[msg.worker] != msg.incarnation {
 		m.announcedIncarnations[msg.worker] = max(m.announcedIncarnations[msg.worker], msg.incarnation)
 		m.outboxIncarnation[msg.worker] = msg.incarnation
 		m.outboxes[msg.worker] = lease.NewOutbox[command](m.term, msg.incarnation)
 		m.resend(msg.worker)
 	}
-	m.commitLost()
+	m.commitLostAttempts()
 	response := message{
 		kind: "response", worker: msg.worker, process: msg.process, incarnation: msg.incarnation,
 		sequence: msg.sequence, granted: r.Grants(), ended: r.Ended, position: lease.Position{Term: m.term},
@@ -291,9 +293,9 @@
 	}
 }
 
-// commitLost commits the attempts of fenced incarnations as lost, so that their
+// commitLostAttempts commits the attempts of fenced incarnations as lost, so that their
 // tasks can start elsewhere.
-func (m *model) commitLost() {
+func (m *model) commitLostAttempts() {
 	for _, r := range m.records {
 		if r.state == "assigned" && m.table.Fenced(workerNames(maxWorkers)[r.worker], r.incarnation) {
 			m.eventCounts["lost"]++
@@ -386,7 +388,7 @@
 	task := uniform(len(m.lastAttempt)).Draw(m.t, "task")
 	i := uniform(len(m.workers)).Draw(m.t, "worker")
 	last := m.records[m.latestAttempt(task)]
-	if (last != nil && last.state == "assigned") || !m.table.Live(workerNames(maxWorkers)[i], m.ownerNow()) {
+	if (last != nil && last.state == "assigned") || !m.table.Live(workerNames(maxWorkers)[i], m.leaderNow()) {
 		return
 	}
 	incarnation, _ := m.table.Incarnation(workerNames(maxWorkers)[i])
@@ -413,8 +415,8 @@
 			m.addCommand(a, command{stop: action >= 61, attempt: a})
 		}
 	case action < 69:
-		m.table.Expired(m.ownerNow())
-		m.commitLost()
+		m.table.Expired(m.leaderNow())
+		m.commitLostAttempts()
 	case action < 70:
 		m.changeLeader()
 	case action < 72:
--- a/placement/admit.go
+++ b/placement/admit.go
@@ -217,8 +217,8 @@
 	// queuedDemand is the demand of the queued entries with deadlines up to the
 	// one being checked.
 	queuedDemand resourceSeconds
-	// runningWalk computes the work that running tasks still do up to a deadline.
-	runningWalk *profileWalk
+	// runningIterator computes the work that running tasks still do up to a deadline.
+	runningIterator *profileIterator
 	// lateBy is how long after missedDeadline, the first deadline by which the
 	// work does not fit, that work would be done; zero if all work fits.
 	lateBy         time.Duration
@@ -229,7 +229,7 @@
 // later ones. Earlier deadlines are not affected, since work that is due earlier
 // runs first.
 func (p *projection) checkDeadlines(c *Cluster, key int64, overhead float64) (time.Duration, time.Time) {
-	p.runningWalk = c.running.walk(p.now)
+	p.runningIterator = c.running.iterator(p.now)
 	checked := false
 	c.demand.buckets.Scan(func(bucketKey int64, bucket *demandBucket) bool {
 		if !checked && bucketKey > key {
@@ -254,7 +254,7 @@
 	if seconds <= 0 {
 		return true
 	}
-	needed := p.queuedDemand.plus(p.newJobDemand).plus(p.runningWalk.until(seconds))
+	needed := p.queuedDemand.plus(p.newJobDemand).plus(p.runningIterator.workUntil(seconds))
 	if !needed.exceeds(p.rate.times(seconds), p.need) {
 		return true
 	}
--- a/placement/arrivals/generate.go
+++ b/placement/arrivals/generate.go
@@ -20,27 +20,27 @@
 	Load float64
 	// Duration is the period over which jobs arrive.
 	Duration time.Duration
-	// Urgent and Gangs are the shares of urgent jobs and of gangs.
-	Urgent float64
-	Gangs  float64
-	// MisdeclaringCustomers is the share of the customers that always declare
+	// UrgentShare and GangShare are the shares of urgent jobs and of gangs.
+	UrgentShare float64
+	GangShare   float64
+	// MisdeclaringCustomerShare is the share of the customers that always declare
 	// wrong run times, by a factor between 0.2 and 5 that is fixed per job
 	// name.
-	MisdeclaringCustomers float64
-	// MisdeclaredNames is the share of the job names whose declared run times are wrong,
-	// by a factor between 0.2 and 5 per job name, among the customers that do not belong
-	// to MisdeclaringCustomers.
-	MisdeclaredNames float64
+	MisdeclaringCustomerShare float64
+	// MisdeclaredNameShare is the share of the job names whose declared run times are
+	// wrong, by a factor between 0.2 and 5 per job name, among the customers that do not
+	// belong to MisdeclaringCustomerShare.
+	MisdeclaredNameShare float64
 	// DeclarationNoise is the standard deviation of the logarithm of a random
 	// error on every declared run time.
 	DeclarationNoise float64
-	// Services is the share of the capacity that services occupy throughout.
-	Services float64
-	// NotIdempotent is the share of the jobs whose tasks may run only once.
-	NotIdempotent float64
-	// TightDeadlines is the share of the jobs that must start within a few run times; all
-	// other jobs have one to six hours until they must start.
-	TightDeadlines float64
+	// ServiceShare is the share of the capacity that services occupy throughout.
+	ServiceShare float64
+	// NonIdempotentShare is the share of the jobs whose tasks may run only once.
+	NonIdempotentShare float64
+	// TightDeadlineShare is the share of the jobs that must start within a few run times;
+	// all other jobs have one to six hours until they must start.
+	TightDeadlineShare float64
 	// UrgentNeed is the resource need of an urgent task.
 	UrgentNeed placement.Resources
 	// ExactDeclarations makes every declared run time equal the actual one.
@@ -51,10 +51,10 @@
 func DefaultWorkload(seed uint64, load float64) Workload {
 	return Workload{
 		Seed: seed, Load: load, Duration: 6 * time.Hour,
-		Urgent: 0.1, Gangs: 0.05,
-		MisdeclaringCustomers: 0.3, MisdeclaredNames: 0.2, DeclarationNoise: 0.1,
-		Services: 0.1, NotIdempotent: 0.2,
-		TightDeadlines: 0.4, UrgentNeed: resources(1, 2),
+		UrgentShare: 0.1, GangShare: 0.05,
+		MisdeclaringCustomerShare: 0.3, MisdeclaredNameShare: 0.2, DeclarationNoise: 0.1,
+		ServiceShare: 0.1, NonIdempotentShare: 0.2,
+		TightDeadlineShare: 0.4, UrgentNeed: resources(1, 2),
 	}
 }
 
@@ -86,13 +86,13 @@
 	acceleratorShare = 0.25
 	// typicalRuntime is the median of the median run times of all recurring jobs.
 	typicalRuntime = 4 * time.Minute
-	// medianSpread is the standard deviation of the logarithm of the median run times
-	// of all recurring jobs. runtimeSpread is the standard deviation of the logarithm
-	// of the run times of one recurring job.
-	medianSpread  = 0.7
-	runtimeSpread = 0.25
-	minRuntime    = 5 * time.Second
-	maxRuntime    = time.Hour
+	// medianRuntimeLogStdDev is the standard deviation of the logarithm of the median run
+	// times of all recurring jobs. runtimeLogStdDev is the standard deviation of the
+	// logarithm of the run times of one recurring job.
+	medianRuntimeLogStdDev = 0.7
+	runtimeLogStdDev       = 0.25
+	minRuntime             = 5 * time.Second
+	maxRuntime             = time.Hour
 	// minPeakRatio is the lowest peak use as a fraction of the need.
 	minPeakRatio   = 0.4
 	peakRatioRange = 0.7
@@ -109,11 +109,11 @@
 	urgentSlack    = 2 * time.Minute
 	gangExtraSlack = 30 * time.Minute
 	// A tight deadline leaves minTightSlack and, in addition, between 1 and
-	// 1+tightRunsRange run times. Any other leaves minLooseSlack or more.
-	minTightSlack   = 2 * time.Minute
-	tightRunsRange  = 5
-	minLooseSlack   = time.Hour
-	looseHoursRange = 5
+	// 1+tightRuntimesRange run times. Any other leaves minLooseSlack or more.
+	minTightSlack      = 2 * time.Minute
+	tightRuntimesRange = 5
+	minLooseSlack      = time.Hour
+	looseHoursRange    = 5
 )
 
 // jobTemplate is a recurring job of a customer: its name, need, median run
@@ -140,7 +140,7 @@
 func Generate(site Site, workload Workload) []Arrival {
 	g := &generator{site: site, workload: workload, rand: rand.New(rand.NewPCG(workload.Seed, 1))}
 	g.makeTemplates()
-	rate := workload.Load - workload.Services
+	rate := workload.Load - workload.ServiceShare
 	budget := rate * workload.Duration.Seconds()
 	var arrivals []Arrival
 	var unscaledSeconds float64
@@ -186,28 +186,28 @@
 }
 
 // plus adds two amounts of work.
-func (w siteSeconds) plus(o siteSeconds) siteSeconds {
-	return siteSeconds{cpu: w.cpu + o.cpu, memory: w.memory + o.memory, accelerators: w.accelerators + o.accelerators}
+func (s siteSeconds) plus(o siteSeconds) siteSeconds {
+	return siteSeconds{cpu: s.cpu + o.cpu, memory: s.memory + o.memory, accelerators: s.accelerators + o.accelerators}
 }
 
 // largest returns the work of the resource with the highest demand.
-func (w siteSeconds) largest() float64 { return max(w.cpu, w.memory, w.accelerators) }
+func (s siteSeconds) largest() float64 { return max(s.cpu, s.memory, s.accelerators) }
 
 // makeTemplates draws the recurring jobs of all customers.
 func (g *generator) makeTemplates() {
 	for c := range g.site.Customers {
-		wrong := float64(c) < g.workload.MisdeclaringCustomers*float64(g.site.Customers)
+		misdeclaring := float64(c) < g.workload.MisdeclaringCustomerShare*float64(g.site.Customers)
 		for n := range namesPerCustomer {
-			g.templates = append(g.templates, g.newTemplate(c, n, wrong))
+			g.templates = append(g.templates, g.newTemplate(c, n, misdeclaring))
 		}
 	}
 }
 
-// newTemplate draws recurring job n of a customer. If wrong is set, its declared
-// run times are wrong.
-func (g *generator) newTemplate(customer, n int, wrong bool) jobTemplate {
+// newTemplate draws recurring job n of a customer. If misdeclaring is set, its
+// declared run times are wrong.
+func (g *generator) newTemplate(customer, n int, misdeclaring bool) jobTemplate {
 	bias := 1.0
-	if wrong || g.rand.Float64() < g.workload.MisdeclaredNames {
+	if misdeclaring || g.rand.Float64() < g.workload.MisdeclaredNameShare {
 		bias = math.Exp((2*g.rand.Float64() - 1) * math.Log(maxDeclarationFactor))
 	}
 	cpu := []int64{1, 2, 2, 4, 4, 6, 8, 12}[g.rand.IntN(8)]
@@ -220,7 +220,7 @@
 		customer:        customer,
 		name:            fmt.Sprintf("job-%d", n),
 		need:            need,
-		median:          time.Duration(math.Exp(g.rand.NormFloat64()*medianSpread) * float64(typicalRuntime)),
+		median:          time.Duration(math.Exp(g.rand.NormFloat64()*medianRuntimeLogStdDev) * float64(typicalRuntime)),
 		declarationBias: bias,
 		peakRatio:       minPeakRatio + peakRatioRange*g.rand.Float64(),
 	}
@@ -230,7 +230,7 @@
 // resolveTimes.
 func (g *generator) newArrival(n int) Arrival {
 	template := g.templates[g.rand.IntN(len(g.templates))]
-	runtime := time.Duration(math.Exp(g.rand.NormFloat64()*runtimeSpread) * float64(template.median))
+	runtime := time.Duration(math.Exp(g.rand.NormFloat64()*runtimeLogStdDev) * float64(template.median))
 	runtime = min(max(runtime, minRuntime), maxRuntime)
 	j := placement.Job{
 		ID:         fmt.Sprintf("j%06d", n),
@@ -239,19 +239,19 @@
 		Policy:     placement.Batch,
 		Tasks:      1 + int(g.rand.ExpFloat64()*meanExtraTasks),
 		Need:       template.need,
-		Idempotent: g.rand.Float64() >= g.workload.NotIdempotent,
+		Idempotent: g.rand.Float64() >= g.workload.NonIdempotentShare,
 	}
 	draw := g.rand.Float64()
 	slack := g.slack(runtime)
 	switch {
-	case draw < g.workload.Urgent:
+	case draw < g.workload.UrgentShare:
 		j.Urgent = true
 		j.Tasks = 1
 		j.Need = g.workload.UrgentNeed
 		j.Name += "-urgent"
 		runtime = time.Duration((minUrgentSeconds + urgentSecondsRange*g.rand.Float64()) * float64(time.Second))
 		slack = urgentSlack
-	case draw < g.workload.Urgent+g.workload.Gangs:
+	case draw < g.workload.UrgentShare+g.workload.GangShare:
 		j.Policy = placement.Gang
 		j.Tasks = minGangTasks + g.rand.IntN(gangTasksRange)
 		slack += gangExtraSlack
@@ -265,8 +265,8 @@
 // slack draws the time from the earliest end to the deadline of a job with the given
 // run time.
 func (g *generator) slack(runtime time.Duration) time.Duration {
-	if g.rand.Float64() < g.workload.TightDeadlines {
-		return minTightSlack + time.Duration((1+tightRunsRange*g.rand.Float64())*float64(runtime))
+	if g.rand.Float64() < g.workload.TightDeadlineShare {
+		return minTightSlack + time.Duration((1+tightRuntimesRange*g.rand.Float64())*float64(runtime))
 	}
 	return minLooseSlack + time.Duration(g.rand.Float64()*looseHoursRange*float64(time.Hour))
 }
--- a/placement/arrivals/measure_test.go
+++ b/placement/arrivals/measure_test.go
@@ -11,14 +11,14 @@
 )
 
 var (
-	measure       = flag.String("measure", "", "measurement to print: load, packing, flood, urgent, faults, all")
-	seeds         = flag.Uint64("seeds", 5, "number of seeds; seeds 1 to this number are run")
-	load          = flag.Float64("load", 0.95, "actual work that arrives, divided by the capacity")
-	placementOnly = flag.Bool("brief", false, "leave out the baseline and the oracle")
-	tight         = flag.Float64("tight", 0.4, "share of the jobs that must start within a few run times")
-	length        = flag.Duration("length", 6*time.Hour, "time over which jobs arrive")
-	plots         = flag.String("plots", "", "folder for SVG plots of the packing measurement; empty for none")
-	only          = flag.String("only", "", "site to run; empty for all")
+	measure            = flag.String("measure", "", "measurement to print: load, packing, flood, urgent, faults, all")
+	seedCount          = flag.Uint64("seeds", 5, "number of seeds; seeds 1 to this number are run")
+	load               = flag.Float64("load", 0.95, "actual work that arrives, divided by the capacity")
+	placementOnly      = flag.Bool("brief", false, "leave out the baseline and the oracle")
+	tightDeadlineShare = flag.Float64("tight", 0.4, "share of the jobs that must start within a few run times")
+	arrivalPeriod      = flag.Duration("length", 6*time.Hour, "time over which jobs arrive")
+	plotFolder         = flag.String("plots", "", "folder for SVG plots of the packing measurement; empty for none")
+	onlySite           = flag.String("only", "", "site to run; empty for all")
 )
 
 // stopwatch returns a function that returns the time since the call of stopwatch.
@@ -44,7 +44,7 @@
 
 // run simulates a workload at a site.
 func run(site Site, workload Workload, o placement.Options, faults ...WorkerFault) *Report {
-	return Replay(Config{Site: site, Options: o, Services: workload.Services, Faults: faults, Stopwatch: stopwatch()}, Generate(site, workload))
+	return Replay(Config{Site: site, Options: o, ServiceShare: workload.ServiceShare, Faults: faults, Stopwatch: stopwatch()}, Generate(site, workload))
 }
 
 // skipUnlessSelected skips a measurement that the flag -measure does not
@@ -59,7 +59,7 @@
 func sites() []Site {
 	var selected []Site
 	for _, s := range []Site{Rackwise(), Himalaya(), GrowthTarget()} {
-		if *only == "" || *only == s.Name {
+		if *onlySite == "" || *onlySite == s.Name {
 			selected = append(selected, s)
 		}
 	}
@@ -71,9 +71,9 @@
 func TestLoad(t *testing.T) {
 	skipUnlessSelected(t, "load")
 	for _, site := range sites() {
-		for seed := uint64(1); seed <= *seeds; seed++ {
+		for seed := uint64(1); seed <= *seedCount; seed++ {
 			workload := DefaultWorkload(seed, *load)
-			workload.TightDeadlines, workload.Duration = *tight, *length
+			workload.TightDeadlineShare, workload.Duration = *tightDeadlineShare, *arrivalPeriod
 			exact := workload
 			exact.ExactDeclarations = true
 			if *placementOnly {
@@ -91,10 +91,10 @@
 // load.
 func TestPacking(t *testing.T) {
 	skipUnlessSelected(t, "packing")
-	const lowestLoad, loadStep, loads = 0.75, 0.05, 10
+	const lowestLoad, loadStep, loadCount = 0.75, 0.05, 10
 	for _, site := range sites() {
 		var points []packingPoint
-		for step := range loads {
+		for step := range loadCount {
 			workload := DefaultWorkload(1, lowestLoad+loadStep*float64(step))
 			baseline := run(site, workload, placement.BaselineOptions())
 			scheduled := run(site, workload, placement.DefaultOptions())
@@ -103,8 +103,8 @@
 				100*scheduled.Goodput(), 100-100*scheduled.InTimeRate(), 100*scheduled.RefusalRate(), 100*scheduled.MissRate())
 			points = append(points, packingPoint{load: workload.Load, baseline: 100 * baseline.Goodput(), scheduled: 100 * scheduled.Goodput()})
 		}
-		if *plots != "" {
-			plotPacking(t, site, points, filepath.Join(*plots, "placement-packing-"+site.Name+".svg"))
+		if *plotFolder != "" {
+			plotPacking(t, site, points, filepath.Join(*plotFolder, "placement-packing-"+site.Name+".svg"))
 		}
 	}
 }
@@ -115,15 +115,15 @@
 	skipUnlessSelected(t, "urgent")
 	const overload = 1.3
 	for _, site := range sites() {
-		for seed := uint64(1); seed <= *seeds; seed++ {
+		for seed := uint64(1); seed <= *seedCount; seed++ {
 			workload := DefaultWorkload(seed, overload)
-			workload.TightDeadlines = 0
+			workload.TightDeadlineShare = 0
 			workload.UrgentNeed = resources(4, 8)
 			baseline := run(site, workload, placement.BaselineOptions())
 			scheduled := run(site, workload, placement.DefaultOptions())
 			fmt.Printf("%s seed %d baseline urgent p50 %v p99 %v | placement urgent p50 %v p99 %v preempted %d missed %.3f%% refused %.2f%%\n",
-				site.Name, seed, baseline.Urgent.Quantile(0.5), baseline.Urgent.Quantile(0.99),
-				scheduled.Urgent.Quantile(0.5), scheduled.Urgent.Quantile(0.99), scheduled.preempted, 100*scheduled.MissRate(), 100*scheduled.RefusalRate())
+				site.Name, seed, baseline.UrgentWaits.Quantile(0.5), baseline.UrgentWaits.Quantile(0.99),
+				scheduled.UrgentWaits.Quantile(0.5), scheduled.UrgentWaits.Quantile(0.99), scheduled.preempted, 100*scheduled.MissRate(), 100*scheduled.RefusalRate())
 		}
 	}
 }
@@ -136,12 +136,12 @@
 	// baseLoad is the load that arrives in addition to the flood.
 	const baseLoad = 0.6
 	for _, site := range sites() {
-		for seed := uint64(1); seed <= *seeds; seed++ {
+		for seed := uint64(1); seed <= *seedCount; seed++ {
 			for _, size := range []float64{0, 0.5, 1, 2, 5} {
 				workload := DefaultWorkload(seed, baseLoad)
 				arrivals := Flood{Customer: "flood", Load: size, From: time.Hour, Until: 3 * time.Hour}.Add(site, Generate(site, workload))
 				for name, o := range map[string]placement.Options{"baseline": placement.BaselineOptions(), "placement": placement.DefaultOptions()} {
-					r := Replay(Config{Site: site, Options: o, Services: workload.Services}, arrivals)
+					r := Replay(Config{Site: site, Options: o, ServiceShare: workload.ServiceShare}, arrivals)
 					fmt.Printf("%s seed %d flood %.1f %-9s others p50 %v p90 %v p99 %v refused %d | refused %.2f%% missed %.3f%%\n", site.Name, seed, size, name,
 						r.OthersWait("flood", 0.5), r.OthersWait("flood", 0.9), r.OthersWait("flood", 0.99).Round(time.Second), r.Refused()-r.refusedBy["flood"], 100*r.RefusalRate(), 100*r.MissRate())
 				}
@@ -157,7 +157,7 @@
 	const loadBesideFaults = 0.8
 	for _, site := range sites() {
 		faults := []WorkerFault{{Worker: "w003", From: time.Hour, Until: 3 * time.Hour}, {Worker: "w017", From: 90 * time.Minute, Until: 4 * time.Hour}}
-		for seed := uint64(1); seed <= *seeds; seed++ {
+		for seed := uint64(1); seed <= *seedCount; seed++ {
 			workload := DefaultWorkload(seed, loadBesideFaults)
 			quarantineOff := placement.DefaultOptions()
 			quarantineOff.NoQuarantine = true
--- a/placement/arrivals/replay.go
+++ b/placement/arrivals/replay.go
@@ -20,9 +20,9 @@
 type Config struct {
 	Site    Site
 	Options placement.Options
-	// Services is the share of the CPU capacity that services occupy throughout.
-	Services float64
-	Faults   []WorkerFault
+	// ServiceShare is the share of the CPU capacity that services occupy throughout.
+	ServiceShare float64
+	Faults       []WorkerFault
 	// Stopwatch returns the time since an arbitrary fixed moment. Admission checks and
 	// evaluations are timed with it; if it is nil, their durations are zero.
 	Stopwatch func() time.Duration
@@ -100,10 +100,10 @@
 type job struct {
 	arrival Arrival
 	tasks   []task
-	// waiting holds the numbers of the tasks that wait for a start, and done is
-	// how many have finished.
-	waiting []int
-	done    int
+	// waiting holds the numbers of the tasks that wait for a start, and finishedTasks
+	// is how many have finished.
+	waiting       []int
+	finishedTasks int
 	// windowWork is the work done up to the last arrival.
 	windowWork siteSeconds
 	lastEnd    time.Duration
@@ -184,7 +184,7 @@
 func (r *replay) placeServices() {
 	total := r.config.Site.total()
 	need := resources(4, 12)
-	count := int(r.config.Services * float64(total.CPU) / float64(need.CPU))
+	count := int(r.config.ServiceShare * float64(total.CPU) / float64(need.CPU))
 	if count == 0 {
 		return
 	}
@@ -452,9 +452,9 @@
 // completeTask counts a finished task of a job, and the job as finished with its
 // last task.
 func (r *replay) completeTask(j *job) {
-	j.done++
+	j.finishedTasks++
 	j.lastEnd = r.now
-	if j.done < len(j.tasks) || j.refused {
+	if j.finishedTasks < len(j.tasks) || j.refused {
 		return
 	}
 	j.finished = true
--- a/placement/arrivals/report.go
+++ b/placement/arrivals/report.go
@@ -81,12 +81,12 @@
 	preempted  int
 	failures   int
 
-	// Normal, Urgent and Gangs are the waiting times of tasks by kind of job. ByCustomer
-	// holds the waiting times of the normal tasks by customer.
-	Normal     *WaitTimes
-	Urgent     *WaitTimes
-	Gangs      *WaitTimes
-	ByCustomer map[string]*WaitTimes
+	// NormalWaits, UrgentWaits and GangWaits are the waiting times of tasks by kind of
+	// job. WaitsByCustomer holds the waiting times of the normal tasks by customer.
+	NormalWaits     *WaitTimes
+	UrgentWaits     *WaitTimes
+	GangWaits       *WaitTimes
+	WaitsByCustomer map[string]*WaitTimes
 
 	// evaluations and admissions are the durations of evaluations and of admission
 	// checks, in nanoseconds.
@@ -105,7 +105,7 @@
 	}
 	return &Report{
 		site: site, refused: map[placement.Reason]int{}, refusedBy: map[string]int{},
-		Normal: newWaitTimes(), Urgent: newWaitTimes(), Gangs: newWaitTimes(), ByCustomer: map[string]*WaitTimes{},
+		NormalWaits: newWaitTimes(), UrgentWaits: newWaitTimes(), GangWaits: newWaitTimes(), WaitsByCustomer: map[string]*WaitTimes{},
 		evaluations: timing(), admissions: timing(),
 	}
 }
@@ -156,15 +156,15 @@
 	a := j.arrival.Job
 	switch {
 	case a.Urgent:
-		r.Urgent.record(d)
+		r.UrgentWaits.record(d)
 	case a.Policy == placement.Gang:
-		r.Gangs.record(d)
+		r.GangWaits.record(d)
 	default:
-		r.Normal.record(d)
-		customerWaits, found := r.ByCustomer[a.Customer]
+		r.NormalWaits.record(d)
+		customerWaits, found := r.WaitsByCustomer[a.Customer]
 		if !found {
 			customerWaits = newWaitTimes()
-			r.ByCustomer[a.Customer] = customerWaits
+			r.WaitsByCustomer[a.Customer] = customerWaits
 		}
 		customerWaits.record(d)
 	}
@@ -184,7 +184,7 @@
 // of all customers except one does not exceed.
 func (r *Report) OthersWait(except string, q float64) time.Duration {
 	others := newWaitTimes()
-	for customer, w := range r.ByCustomer {
+	for customer, w := range r.WaitsByCustomer {
 		if customer != except {
 			others.histogram.Merge(w.histogram)
 		}
@@ -215,18 +215,18 @@
 
 // MissRate returns the fraction of the accepted jobs that did not finish in
 // time.
-func (r *Report) MissRate() float64 { return rate(r.Missed(), r.Accepted()) }
+func (r *Report) MissRate() float64 { return ratio(r.Missed(), r.Accepted()) }
 
 // RefusalRate returns the fraction of the submitted jobs that were refused at
 // submission.
-func (r *Report) RefusalRate() float64 { return rate(r.Refused(), r.submitted) }
+func (r *Report) RefusalRate() float64 { return ratio(r.Refused(), r.submitted) }
 
 // InTimeRate returns the fraction of the submitted jobs that finished in time.
-func (r *Report) InTimeRate() float64 { return rate(r.inTime, r.submitted) }
+func (r *Report) InTimeRate() float64 { return ratio(r.inTime, r.submitted) }
 
-// Busy returns the mean allocated fraction, up to the last arrival, of the
+// Utilization returns the mean allocated fraction, up to the last arrival, of the
 // resource that is used most.
-func (r *Report) Busy() float64 { return r.usedWork.largest() / r.arrivalWindow.Seconds() }
+func (r *Report) Utilization() float64 { return r.usedWork.largest() / r.arrivalWindow.Seconds() }
 
 // Goodput returns the work done up to the last arrival for jobs that finished
 // in time, as a fraction of the capacity. It does not include services.
@@ -252,8 +252,8 @@
 	return time.Duration(r.admissions.ValueAtQuantile(100 * q))
 }
 
-// rate returns part divided by whole, or zero if whole is zero.
-func rate(part, whole int) float64 {
+// ratio returns part divided by whole, or zero if whole is zero.
+func ratio(part, whole int) float64 {
 	if whole == 0 {
 		return 0
 	}
@@ -263,10 +263,10 @@
 // String formats the report as one line.
 func (r *Report) String() string {
 	return fmt.Sprintf("jobs %d refused %.2f%% (without retry %d, first hour %d, reasons %v) missed %.3f%% %v in time %.2f%% busy %.1f%% goodput %.1f%% | wait p50 %v p99 %v urgent p50 %v p99 %v gang p50 %v p99 %v | preempted %d failures %d | %.0f starts/s evaluate p50 %v p99 %v admit p50 %v p99 %v",
-		r.submitted, 100*r.RefusalRate(), r.refusedWithoutRetry, r.refusedFirstHour, r.refused, 100*r.MissRate(), r.missed, 100*r.InTimeRate(), 100*r.Busy(), 100*r.Goodput(),
-		r.Normal.Quantile(0.5).Round(time.Millisecond), r.Normal.Quantile(0.99).Round(time.Second),
-		r.Urgent.Quantile(0.5), r.Urgent.Quantile(0.99).Round(time.Millisecond),
-		r.Gangs.Quantile(0.5).Round(time.Second), r.Gangs.Quantile(0.99).Round(time.Second),
+		r.submitted, 100*r.RefusalRate(), r.refusedWithoutRetry, r.refusedFirstHour, r.refused, 100*r.MissRate(), r.missed, 100*r.InTimeRate(), 100*r.Utilization(), 100*r.Goodput(),
+		r.NormalWaits.Quantile(0.5).Round(time.Millisecond), r.NormalWaits.Quantile(0.99).Round(time.Second),
+		r.UrgentWaits.Quantile(0.5), r.UrgentWaits.Quantile(0.99).Round(time.Millisecond),
+		r.GangWaits.Quantile(0.5).Round(time.Second), r.GangWaits.Quantile(0.99).Round(time.Second),
 		r.preempted, r.failures, r.DecisionRate(),
 		r.DecisionQuantile(0.5), r.DecisionQuantile(0.99), r.AdmissionQuantile(0.5), r.AdmissionQuantile(0.99))
 }
--- a/placement/cluster.go
+++ b/placement/cluster.go
@@ -290,7 +290,7 @@
 	}
 	c.queue.customer(t.Customer).addUsage(t.Need)
 	c.jobRecordFor(t.Job).running++
-	c.countServiceSpread(t.Job, t.Policy, w.ID, t.rack, 1)
+	c.countServiceTasks(t.Job, t.Policy, w.ID, t.rack, 1)
 }
 
 // trackUnplaced updates the totals by job, customer and expected end for a task
@@ -304,13 +304,13 @@
 	}
 	c.queue.customer(t.Customer).addUsage(t.Need.times(-1))
 	c.jobRecordFor(t.Job).running--
-	c.countServiceSpread(t.Job, t.Policy, w.ID, t.rack, -1)
+	c.countServiceTasks(t.Job, t.Policy, w.ID, t.rack, -1)
 	c.removeIdleJobRecord(t.Job)
 }
 
-// countServiceSpread adds n to the number of tasks of a service on a worker and
+// countServiceTasks adds n to the number of tasks of a service on a worker and
 // in its rack. Other policies are ignored.
-func (c *Cluster) countServiceSpread(job string, policy Policy, workerID, rack string, n int) {
+func (c *Cluster) countServiceTasks(job string, policy Policy, workerID, rack string, n int) {
 	if policy != Service {
 		return
 	}
--- a/placement/cluster_test.go
+++ b/placement/cluster_test.go
@@ -94,7 +94,7 @@
 // A gang of two fits only if one of its tasks uses resources that are reserved
 // for an earlier gang. Starting the other task alone would leave two gangs
 // waiting for each other.
-func TestGangDoesNotStartPartlyWhenRestIsReserved(t *testing.T) {
+func TestGangDoesNotStartPartlyOnReservedResources(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	c.SetWorker(Worker{ID: "large0", Rack: "r", Capacity: cores(8), Live: true})
 	c.SetWorker(Worker{ID: "large1", Rack: "r", Capacity: cores(8), Live: true})
@@ -205,7 +205,7 @@
 
 // A refusal must name the right reason, and a retry delay only if the job may be
 // accepted later.
-func TestAdmitReasons(t *testing.T) {
+func TestRefusalNamesReasonAndRetryDelay(t *testing.T) {
 	small := DefaultOptions()
 	small.MaxQueue = 10
 	gang := func(n int) Job {
@@ -214,11 +214,11 @@
 		return g
 	}
 	cases := []struct {
-		name      string
-		job       Job
-		available Resources
-		want      Reason
-		retry     bool
+		name           string
+		job            Job
+		available      Resources
+		want           Reason
+		wantRetryAfter bool
 	}{
 		{"fits", newBatchJob("a", "x", 1, cores(1), time.Minute, time.Hour), unlimited, ReasonNone, false},
 		{"too large", newBatchJob("a", "x", 1, cores(5), time.Minute, time.Hour), unlimited, ReasonTooLarge, false},
@@ -236,7 +236,7 @@
 			decision := c.Admit(tc.job, start, tc.available)
 			must.EqOp(t, tc.want, decision.Reason, must.Sprint(decision.Detail))
 			must.EqOp(t, tc.want == ReasonNone, decision.Admitted)
-			must.EqOp(t, tc.retry, decision.RetryAfter > 0)
+			must.EqOp(t, tc.wantRetryAfter, decision.RetryAfter > 0)
 		})
 	}
 	must.EqOp(t, ReasonNoWorkers, NewCluster(small).Admit(gang(1), start, unlimited).Reason)
@@ -362,7 +362,7 @@
 // Estimates of a job must follow the measurements of earlier tasks of the same job name,
 // and not those of tasks of other names. The estimated need must not fall below the
 // declared one.
-func TestCorrectedRuntimeAndNeed(t *testing.T) {
+func TestEstimatesFollowSamplesOfSameJobName(t *testing.T) {
 	c := NewCluster(DefaultOptions())
 	addWorkers(c, 1, cores(8), 1)
 	j := newBatchJob("a", "x", 1, cores(2), time.Minute, time.Hour)
--- a/placement/estimate.go
+++ b/placement/estimate.go
@@ -58,8 +58,8 @@
 	peakMemory float64
 }
 
-// newHistory returns an empty history.
-func newHistory() *runtimeHistory {
+// newRuntimeHistory returns an empty history.
+func newRuntimeHistory() *runtimeHistory {
 	return &runtimeHistory{current: hdrhistogram.New(1, maxRatioValue, ratioDigits)}
 }
 
@@ -116,11 +116,11 @@
 }
 
 // addSample adds a sample to the histories of its customer and its job name.
-func (m *estimator) addSample(s Sample) {
-	customerHist, found := m.customers[s.Customer]
+func (e *estimator) addSample(s Sample) {
+	customerHist, found := e.customers[s.Customer]
 	if !found {
-		customerHist = &customerHistory{allJobs: newHistory(), byName: map[string]*runtimeHistory{}}
-		m.customers[s.Customer] = customerHist
+		customerHist = &customerHistory{allJobs: newRuntimeHistory(), byName: map[string]*runtimeHistory{}}
+		e.customers[s.Customer] = customerHist
 	}
 	ratio := float64(s.MeasuredRuntime) / float64(s.DeclaredRuntime)
 	customerHist.allJobs.record(ratio)
@@ -129,7 +129,7 @@
 		if len(customerHist.byName) >= maxNamesPerCustomer {
 			return
 		}
-		named = newHistory()
+		named = newRuntimeHistory()
 		customerHist.byName[s.Name] = named
 	}
 	named.record(ratio)
@@ -148,16 +148,16 @@
 
 // runtime estimates a run time. The declaration is combined with the history of all
 // the customer's jobs, and the result with the history of the job's name.
-func (m *estimator) runtime(customer, name string, declared time.Duration) estimate {
+func (e *estimator) runtime(customer, name string, declared time.Duration) estimate {
 	result := estimate{low: declared, mean: declared, high: declared}
-	if m.disabled || declared <= 0 {
+	if e.disabled || declared <= 0 {
 		return result
 	}
 	// Without any history, low is a fifth of the declaration: a job is refused as
 	// infeasible only if it would have to run more than five times faster than
 	// declared.
 	result.low = declared / 5
-	customerHist, found := m.customers[customer]
+	customerHist, found := e.customers[customer]
 	if !found {
 		return result
 	}
@@ -203,7 +203,7 @@
 	if raised == j.Need || c.fitsSomeWorker(raised) {
 		return raised
 	}
-	return j.Need.atLeast(raised.atMost(c.largestFor(j.Need)))
+	return j.Need.atLeast(raised.atMost(c.largestCapacityFor(j.Need)))
 }
 
 // scaleNeed multiplies need by ratio if that raises it.
@@ -225,9 +225,9 @@
 	return false
 }
 
-// largestFor returns the capacity of the largest announced worker that could
+// largestCapacityFor returns the capacity of the largest announced worker that could
 // hold need, or need itself if there is none.
-func (c *Cluster) largestFor(need Resources) Resources {
+func (c *Cluster) largestCapacityFor(need Resources) Resources {
 	best := need
 	for _, w := range c.byID {
 		if w.announced && need.within(w.Capacity) && best.within(w.Capacity) {
--- a/placement/evaluate.go
+++ b/placement/evaluate.go
@@ -11,7 +11,7 @@
 	// lookahead entries of the same subqueue, and it skips the shape once more than
 	// lookahead entries of the shape fitted only into reserved resources.
 	lookahead = 6
-	// maxDueVisits bounds the entries that one call of serveDue or probeFor
+	// maxDueVisits bounds the entries that one call of serveDueEntries or probeFor
 	// visits.
 	maxDueVisits = 256
 	// maxGangVisits bounds the gangs that an evaluation visits to reserve
@@ -69,7 +69,7 @@
 	p.refuseInfeasible()
 	p.serve(classUrgent)
 	p.serve(classService)
-	p.serveDue()
+	p.serveDueEntries()
 	p.reserveGangs()
 	p.startPreviouslyReserved()
 	p.reserveLeastServed()
@@ -142,7 +142,7 @@
 	if e.subqueue.shapeState.findsOnlyReserved(p.evaluation, e.runtime.high) {
 		return false
 	}
-	s := p.request(e).find()
+	s := p.request(e).findWorker()
 	if s.worker != nil {
 		p.start(e, s.worker)
 		return true
@@ -167,7 +167,7 @@
 	p.cluster.chargeReservation(p.evaluation, e, w, p.now)
 	p.cluster.occupy(w, e.need)
 	e.subqueue.customer.addUsage(e.need)
-	p.cluster.countServiceSpread(e.job.ID, e.job.Policy, w.ID, w.Rack, 1)
+	p.cluster.countServiceTasks(e.job.ID, e.job.Policy, w.ID, w.Rack, 1)
 	p.plan.Starts = append(p.plan.Starts, Start{Job: e.job.ID, Worker: w.ID, Need: e.need})
 }
 
@@ -188,16 +188,16 @@
 		w := p.cluster.workers[s.Worker]
 		p.cluster.release(w, e.need)
 		e.subqueue.customer.addUsage(e.need.times(-1))
-		p.cluster.countServiceSpread(s.Job, e.job.Policy, w.ID, w.Rack, -1)
+		p.cluster.countServiceTasks(s.Job, e.job.Policy, w.ID, w.Rack, -1)
 	}
 }
 
-// serveDue starts the jobs whose latest start time is less than Options.DueWindow
+// serveDueEntries starts the jobs whose latest start time is less than Options.DueWindow
 // away. It runs before the fair order is applied, since keeping an accepted
 // deadline has priority over fair shares. A job that does not fit gets a
 // reservation. Without one, small tasks would take all resources as soon as they
 // are free, and the job would starve.
-func (p *planner) serveDue() {
+func (p *planner) serveDueEntries() {
 	horizon := p.now.Add(p.cluster.opts.DueWindow)
 	visits := 0
 	p.cluster.queue.byLatestStart.Scan(func(e *entry) bool {
--- a/placement/gang.go
+++ b/placement/gang.go
@@ -30,7 +30,7 @@
 	r := p.request(e)
 	chosen := make([]*worker, 0, tasks)
 	for len(chosen) < tasks {
-		s := r.find()
+		s := r.findWorker()
 		if s.worker == nil {
 			if s.reserved {
 				e.subqueue.shapeState.recordReservedMiss(p.evaluation, e.runtime.high)
--- a/placement/profile.go
+++ b/placement/profile.go
@@ -61,7 +61,7 @@
 
 // upperBound is the work that running tasks will still use, at most. Each task counts with
 // overdueRemaining in addition to the time until its expected end (zero if that has passed),
-// so the result is never below that of a profileWalk. Only the steps in the past are
+// so the result is never below that of a profileIterator. Only the steps in the past are
 // visited.
 func (p *profile) upperBound(now time.Time) resourceSeconds {
 	elapsed := float64(now.Unix()-p.origin) - overdueRemaining.Seconds()
@@ -76,37 +76,37 @@
 	return left
 }
 
-// profileWalk computes the work in a profile up to increasing times.
-type profileWalk struct {
+// profileIterator computes the work in a profile up to increasing times.
+type profileIterator struct {
 	steps   btree.MapIter[int64, *profileCell]
 	hasNext bool
 	// now is the time from which the work is counted, in Unix seconds.
 	now float64
 	// finished is the work of the tasks that end by the time of the last call of
-	// until, and active the usage of all other tasks.
+	// workUntil, and active the usage of all other tasks.
 	finished resourceSeconds
 	active   Resources
 }
 
-// walk returns a profileWalk that counts the work from now on.
-func (p *profile) walk(now time.Time) *profileWalk {
-	w := &profileWalk{steps: p.steps.Iter(), active: p.need, now: float64(now.UnixMilli()) / 1000}
-	w.hasNext = w.steps.First()
-	return w
+// iterator returns a profileIterator that counts the work from now on.
+func (p *profile) iterator(now time.Time) *profileIterator {
+	it := &profileIterator{steps: p.steps.Iter(), active: p.need, now: float64(now.UnixMilli()) / 1000}
+	it.hasNext = it.steps.First()
+	return it
 }
 
-// until returns the work that running tasks do from w.now until the given number of
-// seconds later. Calls must pass increasing values.
-func (w *profileWalk) until(seconds float64) resourceSeconds {
-	for w.hasNext {
-		cell := w.steps.Value()
-		left := max(float64(w.steps.Key())-w.now, overdueRemaining.Seconds())
+// workUntil returns the work that running tasks do from it.now until the given number
+// of seconds later. Calls must pass increasing values.
+func (it *profileIterator) workUntil(seconds float64) resourceSeconds {
+	for it.hasNext {
+		cell := it.steps.Value()
+		left := max(float64(it.steps.Key())-it.now, overdueRemaining.Seconds())
 		if left > seconds {
 			break
 		}
-		w.finished = w.finished.plus(resourceSecondsOf(cell.need, left))
-		w.active = w.active.minus(cell.need)
-		w.hasNext = w.steps.Next()
+		it.finished = it.finished.plus(resourceSecondsOf(cell.need, left))
+		it.active = it.active.minus(cell.need)
+		it.hasNext = it.steps.Next()
 	}
-	return w.finished.plus(resourceSecondsOf(w.active, seconds))
+	return it.finished.plus(resourceSecondsOf(it.active, seconds))
 }
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -104,32 +104,32 @@
 	blocked   bool
 	// reservedMissEval is the number of the last evaluation in which entries of
 	// the shape fitted only into reserved resources. reservedMisses counts these
-	// entries, and minReservedMissRun is the shortest run time among them: entries
+	// entries, and minReservedMissRuntime is the shortest run time among them: entries
 	// with at least that run time would fit only into reserved resources as well.
-	reservedMissEval   uint64
-	reservedMisses     int
-	minReservedMissRun time.Duration
+	reservedMissEval       uint64
+	reservedMisses         int
+	minReservedMissRuntime time.Duration
 }
 
 // recordReservedMiss records that an entry fitted only into reserved resources.
 func (s *shapeState) recordReservedMiss(evaluation uint64, runtime time.Duration) {
 	if s.reservedMissEval != evaluation {
-		s.reservedMissEval, s.reservedMisses, s.minReservedMissRun = evaluation, 0, runtime
+		s.reservedMissEval, s.reservedMisses, s.minReservedMissRuntime = evaluation, 0, runtime
 	}
 	s.reservedMisses++
-	s.minReservedMissRun = min(s.minReservedMissRun, runtime)
+	s.minReservedMissRuntime = min(s.minReservedMissRuntime, runtime)
 }
 
-// exhausted reports whether more than lookahead entries of the shape fitted only
-// into reserved resources in this evaluation.
-func (s *shapeState) exhausted(evaluation uint64) bool {
+// lookaheadExhausted reports whether more than lookahead entries of the shape fitted
+// only into reserved resources in this evaluation.
+func (s *shapeState) lookaheadExhausted(evaluation uint64) bool {
 	return s.reservedMissEval == evaluation && s.reservedMisses > lookahead
 }
 
 // findsOnlyReserved reports whether an entry with this run time is known to fit
 // only into reserved resources.
 func (s *shapeState) findsOnlyReserved(evaluation uint64, runtime time.Duration) bool {
-	return s.reservedMissEval == evaluation && (s.reservedMisses > lookahead || runtime >= s.minReservedMissRun)
+	return s.reservedMissEval == evaluation && (s.reservedMisses > lookahead || runtime >= s.minReservedMissRuntime)
 }
 
 // subqueue holds the entries of one customer, class and shape, by latest start.
--- a/placement/score.go
+++ b/placement/score.go
@@ -85,8 +85,8 @@
 // index returns the tightest fit first, so further candidates rarely change the choice.
 const maxRatedCandidates = 8
 
-// search is the result of the search for a worker for one task.
-type search struct {
+// searchResult is the result of the search for a worker for one task.
+type searchResult struct {
 	worker *worker
 	// anyFits is set if the task fits on some schedulable worker, even if a filter
 	// rejects that worker.
@@ -96,15 +96,15 @@
 	reserved bool
 }
 
-// find chooses a worker for one task: among the tightest fits that no filter
+// findWorker chooses a worker for one task: among the tightest fits that no filter
 // rejects, the one with the highest weighted score. With Options.FirstFit it is the
 // first worker by ID on which the task fits.
-func (r *request) find() search {
+func (r *request) findWorker() searchResult {
 	if r.cluster.opts.FirstFit {
 		w := r.firstFit()
-		return search{worker: w, anyFits: w != nil}
+		return searchResult{worker: w, anyFits: w != nil}
 	}
-	var s search
+	var s searchResult
 	limit := maxRatedCandidates
 	if r.entry.job.Policy == Service {
 		limit = len(r.cluster.byID)
--- a/placement/serve.go
+++ b/placement/serve.go
@@ -82,7 +82,7 @@
 	var first *entry
 	kept := c.readySubqueues[:0]
 	for _, sq := range c.readySubqueues {
-		if sq.doneEval == p.evaluation || sq.shapeState.blocked && sq.class != classUrgent || sq.shapeState.exhausted(p.evaluation) {
+		if sq.doneEval == p.evaluation || sq.shapeState.blocked && sq.class != classUrgent || sq.shapeState.lookaheadExhausted(p.evaluation) {
 			continue
 		}
 		e := p.head(sq)
--- a/placement/state_machine_test.go
+++ b/placement/state_machine_test.go
@@ -13,7 +13,7 @@
 // order. After each call it compares the totals that the cluster updates
 // incrementally with a recount.
 type stateMachine struct {
-	c        *Cluster
+	cluster  *Cluster
 	now      time.Time
 	nextTask map[string]int
 }
@@ -38,17 +38,17 @@
 	id := workerID(t)
 	capacity := m.drawResources(t, 8)
 	// A worker must not shrink below what its tasks use.
-	if w, found := m.c.workers[id]; found {
+	if w, found := m.cluster.workers[id]; found {
 		capacity = capacity.atLeast(w.used)
 	}
-	m.c.SetWorker(Worker{
+	m.cluster.SetWorker(Worker{
 		ID: id, Rack: rapid.SampledFrom([]string{"r0", "r1"}).Draw(t, "rack"), Capacity: capacity,
 		Live: rapid.IntRange(0, 4).Draw(t, "live") > 0, Draining: rapid.IntRange(0, 5).Draw(t, "draining") == 0,
 	})
 }
 
 // RemoveWorker removes a worker, which may not exist.
-func (m *stateMachine) RemoveWorker(t *rapid.T) { m.c.RemoveWorker(workerID(t)) }
+func (m *stateMachine) RemoveWorker(t *rapid.T) { m.cluster.RemoveWorker(workerID(t)) }
 
 // Enqueue queues a random job if admission accepts it, and sometimes even if
 // admission refuses it.
@@ -63,20 +63,20 @@
 	if rapid.IntRange(0, 3).Draw(t, "held") == 0 {
 		j.NotBefore = m.now.Add(time.Minute)
 	}
-	if m.c.Admit(j, m.now, unlimited).Admitted || rapid.Bool().Draw(t, "anyway") {
-		m.c.Enqueue(j)
+	if m.cluster.Admit(j, m.now, unlimited).Admitted || rapid.Bool().Draw(t, "anyway") {
+		m.cluster.Enqueue(j)
 	}
 }
 
 // Dequeue removes a job from the queue.
-func (m *stateMachine) Dequeue(t *rapid.T) { m.c.Dequeue(jobID(t)) }
+func (m *stateMachine) Dequeue(t *rapid.T) { m.cluster.Dequeue(jobID(t)) }
 
 // Unplace ends the first placed task of a job.
 func (m *stateMachine) Unplace(t *rapid.T) {
 	id := jobID(t)
 	for n := 1; n <= m.nextTask[id]; n++ {
-		if m.c.Placed(id, n).Job == id {
-			m.c.Unplace(id, n)
+		if m.cluster.Placed(id, n).Job == id {
+			m.cluster.Unplace(id, n)
 			return
 		}
 	}
@@ -89,9 +89,9 @@
 	m.nextTask[id]++
 	w := workerID(t)
 	need := m.drawResources(t, 4)
-	record, found := m.c.workers[w]
+	record, found := m.cluster.workers[w]
 	fits := found && record.announced && need.within(record.free)
-	err := m.c.Place(Placed{Job: id, Task: m.nextTask[id], Worker: w, Customer: "a", Name: "n", Policy: Batch, Need: need, Started: m.now, Runtime: time.Minute,
+	err := m.cluster.Place(Placed{Job: id, Task: m.nextTask[id], Worker: w, Customer: "a", Name: "n", Policy: Batch, Need: need, Started: m.now, Runtime: time.Minute,
 		Idempotent: rapid.Bool().Draw(t, "idempotent")})
 	if found && record.announced {
 		must.EqOp(t, fits, err == nil)
@@ -101,22 +101,22 @@
 // Report reports the success or failure of a job on a worker.
 func (m *stateMachine) Report(t *rapid.T) {
 	if rapid.IntRange(0, 2).Draw(t, "success") == 0 {
-		m.c.ReportSuccess(workerID(t), jobID(t), m.now)
+		m.cluster.ReportSuccess(workerID(t), jobID(t), m.now)
 		return
 	}
-	m.c.ReportFailure(workerID(t), jobID(t), m.now)
+	m.cluster.ReportFailure(workerID(t), jobID(t), m.now)
 }
 
 // MeasureTask adds the sample of a random finished task.
 func (m *stateMachine) MeasureTask(t *rapid.T) {
 	need := m.drawResources(t, 4)
-	m.c.AddSample(Sample{Customer: "a", Name: "n", DeclaredRuntime: time.Minute, MeasuredRuntime: time.Duration(rapid.IntRange(1, 600).Draw(t, "measured")) * time.Second,
+	m.cluster.AddSample(Sample{Customer: "a", Name: "n", DeclaredRuntime: time.Minute, MeasuredRuntime: time.Duration(rapid.IntRange(1, 600).Draw(t, "measured")) * time.Second,
 		Need: need, Peak: need.times(rapid.Int64Range(0, 2).Draw(t, "peak"))})
 }
 
 // SetLimit sets a random CPU limit, or none, for one customer.
 func (m *stateMachine) SetLimit(t *rapid.T) {
-	m.c.SetLimit("b", Resources{CPU: rapid.Int64Range(-1, 8000).Draw(t, "limit"), Memory: -1, Accelerators: -1})
+	m.cluster.SetLimit("b", Resources{CPU: rapid.Int64Range(-1, 8000).Draw(t, "limit"), Memory: -1, Accelerators: -1})
 }
 
 // PassTime advances the time by up to 400 s.
@@ -128,27 +128,27 @@
 // cluster and commits or drops the plan.
 func (m *stateMachine) Evaluate(t *rapid.T) {
 	before := m.recount()
-	plan := m.c.Evaluate(m.now, rapid.IntRange(1, 30).Draw(t, "max"))
+	plan := m.cluster.Evaluate(m.now, rapid.IntRange(1, 30).Draw(t, "max"))
 	must.Eq(t, before, m.recount())
 	allocated := map[string]Resources{}
 	starts := map[string]int{}
 	for _, s := range plan.Starts {
 		allocated[s.Worker] = allocated[s.Worker].plus(s.Need)
 		starts[s.Job]++
-		w := m.c.workers[s.Worker]
+		w := m.cluster.workers[s.Worker]
 		must.True(t, w.announced && w.Live && !w.Draining)
 		must.True(t, !w.health.quarantined || !w.health.probing)
 	}
 	for id, need := range allocated {
-		must.True(t, need.within(m.c.workers[id].free), must.Sprintf("plan overloads worker %s", id))
+		must.True(t, need.within(m.cluster.workers[id].free), must.Sprintf("plan overloads worker %s", id))
 	}
 	for id, n := range starts {
-		j := m.c.queue.entries[id].job
+		j := m.cluster.queue.entries[id].job
 		must.True(t, n <= j.Tasks && (j.Policy != Gang || n == j.Tasks), must.Sprintf("%d of %d tasks of %s", n, j.Tasks, id))
 		must.False(t, j.NotBefore.After(m.now))
 	}
 	for _, p := range plan.Preemptions {
-		must.True(t, m.c.placed[taskKey{job: p.Job, task: p.Task}].preemptible())
+		must.True(t, m.cluster.placed[taskKey{job: p.Job, task: p.Task}].preemptible())
 	}
 	if rapid.Bool().Draw(t, "commit") {
 		m.commit(t, plan)
@@ -158,18 +158,18 @@
 // commit applies the plan as the owner of the committed state does.
 func (m *stateMachine) commit(t *rapid.T, plan Plan) {
 	for _, s := range plan.Starts {
-		j := m.c.queue.entries[s.Job].job
+		j := m.cluster.queue.entries[s.Job].job
 		m.nextTask[j.ID]++
-		must.NoError(t, m.c.Place(Placed{Job: j.ID, Task: m.nextTask[j.ID], Worker: s.Worker, Customer: j.Customer, Name: j.Name, Policy: j.Policy,
+		must.NoError(t, m.cluster.Place(Placed{Job: j.ID, Task: m.nextTask[j.ID], Worker: s.Worker, Customer: j.Customer, Name: j.Name, Policy: j.Policy,
 			Need: s.Need, Urgent: j.Urgent, Idempotent: j.Idempotent, Started: m.now, Runtime: j.Runtime, Deadline: j.Deadline}))
 		j.Tasks--
-		m.c.Enqueue(j)
+		m.cluster.Enqueue(j)
 	}
 	for _, p := range plan.Preemptions {
-		m.c.MarkStopping(p.Job, p.Task)
+		m.cluster.MarkStopping(p.Job, p.Task)
 	}
 	for _, r := range plan.Refusals {
-		m.c.Dequeue(r.Job)
+		m.cluster.Dequeue(r.Job)
 	}
 }
 
@@ -186,17 +186,17 @@
 // recount computes the totals from the workers, placed tasks and entries.
 func (m *stateMachine) recount() recountedState {
 	a := recountedState{Used: map[string]Resources{}, Stopping: map[string]Resources{}, Preemptible: map[string]Resources{}, Customers: map[string]Resources{}, Entries: map[string]int{}}
-	for id, w := range m.c.workers {
+	for id, w := range m.cluster.workers {
 		a.Used[id], a.Stopping[id], a.Preemptible[id] = Resources{}, Resources{}, Resources{}
 		if w.schedulable() {
 			a.Capacity = a.Capacity.plus(w.Capacity)
 			a.Indexed++
 		}
 	}
-	for _, p := range m.c.placed {
+	for _, p := range m.cluster.placed {
 		a.Used[p.Worker] = a.Used[p.Worker].plus(p.Need)
 		a.Customers[p.Customer] = a.Customers[p.Customer].plus(p.Need)
-		schedulable := m.c.workers[p.Worker].schedulable()
+		schedulable := m.cluster.workers[p.Worker].schedulable()
 		switch {
 		case p.unbounded && schedulable:
 			a.Unbounded = a.Unbounded.plus(p.Need)
@@ -213,7 +213,7 @@
 			a.Preemptible[p.Worker] = a.Preemptible[p.Worker].plus(p.Need)
 		}
 	}
-	for _, e := range m.c.queue.entries {
+	for _, e := range m.cluster.queue.entries {
 		a.Queued += e.job.Tasks
 		a.Entries[e.job.Customer]++
 		if e.job.Policy == Service {
@@ -226,32 +226,32 @@
 // Check compares the recount with the totals of the cluster.
 func (m *stateMachine) Check(t *rapid.T) {
 	a := m.recount()
-	must.EqOp(t, a.Capacity, m.c.capacity)
-	must.EqOp(t, a.Unbounded, m.c.unboundedUsage)
-	must.EqOp(t, a.Running, m.c.running.need)
-	must.EqOp(t, a.ServiceNeed, m.c.queue.serviceNeed)
-	must.EqOp(t, a.Queued, m.c.queue.tasks)
-	must.EqOp(t, a.Indexed, m.c.free.withoutAccelerators.Len()+m.c.free.withAccelerators.Len())
-	must.EqOp(t, a.ExpectedEnds, m.c.byExpectedEnd.Len())
-	for id, w := range m.c.workers {
+	must.EqOp(t, a.Capacity, m.cluster.capacity)
+	must.EqOp(t, a.Unbounded, m.cluster.unboundedUsage)
+	must.EqOp(t, a.Running, m.cluster.running.need)
+	must.EqOp(t, a.ServiceNeed, m.cluster.queue.serviceNeed)
+	must.EqOp(t, a.Queued, m.cluster.queue.tasks)
+	must.EqOp(t, a.Indexed, m.cluster.free.withoutAccelerators.Len()+m.cluster.free.withAccelerators.Len())
+	must.EqOp(t, a.ExpectedEnds, m.cluster.byExpectedEnd.Len())
+	for id, w := range m.cluster.workers {
 		must.EqOp(t, a.Used[id], w.used)
 		must.EqOp(t, a.Stopping[id], w.stopping)
 		must.EqOp(t, a.Preemptible[id], w.preemptible)
 		must.EqOp(t, w.Capacity.minus(w.used), w.free)
 		must.EqOp(t, w.schedulable(), w.indexed)
 	}
-	for name, c := range m.c.queue.customers {
+	for name, c := range m.cluster.queue.customers {
 		must.EqOp(t, a.Customers[name], c.used)
 		must.EqOp(t, a.Entries[name], c.entries)
 	}
-	for id, r := range m.c.jobs {
-		must.True(t, r.running > 0 || m.c.queue.entries[id] != nil, must.Sprintf("record of idle job %s was not dropped", id))
+	for id, r := range m.cluster.jobs {
+		must.True(t, r.running > 0 || m.cluster.queue.entries[id] != nil, must.Sprintf("record of idle job %s was not dropped", id))
 	}
-	if len(m.c.queue.entries) == 0 {
-		must.SliceEmpty(t, m.c.queue.shapeList)
-		must.EqOp(t, 0, m.c.demand.buckets.Len())
+	if len(m.cluster.queue.entries) == 0 {
+		must.SliceEmpty(t, m.cluster.queue.shapeList)
+		must.EqOp(t, 0, m.cluster.demand.buckets.Len())
 	}
-	for _, s := range m.c.queue.shapeList {
+	for _, s := range m.cluster.queue.shapeList {
 		m.checkBlocked(t, s)
 	}
 }
@@ -265,7 +265,7 @@
 	// countLimit is more than the tasks of any gang.
 	const countLimit = 100
 	slots := 0
-	for _, w := range m.c.workers {
+	for _, w := range m.cluster.workers {
 		if w.schedulable() {
 			slots += w.free.fitCount(s.shape.need, countLimit)
 		}
@@ -276,9 +276,9 @@
 // After any sequence of calls the totals of a cluster must match its workers, tasks
 // and queue, no plan may overload a worker, and no shape that fits may stay
 // blocked.
-func TestClusterStateMachine(t *testing.T) {
+func TestClusterTotalsMatchWorkersTasksAndQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &stateMachine{c: NewCluster(DefaultOptions()), now: start, nextTask: map[string]int{}}
+		m := &stateMachine{cluster: NewCluster(DefaultOptions()), now: start, nextTask: map[string]int{}}
 		t.Repeat(rapid.StateMachineActions(m))
 	})
 }
--- a/placement/worker.go
+++ b/placement/worker.go
@@ -114,37 +114,37 @@
 }
 
 // treeFor returns the tree that holds the worker.
-func (x freeIndex) treeFor(w *worker) *btree.BTreeG[*worker] {
+func (f freeIndex) treeFor(w *worker) *btree.BTreeG[*worker] {
 	if w.Capacity.Accelerators > 0 {
-		return x.withAccelerators
+		return f.withAccelerators
 	}
-	return x.withoutAccelerators
+	return f.withoutAccelerators
 }
 
 // add adds the worker if it is schedulable and not indexed yet.
-func (x freeIndex) add(w *worker) {
+func (f freeIndex) add(w *worker) {
 	if w.indexed || !w.schedulable() {
 		return
 	}
-	x.treeFor(w).Set(w)
+	f.treeFor(w).Set(w)
 	w.indexed = true
 }
 
 // remove removes the worker. It must be called before the free resources or the
 // capacity of the worker change.
-func (x freeIndex) remove(w *worker) {
+func (f freeIndex) remove(w *worker) {
 	if !w.indexed {
 		return
 	}
-	x.treeFor(w).Delete(w)
+	f.treeFor(w).Delete(w)
 	w.indexed = false
 }
 
 // ascend visits the schedulable workers on which need fits, tightest fit first,
 // until visit returns false. If need contains no accelerators, workers with
 // accelerators come last.
-func (x freeIndex) ascend(need Resources, visit func(*worker) bool) {
-	x.pivot.free = need
+func (f freeIndex) ascend(need Resources, visit func(*worker) bool) {
+	f.pivot.free = need
 	proceed := true
 	step := func(w *worker) bool {
 		if !need.within(w.free) {
@@ -154,9 +154,9 @@
 		return proceed
 	}
 	if need.Accelerators == 0 {
-		x.withoutAccelerators.Ascend(x.pivot, step)
+		f.withoutAccelerators.Ascend(f.pivot, step)
 	}
 	if proceed {
-		x.withAccelerators.Ascend(x.pivot, step)
+		f.withAccelerators.Ascend(f.pivot, step)
 	}
 }
--- a/quota/demand_test.go
+++ b/quota/demand_test.go
@@ -14,25 +14,25 @@
 )
 
 // Parameters of the simulation. mainCentreShare of a customer's demand is in one data
-// centre, which changes every mainCentreTicks. A tick is 0.1 s, and a message takes
+// centre, which changes every mainCentrePeriodTicks. A tick is 0.1 s, and a message takes
 // one tick. The values named Ticks, Start and End are in ticks, those named CPU and
 // Limit in thousandths of a core. startsPerSec is the rate of new tasks of each
 // customer.
 const (
-	simCentres      = 4
-	simCustomers    = 100
-	simTicks        = 12000
-	ticksPerSec     = 10
-	taskCPU         = 1000
-	taskSeconds     = 6
-	startsPerSec    = 2
-	simLimit        = 17 * taskCPU
-	mainCentreShare = 0.7
-	mainCentreTicks = 1200
-	epochTicks      = 50
-	partitionStart  = 6000
-	partitionEnd    = 7200
-	simSeed         = 7
+	simCentres            = 4
+	simCustomers          = 100
+	simTicks              = 12000
+	ticksPerSec           = 10
+	taskCPU               = 1000
+	taskSeconds           = 6
+	startsPerSec          = 2
+	simLimit              = 17 * taskCPU
+	mainCentreShare       = 0.7
+	mainCentrePeriodTicks = 1200
+	epochTicks            = 50
+	partitionStartTick    = 6000
+	partitionEndTick      = 7200
+	simSeed               = 7
 	// demandWeight is the weight of the newest value in the moving average of
 	// demand.
 	demandWeight = 0.02
@@ -51,14 +51,15 @@
 	// proportional sets shares by demand, which all data centres exchange each epoch. In
 	// the other strategies a data centre requests its shortfall.
 	proportional bool
-	// reserveQueued makes a donor reserve what its queued tasks need. average
-	// is the fraction of the moving average of demand that a donor reserves.
-	reserveQueued bool
-	average       float64
+	// reserveQueued makes a donor reserve what its queued tasks need.
+	// reservedAverageFraction is the fraction of the moving average of demand that a
+	// donor reserves.
+	reserveQueued           bool
+	reservedAverageFraction float64
 	// checkInterval is the number of ticks between two checks for shortfalls.
 	checkInterval int
-	// partition separates data centre 0 from the others for two minutes.
-	partition bool
+	// partitioned separates data centre 0 from the others for two minutes.
+	partitioned bool
 }
 
 // queuedTask is a task that waits to start.
@@ -129,7 +130,7 @@
 	encoded, _ := cbor.Marshal(message)
 	m.messages++
 	m.bytes += len(encoded)
-	if partitioned := m.partition && m.tick >= partitionStart && m.tick < partitionEnd; partitioned && (from == 0 || to == 0) {
+	if partitioned := m.partitioned && m.tick >= partitionStartTick && m.tick < partitionEndTick; partitioned && (from == 0 || to == 0) {
 		return
 	}
 	m.nextInbox = append(m.nextInbox, deliver)
@@ -157,7 +158,7 @@
 // arrive adds new tasks to the queues.
 func (m *simulation) arrive() {
 	for customer := range simCustomers {
-		mainCentre := (customer + (m.tick+customer*mainCentreTicks/simCustomers)/mainCentreTicks) % simCentres
+		mainCentre := (customer + (m.tick+customer*mainCentrePeriodTicks/simCustomers)/mainCentrePeriodTicks) % simCentres
 		for i, c := range m.centres {
 			share := (1 - mainCentreShare) / (simCentres - 1)
 			if i == mainCentre {
@@ -285,7 +286,7 @@
 		if m.reserveQueued {
 			reserve += int64(len(c.queue[customer])) * taskCPU
 		}
-		return placement.Resources{CPU: max(reserve, int64(m.average*c.demand[customer]))}
+		return placement.Resources{CPU: max(reserve, int64(m.reservedAverageFraction*c.demand[customer]))}
 	}
 }
 
@@ -330,9 +331,9 @@
 		{name: "ask-1s", checkInterval: 10},
 		{name: "ask-2s", checkInterval: 20},
 		{name: "ask-1s-waiting", checkInterval: 10, reserveQueued: true},
-		{name: "ask-1s-average", checkInterval: 10, average: 1},
-		{name: "proportional-cut", proportional: true, partition: true},
-		{name: "ask-1s-cut", checkInterval: 10, partition: true},
+		{name: "ask-1s-average", checkInterval: 10, reservedAverageFraction: 1},
+		{name: "proportional-cut", proportional: true, partitioned: true},
+		{name: "ask-1s-cut", checkInterval: 10, partitioned: true},
 	} {
 		b.Run(s.name, func(b *testing.B) {
 			for b.Loop() {
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -14,8 +14,8 @@
 // else.
 func cpu(amount int64) placement.Resources { return placement.Resources{CPU: amount} }
 
-// unused reports no usage for any customer.
-func unused(string) placement.Resources { return placement.Resources{} }
+// noUsage reports no usage for any customer.
+func noUsage(string) placement.Resources { return placement.Resources{} }
 
 // config returns a configuration with two initial owners and a CPU limit of the
 // customer.
@@ -39,7 +39,7 @@
 func TestLoweredLimitHoldsAfterTransfer(t *testing.T) {
 	a, b := newLedgerPair(100)
 	half := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(50)})
-	transfer, err := a.Debit(quota.DebitCommand{Request: half}, unused)
+	transfer, err := a.Debit(quota.DebitCommand{Request: half}, noUsage)
 	must.NoError(t, err)
 	must.NoError(t, b.Configure(config(2, 40)))
 	must.NoError(t, b.Credit(transfer))
@@ -55,13 +55,13 @@
 func TestDuplicateRequestDebitsOnce(t *testing.T) {
 	a, b := newLedgerPair(100)
 	request := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(20)})
-	transfer, err := a.Debit(quota.DebitCommand{Request: request}, unused)
+	transfer, err := a.Debit(quota.DebitCommand{Request: request}, noUsage)
 	must.NoError(t, err)
-	_, err = a.Debit(quota.DebitCommand{Request: request}, unused)
+	_, err = a.Debit(quota.DebitCommand{Request: request}, noUsage)
 	must.ErrorIs(t, err, quota.ErrStale)
 	must.NoError(t, b.Credit(transfer))
 	a.Acknowledge(b.Request("a"))
-	_, err = a.Debit(quota.DebitCommand{Request: request}, unused)
+	_, err = a.Debit(quota.DebitCommand{Request: request}, noUsage)
 	must.ErrorIs(t, err, quota.ErrStale)
 	must.Eq(t, cpu(30), a.Allotment(customer))
 	must.Eq(t, cpu(70), b.Allotment(customer))
@@ -85,13 +85,13 @@
 func TestNewGenerationRejectsOldTransfers(t *testing.T) {
 	a, b := newLedgerPair(100)
 	request := b.Request("a", quota.Demand{Customer: customer, Amount: cpu(20)})
-	transfer, _ := a.Debit(quota.DebitCommand{Request: request}, unused)
+	transfer, _ := a.Debit(quota.DebitCommand{Request: request}, noUsage)
 	next := config(2, 100)
 	next.Generation = 1
 	must.NoError(t, b.Configure(next))
 	must.ErrorIs(t, b.Credit(transfer), quota.ErrOtherGeneration)
 	must.NoError(t, a.Configure(next))
-	_, err := a.Debit(quota.DebitCommand{Request: request}, unused)
+	_, err := a.Debit(quota.DebitCommand{Request: request}, noUsage)
 	must.ErrorIs(t, err, quota.ErrOtherGeneration)
 	must.Eq(t, cpu(50), a.Allotment(customer))
 	must.Eq(t, cpu(50), b.Allotment(customer))
@@ -102,17 +102,17 @@
 // the loss.
 func TestLostStateIsDetected(t *testing.T) {
 	a, b := newLedgerPair(100)
-	first, _ := a.Debit(quota.DebitCommand{Request: b.Request("a", quota.Demand{Customer: customer, Amount: cpu(5)})}, unused)
+	first, _ := a.Debit(quota.DebitCommand{Request: b.Request("a", quota.Demand{Customer: customer, Amount: cpu(5)})}, noUsage)
 	must.NoError(t, b.Credit(first))
-	second, _ := a.Debit(quota.DebitCommand{Request: b.Request("a", quota.Demand{Customer: customer, Amount: cpu(5)})}, unused)
+	second, _ := a.Debit(quota.DebitCommand{Request: b.Request("a", quota.Demand{Customer: customer, Amount: cpu(5)})}, noUsage)
 	blankA, blankB := newLedgerPair(100)
 	must.ErrorIs(t, blankB.Credit(second), quota.ErrSequenceGap)
-	_, err := blankA.Debit(quota.DebitCommand{Request: b.Request("a")}, unused)
+	_, err := blankA.Debit(quota.DebitCommand{Request: b.Request("a")}, noUsage)
 	must.ErrorIs(t, err, quota.ErrSequenceGap)
 }
 
 // Guards against accepting an invalid configuration and against refusing a valid one.
-func TestConfigCheck(t *testing.T) {
+func TestConfigCheckAcceptsOnlyValidSuccessors(t *testing.T) {
 	c := config(1, 100)
 	next := config(2, 100)
 	next.InitialOwners = []string{"a", "c"}
@@ -180,7 +180,7 @@
 			donor, recipient = newLedgerPair(1 << 20)
 		}
 		request := recipient.Request("a", quota.Demand{Customer: customer, Amount: cpu(1 << 12)})
-		transfer, _ := donor.Debit(quota.DebitCommand{Request: request}, unused)
+		transfer, _ := donor.Debit(quota.DebitCommand{Request: request}, noUsage)
 		_ = recipient.Credit(transfer)
 		donor.Acknowledge(recipient.Request("a"))
 		if n == 0 {
--- a/quota/slots.go
+++ b/quota/slots.go
@@ -14,12 +14,12 @@
 	wordBits  = 64
 	wordBytes = 8
 	byteBits  = 8
-	words     = Slots / wordBits
+	wordCount = Slots / wordBits
 )
 
 // SlotSet is a set of slots. Its binary form is a bitmap without trailing zero
 // bytes.
-type SlotSet [words]uint64
+type SlotSet [wordCount]uint64
 
 // initialSlots returns the slots that an initial owner owns before any transfer. index is
 // its index among the initial owners, and owners is their number.
--- a/routing/admit.go
+++ b/routing/admit.go
@@ -80,7 +80,7 @@
 		b.refuseQueued(s, t, b.fullReason(s), now)
 		return
 	}
-	b.refuseQueued(s, s.latestOf(customer), OverShare, now)
+	b.refuseQueued(s, s.latestTicketOf(customer), OverShare, now)
 }
 
 // fullReason returns the reason for refusing a ticket because the queue is full or its
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -81,7 +81,7 @@
 	}
 	if !ok {
 		// No leader has responded yet, so the service may exist.
-		s = newService(r.Service, b.opts.FirstEstimate, now)
+		s = newService(r.Service, b.opts.InitialServiceTime, now)
 		b.services[r.Service] = s
 	}
 	b.earnRetry()
--- a/routing/estimate.go
+++ b/routing/estimate.go
@@ -46,16 +46,16 @@
 	tail time.Duration
 }
 
-// newEstimator returns an estimator whose mean and tail are initialTime until it has
-// samples.
-func newEstimator(initialTime time.Duration, now time.Duration) *estimator {
+// newEstimator returns an estimator whose mean and tail are initialServiceTime until it
+// has samples.
+func newEstimator(initialServiceTime time.Duration, now time.Duration) *estimator {
 	window := hdrhistogram.NewWindowed(histogramCount, 1, maxServiceTime.Microseconds(), significantDigits)
-	return &estimator{window: window, rotatedAt: now, refreshedAt: now, addedAt: now, mean: initialTime, tail: initialTime}
+	return &estimator{window: window, rotatedAt: now, refreshedAt: now, addedAt: now, mean: initialServiceTime, tail: initialServiceTime}
 }
 
 // add records a service time.
 func (e *estimator) add(took, now time.Duration) {
-	e.slide(now)
+	e.rotateWindow(now)
 	e.addedAt = now
 	micros := min(max(1, took.Microseconds()), maxServiceTime.Microseconds())
 	// RecordValue can't fail: micros is within the bounds given to NewWindowed.
@@ -74,11 +74,11 @@
 	if e.hasNewSamples {
 		e.readWindow()
 	}
-	e.slide(now)
+	e.rotateWindow(now)
 }
 
-// slide drops the parts of the window that have expired.
-func (e *estimator) slide(now time.Duration) {
+// rotateWindow drops the parts of the window that have expired.
+func (e *estimator) rotateWindow(now time.Duration) {
 	passed := int((now - e.rotatedAt) / histogramDuration)
 	if passed == 0 {
 		return
--- a/routing/load_cases_test.go
+++ b/routing/load_cases_test.go
@@ -20,9 +20,9 @@
 
 // loseLeader stops the leader; after 3 s a new leader without state takes over.
 func loseLeader(r *loadRun) {
-	r.leader = false
+	r.hasLeader = false
 	r.schedule(r.now+3*time.Second, func() {
-		r.leader = true
+		r.hasLeader = true
 		r.allocator = routing.NewAllocator(routing.LeaseOptions{})
 		var ids []string
 		for _, e := range r.entries {
--- a/routing/load_report_test.go
+++ b/routing/load_report_test.go
@@ -13,10 +13,10 @@
 // perSecond converts a count over the measured period to a rate per second.
 func (r *loadRun) perSecond(n int) float64 { return float64(n) / (loadEnd - warmUp).Seconds() }
 
-// recovered returns the number of whole seconds from faultAt until the requests
+// recoverySeconds returns the number of whole seconds from faultAt until the requests
 // completed in time per second stay at or above recoveredFraction of their mean over the
 // 3 s before the fault.
-func (r *loadRun) recovered() float64 {
+func (r *loadRun) recoverySeconds() float64 {
 	first := int(faultAt / time.Second)
 	before := float64(r.goodBySecond[first-1]+r.goodBySecond[first-2]+r.goodBySecond[first-3]) / 3
 	last := int(loadEnd/time.Second) - 1
@@ -50,7 +50,7 @@
 	b.ReportMetric(r.perSecond(r.calls)/float64(len(r.entries)), "calls/s/entry")
 	b.ReportMetric(float64(r.maxBusyOnMinion()), "most-on-minion")
 	if r.event != nil || r.fault != healthy {
-		b.ReportMetric(r.recovered(), "recovered-s")
+		b.ReportMetric(r.recoverySeconds(), "recovered-s")
 	}
 	if r.flood > 0 {
 		b.ReportMetric(100*float64(r.otherGood)/float64(r.otherOffered), "others-good-%")
--- a/routing/load_test.go
+++ b/routing/load_test.go
@@ -119,7 +119,7 @@
 	events     eventHeap
 	eventCount int
 	allocator  *routing.Allocator
-	leader     bool
+	hasLeader  bool
 	entries    []*loadEntry
 	minions    map[string]*loadMinion
 	minionList []*loadMinion
@@ -172,7 +172,7 @@
 		minions:   make(map[string]*loadMinion),
 		waits:     hdrhistogram.New(1, maxWaitMicros, waitDigits),
 		allocator: routing.NewAllocator(routing.LeaseOptions{}),
-		leader:    true,
+		hasLeader: true,
 	}
 	r.allocator.Lead(1, nil, -time.Hour)
 	for i := range c.minions {
@@ -247,7 +247,7 @@
 
 // handleSlotRequest handles a slot request at the leader and sends the response.
 func (r *loadRun) handleSlotRequest(e *loadEntry, b *routing.Balancer, req routing.SlotRequest) {
-	if !r.leader {
+	if !r.hasLeader {
 		return
 	}
 	resp, err := r.allocator.Allocate(req, r.now)
--- a/routing/model_test.go
+++ b/routing/model_test.go
@@ -32,8 +32,8 @@
 type modelEntry struct {
 	id          string
 	incarnation uint64
-	// rate is the rate of the process's clock relative to the leader's.
-	rate      float64
+	// clockRate is the rate of the process's clock relative to the leader's.
+	clockRate float64
 	startedAt time.Duration
 	balancer  *Balancer
 	running   []*Ticket
@@ -75,14 +75,14 @@
 func (m *model) start(e *modelEntry) {
 	e.incarnation++
 	e.startedAt = m.now
-	e.rate = 1 + float64(rapid.IntRange(-8, 8).Draw(m.t, "rate"))/1000
+	e.clockRate = 1 + float64(rapid.IntRange(-8, 8).Draw(m.t, "rate"))/1000
 	e.balancer = NewBalancer(Options{Entry: e.id, Incarnation: e.incarnation, Seed: e.incarnation})
 	e.running = nil
 }
 
 // clock returns the time on the clock of an entry process.
 func (m *model) clock(e *modelEntry) time.Duration {
-	return time.Duration(float64(m.now-e.startedAt) * e.rate)
+	return time.Duration(float64(m.now-e.startedAt) * e.clockRate)
 }
 
 // drawEntry returns a random entry instance.
@@ -172,8 +172,8 @@
 		},
 		"exchange":  m.exchange,
 		"exchange2": m.exchange,
-		"toLeader":  m.toLeader,
-		"toEntry":   m.toEntry,
+		"toLeader":  m.deliverToLeader,
+		"toEntry":   m.deliverToEntry,
 		"submit":    m.submit,
 		"submit2":   m.submit,
 		"finish":    m.finish,
@@ -215,9 +215,9 @@
 	m.granted += e.balancer.GrantedSlots()
 }
 
-// toLeader delivers a random earlier slot request to the leader. The request stays in the
-// network, so that it may be delivered again.
-func (m *model) toLeader(t *rapid.T) {
+// deliverToLeader delivers a random earlier slot request to the leader. The request
+// stays in the network, so that it may be delivered again.
+func (m *model) deliverToLeader(t *rapid.T) {
 	if len(m.requests) == 0 {
 		t.Skip()
 	}
@@ -233,8 +233,8 @@
 	}
 }
 
-// toEntry delivers a random earlier slot response to the process that requested it.
-func (m *model) toEntry(t *rapid.T) {
+// deliverToEntry delivers a random earlier slot response to the process that requested it.
+func (m *model) deliverToEntry(t *rapid.T) {
 	if len(m.responses) == 0 {
 		t.Skip()
 	}
--- a/routing/options.go
+++ b/routing/options.go
@@ -34,8 +34,8 @@
 	// accepted. A service whose mean service time is longer than half of MaxWait
 	// accepts requests up to twice its mean service time.
 	MaxWait time.Duration
-	// FirstEstimate is the service time assumed before any is measured.
-	FirstEstimate time.Duration
+	// InitialServiceTime is the service time assumed before any is measured.
+	InitialServiceTime time.Duration
 	// RetryRatio is the number of retries that each request adds to the retry
 	// budget.
 	RetryRatio float64
@@ -52,13 +52,13 @@
 // DefaultOptions returns the options that apply without settings.
 func DefaultOptions() Options {
 	return Options{
-		Lease:         DefaultLeaseOptions(),
-		MaxQueue:      1000,
-		MaxWait:       200 * time.Millisecond,
-		FirstEstimate: 50 * time.Millisecond,
-		RetryRatio:    0.1,
-		RetryBurst:    10,
-		SlowStart:     2 * time.Second,
+		Lease:              DefaultLeaseOptions(),
+		MaxQueue:           1000,
+		MaxWait:            200 * time.Millisecond,
+		InitialServiceTime: 50 * time.Millisecond,
+		RetryRatio:         0.1,
+		RetryBurst:         10,
+		SlowStart:          2 * time.Second,
 	}
 }
 
@@ -72,8 +72,8 @@
 	if o.MaxWait <= 0 {
 		o.MaxWait = d.MaxWait
 	}
-	if o.FirstEstimate <= 0 {
-		o.FirstEstimate = d.FirstEstimate
+	if o.InitialServiceTime <= 0 {
+		o.InitialServiceTime = d.InitialServiceTime
 	}
 	if o.RetryRatio <= 0 {
 		o.RetryRatio = d.RetryRatio
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -145,9 +145,9 @@
 	// With a service time of 100 ms, a request that waits for a slot can't complete
 	// within shortDeadline.
 	const shortDeadline = 120 * time.Millisecond
-	// tooFewDelays is the largest number of different values among the 20 retry delays
-	// at which the test considers the delays not jittered.
-	const tooFewDelays = 15
+	// maxUnjitteredDelays is the largest number of different values among the 20 retry
+	// delays at which the test considers the delays not jittered.
+	const maxUnjitteredDelays = 15
 	f := newFixture(1, 2)
 	for range 40 {
 		f.finish(f.submit(time.Second), 100*time.Millisecond, Answered)
@@ -167,7 +167,7 @@
 		must.Eq(t, Refused, late.State())
 		retryDelays[late.Refusal().RetryAfter] = true
 	}
-	must.Greater(t, tooFewDelays, len(retryDelays))
+	must.Greater(t, maxUnjitteredDelays, len(retryDelays))
 }
 
 // Guards against a minion that fails immediately, so that it is always free and
@@ -292,7 +292,7 @@
 	f := newFixture(1, 1)
 	f.finish(f.submit(time.Second), 0, Abandoned)
 	must.Eq(t, Queued, f.submit(time.Second).State())
-	f.now += lingerFactor * DefaultOptions().FirstEstimate
+	f.now += lingerFactor * DefaultOptions().InitialServiceTime
 	f.balancer.Tick(f.now)
 	must.Eq(t, 1, f.balancer.InFlight())
 }
--- a/routing/service.go
+++ b/routing/service.go
@@ -40,12 +40,12 @@
 }
 
 // newService returns a service without minions, whose estimated service time is
-// initialTime.
-func newService(name string, initialTime, now time.Duration) *service {
+// initialServiceTime.
+func newService(name string, initialServiceTime, now time.Duration) *service {
 	return &service{
 		name:         name,
 		customers:    make(map[string]*customerLoad),
-		serviceTimes: newEstimator(initialTime, now),
+		serviceTimes: newEstimator(initialServiceTime, now),
 	}
 }
 
@@ -159,8 +159,8 @@
 	return name, most
 }
 
-// latestOf returns a customer's queued ticket with the latest deadline, or nil.
-func (s *service) latestOf(customer string) *Ticket {
+// latestTicketOf returns a customer's queued ticket with the latest deadline, or nil.
+func (s *service) latestTicketOf(customer string) *Ticket {
 	for _, t := range slices.Backward(s.queue) {
 		if t.Customer == customer {
 			return t
--- a/routing/slot_lease.go
+++ b/routing/slot_lease.go
@@ -113,7 +113,7 @@
 	}
 	s, ok := b.services[service]
 	if !ok {
-		s = newService(service, b.opts.FirstEstimate, now)
+		s = newService(service, b.opts.InitialServiceTime, now)
 		b.services[service] = s
 	}
 	s.minions = append(s.minions, m)
@@ -233,7 +233,7 @@
 		return false
 	}
 	if resp.Term > l.term {
-		b.newTerm(resp.Term)
+		b.enterTerm(resp.Term)
 	}
 	if resp.Resync {
 		l.fullRequestNeeded = true
@@ -265,10 +265,10 @@
 	return 0, false
 }
 
-// newTerm records a new leader term and drops the minion numbers of the previous
+// enterTerm records a new leader term and drops the minion numbers of the previous
 // leader. The granted slots stay in use; the next request claims them from the new
 // leader.
-func (b *Balancer) newTerm(term uint64) {
+func (b *Balancer) enterTerm(term uint64) {
 	l := &b.lease
 	l.term = term
 	l.fullRequestNeeded = true
