--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -137,7 +137,7 @@
 	defer holdTimer.Stop()
 	for {
 		var added <-chan struct{}
-		reply.Outcomes, reply.Last, added = c.outcomesAfter(call)
+		reply.Outcomes, reply.LastNumber, added = c.outcomesAfter(call)
 		if len(reply.Outcomes) > 0 || call.Incarnation != c.incarnation {
 			return reply, nil
 		}
--- a/internal/carrier/carrier_test.go
+++ b/internal/carrier/carrier_test.go
@@ -156,7 +156,7 @@
 // The reply to a collect call is lost. The carrier must list the same outcomes in the next
 // reply; otherwise the leader can't tell whether the workers executed the orders, and the orders
 // become overdue.
-func TestLostOutcomesAreListedAgain(t *testing.T) {
+func TestOutcomesOfLostReplyAreListedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		carrier := newTestCarrier(&fakeWorkers{}, "dc")
 		_, err := carrier.Carry(t.Context(), &CarryCall{Term: 2, Orders: []Order{{ID: 8, Stop: &control.StopOrder{}, CallTimeout: time.Second}}})
@@ -168,7 +168,7 @@
 		again, err := carrier.Collect(t.Context(), &known)
 		must.NoError(t, err)
 		must.Eq(t, lost, again)
-		next, err := carrier.Collect(t.Context(), &CollectCall{Term: 2, Acknowledged: again.Last, Incarnation: again.Incarnation})
+		next, err := carrier.Collect(t.Context(), &CollectCall{Term: 2, Acknowledged: again.LastNumber, Incarnation: again.Incarnation})
 		must.NoError(t, err)
 		must.SliceEmpty(t, next.Outcomes)
 	})
--- a/internal/carrier/fake_test.go
+++ b/internal/carrier/fake_test.go
@@ -105,14 +105,14 @@
 	go c.simulateLoad(ctx)
 }
 
-// manyOrders is a count of orders per half membershipInterval at which the leader calls almost
+// overloadOrderCount is a count of orders per half membershipInterval at which the leader calls almost
 // no worker directly.
-const manyOrders = 1e9
+const overloadOrderCount = 1e9
 
 // simulateLoad raises the leader's order count so far that it forwards all orders.
 func (c *cluster) simulateLoad(ctx context.Context) {
 	for wait.For(ctx, membershipInterval/2) {
-		c.forwarder.direct.orderCount.Add(manyOrders)
+		c.forwarder.direct.orderCount.Add(overloadOrderCount)
 	}
 }
 
--- a/internal/carrier/messages.go
+++ b/internal/carrier/messages.go
@@ -91,8 +91,8 @@
 	// DataCentre is the carrier's data centre.
 	DataCentre string    `cbor:"2,keyasint,omitempty"`
 	Outcomes   []Outcome `cbor:"3,keyasint,omitempty"`
-	// Last is the number of the last outcome in Outcomes.
-	Last uint64 `cbor:"4,keyasint,omitempty"`
+	// LastNumber is the number of the last outcome in Outcomes.
+	LastNumber uint64 `cbor:"4,keyasint,omitempty"`
 	// Incarnation identifies one process of the carrier. A new incarnation has no record of
 	// orders that were forwarded before it started.
 	Incarnation uint64 `cbor:"5,keyasint"`
--- a/internal/carrier/route.go
+++ b/internal/carrier/route.go
@@ -59,9 +59,9 @@
 	dataCentre string
 	queue      []*Order
 	pending    map[uint64]*pendingOrder
-	// immediate lists the pending orders other than polls, the oldest first. Workers respond
+	// nonPolls lists the pending orders other than polls, the oldest first. Workers respond
 	// to them immediately.
-	immediate *list.List
+	nonPolls *list.List
 }
 
 // pendingOrder is an order without an outcome.
@@ -69,7 +69,7 @@
 	enqueuedAt time.Time
 	// result receives the outcome or an error; it has a buffer of one.
 	result chan orderResult
-	// element is the order's entry in immediate; nil for a poll.
+	// element is the order's entry in nonPolls; nil for a poll.
 	element *list.Element
 }
 
@@ -82,7 +82,7 @@
 func newRoute(cfg *ForwarderConfig, address string, term uint64, lastOrderID *atomic.Uint64) *route {
 	return &route{
 		cfg: cfg, address: address, term: term, lastOrderID: lastOrderID, wake: make(chan struct{}, 1), contacted: make(chan struct{}),
-		interval: baseMessageInterval, pending: map[uint64]*pendingOrder{}, immediate: list.New(),
+		interval: baseMessageInterval, pending: map[uint64]*pendingOrder{}, nonPolls: list.New(),
 	}
 }
 
@@ -111,7 +111,7 @@
 // backlogged reports whether at least overdueThreshold orders are overdue. r.mu must be held.
 func (r *route) backlogged(now time.Time) bool {
 	overdue := 0
-	for e := r.immediate.Front(); e != nil && overdue < overdueThreshold; e = e.Next() {
+	for e := r.nonPolls.Front(); e != nil && overdue < overdueThreshold; e = e.Next() {
 		if now.Sub(e.Value.(*pendingOrder).enqueuedAt) < overdueAfter {
 			return false
 		}
@@ -145,7 +145,7 @@
 	order.ID = r.lastOrderID.Add(1)
 	r.pending[order.ID] = p
 	if order.Poll == nil {
-		p.element = r.immediate.PushBack(p)
+		p.element = r.nonPolls.PushBack(p)
 	}
 	r.queue = append(r.queue, order)
 	r.signal()
@@ -176,7 +176,7 @@
 	}
 	delete(r.pending, id)
 	if p.element != nil {
-		r.immediate.Remove(p.element)
+		r.nonPolls.Remove(p.element)
 	}
 }
 
@@ -302,7 +302,7 @@
 	defer cancel()
 	r.cfg.Counters.Add("outcome_messages", 1)
 	var reply CollectReply
-	call := &CollectCall{Term: r.term, Acknowledged: last.Last, Incarnation: last.Incarnation}
+	call := &CollectCall{Term: r.term, Acknowledged: last.LastNumber, Incarnation: last.Incarnation}
 	err := r.cfg.Transport.Call(ctx, r.address, MethodCollect, call, &reply)
 	if err == nil && reply.Term != r.term {
 		err = errors.Newf("the carrier is in term %d", reply.Term)
--- a/internal/cell/admit_test.go
+++ b/internal/cell/admit_test.go
@@ -21,9 +21,9 @@
 func newTestCell(t *testing.T) (*Cell, *leaderTerm) {
 	s := settings.Default()
 	s.Instances = []settings.Instance{{ID: "a", DataCentre: "hall", Cell: "127.0.0.1:1"}}
-	machine := NewMachine("hall", nil)
+	machine := NewStateMachine("hall", nil)
 	base := &daemon.Base{Settings: &s, Instance: &s.Instances[0], Clock: new(hlc.Clock), Logger: log.NewNopLogger()}
-	c := New(base, Logs{Home: NewUnreplicatedLog(machine), Machine: machine})
+	c := New(base, Logs{Home: NewUnreplicatedLog(machine), StateMachine: machine})
 	up := &state.WorkerUp{ID: "w", Incarnation: 1, Capacity: placement.Resources{CPU: 4000, Memory: 4096}}
 	_, err := c.propose(t.Context(), &state.Command{WorkerUp: up})
 	must.NoError(t, err)
--- a/internal/cell/adopt.go
+++ b/internal/cell/adopt.go
@@ -62,7 +62,7 @@
 // adoptedConfig returns the configuration that this data centre has adopted.
 func (c *Cell) adoptedConfig() state.AdoptConfig {
 	var adopted state.AdoptConfig
-	c.machine.View(func(s *state.State) { adopted = s.Config })
+	c.stateMachine.View(func(s *state.State) { adopted = s.Config })
 	return adopted
 }
 
@@ -123,7 +123,7 @@
 		return nil, err
 	}
 	for {
-		changed := c.machine.Changed()
+		changed := c.stateMachine.Changed()
 		adopted := c.adoptedConfig()
 		if adopted.ConfigVersion > r.AfterVersion || !c.waitForChange(pollCtx, changed) {
 			return omitUnchanged(&apiv1.Config{
--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -21,9 +21,9 @@
 
 // Logs are the replicated logs that a cell uses.
 type Logs struct {
-	// Home is the log of the data centre, and Machine its state machine.
-	Home    Log
-	Machine *Machine
+	// Home is the log of the data centre, and StateMachine its state machine.
+	Home         Log
+	StateMachine *StateMachine
 	// Configuration is the configuration log, and Register its state machine. Both are
 	// nil on instances that aren't voters of that log.
 	Configuration Log
@@ -37,13 +37,13 @@
 // Cell is the replica of one data centre on one instance. It serves the calls of entry
 // instances and peers, and schedules the jobs of the data centre while it leads.
 type Cell struct {
-	base      *daemon.Base
-	log       Log
-	machine   *Machine
-	configLog Log
-	register  *conf.Register
-	groups    map[string]Group
-	groupName string
+	base         *daemon.Base
+	log          Log
+	stateMachine *StateMachine
+	configLog    Log
+	register     *conf.Register
+	groups       map[string]Group
+	groupName    string
 
 	// slots allocates the slots of the data centre's minions while this replica leads.
 	slots   *proxy.SlotAllocator
@@ -59,7 +59,7 @@
 // New returns a cell. Run makes it lead when it is elected.
 func New(b *daemon.Base, logs Logs) *Cell {
 	c := &Cell{
-		base: b, log: logs.Home, machine: logs.Machine, configLog: logs.Configuration, register: logs.Register,
+		base: b, log: logs.Home, stateMachine: logs.StateMachine, configLog: logs.Configuration, register: logs.Register,
 		groups: logs.Groups, groupName: b.Instance.DataCentre, started: time.Now(), draining: make(chan struct{}),
 	}
 	c.slots = proxy.NewSlotAllocator(wire.LeaseOptions(b.Settings.Timing), c.monotonic)
--- a/internal/cell/decide.go
+++ b/internal/cell/decide.go
@@ -39,7 +39,7 @@
 		select {
 		case <-ctx.Done():
 		case <-c.log.Changed():
-		case <-c.machine.Changed():
+		case <-c.stateMachine.Changed():
 		case <-t.wake:
 		case <-timer.C:
 		}
@@ -87,12 +87,12 @@
 // late result is useless, and other jobs need the workers.
 func (c *Cell) endOverdueJobs(ctx context.Context, t *leaderTerm) {
 	now := c.now()
-	if now.Before(t.nextOverdue) {
+	if now.Before(t.nextOverdueCheck) {
 		return
 	}
-	t.nextOverdue = now.Add(overdueCheckInterval)
+	t.nextOverdueCheck = now.Add(overdueCheckInterval)
 	var overdue []string
-	c.machine.View(func(s *state.State) { overdue = s.OverdueJobs(now.UnixMilli()) })
+	c.stateMachine.View(func(s *state.State) { overdue = s.OverdueJobs(now.UnixMilli()) })
 	for _, id := range overdue {
 		refuse := &state.Refuse{Job: id, Kind: fault.DeadlineUnreachable, Detail: "the deadline has passed"}
 		if _, err := c.propose(ctx, &state.Command{Refuse: refuse}); err != nil {
@@ -122,7 +122,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.leases.Expired(c.monotonic())
-	c.machine.View(func(s *state.State) {
+	c.stateMachine.View(func(s *state.State) {
 		for id, w := range s.Workers {
 			if !w.Down && t.leases.Fenced(id, w.Incarnation) {
 				expired = append(expired, &state.WorkerDown{ID: id, Incarnation: w.Incarnation})
@@ -171,7 +171,7 @@
 // only where the need differs from the declared one.
 func (c *Cell) startItems(starts []placement.Start) []state.StartItem {
 	items := make([]state.StartItem, 0, len(starts))
-	c.machine.View(func(s *state.State) {
+	c.stateMachine.View(func(s *state.State) {
 		for _, start := range starts {
 			item := state.StartItem{Job: start.Job, Worker: start.Worker}
 			if j := s.Jobs[start.Job]; j != nil && start.Need != j.Spec.Need {
--- a/internal/cell/gateway.go
+++ b/internal/cell/gateway.go
@@ -124,7 +124,7 @@
 // committed here. An attempt whose end is already committed counts as known.
 func (c *Cell) hasUnknownAttempts(r *apiv1.RenewRequest) bool {
 	unknown := false
-	c.machine.View(func(s *state.State) {
+	c.stateMachine.View(func(s *state.State) {
 		for _, ref := range r.GetAnnouncement().GetRunning() {
 			j := s.Jobs[ref.GetJob()]
 			if j == nil || int(ref.GetTask()) >= len(j.Tasks) || j.Tasks[ref.GetTask()].Attempt < ref.GetAttempt() {
@@ -139,7 +139,7 @@
 // if the worker is down or has a newer incarnation.
 func (c *Cell) incarnationStatusOf(worker string, incarnation uint64) incarnationStatus {
 	status := incarnationUnknown
-	c.machine.View(func(s *state.State) {
+	c.stateMachine.View(func(s *state.State) {
 		w := s.Workers[worker]
 		switch {
 		case w == nil || w.Incarnation < incarnation:
@@ -166,7 +166,7 @@
 		return nil, renewal
 	}
 	var workerOutbox *outbox
-	c.machine.View(func(s *state.State) {
+	c.stateMachine.View(func(s *state.State) {
 		workerOutbox = t.openOutbox(s, r.Worker, r.Incarnation)
 		if !wasLive || renewal.NewIncarnation {
 			t.syncWorker(s, r.Worker, received)
--- a/internal/cell/handover.go
+++ b/internal/cell/handover.go
@@ -85,7 +85,7 @@
 // unreachable.
 func (c *Cell) handOver(ctx context.Context, t *leaderTerm) {
 	for ctx.Err() == nil {
-		changed := c.machine.Changed()
+		changed := c.stateMachine.Changed()
 		if !c.sendPendingOffers(ctx, t) {
 			wait.For(ctx, offerRetryInterval)
 			continue
@@ -125,7 +125,7 @@
 // have no answer yet.
 func (c *Cell) pendingOffers() []*state.Job {
 	var pending []*state.Job
-	c.machine.View(func(s *state.State) {
+	c.stateMachine.View(func(s *state.State) {
 		for _, j := range s.Jobs {
 			if j.State == state.JobPendingHandover && !j.HandoverDone {
 				copied := *j
@@ -245,7 +245,7 @@
 func (c *Cell) committedAnswer(job string) (*apiv1.OfferResponse, bool) {
 	var record state.HandoverAnswerRecord
 	var ok bool
-	c.machine.View(func(s *state.State) { record, ok = s.HandoverAnswers[job] })
+	c.stateMachine.View(func(s *state.State) { record, ok = s.HandoverAnswers[job] })
 	return offerAnswer(record.Accepted, record.Kind, record.Detail), ok
 }
 
--- a/internal/cell/leader_term.go
+++ b/internal/cell/leader_term.go
@@ -49,13 +49,13 @@
 
 	// wake makes the leader's loop start its next iteration.
 	wake chan struct{}
-	// reservations is the number of reservations made so far; see admitAndReserve.
-	reservations atomic.Uint64
+	// reservationCount is the number of reservations made so far; see admitAndReserve.
+	reservationCount atomic.Uint64
 	// degraded is the state in the last event of recordDegraded: true if committed commands
 	// are only in memory.
 	degraded bool
-	// nextOverdue is the time of the next check for deadlines that have passed.
-	nextOverdue time.Time
+	// nextOverdueCheck is the time of the next check for deadlines that have passed.
+	nextOverdueCheck time.Time
 
 	// plannerMu guards planner, which plans quota transfers.
 	plannerMu sync.Mutex
@@ -81,7 +81,7 @@
 	defer func() {
 		c.leaderTerm.Store(nil)
 		c.slots.Resign()
-		c.machine.StopCollecting()
+		c.stateMachine.StopCollecting()
 		t.wakeHeldRenewals()
 		c.base.Logger.Log("msg", "leads no more", "term", term)
 	}()
@@ -106,7 +106,7 @@
 		wake:             make(chan struct{}, 1),
 		planner:          quota.NewPlanner(c.base.Instance.DataCentre, c.base.Settings.DataCentres()),
 	}
-	c.machine.Collect(func(s *state.State) {
+	c.stateMachine.Collect(func(s *state.State) {
 		t.takeOverLeases(s, c.monotonic())
 		c.rebuildCache(t, s, c.monotonic())
 	})
@@ -178,13 +178,13 @@
 
 // refresh applies the collected changes to the caches.
 func (c *Cell) refresh(t *leaderTerm) {
-	changes := c.machine.TakeChanges()
+	changes := c.stateMachine.TakeChanges()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, u := range changes.Unplaced {
 		t.cluster.Unplace(u.Job, u.Task)
 	}
-	c.machine.View(func(s *state.State) {
+	c.stateMachine.View(func(s *state.State) {
 		for id := range changes.Workers {
 			t.syncWorker(s, id, c.monotonic())
 		}
--- a/internal/cell/machine.go
+++ b/internal/cell/machine.go
@@ -11,27 +11,27 @@
 	"github.com/bilberryferry/bilberryferry/internal/state"
 )
 
-// Machine is the state machine of a data centre's log. It is safe for concurrent use.
-type Machine struct {
+// StateMachine is the state machine of a data centre's log. It is safe for concurrent use.
+type StateMachine struct {
 	mu    sync.RWMutex
 	state *state.State
 	// changed is closed and replaced after each applied command.
 	changed chan struct{}
-	// collect is true while this replica leads and its caches need the changes.
-	collect bool
+	// collecting is true while this replica leads and its caches need the changes.
+	collecting bool
 	// pending holds the changes since the last call of TakeChanges.
 	pending state.Changes
 	events  *event.Recorder
 }
 
-// NewMachine returns the state machine of a data centre without jobs and workers.
-func NewMachine(dataCentre string, events *event.Recorder) *Machine {
-	return &Machine{state: state.New(dataCentre), changed: make(chan struct{}), events: events}
+// NewStateMachine returns the state machine of a data centre without jobs and workers.
+func NewStateMachine(dataCentre string, events *event.Recorder) *StateMachine {
+	return &StateMachine{state: state.New(dataCentre), changed: make(chan struct{}), events: events}
 }
 
 // Apply applies one committed command and returns its state.Result. It panics if it can't
 // decode the command.
-func (m *Machine) Apply(index uint64, data []byte) any {
+func (m *StateMachine) Apply(index uint64, data []byte) any {
 	command, err := state.Decode(data)
 	if err != nil {
 		// A newer version of the program wrote this command, which is committed. Skipping
@@ -51,13 +51,13 @@
 // event timeline. Every replica records the same events under the proposer's timestamp,
 // so that they survive the loss of the instance that proposed the command. m.mu must be
 // held.
-func (m *Machine) publishChanges(command *state.Command) {
+func (m *StateMachine) publishChanges(command *state.Command) {
 	c := m.state.TakeChanges()
 	timestamp := hlc.Timestamp{Wall: command.Now, Logical: command.Logical}
 	for _, e := range c.Events {
 		m.events.RecordAt(timestamp, command.Proposer, e.Kind, e.Detail, e.Subjects...)
 	}
-	if !m.collect {
+	if !m.collecting {
 		return
 	}
 	mergeChanges(&m.pending, c)
@@ -79,14 +79,14 @@
 }
 
 // Snapshot encodes the state.
-func (m *Machine) Snapshot() ([]byte, error) {
+func (m *StateMachine) Snapshot() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state.Encode()
 }
 
 // Restore replaces the state by that of a snapshot.
-func (m *Machine) Restore(data []byte) error {
+func (m *StateMachine) Restore(data []byte) error {
 	s, err := state.DecodeState(data)
 	if err != nil {
 		return err
@@ -105,14 +105,14 @@
 }
 
 // View calls f with the state under a read lock. f must neither keep nor change it.
-func (m *Machine) View(f func(*state.State)) {
+func (m *StateMachine) View(f func(*state.State)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	f(m.state)
 }
 
 // Changed returns a channel that is closed when the next command is applied.
-func (m *Machine) Changed() <-chan struct{} {
+func (m *StateMachine) Changed() <-chan struct{} {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.changed
@@ -120,24 +120,24 @@
 
 // Collect begins to collect changes and calls f with the state at that point. No change
 // is lost between the two, since both happen under the lock.
-func (m *Machine) Collect(f func(*state.State)) {
+func (m *StateMachine) Collect(f func(*state.State)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.collect = true
+	m.collecting = true
 	m.pending = emptyChanges()
 	f(m.state)
 }
 
 // StopCollecting drops the collected changes and collects no more.
-func (m *Machine) StopCollecting() {
+func (m *StateMachine) StopCollecting() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.collect = false
+	m.collecting = false
 	m.pending = emptyChanges()
 }
 
 // TakeChanges returns the changes collected since the last call.
-func (m *Machine) TakeChanges() state.Changes {
+func (m *StateMachine) TakeChanges() state.Changes {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c := m.pending
--- a/internal/cell/operations.go
+++ b/internal/cell/operations.go
@@ -39,7 +39,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	quarantined := t.cluster.Quarantined()
-	c.machine.View(func(s *state.State) {
+	c.stateMachine.View(func(s *state.State) {
 		for id := range s.Workers {
 			response.Workers = append(response.Workers, c.workerInfo(s, t, id, quarantined))
 		}
@@ -82,7 +82,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	response := &apiv1.DrainResponse{}
-	c.machine.View(func(s *state.State) { response.Worker = c.workerInfo(s, t, r.Worker, nil) })
+	c.stateMachine.View(func(s *state.State) { response.Worker = c.workerInfo(s, t, r.Worker, nil) })
 	return response, nil
 }
 
--- a/internal/cell/quota.go
+++ b/internal/cell/quota.go
@@ -94,7 +94,7 @@
 // difference is requested from the other data centres.
 func (c *Cell) customerLimit(customer string) placement.Resources {
 	limit := placement.Resources{CPU: quota.Unlimited, Memory: quota.Unlimited, Accelerators: quota.Unlimited}
-	c.machine.View(func(s *state.State) {
+	c.stateMachine.View(func(s *state.State) {
 		if s.Quota().Version() > 0 {
 			limit = s.Quota().Limit(customer)
 		}
@@ -125,7 +125,7 @@
 	var requests []quota.TransferRequest
 	t.plannerMu.Lock()
 	defer t.plannerMu.Unlock()
-	c.machine.View(func(s *state.State) {
+	c.stateMachine.View(func(s *state.State) {
 		if s.Quota().Version() == 0 {
 			return
 		}
@@ -185,7 +185,7 @@
 	}
 	t.wakeUp()
 	var acknowledgement quota.TransferRequest
-	c.machine.View(func(s *state.State) { acknowledgement = s.Quota().Request(request.To) })
+	c.stateMachine.View(func(s *state.State) { acknowledgement = s.Quota().Request(request.To) })
 	// The next request repeats an acknowledgement that was lost.
 	_, _ = c.sendTransferRequest(ctx, acknowledgement)
 }
@@ -237,7 +237,7 @@
 	}
 	var reply quota.Reply
 	t.plannerMu.Lock()
-	p.machine.View(func(s *state.State) { reply = t.planner.Reply(s.Quota(), request, demandOf(s)) })
+	p.stateMachine.View(func(s *state.State) { reply = t.planner.Reply(s.Quota(), request, demandOf(s)) })
 	t.plannerMu.Unlock()
 	message, err := cbor.Marshal(reply)
 	return &apiv1.MoveQuotaResponse{Message: message}, err
@@ -250,7 +250,7 @@
 	if len(request.Demands) > 0 {
 		var debit quota.DebitCommand
 		t.plannerMu.Lock()
-		p.machine.View(func(s *state.State) { debit = t.planner.DebitCommand(request, demandOf(s)) })
+		p.stateMachine.View(func(s *state.State) { debit = t.planner.DebitCommand(request, demandOf(s)) })
 		t.plannerMu.Unlock()
 		command = &state.Quota{Debit: &debit}
 	}
@@ -270,7 +270,7 @@
 		return nil, err
 	}
 	response := &apiv1.QuotasResponse{}
-	c.machine.View(func(s *state.State) {
+	c.stateMachine.View(func(s *state.State) {
 		for name := range s.Customers() {
 			if caller.Role == settings.Customer && caller.Customer != name {
 				continue
--- a/internal/cell/scheduler.go
+++ b/internal/cell/scheduler.go
@@ -25,9 +25,9 @@
 const (
 	maxWatchLongPoll = 20 * time.Second
 	maxListedJobs    = 1000
-	// handoverWait bounds how long a submission waits for the answer to the handover
+	// maxHandoverWait bounds how long a submission waits for the answer to the handover
 	// offer of its job.
-	handoverWait = time.Second
+	maxHandoverWait = time.Second
 )
 
 // Home returns the name of this data centre.
@@ -77,7 +77,7 @@
 // firstResponse returns the committed response to an earlier request with the same id,
 // and whether there is one.
 func (c *Cell) firstResponse(request state.Request) (first state.Result, ok bool) {
-	c.machine.View(func(s *state.State) { first, ok = s.FirstResponse(request) })
+	c.stateMachine.View(func(s *state.State) { first, ok = s.FirstResponse(request) })
 	return first, ok
 }
 
@@ -119,7 +119,7 @@
 // start within proposeTimeout, in which the proposal of the submitted job is decided.
 func (c *Cell) admitAndReserve(t *leaderTerm, customer string, spec state.Spec, now time.Time) (decision placement.AdmissionDecision, release func()) {
 	job := placement.Job{
-		ID: reservationPrefix + strconv.FormatUint(t.reservations.Add(1), 10), Customer: customer, Name: spec.Name,
+		ID: reservationPrefix + strconv.FormatUint(t.reservationCount.Add(1), 10), Customer: customer, Name: spec.Name,
 		Policy: spec.Policy, Tasks: spec.Tasks, Need: spec.Need, Runtime: spec.Runtime, Submitted: now,
 		Urgent: spec.Urgent, Idempotent: spec.Idempotent,
 	}
@@ -145,16 +145,16 @@
 }
 
 // awaitHandover returns the response to a submission from the committed state. For a job
-// that is offered to another data centre it waits up to handoverWait for the answer, so
+// that is offered to another data centre it waits up to maxHandoverWait for the answer, so
 // that most callers get the final outcome at once.
 func (c *Cell) awaitHandover(ctx context.Context, result state.Result) (*apiv1.SubmitResponse, error) {
 	if result.Err != nil {
 		return nil, result.Err
 	}
-	ctx, cancel := context.WithTimeout(ctx, handoverWait)
+	ctx, cancel := context.WithTimeout(ctx, maxHandoverWait)
 	defer cancel()
 	for {
-		changed := c.machine.Changed()
+		changed := c.stateMachine.Changed()
 		j := c.job(result.Job)
 		if j == nil {
 			return nil, fault.New(fault.NotFound, "the record of job %s was removed after its end", result.Job)
@@ -196,7 +196,7 @@
 // job returns a copy of a job, or nil.
 func (c *Cell) job(id string) *state.Job {
 	var found *state.Job
-	c.machine.View(func(s *state.State) {
+	c.stateMachine.View(func(s *state.State) {
 		if j := s.Jobs[id]; j != nil {
 			copied := *j
 			copied.Tasks = slices.Clone(j.Tasks)
@@ -258,7 +258,7 @@
 func (c *Cell) dryRunCancel(cancel *state.Cancel) (*apiv1.CancelResponse, error) {
 	response := &apiv1.CancelResponse{}
 	var err error
-	c.machine.View(func(s *state.State) {
+	c.stateMachine.View(func(s *state.State) {
 		var jobs []*state.Job
 		jobs, err = s.SelectForCancel(cancel)
 		for _, j := range jobs {
@@ -332,7 +332,7 @@
 // listJobs returns the jobs that the caller may see, the newest first.
 func (c *Cell) listJobs(caller rpc.Caller, r *apiv1.StatusRequest) *apiv1.StatusResponse {
 	response := &apiv1.StatusResponse{}
-	c.machine.View(func(s *state.State) {
+	c.stateMachine.View(func(s *state.State) {
 		for _, j := range s.Jobs {
 			if mayView(caller, j) && !j.HandoverDone && (r.IncludeEnded || !j.State.Ended()) {
 				response.Jobs = append(response.Jobs, wire.JobToAPI(j, c.base.Instance.DataCentre, r.WithTasks))
@@ -367,7 +367,7 @@
 	pollCtx, cancel := context.WithTimeout(ctx, hold)
 	defer cancel()
 	for {
-		changed := c.machine.Changed()
+		changed := c.stateMachine.Changed()
 		response, err := c.jobStatus(caller, r.Id, false)
 		if err != nil {
 			return nil, err
--- a/internal/cell/serve.go
+++ b/internal/cell/serve.go
@@ -54,7 +54,7 @@
 	c.Publish(b.Metrics)
 	p.publish()
 	return b.Serve(ctx, daemon.Service{
-		Address: b.Instance.Cell, Admin: b.Instance.CellAdmin, Handler: c.Handler(p.mux.Exchange),
+		Address: b.Instance.Cell, AdminAddress: b.Instance.CellAdmin, Handler: c.Handler(p.mux.Exchange),
 		Ready:         func() bool { return c.log.Status().Leader != "" },
 		Run:           func(ctx context.Context) error { return p.run(ctx, c) },
 		BeginShutdown: func() { p.beginShutdown(c) },
@@ -65,17 +65,17 @@
 // and, on a configuration voter, the configuration log.
 func (p *process) openGroups() (*Cell, error) {
 	s, instance := p.base.Settings, p.base.Instance
-	machine := NewMachine(instance.DataCentre, p.base.Events)
+	machine := NewStateMachine(instance.DataCentre, p.base.Events)
 	home, err := p.open(cellPrefix+instance.DataCentre, cellMembers(s, instance.DataCentre), machine)
 	if err != nil {
 		return nil, err
 	}
 	for _, dataCentre := range instance.WitnessFor {
-		if _, err := p.open(cellPrefix+dataCentre, cellMembers(s, dataCentre), NewMachine(dataCentre, nil)); err != nil {
+		if _, err := p.open(cellPrefix+dataCentre, cellMembers(s, dataCentre), NewStateMachine(dataCentre, nil)); err != nil {
 			return nil, err
 		}
 	}
-	logs := Logs{Home: home, Machine: machine, Groups: map[string]Group{instance.DataCentre: home}}
+	logs := Logs{Home: home, StateMachine: machine, Groups: map[string]Group{instance.DataCentre: home}}
 	if instance.ConfigVoter {
 		logs.Register = conf.NewRegister()
 		voters, err := p.open(configGroup, members(s.ConfigVoters(), ""), logs.Register)
--- a/internal/cell/stats.go
+++ b/internal/cell/stats.go
@@ -59,12 +59,12 @@
 	metrics.Set("cache_rebuilds", &c.stats.Rebuilds)
 	metrics.Set("reports", &c.stats.Reports)
 	metrics.Set("waiting_time", expvar.Func(func() any { return c.stats.Waits.Summary() }))
-	metrics.Set("packing", expvar.Func(func() any { return c.packing() }))
+	metrics.Set("packing", expvar.Func(func() any { return c.cpuUtilization() }))
 	metrics.Set("log", expvar.Func(func() any { return c.log.Status() }))
 }
 
-// packing returns the share of the workers' CPU that running tasks hold, from 0 to 1.
-func (c *Cell) packing() float64 {
+// cpuUtilization returns the share of the workers' CPU that running tasks hold, from 0 to 1.
+func (c *Cell) cpuUtilization() float64 {
 	t := c.leaderTerm.Load()
 	if t == nil {
 		return 0
--- a/internal/cell/unreplicated_log.go
+++ b/internal/cell/unreplicated_log.go
@@ -11,9 +11,9 @@
 // commits immediately, and nothing survives the process. It is the baseline for
 // measurements of the replicated log.
 type UnreplicatedLog struct {
-	mu      sync.Mutex
-	index   uint64
-	machine interface {
+	mu           sync.Mutex
+	index        uint64
+	stateMachine interface {
 		Apply(index uint64, command []byte) any
 	}
 	neverClosed chan struct{}
@@ -23,7 +23,7 @@
 func NewUnreplicatedLog(machine interface {
 	Apply(index uint64, command []byte) any
 }) *UnreplicatedLog {
-	return &UnreplicatedLog{machine: machine, neverClosed: make(chan struct{})}
+	return &UnreplicatedLog{stateMachine: machine, neverClosed: make(chan struct{})}
 }
 
 // Propose applies the command immediately.
@@ -31,7 +31,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.index++
-	return l.machine.Apply(l.index, command), nil
+	return l.stateMachine.Apply(l.index, command), nil
 }
 
 // Barrier returns immediately, since everything proposed is applied.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -149,9 +149,9 @@
 	// Address is where Handler is served.
 	Address string
 	Handler http.Handler
-	// Admin is the address for metrics, health and profiles; if it is empty, they aren't
+	// AdminAddress is the address for metrics, health and profiles; if it is empty, they aren't
 	// served.
-	Admin string
+	AdminAddress string
 	// Ready reports whether the process may serve callers.
 	Ready func() bool
 	// Run does the background work of the process until its context ends.
@@ -222,10 +222,10 @@
 // serveAdmin serves metrics, health and profiles on a separate address, so that
 // callers can't reach them. It returns a function that closes the server.
 func (b *Base) serveAdmin(group *errgroup.Group, s Service) (stop func()) {
-	if s.Admin == "" {
+	if s.AdminAddress == "" {
 		return func() {}
 	}
-	admin := &http.Server{Addr: s.Admin, Handler: b.adminHandler(s.Ready), ReadHeaderTimeout: adminHeaderTimeout}
+	admin := &http.Server{Addr: s.AdminAddress, Handler: b.adminHandler(s.Ready), ReadHeaderTimeout: adminHeaderTimeout}
 	group.Go(func() error { return ignoreClosed(admin.ListenAndServe()) })
 	return func() { _ = admin.Close() }
 }
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -11,7 +11,7 @@
 	e := New(b)
 	e.Publish(b.Metrics)
 	return b.Serve(ctx, daemon.Service{
-		Address: b.Instance.Entry, Admin: b.Instance.EntryAdmin, Handler: e.Handler(),
+		Address: b.Instance.Entry, AdminAddress: b.Instance.EntryAdmin, Handler: e.Handler(),
 		Ready: e.Ready, Run: e.Run, BeginShutdown: e.BeginShutdown, Finish: e.finish,
 	})
 }
--- a/internal/instance/core.go
+++ b/internal/instance/core.go
@@ -57,7 +57,7 @@
 		ID: s.Address, Port: s.InternalPort, Seeds: s.seedHosts(), FirstStart: s.FirstStart,
 		Folder: s.DataFolder, Voters: votersFor(s.ToleratedFailures), Machine: stateMachine, Logger: p.logger,
 	}, c.client, c.mux)
-	controlServer := newServer(s.Control, adapters.NewControlHandler(c.operations, p.logger))
+	controlServer := newServer(s.ControlAddress, adapters.NewControlHandler(c.operations, p.logger))
 	descriptors.LimitServer(controlServer, "control", budget.FromExternal, true, p.metrics)
 
 	workCtx, stopWork := context.WithCancel(context.WithoutCancel(ctx))
@@ -91,15 +91,15 @@
 	detachStop()
 	s := p.settings
 	cfg := control.Config{
-		Address: c.internalAddress, Public: s.Control, Workers: c.deployment, Adviser: c.deployment, Client: c.client,
+		Address: c.internalAddress, Public: s.ControlAddress, Workers: c.deployment, Adviser: c.deployment, Client: c.client,
 		Logger: p.logger, Counters: p.metrics, Leader: logMember.Leader, Members: logMember.Addresses,
 		Bounds: s.controlBounds(), Disabled: s.DisabledMechanisms, Instance: s.Instance, OrdersByHeartbeat: s.WorkerOrders == ordersHeartbeat,
 	}
-	if s.MachineList != "" {
+	if s.MachineListAddress != "" {
 		cfg.Machines = c.deployment
 	}
 	controller := p.newController(cfg, stateMachine, replicatedLog, c)
-	c.operations.setLocal(controller)
+	c.operations.setLocalController(controller)
 	group, ctx := errgroup.WithContext(workCtx)
 	group.Go(func() error { return controller.Run(ctx) })
 	group.Go(func() error { return c.gateway.AnnounceToLeader(ctx) })
@@ -146,7 +146,7 @@
 // stops the servers and ends the background work. The transfer and the wait for requests in
 // flight take half of the shutdown time at most.
 func (p *process) stopCore(logMember *member.Host, controlServer *http.Server, c *components, stopWork func()) {
-	shutdownCtx, cancel := context.WithTimeout(context.Background(), p.settings.Bounds.Shutdown.Std()/2)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), p.settings.Bounds.ShutdownTimeout.Std()/2)
 	defer cancel()
 	logMember.TransferLeadership(shutdownCtx)
 	// Shutdown fails if requests are still in flight at the time limit. The end of
--- a/internal/instance/edge.go
+++ b/internal/instance/edge.go
@@ -47,9 +47,9 @@
 	}
 	c := p.newComponents(adapters.NewDeploymentClient, budget)
 	var stopping atomic.Bool
-	entryServer := newServer(s.Entry, adapters.NewEntryHandler(c.operations, p.logger))
+	entryServer := newServer(s.EntryAddress, adapters.NewEntryHandler(c.operations, p.logger))
 	descriptors.LimitServer(entryServer, "entry", budget.FromExternal, false, p.metrics)
-	readinessServer := newServer(s.Readiness, readinessHandler(adapters.ReadinessPath, func() bool {
+	readinessServer := newServer(s.ReadinessAddress, readinessHandler(adapters.ReadinessPath, func() bool {
 		return !stopping.Load() && c.gateway.InContact()
 	}))
 	descriptors.LimitServer(readinessServer, "readiness", maxAuxiliaryConnections, false, p.metrics)
@@ -78,7 +78,7 @@
 // stopEdge stops accepting requests and waits until the requests in flight have ended. It
 // leaves exitReserve of the shutdown time.
 func (p *process) stopEdge(entryServer *http.Server) {
-	timeout := p.settings.Bounds.Shutdown.Std() - unreadyGrace - exitReserve
+	timeout := p.settings.Bounds.ShutdownTimeout.Std() - unreadyGrace - exitReserve
 	shutdownCtx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	// Shutdown fails if requests are still in flight at the time limit. The end of
--- a/internal/instance/operations.go
+++ b/internal/instance/operations.go
@@ -17,12 +17,12 @@
 // Operations calls the leader: the local controller if this instance leads, otherwise
 // the leader that the gateway knows. It is safe for concurrent use.
 type Operations struct {
-	gateway *gateway.Gateway
-	local   atomic.Pointer[control.Controller]
+	gateway         *gateway.Gateway
+	localController atomic.Pointer[control.Controller]
 }
 
-// setLocal makes calls try the controller of this instance first.
-func (o *Operations) setLocal(c *control.Controller) { o.local.Store(c) }
+// setLocalController makes calls try the controller of this instance first.
+func (o *Operations) setLocalController(c *control.Controller) { o.localController.Store(c) }
 
 // call calls the local controller. If that controller doesn't lead, it rejects the call
 // immediately, and the gateway forwards the call to the leader.
@@ -61,7 +61,7 @@
 // go to another instance.
 func tryLocal[Request, Reply any](ctx context.Context, o *Operations, request *Request,
 	callLocal func(*control.Controller, context.Context, *Request) (Reply, error)) (Reply, error) {
-	c := o.local.Load()
+	c := o.localController.Load()
 	if c == nil {
 		var zero Reply
 		return zero, link.ErrNotLeader
@@ -94,7 +94,7 @@
 
 // endedPhase returns the phase of a job if it is known to have ended.
 func (o *Operations) endedPhase(ctx context.Context, receivedAt time.Time, address control.JobAddress) (workflow.Phase, bool) {
-	c := o.local.Load()
+	c := o.localController.Load()
 	if c == nil {
 		return o.gateway.EndedJobPhase(ctx, receivedAt, address)
 	}
@@ -113,7 +113,7 @@
 // Announce forwards a worker's heartbeat to the leader. The local controller itself
 // acknowledges a heartbeat that reports nothing new.
 func (o *Operations) Announce(ctx context.Context, r *control.Announcement) (control.AnnouncementReply, error) {
-	if c := o.local.Load(); c != nil {
+	if c := o.localController.Load(); c != nil {
 		if reply, ok := c.AcknowledgeHeartbeat(r); ok {
 			return reply, nil
 		}
--- a/internal/instance/process.go
+++ b/internal/instance/process.go
@@ -54,11 +54,11 @@
 
 // process holds the settings, the log and the metrics of a running daemon.
 type process struct {
-	settings *Settings
-	path     string
-	sink     *oplog.Sink
-	logger   log.Logger
-	metrics  *oplog.Metrics
+	settings     *Settings
+	settingsPath string
+	sink         *oplog.Sink
+	logger       log.Logger
+	metrics      *oplog.Metrics
 }
 
 // Daemon is one of the two daemons, core or edge; see NewCore and NewEdge.
@@ -104,7 +104,7 @@
 	}
 	sink := oplog.NewSink(out)
 	defer sink.Close()
-	p := &process{settings: settings, path: path, sink: sink, metrics: oplog.NewMetrics()}
+	p := &process{settings: settings, settingsPath: path, sink: sink, metrics: oplog.NewMetrics()}
 	p.logger = oplog.NewLogger(sink, settings.Instance)
 	_ = p.logger.Log("event", "start", "role", d.role, "address", settings.Address, "data_centre", settings.DataCentre,
 		"seeds", len(settings.Seeds), "first_start", settings.FirstStart)
@@ -153,18 +153,18 @@
 
 // serveAPI serves the product API if the settings name an address.
 func (p *process) serveAPI(group *errgroup.Group, c *components) {
-	c.api = newInternalServer(p.settings.API, nil)
-	descriptors.LimitServer(c.api, "api", maxAuxiliaryConnections, false, p.metrics)
-	if p.settings.API == "" {
+	c.apiServer = newInternalServer(p.settings.APIAddress, nil)
+	descriptors.LimitServer(c.apiServer, "api", maxAuxiliaryConnections, false, p.metrics)
+	if p.settings.APIAddress == "" {
 		return
 	}
-	token, err := settings.ReadToken(p.settings.APIToken)
+	token, err := settings.ReadToken(p.settings.APITokenFile)
 	if err != nil {
 		group.Go(func() error { return err })
 		return
 	}
-	c.api.Handler = apiserver.New(c.operations, token, p.logger)
-	serve(group, c.api)
+	c.apiServer.Handler = apiserver.New(c.operations, token, p.logger)
+	serve(group, c.apiServer)
 }
 
 // components are the clients and servers that both daemons have.
@@ -176,18 +176,18 @@
 	deployment      DeploymentClient
 	gateway         *gateway.Gateway
 	operations      *Operations
-	internal        *http.Server
-	metrics         *http.Server
-	api             *http.Server
+	internalServer  *http.Server
+	metricsServer   *http.Server
+	apiServer       *http.Server
 }
 
 // newComponents returns the components of this process. Every instance, including those
 // that don't lead, queries the adviser on behalf of the leader.
 func (p *process) newComponents(newDeploymentClient func(DeploymentAddresses) DeploymentClient, budget descriptors.Budget) *components {
 	s := p.settings
-	addresses := DeploymentAddresses{Adviser: s.Adviser, Machines: s.MachineList, MaxConnections: budget.ToExternal}
+	addresses := DeploymentAddresses{Adviser: s.AdviserAddress, Machines: s.MachineListAddress, MaxConnections: budget.ToExternal}
 	c := &components{
-		internalAddress: s.internal(s.Address), client: link.NewClient(budget.ToInstances), mux: link.NewMux(),
+		internalAddress: s.internalAddress(s.Address), client: link.NewClient(budget.ToInstances), mux: link.NewMux(),
 		deployment: newDeploymentClient(addresses),
 	}
 	link.Handle(c.mux, control.MethodQueryAdviser, func(ctx context.Context, call *control.AdviserQuery) (control.AdviserReply, error) {
@@ -195,16 +195,16 @@
 	})
 	c.gateway = gateway.New(c.client, c.internalAddress, s.seedAddresses(), p.logger)
 	c.operations = &Operations{gateway: c.gateway}
-	c.internal = newInternalServer(c.internalAddress, c.mux)
-	descriptors.LimitServer(c.internal, "internal", budget.FromInstances, true, p.metrics)
+	c.internalServer = newInternalServer(c.internalAddress, c.mux)
+	descriptors.LimitServer(c.internalServer, "internal", budget.FromInstances, true, p.metrics)
 	return c
 }
 
 // serveComponents serves other instances, the metrics and the product API, and applies
 // changed settings.
 func (p *process) serveComponents(ctx context.Context, group *errgroup.Group, c *components) {
-	serve(group, c.internal)
-	c.metrics = p.serveMetrics(group)
+	serve(group, c.internalServer)
+	c.metricsServer = p.serveMetrics(group)
 	p.serveAPI(group, c)
 	group.Go(func() error {
 		return p.watchSettings(ctx, func(next *Settings) { c.gateway.SetSeeds(next.seedAddresses()) })
@@ -213,9 +213,9 @@
 
 // close ends the servers of serveComponents.
 func (c *components) close() {
-	_ = c.internal.Close()
-	_ = c.metrics.Close()
-	_ = c.api.Close()
+	_ = c.internalServer.Close()
+	_ = c.metricsServer.Close()
+	_ = c.apiServer.Close()
 }
 
 // awaitStop waits until the process is asked to stop (ctx ends) or a part of the process
@@ -234,7 +234,7 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	lastContent, err := os.ReadFile(p.path)
+	lastContent, err := os.ReadFile(p.settingsPath)
 	if err != nil {
 		_ = p.logger.Log("event", "reload", "outcome", "unreadable", "err", err)
 	}
@@ -248,7 +248,7 @@
 		case <-ticker.C:
 		}
 		p.logDropped()
-		data, err := os.ReadFile(p.path)
+		data, err := os.ReadFile(p.settingsPath)
 		if err != nil || string(data) == string(lastContent) {
 			continue
 		}
--- a/internal/instance/settings.go
+++ b/internal/instance/settings.go
@@ -33,15 +33,16 @@
 	// MetricsAddress is where counters and histograms are served; if it is empty, they
 	// aren't served.
 	MetricsAddress string `toml:"metrics_address"`
-	// Entry is the address for callers and Readiness that of the readiness check, both of
-	// an edge instance. Control is the control address of a core instance.
-	Entry     string `toml:"entry"`
-	Readiness string `toml:"readiness"`
-	Control   string `toml:"control"`
-	// API is the address of the product API; if it is empty, the product API isn't served.
+	// EntryAddress is the address for callers and ReadinessAddress that of the readiness
+	// check, both of an edge instance. ControlAddress is the control address of a core
+	// instance.
+	EntryAddress     string `toml:"entry"`
+	ReadinessAddress string `toml:"readiness"`
+	ControlAddress   string `toml:"control"`
+	// APIAddress is the address of the product API; if it is empty, it isn't served.
 	// APIToken is the file with the token that its callers must present.
-	API      string `toml:"api"`
-	APIToken string `toml:"api_token"`
+	APIAddress   string `toml:"api"`
+	APITokenFile string `toml:"api_token"`
 	// Seeds are the control addresses of core instances.
 	Seeds []string `toml:"seeds"`
 	// MemoryMB is the memory in MB that the machine allows the process; 0 for no limit.
@@ -53,15 +54,15 @@
 	FirstStart bool `toml:"first_start"`
 	// DataFolder is the folder for the log on the machine's disk.
 	DataFolder string `toml:"data_folder"`
-	// Adviser is the address of the adviser, which responds to queries for permits; empty
-	// if there is no adviser.
-	Adviser string `toml:"adviser"`
+	// AdviserAddress is the address of the adviser, which responds to queries for permits;
+	// empty if there is no adviser.
+	AdviserAddress string `toml:"adviser"`
 	// WorkerOrders is how workers get their orders: "push" for calls to the workers,
 	// "heartbeat" for orders in the responses to heartbeats. Empty means "push".
 	WorkerOrders string `toml:"worker_orders"`
-	// MachineList is the address of the deployment's list of machines; empty if there is
-	// no such list.
-	MachineList string `toml:"machine_list"`
+	// MachineListAddress is the address of the deployment's list of machines; empty if there
+	// is no such list.
+	MachineListAddress string `toml:"machine_list"`
 	// ToleratedFailures is how many core instances may fail at the same time.
 	ToleratedFailures int    `toml:"instances_lost"`
 	Bounds            Bounds `toml:"bounds"`
@@ -81,15 +82,15 @@
 	MachineHandoverDelay settings.Duration `toml:"holder_pause"`
 	// MaintenanceDuration is how long a machine is down for its maintenance.
 	MaintenanceDuration settings.Duration `toml:"maintenance"`
-	// Shutdown is how long a process may take to shut down.
-	Shutdown settings.Duration `toml:"shutdown"`
+	// ShutdownTimeout is how long a process may take to shut down.
+	ShutdownTimeout settings.Duration `toml:"shutdown"`
 }
 
 // defaultBounds are used for the bounds that the settings file leaves out.
 var defaultBounds = Bounds{
 	MaxLease:             settings.Duration(6 * time.Second),
 	EndedJobRetention:    settings.Duration(120 * time.Second),
-	Shutdown:             settings.Duration(6 * time.Second),
+	ShutdownTimeout:      settings.Duration(6 * time.Second),
 	MachineHandoverDelay: settings.Duration(3 * time.Second),
 	MaintenanceDuration:  settings.Duration(2 * time.Second),
 }
@@ -137,12 +138,12 @@
 	if s.WorkerOrders != "" && s.WorkerOrders != ordersPush && s.WorkerOrders != ordersHeartbeat {
 		return fault.Field("worker_orders", "%q is neither %q nor %q", s.WorkerOrders, ordersPush, ordersHeartbeat)
 	}
-	if s.API != "" && s.APIToken == "" {
+	if s.APIAddress != "" && s.APITokenFile == "" {
 		return fault.Field("api_token", "missing: want the file with the token that callers of the API present")
 	}
 	for name, address := range map[string]string{
-		"entry": s.Entry, "readiness": s.Readiness, "control": s.Control, "adviser": s.Adviser,
-		"machine_list": s.MachineList, "api": s.API,
+		"entry": s.EntryAddress, "readiness": s.ReadinessAddress, "control": s.ControlAddress, "adviser": s.AdviserAddress,
+		"machine_list": s.MachineListAddress, "api": s.APIAddress,
 	} {
 		if err := checkAddress(name, address); err != nil {
 			return err
@@ -185,14 +186,14 @@
 	return hosts
 }
 
-// internal returns the internal address of the instance on a host.
-func (s *Settings) internal(host string) string { return net.JoinHostPort(host, s.InternalPort) }
+// internalAddress returns the internal address of the instance on a host.
+func (s *Settings) internalAddress(host string) string { return net.JoinHostPort(host, s.InternalPort) }
 
 // seedAddresses returns the internal addresses of the seeds.
 func (s *Settings) seedAddresses() []string {
 	var addresses []string
 	for _, host := range s.seedHosts() {
-		addresses = append(addresses, s.internal(host))
+		addresses = append(addresses, s.internalAddress(host))
 	}
 	return addresses
 }
--- a/internal/proxy/cluster_test.go
+++ b/internal/proxy/cluster_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// refusedCalls is how many calls TestRetryAfterOfRefusedCallersIsSpread makes while all
+// refusedCalls is how many calls TestRetryAfterOfRefusedCallersVaries makes while all
 // slots are occupied. The calls must get more than distinctRetryAftersBound different
 // retry times.
 const (
@@ -50,7 +50,7 @@
 
 // Guards against synchronized retries: rejected callers that all get the same
 // retry time come back together and are rejected again.
-func TestRetryAfterOfRefusedCallersIsSpread(t *testing.T) {
+func TestRetryAfterOfRefusedCallersVaries(t *testing.T) {
 	cluster := startTestCluster(t, func(cfg *Config) {
 		cfg.Balancer = routing.NewBalancer(routing.Options{Entry: "e1", Incarnation: 1, SlowStart: time.Nanosecond})
 	})
--- a/internal/proxy/header.go
+++ b/internal/proxy/header.go
@@ -24,9 +24,9 @@
 	HeaderRetryAfterMs = "Bilberry-Retry-After-Ms"
 )
 
-// firstUnixMs is the smallest value of HeaderDeadline, in milliseconds, that is taken as
+// minUnixDeadlineMs is the smallest value of HeaderDeadline, in milliseconds, that is taken as
 // a Unix time and not as the remaining time.
-const firstUnixMs = 1_000_000_000_000
+const minUnixDeadlineMs = 1_000_000_000_000
 
 // hopHeaders are the hop-by-hop headers: they apply to one connection and are
 // never forwarded.
@@ -54,7 +54,7 @@
 	if err != nil || ms < 0 {
 		return 0, fault.Field(HeaderDeadline, "want milliseconds, got %q", text)
 	}
-	if ms >= firstUnixMs {
+	if ms >= minUnixDeadlineMs {
 		return time.UnixMilli(ms).Sub(wallNow), nil
 	}
 	return time.Duration(ms) * time.Millisecond, nil
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -63,13 +63,13 @@
 
 // testCluster is one data centre with a slot allocator, one entry instance and minions.
 type testCluster struct {
-	slots      *SlotAllocator
-	handler    *Handler
-	server     *httptest.Server
-	stop       context.CancelFunc
-	background sync.WaitGroup
-	minions    int
-	ctx        context.Context
+	slots       *SlotAllocator
+	handler     *Handler
+	server      *httptest.Server
+	stop        context.CancelFunc
+	background  sync.WaitGroup
+	minionCount int
+	ctx         context.Context
 }
 
 // startTestCluster starts a cluster without minions. configure, if not nil, changes the
@@ -106,9 +106,9 @@
 // announce adds a minion, waits until its slots are granted, and renews its
 // announcement until the cluster stops.
 func (c *testCluster) announce(m *fakeMinion) {
-	c.minions++
+	c.minionCount++
 	a := &apiv1.AnnounceRequest{
-		Minion:         fmt.Sprintf("m%d", c.minions),
+		Minion:         fmt.Sprintf("m%d", c.minionCount),
 		Service:        testService,
 		Address:        m.address,
 		Slots:          testSlots,
@@ -116,7 +116,7 @@
 		Incarnation:    1,
 	}
 	c.handler.Announce(a)
-	for c.handler.Stats().GrantedSlots < c.minions*testSlots {
+	for c.handler.Stats().GrantedSlots < c.minionCount*testSlots {
 		time.Sleep(pollInterval)
 	}
 	c.background.Go(func() {
