--- a/internal/cli/app.go
+++ b/internal/cli/app.go
@@ -30,9 +30,9 @@
 	// Now returns the wall clock time, from which relative deadlines and time spans
 	// count.
 	Now func() time.Time
-	// Terminal is true when Stdout is a terminal. It enables colours and progress
+	// IsTerminal is true when Stdout is a terminal. It enables colours and progress
 	// that is updated in place.
-	Terminal bool
+	IsTerminal bool
 	// Extra holds commands of other packages.
 	Extra []subcommands.Command
 }
@@ -40,12 +40,12 @@
 // New returns an App that uses the process's standard streams and environment.
 func New() *App {
 	return &App{
-		Stdin:    os.Stdin,
-		Stdout:   os.Stdout,
-		Stderr:   os.Stderr,
-		Getenv:   os.Getenv,
-		Now:      time.Now,
-		Terminal: isTerminal(os.Stdout),
+		Stdin:      os.Stdin,
+		Stdout:     os.Stdout,
+		Stderr:     os.Stderr,
+		Getenv:     os.Getenv,
+		Now:        time.Now,
+		IsTerminal: isTerminal(os.Stdout),
 	}
 }
 
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -27,14 +27,14 @@
 type fakeEntry struct {
 	apiv1.Scheduler
 	apiv1.Operations
-	submit  func(*apiv1.SubmitRequest) (*apiv1.SubmitResponse, error)
-	cancel  func(*apiv1.CancelRequest) (*apiv1.CancelResponse, error)
-	watch   func(*apiv1.WatchRequest) (*apiv1.StatusResponse, error)
-	status  func(*apiv1.StatusRequest) (*apiv1.StatusResponse, error)
-	set     func(*apiv1.SetConfigRequest) (*apiv1.Config, error)
-	config  *apiv1.Config
-	events  *apiv1.EventsResponse
-	address string
+	submit    func(*apiv1.SubmitRequest) (*apiv1.SubmitResponse, error)
+	cancel    func(*apiv1.CancelRequest) (*apiv1.CancelResponse, error)
+	watch     func(*apiv1.WatchRequest) (*apiv1.StatusResponse, error)
+	status    func(*apiv1.StatusRequest) (*apiv1.StatusResponse, error)
+	setConfig func(*apiv1.SetConfigRequest) (*apiv1.Config, error)
+	config    *apiv1.Config
+	events    *apiv1.EventsResponse
+	address   string
 
 	mu    sync.Mutex
 	calls int
@@ -62,7 +62,7 @@
 	return response, fault.ToTwirp(err)
 }
 func (f *fakeEntry) SetConfig(_ context.Context, request *apiv1.SetConfigRequest) (*apiv1.Config, error) {
-	response, err := f.set(request)
+	response, err := f.setConfig(request)
 	return response, fault.ToTwirp(err)
 }
 func (f *fakeEntry) GetConfig(context.Context, *apiv1.GetConfigRequest) (*apiv1.Config, error) {
@@ -100,16 +100,16 @@
 
 // result is the exit code and output of one command line.
 type result struct {
-	code     int
-	out, err string
+	exitCode       int
+	stdout, stderr string
 }
 
 // runner runs command lines against entry instances. It keeps the token and other files in a
 // temporary folder.
 type runner struct {
-	folder   string
-	terminal bool
-	entries  []string
+	folder     string
+	isTerminal bool
+	entries    []string
 }
 
 func newRunner(t *testing.T, fakes ...*fakeEntry) *runner {
@@ -136,7 +136,7 @@
 		envTokenFile: filepath.Join(r.folder, "token"),
 	}
 	app := &App{
-		Stdin: strings.NewReader(""), Stdout: &out, Stderr: &errs, Terminal: r.terminal, Now: time.Now,
+		Stdin: strings.NewReader(""), Stdout: &out, Stderr: &errs, IsTerminal: r.isTerminal, Now: time.Now,
 		Getenv: func(name string) string { return environment[name] },
 	}
 	code := app.Run(context.Background(), args)
@@ -160,8 +160,8 @@
 	}}).start(t)
 	r := newRunner(t, crashing, next)
 	got := r.run("submit", r.write(t, "job.toml", validJob))
-	must.Eq(t, 0, got.code)
-	must.Eq(t, "dc-1 a in dc: queued\n", got.out)
+	must.Eq(t, 0, got.exitCode)
+	must.Eq(t, "dc-1 a in dc: queued\n", got.stdout)
 	must.Len(t, 2, sent)
 	must.Eq(t, sent[0].GetRequestId(), sent[1].GetRequestId())
 	must.Eq(t, sent[0].GetSpec().GetDeadlineUnixMs(), sent[1].GetSpec().GetDeadlineUnixMs())
@@ -180,40 +180,40 @@
 	}}).start(t)
 	r := newRunner(t, crashing)
 	got := r.run("submit", r.write(t, "job.toml", validJob))
-	must.Eq(t, fault.Unavailable.ExitCode(), got.code)
-	must.StrContains(t, got.err, "--home hall --request-id "+id+" --deadline 2")
-	must.StrNotContains(t, got.err, "secret")
-	must.Eq(t, "", got.out)
+	must.Eq(t, fault.Unavailable.ExitCode(), got.exitCode)
+	must.StrContains(t, got.stderr, "--home hall --request-id "+id+" --deadline 2")
+	must.StrNotContains(t, got.stderr, "secret")
+	must.Eq(t, "", got.stdout)
 }
 
 // An entry instance crashes during "config set". The message must say that the call may
 // have been carried out and how to send the same request again.
 func TestUnknownOutcomeOfConfigSetExplainsResend(t *testing.T) {
 	var id string
-	f := (&fakeEntry{set: func(request *apiv1.SetConfigRequest) (*apiv1.Config, error) {
+	f := (&fakeEntry{setConfig: func(request *apiv1.SetConfigRequest) (*apiv1.Config, error) {
 		id = request.GetRequestId()
 		panic(http.ErrAbortHandler)
 	}}).start(t)
 	r := newRunner(t, f)
 	got := r.run("config", "set", r.write(t, "c.toml", "# version 1\n"))
-	must.Eq(t, fault.Unavailable.ExitCode(), got.code)
-	must.StrContains(t, got.err, "may have been carried out; send it again with --request-id "+id)
+	must.Eq(t, fault.Unavailable.ExitCode(), got.exitCode)
+	must.StrContains(t, got.stderr, "may have been carried out; send it again with --request-id "+id)
 }
 
 // An entry instance refuses a call. The command must report the refusal with its
 // retry time and not try the next instance.
-func TestRefusalIsNotRetriedElsewhere(t *testing.T) {
+func TestRefusalIsNotRetriedAtOtherInstance(t *testing.T) {
 	refusing := (&fakeEntry{status: func(*apiv1.StatusRequest) (*apiv1.StatusResponse, error) {
 		return nil, fault.Retry(fault.Denied, 1500*time.Millisecond, "no\nsuch \x1b[2Jtoken")
 	}}).start(t)
 	second := (&fakeEntry{}).start(t)
 	got := newRunner(t, refusing, second).run("status")
-	must.Eq(t, fault.Denied.ExitCode(), got.code)
+	must.Eq(t, fault.Denied.ExitCode(), got.exitCode)
 	must.Eq(t, 0, second.calls)
-	must.StrHasPrefix(t, "bilberry: Denied: no such \uFFFD[2Jtoken (again in 1.5s)\n  next: ", got.err)
+	must.StrHasPrefix(t, "bilberry: Denied: no such \uFFFD[2Jtoken (again in 1.5s)\n  next: ", got.stderr)
 	got = newRunner(t, refusing).run("--json", "status")
 	var shown map[string]errorOutput
-	must.NoError(t, json.Unmarshal([]byte(got.err), &shown))
+	must.NoError(t, json.Unmarshal([]byte(got.stderr), &shown))
 	must.Eq(t, "Denied", shown["error"].Kind)
 	must.Eq(t, int64(1500), shown["error"].RetryAfterMs)
 }
@@ -253,13 +253,13 @@
 	}
 	for _, args := range lines {
 		got := r.run(args...)
-		must.Eq(t, fault.Invalid.ExitCode(), got.code, must.Sprintf("%q: %s", args, got.err))
-		must.Eq(t, "", got.out)
-		cause, next, _ := strings.Cut(got.err, "\n")
+		must.Eq(t, fault.Invalid.ExitCode(), got.exitCode, must.Sprintf("%q: %s", args, got.stderr))
+		must.Eq(t, "", got.stdout)
+		cause, next, _ := strings.Cut(got.stderr, "\n")
 		must.StrHasPrefix(t, "bilberry: Invalid: ", cause)
 		must.Less(t, maxErrorLineBytes, len(cause))
-		must.StrHasPrefix(t, "  next: ", next, must.Sprintf("%q: %s", args, got.err))
-		must.Eq(t, 2, strings.Count(got.err, "\n"))
+		must.StrHasPrefix(t, "  next: ", next, must.Sprintf("%q: %s", args, got.stderr))
+		must.Eq(t, 2, strings.Count(got.stderr, "\n"))
 	}
 	must.Eq(t, 0, f.calls)
 }
@@ -271,11 +271,11 @@
 	for _, c := range builtinCommands() {
 		for _, args := range [][]string{{c.name, "--help"}, {"help", c.name}, {c.name, "x", "-h"}} {
 			got := r.run(args...)
-			must.Eq(t, 0, got.code)
-			_, example, _ := strings.Cut(got.out, "\nExample:\n")
+			must.Eq(t, 0, got.exitCode)
+			_, example, _ := strings.Cut(got.stdout, "\nExample:\n")
 			must.StrContains(t, example, "bilberry "+c.name)
 		}
-		must.StrContains(t, r.run("completion", "bash").out, "    "+c.name+") words=\"--help")
+		must.StrContains(t, r.run("completion", "bash").stdout, "    "+c.name+") words=\"--help")
 	}
 }
 
@@ -308,12 +308,12 @@
 				return watchResponse(2, end.state, end.kind), nil
 			}}).start(t)
 			got := newRunner(t, f).run("watch", "dc-1")
-			must.Eq(t, end.code, got.code)
-			must.StrContains(t, got.out, "dc-1  running  3 queued, 0 running, 1 ended\n")
-			must.StrNotContains(t, got.out, "\x1b")
+			must.Eq(t, end.code, got.exitCode)
+			must.StrContains(t, got.stdout, "dc-1  running  3 queued, 0 running, 1 ended\n")
+			must.StrNotContains(t, got.stdout, "\x1b")
 			terminal := newRunner(t, f)
-			terminal.terminal = true
-			must.StrContains(t, terminal.run("watch", "dc-1").out, "\x1b[32mrunning\x1b[0m  [#####...............]")
+			terminal.isTerminal = true
+			must.StrContains(t, terminal.run("watch", "dc-1").stdout, "\x1b[32mrunning\x1b[0m  [#####...............]")
 		})
 	}
 }
@@ -325,12 +325,12 @@
 		return &apiv1.StatusResponse{Jobs: []*apiv1.Job{{Id: "a", Spec: &apiv1.Spec{Name: "\x1b[2Jx\ny"}}}, UnreachableDataCentres: []string{"dc2"}}, nil
 	}}).start(t)
 	r := newRunner(t, f)
-	r.terminal = true
+	r.isTerminal = true
 	got := r.run("status", "--no-colour", "--tasks")
-	must.Eq(t, 0, got.code)
-	must.StrNotContains(t, got.out, "\x1b")
-	must.StrContains(t, got.err, "dc2")
-	must.True(t, json.Valid([]byte(r.run("status", "--json").out)))
+	must.Eq(t, 0, got.exitCode)
+	must.StrNotContains(t, got.stdout, "\x1b")
+	must.StrContains(t, got.stderr, "dc2")
+	must.True(t, json.Valid([]byte(r.run("status", "--json").stdout)))
 }
 
 // A data centre is unreachable during "cancel". The exit code must show that its jobs
@@ -340,9 +340,9 @@
 		return &apiv1.CancelResponse{Ids: []string{"a"}, UnreachableDataCentres: []string{"dc2"}}, nil
 	}}).start(t)
 	got := newRunner(t, f).run("cancel", "--all", "--dry-run")
-	must.Eq(t, fault.Unavailable.ExitCode(), got.code)
-	must.Eq(t, "a\n1 job would be cancelled\n", got.out)
-	must.StrContains(t, got.err, "dc2")
+	must.Eq(t, fault.Unavailable.ExitCode(), got.exitCode)
+	must.Eq(t, "a\n1 job would be cancelled\n", got.stdout)
+	must.StrContains(t, got.stderr, "dc2")
 }
 
 // Two operators read version 7 and write. The output of "get" contains the version,
@@ -350,7 +350,7 @@
 func TestConfigSetRejectsStaleVersion(t *testing.T) {
 	version := uint64(7)
 	f := (&fakeEntry{config: &apiv1.Config{Version: 7, Document: "# version 3, old\n[[customer]]\nname = \"a\"", Author: "op\nx"}}).start(t)
-	f.set = func(request *apiv1.SetConfigRequest) (*apiv1.Config, error) {
+	f.setConfig = func(request *apiv1.SetConfigRequest) (*apiv1.Config, error) {
 		if request.GetExpectedVersion() != version {
 			return nil, fault.New(fault.Conflict, "the current version is %d", version)
 		}
@@ -359,11 +359,11 @@
 		return &apiv1.Config{Version: version}, nil
 	}
 	r := newRunner(t, f)
-	file := r.write(t, "c.toml", r.run("config", "get").out)
-	must.Eq(t, "version 8 is accepted\n", r.run("config", "set", file).out)
+	file := r.write(t, "c.toml", r.run("config", "get").stdout)
+	must.Eq(t, "version 8 is accepted\n", r.run("config", "set", file).stdout)
 	got := r.run("config", "set", file)
-	must.Eq(t, fault.Conflict.ExitCode(), got.code)
-	must.StrContains(t, got.err, "the current version is 8")
+	must.Eq(t, fault.Conflict.ExitCode(), got.exitCode)
+	must.StrContains(t, got.stderr, "the current version is 8")
 }
 
 // Instances return events out of order and the same event twice, and one instance is
@@ -377,18 +377,18 @@
 	}}).start(t)
 	r := newRunner(t, f)
 	got := r.run("timeline", "--job", "x")
-	must.Eq(t, 0, got.code)
-	must.RegexMatch(t, regexp.MustCompile(`(?s)^1970[^\n]*first\n1970[^\n]*second\n$`), got.out)
-	must.StrContains(t, got.err, "instances not reached, missing from the response: c")
+	must.Eq(t, 0, got.exitCode)
+	must.RegexMatch(t, regexp.MustCompile(`(?s)^1970[^\n]*first\n1970[^\n]*second\n$`), got.stdout)
+	must.StrContains(t, got.stderr, "instances not reached, missing from the response: c")
 	page := filepath.Join(r.folder, "line.html")
-	must.Eq(t, 0, r.run("timeline", "--html", page).code)
+	must.Eq(t, 0, r.run("timeline", "--html", page).exitCode)
 	content, err := os.ReadFile(page)
 	must.NoError(t, err)
 	must.StrContains(t, string(content), "</html>")
-	must.Eq(t, fault.Invalid.ExitCode(), r.run("timeline", "--html", r.folder).code)
+	must.Eq(t, fault.Invalid.ExitCode(), r.run("timeline", "--html", r.folder).exitCode)
 	pipe := filepath.Join(r.folder, "pipe") // represents a device such as /dev/null
 	must.NoError(t, syscall.Mkfifo(pipe, 0o600))
-	must.Eq(t, fault.Invalid.ExitCode(), r.run("timeline", "--html", pipe).code)
+	must.Eq(t, fault.Invalid.ExitCode(), r.run("timeline", "--html", pipe).exitCode)
 	leftovers, err := filepath.Glob(filepath.Join(r.folder, ".bilberry-*"))
 	must.NoError(t, err)
 	must.SliceEmpty(t, leftovers)
--- a/internal/cli/completion.go
+++ b/internal/cli/completion.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// actionsOf maps commands to the action words that may follow them.
-var actionsOf = map[string][]string{"config": configActions, "workflow": workflowActions, "wave": waveActions}
+// actionsByCommand maps commands to the action words that may follow them.
+var actionsByCommand = map[string][]string{"config": configActions, "workflow": workflowActions, "wave": waveActions}
 
 // writeBashCompletion writes a script that completes commands, flags, action words and
 // file names.
@@ -40,7 +40,7 @@
 		f := flag.NewFlagSet(c.Name(), flag.ContinueOnError)
 		newSession(s.app).bindFlags(c, f)
 		words := flagNames(f)
-		if actions := actionsOf[c.Name()]; actions != nil {
+		if actions := actionsByCommand[c.Name()]; actions != nil {
 			words += " " + strings.Join(actions, " ")
 		}
 		fmt.Fprintf(&cases, "    %s) words=\"%s\" ;;\n", c.Name(), words)
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -19,16 +19,16 @@
 
 // configFlags are the flags of "bilberry config".
 type configFlags struct {
-	expect int64
-	limit  int
-	id     string
+	expectedVersion int64
+	limit           int
+	requestID       string
 }
 
 // versionUnset is the value of --expect when the flag isn't given.
 const versionUnset = -1
 
 func configCommand() *command {
-	flags := configFlags{expect: versionUnset}
+	flags := configFlags{expectedVersion: versionUnset}
 	return &command{
 		name:     "config",
 		synopsis: "Read, write and follow the shared configuration",
@@ -39,9 +39,9 @@
 			"the version that each instance applies.",
 		example: "bilberry config get > quotas.toml\nbilberry config set quotas.toml",
 		flags: func(f *flag.FlagSet) {
-			f.Int64Var(&flags.expect, "expect", versionUnset, "set: the `version` that was read")
+			f.Int64Var(&flags.expectedVersion, "expect", versionUnset, "set: the `version` that was read")
 			f.IntVar(&flags.limit, "limit", 20, "history: show at most this `number` of versions")
-			requestIDFlag(f, &flags.id)
+			requestIDFlag(f, &flags.requestID)
 		},
 		run: func(ctx context.Context, s *session, args []string) error {
 			if len(args) == 0 {
@@ -57,7 +57,7 @@
 	if action == "set" {
 		return s.configSet(ctx, flags, args)
 	}
-	if flags.expect != versionUnset || flags.id != "" {
+	if flags.expectedVersion != versionUnset || flags.requestID != "" {
 		return fault.New(fault.Invalid, "--expect and --request-id belong to \"config set\"")
 	}
 	actions := map[string]func(context.Context, *client, *configFlags) error{
@@ -132,7 +132,7 @@
 	if err != nil {
 		return err
 	}
-	id, err := requestID(flags.id)
+	id, err := requestID(flags.requestID)
 	if err != nil {
 		return err
 	}
@@ -160,22 +160,22 @@
 // both are missing or when they differ.
 func expectedVersion(flags *configFlags, document string) (uint64, error) {
 	match := versionLine.FindStringSubmatch(document)
-	if flags.expect < versionUnset {
+	if flags.expectedVersion < versionUnset {
 		return 0, fault.Field("--expect", "is negative")
 	}
-	if match == nil && flags.expect == versionUnset {
+	if match == nil && flags.expectedVersion == versionUnset {
 		return 0, withHint(fault.Field("--expect", "is missing, and the file doesn't begin with \"# version N\""),
 			"see the current version with \"bilberry config get\"")
 	}
 	if match == nil {
-		return uint64(flags.expect), nil
+		return uint64(flags.expectedVersion), nil
 	}
 	version, err := strconv.ParseUint(match[1], 10, 64)
 	if err != nil {
 		return 0, fault.New(fault.Invalid, "the file's version %s is too large", match[1])
 	}
-	if flags.expect != versionUnset && uint64(flags.expect) != version {
-		return 0, fault.Field("--expect", "is %d, but the file says version %d", flags.expect, version)
+	if flags.expectedVersion != versionUnset && uint64(flags.expectedVersion) != version {
+		return 0, fault.Field("--expect", "is %d, but the file says version %d", flags.expectedVersion, version)
 	}
 	return version, nil
 }
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -32,7 +32,7 @@
 // useColours reports whether to print colours: only on a terminal that supports them, and
 // not with --no-colour, --json or a non-empty $NO_COLOR.
 func (s *session) useColours() bool {
-	return s.app.Terminal && !s.globals.noColour && !s.globals.json &&
+	return s.app.IsTerminal && !s.globals.noColour && !s.globals.json &&
 		s.app.Getenv(envNoColour) == "" && s.app.Getenv(envTerminal) != "dumb"
 }
 
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -215,7 +215,7 @@
 	}
 	state := jobStateCell(job.GetState())
 	line := fmt.Sprintf("%s  %s  %s", oneLine(job.GetId()), s.paint(state.colour, state.text), s.progressBar(job))
-	if s.app.Terminal {
+	if s.app.IsTerminal {
 		_, err := fmt.Fprintf(s.app.Stdout, eraseLine+"%s", line)
 		return err
 	}
@@ -225,7 +225,7 @@
 
 // endProgress ends the line that showProgress overwrites on a terminal.
 func (s *session) endProgress() {
-	if s.app.Terminal && !s.globals.json {
+	if s.app.IsTerminal && !s.globals.json {
 		fmt.Fprintln(s.app.Stdout)
 	}
 }
@@ -236,7 +236,7 @@
 // progressBar returns a bar of the ended tasks on a terminal, and the numbers of tasks.
 func (s *session) progressBar(job *apiv1.Job) string {
 	total := job.GetTasksQueued() + job.GetTasksRunning() + job.GetTasksEnded()
-	if !s.app.Terminal || total <= 0 || job.GetTasksEnded() < 0 {
+	if !s.app.IsTerminal || total <= 0 || job.GetTasksEnded() < 0 {
 		return formatProgress(job)
 	}
 	filled := int(int64(job.GetTasksEnded()) * barWidth / int64(total))
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -33,7 +33,7 @@
 		flags: func(f *flag.FlagSet) {
 			f.BoolVar(&wait, "wait", false, "wait until the jobs have ended")
 			f.StringVar(&deadline, "deadline", "", "`when` the work must be done: \"+45s\" or an RFC 3339 time; replaces the deadline in the file")
-			requestIDFlag(f, &earlier.id)
+			requestIDFlag(f, &earlier.requestID)
 			f.StringVar(&earlier.home, "home", "", "`data centre` that handles the request id; use it with --request-id")
 		},
 		run: func(ctx context.Context, s *session, args []string) error {
@@ -41,10 +41,10 @@
 			if err != nil {
 				return err
 			}
-			if earlier.id != "" && len(specs) > 1 {
+			if earlier.requestID != "" && len(specs) > 1 {
 				return fault.Field("--request-id", "is the id of one call; give one file")
 			}
-			if (earlier.id == "") != (earlier.home == "") {
+			if (earlier.requestID == "") != (earlier.home == "") {
 				return fault.Field("--home", "must be given together with --request-id, because only the home data centre knows a request id")
 			}
 			accepted, err := s.submitAll(ctx, specs, earlier)
@@ -57,7 +57,7 @@
 }
 
 // earlierCall identifies an earlier submission whose outcome is unknown.
-type earlierCall struct{ id, home string }
+type earlierCall struct{ requestID, home string }
 
 // readJobs reads and checks all job files, and returns an error if any is invalid. A
 // deadline that isn't empty replaces those in the files.
@@ -140,7 +140,7 @@
 // submitOne submits one job. When the outcome is unknown, the error's hint tells how
 // to send the same request again.
 func submitOne(ctx context.Context, c *client, spec *apiv1.Spec, earlier earlierCall) (*apiv1.SubmitResponse, error) {
-	id, err := requestID(earlier.id)
+	id, err := requestID(earlier.requestID)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/cli/timeline.go
+++ b/internal/cli/timeline.go
@@ -22,10 +22,10 @@
 	job, request, worker string
 	since                time.Duration
 	limit                int
-	html                 string
-	// logs names log files, separated by commas, that are read instead of calling the
+	htmlFile             string
+	// logFiles names log files, separated by commas, that are read instead of calling the
 	// instances.
-	logs string
+	logFiles string
 }
 
 // defaultTimelineLimit is the default of --limit: the largest number of events that each
@@ -46,8 +46,8 @@
 			f.StringVar(&flags.worker, "worker", "", "only events of this worker (`id`)")
 			f.DurationVar(&flags.since, "since", 0, "only events of the last `span`, such as 10m")
 			f.IntVar(&flags.limit, "limit", defaultTimelineLimit, "show the newest events, at most this `number` from each instance")
-			f.StringVar(&flags.logs, "log", "", "read log lines from these `files`, separated by commas, and call no instance")
-			f.StringVar(&flags.html, "html", "", "write one self-contained HTML page to this `file` instead of printing")
+			f.StringVar(&flags.logFiles, "log", "", "read log lines from these `files`, separated by commas, and call no instance")
+			f.StringVar(&flags.htmlFile, "html", "", "write one self-contained HTML page to this `file` instead of printing")
 		},
 		run: func(ctx context.Context, s *session, args []string) error {
 			if err := requireArgs(args); err != nil {
@@ -57,10 +57,10 @@
 			if err != nil {
 				return err
 			}
-			if flags.logs != "" {
-				return s.timelineOfLogs(flags.logs, request, subject, flags.html)
+			if flags.logFiles != "" {
+				return s.timelineOfLogs(flags.logFiles, request, subject, flags.htmlFile)
 			}
-			return s.timeline(ctx, request, subject, flags.html)
+			return s.timeline(ctx, request, subject, flags.htmlFile)
 		},
 	}
 }
--- a/internal/cli/workflow.go
+++ b/internal/cli/workflow.go
@@ -187,20 +187,20 @@
 		fmt.Fprintln(out, "no step waits")
 	}
 	for _, step := range response.GetSteps() {
-		fmt.Fprintln(out, oneLine(fmt.Sprintf("\nstep %d: %d tasks could start; %s", step.GetStep(), step.GetTasks(), orNothing(step.GetReason()))))
+		fmt.Fprintln(out, oneLine(fmt.Sprintf("\nstep %d: %d tasks could start; %s", step.GetStep(), step.GetTasks(), reasonOrNothing(step.GetReason()))))
 		if step.GetPermitted()+step.GetRefused() > 0 {
 			fmt.Fprintf(out, "adviser: %d workers permitted, %d refused, %d not queried\n", step.GetPermitted(), step.GetRefused(), step.GetUnknown())
 		}
 		t := newTable("WORKERS", "RULED OUT BY", "FOR EXAMPLE")
 		for _, count := range step.GetWorkers() {
-			t.add(textCell("%d", count.GetWorkers()), textCell("%s", orNothing(count.GetFilter())), textCell("%s", count.GetExampleWorker()))
+			t.add(textCell("%d", count.GetWorkers()), textCell("%s", reasonOrNothing(count.GetFilter())), textCell("%s", count.GetExampleWorker()))
 		}
 		t.print(s)
 	}
 }
 
-// orNothing returns a reason, or "nothing" for an empty one.
-func orNothing(reason string) string {
+// reasonOrNothing returns a reason, or "nothing" for an empty one.
+func reasonOrNothing(reason string) string {
 	if reason == "" {
 		return "nothing"
 	}
--- a/internal/descriptors/inbound.go
+++ b/internal/descriptors/inbound.go
@@ -22,10 +22,10 @@
 type InboundLimiter struct {
 	// name is the prefix of the counters' names.
 	name string
-	// limit is the maximum number of all connections, perHost that of the connections of
+	// limit is the maximum number of all connections, perHostLimit that of the connections of
 	// one remote host.
-	limit, perHost int
-	counters       Counter
+	limit, perHostLimit int
+	counters            Counter
 
 	mu sync.Mutex
 	// hosts holds the remote hosts with open connections, by address without port.
@@ -38,8 +38,8 @@
 // hostConns are the connections of one remote host: their number and the idle ones, the
 // longest idle first.
 type hostConns struct {
-	conns int
-	idle  *list.List
+	connCount int
+	idle      *list.List
 }
 
 // inboundConn is an open connection.
@@ -57,11 +57,11 @@
 // different hosts.
 func LimitServer(server *http.Server, name string, limit int, limitPerHost bool, counters Counter) *InboundLimiter {
 	l := &InboundLimiter{
-		name: name, limit: limit, perHost: limit, counters: counters,
+		name: name, limit: limit, perHostLimit: limit, counters: counters,
 		hosts: map[string]*hostConns{}, idle: list.New(), conns: map[net.Conn]*inboundConn{},
 	}
 	if limitPerHost {
-		l.perHost = max(limit/perHostDivisor, 1)
+		l.perHostLimit = max(limit/perHostDivisor, 1)
 	}
 	server.ConnState = l.onStateChange
 	return l
@@ -100,11 +100,11 @@
 		l.hosts[remote] = host
 	}
 	evictFrom := l.idle
-	if host.conns >= l.perHost {
+	if host.connCount >= l.perHostLimit {
 		evictFrom = host.idle
 	}
-	atLimit := host.conns >= l.perHost || len(l.conns) >= l.limit
-	host.conns++
+	atLimit := host.connCount >= l.perHostLimit || len(l.conns) >= l.limit
+	host.connCount++
 	l.conns[conn] = &inboundConn{remote: remote}
 	if atLimit {
 		l.evictOrReject(evictFrom, conn)
@@ -161,8 +161,8 @@
 	}
 	delete(l.conns, conn)
 	host := l.hosts[c.remote]
-	host.conns--
-	if host.conns == 0 {
+	host.connCount--
+	if host.connCount == 0 {
 		delete(l.hosts, c.remote)
 	}
 }
--- a/internal/descriptors/inbound_test.go
+++ b/internal/descriptors/inbound_test.go
@@ -89,7 +89,7 @@
 		must.True(t, responded)
 		limiter.awaitIdle(t)
 	}
-	must.LessEq(t, 4, limiter.open())
+	must.LessEq(t, 4, limiter.openCount())
 	must.Eq(t, 36, counter.get("test_connections_closed_idle"))
 }
 
@@ -104,7 +104,7 @@
 	_, responded := requestOnNewConn(t, server, localAddress, "/")
 	must.False(t, responded)
 	must.Eq(t, 1, counter.get("test_connections_refused"))
-	must.Eq(t, 3, limiter.open())
+	must.Eq(t, 3, limiter.openCount())
 }
 
 // Guards against one host that takes all connections: a worker opens more and
@@ -118,7 +118,7 @@
 		must.True(t, responded, must.Sprintf("refused: %d", counter.get("test_connections_refused")))
 		limiter.awaitIdle(t)
 	}
-	must.LessEq(t, 1+16/perHostDivisor, limiter.open())
+	must.LessEq(t, 1+16/perHostDivisor, limiter.openCount())
 	must.True(t, requestOn(otherHost, "/"))
 }
 
@@ -129,15 +129,15 @@
 	conn, responded := requestOnNewConn(t, server, localAddress, "/")
 	must.True(t, responded)
 	must.NoError(t, conn.Close())
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return limiter.open() == 0 })))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return limiter.openCount() == 0 })))
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	must.MapEmpty(t, limiter.hosts)
 	must.Eq(t, 0, limiter.idle.Len())
 }
 
-// open returns the number of open connections.
-func (l *InboundLimiter) open() int {
+// openCount returns the number of open connections.
+func (l *InboundLimiter) openCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
--- a/internal/dev/memory_test.go
+++ b/internal/dev/memory_test.go
@@ -18,8 +18,8 @@
 // requests would be in flight at the same time.
 type memoryNetwork struct {
 	mu sync.Mutex
-	// ports is the number of ports in use so far.
-	ports int
+	// portsUsed is the number of ports in use so far.
+	portsUsed int
 	// listeners holds the open listeners, by address.
 	listeners map[string]*memoryListener
 }
@@ -72,8 +72,8 @@
 
 // newAddress returns an unused address. n.mu must be held.
 func (n *memoryNetwork) newAddress() *net.TCPAddr {
-	n.ports++
-	return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: basePort + n.ports}
+	n.portsUsed++
+	return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: basePort + n.portsUsed}
 }
 
 // memoryListener accepts connections of a memoryNetwork.
@@ -81,9 +81,9 @@
 	network *memoryNetwork
 	address *net.TCPAddr
 	// pending holds the connections that wait to be accepted.
-	pending chan net.Conn
-	closing sync.Once
-	closed  chan struct{}
+	pending   chan net.Conn
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
 func (l *memoryListener) Addr() net.Addr { return l.address }
@@ -100,7 +100,7 @@
 // Close makes the listener refuse new connections and closes the connections that wait to
 // be accepted.
 func (l *memoryListener) Close() error {
-	l.closing.Do(func() {
+	l.closeOnce.Do(func() {
 		l.network.mu.Lock()
 		delete(l.network.listeners, l.address.String())
 		l.network.mu.Unlock()
@@ -118,17 +118,17 @@
 
 // chunk holds the bytes of one write and the time at which they arrive at the reader.
 type chunk struct {
-	bytes []byte
-	at    time.Time
+	bytes     []byte
+	arrivesAt time.Time
 }
 
 // stream is one direction of a connection.
 type stream struct {
-	mu          sync.Mutex
-	chunks      []chunk
-	writeClosed bool // set by the writer; the chunks can still be read
-	readClosed  bool // set by the reader
-	deadline    time.Time
+	mu           sync.Mutex
+	chunks       []chunk
+	writeClosed  bool // set by the writer; the chunks can still be read
+	readClosed   bool // set by the reader
+	readDeadline time.Time
 	// changed is closed and replaced at each change of the stream.
 	changed chan struct{}
 }
@@ -154,7 +154,7 @@
 			err = io.ErrClosedPipe
 			return
 		}
-		s.chunks = append(s.chunks, chunk{bytes: slices.Clone(p), at: time.Now().Add(hopDelay)})
+		s.chunks = append(s.chunks, chunk{bytes: slices.Clone(p), arrivesAt: time.Now().Add(hopDelay)})
 	})
 	return err
 }
@@ -180,16 +180,16 @@
 	switch {
 	case s.readClosed:
 		return 0, until, nil, net.ErrClosed
-	case !s.deadline.IsZero() && !now.Before(s.deadline):
+	case !s.readDeadline.IsZero() && !now.Before(s.readDeadline):
 		return 0, until, nil, os.ErrDeadlineExceeded
 	case len(s.chunks) == 0 && s.writeClosed:
 		return 0, until, nil, io.EOF
-	case len(s.chunks) > 0 && !now.Before(s.chunks[0].at):
+	case len(s.chunks) > 0 && !now.Before(s.chunks[0].arrivesAt):
 		return s.readFirstChunk(p), until, nil, nil
 	}
-	until = s.deadline
-	if len(s.chunks) > 0 && (until.IsZero() || s.chunks[0].at.Before(until)) {
-		until = s.chunks[0].at
+	until = s.readDeadline
+	if len(s.chunks) > 0 && (until.IsZero() || s.chunks[0].arrivesAt.Before(until)) {
+		until = s.chunks[0].arrivesAt
 	}
 	return 0, until, s.changed, nil
 }
@@ -256,7 +256,7 @@
 func (c *memoryConn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
 func (c *memoryConn) SetReadDeadline(t time.Time) error {
-	c.in.update(func() { c.in.deadline = t })
+	c.in.update(func() { c.in.readDeadline = t })
 	return nil
 }
 
--- a/internal/dev/print.go
+++ b/internal/dev/print.go
@@ -70,10 +70,10 @@
 	table.Flush()
 	jobs := r.Report
 	fmt.Fprintf(out, "  jobs: %d accepted, %d met and %d missed their deadline, refused %v; waiting time p50 %s p99 %s; submit call p50 %s p99 %s\n",
-		jobs.Accepted, jobs.MetDeadline, jobs.MissedDeadline, jobs.Refused, formatMicros(jobs.WaitP50), formatMicros(jobs.WaitP99), formatMicros(jobs.SubmitP50), formatMicros(jobs.SubmitP99))
+		jobs.Accepted, jobs.MetDeadline, jobs.MissedDeadline, jobs.Refused, formatMicros(jobs.WaitP50Micros), formatMicros(jobs.WaitP99Micros), formatMicros(jobs.SubmitP50Micros), formatMicros(jobs.SubmitP99Micros))
 	requests := r.Requests
 	fmt.Fprintf(out, "  requests: %d sent, %d correct responses, %d of them late, %d wrong, %d broken or timed out, refused %v; latency p50 %s p99 %s\n",
-		requests.Calls-requests.NotSent, requests.Correct, requests.Late, requests.Wrong, requests.Broken+requests.TimedOut, requests.Refused, formatMicros(requests.P50), formatMicros(requests.P99))
+		requests.Calls-requests.NotSent, requests.Correct, requests.Late, requests.Wrong, requests.Broken+requests.TimedOut, requests.Refused, formatMicros(requests.LatencyP50Micros), formatMicros(requests.LatencyP99Micros))
 	for _, v := range r.Violations {
 		fmt.Fprintf(out, "  VIOLATION %+v\n", v)
 	}
@@ -113,11 +113,11 @@
 // usage measures the CPU and memory usage of the process, including the stand-ins.
 type usage struct {
 	startedAt time.Time
-	// cpu is the CPU time used until startedAt.
-	cpu time.Duration
+	// cpuAtStart is the CPU time used until startedAt.
+	cpuAtStart time.Duration
 }
 
-func startUsage() usage { return usage{startedAt: time.Now(), cpu: processorTime()} }
+func startUsage() usage { return usage{startedAt: time.Now(), cpuAtStart: processorTime()} }
 
 // processorTime returns the CPU time that the process has used, or 0 if the system
 // doesn't report it.
@@ -134,7 +134,7 @@
 	runtime.ReadMemStats(&memory)
 	elapsed := time.Since(u.startedAt)
 	fmt.Fprintf(out, "\nresource usage of all roles and stand-ins of both deployments in this process: %.2f cores, %d MiB heap, for %.1fs\n",
-		float64(processorTime()-u.cpu)/float64(elapsed), memory.HeapInuse>>20, elapsed.Seconds())
+		float64(processorTime()-u.cpuAtStart)/float64(elapsed), memory.HeapInuse>>20, elapsed.Seconds())
 }
 
 // printExampleCommands prints, for each running deployment, example commands with one of
--- a/internal/dev/run.go
+++ b/internal/dev/run.go
@@ -49,20 +49,20 @@
 // FullSize returns the size of a run of `bilberry dev`.
 func FullSize() Size { return Size{Workers: 50, Minions: 50, RequestRate: 200} }
 
-// sample holds the parameters that differ between the example deployments.
-type sample struct {
+// sampleDeployment holds the parameters that differ between the example deployments.
+type sampleDeployment struct {
 	// name is the name of the deployment and of its folder in package examples.
 	name string
 	// service is the service to which requests are sent.
 	service string
 	// capacity is the capacity of each worker.
 	capacity *apiv1.Resources
-	// perRack is the number of workers in one rack.
-	perRack int
+	// workersPerRack is the number of workers in one rack.
+	workersPerRack int
 }
 
-// samples are the example deployments that Run runs.
-var samples = []sample{
+// sampleDeployments are the example deployments that Run runs.
+var sampleDeployments = []sampleDeployment{
 	{"rackwise", "inspect-hub", &apiv1.Resources{CpuMilli: 64_000, MemoryMib: 256 << 10}, 8},
 	{"himalaya", "guest-desk", &apiv1.Resources{CpuMilli: 32_000, MemoryMib: 128 << 10}, 6},
 }
@@ -91,7 +91,7 @@
 
 // run is one running deployment with its stand-ins.
 type run struct {
-	sample
+	sampleDeployment
 	size       Size
 	deployment *Deployment
 	ledger     *standin.Ledger
@@ -101,9 +101,9 @@
 	callers    *standin.Callers
 }
 
-// start starts a deployment and its stand-ins as goroutines of the group and waits until
+// startRun starts a deployment and its stand-ins as goroutines of the group and waits until
 // the deployment is ready.
-func start(ctx context.Context, group *errgroup.Group, s sample, size Size, network Network, folder string, logs io.Writer) (*run, error) {
+func startRun(ctx context.Context, group *errgroup.Group, s sampleDeployment, size Size, network Network, folder string, logs io.Writer) (*run, error) {
 	d, listeners, err := unpack(s.name, folder, network)
 	if err != nil {
 		return nil, err
@@ -112,9 +112,9 @@
 		return nil, err
 	}
 	group.Go(d.Wait)
-	r := &run{sample: s, size: size, deployment: d, ledger: standin.NewLedger()}
+	r := &run{sampleDeployment: s, size: size, deployment: d, ledger: standin.NewLedger()}
 	r.workers = standin.NewWorkers(standin.WorkersConfig{
-		DataCentres: d.DataCentres(), Count: size.Workers, PerRack: s.perRack, Capacity: s.capacity, Prefix: s.name,
+		DataCentres: d.DataCentres(), Count: size.Workers, PerRack: s.workersPerRack, Capacity: s.capacity, Prefix: s.name,
 		Token: d.Tokens.Token(settings.Worker), RuntimeLow: runtimeLow, RuntimeHigh: runtimeHigh, Ledger: r.ledger,
 		Dial: network.Dial,
 	})
@@ -286,13 +286,13 @@
 // stay, the deployments keep running after the sample work until the context ends.
 func Run(ctx context.Context, out, logs io.Writer, size Size, stay bool) (bool, error) {
 	results, err := runOnNetwork(ctx, Loopback{}, out, logs, size, stay)
-	return err == nil && allResults(results, (*Result).Passed), err
+	return err == nil && allResultsSatisfy(results, (*Result).Passed), err
 }
 
-// allResults reports whether holds is true for all results.
-func allResults(results []Result, holds func(*Result) bool) bool {
+// allResultsSatisfy reports whether satisfies is true for all results.
+func allResultsSatisfy(results []Result, satisfies func(*Result) bool) bool {
 	for i := range results {
-		if !holds(&results[i]) {
+		if !satisfies(&results[i]) {
 			return false
 		}
 	}
@@ -316,8 +316,8 @@
 	}()
 	usage := startUsage()
 	var runs []*run
-	for _, s := range samples {
-		r, err := start(ctx, group, s, size, network, filepath.Join(folder, s.name), logs)
+	for _, s := range sampleDeployments {
+		r, err := startRun(ctx, group, s, size, network, filepath.Join(folder, s.name), logs)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/dev/run_test.go
+++ b/internal/dev/run_test.go
@@ -38,8 +38,8 @@
 		var out bytes.Buffer
 		results, err := runOnNetwork(t.Context(), newMemoryNetwork(), &out, io.Discard, testSize(), false)
 		must.NoError(t, err)
-		must.True(t, allResults(results, (*Result).Passed), must.Sprint(out.String()))
-		must.True(t, allResults(results, allRequestsCorrect), must.Sprint(out.String()))
+		must.True(t, allResultsSatisfy(results, (*Result).Passed), must.Sprint(out.String()))
+		must.True(t, allResultsSatisfy(results, allRequestsCorrect), must.Sprint(out.String()))
 		mustShowRefusals(t, out.String())
 	})
 }
@@ -67,19 +67,19 @@
 // time. Missed deadlines fail the test only if calls from the same process directly to a
 // minion are fast during the whole run. On a slower machine the test checks only
 // violations and wrong responses, which don't depend on speed.
-func TestSampleWorkOverSockets(t *testing.T) {
+func TestSampleWorkMeetsDeadlinesOverSockets(t *testing.T) {
 	baseline := startBaseline(t)
 	var out bytes.Buffer
 	results, err := runOnNetwork(t.Context(), Loopback{}, &out, io.Discard, testSize(), false)
 	fast := baseline.stopAndCheck(t)
 	t.Log(out.String())
-	must.True(t, allResults(results, (*Result).correct))
+	must.True(t, allResultsSatisfy(results, (*Result).correct))
 	if !fast {
 		t.Logf("the machine is too slow at present to check deadlines; error of the run: %v", err)
 		return
 	}
 	must.NoError(t, err)
-	must.True(t, allResults(results, (*Result).Passed))
+	must.True(t, allResultsSatisfy(results, (*Result).Passed))
 	mustShowRefusals(t, out.String())
 }
 
@@ -129,6 +129,6 @@
 	must.NoError(t, b.minionGroup.Wait())
 	r := b.callers.Report()
 	t.Logf("calls straight to a minion: %d, correct responses %d, latency p50 %s p99 %s max %s",
-		r.Calls, r.Correct, formatMicros(r.P50), formatMicros(r.P99), formatMicros(r.Max))
-	return r.Correct == r.Calls && time.Duration(r.Max)*time.Microsecond <= baselineMaxLatency
+		r.Calls, r.Correct, formatMicros(r.LatencyP50Micros), formatMicros(r.LatencyP99Micros), formatMicros(r.LatencyMaxMicros))
+	return r.Correct == r.Calls && time.Duration(r.LatencyMaxMicros)*time.Microsecond <= baselineMaxLatency
 }
--- a/internal/e2e/bench_test.go
+++ b/internal/e2e/bench_test.go
@@ -29,7 +29,7 @@
 		leader := c.leader(dataCentre)
 		c.kill(leader + "/cell")
 		submitted := time.Now()
-		spec := batch("urgent", 1, 20, true)
+		spec := batchSpec("urgent", 1, 20, true)
 		spec.Urgent = true
 		id := customer.submit(fmt.Sprint("urgent-", i), spec).Id
 		customer.awaitEnd(id)
@@ -53,7 +53,7 @@
 	i := 0
 	for b.Loop() {
 		submitted := time.Now()
-		id := customer.submit(fmt.Sprint("small-", i), batch("small", 1, 1, true)).Id
+		id := customer.submit(fmt.Sprint("small-", i), batchSpec("small", 1, 1, true)).Id
 		var started time.Time
 		c.eventually("the task starts", func() bool {
 			var ok bool
--- a/internal/e2e/chaos_test.go
+++ b/internal/e2e/chaos_test.go
@@ -53,9 +53,9 @@
 	workers *standin.Workers
 	// faultCounts counts the injected faults, by kind.
 	faultCounts map[string]int
-	// down and paused hold the killed and the paused processes, by INSTANCE/ROLE such as
+	// killed and paused hold the killed and the paused processes, by INSTANCE/ROLE such as
 	// naas-1/cell.
-	down   map[string]bool
+	killed map[string]bool
 	paused map[string]bool
 	// partitioned holds the partitioned data centres.
 	partitioned map[string]bool
@@ -101,7 +101,7 @@
 func (f *faultInjector) hasFault(dataCentre string) bool {
 	for _, instance := range f.cluster.deployment.Settings.InDataCentre(dataCentre) {
 		for _, role := range []string{"/cell", "/entry"} {
-			if f.down[instance.ID+role] || f.paused[instance.ID+role] {
+			if f.killed[instance.ID+role] || f.paused[instance.ID+role] {
 				return true
 			}
 		}
@@ -112,12 +112,12 @@
 // killOrStart starts a process if it is down, or else kills it unless hasFault is true.
 func (f *faultInjector) killOrStart(instance settings.Instance, process, role string, hasFault bool) {
 	switch {
-	case f.down[process]:
+	case f.killed[process]:
 		f.cluster.start(instance.ID, role)
-		delete(f.down, process)
+		delete(f.killed, process)
 	case !hasFault:
 		f.cluster.kill(process)
-		f.down[process] = true
+		f.killed[process] = true
 		f.faultCounts[role+" killed"]++
 	}
 }
@@ -144,8 +144,8 @@
 	}
 }
 
-// endAll ends every active fault.
-func (f *faultInjector) endAll() {
+// endAllFaults ends every active fault.
+func (f *faultInjector) endAllFaults() {
 	for dataCentre, isPartitioned := range f.partitioned {
 		if isPartitioned {
 			f.cluster.network.setPartitioned(dataCentre, false)
@@ -156,7 +156,7 @@
 	}
 	for _, instance := range f.cluster.deployment.Settings.Instances {
 		for _, role := range []string{"cell", "entry"} {
-			if f.down[instance.ID+"/"+role] {
+			if f.killed[instance.ID+"/"+role] {
 				f.cluster.start(instance.ID, role)
 			}
 		}
@@ -208,12 +208,12 @@
 	return fallback
 }
 
-// TestRandomFaults guards against tasks that run twice, wrong responses and jobs without
-// exactly one outcome under combined faults. Cell and entry processes are killed and
-// restarted, cell processes are paused, data centres are partitioned, and workers are
-// paused and restarted, in a random order given by the seed, while jobs and requests
-// continue. The outcomes are checked after every fault has ended.
-func TestRandomFaults(t *testing.T) {
+// TestRandomFaultsCauseNoViolation guards against tasks that run twice, wrong responses
+// and jobs without exactly one outcome under combined faults. Cell and entry processes
+// are killed and restarted, cell processes are paused, data centres are partitioned, and
+// workers are paused and restarted, in a random order given by the seed, while jobs and
+// requests continue. The outcomes are checked after every fault has ended.
+func TestRandomFaultsCauseNoViolation(t *testing.T) {
 	seed := uint64(environmentInt(chaosSeedVariable, defaultChaosSeed))
 	duration := time.Duration(environmentInt(chaosSecondsVariable, defaultChaosSeconds)) * time.Second
 	c := newCluster(t, "rackwise", nil)
@@ -234,12 +234,12 @@
 	go func() { done <- callers.Run(c.ctx) }()
 	faults := &faultInjector{
 		cluster: c, random: rand.New(rand.NewPCG(seed, 0)), workers: workers, faultCounts: make(map[string]int),
-		down: make(map[string]bool), paused: make(map[string]bool), partitioned: make(map[string]bool),
+		killed: make(map[string]bool), paused: make(map[string]bool), partitioned: make(map[string]bool),
 	}
 	for until := time.Now().Add(duration); time.Now().Before(until); {
 		faults.injectOrEndFault()
 	}
-	faults.endAll()
+	faults.endAllFaults()
 	must.NoError(t, <-done)
 	must.NoError(t, <-done)
 	report, requests := jobs.Report(), callers.Report()
@@ -259,13 +259,13 @@
 	c.checkNoViolations()
 }
 
-// chaosJobs returns the job templates of TestRandomFaults: batch jobs and gangs, each in
-// an idempotent and a non-idempotent variant.
+// chaosJobs returns the job templates of TestRandomFaultsCauseNoViolation: batch jobs and
+// gangs, each in an idempotent and a non-idempotent variant.
 func chaosJobs() []standin.Arrival {
 	var templates []standin.Arrival
 	for i, policy := range []apiv1.Policy{apiv1.Policy_POLICY_BATCH, apiv1.Policy_POLICY_BATCH, apiv1.Policy_POLICY_GANG} {
 		for _, idempotent := range []bool{true, false} {
-			spec := batch(fmt.Sprintf("chaos-%d-%t", i, idempotent), 3, 300, idempotent)
+			spec := batchSpec(fmt.Sprintf("chaos-%d-%t", i, idempotent), 3, 300, idempotent)
 			spec.Policy = policy
 			templates = append(templates, standin.Arrival{Customer: "curragh-racking", Spec: spec, Deadline: 2 * time.Minute})
 		}
--- a/internal/e2e/customer_test.go
+++ b/internal/e2e/customer_test.go
@@ -179,10 +179,10 @@
 	return job
 }
 
-// batch returns the spec of a batch job whose tasks declare a run time in milliseconds. The
+// batchSpec returns the spec of a batch job whose tasks declare a run time in milliseconds. The
 // job's deadline is in one minute. The payload of a non-idempotent job makes the stand-ins'
 // ledger record a second start of a task as a violation.
-func batch(name string, tasks int, milliseconds int64, idempotent bool) *apiv1.Spec {
+func batchSpec(name string, tasks int, milliseconds int64, idempotent bool) *apiv1.Spec {
 	spec := &apiv1.Spec{
 		Name: name, Policy: apiv1.Policy_POLICY_BATCH, Tasks: int32(tasks), Idempotent: idempotent,
 		Need: &apiv1.Resources{CpuMilli: 500, MemoryMib: 512}, RuntimeMs: milliseconds,
--- a/internal/e2e/failover_test.go
+++ b/internal/e2e/failover_test.go
@@ -12,25 +12,25 @@
 	"github.com/bilberryferry/bilberryferry/internal/standin"
 )
 
-// TestEntryInstanceKilledUnderLoad guards against wrong, late or missing responses and
-// lost jobs when an entry instance is killed with responses in flight. Callers whose
-// connection broke retry at another instance.
-func TestEntryInstanceKilledUnderLoad(t *testing.T) {
+// TestEntryInstanceKilledUnderLoadLosesNoJob guards against wrong, late or missing
+// responses and lost jobs when an entry instance is killed with responses in flight.
+// Callers whose connection broke retry at another instance.
+func TestEntryInstanceKilledUnderLoadLosesNoJob(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
 	c.minions(6, "inspect-hub")
 	customer := c.customer(0)
 	customer.awaitService("inspect-hub")
-	first := customer.submit("before", batch("reports", 12, 400, true))
+	first := customer.submit("before", batchSpec("reports", 12, 400, true))
 	callers := standin.NewCallers(standin.CallersConfig{
 		Entries: c.deployment.Entries(), Service: "inspect-hub", Token: customer.token, Rate: 300, Duration: 3 * time.Second,
 		Deadline: 2 * time.Second, Resend: true, Seed: 1, Ledger: c.ledger,
 	})
 	done := make(chan error, 1)
 	go func() { done <- callers.Run(c.ctx) }()
-	nonIdempotent := customer.submit("once", batch("check-in", 4, 300, false))
+	nonIdempotent := customer.submit("once", batchSpec("check-in", 4, 300, false))
 	c.kill(c.deployment.Settings.Instances[1].ID + "/entry")
-	last := customer.submit("after", batch("reports", 12, 200, true))
+	last := customer.submit("after", batchSpec("reports", 12, 200, true))
 	must.NoError(t, <-done)
 	for _, id := range []string{first.Id, nonIdempotent.Id, last.Id} {
 		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(id).State, must.Sprint(id))
@@ -53,10 +53,10 @@
 	return sum
 }
 
-// TestLeaderKilledUnderLoad guards against lost or repeated tasks when the leader of a data
-// centre is killed with commits and commands in flight. The next leader takes over the
-// workers' leases, and submissions whose response was lost are retried.
-func TestLeaderKilledUnderLoad(t *testing.T) {
+// TestLeaderKilledUnderLoadLosesNoTask guards against lost or repeated tasks when the
+// leader of a data centre is killed with commits and commands in flight. The next leader
+// takes over the workers' leases, and submissions whose response was lost are retried.
+func TestLeaderKilledUnderLoadLosesNoTask(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
 	customer := c.customer(0)
@@ -70,7 +70,7 @@
 		if i == jobsBeforeKill {
 			c.kill(c.leader(c.deployment.Settings.DataCentres()[0]) + "/cell")
 		}
-		ids = append(ids, customer.submit(fmt.Sprint("load-", i), batch("reports", tasksPerJob, 150, i%2 == 0)).Id)
+		ids = append(ids, customer.submit(fmt.Sprint("load-", i), batchSpec("reports", tasksPerJob, 150, i%2 == 0)).Id)
 	}
 	for _, id := range ids {
 		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(id).State, must.Sprint(id))
@@ -79,31 +79,31 @@
 	c.checkNoViolations()
 }
 
-// TestLeaderPausedPastItsLease guards against tasks that run twice when a leader is paused
-// by SIGSTOP until its lease has expired and another leader is elected. The paused leader
-// resumes without knowing of the pause and of the other leader.
-func TestLeaderPausedPastItsLease(t *testing.T) {
+// TestLeaderPausedPastItsLeaseRepeatsNoTask guards against tasks that run twice when a
+// leader is paused by SIGSTOP until its lease has expired and another leader is elected.
+// The paused leader resumes without knowing of the pause and of the other leader.
+func TestLeaderPausedPastItsLeaseRepeatsNoTask(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
 	customer := c.customer(0)
 	dataCentre := c.deployment.Settings.DataCentres()[0]
 	pausedLeader := c.leader(dataCentre)
-	before := customer.submit("before", batch("reports", 6, 300, false))
+	before := customer.submit("before", batchSpec("reports", 6, 300, false))
 	c.signal(pausedLeader+"/cell", syscall.SIGSTOP)
-	during := customer.submit("during", batch("reports", 6, 300, false))
+	during := customer.submit("during", batchSpec("reports", 6, 300, false))
 	must.NotEq(t, pausedLeader, c.leader(dataCentre))
 	c.signal(pausedLeader+"/cell", syscall.SIGCONT)
-	after := customer.submit("after", batch("reports", 6, 300, false))
+	after := customer.submit("after", batchSpec("reports", 6, 300, false))
 	for _, id := range []string{before.Id, during.Id, after.Id} {
 		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(id).State, must.Sprint(id))
 	}
 	c.checkNoViolations()
 }
 
-// TestRollingRestartUnderLoad guards against broken connections, wrong responses and
-// lost jobs while an operator rolls out a new version: every process is terminated and
-// restarted, one after the other, under load.
-func TestRollingRestartUnderLoad(t *testing.T) {
+// TestRollingRestartUnderLoadBreaksNoCall guards against broken connections, wrong
+// responses and lost jobs while an operator rolls out a new version: every process is
+// terminated and restarted, one after the other, under load.
+func TestRollingRestartUnderLoadBreaksNoCall(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
 	c.minions(6, "inspect-hub")
@@ -118,7 +118,7 @@
 	var ids []string
 	for i, instance := range c.deployment.Settings.Instances {
 		for _, role := range []string{"cell", "entry"} {
-			ids = append(ids, customer.submit(fmt.Sprint(role, i), batch("reports", 3, 200, false)).Id)
+			ids = append(ids, customer.submit(fmt.Sprint(role, i), batchSpec("reports", 3, 200, false)).Id)
 			c.terminate(instance.ID + "/" + role)
 			c.start(instance.ID, role)
 			c.leader(instance.DataCentre)
@@ -143,7 +143,7 @@
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(2)
 	customer := c.customer(0)
-	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(customer.submit("before", batch("reports", 8, 50, true)).Id).State)
+	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(customer.submit("before", batchSpec("reports", 8, 50, true)).Id).State)
 	leader := c.leader(c.deployment.Settings.DataCentres()[0])
 	const (
 		pauses     = 4
@@ -156,7 +156,7 @@
 		c.signalFollowers(leader, syscall.SIGCONT)
 		time.Sleep(pauseBreak)
 	}
-	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(customer.submit("after", batch("reports", 6, 50, true)).Id).State)
+	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(customer.submit("after", batchSpec("reports", 6, 50, true)).Id).State)
 	c.checkNoViolations()
 }
 
--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -71,8 +71,8 @@
 	ledger     *standin.Ledger
 	client     *http.Client
 	network    *network
-	// settings holds the path of the settings file by data centre.
-	settings map[string]string
+	// settingsPaths holds the path of the settings file by data centre.
+	settingsPaths map[string]string
 
 	mu sync.Mutex
 	// processes holds the running processes, by INSTANCE/ROLE such as naas-1/cell.
@@ -136,12 +136,12 @@
 		modify(deployment.Settings)
 	}
 	c := &cluster{
-		t: t, ctx: ctx, deployment: deployment, settings: make(map[string]string),
+		t: t, ctx: ctx, deployment: deployment, settingsPaths: make(map[string]string),
 		ledger: standin.NewLedger(), client: rpc.NewClient(nil), processes: make(map[string]*exec.Cmd),
 		network: &network{relays: make(map[[2]string][]*relay)},
 	}
 	for _, dataCentre := range deployment.Settings.DataCentres() {
-		c.settings[dataCentre] = c.writeSettings(dataCentre, c.network.settingsSeenFrom(c, dataCentre))
+		c.settingsPaths[dataCentre] = c.writeSettings(dataCentre, c.network.settingsSeenFrom(c, dataCentre))
 	}
 	t.Cleanup(func() {
 		cancel()
@@ -193,7 +193,7 @@
 func (c *cluster) start(instance, role string) {
 	config, err := c.deployment.Settings.Instance(instance)
 	must.NoError(c.t, err)
-	c.startWithSettings(instance, role, c.settings[config.DataCentre])
+	c.startWithSettings(instance, role, c.settingsPaths[config.DataCentre])
 }
 
 // startWithSettings starts a daemon with a settings file and further flags.
--- a/internal/e2e/input_test.go
+++ b/internal/e2e/input_test.go
@@ -27,21 +27,21 @@
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(2)
 	customer, otherCustomer := c.customer(0), c.customer(1)
-	accepted := customer.submit("known", batch("reports", 1, 50, true))
+	accepted := customer.submit("known", batchSpec("reports", 1, 50, true))
 
-	pastDeadline := batch("reports", 1, 50, true)
+	pastDeadline := batchSpec("reports", 1, 50, true)
 	pastDeadline.DeadlineUnixMs = 1
 	_, err := customer.trySubmit("past", pastDeadline)
 	must.Eq(t, "deadline_unix_ms", fault.From(err).Field)
-	negativeCPU := batch("reports", 1, 50, true)
+	negativeCPU := batchSpec("reports", 1, 50, true)
 	negativeCPU.Need.CpuMilli = -5
 	_, err = customer.trySubmit("negative", negativeCPU)
 	must.Eq(t, "need.cpu_milli", fault.From(err).Field)
-	unknownDataCentre := batch("reports", 1, 50, true)
+	unknownDataCentre := batchSpec("reports", 1, 50, true)
 	unknownDataCentre.DataCentre = "atlantis"
 	_, err = customer.trySubmit("nowhere", unknownDataCentre)
 	must.Eq(t, "data_centre", fault.From(err).Field)
-	_, err = customer.trySubmit("known", batch("other", 1, 50, true))
+	_, err = customer.trySubmit("known", batchSpec("other", 1, 50, true))
 	must.True(t, fault.Is(err, fault.Conflict), must.Sprint(err))
 
 	for _, id := range []string{accepted.Id, "naas-hall.999", "nonsense", ""} {
@@ -63,7 +63,7 @@
 	must.True(t, fault.Is(err, fault.Denied), must.Sprint(err))
 	workerCtx, err := rpc.WithBearer(c.ctx, "Bearer "+c.deployment.Tokens.Token(settings.Worker))
 	must.NoError(t, err)
-	_, err = customer.schedulers[0].Submit(workerCtx, &apiv1.SubmitRequest{RequestId: "w", Spec: batch("reports", 1, 50, true)})
+	_, err = customer.schedulers[0].Submit(workerCtx, &apiv1.SubmitRequest{RequestId: "w", Spec: batchSpec("reports", 1, 50, true)})
 	must.True(t, fault.Is(err, fault.Denied), must.Sprint(err))
 	must.Eq(t, http.StatusBadRequest, customer.post(submitPath, []byte("\xff\xff not protobuf")))
 	must.Eq(t, http.StatusBadRequest, customer.post(submitPath, bytes.Repeat([]byte{0x0a}, oversizedBodyBytes)))
--- a/internal/e2e/job_end_test.go
+++ b/internal/e2e/job_end_test.go
@@ -16,13 +16,13 @@
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(1)
 	customer := c.customer(0)
-	spec := batch("report", 16, 200, true)
+	spec := batchSpec("report", 16, 200, true)
 	spec.Payload = []byte(`{"runtime_ms": 600000}`)
 	spec.DeadlineUnixMs = time.Now().Add(3 * time.Second).UnixMilli()
 	job := customer.awaitEnd(customer.submit("overdue", spec).Id)
 	must.Eq(t, apiv1.JobState_JOB_STATE_FAILED, job.State)
 	must.Eq(t, "DeadlineUnreachable", job.ReasonKind)
-	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(customer.submit("next", batch("report", 16, 50, true)).Id).State)
+	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(customer.submit("next", batchSpec("report", 16, 50, true)).Id).State)
 	c.checkNoViolations()
 }
 
@@ -33,7 +33,7 @@
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(2)
 	customer := c.customer(0)
-	id := customer.submit("told", batch("report", 1, 4000, true)).Id
+	id := customer.submit("told", batchSpec("report", 1, 4000, true)).Id
 	c.eventually("the job runs", func() bool { return customer.status(id).State == apiv1.JobState_JOB_STATE_RUNNING })
 	dataCentre := c.deployment.Settings.DataCentres()[0]
 	killedLeader := c.leader(dataCentre)
--- a/internal/e2e/leave_test.go
+++ b/internal/e2e/leave_test.go
@@ -32,7 +32,7 @@
 	}
 	drainedWorker := c.drainFirstWorker()
 	must.NoError(t, workers.All()[len(workers.All())-1].Leave(c.ctx))
-	job := customer.awaitEnd(customer.submit("after", batch("reports", 12, 100, true)).Id)
+	job := customer.awaitEnd(customer.submit("after", batchSpec("reports", 12, 100, true)).Id)
 	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, job.State)
 	for _, task := range job.Tasks {
 		must.NotEq(t, drainedWorker, task.Worker)
--- a/internal/e2e/membership_test.go
+++ b/internal/e2e/membership_test.go
@@ -12,16 +12,16 @@
 	"github.com/bilberryferry/bilberryferry/internal/settings"
 )
 
-// TestInstanceReplacedThenAnotherLost guards against a replacement instance that doesn't
-// count toward the quorum. An instance is lost permanently, a new one with another name,
-// address and empty memory replaces it, and the leader is killed right after the
-// replacement. Jobs accepted before and after must finish.
-func TestInstanceReplacedThenAnotherLost(t *testing.T) {
+// TestInstanceReplacedThenAnotherLostKeepsQuorum guards against a replacement instance
+// that doesn't count toward the quorum. An instance is lost permanently, a new one with
+// another name, address and empty memory replaces it, and the leader is killed right
+// after the replacement. Jobs accepted before and after must finish.
+func TestInstanceReplacedThenAnotherLostKeepsQuorum(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(6)
 	customer := c.customer(0)
 	dataCentre := c.deployment.Settings.DataCentres()[0]
-	before := customer.submit("before", batch("reports", 6, 400, true))
+	before := customer.submit("before", batchSpec("reports", 6, 400, true))
 	lostInstance := c.follower(dataCentre)
 	c.kill(lostInstance + "/cell")
 	c.kill(lostInstance + "/entry")
@@ -38,7 +38,7 @@
 	c.kill(c.leader(dataCentre) + "/cell")
 	var ids []string
 	for i := range 5 {
-		ids = append(ids, customer.submit(fmt.Sprint("after-", i), batch("reports", 2, 100, false)).Id)
+		ids = append(ids, customer.submit(fmt.Sprint("after-", i), batchSpec("reports", 2, 100, false)).Id)
 	}
 	for _, id := range append(ids, before.Id) {
 		must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(id).State, must.Sprint(id))
@@ -58,7 +58,7 @@
 	for round, instance := range c.deployment.Settings.Instances {
 		c.kill(instance.ID + "/cell")
 		for i := range jobsPerRound {
-			ids = append(ids, customer.submit(fmt.Sprint(round, "-", i), batch("reports", tasksPerJob, 50, false)).Id)
+			ids = append(ids, customer.submit(fmt.Sprint(round, "-", i), batchSpec("reports", tasksPerJob, 50, false)).Id)
 		}
 		c.start(instance.ID, "cell")
 		c.awaitCatchUp(instance.ID)
@@ -130,11 +130,11 @@
 	return added
 }
 
-// TestConfigurationVoterReplacedThenAnotherLost guards against a replacement voter of the
-// configuration log that doesn't count toward the quorum. A voter is lost permanently, a
-// new instance replaces it, and another voter is lost. A write of the configuration must
-// still succeed.
-func TestConfigurationVoterReplacedThenAnotherLost(t *testing.T) {
+// TestConfigurationVoterReplacedThenAnotherLostKeepsQuorum guards against a replacement
+// voter of the configuration log that doesn't count toward the quorum. A voter is lost
+// permanently, a new instance replaces it, and another voter is lost. A write of the
+// configuration must still succeed.
+func TestConfigurationVoterReplacedThenAnotherLostKeepsQuorum(t *testing.T) {
 	c := newCluster(t, "rackwise", nil)
 	ctx, operations := c.operatorClients()
 	c.setConfig(ctx, operations, "first", 0, configWithCPULimit(100))
@@ -176,7 +176,7 @@
 	// Together the payloads exceed the default limit of a request body, 1 MiB.
 	const services, payloadBytes = 40, 60 << 10
 	for i := range services {
-		spec := batch(fmt.Sprint("service-", i), 1, 0, true)
+		spec := batchSpec(fmt.Sprint("service-", i), 1, 0, true)
 		spec.Policy, spec.DeadlineUnixMs = apiv1.Policy_POLICY_SERVICE, 0
 		spec.Payload = bytes.Repeat([]byte("x"), payloadBytes)
 		customer.submit(spec.Name, spec)
--- a/internal/e2e/partition_test.go
+++ b/internal/e2e/partition_test.go
@@ -29,8 +29,8 @@
 	c.eventually("version 1 is in force everywhere", func() bool { return c.lowestConfigVersion(ctx, operations) == 1 })
 
 	c.network.setPartitioned(dataCentres[0], true)
-	partitionedJob := partitioned.submit("inside", batch("reports", 6, 200, false))
-	connectedJob := connected.submit("outside", batch("reports", 6, 200, false))
+	partitionedJob := partitioned.submit("inside", batchSpec("reports", 6, 200, false))
+	connectedJob := connected.submit("outside", batchSpec("reports", 6, 200, false))
 	must.Eq(t, dataCentres[0], partitionedJob.DataCentre)
 	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, partitioned.awaitEnd(partitionedJob.Id).State)
 	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, connected.awaitEnd(connectedJob.Id).State)
@@ -75,7 +75,7 @@
 	const submissions, tasksPerJob = 40, 2
 	ids := make(map[string]bool)
 	for i := range submissions {
-		response, err := source.trySubmit(fmt.Sprint("handover-", i), batch("reports", tasksPerJob, 100, false))
+		response, err := source.trySubmit(fmt.Sprint("handover-", i), batchSpec("reports", tasksPerJob, 100, false))
 		if err != nil {
 			// The submission was refused because no other data centre could be reached. The
 			// job wasn't accepted.
@@ -108,7 +108,7 @@
 	customer := c.customer(0)
 	dataCentres := c.deployment.Settings.DataCentres()
 	const tasks = 2
-	spec := batch("check-in", tasks, 100, false)
+	spec := batchSpec("check-in", tasks, 100, false)
 	request := &apiv1.SubmitRequest{RequestId: "lost-answer", Spec: spec, Home: dataCentres[0]}
 	ids := make(map[string]bool)
 	for _, name := range dataCentres {
@@ -139,7 +139,7 @@
 	customer := c.customer(0)
 	var ids []string
 	for i := range 5 {
-		ids = append(ids, customer.submit(fmt.Sprint("before-", i), batch("reports", 2, 2500, true)).Id)
+		ids = append(ids, customer.submit(fmt.Sprint("before-", i), batchSpec("reports", 2, 2500, true)).Id)
 	}
 	for _, instance := range c.deployment.Settings.Instances {
 		c.kill(instance.ID + "/cell")
@@ -160,7 +160,7 @@
 	c := newCluster(t, "rackwise", oneDataCentre)
 	c.workers(4)
 	customer := c.customer(0)
-	before := customer.submit("before", batch("reports", 2, 2000, true))
+	before := customer.submit("before", batchSpec("reports", 2, 2000, true))
 	var survivor settings.Instance
 	for _, instance := range c.deployment.Settings.Instances {
 		c.kill(instance.ID + "/cell")
@@ -168,17 +168,17 @@
 			survivor = instance
 		}
 	}
-	c.startWithSettings(survivor.ID, "cell", c.settings[survivor.DataCentre], "--force-start")
+	c.startWithSettings(survivor.ID, "cell", c.settingsPaths[survivor.DataCentre], "--force-start")
 	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(before.Id).State)
-	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(customer.submit("after", batch("reports", 2, 50, false)).Id).State)
+	must.Eq(t, apiv1.JobState_JOB_STATE_FINISHED, customer.awaitEnd(customer.submit("after", batchSpec("reports", 2, 50, false)).Id).State)
 	c.checkNoViolations()
 }
 
-// TestConcurrentConfigurationWrites guards against lost updates of the configuration.
-// Several operators write with the same expected version over all entry instances at
-// the same time: one write succeeds, the others fail with Conflict. A retry of the
-// successful write, as after a lost response, succeeds again and changes nothing.
-func TestConcurrentConfigurationWrites(t *testing.T) {
+// TestConcurrentConfigurationWritesLoseNoUpdate guards against lost updates of the
+// configuration. Several operators write with the same expected version over all entry
+// instances at the same time: one write succeeds, the others fail with Conflict. A retry
+// of the successful write, as after a lost response, succeeds again and changes nothing.
+func TestConcurrentConfigurationWritesLoseNoUpdate(t *testing.T) {
 	c := newCluster(t, "rackwise", oneDataCentre)
 	ctx, operations := c.operatorClients()
 	c.setConfig(ctx, operations, "first", 0, configWithCPULimit(100))
--- a/internal/jobfile/jobfile.go
+++ b/internal/jobfile/jobfile.go
@@ -18,9 +18,9 @@
 	maxTasks        = 100_000
 	maxAccelerators = 100_000
 	maxAttempts     = 100
-	// maxHorizon bounds run times and the time until a deadline. It keeps sums of
+	// maxDuration bounds run times and the time until a deadline. It keeps sums of
 	// them far from overflow.
-	maxHorizon = 366 * 24 * time.Hour
+	maxDuration = 366 * 24 * time.Hour
 )
 
 // rawJob holds the values of a job file as decoded, before they are checked.
@@ -146,16 +146,16 @@
 		tasks = *r.raw.Tasks
 	}
 	counts := []struct {
-		key                string
-		value, least, most int64
+		key                     string
+		value, minimum, maximum int64
 	}{
 		{"tasks", tasks, 1, maxTasks},
 		{"accelerators", r.raw.Accelerators, 0, maxAccelerators},
 		{"max_attempts", r.raw.MaxAttempts, 0, maxAttempts},
 	}
 	for _, c := range counts {
-		if c.value < c.least || c.value > c.most {
-			return r.file.Errorf(c.key, "must be from %d to %d, is %d", c.least, c.most, c.value)
+		if c.value < c.minimum || c.value > c.maximum {
+			return r.file.Errorf(c.key, "must be from %d to %d, is %d", c.minimum, c.maximum, c.value)
 		}
 	}
 	if r.raw.MaxAttempts > 1 && !r.spec.Idempotent {
@@ -214,8 +214,8 @@
 		if err != nil {
 			return r.file.Errorf("runtime", "%v", err)
 		}
-		if runtime < time.Millisecond || runtime > maxHorizon {
-			return r.file.Errorf("runtime", "must be from 1ms to %s, is %s", maxHorizon, runtime)
+		if runtime < time.Millisecond || runtime > maxDuration {
+			return r.file.Errorf("runtime", "must be from 1ms to %s, is %s", maxDuration, runtime)
 		}
 		deadline, err := ParseDeadline(string(*r.raw.Deadline), now)
 		if err != nil {
@@ -246,9 +246,9 @@
 		if err != nil {
 			return time.Time{}, err
 		}
-		// The limit of 2*maxHorizon keeps now.Add from overflowing, and checkDeadline
+		// The limit of 2*maxDuration keeps now.Add from overflowing, and checkDeadline
 		// still rejects a deadline that far ahead.
-		return checkDeadline(text, now.Add(min(d, 2*maxHorizon)), now)
+		return checkDeadline(text, now.Add(min(d, 2*maxDuration)), now)
 	}
 	deadline, err := time.Parse(time.RFC3339, text)
 	if err != nil {
@@ -257,12 +257,12 @@
 	return checkDeadline(text, deadline, now)
 }
 
-// checkDeadline returns an error unless the deadline is after now and within maxHorizon.
+// checkDeadline returns an error unless the deadline is after now and within maxDuration.
 func checkDeadline(text string, deadline, now time.Time) (time.Time, error) {
 	switch ahead := deadline.Sub(now); {
 	case ahead <= 0:
 		return time.Time{}, deadlineError(quoted(text) + " has passed already")
-	case ahead > maxHorizon:
+	case ahead > maxDuration:
 		return time.Time{}, deadlineError(quoted(text) + " is more than a year ahead")
 	default:
 		return deadline, nil
--- a/internal/jobtrace/trace.go
+++ b/internal/jobtrace/trace.go
@@ -239,8 +239,8 @@
 	durations map[string]time.Duration
 	// running holds the runs in flight, by runKey.
 	running map[string]bool
-	// waiting is the reason for which a step waits, empty when none does.
-	waiting string
+	// waitReason is the reason for which a step waits, empty when none does.
+	waitReason string
 	// permitted is true once a line shows the adviser's response for a step.
 	permitted bool
 }
@@ -325,11 +325,11 @@
 	switch l.Event {
 	case "run_started":
 		s.running[runKey(l)] = true
-		s.waiting = ""
+		s.waitReason = ""
 	case "run_ended":
 		delete(s.running, runKey(l))
 	case "step_waiting":
-		s.waiting = l.Get("reason")
+		s.waitReason = l.Get("reason")
 	case "permit":
 		s.permitted = true
 	}
@@ -371,8 +371,8 @@
 	switch {
 	case len(s.running) > 0:
 		return spanUnsuccessfulRuns
-	case s.waiting != "":
-		return spanWaiting + s.waiting
+	case s.waitReason != "":
+		return spanWaiting + s.waitReason
 	case !s.permitted:
 		return spanAdviserWait
 	}
--- a/internal/jobtrace/trace_test.go
+++ b/internal/jobtrace/trace_test.go
@@ -30,18 +30,19 @@
 no line of ours
 `
 
-// sampleLines is the number of lines of sampleLog that Read returns, and lateRunStarted the
-// index, in order of time, of the first run_started line of the job late1.
+// sampleLineCount is the number of lines of sampleLog that Read returns, and
+// lateRunStartedIndex the index, in order of time, of the first run_started line of the
+// job late1.
 const (
-	sampleLines    = 17
-	lateRunStarted = 7
+	sampleLineCount     = 17
+	lateRunStartedIndex = 7
 )
 
 // explainSample returns the trace of a job from sampleLog.
 func explainSample(t *testing.T, job string) Trace {
 	lines, err := Read(strings.NewReader(sampleLog))
 	must.NoError(t, err)
-	must.SliceLen(t, sampleLines, lines)
+	must.SliceLen(t, sampleLineCount, lines)
 	must.Eq(t, "tenure", lines[0].Event)
 	return Explain(lines, job)
 }
@@ -127,7 +128,7 @@
 		"(steps that waited: 30: behind the steps that one decision goes into; 1: no room)", got.Outcome)
 }
 
-func TestSpanWithoutLeader(t *testing.T) {
+func TestTimeWithoutLeaderIsSeparateSpan(t *testing.T) {
 	lines, err := Read(strings.NewReader(`
 ts=2026-07-06T09:00:00.000Z instance=core-1 event=submit job=a outcome=accepted
 ts=2026-07-06T09:00:01.000Z instance=core-1 event=tenure outcome=ended
@@ -138,10 +139,10 @@
 	must.Eq(t, []Span{{spanAdviserWait, 2 * time.Second}, {spanNoLeader, 2 * time.Second}}, Explain(lines, "a").Spans)
 }
 
-func TestEventsFromLines(t *testing.T) {
+func TestEventsKeepSubjectsAndDetailOfLines(t *testing.T) {
 	lines, err := Read(strings.NewReader(sampleLog))
 	must.NoError(t, err)
 	events := Events(lines)
-	must.Eq(t, []string{"late1", "i-1"}, events[lateRunStarted].Subjects)
-	must.Eq(t, "task=late1/0/0/0 run=1 worker=i-1", events[lateRunStarted].Detail)
+	must.Eq(t, []string{"late1", "i-1"}, events[lateRunStartedIndex].Subjects)
+	must.Eq(t, "task=late1/0/0/0 run=1 worker=i-1", events[lateRunStartedIndex].Detail)
 }
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -78,10 +78,10 @@
 	at time.Time
 	// ticks is the processor time since the start of the process, in clock ticks.
 	ticks int64
-	// rss is the resident memory in bytes.
-	rss int64
-	// read and written are the bytes through read and write calls since the start.
-	read, written int64
+	// rssBytes is the resident memory in bytes.
+	rssBytes int64
+	// readBytes and writtenBytes are the bytes through read and write calls since the start.
+	readBytes, writtenBytes int64
 	// counters and roles are as in Usage, but counters holds totals.
 	counters map[string]float64
 	roles    map[string]string
@@ -96,7 +96,7 @@
 // adminTimeout bounds one request for the counters of a process.
 const adminTimeout = 2 * time.Second
 
-// Run samples the processes in cfg.Targets for cfg.Duration, or until ctx ends, and returns
+// Run samples the processes in cfg.Processes for cfg.Duration, or until ctx ends, and returns
 // the usage of each process in the same order. It returns an error when a process can't be
 // sampled the first time.
 func Run(ctx context.Context, cfg Config) ([]Usage, error) {
@@ -124,7 +124,7 @@
 	return cfg.usages(samples), nil
 }
 
-// usages returns the usage of each process from its samples, in the order of cfg.Targets.
+// usages returns the usage of each process from its samples, in the order of cfg.Processes.
 func (cfg Config) usages(samples [][]sample) []Usage {
 	maxSamples := 0
 	for _, processSamples := range samples {
@@ -147,7 +147,7 @@
 	seconds := last.at.Sub(first.at).Seconds()
 	u := Usage{Seconds: seconds, Counters: make(map[string]float64), Roles: last.roles}
 	for i, s := range samples {
-		u.MemoryMiB = max(u.MemoryMiB, float64(s.rss)/bytesPerMiB)
+		u.MemoryMiB = max(u.MemoryMiB, float64(s.rssBytes)/bytesPerMiB)
 		if i > 0 {
 			u.PeakCPUPercent = max(u.PeakCPUPercent, cpuPercent(samples[i-1], s))
 		}
@@ -156,8 +156,8 @@
 		return u
 	}
 	u.CPUPercent = cpuPercent(first, last)
-	u.ReadBytes = float64(last.read-first.read) / seconds
-	u.WrittenBytes = float64(last.written-first.written) / seconds
+	u.ReadBytes = float64(last.readBytes-first.readBytes) / seconds
+	u.WrittenBytes = float64(last.writtenBytes-first.writtenBytes) / seconds
 	for name, value := range last.counters {
 		if firstValue, ok := first.counters[name]; ok {
 			u.Counters[name] = (value - firstValue) / seconds
@@ -180,10 +180,10 @@
 	folder := filepath.Join("/proc", strconv.Itoa(process.PID))
 	s := sample{at: time.Now()}
 	var err error
-	if s.ticks, s.rss, err = readStat(folder); err != nil {
+	if s.ticks, s.rssBytes, err = readStat(folder); err != nil {
 		return s, err
 	}
-	if s.read, s.written, err = readIO(folder); err != nil {
+	if s.readBytes, s.writtenBytes, err = readIO(folder); err != nil {
 		return s, err
 	}
 	if process.Admin != "" && len(cfg.Counters) > 0 {
--- a/internal/oplog/metrics.go
+++ b/internal/oplog/metrics.go
@@ -63,8 +63,8 @@
 
 const microsPerSecond = 1e6
 
-// quantiles are the quantiles of a histogram that write shows, in per cent.
-var quantiles = []float64{50, 90, 99, 100}
+// percentiles are the quantiles of a histogram that write shows, in per cent.
+var percentiles = []float64{50, 90, 99, 100}
 
 // write writes all metrics as text, one per line and sorted by name.
 func (m *Metrics) write(w io.Writer) error {
@@ -82,7 +82,7 @@
 	}
 	for _, name := range sortedKeys(m.histograms) {
 		h := m.histograms[name]
-		for _, q := range quantiles {
+		for _, q := range percentiles {
 			_, err := fmt.Fprintf(w, "bilberry_%s_seconds{quantile=\"%g\"} %g\n", name, q/100,
 				float64(h.ValueAtQuantile(q))/microsPerSecond)
 			if err != nil {
--- a/internal/oplog/oplog.go
+++ b/internal/oplog/oplog.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// maxQueuedLines bounds the lines that wait for the writer. At linesPerSecond it is
+	// maxQueuedLines bounds the lines that wait for the writer. At maxLinesPerSecond it is
 	// reached half a second after the writer blocks.
 	maxQueuedLines = 1024
-	// linesPerSecond is the maximum rate of lines. A leader logs about six lines for each
+	// maxLinesPerSecond is the maximum rate of lines. A leader logs about six lines for each
 	// job, so the limit covers 300 jobs per second. Logging a line takes about 5 µs.
-	linesPerSecond = 2000
+	maxLinesPerSecond = 2000
 )
 
 // Sink is an io.Writer that queues lines, which a separate goroutine writes. It is
@@ -68,7 +68,7 @@
 	if now.Sub(s.windowStart) >= time.Second {
 		s.windowStart, s.windowLines = now, 0
 	}
-	if s.closed || s.windowLines >= linesPerSecond {
+	if s.closed || s.windowLines >= maxLinesPerSecond {
 		s.dropped++
 		return len(line), nil
 	}
--- a/internal/oplog/oplog_test.go
+++ b/internal/oplog/oplog_test.go
@@ -54,7 +54,7 @@
 	must.StrContains(t, lines[0], "instance=i event=a")
 }
 
-func TestMetricsAsText(t *testing.T) {
+func TestMetricsTextHasCountersAndQuantiles(t *testing.T) {
 	m := NewMetrics()
 	m.Add("jobs", 2)
 	m.Observe("commit", 12*time.Millisecond)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -176,12 +176,12 @@
 	return nil
 }
 
-// minSpreadDataCentres is the smallest number of data centres of a deployment whose
+// minDataCentresToSpreadVoters is the smallest number of data centres of a deployment whose
 // configuration log must survive the loss of any one data centre.
-const minSpreadDataCentres = 3
+const minDataCentresToSpreadVoters = 3
 
 // checkConfigVoters ensures that the configuration log has voters and, with
-// minSpreadDataCentres or more, that no data centre holds a majority of them.
+// minDataCentresToSpreadVoters or more, that no data centre holds a majority of them.
 func (s *Settings) checkConfigVoters(file *tomlfile.File) error {
 	perDataCentre := make(map[string]int)
 	total := 0
@@ -198,7 +198,7 @@
 	if total == 0 {
 		return file.Errorf("instance", "at least one instance needs config_voter = true")
 	}
-	if len(s.DataCentres()) < minSpreadDataCentres {
+	if len(s.DataCentres()) < minDataCentresToSpreadVoters {
 		return nil
 	}
 	for _, dataCentre := range s.DataCentres() {
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -96,11 +96,11 @@
 	NotSent int64 `json:"not_sent"`
 	// Resent is the number of retries.
 	Resent int64 `json:"resent"`
-	// P50, P99 and Max are latencies in microseconds, from the scheduled send of a call
-	// to its correct response.
-	P50 int64 `json:"latency_p50_us"`
-	P99 int64 `json:"latency_p99_us"`
-	Max int64 `json:"latency_max_us"`
+	// LatencyP50Micros, LatencyP99Micros and LatencyMaxMicros are latencies in
+	// microseconds, from the scheduled send of a call to its correct response.
+	LatencyP50Micros int64 `json:"latency_p50_us"`
+	LatencyP99Micros int64 `json:"latency_p99_us"`
+	LatencyMaxMicros int64 `json:"latency_max_us"`
 }
 
 // Callers generates a load of calls.
@@ -212,9 +212,9 @@
 	for kind, n := range c.report.Refused {
 		report.Refused[kind] = n
 	}
-	report.P50 = c.latency.ValueAtQuantile(50)
-	report.P99 = c.latency.ValueAtQuantile(99)
-	report.Max = c.latency.Max()
+	report.LatencyP50Micros = c.latency.ValueAtQuantile(50)
+	report.LatencyP99Micros = c.latency.ValueAtQuantile(99)
+	report.LatencyMaxMicros = c.latency.Max()
 	return report
 }
 
--- a/internal/standin/changes.go
+++ b/internal/standin/changes.go
@@ -24,8 +24,8 @@
 	Rate float64
 	// Count is the total number of changes.
 	Count int
-	// Poll is the interval at which the versions in force are polled; 0 means never.
-	Poll time.Duration
+	// PollInterval is the interval at which the versions in force are polled; 0 means never.
+	PollInterval time.Duration
 }
 
 // ChangesReport summarizes a load of configuration changes.
@@ -39,17 +39,17 @@
 	LastError string `json:"last_error,omitempty"`
 	// Seconds is the duration of the load.
 	Seconds float64 `json:"seconds"`
-	// WriteP50 and WriteMax are the durations of accepted changes, each with its retries,
-	// in microseconds.
-	WriteP50 int64 `json:"write_p50_us"`
-	WriteMax int64 `json:"write_max_us"`
+	// WriteP50Micros and WriteMaxMicros are the durations of accepted changes, each with
+	// its retries, in microseconds.
+	WriteP50Micros int64 `json:"write_p50_us"`
+	WriteMaxMicros int64 `json:"write_max_us"`
 	// InForce counts changes that a poll has found in force on every instance.
 	InForce int64 `json:"in_force"`
-	// InForceP50 and InForceMax are the times from the acceptance of a change to the
-	// first poll that found it in force on every instance, in microseconds. They exceed
-	// the true times by up to one poll interval.
-	InForceP50 int64 `json:"in_force_p50_us"`
-	InForceMax int64 `json:"in_force_max_us"`
+	// InForceP50Micros and InForceMaxMicros are the times from the acceptance of a change
+	// to the first poll that found it in force on every instance, in microseconds. They
+	// exceed the true times by up to one poll interval.
+	InForceP50Micros int64 `json:"in_force_p50_us"`
+	InForceMaxMicros int64 `json:"in_force_max_us"`
 	// Reverted counts how often an instance had an older version than at its previous
 	// poll.
 	Reverted int `json:"reverted"`
@@ -106,7 +106,7 @@
 	}
 	polling, stop := context.WithCancel(ctx)
 	var polls sync.WaitGroup
-	if cfg.Poll > 0 {
+	if cfg.PollInterval > 0 {
 		polls.Go(func() { c.pollLoop(polling) })
 	}
 	c.writeAll(ctx)
@@ -114,8 +114,8 @@
 	stop()
 	polls.Wait()
 	c.report.InForce = c.inForce.TotalCount()
-	c.report.InForceP50 = c.inForce.ValueAtQuantile(50)
-	c.report.InForceMax = c.inForce.Max()
+	c.report.InForceP50Micros = c.inForce.ValueAtQuantile(50)
+	c.report.InForceMaxMicros = c.inForce.Max()
 	return c.report, nil
 }
 
@@ -150,8 +150,8 @@
 		}
 	}
 	c.report.Seconds = time.Since(start).Seconds()
-	c.report.WriteP50 = writeTimes.ValueAtQuantile(50)
-	c.report.WriteMax = writeTimes.Max()
+	c.report.WriteP50Micros = writeTimes.ValueAtQuantile(50)
+	c.report.WriteMaxMicros = writeTimes.Max()
 }
 
 // write writes change number i and reports whether it was accepted. A call whose outcome
@@ -202,7 +202,7 @@
 		if err == nil {
 			c.recordStatus(status, time.Now())
 		}
-		wait.For(ctx, c.cfg.Poll)
+		wait.For(ctx, c.cfg.PollInterval)
 	}
 }
 
@@ -236,13 +236,13 @@
 // instance, for inForceTimeout at most. Without polls it returns immediately.
 func (c *configWriter) awaitInForce(ctx context.Context) {
 	deadline := time.Now().Add(inForceTimeout)
-	for c.cfg.Poll > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
+	for c.cfg.PollInterval > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
 		c.mu.Lock()
 		pending := len(c.accepted)
 		c.mu.Unlock()
 		if pending == 0 {
 			return
 		}
-		wait.For(ctx, c.cfg.Poll)
+		wait.For(ctx, c.cfg.PollInterval)
 	}
 }
--- a/internal/standin/command/callers.go
+++ b/internal/standin/command/callers.go
@@ -47,7 +47,7 @@
 }
 
 func (c *callers) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	load, err := c.newLoad()
+	load, err := c.newCallers()
 	if err != nil {
 		return c.usageError(err)
 	}
@@ -58,7 +58,7 @@
 	return c.exitStatus(load.Ledger(), err)
 }
 
-func (c *callers) newLoad() (*standin.Callers, error) {
+func (c *callers) newCallers() (*standin.Callers, error) {
 	if c.cfg.Service == "" && !c.cfg.Direct {
 		return nil, errNoService
 	}
--- a/internal/standin/command/changes.go
+++ b/internal/standin/command/changes.go
@@ -33,7 +33,7 @@
 	c.deployment.setFlags(f)
 	f.Float64Var(&c.cfg.Rate, "rate", 1, "changes per second")
 	f.IntVar(&c.cfg.Count, "count", 10, "number of changes")
-	f.DurationVar(&c.cfg.Poll, "poll", 100*time.Millisecond, "interval at which to query the version in force on each instance; 0: never")
+	f.DurationVar(&c.cfg.PollInterval, "poll", 100*time.Millisecond, "interval at which to query the version in force on each instance; 0: never")
 }
 
 func (c *changes) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
--- a/internal/standin/command/command_test.go
+++ b/internal/standin/command/command_test.go
@@ -37,7 +37,7 @@
 
 // A line of the file of -processes has no admin address and more fields than expected. The
 // measurement must accept such a line and print the process.
-func TestMeasurePrintsProcesses(t *testing.T) {
+func TestMeasureIgnoresFurtherFieldsOfProcessesFile(t *testing.T) {
 	processesFile := filepath.Join(t.TempDir(), "processes")
 	must.NoError(t, os.WriteFile(processesFile, []byte("self "+strconv.Itoa(os.Getpid())+" - 12345\n"), 0o600))
 	var out strings.Builder
@@ -47,7 +47,7 @@
 
 // A field of a job file is lost or converted wrongly, such as memory in GiB or a deadline
 // relative to the submission.
-func TestReadTemplate(t *testing.T) {
+func TestReadTemplateConvertsJobFile(t *testing.T) {
 	path := filepath.Join("..", "..", "..", "examples", "rackwise", "jobs", "bay-recalculation.toml")
 	arrival, err := readTemplate(path)
 	must.NoError(t, err)
--- a/internal/standin/command/jobs.go
+++ b/internal/standin/command/jobs.go
@@ -85,7 +85,7 @@
 	// The flag -token-file names a customer's token. The workers' token is read from the
 	// file that the settings name.
 	deployment.tokenFile = ""
-	fleet, err := c.newFleet(standin.WorkersConfig{Count: c.workerCount, Ledger: c.cfg.Ledger}, &deployment, &c.capacity)
+	fleet, err := c.newWorkers(standin.WorkersConfig{Count: c.workerCount, Ledger: c.cfg.Ledger}, &deployment, &c.capacity)
 	if err != nil {
 		return nil, err
 	}
@@ -93,7 +93,7 @@
 	done := make(chan error, 1)
 	go func() { done <- fleet.Run(fleetCtx) }()
 	for fleet.Ready() < c.workerCount && ctx.Err() == nil {
-		time.Sleep(readyPoll)
+		time.Sleep(readyPollInterval)
 	}
 	return func() {
 		c.leave(fleet)
@@ -102,8 +102,9 @@
 	}, nil
 }
 
-// readyPoll is the interval at which startWorkers checks whether all workers hold a lease.
-const readyPoll = 20 * time.Millisecond
+// readyPollInterval is the interval at which startWorkers checks whether all workers hold
+// a lease.
+const readyPollInterval = 20 * time.Millisecond
 
 func (c *jobs) printResults(results []standin.JobResult) {
 	for _, r := range results {
--- a/internal/standin/command/measure.go
+++ b/internal/standin/command/measure.go
@@ -44,11 +44,11 @@
 }
 
 func (c *measureCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	targets, err := c.targets(f.Args())
+	processes, err := c.selectedProcesses(f.Args())
 	if err != nil {
 		return c.usageError(err)
 	}
-	c.cfg.Processes = targets
+	c.cfg.Processes = processes
 	if c.counters != "" {
 		c.cfg.Counters = strings.Split(c.counters, ",")
 	}
@@ -72,35 +72,35 @@
 	return encoder.Encode(usages)
 }
 
-// targets returns the processes named by the arguments, NAME=PID[@ADMIN], and by the file
-// of the flag -processes.
-func (c *measureCommand) targets(args []string) ([]measure.Process, error) {
-	var targets []measure.Process
+// selectedProcesses returns the processes named by the arguments, NAME=PID[@ADMIN], and
+// by the file of the flag -processes.
+func (c *measureCommand) selectedProcesses(args []string) ([]measure.Process, error) {
+	var processes []measure.Process
 	for _, arg := range args {
 		name, pidAndAdmin, _ := strings.Cut(arg, "=")
 		pid, admin, _ := strings.Cut(pidAndAdmin, "@")
-		target, err := newTarget(name, pid, admin)
+		process, err := newProcess(name, pid, admin)
 		if err != nil {
 			return nil, err
 		}
-		targets = append(targets, target)
+		processes = append(processes, process)
 	}
 	if c.processes != "" {
 		listed, err := readProcesses(c.processes)
 		if err != nil {
 			return nil, err
 		}
-		targets = append(targets, listed...)
+		processes = append(processes, listed...)
 	}
-	if len(targets) == 0 {
+	if len(processes) == 0 {
 		return nil, errors.New("neither the arguments nor -processes name a process")
 	}
-	return targets, nil
+	return processes, nil
 }
 
-// newTarget returns a process to measure; admin is its admin address or empty. It fails
+// newProcess returns a process to measure; admin is its admin address or empty. It fails
 // unless pid is a positive number.
-func newTarget(name, pid, admin string) (measure.Process, error) {
+func newProcess(name, pid, admin string) (measure.Process, error) {
 	processID, err := strconv.Atoi(pid)
 	if err != nil || processID <= 0 {
 		return measure.Process{}, errors.Newf("process %q: %q isn't a process id", name, pid)
@@ -115,17 +115,17 @@
 	if err != nil {
 		return nil, err
 	}
-	var targets []measure.Process
+	var processes []measure.Process
 	for line := range strings.Lines(string(text)) {
 		fields := append(strings.Fields(line), "", "")
 		if fields[0] == "" {
 			continue
 		}
-		target, err := newTarget(fields[0], fields[1], strings.Trim(fields[2], "-"))
+		process, err := newProcess(fields[0], fields[1], strings.Trim(fields[2], "-"))
 		if err != nil {
 			return nil, err
 		}
-		targets = append(targets, target)
+		processes = append(processes, process)
 	}
-	return targets, nil
+	return processes, nil
 }
--- a/internal/standin/command/minions.go
+++ b/internal/standin/command/minions.go
@@ -36,7 +36,7 @@
 	f.IntVar(&c.cfg.MaxConnections, "max-connections", standin.DefaultMaxConnections, "limit of open connections of a minion")
 	f.StringVar(&c.cfg.Prefix, "prefix", "", "prefix of the minions' ids")
 	f.DurationVar(&c.cfg.Work, "work", 5*time.Millisecond, "service time of a request")
-	f.IntVar(&c.cfg.Faulty, "faulty", 0, "number of minions with the faults that other flags name")
+	f.IntVar(&c.cfg.FaultyCount, "faulty", 0, "number of minions with the faults that other flags name")
 	f.DurationVar(&c.cfg.Faults.Delay, "slow", 0, "fault: time added to each request")
 	f.BoolVar(&c.cfg.Faults.Hang, "hang", false, "fault: send no response")
 	f.BoolVar(&c.cfg.Faults.Fail, "fail", false, "fault: respond immediately with status 500")
@@ -45,7 +45,7 @@
 }
 
 func (c *minions) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	fleet, err := c.fleet()
+	fleet, err := c.newMinions()
 	if err != nil {
 		return c.usageError(err)
 	}
@@ -66,7 +66,7 @@
 	return c.exitStatus(fleet.Ledger(), err)
 }
 
-func (c *minions) fleet() (*standin.Minions, error) {
+func (c *minions) newMinions() (*standin.Minions, error) {
 	if c.cfg.Service == "" {
 		return nil, errNoService
 	}
--- a/internal/standin/command/workers.go
+++ b/internal/standin/command/workers.go
@@ -43,9 +43,9 @@
 	return &apiv1.Resources{CpuMilli: cpu, MemoryMib: memory, Accelerators: c.accelerators}, nil
 }
 
-// newFleet returns a fleet of workers with cfg, completed by the data centres, token and
+// newWorkers returns a fleet of workers with cfg, completed by the data centres, token and
 // capacity from the flags and the settings.
-func (b *base) newFleet(cfg standin.WorkersConfig, deployment *deploymentFlags, capacity *capacityFlags) (*standin.Workers, error) {
+func (b *base) newWorkers(cfg standin.WorkersConfig, deployment *deploymentFlags, capacity *capacityFlags) (*standin.Workers, error) {
 	dataCentres, s, err := deployment.load()
 	if err != nil {
 		return nil, err
@@ -95,7 +95,7 @@
 	f.Float64Var(&c.cfg.RuntimeLow, "runtime-low", 1, "smallest ratio of true to declared run time")
 	f.Float64Var(&c.cfg.RuntimeHigh, "runtime-high", 1, "largest ratio of true to declared run time")
 	f.Uint64Var(&c.cfg.Seed, "seed", 1, "seed of run times and faults")
-	f.IntVar(&c.cfg.Faulty, "faulty", 0, "number of workers with the faults that other flags name")
+	f.IntVar(&c.cfg.FaultyCount, "faulty", 0, "number of workers with the faults that other flags name")
 	f.BoolVar(&c.cfg.Faults.FailAll, "fail-all", false, "fault: fail every task")
 	f.Float64Var(&c.cfg.Faults.LoseResponses, "lose-answers", 0, "fault: share of responses that are lost")
 	f.BoolVar(&c.cfg.Faults.DuplicateReports, "double-reports", false, "fault: send each report twice")
@@ -106,7 +106,7 @@
 }
 
 func (c *workers) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	fleet, err := c.newFleet(c.cfg, &c.deployment, &c.capacity)
+	fleet, err := c.newWorkers(c.cfg, &c.deployment, &c.capacity)
 	if err != nil {
 		return c.usageError(err)
 	}
--- a/internal/standin/jobs.go
+++ b/internal/standin/jobs.go
@@ -148,15 +148,15 @@
 	Ended map[string]int `json:"ended"`
 	// OutcomeUnknown counts submissions whose outcome is unknown.
 	OutcomeUnknown int `json:"unanswered"`
-	// WaitP50, WaitP99 and WaitMax are the times from JobResult.Submitted to
+	// WaitP50Micros, WaitP99Micros and WaitMaxMicros are the times from JobResult.Submitted to
 	// JobResult.Started, in microseconds.
-	WaitP50 int64 `json:"wait_p50_us"`
-	WaitP99 int64 `json:"wait_p99_us"`
-	WaitMax int64 `json:"wait_max_us"`
-	// SubmitP50 and SubmitP99 are the times from the first send of a submission to the
-	// response that accepted or refused the job, in microseconds.
-	SubmitP50 int64 `json:"submit_p50_us"`
-	SubmitP99 int64 `json:"submit_p99_us"`
+	WaitP50Micros int64 `json:"wait_p50_us"`
+	WaitP99Micros int64 `json:"wait_p99_us"`
+	WaitMaxMicros int64 `json:"wait_max_us"`
+	// SubmitP50Micros and SubmitP99Micros are the times from the first send of a
+	// submission to the response that accepted or refused the job, in microseconds.
+	SubmitP50Micros int64 `json:"submit_p50_us"`
+	SubmitP99Micros int64 `json:"submit_p99_us"`
 }
 
 // Jobs is a submitter of jobs.
@@ -292,11 +292,11 @@
 			recordDuration(calls, r.Decided.Sub(r.Submitted))
 		}
 	}
-	report.WaitP50 = waits.ValueAtQuantile(50)
-	report.WaitP99 = waits.ValueAtQuantile(99)
-	report.WaitMax = waits.Max()
-	report.SubmitP50 = calls.ValueAtQuantile(50)
-	report.SubmitP99 = calls.ValueAtQuantile(99)
+	report.WaitP50Micros = waits.ValueAtQuantile(50)
+	report.WaitP99Micros = waits.ValueAtQuantile(99)
+	report.WaitMaxMicros = waits.Max()
+	report.SubmitP50Micros = calls.ValueAtQuantile(50)
+	report.SubmitP99Micros = calls.ValueAtQuantile(99)
 	return report
 }
 
--- a/internal/standin/ledger_test.go
+++ b/internal/standin/ledger_test.go
@@ -12,7 +12,7 @@
 // A run that overlaps a period only in part, or not at all, counts in the mean usage of
 // the period as if it filled the period. Here two runs overlap half of the period each,
 // and one ends before it.
-func TestLedgerMeanUsage(t *testing.T) {
+func TestMeanUsageWeighsRunsByOverlap(t *testing.T) {
 	ledger := NewLedger()
 	from := time.Unix(1000, 0)
 	need := &apiv1.Resources{CpuMilli: 1000, MemoryMib: 100}
--- a/internal/standin/minion.go
+++ b/internal/standin/minion.go
@@ -73,7 +73,7 @@
 		inFlight:      make(map[*request]struct{}),
 		connections:   make(map[net.Conn]struct{}),
 	}
-	if index < cfg.Faulty {
+	if index < cfg.FaultyCount {
 		m.faults = cfg.Faults
 	}
 	m.gateways = newClients(dataCentre.Entries, func(url string) apiv1.MinionGateway {
@@ -168,10 +168,11 @@
 	}
 }
 
-// announceLoop announces the minion at the interval cfg.Announce until the context ends.
+// announceLoop announces the minion at the interval cfg.AnnounceInterval until the
+// context ends.
 func (m *Minion) announceLoop(ctx context.Context) {
 	defer m.httpClient.CloseIdleConnections()
-	ticker := time.NewTicker(m.cfg.Announce)
+	ticker := time.NewTicker(m.cfg.AnnounceInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		if m.announcing() {
--- a/internal/standin/minions.go
+++ b/internal/standin/minions.go
@@ -14,10 +14,10 @@
 
 // Defaults of MinionsConfig.
 const (
-	DefaultSlots          = 8  // requests in flight at one minion
-	DefaultMaxConnections = 60 // open connections of one minion
-	DefaultAnnounce       = time.Second
-	DefaultLeaveGrace     = 3 * time.Second
+	DefaultSlots            = 8  // requests in flight at one minion
+	DefaultMaxConnections   = 60 // open connections of one minion
+	DefaultAnnounceInterval = time.Second
+	DefaultLeaveGrace       = 3 * time.Second
 )
 
 // MinionFaults are the faults that a minion injects. The zero value injects none.
@@ -51,17 +51,17 @@
 	// Prefix is the start of each minion's id; the data centre, the service and a
 	// number follow it.
 	Prefix string
-	// Announce is the interval of announcements; 0 means DefaultAnnounce.
-	Announce time.Duration
+	// AnnounceInterval is the interval of announcements; 0 means DefaultAnnounceInterval.
+	AnnounceInterval time.Duration
 	// LeaveGrace is how long after its Leave a minion may still receive new requests; 0
 	// means DefaultLeaveGrace. Later requests are violations.
 	LeaveGrace time.Duration
 	// Work is the service time of requests that specify no service time.
 	Work time.Duration
-	// Faults are the faults that the first Faulty minions inject from the start.
+	// Faults are the faults that the first FaultyCount minions inject from the start.
 	Faults MinionFaults
-	// Faulty is the number of minions that inject Faults.
-	Faulty int
+	// FaultyCount is the number of minions that inject Faults.
+	FaultyCount int
 	// Listen opens the listener of a minion; nil means a free port of 127.0.0.1.
 	Listen func() (net.Listener, error)
 	// Dial opens connections; nil means TCP.
@@ -96,8 +96,8 @@
 	if cfg.MaxConnections == 0 {
 		cfg.MaxConnections = DefaultMaxConnections
 	}
-	if cfg.Announce == 0 {
-		cfg.Announce = DefaultAnnounce
+	if cfg.AnnounceInterval == 0 {
+		cfg.AnnounceInterval = DefaultAnnounceInterval
 	}
 	if cfg.LeaveGrace == 0 {
 		cfg.LeaveGrace = DefaultLeaveGrace
--- a/internal/standin/reports.go
+++ b/internal/standin/reports.go
@@ -146,8 +146,8 @@
 // reportOnce sends one batch and reports whether all of it was acknowledged. Only one
 // batch is in flight at a time, since concurrent batches would carry the same reports.
 func (s *session) reportOnce(ctx context.Context) bool {
-	s.reporting.Lock()
-	defer s.reporting.Unlock()
+	s.reportMu.Lock()
+	defer s.reportMu.Unlock()
 	batch := s.reports.batch()
 	if len(batch) == 0 {
 		return true
--- a/internal/standin/requests_test.go
+++ b/internal/standin/requests_test.go
@@ -13,26 +13,26 @@
 	apiv1 "github.com/bilberryferry/bilberryferry/api/v1"
 )
 
-// fakeGateway is an entry instance that counts the announcements and leave messages of
+// fakeMinionGateway is an entry instance that counts the announcements and leave messages of
 // minions.
-type fakeGateway struct {
+type fakeMinionGateway struct {
 	mu            sync.Mutex
 	announcements map[string]int
 	leftMinions   map[string]int
 }
 
-func newFakeGateway() *fakeGateway {
-	return &fakeGateway{announcements: make(map[string]int), leftMinions: make(map[string]int)}
+func newFakeMinionGateway() *fakeMinionGateway {
+	return &fakeMinionGateway{announcements: make(map[string]int), leftMinions: make(map[string]int)}
 }
 
-func (f *fakeGateway) Announce(_ context.Context, r *apiv1.AnnounceRequest) (*apiv1.AnnounceResponse, error) {
+func (f *fakeMinionGateway) Announce(_ context.Context, r *apiv1.AnnounceRequest) (*apiv1.AnnounceResponse, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.announcements[r.Minion]++
 	return &apiv1.AnnounceResponse{TtlMs: 2500}, nil
 }
 
-func (f *fakeGateway) LeaveMinion(_ context.Context, r *apiv1.LeaveMinionRequest) (*apiv1.LeaveResponse, error) {
+func (f *fakeMinionGateway) LeaveMinion(_ context.Context, r *apiv1.LeaveMinionRequest) (*apiv1.LeaveResponse, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.leftMinions[r.Minion]++
@@ -41,9 +41,9 @@
 
 // startMinions runs a fleet of minions with two entry addresses and waits until an
 // announcement of each minion is accepted.
-func startMinions(t *testing.T, cfg MinionsConfig) (*Minions, *fakeGateway) {
+func startMinions(t *testing.T, cfg MinionsConfig) (*Minions, *fakeMinionGateway) {
 	t.Helper()
-	gateway := newFakeGateway()
+	gateway := newFakeMinionGateway()
 	handler := apiv1.NewMinionGatewayServer(gateway)
 	cfg.DataCentres = []DataCentre{{Name: "hall", Entries: []string{serve(t, handler), serve(t, handler)}}}
 	cfg.Service = "hub"
@@ -86,7 +86,7 @@
 // A connection that breaks within a response must count as broken, not as a wrong
 // response.
 func TestMinionFaultsReachCallers(t *testing.T) {
-	fleet, _ := startMinions(t, MinionsConfig{Count: 1, Slots: 100, Faulty: 1, Faults: MinionFaults{Fail: true}})
+	fleet, _ := startMinions(t, MinionsConfig{Count: 1, Slots: 100, FaultyCount: 1, Faults: MinionFaults{Fail: true}})
 	minion := fleet.All()[0]
 	const (
 		calls        = 5
--- a/internal/standin/response.go
+++ b/internal/standin/response.go
@@ -21,15 +21,15 @@
 	paramNonIdempotent = "once"
 )
 
-// maxFillerSize bounds the filler in a response, in bytes (16 MiB).
-const maxFillerSize = 16 << 20
+// maxFillerBytes bounds the filler in a response, in bytes (16 MiB).
+const maxFillerBytes = 16 << 20
 
 // newResponseBody returns the body of the response to a request with the given nonce
 // and body: a line with the nonce, the checksum of the request's body and the length
 // and checksum of the filler, followed by size bytes of filler derived from the nonce.
-// A size outside 0 to maxFillerSize is limited to that range.
+// A size outside 0 to maxFillerBytes is limited to that range.
 func newResponseBody(nonce string, body []byte, size int) []byte {
-	filler := newFiller(nonce, min(max(size, 0), maxFillerSize))
+	filler := newFiller(nonce, min(max(size, 0), maxFillerBytes))
 	head := fmt.Sprintf("%s %016x %d %016x\n", strconv.Quote(nonce), xxhash.Sum64(body), len(filler), xxhash.Sum64(filler))
 	return append([]byte(head), filler...)
 }
@@ -47,7 +47,7 @@
 
 // newFiller returns size pseudorandom bytes that depend only on the nonce.
 func newFiller(nonce string, size int) []byte {
-	filler := make([]byte, 0, size+xxhashLength)
+	filler := make([]byte, 0, size+xxhashBytes)
 	for block := uint64(0); len(filler) < size; block++ {
 		h := xxhash.NewWithSeed(block)
 		_, _ = h.WriteString(nonce)
@@ -56,5 +56,5 @@
 	return filler[:size]
 }
 
-// xxhashLength is the length of one xxhash checksum, in bytes.
-const xxhashLength = 8
+// xxhashBytes is the length of one xxhash checksum, in bytes.
+const xxhashBytes = 8
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -47,8 +47,8 @@
 	// leaseEnded is closed when the lease expires or its owner ends it.
 	leaseEnded chan struct{}
 	reports    *outbox
-	// reporting is held while a batch of reports is in flight.
-	reporting sync.Mutex
+	// reportMu is held while a batch of reports is in flight.
+	reportMu sync.Mutex
 	// predecessor is the predecessor incarnation in the same process, or nil once its
 	// reports are acknowledged or maxPredecessorReportTries is reached. Only the
 	// goroutine of renewLoop uses predecessor and predecessorReportTries.
@@ -63,8 +63,8 @@
 	ttl time.Duration
 	// sequence is the number of the last renewal sent.
 	sequence uint64
-	// announce is set when the next renewal must carry an announcement.
-	announce bool
+	// mustAnnounce is set when the next renewal must carry an announcement.
+	mustAnnounce bool
 	// lastRenewalFailed is set when the last renewal got no response.
 	lastRenewalFailed bool
 	running           map[lease.Attempt]*run
@@ -76,16 +76,16 @@
 
 func newSession(w *Worker, incarnation uint64, capacity *apiv1.Resources) *session {
 	s := &session{
-		worker:      w,
-		incarnation: incarnation,
-		capacity:    capacity,
-		logger:      log.With(w.logger, "incarnation", incarnation),
-		clockStart:  time.Now(),
-		leaseEnded:  make(chan struct{}),
-		reports:     newOutbox(),
-		guard:       lease.NewGuard(incarnation),
-		announce:    true,
-		running:     make(map[lease.Attempt]*run),
+		worker:       w,
+		incarnation:  incarnation,
+		capacity:     capacity,
+		logger:       log.With(w.logger, "incarnation", incarnation),
+		clockStart:   time.Now(),
+		leaseEnded:   make(chan struct{}),
+		reports:      newOutbox(),
+		guard:        lease.NewGuard(incarnation),
+		mustAnnounce: true,
+		running:      make(map[lease.Attempt]*run),
 	}
 	s.leaseTimer = time.AfterFunc(stoppedTimerDelay, s.checkLease)
 	s.leaseTimer.Stop()
@@ -210,8 +210,8 @@
 		Term:        position.Term,
 		CommandAck:  position.Number,
 	}
-	hold := s.hold()
-	if s.announce {
+	hold := s.holdDuration()
+	if s.mustAnnounce {
 		request.Announcement = s.announcement()
 	}
 	request.HoldMs = hold.Milliseconds()
@@ -219,17 +219,17 @@
 	return request, hold + s.callSlack(hold)
 }
 
-// hold returns how long the entry instance may delay the response to the next renewal to
-// wait for commands: a third of the last lease at most.
+// holdDuration returns how long the entry instance may delay the response to the next
+// renewal to wait for commands: a third of the last lease at most.
 //
 // The bound keeps a healthy worker from losing its lease and its tasks. A lease counts
 // from the send of its renewal. If two successive renewals were held for half of the
 // lease each, the lease granted by the first would expire before the response to the
 // second. With a third each, a third of the lease is left when that response is due.
 // s.mu must be held.
-func (s *session) hold() time.Duration {
+func (s *session) holdDuration() time.Duration {
 	switch {
-	case s.announce || s.lastRenewalFailed:
+	case s.mustAnnounce || s.lastRenewalFailed:
 		// The response grants the first lease, or it may be the last response before the
 		// lease expires, so it must not be delayed.
 		return 0
@@ -277,7 +277,7 @@
 		s.endLease("the owner says that the lease has ended")
 		return
 	}
-	s.announce = response.Announce
+	s.mustAnnounce = response.Announce
 	if response.LeaseMs > 0 {
 		s.recordGrant(sequence, time.Duration(response.LeaseMs)*time.Millisecond)
 	}
--- a/internal/standin/submit.go
+++ b/internal/standin/submit.go
@@ -17,9 +17,9 @@
 const (
 	// submitTimeout bounds one try of a Home, Submit or Cancel call.
 	submitTimeout = 5 * time.Second
-	// watchWait is how long a Watch may wait for a change of the job.
-	watchWait = 10 * time.Second
-	// watchSlack is how long after watchWait the response to a Watch may still arrive.
+	// watchPollDuration is how long a Watch may wait for a change of the job.
+	watchPollDuration = 10 * time.Second
+	// watchSlack is how long after watchPollDuration the response to a Watch may still arrive.
 	watchSlack = 2 * time.Second
 )
 
@@ -108,8 +108,8 @@
 	revision := uint64(0)
 	for ctx.Err() == nil {
 		var response *apiv1.StatusResponse
-		request := &apiv1.WatchRequest{Id: id, AfterRevision: revision, WaitMs: watchWait.Milliseconds()}
-		err := j.callWithRetry(ctx, customer, i, watchWait+watchSlack, func(ctx context.Context, s apiv1.Scheduler) (err error) {
+		request := &apiv1.WatchRequest{Id: id, AfterRevision: revision, WaitMs: watchPollDuration.Milliseconds()}
+		err := j.callWithRetry(ctx, customer, i, watchPollDuration+watchSlack, func(ctx context.Context, s apiv1.Scheduler) (err error) {
 			response, err = s.Watch(ctx, request)
 			return err
 		})
--- a/internal/standin/tasks.go
+++ b/internal/standin/tasks.go
@@ -127,7 +127,7 @@
 func (s *session) scheduleEnd(r *run) {
 	cfg := s.worker.cfg
 	if s.worker.currentFaults().FailAll {
-		r.timer = time.AfterFunc(0, func() { s.finish(r, apiv1.Outcome_OUTCOME_FAILED, "injected fault: every task fails") })
+		r.timer = time.AfterFunc(0, func() { s.finishRun(r, apiv1.Outcome_OUTCOME_FAILED, "injected fault: every task fails") })
 		return
 	}
 	runtime := r.payload.runtime(r.start, cfg.Seed, cfg.RuntimeLow, cfg.RuntimeHigh)
@@ -142,7 +142,7 @@
 	if r.payload.Fail {
 		outcome, detail = apiv1.Outcome_OUTCOME_FAILED, "the payload makes the task fail"
 	}
-	r.timer = time.AfterFunc(runtime, func() { s.finish(r, outcome, detail) })
+	r.timer = time.AfterFunc(runtime, func() { s.finishRun(r, outcome, detail) })
 }
 
 // adjustUsed adds the demand of a run to the used resources if sign is 1, and subtracts
@@ -153,8 +153,8 @@
 	s.used.Accelerators += sign * demand.GetAccelerators()
 }
 
-// finish ends a run with the given outcome and detail when its timer fires.
-func (s *session) finish(r *run, outcome apiv1.Outcome, detail string) {
+// finishRun ends a run with the given outcome and detail when its timer fires.
+func (s *session) finishRun(r *run, outcome apiv1.Outcome, detail string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	// After the lease has expired, the owner may have started the task on another
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -69,7 +69,7 @@
 		restart:    make(chan struct{}, 1),
 	}
 	close(w.resumed)
-	if index < cfg.Faulty {
+	if index < cfg.FaultyCount {
 		w.faults = cfg.Faults
 	}
 	gateways := newClients(dataCentre.Entries, func(url string) apiv1.WorkerGateway {
--- a/internal/standin/workers.go
+++ b/internal/standin/workers.go
@@ -41,10 +41,10 @@
 	RuntimeLow, RuntimeHigh float64
 	// Seed makes run times, backoffs and faults repeatable.
 	Seed uint64
-	// Faults are the faults that the first Faulty workers inject from the start.
+	// Faults are the faults that the first FaultyCount workers inject from the start.
 	Faults WorkerFaults
-	// Faulty is the number of workers that inject Faults.
-	Faulty int
+	// FaultyCount is the number of workers that inject Faults.
+	FaultyCount int
 	// Dial opens connections; nil means TCP.
 	Dial rpc.Dial
 	// Ledger records and checks the runs; nil means a new one.
--- a/internal/standin/workers_test.go
+++ b/internal/standin/workers_test.go
@@ -31,7 +31,7 @@
 		RenewHold:   100 * time.Millisecond,
 		Seed:        1,
 		Faults:      faults,
-		Faulty:      count,
+		FaultyCount: count,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -63,7 +63,7 @@
 // arrives before its start must be reported as not started, and the later start must
 // neither run nor cause a second report. Reports are blocked until the start has been
 // processed, because an owner issues no start of an attempt whose end it has acknowledged.
-func TestWorkerHandlesStopCommands(t *testing.T) {
+func TestStopCommandEndsRunOrPreventsStart(t *testing.T) {
 	owner := newFakeOwner(time.Second)
 	fleet := startWorkers(t, 1, WorkerFaults{}, owner)
 	owner.queueStart(testWorker, "service", 1, "")
@@ -183,7 +183,7 @@
 		Count:       1,
 		Capacity:    &apiv1.Resources{CpuMilli: 1000, MemoryMib: 64},
 		Faults:      WorkerFaults{FailAll: true},
-		Faulty:      1,
+		FaultyCount: 1,
 	})
 	done := make(chan error, 1)
 	go func() { done <- fleet.Run(t.Context()) }()
