--- a/cmd/bilberry/main.go
+++ b/cmd/bilberry/main.go
@@ -16,7 +16,7 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	app := cli.New()
-	app.Extra = extraCommands()
+	app.ExtraCommands = extraCommands()
 	code := app.Run(ctx, os.Args[1:])
 	stop()
 	os.Exit(code)
--- a/internal/cell/leader_term.go
+++ b/internal/cell/leader_term.go
@@ -197,7 +197,7 @@
 		for id := range changes.ChangedJobs {
 			t.syncQueue(s, id)
 		}
-		if changes.Quota {
+		if changes.QuotaChanged {
 			t.syncQuota(s)
 		}
 	})
--- a/internal/cell/machine.go
+++ b/internal/cell/machine.go
@@ -69,7 +69,7 @@
 	into.Stops = append(into.Stops, c.Stops...)
 	into.Samples = append(into.Samples, c.Samples...)
 	into.AttemptResults = append(into.AttemptResults, c.AttemptResults...)
-	into.Quota = into.Quota || c.Quota
+	into.QuotaChanged = into.QuotaChanged || c.QuotaChanged
 	for id := range c.ChangedJobs {
 		into.ChangedJobs[id] = struct{}{}
 	}
--- a/internal/cli/app.go
+++ b/internal/cli/app.go
@@ -33,8 +33,8 @@
 	// IsTerminal is true when Stdout is a terminal. It enables colours and progress
 	// that is updated in place.
 	IsTerminal bool
-	// Extra holds commands of other packages.
-	Extra []subcommands.Command
+	// ExtraCommands holds commands of other packages.
+	ExtraCommands []subcommands.Command
 }
 
 // New returns an App that uses the process's standard streams and environment.
@@ -147,7 +147,7 @@
 	for _, c := range builtinCommands() {
 		commands = append(commands, c)
 	}
-	commands = append(commands, a.Extra...)
+	commands = append(commands, a.ExtraCommands...)
 	slices.SortFunc(commands, func(x, y subcommands.Command) int {
 		if x.Name() < y.Name() {
 			return -1
--- a/internal/control/machines.go
+++ b/internal/control/machines.go
@@ -131,7 +131,7 @@
 	unreadable := 0
 	for page := ""; ; {
 		t.c.cfg.Counters.Add("machine_lists", 1)
-		response, err := t.c.cfg.Machines.List(ctx, page)
+		response, err := t.c.cfg.Machines.ListMachines(ctx, page)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/control/maintenance.go
+++ b/internal/control/maintenance.go
@@ -178,7 +178,7 @@
 		return
 	}
 	err := t.callMachine(m.ID, func(ctx context.Context, order MachineOrder) error {
-		return t.c.cfg.Machines.Maintenance(ctx, order, wave)
+		return t.c.cfg.Machines.StartMaintenance(ctx, order, wave)
 	})
 	t.logger.Log("event", "maintenance", "wave", wave, "machine", m.ID, "worker", m.Worker, "outcome", "ordered",
 		"list_age_ms", listAge.Milliseconds(), "err", err)
--- a/internal/control/maintenance_test.go
+++ b/internal/control/maintenance_test.go
@@ -47,7 +47,7 @@
 }
 
 // List returns one machine per page.
-func (f *fakeMachines) List(_ context.Context, page string) (MachinePage, error) {
+func (f *fakeMachines) ListMachines(_ context.Context, page string) (MachinePage, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var ids []string
@@ -63,7 +63,7 @@
 	return response, nil
 }
 
-func (f *fakeMachines) Maintenance(_ context.Context, order MachineOrder, _ int64) error {
+func (f *fakeMachines) StartMaintenance(_ context.Context, order MachineOrder, _ int64) error {
 	f.beginCall(order.Machine)
 	defer f.endCall(order.Machine)
 	f.mu.Lock()
--- a/internal/control/ports.go
+++ b/internal/control/ports.go
@@ -191,10 +191,10 @@
 // repeating an order that was carried out succeeds. After an error other than a
 // RefusedError it is unknown whether they are carried out.
 type Machines interface {
-	// List returns one page of the list, the first one if page is empty.
-	List(ctx context.Context, page string) (MachinePage, error)
+	// ListMachines returns one page of the list, the first one if page is empty.
+	ListMachines(ctx context.Context, page string) (MachinePage, error)
 	// Maintenance takes a machine down for its maintenance in a wave.
-	Maintenance(ctx context.Context, order MachineOrder, wave int64) error
+	StartMaintenance(ctx context.Context, order MachineOrder, wave int64) error
 	// Move assigns a machine to another pool.
 	Move(ctx context.Context, order MachineOrder, pool string) error
 }
--- a/internal/proxy/slots.go
+++ b/internal/proxy/slots.go
@@ -111,7 +111,7 @@
 func (h *Handler) NextSlotRequest() *apiv1.ShareSlotsRequest {
 	var req routing.SlotRequest
 	h.withBalancer(func(b *routing.Balancer, now time.Duration) { req = b.NextSlotRequest(now) })
-	return RequestToWire(req)
+	return SlotRequestToWire(req)
 }
 
 // HandleSlotResponse applies the response to a slot request. It returns whether a
@@ -119,7 +119,7 @@
 func (h *Handler) HandleSlotResponse(resp *apiv1.ShareSlotsResponse) (followUp, grew bool) {
 	h.withBalancer(func(b *routing.Balancer, now time.Duration) {
 		slotsBefore := b.GrantedSlots()
-		followUp = b.HandleSlotResponse(ResponseFromWire(resp), now)
+		followUp = b.HandleSlotResponse(SlotResponseFromWire(resp), now)
 		grew = b.GrantedSlots() > slotsBefore
 	})
 	return followUp, grew
@@ -179,11 +179,11 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	resp, err := a.allocator.Allocate(RequestFromWire(req), a.now())
+	resp, err := a.allocator.Allocate(SlotRequestFromWire(req), a.now())
 	if err != nil {
 		return nil, fault.New(fault.Unavailable, "%v", err)
 	}
-	return ResponseToWire(resp), nil
+	return SlotResponseToWire(resp), nil
 }
 
 // Minions returns the announcements of the minions that may get requests.
--- a/internal/proxy/wire.go
+++ b/internal/proxy/wire.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// RequestToWire converts a slot request to its message.
-func RequestToWire(r routing.SlotRequest) *apiv1.ShareSlotsRequest {
+// SlotRequestToWire converts a slot request to its message.
+func SlotRequestToWire(r routing.SlotRequest) *apiv1.ShareSlotsRequest {
 	w := &apiv1.ShareSlotsRequest{
 		Entry:       r.Entry,
 		Incarnation: r.Incarnation,
@@ -65,8 +65,8 @@
 	return w
 }
 
-// RequestFromWire converts a slot request from its message.
-func RequestFromWire(w *apiv1.ShareSlotsRequest) routing.SlotRequest {
+// SlotRequestFromWire converts a slot request from its message.
+func SlotRequestFromWire(w *apiv1.ShareSlotsRequest) routing.SlotRequest {
 	r := routing.SlotRequest{
 		Entry:       w.GetEntry(),
 		Incarnation: w.GetIncarnation(),
@@ -102,10 +102,10 @@
 // nonNegative returns n, or 0 if n is negative.
 func nonNegative(n int32) int { return int(max(0, n)) }
 
-// ResponseToWire converts the response to a slot request to its message.
-func ResponseToWire(r routing.SlotResponse) *apiv1.ShareSlotsResponse {
+// SlotResponseToWire converts the response to a slot request to its message.
+func SlotResponseToWire(r routing.SlotResponse) *apiv1.ShareSlotsResponse {
 	w := &apiv1.ShareSlotsResponse{
-		LeaseMs:  r.Lease.Milliseconds(),
+		LeaseMs:  r.TTL.Milliseconds(),
 		Term:     r.Term,
 		Sequence: r.Sequence,
 		Base:     r.Base,
@@ -134,12 +134,12 @@
 	return w
 }
 
-// ResponseFromWire converts the response to a slot request from its message.
-func ResponseFromWire(w *apiv1.ShareSlotsResponse) routing.SlotResponse {
+// SlotResponseFromWire converts the response to a slot request from its message.
+func SlotResponseFromWire(w *apiv1.ShareSlotsResponse) routing.SlotResponse {
 	r := routing.SlotResponse{
 		Term:     w.GetTerm(),
 		Sequence: w.GetSequence(),
-		Lease:    time.Duration(w.GetLeaseMs()) * time.Millisecond,
+		TTL:      time.Duration(w.GetLeaseMs()) * time.Millisecond,
 		Base:     w.GetBase(),
 		Resync:   w.GetResync(),
 	}
--- a/internal/state/change.go
+++ b/internal/state/change.go
@@ -317,7 +317,7 @@
 	}
 	s.Config = *c
 	s.recordEvent("configuration adopted", fmt.Sprintf("version %d", c.ConfigVersion), fmt.Sprintf("config.%d", c.ConfigVersion))
-	s.changes.Quota = true
+	s.changes.QuotaChanged = true
 	if len(c.Quota.InitialOwners) == 0 {
 		return Result{}
 	}
@@ -329,7 +329,7 @@
 
 // applyQuota applies one step of a quota transfer.
 func (s *State) applyQuota(c *Quota) Result {
-	s.changes.Quota = true
+	s.changes.QuotaChanged = true
 	switch {
 	case c.Debit != nil:
 		transfer, err := s.ledger.Debit(*c.Debit, s.Used)
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -106,8 +106,8 @@
 	// AttemptResults are the attempts that finished or failed on their workers.
 	AttemptResults []AttemptResult
 	Events         []Event
-	// Quota is set if allotments may have changed.
-	Quota bool
+	// QuotaChanged is set if allotments may have changed.
+	QuotaChanged bool
 }
 
 // Unplaced is a task that no longer occupies its worker.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -204,8 +204,8 @@
 // its entry instances must use the same ones.
 func LeaseOptions(t settings.Timing) routing.LeaseOptions {
 	options := routing.DefaultLeaseOptions()
-	options.Lease = time.Duration(t.SlotLease)
-	options.MaxRequest = time.Duration(t.MaxRequest)
+	options.TTL = time.Duration(t.SlotLease)
+	options.MaxRequestDuration = time.Duration(t.MaxRequest)
 	options.Drift = time.Duration(t.Drift)
 	options.MinionTTL = time.Duration(t.MinionTTL)
 	return options
--- a/routing/allocate.go
+++ b/routing/allocate.go
@@ -91,7 +91,7 @@
 // live reports whether the entry instance has claimed its slots, isn't draining
 // and has sent a request within the lease time.
 func (a *Allocator) live(e *entryRecord, now time.Duration) bool {
-	return e.claimed && !e.draining && now-e.lastRequestAt < a.opts.Lease
+	return e.claimed && !e.draining && now-e.lastRequestAt < a.opts.TTL
 }
 
 // unmetMinimum returns by how many slots the other entry instances fall short of their
@@ -247,7 +247,7 @@
 	if req.Full {
 		known = false
 	}
-	resp := SlotResponse{Term: a.term, Sequence: req.Sequence, Lease: a.opts.Lease}
+	resp := SlotResponse{Term: a.term, Sequence: req.Sequence, TTL: a.opts.TTL}
 	if known {
 		resp.Base = e.adopted
 	}
--- a/routing/allocator.go
+++ b/routing/allocator.go
@@ -110,7 +110,7 @@
 	a.reset()
 	a.leading = true
 	a.term = term
-	a.reservedUntil = now + a.opts.Lease + a.opts.MaxRequest + a.opts.Drift
+	a.reservedUntil = now + a.opts.TTL + a.opts.MaxRequestDuration + a.opts.Drift
 	for _, entry := range entries {
 		a.unclaimed[entry] = true
 	}
@@ -292,7 +292,7 @@
 		a.applyClaims(e, req, inFlight, now)
 	}
 	e.inFlight = inFlight
-	e.inFlightUntil = now + a.opts.MaxRequest + a.opts.Drift
+	e.inFlightUntil = now + a.opts.MaxRequestDuration + a.opts.Drift
 	e.demand = make(map[string]int, len(req.Demands))
 	for _, demand := range req.Demands {
 		e.demand[demand.Service] = demand.Wanted
@@ -335,8 +335,8 @@
 
 // newGrantSet returns the record of the grants of a response sent at now.
 func (a *Allocator) newGrantSet(sequence uint64, slots map[uint32]int, now time.Duration) grantSet {
-	ends := now + a.opts.Lease + a.opts.Drift
-	return grantSet{sequence: sequence, slots: slots, freeAt: ends + a.opts.MaxRequest}
+	ends := now + a.opts.TTL + a.opts.Drift
+	return grantSet{sequence: sequence, slots: slots, freeAt: ends + a.opts.MaxRequestDuration}
 }
 
 // expire updates all state that depends on the time: it releases occupied and reserved
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -27,10 +27,10 @@
 }
 
 // holdSlot keeps the slot of an attempt that may still run as a lingering slot. It
-// never holds the slot for longer than MaxRequest after the start, because the
+// never holds the slot for longer than MaxRequestDuration after the start, because the
 // Allocator assumes that every request has ended by that time.
 func (b *Balancer) holdSlot(s *service, m *minion, t *Ticket, now time.Duration) {
-	until := t.startedAt + min(lingerFactor*s.serviceTimes.tail, b.opts.Lease.MaxRequest)
+	until := t.startedAt + min(lingerFactor*s.serviceTimes.tail, b.opts.Lease.MaxRequestDuration)
 	if until > now {
 		m.lingeringUntil = append(m.lingeringUntil, until)
 	}
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -65,7 +65,7 @@
 	b.lastTicketNumber++
 	b.counts.Submitted++
 	t := &Ticket{Request: r, number: b.lastTicketNumber}
-	t.Deadline = min(t.Deadline, now+b.opts.Lease.MaxRequest)
+	t.Deadline = min(t.Deadline, now+b.opts.Lease.MaxRequestDuration)
 	s, ok := b.services[r.Service]
 	if b.draining {
 		b.refuse(nil, t, Draining, now)
--- a/routing/load_test.go
+++ b/routing/load_test.go
@@ -255,7 +255,7 @@
 		return
 	}
 	if r.measured() {
-		r.bytes += callOverheadBytes + proto.Size(proxy.RequestToWire(req)) + callOverheadBytes + proto.Size(proxy.ResponseToWire(resp))
+		r.bytes += callOverheadBytes + proto.Size(proxy.SlotRequestToWire(req)) + callOverheadBytes + proto.Size(proxy.SlotResponseToWire(resp))
 		r.calls++
 	}
 	r.schedule(r.now+oneWayDelay, func() { r.handleSlotResponse(e, b, resp) })
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -116,7 +116,7 @@
 		return otherBalancer.GrantedSlots()
 	}
 	must.Eq(t, 0, requestSlots())
-	f.advance(f.allocator.opts.Lease + f.allocator.opts.MaxRequest + f.allocator.opts.Drift - 1)
+	f.advance(f.allocator.opts.TTL + f.allocator.opts.MaxRequestDuration + f.allocator.opts.Drift - 1)
 	must.Eq(t, 0, requestSlots())
 	f.advance(1)
 	must.Positive(t, requestSlots())
@@ -311,7 +311,7 @@
 	assertIgnored := func(change func(*SlotResponse)) {
 		t.Helper()
 		adopted := f.balancer.lease.adopted
-		resp := SlotResponse{Term: 1, Sequence: f.balancer.NextSlotRequest(f.now).Sequence, Lease: time.Second}
+		resp := SlotResponse{Term: 1, Sequence: f.balancer.NextSlotRequest(f.now).Sequence, TTL: time.Second}
 		change(&resp)
 		must.False(t, f.balancer.HandleSlotResponse(resp, f.now))
 		must.Eq(t, adopted, f.balancer.lease.adopted)
@@ -329,7 +329,7 @@
 	f := newFixture(1, 8)
 	resp, err := f.allocator.Allocate(f.balancer.NextSlotRequest(f.now), f.now)
 	must.NoError(t, err)
-	f.now += resp.Lease
+	f.now += resp.TTL
 	f.balancer.Announce(f.allocator.Minions()[0], f.now)
 	f.balancer.HandleSlotResponse(resp, f.now)
 	must.Eq(t, Queued, f.submit(time.Second).State())
--- a/routing/slot_lease.go
+++ b/routing/slot_lease.go
@@ -172,7 +172,7 @@
 
 // addMinions adds announcements, claims and requests in flight to the request.
 func (b *Balancer) addMinions(req *SlotRequest, now time.Duration) {
-	claimable := now < b.lease.expiresAt+b.opts.Lease.MaxRequest-b.opts.Lease.Lease
+	claimable := now < b.lease.expiresAt+b.opts.Lease.MaxRequestDuration-b.opts.Lease.TTL
 	for _, name := range slices.Sorted(maps.Keys(b.minions)) {
 		m := b.minions[name]
 		b.addAnnouncement(req, m)
@@ -318,7 +318,7 @@
 		}
 	}
 	l.adopted = resp.Sequence
-	l.expiresAt = sent + resp.Lease
+	l.expiresAt = sent + resp.TTL
 	l.fullRequestNeeded = false
 	l.everAdopted = true
 	b.deleteGoneMinions(now)
--- a/routing/types.go
+++ b/routing/types.go
@@ -102,9 +102,9 @@
 	Term uint64
 	// Sequence is the sequence of the request.
 	Sequence uint64
-	// Lease is the duration of the lease, counted from when the entry instance
+	// TTL is the duration of the lease, counted from when the entry instance
 	// sent the request.
-	Lease time.Duration
+	TTL time.Duration
 	// Base is the sequence of the response that Grants modifies. 0 means that
 	// Grants is complete.
 	Base uint64
@@ -118,13 +118,13 @@
 // LeaseOptions has the durations that must be equal for an Allocator and its
 // Balancers.
 type LeaseOptions struct {
-	// Lease is how long granted slots may be used, counted from when the slot
+	// TTL is how long granted slots may be used, counted from when the slot
 	// request was sent.
-	Lease time.Duration
-	// MaxRequest bounds how long a request may be in flight on a minion. It
+	TTL time.Duration
+	// MaxRequestDuration bounds how long a request may be in flight on a minion. It
 	// must not be shorter than Lease.
-	MaxRequest time.Duration
-	// Drift bounds how far two monotonic clocks diverge over Lease + MaxRequest.
+	MaxRequestDuration time.Duration
+	// Drift bounds how far two monotonic clocks diverge over Lease + MaxRequestDuration.
 	Drift time.Duration
 	// MinionTTL is how long a minion stays usable without an announcement.
 	MinionTTL time.Duration
@@ -133,22 +133,22 @@
 // DefaultLeaseOptions returns the durations that apply without settings.
 func DefaultLeaseOptions() LeaseOptions {
 	return LeaseOptions{
-		Lease:      5 * time.Second,
-		MaxRequest: 10 * time.Second,
-		Drift:      250 * time.Millisecond,
-		MinionTTL:  2500 * time.Millisecond,
+		TTL:                5 * time.Second,
+		MaxRequestDuration: 10 * time.Second,
+		Drift:              250 * time.Millisecond,
+		MinionTTL:          2500 * time.Millisecond,
 	}
 }
 
-// withDefaults replaces unset durations by their defaults and raises MaxRequest
+// withDefaults replaces unset durations by their defaults and raises MaxRequestDuration
 // to at least Lease.
 func (o LeaseOptions) withDefaults() LeaseOptions {
 	d := DefaultLeaseOptions()
-	if o.Lease <= 0 {
-		o.Lease = d.Lease
+	if o.TTL <= 0 {
+		o.TTL = d.TTL
 	}
-	if o.MaxRequest <= 0 {
-		o.MaxRequest = d.MaxRequest
+	if o.MaxRequestDuration <= 0 {
+		o.MaxRequestDuration = d.MaxRequestDuration
 	}
 	if o.Drift <= 0 {
 		o.Drift = d.Drift
@@ -156,6 +156,6 @@
 	if o.MinionTTL <= 0 {
 		o.MinionTTL = d.MinionTTL
 	}
-	o.MaxRequest = max(o.MaxRequest, o.Lease)
+	o.MaxRequestDuration = max(o.MaxRequestDuration, o.TTL)
 	return o
 }
