--- a/dispatch/backlog_test.go
+++ b/dispatch/backlog_test.go
@@ -34,7 +34,7 @@
 	// would show that the load doesn't fill the pool.
 	const maxFreeShare = 0.2
 	recalc, build, lookup := largeLoad()
-	r := newReplay(1, largePool, largePoolConnections, recalc, build, lookup)
+	r := newReplay(1, largePoolWorkers, largePoolConnections, recalc, build, lookup)
 	r.decisionInterval = 150 * time.Millisecond
 	r.playIncremental(burstStart, incrementalTick)
 	lookup.rate = 2 * usualRate
--- a/dispatch/explain.go
+++ b/dispatch/explain.go
@@ -26,7 +26,7 @@
 		if w.Service != s.Service {
 			continue
 		}
-		reason := p.obstacle(s, w)
+		reason := p.blockingReason(s, w)
 		at := slices.IndexFunc(counts, func(c ReasonCount) bool { return c.Reason == reason })
 		if at < 0 {
 			at = len(counts)
@@ -38,9 +38,10 @@
 	return counts
 }
 
-// obstacle returns the first reason that rules out w for one more task of s; empty for none.
-func (p *planner) obstacle(s *Step, w *Worker) Reason {
-	if reason := rejection(s, w); reason != "" {
+// blockingReason returns the first reason that rules out w for one more task of s; empty
+// for none.
+func (p *planner) blockingReason(s *Step, w *Worker) Reason {
+	if reason := unmetRequirement(s, w); reason != "" {
 		return reason
 	}
 	permit, known := s.Permits[w.ID]
--- a/dispatch/gang.go
+++ b/dispatch/gang.go
@@ -28,7 +28,7 @@
 		return ReasonPreempting
 	case s.AwaitsResponse:
 		return ReasonAwaitsAdviser
-	case p.gangQueriesMore(s, granted, unknown, left, reservation):
+	case p.gangShouldQueryMore(s, granted, unknown, left, reservation):
 		p.queryInParts(s, p.gangWorkersToQuery(s, granted, unknown, left), false)
 		return ReasonAwaitsAdviser
 	case len(reservation.workers) > 0 && p.ticketsDue(s, reservation.workers, reservation.at):
@@ -43,7 +43,7 @@
 // resources meanwhile.
 func (p *planner) renewGangTickets(s *Step, granted []*Worker, left int) Reason {
 	if s.AwaitsResponse {
-		p.reserve(s, fewestWorkersFor(s, withIDs(granted, s.Renewing), left), left)
+		p.reserve(s, fewestWorkersFor(s, workersWithIDs(granted, s.Renewing), left), left)
 		return ReasonAwaitsAdviser
 	}
 	if !p.queryInParts(s, fewestWorkersFor(s, granted, int(wantedFreeFactor*float64(left))), true) {
@@ -54,14 +54,14 @@
 	return ReasonAwaitsAdviser
 }
 
-// gangQueriesMore reports whether a gang queries workers of unknown permission. It does
+// gangShouldQueryMore reports whether a gang queries workers of unknown permission. It does
 // in three cases:
 //
 //   - The gang would hardly fit on its permitted workers even if these ran nothing else.
 //   - Workers of unknown permission have free resources, and the gang either waits long for
 //     its reservation or has none and is known to be permitted on few workers.
 //   - The gang is likely to fit now if it queries workers of unknown permission.
-func (p *planner) gangQueriesMore(s *Step, granted, unknown []*Worker, left int, reservation gangReservation) bool {
+func (p *planner) gangShouldQueryMore(s *Step, granted, unknown []*Worker, left int, reservation gangReservation) bool {
 	if len(unknown) == 0 {
 		return false
 	}
@@ -165,9 +165,9 @@
 	worker *Worker
 }
 
-// earmarkAhead is how long before a gang's expected fit its workers are earmarked, so that
-// other steps avoid them.
-const earmarkAhead = time.Second
+// earmarkLeadTime is how long before a gang's expected fit its workers are earmarked, so
+// that other steps avoid them.
+const earmarkLeadTime = time.Second
 
 // gangReservation describes the resources that a gang waits for.
 type gangReservation struct {
@@ -223,7 +223,7 @@
 			chosen = append(chosen, fit.worker)
 		}
 	}
-	if fits[n-1].at <= p.now+earmarkAhead {
+	if fits[n-1].at <= p.now+earmarkLeadTime {
 		p.earmark(chosen)
 	}
 	return chosen, fits[n-1].at
--- a/dispatch/load_test.go
+++ b/dispatch/load_test.go
@@ -37,7 +37,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			kinds := mixedLoad(*replayLoad)
-			r := newReplay(uint64(seed), mixedPool, usualConnections, kinds...)
+			r := newReplay(uint64(seed), mixedPoolWorkers, usualConnections, kinds...)
 			r.decisionInterval = 50 * time.Millisecond
 			r.play(submissionPeriod, 0)
 			steps, gangs := r.waiting()
@@ -68,7 +68,7 @@
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			r := newReplay(seed, mixedPool, usualConnections, mixedLoad(1)...)
+			r := newReplay(seed, mixedPoolWorkers, usualConnections, mixedLoad(1)...)
 			r.decisionInterval = 50 * time.Millisecond
 			r.play(30*time.Second, 0)
 			longest := time.Duration(0)
@@ -102,7 +102,7 @@
 			baseLatency: 195 * time.Millisecond, ticketValidity: 1500 * time.Millisecond, grantedShare: 0.25, stretch: 1}
 		huge := &replayKind{name: "ahead", steps: 1, width: 1, maxWidth: 1, cores: 65, maxCores: 65, gb: 1, maxGB: 1, runTime: time.Second,
 			baseLatency: 195 * time.Millisecond, ticketValidity: 1500 * time.Millisecond, grantedShare: 0.25, stretch: 1, objective: time.Hour}
-		r := newReplay(1, mixedPool, 1000, kind, huge)
+		r := newReplay(1, mixedPoolWorkers, 1000, kind, huge)
 		r.limits.Steps = 128
 		for range hugeSteps {
 			r.submit(huge)
--- a/dispatch/permits.go
+++ b/dispatch/permits.go
@@ -16,7 +16,7 @@
 		return p.prepareGang(s, granted, unknown, left)
 	}
 	if s.AwaitsResponse {
-		p.reserve(s, withIDs(granted, s.Renewing), left)
+		p.reserve(s, workersWithIDs(granted, s.Renewing), left)
 		return ReasonAwaitsAdviser
 	}
 	renew := fewestWorkersFor(s, granted, left)
@@ -181,8 +181,8 @@
 	return true
 }
 
-// withIDs returns the workers whose IDs are listed.
-func withIDs(workers []*Worker, ids []string) []*Worker {
+// workersWithIDs returns the workers whose IDs are listed.
+func workersWithIDs(workers []*Worker, ids []string) []*Worker {
 	var found []*Worker
 	for _, w := range workers {
 		if slices.Contains(ids, w.ID) {
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -62,7 +62,7 @@
 	slices.SortFunc(order, compareSteps)
 	p.plan.Waiting = make([]Waiting, 0, len(steps))
 	chosen := p.selectSteps(order)
-	p.reservedQueries, p.reservedLongQueries = p.roundRobinPart(p.limits.Queries), p.roundRobinPart(p.limits.LongQueries)
+	p.reservedQueries, p.reservedLongQueries = p.roundRobinQueries(p.limits.Queries), p.roundRobinQueries(p.limits.LongQueries)
 	p.limits.Queries -= p.reservedQueries
 	p.limits.LongQueries -= p.reservedLongQueries
 	for _, s := range chosen {
@@ -85,9 +85,9 @@
 	return order
 }
 
-// roundRobinDivisor is the inverse of the share of Limits.Steps that a decision chooses
+// roundRobinStepDivisor is the inverse of the share of Limits.Steps that a decision chooses
 // round robin instead of by urgency.
-const roundRobinDivisor = 4
+const roundRobinStepDivisor = 4
 
 // selectSteps returns the steps that the decision considers. If there are more than
 // Limits.Steps, it chooses most of them by urgency and the rest round robin from the other
@@ -100,9 +100,9 @@
 	if bound <= 0 || len(order) <= bound {
 		return order
 	}
-	urgentSteps := bound - bound/roundRobinDivisor
+	urgentSteps := bound - bound/roundRobinStepDivisor
 	p.plan.FirstSkipped = order[urgentSteps]
-	chosen := slices.Concat(order[:urgentSteps], p.roundRobin(order[urgentSteps:], bound-urgentSteps))
+	chosen := slices.Concat(order[:urgentSteps], p.selectRoundRobin(order[urgentSteps:], bound-urgentSteps))
 	p.plan.BeyondBound = countWaiting(order)
 	for _, s := range chosen {
 		if !s.Copy {
@@ -112,12 +112,12 @@
 	return chosen
 }
 
-// unqueriedDivisor is the inverse of the share of the steps chosen by roundRobin that have
-// had no response from the adviser yet.
+// unqueriedDivisor is the inverse of the share of the steps chosen by selectRoundRobin that
+// have had no response from the adviser yet.
 const unqueriedDivisor = 4
 
-// roundRobin returns up to n of the steps that weren't chosen by urgency: up to half of
-// the n hold tickets, those whose tickets expire soonest first; a quarter have had no
+// selectRoundRobin returns up to n of the steps that weren't chosen by urgency: up to half
+// of the n hold tickets, those whose tickets expire soonest first; a quarter have had no
 // response from the adviser yet; the rest are other steps without a query in flight. Steps
 // of the last two groups are chosen in rotation over the decisions.
 //
@@ -125,7 +125,7 @@
 // response. Otherwise each of 900 steps beyond Limits.Steps would be considered every 3 s,
 // would query, and would be considered again when its tickets of 1.5 s have expired. Hardly
 // any would start on an empty pool.
-func (p *planner) roundRobin(lessUrgent []*Step, n int) []*Step {
+func (p *planner) selectRoundRobin(lessUrgent []*Step, n int) []*Step {
 	var ticketed, unqueried, others []*Step
 	for _, s := range lessUrgent {
 		switch {
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -51,7 +51,7 @@
 	return starts
 }
 
-func TestDecide(t *testing.T) {
+func TestDecideChoosesWorkersOrReportsReason(t *testing.T) {
 	gang := func(s Step) Step { s.Spec.Gang = true; return s }
 	with := func(s Step, change func(*Step)) Step { change(&s); return s }
 	for _, c := range []struct {
@@ -98,7 +98,7 @@
 		}, workers: workers(9, 10), want: []string{"a/0@w0", "b/0@w1", "b/1@w1", "c/0@w0"}},
 		{name: "no task that uses spare CPU where serving tasks leave too little CPU", steps: []Step{
 			with(step("b", 1, 1), func(s *Step) { s.Spec.UsesSpareCPU = true }),
-		}, workers: []Worker{{Worker: workers(9)[0].Worker, Free: cores(9), Serving: true, SpareShare: 9}}, reason: ReasonNoWorker},
+		}, workers: []Worker{{Worker: workers(9)[0].Worker, Free: cores(9), Serving: true, SpareCPUPercent: 9}}, reason: ReasonNoWorker},
 		{name: "a task that uses spare CPU goes where most CPU is free", steps: []Step{
 			with(step("b", 1, 1), func(s *Step) { s.Spec.UsesSpareCPU = true }),
 		}, workers: workers(3, 9), want: []string{"b/0@w1"}},
@@ -114,8 +114,8 @@
 	}
 }
 
-// needsPermit returns s with the permits, as a step that the adviser decides on.
-func needsPermit(s Step, permits map[string]Permit) Step {
+// withPermits returns s with the permits, as a step that the adviser decides on.
+func withPermits(s Step, permits map[string]Permit) Step {
 	s.NeedsPermit, s.Permits = true, permits
 	return s
 }
@@ -131,17 +131,17 @@
 		query   []string
 		renewal bool
 	}{
-		{name: "no permit known: query workers with most free resources first", step: needsPermit(step("a", 1, 2), nil),
+		{name: "no permit known: query workers with most free resources first", step: withPermits(step("a", 1, 2), nil),
 			workers: workers(0, 4, 8), query: []string{"w2", "w1", "w0"}},
-		{name: "a valid ticket is used", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": valid}),
+		{name: "a valid ticket is used", step: withPermits(step("a", 1, 2), map[string]Permit{"w0": valid}),
 			workers: workers(4, 9), want: []string{"a/0@w0"}},
-		{name: "a refused worker gets no task", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": {}, "w1": {}}),
+		{name: "a refused worker gets no task", step: withPermits(step("a", 1, 2), map[string]Permit{"w0": {}, "w1": {}}),
 			workers: workers(4, 9)},
-		{name: "an expired ticket is renewed where the task fits", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": expired, "w1": expired}),
+		{name: "an expired ticket is renewed where the task fits", step: withPermits(step("a", 1, 2), map[string]Permit{"w0": expired, "w1": expired}),
 			workers: workers(1, 9), query: []string{"w1"}, renewal: true},
-		{name: "no ticket is renewed where the task doesn't fit", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": expired}),
+		{name: "no ticket is renewed where the task doesn't fit", step: withPermits(step("a", 1, 2), map[string]Permit{"w0": expired}),
 			workers: workers(1)},
-		{name: "unknown workers are queried where the task fits", step: needsPermit(step("a", 1, 2), map[string]Permit{"w0": expired}),
+		{name: "unknown workers are queried where the task fits", step: withPermits(step("a", 1, 2), map[string]Permit{"w0": expired}),
 			workers: workers(1, 5), query: []string{"w1"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -165,7 +165,7 @@
 	for _, i := range []int{0, 1, 3, 4, 5} {
 		pool[i].Labels = []string{"gpu"}
 	}
-	s := needsPermit(step("a", 2, 2), map[string]Permit{
+	s := withPermits(step("a", 2, 2), map[string]Permit{
 		"w0": {Granted: true}, "w1": {Granted: true}, "w3": {Granted: true}, "w4": {}, "w2": {Granted: true},
 	})
 	s.Spec.Label = "gpu"
@@ -193,7 +193,7 @@
 // second, its tickets have expired, and the adviser takes half a second, but is queried
 // only once the gang fits.
 func TestGangTicketsAreRenewedBeforeItFits(t *testing.T) {
-	gang := needsPermit(step("gang", 2, 4), map[string]Permit{"w0": {Granted: true}, "w1": {Granted: true}})
+	gang := withPermits(step("gang", 2, 4), map[string]Permit{"w0": {Granted: true}, "w1": {Granted: true}})
 	gang.Spec.Gang = true
 	countQueries := func(now time.Duration) int {
 		pool := workers(4, 0)
@@ -210,7 +210,7 @@
 // further workers only if its permitted workers are too small.
 func TestGangQueriesIdleWorkersWhilePermittedOnesStayBusy(t *testing.T) {
 	gang := func() Step {
-		s := needsPermit(step("gang", 2, 4), map[string]Permit{"w0": {Granted: true}})
+		s := withPermits(step("gang", 2, 4), map[string]Permit{"w0": {Granted: true}})
 		s.Spec.Gang, s.Lateness = true, 2
 		return s
 	}
@@ -286,11 +286,11 @@
 	must.Eq(t, []string{"v1/0@w1 for gang", "v2/0@w2 for gang"}, stopped(gang(func(s *Step) { s.Spec.MaxPerWorker = 1 }), full(unchangedRun)))
 
 	expired := Permit{Granted: true}
-	plan := Decide(0, []Step{needsPermit(gang(unchangedStep), map[string]Permit{"w0": expired, "w1": expired, "w2": {}})}, full(unchangedRun), limits)
+	plan := Decide(0, []Step{withPermits(gang(unchangedStep), map[string]Permit{"w0": expired, "w1": expired, "w2": {}})}, full(unchangedRun), limits)
 	must.SliceEmpty(t, plan.Preemptions, must.Sprint("the tickets would expire before the runs have stopped"))
 	must.Eq(t, []string{"w0", "w1"}, plan.Queries[0].Workers)
 	valid := Permit{Granted: true, Expires: time.Second}
-	plan = Decide(0, []Step{needsPermit(gang(unchangedStep), map[string]Permit{"w0": valid, "w1": valid, "w2": {}})}, full(unchangedRun), limits)
+	plan = Decide(0, []Step{withPermits(gang(unchangedStep), map[string]Permit{"w0": valid, "w1": valid, "w2": {}})}, full(unchangedRun), limits)
 	must.SliceLen(t, 2, plan.Preemptions)
 }
 
@@ -338,11 +338,11 @@
 func TestStepThatCannotQueryIsSkipped(t *testing.T) {
 	noQueries := limits
 	noQueries.Queries = 0
-	s := needsPermit(step("a", 1, 2), nil)
+	s := withPermits(step("a", 1, 2), nil)
 	plan := Decide(0, []Step{s}, workers(9), noQueries)
 	must.SliceEmpty(t, plan.Queries)
 	must.Eq(t, ReasonNoConnection, plan.Waiting[0].Reason)
-	valid := needsPermit(step("b", 1, 2), map[string]Permit{"w0": {Granted: true, Expires: time.Second}})
+	valid := withPermits(step("b", 1, 2), map[string]Permit{"w0": {Granted: true, Expires: time.Second}})
 	must.Eq(t, []string{"b/0@w0"}, started(Decide(0, []Step{s, valid}, workers(9), noQueries)))
 }
 
--- a/dispatch/preempt.go
+++ b/dispatch/preempt.go
@@ -15,8 +15,9 @@
 	// StopTime is the time from a decision until the resources of a stopped run are free. It
 	// covers the call, the stop on the worker and the commit of the end.
 	StopTime = 300 * time.Millisecond
-	// minRemaining is the expected remaining run time below which a run isn't preempted.
-	minRemaining = 400 * time.Millisecond
+	// minRemainingRunTime is the expected remaining run time below which a run isn't
+	// preempted.
+	minRemainingRunTime = 400 * time.Millisecond
 )
 
 // Preemption is a run that is stopped to free resources for a more urgent step. It resumes
@@ -32,10 +33,10 @@
 type victimSet struct {
 	worker *Worker
 	runs   []*Release
-	// cost is the CPU of the runs in thousandths of a core. needsTicket says that a ticket
-	// for the worker must be queried first.
-	cost        int64
-	needsTicket bool
+	// costMilliCPU is the CPU of the runs in thousandths of a core. needsTicket says that a
+	// ticket for the worker must be queried first.
+	costMilliCPU int64
+	needsTicket  bool
 }
 
 // findVictims finds resources for n tasks of s on workers that may run it by preempting runs at
@@ -84,7 +85,7 @@
 
 // compareVictims puts sets that need no ticket query first, then those with the lowest cost.
 func compareVictims(a, b *victimSet) int {
-	return cmp.Or(compareBools(a.needsTicket, b.needsTicket), cmp.Compare(a.cost, b.cost),
+	return cmp.Or(compareBools(a.needsTicket, b.needsTicket), cmp.Compare(a.costMilliCPU, b.costMilliCPU),
 		cmp.Compare(a.worker.Penalty, b.worker.Penalty), cmp.Compare(a.worker.ID, b.worker.ID))
 }
 
@@ -106,7 +107,7 @@
 	var runs []*Release
 	for i := range w.Releases {
 		r := &w.Releases[i]
-		if r.Preemptible && r.Priority > s.Priority && r.At > p.now+minRemaining && !p.stopping[r.Task] {
+		if r.Preemptible && r.Priority > s.Priority && r.At > p.now+minRemainingRunTime && !p.stopping[r.Task] {
 			runs = append(runs, r)
 		}
 	}
@@ -133,7 +134,7 @@
 		*preemptible = (*preemptible)[1:]
 		scratch.Free = scratch.Free.Plus(run.Resources)
 		v.runs = append(v.runs, run)
-		v.cost += run.Resources.MilliCPU
+		v.costMilliCPU += run.Resources.MilliCPU
 	}
 	scratch.Free = scratch.Free.Minus(demand)
 	return v
--- a/dispatch/preempt_test.go
+++ b/dispatch/preempt_test.go
@@ -22,8 +22,8 @@
 	return pool
 }
 
-// permittedOn returns granted permits with valid tickets for all workers of a pool.
-func permittedOn(pool []Worker) map[string]Permit {
+// permitsForAll returns granted permits with valid tickets for all workers of a pool.
+func permitsForAll(pool []Worker) map[string]Permit {
 	permits := map[string]Permit{}
 	for i := range pool {
 		permits[pool[i].ID] = Permit{Granted: true, Expires: time.Hour}
@@ -48,7 +48,7 @@
 // first runs have stopped, each decision preempts further ones.
 func TestStoppingRunsCountForTheirGang(t *testing.T) {
 	pool := preemptiblePool(6)
-	gang := waitingGang("gang", 3, 4, permittedOn(pool))
+	gang := waitingGang("gang", 3, 4, permitsForAll(pool))
 	gang.Priority = 1
 	stops := 0
 	for d := range 6 {
@@ -65,7 +65,7 @@
 	pool := preemptiblePool(3)
 	var steps []Step
 	for i := range 5 {
-		s := waitingGang(fmt.Sprint("gang", i), 3, 4, permittedOn(pool))
+		s := waitingGang(fmt.Sprint("gang", i), 3, 4, permitsForAll(pool))
 		s.Priority = 1
 		steps = append(steps, s)
 	}
@@ -96,7 +96,7 @@
 				order = append(order, &s)
 			}
 			p := &planner{now: time.Minute, limits: Limits{Round: round, TicketMargin: limits.TicketMargin}}
-			for _, s := range p.roundRobin(order, chosenSteps) {
+			for _, s := range p.selectRoundRobin(order, chosenSteps) {
 				if s.TicketsExpire == 0 {
 					seen[s.Key.Job] = true
 				}
@@ -114,7 +114,7 @@
 	bound.Queries, bound.LongQueries, bound.LongQueryTime = 1, 0, 150*time.Millisecond
 	expired := map[string]Permit{"w0": {Granted: true}, "w1": {Granted: true}}
 	gang := waitingGang("gang", 4, 4, expired)
-	short := needsPermit(step("short", 1, 4), nil)
+	short := withPermits(step("short", 1, 4), nil)
 	short.Priority = 1
 	short.ResponseTime = func(int) time.Duration { return 20 * time.Millisecond }
 	plan := Decide(0, []Step{gang, short}, workers(8, 8), bound)
@@ -132,6 +132,6 @@
 	gang := waitingGang("gang", 4, 4, map[string]Permit{"w0": valid, "w1": valid, "w2": {}})
 	small := step("small", 2, 4)
 	small.Priority = 5
-	plan := Decide(0, []Step{refused, gang, small}, soonFree(workers(4, 4, 0)), limits)
+	plan := Decide(0, []Step{refused, gang, small}, withRunsEndingSoon(workers(4, 4, 0)), limits)
 	must.SliceEmpty(t, plan.Starts)
 }
--- a/dispatch/query_test.go
+++ b/dispatch/query_test.go
@@ -58,7 +58,7 @@
 // at a time, occupy every adviser connection. Other steps wait on an empty pool, and the
 // more workers there are, the longer they wait.
 func TestRefusedUrgentStepsLeaveQueriesToOthers(t *testing.T) {
-	for _, pool := range []int{mixedPool, largePool, 3000} {
+	for _, pool := range []int{mixedPoolWorkers, largePoolWorkers, 3000} {
 		t.Run(fmt.Sprint(pool), func(t *testing.T) {
 			t.Parallel()
 			must.LessEq(t, maxIdleWait, waitBehindRefused(pool, 90))
@@ -69,7 +69,7 @@
 // Guards against refused urgent steps, more than one decision considers, whose queries occupy
 // every adviser connection: other steps wait behind them on an empty pool.
 func TestUrgentStepsBeyondBoundLeaveQueriesToOthers(t *testing.T) {
-	for _, pool := range []int{mixedPool, largePool, 3000} {
+	for _, pool := range []int{mixedPoolWorkers, largePoolWorkers, 3000} {
 		t.Run(fmt.Sprint(pool), func(t *testing.T) {
 			t.Parallel()
 			must.LessEq(t, maxIdleWait, waitBehindRefused(pool, 300))
@@ -89,8 +89,8 @@
 			bounded.Queries, bounded.Round = queries, round
 			steps := []Step{}
 			for i := range 20 {
-				urgent := needsPermit(step(fmt.Sprintf("urgent%02d", i), 1, 2), map[string]Permit{"w0": {}})
-				lessUrgent := needsPermit(step(fmt.Sprintf("other%02d", i), 1, 2), nil)
+				urgent := withPermits(step(fmt.Sprintf("urgent%02d", i), 1, 2), map[string]Permit{"w0": {}})
+				lessUrgent := withPermits(step(fmt.Sprintf("other%02d", i), 1, 2), nil)
 				lessUrgent.Priority = 1
 				steps = append(steps, urgent, lessUrgent)
 			}
@@ -116,7 +116,7 @@
 			bounded.Queries, bounded.Round = queries, round
 			var steps []Step
 			for i := range 20 {
-				steps = append(steps, needsPermit(step(fmt.Sprintf("s%02d", i), 1, 4), nil))
+				steps = append(steps, withPermits(step(fmt.Sprintf("s%02d", i), 1, 4), nil))
 			}
 			must.SliceLen(t, queries, Decide(0, steps, workers(1, 1), bounded).Queries)
 		}
@@ -132,7 +132,7 @@
 		bounded.Queries, bounded.LongQueries, bounded.LongQueryTime, bounded.Round = 8, 1, 150*time.Millisecond, round
 		var steps []Step
 		for i := range 20 {
-			s := needsPermit(step(fmt.Sprintf("s%02d", i), 1, 4), nil)
+			s := withPermits(step(fmt.Sprintf("s%02d", i), 1, 4), nil)
 			s.ResponseTime = func(n int) time.Duration { return time.Duration(50+40*n) * time.Millisecond }
 			steps = append(steps, s)
 		}
@@ -154,7 +154,7 @@
 		bounded.Queries = 6
 		var steps []Step
 		for i := range 6 {
-			s := needsPermit(step(fmt.Sprint("a", i), 1, 2), nil)
+			s := withPermits(step(fmt.Sprint("a", i), 1, 2), nil)
 			s.Priority = priority
 			steps = append(steps, s)
 		}
@@ -167,7 +167,7 @@
 func TestLateJobQueriesDespiteRefusedUrgentJobs(t *testing.T) {
 	refused, late := slowQueryKind("refused", 0, 0), slowQueryKind("late", 1, 0.25)
 	late.objective, refused.rate = 0, 5
-	r := newReplay(1, largePool, usualConnections, refused, late)
+	r := newReplay(1, largePoolWorkers, usualConnections, refused, late)
 	r.play(30*time.Second, 0)
 	for range 5 {
 		r.submit(late).begin = -time.Minute
@@ -178,7 +178,7 @@
 // Guards against a step that is permitted on one worker in a hundred and queries 30 workers at
 // a time, one query after the other: the larger the empty pool, the longer it waits.
 func TestStepPermittedOnFewWorkersFindsThem(t *testing.T) {
-	for _, pool := range []int{mixedPool, largePool, 3000} {
+	for _, pool := range []int{mixedPoolWorkers, largePoolWorkers, 3000} {
 		t.Run(fmt.Sprint(pool), func(t *testing.T) {
 			t.Parallel()
 			longest := time.Duration(0)
@@ -200,7 +200,7 @@
 	for i := range pool {
 		pool[i].Free = cores(9)
 	}
-	s := needsPermit(step("a", 1, 2), map[string]Permit{})
+	s := withPermits(step("a", 1, 2), map[string]Permit{})
 	bounded := limits
 	bounded.Queries = len(pool)
 	rounds := 0
@@ -234,7 +234,7 @@
 // query a second and a third time.
 func TestGangsSubmittedTogetherQueryDifferentWorkers(t *testing.T) {
 	gangs := wideGangs(20, 18)
-	r := newReplay(0, largePool, usualConnections, gangs)
+	r := newReplay(0, largePoolWorkers, usualConnections, gangs)
 	r.decisionInterval = 50 * time.Millisecond
 	for range 30 {
 		r.submit(gangs)
@@ -246,18 +246,19 @@
 // resources of nearly all its permitted workers for the duration of a long run. Small jobs that
 // are permitted there must query other workers instead.
 func TestSmallJobsStartDespiteGangReservation(t *testing.T) {
-	// minReservedCPU is the CPU of 50 of the gang's 60 tasks, in thousandths of a core.
-	const minReservedCPU = 50 * 60_000
+	// minReservedMilliCPU is the CPU of 50 of the gang's 60 tasks, in thousandths of a
+	// core.
+	const minReservedMilliCPU = 50 * 60_000
 	long := slowQueryKind("long", 0, 1)
 	long.width, long.maxWidth, long.cores, long.maxCores, long.runTime = 130, 130, 60, 60, 2*time.Minute
 	gang, small := wideGangs(60, 60), slowQueryKind("small", 2, 0.25)
-	r := newReplay(0, mixedPool, usualConnections, long, gang, small)
+	r := newReplay(0, mixedPoolWorkers, usualConnections, long, gang, small)
 	r.decisionInterval = 50 * time.Millisecond
 	r.submit(long)
 	r.play(5*time.Second, 0)
 	r.submit(gang)
 	r.play(10*time.Second, 0)
-	must.Greater(t, minReservedCPU, r.reservedCPU(gang.jobs[0]))
+	must.Greater(t, minReservedMilliCPU, r.reservedMilliCPU(gang.jobs[0]))
 	for range 40 {
 		r.submit(small)
 	}
@@ -265,8 +266,9 @@
 	must.SliceLen(t, 60, gang.jobs[0].pending[0], must.Sprint("the gang still waits"))
 }
 
-// reservedCPU returns the CPU that a decision reserves for a job, in thousandths of a core.
-func (r *replay) reservedCPU(j *replayJob) (milliCPU int64) {
+// reservedMilliCPU returns the CPU that a decision reserves for a job, in thousandths of a
+// core.
+func (r *replay) reservedMilliCPU(j *replayJob) (milliCPU int64) {
 	s, _ := r.step(j)
 	pool := r.planningInput()
 	Decide(r.now, []Step{s}, pool, r.limits)
--- a/dispatch/reason_test.go
+++ b/dispatch/reason_test.go
@@ -23,7 +23,7 @@
 	s := step(job, count, need)
 	s.Spec.Gang = true
 	if permits != nil {
-		s = needsPermit(s, permits)
+		s = withPermits(s, permits)
 	}
 	return s
 }
@@ -77,12 +77,12 @@
 			workers(4, 4, 0), noQueries, ReasonNoConnection},
 		{"a gang after others that fits only with reserved resources", append(gangsAhead(map[string]Permit{"w0": valid}), waitingGang("a", 3, 4, allExpired)),
 			freeSoon(workers(4, 9)), limits, ReasonReserved},
-		{"no connection to query for a task", []Step{needsPermit(step("a", 1, 4), nil)}, workers(9), noQueries, ReasonNoConnection},
-		{"no connection to renew the ticket of a task", []Step{needsPermit(step("a", 1, 4), allExpired)}, workers(9), noQueries, ReasonNoConnection},
+		{"no connection to query for a task", []Step{withPermits(step("a", 1, 4), nil)}, workers(9), noQueries, ReasonNoConnection},
+		{"no connection to renew the ticket of a task", []Step{withPermits(step("a", 1, 4), allExpired)}, workers(9), noQueries, ReasonNoConnection},
 		{"no connection to query for a gang", []Step{waitingGang("a", 2, 4, allExpired)}, workers(4, 4), noQueries, ReasonNoConnection},
 		{"a query is sent", []Step{waitingGang("a", 2, 4, allExpired)}, workers(4, 4), limits, ReasonAwaitsAdviser},
 		{"a query is in flight", []Step{querying}, workers(4, 4), noQueries, ReasonAwaitsAdviser},
-		{"refused", []Step{needsPermit(step("a", 1, 4), map[string]Permit{"w0": {}})}, workers(9), limits, ReasonAllRefused},
+		{"refused", []Step{withPermits(step("a", 1, 4), map[string]Permit{"w0": {}})}, workers(9), limits, ReasonAllRefused},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			must.Eq(t, c.want, reasons(Decide(0, c.steps, c.workers, c.limits))["a"])
@@ -110,7 +110,7 @@
 	Decide(0, []Step{step("a", 1, 4), waitingGang("gang", 3, 4, nil)}, pool, limits)
 	must.Eq(t, int64(0), pool[0].Reserved.MilliCPU)
 	pool[0].Releases = []Release{{At: time.Second, Resources: cores(4)}}
-	pool = soonFree(workers(8, 4))
+	pool = withRunsEndingSoon(workers(8, 4))
 	plan := Decide(0, []Step{step("a", 1, 4), waitingGang("gang", 3, 4, nil)}, pool, limits)
 	must.Eq(t, []string{"a/0@w1"}, started(plan))
 	must.Eq(t, int64(12_000), pool[0].Reserved.MilliCPU+pool[1].Reserved.MilliCPU)
@@ -118,8 +118,9 @@
 	must.Eq(t, int64(0), pool[1].Free.MilliCPU+pool[1].Reserved.MilliCPU)
 }
 
-// soonFree gives each worker a run that is expected to release four cores after a second.
-func soonFree(pool []Worker) []Worker {
+// withRunsEndingSoon gives each worker a run that is expected to release four cores after a
+// second.
+func withRunsEndingSoon(pool []Worker) []Worker {
 	for i := range pool {
 		pool[i].Releases = []Release{{At: time.Second, Resources: cores(4)}}
 	}
--- a/dispatch/replay_jobs_test.go
+++ b/dispatch/replay_jobs_test.go
@@ -64,12 +64,12 @@
 	// saved is the share of a task's work that the checkpoint of a preempted run holds.
 	saved map[workflow.TaskKey]float64
 	// permits are the adviser's decisions for the current step so far. pendingQueries
-	// counts the step's queries in flight, lastQuery is when the last one was sent,
+	// counts the step's queries in flight, lastQueryAt is when the last one was sent,
 	// renewing are the workers whose tickets are being renewed, and ticketsExpire is when
 	// the step's last ticket expires.
 	permits        map[string]Permit
 	pendingQueries int
-	lastQuery      time.Duration
+	lastQueryAt    time.Duration
 	renewing       []string
 	ticketsExpire  time.Duration
 	// ended is when the job ended, 0 before. earnedShare is the share of its value that it
@@ -103,7 +103,7 @@
 
 // submit submits a job of the kind.
 func (r *replay) submit(k *replayKind) *replayJob {
-	j := &replayJob{kind: k, id: fmt.Sprintf("%s%06d", k.name, len(k.jobs)), begin: r.now, lastQuery: r.now, saved: map[workflow.TaskKey]float64{},
+	j := &replayJob{kind: k, id: fmt.Sprintf("%s%06d", k.name, len(k.jobs)), begin: r.now, lastQueryAt: r.now, saved: map[workflow.TaskKey]float64{},
 		permits: map[string]Permit{}, idleSince: -1}
 	chain := time.Duration(0)
 	for range max(1, int(math.Round(r.logNormal(k.steps, stepsCV, maxStepsFactor*k.steps)))) {
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -51,10 +51,10 @@
 	task workflow.TaskKey
 	// worker is the index of the worker in the pool.
 	worker int
-	// end is when the run ends, expected is when it would end by its estimate, and duration
-	// is how long it takes unless it fails or is stopped.
-	begin, end, expected, duration time.Duration
-	fails, stops                   bool
+	// end is when the run ends, expectedEnd is when it would end by its estimate, and
+	// duration is how long it takes unless it fails or is stopped.
+	begin, end, expectedEnd, duration time.Duration
+	fails, stops                      bool
 }
 
 // replayResponse is a response from the adviser that is in flight. at is when it arrives.
@@ -66,9 +66,9 @@
 }
 
 const (
-	// mixedPool and largePool are numbers of workers.
-	mixedPool = 350
-	largePool = 1100
+	// mixedPoolWorkers and largePoolWorkers are numbers of workers.
+	mixedPoolWorkers = 350
+	largePoolWorkers = 1100
 	// usualConnections and largePoolConnections are numbers of adviser connections.
 	usualConnections     = 44
 	largePoolConnections = 152
@@ -129,7 +129,7 @@
 	s := Step{
 		Key: workflow.StepKey{Job: j.id, Step: j.step}, Spec: spec, Service: "s", Priority: k.priority, Due: j.begin + j.objective,
 		Pending: slices.Clone(j.pending[j.step]), NeedsPermit: true, Permits: j.permits, TicketsExpire: j.ticketsExpire, GrantRate: k.grantRate,
-		AwaitsResponse: j.pendingQueries > 0, Renewing: j.renewing, LastQuery: j.lastQuery,
+		AwaitsResponse: j.pendingQueries > 0, Renewing: j.renewing, LastQueryAt: j.lastQueryAt,
 		ResponseTime: func(n int) time.Duration { return k.baseLatency + time.Duration(n)*k.perWorkerLatency },
 	}
 	switch age := r.now - j.begin; {
@@ -237,7 +237,7 @@
 	}
 	for _, run := range r.runs {
 		spec := run.job.specs[run.task.Step]
-		release := Release{At: max(run.expected, r.now+run.duration/minRemainingDivisor), Resources: spec.Demand(), Task: run.task, Priority: run.job.kind.priority,
+		release := Release{At: max(run.expectedEnd, r.now+run.duration/minRemainingDivisor), Resources: spec.Demand(), Task: run.task, Priority: run.job.kind.priority,
 			Preemptible: spec.Checkpointing && !spec.Gang && !run.stops}
 		if run.stops {
 			release.At, release.Stopping = r.now+StopTime/2, true
@@ -287,7 +287,7 @@
 	}
 	usable[first] = max(usable[first], r.now) + length
 	j.pendingQueries++
-	j.lastQuery = r.now
+	j.lastQueryAt = r.now
 	if query.Renewal {
 		j.renewing = query.Workers
 	}
@@ -341,7 +341,7 @@
 	remaining := 1 - j.saved[s.Task]
 	runTime := time.Duration(remaining * float64(fullRunTime) * []float64{1, 1, slowWorkerFactor}[w%3])
 	run := &replayRun{job: j, task: s.Task, worker: w, begin: r.now, end: r.now + runTime, duration: runTime,
-		expected: r.now + time.Duration(remaining*float64(spec.EstimateMS)*1e6)}
+		expectedEnd: r.now + time.Duration(remaining*float64(spec.EstimateMS)*1e6)}
 	if !spec.Gang && r.random.Float64() < j.kind.failingShare {
 		run.fails, run.end = true, r.now+time.Duration(r.random.Float64()*float64(runTime))
 	}
@@ -386,7 +386,7 @@
 		return
 	}
 	j.step++
-	j.permits, j.pendingQueries, j.renewing, j.ticketsExpire, j.lastQuery = map[string]Permit{}, 0, nil, 0, r.now
+	j.permits, j.pendingQueries, j.renewing, j.ticketsExpire, j.lastQueryAt = map[string]Permit{}, 0, nil, 0, r.now
 	if j.step < len(j.specs) {
 		return
 	}
--- a/dispatch/roundrobin.go
+++ b/dispatch/roundrobin.go
@@ -18,9 +18,9 @@
 	reason Reason
 }
 
-// roundRobinPart returns how many of n queries are held back for round-robin use. The rounding
-// rotates, so the share also holds over decisions that have a single query each.
-func (p *planner) roundRobinPart(n int) int {
+// roundRobinQueries returns how many of n queries are held back for round-robin use. The
+// rounding rotates, so the share also holds over decisions that have a single query each.
+func (p *planner) roundRobinQueries(n int) int {
 	return (n + p.limits.Round%roundRobinQueryDivisor) / roundRobinQueryDivisor
 }
 
@@ -47,5 +47,5 @@
 // compareQueryOrder puts steps that have had no response from the adviser first, since a
 // first query yields the most information, and then steps whose last query is the oldest.
 func compareQueryOrder(a, b *Step) int {
-	return cmp.Or(compareBools(len(a.Permits) > 0, len(b.Permits) > 0), cmp.Compare(a.LastQuery, b.LastQuery))
+	return cmp.Or(compareBools(len(a.Permits) > 0, len(b.Permits) > 0), cmp.Compare(a.LastQueryAt, b.LastQueryAt))
 }
--- a/dispatch/select.go
+++ b/dispatch/select.go
@@ -15,7 +15,7 @@
 }{
 	{ReasonLabel, hasLabel},
 	{ReasonSize, hasCapacity},
-	{ReasonSpareShare, enoughSpareShare},
+	{ReasonSpareShare, hasEnoughSpareCPU},
 }
 
 // filter returns the workers that meet the requirements of s, regardless of their free
@@ -23,7 +23,7 @@
 func filter(workers []*Worker, s *Step) []*Worker {
 	passing := make([]*Worker, 0, len(workers))
 	for _, w := range workers {
-		if rejection(s, w) == "" {
+		if unmetRequirement(s, w) == "" {
 			passing = append(passing, w)
 		}
 	}
@@ -33,11 +33,11 @@
 // eligible reports whether w is in the pool of s and meets the requirements of s,
 // regardless of the free resources of w. A nil worker isn't eligible.
 func eligible(s *Step, w *Worker) bool {
-	return w != nil && w.Service == s.Service && rejection(s, w) == ""
+	return w != nil && w.Service == s.Service && unmetRequirement(s, w) == ""
 }
 
-// rejection returns the first requirement of s that w doesn't meet, empty for none.
-func rejection(s *Step, w *Worker) Reason {
+// unmetRequirement returns the first requirement of s that w doesn't meet, empty for none.
+func unmetRequirement(s *Step, w *Worker) Reason {
 	for i := range filters {
 		if !filters[i].passes(s, w) {
 			return filters[i].reason
@@ -54,14 +54,14 @@
 // hasCapacity reports whether a task of s would fit on w if nothing else ran there.
 func hasCapacity(s *Step, w *Worker) bool { return s.Spec.Demand().Fits(w.Capacity) }
 
-// minSpareShare is the CPU percentage that serving tasks must leave on a worker for another
-// task that uses spare CPU to start there.
-const minSpareShare = 10
+// minSpareCPUPercent is the CPU percentage that serving tasks must leave on a worker for
+// another task that uses spare CPU to start there.
+const minSpareCPUPercent = 10
 
-// enoughSpareShare reports whether w has spare CPU for tasks of s. Tasks that use spare
-// CPU don't start on a worker where serving tasks leave less than minSpareShare.
-func enoughSpareShare(s *Step, w *Worker) bool {
-	return !s.Spec.UsesSpareCPU || !w.Serving || w.SpareShare >= minSpareShare
+// hasEnoughSpareCPU reports whether w has spare CPU for tasks of s. Tasks that use spare
+// CPU don't start on a worker where serving tasks leave less than minSpareCPUPercent.
+func hasEnoughSpareCPU(s *Step, w *Worker) bool {
+	return !s.Spec.UsesSpareCPU || !w.Serving || w.SpareCPUPercent >= minSpareCPUPercent
 }
 
 // interference ranks how much a task of s and the runs on w disturb each other. While
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -32,9 +32,9 @@
 	// Serving says that tasks with a latency objective run on the worker.
 	Serving bool
 	// SpareRuns counts the runs on the worker that use only spare CPU, which the other runs
-	// leave idle. SpareShare is the percentage of the CPU that they may use alongside
+	// leave idle. SpareCPUPercent is the percentage of the CPU that they may use alongside
 	// serving tasks.
-	SpareRuns, SpareShare int
+	SpareRuns, SpareCPUPercent int
 	// Earmarked says that the last decision reserved resources on the worker for a gang
 	// that fits soon.
 	Earmarked bool
@@ -92,9 +92,9 @@
 	// TicketsExpire is when the last of the step's tickets expires, on the monotonic clock of
 	// the caller; 0 for none.
 	TicketsExpire time.Duration
-	// LastQuery is when the step's last query was sent, on the monotonic clock of the caller.
-	// Before the first one it is when the step began to wait for a query.
-	LastQuery time.Duration
+	// LastQueryAt is when the step's last query was sent, on the monotonic clock of the
+	// caller. Before the first one it is when the step began to wait for a query.
+	LastQueryAt time.Duration
 	// ResponseTime returns how long the adviser takes to respond to a query about n
 	// workers.
 	ResponseTime func(n int) time.Duration
--- a/internal/control/adviser_pool.go
+++ b/internal/control/adviser_pool.go
@@ -27,11 +27,11 @@
 	// longQueryThreshold is the duration above which a query is long. Long queries leave
 	// some connections to short ones to prevent head-of-line blocking.
 	longQueryThreshold = 150 * time.Millisecond
-	// shortLoadWindow is the time constant of the decaying mean load of short queries.
-	// shortLoadDeviations is how many standard deviations above that mean are reserved;
-	// the standard deviation of random arrivals is the square root of their mean.
-	shortLoadWindow     = 3 * time.Second
-	shortLoadDeviations = 2
+	// shortQueryLoadWindow is the time constant of the decaying mean load of short queries.
+	// shortQueryLoadDeviations is how many standard deviations above that mean are
+	// reserved; the standard deviation of random arrivals is the square root of their mean.
+	shortQueryLoadWindow     = 3 * time.Second
+	shortQueryLoadDeviations = 2
 	// maxInFlightPerConn bounds the queries in flight on one connection.
 	maxInFlightPerConn = 3
 )
@@ -58,10 +58,10 @@
 
 	mu    sync.Mutex
 	conns map[string]*adviserConn
-	// shortLoad is the decaying mean number of connections kept busy by short queries, as
-	// of shortAt.
-	shortLoad float64
-	shortAt   time.Time
+	// shortQueryLoad is the decaying mean number of connections kept busy by short queries,
+	// as of shortQueryLoadAt.
+	shortQueryLoad   float64
+	shortQueryLoadAt time.Time
 }
 
 // newAdviserPool returns a pool that contains only the connection of the leader's own
@@ -119,7 +119,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	usable := p.reachable(now)
-	reserved := p.reservedForShort(now, len(usable))
+	reserved := p.connsReservedForShortQueries(now, len(usable))
 	for i, candidate := range usable {
 		if candidate.full() {
 			continue
@@ -134,27 +134,27 @@
 
 // recordShortQuery adds a short query to the mean load. p.mu must be held.
 func (p *adviserPool) recordShortQuery(now time.Time, duration time.Duration) {
-	p.shortLoad = p.shortLoadAt(now) + duration.Seconds()/shortLoadWindow.Seconds()
-	p.shortAt = now
+	p.shortQueryLoad = p.decayedShortQueryLoad(now) + duration.Seconds()/shortQueryLoadWindow.Seconds()
+	p.shortQueryLoadAt = now
 }
 
-// shortLoadAt returns how many connections short queries keep busy on average. p.mu must
-// be held.
-func (p *adviserPool) shortLoadAt(now time.Time) float64 {
-	return p.shortLoad * math.Exp(-now.Sub(p.shortAt).Seconds()/shortLoadWindow.Seconds())
+// decayedShortQueryLoad returns how many connections short queries keep busy on average.
+// p.mu must be held.
+func (p *adviserPool) decayedShortQueryLoad(now time.Time) float64 {
+	return p.shortQueryLoad * math.Exp(-now.Sub(p.shortQueryLoadAt).Seconds()/shortQueryLoadWindow.Seconds())
 }
 
-// reservedForShort returns how many of n connections long queries leave to short ones: as
-// many as the recent load needs, at most half. p.mu must be held.
+// connsReservedForShortQueries returns how many of n connections long queries leave to
+// short ones: as many as the recent load needs, at most half. p.mu must be held.
 //
 // Large gangs, whose queries take over a second, compete with a hundred urgent jobs a
 // second, whose queries take some milliseconds and keep only a few connections busy. If
 // half of the connections are always reserved, the queries of the gangs wait for each
 // other. If no connection is reserved, urgent jobs wait behind the queries of gangs under
 // high load.
-func (p *adviserPool) reservedForShort(now time.Time, n int) int {
-	load := p.shortLoadAt(now)
-	return min(int(math.Ceil(load+shortLoadDeviations*math.Sqrt(load)))+1, n/2)
+func (p *adviserPool) connsReservedForShortQueries(now time.Time, n int) int {
+	load := p.decayedShortQueryLoad(now)
+	return min(int(math.Ceil(load+shortQueryLoadDeviations*math.Sqrt(load)))+1, n/2)
 }
 
 // freeAt returns when the adviser would begin to serve a query that is sent now. It
@@ -175,7 +175,7 @@
 	defer p.mu.Unlock()
 	candidates := p.reachable(now)
 	if duration > longQueryThreshold {
-		candidates = candidates[p.reservedForShort(now, len(candidates)):]
+		candidates = candidates[p.connsReservedForShortQueries(now, len(candidates)):]
 	} else {
 		p.recordShortQuery(now, duration)
 	}
--- a/internal/control/chaos_test.go
+++ b/internal/control/chaos_test.go
@@ -29,8 +29,9 @@
 	stop         func()
 }
 
-// sinceStart returns the milliseconds since the start of the test program, for log lines.
-func sinceStart() any { return time.Since(programStart).Milliseconds() }
+// msSinceProgramStart returns the milliseconds since the start of the test program, for log
+// lines.
+func msSinceProgramStart() any { return time.Since(programStart).Milliseconds() }
 
 var programStart = time.Now()
 
@@ -40,7 +41,7 @@
 	replicated := &fakeTermLog{fakeLog: fakeLog{state: chaos.state}, term: chaos.term}
 	chaos.controller = New(Config{
 		Address: "own", Bounds: Bounds{MaxLease: testMaxLease, EndedJobRetention: time.Minute}, Workers: chaos.workers, Adviser: chaos.workers,
-		Client: link.NewClient(testMaxConns), Logger: log.With(log.NewLogfmtLogger(&chaos.workers.eventLog), "ms", log.Valuer(sinceStart), "term", chaos.term), Counters: noCounters{},
+		Client: link.NewClient(testMaxConns), Logger: log.With(log.NewLogfmtLogger(&chaos.workers.eventLog), "ms", log.Valuer(msSinceProgramStart), "term", chaos.term), Counters: noCounters{},
 		Leader: func() string { return "own" }, Members: func() []string { return nil },
 	}, chaos.state, replicated)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -137,7 +138,7 @@
 // more than its capacity, and all jobs must end once the faults are over.
 //
 // BILBERRY_SEEDS sets the number of seeds, BILBERRY_SEED the first one.
-func TestRandomFaults(t *testing.T) {
+func TestNoTaskRunsTwiceUnderRandomFaults(t *testing.T) {
 	seeds, first := envNumber("BILBERRY_SEEDS", 3), envNumber("BILBERRY_SEED", 1)
 	for seed := first; seed < first+seeds; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/internal/control/chaos_workers_test.go
+++ b/internal/control/chaos_workers_test.go
@@ -87,7 +87,7 @@
 }
 
 func (l *chaosLog) logRun(event string, w *chaosWorker, task workflow.TaskKey, run int) {
-	_, _ = fmt.Fprintf(l, "ms=%d worker=%s %s task=%s run=%d\n", sinceStart(), w.id, event, task, run)
+	_, _ = fmt.Fprintf(l, "ms=%d worker=%s %s task=%s run=%d\n", msSinceProgramStart(), w.id, event, task, run)
 }
 
 // linesAbout returns the log lines about the jobs that the violations name.
@@ -111,9 +111,9 @@
 // Cumulative probabilities of the outcomes of a call: the call takes effect and gets a
 // response, takes effect without a response, or takes effect late. Other calls are lost.
 const (
-	answeredProbability   = 0.80
-	unansweredProbability = 0.88
-	lateProbability       = 0.95
+	cumulativeAnsweredProbability   = 0.80
+	cumulativeUnansweredProbability = 0.88
+	cumulativeLateProbability       = 0.95
 )
 
 const (
@@ -139,11 +139,11 @@
 		return true, false, true
 	}
 	switch p := ws.random.Float64(); {
-	case p < answeredProbability:
+	case p < cumulativeAnsweredProbability:
 		return true, false, true
-	case p < unansweredProbability:
+	case p < cumulativeUnansweredProbability:
 		return true, false, false
-	case p < lateProbability:
+	case p < cumulativeLateProbability:
 		return false, true, false
 	default:
 		return false, false, false
--- a/internal/control/copies.go
+++ b/internal/control/copies.go
@@ -61,7 +61,7 @@
 func (input *planInput) addCopyCandidate(t *leaderTerm, s *workflow.State, run workflow.Run, session *workerSession, now time.Time) {
 	job := s.Jobs[run.Task.Job]
 	spec := &job.Steps[run.Task.Step]
-	if task := s.Task(run.Task); !spec.AllowsCopies() || task.Live != 1 || task.Suspect() {
+	if task := s.Task(run.Task); !spec.AllowsCopies() || task.Live != 1 || task.IsCrashSuspect() {
 		return
 	}
 	if _, proposed := t.proposedStarts[run.Task]; proposed {
--- a/internal/control/crash.go
+++ b/internal/control/crash.go
@@ -41,7 +41,7 @@
 	switch {
 	case !o.mayHaveStarted(), o.longRunning && age > noSuspicionMinAge:
 		return workflow.SuspicionNone
-	case inherited, !o.stopSent.IsZero(), age > strongSuspicionMaxAge:
+	case inherited, !o.stopSentAt.IsZero(), age > strongSuspicionMaxAge:
 		return workflow.SuspicionWeak
 	}
 	return workflow.SuspicionStrong
@@ -52,7 +52,7 @@
 func (s *workerSession) aliveFor(o *runOrder) time.Duration {
 	since := o.startedAt
 	if since.IsZero() {
-		since = o.firstAt
+		since = o.firstListedAt
 	}
 	if since.IsZero() {
 		return 0
@@ -119,8 +119,9 @@
 	return ends
 }
 
-// commitReturned commits that the worker responds again, and therefore hasn't crashed.
-func (s *workerSession) commitReturned() {
+// commitWorkerReturned commits that the worker responds again, and therefore hasn't
+// crashed.
+func (s *workerSession) commitWorkerReturned() {
 	s.t.commitWithRetry(&workflow.Command{Ends: &workflow.RunEnds{Worker: s.worker.ID, Returned: true}})
 }
 
--- a/internal/control/crash_test.go
+++ b/internal/control/crash_test.go
@@ -100,7 +100,7 @@
 
 // Guards against this failure: a job fails because of crashes that its long-running task
 // didn't cause, or a job whose task does crash its workers doesn't fail.
-func TestCrashSuspicionOfRun(t *testing.T) {
+func TestSuspicionDependsOnRunAgeAndKind(t *testing.T) {
 	now := time.Now()
 	run := workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}
 	for name, c := range map[string]struct {
@@ -112,11 +112,11 @@
 		"just started":                      {runOrder{startedAt: now.Add(-strongSuspicionMaxAge)}, workflow.SuspicionStrong},
 		"started a while ago":               {runOrder{startedAt: now.Add(-2 * strongSuspicionMaxAge)}, workflow.SuspicionWeak},
 		"started long ago":                  {runOrder{startedAt: now.Add(-2 * noSuspicionMinAge)}, workflow.SuspicionWeak},
-		"being stopped":                     {runOrder{startedAt: now, stopSent: now}, workflow.SuspicionWeak},
+		"being stopped":                     {runOrder{startedAt: now, stopSentAt: now}, workflow.SuspicionWeak},
 		"long-running, just started":        {runOrder{startedAt: now, longRunning: true}, workflow.SuspicionStrong},
 		"long-running, started a while ago": {runOrder{startedAt: now.Add(-2 * strongSuspicionMaxAge), longRunning: true}, workflow.SuspicionWeak},
 		"long-running, started long ago":    {runOrder{startedAt: now.Add(-2 * noSuspicionMinAge), longRunning: true}, workflow.SuspicionNone},
-		"long-running, reported long ago":   {runOrder{listed: true, firstAt: now.Add(-2 * noSuspicionMinAge), longRunning: true}, workflow.SuspicionNone},
+		"long-running, reported long ago":   {runOrder{listed: true, firstListedAt: now.Add(-2 * noSuspicionMinAge), longRunning: true}, workflow.SuspicionNone},
 	} {
 		o := c.o
 		o.run = run
--- a/internal/control/disruption.go
+++ b/internal/control/disruption.go
@@ -55,7 +55,7 @@
 // unavailable until its worker reports it as ready, so a task that has just been stopped,
 // or whose worker is unresponsive, counts as well.
 func (t *leaderTerm) disruptionAllowed(s *workflow.State, run workflow.Run, spec *workflow.Step) bool {
-	if o := t.sessions[run.Worker].orders[run.Task]; o != nil && !o.stopSent.IsZero() {
+	if o := t.sessions[run.Worker].orders[run.Task]; o != nil && !o.stopSentAt.IsZero() {
 		return true
 	}
 	// The run itself becomes unavailable, whatever its state is now.
@@ -78,7 +78,7 @@
 				continue
 			}
 			o := session.orders[task]
-			if o != nil && o.run.Number == run.Number && o.stopSent.IsZero() && o.percent >= completePercent {
+			if o != nil && o.run.Number == run.Number && o.stopSentAt.IsZero() && o.percent >= completePercent {
 				ready[task.Index] = true
 			}
 		}
--- a/internal/control/explain.go
+++ b/internal/control/explain.go
@@ -61,7 +61,7 @@
 func crashesOf(job *workflow.Job, key workflow.StepKey, state *workflow.StepState) []TaskCrashes {
 	var crashes []TaskCrashes
 	for i := range state.Tasks {
-		if !state.Tasks[i].Suspect() {
+		if !state.Tasks[i].IsCrashSuspect() {
 			continue
 		}
 		task := workflow.TaskKey{StepKey: key, Index: i}
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -164,8 +164,8 @@
 	// hangingStarts is how many further starts are not carried out and get no response
 	// until their caller gives up.
 	hangingStarts int
-	// misdirected is how many further starts get the response of another incarnation.
-	misdirected int
+	// misdirectedStarts is how many further starts get the response of another incarnation.
+	misdirectedStarts int
 	// slowRefusals is how many further starts are refused, each after slowRefusalDelay.
 	slowRefusals int
 	// successor is the worker's next incarnation. It responds at the same address and
@@ -212,8 +212,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.byID[to.Worker].current()
-	if w.superseded || w.misdirected > 0 {
-		w.misdirected--
+	if w.superseded || w.misdirectedStarts > 0 {
+		w.misdirectedStarts--
 		return 0, ErrOtherIncarnation
 	}
 	if w.delayStarts {
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -166,13 +166,13 @@
 // updateDurations sets for how long a pool has been short of machines and for how long it
 // has had idle ones.
 func (p *poolMoves) updateDurations(pool *fleet.Pool, now time.Time) {
-	pool.ShortFor = heldFor(p.shortSince, pool.Name, pool.Short(), now)
-	pool.IdleFor = heldFor(p.idleSince, pool.Name, pool.Idle(), now)
+	pool.ShortFor = conditionDuration(p.shortSince, pool.Name, pool.Short(), now)
+	pool.IdleFor = conditionDuration(p.idleSince, pool.Name, pool.Idle(), now)
 }
 
-// heldFor returns for how long a condition of the named pool has held without
+// conditionDuration returns for how long a condition of the named pool has held without
 // interruption. since holds when it began, by pool.
-func heldFor(since map[string]time.Time, name string, holds bool, now time.Time) time.Duration {
+func conditionDuration(since map[string]time.Time, name string, holds bool, now time.Time) time.Duration {
 	if !holds {
 		delete(since, name)
 		return 0
--- a/internal/control/health.go
+++ b/internal/control/health.go
@@ -99,13 +99,13 @@
 // the reports count, not the current time, because progress between two reports isn't
 // visible. t.mu must be held.
 func (s *workerSession) isStalled() bool {
-	return s.busy && s.respondedAt.Sub(s.advancedAt) > stallTimeout
+	return s.hasLiveRuns && s.respondedAt.Sub(s.advancedAt) > stallTimeout
 }
 
 // recordAdvance records whether a report showed progress. t.mu must be held.
 func (s *workerSession) recordAdvance(report Report, advanced bool, now time.Time) {
-	s.busy = len(report.Running) > 0
-	if advanced || len(report.Ended) > 0 || !s.busy {
+	s.hasLiveRuns = len(report.Running) > 0
+	if advanced || len(report.Ended) > 0 || !s.hasLiveRuns {
 		s.advancedAt = now
 	}
 }
@@ -118,7 +118,7 @@
 		o.advancedAt = now
 	}
 	if !o.listed {
-		o.firstPercent, o.firstAt = percent, now
+		o.firstPercent, o.firstListedAt = percent, now
 	}
 	o.listed = true
 	o.percent, o.progressAt = percent, now
--- a/internal/control/incremental.go
+++ b/internal/control/incremental.go
@@ -20,9 +20,9 @@
 	maxLeftoverAge = 200 * time.Millisecond
 )
 
-// markChanged requests an incremental decision about a job that was accepted or about
+// markJobChanged requests an incremental decision about a job that was accepted or about
 // which a response from the adviser has arrived. t.mu must be held.
-func (t *leaderTerm) markChanged(job string) {
+func (t *leaderTerm) markJobChanged(job string) {
 	t.changedJobs[job] = true
 	select {
 	case t.jobsChanged <- struct{}{}:
@@ -30,8 +30,8 @@
 	}
 }
 
-// takeChanged returns the changed jobs and clears the set. t.mu must be held.
-func (t *leaderTerm) takeChanged() map[string]bool {
+// takeChangedJobs returns the changed jobs and clears the set. t.mu must be held.
+func (t *leaderTerm) takeChangedJobs() map[string]bool {
 	changed := t.changedJobs
 	t.changedJobs = map[string]bool{}
 	return changed
@@ -69,7 +69,7 @@
 // that it could use now. Steps that the full decision didn't consider go before changed
 // jobs that are less urgent. An incremental decision preempts nothing.
 func (t *leaderTerm) decideIncrementally(now time.Time) {
-	if t.backlog && t.nextUrgentStep == nil || now.Sub(t.leftoverAt) > maxLeftoverAge {
+	if t.backlog && t.firstSkippedStep == nil || now.Sub(t.leftoverAt) > maxLeftoverAge {
 		t.wake()
 		return
 	}
@@ -96,7 +96,7 @@
 // after the burst although cores are free.
 func (t *leaderTerm) dropLessUrgent(input *planInput) {
 	total := len(input.steps)
-	input.steps = slices.DeleteFunc(input.steps, func(s dispatch.Step) bool { return !dispatch.Before(&s, t.nextUrgentStep) })
+	input.steps = slices.DeleteFunc(input.steps, func(s dispatch.Step) bool { return !dispatch.Before(&s, t.firstSkippedStep) })
 	if len(input.steps) < total {
 		t.wake()
 	}
@@ -107,7 +107,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	input := planInput{runsPerWorker: map[workflow.StepKey]map[string]int{}}
-	changed := t.takeChanged()
+	changed := t.takeChangedJobs()
 	t.c.state.read(func(s *workflow.State) {
 		open := s.OpenJobs()
 		for id := range changed {
--- a/internal/control/leader_term.go
+++ b/internal/control/leader_term.go
@@ -28,8 +28,8 @@
 	// planInterval is the longest time between two decisions. Jobs become due and leases
 	// expire without an event that triggers a decision.
 	planInterval = 100 * time.Millisecond
-	// forgetInterval is the time between two removals of ended jobs.
-	forgetInterval = 5 * time.Second
+	// cleanupInterval is the time between two removals of ended jobs.
+	cleanupInterval = 5 * time.Second
 )
 
 // leaderTerm is the state of one period of leadership of this member. Nothing in it
@@ -59,14 +59,14 @@
 	// Only planLoop uses the following fields. loadLoggedAt is when the load was last
 	// logged, decisions counts the full decisions. leftoverWorkers holds the workers with
 	// the free resources that the last full decision left over, leftoverAt is its time.
-	// backlog says that more steps waited than that decision considered. nextUrgentStep is
-	// the most urgent step that it didn't consider.
-	loadLoggedAt    time.Time
-	decisions       int
-	leftoverWorkers []dispatch.Worker
-	leftoverAt      time.Time
-	backlog         bool
-	nextUrgentStep  *dispatch.Step
+	// backlog says that more steps waited than that decision considered. firstSkippedStep
+	// is the most urgent step that it didn't consider.
+	loadLoggedAt     time.Time
+	decisions        int
+	leftoverWorkers  []dispatch.Worker
+	leftoverAt       time.Time
+	backlog          bool
+	firstSkippedStep *dispatch.Step
 
 	mu sync.Mutex
 	// queuedSteps is how many ready steps had tasks to start at the last full decision,
@@ -86,9 +86,9 @@
 	// sessions holds the session of each monitored worker, by the ID of its incarnation.
 	sessions map[string]*workerSession
 	permits  map[workflow.StepKey]*stepPermits
-	// grantShares is the moving mean of the share of workers that the adviser permits, by
+	// grantRates is the moving mean of the share of workers that the adviser permits, by
 	// queue.
-	grantShares map[string]movingMean
+	grantRates map[string]movingMean
 	// dataCentreRespondedAt is when a worker last responded, by data centre.
 	dataCentreRespondedAt map[string]time.Time
 	// dataCentreSuspectedAt is when each data centre was last suspected to be unreachable. A
@@ -138,7 +138,7 @@
 		changedJobs:           map[string]bool{},
 		sessions:              map[string]*workerSession{},
 		permits:               map[workflow.StepKey]*stepPermits{},
-		grantShares:           map[string]movingMean{},
+		grantRates:            map[string]movingMean{},
 		dataCentreRespondedAt: map[string]time.Time{},
 		dataCentreSuspectedAt: map[string]time.Time{},
 		acceptedAt:            map[string]time.Time{},
@@ -188,7 +188,7 @@
 		t.spawn(s.run)
 	}
 	t.mu.Unlock()
-	t.spawn(t.forgetLoop)
+	t.spawn(t.cleanupLoop)
 	if t.c.cfg.Machines != nil {
 		t.spawn(t.machineLoop)
 	}
@@ -301,7 +301,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.acceptedAt[job] = at
-	t.markChanged(job)
+	t.markJobChanged(job)
 }
 
 // propose commits a command in this leader term. An error doesn't end the leader term;
@@ -332,10 +332,10 @@
 	return t.ctx.Err() == nil && t.c.log.Status().Term == t.fence
 }
 
-// forgetLoop periodically removes the mailboxes of workers that aren't monitored and the
+// cleanupLoop periodically removes the mailboxes of workers that aren't monitored and the
 // state of ended jobs.
-func (t *leaderTerm) forgetLoop() {
-	for wait.For(t.ctx, forgetInterval) {
+func (t *leaderTerm) cleanupLoop() {
+	for wait.For(t.ctx, cleanupInterval) {
 		if t.c.heartbeats != nil {
 			t.c.heartbeats.removeMailboxes(t.monitors)
 		}
@@ -360,7 +360,7 @@
 			if t.endedAt[id].IsZero() {
 				t.endedAt[id] = now
 			}
-			if now.Sub(t.endedAt[id]) > t.c.cfg.Bounds.EndedJobRetention+forgetInterval {
+			if now.Sub(t.endedAt[id]) > t.c.cfg.Bounds.EndedJobRetention+cleanupInterval {
 				expired = append(expired, id)
 			}
 		}
--- a/internal/control/machines.go
+++ b/internal/control/machines.go
@@ -72,7 +72,7 @@
 		waves, services := t.openWaves(), t.services()
 		keepCordoned := map[string]bool{}
 		if len(waves) > 0 || len(services) > 0 {
-			t.decideMachines(func(now time.Time) {
+			t.decideWithMachineList(func(now time.Time) {
 				t.processWaves(waves, keepCordoned, now)
 				if len(services) > 0 {
 					t.moveMachines(services, keepCordoned, now)
@@ -83,12 +83,12 @@
 	}
 }
 
-// decideMachines calls decide if the machine list is recent enough. It reads the list
-// again if machineListInterval has passed since the last read.
-func (t *leaderTerm) decideMachines(decide func(now time.Time)) {
+// decideWithMachineList calls decide if the machine list is recent enough. It reads the
+// list again if machineListInterval has passed since the last read.
+func (t *leaderTerm) decideWithMachineList(decide func(now time.Time)) {
 	now := time.Now()
 	if now.Sub(t.machines.listedAt) > machineListInterval {
-		t.readMachines(now)
+		t.refreshMachines(now)
 	}
 	if now.Sub(t.machines.listedAt) < maxMachineListAge {
 		t.machines.setLatestIncarnations(t.c.state)
@@ -109,9 +109,9 @@
 	})
 }
 
-// readMachines reads the whole machine list. A machine that isn't in it has left the
+// refreshMachines reads the whole machine list. A machine that isn't in it has left the
 // deployment permanently.
-func (t *leaderTerm) readMachines(now time.Time) {
+func (t *leaderTerm) refreshMachines(now time.Time) {
 	m := t.machines
 	listed, err := t.listMachines()
 	if failed := err != nil; failed != m.listFailed {
--- a/internal/control/maintenance.go
+++ b/internal/control/maintenance.go
@@ -39,7 +39,7 @@
 func (t *leaderTerm) processWaves(waves []workflow.WaveState, keepCordoned map[string]bool, now time.Time) {
 	for _, wave := range waves {
 		input := t.waveMachines(&wave, keepCordoned, now)
-		plan := maintenance.Decide(t.waveTimes(&wave, now), input.machines)
+		plan := maintenance.Decide(t.maintenanceWave(&wave, now), input.machines)
 		for _, id := range plan.Cordon {
 			worker := t.machines.byID[id].Worker
 			keepCordoned[worker] = true
@@ -67,9 +67,9 @@
 	t.logger.Log("event", "maintenance", "wave", wave, "machine", machine, "worker", worker, "outcome", outcome)
 }
 
-// waveTimes returns the remaining time and the limits of a wave. A leader that didn't
+// maintenanceWave returns the remaining time and the limits of a wave. A leader that didn't
 // accept the wave itself uses the wall clock, which may be off by some seconds.
-func (t *leaderTerm) waveTimes(w *workflow.WaveState, now time.Time) maintenance.Wave {
+func (t *leaderTerm) maintenanceWave(w *workflow.WaveState, now time.Time) maintenance.Wave {
 	t.mu.Lock()
 	acceptedAt, known := t.machines.waveAcceptedAt[w.ID]
 	t.mu.Unlock()
--- a/internal/control/maintenance_test.go
+++ b/internal/control/maintenance_test.go
@@ -275,7 +275,7 @@
 			}
 		}
 		must.True(t, term.disruptionAllowed(s, runs[1], &step))
-		term.sessions["w1"].orders[runs[0].Task].stopSent = time.Now()
+		term.sessions["w1"].orders[runs[0].Task].stopSentAt = time.Now()
 		must.False(t, term.disruptionAllowed(s, runs[1], &step))
 	})
 }
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -43,16 +43,16 @@
 	abandoned bool
 	// preempted says that the run is stopped to free its resources for more urgent work.
 	preempted bool
-	// stopSent is when the last stop was sent, stopAcked when a stop was first
+	// stopSentAt is when the last stop was sent, stopAckedAt when a stop was first
 	// acknowledged.
-	stopSent, stopAcked time.Time
-	startedAt           time.Time
-	// percent is the progress at progressAt. firstPercent and firstAt belong to the first
-	// report that listed the run; a resumed run doesn't begin at 0 %.
-	percent      int
-	progressAt   time.Time
-	firstPercent int
-	firstAt      time.Time
+	stopSentAt, stopAckedAt time.Time
+	startedAt               time.Time
+	// percent is the progress at progressAt. firstPercent and firstListedAt belong to the
+	// first report that listed the run; a resumed run doesn't begin at 0 %.
+	percent       int
+	progressAt    time.Time
+	firstPercent  int
+	firstListedAt time.Time
 	// advancedAt is when the percentage last increased.
 	advancedAt time.Time
 	// estimate is the estimated run time of the whole task. resumed says that the run
@@ -65,11 +65,11 @@
 	longRunning bool
 	// crashSuspect says that a worker has crashed under the task before.
 	crashSuspect bool
-	// usesSpare says that the task runs on spare CPU: time that other tasks leave idle.
+	// usesSpareCPU says that the task runs on spare CPU: time that other tasks leave idle.
 	// share is the CPU share in percent that the worker last acknowledged, shareChanging
 	// says that a change of it is in flight, pausedAt is when the share became 0; it is
 	// the zero time while the share is above 0.
-	usesSpare     bool
+	usesSpareCPU  bool
 	share         int
 	shareChanging bool
 	pausedAt      time.Time
@@ -93,8 +93,8 @@
 	now := time.Now()
 	s.recordClock(clockMS, now)
 	o := s.orders[run.Task]
-	if o != nil && o.run.Number == run.Number && o.stopAcked.IsZero() {
-		o.stopAcked = now
+	if o != nil && o.run.Number == run.Number && o.stopAckedAt.IsZero() {
+		o.stopAckedAt = now
 		o.unanswered = false
 		// The poll in flight was sent before the acknowledgement, so its report can't prove
 		// that the run never starts.
--- a/internal/control/orphans.go
+++ b/internal/control/orphans.go
@@ -62,9 +62,9 @@
 	switch {
 	case o.endKnown, o.startInProgress, o.unanswered && o.abandoned:
 		return true
-	case !o.orphaned && now.Sub(o.stopSent) < 2*stopRetryInterval:
+	case !o.orphaned && now.Sub(o.stopSentAt) < 2*stopRetryInterval:
 		return true
-	case s.fullReportSentAt.Before(o.startCallsEndedAt), s.fullReportSentAt.Before(o.stopAcked):
+	case s.fullReportSentAt.Before(o.startCallsEndedAt), s.fullReportSentAt.Before(o.stopAckedAt):
 		// No report has arrived yet in response to a poll that was sent after the start, or the
 		// stop, got its response.
 		return true
--- a/internal/control/orphans_test.go
+++ b/internal/control/orphans_test.go
@@ -44,7 +44,7 @@
 func TestRunWithAcknowledgedStopIsAccountedFor(t *testing.T) {
 	now := time.Now()
 	run := workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}
-	o := &runOrder{run: run, stopSent: now.Add(-time.Minute), stopAcked: now.Add(-time.Second)}
+	o := &runOrder{run: run, stopSentAt: now.Add(-time.Minute), stopAckedAt: now.Add(-time.Second)}
 	s := &workerSession{ready: true, orders: map[workflow.TaskKey]*runOrder{run.Task: o}, fullReportSentAt: now.Add(-2 * time.Second)}
 	must.True(t, s.accountsFor(run, now))
 	s.fullReportSentAt = now
@@ -96,9 +96,9 @@
 func TestOrphanedRunIsUnaccountedUntilStopIsAcknowledged(t *testing.T) {
 	now := time.Now()
 	run := workflow.Run{Task: task("a", 0), Number: 1, Worker: "w1"}
-	o := &runOrder{run: run, orphaned: true, stopSent: now}
+	o := &runOrder{run: run, orphaned: true, stopSentAt: now}
 	s := &workerSession{ready: true, orders: map[workflow.TaskKey]*runOrder{run.Task: o}, fullReportSentAt: now.Add(-time.Second)}
 	must.False(t, s.accountsFor(run, now))
-	o.stopAcked = now
+	o.stopAckedAt = now
 	must.True(t, s.accountsFor(run, now))
 }
--- a/internal/control/permits.go
+++ b/internal/control/permits.go
@@ -99,21 +99,21 @@
 		p.renewing = nil
 	}
 	if err == nil {
-		t.updateGrantShare(queue, p, query.Workers, reply.Granted)
+		t.updateGrantRate(queue, p, query.Workers, reply.Granted)
 		p.recordReply(query.Workers, reply, now.Add(reply.Valid).Sub(t.started))
 	}
-	t.markChanged(query.Step.Job)
+	t.markJobChanged(query.Step.Job)
 	t.mu.Unlock()
 }
 
-// grantShareWeight is the weight of the latest response in the moving mean of the
+// grantRateWeight is the weight of the latest response in the moving mean of the
 // granted share: the mean covers about 20 responses.
-const grantShareWeight = 0.05
+const grantRateWeight = 0.05
 
-// updateGrantShare adds a response to the queue's mean share of granted workers. It
+// updateGrantRate adds a response to the queue's mean share of granted workers. It
 // counts only workers about which no earlier response for the step is known. t.mu must be
 // held.
-func (t *leaderTerm) updateGrantShare(queue string, p *stepPermits, queried []string, granted []Grant) {
+func (t *leaderTerm) updateGrantRate(queue string, p *stepPermits, queried []string, granted []Grant) {
 	unknown := make(map[string]bool, len(queried))
 	for _, worker := range queried {
 		if _, known := p.known[worker]; !known {
@@ -129,9 +129,9 @@
 			permitted++
 		}
 	}
-	share := t.grantShares[queue]
-	share.add(float64(permitted)/float64(len(unknown)), grantShareWeight)
-	t.grantShares[queue] = share
+	share := t.grantRates[queue]
+	share.add(float64(permitted)/float64(len(unknown)), grantRateWeight)
+	t.grantRates[queue] = share
 }
 
 // recordReply stores the permits of a response to a query about the queried workers. It
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -77,7 +77,7 @@
 	t.decisions++
 	limits.Round = t.decisions
 	plan := dispatch.Decide(start.Sub(t.started), input.steps, input.workers, limits)
-	t.leftoverWorkers, t.leftoverAt, t.backlog, t.nextUrgentStep = input.workers, start, len(input.steps) > maxPlannedSteps, plan.FirstSkipped
+	t.leftoverWorkers, t.leftoverAt, t.backlog, t.firstSkippedStep = input.workers, start, len(input.steps) > maxPlannedSteps, plan.FirstSkipped
 	t.c.cfg.Counters.Observe("decide", time.Since(start))
 	if len(plan.Preemptions) > 0 {
 		t.preempt(plan.Preemptions, start)
@@ -210,8 +210,8 @@
 		estimate := time.Duration(job.Steps[run.Task.Step].EstimateMS) * time.Millisecond
 		o = &runOrder{
 			run: run, ticket: ticket, estimate: estimate, resumed: checkpoint != "",
-			gang: job.Steps[run.Task.Step].Gang, usesSpare: job.Steps[run.Task.Step].UsesSpareCPU, share: fullShare,
-			startInProgress: true, longRunning: job.Steps[run.Task.Step].LongRunning, crashSuspect: s.Task(run.Task).Suspect(),
+			gang: job.Steps[run.Task.Step].Gang, usesSpareCPU: job.Steps[run.Task.Step].UsesSpareCPU, share: fullShare,
+			startInProgress: true, longRunning: job.Steps[run.Task.Step].LongRunning, crashSuspect: s.Task(run.Task).IsCrashSuspect(),
 		}
 	})
 	return o, payload, checkpoint
--- a/internal/control/polls.go
+++ b/internal/control/polls.go
@@ -75,7 +75,7 @@
 // has no end to report that would complete a held poll. t.mu must be held.
 func (s *workerSession) pollSettlesStop() bool {
 	for _, o := range s.orders {
-		if !o.stopAcked.IsZero() && !o.listed {
+		if !o.stopAckedAt.IsZero() && !o.listed {
 			return true
 		}
 	}
--- a/internal/control/report.go
+++ b/internal/control/report.go
@@ -38,7 +38,7 @@
 	}
 	if returned {
 		// Only this report shows that the worker responds again; later reports don't.
-		t.spawn(s.commitReturned)
+		t.spawn(s.commitWorkerReturned)
 	}
 	if lastEnd > 0 || len(ends) > 0 {
 		s.logEnds(ends)
@@ -125,7 +125,7 @@
 				// Runs that an earlier leader or an earlier session ordered are monitored
 				// like orders of this session.
 				spec := &job.Steps[r.Task.Step]
-				o = &runOrder{run: run, usesSpare: spec.UsesSpareCPU, longRunning: spec.LongRunning, share: unknownShare}
+				o = &runOrder{run: run, usesSpareCPU: spec.UsesSpareCPU, longRunning: spec.LongRunning, share: unknownShare}
 				s.orders[r.Task] = o
 			}
 			if o != nil {
@@ -167,7 +167,7 @@
 				continue
 			}
 			o := s.orders[task]
-			stopped := o != nil && o.run.Number == run.Number && !o.stopAcked.IsZero() && o.stopAcked.Before(sent)
+			stopped := o != nil && o.run.Number == run.Number && !o.stopAckedAt.IsZero() && o.stopAckedAt.Before(sent)
 			inherited := o == nil && s.inherited[task] == run.Number
 			if stopped || inherited {
 				settled = append(settled, workflow.RunEnd{Task: task, Number: run.Number, Outcome: workflow.OutcomeNotStarted})
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -32,14 +32,14 @@
 	link.Handle(mux, MethodStartWave, c.StartWave)
 	link.Handle(mux, MethodWaveState, c.WaveState)
 	link.Handle(mux, MethodExplain, c.Explain)
-	mux.SetVersion(c.version)
+	mux.SetVersion(c.configurationVersion)
 }
 
-// version returns the version of the configuration that is in force according to the
-// local state.
-func (c *Controller) version() (version uint64) {
-	c.state.read(func(s *workflow.State) { version = s.Configuration.Version })
-	return version
+// configurationVersion returns the version of the configuration that is in force according
+// to the local state.
+func (c *Controller) configurationVersion() (configurationVersion uint64) {
+	c.state.read(func(s *workflow.State) { configurationVersion = s.Configuration.Version })
+	return configurationVersion
 }
 
 // resolveOnLeader returns the current leader term, the queue that address names, and the
@@ -164,7 +164,7 @@
 // Callers query the state of their jobs two or three times as often as they submit one,
 // mostly after the end.
 func (c *Controller) Ended(ctx context.Context, r *EndedCall) (EndedReply, error) {
-	if c.log.Status().Leader == "" || c.version() < r.Version {
+	if c.log.Status().Leader == "" || c.configurationVersion() < r.Version {
 		return EndedReply{}, nil
 	}
 	queue, id, err := c.lookUp(ctx, r.Address)
@@ -331,5 +331,5 @@
 		return AnnounceInstanceReply{}, err
 	}
 	t.adviserConns.recordAnnouncement(r.Address, time.Now())
-	return AnnounceInstanceReply{Members: c.cfg.Members(), Version: c.version(), Pause: t.adviserConns.announceInterval()}, nil
+	return AnnounceInstanceReply{Members: c.cfg.Members(), Version: c.configurationVersion(), Pause: t.adviserConns.announceInterval()}, nil
 }
--- a/internal/control/serve_version_test.go
+++ b/internal/control/serve_version_test.go
@@ -15,6 +15,6 @@
 	ctx, recorder := link.WithVersionRecorder(t.Context())
 	_, err := cluster.controller.State(ctx, &StateCall{Address: JobAddress{Host: "nowhere", Path: "/x/"}})
 	must.Error(t, err)
-	must.Eq(t, cluster.controller.version(), recorder.Version())
+	must.Eq(t, cluster.controller.configurationVersion(), recorder.Version())
 	must.Positive(t, recorder.Version())
 }
--- a/internal/control/session.go
+++ b/internal/control/session.go
@@ -93,10 +93,10 @@
 	runSummary runSummary
 	// startSlots has one slot for each start that may be in flight.
 	startSlots chan struct{}
-	// busy says that the last report listed live runs. advancedAt is when a report last
-	// showed progress, an end, or no live runs.
-	busy       bool
-	advancedAt time.Time
+	// hasLiveRuns says that the last report listed live runs. advancedAt is when a report
+	// last showed progress, an end, or no live runs.
+	hasLiveRuns bool
+	advancedAt  time.Time
 	// cancelPoll cancels the poll in flight, or the last one.
 	cancelPoll context.CancelFunc
 	// pollDue is when the response to the poll in flight becomes overdue.
@@ -231,7 +231,7 @@
 			s.t.mu.Lock()
 			s.recordLostCall(sent, time.Now())
 			s.t.mu.Unlock()
-			if s.handleUnansweredPoll(err) {
+			if s.recordUnansweredPoll(err) {
 				return
 			}
 			if failed++; failed > 1 {
@@ -282,10 +282,10 @@
 	return t.c.cfg.Workers.Poll(ctx, target, order)
 }
 
-// handleUnansweredPoll updates the session after a poll without a response, and reports
+// recordUnansweredPoll updates the session after a poll without a response, and reports
 // whether the session is over. Once the lease has expired, nothing runs on the worker any
 // more, and its runs are committed as lost.
-func (s *workerSession) handleUnansweredPoll(cause error) bool {
+func (s *workerSession) recordUnansweredPoll(cause error) bool {
 	t := s.t
 	now := time.Now()
 	t.mu.Lock()
@@ -337,7 +337,7 @@
 	s.settleWithSuccessor(cause, outcome)
 	s.commitLostRuns(cause, outcome, allRuns)
 	unresolved := s.unresolvedRuns()
-	t.commitWithRetry(&workflow.Command{Gone: s.worker.ID, Crashed: crashed})
+	t.commitWithRetry(&workflow.Command{GoneWorker: s.worker.ID, Crashed: crashed})
 	t.logEndedJobs(unresolved)
 	t.mu.Lock()
 	delete(t.sessions, s.worker.ID)
--- a/internal/control/settle_test.go
+++ b/internal/control/settle_test.go
@@ -138,7 +138,7 @@
 	s := &workerSession{t: &leaderTerm{c: &Controller{}}, orders: map[workflow.TaskKey]*runOrder{}}
 	hold, _ := s.pollTimes(now)
 	must.Eq(t, pollHold, hold)
-	o := &runOrder{stopAcked: now}
+	o := &runOrder{stopAckedAt: now}
 	s.orders[task("a", 0)] = o
 	hold, _ = s.pollTimes(now)
 	must.Eq(t, 0, hold)
@@ -208,7 +208,7 @@
 // never starts.
 func TestOnlyPollSentAfterStopSettlesRun(t *testing.T) {
 	now := time.Now()
-	stopped := func(o *runOrder) { o.stopAcked = now }
+	stopped := func(o *runOrder) { o.stopAckedAt = now }
 	must.Eq(t, 0, settledRuns(t, now.Add(-time.Millisecond), stopped))
 	must.Eq(t, 1, settledRuns(t, now.Add(time.Millisecond), stopped))
 	must.Eq(t, 0, settledRuns(t, now, func(*runOrder) {}), must.Sprint("an order without a stop"))
--- a/internal/control/simulation_checks_test.go
+++ b/internal/control/simulation_checks_test.go
@@ -90,10 +90,10 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return sim.describe("isn't done long after the faults ended:", unfinished)
+			return sim.describeSteps("isn't done long after the faults ended:", unfinished)
 		}
 		if found := sim.starvedSteps(unfinished, waitingSince, mostlyUsed, start.Add(drained)); len(found) > 0 {
-			return sim.describe("fits into free resources but does not start:", found)
+			return sim.describeSteps("fits into free resources but does not start:", found)
 		}
 	}
 }
@@ -252,9 +252,9 @@
 	}
 }
 
-// describe returns one line about each of the first steps, with the problem and the
+// describeSteps returns one line about each of the first steps, with the problem and the
 // leader's reason why the step waits, and a line with the number of all steps.
-func (sim *simulation) describe(problem string, steps []openStep) (found []string) {
+func (sim *simulation) describeSteps(problem string, steps []openStep) (found []string) {
 	c := sim.controller()
 	c.mu.Lock()
 	term := c.leaderTerm
--- a/internal/control/simulation_crash_test.go
+++ b/internal/control/simulation_crash_test.go
@@ -29,7 +29,7 @@
 
 // isCrashingTask reports whether a task crashes each worker that starts it.
 func (ws *simWorkers) isCrashingTask(task workflow.TaskKey) bool {
-	return seededFloat(ws.seed, "crasher", task) < ws.params.crashingTaskChance
+	return seededFloat(ws.seed, "crasher", task) < ws.params.crashingTaskProbability
 }
 
 // scheduleCrash makes a worker crash up to 60 ms after it has started a crashing task.
@@ -68,7 +68,7 @@
 // allowedCapacity returns the maximum resources that runs may occupy on the worker. After
 // a reduction the larger capacity counts for shrinkGrace.
 func (w *simWorker) allowedCapacity(now time.Time) workflow.Resources {
-	if now.Sub(w.changedAt) < shrinkGrace {
+	if now.Sub(w.capacityChangedAt) < shrinkGrace {
 		return w.Capacity.Max(w.previousCapacity)
 	}
 	return w.Capacity
@@ -77,7 +77,7 @@
 // resize changes a worker's capacity.
 func (w *simWorker) resize(capacity workflow.Resources, now time.Time) {
 	had := w.allowedCapacity(now)
-	w.Capacity, w.previousCapacity, w.changedAt = capacity, had, now
+	w.Capacity, w.previousCapacity, w.capacityChangedAt = capacity, had, now
 }
 
 // shrinkRandomWorkers reduces the number of cores of about a third of the workers to the
--- a/internal/control/simulation_faults_test.go
+++ b/internal/control/simulation_faults_test.go
@@ -37,7 +37,7 @@
 // positive.
 func (sim *simulation) submitLoad(age time.Duration) {
 	load := sim.params.load
-	if age >= sim.params.burstAt && age < sim.params.burstAt+sim.params.burstFor {
+	if age >= sim.params.burstStart && age < sim.params.burstStart+sim.params.burstDuration {
 		load = max(load, sim.params.burst)
 	}
 	tick := float64(simTick / time.Millisecond)
@@ -91,7 +91,7 @@
 		lease := sim.params.lease
 		sim.disconnectRandomWorkers(time.Now().Add(randomDuration(sim.random, lease*2/5, lease*13/10)))
 	case 13:
-		if sim.params.shrinks {
+		if sim.params.capacityShrinks {
 			sim.shrinkRandomWorkers()
 		}
 	default:
--- a/internal/control/simulation_params_test.go
+++ b/internal/control/simulation_params_test.go
@@ -26,10 +26,10 @@
 	queues []workflow.Queue
 	// faultPeriod is how long load is submitted and faults are injected.
 	faultPeriod time.Duration
-	// load is the submitted work as a multiple of the capacity. From burstAt on for
-	// burstFor, burst replaces load if burst is higher.
-	load, burst       float64
-	burstAt, burstFor time.Duration
+	// load is the submitted work as a multiple of the capacity. From burstStart on for
+	// burstDuration, burst replaces load if burst is higher.
+	load, burst               float64
+	burstStart, burstDuration time.Duration
 	// unplaceable and refused are the numbers of steps that are submitted first and never
 	// run: no worker can run the former, and the adviser permits the latter on no worker.
 	unplaceable, refused int
@@ -37,12 +37,12 @@
 	// two other faults.
 	faults        faultRates
 	faultInterval time.Duration
-	// crashingTaskChance is the probability that a task crashes each worker that starts
-	// it. shrinks enables changes of the workers' capacity.
-	crashingTaskChance float64
-	shrinks            bool
-	// sameNames makes a worker return under its previous name.
-	sameNames bool
+	// crashingTaskProbability is the probability that a task crashes each worker that
+	// starts it. capacityShrinks enables changes of the workers' capacity.
+	crashingTaskProbability float64
+	capacityShrinks         bool
+	// keepsWorkerNames makes a worker return under its previous name.
+	keepsWorkerNames bool
 }
 
 // faultRates are the probabilities of the faults of one call: a lost call never arrives,
@@ -101,8 +101,8 @@
 	}
 	if oneIn(random, 2) {
 		p.burst = logUniform(random, 1.2, 8)
-		p.burstAt = randomDuration(random, 0, p.faultPeriod*3/4)
-		p.burstFor = randomDuration(random, 500*time.Millisecond, 3*time.Second)
+		p.burstStart = randomDuration(random, 0, p.faultPeriod*3/4)
+		p.burstDuration = randomDuration(random, 500*time.Millisecond, 3*time.Second)
 	}
 	if oneIn(random, 4) {
 		p.unplaceable = 20 + random.IntN(200)
@@ -112,9 +112,9 @@
 	}
 	p.drawFaults(random)
 	if oneIn(random, 2) {
-		p.crashingTaskChance = logUniform(random, 0.001, 0.02)
+		p.crashingTaskProbability = logUniform(random, 0.001, 0.02)
 	}
-	p.shrinks, p.sameNames = oneIn(random, 2), oneIn(random, 2)
+	p.capacityShrinks, p.keepsWorkerNames = oneIn(random, 2), oneIn(random, 2)
 	for i := range 1 + random.IntN(4) {
 		p.queues = append(p.queues, drawQueue(random, i))
 	}
--- a/internal/control/simulation_poll_test.go
+++ b/internal/control/simulation_poll_test.go
@@ -103,7 +103,7 @@
 // acknowledge records that a leader has acknowledged ends. An acknowledged end is final,
 // unless the lease expired between the end and the acknowledgement. ws.mu must be held.
 func (ws *simWorkers) acknowledge(w *simWorker, lastEnd uint64) {
-	w.highestPolled = max(w.highestPolled, lastEnd)
+	w.highestPolledEnd = max(w.highestPolledEnd, lastEnd)
 	for ; w.acknowledged < min(lastEnd, uint64(len(w.ended))); w.acknowledged++ {
 		e, at := w.ended[w.acknowledged], w.endedAt[w.acknowledged]
 		step := ws.stepOf(e.Task)
--- a/internal/control/simulation_test.go
+++ b/internal/control/simulation_test.go
@@ -284,7 +284,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				sim := newSimulation(t, uint64(seed))
 				found := sim.run()
-				sim.logFigures()
+				sim.logSummary()
 				if len(found) > 0 {
 					t.Errorf("%s\n%s", strings.Join(found, "\n"), sim.eventLog.linesAbout(jobsNamedIn(found)...))
 				}
@@ -293,14 +293,14 @@
 	}
 }
 
-// logFigures logs the drawn parameters of the seed and what happened.
-func (sim *simulation) logFigures() {
+// logSummary logs the drawn parameters of the seed and what happened.
+func (sim *simulation) logSummary() {
 	sim.workers.mu.Lock()
 	defer sim.workers.mu.Unlock()
 	p := sim.params
 	withCrashingTask, withoutCrashingTask := sim.countGivenUp()
 	sim.t.Logf("crashing task chance %.4f, shrinks %t, same names %t; jobs given up: %d with a crashing task, %d without; workers %d, adviser connections %d, permitted share %.2f, lease %v, load %.2f, burst %.2f, unplaceable %d, refused %d, faults %+v; jobs %d, starts %d, queries %d, leaders %d, largest backlog %d, commands refused %d, with unknown outcome %d, virtual time %v",
-		p.crashingTaskChance, p.shrinks, p.sameNames, withCrashingTask, withoutCrashingTask, p.workers, p.adviserConns, p.permittedShare, p.lease, p.load, p.burst, p.unplaceable, p.refused, p.faults, sim.jobs, sim.workers.starts, sim.adviser.queries, sim.term, sim.maxBacklog,
+		p.crashingTaskProbability, p.capacityShrinks, p.keepsWorkerNames, withCrashingTask, withoutCrashingTask, p.workers, p.adviserConns, p.permittedShare, p.lease, p.load, p.burst, p.unplaceable, p.refused, p.faults, sim.jobs, sim.workers.starts, sim.adviser.queries, sim.term, sim.maxBacklog,
 		sim.store.refused, sim.store.unknownOutcomes, time.Since(sim.startedAt).Round(time.Millisecond))
 }
 
--- a/internal/control/simulation_worker_test.go
+++ b/internal/control/simulation_worker_test.go
@@ -22,17 +22,17 @@
 	ended       []Ended
 	endedAt     []time.Time
 	// acknowledged is the position of the last end that the worker has recorded as
-	// acknowledged, highestPolled the highest position that a poll named.
-	acknowledged, highestPolled uint64
-	leaseEnd                    time.Time
-	leaseExpiredAt              time.Time
+	// acknowledged, highestPolledEnd the highest position that a poll named.
+	acknowledged, highestPolledEnd uint64
+	leaseEnd                       time.Time
+	leaseExpiredAt                 time.Time
 	// unreachableUntil is when calls get through again, refusingUntil when the worker accepts
 	// starts again, partialReportsUntil when its reports are complete again.
 	unreachableUntil, refusingUntil, partialReportsUntil time.Time
 	crashed                                              bool
-	// previousCapacity is the capacity before the last change, at changedAt.
-	previousCapacity workflow.Resources
-	changedAt        time.Time
+	// previousCapacity is the capacity before the last change, at capacityChangedAt.
+	previousCapacity  workflow.Resources
+	capacityChangedAt time.Time
 	// changed is closed when a run ends.
 	changed chan struct{}
 }
@@ -88,7 +88,7 @@
 		clockOffset: time.Duration(seededFloat(ws.seed, "clock", address, incarnation) * float64(time.Hour)),
 		running:     map[workflow.TaskKey]*simRun{}, stopped: map[workflow.TaskKey]int{}, changed: make(chan struct{}),
 	}
-	if ws.params.sameNames {
+	if ws.params.keepsWorkerNames {
 		w.Name, w.StartedAtMS = address, int64(incarnation)
 	}
 	ws.mu.Lock()
@@ -173,7 +173,7 @@
 		time.AfterFunc(outcome.late, func() {
 			ws.mu.Lock()
 			defer ws.mu.Unlock()
-			if w.crashed && ws.params.sameNames {
+			if w.crashed && ws.params.keepsWorkerNames {
 				// The next incarnation can't tell that the order was meant for an earlier
 				// one.
 				w = ws.current[to.Address]
@@ -221,7 +221,7 @@
 	case outcome.lost:
 		<-ctx.Done()
 		return nil, outcome, errNoResponse
-	case outcome.misdirected || w.ID != to.Worker && !ws.params.sameNames:
+	case outcome.misdirected || w.ID != to.Worker && !ws.params.keepsWorkerNames:
 		return nil, outcome, ErrOtherIncarnation
 	}
 	return w, outcome, nil
@@ -351,7 +351,7 @@
 	w.ended = append(w.ended, Ended{Position: uint64(len(w.ended) + 1),
 		RunEnd: workflow.RunEnd{Task: task, Number: run.number, Outcome: outcome}})
 	w.endedAt = append(w.endedAt, time.Now())
-	ws.acknowledge(w, w.highestPolled)
+	ws.acknowledge(w, w.highestPolledEnd)
 	ws.eventLog.logRun("ends "+outcome.String(), w, workflow.Run{Task: task, Number: run.number}, nil)
 	w.notifyChanged()
 }
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -46,7 +46,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	// A full decision covers the changed jobs as well.
-	t.takeChanged()
+	t.takeChangedJobs()
 	// The number of waiting steps at the last decision estimates the current number.
 	input := planInput{copyCandidates: map[workflow.TaskKey]copyCandidate{}, runsPerWorker: map[workflow.StepKey]map[string]int{}, steps: make([]dispatch.Step, 0, len(t.waiting)+extraStepCapacity)}
 	t.c.state.read(func(s *workflow.State) {
@@ -122,7 +122,7 @@
 		}
 	}
 	suspects := t.suspectedDataCentres(now)
-	t.updateSuspected(suspects, now)
+	t.recordSuspectedDataCentres(suspects, now)
 	// Sorted, so that incremental decisions, which reuse the slice, needn't sort it.
 	for _, id := range slices.Sorted(maps.Keys(t.sessions)) {
 		session, state := t.sessions[id], s.Workers[id]
@@ -134,7 +134,7 @@
 		summary := t.summarizeRuns(s, session, changes, now)
 		workers = append(workers, dispatch.Worker{
 			Worker: state.Worker, Free: free, FreeBeforePlan: free, Releases: summary.releases, Penalty: session.penalty(), Earmarked: t.earmarked[id],
-			Serving: summary.serving, SpareRuns: summary.spareRuns, SpareShare: session.throttle.share,
+			Serving: summary.serving, SpareRuns: summary.spareRuns, SpareCPUPercent: session.throttle.share,
 		})
 	}
 	return workers
@@ -191,7 +191,7 @@
 	if o == nil {
 		return r
 	}
-	if !o.stopSent.IsZero() {
+	if !o.stopSentAt.IsZero() {
 		r.At, r.Stopping = now.Add(dispatch.StopTime/2).Sub(t.started), true
 		return r
 	}
@@ -218,7 +218,7 @@
 		return now.Add(estimate / 2)
 	}
 	if progress := o.percent - o.firstPercent; progress >= minProgressPercent {
-		perPercent := float64(o.progressAt.Sub(o.firstAt)) / float64(progress)
+		perPercent := float64(o.progressAt.Sub(o.firstListedAt)) / float64(progress)
 		return o.progressAt.Add(max(time.Duration(perPercent*float64(completePercent-o.percent)), now.Sub(o.progressAt)))
 	}
 	// The first reported progress of a resumed run is work of earlier runs.
@@ -289,10 +289,10 @@
 	if p.lastQueryAt == 0 {
 		p.lastQueryAt = now.Sub(t.started)
 	}
-	step.NeedsPermit, step.LastQuery = true, p.lastQueryAt
+	step.NeedsPermit, step.LastQueryAt = true, p.lastQueryAt
 	advice := *job.Policy.Advice
 	step.ResponseTime = func(n int) time.Duration { return queryDuration(&advice, n) }
-	step.GrantRate = t.grantShares[job.Queue].mean
+	step.GrantRate = t.grantRates[job.Queue].mean
 	step.AwaitsResponse, step.Renewing = p.inFlight > 0, p.renewing
 	step.Permits, step.TicketsExpire = p.known, p.ticketsExpire
 	return step
@@ -336,7 +336,7 @@
 func suspectsAmong(state *workflow.StepState, pending []int) map[int]bool {
 	var suspects map[int]bool
 	for _, index := range pending {
-		if !state.Tasks[index].Suspect() {
+		if !state.Tasks[index].IsCrashSuspect() {
 			continue
 		}
 		if suspects == nil {
--- a/internal/control/starts.go
+++ b/internal/control/starts.go
@@ -239,7 +239,7 @@
 		o.startedAt = now
 	}
 	t.startedJobs[o.run.Task.Job] = true
-	if o.usesSpare && s.throttle.serving {
+	if o.usesSpareCPU && s.throttle.serving {
 		// The run starts with its full share, and the next report may be far off.
 		s.throttle.beginSpare(now)
 		s.applyShare(o)
--- a/internal/control/stops.go
+++ b/internal/control/stops.go
@@ -78,7 +78,7 @@
 	if o == nil || o.run.Number != run.Number {
 		return cause == stopOrphaned || s.inherited[run.Task] == run.Number
 	}
-	return now.Sub(o.stopSent) >= stopRetryInterval
+	return now.Sub(o.stopSentAt) >= stopRetryInterval
 }
 
 // recordStop records that a stop is sent. The first stop of a stalled run counts as a
@@ -94,13 +94,13 @@
 		o.orphaned = true
 		s.t.recordOrphan(stop.run, now)
 	}
-	if o.stopSent.IsZero() {
+	if o.stopSentAt.IsZero() {
 		s.t.logger.Log("event", "stop", "task", stop.run.Task, "run", stop.run.Number, "worker", s.worker.ID, "cause", stop.cause)
 		if stop.cause == stopStalled {
 			s.failures++
 		}
 	}
-	o.stopSent = now
+	o.stopSentAt = now
 	s.runSummary = runSummary{}
 }
 
--- a/internal/control/suspect.go
+++ b/internal/control/suspect.go
@@ -52,9 +52,9 @@
 // it counts as regained. The suspicion briefly disappears between two overdue responses.
 const suspicionClearDelay = time.Second
 
-// updateSuspected records the suspected data centres and logs each change. t.mu must be
-// held.
-func (t *leaderTerm) updateSuspected(suspected map[string]bool, now time.Time) {
+// recordSuspectedDataCentres records the suspected data centres and logs each change. t.mu
+// must be held.
+func (t *leaderTerm) recordSuspectedDataCentres(suspected map[string]bool, now time.Time) {
 	for dataCentre := range suspected {
 		if t.dataCentreSuspectedAt[dataCentre].IsZero() {
 			t.logger.Log("event", "data_centre_contact", "data_centre", dataCentre, "outcome", "lost",
--- a/internal/control/suspect_test.go
+++ b/internal/control/suspect_test.go
@@ -44,7 +44,7 @@
 		at       time.Duration
 		suspects map[string]bool
 	}{{0, unreachable}, {200 * time.Millisecond, nil}, {400 * time.Millisecond, unreachable}, {time.Second, nil}, {3 * time.Second, nil}, {4 * time.Second, nil}} {
-		term.updateSuspected(step.suspects, now.Add(step.at))
+		term.recordSuspectedDataCentres(step.suspects, now.Add(step.at))
 	}
 	must.Eq(t, "event=data_centre_contact data_centre=a outcome=lost silent_ms=0\n"+
 		"event=data_centre_contact data_centre=a outcome=regained silent_ms=3000\n", logOutput.String())
--- a/internal/control/throttle.go
+++ b/internal/control/throttle.go
@@ -117,7 +117,7 @@
 		s.throttle.changedAt = time.Time{}
 	}
 	for _, r := range report.Running {
-		if o := s.orders[r.Task]; o != nil && o.usesSpare {
+		if o := s.orders[r.Task]; o != nil && o.usesSpareCPU {
 			s.applyShare(o)
 		}
 	}
--- a/internal/control/unreported_runs_test.go
+++ b/internal/control/unreported_runs_test.go
@@ -22,7 +22,7 @@
 // the leader monitors.
 func TestMisdirectedStartIsSettled(t *testing.T) {
 	cluster := newTestCluster(t, nil)
-	cluster.workers.add("w1").misdirected = 1
+	cluster.workers.add("w1").misdirectedStarts = 1
 	cluster.announce("w1")
 	cluster.submit("a", oneTask)
 	cluster.eventually("the task runs", func() bool { return cluster.started("w1") == 1 })
--- a/workflow/apply.go
+++ b/workflow/apply.go
@@ -8,7 +8,7 @@
 )
 
 // Command is one change of the state. Exactly one field is set, except that Crashed
-// accompanies Gone.
+// accompanies GoneWorker.
 type Command struct {
 	Submit *Submission `cbor:"1,keyasint,omitempty"`
 	// Cancel is the ID of the job to cancel.
@@ -18,9 +18,9 @@
 	Ends  *RunEnds `cbor:"4,keyasint,omitempty"`
 	// Worker is an incarnation of a worker that announces itself.
 	Worker *Worker `cbor:"5,keyasint,omitempty"`
-	// Gone is the ID of an incarnation that has ended.
-	Gone string `cbor:"6,keyasint,omitempty"`
-	// Crashed says that the worker named by Gone has crashed.
+	// GoneWorker is the ID of an incarnation that has ended.
+	GoneWorker string `cbor:"6,keyasint,omitempty"`
+	// Crashed says that the worker named by GoneWorker has crashed.
 	Crashed bool `cbor:"11,keyasint,omitempty"`
 	// DeleteJobs are the IDs of ended jobs to delete.
 	DeleteJobs    []string     `cbor:"7,keyasint,omitempty"`
@@ -93,8 +93,8 @@
 		s.end(c.Ends)
 	case c.Worker != nil:
 		s.announce(c.Worker)
-	case c.Gone != "":
-		s.workerGone(c.Gone, c.Crashed)
+	case c.GoneWorker != "":
+		s.workerGone(c.GoneWorker, c.Crashed)
 	case len(c.DeleteJobs) > 0:
 		s.deleteJobs(c.DeleteJobs)
 	case c.Configuration != nil:
@@ -138,13 +138,13 @@
 	}
 	if !job.Ended() {
 		job.Cancelled = true
-		s.close(job)
+		s.closeJob(job)
 	}
 	return true
 }
 
-// close removes a job from the open jobs and drops its payload.
-func (s *State) close(job *Job) {
+// closeJob removes a job from the open jobs and drops its payload.
+func (s *State) closeJob(job *Job) {
 	delete(s.openJobs, job.ID)
 	job.Payload = ""
 }
@@ -218,7 +218,7 @@
 		return false
 	}
 	_, runsThere := s.Runs[run.Worker][run.Task]
-	return task.Live == 0 || spec.AllowsCopies() && !task.Suspect() && task.Live < maxLiveRuns && !runsThere
+	return task.Live == 0 || spec.AllowsCopies() && !task.IsCrashSuspect() && task.Live < maxLiveRuns && !runsThere
 }
 
 // fitCountOn returns how many more tasks of a step fit on a worker.
@@ -330,7 +330,7 @@
 	step.Done++
 	job.Unfinished--
 	if job.Unfinished == 0 {
-		s.close(job)
+		s.closeJob(job)
 	}
 }
 
@@ -339,13 +339,14 @@
 	limit := job.Policy.MaxAttempts
 	if limit > 0 && failures >= limit && !job.Ended() {
 		job.Failed = true
-		s.close(job)
+		s.closeJob(job)
 	}
 }
 
 // announce records a worker. A new incarnation doesn't replace an earlier one at the same
-// address; the earlier one ends only with a command whose Gone names it. If heartbeats of
-// an incarnation are committed out of order, the one with the highest Sequence is kept.
+// address; the earlier one ends only with a command whose GoneWorker names it. If
+// heartbeats of an incarnation are committed out of order, the one with the highest
+// Sequence is kept.
 func (s *State) announce(w *Worker) {
 	known := s.Workers[w.ID]
 	if known == nil {
--- a/workflow/crash.go
+++ b/workflow/crash.go
@@ -25,8 +25,8 @@
 	maxCrashes = 5
 )
 
-// Suspect reports whether a worker has crashed under the task.
-func (t *Task) Suspect() bool { return len(t.CrashedOn) > 0 }
+// IsCrashSuspect reports whether a worker has crashed under the task.
+func (t *Task) IsCrashSuspect() bool { return len(t.CrashedOn) > 0 }
 
 // AwaitsCrashOutcome reports whether the task must not start yet: its crashes and its
 // unresolved runs together reach maxCrashes. Otherwise, while workers are unreachable for
@@ -87,6 +87,6 @@
 	if task.StrongCrashes >= maxStrongCrashes || len(task.CrashedOn) >= maxCrashes {
 		crashingTask := end.Task
 		job.Failed, job.CrashingTask = true, &crashingTask
-		s.close(job)
+		s.closeJob(job)
 	}
 }
--- a/workflow/crash_test.go
+++ b/workflow/crash_test.go
@@ -60,11 +60,11 @@
 		run := c.startOnNewWorker()
 		c.end(run, OutcomeLost, SuspicionStrong)
 		c.state.Apply(12, &Command{Ends: &RunEnds{Worker: run.Worker, Returned: true}})
-		c.state.Apply(13, &Command{Gone: run.Worker, Crashed: true})
+		c.state.Apply(13, &Command{GoneWorker: run.Worker, Crashed: true})
 		c.end(c.startOnNewWorker(), OutcomeCrashed, SuspicionNone)
 	}
 	must.False(t, c.failed())
-	must.False(t, c.state.Task(key(0, 0)).Suspect())
+	must.False(t, c.state.Task(key(0, 0)).IsCrashSuspect())
 }
 
 // Guards against a snapshot that omits crashes already counted, or unresolved runs: runs that
@@ -84,7 +84,7 @@
 	must.NoError(t, err)
 	for _, run := range unresolved {
 		must.False(t, c.failed())
-		c.state.Apply(12, &Command{Gone: run.Worker, Crashed: true})
+		c.state.Apply(12, &Command{GoneWorker: run.Worker, Crashed: true})
 	}
 	must.True(t, c.failed())
 }
--- a/workflow/workflow_test.go
+++ b/workflow/workflow_test.go
@@ -181,7 +181,7 @@
 	must.Eq(t, "7", string(s.Configuration.Source))
 }
 
-func TestLongestPrefixWins(t *testing.T) {
+func TestResolveUsesLongestPrefix(t *testing.T) {
 	d := Document{Queues: []Queue{{Name: "a", Host: "h", Prefix: "/x/"}, {Name: "b", Host: "h", Prefix: "/x/y/"}}}
 	queue, rest, ok := d.Resolve("h", "/x/y/1")
 	must.True(t, ok)
@@ -219,7 +219,7 @@
 					s.finishRun(run, Outcome(rapid.IntRange(1, 8).Draw(rt, "outcome")))
 				}
 			case 4:
-				s.Apply(9, &Command{Gone: worker})
+				s.Apply(9, &Command{GoneWorker: worker})
 				s.Apply(9, &Command{Worker: &Worker{ID: worker + "'", Service: "s"}})
 			case 5:
 				encoded, err := s.Snapshot()
@@ -310,6 +310,6 @@
 	check(s, 3, 1)
 	_, after := s.Used("w")
 	must.NotEq(t, before, after)
-	s.Apply(5, &Command{Gone: "w"})
+	s.Apply(5, &Command{GoneWorker: "w"})
 	check(s, 0, 0)
 }
