--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -39,7 +39,7 @@
 	if !c.heartbeatBuffer.buffer(r.Worker.ID, now) && !c.forwarded.recentlyForwarded(r.Worker.ID, now) {
 		return AnnouncementReply{}, false
 	}
-	return AnnouncementReply{HeartbeatAddress: c.cfg.Public}, true
+	return AnnouncementReply{HeartbeatAddress: c.cfg.PublicAddress}, true
 }
 
 // forwardedHeartbeats records when a heartbeat of each worker was last forwarded to the
@@ -66,19 +66,19 @@
 // member.
 func (c *Controller) heartbeatAddress(worker string) string {
 	if c.heartbeats != nil {
-		return c.cfg.Public
+		return c.cfg.PublicAddress
 	}
 	members := slices.DeleteFunc(c.cfg.Members(), func(address string) bool { return address == c.cfg.Address })
 	if len(members) == 0 {
-		return c.cfg.Public
+		return c.cfg.PublicAddress
 	}
 	member, _, err := net.SplitHostPort(members[xxhash.Sum64String(worker)%uint64(len(members))])
 	if err != nil {
-		return c.cfg.Public
+		return c.cfg.PublicAddress
 	}
-	_, port, err := net.SplitHostPort(c.cfg.Public)
+	_, port, err := net.SplitHostPort(c.cfg.PublicAddress)
 	if err != nil {
-		return c.cfg.Public
+		return c.cfg.PublicAddress
 	}
 	return net.JoinHostPort(member, port)
 }
--- a/internal/control/chaos_workers_test.go
+++ b/internal/control/chaos_workers_test.go
@@ -335,7 +335,7 @@
 	if !ws.faultsOver && ws.random.Float64() < lostQueryProbability {
 		return AdviserReply{}, errInjected
 	}
-	reply := AdviserReply{Valid: chaosTicketValidityMS * time.Millisecond}
+	reply := AdviserReply{TicketValidity: chaosTicketValidityMS * time.Millisecond}
 	for _, worker := range call.Workers {
 		reply.Granted = append(reply.Granted, Grant{Worker: worker, Ticket: "t"})
 	}
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -33,10 +33,10 @@
 
 // Config configures a Controller and doesn't change after New.
 type Config struct {
-	// Address is where other instances reach this one; Public is where workers and
+	// Address is where other instances reach this one; PublicAddress is where workers and
 	// operators reach it.
-	Address, Public string
-	Bounds          Bounds
+	Address, PublicAddress string
+	Bounds                 Bounds
 	// Disabled names the mechanisms that are switched off.
 	Disabled dispatch.Disabled
 	Workers  Workers
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -343,7 +343,7 @@
 }
 
 func (f *fakeWorkers) Query(_ context.Context, call AdviserQuery) (AdviserReply, error) {
-	reply := AdviserReply{Valid: time.Minute}
+	reply := AdviserReply{TicketValidity: time.Minute}
 	for _, worker := range call.Workers {
 		reply.Granted = append(reply.Granted, Grant{Worker: worker, Ticket: "t"})
 	}
--- a/internal/control/permits.go
+++ b/internal/control/permits.go
@@ -84,8 +84,8 @@
 	start := time.Now()
 	reply, err := t.adviserConns.send(ctx, conn, AdviserQuery{Step: query.Step, Workers: query.Workers})
 	now := time.Now()
-	if reply.Valid == 0 {
-		reply.Valid = validity
+	if reply.TicketValidity == 0 {
+		reply.TicketValidity = validity
 	}
 	t.adviserConns.release(conn, now, err != nil)
 	t.c.cfg.Counters.Add("asks", 1)
@@ -100,7 +100,7 @@
 	}
 	if err == nil {
 		t.updateGrantRate(queue, p, query.Workers, reply.Granted)
-		p.recordReply(query.Workers, reply, now.Add(reply.Valid).Sub(t.started))
+		p.recordReply(query.Workers, reply, now.Add(reply.TicketValidity).Sub(t.started))
 	}
 	t.markJobChanged(query.Step.Job)
 	t.mu.Unlock()
--- a/internal/control/ports.go
+++ b/internal/control/ports.go
@@ -187,13 +187,13 @@
 }
 
 // Machines calls the deployment's machine service, which lists machines and carries out
-// orders for them. Maintenance and Move end all runs on the machine. They are idempotent:
+// orders for them. StartMaintenance and Move end all runs on the machine. They are idempotent:
 // repeating an order that was carried out succeeds. After an error other than a
 // RefusedError it is unknown whether they are carried out.
 type Machines interface {
 	// ListMachines returns one page of the list, the first one if page is empty.
 	ListMachines(ctx context.Context, page string) (MachinePage, error)
-	// Maintenance takes a machine down for its maintenance in a wave.
+	// StartMaintenance takes a machine down for its maintenance in a wave.
 	StartMaintenance(ctx context.Context, order MachineOrder, wave int64) error
 	// Move assigns a machine to another pool.
 	Move(ctx context.Context, order MachineOrder, pool string) error
@@ -215,9 +215,9 @@
 // may run.
 type AdviserReply struct {
 	Granted []Grant `cbor:"1,keyasint"`
-	// Valid is how long the tickets are valid, counted from the arrival of the response. It
+	// TicketValidity is how long the tickets are valid, counted from the arrival of the response. It
 	// is 0 if the response doesn't say.
-	Valid time.Duration `cbor:"2,keyasint"`
+	TicketValidity time.Duration `cbor:"2,keyasint"`
 }
 
 // Adviser is the external service that permits steps to run on workers. It serves the
--- a/internal/control/simulation_adviser_test.go
+++ b/internal/control/simulation_adviser_test.go
@@ -85,10 +85,10 @@
 	if !wait.For(ctx, time.Until(end)) {
 		return AdviserReply{}, errNoResponse
 	}
-	reply := AdviserReply{Valid: time.Duration(policy.TicketValidityMS) * time.Millisecond}
+	reply := AdviserReply{TicketValidity: time.Duration(policy.TicketValidityMS) * time.Millisecond}
 	for _, worker := range call.Workers {
 		if a.permits(call.Step, worker) {
-			reply.Granted = append(reply.Granted, Grant{Worker: worker, Ticket: ticketFor(call.Step, worker, time.Now().Add(reply.Valid))})
+			reply.Granted = append(reply.Granted, Grant{Worker: worker, Ticket: ticketFor(call.Step, worker, time.Now().Add(reply.TicketValidity))})
 		}
 	}
 	return reply, nil
--- a/internal/instance/core.go
+++ b/internal/instance/core.go
@@ -91,7 +91,7 @@
 	detachStop()
 	s := p.settings
 	cfg := control.Config{
-		Address: c.internalAddress, Public: s.ControlAddress, Workers: c.deployment, Adviser: c.deployment, Client: c.client,
+		Address: c.internalAddress, PublicAddress: s.ControlAddress, Workers: c.deployment, Adviser: c.deployment, Client: c.client,
 		Logger: p.logger, Counters: p.metrics, Leader: logMember.Leader, Members: logMember.Addresses,
 		Bounds: s.controlBounds(), Disabled: s.DisabledMechanisms, Instance: s.Instance, OrdersByHeartbeat: s.WorkerOrders == ordersHeartbeat,
 	}
--- a/routing/types.go
+++ b/routing/types.go
@@ -122,9 +122,9 @@
 	// request was sent.
 	TTL time.Duration
 	// MaxRequestDuration bounds how long a request may be in flight on a minion. It
-	// must not be shorter than Lease.
+	// must not be shorter than TTL.
 	MaxRequestDuration time.Duration
-	// Drift bounds how far two monotonic clocks diverge over Lease + MaxRequestDuration.
+	// Drift bounds how far two monotonic clocks diverge over TTL + MaxRequestDuration.
 	Drift time.Duration
 	// MinionTTL is how long a minion stays usable without an announcement.
 	MinionTTL time.Duration
@@ -141,7 +141,7 @@
 }
 
 // withDefaults replaces unset durations by their defaults and raises MaxRequestDuration
-// to at least Lease.
+// to at least TTL.
 func (o LeaseOptions) withDefaults() LeaseOptions {
 	d := DefaultLeaseOptions()
 	if o.TTL <= 0 {
--- a/workflow/check.go
+++ b/workflow/check.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// MaxPayload, MaxTasks, MaxSteps and MaxOccurrences are the limits of a job. MaxPayload is in
+// MaxPayloadBytes, MaxTasks, MaxSteps and MaxOccurrences are the limits of a job. MaxPayloadBytes is in
 // bytes. MaxTasks follows from the memory of an instance: 100,000 tasks take 6 MB.
 const (
-	MaxPayload     = 4000
-	MaxTasks       = 100_000
-	MaxSteps       = 1000
-	MaxOccurrences = 10_000
+	MaxPayloadBytes = 4000
+	MaxTasks        = 100_000
+	MaxSteps        = 1000
+	MaxOccurrences  = 10_000
 )
 
 // Field names a part of a submission.
@@ -45,8 +45,8 @@
 // there is none.
 func Check(payload string, steps []Step, schedule Schedule) error {
 	switch {
-	case len(payload) > MaxPayload:
-		return checkErrorf(FieldPayload, "%d bytes, the limit is %d", len(payload), MaxPayload)
+	case len(payload) > MaxPayloadBytes:
+		return checkErrorf(FieldPayload, "%d bytes, the limit is %d", len(payload), MaxPayloadBytes)
 	case len(steps) == 0 || len(steps) > MaxSteps:
 		return checkErrorf(FieldSteps, "%d steps, 1 to %d are allowed", len(steps), MaxSteps)
 	case schedule.Times < 0 || schedule.Times > MaxOccurrences:
